--- a/internal/trail/front.go
+++ b/internal/trail/front.go
@@ -44,7 +44,7 @@
 	ended    bool
 	enough   chan struct{}  // closed when a planned end waits no longer
 	over     chan struct{}  // closed when Serve has ended
-	servers  sync.WaitGroup // generations and requests
+	servers  sync.WaitGroup // generations
 	listener *net.TCPListener
 }
 
@@ -93,7 +93,7 @@
 	g := f.now
 	if g == nil {
 		g = &generation{hand: newHandoff(f.listener.Addr())}
-		g.server = &http.Server{Handler: f, ReadHeaderTimeout: f.limits.HeaderTimeout, IdleTimeout: f.limits.Idle,
+		g.server = &http.Server{Handler: f.p, ReadHeaderTimeout: f.limits.HeaderTimeout, IdleTimeout: f.limits.Idle,
 			MaxHeaderBytes: mostHeader, DisableGeneralOptionsHandler: true, ConnState: f.note, ErrorLog: quietLog,
 			ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 				return context.WithValue(ctx, connKey{}, c)
@@ -109,13 +109,6 @@
 	}
 }
 
-// ServeHTTP implements http.Handler.
-func (f *front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f.servers.Add(1)
-	defer f.servers.Done()
-	f.p.ServeHTTP(w, r)
-}
-
 // note follows a connection's state.
 func (f *front) note(c net.Conn, s http.ConnState) {
 	if s == http.StateClosed || s == http.StateHijacked {
@@ -213,6 +206,9 @@
 		_ = c.Close()
 	}
 	f.mu.Unlock()
+	for f.count() > 0 { // a connection is forgotten when its last request has ended
+		<-f.changed
+	}
 	f.servers.Wait()
 	f.p.upstream.close()
 }
--- a/internal/trail/front_test.go
+++ b/internal/trail/front_test.go
@@ -6,6 +6,7 @@
 	"io"
 	"net"
 	"net/http"
+	"runtime"
 	"strings"
 	"testing"
 	"time"
@@ -46,7 +47,7 @@
 		f.Drain(context.Background())
 	}()
 	for f.Ready() { // until Drain has begun
-		time.Sleep(0)
+		runtime.Gosched()
 	}
 	if got := open.post("id-4", "").read(); got.StatusCode != 200 || !got.Close {
 		t.Errorf("status %d, closing %v", got.StatusCode, got.Close)
@@ -150,6 +151,7 @@
 	if got := f.ask(t, "id-2", ""); got.StatusCode != 200 {
 		t.Errorf("status %d", got.StatusCode)
 	}
+	close(goOn)
 	for n, c := range all {
 		if n == 3 {
 			if _, err := c.in.ReadByte(); err != io.EOF {
@@ -157,7 +159,6 @@
 			}
 			continue
 		}
-		goOn <- true
 		if got := c.read(); got.StatusCode != 200 {
 			t.Errorf("%d: status %d", n, got.StatusCode)
 		}
@@ -266,3 +267,29 @@
 		t.Error(err)
 	}
 }
+
+// TestSlowClient has a client take nothing of a long answer: it holds up only itself, and is given up.
+func TestSlowClient(t *testing.T) {
+	long := strings.Repeat("x", 16<<20)
+	s := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		if r.Header.Get("X-Long") == "" {
+			return say(200, "x")(c, r, body)
+		}
+		return say(200, long)(c, r, body)
+	})
+	f := startProxy(t, []*fakeServer{s})
+	f.stall = 300 * time.Millisecond // before any request comes
+	slow := f.dial(t)
+	_ = slow.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
+	slow.post("id-1", "", "X-Long: 1")
+	within(t, s.came, "request")
+	if got := f.ask(t, "id-2", ""); got.StatusCode != 200 {
+		t.Errorf("status %d", got.StatusCode)
+	}
+	for f.Counters().Gone.Load() == 0 { // within the time of the test binary, or it fails with all stacks
+		runtime.Gosched()
+	}
+	if got := slow.read(); got.err == nil || len(got.body) == len(long) {
+		t.Errorf("%d bytes, error %v", len(got.body), got.err)
+	}
+}
--- a/internal/trail/handler.go
+++ b/internal/trail/handler.go
@@ -16,6 +16,7 @@
 const (
 	mostMargin = 20 * time.Millisecond // before its client's limit a request is given up, at the most
 	mostWait   = 10 * time.Minute      // for an answer, whatever is asked
+	restOfBody = time.Second           // a refused request's body is waited for
 )
 
 type connKey struct{} // of a request's *frame.ClientConn in its context
@@ -29,6 +30,7 @@
 	conn, _ := r.Context().Value(connKey{}).(*frame.ClientConn)
 	id := r.Header.Get(attemptID)
 	config := p.config()
+	_ = rc.SetReadDeadline(came.Add(restOfBody)) // where no body is read, net/http waits for it before it answers
 	if config == nil {
 		p.counters.Refused.Add(1)
 		w.Header().Set("Retry-After", seconds(defaultRetry))
--- a/internal/trail/pick/choose.go
+++ b/internal/trail/pick/choose.go
@@ -188,8 +188,8 @@
 }
 
 const (
-	waitShare     = 0.8 // of the aim that a new request may wait for others
-	returnShare   = 0.6 // and one that comes back
+	waitShare     = 0.6 // of the aim that a new request may wait for others
+	returnShare   = 1 // and one that comes back
 	returnedLeast = 80 * time.Millisecond
 )
 
--- a/internal/trail/pick/weigh.go
+++ b/internal/trail/pick/weigh.go
@@ -180,7 +180,7 @@
 
 const (
 	longPrompt = 80               // milliseconds of reading from which a prompt is long
-	laneShare  = 0.4              // of a region's servers
+	laneShare  = 0.5              // of a region's servers
 	laneMemory = 10 * time.Second // long and short prompts count as mixed this long after the last one
 )
 
--- a/internal/trail/proxy.go
+++ b/internal/trail/proxy.go
@@ -29,6 +29,7 @@
 	room     *budget
 	front    *front
 	counters Counters
+	stall    time.Duration // a client that takes nothing for so long is given up
 }
 
 // New makes a Proxy that knows no world yet: it answers 503 until SetWorld has told it a configuration.
@@ -50,7 +51,7 @@
 	if o.Log == nil {
 		o.Log = log.Log
 	}
-	p := &Proxy{opt: o, policy: newPolicy(by), room: newBudget(int64(o.MemoryMB) << 20 / bodiesShare)}
+	p := &Proxy{opt: o, stall: stallFor, policy: newPolicy(by), room: newBudget(int64(o.MemoryMB) << 20 / bodiesShare)}
 	p.upstream = newUpstream(o.Settings, &p.counters)
 	p.front = newFront(p)
 	return p
--- a/internal/trail/relay.go
+++ b/internal/trail/relay.go
@@ -14,7 +14,7 @@
 const (
 	leastHeld = 4 << 10          // bytes of an answer that are held at first, if its length is not known
 	mostHeld  = 256 << 10        // bytes of an answer that are held until it is whole, at the most
-	stallFor  = 10 * time.Second // a client that takes nothing for so long is given up
+	stallFor  = 10 * time.Second
 	flowPiece = 32 << 10         // bytes of a long answer that are passed on at once
 )
 
@@ -255,7 +255,7 @@
 
 // write passes bytes on at once. A client that takes none for long is given up.
 func (c *call) write(b []byte) error {
-	_ = c.rc.SetWriteDeadline(time.Now().Add(stallFor))
+	_ = c.rc.SetWriteDeadline(time.Now().Add(c.p.stall))
 	if _, err := c.w.Write(b); err != nil {
 		return errGone
 	}
--- a/internal/trail/serve.go
+++ b/internal/trail/serve.go
@@ -83,11 +83,14 @@
 	unwatch := context.AfterFunc(ctx, func() { _ = tcp.Close() })
 	defer unwatch()
 	rounds, taken := 0, false // of looking for connections left waiting, once a planned end has told to stop
+	failed := false
 	for {
 		if !f.room(ctx) {
 			return nil
 		}
 		c, err := tcp.AcceptTCP()
+		failing := failed
+		failed = false
 		switch {
 		case err == nil:
 			taken = true
@@ -112,7 +115,9 @@
 			}
 			return errors.Mark(errors.Wrap(err, "the listener was closed by others"), ErrListener)
 		default: // descriptors are short, or the client has gone
-			p.opt.Log.WithError(err).Warn("trail: a connection could not be taken")
+			if failed = true; !failing {
+				p.opt.Log.WithError(err).Warn("trail: a connection could not be taken")
+			}
 			pause(ctx, acceptPause)
 		}
 	}
