--- a/cmd/trailhead/run.go
+++ b/cmd/trailhead/run.go
@@ -164,6 +164,9 @@
 			fronts = append(fronts, signpost.Front{Address: m.Front, Zone: m.Zone, Region: m.Region})
 		}
 	}
+	if configured, listed := u.State.Config != nil, u.Listed; !p.isWhole && (configured || listed) {
+		p.log.WithField("configured", configured).WithField("listed", listed).Info("trailhead: learning")
+	}
 	p.trail.SetWorld(pick.World{Config: u.State.Config, Evacuated: u.State.Evacuated, Servers: u.Servers,
 		Self: p.settings.Node, Peers: live})
 	p.directory.Set(fronts)
--- a/internal/ridge/chain.go
+++ b/internal/ridge/chain.go
@@ -12,6 +12,7 @@
 
 const (
 	resendAfter  = 250 * time.Millisecond
+	askAfter     = 50 * time.Millisecond // between a link's calls to be fed: after a start of all, each waits for the one before
 	installAfter = time.Second
 	stuckAfter   = time.Second
 	stuckActive  = 3 * time.Second // to get level after a change of the view
@@ -110,7 +111,7 @@
 // it handed it on; and every link is active, since only an active one hands on.
 func (c *Core) commitTail() {
 	early := c.cfg.hooks.earlyAck && c.isHead()
-	if !c.isTail() && !early || len(c.reg.view.Chain) < c.cfg.links() && !c.cfg.hooks.shortChain {
+	if !c.isTail() && !early || len(c.reg.view.Chain) < c.cfg.links() {
 		return
 	}
 	c.commitTo(c.durable())
@@ -481,7 +482,11 @@
 			delete(c.down, id)
 		}
 	}
-	if prev := c.prev(); prev != "" && c.now-c.ackedAt >= resendAfter {
+	again := resendAfter
+	if !c.joined {
+		again = askAfter
+	}
+	if prev := c.prev(); prev != "" && c.now-c.ackedAt >= again {
 		if c.ackedAt = c.now; c.joined {
 			c.ack()
 		} else {
--- a/internal/ridge/restart_test.go
+++ b/internal/ridge/restart_test.go
@@ -49,9 +49,13 @@
 				time.Sleep(3 * time.Second)
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+			began := time.Now()
 			if s, err := ks[f.seeds[round%3]].Read(ctx); err != nil || len(s.Evacuated) != round {
 				t.Fatalf("round %d: before anything new: %v %v", round, s, err)
 			}
+			if took := time.Since(began); round == 1 && took > 400*time.Millisecond {
+				t.Errorf("nobody answers for %v after a start of all: what asks to be fed asks too seldom", took)
+			}
 			if _, err := ks[f.seeds[round%3]].Submit(ctx, evacuate(zone)); err != nil {
 				t.Fatalf("round %d: %v", round, err)
 			}
--- a/internal/waymark/hub_follow.go
+++ b/internal/waymark/hub_follow.go
@@ -12,6 +12,9 @@
 	"gradeusher.example/gradeusher/internal/waymark/waymarkpb"
 )
 
+// recheck is how often a keeper that is not current looks whether it has become so, while a proxy waits for that.
+const recheck = 40 * time.Millisecond
+
 // Follow serves a poll of a proxy: see the service's definition.
 func (h *Hub) Follow(ctx context.Context, req *waymarkpb.FollowRequest) (*waymarkpb.FollowReply, error) {
 	m := memberOf(req.GetMember())
@@ -127,6 +130,9 @@
 		// A change that comes alone goes out at once, one close upon another waits for more.
 		due(f.changed, h.pace()/2)
 	}
+	if !current && (again == 0 || recheck < again) {
+		again = recheck // nothing tells that this keeper has become current
+	}
 	if t := req.GetTotals(); t.GetBoot() != h.totals.boot || t.GetNumber() != h.totals.number {
 		due(f.reported, h.pace())
 	}
