--- a/internal/ridge/restart_test.go
+++ b/internal/ridge/restart_test.go
@@ -41,6 +41,14 @@
 			for _, a := range f.seeds {
 				ks[a] = start(a, round == 0)
 			}
+			if round > 0 { // after a start of all, what is on disk is committed anew before any call
+				time.Sleep(250 * time.Millisecond)
+				for _, a := range f.seeds {
+					if s, _ := ks[a].Committed(); len(s.Evacuated) != round {
+						t.Errorf("round %d: %s knows of %d changes after 250 ms: links ask too seldom to be fed", round, a, len(s.Evacuated))
+					}
+				}
+			}
 			if round == 2 { // one is away for long enough that the others go on without it
 				away := f.seeds[round%3]
 				f.stop(away, ks[away])
@@ -49,13 +57,9 @@
 				time.Sleep(3 * time.Second)
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-			began := time.Now()
 			if s, err := ks[f.seeds[round%3]].Read(ctx); err != nil || len(s.Evacuated) != round {
 				t.Fatalf("round %d: before anything new: %v %v", round, s, err)
 			}
-			if took := time.Since(began); round == 1 && took > 400*time.Millisecond {
-				t.Errorf("nobody answers for %v after a start of all: what asks to be fed asks too seldom", took)
-			}
 			if _, err := ks[f.seeds[round%3]].Submit(ctx, evacuate(zone)); err != nil {
 				t.Fatalf("round %d: %v", round, err)
 			}
