--- a/internal/ridge/chain.go
+++ b/internal/ridge/chain.go
@@ -341,6 +341,9 @@
 	}
 	p.seenAt = c.now
 	if m.GetMismatch() {
+		if !c.feeds() {
+			return // what this link holds for sure it does not know yet; it is asked again
+		}
 		c.rejoin(p, m.GetBase(), m.GetBaseEpoch(), m.GetRuns())
 		if limit := c.limit(p); p.next > limit && p.known {
 			c.sendAppend(from, p, min(p.next-1, limit), nil, limit)
