--- /dev/null
+++ b/internal/cairn/crashmodel_test.go
@@ -0,0 +1,285 @@
+package cairn
+
+import (
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"sync/atomic"
+
+	"github.com/cockroachdb/errors"
+)
+
+// step is one call on a Disk.
+type step struct {
+	what string
+	a, b uint64
+}
+
+func (s step) String() string { return fmt.Sprintf("%s(%d,%d)", s.what, s.a, s.b) }
+
+// entry makes what entry seq holds in the b-th history of the log.
+func entry(seq, b uint64) Entry {
+	return Entry{Seq: seq, Data: []byte(fmt.Sprintf("entry %d of %d %s", seq, b, strings.Repeat("x", int(seq*7%40))))}
+}
+
+func (s step) run(d Disk, last uint64) error {
+	snapshot := Snapshot{Seq: s.a, Data: []byte(fmt.Sprintf("snapshot %d of %d", s.a, s.b))}
+	switch s.what {
+	case "append": // a entries
+		var all []Entry
+		for i := range s.a {
+			all = append(all, entry(last+1+i, s.b))
+		}
+		return d.Append(all)
+	case "truncate":
+		return d.Truncate(s.a)
+	case "compact":
+		return d.Compact(snapshot)
+	case "install":
+		return d.Install(snapshot)
+	case "meta":
+		return d.SaveMeta(fmt.Sprintf("m%d", s.a), []byte(fmt.Sprintf("meta %d", s.b)))
+	}
+	return nil
+}
+
+// view is all that a disk holds, as text.
+type view struct {
+	log  string
+	meta map[string]string
+}
+
+func look(d Disk) (view, error) {
+	meta, snapshot, entries, err := d.Load()
+	if err != nil {
+		return view{}, err
+	}
+	var b strings.Builder
+	fmt.Fprintf(&b, "%d:%s", snapshot.Seq, snapshot.Data)
+	for _, e := range entries {
+		fmt.Fprintf(&b, "|%d:%s", e.Seq, e.Data)
+	}
+	v := view{log: b.String(), meta: map[string]string{}}
+	for name, data := range meta {
+		v.meta[name] = string(data)
+	}
+	return v, nil
+}
+
+func (m *Mem) clone() *Mem {
+	return &Mem{meta: maps.Clone(m.meta), snapshot: m.snapshot, entries: slices.Clone(m.entries)}
+}
+
+// subject is a Log on a simulated disk, beside a model of what it may hold: what was acknowledged, and what calls that
+// failed since may have brought about.
+type subject struct {
+	fs        *simFS
+	log       *Log
+	model     *Mem
+	maybe     map[string]bool            // logs
+	maybeMeta map[string]map[string]bool // by name
+	trace     []string
+}
+
+var nonces atomic.Uint64
+
+func openSim(fs *simFS) (*Log, error) {
+	return OpenLog("/data", LogOptions{FS: fs, SegmentBytes: 200, MaxBytes: 1 << 20, ReserveBytes: 16,
+		Nonce: func() uint64 { return nonces.Add(1) }})
+}
+
+func newSubject(fs *simFS) *subject {
+	return &subject{fs: fs, model: NewMem(), maybe: map[string]bool{}, maybeMeta: map[string]map[string]bool{}}
+}
+
+func (s *subject) open() error {
+	log, err := openSim(s.fs)
+	if err == nil {
+		s.log = log
+		_, _, _, err = log.Load()
+	}
+	return err
+}
+
+// do runs a step on both and notes what it may have left.
+func (s *subject) do(st step) error {
+	after := s.model.clone()
+	modelErr := st.run(after, s.model.last())
+	err := st.run(s.log, s.model.last())
+	s.trace = append(s.trace, fmt.Sprintf("%v=%v", st, err))
+	if modelErr != nil {
+		if err == nil {
+			return errors.Newf("%v: the model refuses it: %v", st, modelErr)
+		}
+		return nil
+	}
+	if errors.Is(err, ErrUse) {
+		return errors.Newf("%v: %v, where the model takes it", st, err)
+	}
+	name := fmt.Sprintf("m%d", st.a)
+	switch {
+	case err == nil:
+		s.model = after
+		if st.what == "meta" {
+			delete(s.maybeMeta, name)
+		} else {
+			clear(s.maybe)
+		}
+	case st.what == "meta":
+		if s.maybeMeta[name] == nil {
+			s.maybeMeta[name] = map[string]bool{}
+		}
+		s.maybeMeta[name][string(after.meta[name])] = true
+	default:
+		v, _ := look(after)
+		s.maybe[v.log] = true
+	}
+	return nil
+}
+
+// allows checks what a disk holds against the model.
+func (s *subject) allows(v view) error {
+	want, _ := look(s.model)
+	if v.log != want.log && !s.maybe[v.log] {
+		return errors.Newf("log %q, want %q or one of %q", v.log, want.log, slices.Sorted(maps.Keys(s.maybe)))
+	}
+	for name := range want.meta {
+		if _, ok := v.meta[name]; !ok {
+			return errors.Newf("%s is gone", name)
+		}
+	}
+	for name, got := range v.meta {
+		if w, ok := want.meta[name]; (!ok || got != w) && !s.maybeMeta[name][got] {
+			return errors.Newf("%s is %q, want %q", name, got, w)
+		}
+	}
+	return nil
+}
+
+// recovers opens a disk left by a crash, and checks that what it holds is allowed, lasts, and can be gone on with. nested
+// tells how many losses of power inside the loading are tried at each of its calls.
+func (s *subject) recovers(fs *simFS, nested int, r *rand.Rand) error {
+	before := fs.killed()
+	log, err := openSim(fs)
+	if err != nil {
+		return err
+	}
+	v, err := look(log)
+	if err != nil {
+		return err
+	}
+	if err := s.allows(v); err != nil {
+		return err
+	}
+	loading := fs.calls
+	fs.powerLosses(1, r, func(lost *simFS) {
+		if err != nil {
+			return
+		}
+		var again *Log
+		again, err = openSim(lost)
+		var w view
+		if err == nil {
+			w, err = look(again)
+		}
+		if err == nil && (w.log != v.log || !maps.Equal(w.meta, v.meta)) {
+			err = errors.Newf("what was loaded does not last: %v became %v", v, w)
+		}
+	})
+	if err != nil {
+		return err
+	}
+	if err := goOn(fs, log, v); err != nil {
+		return err
+	}
+	for call := 1; call <= loading && nested > 0; call++ {
+		inside := before.killed()
+		inside.fault = func(n int, _ string) error {
+			if n == call {
+				return errCrash
+			}
+			return nil
+		}
+		if log, err := openSim(inside); err == nil {
+			_, _, _, _ = log.Load()
+		}
+		inside.gone, inside.fault = false, nil
+		inside.powerLosses(nested, r, func(lost *simFS) {
+			if err == nil {
+				err = errors.Wrapf(s.recovers(lost, 0, r), "after a crash at call %d of loading", call)
+			}
+		})
+		if err == nil {
+			err = errors.Wrapf(s.recovers(inside.killed(), 0, r), "killed at call %d of loading", call)
+		}
+	}
+	return err
+}
+
+// goOn checks that a loaded log takes changes that last.
+func goOn(fs *simFS, log *Log, v view) error {
+	last := log.last
+	for i, err := range []error{
+		log.Append([]Entry{{Seq: last + 1, Data: []byte("new")}, {Seq: last + 2, Data: []byte("dropped")}}),
+		log.Truncate(last + 1),
+		log.SaveMeta("after", []byte("new")),
+	} {
+		if err != nil {
+			return errors.Wrapf(err, "going on, step %d", i)
+		}
+	}
+	var got view
+	var err error
+	fs.powerLosses(1, nil, func(lost *simFS) {
+		var again *Log
+		if again, err = openSim(lost); err == nil {
+			got, err = look(again)
+		}
+	})
+	if err == nil && (got.log != fmt.Sprintf("%s|%d:new", v.log, last+1) || got.meta["after"] != "new") {
+		err = errors.Newf("gone on with %v, found %v", v, got)
+	}
+	return err
+}
+
+func (s *subject) checkCrash(most, nested int, r *rand.Rand) error {
+	s.fs.gone, s.fs.fault = false, nil
+	// Only a killed process leaves anything for a loss of power inside the next loading to take.
+	err := errors.Wrap(s.recovers(s.fs.killed(), 8*nested, r), "killed")
+	n := 0
+	s.fs.powerLosses(most, r, func(lost *simFS) {
+		if n++; n > 3 && !deep() {
+			nested = 0
+		}
+		if err == nil {
+			err = errors.Wrap(s.recovers(lost, nested, r), "power lost")
+		}
+	})
+	return err
+}
+
+// restart goes on with a disk as it was left; what it holds is what counts from then on.
+func (s *subject) restart(fs *simFS) error {
+	log, err := openSim(fs)
+	if err != nil {
+		return err
+	}
+	v, err := look(log)
+	if err == nil {
+		err = s.allows(v)
+	}
+	if err != nil {
+		return errors.Wrap(err, "restart")
+	}
+	meta, snapshot, entries, err := log.Load()
+	if err != nil {
+		return err
+	}
+	n := newSubject(fs)
+	n.log, n.trace = log, append(s.trace, "restart")
+	n.model = &Mem{meta: meta, snapshot: snapshot, entries: entries}
+	*s = *n
+	return nil
+}
--- a/internal/cairn/load.go
+++ b/internal/cairn/load.go
@@ -62,17 +62,17 @@
 func (l *Log) Load() (map[string][]byte, Snapshot, []Entry, error) {
 	meta, snapshot, entries, err := l.load()
 	if err != nil {
-		_ = l.end()
+		_ = l.closeSegment()
 		return nil, Snapshot{}, nil, err
 	}
 	l.loaded = true
-	l.collect()
+	l.deleteGarbage()
 	l.reserve()
 	return meta, snapshot, entries, nil
 }
 
 func (l *Log) load() (map[string][]byte, Snapshot, []Entry, error) {
-	_ = l.end()
+	_ = l.closeSegment()
 	*l = Log{folder: l.folder, o: l.o, meta: map[string]metaFile{}, number: 1}
 	names, err := l.o.FS.ReadDir(l.folder)
 	if err != nil {
@@ -319,7 +319,7 @@
 // Wipe deletes everything, durably; Load is to be called afterwards. Cut short, it is finished by the next Load, so that
 // nothing is left of an identity once a part of it is gone.
 func (l *Log) Wipe() error {
-	_ = l.end()
+	_ = l.closeSegment()
 	l.loaded = false
 	fs := l.o.FS
 	_ = fs.Remove(l.path(reserveName)) // makes room for the mark
--- a/internal/cairn/log.go
+++ b/internal/cairn/log.go
@@ -104,7 +104,7 @@
 // Close ends the use of the log. Nothing needs to be written for it.
 func (l *Log) Close() error {
 	l.loaded = false
-	return l.end()
+	return l.closeSegment()
 }
 
 // Bytes returns what segments and snapshot take, which MaxBytes bounds.
@@ -120,8 +120,8 @@
 
 func segmentName(number uint64) string { return fmt.Sprintf("log-%016x", number) }
 
-// end ends the newest segment: the next append makes another.
-func (l *Log) end() error {
+// closeSegment ends the newest segment: the next append makes another.
+func (l *Log) closeSegment() error {
 	if l.active == nil {
 		return nil
 	}
@@ -130,8 +130,8 @@
 	return diskError(err, "close a segment")
 }
 
-// begin makes the log ready for a change: what an earlier failure left undecided is decided as not done.
-func (l *Log) begin() error {
+// settle makes the log ready for a change: what an earlier failure left undecided is decided as not done.
+func (l *Log) settle() error {
 	if !l.loaded {
 		return misuse("the log is not loaded: call Load first")
 	}
@@ -158,7 +158,7 @@
 
 // Append implements Disk. Entries that come in one call are all there after a crash or none is.
 func (l *Log) Append(entries []Entry) error {
-	if err := l.begin(); err != nil {
+	if err := l.settle(); err != nil {
 		return err
 	}
 	if err := follows(l.last, entries); err != nil || len(entries) == 0 {
@@ -178,7 +178,7 @@
 
 // Truncate implements Disk. It works at MaxBytes, too.
 func (l *Log) Truncate(after uint64) error {
-	if err := l.begin(); err != nil {
+	if err := l.settle(); err != nil {
 		return err
 	}
 	if err := mayCut(l.snapshot, after); err != nil || after >= l.last {
@@ -206,12 +206,12 @@
 // write puts a frame at the end of the log, and syncs it.
 func (l *Log) write(frame []byte) error {
 	if n := len(l.segments); l.active != nil && l.segments[n-1].bytes >= l.o.SegmentBytes {
-		if err := l.end(); err != nil {
+		if err := l.closeSegment(); err != nil {
 			return err
 		}
 	}
 	if l.active == nil {
-		if err := l.start(); err != nil {
+		if err := l.createSegment(); err != nil {
 			return err
 		}
 	}
@@ -223,7 +223,7 @@
 		err = l.active.Sync()
 	}
 	if err != nil {
-		_ = l.begin() // gives back the room at once; where that fails, the next change comes here again
+		_ = l.settle() // gives back the room at once; where that fails, the next change comes here again
 		return diskError(err, "write to a segment")
 	}
 	l.torn = false
@@ -231,9 +231,9 @@
 	return nil
 }
 
-// start makes the next segment. Its header is synced before the first frame, so a segment with a bad header never holds
+// createSegment makes the next segment. Its header is synced before the first frame, so a segment with a bad header never holds
 // one. After a failure the same number is used again.
-func (l *Log) start() error {
+func (l *Log) createSegment() error {
 	name := l.path(segmentName(l.number))
 	f, err := l.o.FS.Create(name)
 	if err != nil {
--- a/internal/cairn/snapshot.go
+++ b/internal/cairn/snapshot.go
@@ -15,7 +15,7 @@
 
 // Compact implements Disk. It works at MaxBytes, too; the segments behind the snapshot are deleted.
 func (l *Log) Compact(s Snapshot) error {
-	if err := l.begin(); err != nil {
+	if err := l.settle(); err != nil {
 		return err
 	}
 	if err := mayCompact(l.snapshot, l.last, s.Seq); err != nil {
@@ -23,7 +23,7 @@
 	}
 	// What follows goes to a new segment, so that whether the snapshot is there or not, the log continues in a segment that
 	// counts, and a later Compact can delete this one.
-	if err := l.end(); err != nil {
+	if err := l.closeSegment(); err != nil {
 		return err
 	}
 	live := l.batches
@@ -43,7 +43,7 @@
 
 // Install implements Disk.
 func (l *Log) Install(s Snapshot) error {
-	if err := l.begin(); err != nil {
+	if err := l.settle(); err != nil {
 		return err
 	}
 	if err := l.saveSnapshot(s, l.number); err != nil {
@@ -51,7 +51,7 @@
 	}
 	l.batches, l.last = nil, s.Seq
 	// The ended segment counts no more. What closing it says does not matter then.
-	_ = l.end()
+	_ = l.closeSegment()
 	return nil
 }
 
@@ -64,7 +64,7 @@
 	if err != nil {
 		if renamed {
 			l.stray = name
-			_ = l.begin()
+			_ = l.settle()
 		}
 		return err
 	}
@@ -76,7 +76,7 @@
 		l.garbage = append(l.garbage, segmentName(l.segments[0].number))
 		l.segments = l.segments[1:]
 	}
-	l.collect()
+	l.deleteGarbage()
 	l.reserve()
 	return nil
 }
@@ -105,7 +105,7 @@
 		m.saved = m.tried
 	}
 	l.meta[name] = m
-	l.collect()
+	l.deleteGarbage()
 	return err
 }
 
@@ -141,8 +141,8 @@
 // maxGarbage bounds what is remembered; Load finds the rest.
 const maxGarbage = 256
 
-// collect deletes what counts no more. What cannot be deleted now is tried again later.
-func (l *Log) collect() {
+// deleteGarbage deletes what counts no more. What cannot be deleted now is tried again later.
+func (l *Log) deleteGarbage() {
 	kept := l.garbage[:0]
 	for _, name := range l.garbage {
 		if err := l.o.FS.Remove(l.path(name)); err != nil && !errors.Is(err, os.ErrNotExist) {
--- a/internal/conf/amend.go
+++ b/internal/conf/amend.go
@@ -19,7 +19,7 @@
 	if base == nil {
 		return nil, invalid("there is no configuration to amend: send Config.Replace first")
 	}
-	if err := valid(raw); err != nil {
+	if err := validate(raw); err != nil {
 		return nil, err
 	}
 	fields, err := members(raw, "the amendment")
--- a/internal/conf/json.go
+++ b/internal/conf/json.go
@@ -10,8 +10,8 @@
 // maxDepth bounds the nesting of a body, so that reading it needs a bounded stack.
 const maxDepth = 64
 
-// valid tells whether raw is one whole JSON value in UTF-8 that nests at most maxDepth deep.
-func valid(raw []byte) error {
+// validate fails unless raw is one whole JSON value in UTF-8 that nests at most maxDepth deep.
+func validate(raw []byte) error {
 	depth := 0
 	for i := 0; i < len(raw); i++ {
 		switch raw[i] {
--- a/internal/conf/parse.go
+++ b/internal/conf/parse.go
@@ -13,7 +13,7 @@
 // Parse reads and checks a whole configuration. The result keeps raw, which must not be changed afterwards. Fields that
 // it does not know are passed over. Every error is an ErrInvalid.
 func Parse(raw []byte) (*Config, error) {
-	if err := valid(raw); err != nil {
+	if err := validate(raw); err != nil {
 		return nil, err
 	}
 	fields, err := members(raw, "the configuration")
