--- a/internal/waymark/follower_call.go
+++ b/internal/waymark/follower_call.go
@@ -121,7 +121,11 @@
 // takeState takes records or a snapshot; what is not newer is ignored, so that a proxy never goes back.
 func (f *Follower) takeState(reply *waymarkpb.FollowReply) {
 	if b := reply.GetSnapshot(); len(b) > 0 {
-		s, err := cairn.Decode(b)
+		b, err := expand(b, reply.GetSnapshotDeflated())
+		var s *cairn.State
+		if err == nil {
+			s, err = cairn.Decode(b)
+		}
 		if err != nil {
 			f.opt.Log.WithError(err).Warn("waymark: a snapshot of the control state is not readable")
 			return
@@ -139,7 +143,11 @@
 		if w.GetSeq() != f.state.Seq+1 {
 			return
 		}
-		s, err := f.state.Apply(cairn.Record{Seq: w.GetSeq(), Op: cairn.Op(w.GetOp()), Base: w.GetBase(), Body: w.GetBody(), Zone: w.GetZone()})
+		body, err := expand(w.GetBody(), w.GetDeflated())
+		var s *cairn.State
+		if err == nil {
+			s, err = f.state.Apply(cairn.Record{Seq: w.GetSeq(), Op: cairn.Op(w.GetOp()), Base: w.GetBase(), Body: body, Zone: w.GetZone()})
+		}
 		if err != nil {
 			f.opt.Log.WithError(err).WithField("seq", w.GetSeq()).Warn("waymark: a record does not apply; asking for a snapshot")
 			f.resync = true
--- a/internal/waymark/hub.go
+++ b/internal/waymark/hub.go
@@ -79,22 +79,24 @@
 	opt    HubOptions
 	limits HubLimits
 
-	mu        sync.Mutex
-	table     *table
-	boot      uint64 // drawn anew once the table is warm, so that followers then take it whole
-	warm      bool
-	started   time.Time
-	ticked    time.Time
-	expired   time.Time
-	news      chan struct{} // closed when followers are to look again
-	acked     chan struct{} // closed when an acknowledgement may have risen
-	followers map[string]*follower
-	peers     map[string]*peer // by address
-	totals    *vector          // of all proxies
-	sums      *vector          // of the followers here
-	lowest    uint64
-	snapSeq   uint64
-	snap      []byte
+	mu           sync.Mutex
+	table        *table
+	boot         uint64 // drawn anew once the table is warm, so that followers then take it whole
+	warm         bool
+	started      time.Time
+	ticked       time.Time
+	expired      time.Time
+	news         chan struct{} // closed when followers are to look again
+	acked        chan struct{} // closed when an acknowledgement may have risen
+	followers    map[string]*follower
+	peers        map[string]*peer // by address
+	totals       *vector          // of all proxies
+	sums         *vector          // of the followers here
+	lowest       uint64
+	snapSeq      uint64
+	snap         []byte
+	snapDeflated bool
+	squeezed     squeezer
 
 	done  chan struct{} // closed when Run ends
 	kick  chan struct{} // the table or a vector changed
--- a/internal/waymark/hub_follow.go
+++ b/internal/waymark/hub_follow.go
@@ -8,7 +8,6 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/twitchtv/twirp"
 
-	"gradeusher.example/gradeusher/internal/cairn"
 	"gradeusher.example/gradeusher/internal/waymark/waymarkpb"
 )
 
@@ -187,7 +186,7 @@
 	if seq > 0 {
 		if records, ok := h.opt.Source.Since(seq, h.limits.Records); ok && len(records) > 0 {
 			for _, r := range records {
-				reply.Records = append(reply.Records, recordToWire(r))
+				reply.Records = append(reply.Records, h.squeezed.record(r))
 			}
 			return
 		}
@@ -195,13 +194,10 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.snapSeq != state.Seq {
-		h.snap, h.snapSeq = state.Encode(), state.Seq
+		h.snap, h.snapDeflated = squeeze(state.Encode())
+		h.snapSeq = state.Seq
 	}
-	reply.Snapshot = h.snap
-}
-
-func recordToWire(r cairn.Record) *waymarkpb.Record {
-	return &waymarkpb.Record{Seq: r.Seq, Op: uint32(r.Op), Base: r.Base, Body: r.Body, Zone: r.Zone}
+	reply.Snapshot, reply.SnapshotDeflated = h.snap, h.snapDeflated
 }
 
 // keepers gives the keepers in the chain's order, with where they are as far as that has been heard.
--- a/internal/waymark/neighbour.go
+++ b/internal/waymark/neighbour.go
@@ -21,7 +21,7 @@
 	items, _ := f.table.since(0)
 	reply := &waymarkpb.FollowReply{Entries: toWire(time.Now(), items)}
 	if f.state.Seq > 0 {
-		reply.Snapshot = f.state.Encode()
+		reply.Snapshot, reply.SnapshotDeflated = squeeze(f.state.Encode())
 	}
 	for _, k := range f.keepers {
 		if k.view {
--- /dev/null
+++ b/internal/waymark/squeeze_test.go
@@ -0,0 +1,43 @@
+package waymark
+
+import (
+	"bytes"
+	"fmt"
+	"testing"
+
+	"gradeusher.example/gradeusher/internal/cairn"
+)
+
+// TestSqueeze: 1,800 routes that are much alike go out in under a tenth of their bytes, compressed once for all followers.
+// Danger: on links of 10 Mbit/s a large configuration reached proxies over 3 s after it was acknowledged.
+func TestSqueeze(t *testing.T) {
+	var body bytes.Buffer
+	for i := range 1800 {
+		fmt.Fprintf(&body, `{"name":"r-%d","hostname":"xago29.example","path_prefix":"/azp%dx/","category":"idempotent","timeout_ms":2500,"target":"lelo71b"},`, i, i*7919)
+	}
+	var s squeezer
+	r := cairn.Record{Seq: 3, Op: cairn.OpAmend, Body: body.Bytes()}
+	w := s.record(r)
+	if again := s.record(r); again != w {
+		t.Error("compressed for each follower anew")
+	}
+	if len(w.GetBody())*10 > body.Len() {
+		t.Errorf("%d bytes of %d", len(w.GetBody()), body.Len())
+	}
+	out, err := expand(w.GetBody(), w.GetDeflated())
+	if err != nil || !bytes.Equal(out, body.Bytes()) {
+		t.Errorf("%d bytes back, %v", len(out), err)
+	}
+	if small := s.record(cairn.Record{Seq: 4, Body: []byte("{}")}); small.GetDeflated() || string(small.GetBody()) != "{}" {
+		t.Error("a small body was changed")
+	}
+	if _, err := expand(w.GetBody()[:len(w.GetBody())/2], true); err == nil {
+		t.Error("half of it counts as whole")
+	}
+	for i := range uint64(20) {
+		s.record(cairn.Record{Seq: 10 + i, Body: body.Bytes()})
+	}
+	if len(s.kept) > squeezedKept {
+		t.Errorf("%d are kept", len(s.kept))
+	}
+}
