--- a/internal/trail/pick/choose.go
+++ b/internal/trail/pick/choose.go
@@ -117,7 +117,7 @@
 		return usedUp
 	case s.gone:
 		return misdirected
-	case s.doubted(now):
+	case s.doubted(now), r != nil && s.suspect() && !s.mayTry(now, r, tried):
 		return doubted
 	case s.cold(now) && !p.coldToken(now, s):
 		return coldNow
--- a/internal/trail/pick/server.go
+++ b/internal/trail/pick/server.go
@@ -14,6 +14,7 @@
 	othersLife   = 2 * time.Second        // the loads of other proxies are believed this long
 	doubtFirst   = 500 * time.Millisecond // the first time that a server which failed gets nothing
 	doubtMost    = 4 * time.Second        // and the longest
+	untriedMost  = 2 * time.Second        // after it, any request may try a doubted server
 )
 
 const (
@@ -128,6 +129,12 @@
 	return now < s.outUntil || s.suspect() && s.trial != nil
 }
 
+// mayTry tells whether r may be the one that tries a doubted server. That is best left to a request that can go on to
+// another server; one that can't tries only a server that nobody has tried for long.
+func (s *server) mayTry(now Time, r *Request, tried []string) bool {
+	return len(tried) == 0 && r.Route.MaxTries > 1 || now >= s.outUntil+untriedMost
+}
+
 func (s *server) suspect() bool { return s.fails > 0 || s.outUntil > 0 }
 
 // fail takes a failure that says that s does not answer.
