--- a/cmd/trailhead/run.go
+++ b/cmd/trailhead/run.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	mostTTL     = 2 * time.Second        // of the directory's answers
+	mostTTL     = time.Second            // of the directory's answers: a proxy that ended is asked for as long
 	endMargin   = 700 * time.Millisecond // kept free before the platform's kill
 	beatEvery   = 400 * time.Millisecond // between beats to the proxies that watch this one
 	silenceFor  = 1300 * time.Millisecond
--- a/internal/waymark/hub.go
+++ b/internal/waymark/hub.go
@@ -108,6 +108,7 @@
 	member   Member
 	seen     time.Time // start or end of its last call
 	open     int       // calls that are held
+	broken   time.Time // when a held call's connection ended, and no call has come since; zero: it has not
 	seq      uint64
 	reported time.Time // last answer with totals
 	changed  time.Time // last answer with entries
@@ -202,7 +203,7 @@
 	if gap := now.Sub(h.ticked); gap > h.limits.Silence/2 {
 		// This process stood still, so the silence of others says nothing.
 		for _, f := range h.followers {
-			f.seen = f.seen.Add(gap)
+			f.seen, f.broken = f.seen.Add(gap), time.Time{}
 		}
 		for _, p := range h.peers {
 			p.heard = p.heard.Add(gap)
--- a/internal/waymark/hub_follow.go
+++ b/internal/waymark/hub_follow.go
@@ -43,6 +43,7 @@
 		select {
 		case <-ctx.Done():
 			timer.Stop()
+			h.broke(f)
 			return nil, twirp.NewError(twirp.Canceled, "the proxy went away")
 		case <-h.done:
 			timer.Stop()
@@ -66,7 +67,7 @@
 		f = &follower{member: m}
 		h.followers[m.Node] = f
 	}
-	f.seen = now
+	f.seen, f.broken = now, time.Time{}
 	f.open++
 	if fresh || req.GetSeq() > f.seq {
 		f.seq = max(f.seq, req.GetSeq())
@@ -83,6 +84,13 @@
 	return f
 }
 
+// broke notes that a held call's connection ended: a process that ends takes its connections with it.
+func (h *Hub) broke(f *follower) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	f.broken = time.Now()
+}
+
 func (h *Hub) end(f *follower) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -276,6 +284,9 @@
 	h.markDown(now, it, m, "other proxies hear nothing from it")
 }
 
+// brokenLife is how long a proxy whose held call's connection ended may take to call again, here or at another keeper.
+const brokenLife = 350 * time.Millisecond
+
 // hears tells whether the keeper has shared of late.
 func (h *Hub) hears(now time.Time, keeper string) bool {
 	p := h.peers[keeper]
@@ -286,11 +297,18 @@
 // of those that followed a keeper which is not heard from. The caller holds mu.
 func (h *Hub) judge(now time.Time) {
 	dropped := false
+	ended := map[string]uint64{} // lives whose connection ended, and that have not come back
 	for node, f := range h.followers {
-		if f.open == 0 && now.Sub(f.seen) > h.limits.Silence {
-			delete(h.followers, node)
-			dropped = true
+		if f.open > 0 {
+			continue
+		}
+		if !f.broken.IsZero() && now.Sub(f.broken) > brokenLife {
+			ended[node] = f.member.Incarnation
+		} else if now.Sub(f.seen) <= h.limits.Silence {
+			continue
 		}
+		delete(h.followers, node)
+		dropped = true
 	}
 	type fall struct {
 		it  *item
@@ -315,6 +333,8 @@
 			if now.Sub(it.at) > h.limits.Forget {
 				gone = append(gone, it)
 			}
+		case m.Owner == h.opt.Self && ended[m.Node] == m.Incarnation:
+			falls = append(falls, fall{it, m, "its connection ended"})
 		case m.Owner == h.opt.Self:
 			if now.Sub(it.at) > h.limits.Silence {
 				falls = append(falls, fall{it, m, "it does not call any more"})
--- a/internal/waymark/unit_test.go
+++ b/internal/waymark/unit_test.go
@@ -277,3 +277,39 @@
 		t.Error("a verdict on a silent proxy does not count")
 	}
 }
+
+// TestEndedConnectionMarksDown: a process that ends takes its held call with it, and is down soon; one that calls again, as
+// after a reset, stays. Danger: clients are sent to proxies that are gone for as long as silence takes to tell.
+func TestEndedConnectionMarksDown(t *testing.T) {
+	h := newIdleHub()
+	now := time.Now()
+	h.ticked = now
+	down := func(node string) bool {
+		t.Helper()
+		for _, m := range h.Members() {
+			if m.Node == node {
+				return m.Down
+			}
+		}
+		t.Fatalf("%s is no member", node)
+		return false
+	}
+	for _, node := range []string{"ended", "reset", "held"} {
+		f := h.begin(Member{Node: node, Incarnation: 7, Revision: 1}, &waymarkpb.FollowRequest{})
+		if node != "held" {
+			h.broke(f)
+			h.end(f)
+		}
+	}
+	h.end(h.begin(Member{Node: "reset", Incarnation: 7, Revision: 1}, &waymarkpb.FollowRequest{}))
+	for i := range 6 {
+		h.tick(now.Add(time.Duration(i+1) * 100 * time.Millisecond))
+	}
+	if !down("ended") || down("reset") || down("held") {
+		t.Errorf("after 600 ms: ended %v, reset %v, held %v", down("ended"), down("reset"), down("held"))
+	}
+	h.end(h.begin(Member{Node: "ended", Incarnation: 8, Revision: 1}, &waymarkpb.FollowRequest{}))
+	if down("ended") {
+		t.Error("its next life is still down")
+	}
+}
