--- a/internal/trail/pick/weigh.go
+++ b/internal/trail/pick/weigh.go
@@ -42,8 +42,7 @@
 	step      float64
 	long      bool              // worth a lane
 	lanes     [regionsMost]bool // regions where long and short prompts go to servers of their own
-	free      [regionsMost]bool // regions where no short prompts come
-	apart     bool              // some are: long prompts go there
+	apart     bool              // long prompts go to the other regions, where no short ones come
 }
 
 const regionsMost = 16
@@ -99,7 +98,7 @@
 	case s.region >= regionsMost:
 		return true
 	case w.apart:
-		return !w.long || w.free[s.region]
+		return !w.long || !w.lanes[s.region]
 	case w.lanes[s.region]:
 		return w.long == s.lane
 	}
@@ -227,7 +226,6 @@
 	}
 	for i := range regionsMost {
 		w.lanes[i] = g.shortSeen[i] && now-g.shortAt[i] <= laneMemory
-		w.free[i] = !w.lanes[i]
 	}
 	// Where a region sees no short prompts at all, the long ones go there, if it is large enough.
 	room, all := 0, 0
@@ -237,7 +235,7 @@
 			continue
 		}
 		all += s.slots()
-		if s.region < regionsMost && w.free[s.region] {
+		if s.region < regionsMost && !w.lanes[s.region] {
 			room += s.slots()
 		}
 	}
