--- a/cmd/refuge/run.go
+++ b/cmd/refuge/run.go
@@ -4,7 +4,6 @@
 	"context"
 	"net"
 	"net/http"
-	"os"
 	"strconv"
 	"time"
 
@@ -37,25 +36,9 @@
 	fence    *post.Fence
 }
 
-// Run implements the command.
-func (c *runCommand) Run() error {
-	settings, err := hut.FromEnvironment(hut.Keeper)
-	if err != nil {
-		return err
-	}
-	logger, err := bivouac.Log(c.LogLevel)
-	if err != nil {
-		return err
-	}
-	settings.Limits.Runtime()
-	term, reload, stop := bivouac.Signals(context.Background())
-	defer stop()
-	k := &keeper{settings: settings, log: logger.WithField("node", settings.Node), fence: post.NewFence(settings.IP)}
-	return k.run(term, reload)
-}
-
-func (k *keeper) run(term context.Context, reload <-chan os.Signal) error {
-	s := k.settings
+func run(process *bivouac.Process) error {
+	s := process.Settings
+	k := &keeper{settings: s, log: process.Log, fence: post.NewFence(s.IP)}
 	life, end := context.WithCancel(context.Background())
 	defer end()
 	group, ctx := bivouac.NewGroup(life)
@@ -73,18 +56,10 @@
 	operator := control.Handler(control.Options{Chain: k.chain, AckTimeout: hut.Milliseconds(s.Bounds.Ack), Log: k.log,
 		Delivered: func(ctx context.Context, seq uint64) { _ = k.hub.Acknowledged(ctx, seq) },
 		Current:   func() *cairn.State { state, _ := k.chain.Committed(); return state },
-		Status:    k.status})
-	backup := staff.BackupHandler(k.chain.Read)
-	staffed := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { // http.ServeMux would redirect odd paths
-		if r.URL.Path == "/backup" {
-			backup.ServeHTTP(w, r)
-			return
-		}
-		operator.ServeHTTP(w, r)
-	})
+		Status:    k.status, Backup: staff.BackupHandler(k.chain.Read)})
 	for address, handler := range map[string]http.Handler{
 		net.JoinHostPort(s.IP, strconv.Itoa(s.KeeperPort())): calls,
-		s.Bind.Control: staffed,
+		s.Bind.Control: operator,
 	} {
 		l, err := bivouac.Listen(ctx, address)
 		if err != nil {
@@ -95,7 +70,7 @@
 	group.Go(func() error { k.hub.Run(ctx); return nil })
 	group.Go(func() error { poller.Run(ctx); return nil })
 	k.log.WithField("control", s.Bind.Control).Info("refuge: started")
-	k.wait(ctx, term, reload)
+	process.Wait(ctx)
 	k.leave()
 	end()
 	defer k.chain.Stop()
@@ -136,21 +111,3 @@
 		k.log.WithError(err).Info("refuge: a reading of the list came too late")
 	}
 }
-
-// wait returns when the process is to end.
-func (k *keeper) wait(ctx, term context.Context, reload <-chan os.Signal) {
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-term.Done():
-			return
-		case <-reload:
-			if _, err := hut.FromEnvironment(hut.Keeper); err != nil {
-				k.log.WithError(err).Warn("refuge: settings not taken over")
-				continue
-			}
-			k.log.Info("refuge: settings read again; what changed counts from the next start")
-		}
-	}
-}
--- a/cmd/trailhead/run.go
+++ b/cmd/trailhead/run.go
@@ -2,9 +2,9 @@
 
 import (
 	"context"
+	"hash/fnv"
 	"net"
 	"net/http"
-	"os"
 	"strconv"
 	"sync/atomic"
 	"time"
@@ -43,25 +43,9 @@
 	isWhole   bool          // of OnUpdate's goroutine
 }
 
-// Run implements the command.
-func (c *runCommand) Run() error {
-	settings, err := hut.FromEnvironment(hut.Proxy)
-	if err != nil {
-		return err
-	}
-	logger, err := bivouac.Log(c.LogLevel)
-	if err != nil {
-		return err
-	}
-	settings.Limits.Runtime()
-	term, reload, stop := bivouac.Signals(context.Background())
-	defer stop()
-	p := &proxy{settings: settings, log: logger.WithField("node", settings.Node), whole: make(chan struct{})}
-	return p.run(term, reload)
-}
-
-func (p *proxy) run(term context.Context, reload <-chan os.Signal) error {
-	s := p.settings
+func run(process *bivouac.Process) error {
+	s := process.Settings
+	p := &proxy{settings: s, log: process.Log, whole: make(chan struct{})}
 	life, end := context.WithCancel(context.Background())
 	defer end()
 	group, ctx := bivouac.NewGroup(life)
@@ -98,7 +82,7 @@
 	group.Go(func() error { p.agent.Run(ctx); return nil })
 	group.Go(func() error { return p.carry(ctx, front) })
 	p.log.WithField("front", s.Bind.Front).Info("trailhead: started")
-	p.wait(ctx, term, reload)
+	process.Wait(ctx)
 	if ctx.Err() == nil {
 		p.leave()
 	}
@@ -181,29 +165,6 @@
 	}
 }
 
-// wait returns when the process is to end.
-func (p *proxy) wait(ctx, term context.Context, reload <-chan os.Signal) {
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-term.Done():
-			return
-		case <-reload:
-			p.reload()
-		}
-	}
-}
-
-// reload reads the settings again. What a process listens at stays for its life; the rest comes with its next start.
-func (p *proxy) reload() {
-	if _, err := hut.FromEnvironment(hut.Proxy); err != nil {
-		p.log.WithError(err).Warn("trailhead: settings not taken over")
-		return
-	}
-	p.log.Info("trailhead: settings read again; what changed counts from the next start")
-}
-
 // leave is the planned end: the directory and readiness turn clients away first, then what is held is finished.
 func (p *proxy) leave() {
 	p.log.Info("trailhead: leaving")
@@ -227,11 +188,9 @@
 
 // seed lets proxies begin their rotations at different places.
 func (p *proxy) seed() uint64 {
-	var seed uint64 = 14695981039346656037
-	for _, b := range []byte(p.settings.Node) {
-		seed = (seed ^ uint64(b)) * 1099511628211
-	}
-	return seed
+	h := fnv.New64a()
+	_, _ = h.Write([]byte(p.settings.Node)) // never fails
+	return h.Sum64()
 }
 
 // status is what staff see of this proxy.
--- /dev/null
+++ b/internal/bivouac/program.go
@@ -0,0 +1,110 @@
+package bivouac
+
+import (
+	"context"
+	"fmt"
+	"os"
+
+	"github.com/alecthomas/kong"
+	"github.com/apex/log"
+
+	"gradeusher.example/gradeusher/internal/hut"
+)
+
+// Program is one program of the system: a role, and what runs it.
+type Program struct {
+	Name, Description string
+	Role              hut.Role
+	Run               func(*Process) error
+}
+
+// Process is one life of a program.
+type Process struct {
+	Settings *hut.Settings
+	Log      log.Interface
+
+	program Program
+	term    context.Context // ends with SIGTERM
+	reload  <-chan os.Signal
+}
+
+type commands struct {
+	Run   runCommand   `cmd:"" help:"Run the role until SIGTERM."`
+	Check checkCommand `cmd:"" help:"Check the settings file and say what is wrong in one line."`
+}
+
+type runCommand struct {
+	LogLevel string `default:"info" help:"Least level that is logged: debug, info, warn or error."`
+}
+
+type checkCommand struct {
+	File string `arg:"" optional:"" help:"The settings file; otherwise the one that GRADEUSHER_BOOT names."`
+}
+
+// Main runs a program by its command line and ends the process: with 2 where the command line is wrong, with 1 where the
+// command fails, after one line that says why.
+func Main(p Program) {
+	var c commands
+	parser, err := kong.New(&c, kong.Name(p.Name), kong.Description(p.Description), kong.UsageOnError())
+	if err != nil {
+		p.fail(1, err)
+	}
+	call, err := parser.Parse(os.Args[1:])
+	if err != nil {
+		p.fail(2, err)
+	}
+	if err := call.Run(p); err != nil {
+		p.fail(1, err)
+	}
+}
+
+func (p Program) fail(code int, err error) {
+	fmt.Fprintf(os.Stderr, "%s: %v\n", p.Name, err)
+	os.Exit(code)
+}
+
+// Run implements the command.
+func (c *checkCommand) Run(p Program) error {
+	var err error
+	if c.File != "" {
+		_, err = hut.Load(c.File, p.Role)
+	} else {
+		_, err = hut.FromEnvironment(p.Role)
+	}
+	return err
+}
+
+// Run implements the command.
+func (c *runCommand) Run(p Program) error {
+	settings, err := hut.FromEnvironment(p.Role)
+	if err != nil {
+		return err
+	}
+	logger, err := Log(c.LogLevel)
+	if err != nil {
+		return err
+	}
+	settings.Limits.Runtime()
+	term, reload, stop := Signals(context.Background())
+	defer stop()
+	return p.Run(&Process{Settings: settings, Log: logger.WithField("node", settings.Node), program: p, term: term, reload: reload})
+}
+
+// Wait returns when the process is to end: by SIGTERM, or as ctx is done. On SIGHUP it reads the settings again; what a
+// process is made of stays for its life, so what changed counts from its next start.
+func (p *Process) Wait(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-p.term.Done():
+			return
+		case <-p.reload:
+			if _, err := hut.FromEnvironment(p.program.Role); err != nil {
+				p.Log.WithError(err).Warn(p.program.Name + ": settings not taken over")
+				continue
+			}
+			p.Log.Info(p.program.Name + ": settings read again; what changed counts from the next start")
+		}
+	}
+}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -33,6 +33,7 @@
 	Current func() *cairn.State
 	// Status is what GET /status answers, as JSON. Nil: an empty object.
 	Status     func() any
+	Backup     http.Handler  // answers GET /backup. Nil: there is no such call
 	AckTimeout time.Duration // the ack_ms of the deployment; 0: 5 s
 	Log        log.Interface
 }
@@ -72,6 +73,9 @@
 	r.HandleFunc("/Evacuation.Start/{zone}", a.evacuation(cairn.OpEvacuate)).Methods(http.MethodPost)
 	r.HandleFunc("/Evacuation.Finish/{zone}", a.evacuation(cairn.OpReadmit)).Methods(http.MethodPost)
 	r.HandleFunc("/status", a.status).Methods(http.MethodGet, http.MethodHead)
+	if o.Backup != nil {
+		r.Handle("/backup", o.Backup)
+	}
 	r.NotFoundHandler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		refuse(w, http.StatusNotFound, "no such call: see the operator's API for the paths")
 	})
