--- /dev/null
+++ b/internal/system/proxy/pick/golden_trace_test.go
@@ -0,0 +1,421 @@
+package pick
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"fmt"
+	"hash"
+	"maps"
+	"math"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"gradeusher.example/gradeusher/internal/system/conf"
+)
+
+// goldenFile holds a line for each scenario: its name, seed, number of steps and digest. It lies beside testdata, all of whose files
+// TestConformance takes for cases of its own.
+const goldenFile = "golden_trace.txt"
+
+// trace digests what a run gives out, in the order in which it does. It takes numbers and bytes only, so no name of a type,
+// field or constant has a part in it.
+type trace struct {
+	sum   hash.Hash
+	steps int
+}
+
+// step begins a step of the kind that the tag names.
+func (tr *trace) step(tag byte) {
+	tr.steps++
+	tr.sum.Write([]byte{tag})
+}
+
+func (tr *trace) num(values ...int64) {
+	for _, v := range values {
+		tr.sum.Write(binary.BigEndian.AppendUint64(nil, uint64(v)))
+	}
+}
+
+func (tr *trace) float(values ...float64) {
+	for _, v := range values {
+		tr.sum.Write(binary.BigEndian.AppendUint64(nil, math.Float64bits(v)))
+	}
+}
+
+func (tr *trace) flag(v bool) {
+	if v {
+		tr.num(1)
+	} else {
+		tr.num(0)
+	}
+}
+
+func (tr *trace) text(s string) {
+	tr.num(int64(len(s)))
+	tr.sum.Write([]byte(s))
+}
+
+// line is the scenario's line in the golden file.
+func (tr *trace) line(name string, seed uint64) string {
+	return fmt.Sprintf("%s %d %d %s", name, seed, tr.steps, hex.EncodeToString(tr.sum.Sum(nil)))
+}
+
+// verdictTags name verdicts in the trace.
+var verdictTags = map[Verdict]byte{Send: 'S', Refuse: 'R', Exhaust: 'X'}
+
+// choice takes in a choice of a picker, what the send registered and what the picker has spent.
+func (tr *trace) choice(now Time, p *Picker, r *Request, tried int, offered bool, c Choice) {
+	tr.step(verdictTags[c.Verdict])
+	tr.num(int64(now), int64(r.arrived), int64(tried), int64(r.Left))
+	tr.flag(offered)
+	tr.text(c.Server.ID)
+	tr.num(int64(c.Ticket), int64(c.Priority), int64(c.RetryAfter), int64(c.SendWithin))
+	if s := p.sends[c.Ticket]; s != nil {
+		tr.num(int64(s.due), s.prefill, s.tokens)
+		tr.flag(s.alone)
+		tr.flag(s.charged)
+	}
+	tr.spent(p)
+}
+
+// spent takes in the budgets and counts of a picker.
+func (tr *trace) spent(p *Picker) {
+	for _, name := range slices.Sorted(maps.Keys(p.groups)) {
+		g := p.groups[name]
+		tr.float(g.budget.requests, g.budget.repeats, g.serviceTime, g.room)
+	}
+	tr.float(p.rate.value)
+	st := p.Stats()
+	tr.num(int64(st.ColdStarts), int64(st.ColdSends), int64(st.ColdEnds))
+}
+
+// loads takes in what a picker shares with the others.
+func (tr *trace) loads(now Time, loads map[string]Load) {
+	tr.step('L')
+	tr.num(int64(now), int64(len(loads)))
+	for _, id := range slices.Sorted(maps.Keys(loads)) {
+		tr.text(id)
+		tr.num(int64(loads[id].Requests), loads[id].Prefill, loads[id].Tokens)
+	}
+}
+
+// goldenScenario is a run that a seed repeats.
+type goldenScenario struct {
+	name string
+	seed uint64
+	run  func(tr *trace, seed uint64)
+}
+
+// tracedFleet plays a scenario of the simulation, with what else is to happen in it.
+func tracedFleet(sc scenario, more func(*fleet)) func(*trace, uint64) {
+	return func(tr *trace, seed uint64) {
+		sc.seed = seed
+		f := newFleet(sc)
+		f.chosen = func(i int, r *Request, tried int, offered bool, c Choice) {
+			tr.num(int64(i))
+			tr.choice(f.now, f.pickers[i], r, tried, offered, c)
+		}
+		f.tells = func(i int, loads map[string]Load) {
+			tr.num(int64(i))
+			tr.loads(f.now, loads)
+		}
+		if more != nil {
+			more(f)
+		}
+		f.run()
+		tr.tallies(f)
+	}
+}
+
+// tallies takes in how the requests of each kind ended.
+func (tr *trace) tallies(f *fleet) {
+	for i := range f.kinds {
+		t := f.tallies[f.kinds[i].name]
+		tr.step('T')
+		tr.num(int64(t.asked), int64(t.inTime), int64(t.late), int64(t.lost), int64(t.refused), int64(t.abroad), int64(t.across))
+		tr.float(t.worth)
+		tr.float(t.latencies...)
+	}
+	tr.num(f.reread, f.firstRead, int64(f.dials), int64(f.unexecuted))
+}
+
+// shortDay is a day of a deployment that lasts for some seconds.
+func shortDay(sc scenario, length time.Duration, day int) scenario {
+	sc.length = length
+	return days(sc)[day]
+}
+
+// eachWorld changes the worlds of all pickers at a moment.
+func (f *fleet) eachWorld(at Time, change func(i int, w *World)) {
+	f.after(at, func() {
+		for i, p := range f.pickers {
+			w := p.world
+			w.Servers = slices.Clone(f.servers)
+			change(i, &w)
+			p.SetWorld(f.now, w)
+		}
+	})
+}
+
+// coldServers has a zone turn cold, one server in three under its own word alone, others drain or leave, and proxies miss news.
+func coldServers(f *fleet) {
+	zone := f.zones[1]
+	f.eachWorld(time.Second, func(i int, w *World) {
+		w.Delay = time.Duration(i) * 10 * time.Millisecond
+		for j := range w.Servers {
+			if s := &w.Servers[j]; s.Zone == zone && j%3 != 0 {
+				s.Cold, s.ColdLeast = 2500*time.Millisecond, 2200*time.Millisecond
+			}
+		}
+	})
+	f.after(1200*time.Millisecond, func() {
+		for _, p := range f.pickers[:len(f.pickers)/2] {
+			for j, s := range f.servers {
+				switch {
+				case s.Zone == zone && j%3 == 0:
+					p.Cold(f.now, s.ID, 2*time.Second)
+				case j%7 == 1:
+					p.Leaving(f.now, s.ID)
+				}
+			}
+		}
+	})
+	f.eachWorld(2*time.Second, func(i int, w *World) {
+		w.Partial, w.Stale, w.Lost = i%4 == 1, i%4 == 2, 1
+		w.Servers[0].Draining, w.Servers[1].Remaining = true, 900*time.Millisecond
+		w.Evacuated, w.ZoneChanges = map[string]bool{f.zones[2]: true}, map[string]uint64{f.zones[2]: 5}
+	})
+	f.eachWorld(3*time.Second, func(i int, w *World) {
+		w.Partial, w.Stale, w.Evacuated, w.ZoneChanges = false, false, nil, map[string]uint64{f.zones[2]: 9}
+		w.ListCovers = uint64(7 + i%3)
+	})
+	f.eachWorld(5*time.Second, func(_ int, w *World) { w.ListCovers = 9 })
+}
+
+// overloaded is a deployment to which more comes than it can serve.
+func overloaded() scenario {
+	sc := shortDay(aula(), 4*time.Second, 2)
+	sc.queue, sc.slots = 12, 8
+	sc.traffic = map[string]float64{"ca": 150, "ia": 300, "cb": 150}
+	return sc
+}
+
+// longPrompts is a mixture in which most of the work is prompts that share prefixes.
+func longPrompts() scenario {
+	sc := mixture{"", 0.75, slowReader, map[string][]int{"a": {8}, "b": {5}, "c": {3}}, 3}.scenario()
+	sc.length = 5 * time.Second
+	return sc
+}
+
+// anyOperations drives one picker with operations drawn from the seed: all outcomes, worlds, hints and loads.
+func anyOperations(tr *trace, seed uint64) {
+	d := newDriver(tr, seed)
+	for range 6000 {
+		d.now += time.Duration(d.rng.IntN(20)) * time.Millisecond
+		switch d.rng.IntN(12) {
+		case 0:
+			if d.rng.IntN(20) == 0 {
+				d.world()
+			}
+		case 1:
+			d.hint()
+		case 2:
+			d.share()
+		case 3, 4, 5, 6:
+			d.ask()
+		default:
+			d.end()
+		}
+	}
+}
+
+// driver is one picker with the requests that are under way.
+type driver struct {
+	tr      *trace
+	rng     *rand.Rand
+	now     Time
+	p       *Picker
+	cfg     *conf.Config
+	servers []Server
+	open    []*drivenRequest
+}
+
+type drivenRequest struct {
+	r       *Request
+	tried   []string
+	offered bool
+	ticket  uint64
+}
+
+func newDriver(tr *trace, seed uint64) *driver {
+	d := &driver{tr: tr, rng: rand.New(rand.NewPCG(seed, 11)), cfg: &conf.Config{Services: map[string]*conf.Service{
+		"a": {Name: "a", ColdPerSecond: 20, Engine: &conf.Engine{Slots: 6, CacheTokens: 60_000, Stride: 5}}, "b": {Name: "b", ColdPerSecond: 5}}}}
+	both := []conf.Share{{Service: "a", Weight: 3}, {Service: "b", Weight: 1}}
+	d.cfg.Routes = []*conf.Route{
+		{Host: "h", Prefix: "/", Category: conf.Streaming, MaxTries: 3, Timeout: 5 * time.Second, Aim: time.Second, Shares: both[:1], Resumable: true},
+		{Host: "h", Prefix: "/i", Category: conf.Idempotent, MaxTries: 2, Timeout: 2 * time.Second, Shares: both, Priority: 3},
+		{Host: "h", Prefix: "/n", Category: conf.Streaming, MaxTries: 4, Timeout: time.Second, Shares: both, Homes: []string{"r"}},
+	}
+	for i := range 12 {
+		s := Server{ID: fmt.Sprint("s", i), Service: "a", Address: fmt.Sprint("x", i), Zone: fmt.Sprint("z", i%3), Region: []string{"r", "r", "q"}[i%3], Slots: 6}
+		if i > 8 {
+			s.Service = "b"
+		}
+		d.servers = append(d.servers, s)
+	}
+	d.p = New(Settings{Zone: "z0", Region: "r", RetryRatio: 0.2, RetrySlack: 20, ColdExcess: 1.5, ColdSlack: 5, Seed: seed})
+	d.world()
+	return d
+}
+
+func (d *driver) world() {
+	w := World{Config: d.cfg, Servers: slices.Clone(d.servers), Self: "p1", Peers: []string{"p0", "p1", "p2"}[:2+d.rng.IntN(2)],
+		ListCovers: uint64(d.rng.IntN(4)), Lost: d.rng.IntN(2), Partial: d.rng.IntN(8) == 0, Stale: d.rng.IntN(8) == 0,
+		ZoneChanges: map[string]uint64{"z0": uint64(d.rng.IntN(4))}, Evacuated: map[string]bool{"z1": d.rng.IntN(4) == 0}}
+	for i := range w.Servers {
+		switch s := &w.Servers[i]; d.rng.IntN(10) {
+		case 0:
+			s.Cold = 2 * time.Second
+			s.ColdLeast = time.Second
+		case 1:
+			s.Draining = true
+		}
+	}
+	d.p.SetWorld(d.now, w)
+}
+
+func (d *driver) hint() {
+	id := fmt.Sprint("s", d.rng.IntN(12))
+	switch d.rng.IntN(8) {
+	case 0:
+		d.p.Cold(d.now, id, time.Duration(d.rng.IntN(3))*700*time.Millisecond)
+	case 1:
+		d.p.Leaving(d.now, id)
+	case 2:
+		d.p.Keeps(id, 8*time.Second)
+	default:
+		d.p.ServerLoad(d.now, id, d.rng.IntN(8), d.rng.IntN(10), 6)
+	}
+}
+
+func (d *driver) share() {
+	others := map[string]Load{}
+	for i := range 12 {
+		others[fmt.Sprint("s", i)] = Load{Requests: d.rng.IntN(9), Prefill: int64(d.rng.IntN(5000)), Tokens: int64(d.rng.IntN(9000))}
+	}
+	d.p.SetLoads(d.now, others)
+	told := d.p.Loads()
+	maps.Copy(told, d.p.Demands())
+	d.tr.loads(d.now, told)
+}
+
+func (d *driver) ask() {
+	r := &Request{Route: d.cfg.Routes[d.rng.IntN(3)], TokensOut: d.rng.IntN(300), Left: time.Duration(100+d.rng.IntN(4000)) * time.Millisecond}
+	for _, part := range []Part{{uint64(1 + d.rng.IntN(3)), 1500}, {uint64(10 + d.rng.IntN(20)), 400}, {d.rng.Uint64(), 1 + d.rng.IntN(900)}} {
+		r.Parts = append(r.Parts, part)
+		r.TokensIn += part.Tokens
+	}
+	d.p.Arrive(d.now, r)
+	d.choose(&drivenRequest{r: r})
+}
+
+// choose asks for a server, and keeps the request where it got one.
+func (d *driver) choose(o *drivenRequest) {
+	c := d.p.Choose(d.now, o.r, o.tried, o.offered)
+	d.tr.choice(d.now, d.p, o.r, len(o.tried), o.offered, c)
+	if c.Verdict == Send {
+		o.ticket, o.tried = c.Ticket, append(o.tried, c.Server.ID)
+		d.open = append(d.open, o)
+	}
+}
+
+// drivenOutcomes are those that are drawn, the usual ones more often.
+var drivenOutcomes = []Outcome{Served, Served, Served, Served, Served, Served, NotExecuted, NotExecuted, Misdirected, Unreached, Broken, Silent, Failed, Abandoned}
+
+// end ends a send and asks again where it failed.
+func (d *driver) end() {
+	if len(d.open) == 0 {
+		return
+	}
+	i := d.rng.IntN(len(d.open))
+	o := d.open[i]
+	d.open = slices.Delete(d.open, i, i+1)
+	if d.rng.IntN(4) > 0 {
+		d.p.Started(d.now, o.ticket)
+		d.p.FirstEvent(d.now, o.ticket)
+	}
+	out := drivenOutcomes[d.rng.IntN(len(drivenOutcomes))]
+	d.p.Done(d.now, o.ticket, out, time.Duration(d.rng.IntN(600))*time.Millisecond)
+	switch out {
+	case Served, Abandoned:
+		return
+	case Broken, Silent, Failed:
+		o.offered = true
+	}
+	d.choose(o)
+}
+
+// goldenScenarios are what is traced.
+func goldenScenarios() []goldenScenario {
+	all := []goldenScenario{
+		{"usual", 1, tracedFleet(shortDay(aula(), 5*time.Second, 0), nil)},
+		{"evacuated", 2, tracedFleet(shortDay(hakata(), 5*time.Second, 1), nil)},
+		{"dark", 3, tracedFleet(shortDay(aula(), 6*time.Second, 3), nil)},
+		{"reset", 4, tracedFleet(shortDay(hakata(), 6*time.Second, 4), nil)},
+		{"cold", 5, tracedFleet(shortDay(aula(), 6*time.Second, 0), coldServers)},
+		{"overloaded", 6, tracedFleet(overloaded(), nil)},
+		{"long-prompts", 7, tracedFleet(longPrompts(), nil)},
+	}
+	for seed := range uint64(4) {
+		all = append(all, goldenScenario{"any-operations", seed + 1, anyOperations})
+	}
+	return all
+}
+
+// TestGoldenTrace holds every choice and every load told to what they were, step by step. A change that is meant to change what
+// is chosen writes the file anew with GRADEUSHER_WRITE_GOLDEN=1 and says so.
+func TestGoldenTrace(t *testing.T) {
+	golden := readGolden(t)
+	var lines []string
+	for _, g := range goldenScenarios() {
+		t.Run(fmt.Sprintf("%s-%d", g.name, g.seed), func(t *testing.T) {
+			tr := &trace{sum: sha256.New()}
+			g.run(tr, g.seed)
+			line := tr.line(g.name, g.seed)
+			lines = append(lines, line)
+			if !writesGolden() && !slices.Contains(golden, line) {
+				t.Errorf("not in %s: %s", goldenFile, line)
+			}
+		})
+	}
+	if writesGolden() {
+		writeGolden(t, lines)
+	}
+}
+
+func writesGolden() bool { return os.Getenv("GRADEUSHER_WRITE_GOLDEN") == "1" }
+
+func readGolden(t *testing.T) []string {
+	t.Helper()
+	b, err := os.ReadFile(goldenFile)
+	if err != nil && !writesGolden() {
+		t.Fatal(err)
+	}
+	return strings.Split(string(b), "\n")
+}
+
+func writeGolden(t *testing.T, lines []string) {
+	t.Helper()
+	if err := os.MkdirAll(filepath.Dir(goldenFile), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(goldenFile, []byte(strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
--- a/internal/system/proxy/pick/sim_test.go
+++ b/internal/system/proxy/pick/sim_test.go
@@ -34,7 +34,9 @@
 	idle       map[[2]string][]Time // when each idle connection of a proxy to a server was last used
 	ownID      uint64
 	unexecuted int
-	windows    [12]struct{ worth, owed float64 } // of 3 s each
+	chosen     func(picker int, r *Request, tried int, offered bool, c Choice) // told of every choice; nil: nobody
+	tells      func(picker int, loads map[string]Load)                         // told of what a picker shares; nil: nobody
+	windows    [12]struct{ worth, owed float64 }                               // of 3 s each
 }
 
 func newFleet(sc scenario) *fleet {
@@ -116,6 +118,9 @@
 	for i, p := range f.pickers {
 		each[i] = p.Loads()
 		maps.Copy(each[i], p.Demands())
+		if f.tells != nil {
+			f.tells(i, each[i])
+		}
 		for id, l := range each[i] {
 			add(sum, id, l, 1)
 		}
@@ -248,6 +253,9 @@
 	p, t := f.pickers[i], f.tallies[k.name]
 	r.Left = k.deadline - (f.now - since)
 	c := p.Choose(f.now, r, tried, offered)
+	if f.chosen != nil {
+		f.chosen(i, r, len(tried), offered, c)
+	}
 	if c.Verdict != Send {
 		if retries > 0 && !offered {
 			f.after(c.RetryAfter, func() { f.try(zone, k, r, since, retries-1) })
