--- /dev/null
+++ b/internal/system/distribution/golden_trace_test.go
@@ -0,0 +1,422 @@
+package distribution
+
+import (
+	"context"
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"fmt"
+	"hash"
+	"maps"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+)
+
+// goldenFile holds a line for each scenario: its name, seed, number of steps and digest.
+const goldenFile = "testdata/golden_trace.txt"
+
+// trace digests what a run gives out, in the order in which it does. It takes numbers and bytes only, so no name of a type,
+// field or constant has a part in it.
+type trace struct {
+	sum   hash.Hash
+	steps int
+}
+
+// step begins a step of the kind that the tag names.
+func (tr *trace) step(tag byte) {
+	tr.steps++
+	tr.sum.Write([]byte{tag})
+}
+
+func (tr *trace) num(values ...int64) {
+	for _, v := range values {
+		tr.sum.Write(binary.BigEndian.AppendUint64(nil, uint64(v)))
+	}
+}
+
+func (tr *trace) flags(values ...bool) {
+	for _, v := range values {
+		if v {
+			tr.num(1)
+		} else {
+			tr.num(0)
+		}
+	}
+}
+
+func (tr *trace) bytes(b []byte) {
+	tr.num(int64(len(b)))
+	tr.sum.Write(b)
+}
+
+// wire takes in a message as it goes out, and gives the copy that arrives.
+func wire[M proto.Message](tr *trace, tag byte, m, into M) M {
+	b := marshal(m)
+	tr.step(tag)
+	tr.bytes(b)
+	if err := proto.Unmarshal(b, into); err != nil {
+		panic(err)
+	}
+	return into
+}
+
+// line is the scenario's line in the golden file.
+func (tr *trace) line(name string, seed uint64) string {
+	return fmt.Sprintf("%s %d %d %s", name, seed, tr.steps, hex.EncodeToString(tr.sum.Sum(nil)))
+}
+
+// exchange is hubs and followers whose calls the test makes itself, one after the other and in the order of the seed: with the
+// goroutines of Run, the order within one moment of the bubble's clock is the scheduler's.
+type exchange struct {
+	tr        *trace
+	rng       *rand.Rand
+	chain     *chain
+	sources   []*source
+	hubs      []*Hub
+	boots     []uint64 // of hubs, as the test gave them
+	shares    map[[2]int]*shareProgress
+	followers []*Follower
+	loads     []map[string]pick.Load
+	replies   []heldReply
+	lists     uint64
+}
+
+// heldReply is an answer that is under way.
+type heldReply struct {
+	follower int
+	asked    time.Time
+	req      *distributionpb.FollowRequest
+	reply    *distributionpb.FollowReply
+}
+
+var (
+	exchangeKeepers = []string{"k1:1", "k2:1", "k3:1"}
+	exchangeServers = []string{"s1", "s2", "s3", "s4", "s5", "s6"}
+)
+
+func newExchange(tr *trace, seed uint64) *exchange {
+	x := &exchange{tr: tr, rng: rand.New(rand.NewPCG(seed, 13)), chain: newChain(), shares: map[[2]int]*shareProgress{}}
+	for _, k := range exchangeKeepers {
+		s := &source{chain: x.chain, keepers: exchangeKeepers}
+		x.sources = append(x.sources, s)
+		h := NewHub(HubOptions{Source: s, Self: k, Zone: "z" + k[:2], Region: "r", ListLag: 100 * time.Millisecond, Log: quiet()})
+		x.giveIndexes(h.sums)
+		x.giveIndexes(h.totals)
+		x.hubs, x.boots = append(x.hubs, h), append(x.boots, 0)
+		x.reboot(len(x.hubs) - 1)
+	}
+	for i := range 5 {
+		x.followers, x.loads = append(x.followers, nil), append(x.loads, nil)
+		x.startFollower(i)
+	}
+	return x
+}
+
+// startFollower starts a process anew in the place of a follower.
+func (x *exchange) startFollower(i int) {
+	node := fmt.Sprint("p", i)
+	f := NewFollower(FollowerOptions{Seeds: exchangeKeepers, KeeperPort: 1, ProxyPort: 2, Log: quiet(),
+		Self: Member{Node: node, Incarnation: x.rng.Uint64() | 1, Zone: "zk1", Region: "r", IP: node + ":2"}})
+	x.giveIndexes(f.own)
+	x.followers[i], x.loads[i] = f, map[string]pick.Load{}
+}
+
+// giveIndexes draws a vector's boot from the seed and has it number the servers in their order: of several that come at once the
+// order is the map's.
+func (x *exchange) giveIndexes(v *vector) {
+	v.boot = x.rng.Uint64() | 1
+	all := map[string]pick.Load{}
+	for _, id := range exchangeServers {
+		all[id] = pick.Load{Requests: 1}
+		v.publish(time.Now(), all)
+	}
+}
+
+// reboot gives a hub a boot of the seed where it has drawn one itself.
+func (x *exchange) reboot(i int) {
+	if h := x.hubs[i]; h.boot != x.boots[i] {
+		h.boot = x.rng.Uint64() | 1
+		x.boots[i] = h.boot
+	}
+}
+
+func (x *exchange) run(steps int) {
+	for range steps {
+		time.Sleep(time.Duration(x.rng.IntN(30)) * time.Millisecond)
+		switch x.rng.IntN(16) {
+		case 0, 1, 2, 3, 4:
+			x.follow(x.rng.IntN(len(x.followers)), x.rng.IntN(len(x.hubs)))
+		case 5, 6, 7, 8:
+			x.arrive()
+		case 9, 10:
+			x.share(x.rng.IntN(len(x.hubs)), x.rng.IntN(len(x.hubs)))
+		case 11, 12:
+			i := x.rng.IntN(len(x.hubs))
+			x.hubs[i].tick(time.Now())
+			x.reboot(i)
+		case 13:
+			x.list()
+		case 14:
+			x.load(x.rng.IntN(len(x.followers)))
+		case 15:
+			x.event()
+		}
+	}
+}
+
+// follow sends a poll to a hub; the answer arrives later.
+func (x *exchange) follow(i, to int) {
+	f := x.followers[i]
+	asked := time.Now()
+	req := f.request(x.loads[i], x.rng.IntN(3) > 0)
+	slices.SortFunc(req.Down, func(a, b *distributionpb.Verdict) int { return strings.Compare(a.GetNode(), b.GetNode()) })
+	req.Call = f.calls.next()
+	got := wire(x.tr, 'Q', req, &distributionpb.FollowRequest{})
+	time.Sleep(time.Duration(x.rng.IntN(40)) * time.Millisecond)
+	reply, err := x.hubs[to].Follow(context.Background(), got)
+	if err != nil {
+		x.tr.step('E')
+		return
+	}
+	x.replies = append(x.replies, heldReply{i, asked, req, wire(x.tr, 'A', reply, &distributionpb.FollowReply{})})
+}
+
+// arrive has one of the answers under way arrive, or loses it.
+func (x *exchange) arrive() {
+	if len(x.replies) == 0 {
+		return
+	}
+	at := x.rng.IntN(len(x.replies))
+	r := x.replies[at]
+	x.replies = slices.Delete(x.replies, at, at+1)
+	f := x.followers[r.follower]
+	if x.rng.IntN(10) == 0 || r.reply.GetSoft() == nil || r.req.GetMember().GetIncarnation() != f.Incarnation() {
+		return
+	}
+	got := f.take(r.asked, time.Now(), r.req, r.reply)
+	x.tr.step('T')
+	x.tr.num(int64(r.follower))
+	x.tr.flags(got.current, got.feeds, got.durable, got.behind)
+	x.held(f)
+}
+
+// held takes in what a follower holds.
+func (x *exchange) held(f *Follower) {
+	u := f.Held()
+	x.tr.num(int64(u.State.Seq), int64(u.ListAge), int64(u.ListCovers), int64(u.WordAge), int64(u.Lost))
+	x.tr.flags(u.Listed, u.Fresh, u.Partial, u.Stale, u.State.Evacuated["za"], u.State.Evacuated["zb"])
+	x.tr.num(int64(u.State.ZoneChanged("za")), int64(u.State.ZoneChanged("zb")), int64(len(u.Members)), int64(len(u.Servers)))
+	for _, m := range u.Members {
+		x.tr.bytes(m.encode())
+	}
+	for _, s := range u.Servers {
+		x.tr.bytes([]byte(s.ID))
+		x.tr.bytes(encodeServer(s))
+		x.tr.num(int64(s.Cold), int64(s.ColdLeast), int64(s.Remaining))
+	}
+	for _, id := range slices.Sorted(maps.Keys(f.others)) {
+		x.tr.bytes([]byte(id))
+		x.tr.num(int64(f.others[id].Requests), f.others[id].Prefill, f.others[id].Tokens)
+	}
+}
+
+// share has a hub share with another.
+func (x *exchange) share(from, to int) {
+	if from == to {
+		return
+	}
+	way := [2]int{from, to}
+	if x.shares[way] == nil {
+		x.shares[way] = &shareProgress{}
+	}
+	for range 2 { // once more where the first told nothing but the clock
+		req, number := x.hubs[from].shareRequest(x.shares[way])
+		req.Call = x.hubs[from].calls.next()
+		got := wire(x.tr, 'S', req, &distributionpb.ShareRequest{})
+		time.Sleep(time.Duration(x.rng.IntN(20)) * time.Millisecond)
+		reply, err := x.hubs[to].Share(context.Background(), got)
+		if err != nil {
+			x.tr.step('E')
+			return
+		}
+		x.reboot(to)
+		reply.Boot = x.hubs[to].boot
+		answer := wire(x.tr, 'R', reply, &distributionpb.ShareReply{})
+		if x.shares[way].took(time.Now(), req, number, answer) {
+			return
+		}
+	}
+}
+
+// list reads the platform's list: some servers, some of them cold, draining or withdrawn.
+func (x *exchange) list() {
+	x.lists++
+	var servers []pick.Server
+	for i, id := range exchangeServers {
+		s := pick.Server{ID: id, Service: "a", Address: id + ":1", Zone: []string{"za", "zb"}[i%2], Region: "r", Slots: 8}
+		switch x.rng.IntN(8) {
+		case 0:
+			continue
+		case 1:
+			s.Cold = time.Duration(x.rng.IntN(3000)) * time.Millisecond
+		case 2:
+			s.Draining = true
+		case 3:
+			s.Remaining = time.Duration(x.rng.IntN(5000)) * time.Millisecond
+		}
+		servers = append(servers, s)
+	}
+	spent := time.Duration(x.rng.IntN(300)) * time.Millisecond
+	err := x.hubs[x.rng.IntN(len(x.hubs))].PutList(1+x.lists/40, x.lists, servers, madeAgo(Age{Least: spent / 2, Most: spent}))
+	x.tr.step('P')
+	x.tr.flags(err != nil)
+}
+
+// load changes what a follower has outstanding.
+func (x *exchange) load(i int) {
+	x.loads[i] = maps.Clone(x.loads[i])
+	id := exchangeServers[x.rng.IntN(len(exchangeServers))]
+	if x.rng.IntN(4) == 0 {
+		delete(x.loads[i], id)
+		return
+	}
+	x.loads[i][id] = pick.Load{Requests: x.rng.IntN(20), Prefill: int64(x.rng.IntN(9000)), Tokens: int64(x.rng.IntN(30_000))}
+}
+
+// event is one that is rare.
+func (x *exchange) event() {
+	f := x.followers[x.rng.IntN(len(x.followers))]
+	zone := []string{"za", "zb"}[x.rng.IntN(2)]
+	switch x.rng.IntN(11) {
+	case 0, 1:
+		x.chain.add(none())
+	case 2:
+		x.chain.add(controlstate.Record{Op: controlstate.OpEvacuate, Zone: zone})
+	case 3:
+		x.chain.add(controlstate.Record{Op: controlstate.OpReadmit, Zone: zone})
+	case 4:
+		x.chain.gone = x.chain.seq()
+	case 5:
+		x.sources[x.rng.IntN(len(x.sources))].setStale(x.rng.IntN(3) == 0)
+	case 6:
+		f.SetReady(x.rng.IntN(2) == 0)
+	case 7:
+		f.Report(fmt.Sprint("p", x.rng.IntN(5)), x.followers[x.rng.IntN(5)].Incarnation())
+	case 8:
+		x.hint()
+	case 9:
+		x.startFollower(x.rng.IntN(len(x.followers)))
+	case 10:
+		time.Sleep(time.Duration(x.rng.IntN(4000)) * time.Millisecond)
+	}
+}
+
+// hint writes or deletes a hint at a hub.
+func (x *exchange) hint() {
+	h := x.hubs[x.rng.IntN(len(x.hubs))]
+	key, version := hintPrefix+fmt.Sprint(x.rng.IntN(3)), uint64(x.rng.IntN(50))
+	var err error
+	if x.rng.IntN(3) == 0 {
+		err = h.Remove(key, 1, version)
+	} else {
+		err = h.Put(key, 1, version, []byte{byte(x.rng.IntN(9))})
+	}
+	x.tr.step('H')
+	x.tr.flags(err != nil)
+}
+
+// tables takes in what the hubs hold in the end.
+func (x *exchange) tables() {
+	for _, h := range x.hubs {
+		x.tr.step('F')
+		for _, e := range h.Table() {
+			x.tr.bytes([]byte(e.Key))
+			x.tr.num(int64(e.Fence), int64(e.Version))
+			x.tr.bytes(e.Value)
+		}
+	}
+}
+
+// tracePlans takes in how hubs feed, and what followers take, over numbers drawn from the seed.
+func tracePlans(tr *trace, seed uint64) {
+	rng := rand.New(rand.NewPCG(seed, 17))
+	tags := map[Feed]byte{FeedNothing: 'N', FeedRecords: 'R', FeedKeptSnapshot: 'K', FeedNewSnapshot: 'S'}
+	n := func() uint64 { return rng.Uint64N(12) }
+	for range 20_000 {
+		s := Stock{Committed: n(), Known: rng.IntN(2) == 0, Records: rng.IntN(6), Bytes: rng.IntN(2 * FeedBytes), Kept: n(), KeptOK: rng.IntN(2) == 0}
+		tr.step(tags[PlanFeed(n(), s, 4)])
+		p := Position{Seq: n(), Resync: rng.IntN(3) == 0}
+		o := Offer{Current: rng.IntN(2) == 0, Newest: n(), Snapshot: n(), First: n(), Age: time.Duration(rng.IntN(2 * int(FreshFor)))}
+		o.Last = o.First + n()
+		step := p.Decide(o)
+		tr.flags(step.Snapshot, o.Late(), p.Proves(o))
+		tr.num(int64(step.First), int64(p.Ask()))
+	}
+}
+
+func traceExchange(tr *trace, seed uint64) {
+	x := newExchange(tr, seed)
+	x.run(5000)
+	x.tables()
+}
+
+// TestGoldenTrace holds every message, and what followers hold after each, to what they were, step by step. A change that is meant
+// to change them writes the file anew with GRADEUSHER_WRITE_GOLDEN=1 and says so.
+func TestGoldenTrace(t *testing.T) {
+	golden := readGolden(t)
+	var lines []string
+	for _, g := range []struct {
+		name string
+		seed uint64
+		run  func(*trace, uint64)
+	}{
+		{"exchange", 1, traceExchange}, {"exchange", 2, traceExchange}, {"exchange", 3, traceExchange}, {"exchange", 4, traceExchange},
+		{"plans", 1, tracePlans},
+	} {
+		t.Run(fmt.Sprintf("%s-%d", g.name, g.seed), func(t *testing.T) {
+			tr := &trace{sum: sha256.New()}
+			synctest.Test(t, func(*testing.T) { g.run(tr, g.seed) })
+			line := tr.line(g.name, g.seed)
+			lines = append(lines, line)
+			if !writesGolden() && !slices.Contains(golden, line) {
+				t.Errorf("not in %s: %s", goldenFile, line)
+			}
+		})
+	}
+	if writesGolden() {
+		writeGolden(t, lines)
+	}
+}
+
+func writesGolden() bool { return os.Getenv("GRADEUSHER_WRITE_GOLDEN") == "1" }
+
+func readGolden(t *testing.T) []string {
+	t.Helper()
+	b, err := os.ReadFile(goldenFile)
+	if err != nil && !writesGolden() {
+		t.Fatal(err)
+	}
+	return strings.Split(string(b), "\n")
+}
+
+func writeGolden(t *testing.T, lines []string) {
+	t.Helper()
+	if err := os.MkdirAll(filepath.Dir(goldenFile), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(goldenFile, []byte(strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
