--- /dev/null
+++ b/cmd/proxy/compat_test.go
@@ -0,0 +1,50 @@
+package main
+
+import (
+	"slices"
+	"sync"
+	"testing"
+
+	"github.com/VictoriaMetrics/metrics"
+)
+
+var publishOnce sync.Once // the metrics of a process are named once
+
+// TestMetricNames: dashboards and alerts name these.
+func TestMetricNames(t *testing.T) {
+	publishOnce.Do(newTestServer(t).dataPlane.Publish)
+	got := metrics.ListMetricNames()
+	slices.Sort(got)
+	want := []string{
+		`gradeusher_invariant_violations_total{invariant="distribution_never_back"}`,
+		`gradeusher_invariant_violations_total{invariant="pick_cold_end_kept"}`,
+		`gradeusher_invariant_violations_total{invariant="pick_cold_pace_kept"}`,
+		`gradeusher_invariant_violations_total{invariant="pick_sends_allowed"}`,
+		`gradeusher_invariant_violations_total{invariant="proxy_runs_once"}`,
+		"gradeusher_proxy_broken_total",
+		"gradeusher_proxy_cold_ends_total",
+		"gradeusher_proxy_cold_sends_total",
+		"gradeusher_proxy_cold_starts_total",
+		"gradeusher_proxy_cut_total",
+		"gradeusher_proxy_dials_total",
+		"gradeusher_proxy_gone_total",
+		"gradeusher_proxy_improper_total",
+		"gradeusher_proxy_mismatch_total",
+		"gradeusher_proxy_moved_total",
+		"gradeusher_proxy_refused_total",
+		"gradeusher_proxy_repeats_total",
+		"gradeusher_proxy_requests_total",
+		"gradeusher_proxy_resumed_total",
+		"gradeusher_proxy_reused_total",
+		"gradeusher_proxy_sends_total",
+		"gradeusher_proxy_served_total",
+		"gradeusher_proxy_stale_total",
+		"gradeusher_proxy_surplus_total",
+		"gradeusher_proxy_timed_out_total",
+		"gradeusher_proxy_unframed_total",
+		"gradeusher_proxy_unreached_total",
+	}
+	if !slices.Equal(got, want) {
+		t.Errorf("metrics %q, want %q", got, want)
+	}
+}
--- /dev/null
+++ b/internal/compat/filled_test.go
@@ -0,0 +1,132 @@
+package compat
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+
+	"gradeusher.example/gradeusher/balance/routes"
+	"gradeusher.example/gradeusher/internal/sidecar/client"
+	"gradeusher.example/gradeusher/internal/sidecar/keeper"
+	"gradeusher.example/gradeusher/internal/sidecar/list"
+	"gradeusher.example/gradeusher/internal/sidecar/state"
+	"gradeusher.example/gradeusher/internal/system/staff"
+)
+
+// fillValue gives all fields of a value, at any depth, values that are not zero and do not depend on names in the code.
+func fillValue(v reflect.Value, depth int) {
+	if depth == 0 {
+		return
+	}
+	switch v.Kind() {
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		fillValue(v.Elem(), depth)
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if v.Field(i).CanSet() {
+				fillValue(v.Field(i), depth-1)
+			}
+		}
+	case reflect.Slice:
+		if v.Type().Elem().Kind() != reflect.Uint8 {
+			v.Set(reflect.MakeSlice(v.Type(), 1, 1))
+			fillValue(v.Index(0), depth-1)
+		}
+	case reflect.Map:
+		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		fillValue(key, depth-1)
+		fillValue(value, depth-1)
+		v.Set(reflect.MakeMap(v.Type()))
+		v.SetMapIndex(key, value)
+	case reflect.String:
+		v.SetString("text")
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		v.SetInt(-7)
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		v.SetUint(7)
+	case reflect.Float64:
+		v.SetFloat(0.5)
+	}
+}
+
+// document compares the JSON of a filled value, and of one without values, with files.
+func document[T any](t *testing.T, name string) {
+	t.Helper()
+	var empty, filled T
+	fillValue(reflect.ValueOf(&filled).Elem(), 12)
+	for suffix, v := range map[string]T{"_empty.json": empty, "_filled.json": filled} {
+		text, err := json.Marshal(v)
+		if err != nil {
+			t.Fatal(err)
+		}
+		goldenJSON(t, name+suffix, text)
+	}
+	readsAgain[T](t, name, filled)
+}
+
+// readsAgain decodes the JSON of a value and encodes it again, which loses nothing.
+func readsAgain[T any](t *testing.T, name string, v T) {
+	t.Helper()
+	text, err := json.Marshal(v)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var read T
+	if err := json.Unmarshal(text, &read); err != nil {
+		t.Fatal(err)
+	}
+	again, err := json.Marshal(read)
+	if err != nil || !bytes.Equal(again, text) {
+		t.Errorf("%s: %s after it was read, %s before: %v", name, again, text, err)
+	}
+}
+
+// TestRouteOps reads each kind of step between route tables.
+func TestRouteOps(t *testing.T) {
+	text, err := os.ReadFile("testdata/route_ops.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var ops []routes.Op
+	if err := json.Unmarshal(text, &ops); err != nil {
+		t.Fatal(err)
+	}
+	again, err := json.Marshal(ops)
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldenJSON(t, "route_ops.json", again)
+}
+
+// TestDocuments are those of `system status --json`, `system why --json`, GET /status, and the entries and commands of the
+// sidecars' list.
+func TestDocuments(t *testing.T) {
+	document[staff.Fleet](t, "system_status")
+	document[staff.ProxyStatus](t, "why")
+	document[staff.KeeperStatus](t, "keeper_status")
+	document[routes.Table](t, "route_table")
+	document[keeper.Status](t, "sidecar_status")
+	document[client.RouteNews](t, "sidecar_routes")
+	document[client.DutyNews](t, "sidecar_duties")
+	document[list.List](t, "sidecar_list")
+	document[state.Entry](t, "sidecar_entry")
+	document[state.Duty](t, "sidecar_duty")
+	document[state.Command](t, "sidecar_command")
+}
+
+// TestWhyLines: the line of a server begins with its id.
+func TestWhyLines(t *testing.T) {
+	var p staff.ProxyStatus
+	if err := json.Unmarshal([]byte(`{"choice":"s-1 a\ns-10 b\n"}`), &p); err != nil {
+		t.Fatal(err)
+	}
+	if got := strings.Join(p.Lines("s-1"), "|"); got != "s-1 a" {
+		t.Error(got)
+	}
+}
--- /dev/null
+++ b/internal/system/process/compat_test.go
@@ -0,0 +1,32 @@
+package process
+
+import (
+	"slices"
+	"testing"
+
+	"github.com/alecthomas/kong"
+)
+
+// TestCommandNames: deployments name these commands and flags of the proxy and the keeper.
+func TestCommandNames(t *testing.T) {
+	parser, err := kong.New(&commands{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got []string
+	for _, n := range parser.Model.Children {
+		got = append(got, n.Name)
+		for _, f := range n.Flags {
+			got = append(got, n.Name+" --"+f.Name)
+		}
+		for _, p := range n.Positional {
+			got = append(got, n.Name+" <"+p.Name+">")
+		}
+	}
+	if want := []string{"run", "run --log-level", "run --metrics", "check", "check <file>"}; !slices.Equal(got, want) {
+		t.Errorf("%q, want %q", got, want)
+	}
+	if MetricsPath != "/metrics" {
+		t.Errorf("metrics are at %q", MetricsPath)
+	}
+}
