--- a/internal/compat/proto_test.go
+++ b/internal/compat/proto_test.go
@@ -168,7 +168,7 @@
 	golden(t, "proto_bytes.txt", out.Bytes())
 }
 
-// TestProtoDecodes reads each stored message with the types of now, and finds all of it in known fields.
+// TestProtoDecodes reads each example again with the types of now, and finds all of it in known fields.
 func TestProtoDecodes(t *testing.T) {
 	for _, pkg := range protoPackages {
 		all := messages(t, pkg)
--- a/internal/compat/sidecardata_test.go
+++ b/internal/compat/sidecardata_test.go
@@ -184,6 +184,18 @@
 	}
 	goldenJSON(t, "registry_problem.json", text)
 	r.call("POST", "/v1/servers/s-2/serve", "")
+	golden(t, "registry_metrics.txt", metricNames(r.call("GET", "/metrics", "")))
+}
+
+// metricNames are the names and types of a keeper's own metrics. Those of the Go runtime and the process are its library's.
+func metricNames(text []byte) []byte {
+	var out bytes.Buffer
+	for line := range strings.Lines(string(text)) {
+		if name, ok := strings.CutPrefix(line, "# TYPE "); ok && !strings.HasPrefix(name, "go_") && !strings.HasPrefix(name, "process_") {
+			out.WriteString(name)
+		}
+	}
+	return out.Bytes()
 }
 
 // TestRegistryBackup reads a backup, which has the form of a snapshot.
--- /dev/null
+++ b/internal/sidecar/members/compat_test.go
@@ -0,0 +1,27 @@
+package members
+
+import (
+	"encoding/hex"
+	"testing"
+	"time"
+)
+
+// TestFrameBytes: sidecars of several versions read each other's frames during an upgrade.
+func TestFrameBytes(t *testing.T) {
+	f := frame{name: "n7", kind: 3, start: 0x0102030405060708, seq: 300, stamp: 1500 * time.Microsecond, hopped: 1234 * time.Millisecond,
+		payload: []byte("news")}
+	c := claim{count: 5, hash: 0x0a0b0c0d}
+	for name, v := range map[string]struct {
+		got  []byte
+		want string
+	}{"news": {f.encode(), "0103000004d20102030405060708ac02dc0b026e3700046e657773"}, "claim": {c.encode(), "02000000050a0b0c0d"}, "pack": {pack([][]byte{c.encode(), []byte("x")}), "000902000000050a0b0c0d000178"}} {
+		if got := hex.EncodeToString(v.got); got != v.want {
+			t.Errorf("%s: %s, want %s", name, got, v.want)
+		}
+	}
+	got, err := decodeNews(f.encode())
+	if err != nil || got.name != f.name || got.kind != f.kind || got.start != f.start || got.seq != f.seq || got.stamp != f.stamp ||
+		got.hopped != f.hopped || string(got.payload) != "news" {
+		t.Errorf("%+v %v", got, err)
+	}
+}
