--- /dev/null
+++ b/internal/system/replication/golden_trace_test.go
@@ -0,0 +1,303 @@
+package replication
+
+import (
+	"bufio"
+	"crypto/sha256"
+	"encoding/binary"
+	"fmt"
+	"hash"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+)
+
+// goldenFile holds a line "scenario seed steps digest" for each play; GRADEUSHER_WRITE_GOLDEN=1 writes it anew.
+const goldenFile = "testdata/golden_trace.txt"
+
+// goldenTrace is the digest of all that goes out of the cores of a world, in the order of the simulation. It takes wire
+// bytes, numbers and fixed tags, and no name of the code nor text meant for people. Nothing is sorted here: a play runs in one
+// goroutine, on the clock and the random numbers of its world, and the cores put out all in an order of their own. The digests
+// also rest on what the harness draws: a change of the world, of its faults or of the toy state needs them written anew.
+type goldenTrace struct {
+	sum   hash.Hash
+	buf   []byte
+	steps int
+	epoch map[*Core]uint64 // of the view last recorded
+	err   error
+}
+
+func newGoldenTrace(w *world) *goldenTrace {
+	g := &goldenTrace{sum: sha256.New(), epoch: map[*Core]uint64{}}
+	w.onOutput = func(m *machine, out *Outputs) { g.step(w, m, out) }
+	w.onReply = func(m *machine, r *pollReply) { g.reply(w, m, r) }
+	return g
+}
+
+func (g *goldenTrace) number(list ...uint64) {
+	for _, n := range list {
+		g.buf = binary.BigEndian.AppendUint64(g.buf, n)
+	}
+}
+
+func (g *goldenTrace) text(s string) {
+	g.number(uint64(len(s)))
+	g.buf = append(g.buf, s...)
+}
+
+func (g *goldenTrace) flag(b bool) {
+	if b {
+		g.number(1)
+		return
+	}
+	g.number(0)
+}
+
+func (g *goldenTrace) wire(m proto.Message) {
+	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
+	if err != nil {
+		g.err = err
+	}
+	g.text(string(data))
+}
+
+// step records one Take of a core: when, whose, what it wants done, and what it holds then.
+func (g *goldenTrace) step(w *world, m *machine, out *Outputs) {
+	g.steps++
+	g.text("step")
+	g.number(uint64(w.now), uint64(m.name), m.life)
+	for _, e := range out.Messages {
+		g.message(e)
+	}
+	if out.Disk != nil {
+		g.disk(out.Disk)
+	}
+	for _, d := range out.Done {
+		g.done(d)
+	}
+	g.held(m)
+	g.flush()
+}
+
+func (g *goldenTrace) flush() {
+	g.sum.Write(g.buf)
+	g.buf = g.buf[:0]
+}
+
+// message records a message without the reason of an answer, which is a text for people.
+func (g *goldenTrace) message(e Envelope) {
+	msg := e.Msg
+	if msg.GetAnswer().GetReason() != "" {
+		msg = proto.CloneOf(msg)
+		msg.GetAnswer().Reason = ""
+	}
+	g.text("msg")
+	g.text(e.Addr)
+	g.wire(msg)
+}
+
+// goldenDiskTags are the tags of the disk operations.
+var goldenDiskTags = map[DiskKind]string{
+	DiskSaveMeta: "save", DiskAppend: "append", DiskTruncate: "truncate", DiskCompact: "compact", DiskInstall: "install",
+}
+
+func (g *goldenTrace) disk(op *DiskOp) {
+	g.text(goldenDiskTags[op.Kind])
+	g.number(op.Token, op.After, op.Snapshot.Seq, uint64(len(op.Entries)))
+	g.text(op.Name)
+	g.text(string(op.Data))
+	g.text(string(op.Snapshot.Data))
+	for _, e := range op.Entries {
+		g.number(e.Seq)
+		g.text(string(e.Data))
+	}
+}
+
+// done records the answer to a call by the numbers that go over the wire as well.
+func (g *goldenTrace) done(d Completion) {
+	g.text("done")
+	g.number(d.ID, uint64(d.Outcome), uint64(d.Verdict.Kind), d.Verdict.Seq, d.Seq)
+	g.flag(d.Read)
+	if d.State != nil {
+		g.text(string(d.State.Encode()))
+	}
+}
+
+// reply records the answer to a proxy that follows the keepers.
+func (g *goldenTrace) reply(w *world, m *machine, r *pollReply) {
+	g.steps++
+	g.text("reply")
+	g.number(uint64(w.now), uint64(m.name), r.newest, r.snapSeq, uint64(len(r.records)))
+	g.flag(r.current)
+	g.text(string(r.snapshot))
+	for _, rec := range r.records {
+		g.number(rec.Seq, uint64(rec.Op), uint64(rec.Base))
+		g.text(string(rec.Body))
+		g.text(rec.Zone)
+	}
+	for _, addr := range r.keepers {
+		g.text(addr)
+	}
+	g.flush()
+}
+
+// held records how far a core is, and its view when that is new.
+func (g *goldenTrace) held(m *machine) {
+	seq, _ := m.core.Committed()
+	g.number(seq)
+	if v := m.core.View(); v.Epoch != g.epoch[m.core] {
+		g.epoch[m.core] = v.Epoch
+		g.text("view")
+		g.wire(viewPB(v))
+	}
+}
+
+// end records what is left at the end of a play.
+func (g *goldenTrace) end(w *world) string {
+	g.text("end")
+	g.number(uint64(w.now), uint64(len(w.truth)), w.acked, w.seen)
+	for _, m := range w.nodes {
+		g.flag(m.up())
+		g.number(m.disk.end())
+	}
+	for _, p := range w.proxies {
+		g.number(p.seq)
+	}
+	g.text(string(w.states[len(w.states)-1].Encode()))
+	g.flush()
+	return fmt.Sprintf("%d %x", g.steps, g.sum.Sum(nil))
+}
+
+// goldenScenario is a shape and the faults that it is played with.
+type goldenScenario struct {
+	name  string
+	seeds []uint64
+	shape
+	faults  []fault
+	joiners int           // machines that join, each in a zone of its own
+	until   time.Duration // the end of the faults
+}
+
+// goldenScenarios are played in turn. Without a shape, shape and faults are those of the seed.
+var goldenScenarios = []goldenScenario{
+	{name: "normal", seeds: []uint64{1, 2}, shape: shape{3, 0, 1, 3, 0, 0}, until: 10 * time.Second},
+	{name: "cuts", seeds: []uint64{1, 2}, shape: shape{5, 1, 2, 3, 0, 0}, until: 16 * time.Second, faults: []fault{
+		{at: 4 * time.Second, kind: faultIsolate, a: 0, n: 8, dur: 2 * time.Second},
+		{at: 6 * time.Second, kind: faultIsolate, a: 1, n: 4, dur: 2 * time.Second},
+		{at: 8 * time.Second, kind: faultCutOneWay, a: 2, b: 0, n: 4, dur: 2 * time.Second},
+		{at: 9 * time.Second, kind: faultCutPair, a: 1, b: 3, dur: 2 * time.Second},
+		{at: 11 * time.Second, kind: faultSplit, n: 0b110, dur: 3 * time.Second},
+		{at: 12 * time.Second, kind: faultLoss, dur: time.Second},
+		{at: 13 * time.Second, kind: faultSlack, dur: time.Second},
+	}},
+	{name: "leaving", seeds: []uint64{1, 2}, shape: shape{4, 1, 1, 2, 0, 0}, until: 16 * time.Second, faults: []fault{
+		{at: 4 * time.Second, kind: faultLeave, a: 0, dur: time.Second},
+		{at: 7 * time.Second, kind: faultLeave, a: 2, n: 2, dur: time.Second},
+		{at: 9 * time.Second, kind: faultReplace, a: 1, n: 1, dur: time.Second},
+		{at: 13 * time.Second, kind: faultJoin, a: 3},
+	}},
+	{name: "disks", seeds: []uint64{1, 2}, shape: shape{3, 1, 1, 3, 0, 0}, until: 18 * time.Second, faults: []fault{
+		{at: 4 * time.Second, kind: faultWipe, a: 0, dur: time.Second},
+		{at: 8 * time.Second, kind: faultKill, a: 1, dur: time.Second},
+		{at: 10 * time.Second, kind: faultFull, a: 2, n: 1, dur: 2 * time.Second},
+		{at: 12 * time.Second, kind: faultPowerAll, n: 1, a: 2},
+		{at: 16 * time.Second, kind: faultStall, a: 0, dur: time.Second},
+		{at: 16 * time.Second, kind: faultSlow, a: 1, n: 500, dur: time.Second},
+	}},
+	{name: "observers", seeds: []uint64{1, 2}, shape: shape{3, 0, 1, 2, 2, 0}, until: 14 * time.Second, faults: []fault{
+		{at: 4 * time.Second, kind: faultKill, a: 3, dur: time.Second},
+		{at: 6 * time.Second, kind: faultIsolate, a: 4, n: 8, dur: 2 * time.Second},
+		{at: 8 * time.Second, kind: faultKill, a: 0, dur: 2 * time.Second},
+		{at: 11 * time.Second, kind: faultFreeze, a: 3, dur: 2 * time.Second},
+	}},
+	{name: "zones", seeds: []uint64{1}, shape: shape{6, 0, 1, 3, 0, 1}, until: 12 * time.Second, faults: []fault{
+		{at: 5 * time.Second, kind: faultZone, act: faultWipe, a: 0, dur: 2 * time.Second},
+	}},
+	{name: "rebalance", seeds: []uint64{1}, shape: shape{4, 0, 1, 2, 0, 1}, joiners: 2, until: 14 * time.Second},
+	{name: "random", seeds: []uint64{1, 3, 5, 16, 27, 117, zoneSeeds + 1}}, // 117: links seal an epoch
+}
+
+// playGolden plays a scenario and gives the steps and the digest.
+func playGolden(s goldenScenario, seed uint64) (string, error) {
+	if s.keepers == 0 {
+		s.shape, s.faults, s.until = shapeOf(seed), seedFaults(seed), faultsUntil(seed)
+	}
+	w := newWorld(seed, s.shape, hooks{})
+	g := newGoldenTrace(w)
+	for _, f := range s.faults {
+		w.inject(f)
+	}
+	for i := range s.joiners {
+		w.after(time.Duration(5+3*i)*time.Second, func() {
+			m := w.newMachine(fmt.Sprintf("10.0.1.%d", i+1), fmt.Sprintf("y%d", i), "r0")
+			m.seeds = w.seeds
+			m.start()
+		})
+	}
+	w.operate()
+	w.runUntil(s.until)
+	w.heal()
+	w.expectAck("after the last fault")
+	w.runUntil(w.now + 2*time.Second)
+	if err := w.settle(settleBound); err != nil {
+		return "", err
+	}
+	return g.end(w), g.err
+}
+
+// readGolden gives the recorded steps and digest by scenario and seed.
+func readGolden(t *testing.T) map[string]string {
+	t.Helper()
+	f, err := os.Open(goldenFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer f.Close()
+	golden := map[string]string{}
+	for in := bufio.NewScanner(f); in.Scan(); {
+		if parts := strings.SplitN(in.Text(), " ", 3); len(parts) == 3 {
+			golden[parts[0]+" "+parts[1]] = parts[2]
+		}
+	}
+	return golden
+}
+
+// TestGoldenTrace holds the cores to the recorded digests of all that goes out of them, step by step. A change of form alone,
+// such as of names, leaves them as they are.
+func TestGoldenTrace(t *testing.T) {
+	writing := os.Getenv("GRADEUSHER_WRITE_GOLDEN") == "1"
+	golden := map[string]string{}
+	if !writing {
+		golden = readGolden(t)
+	}
+	var lines []string
+	plays := 0
+	for _, s := range goldenScenarios {
+		for _, seed := range s.seeds {
+			plays++
+			key := fmt.Sprintf("%s %d", s.name, seed)
+			t.Run(key, func(t *testing.T) {
+				got, err := playGolden(s, seed)
+				if err != nil {
+					t.Fatal(err)
+				}
+				lines = append(lines, key+" "+got+"\n")
+				if want := golden[key]; !writing && got != want {
+					t.Errorf("steps and digest %s, recorded %q", got, want)
+				}
+			})
+		}
+	}
+	switch {
+	case !writing && len(golden) != plays:
+		t.Errorf("%d plays are recorded, %d are known", len(golden), plays)
+	case writing && len(lines) != plays:
+		t.Errorf("%d of %d plays were played: nothing is written", len(lines), plays)
+	case writing:
+		if err := os.WriteFile(goldenFile, []byte(strings.Join(lines, "")), 0o644); err != nil {
+			t.Error(err)
+		}
+	}
+}
--- a/internal/system/replication/sim_machine_test.go
+++ b/internal/system/replication/sim_machine_test.go
@@ -187,6 +187,9 @@
 func (m *machine) drain() {
 	w, core := m.w, m.core
 	out := core.Take()
+	if w.onOutput != nil {
+		w.onOutput(m, &out)
+	}
 	for _, n := range out.Notes {
 		w.trace("%v machine %d: %s", w.now, m.name, n)
 	}
--- a/internal/system/replication/sim_proxies_test.go
+++ b/internal/system/replication/sim_proxies_test.go
@@ -144,6 +144,9 @@
 		core := m.core
 		m.run(core, func() {
 			m.serve(&poll{seq: seq, start: w.now, until: w.now + hold, reply: func(r *pollReply) {
+				if w.onReply != nil {
+					w.onReply(m, r)
+				}
 				w.carry(keeper, p.addr, time.Millisecond, func() { p.run(life, func() { finish(r) }) })
 			}})
 		})
--- a/internal/system/replication/toy_test.go
+++ b/internal/system/replication/toy_test.go
@@ -29,24 +29,24 @@
 	machine toyMachine
 }
 
-// toyImage is an encoded toy.
+// toyImage is an encoded toy. The keys are fixed, so that the encoding does not depend on the names of the fields.
 type toyImage struct {
-	Seq   uint64
-	Rev   int64
-	Hash  uint64
-	Taken []toyTaken
-	Zones map[string]toyZone
-	Note  string
+	Seq   uint64             `json:"Seq"`
+	Rev   int64              `json:"Rev"`
+	Hash  uint64             `json:"Hash"`
+	Taken []toyTaken         `json:"Taken"`
+	Zones map[string]toyZone `json:"Zones"`
+	Note  string             `json:"Note"`
 }
 
 type toyTaken struct {
-	Key string
-	Seq uint64
+	Key string `json:"Key"`
+	Seq uint64 `json:"Seq"`
 }
 
 type toyZone struct {
-	Evacuated bool
-	Seq       uint64 // of the record that last changed it
+	Evacuated bool   `json:"Evacuated"`
+	Seq       uint64 `json:"Seq"` // of the record that last changed it
 }
 
 // registerKey names a change of the register.
--- a/internal/system/replication/world_test.go
+++ b/internal/system/replication/world_test.go
@@ -27,10 +27,12 @@
 	loss     float64
 	slack    time.Duration // more delay
 	armed    []*armedStep
-	onAck    []func()                 // armed faults
-	onAnswer func(*asked, Completion) // told every answer of a keeper
-	onStep   func(string, string)     // told every step and the address that takes it
-	eventAt  time.Duration            // of the last fault's begin or end
+	onAck    []func()                   // armed faults
+	onAnswer func(*asked, Completion)   // told every answer of a keeper
+	onStep   func(string, string)       // told every step and the address that takes it
+	onOutput func(*machine, *Outputs)   // told all that a core wants done, before any of it is
+	onReply  func(*machine, *pollReply) // told every answer of a keeper to a proxy
+	eventAt  time.Duration              // of the last fault's begin or end
 
 	truth   []string // committed records, agreed by all
 	states  []*toy   // after each committed record
