--- a/internal/system/failuredetector/sim_test.go
+++ b/internal/system/failuredetector/sim_test.go
@@ -26,6 +26,8 @@
 	cuts   map[[2]string]bool
 	option Options
 
+	onOutput func(*simNode, *Output) // told all that a detector wants done, before any of it is
+
 	table        map[string]*row
 	calm         Time // since when no fault that excuses a verdict has been there
 	wrong        []string
@@ -195,6 +197,9 @@
 
 func (w *world) carryOut(n *simNode) {
 	out := n.d.Take()
+	if w.onOutput != nil {
+		w.onOutput(n, &out)
+	}
 	if out.Resumed {
 		n.resumed++
 	}
