--- a/cmd/keeper/chain.go
+++ b/cmd/keeper/chain.go
@@ -16,23 +16,23 @@
 
 // links is the chain of keepers as the keeper's other parts see it.
 type links struct {
-	*replication.Keeper
+	*replication.Node
 }
 
 // Submit implements control.Chain.
 func (l *links) Submit(ctx context.Context, change controlstate.Change) (controlstate.Verdict, error) {
-	answer, err := l.Keeper.Submit(ctx, change)
+	answer, err := l.Node.Submit(ctx, change)
 	verdict := answer.Verdict
 	verdict.Seq = answer.Seq
 	return verdict, err
 }
 
 // Places are the keepers of the view, those of the chain first and in its order.
-func (l *links) Places() []distribution.KeeperPlace {
+func (l *links) Places() []distribution.ServerLocation {
 	view := l.View()
-	places := make([]distribution.KeeperPlace, 0, len(view.Voters))
+	places := make([]distribution.ServerLocation, 0, len(view.Voters))
 	add := func(m replication.Member) {
-		places = append(places, distribution.KeeperPlace{Address: m.Addr, Zone: m.Zone, Region: m.Region})
+		places = append(places, distribution.ServerLocation{Address: m.Addr, Zone: m.Zone, Region: m.Region})
 	}
 	inChain := map[replication.ID]bool{}
 	for _, id := range view.Chain {
@@ -123,7 +123,7 @@
 	s := k.settings
 	return replication.Options{Addr: s.IP, Zone: s.Zone, Region: s.Region, Port: s.KeeperPort(), Seeds: s.SeedIPs(), Bootstrap: s.Bootstrap,
 		MachineLosses: s.Tolerance.Machines, ZoneLosses: s.Tolerance.Zones, RegionLosses: s.Tolerance.Regions,
-		Ack: settings.Milliseconds(s.Bounds.Ack), Log: k.log}
+		AckTimeout: settings.Milliseconds(s.Bounds.Ack), Log: k.log}
 }
 
 func (k *keeper) join(ctx context.Context, options replication.Options) error {
--- a/cmd/keeper/chain_test.go
+++ b/cmd/keeper/chain_test.go
@@ -108,7 +108,7 @@
 	if status, ok := k.status().(staff.KeeperStatus); !ok || !status.Observer || status.Current {
 		t.Errorf("its status is %+v", status)
 	}
-	if c := k.chain.Capacity(); c.Observers != 1 || c.Keepers != 0 {
+	if c := k.chain.Capacity(); c.Observers != 1 || c.Nodes != 0 {
 		t.Errorf("it counts itself as %+v", c)
 	}
 	if first, second := k.chain.Self().ID, startOnce(t, ""); first == second {
--- a/cmd/keeper/feed.go
+++ b/cmd/keeper/feed.go
@@ -28,7 +28,7 @@
 	settings *settings.Settings
 	log      log.Interface
 	chain    *links
-	hub      *distribution.Hub
+	hub      *distribution.Server
 	fence    *ownership.Fence
 	client   *platform.Client
 	poller   *platform.Poller
@@ -37,7 +37,7 @@
 
 func newFeed(s *settings.Settings, logger log.Interface, chain *links) *feed {
 	f := &feed{settings: s, log: logger, chain: chain, fence: ownership.NewFence(s.IP), client: platform.NewClient(platform.Options{Address: s.Cloud.Address})}
-	f.hub = distribution.NewHub(distribution.HubOptions{Source: chain, Self: s.IP, Zone: s.Zone, Region: s.Region,
+	f.hub = distribution.NewServer(distribution.ServerOptions{Source: chain, Self: s.IP, Zone: s.Zone, Region: s.Region,
 		ListLag: settings.Milliseconds(s.Cloud.Lag), Peers: f.peers, Log: logger})
 	f.poller = platform.NewPoller(platform.PollerOptions{Lister: f.client, Duty: f.duty, Newest: f.newest, OnResult: f.listed,
 		Interval: pollEvery, CallRate: max(s.Cloud.Rate*pollPart, 1), Log: logger})
@@ -55,7 +55,7 @@
 }
 
 // delivered waits until the connected proxies hold the change numbered seq, or ctx ends.
-func (f *feed) delivered(ctx context.Context, seq uint64) { _ = f.hub.Acknowledged(ctx, seq) }
+func (f *feed) delivered(ctx context.Context, seq uint64) { _ = f.hub.WaitAcknowledged(ctx, seq) }
 
 // peers are the base URLs of the other keepers.
 func (f *feed) peers() []string {
@@ -88,7 +88,7 @@
 			Remaining: i.Remaining, Cold: roundedUp(i.ColdLeft)})
 	}
 	f.logCold(r)
-	if err := f.hub.PutList(r.Fence, r.Version, servers, distribution.Moments{Earliest: r.Asked, Latest: r.Answered}); err != nil {
+	if err := f.hub.PutList(r.Fence, r.Version, servers, distribution.TimeBounds{Earliest: r.Asked, Latest: r.Answered}); err != nil {
 		f.log.WithError(err).Info("keeper: a reading of the list came too late")
 	}
 }
--- a/cmd/keeper/run.go
+++ b/cmd/keeper/run.go
@@ -83,7 +83,7 @@
 	if k.feed != nil {
 		calls.Handle(distributionPath, k.feed.hub.Handler())
 	} else {
-		calls.Handle(distributionPath, distribution.Referral{Keepers: k.chain.Places}.Handler())
+		calls.Handle(distributionPath, distribution.Referral{Servers: k.chain.Places}.Handler())
 	}
 	return calls
 }
@@ -92,7 +92,7 @@
 	options := control.Options{Chain: k.chain, AckTimeout: settings.Milliseconds(k.settings.Bounds.Ack), Log: k.log,
 		Current: func() *controlstate.State { state, _ := k.chain.Committed(); return state },
 		Stalled: k.stalls.Stalled,
-		CutOff:  k.chain.CutOff,
+		CutOff:  k.chain.Partitioned,
 		Status:  k.status, Backup: staff.BackupHandler(k.chain.Read)}
 	if k.feed != nil {
 		options.Delivered = k.feed.delivered
--- a/cmd/keeper/status.go
+++ b/cmd/keeper/status.go
@@ -26,8 +26,8 @@
 }
 
 func capacity(c replication.Capacity) *staff.Capacity {
-	return &staff.Capacity{Bears: c.Bears, Keepers: c.Keepers, Observers: c.Observers, Voters: c.Voters, Silent: c.Silent,
-		VotersWanted: c.VotersWanted, Links: c.Links, LinksNeeded: c.LinksNeeded, Remedy: c.Remedy}
+	return &staff.Capacity{Bears: c.ToleranceMet, Keepers: c.Nodes, Observers: c.Observers, Voters: c.Voters, Silent: c.SilentVoters,
+		VotersWanted: c.VotersDesired, Links: c.ChainReplicas, LinksNeeded: c.ChainReplicasRequired, Remedy: c.Remedy}
 }
 
 // tell adds what a keeper that feeds proxies knows of them and of the platform's list.
@@ -37,11 +37,11 @@
 	if listed {
 		out.ListAgeMS = age.Milliseconds()
 	}
-	for _, p := range f.hub.Followers() {
-		out.Proxies = append(out.Proxies, staff.Holding{Node: p.Node, Acknowledged: p.Seq, SilentMS: p.Silent.Milliseconds()})
+	for _, p := range f.hub.Subscribers() {
+		out.Proxies = append(out.Proxies, staff.Holding{Node: p.Node, Acknowledged: p.Seq, SilentMS: p.SinceLastCall.Milliseconds()})
 	}
 	for _, m := range f.hub.Members() {
-		if !m.Down && !m.Leaving {
+		if !m.Down && !m.Draining {
 			out.Members = append(out.Members, m.Node)
 		}
 	}
--- a/cmd/proxy/run.go
+++ b/cmd/proxy/run.go
@@ -36,7 +36,7 @@
 	settings   *settings.Settings
 	log        log.Interface
 	dataPlane  *proxy.Proxy
-	follower   *distribution.Follower
+	follower   *distribution.Subscriber
 	agent      *failuredetector.Agent
 	directory  *directory.Directory
 	leaving    atomic.Bool
@@ -54,8 +54,8 @@
 	p.dataPlane = proxy.New(proxy.Options{Settings: p.pickSettings(), GraceFor: settings.Seconds(s.Bounds.Grace) - endMargin,
 		LossSlack: settings.Milliseconds(s.Bounds.LossSlack), FDLimit: s.Limits.FDs, MemoryMB: int(s.Limits.MemoryMB), Log: p.log,
 		OnStall: func() { p.follower.Refresh() }})
-	p.follower = distribution.NewFollower(distribution.FollowerOptions{Seeds: s.SeedIPs(), KeeperPort: s.KeeperPort(),
-		ProxyPort: s.ProxyPort(), Self: distribution.Member{Node: s.Node, Zone: s.Zone, Region: s.Region, IP: s.IP, Front: s.Bind.Front},
+	p.follower = distribution.NewSubscriber(distribution.SubscriberOptions{Seeds: s.SeedIPs(), ControlPlanePort: s.KeeperPort(),
+		ProxyPort: s.ProxyPort(), Self: distribution.Member{Node: s.Node, Zone: s.Zone, Region: s.Region, IP: s.IP, ClientAddress: s.Bind.Front},
 		Loads: p.dataPlane.Loads, OnUpdate: p.update, OnLoads: p.dataPlane.SetLoads, Log: p.log})
 	p.dataPlane.Publish()
 	inner := net.JoinHostPort(s.IP, strconv.Itoa(s.ProxyPort()))
@@ -146,26 +146,26 @@
 	watched := make([]failuredetector.Member, 0, len(u.Members))
 	fronts := make([]directory.Front, 0, len(u.Members))
 	for _, m := range u.Members {
-		if m.Leaving || m.Down {
+		if m.Draining || m.Down {
 			continue
 		}
 		live = append(live, m.Node)
 		watched = append(watched, failuredetector.Member{Node: m.Node, Incarnation: m.Incarnation,
 			Address: net.JoinHostPort(m.IP, strconv.Itoa(p.settings.ProxyPort()))})
 		if m.Ready && (m.Node != p.settings.Node || !p.leaving.Load()) {
-			fronts = append(fronts, directory.Front{Address: m.Front, Zone: m.Zone, Region: m.Region})
+			fronts = append(fronts, directory.Front{Address: m.ClientAddress, Zone: m.Zone, Region: m.Region})
 		}
 	}
-	if configured, listed := u.State.Config != nil, u.Listed; !p.isComplete && (configured || listed) {
+	if configured, listed := u.State.Config != nil, u.HasList; !p.isComplete && (configured || listed) {
 		p.log.WithField("configured", configured).WithField("listed", listed).Info("proxy: learning")
 	}
 	p.dataPlane.SetWorld(u.AsOf, pick.World{Config: u.State.Config, Evacuated: u.State.Evacuated, ZoneChanges: zoneChanges(u),
-		Servers: u.Servers, ListCovers: u.ListCovers, WordAge: u.WordAge,
-		Self: p.settings.Node, Peers: live, Lost: u.Lost, Partial: u.Partial, Stale: u.Stale})
-	p.follower.AwaitList(p.dataPlane.AwaitsList())
+		Servers: u.Servers, ListCovers: u.ListCoversSeq, WordAge: u.ContactAge,
+		Self: p.settings.Node, Peers: live, Lost: u.DownCount, Partial: u.MembershipIncomplete, Stale: u.Stale})
+	p.follower.NotifyListUpdates(p.dataPlane.AwaitsList())
 	p.directory.Set(fronts)
 	p.agent.SetMembers(watched)
-	if !p.isComplete && u.State.Config != nil && u.Listed {
+	if !p.isComplete && u.State.Config != nil && u.HasList {
 		p.isComplete = true
 		close(p.complete)
 		p.follower.SetReady(true)
@@ -212,11 +212,11 @@
 
 // status is what staff see of this proxy.
 func (p *server) status() any {
-	held := p.follower.Held()
+	held := p.follower.Current()
 	out := staff.ProxyStatus{Version: staff.Version, Node: p.settings.Node, Ready: p.dataPlane.Ready() && p.ready(), Fresh: held.Fresh,
 		Number: held.State.Seq, Revision: held.State.Revision(), Evacuated: staff.Zones(held.State), Servers: len(held.Servers),
 		ListAgeMS: -1, Choice: p.dataPlane.Describe(), Violations: invariant.Violations()}
-	if held.Listed {
+	if held.HasList {
 		out.ListAgeMS = held.ListAge.Milliseconds()
 	}
 	for _, m := range held.Members {
--- a/cmd/proxy/update_test.go
+++ b/cmd/proxy/update_test.go
@@ -32,7 +32,7 @@
 	t.Cleanup(func() { _ = conn.Close() })
 	return &server{settings: &settings.Settings{Node: "p0", Ports: []int{1, 2}}, log: quiet, complete: make(chan struct{}),
 		dataPlane: proxy.New(proxy.Options{Settings: pick.Settings{Zone: "z", Region: "r"}, Log: quiet}),
-		follower:  distribution.NewFollower(distribution.FollowerOptions{Self: distribution.Member{Node: "p0"}, Log: quiet}),
+		follower:  distribution.NewSubscriber(distribution.SubscriberOptions{Self: distribution.Member{Node: "p0"}, Log: quiet}),
 		directory: directory.NewDirectory(time.Second),
 		agent:     failuredetector.NewAgent(failuredetector.AgentOptions{Conn: conn, Log: quiet, Options: failuredetector.Options{Self: "p0"}}),
 	}
@@ -61,7 +61,7 @@
 	p := newTestServer(t)
 	before := applied(t, controlstate.Empty().Forgetful(), controlstate.Change{Op: controlstate.OpReplace, Body: []byte(configuration)})
 	after := applied(t, before, controlstate.Change{Op: controlstate.OpEvacuate, Zone: "z"}, controlstate.Change{Op: controlstate.OpReadmit, Zone: "z"})
-	u := distribution.Update{State: before, Listed: true, ListAge: 100 * time.Millisecond, Fresh: true, AsOf: time.Now(),
+	u := distribution.Update{State: before, HasList: true, ListAge: 100 * time.Millisecond, Fresh: true, AsOf: time.Now(),
 		Members: []distribution.Member{{Node: "p0"}},
 		Servers: []pick.Server{{ID: "s0", Service: "a", Zone: "z", Address: "127.0.0.1:1"}}}
 	p.update(u)
@@ -79,7 +79,7 @@
 func TestSnapshotTellsOfEvacuation(t *testing.T) {
 	p := newTestServer(t)
 	whole := applied(t, controlstate.Empty(), controlstate.Change{Op: controlstate.OpReplace, Body: []byte(configuration)})
-	u := distribution.Update{State: snapshot(t, whole), Listed: true, ListAge: 100 * time.Millisecond, Fresh: true, AsOf: time.Now(),
+	u := distribution.Update{State: snapshot(t, whole), HasList: true, ListAge: 100 * time.Millisecond, Fresh: true, AsOf: time.Now(),
 		Members: []distribution.Member{{Node: "p0"}},
 		Servers: []pick.Server{{ID: "s0", Service: "a", Zone: "z", Address: "127.0.0.1:1"}}}
 	p.update(u)
--- a/internal/compat/keeperdata_test.go
+++ b/internal/compat/keeperdata_test.go
@@ -47,10 +47,10 @@
 func (nowhere) RoundTrip(*http.Request) (*http.Response, error) { return nil, os.ErrDeadlineExceeded }
 
 // submitter is the chain as the operator's API knows it.
-type submitter struct{ *replication.Keeper }
+type submitter struct{ *replication.Node }
 
 func (s submitter) Submit(ctx context.Context, c controlstate.Change) (controlstate.Verdict, error) {
-	a, err := s.Keeper.Submit(ctx, c)
+	a, err := s.Node.Submit(ctx, c)
 	a.Verdict.Seq = a.Seq
 	return a.Verdict, err
 }
@@ -58,7 +58,7 @@
 // node is a keeper by itself with the operator's API.
 type node struct {
 	t    *testing.T
-	k    *replication.Keeper
+	k    *replication.Node
 	log  *wal.Log
 	call http.Handler
 }
--- a/internal/system/control/chain_test.go
+++ b/internal/system/control/chain_test.go
@@ -31,7 +31,7 @@
 type cluster struct {
 	tb      testing.TB
 	disks   map[string]*wal.Mem
-	keepers map[string]*replication.Keeper
+	keepers map[string]*replication.Node
 	apis    map[string]http.Handler
 	patient bool // the APIs hold orders also where a keeper is cut off
 
@@ -41,10 +41,10 @@
 }
 
 // submitter fits a keeper to the API, as cmd/keeper does.
-type submitter struct{ *replication.Keeper }
+type submitter struct{ *replication.Node }
 
 func (s submitter) Submit(ctx context.Context, c controlstate.Change) (controlstate.Verdict, error) {
-	a, err := s.Keeper.Submit(ctx, c)
+	a, err := s.Node.Submit(ctx, c)
 	a.Verdict.Seq = a.Seq
 	return a.Verdict, err
 }
@@ -75,7 +75,7 @@
 }
 
 func newCluster(tb testing.TB) *cluster {
-	c := &cluster{tb: tb, disks: map[string]*wal.Mem{}, keepers: map[string]*replication.Keeper{}, apis: map[string]http.Handler{},
+	c := &cluster{tb: tb, disks: map[string]*wal.Mem{}, keepers: map[string]*replication.Node{}, apis: map[string]http.Handler{},
 		inner: map[string]http.Handler{}, cut: map[string]bool{}}
 	for _, m := range machines {
 		c.disks[m] = wal.NewMem()
@@ -106,7 +106,7 @@
 		c.tb.Fatal(err)
 	}
 	c.keepers[m] = k
-	api := control.Options{Chain: submitter{k}, Log: quiet, CutOff: k.CutOff,
+	api := control.Options{Chain: submitter{k}, Log: quiet, CutOff: k.Partitioned,
 		Current: func() *controlstate.State { s, _ := k.Committed(); return s }}
 	if c.patient {
 		api.CutOff = nil
--- a/internal/system/distribution/age.go
+++ b/internal/system/distribution/age.go
@@ -5,24 +5,24 @@
 // Age bounds how long ago something was made or read at another process, whose clock is not known here: at least Least and at
 // most Most. Each hop widens it by what the hop may have taken. What a duration told then forbids is counted down from the
 // latest possible moment, so by Least; what it permits from the earliest, so by Most.
-type Age struct{ Least, Most time.Duration }
+type Age struct{ Min, Max time.Duration }
 
-// Moments are those between which something was made, by this process's monotonic clock.
-type Moments struct{ Earliest, Latest time.Time }
+// TimeBounds are those between which something was made, by this process's monotonic clock.
+type TimeBounds struct{ Earliest, Latest time.Time }
 
 // age is how long ago something was made.
-func (m Moments) age(now time.Time) Age { return Age{now.Sub(m.Latest), now.Sub(m.Earliest)} }
+func (m TimeBounds) age(now time.Time) Age { return Age{now.Sub(m.Latest), now.Sub(m.Earliest)} }
 
 // before tells the moments between which something was made that is so old now.
-func (a Age) before(now time.Time) Moments { return Moments{now.Add(-a.Most), now.Add(-a.Least)} }
+func (a Age) before(now time.Time) TimeBounds { return TimeBounds{now.Add(-a.Max), now.Add(-a.Min)} }
 
 // plus is the age after a hop whose duration is bounded likewise.
-func (a Age) plus(hop Age) Age { return Age{a.Least + hop.Least, a.Most + hop.Most} }
+func (a Age) plus(hop Age) Age { return Age{a.Min + hop.Min, a.Max + hop.Max} }
 
 // ordered makes an age that another process told sound: neither bound is negative, and Least is no more than Most.
 func (a Age) ordered() Age {
-	a.Most = max(a.Most, 0)
-	a.Least = min(max(a.Least, 0), a.Most)
+	a.Max = max(a.Max, 0)
+	a.Min = min(max(a.Min, 0), a.Max)
 	return a
 }
 
--- a/internal/system/distribution/awaited_test.go
+++ b/internal/system/distribution/awaited_test.go
@@ -9,18 +9,18 @@
 
 // TestAwaitedListWakesItsOwner: a reading of the list that changes nothing is told at once where it is awaited, and only there.
 func TestAwaitedListWakesItsOwner(t *testing.T) {
-	f := NewFollower(FollowerOptions{Log: quiet()})
+	f := NewSubscriber(SubscriberOptions{Log: quiet()})
 	read := func(version uint64) bool {
 		return f.takeEntries(time.Now(), Age{}, &distributionpb.FollowReply{Entries: []*distributionpb.Entry{{Key: listKey, Fence: 1, Version: version}}})
 	}
 	if read(1) {
 		t.Error("told though nothing changed")
 	}
-	f.AwaitList(true)
+	f.NotifyListUpdates(true)
 	if !read(2) {
 		t.Error("not told though it is awaited")
 	}
-	f.AwaitList(false)
+	f.NotifyListUpdates(false)
 	if read(3) {
 		t.Error("told though it is awaited no more")
 	}
--- a/internal/system/distribution/call.go
+++ b/internal/system/distribution/call.go
@@ -6,8 +6,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrAnswer marks an answer that belongs to another call.
-var ErrAnswer = errors.New("distribution: an answer that belongs to another call")
+// ErrMismatchedReply marks an answer that belongs to another call.
+var ErrMismatchedReply = errors.New("distribution: an answer that belongs to another call")
 
 // calls names the calls of a process to others. On a connection that is used again an answer is told from another by its
 // place alone: a peer that answers once too often would put off all that follow. The zero value is ready.
@@ -19,10 +19,10 @@
 // next gives the name of a call; never 0.
 func (c *calls) next() uint32 { return c.last.Add(1)%(callNumbers-1) + 1 }
 
-// answers fails with ErrAnswer unless got is the name that was asked under.
+// answers fails with ErrMismatchedReply unless got is the name that was asked under.
 func answers(asked, got uint32) error {
 	if asked == got {
 		return nil
 	}
-	return errors.Mark(errors.Newf("distribution: call %d was answered as %d: ask again on another connection", asked, got), ErrAnswer)
+	return errors.Mark(errors.Newf("distribution: call %d was answered as %d: ask again on another connection", asked, got), ErrMismatchedReply)
 }
--- a/internal/system/distribution/catchup_test.go
+++ b/internal/system/distribution/catchup_test.go
@@ -50,16 +50,16 @@
 		time.Sleep(45 * time.Millisecond)
 		if lose && i == n+2 {
 			feeder := "k3:1"
-			if len(fl.hubs["k1:1"].Followers()) > 0 {
+			if len(fl.hubs["k1:1"].Subscribers()) > 0 {
 				feeder = "k1:1"
 			}
 			fl.killHub(feeder)
 		}
-		if fl.chain.seq()-p.f.Held().State.Seq == 0 && p.f.Held().Fresh {
+		if fl.chain.seq()-p.f.Current().State.Seq == 0 && p.f.Current().Fresh {
 			break
 		}
 		if time.Since(start) > 20*time.Second {
-			t.Fatalf("holds %d of %d after %v", p.f.Held().State.Seq, fl.chain.seq(), time.Since(start))
+			t.Fatalf("holds %d of %d after %v", p.f.Current().State.Seq, fl.chain.seq(), time.Since(start))
 		}
 	}
 	fl.mesh.mu.Lock()
--- a/internal/system/distribution/coldedge_test.go
+++ b/internal/system/distribution/coldedge_test.go
@@ -49,7 +49,7 @@
 // lock, while another reply came. Danger: what is kept of the newer table is dated back to the older clock.
 func TestKeptEntriesKeepTheirMoments(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := NewFollower(FollowerOptions{Self: Member{Node: "p"}, Log: quiet()})
+		f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
 		empty := newIdleHub() // a keeper that has started anew, warm, with no list yet
 		empty.markComplete()
 		items, full := empty.table.since(0)
@@ -61,7 +61,7 @@
 		end := time.Now().Add(3 * time.Second)
 		f.take(time.Now(), time.Now(), f.request(nil, false), wholeTable(t, 0, 5, pick.Server{ID: "s", Cold: 3 * time.Second}))
 		f.take(read, read, req, reply)
-		got := f.Held().Servers
+		got := f.Current().Servers
 		if len(got) != 1 {
 			t.Fatalf("holds %+v", got)
 		}
@@ -87,10 +87,10 @@
 		for _, e := range w {
 			e.LeastAgeMs = nil
 		}
-		f := NewFollower(FollowerOptions{Self: Member{Node: "p"}, Log: quiet()})
+		f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
 		f.take(time.Now(), time.Now(), f.request(nil, false), &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: w,
 			Soft: &distributionpb.Cursor{Boot: h.boot, Number: h.table.number}})
-		for _, s := range f.Held().Servers {
+		for _, s := range f.Current().Servers {
 			if s.Cold > 0 {
 				t.Errorf("cold for %v more, 17 s after the cold state's end", s.Cold)
 			}
@@ -124,7 +124,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const stop = 300 * time.Millisecond
 		h := newIdleHub()
-		read := madeAgo(Age{Most: 50 * time.Millisecond})
+		read := madeAgo(Age{Max: 50 * time.Millisecond})
 		withdrawn := read.Earliest.Add(3 * time.Second)
 		time.Sleep(stop)
 		if err := h.PutList(1, 1, []pick.Server{{ID: "s", Remaining: 3 * time.Second}}, read); err != nil {
--- a/internal/system/distribution/coldpath_test.go
+++ b/internal/system/distribution/coldpath_test.go
@@ -32,10 +32,10 @@
 	truth     truth
 	mesh      *mesh
 	legs      map[[2]string]time.Duration
-	reader    *Hub
+	reader    *Server
 	version   uint64
 	shares    sharing
-	followers map[string]*Follower
+	followers map[string]*Subscriber
 	early     map[string]time.Duration // by how much at the most a follower's cold end came before the true one
 }
 
@@ -44,13 +44,13 @@
 func newColdPath(t *testing.T, shared leg) *coldPath {
 	t.Helper()
 	p := &coldPath{t: t, mesh: newMesh(), legs: map[[2]string]time.Duration{}, reader: hubNamed("reader:1"),
-		followers: map[string]*Follower{}, early: map[string]time.Duration{}}
+		followers: map[string]*Subscriber{}, early: map[string]time.Duration{}}
 	p.mesh.delay = func(from, to string) time.Duration { return p.legs[[2]string{from, to}] }
 	p.shares = sharing{from: p.reader, to: hubNamed("other:1")}
 	p.mesh.host("reader:1", p.reader.Handler())
 	p.mesh.host("other:1", p.shares.to.Handler())
 	for _, node := range []string{"proxy", "neighbour"} {
-		f := NewFollower(FollowerOptions{Self: Member{Node: node}, Log: quiet(), Transport: station{p.mesh, node},
+		f := NewSubscriber(SubscriberOptions{Self: Member{Node: node}, Log: quiet(), Transport: station{p.mesh, node},
 			hooks: followerHooks{neighbourAtOnce: true}}) // the neighbour hears of keepers, and isn't to try them first
 		p.followers[node] = f
 		p.mesh.host(node+":2", f.Handler())
@@ -62,7 +62,7 @@
 }
 
 // putReading has a hub take in a reading of the list that was asked for at asked, and came just now.
-func putReading(tb testing.TB, h *Hub, version uint64, asked time.Time, servers ...pick.Server) {
+func putReading(tb testing.TB, h *Server, version uint64, asked time.Time, servers ...pick.Server) {
 	tb.Helper()
 	if err := h.PutList(1, version, servers, madeAgo(upTo(time.Since(asked)))); err != nil {
 		tb.Fatal(err)
@@ -109,7 +109,7 @@
 func (p *coldPath) held() map[string]pick.Server {
 	out := map[string]pick.Server{}
 	for node, f := range p.followers {
-		for _, s := range f.Held().Servers {
+		for _, s := range f.Current().Servers {
 			out[node] = s
 		}
 	}
--- a/internal/system/distribution/coldworld_test.go
+++ b/internal/system/distribution/coldworld_test.go
@@ -86,7 +86,7 @@
 	start  time.Time
 	picker *pick.Picker
 	serves bool
-	f      *Follower
+	f      *Subscriber
 
 	changes map[string]uint64 // the records that changed zones last, as far as it has heard
 }
@@ -94,15 +94,15 @@
 func (p *coldPicker) update(w *coldWorld, node string, u Update) {
 	var live []string
 	for _, m := range u.Members {
-		if !m.Leaving && !m.Down {
+		if !m.Draining && !m.Down {
 			live = append(live, m.Node)
 		}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	world := pick.World{Evacuated: u.State.Evacuated, Servers: u.Servers, ListCovers: u.ListCovers, WordAge: u.WordAge, Delay: time.Since(u.AsOf),
+	world := pick.World{Evacuated: u.State.Evacuated, Servers: u.Servers, ListCovers: u.ListCoversSeq, WordAge: u.ContactAge, Delay: time.Since(u.AsOf),
 		ZoneChanges: map[string]uint64{"za": u.State.ZoneChanged("za"), "zb": u.State.ZoneChanged("zb")},
-		Self:        node, Peers: live, Lost: u.Lost, Partial: u.Partial, Stale: u.Stale}
+		Self:        node, Peers: live, Lost: u.DownCount, Partial: u.MembershipIncomplete, Stale: u.Stale}
 	if u.State.Seq > 0 {
 		world.Config, p.serves, p.changes = w.config, true, world.ZoneChanges
 	}
@@ -115,7 +115,7 @@
 	}
 	p.picker.SetWorld(time.Since(p.start), world)
 	if p.f != nil {
-		p.f.AwaitList(p.picker.AwaitsList())
+		p.f.NotifyListUpdates(p.picker.AwaitsList())
 	}
 }
 
@@ -151,7 +151,7 @@
 func (w *coldWorld) startProxy(node string) {
 	p := &coldPicker{start: time.Now(), picker: pick.New(pick.Settings{Zone: "za", Region: "r", ColdExcess: 1.5, ColdSlack: 5})}
 	w.pickers[node] = p
-	started := w.startFollower(node, func(o *FollowerOptions) { o.OnUpdate = func(u Update) { p.update(w, node, u) } })
+	started := w.startFollower(node, func(o *SubscriberOptions) { o.OnUpdate = func(u Update) { p.update(w, node, u) } })
 	p.mu.Lock()
 	p.f = started.f
 	p.mu.Unlock()
@@ -285,7 +285,7 @@
 	}
 	held, _, _ := w.hubs[w.holder].List()
 	for _, node := range w.proxies {
-		if u := w.pickers[node].f.Held(); told(u.Servers) != told(held) {
+		if u := w.pickers[node].f.Current(); told(u.Servers) != told(held) {
 			differ = append(differ, fmt.Sprint(node, ": ", told(u.Servers), "of ", told(held)))
 		}
 	}
--- a/internal/system/distribution/delivery.go
+++ b/internal/system/distribution/delivery.go
@@ -6,48 +6,48 @@
 // no input or output and read no clock, so that a simulation can run the very same rules as the processes do.
 
 const (
-	// FreshFor is how long a current keeper's word counts, from the moment that the follower can prove it was given:
+	// FreshnessTTL is how long a current keeper's word counts, from the moment that the follower can prove it was given:
 	// the longest wait of a poll, the silence that is borne beyond it, and some.
-	FreshFor = 1600 * time.Millisecond
+	FreshnessTTL = 1600 * time.Millisecond
 
-	// FeedBytes bounds the bodies of the records in one answer, before compression. More go out as one snapshot; a
+	// MaxReplyBytes bounds the bodies of the records in one answer, before compression. More go out as one snapshot; a
 	// record that comes alone may be larger.
-	FeedBytes = 1 << 20
+	MaxReplyBytes = 1 << 20
 )
 
-// Stock is what a hub could send to a follower that asks for what comes after a number.
-type Stock struct {
-	Committed uint64 // number of the newest record known to be committed
-	Known     bool   // the records between the number asked for and Committed are at hand
-	Records   int    // how many these are
-	Bytes     int    // of their bodies
-	Kept      uint64 // number of the encoded snapshot that is at hand; 0: none
-	KeptOK    bool   // the records after that snapshot fit into the same answer, or it was made a moment ago
+// Availability is what a hub could send to a follower that asks for what comes after a number.
+type Availability struct {
+	Committed            uint64 // number of the newest record known to be committed
+	Known                bool   // the records between the number asked for and Committed are at hand
+	Records              int    // how many these are
+	Bytes                int    // of their bodies
+	CachedSnapshot       uint64 // number of the encoded snapshot that is at hand; 0: none
+	CachedSnapshotUsable bool   // the records after that snapshot fit into the same answer, or it was made a moment ago
 }
 
-// Feed is a way to bring a follower further.
-type Feed int
+// CatchUp is a way to bring a follower further.
+type CatchUp int
 
 // The ways to feed a follower.
 const (
-	FeedNothing      Feed = iota // it holds all that is committed here
-	FeedRecords                  // all records that it lacks
-	FeedKeptSnapshot             // the snapshot at hand, and the records after it where they fit
-	FeedNewSnapshot              // a snapshot made now
+	CatchUpNone           CatchUp = iota // it holds all that is committed here
+	CatchUpRecords                       // all records that it lacks
+	CatchUpCachedSnapshot                // the snapshot at hand, and the records after it where they fit
+	CatchUpNewSnapshot                   // a snapshot made now
 )
 
-// PlanFeed decides how a follower that asks for what comes after the number after is fed. most bounds the records of one
-// answer. Whatever is planned brings the follower further, and no answer is larger than FeedBytes and one snapshot.
-func PlanFeed(after uint64, s Stock, most int) Feed {
+// PlanCatchUp decides how a follower that asks for what comes after the number after is fed. most bounds the records of one
+// answer. Whatever is planned brings the follower further, and no answer is larger than MaxReplyBytes and one snapshot.
+func PlanCatchUp(after uint64, s Availability, most int) CatchUp {
 	switch {
 	case s.Committed <= after:
-		return FeedNothing
-	case after > 0 && s.Known && (s.Records == 1 || s.Records <= most && s.Bytes <= FeedBytes):
-		return FeedRecords
-	case s.KeptOK && s.Kept > after:
-		return FeedKeptSnapshot
+		return CatchUpNone
+	case after > 0 && s.Known && (s.Records == 1 || s.Records <= most && s.Bytes <= MaxReplyBytes):
+		return CatchUpRecords
+	case s.CachedSnapshotUsable && s.CachedSnapshot > after:
+		return CatchUpCachedSnapshot
 	}
-	return FeedNewSnapshot
+	return CatchUpNewSnapshot
 }
 
 // Offer is what a reply says of the control state.
@@ -63,9 +63,9 @@
 	Age time.Duration
 }
 
-// Late tells whether the reply is too old to say anything of now. Its records still count, since they are numbered and
+// Expired tells whether the reply is too old to say anything of now. Its records still count, since they are numbered and
 // committed; its soft state does not.
-func (o Offer) Late() bool { return o.Age > FreshFor }
+func (o Offer) Expired() bool { return o.Age > FreshnessTTL }
 
 // Position is how far a follower is in the control state.
 type Position struct {
@@ -87,8 +87,8 @@
 	First    uint64 // and then apply the records from this number on; 0: none
 }
 
-// Decide tells what to take of an offer: only what is newer, and of records only those that go on from what is held then.
-func (p Position) Decide(o Offer) Step {
+// Plan tells what to take of an offer: only what is newer, and of records only those that go on from what is held then.
+func (p Position) Plan(o Offer) Step {
 	var s Step
 	held := p.Seq
 	if o.Snapshot > held || p.Resync && o.Snapshot == held && held > 0 {
@@ -100,8 +100,8 @@
 	return s
 }
 
-// Proves tells whether an offer, once its step is done and the position is p, shows that p is as new as anything that had
+// ProvesFreshness tells whether an offer, once its step is done and the position is p, shows that p is as new as anything that had
 // been acknowledged Age ago.
-func (p Position) Proves(o Offer) bool {
-	return o.Current && !o.Late() && !p.Resync && p.Seq >= o.Newest
+func (p Position) ProvesFreshness(o Offer) bool {
+	return o.Current && !o.Expired() && !p.Resync && p.Seq >= o.Newest
 }
--- a/internal/system/distribution/delivery_test.go
+++ b/internal/system/distribution/delivery_test.go
@@ -10,23 +10,23 @@
 	for _, c := range []struct {
 		name  string
 		after uint64
-		stock Stock
-		want  Feed
+		stock Availability
+		want  CatchUp
 	}{
-		{"level", 9, Stock{Committed: 9}, FeedNothing},
-		{"the hub is behind", 9, Stock{Committed: 7, Kept: 7, KeptOK: true}, FeedNothing},
-		{"nothing at all", 0, Stock{}, FeedNothing},
-		{"a few records", 5, Stock{Committed: 9, Known: true, Records: 4, Bytes: 400}, FeedRecords},
-		{"a start takes a snapshot though all records are known", 0, Stock{Committed: 9, Known: true, Records: 9}, FeedNewSnapshot},
-		{"one large record", 8, Stock{Committed: 9, Known: true, Records: 1, Bytes: 16 << 20}, FeedRecords},
-		{"large records", 7, Stock{Committed: 9, Known: true, Records: 2, Bytes: FeedBytes + 1}, FeedNewSnapshot},
-		{"away for 400 changes", 5, Stock{Committed: 405, Known: true, Records: most + 1}, FeedNewSnapshot},
-		{"the records are gone", 5, Stock{Committed: 405}, FeedNewSnapshot},
-		{"and a snapshot is at hand", 5, Stock{Committed: 405, Kept: 400, KeptOK: true}, FeedKeptSnapshot},
-		{"which is too old", 5, Stock{Committed: 405, Kept: 300}, FeedNewSnapshot},
-		{"which brings nothing", 400, Stock{Committed: 405, Kept: 400, KeptOK: true}, FeedNewSnapshot},
+		{"level", 9, Availability{Committed: 9}, CatchUpNone},
+		{"the hub is behind", 9, Availability{Committed: 7, CachedSnapshot: 7, CachedSnapshotUsable: true}, CatchUpNone},
+		{"nothing at all", 0, Availability{}, CatchUpNone},
+		{"a few records", 5, Availability{Committed: 9, Known: true, Records: 4, Bytes: 400}, CatchUpRecords},
+		{"a start takes a snapshot though all records are known", 0, Availability{Committed: 9, Known: true, Records: 9}, CatchUpNewSnapshot},
+		{"one large record", 8, Availability{Committed: 9, Known: true, Records: 1, Bytes: 16 << 20}, CatchUpRecords},
+		{"large records", 7, Availability{Committed: 9, Known: true, Records: 2, Bytes: MaxReplyBytes + 1}, CatchUpNewSnapshot},
+		{"away for 400 changes", 5, Availability{Committed: 405, Known: true, Records: most + 1}, CatchUpNewSnapshot},
+		{"the records are gone", 5, Availability{Committed: 405}, CatchUpNewSnapshot},
+		{"and a snapshot is at hand", 5, Availability{Committed: 405, CachedSnapshot: 400, CachedSnapshotUsable: true}, CatchUpCachedSnapshot},
+		{"which is too old", 5, Availability{Committed: 405, CachedSnapshot: 300}, CatchUpNewSnapshot},
+		{"which brings nothing", 400, Availability{Committed: 405, CachedSnapshot: 400, CachedSnapshotUsable: true}, CatchUpNewSnapshot},
 	} {
-		if got := PlanFeed(c.after, c.stock, most); got != c.want {
+		if got := PlanCatchUp(c.after, c.stock, most); got != c.want {
 			t.Errorf("%s: %v for %v", c.name, got, c.want)
 		}
 	}
@@ -52,7 +52,7 @@
 		{"a snapshot of the same number does", Position{Seq: 5, Resync: true}, Offer{Snapshot: 5, First: 6, Last: 6}, Step{Snapshot: true, First: 6}},
 		{"an older one does not", Position{Seq: 5, Resync: true}, Offer{Snapshot: 4, First: 5, Last: 6}, Step{}},
 	} {
-		if got := c.at.Decide(c.offer); got != c.want {
+		if got := c.at.Plan(c.offer); got != c.want {
 			t.Errorf("%s: %+v for %+v", c.name, got, c.want)
 		}
 	}
@@ -72,7 +72,7 @@
 		{"held up for 20 s", Position{Seq: 5}, Offer{Current: true, Newest: 5, Age: 20 * time.Second}, false},
 		{"a record did not apply", Position{Seq: 5, Resync: true}, Offer{Current: true, Newest: 5}, false},
 	} {
-		if got := c.at.Proves(c.offer); got != c.want {
+		if got := c.at.ProvesFreshness(c.offer); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
--- a/internal/system/distribution/faults_test.go
+++ b/internal/system/distribution/faults_test.go
@@ -32,7 +32,7 @@
 
 func (p *proxy) sees(node string) bool {
 	for _, m := range p.update().Members {
-		if m.Node == node && !m.Leaving {
+		if m.Node == node && !m.Draining {
 			return true
 		}
 	}
@@ -68,11 +68,11 @@
 		time.Sleep(5 * time.Second)
 		fl.cutOff("b", true)
 		within(t, 3*time.Second, "b is down", func() bool { return !a.sees("b") })
-		if b.f.Held().Fresh {
+		if b.f.Current().Fresh {
 			t.Error("b takes itself for fresh")
 		}
 		fl.cutOff("b", false)
-		within(t, 2*time.Second, "b is back", func() bool { return a.sees("b") && b.f.Held().Fresh })
+		within(t, 2*time.Second, "b is back", func() bool { return a.sees("b") && b.f.Current().Fresh })
 		fl.killFollower("b")
 		within(t, 3*time.Second, "b is down again", func() bool { return !a.sees("b") })
 		time.Sleep(65 * time.Second)
@@ -115,14 +115,14 @@
 		seq := fl.chain.add(none())
 		for name, h := range fl.hubs {
 			ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
-			if h.Acknowledged(ctx, seq) == nil {
+			if h.WaitAcknowledged(ctx, seq) == nil {
 				t.Errorf("%s: acknowledged while p3, not yet known to be cut off, may hold the former", name)
 			}
 			cancel()
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
-		if err := fl.hubs["k1:1"].Acknowledged(ctx, seq); err != nil {
+		if err := fl.hubs["k1:1"].WaitAcknowledged(ctx, seq); err != nil {
 			t.Error(err)
 		}
 	})
@@ -142,7 +142,7 @@
 			x.own <- nil
 			x.others <- nil
 			proxies[n] = x
-			fl.startFollower(n, func(o *FollowerOptions) {
+			fl.startFollower(n, func(o *SubscriberOptions) {
 				o.Self.Zone = "zone-" + fl.names[i]
 				o.Loads = func() map[string]pick.Load { l := <-x.own; x.own <- l; return l }
 				o.OnLoads = func(l map[string]pick.Load) { <-x.others; x.others <- l }
@@ -189,7 +189,7 @@
 		seq := fl.chain.add(none())
 		within(t, 2500*time.Millisecond, "all hold the newest", func() bool {
 			for _, p := range fl.followers {
-				if p.f.Held().State.Seq != seq {
+				if p.f.Current().State.Seq != seq {
 					return false
 				}
 			}
@@ -204,7 +204,7 @@
 		}
 		within(t, 2*time.Second, "all hold the server", func() bool {
 			for _, p := range fl.followers {
-				if u := p.f.Held(); u.State.Seq != seq || u.Fresh || len(u.Servers) != 1 || len(u.Members) != 6 {
+				if u := p.f.Current(); u.State.Seq != seq || u.Fresh || len(u.Servers) != 1 || len(u.Members) != 6 {
 					return false
 				}
 			}
@@ -233,7 +233,7 @@
 		}
 		for range 100 {
 			time.Sleep(10 * time.Millisecond)
-			if len(p.f.Held().Servers) != 2 {
+			if len(p.f.Current().Servers) != 2 {
 				t.Fatal("a server was forgotten")
 			}
 		}
@@ -259,7 +259,7 @@
 		for _, k := range fl.names {
 			fl.killHub(k)
 		}
-		b := fl.startFollower("b", func(o *FollowerOptions) { o.Seeds = append([]string{"a:2"}, o.Seeds...) })
+		b := fl.startFollower("b", func(o *SubscriberOptions) { o.Seeds = append([]string{"a:2"}, o.Seeds...) })
 		within(t, 2*time.Second, "b holds what a holds", func() bool {
 			u := b.update()
 			return u.State != nil && u.State.Seq == seq && u.State.Evacuated["z"] && len(u.Servers) == 1 && !u.Fresh
@@ -273,7 +273,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet("k1:1", "k2:1", "k3:1")
 		defer fl.stop()
-		p := fl.startFollower("p", func(o *FollowerOptions) { o.Self.Zone = "zone-k2:1" })
+		p := fl.startFollower("p", func(o *SubscriberOptions) { o.Self.Zone = "zone-k2:1" })
 		follows := func() string {
 			p.f.mu.Lock()
 			defer p.f.mu.Unlock()
--- a/internal/system/distribution/fence_test.go
+++ b/internal/system/distribution/fence_test.go
@@ -14,7 +14,7 @@
 func TestHigherFenceWithAnOlderReading(t *testing.T) {
 	h := newIdleHub()
 	h.markComplete()
-	f := NewFollower(FollowerOptions{Self: Member{Node: "p"}, Log: quiet()})
+	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
 	poll := func() {
 		req := f.request(nil, false)
 		items, full := h.table.since(func() uint64 {
@@ -42,7 +42,7 @@
 		poll()
 	}
 	held, _, _ := h.List()
-	if got := f.Held().Servers; len(got) != 1 || got[0].Draining != held[0].Draining {
+	if got := f.Current().Servers; len(got) != 1 || got[0].Draining != held[0].Draining {
 		t.Errorf("the proxy holds %+v, the keeper %+v", got, held)
 	}
 }
--- a/internal/system/distribution/fleet_test.go
+++ b/internal/system/distribution/fleet_test.go
@@ -30,7 +30,7 @@
 		p := fl.startFollower("p1", nil)
 		time.Sleep(400 * time.Millisecond)
 		u := p.update()
-		if u.State == nil || u.State.Seq != 1 || !u.Fresh || !u.Listed || len(u.Servers) != 1 || len(u.Members) != 1 {
+		if u.State == nil || u.State.Seq != 1 || !u.Fresh || !u.HasList || len(u.Servers) != 1 || len(u.Members) != 1 {
 			t.Fatalf("holds %+v", u)
 		}
 		if c := u.Servers[0].Cold; c > 2900*time.Millisecond || c < 2000*time.Millisecond {
@@ -51,17 +51,17 @@
 		seq := fl.chain.add(none())
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
-		if err := fl.hubs["k2:1"].Acknowledged(ctx, seq); err != nil {
+		if err := fl.hubs["k2:1"].WaitAcknowledged(ctx, seq); err != nil {
 			t.Fatal(err)
 		}
 		if d := time.Since(start); d > 150*time.Millisecond {
 			t.Errorf("took %v", d)
 		}
 		for n, p := range fl.followers {
-			if got := p.f.Held().State.Seq; got != seq {
+			if got := p.f.Current().State.Seq; got != seq {
 				t.Errorf("%s holds %d", n, got)
 			}
-			if got := len(p.f.Held().Members); got != 12 {
+			if got := len(p.f.Current().Members); got != 12 {
 				t.Errorf("%s knows %d members", n, got)
 			}
 		}
--- a/internal/system/distribution/follower.go
+++ b/internal/system/distribution/follower.go
@@ -15,20 +15,20 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// ErrNoKeeper marks the failure to reach any keeper.
-var ErrNoKeeper = errors.New("distribution: no keeper is reached; check the seeds and the inner port")
+// ErrNoControlPlane marks the failure to reach any keeper.
+var ErrNoControlPlane = errors.New("distribution: no keeper is reached; check the seeds and the inner port")
 
-// FollowerOptions are what a Follower needs. Seeds, the ports, Self and Log must be given.
-type FollowerOptions struct {
-	Seeds                 []string                    // machines that may be keepers or proxies, as IP or IP:port; always kept as a fallback
-	KeeperPort, ProxyPort int                         // inner ports
-	Self                  Member                      // Incarnation 0: one is drawn
-	Loads                 func() map[string]pick.Load // this proxy's own, by server id; called from several goroutines
-	OnUpdate              func(Update)                // called from one goroutine, with the newest only
-	OnLoads               func(map[string]pick.Load)  // what all other proxies bring, by server id; called as OnUpdate
-	Transport             http.RoundTripper
-	Log                   log.Interface
-	Hold                  time.Duration // longest wait of a poll; 1 s
+// SubscriberOptions are what a Follower needs. Seeds, the ports, Self and Log must be given.
+type SubscriberOptions struct {
+	Seeds                       []string                    // machines that may be keepers or proxies, as IP or IP:port; always kept as a fallback
+	ControlPlanePort, ProxyPort int                         // inner ports
+	Self                        Member                      // Incarnation 0: one is drawn
+	Loads                       func() map[string]pick.Load // this proxy's own, by server id; called from several goroutines
+	OnUpdate                    func(Update)                // called from one goroutine, with the newest only
+	OnLoads                     func(map[string]pick.Load)  // what all other proxies bring, by server id; called as OnUpdate
+	Transport                   http.RoundTripper
+	Log                         log.Interface
+	LongPollTimeout             time.Duration // longest wait of a poll; 1 s
 
 	hooks followerHooks
 }
@@ -44,23 +44,23 @@
 
 // Update is what a proxy holds. Nothing in it is changed later.
 type Update struct {
-	State      *controlstate.State // Seq 0 and no Config until one has come that was the newest a moment ago, or a neighbour's
-	Members    []Member            // the live proxies, this one and those leaving included, by name
-	Servers    []pick.Server       // by id; times as of now
-	Listed     bool                // a whole reading of the platform's list has come
-	ListAge    time.Duration       // of the newest whole reading, at most
-	ListCovers uint64              // the number of the newest record of the control state before which all that happened shows in Servers
-	WordAge    time.Duration       // of the last word of a keeper that was current, at most
-	AsOf       time.Time           // when the durations here were right
-	Fresh      bool                // a keeper that is current has just told that there is nothing newer
-	Partial    bool                // no keeper that knows all live proxies has told of them in this life of the process
-	Lost       int                 // proxies that are marked down, and may live on
-	Stale      bool                // others may have given this proxy up: no current keeper was heard lately, or it is marked down
+	State                *controlstate.State // Seq 0 and no Config until one has come that was the newest a moment ago, or a neighbour's
+	Members              []Member            // the live proxies, this one and those leaving included, by name
+	Servers              []pick.Server       // by id; times as of now
+	HasList              bool                // a whole reading of the platform's list has come
+	ListAge              time.Duration       // of the newest whole reading, at most
+	ListCoversSeq        uint64              // the number of the newest record of the control state before which all that happened shows in Servers
+	ContactAge           time.Duration       // of the last word of a keeper that was current, at most
+	AsOf                 time.Time           // when the durations here were right
+	Fresh                bool                // a keeper that is current has just told that there is nothing newer
+	MembershipIncomplete bool                // no keeper that knows all live proxies has told of them in this life of the process
+	DownCount            int                 // proxies that are marked down, and may live on
+	Stale                bool                // others may have given this proxy up: no current keeper was heard lately, or it is marked down
 }
 
-// Follower is a proxy's end.
-type Follower struct {
-	opt    FollowerOptions
+// Subscriber is a proxy's end.
+type Subscriber struct {
+	opt    SubscriberOptions
 	client *http.Client
 	calls  calls
 	began  time.Time
@@ -104,19 +104,19 @@
 	loads  map[string]pick.Load
 }
 
-// NewFollower makes a Follower; Run makes it work.
-func NewFollower(opt FollowerOptions) *Follower {
+// NewSubscriber makes a Follower; Run makes it work.
+func NewSubscriber(opt SubscriberOptions) *Subscriber {
 	if opt.Transport == nil {
 		opt.Transport = NewTransport()
 	}
-	if opt.Hold <= 0 {
-		opt.Hold = time.Second
+	if opt.LongPollTimeout <= 0 {
+		opt.LongPollTimeout = time.Second
 	}
 	if opt.Self.Incarnation == 0 {
 		opt.Self.Incarnation = rand.Uint64() | 1
 	}
 	opt.Self.Revision = max(1, opt.Self.Revision)
-	f := &Follower{opt: opt, client: &http.Client{Transport: boundedTransport{opt.Transport}}, began: time.Now(), self: opt.Self,
+	f := &Subscriber{opt: opt, client: &http.Client{Transport: boundedTransport{opt.Transport}}, began: time.Now(), self: opt.Self,
 		tellDone: make(chan struct{}), down: map[string]uint64{}, state: controlstate.Empty().Forgetful(), table: newTable(), own: newVector(true),
 		keepers: map[string]*keeperInfo{}, pace: 100 * time.Millisecond,
 		changed: make(chan struct{}, 1), loadChanged: make(chan struct{}, 1), tellNow: make(chan struct{}, 1)}
@@ -127,7 +127,7 @@
 }
 
 // Run works until ctx ends.
-func (f *Follower) Run(ctx context.Context) {
+func (f *Subscriber) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() { f.follow(ctx) })
@@ -137,10 +137,10 @@
 }
 
 // Incarnation is the number of this process's life.
-func (f *Follower) Incarnation() uint64 { return f.opt.Self.Incarnation }
+func (f *Subscriber) Incarnation() uint64 { return f.opt.Self.Incarnation }
 
 // SetReady says whether this proxy serves clients.
-func (f *Follower) SetReady(ready bool) {
+func (f *Subscriber) SetReady(ready bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.self.Ready != ready {
@@ -155,12 +155,12 @@
 const leaveWithin = 300 * time.Millisecond
 
 // Leave says that this proxy is about to stop, and waits up to 300 ms until a keeper has heard it.
-func (f *Follower) Leave(ctx context.Context) error {
+func (f *Subscriber) Leave(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, leaveWithin)
 	defer cancel()
 	f.mu.Lock()
-	if !f.self.Leaving {
-		f.self.Leaving, f.self.Ready = true, false
+	if !f.self.Draining {
+		f.self.Draining, f.self.Ready = true, false
 		f.self.Revision++
 		poke(f.changed)
 	}
@@ -176,14 +176,14 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Mark(errors.Wrap(ctx.Err(), "distribution: no keeper has heard that this proxy leaves; it will be found silent instead"), ErrNoKeeper)
+			return errors.Mark(errors.Wrap(ctx.Err(), "distribution: no keeper has heard that this proxy leaves; it will be found silent instead"), ErrNoControlPlane)
 		case <-done:
 		}
 	}
 }
 
 // Report passes on the verdict that the given life of a proxy is silent.
-func (f *Follower) Report(node string, incarnation uint64) {
+func (f *Subscriber) Report(node string, incarnation uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.down) < 256 {
@@ -192,8 +192,8 @@
 	}
 }
 
-// AwaitList says whether the owner is to be told of each newer reading of the platform's list, also of one that changed nothing.
-func (f *Follower) AwaitList(await bool) {
+// NotifyListUpdates says whether the owner is to be told of each newer reading of the platform's list, also of one that changed nothing.
+func (f *Subscriber) NotifyListUpdates(await bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.awaitsList = await
@@ -201,35 +201,35 @@
 
 // Refresh asks the keeper that is followed at once, and has OnUpdate called when a current keeper has answered to a call from
 // after now, also if it tells nothing new.
-func (f *Follower) Refresh() {
+func (f *Subscriber) Refresh() {
 	f.mu.Lock()
 	f.wanted = time.Now()
 	f.mu.Unlock()
 	poke(f.tellNow)
 }
 
-// Held gives what is held now.
-func (f *Follower) Held() Update {
+// Current gives what is held now.
+func (f *Subscriber) Current() Update {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.held(time.Now())
 }
 
-func (f *Follower) held(now time.Time) Update {
-	u := Update{State: f.state, Fresh: f.fresh(now), Partial: !f.whole, AsOf: now, WordAge: min(now.Sub(f.currentAt), oldest)}
+func (f *Subscriber) held(now time.Time) Update {
+	u := Update{State: f.state, Fresh: f.fresh(now), MembershipIncomplete: !f.whole, AsOf: now, ContactAge: min(now.Sub(f.currentAt), oldest)}
 	u.Stale = f.givenUp(now)
 	if f.freshAt.IsZero() && !f.borrowed && !f.opt.hooks.startOnAny {
 		u.State = controlstate.Empty() // it came late, so it may be old: the next answer tells
 	}
-	u.Servers, u.ListAge, u.Listed = f.table.servers(now)
-	u.ListCovers = f.table.listCovers()
+	u.Servers, u.ListAge, u.HasList = f.table.servers(now)
+	u.ListCoversSeq = f.table.listCovers()
 	seen := false
 	for _, m := range f.table.members() {
 		if m.Node == f.self.Node {
 			m, seen = f.self, true
 		}
 		if m.Down {
-			u.Lost++
+			u.DownCount++
 			continue
 		}
 		u.Members = append(u.Members, m)
@@ -246,13 +246,13 @@
 // oldest is the age of what has never come.
 const oldest = time.Hour
 
-func (f *Follower) fresh(now time.Time) bool {
-	return !f.freshAt.IsZero() && now.Sub(f.freshAt) <= FreshFor
+func (f *Subscriber) fresh(now time.Time) bool {
+	return !f.freshAt.IsZero() && now.Sub(f.freshAt) <= FreshnessTTL
 }
 
 // givenUp tells whether others may have given this proxy up.
-func (f *Follower) givenUp(now time.Time) bool {
-	if now.Sub(f.currentAt) > FreshFor {
+func (f *Subscriber) givenUp(now time.Time) bool {
+	if now.Sub(f.currentAt) > FreshnessTTL {
 		return true
 	}
 	held := f.table.items[memberPrefix+f.self.Node]
@@ -267,7 +267,7 @@
 const tellSpacing = 15 * time.Millisecond
 
 // watch calls the owner back, and notices what only time brings about.
-func (f *Follower) watch(ctx context.Context) {
+func (f *Subscriber) watch(ctx context.Context) {
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
 	fresh, stale := false, true
@@ -296,7 +296,7 @@
 		if f.givenUp(now) != stale {
 			stale, update = !stale, true
 		}
-		if len(f.others) > 0 && now.Sub(f.heard) > loadLife+f.opt.Hold {
+		if len(f.others) > 0 && now.Sub(f.heard) > loadLife+f.opt.LongPollTimeout {
 			f.others, loads = nil, true
 		}
 		var u Update
@@ -319,7 +319,7 @@
 }
 
 // noticeLoads tells a keeper at once where load begins during a long wait.
-func (f *Follower) noticeLoads() {
+func (f *Subscriber) noticeLoads() {
 	if f.opt.Loads == nil {
 		return
 	}
@@ -332,7 +332,7 @@
 }
 
 // tell makes short calls beside the held one, for what is not to wait.
-func (f *Follower) tell(ctx context.Context) {
+func (f *Subscriber) tell(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/system/distribution/follower_call.go
+++ b/internal/system/distribution/follower_call.go
@@ -14,7 +14,7 @@
 
 // call polls a keeper once and takes in what it answers. It tells how the keeper stands. The answer must begin within wait
 // and slack, and not pause for longer than slack.
-func (f *Follower) call(ctx context.Context, keeper string, wait, slack time.Duration, acceptStale bool) (answer, error) {
+func (f *Subscriber) call(ctx context.Context, keeper string, wait, slack time.Duration, acceptStale bool) (answer, error) {
 	var loads map[string]pick.Load
 	if f.opt.Loads != nil {
 		loads = f.opt.Loads()
@@ -44,9 +44,9 @@
 }
 
 // poll sends a request to a keeper, and gives the answer to this very one.
-func (f *Follower) poll(ctx context.Context, keeper string, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
+func (f *Subscriber) poll(ctx context.Context, keeper string, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
 	req.Call = f.calls.next()
-	reply, err := distributionpb.NewDistributionProtobufClient(f.url(keeper, f.opt.KeeperPort), f.client).Follow(ctx, req)
+	reply, err := distributionpb.NewDistributionProtobufClient(f.url(keeper, f.opt.ControlPlanePort), f.client).Follow(ctx, req)
 	if err != nil {
 		return nil, err
 	}
@@ -58,7 +58,7 @@
 }
 
 // probe asks a keeper whether it is current, and nothing else: several are asked at once, and one only is to send its state.
-func (f *Follower) probe(ctx context.Context, keeper string) (current bool, err error) {
+func (f *Subscriber) probe(ctx context.Context, keeper string) (current bool, err error) {
 	ctx, cancel := withPatience(ctx, seekTimeout, silence)
 	defer cancel()
 	f.mu.Lock()
@@ -74,7 +74,7 @@
 		return false, errReferred
 	}
 	offer := offerOf(reply, time.Since(asked.Add(millis(reply.GetCheckedMs(), time.Minute))))
-	return offer.Current && !offer.Late(), nil
+	return offer.Current && !offer.Expired(), nil
 }
 
 // answer is how a keeper answered.
@@ -85,14 +85,14 @@
 	behind  bool // though it holds something newer, it did not bring this proxy further
 }
 
-func (f *Follower) loadWait() time.Duration {
+func (f *Subscriber) loadWait() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.pace + f.pace/4
 }
 
 // request says what is held.
-func (f *Follower) request(loads map[string]pick.Load, acceptStale bool) *distributionpb.FollowRequest {
+func (f *Subscriber) request(loads map[string]pick.Load, acceptStale bool) *distributionpb.FollowRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
@@ -115,7 +115,7 @@
 }
 
 // take takes a keeper's reply in, to a request that was sent at asked.
-func (f *Follower) take(asked, now time.Time, req *distributionpb.FollowRequest, reply *distributionpb.FollowReply) answer {
+func (f *Subscriber) take(asked, now time.Time, req *distributionpb.FollowRequest, reply *distributionpb.FollowReply) answer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	checked := asked.Add(millis(reply.GetCheckedMs(), time.Minute))
@@ -139,7 +139,7 @@
 	if durable {
 		poke(f.changed)
 	}
-	if offer.Late() {
+	if offer.Expired() {
 		return answer{feeds: true, durable: durable}
 	}
 	f.heard = now
@@ -153,7 +153,7 @@
 	if f.takeSoft(now, now.Sub(checked), req, reply) {
 		poke(f.changed)
 	}
-	if f.position().Proves(offer) {
+	if f.position().ProvesFreshness(offer) {
 		if f.freshAt.IsZero() {
 			poke(f.changed) // what is held may be served from now on
 		}
@@ -164,7 +164,7 @@
 
 // takeSoft takes in all of a reply but the control state, and tells whether anything changed that matters to the owner. The
 // reply is about some moment of the delay before now, at most, so ages add up over all hops. The caller holds mu.
-func (f *Follower) takeSoft(now time.Time, delay time.Duration, req *distributionpb.FollowRequest, reply *distributionpb.FollowReply) bool {
+func (f *Subscriber) takeSoft(now time.Time, delay time.Duration, req *distributionpb.FollowRequest, reply *distributionpb.FollowReply) bool {
 	goesOn := f.goesOn(req, reply)
 	if !goesOn {
 		reply.Entries = withoutList(reply.GetEntries())
@@ -198,7 +198,7 @@
 
 // goesOn tells whether a reply is a whole table, or a delta that goes on from what is held: another call may have brought the table
 // of another keeper in the meantime. The caller holds mu.
-func (f *Follower) goesOn(req *distributionpb.FollowRequest, reply *distributionpb.FollowReply) bool {
+func (f *Subscriber) goesOn(req *distributionpb.FollowRequest, reply *distributionpb.FollowReply) bool {
 	asked, to := req.GetSoft(), reply.GetSoft()
 	same := to.GetBoot() == f.soft.GetBoot() && asked.GetBoot() == to.GetBoot()
 	return reply.GetFull() || same && asked.GetNumber() <= f.soft.GetNumber() && to.GetNumber() >= f.soft.GetNumber()
@@ -211,7 +211,7 @@
 }
 
 // takeTotals takes total loads in and works out what is of others.
-func (f *Follower) takeTotals(now time.Time, reply *distributionpb.FollowReply) {
+func (f *Subscriber) takeTotals(now time.Time, reply *distributionpb.FollowReply) {
 	if b := reply.GetTotals(); len(b) > 0 {
 		var w distributionpb.Loads
 		if proto.Unmarshal(b, &w) != nil || !f.totals.apply(now, &w) {
--- a/internal/system/distribution/follower_keepers.go
+++ b/internal/system/distribution/follower_keepers.go
@@ -36,7 +36,7 @@
 	failed                time.Time
 }
 
-func (f *Follower) url(address string, port int) string {
+func (f *Subscriber) url(address string, port int) string {
 	if _, _, err := net.SplitHostPort(address); err == nil {
 		return "http://" + address
 	}
@@ -44,7 +44,7 @@
 }
 
 // takeKeepers makes the keepers told the ones known. The caller holds mu.
-func (f *Follower) takeKeepers(told []*distributionpb.Keeper) {
+func (f *Subscriber) takeKeepers(told []*distributionpb.Keeper) {
 	for a, k := range f.keepers {
 		if k.view = false; !k.seed {
 			delete(f.keepers, a)
@@ -67,14 +67,14 @@
 var errReferred = errors.New("distribution: this keeper feeds no proxies; the ones that it names are tried")
 
 // learnKeepers adds the keepers that an observer names. Those known already stay as they are: one that feeds knows better.
-func (f *Follower) learnKeepers(told []*distributionpb.Keeper) {
+func (f *Subscriber) learnKeepers(told []*distributionpb.Keeper) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.addKeepers(told)
 }
 
 // addKeepers adds the keepers that an observer or a neighbour names. The caller holds mu.
-func (f *Follower) addKeepers(told []*distributionpb.Keeper) {
+func (f *Subscriber) addKeepers(told []*distributionpb.Keeper) {
 	for i, w := range told {
 		k := f.keepers[w.GetAddress()]
 		if i >= maxPeers || k != nil && k.view || k == nil && len(f.keepers) >= 2*maxPeers {
@@ -89,7 +89,7 @@
 }
 
 // distance ranks a keeper: those of the view before mere seeds, then the nearer. The caller holds mu.
-func (f *Follower) distance(k *keeperInfo) int {
+func (f *Subscriber) distance(k *keeperInfo) int {
 	switch {
 	case !k.view:
 		return 3
@@ -103,7 +103,7 @@
 
 // ranked gives the keepers to try, best first: near before far, and among equals by rendezvous, so that the proxies
 // spread evenly. Those that just failed come last.
-func (f *Follower) ranked(now time.Time) []string {
+func (f *Subscriber) ranked(now time.Time) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	type candidate struct {
@@ -137,7 +137,7 @@
 }
 
 // nearer gives a keeper that is nearer than the one followed and has not failed of late; "": there is none.
-func (f *Follower) nearer(now time.Time, current string) string {
+func (f *Subscriber) nearer(now time.Time, current string) string {
 	best := f.ranked(now)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -151,7 +151,7 @@
 	return best[0]
 }
 
-func (f *Follower) fail(now time.Time, keeper string) {
+func (f *Subscriber) fail(now time.Time, keeper string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if k := f.keepers[keeper]; k != nil {
@@ -160,7 +160,7 @@
 }
 
 // tried notes that a keeper has had its chance since the start.
-func (f *Follower) tried(keeper string) {
+func (f *Subscriber) tried(keeper string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if k := f.keepers[keeper]; k != nil {
@@ -169,7 +169,7 @@
 }
 
 // allTried tells whether every keeper that is known has had its chance since the start. The caller holds mu.
-func (f *Follower) allTried() bool {
+func (f *Subscriber) allTried() bool {
 	for _, k := range f.keepers {
 		if !k.tried {
 			return false
@@ -178,14 +178,14 @@
 	return true
 }
 
-func (f *Follower) settleOn(keeper string, stale bool) {
+func (f *Subscriber) settleOn(keeper string, stale bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.current, f.stale = keeper, stale
 }
 
 // follow holds a poll at one keeper, and finds another where that one fails.
-func (f *Follower) follow(ctx context.Context) {
+func (f *Subscriber) follow(ctx context.Context) {
 	pause := seekPause
 	for ctx.Err() == nil {
 		if f.followOne(ctx) {
@@ -200,7 +200,7 @@
 }
 
 // followOne finds a keeper and follows it until it fails. It tells whether that one answered any poll.
-func (f *Follower) followOne(ctx context.Context) (served bool) {
+func (f *Subscriber) followOne(ctx context.Context) (served bool) {
 	keeper, current := f.seek(ctx)
 	if keeper == "" {
 		return false
@@ -213,7 +213,7 @@
 
 // stay polls the keeper until it fails or is not current, or, with one that never was, for a while. It tells whether any
 // poll was answered.
-func (f *Follower) stay(ctx context.Context, keeper string, current bool) (served bool) {
+func (f *Subscriber) stay(ctx context.Context, keeper string, current bool) (served bool) {
 	began := time.Now()
 	// The first look for a nearer one is early: at the start only seeds were known.
 	look := began.Add(300*time.Millisecond + rand.N(200*time.Millisecond))
@@ -233,7 +233,7 @@
 				f.fail(time.Now(), better)
 			}
 		}
-		a, err := f.call(ctx, keeper, f.opt.Hold, silence, !current)
+		a, err := f.call(ctx, keeper, f.opt.LongPollTimeout, silence, !current)
 		if ctx.Err() != nil {
 			return served
 		}
@@ -254,7 +254,7 @@
 
 // seek tries the keepers, best first and one each 50 ms, until one that is current has answered. Where none is, it gives
 // one that answered at all.
-func (f *Follower) seek(ctx context.Context) (keeper string, current bool) {
+func (f *Subscriber) seek(ctx context.Context) (keeper string, current bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	type result struct {
 		keeper  string
--- a/internal/system/distribution/follower_soft.go
+++ b/internal/system/distribution/follower_soft.go
@@ -26,7 +26,7 @@
 
 // tellsOldList tells whether the list in a reply was read before the one that is held. A keeper that was cut off or stood
 // still may be current again before the others have told it of their list. The caller holds mu.
-func (f *Follower) tellsOldList(now time.Time, delay Age, reply *distributionpb.FollowReply) bool {
+func (f *Subscriber) tellsOldList(now time.Time, delay Age, reply *distributionpb.FollowReply) bool {
 	held, told := f.table.items[listKey], listEntry(reply)
 	if held == nil || told == nil || f.opt.hooks.replaceAlways {
 		return false
@@ -36,13 +36,13 @@
 	}
 	_, age := fromWire(told)
 	toldAge, heldAge := age.plus(delay), held.age(now)
-	return toldAge.Least > heldAge.Most || toldAge.Most-heldAge.Most > listTolerance
+	return toldAge.Min > heldAge.Max || toldAge.Max-heldAge.Max > listTolerance
 }
 
 // takeEntries takes soft state in and tells whether anything that matters changed. A whole table of a keeper that misses
 // nothing takes the place of what is held, even of higher versions: keepers that all lost their tables count anew. But of a
 // list that was read before the one that is held nothing is taken. delay is how long ago the reply was made. The caller holds mu.
-func (f *Follower) takeEntries(now time.Time, delay Age, reply *distributionpb.FollowReply) (changed bool) {
+func (f *Subscriber) takeEntries(now time.Time, delay Age, reply *distributionpb.FollowReply) (changed bool) {
 	into := f.table
 	old := f.tellsOldList(now, delay, reply)
 	if reply.GetFull() && reply.GetComplete() && !f.whole {
@@ -88,7 +88,7 @@
 
 // noteSkipped remembers that a list is skipped, as it is old: the keeper counts it as told. It tells whether the whole table is to be
 // asked for again, as a list has come since that is not old. The caller holds mu.
-func (f *Follower) noteSkipped(old bool, reply *distributionpb.FollowReply) (again bool) {
+func (f *Subscriber) noteSkipped(old bool, reply *distributionpb.FollowReply) (again bool) {
 	switch {
 	case old:
 		f.skipped = true
--- a/internal/system/distribution/follower_state.go
+++ b/internal/system/distribution/follower_state.go
@@ -10,7 +10,7 @@
 )
 
 // position is how far this proxy is. The caller holds mu.
-func (f *Follower) position() Position { return Position{Seq: f.state.Seq, Resync: f.resync} }
+func (f *Subscriber) position() Position { return Position{Seq: f.state.Seq, Resync: f.resync} }
 
 // offerOf reads what a reply says of the control state; the snapshot's number is known once it has been read.
 func offerOf(reply *distributionpb.FollowReply, age time.Duration) Offer {
@@ -22,7 +22,7 @@
 }
 
 // takeState takes what is newer of a snapshot and of records, so that a proxy never goes back. The caller holds mu.
-func (f *Follower) takeState(offer Offer, reply *distributionpb.FollowReply) {
+func (f *Subscriber) takeState(offer Offer, reply *distributionpb.FollowReply) {
 	var snapshot *controlstate.State
 	if b := reply.GetSnapshot(); len(b) > 0 {
 		var err error
@@ -32,7 +32,7 @@
 		}
 		offer.Snapshot = snapshot.Seq
 	}
-	step := f.position().Decide(offer)
+	step := f.position().Plan(offer)
 	if step.Snapshot {
 		f.hold(snapshot)
 	}
@@ -57,7 +57,7 @@
 }
 
 // hold takes a state in place of the one that is held. The caller holds mu.
-func (f *Follower) hold(s *controlstate.State) {
+func (f *Subscriber) hold(s *controlstate.State) {
 	neverBack.Check(s.Seq >= f.state.Seq)
 	f.state = s
 }
--- a/internal/system/distribution/forgetful_test.go
+++ b/internal/system/distribution/forgetful_test.go
@@ -12,8 +12,8 @@
 // sent nor what they make of records grows with the number of changes.
 func TestFollowersHoldNoHistory(t *testing.T) {
 	c := newChain()
-	h := NewHub(HubOptions{Source: &source{chain: c, keepers: []string{"k"}}, Self: "k", Log: quiet()})
-	f := NewFollower(FollowerOptions{Self: Member{Node: "p"}, Log: quiet()})
+	h := NewServer(ServerOptions{Source: &source{chain: c, keepers: []string{"k"}}, Self: "k", Log: quiet()})
+	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
 	for i := range int64(200) {
 		body := fmt.Appendf(nil, `{"revision":%d,"routes":[],"services":[]}`, i+1)
 		seq := c.add(controlstate.Record{Op: controlstate.OpReplace, Base: i, Body: body})
--- a/internal/system/distribution/givenup_test.go
+++ b/internal/system/distribution/givenup_test.go
@@ -10,12 +10,12 @@
 // TestBehindIsNotGivenUp: a proxy that hears from a current keeper, but does not yet hold all of the control state (a large configuration on
 // a thin link), has not been given up by anybody.
 func TestBehindIsNotGivenUp(t *testing.T) {
-	f := NewFollower(FollowerOptions{Self: Member{Node: "p"}, Log: quiet()})
+	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
 	now := time.Now()
 	reply := wholeTable(t, 0, 1, pick.Server{ID: "a"})
 	reply.Newest = 5
 	f.take(now, now, f.request(nil, false), reply)
-	if u := f.Held(); u.Stale {
+	if u := f.Current(); u.Stale {
 		t.Errorf("stale, though a current keeper has just been heard: %+v", u)
 	}
 }
--- a/internal/system/distribution/goeson_test.go
+++ b/internal/system/distribution/goeson_test.go
@@ -15,18 +15,18 @@
 	first, second := newIdleHub(), newIdleHub()
 	first.markComplete()
 	second.markComplete()
-	put := func(h *Hub, version uint64, age Age, cold time.Duration) {
+	put := func(h *Server, version uint64, age Age, cold time.Duration) {
 		t.Helper()
 		if err := h.PutList(1, version, []pick.Server{{ID: "s", Cold: cold}}, madeAgo(age)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	f := NewFollower(FollowerOptions{Self: Member{Node: "p"}, Log: quiet()})
+	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
 	put(first, 5, exactAge(300*time.Millisecond), 3*time.Second)
 	pollByHand(f, first)
 	asked := time.Now()
 	req := f.request(nil, false)
-	put(second, 4, Age{Most: time.Second}, 0) // it can't be told which of both readings is the later one
+	put(second, 4, Age{Max: time.Second}, 0) // it can't be told which of both readings is the later one
 	pollByHand(f, second)
 	put(first, 6, exactAge(0), 2700*time.Millisecond)
 	first.mu.Lock()
@@ -34,7 +34,7 @@
 	late := &distributionpb.FollowReply{Current: true, Entries: toWire(time.Now(), items), Soft: &distributionpb.Cursor{Boot: first.boot, Number: first.table.number}}
 	first.mu.Unlock()
 	f.take(asked, time.Now(), req, late)
-	u := f.Held()
+	u := f.Current()
 	if len(u.Servers) != 1 {
 		t.Fatalf("holds %+v", u.Servers)
 	}
--- a/internal/system/distribution/golden_trace_test.go
+++ b/internal/system/distribution/golden_trace_test.go
@@ -84,10 +84,10 @@
 	rng       *rand.Rand
 	chain     *chain
 	sources   []*source
-	hubs      []*Hub
+	hubs      []*Server
 	boots     []uint64 // of hubs, as the test gave them
 	shares    map[[2]int]*shareProgress
-	followers []*Follower
+	followers []*Subscriber
 	loads     []map[string]pick.Load
 	replies   []heldReply
 	lists     uint64
@@ -111,7 +111,7 @@
 	for _, k := range exchangeKeepers {
 		s := &source{chain: x.chain, keepers: exchangeKeepers}
 		x.sources = append(x.sources, s)
-		h := NewHub(HubOptions{Source: s, Self: k, Zone: "z" + k[:2], Region: "r", ListLag: 100 * time.Millisecond, Log: quiet()})
+		h := NewServer(ServerOptions{Source: s, Self: k, Zone: "z" + k[:2], Region: "r", ListLag: 100 * time.Millisecond, Log: quiet()})
 		x.giveIndexes(h.sums)
 		x.giveIndexes(h.totals)
 		x.hubs, x.boots = append(x.hubs, h), append(x.boots, 0)
@@ -127,7 +127,7 @@
 // startFollower starts a process anew in the place of a follower.
 func (x *exchange) startFollower(i int) {
 	node := fmt.Sprint("p", i)
-	f := NewFollower(FollowerOptions{Seeds: exchangeKeepers, KeeperPort: 1, ProxyPort: 2, Log: quiet(),
+	f := NewSubscriber(SubscriberOptions{Seeds: exchangeKeepers, ControlPlanePort: 1, ProxyPort: 2, Log: quiet(),
 		Self: Member{Node: node, Incarnation: x.rng.Uint64() | 1, Zone: "zk1", Region: "r", IP: node + ":2"}})
 	x.giveIndexes(f.own)
 	x.followers[i], x.loads[i] = f, map[string]pick.Load{}
@@ -213,10 +213,10 @@
 }
 
 // held takes in what a follower holds.
-func (x *exchange) held(f *Follower) {
-	u := f.Held()
-	x.tr.num(int64(u.State.Seq), int64(u.ListAge), int64(u.ListCovers), int64(u.WordAge), int64(u.Lost))
-	x.tr.flags(u.Listed, u.Fresh, u.Partial, u.Stale, u.State.Evacuated["za"], u.State.Evacuated["zb"])
+func (x *exchange) held(f *Subscriber) {
+	u := f.Current()
+	x.tr.num(int64(u.State.Seq), int64(u.ListAge), int64(u.ListCoversSeq), int64(u.ContactAge), int64(u.DownCount))
+	x.tr.flags(u.HasList, u.Fresh, u.MembershipIncomplete, u.Stale, u.State.Evacuated["za"], u.State.Evacuated["zb"])
 	x.tr.num(int64(u.State.ZoneChanged("za")), int64(u.State.ZoneChanged("zb")), int64(len(u.Members)), int64(len(u.Servers)))
 	for _, m := range u.Members {
 		x.tr.bytes(m.encode())
@@ -279,7 +279,7 @@
 		servers = append(servers, s)
 	}
 	spent := time.Duration(x.rng.IntN(300)) * time.Millisecond
-	err := x.hubs[x.rng.IntN(len(x.hubs))].PutList(1+x.lists/40, x.lists, servers, madeAgo(Age{Least: spent / 2, Most: spent}))
+	err := x.hubs[x.rng.IntN(len(x.hubs))].PutList(1+x.lists/40, x.lists, servers, madeAgo(Age{Min: spent / 2, Max: spent}))
 	x.tr.step('P')
 	x.tr.flags(err != nil)
 }
@@ -352,16 +352,16 @@
 // tracePlans takes in how hubs feed, and what followers take, over numbers drawn from the seed.
 func tracePlans(tr *trace, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 17))
-	tags := map[Feed]byte{FeedNothing: 'N', FeedRecords: 'R', FeedKeptSnapshot: 'K', FeedNewSnapshot: 'S'}
+	tags := map[CatchUp]byte{CatchUpNone: 'N', CatchUpRecords: 'R', CatchUpCachedSnapshot: 'K', CatchUpNewSnapshot: 'S'}
 	n := func() uint64 { return rng.Uint64N(12) }
 	for range 20_000 {
-		s := Stock{Committed: n(), Known: rng.IntN(2) == 0, Records: rng.IntN(6), Bytes: rng.IntN(2 * FeedBytes), Kept: n(), KeptOK: rng.IntN(2) == 0}
-		tr.step(tags[PlanFeed(n(), s, 4)])
+		s := Availability{Committed: n(), Known: rng.IntN(2) == 0, Records: rng.IntN(6), Bytes: rng.IntN(2 * MaxReplyBytes), CachedSnapshot: n(), CachedSnapshotUsable: rng.IntN(2) == 0}
+		tr.step(tags[PlanCatchUp(n(), s, 4)])
 		p := Position{Seq: n(), Resync: rng.IntN(3) == 0}
-		o := Offer{Current: rng.IntN(2) == 0, Newest: n(), Snapshot: n(), First: n(), Age: time.Duration(rng.IntN(2 * int(FreshFor)))}
+		o := Offer{Current: rng.IntN(2) == 0, Newest: n(), Snapshot: n(), First: n(), Age: time.Duration(rng.IntN(2 * int(FreshnessTTL)))}
 		o.Last = o.First + n()
-		step := p.Decide(o)
-		tr.flags(step.Snapshot, o.Late(), p.Proves(o))
+		step := p.Plan(o)
+		tr.flags(step.Snapshot, o.Expired(), p.ProvesFreshness(o))
 		tr.num(int64(step.First), int64(p.Ask()))
 	}
 }
--- a/internal/system/distribution/hub.go
+++ b/internal/system/distribution/hub.go
@@ -25,50 +25,50 @@
 	// Committed gives the newest state that the chain's tail has acknowledged, and a channel that is closed at the next.
 	Committed() (*controlstate.State, <-chan struct{})
 	// Since gives up to most records after seq, and false where they are gone or seq is beyond.
-	Since(seq uint64, most int) ([]controlstate.Record, bool)
+	RecordsAfter(seq uint64, most int) ([]controlstate.Record, bool)
 	// Current tells whether the state may be given to proxies as the newest.
 	Current() bool
 	// Addresses gives the keepers in the chain's order, as IP or IP:port.
 	Addresses() []string
 }
 
-// HubLimits bound a Hub's work. Zero values take the defaults.
-type HubLimits struct {
-	Hold        time.Duration // longest wait of a poll; 1 s
-	Pace        time.Duration // between load reports to one follower in a fleet of up to 128; 100 ms, longer in larger ones
-	Silence     time.Duration // without a call until a follower is marked down; 1300 ms
-	Share       time.Duration // between shares with one keeper at the least; 50 ms
-	Beat        time.Duration // between shares with one keeper at the most; 300 ms
-	Forget      time.Duration // after which a member that is down is deleted; 60 s
-	Records     int           // in one answer; 256
-	AnswerBytes int           // of large answers that have not been taken yet, together; 32 MiB
-	Settling    time.Duration // after the start, until the table counts as whole without another keeper's; 3 s
+// ServerLimits bound a Hub's work. Zero values take the defaults.
+type ServerLimits struct {
+	LongPollTimeout      time.Duration // longest wait of a poll; 1 s
+	LoadReportInterval   time.Duration // between load reports to one follower in a fleet of up to 128; 100 ms, longer in larger ones
+	SubscriberTimeout    time.Duration // without a call until a follower is marked down; 1300 ms
+	MinSyncInterval      time.Duration // between shares with one keeper at the least; 50 ms
+	MaxSyncInterval      time.Duration // between shares with one keeper at the most; 300 ms
+	TombstoneTTL         time.Duration // after which a member that is down is deleted; 60 s
+	MaxRecordsPerReply   int           // in one answer; 256
+	MaxPendingReplyBytes int           // of large answers that have not been taken yet, together; 32 MiB
+	TableCompleteAfter   time.Duration // after the start, until the table counts as whole without another keeper's; 3 s
 }
 
-func (l HubLimits) filled() HubLimits {
+func (l ServerLimits) filled() ServerLimits {
 	def := func(d *time.Duration, to time.Duration) {
 		if *d <= 0 {
 			*d = to
 		}
 	}
-	def(&l.Hold, time.Second)
-	def(&l.Pace, 100*time.Millisecond)
-	def(&l.Silence, 1300*time.Millisecond)
-	def(&l.Share, 50*time.Millisecond)
-	def(&l.Beat, 300*time.Millisecond)
-	def(&l.Forget, 60*time.Second)
-	def(&l.Settling, 3*time.Second)
-	if l.Records <= 0 {
-		l.Records = 256
+	def(&l.LongPollTimeout, time.Second)
+	def(&l.LoadReportInterval, 100*time.Millisecond)
+	def(&l.SubscriberTimeout, 1300*time.Millisecond)
+	def(&l.MinSyncInterval, 50*time.Millisecond)
+	def(&l.MaxSyncInterval, 300*time.Millisecond)
+	def(&l.TombstoneTTL, 60*time.Second)
+	def(&l.TableCompleteAfter, 3*time.Second)
+	if l.MaxRecordsPerReply <= 0 {
+		l.MaxRecordsPerReply = 256
 	}
-	if l.AnswerBytes <= 0 {
-		l.AnswerBytes = 32 << 20
+	if l.MaxPendingReplyBytes <= 0 {
+		l.MaxPendingReplyBytes = 32 << 20
 	}
 	return l
 }
 
-// HubOptions are what a Hub needs. Source, Self and Log must be given.
-type HubOptions struct {
+// ServerOptions are what a Hub needs. Source, Self and Log must be given.
+type ServerOptions struct {
 	Source       Source
 	Self         string          // this keeper's address, as the others know it
 	Zone, Region string          // where it is
@@ -76,7 +76,7 @@
 	ListLag      time.Duration   // a reading of the platform's list may show what was so long before
 	Transport    http.RoundTripper
 	Log          log.Interface
-	Limits       HubLimits
+	Limits       ServerLimits
 
 	hooks hubHooks
 }
@@ -89,10 +89,10 @@
 	noRejoin    bool // a keeper that was cut off feeds proxies as soon as it is current
 }
 
-// Hub is a keeper's end: it feeds the proxies that follow it and shares soft state with the other keepers.
-type Hub struct {
-	opt    HubOptions
-	limits HubLimits
+// Server is a keeper's end: it feeds the proxies that follow it and shares soft state with the other keepers.
+type Server struct {
+	opt    ServerOptions
+	limits ServerLimits
 
 	mu          sync.Mutex
 	table       *table
@@ -146,21 +146,21 @@
 	loads     reading
 }
 
-// NewHub makes a Hub; Run makes it work.
-func NewHub(opt HubOptions) *Hub {
+// NewServer makes a Hub; Run makes it work.
+func NewServer(opt ServerOptions) *Server {
 	if opt.Transport == nil {
 		opt.Transport = NewTransport()
 	}
 	now := time.Now()
 	limits := opt.Limits.filled()
-	return &Hub{opt: opt, limits: limits, room: room{most: limits.AnswerBytes}, table: newTable(), boot: rand.Uint64() | 1, started: now, ticked: now,
+	return &Server{opt: opt, limits: limits, room: room{most: limits.MaxPendingReplyBytes}, table: newTable(), boot: rand.Uint64() | 1, started: now, ticked: now,
 		news: make(chan struct{}), acked: make(chan struct{}), followers: map[string]*follower{}, peers: map[string]*peer{},
 		totals: newVector(false), sums: newVector(false), lowest: math.MaxUint64,
 		done: make(chan struct{}), kick: make(chan struct{}, 1), share: make(chan struct{}, 1)}
 }
 
 // Handler serves the calls of followers and of other keepers, under /twirp/gradeusher.distribution.Distribution/.
-func (h *Hub) Handler() http.Handler {
+func (h *Server) Handler() http.Handler {
 	return bounded(leasing(distributionpb.NewDistributionServer(h)))
 }
 
@@ -168,12 +168,12 @@
 const coalesce = 5 * time.Millisecond
 
 // Run works until ctx ends, and then ends the polls that are held. It is called once.
-func (h *Hub) Run(ctx context.Context) {
+func (h *Server) Run(ctx context.Context) {
 	defer close(h.done)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() { h.shareAll(ctx) })
-	tick := time.NewTicker(h.limits.Pace)
+	tick := time.NewTicker(h.limits.LoadReportInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -194,7 +194,7 @@
 }
 
 // wake makes held polls look again. The caller holds mu.
-func (h *Hub) wake() {
+func (h *Server) wake() {
 	close(h.news)
 	h.news = make(chan struct{})
 }
@@ -218,7 +218,7 @@
 }
 
 // tick judges followers, adds up loads and forgets what is over.
-func (h *Hub) tick(now time.Time) {
+func (h *Server) tick(now time.Time) {
 	current := h.opt.Source.Current()
 	state, _ := h.opt.Source.Committed()
 	h.mu.Lock()
@@ -226,7 +226,7 @@
 	if state != nil {
 		h.commits.note(now, state.Seq)
 	}
-	if gap := now.Sub(h.ticked); gap > h.limits.Silence/2 {
+	if gap := now.Sub(h.ticked); gap > h.limits.SubscriberTimeout/2 {
 		// This process stood still, so the silence of others says nothing.
 		for _, f := range h.followers {
 			f.seen, f.broken = f.seen.Add(gap), time.Time{}
@@ -266,44 +266,44 @@
 }
 
 // settle declares the table complete once it has had the time to fill.
-func (h *Hub) settle(now time.Time) {
-	if !h.complete && now.Sub(h.started) > h.limits.Settling {
+func (h *Server) settle(now time.Time) {
+	if !h.complete && now.Sub(h.started) > h.limits.TableCompleteAfter {
 		h.markComplete()
 	}
 }
 
-func (h *Hub) markComplete() {
+func (h *Server) markComplete() {
 	h.complete, h.boot = true, rand.Uint64()|1
 	h.wake()
 }
 
 // pace is the time between load reports to one follower: it grows with the fleet, so that the bytes that one proxy and
 // the work that one keeper spends on them stay level.
-func (h *Hub) pace() time.Duration {
+func (h *Server) pace() time.Duration {
 	n := len(h.followers)
 	for _, p := range h.peers {
 		n += int(min(p.followers, 1<<16))
 	}
-	return h.limits.Pace * time.Duration(max(1, (n+127)/128))
+	return h.limits.LoadReportInterval * time.Duration(max(1, (n+127)/128))
 }
 
-// FollowerInfo is what an operator may want to know of a follower.
-type FollowerInfo struct {
-	Node   string
-	Seq    uint64        // acknowledged
-	Silent time.Duration // since its last call began or ended; 0: one is held
+// SubscriberInfo is what an operator may want to know of a follower.
+type SubscriberInfo struct {
+	Node          string
+	Seq           uint64        // acknowledged
+	SinceLastCall time.Duration // since its last call began or ended; 0: one is held
 }
 
-// Followers gives the proxies that follow this keeper, by name.
-func (h *Hub) Followers() []FollowerInfo {
+// Subscribers gives the proxies that follow this keeper, by name.
+func (h *Server) Subscribers() []SubscriberInfo {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
-	out := make([]FollowerInfo, 0, len(h.followers))
+	out := make([]SubscriberInfo, 0, len(h.followers))
 	for node, f := range h.followers {
-		info := FollowerInfo{Node: node, Seq: f.seq}
+		info := SubscriberInfo{Node: node, Seq: f.seq}
 		if f.open == 0 {
-			info.Silent = now.Sub(f.seen)
+			info.SinceLastCall = now.Sub(f.seen)
 		}
 		out = append(out, info)
 	}
@@ -311,9 +311,9 @@
 	return out
 }
 
-// Acknowledged waits until every connected follower, of this keeper and of those that it hears from, holds the control
+// WaitAcknowledged waits until every connected follower, of this keeper and of those that it hears from, holds the control
 // state numbered seq, or until ctx ends.
-func (h *Hub) Acknowledged(ctx context.Context, seq uint64) error {
+func (h *Server) WaitAcknowledged(ctx context.Context, seq uint64) error {
 	for {
 		h.mu.Lock()
 		ok := h.level(time.Now(), seq)
@@ -330,7 +330,7 @@
 	}
 }
 
-func (h *Hub) level(now time.Time, seq uint64) bool {
+func (h *Server) level(now time.Time, seq uint64) bool {
 	for _, f := range h.followers {
 		if f.seq < seq {
 			return false
--- a/internal/system/distribution/hub_feed.go
+++ b/internal/system/distribution/hub_feed.go
@@ -22,7 +22,7 @@
 )
 
 // current tells whether proxies may take this keeper's word for the newest.
-func (h *Hub) current() bool {
+func (h *Server) current() bool {
 	current := h.opt.Source.Current()
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -32,7 +32,7 @@
 // feeds tells whether a keeper whose chain calls it current is so with its soft state too: one that was cut off or stood
 // still gets time to hear what it has missed. One that heard the others all the while, as in a repair of the chain, does not
 // wait, nor does one at its start. The caller holds mu.
-func (h *Hub) feeds(now time.Time, current bool) bool {
+func (h *Server) feeds(now time.Time, current bool) bool {
 	if !current {
 		return false
 	}
@@ -54,7 +54,7 @@
 }
 
 // probed tells how this keeper stands, to a proxy that looks for one.
-func (h *Hub) probed(start time.Time) *distributionpb.FollowReply {
+func (h *Server) probed(start time.Time) *distributionpb.FollowReply {
 	reply := &distributionpb.FollowReply{CheckedMs: uint64(time.Since(start) / time.Millisecond), Current: h.current()}
 	if state, _ := h.opt.Source.Committed(); state != nil {
 		reply.Newest = state.Seq
@@ -66,18 +66,18 @@
 // takes long to encode.
 //
 // Where too many bytes wait to be taken by others, it adds nothing but what the newest number is: the proxy asks again.
-func (h *Hub) durable(ctx context.Context, reply *distributionpb.FollowReply, after uint64) {
+func (h *Server) durable(ctx context.Context, reply *distributionpb.FollowReply, after uint64) {
 	state, _ := h.opt.Source.Committed()
 	if state == nil {
 		return
 	}
 	reply.Newest = state.Seq
 	records, stock := h.stock(after, state.Seq)
-	switch PlanFeed(after, stock, h.limits.Records) {
-	case FeedNothing:
-	case FeedRecords:
+	switch PlanCatchUp(after, stock, h.limits.MaxRecordsPerReply) {
+	case CatchUpNone:
+	case CatchUpRecords:
 		h.addRecords(reply, records)
-	case FeedKeptSnapshot, FeedNewSnapshot:
+	case CatchUpCachedSnapshot, CatchUpNewSnapshot:
 		h.addSnapshot(reply, after, state)
 	}
 	size := len(reply.GetSnapshot())
@@ -90,12 +90,12 @@
 }
 
 // stock counts the records between two numbers.
-func (h *Hub) stock(after, committed uint64) ([]controlstate.Record, Stock) {
-	s := Stock{Committed: committed}
+func (h *Server) stock(after, committed uint64) ([]controlstate.Record, Availability) {
+	s := Availability{Committed: committed}
 	if after >= committed {
 		return nil, s
 	}
-	records, known := h.opt.Source.Since(after, h.limits.Records+1)
+	records, known := h.opt.Source.RecordsAfter(after, h.limits.MaxRecordsPerReply+1)
 	for _, r := range records {
 		s.Bytes += len(r.Body)
 	}
@@ -103,7 +103,7 @@
 	return records, s
 }
 
-func (h *Hub) addRecords(reply *distributionpb.FollowReply, records []controlstate.Record) {
+func (h *Server) addRecords(reply *distributionpb.FollowReply, records []controlstate.Record) {
 	for _, r := range records {
 		reply.Records = append(reply.Records, h.compressed.record(r))
 		reply.Newest = max(reply.Newest, r.Seq)
@@ -111,15 +111,15 @@
 }
 
 // addSnapshot adds the snapshot at hand if that helps, or a new one, and the records after it as far as they fit.
-func (h *Hub) addSnapshot(reply *distributionpb.FollowReply, after uint64, state *controlstate.State) {
+func (h *Server) addSnapshot(reply *distributionpb.FollowReply, after uint64, state *controlstate.State) {
 	s := &h.snapshots
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	records, stock := h.stock(s.seq, state.Seq)
-	fit := s.seq == state.Seq || stock.Known && stock.Records <= h.limits.Records && stock.Bytes <= FeedBytes
-	stock.Kept, stock.KeptOK = s.seq, s.seq > 0 && (fit || time.Since(s.made) < snapshotLife)
+	fit := s.seq == state.Seq || stock.Known && stock.Records <= h.limits.MaxRecordsPerReply && stock.Bytes <= MaxReplyBytes
+	stock.CachedSnapshot, stock.CachedSnapshotUsable = s.seq, s.seq > 0 && (fit || time.Since(s.made) < snapshotLife)
 	stock.Known = false
-	if PlanFeed(after, stock, h.limits.Records) == FeedNewSnapshot {
+	if PlanCatchUp(after, stock, h.limits.MaxRecordsPerReply) == CatchUpNewSnapshot {
 		s.bytes, s.deflated = compress(state.Forgetful().Encode()) // followers judge no changes
 		s.seq, s.made, s.count = state.Seq, time.Now(), s.count+1
 		records, fit = nil, false
--- a/internal/system/distribution/hub_follow.go
+++ b/internal/system/distribution/hub_follow.go
@@ -16,7 +16,7 @@
 const recheck = 40 * time.Millisecond
 
 // Follow serves a poll of a proxy: see the service's definition.
-func (h *Hub) Follow(ctx context.Context, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
+func (h *Server) Follow(ctx context.Context, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
 	reply, err := h.follow(ctx, req)
 	if reply != nil {
 		reply.Call = req.GetCall()
@@ -24,7 +24,7 @@
 	return reply, err
 }
 
-func (h *Hub) follow(ctx context.Context, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
+func (h *Server) follow(ctx context.Context, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
 	start := time.Now()
 	m := memberOf(req.GetMember())
 	if m.Node == "" || len(m.Node) > maxID || m.Incarnation == 0 {
@@ -34,14 +34,14 @@
 		return h.probed(start), nil
 	}
 	if !h.current() && !req.GetAcceptStale() {
-		return &distributionpb.FollowReply{PaceMs: uint64(h.limits.Pace / time.Millisecond)}, nil
+		return &distributionpb.FollowReply{PaceMs: uint64(h.limits.LoadReportInterval / time.Millisecond)}, nil
 	}
 	f := h.begin(m, req)
 	if f == nil {
 		return nil, twirp.NewError(twirp.ResourceExhausted, "this keeper has too many followers: follow another")
 	}
 	defer h.end(f)
-	wait := min(millis(req.GetWaitMs(), time.Minute), h.limits.Hold)
+	wait := min(millis(req.GetWaitMs(), time.Minute), h.limits.LongPollTimeout)
 	for {
 		reply, news, committed, again := h.answer(ctx, f, req, start)
 		left := wait - time.Since(start)
@@ -75,7 +75,7 @@
 const maxFollowers = 4096
 
 // begin notes a call: the member, its acknowledgement, its loads, its verdicts. It gives nil where there are too many.
-func (h *Hub) begin(m Member, req *distributionpb.FollowRequest) *follower {
+func (h *Server) begin(m Member, req *distributionpb.FollowRequest) *follower {
 	now := time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -106,13 +106,13 @@
 }
 
 // broke notes that a held call's connection ended: a process that ends takes its connections with it.
-func (h *Hub) broke(f *follower) {
+func (h *Server) broke(f *follower) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	f.broken = time.Now()
 }
 
-func (h *Hub) end(f *follower) {
+func (h *Server) end(f *follower) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	f.open--
@@ -120,7 +120,7 @@
 }
 
 // acknowledge brings lowest up to date. The caller holds mu.
-func (h *Hub) acknowledge() {
+func (h *Server) acknowledge() {
 	lowest := uint64(math.MaxUint64)
 	for _, f := range h.followers {
 		lowest = min(lowest, f.seq)
@@ -135,7 +135,7 @@
 
 // answer gives a reply if there is something that the request does not have. Otherwise it gives what to wait for, and
 // after how long a report of loads is due.
-func (h *Hub) answer(ctx context.Context, f *follower, req *distributionpb.FollowRequest, start time.Time) (*distributionpb.FollowReply, <-chan struct{}, <-chan struct{}, time.Duration) {
+func (h *Server) answer(ctx context.Context, f *follower, req *distributionpb.FollowRequest, start time.Time) (*distributionpb.FollowReply, <-chan struct{}, <-chan struct{}, time.Duration) {
 	state, committed := h.opt.Source.Committed()
 	current := h.current()
 	digest := digestOf(h.opt.Source.Addresses())
@@ -172,7 +172,7 @@
 }
 
 // compose makes the reply to a request that came at start, with all that it does not have.
-func (h *Hub) compose(ctx context.Context, f *follower, req *distributionpb.FollowRequest, start time.Time) *distributionpb.FollowReply {
+func (h *Server) compose(ctx context.Context, f *follower, req *distributionpb.FollowRequest, start time.Time) *distributionpb.FollowReply {
 	reply := &distributionpb.FollowReply{CheckedMs: uint64(time.Since(start) / time.Millisecond)}
 	// First whether this keeper is current, then what it holds: what is acknowledged between is then in the reply.
 	reply.Current = h.current()
@@ -209,7 +209,7 @@
 }
 
 // keepers gives the keepers in the chain's order, with where they are as far as that has been heard.
-func (h *Hub) keepers(addresses []string) []*distributionpb.Keeper {
+func (h *Server) keepers(addresses []string) []*distributionpb.Keeper {
 	out := make([]*distributionpb.Keeper, 0, len(addresses))
 	for _, a := range addresses {
 		switch p := h.peers[a]; {
@@ -235,10 +235,10 @@
 }
 
 // keepersDigest mixes into the digest of the addresses how many keepers are known by place.
-func (h *Hub) keepersDigest(digest uint64) uint64 { return digest + uint64(len(h.peers)) }
+func (h *Server) keepersDigest(digest uint64) uint64 { return digest + uint64(len(h.peers)) }
 
 // assert writes that the process m lives and follows this hub. The caller holds mu.
-func (h *Hub) assert(now time.Time, m Member) {
+func (h *Server) assert(now time.Time, m Member) {
 	m.Owner, m.Down = h.opt.Self, false
 	key := memberPrefix + m.Node
 	e := Entry{Key: key, Fence: 1, Version: 1, Value: m.encode()}
@@ -259,14 +259,14 @@
 }
 
 // markDown writes that the process that the entry is about is silent. The caller holds mu.
-func (h *Hub) markDown(now time.Time, it *item, m Member, why string) {
+func (h *Server) markDown(now time.Time, it *item, m Member, why string) {
 	m.Down = true
 	h.opt.Log.WithFields(logFields(m.Node, why)).Info("distribution: a proxy is marked down")
 	h.merge(now, Entry{Key: it.Key, Fence: it.Fence, Version: it.Version + 1, Value: m.encode()}, Age{})
 }
 
 // verdict takes in what another proxy says of one: the keeper that it follows knows better, while that one is heard.
-func (h *Hub) verdict(now time.Time, node string, incarnation uint64) {
+func (h *Server) verdict(now time.Time, node string, incarnation uint64) {
 	it := h.table.items[memberPrefix+node]
 	if it == nil || it.Deleted {
 		return
@@ -275,7 +275,7 @@
 	if !ok || m.Down || m.Incarnation != incarnation {
 		return
 	}
-	if f := h.followers[node]; f != nil && f.member.Incarnation == incarnation && (f.open > 0 || now.Sub(f.seen) < h.limits.Silence/2) {
+	if f := h.followers[node]; f != nil && f.member.Incarnation == incarnation && (f.open > 0 || now.Sub(f.seen) < h.limits.SubscriberTimeout/2) {
 		return
 	}
 	if m.Owner != h.opt.Self && h.hears(now, m.Owner) {
@@ -289,7 +289,7 @@
 
 // hears tells whether the keeper has shared of late, with this one or with another that has shared with this one: a keeper
 // that only this one does not hear still judges its own followers. The caller holds mu.
-func (h *Hub) hears(now time.Time, keeper string) bool {
+func (h *Server) hears(now time.Time, keeper string) bool {
 	for address, p := range h.peers {
 		if now.Sub(p.heard) <= peerLife && (address == keeper || slices.Contains(p.hears, keeper) && !h.opt.hooks.ownEarsOnly) {
 			return true
@@ -300,7 +300,7 @@
 
 // judge drops followers that stopped calling, marks them down, deletes those down for long, and takes over the judging
 // of those that followed a keeper which is not heard from. The caller holds mu.
-func (h *Hub) judge(now time.Time) {
+func (h *Server) judge(now time.Time) {
 	dropped := false
 	ended := map[string]uint64{} // lives whose connection ended, and that have not come back
 	for node, f := range h.followers {
@@ -309,7 +309,7 @@
 		}
 		if !f.broken.IsZero() && now.Sub(f.broken) > brokenLife {
 			ended[node] = f.member.Incarnation
-		} else if now.Sub(f.seen) <= h.limits.Silence {
+		} else if now.Sub(f.seen) <= h.limits.SubscriberTimeout {
 			continue
 		}
 		delete(h.followers, node)
@@ -335,16 +335,16 @@
 				dropped = true
 			}
 		case m.Down:
-			if it.age(now).Most > h.limits.Forget {
+			if it.age(now).Max > h.limits.TombstoneTTL {
 				gone = append(gone, it)
 			}
 		case m.Owner == h.opt.Self && ended[m.Node] == m.Incarnation:
 			falls = append(falls, fall{it, m, "its connection ended"})
 		case m.Owner == h.opt.Self:
-			if it.age(now).Most > h.limits.Silence {
+			if it.age(now).Max > h.limits.SubscriberTimeout {
 				falls = append(falls, fall{it, m, "it does not call any more"})
 			}
-		case !h.hears(now, m.Owner) && it.age(now).Most > orphanLife && now.Sub(h.started) > orphanLife && h.lost(now, m.Owner):
+		case !h.hears(now, m.Owner) && it.age(now).Max > orphanLife && now.Sub(h.started) > orphanLife && h.lost(now, m.Owner):
 			falls = append(falls, fall{it, m, "the keeper that it followed is silent too"})
 		}
 	}
@@ -360,7 +360,7 @@
 }
 
 // lost tells whether a keeper has been silent for so long that its followers must have moved on.
-func (h *Hub) lost(now time.Time, keeper string) bool {
+func (h *Server) lost(now time.Time, keeper string) bool {
 	p := h.peers[keeper]
 	return p == nil || now.Sub(p.heard) > peerLife+orphanLife
 }
--- a/internal/system/distribution/hub_share.go
+++ b/internal/system/distribution/hub_share.go
@@ -29,7 +29,7 @@
 func logFields(node, why string) log.Fields { return log.Fields{"node": node, "why": why} }
 
 // shareAll keeps a loop for each of the other keepers until ctx ends.
-func (h *Hub) shareAll(ctx context.Context) {
+func (h *Server) shareAll(ctx context.Context) {
 	if h.opt.Peers == nil {
 		return
 	}
@@ -40,7 +40,7 @@
 	loops := map[string]loop{}
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	look := time.NewTicker(h.limits.Beat)
+	look := time.NewTicker(h.limits.MaxSyncInterval)
 	defer look.Stop()
 	for {
 		wanted := map[string]bool{}
@@ -75,7 +75,7 @@
 }
 
 // shareWith passes changes to one keeper: on change, at most every Share, at least every Beat.
-func (h *Hub) shareWith(ctx context.Context, url string, changed <-chan struct{}) {
+func (h *Server) shareWith(ctx context.Context, url string, changed <-chan struct{}) {
 	caller := &http.Client{Transport: boundedTransport{h.opt.Transport}}
 	client := distributionpb.NewDistributionProtobufClient(url, caller)
 	var progress shareProgress
@@ -105,10 +105,10 @@
 		if err == nil && !progress.took(time.Now(), req, number, reply) {
 			continue // send it anew at once
 		}
-		if !sleep(ctx, h.limits.Share) {
+		if !sleep(ctx, h.limits.MinSyncInterval) {
 			return
 		}
-		timer := time.NewTimer(h.limits.Beat - h.limits.Share)
+		timer := time.NewTimer(h.limits.MaxSyncInterval - h.limits.MinSyncInterval)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -155,9 +155,9 @@
 }
 
 // clock is this process's time as others are told it: milliseconds from its start, and never 0.
-func (h *Hub) clock(now time.Time) uint64 { return uint64(now.Sub(h.started)/time.Millisecond) + 1 }
+func (h *Server) clock(now time.Time) uint64 { return uint64(now.Sub(h.started)/time.Millisecond) + 1 }
 
-func (h *Hub) shareRequest(p *shareProgress) (*distributionpb.ShareRequest, uint64) {
+func (h *Server) shareRequest(p *shareProgress) (*distributionpb.ShareRequest, uint64) {
 	now := time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -172,7 +172,7 @@
 }
 
 // Share serves another keeper's share.
-func (h *Hub) Share(_ context.Context, req *distributionpb.ShareRequest) (*distributionpb.ShareReply, error) {
+func (h *Server) Share(_ context.Context, req *distributionpb.ShareRequest) (*distributionpb.ShareReply, error) {
 	from := req.GetFrom().GetAddress()
 	if from == "" || from == h.opt.Self {
 		return nil, twirp.InvalidArgumentError("from", "must be the address of another keeper")
@@ -223,13 +223,13 @@
 
 // mergeShared takes in an entry that another keeper shares. One that was cut off has marked down what it no longer heard of,
 // so whoever hears the proxy knows better: this keeper, or the one that the proxy follows. The caller holds mu.
-func (h *Hub) mergeShared(now time.Time, from string, e Entry, age Age) {
+func (h *Server) mergeShared(now time.Time, from string, e Entry, age Age) {
 	was, refuted := h.marksDown(e)
 	if !refuted || h.opt.hooks.believeDown {
 		h.merge(now, e, age)
 		return
 	}
-	if f := h.followers[was.Node]; f != nil && f.member.Incarnation == was.Incarnation && (f.open > 0 || now.Sub(f.seen) < h.limits.Silence/2) {
+	if f := h.followers[was.Node]; f != nil && f.member.Incarnation == was.Incarnation && (f.open > 0 || now.Sub(f.seen) < h.limits.SubscriberTimeout/2) {
 		h.merge(now, e, age)
 		h.assert(now, f.member)
 		return
@@ -240,7 +240,7 @@
 }
 
 // marksDown tells whether an entry marks down a process that counts as up here, and what is held of it.
-func (h *Hub) marksDown(e Entry) (was Member, ok bool) {
+func (h *Server) marksDown(e Entry) (was Member, ok bool) {
 	held := h.table.items[e.Key]
 	if held == nil || held.Deleted || e.Deleted || !strings.HasPrefix(e.Key, memberPrefix) {
 		return Member{}, false
@@ -251,7 +251,7 @@
 }
 
 // heard gives the keepers that have shared of late, in order. The caller holds mu.
-func (h *Hub) heard(now time.Time) []string {
+func (h *Server) heard(now time.Time) []string {
 	var out []string
 	for address, p := range h.peers {
 		if now.Sub(p.heard) <= peerLife {
@@ -265,7 +265,7 @@
 // maxPeers bounds the keepers remembered.
 const maxPeers = 64
 
-func (h *Hub) dropPeers(now time.Time) {
+func (h *Server) dropPeers(now time.Time) {
 	for a, p := range h.peers {
 		if now.Sub(p.heard) > peerLife+2*orphanLife {
 			delete(h.peers, a)
--- a/internal/system/distribution/hub_table.go
+++ b/internal/system/distribution/hub_table.go
@@ -11,16 +11,16 @@
 )
 
 // Put writes an entry of the soft state. The error is ErrStale where a newer one is held.
-func (h *Hub) Put(key string, fence, version uint64, value []byte) error {
+func (h *Server) Put(key string, fence, version uint64, value []byte) error {
 	return h.put(Entry{Key: key, Fence: fence, Version: version, Value: value})
 }
 
 // Remove deletes an entry of the soft state. The error is ErrStale where a newer one is held.
-func (h *Hub) Remove(key string, fence, version uint64) error {
+func (h *Server) Remove(key string, fence, version uint64) error {
 	return h.put(Entry{Key: key, Fence: fence, Version: version, Deleted: true})
 }
 
-func (h *Hub) put(e Entry) error {
+func (h *Server) put(e Entry) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.merge(time.Now(), e, Age{}) {
@@ -31,7 +31,7 @@
 }
 
 // merge takes an entry in and has followers woken. The caller holds mu.
-func (h *Hub) merge(now time.Time, e Entry, age Age) bool {
+func (h *Server) merge(now time.Time, e Entry, age Age) bool {
 	if !h.table.merge(now, e, age) {
 		return false
 	}
@@ -46,14 +46,14 @@
 // Only what differs from the table goes out. version rises from reading to reading of one fence. The error is ErrStale
 // where a reading under a higher fence, or one that was asked for later, has been taken in: a reading that was held up on its way
 // may be older than one that was asked for after it.
-func (h *Hub) PutList(fence, version uint64, servers []pick.Server, read Moments) error {
+func (h *Server) PutList(fence, version uint64, servers []pick.Server, read TimeBounds) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
 	age := read.age(now)
-	if held := h.table.items[listKey]; held != nil && held.Fence == fence && age.Most > held.age(now).Most {
+	if held := h.table.items[listKey]; held != nil && held.Fence == fence && age.Max > held.age(now).Max {
 		return errors.Mark(errors.Newf("distribution: a list that was asked for %v later is held: this one counts for nothing",
-			age.Most-held.age(now).Most), ErrStale)
+			age.Max-held.age(now).Max), ErrStale)
 	}
 	// A poller that starts anew under its old fence counts from the start, so versions go on from the table's.
 	write := func(e Entry) bool {
@@ -91,7 +91,7 @@
 }
 
 // Table gives the entries that are not deleted, by key.
-func (h *Hub) Table() []Entry {
+func (h *Server) Table() []Entry {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out := make([]Entry, 0, len(h.table.items))
@@ -105,14 +105,14 @@
 }
 
 // Members gives the proxies known, by name, those that are down or leaving included.
-func (h *Hub) Members() []Member {
+func (h *Server) Members() []Member {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.table.members()
 }
 
 // List gives the servers as last read, with their times as of now, and the age of that reading; false: none yet.
-func (h *Hub) List() ([]pick.Server, time.Duration, bool) {
+func (h *Server) List() ([]pick.Server, time.Duration, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.table.servers(time.Now())
--- a/internal/system/distribution/invariants_test.go
+++ b/internal/system/distribution/invariants_test.go
@@ -9,7 +9,7 @@
 
 // TestNeverBackControl: a state that is older than the one held is seen.
 func TestNeverBackControl(t *testing.T) {
-	f := NewFollower(FollowerOptions{Log: quiet()})
+	f := NewSubscriber(SubscriberOptions{Log: quiet()})
 	newer := controlstate.Empty()
 	newer.Seq = 5
 	f.hold(newer)
--- a/internal/system/distribution/late_test.go
+++ b/internal/system/distribution/late_test.go
@@ -14,13 +14,13 @@
 func lateReply(tb testing.TB, wait time.Duration, hooks followerHooks) (u Update, seq uint64) {
 	tb.Helper()
 	c := newChain()
-	h := NewHub(HubOptions{Source: &source{chain: c, keepers: []string{"k"}}, Self: "k", Log: quiet()})
+	h := NewServer(ServerOptions{Source: &source{chain: c, keepers: []string{"k"}}, Self: "k", Log: quiet()})
 	h.markComplete()
 	c.add(controlstate.Record{Op: controlstate.OpEvacuate, Zone: "z"})
 	if err := h.PutList(1, 1, []pick.Server{{ID: "old"}}, madeAgo(Age{})); err != nil {
 		tb.Fatal(err)
 	}
-	f := NewFollower(FollowerOptions{Self: Member{Node: "p"}, Log: quiet(), hooks: hooks})
+	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet(), hooks: hooks})
 	asked := time.Now()
 	req := f.request(nil, false)
 	reply, err := h.Follow(tb.Context(), req)
@@ -28,10 +28,10 @@
 		tb.Fatal(err)
 	}
 	got := f.take(asked.Add(-wait), time.Now(), req, reply)
-	if got.current != f.Held().Fresh {
-		tb.Errorf("the keeper counts as current: %v, the state as fresh: %v", got.current, f.Held().Fresh)
+	if got.current != f.Current().Fresh {
+		tb.Errorf("the keeper counts as current: %v, the state as fresh: %v", got.current, f.Current().Fresh)
 	}
-	return f.Held(), f.state.Seq
+	return f.Current(), f.state.Seq
 }
 
 // TestLateAnswerSaysNothingOfNow: an answer that lay in a buffer for 20 s, or whose reader was stopped, brings records, which
@@ -57,20 +57,20 @@
 	if u, _ := lateReply(t, 20*time.Second, followerHooks{startOnAny: true}); u.State.Seq != 1 {
 		t.Error("control: a late state is not served either")
 	}
-	f := NewFollower(FollowerOptions{Self: Member{Node: "p"}, Log: quiet()})
+	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
 	f.state = &controlstate.State{Seq: 7}
 	f.take(time.Now(), time.Now(), f.request(nil, false), &distributionpb.FollowReply{Current: true, Newest: 7})
-	if got := f.Held().State.Seq; got != 7 {
+	if got := f.Current().State.Seq; got != 7 {
 		t.Errorf("serves %d after a prompt word", got)
 	}
 }
 
 // TestWaitAtTheKeeperIsNoAge: a poll that a keeper held for long is answered with a word of now.
 func TestWaitAtTheKeeperIsNoAge(t *testing.T) {
-	f := NewFollower(FollowerOptions{Self: Member{Node: "p"}, Log: quiet()})
+	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
 	asked := time.Now().Add(-3 * time.Second)
 	f.take(asked, time.Now(), f.request(nil, false), &distributionpb.FollowReply{Current: true, CheckedMs: 2900})
-	if !f.Held().Fresh {
+	if !f.Current().Fresh {
 		t.Error("held for 2.9 s, and 100 ms under way: not fresh")
 	}
 }
--- a/internal/system/distribution/lateworld_test.go
+++ b/internal/system/distribution/lateworld_test.go
@@ -28,7 +28,7 @@
 	shown   map[string]time.Time // when the newest list that a proxy held was read
 }
 
-// Bounds of what must hold: a word of a current keeper counts for FreshFor; sources here are never current beyond that; and
+// Bounds of what must hold: a word of a current keeper counts for FreshnessTTL; sources here are never current beyond that; and
 // two clocks are read a moment apart.
 const lateMargin = 50 * time.Millisecond
 
@@ -40,7 +40,7 @@
 	w := &lateWorld{fleet: newHookedFleet(hub, "k1:1", "k2:1", "k3:1"), t: t, rng: rng, read: map[uint64]time.Time{},
 		until: map[string]time.Time{}, faults: map[string]int{}, broken: map[string]int{}, shown: map[string]time.Time{}}
 	for i := range 6 {
-		w.startFollower(fmt.Sprint("p", i), func(o *FollowerOptions) { o.hooks = proxies })
+		w.startFollower(fmt.Sprint("p", i), func(o *SubscriberOptions) { o.hooks = proxies })
 	}
 	return w
 }
@@ -125,8 +125,8 @@
 func (w *lateWorld) check() {
 	now := time.Now()
 	for n, p := range w.followers {
-		u := p.f.Held()
-		if u.Fresh && int(u.State.Seq) < len(w.acked) && now.Sub(w.acked[u.State.Seq]) > FreshFor+lateMargin {
+		u := p.f.Current()
+		if u.Fresh && int(u.State.Seq) < len(w.acked) && now.Sub(w.acked[u.State.Seq]) > FreshnessTTL+lateMargin {
 			w.broken["fresh though a change is older than that"]++
 		}
 		p.mu.Lock()
@@ -141,7 +141,7 @@
 			} else if w.read[held.Version].After(was) {
 				w.shown[n] = w.read[held.Version]
 			}
-			if age := now.Sub(w.read[held.Version]); held.age(now).Most < age-lateMargin && !w.read[held.Version].IsZero() {
+			if age := now.Sub(w.read[held.Version]); held.age(now).Max < age-lateMargin && !w.read[held.Version].IsZero() {
 				w.broken["a list is told to be younger than it is"]++
 			}
 		}
@@ -166,7 +166,7 @@
 	time.Sleep(6 * time.Second)
 	w.check()
 	for n, p := range w.followers {
-		if u := p.f.Held(); !u.Fresh || int(u.State.Seq) != len(w.acked) || len(u.Members) != len(w.followers) {
+		if u := p.f.Current(); !u.Fresh || int(u.State.Seq) != len(w.acked) || len(u.Members) != len(w.followers) {
 			t.Errorf("%s, 6 s after the last fault: fresh %v, %d of %d, %d members", n, u.Fresh, u.State.Seq, len(w.acked), len(u.Members))
 		}
 	}
--- a/internal/system/distribution/list_covers_test.go
+++ b/internal/system/distribution/list_covers_test.go
@@ -38,17 +38,17 @@
 // TestReadingTellsWhatItCovers: a keeper's reading covers the records that it knew lag before it asked, and proxies hear which.
 func TestReadingTellsWhatItCovers(t *testing.T) {
 	const lag = 800 * time.Millisecond
-	h := NewHub(HubOptions{Source: &source{chain: newChain(), keepers: []string{"k"}}, Self: "k", Log: quiet(), ListLag: lag})
+	h := NewServer(ServerOptions{Source: &source{chain: newChain(), keepers: []string{"k"}}, Self: "k", Log: quiet(), ListLag: lag})
 	begin := time.Now().Add(-10 * time.Second)
 	h.commits.note(begin, 4)
 	h.commits.note(begin.Add(time.Second), 5)
-	f := NewFollower(FollowerOptions{Log: quiet()})
+	f := NewSubscriber(SubscriberOptions{Log: quiet()})
 	for _, read := range []struct {
 		asked  time.Duration
 		covers uint64
 	}{{lag - 1, 0}, {lag, 4}, {time.Second + lag - 1, 4}, {time.Second + lag, 5}} {
 		asked := begin.Add(read.asked)
-		if err := h.PutList(1, 1, []pick.Server{{ID: "s"}}, Moments{asked, asked.Add(time.Millisecond)}); err != nil {
+		if err := h.PutList(1, 1, []pick.Server{{ID: "s"}}, TimeBounds{asked, asked.Add(time.Millisecond)}); err != nil {
 			t.Fatal(err)
 		}
 		if got := h.table.listCovers(); got != read.covers {
@@ -56,7 +56,7 @@
 		}
 		told := toWire(time.Now(), []*item{h.table.items[listKey]})
 		f.takeEntries(time.Now(), Age{}, &distributionpb.FollowReply{Entries: told})
-		if got := f.Held().ListCovers; got != read.covers {
+		if got := f.Current().ListCoversSeq; got != read.covers {
 			t.Errorf("asked at %v: a proxy hears %d, want %d", read.asked, got, read.covers)
 		}
 	}
@@ -65,7 +65,7 @@
 // TestRefreshTellsOfTheNextWord: the owner is told of a current keeper's answer to a call from after Refresh, also if it holds
 // nothing new, and of none before.
 func TestRefreshTellsOfTheNextWord(t *testing.T) {
-	f := NewFollower(FollowerOptions{Log: quiet()})
+	f := NewSubscriber(SubscriberOptions{Log: quiet()})
 	told := func() bool {
 		select {
 		case <-f.changed:
--- a/internal/system/distribution/list_version.go
+++ b/internal/system/distribution/list_version.go
@@ -7,7 +7,7 @@
 )
 
 // listFence is the fence of the newest whole reading of the platform's list; 0: none has come. The caller holds mu.
-func (h *Hub) listFence() uint64 {
+func (h *Server) listFence() uint64 {
 	if held := h.table.items[listKey]; held != nil {
 		return held.Fence
 	}
@@ -16,7 +16,7 @@
 
 // dropFormerReader deletes the servers that were told under fences below that of the list, which has just come with all of its
 // servers: whoever read it may not know of all that the former reader told. The caller holds mu.
-func (h *Hub) dropFormerReader(now time.Time, fence uint64) {
+func (h *Server) dropFormerReader(now time.Time, fence uint64) {
 	version := h.table.items[listKey].Version
 	for _, it := range slices.Clone(h.table.live(serverPrefix)) {
 		if it.Fence < fence {
@@ -27,12 +27,12 @@
 
 // ListVersion tells the fence and version of the newest whole reading of the platform's list that has come here, and its
 // age; zeros and the longest age before any has.
-func (h *Hub) ListVersion() (fence, version uint64, age time.Duration) {
+func (h *Server) ListVersion() (fence, version uint64, age time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	held := h.table.items[listKey]
 	if held == nil {
 		return 0, 0, math.MaxInt64
 	}
-	return held.Fence, held.Version, held.age(time.Now()).Most
+	return held.Fence, held.Version, held.age(time.Now()).Max
 }
--- a/internal/system/distribution/loopback_test.go
+++ b/internal/system/distribution/loopback_test.go
@@ -66,7 +66,7 @@
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	c := newChain()
 	src := &source{chain: c}
-	h := NewHub(HubOptions{Source: src, Self: "k", Log: quiet()})
+	h := NewServer(ServerOptions{Source: src, Self: "k", Log: quiet()})
 	address, _ := serve(t, h.Handler())
 	src.keepers = []string{address}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -77,7 +77,7 @@
 	updates := make(chan Update, 1)
 	transport := NewTransport()
 	defer transport.CloseIdleConnections()
-	f := NewFollower(FollowerOptions{Seeds: []string{address}, Self: Member{Node: "p"}, Log: quiet(), Transport: transport,
+	f := NewSubscriber(SubscriberOptions{Seeds: []string{address}, Self: Member{Node: "p"}, Log: quiet(), Transport: transport,
 		OnUpdate: func(u Update) {
 			select {
 			case <-updates:
@@ -92,7 +92,7 @@
 		select {
 		case u := <-updates:
 			if u.State.Seq == seq && u.Fresh {
-				if err := h.Acknowledged(ctx, seq); err != nil {
+				if err := h.WaitAcknowledged(ctx, seq); err != nil {
 					t.Error(err)
 				}
 				if err := f.Leave(ctx); err != nil {
@@ -128,7 +128,7 @@
 func benchmarkKeeper(b *testing.B, pace time.Duration, busy bool) {
 	const followers, servers = 100, 400
 	src := &source{chain: newChain()}
-	h := NewHub(HubOptions{Source: src, Self: "k", Log: quiet(), Limits: HubLimits{Pace: pace, Settling: time.Millisecond}})
+	h := NewServer(ServerOptions{Source: src, Self: "k", Log: quiet(), Limits: ServerLimits{LoadReportInterval: pace, TableCompleteAfter: time.Millisecond}})
 	address, bytes := serve(b, h.Handler())
 	src.keepers = []string{address}
 	ctx, cancel := context.WithCancel(b.Context())
@@ -145,9 +145,9 @@
 	var tick atomic.Int64
 	transport := NewTransport()
 	transport.MaxIdleConns, transport.MaxIdleConnsPerHost = 0, 2*followers
-	all := make([]*Follower, followers)
+	all := make([]*Subscriber, followers)
 	for n := range all {
-		all[n] = NewFollower(FollowerOptions{Seeds: []string{address}, Self: Member{Node: fmt.Sprint("p", n), Ready: true}, Log: quiet(),
+		all[n] = NewSubscriber(SubscriberOptions{Seeds: []string{address}, Self: Member{Node: fmt.Sprint("p", n), Ready: true}, Log: quiet(),
 			Transport: transport, Loads: func() map[string]pick.Load {
 				if !busy {
 					return nil
@@ -164,7 +164,7 @@
 	for b.Context().Err() == nil {
 		ok := true
 		for _, f := range all {
-			if u := f.Held(); !u.Fresh || len(u.Members) != followers {
+			if u := f.Current(); !u.Fresh || len(u.Members) != followers {
 				ok = false
 			}
 		}
--- a/internal/system/distribution/memberflap_test.go
+++ b/internal/system/distribution/memberflap_test.go
@@ -42,7 +42,7 @@
 	fl := newHookedFleet(hooks, "k1:1", "k2:1", "k3:1")
 	c := &census{}
 	for i := range flapMembers {
-		fl.startFollower(fmt.Sprint("p", i), func(o *FollowerOptions) {
+		fl.startFollower(fmt.Sprint("p", i), func(o *SubscriberOptions) {
 			o.Self.Zone = "zone-" + fl.names[i%len(fl.names)]
 			o.OnUpdate = c.note
 		})
--- a/internal/system/distribution/mesh_test.go
+++ b/internal/system/distribution/mesh_test.go
@@ -213,7 +213,7 @@
 	return s.states[len(s.states)-1], s.news
 }
 
-func (s *source) Since(seq uint64, most int) ([]controlstate.Record, bool) {
+func (s *source) RecordsAfter(seq uint64, most int) ([]controlstate.Record, bool) {
 	s.chain.mu.Lock()
 	defer s.chain.mu.Unlock()
 	if seq < s.gone || seq > uint64(len(s.records)) {
@@ -237,14 +237,14 @@
 	chain     *chain
 	names     []string // of keepers
 	sources   map[string]*source
-	hubs      map[string]*Hub
+	hubs      map[string]*Server
 	stopHub   map[string]context.CancelFunc
 	followers map[string]*proxy
 	wg        sync.WaitGroup
 }
 
 type proxy struct {
-	f    *Follower
+	f    *Subscriber
 	stop context.CancelFunc
 
 	mu   sync.Mutex
@@ -256,7 +256,7 @@
 
 // newHookedFleet is a fleet whose hubs lack a protection.
 func newHookedFleet(hooks hubHooks, keepers ...string) *fleet {
-	fl := &fleet{hooks: hooks, mesh: newMesh(), chain: newChain(), names: keepers, sources: map[string]*source{}, hubs: map[string]*Hub{},
+	fl := &fleet{hooks: hooks, mesh: newMesh(), chain: newChain(), names: keepers, sources: map[string]*source{}, hubs: map[string]*Server{},
 		stopHub: map[string]context.CancelFunc{}, followers: map[string]*proxy{}}
 	for _, k := range keepers {
 		fl.sources[k] = &source{chain: fl.chain, keepers: keepers}
@@ -267,7 +267,7 @@
 
 func (fl *fleet) startHub(name string) {
 	ctx, cancel := context.WithCancel(context.Background())
-	h := NewHub(HubOptions{Source: fl.sources[name], Self: name, Zone: "zone-" + name, Region: "r", ListLag: coldWorldLag, Log: quiet(),
+	h := NewServer(ServerOptions{Source: fl.sources[name], Self: name, Zone: "zone-" + name, Region: "r", ListLag: coldWorldLag, Log: quiet(),
 		hooks: fl.hooks, Transport: station{fl.mesh, name}, Peers: func() []string {
 			var out []string
 			for _, k := range fl.names {
@@ -288,10 +288,10 @@
 	delete(fl.hubs, name)
 }
 
-func (fl *fleet) startFollower(node string, change func(*FollowerOptions)) *proxy {
+func (fl *fleet) startFollower(node string, change func(*SubscriberOptions)) *proxy {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &proxy{stop: cancel}
-	opt := FollowerOptions{Seeds: fl.names, KeeperPort: 1, ProxyPort: 2, Log: quiet(), Transport: station{fl.mesh, node},
+	opt := SubscriberOptions{Seeds: fl.names, ControlPlanePort: 1, ProxyPort: 2, Log: quiet(), Transport: station{fl.mesh, node},
 		Self: Member{Node: node, Zone: "zone-" + fl.names[rand.IntN(len(fl.names))], Region: "r", IP: node + ":2"},
 		OnUpdate: func(u Update) {
 			p.mu.Lock()
@@ -302,7 +302,7 @@
 	if change != nil {
 		change(&opt)
 	}
-	p.f = NewFollower(opt)
+	p.f = NewSubscriber(opt)
 	fl.mesh.host(node+":2", p.f.Handler())
 	fl.followers[node] = p
 	fl.wg.Go(func() { p.f.Run(ctx) })
--- a/internal/system/distribution/neighbour.go
+++ b/internal/system/distribution/neighbour.go
@@ -11,12 +11,12 @@
 )
 
 // Handler serves neighbours that start, under /twirp/gradeusher.distribution.Neighbours/.
-func (f *Follower) Handler() http.Handler {
+func (f *Subscriber) Handler() http.Handler {
 	return bounded(distributionpb.NewNeighboursServer(f))
 }
 
 // Neighbour answers all that is held; to a proxy that holds a state of its own, the list of servers and a newer state.
-func (f *Follower) Neighbour(_ context.Context, req *distributionpb.NeighbourRequest) (*distributionpb.FollowReply, error) {
+func (f *Subscriber) Neighbour(_ context.Context, req *distributionpb.NeighbourRequest) (*distributionpb.FollowReply, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	items, _ := f.table.since(0)
@@ -42,7 +42,7 @@
 
 // askNeighbours takes what neighbours hold while no keeper has been reached since the start, and while none has been heard of late:
 // then others may still hear of evacuations and cold servers.
-func (f *Follower) askNeighbours(ctx context.Context) {
+func (f *Subscriber) askNeighbours(ctx context.Context) {
 	for wait := neighbourLag; sleep(ctx, wait); wait = neighbourLag / 2 {
 		f.mu.Lock()
 		starts, silent := f.freshAt.IsZero(), time.Since(f.currentAt) > neighbourLag
@@ -58,7 +58,7 @@
 
 // neighbours are the machines where other proxies are to be found, in the order of trying them: at random, where the seeds are not
 // wanted those of this region first.
-func (f *Follower) neighbours(seeds bool) []string {
+func (f *Subscriber) neighbours(seeds bool) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var near, far []string
@@ -81,7 +81,7 @@
 }
 
 // askSome asks one place after the other until so many have answered.
-func (f *Follower) askSome(ctx context.Context, places []string, most int) {
+func (f *Subscriber) askSome(ctx context.Context, places []string, most int) {
 	for i, taken := 0, 0; i < len(places) && taken < most && ctx.Err() == nil; i++ {
 		if f.askNeighbour(ctx, places[i]) {
 			taken++
@@ -89,7 +89,7 @@
 	}
 }
 
-func (f *Follower) askNeighbour(ctx context.Context, place string) bool {
+func (f *Subscriber) askNeighbour(ctx context.Context, place string) bool {
 	ctx, cancel := withPatience(ctx, seekTimeout, silence)
 	defer cancel()
 	asked := time.Now()
--- a/internal/system/distribution/newfence_test.go
+++ b/internal/system/distribution/newfence_test.go
@@ -13,12 +13,12 @@
 // next fence holds another state of a server, and none of a server that came with that reading. Danger: what it reads does not
 // differ from what it holds, so it writes nothing, and the other one keeps the lost keeper's word for good.
 func TestNewFenceTellsAllOnce(t *testing.T) {
-	reader, other := newIdleHub(), NewHub(HubOptions{Source: &source{chain: newChain(), keepers: []string{"a", "c"}}, Self: "c", Log: quiet()})
+	reader, other := newIdleHub(), NewServer(ServerOptions{Source: &source{chain: newChain(), keepers: []string{"a", "c"}}, Self: "c", Log: quiet()})
 	reader.markComplete()
 	other.markComplete()
-	put := func(h *Hub, fence, version uint64, servers ...pick.Server) {
+	put := func(h *Server, fence, version uint64, servers ...pick.Server) {
 		t.Helper()
-		if err := h.PutList(fence, version, servers, madeAgo(Age{Most: 20 * time.Millisecond})); err != nil {
+		if err := h.PutList(fence, version, servers, madeAgo(Age{Max: 20 * time.Millisecond})); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/system/distribution/oldlist_test.go
+++ b/internal/system/distribution/oldlist_test.go
@@ -27,10 +27,10 @@
 // gives what it holds then.
 func moveToKeeperThatIsJustBack(tb testing.TB, hooks followerHooks) []pick.Server {
 	tb.Helper()
-	f := NewFollower(FollowerOptions{Self: Member{Node: "p"}, Log: quiet(), hooks: hooks})
+	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet(), hooks: hooks})
 	f.take(time.Now(), time.Now(), f.request(nil, false), wholeTable(tb, 0, 990, pick.Server{ID: "a", Draining: true}, pick.Server{ID: "new"}))
 	f.take(time.Now(), time.Now(), f.request(nil, false), wholeTable(tb, 20*time.Second, 950, pick.Server{ID: "a"}, pick.Server{ID: "gone"}))
-	return f.Held().Servers
+	return f.Current().Servers
 }
 
 // TestKeeperThatIsJustBackBringsNoOldList: a keeper that was cut off or stopped for 20 s may be current again before the
@@ -47,10 +47,10 @@
 
 // TestKeepersThatCountAnewAreBelieved: after a restart of all keepers versions begin anew, so the younger reading counts.
 func TestKeepersThatCountAnewAreBelieved(t *testing.T) {
-	f := NewFollower(FollowerOptions{Self: Member{Node: "p"}, Log: quiet()})
+	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
 	f.take(time.Now(), time.Now(), f.request(nil, false), wholeTable(t, 20*time.Second, 990, pick.Server{ID: "a"}))
 	f.take(time.Now(), time.Now(), f.request(nil, false), wholeTable(t, 0, 1, pick.Server{ID: "b"}))
-	if got := f.Held().Servers; len(got) != 1 || got[0].ID != "b" {
+	if got := f.Current().Servers; len(got) != 1 || got[0].ID != "b" {
 		t.Errorf("holds %+v", got)
 	}
 }
@@ -63,13 +63,13 @@
 	if err := h.PutList(1, 7, cold, madeAgo(Age{})); err != nil {
 		t.Fatal(err)
 	}
-	if err := h.PutList(1, 7, []pick.Server{{ID: "a", Service: "x"}}, madeAgo(Age{Least: 900 * time.Millisecond, Most: time.Second})); !errors.Is(err, ErrStale) {
+	if err := h.PutList(1, 7, []pick.Server{{ID: "a", Service: "x"}}, madeAgo(Age{Min: 900 * time.Millisecond, Max: time.Second})); !errors.Is(err, ErrStale) {
 		t.Errorf("a reading 900 ms older: %v", err)
 	}
 	if got, _, _ := h.List(); len(got) != 1 || got[0].Cold < 2900*time.Millisecond {
 		t.Errorf("holds %+v", got)
 	}
-	if err := h.PutList(2, 1, []pick.Server{{ID: "a", Service: "x"}}, madeAgo(Age{Least: 900 * time.Millisecond, Most: time.Second})); err != nil {
+	if err := h.PutList(2, 1, []pick.Server{{ID: "a", Service: "x"}}, madeAgo(Age{Min: 900 * time.Millisecond, Max: time.Second})); err != nil {
 		t.Errorf("under a higher fence: %v", err)
 	}
 }
@@ -78,7 +78,7 @@
 // with its own until that keeper has heard of it.
 func TestMoveToAKeeperWithAnOlderList(t *testing.T) {
 	now := time.Now()
-	f := NewFollower(FollowerOptions{Log: quiet()})
+	f := NewSubscriber(SubscriberOptions{Log: quiet()})
 	reply := func(cold time.Duration, version, least, most uint64) *distributionpb.FollowReply {
 		return &distributionpb.FollowReply{Full: true, Complete: true, Entries: []*distributionpb.Entry{
 			{Key: listKey, Fence: 1, Version: version, AgeMs: most, LeastAgeMs: &least},
--- a/internal/system/distribution/oldlistlost_test.go
+++ b/internal/system/distribution/oldlistlost_test.go
@@ -10,7 +10,7 @@
 )
 
 // pollByHand has a follower take in what a hub would answer it now.
-func pollByHand(f *Follower, h *Hub) {
+func pollByHand(f *Subscriber, h *Server) {
 	req := f.request(nil, false)
 	h.mu.Lock()
 	since := uint64(0)
@@ -32,8 +32,8 @@
 		a, b := newIdleHub(), newIdleHub()
 		a.markComplete()
 		b.markComplete()
-		f := NewFollower(FollowerOptions{Self: Member{Node: "p"}, Log: quiet()})
-		put := func(h *Hub, version uint64, age Age, s pick.Server) {
+		f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
+		put := func(h *Server, version uint64, age Age, s pick.Server) {
 			t.Helper()
 			if err := h.PutList(1, version, []pick.Server{s}, madeAgo(age)); err != nil {
 				t.Fatal(err)
@@ -42,14 +42,14 @@
 		put(a, 10, Age{}, pick.Server{ID: "x"})
 		pollByHand(f, a)
 		time.Sleep(200 * time.Millisecond)
-		put(b, 11, Age{Most: 2600 * time.Millisecond}, pick.Server{ID: "x", Draining: true})
+		put(b, 11, Age{Max: 2600 * time.Millisecond}, pick.Server{ID: "x", Draining: true})
 		pollByHand(f, b)
 		for version := range uint64(20) {
 			time.Sleep(500 * time.Millisecond)
 			put(b, 12+version, Age{}, pick.Server{ID: "x", Draining: true})
 			pollByHand(f, b)
 		}
-		u := f.Held()
+		u := f.Current()
 		if len(u.Servers) != 1 || !u.Servers[0].Draining {
 			t.Errorf("10 s after the keeper's list said that x drains: %+v, with a list that is %v old", u.Servers, u.ListAge)
 		}
@@ -65,10 +65,10 @@
 		a, b := newIdleHub(), newIdleHub()
 		a.markComplete()
 		b.markComplete()
-		f := NewFollower(FollowerOptions{Self: Member{Node: "p"}, Log: quiet()})
-		put := func(h *Hub, fence, version uint64, s pick.Server) {
+		f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
+		put := func(h *Server, fence, version uint64, s pick.Server) {
 			t.Helper()
-			if err := h.PutList(fence, version, []pick.Server{s}, madeAgo(Age{Most: 20 * time.Millisecond})); err != nil {
+			if err := h.PutList(fence, version, []pick.Server{s}, madeAgo(Age{Max: 20 * time.Millisecond})); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -86,7 +86,7 @@
 			put(b, 2, 1+version, pick.Server{ID: "x", Draining: true})
 			pollByHand(f, b)
 		}
-		u := f.Held()
+		u := f.Current()
 		if len(u.Servers) != 1 || !u.Servers[0].Draining {
 			t.Errorf("10 s after the keeper's list said that x drains: %+v, with a list that is %v old", u.Servers, u.ListAge)
 		}
@@ -101,11 +101,11 @@
 		h := newIdleHub()
 		asked := time.Now()
 		time.Sleep(2200 * time.Millisecond)
-		if err := h.PutList(1, 8, []pick.Server{{ID: "a", Cold: 3 * time.Second}}, madeAgo(Age{Most: 20 * time.Millisecond})); err != nil {
+		if err := h.PutList(1, 8, []pick.Server{{ID: "a", Cold: 3 * time.Second}}, madeAgo(Age{Max: 20 * time.Millisecond})); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(100 * time.Millisecond)
-		_ = h.PutList(1, 7, []pick.Server{{ID: "a"}}, Moments{Earliest: asked, Latest: time.Now()})
+		_ = h.PutList(1, 7, []pick.Server{{ID: "a"}}, TimeBounds{Earliest: asked, Latest: time.Now()})
 		if got, _, _ := h.List(); len(got) != 1 || got[0].Cold < 2900*time.Millisecond {
 			t.Errorf("holds %+v", got)
 		}
--- a/internal/system/distribution/partial_test.go
+++ b/internal/system/distribution/partial_test.go
@@ -11,19 +11,19 @@
 // come, and that others may have given it up where they call it down.
 func TestUpdateTellsOfMembersThatMayLack(t *testing.T) {
 	now := time.Now()
-	f := NewFollower(FollowerOptions{Log: quiet(), Self: Member{Node: "p", Incarnation: 4}})
-	if u := f.held(now); !u.Partial || !u.Stale {
+	f := NewSubscriber(SubscriberOptions{Log: quiet(), Self: Member{Node: "p", Incarnation: 4}})
+	if u := f.held(now); !u.MembershipIncomplete || !u.Stale {
 		t.Errorf("at the start: %+v", u)
 	}
 	f.takeEntries(now, Age{}, &distributionpb.FollowReply{Full: true})
-	if u := f.held(now); !u.Partial {
+	if u := f.held(now); !u.MembershipIncomplete {
 		t.Error("a keeper that has just started knows all proxies")
 	}
 	if !f.takeEntries(now, Age{}, &distributionpb.FollowReply{Full: true, Complete: true}) {
 		t.Error("that the members are whole is no change")
 	}
 	f.currentAt = now
-	if u := f.held(now); u.Partial || u.Stale {
+	if u := f.held(now); u.MembershipIncomplete || u.Stale {
 		t.Errorf("fresh, with all members: %+v", u)
 	}
 	down := f.self
--- a/internal/system/distribution/peer_test.go
+++ b/internal/system/distribution/peer_test.go
@@ -91,7 +91,7 @@
 }
 
 // scriptedFollower is a follower of a scripted peer on loopback.
-func scriptedFollower(t *testing.T, script func(uint32) string) (f *Follower, p *scriptedPeer, address string) {
+func scriptedFollower(t *testing.T, script func(uint32) string) (f *Subscriber, p *scriptedPeer, address string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -114,7 +114,7 @@
 		transport.CloseIdleConnections()
 		wg.Wait()
 	})
-	return NewFollower(FollowerOptions{Self: Member{Node: "p"}, Log: quiet(), Transport: transport}), p, ln.Addr().String()
+	return NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet(), Transport: transport}), p, ln.Addr().String()
 }
 
 // TestAnAnswerReachesItsCallAlone: whatever a peer does, on fresh connections and on ones that are used again, in any order: a
--- a/internal/system/distribution/random_test.go
+++ b/internal/system/distribution/random_test.go
@@ -127,13 +127,13 @@
 	}()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	if err := fl.hubs["k1:1"].Acknowledged(ctx, seq); err != nil {
+	if err := fl.hubs["k1:1"].WaitAcknowledged(ctx, seq); err != nil {
 		t.Error(err)
 	}
 	within(t, 2*time.Second, "each proxy is followed once", func() bool {
 		followed := 0
 		for _, h := range fl.hubs {
-			followed += len(h.Followers())
+			followed += len(h.Subscribers())
 		}
 		return followed == len(fl.followers)
 	})
@@ -141,7 +141,7 @@
 		p.mu.Lock()
 		back = back || p.back
 		p.mu.Unlock()
-		u := p.f.Held()
+		u := p.f.Current()
 		if u.State.Seq != seq || !u.Fresh || len(u.Members) != len(fl.followers) || len(u.Servers) != len(servers) {
 			t.Errorf("%s: seq %d of %d, fresh %v, members %d of %d, servers %d of %d", n, u.State.Seq, seq, u.Fresh,
 				len(u.Members), len(fl.followers), len(u.Servers), len(servers))
--- a/internal/system/distribution/referral.go
+++ b/internal/system/distribution/referral.go
@@ -9,8 +9,8 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 )
 
-// KeeperPlace is a keeper that feeds proxies, and where it is.
-type KeeperPlace struct {
+// ServerLocation is a keeper that feeds proxies, and where it is.
+type ServerLocation struct {
 	Address      string // IP or IP:port
 	Zone, Region string
 }
@@ -18,7 +18,7 @@
 // Referral answers proxies at a keeper that feeds none, an observer: it names the keepers that do, in the chain's order.
 // Without it a proxy whose seeds are all observers would find no keeper.
 type Referral struct {
-	Keepers func() []KeeperPlace
+	Servers func() []ServerLocation
 }
 
 // Handler serves the calls of followers and of other keepers, under the same path as Hub.Handler.
@@ -28,10 +28,10 @@
 
 // Follow names the keepers. The reply has no soft state, by which a follower knows that it is not fed here.
 func (r Referral) Follow(_ context.Context, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
-	return &distributionpb.FollowReply{Call: req.GetCall(), Keepers: wireKeepers(r.Keepers()...)}, nil
+	return &distributionpb.FollowReply{Call: req.GetCall(), Keepers: wireKeepers(r.Servers()...)}, nil
 }
 
-func wireKeepers(places ...KeeperPlace) []*distributionpb.Keeper {
+func wireKeepers(places ...ServerLocation) []*distributionpb.Keeper {
 	out := make([]*distributionpb.Keeper, 0, len(places))
 	for _, k := range places {
 		out = append(out, &distributionpb.Keeper{Address: k.Address, Zone: k.Zone, Region: k.Region})
--- a/internal/system/distribution/referral_test.go
+++ b/internal/system/distribution/referral_test.go
@@ -12,10 +12,10 @@
 func TestAProxyWhoseSeedsAreAllObservers(t *testing.T) {
 	c := newChain()
 	src := &source{chain: c}
-	h := NewHub(HubOptions{Source: src, Self: "k", Log: quiet()})
+	h := NewServer(ServerOptions{Source: src, Self: "k", Log: quiet()})
 	keeper, _ := serve(t, h.Handler())
 	src.keepers = []string{keeper}
-	observer := Referral{Keepers: func() []KeeperPlace { return []KeeperPlace{{Address: keeper, Zone: "za", Region: "r"}} }}
+	observer := Referral{Servers: func() []ServerLocation { return []ServerLocation{{Address: keeper, Zone: "za", Region: "r"}} }}
 	first, _ := serve(t, observer.Handler())
 	second, _ := serve(t, observer.Handler())
 	ctx, cancel := context.WithCancel(t.Context())
@@ -27,7 +27,7 @@
 	transport := NewTransport()
 	defer transport.CloseIdleConnections()
 	seq := c.add(none())
-	f := NewFollower(FollowerOptions{Seeds: []string{first, second}, Self: Member{Node: "p"}, Log: quiet(), Transport: transport,
+	f := NewSubscriber(SubscriberOptions{Seeds: []string{first, second}, Self: Member{Node: "p"}, Log: quiet(), Transport: transport,
 		OnUpdate: func(u Update) {
 			if u.Fresh && u.State.Seq == seq {
 				poke(fresh)
@@ -44,11 +44,11 @@
 // TestAReferralChangesNothingThatIsKnown: an observer may be behind. Danger: a keeper that has gone is taken for one of the
 // view, or one that is of the view is forgotten.
 func TestAReferralChangesNothingThatIsKnown(t *testing.T) {
-	f := NewFollower(FollowerOptions{Seeds: []string{"10.0.0.1", "10.0.0.9"}, Self: Member{Node: "p"}, Log: quiet()})
+	f := NewSubscriber(SubscriberOptions{Seeds: []string{"10.0.0.1", "10.0.0.9"}, Self: Member{Node: "p"}, Log: quiet()})
 	f.mu.Lock()
-	f.takeKeepers(wireKeepers(KeeperPlace{"10.0.0.2", "zb", "r"}, KeeperPlace{"10.0.0.9", "zc", "r"}))
+	f.takeKeepers(wireKeepers(ServerLocation{"10.0.0.2", "zb", "r"}, ServerLocation{"10.0.0.9", "zc", "r"}))
 	f.mu.Unlock()
-	f.learnKeepers(wireKeepers(KeeperPlace{"10.0.0.1", "za", "r"}, KeeperPlace{"10.0.0.9", "old", "old"}))
+	f.learnKeepers(wireKeepers(ServerLocation{"10.0.0.1", "za", "r"}, ServerLocation{"10.0.0.9", "old", "old"}))
 	want := map[string]keeperInfo{
 		"10.0.0.1": {address: "10.0.0.1", zone: "za", region: "r", seed: true, view: true},
 		"10.0.0.2": {address: "10.0.0.2", zone: "zb", region: "r", view: true},
--- a/internal/system/distribution/room_test.go
+++ b/internal/system/distribution/room_test.go
@@ -17,7 +17,7 @@
 // bound allows, and others are told to ask again instead; small answers go out all the same.
 func TestAnswersInMemoryAreBounded(t *testing.T) {
 	c := newChain()
-	h := NewHub(HubOptions{Source: &source{chain: c, keepers: []string{"k"}}, Self: "k", Log: quiet(), Limits: HubLimits{AnswerBytes: 1500 << 10}})
+	h := NewServer(ServerOptions{Source: &source{chain: c, keepers: []string{"k"}}, Self: "k", Log: quiet(), Limits: ServerLimits{MaxPendingReplyBytes: 1500 << 10}})
 	c.add(largeConfig(t, 1, 1<<20, rand.NewChaCha8([32]byte{5})))
 	ask := func(node string, held uint64) (*distributionpb.FollowReply, func()) {
 		ctx, release := withLease(t.Context())
@@ -56,7 +56,7 @@
 func TestCallerThatDoesNotReadHoldsUpNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newChain()
-		h := NewHub(HubOptions{Source: &source{chain: c, keepers: []string{"k"}}, Self: "k", Log: quiet()})
+		h := NewServer(ServerOptions{Source: &source{chain: c, keepers: []string{"k"}}, Self: "k", Log: quiet()})
 		c.add(largeConfig(t, 1, 4<<20, rand.NewChaCha8([32]byte{6})))
 		ends := make(chan net.Conn)
 		srv := &http.Server{Handler: h.Handler()}
--- a/internal/system/distribution/share_test.go
+++ b/internal/system/distribution/share_test.go
@@ -10,13 +10,13 @@
 )
 
 // hubNamed is a hub that shares with nobody by itself.
-func hubNamed(name string) *Hub {
-	return NewHub(HubOptions{Source: &source{chain: newChain(), keepers: []string{"a", "b"}}, Self: name, Log: quiet()})
+func hubNamed(name string) *Server {
+	return NewServer(ServerOptions{Source: &source{chain: newChain(), keepers: []string{"a", "b"}}, Self: name, Log: quiet()})
 }
 
 // sharing passes shares from one hub to another by hand.
 type sharing struct {
-	from, to *Hub
+	from, to *Server
 	progress shareProgress
 }
 
@@ -40,7 +40,7 @@
 	return reply
 }
 
-func listAge(h *Hub) time.Duration {
+func listAge(h *Server) time.Duration {
 	_, _, age := h.ListVersion()
 	return age.Round(100 * time.Millisecond)
 }
--- a/internal/system/distribution/start_test.go
+++ b/internal/system/distribution/start_test.go
@@ -54,7 +54,7 @@
 	}
 	var first firstState
 	start := time.Now()
-	fl.startFollower(node, func(o *FollowerOptions) { o.Seeds, o.OnUpdate, o.hooks = seeds, first.note, hooks })
+	fl.startFollower(node, func(o *SubscriberOptions) { o.Seeds, o.OnUpdate, o.hooks = seeds, first.note, hooks })
 	time.Sleep(10 * time.Second)
 	seq, at := first.get()
 	return seq, at.Sub(start)
@@ -99,7 +99,7 @@
 		fl.mesh.setCut("p", "k1:1", true)
 		var first firstState
 		start := time.Now()
-		fl.startFollower("p", func(o *FollowerOptions) { o.Seeds, o.OnUpdate = []string{"old:2", "dead:1"}, first.note })
+		fl.startFollower("p", func(o *SubscriberOptions) { o.Seeds, o.OnUpdate = []string{"old:2", "dead:1"}, first.note })
 		time.Sleep(10 * time.Second)
 		if seq, at := first.get(); seq != 1 || at.Sub(start) > 6*time.Second {
 			t.Errorf("serves change %d after %v", seq, at.Sub(start))
--- a/internal/system/distribution/table.go
+++ b/internal/system/distribution/table.go
@@ -51,7 +51,7 @@
 type item struct {
 	Entry
 	number uint64
-	made   Moments
+	made   TimeBounds
 
 	// What the value says, once it has been asked for; see views.go.
 	read   bool
@@ -86,7 +86,7 @@
 }
 
 // put takes e in if it is after what is held. made is when e was made, which may be later than a clock that was read before.
-func (t *table) put(e Entry, made Moments) bool {
+func (t *table) put(e Entry, made TimeBounds) bool {
 	held := t.items[e.Key]
 	if held != nil && !e.after(held.Entry) {
 		return false
@@ -137,7 +137,7 @@
 // the whole table.
 func (t *table) expire(now time.Time) {
 	for key, it := range t.items {
-		switch age := it.age(now).Most; {
+		switch age := it.age(now).Max; {
 		case it.Deleted && age > tombstoneFor:
 			t.cut = max(t.cut, it.number)
 			t.drop(key)
@@ -160,7 +160,7 @@
 	for i, it := range items {
 		age := it.age(now)
 		out[i] = &distributionpb.Entry{Key: it.Key, Fence: it.Fence, Version: it.Version, Value: it.Value, Deleted: it.Deleted,
-			AgeMs: ceilMillis(age.Most), LeastAgeMs: proto.Uint64(uint64(max(0, age.Least) / time.Millisecond))}
+			AgeMs: ceilMillis(age.Max), LeastAgeMs: proto.Uint64(uint64(max(0, age.Min) / time.Millisecond))}
 	}
 	return out
 }
@@ -173,11 +173,11 @@
 const untoldSpan = 2 * time.Second
 
 func fromWire(e *distributionpb.Entry) (Entry, Age) {
-	age := Age{Most: millis(e.GetAgeMs(), maxAge)}
+	age := Age{Max: millis(e.GetAgeMs(), maxAge)}
 	if e.LeastAgeMs != nil {
-		age.Least = millis(e.GetLeastAgeMs(), maxAge)
+		age.Min = millis(e.GetLeastAgeMs(), maxAge)
 	} else {
-		age.Least = age.Most - untoldSpan
+		age.Min = age.Max - untoldSpan
 	}
 	return Entry{Key: e.GetKey(), Fence: e.GetFence(), Version: e.GetVersion(), Value: e.GetValue(), Deleted: e.GetDeleted()}, age.ordered()
 }
--- a/internal/system/distribution/unit_test.go
+++ b/internal/system/distribution/unit_test.go
@@ -159,8 +159,8 @@
 	})
 }
 
-func newIdleHub() *Hub {
-	return NewHub(HubOptions{Source: &source{chain: newChain(), keepers: []string{"k"}}, Self: "k", Log: quiet()})
+func newIdleHub() *Server {
+	return NewServer(ServerOptions{Source: &source{chain: newChain(), keepers: []string{"k"}}, Self: "k", Log: quiet()})
 }
 
 func TestListWritesOnlyWhatDiffers(t *testing.T) {
@@ -228,7 +228,7 @@
 	}
 	// What forbids ends late and what permits ends early, as far as the age is known. What is least left lacks the margin that
 	// was added to the end, and what was rounded up.
-	got := countDown(told, Age{Least: 300 * time.Millisecond, Most: 500 * time.Millisecond})
+	got := countDown(told, Age{Min: 300 * time.Millisecond, Max: 500 * time.Millisecond})
 	in.Remaining, in.Cold, in.ColdLeast = 1500*time.Millisecond, 2700*time.Millisecond, 2478*time.Millisecond
 	if got != in {
 		t.Errorf("got %+v", got)
@@ -321,7 +321,7 @@
 }
 
 // madeAgo is when something was made that is so old now.
-func madeAgo(age Age) Moments { return age.before(time.Now()) }
+func madeAgo(age Age) TimeBounds { return age.before(time.Now()) }
 
 // exactAge is the age of what is known to be d old.
 func exactAge(d time.Duration) Age { return Age{d, d} }
--- a/internal/system/distribution/values.go
+++ b/internal/system/distribution/values.go
@@ -11,26 +11,26 @@
 
 // Member is a proxy.
 type Member struct {
-	Node         string
-	Incarnation  uint64 // drawn at the start of the process
-	Zone, Region string
-	IP           string // where its inner port is
-	Front        string // host:port that serves clients
-	Ready        bool   // serves clients
-	Leaving      bool   // has been told to stop
-	Down         bool   // silent; the process itself refutes it with its next call if it lives
-	Owner        string // the keeper that it follows
-	Revision     uint64 // rises with each change that the process makes to Ready or Leaving
+	Node          string
+	Incarnation   uint64 // drawn at the start of the process
+	Zone, Region  string
+	IP            string // where its inner port is
+	ClientAddress string // host:port that serves clients
+	Ready         bool   // serves clients
+	Draining      bool   // has been told to stop
+	Down          bool   // silent; the process itself refutes it with its next call if it lives
+	Owner         string // the keeper that it follows
+	Revision      uint64 // rises with each change that the process makes to Ready or Leaving
 }
 
 func (m Member) wire() *distributionpb.Member {
-	return &distributionpb.Member{Node: m.Node, Incarnation: m.Incarnation, Zone: m.Zone, Region: m.Region, Ip: m.IP, Front: m.Front,
-		Ready: m.Ready, Leaving: m.Leaving, Down: m.Down, Owner: m.Owner, Revision: m.Revision}
+	return &distributionpb.Member{Node: m.Node, Incarnation: m.Incarnation, Zone: m.Zone, Region: m.Region, Ip: m.IP, Front: m.ClientAddress,
+		Ready: m.Ready, Leaving: m.Draining, Down: m.Down, Owner: m.Owner, Revision: m.Revision}
 }
 
 func memberOf(m *distributionpb.Member) Member {
 	return Member{Node: m.GetNode(), Incarnation: m.GetIncarnation(), Zone: m.GetZone(), Region: m.GetRegion(), IP: m.GetIp(),
-		Front: m.GetFront(), Ready: m.GetReady(), Leaving: m.GetLeaving(), Down: m.GetDown(), Owner: m.GetOwner(),
+		ClientAddress: m.GetFront(), Ready: m.GetReady(), Draining: m.GetLeaving(), Down: m.GetDown(), Owner: m.GetOwner(),
 		Revision: m.GetRevision()}
 }
 
@@ -77,10 +77,10 @@
 // countDown gives a server with its times as they are, age after they were told. Cold forbids, so it errs late; Remaining
 // permits, so it errs early.
 func countDown(s pick.Server, age Age) pick.Server {
-	s.ColdLeast = max(0, s.Cold-coldMargin-coldGrain-age.Most)
-	s.Cold = max(0, s.Cold-age.Least)
+	s.ColdLeast = max(0, s.Cold-coldMargin-coldGrain-age.Max)
+	s.Cold = max(0, s.Cold-age.Min)
 	if s.Remaining > 0 {
-		s.Remaining = max(time.Millisecond, s.Remaining-age.Most) // 0 would mean that nothing was told
+		s.Remaining = max(time.Millisecond, s.Remaining-age.Max) // 0 would mean that nothing was told
 	}
 	return s
 }
--- a/internal/system/distribution/views.go
+++ b/internal/system/distribution/views.go
@@ -99,5 +99,5 @@
 	if held == nil {
 		return out, 0, false
 	}
-	return out, held.age(now).Most, true
+	return out, held.age(now).Max, true
 }
--- a/internal/system/proxy/pick/flight.go
+++ b/internal/system/proxy/pick/flight.go
@@ -7,7 +7,7 @@
 	fullMost   = 500 * time.Millisecond
 	holderWait = time.Second // a new holder of a cold server waits until others send as its holders, too
 	// successorWait is longer than a proxy that others have given up goes on as a holder: it is Stale 1.6 s after a keeper's
-	// last word (distribution.FreshFor).
+	// last word (distribution.FreshnessTTL).
 	successorWait = 1800 * time.Millisecond
 	brokenMost    = 2 // answers that broke off in a row before a server is doubted
 	failedMost    = 5 // 5xx in a row before it is
--- a/internal/system/replication/capacity.go
+++ b/internal/system/replication/capacity.go
@@ -9,17 +9,17 @@
 
 // Capacity compares the keepers that exist with those that the tolerance needs.
 type Capacity struct {
-	Keepers      int // with a disk, heard from lately
-	Observers    int // without a disk, heard from lately
-	Voters       int // of the present view
-	Silent       int // of those, not heard from lately: they count as part of what may be lost
-	VotersWanted int // so that a majority is left after any loss that is tolerated
-	Links        int // of the present view
-	LinksNeeded  int // fewer acknowledge no change
-	LinksWanted  int // so that the loss of one need not wait for another to catch up
+	Nodes                 int // with a disk, heard from lately
+	Observers             int // without a disk, heard from lately
+	Voters                int // of the present view
+	SilentVoters          int // of those, not heard from lately: they count as part of what may be lost
+	VotersDesired         int // so that a majority is left after any loss that is tolerated
+	ChainReplicas         int // of the present view
+	ChainReplicasRequired int // fewer acknowledge no change
+	ChainReplicasDesired  int // so that the loss of one need not wait for another to catch up
 	// Bears tells whether a majority of the present voters and one of the present links are left, whatever is lost of
 	// what may be lost at once.
-	Bears bool
+	ToleranceMet bool
 	// Remedy says in one line what is missing and what to do, empty when nothing is.
 	Remedy string
 }
@@ -28,13 +28,13 @@
 func (c *Core) Capacity() Capacity {
 	v := c.reg.view
 	out := Capacity{
-		Voters: len(v.Voters), VotersWanted: c.cfg.voters(),
-		Links: len(v.Chain), LinksNeeded: c.cfg.links(), LinksWanted: min(c.cfg.voters(), c.cfg.maxLinks()),
+		Voters: len(v.Voters), VotersDesired: c.cfg.voters(),
+		ChainReplicas: len(v.Chain), ChainReplicasRequired: c.cfg.links(), ChainReplicasDesired: min(c.cfg.voters(), c.cfg.maxLinks()),
 	}
 	if c.cfg.Observer {
 		out.Observers++
 	} else {
-		out.Keepers++
+		out.Nodes++
 	}
 	for id, p := range c.peers {
 		switch {
@@ -42,12 +42,12 @@
 		case p.heartbeat.GetObserver():
 			out.Observers++
 		default:
-			out.Keepers++
+			out.Nodes++
 		}
 	}
 	for _, m := range v.Voters {
 		if !c.alive(m.ID) {
-			out.Silent++
+			out.SilentVoters++
 		}
 	}
 	var links []Member
@@ -56,7 +56,7 @@
 			links = append(links, m)
 		}
 	}
-	out.Bears = v.Epoch > 0 && c.cfg.votersBear(v.Voters) && c.cfg.linksBear(links)
+	out.ToleranceMet = v.Epoch > 0 && c.cfg.votersBear(v.Voters) && c.cfg.linksBear(links)
 	out.Remedy = c.remedy(out, links)
 	return out
 }
@@ -66,13 +66,13 @@
 	switch {
 	case v.Epoch == 0:
 		return "no view has been formed: start a majority of the seeds that have a disk, with bootstrap = true at the first start of all"
-	case have.Bears:
+	case have.ToleranceMet:
 		return ""
-	case have.Voters < have.VotersWanted && have.Keepers <= have.Voters:
+	case have.Voters < have.VotersDesired && have.Nodes <= have.Voters:
 		return fmt.Sprintf("%d keepers with a disk vote and %d are needed: run keepers on %d more machines with a disk, or lower [tolerance]",
-			have.Voters, have.VotersWanted, have.VotersWanted-have.Voters)
-	case have.Voters < have.VotersWanted:
-		return fmt.Sprintf("%d of %d voters: others are being taken in; if this lasts, see whether they reach each other", have.Voters, have.VotersWanted)
+			have.Voters, have.VotersDesired, have.VotersDesired-have.Voters)
+	case have.Voters < have.VotersDesired:
+		return fmt.Sprintf("%d of %d voters: others are being taken in; if this lasts, see whether they reach each other", have.Voters, have.VotersDesired)
 	case !c.cfg.votersBear(v.Voters):
 		return fmt.Sprintf("the worst loss takes %d of %d voters: run keepers with a disk in at least %d zones (and %d regions), or lower [tolerance]",
 			max(c.cfg.MachineLosses, exposed(v.Voters, zoneOf, c.cfg.ZoneLosses), exposed(v.Voters, regionOf, c.cfg.RegionLosses)),
@@ -98,18 +98,18 @@
 	}
 	l.looked = now
 	have := c.Capacity()
-	if have.Bears != l.seen.Bears || have.Remedy != l.seen.Remedy {
+	if have.ToleranceMet != l.seen.ToleranceMet || have.Remedy != l.seen.Remedy {
 		l.since = now
 	}
 	l.seen = have
-	if now-l.since < capacitySteady || have.Bears == l.logged.Bears && have.Remedy == l.logged.Remedy {
+	if now-l.since < capacitySteady || have.ToleranceMet == l.logged.ToleranceMet && have.Remedy == l.logged.Remedy {
 		return
 	}
 	l.logged = have
 	entry := to.WithFields(log.Fields{
-		"voters": have.Voters, "silent": have.Silent, "links": have.Links, "keepers": have.Keepers, "observers": have.Observers,
+		"voters": have.Voters, "silent": have.SilentVoters, "links": have.ChainReplicas, "keepers": have.Nodes, "observers": have.Observers,
 	})
-	if have.Bears {
+	if have.ToleranceMet {
 		entry.Info("replication: the keepers bear the losses that are tolerated")
 		return
 	}
@@ -117,7 +117,7 @@
 }
 
 // Capacity compares the keepers that exist with those that the tolerance needs, as this keeper sees them now.
-func (k *Keeper) Capacity() Capacity {
+func (k *Node) Capacity() Capacity {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.core.Capacity()
--- a/internal/system/replication/core.go
+++ b/internal/system/replication/core.go
@@ -22,10 +22,10 @@
 
 // Outputs is what the core wants done.
 type Outputs struct {
-	Messages []Envelope
-	Disk     *DiskOp // report its end with DiskDone
-	Done     []Completion
-	Notes    []string // for the log
+	Messages    []Envelope
+	Disk        *DiskOp // report its end with DiskDone
+	Completions []Completion
+	LogEvents   []string // for the log
 }
 
 // Core is one keeper's part of the chain and of the agreement. Its times are since the start of the process, from a
@@ -89,9 +89,9 @@
 func NewCore(cfg Config, machine Machine, meta map[string][]byte, snap wal.Snapshot, entries []wal.Entry) (*Core, error) {
 	cfg.defaults()
 	c := &Core{
-		cfg: cfg, machine: machine, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Life)), //nolint:gosec // jitter
-		state: machine.Empty(), wantAt: -1, seedsAt: -1, noHeadSince: -1, heartbeatAt: -cfg.Heartbeat,
-		number: firstNumber(cfg.Life), down: map[ID]*progress{}, peers: map[ID]*peer{}, submits: map[uint64]*submit{},
+		cfg: cfg, machine: machine, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Incarnation)), //nolint:gosec // jitter
+		state: machine.Empty(), wantAt: -1, seedsAt: -1, noHeadSince: -1, heartbeatAt: -cfg.HeartbeatInterval,
+		number: firstNumber(cfg.Incarnation), down: map[ID]*progress{}, peers: map[ID]*peer{}, submits: map[uint64]*submit{},
 		changes: map[changeKey]*pendingChange{}, reads: map[uint64]*read{},
 	}
 	if data, ok := meta[metaRegister]; ok {
@@ -117,7 +117,7 @@
 	c.entered = c.reg.view.Epoch > 0
 	// An active link's log goes beyond where the head's ended when the epoch began.
 	c.readFloor, c.start = c.log.end(), c.log.end()
-	c.graceUntil = cfg.Suspect + cfg.Heartbeat
+	c.graceUntil = cfg.SuspectTimeout + cfg.HeartbeatInterval
 	c.reachedAt = c.graceUntil
 	if !c.ready {
 		c.persist(func() { c.ready = true })
@@ -177,8 +177,8 @@
 // Err tells why the core has stopped taking part: a bug or a disk that lies. It is nil as long as all is well.
 func (c *Core) Err() error { return c.err }
 
-// Since lists the committed records after seq, at most of them; false where they are no longer or not yet known.
-func (c *Core) Since(seq uint64, most int) ([]controlstate.Record, bool) {
+// RecordsAfter lists the committed records after seq, at most of them; false where they are no longer or not yet known.
+func (c *Core) RecordsAfter(seq uint64, most int) ([]controlstate.Record, bool) {
 	if seq < c.log.base || seq > c.committed {
 		return nil, false
 	}
@@ -197,9 +197,9 @@
 	c.settle()
 }
 
-// Left tells whether nobody counts on this keeper any more: it is no link, and enough links that are alive hold what was
+// Departed tells whether nobody counts on this keeper any more: it is no link, and enough links that are alive hold what was
 // acknowledged. The disk of a silent one may be gone.
-func (c *Core) Left() bool {
+func (c *Core) Departed() bool {
 	v := c.reg.view
 	if v.place(c.reg.self.ID) >= 0 {
 		return false
@@ -213,8 +213,8 @@
 	return c.cfg.Observer || v.Epoch == 0 || c.holders(links) >= c.cfg.links()
 }
 
-// Take hands over what is to be done.
-func (c *Core) Take() Outputs {
+// Ready hands over what is to be done.
+func (c *Core) Ready() Outputs {
 	out := c.out
 	c.out = Outputs{}
 	return out
@@ -223,8 +223,8 @@
 // advance moves the core's time on; it never goes back. Ticks come every few tens of milliseconds, so a leap means that the
 // process stood still: what others sent meanwhile has yet to be read, and their silence says nothing.
 func (c *Core) advance(now time.Duration) {
-	if now-c.now > c.cfg.Suspect/2 {
-		c.graceUntil = now + c.cfg.Suspect
+	if now-c.now > c.cfg.SuspectTimeout/2 {
+		c.graceUntil = now + c.cfg.SuspectTimeout
 		c.reachedAt = c.graceUntil
 	}
 	c.now = max(c.now, now)
@@ -340,8 +340,8 @@
 }
 
 func (c *Core) note(s string) {
-	if len(c.out.Notes) < 16 {
-		c.out.Notes = append(c.out.Notes, s)
+	if len(c.out.LogEvents) < 16 {
+		c.out.LogEvents = append(c.out.LogEvents, s)
 	}
 }
 
--- a/internal/system/replication/core_abandon_test.go
+++ b/internal/system/replication/core_abandon_test.go
@@ -14,7 +14,7 @@
 func TestWhatItsCallerGaveUpIsNotSentAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
-		ks := map[string]*Keeper{}
+		ks := map[string]*Node{}
 		for _, a := range f.seeds {
 			ks[a] = f.start(a, true)
 		}
@@ -32,7 +32,7 @@
 			time.Sleep(100 * time.Millisecond)
 			cancel()
 		}()
-		if _, err := k.Submit(ctx, evacuate("a")); !errors.Is(err, ErrUnavailable) || errors.Is(err, ErrNotTaken) {
+		if _, err := k.Submit(ctx, evacuate("a")); !errors.Is(err, ErrUnavailable) || errors.Is(err, ErrNotApplied) {
 			t.Errorf("a change that was given up ended with %v", err)
 		}
 		k.mu.Lock()
--- a/internal/system/replication/core_capacity_test.go
+++ b/internal/system/replication/core_capacity_test.go
@@ -30,7 +30,7 @@
 			cl := sizedCluster(t, members, test.machines, test.zones, 3)
 			cl.run(10 * time.Second)
 			have := cl.nodes[members[0].Addr].core.Capacity()
-			if have.Bears != (test.remedy == "") || !strings.Contains(have.Remedy, test.remedy) || have.Keepers != len(members) {
+			if have.ToleranceMet != (test.remedy == "") || !strings.Contains(have.Remedy, test.remedy) || have.Nodes != len(members) {
 				t.Errorf("%+v", have)
 			}
 		})
@@ -61,7 +61,7 @@
 	if n := len(handler.Entries); n != 1 || handler.Entries[0].Level != log.InfoLevel {
 		t.Fatalf("%d entries: %+v", n, handler.Entries)
 	}
-	if have := first.core.Capacity(); !have.Bears {
+	if have := first.core.Capacity(); !have.ToleranceMet {
 		t.Fatalf("%+v", have)
 	}
 }
--- a/internal/system/replication/core_cluster_test.go
+++ b/internal/system/replication/core_cluster_test.go
@@ -77,7 +77,7 @@
 		cl.nodes[addr] = n
 	}
 	cl.ids++
-	cfg.Life, cfg.Seed = cl.ids, cl.ids
+	cfg.Incarnation, cfg.Seed = cl.ids, cl.ids
 	if cfg.Self.ID == "" {
 		cfg.Self.ID = ID(addr)
 	}
@@ -95,7 +95,7 @@
 // collect takes what a core wants done.
 func (cl *cluster) collect(addr string) {
 	n := cl.nodes[addr]
-	out := n.core.Take()
+	out := n.core.Ready()
 	for _, e := range out.Messages {
 		if cl.filter == nil || cl.filter(addr, e.Addr, e.Msg) {
 			cl.sent = append(cl.sent, e)
@@ -104,7 +104,7 @@
 	if out.Disk != nil {
 		n.pending = append(n.pending, out.Disk)
 	}
-	for _, d := range out.Done {
+	for _, d := range out.Completions {
 		cl.done[d.ID] = d
 	}
 	if err := n.core.Err(); err != nil {
--- a/internal/system/replication/core_disk_test.go
+++ b/internal/system/replication/core_disk_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	self := Member{ID: "a", Addr: "10.0.0.1", Zone: "z", Region: "r"}
-	core, err := NewCore(Config{Self: self, Seeds: []string{self.Addr}, Bootstrap: true, Life: 1, Seed: 1}, machine, meta, snapshot, entries)
+	core, err := NewCore(Config{Self: self, Seeds: []string{self.Addr}, Bootstrap: true, Incarnation: 1, Seed: 1}, machine, meta, snapshot, entries)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,8 +48,8 @@
 		if a.now > end {
 			a.t.Fatalf("%s: not within %v", what, limit)
 		}
-		out := a.core.Take()
-		for _, d := range out.Done {
+		out := a.core.Ready()
+		for _, d := range out.Completions {
 			a.done[d.ID] = d
 		}
 		if out.Disk != nil {
--- a/internal/system/replication/core_keeper_test.go
+++ b/internal/system/replication/core_keeper_test.go
@@ -17,7 +17,7 @@
 func TestAKeeperWithoutADisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
-		var all []*Keeper
+		var all []*Node
 		for _, a := range f.seeds {
 			all = append(all, f.start(a, true))
 		}
--- a/internal/system/replication/core_leave_test.go
+++ b/internal/system/replication/core_leave_test.go
@@ -55,11 +55,11 @@
 			cl.leave(leaver)
 			for range 1000 {
 				cl.step()
-				if cl.nodes[leaver].core.Left() && cl.holders(acked, leaver) < 2 {
+				if cl.nodes[leaver].core.Departed() && cl.holders(acked, leaver) < 2 {
 					t.Fatal("it has left, and what was acknowledged is on a single disk beside its own")
 				}
 			}
-			if cl.nodes[leaver].core.Left() {
+			if cl.nodes[leaver].core.Departed() {
 				t.Fatal("it has left, and nobody could take its place")
 			}
 			// Who comes back hears the others, but it takes long to feed it.
@@ -69,13 +69,13 @@
 			cl.start(away.cfg)
 			for range 600 {
 				cl.step()
-				if cl.nodes[leaver].core.Left() && cl.holders(acked, leaver) < 2 {
+				if cl.nodes[leaver].core.Departed() && cl.holders(acked, leaver) < 2 {
 					t.Fatal("it has left for one that has yet to be fed")
 				}
 			}
 			cl.filter = nil
 			took := cl.until(5*time.Second, "it has left", func() bool {
-				left := cl.nodes[leaver].core.Left()
+				left := cl.nodes[leaver].core.Departed()
 				if left && cl.holders(acked, leaver) < 2 {
 					t.Fatal("it has left, and what was acknowledged is on a single disk beside its own")
 				}
@@ -97,7 +97,7 @@
 	head := cl.link(0)
 	cl.many(head, 3)
 	cl.leave(head)
-	cl.until(3*time.Second, "it has left", func() bool { return cl.nodes[head].core.Left() })
+	cl.until(3*time.Second, "it has left", func() bool { return cl.nodes[head].core.Departed() })
 	if n := cl.holders(3, head); n < 1 {
 		t.Fatalf("%d others hold the changes", n)
 	}
@@ -120,7 +120,7 @@
 	cfg := cl.nodes["b"].cfg
 	cfg.Bootstrap, cfg.Self.ID = false, "b again"
 	cl.start(cfg)
-	cl.until(8*time.Second, "it has left", func() bool { return cl.nodes["a"].core.Left() })
+	cl.until(8*time.Second, "it has left", func() bool { return cl.nodes["a"].core.Departed() })
 	if n := cl.holders(5, "a"); n < 2 {
 		t.Fatalf("%d others hold the changes", n)
 	}
--- a/internal/system/replication/core_losses_test.go
+++ b/internal/system/replication/core_losses_test.go
@@ -73,7 +73,7 @@
 					lost := cl.link(2 * first)
 					if kind == "leaving" {
 						cl.leave(lost)
-						cl.until(2*time.Second, name+": it has left", func() bool { return cl.nodes[lost].core.Left() })
+						cl.until(2*time.Second, name+": it has left", func() bool { return cl.nodes[lost].core.Departed() })
 					}
 					cl.nodes[lost].core = nil
 					returned := false
--- a/internal/system/replication/core_reach_test.go
+++ b/internal/system/replication/core_reach_test.go
@@ -21,7 +21,7 @@
 
 func (cl *cluster) cutOff(addr string) bool {
 	n := cl.nodes[addr]
-	return n.core.CutOff(cl.clock(n))
+	return n.core.Partitioned(cl.clock(n))
 }
 
 // TestCutOff cuts each kind of keeper off, both ways or one. Danger: it is not noticed, or lasts on after the cut, or keepers
--- a/internal/system/replication/disk.go
+++ b/internal/system/replication/disk.go
@@ -261,7 +261,7 @@
 	}
 	done := d.done
 	d.op, d.done = nil, nil
-	slow := c.now-d.since > c.cfg.SlowDisk
+	slow := c.now-d.since > c.cfg.SlowDiskTimeout
 	switch {
 	case errors.Is(err, wal.ErrSuperseded): // no try can succeed any more
 		c.fail(errors.Wrap(err, "replication: this keeper takes no part any more"))
@@ -283,7 +283,7 @@
 // watchDisk notices a write that does not end, and asks for one when the disk may be good again.
 func (c *Core) watchDisk() {
 	d := &c.disk
-	if d.op != nil && c.now-d.since > c.cfg.SlowDisk {
+	if d.op != nil && c.now-d.since > c.cfg.SlowDiskTimeout {
 		d.bad, d.badUntil = true, c.now+diskRetry
 	}
 	if d.bad && d.op == nil && c.now >= d.badUntil {
--- a/internal/system/replication/golden_trace_test.go
+++ b/internal/system/replication/golden_trace_test.go
@@ -74,7 +74,7 @@
 	if out.Disk != nil {
 		g.disk(out.Disk)
 	}
-	for _, d := range out.Done {
+	for _, d := range out.Completions {
 		g.done(d)
 	}
 	g.held(m)
--- a/internal/system/replication/heartbeat.go
+++ b/internal/system/replication/heartbeat.go
@@ -39,7 +39,7 @@
 	c.number++
 	c.sentAt[c.number%sentRing] = c.now
 	b := &replicationpb.Heartbeat{
-		Member: memberPB(c.reg.self), Number: c.number, Life: c.cfg.Life, Epoch: c.epochOn,
+		Member: memberPB(c.reg.self), Number: c.number, Life: c.cfg.Incarnation, Epoch: c.epochOn,
 		Active: c.activeOn, Sealed: c.sealedOn, Committed: c.committed, DiskBad: c.disk.bad, Leaving: c.leaving,
 		Bootstrap: c.cfg.Bootstrap, Stuck: string(c.stuck()), Observer: c.cfg.Observer, Echoes: echoes,
 	}
--- a/internal/system/replication/keeper.go
+++ b/internal/system/replication/keeper.go
@@ -21,8 +21,8 @@
 var (
 	// ErrUnavailable marks what could not be done in time. A change may or may not come about: ask again.
 	ErrUnavailable = errors.New("replication: no answer in time: ask again")
-	// ErrNotTaken marks, beside ErrUnavailable, a change that has not come about and will not.
-	ErrNotTaken = errors.New("replication: not taken: ask again")
+	// ErrNotApplied marks, beside ErrUnavailable, a change that has not come about and will not.
+	ErrNotApplied = errors.New("replication: not taken: ask again")
 	// ErrStopped marks calls after Stop, and of a keeper that had to give up.
 	ErrStopped = errors.New("replication: this keeper has stopped: ask another")
 	// ErrNoDisk is given where a keeper that is no observer is started without a disk.
@@ -40,21 +40,21 @@
 	MachineLosses      int               // disks that may be lost at once
 	ZoneLosses         int               // zones that may be lost at once, all of their keepers with them
 	RegionLosses       int               // regions, likewise
-	Ack                time.Duration     // a change must be acknowledged within it; repair times are derived from it. 0: 5 s
+	AckTimeout         time.Duration     // a change must be acknowledged within it; repair times are derived from it. 0: 5 s
 	Disk               wal.Disk          // used by this keeper alone until Stop has returned; nil for an observer
 	Observer           bool              // the machine has no disk: follows and passes calls on, never a voter nor a link
 	Transport          http.RoundTripper // nil: connections of its own
 	Log                log.Interface     // nil: the standard logger
 }
 
-// Answer is what became of a change.
-type Answer struct {
+// SubmitResult is what became of a change.
+type SubmitResult struct {
 	Verdict controlstate.Verdict
 	Seq     uint64 // the record that the verdict rests on, committed
 }
 
-// Keeper is one member of the chain. Its methods may be called by several goroutines at once.
-type Keeper struct {
+// Node is one member of the chain. Its methods may be called by several goroutines at once.
+type Node struct {
 	began     time.Time
 	opt       Options
 	cancel    context.CancelFunc
@@ -92,7 +92,7 @@
 }
 
 // Start reads the disk and starts the keeper. It ends with ctx or Stop.
-func Start(ctx context.Context, opt Options) (*Keeper, error) {
+func Start(ctx context.Context, opt Options) (*Node, error) {
 	if opt.Observer {
 		opt.Disk = noDisk{} // an identity that has voted before must not be taken up by one that cannot vote
 	}
@@ -103,8 +103,8 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "replication: the disk cannot be read: repair it, or empty the keeper's data directory")
 	}
-	if opt.Ack <= 0 {
-		opt.Ack = 5 * time.Second
+	if opt.AckTimeout <= 0 {
+		opt.AckTimeout = 5 * time.Second
 	}
 	if opt.Log == nil {
 		opt.Log = log.Log
@@ -116,16 +116,16 @@
 	cfg := Config{
 		Self:          Member{ID: ID(hex.EncodeToString(random[:16])), Addr: opt.Addr, Zone: opt.Zone, Region: opt.Region},
 		MachineLosses: opt.MachineLosses, ZoneLosses: opt.ZoneLosses, RegionLosses: opt.RegionLosses, Seeds: opt.Seeds, Bootstrap: opt.Bootstrap, Observer: opt.Observer,
-		Heartbeat: min(100*time.Millisecond, opt.Ack/50), Suspect: min(700*time.Millisecond, opt.Ack*7/50),
-		SlowDisk: min(500*time.Millisecond, opt.Ack/10),
-		Life:     binary.BigEndian.Uint64(random[16:]) | 1, Seed: binary.BigEndian.Uint64(random[:8]),
+		HeartbeatInterval: min(100*time.Millisecond, opt.AckTimeout/50), SuspectTimeout: min(700*time.Millisecond, opt.AckTimeout*7/50),
+		SlowDiskTimeout: min(500*time.Millisecond, opt.AckTimeout/10),
+		Incarnation:     binary.BigEndian.Uint64(random[16:]) | 1, Seed: binary.BigEndian.Uint64(random[:8]),
 	}
 	core, err := NewCore(cfg, controlMachine{}, meta, snap, entries)
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	k := &Keeper{
+	k := &Node{
 		began: time.Now(), opt: opt, cancel: cancel, disk: make(chan *DiskOp, 1), log: opt.Log, core: core,
 		waiters: map[uint64]chan Completion{}, changed: make(chan struct{}), viewed: core.View(),
 	}
@@ -137,10 +137,10 @@
 	return k, nil
 }
 
-func (k *Keeper) now() time.Duration { return time.Since(k.began) }
+func (k *Node) now() time.Duration { return time.Since(k.began) }
 
 // run tells the core the time.
-func (k *Keeper) run(ctx context.Context) {
+func (k *Node) run(ctx context.Context) {
 	t := time.NewTicker(tickEvery)
 	defer t.Stop()
 	k.do(func(c *Core) { c.Tick(k.now()) })
@@ -156,7 +156,7 @@
 }
 
 // write does the core's disk operations.
-func (k *Keeper) write(ctx context.Context) {
+func (k *Node) write(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -169,15 +169,15 @@
 }
 
 // do has the core take an event and carries out what it wants.
-func (k *Keeper) do(f func(*Core)) {
+func (k *Node) do(f func(*Core)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.stopped {
 		return
 	}
 	f(k.core)
-	out := k.core.Take()
-	for _, n := range out.Notes {
+	out := k.core.Ready()
+	for _, n := range out.LogEvents {
 		k.log.Info(n)
 	}
 	for _, e := range out.Messages {
@@ -186,7 +186,7 @@
 	if out.Disk != nil {
 		k.disk <- out.Disk // has room: the core has one operation under way at most
 	}
-	for _, d := range out.Done {
+	for _, d := range out.Completions {
 		if w := k.waiters[d.ID]; w != nil {
 			delete(k.waiters, d.ID)
 			w <- d
@@ -204,7 +204,7 @@
 	}
 }
 
-func (k *Keeper) end() {
+func (k *Node) end() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.stopped = true
@@ -215,20 +215,20 @@
 }
 
 // Stop ends the keeper's goroutines and waits for them, at most as long as a disk write takes.
-func (k *Keeper) Stop() {
+func (k *Node) Stop() {
 	k.cancel()
 	k.wg.Wait()
 }
 
 // Leave tells the others that this keeper is about to stop, and waits until it is out of the chain and enough other links
 // hold what was acknowledged, or until ctx ends. Only then may its disk go.
-func (k *Keeper) Leave(ctx context.Context) {
+func (k *Node) Leave(ctx context.Context) {
 	k.do(func(c *Core) { c.Leave(k.now()) })
 	t := time.NewTicker(tickEvery)
 	defer t.Stop()
 	for {
 		k.mu.Lock()
-		left := k.stopped || k.core.Left()
+		left := k.stopped || k.core.Departed()
 		k.mu.Unlock()
 		if left {
 			return
@@ -242,7 +242,7 @@
 }
 
 // Handler serves what other keepers send. Mount it at PathPrefix on the inner port.
-func (k *Keeper) Handler() http.Handler {
+func (k *Node) Handler() http.Handler {
 	srv := replicationpb.NewReplicationServer(deliverer{k})
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, maxBatch)
@@ -253,7 +253,7 @@
 // PathPrefix is where Handler belongs.
 const PathPrefix = replicationpb.ReplicationPathPrefix
 
-type deliverer struct{ k *Keeper }
+type deliverer struct{ k *Node }
 
 // Deliver takes messages of another keeper.
 func (d deliverer) Deliver(_ context.Context, b *replicationpb.Batch) (*replicationpb.Empty, error) {
@@ -266,13 +266,13 @@
 }
 
 // wait has the core take up something and waits for its completion.
-func (k *Keeper) wait(ctx context.Context, f func(c *Core, id uint64, ttl time.Duration)) (Completion, error) {
-	ttl := k.opt.Ack
+func (k *Node) wait(ctx context.Context, f func(c *Core, id uint64, ttl time.Duration)) (Completion, error) {
+	ttl := k.opt.AckTimeout
 	if d, ok := ctx.Deadline(); ok {
 		ttl = time.Until(d)
 	}
 	if ttl <= 0 || ctx.Err() != nil {
-		return Completion{}, errors.Mark(errors.Mark(errors.New("replication: the deadline has passed: ask again"), ErrNotTaken), ErrUnavailable)
+		return Completion{}, errors.Mark(errors.Mark(errors.New("replication: the deadline has passed: ask again"), ErrNotApplied), ErrUnavailable)
 	}
 	done := make(chan Completion, 1)
 	var id uint64
@@ -302,24 +302,24 @@
 
 // Submit asks for a change and waits until what becomes of it is committed: acknowledged by enough disks. It may be
 // called on any keeper. Without a deadline of ctx it waits for Options.Ack. Errors are marked ErrUnavailable, and
-// ErrNotTaken too when the change is certain not to come about.
-func (k *Keeper) Submit(ctx context.Context, change controlstate.Change) (Answer, error) {
+// ErrNotApplied too when the change is certain not to come about.
+func (k *Node) Submit(ctx context.Context, change controlstate.Change) (SubmitResult, error) {
 	d, err := k.wait(ctx, func(c *Core, id uint64, ttl time.Duration) { c.Submit(k.now(), id, change, ttl) })
 	if err != nil {
-		return Answer{}, err
+		return SubmitResult{}, err
 	}
 	switch d.Outcome {
 	case Answered:
-		return Answer{Verdict: d.Verdict, Seq: d.Seq}, nil
+		return SubmitResult{Verdict: d.Verdict, Seq: d.Seq}, nil
 	case Refused:
-		return Answer{}, errors.Mark(ErrNotTaken, ErrUnavailable)
+		return SubmitResult{}, errors.Mark(ErrNotApplied, ErrUnavailable)
 	}
-	return Answer{}, ErrUnavailable
+	return SubmitResult{}, ErrUnavailable
 }
 
 // Read gives the state after all that was acknowledged before the call, and perhaps later changes. It may be called on
 // any keeper. Errors are marked ErrUnavailable.
-func (k *Keeper) Read(ctx context.Context) (*controlstate.State, error) {
+func (k *Node) Read(ctx context.Context) (*controlstate.State, error) {
 	d, err := k.wait(ctx, func(c *Core, id uint64, ttl time.Duration) { c.Read(k.now(), id, ttl) })
 	if err != nil {
 		return nil, err
@@ -332,7 +332,7 @@
 }
 
 // Committed gives the newest state known here to be committed, and a channel that is closed when there is a newer one.
-func (k *Keeper) Committed() (*controlstate.State, <-chan struct{}) {
+func (k *Node) Committed() (*controlstate.State, <-chan struct{}) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	_, s := k.core.Committed()
@@ -340,30 +340,30 @@
 	return cs.State, k.changed
 }
 
-// Since lists the committed records after seq, at most of them; false where they are no longer or not yet known.
-func (k *Keeper) Since(seq uint64, most int) ([]controlstate.Record, bool) {
+// RecordsAfter lists the committed records after seq, at most of them; false where they are no longer or not yet known.
+func (k *Node) RecordsAfter(seq uint64, most int) ([]controlstate.Record, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.core.Since(seq, most)
+	return k.core.RecordsAfter(seq, most)
 }
 
 // Current tells whether what Committed gives may be passed on as new: within the last 600 ms a majority of voters said
 // that no later epoch is about, and this keeper is a link or fed by one.
-func (k *Keeper) Current() bool {
+func (k *Node) Current() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return !k.stopped && k.core.Current(k.now())
 }
 
-// CutOff tells whether this keeper has had no way to the chain for so long that a change asked for here would not be taken.
-func (k *Keeper) CutOff() bool {
+// Partitioned tells whether this keeper has had no way to the chain for so long that a change asked for here would not be taken.
+func (k *Node) Partitioned() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return !k.stopped && k.core.CutOff(k.now())
+	return !k.stopped && k.core.Partitioned(k.now())
 }
 
 // View gives the newest view known here. Do not change it.
-func (k *Keeper) View() *View {
+func (k *Node) View() *View {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.core.View()
@@ -371,14 +371,14 @@
 
 // Err tells why this keeper has stopped taking part for good; the others go on without it. It is nil as long as all is
 // well.
-func (k *Keeper) Err() error {
+func (k *Node) Err() error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.core.Err()
 }
 
 // Self gives this keeper's identity and place.
-func (k *Keeper) Self() Member {
+func (k *Node) Self() Member {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.core.Self()
--- a/internal/system/replication/keeper_test.go
+++ b/internal/system/replication/keeper_test.go
@@ -99,7 +99,7 @@
 	return f
 }
 
-func (f *fleet) start(addr string, bootstrap bool) *Keeper {
+func (f *fleet) start(addr string, bootstrap bool) *Node {
 	f.t.Helper()
 	if f.disks[addr] == nil {
 		f.disks[addr] = newMemDisk()
@@ -115,7 +115,7 @@
 	return k
 }
 
-func (f *fleet) stop(addr string, k *Keeper) {
+func (f *fleet) stop(addr string, k *Node) {
 	f.net.set(addr, nil)
 	k.Stop()
 }
@@ -127,7 +127,7 @@
 func TestKeepersSubmitReadAndReplaceALostDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
-		ks := map[string]*Keeper{}
+		ks := map[string]*Node{}
 		for _, a := range f.seeds {
 			ks[a] = f.start(a, true)
 		}
--- a/internal/system/replication/observer.go
+++ b/internal/system/replication/observer.go
@@ -28,26 +28,26 @@
 // heartbeatInterval is the time between two heartbeats of this keeper.
 func (c *Core) heartbeatInterval() time.Duration {
 	if c.cfg.Observer {
-		return observerSlowdown * c.cfg.Heartbeat
+		return observerSlowdown * c.cfg.HeartbeatInterval
 	}
-	return c.cfg.Heartbeat
+	return c.cfg.HeartbeatInterval
 }
 
 // suspectAfter is the silence after which p counts as gone. Where either side is an observer, one heartbeat may be lost.
 func (c *Core) suspectAfter(p *peer) time.Duration {
 	if c.cfg.Observer || p.heartbeat.GetObserver() {
-		return c.cfg.Suspect + observerSlowdown*c.cfg.Heartbeat
+		return c.cfg.SuspectTimeout + observerSlowdown*c.cfg.HeartbeatInterval
 	}
-	return c.cfg.Suspect
+	return c.cfg.SuspectTimeout
 }
 
 // currentFor is how old a majority's word may be for this keeper to be current: what it then holds lacks nothing that
 // was acknowledged longer ago. It is below a second with the default times, for observers too.
 func (c *Core) currentFor() time.Duration {
 	if c.cfg.Observer {
-		return c.cfg.Suspect * observerCurrentNum / observerCurrentDen
+		return c.cfg.SuspectTimeout * observerCurrentNum / observerCurrentDen
 	}
-	return c.cfg.Suspect * currentNum / currentDen
+	return c.cfg.SuspectTimeout * currentNum / currentDen
 }
 
 // observerSeeds counts the seeds that have said that they are observers.
--- a/internal/system/replication/reach.go
+++ b/internal/system/replication/reach.go
@@ -6,16 +6,16 @@
 // the default times, after those that it counted on are suspected.
 const cutOffNum, cutOffDen = 5, 7
 
-// CutOff tells whether a change asked for here cannot be taken, as there has been no way to the chain for long. It is for
+// Partitioned tells whether a change asked for here cannot be taken, as there has been no way to the chain for long. It is for
 // callers that should rather ask another keeper at once; Submit and Read do not rest on it.
 //
 // It is false for a keeper that exchanges heartbeats with the head, and a change is sent on only while the head is alive here
 // (see headLife). A lost head is replaced by a majority of the voters, so while a majority is alive here the repair is waited
-// for, however long it takes. What is asked for while CutOff is true can thus be taken only if the way comes back meanwhile.
-func (c *Core) CutOff(now time.Duration) bool {
+// for, however long it takes. What is asked for while Partitioned is true can thus be taken only if the way comes back meanwhile.
+func (c *Core) Partitioned(now time.Duration) bool {
 	c.advance(now)
 	c.watchReach()
-	return c.now-c.reachedAt >= c.cfg.Suspect*cutOffNum/cutOffDen
+	return c.now-c.reachedAt >= c.cfg.SuspectTimeout*cutOffNum/cutOffDen
 }
 
 // watchReach notes when there was last a way to the chain.
--- a/internal/system/replication/read.go
+++ b/internal/system/replication/read.go
@@ -36,7 +36,7 @@
 func (c *Core) Read(now time.Duration, id uint64, ttl time.Duration) {
 	c.advance(now)
 	if len(c.reads) >= maxAsked {
-		c.out.Done = append(c.out.Done, Completion{ID: id, Read: true, Outcome: Refused})
+		c.out.Completions = append(c.out.Completions, Completion{ID: id, Read: true, Outcome: Refused})
 		return
 	}
 	r := &read{id: id, deadline: c.now + ttl, sentAt: -submitResend}
@@ -51,7 +51,7 @@
 	}
 	r.sentAt = c.now
 	c.send(c.reg.view.Tail(), &replicationpb.Message{Body: &replicationpb.Message_ReadIndex{ReadIndex: &replicationpb.ReadIndex{
-		Id: r.id, Life: c.cfg.Life, Epoch: c.reg.view.Epoch,
+		Id: r.id, Life: c.cfg.Incarnation, Epoch: c.reg.view.Epoch,
 	}}})
 }
 
@@ -60,7 +60,7 @@
 		r := c.reads[id]
 		if c.now >= r.deadline {
 			delete(c.reads, id)
-			c.out.Done = append(c.out.Done, Completion{ID: id, Read: true, Outcome: Refused})
+			c.out.Completions = append(c.out.Completions, Completion{ID: id, Read: true, Outcome: Refused})
 			continue
 		}
 		c.tryRead(r)
@@ -112,7 +112,7 @@
 	for _, id := range slices.Sorted(maps.Keys(c.reads)) {
 		if r := c.reads[id]; r.ok && r.at <= c.committed {
 			delete(c.reads, id)
-			c.out.Done = append(c.out.Done, Completion{ID: id, Read: true, Outcome: Answered, Seq: c.committed, State: c.state})
+			c.out.Completions = append(c.out.Completions, Completion{ID: id, Read: true, Outcome: Answered, Seq: c.committed, State: c.state})
 		}
 	}
 }
@@ -155,7 +155,7 @@
 	for _, m := range c.reg.view.Voters {
 		if _, ok := rd.said[m.ID]; !ok && m.ID != c.reg.self.ID {
 			c.send(m.ID, &replicationpb.Message{Body: &replicationpb.Message_Confirm{Confirm: &replicationpb.Confirm{
-				Epoch: rd.epoch, Round: rd.number, Life: c.cfg.Life,
+				Epoch: rd.epoch, Round: rd.number, Life: c.cfg.Incarnation,
 			}}})
 		}
 	}
--- a/internal/system/replication/restart_test.go
+++ b/internal/system/replication/restart_test.go
@@ -21,7 +21,7 @@
 		for _, a := range f.seeds {
 			folders[a] = t.TempDir()
 		}
-		start := func(addr string, bootstrap bool) *Keeper {
+		start := func(addr string, bootstrap bool) *Node {
 			disk, err := wal.Open(folders[addr], wal.Options{})
 			if err != nil {
 				t.Fatal(err)
@@ -37,7 +37,7 @@
 		}
 		zones := []string{"a", "b", "c", "d"}
 		for round, zone := range zones {
-			ks := map[string]*Keeper{}
+			ks := map[string]*Node{}
 			for _, a := range f.seeds {
 				ks[a] = start(a, round == 0)
 			}
--- a/internal/system/replication/restore.go
+++ b/internal/system/replication/restore.go
@@ -19,9 +19,9 @@
 	return encodeImage(s.Seq, 0, controlState{s}) // epoch 0: from before the first view
 }
 
-// StateOnDisk gives the state after all records that a keeper's disk holds. The last of them may never have been
+// RecoverState gives the state after all records that a keeper's disk holds. The last of them may never have been
 // acknowledged.
-func StateOnDisk(snap wal.Snapshot, entries []wal.Entry) (*controlstate.State, error) {
+func RecoverState(snap wal.Snapshot, entries []wal.Entry) (*controlstate.State, error) {
 	c, err := NewCore(Config{}, controlMachine{}, nil, snap, entries)
 	if err != nil {
 		return nil, err
--- a/internal/system/replication/restore_test.go
+++ b/internal/system/replication/restore_test.go
@@ -39,7 +39,7 @@
 type restoredFleet struct {
 	*fleet
 	folders map[string]string
-	ks      map[string]*Keeper
+	ks      map[string]*Node
 }
 
 func (f *restoredFleet) disk(addr string) *wal.Log {
@@ -138,7 +138,7 @@
 				folders[a] = t.TempDir()
 			}
 			synctest.Test(t, func(t *testing.T) {
-				f := &restoredFleet{fleet: newFleet(t, 3), folders: folders, ks: map[string]*Keeper{}}
+				f := &restoredFleet{fleet: newFleet(t, 3), folders: folders, ks: map[string]*Node{}}
 				for i, s := range c.on {
 					if s != nil {
 						f.restore(f.seeds[i], s)
@@ -174,7 +174,7 @@
 		folders[a] = t.TempDir()
 	}
 	synctest.Test(t, func(t *testing.T) {
-		f := &restoredFleet{fleet: newFleet(t, 3), folders: folders, ks: map[string]*Keeper{}}
+		f := &restoredFleet{fleet: newFleet(t, 3), folders: folders, ks: map[string]*Node{}}
 		f.restore(f.seeds[0], restored(t, "old", 700))
 		f.run(f.seeds[1], true)
 		f.run(f.seeds[2], true)
@@ -210,7 +210,7 @@
 		c.Tick(0)
 		c.adopt(view)
 		c.settle()
-		op := c.Take().Disk
+		op := c.Ready().Disk
 		if op == nil {
 			continue
 		}
--- a/internal/system/replication/sim_hardening_leave_test.go
+++ b/internal/system/replication/sim_hardening_leave_test.go
@@ -21,7 +21,7 @@
 	m.drain() // a fault aimed at what it sends may end the process here
 	var look func()
 	look = func() {
-		if m.core == core && m.w.now < until && (m.frozen || !core.Left()) {
+		if m.core == core && m.w.now < until && (m.frozen || !core.Departed()) {
 			m.w.after(20*time.Millisecond, look)
 			return
 		}
@@ -33,7 +33,7 @@
 // checkLeft: who has left goes without anything being lost, since enough others hold all that was acknowledged.
 func (w *world) checkLeft(m *machine) {
 	c := m.core
-	if c == nil || !c.leaving || m.watcher || w.now-w.lostAt < 3*time.Second || !c.Left() || c.reg.view.Epoch == 0 {
+	if c == nil || !c.leaving || m.watcher || w.now-w.lostAt < 3*time.Second || !c.Departed() || c.reg.view.Epoch == 0 {
 		return
 	}
 	holders := 0
@@ -127,12 +127,12 @@
 	for _, id := range v.Chain {
 		c.peers[id] = &peer{member: Member{ID: id}, heartbeat: &replicationpb.Heartbeat{Epoch: 3, Active: 3}}
 	}
-	if !c.Left() {
+	if !c.Departed() {
 		t.Error("two links that are alive hold all, and the leaver does not go")
 	}
 	c.now = 20 * time.Second
 	c.peers["a"].heardAt, c.peers["a"].echoAt = c.now, c.now
-	if c.Left() {
+	if c.Departed() {
 		t.Error("one of two links is silent, and the leaver goes")
 	}
 }
--- a/internal/system/replication/sim_machine_test.go
+++ b/internal/system/replication/sim_machine_test.go
@@ -63,7 +63,7 @@
 	self := m.member
 	self.ID = ID(fmt.Sprintf("%s#%d-%x", self.Addr, m.life, w.rng.Uint32()))
 	core, err := NewCore(Config{
-		Self: self, MachineLosses: w.losses, ZoneLosses: w.zoneLosses, Seeds: m.seeds, Bootstrap: m.boot, Life: life, Seed: uint64(m.name), Observer: m.watcher,
+		Self: self, MachineLosses: w.losses, ZoneLosses: w.zoneLosses, Seeds: m.seeds, Bootstrap: m.boot, Incarnation: life, Seed: uint64(m.name), Observer: m.watcher,
 		hooks: w.hooks, scripted: w.scripted, compactAfter: 20, keepBehind: 5,
 	}, w.machine, clone(m.disk.meta), m.disk.snap, slices.Clone(m.disk.entries))
 	if err != nil {
@@ -186,11 +186,11 @@
 // drain carries out what the core wants.
 func (m *machine) drain() {
 	w, core := m.w, m.core
-	out := core.Take()
+	out := core.Ready()
 	if w.onOutput != nil {
 		w.onOutput(m, &out)
 	}
-	for _, n := range out.Notes {
+	for _, n := range out.LogEvents {
 		w.trace("%v machine %d: %s", w.now, m.name, n)
 	}
 	w.check(m)
@@ -205,7 +205,7 @@
 		}
 		m.write(core, op)
 	}
-	for _, done := range out.Done {
+	for _, done := range out.Completions {
 		if a := m.asked[done.ID]; a != nil {
 			delete(m.asked, done.ID)
 			w.ended(a, done)
--- a/internal/system/replication/sim_network_test.go
+++ b/internal/system/replication/sim_network_test.go
@@ -112,7 +112,7 @@
 		return
 	}
 	core := m.core
-	if formerLife(msg, core.cfg.Life) {
+	if formerLife(msg, core.cfg.Incarnation) {
 		w.stats.formerLife++
 	}
 	w.step("receive "+kind, m, addr)
--- a/internal/system/replication/sim_proxies_test.go
+++ b/internal/system/replication/sim_proxies_test.go
@@ -10,7 +10,7 @@
 	"gradeusher.example/gradeusher/internal/system/distribution"
 )
 
-// The figures of distribution.Follower and Hub, which this file models: see follower_keepers.go and hub_follow.go there.
+// The figures of distribution.Subscriber and Hub, which this file models: see follower_keepers.go and hub_follow.go there.
 // What a hub answers and what a follower makes of it are decided by distribution's own functions.
 const (
 	proxyPrefix = "10.1."
@@ -22,7 +22,7 @@
 	pollRecords = 64 // in one answer
 )
 
-// proxy is a process that follows the keepers, as distribution.Follower does.
+// proxy is a process that follows the keepers, as distribution.Subscriber does.
 type proxy struct {
 	w       *world
 	name    string
@@ -194,12 +194,12 @@
 	if !current {
 		return r
 	}
-	records, known := m.core.Since(p.seq, pollRecords+1)
-	stock := distribution.Stock{Committed: seq, Known: known && len(records) > 0, Records: len(records)}
-	switch distribution.PlanFeed(p.seq, stock, pollRecords) {
-	case distribution.FeedRecords:
+	records, known := m.core.RecordsAfter(p.seq, pollRecords+1)
+	stock := distribution.Availability{Committed: seq, Known: known && len(records) > 0, Records: len(records)}
+	switch distribution.PlanCatchUp(p.seq, stock, pollRecords) {
+	case distribution.CatchUpRecords:
 		r.records = records
-	case distribution.FeedNewSnapshot:
+	case distribution.CatchUpNewSnapshot:
 		r.snapshot, r.snapSeq = state.Encode(), seq
 	}
 	return r
@@ -222,7 +222,7 @@
 		p.known = r.keepers
 	}
 	before := p.seq
-	step := distribution.Position{Seq: p.seq}.Decide(offer)
+	step := distribution.Position{Seq: p.seq}.Plan(offer)
 	if step.Snapshot {
 		s, err := toyMachine{}.Decode(r.snapshot)
 		if err != nil {
@@ -243,10 +243,10 @@
 		p.state, p.seq = s.(*toy), rec.Seq
 	}
 	p.checkHeld(before)
-	if (distribution.Position{Seq: p.seq}).Proves(offer) {
+	if (distribution.Position{Seq: p.seq}).ProvesFreshness(offer) {
 		p.freshAt = max(p.freshAt, checked)
 	}
-	return !offer.Late()
+	return !offer.Expired()
 }
 
 // seek tries the keepers, those that just failed last, until one that is current has answered.
--- a/internal/system/replication/submit.go
+++ b/internal/system/replication/submit.go
@@ -76,7 +76,7 @@
 func (c *Core) Submit(now time.Duration, id uint64, ch controlstate.Change, ttl time.Duration) {
 	c.advance(now)
 	if len(c.submits) >= maxAsked {
-		c.out.Done = append(c.out.Done, Completion{ID: id, Outcome: Refused})
+		c.out.Completions = append(c.out.Completions, Completion{ID: id, Outcome: Refused})
 		return
 	}
 	s := &submit{id: id, change: ch, deadline: c.now + ttl}
@@ -95,7 +95,7 @@
 func (c *Core) headLife() (uint64, bool) {
 	head := c.reg.view.Head()
 	if head == c.reg.self.ID {
-		return c.cfg.Life, c.isHead()
+		return c.cfg.Incarnation, c.isHead()
 	}
 	p := c.peers[head]
 	if p == nil || !c.alive(head) || p.heartbeat.GetEpoch() != c.reg.view.Epoch {
@@ -118,7 +118,7 @@
 	s.sentAt = c.now
 	e := entry{rec: s.change.Record(0)}
 	c.send(s.head, &replicationpb.Message{Body: &replicationpb.Message_Forward{Forward: &replicationpb.Forward{
-		Id: s.key, Life: c.cfg.Life, HeadLife: s.life, Epoch: s.epoch, Change: e.pb(), TtlUs: (s.deadline - c.now).Microseconds(), Heard: c.heardOf(s.head),
+		Id: s.key, Life: c.cfg.Incarnation, HeadLife: s.life, Epoch: s.epoch, Change: e.pb(), TtlUs: (s.deadline - c.now).Microseconds(), Heard: c.heardOf(s.head),
 	}}})
 }
 
@@ -156,11 +156,11 @@
 func (c *Core) finish(s *submit, done Completion) {
 	delete(c.submits, s.id)
 	done.ID = s.id
-	c.out.Done = append(c.out.Done, done)
+	c.out.Completions = append(c.out.Completions, done)
 }
 
 // thisLife tells whether an answer is for a call of this life: another life's calls may have had the same numbers.
-func (c *Core) thisLife(life uint64) bool { return life == c.cfg.Life || c.cfg.hooks.anyLife }
+func (c *Core) thisLife(life uint64) bool { return life == c.cfg.Incarnation || c.cfg.hooks.anyLife }
 
 func (c *Core) onAnswer(m *replicationpb.Answer) {
 	if !c.thisLife(m.GetLife()) {
@@ -172,7 +172,7 @@
 		}
 		switch out := Outcome(m.GetOutcome()); {
 		case out == Refused, out == Unknown && repeatable(s.change):
-			s.sent, s.uncertain, s.again = false, s.uncertain || out == Unknown, c.now+c.cfg.Heartbeat
+			s.sent, s.uncertain, s.again = false, s.uncertain || out == Unknown, c.now+c.cfg.HeartbeatInterval
 		default:
 			c.finish(s, Completion{
 				Outcome: out, Seq: m.GetSeq(), Verdict: controlstate.Verdict{Kind: controlstate.Kind(m.GetKind()), Reason: m.GetReason()},
@@ -190,7 +190,7 @@
 		}
 		return
 	}
-	if m.GetHeadLife() != c.cfg.Life && !c.cfg.hooks.anyHeadLife {
+	if m.GetHeadLife() != c.cfg.Incarnation && !c.cfg.hooks.anyHeadLife {
 		return // it was for a former life: its sender notices
 	}
 	if len(c.changes) >= maxChanges {
--- a/internal/system/replication/types.go
+++ b/internal/system/replication/types.go
@@ -91,18 +91,18 @@
 
 // Config is what a core is made with. Zero times get their defaults.
 type Config struct {
-	Self          Member   // ID is used only when the disk holds none
-	MachineLosses int      // disks that may be lost at once without losing an acknowledged change
-	ZoneLosses    int      // zones that may be lost at once, all of their keepers with them
-	RegionLosses  int      // regions, likewise
-	Seeds         []string // IP addresses of the keepers that form the first view
-	Bootstrap     bool     // may take part in forming the first view
-	Observer      bool     // has no disk: follows and passes calls on, and is never a voter nor a link
-	Heartbeat     time.Duration
-	Suspect       time.Duration // silence after which a keeper counts as gone
-	SlowDisk      time.Duration // longest disk operation of a healthy disk
-	Life          uint64        // differs from start to start
-	Seed          uint64        // of the jitter
+	Self              Member   // ID is used only when the disk holds none
+	MachineLosses     int      // disks that may be lost at once without losing an acknowledged change
+	ZoneLosses        int      // zones that may be lost at once, all of their keepers with them
+	RegionLosses      int      // regions, likewise
+	Seeds             []string // IP addresses of the keepers that form the first view
+	Bootstrap         bool     // may take part in forming the first view
+	Observer          bool     // has no disk: follows and passes calls on, and is never a voter nor a link
+	HeartbeatInterval time.Duration
+	SuspectTimeout    time.Duration // silence after which a keeper counts as gone
+	SlowDiskTimeout   time.Duration // longest disk operation of a healthy disk
+	Incarnation       uint64        // differs from start to start
+	Seed              uint64        // of the jitter
 
 	compactAfter, keepBehind uint64 // records
 	hooks                    hooks
@@ -137,17 +137,17 @@
 }
 
 func (c *Config) defaults() {
-	if c.Heartbeat <= 0 {
-		c.Heartbeat = 100 * time.Millisecond
+	if c.HeartbeatInterval <= 0 {
+		c.HeartbeatInterval = 100 * time.Millisecond
 	}
-	if c.Suspect <= 0 {
-		c.Suspect = 700 * time.Millisecond
+	if c.SuspectTimeout <= 0 {
+		c.SuspectTimeout = 700 * time.Millisecond
 	}
 	if c.compactAfter == 0 {
 		c.compactAfter, c.keepBehind = compactAfter, keepBehind
 	}
-	if c.SlowDisk <= 0 {
-		c.SlowDisk = 500 * time.Millisecond
+	if c.SlowDiskTimeout <= 0 {
+		c.SlowDiskTimeout = 500 * time.Millisecond
 	}
 }
 
--- a/internal/system/staff/restore/restore.go
+++ b/internal/system/staff/restore/restore.go
@@ -68,5 +68,5 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "the log in %s cannot be read: try another keeper's", dataDir)
 	}
-	return replication.StateOnDisk(snapshot, entries)
+	return replication.RecoverState(snapshot, entries)
 }
--- a/internal/system/staff/restore/restore_test.go
+++ b/internal/system/staff/restore/restore_test.go
@@ -52,7 +52,7 @@
 	t       *testing.T
 	net     *network
 	dirs    map[string]string
-	keepers map[string]*replication.Keeper
+	keepers map[string]*replication.Node
 	apis    map[string]http.Handler
 }
 
@@ -60,7 +60,7 @@
 
 func newSystem(t *testing.T, root string) *system {
 	s := &system{t: t, net: &network{hosts: map[string]http.Handler{}}, dirs: map[string]string{},
-		keepers: map[string]*replication.Keeper{}, apis: map[string]http.Handler{}}
+		keepers: map[string]*replication.Node{}, apis: map[string]http.Handler{}}
 	for _, m := range machines {
 		s.dirs[m] = filepath.Join(root, m)
 	}
@@ -68,10 +68,10 @@
 }
 
 // submitter fits a keeper to the operator's API, as cmd/keeper does.
-type submitter struct{ *replication.Keeper }
+type submitter struct{ *replication.Node }
 
 func (s submitter) Submit(ctx context.Context, c controlstate.Change) (controlstate.Verdict, error) {
-	a, err := s.Keeper.Submit(ctx, c)
+	a, err := s.Node.Submit(ctx, c)
 	a.Verdict.Seq = a.Seq
 	return a.Verdict, err
 }
