--- a/internal/system/conf/conf_test.go
+++ b/internal/system/conf/conf_test.go
@@ -69,27 +69,27 @@
 	fmt.Fprintf(&b, "revision %d\n", c.Revision)
 	for _, r := range c.Routes {
 		fmt.Fprintf(&b, "route %s %s %s category=%d timeout=%v aim=%v gap=%v priority=%d tries=%d", r.Name, r.Host, r.Prefix,
-			r.Category, r.Timeout, r.Aim, r.GapAim, r.Priority, r.MaxTries)
+			r.Category, r.Timeout, r.LatencyTarget, r.EventGapTarget, r.Priority, r.MaxTries)
 		if r.Sticky {
 			b.WriteString(" sticky")
 		}
 		if r.Resumable {
 			b.WriteString(" resumable")
 		}
-		if r.Repeatable() {
+		if r.Idempotent() {
 			b.WriteString(" repeatable")
 		}
 		for _, s := range r.Shares {
 			fmt.Fprintf(&b, " %s:%g", s.Service, s.Weight)
 		}
-		if len(r.Homes) > 0 {
-			fmt.Fprintf(&b, " homes=%s", strings.Join(r.Homes, ","))
+		if len(r.HomeRegions) > 0 {
+			fmt.Fprintf(&b, " homes=%s", strings.Join(r.HomeRegions, ","))
 		}
 		b.WriteByte('\n')
 	}
 	for _, name := range c.serviceNames {
 		s := c.Services[name]
-		fmt.Fprintf(&b, "service %s health=%s conns=%d cold=%v at %g/s", s.Name, s.HealthPath, s.MaxConns, s.ColdFor, s.ColdPerSecond)
+		fmt.Fprintf(&b, "service %s health=%s conns=%d cold=%v at %g/s", s.Name, s.HealthPath, s.MaxConns, s.WarmUpTime, s.WarmUpRate)
 		if s.Engine != nil {
 			fmt.Fprintf(&b, " engine=%+v", *s.Engine)
 		}
--- a/internal/system/conf/items.go
+++ b/internal/system/conf/items.go
@@ -128,13 +128,13 @@
 	}
 	r := &Route{
 		Name: name, Host: it.text("hostname", true), Prefix: it.text("path_prefix", true),
-		Timeout:  it.span("timeout_ms", time.Millisecond, -1),
-		GapAim:   it.span("gap_aim_ms", time.Millisecond, 0),
-		Priority: int(it.count("priority", math.MaxInt32)),
-		MaxTries: max(1, int(it.count("max_tries", math.MaxInt32))),
-		Sticky:   it.flag("sticky"), Resumable: it.flag("resumable"),
+		Timeout:        it.span("timeout_ms", time.Millisecond, -1),
+		EventGapTarget: it.span("gap_aim_ms", time.Millisecond, 0),
+		Priority:       int(it.count("priority", math.MaxInt32)),
+		MaxTries:       max(1, int(it.count("max_tries", math.MaxInt32))),
+		Sticky:         it.flag("sticky"), Resumable: it.flag("resumable"),
 	}
-	r.Aim = it.span("target_latency_ms", time.Millisecond, r.Timeout)
+	r.LatencyTarget = it.span("target_latency_ms", time.Millisecond, r.Timeout)
 	switch c := it.text("category", false); c {
 	case "idempotent":
 		r.Category = Idempotent
@@ -229,7 +229,7 @@
 			it.fail("home_regions holds something that is no name: send names in quotes")
 			return
 		}
-		r.Homes = append(r.Homes, it.d.intern(b))
+		r.HomeRegions = append(r.HomeRegions, it.d.intern(b))
 	}
 }
 
@@ -240,9 +240,9 @@
 	}
 	s := &Service{
 		Name: name, HealthPath: it.text("health_path", false),
-		MaxConns:      int(it.count("max_conns", math.MaxInt32)),
-		ColdFor:       it.span("cold_s", time.Second, 0),
-		ColdPerSecond: it.number("cold_per_s", 0),
+		MaxConns:   int(it.count("max_conns", math.MaxInt32)),
+		WarmUpTime: it.span("cold_s", time.Second, 0),
+		WarmUpRate: it.number("cold_per_s", 0),
 	}
 	if e := it.get("engine"); e != nil {
 		if e.Type() != fastjson.TypeObject {
@@ -251,9 +251,9 @@
 		}
 		it.v = e
 		s.Engine = &Engine{
-			Slots:       int(it.count("slots", math.MaxInt32)),
-			CacheTokens: it.count("cache_tokens", 1<<53),
-			Stride:      int(it.count("stride", math.MaxInt32)),
+			Slots:          int(it.count("slots", math.MaxInt32)),
+			CacheTokens:    it.count("cache_tokens", 1<<53),
+			TokensPerEvent: int(it.count("stride", math.MaxInt32)),
 		}
 		if m := it.get("models"); m != nil {
 			if m.Type() != fastjson.TypeArray {
@@ -280,7 +280,7 @@
 	l := Limits{
 		HeaderBytes: it.count("max_header_bytes", 1<<40), BodyBytes: it.count("max_body_bytes", 1<<40),
 		HeaderTimeout: it.span("header_timeout_ms", time.Millisecond, 0),
-		Idle:          it.span("idle_timeout_ms", time.Millisecond, 0),
+		IdleTimeout:   it.span("idle_timeout_ms", time.Millisecond, 0),
 	}
 	if l.HeaderBytes == 0 {
 		l.HeaderBytes = defaultLimits.HeaderBytes
@@ -291,8 +291,8 @@
 	if l.HeaderTimeout == 0 {
 		l.HeaderTimeout = defaultLimits.HeaderTimeout
 	}
-	if l.Idle == 0 {
-		l.Idle = defaultLimits.Idle
+	if l.IdleTimeout == 0 {
+		l.IdleTimeout = defaultLimits.IdleTimeout
 	}
 	return l, it.err
 }
--- a/internal/system/conf/parse.go
+++ b/internal/system/conf/parse.go
@@ -8,7 +8,7 @@
 )
 
 // Limits where the configuration has none.
-var defaultLimits = Limits{HeaderBytes: 16 << 10, BodyBytes: 4 << 20, HeaderTimeout: 3e9, Idle: 15e9}
+var defaultLimits = Limits{HeaderBytes: 16 << 10, BodyBytes: 4 << 20, HeaderTimeout: 3e9, IdleTimeout: 15e9}
 
 // Parse reads and checks a whole configuration. The result keeps raw, which must not be changed afterwards. Fields that
 // it does not know are passed over. Every error is an ErrInvalid.
--- a/internal/system/conf/types.go
+++ b/internal/system/conf/types.go
@@ -25,41 +25,41 @@
 	Name, Host, Prefix string
 	Category           Category
 	Timeout            time.Duration // the longest that the operator wants a request held
-	Aim                time.Duration // an answer (streams: the first event) within it earns its full worth
-	GapAim             time.Duration // streams: the longest pause between events that is in time; 0: not told
+	LatencyTarget      time.Duration // an answer (streams: the first event) within it earns its full worth
+	EventGapTarget     time.Duration // streams: the longest pause between events that is in time; 0: not told
 	Priority           int           // 0 is the highest
 	Shares             []Share       // one at least; in the operator's order
 	MaxTries           int           // servers that one try may be sent to, 1 at least
 	Sticky, Resumable  bool
-	Homes              []string // regions; empty: everywhere
+	HomeRegions        []string // regions; empty: everywhere
 }
 
-// Repeatable tells whether a request of the route may run more than once.
-func (r *Route) Repeatable() bool {
+// Idempotent tells whether a request of the route may run more than once.
+func (r *Route) Idempotent() bool {
 	return r.Category == Idempotent || r.Category == Streaming && r.Resumable
 }
 
 // Engine is what is told of a service's model servers.
 type Engine struct {
-	Slots       int   // requests that run at once
-	CacheTokens int64 // memory of a server, in tokens
-	Stride      int   // tokens in one event of a stream
-	Models      []string
+	Slots          int   // requests that run at once
+	CacheTokens    int64 // memory of a server, in tokens
+	TokensPerEvent int   // tokens in one event of a stream
+	Models         []string
 }
 
 // Service is one entry of services.
 type Service struct {
 	Name, HealthPath string
 	MaxConns         int           // connections that a server accepts from all callers together
-	ColdFor          time.Duration // how long a server started during traffic stays cold
-	ColdPerSecond    float64       // requests a second that a cold server bears; 0: no bound
+	WarmUpTime       time.Duration // how long a server started during traffic stays cold
+	WarmUpRate       float64       // requests a second that a cold server bears; 0: no bound
 	Engine           *Engine       // nil: no model servers
 }
 
 // Limits bound what a client may send, and how long it may take or remain idle.
 type Limits struct {
-	HeaderBytes, BodyBytes int64
-	HeaderTimeout, Idle    time.Duration
+	HeaderBytes, BodyBytes     int64
+	HeaderTimeout, IdleTimeout time.Duration
 }
 
 // Config is a whole configuration, checked. It is never changed once made, so it may be shared between goroutines.
--- a/internal/system/distribution/coldworld_test.go
+++ b/internal/system/distribution/coldworld_test.go
@@ -127,7 +127,7 @@
 	w.mesh.mu.Lock()
 	w.mesh.delay = func(_, _ string) time.Duration { return time.Millisecond + rand.N(50*time.Millisecond) }
 	w.mesh.mu.Unlock()
-	w.config = &conf.Config{Services: map[string]*conf.Service{"a": {Name: "a", ColdPerSecond: coldWorldRate, ColdFor: coldWorldFor}}}
+	w.config = &conf.Config{Services: map[string]*conf.Service{"a": {Name: "a", WarmUpRate: coldWorldRate, WarmUpTime: coldWorldFor}}}
 	w.config.Routes = []*conf.Route{{Host: "h", Prefix: "/", MaxTries: 1, Shares: []conf.Share{{Service: "a", Weight: 1}}}}
 	w.chain.add(controlstate.Record{Op: controlstate.OpNone})
 	for _, zone := range []string{"za", "zb"} {
--- a/internal/system/proxy/call.go
+++ b/internal/system/proxy/call.go
@@ -71,7 +71,7 @@
 	case c.passing:
 		return (c.route.Resumable || c.p.opt.without.resumeRule) && c.lastID != ""
 	}
-	return !offered || c.route.Repeatable() || c.p.opt.without.repeatRule
+	return !offered || c.route.Idempotent() || c.p.opt.without.repeatRule
 }
 
 // choose asks where to send the request next.
@@ -95,7 +95,7 @@
 
 // attempt sends the request to a server, and tells whether the request has come to its end.
 func (c *call) attempt(ch pick.Choice) bool {
-	runsOnce.Check(!c.offered || c.route.Repeatable())
+	runsOnce.Check(!c.offered || c.route.Idempotent())
 	up := c.p.upstream
 	x := &exchange{ctx: c.r.Context(), up: up, pool: up.pool(ch.Server), id: c.id, deadline: c.deadline, sendBy: c.sendBy(ch),
 		bare: c.r.Method == http.MethodHead}
@@ -117,7 +117,7 @@
 	if c.tried = append(c.tried, ch.Server.ID); len(c.tried) > 1 {
 		c.p.counters.Repeats.Add(1)
 	}
-	c.watch(x, max(2*c.route.Aim, c.p.opt.patience))
+	c.watch(x, max(2*c.route.LatencyTarget, c.p.opt.patience))
 	resp, early := (*http.Response)(nil), err != nil
 	if resp, err = x.answer(c.r.Method); err == nil {
 		resp.Close = resp.Close || early // the rest of the request never goes out
--- a/internal/system/proxy/front.go
+++ b/internal/system/proxy/front.go
@@ -62,7 +62,7 @@
 func newFront(p *Proxy) *front {
 	return &front{p: p, most: max((p.opt.FDLimit-reserved)*6/10, 16), conns: map[net.Conn]*clientState{},
 		changed: make(chan struct{}, 1), enough: make(chan struct{}), over: make(chan struct{}),
-		limits: conf.Limits{HeaderTimeout: defaultHeaderTime, Idle: defaultIdle}}
+		limits: conf.Limits{HeaderTimeout: defaultHeaderTime, IdleTimeout: defaultIdle}}
 }
 
 // limit has connections from now on keep to other limits.
@@ -70,12 +70,12 @@
 	if l.HeaderTimeout <= 0 {
 		l.HeaderTimeout = defaultHeaderTime
 	}
-	if l.Idle <= 0 {
-		l.Idle = defaultIdle
+	if l.IdleTimeout <= 0 {
+		l.IdleTimeout = defaultIdle
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.now != nil && (l.HeaderTimeout != f.limits.HeaderTimeout || l.Idle != f.limits.Idle) {
+	if f.now != nil && (l.HeaderTimeout != f.limits.HeaderTimeout || l.IdleTimeout != f.limits.IdleTimeout) {
 		f.now.hand.close()
 		f.now = nil // made anew for the next connection
 	}
@@ -93,7 +93,7 @@
 	g := f.now
 	if g == nil {
 		g = &generation{hand: newHandoff(f.listener.Addr())}
-		g.server = &http.Server{Handler: f.p, ReadHeaderTimeout: f.limits.HeaderTimeout, IdleTimeout: f.limits.Idle,
+		g.server = &http.Server{Handler: f.p, ReadHeaderTimeout: f.limits.HeaderTimeout, IdleTimeout: f.limits.IdleTimeout,
 			MaxHeaderBytes: mostHeader, DisableGeneralOptionsHandler: true, ConnState: f.note, ErrorLog: quietLog,
 			ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 				return context.WithValue(ctx, connKey{}, c)
--- a/internal/system/proxy/front_test.go
+++ b/internal/system/proxy/front_test.go
@@ -112,7 +112,7 @@
 	old.post("id-1", "").read()
 	w := *f.world.Load()
 	config := *w.Config
-	config.Limits.HeaderTimeout, config.Limits.Idle = 50*time.Millisecond, 60*time.Millisecond
+	config.Limits.HeaderTimeout, config.Limits.IdleTimeout = 50*time.Millisecond, 60*time.Millisecond
 	w.Config = &config
 	f.SetWorld(time.Now(), w)
 	slow := f.dial(t)
--- a/internal/system/proxy/helpers_test.go
+++ b/internal/system/proxy/helpers_test.go
@@ -261,11 +261,11 @@
 func startProxy(t *testing.T, servers []*fakeServer, changes ...change) *fixture {
 	t.Helper()
 	route := &conf.Route{Name: "r", Host: "h.example", Prefix: "/a/", Category: conf.NonIdempotent, Timeout: 8 * time.Second,
-		Aim: time.Second, GapAim: 500 * time.Millisecond, Priority: 3, MaxTries: 3,
+		LatencyTarget: time.Second, EventGapTarget: 500 * time.Millisecond, Priority: 3, MaxTries: 3,
 		Shares: []conf.Share{{Service: "s", Weight: 1}}}
 	config := &conf.Config{Revision: 1, Routes: []*conf.Route{route},
 		Services: map[string]*conf.Service{"s": {Name: "s", MaxConns: 100}},
-		Limits:   conf.Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 20, HeaderTimeout: 3 * time.Second, Idle: 15 * time.Second}}
+		Limits:   conf.Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}}
 	o := Options{Log: &log.Logger{Handler: discard.New()}, GraceFor: 2 * time.Second}
 	for _, c := range changes {
 		c(&o, config)
--- a/internal/system/proxy/pause_test.go
+++ b/internal/system/proxy/pause_test.go
@@ -15,7 +15,7 @@
 func pausedPolicy() (*policy, *pick.Request, pick.World) {
 	route := &conf.Route{Host: "h", Prefix: "/", MaxTries: 2, Category: conf.Idempotent, Shares: []conf.Share{{Service: "a", Weight: 1}}}
 	w := pick.World{Self: "p00", Config: &conf.Config{Routes: []*conf.Route{route},
-		Services: map[string]*conf.Service{"a": {Name: "a", ColdPerSecond: 31, ColdFor: 3 * time.Second}}}}
+		Services: map[string]*conf.Service{"a": {Name: "a", WarmUpRate: 31, WarmUpTime: 3 * time.Second}}}}
 	for i := range 12 {
 		w.Peers = append(w.Peers, "p"+string(rune('0'+i/10))+string(rune('0'+i%10)))
 	}
--- a/internal/system/proxy/pick/choose.go
+++ b/internal/system/proxy/pick/choose.go
@@ -26,7 +26,7 @@
 	c := Choice{Priority: min(max(r.Route.Priority, 0), 9)}
 	most := max(r.Route.MaxTries, 1)
 	switch {
-	case offered && !r.Route.Repeatable(),
+	case offered && !r.Route.Idempotent(),
 		r.arrived >= most,
 		len(tried) >= most+unsentTries:
 		c.Verdict = Exhaust
@@ -120,7 +120,7 @@
 		return draining
 	case p.world.Evacuated[s.Zone]:
 		return evacuated
-	case r != nil && len(r.Route.Homes) > 0 && !slices.Contains(r.Route.Homes, s.Region):
+	case r != nil && len(r.Route.HomeRegions) > 0 && !slices.Contains(r.Route.HomeRegions, s.Region):
 		return abroad
 	case len(tried) > 0 && slices.Contains(tried, s.ID):
 		return usedUp
@@ -198,7 +198,7 @@
 // be served at all, and where it would come late by waiting for others: every answer that is late then makes the next
 // ones late, and a client that comes back a little later may be in time.
 func (p *Picker) crowded(r *Request, s *server, at cost) bool {
-	aim := ms(r.Route.Aim)
+	aim := ms(r.Route.LatencyTarget)
 	return at.first > ms(r.Left) || float64(at.load) >= s.group.room*float64(s.slots()) || aim > 0 && at.wait > waitShare*aim
 }
 
--- a/internal/system/proxy/pick/cold.go
+++ b/internal/system/proxy/pick/cold.go
@@ -39,7 +39,7 @@
 	if s.group == nil || s.group.service == nil {
 		return 0
 	}
-	return s.group.service.ColdPerSecond
+	return s.group.service.WarmUpRate
 }
 
 // allHold tells whether every live proxy is a holder of a cold server of that rate.
@@ -70,7 +70,7 @@
 	if service == nil {
 		return false // who becomes a holder once the service is named again waits for the former ones
 	}
-	rate := service.ColdPerSecond
+	rate := service.WarmUpRate
 	if rate <= 0 {
 		return true
 	}
@@ -207,7 +207,7 @@
 // coldFor is how long servers of a service stay cold; 0: they are never cold, as far as is known.
 func (p *Picker) coldFor(service string) time.Duration {
 	if sv := p.service(service); sv != nil {
-		return sv.ColdFor
+		return sv.WarmUpTime
 	}
 	return 0
 }
--- a/internal/system/proxy/pick/coldend_test.go
+++ b/internal/system/proxy/pick/coldend_test.go
@@ -32,7 +32,7 @@
 
 func newColdGroup(early time.Duration) *coldGroup {
 	g := &coldGroup{rng: rand.New(rand.NewPCG(1, 36)), early: early, waiting: map[*Picker][]*wait{}, sent: map[string][]Time{},
-		config: &conf.Config{Services: map[string]*conf.Service{"a": {Name: "a", ColdPerSecond: 31}}}}
+		config: &conf.Config{Services: map[string]*conf.Service{"a": {Name: "a", WarmUpRate: 31}}}}
 	g.config.Routes = []*conf.Route{{Host: "h", Prefix: "/", MaxTries: 1, Shares: []conf.Share{{Service: "a", Weight: 1}}}}
 	for i := range 12 {
 		g.peers = append(g.peers, fmt.Sprintf("p%02d", i))
--- a/internal/system/proxy/pick/coldholders_test.go
+++ b/internal/system/proxy/pick/coldholders_test.go
@@ -16,7 +16,7 @@
 		for proxies := 1; proxies <= 60; proxies++ {
 			t.Run(fmt.Sprint(rate, proxies), func(t *testing.T) {
 				f := newColdFleet(proxies)
-				f.config.Services["a"].ColdPerSecond = rate
+				f.config.Services["a"].WarmUpRate = rate
 				for i, p := range f.pickers {
 					p.SetWorld(0, f.world(i, 1, time.Minute))
 				}
@@ -71,7 +71,7 @@
 		t.Run(fmt.Sprint(proxies), func(t *testing.T) {
 			const bound = 5 * time.Second
 			f := newColdFleet(proxies)
-			free := &conf.Config{Routes: f.config.Routes, Services: map[string]*conf.Service{"a": {Name: "a", ColdFor: coldFor}}}
+			free := &conf.Config{Routes: f.config.Routes, Services: map[string]*conf.Service{"a": {Name: "a", WarmUpTime: coldFor}}}
 			for i, p := range f.pickers {
 				w := f.world(i, 1, time.Minute)
 				w.Config = free
--- a/internal/system/proxy/pick/coldshare_test.go
+++ b/internal/system/proxy/pick/coldshare_test.go
@@ -17,7 +17,7 @@
 }
 
 func newColdFleet(proxies int) *coldFleet {
-	f := &coldFleet{config: &conf.Config{Services: map[string]*conf.Service{"a": {Name: "a", ColdPerSecond: 31, ColdFor: coldFor}}}}
+	f := &coldFleet{config: &conf.Config{Services: map[string]*conf.Service{"a": {Name: "a", WarmUpRate: 31, WarmUpTime: coldFor}}}}
 	f.config.Routes = []*conf.Route{{Host: "h", Prefix: "/", MaxTries: 2, Category: conf.Idempotent, Shares: []conf.Share{{Service: "a", Weight: 1}}}}
 	for i := range proxies {
 		f.names = append(f.names, fmt.Sprintf("p%02d", i))
--- a/internal/system/proxy/pick/conformance_test.go
+++ b/internal/system/proxy/pick/conformance_test.go
@@ -172,15 +172,15 @@
 		}
 		switch f[0] {
 		case "service":
-			w.Config.Services[f[1]] = &conf.Service{Name: f[1], ColdPerSecond: num("cold", 0)}
+			w.Config.Services[f[1]] = &conf.Service{Name: f[1], WarmUpRate: num("cold", 0)}
 		case "route":
 			r := &conf.Route{Name: f[1], Host: "h", Prefix: f[1], MaxTries: int(num("tries", 2)), Priority: int(num("priority", 0)),
-				Timeout: 10 * time.Second, Aim: time.Second, Category: conf.NonIdempotent}
+				Timeout: 10 * time.Second, LatencyTarget: time.Second, Category: conf.NonIdempotent}
 			if opt["repeat"] == "yes" {
 				r.Category = conf.Idempotent
 			}
 			if opt["homes"] != "" {
-				r.Homes = strings.Split(opt["homes"], ",")
+				r.HomeRegions = strings.Split(opt["homes"], ",")
 			}
 			for _, s := range strings.Split(opt["to"], ",") {
 				name, weight, _ := strings.Cut(s, ":")
--- a/internal/system/proxy/pick/home_test.go
+++ b/internal/system/proxy/pick/home_test.go
@@ -22,7 +22,7 @@
 	long, short := f.cfg.Routes[0], f.cfg.Routes[1]
 	if !apart {
 		everywhere := *short
-		everywhere.Homes = nil
+		everywhere.HomeRegions = nil
 		short = &everywhere
 	}
 	now := Time(0)
--- a/internal/system/proxy/pick/invariants.go
+++ b/internal/system/proxy/pick/invariants.go
@@ -40,7 +40,7 @@
 
 // checkSend checks that r may go to s.
 func (p *Picker) checkSend(r *Request, s *server) {
-	home := len(r.Route.Homes) == 0 || slices.Contains(r.Route.Homes, s.Region)
+	home := len(r.Route.HomeRegions) == 0 || slices.Contains(r.Route.HomeRegions, s.Region)
 	sendsAllowed.Check(!s.Draining && !p.world.Evacuated[s.Zone] && home)
 }
 
--- a/internal/system/proxy/pick/kept_test.go
+++ b/internal/system/proxy/pick/kept_test.go
@@ -11,7 +11,7 @@
 // connections have been without use for longer than the servers keep them, or one that could not be reached.
 func TestKeptConnections(t *testing.T) {
 	const told = 10 * time.Second
-	route := &conf.Route{Name: "a", Host: "h", Prefix: "/", Category: conf.Streaming, Timeout: 8 * time.Second, Aim: time.Second, MaxTries: 1,
+	route := &conf.Route{Name: "a", Host: "h", Prefix: "/", Category: conf.Streaming, Timeout: 8 * time.Second, LatencyTarget: time.Second, MaxTries: 1,
 		Shares: []conf.Share{{Service: "lm", Weight: 1}}}
 	p := laneWorld(6)
 	send := func(now Time, outcome Outcome) string {
--- a/internal/system/proxy/pick/lane.go
+++ b/internal/system/proxy/pick/lane.go
@@ -75,7 +75,7 @@
 		g.longAt, g.longSeen = now, true
 	} else {
 		for i, name := range p.names {
-			if i < regionsMost && (len(r.Route.Homes) == 0 || slices.Contains(r.Route.Homes, name)) {
+			if i < regionsMost && (len(r.Route.HomeRegions) == 0 || slices.Contains(r.Route.HomeRegions, name)) {
 				g.shortAt[i], g.shortSeen[i] = now, true
 			}
 		}
@@ -91,7 +91,7 @@
 	room, all := 0, 0
 	for _, s := range g.servers {
 		if s.Draining || s.gone || p.world.Evacuated[s.Zone] || s.outUntil > 0 ||
-			w.long && len(r.Route.Homes) > 0 && !slices.Contains(r.Route.Homes, s.Region) {
+			w.long && len(r.Route.HomeRegions) > 0 && !slices.Contains(r.Route.HomeRegions, s.Region) {
 			continue
 		}
 		all += s.slots()
--- a/internal/system/proxy/pick/property_test.go
+++ b/internal/system/proxy/pick/property_test.go
@@ -14,19 +14,19 @@
 // drawWorld draws a deployment of two services and three zones in two regions.
 func drawWorld(t *rapid.T, age int) World {
 	w := World{Self: "p1", Peers: []string{"p1", "p2", "p3"}, Evacuated: map[string]bool{}, Config: &conf.Config{Services: map[string]*conf.Service{
-		"lm":  {Name: "lm", ColdPerSecond: 30, Engine: &conf.Engine{Slots: 4, CacheTokens: 50000}},
+		"lm":  {Name: "lm", WarmUpRate: 30, Engine: &conf.Engine{Slots: 4, CacheTokens: 50000}},
 		"app": {Name: "app"},
 	}}}
 	if rapid.Bool().Draw(t, "evacuated") {
 		w.Evacuated[rapid.SampledFrom([]string{"z1", "z2", "z3"}).Draw(t, "zone")] = true
 	}
 	for i := range rapid.IntRange(1, 4).Draw(t, "routes") {
-		r := &conf.Route{Name: fmt.Sprint(i), Host: "h", Prefix: fmt.Sprintf("/%d/", i), Timeout: 8 * time.Second, Aim: time.Second,
+		r := &conf.Route{Name: fmt.Sprint(i), Host: "h", Prefix: fmt.Sprintf("/%d/", i), Timeout: 8 * time.Second, LatencyTarget: time.Second,
 			MaxTries: rapid.IntRange(1, 3).Draw(t, "tries"), Category: conf.Category(rapid.IntRange(0, 2).Draw(t, "category")),
 			Resumable: rapid.Bool().Draw(t, "resumable")}
 		r.Shares = []conf.Share{{Service: "lm", Weight: 1}, {Service: "app", Weight: float64(rapid.IntRange(0, 3).Draw(t, "weight"))}}
 		if rapid.Bool().Draw(t, "bound") {
-			r.Homes = []string{rapid.SampledFrom([]string{"r1", "r2"}).Draw(t, "home")}
+			r.HomeRegions = []string{rapid.SampledFrom([]string{"r1", "r2"}).Draw(t, "home")}
 		}
 		w.Config.Routes = append(w.Config.Routes, r)
 	}
@@ -99,7 +99,7 @@
 						t.Fatal("a refusal that does not tell when to come back")
 					}
 					continue
-				case o.offered && !o.r.Route.Repeatable():
+				case o.offered && !o.r.Route.Idempotent():
 					t.Fatal("a request may run twice")
 				case o.arrived >= o.r.Route.MaxTries:
 					t.Fatal("more tries than max_tries")
@@ -114,7 +114,7 @@
 					t.Fatal("draining")
 				case w.Evacuated[s.Zone]:
 					t.Fatal("evacuated")
-				case len(o.r.Route.Homes) > 0 && !slices.Contains(o.r.Route.Homes, testRegions[s.Zone]):
+				case len(o.r.Route.HomeRegions) > 0 && !slices.Contains(o.r.Route.HomeRegions, testRegions[s.Zone]):
 					t.Fatal("abroad")
 				case slices.Contains(o.tried, s.ID):
 					t.Fatal("tried before")
@@ -203,7 +203,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		rate := float64(rapid.IntRange(1, 60).Draw(t, "rate"))
 		n := rapid.IntRange(1, 30).Draw(t, "proxies")
-		cfg := &conf.Config{Services: map[string]*conf.Service{"a": {Name: "a", ColdPerSecond: rate}}}
+		cfg := &conf.Config{Services: map[string]*conf.Service{"a": {Name: "a", WarmUpRate: rate}}}
 		route := &conf.Route{Host: "h", Prefix: "/", MaxTries: 1, Shares: []conf.Share{{Service: "a", Weight: 1}}}
 		cfg.Routes = []*conf.Route{route}
 		name := func(i int) string { return fmt.Sprintf("p%02d", i) }
--- a/internal/system/proxy/pick/sim_test.go
+++ b/internal/system/proxy/pick/sim_test.go
@@ -44,13 +44,13 @@
 		tallies: map[string]*tally{}, things: map[string][][]Part{}, reads: map[uint64]int{}, weights: map[shareSpec][]float64{}, ownID: 1 << 32,
 		idle: map[[2]string][]Time{}}
 	f.cfg = &conf.Config{Services: map[string]*conf.Service{
-		"lm":     {Name: "lm", ColdPerSecond: 31, Engine: &conf.Engine{Slots: sc.slots, CacheTokens: sc.spec.memory, Stride: sc.spec.stride}},
+		"lm":     {Name: "lm", WarmUpRate: 31, Engine: &conf.Engine{Slots: sc.slots, CacheTokens: sc.spec.memory, TokensPerEvent: sc.spec.stride}},
 		"thumbs": {Name: "thumbs"},
 	}}
 	for i := range sc.kinds {
 		k := &sc.kinds[i]
-		r := &conf.Route{Name: k.name, Host: k.name, Prefix: "/", Category: conf.Streaming, Timeout: k.deadline, Aim: k.aim,
-			GapAim: k.pause, Priority: k.priority, MaxTries: 2, Resumable: k.resume, Homes: k.homes, Shares: []conf.Share{{Service: "lm", Weight: 1}}}
+		r := &conf.Route{Name: k.name, Host: k.name, Prefix: "/", Category: conf.Streaming, Timeout: k.deadline, LatencyTarget: k.aim,
+			EventGapTarget: k.pause, Priority: k.priority, MaxTries: 2, Resumable: k.resume, HomeRegions: k.homes, Shares: []conf.Share{{Service: "lm", Weight: 1}}}
 		if k.plain {
 			r.Category, r.Shares = conf.Idempotent, []conf.Share{{Service: "thumbs", Weight: 1}}
 		}
--- a/internal/system/proxy/pick/weigh.go
+++ b/internal/system/proxy/pick/weigh.go
@@ -76,7 +76,7 @@
 	var first, second uint64
 	for _, s := range g.servers {
 		if s.Draining || s.gone || p.world.Evacuated[s.Zone] || s.outUntil > 0 || s.cold(now) || !w.suits(s) ||
-			len(r.Route.Homes) > 0 && !slices.Contains(r.Route.Homes, s.Region) {
+			len(r.Route.HomeRegions) > 0 && !slices.Contains(r.Route.HomeRegions, s.Region) {
 			continue
 		}
 		switch h := mix(key ^ s.hash); {
--- a/internal/system/proxy/relay.go
+++ b/internal/system/proxy/relay.go
@@ -197,7 +197,7 @@
 		}
 		if first {
 			first = false
-			c.watch(x, max(2*c.route.GapAim, c.p.opt.gap))
+			c.watch(x, max(2*c.route.EventGapTarget, c.p.opt.gap))
 		}
 	}
 }
--- a/internal/system/proxy/silence_test.go
+++ b/internal/system/proxy/silence_test.go
@@ -27,7 +27,7 @@
 
 func newPiped(changes []change, servers ...deed) *piped {
 	route := &conf.Route{Name: "r", Host: "h.example", Prefix: "/a/", Category: conf.NonIdempotent, Timeout: 8 * time.Second,
-		Aim: 800 * time.Millisecond, GapAim: 600 * time.Millisecond, MaxTries: 3}
+		LatencyTarget: 800 * time.Millisecond, EventGapTarget: 600 * time.Millisecond, MaxTries: 3}
 	config := &conf.Config{Routes: []*conf.Route{route}, Services: map[string]*conf.Service{"s": {Name: "s", MaxConns: 100}}}
 	o := Options{}
 	for _, c := range changes {
