--- a/cmd/proxy/run.go
+++ b/cmd/proxy/run.go
@@ -177,7 +177,7 @@
 func zoneChanges(u distribution.Update) map[string]uint64 {
 	changes := map[string]uint64{}
 	for _, s := range u.Servers {
-		changes[s.Zone] = u.State.ZoneChanged(s.Zone)
+		changes[s.Zone] = u.State.ZoneChangeSeq(s.Zone)
 	}
 	return changes
 }
--- a/cmd/proxy/update_test.go
+++ b/cmd/proxy/update_test.go
@@ -59,7 +59,7 @@
 // neither what it held before nor what it holds now names the zone, though its servers may just have turned cold.
 func TestEvacuationBetweenUpdates(t *testing.T) {
 	p := newTestServer(t)
-	before := applied(t, controlstate.Empty().Forgetful(), controlstate.Change{Op: controlstate.OpReplace, Body: []byte(configuration)})
+	before := applied(t, controlstate.Empty().WithoutHistory(), controlstate.Change{Op: controlstate.OpReplace, Body: []byte(configuration)})
 	after := applied(t, before, controlstate.Change{Op: controlstate.OpEvacuate, Zone: "z"}, controlstate.Change{Op: controlstate.OpReadmit, Zone: "z"})
 	u := distribution.Update{State: before, HasList: true, ListAge: 100 * time.Millisecond, Fresh: true, AsOf: time.Now(),
 		Members: []distribution.Member{{Node: "p0"}},
@@ -94,7 +94,7 @@
 // snapshot is the state as keepers send it to proxies.
 func snapshot(t *testing.T, s *controlstate.State) *controlstate.State {
 	t.Helper()
-	got, err := controlstate.Decode(s.Forgetful().Encode())
+	got, err := controlstate.Decode(s.WithoutHistory().Encode())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/compat/keeperdata_test.go
+++ b/internal/compat/keeperdata_test.go
@@ -186,7 +186,7 @@
 	}
 	holds(t, s, 4, 7, 1, "zb")
 	for zone, changed := range map[string]uint64{"za": 4, "zb": 3, "zc": 0} {
-		if got := s.ZoneChanged(zone); got != changed {
+		if got := s.ZoneChangeSeq(zone); got != changed {
 			t.Errorf("zone %s was changed by record %d, want %d", zone, got, changed)
 		}
 	}
--- a/internal/system/control/body_test.go
+++ b/internal/system/control/body_test.go
@@ -24,7 +24,7 @@
 	go func() { m.all.Wait(); close(met) }()
 	select {
 	case <-met:
-		return controlstate.Verdict{Kind: controlstate.Accept}, nil
+		return controlstate.Verdict{Kind: controlstate.Accepted}, nil
 	case <-ctx.Done():
 		return controlstate.Verdict{}, ctx.Err()
 	}
--- a/internal/system/control/control.go
+++ b/internal/system/control/control.go
@@ -151,7 +151,7 @@
 		return
 	}
 	switch v.Kind {
-	case controlstate.Accept, controlstate.Already:
+	case controlstate.Accepted, controlstate.AlreadyApplied:
 		if a.o.Delivered != nil {
 			ctx, cancel := context.WithTimeout(r.Context(), min(deliveryWait, a.o.AckTimeout/8, time.Until(o.answerBy)))
 			a.o.Delivered(ctx, v.Seq)
--- a/internal/system/control/control_test.go
+++ b/internal/system/control/control_test.go
@@ -75,10 +75,10 @@
 		answer         string // empty: a JSON object with an error
 		change         *controlstate.Change
 	}{
-		"replaced": {"POST", "/Config.Replace", base, controlstate.Verdict{Kind: controlstate.Accept, Seq: 4}, nil, 200, `{"revision":7}`,
+		"replaced": {"POST", "/Config.Replace", base, controlstate.Verdict{Kind: controlstate.Accepted, Seq: 4}, nil, 200, `{"revision":7}`,
 			&controlstate.Change{Op: controlstate.OpReplace, Base: 5, Body: []byte(body)}},
-		"sent again": {"POST", "/Config.Replace", base, controlstate.Verdict{Kind: controlstate.Already, Seq: 4}, nil, 200, `{"revision":7}`, nil},
-		"amended": {"POST", "/Config.Amend", base, controlstate.Verdict{Kind: controlstate.Accept, Seq: 4}, nil, 200, `{"revision":7}`,
+		"sent again": {"POST", "/Config.Replace", base, controlstate.Verdict{Kind: controlstate.AlreadyApplied, Seq: 4}, nil, 200, `{"revision":7}`, nil},
+		"amended": {"POST", "/Config.Amend", base, controlstate.Verdict{Kind: controlstate.Accepted, Seq: 4}, nil, 200, `{"revision":7}`,
 			&controlstate.Change{Op: controlstate.OpAmend, Base: 5, Body: []byte(body)}},
 		"stale": {"POST", "/Config.Amend", base, controlstate.Verdict{Kind: controlstate.Stale, Reason: "another"}, nil, 412,
 			`{"error":"another","revision":5}`, nil},
@@ -97,10 +97,10 @@
 		"base is no number": {"POST", "/Config.Replace", []string{"X-Base-Version", "v5"}, controlstate.Verdict{}, nil, 400, "", nil},
 		"base below 0":      {"POST", "/Config.Replace", []string{"X-Base-Version", "-5"}, controlstate.Verdict{}, nil, 400, "", nil},
 		"two bases":         {"POST", "/Config.Replace", []string{"X-Base-Version", "5", "X-Base-Version", "6"}, controlstate.Verdict{}, nil, 400, "", nil},
-		"evacuated": {"POST", "/Evacuation.Start/fukuoka-a", nil, controlstate.Verdict{Kind: controlstate.Accept, Seq: 4}, nil, 200, `{}`,
+		"evacuated": {"POST", "/Evacuation.Start/fukuoka-a", nil, controlstate.Verdict{Kind: controlstate.Accepted, Seq: 4}, nil, 200, `{}`,
 			&controlstate.Change{Op: controlstate.OpEvacuate, Base: 3, Zone: "fukuoka-a"}},
-		"evacuated before": {"POST", "/Evacuation.Start/fukuoka-a", nil, controlstate.Verdict{Kind: controlstate.Already, Seq: 4}, nil, 200, `{}`, nil},
-		"readmitted": {"POST", "/Evacuation.Finish/fukuoka-a", nil, controlstate.Verdict{Kind: controlstate.Accept, Seq: 4}, nil, 200, `{}`,
+		"evacuated before": {"POST", "/Evacuation.Start/fukuoka-a", nil, controlstate.Verdict{Kind: controlstate.AlreadyApplied, Seq: 4}, nil, 200, `{}`, nil},
+		"readmitted": {"POST", "/Evacuation.Finish/fukuoka-a", nil, controlstate.Verdict{Kind: controlstate.Accepted, Seq: 4}, nil, 200, `{}`,
 			&controlstate.Change{Op: controlstate.OpReadmit, Base: 3, Zone: "fukuoka-a"}},
 		"no zone":            {"POST", "/Evacuation.Start/", nil, controlstate.Verdict{}, nil, 404, "", nil},
 		"long zone":          {"POST", "/Evacuation.Start/" + strings.Repeat("z", 200), nil, controlstate.Verdict{}, nil, 400, "", nil},
@@ -159,7 +159,7 @@
 }
 
 func TestBodyTooLarge(t *testing.T) {
-	h := Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accept}}, Log: quiet()})
+	h := Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted}}, Log: quiet()})
 	for name, length := range map[string]int64{"with a length": maxBody + 1, "in chunks": -1} {
 		r := httptest.NewRequest("POST", "/Config.Replace", io.LimitReader(zeros{}, maxBody+1))
 		r.ContentLength = length
@@ -180,7 +180,7 @@
 }
 
 func TestBodyCutShort(t *testing.T) {
-	chain := &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accept}}
+	chain := &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted}}
 	r := httptest.NewRequest("POST", "/Config.Replace", strings.NewReader("{"))
 	r.ContentLength = 10
 	r.Header.Set("X-Base-Version", "0")
@@ -273,7 +273,7 @@
 func TestDeliveryIsBounded(t *testing.T) {
 	for ack, want := range map[time.Duration]time.Duration{0: 300 * time.Millisecond, time.Second: 125 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
-			h := Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accept, Seq: 9}}, AckTimeout: ack, Log: quiet(),
+			h := Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted, Seq: 9}}, AckTimeout: ack, Log: quiet(),
 				Delivered: func(ctx context.Context, _ uint64) { <-ctx.Done() }})
 			start := time.Now()
 			w := call(h, "POST", "/Evacuation.Start/a", "")
@@ -287,7 +287,7 @@
 // Over a real connection: an answer before the whole body is read, and HEAD without a body.
 func TestOverLoopback(t *testing.T) {
 	state := &controlstate.State{Config: &conf.Config{Revision: 5, Raw: []byte(`{"revision":5}`)}}
-	s := httptest.NewServer(Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accept}, state: state}, Log: quiet()}))
+	s := httptest.NewServer(Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted}, state: state}, Log: quiet()}))
 	defer s.Close()
 	r, err := http.NewRequest("POST", s.URL+"/Config.Replace", strings.NewReader(`{"revision":9}`))
 	if err != nil {
--- a/internal/system/control/evacuation_test.go
+++ b/internal/system/control/evacuation_test.go
@@ -34,7 +34,7 @@
 func stateAt(seq uint64) *controlstate.State { return &controlstate.State{Seq: seq} }
 
 func accepted(controlstate.Change) controlstate.Verdict {
-	return controlstate.Verdict{Kind: controlstate.Accept, Seq: 1}
+	return controlstate.Verdict{Kind: controlstate.Accepted, Seq: 1}
 }
 
 // The fence is what was known as the call came, not what a majority told later, and a superseded order gets no newer one.
--- a/internal/system/control/model_chain_test.go
+++ b/internal/system/control/model_chain_test.go
@@ -108,11 +108,11 @@
 	}
 	inForce := isZone && w.state.Evacuated[c.Zone] == (c.Op == controlstate.OpEvacuate)
 	if w.hooks.silentInForce && inForce {
-		return controlstate.Verdict{Kind: controlstate.Already, Seq: w.state.Seq}
+		return controlstate.Verdict{Kind: controlstate.AlreadyApplied, Seq: w.state.Seq}
 	}
 	judge := w.state
 	if w.hooks.forgetAndRefuse {
-		judge = judge.Forgetful()
+		judge = judge.WithoutHistory()
 	}
 	v := judge.Check(c)
 	if w.hooks.forgetAndRefuse && v.Kind == controlstate.Uncertain {
@@ -121,10 +121,10 @@
 	if v.Kind == controlstate.Superseded {
 		w.counts["superseded"]++
 	}
-	if v.Kind == controlstate.Already && !isZone {
+	if v.Kind == controlstate.AlreadyApplied && !isZone {
 		w.counts["confirmed again"]++
 	}
-	if v.Kind != controlstate.Accept {
+	if v.Kind != controlstate.Accepted {
 		return v
 	}
 	next, err := w.state.Apply(c.Record(v.Seq))
--- a/internal/system/control/wire_test.go
+++ b/internal/system/control/wire_test.go
@@ -32,7 +32,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.got = append(c.got, change)
-	return controlstate.Verdict{Kind: controlstate.Accept, Seq: uint64(len(c.got))}, nil
+	return controlstate.Verdict{Kind: controlstate.Accepted, Seq: uint64(len(c.got))}, nil
 }
 
 func (c *wire) Read(context.Context) (*controlstate.State, error) {
--- a/internal/system/controlstate/history.go
+++ b/internal/system/controlstate/history.go
@@ -90,7 +90,7 @@
 // judgeOld gives the verdict on a change that does not build on the current version.
 func (s *State) judgeOld(c Change, sum digest, rests uint64) Verdict {
 	if entry := s.history.on(c.Base); entry != nil && s.history.made(entry, c, sum) {
-		return Verdict{Kind: Already, Seq: entry.Seq, Reason: "this very change has been applied"}
+		return Verdict{Kind: AlreadyApplied, Seq: entry.Seq, Reason: "this very change has been applied"}
 	}
 	if c.Base >= 0 && c.Base < s.history.base {
 		return Verdict{Kind: Uncertain, Seq: rests, Reason: errors.Newf("builds on version %d, and what was applied on versions "+
--- a/internal/system/controlstate/history_test.go
+++ b/internal/system/controlstate/history_test.go
@@ -45,7 +45,7 @@
 	s, all := manyChanges(t, MaxHistory+forgotten)
 	for what, s := range map[string]*State{"as it is": s, "after a snapshot": decoded(t, s)} {
 		for i, c := range all {
-			want, seq := Already, uint64(i+1)
+			want, seq := AlreadyApplied, uint64(i+1)
 			if i < forgotten {
 				want, seq = Uncertain, uint64(len(all))
 			}
@@ -54,7 +54,7 @@
 			}
 			other := c
 			other.Body = append([]byte(" "), c.Body...)
-			if want == Already {
+			if want == AlreadyApplied {
 				want = Stale
 			}
 			if v := s.Check(other); v.Kind != want || v.Reason == "" {
@@ -109,7 +109,7 @@
 	if most := 18*MaxHistory + 64; added > most {
 		t.Errorf("%d bytes beside the configuration, want %d at most", added, most)
 	}
-	if added := len(s.Forgetful().Encode()) - len(s.Config.Raw); added > 64 {
+	if added := len(s.WithoutHistory().Encode()) - len(s.Config.Raw); added > 64 {
 		t.Errorf("%d bytes beside the configuration of a state without memory", added)
 	}
 }
@@ -118,7 +118,7 @@
 func TestForgetful(t *testing.T) {
 	whole, all := manyChanges(t, 20)
 	whole = accept(t, whole, Change{Op: OpEvacuate, Base: int64(whole.Seq), Zone: "z"})
-	lean := decoded(t, whole.Forgetful())
+	lean := decoded(t, whole.WithoutHistory())
 	for _, c := range all {
 		if v := lean.Check(c); v.Kind != Uncertain {
 			t.Fatalf("%+v", v)
@@ -139,11 +139,11 @@
 		}
 		lean = next
 	}
-	if string(lean.Encode()) != string(whole.Forgetful().Encode()) || len(lean.history.changes) > 0 {
+	if string(lean.Encode()) != string(whole.WithoutHistory().Encode()) || len(lean.history.changes) > 0 {
 		t.Error("it differs from the other, or remembers changes of the configuration")
 	}
 	for zone, want := range map[string]uint64{"z": 24, "y": 25, "x": 0} {
-		if a, b := lean.ZoneChanged(zone), whole.ZoneChanged(zone); a != want || b != want {
+		if a, b := lean.ZoneChangeSeq(zone), whole.ZoneChangeSeq(zone); a != want || b != want {
 			t.Errorf("zone %s changed last by record %d, and %d without memory; want %d", zone, b, a, want)
 		}
 	}
@@ -183,7 +183,7 @@
 		old = accept(t, old, next)
 		old = accept(t, decoded(t, old), Change{Op: OpReplace, Base: 10_000, Body: body(10_001, "")})
 		for i, c := range append(slices.Clone(all), next) {
-			want := Already
+			want := AlreadyApplied
 			if count >= 256 && i < count-255 {
 				want = Uncertain
 			}
@@ -191,7 +191,7 @@
 				t.Fatalf("%d changes: change %d: %+v", count, i, v)
 			}
 			c.Body = append([]byte(" "), c.Body...)
-			if v := old.Check(c); v.Kind == Already || v.Kind == Accept {
+			if v := old.Check(c); v.Kind == AlreadyApplied || v.Kind == Accepted {
 				t.Fatalf("%d changes: another on the version of change %d: %+v", count, i, v)
 			}
 		}
--- a/internal/system/controlstate/state.go
+++ b/internal/system/controlstate/state.go
@@ -55,10 +55,10 @@
 
 // The kinds of verdicts. Their numbers are on the wire between keepers: never reuse one.
 const (
-	Accept  Kind = iota // may be applied
-	Already             // the very same change was applied before, or the evacuation is in force
-	Stale               // builds on another version than the current one
-	Invalid             // can never be taken as it is
+	Accepted       Kind = iota // may be applied
+	AlreadyApplied             // the very same change was applied before, or the evacuation is in force
+	Stale                      // builds on another version than the current one
+	Invalid                    // can never be taken as it is
 	// Uncertain gives no clear answer: the change builds on a version so old that it cannot be told whether it was applied, or
 	// there is no room for it now.
 	Uncertain
@@ -77,8 +77,8 @@
 
 // Kinds of errors of Apply and Decode.
 var (
-	// ErrOrder: the record is not the next one. Send those between, or a snapshot.
-	ErrOrder = errors.New("record out of order")
+	// ErrOutOfOrder: the record is not the next one. Send those between, or a snapshot.
+	ErrOutOfOrder = errors.New("record out of order")
 	// ErrRefused: the record does not fit the state, so it cannot have been checked on this state.
 	ErrRefused = errors.New("record refused")
 	// ErrCorrupt: bytes that are no whole encoding. Fetch them again.
@@ -122,7 +122,7 @@
 	case OpEvacuate, OpReadmit:
 		return s.checkZone(c)
 	case OpNone:
-		return Verdict{Kind: Accept, Seq: s.Seq + 1}
+		return Verdict{Kind: Accepted, Seq: s.Seq + 1}
 	}
 	return Verdict{Kind: Invalid, Reason: "unknown operation: send one of this version"}
 }
@@ -141,7 +141,7 @@
 		return Verdict{Kind: Invalid, Seq: rests, Reason: err.Error()}
 	}
 	s.parsed.Store(&parsed{digest: sum, config: config})
-	return Verdict{Kind: Accept, Seq: s.Seq + 1}
+	return Verdict{Kind: Accepted, Seq: s.Seq + 1}
 }
 
 // next returns the configuration that c makes of the current one.
@@ -161,10 +161,10 @@
 }
 
 // Apply returns the state after r, which must be numbered Seq+1 and have been accepted by Check on this state. Errors are
-// ErrOrder or ErrRefused. The result may share r.Body, which must not be changed afterwards.
+// ErrOutOfOrder or ErrRefused. The result may share r.Body, which must not be changed afterwards.
 func (s *State) Apply(r Record) (*State, error) {
 	if r.Seq != s.Seq+1 {
-		return nil, errors.Mark(errors.Newf("record %d follows %d: send record %d", r.Seq, s.Seq, s.Seq+1), ErrOrder)
+		return nil, errors.Mark(errors.Newf("record %d follows %d: send record %d", r.Seq, s.Seq, s.Seq+1), ErrOutOfOrder)
 	}
 	next := &State{Seq: r.Seq, Config: s.Config, Evacuated: s.Evacuated, history: s.history, zones: s.zones}
 	var err error
@@ -207,16 +207,16 @@
 	return nil
 }
 
-// Forgetful returns the state without its memory of the configuration's changes, for those who only follow: it and those that
+// WithoutHistory returns the state without its memory of the configuration's changes, for those who only follow: it and those that
 // Apply makes of it hold the same configuration and zones, are smaller, and never tell that a configuration was applied before.
-func (s *State) Forgetful() *State {
+func (s *State) WithoutHistory() *State {
 	return &State{Seq: s.Seq, Config: s.Config, Evacuated: s.Evacuated,
 		history: history{forgetful: true, base: s.Revision()}, zones: s.zones}
 }
 
-// ZoneChanged returns the number of the record that last evacuated a zone or took it back, or a later one where that is not
+// ZoneChangeSeq returns the number of the record that last evacuated a zone or took it back, or a later one where that is not
 // remembered; 0: none did.
-func (s *State) ZoneChanged(zone string) uint64 { return s.zones.changed(zone) }
+func (s *State) ZoneChangeSeq(zone string) uint64 { return s.zones.changed(zone) }
 
 func refused(r Record, why string) error {
 	return errors.Mark(errors.Newf("record %d cannot be applied: %s; take a snapshot from another keeper", r.Seq, why), ErrRefused)
--- a/internal/system/controlstate/state_test.go
+++ b/internal/system/controlstate/state_test.go
@@ -32,7 +32,7 @@
 func accept(t testing.TB, s *State, c Change) *State {
 	t.Helper()
 	v := s.Check(c)
-	if v.Kind != Accept || v.Seq != s.Seq+1 || v.Reason != "" {
+	if v.Kind != Accepted || v.Seq != s.Seq+1 || v.Reason != "" {
 		t.Fatalf("%+v", v)
 	}
 	next, err := s.Apply(c.Record(v.Seq))
@@ -71,11 +71,11 @@
 		kind Kind
 		seq  uint64
 	}{
-		{"the next", Change{Op: OpReplace, Base: 9, Body: body(10, "")}, Accept, 8},
-		{"in uneven steps", Change{Op: OpReplace, Base: 9, Body: body(1<<40, "")}, Accept, 8},
-		{"sent again", Change{Op: OpReplace, Base: 8, Body: body(9, "c")}, Already, 5},
-		{"an older one sent again", Change{Op: OpReplace, Base: 0, Body: body(5, "a")}, Already, 1},
-		{"an older amendment sent again", Change{Op: OpAmend, Base: 5, Body: amendment(8, "b")}, Already, 3},
+		{"the next", Change{Op: OpReplace, Base: 9, Body: body(10, "")}, Accepted, 8},
+		{"in uneven steps", Change{Op: OpReplace, Base: 9, Body: body(1<<40, "")}, Accepted, 8},
+		{"sent again", Change{Op: OpReplace, Base: 8, Body: body(9, "c")}, AlreadyApplied, 5},
+		{"an older one sent again", Change{Op: OpReplace, Base: 0, Body: body(5, "a")}, AlreadyApplied, 1},
+		{"an older amendment sent again", Change{Op: OpAmend, Base: 5, Body: amendment(8, "b")}, AlreadyApplied, 3},
 		{"sent again on another base", Change{Op: OpReplace, Base: 7, Body: body(9, "c")}, Stale, 5},
 		{"sent again as another operation", Change{Op: OpAmend, Base: 0, Body: body(5, "a")}, Stale, 5},
 		{"another of the same number", Change{Op: OpReplace, Base: 8, Body: body(9, "d")}, Stale, 5},
@@ -86,20 +86,20 @@
 		{"a lower number", Change{Op: OpReplace, Base: 9, Body: body(8, "")}, Invalid, 5},
 		{"an amendment with the current number", Change{Op: OpAmend, Base: 9, Body: amendment(9, "b")}, Invalid, 5},
 		{"not whole", Change{Op: OpReplace, Base: 9, Body: []byte("{")}, Invalid, 5},
-		{"an evacuation", Change{Op: OpEvacuate, Zone: "x"}, Accept, 8},
-		{"an evacuation taken meanwhile", Change{Op: OpEvacuate, Base: 1, Zone: "z"}, Already, 7},
-		{"an evacuation in force", Change{Op: OpEvacuate, Base: 2, Zone: "z"}, Accept, 8},
-		{"the end of one", Change{Op: OpReadmit, Base: 2, Zone: "z"}, Accept, 8},
+		{"an evacuation", Change{Op: OpEvacuate, Zone: "x"}, Accepted, 8},
+		{"an evacuation taken meanwhile", Change{Op: OpEvacuate, Base: 1, Zone: "z"}, AlreadyApplied, 7},
+		{"an evacuation in force", Change{Op: OpEvacuate, Base: 2, Zone: "z"}, Accepted, 8},
+		{"the end of one", Change{Op: OpReadmit, Base: 2, Zone: "z"}, Accepted, 8},
 		{"the end of one, from before it", Change{Op: OpReadmit, Base: 1, Zone: "z"}, Superseded, 7},
 		{"the end of one, from before it all", Change{Op: OpReadmit, Zone: "z"}, Superseded, 7},
 		{"an evacuation from before its end", Change{Op: OpEvacuate, Base: 6, Zone: strings.Repeat("y", 255)}, Superseded, 7},
-		{"the end of none", Change{Op: OpReadmit, Zone: "x"}, Accept, 8},
+		{"the end of none", Change{Op: OpReadmit, Zone: "x"}, Accepted, 8},
 		{"no zone", Change{Op: OpEvacuate}, Invalid, 0},
 		{"no zone to readmit", Change{Op: OpReadmit}, Invalid, 0},
 		{"a name too long", Change{Op: OpEvacuate, Zone: strings.Repeat("y", 256)}, Invalid, 0},
 		{"an unknown operation", Change{Op: 99}, Invalid, 0},
 	} {
-		if v := s.Check(c.c); v.Kind != c.kind || v.Seq != c.seq || (v.Reason == "") != (c.kind == Accept) {
+		if v := s.Check(c.c); v.Kind != c.kind || v.Seq != c.seq || (v.Reason == "") != (c.kind == Accepted) {
 			t.Errorf("%s: %+v", c.what, v)
 		}
 	}
@@ -118,8 +118,8 @@
 		r    Record
 		want error
 	}{
-		{Record{Seq: 1, Op: OpNone}, ErrOrder},
-		{Record{Seq: 3, Op: OpNone}, ErrOrder},
+		{Record{Seq: 1, Op: OpNone}, ErrOutOfOrder},
+		{Record{Seq: 3, Op: OpNone}, ErrOutOfOrder},
 		{Record{Seq: 2, Op: OpReplace, Base: 4, Body: body(6, "")}, ErrRefused},
 		{Record{Seq: 2, Op: OpReplace, Base: 5, Body: body(5, "")}, ErrRefused},
 		{Record{Seq: 2, Op: OpAmend, Base: 5, Body: []byte("{")}, ErrRefused},
@@ -156,7 +156,7 @@
 		wg.Go(func() {
 			c := Change{Op: OpReplace, Base: 5, Body: body(6+i, "")}
 			for range 50 {
-				if v := s.Check(c); v.Kind != Accept {
+				if v := s.Check(c); v.Kind != Accepted {
 					t.Errorf("%+v", v)
 				}
 				next, err := s.Apply(c.Record(2))
@@ -209,7 +209,7 @@
 			var want Kind
 			switch {
 			case isConfig && slices.ContainsFunc(history, func(s sent) bool { return s.taken && reflect.DeepEqual(s.c, c) }):
-				want = Already
+				want = AlreadyApplied
 			case isConfig && c.Base != revision:
 				want = Stale
 			case isConfig:
@@ -218,12 +218,12 @@
 					t.Fatal(err)
 				}
 				if want = Invalid; now > max(0, revision) && (c.Op == OpReplace || revision > 0) {
-					want, revision = Accept, now
+					want, revision = Accepted, now
 				}
 			case c.Zone == "":
 				want = Invalid
 			case changed[c.Zone] > uint64(c.Base) && zones[c.Zone] == (c.Op == OpEvacuate):
-				want = Already
+				want = AlreadyApplied
 			case changed[c.Zone] > uint64(c.Base):
 				want = Superseded
 			default:
@@ -233,8 +233,8 @@
 			if got.Kind != want {
 				t.Fatalf("%+v: got %+v, want %d", c, got, want)
 			}
-			history = append(history, sent{c, want == Accept && isConfig})
-			if want != Accept {
+			history = append(history, sent{c, want == Accepted && isConfig})
+			if want != Accepted {
 				continue
 			}
 			r := c.Record(got.Seq)
@@ -285,7 +285,7 @@
 	s := accept(f, Empty(), Change{Op: OpReplace, Body: body(5, "a")})
 	s = accept(f, s, Change{Op: OpEvacuate, Zone: "z"})
 	s = accept(f, s, Change{Op: OpAmend, Base: 5, Body: amendment(1<<40, "b")})
-	for _, s := range []*State{Empty(), s, s.Forgetful()} {
+	for _, s := range []*State{Empty(), s, s.WithoutHistory()} {
 		whole := s.Encode()
 		f.Add(whole[:len(whole)-8])
 	}
--- a/internal/system/controlstate/zones.go
+++ b/internal/system/controlstate/zones.go
@@ -52,13 +52,13 @@
 	case len(c.Zone) > MaxZoneName:
 		return Verdict{Kind: Invalid, Reason: "the zone's name is too long: send 255 bytes at most"}
 	case late && inForce:
-		return Verdict{Kind: Already, Seq: s.Seq, Reason: "this is in force"}
+		return Verdict{Kind: AlreadyApplied, Seq: s.Seq, Reason: "this is in force"}
 	case late:
 		return Verdict{Kind: Superseded, Seq: s.Seq, Reason: "the zone was changed while this call was under way: send it again if it is still wanted"}
 	case s.full(c):
 		return Verdict{Kind: Uncertain, Seq: s.Seq, Reason: "256 zones are evacuated: finish one first"}
 	}
-	return Verdict{Kind: Accept, Seq: s.Seq + 1}
+	return Verdict{Kind: Accepted, Seq: s.Seq + 1}
 }
 
 // full tells whether there is no room for an evacuation.
--- a/internal/system/controlstate/zones_test.go
+++ b/internal/system/controlstate/zones_test.go
@@ -25,7 +25,7 @@
 	if v := s.Check(finish); v.Kind != Superseded {
 		t.Errorf("a finish from before a start that was confirmed: %+v", v)
 	}
-	if v := s.Check(Change{Op: OpEvacuate, Base: 3, Zone: "z"}); v.Kind != Already {
+	if v := s.Check(Change{Op: OpEvacuate, Base: 3, Zone: "z"}); v.Kind != AlreadyApplied {
 		t.Errorf("the same start again: %+v", v)
 	}
 	// Other zones and the configuration are no reason.
@@ -45,7 +45,7 @@
 	if _, err := s.Apply(Change{Op: OpEvacuate, Zone: "one more"}.Record(s.Seq + 1)); err == nil {
 		t.Error("more zones than there may be")
 	}
-	if v := s.Check(Change{Op: OpEvacuate, Zone: "zone 7"}); v.Kind != Already {
+	if v := s.Check(Change{Op: OpEvacuate, Zone: "zone 7"}); v.Kind != AlreadyApplied {
 		t.Errorf("%+v", v)
 	}
 	s = accept(t, s, Change{Op: OpReadmit, Base: int64(s.Seq), Zone: "zone 7"})
--- a/internal/system/distribution/coldworld_test.go
+++ b/internal/system/distribution/coldworld_test.go
@@ -101,7 +101,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	world := pick.World{Evacuated: u.State.Evacuated, Servers: u.Servers, ListCovers: u.ListCoversSeq, WordAge: u.ContactAge, Delay: time.Since(u.AsOf),
-		ZoneChanges: map[string]uint64{"za": u.State.ZoneChanged("za"), "zb": u.State.ZoneChanged("zb")},
+		ZoneChanges: map[string]uint64{"za": u.State.ZoneChangeSeq("za"), "zb": u.State.ZoneChangeSeq("zb")},
 		Self:        node, Peers: live, Lost: u.DownCount, Partial: u.MembershipIncomplete, Stale: u.Stale}
 	if u.State.Seq > 0 {
 		world.Config, p.serves, p.changes = w.config, true, world.ZoneChanges
--- a/internal/system/distribution/follower.go
+++ b/internal/system/distribution/follower.go
@@ -117,7 +117,7 @@
 	}
 	opt.Self.Revision = max(1, opt.Self.Revision)
 	f := &Subscriber{opt: opt, client: &http.Client{Transport: boundedTransport{opt.Transport}}, began: time.Now(), self: opt.Self,
-		tellDone: make(chan struct{}), down: map[string]uint64{}, state: controlstate.Empty().Forgetful(), table: newTable(), own: newVector(true),
+		tellDone: make(chan struct{}), down: map[string]uint64{}, state: controlstate.Empty().WithoutHistory(), table: newTable(), own: newVector(true),
 		keepers: map[string]*keeperInfo{}, pace: 100 * time.Millisecond,
 		changed: make(chan struct{}, 1), loadChanged: make(chan struct{}, 1), tellNow: make(chan struct{}, 1)}
 	for _, s := range opt.Seeds {
--- a/internal/system/distribution/golden_trace_test.go
+++ b/internal/system/distribution/golden_trace_test.go
@@ -217,7 +217,7 @@
 	u := f.Current()
 	x.tr.num(int64(u.State.Seq), int64(u.ListAge), int64(u.ListCoversSeq), int64(u.ContactAge), int64(u.DownCount))
 	x.tr.flags(u.HasList, u.Fresh, u.MembershipIncomplete, u.Stale, u.State.Evacuated["za"], u.State.Evacuated["zb"])
-	x.tr.num(int64(u.State.ZoneChanged("za")), int64(u.State.ZoneChanged("zb")), int64(len(u.Members)), int64(len(u.Servers)))
+	x.tr.num(int64(u.State.ZoneChangeSeq("za")), int64(u.State.ZoneChangeSeq("zb")), int64(len(u.Members)), int64(len(u.Servers)))
 	for _, m := range u.Members {
 		x.tr.bytes(m.encode())
 	}
--- a/internal/system/distribution/hub_feed.go
+++ b/internal/system/distribution/hub_feed.go
@@ -120,7 +120,7 @@
 	stock.CachedSnapshot, stock.CachedSnapshotUsable = s.seq, s.seq > 0 && (fit || time.Since(s.made) < snapshotLife)
 	stock.Known = false
 	if PlanCatchUp(after, stock, h.limits.MaxRecordsPerReply) == CatchUpNewSnapshot {
-		s.bytes, s.deflated = compress(state.Forgetful().Encode()) // followers judge no changes
+		s.bytes, s.deflated = compress(state.WithoutHistory().Encode()) // followers judge no changes
 		s.seq, s.made, s.count = state.Seq, time.Now(), s.count+1
 		records, fit = nil, false
 	}
--- a/internal/system/replication/core_cut_test.go
+++ b/internal/system/replication/core_cut_test.go
@@ -45,7 +45,7 @@
 					read = cl.read(cut, time.Second)
 				}
 				if here == 0 || cl.done[here].ID != 0 {
-					if d := cl.done[here]; d.Outcome == Answered && d.Verdict.Kind != controlstate.Accept && d.Verdict.Kind != controlstate.Stale {
+					if d := cl.done[here]; d.Outcome == Answered && d.Verdict.Kind != controlstate.Accepted && d.Verdict.Kind != controlstate.Stale {
 						t.Fatalf("%s of %s: a change at it ended with %v", name, cut, d.Verdict)
 					}
 					here = cl.submit(cut, replacing(n.core.state.(*toy).rev, "at the cut one"), time.Second)
--- a/internal/system/replication/core_feed_test.go
+++ b/internal/system/replication/core_feed_test.go
@@ -15,7 +15,7 @@
 }
 
 func (*blob) Check(controlstate.Change) controlstate.Verdict {
-	return controlstate.Verdict{Kind: controlstate.Accept}
+	return controlstate.Verdict{Kind: controlstate.Accepted}
 }
 
 func (s *blob) Apply(r controlstate.Record) (State, error) {
--- a/internal/system/replication/invariants_test.go
+++ b/internal/system/replication/invariants_test.go
@@ -204,7 +204,7 @@
 	case d.Outcome == Refused:
 		w.stats.refused++
 		l.refused++
-	case d.Verdict.Kind == controlstate.Accept, d.Verdict.Kind == controlstate.Already:
+	case d.Verdict.Kind == controlstate.Accepted, d.Verdict.Kind == controlstate.AlreadyApplied:
 		w.checkAcknowledged(a, d, l, taken)
 	case d.Verdict.Kind == controlstate.Stale, d.Verdict.Kind == controlstate.Invalid:
 		w.stats.stale++
@@ -229,7 +229,7 @@
 
 func (w *world) checkAcknowledged(a *asked, d Completion, l *ledgerEntry, taken uint64) {
 	key := keyOf(a.change)
-	already := d.Verdict.Kind == controlstate.Already
+	already := d.Verdict.Kind == controlstate.AlreadyApplied
 	if already {
 		w.stats.already++
 	} else {
--- a/internal/system/replication/keeper_test.go
+++ b/internal/system/replication/keeper_test.go
@@ -134,7 +134,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		_, changed := ks["10.0.0.3"].Committed()
-		if a, err := ks["10.0.0.2"].Submit(ctx, evacuate("a")); err != nil || a.Verdict.Kind != controlstate.Accept {
+		if a, err := ks["10.0.0.2"].Submit(ctx, evacuate("a")); err != nil || a.Verdict.Kind != controlstate.Accepted {
 			t.Fatal(a, err)
 		}
 		<-changed
--- a/internal/system/replication/submit.go
+++ b/internal/system/replication/submit.go
@@ -207,7 +207,7 @@
 	c.judge(o, m.GetChange())
 	o.seq = c.log.end()
 	c.pending = append(c.pending, o)
-	if c.cfg.hooks.hastyVerdict && o.verdict.Kind != controlstate.Accept {
+	if c.cfg.hooks.hastyVerdict && o.verdict.Kind != controlstate.Accepted {
 		o.seq, o.confirmed = 0, true
 	}
 	if !o.confirmed {
@@ -236,7 +236,7 @@
 func (c *Core) judge(o *pendingChange, p *replicationpb.Entry) {
 	change := controlstate.Change{Op: controlstate.Op(p.GetOp()), Base: p.GetBase(), Body: p.GetBody(), Zone: p.GetZone()}
 	o.verdict = c.spec().Check(change)
-	if o.verdict.Kind != controlstate.Accept {
+	if o.verdict.Kind != controlstate.Accepted {
 		return
 	}
 	rec := change.Record(c.log.end() + 1)
@@ -295,7 +295,7 @@
 
 func (c *Core) completeChanges() {
 	c.pending = slices.DeleteFunc(c.pending, func(o *pendingChange) bool {
-		if !o.done && o.confirmed && o.seq <= c.committed && (o.verdict.Kind == controlstate.Accept || c.complete() || c.cfg.hooks.hastyVerdict) {
+		if !o.done && o.confirmed && o.seq <= c.committed && (o.verdict.Kind == controlstate.Accepted || c.complete() || c.cfg.hooks.hastyVerdict) {
 			c.close(o, Answered)
 		}
 		return o.done
@@ -309,7 +309,7 @@
 	c.failRounds()
 	c.pending = slices.DeleteFunc(c.pending, func(o *pendingChange) bool {
 		if !o.done && !stays {
-			if o.verdict.Kind == controlstate.Accept {
+			if o.verdict.Kind == controlstate.Accepted {
 				c.close(o, Unknown)
 			} else {
 				c.close(o, Refused)
--- a/internal/system/replication/toy_test.go
+++ b/internal/system/replication/toy_test.go
@@ -63,17 +63,17 @@
 		return s.checkZone(ch)
 	case controlstate.OpReplace, controlstate.OpAmend:
 	default:
-		return controlstate.Verdict{Kind: controlstate.Accept}
+		return controlstate.Verdict{Kind: controlstate.Accepted}
 	}
 	key := registerKey(ch.Op, ch.Base, ch.Body)
 	for _, t := range s.taken {
 		if t.Key == key && !s.machine.forgetful {
-			return controlstate.Verdict{Kind: controlstate.Already, Seq: t.Seq}
+			return controlstate.Verdict{Kind: controlstate.AlreadyApplied, Seq: t.Seq}
 		}
 	}
 	switch {
 	case ch.Base == s.rev:
-		return controlstate.Verdict{Kind: controlstate.Accept}
+		return controlstate.Verdict{Kind: controlstate.Accepted}
 	case ch.Base+1 <= s.rev-int64(len(s.taken)):
 		return controlstate.Verdict{Kind: controlstate.Uncertain}
 	}
@@ -85,9 +85,9 @@
 	z := s.zones[ch.Zone]
 	switch {
 	case z.Seq <= uint64(ch.Base):
-		return controlstate.Verdict{Kind: controlstate.Accept}
+		return controlstate.Verdict{Kind: controlstate.Accepted}
 	case z.Evacuated == (ch.Op == controlstate.OpEvacuate):
-		return controlstate.Verdict{Kind: controlstate.Already, Seq: z.Seq}
+		return controlstate.Verdict{Kind: controlstate.AlreadyApplied, Seq: z.Seq}
 	}
 	return controlstate.Verdict{Kind: controlstate.Superseded}
 }
