--- a/internal/system/controlstate/codec.go
+++ b/internal/system/controlstate/codec.go
@@ -91,7 +91,7 @@
 		revision += int64(d.Uvarint())
 		seq += d.Uvarint()
 		c := appliedChange{Revision: revision, Seq: seq}
-		copy(c.Digest[:], d.Take(len(c.Digest)))
+		copy(c.Digest[:], d.Next(len(c.Digest)))
 		h.changes = append(h.changes, c)
 	}
 	if legacy > uint64(len(h.changes)) {
@@ -111,7 +111,7 @@
 	}
 	for n := d.Uvarint(); n > 0 && !d.Failed(); n-- {
 		c := appliedChange{Revision: d.Varint()}
-		copy(c.Digest[:], d.Take(8))
+		copy(c.Digest[:], d.Next(8))
 		c.Seq = d.Uvarint()
 		s.history.changes = append(s.history.changes, c)
 	}
--- a/internal/system/fields/fields.go
+++ b/internal/system/fields/fields.go
@@ -28,8 +28,8 @@
 // Complete tells whether all fields were there and nothing is left behind them.
 func (r *Reader) Complete() bool { return !r.failed && len(r.rest) == 0 }
 
-// Take reads n bytes; nil where there are fewer.
-func (r *Reader) Take(n int) []byte {
+// Next reads n bytes; nil where there are fewer.
+func (r *Reader) Next(n int) []byte {
 	if r.failed || n < 0 || n > len(r.rest) {
 		r.failed = true
 		return nil
@@ -41,7 +41,7 @@
 
 // Byte reads one byte.
 func (r *Reader) Byte() byte {
-	if b := r.Take(1); b != nil {
+	if b := r.Next(1); b != nil {
 		return b[0]
 	}
 	return 0
@@ -76,5 +76,5 @@
 		r.failed = true
 		return nil
 	}
-	return r.Take(int(n))
+	return r.Next(int(n))
 }
