--- a/cmd/keeper/chain.go
+++ b/cmd/keeper/chain.go
@@ -84,7 +84,7 @@
 		return errors.Wrapf(err, "the control state in %s cannot be opened", folder)
 	}
 	options.Disk = disk
-	forgot, err := disk.HasCopy()
+	forgot, err := disk.HasQuarantine()
 	if err != nil {
 		return errors.Wrapf(err, "the control state in %s cannot be opened", folder)
 	}
@@ -96,7 +96,7 @@
 		return err
 	}
 	k.log.WithError(err).Error("keeper: the log is damaged and put aside; this keeper begins anew and takes the state from the others")
-	if err := disk.PutAside(); err != nil {
+	if err := disk.Quarantine(); err != nil {
 		return errors.Wrapf(err, "the damaged log in %s cannot be put aside: empty the folder", folder)
 	}
 	return k.join(ctx, anew(options))
--- a/internal/system/replication/core_disk_test.go
+++ b/internal/system/replication/core_disk_test.go
@@ -120,7 +120,7 @@
 	a := newAlone(t, heavyMachine{bytes: size}, t.TempDir())
 	a.change(1, 1, size)
 	a.change(2, 4, size)
-	if n := a.log.Bytes(); n > 40<<20 {
+	if n := a.log.Size(); n > 40<<20 {
 		t.Errorf("the log has %d bytes", n)
 	}
 }
--- a/internal/system/wal/bounds_test.go
+++ b/internal/system/wal/bounds_test.go
@@ -235,7 +235,7 @@
 			k.since = 0
 			k.change(usualState)
 		}
-		if err := k.log.PutAside(); err != nil {
+		if err := k.log.Quarantine(); err != nil {
 			t.Fatal(err)
 		}
 		k.restart()
@@ -289,7 +289,7 @@
 func TestLoadStaysBounded(t *testing.T) {
 	t.Run("usual changes", func(t *testing.T) {
 		k := newKeeperOn(t, usualState)
-		for k.log.Bytes() < 39<<20 {
+		for k.log.Size() < 39<<20 {
 			k.since = 0
 			k.change(usualState)
 		}
@@ -308,7 +308,7 @@
 func (k *keeperOn) measureLoad(most uint64) {
 	t := k.t
 	t.Helper()
-	size := k.log.Bytes()
+	size := k.log.Size()
 	_ = k.log.Close()
 	runtime.GC()
 	var before, after runtime.MemStats
--- a/internal/system/wal/crashmodel_test.go
+++ b/internal/system/wal/crashmodel_test.go
@@ -115,7 +115,7 @@
 		}
 		return nil
 	}
-	if errors.Is(err, ErrUse) {
+	if errors.Is(err, ErrMisuse) {
 		return errors.Newf("%v: %v, where the model takes it", st, err)
 	}
 	name := fmt.Sprintf("m%d", st.a)
--- a/internal/system/wal/errors.go
+++ b/internal/system/wal/errors.go
@@ -17,8 +17,8 @@
 	// ErrSuperseded: another process has opened the log since. End this one; what it holds that was not acknowledged may or may
 	// not be in the log of the other.
 	ErrSuperseded = errors.New("log taken over")
-	// ErrUse: the call cannot be done on this log (a gap in the numbers, a cut below the snapshot, before Load).
-	ErrUse = errors.New("wrong use of the log")
+	// ErrMisuse: the call cannot be done on this log (a gap in the numbers, a cut below the snapshot, before Load).
+	ErrMisuse = errors.New("wrong use of the log")
 )
 
 func damaged(format string, args ...any) error {
@@ -26,7 +26,7 @@
 }
 
 func misuse(format string, args ...any) error {
-	return errors.Mark(errors.Newf(format, args...), ErrUse)
+	return errors.Mark(errors.Newf(format, args...), ErrMisuse)
 }
 
 func superseded() error {
--- a/internal/system/wal/log.go
+++ b/internal/system/wal/log.go
@@ -46,7 +46,7 @@
 // header tells how much of the former counts.
 //
 // A process that loads the log makes the next segment first, so that another one that still has the log open finds it there
-// before it acknowledges anything more. Errors are of kind ErrFull, ErrDamaged, ErrSuperseded and ErrUse, or the file
+// before it acknowledges anything more. Errors are of kind ErrFull, ErrDamaged, ErrSuperseded and ErrMisuse, or the file
 // system's. A Log is used by one goroutine at a time.
 type Log struct {
 	folder     string
@@ -146,8 +146,8 @@
 	return l.closeSegment()
 }
 
-// Bytes returns what segments and snapshot take, which MaxBytes bounds.
-func (l *Log) Bytes() int64 {
+// Size returns what segments and snapshot take, which MaxBytes bounds.
+func (l *Log) Size() int64 {
 	n := l.snapBytes
 	for _, s := range l.segments {
 		n += s.size
@@ -210,7 +210,7 @@
 		return err
 	}
 	record := appendRecord(entries)
-	if l.Bytes()+int64(len(record)) > l.o.MaxBytes {
+	if l.Size()+int64(len(record)) > l.o.MaxBytes {
 		return errors.Mark(errors.Newf("the log would be larger than %d bytes: compact it", l.o.MaxBytes), ErrFull)
 	}
 	if err := l.withRoom(len(record), func() error { return l.write(record) }); err != nil {
--- a/internal/system/wal/log_test.go
+++ b/internal/system/wal/log_test.go
@@ -54,10 +54,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := log.Append([]Entry{{Seq: 1}}); !errors.Is(err, ErrUse) {
+	if err := log.Append([]Entry{{Seq: 1}}); !errors.Is(err, ErrMisuse) {
 		t.Errorf("append before load: %v", err)
 	}
-	if err := log.SaveMeta("x", nil); !errors.Is(err, ErrUse) {
+	if err := log.SaveMeta("x", nil); !errors.Is(err, ErrMisuse) {
 		t.Errorf("metadata before load: %v", err)
 	}
 	for _, d := range []Disk{log, NewMem()} {
@@ -81,7 +81,7 @@
 			"a path":          d.SaveMeta("../x", nil),
 			"a name too long": d.SaveMeta(strings.Repeat("x", 65), nil),
 		} {
-			if !errors.Is(err, ErrUse) {
+			if !errors.Is(err, ErrMisuse) {
 				t.Errorf("%T, %s: %v", d, what, err)
 			}
 		}
@@ -152,7 +152,7 @@
 			if !log.reserved {
 				t.Error("the reserve was not taken again")
 			}
-			if n := log.Bytes(); n > 8000 {
+			if n := log.Size(); n > 8000 {
 				t.Errorf("%d bytes are used", n)
 			}
 			same(t, log, model)
--- a/internal/system/wal/mem.go
+++ b/internal/system/wal/mem.go
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// PutAside empties the disk.
-func (m *Mem) PutAside() error {
+// Quarantine empties the disk.
+func (m *Mem) Quarantine() error {
 	if err := m.failed("PutAside"); err != nil {
 		return err
 	}
--- a/internal/system/wal/owner_test.go
+++ b/internal/system/wal/owner_test.go
@@ -117,10 +117,10 @@
 	if s.fs.calls > before {
 		t.Errorf("%d calls changed something", s.fs.calls-before)
 	}
-	if err := log.Append([]Entry{{Seq: log.last + 1}}); !errors.Is(err, ErrUse) {
+	if err := log.Append([]Entry{{Seq: log.last + 1}}); !errors.Is(err, ErrMisuse) {
 		t.Errorf("an append: %v", err)
 	}
-	if err := log.PutAside(); !errors.Is(err, ErrUse) {
+	if err := log.Quarantine(); !errors.Is(err, ErrMisuse) {
 		t.Errorf("a putting aside: %v", err)
 	}
 	if err := s.do(step{"append", 1, 5}); err != nil || len(s.maybe) > 0 {
--- a/internal/system/wal/putaside.go
+++ b/internal/system/wal/putaside.go
@@ -7,11 +7,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// PutAside sets the log's files apart under other names in the same folder, durably, for staff to look at; Load is to be called
+// Quarantine sets the log's files apart under other names in the same folder, durably, for staff to look at; Load is to be called
 // afterwards, and finds an empty log. It is for a log that Load or its reader has found damaged. One copy is kept, the newest;
 // it is dropped when its room is needed. Cut short, it is finished by the next Load, so that nothing is served of a log of which
 // a part is gone.
-func (l *Log) PutAside() error {
+func (l *Log) Quarantine() error {
 	if l.o.ReadOnly {
 		return l.usable()
 	}
@@ -29,8 +29,8 @@
 	return l.finishPutAside()
 }
 
-// HasCopy tells whether the folder holds the copy of a damaged log, so that what was promised here is not known any more.
-func (l *Log) HasCopy() (bool, error) {
+// HasQuarantine tells whether the folder holds the copy of a damaged log, so that what was promised here is not known any more.
+func (l *Log) HasQuarantine() (bool, error) {
 	list, err := l.list()
 	return list.putAside || len(list.damaged) > 0, err
 }
--- a/internal/system/wal/putaside_test.go
+++ b/internal/system/wal/putaside_test.go
@@ -49,7 +49,7 @@
 			_, _, _, err = older.Load()
 		}
 		err = errors.CombineErrors(err, older.Append([]Entry{entry(1, 9)}))
-		if err = errors.CombineErrors(err, older.PutAside()); err != nil {
+		if err = errors.CombineErrors(err, older.Quarantine()); err != nil {
 			t.Fatal(err)
 		}
 		s := newSubject(fs)
@@ -64,7 +64,7 @@
 		s.log.o.hooks = h
 		copied := files(fs)
 		fs.fault = crashAt(fs.calls + call)
-		done := s.log.PutAside() == nil
+		done := s.log.Quarantine() == nil
 		fs.gone, fs.fault = false, nil
 		err = check(fs.killed(), s.model, copied, call, done)
 		fs.powerLosses(300, r, func(lost *simFS) {
@@ -158,14 +158,14 @@
 	if _, _, _, err := log.Load(); !errors.Is(err, ErrDamaged) {
 		t.Fatal(err)
 	}
-	if err := log.Append([]Entry{entry(10, 0)}); !errors.Is(err, ErrUse) {
+	if err := log.Append([]Entry{entry(10, 0)}); !errors.Is(err, ErrMisuse) {
 		t.Errorf("append to a damaged log: %v", err)
 	}
 	damaged, err := os.ReadFile(log.path(name))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := log.PutAside(); err != nil {
+	if err := log.Quarantine(); err != nil {
 		t.Fatal(err)
 	}
 	if v, err := look(log); err != nil || v.log != "0:" || len(v.meta) > 0 {
@@ -202,7 +202,7 @@
 					t.Fatal(err)
 				}
 			}
-			if err := log.PutAside(); err != nil {
+			if err := log.Quarantine(); err != nil {
 				t.Fatal(err)
 			}
 			load()
--- a/internal/system/wal/room.go
+++ b/internal/system/wal/room.go
@@ -4,7 +4,7 @@
 
 // makeRoom drops the copy of a damaged log where n bytes more would leave too little of the disk.
 func (l *Log) makeRoom(n int64) {
-	used := l.Bytes() + l.damagedBytes
+	used := l.Size() + l.damagedBytes
 	if l.reserved {
 		used += l.o.ReserveBytes
 	}
