--- a/cmd/keeper/feed.go
+++ b/cmd/keeper/feed.go
@@ -29,14 +29,14 @@
 	log      log.Interface
 	chain    *links
 	hub      *distribution.Server
-	fence    *ownership.Fence
+	fence    *ownership.Assignment
 	client   *platform.Client
 	poller   *platform.Poller
 	cold     map[string]bool // ids of the servers that the last reading called cold; of the poller's goroutine
 }
 
 func newFeed(s *settings.Settings, logger log.Interface, chain *links) *feed {
-	f := &feed{settings: s, log: logger, chain: chain, fence: ownership.NewFence(s.IP), client: platform.NewClient(platform.Options{Address: s.Cloud.Address})}
+	f := &feed{settings: s, log: logger, chain: chain, fence: ownership.NewAssignment(s.IP), client: platform.NewClient(platform.Options{Address: s.Cloud.Address})}
 	f.hub = distribution.NewServer(distribution.ServerOptions{Source: chain, Self: s.IP, Zone: s.Zone, Region: s.Region,
 		ListLag: settings.Milliseconds(s.Cloud.Lag), Peers: f.peers, Log: logger})
 	f.poller = platform.NewPoller(platform.PollerOptions{Lister: f.client, Duty: f.duty, Newest: f.newest, OnResult: f.listed,
@@ -71,8 +71,8 @@
 // duty tells whether this keeper reads the platform's list. The duty lies with one of the chain's links, under the epoch
 // of their view as its fence.
 func (f *feed) duty() (fence uint64, holds bool) {
-	f.fence.Observe(f.chain.Live())
-	return f.fence.Holds(listDuty)
+	f.fence.Update(f.chain.Live())
+	return f.fence.Owns(listDuty)
 }
 
 func (f *feed) newest() (fence, version uint64, age time.Duration) {
--- a/cmd/keeper/status.go
+++ b/cmd/keeper/status.go
@@ -15,7 +15,7 @@
 		Capacity: capacity(k.chain.Capacity()), Epoch: view.Epoch, Number: state.Seq, Revision: state.Revision(), Evacuated: staff.Zones(state), ListAgeMS: -1,
 		Proxies: []staff.Holding{}, Violations: invariant.Violations()}
 	_, out.Chain = k.chain.Live()
-	out.ListDuty = ownership.Holder(listDuty, out.Chain)
+	out.ListDuty = ownership.Owner(listDuty, out.Chain)
 	for _, m := range view.Voters {
 		out.Voters = append(out.Voters, staff.Voter{Address: m.Addr, Zone: m.Zone, Region: m.Region})
 	}
--- a/internal/system/failuredetector/detector.go
+++ b/internal/system/failuredetector/detector.go
@@ -16,7 +16,7 @@
 // live.
 func Watchers(node string, live []string, k int) []string {
 	others := slices.DeleteFunc(slices.Clone(live), func(n string) bool { return n == node })
-	return ownership.Holders(node, others, k)
+	return ownership.Owners(node, others, k)
 }
 
 // Watched names the nodes that self watches, in the order of live: those that count self among their Watchers.
@@ -24,7 +24,7 @@
 	nodes := ownership.NewNodes(live)
 	var watched []string
 	for _, n := range live {
-		if n != self && nodes.Among(n, self, n, k) {
+		if n != self && nodes.IsOwner(n, self, n, k) {
 			watched = append(watched, n)
 		}
 	}
--- a/internal/system/ownership/fence.go
+++ b/internal/system/ownership/fence.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Fence holds the membership that duties are cut over, and the number under which their holders act: the epoch of that
+// Assignment holds the membership that duties are cut over, and the number under which their holders act: the epoch of that
 // membership, which rises with every change of it. All nodes of one epoch must be told the same live nodes (an agreed
 // view gives that); then one node at most holds a key under one fence, and while views differ, one for each epoch that
 // is still believed in. It may be used by many goroutines.
-type Fence struct {
+type Assignment struct {
 	self string
 
 	mu    sync.Mutex
@@ -18,12 +18,12 @@
 	live  []string
 }
 
-// NewFence makes a fence for the node named self, which holds nothing until Observe tells it of a membership.
-func NewFence(self string) *Fence { return &Fence{self: self} }
+// NewAssignment makes a fence for the node named self, which holds nothing until Observe tells it of a membership.
+func NewAssignment(self string) *Assignment { return &Assignment{self: self} }
 
-// Observe takes over a membership of a higher epoch than the one that is held, and tells whether it did. Anything else
+// Update takes over a membership of a higher epoch than the one that is held, and tells whether it did. Anything else
 // is ignored: an epoch never goes back, and its nodes never change.
-func (f *Fence) Observe(epoch uint64, live []string) bool {
+func (f *Assignment) Update(epoch uint64, live []string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if epoch <= f.epoch {
@@ -33,16 +33,16 @@
 	return true
 }
 
-// Holder names the holder of a key, empty where there is none, and the fence under which it acts.
-func (f *Fence) Holder(key string) (node string, fence uint64) {
+// Owner names the holder of a key, empty where there is none, and the fence under which it acts.
+func (f *Assignment) Owner(key string) (node string, fence uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return Holder(key, f.live), f.epoch
+	return Owner(key, f.live), f.epoch
 }
 
-// Holds tells whether this node holds key, and the fence that it must send with everything that it does for it.
-func (f *Fence) Holds(key string) (fence uint64, holds bool) {
-	node, fence := f.Holder(key)
+// Owns tells whether this node holds key, and the fence that it must send with everything that it does for it.
+func (f *Assignment) Owns(key string) (fence uint64, holds bool) {
+	node, fence := f.Owner(key)
 	return fence, node == f.self && fence > 0
 }
 
--- a/internal/system/ownership/ownership_test.go
+++ b/internal/system/ownership/ownership_test.go
@@ -21,19 +21,19 @@
 		live := nodes().Draw(t, "live")
 		key := rapid.String().Draw(t, "key")
 		k := rapid.IntRange(0, 8).Draw(t, "k")
-		want := Holders(key, live, k)
+		want := Owners(key, live, k)
 		if len(want) != min(k, len(live)) {
 			t.Fatalf("%d holders of %d live, want %d", len(want), len(live), k)
 		}
 		other := rapid.Permutation(live).Draw(t, "other order")
-		if got := Holders(key, append(other, other[0]), k); !slices.Equal(got, want) {
+		if got := Owners(key, append(other, other[0]), k); !slices.Equal(got, want) {
 			t.Fatalf("holders %v and, in another order, %v", want, got)
 		}
-		if k > 0 && Holder(key, other) != want[0] {
-			t.Fatalf("holder %q, the first of the holders %q", Holder(key, other), want[0])
+		if k > 0 && Owner(key, other) != want[0] {
+			t.Fatalf("holder %q, the first of the holders %q", Owner(key, other), want[0])
 		}
 		// The order is that of all weights: fewer holders are the first of more.
-		if all := Holders(key, live, len(live)); !slices.Equal(all[:len(want)], want) {
+		if all := Owners(key, live, len(live)); !slices.Equal(all[:len(want)], want) {
 			t.Fatalf("holders %v of %v", want, all)
 		}
 	})
@@ -47,7 +47,7 @@
 		k := rapid.IntRange(1, 5).Draw(t, "k")
 		for n := range 50 {
 			key := fmt.Sprint("key", n)
-			before, after := Holders(key, live, k), Holders(key, left, k)
+			before, after := Owners(key, live, k), Owners(key, left, k)
 			remaining := slices.DeleteFunc(slices.Clone(before), func(n string) bool { return n == gone })
 			if len(remaining) == len(before) && !slices.Equal(before, after) || !slices.Equal(after[:len(remaining)], remaining) {
 				t.Fatalf("key %s: %v before, %v after %s went", key, before, after, gone)
@@ -64,7 +64,7 @@
 	const keys = 12000
 	count := map[string]int{}
 	for n := range keys {
-		count[Holder(fmt.Sprint("list/", n), live)]++
+		count[Owner(fmt.Sprint("list/", n), live)]++
 	}
 	for node, n := range count {
 		if n < 850 || n > 1150 {
@@ -74,36 +74,36 @@
 }
 
 func TestNoHolder(t *testing.T) {
-	if got := Holder("key", nil); got != "" {
+	if got := Owner("key", nil); got != "" {
 		t.Errorf("Holder = %q", got)
 	}
-	if got := Holders("key", nil, 3); len(got) != 0 {
+	if got := Owners("key", nil, 3); len(got) != 0 {
 		t.Errorf("Holders = %q", got)
 	}
-	if fence, holds := NewFence("").Holds("key"); holds || fence != 0 {
+	if fence, holds := NewAssignment("").Owns("key"); holds || fence != 0 {
 		t.Errorf("Holds = %d, %v before any membership", fence, holds)
 	}
 }
 
 func TestFenceNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := NewFence("a")
+		f := NewAssignment("a")
 		var highest uint64
 		live := map[uint64][]string{}
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			epoch := rapid.Uint64Range(0, 10).Draw(t, "epoch")
 			told := nodes().Draw(t, "live")
-			if took := f.Observe(epoch, told); took != (epoch > highest) {
+			if took := f.Update(epoch, told); took != (epoch > highest) {
 				t.Fatalf("epoch %d after %d: taken %v", epoch, highest, took)
 			}
 			if epoch > highest {
 				highest, live[epoch] = epoch, told
 			}
-			node, fence := f.Holder("key")
-			if fence != highest || node != Holder("key", live[highest]) {
+			node, fence := f.Owner("key")
+			if fence != highest || node != Owner("key", live[highest]) {
 				t.Fatalf("holder %q under %d, want that of epoch %d", node, fence, highest)
 			}
-			if _, holds := f.Holds("key"); holds != (node == "a") {
+			if _, holds := f.Owns("key"); holds != (node == "a") {
 				t.Fatalf("holds = %v, the holder is %q", holds, node)
 			}
 		}
@@ -116,9 +116,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		names := []string{"k1", "k2", "k3", "k4", "k5", "k6"}
-		fences := map[string]*Fence{}
+		fences := map[string]*Assignment{}
 		for _, n := range names {
-			fences[n] = NewFence(n)
+			fences[n] = NewAssignment(n)
 		}
 		views := [][]string{nil, names}
 		for range 200 {
@@ -129,11 +129,11 @@
 			}
 			heard := names[r.IntN(len(names))]
 			epoch := 1 + r.IntN(len(views)-1)
-			fences[heard].Observe(uint64(epoch), views[epoch])
+			fences[heard].Update(uint64(epoch), views[epoch])
 
 			acting, believed := map[uint64]string{}, map[uint64]bool{}
 			for _, n := range names {
-				fence, holds := fences[n].Holds("list")
+				fence, holds := fences[n].Owns("list")
 				believed[fence] = true
 				if !holds {
 					continue
@@ -142,7 +142,7 @@
 					t.Fatalf("%s and %s act under fence %d", other, n, fence)
 				}
 				acting[fence] = n
-				if want := Holder("list", views[fence]); n != want {
+				if want := Owner("list", views[fence]); n != want {
 					t.Fatalf("%s acts under fence %d, whose view names %s", n, fence, want)
 				}
 			}
@@ -183,7 +183,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		Holders("10.0.0.1", live, 3)
+		Owners("10.0.0.1", live, 3)
 	}
 }
 
@@ -195,8 +195,8 @@
 		node := rapid.SampledFrom(live).Draw(t, "node")
 		k := rapid.IntRange(0, 5).Draw(t, "k")
 		left := slices.DeleteFunc(slices.Clone(live), func(n string) bool { return n == except })
-		want := slices.Contains(Holders(key, left, k), node)
-		if got := NewNodes(live).Among(key, node, except, k); got != want {
+		want := slices.Contains(Owners(key, left, k), node)
+		if got := NewNodes(live).IsOwner(key, node, except, k); got != want {
 			t.Fatalf("Among = %v, want %v", got, want)
 		}
 	})
--- a/internal/system/ownership/rendezvous.go
+++ b/internal/system/ownership/rendezvous.go
@@ -25,9 +25,9 @@
 // whose hashes are alike in some bits do not rank alike for many keys.
 func weigh(key, node uint64) uint64 { return mix(mix(key) + bits.RotateLeft64(mix(node), 17)) }
 
-// Holder names the node of the highest weight for key among the live, whose order does not matter: whoever counts the
+// Owner names the node of the highest weight for key among the live, whose order does not matter: whoever counts the
 // same nodes live names the same one. It is empty where none is live.
-func Holder(key string, live []string) string {
+func Owner(key string, live []string) string {
 	var (
 		best   string
 		weight uint64
@@ -42,9 +42,9 @@
 	return best
 }
 
-// Holders names the k nodes of the highest weights, the highest first, or all where fewer are live. The first is
+// Owners names the k nodes of the highest weights, the highest first, or all where fewer are live. The first is
 // Holder's. A node that comes or goes changes at most one place of any key.
-func Holders(key string, live []string, k int) []string {
+func Owners(key string, live []string, k int) []string {
 	if k <= 0 {
 		return nil
 	}
@@ -92,9 +92,9 @@
 	return n
 }
 
-// Among tells whether node, one of the live, is one of Holders(key, live without except, k). It is faster than to name
+// IsOwner tells whether node, one of the live, is one of Holders(key, live without except, k). It is faster than to name
 // them all.
-func (n *Nodes) Among(key, node, except string, k int) bool {
+func (n *Nodes) IsOwner(key, node, except string, k int) bool {
 	if k <= 0 || node == except {
 		return false
 	}
