--- a/cmd/keeper/chain.go
+++ b/cmd/keeper/chain.go
@@ -121,7 +121,7 @@
 
 func (k *keeper) chainOptions() replication.Options {
 	s := k.settings
-	return replication.Options{Addr: s.IP, Zone: s.Zone, Region: s.Region, Port: s.KeeperPort(), Seeds: s.SeedIPs(), Bootstrap: s.Bootstrap,
+	return replication.Options{Addr: s.IP, Zone: s.Zone, Region: s.Region, Port: s.ControlPlanePort(), Seeds: s.SeedIPs(), Bootstrap: s.Bootstrap,
 		MachineLosses: s.Tolerance.Machines, ZoneLosses: s.Tolerance.Zones, RegionLosses: s.Tolerance.Regions,
 		AckTimeout: settings.Milliseconds(s.Bounds.Ack), Log: k.log}
 }
--- a/cmd/keeper/feed.go
+++ b/cmd/keeper/feed.go
@@ -62,7 +62,7 @@
 	var urls []string
 	for _, address := range f.chain.Addresses() {
 		if address != f.settings.IP {
-			urls = append(urls, "http://"+net.JoinHostPort(address, strconv.Itoa(f.settings.KeeperPort())))
+			urls = append(urls, "http://"+net.JoinHostPort(address, strconv.Itoa(f.settings.ControlPlanePort())))
 		}
 	}
 	return urls
--- a/cmd/keeper/main.go
+++ b/cmd/keeper/main.go
@@ -8,5 +8,5 @@
 )
 
 func main() {
-	process.Main(process.Program{Name: "keeper", Description: "Keeper of the gradeusher system.", Role: settings.Keeper, Run: run})
+	process.Main(process.Program{Name: "keeper", Description: "Keeper of the gradeusher system.", Role: settings.ControlPlane, Run: run})
 }
--- a/cmd/keeper/run.go
+++ b/cmd/keeper/run.go
@@ -65,7 +65,7 @@
 // serve answers keepers and proxies at the inner port, and the operator at the control address.
 func (k *keeper) serve(ctx context.Context, group *process.Group) error {
 	for address, handler := range map[string]http.Handler{
-		net.JoinHostPort(k.settings.IP, strconv.Itoa(k.settings.KeeperPort())): k.innerCalls(),
+		net.JoinHostPort(k.settings.IP, strconv.Itoa(k.settings.ControlPlanePort())): k.innerCalls(),
 		k.settings.Bind.Control: k.operatorCalls(),
 	} {
 		l, err := process.Listen(ctx, address)
--- a/cmd/proxy/run.go
+++ b/cmd/proxy/run.go
@@ -54,7 +54,7 @@
 	p.dataPlane = proxy.New(proxy.Options{Settings: p.pickSettings(), GraceFor: settings.Seconds(s.Bounds.Grace) - endMargin,
 		LossSlack: settings.Milliseconds(s.Bounds.LossSlack), FDLimit: s.Limits.FDs, MemoryMB: int(s.Limits.MemoryMB), Log: p.log,
 		OnStall: func() { p.follower.Refresh() }})
-	p.follower = distribution.NewSubscriber(distribution.SubscriberOptions{Seeds: s.SeedIPs(), ControlPlanePort: s.KeeperPort(),
+	p.follower = distribution.NewSubscriber(distribution.SubscriberOptions{Seeds: s.SeedIPs(), ControlPlanePort: s.ControlPlanePort(),
 		ProxyPort: s.ProxyPort(), Self: distribution.Member{Node: s.Node, Zone: s.Zone, Region: s.Region, IP: s.IP, ClientAddress: s.Bind.Front},
 		Loads: p.dataPlane.Loads, OnUpdate: p.update, OnLoads: p.dataPlane.SetLoads, Log: p.log})
 	p.dataPlane.Publish()
@@ -107,7 +107,7 @@
 		return errors.Newf("%s gave no UDP socket: run on a system that has them", inner)
 	}
 	beat := beatEvery
-	if most := settings.Milliseconds(p.settings.BeatMS); most > 0 {
+	if most := settings.Milliseconds(p.settings.HeartbeatMS); most > 0 {
 		beat = min(beat, most)
 	}
 	p.agent = failuredetector.NewAgent(failuredetector.AgentOptions{Conn: conn, Log: p.log,
--- a/internal/compat/settings_test.go
+++ b/internal/compat/settings_test.go
@@ -31,14 +31,14 @@
 // TestSystemSettings reads a settings file with all keys: what comes out, under the same keys, is what the file says.
 func TestSystemSettings(t *testing.T) {
 	t.Setenv("GRADEUSHER_BOOT", "testdata/settings.toml")
-	for _, role := range []settings.Role{settings.Proxy, settings.Keeper} {
+	for _, role := range []settings.Role{settings.Proxy, settings.ControlPlane} {
 		s, err := settings.FromEnvironment(role)
 		if err != nil {
 			t.Fatal(err)
 		}
 		golden(t, "settings_read.toml", asTOML(t, s))
-		if s.KeeperPort() != 7720 || s.ProxyPort() != 7721 || !s.HasDisk() {
-			t.Errorf("ports %d and %d, disk %t", s.KeeperPort(), s.ProxyPort(), s.HasDisk())
+		if s.ControlPlanePort() != 7720 || s.ProxyPort() != 7721 || !s.HasDisk() {
+			t.Errorf("ports %d and %d, disk %t", s.ControlPlanePort(), s.ProxyPort(), s.HasDisk())
 		}
 	}
 }
--- a/internal/system/process/program.go
+++ b/internal/system/process/program.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	settings.Limits.Runtime()
+	settings.Limits.ApplyToRuntime()
 	logViolations(logger, settings.Node)
 	term, reload, stop := Signals(context.Background())
 	defer stop()
--- a/internal/system/settings/check.go
+++ b/internal/system/settings/check.go
@@ -70,7 +70,7 @@
 		{"bounds.cold_excess", s.Bounds.ColdExcess, 0, 1e6},
 		{"bounds.cold_slack", s.Bounds.ColdSlack, 0, 1e9},
 		{"cloud_api.rate_per_s", s.Cloud.Rate, 0.01, 1e6},
-		{"beat_ms", s.BeatMS, 0, 600_000},
+		{"beat_ms", s.HeartbeatMS, 0, 600_000},
 	} {
 		if !(f.value >= f.least && f.value <= f.most) { // NaN fits neither
 			return errors.Newf("%s is %v: give a figure from %v to %v", f.name, f.value, f.least, f.most)
--- a/internal/system/settings/settings.go
+++ b/internal/system/settings/settings.go
@@ -12,8 +12,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Variable names the environment variable that holds the path of the settings file.
-const Variable = "GRADEUSHER_BOOT"
+// PathEnv names the environment variable that holds the path of the settings file.
+const PathEnv = "GRADEUSHER_BOOT"
 
 // ErrSettings marks every error of this package: the file cannot be read, lacks what a role needs or holds nonsense.
 var ErrSettings = errors.New("settings")
@@ -73,24 +73,24 @@
 
 // Settings are those of one process.
 type Settings struct {
-	Node      string            `toml:"node_name"`
-	Role      string            `toml:"role"`
-	Serves    []string          `toml:"serves"`
-	IP        string            `toml:"ip"`
-	Zone      string            `toml:"zone"`
-	Region    string            `toml:"region"`
-	Ports     []int             `toml:"port_range"` // first and last of those free for the system's own traffic
-	Seeds     []string          `toml:"seed_nodes"` // control_api addresses
-	Bootstrap bool              `toml:"bootstrap"`
-	Counted   bool              `toml:"loss_counted"`
-	DataDir   string            `toml:"data_dir"`
-	BeatMS    float64           `toml:"beat_ms"`
-	Zones     map[string]string `toml:"zones"` // zone to region
-	Bind      Bind              `toml:"bind"`
-	Limits    Limits            `toml:"limits"`
-	Tolerance Tolerance         `toml:"tolerance"`
-	Bounds    Bounds            `toml:"bounds"`
-	Cloud     Cloud             `toml:"cloud_api"`
+	Node        string            `toml:"node_name"`
+	Role        string            `toml:"role"`
+	Serves      []string          `toml:"serves"`
+	IP          string            `toml:"ip"`
+	Zone        string            `toml:"zone"`
+	Region      string            `toml:"region"`
+	Ports       []int             `toml:"port_range"` // first and last of those free for the system's own traffic
+	Seeds       []string          `toml:"seed_nodes"` // control_api addresses
+	Bootstrap   bool              `toml:"bootstrap"`
+	Counted     bool              `toml:"loss_counted"`
+	DataDir     string            `toml:"data_dir"`
+	HeartbeatMS float64           `toml:"beat_ms"`
+	Zones       map[string]string `toml:"zones"` // zone to region
+	Bind        Bind              `toml:"bind"`
+	Limits      Limits            `toml:"limits"`
+	Tolerance   Tolerance         `toml:"tolerance"`
+	Bounds      Bounds            `toml:"bounds"`
+	Cloud       Cloud             `toml:"cloud_api"`
 }
 
 // Role is what a program needs of its settings.
@@ -98,8 +98,8 @@
 
 // The roles of the system.
 const (
-	Proxy  Role = iota // carries requests; answers the directory
-	Keeper             // holds the control state, where it has a disk; answers the operator
+	Proxy        Role = iota // carries requests; answers the directory
+	ControlPlane             // holds the control state, where it has a disk; answers the operator
 )
 
 // The system's own traffic takes the first ports of the range, the same on all machines.
@@ -112,8 +112,8 @@
 // HasDisk tells whether the machine has a disk for this process. A keeper without one is an observer: it has no vote.
 func (s *Settings) HasDisk() bool { return s.DataDir != "" }
 
-// KeeperPort is where a keeper listens for the system's own traffic.
-func (s *Settings) KeeperPort() int { return s.Ports[0] + keeperOffset }
+// ControlPlanePort is where a keeper listens for the system's own traffic.
+func (s *Settings) ControlPlanePort() int { return s.Ports[0] + keeperOffset }
 
 // ProxyPort is where a proxy listens for the system's own traffic, by TCP and UDP.
 func (s *Settings) ProxyPort() int { return s.Ports[0] + proxyOffset }
@@ -137,9 +137,9 @@
 
 // FromEnvironment reads the file that Variable names.
 func FromEnvironment(role Role) (*Settings, error) {
-	path := os.Getenv(Variable)
+	path := os.Getenv(PathEnv)
 	if path == "" {
-		return nil, errors.Mark(errors.Newf("%s is not set: name the settings file in it", Variable), ErrSettings)
+		return nil, errors.Mark(errors.Newf("%s is not set: name the settings file in it", PathEnv), ErrSettings)
 	}
 	return Load(path, role)
 }
--- a/internal/system/settings/settings_test.go
+++ b/internal/system/settings/settings_test.go
@@ -19,7 +19,7 @@
 	datadriven.RunTest(t, "testdata/parse", func(t *testing.T, d *datadriven.TestData) string {
 		role := Proxy
 		if d.Cmd == "keeper" {
-			role = Keeper
+			role = ControlPlane
 		}
 		text := string(good)
 		for _, line := range strings.Split(d.Input, "\n") {
@@ -44,22 +44,22 @@
 		if s.HasDisk() {
 			disk = ""
 		}
-		return s.Node + " keeper port " + strconv.Itoa(s.KeeperPort()) + " proxy port " + strconv.Itoa(s.ProxyPort()) + " seeds " +
+		return s.Node + " keeper port " + strconv.Itoa(s.ControlPlanePort()) + " proxy port " + strconv.Itoa(s.ProxyPort()) + " seeds " +
 			strings.Join(s.SeedIPs(), ",") + disk
 	})
 }
 
 func TestFromEnvironment(t *testing.T) {
-	t.Setenv(Variable, "")
-	if _, err := FromEnvironment(Proxy); err == nil || !strings.Contains(err.Error(), Variable) {
+	t.Setenv(PathEnv, "")
+	if _, err := FromEnvironment(Proxy); err == nil || !strings.Contains(err.Error(), PathEnv) {
 		t.Errorf("without the variable: %v", err)
 	}
-	t.Setenv(Variable, t.TempDir()+"/none")
+	t.Setenv(PathEnv, t.TempDir()+"/none")
 	if _, err := FromEnvironment(Proxy); !errors.Is(err, ErrSettings) {
 		t.Errorf("without the file: %v", err)
 	}
-	t.Setenv(Variable, "testdata/good.toml")
-	if _, err := FromEnvironment(Keeper); err != nil {
+	t.Setenv(PathEnv, "testdata/good.toml")
+	if _, err := FromEnvironment(ControlPlane); err != nil {
 		t.Error(err)
 	}
 }
@@ -71,7 +71,7 @@
 	}
 	f.Add(string(good))
 	f.Fuzz(func(t *testing.T, text string) {
-		if s, err := Parse([]byte(text), Keeper); err == nil && s.KeeperPort() < 1 {
+		if s, err := Parse([]byte(text), ControlPlane); err == nil && s.ControlPlanePort() < 1 {
 			t.Error("accepted without a port")
 		}
 	})
