--- a/cmd/keeper/feed.go
+++ b/cmd/keeper/feed.go
@@ -39,7 +39,7 @@
 	f := &feed{settings: s, log: logger, chain: chain, fence: ownership.NewAssignment(s.IP), client: platform.NewClient(platform.Options{Address: s.Cloud.Address})}
 	f.hub = distribution.NewServer(distribution.ServerOptions{Source: chain, Self: s.IP, Zone: s.Zone, Region: s.Region,
 		ListLag: settings.Milliseconds(s.Cloud.Lag), Peers: f.peers, Log: logger})
-	f.poller = platform.NewPoller(platform.PollerOptions{Lister: f.client, Duty: f.duty, Newest: f.newest, OnResult: f.listed,
+	f.poller = platform.NewPoller(platform.PollerOptions{Lister: f.client, Ownership: f.duty, Newest: f.newest, OnResult: f.listed,
 		Interval: pollEvery, CallRate: max(s.Cloud.Rate*pollPart, 1), Log: logger})
 	return f
 }
@@ -85,7 +85,7 @@
 	for _, i := range r.Instances {
 		servers = append(servers, pick.Server{ID: i.ID, Service: i.Target, Address: i.Address, Zone: i.Zone,
 			Region: f.settings.Zones[i.Zone], Slots: i.Slots, Draining: i.Phase == platform.Draining,
-			Remaining: i.Remaining, Cold: roundedUp(i.ColdLeft)})
+			Remaining: i.Remaining, Cold: roundedUp(i.WarmUpLeft)})
 	}
 	f.logCold(r)
 	if err := f.hub.PutList(r.Fence, r.Version, servers, distribution.TimeBounds{Earliest: r.Asked, Latest: r.Answered}); err != nil {
@@ -97,12 +97,12 @@
 func (f *feed) logCold(r platform.Result) {
 	cold := map[string]bool{}
 	for _, i := range r.Instances {
-		if i.ColdLeft <= 0 {
+		if i.WarmUpLeft <= 0 {
 			continue
 		}
 		cold[i.ID] = true
 		if !f.cold[i.ID] {
-			f.log.WithField("server", i.ID).WithField("cold_ms", i.ColdLeft.Milliseconds()).
+			f.log.WithField("server", i.ID).WithField("cold_ms", i.WarmUpLeft.Milliseconds()).
 				WithField("reading_ms", r.Answered.Sub(r.Asked).Milliseconds()).Info("keeper: the list calls a server cold")
 		}
 	}
--- a/internal/system/distribution/coldworld_serve_test.go
+++ b/internal/system/distribution/coldworld_serve_test.go
@@ -42,7 +42,7 @@
 			if rand.N(100) < l.w.missing {
 				continue
 			}
-			i := platform.Instance{ID: id, Target: "a", Address: id, Zone: v.zone, Slots: 1000, ColdLeft: max(0, v.coldUntil.Sub(now))}
+			i := platform.Instance{ID: id, Target: "a", Address: id, Zone: v.zone, Slots: 1000, WarmUpLeft: max(0, v.coldUntil.Sub(now))}
 			if !v.draining.IsZero() {
 				i.Phase = platform.Draining
 			}
@@ -64,7 +64,7 @@
 	w.polls[k] = cancel
 	h := w.hubs[k]
 	p := platform.NewPoller(platform.PollerOptions{Lister: &coldLister{w: w}, Newest: h.ListVersion, Log: quiet(),
-		Duty: func() (uint64, bool) {
+		Ownership: func() (uint64, bool) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			if w.sources[k].Current() {
@@ -75,7 +75,7 @@
 		OnResult: func(r platform.Result) {
 			var servers []pick.Server
 			for _, i := range r.Instances {
-				servers = append(servers, pick.Server{ID: i.ID, Service: i.Target, Address: i.Address, Zone: i.Zone, Slots: i.Slots, Draining: i.Phase == platform.Draining, Cold: i.ColdLeft})
+				servers = append(servers, pick.Server{ID: i.ID, Service: i.Target, Address: i.Address, Zone: i.Zone, Slots: i.Slots, Draining: i.Phase == platform.Draining, Cold: i.WarmUpLeft})
 			}
 			_ = h.PutList(r.Fence, r.Version, servers, TimeBounds{Earliest: r.Asked, Latest: r.Answered})
 		}})
--- a/internal/system/platform/client.go
+++ b/internal/system/platform/client.go
@@ -23,9 +23,9 @@
 
 // The kinds of errors of List. Test for them with errors.Is.
 var (
-	ErrRate   = errors.New("platform: more calls than its rate accepts") // a *RateError: RetryAfter gives its hint
-	ErrAnswer = errors.New("platform: an answer that is no list")        // also one that is too large, or has no end
-	ErrReach  = errors.New("platform: not reached in time")
+	ErrRateLimited = errors.New("platform: more calls than its rate accepts") // a *RateError: RetryAfter gives its hint
+	ErrMalformed   = errors.New("platform: an answer that is no list")        // also one that is too large, or has no end
+	ErrUnreachable = errors.New("platform: not reached in time")
 )
 
 // RateError is the platform's 429.
@@ -38,8 +38,8 @@
 	return "the platform answered 429: call less often, next after " + e.After.String()
 }
 
-// Is makes every RateError one of the kind ErrRate.
-func (e *RateError) Is(target error) bool { return target == ErrRate }
+// Is makes every RateError one of the kind ErrRateLimited.
+func (e *RateError) Is(target error) bool { return target == ErrRateLimited }
 
 // RetryAfter gives the hint of a refusal for its rate, 0 where there is none.
 func RetryAfter(err error) time.Duration {
@@ -129,14 +129,14 @@
 	first := 0
 	for _, page := range pages {
 		for i := first; i < page.upTo; i++ {
-			list[i].ColdLeft = max(0, list[i].ColdLeft-last.Sub(page.at))
+			list[i].WarmUpLeft = max(0, list[i].WarmUpLeft-last.Sub(page.at))
 		}
 		first = page.upTo
 	}
 }
 
 // List gives the servers of a zone, or of all zones where it is empty, sorted by id, with their cold states as of the last page.
-// It is whole or an error of the kinds ErrRate, ErrAnswer or ErrReach: never a part. Each page has the client's timeout; ctx
+// It is whole or an error of the kinds ErrRateLimited, ErrMalformed or ErrUnreachable: never a part. Each page has the client's timeout; ctx
 // bounds them together.
 func (c *Client) List(ctx context.Context, zone string) ([]Instance, error) {
 	var (
@@ -165,11 +165,11 @@
 			countDown(list, pages)
 			return normalize(list), nil
 		case token:
-			return nil, errors.Mark(errors.Newf("the platform's page %q names itself as the next: ask again", token), ErrAnswer)
+			return nil, errors.Mark(errors.Newf("the platform's page %q names itself as the next: ask again", token), ErrMalformed)
 		}
 		token = next
 	}
-	return nil, errors.Mark(errors.Newf("the platform's list has more than %d pages: poll it by zone", maxPages), ErrAnswer)
+	return nil, errors.Mark(errors.Newf("the platform's list has more than %d pages: poll it by zone", maxPages), ErrMalformed)
 }
 
 func (c *Client) page(ctx context.Context, zone, token string, buf *bytes.Buffer) error {
@@ -196,7 +196,7 @@
 	}
 	if err != nil {
 		c.http.CloseIdleConnections()
-		return errors.Mark(errors.Wrap(err, "the platform's list was not reached: keep the old list and ask again"), ErrReach)
+		return errors.Mark(errors.Wrap(err, "the platform's list was not reached: keep the old list and ask again"), ErrUnreachable)
 	}
 	defer resp.Body.Close()
 	switch {
@@ -205,15 +205,15 @@
 		return &RateError{After: retryAfter(resp.Header.Get("Retry-After"))}
 	case resp.StatusCode != http.StatusOK:
 		_, _ = io.CopyN(io.Discard, resp.Body, 4<<10)
-		return errors.Mark(errors.Newf("the platform answered %d: keep the old list and ask again", resp.StatusCode), ErrReach)
+		return errors.Mark(errors.Newf("the platform answered %d: keep the old list and ask again", resp.StatusCode), ErrUnreachable)
 	}
 	buf.Reset()
 	n, err := buf.ReadFrom(io.LimitReader(resp.Body, maxBody+1))
 	switch {
 	case err != nil:
-		return errors.Mark(errors.Wrap(err, "the platform's answer broke off: keep the old list and ask again"), ErrReach)
+		return errors.Mark(errors.Wrap(err, "the platform's answer broke off: keep the old list and ask again"), ErrUnreachable)
 	case n > maxBody:
-		return errors.Mark(errors.Newf("a page of the platform's list has more than %d bytes: poll it by zone", maxBody), ErrAnswer)
+		return errors.Mark(errors.Newf("a page of the platform's list has more than %d bytes: poll it by zone", maxBody), ErrMalformed)
 	}
 	return nil
 }
--- a/internal/system/platform/client_test.go
+++ b/internal/system/platform/client_test.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Instance{ID: "i", Target: "a", Address: "h:1", Zone: "z", Slots: 64, ColdLeft: 1500500 * time.Microsecond,
+	want := Instance{ID: "i", Target: "a", Address: "h:1", Zone: "z", Slots: 64, WarmUpLeft: 1500500 * time.Microsecond,
 		Revision: "v1", Stage: "both", Models: []Model{{Name: "m", Revision: 7, Adapters: []string{"x", "y"}}}}
 	if got := fmt.Sprintf("%+v", list); got != fmt.Sprintf("%+v", []Instance{want}) {
 		t.Errorf("list = %s", got)
@@ -84,23 +84,23 @@
 		"rate": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Retry-After", "0.25")
 			w.WriteHeader(http.StatusTooManyRequests)
-		}, ErrRate},
-		"server error": {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }, ErrReach},
-		"redirect":     {func(w http.ResponseWriter, r *http.Request) { http.Redirect(w, r, "/instances", http.StatusFound) }, ErrReach},
-		"no JSON":      {func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"instances":[`) }, ErrAnswer},
-		"no list":      {func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"instances":{}}`) }, ErrAnswer},
+		}, ErrRateLimited},
+		"server error": {func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }, ErrUnreachable},
+		"redirect":     {func(w http.ResponseWriter, r *http.Request) { http.Redirect(w, r, "/instances", http.StatusFound) }, ErrUnreachable},
+		"no JSON":      {func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"instances":[`) }, ErrMalformed},
+		"no list":      {func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"instances":{}}`) }, ErrMalformed},
 		"page names itself": {func(w http.ResponseWriter, _ *http.Request) {
 			fmt.Fprint(w, `{"instances":[],"next_token":"p-1"}`)
-		}, ErrAnswer},
+		}, ErrMalformed},
 		"no end": {func(w http.ResponseWriter, _ *http.Request) {
 			endless++
 			fmt.Fprintf(w, `{"instances":[],"next_token":"p-%d"}`, endless)
-		}, ErrAnswer},
+		}, ErrMalformed},
 		"broken off": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "1000")
 			fmt.Fprint(w, `{"instances":[]`)
-		}, ErrReach},
-		"silent": {func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, ErrReach},
+		}, ErrUnreachable},
+		"silent": {func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, ErrUnreachable},
 		"too large": {func(w http.ResponseWriter, _ *http.Request) {
 			blank := []byte(strings.Repeat(" ", 1<<20))
 			for range 9 {
@@ -108,14 +108,14 @@
 					return
 				}
 			}
-		}, ErrAnswer},
+		}, ErrMalformed},
 		"second page fails": {func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Query().Get("page_token") != "" {
 				w.WriteHeader(http.StatusBadGateway)
 				return
 			}
 			fmt.Fprint(w, `{"instances":[{"id":"i","target":"a","address":"h:1"}],"next_token":"2"}`)
-		}, ErrReach},
+		}, ErrUnreachable},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -139,7 +139,7 @@
 	s := httptest.NewServer(http.NotFoundHandler())
 	address := s.Listener.Addr().String()
 	s.Close()
-	if _, err := NewClient(Options{Address: address}).List(context.Background(), ""); !errors.Is(err, ErrReach) {
+	if _, err := NewClient(Options{Address: address}).List(context.Background(), ""); !errors.Is(err, ErrUnreachable) {
 		t.Errorf("err = %v", err)
 	}
 }
@@ -176,7 +176,7 @@
 				fmt.Fprint(w, `{"instances":[],"next_token":null}`)
 			})
 			for n, failed := range tt.failed {
-				if _, err := c.List(context.Background(), ""); (err != nil) != failed || err != nil && !errors.Is(err, ErrReach) {
+				if _, err := c.List(context.Background(), ""); (err != nil) != failed || err != nil && !errors.Is(err, ErrUnreachable) {
 					t.Errorf("list %d: error %v", n, err)
 				}
 			}
@@ -221,7 +221,7 @@
 	for range 50 {
 		list, err := c.List(context.Background(), "")
 		switch {
-		case err != nil && !errors.Is(err, ErrReach): // it may meet the connection's end
+		case err != nil && !errors.Is(err, ErrUnreachable): // it may meet the connection's end
 			t.Errorf("error %v", err)
 		case err == nil && (len(list) != 1 || list[0].ID != "own"):
 			t.Errorf("list %+v", list)
--- a/internal/system/platform/instance.go
+++ b/internal/system/platform/instance.go
@@ -29,17 +29,17 @@
 
 // Instance is one incarnation of a server as the platform's list tells of it. The durations are as of the answer.
 type Instance struct {
-	ID        string
-	Target    string // name of its service
-	Address   string // ip:port
-	Zone      string
-	Slots     int
-	Phase     Phase
-	ColdLeft  time.Duration // how much longer it is cold; 0: warm
-	Remaining time.Duration // of a server withdrawn at short notice: what is left to it; 0: not told
-	Revision  string        // of its software
-	Stage     string        // of a model server
-	Models    []Model
+	ID         string
+	Target     string // name of its service
+	Address    string // ip:port
+	Zone       string
+	Slots      int
+	Phase      Phase
+	WarmUpLeft time.Duration // how much longer it is cold; 0: warm
+	Remaining  time.Duration // of a server withdrawn at short notice: what is left to it; 0: not told
+	Revision   string        // of its software
+	Stage      string        // of a model server
+	Models     []Model
 }
 
 // interner lets the strings that many instances share be one in memory.
@@ -71,22 +71,22 @@
 func parsePage(p *fastjson.Parser, body []byte, in interner, dst []Instance) ([]Instance, string, error) {
 	v, err := p.ParseBytes(body)
 	if err != nil {
-		return dst, "", errors.Mark(errors.Wrap(err, "the platform's list cannot be read: ask again"), ErrAnswer)
+		return dst, "", errors.Mark(errors.Wrap(err, "the platform's list cannot be read: ask again"), ErrMalformed)
 	}
 	list := v.Get("instances")
 	if list == nil || list.Type() != fastjson.TypeArray {
-		return dst, "", errors.Mark(errors.New("the platform's answer has no list under instances: check cloud_api.address"), ErrAnswer)
+		return dst, "", errors.Mark(errors.New("the platform's answer has no list under instances: check cloud_api.address"), ErrMalformed)
 	}
 	for _, e := range list.GetArray() {
 		i := Instance{
-			ID:       string(e.GetStringBytes("id")),
-			Target:   in.str(e.GetStringBytes("target")),
-			Address:  string(e.GetStringBytes("address")),
-			Zone:     in.str(e.GetStringBytes("zone")),
-			Slots:    max(0, int(min(e.GetFloat64("slots"), 1<<20))),
-			ColdLeft: millis(e, "cold_left_ms"),
-			Revision: in.str(e.GetStringBytes("revision")),
-			Stage:    in.str(e.GetStringBytes("stage")),
+			ID:         string(e.GetStringBytes("id")),
+			Target:     in.str(e.GetStringBytes("target")),
+			Address:    string(e.GetStringBytes("address")),
+			Zone:       in.str(e.GetStringBytes("zone")),
+			Slots:      max(0, int(min(e.GetFloat64("slots"), 1<<20))),
+			WarmUpLeft: millis(e, "cold_left_ms"),
+			Revision:   in.str(e.GetStringBytes("revision")),
+			Stage:      in.str(e.GetStringBytes("stage")),
 		}
 		if i.ID == "" || i.Target == "" || i.Address == "" {
 			continue
--- a/internal/system/platform/pages_test.go
+++ b/internal/system/platform/pages_test.go
@@ -9,12 +9,12 @@
 // of the first are held for cold for as long as the other pages take.
 func TestColdStatesCountFromTheLastPage(t *testing.T) {
 	start := time.Now()
-	list := []Instance{{ID: "a", ColdLeft: 3 * time.Second}, {ID: "b", ColdLeft: 100 * time.Millisecond}, {ID: "c", ColdLeft: 2 * time.Second}}
+	list := []Instance{{ID: "a", WarmUpLeft: 3 * time.Second}, {ID: "b", WarmUpLeft: 100 * time.Millisecond}, {ID: "c", WarmUpLeft: 2 * time.Second}}
 	pages := []answered{{start, 2}, {start.Add(300 * time.Millisecond), 3}}
 	countDown(list, pages)
 	for i, want := range []time.Duration{2700 * time.Millisecond, 0, 2000 * time.Millisecond} {
-		if list[i].ColdLeft != want {
-			t.Errorf("%s is cold for %v more, want %v", list[i].ID, list[i].ColdLeft, want)
+		if list[i].WarmUpLeft != want {
+			t.Errorf("%s is cold for %v more, want %v", list[i].ID, list[i].WarmUpLeft, want)
 		}
 	}
 }
--- a/internal/system/platform/poller.go
+++ b/internal/system/platform/poller.go
@@ -31,7 +31,7 @@
 type PollerOptions struct {
 	Lister Lister
 	// Duty tells whether this process is to poll now, and under which fence.
-	Duty func() (fence uint64, holds bool)
+	Ownership func() (fence uint64, holds bool)
 	// Newest tells what the list that is in use carries, wherever it came from, and how long ago it was read from the
 	// platform. Versions go on from there, so a poller that was started again is not taken for an old one.
 	Newest   func() (fence, version uint64, age time.Duration)
@@ -89,7 +89,7 @@
 
 // step polls once if it should, and gives how long to wait for the next.
 func (p *Poller) step(ctx context.Context) time.Duration {
-	fence, holds := p.o.Duty()
+	fence, holds := p.o.Ownership()
 	used, version, age := p.o.Newest()
 	if fence < used {
 		// Somebody acts under a newer fence: what this one would give is refused anyway.
@@ -140,7 +140,7 @@
 	}
 	p.failures++
 	longest, shortest := longestFailed, wait
-	if errors.Is(err, ErrRate) {
+	if errors.Is(err, ErrRateLimited) {
 		longest, shortest = longestRate, max(2*wait, RetryAfter(err))
 		wait *= 2
 	}
--- a/internal/system/platform/poller_test.go
+++ b/internal/system/platform/poller_test.go
@@ -82,7 +82,7 @@
 	for pages, want := range map[uint64]uint64{1: 21, 4: 4 * 11, 20: 20 * 3} {
 		synctest.Test(t, func(t *testing.T) {
 			list, in := &fakeList{pages: pages}, &table{}
-			run(PollerOptions{Lister: list, Duty: func() (uint64, bool) { return 3, true }, Newest: in.newest,
+			run(PollerOptions{Lister: list, Ownership: func() (uint64, bool) { return 3, true }, Newest: in.newest,
 				OnResult: in.put, CallRate: 4}, 10*time.Second+time.Millisecond)
 			if list.calls != want {
 				t.Errorf("%d pages: %d calls in 10 s, want %d", pages, list.calls, want)
@@ -97,7 +97,7 @@
 func TestPollerGoesOnFromTheNewestVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list, in := &fakeList{pages: 1}, &table{fence: 3, version: 40}
-		o := PollerOptions{Lister: list, Duty: func() (uint64, bool) { return 3, true }, Newest: in.newest, OnResult: in.put}
+		o := PollerOptions{Lister: list, Ownership: func() (uint64, bool) { return 3, true }, Newest: in.newest, OnResult: in.put}
 		run(o, time.Millisecond)
 		if in.version != 41 || in.taken != 1 {
 			t.Errorf("table = %+v, want version 41", in)
@@ -108,7 +108,7 @@
 func TestPollerUnderAnOldFence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list, in := &fakeList{pages: 1}, &table{fence: 4, version: 1}
-		run(PollerOptions{Lister: list, Duty: func() (uint64, bool) { return 3, true }, Newest: in.newest, OnResult: in.put},
+		run(PollerOptions{Lister: list, Ownership: func() (uint64, bool) { return 3, true }, Newest: in.newest, OnResult: in.put},
 			10*time.Second)
 		if list.calls != 0 {
 			t.Errorf("%d calls under an old fence", list.calls)
@@ -124,7 +124,7 @@
 		var wg sync.WaitGroup
 		for _, list := range lists {
 			wg.Go(func() {
-				run(PollerOptions{Lister: list, Duty: func() (uint64, bool) { return 3, false }, Newest: in.newest,
+				run(PollerOptions{Lister: list, Ownership: func() (uint64, bool) { return 3, false }, Newest: in.newest,
 					OnResult: in.put}, 20*time.Second)
 			})
 		}
@@ -150,7 +150,7 @@
 			time.Sleep(9 * time.Second)
 			list.fail(nil)
 		}()
-		run(PollerOptions{Lister: list, Duty: func() (uint64, bool) { return 1, true }, Newest: in.newest, OnResult: in.put},
+		run(PollerOptions{Lister: list, Ownership: func() (uint64, bool) { return 1, true }, Newest: in.newest, OnResult: in.put},
 			30*time.Second)
 		// Calls at 0, 3 and 6 s fail, and from 10 s on there are two a second.
 		if in.taken < 40 || in.taken > 41 {
@@ -164,7 +164,7 @@
 
 func TestPace(t *testing.T) {
 	p := pace{interval: 500 * time.Millisecond, gap: 250 * time.Millisecond}
-	reach := errors.Mark(errors.New("cut"), ErrReach)
+	reach := errors.Mark(errors.New("cut"), ErrUnreachable)
 	steps := []struct {
 		calls int
 		err   error
