--- a/cmd/proxy/run.go
+++ b/cmd/proxy/run.go
@@ -111,7 +111,7 @@
 		beat = min(beat, most)
 	}
 	p.agent = failuredetector.NewAgent(failuredetector.AgentOptions{Conn: conn, Log: p.log,
-		Options: failuredetector.Options{Self: p.settings.Node, Incarnation: p.follower.Incarnation(), Beat: beat, Silence: silenceFor, Probe: probeWithin},
+		Options: failuredetector.Options{Self: p.settings.Node, Incarnation: p.follower.Incarnation(), HeartbeatInterval: beat, SuspectTimeout: silenceFor, ProbeTimeout: probeWithin},
 		OnVerdict: func(v failuredetector.Verdict) {
 			if v.Down {
 				p.follower.Report(v.Node, v.Incarnation)
--- a/internal/system/failuredetector/agent.go
+++ b/internal/system/failuredetector/agent.go
@@ -58,9 +58,9 @@
 		o:     o,
 		start: time.Now(),
 		http: &http.Client{
-			Timeout: o.Probe,
+			Timeout: o.ProbeTimeout,
 			Transport: &http.Transport{
-				DialContext:       (&net.Dialer{Timeout: o.Probe}).DialContext,
+				DialContext:       (&net.Dialer{Timeout: o.ProbeTimeout}).DialContext,
 				DisableKeepAlives: true, // a path that is tried must be a fresh one
 			},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -84,7 +84,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.addresses = addresses
-	a.detector.Members(a.now(), members)
+	a.detector.SetMembers(a.now(), members)
 	a.carryOut()
 }
 
@@ -134,7 +134,7 @@
 		a.probes.Wait()
 		a.http.CloseIdleConnections()
 	}()
-	ticker := time.NewTicker(a.o.Beat / 4)
+	ticker := time.NewTicker(a.o.HeartbeatInterval / 4)
 	defer ticker.Stop()
 	for {
 		select {
@@ -177,7 +177,7 @@
 
 // carryOut does what the detector wants done. Its caller holds mu.
 func (a *Agent) carryOut() {
-	out := a.detector.Take()
+	out := a.detector.Ready()
 	var buf [MaxDatagram]byte
 	for _, e := range out.Send {
 		if addr, ok := a.addresses[e.To]; ok {
--- a/internal/system/failuredetector/agent_test.go
+++ b/internal/system/failuredetector/agent_test.go
@@ -44,7 +44,7 @@
 		}
 	}
 	n.agent = NewAgent(AgentOptions{
-		Options: Options{Self: name, Incarnation: incarnation, Beat: 20 * time.Millisecond, Probe: 5 * time.Second, Gap: time.Minute},
+		Options: Options{Self: name, Incarnation: incarnation, HeartbeatInterval: 20 * time.Millisecond, ProbeTimeout: 5 * time.Second, PauseThreshold: time.Minute},
 		Conn:    conn,
 		OnVerdict: func(v Verdict) {
 			select {
--- a/internal/system/failuredetector/detector.go
+++ b/internal/system/failuredetector/detector.go
@@ -33,13 +33,13 @@
 
 // Options are those of a Detector. Zero values take the defaults.
 type Options struct {
-	Self        string
-	Incarnation uint64        // of this process; chosen at random at its start
-	Watchers    int           // 3
-	Beat        time.Duration // 400 ms
-	Silence     time.Duration // without a beat, after which a node is suspected; 3.5 beats
-	Probe       time.Duration // that second paths have until the verdict; 2 beats
-	Gap         time.Duration // in this process's own ticks, after which it was paused; 1 s
+	Self              string
+	Incarnation       uint64        // of this process; chosen at random at its start
+	Watchers          int           // 3
+	HeartbeatInterval time.Duration // 400 ms
+	SuspectTimeout    time.Duration // without a beat, after which a node is suspected; 3.5 beats
+	ProbeTimeout      time.Duration // that second paths have until the verdict; 2 beats
+	PauseThreshold    time.Duration // in this process's own ticks, after which it was paused; 1 s
 
 	anyAnswer bool // takes a protection out, so that a test shows what it is for: answers count whenever they come
 }
@@ -48,17 +48,17 @@
 	if o.Watchers <= 0 {
 		o.Watchers = 3
 	}
-	if o.Beat <= 0 {
-		o.Beat = 400 * time.Millisecond
+	if o.HeartbeatInterval <= 0 {
+		o.HeartbeatInterval = 400 * time.Millisecond
 	}
-	if o.Silence <= 0 {
-		o.Silence = o.Beat * 7 / 2
+	if o.SuspectTimeout <= 0 {
+		o.SuspectTimeout = o.HeartbeatInterval * 7 / 2
 	}
-	if o.Probe <= 0 {
-		o.Probe = 2 * o.Beat
+	if o.ProbeTimeout <= 0 {
+		o.ProbeTimeout = 2 * o.HeartbeatInterval
 	}
-	if o.Gap <= 0 {
-		o.Gap = time.Second
+	if o.PauseThreshold <= 0 {
+		o.PauseThreshold = time.Second
 	}
 	return o
 }
@@ -164,7 +164,7 @@
 	}
 	for _, q := range d.questions {
 		if q.nonce == nonce {
-			return q.at, now-q.at < d.o.Silence
+			return q.at, now-q.at < d.o.SuspectTimeout
 		}
 	}
 	return 0, false
@@ -175,8 +175,8 @@
 	return &Detector{o: o.withDefaults(), watched: map[string]*watch{}, members: map[string]bool{}, nonce: o.Incarnation}
 }
 
-// Take gives what is to be done since the last Take.
-func (d *Detector) Take() Output {
+// Ready gives what is to be done since the last Ready.
+func (d *Detector) Ready() Output {
 	out := d.out
 	d.out = Output{}
 	return out
@@ -185,11 +185,11 @@
 // Connected tells whether this process has heard from anybody since it started or resumed, and lately. One that is not may
 // be the one that is cut off or was replaced, and must not act on what it believes.
 func (d *Detector) Connected(now Time) bool {
-	return d.connected && now-d.last <= d.o.Gap && now-d.contact <= d.o.Silence
+	return d.connected && now-d.last <= d.o.PauseThreshold && now-d.contact <= d.o.SuspectTimeout
 }
 
-// Members takes over the live nodes, self included or not.
-func (d *Detector) Members(now Time, members []Member) {
+// SetMembers takes over the live nodes, self included or not.
+func (d *Detector) SetMembers(now Time, members []Member) {
 	d.advance(now)
 	if d.live != nil && slices.Equal(members, d.lastMembers) {
 		return
@@ -233,7 +233,7 @@
 
 // advance notes that time goes on, and notices that this process was paused.
 func (d *Detector) advance(now Time) {
-	if d.started && now-d.last > d.o.Gap {
+	if d.started && now-d.last > d.o.PauseThreshold {
 		d.resume(now)
 	}
 	d.started, d.last = true, max(d.last, now)
@@ -273,12 +273,12 @@
 
 func (d *Detector) beat(now Time) {
 	// Beats that were missed are not made up for.
-	if d.nextBeat += d.o.Beat; d.nextBeat <= now {
-		d.nextBeat = now + d.o.Beat
+	if d.nextBeat += d.o.HeartbeatInterval; d.nextBeat <= now {
+		d.nextBeat = now + d.o.HeartbeatInterval
 	}
 	message := Message{Kind: Heartbeat}
 	to := d.watchers
-	if !d.connected || now-d.contact >= 2*d.o.Beat {
+	if !d.connected || now-d.contact >= 2*d.o.HeartbeatInterval {
 		// Few are heard of late: ask for an answer, so that a node that watches nobody knows that it is connected.
 		message = Message{Kind: Ping, Nonce: d.question(now)}
 		if !d.connected {
--- a/internal/system/failuredetector/detector_test.go
+++ b/internal/system/failuredetector/detector_test.go
@@ -300,7 +300,7 @@
 	if found(Options{}, turns) {
 		t.Error("a process that was paused while it suspected another gives a wrong verdict")
 	}
-	if !found(Options{Gap: time.Hour}, turns) {
+	if !found(Options{PauseThreshold: time.Hour}, turns) {
 		t.Error("processes that do not notice their pause give no wrong verdict: the harness does not test it")
 	}
 	if !found(Options{Watchers: 1}, func(w *world) {
@@ -322,7 +322,7 @@
 	d := NewDetector(Options{Self: members[0].Node, Incarnation: 0})
 	b.Run("members", func(b *testing.B) {
 		for b.Loop() {
-			d.Members(0, members)
+			d.SetMembers(0, members)
 		}
 	})
 	b.Run("tick", func(b *testing.B) {
@@ -330,7 +330,7 @@
 		for b.Loop() {
 			now += 100 * time.Millisecond
 			d.Tick(now)
-			d.Take()
+			d.Ready()
 		}
 	})
 }
--- a/internal/system/failuredetector/judge.go
+++ b/internal/system/failuredetector/judge.go
@@ -17,19 +17,19 @@
 		if now-w.reported >= repeatVerdict && d.Connected(now) {
 			d.verdict(now, node, w)
 		}
-	case now-w.silentSince() < d.o.Silence:
+	case now-w.silentSince() < d.o.SuspectTimeout:
 		w.suspect, w.notHeard = false, nil
 	case !w.suspect:
-		w.suspect, w.deadline = true, now+d.o.Probe
+		w.suspect, w.deadline = true, now+d.o.ProbeTimeout
 		w.probeFailed, w.notHeard = false, map[string]bool{}
 		d.out.Probe = append(d.out.Probe, node)
 		d.ask(now, node, w)
 	case w.probeFailed && (now >= w.deadline || d.allNotHeard(node, w)) && d.Connected(now):
 		d.verdict(now, node, w)
-	case now >= w.deadline+d.o.Probe:
+	case now >= w.deadline+d.o.ProbeTimeout:
 		// The call was not made, or this node may itself be the one that is cut off: try again.
 		w.suspect = false
-	case now-w.asked >= d.o.Probe/4:
+	case now-w.asked >= d.o.ProbeTimeout/4:
 		d.ask(now, node, w) // a question or its answer may have been lost
 	}
 }
@@ -47,7 +47,7 @@
 	w.asked = now
 	nonce := d.question(now)
 	for _, other := range d.others(node) {
-		d.send(other, Message{Kind: Query, Nonce: nonce, Node: node, NodeIncarnation: w.incarnation})
+		d.send(other, Message{Kind: IndirectPing, Nonce: nonce, Node: node, NodeIncarnation: w.incarnation})
 	}
 }
 
@@ -81,7 +81,7 @@
 	if !w.everHeard || at > w.heard {
 		w.heard, w.everHeard = at, true
 	}
-	if now-w.heard >= d.o.Silence {
+	if now-w.heard >= d.o.SuspectTimeout {
 		return // too old to clear anything
 	}
 	w.suspect, w.notHeard = false, nil
@@ -94,7 +94,7 @@
 // probeIncarnation has a second path asked which process of a node lives. Incarnations have no order, so of two that are heard
 // only a fresh answer tells which is the present one: a datagram may come late from a process that is no more.
 func (d *Detector) probeIncarnation(now Time, node string, w *watch) {
-	if w.incarnationAsked == 0 || now-w.incarnationAsked >= d.o.Beat {
+	if w.incarnationAsked == 0 || now-w.incarnationAsked >= d.o.HeartbeatInterval {
 		w.incarnationAsked = now
 		d.out.Probe = append(d.out.Probe, node)
 	}
@@ -104,7 +104,7 @@
 // answered, or that none did in time.
 func (d *Detector) ProbeResult(now, asked Time, node string, incarnation uint64, alive bool) {
 	d.advance(now)
-	if alive && now-asked >= d.o.Silence {
+	if alive && now-asked >= d.o.SuspectTimeout {
 		return // the answer may have lain in a buffer while this process was paused
 	}
 	w := d.watched[node]
@@ -129,13 +129,13 @@
 	}
 	asked := now
 	switch m.Kind {
-	case Pong, NotHeard, Heard:
+	case Pong, IndirectNack, IndirectAck:
 		var ok bool
 		if asked, ok = d.askedAt(now, m.Nonce); !ok {
 			return // it lay in a buffer, or answers a former process
 		}
 		d.connected = true
-	case Heartbeat, Ping, Query, Leave:
+	case Heartbeat, Ping, IndirectPing, Leave:
 	default:
 		return
 	}
@@ -153,11 +153,11 @@
 	switch m.Kind {
 	case Ping:
 		d.send(m.From, Message{Kind: Pong, Nonce: m.Nonce})
-	case Query:
+	case IndirectPing:
 		d.answer(now, m)
-	case Heard:
+	case IndirectAck:
 		d.markHeard(now, m.Node, m.NodeIncarnation, asked-m.Age)
-	case NotHeard:
+	case IndirectNack:
 		if w := d.watched[m.Node]; w != nil && w.suspect && w.incarnation == m.NodeIncarnation {
 			w.notHeard[m.From] = true
 		}
@@ -167,10 +167,10 @@
 // answer tells what this node itself has heard of the one asked about. What it was only told by others counts with the
 // age that it had, so rumours do not keep a dead process alive.
 func (d *Detector) answer(now Time, m Message) {
-	reply := Message{Kind: NotHeard, Nonce: m.Nonce, Node: m.Node, NodeIncarnation: m.NodeIncarnation}
+	reply := Message{Kind: IndirectNack, Nonce: m.Nonce, Node: m.Node, NodeIncarnation: m.NodeIncarnation}
 	w := d.watched[m.Node]
-	if w != nil && w.everHeard && now-w.heard < d.o.Silence {
-		reply.Kind, reply.NodeIncarnation, reply.Age = Heard, w.incarnation, now-w.heard
+	if w != nil && w.everHeard && now-w.heard < d.o.SuspectTimeout {
+		reply.Kind, reply.NodeIncarnation, reply.Age = IndirectAck, w.incarnation, now-w.heard
 	}
 	d.send(m.From, reply)
 }
--- a/internal/system/failuredetector/late_test.go
+++ b/internal/system/failuredetector/late_test.go
@@ -10,12 +10,12 @@
 // it. It gives the time, the question and whom it went to.
 func suspecting(t *testing.T, d *Detector) (now Time, ask Envelope) {
 	t.Helper()
-	d.Members(0, []Member{{Node: "a", Incarnation: 1}, {Node: "b", Incarnation: 2}, {Node: "c", Incarnation: 3}})
+	d.SetMembers(0, []Member{{Node: "a", Incarnation: 1}, {Node: "b", Incarnation: 2}, {Node: "c", Incarnation: 3}})
 	d.Receive(0, Message{Kind: Heartbeat, From: "b", Incarnation: 2})
 	for now = 0; now < 5*time.Second; now += 100 * time.Millisecond {
 		d.Tick(now)
-		out := d.Take()
-		if i := slices.IndexFunc(out.Send, func(e Envelope) bool { return e.Message.Kind == Query && e.Message.Node == "b" }); i >= 0 {
+		out := d.Ready()
+		if i := slices.IndexFunc(out.Send, func(e Envelope) bool { return e.Message.Kind == IndirectPing && e.Message.Node == "b" }); i >= 0 {
 			return now, out.Send[i]
 		}
 	}
@@ -33,7 +33,7 @@
 		d.Tick(now)
 	}
 	before := d.watched["b"].heard
-	d.Receive(now, Message{Kind: Heard, From: "c", Incarnation: 3, Nonce: ask.Message.Nonce, Node: "b", NodeIncarnation: 2})
+	d.Receive(now, Message{Kind: IndirectAck, From: "c", Incarnation: 3, Nonce: ask.Message.Nonce, Node: "b", NodeIncarnation: 2})
 	return d.watched["b"].heard > before, d.Connected(now)
 }
 
@@ -56,7 +56,7 @@
 	_, ask := suspecting(t, NewDetector(Options{Self: "a", Incarnation: 1}))
 	next := NewDetector(Options{Self: "a", Incarnation: 9})
 	now, _ := suspecting(t, next)
-	next.Receive(now, Message{Kind: NotHeard, From: "c", Incarnation: 3, Nonce: ask.Message.Nonce, Node: "b", NodeIncarnation: 2})
+	next.Receive(now, Message{Kind: IndirectNack, From: "c", Incarnation: 3, Nonce: ask.Message.Nonce, Node: "b", NodeIncarnation: 2})
 	if next.Connected(now) || next.watched["b"].notHeard["c"] {
 		t.Error("the answer counts")
 	}
@@ -66,7 +66,7 @@
 func TestHeardIsDatedByTheQuestion(t *testing.T) {
 	d := NewDetector(Options{Self: "a", Incarnation: 1})
 	now, ask := suspecting(t, d)
-	d.Receive(now+300*time.Millisecond, Message{Kind: Heard, From: "c", Incarnation: 3, Nonce: ask.Message.Nonce, Node: "b",
+	d.Receive(now+300*time.Millisecond, Message{Kind: IndirectAck, From: "c", Incarnation: 3, Nonce: ask.Message.Nonce, Node: "b",
 		NodeIncarnation: 2, Age: 200 * time.Millisecond})
 	if got := d.watched["b"].heard; got != now-200*time.Millisecond {
 		t.Errorf("heard at %v, asked at %v", got, now)
--- a/internal/system/failuredetector/message.go
+++ b/internal/system/failuredetector/message.go
@@ -12,13 +12,13 @@
 
 // The kinds of messages. Each is a sign of life of its sender, but for Leave.
 const (
-	Heartbeat Kind = 1 // I live
-	Ping      Kind = 2 // I live; answer me
-	Pong      Kind = 3 // the answer, with the nonce of the Ping
-	Query     Kind = 4 // do you hear Node?
-	Heard     Kind = 5 // I heard Node Age ago
-	NotHeard  Kind = 6 // I do not hear Node
-	Leave     Kind = 7 // I leave
+	Heartbeat    Kind = 1 // I live
+	Ping         Kind = 2 // I live; answer me
+	Pong         Kind = 3 // the answer, with the nonce of the Ping
+	IndirectPing Kind = 4 // do you hear Node?
+	IndirectAck  Kind = 5 // I heard Node Age ago
+	IndirectNack Kind = 6 // I do not hear Node
+	Leave        Kind = 7 // I leave
 )
 
 // Message is one datagram.
@@ -59,7 +59,7 @@
 }
 
 // asks tells whether messages of the kind are about another node than their sender.
-func (k Kind) asks() bool { return k == Query || k == Heard || k == NotHeard }
+func (k Kind) asks() bool { return k == IndirectPing || k == IndirectAck || k == IndirectNack }
 
 func appendName(dst []byte, s string) []byte {
 	s = s[:min(len(s), maxName)]
--- a/internal/system/failuredetector/message_test.go
+++ b/internal/system/failuredetector/message_test.go
@@ -50,14 +50,14 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	long := Message{Kind: Query, From: strings.Repeat("f", 300), Node: strings.Repeat("n", 300)}.Append(nil)
+	long := Message{Kind: IndirectPing, From: strings.Repeat("f", 300), Node: strings.Repeat("n", 300)}.Append(nil)
 	if _, err := Decode(long); err != nil || len(long) > MaxDatagram {
 		t.Errorf("long names: %d bytes, %v", len(long), err)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(Message{Kind: Heard, From: "a", Node: "b", Age: time.Second}.Append(nil))
+	f.Add(Message{Kind: IndirectAck, From: "a", Node: "b", Age: time.Second}.Append(nil))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		m, err := Decode(data)
 		if err != nil {
--- a/internal/system/failuredetector/sim_test.go
+++ b/internal/system/failuredetector/sim_test.go
@@ -115,7 +115,7 @@
 			n.d.Tick(w.now)
 			w.carryOut(n)
 		}
-		w.after(o.withDefaults().Beat/4, tick)
+		w.after(o.withDefaults().HeartbeatInterval/4, tick)
 	}
 	w.after(Time(w.r.Int64N(int64(400*time.Millisecond))), tick)
 	w.after(w.lag(), func() { w.follow(n) })
@@ -157,7 +157,7 @@
 	if w.nodes[n.name] != n {
 		return
 	}
-	w.input(n, func() { n.d.Members(w.now, w.members()) })
+	w.input(n, func() { n.d.SetMembers(w.now, w.members()) })
 	if r := w.table[n.name]; r != nil && r.down {
 		w.after(w.lag(), func() { w.follow(n) })
 	}
@@ -196,7 +196,7 @@
 }
 
 func (w *world) carryOut(n *simNode) {
-	out := n.d.Take()
+	out := n.d.Ready()
 	if w.onOutput != nil {
 		w.onOutput(n, &out)
 	}
@@ -227,7 +227,7 @@
 
 // probe models a fresh TCP connection: a lost first packet costs more time than there is, a later one some of it.
 func (w *world) probe(n *simNode, node string) {
-	timeout := w.option.withDefaults().Probe
+	timeout := w.option.withDefaults().ProbeTimeout
 	took, asked := 4*w.delay(), w.now
 	if w.lostOf(2) {
 		took = timeout
@@ -271,7 +271,7 @@
 			w.verdicts[key][by.name] = w.now
 		}
 		if to.alive && !to.frozen && to.incarnation == v.Incarnation &&
-			w.now-max(to.troubled, w.calm) > w.option.withDefaults().Silence {
+			w.now-max(to.troubled, w.calm) > w.option.withDefaults().SuspectTimeout {
 			w.wrong = append(w.wrong, fmt.Sprintf("%v: %s called %s down", w.now, by.name, v.Node))
 		}
 	}
