--- a/cmd/proxy/run.go
+++ b/cmd/proxy/run.go
@@ -144,7 +144,7 @@
 func (p *server) update(u distribution.Update) {
 	live := make([]string, 0, len(u.Members))
 	watched := make([]failuredetector.Member, 0, len(u.Members))
-	fronts := make([]directory.Front, 0, len(u.Members))
+	fronts := make([]directory.Endpoint, 0, len(u.Members))
 	for _, m := range u.Members {
 		if m.Draining || m.Down {
 			continue
@@ -153,7 +153,7 @@
 		watched = append(watched, failuredetector.Member{Node: m.Node, Incarnation: m.Incarnation,
 			Address: net.JoinHostPort(m.IP, strconv.Itoa(p.settings.ProxyPort()))})
 		if m.Ready && (m.Node != p.settings.Node || !p.leaving.Load()) {
-			fronts = append(fronts, directory.Front{Address: m.ClientAddress, Zone: m.Zone, Region: m.Region})
+			fronts = append(fronts, directory.Endpoint{Address: m.ClientAddress, Zone: m.Zone, Region: m.Region})
 		}
 	}
 	if configured, listed := u.State.Config != nil, u.HasList; !p.isComplete && (configured || listed) {
@@ -163,7 +163,7 @@
 		Servers: u.Servers, ListCovers: u.ListCoversSeq, WordAge: u.ContactAge,
 		Self: p.settings.Node, Peers: live, Lost: u.DownCount, Partial: u.MembershipIncomplete, Stale: u.Stale})
 	p.follower.NotifyListUpdates(p.dataPlane.AwaitsList())
-	p.directory.Set(fronts)
+	p.directory.SetEndpoints(fronts)
 	p.agent.SetMembers(watched)
 	if !p.isComplete && u.State.Config != nil && u.HasList {
 		p.isComplete = true
--- a/internal/system/directory/directory.go
+++ b/internal/system/directory/directory.go
@@ -20,8 +20,8 @@
 	enoughNear    = 2  // ready proxies of a client's zone, or else region, that make farther ones needless
 )
 
-// Front is a ready proxy.
-type Front struct {
+// Endpoint is a ready proxy.
+type Endpoint struct {
 	Address, Zone, Region string
 }
 
@@ -33,11 +33,11 @@
 
 // Nearest names the proxies for a client: those of its zone, or of its region where the zone has fewer than two, or all.
 // Of more than 64 it takes those that rank first by a hash of both, so that different clients spread over all.
-func Nearest(fronts []Front, zone, region, client string) []string {
-	for _, near := range []func(Front) bool{
-		func(f Front) bool { return zone != "" && f.Zone == zone },
-		func(f Front) bool { return region != "" && f.Region == region },
-		func(Front) bool { return true },
+func Nearest(fronts []Endpoint, zone, region, client string) []string {
+	for _, near := range []func(Endpoint) bool{
+		func(f Endpoint) bool { return zone != "" && f.Zone == zone },
+		func(f Endpoint) bool { return region != "" && f.Region == region },
+		func(Endpoint) bool { return true },
 	} {
 		var found []string
 		for _, f := range fronts {
@@ -69,14 +69,14 @@
 // Directory answers GET /resolve from the fronts that it was told last. It may be used by several goroutines.
 type Directory struct {
 	ttl    time.Duration
-	fronts atomic.Pointer[[]Front]
+	fronts atomic.Pointer[[]Endpoint]
 }
 
 // NewDirectory returns a directory whose answers hold for ttl.
 func NewDirectory(ttl time.Duration) *Directory { return &Directory{ttl: ttl} }
 
-// Set replaces the fronts. The slice must not be changed afterwards.
-func (d *Directory) Set(fronts []Front) { d.fronts.Store(&fronts) }
+// SetEndpoints replaces the fronts. The slice must not be changed afterwards.
+func (d *Directory) SetEndpoints(fronts []Endpoint) { d.fronts.Store(&fronts) }
 
 // Handler answers GET /resolve: 200 with addresses; 503 while no ready proxy is known, so that the client asks another.
 func (d *Directory) Handler() http.Handler {
--- a/internal/system/directory/directory_test.go
+++ b/internal/system/directory/directory_test.go
@@ -15,14 +15,14 @@
 
 // TestNearest asks for clients of each place. Danger: all of a zone's clients on one proxy, or none for them at all.
 func TestNearest(t *testing.T) {
-	var fronts []Front
+	var fronts []Endpoint
 	datadriven.RunTest(t, "testdata/nearest", func(t *testing.T, d *datadriven.TestData) string {
 		switch d.Cmd {
 		case "fronts":
 			fronts = nil
 			for _, line := range strings.Split(d.Input, "\n") {
 				f := strings.Fields(line)
-				fronts = append(fronts, Front{Address: f[0], Zone: f[1], Region: f[2]})
+				fronts = append(fronts, Endpoint{Address: f[0], Zone: f[1], Region: f[2]})
 			}
 			return ""
 		case "client":
@@ -37,9 +37,9 @@
 
 // TestManyFronts: of more than an answer holds, each client gets its own part, and all are used.
 func TestManyFronts(t *testing.T) {
-	var fronts []Front
+	var fronts []Endpoint
 	for i := range 200 {
-		fronts = append(fronts, Front{Address: fmt.Sprintf("10.0.%d.1:80", i), Zone: "z", Region: "r"})
+		fronts = append(fronts, Endpoint{Address: fmt.Sprintf("10.0.%d.1:80", i), Zone: "z", Region: "r"})
 	}
 	used := map[string]int{}
 	for client := range 100 {
@@ -66,7 +66,7 @@
 	if w := ask(d.Handler(), "/resolve?zone=z&region=r"); w.Code != http.StatusServiceUnavailable {
 		t.Errorf("knowing nobody: %d", w.Code)
 	}
-	d.Set([]Front{{"10.0.0.1:80", "z", "r"}})
+	d.SetEndpoints([]Endpoint{{"10.0.0.1:80", "z", "r"}})
 	var a Answer
 	w := ask(d.Handler(), "/resolve?name=h&zone=z&region=r")
 	if err := json.Unmarshal(w.Body.Bytes(), &a); err != nil || len(a.Addresses) != 1 || a.TTL != 2 {
