--- a/cmd/gradeusher/staff_status.go
+++ b/cmd/gradeusher/staff_status.go
@@ -37,7 +37,7 @@
 	if !f.Current() {
 		return errors.New("no keeper is current: changes are not taken, see docs/oncall-system.md")
 	}
-	if f.Capacity != nil && !f.Capacity.Bears {
+	if f.Capacity != nil && !f.Capacity.ToleranceMet {
 		return fmt.Errorf("the keepers do not bear the losses that [tolerance] names: %s", f.Capacity.Remedy)
 	}
 	return nil
@@ -63,7 +63,7 @@
 		return err
 	}
 	if !c.JSON {
-		fmt.Fprintf(s.out, "%s is in force at %d keepers and %d proxies\n", change, len(f.Keepers), len(f.Proxies))
+		fmt.Fprintf(s.out, "%s is in force at %d keepers and %d proxies\n", change, len(f.Nodes), len(f.Proxies))
 	}
 	return nil
 }
@@ -75,7 +75,7 @@
 	fmt.Fprintf(w, "view %d, chain %s\n", f.Epoch, orNone(f.Chain))
 	fmt.Fprintf(w, "record %d, revision %d, evacuated zones: %s\n", f.Number, f.Revision, orNone(f.Evacuated))
 	printCapacity(w, f.Capacity)
-	for _, d := range f.Duties {
+	for _, d := range f.Roles {
 		fmt.Fprintf(w, "duty %s: %s\n", d.Name, orNone([]string{d.Holder}))
 	}
 	for _, v := range f.Voters {
@@ -85,7 +85,7 @@
 		}
 		fmt.Fprintf(w, "voter %-15s %s, %s: %s\n", v.Address, v.Zone, v.Region, place)
 	}
-	for _, a := range f.Keepers {
+	for _, a := range f.Nodes {
 		printKeeper(w, a)
 	}
 	for _, p := range f.Proxies {
@@ -93,7 +93,7 @@
 		if p.Acknowledged < f.Number {
 			behind = fmt.Sprintf("%d behind", f.Number-p.Acknowledged)
 		}
-		fmt.Fprintf(w, "proxy %-20s record %d, %s, silent for %d ms, follows %s\n", p.Node, p.Acknowledged, behind, p.SilentMS, p.Keeper)
+		fmt.Fprintf(w, "proxy %-20s record %d, %s, silent for %d ms, follows %s\n", p.Node, p.Acknowledged, behind, p.SinceLastCallMS, p.Server)
 	}
 	for _, node := range f.Unseen {
 		fmt.Fprintf(w, "proxy %-20s follows no keeper that answers\n", node)
@@ -106,10 +106,10 @@
 		return
 	}
 	fmt.Fprintf(w, "tolerance: %s, %d of %d voters (%d silent), %d links (%d needed), %d observers\n",
-		either(have.Bears, "borne", "NOT borne"), have.Voters, have.VotersWanted, have.Silent, have.Links, have.LinksNeeded, have.Observers)
+		either(have.ToleranceMet, "borne", "NOT borne"), have.Voters, have.VotersDesired, have.SilentVoters, have.ChainReplicas, have.ChainReplicasRequired, have.Observers)
 }
 
-func printKeeper(w io.Writer, a staff.Answer) {
+func printKeeper(w io.Writer, a staff.NodeAnswer) {
 	s := a.Status
 	if s == nil {
 		fmt.Fprintf(w, "keeper %-21s %s\n", a.Address, a.Error)
--- a/cmd/gradeusher/staff_test.go
+++ b/cmd/gradeusher/staff_test.go
@@ -18,16 +18,16 @@
 // staffed is a keeper's control address and a proxy's inner one, at one address.
 func staffed(t *testing.T, current bool) (address string, state *controlstate.State) {
 	t.Helper()
-	return staffedWith(t, staff.KeeperStatus{Current: current})
+	return staffedWith(t, staff.NodeStatus{Current: current})
 }
 
 // staffedWith fills in what the status leaves open.
-func staffedWith(t *testing.T, status staff.KeeperStatus) (address string, state *controlstate.State) {
+func staffedWith(t *testing.T, status staff.NodeStatus) (address string, state *controlstate.State) {
 	t.Helper()
 	status.Version, status.Node, status.Epoch, status.Chain = staff.Version, "n", 3, []string{"127.0.0.1"}
 	status.Voters = []staff.Voter{{Address: "127.0.0.1", Zone: "hall", Region: "town"}}
-	status.Number, status.Evacuated, status.ListDuty = 1, []string{"hall"}, "127.0.0.1"
-	status.Proxies = []staff.Holding{{Node: "edge", Acknowledged: 1}}
+	status.Number, status.Evacuated, status.ListOwner = 1, []string{"hall"}, "127.0.0.1"
+	status.Proxies = []staff.ProxyProgress{{Node: "edge", Acknowledged: 1}}
 	state, err := controlstate.Empty().Apply(controlstate.Change{Op: controlstate.OpEvacuate, Zone: "hall"}.Record(1))
 	if err != nil {
 		t.Fatal(err)
@@ -36,7 +36,7 @@
 	mux.Handle("/backup", staff.BackupHandler(func(context.Context) (*controlstate.State, error) { return state, nil }))
 	mux.Handle("/status", staff.ProxyHandler(func() any { // one document for both: each reader passes over the other's fields
 		return struct {
-			staff.KeeperStatus
+			staff.NodeStatus
 			Ready  bool   `json:"ready"`
 			Choice string `json:"choice"`
 		}{status, true, "s-1 m hall: evacuated\n"}
@@ -80,18 +80,18 @@
 func TestSystemStatusTellsOfTheTolerance(t *testing.T) {
 	t.Parallel()
 	const remedy = "3 keepers with a disk vote and 5 are needed: run keepers on 2 more machines with a disk, or lower [tolerance]"
-	short := staff.Capacity{Keepers: 3, Observers: 2, Voters: 3, VotersWanted: 5, Silent: 1, Links: 3, LinksNeeded: 3, Remedy: remedy}
-	whole := staff.Capacity{Bears: true, Keepers: 5, Voters: 5, VotersWanted: 5, Links: 5, LinksNeeded: 3}
+	short := staff.Capacity{Nodes: 3, Observers: 2, Voters: 3, VotersDesired: 5, SilentVoters: 1, ChainReplicas: 3, ChainReplicasRequired: 3, Remedy: remedy}
+	whole := staff.Capacity{ToleranceMet: true, Nodes: 5, Voters: 5, VotersDesired: 5, ChainReplicas: 5, ChainReplicasRequired: 3}
 	for _, c := range []struct {
-		status    staff.KeeperStatus
+		status    staff.NodeStatus
 		code      int
 		out, said string
 	}{
-		{staff.KeeperStatus{Current: true, Capacity: &short}, exitBroken,
+		{staff.NodeStatus{Current: true, Capacity: &short}, exitBroken,
 			"\ntolerance: NOT borne, 3 of 5 voters (1 silent), 3 links (3 needed), 2 observers\n", "[tolerance] names: " + remedy + "\n"},
-		{staff.KeeperStatus{Current: true, Capacity: &whole}, 0, "\ntolerance: borne, 5 of 5 voters (0 silent), 5 links (3 needed), 0 observers\n", ""},
-		{staff.KeeperStatus{Capacity: &short}, exitBroken, " n: NOT current,", "no keeper is current"},
-		{staff.KeeperStatus{Current: true, Observer: true, Capacity: &whole}, 0, "\nobserver 127.0.0.1:", ""},
+		{staff.NodeStatus{Current: true, Capacity: &whole}, 0, "\ntolerance: borne, 5 of 5 voters (0 silent), 5 links (3 needed), 0 observers\n", ""},
+		{staff.NodeStatus{Capacity: &short}, exitBroken, " n: NOT current,", "no keeper is current"},
+		{staff.NodeStatus{Current: true, Observer: true, Capacity: &whole}, 0, "\nobserver 127.0.0.1:", ""},
 	} {
 		address, _ := staffedWith(t, c.status)
 		code, out, said := runIn("system", "status", address)
--- a/cmd/gradeusher/staff_why.go
+++ b/cmd/gradeusher/staff_why.go
@@ -18,7 +18,7 @@
 // Run prints what the proxy's choice rests on. It fails where the proxy does not know the server.
 func (c systemWhyCommand) Run(ctx context.Context, s streams) error {
 	var client staff.Client
-	p, err := client.Proxy(ctx, c.Proxy)
+	p, err := client.ProxyStatus(ctx, c.Proxy)
 	if err != nil {
 		return err
 	}
--- a/cmd/gradeusher/system_up_test.go
+++ b/cmd/gradeusher/system_up_test.go
@@ -86,7 +86,7 @@
 // observes tells whether the keeper at the control address is an observer that knows the configuration and passes reads on.
 func observes(ctx context.Context, address string) error {
 	var client staff.Client
-	s, err := client.Keeper(ctx, address)
+	s, err := client.NodeStatus(ctx, address)
 	if err != nil {
 		return err
 	}
--- a/cmd/keeper/chain_test.go
+++ b/cmd/keeper/chain_test.go
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	defer k.chain.Stop()
-	if status, ok := k.status().(staff.KeeperStatus); !ok || !status.Observer || status.Current {
+	if status, ok := k.status().(staff.NodeStatus); !ok || !status.Observer || status.Current {
 		t.Errorf("its status is %+v", status)
 	}
 	if c := k.chain.Capacity(); c.Observers != 1 || c.Nodes != 0 {
--- a/cmd/keeper/status.go
+++ b/cmd/keeper/status.go
@@ -11,11 +11,11 @@
 func (k *keeper) status() any {
 	view := k.chain.View()
 	state, _ := k.chain.Committed()
-	out := staff.KeeperStatus{Version: staff.Version, Node: k.settings.Node, Observer: !k.settings.HasDisk(), Current: k.chain.Current(),
+	out := staff.NodeStatus{Version: staff.Version, Node: k.settings.Node, Observer: !k.settings.HasDisk(), Current: k.chain.Current(),
 		Capacity: capacity(k.chain.Capacity()), Epoch: view.Epoch, Number: state.Seq, Revision: state.Revision(), Evacuated: staff.Zones(state), ListAgeMS: -1,
-		Proxies: []staff.Holding{}, Violations: invariant.Violations()}
+		Proxies: []staff.ProxyProgress{}, Violations: invariant.Violations()}
 	_, out.Chain = k.chain.Live()
-	out.ListDuty = ownership.Owner(listDuty, out.Chain)
+	out.ListOwner = ownership.Owner(listDuty, out.Chain)
 	for _, m := range view.Voters {
 		out.Voters = append(out.Voters, staff.Voter{Address: m.Addr, Zone: m.Zone, Region: m.Region})
 	}
@@ -26,19 +26,19 @@
 }
 
 func capacity(c replication.Capacity) *staff.Capacity {
-	return &staff.Capacity{Bears: c.ToleranceMet, Keepers: c.Nodes, Observers: c.Observers, Voters: c.Voters, Silent: c.SilentVoters,
-		VotersWanted: c.VotersDesired, Links: c.ChainReplicas, LinksNeeded: c.ChainReplicasRequired, Remedy: c.Remedy}
+	return &staff.Capacity{ToleranceMet: c.ToleranceMet, Nodes: c.Nodes, Observers: c.Observers, Voters: c.Voters, SilentVoters: c.SilentVoters,
+		VotersDesired: c.VotersDesired, ChainReplicas: c.ChainReplicas, ChainReplicasRequired: c.ChainReplicasRequired, Remedy: c.Remedy}
 }
 
 // tell adds what a keeper that feeds proxies knows of them and of the platform's list.
-func (f *feed) tell(out *staff.KeeperStatus) {
+func (f *feed) tell(out *staff.NodeStatus) {
 	servers, age, listed := f.hub.List()
 	out.Servers = len(servers)
 	if listed {
 		out.ListAgeMS = age.Milliseconds()
 	}
 	for _, p := range f.hub.Subscribers() {
-		out.Proxies = append(out.Proxies, staff.Holding{Node: p.Node, Acknowledged: p.Seq, SilentMS: p.SinceLastCall.Milliseconds()})
+		out.Proxies = append(out.Proxies, staff.ProxyProgress{Node: p.Node, Acknowledged: p.Seq, SinceLastCallMS: p.SinceLastCall.Milliseconds()})
 	}
 	for _, m := range f.hub.Members() {
 		if !m.Down && !m.Draining {
--- a/internal/compat/filled_test.go
+++ b/internal/compat/filled_test.go
@@ -109,7 +109,7 @@
 func TestDocuments(t *testing.T) {
 	document[staff.Fleet](t, "system_status")
 	document[staff.ProxyStatus](t, "why")
-	document[staff.KeeperStatus](t, "keeper_status")
+	document[staff.NodeStatus](t, "keeper_status")
 	document[routes.Table](t, "route_table")
 	document[keeper.Status](t, "sidecar_status")
 	document[client.RouteNews](t, "sidecar_routes")
--- a/internal/lab/soak/result_test.go
+++ b/internal/lab/soak/result_test.go
@@ -71,7 +71,7 @@
 
 // TestSettled: a seed is not over while no keeper is current, or while an evacuation is held that was taken back.
 func TestSettled(t *testing.T) {
-	var status staff.KeeperStatus
+	var status staff.NodeStatus
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if err := json.NewEncoder(w).Encode(status); err != nil {
 			t.Error(err)
@@ -81,12 +81,12 @@
 	w := &watch{client: staff.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 	keepers := []string{s.Listener.Addr().String()}
 	for _, c := range []struct {
-		status staff.KeeperStatus
+		status staff.NodeStatus
 		good   bool
 	}{
-		{staff.KeeperStatus{}, false},
-		{staff.KeeperStatus{Current: true, Evacuated: []string{"north-a"}}, false},
-		{staff.KeeperStatus{Current: true}, true},
+		{staff.NodeStatus{}, false},
+		{staff.NodeStatus{Current: true, Evacuated: []string{"north-a"}}, false},
+		{staff.NodeStatus{Current: true}, true},
 	} {
 		status = c.status
 		if err := w.settled(t.Context(), keepers); (err == nil) != c.good {
--- a/internal/system/staff/backup.go
+++ b/internal/system/staff/backup.go
@@ -11,7 +11,7 @@
 )
 
 // Backup fetches the control state from the keeper with the control address, as it is after all that was acknowledged before
-// the call. Errors are marked ErrUnreached or ErrFormat.
+// the call. Errors are marked ErrUnreachable or ErrFormat.
 func (c *Client) Backup(ctx context.Context, address string) (*controlstate.State, error) {
 	ctx, cancel := context.WithTimeout(ctx, backupWait)
 	defer cancel()
--- a/internal/system/staff/client.go
+++ b/internal/system/staff/client.go
@@ -26,14 +26,14 @@
 	Transport http.RoundTripper // nil: http.DefaultTransport
 }
 
-// Keeper asks the keeper with the control address for its status. Errors are marked ErrUnreached.
-func (c *Client) Keeper(ctx context.Context, address string) (*KeeperStatus, error) {
-	s := &KeeperStatus{}
+// NodeStatus asks the keeper with the control address for its status. Errors are marked ErrUnreachable.
+func (c *Client) NodeStatus(ctx context.Context, address string) (*NodeStatus, error) {
+	s := &NodeStatus{}
 	return s, c.status(ctx, address, s, &s.Version)
 }
 
-// Proxy asks the proxy with the inner address for its status. Errors are marked ErrUnreached.
-func (c *Client) Proxy(ctx context.Context, address string) (*ProxyStatus, error) {
+// ProxyStatus asks the proxy with the inner address for its status. Errors are marked ErrUnreachable.
+func (c *Client) ProxyStatus(ctx context.Context, address string) (*ProxyStatus, error) {
 	s := &ProxyStatus{}
 	return s, c.status(ctx, address, s, &s.Version)
 }
@@ -85,7 +85,7 @@
 
 func unreached(err error, format string, args ...any) error {
 	if err == nil {
-		return errors.Mark(errors.Newf(format, args...), ErrUnreached)
+		return errors.Mark(errors.Newf(format, args...), ErrUnreachable)
 	}
-	return errors.Mark(errors.Wrapf(err, format, args...), ErrUnreached)
+	return errors.Mark(errors.Wrapf(err, format, args...), ErrUnreachable)
 }
--- a/internal/system/staff/status.go
+++ b/internal/system/staff/status.go
@@ -18,10 +18,10 @@
 
 // Kinds of errors.
 var (
-	// ErrUnreached marks what did not answer, or not with what was asked for.
-	ErrUnreached = errors.New("not reached")
-	// ErrNotYet marks a change that was not in force everywhere when the time was up.
-	ErrNotYet = errors.New("not in force everywhere")
+	// ErrUnreachable marks what did not answer, or not with what was asked for.
+	ErrUnreachable = errors.New("not reached")
+	// ErrNotApplied marks a change that was not in force everywhere when the time was up.
+	ErrNotApplied = errors.New("not in force everywhere")
 	// ErrFormat marks bytes that are no backup, or one of a version unknown here.
 	ErrFormat = errors.New("not a backup")
 )
@@ -35,42 +35,42 @@
 
 // Capacity compares the keepers that exist with those that the deployment's tolerance needs, as one keeper sees them.
 type Capacity struct {
-	Bears        bool   `json:"bears"`         // a majority of the voters and a link are left after any loss that is tolerated
-	Keepers      int    `json:"keepers"`       // with a disk, heard from lately
-	Observers    int    `json:"observers"`     // without a disk, heard from lately
-	Voters       int    `json:"voters"`        // of the view
-	Silent       int    `json:"silent"`        // of those, not heard from lately
-	VotersWanted int    `json:"voters_wanted"` // for the tolerance
-	Links        int    `json:"links"`         // of the view
-	LinksNeeded  int    `json:"links_needed"`  // fewer take no change
-	Remedy       string `json:"remedy"`        // what is missing and what to do, in one line; empty: nothing
+	ToleranceMet          bool   `json:"bears"`         // a majority of the voters and a link are left after any loss that is tolerated
+	Nodes                 int    `json:"keepers"`       // with a disk, heard from lately
+	Observers             int    `json:"observers"`     // without a disk, heard from lately
+	Voters                int    `json:"voters"`        // of the view
+	SilentVoters          int    `json:"silent"`        // of those, not heard from lately
+	VotersDesired         int    `json:"voters_wanted"` // for the tolerance
+	ChainReplicas         int    `json:"links"`         // of the view
+	ChainReplicasRequired int    `json:"links_needed"`  // fewer take no change
+	Remedy                string `json:"remedy"`        // what is missing and what to do, in one line; empty: nothing
 }
 
-// Holding is a proxy as the keeper that it follows sees it.
-type Holding struct {
-	Node         string `json:"node"`
-	Acknowledged uint64 `json:"acknowledged"` // newest number that it holds
-	SilentMS     int64  `json:"silent_ms"`    // since its last call; 0: one is held
+// ProxyProgress is a proxy as the keeper that it follows sees it.
+type ProxyProgress struct {
+	Node            string `json:"node"`
+	Acknowledged    uint64 `json:"acknowledged"` // newest number that it holds
+	SinceLastCallMS int64  `json:"silent_ms"`    // since its last call; 0: one is held
 }
 
-// KeeperStatus is what a keeper answers to GET /status on its control address.
-type KeeperStatus struct {
-	Version   int       `json:"version"` // 0: before there were versions, the same as 1
-	Node      string    `json:"node"`
-	Observer  bool      `json:"observer"`           // its machine has no disk: it has no vote, and passes calls on
-	Current   bool      `json:"current"`            // a majority has lately confirmed its epoch, and it is in the chain or fed by it
-	Capacity  *Capacity `json:"capacity,omitempty"` // nil: of a keeper that does not tell it
-	Epoch     uint64    `json:"epoch"`
-	Chain     []string  `json:"chain"` // IPs, the head first
-	Voters    []Voter   `json:"voters"`
-	Number    uint64    `json:"number"`   // newest committed record
-	Revision  int64     `json:"revision"` // of the configuration; 0: none
-	Evacuated []string  `json:"evacuated"`
-	Servers   int       `json:"servers"`
-	ListAgeMS int64     `json:"list_age_ms"` // of the platform's list; -1: none has come
-	ListDuty  string    `json:"list_duty"`   // IP of the keeper that reads the platform's list
-	Proxies   []Holding `json:"proxies"`     // those that follow this keeper
-	Members   []string  `json:"members"`     // names of the live proxies, whichever keeper they follow
+// NodeStatus is what a keeper answers to GET /status on its control address.
+type NodeStatus struct {
+	Version   int             `json:"version"` // 0: before there were versions, the same as 1
+	Node      string          `json:"node"`
+	Observer  bool            `json:"observer"`           // its machine has no disk: it has no vote, and passes calls on
+	Current   bool            `json:"current"`            // a majority has lately confirmed its epoch, and it is in the chain or fed by it
+	Capacity  *Capacity       `json:"capacity,omitempty"` // nil: of a keeper that does not tell it
+	Epoch     uint64          `json:"epoch"`
+	Chain     []string        `json:"chain"` // IPs, the head first
+	Voters    []Voter         `json:"voters"`
+	Number    uint64          `json:"number"`   // newest committed record
+	Revision  int64           `json:"revision"` // of the configuration; 0: none
+	Evacuated []string        `json:"evacuated"`
+	Servers   int             `json:"servers"`
+	ListAgeMS int64           `json:"list_age_ms"` // of the platform's list; -1: none has come
+	ListOwner string          `json:"list_duty"`   // IP of the keeper that reads the platform's list
+	Proxies   []ProxyProgress `json:"proxies"`     // those that follow this keeper
+	Members   []string        `json:"members"`     // names of the live proxies, whichever keeper they follow
 
 	Violations map[string]uint64 `json:"violations,omitempty"` // of invariants, by name; empty: all hold
 }
--- a/internal/system/staff/status_test.go
+++ b/internal/system/staff/status_test.go
@@ -31,7 +31,7 @@
 }
 
 // keeperAt answers like a keeper.
-func keeperAt(s KeeperStatus) http.Handler {
+func keeperAt(s NodeStatus) http.Handler {
 	return reading(func(w http.ResponseWriter, r *http.Request) {
 		data, _ := json.Marshal(s)
 		write(w, "application/json", data)
@@ -40,21 +40,21 @@
 
 // fleetOf is three keepers: the third is behind and outside the chain; b has moved from the first to the second; d follows
 // none.
-func fleetOf() map[string]KeeperStatus {
+func fleetOf() map[string]NodeStatus {
 	voters := []Voter{{"10.0.0.1", "za", "r"}, {"10.0.0.2", "zb", "r"}, {"10.0.0.3", "zc", "r"}}
 	chain := []string{"10.0.0.2", "10.0.0.1"}
-	return map[string]KeeperStatus{
+	return map[string]NodeStatus{
 		"10.0.0.1": {Version: 1, Node: "one", Current: true, Epoch: 4, Chain: chain, Voters: voters, Number: 9, Revision: 7,
-			Evacuated: []string{"y", "x"}, ListDuty: "10.0.0.2", Members: []string{"a", "b", "c", "d"},
-			Proxies: []Holding{{"a", 9, 0}, {"b", 7, 900}}},
+			Evacuated: []string{"y", "x"}, ListOwner: "10.0.0.2", Members: []string{"a", "b", "c", "d"},
+			Proxies: []ProxyProgress{{"a", 9, 0}, {"b", 7, 900}}},
 		"10.0.0.2": {Version: 1, Node: "two", Current: true, Epoch: 4, Chain: chain, Voters: voters, Number: 9, Revision: 7,
-			Evacuated: []string{"x", "y"}, ListDuty: "10.0.0.2", Proxies: []Holding{{"b", 9, 0}, {"c", 8, 10}}},
-		"10.0.0.3": {Node: "three", Epoch: 3, Chain: []string{"10.0.0.3"}, Number: 8, Revision: 6, ListDuty: "10.0.0.3",
+			Evacuated: []string{"x", "y"}, ListOwner: "10.0.0.2", Proxies: []ProxyProgress{{"b", 9, 0}, {"c", 8, 10}}},
+		"10.0.0.3": {Node: "three", Epoch: 3, Chain: []string{"10.0.0.3"}, Number: 8, Revision: 6, ListOwner: "10.0.0.3",
 			Members: []string{"long gone"}},
 	}
 }
 
-func netOf(all map[string]KeeperStatus) *network {
+func netOf(all map[string]NodeStatus) *network {
 	n := &network{hosts: map[string]http.Handler{}}
 	for host, s := range all {
 		n.hosts[host] = keeperAt(s)
@@ -73,32 +73,32 @@
 		t.Errorf("%+v", f)
 	}
 	var keepers []string
-	for _, a := range f.Keepers {
+	for _, a := range f.Nodes {
 		keepers = append(keepers, a.Address+" "+a.Status.Node)
 	}
 	if got := strings.Join(keepers, ", "); got != "10.0.0.1:8166 one, 10.0.0.2:8166 two, 10.0.0.3:8166 three" {
 		t.Error(got)
 	}
-	want := []Follower{{Holding{"a", 9, 0}, "one"}, {Holding{"b", 9, 0}, "two"}, {Holding{"c", 8, 10}, "two"}}
-	if !slices.Equal(f.Proxies, want) || !slices.Equal(f.Unseen, []string{"d"}) || !slices.Equal(f.Duties, []Duty{{"list", "10.0.0.2"}}) {
-		t.Errorf("%+v %v %v", f.Proxies, f.Unseen, f.Duties)
+	want := []Subscriber{{ProxyProgress{"a", 9, 0}, "one"}, {ProxyProgress{"b", 9, 0}, "two"}, {ProxyProgress{"c", 8, 10}, "two"}}
+	if !slices.Equal(f.Proxies, want) || !slices.Equal(f.Unseen, []string{"d"}) || !slices.Equal(f.Roles, []SingletonRole{{"list", "10.0.0.2"}}) {
+		t.Errorf("%+v %v %v", f.Proxies, f.Unseen, f.Roles)
 	}
 }
 
 // TestFleetCapacity: one keeper's word counts: of the newest epoch, current, and with a disk before observers.
 func TestFleetCapacity(t *testing.T) {
-	told := func(epoch uint64, current, observer bool, voters int) Answer {
-		return Answer{Status: &KeeperStatus{Epoch: epoch, Current: current, Observer: observer, Capacity: &Capacity{Voters: voters}}}
+	told := func(epoch uint64, current, observer bool, voters int) NodeAnswer {
+		return NodeAnswer{Status: &NodeStatus{Epoch: epoch, Current: current, Observer: observer, Capacity: &Capacity{Voters: voters}}}
 	}
-	old := Answer{Status: &KeeperStatus{Epoch: 4, Current: true}}
+	old := NodeAnswer{Status: &NodeStatus{Epoch: 4, Current: true}}
 	for _, c := range []struct {
-		answers []Answer
+		answers []NodeAnswer
 		voters  int // 0: no capacity
 	}{
-		{[]Answer{{}, old}, 0},
-		{[]Answer{told(4, false, false, 1)}, 0},
-		{[]Answer{told(3, true, false, 1), told(4, true, true, 2)}, 2},
-		{[]Answer{told(4, true, true, 1), old, told(4, true, false, 2)}, 2},
+		{[]NodeAnswer{{}, old}, 0},
+		{[]NodeAnswer{told(4, false, false, 1)}, 0},
+		{[]NodeAnswer{told(3, true, false, 1), told(4, true, true, 2)}, 2},
+		{[]NodeAnswer{told(4, true, true, 1), old, told(4, true, false, 2)}, 2},
 	} {
 		have := 0
 		if f := merge(c.answers); f.Capacity != nil {
@@ -118,10 +118,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if a := f.Keepers[1]; a.Status != nil || !strings.Contains(a.Error, "10.0.0.2:1 does not answer") {
+	if a := f.Nodes[1]; a.Status != nil || !strings.Contains(a.Error, "10.0.0.2:1 does not answer") {
 		t.Errorf("%+v", a)
 	}
-	if f, err := c.Fleet(context.Background(), []string{"10.0.0.2:1"}); !errors.Is(err, ErrUnreached) || f.Current() {
+	if f, err := c.Fleet(context.Background(), []string{"10.0.0.2:1"}); !errors.Is(err, ErrUnreachable) || f.Current() {
 		t.Errorf("%+v %v", f, err)
 	}
 }
@@ -130,7 +130,7 @@
 	n := &network{hosts: map[string]http.Handler{
 		"text":  http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("hello")) }),
 		"503":   http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "later", http.StatusServiceUnavailable) }),
-		"newer": keeperAt(KeeperStatus{Version: Version + 1}),
+		"newer": keeperAt(NodeStatus{Version: Version + 1}),
 		"long": http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = w.Write(make([]byte, maxStatus+1))
 		}),
@@ -138,7 +138,7 @@
 	c := Client{Transport: n}
 	for address, want := range map[string]string{"text:1": "no status", "503:1": "later", "newer:1": "newer gradeusher", "long:1": "longer than",
 		"none:1": "does not answer", "10.0.0.1": "give IP:PORT"} {
-		if _, err := c.Keeper(context.Background(), address); !errors.Is(err, ErrUnreached) || !strings.Contains(err.Error(), want) {
+		if _, err := c.NodeStatus(context.Background(), address); !errors.Is(err, ErrUnreachable) || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", address, err)
 		}
 	}
@@ -163,9 +163,9 @@
 	three.Number, three.Revision = 9, 7
 	whole["10.0.0.3"] = three
 	two := whole["10.0.0.2"]
-	two.Proxies = []Holding{{"b", 9, 0}, {"c", 9, 0}, {"d", 9, 0}}
+	two.Proxies = []ProxyProgress{{"b", 9, 0}, {"c", 9, 0}, {"d", 9, 0}}
 	whole["10.0.0.2"] = two
-	look := func(all map[string]KeeperStatus, ch Change) string {
+	look := func(all map[string]NodeStatus, ch Change) string {
 		f, err := (&Client{Transport: netOf(all)}).Fleet(context.Background(), []string{"10.0.0.1:1"})
 		if err != nil {
 			t.Fatal(err)
@@ -175,9 +175,9 @@
 	partly := fleetOf()
 	lost := fleetOf()
 	delete(lost, "10.0.0.3")
-	old := map[string]KeeperStatus{"10.0.0.1": {Node: "one", Number: 9, Revision: 7}}
+	old := map[string]NodeStatus{"10.0.0.1": {Node: "one", Number: 9, Revision: 7}}
 	for _, c := range []struct {
-		all    map[string]KeeperStatus
+		all    map[string]NodeStatus
 		change Change
 		want   string
 	}{
@@ -203,8 +203,8 @@
 		var acknowledged, number atomic.Uint64
 		number.Store(5)
 		n := &network{hosts: map[string]http.Handler{"10.0.0.1": http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			keeperAt(KeeperStatus{Node: "one", Current: true, Number: number.Load(), Revision: 7,
-				Proxies: []Holding{{Node: "a", Acknowledged: acknowledged.Load()}}}).ServeHTTP(w, r)
+			keeperAt(NodeStatus{Node: "one", Current: true, Number: number.Load(), Revision: 7,
+				Proxies: []ProxyProgress{{Node: "a", Acknowledged: acknowledged.Load()}}}).ServeHTTP(w, r)
 		})}}
 		c := Client{Transport: n}
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -221,7 +221,7 @@
 			t.Errorf("%+v %v after %v", f, err, time.Since(began))
 		}
 		_, err = c.Wait(ctx, []string{"10.0.0.1:1"}, Change{Number: 6})
-		if !errors.Is(err, ErrNotYet) || !strings.Contains(err.Error(), "proxy a, at record 5") {
+		if !errors.Is(err, ErrNotApplied) || !strings.Contains(err.Error(), "proxy a, at record 5") {
 			t.Error(err)
 		}
 	})
@@ -240,7 +240,7 @@
 	defer server.Close()
 	address := server.Listener.Addr().String()
 	var c Client
-	p, err := c.Proxy(context.Background(), address)
+	p, err := c.ProxyStatus(context.Background(), address)
 	if err != nil || p.Node != "p" {
 		t.Fatal(p, err)
 	}
@@ -265,7 +265,7 @@
 func TestBackupNeedsAConfirmedRead(t *testing.T) {
 	h := BackupHandler(func(context.Context) (*controlstate.State, error) { return nil, errors.New("no majority") })
 	c := Client{Transport: &network{hosts: map[string]http.Handler{"k": h}}}
-	if _, err := c.Backup(context.Background(), "k:1"); !errors.Is(err, ErrUnreached) || !strings.Contains(err.Error(), "503") {
+	if _, err := c.Backup(context.Background(), "k:1"); !errors.Is(err, ErrUnreachable) || !strings.Contains(err.Error(), "503") {
 		t.Error(err)
 	}
 	c.Transport = &network{hosts: map[string]http.Handler{"k": http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -281,7 +281,7 @@
 	all := netOf(fleetOf())
 	all.hosts["10.0.0.9"] = http.RedirectHandler("http://10.0.0.1:1"+pathStatus, http.StatusTemporaryRedirect)
 	c := Client{Transport: all}
-	if s, err := c.Keeper(context.Background(), "10.0.0.9:1"); !errors.Is(err, ErrUnreached) || s.Node != "" {
+	if s, err := c.NodeStatus(context.Background(), "10.0.0.9:1"); !errors.Is(err, ErrUnreachable) || s.Node != "" {
 		t.Errorf("node %q, error %v", s.Node, err)
 	}
 }
--- a/internal/system/staff/wait.go
+++ b/internal/system/staff/wait.go
@@ -53,7 +53,7 @@
 	}
 	if w.number == 0 {
 		// Revisions only rise, so the change is among the records of any keeper at this revision or a later one.
-		for _, a := range f.Keepers {
+		for _, a := range f.Nodes {
 			if s := a.Status; s != nil && s.Revision >= w.change.Revision && (w.number == 0 || s.Number < w.number) {
 				w.number = s.Number
 			}
@@ -66,7 +66,7 @@
 	if !f.Current() {
 		out = append(out, "a current keeper")
 	}
-	for _, a := range f.Keepers {
+	for _, a := range f.Nodes {
 		switch {
 		case a.Status == nil:
 			out = append(out, "an answer of keeper "+a.Address)
@@ -89,7 +89,7 @@
 const waitEvery = 200 * time.Millisecond
 
 // Wait looks until the change is in force at all keepers of the view and at all live proxies, and gives the last look. When
-// ctx ends first, the error says what is missing, marked ErrNotYet.
+// ctx ends first, the error says what is missing, marked ErrNotApplied.
 func (c *Client) Wait(ctx context.Context, addresses []string, change Change) (*Fleet, error) {
 	w := waiter{change: change}
 	missing := []string{"an answer of any keeper"}
@@ -105,7 +105,7 @@
 		select {
 		case <-ctx.Done():
 			timer.Stop()
-			return last, errors.Mark(errors.Newf("%s is not in force everywhere; missing: %s", change, few(missing)), ErrNotYet)
+			return last, errors.Mark(errors.Newf("%s is not in force everywhere; missing: %s", change, few(missing)), ErrNotApplied)
 		case <-timer.C:
 		}
 	}
