--- a/cmd/keeper/run.go
+++ b/cmd/keeper/run.go
@@ -90,12 +90,12 @@
 
 func (k *keeper) operatorCalls() http.Handler {
 	options := control.Options{Chain: k.chain, AckTimeout: settings.Milliseconds(k.settings.Bounds.Ack), Log: k.log,
-		Current: func() *controlstate.State { state, _ := k.chain.Committed(); return state },
-		Stalled: k.stalls.Stalled,
-		CutOff:  k.chain.Partitioned,
-		Status:  k.status, Backup: staff.BackupHandler(k.chain.Read)}
+		Current:     func() *controlstate.State { state, _ := k.chain.Committed(); return state },
+		Stalled:     k.stalls.Stalled,
+		Partitioned: k.chain.Partitioned,
+		Status:      k.status, Backup: staff.BackupHandler(k.chain.Read)}
 	if k.feed != nil {
-		options.Delivered = k.feed.delivered
+		options.WaitDelivered = k.feed.delivered
 	}
 	return control.Handler(options)
 }
--- a/internal/system/control/chain_test.go
+++ b/internal/system/control/chain_test.go
@@ -106,10 +106,10 @@
 		c.tb.Fatal(err)
 	}
 	c.keepers[m] = k
-	api := control.Options{Chain: submitter{k}, Log: quiet, CutOff: k.Partitioned,
+	api := control.Options{Chain: submitter{k}, Log: quiet, Partitioned: k.Partitioned,
 		Current: func() *controlstate.State { s, _ := k.Committed(); return s }}
 	if c.patient {
-		api.CutOff = nil
+		api.Partitioned = nil
 	}
 	c.apis[m] = control.Handler(api)
 	c.mu.Lock()
--- a/internal/system/control/control.go
+++ b/internal/system/control/control.go
@@ -27,7 +27,7 @@
 type Options struct {
 	Chain Chain
 	// Delivered waits until the connected proxies hold the change numbered seq, or ctx ends. Nil: nothing is waited for.
-	Delivered func(ctx context.Context, seq uint64)
+	WaitDelivered func(ctx context.Context, seq uint64)
 	// Current gives a committed state that is at hand: the fence of an evacuation order, and the revision that a refusal
 	// names. It may lag; where it is nil or gives nil, what a majority told as the order came is the fence.
 	Current func() *controlstate.State
@@ -35,7 +35,7 @@
 	Stalled func() bool
 	// CutOff tells whether this keeper has had no way to the chain for so long that an order would not be taken. Orders are
 	// then answered 503 at once, without being passed on. Nil: never.
-	CutOff func() bool
+	Partitioned func() bool
 	// Status is what GET /status answers, as JSON. Nil: an empty object.
 	Status     func() any
 	Backup     http.Handler  // answers GET /backup. Nil: there is no such call
@@ -110,7 +110,7 @@
 // answerCutOff answers an order where this keeper has no way to the chain, so that the caller need not wait to hear that it
 // was not taken. It tells whether it did.
 func (a *api) answerCutOff(w http.ResponseWriter, change controlstate.Change) bool {
-	if a.o.CutOff == nil || !a.o.CutOff() {
+	if a.o.Partitioned == nil || !a.o.Partitioned() {
 		return false
 	}
 	a.o.Log.WithFields(log.Fields{"op": change.Op, "base": change.Base, "zone": change.Zone}).
@@ -152,9 +152,9 @@
 	}
 	switch v.Kind {
 	case controlstate.Accepted, controlstate.AlreadyApplied:
-		if a.o.Delivered != nil {
+		if a.o.WaitDelivered != nil {
 			ctx, cancel := context.WithTimeout(r.Context(), min(deliveryWait, a.o.AckTimeout/8, time.Until(o.answerBy)))
-			a.o.Delivered(ctx, v.Seq)
+			a.o.WaitDelivered(ctx, v.Seq)
 			cancel()
 		}
 		entry.WithFields(log.Fields{"seq": v.Seq, "ms": time.Since(o.arrived).Milliseconds()}).Info("control: change acknowledged")
--- a/internal/system/control/control_test.go
+++ b/internal/system/control/control_test.go
@@ -118,9 +118,9 @@
 			chain := &fakeChain{verdict: tt.verdict, err: tt.err, state: state}
 			var delivered []uint64
 			h := Handler(Options{Chain: chain, Log: quiet(),
-				Current:   func() *controlstate.State { return state },
-				Status:    func() any { return map[string]int{"epoch": 3} },
-				Delivered: func(_ context.Context, seq uint64) { delivered = append(delivered, seq) }})
+				Current:       func() *controlstate.State { return state },
+				Status:        func() any { return map[string]int{"epoch": 3} },
+				WaitDelivered: func(_ context.Context, seq uint64) { delivered = append(delivered, seq) }})
 			w := call(h, tt.method, tt.target, body, tt.headers...)
 			if w.Code != tt.status {
 				t.Fatalf("status %d, want %d: %s", w.Code, tt.status, w.Body)
@@ -249,7 +249,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				chain, cut := &fakeChain{silent: true}, true
-				h := Handler(Options{Chain: chain, Log: quiet(), CutOff: func() bool { return cut }})
+				h := Handler(Options{Chain: chain, Log: quiet(), Partitioned: func() bool { return cut }})
 				start := time.Now()
 				w := call(h, tt.method, tt.target, "{}", tt.headers...)
 				if took := time.Since(start); w.Code != tt.status || took != tt.took || len(chain.got) > 0 {
@@ -274,7 +274,7 @@
 	for ack, want := range map[time.Duration]time.Duration{0: 300 * time.Millisecond, time.Second: 125 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			h := Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted, Seq: 9}}, AckTimeout: ack, Log: quiet(),
-				Delivered: func(ctx context.Context, _ uint64) { <-ctx.Done() }})
+				WaitDelivered: func(ctx context.Context, _ uint64) { <-ctx.Done() }})
 			start := time.Now()
 			w := call(h, "POST", "/Evacuation.Start/a", "")
 			if took := time.Since(start); w.Code != 200 || took != want {
--- a/internal/system/control/wire_test.go
+++ b/internal/system/control/wire_test.go
@@ -203,7 +203,7 @@
 					time.Sleep(chainWait - time.Millisecond) // of the bubble's clock
 					return accepted(c)
 				}}
-			h := Handler(Options{Chain: chain, Log: quiet(), Delivered: func(ctx context.Context, _ uint64) { <-ctx.Done() }})
+			h := Handler(Options{Chain: chain, Log: quiet(), WaitDelivered: func(ctx context.Context, _ uint64) { <-ctx.Done() }})
 			start := time.Now()
 			w := call(h, "POST", target, "", "X-Base-Version", "0")
 			if took := time.Since(start); w.Code != 200 || took > answerWithin {
