--- a/cmd/gradeusher/system_soak_norace_test.go
+++ b/cmd/gradeusher/system_soak_norace_test.go
@@ -17,7 +17,7 @@
 )
 
 // soakSeeds plays some seeds side by side, each as short as can be.
-func soakSeeds(t *testing.T, seeds []uint64, change func(*world.Scene), plan func(uint64, *world.Scene) *soak.Plan) []*soak.Result {
+func soakSeeds(t *testing.T, seeds []uint64, change func(*world.Scenario), plan func(uint64, *world.Scenario) *soak.Plan) []*soak.Result {
 	t.Helper()
 	proxy, keeper, folder := buildSystem(t)
 	results := make([]*soak.Result, len(seeds))
@@ -45,7 +45,9 @@
 	return slices.DeleteFunc(results, func(r *soak.Result) bool { return r == nil })
 }
 
-func drawn(seed uint64, scene *world.Scene) *soak.Plan { return soak.Draw(seed, soak.Shortest, scene) }
+func drawn(seed uint64, scene *world.Scenario) *soak.Plan {
+	return soak.Draw(seed, soak.Shortest, scene)
+}
 
 // TestSoak is the short form of `gradeusher system soak`, with controls beside it. This process carries all traffic, and the links
 // between the programs that it starts. Built with the race detector it does not keep up on two cores: it goes on seconds late and
@@ -68,7 +70,7 @@
 func soakHoldsRules(t *testing.T) {
 	t.Helper()
 	ends := 0 // tries around planned ends; not every seed has one
-	for _, r := range soakSeeds(t, []uint64{1, 2, 3}, func(*world.Scene) {}, drawn) {
+	for _, r := range soakSeeds(t, []uint64{1, 2, 3}, func(*world.Scenario) {}, drawn) {
 		for _, b := range r.Broken {
 			t.Errorf("seed %d: %s", r.Seed, b)
 		}
@@ -90,7 +92,7 @@
 // soakSeesFloods takes a protection away: the operator does not tell that servers bear less while cold.
 func soakSeesFloods(t *testing.T) {
 	t.Helper()
-	for _, r := range soakSeeds(t, []uint64{4}, func(s *world.Scene) { s.Config.Services[0].ColdPerSecond = 0 }, drawn) {
+	for _, r := range soakSeeds(t, []uint64{4}, func(s *world.Scenario) { s.Config.Services[0].ColdPerSecond = 0 }, drawn) {
 		if r.Flooded == 0 || !slices.ContainsFunc(r.Broken, func(b string) bool { return strings.HasPrefix(b, "FAILBACK: ") }) {
 			t.Errorf("no flood was seen: %v %q", r, r.Broken)
 		}
@@ -102,14 +104,14 @@
 // soakSeesLosses takes another away: proxies have no time for what they have read.
 func soakSeesLosses(t *testing.T) {
 	t.Helper()
-	ends := func(seed uint64, scene *world.Scene) *soak.Plan {
+	ends := func(seed uint64, scene *world.Scenario) *soak.Plan {
 		p := &soak.Plan{Seed: seed, For: soak.Shortest}
 		for i, m := range scene.Machines {
 			p.Troubles = append(p.Troubles, soak.Trouble{Kind: soak.EndProxy, Target: m.IP, Start: time.Duration(2+3*i) * time.Second})
 		}
 		return p
 	}
-	for _, r := range soakSeeds(t, []uint64{5}, func(s *world.Scene) { s.Bounds.Grace = leastGrace }, ends) {
+	for _, r := range soakSeeds(t, []uint64{5}, func(s *world.Scenario) { s.Bounds.Grace = leastGrace }, ends) {
 		if !slices.ContainsFunc(r.Broken, func(b string) bool { return strings.HasPrefix(b, "LOST: ") }) {
 			t.Errorf("no loss was seen, of %d: %v %q", r.Looked["LOST"], r, r.Broken)
 		}
--- a/cmd/gradeusher/system_up_test.go
+++ b/cmd/gradeusher/system_up_test.go
@@ -51,20 +51,20 @@
 		name string
 		do   func() error
 	}{
-		{"traffic", func() error { return run.Served(ctx, 15) }},
+		{"traffic", func() error { return run.AwaitServed(ctx, 15) }},
 		{"the machine without a disk has an observer", func() error {
 			// It hears the configuration some heartbeats after those who take clients.
 			return world.Await(ctx, func(ctx context.Context) error { return observes(ctx, run.Fleet.Control(machines[3])) })
 		}},
 		{"a route is added", func() error { return run.AddRoute(ctx, 5, added) }},
-		{"the head of the chain is killed", func() error { return run.KillKeeper(machines[0]) }},
-		{"traffic without it", func() error { return run.Served(ctx, 15) }},
+		{"the head of the chain is killed", func() error { return run.KillControlPlane(machines[0]) }},
+		{"traffic without it", func() error { return run.AwaitServed(ctx, 15) }},
 		{"the route is removed", func() error { return run.RemoveRoute(ctx, 9, "added") }},
 		{"a proxy is told to end", func() error {
-			go func() { ended <- run.TermProxy(ctx, machines[3]) }()
+			go func() { ended <- run.TerminateProxy(ctx, machines[3]) }()
 			return run.AwaitProxies(ctx, 3)
 		}},
-		{"traffic meanwhile", func() error { return run.Served(ctx, 15) }},
+		{"traffic meanwhile", func() error { return run.AwaitServed(ctx, 15) }},
 		{"it has ended", func() error { return <-ended }},
 	} {
 		if err := step.do(); err != nil {
--- a/internal/lab/soak/plan_test.go
+++ b/internal/lab/soak/plan_test.go
@@ -84,7 +84,7 @@
 
 const ackedWithin = 500 * time.Millisecond // an evacuation
 
-func checkPlan(t *testing.T, p *Plan, scene *world.Scene) {
+func checkPlan(t *testing.T, p *Plan, scene *world.Scenario) {
 	t.Helper()
 	d := &drawer{scene: scene}
 	if p.Delay < 20*time.Millisecond || p.Delay > 55*time.Millisecond {
@@ -114,9 +114,9 @@
 func TestPathsAndStates(t *testing.T) {
 	const ip, server = "127.0.1.1", "127.0.2.1:0"
 	m, other := world.Machine{IP: ip}, world.Machine{IP: "127.0.1.2"}
-	proxy, keeper := world.ProxyName(m), world.KeeperName(m)
-	paths := []world.Path{{From: proxy, To: world.KeeperName(other)}, {From: world.ProxyName(other), To: proxy}, {From: keeper, To: world.ListEnd},
-		{From: keeper, To: world.KeeperName(other)}, {From: world.ProxyName(other), To: keeper}, {From: world.KeeperName(other), To: world.ListEnd},
+	proxy, keeper := world.ProxyName(m), world.ControlPlaneName(m)
+	paths := []world.Path{{From: proxy, To: world.ControlPlaneName(other)}, {From: world.ProxyName(other), To: proxy}, {From: keeper, To: world.ListEnd},
+		{From: keeper, To: world.ControlPlaneName(other)}, {From: world.ProxyName(other), To: keeper}, {From: world.ControlPlaneName(other), To: world.ListEnd},
 		{To: server}, {To: "127.0.2.2:0"}, {From: proxy, To: server}, {From: proxy, To: "127.0.2.2:0"}, {From: world.ProxyName(other), To: server}}
 	for _, c := range []struct {
 		kind          Kind
--- a/internal/lab/soak/result_test.go
+++ b/internal/lab/soak/result_test.go
@@ -18,7 +18,7 @@
 // judged is a player whose run is over, with nothing broken yet.
 func judged() *player {
 	evidence := &rules.Evidence{Bounds: Scene(1).Bounds}
-	return &player{Run: &world.Run{World: &world.World{Evidence: evidence}}, plan: &Plan{Seed: 7, For: Shortest}, broken: []string{}}
+	return &player{Run: &world.Run{Environment: &world.Environment{Evidence: evidence}}, plan: &Plan{Seed: 7, For: Shortest}, broken: []string{}}
 }
 
 // TestJudgeNamesWhatBroke: each kind of fault ends a seed as broken, under its name. Danger: one that is seen and not told.
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -22,8 +22,8 @@
 	Proxy, Keeper string // programs
 	Folder        string // for settings, disks and logs
 	Plan          *Plan
-	Scene         *world.Scene // nil: that of the plan's seed
-	Tell          func(string) // is told of troubles as they begin; nil: nobody is
+	Scene         *world.Scenario // nil: that of the plan's seed
+	Tell          func(string)    // is told of troubles as they begin; nil: nobody is
 }
 
 const (
@@ -118,7 +118,7 @@
 func (p *player) recover(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, recoverWithin)
 	defer cancel()
-	if err := p.Served(ctx, recovered); err != nil {
+	if err := p.AwaitServed(ctx, recovered); err != nil {
 		p.fault("RECOVER", err.Error())
 	}
 	for zone := range p.owed {
@@ -126,7 +126,7 @@
 			p.fault("RECOVER", err.Error())
 		}
 	}
-	if err := world.Await(ctx, func(ctx context.Context) error { return p.watch.settled(ctx, p.Fleet.Keepers()) }); err != nil {
+	if err := world.Await(ctx, func(ctx context.Context) error { return p.watch.settled(ctx, p.Fleet.ControlPlaneAddresses()) }); err != nil {
 		p.fault("RECOVER", err.Error())
 	}
 }
@@ -135,7 +135,7 @@
 func (p *player) addresses() map[string]string {
 	all := map[string]string{}
 	for _, m := range p.Fleet.Machines {
-		all[world.KeeperName(m)] = p.Fleet.Control(m)
+		all[world.ControlPlaneName(m)] = p.Fleet.Control(m)
 		all[world.ProxyName(m)] = p.Fleet.Inner(m)
 	}
 	return all
--- a/internal/lab/soak/scene.go
+++ b/internal/lab/soak/scene.go
@@ -24,8 +24,8 @@
 
 // Scene gives the deployment in which a seed is played: the small one, with more servers, more traffic, and a home for the
 // most frequent kind of request.
-func Scene(seed uint64) *world.Scene {
-	s := world.SmallScene(1)
+func Scene(seed uint64) *world.Scenario {
+	s := world.SmallScenario(1)
 	subnet := firstSubnet + int(seed%subnets)
 	for i := range s.Machines {
 		s.Machines[i].IP = fmt.Sprintf("127.%d.1.%d", subnet, i+1)
@@ -61,7 +61,7 @@
 }
 
 // setSlots gives every model server so many slots, and as many places to wait.
-func setSlots(s *world.Scene, n int) {
+func setSlots(s *world.Scenario, n int) {
 	for _, spec := range s.Servers {
 		if spec.Engine != nil {
 			spec.Engine.Slots, spec.Engine.Queue = n, n
@@ -71,4 +71,4 @@
 }
 
 // coldFor is how long a model server is cold after its start.
-func coldFor(s *world.Scene) time.Duration { return s.Servers[0].ColdFor }
+func coldFor(s *world.Scenario) time.Duration { return s.Servers[0].ColdFor }
--- a/internal/lab/soak/troubles.go
+++ b/internal/lab/soak/troubles.go
@@ -99,7 +99,7 @@
 		p.watch.ask(ctx, world.ProxyName(m), p.Fleet.Inner(m))
 		ends, cancel := context.WithTimeout(ctx, p.Scene.Bounds.Grace+endSlack)
 		defer cancel()
-		if err := p.TermProxy(ends, m); err != nil {
+		if err := p.TerminateProxy(ends, m); err != nil {
 			return err
 		}
 		clock.Sleep(ctx, t.Down)
@@ -110,12 +110,12 @@
 func (p *player) killKeepers(ctx context.Context, t Trouble) error {
 	return each(p.machines(t), func(m world.Machine) error {
 		defer p.begin(m, true, "down")()
-		p.watch.ask(ctx, world.KeeperName(m), p.Fleet.Control(m))
-		if err := p.KillKeeper(m); err != nil {
+		p.watch.ask(ctx, world.ControlPlaneName(m), p.Fleet.Control(m))
+		if err := p.KillControlPlane(m); err != nil {
 			return err
 		}
 		clock.Sleep(ctx, t.Length)
-		return p.StartKeeper(m)
+		return p.StartControlPlane(m)
 	})
 }
 
@@ -123,7 +123,7 @@
 	return each(p.machines(t), func(m world.Machine) error {
 		process, keeper := p.Fleet.ProxyProcess(m), t.Kind == PauseKeeper
 		if keeper {
-			process = p.Fleet.KeeperProcess(m)
+			process = p.Fleet.ControlPlaneProcess(m)
 		}
 		defer p.begin(m, keeper, rules.Pause)()
 		return p.Pause(ctx, process, t.Length)
@@ -143,8 +143,8 @@
 func (p *player) lay(ctx context.Context, t Trouble, d time.Duration) {
 	calls, called := t.paths()
 	out, in := t.states()
-	defer p.Fleet.Links.Trouble(calls, out)()
-	defer p.Fleet.Links.Trouble(called, in)()
+	defer p.Fleet.Links.Inject(calls, out)()
+	defer p.Fleet.Links.Inject(called, in)()
 	clock.Sleep(ctx, d)
 }
 
@@ -156,10 +156,10 @@
 	case CutProxy, SlowProxy:
 		return func(l world.Path) bool { return l.From == world.ProxyName(at) && !l.ToServer() }, func(l world.Path) bool { return l.To == world.ProxyName(at) }
 	case CutKeeper, SlowKeeper:
-		return func(l world.Path) bool { return l.From == world.KeeperName(at) && l.To != world.ListEnd },
-			func(l world.Path) bool { return l.To == world.KeeperName(at) }
+		return func(l world.Path) bool { return l.From == world.ControlPlaneName(at) && l.To != world.ListEnd },
+			func(l world.Path) bool { return l.To == world.ControlPlaneName(at) }
 	case CutList:
-		return func(l world.Path) bool { return l.From == world.KeeperName(at) && l.To == world.ListEnd }, none
+		return func(l world.Path) bool { return l.From == world.ControlPlaneName(at) && l.To == world.ListEnd }, none
 	case CutLists, SlowLists:
 		return func(l world.Path) bool { return l.To == world.ListEnd }, none
 	case CutFromServers:
@@ -281,7 +281,7 @@
 func (p *player) takeBack(ctx context.Context, zone string, chill time.Duration) error {
 	if chill > 0 {
 		for _, s := range p.servers(zone) {
-			s.Chill(min(chill+coldFor(p.Scene)-coldMargin, 2*s.ColdFor))
+			s.SetWarmingUp(min(chill+coldFor(p.Scene)-coldMargin, 2*s.ColdFor))
 		}
 	}
 	clock.Sleep(ctx, chill)
--- a/internal/lab/world/crooked_test.go
+++ b/internal/lab/world/crooked_test.go
@@ -21,7 +21,7 @@
 
 // crooked is a proxy, directory and keeper in one that breaks a rule on purpose.
 type crooked struct {
-	w       *World
+	w       *Environment
 	front   *httptest.Server
 	keeper  *httptest.Server
 	client  *http.Client
@@ -95,7 +95,7 @@
 // startCrooked gives a proxy that breaks nothing yet, and bounds that allow no time for anything.
 func startCrooked(t *testing.T) *crooked {
 	t.Helper()
-	scene := SmallScene(1)
+	scene := SmallScenario(1)
 	scene.Bounds.Drain, scene.Bounds.Evacuate, scene.Bounds.ConfigApply, scene.Bounds.RetrySlack = 0, 0, 0, 2
 	scene.Config.Routes[2].Homes = []string{"north"}
 	c := &crooked{client: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
--- a/internal/lab/world/faults.go
+++ b/internal/lab/world/faults.go
@@ -12,16 +12,16 @@
 	"gradeusher.example/gradeusher/internal/lab/world/rules"
 )
 
-// KillKeeper kills a machine's keeper and waits for its end.
-func (r *Run) KillKeeper(m Machine) error {
+// KillControlPlane kills a machine's keeper and waits for its end.
+func (r *Run) KillControlPlane(m Machine) error {
 	r.Evidence.Trouble(rules.Trouble{Keeper: true, Kind: "kill", At: r.Now()})
-	return end(r.Fleet.KeeperProcess(m), syscall.SIGKILL, nil)
+	return end(r.Fleet.ControlPlaneProcess(m), syscall.SIGKILL, nil)
 }
 
-// StartKeeper starts it again, with its disk.
-func (r *Run) StartKeeper(m Machine) error {
+// StartControlPlane starts it again, with its disk.
+func (r *Run) StartControlPlane(m Machine) error {
 	r.Evidence.Trouble(rules.Trouble{Keeper: true, Kind: rules.Start, At: r.Now()})
-	return r.Fleet.StartKeeper(m, false)
+	return r.Fleet.StartControlPlane(m, false)
 }
 
 // KillProxy kills a machine's proxy and waits for its end.
@@ -39,8 +39,8 @@
 	return p.Signal(syscall.SIGCONT, false)
 }
 
-// TermProxy has a machine's proxy end as planned, and waits for that or the end of ctx.
-func (r *Run) TermProxy(ctx context.Context, m Machine) error {
+// TerminateProxy has a machine's proxy end as planned, and waits for that or the end of ctx.
+func (r *Run) TerminateProxy(ctx context.Context, m Machine) error {
 	r.Evidence.Trouble(rules.Trouble{Proxy: r.Fleet.Front(m), Kind: rules.Term, At: r.Now()})
 	return end(r.Fleet.ProxyProcess(m), syscall.SIGTERM, ctx.Done())
 }
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// Served waits until clients were served n more requests.
-func (r *Run) Served(ctx context.Context, n int) error {
+// AwaitServed waits until clients were served n more requests.
+func (r *Run) AwaitServed(ctx context.Context, n int) error {
 	return r.figures.await(ctx, n)
 }
--- a/internal/lab/world/fleet.go
+++ b/internal/lab/world/fleet.go
@@ -109,8 +109,8 @@
 // Control is where the operator reaches the keeper of a machine.
 func (f *Fleet) Control(m Machine) string { return f.at(m, f.Ports.Control) }
 
-// Keepers are the control addresses, also of observers.
-func (f *Fleet) Keepers() []string {
+// ControlPlaneAddresses are the control addresses, also of observers.
+func (f *Fleet) ControlPlaneAddresses() []string {
 	var all []string
 	for _, m := range f.Machines {
 		all = append(all, f.Control(m))
@@ -160,7 +160,7 @@
 func (f *Fleet) Start() error {
 	f.starter, f.running = proc.NewStarter(), map[string]*proc.Process{}
 	for _, m := range f.Machines {
-		if err := f.StartKeeper(m, true); err != nil {
+		if err := f.StartControlPlane(m, true); err != nil {
 			return err
 		}
 		if err := f.StartProxy(m, true); err != nil {
@@ -170,9 +170,9 @@
 	return nil
 }
 
-// StartKeeper starts the keeper of a machine.
-func (f *Fleet) StartKeeper(m Machine, first bool) error {
-	return f.start(m, KeeperName(m), f.Keeper, first, `serves = ["control"]`)
+// StartControlPlane starts the keeper of a machine.
+func (f *Fleet) StartControlPlane(m Machine, first bool) error {
+	return f.start(m, ControlPlaneName(m), f.Keeper, first, `serves = ["control"]`)
 }
 
 // StartProxy starts the proxy of a machine.
@@ -200,8 +200,8 @@
 	return nil
 }
 
-// KeeperProcess is the keeper of a machine; nil: it was not started.
-func (f *Fleet) KeeperProcess(m Machine) *proc.Process { return f.process(KeeperName(m)) }
+// ControlPlaneProcess is the keeper of a machine; nil: it was not started.
+func (f *Fleet) ControlPlaneProcess(m Machine) *proc.Process { return f.process(ControlPlaneName(m)) }
 
 // ProxyProcess is the proxy of a machine; nil: it was not started.
 func (f *Fleet) ProxyProcess(m Machine) *proc.Process { return f.process(ProxyName(m)) }
--- a/internal/lab/world/links.go
+++ b/internal/lab/world/links.go
@@ -12,7 +12,7 @@
 )
 
 // Path is a link's two ends: the one that connects, and the one that is called. An end is a process, named as by
-// KeeperName and ProxyName, ListEnd or a server's address. A path to a server without a near end is that of callers that are not
+// ControlPlaneName and ProxyName, ListEnd or a server's address. A path to a server without a near end is that of callers that are not
 // known to be a proxy.
 type Path struct{ From, To string }
 
@@ -25,8 +25,8 @@
 // ListEnd is the platform's list as an end of a path.
 const ListEnd = "list"
 
-// KeeperName names the keeper of a machine.
-func KeeperName(m Machine) string { return "keeper-" + m.IP }
+// ControlPlaneName names the keeper of a machine.
+func ControlPlaneName(m Machine) string { return "keeper-" + m.IP }
 
 // ProxyName names the proxy of a machine.
 func ProxyName(m Machine) string { return "proxy-" + m.IP }
@@ -72,8 +72,8 @@
 	return w.link
 }
 
-// Trouble lays a state on the paths that are picked, besides what lies there already, until heal is called.
-func (n *Links) Trouble(pick func(Path) bool, s link.State) (heal func()) {
+// Inject lays a state on the paths that are picked, besides what lies there already, until heal is called.
+func (n *Links) Inject(pick func(Path) bool, s link.State) (heal func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.next++
@@ -125,7 +125,7 @@
 		for _, keeper := range []bool{true, false} {
 			e := endpoint{Machine: m, name: ProxyName(m), keeper: keeper, first: f.Ports.First + portsOfProcess*len(all)}
 			if keeper {
-				e.name = KeeperName(m)
+				e.name = ControlPlaneName(m)
 			}
 			all = append(all, e)
 		}
--- a/internal/lab/world/links_test.go
+++ b/internal/lab/world/links_test.go
@@ -197,8 +197,8 @@
 	length := link.State{Delay: 30 * time.Millisecond, Jitter: time.Millisecond}
 	is("near", near, link.State{})
 	is("far", far, length)
-	healSlow := n.Trouble(all, link.State{Delay: 10 * time.Millisecond})
-	healCut := n.Trouble(func(p Path) bool { return p.To == "c" }, link.State{Hold: [2]bool{link.ToFar: true}})
+	healSlow := n.Inject(all, link.State{Delay: 10 * time.Millisecond})
+	healCut := n.Inject(func(p Path) bool { return p.To == "c" }, link.State{Hold: [2]bool{link.ToFar: true}})
 	is("near, slow", near, link.State{Delay: 10 * time.Millisecond})
 	is("far, slow and cut", far, link.State{Delay: 40 * time.Millisecond, Jitter: time.Millisecond, Hold: [2]bool{link.ToFar: true}})
 	healSlow()
@@ -210,7 +210,7 @@
 
 // TestLinksHavePathsOfTheirOwn: everybody calls keepers and proxies call each other, each over a link of its own.
 func TestLinksHavePathsOfTheirOwn(t *testing.T) {
-	scene := SmallScene(1)
+	scene := SmallScenario(1)
 	ports, err := FreePorts(scene.Machines)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/world/operator.go
+++ b/internal/lab/world/operator.go
@@ -179,8 +179,8 @@
 	}
 }
 
-// KeeperStatus is what GET /status of a keeper tells staff.
-type KeeperStatus struct {
+// NodeStatus is what GET /status of a keeper tells staff.
+type NodeStatus struct {
 	Node     string   `json:"node"`
 	Current  bool     `json:"current"`
 	Epoch    uint64   `json:"epoch"`
@@ -193,11 +193,11 @@
 }
 
 // Status is that of the most recent view among the keepers; nil: none answers.
-func (o *Operator) Status(ctx context.Context) *KeeperStatus {
-	var best *KeeperStatus
+func (o *Operator) Status(ctx context.Context) *NodeStatus {
+	var best *NodeStatus
 	for _, at := range o.Keepers {
 		status, body, err := o.once(ctx, http.MethodGet, "http://"+at+"/status", nil, -1)
-		s := &KeeperStatus{}
+		s := &NodeStatus{}
 		if err != nil || status != http.StatusOK || json.Unmarshal(body, s) != nil {
 			continue
 		}
--- a/internal/lab/world/probe.go
+++ b/internal/lab/world/probe.go
@@ -15,7 +15,7 @@
 const probeWithin = 2 * time.Second
 
 // Probe sends one request straight to a proxy, on a connection of its own, to see which configuration is in force there.
-func (w *World) Probe(ctx context.Context, proxy, host, path string) *rules.Try {
+func (w *Environment) Probe(ctx context.Context, proxy, host, path string) *rules.Try {
 	t := &rules.Try{ID: fmt.Sprintf("%016x", rand.Uint64()), Host: host, Method: http.MethodPost, Path: path, Body: xxhash.Sum64String(""),
 		Proxy: proxy, Probe: true, Sent: w.Now()}
 	defer func() {
@@ -39,7 +39,7 @@
 }
 
 // Ready is how many processes answer GET /readiness with 200.
-func (w *World) Ready(ctx context.Context, addresses []string) int {
+func (w *Environment) Ready(ctx context.Context, addresses []string) int {
 	answers := make(chan bool, len(addresses))
 	for _, at := range addresses {
 		go func() {
--- a/internal/lab/world/scene.go
+++ b/internal/lab/world/scene.go
@@ -8,8 +8,8 @@
 	"gradeusher.example/gradeusher/internal/lab/world/rules"
 )
 
-// Scene is the small stand-in deployment: two regions, three zones, four machines of which three have a disk.
-type Scene struct {
+// Scenario is the small stand-in deployment: two regions, three zones, four machines of which three have a disk.
+type Scenario struct {
 	Machines []Machine
 	Bounds   rules.Bounds
 	Config   *rules.Config
@@ -23,9 +23,9 @@
 	thumbs    = "thumbs"
 )
 
-// SmallScene gives it, with rate requests a second in all.
-func SmallScene(rate float64) *Scene {
-	s := &Scene{Bounds: rules.Bounds{Contact: 4 * time.Second, Drain: 4 * time.Second, ConfigApply: 3 * time.Second,
+// SmallScenario gives it, with rate requests a second in all.
+func SmallScenario(rate float64) *Scenario {
+	s := &Scenario{Bounds: rules.Bounds{Contact: 4 * time.Second, Drain: 4 * time.Second, ConfigApply: 3 * time.Second,
 		RevertSlack: 250 * time.Millisecond, Evacuate: 5 * time.Second, Grace: 8 * time.Second, LossSlack: 200 * time.Millisecond,
 		Stretch: 6 * time.Second, RetryWindow: 10 * time.Second, RetryRatio: 0.2, RetrySlack: 64, ColdExcess: 1.5, ColdSlack: 5}}
 	zones := []struct{ zone, region string }{{"north-a", "north"}, {"north-b", "north"}, {"south-a", "south"}}
--- a/internal/lab/world/server.go
+++ b/internal/lab/world/server.go
@@ -93,7 +93,7 @@
 // Server is a stand-in server: PROTOCOL.md "Servers".
 type Server struct {
 	ServerSpec
-	w       *World
+	w       *Environment
 	address string
 
 	mu       sync.Mutex
@@ -282,8 +282,8 @@
 	s.draining, s.leavesAt = true, s.w.Now()+after
 }
 
-// Chill has the server be cold for a time from now.
-func (s *Server) Chill(d time.Duration) {
+// SetWarmingUp has the server be cold for a time from now.
+func (s *Server) SetWarmingUp(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.coldTill = max(s.coldTill, s.w.Now()+d)
@@ -296,8 +296,8 @@
 	s.losing = share
 }
 
-// Become has the next incarnation at the address be of another kind.
-func (s *Server) Become(spec ServerSpec) {
+// Reconfigure has the next incarnation at the address be of another kind.
+func (s *Server) Reconfigure(spec ServerSpec) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ServerSpec = spec
--- a/internal/lab/world/server_test.go
+++ b/internal/lab/world/server_test.go
@@ -21,14 +21,14 @@
 )
 
 // lone is a world with one server and no clients.
-func lone(t *testing.T, spec ServerSpec) (*World, *Server) {
+func lone(t *testing.T, spec ServerSpec) (*Environment, *Server) {
 	t.Helper()
 	// The kernel gives ports of 127.0.0.1 to other connections; those of its neighbours stay free for the next start.
 	spec.Address, spec.HealthPath, spec.Zone, spec.Region = "127.0.4.1:0", "/health", "north-a", "north"
 	if spec.MaxConns == 0 {
 		spec.MaxConns = 100
 	}
-	w, err := New(Options{Servers: []ServerSpec{spec}, ListRate: 10, Bounds: SmallScene(1).Bounds})
+	w, err := New(Options{Servers: []ServerSpec{spec}, ListRate: 10, Bounds: SmallScenario(1).Bounds})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -200,14 +200,14 @@
 func TestServerBehindLink(t *testing.T) {
 	links := NewLinks(0, 0)
 	spec := ServerSpec{Service: "llm", Engine: quickEngine(), Address: "127.0.4.3:0", HealthPath: "/health", MaxConns: 10}
-	w, err := New(Options{Servers: []ServerSpec{spec}, ListRate: 10, Bounds: SmallScene(1).Bounds, Links: links})
+	w, err := New(Options{Servers: []ServerSpec{spec}, ListRate: 10, Bounds: SmallScenario(1).Bounds, Links: links})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
 	s := w.Servers[0]
 	const slow = 50 * time.Millisecond
-	heal := links.Trouble(func(p Path) bool { return p.To == spec.Address }, link.State{Delay: slow})
+	heal := links.Inject(func(p Path) bool { return p.To == spec.Address }, link.State{Delay: slow})
 	if _, _, err := call(t, s, "/x/1", "X-Attempt-Id: one", "X-Token-Count: 10,10"); err != nil {
 		t.Fatal(err)
 	}
@@ -244,7 +244,7 @@
 	}
 	spec := s.ServerSpec
 	spec.Service = "other"
-	s.Become(spec)
+	s.Reconfigure(spec)
 	if err := s.Start(true); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/world/serverlinks_test.go
+++ b/internal/lab/world/serverlinks_test.go
@@ -59,7 +59,7 @@
 	}
 	before := call(machines[0].IP)
 	hear(t, before, headOf(machines[0].IP))
-	heal := n.Trouble(func(p Path) bool { return p == Path{ProxyName(machines[0]), testServer} }, link.State{Hold: [2]bool{true, true}})
+	heal := n.Inject(func(p Path) bool { return p == Path{ProxyName(machines[0]), testServer} }, link.State{Hold: [2]bool{true, true}})
 	say(t, before, "more\n")
 	later, other, unknown := call(machines[0].IP), call(machines[1].IP), call("nobody")
 	hear(t, other, headOf(machines[1].IP))
--- a/internal/lab/world/tour.go
+++ b/internal/lab/world/tour.go
@@ -52,13 +52,13 @@
 
 func (r *Run) tourKeeper(ctx context.Context, rng *rand.Rand) error {
 	m := r.Fleet.Disks()[rng.IntN(len(r.Fleet.Disks()))]
-	if err := r.KillKeeper(m); err != nil {
+	if err := r.KillControlPlane(m); err != nil {
 		return err
 	}
 	if err := pause(ctx, 2*time.Second); err != nil {
 		return err
 	}
-	return r.StartKeeper(m)
+	return r.StartControlPlane(m)
 }
 
 func (r *Run) nextRevision(rng *rand.Rand) int64 { return r.Scene.Config.Revision + 1 + rng.Int64N(5) }
@@ -97,7 +97,7 @@
 
 func (r *Run) tourProxy(ctx context.Context, rng *rand.Rand) error {
 	m := r.Fleet.Machines[rng.IntN(len(r.Fleet.Machines))]
-	if err := r.TermProxy(ctx, m); err != nil {
+	if err := r.TerminateProxy(ctx, m); err != nil {
 		return err
 	}
 	if err := r.StartProxy(m); err != nil {
--- a/internal/lab/world/traffic.go
+++ b/internal/lab/world/traffic.go
@@ -31,7 +31,7 @@
 type Traffic struct {
 	Kinds   []Kind
 	entries []*entry
-	w       *World
+	w       *Environment
 	seed    uint64
 	figures *figures
 	wait    sync.WaitGroup
--- a/internal/lab/world/up.go
+++ b/internal/lab/world/up.go
@@ -19,15 +19,15 @@
 	Folder        string // for settings, disks and logs
 	Rate          float64
 	Seed          uint64
-	Scene         *Scene // nil: the small one, with Rate
-	Links         *Links // between the parts; nil: they reach each other straight
+	Scene         *Scenario // nil: the small one, with Rate
+	Links         *Links    // between the parts; nil: they reach each other straight
 }
 
 // Run is a system of real processes in the small scene.
 type Run struct {
-	*World
+	*Environment
 	Fleet *Fleet
-	Scene *Scene
+	Scene *Scenario
 
 	traffic context.Context
 	still   context.CancelFunc
@@ -50,7 +50,7 @@
 func Up(ctx context.Context, o UpOptions) (*Run, error) {
 	scene := o.Scene
 	if scene == nil {
-		scene = SmallScene(o.Rate)
+		scene = SmallScenario(o.Rate)
 	}
 	ports, err := FreePorts(scene.Machines)
 	if err != nil {
@@ -58,7 +58,7 @@
 	}
 	f := &Fleet{Machines: scene.Machines, Ports: ports, Proxy: o.Proxy, Keeper: o.Keeper, Folder: o.Folder, Bounds: scene.Bounds, Rate: listRate,
 		Links: o.Links}
-	w, err := New(Options{Servers: scene.Servers, Kinds: scene.Kinds, Zones: f.Zones(), Directories: f.Directories(), Keepers: f.Keepers(),
+	w, err := New(Options{Servers: scene.Servers, Kinds: scene.Kinds, Zones: f.Zones(), Directories: f.Directories(), Keepers: f.ControlPlaneAddresses(),
 		Bounds: scene.Bounds, TTLMost: ttlMost, ListLag: 800 * time.Millisecond, ListRate: listRate, Seed: o.Seed, Links: o.Links})
 	if err != nil {
 		return nil, err
@@ -72,7 +72,7 @@
 			return nil, err
 		}
 	}
-	r := &Run{World: w, Fleet: f, Scene: scene}
+	r := &Run{Environment: w, Fleet: f, Scene: scene}
 	r.traffic, r.still = context.WithCancel(context.WithoutCancel(ctx))
 	if err := r.begin(ctx); err != nil {
 		r.stop()
@@ -140,7 +140,7 @@
 		if !m.Disk {
 			what = "observer"
 		}
-		lines = append(lines, fmt.Sprintf("%s http://%s/status  zone %s  pid %d", what, r.Fleet.Control(m), m.Zone, r.Fleet.KeeperProcess(m).Pid()))
+		lines = append(lines, fmt.Sprintf("%s http://%s/status  zone %s  pid %d", what, r.Fleet.Control(m), m.Zone, r.Fleet.ControlPlaneProcess(m).Pid()))
 	}
 	for _, m := range r.Fleet.Machines {
 		lines = append(lines, fmt.Sprintf("proxy    http://%s  zone %s  pid %d", r.Fleet.Front(m), m.Zone, r.Fleet.ProxyProcess(m).Pid()))
@@ -229,7 +229,7 @@
 	r.still()
 	r.ended.Wait()
 	killed := r.Fleet.Stop(r.Scene.Bounds.Grace + endSlack)
-	r.World.Close()
+	r.Environment.Close()
 	return killed
 }
 
@@ -280,7 +280,7 @@
 func (f *Fleet) Log(m Machine, keeper bool, most int) string {
 	name := ProxyName(m)
 	if keeper {
-		name = KeeperName(m)
+		name = ControlPlaneName(m)
 	}
 	text, err := os.ReadFile(f.Folder + "/" + name + ".log")
 	if err != nil {
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -35,8 +35,8 @@
 	Links       *Links // in front of servers; nil: callers reach them straight
 }
 
-// World is all that runs around the system in one run.
-type World struct {
+// Environment is all that runs around the system in one run.
+type Environment struct {
 	Evidence *rules.Evidence
 	Operator *Operator
 	Platform *Platform
@@ -63,9 +63,9 @@
 )
 
 // New starts servers and the list; clients start with Traffic.
-func New(o Options) (*World, error) {
+func New(o Options) (*Environment, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &World{Evidence: &rules.Evidence{Bounds: o.Bounds}, start: time.Now(), quiet: log.New(io.Discard, "", 0), figures: &figures{},
+	w := &Environment{Evidence: &rules.Evidence{Bounds: o.Bounds}, start: time.Now(), quiet: log.New(io.Discard, "", 0), figures: &figures{},
 		ctx: ctx, cancel: cancel, links: o.Links}
 	client := func() *http.Client {
 		return &http.Client{Transport: &http.Transport{DisableCompression: true},
@@ -105,18 +105,18 @@
 }
 
 // Now is the time since the start.
-func (w *World) Now() time.Duration { return time.Since(w.start) }
+func (w *Environment) Now() time.Duration { return time.Since(w.start) }
 
 // ListAddress is where the platform's list is.
-func (w *World) ListAddress() string { return w.listAt }
+func (w *Environment) ListAddress() string { return w.listAt }
 
 // Traffic has clients send until ctx ends, and returns when every request has ended.
-func (w *World) Traffic(ctx context.Context) { w.traffic.run(ctx) }
+func (w *Environment) Traffic(ctx context.Context) { w.traffic.run(ctx) }
 
 // Figures gives what clients have seen so far.
-func (w *World) Figures() Figures { return w.figures.look() }
+func (w *Environment) Figures() Figures { return w.figures.look() }
 
-func (w *World) instances() []Instance {
+func (w *Environment) instances() []Instance {
 	var all []Instance
 	for _, s := range w.Servers {
 		if i, ok := s.instance(w.Platform.CrashedIs); ok {
@@ -126,7 +126,7 @@
 	return all
 }
 
-func (w *World) observe(ctx context.Context) {
+func (w *Environment) observe(ctx context.Context) {
 	tick := time.NewTicker(observeEvery)
 	defer tick.Stop()
 	for {
@@ -140,7 +140,7 @@
 }
 
 // fall has a server that was sent too much while cold crash, and start again after a while.
-func (w *World) fall(s *Server) {
+func (w *Environment) fall(s *Server) {
 	w.falls.Go(func() {
 		s.Crash()
 		timer := time.NewTimer(fallenFor)
@@ -154,7 +154,7 @@
 }
 
 // Close ends the servers and the list. Traffic must have ended.
-func (w *World) Close() {
+func (w *Environment) Close() {
 	w.cancel()
 	w.falls.Wait()
 	for _, s := range w.Servers {
