--- a/internal/sidecar/keeper/admin.go
+++ b/internal/sidecar/keeper/admin.go
@@ -28,7 +28,7 @@
 	Keepers  []state.Keeper `json:"keepers"`
 }
 
-func (k *Keeper) status(w http.ResponseWriter, _ *http.Request) {
+func (k *Node) status(w http.ResponseWriter, _ *http.Request) {
 	s := Status{Status: k.replica.Status(), Watchers: k.watchers.Load()}
 	s.AgeMS = s.Age.Milliseconds()
 	s.Leases, s.Held = k.lessor.figures()
@@ -42,7 +42,7 @@
 const nearly = 64 // commands that a keeper may be behind to get its vote
 
 // addKeeper takes a keeper in: first without a vote, and with one once it says that it has caught up.
-func (k *Keeper) addKeeper(w http.ResponseWriter, r *http.Request) error {
+func (k *Node) addKeeper(w http.ResponseWriter, r *http.Request) error {
 	var c joinCall
 	if err := decode(r, &c); err != nil {
 		return err
@@ -96,7 +96,7 @@
 	return &state.Error{Code: state.Conflict, Reason: err.Error()}
 }
 
-func (k *Keeper) removeKeeper(w http.ResponseWriter, r *http.Request) error {
+func (k *Node) removeKeeper(w http.ResponseWriter, r *http.Request) error {
 	if !k.member.TryLock() {
 		return errCrowded
 	}
@@ -116,7 +116,7 @@
 	return k.answerPeers(w)
 }
 
-func (k *Keeper) answerPeers(w http.ResponseWriter) error {
+func (k *Node) answerPeers(w http.ResponseWriter) error {
 	peers, err := k.replica.Peers()
 	if err != nil {
 		return err
@@ -127,7 +127,7 @@
 
 // backup answers the whole state as a file. With exact=1 it holds every write that was acknowledged before; without, any
 // keeper answers with what it has, also when no majority is left.
-func (k *Keeper) backup(w http.ResponseWriter, r *http.Request) error {
+func (k *Node) backup(w http.ResponseWriter, r *http.Request) error {
 	if r.URL.Query().Get("exact") == "1" {
 		if err := k.replica.Confirm(r.Context()); err != nil {
 			return err
@@ -145,7 +145,7 @@
 
 // restore replaces the state of all keepers by that of a backup. Its revision rises above all that was shown since: at least
 // to the wall clock in microseconds, which no count of changes reaches.
-func (k *Keeper) restore(w http.ResponseWriter, r *http.Request) error {
+func (k *Node) restore(w http.ResponseWriter, r *http.Request) error {
 	if !k.member.TryLock() {
 		return errCrowded
 	}
--- a/internal/sidecar/keeper/duties.go
+++ b/internal/sidecar/keeper/duties.go
@@ -14,12 +14,12 @@
 
 // proposeDuty has a command of duties agreed on, at the time that it is here, and returns the number that the result has. A restore
 // that goes on refuses it.
-func (k *Keeper) proposeDuty(ctx context.Context, op state.Op, c state.DutyCall) (int64, error) {
+func (k *Node) proposeDuty(ctx context.Context, op state.Op, c state.DutyCall) (int64, error) {
 	r, err := k.proposeDutyWhole(ctx, op, c)
 	return r.Rev, err
 }
 
-func (k *Keeper) proposeDutyWhole(ctx context.Context, op state.Op, c state.DutyCall) (state.Result, error) {
+func (k *Node) proposeDutyWhole(ctx context.Context, op state.Op, c state.DutyCall) (state.Result, error) {
 	// Danger: a duty that is granted while a backup takes the place of the state would be granted again.
 	if !k.restoring.TryRLock() {
 		return state.Result{}, errCrowded
@@ -30,7 +30,7 @@
 }
 
 // dutyWrite is a call that changes a duty.
-func (k *Keeper) dutyWrite(op state.Op) func(http.ResponseWriter, *http.Request) error {
+func (k *Node) dutyWrite(op state.Op) func(http.ResponseWriter, *http.Request) error {
 	return func(w http.ResponseWriter, r *http.Request) error {
 		var c client.DutyCall
 		if err := decode(r, &c); err != nil {
@@ -50,7 +50,7 @@
 }
 
 // renewDuties begins the leases of all duties of a process anew, and answers all that it holds and waits for.
-func (k *Keeper) renewDuties(w http.ResponseWriter, r *http.Request) error {
+func (k *Node) renewDuties(w http.ResponseWriter, r *http.Request) error {
 	var c struct {
 		Who string `json:"who"`
 	}
@@ -106,7 +106,7 @@
 }
 
 // dutyNews is what is new for one who knows a revision; told are the names that he was told of, where he asks for a process's.
-func (k *Keeper) dutyNews(a dutiesAsked, from int64, told map[string]bool) (n client.DutyNews, changed <-chan struct{}) {
+func (k *Node) dutyNews(a dutiesAsked, from int64, told map[string]bool) (n client.DutyNews, changed <-chan struct{}) {
 	n = client.DutyNews{All: from < 0, Duties: []state.Duty{}}
 	k.store.read(func(m *state.Machine) {
 		changed = k.store.dutied
@@ -149,7 +149,7 @@
 }
 
 // duties answers duties, or a watch.
-func (k *Keeper) duties(w http.ResponseWriter, r *http.Request) {
+func (k *Node) duties(w http.ResponseWriter, r *http.Request) {
 	a, err := parseDutiesAsked(r)
 	if err == nil && a.watch {
 		if err = k.watchDuties(w, r, a); err != nil {
@@ -177,7 +177,7 @@
 
 // watchDuties writes duties that change, until the caller goes, is too slow, or this keeper ends. Changes that come while a line is
 // written make one line.
-func (k *Keeper) watchDuties(w http.ResponseWriter, r *http.Request, a dutiesAsked) error {
+func (k *Node) watchDuties(w http.ResponseWriter, r *http.Request, a dutiesAsked) error {
 	if err := k.enter(&k.dutyWatchers); err != nil {
 		return err
 	}
--- a/internal/sidecar/keeper/http.go
+++ b/internal/sidecar/keeper/http.go
@@ -42,7 +42,7 @@
 const answerTimeout = 2 * writeTimeout
 
 // handler is all that a keeper answers.
-func (k *Keeper) handler() http.Handler {
+func (k *Node) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/servers", k.servers)
 	mux.HandleFunc("GET /v1/servers/{uid}", k.admit("get", k.server))
@@ -80,7 +80,7 @@
 	})
 }
 
-func (k *Keeper) age() string {
+func (k *Node) age() string {
 	if age, known := k.replica.Age(); known {
 		return strconv.FormatInt(age.Milliseconds(), 10)
 	}
@@ -88,7 +88,7 @@
 }
 
 // admit gives a call its place among those that may go on at once.
-func (k *Keeper) admit(op string, do func(http.ResponseWriter, *http.Request) error) http.HandlerFunc {
+func (k *Node) admit(op string, do func(http.ResponseWriter, *http.Request) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case k.calls <- struct{}{}:
@@ -115,7 +115,7 @@
 
 // boundBody bounds how long net/http may wait for a body that no handler reads. Danger: it reads the rest of a body before it
 // writes an answer, without a bound of its own, so a refused call whose body came slowly was never answered.
-func (k *Keeper) boundBody(w http.ResponseWriter, r *http.Request) {
+func (k *Node) boundBody(w http.ResponseWriter, r *http.Request) {
 	if r.ContentLength == 0 {
 		return
 	}
@@ -127,7 +127,7 @@
 
 // takeBody reads a call's body whole, within its bounds. Danger: whoever sends one slowly would hold a place for as long as he
 // likes; and a deadline that stays on the connection would cut off the next answer.
-func (k *Keeper) takeBody(w http.ResponseWriter, r *http.Request, op string) error {
+func (k *Node) takeBody(w http.ResponseWriter, r *http.Request, op string) error {
 	most, within := int64(k.config.Limits.BodyKB)<<10, millis(k.config.Limits.ReadMS)
 	switch op {
 	case "restore":
@@ -166,7 +166,7 @@
 func badf(form string, args ...any) error { return bad{fmt.Errorf(form, args...)} }
 
 // refuse answers a call that is not done.
-func (k *Keeper) refuse(w http.ResponseWriter, op string, err error) {
+func (k *Node) refuse(w http.ResponseWriter, op string, err error) {
 	code, word, after := http.StatusInternalServerError, "failed", time.Duration(0)
 	var of *state.Error
 	var size *http.MaxBytesError
@@ -235,7 +235,7 @@
 	Expect  *int64              `json:"expect,omitempty"`
 }
 
-func (k *Keeper) register(w http.ResponseWriter, r *http.Request) error {
+func (k *Node) register(w http.ResponseWriter, r *http.Request) error {
 	var c registerCall
 	if err := decode(r, &c); err != nil {
 		return err
@@ -253,7 +253,7 @@
 	Expect *int64 `json:"expect,omitempty"`
 }
 
-func (k *Keeper) turn(op state.Op) func(http.ResponseWriter, *http.Request) error {
+func (k *Node) turn(op state.Op) func(http.ResponseWriter, *http.Request) error {
 	return func(w http.ResponseWriter, r *http.Request) error {
 		var c expectCall
 		if r.ContentLength != 0 {
@@ -272,7 +272,7 @@
 	}
 }
 
-func (k *Keeper) write(w http.ResponseWriter, r *http.Request, c state.Command) error {
+func (k *Node) write(w http.ResponseWriter, r *http.Request, c state.Command) error {
 	result, err := k.propose(r.Context(), c)
 	if err != nil {
 		return err
@@ -284,7 +284,7 @@
 }
 
 // server answers one entry, as it is after every write that was acknowledged before the call.
-func (k *Keeper) server(w http.ResponseWriter, r *http.Request) error {
+func (k *Node) server(w http.ResponseWriter, r *http.Request) error {
 	if err := k.replica.Confirm(r.Context()); err != nil {
 		return err
 	}
@@ -315,7 +315,7 @@
 	Unknown []string `json:"unknown"`
 }
 
-func (k *Keeper) renew(w http.ResponseWriter, r *http.Request) error {
+func (k *Node) renew(w http.ResponseWriter, r *http.Request) error {
 	var c renewCall
 	if err := decode(r, &c); err != nil {
 		return err
@@ -339,7 +339,7 @@
 }
 
 // fresh tells whether a process's lease runs that the lessor has not looked at yet.
-func (k *Keeper) fresh(uid string, boot int64) (ok bool) {
+func (k *Node) fresh(uid string, boot int64) (ok bool) {
 	k.store.read(func(m *state.Machine) {
 		e, there := m.Entry(uid)
 		ok = there && e.BootMS == boot && e.LeaseMS != 0 && e.Why != state.LeaseOver && e.Why != state.Restored
--- a/internal/sidecar/keeper/keeper.go
+++ b/internal/sidecar/keeper/keeper.go
@@ -28,8 +28,8 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-// Keeper is one keeper process.
-type Keeper struct {
+// Node is one keeper process.
+type Node struct {
 	config   Config
 	log      *slog.Logger
 	store    *store
@@ -53,7 +53,7 @@
 
 // Run is a keeper until stop is done. ready is called with the address at which it answers.
 func Run(stop context.Context, c Config, log *slog.Logger, ready func(http string)) (err error) {
-	k := &Keeper{config: c, log: log, store: newStore(), calls: make(chan struct{}, c.Limits.Calls),
+	k := &Node{config: c, log: log, store: newStore(), calls: make(chan struct{}, c.Limits.Calls),
 		starts: rate.NewLimiter(rate.Limit(c.Limits.Starts), max(1, c.Limits.Starts/4)), ending: make(chan struct{})}
 	k.lessor.expires = expiry{Grace: millis(c.Leases.GraceMS), Share: c.Leases.Share, Least: c.Leases.Least, Window: millis(c.Leases.WindowMS)}
 	k.metrics = newMetrics(k)
@@ -132,7 +132,7 @@
 }
 
 // lead is what a keeper does while it leads.
-func (k *Keeper) lead(ctx context.Context) {
+func (k *Node) lead(ctx context.Context) {
 	k.log.Info("leads", "term", k.replica.Status().Term)
 	defer k.log.Info("leads no more")
 	var id [8]byte
@@ -165,7 +165,7 @@
 }
 
 // propose has a command agreed on. Errors are replica's, or a *state.Error.
-func (k *Keeper) propose(ctx context.Context, c state.Command) (state.Result, error) {
+func (k *Node) propose(ctx context.Context, c state.Command) (state.Result, error) {
 	text, err := json.Marshal(c)
 	if err != nil {
 		return state.Result{}, fmt.Errorf("command: %w", err)
@@ -196,7 +196,7 @@
 const joinEvery = 300 * time.Millisecond
 
 // join asks the peers to be taken in until one of them, the leader, says that this keeper has its vote.
-func (k *Keeper) join(ctx context.Context) {
+func (k *Node) join(ctx context.Context) {
 	tick := time.NewTicker(joinEvery)
 	defer tick.Stop()
 	for {
@@ -220,7 +220,7 @@
 }
 
 // ask asks every peer to take this keeper in, and returns what the one answered that leads; 0: none does.
-func (k *Keeper) ask(ctx context.Context, applied uint64, lost bool) (int, error) {
+func (k *Node) ask(ctx context.Context, applied uint64, lost bool) (int, error) {
 	client := &http.Client{Timeout: 15 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	defer client.CloseIdleConnections()
 	body, err := json.Marshal(joinCall{k.config.Name, cmp.Or(k.config.AdvertiseRaft, k.config.Raft), cmp.Or(k.config.AdvertiseHTTP, k.config.HTTP), applied, lost})
@@ -265,11 +265,11 @@
 const mostAsked = 16
 
 // lostMark is the file that tells that this keeper's store was unsound and its vote has to be taken before it has one again.
-func (k *Keeper) lostMark() string { return filepath.Join(k.config.Folder, "lost") }
+func (k *Node) lostMark() string { return filepath.Join(k.config.Folder, "lost") }
 
 // examine looks at the store before it is opened. One that is unsound is set aside, and the others are asked to take this
 // keeper's vote, so that it can come as a new one with nothing. It tells whether it has to join.
-func (k *Keeper) examine(ctx context.Context) (lost bool, err error) {
+func (k *Node) examine(ctx context.Context) (lost bool, err error) {
 	if err := os.MkdirAll(k.config.Folder, 0o700); err != nil {
 		return false, fmt.Errorf("folder: %w", err)
 	}
--- a/internal/sidecar/keeper/lessor.go
+++ b/internal/sidecar/keeper/lessor.go
@@ -130,7 +130,7 @@
 const lookEvery = list.LeastLease / 4
 
 // lease ends leases for as long as this keeper leads.
-func (k *Keeper) lease(ctx context.Context) {
+func (k *Node) lease(ctx context.Context) {
 	k.lessor.take()
 	defer k.lessor.leave()
 	tick := time.NewTicker(lookEvery)
--- a/internal/sidecar/keeper/metrics.go
+++ b/internal/sidecar/keeper/metrics.go
@@ -21,7 +21,7 @@
 	routeLines, routeBytes, routesMade *prometheus.CounterVec // by kind: whole, diff
 }
 
-func newMetrics(k *Keeper) *metrics {
+func newMetrics(k *Node) *metrics {
 	m := &metrics{registry: prometheus.NewRegistry(),
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "keeper_calls_total", Help: "Calls by what they wanted and what became of them."},
 			[]string{"op", "outcome"}),
--- a/internal/sidecar/keeper/removed.go
+++ b/internal/sidecar/keeper/removed.go
@@ -18,7 +18,7 @@
 
 // awaitRemoval returns true once this keeper has been taken out of the cluster, false when ctx is done. One that led when it
 // was removed knows; one that followed hears nothing more, and asks the others.
-func (k *Keeper) awaitRemoval(ctx context.Context) bool {
+func (k *Node) awaitRemoval(ctx context.Context) bool {
 	tick := time.NewTicker(removedEvery)
 	defer tick.Stop()
 	for {
@@ -38,7 +38,7 @@
 
 // leftOut tells whether a leader says that this keeper is none of the members. Danger: only a leader's word counts: a keeper
 // that was cut off before this one was added knows nothing of it either.
-func (k *Keeper) leftOut(ctx context.Context) bool {
+func (k *Node) leftOut(ctx context.Context) bool {
 	var others []string
 	k.store.read(func(m *state.Machine) {
 		for _, p := range m.Keepers() {
--- a/internal/sidecar/keeper/routes.go
+++ b/internal/sidecar/keeper/routes.go
@@ -23,7 +23,7 @@
 }
 
 // putRoutes puts another route table in the place of the one that is there.
-func (k *Keeper) putRoutes(w http.ResponseWriter, r *http.Request) error {
+func (k *Node) putRoutes(w http.ResponseWriter, r *http.Request) error {
 	var c putCall
 	if err := decode(r, &c); err != nil {
 		return err
@@ -55,7 +55,7 @@
 const mostMoved = 4 // times that others may put a table while one is on its way, before it is sent in whole
 
 // proposeRoutes has a table agreed on, as what leads to it. Danger: whole tables, ten a second, would make a log of gigabytes.
-func (k *Keeper) proposeRoutes(ctx context.Context, table routes.Table, expect *int64) (state.Result, error) {
+func (k *Node) proposeRoutes(ctx context.Context, table routes.Table, expect *int64) (state.Result, error) {
 	for range mostMoved {
 		var base int64
 		var now routes.Table
@@ -110,7 +110,7 @@
 }
 
 // routes answers the route table, what leads to it, or a watch.
-func (k *Keeper) routes(w http.ResponseWriter, r *http.Request) {
+func (k *Node) routes(w http.ResponseWriter, r *http.Request) {
 	a, err := parseRoutesAsked(r)
 	if err == nil && a.watch {
 		if err = k.watchRoutes(w, r, a); err != nil {
@@ -142,7 +142,7 @@
 }
 
 // now is the last generation, cut, for one who holds a view, nil: none, and tells when there is a newer one.
-func (k *Keeper) now(held *view, by cut) (v *view, changed <-chan struct{}, err error) {
+func (k *Node) now(held *view, by cut) (v *view, changed <-chan struct{}, err error) {
 	for range 3 {
 		var gen int64
 		cluster := ""
@@ -160,7 +160,7 @@
 
 // heldBy is what a caller holds, cut; nil: it needs the whole table, as it holds none, or one of another history or too far back.
 // Where this keeper is behind it waits, so that nobody is shown a table that goes back in time.
-func (k *Keeper) heldBy(r *http.Request, a routesAsked) (*view, error) {
+func (k *Node) heldBy(r *http.Request, a routesAsked) (*view, error) {
 	if a.exact {
 		if err := k.replica.Confirm(r.Context()); err != nil {
 			return nil, err
@@ -193,7 +193,7 @@
 
 // sound is a view from which the history goes on; nil: it does not. Danger: one that is remembered here may be of before a
 // backup was taken up again.
-func (k *Keeper) sound(held *view) *view {
+func (k *Node) sound(held *view) *view {
 	k.store.read(func(m *state.Machine) {
 		if held != nil && held.gen < m.OldestGeneration() {
 			held = nil
@@ -204,7 +204,7 @@
 
 // routesLine is an answer: what leads from what the caller holds, which he knows as generation from, to the generation now; nil:
 // the whole of it.
-func (k *Keeper) routesLine(a routesAsked, from int64, held, now *view) ([]byte, error) {
+func (k *Node) routesLine(a routesAsked, from int64, held, now *view) ([]byte, error) {
 	cluster := ""
 	k.store.read(func(m *state.Machine) { cluster = m.Cluster() })
 	kind := "whole"
@@ -228,7 +228,7 @@
 // watchRoutes writes a line for each generation that changes what is asked, until the caller goes, is too slow, or this keeper
 // ends. Each names the generation that the watcher then holds, so he can go on from there anywhere. Generations that come
 // while a watcher is being written to lead to one line.
-func (k *Keeper) watchRoutes(w http.ResponseWriter, r *http.Request, a routesAsked) error {
+func (k *Node) watchRoutes(w http.ResponseWriter, r *http.Request, a routesAsked) error {
 	if err := k.enter(&k.routeWatchers); err != nil {
 		return err
 	}
--- a/internal/sidecar/keeper/tenures.go
+++ b/internal/sidecar/keeper/tenures.go
@@ -121,7 +121,7 @@
 const tenuresEvery = 50 * time.Millisecond
 
 // tenure ends leases of duties for as long as this keeper leads.
-func (k *Keeper) tenure(ctx context.Context) {
+func (k *Node) tenure(ctx context.Context) {
 	defer k.tenures.leave()
 	tick := time.NewTicker(tenuresEvery)
 	defer tick.Stop()
@@ -153,7 +153,7 @@
 	}
 }
 
-func (k *Keeper) endTenures(ctx context.Context) {
+func (k *Node) endTenures(ctx context.Context) {
 	var c state.DutyCall
 	now := time.Now()
 	k.store.read(func(m *state.Machine) {
--- a/internal/sidecar/keeper/watch.go
+++ b/internal/sidecar/keeper/watch.go
@@ -39,7 +39,7 @@
 }
 
 // servers answers the whole list, or a watch.
-func (k *Keeper) servers(w http.ResponseWriter, r *http.Request) {
+func (k *Node) servers(w http.ResponseWriter, r *http.Request) {
 	a, err := parseAsked(r)
 	if err == nil && a.watch {
 		err = k.watch(w, r, a)
@@ -57,7 +57,7 @@
 }
 
 // list answers the whole list.
-func (k *Keeper) list(w http.ResponseWriter, r *http.Request, a asked) error {
+func (k *Node) list(w http.ResponseWriter, r *http.Request, a asked) error {
 	if a.exact {
 		if err := k.replica.Confirm(r.Context()); err != nil {
 			return err
@@ -88,7 +88,7 @@
 
 // reach waits until this keeper knows what a caller holds, so that nobody is shown what goes back. ahead tells whether that lies
 // ahead, and when to look again. The error is errBehind where it could not be known in time, or the call's end.
-func (k *Keeper) reach(r *http.Request, cluster string, ahead func() (bool, <-chan struct{})) (reach, error) {
+func (k *Node) reach(r *http.Request, cluster string, ahead func() (bool, <-chan struct{})) (reach, error) {
 	deadline := time.NewTimer(millis(k.config.Limits.BehindMS))
 	defer deadline.Stop()
 	for {
@@ -116,7 +116,7 @@
 
 // catchUp waits until this keeper knows the revision that a caller holds, and returns from where the caller goes on; below 0:
 // what he holds is no revision of this list, and he needs the whole of it.
-func (k *Keeper) catchUp(r *http.Request, a asked) (from int64, err error) {
+func (k *Node) catchUp(r *http.Request, a asked) (from int64, err error) {
 	var n news
 	at, err := k.reach(r, a.cluster, func() (bool, <-chan struct{}) {
 		n = k.store.after(a.from)
@@ -136,7 +136,7 @@
 }
 
 // enter takes a place among watchers, which the caller gives back. It refuses where there is none, or too many come at once.
-func (k *Keeper) enter(watchers *atomic.Int64) error {
+func (k *Node) enter(watchers *atomic.Int64) error {
 	if !k.starts.Allow() {
 		return errStart
 	}
@@ -162,7 +162,7 @@
 
 // watch writes what changes after a revision until the caller goes, is too slow, or this keeper ends. Every line names the
 // revision that the watcher then holds, so he can go on from there anywhere.
-func (k *Keeper) watch(w http.ResponseWriter, r *http.Request, a asked) error {
+func (k *Node) watch(w http.ResponseWriter, r *http.Request, a asked) error {
 	if err := k.enter(&k.watchers); err != nil {
 		return err
 	}
@@ -216,7 +216,7 @@
 }
 
 // say writes lines to a watcher, each flush within the time that a slow one has. It tells false where the watch is over.
-func (k *Keeper) say(w http.ResponseWriter, lines ...[]byte) bool {
+func (k *Node) say(w http.ResponseWriter, lines ...[]byte) bool {
 	out := http.NewResponseController(w)
 	err := out.SetWriteDeadline(time.Now().Add(millis(k.config.Limits.SlowMS)))
 	for i := 0; i < len(lines) && err == nil; i++ {
