--- a/cmd/gradeusher/duty.go
+++ b/cmd/gradeusher/duty.go
@@ -119,7 +119,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := duty.NewRunner(duty.Options{Keepers: strings.Split(c.Keepers, ","), Name: name, Lease: c.Lease, Log: log})
+	r, err := duty.NewRunner(duty.Options{Registry: strings.Split(c.Keepers, ","), Name: name, Lease: c.Lease, Log: log})
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
@@ -128,7 +128,7 @@
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
 	defer k.Close()
-	r.Want(duty.SweepDuty, "", duty.Sweep(k, c.Every, c.Idle, log))
+	r.Want(duty.SweepRole, "", duty.Sweep(k, c.Every, c.Idle, log))
 	r.Run(ctx, c.Lease)
 	return nil
 }
--- a/cmd/gradeusher/dutyhold.go
+++ b/cmd/gradeusher/dutyhold.go
@@ -46,14 +46,14 @@
 	if _, err := exec.LookPath(c.Command[0]); err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	r, err := duty.NewRunner(duty.Options{Keepers: strings.Split(c.Keepers, ","), Name: name, Room: c.Room, Lease: c.Lease, Load: c.Load, Log: slog.New(slog.NewTextHandler(s.err, nil))})
+	r, err := duty.NewRunner(duty.Options{Registry: strings.Split(c.Keepers, ","), Name: name, Location: c.Room, Lease: c.Lease, Load: c.Load, Log: slog.New(slog.NewTextHandler(s.err, nil))})
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
 	var h holds
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	done := r.Want(c.Name, c.At, func(work context.Context, t *duty.Tenure) error { return c.work(work, t, s, &h) })
+	done := r.Want(c.Name, c.At, func(work context.Context, t *duty.HeldLease) error { return c.work(work, t, s, &h) })
 	go func() {
 		select {
 		case <-done:
@@ -69,7 +69,7 @@
 }
 
 // work runs the command in an office, under a guard: a process that ends it in time though this one is stopped or killed.
-func (c dutyHold) work(ctx context.Context, t *duty.Tenure, s streams, h *holds) error {
+func (c dutyHold) work(ctx context.Context, t *duty.HeldLease, s streams, h *holds) error {
 	h.code = exitBroken
 	self, err := os.Executable()
 	if err != nil {
@@ -94,7 +94,7 @@
 	go func() { ended <- guard.Wait() }()
 	tick := time.NewTicker(c.Lease / 16)
 	defer tick.Stop()
-	asked := t.Asked()
+	asked := t.HandoverRequested()
 	for told := false; ; {
 		if left := t.Left(); left > 0 {
 			_, _ = fmt.Fprintf(to, "%d\n", int64(duty.Now()+left)) // a guard that is gone has ended
@@ -103,16 +103,16 @@
 		case <-ended:
 			h.code = exitOf(guard.ProcessState)
 			switch {
-			case !told && t.May() && ctx.Err() == nil && h.code != exitGuarded && h.code == 0:
+			case !told && t.Valid() && ctx.Err() == nil && h.code != exitGuarded && h.code == 0:
 				return nil
-			case !told && t.May() && ctx.Err() == nil && h.code != exitGuarded:
+			case !told && t.Valid() && ctx.Err() == nil && h.code != exitGuarded:
 				return fmt.Errorf("%w: exit %d", duty.ErrGaveUp, h.code)
 			case c.Once:
 				h.code = exitBroken
 				return nil
 			}
 			h.code = 0
-			return duty.ErrAgain
+			return duty.ErrHandedOver
 		case <-asked:
 			asked, told = nil, true
 			_, _ = fmt.Fprintln(to, "end")
--- a/internal/sidecar/duty/duty_test.go
+++ b/internal/sidecar/duty/duty_test.go
@@ -11,13 +11,13 @@
 // TestHolder goes through renewals: a right to act counts from before the sending, ends by itself, and never comes again.
 func TestHolder(t *testing.T) {
 	const ms = time.Millisecond
-	h := NewHolder(nil)
+	h := NewLeases(nil)
 	held := func(epoch int64, renewed bool) []client.HeldDuty {
 		return []client.HeldDuty{{Name: "d", Epoch: epoch, TTLMS: 1000, Renewed: renewed}}
 	}
 	may := func(now Instant, epoch int64, want bool) {
 		t.Helper()
-		if _, ok := h.Office(now, "d", epoch); ok != want {
+		if _, ok := h.Lease(now, "d", epoch); ok != want {
 			t.Errorf("at %v it may act under %d: %v", now, epoch, ok)
 		}
 	}
@@ -49,7 +49,7 @@
 	h.Renewed(2630*ms, 2640*ms, nil)
 	may(2650*ms, 4, false)
 	h.Renewed(2700*ms, 2710*ms, held(5, true))
-	h.Let("d", 5)
+	h.Release("d", 5)
 	may(2720*ms, 5, false)
 	if begin, let := h.Renewed(2690*ms, 2730*ms, held(5, true)); len(begin) != 0 || len(let) != 1 {
 		t.Error("what was let go begins again")
@@ -77,8 +77,8 @@
 
 // TestRunnerOptions refuses what no keeper takes.
 func TestRunnerOptions(t *testing.T) {
-	for _, o := range []Options{{Name: "a", Lease: time.Second}, {Name: "a b", Lease: time.Second, Keepers: []string{"127.0.0.1:1"}},
-		{Name: "a", Lease: 400 * time.Millisecond, Keepers: []string{"127.0.0.1:1"}}} {
+	for _, o := range []Options{{Name: "a", Lease: time.Second}, {Name: "a b", Lease: time.Second, Registry: []string{"127.0.0.1:1"}},
+		{Name: "a", Lease: 400 * time.Millisecond, Registry: []string{"127.0.0.1:1"}}} {
 		if _, err := NewRunner(o); err == nil {
 			t.Errorf("%+v is taken", o)
 		}
--- a/internal/sidecar/duty/holder.go
+++ b/internal/sidecar/duty/holder.go
@@ -13,39 +13,39 @@
 // Instant is a time of the holder's clock, since any start. The clock never goes back and counts sleep of the machine.
 type Instant = time.Duration
 
-// Office is a duty that a process may hold.
-type Office struct {
-	Name   string
-	Epoch  int64
-	Until  Instant // it may act before that
-	Asked  bool    // it is to finish its step and hand over
-	Step   string  // what the office before recorded, and its number, as of the last renewal
-	StepNo int64
+// Lease is a duty that a process may hold.
+type Lease struct {
+	Name     string
+	Epoch    int64
+	Until    Instant // it may act before that
+	HandOver bool    // it is to finish its step and hand over
+	Step     string  // what the office before recorded, and its number, as of the last renewal
+	StepNo   int64
 }
 
-// Holder is what a process knows of the duties that it holds. It has no I/O and no clock.
+// Leases is what a process knows of the duties that it holds. It has no I/O and no clock.
 //
 // Invariants: it may act under an epoch only before the time at which a renewal that was answered was sent + the lease - the margin;
 // an epoch that is over for it, lapsed or let go, never begins again.
-type Holder struct {
+type Leases struct {
 	margin  func(lease time.Duration) time.Duration
-	offices map[string]*Office
+	offices map[string]*Lease
 	over    map[string]int64 // by duty: the highest epoch that is
 }
 
-// NewHolder holds nothing. margin is how long before the end of a lease it stops; nil: state.DutyMargin.
-func NewHolder(margin func(lease time.Duration) time.Duration) *Holder {
+// NewLeases holds nothing. margin is how long before the end of a lease it stops; nil: state.DutyMargin.
+func NewLeases(margin func(lease time.Duration) time.Duration) *Leases {
 	if margin == nil {
 		margin = state.DutyMargin
 	}
-	return &Holder{margin: margin, offices: map[string]*Office{}, over: map[string]int64{}}
+	return &Leases{margin: margin, offices: map[string]*Lease{}, over: map[string]int64{}}
 }
 
 // Renewed takes the answer to a renewal that was sent at a time; answers come in the order in which their renewals were sent. It
 // returns the offices that begin, and those that the keepers have this process hold though they are over for it: it has to
 // release them. Danger: the time has to be looked at before the call is sent, also where it is sent again.
-func (h *Holder) Renewed(sent, now Instant, all []client.HeldDuty) (begin []Office, let []Office) {
-	h.Lapse(now)
+func (h *Leases) Renewed(sent, now Instant, all []client.HeldDuty) (begin []Lease, let []Lease) {
+	h.Expire(now)
 	here := map[string]bool{}
 	for _, d := range all {
 		here[d.Name] = true
@@ -54,7 +54,7 @@
 		until := sent + lease - h.margin(lease)
 		switch {
 		case d.Epoch <= h.over[d.Name]:
-			let = append(let, Office{Name: d.Name, Epoch: d.Epoch, StepNo: d.StepNo})
+			let = append(let, Lease{Name: d.Name, Epoch: d.Epoch, StepNo: d.StepNo})
 			continue
 		case o != nil && o.Epoch != d.Epoch: // it was lost and given again
 			h.end(o)
@@ -64,14 +64,14 @@
 			if !d.Renewed || until <= now {
 				continue // the next renewal may begin it
 			}
-			o = &Office{Name: d.Name, Epoch: d.Epoch}
+			o = &Lease{Name: d.Name, Epoch: d.Epoch}
 			h.offices[d.Name] = o
-			begin = append(begin, Office{Name: d.Name, Epoch: d.Epoch, Until: until, Asked: d.Asked, Step: d.Step, StepNo: d.StepNo})
+			begin = append(begin, Lease{Name: d.Name, Epoch: d.Epoch, Until: until, HandOver: d.Asked, Step: d.Step, StepNo: d.StepNo})
 		}
 		if d.Renewed {
 			o.Until = max(o.Until, until)
 		}
-		o.Asked, o.Step, o.StepNo = d.Asked, d.Step, d.StepNo
+		o.HandOver, o.Step, o.StepNo = d.Asked, d.Step, d.StepNo
 	}
 	for name, o := range h.offices {
 		if !here[name] {
@@ -81,30 +81,30 @@
 	return begin, let
 }
 
-func (h *Holder) end(o *Office) {
+func (h *Leases) end(o *Lease) {
 	h.over[o.Name] = max(h.over[o.Name], o.Epoch)
 	delete(h.offices, o.Name)
 }
 
-// Office is an office that a process may act in now.
-func (h *Holder) Office(now Instant, name string, epoch int64) (Office, bool) {
+// Lease is an office that a process may act in now.
+func (h *Leases) Lease(now Instant, name string, epoch int64) (Lease, bool) {
 	o := h.offices[name]
 	if o == nil || o.Epoch != epoch || now >= o.Until {
-		return Office{}, false
+		return Lease{}, false
 	}
 	return *o, true
 }
 
-// Let ends an office, before it is released.
-func (h *Holder) Let(name string, epoch int64) {
+// Release ends an office, before it is released.
+func (h *Leases) Release(name string, epoch int64) {
 	h.over[name] = max(h.over[name], epoch)
 	if o := h.offices[name]; o != nil && o.Epoch <= epoch {
 		h.end(o)
 	}
 }
 
-// Lapse ends the offices whose time is over.
-func (h *Holder) Lapse(now Instant) {
+// Expire ends the offices whose time is over.
+func (h *Leases) Expire(now Instant) {
 	for _, name := range slices.Sorted(maps.Keys(h.offices)) {
 		if o := h.offices[name]; now >= o.Until {
 			h.end(o)
--- a/internal/sidecar/duty/options.go
+++ b/internal/sidecar/duty/options.go
@@ -18,10 +18,10 @@
 
 // Options say what a process is to others that want the same duties.
 type Options struct {
-	Keepers []string
-	Name    string        // of the process, the same over its runs
-	Room    string        // where it runs
-	Lease   time.Duration // that it asks for
-	Load    int64         // what it carries besides, in duties
-	Log     *slog.Logger
+	Registry []string
+	Name     string        // of the process, the same over its runs
+	Location string        // where it runs
+	Lease    time.Duration // that it asks for
+	Load     int64         // what it carries besides, in duties
+	Log      *slog.Logger
 }
--- a/internal/sidecar/duty/runner.go
+++ b/internal/sidecar/duty/runner.go
@@ -26,7 +26,7 @@
 	tasks  sync.WaitGroup
 
 	mu     sync.Mutex
-	holder *Holder
+	holder *Leases
 	wanted map[string]*want
 	ending bool
 }
@@ -35,7 +35,7 @@
 type want struct {
 	at     string
 	work   Work
-	tenure *Tenure // it is in office, or its work has not returned yet
+	tenure *HeldLease // it is in office, or its work has not returned yet
 	done   chan struct{}
 	missed bool // it neither holds nor waits
 }
@@ -44,14 +44,14 @@
 func NewRunner(o Options) (*Runner, error) {
 	var id [8]byte
 	_, _ = rand.Read(id[:]) // never fails (crypto/rand)
-	r := &Runner{o: o, who: o.Name + "#" + hex.EncodeToString(id[:]), holder: NewHolder(nil), wanted: map[string]*want{}, poke: make(chan struct{}, 1), calls: make(chan struct{}, 1)}
+	r := &Runner{o: o, who: o.Name + "#" + hex.EncodeToString(id[:]), holder: NewLeases(nil), wanted: map[string]*want{}, poke: make(chan struct{}, 1), calls: make(chan struct{}, 1)}
 	if err := state.CheckWho(r.who); err != nil {
 		return nil, err
 	}
 	if o.Lease < state.LeastDutyLease || o.Lease > state.MostDutyLease {
 		return nil, fmt.Errorf("a lease of %v is not within %v to %v", o.Lease, state.LeastDutyLease, state.MostDutyLease)
 	}
-	c, err := client.New(o.Keepers)
+	c, err := client.New(o.Registry)
 	if err != nil {
 		return nil, err
 	}
@@ -87,7 +87,7 @@
 	<-ctx.Done()
 	r.mu.Lock()
 	r.ending = true
-	var busy []*Tenure
+	var busy []*HeldLease
 	for _, w := range r.wanted {
 		if w.tenure != nil {
 			w.tenure.ask()
@@ -102,7 +102,7 @@
 		case <-t.over:
 		case <-late.C:
 			for _, t := range busy {
-				t.cancel(ErrLost)
+				t.cancel(ErrLeaseLost)
 			}
 			<-t.over
 		}
@@ -127,7 +127,7 @@
 
 // follow renews at once where a watch tells of something that this process does not know.
 func (r *Runner) follow(ctx context.Context) {
-	err := client.FollowDuties(ctx, r.o.Keepers, r.who, r.o.Log, func(client.DutyNews) { nudge(r.poke) })
+	err := client.FollowDuties(ctx, r.o.Registry, r.who, r.o.Log, func(client.DutyNews) { nudge(r.poke) })
 	if err != nil {
 		r.o.Log.Error("duties", "err", err)
 	}
@@ -187,13 +187,13 @@
 	for _, o := range begin {
 		w := r.wanted[o.Name]
 		if w == nil || w.tenure != nil || r.ending { // the work of an office that was lost goes on: not beside it
-			r.holder.Let(o.Name, o.Epoch)
+			r.holder.Release(o.Name, o.Epoch)
 			nudge(r.poke)
 			continue
 		}
-		t := &Tenure{Office: o, runner: r, asked: make(chan struct{}), over: make(chan struct{})}
+		t := &HeldLease{Lease: o, runner: r, asked: make(chan struct{}), over: make(chan struct{})}
 		w.tenure = t
-		if o.Asked {
+		if o.HandOver {
 			t.ask()
 		}
 		r.o.Log.Info("duty held", "name", o.Name, "epoch", o.Epoch)
@@ -242,7 +242,7 @@
 		slices.SortFunc(all, func(a, b one) int { return mrand.IntN(3) - 1 }) // two who come together share what is free
 		for _, d := range all {
 			call, cancel := context.WithTimeout(ctx, max(r.o.Lease, 3*time.Second))
-			_, err := r.client.ChangeDuty(call, client.Campaign, d.name, client.DutyCall{Who: r.who, Room: r.o.Room, At: d.at, Load: r.o.Load, TTLMS: r.o.Lease.Milliseconds()})
+			_, err := r.client.ChangeDuty(call, client.Campaign, d.name, client.DutyCall{Who: r.who, Room: r.o.Location, At: d.at, Load: r.o.Load, TTLMS: r.o.Lease.Milliseconds()})
 			cancel()
 			if err != nil && ctx.Err() == nil {
 				r.o.Log.Warn("campaign", "name", d.name, "err", err) // the next renewal shows that it is missing
@@ -253,7 +253,7 @@
 }
 
 // serve does the work of an office, and releases it.
-func (r *Runner) serve(ctx context.Context, w *want, t *Tenure) {
+func (r *Runner) serve(ctx context.Context, w *want, t *HeldLease) {
 	work, cancel := context.WithCancelCause(ctx)
 	t.mu.Lock()
 	t.stop = cancel
@@ -264,12 +264,12 @@
 		t.watch(work)
 	}()
 	err := w.work(work, t)
-	lost := !t.May()
-	cancel(ErrLost)
+	lost := !t.Valid()
+	cancel(ErrLeaseLost)
 	<-watched
 	final := t.final()
 	ends := err == nil || errors.Is(err, ErrGaveUp)
-	q := client.DutyCall{Again: !ends, Failed: err != nil && !errors.Is(err, ErrAgain) && !lost}
+	q := client.DutyCall{Again: !ends, Failed: err != nil && !errors.Is(err, ErrHandedOver) && !lost}
 	if final != nil {
 		q.Step, q.StepNo = *final, &t.StepNo
 	}
@@ -277,13 +277,13 @@
 	if r.ending {
 		q.Again = false
 	}
-	r.holder.Let(t.Name, t.Epoch)
+	r.holder.Release(t.Name, t.Epoch)
 	if ends {
 		delete(r.wanted, t.Name)
 	}
 	r.mu.Unlock()
 	r.o.Log.Info("duty let go", "name", t.Name, "epoch", t.Epoch, "err", err)
-	r.release(context.WithoutCancel(ctx), t.Office, q)
+	r.release(context.WithoutCancel(ctx), t.Lease, q)
 	r.mu.Lock()
 	w.tenure = nil
 	r.mu.Unlock()
@@ -295,7 +295,7 @@
 }
 
 // release lets go of an office. Where it cannot be said, the office ends with its lease.
-func (r *Runner) release(ctx context.Context, o Office, q client.DutyCall) {
+func (r *Runner) release(ctx context.Context, o Lease, q client.DutyCall) {
 	call, cancel := context.WithTimeout(ctx, r.o.Lease)
 	defer cancel()
 	q.Who, q.Epoch = r.who, o.Epoch
--- a/internal/sidecar/duty/runner_test.go
+++ b/internal/sidecar/duty/runner_test.go
@@ -99,24 +99,24 @@
 		l := httptest.NewServer(&httputil.ReverseProxy{Rewrite: func(r *httputil.ProxyRequest) { r.SetURL(origin) }, FlushInterval: -1, Transport: transport,
 			ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug)})
 		links = append(links, l)
-		r, err := NewRunner(Options{Keepers: []string{l.Listener.Addr().String()}, Name: fmt.Sprint("p", i), Lease: lease, Log: slog.New(slog.DiscardHandler)})
+		r, err := NewRunner(Options{Registry: []string{l.Listener.Addr().String()}, Name: fmt.Sprint("p", i), Lease: lease, Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		for n := range pieces {
-			r.Want(fmt.Sprint("d", n), "", func(ctx context.Context, tenure *Tenure) error {
+			r.Want(fmt.Sprint("d", n), "", func(ctx context.Context, tenure *HeldLease) error {
 				tick := time.NewTicker(5 * time.Millisecond)
 				defer tick.Stop()
 				for {
-					if tenure.May() {
+					if tenure.Valid() {
 						_ = pieces[n].act(i, tenure.Epoch) // the fence counts what it refuses
 					}
 					select {
 					case <-tick.C:
-					case <-tenure.Asked():
-						return ErrAgain
+					case <-tenure.HandoverRequested():
+						return ErrHandedOver
 					case <-ctx.Done():
-						return ErrAgain
+						return ErrHandedOver
 					}
 				}
 			})
--- a/internal/sidecar/duty/sweep.go
+++ b/internal/sidecar/duty/sweep.go
@@ -9,24 +9,24 @@
 	"gradeusher.example/gradeusher/internal/sidecar/client"
 )
 
-// SweepDuty is the duty under which duties out of use are forgotten.
-const SweepDuty = "sweep"
+// SweepRole is the duty under which duties out of use are forgotten.
+const SweepRole = "sweep"
 
 const mostSwept = 512 // duties in one call
 
 // Sweep is the work of the sweeper: it has keepers forget duties that nobody has held or waited for during idle, looking once in
 // every. The keepers are what it acts on, and take nothing under an epoch of it that is over.
 func Sweep(c *client.Client, every, idle time.Duration, log *slog.Logger) Work {
-	return func(ctx context.Context, t *Tenure) error {
+	return func(ctx context.Context, t *HeldLease) error {
 		tick := time.NewTicker(every)
 		defer tick.Stop()
 		for {
 			select {
 			case <-tick.C:
-			case <-t.Asked():
-				return ErrAgain
+			case <-t.HandoverRequested():
+				return ErrHandedOver
 			case <-ctx.Done():
-				return ErrAgain
+				return ErrHandedOver
 			}
 			if err := sweep(ctx, c, t, idle, log); err != nil {
 				return fmt.Errorf("sweep: %w", err)
@@ -35,7 +35,7 @@
 	}
 }
 
-func sweep(ctx context.Context, c *client.Client, t *Tenure, idle time.Duration, log *slog.Logger) error {
+func sweep(ctx context.Context, c *client.Client, t *HeldLease, idle time.Duration, log *slog.Logger) error {
 	n, err := c.Duties(ctx, "")
 	if err != nil {
 		return err
--- a/internal/sidecar/duty/tenure.go
+++ b/internal/sidecar/duty/tenure.go
@@ -12,19 +12,19 @@
 
 // Work is done in an office. ctx ends at the latest when the office does; once Asked is closed it should finish its step and
 // return. nil: the work is done for good, and this process does not wait for the duty again; ErrGaveUp: nor does it then, and it
-// failed; ErrAgain: it waits again; any other error is a failure, and it waits again, after pauses that grow.
-type Work func(ctx context.Context, t *Tenure) error
+// failed; ErrHandedOver: it waits again; any other error is a failure, and it waits again, after pauses that grow.
+type Work func(ctx context.Context, t *HeldLease) error
 
 // Why an office ends.
 var (
-	ErrAgain  = errors.New("handed over")
-	ErrGaveUp = errors.New("given up")
-	ErrLost   = errors.New("the office is lost")
+	ErrHandedOver = errors.New("handed over")
+	ErrGaveUp     = errors.New("given up")
+	ErrLeaseLost  = errors.New("the office is lost")
 )
 
-// Tenure is an office with its work.
-type Tenure struct {
-	Office
+// HeldLease is an office with its work.
+type HeldLease struct {
+	Lease
 	runner *Runner
 	asked  chan struct{}
 	over   chan struct{} // its work has returned and it is released
@@ -37,24 +37,24 @@
 }
 
 // Left is how long the office lasts if it is not renewed; 0: it is over.
-func (t *Tenure) Left() time.Duration {
+func (t *HeldLease) Left() time.Duration {
 	t.runner.mu.Lock()
 	defer t.runner.mu.Unlock()
 	now := Now()
-	o, ok := t.runner.holder.Office(now, t.Name, t.Epoch)
+	o, ok := t.runner.holder.Lease(now, t.Name, t.Epoch)
 	if !ok {
 		return 0
 	}
 	return o.Until - now
 }
 
-// May tells whether an effect may begin now, as far as clocks tell. The effect has to carry the epoch all the same.
-func (t *Tenure) May() bool { return t.Left() > 0 }
+// Valid tells whether an effect may begin now, as far as clocks tell. The effect has to carry the epoch all the same.
+func (t *HeldLease) Valid() bool { return t.Left() > 0 }
 
-// Asked is closed when the work should finish its step and return ErrAgain.
-func (t *Tenure) Asked() <-chan struct{} { return t.asked }
+// HandoverRequested is closed when the work should finish its step and return ErrHandedOver.
+func (t *HeldLease) HandoverRequested() <-chan struct{} { return t.asked }
 
-func (t *Tenure) ask() {
+func (t *HeldLease) ask() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.isEnd {
@@ -65,7 +65,7 @@
 
 // hangs tells that an office was lost for longer than a margin, while its work goes on: it acts no more, or only the fence helps.
 // Danger: its process renews other duties, and so this one for good.
-func (t *Tenure) hangs() bool {
+func (t *HeldLease) hangs() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := Now()
@@ -75,7 +75,7 @@
 	return now-t.lost > state.DutyMargin(t.runner.o.Lease)
 }
 
-func (t *Tenure) cancel(why error) {
+func (t *HeldLease) cancel(why error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.stop != nil {
@@ -84,13 +84,13 @@
 }
 
 // Final is recorded as the step with the release of the office.
-func (t *Tenure) Final(step string) {
+func (t *HeldLease) Final(step string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.step = &step
 }
 
-func (t *Tenure) final() *string {
+func (t *HeldLease) final() *string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.step
@@ -98,7 +98,7 @@
 
 // Checkpoint records a step, so that whoever comes next begins there. Only the work calls it. Errors are those of client.ChangeDuty;
 // after client.ErrUncertain the work should return, as it cannot know what the next reads.
-func (t *Tenure) Checkpoint(ctx context.Context, step string) error {
+func (t *HeldLease) Checkpoint(ctx context.Context, step string) error {
 	no := t.StepNo
 	_, err := t.runner.client.ChangeDuty(ctx, client.Checkpoint, t.Name, client.DutyCall{Who: t.runner.who, Epoch: t.Epoch, Step: step, StepNo: &no})
 	if err == nil {
@@ -109,11 +109,11 @@
 }
 
 // watch ends the work when the office does.
-func (t *Tenure) watch(work context.Context) {
+func (t *HeldLease) watch(work context.Context) {
 	for {
 		left := t.Left()
 		if left <= 0 {
-			t.cancel(ErrLost)
+			t.cancel(ErrLeaseLost)
 			return
 		}
 		timer := time.NewTimer(left)
--- a/internal/sidecar/keeper/model_test.go
+++ b/internal/sidecar/keeper/model_test.go
@@ -26,7 +26,7 @@
 type modelProcess struct {
 	who     string
 	rate    float64 // of its clock, beside the leader's
-	h       *duty.Holder
+	h       *duty.Leases
 	sent    time.Duration
 	on      int // 0: no renewal is on its way; 1: to the leader; 2: back
 	answer  []client.HeldDuty
@@ -136,7 +136,7 @@
 	case "act":
 		d, _ := w.m.Duty("d")
 		for e := max(1, d.Epoch-3); e <= d.Epoch; e++ {
-			if o, ok := p.h.Office(w.clock(p), "d", e); ok {
+			if o, ok := p.h.Lease(w.clock(p), "d", e); ok {
 				p.effects = append(p.effects, modelEffect{o.Epoch, w.now})
 			}
 		}
@@ -162,7 +162,7 @@
 		w.do(state.Campaign, state.DutyCall{Name: "d", Who: p.who, TTLMS: modelLease.Milliseconds()})
 	case "release":
 		if d, _ := w.m.Duty("d"); d.Is(p.who) && len(p.effects) == 0 {
-			p.h.Let("d", d.Epoch)
+			p.h.Release("d", d.Epoch)
 			w.do(state.Release, state.DutyCall{Name: "d", Who: p.who, Epoch: d.Epoch, Again: true})
 		}
 	}
@@ -217,7 +217,7 @@
 			margin = func(time.Duration) time.Duration { return 0 }
 		}
 		for i, rate := range []float64{rapid.SampledFrom([]float64{0.9901, 1, 1.0099}).Draw(t, "rate"), 1} {
-			p := &modelProcess{who: fmt.Sprintf("p%d#1", i), rate: rate, h: duty.NewHolder(margin)}
+			p := &modelProcess{who: fmt.Sprintf("p%d#1", i), rate: rate, h: duty.NewLeases(margin)}
 			w.all = append(w.all, p)
 			w.do(state.Campaign, state.DutyCall{Name: "d", Who: p.who, TTLMS: modelLease.Milliseconds()})
 		}
