--- a/cmd/keeper/feed.go
+++ b/cmd/keeper/feed.go
@@ -85,7 +85,7 @@
 	for _, i := range r.Instances {
 		servers = append(servers, pick.Server{ID: i.ID, Service: i.Target, Address: i.Address, Zone: i.Zone,
 			Region: f.settings.Zones[i.Zone], Slots: i.Slots, Draining: i.Phase == platform.Draining,
-			Remaining: i.Remaining, Cold: roundedUp(i.WarmUpLeft)})
+			Remaining: i.Remaining, WarmUpMax: roundedUp(i.WarmUpLeft)})
 	}
 	f.logCold(r)
 	if err := f.hub.PutList(r.Fence, r.Version, servers, distribution.TimeBounds{Earliest: r.Asked, Latest: r.Answered}); err != nil {
--- a/cmd/proxy/run.go
+++ b/cmd/proxy/run.go
@@ -51,7 +51,7 @@
 	defer end()
 	group, ctx := process.NewGroup(life)
 	p.directory = directory.NewDirectory(min(mostTTL, max(settings.Seconds(s.Bounds.TTLMax), time.Second)))
-	p.dataPlane = proxy.New(proxy.Options{Settings: p.pickSettings(), GraceFor: settings.Seconds(s.Bounds.Grace) - endMargin,
+	p.dataPlane = proxy.New(proxy.Options{Settings: p.pickSettings(), GracePeriod: settings.Seconds(s.Bounds.Grace) - endMargin,
 		LossSlack: settings.Milliseconds(s.Bounds.LossSlack), FDLimit: s.Limits.FDs, MemoryMB: int(s.Limits.MemoryMB), Log: p.log,
 		OnStall: func() { p.follower.Refresh() }})
 	p.follower = distribution.NewSubscriber(distribution.SubscriberOptions{Seeds: s.SeedIPs(), ControlPlanePort: s.ControlPlanePort(),
@@ -159,10 +159,10 @@
 	if configured, listed := u.State.Config != nil, u.HasList; !p.isComplete && (configured || listed) {
 		p.log.WithField("configured", configured).WithField("listed", listed).Info("proxy: learning")
 	}
-	p.dataPlane.SetWorld(u.AsOf, pick.World{Config: u.State.Config, Evacuated: u.State.Evacuated, ZoneChanges: zoneChanges(u),
-		Servers: u.Servers, ListCovers: u.ListCoversSeq, WordAge: u.ContactAge,
-		Self: p.settings.Node, Peers: live, Lost: u.DownCount, Partial: u.MembershipIncomplete, Stale: u.Stale})
-	p.follower.NotifyListUpdates(p.dataPlane.AwaitsList())
+	p.dataPlane.UpdateClusterState(u.AsOf, pick.ClusterState{Config: u.State.Config, Evacuated: u.State.Evacuated, ZoneChanges: zoneChanges(u),
+		Servers: u.Servers, ListCoversSeq: u.ListCoversSeq, ContactAge: u.ContactAge,
+		Self: p.settings.Node, Peers: live, DownCount: u.DownCount, MembershipIncomplete: u.MembershipIncomplete, Stale: u.Stale})
+	p.follower.NotifyListUpdates(p.dataPlane.AwaitsServerList())
 	p.directory.SetEndpoints(fronts)
 	p.agent.SetMembers(watched)
 	if !p.isComplete && u.State.Config != nil && u.HasList {
@@ -200,7 +200,7 @@
 	s := p.settings
 	return pick.Settings{Zone: s.Zone, Region: s.Region, Regions: s.Zones, RetryRatio: s.Bounds.RetryRatio,
 		RetryWindow: settings.Seconds(s.Bounds.RetryWindowS), RetrySlack: s.Bounds.RetrySlack,
-		ColdExcess: s.Bounds.ColdExcess, ColdSlack: s.Bounds.ColdSlack, Seed: p.seed()}
+		WarmUpExcess: s.Bounds.ColdExcess, WarmUpSlack: s.Bounds.ColdSlack, Seed: p.seed()}
 }
 
 // seed lets proxies begin their rotations at different places.
--- a/cmd/proxy/update_test.go
+++ b/cmd/proxy/update_test.go
@@ -65,12 +65,12 @@
 		Members: []distribution.Member{{Node: "p0"}},
 		Servers: []pick.Server{{ID: "s0", Service: "a", Zone: "z", Address: "127.0.0.1:1"}}}
 	p.update(u)
-	if p.dataPlane.AwaitsList() {
+	if p.dataPlane.AwaitsServerList() {
 		t.Fatal("the zone was never evacuated")
 	}
 	u.State = after
 	p.update(u)
-	if !p.dataPlane.AwaitsList() {
+	if !p.dataPlane.AwaitsServerList() {
 		t.Error("the servers of a zone that was evacuated meanwhile are taken for warm, by a reading from before")
 	}
 }
@@ -86,7 +86,7 @@
 	whole = applied(t, whole, controlstate.Change{Op: controlstate.OpEvacuate, Zone: "z"}, controlstate.Change{Op: controlstate.OpReadmit, Zone: "z"})
 	u.State = snapshot(t, whole)
 	p.update(u)
-	if !p.dataPlane.AwaitsList() {
+	if !p.dataPlane.AwaitsServerList() {
 		t.Error("the servers of a zone that was evacuated meanwhile are taken for warm, by a reading from before")
 	}
 }
--- a/internal/system/distribution/coldedge_test.go
+++ b/internal/system/distribution/coldedge_test.go
@@ -59,13 +59,13 @@
 		read := time.Now() // call(): f.take(asked, time.Now(), req, reply), before the lock
 		time.Sleep(1500 * time.Millisecond)
 		end := time.Now().Add(3 * time.Second)
-		f.take(time.Now(), time.Now(), f.request(nil, false), wholeTable(t, 0, 5, pick.Server{ID: "s", Cold: 3 * time.Second}))
+		f.take(time.Now(), time.Now(), f.request(nil, false), wholeTable(t, 0, 5, pick.Server{ID: "s", WarmUpMax: 3 * time.Second}))
 		f.take(read, read, req, reply)
 		got := f.Current().Servers
 		if len(got) != 1 {
 			t.Fatalf("holds %+v", got)
 		}
-		if early := time.Until(end) - got[0].Cold; early > 0 {
+		if early := time.Until(end) - got[0].WarmUpMax; early > 0 {
 			t.Errorf("the cold state ends early by %v", early)
 		}
 	})
@@ -78,7 +78,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newIdleHub()
 		h.markComplete()
-		if err := h.PutList(1, 1, []pick.Server{{ID: "s", Cold: 3 * time.Second}}, madeAgo(Age{})); err != nil {
+		if err := h.PutList(1, 1, []pick.Server{{ID: "s", WarmUpMax: 3 * time.Second}}, madeAgo(Age{})); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(20 * time.Second)
@@ -91,8 +91,8 @@
 		f.take(time.Now(), time.Now(), f.request(nil, false), &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: w,
 			Soft: &distributionpb.Cursor{Boot: h.boot, Number: h.table.number}})
 		for _, s := range f.Current().Servers {
-			if s.Cold > 0 {
-				t.Errorf("cold for %v more, 17 s after the cold state's end", s.Cold)
+			if s.WarmUpMax > 0 {
+				t.Errorf("cold for %v more, 17 s after the cold state's end", s.WarmUpMax)
 			}
 		}
 	})
@@ -110,7 +110,7 @@
 		p.follow("reader:1", leg{})
 		p.follow("reader:1", leg{})
 		p.check()
-		late := p.held()["proxy"].Cold - time.Until(p.truth.coldEnd)
+		late := p.held()["proxy"].WarmUpMax - time.Until(p.truth.coldEnd)
 		t.Logf("late by %v, early %v", late, p.early)
 		if late > 300*time.Millisecond {
 			t.Errorf("the cold state ends %v late at a proxy that has a fast word of it", late)
@@ -160,18 +160,18 @@
 				time.Sleep(back)
 				v++
 				// as feed does, rounding up
-				if told.Cold > 0 {
-					told.Cold += ms
+				if told.WarmUpMax > 0 {
+					told.WarmUpMax += ms
 				}
 				was, _, _ := h.List()
 				if err := h.PutList(1, v, []pick.Server{told}, madeAgo(upTo(time.Since(asked)))); err != nil {
 					t.Fatal(err)
 				}
 				now, _, _ := h.List()
-				if len(was) > 0 && was[0].Cold == 0 && now[0].Cold > 0 {
+				if len(was) > 0 && was[0].WarmUpMax == 0 && now[0].WarmUpMax > 0 {
 					flaps++
 				}
-				if late := now[0].Cold - max(0, time.Until(end)); late > worst {
+				if late := now[0].WarmUpMax - max(0, time.Until(end)); late > worst {
 					worst = late
 				}
 				time.Sleep(500*ms - time.Since(asked))
--- a/internal/system/distribution/coldend_test.go
+++ b/internal/system/distribution/coldend_test.go
@@ -51,7 +51,7 @@
 				if len(p.early) > 0 {
 					t.Errorf("the cold state ends early by %v", p.early)
 				}
-				if held := p.held(); len(held) != 2 || held["proxy"].Cold > 0 || held["neighbour"].Cold > 0 {
+				if held := p.held(); len(held) != 2 || held["proxy"].WarmUpMax > 0 || held["neighbour"].WarmUpMax > 0 {
 					t.Errorf("%v after the true end: %+v", coldLagMost, held)
 				}
 			})
--- a/internal/system/distribution/coldpath_test.go
+++ b/internal/system/distribution/coldpath_test.go
@@ -18,7 +18,7 @@
 
 // told is what the platform answers at a moment.
 func (s truth) told(now time.Time) pick.Server {
-	told := pick.Server{ID: "s", Service: "a", Cold: max(0, s.coldEnd.Sub(now))}
+	told := pick.Server{ID: "s", Service: "a", WarmUpMax: max(0, s.coldEnd.Sub(now))}
 	if !s.withdrawn.IsZero() {
 		told.Remaining = max(time.Millisecond, s.withdrawn.Sub(now))
 	}
@@ -120,7 +120,7 @@
 func (p *coldPath) check() {
 	left := time.Until(p.truth.coldEnd)
 	for node, s := range p.held() {
-		if early := left - s.Cold; left > 0 && early > 0 {
+		if early := left - s.WarmUpMax; left > 0 && early > 0 {
 			p.early[node] = max(p.early[node], early)
 		}
 	}
--- a/internal/system/distribution/coldworld_serve_test.go
+++ b/internal/system/distribution/coldworld_serve_test.go
@@ -75,7 +75,7 @@
 		OnResult: func(r platform.Result) {
 			var servers []pick.Server
 			for _, i := range r.Instances {
-				servers = append(servers, pick.Server{ID: i.ID, Service: i.Target, Address: i.Address, Zone: i.Zone, Slots: i.Slots, Draining: i.Phase == platform.Draining, Cold: i.WarmUpLeft})
+				servers = append(servers, pick.Server{ID: i.ID, Service: i.Target, Address: i.Address, Zone: i.Zone, Slots: i.Slots, Draining: i.Phase == platform.Draining, WarmUpMax: i.WarmUpLeft})
 			}
 			_ = h.PutList(r.Fence, r.Version, servers, TimeBounds{Earliest: r.Asked, Latest: r.Answered})
 		}})
@@ -94,8 +94,8 @@
 				break
 			}
 			now := time.Since(p.start)
-			before := p.picker.Stats().ColdSends
-			c := p.picker.Choose(now, &pick.Request{Route: w.config.Routes[0], Left: time.Second}, nil, false)
+			before := p.picker.Stats().WarmUpSends
+			c := p.picker.Choose(now, &pick.Request{Route: w.config.Routes[0], TimeLeft: time.Second}, nil, false)
 			if c.Verdict != pick.Send {
 				continue
 			}
@@ -111,7 +111,7 @@
 				continue
 			}
 			if cold {
-				sent := append(w.sent[c.Server.ID], coldSent{time.Now(), node, p.picker.Stats().ColdSends > before})
+				sent := append(w.sent[c.Server.ID], coldSent{time.Now(), node, p.picker.Stats().WarmUpSends > before})
 				for time.Since(sent[0].at) >= time.Second {
 					sent = sent[1:]
 				}
--- a/internal/system/distribution/coldworld_test.go
+++ b/internal/system/distribution/coldworld_test.go
@@ -100,9 +100,9 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	world := pick.World{Evacuated: u.State.Evacuated, Servers: u.Servers, ListCovers: u.ListCoversSeq, WordAge: u.ContactAge, Delay: time.Since(u.AsOf),
+	world := pick.ClusterState{Evacuated: u.State.Evacuated, Servers: u.Servers, ListCoversSeq: u.ListCoversSeq, ContactAge: u.ContactAge, Age: time.Since(u.AsOf),
 		ZoneChanges: map[string]uint64{"za": u.State.ZoneChangeSeq("za"), "zb": u.State.ZoneChangeSeq("zb")},
-		Self:        node, Peers: live, Lost: u.DownCount, Partial: u.MembershipIncomplete, Stale: u.Stale}
+		Self:        node, Peers: live, DownCount: u.DownCount, MembershipIncomplete: u.MembershipIncomplete, Stale: u.Stale}
 	if u.State.Seq > 0 {
 		world.Config, p.serves, p.changes = w.config, true, world.ZoneChanges
 	}
@@ -110,12 +110,12 @@
 		world.ZoneChanges = nil
 		world.Servers = slices.Clone(world.Servers)
 		for i := range world.Servers {
-			world.Servers[i].Cold = 0
+			world.Servers[i].WarmUpMax = 0
 		}
 	}
-	p.picker.SetWorld(time.Since(p.start), world)
+	p.picker.UpdateClusterState(time.Since(p.start), world)
 	if p.f != nil {
-		p.f.NotifyListUpdates(p.picker.AwaitsList())
+		p.f.NotifyListUpdates(p.picker.AwaitsServerList())
 	}
 }
 
@@ -149,7 +149,7 @@
 }
 
 func (w *coldWorld) startProxy(node string) {
-	p := &coldPicker{start: time.Now(), picker: pick.New(pick.Settings{Zone: "za", Region: "r", ColdExcess: 1.5, ColdSlack: 5})}
+	p := &coldPicker{start: time.Now(), picker: pick.New(pick.Settings{Zone: "za", Region: "r", WarmUpExcess: 1.5, WarmUpSlack: 5})}
 	w.pickers[node] = p
 	started := w.startFollower(node, func(o *SubscriberOptions) { o.OnUpdate = func(u Update) { p.update(w, node, u) } })
 	p.mu.Lock()
--- a/internal/system/distribution/fleet_test.go
+++ b/internal/system/distribution/fleet_test.go
@@ -22,7 +22,7 @@
 		defer fl.stop()
 		time.Sleep(time.Second)
 		fl.chain.add(none())
-		if err := fl.hubs["k1:1"].PutList(1, 1, []pick.Server{{ID: "s1", Service: "a", Cold: 3 * time.Second}}, madeAgo(Age{})); err != nil {
+		if err := fl.hubs["k1:1"].PutList(1, 1, []pick.Server{{ID: "s1", Service: "a", WarmUpMax: 3 * time.Second}}, madeAgo(Age{})); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(200 * time.Millisecond)
@@ -33,7 +33,7 @@
 		if u.State == nil || u.State.Seq != 1 || !u.Fresh || !u.HasList || len(u.Servers) != 1 || len(u.Members) != 1 {
 			t.Fatalf("holds %+v", u)
 		}
-		if c := u.Servers[0].Cold; c > 2900*time.Millisecond || c < 2000*time.Millisecond {
+		if c := u.Servers[0].WarmUpMax; c > 2900*time.Millisecond || c < 2000*time.Millisecond {
 			t.Errorf("cold for %v more", c)
 		}
 	})
--- a/internal/system/distribution/goeson_test.go
+++ b/internal/system/distribution/goeson_test.go
@@ -17,7 +17,7 @@
 	second.markComplete()
 	put := func(h *Server, version uint64, age Age, cold time.Duration) {
 		t.Helper()
-		if err := h.PutList(1, version, []pick.Server{{ID: "s", Cold: cold}}, madeAgo(age)); err != nil {
+		if err := h.PutList(1, version, []pick.Server{{ID: "s", WarmUpMax: cold}}, madeAgo(age)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -38,7 +38,7 @@
 	if len(u.Servers) != 1 {
 		t.Fatalf("holds %+v", u.Servers)
 	}
-	if warm := u.Servers[0].Cold == 0; warm && u.ListAge < 500*time.Millisecond {
+	if warm := u.Servers[0].WarmUpMax == 0; warm && u.ListAge < 500*time.Millisecond {
 		t.Errorf("the server is warm by a list that is %v old", u.ListAge)
 	}
 }
--- a/internal/system/distribution/golden_trace_test.go
+++ b/internal/system/distribution/golden_trace_test.go
@@ -224,7 +224,7 @@
 	for _, s := range u.Servers {
 		x.tr.bytes([]byte(s.ID))
 		x.tr.bytes(encodeServer(s))
-		x.tr.num(int64(s.Cold), int64(s.ColdLeast), int64(s.Remaining))
+		x.tr.num(int64(s.WarmUpMax), int64(s.WarmUpMin), int64(s.Remaining))
 	}
 	for _, id := range slices.Sorted(maps.Keys(f.others)) {
 		x.tr.bytes([]byte(id))
@@ -270,7 +270,7 @@
 		case 0:
 			continue
 		case 1:
-			s.Cold = time.Duration(x.rng.IntN(3000)) * time.Millisecond
+			s.WarmUpMax = time.Duration(x.rng.IntN(3000)) * time.Millisecond
 		case 2:
 			s.Draining = true
 		case 3:
--- a/internal/system/distribution/neighbour_stale_test.go
+++ b/internal/system/distribution/neighbour_stale_test.go
@@ -31,13 +31,13 @@
 		}
 		time.Sleep(3 * time.Second)
 		fl.chain.add(controlstate.Record{Op: controlstate.OpEvacuate, Zone: "z"})
-		put(2, pick.Server{ID: "s", Zone: "z", Cold: 20 * time.Second})
+		put(2, pick.Server{ID: "s", Zone: "z", WarmUpMax: 20 * time.Second})
 		time.Sleep(2 * time.Second)
 		if u := other.update(); !u.State.Evacuated["z"] || u.Stale {
 			t.Fatalf("the other one holds %+v", u.State.Evacuated)
 		}
 		u := cut.update()
-		if !u.State.Evacuated["z"] || len(u.Servers) != 1 || u.Servers[0].Cold < 17*time.Second {
+		if !u.State.Evacuated["z"] || len(u.Servers) != 1 || u.Servers[0].WarmUpMax < 17*time.Second {
 			t.Errorf("2 s after it holds zones %v and %+v", u.State.Evacuated, u.Servers)
 		}
 		if !u.Stale {
--- a/internal/system/distribution/oldlist_test.go
+++ b/internal/system/distribution/oldlist_test.go
@@ -59,14 +59,14 @@
 // it read before brings back servers that have gone and calls cold ones warm.
 func TestReadingOfTheListMadeEarlier(t *testing.T) {
 	h := newIdleHub()
-	cold := []pick.Server{{ID: "a", Service: "x", Cold: 3 * time.Second}}
+	cold := []pick.Server{{ID: "a", Service: "x", WarmUpMax: 3 * time.Second}}
 	if err := h.PutList(1, 7, cold, madeAgo(Age{})); err != nil {
 		t.Fatal(err)
 	}
 	if err := h.PutList(1, 7, []pick.Server{{ID: "a", Service: "x"}}, madeAgo(Age{Min: 900 * time.Millisecond, Max: time.Second})); !errors.Is(err, ErrStale) {
 		t.Errorf("a reading 900 ms older: %v", err)
 	}
-	if got, _, _ := h.List(); len(got) != 1 || got[0].Cold < 2900*time.Millisecond {
+	if got, _, _ := h.List(); len(got) != 1 || got[0].WarmUpMax < 2900*time.Millisecond {
 		t.Errorf("holds %+v", got)
 	}
 	if err := h.PutList(2, 1, []pick.Server{{ID: "a", Service: "x"}}, madeAgo(Age{Min: 900 * time.Millisecond, Max: time.Second})); err != nil {
@@ -83,15 +83,15 @@
 		return &distributionpb.FollowReply{Full: true, Complete: true, Entries: []*distributionpb.Entry{
 			{Key: listKey, Fence: 1, Version: version, AgeMs: most, LeastAgeMs: &least},
 			{Key: serverPrefix + "a", Fence: 1, Version: version, AgeMs: most, LeastAgeMs: &least,
-				Value: encodeServer(pick.Server{ID: "a", Service: "x", Cold: cold})}}}
+				Value: encodeServer(pick.Server{ID: "a", Service: "x", WarmUpMax: cold})}}}
 	}
 	f.takeEntries(now, Age{}, reply(3*time.Second, 9, 0, 100))
 	f.takeEntries(now, Age{}, reply(0, 5, 900, 1900))
-	if s, _, _ := f.table.servers(now); s[0].Cold < 2900*time.Millisecond {
-		t.Errorf("cold for %v more after an older list", s[0].Cold)
+	if s, _, _ := f.table.servers(now); s[0].WarmUpMax < 2900*time.Millisecond {
+		t.Errorf("cold for %v more after an older list", s[0].WarmUpMax)
 	}
 	f.takeEntries(now, Age{}, reply(time.Second, 6, 0, 50))
-	if s, _, _ := f.table.servers(now); s[0].Cold != time.Second {
-		t.Errorf("cold for %v more after a newer list", s[0].Cold)
+	if s, _, _ := f.table.servers(now); s[0].WarmUpMax != time.Second {
+		t.Errorf("cold for %v more after a newer list", s[0].WarmUpMax)
 	}
 }
--- a/internal/system/distribution/oldlistlost_test.go
+++ b/internal/system/distribution/oldlistlost_test.go
@@ -74,7 +74,7 @@
 		}
 		put(b, 1, 95, pick.Server{ID: "x"})
 		time.Sleep(2400 * time.Millisecond)
-		put(a, 1, 100, pick.Server{ID: "x", Cold: 3 * time.Second}) // it has turned cold anew
+		put(a, 1, 100, pick.Server{ID: "x", WarmUpMax: 3 * time.Second}) // it has turned cold anew
 		pollByHand(f, a)
 		time.Sleep(100 * time.Millisecond)
 		pollByHand(f, b) // an older list: not taken
@@ -101,12 +101,12 @@
 		h := newIdleHub()
 		asked := time.Now()
 		time.Sleep(2200 * time.Millisecond)
-		if err := h.PutList(1, 8, []pick.Server{{ID: "a", Cold: 3 * time.Second}}, madeAgo(Age{Max: 20 * time.Millisecond})); err != nil {
+		if err := h.PutList(1, 8, []pick.Server{{ID: "a", WarmUpMax: 3 * time.Second}}, madeAgo(Age{Max: 20 * time.Millisecond})); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(100 * time.Millisecond)
 		_ = h.PutList(1, 7, []pick.Server{{ID: "a"}}, TimeBounds{Earliest: asked, Latest: time.Now()})
-		if got, _, _ := h.List(); len(got) != 1 || got[0].Cold < 2900*time.Millisecond {
+		if got, _, _ := h.List(); len(got) != 1 || got[0].WarmUpMax < 2900*time.Millisecond {
 			t.Errorf("holds %+v", got)
 		}
 	})
--- a/internal/system/distribution/unit_test.go
+++ b/internal/system/distribution/unit_test.go
@@ -165,7 +165,7 @@
 
 func TestListWritesOnlyWhatDiffers(t *testing.T) {
 	h := newIdleHub()
-	list := []pick.Server{{ID: "a", Service: "x", Cold: 3 * time.Second}, {ID: "b", Service: "x"}}
+	list := []pick.Server{{ID: "a", Service: "x", WarmUpMax: 3 * time.Second}, {ID: "b", Service: "x"}}
 	put := func(fence, version uint64, age time.Duration, want uint64) {
 		t.Helper()
 		before := h.table.lastUrgent
@@ -178,9 +178,9 @@
 	}
 	put(1, 1, 0, 1)
 	put(1, 2, 0, 0)
-	list[0].Cold = 2800 * time.Millisecond
+	list[0].WarmUpMax = 2800 * time.Millisecond
 	put(1, 3, 0, 0)
-	list[0].Cold = time.Second
+	list[0].WarmUpMax = time.Second
 	put(1, 4, 0, 1)
 	list[1].Draining = true
 	put(1, 5, 0, 1)
@@ -221,7 +221,7 @@
 
 func TestServerTimesCountDown(t *testing.T) {
 	in := pick.Server{ID: "a", Service: "s", Address: "h:1", Zone: "z", Region: "r", Slots: 4, Draining: true,
-		Remaining: 2 * time.Second, Cold: 3 * time.Second}
+		Remaining: 2 * time.Second, WarmUpMax: 3 * time.Second}
 	told, ok := decodeServer("a", encodeServer(in))
 	if !ok || told != in {
 		t.Errorf("told %+v", told)
@@ -229,11 +229,11 @@
 	// What forbids ends late and what permits ends early, as far as the age is known. What is least left lacks the margin that
 	// was added to the end, and what was rounded up.
 	got := countDown(told, Age{Min: 300 * time.Millisecond, Max: 500 * time.Millisecond})
-	in.Remaining, in.Cold, in.ColdLeast = 1500*time.Millisecond, 2700*time.Millisecond, 2478*time.Millisecond
+	in.Remaining, in.WarmUpMax, in.WarmUpMin = 1500*time.Millisecond, 2700*time.Millisecond, 2478*time.Millisecond
 	if got != in {
 		t.Errorf("got %+v", got)
 	}
-	if got = countDown(told, exactAge(time.Minute)); got.Cold != 0 || got.ColdLeast != 0 || got.Remaining != time.Millisecond {
+	if got = countDown(told, exactAge(time.Minute)); got.WarmUpMax != 0 || got.WarmUpMin != 0 || got.Remaining != time.Millisecond {
 		t.Errorf("after all: %+v", got)
 	}
 }
--- a/internal/system/distribution/values.go
+++ b/internal/system/distribution/values.go
@@ -55,7 +55,7 @@
 
 func encodeServer(s pick.Server) []byte {
 	return marshal(&distributionpb.Server{Service: s.Service, Address: s.Address, Zone: s.Zone, Region: s.Region,
-		Slots: uint32(max(0, min(s.Slots, 1<<30))), Draining: s.Draining, RemainingMs: ceilMillis(s.Remaining), ColdMs: ceilMillis(s.Cold)})
+		Slots: uint32(max(0, min(s.Slots, 1<<30))), Draining: s.Draining, RemainingMs: ceilMillis(s.Remaining), ColdMs: ceilMillis(s.WarmUpMax)})
 }
 
 func ceilMillis(d time.Duration) uint64 {
@@ -69,7 +69,7 @@
 		return pick.Server{}, false
 	}
 	s := pick.Server{ID: id, Service: w.GetService(), Address: w.GetAddress(), Zone: w.GetZone(), Region: w.GetRegion(),
-		Slots: int(w.GetSlots()), Draining: w.GetDraining(), Cold: millis(w.GetColdMs(), longest),
+		Slots: int(w.GetSlots()), Draining: w.GetDraining(), WarmUpMax: millis(w.GetColdMs(), longest),
 		Remaining: millis(w.GetRemainingMs(), longest)}
 	return s, true
 }
@@ -77,8 +77,8 @@
 // countDown gives a server with its times as they are, age after they were told. Cold forbids, so it errs late; Remaining
 // permits, so it errs early.
 func countDown(s pick.Server, age Age) pick.Server {
-	s.ColdLeast = max(0, s.Cold-coldMargin-coldGrain-age.Max)
-	s.Cold = max(0, s.Cold-age.Min)
+	s.WarmUpMin = max(0, s.WarmUpMax-coldMargin-coldGrain-age.Max)
+	s.WarmUpMax = max(0, s.WarmUpMax-age.Min)
 	if s.Remaining > 0 {
 		s.Remaining = max(time.Millisecond, s.Remaining-age.Max) // 0 would mean that nothing was told
 	}
@@ -104,7 +104,7 @@
 	ok := coldStandsBeside(held, read) && (held.Remaining-read.Remaining).Abs() <= remainingSlack &&
 		(held.Remaining > 0) == (read.Remaining > 0)
 	for _, s := range []*pick.Server{&held, &read} {
-		s.Cold, s.ColdLeast, s.Remaining = 0, 0, 0
+		s.WarmUpMax, s.WarmUpMin, s.Remaining = 0, 0, 0
 	}
 	return ok && held == read
 }
@@ -112,13 +112,13 @@
 // coldStandsBeside tells whether a server is held to be cold for about as long as a new reading says, and never for less than it
 // may be. A later end counts even where both may be of one cold state, as that may have been extended in between.
 func coldStandsBeside(held, read pick.Server) bool {
-	return read.Cold <= held.Cold && held.Cold-read.Cold <= coldSlack
+	return read.WarmUpMax <= held.WarmUpMax && held.WarmUpMax-read.WarmUpMax <= coldSlack
 }
 
 // withMargin is a server whose cold state, if it has one, ends a little later.
 func withMargin(s pick.Server) pick.Server {
-	if s.Cold > 0 {
-		s.Cold += coldMargin
+	if s.WarmUpMax > 0 {
+		s.WarmUpMax += coldMargin
 	}
 	return s
 }
--- a/internal/system/proxy/answers_test.go
+++ b/internal/system/proxy/answers_test.go
@@ -28,32 +28,32 @@
 		{"chunks", raw(ok+"Transfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n0\r\n\r\n", true), 200, 200, pick.Served},
 		{"interim", raw("HTTP/1.1 103 X\r\nA: b\r\n\r\n"+ok+"Content-Length: 5\r\n\r\nfirst", true), 200, 200, pick.Served},
 		{"its own 404", say(404, "first"), 404, 404, pick.Served},
-		{"its own 500", say(500, "first"), 500, 200, pick.Failed},
-		{"its own 504", say(504, "first"), 504, 200, pick.Failed},
-		{"503 that may have run", say(503, "first"), 502, 200, pick.Failed},
-		{"429 that may have run", say(429, "first"), 502, 200, pick.Failed},
-		{"408 that may have run", say(408, "first"), 502, 200, pick.Failed},
+		{"its own 500", say(500, "first"), 500, 200, pick.ServerError},
+		{"its own 504", say(504, "first"), 504, 200, pick.ServerError},
+		{"503 that may have run", say(503, "first"), 502, 200, pick.ServerError},
+		{"429 that may have run", say(429, "first"), 502, 200, pick.ServerError},
+		{"408 that may have run", say(408, "first"), 502, 200, pick.ServerError},
 		{"full", say(503, "", "X-Not-Executed: 1"), 200, 200, pick.NotExecuted},
 		{"too late", say(503, "no", "X-Not-Executed: true"), 200, 200, pick.NotExecuted},
 		{"misdirected", say(421, "", "X-Not-Executed: 1"), 200, 200, pick.Misdirected},
 		{"misdirected, nothing more", say(421, ""), 200, 200, pick.Misdirected},
-		{"reset", reset, 502, 200, pick.Broken},
-		{"close", raw("", false), 502, 200, pick.Broken},
-		{"garbage", raw("what?\r\n\r\n", true), 502, 200, pick.Broken},
-		{"another protocol", raw("HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n", true), 502, 200, pick.Broken},
-		{"another's answer", raw("HTTP/1.1 200 X\r\nX-Attempt-Id: other\r\nX-Server-Seal: s\r\nContent-Length: 5\r\n\r\nfirst", true), 502, 200, pick.Broken},
-		{"another's refusal", raw("HTTP/1.1 503 X\r\nX-Attempt-Id: other\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", true), 502, 200, pick.Broken},
-		{"no id", raw("HTTP/1.1 200 X\r\nX-Server-Seal: s\r\nContent-Length: 5\r\n\r\nfirst", true), 502, 200, pick.Broken},
-		{"no seal", raw("HTTP/1.1 200 X\r\nX-Attempt-Id: ID\r\nContent-Length: 5\r\n\r\nfirst", true), 502, 200, pick.Broken},
-		{"an encoding", say(200, "first", "Content-Encoding: gzip"), 502, 200, pick.Broken},
-		{"half a head", raw(ok, false), 502, 200, pick.Broken},
-		{"half a body", raw(ok+"Content-Length: 10\r\n\r\nfirst", false), 502, 200, pick.Broken},
-		{"half a chunked body", raw(ok+"Transfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n", false), 502, 200, pick.Broken},
-		{"half an error", raw("HTTP/1.1 500 X\r\nX-Attempt-Id: ID\r\nContent-Length: 10\r\n\r\nfirst", false), 502, 200, pick.Broken},
-		{"a body up to the close", raw(ok+"Connection: close\r\n\r\nfirst", false), 502, 200, pick.Broken},
-		{"two lengths", raw(ok+"Content-Length: 5\r\nContent-Length: 5\r\n\r\nfirst", true), 502, 200, pick.Broken},
-		{"length and chunks", raw(ok+"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n0\r\n\r\n", true), 502, 200, pick.Broken},
-		{"half a stream before its first event", raw(ok+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", false), 502, 200, pick.Broken},
+		{"reset", reset, 502, 200, pick.ConnectionLost},
+		{"close", raw("", false), 502, 200, pick.ConnectionLost},
+		{"garbage", raw("what?\r\n\r\n", true), 502, 200, pick.ConnectionLost},
+		{"another protocol", raw("HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n", true), 502, 200, pick.ConnectionLost},
+		{"another's answer", raw("HTTP/1.1 200 X\r\nX-Attempt-Id: other\r\nX-Server-Seal: s\r\nContent-Length: 5\r\n\r\nfirst", true), 502, 200, pick.ConnectionLost},
+		{"another's refusal", raw("HTTP/1.1 503 X\r\nX-Attempt-Id: other\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", true), 502, 200, pick.ConnectionLost},
+		{"no id", raw("HTTP/1.1 200 X\r\nX-Server-Seal: s\r\nContent-Length: 5\r\n\r\nfirst", true), 502, 200, pick.ConnectionLost},
+		{"no seal", raw("HTTP/1.1 200 X\r\nX-Attempt-Id: ID\r\nContent-Length: 5\r\n\r\nfirst", true), 502, 200, pick.ConnectionLost},
+		{"an encoding", say(200, "first", "Content-Encoding: gzip"), 502, 200, pick.ConnectionLost},
+		{"half a head", raw(ok, false), 502, 200, pick.ConnectionLost},
+		{"half a body", raw(ok+"Content-Length: 10\r\n\r\nfirst", false), 502, 200, pick.ConnectionLost},
+		{"half a chunked body", raw(ok+"Transfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n", false), 502, 200, pick.ConnectionLost},
+		{"half an error", raw("HTTP/1.1 500 X\r\nX-Attempt-Id: ID\r\nContent-Length: 10\r\n\r\nfirst", false), 502, 200, pick.ConnectionLost},
+		{"a body up to the close", raw(ok+"Connection: close\r\n\r\nfirst", false), 502, 200, pick.ConnectionLost},
+		{"two lengths", raw(ok+"Content-Length: 5\r\nContent-Length: 5\r\n\r\nfirst", true), 502, 200, pick.ConnectionLost},
+		{"length and chunks", raw(ok+"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n0\r\n\r\n", true), 502, 200, pick.ConnectionLost},
+		{"half a stream before its first event", raw(ok+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", false), 502, 200, pick.ConnectionLost},
 	} {
 		for _, may := range []conf.Category{conf.NonIdempotent, conf.Idempotent} {
 			t.Run(fmt.Sprint(tt.name, may), func(t *testing.T) {
@@ -120,11 +120,11 @@
 		w := *f.world.Load()
 		w.Servers = slices.Clone(w.Servers)
 		w.Servers[0].Address = deafAddress(t)
-		f.SetWorld(time.Now(), w)
+		f.UpdateClusterState(time.Now(), w)
 		if got := f.ask(t, "id-1", ""); got.StatusCode != 200 {
 			t.Errorf("status %d", got.StatusCode)
 		}
-		if ends := f.ends(); !slices.Equal(ends, []pick.Outcome{pick.Unreached, pick.Served}) {
+		if ends := f.ends(); !slices.Equal(ends, []pick.Outcome{pick.ConnectFailed, pick.Served}) {
 			t.Errorf("sends ended as %v", ends)
 		}
 	})
@@ -137,7 +137,7 @@
 	})
 	t.Run("no configuration", func(t *testing.T) {
 		f := startProxy(t, nil)
-		f.SetWorld(time.Now(), pick.World{})
+		f.UpdateClusterState(time.Now(), pick.ClusterState{})
 		if got := f.ask(t, "id-1", ""); got.StatusCode != 503 || got.Header.Get("Retry-After") == "" || f.Ready() {
 			t.Errorf("status %d, ready %v", got.StatusCode, f.Ready())
 		}
--- a/internal/system/proxy/call.go
+++ b/internal/system/proxy/call.go
@@ -83,13 +83,13 @@
 	c.p.policy.awaitWord(c.r.Context())
 	left := time.Until(c.deadline)
 	if left <= 0 || c.r.Context().Err() != nil || c.unreached >= mostUnreached || !c.mayMove(c.offered) {
-		return pick.Choice{Verdict: pick.Exhaust}
+		return pick.Choice{Verdict: pick.GiveUp}
 	}
 	return c.ask(left, c.tried, c.offered)
 }
 
 func (c *call) ask(left time.Duration, tried []string, offered bool) pick.Choice {
-	c.req.Left, c.req.Age, c.req.Resumed = left, time.Since(c.began), c.passing
+	c.req.TimeLeft, c.req.Age, c.req.Resumed = left, time.Since(c.began), c.passing
 	return c.p.policy.Choose(&c.req, tried, offered)
 }
 
@@ -106,16 +106,16 @@
 	if errors.Is(err, errUnreached) {
 		c.unreached++
 		if c.r.Context().Err() != nil {
-			c.done(ch, pick.Abandoned)
+			c.done(ch, pick.Canceled)
 		} else {
 			up.abandon(x.pool)
-			c.done(ch, pick.Unreached)
+			c.done(ch, pick.ConnectFailed)
 		}
 		return false
 	}
 	c.p.counters.Sends.Add(1)
 	if c.tried = append(c.tried, ch.Server.ID); len(c.tried) > 1 {
-		c.p.counters.Repeats.Add(1)
+		c.p.counters.Retries.Add(1)
 	}
 	c.watch(x, max(2*c.route.LatencyTarget, c.p.opt.patience))
 	resp, early := (*http.Response)(nil), err != nil
@@ -204,19 +204,19 @@
 	c.offered = true
 	switch {
 	case c.r.Context().Err() != nil:
-		c.done(ch, pick.Abandoned)
+		c.done(ch, pick.Canceled)
 	case errors.Is(err, errSilent):
-		c.p.counters.Moved.Add(1)
+		c.p.counters.Abandoned.Add(1)
 		c.p.upstream.distrust(x.pool, x.sent)
-		c.done(ch, pick.Silent)
+		c.done(ch, pick.TimedOut)
 	case errors.Is(err, errTimeUp) && c.p.upstream.now()-max(time.Duration(x.pool.heard.Load()), x.sent) < leastPatience:
-		c.done(ch, pick.Abandoned) // late, but alive for all that is known
+		c.done(ch, pick.Canceled) // late, but alive for all that is known
 	case errors.Is(err, errTimeUp):
 		c.p.upstream.distrust(x.pool, x.sent)
-		c.done(ch, pick.Silent)
+		c.done(ch, pick.TimedOut)
 	default:
 		c.p.upstream.distrust(x.pool, x.sent)
-		c.done(ch, pick.Broken)
+		c.done(ch, pick.ConnectionLost)
 	}
 	return false
 }
@@ -228,10 +228,10 @@
 	n := &c.p.counters
 	switch {
 	case c.r.Context().Err() != nil:
-		n.Gone.Add(1)
+		n.ClientGone.Add(1)
 		c.cut(true)
 	case c.passing:
-		n.Cut.Add(1)
+		n.Truncated.Add(1)
 		c.cut(false)
 	case c.kept != nil:
 		n.Served.Add(1)
@@ -243,7 +243,7 @@
 		n.TimedOut.Add(1)
 		c.refuse(http.StatusGatewayTimeout, 0)
 	default:
-		n.Broken.Add(1)
+		n.Failed.Add(1)
 		c.refuse(http.StatusBadGateway, 0)
 	}
 }
--- a/internal/system/proxy/front_test.go
+++ b/internal/system/proxy/front_test.go
@@ -34,7 +34,7 @@
 		}
 		return say(200, "x")(c, r, body)
 	})
-	f := startProxy(t, []*fakeServer{s}, func(o *Options, _ *conf.Config) { o.GraceFor = 3 * time.Second })
+	f := startProxy(t, []*fakeServer{s}, func(o *Options, _ *conf.Config) { o.GracePeriod = 3 * time.Second })
 	idle, busy, open := f.dial(t), f.dial(t), f.dial(t)
 	if got := idle.post("id-1", "").read(); got.StatusCode != 200 || got.Close || !f.Ready() {
 		t.Errorf("status %d, closing %v, ready %v", got.StatusCode, got.Close, f.Ready())
@@ -78,7 +78,7 @@
 // TestDrainCuts ends a proxy whose server does not answer: the end comes within the time given.
 func TestDrainCuts(t *testing.T) {
 	s := startServer(t, mute)
-	f := startProxy(t, []*fakeServer{s}, func(o *Options, _ *conf.Config) { o.GraceFor = 400 * time.Millisecond })
+	f := startProxy(t, []*fakeServer{s}, func(o *Options, _ *conf.Config) { o.GracePeriod = 400 * time.Millisecond })
 	c := f.dial(t).post("id-1", "")
 	within(t, s.came, "request")
 	began := time.Now()
@@ -114,7 +114,7 @@
 	config := *w.Config
 	config.Limits.HeaderTimeout, config.Limits.IdleTimeout = 50*time.Millisecond, 60*time.Millisecond
 	w.Config = &config
-	f.SetWorld(time.Now(), w)
+	f.UpdateClusterState(time.Now(), w)
 	slow := f.dial(t)
 	fmt.Fprint(slow, "POST /a/x HT")
 	if _, err := io.ReadAll(slow); err != nil {
@@ -246,7 +246,7 @@
 		w.Servers[i].Zone, w.Servers[i].Region, w.Servers[i].Slots = "z", "r", 8
 	}
 	real.upstream.near = patience
-	real.SetWorld(time.Now(), w)
+	real.UpdateClusterState(time.Now(), w)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -289,7 +289,7 @@
 	if got := f.ask(t, "id-2", ""); got.StatusCode != 200 {
 		t.Errorf("status %d", got.StatusCode)
 	}
-	for f.Counters().Gone.Load() == 0 { // within the time of the test binary, or it fails with all stacks
+	for f.Counters().ClientGone.Load() == 0 { // within the time of the test binary, or it fails with all stacks
 		runtime.Gosched()
 	}
 	if got := slow.read(); got.err == nil || len(got.body) == len(long) {
--- a/internal/system/proxy/handler.go
+++ b/internal/system/proxy/handler.go
@@ -40,7 +40,7 @@
 	target, path := targetOf(r)
 	route := p.policy.Route(r.Host, path)
 	if status := check(config.Limits, r, route, target); status != 0 {
-		p.counters.Improper.Add(1)
+		p.counters.Rejected.Add(1)
 		p.reply(w, id, status)
 		return
 	}
@@ -62,7 +62,7 @@
 	c.body = b.bytes
 	in, out := tokenCount(r.Header.Get("X-Token-Count"))
 	c.req = pick.Request{Route: route, Model: r.Header.Get("X-Model"), TokensIn: in, TokensOut: out,
-		Parts: promptParts(r.Header.Get("X-Prompt-Prefix")), Left: time.Until(c.deadline), Age: time.Since(came)}
+		Prefix: promptParts(r.Header.Get("X-Prompt-Prefix")), TimeLeft: time.Until(c.deadline), Age: time.Since(came)}
 	p.policy.Arrive(&c.req)
 	c.run()
 }
@@ -108,10 +108,10 @@
 		n.Refused.Add(1)
 		c.refuse(status, defaultRetry)
 	case statusGone:
-		n.Gone.Add(1)
+		n.ClientGone.Add(1)
 		c.cut(true)
 	default:
-		n.Improper.Add(1)
+		n.Rejected.Add(1)
 		c.refuse(status, 0)
 	}
 }
--- a/internal/system/proxy/headers.go
+++ b/internal/system/proxy/headers.go
@@ -80,18 +80,18 @@
 }
 
 // promptParts reads X-Prompt-Prefix: ID:TOKENS separated by commas, the ID in hex. It ends where it cannot be read.
-func promptParts(text string) []pick.Part {
+func promptParts(text string) []pick.PrefixPart {
 	if text == "" {
 		return nil
 	}
-	parts := make([]pick.Part, 0, min(strings.Count(text, ",")+1, mostParts))
+	parts := make([]pick.PrefixPart, 0, min(strings.Count(text, ",")+1, mostParts))
 	for one := range strings.SplitSeq(text, ",") {
 		id, tokens, ok := strings.Cut(textproto.TrimString(one), ":")
 		n, err := strconv.ParseUint(id, 16, 64)
 		if !ok || err != nil || len(parts) == mostParts {
 			break
 		}
-		parts = append(parts, pick.Part{ID: n, Tokens: count(tokens)})
+		parts = append(parts, pick.PrefixPart{ID: n, Tokens: count(tokens)})
 	}
 	return parts
 }
--- a/internal/system/proxy/headers_test.go
+++ b/internal/system/proxy/headers_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestPromptParts(t *testing.T) {
-	for text, want := range map[string][]pick.Part{
+	for text, want := range map[string][]pick.PrefixPart{
 		"":                  nil,
 		"5c1e07a2:800":      {{ID: 0x5c1e07a2, Tokens: 800}},
 		"ff:6, 1a:4":        {{ID: 0xff, Tokens: 6}, {ID: 0x1a, Tokens: 4}},
--- a/internal/system/proxy/helpers_test.go
+++ b/internal/system/proxy/helpers_test.go
@@ -25,7 +25,7 @@
 
 // toyPicker sends to the first server that has not been tried, and records how sends ended.
 type toyPicker struct {
-	world   pick.World
+	world   pick.ClusterState
 	route   *conf.Route
 	ticket  uint64
 	ends    []pick.Outcome
@@ -39,21 +39,21 @@
 	sent    map[uint64]string
 }
 
-func (t *toyPicker) SetWorld(_ pick.Time, w pick.World)       { t.world = w }
-func (t *toyPicker) SetLoads(pick.Time, map[string]pick.Load) {}
-func (t *toyPicker) Loads() map[string]pick.Load              { return nil }
-func (t *toyPicker) Keeps(string, time.Duration)              {}
-func (t *toyPicker) Demands() map[string]pick.Load            { return nil }
-func (t *toyPicker) Arrive(pick.Time, *pick.Request)          {}
-func (t *toyPicker) FirstEvent(pick.Time, uint64)             { t.firsts++ }
-func (t *toyPicker) Started(pick.Time, uint64)                {}
-func (t *toyPicker) Cold(pick.Time, string, time.Duration)    {}
-func (t *toyPicker) Leaving(pick.Time, string)                {}
-func (t *toyPicker) AwaitsList() bool                         { return false }
-func (t *toyPicker) Stalled(pick.Time)                        {}
-func (t *toyPicker) AwaitsWord() bool                         { return false }
-func (t *toyPicker) Stats() pick.Stats                        { return pick.Stats{} }
-func (t *toyPicker) Describe(pick.Time) string                { return "toy" }
+func (t *toyPicker) UpdateClusterState(_ pick.Time, w pick.ClusterState) { t.world = w }
+func (t *toyPicker) SetLoads(pick.Time, map[string]pick.Load)            {}
+func (t *toyPicker) Loads() map[string]pick.Load                         { return nil }
+func (t *toyPicker) SetIdleTimeout(string, time.Duration)                {}
+func (t *toyPicker) PromptDemands() map[string]pick.Load                 { return nil }
+func (t *toyPicker) Arrive(pick.Time, *pick.Request)                     {}
+func (t *toyPicker) FirstEvent(pick.Time, uint64)                        { t.firsts++ }
+func (t *toyPicker) Started(pick.Time, uint64)                           {}
+func (t *toyPicker) WarmingUp(pick.Time, string, time.Duration)          {}
+func (t *toyPicker) ServerDraining(pick.Time, string)                    {}
+func (t *toyPicker) AwaitsServerList() bool                              { return false }
+func (t *toyPicker) Stalled(pick.Time)                                   {}
+func (t *toyPicker) AwaitsControlPlane() bool                            { return false }
+func (t *toyPicker) Stats() pick.Stats                                   { return pick.Stats{} }
+func (t *toyPicker) Describe(pick.Time) string                           { return "toy" }
 func (t *toyPicker) ServerLoad(_ pick.Time, id string, run, wait, of int) {
 	t.load = fmt.Sprintf("%s %d,%d,%d", id, run, wait, of)
 }
@@ -77,14 +77,14 @@
 		}
 	}
 	if offered {
-		return pick.Choice{Verdict: pick.Exhaust}
+		return pick.Choice{Verdict: pick.GiveUp}
 	}
 	return pick.Choice{Verdict: pick.Refuse, RetryAfter: t.retry}
 }
 
 func (t *toyPicker) Done(_ pick.Time, ticket uint64, o pick.Outcome, _ time.Duration) {
 	t.ends = append(t.ends, o)
-	if o == pick.Unreached {
+	if o == pick.ConnectFailed {
 		t.down[t.sent[ticket]] = true
 	}
 }
@@ -266,18 +266,18 @@
 	config := &conf.Config{Revision: 1, Routes: []*conf.Route{route},
 		Services: map[string]*conf.Service{"s": {Name: "s", MaxConns: 100}},
 		Limits:   conf.Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}}
-	o := Options{Log: &log.Logger{Handler: discard.New()}, GraceFor: 2 * time.Second}
+	o := Options{Log: &log.Logger{Handler: discard.New()}, GracePeriod: 2 * time.Second}
 	for _, c := range changes {
 		c(&o, config)
 	}
 	toy := &toyPicker{route: route, down: map[string]bool{}, sent: map[uint64]string{}}
 	f := &fixture{Proxy: newProxy(o, toy), pick: toy, route: route, ended: make(chan error, 1)}
 	f.upstream.near = patience // the machine may be busy
-	w := pick.World{Config: config}
+	w := pick.ClusterState{Config: config}
 	for i, s := range servers {
 		w.Servers = append(w.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: s.address()})
 	}
-	f.SetWorld(time.Now(), w)
+	f.UpdateClusterState(time.Now(), w)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/system/proxy/late_send_test.go
+++ b/internal/system/proxy/late_send_test.go
@@ -42,7 +42,7 @@
 				w, _ := p.ask(t.Context())
 				want, ends := 0, []pick.Outcome{pick.Served}
 				if tt.within > 0 && tt.opens > tt.within {
-					want, ends = 1, []pick.Outcome{pick.Unreached, pick.Served}
+					want, ends = 1, []pick.Outcome{pick.ConnectFailed, pick.Served}
 				}
 				if w.Code != 200 || len(ran) != 1 || <-ran != want || !slices.Equal(p.pick.ends, ends) {
 					t.Errorf("status %d, sends ended as %v, want %v at server %d", w.Code, p.pick.ends, ends, want)
--- a/internal/system/proxy/metrics.go
+++ b/internal/system/proxy/metrics.go
@@ -10,16 +10,16 @@
 func (p *Proxy) Publish() {
 	n := &p.counters
 	for name, counter := range map[string]*atomic.Int64{
-		"requests": &n.Requests, "served": &n.Served, "refused": &n.Refused, "broken": &n.Broken, "timed_out": &n.TimedOut,
-		"cut": &n.Cut, "gone": &n.Gone, "improper": &n.Improper, "sends": &n.Sends, "repeats": &n.Repeats, "resumed": &n.Resumed,
-		"moved": &n.Moved, "dials": &n.Dials, "unreached": &n.Unreached, "reused": &n.Reused, "stale": &n.Stale,
+		"requests": &n.Requests, "served": &n.Served, "refused": &n.Refused, "broken": &n.Failed, "timed_out": &n.TimedOut,
+		"cut": &n.Truncated, "gone": &n.ClientGone, "improper": &n.Rejected, "sends": &n.Sends, "repeats": &n.Retries, "resumed": &n.Resumed,
+		"moved": &n.Abandoned, "dials": &n.Dials, "unreached": &n.DialFailures, "reused": &n.Reused, "stale": &n.Stale,
 		"surplus": &n.Surplus, "mismatch": &n.Mismatch, "unframed": &n.Unframed,
 	} {
 		publish(name, func() float64 { return float64(counter.Load()) })
 	}
-	publish("cold_starts", func() float64 { return float64(p.policy.Stats().ColdStarts) })
-	publish("cold_sends", func() float64 { return float64(p.policy.Stats().ColdSends) })
-	publish("cold_ends", func() float64 { return float64(p.policy.Stats().ColdEnds) })
+	publish("cold_starts", func() float64 { return float64(p.policy.Stats().WarmUpStarts) })
+	publish("cold_sends", func() float64 { return float64(p.policy.Stats().WarmUpSends) })
+	publish("cold_ends", func() float64 { return float64(p.policy.Stats().WarmUpEnds) })
 }
 
 // publish names a counter among the process's metrics.
--- a/internal/system/proxy/once_test.go
+++ b/internal/system/proxy/once_test.go
@@ -120,7 +120,7 @@
 	defer w.stop()
 	route := &conf.Route{Name: "r", Host: "h.example", Prefix: "/a/", Category: s.Category, Resumable: s.Resumable,
 		Timeout: 8 * time.Second, MaxTries: s.MaxTries, Shares: []conf.Share{{Service: "s", Weight: 1}}}
-	world := pick.World{Config: &conf.Config{Revision: 1, Routes: []*conf.Route{route},
+	world := pick.ClusterState{Config: &conf.Config{Revision: 1, Routes: []*conf.Route{route},
 		Services: map[string]*conf.Service{"s": {Name: "s", MaxConns: 100}},
 		Limits:   conf.Limits{HeaderBytes: 16 << 10, BodyBytes: 4 << 20}}}
 	for i, will := range s.Servers {
@@ -139,7 +139,7 @@
 	p := newProxy(Options{Log: &log.Logger{Handler: discard.New()}, without: without,
 		patience: shortPatience, gap: shortPatience}, toy)
 	p.upstream.near = patience
-	p.SetWorld(time.Now(), world)
+	p.UpdateClusterState(time.Now(), world)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -155,9 +155,9 @@
 	}
 	w.stop()
 	n := &p.counters
-	for name, count := range map[string]*atomic.Int64{"reused": &n.Reused, "repeats": &n.Repeats, "resumed": &n.Resumed,
-		"moved": &n.Moved, "stale": &n.Stale, "surplus": &n.Surplus, "mismatch": &n.Mismatch, "cut": &n.Cut, "served": &n.Served,
-		"timed out": &n.TimedOut, "refused": &n.Refused, "broken": &n.Broken, "gone": &n.Gone, "unframed": &n.Unframed} {
+	for name, count := range map[string]*atomic.Int64{"reused": &n.Reused, "repeats": &n.Retries, "resumed": &n.Resumed,
+		"moved": &n.Abandoned, "stale": &n.Stale, "surplus": &n.Surplus, "mismatch": &n.Mismatch, "cut": &n.Truncated, "served": &n.Served,
+		"timed out": &n.TimedOut, "refused": &n.Refused, "broken": &n.Failed, "gone": &n.ClientGone, "unframed": &n.Unframed} {
 		tally[name] += count.Load()
 	}
 	if err != nil {
--- a/internal/system/proxy/pause_test.go
+++ b/internal/system/proxy/pause_test.go
@@ -12,9 +12,9 @@
 )
 
 // pausedPolicy is a policy of one of twelve proxies that knows two servers, which bear 31 requests a second while they are cold.
-func pausedPolicy() (*policy, *pick.Request, pick.World) {
+func pausedPolicy() (*policy, *pick.Request, pick.ClusterState) {
 	route := &conf.Route{Host: "h", Prefix: "/", MaxTries: 2, Category: conf.Idempotent, Shares: []conf.Share{{Service: "a", Weight: 1}}}
-	w := pick.World{Self: "p00", Config: &conf.Config{Routes: []*conf.Route{route},
+	w := pick.ClusterState{Self: "p00", Config: &conf.Config{Routes: []*conf.Route{route},
 		Services: map[string]*conf.Service{"a": {Name: "a", WarmUpRate: 31, WarmUpTime: 3 * time.Second}}}}
 	for i := range 12 {
 		w.Peers = append(w.Peers, "p"+string(rune('0'+i/10))+string(rune('0'+i%10)))
@@ -22,9 +22,9 @@
 	for _, id := range []string{"s0", "s1"} {
 		w.Servers = append(w.Servers, pick.Server{ID: id, Service: "a", Zone: "z", Slots: 1000})
 	}
-	p := newPolicy(pick.New(pick.Settings{Zone: "z", Region: "r", ColdExcess: 1.5, ColdSlack: 5}), nil)
+	p := newPolicy(pick.New(pick.Settings{Zone: "z", Region: "r", WarmUpExcess: 1.5, WarmUpSlack: 5}), nil)
 	p.stalls.ticking = true
-	return p, &pick.Request{Route: route, Left: 5 * time.Second}, w
+	return p, &pick.Request{Route: route, TimeLeft: 5 * time.Second}, w
 }
 
 // standStill lets time go by without a call, as while the process is stopped.
@@ -81,14 +81,14 @@
 		})
 		synctest.Wait()
 		time.Sleep(20 * time.Millisecond)
-		w.WordAge = time.Second
+		w.ContactAge = time.Second
 		p.SetWorld(time.Now(), w)
 		synctest.Wait()
 		if got != 0 {
 			t.Errorf("%d requests went out by a word from before", got)
 		}
 		time.Sleep(20 * time.Millisecond)
-		w.WordAge = 10 * time.Millisecond
+		w.ContactAge = 10 * time.Millisecond
 		p.SetWorld(time.Now(), w)
 		waiting.Wait()
 		if took := time.Since(woke); took != 40*time.Millisecond || got != 100 || told != 1 {
@@ -146,7 +146,7 @@
 	p.SetWorld(time.Now(), w)
 	before := time.Now()
 	standStill(p, 5*time.Second)
-	w.WordAge = 0
+	w.ContactAge = 0
 	p.SetWorld(before.Add(-5*time.Second), w) // made before the stall, used after it
 	if p.stalls.word == nil {
 		t.Error("a world from before the stall ends the wait")
--- a/internal/system/proxy/pick/belief.go
+++ b/internal/system/proxy/pick/belief.go
@@ -35,8 +35,8 @@
 
 func chainOf(r *Request) (c chain) {
 	key, sum := uint64(chainKeySeed), 0
-	c.parts = len(r.Parts)
-	for _, part := range r.Parts {
+	c.parts = len(r.Prefix)
+	for _, part := range r.Prefix {
 		if c.n == chainsMost {
 			break
 		}
--- a/internal/system/proxy/pick/choose.go
+++ b/internal/system/proxy/pick/choose.go
@@ -29,7 +29,7 @@
 	case offered && !r.Route.Idempotent(),
 		r.arrived >= most,
 		len(tried) >= most+unsentTries:
-		c.Verdict = Exhaust
+		c.Verdict = GiveUp
 		return c
 	}
 	o := p.rotation(r.Route)
@@ -74,7 +74,7 @@
 // retrySlack is this proxy's part of the repeats that all may make beside the ratio; none while it does not know how many there
 // are.
 func (p *Picker) retrySlack() float64 {
-	if p.world.Partial {
+	if p.world.MembershipIncomplete {
 		return 0
 	}
 	return p.set.RetrySlack / float64(p.peers.count())
@@ -86,10 +86,10 @@
 	if !math.IsInf(wait, 1) {
 		c.RetryAfter = span(wait)
 	}
-	c.RetryAfter = max(min(c.RetryAfter, r.Left/3), retryLeast)
+	c.RetryAfter = max(min(c.RetryAfter, r.TimeLeft/3), retryLeast)
 	c.Verdict = Refuse
 	if len(tried) > 0 || r.arrived > 0 {
-		c.Verdict = Exhaust
+		c.Verdict = GiveUp
 	}
 	return c
 }
@@ -199,7 +199,7 @@
 // ones late, and a client that comes back a little later may be in time.
 func (p *Picker) crowded(r *Request, s *server, at cost) bool {
 	aim := ms(r.Route.LatencyTarget)
-	return at.first > ms(r.Left) || float64(at.load) >= s.group.room*float64(s.slots()) || aim > 0 && at.wait > waitShare*aim
+	return at.first > ms(r.TimeLeft) || float64(at.load) >= s.group.room*float64(s.slots()) || aim > 0 && at.wait > waitShare*aim
 }
 
 const (
--- a/internal/system/proxy/pick/cold.go
+++ b/internal/system/proxy/pick/cold.go
@@ -24,7 +24,7 @@
 )
 
 // coldBound is what a cold server may receive within a second, from all.
-func (p *Picker) coldBound(rate float64) float64 { return rate*p.set.ColdExcess + p.set.ColdSlack }
+func (p *Picker) coldBound(rate float64) float64 { return rate*p.set.WarmUpExcess + p.set.WarmUpSlack }
 
 // coldHolders is how many proxies share a cold server, and how many requests a second each of them may send.
 func (p *Picker) coldHolders(rate float64) (holders int, each float64) {
@@ -59,9 +59,9 @@
 		return 0, false
 	}
 	if few {
-		return max(s.holderSince, p.resumed) + successorWait, s.holder && !p.world.Partial
+		return max(s.holderSince, p.resumed) + successorWait, s.holder && !p.world.MembershipIncomplete
 	}
-	return s.holderSince + holderWait, s.holder && !p.world.Partial
+	return s.holderSince + holderWait, s.holder && !p.world.MembershipIncomplete
 }
 
 // holderOf tells whether this proxy is one of the holders of s.
@@ -130,7 +130,7 @@
 func (p *Picker) spendCold(now Time, s *server) {
 	switch {
 	case s.cold(now):
-		p.stats.ColdSends++
+		p.stats.WarmUpSends++
 		if rate := s.coldRate(); rate > 0 {
 			s.token--
 			_, each := p.coldHolders(rate)
@@ -139,14 +139,14 @@
 		}
 	case s.wasCold:
 		s.wasCold, s.warmedAt, s.warmedSince, s.coldSent = false, now, s.coldSince, coldWindow{}
-		p.stats.ColdEnds++
+		p.stats.WarmUpEnds++
 	}
 }
 
 // listCold takes what the list tells of s's cold state, which has just been read.
 func (p *Picker) listCold(now Time, s *server) {
 	p.checkColdEnd(now, s)
-	until := now + s.Cold
+	until := now + s.WarmUpMax
 	if latest := p.unseenColdEnd(s); now < latest {
 		s.unproven, until = true, max(until, latest)
 	} else {
@@ -173,7 +173,7 @@
 // is taken back may have become cold shortly before.
 func (p *Picker) unseenColdEnd(s *server) Time {
 	change, ok := p.zoneChanges[s.Zone]
-	if !ok || change.number <= p.world.ListCovers || p.world.Evacuated[s.Zone] {
+	if !ok || change.number <= p.world.ListCoversSeq || p.world.Evacuated[s.Zone] {
 		return 0
 	}
 	return change.heard + p.coldFor(s.Service)
@@ -239,14 +239,14 @@
 
 // heardSince tells whether a keeper told of the world after a moment.
 func (p *Picker) heardSince(now, since Time) bool {
-	return now-p.world.WordAge-p.world.Delay >= since
+	return now-p.world.ContactAge-p.world.Age >= since
 }
 
-// AwaitsWord tells whether the process stood still and no keeper's word from after that has come.
-func (p *Picker) AwaitsWord() bool { return p.stalled }
+// AwaitsControlPlane tells whether the process stood still and no keeper's word from after that has come.
+func (p *Picker) AwaitsControlPlane() bool { return p.stalled }
 
-// AwaitsList tells whether a newer reading of the list would free servers that may have turned cold unseen.
-func (p *Picker) AwaitsList() bool {
+// AwaitsServerList tells whether a newer reading of the list would free servers that may have turned cold unseen.
+func (p *Picker) AwaitsServerList() bool {
 	for _, s := range p.servers {
 		if s.unproven {
 			return true
--- a/internal/system/proxy/pick/coldend_test.go
+++ b/internal/system/proxy/pick/coldend_test.go
@@ -36,7 +36,7 @@
 	g.config.Routes = []*conf.Route{{Host: "h", Prefix: "/", MaxTries: 1, Shares: []conf.Share{{Service: "a", Weight: 1}}}}
 	for i := range 12 {
 		g.peers = append(g.peers, fmt.Sprintf("p%02d", i))
-		g.pickers = append(g.pickers, New(Settings{Zone: "z", Region: "r", ColdExcess: 1.5, ColdSlack: 5}))
+		g.pickers = append(g.pickers, New(Settings{Zone: "z", Region: "r", WarmUpExcess: 1.5, WarmUpSlack: 5}))
 	}
 	g.tells = make([]Time, len(g.pickers))
 	return g
@@ -48,11 +48,11 @@
 		if now < g.tells[i] {
 			continue
 		}
-		w := World{Config: g.config, Self: g.peers[i], Peers: g.peers}
+		w := ClusterState{Config: g.config, Self: g.peers[i], Peers: g.peers}
 		for s := range 5 {
-			w.Servers = append(w.Servers, Server{ID: fmt.Sprint("s", s), Service: "a", Zone: "z", Slots: 1000, Cold: max(0, coldFor-g.early-now)})
+			w.Servers = append(w.Servers, Server{ID: fmt.Sprint("s", s), Service: "a", Zone: "z", Slots: 1000, WarmUpMax: max(0, coldFor-g.early-now)})
 		}
-		p.SetWorld(now, w)
+		p.UpdateClusterState(now, w)
 		g.tells[i] = now + 500*time.Millisecond + time.Duration(g.rng.IntN(500))*time.Millisecond
 	}
 }
@@ -64,7 +64,7 @@
 		if now >= w.until {
 			continue
 		}
-		w.request.Left = w.until - now
+		w.request.TimeLeft = w.until - now
 		c := p.Choose(now, w.request, nil, false)
 		if c.Verdict != Send {
 			left = append(left, w)
--- a/internal/system/proxy/pick/coldholders_test.go
+++ b/internal/system/proxy/pick/coldholders_test.go
@@ -18,7 +18,7 @@
 				f := newColdFleet(proxies)
 				f.config.Services["a"].WarmUpRate = rate
 				for i, p := range f.pickers {
-					p.SetWorld(0, f.world(i, 1, time.Minute))
+					p.UpdateClusterState(0, f.world(i, 1, time.Minute))
 				}
 				f.press(0, 3*time.Second, 4*time.Millisecond, nil)
 				from := f.sent[0]
@@ -59,7 +59,7 @@
 			default:
 				continue
 			}
-			p.SetWorld(now, w)
+			p.UpdateClusterState(now, w)
 		}
 	})
 	f.check(t)
@@ -75,12 +75,12 @@
 			for i, p := range f.pickers {
 				w := f.world(i, 1, time.Minute)
 				w.Config = free
-				p.SetWorld(0, w)
+				p.UpdateClusterState(0, w)
 			}
 			f.press(bound, bound+3*time.Second, 10*time.Millisecond, func(now Time) {
 				if now == bound {
 					for i, p := range f.pickers {
-						p.SetWorld(now, f.world(i, 1, time.Minute))
+						p.UpdateClusterState(now, f.world(i, 1, time.Minute))
 					}
 				}
 			})
@@ -99,12 +99,12 @@
 			for i, p := range f.pickers {
 				w := f.world(i, 1, time.Minute)
 				if i < smaller {
-					p.SetWorld(0, f.world(i, 1, time.Minute))
+					p.UpdateClusterState(0, f.world(i, 1, time.Minute))
 					w.Peers, w.Stale = f.names[:smaller], true
 				} else {
 					w.Peers = f.names[smaller:]
 				}
-				p.SetWorld(starts, w)
+				p.UpdateClusterState(starts, w)
 			}
 			f.press(starts, starts+5*time.Second, 10*time.Millisecond, nil)
 			f.check(t)
--- a/internal/system/proxy/pick/coldshare_test.go
+++ b/internal/system/proxy/pick/coldshare_test.go
@@ -21,17 +21,17 @@
 	f.config.Routes = []*conf.Route{{Host: "h", Prefix: "/", MaxTries: 2, Category: conf.Idempotent, Shares: []conf.Share{{Service: "a", Weight: 1}}}}
 	for i := range proxies {
 		f.names = append(f.names, fmt.Sprintf("p%02d", i))
-		f.pickers = append(f.pickers, New(Settings{Zone: "z", Region: "r", ColdExcess: 1.5, ColdSlack: 5, RetryRatio: 0.2,
+		f.pickers = append(f.pickers, New(Settings{Zone: "z", Region: "r", WarmUpExcess: 1.5, WarmUpSlack: 5, RetryRatio: 0.2,
 			RetrySlack: 64}))
 	}
 	return f
 }
 
 // world is what proxy i knows of servers that stay cold for that long.
-func (f *coldFleet) world(i int, servers int, cold time.Duration) World {
-	w := World{Config: f.config, Self: f.names[i], Peers: f.names}
+func (f *coldFleet) world(i int, servers int, cold time.Duration) ClusterState {
+	w := ClusterState{Config: f.config, Self: f.names[i], Peers: f.names}
 	for s := range servers {
-		w.Servers = append(w.Servers, Server{ID: fmt.Sprint("s", s), Service: "a", Zone: "z", Slots: 1000, Cold: cold})
+		w.Servers = append(w.Servers, Server{ID: fmt.Sprint("s", s), Service: "a", Zone: "z", Slots: 1000, WarmUpMax: cold})
 	}
 	return w
 }
@@ -43,7 +43,7 @@
 			each(now)
 		}
 		for _, p := range f.pickers {
-			c := p.Choose(now, &Request{Route: f.config.Routes[0], Left: time.Second}, nil, false)
+			c := p.Choose(now, &Request{Route: f.config.Routes[0], TimeLeft: time.Second}, nil, false)
 			if c.Verdict != Send {
 				continue
 			}
@@ -59,7 +59,7 @@
 func (f *coldFleet) loseHolders(count int) (lost map[int]bool, left []string) {
 	lost = map[int]bool{}
 	for i, p := range f.pickers {
-		p.SetWorld(0, f.world(i, 1, time.Minute))
+		p.UpdateClusterState(0, f.world(i, 1, time.Minute))
 		if p.servers["s0"].holder && len(lost) < count {
 			lost[i] = true
 		} else {
@@ -81,12 +81,12 @@
 func TestQuietTimeKeepsPartsSmall(t *testing.T) {
 	f := newColdFleet(12)
 	for i, p := range f.pickers {
-		p.SetWorld(0, f.world(i, 1, time.Minute))
+		p.UpdateClusterState(0, f.world(i, 1, time.Minute))
 	}
 	for i, p := range f.pickers[:3] {
 		w := f.world(i, 1, 29*time.Second)
 		w.Peers = f.names[:3]
-		p.SetWorld(31*time.Second, w)
+		p.UpdateClusterState(31*time.Second, w)
 	}
 	f.press(31*time.Second, 34*time.Second, 10*time.Millisecond, nil)
 	f.check(t)
@@ -98,8 +98,8 @@
 	f := newColdFleet(12)
 	for i, p := range f.pickers {
 		w := f.world(i, 1, time.Minute)
-		w.Peers, w.Partial = f.names[i/6*6:i/6*6+6], true
-		p.SetWorld(0, w)
+		w.Peers, w.MembershipIncomplete = f.names[i/6*6:i/6*6+6], true
+		p.UpdateClusterState(0, w)
 		if got := p.retrySlack(); got > 0 {
 			t.Errorf("%v repeats beside the ratio, of a number that is not known", got)
 		}
@@ -109,7 +109,7 @@
 		t.Errorf("%d requests to a cold server whose holders are not known", len(f.sent))
 	}
 	for i, p := range f.pickers {
-		p.SetWorld(4*time.Second, f.world(i, 1, time.Minute))
+		p.UpdateClusterState(4*time.Second, f.world(i, 1, time.Minute))
 	}
 	f.press(4*time.Second, 8*time.Second, 10*time.Millisecond, nil)
 	f.check(t)
@@ -132,10 +132,10 @@
 					switch {
 					case now == givenUp && !lost[i]:
 						w.Peers = left
-						p.SetWorld(now, w)
+						p.UpdateClusterState(now, w)
 					case now == givenUp+stale && lost[i]:
 						w.Stale = true
-						p.SetWorld(now, w)
+						p.UpdateClusterState(now, w)
 					}
 				}
 			})
@@ -149,11 +149,11 @@
 func TestNewServerIsHeldAtOnce(t *testing.T) {
 	f := newColdFleet(12)
 	for i, p := range f.pickers {
-		p.SetWorld(0, f.world(i, 0, 0))
+		p.UpdateClusterState(0, f.world(i, 0, 0))
 	}
 	const starts = 10 * time.Second
 	for i, p := range f.pickers {
-		p.SetWorld(starts, f.world(i, 1, coldFor))
+		p.UpdateClusterState(starts, f.world(i, 1, coldFor))
 	}
 	f.press(starts, starts+time.Second, 10*time.Millisecond, nil)
 	f.check(t)
@@ -162,7 +162,7 @@
 	}
 	late := newColdFleet(12)
 	late.pickers = late.pickers[:1]
-	late.pickers[0].SetWorld(starts, late.world(0, 1, coldFor))
+	late.pickers[0].UpdateClusterState(starts, late.world(0, 1, coldFor))
 	late.press(starts, starts+holderWait-10*time.Millisecond, 10*time.Millisecond, nil)
 	if len(late.sent) > 0 {
 		t.Errorf("%d requests of a proxy that has just come", len(late.sent))
--- a/internal/system/proxy/pick/coldsplit_test.go
+++ b/internal/system/proxy/pick/coldsplit_test.go
@@ -34,7 +34,7 @@
 							default:
 								continue
 							}
-							p.SetWorld(now, w)
+							p.UpdateClusterState(now, w)
 						}
 					}
 					if idle { // load comes as they come back
@@ -58,7 +58,7 @@
 	for _, minority := range []int{1, 3, 6, 8, 9, 11} {
 		t.Run(fmt.Sprint(minority), func(t *testing.T) {
 			f := newColdFleet(12)
-			world := func(i, servers int, cold time.Duration) World {
+			world := func(i, servers int, cold time.Duration) ClusterState {
 				w := f.world(i, servers, cold)
 				if i < minority {
 					w.Peers, w.Stale = f.names[:minority], true
@@ -68,12 +68,12 @@
 				return w
 			}
 			for i, p := range f.pickers {
-				p.SetWorld(0, f.world(i, 0, 0))
-				p.SetWorld(time.Second, world(i, 0, 0))
+				p.UpdateClusterState(0, f.world(i, 0, 0))
+				p.UpdateClusterState(time.Second, world(i, 0, 0))
 			}
 			const starts = 40 * time.Second
 			for i, p := range f.pickers {
-				p.SetWorld(starts, world(i, 1, coldFor))
+				p.UpdateClusterState(starts, world(i, 1, coldFor))
 			}
 			f.press(starts, starts+coldFor, 10*time.Millisecond, nil)
 			f.check(t)
@@ -88,12 +88,12 @@
 	f := newColdFleet(1)
 	p := f.pickers[0]
 	before := coldEndKept.Violations()
-	p.SetWorld(0, f.world(0, 1, coldFor))
+	p.UpdateClusterState(0, f.world(0, 1, coldFor))
 	f.press(0, coldFor, 10*time.Millisecond, nil)
 	f.press(request, request+10*time.Millisecond, 10*time.Millisecond, nil)
 	w := f.world(0, 1, again+coldFor-told)
-	w.Servers[0].ColdLeast = w.Servers[0].Cold
-	p.SetWorld(told, w)
+	w.Servers[0].WarmUpMin = w.Servers[0].WarmUpMax
+	p.UpdateClusterState(told, w)
 	if coldEndKept.Violations() != before {
 		t.Error("counted as a fault")
 	}
@@ -108,7 +108,7 @@
 	tell := func(now Time, rate float64) {
 		w := f.world(0, 1, 10*time.Second-now)
 		w.Config = &conf.Config{Routes: f.config.Routes, Services: map[string]*conf.Service{"a": {Name: "a", WarmUpRate: rate, WarmUpTime: 10 * time.Second}}}
-		p.SetWorld(now, w)
+		p.UpdateClusterState(now, w)
 	}
 	tell(0, 3.1)
 	f.press(0, 2910*time.Millisecond, 10*time.Millisecond, nil) // the last goes at 2.9 s
@@ -135,17 +135,17 @@
 					w := f.world(i, 1, time.Minute)
 					if lost[i] {
 						f.pickers[i] = New(p.set)
-						w.Partial, w.Stale = true, true
-						f.pickers[i].SetWorld(0, w)
+						w.MembershipIncomplete, w.Stale = true, true
+						f.pickers[i].UpdateClusterState(0, w)
 						continue
 					}
 					w.Peers = left
-					p.SetWorld(0, w)
+					p.UpdateClusterState(0, w)
 				}
 				f.press(ends, ends+3*time.Second, 10*time.Millisecond, func(now Time) {
 					for i, p := range f.pickers {
 						if now == ends && lost[i] || now == ends+hear && !lost[i] {
-							p.SetWorld(now, f.world(i, 1, time.Minute))
+							p.UpdateClusterState(now, f.world(i, 1, time.Minute))
 						}
 					}
 				})
@@ -268,7 +268,7 @@
 				}
 				at[i] = k
 				h := history[k]
-				w := World{Config: f.config, Self: f.names[i], Peers: h.peers, Lost: h.lost}
+				w := ClusterState{Config: f.config, Self: f.names[i], Peers: h.peers, DownCount: h.lost}
 				if !slices.Contains(w.Peers, w.Self) {
 					// it goes on until it has heard so
 					w.Stale = true
@@ -276,9 +276,9 @@
 					slices.Sort(w.Peers)
 				}
 				if h.cold > 0 {
-					w.Servers = []Server{{ID: "s0", Service: "a", Zone: "z", Slots: 1000, Cold: max(0, h.cold-now)}}
+					w.Servers = []Server{{ID: "s0", Service: "a", Zone: "z", Slots: 1000, WarmUpMax: max(0, h.cold-now)}}
 				}
-				p.SetWorld(now, w)
+				p.UpdateClusterState(now, w)
 			}
 		}
 		var sent []Time
@@ -295,7 +295,7 @@
 				if at[i] < 0 {
 					continue
 				}
-				c := p.Choose(now, &Request{Route: f.config.Routes[0], Left: time.Second}, nil, false)
+				c := p.Choose(now, &Request{Route: f.config.Routes[0], TimeLeft: time.Second}, nil, false)
 				if c.Verdict != Send {
 					continue
 				}
@@ -321,9 +321,9 @@
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			f := newColdFleet(c.all)
 			for i, p := range f.pickers {
-				p.SetWorld(0, f.world(i, 0, 0))
+				p.UpdateClusterState(0, f.world(i, 0, 0))
 			}
-			world := func(i, servers int, cold time.Duration) World {
+			world := func(i, servers int, cold time.Duration) ClusterState {
 				w := f.world(i, servers, cold)
 				if i < c.minority {
 					w.Peers, w.Stale = f.names[:c.minority], true
@@ -334,10 +334,10 @@
 			}
 			const split, starts = 5 * time.Second, 10 * time.Second
 			for i, p := range f.pickers {
-				p.SetWorld(split, world(i, 0, 0))
+				p.UpdateClusterState(split, world(i, 0, 0))
 			}
 			for i, p := range f.pickers {
-				p.SetWorld(starts, world(i, 1, coldFor))
+				p.UpdateClusterState(starts, world(i, 1, coldFor))
 			}
 			f.press(starts+800*time.Millisecond, starts+coldFor, 10*time.Millisecond, nil)
 			f.check(t)
--- a/internal/system/proxy/pick/conformance_test.go
+++ b/internal/system/proxy/pick/conformance_test.go
@@ -16,14 +16,14 @@
 type table struct {
 	p       *Picker
 	now     Time
-	world   World
+	world   ClusterState
 	tickets map[string]uint64 // by the name of the send
 	request map[string]*Request
 	tried   map[string][]string
 }
 
 var outcomes = map[string]Outcome{"served": Served, "not-executed": NotExecuted, "misdirected": Misdirected,
-	"unreached": Unreached, "broken": Broken, "silent": Silent, "failed": Failed, "abandoned": Abandoned}
+	"unreached": ConnectFailed, "broken": ConnectionLost, "silent": TimedOut, "failed": ServerError, "abandoned": Canceled}
 
 // TestConformance plays the tables of testdata, taken from the design page and the rules.
 func TestConformance(t *testing.T) {
@@ -60,7 +60,7 @@
 	case "new":
 		b.now = time.Hour // not the clock's start
 		b.p = New(Settings{Zone: "z1", Region: "r1", Regions: map[string]string{"z1": "r1", "z2": "r1", "z3": "r2"}, RetryRatio: 0.2,
-			RetrySlack: float64(number("slack", 10)), ColdExcess: 1.5, ColdSlack: 5})
+			RetrySlack: float64(number("slack", 10)), WarmUpExcess: 1.5, WarmUpSlack: 5})
 		return ""
 	case "world":
 		return b.tell(t, d)
@@ -80,10 +80,10 @@
 		b.p.ServerLoad(b.now, arg("server", ""), number("running", 0), number("waiting", 0), number("slots", 0))
 		return ""
 	case "cold":
-		b.p.Cold(b.now, arg("server", ""), duration("left", "0s"))
+		b.p.WarmingUp(b.now, arg("server", ""), duration("left", "0s"))
 		return ""
 	case "leaving":
-		b.p.Leaving(b.now, arg("server", ""))
+		b.p.ServerDraining(b.now, arg("server", ""))
 		return ""
 	case "wait":
 		b.now += duration("for", "0s")
@@ -96,7 +96,7 @@
 	case "send": // n requests, held under names from name on; with answer they are ended at once
 		var out []string
 		for i := range number("n", 1) {
-			r := &Request{Route: b.route(arg("path", "/")), Left: duration("left", "5s")}
+			r := &Request{Route: b.route(arg("path", "/")), TimeLeft: duration("left", "5s")}
 			if r.Route == nil {
 				return "no route"
 			}
@@ -152,7 +152,7 @@
 
 // tell reads a world: lines of service, route, server, evacuated and peers.
 func (b *table) tell(t *testing.T, d *datadriven.TestData) string {
-	w := World{Self: "p1", Peers: []string{"p1"}, Evacuated: map[string]bool{}, Config: &conf.Config{Services: map[string]*conf.Service{}}}
+	w := ClusterState{Self: "p1", Peers: []string{"p1"}, Evacuated: map[string]bool{}, Config: &conf.Config{Services: map[string]*conf.Service{}}}
 	for _, l := range strings.Split(strings.TrimSpace(d.Input), "\n") {
 		f := strings.Fields(l)
 		opt := map[string]string{}
@@ -197,7 +197,7 @@
 				s.Zone = opt["zone"]
 			}
 			_, s.Draining = opt["draining"]
-			s.Cold = time.Duration(num("cold", 0) * float64(time.Second))
+			s.WarmUpMax = time.Duration(num("cold", 0) * float64(time.Second))
 			w.Servers = append(w.Servers, s)
 		case "evacuated":
 			w.Evacuated[f[1]] = true
@@ -207,7 +207,7 @@
 			d.Fatalf(t, "unknown line %s", l)
 		}
 	}
-	b.p.SetWorld(b.now, w)
+	b.p.UpdateClusterState(b.now, w)
 	b.world = w
 	return ""
 }
--- a/internal/system/proxy/pick/days_test.go
+++ b/internal/system/proxy/pick/days_test.go
@@ -168,15 +168,15 @@
 func BenchmarkChoose(b *testing.B) {
 	f := newFleet(grown())
 	p := f.pickers[0]
-	var parts [64][]Part
+	var parts [64][]PrefixPart
 	for i := range parts {
-		parts[i] = []Part{{uint64(i % 2), 13000 * (i % 2)}, {uint64(100 + i), 300}}
+		parts[i] = []PrefixPart{{uint64(i % 2), 13000 * (i % 2)}, {uint64(100 + i), 300}}
 	}
 	b.ReportAllocs()
 	now := Time(0)
 	for i := 0; b.Loop(); i++ {
 		now += time.Millisecond
-		r := &Request{Route: f.cfg.Routes[1-i%2], TokensIn: 300 + 13000*(i%2), TokensOut: 50, Parts: parts[i%64], Left: time.Second}
+		r := &Request{Route: f.cfg.Routes[1-i%2], TokensIn: 300 + 13000*(i%2), TokensOut: 50, Prefix: parts[i%64], TimeLeft: time.Second}
 		p.Arrive(now, r)
 		c := p.Choose(now, r, nil, false)
 		p.FirstEvent(now, c.Ticket)
--- a/internal/system/proxy/pick/flight.go
+++ b/internal/system/proxy/pick/flight.go
@@ -189,28 +189,28 @@
 	case Misdirected:
 		s.gone, s.goneAt = true, now
 		p.beliefs.drop(s)
-	case Unreached:
+	case ConnectFailed:
 		s.kept = kept{}
 		s.fail(now)
 		f.request.arrived--
 		if f.charged {
 			g.budget.repeat(now, -1)
 		}
-	case Silent:
+	case TimedOut:
 		s.kept = kept{}
 		s.fail(now)
-	case Broken:
+	case ConnectionLost:
 		if s.broken++; s.broken >= brokenMost || trial {
 			s.fail(now)
 		}
-	case Failed:
+	case ServerError:
 		s.fails, s.broken = 0, 0
 		if s.failed++; s.failed >= failedMost {
 			s.outUntil = max(s.outUntil, now+doubtFirst)
 		} else {
 			s.outUntil = 0
 		}
-	case Abandoned:
+	case Canceled:
 	}
 	*f = send{next: p.free}
 	p.free = f
--- a/internal/system/proxy/pick/golden_trace_test.go
+++ b/internal/system/proxy/pick/golden_trace_test.go
@@ -67,12 +67,12 @@
 }
 
 // verdictTags name verdicts in the trace.
-var verdictTags = map[Verdict]byte{Send: 'S', Refuse: 'R', Exhaust: 'X'}
+var verdictTags = map[Verdict]byte{Send: 'S', Refuse: 'R', GiveUp: 'X'}
 
 // choice takes in a choice of a picker, what the send registered and what the picker has spent.
 func (tr *trace) choice(now Time, p *Picker, r *Request, tried int, offered bool, c Choice) {
 	tr.step(verdictTags[c.Verdict])
-	tr.num(int64(now), int64(r.arrived), int64(tried), int64(r.Left))
+	tr.num(int64(now), int64(r.arrived), int64(tried), int64(r.TimeLeft))
 	tr.flag(offered)
 	tr.text(c.Server.ID)
 	tr.num(int64(c.Ticket), int64(c.Priority), int64(c.RetryAfter), int64(c.SendWithin))
@@ -92,7 +92,7 @@
 	}
 	tr.float(p.rate.value)
 	st := p.Stats()
-	tr.num(int64(st.ColdStarts), int64(st.ColdSends), int64(st.ColdEnds))
+	tr.num(int64(st.WarmUpStarts), int64(st.WarmUpSends), int64(st.WarmUpEnds))
 }
 
 // loads takes in what a picker shares with the others.
@@ -152,13 +152,13 @@
 }
 
 // eachWorld changes the worlds of all pickers at a moment.
-func (f *fleet) eachWorld(at Time, change func(i int, w *World)) {
+func (f *fleet) eachWorld(at Time, change func(i int, w *ClusterState)) {
 	f.after(at, func() {
 		for i, p := range f.pickers {
 			w := p.world
 			w.Servers = slices.Clone(f.servers)
 			change(i, &w)
-			p.SetWorld(f.now, w)
+			p.UpdateClusterState(f.now, w)
 		}
 	})
 }
@@ -166,11 +166,11 @@
 // coldServers has a zone turn cold, one server in three under its own word alone, others drain or leave, and proxies miss news.
 func coldServers(f *fleet) {
 	zone := f.zones[1]
-	f.eachWorld(time.Second, func(i int, w *World) {
-		w.Delay = time.Duration(i) * 10 * time.Millisecond
+	f.eachWorld(time.Second, func(i int, w *ClusterState) {
+		w.Age = time.Duration(i) * 10 * time.Millisecond
 		for j := range w.Servers {
 			if s := &w.Servers[j]; s.Zone == zone && j%3 != 0 {
-				s.Cold, s.ColdLeast = 2500*time.Millisecond, 2200*time.Millisecond
+				s.WarmUpMax, s.WarmUpMin = 2500*time.Millisecond, 2200*time.Millisecond
 			}
 		}
 	})
@@ -179,23 +179,23 @@
 			for j, s := range f.servers {
 				switch {
 				case s.Zone == zone && j%3 == 0:
-					p.Cold(f.now, s.ID, 2*time.Second)
+					p.WarmingUp(f.now, s.ID, 2*time.Second)
 				case j%7 == 1:
-					p.Leaving(f.now, s.ID)
+					p.ServerDraining(f.now, s.ID)
 				}
 			}
 		}
 	})
-	f.eachWorld(2*time.Second, func(i int, w *World) {
-		w.Partial, w.Stale, w.Lost = i%4 == 1, i%4 == 2, 1
+	f.eachWorld(2*time.Second, func(i int, w *ClusterState) {
+		w.MembershipIncomplete, w.Stale, w.DownCount = i%4 == 1, i%4 == 2, 1
 		w.Servers[0].Draining, w.Servers[1].Remaining = true, 900*time.Millisecond
 		w.Evacuated, w.ZoneChanges = map[string]bool{f.zones[2]: true}, map[string]uint64{f.zones[2]: 5}
 	})
-	f.eachWorld(3*time.Second, func(i int, w *World) {
-		w.Partial, w.Stale, w.Evacuated, w.ZoneChanges = false, false, nil, map[string]uint64{f.zones[2]: 9}
-		w.ListCovers = uint64(7 + i%3)
+	f.eachWorld(3*time.Second, func(i int, w *ClusterState) {
+		w.MembershipIncomplete, w.Stale, w.Evacuated, w.ZoneChanges = false, false, nil, map[string]uint64{f.zones[2]: 9}
+		w.ListCoversSeq = uint64(7 + i%3)
 	})
-	f.eachWorld(5*time.Second, func(_ int, w *World) { w.ListCovers = 9 })
+	f.eachWorld(5*time.Second, func(_ int, w *ClusterState) { w.ListCoversSeq = 9 })
 }
 
 // overloaded is a deployment to which more comes than it can serve.
@@ -269,36 +269,36 @@
 		}
 		d.servers = append(d.servers, s)
 	}
-	d.p = New(Settings{Zone: "z0", Region: "r", RetryRatio: 0.2, RetrySlack: 20, ColdExcess: 1.5, ColdSlack: 5, Seed: seed})
+	d.p = New(Settings{Zone: "z0", Region: "r", RetryRatio: 0.2, RetrySlack: 20, WarmUpExcess: 1.5, WarmUpSlack: 5, Seed: seed})
 	d.world()
 	return d
 }
 
 func (d *driver) world() {
-	w := World{Config: d.cfg, Servers: slices.Clone(d.servers), Self: "p1", Peers: []string{"p0", "p1", "p2"}[:2+d.rng.IntN(2)],
-		ListCovers: uint64(d.rng.IntN(4)), Lost: d.rng.IntN(2), Partial: d.rng.IntN(8) == 0, Stale: d.rng.IntN(8) == 0,
+	w := ClusterState{Config: d.cfg, Servers: slices.Clone(d.servers), Self: "p1", Peers: []string{"p0", "p1", "p2"}[:2+d.rng.IntN(2)],
+		ListCoversSeq: uint64(d.rng.IntN(4)), DownCount: d.rng.IntN(2), MembershipIncomplete: d.rng.IntN(8) == 0, Stale: d.rng.IntN(8) == 0,
 		ZoneChanges: map[string]uint64{"z0": uint64(d.rng.IntN(4))}, Evacuated: map[string]bool{"z1": d.rng.IntN(4) == 0}}
 	for i := range w.Servers {
 		switch s := &w.Servers[i]; d.rng.IntN(10) {
 		case 0:
-			s.Cold = 2 * time.Second
-			s.ColdLeast = time.Second
+			s.WarmUpMax = 2 * time.Second
+			s.WarmUpMin = time.Second
 		case 1:
 			s.Draining = true
 		}
 	}
-	d.p.SetWorld(d.now, w)
+	d.p.UpdateClusterState(d.now, w)
 }
 
 func (d *driver) hint() {
 	id := fmt.Sprint("s", d.rng.IntN(12))
 	switch d.rng.IntN(8) {
 	case 0:
-		d.p.Cold(d.now, id, time.Duration(d.rng.IntN(3))*700*time.Millisecond)
+		d.p.WarmingUp(d.now, id, time.Duration(d.rng.IntN(3))*700*time.Millisecond)
 	case 1:
-		d.p.Leaving(d.now, id)
+		d.p.ServerDraining(d.now, id)
 	case 2:
-		d.p.Keeps(id, 8*time.Second)
+		d.p.SetIdleTimeout(id, 8*time.Second)
 	default:
 		d.p.ServerLoad(d.now, id, d.rng.IntN(8), d.rng.IntN(10), 6)
 	}
@@ -311,14 +311,14 @@
 	}
 	d.p.SetLoads(d.now, others)
 	told := d.p.Loads()
-	maps.Copy(told, d.p.Demands())
+	maps.Copy(told, d.p.PromptDemands())
 	d.tr.loads(d.now, told)
 }
 
 func (d *driver) ask() {
-	r := &Request{Route: d.cfg.Routes[d.rng.IntN(3)], TokensOut: d.rng.IntN(300), Left: time.Duration(100+d.rng.IntN(4000)) * time.Millisecond}
-	for _, part := range []Part{{uint64(1 + d.rng.IntN(3)), 1500}, {uint64(10 + d.rng.IntN(20)), 400}, {d.rng.Uint64(), 1 + d.rng.IntN(900)}} {
-		r.Parts = append(r.Parts, part)
+	r := &Request{Route: d.cfg.Routes[d.rng.IntN(3)], TokensOut: d.rng.IntN(300), TimeLeft: time.Duration(100+d.rng.IntN(4000)) * time.Millisecond}
+	for _, part := range []PrefixPart{{uint64(1 + d.rng.IntN(3)), 1500}, {uint64(10 + d.rng.IntN(20)), 400}, {d.rng.Uint64(), 1 + d.rng.IntN(900)}} {
+		r.Prefix = append(r.Prefix, part)
 		r.TokensIn += part.Tokens
 	}
 	d.p.Arrive(d.now, r)
@@ -336,7 +336,7 @@
 }
 
 // drivenOutcomes are those that are drawn, the usual ones more often.
-var drivenOutcomes = []Outcome{Served, Served, Served, Served, Served, Served, NotExecuted, NotExecuted, Misdirected, Unreached, Broken, Silent, Failed, Abandoned}
+var drivenOutcomes = []Outcome{Served, Served, Served, Served, Served, Served, NotExecuted, NotExecuted, Misdirected, ConnectFailed, ConnectionLost, TimedOut, ServerError, Canceled}
 
 // end ends a send and asks again where it failed.
 func (d *driver) end() {
@@ -353,9 +353,9 @@
 	out := drivenOutcomes[d.rng.IntN(len(drivenOutcomes))]
 	d.p.Done(d.now, o.ticket, out, time.Duration(d.rng.IntN(600))*time.Millisecond)
 	switch out {
-	case Served, Abandoned:
+	case Served, Canceled:
 		return
-	case Broken, Silent, Failed:
+	case ConnectionLost, TimedOut, ServerError:
 		o.offered = true
 	}
 	d.choose(o)
--- a/internal/system/proxy/pick/home_test.go
+++ b/internal/system/proxy/pick/home_test.go
@@ -29,7 +29,7 @@
 	send := func(p *Picker, r *Request) *server {
 		t.Helper()
 		now += 300 * time.Millisecond
-		r.Left = 5 * time.Second
+		r.TimeLeft = 5 * time.Second
 		c := p.Choose(now, r, nil, false)
 		if c.Verdict != Send {
 			t.Fatalf("verdict %d", c.Verdict)
@@ -44,7 +44,7 @@
 			send(x, &Request{Route: short, TokensIn: 300, TokensOut: 50})
 		}
 		ask := func(p *Picker, own uint64) *server {
-			return send(p, &Request{Route: long, TokensIn: 16000, TokensOut: 100, Parts: []Part{{subject, 13000}, {own, 3000}}})
+			return send(p, &Request{Route: long, TokensIn: 16000, TokensOut: 100, Prefix: []PrefixPart{{subject, 13000}, {own, 3000}}})
 		}
 		a, b, c, d := ask(p, 1000+subject), ask(p, 2000+subject), ask(q, 3000+subject), ask(far, 4000+subject)
 		if a != b || a.ID != c.ID || a.ID != d.ID {
@@ -59,7 +59,7 @@
 		t.Fatal("all subjects share one server")
 	}
 	for i := range 20 {
-		s := send(p, &Request{Route: short, TokensIn: 300, TokensOut: 50, Parts: []Part{{7, 50}, {uint64(5000 + i), 250}}})
+		s := send(p, &Request{Route: short, TokensIn: 300, TokensOut: 50, Prefix: []PrefixPart{{7, 50}, {uint64(5000 + i), 250}}})
 		if apart && s.Region != "cluj" || !apart && s.lane {
 			t.Fatalf("a short prompt went to %s: a lane, or no home", s.ID)
 		}
@@ -71,13 +71,13 @@
 	b := newBeliefs()
 	s, other := &server{}, &server{}
 	for i := range uint64(2 * beliefsMost) {
-		c := chainOf(&Request{Parts: []Part{{i, 300}, {1 << 40, 300}}})
+		c := chainOf(&Request{Prefix: []PrefixPart{{i, 300}, {1 << 40, 300}}})
 		b.use(s, &c, 1<<40)
 		if b.count > beliefsMost {
 			t.Fatalf("%d beliefs", b.count)
 		}
 	}
-	c := chainOf(&Request{Parts: []Part{{1 << 50, 400}, {1 << 51, 10}}})
+	c := chainOf(&Request{Prefix: []PrefixPart{{1 << 50, 400}, {1 << 51, 10}}})
 	b.use(other, &c, 1<<40)
 	b.use(s, &c, 1000)
 	if s.believed > 1000 || len(b.byKey[c.keys[0]]) != 2 {
--- a/internal/system/proxy/pick/invariants.go
+++ b/internal/system/proxy/pick/invariants.go
@@ -46,12 +46,12 @@
 
 // checkColdEnd checks, by what the list tells now, that s was warm when a request first went to it as to a warm server.
 func (p *Picker) checkColdEnd(now Time, s *server) {
-	if s.warmedAt == 0 || s.ColdLeast <= 0 {
+	if s.warmedAt == 0 || s.WarmUpMin <= 0 {
 		return
 	}
 	// The cold state that is told began at this moment at the latest. One that began after this proxy had heard of the former one is
 	// another one, of which no reading may have told in time.
-	began := now + s.Cold - p.coldFor(s.Service)
+	began := now + s.WarmUpMax - p.coldFor(s.Service)
 	coldEndKept.Check(began > s.warmedSince)
 	s.warmedAt = 0
 }
--- a/internal/system/proxy/pick/invariants_test.go
+++ b/internal/system/proxy/pick/invariants_test.go
@@ -12,7 +12,7 @@
 	f := newColdFleet(12)
 	f.pickers = f.pickers[:1]
 	p := f.pickers[0]
-	p.SetWorld(0, f.world(0, 1, time.Minute))
+	p.UpdateClusterState(0, f.world(0, 1, time.Minute))
 	f.press(0, 5*time.Second, 10*time.Millisecond, nil)
 	invarianttest.Expect(t, coldPaceKept, func() {
 		f.press(5*time.Second, 5100*time.Millisecond, 10*time.Millisecond, func(Time) { p.servers["s0"].token = 2 })
@@ -24,11 +24,11 @@
 func TestColdEndKeptControl(t *testing.T) {
 	play := func(cold, later time.Duration) {
 		f := newColdFleet(1)
-		f.pickers[0].SetWorld(0, f.world(0, 1, cold))
+		f.pickers[0].UpdateClusterState(0, f.world(0, 1, cold))
 		f.press(0, cold+40*time.Millisecond, 10*time.Millisecond, nil)
 		w := f.world(0, 1, later)
-		w.Servers[0].ColdLeast = later
-		f.pickers[0].SetWorld(cold+40*time.Millisecond, w)
+		w.Servers[0].WarmUpMin = later
+		f.pickers[0].UpdateClusterState(cold+40*time.Millisecond, w)
 	}
 	invarianttest.Expect(t, coldEndKept, func() { play(coldFor-80*time.Millisecond, 40*time.Millisecond) })
 	before := coldEndKept.Violations()
@@ -42,10 +42,10 @@
 func TestSendsAllowedControl(t *testing.T) {
 	f := newColdFleet(1)
 	p := f.pickers[0]
-	p.SetWorld(0, f.world(0, 1, 0))
+	p.UpdateClusterState(0, f.world(0, 1, 0))
 	invarianttest.Expect(t, sendsAllowed, func() {
 		p.world.Evacuated = map[string]bool{"z": true}
-		r := &Request{Route: f.config.Routes[0], Left: time.Second}
+		r := &Request{Route: f.config.Routes[0], TimeLeft: time.Second}
 		p.Done(0, p.send(0, Choice{}, r, p.servers["s0"], cost{}, &chain{}).Ticket, Served, 0)
 	})
 }
@@ -57,20 +57,20 @@
 	f := newColdFleet(1)
 	p := f.pickers[0]
 	before := coldEndKept.Violations()
-	p.SetWorld(0, f.world(0, 1, coldFor))
+	p.UpdateClusterState(0, f.world(0, 1, coldFor))
 	f.press(0, coldFor+100*time.Millisecond, 10*time.Millisecond, nil)
 	w := f.world(0, 1, 0)
 	w.Evacuated = map[string]bool{"z": true}
-	p.SetWorld(5*time.Second, w)
-	w.Evacuated, w.ZoneChanges, w.ListCovers = nil, map[string]uint64{"z": 7}, 6
-	p.SetWorld(back, w)
+	p.UpdateClusterState(5*time.Second, w)
+	w.Evacuated, w.ZoneChanges, w.ListCoversSeq = nil, map[string]uint64{"z": 7}, 6
+	p.UpdateClusterState(back, w)
 	if !p.servers["s0"].unproven {
 		t.Error("not paced though the list cannot tell")
 	}
 	w = f.world(0, 1, 1700*time.Millisecond)
-	w.ZoneChanges, w.ListCovers = map[string]uint64{"z": 7}, 7
-	w.Servers[0].ColdLeast = time.Second
-	p.SetWorld(back+500*time.Millisecond, w)
+	w.ZoneChanges, w.ListCoversSeq = map[string]uint64{"z": 7}, 7
+	w.Servers[0].WarmUpMin = time.Second
+	p.UpdateClusterState(back+500*time.Millisecond, w)
 	if coldEndKept.Violations() != before {
 		t.Error("counted as a fault")
 	}
@@ -83,11 +83,11 @@
 	f := newColdFleet(1)
 	p := f.pickers[0]
 	before := coldEndKept.Violations()
-	p.SetWorld(0, f.world(0, 1, coldFor))
+	p.UpdateClusterState(0, f.world(0, 1, coldFor))
 	f.press(0, told, 10*time.Millisecond, nil)
 	w := f.world(0, 1, again+coldFor-told)
-	w.Servers[0].ColdLeast = w.Servers[0].Cold
-	p.SetWorld(told, w)
+	w.Servers[0].WarmUpMin = w.Servers[0].WarmUpMax
+	p.UpdateClusterState(told, w)
 	if coldEndKept.Violations() != before {
 		t.Error("counted as a fault")
 	}
@@ -99,11 +99,11 @@
 	f := newColdFleet(1)
 	p := f.pickers[0]
 	before := coldEndKept.Violations()
-	p.SetWorld(0, f.world(0, 1, coldFor))
+	p.UpdateClusterState(0, f.world(0, 1, coldFor))
 	f.press(0, coldFor+200*time.Millisecond, 10*time.Millisecond, nil)
 	w := f.world(0, 1, 100*time.Millisecond)
-	w.Servers[0].ColdLeast, w.Delay = w.Servers[0].Cold, 300*time.Millisecond
-	p.SetWorld(coldFor+200*time.Millisecond, w)
+	w.Servers[0].WarmUpMin, w.Age = w.Servers[0].WarmUpMax, 300*time.Millisecond
+	p.UpdateClusterState(coldFor+200*time.Millisecond, w)
 	if coldEndKept.Violations() != before || p.servers["s0"].cold(coldFor+200*time.Millisecond) {
 		t.Error("counted as a fault, or cold once more")
 	}
@@ -115,12 +115,12 @@
 	const woke = 10 * time.Second
 	p, f := stalledPicker(woke)
 	before := coldEndKept.Violations()
-	p.SetWorld(woke+50*time.Millisecond, f.world(0, 1, 0))
+	p.UpdateClusterState(woke+50*time.Millisecond, f.world(0, 1, 0))
 	f.pickers = f.pickers[:1]
 	f.press(woke+50*time.Millisecond, woke+100*time.Millisecond, 10*time.Millisecond, nil)
 	w := f.world(0, 1, 2900*time.Millisecond)
-	w.Servers[0].ColdLeast = w.Servers[0].Cold
-	p.SetWorld(woke+100*time.Millisecond, w)
+	w.Servers[0].WarmUpMin = w.Servers[0].WarmUpMax
+	p.UpdateClusterState(woke+100*time.Millisecond, w)
 	if coldEndKept.Violations() != before || len(f.sent) == 0 {
 		t.Errorf("counted as a fault, with %d requests", len(f.sent))
 	}
--- a/internal/system/proxy/pick/kept.go
+++ b/internal/system/proxy/pick/kept.go
@@ -5,13 +5,13 @@
 const (
 	dialPrice = 30 // milliseconds that a request over a kept connection is worth, beside the time that a new one takes
 
-	// UntoldKept is for how long connections are kept without use where no server has told for how long it keeps them.
-	UntoldKept = 30 * time.Second
+	// DefaultIdleTimeout is for how long connections are kept without use where no server has told for how long it keeps them.
+	DefaultIdleTimeout = 30 * time.Second
 )
 
-// KeptFor is for how long connections are kept without use to a server that tells for how long it keeps them. Danger: what
+// IdleTimeout is for how long connections are kept without use to a server that tells for how long it keeps them. Danger: what
 // crosses the close of a connection that has idled too long is a reset that may have run. Half of the time keeps well clear of it.
-func KeptFor(told time.Duration) time.Duration { return told / 2 }
+func IdleTimeout(told time.Duration) time.Duration { return told / 2 }
 
 // kept are the connections to a server that this proxy keeps, as far as its own requests tell.
 type kept struct {
@@ -33,10 +33,10 @@
 
 func (k *kept) put(now Time) { k.count, k.at = k.count+1, now }
 
-// Keeps takes in for how long the server keeps a connection without use, as it told.
-func (p *Picker) Keeps(id string, told time.Duration) {
+// SetIdleTimeout takes in for how long the server keeps a connection without use, as it told.
+func (p *Picker) SetIdleTimeout(id string, told time.Duration) {
 	if s := p.servers[id]; s != nil && told > 0 {
-		s.group.keptFor = KeptFor(told)
+		s.group.keptFor = IdleTimeout(told)
 	}
 }
 
--- a/internal/system/proxy/pick/kept_test.go
+++ b/internal/system/proxy/pick/kept_test.go
@@ -16,7 +16,7 @@
 	p := laneWorld(6)
 	send := func(now Time, outcome Outcome) string {
 		t.Helper()
-		c := p.Choose(now, &Request{Route: route, TokensIn: 100, TokensOut: 20, Left: 8 * time.Second}, nil, false)
+		c := p.Choose(now, &Request{Route: route, TokensIn: 100, TokensOut: 20, TimeLeft: 8 * time.Second}, nil, false)
 		if c.Verdict != Send {
 			t.Fatalf("verdict %d", c.Verdict)
 		}
@@ -24,14 +24,14 @@
 		return c.Server.ID
 	}
 	first := send(0, Served)
-	p.Keeps(first, told)
+	p.SetIdleTimeout(first, told)
 	for now := time.Second; now < 20*time.Second; now += time.Second {
 		if id := send(now, Served); id != first {
 			t.Fatalf("at %v a new connection to %s, while one to %s is kept", now, id, first)
 		}
 	}
-	idle := 19*time.Second + KeptFor(told) + time.Millisecond
-	second := send(idle, Unreached)
+	idle := 19*time.Second + IdleTimeout(told) + time.Millisecond
+	second := send(idle, ConnectFailed)
 	if second == first {
 		t.Error("the rotation stays at a server whose connections have been without use for too long")
 	}
--- a/internal/system/proxy/pick/lane_test.go
+++ b/internal/system/proxy/pick/lane_test.go
@@ -11,11 +11,11 @@
 // laneWorld is a picker that knows n servers of one region, and nothing of what comes to them.
 func laneWorld(n int) *Picker {
 	p := New(Settings{Zone: "z1", Region: "r1", Regions: testRegions})
-	w := World{Config: &conf.Config{Services: map[string]*conf.Service{"lm": {Name: "lm", Engine: &conf.Engine{Slots: 8, CacheTokens: 100_000}}}}}
+	w := ClusterState{Config: &conf.Config{Services: map[string]*conf.Service{"lm": {Name: "lm", Engine: &conf.Engine{Slots: 8, CacheTokens: 100_000}}}}}
 	for i := range n {
 		w.Servers = append(w.Servers, Server{ID: fmt.Sprint("s", i), Service: "lm", Address: fmt.Sprint(i), Zone: "z1", Slots: 8})
 	}
-	p.SetWorld(0, w)
+	p.UpdateClusterState(0, w)
 	return p
 }
 
@@ -91,7 +91,7 @@
 		now += time.Second
 		p.groups["lm"].demand.add(now, true, 70_000)
 		q.groups["lm"].demand.add(now, false, 30_000)
-		of := func(x *Picker) map[string]Load { x.groups["lm"].demand.fade(now); return x.Demands() }
+		of := func(x *Picker) map[string]Load { x.groups["lm"].demand.fade(now); return x.PromptDemands() }
 		ofP, ofQ := of(p), of(q)
 		p.SetLoads(now, ofQ)
 		q.SetLoads(now, ofP)
@@ -109,10 +109,10 @@
 // TestLaneKeepsItsShareWhereServersGo takes half of the servers away: the lane's share stays.
 func TestLaneKeepsItsShareWhereServersGo(t *testing.T) {
 	p := laneWorld(20)
-	var w World
+	var w ClusterState
 	w.Config = p.world.Config
 	w.Servers = append(w.Servers, p.world.Servers[:10]...)
-	p.SetWorld(time.Second, w)
+	p.UpdateClusterState(time.Second, w)
 	if n := laneSize(p); n != 5 {
 		t.Errorf("a lane of %d of 10 servers, want half", n)
 	}
--- a/internal/system/proxy/pick/picker.go
+++ b/internal/system/proxy/pick/picker.go
@@ -18,19 +18,19 @@
 	RetryWindow time.Duration // the span in which they are counted; default 10 s
 	RetrySlack  float64       // repeats that all proxies together may make beside the ratio
 
-	ColdExcess, ColdSlack float64 // the bound on a cold server in any second is its rate × ColdExcess + ColdSlack
+	WarmUpExcess, WarmUpSlack float64 // the bound on a cold server in any second is its rate × ColdExcess + ColdSlack
 
-	Seed        uint64        // of the rotation's starting points
-	CrossRegion time.Duration // one way to another region; default 40 ms
-	CrossZone   time.Duration // one way to another zone of the region; default 1 ms
-	PrefillRate float64       // prompt tokens that a model server reads in a millisecond, before it is learned; default 50
-	StepTime    time.Duration // one decoding step of a model server; default 6 ms
+	Seed               uint64        // of the rotation's starting points
+	CrossRegionLatency time.Duration // one way to another region; default 40 ms
+	CrossZoneLatency   time.Duration // one way to another zone of the region; default 1 ms
+	PrefillRate        float64       // prompt tokens that a model server reads in a millisecond, before it is learned; default 50
+	StepTime           time.Duration // one decoding step of a model server; default 6 ms
 }
 
 // Picker decides for one proxy. It is not safe for concurrent use: the caller locks. The zero value is not usable.
 type Picker struct {
 	set         Settings
-	world       World
+	world       ClusterState
 	started     Time
 	known       bool // SetWorld was called
 	servers     map[string]*server
@@ -60,9 +60,9 @@
 
 // Stats count what a Picker has done since it was made. They only rise.
 type Stats struct {
-	ColdStarts uint64 // servers that turned cold or may have, as far as this proxy knows
-	ColdSends  uint64 // requests chosen for a server that this proxy took for cold
-	ColdEnds   uint64 // first requests chosen for such a server once this proxy took it for warm
+	WarmUpStarts uint64 // servers that turned cold or may have, as far as this proxy knows
+	WarmUpSends  uint64 // requests chosen for a server that this proxy took for cold
+	WarmUpEnds   uint64 // first requests chosen for such a server once this proxy took it for warm
 }
 
 // Stats gives the counts as they are now.
@@ -73,11 +73,11 @@
 	if s.RetryWindow <= 0 {
 		s.RetryWindow = 10 * time.Second
 	}
-	if s.CrossRegion <= 0 {
-		s.CrossRegion = 40 * time.Millisecond
+	if s.CrossRegionLatency <= 0 {
+		s.CrossRegionLatency = 40 * time.Millisecond
 	}
-	if s.CrossZone <= 0 {
-		s.CrossZone = time.Millisecond
+	if s.CrossZoneLatency <= 0 {
+		s.CrossZoneLatency = time.Millisecond
 	}
 	if s.PrefillRate <= 0 {
 		s.PrefillRate = 50
@@ -99,20 +99,20 @@
 	}
 }
 
-// SetWorld replaces what is known of configuration, servers, zones and proxies. Servers whose id stays keep what was
+// UpdateClusterState replaces what is known of configuration, servers, zones and proxies. Servers whose id stays keep what was
 // learned of them.
-func (p *Picker) SetWorld(now Time, w World) {
+func (p *Picker) UpdateClusterState(now Time, w ClusterState) {
 	if !p.known {
 		p.known, p.started = true, now
 	}
 	reconfigured := p.world.Config != w.Config
-	if !slices.Equal(p.world.Peers, w.Peers) || p.world.Partial != w.Partial {
+	if !slices.Equal(p.world.Peers, w.Peers) || p.world.MembershipIncomplete != w.MembershipIncomplete {
 		p.peersAt = now
 	}
 	before := p.world
 	p.world = w
 	p.zoneChanges.note(now, w.ZoneChanges)
-	p.peers.set(now, len(w.Peers)+w.Lost)
+	p.peers.set(now, len(w.Peers)+w.DownCount)
 	if w.Stale && !before.Stale {
 		p.staleSince = now
 	}
@@ -120,7 +120,7 @@
 	if heard {
 		p.stalled = false
 	}
-	if before.Stale && !w.Stale || before.Partial && !w.Partial || heard {
+	if before.Stale && !w.Stale || before.MembershipIncomplete && !w.MembershipIncomplete || heard {
 		p.resumed = now
 	}
 
@@ -171,8 +171,8 @@
 		told.Region = p.set.Regions[told.Zone]
 	}
 	s.Server = told
-	s.Cold = max(0, s.Cold-p.world.Delay)
-	s.ColdLeast = max(0, s.ColdLeast-p.world.Delay)
+	s.WarmUpMax = max(0, s.WarmUpMax-p.world.Age)
+	s.WarmUpMin = max(0, s.WarmUpMin-p.world.Age)
 	s.region = p.regionNumber(told.Region)
 	p.listCold(now, s)
 	if s.gone && now-s.goneAt > goneTime {
@@ -207,7 +207,7 @@
 	g := p.groups[service]
 	if g == nil {
 		g = &group{name: service, cursor: int(mix(p.set.Seed^xxhash.Sum64String(service)) % 1024), serviceTime: 60, room: roomMost,
-			keptFor: UntoldKept}
+			keptFor: DefaultIdleTimeout}
 		g.budget.window = p.set.RetryWindow
 		p.groups[service] = g
 	}
@@ -244,9 +244,9 @@
 	return m
 }
 
-// Demands tells the prompt tokens that this proxy had read of late for long prompts (Prefill) and for short ones (Tokens), by
+// PromptDemands tells the prompt tokens that this proxy had read of late for long prompts (Prefill) and for short ones (Tokens), by
 // keys that no server's id equals. They are shared with the loads, and come back summed in SetLoads. The map is the caller's.
-func (p *Picker) Demands() map[string]Load {
+func (p *Picker) PromptDemands() map[string]Load {
 	m := map[string]Load{}
 	for name, g := range p.groups {
 		if l := (Load{Prefill: int64(g.demand.long), Tokens: int64(g.demand.short)}); l != (Load{}) {
--- a/internal/system/proxy/pick/property_test.go
+++ b/internal/system/proxy/pick/property_test.go
@@ -12,8 +12,8 @@
 )
 
 // drawWorld draws a deployment of two services and three zones in two regions.
-func drawWorld(t *rapid.T, age int) World {
-	w := World{Self: "p1", Peers: []string{"p1", "p2", "p3"}, Evacuated: map[string]bool{}, Config: &conf.Config{Services: map[string]*conf.Service{
+func drawWorld(t *rapid.T, age int) ClusterState {
+	w := ClusterState{Self: "p1", Peers: []string{"p1", "p2", "p3"}, Evacuated: map[string]bool{}, Config: &conf.Config{Services: map[string]*conf.Service{
 		"lm":  {Name: "lm", WarmUpRate: 30, Engine: &conf.Engine{Slots: 4, CacheTokens: 50000}},
 		"app": {Name: "app"},
 	}}}
@@ -33,7 +33,7 @@
 	for i := range rapid.IntRange(0, 8).Draw(t, "servers") {
 		w.Servers = append(w.Servers, Server{ID: fmt.Sprintf("s%d", i+age%3), Service: rapid.SampledFrom([]string{"lm", "app", "other"}).Draw(t, "service"),
 			Address: fmt.Sprint(i), Zone: rapid.SampledFrom([]string{"z1", "z2", "z3"}).Draw(t, "zone"), Slots: rapid.IntRange(0, 4).Draw(t, "slots"),
-			Draining: rapid.IntRange(0, 4).Draw(t, "draining") == 0, Cold: time.Duration(rapid.IntRange(0, 2).Draw(t, "cold")) * time.Second})
+			Draining: rapid.IntRange(0, 4).Draw(t, "draining") == 0, WarmUpMax: time.Duration(rapid.IntRange(0, 2).Draw(t, "cold")) * time.Second})
 	}
 	return w
 }
@@ -43,7 +43,7 @@
 // TestNeverBarred plays random worlds, requests and answers: no send goes against a rule, and what is counted adds up.
 func TestNeverBarred(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := New(Settings{Zone: "z1", Region: "r1", Regions: testRegions, RetryRatio: 0.2, RetrySlack: 20, ColdExcess: 1.5, ColdSlack: 5})
+		p := New(Settings{Zone: "z1", Region: "r1", Regions: testRegions, RetryRatio: 0.2, RetrySlack: 20, WarmUpExcess: 1.5, WarmUpSlack: 5})
 		type open struct {
 			r       *Request
 			ticket  uint64
@@ -52,14 +52,14 @@
 			offered bool
 		}
 		var opens []*open
-		now, w := Time(time.Minute), World{}
+		now, w := Time(time.Minute), ClusterState{}
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond
 			act := rapid.IntRange(0, 9).Draw(t, "act")
 			switch {
 			case step == 0 || act == 0:
 				w = drawWorld(t, step)
-				p.SetWorld(now, w)
+				p.UpdateClusterState(now, w)
 			case act == 1:
 				loads := map[string]Load{}
 				for _, s := range w.Servers {
@@ -68,8 +68,8 @@
 				p.SetLoads(now, loads)
 			case act == 2 && len(w.Servers) > 0:
 				id := rapid.SampledFrom(w.Servers).Draw(t, "server").ID
-				p.Cold(now, id, time.Duration(rapid.IntRange(-1, 3).Draw(t, "left"))*time.Second)
-				p.Leaving(now, id)
+				p.WarmingUp(now, id, time.Duration(rapid.IntRange(-1, 3).Draw(t, "left"))*time.Second)
+				p.ServerDraining(now, id)
 				p.ServerLoad(now, id, rapid.IntRange(-1, 9).Draw(t, "running"), rapid.IntRange(0, 9).Draw(t, "waiting"), rapid.IntRange(-1, 9).Draw(t, "slots"))
 			case act <= 6:
 				var o *open
@@ -78,11 +78,11 @@
 						continue
 					}
 				} else {
-					r := &Request{Route: rapid.SampledFrom(w.Config.Routes).Draw(t, "route"), Left: time.Duration(rapid.IntRange(-1, 8000).Draw(t, "left")) * time.Millisecond,
+					r := &Request{Route: rapid.SampledFrom(w.Config.Routes).Draw(t, "route"), TimeLeft: time.Duration(rapid.IntRange(-1, 8000).Draw(t, "left")) * time.Millisecond,
 						TokensOut: rapid.IntRange(-1, 300).Draw(t, "out")}
 					for range rapid.IntRange(0, 20).Draw(t, "parts") {
-						part := Part{ID: uint64(rapid.IntRange(0, 9).Draw(t, "part")), Tokens: rapid.IntRange(-1, 5000).Draw(t, "tokens")}
-						r.Parts = append(r.Parts, part)
+						part := PrefixPart{ID: uint64(rapid.IntRange(0, 9).Draw(t, "part")), Tokens: rapid.IntRange(-1, 5000).Draw(t, "tokens")}
+						r.Prefix = append(r.Prefix, part)
 						r.TokensIn += max(part.Tokens, 0)
 					}
 					p.Arrive(now, r)
@@ -136,12 +136,12 @@
 					p.Started(now, o.ticket)
 					p.FirstEvent(now, o.ticket)
 				}
-				out := Outcome(rapid.IntRange(0, int(Abandoned)).Draw(t, "outcome"))
+				out := Outcome(rapid.IntRange(0, int(Canceled)).Draw(t, "outcome"))
 				p.Done(now, o.ticket, out, time.Duration(rapid.IntRange(0, 900).Draw(t, "after"))*time.Millisecond)
-				p.Done(now, o.ticket, Silent, 0) // the second end of a send is no end
+				p.Done(now, o.ticket, TimedOut, 0) // the second end of a send is no end
 				o.ticket = 0
-				o.offered = o.offered || out == Broken || out == Silent || out == Failed || out == Served || out == Abandoned
-				if out == Unreached {
+				o.offered = o.offered || out == ConnectionLost || out == TimedOut || out == ServerError || out == Served || out == Canceled
+				if out == ConnectFailed {
 					o.arrived--
 				}
 			}
@@ -219,20 +219,20 @@
 		var pickers []*Picker
 		var hears []Time
 		for i := range n + n/3 {
-			p := New(Settings{Zone: "z", Region: "r", ColdExcess: 1.5, ColdSlack: 5})
+			p := New(Settings{Zone: "z", Region: "r", WarmUpExcess: 1.5, WarmUpSlack: 5})
 			pickers = append(pickers, p)
 			hears = append(hears, 3*time.Second+time.Duration(rapid.IntRange(0, 3000).Draw(t, "lag"))*time.Millisecond)
 			if i < n {
-				p.SetWorld(0, World{Config: cfg, Self: name(i), Peers: first, Servers: []Server{{ID: "s", Service: "a", Zone: "z", Slots: 1000, Cold: time.Minute}}})
+				p.UpdateClusterState(0, ClusterState{Config: cfg, Self: name(i), Peers: first, Servers: []Server{{ID: "s", Service: "a", Zone: "z", Slots: 1000, WarmUpMax: time.Minute}}})
 			}
 		}
 		var sent []Time
 		for now := Time(0); now < 8*time.Second; now += 20 * time.Millisecond {
 			for i, p := range pickers {
 				if hears[i] <= now && hears[i] > now-20*time.Millisecond {
-					p.SetWorld(now, World{Config: cfg, Self: name(i), Peers: second, Servers: []Server{{ID: "s", Service: "a", Zone: "z", Slots: 1000, Cold: time.Minute - now}}})
+					p.UpdateClusterState(now, ClusterState{Config: cfg, Self: name(i), Peers: second, Servers: []Server{{ID: "s", Service: "a", Zone: "z", Slots: 1000, WarmUpMax: time.Minute - now}}})
 				}
-				r := &Request{Route: route, Left: time.Second}
+				r := &Request{Route: route, TimeLeft: time.Second}
 				if c := p.Choose(now, r, nil, false); c.Verdict == Send {
 					sent = append(sent, now)
 					p.Done(now, c.Ticket, Served, 0)
@@ -270,7 +270,7 @@
 		var pickers []*Picker
 		for _, self := range peers {
 			p := New(Settings{Zone: "z", Region: "r", RetryRatio: 0.2, RetryWindow: window, RetrySlack: slack})
-			p.SetWorld(0, World{Config: cfg, Self: self, Peers: peers, Servers: servers})
+			p.UpdateClusterState(0, ClusterState{Config: cfg, Self: self, Peers: peers, Servers: servers})
 			pickers = append(pickers, p)
 		}
 		var requests, repeats []int // by step
@@ -280,7 +280,7 @@
 			requests, repeats = append(requests, 0), append(repeats, 0)
 			for _, p := range pickers {
 				for range rates[int(now/time.Second)] {
-					r := &Request{Route: route, Left: time.Minute}
+					r := &Request{Route: route, TimeLeft: time.Minute}
 					p.Arrive(now, r)
 					requests[i]++
 					var tried []string
@@ -293,7 +293,7 @@
 							repeats[i]++
 						}
 						tried = append(tried, c.Server.ID)
-						p.Done(now, c.Ticket, Failed, 0)
+						p.Done(now, c.Ticket, ServerError, 0)
 					}
 				}
 			}
--- a/internal/system/proxy/pick/reached_test.go
+++ b/internal/system/proxy/pick/reached_test.go
@@ -13,12 +13,12 @@
 	f := newColdFleet(12)
 	f.pickers = f.pickers[:5]
 	for i, p := range f.pickers {
-		p.SetWorld(0, f.world(i, 1, 0))
+		p.UpdateClusterState(0, f.world(i, 1, 0))
 		w := f.world(i, 1, 0)
 		w.Stale = true
-		p.SetWorld(cut, w)
-		c := p.Choose(cut, &Request{Route: f.config.Routes[0], Left: time.Second}, nil, false)
-		p.Done(cut, c.Ticket, Unreached, 0)
+		p.UpdateClusterState(cut, w)
+		c := p.Choose(cut, &Request{Route: f.config.Routes[0], TimeLeft: time.Second}, nil, false)
+		p.Done(cut, c.Ticket, ConnectFailed, 0)
 	}
 	f.press(healed, told, 5*time.Millisecond, nil)
 	f.check(t)
@@ -27,13 +27,13 @@
 	}
 	for i, p := range f.pickers {
 		w := f.world(i, 1, 0)
-		w.WordAge = told - healed + time.Millisecond
-		p.SetWorld(told, w)
+		w.ContactAge = told - healed + time.Millisecond
+		p.UpdateClusterState(told, w)
 		if !p.servers["s0"].cold(told) {
 			t.Errorf("proxy %d takes the server for warm by a word from before", i)
 		}
-		w.WordAge = 0
-		p.SetWorld(told, w)
+		w.ContactAge = 0
+		p.UpdateClusterState(told, w)
 		if p.servers["s0"].cold(told) {
 			t.Errorf("proxy %d takes the server for cold though a keeper has told of it since", i)
 		}
@@ -44,9 +44,9 @@
 func TestServersReachedAgainInTouch(t *testing.T) {
 	f := newColdFleet(12)
 	p := f.pickers[0]
-	p.SetWorld(0, f.world(0, 1, 0))
-	c := p.Choose(0, &Request{Route: f.config.Routes[0], Left: time.Second}, nil, false)
-	p.Done(0, c.Ticket, Unreached, 0)
+	p.UpdateClusterState(0, f.world(0, 1, 0))
+	c := p.Choose(0, &Request{Route: f.config.Routes[0], TimeLeft: time.Second}, nil, false)
+	p.Done(0, c.Ticket, ConnectFailed, 0)
 	f.pickers = f.pickers[:1]
 	f.press(10*time.Second, 11*time.Second, 10*time.Millisecond, nil)
 	if len(f.sent) != 100 {
--- a/internal/system/proxy/pick/server.go
+++ b/internal/system/proxy/pick/server.go
@@ -139,7 +139,7 @@
 	if !s.cold(now) && until > now {
 		s.token, s.tokenAt = 0, now // it turns cold: nothing was saved up
 		s.wasCold, s.coldSent, s.coldSince, s.pacedUnseen = true, coldWindow{}, now, false
-		p.stats.ColdStarts++
+		p.stats.WarmUpStarts++
 	}
 	s.coldUntil = until
 }
@@ -192,16 +192,16 @@
 	}
 }
 
-// Cold takes X-Cold-Ms: how much longer the server is cold; 0: no longer.
-func (p *Picker) Cold(now Time, id string, left time.Duration) {
+// WarmingUp takes X-WarmingUp-Ms: how much longer the server is cold; 0: no longer.
+func (p *Picker) WarmingUp(now Time, id string, left time.Duration) {
 	if s := p.servers[id]; s != nil {
 		p.setCold(now, s, now+max(left, 0))
 		s.coldTold = now
 	}
 }
 
-// Leaving takes the hint that a server is about to leave: it is used last for some seconds.
-func (p *Picker) Leaving(now Time, id string) {
+// ServerDraining takes the hint that a server is about to leave: it is used last for some seconds.
+func (p *Picker) ServerDraining(now Time, id string) {
 	if s := p.servers[id]; s != nil {
 		s.leavingUntil = now + leavingTime
 	}
--- a/internal/system/proxy/pick/sim_engine_test.go
+++ b/internal/system/proxy/pick/sim_engine_test.go
@@ -89,9 +89,9 @@
 	e.down = how
 	for _, j := range append(e.running, e.waiting...) {
 		if how == "reset" {
-			e.after(time.Millisecond, func() { j.lost(Broken) })
+			e.after(time.Millisecond, func() { j.lost(ConnectionLost) })
 		} else {
-			e.after(patience, func() { j.lost(Silent) })
+			e.after(patience, func() { j.lost(TimedOut) })
 		}
 	}
 	e.running, e.waiting, e.used, e.cached = nil, nil, 0, 0
--- a/internal/system/proxy/pick/sim_test.go
+++ b/internal/system/proxy/pick/sim_test.go
@@ -23,7 +23,7 @@
 	pickers    []*Picker
 	homes      []string // zones of pickers
 	tallies    map[string]*tally
-	things     map[string][][]Part
+	things     map[string][][]PrefixPart
 	reads      map[uint64]int
 	weights    map[shareSpec][]float64
 	reread     int64
@@ -41,7 +41,7 @@
 
 func newFleet(sc scenario) *fleet {
 	f := &fleet{scenario: sc, rng: rand.New(rand.NewPCG(sc.seed, 7)), engines: map[string]*engine{}, plains: map[string]*plain{},
-		tallies: map[string]*tally{}, things: map[string][][]Part{}, reads: map[uint64]int{}, weights: map[shareSpec][]float64{}, ownID: 1 << 32,
+		tallies: map[string]*tally{}, things: map[string][][]PrefixPart{}, reads: map[uint64]int{}, weights: map[shareSpec][]float64{}, ownID: 1 << 32,
 		idle: map[[2]string][]Time{}}
 	f.cfg = &conf.Config{Services: map[string]*conf.Service{
 		"lm":     {Name: "lm", WarmUpRate: 31, Engine: &conf.Engine{Slots: sc.slots, CacheTokens: sc.spec.memory, TokensPerEvent: sc.spec.stride}},
@@ -57,10 +57,10 @@
 		f.cfg.Routes = append(f.cfg.Routes, r)
 		f.tallies[k.name] = &tally{}
 		for _, sh := range k.chain {
-			var things []Part
+			var things []PrefixPart
 			for range sh.things {
 				f.ownID++
-				things = append(things, Part{ID: f.ownID, Tokens: max(int(drawn(f.rng, sh.mean, sh.spread, sh.most)), 1)})
+				things = append(things, PrefixPart{ID: f.ownID, Tokens: max(int(drawn(f.rng, sh.mean, sh.spread, sh.most)), 1)})
 			}
 			f.weights[sh] = zipf(sh.things, sh.skew)
 			f.things[k.name] = append(f.things[k.name], things)
@@ -87,8 +87,8 @@
 	}
 	for i, name := range peers {
 		p := New(Settings{Zone: f.homes[i], Region: sc.regions[f.homes[i]], Regions: sc.regions, RetryRatio: 0.2, RetrySlack: 64,
-			ColdExcess: 1.5, ColdSlack: 5, Seed: uint64(i), CrossRegion: sc.crossRegion})
-		p.SetWorld(0, World{Config: f.cfg, Servers: f.servers, Self: name, Peers: peers})
+			WarmUpExcess: 1.5, WarmUpSlack: 5, Seed: uint64(i), CrossRegionLatency: sc.crossRegion})
+		p.UpdateClusterState(0, ClusterState{Config: f.cfg, Servers: f.servers, Self: name, Peers: peers})
 		p.fixedLane = sc.fixedLane
 		p.group("lm").keptFor = sc.keepIdle
 		f.pickers = append(f.pickers, p)
@@ -117,7 +117,7 @@
 	}
 	for i, p := range f.pickers {
 		each[i] = p.Loads()
-		maps.Copy(each[i], p.Demands())
+		maps.Copy(each[i], p.PromptDemands())
 		if f.tells != nil {
 			f.tells(i, each[i])
 		}
@@ -153,7 +153,7 @@
 				w := p.world
 				w.Evacuated = map[string]bool{f.evacuated: true}
 				_ = i
-				p.SetWorld(f.now, w)
+				p.UpdateClusterState(f.now, w)
 			}
 		})
 	}
@@ -202,12 +202,12 @@
 	if n := len(k.chain); n > 0 {
 		thing := oneOf(rng, f.weights[k.chain[n-1]])
 		for i, sh := range k.chain { // each thing belongs to one of the level before
-			r.Parts = append(r.Parts, f.things[k.name][i][thing%sh.things])
+			r.Prefix = append(r.Prefix, f.things[k.name][i][thing%sh.things])
 		}
 	}
 	f.ownID++
-	r.Parts = append(r.Parts, Part{ID: f.ownID, Tokens: max(own, 1)})
-	for _, x := range r.Parts {
+	r.Prefix = append(r.Prefix, PrefixPart{ID: f.ownID, Tokens: max(own, 1)})
+	for _, x := range r.Prefix {
 		r.TokensIn += x.Tokens
 	}
 	events := max(drawn(rng, k.out[0], k.out[1], k.out[2]), 1)
@@ -251,7 +251,7 @@
 
 func (f *fleet) place(i int, zone string, k *kind, r *Request, since Time, retries int, tried []string, offered bool) {
 	p, t := f.pickers[i], f.tallies[k.name]
-	r.Left = k.deadline - (f.now - since)
+	r.TimeLeft = k.deadline - (f.now - since)
 	c := p.Choose(f.now, r, tried, offered)
 	if f.chosen != nil {
 		f.chosen(i, r, len(tried), offered, c)
@@ -356,11 +356,11 @@
 			full()
 		case "reset":
 			f.after(way, func() {
-				p.Done(f.now, c.Ticket, Unreached, 0)
+				p.Done(f.now, c.Ticket, ConnectFailed, 0)
 				f.place(i, zone, k, r, since, retries, append(tried, c.Server.ID), offered)
 			})
 		case "dark":
-			f.after(patience, func() { j.lost(Silent) })
+			f.after(patience, func() { j.lost(TimedOut) })
 		}
 	})
 }
--- a/internal/system/proxy/pick/stale_test.go
+++ b/internal/system/proxy/pick/stale_test.go
@@ -13,13 +13,13 @@
 		p := f.pickers[0]
 		w := f.world(0, 2, 0)
 		w.Stale = true
-		p.SetWorld(0, w)
+		p.UpdateClusterState(0, w)
 		ask := func(now Time) Choice {
-			return p.Choose(now, &Request{Route: f.config.Routes[0], Left: time.Second}, nil, false)
+			return p.Choose(now, &Request{Route: f.config.Routes[0], TimeLeft: time.Second}, nil, false)
 		}
 		for range 2 {
 			c := ask(0)
-			p.Done(0, c.Ticket, Unreached, 0)
+			p.Done(0, c.Ticket, ConnectFailed, 0)
 		}
 		knocks := 0
 		for range 20 {
--- a/internal/system/proxy/pick/stalled_test.go
+++ b/internal/system/proxy/pick/stalled_test.go
@@ -9,7 +9,7 @@
 func stalledPicker(at Time) (*Picker, *coldFleet) {
 	f := newColdFleet(12)
 	p := f.pickers[0]
-	p.SetWorld(0, f.world(0, 1, 0))
+	p.UpdateClusterState(0, f.world(0, 1, 0))
 	p.Stalled(at)
 	return p, f
 }
@@ -24,18 +24,18 @@
 		{100 * time.Millisecond, 10 * time.Millisecond, 91 * time.Millisecond},
 	} {
 		w := f.world(0, 2, 0)
-		w.WordAge, w.Delay = word.age, word.delay
-		p.SetWorld(woke+word.came, w)
+		w.ContactAge, w.Age = word.age, word.delay
+		p.UpdateClusterState(woke+word.came, w)
 		for id, s := range p.servers {
-			if !p.AwaitsWord() || !s.cold(woke+coldFor-1) || s.cold(woke+coldFor) {
+			if !p.AwaitsControlPlane() || !s.cold(woke+coldFor-1) || s.cold(woke+coldFor) {
 				t.Errorf("%+v: %s is cold until %v, want %v", word, id, s.coldUntil, woke+coldFor)
 			}
 		}
 	}
 	w := f.world(0, 2, 0)
-	w.WordAge = 100 * time.Millisecond
-	p.SetWorld(woke+100*time.Millisecond, w)
-	if p.AwaitsWord() || p.servers["s0"].cold(woke+100*time.Millisecond) {
+	w.ContactAge = 100 * time.Millisecond
+	p.UpdateClusterState(woke+100*time.Millisecond, w)
+	if p.AwaitsControlPlane() || p.servers["s0"].cold(woke+100*time.Millisecond) {
 		t.Error("a word from after the stall says that the server is warm")
 	}
 }
@@ -44,7 +44,7 @@
 func TestStalledLearnsOfCold(t *testing.T) {
 	const woke = 10 * time.Second
 	p, f := stalledPicker(woke)
-	p.SetWorld(woke+100*time.Millisecond, f.world(0, 1, 2*time.Second))
+	p.UpdateClusterState(woke+100*time.Millisecond, f.world(0, 1, 2*time.Second))
 	if s := p.servers["s0"]; s.coldUntil != woke+2100*time.Millisecond {
 		t.Errorf("cold until %v", s.coldUntil)
 	}
@@ -55,7 +55,7 @@
 	const woke = 10 * time.Second
 	f := newColdFleet(60)
 	for i, p := range f.pickers {
-		p.SetWorld(0, f.world(i, 1, time.Minute))
+		p.UpdateClusterState(0, f.world(i, 1, time.Minute))
 		if !p.servers["s0"].holder {
 			continue
 		}
@@ -63,7 +63,7 @@
 		if _, may := p.holdsFrom(woke, p.servers["s0"]); may {
 			t.Error("it holds on as it wakes")
 		}
-		p.SetWorld(woke+time.Second, f.world(i, 1, time.Minute))
+		p.UpdateClusterState(woke+time.Second, f.world(i, 1, time.Minute))
 		if from, may := p.holdsFrom(woke+time.Second, p.servers["s0"]); !may || from != woke+time.Second+successorWait {
 			t.Errorf("it holds again %v, from %v", may, from)
 		}
@@ -72,10 +72,10 @@
 
 // TestDelayedWorldCountsDown: durations are counted from when they were told.
 func TestDelayedWorldCountsDown(t *testing.T) {
-	p, f := New(Settings{ColdExcess: 1.5, ColdSlack: 5}), newColdFleet(1)
+	p, f := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newColdFleet(1)
 	w := f.world(0, 1, 2*time.Second)
-	w.Delay = 500 * time.Millisecond
-	p.SetWorld(time.Second, w)
+	w.Age = 500 * time.Millisecond
+	p.UpdateClusterState(time.Second, w)
 	if s := p.servers["s0"]; s.coldUntil != 2500*time.Millisecond {
 		t.Errorf("cold until %v, want 2.5 s", s.coldUntil)
 	}
--- a/internal/system/proxy/pick/takenback_test.go
+++ b/internal/system/proxy/pick/takenback_test.go
@@ -15,19 +15,19 @@
 	for i, p := range f.pickers {
 		w := f.world(i, 5, 0)
 		w.Evacuated = map[string]bool{"z": true}
-		p.SetWorld(0, w)
+		p.UpdateClusterState(0, w)
 	}
 	f.press(back, cold+coldFor, 40*time.Millisecond, func(now Time) {
 		for i, p := range f.pickers {
 			switch {
 			case now == back:
 				w := f.world(i, 5, 0)
-				w.ZoneChanges, w.ListCovers = map[string]uint64{"z": 7}, 6
-				p.SetWorld(now, w)
+				w.ZoneChanges, w.ListCoversSeq = map[string]uint64{"z": 7}, 6
+				p.UpdateClusterState(now, w)
 			case now >= told && now < told+40*time.Millisecond:
 				w := f.world(i, 5, cold+coldFor-now)
-				w.ZoneChanges, w.ListCovers = map[string]uint64{"z": 7}, 7
-				p.SetWorld(now, w)
+				w.ZoneChanges, w.ListCoversSeq = map[string]uint64{"z": 7}, 7
+				p.UpdateClusterState(now, w)
 			}
 		}
 	})
@@ -41,30 +41,30 @@
 // that was made late enough to know, and not before; without one, once they must be warm.
 func TestZoneTakenBackWarm(t *testing.T) {
 	const back = 10 * time.Second
-	p, f := New(Settings{ColdExcess: 1.5, ColdSlack: 5}), newColdFleet(1)
+	p, f := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newColdFleet(1)
 	w := f.world(0, 1, 0)
 	w.Evacuated, w.ZoneChanges = map[string]bool{"z": true}, map[string]uint64{"z": 6}
-	p.SetWorld(0, w)
-	w.Evacuated, w.ZoneChanges, w.ListCovers = nil, map[string]uint64{"z": 7}, 5
-	p.SetWorld(back, w)
-	if s := p.servers["s0"]; !s.cold(back) || !p.AwaitsList() {
+	p.UpdateClusterState(0, w)
+	w.Evacuated, w.ZoneChanges, w.ListCoversSeq = nil, map[string]uint64{"z": 7}, 5
+	p.UpdateClusterState(back, w)
+	if s := p.servers["s0"]; !s.cold(back) || !p.AwaitsServerList() {
 		t.Fatal("taken for warm before the list can tell")
 	}
-	w.ListCovers = 6
-	p.SetWorld(back+time.Second, w)
+	w.ListCoversSeq = 6
+	p.UpdateClusterState(back+time.Second, w)
 	if s := p.servers["s0"]; !s.cold(back + time.Second) {
 		t.Error("taken for warm by a reading that may be too old")
 	}
-	w.ListCovers = 7
-	p.SetWorld(back+1100*time.Millisecond, w)
-	if s := p.servers["s0"]; s.cold(back+1100*time.Millisecond) || p.AwaitsList() {
+	w.ListCoversSeq = 7
+	p.UpdateClusterState(back+1100*time.Millisecond, w)
+	if s := p.servers["s0"]; s.cold(back+1100*time.Millisecond) || p.AwaitsServerList() {
 		t.Error("taken for cold though the list knows better")
 	}
 
 	w.Evacuated, w.ZoneChanges = map[string]bool{"z": true}, map[string]uint64{"z": 8}
-	p.SetWorld(2*back, w)
+	p.UpdateClusterState(2*back, w)
 	w.Evacuated, w.ZoneChanges = nil, map[string]uint64{"z": 9}
-	p.SetWorld(3*back, w)
+	p.UpdateClusterState(3*back, w)
 	if s := p.servers["s0"]; !s.cold(3*back+coldFor-1) || s.cold(3*back+coldFor) {
 		t.Errorf("without a list cold for %v, of %v", s.coldUntil-3*back, coldFor)
 	}
@@ -76,23 +76,23 @@
 	for name, starts := range map[string]bool{"between two updates": false, "before the start": true} {
 		t.Run(name, func(t *testing.T) {
 			f := newColdFleet(12)
-			world := func(i int, cold time.Duration, covers uint64) World {
+			world := func(i int, cold time.Duration, covers uint64) ClusterState {
 				w := f.world(i, 5, cold)
-				w.ZoneChanges, w.ListCovers = map[string]uint64{"z": 7}, covers
+				w.ZoneChanges, w.ListCoversSeq = map[string]uint64{"z": 7}, covers
 				return w
 			}
 			for i, p := range f.pickers {
 				if !starts {
-					p.SetWorld(0, f.world(i, 5, 0))
+					p.UpdateClusterState(0, f.world(i, 5, 0))
 				}
-				p.SetWorld(back, world(i, 0, 6))
+				p.UpdateClusterState(back, world(i, 0, 6))
 			}
 			f.press(back, cold+coldFor, 40*time.Millisecond, func(now Time) {
 				if now < told || now >= told+40*time.Millisecond {
 					return
 				}
 				for i, p := range f.pickers {
-					p.SetWorld(now, world(i, cold+coldFor-now, 7))
+					p.UpdateClusterState(now, world(i, cold+coldFor-now, 7))
 				}
 			})
 			f.check(t)
@@ -104,25 +104,25 @@
 // may be cold all the same.
 func TestUnseenColdOutlivesGaps(t *testing.T) {
 	const back = 10 * time.Second
-	p, f := New(Settings{ColdExcess: 1.5, ColdSlack: 5}), newColdFleet(1)
-	p.SetWorld(0, f.world(0, 1, 0))
-	world := func(servers int) World {
+	p, f := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newColdFleet(1)
+	p.UpdateClusterState(0, f.world(0, 1, 0))
+	world := func(servers int) ClusterState {
 		w := f.world(0, servers, 0)
-		w.ZoneChanges, w.ListCovers = map[string]uint64{"z": 7}, 6
+		w.ZoneChanges, w.ListCoversSeq = map[string]uint64{"z": 7}, 6
 		return w
 	}
-	p.SetWorld(back, world(1))
+	p.UpdateClusterState(back, world(1))
 	gone := world(0)
 	gone.ZoneChanges = nil
-	p.SetWorld(back+100*time.Millisecond, gone)
-	p.SetWorld(back+200*time.Millisecond, world(1))
+	p.UpdateClusterState(back+100*time.Millisecond, gone)
+	p.UpdateClusterState(back+200*time.Millisecond, world(1))
 	if !p.servers["s0"].cold(back + 200*time.Millisecond) {
 		t.Error("warm after it was missing from the list")
 	}
 	without := world(1)
 	without.Config = &conf.Config{}
-	p.SetWorld(back+300*time.Millisecond, without)
-	p.SetWorld(back+400*time.Millisecond, world(1))
+	p.UpdateClusterState(back+300*time.Millisecond, without)
+	p.UpdateClusterState(back+400*time.Millisecond, world(1))
 	if s := p.servers["s0"]; !s.cold(back+400*time.Millisecond) || s.cold(back+coldFor) {
 		t.Errorf("after its service was missing cold until %v, want %v", s.coldUntil, back+coldFor)
 	}
@@ -130,18 +130,18 @@
 
 // TestZoneNeverTakenBack: a list that covers nothing costs nothing where no zone was ever evacuated, or long ago.
 func TestZoneNeverTakenBack(t *testing.T) {
-	p, f := New(Settings{ColdExcess: 1.5, ColdSlack: 5}), newColdFleet(1)
+	p, f := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newColdFleet(1)
 	w := f.world(0, 1, 0)
 	w.ZoneChanges = map[string]uint64{"z": 0}
-	p.SetWorld(0, w)
-	if p.AwaitsList() {
+	p.UpdateClusterState(0, w)
+	if p.AwaitsServerList() {
 		t.Error("a list is awaited though no zone was evacuated")
 	}
-	w.ZoneChanges, w.ListCovers = map[string]uint64{"z": 7}, 7
-	p.SetWorld(time.Second, w)
-	w.ListCovers = 0 // the list's reader has just started
-	p.SetWorld(time.Second+coldFor, w)
-	if p.AwaitsList() {
+	w.ZoneChanges, w.ListCoversSeq = map[string]uint64{"z": 7}, 7
+	p.UpdateClusterState(time.Second, w)
+	w.ListCoversSeq = 0 // the list's reader has just started
+	p.UpdateClusterState(time.Second+coldFor, w)
+	if p.AwaitsServerList() {
 		t.Error("a list is awaited for a change of long ago")
 	}
 }
--- a/internal/system/proxy/pick/types.go
+++ b/internal/system/proxy/pick/types.go
@@ -20,30 +20,30 @@
 	Slots                int
 	Draining             bool
 	Remaining            time.Duration // of a server withdrawn at short notice: what is left to it; 0: not told
-	Cold                 time.Duration // how much longer it is cold at most, counted from when SetWorld is told; 0: warm
-	ColdLeast            time.Duration // and at least
+	WarmUpMax            time.Duration // how much longer it is cold at most, counted from when SetWorld is told; 0: warm
+	WarmUpMin            time.Duration // and at least
 }
 
-// World is what is known beside traffic. A new one replaces the old whole.
-type World struct {
-	Delay     time.Duration // since the durations in it were right
+// ClusterState is what is known beside traffic. A new one replaces the old whole.
+type ClusterState struct {
+	Age       time.Duration // since the durations in it were right
 	Config    *conf.Config
 	Evacuated map[string]bool // zones
 	Servers   []Server
 	// WordAge is how long ago, at most, a current keeper told of this world.
-	WordAge time.Duration
+	ContactAge time.Duration
 	// ZoneChanges tells for each zone which record of the control state evacuated it or took it back last; 0: none did. ListCovers
 	// is the number of the newest record before which all that happened to servers certainly shows in Servers.
-	ZoneChanges map[string]uint64
-	ListCovers  uint64
+	ZoneChanges   map[string]uint64
+	ListCoversSeq uint64
 	// Self is this proxy's name and Peers the names of all live proxies, this one included, sorted: duties such as a cold
 	// server's are cut over them. A proxy that is not among them, or does not know them yet, sends nothing to cold servers.
 	Self  string
 	Peers []string
 	// Lost is how many proxies were given up lately, which may live on. Parts are cut for them, too.
-	Lost int
+	DownCount int
 	// Partial tells that Peers may lack live proxies, as no keeper that knows them all has told of them yet.
-	Partial bool
+	MembershipIncomplete bool
 	// Stale tells that others may have given this proxy up by now, as it has not been heard from or has heard nothing.
 	Stale bool
 }
@@ -55,8 +55,8 @@
 	Tokens   int64 // tokens of memory that those requests hold or will hold
 }
 
-// Part is one part of a prompt, in order; shared between requests, but for the last.
-type Part struct {
+// PrefixPart is one part of a prompt, in order; shared between requests, but for the last.
+type PrefixPart struct {
 	ID     uint64
 	Tokens int
 }
@@ -67,8 +67,8 @@
 	Model     string
 	TokensIn  int
 	TokensOut int // the most
-	Parts     []Part
-	Left      time.Duration // of the client's time and the route's timeout, whichever is shorter
+	Prefix    []PrefixPart
+	TimeLeft  time.Duration // of the client's time and the route's timeout, whichever is shorter
 	Age       time.Duration // since the head was read here
 	Resumed   bool          // continues a stream after Last-Event-Id
 
@@ -80,14 +80,14 @@
 
 // The outcomes.
 const (
-	Served      Outcome = iota // a whole answer
-	NotExecuted                // the server said that it did not run it (X-Not-Executed): full, or too late in its queue
-	Misdirected                // 421: another server lives there now
-	Unreached                  // no connection, or not a byte was sent
-	Broken                     // sent, then a reset, a close or bytes that are no answer: may have run
-	Silent                     // sent, and no answer in the time that was given: may have run
-	Failed                     // an answer of 5xx that ran
-	Abandoned                  // the client went away, or this end gave it up
+	Served         Outcome = iota // a whole answer
+	NotExecuted                   // the server said that it did not run it (X-Not-Executed): full, or too late in its queue
+	Misdirected                   // 421: another server lives there now
+	ConnectFailed                 // no connection, or not a byte was sent
+	ConnectionLost                // sent, then a reset, a close or bytes that are no answer: may have run
+	TimedOut                      // sent, and no answer in the time that was given: may have run
+	ServerError                   // an answer of 5xx that ran
+	Canceled                      // the client went away, or this end gave it up
 )
 
 // Verdict is what is to be done with a request now.
@@ -95,9 +95,9 @@
 
 // The verdicts.
 const (
-	Send    Verdict = iota // to Choice.Server
-	Refuse                 // answer 503 with Retry-After: nothing can serve it in time (only where it has not run)
-	Exhaust                // no further send is allowed (tries, budget, no other server): answer with what there is
+	Send   Verdict = iota // to Choice.Server
+	Refuse                // answer 503 with Retry-After: nothing can serve it in time (only where it has not run)
+	GiveUp                // no further send is allowed (tries, budget, no other server): answer with what there is
 )
 
 // Choice is a verdict with what it needs.
--- a/internal/system/proxy/pick/weigh.go
+++ b/internal/system/proxy/pick/weigh.go
@@ -126,9 +126,9 @@
 func (p *Picker) roundTrip(s *server) float64 {
 	switch {
 	case s.region != 0:
-		return 2 * ms(p.set.CrossRegion)
+		return 2 * ms(p.set.CrossRegionLatency)
 	case s.Zone != p.set.Zone:
-		return 2 * ms(p.set.CrossZone)
+		return 2 * ms(p.set.CrossZoneLatency)
 	}
 	return 0
 }
--- a/internal/system/proxy/policy.go
+++ b/internal/system/proxy/policy.go
@@ -11,10 +11,10 @@
 
 // picker is what the data plane asks of package pick. It is not safe for concurrent use.
 type picker interface {
-	SetWorld(now pick.Time, w pick.World)
+	UpdateClusterState(now pick.Time, w pick.ClusterState)
 	SetLoads(now pick.Time, loads map[string]pick.Load)
 	Loads() map[string]pick.Load
-	Demands() map[string]pick.Load
+	PromptDemands() map[string]pick.Load
 	Route(host, path string) *conf.Route
 	Arrive(now pick.Time, r *pick.Request)
 	Choose(now pick.Time, r *pick.Request, tried []string, offered bool) pick.Choice
@@ -22,14 +22,14 @@
 	Started(now pick.Time, ticket uint64)
 	FirstEvent(now pick.Time, ticket uint64)
 	Done(now pick.Time, ticket uint64, o pick.Outcome, retryAfter time.Duration)
-	Cold(now pick.Time, id string, left time.Duration)
-	Leaving(now pick.Time, id string)
-	Keeps(id string, told time.Duration)
+	WarmingUp(now pick.Time, id string, left time.Duration)
+	ServerDraining(now pick.Time, id string)
+	SetIdleTimeout(id string, told time.Duration)
 	Describe(now pick.Time) string
 	Stats() pick.Stats
-	AwaitsList() bool
+	AwaitsServerList() bool
 	Stalled(now pick.Time)
-	AwaitsWord() bool
+	AwaitsControlPlane() bool
 }
 
 // policy is a picker behind a lock and a monotonic clock. It tells the picker when the process has stood still.
@@ -61,15 +61,15 @@
 		p.inner.Stalled(now)
 	}
 	f(p.inner, now)
-	p.stalls.settle(p.inner.AwaitsWord())
+	p.stalls.settle(p.inner.AwaitsControlPlane())
 	return stalled
 }
 
 // SetWorld hands on a world whose durations are as of asOf.
-func (p *policy) SetWorld(asOf time.Time, w pick.World) {
+func (p *policy) SetWorld(asOf time.Time, w pick.ClusterState) {
 	p.with(func(i picker, now pick.Time) {
-		w.Delay = now - asOf.Sub(p.start)
-		i.SetWorld(now, w)
+		w.Age = now - asOf.Sub(p.start)
+		i.UpdateClusterState(now, w)
 	})
 }
 
@@ -81,7 +81,7 @@
 func (p *policy) Loads() (loads map[string]pick.Load) {
 	p.with(func(i picker, _ pick.Time) {
 		loads = i.Loads()
-		maps.Copy(loads, i.Demands())
+		maps.Copy(loads, i.PromptDemands())
 	})
 	return loads
 }
@@ -92,7 +92,7 @@
 }
 
 func (p *policy) AwaitsList() (awaits bool) {
-	p.with(func(i picker, _ pick.Time) { awaits = i.AwaitsList() })
+	p.with(func(i picker, _ pick.Time) { awaits = i.AwaitsServerList() })
 	return awaits
 }
 
@@ -131,11 +131,11 @@
 			i.ServerLoad(now, id, h.running, h.waiting, h.slots)
 		}
 		if h.cold {
-			i.Cold(now, id, h.coldFor)
+			i.WarmingUp(now, id, h.coldFor)
 		}
-		i.Keeps(id, h.keeps)
+		i.SetIdleTimeout(id, h.keeps)
 		if h.leaving {
-			i.Leaving(now, id)
+			i.ServerDraining(now, id)
 		}
 	})
 }
--- a/internal/system/proxy/promises_test.go
+++ b/internal/system/proxy/promises_test.go
@@ -19,7 +19,7 @@
 		for _, may := range []conf.Category{conf.NonIdempotent, conf.Idempotent} {
 			t.Run(fmt.Sprint(status, may), func(t *testing.T) {
 				f := startProxy(t, []*fakeServer{startServer(t, say(status, long)), startServer(t, say(200, "second"))}, category(may))
-				want, outcomes := 502, []pick.Outcome{pick.Failed}
+				want, outcomes := 502, []pick.Outcome{pick.ServerError}
 				if may == conf.Idempotent {
 					want, outcomes = 200, append(outcomes, pick.Served)
 				}
--- a/internal/system/proxy/proxy.go
+++ b/internal/system/proxy/proxy.go
@@ -12,13 +12,13 @@
 
 // Options are what a Proxy is made with.
 type Options struct {
-	Settings  pick.Settings
-	GraceFor  time.Duration // that Drain may take: what is left of the time up to the platform's kill; default 8 s
-	LossSlack time.Duration // how soon a client learns that its connection has ended, around planned work; default 200 ms
-	FDLimit   int           // descriptors of the process; default 4096
-	MemoryMB  int           // of the process; default 256
-	Log       log.Interface // default log.Log
-	OnStall   func()        // is called when the process has stood still: a keeper is to be asked at once; nil: none is. It must not block
+	Settings    pick.Settings
+	GracePeriod time.Duration // that Drain may take: what is left of the time up to the platform's kill; default 8 s
+	LossSlack   time.Duration // how soon a client learns that its connection has ended, around planned work; default 200 ms
+	FDLimit     int           // descriptors of the process; default 4096
+	MemoryMB    int           // of the process; default 256
+	Log         log.Interface // default log.Log
+	OnStall     func()        // is called when the process has stood still: a keeper is to be asked at once; nil: none is. It must not block
 
 	stall    time.Duration // a client that takes nothing for so long is given up; default stallFor
 	patience time.Duration // a server may be silent so long before an answer begins; default leastPatience
@@ -44,7 +44,7 @@
 type Proxy struct {
 	opt      Options
 	policy   *policy
-	world    atomic.Pointer[pick.World]
+	world    atomic.Pointer[pick.ClusterState]
 	upstream *upstream
 	room     *budget
 	front    *front
@@ -55,8 +55,8 @@
 func New(o Options) *Proxy { return newProxy(o, pick.New(o.Settings)) }
 
 func newProxy(o Options, by picker) *Proxy {
-	if o.GraceFor <= 0 {
-		o.GraceFor = 8 * time.Second
+	if o.GracePeriod <= 0 {
+		o.GracePeriod = 8 * time.Second
 	}
 	if o.LossSlack <= 0 {
 		o.LossSlack = 200 * time.Millisecond
@@ -86,9 +86,9 @@
 	return p
 }
 
-// SetWorld replaces what is known of the configuration, the evacuated zones, the servers and the other proxies. The durations in w
+// UpdateClusterState replaces what is known of the configuration, the evacuated zones, the servers and the other proxies. The durations in w
 // are as of the moment asOf.
-func (p *Proxy) SetWorld(asOf time.Time, w pick.World) {
+func (p *Proxy) UpdateClusterState(asOf time.Time, w pick.ClusterState) {
 	p.policy.SetWorld(asOf, w)
 	p.upstream.update(w)
 	p.world.Store(&w)
@@ -97,8 +97,8 @@
 	}
 }
 
-// AwaitsList tells whether some servers wait for a newer reading of the platform's list.
-func (p *Proxy) AwaitsList() bool { return p.policy.AwaitsList() }
+// AwaitsServerList tells whether some servers wait for a newer reading of the platform's list.
+func (p *Proxy) AwaitsServerList() bool { return p.policy.AwaitsList() }
 
 // SetLoads tells what all other proxies together have outstanding at each server.
 func (p *Proxy) SetLoads(loads map[string]pick.Load) { p.policy.SetLoads(loads) }
--- a/internal/system/proxy/relay.go
+++ b/internal/system/proxy/relay.go
@@ -39,7 +39,7 @@
 	case c.passing: // only a stream can go on with one
 		x.drop()
 		c.offered = true
-		c.done(ch, pick.Failed)
+		c.done(ch, pick.ServerError)
 		return false
 	}
 	a := &answer{status: status, header: resp.Header}
@@ -65,7 +65,7 @@
 		return true
 	}
 	c.offered = true
-	c.done(ch, pick.Failed)
+	c.done(ch, pick.ServerError)
 	if c.kept = a; promised {
 		c.kept = nil
 	}
@@ -206,13 +206,13 @@
 func (c *call) broke(ch pick.Choice, x *exchange, err error) bool {
 	if !errors.Is(err, errGone) {
 		c.fail(ch, x, err)
-		c.p.counters.Cut.Add(1)
+		c.p.counters.Truncated.Add(1)
 		c.cut(false)
 		return true
 	}
 	x.drop()
-	c.done(ch, pick.Abandoned)
-	c.p.counters.Gone.Add(1)
+	c.done(ch, pick.Canceled)
+	c.p.counters.ClientGone.Add(1)
 	c.cut(true)
 	return true
 }
--- a/internal/system/proxy/reuse_test.go
+++ b/internal/system/proxy/reuse_test.go
@@ -124,7 +124,7 @@
 			if len(s.came) != 2 || len(other.came) != 0 {
 				t.Errorf("%d and %d requests came", len(s.came), len(other.came))
 			}
-			if ends := f.ends(); !slices.Equal(ends, []pick.Outcome{pick.Served, pick.Broken}) {
+			if ends := f.ends(); !slices.Equal(ends, []pick.Outcome{pick.Served, pick.ConnectionLost}) {
 				t.Errorf("sends ended as %v", ends)
 			}
 		}
@@ -158,7 +158,7 @@
 	was := within(t, s.came, "request").conn
 	w := *f.world.Load()
 	w.Servers = []pick.Server{{ID: "i-new", Service: "s", Address: s.address()}}
-	f.SetWorld(time.Now(), w)
+	f.UpdateClusterState(time.Now(), w)
 	goOn <- true
 	if got := c.read(); got.StatusCode != 200 {
 		t.Errorf("status %d", got.StatusCode)
--- a/internal/system/proxy/serve.go
+++ b/internal/system/proxy/serve.go
@@ -98,7 +98,7 @@
 			if raw, err := c.SyscallConn(); err == nil {
 				_ = boundUnacked(raw)
 			}
-			f.take(framing.NewClientConn(c, mostHead, &p.counters.Improper))
+			f.take(framing.NewClientConn(c, mostHead, &p.counters.Rejected))
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			// Danger: a deadline can pass with connections waiting, and closing the listener resets them.
 			if rounds > 0 && !taken || rounds == mostRounds {
@@ -165,9 +165,9 @@
 		return
 	}
 	// Clients hold the directory's answer for some seconds; new ones are answered as before.
-	pause(ctx, p.opt.GraceFor/4)
-	_ = l.SetDeadline(time.Now().Add(p.opt.GraceFor / 8))
-	end := began.Add(p.opt.GraceFor - min(p.opt.GraceFor/8, 500*time.Millisecond))
+	pause(ctx, p.opt.GracePeriod/4)
+	_ = l.SetDeadline(time.Now().Add(p.opt.GracePeriod / 8))
+	end := began.Add(p.opt.GracePeriod - min(p.opt.GracePeriod/8, 500*time.Millisecond))
 	for ctx.Err() == nil && time.Now().Before(end) {
 		f.closeIdle(time.Now())
 		select {
--- a/internal/system/proxy/silence_test.go
+++ b/internal/system/proxy/silence_test.go
@@ -35,13 +35,13 @@
 	}
 	toy := &toyPicker{route: route, down: map[string]bool{}, sent: map[uint64]string{}}
 	p := &piped{newProxy(o, toy), toy, map[string]deed{}, make(chan *seen, 100)}
-	w := pick.World{Config: config}
+	w := pick.ClusterState{Config: config}
 	for i, do := range servers {
 		at := fmt.Sprint("at-", i)
 		p.servers[at] = do
 		w.Servers = append(w.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: at})
 	}
-	p.SetWorld(time.Now(), w)
+	p.UpdateClusterState(time.Now(), w)
 	p.upstream.open = func(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
 		do := p.servers[address]
 		if do == nil { // nobody answers
@@ -88,22 +88,22 @@
 		outcomes []pick.Outcome
 	}{
 		{"may run once", category(conf.NonIdempotent), []deed{mute, say(200, "x")}, 504, "", 8*time.Second - mostMargin,
-			[]pick.Outcome{pick.Silent}},
+			[]pick.Outcome{pick.TimedOut}},
 		{"may run again", category(conf.Idempotent), []deed{mute, say(200, "x")}, 200, "x", 1600 * time.Millisecond,
-			[]pick.Outcome{pick.Silent, pick.Served}},
-		{"nowhere to go", category(conf.Idempotent), []deed{mute}, 504, "", 8*time.Second - mostMargin, []pick.Outcome{pick.Silent}},
+			[]pick.Outcome{pick.TimedOut, pick.Served}},
+		{"nowhere to go", category(conf.Idempotent), []deed{mute}, 504, "", 8*time.Second - mostMargin, []pick.Outcome{pick.TimedOut}},
 		{"half an answer, may run again", category(conf.Idempotent), []deed{stream(1, 0, mute), say(200, "x")}, 200, "x",
-			1600 * time.Millisecond, []pick.Outcome{pick.Silent, pick.Served}},
+			1600 * time.Millisecond, []pick.Outcome{pick.TimedOut, pick.Served}},
 		{"a stream may be resumed", resumable, []deed{first, eventsOf(3, 4, true)}, 200, streamText(1, 4), 1200 * time.Millisecond,
-			[]pick.Outcome{pick.Silent, pick.Served}},
+			[]pick.Outcome{pick.TimedOut, pick.Served}},
 		{"a stream may not be resumed", category(conf.Streaming), []deed{first, eventsOf(3, 4, true)}, 200, streamText(1, 2),
-			8*time.Second - mostMargin, []pick.Outcome{pick.Silent}},
+			8*time.Second - mostMargin, []pick.Outcome{pick.TimedOut}},
 		{"nobody answers a call", category(conf.NonIdempotent), []deed{nil, say(200, "x")}, 200, "x", dialNear,
-			[]pick.Outcome{pick.Unreached, pick.Served}},
+			[]pick.Outcome{pick.ConnectFailed, pick.Served}},
 		{"nobody answers any call", category(conf.NonIdempotent), []deed{nil, nil}, 503, "", 2 * dialNear,
-			[]pick.Outcome{pick.Unreached, pick.Unreached}},
+			[]pick.Outcome{pick.ConnectFailed, pick.ConnectFailed}},
 		{"all are silent", category(conf.Idempotent), []deed{mute, mute, mute, mute}, 504, "", 8*time.Second - mostMargin,
-			[]pick.Outcome{pick.Silent, pick.Silent, pick.Silent}},
+			[]pick.Outcome{pick.TimedOut, pick.TimedOut, pick.TimedOut}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -185,7 +185,7 @@
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
 			_, took := p.ask(ctx)
-			if took != time.Second || !slices.Equal(p.pick.ends, []pick.Outcome{pick.Abandoned}) || p.Counters().Gone.Load() != 1 {
+			if took != time.Second || !slices.Equal(p.pick.ends, []pick.Outcome{pick.Canceled}) || p.Counters().ClientGone.Load() != 1 {
 				t.Errorf("after %v, sends ended as %v", took, p.pick.ends)
 			}
 		})
--- a/internal/system/proxy/upstream.go
+++ b/internal/system/proxy/upstream.go
@@ -72,7 +72,7 @@
 func (u *upstream) now() time.Duration { return time.Since(u.start) }
 
 // update takes in which servers there are. Danger: idle connections to a server that is gone swallow the next requests.
-func (u *upstream) update(w pick.World) {
+func (u *upstream) update(w pick.ClusterState) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	listed := make(map[string]bool, len(w.Servers))
@@ -138,14 +138,14 @@
 	if d := u.idle[service]; d > 0 {
 		return d
 	}
-	return pick.UntoldKept
+	return pick.DefaultIdleTimeout
 }
 
 // keeps takes in for how long servers of a service keep idle connections.
 func (u *upstream) keeps(service string, d time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.idle[service] = max(min(pick.KeptFor(d), u.idleFor(service)), leastIdle)
+	u.idle[service] = max(min(pick.IdleTimeout(d), u.idleFor(service)), leastIdle)
 }
 
 // take is an idle connection that looks sound, nil if there is none, and how long one had idled that was found closed by
@@ -261,7 +261,7 @@
 	u.counters.Dials.Add(1)
 	c, err := u.open(ctx, p.address, min(most, time.Until(deadline)))
 	if err != nil {
-		u.counters.Unreached.Add(1)
+		u.counters.DialFailures.Add(1)
 		return nil, err
 	}
 	tcp, _ := c.(*net.TCPConn)
