--- a/cmd/gradeusher/staff_backup.go
+++ b/cmd/gradeusher/staff_backup.go
@@ -5,9 +5,9 @@
 	"fmt"
 	"io"
 
+	"gradeusher.example/gradeusher/internal/system/admin"
+	"gradeusher.example/gradeusher/internal/system/admin/restore"
 	"gradeusher.example/gradeusher/internal/system/controlstate"
-	"gradeusher.example/gradeusher/internal/system/staff"
-	"gradeusher.example/gradeusher/internal/system/staff/restore"
 )
 
 type systemBackupCommand struct {
@@ -23,7 +23,7 @@
 		return err
 	}
 	data := state.Encode()
-	if err := staff.WriteBackup(c.File, data); err != nil {
+	if err := admin.WriteBackup(c.File, data); err != nil {
 		return err
 	}
 	fmt.Fprintf(s.out, "%d bytes in %s\n", len(data), c.File)
@@ -35,7 +35,7 @@
 	if c.Disk != "" {
 		return restore.From(c.Disk)
 	}
-	var client staff.Client
+	var client admin.Client
 	return client.Backup(ctx, c.From)
 }
 
@@ -46,7 +46,7 @@
 
 // Run lays the state into the directory.
 func (c systemRestoreCommand) Run(s streams) error {
-	state, err := staff.ReadBackup(c.File)
+	state, err := admin.ReadBackup(c.File)
 	if err != nil {
 		return err
 	}
@@ -61,5 +61,5 @@
 }
 
 func describe(w io.Writer, s *controlstate.State) {
-	fmt.Fprintf(w, "record %d, revision %d, evacuated zones: %s\n", s.Seq, s.Revision(), orNone(staff.Zones(s)))
+	fmt.Fprintf(w, "record %d, revision %d, evacuated zones: %s\n", s.Seq, s.Revision(), orNone(admin.Zones(s)))
 }
--- a/cmd/gradeusher/staff_status.go
+++ b/cmd/gradeusher/staff_status.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"gradeusher.example/gradeusher/internal/system/staff"
+	"gradeusher.example/gradeusher/internal/system/admin"
 )
 
 type systemStatusCommand struct {
@@ -23,7 +23,7 @@
 // Run prints what keepers and proxies hold. It fails where no keeper is current, and where the keepers do not bear the losses
 // that the deployment's tolerance names.
 func (c systemStatusCommand) Run(ctx context.Context, s streams) error {
-	var client staff.Client
+	var client admin.Client
 	if c.Wait != "" {
 		return c.wait(ctx, s, &client)
 	}
@@ -43,8 +43,8 @@
 	return nil
 }
 
-func (c systemStatusCommand) wait(ctx context.Context, s streams, client *staff.Client) error {
-	change, err := staff.ParseChange(c.Wait)
+func (c systemStatusCommand) wait(ctx context.Context, s streams, client *admin.Client) error {
+	change, err := admin.ParseChange(c.Wait)
 	if err != nil {
 		return fmt.Errorf("%w: --wait: %w", errUsage, err)
 	}
@@ -68,7 +68,7 @@
 	return nil
 }
 
-func (c systemStatusCommand) print(w io.Writer, f *staff.Fleet) error {
+func (c systemStatusCommand) print(w io.Writer, f *admin.Fleet) error {
 	if c.JSON {
 		return json.NewEncoder(w).Encode(f)
 	}
@@ -101,7 +101,7 @@
 	return nil
 }
 
-func printCapacity(w io.Writer, have *staff.Capacity) {
+func printCapacity(w io.Writer, have *admin.Capacity) {
 	if have == nil {
 		return
 	}
@@ -109,7 +109,7 @@
 		either(have.ToleranceMet, "borne", "NOT borne"), have.Voters, have.VotersDesired, have.SilentVoters, have.ChainReplicas, have.ChainReplicasRequired, have.Observers)
 }
 
-func printKeeper(w io.Writer, a staff.NodeAnswer) {
+func printKeeper(w io.Writer, a admin.NodeAnswer) {
 	s := a.Status
 	if s == nil {
 		fmt.Fprintf(w, "keeper %-21s %s\n", a.Address, a.Error)
--- a/cmd/gradeusher/staff_test.go
+++ b/cmd/gradeusher/staff_test.go
@@ -11,32 +11,32 @@
 	"strings"
 	"testing"
 
+	"gradeusher.example/gradeusher/internal/system/admin"
 	"gradeusher.example/gradeusher/internal/system/controlstate"
-	"gradeusher.example/gradeusher/internal/system/staff"
 )
 
 // staffed is a keeper's control address and a proxy's inner one, at one address.
 func staffed(t *testing.T, current bool) (address string, state *controlstate.State) {
 	t.Helper()
-	return staffedWith(t, staff.NodeStatus{Current: current})
+	return staffedWith(t, admin.NodeStatus{Current: current})
 }
 
 // staffedWith fills in what the status leaves open.
-func staffedWith(t *testing.T, status staff.NodeStatus) (address string, state *controlstate.State) {
+func staffedWith(t *testing.T, status admin.NodeStatus) (address string, state *controlstate.State) {
 	t.Helper()
-	status.Version, status.Node, status.Epoch, status.Chain = staff.Version, "n", 3, []string{"127.0.0.1"}
-	status.Voters = []staff.Voter{{Address: "127.0.0.1", Zone: "hall", Region: "town"}}
+	status.Version, status.Node, status.Epoch, status.Chain = admin.Version, "n", 3, []string{"127.0.0.1"}
+	status.Voters = []admin.Voter{{Address: "127.0.0.1", Zone: "hall", Region: "town"}}
 	status.Number, status.Evacuated, status.ListOwner = 1, []string{"hall"}, "127.0.0.1"
-	status.Proxies = []staff.ProxyProgress{{Node: "edge", Acknowledged: 1}}
+	status.Proxies = []admin.ProxyProgress{{Node: "edge", Acknowledged: 1}}
 	state, err := controlstate.Empty().Apply(controlstate.Change{Op: controlstate.OpEvacuate, Zone: "hall"}.Record(1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	mux := http.NewServeMux()
-	mux.Handle("/backup", staff.BackupHandler(func(context.Context) (*controlstate.State, error) { return state, nil }))
-	mux.Handle("/status", staff.ProxyHandler(func() any { // one document for both: each reader passes over the other's fields
+	mux.Handle("/backup", admin.BackupHandler(func(context.Context) (*controlstate.State, error) { return state, nil }))
+	mux.Handle("/status", admin.ProxyHandler(func() any { // one document for both: each reader passes over the other's fields
 		return struct {
-			staff.NodeStatus
+			admin.NodeStatus
 			Ready  bool   `json:"ready"`
 			Choice string `json:"choice"`
 		}{status, true, "s-1 m hall: evacuated\n"}
@@ -66,8 +66,8 @@
 		}
 	}
 	code, out, said = runIn("system", "status", "--json", address)
-	var f staff.Fleet
-	if err := json.Unmarshal([]byte(out), &f); code != 0 || err != nil || f.Epoch != 3 || f.Version != staff.Version {
+	var f admin.Fleet
+	if err := json.Unmarshal([]byte(out), &f); code != 0 || err != nil || f.Epoch != 3 || f.Version != admin.Version {
 		t.Error(code, said, err, f)
 	}
 	stale, _ := staffed(t, false)
@@ -80,18 +80,18 @@
 func TestSystemStatusTellsOfTheTolerance(t *testing.T) {
 	t.Parallel()
 	const remedy = "3 keepers with a disk vote and 5 are needed: run keepers on 2 more machines with a disk, or lower [tolerance]"
-	short := staff.Capacity{Nodes: 3, Observers: 2, Voters: 3, VotersDesired: 5, SilentVoters: 1, ChainReplicas: 3, ChainReplicasRequired: 3, Remedy: remedy}
-	whole := staff.Capacity{ToleranceMet: true, Nodes: 5, Voters: 5, VotersDesired: 5, ChainReplicas: 5, ChainReplicasRequired: 3}
+	short := admin.Capacity{Nodes: 3, Observers: 2, Voters: 3, VotersDesired: 5, SilentVoters: 1, ChainReplicas: 3, ChainReplicasRequired: 3, Remedy: remedy}
+	whole := admin.Capacity{ToleranceMet: true, Nodes: 5, Voters: 5, VotersDesired: 5, ChainReplicas: 5, ChainReplicasRequired: 3}
 	for _, c := range []struct {
-		status    staff.NodeStatus
+		status    admin.NodeStatus
 		code      int
 		out, said string
 	}{
-		{staff.NodeStatus{Current: true, Capacity: &short}, exitBroken,
+		{admin.NodeStatus{Current: true, Capacity: &short}, exitBroken,
 			"\ntolerance: NOT borne, 3 of 5 voters (1 silent), 3 links (3 needed), 2 observers\n", "[tolerance] names: " + remedy + "\n"},
-		{staff.NodeStatus{Current: true, Capacity: &whole}, 0, "\ntolerance: borne, 5 of 5 voters (0 silent), 5 links (3 needed), 0 observers\n", ""},
-		{staff.NodeStatus{Capacity: &short}, exitBroken, " n: NOT current,", "no keeper is current"},
-		{staff.NodeStatus{Current: true, Observer: true, Capacity: &whole}, 0, "\nobserver 127.0.0.1:", ""},
+		{admin.NodeStatus{Current: true, Capacity: &whole}, 0, "\ntolerance: borne, 5 of 5 voters (0 silent), 5 links (3 needed), 0 observers\n", ""},
+		{admin.NodeStatus{Capacity: &short}, exitBroken, " n: NOT current,", "no keeper is current"},
+		{admin.NodeStatus{Current: true, Observer: true, Capacity: &whole}, 0, "\nobserver 127.0.0.1:", ""},
 	} {
 		address, _ := staffedWith(t, c.status)
 		code, out, said := runIn("system", "status", address)
--- a/cmd/gradeusher/staff_why.go
+++ b/cmd/gradeusher/staff_why.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"strings"
 
-	"gradeusher.example/gradeusher/internal/system/staff"
+	"gradeusher.example/gradeusher/internal/system/admin"
 )
 
 type systemWhyCommand struct {
@@ -17,7 +17,7 @@
 
 // Run prints what the proxy's choice rests on. It fails where the proxy does not know the server.
 func (c systemWhyCommand) Run(ctx context.Context, s streams) error {
-	var client staff.Client
+	var client admin.Client
 	p, err := client.ProxyStatus(ctx, c.Proxy)
 	if err != nil {
 		return err
--- a/cmd/gradeusher/system_up_test.go
+++ b/cmd/gradeusher/system_up_test.go
@@ -15,7 +15,7 @@
 
 	"gradeusher.example/gradeusher/internal/lab/world"
 	"gradeusher.example/gradeusher/internal/lab/world/rules"
-	"gradeusher.example/gradeusher/internal/system/staff"
+	"gradeusher.example/gradeusher/internal/system/admin"
 )
 
 // buildSystem builds the system's programs.
@@ -85,7 +85,7 @@
 
 // observes tells whether the keeper at the control address is an observer that knows the configuration and passes reads on.
 func observes(ctx context.Context, address string) error {
-	var client staff.Client
+	var client admin.Client
 	s, err := client.NodeStatus(ctx, address)
 	if err != nil {
 		return err
--- a/cmd/keeper/chain_test.go
+++ b/cmd/keeper/chain_test.go
@@ -15,10 +15,10 @@
 	"github.com/apex/log"
 	"github.com/apex/log/handlers/discard"
 
+	"gradeusher.example/gradeusher/internal/system/admin"
 	"gradeusher.example/gradeusher/internal/system/control"
 	"gradeusher.example/gradeusher/internal/system/replication"
 	"gradeusher.example/gradeusher/internal/system/settings"
-	"gradeusher.example/gradeusher/internal/system/staff"
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	defer k.chain.Stop()
-	if status, ok := k.status().(staff.NodeStatus); !ok || !status.Observer || status.Current {
+	if status, ok := k.status().(admin.NodeStatus); !ok || !status.Observer || status.Current {
 		t.Errorf("its status is %+v", status)
 	}
 	if c := k.chain.Capacity(); c.Observers != 1 || c.Nodes != 0 {
--- a/cmd/keeper/run.go
+++ b/cmd/keeper/run.go
@@ -9,13 +9,13 @@
 
 	"github.com/apex/log"
 
+	"gradeusher.example/gradeusher/internal/system/admin"
 	"gradeusher.example/gradeusher/internal/system/control"
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/distribution"
 	"gradeusher.example/gradeusher/internal/system/process"
 	"gradeusher.example/gradeusher/internal/system/replication"
 	"gradeusher.example/gradeusher/internal/system/settings"
-	"gradeusher.example/gradeusher/internal/system/staff"
 )
 
 const (
@@ -93,7 +93,7 @@
 		Current:     func() *controlstate.State { state, _ := k.chain.Committed(); return state },
 		Stalled:     k.stalls.Stalled,
 		Partitioned: k.chain.Partitioned,
-		Status:      k.status, Backup: staff.BackupHandler(k.chain.Read)}
+		Status:      k.status, Backup: admin.BackupHandler(k.chain.Read)}
 	if k.feed != nil {
 		options.WaitDelivered = k.feed.delivered
 	}
--- a/cmd/proxy/run.go
+++ b/cmd/proxy/run.go
@@ -12,6 +12,7 @@
 	"github.com/apex/log"
 	"github.com/cockroachdb/errors"
 
+	"gradeusher.example/gradeusher/internal/system/admin"
 	"gradeusher.example/gradeusher/internal/system/directory"
 	"gradeusher.example/gradeusher/internal/system/distribution"
 	"gradeusher.example/gradeusher/internal/system/failuredetector"
@@ -20,7 +21,6 @@
 	"gradeusher.example/gradeusher/internal/system/proxy"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 	"gradeusher.example/gradeusher/internal/system/settings"
-	"gradeusher.example/gradeusher/internal/system/staff"
 )
 
 const (
@@ -65,7 +65,7 @@
 	calls := http.NewServeMux()
 	calls.Handle("/twirp/", p.follower.Handler())
 	calls.Handle(failuredetector.AlivePath, p.agent.Handler())
-	calls.Handle("/status", staff.ProxyHandler(p.status))
+	calls.Handle("/status", admin.ProxyHandler(p.status))
 	for address, handler := range map[string]http.Handler{
 		inner:            calls,
 		s.Bind.Readiness: directory.Readiness(func() bool { return p.dataPlane.Ready() && p.ready() }),
@@ -213,8 +213,8 @@
 // status is what staff see of this proxy.
 func (p *server) status() any {
 	held := p.follower.Current()
-	out := staff.ProxyStatus{Version: staff.Version, Node: p.settings.Node, Ready: p.dataPlane.Ready() && p.ready(), Fresh: held.Fresh,
-		Number: held.State.Seq, Revision: held.State.Revision(), Evacuated: staff.Zones(held.State), Servers: len(held.Servers),
+	out := admin.ProxyStatus{Version: admin.Version, Node: p.settings.Node, Ready: p.dataPlane.Ready() && p.ready(), Fresh: held.Fresh,
+		Number: held.State.Seq, Revision: held.State.Revision(), Evacuated: admin.Zones(held.State), Servers: len(held.Servers),
 		ListAgeMS: -1, Choice: p.dataPlane.Describe(), Violations: invariant.Violations()}
 	if held.HasList {
 		out.ListAgeMS = held.ListAge.Milliseconds()
--- a/internal/compat/filled_test.go
+++ b/internal/compat/filled_test.go
@@ -13,7 +13,7 @@
 	"gradeusher.example/gradeusher/internal/sidecar/keeper"
 	"gradeusher.example/gradeusher/internal/sidecar/list"
 	"gradeusher.example/gradeusher/internal/sidecar/state"
-	"gradeusher.example/gradeusher/internal/system/staff"
+	"gradeusher.example/gradeusher/internal/system/admin"
 )
 
 // fillValue gives all fields of a value, at any depth, values that are not zero and do not depend on names in the code.
@@ -107,9 +107,9 @@
 // TestDocuments are those of `system status --json`, `system why --json`, GET /status, and the entries and commands of the
 // sidecars' list.
 func TestDocuments(t *testing.T) {
-	document[staff.Fleet](t, "system_status")
-	document[staff.ProxyStatus](t, "why")
-	document[staff.NodeStatus](t, "keeper_status")
+	document[admin.Fleet](t, "system_status")
+	document[admin.ProxyStatus](t, "why")
+	document[admin.NodeStatus](t, "keeper_status")
 	document[routes.Table](t, "route_table")
 	document[keeper.Status](t, "sidecar_status")
 	document[client.RouteNews](t, "sidecar_routes")
@@ -122,7 +122,7 @@
 
 // TestWhyLines: the line of a server begins with its id.
 func TestWhyLines(t *testing.T) {
-	var p staff.ProxyStatus
+	var p admin.ProxyStatus
 	if err := json.Unmarshal([]byte(`{"choice":"s-1 a\ns-10 b\n"}`), &p); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/compat/keeperdata_test.go
+++ b/internal/compat/keeperdata_test.go
@@ -15,11 +15,11 @@
 	"github.com/apex/log"
 	"github.com/apex/log/handlers/discard"
 
+	"gradeusher.example/gradeusher/internal/system/admin"
+	"gradeusher.example/gradeusher/internal/system/admin/restore"
 	"gradeusher.example/gradeusher/internal/system/control"
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/replication"
-	"gradeusher.example/gradeusher/internal/system/staff"
-	"gradeusher.example/gradeusher/internal/system/staff/restore"
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	current := func() *controlstate.State { s, _ := k.Committed(); return s }
-	h := control.Handler(control.Options{Chain: submitter{k}, Log: quiet, Current: current, Backup: staff.BackupHandler(k.Read)})
+	h := control.Handler(control.Options{Chain: submitter{k}, Log: quiet, Current: current, Backup: admin.BackupHandler(k.Read)})
 	return &node{t: t, k: k, log: disk, call: h}
 }
 
@@ -130,10 +130,10 @@
 	n.expect(http.MethodPost, "/Evacuation.Finish/za", "", "", 200, "")
 	backup := n.ask(http.MethodGet, "/backup", "", "").Body.Bytes()
 	n.stop()
-	if err := staff.WriteBackup(keeperBackup, backup); err != nil {
+	if err := admin.WriteBackup(keeperBackup, backup); err != nil {
 		t.Fatal(err)
 	}
-	state, err := staff.ReadBackup(keeperBackup)
+	state, err := admin.ReadBackup(keeperBackup)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -170,7 +170,7 @@
 // holds compares a control state with what the fixture's writer left.
 func holds(t *testing.T, s *controlstate.State, seq uint64, revision int64, routes int, evacuated ...string) {
 	t.Helper()
-	zones := staff.Zones(s)
+	zones := admin.Zones(s)
 	if s.Seq != seq || s.Revision() != revision || len(s.Config.Routes) != routes || len(s.Config.Services) != 1 ||
 		!slices.Equal(zones, evacuated) {
 		t.Errorf("record %d, revision %d, %d routes, %d services, evacuated %q; want %d, %d, %d, 1, %q", s.Seq, s.Revision(),
@@ -180,7 +180,7 @@
 
 // TestBackupFile reads a backup and gets the same bytes when it is encoded again.
 func TestBackupFile(t *testing.T) {
-	s, err := staff.ReadBackup(keeperBackup)
+	s, err := admin.ReadBackup(keeperBackup)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -199,7 +199,7 @@
 // TestRestoreBackup lays a backup into an empty directory and starts a keeper there.
 func TestRestoreBackup(t *testing.T) {
 	dir := t.TempDir()
-	s, err := staff.ReadBackup(keeperBackup)
+	s, err := admin.ReadBackup(keeperBackup)
 	if err == nil {
 		err = restore.Into(dir, s)
 	}
--- a/internal/lab/soak/result_test.go
+++ b/internal/lab/soak/result_test.go
@@ -12,7 +12,7 @@
 
 	"gradeusher.example/gradeusher/internal/lab/world"
 	"gradeusher.example/gradeusher/internal/lab/world/rules"
-	"gradeusher.example/gradeusher/internal/system/staff"
+	"gradeusher.example/gradeusher/internal/system/admin"
 )
 
 // judged is a player whose run is over, with nothing broken yet.
@@ -71,22 +71,22 @@
 
 // TestSettled: a seed is not over while no keeper is current, or while an evacuation is held that was taken back.
 func TestSettled(t *testing.T) {
-	var status staff.NodeStatus
+	var status admin.NodeStatus
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if err := json.NewEncoder(w).Encode(status); err != nil {
 			t.Error(err)
 		}
 	}))
 	defer s.Close()
-	w := &watch{client: staff.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
+	w := &watch{client: admin.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 	keepers := []string{s.Listener.Addr().String()}
 	for _, c := range []struct {
-		status staff.NodeStatus
+		status admin.NodeStatus
 		good   bool
 	}{
-		{staff.NodeStatus{}, false},
-		{staff.NodeStatus{Current: true, Evacuated: []string{"north-a"}}, false},
-		{staff.NodeStatus{Current: true}, true},
+		{admin.NodeStatus{}, false},
+		{admin.NodeStatus{Current: true, Evacuated: []string{"north-a"}}, false},
+		{admin.NodeStatus{Current: true}, true},
 	} {
 		status = c.status
 		if err := w.settled(t.Context(), keepers); (err == nil) != c.good {
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -14,7 +14,7 @@
 
 	"gradeusher.example/gradeusher/internal/lab/clock"
 	"gradeusher.example/gradeusher/internal/lab/world"
-	"gradeusher.example/gradeusher/internal/system/staff"
+	"gradeusher.example/gradeusher/internal/system/admin"
 )
 
 // Options are those of Play.
@@ -66,7 +66,7 @@
 		return nil, err
 	}
 	p := &player{Run: run, plan: o.Plan, tell: o.Tell, owed: map[string]bool{}, broken: []string{}, evacuating: make(chan struct{}, 1),
-		watch: watch{client: staff.Client{Transport: &http.Transport{DisableKeepAlives: true}}}}
+		watch: watch{client: admin.Client{Transport: &http.Transport{DisableKeepAlives: true}}}}
 	if p.tell == nil {
 		p.tell = func(string) {}
 	}
--- a/internal/lab/soak/watch.go
+++ b/internal/lab/soak/watch.go
@@ -14,14 +14,14 @@
 	"github.com/cockroachdb/errors"
 
 	"gradeusher.example/gradeusher/internal/lab/clock"
-	"gradeusher.example/gradeusher/internal/system/staff"
+	"gradeusher.example/gradeusher/internal/system/admin"
 )
 
 const mostStatus = 8 << 20
 
 // watch reads what the processes' own invariants have counted. A process that starts again counts from 0.
 type watch struct {
-	client staff.Client
+	client admin.Client
 
 	mu    sync.Mutex
 	most  map[string]int64 // highest count seen, by process and invariant
--- a/internal/system/staff/handler.go
+++ b/internal/system/admin/handler.go
@@ -1,4 +1,4 @@
-package staff
+package admin
 
 import (
 	"context"
--- a/internal/system/staff/restore/restore_test.go
+++ b/internal/system/admin/restore/restore_test.go
@@ -16,10 +16,10 @@
 	"github.com/apex/log/handlers/discard"
 	"github.com/cockroachdb/errors"
 
+	"gradeusher.example/gradeusher/internal/system/admin"
 	"gradeusher.example/gradeusher/internal/system/control"
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/replication"
-	"gradeusher.example/gradeusher/internal/system/staff"
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
@@ -92,7 +92,7 @@
 	s.net.set(m, k.Handler())
 	calls := http.NewServeMux()
 	calls.Handle("/", control.Handler(control.Options{Chain: submitter{k}, Log: quiet}))
-	calls.Handle("/backup", staff.BackupHandler(k.Read))
+	calls.Handle("/backup", admin.BackupHandler(k.Read))
 	s.apis[m] = calls
 }
 
--- a/internal/system/staff/status.go
+++ b/internal/system/admin/status.go
@@ -1,6 +1,6 @@
 // Package staff is the operators' tooling for the system: status queries over all keepers and proxies, waiting for a change
 // to be in force, and backup and restore of the control state.
-package staff
+package admin
 
 import (
 	"maps"
