--- a/cmd/keeper/chain_test.go
+++ b/cmd/keeper/chain_test.go
@@ -16,7 +16,7 @@
 	"github.com/apex/log/handlers/discard"
 
 	"gradeusher.example/gradeusher/internal/system/admin"
-	"gradeusher.example/gradeusher/internal/system/control"
+	"gradeusher.example/gradeusher/internal/system/operatorapi"
 	"gradeusher.example/gradeusher/internal/system/replication"
 	"gradeusher.example/gradeusher/internal/system/settings"
 	"gradeusher.example/gradeusher/internal/system/wal"
@@ -121,7 +121,7 @@
 func TestOrdersWithoutAWayToTheChain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := keeperAt("")
-		k.stalls = control.NewStallDetector()
+		k.stalls = operatorapi.NewStallDetector()
 		if err := k.start(t.Context()); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/keeper/run.go
+++ b/cmd/keeper/run.go
@@ -10,9 +10,9 @@
 	"github.com/apex/log"
 
 	"gradeusher.example/gradeusher/internal/system/admin"
-	"gradeusher.example/gradeusher/internal/system/control"
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/distribution"
+	"gradeusher.example/gradeusher/internal/system/operatorapi"
 	"gradeusher.example/gradeusher/internal/system/process"
 	"gradeusher.example/gradeusher/internal/system/replication"
 	"gradeusher.example/gradeusher/internal/system/settings"
@@ -30,11 +30,11 @@
 	log      log.Interface
 	chain    *links
 	feed     *feed // nil: an observer
-	stalls   *control.StallDetector
+	stalls   *operatorapi.StallDetector
 }
 
 func run(self *process.Process) error {
-	k := &keeper{settings: self.Settings, log: self.Log, stalls: control.NewStallDetector()}
+	k := &keeper{settings: self.Settings, log: self.Log, stalls: operatorapi.NewStallDetector()}
 	life, end := context.WithCancel(context.Background())
 	defer end()
 	group, ctx := process.NewGroup(life)
@@ -89,7 +89,7 @@
 }
 
 func (k *keeper) operatorCalls() http.Handler {
-	options := control.Options{Chain: k.chain, AckTimeout: settings.Milliseconds(k.settings.Bounds.Ack), Log: k.log,
+	options := operatorapi.Options{Chain: k.chain, AckTimeout: settings.Milliseconds(k.settings.Bounds.Ack), Log: k.log,
 		Current:     func() *controlstate.State { state, _ := k.chain.Committed(); return state },
 		Stalled:     k.stalls.Stalled,
 		Partitioned: k.chain.Partitioned,
@@ -97,5 +97,5 @@
 	if k.feed != nil {
 		options.WaitDelivered = k.feed.delivered
 	}
-	return control.Handler(options)
+	return operatorapi.Handler(options)
 }
--- a/internal/compat/keeperdata_test.go
+++ b/internal/compat/keeperdata_test.go
@@ -17,8 +17,8 @@
 
 	"gradeusher.example/gradeusher/internal/system/admin"
 	"gradeusher.example/gradeusher/internal/system/admin/restore"
-	"gradeusher.example/gradeusher/internal/system/control"
 	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/system/operatorapi"
 	"gradeusher.example/gradeusher/internal/system/replication"
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	current := func() *controlstate.State { s, _ := k.Committed(); return s }
-	h := control.Handler(control.Options{Chain: submitter{k}, Log: quiet, Current: current, Backup: admin.BackupHandler(k.Read)})
+	h := operatorapi.Handler(operatorapi.Options{Chain: submitter{k}, Log: quiet, Current: current, Backup: admin.BackupHandler(k.Read)})
 	return &node{t: t, k: k, log: disk, call: h}
 }
 
--- a/internal/system/admin/restore/restore_test.go
+++ b/internal/system/admin/restore/restore_test.go
@@ -17,8 +17,8 @@
 	"github.com/cockroachdb/errors"
 
 	"gradeusher.example/gradeusher/internal/system/admin"
-	"gradeusher.example/gradeusher/internal/system/control"
 	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/system/operatorapi"
 	"gradeusher.example/gradeusher/internal/system/replication"
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
@@ -91,7 +91,7 @@
 	s.keepers[m] = k
 	s.net.set(m, k.Handler())
 	calls := http.NewServeMux()
-	calls.Handle("/", control.Handler(control.Options{Chain: submitter{k}, Log: quiet}))
+	calls.Handle("/", operatorapi.Handler(operatorapi.Options{Chain: submitter{k}, Log: quiet}))
 	calls.Handle("/backup", admin.BackupHandler(k.Read))
 	s.apis[m] = calls
 }
--- a/internal/system/control/chain_test.go
+++ b/internal/system/operatorapi/chain_test.go
@@ -1,4 +1,4 @@
-package control_test
+package operatorapi_test
 
 import (
 	"bytes"
@@ -16,8 +16,8 @@
 	"github.com/apex/log/handlers/discard"
 	"github.com/cockroachdb/errors"
 
-	"gradeusher.example/gradeusher/internal/system/control"
 	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/system/operatorapi"
 	"gradeusher.example/gradeusher/internal/system/replication"
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
@@ -106,12 +106,12 @@
 		c.tb.Fatal(err)
 	}
 	c.keepers[m] = k
-	api := control.Options{Chain: submitter{k}, Log: quiet, Partitioned: k.Partitioned,
+	api := operatorapi.Options{Chain: submitter{k}, Log: quiet, Partitioned: k.Partitioned,
 		Current: func() *controlstate.State { s, _ := k.Committed(); return s }}
 	if c.patient {
 		api.Partitioned = nil
 	}
-	c.apis[m] = control.Handler(api)
+	c.apis[m] = operatorapi.Handler(api)
 	c.mu.Lock()
 	c.inner[m] = k.Handler()
 	c.mu.Unlock()
--- a/internal/system/control/control.go
+++ b/internal/system/operatorapi/control.go
@@ -1,6 +1,6 @@
 // Package control is the operator's HTTP API on a keeper: it takes whole configurations, amendments and evacuations into
 // the chain, answers the newest configuration, and tells staff the keeper's status.
-package control
+package operatorapi
 
 import (
 	"context"
--- a/internal/system/control/stall.go
+++ b/internal/system/operatorapi/stall.go
@@ -1,4 +1,4 @@
-package control
+package operatorapi
 
 import (
 	"context"
