--- a/internal/system/distribution/transport_test.go
+++ b/internal/system/distribution/transport_test.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
-	"gradeusher.example/gradeusher/internal/system/resetpeer"
+	"gradeusher.example/gradeusher/internal/testsupport/resetserver"
 )
 
 // TestCallsAreSentOnce has a peer break every second call on its connections once it has read it: the transport sends none a
@@ -33,7 +33,7 @@
 func breakEverySecond(t *testing.T, ctx context.Context, calls int) (came, failed int) {
 	t.Helper()
 	arrived := make(chan uint64, 4*calls)
-	peer, err := resetpeer.Listen(func(body []byte) {
+	peer, err := resetserver.Listen(func(body []byte) {
 		var req distributionpb.ShareRequest
 		if err := proto.Unmarshal(body, &req); err != nil {
 			t.Errorf("a body that is no call: %v", err)
--- a/internal/system/replication/transport_test.go
+++ b/internal/system/replication/transport_test.go
@@ -10,14 +10,14 @@
 	"google.golang.org/protobuf/proto"
 
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
-	"gradeusher.example/gradeusher/internal/system/resetpeer"
+	"gradeusher.example/gradeusher/internal/testsupport/resetserver"
 )
 
 // TestMessagesAreSentOnce has a peer take every second request on its connections and break them without an answer: the
 // transport beneath sends none a second time by itself, as a POST that was written may have been taken.
 func TestMessagesAreSentOnce(t *testing.T) {
 	came := make(chan string, 100)
-	peer, err := resetpeer.Listen(func(body []byte) {
+	peer, err := resetserver.Listen(func(body []byte) {
 		var batch replicationpb.Batch
 		if err := proto.Unmarshal(body, &batch); err != nil {
 			t.Errorf("a body that is no batch: %v", err)
--- a/internal/system/resetpeer/resetpeer.go
+++ b/internal/testsupport/resetserver/resetpeer.go
@@ -1,6 +1,6 @@
 // Package resetpeer is a stand-in HTTP server for tests: it reads each call whole, and resets the connection in place of answering
 // every second one on it. So a caller's transport meets reused connections that break after a call was written.
-package resetpeer
+package resetserver
 
 import (
 	"bufio"
