--- a/cmd/gradeusher/system_soak.go
+++ b/cmd/gradeusher/system_soak.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/lab/soak"
-	"gradeusher.example/gradeusher/internal/lab/world"
+	"gradeusher.example/gradeusher/internal/lab/testcluster"
 )
 
 type systemSoakCommand struct {
@@ -92,7 +92,7 @@
 }
 
 // scene is that of a seed, with the traffic asked for.
-func (c systemSoakCommand) scene(seed uint64) *world.Scenario {
+func (c systemSoakCommand) scene(seed uint64) *testcluster.Scenario {
 	scene := soak.Scene(seed)
 	if c.fixed() {
 		scene = soak.WakeScene(seed)
@@ -107,7 +107,7 @@
 func (c systemSoakCommand) fixed() bool { return c.Plan != planDrawn }
 
 // plan is the schedule of a seed.
-func (c systemSoakCommand) plan(seed uint64, scene *world.Scenario) *soak.Plan {
+func (c systemSoakCommand) plan(seed uint64, scene *testcluster.Scenario) *soak.Plan {
 	if c.fixed() {
 		return soak.Wake(seed, soak.Waking(c.Plan), scene)
 	}
--- a/cmd/gradeusher/system_soak_norace_test.go
+++ b/cmd/gradeusher/system_soak_norace_test.go
@@ -13,11 +13,11 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/lab/soak"
-	"gradeusher.example/gradeusher/internal/lab/world"
+	"gradeusher.example/gradeusher/internal/lab/testcluster"
 )
 
 // soakSeeds plays some seeds side by side, each as short as can be.
-func soakSeeds(t *testing.T, seeds []uint64, change func(*world.Scenario), plan func(uint64, *world.Scenario) *soak.Plan) []*soak.Result {
+func soakSeeds(t *testing.T, seeds []uint64, change func(*testcluster.Scenario), plan func(uint64, *testcluster.Scenario) *soak.Plan) []*soak.Result {
 	t.Helper()
 	proxy, keeper, folder := buildSystem(t)
 	results := make([]*soak.Result, len(seeds))
@@ -45,7 +45,7 @@
 	return slices.DeleteFunc(results, func(r *soak.Result) bool { return r == nil })
 }
 
-func drawn(seed uint64, scene *world.Scenario) *soak.Plan {
+func drawn(seed uint64, scene *testcluster.Scenario) *soak.Plan {
 	return soak.Draw(seed, soak.Shortest, scene)
 }
 
@@ -70,7 +70,7 @@
 func soakHoldsRules(t *testing.T) {
 	t.Helper()
 	ends := 0 // tries around planned ends; not every seed has one
-	for _, r := range soakSeeds(t, []uint64{1, 2, 3}, func(*world.Scenario) {}, drawn) {
+	for _, r := range soakSeeds(t, []uint64{1, 2, 3}, func(*testcluster.Scenario) {}, drawn) {
 		for _, b := range r.Broken {
 			t.Errorf("seed %d: %s", r.Seed, b)
 		}
@@ -92,7 +92,7 @@
 // soakSeesFloods takes a protection away: the operator does not tell that servers bear less while cold.
 func soakSeesFloods(t *testing.T) {
 	t.Helper()
-	for _, r := range soakSeeds(t, []uint64{4}, func(s *world.Scenario) { s.Config.Services[0].ColdPerSecond = 0 }, drawn) {
+	for _, r := range soakSeeds(t, []uint64{4}, func(s *testcluster.Scenario) { s.Config.Services[0].ColdPerSecond = 0 }, drawn) {
 		if r.Flooded == 0 || !slices.ContainsFunc(r.Broken, func(b string) bool { return strings.HasPrefix(b, "FAILBACK: ") }) {
 			t.Errorf("no flood was seen: %v %q", r, r.Broken)
 		}
@@ -104,14 +104,14 @@
 // soakSeesLosses takes another away: proxies have no time for what they have read.
 func soakSeesLosses(t *testing.T) {
 	t.Helper()
-	ends := func(seed uint64, scene *world.Scenario) *soak.Plan {
+	ends := func(seed uint64, scene *testcluster.Scenario) *soak.Plan {
 		p := &soak.Plan{Seed: seed, For: soak.Shortest}
 		for i, m := range scene.Machines {
 			p.Troubles = append(p.Troubles, soak.Trouble{Kind: soak.EndProxy, Target: m.IP, Start: time.Duration(2+3*i) * time.Second})
 		}
 		return p
 	}
-	for _, r := range soakSeeds(t, []uint64{5}, func(s *world.Scenario) { s.Bounds.Grace = leastGrace }, ends) {
+	for _, r := range soakSeeds(t, []uint64{5}, func(s *testcluster.Scenario) { s.Bounds.Grace = leastGrace }, ends) {
 		if !slices.ContainsFunc(r.Broken, func(b string) bool { return strings.HasPrefix(b, "LOST: ") }) {
 			t.Errorf("no loss was seen, of %d: %v %q", r.Looked["LOST"], r, r.Broken)
 		}
--- a/cmd/gradeusher/system_up.go
+++ b/cmd/gradeusher/system_up.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"gradeusher.example/gradeusher/internal/lab/world"
+	"gradeusher.example/gradeusher/internal/lab/testcluster"
 )
 
 type systemUpCommand struct {
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	run, err := world.Up(ctx, world.UpOptions{Proxy: proxy, Keeper: keeper, Folder: folder, Rate: c.Rate, Seed: c.Seed})
+	run, err := testcluster.Up(ctx, testcluster.UpOptions{Proxy: proxy, Keeper: keeper, Folder: folder, Rate: c.Rate, Seed: c.Seed})
 	if err != nil {
 		keep = true
 		return err
@@ -65,7 +65,7 @@
 	if c.Tour {
 		run.Meanwhile(func() { stopped = run.Tour(ctx, c.Seed, func(name string) { say("trouble: " + name) }) })
 	}
-	report := run.Play(ctx, func(n world.Second) { say(n.String()) })
+	report := run.Play(ctx, func(n testcluster.Second) { say(n.String()) })
 	for _, line := range report.Lines() {
 		fmt.Fprintln(s.out, line)
 	}
--- a/cmd/gradeusher/system_up_test.go
+++ b/cmd/gradeusher/system_up_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"gradeusher.example/gradeusher/internal/lab/world"
-	"gradeusher.example/gradeusher/internal/lab/world/rules"
+	"gradeusher.example/gradeusher/internal/lab/testcluster"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 	"gradeusher.example/gradeusher/internal/system/admin"
 )
 
@@ -39,7 +39,7 @@
 	proxy, keeper, folder := buildSystem(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Second)
 	defer cancel()
-	run, err := world.Up(ctx, world.UpOptions{Proxy: proxy, Keeper: keeper, Folder: folder, Rate: 60, Seed: 7})
+	run, err := testcluster.Up(ctx, testcluster.UpOptions{Proxy: proxy, Keeper: keeper, Folder: folder, Rate: 60, Seed: 7})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 		{"traffic", func() error { return run.AwaitServed(ctx, 15) }},
 		{"the machine without a disk has an observer", func() error {
 			// It hears the configuration some heartbeats after those who take clients.
-			return world.Await(ctx, func(ctx context.Context) error { return observes(ctx, run.Fleet.Control(machines[3])) })
+			return testcluster.Await(ctx, func(ctx context.Context) error { return observes(ctx, run.Fleet.Control(machines[3])) })
 		}},
 		{"a route is added", func() error { return run.AddRoute(ctx, 5, added) }},
 		{"the head of the chain is killed", func() error { return run.KillControlPlane(machines[0]) }},
--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gradeusher.example/gradeusher/internal/lab/world"
+	"gradeusher.example/gradeusher/internal/lab/testcluster"
 )
 
 // odds is how often each kind is drawn.
@@ -126,7 +126,7 @@
 	return addresses
 }
 
-func withDisk(machines []world.Machine) (some []world.Machine) {
+func withDisk(machines []testcluster.Machine) (some []testcluster.Machine) {
 	for _, m := range machines {
 		if m.Disk {
 			some = append(some, m)
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -11,8 +11,8 @@
 	"github.com/cockroachdb/errors"
 
 	"gradeusher.example/gradeusher/internal/lab/clock"
-	"gradeusher.example/gradeusher/internal/lab/world"
-	"gradeusher.example/gradeusher/internal/lab/world/rules"
+	"gradeusher.example/gradeusher/internal/lab/testcluster"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
 // share is a part of 1 that may change at any time.
@@ -83,7 +83,7 @@
 }
 
 // aside gives an operator that makes calls beside the others.
-func (p *player) aside() *world.Operator {
+func (p *player) aside() *testcluster.Operator {
 	o := *p.Operator
 	return &o
 }
@@ -111,7 +111,7 @@
 		switch {
 		case err == nil:
 			return nil
-		case ctx.Err() != nil, errors.Is(err, world.ErrRefused):
+		case ctx.Err() != nil, errors.Is(err, testcluster.ErrRefused):
 			return err
 		}
 	}
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"gradeusher.example/gradeusher/internal/lab/world"
+	"gradeusher.example/gradeusher/internal/lab/testcluster"
 )
 
 // Kind is what a trouble does.
@@ -129,7 +129,7 @@
 )
 
 // Draw gives the plan of a seed. The same seed, scene and time give the same plan.
-func Draw(seed uint64, last time.Duration, scene *world.Scenario) *Plan {
+func Draw(seed uint64, last time.Duration, scene *testcluster.Scenario) *Plan {
 	d := &drawer{rng: rand.New(rand.NewPCG(seed, 36)), scene: scene, until: last - calm}
 	p := &Plan{Seed: seed, For: last, Delay: d.between(20*time.Millisecond, 55*time.Millisecond), Jitter: d.between(0, 5*time.Millisecond)}
 	first := d.returning()
@@ -169,7 +169,7 @@
 
 type drawer struct {
 	rng   *rand.Rand
-	scene *world.Scenario
+	scene *testcluster.Scenario
 	until time.Duration
 }
 
--- a/internal/lab/soak/plan_test.go
+++ b/internal/lab/soak/plan_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/lab/link"
-	"gradeusher.example/gradeusher/internal/lab/world"
+	"gradeusher.example/gradeusher/internal/lab/testcluster"
 )
 
 // TestPlans: a seed gives one plan; every plan holds the incident, and troubles end by themselves, overlap, and do not
@@ -84,7 +84,7 @@
 
 const ackedWithin = 500 * time.Millisecond // an evacuation
 
-func checkPlan(t *testing.T, p *Plan, scene *world.Scenario) {
+func checkPlan(t *testing.T, p *Plan, scene *testcluster.Scenario) {
 	t.Helper()
 	d := &drawer{scene: scene}
 	if p.Delay < 20*time.Millisecond || p.Delay > 55*time.Millisecond {
@@ -113,11 +113,11 @@
 // TestPathsAndStates: what a cut or slow link is laid on, and which way.
 func TestPathsAndStates(t *testing.T) {
 	const ip, server = "127.0.1.1", "127.0.2.1:0"
-	m, other := world.Machine{IP: ip}, world.Machine{IP: "127.0.1.2"}
-	proxy, keeper := world.ProxyName(m), world.ControlPlaneName(m)
-	paths := []world.Path{{From: proxy, To: world.ControlPlaneName(other)}, {From: world.ProxyName(other), To: proxy}, {From: keeper, To: world.ListEnd},
-		{From: keeper, To: world.ControlPlaneName(other)}, {From: world.ProxyName(other), To: keeper}, {From: world.ControlPlaneName(other), To: world.ListEnd},
-		{To: server}, {To: "127.0.2.2:0"}, {From: proxy, To: server}, {From: proxy, To: "127.0.2.2:0"}, {From: world.ProxyName(other), To: server}}
+	m, other := testcluster.Machine{IP: ip}, testcluster.Machine{IP: "127.0.1.2"}
+	proxy, keeper := testcluster.ProxyName(m), testcluster.ControlPlaneName(m)
+	paths := []testcluster.Path{{From: proxy, To: testcluster.ControlPlaneName(other)}, {From: testcluster.ProxyName(other), To: proxy}, {From: keeper, To: testcluster.ListEnd},
+		{From: keeper, To: testcluster.ControlPlaneName(other)}, {From: testcluster.ProxyName(other), To: keeper}, {From: testcluster.ControlPlaneName(other), To: testcluster.ListEnd},
+		{To: server}, {To: "127.0.2.2:0"}, {From: proxy, To: server}, {From: proxy, To: "127.0.2.2:0"}, {From: testcluster.ProxyName(other), To: server}}
 	for _, c := range []struct {
 		kind          Kind
 		target        string
--- a/internal/lab/soak/result.go
+++ b/internal/lab/soak/result.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
-	"gradeusher.example/gradeusher/internal/lab/world"
-	"gradeusher.example/gradeusher/internal/lab/world/rules"
+	"gradeusher.example/gradeusher/internal/lab/testcluster"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
 // Result is what a seed came to.
@@ -50,7 +50,7 @@
 }
 
 // judge puts together what was seen from outside and what processes counted.
-func (p *player) judge(report *world.Report) *Result {
+func (p *player) judge(report *testcluster.Report) *Result {
 	f := report.Figures
 	r := &Result{Seed: p.plan.Seed, Seconds: p.plan.For.Seconds(), DelayMS: float64(p.plan.Delay) / float64(time.Millisecond),
 		Troubles: len(p.plan.Troubles), AtOnce: p.plan.AtOnce(), Requests: f.Requests, Served: f.Served, Refused: f.Refused,
--- a/internal/lab/soak/result_test.go
+++ b/internal/lab/soak/result_test.go
@@ -10,29 +10,29 @@
 
 	"github.com/cockroachdb/errors"
 
-	"gradeusher.example/gradeusher/internal/lab/world"
-	"gradeusher.example/gradeusher/internal/lab/world/rules"
+	"gradeusher.example/gradeusher/internal/lab/testcluster"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 	"gradeusher.example/gradeusher/internal/system/admin"
 )
 
 // judged is a player whose run is over, with nothing broken yet.
 func judged() *player {
 	evidence := &rules.Evidence{Bounds: Scene(1).Bounds}
-	return &player{Run: &world.Run{Environment: &world.Environment{Evidence: evidence}}, plan: &Plan{Seed: 7, For: Shortest}, broken: []string{}}
+	return &player{Run: &testcluster.Run{Environment: &testcluster.Environment{Evidence: evidence}}, plan: &Plan{Seed: 7, For: Shortest}, broken: []string{}}
 }
 
 // TestJudgeNamesWhatBroke: each kind of fault ends a seed as broken, under its name. Danger: one that is seen and not told.
 func TestJudgeNamesWhatBroke(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		report world.Report
+		report testcluster.Report
 		player func(p *player)
 	}{
 		{name: ""},
-		{name: "TWICE", report: world.Report{Verdicts: []rules.Verdict{{Rule: "MIXED", Looked: 3}, {Rule: "TWICE", Broken: 2, Examples: []string{"it ran"}}}}},
-		{name: "DIED", report: world.Report{Died: []string{"proxy"}}},
-		{name: "STOP", report: world.Report{Killed: []string{"keeper"}}},
-		{name: "READ", report: world.Report{ReadError: errors.New("nobody answers")}},
+		{name: "TWICE", report: testcluster.Report{Verdicts: []rules.Verdict{{Rule: "MIXED", Looked: 3}, {Rule: "TWICE", Broken: 2, Examples: []string{"it ran"}}}}},
+		{name: "DIED", report: testcluster.Report{Died: []string{"proxy"}}},
+		{name: "STOP", report: testcluster.Report{Killed: []string{"keeper"}}},
+		{name: "READ", report: testcluster.Report{ReadError: errors.New("nobody answers")}},
 		{name: "VIOLATION", player: func(p *player) { p.watch.most = map[string]int64{"pace at proxy": 1} }},
 		{name: "RECOVER", player: func(p *player) { p.fault("RECOVER", "not\nserved") }},
 	} {
@@ -61,7 +61,7 @@
 		p.Evidence.Arrive(&rules.Arrival{At: rules.Time(i + 1), Server: "i-1", Cold: true, Bound: 20, Ran: rules.Never})
 	}
 	p.Evidence.Arrive(&rules.Arrival{At: 1, Server: "i-2", Cold: true, Bound: 20, Ran: rules.Never})
-	if r := p.judge(&world.Report{}); r.Cold != 2 || r.Flooded != 1 || r.Peak != flood || r.Bound != float64(flood-1) {
+	if r := p.judge(&testcluster.Report{}); r.Cold != 2 || r.Flooded != 1 || r.Peak != flood || r.Bound != float64(flood-1) {
 		t.Errorf("%+v", r)
 	}
 	if text := (story{p.Evidence}).String(); strings.Count(text, "i-1 got ") != flood || strings.Contains(text, "i-2") {
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -13,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 
 	"gradeusher.example/gradeusher/internal/lab/clock"
-	"gradeusher.example/gradeusher/internal/lab/world"
+	"gradeusher.example/gradeusher/internal/lab/testcluster"
 	"gradeusher.example/gradeusher/internal/system/admin"
 )
 
@@ -22,8 +22,8 @@
 	Proxy, Keeper string // programs
 	Folder        string // for settings, disks and logs
 	Plan          *Plan
-	Scene         *world.Scenario // nil: that of the plan's seed
-	Tell          func(string)    // is told of troubles as they begin; nil: nobody is
+	Scene         *testcluster.Scenario // nil: that of the plan's seed
+	Tell          func(string)          // is told of troubles as they begin; nil: nobody is
 }
 
 const (
@@ -39,7 +39,7 @@
 
 // player is one seed under way.
 type player struct {
-	*world.Run
+	*testcluster.Run
 	plan   *Plan
 	tell   func(string)
 	losing share // of the answers to the operator
@@ -60,8 +60,8 @@
 	if scene == nil {
 		scene = Scene(o.Plan.Seed)
 	}
-	run, err := world.Up(ctx, world.UpOptions{Proxy: o.Proxy, Keeper: o.Keeper, Folder: o.Folder, Seed: o.Plan.Seed, Scene: scene,
-		Links: world.NewLinks(o.Plan.Delay, o.Plan.Jitter)})
+	run, err := testcluster.Up(ctx, testcluster.UpOptions{Proxy: o.Proxy, Keeper: o.Keeper, Folder: o.Folder, Seed: o.Plan.Seed, Scene: scene,
+		Links: testcluster.NewLinks(o.Plan.Delay, o.Plan.Jitter)})
 	if err != nil {
 		return nil, err
 	}
@@ -126,7 +126,7 @@
 			p.fault("RECOVER", err.Error())
 		}
 	}
-	if err := world.Await(ctx, func(ctx context.Context) error { return p.watch.settled(ctx, p.Fleet.ControlPlaneAddresses()) }); err != nil {
+	if err := testcluster.Await(ctx, func(ctx context.Context) error { return p.watch.settled(ctx, p.Fleet.ControlPlaneAddresses()) }); err != nil {
 		p.fault("RECOVER", err.Error())
 	}
 }
@@ -135,8 +135,8 @@
 func (p *player) addresses() map[string]string {
 	all := map[string]string{}
 	for _, m := range p.Fleet.Machines {
-		all[world.ControlPlaneName(m)] = p.Fleet.Control(m)
-		all[world.ProxyName(m)] = p.Fleet.Inner(m)
+		all[testcluster.ControlPlaneName(m)] = p.Fleet.Control(m)
+		all[testcluster.ProxyName(m)] = p.Fleet.Inner(m)
 	}
 	return all
 }
--- a/internal/lab/soak/scene.go
+++ b/internal/lab/soak/scene.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"gradeusher.example/gradeusher/internal/lab/world"
+	"gradeusher.example/gradeusher/internal/lab/testcluster"
 )
 
 // homeZones are the zones of the region in which the most frequent kind of request has its home.
@@ -24,17 +24,17 @@
 
 // Scene gives the deployment in which a seed is played: the small one, with more servers, more traffic, and a home for the
 // most frequent kind of request.
-func Scene(seed uint64) *world.Scenario {
-	s := world.SmallScenario(1)
+func Scene(seed uint64) *testcluster.Scenario {
+	s := testcluster.SmallScenario(1)
 	subnet := firstSubnet + int(seed%subnets)
 	for i := range s.Machines {
 		s.Machines[i].IP = fmt.Sprintf("127.%d.1.%d", subnet, i+1)
 	}
 	engine := *s.Servers[0].Engine
 	engine.Step = step
-	var servers []world.ServerSpec
+	var servers []testcluster.ServerSpec
 	held := map[string]int{}
-	add := func(spec world.ServerSpec) {
+	add := func(spec testcluster.ServerSpec) {
 		spec.Address = fmt.Sprintf("127.%d.2.%d:0", subnet, len(servers)+1)
 		if spec.Engine != nil {
 			spec.Engine = &engine
@@ -61,7 +61,7 @@
 }
 
 // setSlots gives every model server so many slots, and as many places to wait.
-func setSlots(s *world.Scenario, n int) {
+func setSlots(s *testcluster.Scenario, n int) {
 	for _, spec := range s.Servers {
 		if spec.Engine != nil {
 			spec.Engine.Slots, spec.Engine.Queue = n, n
@@ -71,4 +71,4 @@
 }
 
 // coldFor is how long a model server is cold after its start.
-func coldFor(s *world.Scenario) time.Duration { return s.Servers[0].ColdFor }
+func coldFor(s *testcluster.Scenario) time.Duration { return s.Servers[0].ColdFor }
--- a/internal/lab/soak/troubles.go
+++ b/internal/lab/soak/troubles.go
@@ -10,8 +10,8 @@
 
 	"gradeusher.example/gradeusher/internal/lab/clock"
 	"gradeusher.example/gradeusher/internal/lab/link"
-	"gradeusher.example/gradeusher/internal/lab/world"
-	"gradeusher.example/gradeusher/internal/lab/world/rules"
+	"gradeusher.example/gradeusher/internal/lab/testcluster"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
 // do has a trouble happen, and returns when it is over.
@@ -49,7 +49,7 @@
 }
 
 // machines are those that a trouble is done to.
-func (p *player) machines(t Trouble) (some []world.Machine) {
+func (p *player) machines(t Trouble) (some []testcluster.Machine) {
 	for _, m := range p.Fleet.Machines {
 		if t.Target == "" || m.IP == t.Target || m.Zone == t.Target {
 			some = append(some, m)
@@ -59,7 +59,7 @@
 }
 
 // begin notes a trouble of a machine that lasts.
-func (p *player) begin(m world.Machine, keeper bool, kind string) (end func()) {
+func (p *player) begin(m testcluster.Machine, keeper bool, kind string) (end func()) {
 	t := rules.Trouble{Kind: kind, At: p.Now()}
 	if keeper {
 		t.Keeper, t.Machine = m.Disk, m.IP
@@ -71,7 +71,7 @@
 }
 
 // each does something to machines at the same time, and gives all errors.
-func each(machines []world.Machine, do func(world.Machine) error) error {
+func each(machines []testcluster.Machine, do func(testcluster.Machine) error) error {
 	failed := make([]error, len(machines))
 	var all sync.WaitGroup
 	for i, m := range machines {
@@ -82,9 +82,9 @@
 }
 
 func (p *player) killProxies(ctx context.Context, t Trouble) error {
-	return each(p.machines(t), func(m world.Machine) error {
+	return each(p.machines(t), func(m testcluster.Machine) error {
 		defer p.begin(m, false, "down")()
-		p.watch.ask(ctx, world.ProxyName(m), p.Fleet.Inner(m)) // what it has counted goes with it
+		p.watch.ask(ctx, testcluster.ProxyName(m), p.Fleet.Inner(m)) // what it has counted goes with it
 		if err := p.KillProxy(m); err != nil {
 			return err
 		}
@@ -95,8 +95,8 @@
 
 // endProxy has a proxy end as planned, and starts it again.
 func (p *player) endProxy(ctx context.Context, t Trouble) error {
-	return each(p.machines(t), func(m world.Machine) error {
-		p.watch.ask(ctx, world.ProxyName(m), p.Fleet.Inner(m))
+	return each(p.machines(t), func(m testcluster.Machine) error {
+		p.watch.ask(ctx, testcluster.ProxyName(m), p.Fleet.Inner(m))
 		ends, cancel := context.WithTimeout(ctx, p.Scene.Bounds.Grace+endSlack)
 		defer cancel()
 		if err := p.TerminateProxy(ends, m); err != nil {
@@ -108,9 +108,9 @@
 }
 
 func (p *player) killKeepers(ctx context.Context, t Trouble) error {
-	return each(p.machines(t), func(m world.Machine) error {
+	return each(p.machines(t), func(m testcluster.Machine) error {
 		defer p.begin(m, true, "down")()
-		p.watch.ask(ctx, world.ControlPlaneName(m), p.Fleet.Control(m))
+		p.watch.ask(ctx, testcluster.ControlPlaneName(m), p.Fleet.Control(m))
 		if err := p.KillControlPlane(m); err != nil {
 			return err
 		}
@@ -120,7 +120,7 @@
 }
 
 func (p *player) pause(ctx context.Context, t Trouble) error {
-	return each(p.machines(t), func(m world.Machine) error {
+	return each(p.machines(t), func(m testcluster.Machine) error {
 		process, keeper := p.Fleet.ProxyProcess(m), t.Kind == PauseKeeper
 		if keeper {
 			process = p.Fleet.ControlPlaneProcess(m)
@@ -132,7 +132,7 @@
 
 // harm cuts or slows the links of a machine's process to others of the system.
 func (p *player) harm(ctx context.Context, t Trouble) error {
-	return each(p.machines(t), func(m world.Machine) error {
+	return each(p.machines(t), func(m testcluster.Machine) error {
 		defer p.begin(m, t.Kind == CutKeeper || t.Kind == SlowKeeper, string(t.Kind))()
 		p.lay(ctx, t, t.Length)
 		return nil
@@ -149,23 +149,29 @@
 }
 
 // paths pick the links on which the target calls, and those on which it is called.
-func (t Trouble) paths() (calls, called func(world.Path) bool) {
-	none := func(world.Path) bool { return false }
-	at := world.Machine{IP: t.Target}
+func (t Trouble) paths() (calls, called func(testcluster.Path) bool) {
+	none := func(testcluster.Path) bool { return false }
+	at := testcluster.Machine{IP: t.Target}
 	switch t.Kind {
 	case CutProxy, SlowProxy:
-		return func(l world.Path) bool { return l.From == world.ProxyName(at) && !l.ToServer() }, func(l world.Path) bool { return l.To == world.ProxyName(at) }
+		return func(l testcluster.Path) bool { return l.From == testcluster.ProxyName(at) && !l.ToServer() }, func(l testcluster.Path) bool { return l.To == testcluster.ProxyName(at) }
 	case CutKeeper, SlowKeeper:
-		return func(l world.Path) bool { return l.From == world.ControlPlaneName(at) && l.To != world.ListEnd },
-			func(l world.Path) bool { return l.To == world.ControlPlaneName(at) }
+		return func(l testcluster.Path) bool {
+				return l.From == testcluster.ControlPlaneName(at) && l.To != testcluster.ListEnd
+			},
+			func(l testcluster.Path) bool { return l.To == testcluster.ControlPlaneName(at) }
 	case CutList:
-		return func(l world.Path) bool { return l.From == world.ControlPlaneName(at) && l.To == world.ListEnd }, none
+		return func(l testcluster.Path) bool {
+			return l.From == testcluster.ControlPlaneName(at) && l.To == testcluster.ListEnd
+		}, none
 	case CutLists, SlowLists:
-		return func(l world.Path) bool { return l.To == world.ListEnd }, none
+		return func(l testcluster.Path) bool { return l.To == testcluster.ListEnd }, none
 	case CutFromServers:
-		return func(l world.Path) bool { return l.From == world.ProxyName(at) && slices.Contains(t.Servers, l.To) }, none
+		return func(l testcluster.Path) bool {
+			return l.From == testcluster.ProxyName(at) && slices.Contains(t.Servers, l.To)
+		}, none
 	case CutServer, SlowServer:
-		return none, func(l world.Path) bool { return l.To == t.Target }
+		return none, func(l testcluster.Path) bool { return l.To == t.Target }
 	}
 	return none, none
 }
@@ -192,7 +198,7 @@
 }
 
 // servers are those of a zone.
-func (p *player) servers(zone string) (some []*world.Server) {
+func (p *player) servers(zone string) (some []*testcluster.Server) {
 	for _, s := range p.Servers {
 		if s.Zone == zone {
 			some = append(some, s)
@@ -218,7 +224,7 @@
 func (p *player) comeBack(ctx context.Context, zone string) error {
 	some := p.servers(zone)
 	for i, s := range some {
-		if err := s.Start(true); err != nil && !errors.Is(err, world.ErrRunning) {
+		if err := s.Start(true); err != nil && !errors.Is(err, testcluster.ErrRunning) {
 			return err
 		}
 		if i < len(some)-1 {
@@ -246,7 +252,7 @@
 	asked, cancel := context.WithTimeout(ctx, orderWithin)
 	err := p.evacuate(asked, zone, true)
 	cancel()
-	if errors.Is(err, world.ErrRefused) {
+	if errors.Is(err, testcluster.ErrRefused) {
 		return err
 	}
 	if err != nil {
@@ -312,7 +318,7 @@
 		clock.Sleep(ctx, p.Scene.Bounds.Drain+time.Second)
 		s.Stop()
 		clock.Sleep(ctx, t.Length-p.Scene.Bounds.Drain-time.Second-s.ColdFor-coldMargin)
-		if err := s.Start(true); err != nil && !errors.Is(err, world.ErrRunning) {
+		if err := s.Start(true); err != nil && !errors.Is(err, testcluster.ErrRunning) {
 			return err
 		}
 		clock.Sleep(ctx, s.ColdFor+coldMargin)
--- a/internal/lab/soak/wake.go
+++ b/internal/lab/soak/wake.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"gradeusher.example/gradeusher/internal/lab/world"
+	"gradeusher.example/gradeusher/internal/lab/testcluster"
 )
 
 // Times of the plans of Wake.
@@ -26,7 +26,7 @@
 )
 
 // WakeScene gives the deployment in which the plans of Wake are played: that of a seed, with patient clients and roomy servers.
-func WakeScene(seed uint64) *world.Scenario {
+func WakeScene(seed uint64) *testcluster.Scenario {
 	s := Scene(seed)
 	s.Config.Routes[question].GapAim = waitGap
 	s.Config.Routes[question].Timeout = int(waitFor.Milliseconds())
@@ -47,7 +47,7 @@
 
 // Wake gives a fixed plan: a proxy is paused for some seconds, and goes on with the servers that it knew before, while all requests
 // that have waited want one at once. The other proxy of its region is down, unless it is paused too.
-func Wake(seed uint64, form Waking, scene *world.Scenario) *Plan {
+func Wake(seed uint64, form Waking, scene *testcluster.Scenario) *Plan {
 	peer, paused := scene.Machines[0].IP, scene.Machines[1].IP
 	first := Trouble{Kind: KillProxy, Target: peer, Start: peerKilled, Length: peerDown}
 	if form == WakeTwo {
--- a/internal/lab/world/conn.go
+++ b/internal/lab/testcluster/conn.go
@@ -1,4 +1,4 @@
-package world
+package testcluster
 
 import (
 	"bufio"
@@ -17,7 +17,7 @@
 	"github.com/cespare/xxhash/v2"
 	"golang.org/x/sys/unix"
 
-	"gradeusher.example/gradeusher/internal/lab/world/rules"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
 const (
--- a/internal/lab/world/crooked_test.go
+++ b/internal/lab/testcluster/crooked_test.go
@@ -1,4 +1,4 @@
-package world
+package testcluster
 
 import (
 	"bytes"
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"gradeusher.example/gradeusher/internal/lab/world/engine"
-	"gradeusher.example/gradeusher/internal/lab/world/rules"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/engine"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
 // crooked is a proxy, directory and keeper in one that breaks a rule on purpose.
--- a/internal/lab/world/entry_test.go
+++ b/internal/lab/testcluster/entry_test.go
@@ -1,4 +1,4 @@
-package world
+package testcluster
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 	"testing/synctest"
 	"time"
 
-	"gradeusher.example/gradeusher/internal/lab/world/rules"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
 func TestNearer(t *testing.T) {
--- a/internal/lab/world/exchange.go
+++ b/internal/lab/testcluster/exchange.go
@@ -1,4 +1,4 @@
-package world
+package testcluster
 
 import (
 	"fmt"
@@ -11,8 +11,8 @@
 	"github.com/cespare/xxhash/v2"
 
 	"gradeusher.example/gradeusher/internal/lab/model"
-	"gradeusher.example/gradeusher/internal/lab/world/engine"
-	"gradeusher.example/gradeusher/internal/lab/world/rules"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/engine"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
 // exchange is one request that a server took, and its answer.
--- a/internal/lab/world/figures.go
+++ b/internal/lab/testcluster/figures.go
@@ -1,4 +1,4 @@
-package world
+package testcluster
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"gradeusher.example/gradeusher/internal/lab/world/rules"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
 // Figures are totals of requests since the start, and the first tokens (or answers) since the last look.
--- a/internal/lab/world/fleet.go
+++ b/internal/lab/testcluster/fleet.go
@@ -1,4 +1,4 @@
-package world
+package testcluster
 
 import (
 	"fmt"
@@ -16,7 +16,7 @@
 	"github.com/cockroachdb/errors"
 
 	"gradeusher.example/gradeusher/internal/lab/proc"
-	"gradeusher.example/gradeusher/internal/lab/world/rules"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
 // Machine is one edge machine of the stand-in deployment: a loopback address.
--- a/internal/lab/world/list.go
+++ b/internal/lab/testcluster/list.go
@@ -1,4 +1,4 @@
-package world
+package testcluster
 
 import (
 	"encoding/json"
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"gradeusher.example/gradeusher/internal/lab/world/rules"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
 // listedModel is a model that a server has loaded.
--- a/internal/lab/world/list_test.go
+++ b/internal/lab/testcluster/list_test.go
@@ -1,4 +1,4 @@
-package world
+package testcluster
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"gradeusher.example/gradeusher/internal/lab/world/rules"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
 // testPlatform is a list over a clock that the test moves.
--- a/internal/lab/world/main_test.go
+++ b/internal/lab/testcluster/main_test.go
@@ -1,4 +1,4 @@
-package world
+package testcluster
 
 import (
 	"testing"
--- a/internal/lab/world/operator.go
+++ b/internal/lab/testcluster/operator.go
@@ -1,4 +1,4 @@
-package world
+package testcluster
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"gradeusher.example/gradeusher/internal/lab/world/rules"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
 const (
--- a/internal/lab/world/operator_test.go
+++ b/internal/lab/testcluster/operator_test.go
@@ -1,4 +1,4 @@
-package world
+package testcluster
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"gradeusher.example/gradeusher/internal/lab/world/rules"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
 // script answers calls in turn; the last answer stays. "-": silence.
--- a/internal/lab/world/probe.go
+++ b/internal/lab/testcluster/probe.go
@@ -1,4 +1,4 @@
-package world
+package testcluster
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"gradeusher.example/gradeusher/internal/lab/world/rules"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
 const probeWithin = 2 * time.Second
--- a/internal/lab/world/scene.go
+++ b/internal/lab/testcluster/scene.go
@@ -1,11 +1,11 @@
-package world
+package testcluster
 
 import (
 	"fmt"
 	"time"
 
-	"gradeusher.example/gradeusher/internal/lab/world/engine"
-	"gradeusher.example/gradeusher/internal/lab/world/rules"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/engine"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
 // Scenario is the small stand-in deployment: two regions, three zones, four machines of which three have a disk.
--- a/internal/lab/world/serve.go
+++ b/internal/lab/testcluster/serve.go
@@ -1,4 +1,4 @@
-package world
+package testcluster
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"github.com/cespare/xxhash/v2"
 
 	"gradeusher.example/gradeusher/internal/lab/clock"
-	"gradeusher.example/gradeusher/internal/lab/world/engine"
-	"gradeusher.example/gradeusher/internal/lab/world/rules"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/engine"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
 const mostBody = 16 << 20
--- a/internal/lab/world/server.go
+++ b/internal/lab/testcluster/server.go
@@ -1,4 +1,4 @@
-package world
+package testcluster
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 
 	"gradeusher.example/gradeusher/internal/lab/link"
 	"gradeusher.example/gradeusher/internal/lab/model"
-	"gradeusher.example/gradeusher/internal/lab/world/engine"
-	"gradeusher.example/gradeusher/internal/lab/world/rules"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/engine"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
 // ServerSpec is what a stand-in server is.
--- a/internal/lab/world/server_test.go
+++ b/internal/lab/testcluster/server_test.go
@@ -1,4 +1,4 @@
-package world
+package testcluster
 
 import (
 	"bytes"
@@ -16,8 +16,8 @@
 	"github.com/cockroachdb/errors"
 
 	"gradeusher.example/gradeusher/internal/lab/link"
-	"gradeusher.example/gradeusher/internal/lab/world/engine"
-	"gradeusher.example/gradeusher/internal/lab/world/rules"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/engine"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
 // lone is a world with one server and no clients.
--- a/internal/lab/world/tour.go
+++ b/internal/lab/testcluster/tour.go
@@ -1,4 +1,4 @@
-package world
+package testcluster
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 
 	"gradeusher.example/gradeusher/internal/lab/clock"
-	"gradeusher.example/gradeusher/internal/lab/world/rules"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
 // Tour has troubles happen in turn until ctx ends: those under which every request can still get its answer. tell is told
--- a/internal/lab/world/traffic.go
+++ b/internal/lab/testcluster/traffic.go
@@ -1,4 +1,4 @@
-package world
+package testcluster
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"gradeusher.example/gradeusher/internal/lab/world/rules"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
 // Kind is a kind of request that clients send.
--- a/internal/lab/world/up.go
+++ b/internal/lab/testcluster/up.go
@@ -1,4 +1,4 @@
-package world
+package testcluster
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"gradeusher.example/gradeusher/internal/lab/world/rules"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
 // UpOptions are those of Up.
--- a/internal/lab/world/world.go
+++ b/internal/lab/testcluster/world.go
@@ -1,7 +1,7 @@
 // Package world is a test double of everything around the system: model servers and others, the platform's list, the
 // operator and clients (PROTOCOL.md, DEPLOY.md), in process and on loopback, with checkers of the rules that can be seen
 // from outside.
-package world
+package testcluster
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"gradeusher.example/gradeusher/internal/lab/world/rules"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
 // Options are those of a World.
