--- a/cmd/gradeusher/keeper.go
+++ b/cmd/gradeusher/keeper.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/sidecar/client"
-	"gradeusher.example/gradeusher/internal/sidecar/keeper"
+	"gradeusher.example/gradeusher/internal/sidecar/registry"
 	"gradeusher.example/gradeusher/internal/sidecar/sealed"
 )
 
@@ -52,7 +52,7 @@
 
 // Run is the keeper until it is told to end.
 func (c keeperRun) Run(ctx context.Context, s streams) error {
-	config, err := keeper.LoadConfig(c.Config)
+	config, err := registry.LoadConfig(c.Config)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
@@ -66,7 +66,7 @@
 		handler = slog.NewJSONHandler(s.err, o)
 	}
 	signal.Ignore(syscall.SIGXFSZ) // a file that may not grow is a failed write, not the end of the process
-	return keeper.Run(ctx, config, slog.New(handler), nil)
+	return registry.Run(ctx, config, slog.New(handler), nil)
 }
 
 type keeperBackup struct {
@@ -129,7 +129,7 @@
 // Run prints a line a keeper. It fails where no keeper leads.
 func (c statusCommand) Run(ctx context.Context, s streams) error {
 	return c.call(ctx, func(ctx context.Context, k *client.Client) error {
-		all, failed := client.Status[keeper.Status](ctx, k)
+		all, failed := client.Status[registry.Status](ctx, k)
 		leads := false
 		for _, v := range all {
 			leads = leads || v.Role == "leader"
--- a/cmd/gradeusher/keeper_cluster_test.go
+++ b/cmd/gradeusher/keeper_cluster_test.go
@@ -15,8 +15,8 @@
 
 	"gradeusher.example/gradeusher/internal/lab/link"
 	"gradeusher.example/gradeusher/internal/sidecar/client"
-	"gradeusher.example/gradeusher/internal/sidecar/keeper"
 	"gradeusher.example/gradeusher/internal/sidecar/list"
+	"gradeusher.example/gradeusher/internal/sidecar/registry"
 )
 
 // patience bounds what a test waits for; it is no measure.
@@ -117,7 +117,7 @@
 	eventually(k.t, "a leader", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
-		all, _ := client.Status[keeper.Status](ctx, k.client)
+		all, _ := client.Status[registry.Status](ctx, k.client)
 		for _, p := range k.places {
 			if s, ok := all[p.http]; ok && s.Role == "leader" && s.AgeMS == 0 {
 				found = p
--- a/cmd/gradeusher/keeper_test.go
+++ b/cmd/gradeusher/keeper_test.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/sidecar/client"
-	"gradeusher.example/gradeusher/internal/sidecar/keeper"
 	"gradeusher.example/gradeusher/internal/sidecar/list"
+	"gradeusher.example/gradeusher/internal/sidecar/registry"
 	"gradeusher.example/gradeusher/internal/sidecar/replica"
 )
 
@@ -118,7 +118,7 @@
 		k.configure(p, fmt.Sprintf("join = true\n[[peer]]\nname = %q\nraft = %q\nhttp = %q\n", first.name, first.raft, first.http))
 		k.start(p)
 		eventually(t, name+"'s vote", func() bool {
-			all, _ := client.Status[keeper.Status](k.call(), k.client)
+			all, _ := client.Status[registry.Status](k.call(), k.client)
 			return slices.ContainsFunc(all[first.http].Peers, func(p replica.Peer) bool { return p.Name == name && p.Voter })
 		})
 	}
@@ -127,7 +127,7 @@
 		t.Fatal(err)
 	}
 	eventually(t, "three that are up to date", func() bool {
-		all, _ := client.Status[keeper.Status](k.call(), k.client)
+		all, _ := client.Status[registry.Status](k.call(), k.client)
 		n := 0
 		for _, s := range all {
 			if s.Servers == 61 && len(s.Keepers) == 3 && len(s.Peers) == 3 {
@@ -152,7 +152,7 @@
 		t.Fatal(err)
 	}
 	eventually(t, "k4's vote", func() bool {
-		all, _ := client.Status[keeper.Status](k.call(), k.client)
+		all, _ := client.Status[registry.Status](k.call(), k.client)
 		return slices.ContainsFunc(all[late.http].Peers, func(p replica.Peer) bool { return p.Name == "k4" && p.Voter })
 	})
 	cli(0, "keeper", "remove", "k4") // which follows, and hears no more
--- a/internal/compat/filled_test.go
+++ b/internal/compat/filled_test.go
@@ -10,8 +10,8 @@
 
 	"gradeusher.example/gradeusher/balance/routes"
 	"gradeusher.example/gradeusher/internal/sidecar/client"
-	"gradeusher.example/gradeusher/internal/sidecar/keeper"
 	"gradeusher.example/gradeusher/internal/sidecar/list"
+	"gradeusher.example/gradeusher/internal/sidecar/registry"
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 	"gradeusher.example/gradeusher/internal/system/admin"
 )
@@ -111,7 +111,7 @@
 	document[admin.ProxyStatus](t, "why")
 	document[admin.NodeStatus](t, "keeper_status")
 	document[routes.Table](t, "route_table")
-	document[keeper.Status](t, "sidecar_status")
+	document[registry.Status](t, "sidecar_status")
 	document[client.RouteNews](t, "sidecar_routes")
 	document[client.DutyNews](t, "sidecar_duties")
 	document[list.List](t, "sidecar_list")
--- a/internal/compat/settings_test.go
+++ b/internal/compat/settings_test.go
@@ -14,7 +14,7 @@
 	"github.com/BurntSushi/toml"
 
 	"gradeusher.example/gradeusher/internal/sidecar"
-	"gradeusher.example/gradeusher/internal/sidecar/keeper"
+	"gradeusher.example/gradeusher/internal/sidecar/registry"
 	"gradeusher.example/gradeusher/internal/system/settings"
 )
 
@@ -45,7 +45,7 @@
 
 func TestSidecarKeeperSettings(t *testing.T) {
 	for _, name := range []string{"k1", "k1_least"} {
-		c, err := keeper.LoadConfig("testdata/" + name + ".toml")
+		c, err := registry.LoadConfig("testdata/" + name + ".toml")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/compat/sidecardata_test.go
+++ b/internal/compat/sidecardata_test.go
@@ -16,8 +16,8 @@
 
 	"gradeusher.example/gradeusher/balance/routes"
 	"gradeusher.example/gradeusher/internal/sidecar/client"
-	"gradeusher.example/gradeusher/internal/sidecar/keeper"
 	"gradeusher.example/gradeusher/internal/sidecar/list"
+	"gradeusher.example/gradeusher/internal/sidecar/registry"
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
@@ -29,23 +29,23 @@
 	registryWait   = 20 * time.Second // bounds what a test waits for; it is no measure
 )
 
-// registry is a running keeper of the list.
-type registry struct {
+// registryFixture is a running keeper of the list.
+type registryFixture struct {
 	t  *testing.T
 	at string
 }
 
 // startRegistry runs a keeper by itself in a folder until the test ends, or until the function that it returns is called.
-func startRegistry(t *testing.T, folder string) (*registry, func()) {
+func startRegistry(t *testing.T, folder string) (*registryFixture, func()) {
 	t.Helper()
-	c := keeper.Defaults()
+	c := registry.Defaults()
 	c.Name, c.Folder, c.HTTP, c.Raft = "k1", folder, "127.0.0.1:0", "127.0.0.1:0"
-	c.Peers = []keeper.Peer{{Name: "k1", Raft: "127.0.0.1:0", HTTP: "127.0.0.1:1"}}
+	c.Peers = []registry.Peer{{Name: "k1", Raft: "127.0.0.1:0", HTTP: "127.0.0.1:1"}}
 	c.AdvertiseHTTP = "127.0.0.1:1"
 	c.Timing.HeartbeatMS, c.Timing.SnapshotMS, c.Timing.SnapshotAfter = 60, 50, 4
 	ctx, cancel := context.WithCancel(context.Background())
 	ready, ended := make(chan string, 1), make(chan error, 1)
-	go func() { ended <- keeper.Run(ctx, c, slog.New(slog.DiscardHandler), func(at string) { ready <- at }) }()
+	go func() { ended <- registry.Run(ctx, c, slog.New(slog.DiscardHandler), func(at string) { ready <- at }) }()
 	stop := func() {
 		cancel()
 		if err := <-ended; err != nil {
@@ -55,7 +55,7 @@
 	}
 	select {
 	case at := <-ready:
-		return &registry{t, at}, stop
+		return &registryFixture{t, at}, stop
 	case err := <-ended:
 		cancel()
 		t.Fatal(err)
@@ -63,7 +63,7 @@
 	}
 }
 
-func (r *registry) try(method, path, body string) (int, []byte) {
+func (r *registryFixture) try(method, path, body string) (int, []byte) {
 	r.t.Helper()
 	req, err := http.NewRequest(method, "http://"+r.at+path, strings.NewReader(body))
 	if err != nil {
@@ -82,7 +82,7 @@
 }
 
 // call sends a call until the keeper leads, and returns its answer.
-func (r *registry) call(method, path, body string) []byte {
+func (r *registryFixture) call(method, path, body string) []byte {
 	r.t.Helper()
 	for end := time.Now().Add(registryWait); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		code, text := r.try(method, path, body)
--- a/internal/sidecar/duty/runner_test.go
+++ b/internal/sidecar/duty/runner_test.go
@@ -15,7 +15,7 @@
 
 	"go.uber.org/goleak"
 
-	"gradeusher.example/gradeusher/internal/sidecar/keeper"
+	"gradeusher.example/gradeusher/internal/sidecar/registry"
 )
 
 const patience = 30 * time.Second // bounds what a test waits for; it is no measure
@@ -23,15 +23,15 @@
 // startKeeper runs one keeper by itself and returns where it answers.
 func startKeeper(t testing.TB) string {
 	t.Helper()
-	c := keeper.Defaults()
+	c := registry.Defaults()
 	c.Name, c.Folder, c.HTTP, c.Raft = "k1", t.TempDir(), "127.0.0.1:0", "127.0.0.1:0"
-	c.Peers = []keeper.Peer{{Name: "k1", Raft: "127.0.0.1:0", HTTP: "127.0.0.1:1"}}
+	c.Peers = []registry.Peer{{Name: "k1", Raft: "127.0.0.1:0", HTTP: "127.0.0.1:1"}}
 	c.AdvertiseHTTP = "127.0.0.1:1"
 	c.Timing.HeartbeatMS = 60
 	ctx, cancel := context.WithCancel(context.Background())
 	ready, ended := make(chan string, 1), make(chan error, 1)
 	go func() {
-		ended <- keeper.Run(ctx, c, slog.New(slog.DiscardHandler), func(at string) { ready <- at })
+		ended <- registry.Run(ctx, c, slog.New(slog.DiscardHandler), func(at string) { ready <- at })
 	}()
 	t.Cleanup(func() {
 		cancel()
--- a/internal/sidecar/keeper/keeper.go
+++ b/internal/sidecar/registry/keeper.go
@@ -1,6 +1,6 @@
 // Package keeper is a keeper: the list of servers over HTTP/1.1, watches that fan out, admission, and what a leader does
 // besides. What it knows is the replicated state machine's; it keeps nothing of its own but who watches and which leases run.
-package keeper
+package registry
 
 import (
 	"bytes"
--- a/internal/sidecar/keeper/tenures.go
+++ b/internal/sidecar/registry/tenures.go
@@ -1,4 +1,4 @@
-package keeper
+package registry
 
 import (
 	"context"
