--- a/cmd/gradeusher/duty.go
+++ b/cmd/gradeusher/duty.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/sidecar/client"
-	"gradeusher.example/gradeusher/internal/sidecar/duty"
+	"gradeusher.example/gradeusher/internal/sidecar/singleton"
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
@@ -119,7 +119,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := duty.NewRunner(duty.Options{Registry: strings.Split(c.Keepers, ","), Name: name, Lease: c.Lease, Log: log})
+	r, err := singleton.NewRunner(singleton.Options{Registry: strings.Split(c.Keepers, ","), Name: name, Lease: c.Lease, Log: log})
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
@@ -128,7 +128,7 @@
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
 	defer k.Close()
-	r.Want(duty.SweepRole, "", duty.Sweep(k, c.Every, c.Idle, log))
+	r.Want(singleton.SweepRole, "", singleton.Sweep(k, c.Every, c.Idle, log))
 	r.Run(ctx, c.Lease)
 	return nil
 }
--- a/cmd/gradeusher/duty_fleet_test.go
+++ b/cmd/gradeusher/duty_fleet_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"gradeusher.example/gradeusher/internal/sidecar/duty"
+	"gradeusher.example/gradeusher/internal/sidecar/singleton"
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
@@ -52,7 +52,7 @@
 // resource is what the holder of a duty acts on, behind a fence. It sees who acts when, from outside.
 type resource struct {
 	l      net.Listener
-	fence  duty.Fence
+	fence  singleton.Fence
 	mu     sync.Mutex
 	all    []effect
 	ending sync.WaitGroup
--- a/cmd/gradeusher/duty_test.go
+++ b/cmd/gradeusher/duty_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/sidecar/client"
-	"gradeusher.example/gradeusher/internal/sidecar/duty"
+	"gradeusher.example/gradeusher/internal/sidecar/singleton"
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
@@ -180,7 +180,7 @@
 			names := ""
 			for _, d := range n.Duties {
 				names += d.Name + " "
-				if d.Name == duty.SweepRole && d.Holder != nil {
+				if d.Name == singleton.SweepRole && d.Holder != nil {
 					by = state.ProcessName(d.Holder.Who)
 				}
 			}
@@ -197,8 +197,8 @@
 	}
 	leave("older")
 	swept()
-	sweep := change(client.Campaign, duty.SweepRole, "a#1", 0)
-	_, err := k.client.ChangeDuty(k.call(), client.Forget, duty.SweepRole, client.DutyCall{Who: sweep.Holder.Who, Epoch: sweep.Epoch - 1, Idle: []string{"used"}, IdleMS: 1000})
+	sweep := change(client.Campaign, singleton.SweepRole, "a#1", 0)
+	_, err := k.client.ChangeDuty(k.call(), client.Forget, singleton.SweepRole, client.DutyCall{Who: sweep.Holder.Who, Epoch: sweep.Epoch - 1, Idle: []string{"used"}, IdleMS: 1000})
 	if err == nil || !strings.Contains(err.Error(), "does not hold sweep") {
 		t.Errorf("a sweep under the epoch before: %v", err)
 	}
--- a/cmd/gradeusher/dutyguard.go
+++ b/cmd/gradeusher/dutyguard.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"gradeusher.example/gradeusher/internal/sidecar/duty"
+	"gradeusher.example/gradeusher/internal/sidecar/singleton"
 )
 
 // exitGuarded is how a guard ends that has ended its command.
@@ -46,7 +46,7 @@
 	}()
 	first, err := strconv.ParseInt(<-lines, 10, 64)
 	until := time.Duration(first)
-	if err != nil || duty.Now() >= until-c.Grace {
+	if err != nil || singleton.Now() >= until-c.Grace {
 		return exitCode(exitGuarded)
 	}
 	command := exec.Command(c.Command[0], c.Command[1:]...)
@@ -67,7 +67,7 @@
 	var kill time.Duration
 	term := func() {
 		if !told {
-			told, kill = true, duty.Now()+c.Grace
+			told, kill = true, singleton.Now()+c.Grace
 			signal(syscall.SIGTERM)
 		}
 	}
@@ -76,7 +76,7 @@
 		if told {
 			wake = min(kill, until)
 		}
-		timer := time.NewTimer(max(0, wake-duty.Now()))
+		timer := time.NewTimer(max(0, wake-singleton.Now()))
 		select {
 		case <-ended:
 			signal(syscall.SIGKILL) // what it left behind
@@ -100,7 +100,7 @@
 				until = max(until, time.Duration(n))
 			}
 		case <-timer.C:
-			switch now := duty.Now(); {
+			switch now := singleton.Now(); {
 			case now < wake:
 			case told:
 				signal(syscall.SIGKILL)
--- a/cmd/gradeusher/dutyhold.go
+++ b/cmd/gradeusher/dutyhold.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"gradeusher.example/gradeusher/internal/sidecar/duty"
+	"gradeusher.example/gradeusher/internal/sidecar/singleton"
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
@@ -46,14 +46,14 @@
 	if _, err := exec.LookPath(c.Command[0]); err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	r, err := duty.NewRunner(duty.Options{Registry: strings.Split(c.Keepers, ","), Name: name, Location: c.Room, Lease: c.Lease, Load: c.Load, Log: slog.New(slog.NewTextHandler(s.err, nil))})
+	r, err := singleton.NewRunner(singleton.Options{Registry: strings.Split(c.Keepers, ","), Name: name, Location: c.Room, Lease: c.Lease, Load: c.Load, Log: slog.New(slog.NewTextHandler(s.err, nil))})
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
 	var h holds
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	done := r.Want(c.Name, c.At, func(work context.Context, t *duty.HeldLease) error { return c.work(work, t, s, &h) })
+	done := r.Want(c.Name, c.At, func(work context.Context, t *singleton.HeldLease) error { return c.work(work, t, s, &h) })
 	go func() {
 		select {
 		case <-done:
@@ -69,7 +69,7 @@
 }
 
 // work runs the command in an office, under a guard: a process that ends it in time though this one is stopped or killed.
-func (c dutyHold) work(ctx context.Context, t *duty.HeldLease, s streams, h *holds) error {
+func (c dutyHold) work(ctx context.Context, t *singleton.HeldLease, s streams, h *holds) error {
 	h.code = exitBroken
 	self, err := os.Executable()
 	if err != nil {
@@ -97,7 +97,7 @@
 	asked := t.HandoverRequested()
 	for told := false; ; {
 		if left := t.Left(); left > 0 {
-			_, _ = fmt.Fprintf(to, "%d\n", int64(duty.Now()+left)) // a guard that is gone has ended
+			_, _ = fmt.Fprintf(to, "%d\n", int64(singleton.Now()+left)) // a guard that is gone has ended
 		}
 		select {
 		case <-ended:
@@ -106,13 +106,13 @@
 			case !told && t.Valid() && ctx.Err() == nil && h.code != exitGuarded && h.code == 0:
 				return nil
 			case !told && t.Valid() && ctx.Err() == nil && h.code != exitGuarded:
-				return fmt.Errorf("%w: exit %d", duty.ErrGaveUp, h.code)
+				return fmt.Errorf("%w: exit %d", singleton.ErrGaveUp, h.code)
 			case c.Once:
 				h.code = exitBroken
 				return nil
 			}
 			h.code = 0
-			return duty.ErrHandedOver
+			return singleton.ErrHandedOver
 		case <-asked:
 			asked, told = nil, true
 			_, _ = fmt.Fprintln(to, "end")
--- a/internal/sidecar/registry/model_test.go
+++ b/internal/sidecar/registry/model_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 
 	"gradeusher.example/gradeusher/internal/sidecar/client"
-	"gradeusher.example/gradeusher/internal/sidecar/duty"
+	"gradeusher.example/gradeusher/internal/sidecar/singleton"
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
@@ -26,7 +26,7 @@
 type modelProcess struct {
 	who     string
 	rate    float64 // of its clock, beside the leader's
-	h       *duty.Leases
+	h       *singleton.Leases
 	sent    time.Duration
 	on      int // 0: no renewal is on its way; 1: to the leader; 2: back
 	answer  []client.HeldDuty
@@ -47,7 +47,7 @@
 	l       *tenures
 	late    []state.DutyCall // ends on their way to the log
 	all     []*modelProcess
-	fence   duty.Fence
+	fence   singleton.Fence
 	highest int64 // epoch that was acted under
 }
 
@@ -217,7 +217,7 @@
 			margin = func(time.Duration) time.Duration { return 0 }
 		}
 		for i, rate := range []float64{rapid.SampledFrom([]float64{0.9901, 1, 1.0099}).Draw(t, "rate"), 1} {
-			p := &modelProcess{who: fmt.Sprintf("p%d#1", i), rate: rate, h: duty.NewLeases(margin)}
+			p := &modelProcess{who: fmt.Sprintf("p%d#1", i), rate: rate, h: singleton.NewLeases(margin)}
 			w.all = append(w.all, p)
 			w.do(state.Campaign, state.DutyCall{Name: "d", Who: p.who, TTLMS: modelLease.Milliseconds()})
 		}
--- a/internal/sidecar/duty/duty_test.go
+++ b/internal/sidecar/singleton/duty_test.go
@@ -1,4 +1,4 @@
-package duty
+package singleton
 
 import (
 	"errors"
--- a/internal/sidecar/duty/holder.go
+++ b/internal/sidecar/singleton/holder.go
@@ -1,5 +1,5 @@
 // Package duty is a process that holds duties: when it may act under which epoch, and the calls, timers and works around that.
-package duty
+package singleton
 
 import (
 	"maps"
