--- a/cmd/gradeusher/system_up.go
+++ b/cmd/gradeusher/system_up.go
@@ -81,25 +81,25 @@
 
 // systemPrograms finds the system's programs beside this one or in target/. A program that `go run` has made lies in a
 // temporary folder without them: then they are built.
-func systemPrograms(ctx context.Context, folder string) (proxy, keeper string, err error) {
+func systemPrograms(ctx context.Context, folder string) (proxy, controlPlane string, err error) {
 	self, err := os.Executable()
 	if err != nil {
 		return "", "", err
 	}
 	for _, at := range []string{filepath.Dir(self), "target"} {
-		if built(filepath.Join(at, "proxy")) && built(filepath.Join(at, "keeper")) {
+		if built(filepath.Join(at, "proxy")) && built(filepath.Join(at, "controlplane")) {
 			if at, err = filepath.Abs(at); err != nil {
 				return "", "", err
 			}
-			return filepath.Join(at, "proxy"), filepath.Join(at, "keeper"), nil
+			return filepath.Join(at, "proxy"), filepath.Join(at, "controlplane"), nil
 		}
 	}
-	build := exec.CommandContext(ctx, "go", "build", "-o", folder+string(filepath.Separator), "./cmd/proxy", "./cmd/keeper")
+	build := exec.CommandContext(ctx, "go", "build", "-o", folder+string(filepath.Separator), "./cmd/proxy", "./cmd/controlplane")
 	if out, err := build.CombinedOutput(); err != nil {
 		return "", "", fmt.Errorf("the system's programs are neither beside %s nor in target/ and do not build: run this at the repository's root (%w: %s)",
 			self, err, strings.TrimSpace(string(out)))
 	}
-	return filepath.Join(folder, "proxy"), filepath.Join(folder, "keeper"), nil
+	return filepath.Join(folder, "proxy"), filepath.Join(folder, "controlplane"), nil
 }
 
 func built(path string) bool {
--- a/cmd/gradeusher/system_up_test.go
+++ b/cmd/gradeusher/system_up_test.go
@@ -26,11 +26,11 @@
 		t.Skip("the go tool is missing")
 	}
 	folder = t.TempDir()
-	build := exec.CommandContext(t.Context(), tool, "build", "-o", folder+string(filepath.Separator), "../proxy", "../keeper")
+	build := exec.CommandContext(t.Context(), tool, "build", "-o", folder+string(filepath.Separator), "../proxy", "../controlplane")
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	return filepath.Join(folder, "proxy"), filepath.Join(folder, "keeper"), folder
+	return filepath.Join(folder, "proxy"), filepath.Join(folder, "controlplane"), folder
 }
 
 // TestSystemKeepsRulesThroughEnds runs the real programs through the kill of a keeper and the planned end of a proxy,
--- a/internal/system/admin/restore/restore_test.go
+++ b/internal/system/admin/restore/restore_test.go
@@ -67,7 +67,7 @@
 	return s
 }
 
-// submitter fits a keeper to the operator's API, as cmd/keeper does.
+// submitter fits a keeper to the operator's API, as cmd/controlplane does.
 type submitter struct{ *replication.Node }
 
 func (s submitter) Submit(ctx context.Context, c controlstate.Change) (controlstate.Verdict, error) {
--- a/internal/system/operatorapi/chain_test.go
+++ b/internal/system/operatorapi/chain_test.go
@@ -40,7 +40,7 @@
 	cut   map[string]bool
 }
 
-// submitter fits a keeper to the API, as cmd/keeper does.
+// submitter fits a keeper to the API, as cmd/controlplane does.
 type submitter struct{ *replication.Node }
 
 func (s submitter) Submit(ctx context.Context, c controlstate.Change) (controlstate.Verdict, error) {
