--- a/docs/incidents/failback-days.py
+++ b/docs/incidents/failback-days.py
@@ -3,7 +3,7 @@
 
     python3 failback-days.py SITE OUT SEEDS [flap]     OUT-SEED.toml for each seed (separated by commas), to be played by "run SITE FILE"
 
-flap: servers that fail and flap as well, on sites whose contracts have "health". The days of ROADMAP: hakata 1,2,3, aula 4,5, Maktab 6 flap.
+flap: servers that fail and flap as well, on sites whose contracts have "health". The days of docs/history.md: hakata 1,2,3, aula 4,5, Maktab 6 flap.
 """
 import random, sys, re
 site, out, names, flap = sys.argv[1], sys.argv[2], sys.argv[3].split(','), sys.argv[4:] == ['flap']
