--- a/internal/system/wal/bounds_test.go
+++ b/internal/system/wal/bounds_test.go
@@ -152,7 +152,7 @@
 // change appends one record, compacts when it is due, and when the log is full.
 func (k *keeperOn) change(size int) {
 	k.t.Helper()
-	entry := Entry{Seq: k.log.last + 1, Data: make([]byte, size)}
+	entry := Entry{Seq: k.log.lastSeq + 1, Data: make([]byte, size)}
 	err := k.log.Append([]Entry{entry})
 	if errors.Is(err, ErrFull) {
 		k.compact()
@@ -168,7 +168,7 @@
 
 func (k *keeperOn) compact() {
 	k.t.Helper()
-	if err := k.log.Compact(Snapshot{Seq: k.log.last, Data: make([]byte, k.state)}); err != nil {
+	if err := k.log.Compact(Snapshot{Seq: k.log.lastSeq, Data: make([]byte, k.state)}); err != nil {
 		k.t.Fatal(err)
 	}
 	k.since = 0
@@ -245,7 +245,7 @@
 			}
 		}
 		k.check()
-		if len(k.log.damaged) > 0 {
+		if len(k.log.quarantinedFiles) > 0 {
 			t.Error("the copy is still there")
 		}
 	})
@@ -260,7 +260,7 @@
 	}
 	for round := range 3 {
 		k.fs.capacity = 0
-		last := k.log.last
+		last := k.log.lastSeq
 		for range 3 {
 			if err := k.log.Append([]Entry{{Seq: last + 1, Data: make([]byte, usualState)}}); !errors.Is(err, ErrFull) {
 				t.Fatal(err)
@@ -272,14 +272,14 @@
 		if round > 0 {
 			k.restart()
 		}
-		if k.log.last != last {
-			t.Fatalf("the log ends at %d, not at %d", k.log.last, last)
+		if k.log.lastSeq != last {
+			t.Fatalf("the log ends at %d, not at %d", k.log.lastSeq, last)
 		}
 		k.fs.capacity = wholeDisk
 		k.change(usualState)
 		k.restart()
-		if k.log.last != last+1 {
-			t.Fatalf("the log ends at %d, not at %d", k.log.last, last+1)
+		if k.log.lastSeq != last+1 {
+			t.Fatalf("the log ends at %d, not at %d", k.log.lastSeq, last+1)
 		}
 	}
 }
@@ -353,7 +353,7 @@
 			if err != nil {
 				t.Fatalf("%s, killed at call %d: %v", name, call, err)
 			}
-			if err := log.Append([]Entry{{Seq: log.last + 1}}); !errors.Is(err, ErrFull) {
+			if err := log.Append([]Entry{{Seq: log.lastSeq + 1}}); !errors.Is(err, ErrFull) {
 				t.Fatalf("%s, killed at call %d: an append: %v", name, call, err)
 			}
 			fs.fault = nil
--- a/internal/system/wal/control_test.go
+++ b/internal/system/wal/control_test.go
@@ -10,7 +10,7 @@
 
 // enumerate runs the histories with the protections of h taken out, or with syncs that do nothing, through crashes, and
 // through one failing call before each. It returns the first fault that it finds.
-func enumerate(h hooks, l lies) error {
+func enumerate(h TestingKnobs, l lies) error {
 	r := rand.New(rand.NewPCG(8, 9))
 	for _, name := range []string{"grow", "truncate", "compact", "install", "mixed"} {
 		for _, gap := range []int{0, 1, 7} { // between a call that fails and the crash; 0: none fails
@@ -42,19 +42,19 @@
 
 // TestControls takes each protection out. Danger: a test of crashes that finds nothing because it looks at nothing.
 func TestControls(t *testing.T) {
-	if err := enumerate(hooks{}, lies{}); err != nil {
+	if err := enumerate(TestingKnobs{}, lies{}); err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
-		hooks hooks
+		hooks TestingKnobs
 		lies  lies
 	}{
 		"no sync of files":                         {lies: lies{file: true}},
 		"no sync of the folder":                    {lies: lies{folder: true}},
 		"no sync of the folder above":              {lies: lies{parent: true}},
-		"no checksum of records":                   {hooks: hooks{trustRecords: true}},
-		"on in the same file after a failed sync":  {hooks: hooks{sameSegment: true}},
-		"the newest segment is believed in a load": {hooks: hooks{trustNewest: true}},
+		"no checksum of records":                   {hooks: TestingKnobs{SkipRecordChecksums: true}},
+		"on in the same file after a failed sync":  {hooks: TestingKnobs{ReuseSegmentAfterFailedSync: true}},
+		"the newest segment is believed in a load": {hooks: TestingKnobs{TrustNewestSegment: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			err := enumerate(c.hooks, c.lies)
--- a/internal/system/wal/crash_test.go
+++ b/internal/system/wal/crash_test.go
@@ -29,11 +29,11 @@
 
 // runHistory goes through a script until the machine is gone.
 func runHistory(steps []step, fault func(int, string) error) (*subject, error) {
-	return runWith(steps, hooks{}, lies{}, fault)
+	return runWith(steps, TestingKnobs{}, lies{}, fault)
 }
 
 // runWith is runHistory without some protections.
-func runWith(steps []step, h hooks, l lies, fault func(int, string) error) (*subject, error) {
+func runWith(steps []step, h TestingKnobs, l lies, fault func(int, string) error) (*subject, error) {
 	fs := newSimFS()
 	fs.fault, fs.hooks, fs.lies = fault, h, l
 	s := newSubject(fs)
--- a/internal/system/wal/crashmodel_test.go
+++ b/internal/system/wal/crashmodel_test.go
@@ -86,7 +86,7 @@
 var nonces atomic.Uint64
 
 func openSim(fs *simFS) (*Log, error) {
-	return Open(simFolder, Options{FS: fs, SegmentBytes: 200, MaxBytes: 1 << 20, ReserveBytes: 16, hooks: fs.hooks,
+	return Open(simFolder, Options{FS: fs, SegmentBytes: 200, MaxBytes: 1 << 20, ReserveBytes: 16, TestingKnobs: fs.hooks,
 		Nonce: func() uint64 { return nonces.Add(1) }})
 }
 
@@ -220,7 +220,7 @@
 
 // goOn checks that a loaded log takes changes that last.
 func goOn(fs *simFS, log *Log, v view) error {
-	last := log.last
+	last := log.lastSeq
 	for i, err := range []error{
 		log.Append([]Entry{{Seq: last + 1, Data: []byte("new")}, {Seq: last + 2, Data: []byte("dropped")}}),
 		log.Truncate(last + 1),
--- a/internal/system/wal/errors.go
+++ b/internal/system/wal/errors.go
@@ -21,15 +21,15 @@
 	ErrMisuse = errors.New("wrong use of the log")
 )
 
-func damaged(format string, args ...any) error {
+func damagedError(format string, args ...any) error {
 	return errors.Mark(errors.Newf(format+"; put this log aside and join under a new identity", args...), ErrDamaged)
 }
 
-func misuse(format string, args ...any) error {
+func misuseError(format string, args ...any) error {
 	return errors.Mark(errors.Newf(format, args...), ErrMisuse)
 }
 
-func superseded() error {
+func supersededError() error {
 	return errors.Mark(errors.New("another process has opened this log: end one of the two"), ErrSuperseded)
 }
 
--- a/internal/system/wal/load.go
+++ b/internal/system/wal/load.go
@@ -15,56 +15,56 @@
 const generationShift = 24
 
 const (
-	reserveName     = "reserve"
-	putAsideName    = "putting-aside" // while it is there, the log's files are to be renamed
-	damagedPrefix   = "damaged-"
-	temporarySuffix = ".tmp"
+	reserveName          = "reserve"
+	quarantineMarkerName = "putting-aside" // while it is there, the log's files are to be renamed
+	quarantinePrefix     = "damaged-"
+	temporarySuffix      = ".tmp"
 )
 
-// folderList is what the names in the folder tell.
-type folderList struct {
+// folderListing is what the names in the folder tell.
+type folderListing struct {
 	segments, snapshots []uint64            // ascending
 	meta                map[string][]uint64 // generations, ascending
 	temporary           []string
-	damaged             []string // files of the copy that was put aside
-	reserve             bool
-	putAside            bool // putting aside is under way
+	quarantined         []string // files of the copy that was put aside
+	hasReserve          bool
+	quarantineBegun     bool // putting aside is under way
 }
 
-func listFolder(names []string) folderList {
-	f := folderList{meta: map[string][]uint64{}}
+func parseFolder(names []string) folderListing {
+	listing := folderListing{meta: map[string][]uint64{}}
 	for _, name := range names {
 		kind, rest, _ := strings.Cut(name, "-")
 		switch {
 		case strings.HasSuffix(name, temporarySuffix):
-			f.temporary = append(f.temporary, name)
+			listing.temporary = append(listing.temporary, name)
 		case name == reserveName:
-			f.reserve = true
-		case name == putAsideName:
-			f.putAside = true
-		case strings.HasPrefix(name, damagedPrefix):
-			f.damaged = append(f.damaged, name)
+			listing.hasReserve = true
+		case name == quarantineMarkerName:
+			listing.quarantineBegun = true
+		case strings.HasPrefix(name, quarantinePrefix):
+			listing.quarantined = append(listing.quarantined, name)
 		case kind == "log":
 			if n, ok := parseNumber(rest); ok {
-				f.segments = append(f.segments, n)
+				listing.segments = append(listing.segments, n)
 			}
 		case kind == "snap":
 			if n, ok := parseNumber(rest); ok {
-				f.snapshots = append(f.snapshots, n)
+				listing.snapshots = append(listing.snapshots, n)
 			}
 		case kind == "meta":
 			key, number, _ := strings.Cut(rest, "-")
-			if n, ok := parseNumber(number); ok && checkName(key) == nil {
-				f.meta[key] = append(f.meta[key], n)
+			if n, ok := parseNumber(number); ok && ValidateMetaName(key) == nil {
+				listing.meta[key] = append(listing.meta[key], n)
 			}
 		}
 	}
-	slices.Sort(f.segments)
-	slices.Sort(f.snapshots)
-	for _, all := range f.meta {
+	slices.Sort(listing.segments)
+	slices.Sort(listing.snapshots)
+	for _, all := range listing.meta {
 		slices.Sort(all)
 	}
-	return f
+	return listing
 }
 
 func parseNumber(s string) (uint64, bool) {
@@ -81,19 +81,19 @@
 		_ = l.closeSegment()
 		return nil, Snapshot{}, nil, err
 	}
-	if l.o.ReadOnly {
+	if l.options.ReadOnly {
 		return meta, snapshot, entries, nil
 	}
 	l.loaded = true
 	l.deleteGarbage()
-	l.reserve()
+	l.createReserve()
 	return meta, snapshot, entries, nil
 }
 
 func (l *Log) load() (map[string][]byte, Snapshot, []Entry, error) {
 	_ = l.closeSegment()
-	*l = Log{folder: l.folder, o: l.o, meta: map[string]metaFile{}}
-	list, err := l.prepare()
+	*l = Log{folder: l.folder, options: l.options, meta: map[string]metaGenerations{}}
+	list, err := l.prepareFolder()
 	if err != nil {
 		return nil, Snapshot{}, nil, err
 	}
@@ -109,41 +109,41 @@
 	if err != nil {
 		return nil, Snapshot{}, nil, err
 	}
-	if list.reserve {
-		size, err := l.size(reserveName)
-		l.reserved = err == nil && size >= l.o.ReserveBytes
+	if list.hasReserve {
+		size, err := l.fileSize(reserveName)
+		l.hasReserve = err == nil && size >= l.options.ReserveBytes
 	}
-	if l.o.ReadOnly {
+	if l.options.ReadOnly {
 		return meta, snapshot, entries, nil
 	}
-	if err := l.takeOver(newest); err != nil {
+	if err := l.takeOwnership(newest); err != nil {
 		return nil, Snapshot{}, nil, err
 	}
 	return meta, snapshot, entries, nil
 }
 
-// prepare lists the folder once nothing in it can change any more: the next segment's file is there.
-func (l *Log) prepare() (folderList, error) {
-	list, err := l.list()
+// prepareFolder lists the folder once nothing in it can change any more: the next segment's file is there.
+func (l *Log) prepareFolder() (folderListing, error) {
+	list, err := l.listFolder()
 	if err != nil {
 		return list, err
 	}
-	if l.o.ReadOnly {
-		if list.putAside {
-			err = damaged("a damaged log is being put aside")
+	if l.options.ReadOnly {
+		if list.quarantineBegun {
+			err = damagedError("a damaged log is being put aside")
 		}
 		return list, err
 	}
-	if list.putAside {
-		if err := l.finishPutAside(); err != nil {
+	if list.quarantineBegun {
+		if err := l.finishQuarantine(); err != nil {
 			return list, err
 		}
-		if list, err = l.list(); err != nil {
+		if list, err = l.listFolder(); err != nil {
 			return list, err
 		}
 	}
-	if len(list.damaged) > 0 { // its mark is gone for good before anything new could be taken for a part of it
-		if err := l.o.FS.SyncDir(l.folder); err != nil {
+	if len(list.quarantined) > 0 { // its mark is gone for good before anything new could be taken for a part of it
+		if err := l.options.FS.SyncDir(l.folder); err != nil {
 			return list, diskError(err, "sync the log's folder")
 		}
 	}
@@ -152,16 +152,16 @@
 			l.garbage = append(l.garbage, name)
 		}
 	}
-	l.countDamaged(list.damaged)
-	if l.number, err = l.nextNumber(list); err != nil {
+	l.recordQuarantined(list.quarantined)
+	if l.nextSegment, err = l.nextNumber(list); err != nil {
 		return list, err
 	}
-	if l.fence() != nil { // the disk is full or refuses; what is there can still be read
-		l.unfenced, l.superseded = true, false
+	if l.claimNextSegment() != nil { // the disk is full or refuses; what is there can still be read
+		l.unclaimed, l.superseded = true, false
 	}
-	again, err := l.list()
+	again, err := l.listFolder()
 	for i, n := range again.segments {
-		if n == l.number {
+		if n == l.nextSegment {
 			again.segments = again.segments[:i]
 			break
 		}
@@ -169,19 +169,19 @@
 	return again, err
 }
 
-func (l *Log) list() (folderList, error) {
-	names, err := l.o.FS.ReadDir(l.folder)
-	return listFolder(names), diskError(err, "read the log's folder")
+func (l *Log) listFolder() (folderListing, error) {
+	names, err := l.options.FS.ReadDir(l.folder)
+	return parseFolder(names), diskError(err, "read the log's folder")
 }
 
 // nextNumber returns the number of a segment that follows all that were made: each snapshot names one, too.
-func (l *Log) nextNumber(list folderList) (uint64, error) {
+func (l *Log) nextNumber(list folderListing) (uint64, error) {
 	next := uint64(1)
 	if n := len(list.segments); n > 0 {
 		next = list.segments[n-1] + 1
 	}
 	if n := len(list.snapshots); n > 0 {
-		first, err := l.peekFirst(list.snapshots[n-1])
+		first, err := l.readFirstSegment(list.snapshots[n-1])
 		if err != nil {
 			return 0, err
 		}
@@ -190,27 +190,27 @@
 	return next, nil
 }
 
-// peekFirst reads the number of the oldest segment that counts out of a snapshot's file, without a check of the whole; 0: there
+// readFirstSegment reads the number of the oldest segment that counts out of a snapshot's file, without a check of the whole; 0: there
 // is none.
-func (l *Log) peekFirst(generation uint64) (uint64, error) {
+func (l *Log) readFirstSegment(generation uint64) (uint64, error) {
 	name := snapshotName(generation)
-	f, err := l.o.FS.Open(l.path(name))
+	f, err := l.options.FS.Open(l.path(name))
 	if err != nil {
 		return 0, diskError(err, "open "+name)
 	}
 	defer func() { _ = f.Close() }()
-	var b [snapshotFirstAt + 8]byte
+	var b [snapshotFirstSegmentOffset + 8]byte
 	switch _, err := f.ReadAt(b[:], 0); {
 	case errors.Is(err, io.EOF): // it is damaged, as loadSnapshot will find
 		return 0, nil
 	case err != nil:
 		return 0, diskError(err, "read "+name)
 	}
-	return binary.LittleEndian.Uint64(b[snapshotFirstAt:]), nil
+	return binary.LittleEndian.Uint64(b[snapshotFirstSegmentOffset:]), nil
 }
 
-func (l *Log) size(name string) (int64, error) {
-	f, err := l.o.FS.Open(l.path(name))
+func (l *Log) fileSize(name string) (int64, error) {
+	f, err := l.options.FS.Open(l.path(name))
 	if err != nil {
 		return 0, err
 	}
@@ -218,7 +218,7 @@
 	return f.Size()
 }
 
-func readAll(f File) ([]byte, error) {
+func readWholeFile(f File) ([]byte, error) {
 	size, err := f.Size()
 	if err != nil {
 		return nil, err
@@ -231,13 +231,13 @@
 	return b[:n], err
 }
 
-func (l *Log) read(name string) ([]byte, error) {
-	f, err := l.o.FS.Open(l.path(name))
+func (l *Log) readFile(name string) ([]byte, error) {
+	f, err := l.options.FS.Open(l.path(name))
 	if err != nil {
 		return nil, diskError(err, "open "+name)
 	}
 	defer func() { _ = f.Close() }()
-	b, err := readAll(f)
+	b, err := readWholeFile(f)
 	return b, diskError(err, "read "+name)
 }
 
@@ -247,16 +247,16 @@
 	meta := make(map[string][]byte, len(all))
 	for name, generations := range all {
 		newest := generations[len(generations)-1]
-		b, err := l.read(metaName(name, newest))
+		content, err := l.readFile(metaName(name, newest))
 		if err != nil {
 			return nil, err
 		}
-		fields, data, ok := decodeFile(b, metaMagic, 1)
+		fields, data, ok := decodeFile(content, metaMagic, 1)
 		if !ok || fields[0] != newest {
-			return nil, damaged("metadata %q is not what was written", name)
+			return nil, damagedError("metadata %q is not what was written", name)
 		}
 		meta[name] = data
-		l.meta[name] = metaFile{saved: newest, tried: max(newest, l.number<<generationShift)}
+		l.meta[name] = metaGenerations{savedGeneration: newest, triedGeneration: max(newest, l.nextSegment<<generationShift)}
 		for _, old := range generations[:len(generations)-1] {
 			l.garbage = append(l.garbage, metaName(name, old))
 		}
@@ -265,61 +265,61 @@
 }
 
 // loadSnapshot reads the newest snapshot, and leaves the number of the oldest segment that counts in l.first.
-func (l *Log) loadSnapshot(list folderList) (Snapshot, error) {
-	l.first = 1
+func (l *Log) loadSnapshot(list folderListing) (Snapshot, error) {
+	l.firstSegment = 1
 	newest, err := l.newestHeader(list.segments)
 	if err != nil {
 		return Snapshot{}, err
 	}
 	for i := len(list.snapshots) - 1; i >= 0; i-- {
 		generation := list.snapshots[i]
-		l.generation = max(l.generation, generation)
+		l.lastGeneration = max(l.lastGeneration, generation)
 		// One that an earlier process finished after the newest segment was begun by another does not count.
 		late := generation != newest.generation && generation < newest.number<<generationShift
-		if l.snapGeneration > 0 || late {
+		if l.snapshotGeneration > 0 || late {
 			l.garbage = append(l.garbage, snapshotName(generation))
 			continue
 		}
-		l.snapGeneration = generation
+		l.snapshotGeneration = generation
 	}
-	if l.snapGeneration == 0 {
+	if l.snapshotGeneration == 0 {
 		if newest.generation > 0 {
-			return Snapshot{}, damaged("snapshot %d is missing", newest.generation)
+			return Snapshot{}, damagedError("snapshot %d is missing", newest.generation)
 		}
 		return Snapshot{}, nil
 	}
-	snapshot, fields, err := l.readSnapshot(l.snapGeneration)
+	snapshot, fields, err := l.readSnapshot(l.snapshotGeneration)
 	if err != nil {
 		return Snapshot{}, err
 	}
-	l.snapshot, l.first, l.snapBytes = snapshot.Seq, fields.first, fields.bytes
+	l.snapshotSeq, l.firstSegment, l.snapshotBytes = snapshot.Seq, fields.firstSegment, fields.fileBytes
 	return snapshot, nil
 }
 
 // newestHeader returns the header of the newest segment that is not empty; the zero one where there is none.
-func (l *Log) newestHeader(numbers []uint64) (header, error) {
+func (l *Log) newestHeader(numbers []uint64) (segmentHeader, error) {
 	for _, n := range slices.Backward(numbers) {
-		if h, size, err := l.readSegmentHeader(n); err != nil || size > 0 {
-			return h, err
+		if header, size, err := l.readSegmentHeader(n); err != nil || size > 0 {
+			return header, err
 		}
 	}
-	return header{}, nil
+	return segmentHeader{}, nil
 }
 
-// snapshotFields are what a snapshot's file holds beside the snapshot.
-type snapshotFields struct {
-	first uint64 // oldest segment that counts
-	bytes int64  // size of the file
+// snapshotFileInfo are what a snapshot's file holds beside the snapshot.
+type snapshotFileInfo struct {
+	firstSegment uint64 // oldest segment that counts
+	fileBytes    int64  // size of the file
 }
 
-func (l *Log) readSnapshot(generation uint64) (Snapshot, snapshotFields, error) {
-	b, err := l.read(snapshotName(generation))
+func (l *Log) readSnapshot(generation uint64) (Snapshot, snapshotFileInfo, error) {
+	content, err := l.readFile(snapshotName(generation))
 	if err != nil {
-		return Snapshot{}, snapshotFields{}, err
+		return Snapshot{}, snapshotFileInfo{}, err
 	}
-	fields, data, ok := decodeFile(b, snapshotMagic, 3)
+	fields, data, ok := decodeFile(content, snapshotMagic, 3)
 	if !ok || fields[0] != generation {
-		return Snapshot{}, snapshotFields{}, damaged("snapshot %d is not what was written", generation)
+		return Snapshot{}, snapshotFileInfo{}, damagedError("snapshot %d is not what was written", generation)
 	}
-	return Snapshot{Seq: fields[1], Data: data}, snapshotFields{fields[2], int64(len(b))}, nil
+	return Snapshot{Seq: fields[1], Data: data}, snapshotFileInfo{fields[2], int64(len(content))}, nil
 }
--- a/internal/system/wal/log_test.go
+++ b/internal/system/wal/log_test.go
@@ -149,7 +149,7 @@
 					t.Fatal(err)
 				}
 			}
-			if !log.reserved {
+			if !log.hasReserve {
 				t.Error("the reserve was not taken again")
 			}
 			if n := log.Size(); n > 8000 {
--- a/internal/system/wal/mem.go
+++ b/internal/system/wal/mem.go
@@ -47,7 +47,7 @@
 	if err := m.failed("Append"); err != nil {
 		return err
 	}
-	if err := follows(m.last(), entries); err != nil {
+	if err := ValidateAppend(m.last(), entries); err != nil {
 		return err
 	}
 	for _, e := range entries {
@@ -61,7 +61,7 @@
 	if err := m.failed("Truncate"); err != nil {
 		return err
 	}
-	if err := mayCut(m.snapshot.Seq, after); err != nil {
+	if err := ValidateTruncate(m.snapshot.Seq, after); err != nil {
 		return err
 	}
 	if after < m.last() {
@@ -75,7 +75,7 @@
 	if err := m.failed("Compact"); err != nil {
 		return err
 	}
-	if err := mayCompact(m.snapshot.Seq, m.last(), s.Seq); err != nil {
+	if err := ValidateCompact(m.snapshot.Seq, m.last(), s.Seq); err != nil {
 		return err
 	}
 	m.entries = slices.Clone(m.entries[s.Seq-m.snapshot.Seq:])
@@ -97,7 +97,7 @@
 	if err := m.failed("SaveMeta"); err != nil {
 		return err
 	}
-	if err := checkName(name); err != nil {
+	if err := ValidateMetaName(name); err != nil {
 		return err
 	}
 	m.meta[name] = slices.Clone(data)
@@ -113,37 +113,37 @@
 	return nil
 }
 
-func follows(last uint64, entries []Entry) error {
+func ValidateAppend(last uint64, entries []Entry) error {
 	for i, e := range entries {
 		if e.Seq != last+1+uint64(i) {
-			return misuse("entry %d does not follow %d: append without gaps", e.Seq, last+uint64(i))
+			return misuseError("entry %d does not follow %d: append without gaps", e.Seq, last+uint64(i))
 		}
 	}
 	return nil
 }
 
-func mayCut(snapshot, after uint64) error {
+func ValidateTruncate(snapshot, after uint64) error {
 	if after < snapshot {
-		return misuse("cut after %d is below the snapshot at %d: install an older snapshot instead", after, snapshot)
+		return misuseError("cut after %d is below the snapshot at %d: install an older snapshot instead", after, snapshot)
 	}
 	return nil
 }
 
-func mayCompact(snapshot, last, seq uint64) error {
+func ValidateCompact(snapshot, last, seq uint64) error {
 	if seq < snapshot || seq > last {
-		return misuse("snapshot at %d is outside the log from %d to %d: install it instead", seq, snapshot, last)
+		return misuseError("snapshot at %d is outside the log from %d to %d: install it instead", seq, snapshot, last)
 	}
 	return nil
 }
 
-// checkName allows names of metadata that are safe in a file's name.
-func checkName(name string) error {
+// ValidateMetaName allows names of metadata that are safe in a file's name.
+func ValidateMetaName(name string) error {
 	if name == "" || len(name) > 64 {
-		return misuse("metadata needs a name of 1 to 64 bytes, not %d", len(name))
+		return misuseError("metadata needs a name of 1 to 64 bytes, not %d", len(name))
 	}
 	for _, r := range name {
 		if (r < 'a' || r > 'z') && (r < '0' || r > '9') && r != '_' {
-			return misuse("metadata name %q: use a to z, 0 to 9 and _", name)
+			return misuseError("metadata name %q: use a to z, 0 to 9 and _", name)
 		}
 	}
 	return nil
--- a/internal/system/wal/owner_test.go
+++ b/internal/system/wal/owner_test.go
@@ -9,11 +9,11 @@
 
 // twoProcesses opens a log twice on one disk, as where a process is started anew while the old one is still about to end:
 // locks do nothing there.
-func twoProcesses(t *testing.T, h hooks) (fs *simFS, old, young *Log) {
+func twoProcesses(t *testing.T, h TestingKnobs) (fs *simFS, old, young *Log) {
 	t.Helper()
 	fs = newSimFS()
 	for i, log := range []**Log{&old, &young} {
-		l, err := Open(simFolder, Options{FS: fs, SegmentBytes: 200, ReserveBytes: 16, hooks: h})
+		l, err := Open(simFolder, Options{FS: fs, SegmentBytes: 200, ReserveBytes: 16, TestingKnobs: h})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -43,7 +43,7 @@
 	}
 	for name, change := range changes {
 		for _, before := range []bool{true, false} {
-			fs, old, young := twoProcesses(t, hooks{})
+			fs, old, young := twoProcesses(t, TestingKnobs{})
 			write := func() {
 				if err := young.Append([]Entry{entry(3, 1)}); err != nil {
 					t.Fatal(err)
@@ -89,7 +89,7 @@
 
 // TestOldProcessWithoutFence is the control: without the look for the other process, both acknowledge an entry 3.
 func TestOldProcessWithoutFence(t *testing.T) {
-	_, old, young := twoProcesses(t, hooks{noFence: true})
+	_, old, young := twoProcesses(t, TestingKnobs{SkipOwnershipCheck: true})
 	if err := errors.CombineErrors(old.Append([]Entry{entry(3, 7)}), young.Append([]Entry{entry(3, 1)})); err != nil {
 		t.Errorf("the control shows nothing: %v", err)
 	}
@@ -117,7 +117,7 @@
 	if s.fs.calls > before {
 		t.Errorf("%d calls changed something", s.fs.calls-before)
 	}
-	if err := log.Append([]Entry{{Seq: log.last + 1}}); !errors.Is(err, ErrMisuse) {
+	if err := log.Append([]Entry{{Seq: log.lastSeq + 1}}); !errors.Is(err, ErrMisuse) {
 		t.Errorf("an append: %v", err)
 	}
 	if err := log.Quarantine(); !errors.Is(err, ErrMisuse) {
--- a/internal/system/wal/putaside.go
+++ b/internal/system/wal/putaside.go
@@ -12,41 +12,41 @@
 // it is dropped when its room is needed. Cut short, it is finished by the next Load, so that nothing is served of a log of which
 // a part is gone.
 func (l *Log) Quarantine() error {
-	if l.o.ReadOnly {
-		return l.usable()
+	if l.options.ReadOnly {
+		return l.checkWritable()
 	}
 	_ = l.closeSegment()
 	l.loaded = false
-	list, err := l.list()
+	list, err := l.listFolder()
 	if err != nil {
 		return err
 	}
-	if !list.putAside {
-		if err := l.beginPutAside(list); err != nil {
+	if !list.quarantineBegun {
+		if err := l.beginQuarantine(list); err != nil {
 			return err
 		}
 	}
-	return l.finishPutAside()
+	return l.finishQuarantine()
 }
 
 // HasQuarantine tells whether the folder holds the copy of a damaged log, so that what was promised here is not known any more.
 func (l *Log) HasQuarantine() (bool, error) {
-	list, err := l.list()
-	return list.putAside || len(list.damaged) > 0, err
+	list, err := l.listFolder()
+	return list.quarantineBegun || len(list.quarantined) > 0, err
 }
 
-// beginPutAside removes the older copy, so that what has the names of a copy from here on is of this one, and marks the log.
-func (l *Log) beginPutAside(list folderList) error {
-	for _, name := range list.damaged {
+// beginQuarantine removes the older copy, so that what has the names of a copy from here on is of this one, and marks the log.
+func (l *Log) beginQuarantine(list folderListing) error {
+	for _, name := range list.quarantined {
 		if err := l.remove(name); err != nil {
 			return diskError(err, "remove the older copy of a damaged log")
 		}
 	}
 	_ = l.remove(reserveName) // makes room for the mark
-	if err := l.o.FS.SyncDir(l.folder); err != nil {
+	if err := l.options.FS.SyncDir(l.folder); err != nil {
 		return diskError(err, "sync the log's folder")
 	}
-	f, err := l.o.FS.Create(l.path(putAsideName))
+	f, err := l.options.FS.Create(l.path(quarantineMarkerName))
 	if err == nil {
 		err = f.Close()
 	}
@@ -56,10 +56,10 @@
 	return diskError(err, "mark the log as put aside")
 }
 
-// finishPutAside renames the files of a log that is marked, and takes the mark away.
-func (l *Log) finishPutAside() error {
-	fs := l.o.FS
-	if !l.o.hooks.looseMark { // the mark lasts before anything is renamed
+// finishQuarantine renames the files of a log that is marked, and takes the mark away.
+func (l *Log) finishQuarantine() error {
+	fs := l.options.FS
+	if !l.options.TestingKnobs.SkipQuarantineMarkerSync { // the mark lasts before anything is renamed
 		if err := fs.SyncDir(l.folder); err != nil {
 			return diskError(err, "sync the log's folder")
 		}
@@ -74,7 +74,7 @@
 		case strings.HasSuffix(name, temporarySuffix):
 			err = l.remove(name)
 		case kind == "log" || kind == "snap" || kind == "meta":
-			err = fs.Rename(l.path(name), l.path(damagedPrefix+name))
+			err = fs.Rename(l.path(name), l.path(quarantinePrefix+name))
 		}
 		if err != nil {
 			return diskError(err, "put "+name+" aside")
@@ -83,30 +83,30 @@
 	if err := fs.SyncDir(l.folder); err != nil {
 		return diskError(err, "sync the log's folder")
 	}
-	if err := l.remove(putAsideName); err != nil {
+	if err := l.remove(quarantineMarkerName); err != nil {
 		return diskError(err, "end the putting aside")
 	}
 	return diskError(fs.SyncDir(l.folder), "sync the log's folder")
 }
 
-// countDamaged notes what the copy takes.
-func (l *Log) countDamaged(names []string) {
-	l.damaged, l.damagedBytes = names, 0
+// recordQuarantined notes what the copy takes.
+func (l *Log) recordQuarantined(names []string) {
+	l.quarantinedFiles, l.quarantinedBytes = names, 0
 	for _, name := range names {
-		if n, err := l.size(name); err == nil {
-			l.damagedBytes += n
+		if n, err := l.fileSize(name); err == nil {
+			l.quarantinedBytes += n
 		}
 	}
 }
 
-// dropDamaged deletes the copy of a damaged log; false where there is none.
-func (l *Log) dropDamaged() bool {
-	dropped := len(l.damaged) > 0
-	for _, name := range l.damaged {
+// dropQuarantined deletes the copy of a damaged log; false where there is none.
+func (l *Log) dropQuarantined() bool {
+	dropped := len(l.quarantinedFiles) > 0
+	for _, name := range l.quarantinedFiles {
 		if l.remove(name) != nil {
 			l.garbage = append(l.garbage, name)
 		}
 	}
-	l.damaged, l.damagedBytes = nil, 0
+	l.quarantinedFiles, l.quarantinedBytes = nil, 0
 	return dropped
 }
--- a/internal/system/wal/putaside_test.go
+++ b/internal/system/wal/putaside_test.go
@@ -24,12 +24,12 @@
 // holdsCopy checks that the files are there under their other names, and no others are.
 func holdsCopy(fs *simFS, want map[string]string) error {
 	for name, content := range want {
-		if n := fs.names[damagedPrefix+name]; n == nil || string(n.content) != content {
+		if n := fs.names[quarantinePrefix+name]; n == nil || string(n.content) != content {
 			return errors.Newf("%s is not in the copy as it was", name)
 		}
 	}
 	for name := range fs.names {
-		if original, ok := strings.CutPrefix(name, damagedPrefix); ok {
+		if original, ok := strings.CutPrefix(name, quarantinePrefix); ok {
 			if _, ok := want[original]; !ok {
 				return errors.Newf("%s is of another copy", name)
 			}
@@ -39,7 +39,7 @@
 }
 
 // putAsideCrashing puts a log aside beside an older copy, and crashes at each call of it. check gets what is left.
-func putAsideCrashing(t *testing.T, h hooks, check func(fs *simFS, whole *Mem, copied map[string]string, call int, done bool) error) error {
+func putAsideCrashing(t *testing.T, h TestingKnobs, check func(fs *simFS, whole *Mem, copied map[string]string, call int, done bool) error) error {
 	t.Helper()
 	r := rand.New(rand.NewPCG(5, 6))
 	for call := 1; ; call++ {
@@ -61,7 +61,7 @@
 				t.Fatal(err)
 			}
 		}
-		s.log.o.hooks = h
+		s.log.options.TestingKnobs = h
 		copied := files(fs)
 		fs.fault = crashAt(fs.calls + call)
 		done := s.log.Quarantine() == nil
@@ -121,8 +121,8 @@
 // TestPutAside crashes at every call of putting a log aside, and at every call of the restart after it: afterwards either
 // everything is there as it was, or an empty log with the whole copy beside it, and nothing of an older copy.
 func TestPutAside(t *testing.T) {
-	err := putAsideCrashing(t, hooks{}, func(fs *simFS, whole *Mem, copied map[string]string, _ int, done bool) error {
-		if _, marked := fs.names[putAsideName]; done && marked {
+	err := putAsideCrashing(t, TestingKnobs{}, func(fs *simFS, whole *Mem, copied map[string]string, _ int, done bool) error {
+		if _, marked := fs.names[quarantineMarkerName]; done && marked {
 			return errors.New("the mark is still there")
 		}
 		if done && len(files(fs)) > 0 {
@@ -171,7 +171,7 @@
 	if v, err := look(log); err != nil || v.log != "0:" || len(v.meta) > 0 {
 		t.Errorf("%v, %v", v, err)
 	}
-	if kept, err := os.ReadFile(log.path(damagedPrefix + name)); err != nil || !bytes.Equal(kept, damaged) {
+	if kept, err := os.ReadFile(log.path(quarantinePrefix + name)); err != nil || !bytes.Equal(kept, damaged) {
 		t.Errorf("the copy of %s: %d bytes, %v", name, len(kept), err)
 	}
 }
@@ -209,7 +209,7 @@
 			if err := log.Append([]Entry{{Seq: 1, Data: make([]byte, 3000)}}); err != nil {
 				t.Fatal(err)
 			}
-			if len(log.damaged) == 0 {
+			if len(log.quarantinedFiles) == 0 {
 				t.Fatal("the copy went before its room was needed")
 			}
 			big := make([]byte, 4000)
@@ -223,8 +223,8 @@
 			case "meta":
 				err = log.SaveMeta("m", big)
 			}
-			if err != nil || len(log.damaged) > 0 {
-				t.Errorf("%s, %s: %v, %d files of the copy are left", name, what, err, len(log.damaged))
+			if err != nil || len(log.quarantinedFiles) > 0 {
+				t.Errorf("%s, %s: %v, %d files of the copy are left", name, what, err, len(log.quarantinedFiles))
 			}
 		}
 	}
@@ -232,7 +232,7 @@
 
 // TestPutAsideWithoutMark is the control: where the mark need not last, a half of a log is served or the copy is not whole.
 func TestPutAsideWithoutMark(t *testing.T) {
-	err := putAsideCrashing(t, hooks{looseMark: true}, func(fs *simFS, whole *Mem, copied map[string]string, _ int, _ bool) error {
+	err := putAsideCrashing(t, TestingKnobs{SkipQuarantineMarkerSync: true}, func(fs *simFS, whole *Mem, copied map[string]string, _ int, _ bool) error {
 		return allOrNothing(fs, whole, copied, 0)
 	})
 	if err == nil {
--- a/internal/system/wal/record.go
+++ b/internal/system/wal/record.go
@@ -22,7 +22,7 @@
 	kindTruncate = 2 // payload: the number after which entries are dropped
 )
 
-const snapshotFirstAt = 8 + 2*8 // where in a snapshot's file the number of the oldest segment that counts stands
+const snapshotFirstSegmentOffset = 8 + 2*8 // where in a snapshot's file the number of the oldest segment that counts stands
 
 var (
 	segmentMagic  = []byte("GRDSEG03")
@@ -31,40 +31,40 @@
 	metaMagic     = []byte("GRDMET01")
 )
 
-// link names a segment and the bytes of it that count. The zero link names none.
-type link struct {
+// segmentEnd names a segment and the bytes of it that count. The zero segmentEnd names none.
+type segmentEnd struct {
 	number uint64
-	end    int64
+	offset int64
 }
 
-// header is what stands at the start of a segment.
-type header struct {
+// segmentHeader is what stands at the start of a segment.
+type segmentHeader struct {
 	number     uint64
-	previous   link
+	previous   segmentEnd
 	generation uint64 // of the snapshot; 0: none
 	nonce      uint64
 }
 
-func (h header) encode() []byte {
+func (h segmentHeader) encode() []byte {
 	b := append(make([]byte, 0, headerSize), segmentMagic...)
 	b = binary.LittleEndian.AppendUint64(b, h.number)
 	b = binary.LittleEndian.AppendUint64(b, h.previous.number)
-	b = binary.LittleEndian.AppendUint64(b, uint64(h.previous.end))
+	b = binary.LittleEndian.AppendUint64(b, uint64(h.previous.offset))
 	b = binary.LittleEndian.AppendUint64(b, h.generation)
 	b = binary.LittleEndian.AppendUint64(b, h.nonce)
 	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
-// readHeader reads the header of the segment with the number.
-func readHeader(b []byte, number uint64) (h header, ok bool) {
+// decodeSegmentHeader reads the header of the segment with the number.
+func decodeSegmentHeader(b []byte, number uint64) (h segmentHeader, ok bool) {
 	if len(b) < headerSize {
-		return header{}, false
+		return segmentHeader{}, false
 	}
-	h = header{
+	h = segmentHeader{
 		number: number,
-		previous: link{
+		previous: segmentEnd{
 			number: binary.LittleEndian.Uint64(b[16:]),
-			end:    int64(binary.LittleEndian.Uint64(b[24:])),
+			offset: int64(binary.LittleEndian.Uint64(b[24:])),
 		},
 		generation: binary.LittleEndian.Uint64(b[32:]),
 		nonce:      binary.LittleEndian.Uint64(b[40:]),
@@ -84,14 +84,14 @@
 	return d.Sum64()
 }
 
-// finishRecord fills in the head of a record for offset; b is room for the head and the payload.
-func finishRecord(b []byte, nonce uint64, offset int64) {
+// sealRecord fills in the head of a record for offset; b is room for the head and the payload.
+func sealRecord(b []byte, nonce uint64, offset int64) {
 	copy(b, recordMagic)
 	binary.LittleEndian.PutUint32(b[4:], uint32(len(b)-recordHeaderSize))
 	binary.LittleEndian.PutUint64(b[8:], recordChecksum(nonce, offset, b[recordHeaderSize:]))
 }
 
-func appendRecord(entries []Entry) []byte {
+func newAppendRecord(entries []Entry) []byte {
 	size := recordHeaderSize + 2*binary.MaxVarintLen64 + 1
 	for _, e := range entries {
 		size += binary.MaxVarintLen32 + len(e.Data)
@@ -105,20 +105,20 @@
 	return b
 }
 
-func truncateRecord(after uint64) []byte {
+func newTruncateRecord(after uint64) []byte {
 	return binary.AppendUvarint(append(make([]byte, recordHeaderSize, recordHeaderSize+16), kindTruncate), after)
 }
 
-// scanner finds the records of one segment. Its checks may be taken out by tests.
-type scanner struct {
-	segment []byte
-	nonce   uint64
-	trust   bool // without a look at the checksum
+// recordScanner finds the records of one segment. Its checks may be taken out by tests.
+type recordScanner struct {
+	content       []byte
+	nonce         uint64
+	skipChecksums bool // without a look at the checksum
 }
 
 // record returns the record at offset with its head, nil where there is no whole one.
-func (s scanner) record(offset int64) []byte {
-	b := s.segment[offset:]
+func (s recordScanner) record(offset int64) []byte {
+	b := s.content[offset:]
 	if len(b) <= recordHeaderSize || !bytes.HasPrefix(b, recordMagic) {
 		return nil
 	}
@@ -127,16 +127,16 @@
 		return nil
 	}
 	b = b[: recordHeaderSize+n : recordHeaderSize+n]
-	if !s.trust && recordChecksum(s.nonce, offset, b[recordHeaderSize:]) != binary.LittleEndian.Uint64(b[8:]) {
+	if !s.skipChecksums && recordChecksum(s.nonce, offset, b[recordHeaderSize:]) != binary.LittleEndian.Uint64(b[8:]) {
 		return nil
 	}
 	return b
 }
 
-// recordBehind tells whether a whole record begins behind offset.
-func (s scanner) recordBehind(offset int64) bool {
-	for at := offset + 1; at < int64(len(s.segment)); at++ {
-		i := bytes.Index(s.segment[at:], recordMagic)
+// hasRecordAfter tells whether a whole record begins behind offset.
+func (s recordScanner) hasRecordAfter(offset int64) bool {
+	for at := offset + 1; at < int64(len(s.content)); at++ {
+		i := bytes.Index(s.content[at:], recordMagic)
 		if i < 0 {
 			return false
 		}
--- a/internal/system/wal/room.go
+++ b/internal/system/wal/room.go
@@ -2,22 +2,22 @@
 
 import "github.com/cockroachdb/errors"
 
-// makeRoom drops the copy of a damaged log where n bytes more would leave too little of the disk.
-func (l *Log) makeRoom(n int64) {
-	used := l.Size() + l.damagedBytes
-	if l.reserved {
-		used += l.o.ReserveBytes
+// freeSpaceFor drops the copy of a damaged log where n bytes more would leave too little of the disk.
+func (l *Log) freeSpaceFor(n int64) {
+	used := l.Size() + l.quarantinedBytes
+	if l.hasReserve {
+		used += l.options.ReserveBytes
 	}
-	if l.damagedBytes > 0 && used+n > l.o.DiskBytes {
-		l.dropDamaged()
+	if l.quarantinedBytes > 0 && used+n > l.options.DiskBytes {
+		l.dropQuarantined()
 	}
 }
 
-// withRoom runs f, which writes n bytes, and again without the copy of a damaged log where there was no room for it.
-func (l *Log) withRoom(n int, f func() error) error {
-	l.makeRoom(int64(n))
+// withFreeSpace runs f, which writes n bytes, and again without the copy of a damaged log where there was no room for it.
+func (l *Log) withFreeSpace(n int, f func() error) error {
+	l.freeSpaceFor(int64(n))
 	err := f()
-	if errors.Is(err, ErrFull) && l.dropDamaged() {
+	if errors.Is(err, ErrFull) && l.dropQuarantined() {
 		err = f()
 	}
 	return err
@@ -25,33 +25,33 @@
 
 // withReserve is withRoom, and runs f once more without the reserve where there was still no room.
 func (l *Log) withReserve(n int, f func() error) error {
-	err := l.withRoom(n, f)
-	if !errors.Is(err, ErrFull) || !l.reserved {
+	err := l.withFreeSpace(n, f)
+	if !errors.Is(err, ErrFull) || !l.hasReserve {
 		return err
 	}
-	if l.o.FS.Remove(l.path(reserveName)) != nil {
+	if l.options.FS.Remove(l.path(reserveName)) != nil {
 		return err
 	}
-	l.reserved = false
+	l.hasReserve = false
 	return f()
 }
 
-// reserve takes room for withReserve; where there is none, the log does without.
-func (l *Log) reserve() {
-	if l.reserved || l.o.ReserveBytes < 0 {
+// createReserve takes room for withReserve; where there is none, the log does without.
+func (l *Log) createReserve() {
+	if l.hasReserve || l.options.ReserveBytes < 0 {
 		return
 	}
 	f, err := l.createNew(reserveName)
 	if err != nil {
 		return
 	}
-	_, err = f.WriteAt(make([]byte, l.o.ReserveBytes), 0)
+	_, err = f.WriteAt(make([]byte, l.options.ReserveBytes), 0)
 	if closing := f.Close(); err == nil {
 		err = closing
 	}
 	if err != nil {
-		_ = l.o.FS.Remove(l.path(reserveName))
+		_ = l.options.FS.Remove(l.path(reserveName))
 		return
 	}
-	l.reserved = true
+	l.hasReserve = true
 }
--- a/internal/system/wal/simfs_test.go
+++ b/internal/system/wal/simfs_test.go
@@ -23,8 +23,8 @@
 	calls          int     // that change something
 	fault          func(call int, what string) error
 	gone           bool
-	capacity       int   // bytes of all files; 0: no bound
-	hooks          hooks // of the logs opened on it
+	capacity       int          // bytes of all files; 0: no bound
+	hooks          TestingKnobs // of the logs opened on it
 	lies           lies
 }
 
