--- /dev/null
+++ b/internal/system/wal/files.go
@@ -0,0 +1,106 @@
+package wal
+
+import (
+	"io"
+	"os"
+	"path/filepath"
+
+	"github.com/cockroachdb/errors"
+)
+
+// replaceFile writes a file under a temporary name, syncs it, gives it its name and makes that durable. It returns the file, open.
+// renamed tells whether the name may be there in spite of an error.
+func (l *Log) replaceFile(name string, content []byte) (f File, renamed bool, err error) {
+	temporary := name + temporarySuffix
+	f, err = l.createNew(temporary)
+	if err != nil {
+		return nil, false, diskError(err, "make "+name)
+	}
+	_, err = f.WriteAt(content, 0)
+	if err == nil {
+		err = f.Sync()
+	}
+	if err != nil {
+		_ = f.Close()
+		_ = l.remove(temporary)
+		return nil, false, diskError(err, "write "+name)
+	}
+	err = l.options.FS.Rename(l.path(temporary), l.path(name))
+	if err != nil {
+		_ = l.remove(temporary)
+		err = diskError(err, "rename "+name)
+	} else {
+		err = diskError(l.options.FS.SyncDir(l.folder), "sync the log's folder")
+	}
+	if err != nil {
+		_ = f.Close()
+		return nil, true, err
+	}
+	return f, true, nil
+}
+
+// maxGarbage bounds what is remembered; Load finds the rest.
+const maxGarbage = 256
+
+// deleteGarbage deletes what counts no more. What cannot be deleted now is tried again later.
+func (l *Log) deleteGarbage() {
+	kept := l.garbage[:0]
+	for _, name := range l.garbage {
+		if err := l.options.FS.Remove(l.path(name)); err != nil && !errors.Is(err, os.ErrNotExist) {
+			kept = append(kept, name)
+		}
+	}
+	l.garbage = kept[max(0, len(kept)-maxGarbage):]
+}
+
+// createNew makes an empty file in place of one of that name that counts no more. The old file is not written again, since a
+// sync of it may have failed.
+func (l *Log) createNew(name string) (File, error) {
+	if err := l.remove(name); err != nil {
+		return nil, err
+	}
+	return l.options.FS.Create(l.path(name))
+}
+
+func (l *Log) fileSize(name string) (int64, error) {
+	f, err := l.options.FS.Open(l.path(name))
+	if err != nil {
+		return 0, err
+	}
+	defer func() { _ = f.Close() }()
+	return f.Size()
+}
+
+func readWholeFile(f File) ([]byte, error) {
+	size, err := f.Size()
+	if err != nil {
+		return nil, err
+	}
+	b := make([]byte, size)
+	n, err := f.ReadAt(b, 0)
+	if errors.Is(err, io.EOF) {
+		err = nil
+	}
+	return b[:n], err
+}
+
+func (l *Log) readFile(name string) ([]byte, error) {
+	f, err := l.options.FS.Open(l.path(name))
+	if err != nil {
+		return nil, diskError(err, "open "+name)
+	}
+	defer func() { _ = f.Close() }()
+	b, err := readWholeFile(f)
+	return b, diskError(err, "read "+name)
+}
+
+func (l *Log) path(name string) string { return filepath.Join(l.folder, name) }
+
+// remove deletes a file that may be missing.
+func (l *Log) remove(name string) error {
+	err := l.options.FS.Remove(l.path(name))
+	if errors.Is(err, os.ErrNotExist) {
+		return nil
+	}
+	return err
+}
--- /dev/null
+++ b/internal/system/wal/folder.go
@@ -0,0 +1,160 @@
+package wal
+
+import (
+	"encoding/binary"
+	"io"
+	"slices"
+	"strconv"
+	"strings"
+
+	"github.com/cockroachdb/errors"
+)
+
+// generationShift: the upper part of a generation is the number of the newest segment when it was made. Each process begins
+// with a segment of its own, so its generations are higher than those of any process that had the log before it.
+const generationShift = 24
+
+const (
+	reserveName          = "reserve"
+	quarantineMarkerName = "putting-aside" // while it is there, the log's files are to be renamed
+	quarantinePrefix     = "damaged-"
+	temporarySuffix      = ".tmp"
+)
+
+// folderListing is what the names in the folder tell.
+type folderListing struct {
+	segments, snapshots []uint64            // ascending
+	meta                map[string][]uint64 // generations, ascending
+	temporary           []string
+	quarantined         []string // files of the copy that was put aside
+	hasReserve          bool
+	quarantineBegun     bool // putting aside is under way
+}
+
+func parseFolder(names []string) folderListing {
+	listing := folderListing{meta: map[string][]uint64{}}
+	for _, name := range names {
+		kind, rest, _ := strings.Cut(name, "-")
+		switch {
+		case strings.HasSuffix(name, temporarySuffix):
+			listing.temporary = append(listing.temporary, name)
+		case name == reserveName:
+			listing.hasReserve = true
+		case name == quarantineMarkerName:
+			listing.quarantineBegun = true
+		case strings.HasPrefix(name, quarantinePrefix):
+			listing.quarantined = append(listing.quarantined, name)
+		case kind == "log":
+			if n, ok := parseNumber(rest); ok {
+				listing.segments = append(listing.segments, n)
+			}
+		case kind == "snap":
+			if n, ok := parseNumber(rest); ok {
+				listing.snapshots = append(listing.snapshots, n)
+			}
+		case kind == "meta":
+			key, number, _ := strings.Cut(rest, "-")
+			if n, ok := parseNumber(number); ok && ValidateMetaName(key) == nil {
+				listing.meta[key] = append(listing.meta[key], n)
+			}
+		}
+	}
+	slices.Sort(listing.segments)
+	slices.Sort(listing.snapshots)
+	for _, all := range listing.meta {
+		slices.Sort(all)
+	}
+	return listing
+}
+
+func parseNumber(s string) (uint64, bool) {
+	n, err := strconv.ParseUint(s, 16, 64)
+	return n, err == nil && len(s) == 16
+}
+
+// prepareFolder lists the folder once nothing in it can change any more: the next segment's file is there.
+func (l *Log) prepareFolder() (folderListing, error) {
+	list, err := l.listFolder()
+	if err != nil {
+		return list, err
+	}
+	if l.options.ReadOnly {
+		if list.quarantineBegun {
+			err = damagedError("a damaged log is being put aside")
+		}
+		return list, err
+	}
+	if list.quarantineBegun {
+		if err := l.finishQuarantine(); err != nil {
+			return list, err
+		}
+		if list, err = l.listFolder(); err != nil {
+			return list, err
+		}
+	}
+	if len(list.quarantined) > 0 { // its mark is gone for good before anything new could be taken for a part of it
+		if err := l.options.FS.SyncDir(l.folder); err != nil {
+			return list, diskError(err, "sync the log's folder")
+		}
+	}
+	for _, name := range list.temporary {
+		if l.remove(name) != nil {
+			l.garbage = append(l.garbage, name)
+		}
+	}
+	l.recordQuarantined(list.quarantined)
+	if l.nextSegment, err = l.nextNumber(list); err != nil {
+		return list, err
+	}
+	if l.claimNextSegment() != nil { // the disk is full or refuses; what is there can still be read
+		l.unclaimed, l.superseded = true, false
+	}
+	again, err := l.listFolder()
+	for i, n := range again.segments {
+		if n == l.nextSegment {
+			again.segments = again.segments[:i]
+			break
+		}
+	}
+	return again, err
+}
+
+func (l *Log) listFolder() (folderListing, error) {
+	names, err := l.options.FS.ReadDir(l.folder)
+	return parseFolder(names), diskError(err, "read the log's folder")
+}
+
+// nextNumber returns the number of a segment that follows all that were made: each snapshot names one, too.
+func (l *Log) nextNumber(list folderListing) (uint64, error) {
+	next := uint64(1)
+	if n := len(list.segments); n > 0 {
+		next = list.segments[n-1] + 1
+	}
+	if n := len(list.snapshots); n > 0 {
+		first, err := l.readFirstSegment(list.snapshots[n-1])
+		if err != nil {
+			return 0, err
+		}
+		next = max(next, first)
+	}
+	return next, nil
+}
+
+// readFirstSegment reads the number of the oldest segment that counts out of a snapshot's file, without a check of the whole; 0: there
+// is none.
+func (l *Log) readFirstSegment(generation uint64) (uint64, error) {
+	name := snapshotName(generation)
+	f, err := l.options.FS.Open(l.path(name))
+	if err != nil {
+		return 0, diskError(err, "open "+name)
+	}
+	defer func() { _ = f.Close() }()
+	var b [snapshotFirstSegmentOffset + 8]byte
+	switch _, err := f.ReadAt(b[:], 0); {
+	case errors.Is(err, io.EOF): // it is damaged, as loadSnapshot will find
+		return 0, nil
+	case err != nil:
+		return 0, diskError(err, "read "+name)
+	}
+	return binary.LittleEndian.Uint64(b[snapshotFirstSegmentOffset:]), nil
+}
--- a/internal/system/wal/load.go
+++ b/internal/system/wal/load.go
@@ -1,75 +1,148 @@
 package wal
 
-import (
-	"encoding/binary"
-	"io"
-	"slices"
-	"strconv"
-	"strings"
+import "slices"
 
-	"github.com/cockroachdb/errors"
-)
+// newestSegmentTail is what Load found last in the newest segment. The zero one: there is none.
+type newestSegmentTail struct {
+	segmentEnd            // where it ends
+	previous   segmentEnd // as its header has it
+	lastRecord []byte     // its last record; nil: it holds none
+	firstSeq   uint64     // number of the first entry of record
+}
 
-// generationShift: the upper part of a generation is the number of the newest segment when it was made. Each process begins
-// with a segment of its own, so its generations are higher than those of any process that had the log before it.
-const generationShift = 24
+// loadSegments replays the segments that count.
+func (l *Log) loadSegments(numbers []uint64) ([]Entry, newestSegmentTail, error) {
+	chain, err := l.segmentChain(numbers)
+	if err != nil {
+		return nil, newestSegmentTail{}, err
+	}
+	r := replayState{}
+	newest := newestSegmentTail{}
+	for i, h := range chain {
+		end := int64(-1)
+		if i+1 < len(chain) {
+			end = chain[i+1].previous.offset
+		}
+		if newest, err = l.loadSegment(h, end, &r); err != nil {
+			return nil, newestSegmentTail{}, err
+		}
+	}
+	l.lastSeq = max(l.snapshotSeq, r.nextSeq-min(r.nextSeq, 1))
+	if r.nextSeq > 0 && r.nextSeq <= l.snapshotSeq {
+		return nil, newestSegmentTail{}, damagedError("the log ends at %d, below its snapshot at %d", r.nextSeq-1, l.snapshotSeq)
+	}
+	entries := r.entries
+	for len(entries) > 0 && entries[0].Seq <= l.snapshotSeq {
+		entries = entries[1:]
+	}
+	if len(entries) > 0 && entries[0].Seq != l.snapshotSeq+1 {
+		return nil, newestSegmentTail{}, damagedError("the log begins at %d, its snapshot ends at %d", entries[0].Seq, l.snapshotSeq)
+	}
+	l.batches = r.batches
+	for len(l.batches) > 0 && l.batches[0].lastSeq <= l.snapshotSeq {
+		l.batches = l.batches[1:]
+	}
+	return entries, newest, nil
+}
 
-const (
-	reserveName          = "reserve"
-	quarantineMarkerName = "putting-aside" // while it is there, the log's files are to be renamed
-	quarantinePrefix     = "damaged-"
-	temporarySuffix      = ".tmp"
-)
+// segmentChain returns the headers of the segments that count, oldest first: the newest that is not empty, the one that it names as
+// the one before it, and so on. The files of other segments are garbage.
+func (l *Log) segmentChain(numbers []uint64) ([]segmentHeader, error) {
+	var chain []segmentHeader
+	wanted := uint64(0)
+	for i := len(numbers) - 1; i >= 0; i-- {
+		number := numbers[i]
+		if number < l.firstSegment || wanted > 0 && number > wanted {
+			l.garbage = append(l.garbage, segmentName(number))
+			continue
+		}
+		if wanted > 0 && number < wanted {
+			break
+		}
+		header, size, err := l.readSegmentHeader(number)
+		if err != nil {
+			return nil, err
+		}
+		if size == 0 && wanted == 0 { // its making was cut short
+			l.garbage = append(l.garbage, segmentName(number))
+			continue
+		}
+		chain, wanted = append(chain, header), header.previous.number
+		if wanted < l.firstSegment {
+			wanted = 0
+			l.garbage = appendSegmentNames(l.garbage, numbers[:i])
+			break
+		}
+	}
+	if wanted > 0 {
+		return nil, damagedError("segment %d is missing", wanted)
+	}
+	slices.Reverse(chain)
+	return chain, nil
+}
 
-// folderListing is what the names in the folder tell.
-type folderListing struct {
-	segments, snapshots []uint64            // ascending
-	meta                map[string][]uint64 // generations, ascending
-	temporary           []string
-	quarantined         []string // files of the copy that was put aside
-	hasReserve          bool
-	quarantineBegun     bool // putting aside is under way
+func appendSegmentNames(names []string, numbers []uint64) []string {
+	for _, n := range numbers {
+		names = append(names, segmentName(n))
+	}
+	return names
 }
 
-func parseFolder(names []string) folderListing {
-	listing := folderListing{meta: map[string][]uint64{}}
-	for _, name := range names {
-		kind, rest, _ := strings.Cut(name, "-")
-		switch {
-		case strings.HasSuffix(name, temporarySuffix):
-			listing.temporary = append(listing.temporary, name)
-		case name == reserveName:
-			listing.hasReserve = true
-		case name == quarantineMarkerName:
-			listing.quarantineBegun = true
-		case strings.HasPrefix(name, quarantinePrefix):
-			listing.quarantined = append(listing.quarantined, name)
-		case kind == "log":
-			if n, ok := parseNumber(rest); ok {
-				listing.segments = append(listing.segments, n)
-			}
-		case kind == "snap":
-			if n, ok := parseNumber(rest); ok {
-				listing.snapshots = append(listing.snapshots, n)
-			}
-		case kind == "meta":
-			key, number, _ := strings.Cut(rest, "-")
-			if n, ok := parseNumber(number); ok && ValidateMetaName(key) == nil {
-				listing.meta[key] = append(listing.meta[key], n)
-			}
-		}
+// readSegmentHeader returns the header, and the size of the file; one that is empty has no header.
+func (l *Log) readSegmentHeader(number uint64) (segmentHeader, int64, error) {
+	name := segmentName(number)
+	f, err := l.options.FS.Open(l.path(name))
+	if err != nil {
+		return segmentHeader{}, 0, diskError(err, "open "+name)
+	}
+	defer func() { _ = f.Close() }()
+	size, err := f.Size()
+	if err != nil || size == 0 {
+		return segmentHeader{}, 0, diskError(err, "read "+name)
+	}
+	b := make([]byte, min(size, headerSize))
+	if _, err := f.ReadAt(b, 0); err != nil {
+		return segmentHeader{}, 0, diskError(err, "read "+name)
 	}
-	slices.Sort(listing.segments)
-	slices.Sort(listing.snapshots)
-	for _, all := range listing.meta {
-		slices.Sort(all)
+	h, ok := decodeSegmentHeader(b, number)
+	if !ok {
+		return segmentHeader{}, 0, damagedError("segment %d has no whole header", number)
 	}
-	return listing
+	return h, size, nil
 }
 
-func parseNumber(s string) (uint64, bool) {
-	n, err := strconv.ParseUint(s, 16, 64)
-	return n, err == nil && len(s) == 16
+// loadSegment replays one segment up to end; below 0: it is the newest, and ends with its last whole record.
+func (l *Log) loadSegment(header segmentHeader, end int64, state *replayState) (newestSegmentTail, error) {
+	content, err := l.readFile(segmentName(header.number))
+	if err != nil {
+		return newestSegmentTail{}, err
+	}
+	size := int64(len(content))
+	if end > size || end >= 0 && end < headerSize {
+		return newestSegmentTail{}, damagedError("segment %d has %d bytes, and %d count", header.number, size, end)
+	}
+	if end >= 0 {
+		content = content[:end]
+	}
+	scanner := recordScanner{content: content, nonce: header.nonce, skipChecksums: l.options.TestingKnobs.SkipRecordChecksums}
+	newest := newestSegmentTail{segmentEnd: segmentEnd{header.number, headerSize}, previous: header.previous}
+	for newest.offset < int64(len(content)) {
+		record := scanner.record(newest.offset)
+		if record == nil {
+			break
+		}
+		first, ok := state.applyRecord(record[recordHeaderSize:], header.number)
+		if !ok {
+			return newestSegmentTail{}, damagedError("segment %d has a record at %d that does not follow", header.number, newest.offset)
+		}
+		newest.lastRecord, newest.firstSeq = record, first
+		newest.offset += int64(len(record))
+	}
+	if newest.offset < int64(len(content)) && (end >= 0 || scanner.hasRecordAfter(newest.offset)) {
+		return newestSegmentTail{}, damagedError("segment %d is damaged at %d", header.number, newest.offset)
+	}
+	l.segments = append(l.segments, segmentFile{header.number, newest.offset, size})
+	return newest, nil
 }
 
 // Load implements Disk. A torn end is dropped; what is returned is durable. It may be called again, and must be where a
@@ -122,125 +195,6 @@
 	return meta, snapshot, entries, nil
 }
 
-// prepareFolder lists the folder once nothing in it can change any more: the next segment's file is there.
-func (l *Log) prepareFolder() (folderListing, error) {
-	list, err := l.listFolder()
-	if err != nil {
-		return list, err
-	}
-	if l.options.ReadOnly {
-		if list.quarantineBegun {
-			err = damagedError("a damaged log is being put aside")
-		}
-		return list, err
-	}
-	if list.quarantineBegun {
-		if err := l.finishQuarantine(); err != nil {
-			return list, err
-		}
-		if list, err = l.listFolder(); err != nil {
-			return list, err
-		}
-	}
-	if len(list.quarantined) > 0 { // its mark is gone for good before anything new could be taken for a part of it
-		if err := l.options.FS.SyncDir(l.folder); err != nil {
-			return list, diskError(err, "sync the log's folder")
-		}
-	}
-	for _, name := range list.temporary {
-		if l.remove(name) != nil {
-			l.garbage = append(l.garbage, name)
-		}
-	}
-	l.recordQuarantined(list.quarantined)
-	if l.nextSegment, err = l.nextNumber(list); err != nil {
-		return list, err
-	}
-	if l.claimNextSegment() != nil { // the disk is full or refuses; what is there can still be read
-		l.unclaimed, l.superseded = true, false
-	}
-	again, err := l.listFolder()
-	for i, n := range again.segments {
-		if n == l.nextSegment {
-			again.segments = again.segments[:i]
-			break
-		}
-	}
-	return again, err
-}
-
-func (l *Log) listFolder() (folderListing, error) {
-	names, err := l.options.FS.ReadDir(l.folder)
-	return parseFolder(names), diskError(err, "read the log's folder")
-}
-
-// nextNumber returns the number of a segment that follows all that were made: each snapshot names one, too.
-func (l *Log) nextNumber(list folderListing) (uint64, error) {
-	next := uint64(1)
-	if n := len(list.segments); n > 0 {
-		next = list.segments[n-1] + 1
-	}
-	if n := len(list.snapshots); n > 0 {
-		first, err := l.readFirstSegment(list.snapshots[n-1])
-		if err != nil {
-			return 0, err
-		}
-		next = max(next, first)
-	}
-	return next, nil
-}
-
-// readFirstSegment reads the number of the oldest segment that counts out of a snapshot's file, without a check of the whole; 0: there
-// is none.
-func (l *Log) readFirstSegment(generation uint64) (uint64, error) {
-	name := snapshotName(generation)
-	f, err := l.options.FS.Open(l.path(name))
-	if err != nil {
-		return 0, diskError(err, "open "+name)
-	}
-	defer func() { _ = f.Close() }()
-	var b [snapshotFirstSegmentOffset + 8]byte
-	switch _, err := f.ReadAt(b[:], 0); {
-	case errors.Is(err, io.EOF): // it is damaged, as loadSnapshot will find
-		return 0, nil
-	case err != nil:
-		return 0, diskError(err, "read "+name)
-	}
-	return binary.LittleEndian.Uint64(b[snapshotFirstSegmentOffset:]), nil
-}
-
-func (l *Log) fileSize(name string) (int64, error) {
-	f, err := l.options.FS.Open(l.path(name))
-	if err != nil {
-		return 0, err
-	}
-	defer func() { _ = f.Close() }()
-	return f.Size()
-}
-
-func readWholeFile(f File) ([]byte, error) {
-	size, err := f.Size()
-	if err != nil {
-		return nil, err
-	}
-	b := make([]byte, size)
-	n, err := f.ReadAt(b, 0)
-	if errors.Is(err, io.EOF) {
-		err = nil
-	}
-	return b[:n], err
-}
-
-func (l *Log) readFile(name string) ([]byte, error) {
-	f, err := l.options.FS.Open(l.path(name))
-	if err != nil {
-		return nil, diskError(err, "open "+name)
-	}
-	defer func() { _ = f.Close() }()
-	b, err := readWholeFile(f)
-	return b, diskError(err, "read "+name)
-}
-
 // loadMeta reads the newest generation of each piece of metadata. A file has its name only once it is synced, so the
 // newest one is whole, and to take an older one would be to forget a promise.
 func (l *Log) loadMeta(all map[string][]uint64) (map[string][]byte, error) {
--- a/internal/system/wal/log.go
+++ b/internal/system/wal/log.go
@@ -155,8 +155,6 @@
 	return n
 }
 
-func (l *Log) path(name string) string { return filepath.Join(l.folder, name) }
-
 // resolveInDoubt makes the log ready for a change: what an earlier failure left undecided is decided as not done.
 func (l *Log) resolveInDoubt() error {
 	if err := l.checkWritable(); err != nil {
@@ -192,15 +190,6 @@
 	return nil
 }
 
-// remove deletes a file that may be missing.
-func (l *Log) remove(name string) error {
-	err := l.options.FS.Remove(l.path(name))
-	if errors.Is(err, os.ErrNotExist) {
-		return nil
-	}
-	return err
-}
-
 // Append implements Disk. Entries that come in one call are all there after a crash or none is.
 func (l *Log) Append(entries []Entry) error {
 	if err := l.resolveInDoubt(); err != nil {
@@ -236,14 +225,3 @@
 	l.batches, l.lastSeq = truncateBatches(l.batches, after), after
 	return nil
 }
-
-// truncateBatches drops what follows after.
-func truncateBatches(batches []batch, after uint64) []batch {
-	for len(batches) > 0 && batches[len(batches)-1].firstSeq > after {
-		batches = batches[:len(batches)-1]
-	}
-	if n := len(batches); n > 0 && batches[n-1].lastSeq > after {
-		batches[n-1].lastSeq = after
-	}
-	return batches
-}
--- /dev/null
+++ b/internal/system/wal/meta.go
@@ -0,0 +1,39 @@
+package wal
+
+import "fmt"
+
+func metaName(name string, generation uint64) string {
+	return fmt.Sprintf("meta-%s-%016x", name, generation)
+}
+
+// SaveMeta implements Disk. Names have 1 to 64 bytes of a to z, 0 to 9 and _. It works at MaxBytes, too.
+func (l *Log) SaveMeta(name string, data []byte) error {
+	if err := l.checkWritable(); err != nil {
+		return err
+	}
+	if err := ValidateMetaName(name); err != nil {
+		return err
+	}
+	generations := l.meta[name]
+	err := l.withReserve(len(data), func() error {
+		generations.triedGeneration++ // never used twice: a failed one may be there
+		f, _, err := l.replaceFile(metaName(name, generations.triedGeneration), encodeFile(metaMagic, []uint64{generations.triedGeneration}, data))
+		if err == nil {
+			_ = f.Close() // it is synced
+			err = l.checkOwnership()
+		}
+		if err != nil {
+			l.garbage = append(l.garbage, metaName(name, generations.triedGeneration))
+		}
+		return err
+	})
+	if err == nil {
+		if generations.savedGeneration > 0 {
+			l.garbage = append(l.garbage, metaName(name, generations.savedGeneration))
+		}
+		generations.savedGeneration = generations.triedGeneration
+	}
+	l.meta[name] = generations
+	l.deleteGarbage()
+	return err
+}
--- a/internal/system/wal/takeover.go
+++ b/internal/system/wal/ownership.go
@@ -1,5 +1,11 @@
 package wal
 
+import (
+	"os"
+
+	"github.com/cockroachdb/errors"
+)
+
 // takeOwnership makes what was loaded durable, and the log's own from here on. What the newest segment ends with may be in the
 // kernel's memory alone, if its sync failed before the last process ended; to sync that file again would prove nothing. So its
 // last record is written again, as the start of the next segment. Where there is no room for that, a sync has to do.
@@ -78,3 +84,63 @@
 	}
 	return nil
 }
+
+// claimNextSegment makes the next segment's file, empty.
+func (l *Log) claimNextSegment() error {
+	f, err := l.options.FS.Create(l.path(segmentName(l.nextSegment)))
+	if errors.Is(err, os.ErrExist) && !l.options.TestingKnobs.SkipOwnershipCheck {
+		l.superseded = true
+		return supersededError()
+	}
+	if err != nil && !errors.Is(err, os.ErrExist) {
+		return diskError(err, "make a segment")
+	}
+	if err == nil {
+		err = f.Close()
+	}
+	if err == nil && l.unclaimed {
+		err = l.checkTailUnchanged()
+	}
+	if err != nil {
+		l.abandonedSegment = segmentName(l.nextSegment)
+		_ = l.removeAbandonedSegment()
+		return diskError(err, "make a segment")
+	}
+	l.unclaimed = false
+	return nil
+}
+
+// checkTailUnchanged fails where the newest segment has grown since it was loaded without a fence.
+func (l *Log) checkTailUnchanged() error {
+	if len(l.segments) == 0 || l.segments[len(l.segments)-1].number != l.tail.number {
+		return nil
+	}
+	size, err := l.fileSize(segmentName(l.tail.number))
+	if err == nil && size > l.segments[len(l.segments)-1].fileBytes {
+		l.superseded = true
+		return supersededError()
+	}
+	return err
+}
+
+// checkOwnership fails where another process has opened the log since: it has made the next segment. What this one wrote before that
+// was there has been read by the other one; what it wrote later must not be acknowledged.
+func (l *Log) checkOwnership() error {
+	if l.options.TestingKnobs.SkipOwnershipCheck {
+		return nil
+	}
+	next := l.nextSegment
+	if l.abandonedSegment != "" { // a file of its own has that number
+		next++
+	}
+	f, err := l.options.FS.Open(l.path(segmentName(next)))
+	if errors.Is(err, os.ErrNotExist) {
+		return nil
+	}
+	if err != nil {
+		return diskError(err, "look for the next segment")
+	}
+	_ = f.Close()
+	l.superseded = true
+	return supersededError()
+}
--- a/internal/system/wal/record.go
+++ b/internal/system/wal/record.go
@@ -22,8 +22,6 @@
 	kindTruncate = 2 // payload: the number after which entries are dropped
 )
 
-const snapshotFirstSegmentOffset = 8 + 2*8 // where in a snapshot's file the number of the oldest segment that counts stands
-
 var (
 	segmentMagic  = []byte("GRDSEG03")
 	recordMagic   = []byte("wrec")
@@ -31,47 +29,6 @@
 	metaMagic     = []byte("GRDMET01")
 )
 
-// segmentEnd names a segment and the bytes of it that count. The zero segmentEnd names none.
-type segmentEnd struct {
-	number uint64
-	offset int64
-}
-
-// segmentHeader is what stands at the start of a segment.
-type segmentHeader struct {
-	number     uint64
-	previous   segmentEnd
-	generation uint64 // of the snapshot; 0: none
-	nonce      uint64
-}
-
-func (h segmentHeader) encode() []byte {
-	b := append(make([]byte, 0, headerSize), segmentMagic...)
-	b = binary.LittleEndian.AppendUint64(b, h.number)
-	b = binary.LittleEndian.AppendUint64(b, h.previous.number)
-	b = binary.LittleEndian.AppendUint64(b, uint64(h.previous.offset))
-	b = binary.LittleEndian.AppendUint64(b, h.generation)
-	b = binary.LittleEndian.AppendUint64(b, h.nonce)
-	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b))
-}
-
-// decodeSegmentHeader reads the header of the segment with the number.
-func decodeSegmentHeader(b []byte, number uint64) (h segmentHeader, ok bool) {
-	if len(b) < headerSize {
-		return segmentHeader{}, false
-	}
-	h = segmentHeader{
-		number: number,
-		previous: segmentEnd{
-			number: binary.LittleEndian.Uint64(b[16:]),
-			offset: int64(binary.LittleEndian.Uint64(b[24:])),
-		},
-		generation: binary.LittleEndian.Uint64(b[32:]),
-		nonce:      binary.LittleEndian.Uint64(b[40:]),
-	}
-	return h, bytes.Equal(b[:headerSize], h.encode()) && h.previous.number < number
-}
-
 func recordChecksum(nonce uint64, offset int64, payload []byte) uint64 {
 	var head [24]byte
 	binary.LittleEndian.PutUint64(head[0:], nonce)
@@ -146,29 +103,3 @@
 	}
 	return false
 }
-
-// encodeFile wraps what a snapshot or a piece of metadata holds.
-func encodeFile(magic []byte, fields []uint64, data []byte) []byte {
-	b := append(make([]byte, 0, len(magic)+8*len(fields)+len(data)+16), magic...)
-	for _, f := range fields {
-		b = binary.LittleEndian.AppendUint64(b, f)
-	}
-	b = binary.LittleEndian.AppendUint64(b, uint64(len(data)))
-	b = append(b, data...)
-	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b))
-}
-
-// decodeFile returns the fields and the data of what encodeFile made; data shares the memory of b.
-func decodeFile(b, magic []byte, fields int) ([]uint64, []byte, bool) {
-	head := len(magic) + 8*fields + 8
-	if len(b) < head+8 || !bytes.HasPrefix(b, magic) ||
-		xxhash.Sum64(b[:len(b)-8]) != binary.LittleEndian.Uint64(b[len(b)-8:]) {
-		return nil, nil, false
-	}
-	all := make([]uint64, fields)
-	for i := range all {
-		all[i] = binary.LittleEndian.Uint64(b[len(magic)+8*i:])
-	}
-	data := b[head : len(b)-8]
-	return all, data, binary.LittleEndian.Uint64(b[head-8:]) == uint64(len(data))
-}
--- a/internal/system/wal/segment.go
+++ b/internal/system/wal/segment.go
@@ -1,11 +1,6 @@
 package wal
 
-import (
-	"fmt"
-	"os"
-
-	"github.com/cockroachdb/errors"
-)
+import "fmt"
 
 func segmentName(number uint64) string { return fmt.Sprintf("log-%016x", number) }
 
@@ -89,15 +84,6 @@
 	return nil
 }
 
-// createNew makes an empty file in place of one of that name that counts no more. The old file is not written again, since a
-// sync of it may have failed.
-func (l *Log) createNew(name string) (File, error) {
-	if err := l.remove(name); err != nil {
-		return nil, err
-	}
-	return l.options.FS.Create(l.path(name))
-}
-
 // createSegment makes the next segment, which begins with the record, if any. The empty file is made under the segment's own
 // name first: that fails where another process has taken the number. What it is to begin with is renamed over it once it is
 // synced, so a segment that is not empty has a whole start. After a failure the same number is used again.
@@ -111,44 +97,6 @@
 	return l.fillSegment(record)
 }
 
-// claimNextSegment makes the next segment's file, empty.
-func (l *Log) claimNextSegment() error {
-	f, err := l.options.FS.Create(l.path(segmentName(l.nextSegment)))
-	if errors.Is(err, os.ErrExist) && !l.options.TestingKnobs.SkipOwnershipCheck {
-		l.superseded = true
-		return supersededError()
-	}
-	if err != nil && !errors.Is(err, os.ErrExist) {
-		return diskError(err, "make a segment")
-	}
-	if err == nil {
-		err = f.Close()
-	}
-	if err == nil && l.unclaimed {
-		err = l.checkTailUnchanged()
-	}
-	if err != nil {
-		l.abandonedSegment = segmentName(l.nextSegment)
-		_ = l.removeAbandonedSegment()
-		return diskError(err, "make a segment")
-	}
-	l.unclaimed = false
-	return nil
-}
-
-// checkTailUnchanged fails where the newest segment has grown since it was loaded without a fence.
-func (l *Log) checkTailUnchanged() error {
-	if len(l.segments) == 0 || l.segments[len(l.segments)-1].number != l.tail.number {
-		return nil
-	}
-	size, err := l.fileSize(segmentName(l.tail.number))
-	if err == nil && size > l.segments[len(l.segments)-1].fileBytes {
-		l.superseded = true
-		return supersededError()
-	}
-	return err
-}
-
 // fillSegment gives the next segment, whose empty file is there, its start.
 func (l *Log) fillSegment(record []byte) error {
 	name := segmentName(l.nextSegment)
@@ -170,25 +118,3 @@
 	l.tailInDoubt = false
 	return nil
 }
-
-// checkOwnership fails where another process has opened the log since: it has made the next segment. What this one wrote before that
-// was there has been read by the other one; what it wrote later must not be acknowledged.
-func (l *Log) checkOwnership() error {
-	if l.options.TestingKnobs.SkipOwnershipCheck {
-		return nil
-	}
-	next := l.nextSegment
-	if l.abandonedSegment != "" { // a file of its own has that number
-		next++
-	}
-	f, err := l.options.FS.Open(l.path(segmentName(next)))
-	if errors.Is(err, os.ErrNotExist) {
-		return nil
-	}
-	if err != nil {
-		return diskError(err, "look for the next segment")
-	}
-	_ = f.Close()
-	l.superseded = true
-	return supersededError()
-}
--- /dev/null
+++ b/internal/system/wal/validate.go
@@ -0,0 +1,37 @@
+package wal
+
+func ValidateAppend(last uint64, entries []Entry) error {
+	for i, e := range entries {
+		if e.Seq != last+1+uint64(i) {
+			return misuseError("entry %d does not follow %d: append without gaps", e.Seq, last+uint64(i))
+		}
+	}
+	return nil
+}
+
+func ValidateTruncate(snapshot, after uint64) error {
+	if after < snapshot {
+		return misuseError("cut after %d is below the snapshot at %d: install an older snapshot instead", after, snapshot)
+	}
+	return nil
+}
+
+func ValidateCompact(snapshot, last, seq uint64) error {
+	if seq < snapshot || seq > last {
+		return misuseError("snapshot at %d is outside the log from %d to %d: install it instead", seq, snapshot, last)
+	}
+	return nil
+}
+
+// ValidateMetaName allows names of metadata that are safe in a file's name.
+func ValidateMetaName(name string) error {
+	if name == "" || len(name) > 64 {
+		return misuseError("metadata needs a name of 1 to 64 bytes, not %d", len(name))
+	}
+	for _, r := range name {
+		if (r < 'a' || r > 'z') && (r < '0' || r > '9') && r != '_' {
+			return misuseError("metadata name %q: use a to z, 0 to 9 and _", name)
+		}
+	}
+	return nil
+}
