--- a/internal/system/wal/mem.go
+++ b/internal/system/wal/mem.go
@@ -2,11 +2,8 @@
 
 import "slices"
 
-// Mem is a Disk in memory, for tests. Fail, where set, is asked before every change with the method's name, and its error
-// returned in place of the change. A Mem is used by one goroutine at a time.
+// Mem is a Disk in memory, for tests. A Mem is used by one goroutine at a time.
 type Mem struct {
-	Fail func(method string) error
-
 	meta     map[string][]byte
 	snapshot Snapshot
 	entries  []Entry
@@ -17,18 +14,8 @@
 // NewMem returns an empty disk.
 func NewMem() *Mem { return &Mem{meta: map[string][]byte{}} }
 
-func (m *Mem) failed(method string) error {
-	if m.Fail == nil {
-		return nil
-	}
-	return m.Fail(method)
-}
-
 // Load implements Disk.
 func (m *Mem) Load() (map[string][]byte, Snapshot, []Entry, error) {
-	if err := m.failed("Load"); err != nil {
-		return nil, Snapshot{}, nil, err
-	}
 	meta := make(map[string][]byte, len(m.meta))
 	for name, data := range m.meta {
 		meta[name] = slices.Clone(data)
@@ -44,9 +31,6 @@
 
 // Append implements Disk.
 func (m *Mem) Append(entries []Entry) error {
-	if err := m.failed("Append"); err != nil {
-		return err
-	}
 	if err := ValidateAppend(m.last(), entries); err != nil {
 		return err
 	}
@@ -58,9 +42,6 @@
 
 // Truncate implements Disk.
 func (m *Mem) Truncate(after uint64) error {
-	if err := m.failed("Truncate"); err != nil {
-		return err
-	}
 	if err := ValidateTruncate(m.snapshot.Seq, after); err != nil {
 		return err
 	}
@@ -72,9 +53,6 @@
 
 // Compact implements Disk.
 func (m *Mem) Compact(s Snapshot) error {
-	if err := m.failed("Compact"); err != nil {
-		return err
-	}
 	if err := ValidateCompact(m.snapshot.Seq, m.last(), s.Seq); err != nil {
 		return err
 	}
@@ -85,18 +63,12 @@
 
 // Install implements Disk.
 func (m *Mem) Install(s Snapshot) error {
-	if err := m.failed("Install"); err != nil {
-		return err
-	}
 	m.entries, m.snapshot = nil, Snapshot{Seq: s.Seq, Data: slices.Clone(s.Data)}
 	return nil
 }
 
 // SaveMeta implements Disk.
 func (m *Mem) SaveMeta(name string, data []byte) error {
-	if err := m.failed("SaveMeta"); err != nil {
-		return err
-	}
 	if err := ValidateMetaName(name); err != nil {
 		return err
 	}
@@ -106,9 +78,6 @@
 
 // Quarantine empties the disk.
 func (m *Mem) Quarantine() error {
-	if err := m.failed("PutAside"); err != nil {
-		return err
-	}
-	*m = Mem{Fail: m.Fail, meta: map[string][]byte{}}
+	*m = Mem{meta: map[string][]byte{}}
 	return nil
 }
