--- a/internal/system/wal/crash_test.go
+++ b/internal/system/wal/crash_test.go
@@ -1,4 +1,4 @@
-package wal
+package wal_test
 
 import (
 	"fmt"
@@ -9,6 +9,8 @@
 
 	"github.com/cockroachdb/errors"
 	"pgregory.net/rapid"
+
+	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
 // deep tells whether to try every case instead of a spread of them.
@@ -29,11 +31,11 @@
 
 // runHistory goes through a script until the machine is gone.
 func runHistory(steps []step, fault func(int, string) error) (*subject, error) {
-	return runWith(steps, TestingKnobs{}, lies{}, fault)
+	return runWith(steps, wal.TestingKnobs{}, lies{}, fault)
 }
 
 // runWith is runHistory without some protections.
-func runWith(steps []step, h TestingKnobs, l lies, fault func(int, string) error) (*subject, error) {
+func runWith(steps []step, h wal.TestingKnobs, l lies, fault func(int, string) error) (*subject, error) {
 	fs := newSimFS()
 	fs.fault, fs.hooks, fs.lies = fault, h, l
 	s := newSubject(fs)
@@ -168,7 +170,7 @@
 					return nil
 				}
 			default:
-				last := s.model.last()
+				last := s.model.LastSeq()
 				err = s.do(rapid.SampledFrom([]step{
 					{"append", rapid.Uint64Range(1, 6).Draw(t, "count"), r.Uint64N(1000)},
 					{"truncate", last - min(last, rapid.Uint64Range(0, 8).Draw(t, "back")), 0},
--- a/internal/system/wal/crashmodel_test.go
+++ b/internal/system/wal/crashmodel_test.go
@@ -1,4 +1,4 @@
-package wal
+package wal_test
 
 import (
 	"fmt"
@@ -9,6 +9,9 @@
 	"sync/atomic"
 
 	"github.com/cockroachdb/errors"
+
+	"gradeusher.example/gradeusher/internal/system/wal"
+	"gradeusher.example/gradeusher/internal/system/wal/waltest"
 )
 
 // step is one call on a Disk.
@@ -20,15 +23,15 @@
 func (s step) String() string { return fmt.Sprintf("%s(%d,%d)", s.what, s.a, s.b) }
 
 // entry makes what entry seq holds in the b-th history of the log.
-func entry(seq, b uint64) Entry {
-	return Entry{Seq: seq, Data: []byte(fmt.Sprintf("entry %d of %d %s", seq, b, strings.Repeat("x", int(seq*7%40))))}
+func entry(seq, b uint64) wal.Entry {
+	return wal.Entry{Seq: seq, Data: []byte(fmt.Sprintf("entry %d of %d %s", seq, b, strings.Repeat("x", int(seq*7%40))))}
 }
 
-func (s step) run(d Disk, last uint64) error {
-	snapshot := Snapshot{Seq: s.a, Data: []byte(fmt.Sprintf("snapshot %d of %d", s.a, s.b))}
+func (s step) run(d wal.Disk, last uint64) error {
+	snapshot := wal.Snapshot{Seq: s.a, Data: []byte(fmt.Sprintf("snapshot %d of %d", s.a, s.b))}
 	switch s.what {
 	case "append": // a entries
-		var all []Entry
+		var all []wal.Entry
 		for i := range s.a {
 			all = append(all, entry(last+1+i, s.b))
 		}
@@ -51,7 +54,7 @@
 	meta map[string]string
 }
 
-func look(d Disk) (view, error) {
+func look(d wal.Disk) (view, error) {
 	meta, snapshot, entries, err := d.Load()
 	if err != nil {
 		return view{}, err
@@ -68,16 +71,12 @@
 	return v, nil
 }
 
-func (m *Mem) clone() *Mem {
-	return &Mem{meta: maps.Clone(m.meta), snapshot: m.snapshot, entries: slices.Clone(m.entries)}
-}
-
 // subject is a Log on a simulated disk, beside a model of what it may hold: what was acknowledged, and what calls that
 // failed since may have brought about.
 type subject struct {
 	fs        *simFS
-	log       *Log
-	model     *Mem
+	log       *wal.Log
+	model     *waltest.Mem
 	maybe     map[string]bool            // logs
 	maybeMeta map[string]map[string]bool // by name
 	trace     []string
@@ -85,13 +84,13 @@
 
 var nonces atomic.Uint64
 
-func openSim(fs *simFS) (*Log, error) {
-	return Open(simFolder, Options{FS: fs, SegmentBytes: 200, MaxBytes: 1 << 20, ReserveBytes: 16, TestingKnobs: fs.hooks,
+func openSim(fs *simFS) (*wal.Log, error) {
+	return wal.Open(simFolder, wal.Options{FS: fs, SegmentBytes: 200, MaxBytes: 1 << 20, ReserveBytes: 16, TestingKnobs: fs.hooks,
 		Nonce: func() uint64 { return nonces.Add(1) }})
 }
 
 func newSubject(fs *simFS) *subject {
-	return &subject{fs: fs, model: NewMem(), maybe: map[string]bool{}, maybeMeta: map[string]map[string]bool{}}
+	return &subject{fs: fs, model: waltest.NewMem(), maybe: map[string]bool{}, maybeMeta: map[string]map[string]bool{}}
 }
 
 func (s *subject) open() error {
@@ -105,9 +104,9 @@
 
 // do runs a step on both and notes what it may have left.
 func (s *subject) do(st step) error {
-	after := s.model.clone()
-	modelErr := st.run(after, s.model.last())
-	err := st.run(s.log, s.model.last())
+	after := s.model.Clone()
+	modelErr := st.run(after, s.model.LastSeq())
+	err := st.run(s.log, s.model.LastSeq())
 	s.trace = append(s.trace, fmt.Sprintf("%v=%v", st, err))
 	if modelErr != nil {
 		if err == nil {
@@ -115,7 +114,7 @@
 		}
 		return nil
 	}
-	if errors.Is(err, ErrMisuse) {
+	if errors.Is(err, wal.ErrMisuse) {
 		return errors.Newf("%v: %v, where the model takes it", st, err)
 	}
 	name := fmt.Sprintf("m%d", st.a)
@@ -131,7 +130,7 @@
 		if s.maybeMeta[name] == nil {
 			s.maybeMeta[name] = map[string]bool{}
 		}
-		s.maybeMeta[name][string(after.meta[name])] = true
+		s.maybeMeta[name][string(after.Meta(name))] = true
 	default:
 		v, _ := look(after)
 		s.maybe[v.log] = true
@@ -178,7 +177,7 @@
 		if err != nil {
 			return
 		}
-		var again *Log
+		var again *wal.Log
 		again, err = openSim(lost)
 		var w view
 		if err == nil {
@@ -219,10 +218,10 @@
 }
 
 // goOn checks that a loaded log takes changes that last.
-func goOn(fs *simFS, log *Log, v view) error {
-	last := log.lastSeq
+func goOn(fs *simFS, log *wal.Log, v view) error {
+	last := log.LastSeq()
 	for i, err := range []error{
-		log.Append([]Entry{{Seq: last + 1, Data: []byte("new")}, {Seq: last + 2, Data: []byte("dropped")}}),
+		log.Append([]wal.Entry{{Seq: last + 1, Data: []byte("new")}, {Seq: last + 2, Data: []byte("dropped")}}),
 		log.Truncate(last + 1),
 		log.SaveMeta("after", []byte("new")),
 	} {
@@ -233,7 +232,7 @@
 	var got view
 	var err error
 	fs.powerLosses(1, nil, func(lost *simFS) {
-		var again *Log
+		var again *wal.Log
 		if again, err = openSim(lost); err == nil {
 			got, err = look(again)
 		}
@@ -279,7 +278,7 @@
 	}
 	n := newSubject(fs)
 	n.log, n.trace = log, append(s.trace, "restart")
-	n.model = &Mem{meta: meta, snapshot: snapshot, entries: entries}
+	n.model = waltest.NewMemWith(meta, snapshot, entries)
 	*s = *n
 	return nil
 }
--- a/internal/system/wal/knobs_test.go
+++ b/internal/system/wal/knobs_test.go
@@ -1,8 +1,10 @@
-package wal
+package wal_test
 
 import (
 	"math/rand/v2"
 	"testing"
+
+	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
 // lies are syncs of a simulated disk that do nothing.
@@ -10,7 +12,7 @@
 
 // enumerate runs the histories with the protections of h taken out, or with syncs that do nothing, through crashes, and
 // through one failing call before each. It returns the first fault that it finds.
-func enumerate(h TestingKnobs, l lies) error {
+func enumerate(h wal.TestingKnobs, l lies) error {
 	r := rand.New(rand.NewPCG(8, 9))
 	for _, name := range []string{"grow", "truncate", "compact", "install", "mixed"} {
 		for _, gap := range []int{0, 1, 7} { // between a call that fails and the crash; 0: none fails
@@ -42,19 +44,19 @@
 
 // TestControls takes each protection out. Danger: a test of crashes that finds nothing because it looks at nothing.
 func TestControls(t *testing.T) {
-	if err := enumerate(TestingKnobs{}, lies{}); err != nil {
+	if err := enumerate(wal.TestingKnobs{}, lies{}); err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
-		hooks TestingKnobs
+		hooks wal.TestingKnobs
 		lies  lies
 	}{
 		"no sync of files":                         {lies: lies{file: true}},
 		"no sync of the folder":                    {lies: lies{folder: true}},
 		"no sync of the folder above":              {lies: lies{parent: true}},
-		"no checksum of records":                   {hooks: TestingKnobs{SkipRecordChecksums: true}},
-		"on in the same file after a failed sync":  {hooks: TestingKnobs{ReuseSegmentAfterFailedSync: true}},
-		"the newest segment is believed in a load": {hooks: TestingKnobs{TrustNewestSegment: true}},
+		"no checksum of records":                   {hooks: wal.TestingKnobs{SkipRecordChecksums: true}},
+		"on in the same file after a failed sync":  {hooks: wal.TestingKnobs{ReuseSegmentAfterFailedSync: true}},
+		"the newest segment is believed in a load": {hooks: wal.TestingKnobs{TrustNewestSegment: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			err := enumerate(c.hooks, c.lies)
--- a/internal/system/wal/log_test.go
+++ b/internal/system/wal/log_test.go
@@ -1,4 +1,4 @@
-package wal
+package wal_test
 
 import (
 	"bytes"
@@ -9,12 +9,15 @@
 	"testing"
 
 	"github.com/cockroachdb/errors"
+
+	"gradeusher.example/gradeusher/internal/system/wal"
+	"gradeusher.example/gradeusher/internal/system/wal/waltest"
 )
 
 // onDisk opens a log in a real folder.
-func onDisk(t *testing.T, folder string, o Options) (*Log, view) {
+func onDisk(t *testing.T, folder string, o wal.Options) (*wal.Log, view) {
 	t.Helper()
-	log, err := Open(folder, o)
+	log, err := wal.Open(folder, o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,14 +33,14 @@
 	folder := filepath.Join(t.TempDir(), "data")
 	for name, steps := range histories {
 		t.Run(name, func(t *testing.T) {
-			model := NewMem()
+			model := waltest.NewMem()
 			for i, st := range steps {
 				// A new process before every step.
-				log, _ := onDisk(t, filepath.Join(folder, name), Options{SegmentBytes: 300})
-				if err := st.run(log, model.last()); err != nil {
+				log, _ := onDisk(t, filepath.Join(folder, name), wal.Options{SegmentBytes: 300})
+				if err := st.run(log, model.LastSeq()); err != nil {
 					t.Fatalf("step %d, %v: %v", i, st, err)
 				}
-				if err := st.run(model, model.last()); err != nil {
+				if err := st.run(model, model.LastSeq()); err != nil {
 					t.Fatal(err)
 				}
 				got, err := look(log)
@@ -50,42 +53,42 @@
 }
 
 func TestMisuse(t *testing.T) {
-	log, err := Open(t.TempDir(), Options{})
+	log, err := wal.Open(t.TempDir(), wal.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := log.Append([]Entry{{Seq: 1}}); !errors.Is(err, ErrMisuse) {
+	if err := log.Append([]wal.Entry{{Seq: 1}}); !errors.Is(err, wal.ErrMisuse) {
 		t.Errorf("append before load: %v", err)
 	}
-	if err := log.SaveMeta("x", nil); !errors.Is(err, ErrMisuse) {
+	if err := log.SaveMeta("x", nil); !errors.Is(err, wal.ErrMisuse) {
 		t.Errorf("metadata before load: %v", err)
 	}
-	for _, d := range []Disk{log, NewMem()} {
+	for _, d := range []wal.Disk{log, waltest.NewMem()} {
 		if _, _, _, err := d.Load(); err != nil {
 			t.Fatal(err)
 		}
-		if err := d.Append([]Entry{{Seq: 1}, {Seq: 2}}); err != nil {
+		if err := d.Append([]wal.Entry{{Seq: 1}, {Seq: 2}}); err != nil {
 			t.Fatal(err)
 		}
-		if err := d.Compact(Snapshot{Seq: 1}); err != nil {
+		if err := d.Compact(wal.Snapshot{Seq: 1}); err != nil {
 			t.Fatal(err)
 		}
 		for what, err := range map[string]error{
-			"gap":             d.Append([]Entry{{Seq: 4}}),
-			"gap inside":      d.Append([]Entry{{Seq: 3}, {Seq: 5}}),
-			"twice":           d.Append([]Entry{{Seq: 2}}),
+			"gap":             d.Append([]wal.Entry{{Seq: 4}}),
+			"gap inside":      d.Append([]wal.Entry{{Seq: 3}, {Seq: 5}}),
+			"twice":           d.Append([]wal.Entry{{Seq: 2}}),
 			"cut too far":     d.Truncate(0),
-			"compact ahead":   d.Compact(Snapshot{Seq: 3}),
-			"compact back":    d.Compact(Snapshot{Seq: 0}),
+			"compact ahead":   d.Compact(wal.Snapshot{Seq: 3}),
+			"compact back":    d.Compact(wal.Snapshot{Seq: 0}),
 			"no name":         d.SaveMeta("", nil),
 			"a path":          d.SaveMeta("../x", nil),
 			"a name too long": d.SaveMeta(strings.Repeat("x", 65), nil),
 		} {
-			if !errors.Is(err, ErrMisuse) {
+			if !errors.Is(err, wal.ErrMisuse) {
 				t.Errorf("%T, %s: %v", d, what, err)
 			}
 		}
-		if err := d.Append([]Entry{{Seq: 3}}); err != nil {
+		if err := d.Append([]wal.Entry{{Seq: 3}}); err != nil {
 			t.Errorf("%T: %v", d, err)
 		}
 	}
@@ -93,7 +96,7 @@
 
 // TestFull fills a disk: promises and cuts still work, a compaction makes room again.
 func TestFull(t *testing.T) {
-	for name, o := range map[string]Options{
+	for name, o := range map[string]wal.Options{
 		"limit of its own": {MaxBytes: 9000, SegmentBytes: 1000, ReserveBytes: 600},
 		"disk":             {SegmentBytes: 1000, ReserveBytes: 600},
 	} {
@@ -101,47 +104,47 @@
 			fs := newSimFS()
 			fs.capacity = 10000
 			o.FS = fs
-			log, err := Open(simFolder, o)
+			log, err := wal.Open(simFolder, o)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if _, _, _, err := log.Load(); err != nil {
 				t.Fatal(err)
 			}
-			model, data := NewMem(), bytes.Repeat([]byte("x"), 90)
-			both := func(do func(Disk) error) error {
+			model, data := waltest.NewMem(), bytes.Repeat([]byte("x"), 90)
+			both := func(do func(wal.Disk) error) error {
 				err := do(log)
 				if err == nil {
 					err = do(model)
 				}
 				return err
 			}
-			appendOne := func(d Disk) error { return d.Append([]Entry{{Seq: model.last() + 1, Data: data}}) }
+			appendOne := func(d wal.Disk) error { return d.Append([]wal.Entry{{Seq: model.LastSeq() + 1, Data: data}}) }
 			for err = nil; err == nil; {
 				err = both(appendOne)
 			}
-			if !errors.Is(err, ErrFull) || model.last() < 50 {
-				t.Fatalf("after %d: %v", model.last(), err)
+			if !errors.Is(err, wal.ErrFull) || model.LastSeq() < 50 {
+				t.Fatalf("after %d: %v", model.LastSeq(), err)
 			}
 			for i := range 40 {
-				if err := both(func(d Disk) error { return d.SaveMeta("promise", fmt.Appendf(nil, "%d", i)) }); err != nil {
+				if err := both(func(d wal.Disk) error { return d.SaveMeta("promise", fmt.Appendf(nil, "%d", i)) }); err != nil {
 					t.Fatalf("promise %d: %v", i, err)
 				}
 			}
-			last := model.last()
-			if err := both(func(d Disk) error { return d.Truncate(last - 1) }); err != nil {
+			last := model.LastSeq()
+			if err := both(func(d wal.Disk) error { return d.Truncate(last - 1) }); err != nil {
 				t.Fatal(err)
 			}
 			same(t, log, model)
 			if name == "disk" { // others have taken it all
 				fs.capacity = fs.used()
-				if err := log.Compact(Snapshot{Seq: last - 3, Data: data}); !errors.Is(err, ErrFull) {
+				if err := log.Compact(wal.Snapshot{Seq: last - 3, Data: data}); !errors.Is(err, wal.ErrFull) {
 					t.Fatal(err)
 				}
 				same(t, log, model)
 				fs.capacity += 1000
 			}
-			if err := both(func(d Disk) error { return d.Compact(Snapshot{Seq: last - 3, Data: []byte("s")}) }); err != nil {
+			if err := both(func(d wal.Disk) error { return d.Compact(wal.Snapshot{Seq: last - 3, Data: []byte("s")}) }); err != nil {
 				t.Fatal(err)
 			}
 			for range 40 {
@@ -149,7 +152,7 @@
 					t.Fatal(err)
 				}
 			}
-			if !log.hasReserve {
+			if !log.HasReserve() {
 				t.Error("the reserve was not taken again")
 			}
 			if n := log.Size(); n > 8000 {
@@ -160,7 +163,7 @@
 	}
 }
 
-func same(t *testing.T, a, b Disk) {
+func same(t *testing.T, a, b wal.Disk) {
 	t.Helper()
 	va, err := look(a)
 	vb, _ := look(b)
@@ -172,8 +175,8 @@
 // build makes a log with segments of the given size on a simulated disk, and returns what it held after each step.
 func build(t *testing.T, segmentBytes int64, steps []step) (*simFS, []view) {
 	t.Helper()
-	fs, model := newSimFS(), NewMem()
-	log, err := Open(simFolder, Options{FS: fs, SegmentBytes: segmentBytes, ReserveBytes: -1})
+	fs, model := newSimFS(), waltest.NewMem()
+	log, err := wal.Open(simFolder, wal.Options{FS: fs, SegmentBytes: segmentBytes, ReserveBytes: -1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -182,7 +185,7 @@
 	}
 	var views []view
 	for _, st := range steps {
-		if err := errors.CombineErrors(st.run(log, model.last()), st.run(model, model.last())); err != nil {
+		if err := errors.CombineErrors(st.run(log, model.LastSeq()), st.run(model, model.LastSeq())); err != nil {
 			t.Fatal(err)
 		}
 		v, _ := look(model)
@@ -209,7 +212,7 @@
 				}
 				v, err := look(log)
 				switch {
-				case errors.Is(err, ErrDamaged):
+				case errors.Is(err, wal.ErrDamaged):
 					seen++
 				case err != nil:
 					t.Fatalf("%s, byte %d: %v", name, i, err)
@@ -224,7 +227,7 @@
 				}
 			}
 		}
-		if seen < 200 || torn < recordHeaderSize || torn > 80 || other > 0 {
+		if seen < 200 || torn < wal.RecordHeaderSize || torn > 80 || other > 0 {
 			t.Errorf("segments of %d: seen %d times, taken for torn %d, passed over %d", segmentBytes, seen, torn, other)
 		}
 	}
@@ -239,7 +242,7 @@
 	}
 	delete(fs.names, names[i])
 	log, _ := openSim(fs)
-	if v, err := look(log); !errors.Is(err, ErrDamaged) {
+	if v, err := look(log); !errors.Is(err, wal.ErrDamaged) {
 		t.Errorf("%v, %v", v, err)
 	}
 }
@@ -256,7 +259,7 @@
 			changed := fs.killed()
 			delete(changed.names, name)
 			log, _ := openSim(changed)
-			if v, err := look(log); !errors.Is(err, ErrDamaged) {
+			if v, err := look(log); !errors.Is(err, wal.ErrDamaged) {
 				t.Errorf("segments of %d, without %s: %v, %v", segmentBytes, name, v, err)
 			}
 		}
@@ -273,21 +276,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	name := segmentName(1)
+	name := wal.SegmentName(1)
 	n := s.fs.names[name]
 	n.content = append(slices.Clone(n.content), old.fs.names[name].content[len(n.content):]...)
 	if v, err := look(s.log); err != nil || s.allows(v) != nil {
 		t.Errorf("%v, %v", v, err)
 	}
 	// The same record once more, in the same segment.
-	n.content = append(slices.Clone(n.content), n.content[headerSize:]...)
+	n.content = append(slices.Clone(n.content), n.content[wal.HeaderSize:]...)
 	if v, err := look(s.log); err != nil || s.allows(v) != nil {
 		t.Errorf("%v, %v", v, err)
 	}
 }
 
 func BenchmarkAppend(b *testing.B) {
-	log, err := Open(b.TempDir(), Options{MaxBytes: 1 << 40})
+	log, err := wal.Open(b.TempDir(), wal.Options{MaxBytes: 1 << 40})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -296,7 +299,7 @@
 	}
 	data := make([]byte, 1000)
 	for i := uint64(1); b.Loop(); i++ {
-		if err := log.Append([]Entry{{Seq: i, Data: data}}); err != nil {
+		if err := log.Append([]wal.Entry{{Seq: i, Data: data}}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/system/wal/ownership_test.go
+++ b/internal/system/wal/ownership_test.go
@@ -1,19 +1,22 @@
-package wal
+package wal_test
 
 import (
 	"math/rand/v2"
 	"testing"
 
 	"github.com/cockroachdb/errors"
+
+	"gradeusher.example/gradeusher/internal/system/wal"
+	"gradeusher.example/gradeusher/internal/system/wal/waltest"
 )
 
 // twoProcesses opens a log twice on one disk, as where a process is started anew while the old one is still about to end:
 // locks do nothing there.
-func twoProcesses(t *testing.T, h TestingKnobs) (fs *simFS, old, young *Log) {
+func twoProcesses(t *testing.T, h wal.TestingKnobs) (fs *simFS, old, young *wal.Log) {
 	t.Helper()
 	fs = newSimFS()
-	for i, log := range []**Log{&old, &young} {
-		l, err := Open(simFolder, Options{FS: fs, SegmentBytes: 200, ReserveBytes: 16, TestingKnobs: h})
+	for i, log := range []**wal.Log{&old, &young} {
+		l, err := wal.Open(simFolder, wal.Options{FS: fs, SegmentBytes: 200, ReserveBytes: 16, TestingKnobs: h})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -21,7 +24,7 @@
 			t.Fatal(err)
 		}
 		if *log = l; i == 0 {
-			for _, err := range []error{l.Append([]Entry{entry(1, 0)}), l.Append([]Entry{entry(2, 0)}), l.SaveMeta("m", []byte("old"))} {
+			for _, err := range []error{l.Append([]wal.Entry{entry(1, 0)}), l.Append([]wal.Entry{entry(2, 0)}), l.SaveMeta("m", []byte("old"))} {
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -34,18 +37,18 @@
 // TestOldProcessAcknowledgesNothing lets the old process go on once the new one has loaded: none of its changes succeeds, and
 // what the new one acknowledges is what the third one finds.
 func TestOldProcessAcknowledgesNothing(t *testing.T) {
-	changes := map[string]func(l *Log) error{
-		"append":   func(l *Log) error { return l.Append([]Entry{entry(3, 7)}) },
-		"truncate": func(l *Log) error { return l.Truncate(1) },
-		"compact":  func(l *Log) error { return l.Compact(Snapshot{Seq: 1, Data: []byte("old")}) },
-		"install":  func(l *Log) error { return l.Install(Snapshot{Seq: 30, Data: []byte("old")}) },
-		"meta":     func(l *Log) error { return l.SaveMeta("m", []byte("late")) },
+	changes := map[string]func(l *wal.Log) error{
+		"append":   func(l *wal.Log) error { return l.Append([]wal.Entry{entry(3, 7)}) },
+		"truncate": func(l *wal.Log) error { return l.Truncate(1) },
+		"compact":  func(l *wal.Log) error { return l.Compact(wal.Snapshot{Seq: 1, Data: []byte("old")}) },
+		"install":  func(l *wal.Log) error { return l.Install(wal.Snapshot{Seq: 30, Data: []byte("old")}) },
+		"meta":     func(l *wal.Log) error { return l.SaveMeta("m", []byte("late")) },
 	}
 	for name, change := range changes {
 		for _, before := range []bool{true, false} {
-			fs, old, young := twoProcesses(t, TestingKnobs{})
+			fs, old, young := twoProcesses(t, wal.TestingKnobs{})
 			write := func() {
-				if err := young.Append([]Entry{entry(3, 1)}); err != nil {
+				if err := young.Append([]wal.Entry{entry(3, 1)}); err != nil {
 					t.Fatal(err)
 				}
 				if err := young.SaveMeta("m", []byte("young")); err != nil {
@@ -55,17 +58,17 @@
 			if before {
 				write()
 			}
-			if err := change(old); !errors.Is(err, ErrSuperseded) {
+			if err := change(old); !errors.Is(err, wal.ErrSuperseded) {
 				t.Errorf("%s: %v", name, err)
 			}
-			if err := old.Append([]Entry{entry(3, 7)}); !errors.Is(err, ErrSuperseded) {
+			if err := old.Append([]wal.Entry{entry(3, 7)}); !errors.Is(err, wal.ErrSuperseded) {
 				t.Errorf("%s, then an append: %v", name, err)
 			}
 			if !before {
 				write()
 			}
-			want := NewMem()
-			_ = want.Append([]Entry{entry(1, 0), entry(2, 0), entry(3, 1)})
+			want := waltest.NewMem()
+			_ = want.Append([]wal.Entry{entry(1, 0), entry(2, 0), entry(3, 1)})
 			_ = want.SaveMeta("m", []byte("young"))
 			v, _ := look(want)
 			check := func(fs *simFS) {
@@ -89,8 +92,8 @@
 
 // TestOldProcessWithoutFence is the control: without the look for the other process, both acknowledge an entry 3.
 func TestOldProcessWithoutFence(t *testing.T) {
-	_, old, young := twoProcesses(t, TestingKnobs{SkipOwnershipCheck: true})
-	if err := errors.CombineErrors(old.Append([]Entry{entry(3, 7)}), young.Append([]Entry{entry(3, 1)})); err != nil {
+	_, old, young := twoProcesses(t, wal.TestingKnobs{SkipOwnershipCheck: true})
+	if err := errors.CombineErrors(old.Append([]wal.Entry{entry(3, 7)}), young.Append([]wal.Entry{entry(3, 1)})); err != nil {
 		t.Errorf("the control shows nothing: %v", err)
 	}
 }
@@ -103,7 +106,7 @@
 		t.Fatal(err)
 	}
 	before := s.fs.calls
-	log, err := Open(simFolder, Options{FS: s.fs, ReadOnly: true})
+	log, err := wal.Open(simFolder, wal.Options{FS: s.fs, ReadOnly: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,10 +120,10 @@
 	if s.fs.calls > before {
 		t.Errorf("%d calls changed something", s.fs.calls-before)
 	}
-	if err := log.Append([]Entry{{Seq: log.lastSeq + 1}}); !errors.Is(err, ErrMisuse) {
+	if err := log.Append([]wal.Entry{{Seq: log.LastSeq() + 1}}); !errors.Is(err, wal.ErrMisuse) {
 		t.Errorf("an append: %v", err)
 	}
-	if err := log.Quarantine(); !errors.Is(err, ErrMisuse) {
+	if err := log.Quarantine(); !errors.Is(err, wal.ErrMisuse) {
 		t.Errorf("a putting aside: %v", err)
 	}
 	if err := s.do(step{"append", 1, 5}); err != nil || len(s.maybe) > 0 {
--- a/internal/system/wal/quarantine_test.go
+++ b/internal/system/wal/quarantine_test.go
@@ -1,4 +1,4 @@
-package wal
+package wal_test
 
 import (
 	"bytes"
@@ -8,6 +8,9 @@
 	"testing"
 
 	"github.com/cockroachdb/errors"
+
+	"gradeusher.example/gradeusher/internal/system/wal"
+	"gradeusher.example/gradeusher/internal/system/wal/waltest"
 )
 
 // files returns the contents of the files of a log, by name.
@@ -24,12 +27,12 @@
 // holdsCopy checks that the files are there under their other names, and no others are.
 func holdsCopy(fs *simFS, want map[string]string) error {
 	for name, content := range want {
-		if n := fs.names[quarantinePrefix+name]; n == nil || string(n.content) != content {
+		if n := fs.names[wal.QuarantinePrefix+name]; n == nil || string(n.content) != content {
 			return errors.Newf("%s is not in the copy as it was", name)
 		}
 	}
 	for name := range fs.names {
-		if original, ok := strings.CutPrefix(name, quarantinePrefix); ok {
+		if original, ok := strings.CutPrefix(name, wal.QuarantinePrefix); ok {
 			if _, ok := want[original]; !ok {
 				return errors.Newf("%s is of another copy", name)
 			}
@@ -39,7 +42,7 @@
 }
 
 // putAsideCrashing puts a log aside beside an older copy, and crashes at each call of it. check gets what is left.
-func putAsideCrashing(t *testing.T, h TestingKnobs, check func(fs *simFS, whole *Mem, copied map[string]string, call int, done bool) error) error {
+func putAsideCrashing(t *testing.T, h wal.TestingKnobs, check func(fs *simFS, whole *waltest.Mem, copied map[string]string, call int, done bool) error) error {
 	t.Helper()
 	r := rand.New(rand.NewPCG(5, 6))
 	for call := 1; ; call++ {
@@ -48,7 +51,7 @@
 		if err == nil {
 			_, _, _, err = older.Load()
 		}
-		err = errors.CombineErrors(err, older.Append([]Entry{entry(1, 9)}))
+		err = errors.CombineErrors(err, older.Append([]wal.Entry{entry(1, 9)}))
 		if err = errors.CombineErrors(err, older.Quarantine()); err != nil {
 			t.Fatal(err)
 		}
@@ -61,7 +64,7 @@
 				t.Fatal(err)
 			}
 		}
-		s.log.options.TestingKnobs = h
+		s.log.SetTestingKnobs(h)
 		copied := files(fs)
 		fs.fault = crashAt(fs.calls + call)
 		done := s.log.Quarantine() == nil
@@ -80,7 +83,7 @@
 
 // allOrNothing checks that after a restart the log is there as it was, or is empty with the copy beside it, also where the
 // restart is cut short in turn.
-func allOrNothing(fs *simFS, whole *Mem, copied map[string]string, nested int) error {
+func allOrNothing(fs *simFS, whole *waltest.Mem, copied map[string]string, nested int) error {
 	for call := 1; nested > 0; call++ {
 		again := fs.killed()
 		again.fault = crashAt(call)
@@ -121,8 +124,8 @@
 // TestPutAside crashes at every call of putting a log aside, and at every call of the restart after it: afterwards either
 // everything is there as it was, or an empty log with the whole copy beside it, and nothing of an older copy.
 func TestPutAside(t *testing.T) {
-	err := putAsideCrashing(t, TestingKnobs{}, func(fs *simFS, whole *Mem, copied map[string]string, _ int, done bool) error {
-		if _, marked := fs.names[quarantineMarkerName]; done && marked {
+	err := putAsideCrashing(t, wal.TestingKnobs{}, func(fs *simFS, whole *waltest.Mem, copied map[string]string, _ int, done bool) error {
+		if _, marked := fs.names[wal.QuarantineMarkerName]; done && marked {
 			return errors.New("the mark is still there")
 		}
 		if done && len(files(fs)) > 0 {
@@ -142,26 +145,26 @@
 // TestPutAsideDamaged puts aside what cannot be loaded.
 func TestPutAsideDamaged(t *testing.T) {
 	folder := t.TempDir()
-	log, _ := onDisk(t, folder, Options{SegmentBytes: 100})
+	log, _ := onDisk(t, folder, wal.Options{SegmentBytes: 100})
 	for i := range uint64(9) {
-		if err := log.Append([]Entry{entry(i+1, 0)}); err != nil {
+		if err := log.Append([]wal.Entry{entry(i+1, 0)}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if err := log.SaveMeta("identity", []byte("old")); err != nil {
 		t.Fatal(err)
 	}
-	name := segmentName(2)
-	if err := os.Truncate(log.path(name), 60); err != nil {
+	name := wal.SegmentName(2)
+	if err := os.Truncate(log.Path(name), 60); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, _, err := log.Load(); !errors.Is(err, ErrDamaged) {
+	if _, _, _, err := log.Load(); !errors.Is(err, wal.ErrDamaged) {
 		t.Fatal(err)
 	}
-	if err := log.Append([]Entry{entry(10, 0)}); !errors.Is(err, ErrMisuse) {
+	if err := log.Append([]wal.Entry{entry(10, 0)}); !errors.Is(err, wal.ErrMisuse) {
 		t.Errorf("append to a damaged log: %v", err)
 	}
-	damaged, err := os.ReadFile(log.path(name))
+	damaged, err := os.ReadFile(log.Path(name))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -171,14 +174,14 @@
 	if v, err := look(log); err != nil || v.log != "0:" || len(v.meta) > 0 {
 		t.Errorf("%v, %v", v, err)
 	}
-	if kept, err := os.ReadFile(log.path(quarantinePrefix + name)); err != nil || !bytes.Equal(kept, damaged) {
+	if kept, err := os.ReadFile(log.Path(wal.QuarantinePrefix + name)); err != nil || !bytes.Equal(kept, damaged) {
 		t.Errorf("the copy of %s: %d bytes, %v", name, len(kept), err)
 	}
 }
 
 // TestCopyGivesWay needs the room that the copy of a damaged log takes: the copy goes, and no change is refused.
 func TestCopyGivesWay(t *testing.T) {
-	for name, o := range map[string]Options{
+	for name, o := range map[string]wal.Options{
 		"bound of its own": {DiskBytes: 12000, SegmentBytes: 1000, ReserveBytes: 100},
 		"disk":             {SegmentBytes: 1000, ReserveBytes: 100},
 	} {
@@ -186,7 +189,7 @@
 			fs := newSimFS()
 			fs.capacity = 12000
 			o.FS = fs
-			log, err := Open(simFolder, o)
+			log, err := wal.Open(simFolder, o)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -198,7 +201,7 @@
 			}
 			load()
 			for i := range uint64(5) {
-				if err := log.Append([]Entry{{Seq: i + 1, Data: make([]byte, 1000)}}); err != nil {
+				if err := log.Append([]wal.Entry{{Seq: i + 1, Data: make([]byte, 1000)}}); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -206,25 +209,25 @@
 				t.Fatal(err)
 			}
 			load()
-			if err := log.Append([]Entry{{Seq: 1, Data: make([]byte, 3000)}}); err != nil {
+			if err := log.Append([]wal.Entry{{Seq: 1, Data: make([]byte, 3000)}}); err != nil {
 				t.Fatal(err)
 			}
-			if len(log.quarantinedFiles) == 0 {
+			if len(log.QuarantinedFiles()) == 0 {
 				t.Fatal("the copy went before its room was needed")
 			}
 			big := make([]byte, 4000)
 			switch what {
 			case "append":
-				err = log.Append([]Entry{{Seq: 2, Data: big}})
+				err = log.Append([]wal.Entry{{Seq: 2, Data: big}})
 			case "compact":
-				err = log.Compact(Snapshot{Seq: 1, Data: big})
+				err = log.Compact(wal.Snapshot{Seq: 1, Data: big})
 			case "install":
-				err = log.Install(Snapshot{Seq: 9, Data: big})
+				err = log.Install(wal.Snapshot{Seq: 9, Data: big})
 			case "meta":
 				err = log.SaveMeta("m", big)
 			}
-			if err != nil || len(log.quarantinedFiles) > 0 {
-				t.Errorf("%s, %s: %v, %d files of the copy are left", name, what, err, len(log.quarantinedFiles))
+			if err != nil || len(log.QuarantinedFiles()) > 0 {
+				t.Errorf("%s, %s: %v, %d files of the copy are left", name, what, err, len(log.QuarantinedFiles()))
 			}
 		}
 	}
@@ -232,7 +235,7 @@
 
 // TestPutAsideWithoutMark is the control: where the mark need not last, a half of a log is served or the copy is not whole.
 func TestPutAsideWithoutMark(t *testing.T) {
-	err := putAsideCrashing(t, TestingKnobs{SkipQuarantineMarkerSync: true}, func(fs *simFS, whole *Mem, copied map[string]string, _ int, _ bool) error {
+	err := putAsideCrashing(t, wal.TestingKnobs{SkipQuarantineMarkerSync: true}, func(fs *simFS, whole *waltest.Mem, copied map[string]string, _ int, _ bool) error {
 		return allOrNothing(fs, whole, copied, 0)
 	})
 	if err == nil {
--- a/internal/system/wal/simfs_test.go
+++ b/internal/system/wal/simfs_test.go
@@ -1,4 +1,4 @@
-package wal
+package wal_test
 
 import (
 	"errors"
@@ -8,6 +8,8 @@
 	"path/filepath"
 	"slices"
 	"syscall"
+
+	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
 // errCrash is what every call returns once the simulated machine is gone.
@@ -23,8 +25,8 @@
 	calls          int     // that change something
 	fault          func(call int, what string) error
 	gone           bool
-	capacity       int          // bytes of all files; 0: no bound
-	hooks          TestingKnobs // of the logs opened on it
+	capacity       int              // bytes of all files; 0: no bound
+	hooks          wal.TestingKnobs // of the logs opened on it
 	lies           lies
 }
 
@@ -145,7 +147,7 @@
 	return slices.Sorted(maps.Keys(s.names)), nil
 }
 
-func (s *simFS) Open(name string) (File, error) {
+func (s *simFS) Open(name string) (wal.File, error) {
 	n := s.names[filepath.Base(name)]
 	if s.gone {
 		return nil, errCrash
@@ -156,7 +158,7 @@
 	return &simFile{s, n}, nil
 }
 
-func (s *simFS) Create(name string) (File, error) {
+func (s *simFS) Create(name string) (wal.File, error) {
 	name = filepath.Base(name)
 	if err := s.call("create"); err != nil {
 		return nil, err
--- a/internal/system/wal/simpowerloss_test.go
+++ b/internal/system/wal/simpowerloss_test.go
@@ -1,4 +1,4 @@
-package wal
+package wal_test
 
 import (
 	"maps"
--- a/internal/system/wal/space_test.go
+++ b/internal/system/wal/space_test.go
@@ -1,4 +1,4 @@
-package wal
+package wal_test
 
 import (
 	"path/filepath"
@@ -8,6 +8,8 @@
 	"time"
 
 	"github.com/cockroachdb/errors"
+
+	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
 // Sizes of the machines that the log is for, in bytes.
@@ -21,7 +23,7 @@
 
 // meterFS is the operating system's file system without syncs, on a disk of a given size, whose fill it measures.
 type meterFS struct {
-	osFS
+	wal.OSFS
 	sizes          map[string]int64
 	used, peak     int64
 	capacity       int64
@@ -30,7 +32,7 @@
 }
 
 type meterFile struct {
-	File
+	wal.File
 	fs   *meterFS
 	name *string // changes with a rename
 }
@@ -57,8 +59,8 @@
 	m.most = max(m.most, m.segments)
 }
 
-func (m *meterFS) Create(name string) (File, error) {
-	f, err := m.osFS.Create(name)
+func (m *meterFS) Create(name string) (wal.File, error) {
+	f, err := m.OSFS.Create(name)
 	if err != nil {
 		return nil, err
 	}
@@ -67,8 +69,8 @@
 	return &meterFile{f, m, &name}, nil
 }
 
-func (m *meterFS) Open(name string) (File, error) {
-	f, err := m.osFS.Open(name)
+func (m *meterFS) Open(name string) (wal.File, error) {
+	f, err := m.OSFS.Open(name)
 	return &meterFile{f, m, &name}, err
 }
 
@@ -77,7 +79,7 @@
 		m.renamesToFail--
 		return errors.New("input/output error")
 	}
-	if err := m.osFS.Rename(from, to); err != nil {
+	if err := m.OSFS.Rename(from, to); err != nil {
 		return err
 	}
 	m.used -= m.sizes[to]
@@ -87,7 +89,7 @@
 }
 
 func (m *meterFS) Remove(name string) error {
-	if err := m.osFS.Remove(name); err != nil {
+	if err := m.OSFS.Remove(name); err != nil {
 		return err
 	}
 	m.used -= m.sizes[name]
@@ -100,7 +102,7 @@
 // current is the name under which the file counts; a start of a segment is written under another one.
 func (f *meterFile) current() string {
 	if _, ok := f.fs.sizes[*f.name]; !ok {
-		*f.name = strings.TrimSuffix(*f.name, temporarySuffix)
+		*f.name = strings.TrimSuffix(*f.name, wal.TemporarySuffix)
 	}
 	return *f.name
 }
@@ -124,7 +126,7 @@
 	t       *testing.T
 	fs      *meterFS
 	folder  string
-	log     *Log
+	log     *wal.Log
 	state   int // bytes of a snapshot
 	since   int // bytes of records since the last one
 	slowest time.Duration
@@ -139,7 +141,7 @@
 func (k *keeperOn) restart() {
 	k.t.Helper()
 	began := time.Now()
-	log, err := Open(k.folder, Options{FS: k.fs})
+	log, err := wal.Open(k.folder, wal.Options{FS: k.fs})
 	if err == nil {
 		_, _, _, err = log.Load()
 	}
@@ -152,11 +154,11 @@
 // change appends one record, compacts when it is due, and when the log is full.
 func (k *keeperOn) change(size int) {
 	k.t.Helper()
-	entry := Entry{Seq: k.log.lastSeq + 1, Data: make([]byte, size)}
-	err := k.log.Append([]Entry{entry})
-	if errors.Is(err, ErrFull) {
+	entry := wal.Entry{Seq: k.log.LastSeq() + 1, Data: make([]byte, size)}
+	err := k.log.Append([]wal.Entry{entry})
+	if errors.Is(err, wal.ErrFull) {
 		k.compact()
-		err = k.log.Append([]Entry{entry})
+		err = k.log.Append([]wal.Entry{entry})
 	}
 	if err != nil {
 		k.t.Fatalf("entry %d: %v", entry.Seq, err)
@@ -168,7 +170,7 @@
 
 func (k *keeperOn) compact() {
 	k.t.Helper()
-	if err := k.log.Compact(Snapshot{Seq: k.log.lastSeq, Data: make([]byte, k.state)}); err != nil {
+	if err := k.log.Compact(wal.Snapshot{Seq: k.log.LastSeq(), Data: make([]byte, k.state)}); err != nil {
 		k.t.Fatal(err)
 	}
 	k.since = 0
@@ -220,7 +222,7 @@
 			k.change(mostState)
 			k.fs.renamesToFail = int(i % 3)
 			for tries := 0; ; tries++ { // one after the other, also where a rename fails
-				if err := k.log.Install(Snapshot{Seq: 100 * (i + 1), Data: make([]byte, mostState)}); err == nil {
+				if err := k.log.Install(wal.Snapshot{Seq: 100 * (i + 1), Data: make([]byte, mostState)}); err == nil {
 					break
 				} else if tries > 3 {
 					t.Fatal(err)
@@ -245,7 +247,7 @@
 			}
 		}
 		k.check()
-		if len(k.log.quarantinedFiles) > 0 {
+		if len(k.log.QuarantinedFiles()) > 0 {
 			t.Error("the copy is still there")
 		}
 	})
@@ -260,26 +262,26 @@
 	}
 	for round := range 3 {
 		k.fs.capacity = 0
-		last := k.log.lastSeq
+		last := k.log.LastSeq()
 		for range 3 {
-			if err := k.log.Append([]Entry{{Seq: last + 1, Data: make([]byte, usualState)}}); !errors.Is(err, ErrFull) {
+			if err := k.log.Append([]wal.Entry{{Seq: last + 1, Data: make([]byte, usualState)}}); !errors.Is(err, wal.ErrFull) {
 				t.Fatal(err)
 			}
-			if err := k.log.Compact(Snapshot{Seq: last, Data: make([]byte, usualState)}); !errors.Is(err, ErrFull) {
+			if err := k.log.Compact(wal.Snapshot{Seq: last, Data: make([]byte, usualState)}); !errors.Is(err, wal.ErrFull) {
 				t.Fatal(err)
 			}
 		}
 		if round > 0 {
 			k.restart()
 		}
-		if k.log.lastSeq != last {
-			t.Fatalf("the log ends at %d, not at %d", k.log.lastSeq, last)
+		if k.log.LastSeq() != last {
+			t.Fatalf("the log ends at %d, not at %d", k.log.LastSeq(), last)
 		}
 		k.fs.capacity = wholeDisk
 		k.change(usualState)
 		k.restart()
-		if k.log.lastSeq != last+1 {
-			t.Fatalf("the log ends at %d, not at %d", k.log.lastSeq, last+1)
+		if k.log.LastSeq() != last+1 {
+			t.Fatalf("the log ends at %d, not at %d", k.log.LastSeq(), last+1)
 		}
 	}
 }
@@ -353,7 +355,7 @@
 			if err != nil {
 				t.Fatalf("%s, killed at call %d: %v", name, call, err)
 			}
-			if err := log.Append([]Entry{{Seq: log.lastSeq + 1}}); !errors.Is(err, ErrFull) {
+			if err := log.Append([]wal.Entry{{Seq: log.LastSeq() + 1}}); !errors.Is(err, wal.ErrFull) {
 				t.Fatalf("%s, killed at call %d: an append: %v", name, call, err)
 			}
 			fs.fault = nil
--- /dev/null
+++ b/internal/system/wal/waltest/mem.go
@@ -0,0 +1,104 @@
+// Package waltest helps tests of packages that keep their state in a write-ahead log: a wal.Disk in memory that behaves as a
+// wal.Log does on a disk without faults. It refuses what a Log refuses, by the same checks.
+package waltest
+
+import (
+	"maps"
+	"slices"
+
+	"gradeusher.example/gradeusher/internal/system/wal"
+)
+
+// Mem is a wal.Disk in memory. A Mem is used by one goroutine at a time.
+type Mem struct {
+	meta     map[string][]byte
+	snapshot wal.Snapshot
+	entries  []wal.Entry
+}
+
+var _ wal.Disk = (*Mem)(nil)
+
+// NewMem returns an empty disk.
+func NewMem() *Mem { return &Mem{meta: map[string][]byte{}} }
+
+// NewMemWith returns a disk that holds what wal.Disk.Load returned. It takes over the memory of its arguments.
+func NewMemWith(meta map[string][]byte, snapshot wal.Snapshot, entries []wal.Entry) *Mem {
+	return &Mem{meta: meta, snapshot: snapshot, entries: entries}
+}
+
+// Clone returns a disk of the same content; changes to one do not show in the other.
+func (m *Mem) Clone() *Mem {
+	return &Mem{meta: maps.Clone(m.meta), snapshot: m.snapshot, entries: slices.Clone(m.entries)}
+}
+
+// Load implements wal.Disk.
+func (m *Mem) Load() (map[string][]byte, wal.Snapshot, []wal.Entry, error) {
+	meta := make(map[string][]byte, len(m.meta))
+	for name, data := range m.meta {
+		meta[name] = slices.Clone(data)
+	}
+	entries := make([]wal.Entry, len(m.entries))
+	for i, e := range m.entries {
+		entries[i] = wal.Entry{Seq: e.Seq, Data: slices.Clone(e.Data)}
+	}
+	return meta, wal.Snapshot{Seq: m.snapshot.Seq, Data: slices.Clone(m.snapshot.Data)}, entries, nil
+}
+
+// LastSeq returns the sequence number of the newest entry, that of the snapshot where no entry follows it.
+func (m *Mem) LastSeq() uint64 { return m.snapshot.Seq + uint64(len(m.entries)) }
+
+// Append implements wal.Disk.
+func (m *Mem) Append(entries []wal.Entry) error {
+	if err := wal.ValidateAppend(m.LastSeq(), entries); err != nil {
+		return err
+	}
+	for _, e := range entries {
+		m.entries = append(m.entries, wal.Entry{Seq: e.Seq, Data: slices.Clone(e.Data)})
+	}
+	return nil
+}
+
+// Truncate implements wal.Disk.
+func (m *Mem) Truncate(after uint64) error {
+	if err := wal.ValidateTruncate(m.snapshot.Seq, after); err != nil {
+		return err
+	}
+	if after < m.LastSeq() {
+		m.entries = m.entries[:after-m.snapshot.Seq]
+	}
+	return nil
+}
+
+// Compact implements wal.Disk.
+func (m *Mem) Compact(snapshot wal.Snapshot) error {
+	if err := wal.ValidateCompact(m.snapshot.Seq, m.LastSeq(), snapshot.Seq); err != nil {
+		return err
+	}
+	m.entries = slices.Clone(m.entries[snapshot.Seq-m.snapshot.Seq:])
+	m.snapshot = wal.Snapshot{Seq: snapshot.Seq, Data: slices.Clone(snapshot.Data)}
+	return nil
+}
+
+// Install implements wal.Disk.
+func (m *Mem) Install(snapshot wal.Snapshot) error {
+	m.entries, m.snapshot = nil, wal.Snapshot{Seq: snapshot.Seq, Data: slices.Clone(snapshot.Data)}
+	return nil
+}
+
+// SaveMeta implements wal.Disk.
+func (m *Mem) SaveMeta(name string, data []byte) error {
+	if err := wal.ValidateMetaName(name); err != nil {
+		return err
+	}
+	m.meta[name] = slices.Clone(data)
+	return nil
+}
+
+// Quarantine empties the disk.
+func (m *Mem) Quarantine() error {
+	*m = Mem{meta: map[string][]byte{}}
+	return nil
+}
+
+// Meta returns the metadata called name; nil where there is none.
+func (m *Mem) Meta(name string) []byte { return slices.Clone(m.meta[name]) }
