--- a/internal/system/operatorapi/chain_test.go
+++ b/internal/system/operatorapi/chain_test.go
@@ -19,7 +19,7 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/operatorapi"
 	"gradeusher.example/gradeusher/internal/system/replication"
-	"gradeusher.example/gradeusher/internal/system/wal"
+	"gradeusher.example/gradeusher/internal/system/wal/waltest"
 )
 
 var machines = []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
@@ -30,7 +30,7 @@
 // cluster is three keepers with their APIs, over disks and a network in memory.
 type cluster struct {
 	tb      testing.TB
-	disks   map[string]*wal.Mem
+	disks   map[string]*waltest.Mem
 	keepers map[string]*replication.Node
 	apis    map[string]http.Handler
 	patient bool // the APIs hold orders also where a keeper is cut off
@@ -75,10 +75,10 @@
 }
 
 func newCluster(tb testing.TB) *cluster {
-	c := &cluster{tb: tb, disks: map[string]*wal.Mem{}, keepers: map[string]*replication.Node{}, apis: map[string]http.Handler{},
+	c := &cluster{tb: tb, disks: map[string]*waltest.Mem{}, keepers: map[string]*replication.Node{}, apis: map[string]http.Handler{},
 		inner: map[string]http.Handler{}, cut: map[string]bool{}}
 	for _, m := range machines {
-		c.disks[m] = wal.NewMem()
+		c.disks[m] = waltest.NewMem()
 	}
 	return c
 }
