--- a/internal/system/wal/files.go
+++ b/internal/system/wal/files.go
@@ -12,9 +12,29 @@
 // renamed tells whether the name may be there in spite of an error.
 func (l *Log) replaceFile(name string, content []byte) (f File, renamed bool, err error) {
 	temporary := name + temporarySuffix
-	f, err = l.createNew(temporary)
+	f, err = l.writeTemporary(name, content)
 	if err != nil {
-		return nil, false, diskError(err, "make "+name)
+		return nil, false, err
+	}
+	if err = l.options.FS.Rename(l.path(temporary), l.path(name)); err != nil {
+		_ = l.remove(temporary)
+		err = diskError(err, "rename "+name)
+	} else {
+		err = l.syncFolder()
+	}
+	if err != nil {
+		_ = f.Close()
+		return nil, true, err
+	}
+	return f, true, nil
+}
+
+// writeTemporary makes the file that is to become name under its temporary name, and syncs it.
+func (l *Log) writeTemporary(name string, content []byte) (File, error) {
+	temporary := name + temporarySuffix
+	f, err := l.createNew(temporary)
+	if err != nil {
+		return nil, diskError(err, "make "+name)
 	}
 	_, err = f.WriteAt(content, 0)
 	if err == nil {
@@ -23,20 +43,19 @@
 	if err != nil {
 		_ = f.Close()
 		_ = l.remove(temporary)
-		return nil, false, diskError(err, "write "+name)
-	}
-	err = l.options.FS.Rename(l.path(temporary), l.path(name))
-	if err != nil {
-		_ = l.remove(temporary)
-		err = diskError(err, "rename "+name)
-	} else {
-		err = diskError(l.options.FS.SyncDir(l.folder), "sync the log's folder")
+		return nil, diskError(err, "write "+name)
 	}
+	return f, nil
+}
+
+// replaceOwnedFile is replaceFile for a change of its own: it fails where another process has taken the log over meanwhile.
+func (l *Log) replaceOwnedFile(name string, content []byte) (renamed bool, err error) {
+	f, renamed, err := l.replaceFile(name, content)
 	if err != nil {
-		_ = f.Close()
-		return nil, true, err
+		return renamed, err
 	}
-	return f, true, nil
+	_ = f.Close() // it is synced
+	return renamed, l.checkOwnership()
 }
 
 // maxGarbage bounds what is remembered; Load finds the rest.
@@ -104,3 +123,8 @@
 	}
 	return err
 }
+
+// syncFolder makes the names that were made, renamed and removed in the log's folder durable.
+func (l *Log) syncFolder() error {
+	return diskError(l.options.FS.SyncDir(l.folder), "sync the log's folder")
+}
--- a/internal/system/wal/folder.go
+++ b/internal/system/wal/folder.go
@@ -74,49 +74,57 @@
 
 // prepareFolder lists the folder once nothing in it can change any more: the next segment's file is there.
 func (l *Log) prepareFolder() (folderListing, error) {
-	list, err := l.listFolder()
+	listing, err := l.listFolder()
 	if err != nil {
-		return list, err
+		return listing, err
 	}
 	if l.options.ReadOnly {
-		if list.quarantineBegun {
-			err = damagedError("a damaged log is being put aside")
+		if listing.quarantineBegun {
+			err = damagedError("the quarantine of a damaged log is not finished")
 		}
-		return list, err
+		return listing, err
 	}
-	if list.quarantineBegun {
+	if listing, err = l.completeQuarantine(listing); err != nil {
+		return listing, err
+	}
+	l.removeTemporaryFiles(listing.temporary)
+	l.recordQuarantined(listing.quarantined)
+	if l.nextSegment, err = l.nextNumber(listing); err != nil {
+		return listing, err
+	}
+	if l.claimNextSegment() != nil { // the disk is full or refuses; what is there can still be read
+		l.unclaimed, l.superseded = true, false
+	}
+	listing, err = l.listFolder()
+	if i := slices.Index(listing.segments, l.nextSegment); i >= 0 {
+		listing.segments = listing.segments[:i]
+	}
+	return listing, err
+}
+
+// completeQuarantine finishes a quarantine that was cut short, and returns the folder's listing after it.
+func (l *Log) completeQuarantine(listing folderListing) (folderListing, error) {
+	var err error
+	if listing.quarantineBegun {
 		if err := l.finishQuarantine(); err != nil {
-			return list, err
+			return listing, err
 		}
-		if list, err = l.listFolder(); err != nil {
-			return list, err
+		if listing, err = l.listFolder(); err != nil {
+			return listing, err
 		}
 	}
-	if len(list.quarantined) > 0 { // its mark is gone for good before anything new could be taken for a part of it
-		if err := l.options.FS.SyncDir(l.folder); err != nil {
-			return list, diskError(err, "sync the log's folder")
-		}
+	if len(listing.quarantined) > 0 { // its marker is gone for good before anything new could be taken for a part of it
+		err = l.syncFolder()
 	}
-	for _, name := range list.temporary {
+	return listing, err
+}
+
+func (l *Log) removeTemporaryFiles(names []string) {
+	for _, name := range names {
 		if l.remove(name) != nil {
 			l.garbage = append(l.garbage, name)
 		}
 	}
-	l.recordQuarantined(list.quarantined)
-	if l.nextSegment, err = l.nextNumber(list); err != nil {
-		return list, err
-	}
-	if l.claimNextSegment() != nil { // the disk is full or refuses; what is there can still be read
-		l.unclaimed, l.superseded = true, false
-	}
-	again, err := l.listFolder()
-	for i, n := range again.segments {
-		if n == l.nextSegment {
-			again.segments = again.segments[:i]
-			break
-		}
-	}
-	return again, err
 }
 
 func (l *Log) listFolder() (folderListing, error) {
@@ -125,13 +133,13 @@
 }
 
 // nextNumber returns the number of a segment that follows all that were made: each snapshot names one, too.
-func (l *Log) nextNumber(list folderListing) (uint64, error) {
+func (l *Log) nextNumber(listing folderListing) (uint64, error) {
 	next := uint64(1)
-	if n := len(list.segments); n > 0 {
-		next = list.segments[n-1] + 1
+	if n := len(listing.segments); n > 0 {
+		next = listing.segments[n-1] + 1
 	}
-	if n := len(list.snapshots); n > 0 {
-		first, err := l.readFirstSegment(list.snapshots[n-1])
+	if n := len(listing.snapshots); n > 0 {
+		first, err := l.readFirstSegment(listing.snapshots[n-1])
 		if err != nil {
 			return 0, err
 		}
--- a/internal/system/wal/load.go
+++ b/internal/system/wal/load.go
@@ -10,38 +10,29 @@
 	firstSeq   uint64     // number of the first entry of record
 }
 
-// loadSegments replays the segments that count.
+// loadSegments replays the segments that count, and returns the entries above the snapshot.
 func (l *Log) loadSegments(numbers []uint64) ([]Entry, newestSegmentTail, error) {
 	chain, err := l.segmentChain(numbers)
 	if err != nil {
 		return nil, newestSegmentTail{}, err
 	}
-	r := replayState{}
+	state := replayState{}
 	newest := newestSegmentTail{}
-	for i, h := range chain {
-		end := int64(-1)
+	for i, header := range chain {
+		end := endUnknown
 		if i+1 < len(chain) {
 			end = chain[i+1].previous.offset
 		}
-		if newest, err = l.loadSegment(h, end, &r); err != nil {
+		if newest, err = l.loadSegment(header, end, &state); err != nil {
 			return nil, newestSegmentTail{}, err
 		}
 	}
-	l.lastSeq = max(l.snapshotSeq, r.nextSeq-min(r.nextSeq, 1))
-	if r.nextSeq > 0 && r.nextSeq <= l.snapshotSeq {
-		return nil, newestSegmentTail{}, damagedError("the log ends at %d, below its snapshot at %d", r.nextSeq-1, l.snapshotSeq)
-	}
-	entries := r.entries
-	for len(entries) > 0 && entries[0].Seq <= l.snapshotSeq {
-		entries = entries[1:]
-	}
-	if len(entries) > 0 && entries[0].Seq != l.snapshotSeq+1 {
-		return nil, newestSegmentTail{}, damagedError("the log begins at %d, its snapshot ends at %d", entries[0].Seq, l.snapshotSeq)
-	}
-	l.batches = r.batches
-	for len(l.batches) > 0 && l.batches[0].lastSeq <= l.snapshotSeq {
-		l.batches = l.batches[1:]
+	entries, err := state.entriesAbove(l.snapshotSeq)
+	if err != nil {
+		return nil, newestSegmentTail{}, err
 	}
+	l.lastSeq = max(l.snapshotSeq, state.lastSeq())
+	l.batches = batchesAbove(state.batches, l.snapshotSeq)
 	return entries, newest, nil
 }
 
@@ -49,10 +40,10 @@
 // the one before it, and so on. The files of other segments are garbage.
 func (l *Log) segmentChain(numbers []uint64) ([]segmentHeader, error) {
 	var chain []segmentHeader
-	wanted := uint64(0)
-	for i := len(numbers) - 1; i >= 0; i-- {
-		number := numbers[i]
-		if number < l.firstSegment || wanted > 0 && number > wanted {
+	wanted := uint64(0) // the segment that the last header names; 0: any
+	for i, number := range slices.Backward(numbers) {
+		isOutside := number < l.firstSegment || wanted > 0 && number > wanted
+		if isOutside {
 			l.garbage = append(l.garbage, segmentName(number))
 			continue
 		}
@@ -111,38 +102,52 @@
 	return h, size, nil
 }
 
-// loadSegment replays one segment up to end; below 0: it is the newest, and ends with its last whole record.
+// endUnknown stands for the end of the newest segment, which no later header gives.
+const endUnknown = int64(-1)
+
+// loadSegment replays one segment up to end. The newest segment, whose end is unknown, ends with its last whole record.
 func (l *Log) loadSegment(header segmentHeader, end int64, state *replayState) (newestSegmentTail, error) {
 	content, err := l.readFile(segmentName(header.number))
 	if err != nil {
 		return newestSegmentTail{}, err
 	}
 	size := int64(len(content))
-	if end > size || end >= 0 && end < headerSize {
-		return newestSegmentTail{}, damagedError("segment %d has %d bytes, and %d count", header.number, size, end)
-	}
-	if end >= 0 {
+	isNewest := end == endUnknown
+	if !isNewest {
+		if end > size || end < headerSize {
+			return newestSegmentTail{}, damagedError("segment %d has %d bytes, and %d count", header.number, size, end)
+		}
 		content = content[:end]
 	}
 	scanner := recordScanner{content: content, nonce: header.nonce, skipChecksums: l.options.TestingKnobs.SkipRecordChecksums}
-	newest := newestSegmentTail{segmentEnd: segmentEnd{header.number, headerSize}, previous: header.previous}
-	for newest.offset < int64(len(content)) {
-		record := scanner.record(newest.offset)
+	tail, err := scanner.replay(header, state)
+	if err != nil {
+		return newestSegmentTail{}, err
+	}
+	hasRest := tail.offset < int64(len(content))
+	if hasRest && (!isNewest || scanner.hasRecordAfter(tail.offset)) {
+		return newestSegmentTail{}, damagedError("segment %d is damaged at %d", header.number, tail.offset)
+	}
+	l.segments = append(l.segments, segmentFile{header.number, tail.offset, size})
+	return tail, nil
+}
+
+// replay applies the records of a segment to state, up to the first that is torn or damaged.
+func (s recordScanner) replay(header segmentHeader, state *replayState) (newestSegmentTail, error) {
+	tail := newestSegmentTail{segmentEnd: segmentEnd{header.number, headerSize}, previous: header.previous}
+	for tail.offset < int64(len(s.content)) {
+		record := s.record(tail.offset)
 		if record == nil {
 			break
 		}
-		first, ok := state.applyRecord(record[recordHeaderSize:], header.number)
+		firstSeq, ok := state.applyRecord(record[recordHeaderSize:], header.number)
 		if !ok {
-			return newestSegmentTail{}, damagedError("segment %d has a record at %d that does not follow", header.number, newest.offset)
+			return newestSegmentTail{}, damagedError("segment %d has a record at %d that does not follow", header.number, tail.offset)
 		}
-		newest.lastRecord, newest.firstSeq = record, first
-		newest.offset += int64(len(record))
-	}
-	if newest.offset < int64(len(content)) && (end >= 0 || scanner.hasRecordAfter(newest.offset)) {
-		return newestSegmentTail{}, damagedError("segment %d is damaged at %d", header.number, newest.offset)
+		tail.lastRecord, tail.firstSeq = record, firstSeq
+		tail.offset += int64(len(record))
 	}
-	l.segments = append(l.segments, segmentFile{header.number, newest.offset, size})
-	return newest, nil
+	return tail, nil
 }
 
 // Load implements Disk. A torn end is dropped; what is returned is durable. It may be called again, and must be where a
@@ -166,23 +171,23 @@
 func (l *Log) load() (map[string][]byte, Snapshot, []Entry, error) {
 	_ = l.closeSegment()
 	*l = Log{folder: l.folder, options: l.options, meta: map[string]metaGenerations{}}
-	list, err := l.prepareFolder()
+	listing, err := l.prepareFolder()
 	if err != nil {
 		return nil, Snapshot{}, nil, err
 	}
-	meta, err := l.loadMeta(list.meta)
+	meta, err := l.loadMeta(listing.meta)
 	if err != nil {
 		return nil, Snapshot{}, nil, err
 	}
-	snapshot, err := l.loadSnapshot(list)
+	snapshot, err := l.loadSnapshot(listing)
 	if err != nil {
 		return nil, Snapshot{}, nil, err
 	}
-	entries, newest, err := l.loadSegments(list.segments)
+	entries, newest, err := l.loadSegments(listing.segments)
 	if err != nil {
 		return nil, Snapshot{}, nil, err
 	}
-	if list.hasReserve {
+	if listing.hasReserve {
 		size, err := l.fileSize(reserveName)
 		l.hasReserve = err == nil && size >= l.options.ReserveBytes
 	}
@@ -218,38 +223,42 @@
 	return meta, nil
 }
 
-// loadSnapshot reads the newest snapshot, and leaves the number of the oldest segment that counts in l.first.
-func (l *Log) loadSnapshot(list folderListing) (Snapshot, error) {
+// loadSnapshot reads the newest snapshot, and leaves the number of the oldest segment that counts in l.firstSegment.
+func (l *Log) loadSnapshot(listing folderListing) (Snapshot, error) {
 	l.firstSegment = 1
-	newest, err := l.newestHeader(list.segments)
+	newest, err := l.newestHeader(listing.segments)
 	if err != nil {
 		return Snapshot{}, err
 	}
-	for i := len(list.snapshots) - 1; i >= 0; i-- {
-		generation := list.snapshots[i]
-		l.lastGeneration = max(l.lastGeneration, generation)
-		// One that an earlier process finished after the newest segment was begun by another does not count.
-		late := generation != newest.generation && generation < newest.number<<generationShift
-		if l.snapshotGeneration > 0 || late {
-			l.garbage = append(l.garbage, snapshotName(generation))
-			continue
-		}
-		l.snapshotGeneration = generation
-	}
+	l.chooseSnapshot(listing.snapshots, newest)
 	if l.snapshotGeneration == 0 {
 		if newest.generation > 0 {
 			return Snapshot{}, damagedError("snapshot %d is missing", newest.generation)
 		}
 		return Snapshot{}, nil
 	}
-	snapshot, fields, err := l.readSnapshot(l.snapshotGeneration)
+	snapshot, info, err := l.readSnapshot(l.snapshotGeneration)
 	if err != nil {
 		return Snapshot{}, err
 	}
-	l.snapshotSeq, l.firstSegment, l.snapshotBytes = snapshot.Seq, fields.firstSegment, fields.fileBytes
+	l.snapshotSeq, l.firstSegment, l.snapshotBytes = snapshot.Seq, info.firstSegment, info.fileBytes
 	return snapshot, nil
 }
 
+// chooseSnapshot leaves the generation of the newest snapshot that counts in l.snapshotGeneration; the others are garbage. One
+// that an earlier process finished after another had begun the newest segment does not count.
+func (l *Log) chooseSnapshot(generations []uint64, newest segmentHeader) {
+	for _, generation := range slices.Backward(generations) {
+		l.lastGeneration = max(l.lastGeneration, generation)
+		late := generation != newest.generation && generation < newest.number<<generationShift
+		if l.snapshotGeneration > 0 || late {
+			l.garbage = append(l.garbage, snapshotName(generation))
+			continue
+		}
+		l.snapshotGeneration = generation
+	}
+}
+
 // newestHeader returns the header of the newest segment that is not empty; the zero one where there is none.
 func (l *Log) newestHeader(numbers []uint64) (segmentHeader, error) {
 	for _, n := range slices.Backward(numbers) {
--- a/internal/system/wal/log.go
+++ b/internal/system/wal/log.go
@@ -99,39 +99,50 @@
 
 // Open returns the log in folder, which is made if it is not there. Load must come first.
 func Open(folder string, options Options) (*Log, error) {
-	if options.FS == nil {
-		options.FS = osFS{}
+	l := &Log{folder: folder, options: options.withDefaults()}
+	if options.ReadOnly {
+		return l, nil
 	}
-	if options.MaxBytes == 0 {
-		options.MaxBytes = defaultMaxBytes
+	if err := l.ensureFolder(); err != nil {
+		return nil, err
 	}
-	if options.DiskBytes == 0 {
-		options.DiskBytes = defaultDiskBytes
+	return l, nil
+}
+
+// ensureFolder makes the log's folder where it is missing, and its name durable.
+func (l *Log) ensureFolder() error {
+	fs := l.options.FS
+	if _, err := fs.ReadDir(l.folder); errors.Is(err, os.ErrNotExist) {
+		if err := fs.MkdirAll(l.folder); err != nil {
+			return diskError(err, "make the log's folder")
+		}
+	} else if err != nil {
+		return diskError(err, "read the log's folder")
 	}
-	if options.SegmentBytes == 0 {
-		options.SegmentBytes = defaultSegmentBytes
+	// Also where the folder was there: the process that made it may have ended before this sync.
+	return diskError(fs.SyncDir(filepath.Dir(l.folder)), "sync the folder above the log")
+}
+
+func (o Options) withDefaults() Options {
+	if o.FS == nil {
+		o.FS = osFS{}
 	}
-	if options.ReserveBytes == 0 {
-		options.ReserveBytes = defaultReserveBytes
+	if o.MaxBytes == 0 {
+		o.MaxBytes = defaultMaxBytes
 	}
-	if options.Nonce == nil {
-		options.Nonce = randomNonce
+	if o.DiskBytes == 0 {
+		o.DiskBytes = defaultDiskBytes
 	}
-	if options.ReadOnly {
-		return &Log{folder: folder, options: options}, nil
+	if o.SegmentBytes == 0 {
+		o.SegmentBytes = defaultSegmentBytes
 	}
-	if _, err := options.FS.ReadDir(folder); errors.Is(err, os.ErrNotExist) {
-		if err := options.FS.MkdirAll(folder); err != nil {
-			return nil, diskError(err, "make the log's folder")
-		}
-	} else if err != nil {
-		return nil, diskError(err, "read the log's folder")
+	if o.ReserveBytes == 0 {
+		o.ReserveBytes = defaultReserveBytes
 	}
-	// Also where the folder was there: the process that made it may have ended before this sync.
-	if err := options.FS.SyncDir(filepath.Dir(folder)); err != nil {
-		return nil, diskError(err, "sync the folder above the log")
+	if o.Nonce == nil {
+		o.Nonce = randomNonce
 	}
-	return &Log{folder: folder, options: options}, nil
+	return o
 }
 
 func randomNonce() uint64 {
@@ -160,14 +171,8 @@
 	if err := l.checkWritable(); err != nil {
 		return err
 	}
-	if l.snapshotInDoubt != "" {
-		if err := l.remove(l.snapshotInDoubt); err != nil {
-			return diskError(err, "remove a snapshot that was not finished")
-		}
-		if err := l.options.FS.SyncDir(l.folder); err != nil {
-			return diskError(err, "sync the log's folder")
-		}
-		l.snapshotInDoubt = ""
+	if err := l.removeSnapshotInDoubt(); err != nil {
+		return err
 	}
 	if err := l.removeAbandonedSegment(); err != nil { // its header names the snapshot as it was
 		return err
--- a/internal/system/wal/meta.go
+++ b/internal/system/wal/meta.go
@@ -17,15 +17,7 @@
 	generations := l.meta[name]
 	err := l.withReserve(len(data), func() error {
 		generations.triedGeneration++ // never used twice: a failed one may be there
-		f, _, err := l.replaceFile(metaName(name, generations.triedGeneration), encodeFile(metaMagic, []uint64{generations.triedGeneration}, data))
-		if err == nil {
-			_ = f.Close() // it is synced
-			err = l.checkOwnership()
-		}
-		if err != nil {
-			l.garbage = append(l.garbage, metaName(name, generations.triedGeneration))
-		}
-		return err
+		return l.writeMeta(name, generations.triedGeneration, data)
 	})
 	if err == nil {
 		if generations.savedGeneration > 0 {
@@ -37,3 +29,13 @@
 	l.deleteGarbage()
 	return err
 }
+
+// writeMeta writes one generation of the metadata called name; one that failed is garbage.
+func (l *Log) writeMeta(name string, generation uint64, data []byte) error {
+	file := metaName(name, generation)
+	_, err := l.replaceOwnedFile(file, encodeFile(metaMagic, []uint64{generation}, data))
+	if err != nil {
+		l.garbage = append(l.garbage, file)
+	}
+	return err
+}
--- a/internal/system/wal/ownership.go
+++ b/internal/system/wal/ownership.go
@@ -10,8 +10,8 @@
 // kernel's memory alone, if its sync failed before the last process ended; to sync that file again would prove nothing. So its
 // last record is written again, as the start of the next segment. Where there is no room for that, a sync has to do.
 func (l *Log) takeOwnership(newest newestSegmentTail) error {
-	if err := l.options.FS.SyncDir(l.folder); err != nil {
-		return diskError(err, "sync the log's folder")
+	if err := l.syncFolder(); err != nil {
+		return err
 	}
 	l.deleteGarbage()
 	l.tail = newest.segmentEnd
@@ -89,8 +89,7 @@
 func (l *Log) claimNextSegment() error {
 	f, err := l.options.FS.Create(l.path(segmentName(l.nextSegment)))
 	if errors.Is(err, os.ErrExist) && !l.options.TestingKnobs.SkipOwnershipCheck {
-		l.superseded = true
-		return supersededError()
+		return l.supersede()
 	}
 	if err != nil && !errors.Is(err, os.ErrExist) {
 		return diskError(err, "make a segment")
@@ -117,8 +116,7 @@
 	}
 	size, err := l.fileSize(segmentName(l.tail.number))
 	if err == nil && size > l.segments[len(l.segments)-1].fileBytes {
-		l.superseded = true
-		return supersededError()
+		return l.supersede()
 	}
 	return err
 }
@@ -141,6 +139,11 @@
 		return diskError(err, "look for the next segment")
 	}
 	_ = f.Close()
+	return l.supersede()
+}
+
+// supersede ends the use of the log by this process.
+func (l *Log) supersede() error {
 	l.superseded = true
 	return supersededError()
 }
--- a/internal/system/wal/quarantine.go
+++ b/internal/system/wal/quarantine.go
@@ -17,12 +17,12 @@
 	}
 	_ = l.closeSegment()
 	l.loaded = false
-	list, err := l.listFolder()
+	listing, err := l.listFolder()
 	if err != nil {
 		return err
 	}
-	if !list.quarantineBegun {
-		if err := l.beginQuarantine(list); err != nil {
+	if !listing.quarantineBegun {
+		if err := l.beginQuarantine(listing); err != nil {
 			return err
 		}
 	}
@@ -31,20 +31,20 @@
 
 // HasQuarantine tells whether the folder holds the copy of a damaged log, so that what was promised here is not known any more.
 func (l *Log) HasQuarantine() (bool, error) {
-	list, err := l.listFolder()
-	return list.quarantineBegun || len(list.quarantined) > 0, err
+	listing, err := l.listFolder()
+	return listing.quarantineBegun || len(listing.quarantined) > 0, err
 }
 
 // beginQuarantine removes the older copy, so that what has the names of a copy from here on is of this one, and marks the log.
-func (l *Log) beginQuarantine(list folderListing) error {
-	for _, name := range list.quarantined {
+func (l *Log) beginQuarantine(listing folderListing) error {
+	for _, name := range listing.quarantined {
 		if err := l.remove(name); err != nil {
 			return diskError(err, "remove the older copy of a damaged log")
 		}
 	}
 	_ = l.remove(reserveName) // makes room for the mark
-	if err := l.options.FS.SyncDir(l.folder); err != nil {
-		return diskError(err, "sync the log's folder")
+	if err := l.syncFolder(); err != nil {
+		return err
 	}
 	f, err := l.options.FS.Create(l.path(quarantineMarkerName))
 	if err == nil {
@@ -60,8 +60,8 @@
 func (l *Log) finishQuarantine() error {
 	fs := l.options.FS
 	if !l.options.TestingKnobs.SkipQuarantineMarkerSync { // the mark lasts before anything is renamed
-		if err := fs.SyncDir(l.folder); err != nil {
-			return diskError(err, "sync the log's folder")
+		if err := l.syncFolder(); err != nil {
+			return err
 		}
 	}
 	names, err := fs.ReadDir(l.folder)
@@ -80,13 +80,13 @@
 			return diskError(err, "put "+name+" aside")
 		}
 	}
-	if err := fs.SyncDir(l.folder); err != nil {
-		return diskError(err, "sync the log's folder")
+	if err := l.syncFolder(); err != nil {
+		return err
 	}
 	if err := l.remove(quarantineMarkerName); err != nil {
 		return diskError(err, "end the putting aside")
 	}
-	return diskError(fs.SyncDir(l.folder), "sync the log's folder")
+	return l.syncFolder()
 }
 
 // recordQuarantined notes what the copy takes.
--- a/internal/system/wal/replay.go
+++ b/internal/system/wal/replay.go
@@ -9,40 +9,67 @@
 	nextSeq uint64 // number of the next entry; 0: any
 }
 
+// lastSeq returns the number of the newest entry read; 0: none.
+func (r *replayState) lastSeq() uint64 { return r.nextSeq - min(r.nextSeq, 1) }
+
+// entriesAbove returns the entries that follow a snapshot, and fails where the log does not reach it or leaves a gap after it.
+func (r *replayState) entriesAbove(snapshotSeq uint64) ([]Entry, error) {
+	if r.nextSeq > 0 && r.nextSeq <= snapshotSeq {
+		return nil, damagedError("the log ends at %d, below its snapshot at %d", r.lastSeq(), snapshotSeq)
+	}
+	entries := r.entries
+	for len(entries) > 0 && entries[0].Seq <= snapshotSeq {
+		entries = entries[1:]
+	}
+	if len(entries) > 0 && entries[0].Seq != snapshotSeq+1 {
+		return nil, damagedError("the log begins at %d, its snapshot ends at %d", entries[0].Seq, snapshotSeq)
+	}
+	return entries, nil
+}
+
 // applyRecord does what a record says, and returns the number of the first entry that it holds; false where it cannot follow the ones
 // before it.
-func (r *replayState) applyRecord(payload []byte, segment uint64) (first uint64, ok bool) {
+func (r *replayState) applyRecord(payload []byte, segment uint64) (firstSeq uint64, ok bool) {
 	reader := fields.NewReader(payload)
 	switch reader.Byte() {
 	case kindAppend:
-		var count uint64
-		first, count = reader.Uvarint(), reader.Uvarint()
-		if reader.Failed() || first == 0 || count == 0 || r.nextSeq != 0 && first != r.nextSeq {
-			return 0, false
-		}
-		for i := range count {
-			data := reader.Bytes()
-			if reader.Failed() {
-				return 0, false
-			}
-			r.entries = append(r.entries, Entry{Seq: first + i, Data: data})
-		}
-		r.nextSeq = first + count
-		r.batches = append(r.batches, batch{first, r.nextSeq - 1, segment})
+		firstSeq, ok = r.applyAppend(&reader, segment)
 	case kindTruncate:
-		after := reader.Uvarint()
+		firstSeq, ok = r.applyTruncate(&reader)
+	}
+	return firstSeq, ok && reader.Complete()
+}
+
+func (r *replayState) applyAppend(reader *fields.Reader, segment uint64) (firstSeq uint64, ok bool) {
+	firstSeq, count := reader.Uvarint(), reader.Uvarint()
+	if reader.Failed() || firstSeq == 0 || count == 0 {
+		return 0, false
+	}
+	if follows := r.nextSeq == 0 || firstSeq == r.nextSeq; !follows {
+		return 0, false
+	}
+	for i := range count {
+		data := reader.Bytes()
 		if reader.Failed() {
 			return 0, false
 		}
-		for n := len(r.entries); n > 0 && r.entries[n-1].Seq > after; n-- {
-			r.entries = r.entries[:n-1]
-		}
-		first = after + 1
-		r.batches, r.nextSeq = truncateBatches(r.batches, after), after+1
-	default:
+		r.entries = append(r.entries, Entry{Seq: firstSeq + i, Data: data})
+	}
+	r.nextSeq = firstSeq + count
+	r.batches = append(r.batches, batch{firstSeq, r.nextSeq - 1, segment})
+	return firstSeq, true
+}
+
+func (r *replayState) applyTruncate(reader *fields.Reader) (firstSeq uint64, ok bool) {
+	after := reader.Uvarint()
+	if reader.Failed() {
 		return 0, false
 	}
-	return first, reader.Complete()
+	for count := len(r.entries); count > 0 && r.entries[count-1].Seq > after; count-- {
+		r.entries = r.entries[:count-1]
+	}
+	r.batches, r.nextSeq = truncateBatches(r.batches, after), after+1
+	return after + 1, true
 }
 
 // truncateBatches drops what follows after.
@@ -55,3 +82,11 @@
 	}
 	return batches
 }
+
+// batchesAbove drops the batches that a snapshot at seq covers.
+func batchesAbove(batches []batch, seq uint64) []batch {
+	for len(batches) > 0 && batches[0].lastSeq <= seq {
+		batches = batches[1:]
+	}
+	return batches
+}
--- a/internal/system/wal/snapshot.go
+++ b/internal/system/wal/snapshot.go
@@ -1,6 +1,9 @@
 package wal
 
-import "fmt"
+import (
+	"fmt"
+	"slices"
+)
 
 func snapshotName(generation uint64) string { return fmt.Sprintf("snap-%016x", generation) }
 
@@ -17,10 +20,7 @@
 	if err := l.closeSegment(); err != nil {
 		return err
 	}
-	live := l.batches
-	for len(live) > 0 && live[0].lastSeq <= snapshot.Seq {
-		live = live[1:]
-	}
+	live := batchesAbove(l.batches, snapshot.Seq)
 	first := l.nextSegment
 	if len(live) > 0 {
 		first = live[0].segment
@@ -28,7 +28,7 @@
 	if err := l.withFreeSpace(len(snapshot.Data), func() error { return l.saveSnapshot(snapshot, first) }); err != nil {
 		return err
 	}
-	l.batches = append([]batch(nil), live...)
+	l.batches = slices.Clone(live)
 	return nil
 }
 
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// saveSnapshot makes s the snapshot, and the segment numbered first the oldest that counts.
+// saveSnapshot makes snapshot the log's, and the segment numbered firstSegment the oldest that counts.
 func (l *Log) saveSnapshot(snapshot Snapshot, firstSegment uint64) error {
 	if err := l.resolveInDoubt(); err != nil {
 		return err
@@ -54,11 +54,7 @@
 	l.lastGeneration = max(l.lastGeneration, l.tail.number<<generationShift) + 1
 	name := snapshotName(l.lastGeneration)
 	content := encodeFile(snapshotMagic, []uint64{l.lastGeneration, snapshot.Seq, firstSegment}, snapshot.Data)
-	f, renamed, err := l.replaceFile(name, content)
-	if err == nil {
-		_ = f.Close() // it is synced
-		err = l.checkOwnership()
-	}
+	renamed, err := l.replaceOwnedFile(name, content)
 	if err != nil {
 		if renamed && !l.superseded {
 			l.snapshotInDoubt = name
@@ -69,12 +65,33 @@
 	if l.snapshotGeneration > 0 {
 		l.garbage = append(l.garbage, snapshotName(l.snapshotGeneration))
 	}
-	l.snapshotSeq, l.firstSegment, l.snapshotGeneration, l.snapshotBytes = snapshot.Seq, firstSegment, l.lastGeneration, int64(len(content))
-	for len(l.segments) > 0 && l.segments[0].number < firstSegment {
+	l.snapshotSeq, l.snapshotGeneration, l.snapshotBytes = snapshot.Seq, l.lastGeneration, int64(len(content))
+	l.dropSegmentsBefore(firstSegment)
+	l.deleteGarbage()
+	l.createReserve()
+	return nil
+}
+
+// dropSegmentsBefore makes first the oldest segment that counts.
+func (l *Log) dropSegmentsBefore(first uint64) {
+	l.firstSegment = first
+	for len(l.segments) > 0 && l.segments[0].number < first {
 		l.garbage = append(l.garbage, segmentName(l.segments[0].number))
 		l.segments = l.segments[1:]
 	}
-	l.deleteGarbage()
-	l.createReserve()
+}
+
+// removeSnapshotInDoubt removes, durably, a snapshot whose saving failed after its rename.
+func (l *Log) removeSnapshotInDoubt() error {
+	if l.snapshotInDoubt == "" {
+		return nil
+	}
+	if err := l.remove(l.snapshotInDoubt); err != nil {
+		return diskError(err, "remove a snapshot that was not finished")
+	}
+	if err := l.syncFolder(); err != nil {
+		return err
+	}
+	l.snapshotInDoubt = ""
 	return nil
 }
--- a/internal/system/wal/validate.go
+++ b/internal/system/wal/validate.go
@@ -1,5 +1,8 @@
 package wal
 
+// maxMetaNameBytes bounds the names of metadata.
+const maxMetaNameBytes = 64
+
 func ValidateAppend(last uint64, entries []Entry) error {
 	for i, e := range entries {
 		if e.Seq != last+1+uint64(i) {
@@ -25,13 +28,19 @@
 
 // ValidateMetaName allows names of metadata that are safe in a file's name.
 func ValidateMetaName(name string) error {
-	if name == "" || len(name) > 64 {
-		return misuseError("metadata needs a name of 1 to 64 bytes, not %d", len(name))
+	if name == "" || len(name) > maxMetaNameBytes {
+		return misuseError("metadata needs a name of 1 to %d bytes, not %d", maxMetaNameBytes, len(name))
 	}
 	for _, r := range name {
-		if (r < 'a' || r > 'z') && (r < '0' || r > '9') && r != '_' {
+		if !isMetaNameRune(r) {
 			return misuseError("metadata name %q: use a to z, 0 to 9 and _", name)
 		}
 	}
 	return nil
 }
+
+func isMetaNameRune(r rune) bool {
+	isLetter := r >= 'a' && r <= 'z'
+	isDigit := r >= '0' && r <= '9'
+	return isLetter || isDigit || r == '_'
+}
