--- a/internal/system/wal/errors.go
+++ b/internal/system/wal/errors.go
@@ -16,13 +16,13 @@
 	ErrDamaged = errors.New("log damaged")
 	// ErrSuperseded: another process has opened the log since. End this one; what it holds that was not acknowledged may or may
 	// not be in the log of the other.
-	ErrSuperseded = errors.New("log taken over")
+	ErrSuperseded = errors.New("log superseded")
 	// ErrMisuse: the call cannot be done on this log (a gap in the numbers, a cut below the snapshot, before Load).
 	ErrMisuse = errors.New("wrong use of the log")
 )
 
 func damagedError(format string, args ...any) error {
-	return errors.Mark(errors.Newf(format+"; put this log aside and join under a new identity", args...), ErrDamaged)
+	return errors.Mark(errors.Newf(format+"; quarantine this log and join under a new identity", args...), ErrDamaged)
 }
 
 func misuseError(format string, args ...any) error {
--- a/internal/system/wal/load.go
+++ b/internal/system/wal/load.go
@@ -41,7 +41,7 @@
 func (l *Log) segmentChain(numbers []uint64) ([]segmentHeader, error) {
 	var chain []segmentHeader
 	wanted := uint64(0) // the segment that the last header names; 0: any
-	for i, number := range slices.Backward(numbers) {
+	for index, number := range slices.Backward(numbers) {
 		isOutside := number < l.firstSegment || wanted > 0 && number > wanted
 		if isOutside {
 			l.garbage = append(l.garbage, segmentName(number))
@@ -61,7 +61,7 @@
 		chain, wanted = append(chain, header), header.previous.number
 		if wanted < l.firstSegment {
 			wanted = 0
-			l.garbage = appendSegmentNames(l.garbage, numbers[:i])
+			l.garbage = appendSegmentNames(l.garbage, numbers[:index])
 			break
 		}
 	}
--- a/internal/system/wal/ownership.go
+++ b/internal/system/wal/ownership.go
@@ -40,16 +40,16 @@
 // trimSegments cuts off what segments have behind their ends. What cannot be cut off is counted as taken.
 func (l *Log) trimSegments() {
 	for i := range l.segments {
-		s := &l.segments[i]
-		if s.fileBytes <= s.liveBytes {
+		file := &l.segments[i]
+		if file.fileBytes <= file.liveBytes {
 			continue
 		}
-		f, err := l.options.FS.Open(l.path(segmentName(s.number)))
+		f, err := l.options.FS.Open(l.path(segmentName(file.number)))
 		if err != nil {
 			continue
 		}
-		if f.Truncate(s.liveBytes) == nil {
-			s.fileBytes = s.liveBytes
+		if f.Truncate(file.liveBytes) == nil {
+			file.fileBytes = file.liveBytes
 		}
 		_ = f.Close()
 	}
@@ -75,8 +75,8 @@
 		return err
 	}
 	for i := range l.batches {
-		if b := &l.batches[i]; b.segment == newest.number && b.firstSeq >= newest.firstSeq {
-			b.segment = l.tail.number
+		if moved := &l.batches[i]; moved.segment == newest.number && moved.firstSeq >= newest.firstSeq {
+			moved.segment = l.tail.number
 		}
 	}
 	if emptied {
--- a/internal/system/wal/quarantine.go
+++ b/internal/system/wal/quarantine.go
@@ -39,7 +39,7 @@
 func (l *Log) beginQuarantine(listing folderListing) error {
 	for _, name := range listing.quarantined {
 		if err := l.remove(name); err != nil {
-			return diskError(err, "remove the older copy of a damaged log")
+			return diskError(err, "remove the older quarantined log")
 		}
 	}
 	_ = l.remove(reserveName) // makes room for the mark
@@ -53,7 +53,7 @@
 	if errors.Is(err, os.ErrExist) {
 		err = nil
 	}
-	return diskError(err, "mark the log as put aside")
+	return diskError(err, "make the quarantine marker")
 }
 
 // finishQuarantine renames the files of a log that is marked, and takes the mark away.
@@ -77,14 +77,14 @@
 			err = fs.Rename(l.path(name), l.path(quarantinePrefix+name))
 		}
 		if err != nil {
-			return diskError(err, "put "+name+" aside")
+			return diskError(err, "quarantine "+name)
 		}
 	}
 	if err := l.syncFolder(); err != nil {
 		return err
 	}
 	if err := l.remove(quarantineMarkerName); err != nil {
-		return diskError(err, "end the putting aside")
+		return diskError(err, "remove the quarantine marker")
 	}
 	return l.syncFolder()
 }
--- a/internal/system/wal/segment.go
+++ b/internal/system/wal/segment.go
@@ -39,8 +39,8 @@
 		return diskError(err, "write to a segment")
 	}
 	l.tail.offset += int64(len(record))
-	s := &l.segments[len(l.segments)-1]
-	s.liveBytes, s.fileBytes = l.tail.offset, l.tail.offset
+	file := &l.segments[len(l.segments)-1]
+	file.liveBytes, file.fileBytes = l.tail.offset, l.tail.offset
 	return nil
 }
 
@@ -52,22 +52,22 @@
 		_ = l.closeSegment()
 		return
 	}
-	s := &l.segments[len(l.segments)-1]
-	s.fileBytes = size
-	if l.activeSegment.Truncate(s.liveBytes) == nil {
-		s.fileBytes = s.liveBytes
+	file := &l.segments[len(l.segments)-1]
+	file.fileBytes = size
+	if l.activeSegment.Truncate(file.liveBytes) == nil {
+		file.fileBytes = file.liveBytes
 	}
 	if l.options.TestingKnobs.ReuseSegmentAfterFailedSync {
 		return
 	}
 	l.tailInDoubt = true
 	_ = l.closeSegment()
-	if s.liveBytes > headerSize {
+	if file.liveBytes > headerSize {
 		return
 	}
 	// It holds nothing, so its number and place are free.
-	l.abandonedSegment = segmentName(s.number)
-	l.nextSegment, l.tail = s.number, l.tailBeforeActive
+	l.abandonedSegment = segmentName(file.number)
+	l.nextSegment, l.tail = file.number, l.tailBeforeActive
 	l.segments = l.segments[:len(l.segments)-1]
 	_ = l.removeAbandonedSegment()
 }
--- a/internal/system/wal/validate.go
+++ b/internal/system/wal/validate.go
@@ -14,7 +14,7 @@
 
 func ValidateTruncate(snapshot, after uint64) error {
 	if after < snapshot {
-		return misuseError("cut after %d is below the snapshot at %d: install an older snapshot instead", after, snapshot)
+		return misuseError("truncation after %d is below the snapshot at %d: install an older snapshot instead", after, snapshot)
 	}
 	return nil
 }
