--- a/internal/system/wal/errors.go
+++ b/internal/system/wal/errors.go
@@ -7,17 +7,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kinds of errors of a Disk; test with errors.Is of cockroachdb/errors, which sees marks.
+// Kinds of errors of a Disk. Test for them with errors.Is of github.com/cockroachdb/errors: they are attached as marks, which the
+// standard library does not see.
 var (
-	// ErrFull: no room. The log holds what it held; the call works again once there is room.
+	// ErrFull reports that the disk, or the log's own bound, has no space left. Nothing has changed; the call succeeds once there
+	// is space. Compact frees the space of the entries that it covers.
 	ErrFull = errors.New("disk full")
-	// ErrDamaged: what the disk holds contradicts itself elsewhere than at its torn end. Put it aside and start
-	// under a new identity.
+	// ErrDamaged reports a log that contradicts itself elsewhere than at its torn end. Quarantine it and join under a new identity.
 	ErrDamaged = errors.New("log damaged")
-	// ErrSuperseded: another process has opened the log since. End this one; what it holds that was not acknowledged may or may
-	// not be in the log of the other.
+	// ErrSuperseded reports that another process has opened the log since. End this process; changes of it that were not
+	// acknowledged may or may not be in the log of the other.
 	ErrSuperseded = errors.New("log superseded")
-	// ErrMisuse: the call cannot be done on this log (a gap in the numbers, a cut below the snapshot, before Load).
+	// ErrMisuse reports a call that this log cannot carry out: a gap in the sequence numbers, a truncation below the snapshot, a
+	// change before Load or on a log opened with Options.ReadOnly.
 	ErrMisuse = errors.New("wrong use of the log")
 )
 
@@ -33,7 +35,7 @@
 	return errors.Mark(errors.New("another process has opened this log: end one of the two"), ErrSuperseded)
 }
 
-// diskError says what failed, and marks it where there was no room.
+// diskError says which operation failed, and marks the error as ErrFull where the disk had no space.
 func diskError(err error, what string) error {
 	if err == nil {
 		return nil
--- a/internal/system/wal/filecodec.go
+++ b/internal/system/wal/filecodec.go
@@ -7,7 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// encodeFile wraps what a snapshot or a piece of metadata holds.
+// encodeFile encodes the file of a snapshot or of a piece of metadata: magic, fields, length of data, data and a checksum of all
+// these, each number in 8 bytes, little endian.
 func encodeFile(magic []byte, fields []uint64, data []byte) []byte {
 	b := append(make([]byte, 0, len(magic)+8*len(fields)+len(data)+16), magic...)
 	for _, f := range fields {
@@ -18,7 +19,8 @@
 	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
-// decodeFile returns the fields and the data of what encodeFile made; data shares the memory of b.
+// decodeFile decodes what encodeFile made, with the number of fields given; false where b is not such a file. The data shares the
+// memory of b.
 func decodeFile(b, magic []byte, fields int) ([]uint64, []byte, bool) {
 	head := len(magic) + 8*fields + 8
 	if len(b) < head+8 || !bytes.HasPrefix(b, magic) ||
--- a/internal/system/wal/files.go
+++ b/internal/system/wal/files.go
@@ -8,8 +8,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// replaceFile writes a file under a temporary name, syncs it, gives it its name and makes that durable. It returns the file, open.
-// renamed tells whether the name may be there in spite of an error.
+// replaceFile writes a file under a temporary name, syncs it, renames it to name and syncs the folder. It returns the file, open.
+// renamed tells whether name may exist in spite of an error.
 func (l *Log) replaceFile(name string, content []byte) (f File, renamed bool, err error) {
 	temporary := name + temporarySuffix
 	f, err = l.writeTemporary(name, content)
@@ -29,7 +29,7 @@
 	return f, true, nil
 }
 
-// writeTemporary makes the file that is to become name under its temporary name, and syncs it.
+// writeTemporary writes the file that is to become name under its temporary name, and syncs it.
 func (l *Log) writeTemporary(name string, content []byte) (File, error) {
 	temporary := name + temporarySuffix
 	f, err := l.createNew(temporary)
@@ -48,7 +48,7 @@
 	return f, nil
 }
 
-// replaceOwnedFile is replaceFile for a change of its own: it fails where another process has taken the log over meanwhile.
+// replaceOwnedFile is replaceFile followed by a check that no other process has opened the log meanwhile. It closes the file.
 func (l *Log) replaceOwnedFile(name string, content []byte) (renamed bool, err error) {
 	f, renamed, err := l.replaceFile(name, content)
 	if err != nil {
@@ -58,22 +58,22 @@
 	return renamed, l.checkOwnership()
 }
 
-// maxGarbage bounds what is remembered; Load finds the rest.
+// maxGarbage bounds the number of names that are remembered; Load finds the rest.
 const maxGarbage = 256
 
-// deleteGarbage deletes what counts no more. What cannot be deleted now is tried again later.
+// deleteGarbage deletes files that are not live any more. A file that cannot be deleted is retried at the next call.
 func (l *Log) deleteGarbage() {
-	kept := l.garbage[:0]
+	remaining := l.garbage[:0]
 	for _, name := range l.garbage {
 		if err := l.options.FS.Remove(l.path(name)); err != nil && !errors.Is(err, os.ErrNotExist) {
-			kept = append(kept, name)
+			remaining = append(remaining, name)
 		}
 	}
-	l.garbage = kept[max(0, len(kept)-maxGarbage):]
+	l.garbage = remaining[max(0, len(remaining)-maxGarbage):]
 }
 
-// createNew makes an empty file in place of one of that name that counts no more. The old file is not written again, since a
-// sync of it may have failed.
+// createNew creates an empty file in place of one of that name that is not live. The old file is not written again, since a sync
+// of it may have failed.
 func (l *Log) createNew(name string) (File, error) {
 	if err := l.remove(name); err != nil {
 		return nil, err
@@ -115,7 +115,7 @@
 
 func (l *Log) path(name string) string { return filepath.Join(l.folder, name) }
 
-// remove deletes a file that may be missing.
+// remove deletes a file. It is no error where the file is missing.
 func (l *Log) remove(name string) error {
 	err := l.options.FS.Remove(l.path(name))
 	if errors.Is(err, os.ErrNotExist) {
@@ -124,7 +124,7 @@
 	return err
 }
 
-// syncFolder makes the names that were made, renamed and removed in the log's folder durable.
+// syncFolder makes creations, renames and removals in the log's folder durable.
 func (l *Log) syncFolder() error {
 	return diskError(l.options.FS.SyncDir(l.folder), "sync the log's folder")
 }
--- a/internal/system/wal/folder.go
+++ b/internal/system/wal/folder.go
@@ -10,27 +10,29 @@
 	"github.com/cockroachdb/errors"
 )
 
-// generationShift: the upper part of a generation is the number of the newest segment when it was made. Each process begins
-// with a segment of its own, so its generations are higher than those of any process that had the log before it.
+// generationShift is the number of bits below the segment number in a generation. The upper part is the number of the newest
+// segment at that time. Each process begins with a segment of its own, so its generations are above those of every process
+// before it.
 const generationShift = 24
 
 const (
 	reserveName          = "reserve"
-	quarantineMarkerName = "putting-aside" // while it is there, the log's files are to be renamed
+	quarantineMarkerName = "putting-aside" // while it is present, the log's files are to be renamed
 	quarantinePrefix     = "damaged-"
 	temporarySuffix      = ".tmp"
 )
 
-// folderListing is what the names in the folder tell.
+// folderListing sorts the names in the log's folder by what they are.
 type folderListing struct {
 	segments, snapshots []uint64            // ascending
 	meta                map[string][]uint64 // generations, ascending
 	temporary           []string
-	quarantined         []string // files of the copy that was put aside
+	quarantined         []string // files of the quarantined copy
 	hasReserve          bool
-	quarantineBegun     bool // putting aside is under way
+	quarantineBegun     bool // the marker is present: renaming is not finished
 }
 
+// parseFolder ignores names that no log makes.
 func parseFolder(names []string) folderListing {
 	listing := folderListing{meta: map[string][]uint64{}}
 	for _, name := range names {
@@ -67,6 +69,7 @@
 	return listing
 }
 
+// parseNumber reads the number of a segment or generation as file names have it: 16 hexadecimal digits.
 func parseNumber(s string) (uint64, bool) {
 	n, err := strconv.ParseUint(s, 16, 64)
 	return n, err == nil && len(s) == 16
@@ -92,7 +95,7 @@
 	if l.nextSegment, err = l.nextNumber(listing); err != nil {
 		return listing, err
 	}
-	if l.claimNextSegment() != nil { // the disk is full or refuses; what is there can still be read
+	if l.claimNextSegment() != nil { // the disk is full or refuses writes; what is stored can still be read
 		l.unclaimed, l.superseded = true, false
 	}
 	listing, err = l.listFolder()
@@ -132,7 +135,7 @@
 	return parseFolder(names), diskError(err, "read the log's folder")
 }
 
-// nextNumber returns the number of a segment that follows all that were made: each snapshot names one, too.
+// nextNumber returns a number above those of all segments that were made; a snapshot may name one whose file is deleted.
 func (l *Log) nextNumber(listing folderListing) (uint64, error) {
 	next := uint64(1)
 	if n := len(listing.segments); n > 0 {
@@ -148,8 +151,8 @@
 	return next, nil
 }
 
-// readFirstSegment reads the number of the oldest segment that counts out of a snapshot's file, without a check of the whole; 0: there
-// is none.
+// readFirstSegment reads the number of the oldest live segment out of a snapshot's file, without verifying its checksum. It
+// returns 0 for a file that is too short, which loadSnapshot reports as damaged.
 func (l *Log) readFirstSegment(generation uint64) (uint64, error) {
 	name := snapshotName(generation)
 	f, err := l.options.FS.Open(l.path(name))
@@ -159,7 +162,7 @@
 	defer func() { _ = f.Close() }()
 	var b [snapshotFirstSegmentOffset + 8]byte
 	switch _, err := f.ReadAt(b[:], 0); {
-	case errors.Is(err, io.EOF): // it is damaged, as loadSnapshot will find
+	case errors.Is(err, io.EOF): // it is damaged, as loadSnapshot will find out
 		return 0, nil
 	case err != nil:
 		return 0, diskError(err, "read "+name)
--- a/internal/system/wal/fs.go
+++ b/internal/system/wal/fs.go
@@ -5,12 +5,12 @@
 	"os"
 )
 
-// FS is what a Log needs of a file system. Names are paths.
+// FS is the part of a file system that a Log uses. Names are paths.
 type FS interface {
 	MkdirAll(folder string) error
 	ReadDir(folder string) ([]string, error) // names inside, without the folder
 	Open(name string) (File, error)          // to read and write
-	Create(name string) (File, error)        // new, to read and write; os.ErrExist where the name is taken
+	Create(name string) (File, error)        // new, to read and write; os.ErrExist where the name exists
 	Rename(from, to string) error
 	Remove(name string) error
 	SyncDir(folder string) error // makes names created, renamed and removed in folder durable
--- a/internal/system/wal/header.go
+++ b/internal/system/wal/header.go
@@ -7,15 +7,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-const snapshotFirstSegmentOffset = 8 + 2*8 // where in a snapshot's file the number of the oldest segment that counts stands
+// snapshotFirstSegmentOffset is the offset of the oldest live segment's number in a snapshot's file, in bytes.
+const snapshotFirstSegmentOffset = 8 + 2*8
 
-// segmentEnd names a segment and the bytes of it that count. The zero segmentEnd names none.
+// segmentEnd is a segment's live end. The zero value names no segment.
 type segmentEnd struct {
 	number uint64
-	offset int64
+	offset int64 // bytes from the start of the file
 }
 
-// segmentHeader is what stands at the start of a segment.
+// segmentHeader is the start of a segment's file.
 type segmentHeader struct {
 	number     uint64
 	previous   segmentEnd
@@ -33,7 +34,7 @@
 	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
-// decodeSegmentHeader reads the header of the segment with the number.
+// decodeSegmentHeader decodes the header of the segment called number; ok is false where the bytes are not such a header.
 func decodeSegmentHeader(b []byte, number uint64) (h segmentHeader, ok bool) {
 	if len(b) < headerSize {
 		return segmentHeader{}, false
--- a/internal/system/wal/load.go
+++ b/internal/system/wal/load.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// newestSegmentTail is what Load found last in the newest segment. The zero one: there is none.
+// newestSegmentTail is the end of the newest segment as Load found it. The zero value: there is no segment.
 type newestSegmentTail struct {
-	segmentEnd            // where it ends
-	previous   segmentEnd // as its header has it
-	lastRecord []byte     // its last record; nil: it holds none
-	firstSeq   uint64     // number of the first entry of record
+	segmentEnd            // behind its last record
+	previous   segmentEnd // as its header names it
+	lastRecord []byte     // nil: the segment has no record
+	firstSeq   uint64     // of the first entry of lastRecord
 }
 
-// loadSegments replays the segments that count, and returns the entries above the snapshot.
+// loadSegments replays the live segments and returns the entries above the snapshot.
 func (l *Log) loadSegments(numbers []uint64) ([]Entry, newestSegmentTail, error) {
 	chain, err := l.segmentChain(numbers)
 	if err != nil {
@@ -36,8 +36,8 @@
 	return entries, newest, nil
 }
 
-// segmentChain returns the headers of the segments that count, oldest first: the newest that is not empty, the one that it names as
-// the one before it, and so on. The files of other segments are garbage.
+// segmentChain returns the headers of the live segments, oldest first: the newest that is not empty, its predecessor by its
+// header, and so on down to l.firstSegment. The files of other segments are garbage.
 func (l *Log) segmentChain(numbers []uint64) ([]segmentHeader, error) {
 	var chain []segmentHeader
 	wanted := uint64(0) // the segment that the last header names; 0: any
@@ -54,7 +54,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if size == 0 && wanted == 0 { // its making was cut short
+		if size == 0 && wanted == 0 { // its creation was interrupted
 			l.garbage = append(l.garbage, segmentName(number))
 			continue
 		}
@@ -79,7 +79,7 @@
 	return names
 }
 
-// readSegmentHeader returns the header, and the size of the file; one that is empty has no header.
+// readSegmentHeader returns the header and the size of the file. An empty file has no header.
 func (l *Log) readSegmentHeader(number uint64) (segmentHeader, int64, error) {
 	name := segmentName(number)
 	f, err := l.options.FS.Open(l.path(name))
@@ -150,9 +150,8 @@
 	return tail, nil
 }
 
-// Load implements Disk. A torn end is dropped; what is returned is durable. It may be called again, and must be where a
-// call has failed that it cannot recover from by itself. Another process that still has the log open can acknowledge nothing
-// more.
+// Load implements Disk. A torn end is dropped; what it returns is durable. It may be called again, which reads the disk anew.
+// Another process that still has the log open can acknowledge nothing from here on.
 func (l *Log) Load() (map[string][]byte, Snapshot, []Entry, error) {
 	meta, snapshot, entries, err := l.load()
 	if err != nil {
@@ -201,7 +200,7 @@
 }
 
 // loadMeta reads the newest generation of each piece of metadata. A file has its name only once it is synced, so the
-// newest one is whole, and to take an older one would be to forget a promise.
+// newest one is complete, and to return an older one would be to forget a promise.
 func (l *Log) loadMeta(all map[string][]uint64) (map[string][]byte, error) {
 	meta := make(map[string][]byte, len(all))
 	for name, generations := range all {
@@ -223,7 +222,7 @@
 	return meta, nil
 }
 
-// loadSnapshot reads the newest snapshot, and leaves the number of the oldest segment that counts in l.firstSegment.
+// loadSnapshot reads the newest snapshot, and sets l.firstSegment to the oldest live segment.
 func (l *Log) loadSnapshot(listing folderListing) (Snapshot, error) {
 	l.firstSegment = 1
 	newest, err := l.newestHeader(listing.segments)
@@ -245,8 +244,8 @@
 	return snapshot, nil
 }
 
-// chooseSnapshot leaves the generation of the newest snapshot that counts in l.snapshotGeneration; the others are garbage. One
-// that an earlier process finished after another had begun the newest segment does not count.
+// chooseSnapshot sets l.snapshotGeneration to the newest valid snapshot; the others are garbage. One that a superseded process
+// finished after the newest segment had been begun is not valid.
 func (l *Log) chooseSnapshot(generations []uint64, newest segmentHeader) {
 	for _, generation := range slices.Backward(generations) {
 		l.lastGeneration = max(l.lastGeneration, generation)
@@ -269,9 +268,9 @@
 	return segmentHeader{}, nil
 }
 
-// snapshotFileInfo are what a snapshot's file holds beside the snapshot.
+// snapshotFileInfo is what a snapshot's file says beside the snapshot.
 type snapshotFileInfo struct {
-	firstSegment uint64 // oldest segment that counts
+	firstSegment uint64 // oldest live segment
 	fileBytes    int64  // size of the file
 }
 
--- a/internal/system/wal/log.go
+++ b/internal/system/wal/log.go
@@ -19,44 +19,45 @@
 
 // Options configure a Log. Zero values mean the defaults.
 type Options struct {
-	FS           FS            // default: the operating system's
-	MaxBytes     int64         // of segments and snapshot, above which Append fails with ErrFull; default 40 MiB
-	DiskBytes    int64         // of all files, above which the copy of a damaged log is dropped; default 60 MB
-	SegmentBytes int64         // a segment that is larger is ended; default 2 MiB
-	ReserveBytes int64         // kept for metadata and truncations on a full disk; default 64 KiB, below 0: none
-	Nonce        func() uint64 // default: random
-	ReadOnly     bool          // nothing is changed, and no other process loses the log; what Load returns need not last
-
-	TestingKnobs TestingKnobs
+	FS FS // default: the operating system's
+
+	// MaxBytes bounds segments and snapshot: Append fails with ErrFull where they would exceed it. Default 40 MiB.
+	MaxBytes int64
+	// DiskBytes bounds all files: above it the quarantined copy is dropped. Default 60 MB.
+	DiskBytes int64
+	// SegmentBytes is the size from which a segment is ended. Default 2 MiB.
+	SegmentBytes int64
+	// ReserveBytes are reserved for metadata and truncations on a full disk. Default 64 KiB; negative: none.
+	ReserveBytes int64
+
+	// Nonce draws the nonce of a segment. Default: 64 random bits.
+	Nonce func() uint64
+	// ReadOnly opens the log for inspection: nothing is changed, no process loses the log, and what Load returns need not be
+	// durable.
+	ReadOnly bool
+
+	TestingKnobs TestingKnobs // zero in production
 }
 
-// TestingKnobs take protections out, for the tests that show what each is for.
+// TestingKnobs switch protections off, for the tests that show that each is needed.
 type TestingKnobs struct {
-	SkipRecordChecksums         bool // records are taken without a look at their checksums
-	ReuseSegmentAfterFailedSync bool // after a failed sync the log goes on in the same file
-	TrustNewestSegment          bool // Load syncs the newest segment and believes that
-	SkipOwnershipCheck          bool // no look for another process that has opened the log
-	SkipQuarantineMarkerSync    bool // a log is put aside though its mark may not last
+	SkipRecordChecksums         bool // records are accepted without verifying their checksums
+	ReuseSegmentAfterFailedSync bool // after a failed sync the same file is written on
+	TrustNewestSegment          bool // Load syncs the newest segment in place of rewriting its last record
+	SkipOwnershipCheck          bool // another process that has opened the log is not noticed
+	SkipQuarantineMarkerSync    bool // files are renamed before the quarantine's marker is durable
 }
 
-// Log is a Disk in one folder: segments of records, each written at the end and synced; a snapshot below them; metadata.
-// Snapshots, metadata and the starts of segments are files written under a temporary name, synced, renamed and made durable by
-// a sync of the folder. A truncation is a record of its own, so the log only ever grows at its end, and a crash leaves a prefix
-// of what was done. After a write or sync that failed, the file is not written again: the log goes on in a new segment, whose
-// header tells how much of the former counts.
-//
-// A process that loads the log makes the next segment first, so that another one that still has the log open finds it there
-// before it acknowledges anything more. Errors are of kind ErrFull, ErrDamaged, ErrSuperseded and ErrMisuse, or the file
-// system's. A Log is used by one goroutine at a time.
+// Log is a Disk in one folder. The package comment describes how it stays durable. A Log is used by one goroutine at a time.
 type Log struct {
 	folder     string
 	options    Options
 	loaded     bool
-	superseded bool // another process has the log
+	superseded bool // another process has opened the log
 
-	snapshotSeq    uint64 // its number; 0: none
-	firstSegment   uint64 // number of the oldest segment that counts
-	lastGeneration uint64 // of the newest snapshot tried
+	snapshotSeq    uint64 // 0: there is no snapshot
+	firstSegment   uint64 // number of the oldest live segment
+	lastGeneration uint64 // of the newest snapshot whose saving was begun
 	snapshotBytes  int64
 
 	snapshotGeneration uint64 // 0: there is no snapshot
@@ -64,40 +65,43 @@
 	batches          []batch // live entries, oldest first
 	lastSeq          uint64
 	segments         []segmentFile // on disk, oldest first
-	activeSegment    File          // the newest of segments; nil: it is ended, or there is none
-	activeNonce      uint64        // of active
-	nextSegment      uint64        // of the next segment
-	tail             segmentEnd    // the newest segment made and its end, for the next one's header
-	tailBeforeActive segmentEnd    // tail as it was when active was made
-	unclaimed        bool          // Load could not make the next segment
-	tailInDoubt      bool          // a record behind the end of tail, or in leftover, may be on disk
-
-	snapshotInDoubt  string                     // a snapshot that may or may not be there
-	abandonedSegment string                     // a segment of the next number that did not come about
+	activeSegment    File          // the newest of segments; nil: the next record begins another
+	activeNonce      uint64        // of activeSegment
+	nextSegment      uint64        // its number
+	tail             segmentEnd    // the newest segment and its live end, for the next one's header
+	tailBeforeActive segmentEnd    // tail as it was when activeSegment was made
+	unclaimed        bool          // Load could not create the next segment
+	tailInDoubt      bool          // a record behind tail, or in abandonedSegment, may be on disk
+
+	snapshotInDoubt  string                     // file of a snapshot whose saving failed after the rename
+	abandonedSegment string                     // file of number nextSegment whose making failed
 	meta             map[string]metaGenerations // by name
-	garbage          []string                   // files that count no more
+	garbage          []string                   // files to delete
 	hasReserve       bool                       // the reserve is on disk
 
-	quarantinedFiles []string // files of the copy that was put aside
+	quarantinedFiles []string // files of the quarantined copy
 	quarantinedBytes int64
 }
 
-// batch is what one record appended, as far as it is live.
+// batch is the entries that one record appended, as far as they are live.
 type batch struct{ firstSeq, lastSeq, segment uint64 }
 
-// segmentFile is a file of the log.
+// segmentFile is a segment and the disk space it takes.
 type segmentFile struct {
 	number    uint64
-	liveBytes int64 // bytes that count
-	fileBytes int64 // bytes that the file may have
+	liveBytes int64 // up to the last live record
+	fileBytes int64 // upper bound of the file's size
 }
 
-// metaGenerations holds generations of one piece of metadata.
-type metaGenerations struct{ savedGeneration, triedGeneration uint64 }
+// metaGenerations are generations of one piece of metadata.
+type metaGenerations struct {
+	savedGeneration uint64 // the current one; 0: none
+	triedGeneration uint64 // the newest that may be on disk
+}
 
 var _ Disk = (*Log)(nil)
 
-// Open returns the log in folder, which is made if it is not there. Load must come first.
+// Open returns the log in folder, which is made where it is missing. Load must be the first call on it.
 func Open(folder string, options Options) (*Log, error) {
 	l := &Log{folder: folder, options: options.withDefaults()}
 	if options.ReadOnly {
@@ -151,13 +155,13 @@
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-// Close ends the use of the log. Nothing needs to be written for it.
+// Close ends the use of the log. Nothing is written.
 func (l *Log) Close() error {
 	l.loaded = false
 	return l.closeSegment()
 }
 
-// Size returns what segments and snapshot take, which MaxBytes bounds.
+// Size returns the bytes of segments and snapshot, which Options.MaxBytes bounds.
 func (l *Log) Size() int64 {
 	n := l.snapshotBytes
 	for _, s := range l.segments {
@@ -166,7 +170,7 @@
 	return n
 }
 
-// resolveInDoubt makes the log ready for a change: what an earlier failure left undecided is decided as not done.
+// resolveInDoubt makes the log ready for a change: what an earlier failure left in doubt is resolved as not done.
 func (l *Log) resolveInDoubt() error {
 	if err := l.checkWritable(); err != nil {
 		return err
@@ -183,6 +187,7 @@
 	return nil
 }
 
+// checkWritable tells why the log accepts no change; nil where it does.
 func (l *Log) checkWritable() error {
 	switch {
 	case l.superseded:
@@ -195,7 +200,7 @@
 	return nil
 }
 
-// Append implements Disk. Entries that come in one call are all there after a crash or none is.
+// Append implements Disk. It fails with ErrFull above Options.MaxBytes.
 func (l *Log) Append(entries []Entry) error {
 	if err := l.resolveInDoubt(); err != nil {
 		return err
@@ -215,7 +220,7 @@
 	return nil
 }
 
-// Truncate implements Disk. It works at MaxBytes, too.
+// Truncate implements Disk. It works at Options.MaxBytes and on a full disk, too.
 func (l *Log) Truncate(after uint64) error {
 	if err := l.resolveInDoubt(); err != nil {
 		return err
--- a/internal/system/wal/meta.go
+++ b/internal/system/wal/meta.go
@@ -6,7 +6,7 @@
 	return fmt.Sprintf("meta-%s-%016x", name, generation)
 }
 
-// SaveMeta implements Disk. Names have 1 to 64 bytes of a to z, 0 to 9 and _. It works at MaxBytes, too.
+// SaveMeta implements Disk. Names have 1 to 64 bytes of a to z, 0 to 9 and _. It works at Options.MaxBytes, too.
 func (l *Log) SaveMeta(name string, data []byte) error {
 	if err := l.checkWritable(); err != nil {
 		return err
@@ -16,7 +16,7 @@
 	}
 	generations := l.meta[name]
 	err := l.withReserve(len(data), func() error {
-		generations.triedGeneration++ // never used twice: a failed one may be there
+		generations.triedGeneration++ // never reused: a failed one may be on disk
 		return l.writeMeta(name, generations.triedGeneration, data)
 	})
 	if err == nil {
--- a/internal/system/wal/ownership.go
+++ b/internal/system/wal/ownership.go
@@ -6,9 +6,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// takeOwnership makes what was loaded durable, and the log's own from here on. What the newest segment ends with may be in the
-// kernel's memory alone, if its sync failed before the last process ended; to sync that file again would prove nothing. So its
-// last record is written again, as the start of the next segment. Where there is no room for that, a sync has to do.
+// takeOwnership makes what was loaded durable, and later changes this process's own. The last record of the newest segment may be
+// in the kernel's memory only, if its sync failed before the last process ended, and another sync of that file would prove
+// nothing. So that record is written again as the start of the next segment. Where the disk is too full for that, a sync must do.
 func (l *Log) takeOwnership(newest newestSegmentTail) error {
 	if err := l.syncFolder(); err != nil {
 		return err
@@ -37,7 +37,7 @@
 	return diskError(f.Sync(), "sync the newest segment")
 }
 
-// trimSegments cuts off what segments have behind their ends. What cannot be cut off is counted as taken.
+// trimSegments truncates segments to their live ends. Bytes that cannot be truncated stay in Size.
 func (l *Log) trimSegments() {
 	for i := range l.segments {
 		file := &l.segments[i]
@@ -61,7 +61,7 @@
 	l.tail.offset -= int64(len(newest.lastRecord))
 	emptied := newest.number > 0 && l.tail.offset == headerSize
 	switch {
-	case emptied: // then it is not needed any more
+	case emptied: // then its file is not needed any more
 		l.tail = newest.previous
 		l.segments = segments[:len(segments)-1]
 	case newest.number > 0:
@@ -85,7 +85,8 @@
 	return nil
 }
 
-// claimNextSegment makes the next segment's file, empty.
+// claimNextSegment creates the next segment's empty file. The creation is exclusive: where the file exists, another process owns
+// the log.
 func (l *Log) claimNextSegment() error {
 	f, err := l.options.FS.Create(l.path(segmentName(l.nextSegment)))
 	if errors.Is(err, os.ErrExist) && !l.options.TestingKnobs.SkipOwnershipCheck {
@@ -109,7 +110,7 @@
 	return nil
 }
 
-// checkTailUnchanged fails where the newest segment has grown since it was loaded without a fence.
+// checkTailUnchanged fails where the newest segment has grown since it was loaded without a claim.
 func (l *Log) checkTailUnchanged() error {
 	if len(l.segments) == 0 || l.segments[len(l.segments)-1].number != l.tail.number {
 		return nil
@@ -121,14 +122,14 @@
 	return err
 }
 
-// checkOwnership fails where another process has opened the log since: it has made the next segment. What this one wrote before that
-// was there has been read by the other one; what it wrote later must not be acknowledged.
+// checkOwnership fails where another process has claimed the next segment. That process has read what this one synced before the
+// claim; what this one synced later must not be acknowledged.
 func (l *Log) checkOwnership() error {
 	if l.options.TestingKnobs.SkipOwnershipCheck {
 		return nil
 	}
 	next := l.nextSegment
-	if l.abandonedSegment != "" { // a file of its own has that number
+	if l.abandonedSegment != "" { // then the file of that number is this process's own
 		next++
 	}
 	f, err := l.options.FS.Open(l.path(segmentName(next)))
--- a/internal/system/wal/quarantine.go
+++ b/internal/system/wal/quarantine.go
@@ -7,9 +7,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Quarantine sets the log's files apart under other names in the same folder, durably, for staff to look at; Load is to be called
-// afterwards, and finds an empty log. It is for a log that Load or its reader has found damaged. One copy is kept, the newest;
-// it is dropped when its room is needed. Cut short, it is finished by the next Load, so that nothing is served of a log of which
+// Quarantine renames the log's files within the folder, durably, for inspection. It is for a log that Load, or the reader of what
+// it returned, has found damaged. Load must be called next and finds an empty log. Only the newest copy is preserved, and it is
+// dropped when its space is needed. Load finishes a quarantine that was interrupted, so that nothing is served of a log of which
 // a part is gone.
 func (l *Log) Quarantine() error {
 	if l.options.ReadOnly {
@@ -29,20 +29,20 @@
 	return l.finishQuarantine()
 }
 
-// HasQuarantine tells whether the folder holds the copy of a damaged log, so that what was promised here is not known any more.
+// HasQuarantine tells whether the folder has the copy of a damaged log. Then the promises that were stored here are lost.
 func (l *Log) HasQuarantine() (bool, error) {
 	listing, err := l.listFolder()
 	return listing.quarantineBegun || len(listing.quarantined) > 0, err
 }
 
-// beginQuarantine removes the older copy, so that what has the names of a copy from here on is of this one, and marks the log.
+// beginQuarantine removes the older copy, so that all quarantined names are of one copy, and makes the marker.
 func (l *Log) beginQuarantine(listing folderListing) error {
 	for _, name := range listing.quarantined {
 		if err := l.remove(name); err != nil {
 			return diskError(err, "remove the older quarantined log")
 		}
 	}
-	_ = l.remove(reserveName) // makes room for the mark
+	_ = l.remove(reserveName) // makes space for the marker
 	if err := l.syncFolder(); err != nil {
 		return err
 	}
@@ -56,10 +56,10 @@
 	return diskError(err, "make the quarantine marker")
 }
 
-// finishQuarantine renames the files of a log that is marked, and takes the mark away.
+// finishQuarantine renames the files of a log that has the marker, and removes the marker.
 func (l *Log) finishQuarantine() error {
 	fs := l.options.FS
-	if !l.options.TestingKnobs.SkipQuarantineMarkerSync { // the mark lasts before anything is renamed
+	if !l.options.TestingKnobs.SkipQuarantineMarkerSync { // the marker is durable before anything is renamed
 		if err := l.syncFolder(); err != nil {
 			return err
 		}
@@ -89,7 +89,7 @@
 	return l.syncFolder()
 }
 
-// recordQuarantined notes what the copy takes.
+// recordQuarantined records the files and bytes of the quarantined copy.
 func (l *Log) recordQuarantined(names []string) {
 	l.quarantinedFiles, l.quarantinedBytes = names, 0
 	for _, name := range names {
@@ -99,7 +99,7 @@
 	}
 }
 
-// dropQuarantined deletes the copy of a damaged log; false where there is none.
+// dropQuarantined deletes the quarantined copy; it returns false where there is none.
 func (l *Log) dropQuarantined() bool {
 	dropped := len(l.quarantinedFiles) > 0
 	for _, name := range l.quarantinedFiles {
--- a/internal/system/wal/record.go
+++ b/internal/system/wal/record.go
@@ -9,17 +9,19 @@
 	"gradeusher.example/gradeusher/internal/system/fields"
 )
 
-// A segment is a header and records. The header holds magic, number, the number and the end of the segment before it, the
-// generation of the snapshot that counted when the segment was made, a nonce and a checksum. A record holds magic, length, checksum and payload, one a call of Append or Truncate, so that one sync never
-// covers two records and a torn record is always the last. A record's checksum covers the segment's nonce and its offset: what
-// an earlier use of the block left there is never taken for a record. What a segment has behind the end that the next one's
-// header gives does not count.
+// The format of a segment's file, in little endian:
+//
+//	header: magic (8 bytes), number (8), number and live end of the previous segment (8, 8), generation of the snapshot that was
+//	        current (8), nonce (8), checksum of all these (8)
+//	record: magic (4), length of the payload (4), checksum (8), payload
+//
+// A record's checksum covers the segment's nonce, the record's offset, the length and the payload.
 const (
 	headerSize       = 56
-	recordHeaderSize = 16 // before the payload
+	recordHeaderSize = 16 // bytes before the payload
 
-	kindAppend   = 1 // payload: first number, count, then each entry's length and data
-	kindTruncate = 2 // payload: the number after which entries are dropped
+	kindAppend   = 1 // payload: first sequence number, count, then each entry's length and data
+	kindTruncate = 2 // payload: the sequence number above which entries are dropped
 )
 
 var (
@@ -41,7 +43,7 @@
 	return d.Sum64()
 }
 
-// sealRecord fills in the head of a record for offset; b is room for the head and the payload.
+// sealRecord fills in the head of a record at offset of a segment; b has the payload behind space for the head.
 func sealRecord(b []byte, nonce uint64, offset int64) {
 	copy(b, recordMagic)
 	binary.LittleEndian.PutUint32(b[4:], uint32(len(b)-recordHeaderSize))
@@ -66,14 +68,14 @@
 	return binary.AppendUvarint(append(make([]byte, recordHeaderSize, recordHeaderSize+16), kindTruncate), after)
 }
 
-// recordScanner finds the records of one segment. Its checks may be taken out by tests.
+// recordScanner finds the records in the content of one segment.
 type recordScanner struct {
 	content       []byte
 	nonce         uint64
-	skipChecksums bool // without a look at the checksum
+	skipChecksums bool // see TestingKnobs.SkipRecordChecksums
 }
 
-// record returns the record at offset with its head, nil where there is no whole one.
+// record returns the record at offset with its head; nil where no complete record starts there.
 func (s recordScanner) record(offset int64) []byte {
 	b := s.content[offset:]
 	if len(b) <= recordHeaderSize || !bytes.HasPrefix(b, recordMagic) {
@@ -90,7 +92,7 @@
 	return b
 }
 
-// hasRecordAfter tells whether a whole record begins behind offset.
+// hasRecordAfter tells whether a complete record starts behind offset.
 func (s recordScanner) hasRecordAfter(offset int64) bool {
 	for at := offset + 1; at < int64(len(s.content)); at++ {
 		i := bytes.Index(s.content[at:], recordMagic)
--- a/internal/system/wal/replay.go
+++ b/internal/system/wal/replay.go
@@ -2,11 +2,11 @@
 
 import "gradeusher.example/gradeusher/internal/system/fields"
 
-// replayState is what the records read so far add up to.
+// replayState is the result of the records read so far.
 type replayState struct {
 	entries []Entry
 	batches []batch
-	nextSeq uint64 // number of the next entry; 0: any
+	nextSeq uint64 // sequence number of the next entry; 0: any
 }
 
 // lastSeq returns the number of the newest entry read; 0: none.
@@ -27,8 +27,8 @@
 	return entries, nil
 }
 
-// applyRecord does what a record says, and returns the number of the first entry that it holds; false where it cannot follow the ones
-// before it.
+// applyRecord applies a record's payload and returns the sequence number of the first entry that it changes. It returns false
+// where the record cannot follow the ones before it.
 func (r *replayState) applyRecord(payload []byte, segment uint64) (firstSeq uint64, ok bool) {
 	reader := fields.NewReader(payload)
 	switch reader.Byte() {
@@ -72,7 +72,7 @@
 	return after + 1, true
 }
 
-// truncateBatches drops what follows after.
+// truncateBatches drops the entries above after.
 func truncateBatches(batches []batch, after uint64) []batch {
 	for len(batches) > 0 && batches[len(batches)-1].firstSeq > after {
 		batches = batches[:len(batches)-1]
--- a/internal/system/wal/space.go
+++ b/internal/system/wal/space.go
@@ -2,7 +2,7 @@
 
 import "github.com/cockroachdb/errors"
 
-// freeSpaceFor drops the copy of a damaged log where n bytes more would leave too little of the disk.
+// freeSpaceFor drops the quarantined copy where n more bytes would exceed Options.DiskBytes.
 func (l *Log) freeSpaceFor(n int64) {
 	used := l.Size() + l.quarantinedBytes
 	if l.hasReserve {
@@ -13,19 +13,19 @@
 	}
 }
 
-// withFreeSpace runs f, which writes n bytes, and again without the copy of a damaged log where there was no room for it.
-func (l *Log) withFreeSpace(n int, f func() error) error {
+// withFreeSpace runs write, which needs n bytes. Where the disk is full it drops the quarantined copy and runs write again.
+func (l *Log) withFreeSpace(n int, write func() error) error {
 	l.freeSpaceFor(int64(n))
-	err := f()
+	err := write()
 	if errors.Is(err, ErrFull) && l.dropQuarantined() {
-		err = f()
+		err = write()
 	}
 	return err
 }
 
-// withReserve is withRoom, and runs f once more without the reserve where there was still no room.
-func (l *Log) withReserve(n int, f func() error) error {
-	err := l.withFreeSpace(n, f)
+// withReserve is withFreeSpace, but gives up the reserve and runs write once more where the disk is still full.
+func (l *Log) withReserve(n int, write func() error) error {
+	err := l.withFreeSpace(n, write)
 	if !errors.Is(err, ErrFull) || !l.hasReserve {
 		return err
 	}
@@ -33,10 +33,10 @@
 		return err
 	}
 	l.hasReserve = false
-	return f()
+	return write()
 }
 
-// createReserve takes room for withReserve; where there is none, the log does without.
+// createReserve allocates the space that withReserve gives up. On a full disk the log does without.
 func (l *Log) createReserve() {
 	if l.hasReserve || l.options.ReserveBytes < 0 {
 		return
--- a/internal/system/wal/validate.go
+++ b/internal/system/wal/validate.go
@@ -1,8 +1,11 @@
 package wal
 
-// maxMetaNameBytes bounds the names of metadata.
+// maxMetaNameBytes bounds the name of a piece of metadata.
 const maxMetaNameBytes = 64
 
+// The checks below are what each Disk refuses with ErrMisuse.
+
+// ValidateAppend checks that entries continue a log whose newest sequence number is last.
 func ValidateAppend(last uint64, entries []Entry) error {
 	for i, e := range entries {
 		if e.Seq != last+1+uint64(i) {
@@ -12,6 +15,7 @@
 	return nil
 }
 
+// ValidateTruncate checks that a truncation after the sequence number after leaves the snapshot at snapshot as it is.
 func ValidateTruncate(snapshot, after uint64) error {
 	if after < snapshot {
 		return misuseError("truncation after %d is below the snapshot at %d: install an older snapshot instead", after, snapshot)
@@ -19,6 +23,7 @@
 	return nil
 }
 
+// ValidateCompact checks that a snapshot at seq is not older than the one at snapshot and not ahead of the log's end at last.
 func ValidateCompact(snapshot, last, seq uint64) error {
 	if seq < snapshot || seq > last {
 		return misuseError("snapshot at %d is outside the log from %d to %d: install it instead", seq, snapshot, last)
@@ -26,7 +31,7 @@
 	return nil
 }
 
-// ValidateMetaName allows names of metadata that are safe in a file's name.
+// ValidateMetaName checks that a name of metadata is safe in a file's name.
 func ValidateMetaName(name string) error {
 	if name == "" || len(name) > maxMetaNameBytes {
 		return misuseError("metadata needs a name of 1 to %d bytes, not %d", maxMetaNameBytes, len(name))
