--- a/internal/system/wal/crash_test.go
+++ b/internal/system/wal/crash_test.go
@@ -13,8 +13,8 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// deep tells whether to try every case instead of a spread of them.
-func deep() bool { return os.Getenv("WAL_DEEP") != "" }
+// tryAllCases tells whether to try every case instead of a spread of them.
+func tryAllCases() bool { return os.Getenv("WAL_DEEP") != "" }
 
 // histories are scripts that the crash and error tests go through at every call.
 var histories = map[string][]step{
@@ -30,25 +30,25 @@
 }
 
 // runHistory goes through a script until the machine is gone.
-func runHistory(steps []step, fault func(int, string) error) (*subject, error) {
-	return runWith(steps, wal.TestingKnobs{}, lies{}, fault)
+func runHistory(steps []step, fault func(int, string) error) (*checkedLog, error) {
+	return runWith(steps, wal.TestingKnobs{}, ignoredSyncs{}, fault)
 }
 
 // runWith is runHistory without some protections.
-func runWith(steps []step, h wal.TestingKnobs, l lies, fault func(int, string) error) (*subject, error) {
+func runWith(steps []step, h wal.TestingKnobs, l ignoredSyncs, fault func(int, string) error) (*checkedLog, error) {
 	fs := newSimFS()
-	fs.fault, fs.hooks, fs.lies = fault, h, l
-	s := newSubject(fs)
+	fs.fault, fs.knobs, fs.ignored = fault, h, l
+	s := newCheckedLog(fs)
 	for range 8 { // a load that failed is tried again
 		if s.open() == nil {
 			break
 		}
 	}
 	for _, st := range steps {
-		if fs.gone {
+		if fs.crashed {
 			break
 		}
-		if err := s.do(st); err != nil {
+		if err := s.runStep(st); err != nil {
 			return s, err
 		}
 	}
@@ -59,20 +59,20 @@
 	for name, steps := range histories {
 		t.Run(name, func(t *testing.T) {
 			r := rand.New(rand.NewPCG(1, 2))
-			whole, err := runHistory(steps, nil)
+			complete, err := runHistory(steps, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for call := 1; call <= whole.fs.calls+1; call++ {
+			for call := 1; call <= complete.fs.calls+1; call++ {
 				s, err := runHistory(steps, crashAt(call))
 				if most, nested := 24, 1; err == nil {
-					if deep() {
+					if tryAllCases() {
 						most, nested = 1024, 8
 					}
 					err = s.checkCrash(most, nested, r)
 				}
 				if err != nil {
-					t.Fatalf("crash at call %d of %d: %v\n%s", call, whole.fs.calls, err, strings.Join(s.trace, "\n"))
+					t.Fatalf("crash at call %d of %d: %v\n%s", call, complete.fs.calls, err, strings.Join(s.trace, "\n"))
 				}
 			}
 		})
@@ -91,7 +91,7 @@
 // TestErrorThenCrash lets one call, or some in a row, fail, and the machine crash at each later call.
 func TestErrorThenCrash(t *testing.T) {
 	for name, steps := range histories {
-		for _, in := range []error{errNoRoom, errors.New("input/output error")} {
+		for _, in := range []error{errNoSpace, errors.New("input/output error")} {
 			for _, row := range []int{1, 2, 5} {
 				t.Run(fmt.Sprintf("%s/%v/%d", name, in, row), func(t *testing.T) {
 					t.Parallel()
@@ -116,13 +116,13 @@
 		}
 	}
 	for from := 1; ; from++ {
-		whole, err := runHistory(steps, failFrom(from, 0))
+		complete, err := runHistory(steps, failFrom(from, 0))
 		first, stride := from+row, 1
-		if !deep() {
+		if !tryAllCases() {
 			first, stride = from+row+from%13, 13
 		}
-		for crash := first; err == nil && crash <= whole.fs.calls+1; crash += stride {
-			var s *subject
+		for crash := first; err == nil && crash <= complete.fs.calls+1; crash += stride {
+			var s *checkedLog
 			if s, err = runHistory(steps, failFrom(from, crash)); err == nil {
 				err = s.checkCrash(4, 0, r)
 			}
@@ -131,9 +131,9 @@
 			}
 		}
 		if err != nil {
-			t.Fatalf("failing from call %d: %v\n%s", from, err, strings.Join(whole.trace, "\n"))
+			t.Fatalf("failing from call %d: %v\n%s", from, err, strings.Join(complete.trace, "\n"))
 		}
-		if from > whole.fs.calls {
+		if from > complete.fs.calls {
 			return
 		}
 	}
@@ -143,7 +143,7 @@
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		s := newSubject(newSimFS())
+		s := newCheckedLog(newSimFS())
 		if err := s.open(); err != nil {
 			t.Fatal(err)
 		}
@@ -151,7 +151,7 @@
 			var err error
 			switch rapid.IntRange(0, 9).Draw(t, "kind") {
 			case 0:
-				from, in := s.fs.calls+rapid.IntRange(1, 12).Draw(t, "from"), errNoRoom
+				from, in := s.fs.calls+rapid.IntRange(1, 12).Draw(t, "from"), errNoSpace
 				until := from + rapid.IntRange(1, 8).Draw(t, "row")
 				s.fs.fault = func(n int, _ string) error {
 					if n >= from && n < until {
@@ -160,7 +160,7 @@
 					return nil
 				}
 			case 1:
-				err = s.restart(s.fs.killed())
+				err = s.restart(s.fs.afterKill())
 			case 2:
 				crash := s.fs.calls + rapid.IntRange(1, 10).Draw(t, "crash")
 				s.fs.fault = func(n int, _ string) error {
@@ -171,7 +171,7 @@
 				}
 			default:
 				last := s.model.LastSeq()
-				err = s.do(rapid.SampledFrom([]step{
+				err = s.runStep(rapid.SampledFrom([]step{
 					{"append", rapid.Uint64Range(1, 6).Draw(t, "count"), r.Uint64N(1000)},
 					{"truncate", last - min(last, rapid.Uint64Range(0, 8).Draw(t, "back")), 0},
 					{"compact", last - min(last, rapid.Uint64Range(0, 8).Draw(t, "behind")), r.Uint64N(1000)},
@@ -179,7 +179,7 @@
 					{"meta", rapid.Uint64Range(1, 2).Draw(t, "name"), r.Uint64N(1000)},
 				}).Draw(t, "step"))
 			}
-			if err == nil && s.fs.gone {
+			if err == nil && s.fs.crashed {
 				if err = s.checkCrash(10, 1, r); err == nil {
 					var left *simFS
 					s.fs.powerLosses(3, r, func(lost *simFS) { left = lost })
--- a/internal/system/wal/crashmodel_test.go
+++ b/internal/system/wal/crashmodel_test.go
@@ -16,34 +16,34 @@
 
 // step is one call on a Disk.
 type step struct {
-	what string
-	a, b uint64
+	method            string
+	argument, history uint64
 }
 
-func (s step) String() string { return fmt.Sprintf("%s(%d,%d)", s.what, s.a, s.b) }
+func (s step) String() string { return fmt.Sprintf("%s(%d,%d)", s.method, s.argument, s.history) }
 
-// entry makes what entry seq holds in the b-th history of the log.
-func entry(seq, b uint64) wal.Entry {
+// makeEntry makes what makeEntry seq holds in the b-th history of the log.
+func makeEntry(seq, b uint64) wal.Entry {
 	return wal.Entry{Seq: seq, Data: []byte(fmt.Sprintf("entry %d of %d %s", seq, b, strings.Repeat("x", int(seq*7%40))))}
 }
 
 func (s step) run(d wal.Disk, last uint64) error {
-	snapshot := wal.Snapshot{Seq: s.a, Data: []byte(fmt.Sprintf("snapshot %d of %d", s.a, s.b))}
-	switch s.what {
+	snapshot := wal.Snapshot{Seq: s.argument, Data: []byte(fmt.Sprintf("snapshot %d of %d", s.argument, s.history))}
+	switch s.method {
 	case "append": // a entries
 		var all []wal.Entry
-		for i := range s.a {
-			all = append(all, entry(last+1+i, s.b))
+		for i := range s.argument {
+			all = append(all, makeEntry(last+1+i, s.history))
 		}
 		return d.Append(all)
 	case "truncate":
-		return d.Truncate(s.a)
+		return d.Truncate(s.argument)
 	case "compact":
 		return d.Compact(snapshot)
 	case "install":
 		return d.Install(snapshot)
 	case "meta":
-		return d.SaveMeta(fmt.Sprintf("m%d", s.a), []byte(fmt.Sprintf("meta %d", s.b)))
+		return d.SaveMeta(fmt.Sprintf("m%d", s.argument), []byte(fmt.Sprintf("meta %d", s.history)))
 	}
 	return nil
 }
@@ -54,7 +54,7 @@
 	meta map[string]string
 }
 
-func look(d wal.Disk) (view, error) {
+func loadView(d wal.Disk) (view, error) {
 	meta, snapshot, entries, err := d.Load()
 	if err != nil {
 		return view{}, err
@@ -71,29 +71,29 @@
 	return v, nil
 }
 
-// subject is a Log on a simulated disk, beside a model of what it may hold: what was acknowledged, and what calls that
+// checkedLog is a Log on a simulated disk, beside a model of what it may hold: what was acknowledged, and what calls that
 // failed since may have brought about.
-type subject struct {
-	fs        *simFS
-	log       *wal.Log
-	model     *waltest.Mem
-	maybe     map[string]bool            // logs
-	maybeMeta map[string]map[string]bool // by name
-	trace     []string
+type checkedLog struct {
+	fs           *simFS
+	log          *wal.Log
+	model        *waltest.Mem
+	possibleLogs map[string]bool            // logs
+	possibleMeta map[string]map[string]bool // by name
+	trace        []string
 }
 
 var nonces atomic.Uint64
 
 func openSim(fs *simFS) (*wal.Log, error) {
-	return wal.Open(simFolder, wal.Options{FS: fs, SegmentBytes: 200, MaxBytes: 1 << 20, ReserveBytes: 16, TestingKnobs: fs.hooks,
+	return wal.Open(simFolder, wal.Options{FS: fs, SegmentBytes: 200, MaxBytes: 1 << 20, ReserveBytes: 16, TestingKnobs: fs.knobs,
 		Nonce: func() uint64 { return nonces.Add(1) }})
 }
 
-func newSubject(fs *simFS) *subject {
-	return &subject{fs: fs, model: waltest.NewMem(), maybe: map[string]bool{}, maybeMeta: map[string]map[string]bool{}}
+func newCheckedLog(fs *simFS) *checkedLog {
+	return &checkedLog{fs: fs, model: waltest.NewMem(), possibleLogs: map[string]bool{}, possibleMeta: map[string]map[string]bool{}}
 }
 
-func (s *subject) open() error {
+func (s *checkedLog) open() error {
 	log, err := openSim(s.fs)
 	if err == nil {
 		s.log = log
@@ -102,8 +102,8 @@
 	return err
 }
 
-// do runs a step on both and notes what it may have left.
-func (s *subject) do(st step) error {
+// runStep runs a step on both and notes what it may have left.
+func (s *checkedLog) runStep(st step) error {
 	after := s.model.Clone()
 	modelErr := st.run(after, s.model.LastSeq())
 	err := st.run(s.log, s.model.LastSeq())
@@ -117,32 +117,32 @@
 	if errors.Is(err, wal.ErrMisuse) {
 		return errors.Newf("%v: %v, where the model takes it", st, err)
 	}
-	name := fmt.Sprintf("m%d", st.a)
+	name := fmt.Sprintf("m%d", st.argument)
 	switch {
 	case err == nil:
 		s.model = after
-		if st.what == "meta" {
-			delete(s.maybeMeta, name)
+		if st.method == "meta" {
+			delete(s.possibleMeta, name)
 		} else {
-			clear(s.maybe)
+			clear(s.possibleLogs)
 		}
-	case st.what == "meta":
-		if s.maybeMeta[name] == nil {
-			s.maybeMeta[name] = map[string]bool{}
+	case st.method == "meta":
+		if s.possibleMeta[name] == nil {
+			s.possibleMeta[name] = map[string]bool{}
 		}
-		s.maybeMeta[name][string(after.Meta(name))] = true
+		s.possibleMeta[name][string(after.Meta(name))] = true
 	default:
-		v, _ := look(after)
-		s.maybe[v.log] = true
+		v, _ := loadView(after)
+		s.possibleLogs[v.log] = true
 	}
 	return nil
 }
 
-// allows checks what a disk holds against the model.
-func (s *subject) allows(v view) error {
-	want, _ := look(s.model)
-	if v.log != want.log && !s.maybe[v.log] {
-		return errors.Newf("log %q, want %q or one of %q", v.log, want.log, slices.Sorted(maps.Keys(s.maybe)))
+// checkAllowed checks what a disk holds against the model.
+func (s *checkedLog) checkAllowed(v view) error {
+	want, _ := loadView(s.model)
+	if v.log != want.log && !s.possibleLogs[v.log] {
+		return errors.Newf("log %q, want %q or one of %q", v.log, want.log, slices.Sorted(maps.Keys(s.possibleLogs)))
 	}
 	for name := range want.meta {
 		if _, ok := v.meta[name]; !ok {
@@ -150,26 +150,26 @@
 		}
 	}
 	for name, got := range v.meta {
-		if w, ok := want.meta[name]; (!ok || got != w) && !s.maybeMeta[name][got] {
+		if w, ok := want.meta[name]; (!ok || got != w) && !s.possibleMeta[name][got] {
 			return errors.Newf("%s is %q, want %q", name, got, w)
 		}
 	}
 	return nil
 }
 
-// recovers opens a disk left by a crash, and checks that what it holds is allowed, lasts, and can be gone on with. nested
+// checkRecovery opens a disk left by a crash, and checks that what it holds is allowed, lasts, and can be gone on with. nested
 // tells how many losses of power inside the loading are tried at each of its calls.
-func (s *subject) recovers(fs *simFS, nested int, r *rand.Rand) error {
-	before := fs.killed()
+func (s *checkedLog) checkRecovery(fs *simFS, nested int, r *rand.Rand) error {
+	before := fs.afterKill()
 	log, err := openSim(fs)
 	if err != nil {
 		return err
 	}
-	v, err := look(log)
+	v, err := loadView(log)
 	if err != nil {
 		return err
 	}
-	if err := s.allows(v); err != nil {
+	if err := s.checkAllowed(v); err != nil {
 		return err
 	}
 	loading := fs.calls
@@ -181,7 +181,7 @@
 		again, err = openSim(lost)
 		var w view
 		if err == nil {
-			w, err = look(again)
+			w, err = loadView(again)
 		}
 		if err == nil && (w.log != v.log || !maps.Equal(w.meta, v.meta)) {
 			err = errors.Newf("what was loaded does not last: %v became %v", v, w)
@@ -190,11 +190,11 @@
 	if err != nil {
 		return err
 	}
-	if err := goOn(fs, log, v); err != nil {
+	if err := checkUsable(fs, log, v); err != nil {
 		return err
 	}
 	for call := 1; call <= loading && nested > 0; call++ {
-		inside := before.killed()
+		inside := before.afterKill()
 		inside.fault = func(n int, _ string) error {
 			if n == call {
 				return errCrash
@@ -204,21 +204,21 @@
 		if log, err := openSim(inside); err == nil {
 			_, _, _, _ = log.Load()
 		}
-		inside.gone, inside.fault = false, nil
+		inside.crashed, inside.fault = false, nil
 		inside.powerLosses(nested, r, func(lost *simFS) {
 			if err == nil {
-				err = errors.Wrapf(s.recovers(lost, 0, r), "after a crash at call %d of loading", call)
+				err = errors.Wrapf(s.checkRecovery(lost, 0, r), "after a crash at call %d of loading", call)
 			}
 		})
 		if err == nil {
-			err = errors.Wrapf(s.recovers(inside.killed(), 0, r), "killed at call %d of loading", call)
+			err = errors.Wrapf(s.checkRecovery(inside.afterKill(), 0, r), "killed at call %d of loading", call)
 		}
 	}
 	return err
 }
 
-// goOn checks that a loaded log takes changes that last.
-func goOn(fs *simFS, log *wal.Log, v view) error {
+// checkUsable checks that a loaded log takes changes that last.
+func checkUsable(fs *simFS, log *wal.Log, v view) error {
 	last := log.LastSeq()
 	for i, err := range []error{
 		log.Append([]wal.Entry{{Seq: last + 1, Data: []byte("new")}, {Seq: last + 2, Data: []byte("dropped")}}),
@@ -234,7 +234,7 @@
 	fs.powerLosses(1, nil, func(lost *simFS) {
 		var again *wal.Log
 		if again, err = openSim(lost); err == nil {
-			got, err = look(again)
+			got, err = loadView(again)
 		}
 	})
 	if err == nil && (got.log != fmt.Sprintf("%s|%d:new", v.log, last+1) || got.meta["after"] != "new") {
@@ -243,31 +243,31 @@
 	return err
 }
 
-func (s *subject) checkCrash(most, nested int, r *rand.Rand) error {
-	s.fs.gone, s.fs.fault = false, nil
+func (s *checkedLog) checkCrash(most, nested int, r *rand.Rand) error {
+	s.fs.crashed, s.fs.fault = false, nil
 	// Only a killed process leaves anything for a loss of power inside the next loading to take.
-	err := errors.Wrap(s.recovers(s.fs.killed(), 8*nested, r), "killed")
+	err := errors.Wrap(s.checkRecovery(s.fs.afterKill(), 8*nested, r), "killed")
 	n := 0
 	s.fs.powerLosses(most, r, func(lost *simFS) {
-		if n++; n > 3 && !deep() {
+		if n++; n > 3 && !tryAllCases() {
 			nested = 0
 		}
 		if err == nil {
-			err = errors.Wrap(s.recovers(lost, nested, r), "power lost")
+			err = errors.Wrap(s.checkRecovery(lost, nested, r), "power lost")
 		}
 	})
 	return err
 }
 
 // restart goes on with a disk as it was left; what it holds is what counts from then on.
-func (s *subject) restart(fs *simFS) error {
+func (s *checkedLog) restart(fs *simFS) error {
 	log, err := openSim(fs)
 	if err != nil {
 		return err
 	}
-	v, err := look(log)
+	v, err := loadView(log)
 	if err == nil {
-		err = s.allows(v)
+		err = s.checkAllowed(v)
 	}
 	if err != nil {
 		return errors.Wrap(err, "restart")
@@ -276,7 +276,7 @@
 	if err != nil {
 		return err
 	}
-	n := newSubject(fs)
+	n := newCheckedLog(fs)
 	n.log, n.trace = log, append(s.trace, "restart")
 	n.model = waltest.NewMemWith(meta, snapshot, entries)
 	*s = *n
--- a/internal/system/wal/knobs_test.go
+++ b/internal/system/wal/knobs_test.go
@@ -7,12 +7,12 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// lies are syncs of a simulated disk that do nothing.
-type lies struct{ file, folder, parent bool }
+// ignoredSyncs are syncs of a simulated disk that do nothing.
+type ignoredSyncs struct{ files, folder, parentFolder bool }
 
-// enumerate runs the histories with the protections of h taken out, or with syncs that do nothing, through crashes, and
+// findFault runs the histories with the protections of h taken out, or with syncs that do nothing, through crashes, and
 // through one failing call before each. It returns the first fault that it finds.
-func enumerate(h wal.TestingKnobs, l lies) error {
+func findFault(h wal.TestingKnobs, l ignoredSyncs) error {
 	r := rand.New(rand.NewPCG(8, 9))
 	for _, name := range []string{"grow", "truncate", "compact", "install", "mixed"} {
 		for _, gap := range []int{0, 1, 7} { // between a call that fails and the crash; 0: none fails
@@ -22,14 +22,14 @@
 					case n == crash:
 						return errCrash
 					case n == crash-gap:
-						return errNoRoom
+						return errNoSpace
 					}
 					return nil
 				})
 				if err != nil {
 					return err
 				}
-				reached := s.fs.gone
+				reached := s.fs.crashed
 				if err := s.checkCrash(16, 0, r); err != nil {
 					return err
 				}
@@ -42,24 +42,24 @@
 	return nil
 }
 
-// TestControls takes each protection out. Danger: a test of crashes that finds nothing because it looks at nothing.
-func TestControls(t *testing.T) {
-	if err := enumerate(wal.TestingKnobs{}, lies{}); err != nil {
+// TestTestingKnobs takes each protection out. Danger: a test of crashes that finds nothing because it looks at nothing.
+func TestTestingKnobs(t *testing.T) {
+	if err := findFault(wal.TestingKnobs{}, ignoredSyncs{}); err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
 		hooks wal.TestingKnobs
-		lies  lies
+		lies  ignoredSyncs
 	}{
-		"no sync of files":                         {lies: lies{file: true}},
-		"no sync of the folder":                    {lies: lies{folder: true}},
-		"no sync of the folder above":              {lies: lies{parent: true}},
+		"no sync of files":                         {lies: ignoredSyncs{files: true}},
+		"no sync of the folder":                    {lies: ignoredSyncs{folder: true}},
+		"no sync of the folder above":              {lies: ignoredSyncs{parentFolder: true}},
 		"no checksum of records":                   {hooks: wal.TestingKnobs{SkipRecordChecksums: true}},
 		"on in the same file after a failed sync":  {hooks: wal.TestingKnobs{ReuseSegmentAfterFailedSync: true}},
 		"the newest segment is believed in a load": {hooks: wal.TestingKnobs{TrustNewestSegment: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			err := enumerate(c.hooks, c.lies)
+			err := findFault(c.hooks, c.lies)
 			if err == nil {
 				t.Error("the control shows nothing")
 			}
--- a/internal/system/wal/log_test.go
+++ b/internal/system/wal/log_test.go
@@ -14,15 +14,15 @@
 	"gradeusher.example/gradeusher/internal/system/wal/waltest"
 )
 
-// onDisk opens a log in a real folder.
-func onDisk(t *testing.T, folder string, o wal.Options) (*wal.Log, view) {
+// openInFolder opens a log in a real folder.
+func openInFolder(t *testing.T, folder string, o wal.Options) (*wal.Log, view) {
 	t.Helper()
 	log, err := wal.Open(folder, o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = log.Close() })
-	v, err := look(log)
+	v, err := loadView(log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,15 +36,15 @@
 			model := waltest.NewMem()
 			for i, st := range steps {
 				// A new process before every step.
-				log, _ := onDisk(t, filepath.Join(folder, name), wal.Options{SegmentBytes: 300})
+				log, _ := openInFolder(t, filepath.Join(folder, name), wal.Options{SegmentBytes: 300})
 				if err := st.run(log, model.LastSeq()); err != nil {
 					t.Fatalf("step %d, %v: %v", i, st, err)
 				}
 				if err := st.run(model, model.LastSeq()); err != nil {
 					t.Fatal(err)
 				}
-				got, err := look(log)
-				if want, _ := look(model); err != nil || got.log != want.log || fmt.Sprint(got.meta) != fmt.Sprint(want.meta) {
+				got, err := loadView(log)
+				if want, _ := loadView(model); err != nil || got.log != want.log || fmt.Sprint(got.meta) != fmt.Sprint(want.meta) {
 					t.Fatalf("step %d, %v: got %v, want %v, %v", i, st, got, want, err)
 				}
 			}
@@ -135,13 +135,13 @@
 			if err := both(func(d wal.Disk) error { return d.Truncate(last - 1) }); err != nil {
 				t.Fatal(err)
 			}
-			same(t, log, model)
+			requireSame(t, log, model)
 			if name == "disk" { // others have taken it all
-				fs.capacity = fs.used()
+				fs.capacity = fs.usedBytes()
 				if err := log.Compact(wal.Snapshot{Seq: last - 3, Data: data}); !errors.Is(err, wal.ErrFull) {
 					t.Fatal(err)
 				}
-				same(t, log, model)
+				requireSame(t, log, model)
 				fs.capacity += 1000
 			}
 			if err := both(func(d wal.Disk) error { return d.Compact(wal.Snapshot{Seq: last - 3, Data: []byte("s")}) }); err != nil {
@@ -158,22 +158,22 @@
 			if n := log.Size(); n > 8000 {
 				t.Errorf("%d bytes are used", n)
 			}
-			same(t, log, model)
+			requireSame(t, log, model)
 		})
 	}
 }
 
-func same(t *testing.T, a, b wal.Disk) {
+func requireSame(t *testing.T, a, b wal.Disk) {
 	t.Helper()
-	va, err := look(a)
-	vb, _ := look(b)
+	va, err := loadView(a)
+	vb, _ := loadView(b)
 	if err != nil || va.log != vb.log || fmt.Sprint(va.meta) != fmt.Sprint(vb.meta) {
 		t.Fatalf("%v\n%v\n%v", va, vb, err)
 	}
 }
 
-// build makes a log with segments of the given size on a simulated disk, and returns what it held after each step.
-func build(t *testing.T, segmentBytes int64, steps []step) (*simFS, []view) {
+// buildLog makes a log with segments of the given size on a simulated disk, and returns what it held after each step.
+func buildLog(t *testing.T, segmentBytes int64, steps []step) (*simFS, []view) {
 	t.Helper()
 	fs, model := newSimFS(), waltest.NewMem()
 	log, err := wal.Open(simFolder, wal.Options{FS: fs, SegmentBytes: segmentBytes, ReserveBytes: -1})
@@ -188,7 +188,7 @@
 		if err := errors.CombineErrors(st.run(log, model.LastSeq()), st.run(model, model.LastSeq())); err != nil {
 			t.Fatal(err)
 		}
-		v, _ := look(model)
+		v, _ := loadView(model)
 		views = append(views, v)
 	}
 	return fs, views
@@ -198,29 +198,29 @@
 func TestDamage(t *testing.T) {
 	steps := []step{{"meta", 1, 1}, {"append", 4, 0}, {"compact", 2, 0}, {"append", 3, 0}, {"truncate", 5, 0}, {"append", 2, 1}, {"append", 1, 2}}
 	for _, segmentBytes := range []int64{1, 100, 250, 1 << 20} {
-		fs, views := build(t, segmentBytes, steps)
-		whole, withoutLast := views[len(views)-1], views[len(views)-2]
+		fs, views := buildLog(t, segmentBytes, steps)
+		complete, withoutLast := views[len(views)-1], views[len(views)-2]
 		seen, torn, other := 0, 0, 0
-		for name, n := range fs.names {
+		for name, n := range fs.visible {
 			for i := range n.content {
-				changed := fs.killed()
-				changed.names[name].content = slices.Clone(n.content)
-				changed.names[name].content[i] ^= 0x10
+				changed := fs.afterKill()
+				changed.visible[name].content = slices.Clone(n.content)
+				changed.visible[name].content[i] ^= 0x10
 				log, err := openSim(changed)
 				if err != nil {
 					t.Fatal(err)
 				}
-				v, err := look(log)
+				v, err := loadView(log)
 				switch {
 				case errors.Is(err, wal.ErrDamaged):
 					seen++
 				case err != nil:
 					t.Fatalf("%s, byte %d: %v", name, i, err)
-				case fmt.Sprint(v.meta) != fmt.Sprint(whole.meta):
+				case fmt.Sprint(v.meta) != fmt.Sprint(complete.meta):
 					t.Fatalf("%s, byte %d: %v", name, i, v.meta)
 				case v.log == withoutLast.log:
 					torn++
-				case v.log == whole.log:
+				case v.log == complete.log:
 					other++
 				default:
 					t.Fatalf("%s, byte %d: %q", name, i, v.log)
@@ -234,15 +234,15 @@
 }
 
 func TestMissingSnapshot(t *testing.T) {
-	fs, _ := build(t, 100, []step{{"append", 4, 0}, {"install", 9, 0}, {"append", 1, 0}})
+	fs, _ := buildLog(t, 100, []step{{"append", 4, 0}, {"install", 9, 0}, {"append", 1, 0}})
 	names, _ := fs.ReadDir("")
 	i := slices.IndexFunc(names, func(name string) bool { return strings.HasPrefix(name, "snap-") })
 	if i < 0 {
 		t.Fatal("no snapshot was written")
 	}
-	delete(fs.names, names[i])
+	delete(fs.visible, names[i])
 	log, _ := openSim(fs)
-	if v, err := look(log); !errors.Is(err, wal.ErrDamaged) {
+	if v, err := loadView(log); !errors.Is(err, wal.ErrDamaged) {
 		t.Errorf("%v, %v", v, err)
 	}
 }
@@ -250,16 +250,16 @@
 // TestMissingSegment takes out a segment that is not the last, also where the numbers of the rest follow each other.
 func TestMissingSegment(t *testing.T) {
 	for _, segmentBytes := range []int64{1, 60, 200} {
-		fs, _ := build(t, segmentBytes, []step{{"append", 6, 0}, {"truncate", 3, 0}, {"append", 3, 1}, {"append", 5, 2}, {"append", 1, 0}})
+		fs, _ := buildLog(t, segmentBytes, []step{{"append", 6, 0}, {"truncate", 3, 0}, {"append", 3, 1}, {"append", 5, 2}, {"append", 1, 0}})
 		names, _ := fs.ReadDir("")
 		if len(names) < 3 {
 			t.Fatalf("too few segments: %q", names)
 		}
 		for _, name := range names[:len(names)-1] {
-			changed := fs.killed()
-			delete(changed.names, name)
+			changed := fs.afterKill()
+			delete(changed.visible, name)
 			log, _ := openSim(changed)
-			if v, err := look(log); !errors.Is(err, wal.ErrDamaged) {
+			if v, err := loadView(log); !errors.Is(err, wal.ErrDamaged) {
 				t.Errorf("segments of %d, without %s: %v, %v", segmentBytes, name, v, err)
 			}
 		}
@@ -277,14 +277,14 @@
 		t.Fatal(err)
 	}
 	name := wal.SegmentName(1)
-	n := s.fs.names[name]
-	n.content = append(slices.Clone(n.content), old.fs.names[name].content[len(n.content):]...)
-	if v, err := look(s.log); err != nil || s.allows(v) != nil {
+	n := s.fs.visible[name]
+	n.content = append(slices.Clone(n.content), old.fs.visible[name].content[len(n.content):]...)
+	if v, err := loadView(s.log); err != nil || s.checkAllowed(v) != nil {
 		t.Errorf("%v, %v", v, err)
 	}
 	// The same record once more, in the same segment.
 	n.content = append(slices.Clone(n.content), n.content[wal.HeaderSize:]...)
-	if v, err := look(s.log); err != nil || s.allows(v) != nil {
+	if v, err := loadView(s.log); err != nil || s.checkAllowed(v) != nil {
 		t.Errorf("%v, %v", v, err)
 	}
 }
--- a/internal/system/wal/ownership_test.go
+++ b/internal/system/wal/ownership_test.go
@@ -10,9 +10,9 @@
 	"gradeusher.example/gradeusher/internal/system/wal/waltest"
 )
 
-// twoProcesses opens a log twice on one disk, as where a process is started anew while the old one is still about to end:
+// openTwice opens a log twice on one disk, as where a process is started anew while the old one is still about to end:
 // locks do nothing there.
-func twoProcesses(t *testing.T, h wal.TestingKnobs) (fs *simFS, old, young *wal.Log) {
+func openTwice(t *testing.T, h wal.TestingKnobs) (fs *simFS, old, young *wal.Log) {
 	t.Helper()
 	fs = newSimFS()
 	for i, log := range []**wal.Log{&old, &young} {
@@ -24,7 +24,7 @@
 			t.Fatal(err)
 		}
 		if *log = l; i == 0 {
-			for _, err := range []error{l.Append([]wal.Entry{entry(1, 0)}), l.Append([]wal.Entry{entry(2, 0)}), l.SaveMeta("m", []byte("old"))} {
+			for _, err := range []error{l.Append([]wal.Entry{makeEntry(1, 0)}), l.Append([]wal.Entry{makeEntry(2, 0)}), l.SaveMeta("m", []byte("old"))} {
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -34,11 +34,11 @@
 	return fs, old, young
 }
 
-// TestOldProcessAcknowledgesNothing lets the old process go on once the new one has loaded: none of its changes succeeds, and
+// TestSupersededProcessAcknowledgesNothing lets the old process go on once the new one has loaded: none of its changes succeeds, and
 // what the new one acknowledges is what the third one finds.
-func TestOldProcessAcknowledgesNothing(t *testing.T) {
+func TestSupersededProcessAcknowledgesNothing(t *testing.T) {
 	changes := map[string]func(l *wal.Log) error{
-		"append":   func(l *wal.Log) error { return l.Append([]wal.Entry{entry(3, 7)}) },
+		"append":   func(l *wal.Log) error { return l.Append([]wal.Entry{makeEntry(3, 7)}) },
 		"truncate": func(l *wal.Log) error { return l.Truncate(1) },
 		"compact":  func(l *wal.Log) error { return l.Compact(wal.Snapshot{Seq: 1, Data: []byte("old")}) },
 		"install":  func(l *wal.Log) error { return l.Install(wal.Snapshot{Seq: 30, Data: []byte("old")}) },
@@ -46,9 +46,9 @@
 	}
 	for name, change := range changes {
 		for _, before := range []bool{true, false} {
-			fs, old, young := twoProcesses(t, wal.TestingKnobs{})
+			fs, old, young := openTwice(t, wal.TestingKnobs{})
 			write := func() {
-				if err := young.Append([]wal.Entry{entry(3, 1)}); err != nil {
+				if err := young.Append([]wal.Entry{makeEntry(3, 1)}); err != nil {
 					t.Fatal(err)
 				}
 				if err := young.SaveMeta("m", []byte("young")); err != nil {
@@ -61,22 +61,22 @@
 			if err := change(old); !errors.Is(err, wal.ErrSuperseded) {
 				t.Errorf("%s: %v", name, err)
 			}
-			if err := old.Append([]wal.Entry{entry(3, 7)}); !errors.Is(err, wal.ErrSuperseded) {
+			if err := old.Append([]wal.Entry{makeEntry(3, 7)}); !errors.Is(err, wal.ErrSuperseded) {
 				t.Errorf("%s, then an append: %v", name, err)
 			}
 			if !before {
 				write()
 			}
 			want := waltest.NewMem()
-			_ = want.Append([]wal.Entry{entry(1, 0), entry(2, 0), entry(3, 1)})
+			_ = want.Append([]wal.Entry{makeEntry(1, 0), makeEntry(2, 0), makeEntry(3, 1)})
 			_ = want.SaveMeta("m", []byte("young"))
-			v, _ := look(want)
+			v, _ := loadView(want)
 			check := func(fs *simFS) {
 				third, err := openSim(fs)
 				if err != nil {
 					t.Fatal(err)
 				}
-				got, err := look(third)
+				got, err := loadView(third)
 				if err != nil || got.log != v.log {
 					t.Errorf("%s: %v, %v, want %v", name, got, err, v)
 				}
@@ -84,16 +84,16 @@
 					t.Errorf("%s: %v", name, got.meta)
 				}
 			}
-			check(fs.killed())
+			check(fs.afterKill())
 			fs.powerLosses(50, rand.New(rand.NewPCG(1, 2)), check)
 		}
 	}
 }
 
-// TestOldProcessWithoutFence is the control: without the look for the other process, both acknowledge an entry 3.
-func TestOldProcessWithoutFence(t *testing.T) {
-	_, old, young := twoProcesses(t, wal.TestingKnobs{SkipOwnershipCheck: true})
-	if err := errors.CombineErrors(old.Append([]wal.Entry{entry(3, 7)}), young.Append([]wal.Entry{entry(3, 1)})); err != nil {
+// TestSupersededProcessWithoutOwnershipCheck is the control: without the look for the other process, both acknowledge an entry 3.
+func TestSupersededProcessWithoutOwnershipCheck(t *testing.T) {
+	_, old, young := openTwice(t, wal.TestingKnobs{SkipOwnershipCheck: true})
+	if err := errors.CombineErrors(old.Append([]wal.Entry{makeEntry(3, 7)}), young.Append([]wal.Entry{makeEntry(3, 1)})); err != nil {
 		t.Errorf("the control shows nothing: %v", err)
 	}
 }
@@ -110,11 +110,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v, err := look(log)
+	v, err := loadView(log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.allows(v); err != nil {
+	if err := s.checkAllowed(v); err != nil {
 		t.Error(err)
 	}
 	if s.fs.calls > before {
@@ -126,7 +126,7 @@
 	if err := log.Quarantine(); !errors.Is(err, wal.ErrMisuse) {
 		t.Errorf("a putting aside: %v", err)
 	}
-	if err := s.do(step{"append", 1, 5}); err != nil || len(s.maybe) > 0 {
+	if err := s.runStep(step{"append", 1, 5}); err != nil || len(s.possibleLogs) > 0 {
 		t.Errorf("the process that has the log: %v, %v", err, s.trace[len(s.trace)-1])
 	}
 }
--- a/internal/system/wal/quarantine_test.go
+++ b/internal/system/wal/quarantine_test.go
@@ -13,10 +13,10 @@
 	"gradeusher.example/gradeusher/internal/system/wal/waltest"
 )
 
-// files returns the contents of the files of a log, by name.
-func files(fs *simFS) map[string]string {
+// logFiles returns the contents of the logFiles of a log, by name.
+func logFiles(fs *simFS) map[string]string {
 	all := map[string]string{}
-	for name, n := range fs.names {
+	for name, n := range fs.visible {
 		if kind, _, _ := strings.Cut(name, "-"); kind == "log" || kind == "snap" || kind == "meta" {
 			all[name] = string(n.content)
 		}
@@ -24,14 +24,14 @@
 	return all
 }
 
-// holdsCopy checks that the files are there under their other names, and no others are.
-func holdsCopy(fs *simFS, want map[string]string) error {
+// checkCopy checks that the files are there under their other names, and no others are.
+func checkCopy(fs *simFS, want map[string]string) error {
 	for name, content := range want {
-		if n := fs.names[wal.QuarantinePrefix+name]; n == nil || string(n.content) != content {
+		if n := fs.visible[wal.QuarantinePrefix+name]; n == nil || string(n.content) != content {
 			return errors.Newf("%s is not in the copy as it was", name)
 		}
 	}
-	for name := range fs.names {
+	for name := range fs.visible {
 		if original, ok := strings.CutPrefix(name, wal.QuarantinePrefix); ok {
 			if _, ok := want[original]; !ok {
 				return errors.Newf("%s is of another copy", name)
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// putAsideCrashing puts a log aside beside an older copy, and crashes at each call of it. check gets what is left.
-func putAsideCrashing(t *testing.T, h wal.TestingKnobs, check func(fs *simFS, whole *waltest.Mem, copied map[string]string, call int, done bool) error) error {
+// crashDuringQuarantine puts a log aside beside an older copy, and crashes at each call of it. check gets what is left.
+func crashDuringQuarantine(t *testing.T, h wal.TestingKnobs, check func(fs *simFS, complete *waltest.Mem, copied map[string]string, call int, done bool) error) error {
 	t.Helper()
 	r := rand.New(rand.NewPCG(5, 6))
 	for call := 1; ; call++ {
@@ -51,25 +51,25 @@
 		if err == nil {
 			_, _, _, err = older.Load()
 		}
-		err = errors.CombineErrors(err, older.Append([]wal.Entry{entry(1, 9)}))
+		err = errors.CombineErrors(err, older.Append([]wal.Entry{makeEntry(1, 9)}))
 		if err = errors.CombineErrors(err, older.Quarantine()); err != nil {
 			t.Fatal(err)
 		}
-		s := newSubject(fs)
+		s := newCheckedLog(fs)
 		if err := s.open(); err != nil {
 			t.Fatal(err)
 		}
 		for _, st := range histories["mixed"] {
-			if err := s.do(st); err != nil {
+			if err := s.runStep(st); err != nil {
 				t.Fatal(err)
 			}
 		}
 		s.log.SetTestingKnobs(h)
-		copied := files(fs)
+		copied := logFiles(fs)
 		fs.fault = crashAt(fs.calls + call)
 		done := s.log.Quarantine() == nil
-		fs.gone, fs.fault = false, nil
-		err = check(fs.killed(), s.model, copied, call, done)
+		fs.crashed, fs.fault = false, nil
+		err = check(fs.afterKill(), s.model, copied, call, done)
 		fs.powerLosses(300, r, func(lost *simFS) {
 			if err == nil {
 				err = check(lost, s.model, copied, call, done)
@@ -81,23 +81,23 @@
 	}
 }
 
-// allOrNothing checks that after a restart the log is there as it was, or is empty with the copy beside it, also where the
+// checkAllOrNothing checks that after a restart the log is there as it was, or is empty with the copy beside it, also where the
 // restart is cut short in turn.
-func allOrNothing(fs *simFS, whole *waltest.Mem, copied map[string]string, nested int) error {
+func checkAllOrNothing(fs *simFS, complete *waltest.Mem, copied map[string]string, nested int) error {
 	for call := 1; nested > 0; call++ {
-		again := fs.killed()
+		again := fs.afterKill()
 		again.fault = crashAt(call)
 		if log, err := openSim(again); err == nil {
 			_, _, _, _ = log.Load()
 		}
-		if !again.gone {
+		if !again.crashed {
 			break
 		}
-		again.gone, again.fault = false, nil
-		err := allOrNothing(again.killed(), whole, copied, 0)
+		again.crashed, again.fault = false, nil
+		err := checkAllOrNothing(again.afterKill(), complete, copied, 0)
 		again.powerLosses(nested, rand.New(rand.NewPCG(1, 1)), func(lost *simFS) {
 			if err == nil {
-				err = allOrNothing(lost, whole, copied, 0)
+				err = checkAllOrNothing(lost, complete, copied, 0)
 			}
 		})
 		if err != nil {
@@ -108,46 +108,46 @@
 	if err != nil {
 		return err
 	}
-	v, err := look(log)
+	v, err := loadView(log)
 	if err != nil {
 		return err
 	}
-	want, _ := look(whole)
+	want, _ := loadView(complete)
 	if v.log == "0:" && len(v.meta) == 0 {
-		err = holdsCopy(fs, copied)
+		err = checkCopy(fs, copied)
 	} else if v.log != want.log || len(v.meta) != len(want.meta) {
 		err = errors.Newf("%v", v)
 	}
-	return errors.CombineErrors(err, goOn(fs, log, v))
+	return errors.CombineErrors(err, checkUsable(fs, log, v))
 }
 
-// TestPutAside crashes at every call of putting a log aside, and at every call of the restart after it: afterwards either
+// TestQuarantine crashes at every call of putting a log aside, and at every call of the restart after it: afterwards either
 // everything is there as it was, or an empty log with the whole copy beside it, and nothing of an older copy.
-func TestPutAside(t *testing.T) {
-	err := putAsideCrashing(t, wal.TestingKnobs{}, func(fs *simFS, whole *waltest.Mem, copied map[string]string, _ int, done bool) error {
-		if _, marked := fs.names[wal.QuarantineMarkerName]; done && marked {
+func TestQuarantine(t *testing.T) {
+	err := crashDuringQuarantine(t, wal.TestingKnobs{}, func(fs *simFS, complete *waltest.Mem, copied map[string]string, _ int, done bool) error {
+		if _, marked := fs.visible[wal.QuarantineMarkerName]; done && marked {
 			return errors.New("the mark is still there")
 		}
-		if done && len(files(fs)) > 0 {
+		if done && len(logFiles(fs)) > 0 {
 			return errors.New("a part of the log is still there")
 		}
 		nested := 4
-		if deep() {
+		if tryAllCases() {
 			nested = 64
 		}
-		return allOrNothing(fs, whole, copied, nested)
+		return checkAllOrNothing(fs, complete, copied, nested)
 	})
 	if err != nil {
 		t.Error(err)
 	}
 }
 
-// TestPutAsideDamaged puts aside what cannot be loaded.
-func TestPutAsideDamaged(t *testing.T) {
+// TestQuarantineDamaged puts aside what cannot be loaded.
+func TestQuarantineDamaged(t *testing.T) {
 	folder := t.TempDir()
-	log, _ := onDisk(t, folder, wal.Options{SegmentBytes: 100})
+	log, _ := openInFolder(t, folder, wal.Options{SegmentBytes: 100})
 	for i := range uint64(9) {
-		if err := log.Append([]wal.Entry{entry(i+1, 0)}); err != nil {
+		if err := log.Append([]wal.Entry{makeEntry(i+1, 0)}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -161,7 +161,7 @@
 	if _, _, _, err := log.Load(); !errors.Is(err, wal.ErrDamaged) {
 		t.Fatal(err)
 	}
-	if err := log.Append([]wal.Entry{entry(10, 0)}); !errors.Is(err, wal.ErrMisuse) {
+	if err := log.Append([]wal.Entry{makeEntry(10, 0)}); !errors.Is(err, wal.ErrMisuse) {
 		t.Errorf("append to a damaged log: %v", err)
 	}
 	damaged, err := os.ReadFile(log.Path(name))
@@ -171,7 +171,7 @@
 	if err := log.Quarantine(); err != nil {
 		t.Fatal(err)
 	}
-	if v, err := look(log); err != nil || v.log != "0:" || len(v.meta) > 0 {
+	if v, err := loadView(log); err != nil || v.log != "0:" || len(v.meta) > 0 {
 		t.Errorf("%v, %v", v, err)
 	}
 	if kept, err := os.ReadFile(log.Path(wal.QuarantinePrefix + name)); err != nil || !bytes.Equal(kept, damaged) {
@@ -179,8 +179,8 @@
 	}
 }
 
-// TestCopyGivesWay needs the room that the copy of a damaged log takes: the copy goes, and no change is refused.
-func TestCopyGivesWay(t *testing.T) {
+// TestQuarantinedCopyGivesWay needs the room that the copy of a damaged log takes: the copy goes, and no change is refused.
+func TestQuarantinedCopyGivesWay(t *testing.T) {
 	for name, o := range map[string]wal.Options{
 		"bound of its own": {DiskBytes: 12000, SegmentBytes: 1000, ReserveBytes: 100},
 		"disk":             {SegmentBytes: 1000, ReserveBytes: 100},
@@ -233,10 +233,10 @@
 	}
 }
 
-// TestPutAsideWithoutMark is the control: where the mark need not last, a half of a log is served or the copy is not whole.
-func TestPutAsideWithoutMark(t *testing.T) {
-	err := putAsideCrashing(t, wal.TestingKnobs{SkipQuarantineMarkerSync: true}, func(fs *simFS, whole *waltest.Mem, copied map[string]string, _ int, _ bool) error {
-		return allOrNothing(fs, whole, copied, 0)
+// TestQuarantineWithoutDurableMarker is the control: where the mark need not last, a half of a log is served or the copy is not whole.
+func TestQuarantineWithoutDurableMarker(t *testing.T) {
+	err := crashDuringQuarantine(t, wal.TestingKnobs{SkipQuarantineMarkerSync: true}, func(fs *simFS, complete *waltest.Mem, copied map[string]string, _ int, _ bool) error {
+		return checkAllOrNothing(fs, complete, copied, 0)
 	})
 	if err == nil {
 		t.Error("the control shows nothing")
--- a/internal/system/wal/simfs_test.go
+++ b/internal/system/wal/simfs_test.go
@@ -19,15 +19,15 @@
 // name that was made, renamed or removed without a sync of the folder may be kept or lost by itself. After a sync that failed,
 // no later one makes anything more of that file durable, though it may succeed and reads show all.
 type simFS struct {
-	folder         folderState
-	names, durable map[string]*inode
-	pending        []dirOp // what durable lacks of names, in order
-	calls          int     // that change something
-	fault          func(call int, what string) error
-	gone           bool
-	capacity       int              // bytes of all files; 0: no bound
-	hooks          wal.TestingKnobs // of the logs opened on it
-	lies           lies
+	folder           folderState
+	visible, durable map[string]*inode
+	pending          []dirOp // what durable lacks of names, in order
+	calls            int     // that change something
+	fault            func(call int, what string) error
+	crashed          bool
+	capacity         int              // bytes of all files; 0: no bound
+	knobs            wal.TestingKnobs // of the logs opened on it
+	ignored          ignoredSyncs
 }
 
 // folderState tells how far the folder itself is there.
@@ -69,7 +69,7 @@
 
 const simFolder = "/data"
 
-func newSimFS() *simFS { return &simFS{names: map[string]*inode{}, durable: map[string]*inode{}} }
+func newSimFS() *simFS { return &simFS{visible: map[string]*inode{}, durable: map[string]*inode{}} }
 
 func (f fileOp) apply(b []byte) []byte {
 	if f.data == nil {
@@ -114,8 +114,8 @@
 	}
 }
 
-func (s *simFS) call(what string) error {
-	if s.gone {
+func (s *simFS) countCall(what string) error {
+	if s.crashed {
 		return errCrash
 	}
 	s.calls++
@@ -124,13 +124,13 @@
 	}
 	err := s.fault(s.calls, what)
 	if errors.Is(err, errCrash) {
-		s.gone = true
+		s.crashed = true
 	}
 	return err
 }
 
 func (s *simFS) MkdirAll(string) error {
-	if err := s.call("mkdir"); err != nil {
+	if err := s.countCall("mkdir"); err != nil {
 		return err
 	}
 	s.folder = max(s.folder, folderMade)
@@ -138,18 +138,18 @@
 }
 
 func (s *simFS) ReadDir(string) ([]string, error) {
-	if s.gone {
+	if s.crashed {
 		return nil, errCrash
 	}
 	if s.folder == folderMissing {
 		return nil, os.ErrNotExist
 	}
-	return slices.Sorted(maps.Keys(s.names)), nil
+	return slices.Sorted(maps.Keys(s.visible)), nil
 }
 
 func (s *simFS) Open(name string) (wal.File, error) {
-	n := s.names[filepath.Base(name)]
-	if s.gone {
+	n := s.visible[filepath.Base(name)]
+	if s.crashed {
 		return nil, errCrash
 	}
 	if n == nil {
@@ -160,81 +160,81 @@
 
 func (s *simFS) Create(name string) (wal.File, error) {
 	name = filepath.Base(name)
-	if err := s.call("create"); err != nil {
+	if err := s.countCall("create"); err != nil {
 		return nil, err
 	}
-	if s.names[name] != nil {
+	if s.visible[name] != nil {
 		return nil, os.ErrExist
 	}
 	n := &inode{}
-	s.change(dirOp{to: name, node: n})
+	s.changeName(dirOp{to: name, node: n})
 	return &simFile{s, n}, nil
 }
 
-func (s *simFS) change(d dirOp) {
-	d.apply(s.names)
+func (s *simFS) changeName(d dirOp) {
+	d.apply(s.visible)
 	s.pending = append(s.pending, d)
 }
 
 func (s *simFS) Rename(from, to string) error {
-	if err := s.call("rename"); err != nil {
+	if err := s.countCall("rename"); err != nil {
 		return err
 	}
-	n := s.names[filepath.Base(from)]
+	n := s.visible[filepath.Base(from)]
 	if n == nil {
 		return os.ErrNotExist
 	}
-	s.change(dirOp{filepath.Base(from), filepath.Base(to), n})
+	s.changeName(dirOp{filepath.Base(from), filepath.Base(to), n})
 	return nil
 }
 
 func (s *simFS) Remove(name string) error {
-	if err := s.call("remove"); err != nil {
+	if err := s.countCall("remove"); err != nil {
 		return err
 	}
-	n := s.names[filepath.Base(name)]
+	n := s.visible[filepath.Base(name)]
 	if n == nil {
 		return os.ErrNotExist
 	}
-	s.change(dirOp{from: filepath.Base(name), node: n})
+	s.changeName(dirOp{from: filepath.Base(name), node: n})
 	return nil
 }
 
 func (s *simFS) SyncDir(folder string) error {
-	if err := s.call("syncdir"); err != nil {
+	if err := s.countCall("syncdir"); err != nil {
 		return err
 	}
 	if folder != simFolder {
-		if !s.lies.parent {
+		if !s.ignored.parentFolder {
 			s.folder = folderDurable
 		}
 		return nil
 	}
-	if s.lies.folder {
+	if s.ignored.folder {
 		return nil
 	}
-	s.durable, s.pending = maps.Clone(s.names), nil
+	s.durable, s.pending = maps.Clone(s.visible), nil
 	return nil
 }
 
 type simFile struct {
-	fs *simFS
-	n  *inode
+	fs   *simFS
+	node *inode
 }
 
-func (n *inode) change(f fileOp) {
+func (n *inode) changeContent(f fileOp) {
 	n.content = f.apply(n.content)
 	n.pending = append(n.pending, f)
 }
 
 func (f *simFile) ReadAt(b []byte, at int64) (int, error) {
-	if f.fs.gone {
+	if f.fs.crashed {
 		return 0, errCrash
 	}
-	if at >= int64(len(f.n.content)) {
+	if at >= int64(len(f.node.content)) {
 		return 0, io.EOF
 	}
-	n := copy(b, f.n.content[at:])
+	n := copy(b, f.node.content[at:])
 	if n < len(b) {
 		return n, io.EOF
 	}
@@ -243,54 +243,54 @@
 
 // WriteAt leaves half of what it was to write where it fails.
 func (f *simFile) WriteAt(b []byte, at int64) (int, error) {
-	err := f.fs.call("write")
+	err := f.fs.countCall("write")
 	if errors.Is(err, errCrash) {
 		return 0, err
 	}
 	b = slices.Clone(b)
 	if err != nil {
 		b = b[:len(b)/2]
-	} else if room := f.fs.room(f.n, at); f.fs.capacity > 0 && len(b) > room {
-		b, err = b[:room], errNoRoom
+	} else if room := f.fs.freeBytes(f.node, at); f.fs.capacity > 0 && len(b) > room {
+		b, err = b[:room], errNoSpace
 	}
 	if len(b) > 0 {
-		f.n.change(fileOp{at: at, data: b})
+		f.node.changeContent(fileOp{at: at, data: b})
 	}
 	return len(b), err
 }
 
-// room returns the bytes that can be written to n at at.
-func (s *simFS) room(n *inode, at int64) int {
-	return max(0, s.capacity-s.used()) + max(0, len(n.content)-int(at))
+// freeBytes returns the bytes that can be written to n at at.
+func (s *simFS) freeBytes(n *inode, at int64) int {
+	return max(0, s.capacity-s.usedBytes()) + max(0, len(n.content)-int(at))
 }
 
-// used returns the bytes of all files.
-func (s *simFS) used() int {
+// usedBytes returns the bytes of all files.
+func (s *simFS) usedBytes() int {
 	used := 0
-	for _, n := range s.names {
+	for _, n := range s.visible {
 		used += len(n.content)
 	}
 	return used
 }
 
 func (f *simFile) Size() (int64, error) {
-	if f.fs.gone {
+	if f.fs.crashed {
 		return 0, errCrash
 	}
-	return int64(len(f.n.content)), nil
+	return int64(len(f.node.content)), nil
 }
 
 func (f *simFile) Truncate(size int64) error {
-	if err := f.fs.call("truncate"); err != nil {
+	if err := f.fs.countCall("truncate"); err != nil {
 		return err
 	}
-	f.n.change(fileOp{at: size})
+	f.node.changeContent(fileOp{at: size})
 	return nil
 }
 
 // Sync makes the content durable, but not the name.
 func (f *simFile) Sync() error {
-	err := f.fs.call("sync")
+	err := f.fs.countCall("sync")
 	if errors.Is(err, errCrash) {
 		return err
 	}
@@ -298,14 +298,14 @@
 	if err != nil {
 		done = syncFailed
 	}
-	if !f.fs.lies.file {
-		f.n.settle(done)
+	if !f.fs.ignored.files {
+		f.node.recordSync(done)
 	}
 	return err
 }
 
-// settle notes what a sync has done.
-func (n *inode) settle(done syncState) {
+// recordSync notes what a sync has done.
+func (n *inode) recordSync(done syncState) {
 	if n.failed = n.failed || done == syncFailed; n.failed {
 		done = syncFailed
 	}
@@ -322,4 +322,4 @@
 
 func (f *simFile) Close() error { return nil }
 
-var errNoRoom = &os.PathError{Op: "write", Path: "sim", Err: syscall.ENOSPC}
+var errNoSpace = &os.PathError{Op: "write", Path: "sim", Err: syscall.ENOSPC}
--- a/internal/system/wal/simpowerloss_test.go
+++ b/internal/system/wal/simpowerloss_test.go
@@ -7,8 +7,8 @@
 	"sort"
 )
 
-// killed returns the disk as a process finds it that comes after one that was killed: nothing is lost, nothing synced.
-func (s *simFS) killed() *simFS {
+// afterKill returns the disk as a process finds it that comes after one that was afterKill: nothing is lost, nothing synced.
+func (s *simFS) afterKill() *simFS {
 	twin := map[*inode]*inode{}
 	of := func(n *inode) *inode {
 		if twin[n] == nil {
@@ -17,9 +17,9 @@
 		return twin[n]
 	}
 	c := newSimFS()
-	c.folder, c.hooks, c.lies = s.folder, s.hooks, s.lies
-	for name, n := range s.names {
-		c.names[name] = of(n)
+	c.folder, c.knobs, c.ignored = s.folder, s.knobs, s.ignored
+	for name, n := range s.visible {
+		c.visible[name] = of(n)
 	}
 	for name, n := range s.durable {
 		c.durable[name] = of(n)
@@ -50,7 +50,7 @@
 	var sizes []int // of each choice
 	if s.folder == folderMade {
 		none := newSimFS()
-		none.hooks, none.lies = s.hooks, s.lies
+		none.knobs, none.ignored = s.knobs, s.ignored
 		f(none)
 	}
 	for range s.pending {
@@ -71,7 +71,7 @@
 	choice := make([]int, len(sizes))
 	if total <= most {
 		for range total {
-			f(s.lost(choice, ordered))
+			f(s.afterPowerLoss(choice, ordered))
 			for i := range choice {
 				if choice[i]++; choice[i] < sizes[i] {
 					break
@@ -92,12 +92,12 @@
 				choice[i] = r.IntN(sizes[i])
 			}
 		}
-		f(s.lost(choice, ordered))
+		f(s.afterPowerLoss(choice, ordered))
 	}
 }
 
-// lost returns the disk after one loss of power.
-func (s *simFS) lost(choice []int, ordered []*inode) *simFS {
+// afterPowerLoss returns the disk after one loss of power.
+func (s *simFS) afterPowerLoss(choice []int, ordered []*inode) *simFS {
 	names := maps.Clone(s.durable)
 	for i, d := range s.pending {
 		if choice[i] == 1 {
@@ -117,7 +117,7 @@
 		content[n] = b
 	}
 	c := newSimFS()
-	c.hooks, c.lies = s.hooks, s.lies
+	c.knobs, c.ignored = s.knobs, s.ignored
 	if s.folder != folderMissing {
 		c.folder = folderDurable
 	}
@@ -130,7 +130,7 @@
 			}
 			twin[n] = &inode{content: b, durable: b}
 		}
-		c.names[name], c.durable[name] = twin[n], twin[n]
+		c.visible[name], c.durable[name] = twin[n], twin[n]
 	}
 	return c
 }
--- a/internal/system/wal/space_test.go
+++ b/internal/system/wal/space_test.go
@@ -14,21 +14,21 @@
 
 // Sizes of the machines that the log is for, in bytes.
 const (
-	wholeDisk   = 64e6
-	mostState   = 16 << 20 // a configuration, the largest that a keeper takes
-	usualState  = 600 << 10
-	compactAt   = 8 << 20 // of records since the last snapshot: when a keeper compacts
-	mostOfALoad = 44 << 20
+	diskBytes             = 64e6
+	maxStateBytes         = 16 << 20 // a configuration, the largest that a keeper takes
+	usualStateBytes       = 600 << 10
+	compactThresholdBytes = 8 << 20 // of records since the last snapshot: when a keeper compacts
+	maxLoadBytes          = 44 << 20
 )
 
 // meterFS is the operating system's file system without syncs, on a disk of a given size, whose fill it measures.
 type meterFS struct {
 	wal.OSFS
-	sizes          map[string]int64
-	used, peak     int64
-	capacity       int64
-	renamesToFail  int
-	segments, most int // files of segments
+	sizes                 map[string]int64
+	usedBytes, peakBytes  int64
+	capacityBytes         int64
+	renamesToFail         int
+	segments, maxSegments int // files of segments
 }
 
 type meterFile struct {
@@ -37,15 +37,15 @@
 	name *string // changes with a rename
 }
 
-func newMeterFS() *meterFS { return &meterFS{sizes: map[string]int64{}, capacity: wholeDisk} }
+func newMeterFS() *meterFS { return &meterFS{sizes: map[string]int64{}, capacityBytes: diskBytes} }
 
 func (m *meterFS) resize(name string, size int64) error {
-	used := m.used + size - m.sizes[name]
-	if used > m.capacity && size > m.sizes[name] {
-		return errNoRoom
+	used := m.usedBytes + size - m.sizes[name]
+	if used > m.capacityBytes && size > m.sizes[name] {
+		return errNoSpace
 	}
-	m.sizes[name], m.used = size, used
-	m.peak = max(m.peak, used)
+	m.sizes[name], m.usedBytes = size, used
+	m.peakBytes = max(m.peakBytes, used)
 	return nil
 }
 
@@ -56,7 +56,7 @@
 			m.segments++
 		}
 	}
-	m.most = max(m.most, m.segments)
+	m.maxSegments = max(m.maxSegments, m.segments)
 }
 
 func (m *meterFS) Create(name string) (wal.File, error) {
@@ -82,7 +82,7 @@
 	if err := m.OSFS.Rename(from, to); err != nil {
 		return err
 	}
-	m.used -= m.sizes[to]
+	m.usedBytes -= m.sizes[to]
 	m.sizes[to] = m.sizes[from]
 	delete(m.sizes, from)
 	return nil
@@ -92,15 +92,15 @@
 	if err := m.OSFS.Remove(name); err != nil {
 		return err
 	}
-	m.used -= m.sizes[name]
+	m.usedBytes -= m.sizes[name]
 	delete(m.sizes, name)
 	return nil
 }
 
 func (*meterFS) SyncDir(string) error { return nil }
 
-// current is the name under which the file counts; a start of a segment is written under another one.
-func (f *meterFile) current() string {
+// currentName is the name under which the file counts; a start of a segment is written under another one.
+func (f *meterFile) currentName() string {
 	if _, ok := f.fs.sizes[*f.name]; !ok {
 		*f.name = strings.TrimSuffix(*f.name, wal.TemporarySuffix)
 	}
@@ -108,37 +108,37 @@
 }
 
 func (f *meterFile) WriteAt(b []byte, at int64) (int, error) {
-	if err := f.fs.resize(f.current(), max(f.fs.sizes[f.current()], at+int64(len(b)))); err != nil {
+	if err := f.fs.resize(f.currentName(), max(f.fs.sizes[f.currentName()], at+int64(len(b)))); err != nil {
 		return 0, err
 	}
 	return f.File.WriteAt(b, at)
 }
 
 func (f *meterFile) Truncate(size int64) error {
-	_ = f.fs.resize(f.current(), size)
+	_ = f.fs.resize(f.currentName(), size)
 	return f.File.Truncate(size)
 }
 
 func (*meterFile) Sync() error { return nil }
 
-// keeperOn is a log that is written as a keeper does.
-type keeperOn struct {
-	t       *testing.T
-	fs      *meterFS
-	folder  string
-	log     *wal.Log
-	state   int // bytes of a snapshot
-	since   int // bytes of records since the last one
-	slowest time.Duration
+// nodeLog is a log that is written as a keeper does.
+type nodeLog struct {
+	t                  *testing.T
+	fs                 *meterFS
+	folder             string
+	log                *wal.Log
+	snapshotBytes      int // bytes of a snapshot
+	bytesSinceSnapshot int // bytes of records since the last one
+	slowestStart       time.Duration
 }
 
-func newKeeperOn(t *testing.T, state int) *keeperOn {
-	k := &keeperOn{t: t, fs: newMeterFS(), folder: t.TempDir(), state: state}
+func newNodeLog(t *testing.T, state int) *nodeLog {
+	k := &nodeLog{t: t, fs: newMeterFS(), folder: t.TempDir(), snapshotBytes: state}
 	k.restart()
 	return k
 }
 
-func (k *keeperOn) restart() {
+func (k *nodeLog) restart() {
 	k.t.Helper()
 	began := time.Now()
 	log, err := wal.Open(k.folder, wal.Options{FS: k.fs})
@@ -148,11 +148,11 @@
 	if err != nil {
 		k.t.Fatal(err)
 	}
-	k.log, k.slowest = log, max(k.slowest, time.Since(began))
+	k.log, k.slowestStart = log, max(k.slowestStart, time.Since(began))
 }
 
-// change appends one record, compacts when it is due, and when the log is full.
-func (k *keeperOn) change(size int) {
+// appendOne appends one record, compacts when it is due, and when the log is full.
+func (k *nodeLog) appendOne(size int) {
 	k.t.Helper()
 	entry := wal.Entry{Seq: k.log.LastSeq() + 1, Data: make([]byte, size)}
 	err := k.log.Append([]wal.Entry{entry})
@@ -163,111 +163,111 @@
 	if err != nil {
 		k.t.Fatalf("entry %d: %v", entry.Seq, err)
 	}
-	if k.since += size; k.since >= compactAt {
+	if k.bytesSinceSnapshot += size; k.bytesSinceSnapshot >= compactThresholdBytes {
 		k.compact()
 	}
 }
 
-func (k *keeperOn) compact() {
+func (k *nodeLog) compact() {
 	k.t.Helper()
-	if err := k.log.Compact(wal.Snapshot{Seq: k.log.LastSeq(), Data: make([]byte, k.state)}); err != nil {
+	if err := k.log.Compact(wal.Snapshot{Seq: k.log.LastSeq(), Data: make([]byte, k.snapshotBytes)}); err != nil {
 		k.t.Fatal(err)
 	}
-	k.since = 0
+	k.bytesSinceSnapshot = 0
 }
 
-func (k *keeperOn) check() {
+func (k *nodeLog) checkDiskUsage() {
 	k.t.Helper()
-	k.t.Logf("at most %.1f MB of the disk and %d segments; the slowest start took %v", float64(k.fs.peak)/1e6, k.fs.most, k.slowest)
-	if k.fs.peak > wholeDisk {
-		k.t.Errorf("%d bytes of the disk were used", k.fs.peak)
+	k.t.Logf("at most %.1f MB of the disk and %d segments; the slowest start took %v", float64(k.fs.peakBytes)/1e6, k.fs.maxSegments, k.slowestStart)
+	if k.fs.peakBytes > diskBytes {
+		k.t.Errorf("%d bytes of the disk were used", k.fs.peakBytes)
 	}
 }
 
-// TestDiskStaysBounded makes changes without end on a disk of 64 MB, with restarts. Danger: the disk fills by itself.
-func TestDiskStaysBounded(t *testing.T) {
+// TestDiskUsageIsBounded makes changes without end on a disk of 64 MB, with restarts. Danger: the disk fills by itself.
+func TestDiskUsageIsBounded(t *testing.T) {
 	t.Run("2000 changes of 600 KB", func(t *testing.T) {
-		k := newKeeperOn(t, usualState)
+		k := newNodeLog(t, usualStateBytes)
 		for i := range 2000 {
-			if k.change(usualState); i%97 == 0 {
+			if k.appendOne(usualStateBytes); i%97 == 0 {
 				k.restart()
 			}
 		}
-		k.check()
-		if k.fs.most > 12 { // 8 MiB of records and one after, in segments of 2 MiB and one record
-			t.Errorf("%d segments: those behind a snapshot stay", k.fs.most)
+		k.checkDiskUsage()
+		if k.fs.maxSegments > 12 { // 8 MiB of records and one after, in segments of 2 MiB and one record
+			t.Errorf("%d segments: those behind a snapshot stay", k.fs.maxSegments)
 		}
 	})
 	t.Run("configurations of 16 MB", func(t *testing.T) {
-		k := newKeeperOn(t, mostState)
+		k := newNodeLog(t, maxStateBytes)
 		for i := range 40 {
-			if k.change(mostState); i%3 == 0 {
+			if k.appendOne(maxStateBytes); i%3 == 0 {
 				k.restart()
 			}
 		}
-		k.check()
+		k.checkDiskUsage()
 	})
 	t.Run("never compacted before it is full", func(t *testing.T) {
-		k := newKeeperOn(t, mostState)
+		k := newNodeLog(t, maxStateBytes)
 		for range 200 {
-			k.since = 0
-			k.change(usualState)
+			k.bytesSinceSnapshot = 0
+			k.appendOne(usualStateBytes)
 		}
 		k.restart()
-		k.check()
+		k.checkDiskUsage()
 	})
 	t.Run("two snapshots at once", func(t *testing.T) {
-		k := newKeeperOn(t, mostState)
+		k := newNodeLog(t, maxStateBytes)
 		for i := range uint64(6) {
-			k.change(mostState)
+			k.appendOne(maxStateBytes)
 			k.fs.renamesToFail = int(i % 3)
 			for tries := 0; ; tries++ { // one after the other, also where a rename fails
-				if err := k.log.Install(wal.Snapshot{Seq: 100 * (i + 1), Data: make([]byte, mostState)}); err == nil {
+				if err := k.log.Install(wal.Snapshot{Seq: 100 * (i + 1), Data: make([]byte, maxStateBytes)}); err == nil {
 					break
 				} else if tries > 3 {
 					t.Fatal(err)
 				}
 			}
 		}
-		k.check()
+		k.checkDiskUsage()
 	})
 	t.Run("beside a copy of a damaged log", func(t *testing.T) {
-		k := newKeeperOn(t, mostState)
+		k := newNodeLog(t, maxStateBytes)
 		for range 60 {
-			k.since = 0
-			k.change(usualState)
+			k.bytesSinceSnapshot = 0
+			k.appendOne(usualStateBytes)
 		}
 		if err := k.log.Quarantine(); err != nil {
 			t.Fatal(err)
 		}
 		k.restart()
 		for i := range 12 {
-			if k.change(mostState); i%3 == 0 {
+			if k.appendOne(maxStateBytes); i%3 == 0 {
 				k.restart()
 			}
 		}
-		k.check()
+		k.checkDiskUsage()
 		if len(k.log.QuarantinedFiles()) > 0 {
 			t.Error("the copy is still there")
 		}
 	})
 }
 
-// TestFullDiskGetsRoomAgain lets others fill the disk, has every change refused and nothing lost, also in a restart, and gives
+// TestFullDiskGetsSpaceAgain lets others fill the disk, has every change refused and nothing lost, also in a restart, and gives
 // the room back.
-func TestFullDiskGetsRoomAgain(t *testing.T) {
-	k := newKeeperOn(t, usualState)
+func TestFullDiskGetsSpaceAgain(t *testing.T) {
+	k := newNodeLog(t, usualStateBytes)
 	for range 5 {
-		k.change(usualState)
+		k.appendOne(usualStateBytes)
 	}
 	for round := range 3 {
-		k.fs.capacity = 0
+		k.fs.capacityBytes = 0
 		last := k.log.LastSeq()
 		for range 3 {
-			if err := k.log.Append([]wal.Entry{{Seq: last + 1, Data: make([]byte, usualState)}}); !errors.Is(err, wal.ErrFull) {
+			if err := k.log.Append([]wal.Entry{{Seq: last + 1, Data: make([]byte, usualStateBytes)}}); !errors.Is(err, wal.ErrFull) {
 				t.Fatal(err)
 			}
-			if err := k.log.Compact(wal.Snapshot{Seq: last, Data: make([]byte, usualState)}); !errors.Is(err, wal.ErrFull) {
+			if err := k.log.Compact(wal.Snapshot{Seq: last, Data: make([]byte, usualStateBytes)}); !errors.Is(err, wal.ErrFull) {
 				t.Fatal(err)
 			}
 		}
@@ -277,8 +277,8 @@
 		if k.log.LastSeq() != last {
 			t.Fatalf("the log ends at %d, not at %d", k.log.LastSeq(), last)
 		}
-		k.fs.capacity = wholeDisk
-		k.change(usualState)
+		k.fs.capacityBytes = diskBytes
+		k.appendOne(usualStateBytes)
 		k.restart()
 		if k.log.LastSeq() != last+1 {
 			t.Fatalf("the log ends at %d, not at %d", k.log.LastSeq(), last+1)
@@ -286,28 +286,28 @@
 	}
 }
 
-// TestLoadStaysBounded loads a log of 40 MiB, of usual changes and of the largest: what the whole of it allocates bounds the
+// TestLoadMemoryIsBounded loads a log of 40 MiB, of usual changes and of the largest: what the whole of it allocates bounds the
 // memory that it takes.
-func TestLoadStaysBounded(t *testing.T) {
+func TestLoadMemoryIsBounded(t *testing.T) {
 	t.Run("usual changes", func(t *testing.T) {
-		k := newKeeperOn(t, usualState)
+		k := newNodeLog(t, usualStateBytes)
 		for k.log.Size() < 39<<20 {
-			k.since = 0
-			k.change(usualState)
+			k.bytesSinceSnapshot = 0
+			k.appendOne(usualStateBytes)
 		}
-		k.measureLoad(mostOfALoad)
+		k.measureLoad(maxLoadBytes)
 	})
 	t.Run("a snapshot and a change of 16 MiB", func(t *testing.T) {
-		k := newKeeperOn(t, mostState)
-		k.change(usualState)
+		k := newNodeLog(t, maxStateBytes)
+		k.appendOne(usualStateBytes)
 		k.compact()
-		k.since = -mostState
-		k.change(mostState)
-		k.measureLoad(mostOfALoad + mostState) // the last record is written again
+		k.bytesSinceSnapshot = -maxStateBytes
+		k.appendOne(maxStateBytes)
+		k.measureLoad(maxLoadBytes + maxStateBytes) // the last record is written again
 	})
 }
 
-func (k *keeperOn) measureLoad(most uint64) {
+func (k *nodeLog) measureLoad(most uint64) {
 	t := k.t
 	t.Helper()
 	size := k.log.Size()
@@ -315,24 +315,24 @@
 	runtime.GC()
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	k.slowest = 0
+	k.slowestStart = 0
 	k.restart()
 	runtime.ReadMemStats(&after)
 	allocated := after.TotalAlloc - before.TotalAlloc
-	t.Logf("loading %d bytes allocated %d and took %v", size, allocated, k.slowest)
+	t.Logf("loading %d bytes allocated %d and took %v", size, allocated, k.slowestStart)
 	if allocated > most {
 		t.Errorf("loading %d bytes allocated %d", size, allocated)
 	}
 }
 
-// TestLoadOnADiskThatRefuses starts on a disk that refuses each call that would write, after a kill at any call before. Danger: a
+// TestLoadOnDiskRefusingWrites starts on a disk that refuses each call that would write, after a kill at any call before. Danger: a
 // keeper on a full disk ends at each start, and does not even answer what it holds.
-func TestLoadOnADiskThatRefuses(t *testing.T) {
+func TestLoadOnDiskRefusingWrites(t *testing.T) {
 	refuse := func(_ int, what string) error {
 		if what == "sync" || what == "syncdir" || what == "remove" {
 			return nil
 		}
-		return errNoRoom
+		return errNoSpace
 	}
 	for name, steps := range histories {
 		for call := 3; ; call++ { // the folder and the first segment are there
@@ -340,17 +340,17 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			reached := s.fs.gone
-			s.fs.gone = false
-			fs := s.fs.killed()
+			reached := s.fs.crashed
+			s.fs.crashed = false
+			fs := s.fs.afterKill()
 			fs.fault = refuse
 			log, err := openSim(fs)
 			if err != nil {
 				t.Fatalf("%s, killed at call %d: %v", name, call, err)
 			}
-			v, err := look(log)
+			v, err := loadView(log)
 			if err == nil {
-				err = s.allows(v)
+				err = s.checkAllowed(v)
 			}
 			if err != nil {
 				t.Fatalf("%s, killed at call %d: %v", name, call, err)
@@ -359,7 +359,7 @@
 				t.Fatalf("%s, killed at call %d: an append: %v", name, call, err)
 			}
 			fs.fault = nil
-			if err := goOn(fs, log, v); err != nil {
+			if err := checkUsable(fs, log, v); err != nil {
 				t.Fatalf("%s, killed at call %d, and room again: %v", name, call, err)
 			}
 			if !reached {
