--- a/internal/system/wal/crash_test.go
+++ b/internal/system/wal/crash_test.go
@@ -38,21 +38,21 @@
 func runWith(steps []step, h wal.TestingKnobs, l ignoredSyncs, fault func(int, string) error) (*checkedLog, error) {
 	fs := newSimFS()
 	fs.fault, fs.knobs, fs.ignored = fault, h, l
-	s := newCheckedLog(fs)
+	checked := newCheckedLog(fs)
 	for range 8 { // a load that failed is tried again
-		if s.open() == nil {
+		if checked.open() == nil {
 			break
 		}
 	}
-	for _, st := range steps {
+	for _, next := range steps {
 		if fs.crashed {
 			break
 		}
-		if err := s.runStep(st); err != nil {
-			return s, err
+		if err := checked.runStep(next); err != nil {
+			return checked, err
 		}
 	}
-	return s, nil
+	return checked, nil
 }
 
 func TestCrashAtEveryCall(t *testing.T) {
@@ -143,55 +143,70 @@
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		s := newCheckedLog(newSimFS())
-		if err := s.open(); err != nil {
+		checked := newCheckedLog(newSimFS())
+		if err := checked.open(); err != nil {
 			t.Fatal(err)
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			var err error
-			switch rapid.IntRange(0, 9).Draw(t, "kind") {
-			case 0:
-				from, in := s.fs.calls+rapid.IntRange(1, 12).Draw(t, "from"), errNoSpace
-				until := from + rapid.IntRange(1, 8).Draw(t, "row")
-				s.fs.fault = func(n int, _ string) error {
-					if n >= from && n < until {
-						return in
-					}
-					return nil
-				}
-			case 1:
-				err = s.restart(s.fs.afterKill())
-			case 2:
-				crash := s.fs.calls + rapid.IntRange(1, 10).Draw(t, "crash")
-				s.fs.fault = func(n int, _ string) error {
-					if n >= crash {
-						return errCrash
-					}
-					return nil
-				}
-			default:
-				last := s.model.LastSeq()
-				err = s.runStep(rapid.SampledFrom([]step{
-					{"append", rapid.Uint64Range(1, 6).Draw(t, "count"), r.Uint64N(1000)},
-					{"truncate", last - min(last, rapid.Uint64Range(0, 8).Draw(t, "back")), 0},
-					{"compact", last - min(last, rapid.Uint64Range(0, 8).Draw(t, "behind")), r.Uint64N(1000)},
-					{"install", last + rapid.Uint64Range(0, 9).Draw(t, "ahead"), r.Uint64N(1000)},
-					{"meta", rapid.Uint64Range(1, 2).Draw(t, "name"), r.Uint64N(1000)},
-				}).Draw(t, "step"))
-			}
-			if err == nil && s.fs.crashed {
-				if err = s.checkCrash(10, 1, r); err == nil {
-					var left *simFS
-					s.fs.powerLosses(3, r, func(lost *simFS) { left = lost })
-					err = s.restart(left)
-				}
+			err := checked.drawEvent(t, r)
+			if err == nil && checked.fs.crashed {
+				err = checked.restartAfterCrash(r)
 			}
 			if err != nil {
-				t.Fatalf("%v\n%s", err, strings.Join(s.trace, "\n"))
+				t.Fatalf("%v\n%s", err, strings.Join(checked.trace, "\n"))
 			}
 		}
-		if err := s.checkCrash(20, 1, r); err != nil {
-			t.Fatalf("%v\n%s", err, strings.Join(s.trace, "\n"))
+		if err := checked.checkCrash(20, 1, r); err != nil {
+			t.Fatalf("%v\n%s", err, strings.Join(checked.trace, "\n"))
 		}
 	})
 }
+
+// drawEvent draws one of: a disk without space for some calls, a kill with a restart, a crash at a later call, and a change.
+func (s *checkedLog) drawEvent(t *rapid.T, r *rand.Rand) error {
+	switch rapid.IntRange(0, 9).Draw(t, "kind") {
+	case 0:
+		from := s.fs.calls + rapid.IntRange(1, 12).Draw(t, "from")
+		until := from + rapid.IntRange(1, 8).Draw(t, "row")
+		s.fs.fault = func(call int, _ string) error {
+			if call >= from && call < until {
+				return errNoSpace
+			}
+			return nil
+		}
+	case 1:
+		return s.restart(s.fs.afterKill())
+	case 2:
+		crash := s.fs.calls + rapid.IntRange(1, 10).Draw(t, "crash")
+		s.fs.fault = func(call int, _ string) error {
+			if call >= crash {
+				return errCrash
+			}
+			return nil
+		}
+	default:
+		return s.runStep(s.drawStep(t, r))
+	}
+	return nil
+}
+
+func (s *checkedLog) drawStep(t *rapid.T, r *rand.Rand) step {
+	last := s.model.LastSeq()
+	return rapid.SampledFrom([]step{
+		{"append", rapid.Uint64Range(1, 6).Draw(t, "count"), r.Uint64N(1000)},
+		{"truncate", last - min(last, rapid.Uint64Range(0, 8).Draw(t, "back")), 0},
+		{"compact", last - min(last, rapid.Uint64Range(0, 8).Draw(t, "behind")), r.Uint64N(1000)},
+		{"install", last + rapid.Uint64Range(0, 9).Draw(t, "ahead"), r.Uint64N(1000)},
+		{"meta", rapid.Uint64Range(1, 2).Draw(t, "name"), r.Uint64N(1000)},
+	}).Draw(t, "step")
+}
+
+// restartAfterCrash checks what a crash may leave, and goes on with one of the cases.
+func (s *checkedLog) restartAfterCrash(r *rand.Rand) error {
+	if err := s.checkCrash(10, 1, r); err != nil {
+		return err
+	}
+	var left *simFS
+	s.fs.powerLosses(3, r, func(lost *simFS) { left = lost })
+	return s.restart(left)
+}
--- a/internal/system/wal/crashmodel_test.go
+++ b/internal/system/wal/crashmodel_test.go
@@ -7,6 +7,7 @@
 	"slices"
 	"strings"
 	"sync/atomic"
+	"testing"
 
 	"github.com/cockroachdb/errors"
 
@@ -27,7 +28,7 @@
 	return wal.Entry{Seq: seq, Data: []byte(fmt.Sprintf("entry %d of %d %s", seq, b, strings.Repeat("x", int(seq*7%40))))}
 }
 
-func (s step) run(d wal.Disk, last uint64) error {
+func (s step) run(disk wal.Disk, last uint64) error {
 	snapshot := wal.Snapshot{Seq: s.argument, Data: []byte(fmt.Sprintf("snapshot %d of %d", s.argument, s.history))}
 	switch s.method {
 	case "append": // a entries
@@ -35,15 +36,15 @@
 		for i := range s.argument {
 			all = append(all, makeEntry(last+1+i, s.history))
 		}
-		return d.Append(all)
+		return disk.Append(all)
 	case "truncate":
-		return d.Truncate(s.argument)
+		return disk.Truncate(s.argument)
 	case "compact":
-		return d.Compact(snapshot)
+		return disk.Compact(snapshot)
 	case "install":
-		return d.Install(snapshot)
+		return disk.Install(snapshot)
 	case "meta":
-		return d.SaveMeta(fmt.Sprintf("m%d", s.argument), []byte(fmt.Sprintf("meta %d", s.history)))
+		return disk.SaveMeta(fmt.Sprintf("m%d", s.argument), []byte(fmt.Sprintf("meta %d", s.history)))
 	}
 	return nil
 }
@@ -54,6 +55,8 @@
 	meta map[string]string
 }
 
+func (v view) equal(other view) bool { return v.log == other.log && maps.Equal(v.meta, other.meta) }
+
 func loadView(d wal.Disk) (view, error) {
 	meta, snapshot, entries, err := d.Load()
 	if err != nil {
@@ -89,6 +92,20 @@
 		Nonce: func() uint64 { return nonces.Add(1) }})
 }
 
+// openLoaded opens a log and loads it.
+func openLoaded(t *testing.T, folder string, options wal.Options) *wal.Log {
+	t.Helper()
+	log, err := wal.Open(folder, options)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = log.Close() })
+	if _, _, _, err := log.Load(); err != nil {
+		t.Fatal(err)
+	}
+	return log
+}
+
 func newCheckedLog(fs *simFS) *checkedLog {
 	return &checkedLog{fs: fs, model: waltest.NewMem(), possibleLogs: map[string]bool{}, possibleMeta: map[string]map[string]bool{}}
 }
@@ -103,30 +120,30 @@
 }
 
 // runStep runs a step on both and notes what it may have left.
-func (s *checkedLog) runStep(st step) error {
+func (s *checkedLog) runStep(next step) error {
 	after := s.model.Clone()
-	modelErr := st.run(after, s.model.LastSeq())
-	err := st.run(s.log, s.model.LastSeq())
-	s.trace = append(s.trace, fmt.Sprintf("%v=%v", st, err))
+	modelErr := next.run(after, s.model.LastSeq())
+	err := next.run(s.log, s.model.LastSeq())
+	s.trace = append(s.trace, fmt.Sprintf("%v=%v", next, err))
 	if modelErr != nil {
 		if err == nil {
-			return errors.Newf("%v: the model refuses it: %v", st, modelErr)
+			return errors.Newf("%v: the model refuses it: %v", next, modelErr)
 		}
 		return nil
 	}
 	if errors.Is(err, wal.ErrMisuse) {
-		return errors.Newf("%v: %v, where the model takes it", st, err)
+		return errors.Newf("%v: %v, where the model takes it", next, err)
 	}
-	name := fmt.Sprintf("m%d", st.argument)
+	name := fmt.Sprintf("m%d", next.argument)
 	switch {
 	case err == nil:
 		s.model = after
-		if st.method == "meta" {
+		if next.method == "meta" {
 			delete(s.possibleMeta, name)
 		} else {
 			clear(s.possibleLogs)
 		}
-	case st.method == "meta":
+	case next.method == "meta":
 		if s.possibleMeta[name] == nil {
 			s.possibleMeta[name] = map[string]bool{}
 		}
@@ -157,68 +174,87 @@
 	return nil
 }
 
-// checkRecovery opens a disk left by a crash, and checks that what it holds is allowed, lasts, and can be gone on with. nested
-// tells how many losses of power inside the loading are tried at each of its calls.
+// checkRecovery opens a disk left by a crash, and checks that its content is allowed, durable, and can be changed further. nested
+// is the number of losses of power that are tried at each call of the loading.
 func (s *checkedLog) checkRecovery(fs *simFS, nested int, r *rand.Rand) error {
 	before := fs.afterKill()
 	log, err := openSim(fs)
 	if err != nil {
 		return err
 	}
-	v, err := loadView(log)
+	loaded, err := loadView(log)
 	if err != nil {
 		return err
 	}
-	if err := s.checkAllowed(v); err != nil {
+	if err := s.checkAllowed(loaded); err != nil {
+		return err
+	}
+	callsOfLoading := fs.calls
+	if err := checkDurable(fs, loaded, r); err != nil {
 		return err
 	}
-	loading := fs.calls
+	if err := checkUsable(fs, log, loaded); err != nil {
+		return err
+	}
+	if nested == 0 {
+		return nil
+	}
+	for call := 1; call <= callsOfLoading; call++ {
+		if err := s.checkCrashInLoading(before.afterKill(), call, nested, r); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkDurable checks that what was loaded is there after a loss of power.
+func checkDurable(fs *simFS, loaded view, r *rand.Rand) error {
+	var err error
 	fs.powerLosses(1, r, func(lost *simFS) {
 		if err != nil {
 			return
 		}
 		var again *wal.Log
 		again, err = openSim(lost)
-		var w view
+		var found view
 		if err == nil {
-			w, err = loadView(again)
+			found, err = loadView(again)
 		}
-		if err == nil && (w.log != v.log || !maps.Equal(w.meta, v.meta)) {
-			err = errors.Newf("what was loaded does not last: %v became %v", v, w)
+		if err == nil && !found.equal(loaded) {
+			err = errors.Newf("what was loaded is not durable: %v became %v", loaded, found)
 		}
 	})
-	if err != nil {
-		return err
-	}
-	if err := checkUsable(fs, log, v); err != nil {
-		return err
-	}
-	for call := 1; call <= loading && nested > 0; call++ {
-		inside := before.afterKill()
-		inside.fault = func(n int, _ string) error {
-			if n == call {
-				return errCrash
-			}
-			return nil
-		}
-		if log, err := openSim(inside); err == nil {
-			_, _, _, _ = log.Load()
-		}
-		inside.crashed, inside.fault = false, nil
-		inside.powerLosses(nested, r, func(lost *simFS) {
-			if err == nil {
-				err = errors.Wrapf(s.checkRecovery(lost, 0, r), "after a crash at call %d of loading", call)
-			}
-		})
+	return err
+}
+
+// checkCrashInLoading loads the log of fs with a crash at the given call, and checks the recovery from that.
+func (s *checkedLog) checkCrashInLoading(fs *simFS, call, nested int, r *rand.Rand) error {
+	crashInLoading(fs, call)
+	var err error
+	fs.powerLosses(nested, r, func(lost *simFS) {
 		if err == nil {
-			err = errors.Wrapf(s.checkRecovery(inside.afterKill(), 0, r), "killed at call %d of loading", call)
+			err = errors.Wrapf(s.checkRecovery(lost, 0, r), "after a crash at call %d of loading", call)
 		}
+	})
+	if err == nil {
+		err = errors.Wrapf(s.checkRecovery(fs.afterKill(), 0, r), "killed at call %d of loading", call)
 	}
 	return err
 }
 
+// crashInLoading loads the log of fs with a crash at the given call, and tells whether that call was reached.
+func crashInLoading(fs *simFS, call int) (reached bool) {
+	fs.fault = crashAt(call)
+	if log, err := openSim(fs); err == nil {
+		_, _, _, _ = log.Load()
+	}
+	reached = fs.crashed
+	fs.crashed, fs.fault = false, nil
+	return reached
+}
+
 // checkUsable checks that a loaded log takes changes that last.
-func checkUsable(fs *simFS, log *wal.Log, v view) error {
+func checkUsable(fs *simFS, log *wal.Log, loaded view) error {
 	last := log.LastSeq()
 	for i, err := range []error{
 		log.Append([]wal.Entry{{Seq: last + 1, Data: []byte("new")}, {Seq: last + 2, Data: []byte("dropped")}}),
@@ -237,8 +273,8 @@
 			got, err = loadView(again)
 		}
 	})
-	if err == nil && (got.log != fmt.Sprintf("%s|%d:new", v.log, last+1) || got.meta["after"] != "new") {
-		err = errors.Newf("gone on with %v, found %v", v, got)
+	if err == nil && (got.log != fmt.Sprintf("%s|%d:new", loaded.log, last+1) || got.meta["after"] != "new") {
+		err = errors.Newf("changed %v further, found %v", loaded, got)
 	}
 	return err
 }
@@ -277,7 +313,7 @@
 		return err
 	}
 	n := newCheckedLog(fs)
-	n.log, n.trace = log, append(s.trace, "restart")
+	n.log, n.trace = log, append(slices.Clone(s.trace), "restart")
 	n.model = waltest.NewMemWith(meta, snapshot, entries)
 	*s = *n
 	return nil
--- a/internal/system/wal/files.go
+++ b/internal/system/wal/files.go
@@ -32,20 +32,20 @@
 // writeTemporary writes the file that is to become name under its temporary name, and syncs it.
 func (l *Log) writeTemporary(name string, content []byte) (File, error) {
 	temporary := name + temporarySuffix
-	f, err := l.createNew(temporary)
+	file, err := l.createNew(temporary)
 	if err != nil {
 		return nil, diskError(err, "make "+name)
 	}
-	_, err = f.WriteAt(content, 0)
+	_, err = file.WriteAt(content, 0)
 	if err == nil {
-		err = f.Sync()
+		err = file.Sync()
 	}
 	if err != nil {
-		_ = f.Close()
+		_ = file.Close()
 		_ = l.remove(temporary)
 		return nil, diskError(err, "write "+name)
 	}
-	return f, nil
+	return file, nil
 }
 
 // replaceOwnedFile is replaceFile followed by a check that no other process has opened the log meanwhile. It closes the file.
--- a/internal/system/wal/knobs_test.go
+++ b/internal/system/wal/knobs_test.go
@@ -10,38 +10,45 @@
 // ignoredSyncs are syncs of a simulated disk that do nothing.
 type ignoredSyncs struct{ files, folder, parentFolder bool }
 
-// findFault runs the histories with the protections of h taken out, or with syncs that do nothing, through crashes, and
+// findFault runs the histories with the protections of knobs switched off, or with syncs that do nothing, through crashes, and
 // through one failing call before each. It returns the first fault that it finds.
-func findFault(h wal.TestingKnobs, l ignoredSyncs) error {
+func findFault(knobs wal.TestingKnobs, ignored ignoredSyncs) error {
 	r := rand.New(rand.NewPCG(8, 9))
 	for _, name := range []string{"grow", "truncate", "compact", "install", "mixed"} {
-		for _, gap := range []int{0, 1, 7} { // between a call that fails and the crash; 0: none fails
-			for crash := 1 + gap; ; crash++ {
-				s, err := runWith(histories[name], h, l, func(n int, _ string) error {
-					switch {
-					case n == crash:
-						return errCrash
-					case n == crash-gap:
-						return errNoSpace
-					}
-					return nil
-				})
-				if err != nil {
-					return err
-				}
-				reached := s.fs.crashed
-				if err := s.checkCrash(16, 0, r); err != nil {
-					return err
-				}
-				if !reached {
-					break
-				}
+		for _, gap := range []int{0, 1, 7} { // calls between one that fails and the crash; 0: none fails
+			if err := crashEverywhere(histories[name], knobs, ignored, gap, r); err != nil {
+				return err
 			}
 		}
 	}
 	return nil
 }
 
+// crashEverywhere runs a history with a crash at each call, gap calls after one that fails.
+func crashEverywhere(steps []step, knobs wal.TestingKnobs, ignored ignoredSyncs, gap int, r *rand.Rand) error {
+	for crash := 1 + gap; ; crash++ {
+		run, err := runWith(steps, knobs, ignored, func(call int, _ string) error {
+			switch call {
+			case crash:
+				return errCrash
+			case crash - gap:
+				return errNoSpace
+			}
+			return nil
+		})
+		if err != nil {
+			return err
+		}
+		reached := run.fs.crashed
+		if err := run.checkCrash(16, 0, r); err != nil {
+			return err
+		}
+		if !reached {
+			return nil
+		}
+	}
+}
+
 // TestTestingKnobs takes each protection out. Danger: a test of crashes that finds nothing because it looks at nothing.
 func TestTestingKnobs(t *testing.T) {
 	if err := findFault(wal.TestingKnobs{}, ignoredSyncs{}); err != nil {
--- a/internal/system/wal/log_test.go
+++ b/internal/system/wal/log_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"fmt"
+	"maps"
 	"path/filepath"
 	"slices"
 	"strings"
@@ -14,38 +15,23 @@
 	"gradeusher.example/gradeusher/internal/system/wal/waltest"
 )
 
-// openInFolder opens a log in a real folder.
-func openInFolder(t *testing.T, folder string, o wal.Options) (*wal.Log, view) {
-	t.Helper()
-	log, err := wal.Open(folder, o)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = log.Close() })
-	v, err := loadView(log)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return log, v
-}
-
 func TestRealFolder(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "data")
 	for name, steps := range histories {
 		t.Run(name, func(t *testing.T) {
 			model := waltest.NewMem()
-			for i, st := range steps {
+			for i, next := range steps {
 				// A new process before every step.
-				log, _ := openInFolder(t, filepath.Join(folder, name), wal.Options{SegmentBytes: 300})
-				if err := st.run(log, model.LastSeq()); err != nil {
-					t.Fatalf("step %d, %v: %v", i, st, err)
+				log := openLoaded(t, filepath.Join(folder, name), wal.Options{SegmentBytes: 300})
+				if err := next.run(log, model.LastSeq()); err != nil {
+					t.Fatalf("step %d, %v: %v", i, next, err)
 				}
-				if err := st.run(model, model.LastSeq()); err != nil {
+				if err := next.run(model, model.LastSeq()); err != nil {
 					t.Fatal(err)
 				}
 				got, err := loadView(log)
 				if want, _ := loadView(model); err != nil || got.log != want.log || fmt.Sprint(got.meta) != fmt.Sprint(want.meta) {
-					t.Fatalf("step %d, %v: got %v, want %v, %v", i, st, got, want, err)
+					t.Fatalf("step %d, %v: got %v, want %v, %v", i, next, got, want, err)
 				}
 			}
 		})
@@ -63,104 +49,135 @@
 	if err := log.SaveMeta("x", nil); !errors.Is(err, wal.ErrMisuse) {
 		t.Errorf("metadata before load: %v", err)
 	}
-	for _, d := range []wal.Disk{log, waltest.NewMem()} {
-		if _, _, _, err := d.Load(); err != nil {
+	for _, disk := range []wal.Disk{log, waltest.NewMem()} {
+		if _, _, _, err := disk.Load(); err != nil {
 			t.Fatal(err)
 		}
-		if err := d.Append([]wal.Entry{{Seq: 1}, {Seq: 2}}); err != nil {
+		if err := disk.Append([]wal.Entry{{Seq: 1}, {Seq: 2}}); err != nil {
 			t.Fatal(err)
 		}
-		if err := d.Compact(wal.Snapshot{Seq: 1}); err != nil {
+		if err := disk.Compact(wal.Snapshot{Seq: 1}); err != nil {
 			t.Fatal(err)
 		}
 		for what, err := range map[string]error{
-			"gap":             d.Append([]wal.Entry{{Seq: 4}}),
-			"gap inside":      d.Append([]wal.Entry{{Seq: 3}, {Seq: 5}}),
-			"twice":           d.Append([]wal.Entry{{Seq: 2}}),
-			"cut too far":     d.Truncate(0),
-			"compact ahead":   d.Compact(wal.Snapshot{Seq: 3}),
-			"compact back":    d.Compact(wal.Snapshot{Seq: 0}),
-			"no name":         d.SaveMeta("", nil),
-			"a path":          d.SaveMeta("../x", nil),
-			"a name too long": d.SaveMeta(strings.Repeat("x", 65), nil),
+			"gap":             disk.Append([]wal.Entry{{Seq: 4}}),
+			"gap inside":      disk.Append([]wal.Entry{{Seq: 3}, {Seq: 5}}),
+			"twice":           disk.Append([]wal.Entry{{Seq: 2}}),
+			"cut too far":     disk.Truncate(0),
+			"compact ahead":   disk.Compact(wal.Snapshot{Seq: 3}),
+			"compact back":    disk.Compact(wal.Snapshot{Seq: 0}),
+			"no name":         disk.SaveMeta("", nil),
+			"a path":          disk.SaveMeta("../x", nil),
+			"a name too long": disk.SaveMeta(strings.Repeat("x", 65), nil),
 		} {
 			if !errors.Is(err, wal.ErrMisuse) {
-				t.Errorf("%T, %s: %v", d, what, err)
+				t.Errorf("%T, %s: %v", disk, what, err)
 			}
 		}
-		if err := d.Append([]wal.Entry{{Seq: 3}}); err != nil {
-			t.Errorf("%T: %v", d, err)
+		if err := disk.Append([]wal.Entry{{Seq: 3}}); err != nil {
+			t.Errorf("%T: %v", disk, err)
 		}
 	}
 }
 
-// TestFull fills a disk: promises and cuts still work, a compaction makes room again.
+// TestFull fills a disk: metadata and truncations still succeed, and a compaction frees space.
 func TestFull(t *testing.T) {
-	for name, o := range map[string]wal.Options{
-		"limit of its own": {MaxBytes: 9000, SegmentBytes: 1000, ReserveBytes: 600},
-		"disk":             {SegmentBytes: 1000, ReserveBytes: 600},
-	} {
-		t.Run(name, func(t *testing.T) {
-			fs := newSimFS()
-			fs.capacity = 10000
-			o.FS = fs
-			log, err := wal.Open(simFolder, o)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if _, _, _, err := log.Load(); err != nil {
-				t.Fatal(err)
-			}
-			model, data := waltest.NewMem(), bytes.Repeat([]byte("x"), 90)
-			both := func(do func(wal.Disk) error) error {
-				err := do(log)
-				if err == nil {
-					err = do(model)
-				}
-				return err
-			}
-			appendOne := func(d wal.Disk) error { return d.Append([]wal.Entry{{Seq: model.LastSeq() + 1, Data: data}}) }
-			for err = nil; err == nil; {
-				err = both(appendOne)
-			}
-			if !errors.Is(err, wal.ErrFull) || model.LastSeq() < 50 {
-				t.Fatalf("after %d: %v", model.LastSeq(), err)
-			}
-			for i := range 40 {
-				if err := both(func(d wal.Disk) error { return d.SaveMeta("promise", fmt.Appendf(nil, "%d", i)) }); err != nil {
-					t.Fatalf("promise %d: %v", i, err)
-				}
-			}
-			last := model.LastSeq()
-			if err := both(func(d wal.Disk) error { return d.Truncate(last - 1) }); err != nil {
-				t.Fatal(err)
-			}
-			requireSame(t, log, model)
-			if name == "disk" { // others have taken it all
-				fs.capacity = fs.usedBytes()
-				if err := log.Compact(wal.Snapshot{Seq: last - 3, Data: data}); !errors.Is(err, wal.ErrFull) {
-					t.Fatal(err)
-				}
-				requireSame(t, log, model)
-				fs.capacity += 1000
-			}
-			if err := both(func(d wal.Disk) error { return d.Compact(wal.Snapshot{Seq: last - 3, Data: []byte("s")}) }); err != nil {
-				t.Fatal(err)
-			}
-			for range 40 {
-				if err := both(appendOne); err != nil {
-					t.Fatal(err)
-				}
-			}
-			if !log.HasReserve() {
-				t.Error("the reserve was not taken again")
-			}
-			if n := log.Size(); n > 8000 {
-				t.Errorf("%d bytes are used", n)
-			}
-			requireSame(t, log, model)
-		})
+	t.Run("bound of the log", func(t *testing.T) {
+		full := newFullLog(t, wal.Options{MaxBytes: 9000, SegmentBytes: 1000, ReserveBytes: 600})
+		full.changeWhileFull()
+		full.compactAndGoOn()
+	})
+	t.Run("disk", func(t *testing.T) {
+		full := newFullLog(t, wal.Options{SegmentBytes: 1000, ReserveBytes: 600})
+		full.changeWhileFull()
+		full.compactWithoutSpace()
+		full.compactAndGoOn()
+	})
+}
+
+// fullLog is a log that has been filled up, beside a model of it.
+type fullLog struct {
+	t     *testing.T
+	fs    *simFS
+	log   *wal.Log
+	model *waltest.Mem
+	data  []byte // of an entry
+}
+
+func newFullLog(t *testing.T, options wal.Options) *fullLog {
+	t.Helper()
+	fs := newSimFS()
+	fs.capacity = 10000
+	options.FS = fs
+	full := &fullLog{t: t, fs: fs, log: openLoaded(t, simFolder, options), model: waltest.NewMem(), data: bytes.Repeat([]byte("x"), 90)}
+	var err error
+	for err == nil {
+		err = full.appendOne()
+	}
+	if !errors.Is(err, wal.ErrFull) || full.model.LastSeq() < 50 {
+		t.Fatalf("after %d: %v", full.model.LastSeq(), err)
 	}
+	return full
+}
+
+// both applies a change to the log and, where it succeeds, to the model.
+func (f *fullLog) both(change func(wal.Disk) error) error {
+	err := change(f.log)
+	if err == nil {
+		err = change(f.model)
+	}
+	return err
+}
+
+func (f *fullLog) appendOne() error {
+	return f.both(func(disk wal.Disk) error {
+		return disk.Append([]wal.Entry{{Seq: f.model.LastSeq() + 1, Data: f.data}})
+	})
+}
+
+func (f *fullLog) changeWhileFull() {
+	f.t.Helper()
+	for i := range 40 {
+		if err := f.both(func(disk wal.Disk) error { return disk.SaveMeta("promise", fmt.Appendf(nil, "%d", i)) }); err != nil {
+			f.t.Fatalf("metadata %d: %v", i, err)
+		}
+	}
+	last := f.model.LastSeq()
+	if err := f.both(func(disk wal.Disk) error { return disk.Truncate(last - 1) }); err != nil {
+		f.t.Fatal(err)
+	}
+	requireSame(f.t, f.log, f.model)
+}
+
+// compactWithoutSpace compacts while others use all of the disk, and frees 1,000 bytes.
+func (f *fullLog) compactWithoutSpace() {
+	f.t.Helper()
+	f.fs.capacity = f.fs.usedBytes()
+	if err := f.log.Compact(wal.Snapshot{Seq: f.model.LastSeq() - 2, Data: f.data}); !errors.Is(err, wal.ErrFull) {
+		f.t.Fatal(err)
+	}
+	requireSame(f.t, f.log, f.model)
+	f.fs.capacity += 1000
+}
+
+func (f *fullLog) compactAndGoOn() {
+	f.t.Helper()
+	seq := f.model.LastSeq() - 2
+	if err := f.both(func(disk wal.Disk) error { return disk.Compact(wal.Snapshot{Seq: seq, Data: []byte("s")}) }); err != nil {
+		f.t.Fatal(err)
+	}
+	for range 40 {
+		if err := f.appendOne(); err != nil {
+			f.t.Fatal(err)
+		}
+	}
+	if !f.log.HasReserve() {
+		f.t.Error("the reserve was not created again")
+	}
+	if n := f.log.Size(); n > 8000 {
+		f.t.Errorf("%d bytes are used", n)
+	}
+	requireSame(f.t, f.log, f.model)
 }
 
 func requireSame(t *testing.T, a, b wal.Disk) {
@@ -176,16 +193,10 @@
 func buildLog(t *testing.T, segmentBytes int64, steps []step) (*simFS, []view) {
 	t.Helper()
 	fs, model := newSimFS(), waltest.NewMem()
-	log, err := wal.Open(simFolder, wal.Options{FS: fs, SegmentBytes: segmentBytes, ReserveBytes: -1})
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, _, _, err := log.Load(); err != nil {
-		t.Fatal(err)
-	}
+	log := openLoaded(t, simFolder, wal.Options{FS: fs, SegmentBytes: segmentBytes, ReserveBytes: -1})
 	var views []view
-	for _, st := range steps {
-		if err := errors.CombineErrors(st.run(log, model.LastSeq()), st.run(model, model.LastSeq())); err != nil {
+	for _, next := range steps {
+		if err := errors.CombineErrors(next.run(log, model.LastSeq()), next.run(model, model.LastSeq())); err != nil {
 			t.Fatal(err)
 		}
 		v, _ := loadView(model)
@@ -198,39 +209,48 @@
 func TestDamage(t *testing.T) {
 	steps := []step{{"meta", 1, 1}, {"append", 4, 0}, {"compact", 2, 0}, {"append", 3, 0}, {"truncate", 5, 0}, {"append", 2, 1}, {"append", 1, 2}}
 	for _, segmentBytes := range []int64{1, 100, 250, 1 << 20} {
-		fs, views := buildLog(t, segmentBytes, steps)
-		complete, withoutLast := views[len(views)-1], views[len(views)-2]
-		seen, torn, other := 0, 0, 0
-		for name, n := range fs.visible {
-			for i := range n.content {
-				changed := fs.afterKill()
-				changed.visible[name].content = slices.Clone(n.content)
-				changed.visible[name].content[i] ^= 0x10
-				log, err := openSim(changed)
-				if err != nil {
-					t.Fatal(err)
-				}
-				v, err := loadView(log)
-				switch {
-				case errors.Is(err, wal.ErrDamaged):
-					seen++
-				case err != nil:
-					t.Fatalf("%s, byte %d: %v", name, i, err)
-				case fmt.Sprint(v.meta) != fmt.Sprint(complete.meta):
-					t.Fatalf("%s, byte %d: %v", name, i, v.meta)
-				case v.log == withoutLast.log:
-					torn++
-				case v.log == complete.log:
-					other++
-				default:
-					t.Fatalf("%s, byte %d: %q", name, i, v.log)
+		t.Run(fmt.Sprintf("segments of %d bytes", segmentBytes), func(t *testing.T) {
+			fs, views := buildLog(t, segmentBytes, steps)
+			complete, withoutLast := views[len(views)-1], views[len(views)-2]
+			seen, torn, unseen := 0, 0, 0
+			for name, node := range fs.visible {
+				for index := range node.content {
+					found, err := loadWithDamage(t, fs, name, index)
+					switch {
+					case errors.Is(err, wal.ErrDamaged):
+						seen++
+					case err != nil:
+						t.Fatalf("%s, byte %d: %v", name, index, err)
+					case !maps.Equal(found.meta, complete.meta):
+						t.Fatalf("%s, byte %d: %v", name, index, found.meta)
+					case found.log == withoutLast.log:
+						torn++
+					case found.log == complete.log:
+						unseen++
+					default:
+						t.Fatalf("%s, byte %d: %q", name, index, found.log)
+					}
 				}
 			}
-		}
-		if seen < 200 || torn < wal.RecordHeaderSize || torn > 80 || other > 0 {
-			t.Errorf("segments of %d: seen %d times, taken for torn %d, passed over %d", segmentBytes, seen, torn, other)
-		}
+			if seen < 200 || torn < wal.RecordHeaderSize || torn > 80 || unseen > 0 {
+				t.Errorf("seen %d times, taken for torn %d, passed over %d", seen, torn, unseen)
+			}
+		})
+	}
+}
+
+// loadWithDamage loads a log of which one bit has changed.
+func loadWithDamage(t *testing.T, fs *simFS, name string, index int) (view, error) {
+	t.Helper()
+	changed := fs.afterKill()
+	node := changed.visible[name]
+	node.content = slices.Clone(node.content)
+	node.content[index] ^= 0x10
+	log, err := openSim(changed)
+	if err != nil {
+		t.Fatal(err)
 	}
+	return loadView(log)
 }
 
 func TestMissingSnapshot(t *testing.T) {
@@ -266,7 +286,7 @@
 	}
 }
 
-// TestStaleRecord puts a whole record of an earlier log behind the end, as blocks that were used before may.
+// TestStaleRecord puts a complete record of an earlier log behind the end, as blocks that were used before may.
 func TestStaleRecord(t *testing.T) {
 	old, err := runHistory([]step{{"append", 1, 0}, {"append", 1, 0}}, nil)
 	if err != nil {
--- a/internal/system/wal/ownership_test.go
+++ b/internal/system/wal/ownership_test.go
@@ -10,84 +10,93 @@
 	"gradeusher.example/gradeusher/internal/system/wal/waltest"
 )
 
-// openTwice opens a log twice on one disk, as where a process is started anew while the old one is still about to end:
-// locks do nothing there.
-func openTwice(t *testing.T, h wal.TestingKnobs) (fs *simFS, old, young *wal.Log) {
+// openTwice opens a log twice on one disk, as when a process is restarted while the old one is still about to end: file locks
+// do nothing there. The old process has written two entries and a piece of metadata before the successor loads.
+func openTwice(t *testing.T, knobs wal.TestingKnobs) (fs *simFS, old, successor *wal.Log) {
 	t.Helper()
 	fs = newSimFS()
-	for i, log := range []**wal.Log{&old, &young} {
-		l, err := wal.Open(simFolder, wal.Options{FS: fs, SegmentBytes: 200, ReserveBytes: 16, TestingKnobs: h})
+	options := wal.Options{FS: fs, SegmentBytes: 200, ReserveBytes: 16, TestingKnobs: knobs}
+	old = openLoaded(t, simFolder, options)
+	for _, err := range []error{
+		old.Append([]wal.Entry{makeEntry(1, 0)}),
+		old.Append([]wal.Entry{makeEntry(2, 0)}),
+		old.SaveMeta("m", []byte("old")),
+	} {
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, _, _, err := l.Load(); err != nil {
-			t.Fatal(err)
-		}
-		if *log = l; i == 0 {
-			for _, err := range []error{l.Append([]wal.Entry{makeEntry(1, 0)}), l.Append([]wal.Entry{makeEntry(2, 0)}), l.SaveMeta("m", []byte("old"))} {
-				if err != nil {
-					t.Fatal(err)
-				}
-			}
-		}
 	}
-	return fs, old, young
+	return fs, old, openLoaded(t, simFolder, options)
 }
 
-// TestSupersededProcessAcknowledgesNothing lets the old process go on once the new one has loaded: none of its changes succeeds, and
-// what the new one acknowledges is what the third one finds.
+// TestSupersededProcessAcknowledgesNothing lets the old process go on once its successor has loaded: none of its changes succeeds,
+// and what the successor acknowledges is what a third process finds.
 func TestSupersededProcessAcknowledgesNothing(t *testing.T) {
-	changes := map[string]func(l *wal.Log) error{
+	for name, change := range map[string]func(l *wal.Log) error{
 		"append":   func(l *wal.Log) error { return l.Append([]wal.Entry{makeEntry(3, 7)}) },
 		"truncate": func(l *wal.Log) error { return l.Truncate(1) },
 		"compact":  func(l *wal.Log) error { return l.Compact(wal.Snapshot{Seq: 1, Data: []byte("old")}) },
 		"install":  func(l *wal.Log) error { return l.Install(wal.Snapshot{Seq: 30, Data: []byte("old")}) },
 		"meta":     func(l *wal.Log) error { return l.SaveMeta("m", []byte("late")) },
+	} {
+		t.Run(name+" after the successor's writes", func(t *testing.T) {
+			fs, old, successor := openTwice(t, wal.TestingKnobs{})
+			writeAsSuccessor(t, successor)
+			requireSuperseded(t, old, change)
+			checkSuccessorsWrites(t, fs)
+		})
+		t.Run(name+" before the successor's writes", func(t *testing.T) {
+			fs, old, successor := openTwice(t, wal.TestingKnobs{})
+			requireSuperseded(t, old, change)
+			writeAsSuccessor(t, successor)
+			checkSuccessorsWrites(t, fs)
+		})
+	}
+}
+
+func writeAsSuccessor(t *testing.T, successor *wal.Log) {
+	t.Helper()
+	if err := successor.Append([]wal.Entry{makeEntry(3, 1)}); err != nil {
+		t.Fatal(err)
+	}
+	if err := successor.SaveMeta("m", []byte("young")); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// requireSuperseded checks that neither change nor an append after it succeeds.
+func requireSuperseded(t *testing.T, old *wal.Log, change func(*wal.Log) error) {
+	t.Helper()
+	if err := change(old); !errors.Is(err, wal.ErrSuperseded) {
+		t.Errorf("the change: %v", err)
 	}
-	for name, change := range changes {
-		for _, before := range []bool{true, false} {
-			fs, old, young := openTwice(t, wal.TestingKnobs{})
-			write := func() {
-				if err := young.Append([]wal.Entry{makeEntry(3, 1)}); err != nil {
-					t.Fatal(err)
-				}
-				if err := young.SaveMeta("m", []byte("young")); err != nil {
-					t.Fatal(err)
-				}
-			}
-			if before {
-				write()
-			}
-			if err := change(old); !errors.Is(err, wal.ErrSuperseded) {
-				t.Errorf("%s: %v", name, err)
-			}
-			if err := old.Append([]wal.Entry{makeEntry(3, 7)}); !errors.Is(err, wal.ErrSuperseded) {
-				t.Errorf("%s, then an append: %v", name, err)
-			}
-			if !before {
-				write()
-			}
-			want := waltest.NewMem()
-			_ = want.Append([]wal.Entry{makeEntry(1, 0), makeEntry(2, 0), makeEntry(3, 1)})
-			_ = want.SaveMeta("m", []byte("young"))
-			v, _ := loadView(want)
-			check := func(fs *simFS) {
-				third, err := openSim(fs)
-				if err != nil {
-					t.Fatal(err)
-				}
-				got, err := loadView(third)
-				if err != nil || got.log != v.log {
-					t.Errorf("%s: %v, %v, want %v", name, got, err, v)
-				}
-				if got.meta["m"] != "young" {
-					t.Errorf("%s: %v", name, got.meta)
-				}
-			}
-			check(fs.afterKill())
-			fs.powerLosses(50, rand.New(rand.NewPCG(1, 2)), check)
+	if err := old.Append([]wal.Entry{makeEntry(3, 7)}); !errors.Is(err, wal.ErrSuperseded) {
+		t.Errorf("an append after it: %v", err)
+	}
+}
+
+// checkSuccessorsWrites checks what a third process finds after a kill and after losses of power.
+func checkSuccessorsWrites(t *testing.T, fs *simFS) {
+	t.Helper()
+	model := waltest.NewMem()
+	_ = model.Append([]wal.Entry{makeEntry(1, 0), makeEntry(2, 0), makeEntry(3, 1)})
+	_ = model.SaveMeta("m", []byte("young"))
+	want, _ := loadView(model)
+	check := func(fs *simFS) {
+		third, err := openSim(fs)
+		if err != nil {
+			t.Fatal(err)
+		}
+		got, err := loadView(third)
+		if err != nil || got.log != want.log {
+			t.Errorf("%v, %v, want %v", got, err, want)
+		}
+		if got.meta["m"] != "young" {
+			t.Errorf("%v", got.meta)
 		}
 	}
+	check(fs.afterKill())
+	fs.powerLosses(50, rand.New(rand.NewPCG(1, 2)), check)
 }
 
 // TestSupersededProcessWithoutOwnershipCheck is the control: without the look for the other process, both acknowledge an entry 3.
@@ -98,35 +107,35 @@
 	}
 }
 
-// TestReadOnlyLoadChangesNothing reads the log of a process that goes on, as staff may by mistake. Danger: the process loses its
-// log to a tool that only looks.
+// TestReadOnlyLoadChangesNothing reads the log of a process that goes on, as an operator may by mistake. Danger: the process loses its
+// log to a tool that only inspects it.
 func TestReadOnlyLoadChangesNothing(t *testing.T) {
-	s, err := runHistory(histories["mixed"], nil)
+	running, err := runHistory(histories["mixed"], nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := s.fs.calls
-	log, err := wal.Open(simFolder, wal.Options{FS: s.fs, ReadOnly: true})
+	before := running.fs.calls
+	log, err := wal.Open(simFolder, wal.Options{FS: running.fs, ReadOnly: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	v, err := loadView(log)
+	loaded, err := loadView(log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.checkAllowed(v); err != nil {
+	if err := running.checkAllowed(loaded); err != nil {
 		t.Error(err)
 	}
-	if s.fs.calls > before {
-		t.Errorf("%d calls changed something", s.fs.calls-before)
+	if running.fs.calls > before {
+		t.Errorf("%d calls changed something", running.fs.calls-before)
 	}
 	if err := log.Append([]wal.Entry{{Seq: log.LastSeq() + 1}}); !errors.Is(err, wal.ErrMisuse) {
 		t.Errorf("an append: %v", err)
 	}
 	if err := log.Quarantine(); !errors.Is(err, wal.ErrMisuse) {
-		t.Errorf("a putting aside: %v", err)
+		t.Errorf("a quarantine: %v", err)
 	}
-	if err := s.runStep(step{"append", 1, 5}); err != nil || len(s.possibleLogs) > 0 {
-		t.Errorf("the process that has the log: %v, %v", err, s.trace[len(s.trace)-1])
+	if err := running.runStep(step{"append", 1, 5}); err != nil || len(running.possibleLogs) > 0 {
+		t.Errorf("the process that has the log: %v, %v", err, running.trace[len(running.trace)-1])
 	}
 }
--- a/internal/system/wal/quarantine_test.go
+++ b/internal/system/wal/quarantine_test.go
@@ -41,111 +41,133 @@
 	return nil
 }
 
-// crashDuringQuarantine puts a log aside beside an older copy, and crashes at each call of it. check gets what is left.
-func crashDuringQuarantine(t *testing.T, h wal.TestingKnobs, check func(fs *simFS, complete *waltest.Mem, copied map[string]string, call int, done bool) error) error {
+// quarantineCrash is what a crash during a quarantine has left.
+type quarantineCrash struct {
+	fs       *simFS
+	model    *waltest.Mem      // of the log before the quarantine
+	original map[string]string // contents of the log's files before, by name
+	done     bool              // the quarantine had ended
+}
+
+// crashDuringQuarantine quarantines a log beside an older copy, with a crash at each call, and has check look at each result.
+func crashDuringQuarantine(t *testing.T, knobs wal.TestingKnobs, check func(quarantineCrash) error) error {
 	t.Helper()
 	r := rand.New(rand.NewPCG(5, 6))
 	for call := 1; ; call++ {
-		fs := newSimFS()
-		older, err := openSim(fs)
-		if err == nil {
-			_, _, _, err = older.Load()
-		}
-		err = errors.CombineErrors(err, older.Append([]wal.Entry{makeEntry(1, 9)}))
-		if err = errors.CombineErrors(err, older.Quarantine()); err != nil {
-			t.Fatal(err)
-		}
-		s := newCheckedLog(fs)
-		if err := s.open(); err != nil {
-			t.Fatal(err)
-		}
-		for _, st := range histories["mixed"] {
-			if err := s.runStep(st); err != nil {
-				t.Fatal(err)
-			}
-		}
-		s.log.SetTestingKnobs(h)
-		copied := logFiles(fs)
+		log := besideOlderCopy(t)
+		log.log.SetTestingKnobs(knobs)
+		crash := quarantineCrash{model: log.model, original: logFiles(log.fs)}
+		fs := log.fs
 		fs.fault = crashAt(fs.calls + call)
-		done := s.log.Quarantine() == nil
+		crash.done = log.log.Quarantine() == nil
 		fs.crashed, fs.fault = false, nil
-		err = check(fs.afterKill(), s.model, copied, call, done)
+		crash.fs = fs.afterKill()
+		err := check(crash)
 		fs.powerLosses(300, r, func(lost *simFS) {
 			if err == nil {
-				err = check(lost, s.model, copied, call, done)
+				crash.fs = lost
+				err = check(crash)
 			}
 		})
-		if err != nil || done {
+		if err != nil || crash.done {
 			return errors.Wrapf(err, "crash at call %d", call)
 		}
 	}
 }
 
-// checkAllOrNothing checks that after a restart the log is there as it was, or is empty with the copy beside it, also where the
-// restart is cut short in turn.
-func checkAllOrNothing(fs *simFS, complete *waltest.Mem, copied map[string]string, nested int) error {
-	for call := 1; nested > 0; call++ {
-		again := fs.afterKill()
-		again.fault = crashAt(call)
-		if log, err := openSim(again); err == nil {
-			_, _, _, _ = log.Load()
+// besideOlderCopy returns a log with a history beside the quarantined copy of an earlier one.
+func besideOlderCopy(t *testing.T) *checkedLog {
+	t.Helper()
+	fs := newSimFS()
+	older := newCheckedLog(fs)
+	if err := older.open(); err != nil {
+		t.Fatal(err)
+	}
+	if err := errors.CombineErrors(older.log.Append([]wal.Entry{makeEntry(1, 9)}), older.log.Quarantine()); err != nil {
+		t.Fatal(err)
+	}
+	log := newCheckedLog(fs)
+	if err := log.open(); err != nil {
+		t.Fatal(err)
+	}
+	for _, next := range histories["mixed"] {
+		if err := log.runStep(next); err != nil {
+			t.Fatal(err)
 		}
-		if !again.crashed {
+	}
+	return log
+}
+
+// checkAllOrNothing checks that after a restart the log is there as it was, or is empty with its copy beside it, also where the
+// restart is interrupted in turn; nested is the number of losses of power tried at each of its calls.
+func checkAllOrNothing(crash quarantineCrash, nested int) error {
+	for call := 1; nested > 0; call++ {
+		again := crash
+		again.fs = crash.fs.afterKill()
+		if !crashInLoading(again.fs, call) {
 			break
 		}
-		again.crashed, again.fault = false, nil
-		err := checkAllOrNothing(again.afterKill(), complete, copied, 0)
-		again.powerLosses(nested, rand.New(rand.NewPCG(1, 1)), func(lost *simFS) {
-			if err == nil {
-				err = checkAllOrNothing(lost, complete, copied, 0)
-			}
-		})
-		if err != nil {
+		if err := checkInterruptedRestart(again, nested); err != nil {
 			return errors.Wrapf(err, "and at call %d of the restart", call)
 		}
 	}
-	log, err := openSim(fs)
+	log, err := openSim(crash.fs)
 	if err != nil {
 		return err
 	}
-	v, err := loadView(log)
+	loaded, err := loadView(log)
 	if err != nil {
 		return err
 	}
-	want, _ := loadView(complete)
-	if v.log == "0:" && len(v.meta) == 0 {
-		err = checkCopy(fs, copied)
-	} else if v.log != want.log || len(v.meta) != len(want.meta) {
-		err = errors.Newf("%v", v)
+	want, _ := loadView(crash.model)
+	isEmpty := loaded.log == "0:" && len(loaded.meta) == 0
+	if isEmpty {
+		err = checkCopy(crash.fs, crash.original)
+	} else if loaded.log != want.log || len(loaded.meta) != len(want.meta) {
+		err = errors.Newf("%v", loaded)
 	}
-	return errors.CombineErrors(err, checkUsable(fs, log, v))
+	return errors.CombineErrors(err, checkUsable(crash.fs, log, loaded))
 }
 
-// TestQuarantine crashes at every call of putting a log aside, and at every call of the restart after it: afterwards either
-// everything is there as it was, or an empty log with the whole copy beside it, and nothing of an older copy.
+// checkInterruptedRestart checks what a restart has left that crashed: after a kill, and after losses of power.
+func checkInterruptedRestart(crash quarantineCrash, nested int) error {
+	fs := crash.fs
+	crash.fs = fs.afterKill()
+	err := checkAllOrNothing(crash, 0)
+	fs.powerLosses(nested, rand.New(rand.NewPCG(1, 1)), func(lost *simFS) {
+		if err == nil {
+			crash.fs = lost
+			err = checkAllOrNothing(crash, 0)
+		}
+	})
+	return err
+}
+
+// TestQuarantine crashes at every call of a quarantine, and at every call of the restart after it: afterwards either everything is
+// there as it was, or an empty log with the complete copy beside it, and nothing of an older copy.
 func TestQuarantine(t *testing.T) {
-	err := crashDuringQuarantine(t, wal.TestingKnobs{}, func(fs *simFS, complete *waltest.Mem, copied map[string]string, _ int, done bool) error {
-		if _, marked := fs.visible[wal.QuarantineMarkerName]; done && marked {
-			return errors.New("the mark is still there")
+	err := crashDuringQuarantine(t, wal.TestingKnobs{}, func(crash quarantineCrash) error {
+		if _, marked := crash.fs.visible[wal.QuarantineMarkerName]; crash.done && marked {
+			return errors.New("the marker is still there")
 		}
-		if done && len(logFiles(fs)) > 0 {
+		if crash.done && len(logFiles(crash.fs)) > 0 {
 			return errors.New("a part of the log is still there")
 		}
 		nested := 4
 		if tryAllCases() {
 			nested = 64
 		}
-		return checkAllOrNothing(fs, complete, copied, nested)
+		return checkAllOrNothing(crash, nested)
 	})
 	if err != nil {
 		t.Error(err)
 	}
 }
 
-// TestQuarantineDamaged puts aside what cannot be loaded.
+// TestQuarantineDamaged quarantines a log that cannot be loaded.
 func TestQuarantineDamaged(t *testing.T) {
 	folder := t.TempDir()
-	log, _ := openInFolder(t, folder, wal.Options{SegmentBytes: 100})
+	log := openLoaded(t, folder, wal.Options{SegmentBytes: 100})
 	for i := range uint64(9) {
 		if err := log.Append([]wal.Entry{makeEntry(i+1, 0)}); err != nil {
 			t.Fatal(err)
@@ -179,64 +201,63 @@
 	}
 }
 
-// TestQuarantinedCopyGivesWay needs the room that the copy of a damaged log takes: the copy goes, and no change is refused.
+// TestQuarantinedCopyGivesWay needs the space of the quarantined copy: the copy is dropped, and no change is refused.
 func TestQuarantinedCopyGivesWay(t *testing.T) {
-	for name, o := range map[string]wal.Options{
-		"bound of its own": {DiskBytes: 12000, SegmentBytes: 1000, ReserveBytes: 100},
+	large := make([]byte, 4000)
+	changes := map[string]func(*wal.Log) error{
+		"append":  func(l *wal.Log) error { return l.Append([]wal.Entry{{Seq: 2, Data: large}}) },
+		"compact": func(l *wal.Log) error { return l.Compact(wal.Snapshot{Seq: 1, Data: large}) },
+		"install": func(l *wal.Log) error { return l.Install(wal.Snapshot{Seq: 9, Data: large}) },
+		"meta":    func(l *wal.Log) error { return l.SaveMeta("m", large) },
+	}
+	for bound, options := range map[string]wal.Options{
+		"bound of the log": {DiskBytes: 12000, SegmentBytes: 1000, ReserveBytes: 100},
 		"disk":             {SegmentBytes: 1000, ReserveBytes: 100},
 	} {
-		for _, what := range []string{"append", "compact", "install", "meta"} {
-			fs := newSimFS()
-			fs.capacity = 12000
-			o.FS = fs
-			log, err := wal.Open(simFolder, o)
-			if err != nil {
-				t.Fatal(err)
-			}
-			load := func() {
-				t.Helper()
-				if _, _, _, err := log.Load(); err != nil {
-					t.Fatal(err)
-				}
-			}
-			load()
-			for i := range uint64(5) {
-				if err := log.Append([]wal.Entry{{Seq: i + 1, Data: make([]byte, 1000)}}); err != nil {
-					t.Fatal(err)
+		for name, change := range changes {
+			t.Run(bound+"/"+name, func(t *testing.T) {
+				log := besideQuarantinedCopy(t, options)
+				err := change(log)
+				if left := len(log.QuarantinedFiles()); err != nil || left > 0 {
+					t.Errorf("%v, %d files of the copy are left", err, left)
 				}
-			}
-			if err := log.Quarantine(); err != nil {
-				t.Fatal(err)
-			}
-			load()
-			if err := log.Append([]wal.Entry{{Seq: 1, Data: make([]byte, 3000)}}); err != nil {
-				t.Fatal(err)
-			}
-			if len(log.QuarantinedFiles()) == 0 {
-				t.Fatal("the copy went before its room was needed")
-			}
-			big := make([]byte, 4000)
-			switch what {
-			case "append":
-				err = log.Append([]wal.Entry{{Seq: 2, Data: big}})
-			case "compact":
-				err = log.Compact(wal.Snapshot{Seq: 1, Data: big})
-			case "install":
-				err = log.Install(wal.Snapshot{Seq: 9, Data: big})
-			case "meta":
-				err = log.SaveMeta("m", big)
-			}
-			if err != nil || len(log.QuarantinedFiles()) > 0 {
-				t.Errorf("%s, %s: %v, %d files of the copy are left", name, what, err, len(log.QuarantinedFiles()))
-			}
+			})
 		}
 	}
 }
 
-// TestQuarantineWithoutDurableMarker is the control: where the mark need not last, a half of a log is served or the copy is not whole.
+// besideQuarantinedCopy returns a log with one entry beside the copy of another, on a disk of 12,000 bytes.
+func besideQuarantinedCopy(t *testing.T, options wal.Options) *wal.Log {
+	t.Helper()
+	fs := newSimFS()
+	fs.capacity = 12000
+	options.FS = fs
+	log := openLoaded(t, simFolder, options)
+	for i := range uint64(5) {
+		if err := log.Append([]wal.Entry{{Seq: i + 1, Data: make([]byte, 1000)}}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := log.Quarantine(); err != nil {
+		t.Fatal(err)
+	}
+	if _, _, _, err := log.Load(); err != nil {
+		t.Fatal(err)
+	}
+	if err := log.Append([]wal.Entry{{Seq: 1, Data: make([]byte, 3000)}}); err != nil {
+		t.Fatal(err)
+	}
+	if len(log.QuarantinedFiles()) == 0 {
+		t.Fatal("the copy was dropped before its space was needed")
+	}
+	return log
+}
+
+// TestQuarantineWithoutDurableMarker is the control: where the marker need not be durable, a part of a log is served or the copy is
+// not complete.
 func TestQuarantineWithoutDurableMarker(t *testing.T) {
-	err := crashDuringQuarantine(t, wal.TestingKnobs{SkipQuarantineMarkerSync: true}, func(fs *simFS, complete *waltest.Mem, copied map[string]string, _ int, _ bool) error {
-		return checkAllOrNothing(fs, complete, copied, 0)
+	err := crashDuringQuarantine(t, wal.TestingKnobs{SkipQuarantineMarkerSync: true}, func(crash quarantineCrash) error {
+		return checkAllOrNothing(crash, 0)
 	})
 	if err == nil {
 		t.Error("the control shows nothing")
--- a/internal/system/wal/simfs_test.go
+++ b/internal/system/wal/simfs_test.go
@@ -92,12 +92,12 @@
 	}
 	all := [][]fileOp{nil, {f}}
 	if len(f.data) > 1 {
-		half := len(f.data) / 2
+		middle := len(f.data) / 2
 		all = append(all,
-			[]fileOp{{at: f.at, data: f.data[:half]}},
-			[]fileOp{{at: f.at + int64(half), data: f.data[half:]}},
+			[]fileOp{{at: f.at, data: f.data[:middle]}},
+			[]fileOp{{at: f.at + int64(middle), data: f.data[middle:]}},
 			[]fileOp{{at: f.at, data: make([]byte, len(f.data))}},
-			[]fileOp{{at: f.at, data: append(f.data[:half:half], make([]byte, len(f.data)-half)...)}})
+			[]fileOp{{at: f.at, data: append(f.data[:middle:middle], make([]byte, len(f.data)-middle)...)}})
 	}
 	return all
 }
@@ -250,8 +250,8 @@
 	b = slices.Clone(b)
 	if err != nil {
 		b = b[:len(b)/2]
-	} else if room := f.fs.freeBytes(f.node, at); f.fs.capacity > 0 && len(b) > room {
-		b, err = b[:room], errNoSpace
+	} else if free := f.fs.freeBytes(f.node, at); f.fs.capacity > 0 && len(b) > free {
+		b, err = b[:free], errNoSpace
 	}
 	if len(b) > 0 {
 		f.node.changeContent(fileOp{at: at, data: b})
--- a/internal/system/wal/simpowerloss_test.go
+++ b/internal/system/wal/simpowerloss_test.go
@@ -7,130 +7,161 @@
 	"sort"
 )
 
-// afterKill returns the disk as a process finds it that comes after one that was afterKill: nothing is lost, nothing synced.
+// afterKill returns the disk as the successor of a killed process finds it: nothing is lost, nothing synced.
 func (s *simFS) afterKill() *simFS {
-	twin := map[*inode]*inode{}
-	of := func(n *inode) *inode {
-		if twin[n] == nil {
-			twin[n] = &inode{content: n.content, durable: n.durable, pending: slices.Clone(n.pending), failed: n.failed}
+	twins := map[*inode]*inode{}
+	twin := func(node *inode) *inode {
+		if twins[node] == nil {
+			twins[node] = &inode{content: node.content, durable: node.durable, pending: slices.Clone(node.pending), failed: node.failed}
 		}
-		return twin[n]
+		return twins[node]
 	}
-	c := newSimFS()
-	c.folder, c.knobs, c.ignored = s.folder, s.knobs, s.ignored
-	for name, n := range s.visible {
-		c.visible[name] = of(n)
+	left := newSimFS()
+	left.folder, left.knobs, left.ignored = s.folder, s.knobs, s.ignored
+	for name, node := range s.visible {
+		left.visible[name] = twin(node)
 	}
-	for name, n := range s.durable {
-		c.durable[name] = of(n)
+	for name, node := range s.durable {
+		left.durable[name] = twin(node)
 	}
-	for _, d := range s.pending {
-		c.pending = append(c.pending, dirOp{d.from, d.to, of(d.node)})
+	for _, op := range s.pending {
+		left.pending = append(left.pending, dirOp{op.from, op.to, twin(op.node)})
 	}
-	return c
+	return left
 }
 
-// powerLosses calls f with what losses of power may leave: every case where there are at most most, otherwise that many,
-// drawn, the one where everything unsynced is gone and the one where all is there among them.
-func (s *simFS) powerLosses(most int, r *rand.Rand, f func(*simFS)) {
+// powerLosses calls visit with what losses of power may leave: every case where there are at most bound, otherwise that many,
+// drawn, the one where everything unsynced is lost and the one where all of it survives among them.
+func (s *simFS) powerLosses(bound int, r *rand.Rand, visit func(*simFS)) {
+	if s.folder == folderMade {
+		none := newSimFS()
+		none.knobs, none.ignored = s.knobs, s.ignored
+		visit(none)
+	}
+	unsynced := s.unsyncedFiles()
+	sizes := s.choiceSizes(unsynced)
+	choice := make([]int, len(sizes))
+	total := countCases(sizes, bound)
+	if total <= bound {
+		for range total {
+			visit(s.afterPowerLoss(choice, unsynced))
+			nextCase(choice, sizes)
+		}
+		return
+	}
+	for k := range bound {
+		drawCase(choice, sizes, k, r)
+		visit(s.afterPowerLoss(choice, unsynced))
+	}
+}
+
+// unsyncedFiles returns the files of which a loss of power may take something, in the order of their contents.
+func (s *simFS) unsyncedFiles() []*inode {
 	nodes := map[*inode]bool{}
-	for _, n := range s.durable {
-		nodes[n] = true
+	for _, node := range s.durable {
+		nodes[node] = true
 	}
-	for _, d := range s.pending {
-		nodes[d.node] = true
+	for _, op := range s.pending {
+		nodes[op.node] = true
 	}
-	var ordered []*inode
-	for n := range nodes {
-		if len(n.pending) > 0 {
-			ordered = append(ordered, n)
+	var unsynced []*inode
+	for node := range nodes {
+		if len(node.pending) > 0 {
+			unsynced = append(unsynced, node)
 		}
 	}
-	sort.Slice(ordered, func(i, j int) bool { return string(ordered[i].content) < string(ordered[j].content) })
-	var sizes []int // of each choice
-	if s.folder == folderMade {
-		none := newSimFS()
-		none.knobs, none.ignored = s.knobs, s.ignored
-		f(none)
-	}
+	sort.Slice(unsynced, func(i, j int) bool { return string(unsynced[i].content) < string(unsynced[j].content) })
+	return unsynced
+}
+
+// choiceSizes returns the number of outcomes of each unsynced operation: of names first, then of files.
+func (s *simFS) choiceSizes(unsynced []*inode) []int {
+	var sizes []int
 	for range s.pending {
 		sizes = append(sizes, 2)
 	}
-	for _, n := range ordered {
-		for _, op := range n.pending {
+	for _, node := range unsynced {
+		for _, op := range node.pending {
 			sizes = append(sizes, len(op.outcomes()))
 		}
 	}
+	return sizes
+}
+
+// countCases returns the product of the sizes, or bound+1 where it exceeds bound.
+func countCases(sizes []int, bound int) int {
 	total := 1
-	for _, n := range sizes {
-		if total *= n; total > most {
-			total = most + 1
-			break
+	for _, size := range sizes {
+		if total *= size; total > bound {
+			return bound + 1
 		}
 	}
-	choice := make([]int, len(sizes))
-	if total <= most {
-		for range total {
-			f(s.afterPowerLoss(choice, ordered))
-			for i := range choice {
-				if choice[i]++; choice[i] < sizes[i] {
-					break
-				}
-				choice[i] = 0
-			}
+	return total
+}
+
+// nextCase counts choice up by one.
+func nextCase(choice, sizes []int) {
+	for i := range choice {
+		if choice[i]++; choice[i] < sizes[i] {
+			return
 		}
-		return
+		choice[i] = 0
 	}
-	for k := range most {
-		for i := range choice {
-			switch k {
-			case 0:
-				choice[i] = 0
-			case 1:
-				choice[i] = min(1, sizes[i]-1)
-			default:
-				choice[i] = r.IntN(sizes[i])
-			}
+}
+
+// drawCase sets choice to the k-th case: first that all is lost, then that all survives, then drawn ones.
+func drawCase(choice, sizes []int, k int, r *rand.Rand) {
+	for i := range choice {
+		switch k {
+		case 0:
+			choice[i] = 0
+		case 1:
+			choice[i] = min(1, sizes[i]-1)
+		default:
+			choice[i] = r.IntN(sizes[i])
 		}
-		f(s.afterPowerLoss(choice, ordered))
 	}
 }
 
 // afterPowerLoss returns the disk after one loss of power.
-func (s *simFS) afterPowerLoss(choice []int, ordered []*inode) *simFS {
+func (s *simFS) afterPowerLoss(choice []int, unsynced []*inode) *simFS {
 	names := maps.Clone(s.durable)
-	for i, d := range s.pending {
+	for i, op := range s.pending {
 		if choice[i] == 1 {
-			d.apply(names)
+			op.apply(names)
 		}
 	}
-	choice = choice[len(s.pending):]
-	content := map[*inode][]byte{}
-	for _, n := range ordered {
-		b := n.durable
-		for _, op := range n.pending {
-			for _, part := range op.outcomes()[choice[0]] {
-				b = part.apply(b)
-			}
-			choice = choice[1:]
-		}
-		content[n] = b
-	}
-	c := newSimFS()
-	c.knobs, c.ignored = s.knobs, s.ignored
+	content := contentAfterPowerLoss(choice[len(s.pending):], unsynced)
+	left := newSimFS()
+	left.knobs, left.ignored = s.knobs, s.ignored
 	if s.folder != folderMissing {
-		c.folder = folderDurable
+		left.folder = folderDurable
 	}
 	twin := map[*inode]*inode{}
-	for name, n := range names {
-		if twin[n] == nil {
-			b, ok := content[n]
+	for name, node := range names {
+		if twin[node] == nil {
+			b, ok := content[node]
 			if !ok {
-				b = n.durable
+				b = node.durable
 			}
-			twin[n] = &inode{content: b, durable: b}
+			twin[node] = &inode{content: b, durable: b}
+		}
+		left.visible[name], left.durable[name] = twin[node], twin[node]
+	}
+	return left
+}
+
+func contentAfterPowerLoss(choice []int, unsynced []*inode) map[*inode][]byte {
+	content := map[*inode][]byte{}
+	for _, node := range unsynced {
+		b := node.durable
+		for _, op := range node.pending {
+			for _, part := range op.outcomes()[choice[0]] {
+				b = part.apply(b)
+			}
+			choice = choice[1:]
 		}
-		c.visible[name], c.durable[name] = twin[n], twin[n]
+		content[node] = b
 	}
-	return c
+	return content
 }
--- a/internal/system/wal/space_test.go
+++ b/internal/system/wal/space_test.go
@@ -15,9 +15,9 @@
 // Sizes of the machines that the log is for, in bytes.
 const (
 	diskBytes             = 64e6
-	maxStateBytes         = 16 << 20 // a configuration, the largest that a keeper takes
+	maxStateBytes         = 16 << 20 // a configuration, the largest that a node accepts
 	usualStateBytes       = 600 << 10
-	compactThresholdBytes = 8 << 20 // of records since the last snapshot: when a keeper compacts
+	compactThresholdBytes = 8 << 20 // of records since the last snapshot: when a node compacts
 	maxLoadBytes          = 44 << 20
 )
 
@@ -121,7 +121,7 @@
 
 func (*meterFile) Sync() error { return nil }
 
-// nodeLog is a log that is written as a keeper does.
+// nodeLog is a log that is written as a control-plane node does.
 type nodeLog struct {
 	t                  *testing.T
 	fs                 *meterFS
@@ -133,238 +133,251 @@
 }
 
 func newNodeLog(t *testing.T, state int) *nodeLog {
-	k := &nodeLog{t: t, fs: newMeterFS(), folder: t.TempDir(), snapshotBytes: state}
-	k.restart()
-	return k
+	node := &nodeLog{t: t, fs: newMeterFS(), folder: t.TempDir(), snapshotBytes: state}
+	node.restart()
+	return node
 }
 
-func (k *nodeLog) restart() {
-	k.t.Helper()
+func (n *nodeLog) restart() {
+	n.t.Helper()
 	began := time.Now()
-	log, err := wal.Open(k.folder, wal.Options{FS: k.fs})
+	log, err := wal.Open(n.folder, wal.Options{FS: n.fs})
 	if err == nil {
 		_, _, _, err = log.Load()
 	}
 	if err != nil {
-		k.t.Fatal(err)
+		n.t.Fatal(err)
 	}
-	k.log, k.slowestStart = log, max(k.slowestStart, time.Since(began))
+	n.log, n.slowestStart = log, max(n.slowestStart, time.Since(began))
 }
 
 // appendOne appends one record, compacts when it is due, and when the log is full.
-func (k *nodeLog) appendOne(size int) {
-	k.t.Helper()
-	entry := wal.Entry{Seq: k.log.LastSeq() + 1, Data: make([]byte, size)}
-	err := k.log.Append([]wal.Entry{entry})
+func (n *nodeLog) appendOne(size int) {
+	n.t.Helper()
+	entry := wal.Entry{Seq: n.log.LastSeq() + 1, Data: make([]byte, size)}
+	err := n.log.Append([]wal.Entry{entry})
 	if errors.Is(err, wal.ErrFull) {
-		k.compact()
-		err = k.log.Append([]wal.Entry{entry})
+		n.compact()
+		err = n.log.Append([]wal.Entry{entry})
 	}
 	if err != nil {
-		k.t.Fatalf("entry %d: %v", entry.Seq, err)
+		n.t.Fatalf("entry %d: %v", entry.Seq, err)
 	}
-	if k.bytesSinceSnapshot += size; k.bytesSinceSnapshot >= compactThresholdBytes {
-		k.compact()
+	if n.bytesSinceSnapshot += size; n.bytesSinceSnapshot >= compactThresholdBytes {
+		n.compact()
 	}
 }
 
-func (k *nodeLog) compact() {
-	k.t.Helper()
-	if err := k.log.Compact(wal.Snapshot{Seq: k.log.LastSeq(), Data: make([]byte, k.snapshotBytes)}); err != nil {
-		k.t.Fatal(err)
+func (n *nodeLog) compact() {
+	n.t.Helper()
+	if err := n.log.Compact(wal.Snapshot{Seq: n.log.LastSeq(), Data: make([]byte, n.snapshotBytes)}); err != nil {
+		n.t.Fatal(err)
 	}
-	k.bytesSinceSnapshot = 0
+	n.bytesSinceSnapshot = 0
 }
 
-func (k *nodeLog) checkDiskUsage() {
-	k.t.Helper()
-	k.t.Logf("at most %.1f MB of the disk and %d segments; the slowest start took %v", float64(k.fs.peakBytes)/1e6, k.fs.maxSegments, k.slowestStart)
-	if k.fs.peakBytes > diskBytes {
-		k.t.Errorf("%d bytes of the disk were used", k.fs.peakBytes)
+func (n *nodeLog) checkDiskUsage() {
+	n.t.Helper()
+	n.t.Logf("at most %.1f MB of the disk and %d segments; the slowest start took %v", float64(n.fs.peakBytes)/1e6, n.fs.maxSegments, n.slowestStart)
+	if n.fs.peakBytes > diskBytes {
+		n.t.Errorf("%d bytes of the disk were used", n.fs.peakBytes)
 	}
 }
 
-// TestDiskUsageIsBounded makes changes without end on a disk of 64 MB, with restarts. Danger: the disk fills by itself.
+// TestDiskUsageIsBounded makes changes without end on a disk of 64 MB, with restarts. Danger: the disk fills up by itself.
 func TestDiskUsageIsBounded(t *testing.T) {
 	t.Run("2000 changes of 600 KB", func(t *testing.T) {
-		k := newNodeLog(t, usualStateBytes)
-		for i := range 2000 {
-			if k.appendOne(usualStateBytes); i%97 == 0 {
-				k.restart()
-			}
-		}
-		k.checkDiskUsage()
-		if k.fs.maxSegments > 12 { // 8 MiB of records and one after, in segments of 2 MiB and one record
-			t.Errorf("%d segments: those behind a snapshot stay", k.fs.maxSegments)
+		node := newNodeLog(t, usualStateBytes)
+		node.appendAndRestart(2000, usualStateBytes, 97)
+		node.checkDiskUsage()
+		if node.fs.maxSegments > 12 { // 8 MiB of records and one after, in segments of 2 MiB and one record
+			t.Errorf("%d segments: those behind a snapshot stay", node.fs.maxSegments)
 		}
 	})
 	t.Run("configurations of 16 MB", func(t *testing.T) {
-		k := newNodeLog(t, maxStateBytes)
-		for i := range 40 {
-			if k.appendOne(maxStateBytes); i%3 == 0 {
-				k.restart()
-			}
-		}
-		k.checkDiskUsage()
+		node := newNodeLog(t, maxStateBytes)
+		node.appendAndRestart(40, maxStateBytes, 3)
+		node.checkDiskUsage()
 	})
 	t.Run("never compacted before it is full", func(t *testing.T) {
-		k := newNodeLog(t, maxStateBytes)
-		for range 200 {
-			k.bytesSinceSnapshot = 0
-			k.appendOne(usualStateBytes)
-		}
-		k.restart()
-		k.checkDiskUsage()
+		node := newNodeLog(t, maxStateBytes)
+		node.appendUncompacted(200, usualStateBytes)
+		node.restart()
+		node.checkDiskUsage()
 	})
 	t.Run("two snapshots at once", func(t *testing.T) {
-		k := newNodeLog(t, maxStateBytes)
+		node := newNodeLog(t, maxStateBytes)
 		for i := range uint64(6) {
-			k.appendOne(maxStateBytes)
-			k.fs.renamesToFail = int(i % 3)
-			for tries := 0; ; tries++ { // one after the other, also where a rename fails
-				if err := k.log.Install(wal.Snapshot{Seq: 100 * (i + 1), Data: make([]byte, maxStateBytes)}); err == nil {
-					break
-				} else if tries > 3 {
-					t.Fatal(err)
-				}
-			}
+			node.appendOne(maxStateBytes)
+			node.fs.renamesToFail = int(i % 3)
+			node.installWithRetries(wal.Snapshot{Seq: 100 * (i + 1), Data: make([]byte, maxStateBytes)})
 		}
-		k.checkDiskUsage()
+		node.checkDiskUsage()
 	})
 	t.Run("beside a copy of a damaged log", func(t *testing.T) {
-		k := newNodeLog(t, maxStateBytes)
-		for range 60 {
-			k.bytesSinceSnapshot = 0
-			k.appendOne(usualStateBytes)
-		}
-		if err := k.log.Quarantine(); err != nil {
+		node := newNodeLog(t, maxStateBytes)
+		node.appendUncompacted(60, usualStateBytes)
+		if err := node.log.Quarantine(); err != nil {
 			t.Fatal(err)
 		}
-		k.restart()
-		for i := range 12 {
-			if k.appendOne(maxStateBytes); i%3 == 0 {
-				k.restart()
-			}
-		}
-		k.checkDiskUsage()
-		if len(k.log.QuarantinedFiles()) > 0 {
+		node.restart()
+		node.appendAndRestart(12, maxStateBytes, 3)
+		node.checkDiskUsage()
+		if len(node.log.QuarantinedFiles()) > 0 {
 			t.Error("the copy is still there")
 		}
 	})
 }
 
+// appendAndRestart appends count records and restarts after the first and each interval-th after it.
+func (n *nodeLog) appendAndRestart(count, size, interval int) {
+	n.t.Helper()
+	for i := range count {
+		if n.appendOne(size); i%interval == 0 {
+			n.restart()
+		}
+	}
+}
+
+// appendUncompacted appends count records, and compacts only where the log is full.
+func (n *nodeLog) appendUncompacted(count, size int) {
+	n.t.Helper()
+	for range count {
+		n.bytesSinceSnapshot = 0
+		n.appendOne(size)
+	}
+}
+
+// installWithRetries installs a snapshot, up to five times where a rename fails.
+func (n *nodeLog) installWithRetries(snapshot wal.Snapshot) {
+	n.t.Helper()
+	for attempt := 0; ; attempt++ {
+		err := n.log.Install(snapshot)
+		if err == nil {
+			return
+		}
+		if attempt > 3 {
+			n.t.Fatal(err)
+		}
+	}
+}
+
 // TestFullDiskGetsSpaceAgain lets others fill the disk, has every change refused and nothing lost, also in a restart, and gives
-// the room back.
+// the space back.
 func TestFullDiskGetsSpaceAgain(t *testing.T) {
-	k := newNodeLog(t, usualStateBytes)
+	node := newNodeLog(t, usualStateBytes)
 	for range 5 {
-		k.appendOne(usualStateBytes)
+		node.appendOne(usualStateBytes)
 	}
 	for round := range 3 {
-		k.fs.capacityBytes = 0
-		last := k.log.LastSeq()
+		node.fs.capacityBytes = 0
+		last := node.log.LastSeq()
 		for range 3 {
-			if err := k.log.Append([]wal.Entry{{Seq: last + 1, Data: make([]byte, usualStateBytes)}}); !errors.Is(err, wal.ErrFull) {
+			if err := node.log.Append([]wal.Entry{{Seq: last + 1, Data: make([]byte, usualStateBytes)}}); !errors.Is(err, wal.ErrFull) {
 				t.Fatal(err)
 			}
-			if err := k.log.Compact(wal.Snapshot{Seq: last, Data: make([]byte, usualStateBytes)}); !errors.Is(err, wal.ErrFull) {
+			if err := node.log.Compact(wal.Snapshot{Seq: last, Data: make([]byte, usualStateBytes)}); !errors.Is(err, wal.ErrFull) {
 				t.Fatal(err)
 			}
 		}
 		if round > 0 {
-			k.restart()
+			node.restart()
 		}
-		if k.log.LastSeq() != last {
-			t.Fatalf("the log ends at %d, not at %d", k.log.LastSeq(), last)
+		if node.log.LastSeq() != last {
+			t.Fatalf("the log ends at %d, not at %d", node.log.LastSeq(), last)
 		}
-		k.fs.capacityBytes = diskBytes
-		k.appendOne(usualStateBytes)
-		k.restart()
-		if k.log.LastSeq() != last+1 {
-			t.Fatalf("the log ends at %d, not at %d", k.log.LastSeq(), last+1)
+		node.fs.capacityBytes = diskBytes
+		node.appendOne(usualStateBytes)
+		node.restart()
+		if node.log.LastSeq() != last+1 {
+			t.Fatalf("the log ends at %d, not at %d", node.log.LastSeq(), last+1)
 		}
 	}
 }
 
-// TestLoadMemoryIsBounded loads a log of 40 MiB, of usual changes and of the largest: what the whole of it allocates bounds the
+// TestLoadMemoryIsBounded loads a log of 40 MiB, of usual changes and of the largest: what loading allocates bounds the
 // memory that it takes.
 func TestLoadMemoryIsBounded(t *testing.T) {
 	t.Run("usual changes", func(t *testing.T) {
-		k := newNodeLog(t, usualStateBytes)
-		for k.log.Size() < 39<<20 {
-			k.bytesSinceSnapshot = 0
-			k.appendOne(usualStateBytes)
+		node := newNodeLog(t, usualStateBytes)
+		for node.log.Size() < 39<<20 {
+			node.bytesSinceSnapshot = 0
+			node.appendOne(usualStateBytes)
 		}
-		k.measureLoad(maxLoadBytes)
+		node.measureLoad(maxLoadBytes)
 	})
 	t.Run("a snapshot and a change of 16 MiB", func(t *testing.T) {
-		k := newNodeLog(t, maxStateBytes)
-		k.appendOne(usualStateBytes)
-		k.compact()
-		k.bytesSinceSnapshot = -maxStateBytes
-		k.appendOne(maxStateBytes)
-		k.measureLoad(maxLoadBytes + maxStateBytes) // the last record is written again
+		node := newNodeLog(t, maxStateBytes)
+		node.appendOne(usualStateBytes)
+		node.compact()
+		node.bytesSinceSnapshot = -maxStateBytes
+		node.appendOne(maxStateBytes)
+		node.measureLoad(maxLoadBytes + maxStateBytes) // the last record is written again
 	})
 }
 
-func (k *nodeLog) measureLoad(most uint64) {
-	t := k.t
+func (n *nodeLog) measureLoad(most uint64) {
+	t := n.t
 	t.Helper()
-	size := k.log.Size()
-	_ = k.log.Close()
+	size := n.log.Size()
+	_ = n.log.Close()
 	runtime.GC()
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	k.slowestStart = 0
-	k.restart()
+	n.slowestStart = 0
+	n.restart()
 	runtime.ReadMemStats(&after)
 	allocated := after.TotalAlloc - before.TotalAlloc
-	t.Logf("loading %d bytes allocated %d and took %v", size, allocated, k.slowestStart)
+	t.Logf("loading %d bytes allocated %d and took %v", size, allocated, n.slowestStart)
 	if allocated > most {
 		t.Errorf("loading %d bytes allocated %d", size, allocated)
 	}
 }
 
 // TestLoadOnDiskRefusingWrites starts on a disk that refuses each call that would write, after a kill at any call before. Danger: a
-// keeper on a full disk ends at each start, and does not even answer what it holds.
+// node on a full disk ends at each start, and does not even serve what it has stored.
 func TestLoadOnDiskRefusingWrites(t *testing.T) {
-	refuse := func(_ int, what string) error {
-		if what == "sync" || what == "syncdir" || what == "remove" {
+	for name, steps := range histories {
+		t.Run(name, func(t *testing.T) {
+			reached := true
+			for call := 3; reached; call++ { // the folder and the first segment are there
+				killed, err := runHistory(steps, crashAt(call))
+				if err != nil {
+					t.Fatal(err)
+				}
+				reached = killed.fs.crashed
+				killed.fs.crashed = false
+				if err := loadRefusingWrites(killed); err != nil {
+					t.Fatalf("killed at call %d: %v", call, err)
+				}
+			}
+		})
+	}
+}
+
+// loadRefusingWrites loads the log of a killed process on a disk that refuses writes, and changes it once there is space again.
+func loadRefusingWrites(killed *checkedLog) error {
+	fs := killed.fs.afterKill()
+	fs.fault = func(_ int, call string) error {
+		if call == "sync" || call == "syncdir" || call == "remove" {
 			return nil
 		}
 		return errNoSpace
 	}
-	for name, steps := range histories {
-		for call := 3; ; call++ { // the folder and the first segment are there
-			s, err := runHistory(steps, crashAt(call))
-			if err != nil {
-				t.Fatal(err)
-			}
-			reached := s.fs.crashed
-			s.fs.crashed = false
-			fs := s.fs.afterKill()
-			fs.fault = refuse
-			log, err := openSim(fs)
-			if err != nil {
-				t.Fatalf("%s, killed at call %d: %v", name, call, err)
-			}
-			v, err := loadView(log)
-			if err == nil {
-				err = s.checkAllowed(v)
-			}
-			if err != nil {
-				t.Fatalf("%s, killed at call %d: %v", name, call, err)
-			}
-			if err := log.Append([]wal.Entry{{Seq: log.LastSeq() + 1}}); !errors.Is(err, wal.ErrFull) {
-				t.Fatalf("%s, killed at call %d: an append: %v", name, call, err)
-			}
-			fs.fault = nil
-			if err := checkUsable(fs, log, v); err != nil {
-				t.Fatalf("%s, killed at call %d, and room again: %v", name, call, err)
-			}
-			if !reached {
-				break
-			}
-		}
+	log, err := openSim(fs)
+	if err != nil {
+		return err
+	}
+	loaded, err := loadView(log)
+	if err == nil {
+		err = killed.checkAllowed(loaded)
+	}
+	if err != nil {
+		return err
+	}
+	if err := log.Append([]wal.Entry{{Seq: log.LastSeq() + 1}}); !errors.Is(err, wal.ErrFull) {
+		return errors.Newf("an append: %v", err)
 	}
+	fs.fault = nil
+	return errors.Wrap(checkUsable(fs, log, loaded), "with space again")
 }
