--- a/internal/system/controlstate/state_test.go
+++ b/internal/system/controlstate/state_test.go
@@ -44,7 +44,7 @@
 
 func TestExamples(t *testing.T) {
 	read := func(name string) []byte {
-		b, err := os.ReadFile("../conf/testdata/" + name)
+		b, err := os.ReadFile("../config/testdata/" + name)
 		if err != nil {
 			t.Fatal(err)
 		}
