--- a/internal/system/config/conf_test.go
+++ b/internal/system/config/conf_test.go
@@ -91,11 +91,13 @@
 		s := c.Services[name]
 		fmt.Fprintf(&b, "service %s health=%s conns=%d cold=%v at %g/s", s.Name, s.HealthPath, s.MaxConns, s.WarmUpTime, s.WarmUpRate)
 		if s.Engine != nil {
-			fmt.Fprintf(&b, " engine=%+v", *s.Engine)
+			e := s.Engine
+			fmt.Fprintf(&b, " engine={Slots:%d CacheTokens:%d Stride:%d Models:%v}", e.Slots, e.CacheTokens, e.TokensPerEvent, e.Models)
 		}
 		b.WriteByte('\n')
 	}
-	fmt.Fprintf(&b, "limits %+v", c.Limits)
+	l := c.Limits
+	fmt.Fprintf(&b, "limits {HeaderBytes:%d BodyBytes:%d HeaderTimeout:%v Idle:%v}", l.HeaderBytes, l.BodyBytes, l.HeaderTimeout, l.IdleTimeout)
 	return b.String()
 }
 
