--- a/internal/system/controlstate/codec.go
+++ b/internal/system/controlstate/codec.go
@@ -27,7 +27,7 @@
 	b := append(make([]byte, 0, size), stateFormat)
 	b = binary.AppendUvarint(b, s.Seq)
 	b = s.appendZones(b)
-	b = s.history.append(b)
+	b = s.history.encode(b)
 	if s.Config == nil {
 		b = append(b, 0)
 	} else {
@@ -37,14 +37,14 @@
 }
 
 func (s *State) appendZones(b []byte) []byte {
-	all := maps.Clone(s.zones.last)
+	all := maps.Clone(s.zoneChanges.lastChange)
 	if all == nil {
 		all = map[string]uint64{}
 	}
 	for zone := range s.Evacuated {
-		all[zone] = s.zones.changed(zone)
+		all[zone] = s.zoneChanges.lastChangeOf(zone)
 	}
-	b = binary.AppendUvarint(b, s.zones.floor)
+	b = binary.AppendUvarint(b, s.zoneChanges.floorSeq)
 	b = binary.AppendUvarint(b, uint64(len(all)))
 	for _, zone := range slices.Sorted(maps.Keys(all)) {
 		b = fields.AppendBytes(b, zone)
@@ -54,12 +54,12 @@
 	return b
 }
 
-func (d *reader) zones(s *State) {
-	s.zones = zoneChanges{floor: d.Uvarint(), last: map[string]uint64{}}
+func (d *stateReader) zones(s *State) {
+	s.zoneChanges = zoneChanges{floorSeq: d.Uvarint(), lastChange: map[string]uint64{}}
 	for n := d.Uvarint(); n > 0 && !d.Failed(); n-- {
 		zone, changed, evacuated := string(d.Bytes()), d.Uvarint(), d.Byte() == 1
-		if changed > s.zones.floor {
-			s.zones.last[zone] = changed
+		if changed > s.zoneChanges.floorSeq {
+			s.zoneChanges.lastChange[zone] = changed
 		}
 		if evacuated {
 			s.Evacuated[zone] = true
@@ -67,98 +67,98 @@
 	}
 }
 
-// append encodes the history; revisions and numbers rise, so their steps are told.
-func (h *history) append(b []byte) []byte {
-	b = appendFlag(b, h.forgetful)
-	b = binary.AppendVarint(b, h.base)
-	b = binary.AppendUvarint(b, uint64(h.legacy))
+// encode encodes the history; revisions and numbers rise, so their steps are told.
+func (h *changeHistory) encode(b []byte) []byte {
+	b = appendFlag(b, h.disabled)
+	b = binary.AppendVarint(b, h.baseRevision)
+	b = binary.AppendUvarint(b, uint64(h.legacyCount))
 	b = binary.AppendUvarint(b, uint64(len(h.changes)))
-	revision, seq := h.base, uint64(0)
-	for _, c := range h.changes {
-		b = binary.AppendUvarint(b, uint64(c.Revision-revision))
-		b = binary.AppendUvarint(b, c.Seq-seq)
-		b = append(b, c.Digest[:]...)
-		revision, seq = c.Revision, c.Seq
+	revision, seq := h.baseRevision, uint64(0)
+	for _, change := range h.changes {
+		b = binary.AppendUvarint(b, uint64(change.Revision-revision))
+		b = binary.AppendUvarint(b, change.Seq-seq)
+		b = append(b, change.Digest[:]...)
+		revision, seq = change.Revision, change.Seq
 	}
 	return b
 }
 
-func (d *reader) history() history {
-	h := history{forgetful: d.Byte() == 1, base: d.Varint()}
+func (d *stateReader) history() changeHistory {
+	decoded := changeHistory{disabled: d.Byte() == 1, baseRevision: d.Varint()}
 	legacy := d.Uvarint()
-	revision, seq := h.base, uint64(0)
+	revision, seq := decoded.baseRevision, uint64(0)
 	for n := d.Uvarint(); n > 0 && !d.Failed(); n-- {
 		revision += int64(d.Uvarint())
 		seq += d.Uvarint()
-		c := appliedChange{Revision: revision, Seq: seq}
-		copy(c.Digest[:], d.Next(len(c.Digest)))
-		h.changes = append(h.changes, c)
+		change := appliedChange{Revision: revision, Seq: seq}
+		copy(change.Digest[:], d.Next(len(change.Digest)))
+		decoded.changes = append(decoded.changes, change)
 	}
-	if legacy > uint64(len(h.changes)) {
+	if legacy > uint64(len(decoded.changes)) {
 		d.Fail()
-		return history{}
+		return changeHistory{}
 	}
-	h.legacy = int(legacy)
-	return h
+	decoded.legacyCount = int(legacy)
+	return decoded
 }
 
 // legacyBody reads what encoding 1 has between the number and the configuration. When zones were changed it does not tell:
 // the number of the state is the latest that can be.
-func (d *reader) legacyBody(s *State) {
-	s.zones = zoneChanges{floor: s.Seq, last: map[string]uint64{}}
+func (d *stateReader) legacyBody(s *State) {
+	s.zoneChanges = zoneChanges{floorSeq: s.Seq, lastChange: map[string]uint64{}}
 	for n := d.Uvarint(); n > 0 && !d.Failed(); n-- {
 		s.Evacuated[string(d.Bytes())] = true
 	}
 	for n := d.Uvarint(); n > 0 && !d.Failed(); n-- {
-		c := appliedChange{Revision: d.Varint()}
-		copy(c.Digest[:], d.Next(8))
-		c.Seq = d.Uvarint()
-		s.history.changes = append(s.history.changes, c)
+		change := appliedChange{Revision: d.Varint()}
+		copy(change.Digest[:], d.Next(8))
+		change.Seq = d.Uvarint()
+		s.history.changes = append(s.history.changes, change)
 	}
 	const most = 256
 	if len(s.history.changes) >= most {
 		// There may have been more, so what the oldest builds on is not known.
-		s.history.base, s.history.changes = s.history.changes[0].Revision, s.history.changes[1:]
+		s.history.baseRevision, s.history.changes = s.history.changes[0].Revision, s.history.changes[1:]
 	}
-	s.history.legacy = len(s.history.changes)
+	s.history.legacyCount = len(s.history.changes)
 }
 
 // Decode reads what Encode made, also that of earlier versions of the software. Errors are ErrCorrupt. The state does not
 // share the memory of b.
 func Decode(b []byte) (*State, error) {
 	if len(b) < 8 || xxhash.Sum64(b[:len(b)-8]) != binary.LittleEndian.Uint64(b[len(b)-8:]) {
-		return nil, corrupt()
+		return nil, corruptError()
 	}
-	d := reader{fields.NewReader(b[:len(b)-8])}
-	format := d.Byte()
-	s := &State{Seq: d.Uvarint(), Evacuated: map[string]bool{}}
+	reader := stateReader{fields.NewReader(b[:len(b)-8])}
+	format := reader.Byte()
+	state := &State{Seq: reader.Uvarint(), Evacuated: map[string]bool{}}
 	switch format {
 	case stateFormat:
-		d.zones(s)
-		s.history = d.history()
+		reader.zones(state)
+		state.history = reader.history()
 	case legacyStateFormat:
-		d.legacyBody(s)
+		reader.legacyBody(state)
 	default:
 		return nil, errors.Mark(errors.New("state in a format unknown here: run a newer version"), ErrCorrupt)
 	}
-	if d.Byte() == 1 {
-		raw := slices.Clone(d.Bytes())
-		if d.Failed() {
-			return nil, corrupt()
+	if reader.Byte() == 1 {
+		raw := slices.Clone(reader.Bytes())
+		if reader.Failed() {
+			return nil, corruptError()
 		}
 		candidate, err := config.Parse(raw)
 		if err != nil {
 			return nil, errors.Mark(errors.Wrap(err, "state with a configuration that cannot be read here"), ErrCorrupt)
 		}
-		s.Config = candidate
+		state.Config = candidate
 	}
-	if !d.Complete() {
-		return nil, corrupt()
+	if !reader.Complete() {
+		return nil, corruptError()
 	}
-	return s, nil
+	return state, nil
 }
 
-func corrupt() error {
+func corruptError() error {
 	return errors.Mark(errors.New("bytes that are no whole state: fetch it again"), ErrCorrupt)
 }
 
@@ -169,5 +169,5 @@
 	return append(dst, 0)
 }
 
-// reader decodes what a state is made of.
-type reader struct{ fields.Reader }
+// stateReader decodes what a state is made of.
+type stateReader struct{ fields.Reader }
--- a/internal/system/controlstate/history.go
+++ b/internal/system/controlstate/history.go
@@ -25,21 +25,21 @@
 	Digest   digest
 }
 
-// history remembers the newest applied changes, so that one that is sent again is known again. Every version is built on
+// changeHistory remembers the newest applied changes, so that one that is sent again is known again. Every version is built on
 // by one change at most, so the changes form a line: each builds on the revision of the one before.
-type history struct {
-	forgetful bool            // nothing is remembered: base is the current version
-	base      int64           // version that the oldest remembered change builds on
-	legacy    int             // so many of the oldest have a digest of encoding 1
-	changes   []appliedChange // oldest first
+type changeHistory struct {
+	disabled     bool            // nothing is remembered: base is the current version
+	baseRevision int64           // version that the oldest remembered change builds on
+	legacyCount  int             // so many of the oldest have a digest of encoding 1
+	changes      []appliedChange // oldest first
 }
 
-// on returns the remembered change that was applied on a version, nil where there is none.
-func (h *history) on(base int64) *appliedChange {
+// builtOn returns the remembered change that was applied builtOn a version, nil where there is none.
+func (h *changeHistory) builtOn(base int64) *appliedChange {
 	if len(h.changes) == 0 {
 		return nil
 	}
-	if base == h.base {
+	if base == h.baseRevision {
 		return &h.changes[0]
 	}
 	i := sort.Search(len(h.changes), func(i int) bool { return h.changes[i].Revision >= base })
@@ -49,60 +49,60 @@
 	return &h.changes[i+1]
 }
 
-// made tells whether c is the change that a remembered entry stands for.
-func (h *history) made(entry *appliedChange, c Change, sum digest) bool {
-	if entry.Seq <= h.lastLegacy() {
-		return entry.Digest == c.legacyDigest()
+// matches tells whether c is the change that a remembered entry stands for.
+func (h *changeHistory) matches(entry *appliedChange, change Change, sum digest) bool {
+	if entry.Seq <= h.lastLegacySeq() {
+		return entry.Digest == change.legacyDigest()
 	}
 	return entry.Digest == sum
 }
 
-// lastLegacy is the number of the newest record with a digest of encoding 1, 0 where there is none.
-func (h *history) lastLegacy() uint64 {
-	if h.legacy == 0 {
+// lastLegacySeq is the number of the newest record with a digest of encoding 1, 0 where there is none.
+func (h *changeHistory) lastLegacySeq() uint64 {
+	if h.legacyCount == 0 {
 		return 0
 	}
-	return h.changes[h.legacy-1].Seq
+	return h.changes[h.legacyCount-1].Seq
 }
 
-// with returns the history after one more change. The one that it is called on stays as it was.
-func (h *history) with(change appliedChange) history {
-	if h.forgetful {
-		return history{forgetful: true, base: change.Revision}
+// appended returns the history after one more change. The one that it is called on stays as it was.
+func (h *changeHistory) appended(change appliedChange) changeHistory {
+	if h.disabled {
+		return changeHistory{disabled: true, baseRevision: change.Revision}
 	}
-	next := history{base: h.base, legacy: h.legacy, changes: h.changes}
+	next := changeHistory{baseRevision: h.baseRevision, legacyCount: h.legacyCount, changes: h.changes}
 	if len(next.changes) >= MaxHistory {
-		next.base, next.changes = next.changes[0].Revision, next.changes[1:]
-		next.legacy = max(0, next.legacy-1)
+		next.baseRevision, next.changes = next.changes[0].Revision, next.changes[1:]
+		next.legacyCount = max(0, next.legacyCount-1)
 	}
 	next.changes = append(slices.Clip(next.changes), change) // Clip: append copies
 	return next
 }
 
-// last is the number of the newest remembered change, otherwise where there is none.
-func (h *history) last(otherwise uint64) uint64 {
+// lastSeq is the number of the newest remembered change, otherwise where there is none.
+func (h *changeHistory) lastSeq(otherwise uint64) uint64 {
 	if len(h.changes) == 0 {
 		return otherwise
 	}
 	return h.changes[len(h.changes)-1].Seq
 }
 
-// judgeOld gives the verdict on a change that does not build on the current version.
-func (s *State) judgeOld(c Change, sum digest, rests uint64) Verdict {
-	if entry := s.history.on(c.Base); entry != nil && s.history.made(entry, c, sum) {
+// checkOnOlderVersion gives the verdict on a change that does not build on the current version.
+func (s *State) checkOnOlderVersion(change Change, sum digest, restsOnSeq uint64) Verdict {
+	if entry := s.history.builtOn(change.Base); entry != nil && s.history.matches(entry, change, sum) {
 		return Verdict{Kind: AlreadyApplied, Seq: entry.Seq, Reason: "this very change has been applied"}
 	}
-	if c.Base >= 0 && c.Base < s.history.base {
-		return Verdict{Kind: Uncertain, Seq: rests, Reason: errors.Newf("builds on version %d, and what was applied on versions "+
+	if change.Base >= 0 && change.Base < s.history.baseRevision {
+		return Verdict{Kind: Uncertain, Seq: restsOnSeq, Reason: errors.Newf("builds on version %d, and what was applied on versions "+
 			"below %d is not remembered: read the configuration, and if it lacks the change send it on top of version %d",
-			c.Base, s.history.base, s.Revision()).Error()}
+			change.Base, s.history.baseRevision, s.Revision()).Error()}
 	}
-	return Verdict{Kind: Stale, Seq: rests, Reason: errors.Newf(
-		"builds on version %d, but %d is current: read it and send the change on top of it", c.Base, s.Revision()).Error()}
+	return Verdict{Kind: Stale, Seq: restsOnSeq, Reason: errors.Newf(
+		"builds on version %d, but %d is current: read it and send the change on top of it", change.Base, s.Revision()).Error()}
 }
 
-// encoding is what the digests are made of, without the body.
-func (c Change) encoding() []byte {
+// digestHeader is what the digests are made of, without the body.
+func (c Change) digestHeader() []byte {
 	b := append(make([]byte, 0, 1+2*binary.MaxVarintLen64), byte(c.Op))
 	b = binary.AppendVarint(b, c.Base)
 	return binary.AppendUvarint(b, uint64(len(c.Body)))
@@ -111,7 +111,7 @@
 // digest tells changes apart by operation, base and the bytes of the body; equal changes have equal ones on every machine.
 func (c Change) digest() (out digest) {
 	d := sha256.New()
-	_, _ = d.Write(c.encoding())
+	_, _ = d.Write(c.digestHeader())
 	_, _ = d.Write(c.Body)
 	_, _ = d.Write([]byte(c.Zone))
 	copy(out[:], d.Sum(nil))
@@ -122,7 +122,7 @@
 func (c Change) legacyDigest() (out digest) {
 	var d xxhash.Digest
 	d.Reset()
-	_, _ = d.Write(c.encoding())
+	_, _ = d.Write(c.digestHeader())
 	_, _ = d.Write(c.Body)
 	_, _ = d.WriteString(c.Zone)
 	binary.LittleEndian.PutUint64(out[:], d.Sum64())
--- a/internal/system/controlstate/history_test.go
+++ b/internal/system/controlstate/history_test.go
@@ -12,24 +12,24 @@
 	"gradeusher.example/gradeusher/internal/system/fields"
 )
 
-// manyChanges applies count changes of the configuration, each under a revision three above the one before.
-func manyChanges(t testing.TB, count int) (*State, []Change) {
+// applyMany applies count changes of the configuration, each under a revision three above the one before.
+func applyMany(t testing.TB, count int) (*State, []Change) {
 	t.Helper()
 	s := Empty()
 	var all []Change
 	for i := range int64(count) {
-		c := Change{Op: OpReplace, Base: s.Revision(), Body: body(i*3+1, "")}
+		c := Change{Op: OpReplace, Base: s.Revision(), Body: configBody(i*3+1, "")}
 		if i%5 == 4 {
-			c = Change{Op: OpAmend, Base: s.Revision(), Body: amendment(i*3+1, "a")}
+			c = Change{Op: OpAmend, Base: s.Revision(), Body: amendmentBody(i*3+1, "a")}
 		}
-		s = accept(t, s, c)
+		s = requireAccepted(t, s, c)
 		all = append(all, c)
 	}
 	return s, all
 }
 
-// decoded is s as a keeper has it that took it from a snapshot.
-func decoded(t testing.TB, s *State) *State {
+// roundTrip is s as a keeper has it that took it from a snapshot.
+func roundTrip(t testing.TB, s *State) *State {
 	t.Helper()
 	out, err := Decode(s.Encode())
 	if err != nil {
@@ -40,10 +40,10 @@
 
 // An order that was applied is confirmed for as long as it is remembered, and never refused after that. Another order on the
 // same version is refused for as long as that can be told.
-func TestSentAgain(t *testing.T) {
+func TestRetriedChange(t *testing.T) {
 	const forgotten = 30
-	s, all := manyChanges(t, MaxHistory+forgotten)
-	for what, s := range map[string]*State{"as it is": s, "after a snapshot": decoded(t, s)} {
+	s, all := applyMany(t, MaxHistory+forgotten)
+	for what, s := range map[string]*State{"as it is": s, "after a snapshot": roundTrip(t, s)} {
 		for i, c := range all {
 			want, seq := AlreadyApplied, uint64(i+1)
 			if i < forgotten {
@@ -61,7 +61,7 @@
 				t.Fatalf("%s: another on the version of change %d: %+v", what, i, v)
 			}
 		}
-		for _, base := range []int64{s.history.base + 1, s.Revision() + 1, -1} {
+		for _, base := range []int64{s.history.baseRevision + 1, s.Revision() + 1, -1} {
 			if v := s.Check(Change{Op: OpReplace, Base: base, Body: all[0].Body}); v.Kind != Stale {
 				t.Fatalf("%s: on version %d, which never was: %+v", what, base, v)
 			}
@@ -70,11 +70,11 @@
 }
 
 // What makes an order the same: the operation, the version that it builds on and the bytes of its body.
-func TestSameOrder(t *testing.T) {
-	c := Change{Op: OpReplace, Base: 5, Body: body(6, "a")}
+func TestDigestIdentifiesChange(t *testing.T) {
+	c := Change{Op: OpReplace, Base: 5, Body: configBody(6, "a")}
 	for what, other := range map[string]Change{
 		"operation": {Op: OpAmend, Base: 5, Body: c.Body}, "base": {Op: OpReplace, Base: 4, Body: c.Body},
-		"body": {Op: OpReplace, Base: 5, Body: body(6, "b")}, "length": {Op: OpReplace, Base: 5, Body: append(body(6, "a"), ' ')},
+		"body": {Op: OpReplace, Base: 5, Body: configBody(6, "b")}, "length": {Op: OpReplace, Base: 5, Body: append(configBody(6, "a"), ' ')},
 		"zone": {Op: OpReplace, Base: 5, Body: c.Body[:len(c.Body)-1], Zone: "}"},
 	} {
 		if other.digest() == c.digest() {
@@ -90,8 +90,8 @@
 // A digest is compared with that of the change on the same version alone, so that an order is never confirmed by the digest
 // of another version's change.
 func TestCollisionOnAnotherVersion(t *testing.T) {
-	s, all := manyChanges(t, 10)
-	c := Change{Op: OpReplace, Base: all[4].Base, Body: body(1000, "")}
+	s, all := applyMany(t, 10)
+	c := Change{Op: OpReplace, Base: all[4].Base, Body: configBody(1000, "")}
 	s.history.changes[7].Digest = c.digest()
 	if v := s.Check(c); v.Kind != Stale {
 		t.Errorf("%+v", v)
@@ -100,7 +100,7 @@
 
 // The memory of changes is bounded, and so is what it adds to an encoding.
 func TestHistoryIsBounded(t *testing.T) {
-	s, _ := manyChanges(t, MaxHistory+10)
+	s, _ := applyMany(t, MaxHistory+10)
 	if n := len(s.history.changes); n != MaxHistory {
 		t.Errorf("%d changes remembered, want %d", n, MaxHistory)
 	}
@@ -115,10 +115,10 @@
 }
 
 // A state without memory follows as any other, and refuses nothing that may have been applied.
-func TestForgetful(t *testing.T) {
-	whole, all := manyChanges(t, 20)
-	whole = accept(t, whole, Change{Op: OpEvacuate, Base: int64(whole.Seq), Zone: "z"})
-	lean := decoded(t, whole.WithoutHistory())
+func TestWithoutHistory(t *testing.T) {
+	whole, all := applyMany(t, 20)
+	whole = requireAccepted(t, whole, Change{Op: OpEvacuate, Base: int64(whole.Seq), Zone: "z"})
+	lean := roundTrip(t, whole.WithoutHistory())
 	for _, c := range all {
 		if v := lean.Check(c); v.Kind != Uncertain {
 			t.Fatalf("%+v", v)
@@ -128,11 +128,11 @@
 		t.Errorf("%+v", v)
 	}
 	for _, c := range []Change{
-		{Op: OpAmend, Base: whole.Revision(), Body: amendment(100, "b")}, {Op: OpReplace, Base: 100, Body: body(101, "")},
+		{Op: OpAmend, Base: whole.Revision(), Body: amendmentBody(100, "b")}, {Op: OpReplace, Base: 100, Body: configBody(101, "")},
 		{Op: OpReadmit, Base: 21, Zone: "z"}, {Op: OpEvacuate, Base: 21, Zone: "y"},
 	} {
 		r := c.Record(whole.Seq + 1)
-		whole = accept(t, whole, c)
+		whole = requireAccepted(t, whole, c)
 		next, err := lean.Apply(r)
 		if err != nil {
 			t.Fatal(err)
@@ -172,16 +172,16 @@
 // written it anew and further changes have come.
 func TestDecodeLegacy(t *testing.T) {
 	for _, count := range []int{1, 255, 256, 300} {
-		s, all := manyChanges(t, count)
-		s = accept(t, s, Change{Op: OpEvacuate, Zone: "z"})
+		s, all := applyMany(t, count)
+		s = requireAccepted(t, s, Change{Op: OpEvacuate, Zone: "z"})
 		old, err := Decode(legacyEncoding(s, all))
 		if err != nil {
 			t.Fatal(err)
 		}
-		old = decoded(t, old)
-		next := Change{Op: OpReplace, Base: old.Revision(), Body: body(10_000, "")}
-		old = accept(t, old, next)
-		old = accept(t, decoded(t, old), Change{Op: OpReplace, Base: 10_000, Body: body(10_001, "")})
+		old = roundTrip(t, old)
+		next := Change{Op: OpReplace, Base: old.Revision(), Body: configBody(10_000, "")}
+		old = requireAccepted(t, old, next)
+		old = requireAccepted(t, roundTrip(t, old), Change{Op: OpReplace, Base: 10_000, Body: configBody(10_001, "")})
 		for i, c := range append(slices.Clone(all), next) {
 			want := AlreadyApplied
 			if count >= 256 && i < count-255 {
@@ -201,11 +201,11 @@
 		if v := old.Check(Change{Op: OpReadmit, Base: int64(s.Seq) - 1, Zone: "z"}); v.Kind != Superseded {
 			t.Errorf("from before the snapshot: %+v", v)
 		}
-		accept(t, old, Change{Op: OpReadmit, Base: int64(s.Seq), Zone: "z"})
+		requireAccepted(t, old, Change{Op: OpReadmit, Base: int64(s.Seq), Zone: "z"})
 	}
 }
 
-func TestDecodeRefusesUnknownFormat(t *testing.T) {
+func TestDecodeRejectsUnknownFormat(t *testing.T) {
 	b := Empty().Encode()
 	b[0] = stateFormat + 1
 	b = binary.LittleEndian.AppendUint64(b[:len(b)-8], xxhash.Sum64(b[:len(b)-8]))
--- a/internal/system/controlstate/state.go
+++ b/internal/system/controlstate/state.go
@@ -92,13 +92,13 @@
 	Config    *config.Config  // nil: none has come yet
 	Evacuated map[string]bool // zones
 
-	history history     // of the configuration
-	zones   zoneChanges // when they were last changed
-	parsed  atomic.Pointer[parsed]
+	history     changeHistory // of the configuration
+	zoneChanges zoneChanges   // when they were last changed
+	lastChecked atomic.Pointer[checkedChange]
 }
 
-// parsed is the configuration that the change last accepted by Check leads to, so that Apply need not read it again.
-type parsed struct {
+// checkedChange is the configuration that the change last accepted by Check leads to, so that Apply need not read it again.
+type checkedChange struct {
 	digest digest
 	config *config.Config
 }
@@ -115,41 +115,41 @@
 }
 
 // Check tells what becomes of a change on top of this state.
-func (s *State) Check(c Change) Verdict {
-	switch c.Op {
+func (s *State) Check(change Change) Verdict {
+	switch change.Op {
 	case OpReplace, OpAmend:
-		return s.checkConfig(c)
+		return s.checkConfig(change)
 	case OpEvacuate, OpReadmit:
-		return s.checkZone(c)
+		return s.checkZone(change)
 	case OpNone:
 		return Verdict{Kind: Accepted, Seq: s.Seq + 1}
 	}
 	return Verdict{Kind: Invalid, Reason: "unknown operation: send one of this version"}
 }
 
-func (s *State) checkConfig(c Change) Verdict {
-	sum, rests := c.digest(), uint64(0)
+func (s *State) checkConfig(change Change) Verdict {
+	sum, restsOnSeq := change.digest(), uint64(0)
 	if s.Config != nil {
-		rests = s.history.last(s.Seq)
+		restsOnSeq = s.history.lastSeq(s.Seq)
 	}
-	if c.Base != s.Revision() {
-		return s.judgeOld(c, sum, rests)
+	if change.Base != s.Revision() {
+		return s.checkOnOlderVersion(change, sum, restsOnSeq)
 	}
 	// Nothing has been applied on the current version, so this change has not been either.
-	candidate, err := s.next(c)
+	candidate, err := s.nextConfig(change)
 	if err != nil {
-		return Verdict{Kind: Invalid, Seq: rests, Reason: err.Error()}
+		return Verdict{Kind: Invalid, Seq: restsOnSeq, Reason: err.Error()}
 	}
-	s.parsed.Store(&parsed{digest: sum, config: candidate})
+	s.lastChecked.Store(&checkedChange{digest: sum, config: candidate})
 	return Verdict{Kind: Accepted, Seq: s.Seq + 1}
 }
 
-// next returns the configuration that c makes of the current one.
-func (s *State) next(c Change) (*config.Config, error) {
-	if c.Op == OpAmend {
-		return config.Amend(s.Config, c.Body)
+// nextConfig returns the configuration that c makes of the current one.
+func (s *State) nextConfig(change Change) (*config.Config, error) {
+	if change.Op == OpAmend {
+		return config.Amend(s.Config, change.Body)
 	}
-	candidate, err := config.Parse(c.Body)
+	candidate, err := config.Parse(change.Body)
 	if err != nil {
 		return nil, err
 	}
@@ -162,20 +162,20 @@
 
 // Apply returns the state after r, which must be numbered Seq+1 and have been accepted by Check on this state. Errors are
 // ErrOutOfOrder or ErrRefused. The result may share r.Body, which must not be changed afterwards.
-func (s *State) Apply(r Record) (*State, error) {
-	if r.Seq != s.Seq+1 {
-		return nil, errors.Mark(errors.Newf("record %d follows %d: send record %d", r.Seq, s.Seq, s.Seq+1), ErrOutOfOrder)
+func (s *State) Apply(record Record) (*State, error) {
+	if record.Seq != s.Seq+1 {
+		return nil, errors.Mark(errors.Newf("record %d follows %d: send record %d", record.Seq, s.Seq, s.Seq+1), ErrOutOfOrder)
 	}
-	next := &State{Seq: r.Seq, Config: s.Config, Evacuated: s.Evacuated, history: s.history, zones: s.zones}
+	next := &State{Seq: record.Seq, Config: s.Config, Evacuated: s.Evacuated, history: s.history, zoneChanges: s.zoneChanges}
 	var err error
-	switch r.Op {
+	switch record.Op {
 	case OpReplace, OpAmend:
-		err = s.applyConfig(next, r)
+		err = s.applyConfig(next, record)
 	case OpEvacuate, OpReadmit:
-		err = s.applyZone(next, r)
+		err = s.applyZone(next, record)
 	case OpNone:
 	default:
-		err = refused(r, "its operation is unknown here: run a newer version")
+		err = refusedError(record, "its operation is unknown here: run a newer version")
 	}
 	if err != nil {
 		return nil, err
@@ -184,26 +184,26 @@
 }
 
 // applyConfig makes the change that a record asks for in next, a state that shares what it does not change with s.
-func (s *State) applyConfig(next *State, r Record) error {
-	c := Change{Op: r.Op, Base: r.Base, Body: r.Body, Zone: r.Zone}
-	if c.Base != s.Revision() {
-		return refused(r, "it builds on another version than the current one")
+func (s *State) applyConfig(next *State, record Record) error {
+	change := Change{Op: record.Op, Base: record.Base, Body: record.Body, Zone: record.Zone}
+	if change.Base != s.Revision() {
+		return refusedError(record, "it builds on another version than the current one")
 	}
 	var sum digest
-	checked := s.parsed.Load()
-	if !s.history.forgetful || checked != nil {
-		sum = c.digest()
+	checked := s.lastChecked.Load()
+	if !s.history.disabled || checked != nil {
+		sum = change.digest()
 	}
 	if checked != nil && checked.digest == sum {
 		next.Config = checked.config
 	} else {
-		candidate, err := s.next(c)
+		candidate, err := s.nextConfig(change)
 		if err != nil {
-			return refused(r, err.Error())
+			return refusedError(record, err.Error())
 		}
 		next.Config = candidate
 	}
-	next.history = s.history.with(appliedChange{Revision: next.Config.Revision, Seq: r.Seq, Digest: sum})
+	next.history = s.history.appended(appliedChange{Revision: next.Config.Revision, Seq: record.Seq, Digest: sum})
 	return nil
 }
 
@@ -211,13 +211,13 @@
 // Apply makes of it hold the same configuration and zones, are smaller, and never tell that a configuration was applied before.
 func (s *State) WithoutHistory() *State {
 	return &State{Seq: s.Seq, Config: s.Config, Evacuated: s.Evacuated,
-		history: history{forgetful: true, base: s.Revision()}, zones: s.zones}
+		history: changeHistory{disabled: true, baseRevision: s.Revision()}, zoneChanges: s.zoneChanges}
 }
 
 // ZoneChangeSeq returns the number of the record that last evacuated a zone or took it back, or a later one where that is not
 // remembered; 0: none did.
-func (s *State) ZoneChangeSeq(zone string) uint64 { return s.zones.changed(zone) }
+func (s *State) ZoneChangeSeq(zone string) uint64 { return s.zoneChanges.lastChangeOf(zone) }
 
-func refused(r Record, why string) error {
+func refusedError(r Record, why string) error {
 	return errors.Mark(errors.Newf("record %d cannot be applied: %s; take a snapshot from another keeper", r.Seq, why), ErrRefused)
 }
--- a/internal/system/controlstate/state_test.go
+++ b/internal/system/controlstate/state_test.go
@@ -17,19 +17,19 @@
 	"pgregory.net/rapid"
 )
 
-// body makes a whole configuration; mark tells those of one revision apart.
-func body(revision int64, mark string) []byte {
+// configBody makes a whole configuration; mark tells those of one revision apart.
+func configBody(revision int64, mark string) []byte {
 	return fmt.Appendf(nil, `{"revision":%d,"routes":[{"name":"r","hostname":"h","path_prefix":"/","timeout_ms":1,"target":"s"}],`+
 		`"services":[{"name":"s"}],"mark":%q}`, revision, mark)
 }
 
-func amendment(revision int64, mark string) []byte {
+func amendmentBody(revision int64, mark string) []byte {
 	return fmt.Appendf(nil, `{"revision":%d,"upsert":{"routes":[{"name":%q,"hostname":"h","path_prefix":"/%s/","timeout_ms":1,"target":"s"}]}}`,
 		revision, mark, mark)
 }
 
-// accept takes a change that has to be accepted.
-func accept(t testing.TB, s *State, c Change) *State {
+// requireAccepted takes a change that has to be accepted.
+func requireAccepted(t testing.TB, s *State, c Change) *State {
 	t.Helper()
 	v := s.Check(c)
 	if v.Kind != Accepted || v.Seq != s.Seq+1 || v.Reason != "" {
@@ -50,41 +50,41 @@
 		}
 		return b
 	}
-	s := accept(t, Empty(), Change{Op: OpReplace, Body: read("replace.json")})
-	s = accept(t, s, Change{Op: OpAmend, Base: 7, Body: read("amend.json")})
+	s := requireAccepted(t, Empty(), Change{Op: OpReplace, Body: read("replace.json")})
+	s = requireAccepted(t, s, Change{Op: OpAmend, Base: 7, Body: read("amend.json")})
 	if s.Seq != 2 || s.Revision() != 9 || s.Config.Match("ficu95.example:80", "/lohu930/2f") == nil {
 		t.Errorf("%+v", s)
 	}
 }
 
 func TestCheck(t *testing.T) {
-	s := accept(t, Empty(), Change{Op: OpReplace, Body: body(5, "a")})               // record 1
-	s = accept(t, s, Change{Op: OpEvacuate, Zone: "z"})                              // record 2
-	s = accept(t, s, Change{Op: OpAmend, Base: 5, Body: amendment(8, "b")})          // record 3
-	s = accept(t, s, Change{Op: OpNone})                                             // record 4
-	s = accept(t, s, Change{Op: OpReplace, Base: 8, Body: body(9, "c")})             // record 5
-	s = accept(t, s, Change{Op: OpEvacuate, Zone: strings.Repeat("y", 255)})         // record 6
-	s = accept(t, s, Change{Op: OpReadmit, Base: 6, Zone: strings.Repeat("y", 255)}) // record 7
+	s := requireAccepted(t, Empty(), Change{Op: OpReplace, Body: configBody(5, "a")})         // record 1
+	s = requireAccepted(t, s, Change{Op: OpEvacuate, Zone: "z"})                              // record 2
+	s = requireAccepted(t, s, Change{Op: OpAmend, Base: 5, Body: amendmentBody(8, "b")})      // record 3
+	s = requireAccepted(t, s, Change{Op: OpNone})                                             // record 4
+	s = requireAccepted(t, s, Change{Op: OpReplace, Base: 8, Body: configBody(9, "c")})       // record 5
+	s = requireAccepted(t, s, Change{Op: OpEvacuate, Zone: strings.Repeat("y", 255)})         // record 6
+	s = requireAccepted(t, s, Change{Op: OpReadmit, Base: 6, Zone: strings.Repeat("y", 255)}) // record 7
 	for _, c := range []struct {
 		what string
 		c    Change
 		kind Kind
 		seq  uint64
 	}{
-		{"the next", Change{Op: OpReplace, Base: 9, Body: body(10, "")}, Accepted, 8},
-		{"in uneven steps", Change{Op: OpReplace, Base: 9, Body: body(1<<40, "")}, Accepted, 8},
-		{"sent again", Change{Op: OpReplace, Base: 8, Body: body(9, "c")}, AlreadyApplied, 5},
-		{"an older one sent again", Change{Op: OpReplace, Base: 0, Body: body(5, "a")}, AlreadyApplied, 1},
-		{"an older amendment sent again", Change{Op: OpAmend, Base: 5, Body: amendment(8, "b")}, AlreadyApplied, 3},
-		{"sent again on another base", Change{Op: OpReplace, Base: 7, Body: body(9, "c")}, Stale, 5},
-		{"sent again as another operation", Change{Op: OpAmend, Base: 0, Body: body(5, "a")}, Stale, 5},
-		{"another of the same number", Change{Op: OpReplace, Base: 8, Body: body(9, "d")}, Stale, 5},
-		{"on no version", Change{Op: OpReplace, Base: 0, Body: body(10, "")}, Stale, 5},
-		{"on a version to come", Change{Op: OpReplace, Base: 12, Body: body(13, "")}, Stale, 5},
+		{"the next", Change{Op: OpReplace, Base: 9, Body: configBody(10, "")}, Accepted, 8},
+		{"in uneven steps", Change{Op: OpReplace, Base: 9, Body: configBody(1<<40, "")}, Accepted, 8},
+		{"sent again", Change{Op: OpReplace, Base: 8, Body: configBody(9, "c")}, AlreadyApplied, 5},
+		{"an older one sent again", Change{Op: OpReplace, Base: 0, Body: configBody(5, "a")}, AlreadyApplied, 1},
+		{"an older amendment sent again", Change{Op: OpAmend, Base: 5, Body: amendmentBody(8, "b")}, AlreadyApplied, 3},
+		{"sent again on another base", Change{Op: OpReplace, Base: 7, Body: configBody(9, "c")}, Stale, 5},
+		{"sent again as another operation", Change{Op: OpAmend, Base: 0, Body: configBody(5, "a")}, Stale, 5},
+		{"another of the same number", Change{Op: OpReplace, Base: 8, Body: configBody(9, "d")}, Stale, 5},
+		{"on no version", Change{Op: OpReplace, Base: 0, Body: configBody(10, "")}, Stale, 5},
+		{"on a version to come", Change{Op: OpReplace, Base: 12, Body: configBody(13, "")}, Stale, 5},
 		{"stale and invalid", Change{Op: OpReplace, Base: 8, Body: []byte("{")}, Stale, 5},
-		{"the current number", Change{Op: OpReplace, Base: 9, Body: body(9, "e")}, Invalid, 5},
-		{"a lower number", Change{Op: OpReplace, Base: 9, Body: body(8, "")}, Invalid, 5},
-		{"an amendment with the current number", Change{Op: OpAmend, Base: 9, Body: amendment(9, "b")}, Invalid, 5},
+		{"the current number", Change{Op: OpReplace, Base: 9, Body: configBody(9, "e")}, Invalid, 5},
+		{"a lower number", Change{Op: OpReplace, Base: 9, Body: configBody(8, "")}, Invalid, 5},
+		{"an amendment with the current number", Change{Op: OpAmend, Base: 9, Body: amendmentBody(9, "b")}, Invalid, 5},
 		{"not whole", Change{Op: OpReplace, Base: 9, Body: []byte("{")}, Invalid, 5},
 		{"an evacuation", Change{Op: OpEvacuate, Zone: "x"}, Accepted, 8},
 		{"an evacuation taken meanwhile", Change{Op: OpEvacuate, Base: 1, Zone: "z"}, AlreadyApplied, 7},
@@ -104,24 +104,24 @@
 		}
 	}
 	first := Empty()
-	if v := first.Check(Change{Op: OpAmend, Body: amendment(1, "a")}); v.Kind != Invalid {
+	if v := first.Check(Change{Op: OpAmend, Body: amendmentBody(1, "a")}); v.Kind != Invalid {
 		t.Errorf("amendment of nothing: %+v", v)
 	}
-	if v := first.Check(Change{Op: OpReplace, Base: 3, Body: body(5, "")}); v.Kind != Stale || v.Seq != 0 {
+	if v := first.Check(Change{Op: OpReplace, Base: 3, Body: configBody(5, "")}); v.Kind != Stale || v.Seq != 0 {
 		t.Errorf("first one on a version: %+v", v)
 	}
 }
 
-func TestApplyRefuses(t *testing.T) {
-	s := accept(t, Empty(), Change{Op: OpReplace, Body: body(5, "a")})
+func TestApplyRejects(t *testing.T) {
+	s := requireAccepted(t, Empty(), Change{Op: OpReplace, Body: configBody(5, "a")})
 	for _, c := range []struct {
 		r    Record
 		want error
 	}{
 		{Record{Seq: 1, Op: OpNone}, ErrOutOfOrder},
 		{Record{Seq: 3, Op: OpNone}, ErrOutOfOrder},
-		{Record{Seq: 2, Op: OpReplace, Base: 4, Body: body(6, "")}, ErrRefused},
-		{Record{Seq: 2, Op: OpReplace, Base: 5, Body: body(5, "")}, ErrRefused},
+		{Record{Seq: 2, Op: OpReplace, Base: 4, Body: configBody(6, "")}, ErrRefused},
+		{Record{Seq: 2, Op: OpReplace, Base: 5, Body: configBody(5, "")}, ErrRefused},
 		{Record{Seq: 2, Op: OpAmend, Base: 5, Body: []byte("{")}, ErrRefused},
 		{Record{Seq: 2, Op: OpEvacuate}, ErrRefused},
 		{Record{Seq: 2, Op: 77}, ErrRefused},
@@ -132,29 +132,29 @@
 	}
 }
 
-// TestParsedOnce tells that Apply takes over what Check has read, and only that.
-func TestParsedOnce(t *testing.T) {
-	s := accept(t, Empty(), Change{Op: OpReplace, Body: body(5, "a")})
-	c := Change{Op: OpReplace, Base: 5, Body: body(6, "b")}
+// TestApplyReusesCheckedConfig tells that Apply takes over what Check has read, and only that.
+func TestApplyReusesCheckedConfig(t *testing.T) {
+	s := requireAccepted(t, Empty(), Change{Op: OpReplace, Body: configBody(5, "a")})
+	c := Change{Op: OpReplace, Base: 5, Body: configBody(6, "b")}
 	s.Check(c)
 	s.Check(Change{Op: OpReplace, Base: 5, Body: []byte("{")})
-	checked := s.parsed.Load().config
+	checked := s.lastChecked.Load().config
 	if next, err := s.Apply(c.Record(2)); err != nil || next.Config != checked {
 		t.Errorf("%v", err)
 	}
-	other := Change{Op: OpReplace, Base: 5, Body: body(7, "c")}
+	other := Change{Op: OpReplace, Base: 5, Body: configBody(7, "c")}
 	if next, err := s.Apply(other.Record(2)); err != nil || next.Revision() != 7 {
 		t.Errorf("%v", err)
 	}
 }
 
-// TestShared uses one state from several goroutines.
-func TestShared(t *testing.T) {
-	s := accept(t, Empty(), Change{Op: OpReplace, Body: body(5, "a")})
+// TestConcurrentUse uses one state from several goroutines.
+func TestConcurrentUse(t *testing.T) {
+	s := requireAccepted(t, Empty(), Change{Op: OpReplace, Body: configBody(5, "a")})
 	var wg sync.WaitGroup
 	for i := range int64(8) {
 		wg.Go(func() {
-			c := Change{Op: OpReplace, Base: 5, Body: body(6+i, "")}
+			c := Change{Op: OpReplace, Base: 5, Body: configBody(6+i, "")}
 			for range 50 {
 				if v := s.Check(c); v.Kind != Accepted {
 					t.Errorf("%+v", v)
@@ -170,9 +170,9 @@
 	wg.Wait()
 }
 
-// TestOperators lets two operators send changes, and checks every verdict against a plain model; a follower that sees only
+// TestConcurrentOperatorsModel lets two operators send changes, and checks every verdict against a plain model; a follower that sees only
 // the records, and one that takes snapshots, hold the same state.
-func TestOperators(t *testing.T) {
+func TestConcurrentOperatorsModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		head, follower, restored := Empty(), Empty(), Empty()
 		type sent struct {
@@ -191,9 +191,9 @@
 			var c Change
 			switch rapid.IntRange(0, 5).Draw(t, "kind") {
 			case 0, 1:
-				c = Change{Op: OpReplace, Base: base, Body: body(number, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "mark"))}
+				c = Change{Op: OpReplace, Base: base, Body: configBody(number, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "mark"))}
 			case 2:
-				c = Change{Op: OpAmend, Base: base, Body: amendment(number, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"))}
+				c = Change{Op: OpAmend, Base: base, Body: amendmentBody(number, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"))}
 			case 3:
 				if len(history) > 0 {
 					c = rapid.SampledFrom(history).Draw(t, "again").c
@@ -265,9 +265,9 @@
 	})
 }
 
-func TestDecodeRefuses(t *testing.T) {
-	s := accept(t, Empty(), Change{Op: OpReplace, Body: body(5, "a")})
-	whole := accept(t, s, Change{Op: OpEvacuate, Zone: "z"}).Encode()
+func TestDecodeRejectsDamage(t *testing.T) {
+	s := requireAccepted(t, Empty(), Change{Op: OpReplace, Body: configBody(5, "a")})
+	whole := requireAccepted(t, s, Change{Op: OpEvacuate, Zone: "z"}).Encode()
 	for i := range whole {
 		other := slices.Clone(whole)
 		other[i] ^= 4
@@ -282,9 +282,9 @@
 
 // FuzzDecode: whatever stands before a sound digest is refused as corrupt, or is a state whose encoding is read as the same state.
 func FuzzDecode(f *testing.F) {
-	s := accept(f, Empty(), Change{Op: OpReplace, Body: body(5, "a")})
-	s = accept(f, s, Change{Op: OpEvacuate, Zone: "z"})
-	s = accept(f, s, Change{Op: OpAmend, Base: 5, Body: amendment(1<<40, "b")})
+	s := requireAccepted(f, Empty(), Change{Op: OpReplace, Body: configBody(5, "a")})
+	s = requireAccepted(f, s, Change{Op: OpEvacuate, Zone: "z"})
+	s = requireAccepted(f, s, Change{Op: OpAmend, Base: 5, Body: amendmentBody(1<<40, "b")})
 	for _, s := range []*State{Empty(), s, s.WithoutHistory()} {
 		whole := s.Encode()
 		f.Add(whole[:len(whole)-8])
@@ -301,7 +301,7 @@
 		encoded := s.Encode()
 		again, err := Decode(encoded)
 		if err != nil || !bytes.Equal(again.Encode(), encoded) || again.Seq != s.Seq || again.Revision() != s.Revision() ||
-			!maps.Equal(again.Evacuated, s.Evacuated) || !reflect.DeepEqual(again.history, s.history) || !reflect.DeepEqual(again.zones, s.zones) {
+			!maps.Equal(again.Evacuated, s.Evacuated) || !reflect.DeepEqual(again.history, s.history) || !reflect.DeepEqual(again.zoneChanges, s.zoneChanges) {
 			t.Fatalf("%+v became %+v: %v", s, again, err)
 		}
 	})
--- a/internal/system/controlstate/zones.go
+++ b/internal/system/controlstate/zones.go
@@ -2,27 +2,27 @@
 
 import "maps"
 
-// maxRemembered bounds the zones whose last change is remembered by name: those evacuated, and as many others.
-const maxRemembered = 2 * MaxZones
+// maxRememberedZones bounds the zones whose last change is remembered by name: those evacuated, and as many others.
+const maxRememberedZones = 2 * MaxZones
 
 // zoneChanges remembers which record last changed each zone, so that an evacuation that comes late does not undo a later
 // one.
 type zoneChanges struct {
-	floor uint64            // no zone that is not in last was changed after the record numbered floor
-	last  map[string]uint64 // number of the record that last changed the zone, above floor
+	floorSeq   uint64            // no zone that is not in last was changed after the record numbered floor
+	lastChange map[string]uint64 // number of the record that last changed the zone, above floor
 }
 
-// changed is the number of the record that last changed a zone, or a later one where that is not remembered.
-func (z zoneChanges) changed(zone string) uint64 { return max(z.floor, z.last[zone]) }
+// lastChangeOf is the number of the record that last lastChangeOf a zone, or a later one where that is not remembered.
+func (z zoneChanges) lastChangeOf(zone string) uint64 { return max(z.floorSeq, z.lastChange[zone]) }
 
-// with returns the changes after one more. keep tells which zones may not be forgotten; they are MaxZones at most.
-func (z zoneChanges) with(zone string, seq uint64, keep map[string]bool) zoneChanges {
-	next := zoneChanges{floor: z.floor, last: maps.Clone(z.last)}
-	if next.last == nil {
-		next.last = map[string]uint64{}
+// recorded returns the changes after one more. keep tells which zones may not be forgotten; they are MaxZones at most.
+func (z zoneChanges) recorded(zone string, seq uint64, keep map[string]bool) zoneChanges {
+	next := zoneChanges{floorSeq: z.floorSeq, lastChange: maps.Clone(z.lastChange)}
+	if next.lastChange == nil {
+		next.lastChange = map[string]uint64{}
 	}
-	next.last[zone] = seq
-	if len(next.last) > maxRemembered {
+	next.lastChange[zone] = seq
+	if len(next.lastChange) > maxRememberedZones {
 		next.forgetOldest(keep)
 	}
 	return next
@@ -30,57 +30,57 @@
 
 func (z *zoneChanges) forgetOldest(keep map[string]bool) {
 	oldest, found := "", false
-	for zone, seq := range z.last {
-		if !keep[zone] && (!found || seq < z.last[oldest]) {
+	for zone, seq := range z.lastChange {
+		if !keep[zone] && (!found || seq < z.lastChange[oldest]) {
 			oldest, found = zone, true
 		}
 	}
-	z.floor = max(z.floor, z.last[oldest])
-	maps.DeleteFunc(z.last, func(_ string, seq uint64) bool { return seq <= z.floor })
+	z.floorSeq = max(z.floorSeq, z.lastChange[oldest])
+	maps.DeleteFunc(z.lastChange, func(_ string, seq uint64) bool { return seq <= z.floorSeq })
 }
 
 // checkZone gives the verdict on an evacuation or the end of one. Base is the number of the newest committed record that
 // the receiving keeper knew of after the call had come. A zone that was changed after it is not changed back: the order may
 // have been under way since before that. An order whose result is in force is recorded all the same unless the zone was
 // changed after Base, so that an acknowledgement always puts a fence behind every order that came before.
-func (s *State) checkZone(c Change) Verdict {
-	inForce := s.Evacuated[c.Zone] == (c.Op == OpEvacuate)
-	late := c.Base < 0 || s.zones.changed(c.Zone) > uint64(c.Base)
+func (s *State) checkZone(change Change) Verdict {
+	inForce := s.Evacuated[change.Zone] == (change.Op == OpEvacuate)
+	late := change.Base < 0 || s.zoneChanges.lastChangeOf(change.Zone) > uint64(change.Base)
 	switch {
-	case c.Zone == "":
+	case change.Zone == "":
 		return Verdict{Kind: Invalid, Reason: "the zone is missing: name it"}
-	case len(c.Zone) > MaxZoneName:
+	case len(change.Zone) > MaxZoneName:
 		return Verdict{Kind: Invalid, Reason: "the zone's name is too long: send 255 bytes at most"}
 	case late && inForce:
 		return Verdict{Kind: AlreadyApplied, Seq: s.Seq, Reason: "this is in force"}
 	case late:
 		return Verdict{Kind: Superseded, Seq: s.Seq, Reason: "the zone was changed while this call was under way: send it again if it is still wanted"}
-	case s.full(c):
+	case s.atZoneLimit(change):
 		return Verdict{Kind: Uncertain, Seq: s.Seq, Reason: "256 zones are evacuated: finish one first"}
 	}
 	return Verdict{Kind: Accepted, Seq: s.Seq + 1}
 }
 
-// full tells whether there is no room for an evacuation.
-func (s *State) full(c Change) bool {
-	return c.Op == OpEvacuate && !s.Evacuated[c.Zone] && len(s.Evacuated) >= MaxZones
+// atZoneLimit tells whether there is no room for an evacuation.
+func (s *State) atZoneLimit(change Change) bool {
+	return change.Op == OpEvacuate && !s.Evacuated[change.Zone] && len(s.Evacuated) >= MaxZones
 }
 
 // applyZone makes the change that a record asks for in next, a state that shares what it does not change with s.
-func (s *State) applyZone(next *State, r Record) error {
-	c := Change{Op: r.Op, Base: r.Base, Zone: r.Zone}
-	if v := s.checkZone(c); v.Kind == Invalid {
-		return refused(r, v.Reason)
+func (s *State) applyZone(next *State, record Record) error {
+	change := Change{Op: record.Op, Base: record.Base, Zone: record.Zone}
+	if v := s.checkZone(change); v.Kind == Invalid {
+		return refusedError(record, v.Reason)
 	}
-	if s.full(c) {
-		return refused(r, "too many zones are evacuated")
+	if s.atZoneLimit(change) {
+		return refusedError(record, "too many zones are evacuated")
 	}
 	next.Evacuated = maps.Clone(s.Evacuated)
-	if r.Op == OpEvacuate {
-		next.Evacuated[r.Zone] = true
+	if record.Op == OpEvacuate {
+		next.Evacuated[record.Zone] = true
 	} else {
-		delete(next.Evacuated, r.Zone)
+		delete(next.Evacuated, record.Zone)
 	}
-	next.zones = s.zones.with(r.Zone, r.Seq, next.Evacuated)
+	next.zoneChanges = s.zoneChanges.recorded(record.Zone, record.Seq, next.Evacuated)
 	return nil
 }
--- a/internal/system/controlstate/zones_test.go
+++ b/internal/system/controlstate/zones_test.go
@@ -8,20 +8,20 @@
 
 // An order that was under way since before a later one of its zone does not undo it, whichever of the two was an
 // evacuation, also after a snapshot, and also where the later one found in force what it asks for.
-func TestLateEvacuation(t *testing.T) {
+func TestDelayedEvacuationIsSuperseded(t *testing.T) {
 	start := Change{Op: OpEvacuate, Zone: "z"}
-	s := accept(t, Empty(), start)                              // record 1
-	s = accept(t, s, Change{Op: OpReadmit, Base: 1, Zone: "z"}) // record 2
-	for what, s := range map[string]*State{"as it is": s, "after a snapshot": decoded(t, s)} {
+	s := requireAccepted(t, Empty(), start)                              // record 1
+	s = requireAccepted(t, s, Change{Op: OpReadmit, Base: 1, Zone: "z"}) // record 2
+	for what, s := range map[string]*State{"as it is": s, "after a snapshot": roundTrip(t, s)} {
 		for base := range int64(2) {
 			if v := s.Check(Change{Op: OpEvacuate, Base: base, Zone: "z"}); v.Kind != Superseded || v.Seq != 2 {
 				t.Errorf("%s: a start from after record %d: %+v", what, base, v)
 			}
 		}
 	}
-	s = accept(t, s, Change{Op: OpEvacuate, Base: 2, Zone: "z"}) // record 3
-	finish := Change{Op: OpReadmit, Base: 3, Zone: "z"}          // comes late
-	s = accept(t, s, Change{Op: OpEvacuate, Base: 3, Zone: "z"}) // record 4: asked again after that, and confirmed
+	s = requireAccepted(t, s, Change{Op: OpEvacuate, Base: 2, Zone: "z"}) // record 3
+	finish := Change{Op: OpReadmit, Base: 3, Zone: "z"}                   // comes late
+	s = requireAccepted(t, s, Change{Op: OpEvacuate, Base: 3, Zone: "z"}) // record 4: asked again after that, and confirmed
 	if v := s.Check(finish); v.Kind != Superseded {
 		t.Errorf("a finish from before a start that was confirmed: %+v", v)
 	}
@@ -29,14 +29,14 @@
 		t.Errorf("the same start again: %+v", v)
 	}
 	// Other zones and the configuration are no reason.
-	s = accept(t, s, Change{Op: OpEvacuate, Zone: "other"})
-	accept(t, s, Change{Op: OpReadmit, Base: 4, Zone: "z"})
+	s = requireAccepted(t, s, Change{Op: OpEvacuate, Zone: "other"})
+	requireAccepted(t, s, Change{Op: OpReadmit, Base: 4, Zone: "z"})
 }
 
 func TestZonesAreBounded(t *testing.T) {
 	s := Empty()
 	for i := range MaxZones {
-		s = accept(t, s, Change{Op: OpEvacuate, Base: int64(s.Seq), Zone: fmt.Sprint("zone ", i)})
+		s = requireAccepted(t, s, Change{Op: OpEvacuate, Base: int64(s.Seq), Zone: fmt.Sprint("zone ", i)})
 	}
 	// No 400: the very same order may have been taken before, and undone since.
 	if v := s.Check(Change{Op: OpEvacuate, Base: int64(s.Seq), Zone: "one more"}); v.Kind != Uncertain {
@@ -48,8 +48,8 @@
 	if v := s.Check(Change{Op: OpEvacuate, Zone: "zone 7"}); v.Kind != AlreadyApplied {
 		t.Errorf("%+v", v)
 	}
-	s = accept(t, s, Change{Op: OpReadmit, Base: int64(s.Seq), Zone: "zone 7"})
-	accept(t, s, Change{Op: OpEvacuate, Base: int64(s.Seq), Zone: "one more"})
+	s = requireAccepted(t, s, Change{Op: OpReadmit, Base: int64(s.Seq), Zone: "zone 7"})
+	requireAccepted(t, s, Change{Op: OpEvacuate, Base: int64(s.Seq), Zone: "one more"})
 }
 
 // The memory of zones is bounded. What is forgotten counts as changed just now, so a late order is still recognised; and
@@ -57,26 +57,26 @@
 func TestZoneChangesAreBounded(t *testing.T) {
 	s, restored := Empty(), Empty()
 	take := func(c Change) {
-		s = accept(t, s, c)
+		s = requireAccepted(t, s, c)
 		next, err := restored.Apply(c.Record(s.Seq))
 		if err != nil {
 			t.Fatal(err)
 		}
-		restored = decoded(t, next)
+		restored = roundTrip(t, next)
 		if !bytes.Equal(s.Encode(), restored.Encode()) {
 			t.Fatalf("record %d: one that took snapshots differs", s.Seq)
 		}
 	}
 	take(Change{Op: OpEvacuate, Zone: "kept"})
-	for i := range 3 * maxRemembered {
+	for i := range 3 * maxRememberedZones {
 		zone := fmt.Sprint("zone ", i)
 		take(Change{Op: OpEvacuate, Base: int64(s.Seq), Zone: zone})
 		take(Change{Op: OpReadmit, Base: int64(s.Seq), Zone: zone})
-		if n := len(s.zones.last); n > maxRemembered {
+		if n := len(s.zoneChanges.lastChange); n > maxRememberedZones {
 			t.Fatalf("%d zones remembered", n)
 		}
 	}
-	for i := range 3 * maxRemembered {
+	for i := range 3 * maxRememberedZones {
 		c := Change{Op: OpEvacuate, Base: int64(2*i + 2), Zone: fmt.Sprint("zone ", i)} // from before its end
 		if v := s.Check(c); v.Kind != Superseded {
 			t.Fatalf("zone %d: %+v", i, v)
