--- a/internal/system/controlstate/codec.go
+++ b/internal/system/controlstate/codec.go
@@ -54,15 +54,15 @@
 	return b
 }
 
-func (d *stateReader) zones(s *State) {
-	s.zoneChanges = zoneChanges{floorSeq: d.Uvarint(), lastChange: map[string]uint64{}}
+func (d *stateReader) zones(state *State) {
+	state.zoneChanges = zoneChanges{floorSeq: d.Uvarint(), lastChange: map[string]uint64{}}
 	for n := d.Uvarint(); n > 0 && !d.Failed(); n-- {
 		zone, changed, evacuated := string(d.Bytes()), d.Uvarint(), d.Byte() == 1
-		if changed > s.zoneChanges.floorSeq {
-			s.zoneChanges.lastChange[zone] = changed
+		if changed > state.zoneChanges.floorSeq {
+			state.zoneChanges.lastChange[zone] = changed
 		}
 		if evacuated {
-			s.Evacuated[zone] = true
+			state.Evacuated[zone] = true
 		}
 	}
 }
@@ -104,23 +104,23 @@
 
 // legacyBody reads what encoding 1 has between the number and the configuration. When zones were changed it does not tell:
 // the number of the state is the latest that can be.
-func (d *stateReader) legacyBody(s *State) {
-	s.zoneChanges = zoneChanges{floorSeq: s.Seq, lastChange: map[string]uint64{}}
+func (d *stateReader) legacyBody(state *State) {
+	state.zoneChanges = zoneChanges{floorSeq: state.Seq, lastChange: map[string]uint64{}}
 	for n := d.Uvarint(); n > 0 && !d.Failed(); n-- {
-		s.Evacuated[string(d.Bytes())] = true
+		state.Evacuated[string(d.Bytes())] = true
 	}
 	for n := d.Uvarint(); n > 0 && !d.Failed(); n-- {
 		change := appliedChange{Revision: d.Varint()}
 		copy(change.Digest[:], d.Next(8))
 		change.Seq = d.Uvarint()
-		s.history.changes = append(s.history.changes, change)
+		state.history.changes = append(state.history.changes, change)
 	}
 	const most = 256
-	if len(s.history.changes) >= most {
+	if len(state.history.changes) >= most {
 		// There may have been more, so what the oldest builds on is not known.
-		s.history.baseRevision, s.history.changes = s.history.changes[0].Revision, s.history.changes[1:]
+		state.history.baseRevision, state.history.changes = state.history.changes[0].Revision, state.history.changes[1:]
 	}
-	s.history.legacyCount = len(s.history.changes)
+	state.history.legacyCount = len(state.history.changes)
 }
 
 // Decode reads what Encode made, also that of earlier versions of the software. Errors are ErrCorrupt. The state does not
--- a/internal/system/controlstate/history_test.go
+++ b/internal/system/controlstate/history_test.go
@@ -38,34 +38,48 @@
 	return out
 }
 
-// An order that was applied is confirmed for as long as it is remembered, and never refused after that. Another order on the
-// same version is refused for as long as that can be told.
+// TestRetriedChange: a change that was applied is confirmed for as long as it is remembered, and never refused after that. Another
+// change on the same version is refused for as long as that can be decided.
 func TestRetriedChange(t *testing.T) {
 	const forgotten = 30
-	s, all := applyMany(t, MaxHistory+forgotten)
-	for what, s := range map[string]*State{"as it is": s, "after a snapshot": roundTrip(t, s)} {
-		for i, c := range all {
-			want, seq := AlreadyApplied, uint64(i+1)
-			if i < forgotten {
-				want, seq = Uncertain, uint64(len(all))
+	applied, all := applyMany(t, MaxHistory+forgotten)
+	for name, state := range map[string]*State{"as it is": applied, "after a snapshot": roundTrip(t, applied)} {
+		t.Run(name, func(t *testing.T) {
+			for index, change := range all[:forgotten] {
+				requireVerdict(t, state, change, Verdict{Kind: Uncertain, Seq: uint64(len(all))})
+				requireKind(t, state, withOtherBody(change), Uncertain, "another on the version of a forgotten change", index)
 			}
-			if v := s.Check(c); v.Kind != want || v.Seq != seq || v.Reason == "" {
-				t.Fatalf("%s: change %d: %+v", what, i, v)
+			for index, change := range all[forgotten:] {
+				requireVerdict(t, state, change, Verdict{Kind: AlreadyApplied, Seq: uint64(forgotten + index + 1)})
+				requireKind(t, state, withOtherBody(change), Stale, "another on the version of change", forgotten+index)
 			}
-			other := c
-			other.Body = append([]byte(" "), c.Body...)
-			if want == AlreadyApplied {
-				want = Stale
+			for _, base := range []int64{state.history.baseRevision + 1, state.Revision() + 1, -1} {
+				if v := state.Check(Change{Op: OpReplace, Base: base, Body: all[0].Body}); v.Kind != Stale {
+					t.Fatalf("on version %d, which never was: %+v", base, v)
+				}
 			}
-			if v := s.Check(other); v.Kind != want || v.Reason == "" {
-				t.Fatalf("%s: another on the version of change %d: %+v", what, i, v)
-			}
-		}
-		for _, base := range []int64{s.history.baseRevision + 1, s.Revision() + 1, -1} {
-			if v := s.Check(Change{Op: OpReplace, Base: base, Body: all[0].Body}); v.Kind != Stale {
-				t.Fatalf("%s: on version %d, which never was: %+v", what, base, v)
-			}
-		}
+		})
+	}
+}
+
+func withOtherBody(change Change) Change {
+	change.Body = append([]byte(" "), change.Body...)
+	return change
+}
+
+// requireVerdict checks the kind and the number of the verdict on a change, and that it gives a reason.
+func requireVerdict(t *testing.T, state *State, change Change, want Verdict) {
+	t.Helper()
+	if got := state.Check(change); got.Kind != want.Kind || got.Seq != want.Seq || got.Reason == "" {
+		t.Fatalf("change on version %d: %+v, want %+v", change.Base, got, want)
+	}
+}
+
+// requireKind checks the kind of the verdict on a change, and that it gives a reason.
+func requireKind(t *testing.T, state *State, change Change, want Kind, what string, index int) {
+	t.Helper()
+	if got := state.Check(change); got.Kind != want || got.Reason == "" {
+		t.Fatalf("%s %d: %+v, want %d", what, index, got, want)
 	}
 }
 
@@ -150,10 +164,10 @@
 }
 
 // legacyEncoding is what versions of the software before this one made of a state.
-func legacyEncoding(s *State, all []Change) []byte {
-	b := binary.AppendUvarint([]byte{1}, s.Seq)
-	b = binary.AppendUvarint(b, uint64(len(s.Evacuated)))
-	for zone := range s.Evacuated {
+func legacyEncoding(state *State, all []Change) []byte {
+	b := binary.AppendUvarint([]byte{1}, state.Seq)
+	b = binary.AppendUvarint(b, uint64(len(state.Evacuated)))
+	for zone := range state.Evacuated {
 		b = fields.AppendBytes(b, zone)
 	}
 	first := max(0, len(all)-256)
@@ -164,7 +178,7 @@
 		b = append(b, sum[:8]...)
 		b = binary.AppendUvarint(b, uint64(first+i+1))
 	}
-	b = fields.AppendBytes(append(b, 1), s.Config.Raw)
+	b = fields.AppendBytes(append(b, 1), state.Config.Raw)
 	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
@@ -172,9 +186,9 @@
 // written it anew and further changes have come.
 func TestDecodeLegacy(t *testing.T) {
 	for _, count := range []int{1, 255, 256, 300} {
-		s, all := applyMany(t, count)
-		s = requireAccepted(t, s, Change{Op: OpEvacuate, Zone: "z"})
-		old, err := Decode(legacyEncoding(s, all))
+		state, all := applyMany(t, count)
+		state = requireAccepted(t, state, Change{Op: OpEvacuate, Zone: "z"})
+		old, err := Decode(legacyEncoding(state, all))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -198,10 +212,10 @@
 		if !old.Evacuated["z"] {
 			t.Error("an evacuation is lost")
 		}
-		if v := old.Check(Change{Op: OpReadmit, Base: int64(s.Seq) - 1, Zone: "z"}); v.Kind != Superseded {
+		if v := old.Check(Change{Op: OpReadmit, Base: int64(state.Seq) - 1, Zone: "z"}); v.Kind != Superseded {
 			t.Errorf("from before the snapshot: %+v", v)
 		}
-		requireAccepted(t, old, Change{Op: OpReadmit, Base: int64(s.Seq), Zone: "z"})
+		requireAccepted(t, old, Change{Op: OpReadmit, Base: int64(state.Seq), Zone: "z"})
 	}
 }
 
--- a/internal/system/controlstate/state_test.go
+++ b/internal/system/controlstate/state_test.go
@@ -65,11 +65,11 @@
 	s = requireAccepted(t, s, Change{Op: OpReplace, Base: 8, Body: configBody(9, "c")})       // record 5
 	s = requireAccepted(t, s, Change{Op: OpEvacuate, Zone: strings.Repeat("y", 255)})         // record 6
 	s = requireAccepted(t, s, Change{Op: OpReadmit, Base: 6, Zone: strings.Repeat("y", 255)}) // record 7
-	for _, c := range []struct {
-		what string
-		c    Change
-		kind Kind
-		seq  uint64
+	for _, test := range []struct {
+		name   string
+		change Change
+		kind   Kind
+		seq    uint64
 	}{
 		{"the next", Change{Op: OpReplace, Base: 9, Body: configBody(10, "")}, Accepted, 8},
 		{"in uneven steps", Change{Op: OpReplace, Base: 9, Body: configBody(1<<40, "")}, Accepted, 8},
@@ -99,9 +99,11 @@
 		{"a name too long", Change{Op: OpEvacuate, Zone: strings.Repeat("y", 256)}, Invalid, 0},
 		{"an unknown operation", Change{Op: 99}, Invalid, 0},
 	} {
-		if v := s.Check(c.c); v.Kind != c.kind || v.Seq != c.seq || (v.Reason == "") != (c.kind == Accepted) {
-			t.Errorf("%s: %+v", c.what, v)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			if v := s.Check(test.change); v.Kind != test.kind || v.Seq != test.seq || (v.Reason == "") != (test.kind == Accepted) {
+				t.Errorf("%+v", v)
+			}
+		})
 	}
 	first := Empty()
 	if v := first.Check(Change{Op: OpAmend, Body: amendmentBody(1, "a")}); v.Kind != Invalid {
@@ -114,9 +116,9 @@
 
 func TestApplyRejects(t *testing.T) {
 	s := requireAccepted(t, Empty(), Change{Op: OpReplace, Body: configBody(5, "a")})
-	for _, c := range []struct {
-		r    Record
-		want error
+	for _, test := range []struct {
+		record Record
+		want   error
 	}{
 		{Record{Seq: 1, Op: OpNone}, ErrOutOfOrder},
 		{Record{Seq: 3, Op: OpNone}, ErrOutOfOrder},
@@ -126,8 +128,8 @@
 		{Record{Seq: 2, Op: OpEvacuate}, ErrRefused},
 		{Record{Seq: 2, Op: 77}, ErrRefused},
 	} {
-		if _, err := s.Apply(c.r); !errors.Is(err, c.want) {
-			t.Errorf("%+v: %v", c.r, err)
+		if _, err := s.Apply(test.record); !errors.Is(err, test.want) {
+			t.Errorf("%+v: %v", test.record, err)
 		}
 	}
 }
@@ -170,101 +172,156 @@
 	wg.Wait()
 }
 
-// TestConcurrentOperatorsModel lets two operators send changes, and checks every verdict against a plain model; a follower that sees only
-// the records, and one that takes snapshots, hold the same state.
+// TestConcurrentOperatorsModel lets two operators send changes, and checks every verdict against a plain model; a follower that
+// sees only the records, and one that restores snapshots, have the same state.
 func TestConcurrentOperatorsModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		head, follower, restored := Empty(), Empty(), Empty()
-		type sent struct {
-			c     Change
-			taken bool
-		}
-		var history []sent
-		zones, changed := map[string]bool{}, map[string]uint64{}
-		var revision int64
-		var encoded [][]byte
-		var states []*State
+		model := newOperatorsModel()
+		replicas := newReplicas()
 		for range rapid.IntRange(1, 30).Draw(t, "changes") {
-			base := revision - rapid.Int64Range(0, 1).Draw(t, "back")*rapid.Int64Range(0, 1).Draw(t, "back more")
-			number := revision + rapid.Int64Range(-1, 3).Draw(t, "step")
-			known := rapid.Int64Range(0, int64(head.Seq))
-			var c Change
-			switch rapid.IntRange(0, 5).Draw(t, "kind") {
-			case 0, 1:
-				c = Change{Op: OpReplace, Base: base, Body: configBody(number, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "mark"))}
-			case 2:
-				c = Change{Op: OpAmend, Base: base, Body: amendmentBody(number, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"))}
-			case 3:
-				if len(history) > 0 {
-					c = rapid.SampledFrom(history).Draw(t, "again").c
-					break
-				}
-				fallthrough
-			case 4:
-				c = Change{Op: OpEvacuate, Base: known.Draw(t, "known"), Zone: rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "zone")}
-			case 5:
-				c = Change{Op: OpReadmit, Base: known.Draw(t, "known"), Zone: rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "zone")}
-			}
-			isConfig := c.Op == OpReplace || c.Op == OpAmend
-			var want Kind
-			switch {
-			case isConfig && slices.ContainsFunc(history, func(s sent) bool { return s.taken && reflect.DeepEqual(s.c, c) }):
-				want = AlreadyApplied
-			case isConfig && c.Base != revision:
-				want = Stale
-			case isConfig:
-				var now int64
-				if _, err := fmt.Sscanf(string(c.Body), `{"revision":%d`, &now); err != nil {
-					t.Fatal(err)
-				}
-				if want = Invalid; now > max(0, revision) && (c.Op == OpReplace || revision > 0) {
-					want, revision = Accepted, now
-				}
-			case c.Zone == "":
-				want = Invalid
-			case changed[c.Zone] > uint64(c.Base) && zones[c.Zone] == (c.Op == OpEvacuate):
-				want = AlreadyApplied
-			case changed[c.Zone] > uint64(c.Base):
-				want = Superseded
-			default:
-				zones[c.Zone], changed[c.Zone] = c.Op == OpEvacuate, head.Seq+1
-			}
-			got := head.Check(c)
+			change := model.drawChange(t, replicas.head.Seq)
+			want := model.verdict(t, change, replicas.head.Seq)
+			got := replicas.head.Check(change)
 			if got.Kind != want {
-				t.Fatalf("%+v: got %+v, want %d", c, got, want)
+				t.Fatalf("%+v: got %+v, want %d", change, got, want)
 			}
-			history = append(history, sent{c, want == Accepted && isConfig})
 			if want != Accepted {
 				continue
 			}
-			r := c.Record(got.Seq)
-			var err error
-			for _, s := range []**State{&head, &follower, &restored} {
-				if *s, err = (*s).Apply(r); err != nil {
-					t.Fatal(err)
-				}
-			}
-			encoded, states = append(encoded, head.Encode()), append(states, head)
-			if restored, err = Decode(restored.Encode()); err != nil {
-				t.Fatal(err)
-			}
-			for _, s := range []*State{follower, restored} {
-				if !bytes.Equal(s.Encode(), head.Encode()) {
-					t.Fatal("a follower differs")
-				}
-			}
-			if head.Revision() != revision {
-				t.Fatalf("version %d, want %d", head.Revision(), revision)
-			}
-		}
-		for i, s := range states {
-			if !bytes.Equal(s.Encode(), encoded[i]) {
-				t.Fatalf("state %d has been changed", s.Seq)
+			replicas.apply(t, change.Record(got.Seq))
+			if replicas.head.Revision() != model.revision {
+				t.Fatalf("version %d, want %d", replicas.head.Revision(), model.revision)
 			}
 		}
+		replicas.checkOldStates(t)
 	})
 }
 
+// sentChange is a change that an operator has sent.
+type sentChange struct {
+	change  Change
+	applied bool // to the configuration
+}
+
+// operatorsModel is a plain model of the state, with all that was sent.
+type operatorsModel struct {
+	sent      []sentChange
+	evacuated map[string]bool
+	changed   map[string]uint64 // number of the record that last changed a zone
+	revision  int64
+}
+
+func newOperatorsModel() *operatorsModel {
+	return &operatorsModel{evacuated: map[string]bool{}, changed: map[string]uint64{}}
+}
+
+// drawChange draws a change on the current or an older version, or one that was sent before.
+func (m *operatorsModel) drawChange(t *rapid.T, newest uint64) Change {
+	base := m.revision - rapid.Int64Range(0, 1).Draw(t, "back")*rapid.Int64Range(0, 1).Draw(t, "back more")
+	number := m.revision + rapid.Int64Range(-1, 3).Draw(t, "step")
+	zoneChange := func(op Op) Change {
+		return Change{Op: op, Base: rapid.Int64Range(0, int64(newest)).Draw(t, "known"),
+			Zone: rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "zone")}
+	}
+	switch rapid.IntRange(0, 5).Draw(t, "kind") {
+	case 0, 1:
+		return Change{Op: OpReplace, Base: base, Body: configBody(number, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "mark"))}
+	case 2:
+		return Change{Op: OpAmend, Base: base, Body: amendmentBody(number, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"))}
+	case 3:
+		if len(m.sent) > 0 {
+			return rapid.SampledFrom(m.sent).Draw(t, "again").change
+		}
+	case 5:
+		return zoneChange(OpReadmit)
+	}
+	return zoneChange(OpEvacuate)
+}
+
+// verdict returns the verdict that a change must get, and applies it to the model where it is accepted.
+func (m *operatorsModel) verdict(t *rapid.T, change Change, newest uint64) Kind {
+	isConfig := change.Op == OpReplace || change.Op == OpAmend
+	var want Kind
+	if isConfig {
+		want = m.configVerdict(t, change)
+	} else {
+		want = m.zoneVerdict(change, newest)
+	}
+	m.sent = append(m.sent, sentChange{change, want == Accepted && isConfig})
+	return want
+}
+
+func (m *operatorsModel) configVerdict(t *rapid.T, change Change) Kind {
+	wasApplied := func(s sentChange) bool { return s.applied && reflect.DeepEqual(s.change, change) }
+	if slices.ContainsFunc(m.sent, wasApplied) {
+		return AlreadyApplied
+	}
+	if change.Base != m.revision {
+		return Stale
+	}
+	var revision int64
+	if _, err := fmt.Sscanf(string(change.Body), `{"revision":%d`, &revision); err != nil {
+		t.Fatal(err)
+	}
+	amendsNothing := change.Op == OpAmend && m.revision == 0
+	if revision <= max(0, m.revision) || amendsNothing {
+		return Invalid
+	}
+	m.revision = revision
+	return Accepted
+}
+
+func (m *operatorsModel) zoneVerdict(change Change, newest uint64) Kind {
+	isLate := m.changed[change.Zone] > uint64(change.Base)
+	inForce := m.evacuated[change.Zone] == (change.Op == OpEvacuate)
+	switch {
+	case change.Zone == "":
+		return Invalid
+	case isLate && inForce:
+		return AlreadyApplied
+	case isLate:
+		return Superseded
+	}
+	m.evacuated[change.Zone], m.changed[change.Zone] = change.Op == OpEvacuate, newest+1
+	return Accepted
+}
+
+// replicas are a head, a follower, and one that restores a snapshot after each record.
+type replicas struct {
+	head, follower, restored *State
+	states                   []*State // of the head, after each record
+	encoded                  [][]byte // of states, when they were made
+}
+
+func newReplicas() *replicas { return &replicas{head: Empty(), follower: Empty(), restored: Empty()} }
+
+func (r *replicas) apply(t *rapid.T, record Record) {
+	var err error
+	for _, replica := range []**State{&r.head, &r.follower, &r.restored} {
+		if *replica, err = (*replica).Apply(record); err != nil {
+			t.Fatal(err)
+		}
+	}
+	r.encoded, r.states = append(r.encoded, r.head.Encode()), append(r.states, r.head)
+	if r.restored, err = Decode(r.restored.Encode()); err != nil {
+		t.Fatal(err)
+	}
+	for _, replica := range []*State{r.follower, r.restored} {
+		if !bytes.Equal(replica.Encode(), r.head.Encode()) {
+			t.Fatal("a follower differs")
+		}
+	}
+}
+
+// checkOldStates checks that no state was changed after it was made.
+func (r *replicas) checkOldStates(t *rapid.T) {
+	for i, state := range r.states {
+		if !bytes.Equal(state.Encode(), r.encoded[i]) {
+			t.Fatalf("state %d has been changed", state.Seq)
+		}
+	}
+}
+
 func TestDecodeRejectsDamage(t *testing.T) {
 	s := requireAccepted(t, Empty(), Change{Op: OpReplace, Body: configBody(5, "a")})
 	whole := requireAccepted(t, s, Change{Op: OpEvacuate, Zone: "z"}).Encode()
--- a/internal/system/controlstate/zones_test.go
+++ b/internal/system/controlstate/zones_test.go
@@ -10,27 +10,27 @@
 // evacuation, also after a snapshot, and also where the later one found in force what it asks for.
 func TestDelayedEvacuationIsSuperseded(t *testing.T) {
 	start := Change{Op: OpEvacuate, Zone: "z"}
-	s := requireAccepted(t, Empty(), start)                              // record 1
-	s = requireAccepted(t, s, Change{Op: OpReadmit, Base: 1, Zone: "z"}) // record 2
-	for what, s := range map[string]*State{"as it is": s, "after a snapshot": roundTrip(t, s)} {
+	state := requireAccepted(t, Empty(), start)                                  // record 1
+	state = requireAccepted(t, state, Change{Op: OpReadmit, Base: 1, Zone: "z"}) // record 2
+	for what, state := range map[string]*State{"as it is": state, "after a snapshot": roundTrip(t, state)} {
 		for base := range int64(2) {
-			if v := s.Check(Change{Op: OpEvacuate, Base: base, Zone: "z"}); v.Kind != Superseded || v.Seq != 2 {
+			if v := state.Check(Change{Op: OpEvacuate, Base: base, Zone: "z"}); v.Kind != Superseded || v.Seq != 2 {
 				t.Errorf("%s: a start from after record %d: %+v", what, base, v)
 			}
 		}
 	}
-	s = requireAccepted(t, s, Change{Op: OpEvacuate, Base: 2, Zone: "z"}) // record 3
-	finish := Change{Op: OpReadmit, Base: 3, Zone: "z"}                   // comes late
-	s = requireAccepted(t, s, Change{Op: OpEvacuate, Base: 3, Zone: "z"}) // record 4: asked again after that, and confirmed
-	if v := s.Check(finish); v.Kind != Superseded {
+	state = requireAccepted(t, state, Change{Op: OpEvacuate, Base: 2, Zone: "z"}) // record 3
+	finish := Change{Op: OpReadmit, Base: 3, Zone: "z"}                           // comes late
+	state = requireAccepted(t, state, Change{Op: OpEvacuate, Base: 3, Zone: "z"}) // record 4: asked again after that, and confirmed
+	if v := state.Check(finish); v.Kind != Superseded {
 		t.Errorf("a finish from before a start that was confirmed: %+v", v)
 	}
-	if v := s.Check(Change{Op: OpEvacuate, Base: 3, Zone: "z"}); v.Kind != AlreadyApplied {
+	if v := state.Check(Change{Op: OpEvacuate, Base: 3, Zone: "z"}); v.Kind != AlreadyApplied {
 		t.Errorf("the same start again: %+v", v)
 	}
 	// Other zones and the configuration are no reason.
-	s = requireAccepted(t, s, Change{Op: OpEvacuate, Zone: "other"})
-	requireAccepted(t, s, Change{Op: OpReadmit, Base: 4, Zone: "z"})
+	state = requireAccepted(t, state, Change{Op: OpEvacuate, Zone: "other"})
+	requireAccepted(t, state, Change{Op: OpReadmit, Base: 4, Zone: "z"})
 }
 
 func TestZonesAreBounded(t *testing.T) {
@@ -55,35 +55,35 @@
 // The memory of zones is bounded. What is forgotten counts as changed just now, so a late order is still recognised; and
 // one that took a snapshot on the way holds the same.
 func TestZoneChangesAreBounded(t *testing.T) {
-	s, restored := Empty(), Empty()
+	state, restored := Empty(), Empty()
 	take := func(c Change) {
-		s = requireAccepted(t, s, c)
-		next, err := restored.Apply(c.Record(s.Seq))
+		state = requireAccepted(t, state, c)
+		next, err := restored.Apply(c.Record(state.Seq))
 		if err != nil {
 			t.Fatal(err)
 		}
 		restored = roundTrip(t, next)
-		if !bytes.Equal(s.Encode(), restored.Encode()) {
-			t.Fatalf("record %d: one that took snapshots differs", s.Seq)
+		if !bytes.Equal(state.Encode(), restored.Encode()) {
+			t.Fatalf("record %d: one that took snapshots differs", state.Seq)
 		}
 	}
 	take(Change{Op: OpEvacuate, Zone: "kept"})
 	for i := range 3 * maxRememberedZones {
 		zone := fmt.Sprint("zone ", i)
-		take(Change{Op: OpEvacuate, Base: int64(s.Seq), Zone: zone})
-		take(Change{Op: OpReadmit, Base: int64(s.Seq), Zone: zone})
-		if n := len(s.zoneChanges.lastChange); n > maxRememberedZones {
+		take(Change{Op: OpEvacuate, Base: int64(state.Seq), Zone: zone})
+		take(Change{Op: OpReadmit, Base: int64(state.Seq), Zone: zone})
+		if n := len(state.zoneChanges.lastChange); n > maxRememberedZones {
 			t.Fatalf("%d zones remembered", n)
 		}
 	}
 	for i := range 3 * maxRememberedZones {
 		c := Change{Op: OpEvacuate, Base: int64(2*i + 2), Zone: fmt.Sprint("zone ", i)} // from before its end
-		if v := s.Check(c); v.Kind != Superseded {
+		if v := state.Check(c); v.Kind != Superseded {
 			t.Fatalf("zone %d: %+v", i, v)
 		}
 	}
-	if v := s.Check(Change{Op: OpReadmit, Zone: "kept"}); v.Kind != Superseded {
+	if v := state.Check(Change{Op: OpReadmit, Zone: "kept"}); v.Kind != Superseded {
 		t.Errorf("%+v", v)
 	}
-	take(Change{Op: OpReadmit, Base: int64(s.Seq), Zone: "kept"})
+	take(Change{Op: OpReadmit, Base: int64(state.Seq), Zone: "kept"})
 }
