--- a/internal/system/controlstate/codec.go
+++ b/internal/system/controlstate/codec.go
@@ -158,10 +158,6 @@
 	return state, nil
 }
 
-func corruptError() error {
-	return errors.Mark(errors.New("bytes that are no whole state: fetch it again"), ErrCorrupt)
-}
-
 func appendFlag(dst []byte, flag bool) []byte {
 	if flag {
 		return append(dst, 1)
--- /dev/null
+++ b/internal/system/controlstate/digest.go
@@ -0,0 +1,40 @@
+package controlstate
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// digest tells changes apart: the first 16 bytes of a SHA-256. It is compared with that of one change only, the one that
+// was applied on the same version.
+type digest [16]byte
+
+// digestHeader is what the digests are made of, without the body.
+func (c Change) digestHeader() []byte {
+	b := append(make([]byte, 0, 1+2*binary.MaxVarintLen64), byte(c.Op))
+	b = binary.AppendVarint(b, c.Base)
+	return binary.AppendUvarint(b, uint64(len(c.Body)))
+}
+
+// digest tells changes apart by operation, base and the bytes of the body; equal changes have equal ones on every machine.
+func (c Change) digest() (out digest) {
+	d := sha256.New()
+	_, _ = d.Write(c.digestHeader())
+	_, _ = d.Write(c.Body)
+	_, _ = d.Write([]byte(c.Zone))
+	copy(out[:], d.Sum(nil))
+	return out
+}
+
+// legacyDigest is the digest of encoding 1, of 64 bits.
+func (c Change) legacyDigest() (out digest) {
+	var d xxhash.Digest
+	d.Reset()
+	_, _ = d.Write(c.digestHeader())
+	_, _ = d.Write(c.Body)
+	_, _ = d.WriteString(c.Zone)
+	binary.LittleEndian.PutUint64(out[:], d.Sum64())
+	return out
+}
--- /dev/null
+++ b/internal/system/controlstate/errors.go
@@ -0,0 +1,21 @@
+package controlstate
+
+import "github.com/cockroachdb/errors"
+
+// Kinds of errors of Apply and Decode.
+var (
+	// ErrOutOfOrder: the record is not the next one. Send those between, or a snapshot.
+	ErrOutOfOrder = errors.New("record out of order")
+	// ErrRefused: the record does not fit the state, so it cannot have been checked on this state.
+	ErrRefused = errors.New("record refused")
+	// ErrCorrupt: bytes that are no whole encoding. Fetch them again.
+	ErrCorrupt = errors.New("corrupt encoding")
+)
+
+func refusedError(r Record, why string) error {
+	return errors.Mark(errors.Newf("record %d cannot be applied: %s; take a snapshot from another keeper", r.Seq, why), ErrRefused)
+}
+
+func corruptError() error {
+	return errors.Mark(errors.New("bytes that are no whole state: fetch it again"), ErrCorrupt)
+}
--- a/internal/system/controlstate/history.go
+++ b/internal/system/controlstate/history.go
@@ -1,23 +1,14 @@
 package controlstate
 
 import (
-	"crypto/sha256"
-	"encoding/binary"
 	"slices"
 	"sort"
-
-	"github.com/cespare/xxhash/v2"
-	"github.com/cockroachdb/errors"
 )
 
 // MaxHistory is how many of the newest applied changes of the configuration a state remembers. Each takes 32 bytes of memory
 // and at most 34 bytes of an encoding (18 where versions and numbers rise in small steps).
 const MaxHistory = 4096
 
-// digest tells changes apart: the first 16 bytes of a SHA-256. It is compared with that of one change only, the one that
-// was applied on the same version.
-type digest [16]byte
-
 // appliedChange remembers a change of the configuration.
 type appliedChange struct {
 	Revision int64  // that it made
@@ -86,45 +77,3 @@
 	}
 	return h.changes[len(h.changes)-1].Seq
 }
-
-// checkOnOlderVersion gives the verdict on a change that does not build on the current version.
-func (s *State) checkOnOlderVersion(change Change, sum digest, restsOnSeq uint64) Verdict {
-	if entry := s.history.builtOn(change.Base); entry != nil && s.history.matches(entry, change, sum) {
-		return Verdict{Kind: AlreadyApplied, Seq: entry.Seq, Reason: "this very change has been applied"}
-	}
-	if change.Base >= 0 && change.Base < s.history.baseRevision {
-		return Verdict{Kind: Uncertain, Seq: restsOnSeq, Reason: errors.Newf("builds on version %d, and what was applied on versions "+
-			"below %d is not remembered: read the configuration, and if it lacks the change send it on top of version %d",
-			change.Base, s.history.baseRevision, s.Revision()).Error()}
-	}
-	return Verdict{Kind: Stale, Seq: restsOnSeq, Reason: errors.Newf(
-		"builds on version %d, but %d is current: read it and send the change on top of it", change.Base, s.Revision()).Error()}
-}
-
-// digestHeader is what the digests are made of, without the body.
-func (c Change) digestHeader() []byte {
-	b := append(make([]byte, 0, 1+2*binary.MaxVarintLen64), byte(c.Op))
-	b = binary.AppendVarint(b, c.Base)
-	return binary.AppendUvarint(b, uint64(len(c.Body)))
-}
-
-// digest tells changes apart by operation, base and the bytes of the body; equal changes have equal ones on every machine.
-func (c Change) digest() (out digest) {
-	d := sha256.New()
-	_, _ = d.Write(c.digestHeader())
-	_, _ = d.Write(c.Body)
-	_, _ = d.Write([]byte(c.Zone))
-	copy(out[:], d.Sum(nil))
-	return out
-}
-
-// legacyDigest is the digest of encoding 1, of 64 bits.
-func (c Change) legacyDigest() (out digest) {
-	var d xxhash.Digest
-	d.Reset()
-	_, _ = d.Write(c.digestHeader())
-	_, _ = d.Write(c.Body)
-	_, _ = d.WriteString(c.Zone)
-	binary.LittleEndian.PutUint64(out[:], d.Sum64())
-	return out
-}
--- a/internal/system/controlstate/state.go
+++ b/internal/system/controlstate/state.go
@@ -10,81 +10,6 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// Op says what a record changes.
-type Op uint8
-
-// The kinds of records. Their numbers are on disk and on the wire: never reuse one.
-const (
-	OpReplace  Op = 1 // Body is a whole configuration, Base the version that it builds on
-	OpAmend    Op = 2 // Body is an amendment, Base as above
-	OpEvacuate Op = 3 // Zone is to get nothing more; Base is the newest record known when the order came, 0 in old records
-	OpReadmit  Op = 4 // Zone is taken back; Base as for OpEvacuate
-	OpNone     Op = 5 // changes nothing: fills a number
-)
-
-// Bounds of a state.
-const (
-	MaxZones    = 256 // evacuated at once
-	MaxZoneName = 255 // bytes
-)
-
-// Record is one numbered change. Numbers rise by one; the first is 1.
-type Record struct {
-	Seq  uint64
-	Op   Op
-	Base int64
-	Body []byte
-	Zone string
-}
-
-// Change is what a caller asks for: a Record that has no number yet.
-type Change struct {
-	Op   Op
-	Base int64
-	Body []byte
-	Zone string
-}
-
-// Record returns the change under a number.
-func (c Change) Record(seq uint64) Record {
-	return Record{Seq: seq, Op: c.Op, Base: c.Base, Body: c.Body, Zone: c.Zone}
-}
-
-// Kind is the kind of a Verdict.
-type Kind int
-
-// The kinds of verdicts. Their numbers are on the wire between keepers: never reuse one.
-const (
-	Accepted       Kind = iota // may be applied
-	AlreadyApplied             // the very same change was applied before, or the evacuation is in force
-	Stale                      // builds on another version than the current one
-	Invalid                    // can never be taken as it is
-	// Uncertain gives no clear answer: the change builds on a version so old that it cannot be told whether it was applied, or
-	// there is no room for it now.
-	Uncertain
-	// Superseded is an evacuation, or the end of one, whose zone was changed after the record numbered Base: whoever still
-	// wants it asks again with a newer Base.
-	Superseded
-)
-
-// Verdict is what Check finds. It holds once the record numbered Seq is committed: for Accept the change's own, otherwise
-// the one that the verdict rests on (0: none).
-type Verdict struct {
-	Kind   Kind
-	Reason string // for the caller, with the remedy; empty with Accept
-	Seq    uint64
-}
-
-// Kinds of errors of Apply and Decode.
-var (
-	// ErrOutOfOrder: the record is not the next one. Send those between, or a snapshot.
-	ErrOutOfOrder = errors.New("record out of order")
-	// ErrRefused: the record does not fit the state, so it cannot have been checked on this state.
-	ErrRefused = errors.New("record refused")
-	// ErrCorrupt: bytes that are no whole encoding. Fetch them again.
-	ErrCorrupt = errors.New("corrupt encoding")
-)
-
 // State is the control state after the record numbered Seq. It is a value: Apply gives a new one and leaves the old as
 // it was, so it may be shared between goroutines.
 type State struct {
@@ -185,7 +110,7 @@
 
 // applyConfig makes the change that a record asks for in next, a state that shares what it does not change with s.
 func (s *State) applyConfig(next *State, record Record) error {
-	change := Change{Op: record.Op, Base: record.Base, Body: record.Body, Zone: record.Zone}
+	change := record.change()
 	if change.Base != s.Revision() {
 		return refusedError(record, "it builds on another version than the current one")
 	}
@@ -218,6 +143,16 @@
 // remembered; 0: none did.
 func (s *State) ZoneChangeSeq(zone string) uint64 { return s.zoneChanges.lastChangeOf(zone) }
 
-func refusedError(r Record, why string) error {
-	return errors.Mark(errors.Newf("record %d cannot be applied: %s; take a snapshot from another keeper", r.Seq, why), ErrRefused)
+// checkOnOlderVersion gives the verdict on a change that does not build on the current version.
+func (s *State) checkOnOlderVersion(change Change, sum digest, restsOnSeq uint64) Verdict {
+	if entry := s.history.builtOn(change.Base); entry != nil && s.history.matches(entry, change, sum) {
+		return Verdict{Kind: AlreadyApplied, Seq: entry.Seq, Reason: "this very change has been applied"}
+	}
+	if change.Base >= 0 && change.Base < s.history.baseRevision {
+		return Verdict{Kind: Uncertain, Seq: restsOnSeq, Reason: errors.Newf("builds on version %d, and what was applied on versions "+
+			"below %d is not remembered: read the configuration, and if it lacks the change send it on top of version %d",
+			change.Base, s.history.baseRevision, s.Revision()).Error()}
+	}
+	return Verdict{Kind: Stale, Seq: restsOnSeq, Reason: errors.Newf(
+		"builds on version %d, but %d is current: read it and send the change on top of it", change.Base, s.Revision()).Error()}
 }
--- a/internal/system/controlstate/zones.go
+++ b/internal/system/controlstate/zones.go
@@ -2,6 +2,12 @@
 
 import "maps"
 
+// Bounds of a state.
+const (
+	MaxZones    = 256 // evacuated at once
+	MaxZoneName = 255 // bytes
+)
+
 // maxRememberedZones bounds the zones whose last change is remembered by name: those evacuated, and as many others.
 const maxRememberedZones = 2 * MaxZones
 
@@ -68,7 +74,7 @@
 
 // applyZone makes the change that a record asks for in next, a state that shares what it does not change with s.
 func (s *State) applyZone(next *State, record Record) error {
-	change := Change{Op: record.Op, Base: record.Base, Zone: record.Zone}
+	change := record.change()
 	if v := s.checkZone(change); v.Kind == Invalid {
 		return refusedError(record, v.Reason)
 	}
