--- a/internal/system/controlstate/codec.go
+++ b/internal/system/controlstate/codec.go
@@ -12,13 +12,14 @@
 	"gradeusher.example/gradeusher/internal/system/fields"
 )
 
-// Formats of encodings, each its first byte.
+// Formats of an encoding, which is its first byte.
 const (
 	stateFormat       = 2
-	legacyStateFormat = 1 // remembers 256 changes by digests of 64 bits, and not when zones were changed
+	legacyStateFormat = 1 // 256 changes by digests of 64 bits; not when zones were changed
 )
 
-// Encode returns the state as bytes, the same for equal states.
+// Encode returns the state as bytes, the same for equal states: the format, the sequence number, zones, history, configuration and
+// a checksum of all these.
 func (s *State) Encode() []byte {
 	size := 64 + 20*len(s.history.changes)
 	if s.Config != nil {
@@ -67,7 +68,7 @@
 	}
 }
 
-// encode encodes the history; revisions and numbers rise, so their steps are told.
+// encode appends the history to b. Revisions and sequence numbers rise, so their differences are encoded.
 func (h *changeHistory) encode(b []byte) []byte {
 	b = appendFlag(b, h.disabled)
 	b = binary.AppendVarint(b, h.baseRevision)
@@ -102,8 +103,8 @@
 	return decoded
 }
 
-// legacyBody reads what encoding 1 has between the number and the configuration. When zones were changed it does not tell:
-// the number of the state is the latest that can be.
+// legacyBody decodes what format 1 has between the sequence number and the configuration. It does not say when zones were
+// changed: the state's own number is the latest that is possible.
 func (d *stateReader) legacyBody(state *State) {
 	state.zoneChanges = zoneChanges{floorSeq: state.Seq, lastChange: map[string]uint64{}}
 	for n := d.Uvarint(); n > 0 && !d.Failed(); n-- {
@@ -115,15 +116,15 @@
 		change.Seq = d.Uvarint()
 		state.history.changes = append(state.history.changes, change)
 	}
-	const most = 256
-	if len(state.history.changes) >= most {
-		// There may have been more, so what the oldest builds on is not known.
+	const maxLegacyChanges = 256
+	if len(state.history.changes) >= maxLegacyChanges {
+		// There may have been more, so the base of the oldest is not known.
 		state.history.baseRevision, state.history.changes = state.history.changes[0].Revision, state.history.changes[1:]
 	}
 	state.history.legacyCount = len(state.history.changes)
 }
 
-// Decode reads what Encode made, also that of earlier versions of the software. Errors are ErrCorrupt. The state does not
+// Decode decodes what Encode of this or an earlier version of the software returned. Errors are ErrCorrupt. The state does not
 // share the memory of b.
 func Decode(b []byte) (*State, error) {
 	if len(b) < 8 || xxhash.Sum64(b[:len(b)-8]) != binary.LittleEndian.Uint64(b[len(b)-8:]) {
@@ -165,5 +166,5 @@
 	return append(dst, 0)
 }
 
-// stateReader decodes what a state is made of.
+// stateReader decodes the parts of a state.
 type stateReader struct{ fields.Reader }
--- a/internal/system/controlstate/digest.go
+++ b/internal/system/controlstate/digest.go
@@ -7,18 +7,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// digest tells changes apart: the first 16 bytes of a SHA-256. It is compared with that of one change only, the one that
-// was applied on the same version.
+// digest identifies a change: the first 16 bytes of a SHA-256. It is compared with that of one change only, the one that was
+// applied on the same revision, so a collision needs a second change on the same base.
 type digest [16]byte
 
-// digestHeader is what the digests are made of, without the body.
+// digestHeader encodes what the digests cover before the body.
 func (c Change) digestHeader() []byte {
 	b := append(make([]byte, 0, 1+2*binary.MaxVarintLen64), byte(c.Op))
 	b = binary.AppendVarint(b, c.Base)
 	return binary.AppendUvarint(b, uint64(len(c.Body)))
 }
 
-// digest tells changes apart by operation, base and the bytes of the body; equal changes have equal ones on every machine.
+// digest covers the operation, the base, the bytes of the body and the zone; it is the same on every machine.
 func (c Change) digest() (out digest) {
 	d := sha256.New()
 	_, _ = d.Write(c.digestHeader())
--- a/internal/system/controlstate/errors.go
+++ b/internal/system/controlstate/errors.go
@@ -2,13 +2,13 @@
 
 import "github.com/cockroachdb/errors"
 
-// Kinds of errors of Apply and Decode.
+// Kinds of errors of Apply and Decode. Test for them with errors.Is of github.com/cockroachdb/errors: they are attached as marks.
 var (
-	// ErrOutOfOrder: the record is not the next one. Send those between, or a snapshot.
+	// ErrOutOfOrder reports a record that is not the next one. Send those between, or a snapshot.
 	ErrOutOfOrder = errors.New("record out of order")
-	// ErrRefused: the record does not fit the state, so it cannot have been checked on this state.
+	// ErrRefused reports a record that does not fit the state, so it cannot have been checked on this state.
 	ErrRefused = errors.New("record refused")
-	// ErrCorrupt: bytes that are no whole encoding. Fetch them again.
+	// ErrCorrupt reports bytes that are not a complete encoding of a state. Fetch them again.
 	ErrCorrupt = errors.New("corrupt encoding")
 )
 
--- a/internal/system/controlstate/history.go
+++ b/internal/system/controlstate/history.go
@@ -5,27 +5,27 @@
 	"sort"
 )
 
-// MaxHistory is how many of the newest applied changes of the configuration a state remembers. Each takes 32 bytes of memory
-// and at most 34 bytes of an encoding (18 where versions and numbers rise in small steps).
+// MaxHistory is the number of applied changes of the configuration that a state remembers. Each takes 32 bytes of memory and at
+// most 34 bytes of an encoding (18 where revisions and sequence numbers rise in small steps).
 const MaxHistory = 4096
 
 // appliedChange remembers a change of the configuration.
 type appliedChange struct {
-	Revision int64  // that it made
+	Revision int64  // that it led to
 	Seq      uint64 // of its record
 	Digest   digest
 }
 
-// changeHistory remembers the newest applied changes, so that one that is sent again is known again. Every version is built on
-// by one change at most, so the changes form a line: each builds on the revision of the one before.
+// changeHistory remembers the newest applied changes, so that a retry is recognised. At most one change builds on a revision, so
+// the changes form a line: each builds on the revision of its predecessor.
 type changeHistory struct {
-	disabled     bool            // nothing is remembered: base is the current version
-	baseRevision int64           // version that the oldest remembered change builds on
-	legacyCount  int             // so many of the oldest have a digest of encoding 1
+	disabled     bool            // nothing is remembered: baseRevision is the current one
+	baseRevision int64           // that the oldest remembered change builds on
+	legacyCount  int             // number of the oldest changes whose digests are of encoding 1
 	changes      []appliedChange // oldest first
 }
 
-// builtOn returns the remembered change that was applied builtOn a version, nil where there is none.
+// builtOn returns the remembered change that was applied on the revision base; nil where there is none.
 func (h *changeHistory) builtOn(base int64) *appliedChange {
 	if len(h.changes) == 0 {
 		return nil
@@ -40,7 +40,7 @@
 	return &h.changes[i+1]
 }
 
-// matches tells whether c is the change that a remembered entry stands for.
+// matches tells whether change, whose digest is sum, is the one that a remembered entry stands for.
 func (h *changeHistory) matches(entry *appliedChange, change Change, sum digest) bool {
 	if entry.Seq <= h.lastLegacySeq() {
 		return entry.Digest == change.legacyDigest()
@@ -48,7 +48,7 @@
 	return entry.Digest == sum
 }
 
-// lastLegacySeq is the number of the newest record with a digest of encoding 1, 0 where there is none.
+// lastLegacySeq returns the number of the newest record with a digest of encoding 1; 0 where there is none.
 func (h *changeHistory) lastLegacySeq() uint64 {
 	if h.legacyCount == 0 {
 		return 0
@@ -56,7 +56,7 @@
 	return h.changes[h.legacyCount-1].Seq
 }
 
-// appended returns the history after one more change. The one that it is called on stays as it was.
+// appended returns the history after one more change. The receiver is not changed.
 func (h *changeHistory) appended(change appliedChange) changeHistory {
 	if h.disabled {
 		return changeHistory{disabled: true, baseRevision: change.Revision}
@@ -66,11 +66,11 @@
 		next.baseRevision, next.changes = next.changes[0].Revision, next.changes[1:]
 		next.legacyCount = max(0, next.legacyCount-1)
 	}
-	next.changes = append(slices.Clip(next.changes), change) // Clip: append copies
+	next.changes = append(slices.Clip(next.changes), change) // Clip makes append copy
 	return next
 }
 
-// lastSeq is the number of the newest remembered change, otherwise where there is none.
+// lastSeq returns the number of the newest remembered change; otherwise where there is none.
 func (h *changeHistory) lastSeq(otherwise uint64) uint64 {
 	if len(h.changes) == 0 {
 		return otherwise
--- a/internal/system/controlstate/record.go
+++ b/internal/system/controlstate/record.go
@@ -1,18 +1,18 @@
 package controlstate
 
-// Op says what a record changes.
+// Op is the kind of a record.
 type Op uint8
 
 // The kinds of records. Their numbers are on disk and on the wire: never reuse one.
 const (
-	OpReplace  Op = 1 // Body is a whole configuration, Base the version that it builds on
+	OpReplace  Op = 1 // Body is a complete configuration, Base the revision that it builds on
 	OpAmend    Op = 2 // Body is an amendment, Base as above
-	OpEvacuate Op = 3 // Zone is to get nothing more; Base is the newest record known when the order came, 0 in old records
-	OpReadmit  Op = 4 // Zone is taken back; Base as for OpEvacuate
-	OpNone     Op = 5 // changes nothing: fills a number
+	OpEvacuate Op = 3 // Zone is to get no requests; Base is the newest record known when the call arrived, 0 in old records
+	OpReadmit  Op = 4 // Zone is in service again; Base as for OpEvacuate
+	OpNone     Op = 5 // changes nothing: fills a sequence number
 )
 
-// Record is one numbered change. Numbers rise by one; the first is 1.
+// Record is a change under its sequence number. Sequence numbers rise by one; the first is 1.
 type Record struct {
 	Seq  uint64
 	Op   Op
@@ -21,7 +21,7 @@
 	Zone string
 }
 
-// Change is what a caller asks for: a Record that has no number yet.
+// Change is what a caller asks for: a Record without a sequence number.
 type Change struct {
 	Op   Op
 	Base int64
@@ -29,7 +29,7 @@
 	Zone string
 }
 
-// Record returns the change under a number.
+// Record returns the change under a sequence number.
 func (c Change) Record(seq uint64) Record {
 	return Record{Seq: seq, Op: c.Op, Base: c.Base, Body: c.Body, Zone: c.Zone}
 }
--- a/internal/system/controlstate/state.go
+++ b/internal/system/controlstate/state.go
@@ -1,5 +1,3 @@
-// Package controlstate is the control state: the deterministic state machine that keepers and proxies share. Keepers hold its
-// records on disk in a log of package wal.
 package controlstate
 
 import (
@@ -10,19 +8,19 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// State is the control state after the record numbered Seq. It is a value: Apply gives a new one and leaves the old as
-// it was, so it may be shared between goroutines.
+// State is the control state after the record numbered Seq. It is immutable: Apply returns a new one. It may be shared between
+// goroutines.
 type State struct {
 	Seq       uint64
-	Config    *config.Config  // nil: none has come yet
-	Evacuated map[string]bool // zones
+	Config    *config.Config  // nil: no configuration has been applied yet
+	Evacuated map[string]bool // by zone
 
-	history     changeHistory // of the configuration
-	zoneChanges zoneChanges   // when they were last changed
+	history     changeHistory // of changes of the configuration
+	zoneChanges zoneChanges   // when each zone was last changed
 	lastChecked atomic.Pointer[checkedChange]
 }
 
-// checkedChange is the configuration that the change last accepted by Check leads to, so that Apply need not read it again.
+// checkedChange is the configuration of the change that Check accepted last, so that Apply need not parse it again.
 type checkedChange struct {
 	digest digest
 	config *config.Config
@@ -31,7 +29,7 @@
 // Empty returns the state before the first record.
 func Empty() *State { return &State{Evacuated: map[string]bool{}} }
 
-// Revision returns the current version, 0 where there is none.
+// Revision returns the current revision of the configuration, 0 where there is none.
 func (s *State) Revision() int64 {
 	if s.Config == nil {
 		return 0
@@ -39,7 +37,7 @@
 	return s.Config.Revision
 }
 
-// Check tells what becomes of a change on top of this state.
+// Check returns the verdict on a change on top of this state. It does not change the state.
 func (s *State) Check(change Change) Verdict {
 	switch change.Op {
 	case OpReplace, OpAmend:
@@ -60,7 +58,7 @@
 	if change.Base != s.Revision() {
 		return s.checkOnOlderVersion(change, sum, restsOnSeq)
 	}
-	// Nothing has been applied on the current version, so this change has not been either.
+	// Nothing has been applied on the current revision, so this change has not been either.
 	candidate, err := s.nextConfig(change)
 	if err != nil {
 		return Verdict{Kind: Invalid, Seq: restsOnSeq, Reason: err.Error()}
@@ -69,7 +67,7 @@
 	return Verdict{Kind: Accepted, Seq: s.Seq + 1}
 }
 
-// nextConfig returns the configuration that c makes of the current one.
+// nextConfig returns the configuration that change makes of the current one. Errors are config.ErrInvalid.
 func (s *State) nextConfig(change Change) (*config.Config, error) {
 	if change.Op == OpAmend {
 		return config.Amend(s.Config, change.Body)
@@ -85,8 +83,8 @@
 	return candidate, nil
 }
 
-// Apply returns the state after r, which must be numbered Seq+1 and have been accepted by Check on this state. Errors are
-// ErrOutOfOrder or ErrRefused. The result may share r.Body, which must not be changed afterwards.
+// Apply returns the state after record, which must be numbered Seq+1 and have been accepted by Check on this state. Errors are
+// ErrOutOfOrder or ErrRefused. The result may share record.Body, which must not be changed afterwards.
 func (s *State) Apply(record Record) (*State, error) {
 	if record.Seq != s.Seq+1 {
 		return nil, errors.Mark(errors.Newf("record %d follows %d: send record %d", record.Seq, s.Seq, s.Seq+1), ErrOutOfOrder)
@@ -108,7 +106,7 @@
 	return next, nil
 }
 
-// applyConfig makes the change that a record asks for in next, a state that shares what it does not change with s.
+// applyConfig applies a record of the configuration to next, which shares the parts that stay with s.
 func (s *State) applyConfig(next *State, record Record) error {
 	change := record.change()
 	if change.Base != s.Revision() {
@@ -132,18 +130,18 @@
 	return nil
 }
 
-// WithoutHistory returns the state without its memory of the configuration's changes, for those who only follow: it and those that
-// Apply makes of it hold the same configuration and zones, are smaller, and never tell that a configuration was applied before.
+// WithoutHistory returns the state without its history, for subscribers that check no changes. It, and the states that Apply
+// derives from it, have the same configuration and zones in less memory; their verdict on an older base is Uncertain.
 func (s *State) WithoutHistory() *State {
 	return &State{Seq: s.Seq, Config: s.Config, Evacuated: s.Evacuated,
 		history: changeHistory{disabled: true, baseRevision: s.Revision()}, zoneChanges: s.zoneChanges}
 }
 
-// ZoneChangeSeq returns the number of the record that last evacuated a zone or took it back, or a later one where that is not
-// remembered; 0: none did.
+// ZoneChangeSeq returns the number of the record that last evacuated or readmitted a zone, or a later one where that is not
+// remembered. 0: there was none.
 func (s *State) ZoneChangeSeq(zone string) uint64 { return s.zoneChanges.lastChangeOf(zone) }
 
-// checkOnOlderVersion gives the verdict on a change that does not build on the current version.
+// checkOnOlderVersion returns the verdict on a change that does not build on the current revision.
 func (s *State) checkOnOlderVersion(change Change, sum digest, restsOnSeq uint64) Verdict {
 	if entry := s.history.builtOn(change.Base); entry != nil && s.history.matches(entry, change, sum) {
 		return Verdict{Kind: AlreadyApplied, Seq: entry.Seq, Reason: "this very change has been applied"}
--- a/internal/system/controlstate/verdict.go
+++ b/internal/system/controlstate/verdict.go
@@ -3,24 +3,23 @@
 // Kind is the kind of a Verdict.
 type Kind int
 
-// The kinds of verdicts. Their numbers are on the wire between keepers: never reuse one.
+// The kinds of verdicts. Their numbers are on the wire between control-plane nodes: never reuse one.
 const (
 	Accepted       Kind = iota // may be applied
 	AlreadyApplied             // the very same change was applied before, or the evacuation is in force
-	Stale                      // builds on another version than the current one
-	Invalid                    // can never be taken as it is
-	// Uncertain gives no clear answer: the change builds on a version so old that it cannot be told whether it was applied, or
-	// there is no room for it now.
+	Stale                      // builds on another revision than the current one
+	Invalid                    // can never be accepted as it is
+	// Uncertain is no decision: the change builds on a revision so old that the history does not tell whether it was applied, or
+	// MaxZones zones are evacuated.
 	Uncertain
-	// Superseded is an evacuation, or the end of one, whose zone was changed after the record numbered Base: whoever still
-	// wants it asks again with a newer Base.
+	// Superseded is the verdict on an evacuation or readmission whose zone was changed after the record numbered Base. A caller
+	// that still wants it retries with a newer Base.
 	Superseded
 )
 
-// Verdict is what Check finds. It holds once the record numbered Seq is committed: for Accept the change's own, otherwise
-// the one that the verdict rests on (0: none).
+// Verdict is the result of State.Check. It is final once the record numbered Seq is committed.
 type Verdict struct {
 	Kind   Kind
-	Reason string // for the caller, with the remedy; empty with Accept
-	Seq    uint64
+	Reason string // for the caller, with the remedy; empty where the change is accepted
+	Seq    uint64 // of the accepted change, otherwise of the newest record that the verdict depends on; 0: none
 }
--- a/internal/system/controlstate/zones.go
+++ b/internal/system/controlstate/zones.go
@@ -11,17 +11,16 @@
 // maxRememberedZones bounds the zones whose last change is remembered by name: those evacuated, and as many others.
 const maxRememberedZones = 2 * MaxZones
 
-// zoneChanges remembers which record last changed each zone, so that an evacuation that comes late does not undo a later
-// one.
+// zoneChanges remembers which record last changed each zone, so that a delayed evacuation does not undo a later change.
 type zoneChanges struct {
-	floorSeq   uint64            // no zone that is not in last was changed after the record numbered floor
-	lastChange map[string]uint64 // number of the record that last changed the zone, above floor
+	floorSeq   uint64            // no zone outside lastChange was changed after this record
+	lastChange map[string]uint64 // by zone, the record that last changed it, above floorSeq
 }
 
-// lastChangeOf is the number of the record that last lastChangeOf a zone, or a later one where that is not remembered.
+// lastChangeOf returns the number of the record that last changed a zone, or a later one where that is not remembered.
 func (z zoneChanges) lastChangeOf(zone string) uint64 { return max(z.floorSeq, z.lastChange[zone]) }
 
-// recorded returns the changes after one more. keep tells which zones may not be forgotten; they are MaxZones at most.
+// recorded returns the memory after one more change. Zones in keep, MaxZones at most, are not forgotten.
 func (z zoneChanges) recorded(zone string, seq uint64, keep map[string]bool) zoneChanges {
 	next := zoneChanges{floorSeq: z.floorSeq, lastChange: maps.Clone(z.lastChange)}
 	if next.lastChange == nil {
@@ -45,10 +44,10 @@
 	maps.DeleteFunc(z.lastChange, func(_ string, seq uint64) bool { return seq <= z.floorSeq })
 }
 
-// checkZone gives the verdict on an evacuation or the end of one. Base is the number of the newest committed record that
-// the receiving keeper knew of after the call had come. A zone that was changed after it is not changed back: the order may
-// have been under way since before that. An order whose result is in force is recorded all the same unless the zone was
-// changed after Base, so that an acknowledgement always puts a fence behind every order that came before.
+// checkZone returns the verdict on an evacuation or readmission. Base is the newest committed record that the receiving node knew
+// after the call had arrived. A zone that was changed after it is not changed back, because the call may have been under way since
+// before that. A change that is in force already is recorded all the same unless the zone was changed after Base, so that an
+// acknowledgement fences off every earlier call.
 func (s *State) checkZone(change Change) Verdict {
 	inForce := s.Evacuated[change.Zone] == (change.Op == OpEvacuate)
 	late := change.Base < 0 || s.zoneChanges.lastChangeOf(change.Zone) > uint64(change.Base)
@@ -67,12 +66,12 @@
 	return Verdict{Kind: Accepted, Seq: s.Seq + 1}
 }
 
-// atZoneLimit tells whether there is no room for an evacuation.
+// atZoneLimit tells whether change would evacuate more than MaxZones zones.
 func (s *State) atZoneLimit(change Change) bool {
 	return change.Op == OpEvacuate && !s.Evacuated[change.Zone] && len(s.Evacuated) >= MaxZones
 }
 
-// applyZone makes the change that a record asks for in next, a state that shares what it does not change with s.
+// applyZone applies a record of a zone to next, which shares the parts that stay with s.
 func (s *State) applyZone(next *State, record Record) error {
 	change := record.change()
 	if v := s.checkZone(change); v.Kind == Invalid {
