--- a/internal/system/controlstate/errors.go
+++ b/internal/system/controlstate/errors.go
@@ -13,9 +13,9 @@
 )
 
 func refusedError(r Record, why string) error {
-	return errors.Mark(errors.Newf("record %d cannot be applied: %s; take a snapshot from another keeper", r.Seq, why), ErrRefused)
+	return errors.Mark(errors.Newf("record %d cannot be applied: %s; fetch a snapshot from another replica", r.Seq, why), ErrRefused)
 }
 
 func corruptError() error {
-	return errors.Mark(errors.New("bytes that are no whole state: fetch it again"), ErrCorrupt)
+	return errors.Mark(errors.New("bytes that are not a complete state: fetch it again"), ErrCorrupt)
 }
--- a/internal/system/controlstate/history_test.go
+++ b/internal/system/controlstate/history_test.go
@@ -12,7 +12,7 @@
 	"gradeusher.example/gradeusher/internal/system/fields"
 )
 
-// applyMany applies count changes of the configuration, each under a revision three above the one before.
+// applyMany applies count changes of the configuration, each under a revision three above its predecessor's.
 func applyMany(t testing.TB, count int) (*State, []Change) {
 	t.Helper()
 	s := Empty()
@@ -28,7 +28,7 @@
 	return s, all
 }
 
-// roundTrip is s as a keeper has it that took it from a snapshot.
+// roundTrip returns the state as a node has it that restored a snapshot of it.
 func roundTrip(t testing.TB, s *State) *State {
 	t.Helper()
 	out, err := Decode(s.Encode())
@@ -83,7 +83,7 @@
 	}
 }
 
-// What makes an order the same: the operation, the version that it builds on and the bytes of its body.
+// TestDigestIdentifiesChange: the operation, the revision that it builds on, the body and the zone make a change the same.
 func TestDigestIdentifiesChange(t *testing.T) {
 	c := Change{Op: OpReplace, Base: 5, Body: configBody(6, "a")}
 	for what, other := range map[string]Change{
@@ -97,12 +97,12 @@
 	}
 	same := Change{Op: OpReplace, Base: 5, Body: slices.Clone(c.Body)}
 	if same.digest() != c.digest() {
-		t.Error("the same order has two digests")
+		t.Error("the same change has two digests")
 	}
 }
 
-// A digest is compared with that of the change on the same version alone, so that an order is never confirmed by the digest
-// of another version's change.
+// TestCollisionOnAnotherVersion: a digest is compared with that of the change on the same revision alone, so that a change is never
+// confirmed by the digest of another one's.
 func TestCollisionOnAnotherVersion(t *testing.T) {
 	s, all := applyMany(t, 10)
 	c := Change{Op: OpReplace, Base: all[4].Base, Body: configBody(1000, "")}
@@ -112,7 +112,7 @@
 	}
 }
 
-// The memory of changes is bounded, and so is what it adds to an encoding.
+// TestHistoryIsBounded: the history is bounded, and so is its part of an encoding.
 func TestHistoryIsBounded(t *testing.T) {
 	s, _ := applyMany(t, MaxHistory+10)
 	if n := len(s.history.changes); n != MaxHistory {
@@ -128,11 +128,11 @@
 	}
 }
 
-// A state without memory follows as any other, and refuses nothing that may have been applied.
+// TestWithoutHistory: a state without history applies records as any other, and refuses nothing that may have been applied.
 func TestWithoutHistory(t *testing.T) {
-	whole, all := applyMany(t, 20)
-	whole = requireAccepted(t, whole, Change{Op: OpEvacuate, Base: int64(whole.Seq), Zone: "z"})
-	lean := roundTrip(t, whole.WithoutHistory())
+	full, all := applyMany(t, 20)
+	full = requireAccepted(t, full, Change{Op: OpEvacuate, Base: int64(full.Seq), Zone: "z"})
+	lean := roundTrip(t, full.WithoutHistory())
 	for _, c := range all {
 		if v := lean.Check(c); v.Kind != Uncertain {
 			t.Fatalf("%+v", v)
@@ -142,28 +142,28 @@
 		t.Errorf("%+v", v)
 	}
 	for _, c := range []Change{
-		{Op: OpAmend, Base: whole.Revision(), Body: amendmentBody(100, "b")}, {Op: OpReplace, Base: 100, Body: configBody(101, "")},
+		{Op: OpAmend, Base: full.Revision(), Body: amendmentBody(100, "b")}, {Op: OpReplace, Base: 100, Body: configBody(101, "")},
 		{Op: OpReadmit, Base: 21, Zone: "z"}, {Op: OpEvacuate, Base: 21, Zone: "y"},
 	} {
-		r := c.Record(whole.Seq + 1)
-		whole = requireAccepted(t, whole, c)
+		r := c.Record(full.Seq + 1)
+		full = requireAccepted(t, full, c)
 		next, err := lean.Apply(r)
 		if err != nil {
 			t.Fatal(err)
 		}
 		lean = next
 	}
-	if string(lean.Encode()) != string(whole.WithoutHistory().Encode()) || len(lean.history.changes) > 0 {
+	if string(lean.Encode()) != string(full.WithoutHistory().Encode()) || len(lean.history.changes) > 0 {
 		t.Error("it differs from the other, or remembers changes of the configuration")
 	}
 	for zone, want := range map[string]uint64{"z": 24, "y": 25, "x": 0} {
-		if a, b := lean.ZoneChangeSeq(zone), whole.ZoneChangeSeq(zone); a != want || b != want {
+		if a, b := lean.ZoneChangeSeq(zone), full.ZoneChangeSeq(zone); a != want || b != want {
 			t.Errorf("zone %s changed last by record %d, and %d without memory; want %d", zone, b, a, want)
 		}
 	}
 }
 
-// legacyEncoding is what versions of the software before this one made of a state.
+// legacyEncoding encodes a state as earlier versions of the software did.
 func legacyEncoding(state *State, all []Change) []byte {
 	b := binary.AppendUvarint([]byte{1}, state.Seq)
 	b = binary.AppendUvarint(b, uint64(len(state.Evacuated)))
@@ -182,8 +182,8 @@
 	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
-// A snapshot of an earlier version of the software is read, and what it remembers is known again, also once this version has
-// written it anew and further changes have come.
+// TestDecodeLegacy: a snapshot of an earlier version of the software is decoded, and its history recognises retries, also once this
+// version has encoded it again and further changes have come.
 func TestDecodeLegacy(t *testing.T) {
 	for _, count := range []int{1, 255, 256, 300} {
 		state, all := applyMany(t, count)
--- a/internal/system/controlstate/state_test.go
+++ b/internal/system/controlstate/state_test.go
@@ -17,7 +17,7 @@
 	"pgregory.net/rapid"
 )
 
-// configBody makes a whole configuration; mark tells those of one revision apart.
+// configBody makes a complete configuration; mark tells those of one revision apart.
 func configBody(revision int64, mark string) []byte {
 	return fmt.Appendf(nil, `{"revision":%d,"routes":[{"name":"r","hostname":"h","path_prefix":"/","timeout_ms":1,"target":"s"}],`+
 		`"services":[{"name":"s"}],"mark":%q}`, revision, mark)
@@ -50,21 +50,21 @@
 		}
 		return b
 	}
-	s := requireAccepted(t, Empty(), Change{Op: OpReplace, Body: read("replace.json")})
-	s = requireAccepted(t, s, Change{Op: OpAmend, Base: 7, Body: read("amend.json")})
-	if s.Seq != 2 || s.Revision() != 9 || s.Config.Match("ficu95.example:80", "/lohu930/2f") == nil {
-		t.Errorf("%+v", s)
+	state := requireAccepted(t, Empty(), Change{Op: OpReplace, Body: read("replace.json")})
+	state = requireAccepted(t, state, Change{Op: OpAmend, Base: 7, Body: read("amend.json")})
+	if state.Seq != 2 || state.Revision() != 9 || state.Config.Match("ficu95.example:80", "/lohu930/2f") == nil {
+		t.Errorf("%+v", state)
 	}
 }
 
 func TestCheck(t *testing.T) {
-	s := requireAccepted(t, Empty(), Change{Op: OpReplace, Body: configBody(5, "a")})         // record 1
-	s = requireAccepted(t, s, Change{Op: OpEvacuate, Zone: "z"})                              // record 2
-	s = requireAccepted(t, s, Change{Op: OpAmend, Base: 5, Body: amendmentBody(8, "b")})      // record 3
-	s = requireAccepted(t, s, Change{Op: OpNone})                                             // record 4
-	s = requireAccepted(t, s, Change{Op: OpReplace, Base: 8, Body: configBody(9, "c")})       // record 5
-	s = requireAccepted(t, s, Change{Op: OpEvacuate, Zone: strings.Repeat("y", 255)})         // record 6
-	s = requireAccepted(t, s, Change{Op: OpReadmit, Base: 6, Zone: strings.Repeat("y", 255)}) // record 7
+	state := requireAccepted(t, Empty(), Change{Op: OpReplace, Body: configBody(5, "a")})             // record 1
+	state = requireAccepted(t, state, Change{Op: OpEvacuate, Zone: "z"})                              // record 2
+	state = requireAccepted(t, state, Change{Op: OpAmend, Base: 5, Body: amendmentBody(8, "b")})      // record 3
+	state = requireAccepted(t, state, Change{Op: OpNone})                                             // record 4
+	state = requireAccepted(t, state, Change{Op: OpReplace, Base: 8, Body: configBody(9, "c")})       // record 5
+	state = requireAccepted(t, state, Change{Op: OpEvacuate, Zone: strings.Repeat("y", 255)})         // record 6
+	state = requireAccepted(t, state, Change{Op: OpReadmit, Base: 6, Zone: strings.Repeat("y", 255)}) // record 7
 	for _, test := range []struct {
 		name   string
 		change Change
@@ -85,9 +85,9 @@
 		{"the current number", Change{Op: OpReplace, Base: 9, Body: configBody(9, "e")}, Invalid, 5},
 		{"a lower number", Change{Op: OpReplace, Base: 9, Body: configBody(8, "")}, Invalid, 5},
 		{"an amendment with the current number", Change{Op: OpAmend, Base: 9, Body: amendmentBody(9, "b")}, Invalid, 5},
-		{"not whole", Change{Op: OpReplace, Base: 9, Body: []byte("{")}, Invalid, 5},
+		{"not complete", Change{Op: OpReplace, Base: 9, Body: []byte("{")}, Invalid, 5},
 		{"an evacuation", Change{Op: OpEvacuate, Zone: "x"}, Accepted, 8},
-		{"an evacuation taken meanwhile", Change{Op: OpEvacuate, Base: 1, Zone: "z"}, AlreadyApplied, 7},
+		{"an evacuation applied meanwhile", Change{Op: OpEvacuate, Base: 1, Zone: "z"}, AlreadyApplied, 7},
 		{"an evacuation in force", Change{Op: OpEvacuate, Base: 2, Zone: "z"}, Accepted, 8},
 		{"the end of one", Change{Op: OpReadmit, Base: 2, Zone: "z"}, Accepted, 8},
 		{"the end of one, from before it", Change{Op: OpReadmit, Base: 1, Zone: "z"}, Superseded, 7},
@@ -100,7 +100,7 @@
 		{"an unknown operation", Change{Op: 99}, Invalid, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if v := s.Check(test.change); v.Kind != test.kind || v.Seq != test.seq || (v.Reason == "") != (test.kind == Accepted) {
+			if v := state.Check(test.change); v.Kind != test.kind || v.Seq != test.seq || (v.Reason == "") != (test.kind == Accepted) {
 				t.Errorf("%+v", v)
 			}
 		})
@@ -115,7 +115,7 @@
 }
 
 func TestApplyRejects(t *testing.T) {
-	s := requireAccepted(t, Empty(), Change{Op: OpReplace, Body: configBody(5, "a")})
+	state := requireAccepted(t, Empty(), Change{Op: OpReplace, Body: configBody(5, "a")})
 	for _, test := range []struct {
 		record Record
 		want   error
@@ -128,7 +128,7 @@
 		{Record{Seq: 2, Op: OpEvacuate}, ErrRefused},
 		{Record{Seq: 2, Op: 77}, ErrRefused},
 	} {
-		if _, err := s.Apply(test.record); !errors.Is(err, test.want) {
+		if _, err := state.Apply(test.record); !errors.Is(err, test.want) {
 			t.Errorf("%+v: %v", test.record, err)
 		}
 	}
@@ -152,20 +152,20 @@
 
 // TestConcurrentUse uses one state from several goroutines.
 func TestConcurrentUse(t *testing.T) {
-	s := requireAccepted(t, Empty(), Change{Op: OpReplace, Body: configBody(5, "a")})
+	state := requireAccepted(t, Empty(), Change{Op: OpReplace, Body: configBody(5, "a")})
 	var wg sync.WaitGroup
 	for i := range int64(8) {
 		wg.Go(func() {
 			c := Change{Op: OpReplace, Base: 5, Body: configBody(6+i, "")}
 			for range 50 {
-				if v := s.Check(c); v.Kind != Accepted {
+				if v := state.Check(c); v.Kind != Accepted {
 					t.Errorf("%+v", v)
 				}
-				next, err := s.Apply(c.Record(2))
+				next, err := state.Apply(c.Record(2))
 				if err != nil || next.Revision() != 6+i {
 					t.Errorf("%v", err)
 				}
-				_ = s.Encode()
+				_ = state.Encode()
 			}
 		})
 	}
@@ -324,14 +324,14 @@
 
 func TestDecodeRejectsDamage(t *testing.T) {
 	s := requireAccepted(t, Empty(), Change{Op: OpReplace, Body: configBody(5, "a")})
-	whole := requireAccepted(t, s, Change{Op: OpEvacuate, Zone: "z"}).Encode()
-	for i := range whole {
-		other := slices.Clone(whole)
+	encoded := requireAccepted(t, s, Change{Op: OpEvacuate, Zone: "z"}).Encode()
+	for i := range encoded {
+		other := slices.Clone(encoded)
 		other[i] ^= 4
 		if _, err := Decode(other); !errors.Is(err, ErrCorrupt) {
 			t.Fatalf("byte %d changed: %v", i, err)
 		}
-		if _, err := Decode(whole[:i]); !errors.Is(err, ErrCorrupt) {
+		if _, err := Decode(encoded[:i]); !errors.Is(err, ErrCorrupt) {
 			t.Fatalf("cut at %d: %v", i, err)
 		}
 	}
@@ -343,8 +343,8 @@
 	s = requireAccepted(f, s, Change{Op: OpEvacuate, Zone: "z"})
 	s = requireAccepted(f, s, Change{Op: OpAmend, Base: 5, Body: amendmentBody(1<<40, "b")})
 	for _, s := range []*State{Empty(), s, s.WithoutHistory()} {
-		whole := s.Encode()
-		f.Add(whole[:len(whole)-8])
+		encodedSeed := s.Encode()
+		f.Add(encodedSeed[:len(encodedSeed)-8])
 	}
 	f.Add(binary.AppendUvarint([]byte{legacyStateFormat}, 1<<60))
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/system/controlstate/zones_test.go
+++ b/internal/system/controlstate/zones_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// An order that was under way since before a later one of its zone does not undo it, whichever of the two was an
-// evacuation, also after a snapshot, and also where the later one found in force what it asks for.
+// TestDelayedEvacuationIsSuperseded: a call that was under way since before a later one of its zone does not undo it, whichever of
+// the two was an evacuation, also after a snapshot, and also where what the later one asks for was in force already.
 func TestDelayedEvacuationIsSuperseded(t *testing.T) {
 	start := Change{Op: OpEvacuate, Zone: "z"}
 	state := requireAccepted(t, Empty(), start)                                  // record 1
@@ -34,29 +34,29 @@
 }
 
 func TestZonesAreBounded(t *testing.T) {
-	s := Empty()
+	state := Empty()
 	for i := range MaxZones {
-		s = requireAccepted(t, s, Change{Op: OpEvacuate, Base: int64(s.Seq), Zone: fmt.Sprint("zone ", i)})
+		state = requireAccepted(t, state, Change{Op: OpEvacuate, Base: int64(state.Seq), Zone: fmt.Sprint("zone ", i)})
 	}
-	// No 400: the very same order may have been taken before, and undone since.
-	if v := s.Check(Change{Op: OpEvacuate, Base: int64(s.Seq), Zone: "one more"}); v.Kind != Uncertain {
+	// Not Invalid: the same change may have been accepted before, and undone since.
+	if v := state.Check(Change{Op: OpEvacuate, Base: int64(state.Seq), Zone: "one more"}); v.Kind != Uncertain {
 		t.Errorf("%+v", v)
 	}
-	if _, err := s.Apply(Change{Op: OpEvacuate, Zone: "one more"}.Record(s.Seq + 1)); err == nil {
+	if _, err := state.Apply(Change{Op: OpEvacuate, Zone: "one more"}.Record(state.Seq + 1)); err == nil {
 		t.Error("more zones than there may be")
 	}
-	if v := s.Check(Change{Op: OpEvacuate, Zone: "zone 7"}); v.Kind != AlreadyApplied {
+	if v := state.Check(Change{Op: OpEvacuate, Zone: "zone 7"}); v.Kind != AlreadyApplied {
 		t.Errorf("%+v", v)
 	}
-	s = requireAccepted(t, s, Change{Op: OpReadmit, Base: int64(s.Seq), Zone: "zone 7"})
-	requireAccepted(t, s, Change{Op: OpEvacuate, Base: int64(s.Seq), Zone: "one more"})
+	state = requireAccepted(t, state, Change{Op: OpReadmit, Base: int64(state.Seq), Zone: "zone 7"})
+	requireAccepted(t, state, Change{Op: OpEvacuate, Base: int64(state.Seq), Zone: "one more"})
 }
 
-// The memory of zones is bounded. What is forgotten counts as changed just now, so a late order is still recognised; and
-// one that took a snapshot on the way holds the same.
+// TestZoneChangesAreBounded: the memory of zones is bounded. What is forgotten counts as changed later, so a delayed call is still
+// recognised; and a replica that restores snapshots on the way has the same state.
 func TestZoneChangesAreBounded(t *testing.T) {
 	state, restored := Empty(), Empty()
-	take := func(c Change) {
+	applyBoth := func(c Change) {
 		state = requireAccepted(t, state, c)
 		next, err := restored.Apply(c.Record(state.Seq))
 		if err != nil {
@@ -67,11 +67,11 @@
 			t.Fatalf("record %d: one that took snapshots differs", state.Seq)
 		}
 	}
-	take(Change{Op: OpEvacuate, Zone: "kept"})
+	applyBoth(Change{Op: OpEvacuate, Zone: "evacuated"})
 	for i := range 3 * maxRememberedZones {
 		zone := fmt.Sprint("zone ", i)
-		take(Change{Op: OpEvacuate, Base: int64(state.Seq), Zone: zone})
-		take(Change{Op: OpReadmit, Base: int64(state.Seq), Zone: zone})
+		applyBoth(Change{Op: OpEvacuate, Base: int64(state.Seq), Zone: zone})
+		applyBoth(Change{Op: OpReadmit, Base: int64(state.Seq), Zone: zone})
 		if n := len(state.zoneChanges.lastChange); n > maxRememberedZones {
 			t.Fatalf("%d zones remembered", n)
 		}
@@ -82,8 +82,8 @@
 			t.Fatalf("zone %d: %+v", i, v)
 		}
 	}
-	if v := state.Check(Change{Op: OpReadmit, Zone: "kept"}); v.Kind != Superseded {
+	if v := state.Check(Change{Op: OpReadmit, Zone: "evacuated"}); v.Kind != Superseded {
 		t.Errorf("%+v", v)
 	}
-	take(Change{Op: OpReadmit, Base: int64(state.Seq), Zone: "kept"})
+	applyBoth(Change{Op: OpReadmit, Base: int64(state.Seq), Zone: "evacuated"})
 }
