--- a/internal/system/config/amend.go
+++ b/internal/system/config/amend.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// list is one top-level list of named items while an amendment is merged into it.
-type list struct {
-	names []string
-	items [][]byte
-	place map[string]int // index by name
+// namedList is one top-level namedList of named items while an amendment is merged into it.
+type namedList struct {
+	names   []string
+	items   [][]byte
+	indexOf map[string]int // index by name
 }
 
 // Amend merges an amendment into base, which it leaves as it was, and checks the result as a whole. Items replaced stay at
@@ -19,54 +19,54 @@
 	if base == nil {
 		return nil, invalid("there is no configuration to amend: send Config.Replace first")
 	}
-	if err := validate(raw); err != nil {
+	if err := validateJSON(raw); err != nil {
 		return nil, err
 	}
 	fields, err := members(raw, "the amendment")
 	if err != nil {
 		return nil, err
 	}
-	a := amendment{base: base, d: newDecoder(), next: &Config{Limits: base.Limits}}
-	for _, f := range fields {
-		switch f.key {
+	merge := amendment{base: base, decoder: newDecoder(), next: &Config{Limits: base.Limits}}
+	for _, field := range fields {
+		switch field.key {
 		case "revision":
-			a.revision = f.value
-			a.next.Revision, err = a.d.revision(f.value)
+			merge.revision = field.value
+			merge.next.Revision, err = merge.decoder.revision(field.value)
 		case "upsert":
-			a.upsert, err = a.group(f)
+			merge.upsert, err = merge.readGroup(field)
 		case "remove":
-			a.remove, err = a.group(f)
+			merge.remove, err = merge.readGroup(field)
 		default:
-			_, err = a.d.parse(f.value, f.key)
+			_, err = merge.decoder.parse(field.value, field.key)
 		}
 		if err != nil {
 			return nil, err
 		}
 	}
-	if a.revision == nil {
+	if merge.revision == nil {
 		return nil, invalid("revision is missing: number the amendment")
 	}
-	if a.next.Revision <= base.Revision {
-		return nil, invalid("revision %d is not above the current %d: send a higher one", a.next.Revision, base.Revision)
+	if merge.next.Revision <= base.Revision {
+		return nil, invalid("revision %d is not above the current %d: send a higher one", merge.next.Revision, base.Revision)
 	}
-	return a.merge()
+	return merge.merge()
 }
 
 type amendment struct {
 	base, next     *Config
-	d              *decoder
+	decoder        *itemDecoder
 	revision       []byte
 	upsert, remove []member
 }
 
-func (a *amendment) group(f member) ([]member, error) {
+func (a *amendment) readGroup(f member) ([]member, error) {
 	if f.isNull {
 		return nil, nil
 	}
 	return members(f.value, f.key)
 }
 
-func find(all []member, key string) *member {
+func findMember(all []member, key string) *member {
 	for i := range all {
 		if all[i].key == key && !all[i].isNull {
 			return &all[i]
@@ -89,25 +89,25 @@
 			}
 		}
 	}
-	out := make([]byte, 0, len(a.base.Raw)+amendedBytes(a.upsert))
+	out := make([]byte, 0, len(a.base.Raw)+encodedBytes(a.upsert))
 	out = append(out, '{')
 	for i, f := range fields {
 		if i > 0 {
 			out = append(out, ',')
 		}
 		out = append(append(out, f.rawKey...), ':')
-		if out, err = a.field(out, f); err != nil {
+		if out, err = a.appendField(out, f); err != nil {
 			return nil, err
 		}
 	}
 	a.next.Raw = slices.Clip(append(out, '}'))
-	if err := a.next.finish(); err != nil {
+	if err := a.next.checkReferences(); err != nil {
 		return nil, err
 	}
 	return a.next, nil
 }
 
-func amendedBytes(all []member) int {
+func encodedBytes(all []member) int {
 	n := 2
 	for _, f := range all {
 		n += len(f.rawKey) + len(f.value) + 2
@@ -115,64 +115,64 @@
 	return n
 }
 
-// field appends the value of one top-level field.
-func (a *amendment) field(out []byte, f member) ([]byte, error) {
-	up, gone := find(a.upsert, f.key), find(a.remove, f.key)
+// appendField appends the value of one top-level appendField.
+func (a *amendment) appendField(out []byte, field member) ([]byte, error) {
+	upsert, removed := findMember(a.upsert, field.key), findMember(a.remove, field.key)
 	switch {
-	case f.key == "revision":
-		if up != nil || gone != nil {
+	case field.key == "revision":
+		if upsert != nil || removed != nil {
 			return nil, invalid("revision is no list: send it at the top of the amendment")
 		}
 		return append(out, a.revision...), nil
-	case f.key == "limits":
-		if gone != nil {
+	case field.key == "limits":
+		if removed != nil {
 			return nil, invalid("limits cannot be removed: send others under upsert")
 		}
-		if up == nil {
-			return append(out, f.value...), nil
+		if upsert == nil {
+			return append(out, field.value...), nil
 		}
 		var err error
-		a.next.Limits, err = a.d.limits(up.value)
-		return append(out, up.value...), err
+		a.next.Limits, err = a.decoder.limits(upsert.value)
+		return append(out, upsert.value...), err
 	}
-	isRoutes, isServices := f.key == "routes", f.key == "services"
-	if up == nil && gone == nil {
+	isRoutes, isServices := field.key == "routes", field.key == "services"
+	if upsert == nil && removed == nil {
 		if isRoutes {
 			a.next.Routes = a.base.Routes
 		} else if isServices {
 			a.next.Services, a.next.serviceNames = a.base.Services, a.base.serviceNames
 		}
-		return append(out, f.value...), nil
+		return append(out, field.value...), nil
 	}
 	switch {
 	case isRoutes:
-		return a.routes(out, f, up, gone)
+		return a.appendRoutes(out, field, upsert, removed)
 	case isServices:
-		return a.services(out, f, up, gone)
+		return a.appendServices(out, field, upsert, removed)
 	}
-	l, _, err := a.change(f, up, gone, func(raw []byte) (string, error) {
-		_, name, err := a.d.named(raw, "member of "+f.key)
+	l, _, err := a.mergeList(field, upsert, removed, func(raw []byte) (string, error) {
+		_, name, err := a.decoder.namedObject(raw, "member of "+field.key)
 		return name, err
 	})
 	if err != nil {
 		return nil, err
 	}
-	return l.write(out), nil
+	return l.appendJSON(out), nil
 }
 
-func (a *amendment) routes(out []byte, f member, up, gone *member) ([]byte, error) {
-	fresh := map[string]*Route{}
+func (a *amendment) appendRoutes(out []byte, field member, upsert, removal *member) ([]byte, error) {
+	decoded := map[string]*Route{}
 	at := 0
-	l, removed, err := a.change(f, up, gone, func(raw []byte) (string, error) {
+	merged, removed, err := a.mergeList(field, upsert, removal, func(raw []byte) (string, error) {
 		if at < len(a.base.Routes) {
 			at++
 			return a.base.Routes[at-1].Name, nil
 		}
-		r, err := a.d.route(raw)
+		r, err := a.decoder.route(raw)
 		if err != nil {
 			return "", err
 		}
-		fresh[r.Name] = r
+		decoded[r.Name] = r
 		return r.Name, nil
 	})
 	if err != nil {
@@ -182,29 +182,29 @@
 	for _, r := range a.base.Routes {
 		old[r.Name] = r
 	}
-	a.next.Routes = make([]*Route, 0, len(l.names)-removed)
-	for i, name := range l.names {
-		if l.items[i] == nil {
+	a.next.Routes = make([]*Route, 0, len(merged.names)-removed)
+	for i, name := range merged.names {
+		if merged.items[i] == nil {
 			continue
 		}
-		r := fresh[name]
+		r := decoded[name]
 		if r == nil {
 			r = old[name]
 		}
 		a.next.Routes = append(a.next.Routes, r)
 	}
-	return l.write(out), nil
+	return merged.appendJSON(out), nil
 }
 
-func (a *amendment) services(out []byte, f member, up, gone *member) ([]byte, error) {
+func (a *amendment) appendServices(out []byte, field member, upsert, removal *member) ([]byte, error) {
 	services := maps.Clone(a.base.Services)
 	at := 0
-	l, _, err := a.change(f, up, gone, func(raw []byte) (string, error) {
+	merged, _, err := a.mergeList(field, upsert, removal, func(raw []byte) (string, error) {
 		if at < len(a.base.serviceNames) {
 			at++
 			return a.base.serviceNames[at-1], nil
 		}
-		s, err := a.d.service(raw)
+		s, err := a.decoder.service(raw)
 		if err != nil {
 			return "", err
 		}
@@ -215,39 +215,39 @@
 		return nil, err
 	}
 	a.next.Services = services
-	for i, name := range l.names {
-		if l.items[i] == nil {
+	for i, name := range merged.names {
+		if merged.items[i] == nil {
 			delete(services, name)
 		} else {
 			a.next.serviceNames = append(a.next.serviceNames, name)
 		}
 	}
-	return l.write(out), nil
+	return merged.appendJSON(out), nil
 }
 
-// change splits a list of base, and puts the amendment's items in their places. nameOf is called for the items of base in
+// mergeList splits a list of base, and puts the amendment's items in their places. nameOf is called for the items of base in
 // order, then for those of the amendment. An item taken out is nil.
-func (a *amendment) change(f member, up, gone *member, nameOf func([]byte) (string, error)) (*list, int, error) {
-	l := &list{place: map[string]int{}}
+func (a *amendment) mergeList(f member, up, gone *member, nameOf func([]byte) (string, error)) (*namedList, int, error) {
+	l := &namedList{indexOf: map[string]int{}}
 	add := func(raw []byte) error {
 		name, err := nameOf(raw)
 		if err == nil {
-			l.place[name] = len(l.names)
+			l.indexOf[name] = len(l.names)
 			l.names, l.items = append(l.names, name), append(l.items, raw)
 		}
 		return err
 	}
-	if err := a.d.list(f, add); err != nil {
+	if err := a.decoder.forEachItem(f, add); err != nil {
 		return nil, 0, err
 	}
 	removed := 0
 	if gone != nil {
-		err := a.d.list(*gone, func(raw []byte) error {
+		err := a.decoder.forEachItem(*gone, func(raw []byte) error {
 			name, err := unquote(raw)
 			if err != nil {
 				return err
 			}
-			if i, ok := l.place[name]; ok && l.items[i] != nil {
+			if i, ok := l.indexOf[name]; ok && l.items[i] != nil {
 				l.items[i] = nil
 				removed++
 			}
@@ -261,7 +261,7 @@
 		return l, removed, nil
 	}
 	sent := map[string]bool{}
-	err := a.d.list(*up, func(raw []byte) error {
+	err := a.decoder.forEachItem(*up, func(raw []byte) error {
 		name, err := nameOf(raw)
 		if err != nil {
 			return err
@@ -270,9 +270,9 @@
 			return invalid("upsert of %s has %q twice: leave one", f.key, name)
 		}
 		sent[name] = true
-		i, ok := l.place[name]
+		i, ok := l.indexOf[name]
 		if !ok {
-			l.place[name] = len(l.names)
+			l.indexOf[name] = len(l.names)
 			l.names, l.items = append(l.names, name), append(l.items, raw)
 			return nil
 		}
@@ -285,8 +285,8 @@
 	return l, removed, err
 }
 
-// write appends the list as JSON.
-func (l *list) write(out []byte) []byte {
+// appendJSON appends the list as JSON.
+func (l *namedList) appendJSON(out []byte) []byte {
 	out = append(out, '[')
 	first := true
 	for _, raw := range l.items {
--- a/internal/system/config/conf_test.go
+++ b/internal/system/config/config_test.go
@@ -23,14 +23,14 @@
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			switch d.Cmd {
 			case "replace", "amend":
-				before := current.dump()
+				before := current.describe()
 				next, err := (*Config)(nil), error(nil)
 				if d.Cmd == "replace" {
 					next, err = Parse([]byte(d.Input))
 				} else {
 					next, err = Amend(current, []byte(d.Input))
 				}
-				if current.dump() != before {
+				if current.describe() != before {
 					t.Error("the configuration in place has been changed")
 				}
 				if err != nil {
@@ -50,7 +50,7 @@
 				}
 				return "404"
 			case "dump":
-				return current.dump()
+				return current.describe()
 			case "raw":
 				return string(current.Raw)
 			}
@@ -60,8 +60,8 @@
 	})
 }
 
-// dump tells all that is known of a configuration, in its order.
-func (c *Config) dump() string {
+// describe tells all that is known of a configuration, in its order.
+func (c *Config) describe() string {
 	if c == nil {
 		return "none"
 	}
@@ -101,7 +101,7 @@
 	return b.String()
 }
 
-func read(t testing.TB, name string) []byte {
+func readExample(t testing.TB, name string) []byte {
 	t.Helper()
 	b, err := os.ReadFile("testdata/" + name)
 	if err != nil {
@@ -110,9 +110,9 @@
 	return b
 }
 
-// TestCutShort cuts the example anywhere, and changes every byte: nothing may go wrong but an ErrInvalid.
-func TestCutShort(t *testing.T) {
-	whole := read(t, "replace.json")
+// TestTruncatedOrChangedBytes cuts the example anywhere, and changes every byte: nothing may go wrong but an ErrInvalid.
+func TestTruncatedOrChangedBytes(t *testing.T) {
+	whole := readExample(t, "replace.json")
 	for i := range whole {
 		if _, err := Parse(whole[:i]); !errors.Is(err, ErrInvalid) {
 			t.Fatalf("cut at %d: %v", i, err)
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestDepth(t *testing.T) {
+func TestNestingIsBounded(t *testing.T) {
 	for _, open := range []string{"[", `{"a":`} {
 		body := []byte(`{"revision":1,"routes":[],"services":[],"x":` + strings.Repeat(open, 1<<20))
 		if _, err := Parse(body); !errors.Is(err, ErrInvalid) || !strings.Contains(err.Error(), "nests") {
@@ -144,7 +144,7 @@
 
 // TestManyPrefixes looks up a path of many slashes.
 func TestManyPrefixes(t *testing.T) {
-	c := large(t, 1000)
+	c := largeConfig(t, 1000)
 	path := "/p999" + strings.Repeat("/", 1<<16)
 	start := time.Now()
 	for range 1000 {
@@ -181,7 +181,7 @@
 	return b.Bytes()
 }
 
-func large(t testing.TB, n int) *Config {
+func largeConfig(t testing.TB, n int) *Config {
 	t.Helper()
 	c, err := Parse(largeBody(n))
 	if err != nil {
@@ -195,9 +195,9 @@
 		`"category":"idempotent","timeout_ms":500,"target":"service-1","max_tries":2}]},"remove":{"routes":["route-5"]}}`, revision)
 }
 
-// TestAmendShares tells that what an amendment does not name is not read or copied again.
-func TestAmendShares(t *testing.T) {
-	base := large(t, 100)
+// TestAmendSharesUnchangedRoutes tells that what an amendment does not name is not read or copied again.
+func TestAmendSharesUnchangedRoutes(t *testing.T) {
+	base := largeConfig(t, 100)
 	next, err := Amend(base, largeAmendment(9))
 	if err != nil {
 		t.Fatal(err)
@@ -211,8 +211,8 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(read(f, "replace.json"))
-	f.Add(read(f, "amend.json"))
+	f.Add(readExample(f, "replace.json"))
+	f.Add(readExample(f, "amend.json"))
 	f.Add(largeBody(2))
 	f.Add([]byte(`{"revision":1,"routes":[],"services":[]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -226,12 +226,12 @@
 		if !json.Valid(raw) {
 			t.Fatal("what is no JSON was taken")
 		}
-		c.sound(t)
+		c.requireValid(t)
 	})
 }
 
-// sound checks what every valid configuration keeps to.
-func (c *Config) sound(t *testing.T) {
+// requireValid checks what every valid configuration keeps to.
+func (c *Config) requireValid(t *testing.T) {
 	t.Helper()
 	if c.Revision < 1 || len(c.serviceNames) != len(c.Services) {
 		t.Fatalf("revision %d, %d services", c.Revision, len(c.Services))
@@ -259,7 +259,7 @@
 }
 
 func FuzzAmend(f *testing.F) {
-	f.Add(read(f, "replace.json"), read(f, "amend.json"))
+	f.Add(readExample(f, "replace.json"), readExample(f, "amend.json"))
 	f.Add(largeBody(7), largeAmendment(9))
 	f.Add([]byte(`{"revision":1,"routes":[],"x":[{"name":"a"}],"services":[]}`),
 		[]byte(`{"revision":2,"upsert":{"x":[{"name":"b"}],"limits":{}},"remove":{"x":["a"],"services":["s"]}}`))
@@ -268,9 +268,9 @@
 		if err != nil {
 			return
 		}
-		before := base.dump()
+		before := base.describe()
 		next, err := Amend(base, second)
-		if base.dump() != before || !bytes.Equal(base.Raw, first) {
+		if base.describe() != before || !bytes.Equal(base.Raw, first) {
 			t.Fatal("the base has been changed")
 		}
 		if err != nil {
@@ -279,13 +279,13 @@
 			}
 			return
 		}
-		next.sound(t)
+		next.requireValid(t)
 		again, err := Parse(next.Raw)
 		if err != nil {
 			t.Fatalf("%v\n%s", err, next.Raw)
 		}
 		if !reflect.DeepEqual(again, next) {
-			t.Fatalf("read again it differs\n%s\n%s", next.dump(), again.dump())
+			t.Fatalf("read again it differs\n%s\n%s", next.describe(), again.describe())
 		}
 	})
 }
@@ -302,7 +302,7 @@
 }
 
 func BenchmarkAmend(b *testing.B) {
-	base, raw := large(b, 1000), largeAmendment(9)
+	base, raw := largeConfig(b, 1000), largeAmendment(9)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := Amend(base, raw); err != nil {
@@ -312,7 +312,7 @@
 }
 
 func BenchmarkMatch(b *testing.B) {
-	c := large(b, 1000)
+	c := largeConfig(b, 1000)
 	b.ReportAllocs()
 	for b.Loop() {
 		if c.Match("host999.example", "/p999/x/y/z") == nil {
--- a/internal/system/config/items.go
+++ b/internal/system/config/items.go
@@ -12,16 +12,16 @@
 // maxDuration bounds told times, so that sums of them do not overflow.
 const maxDuration = 365 * 24 * time.Hour
 
-// item reads the fields of one object and keeps the first error.
-type item struct {
-	d    *decoder
-	v    *fastjson.Value
-	what string
-	err  error
+// objectReader reads the fields of one object and keeps the first error.
+type objectReader struct {
+	decoder *itemDecoder
+	value   *fastjson.Value
+	label   string
+	err     error
 }
 
-// item reads one object; what names it in messages.
-func (d *decoder) item(raw []byte, what string) (*item, error) {
+// object reads one object; what names it in messages.
+func (d *itemDecoder) object(raw []byte, what string) (*objectReader, error) {
 	v, err := d.parse(raw, what)
 	if err != nil {
 		return nil, err
@@ -29,36 +29,36 @@
 	if v.Type() != fastjson.TypeObject {
 		return nil, invalid("%s is no object: send {...}", what)
 	}
-	return &item{d: d, v: v, what: what}, nil
+	return &objectReader{decoder: d, value: v, label: what}, nil
 }
 
-// named is item for those that need a name.
-func (d *decoder) named(raw []byte, kind string) (*item, string, error) {
-	it, err := d.item(raw, "a "+kind)
+// namedObject is item for those that need a name.
+func (d *itemDecoder) namedObject(raw []byte, kind string) (*objectReader, string, error) {
+	object, err := d.object(raw, "a "+kind)
 	if err != nil {
 		return nil, "", err
 	}
-	name := it.text("name", true)
-	it.what = kind + ` "` + name + `"`
-	return it, name, it.err
+	name := object.stringField("name", true)
+	object.label = kind + ` "` + name + `"`
+	return object, name, object.err
 }
 
-func (it *item) fail(format string, args ...any) {
+func (it *objectReader) fail(format string, args ...any) {
 	if it.err == nil {
-		it.err = invalid("%s: %s", it.what, fmt.Sprintf(format, args...))
+		it.err = invalid("%s: %s", it.label, fmt.Sprintf(format, args...))
 	}
 }
 
 // get returns a field, nil where it is absent or null.
-func (it *item) get(key string) *fastjson.Value {
-	v := it.v.Get(key)
+func (it *objectReader) get(key string) *fastjson.Value {
+	v := it.value.Get(key)
 	if v == nil || v.Type() == fastjson.TypeNull {
 		return nil
 	}
 	return v
 }
 
-func (it *item) text(key string, needed bool) string {
+func (it *objectReader) stringField(key string, needed bool) string {
 	v := it.get(key)
 	if v == nil {
 		if needed {
@@ -74,10 +74,10 @@
 	if needed && len(b) == 0 {
 		it.fail("%s is empty: fill it", key)
 	}
-	return it.d.intern(b)
+	return it.decoder.intern(b)
 }
 
-func (it *item) flag(key string) bool {
+func (it *objectReader) boolField(key string) bool {
 	v := it.get(key)
 	if v == nil {
 		return false
@@ -89,8 +89,8 @@
 	return b
 }
 
-// number returns a finite number, 0 or more; absent where it is not there.
-func (it *item) number(key string, absent float64) float64 {
+// nonNegativeNumber returns a finite nonNegativeNumber, 0 or more; absent where it is not there.
+func (it *objectReader) nonNegativeNumber(key string, absent float64) float64 {
 	v := it.get(key)
 	if v == nil {
 		return absent
@@ -107,63 +107,63 @@
 	return f
 }
 
-// count returns a number without its fraction, at most most.
-func (it *item) count(key string, most int64) int64 {
-	return int64(math.Min(it.number(key, 0), float64(most)))
+// integerField returns a number without its fraction, at most most.
+func (it *objectReader) integerField(key string, most int64) int64 {
+	return int64(math.Min(it.nonNegativeNumber(key, 0), float64(most)))
 }
 
-// span returns a time of the given unit, absent where there is none. One above 0 stays above 0.
-func (it *item) span(key string, unit, absent time.Duration) time.Duration {
-	f := it.number(key, -1)
+// durationField returns a time of the given unit, absent where there is none. One above 0 stays above 0.
+func (it *objectReader) durationField(key string, unit, absent time.Duration) time.Duration {
+	f := it.nonNegativeNumber(key, -1)
 	if f < 0 {
 		return absent
 	}
 	return time.Duration(math.Ceil(math.Min(f*float64(unit), float64(maxDuration))))
 }
 
-func (d *decoder) route(raw []byte) (*Route, error) {
-	it, name, err := d.named(raw, "route")
+func (d *itemDecoder) route(raw []byte) (*Route, error) {
+	object, name, err := d.namedObject(raw, "route")
 	if err != nil {
 		return nil, err
 	}
-	r := &Route{
-		Name: name, Host: it.text("hostname", true), Prefix: it.text("path_prefix", true),
-		Timeout:        it.span("timeout_ms", time.Millisecond, -1),
-		EventGapTarget: it.span("gap_aim_ms", time.Millisecond, 0),
-		Priority:       int(it.count("priority", math.MaxInt32)),
-		MaxTries:       max(1, int(it.count("max_tries", math.MaxInt32))),
-		Sticky:         it.flag("sticky"), Resumable: it.flag("resumable"),
+	route := &Route{
+		Name: name, Host: object.stringField("hostname", true), Prefix: object.stringField("path_prefix", true),
+		Timeout:        object.durationField("timeout_ms", time.Millisecond, -1),
+		EventGapTarget: object.durationField("gap_aim_ms", time.Millisecond, 0),
+		Priority:       int(object.integerField("priority", math.MaxInt32)),
+		MaxTries:       max(1, int(object.integerField("max_tries", math.MaxInt32))),
+		Sticky:         object.boolField("sticky"), Resumable: object.boolField("resumable"),
 	}
-	r.LatencyTarget = it.span("target_latency_ms", time.Millisecond, r.Timeout)
-	switch c := it.text("category", false); c {
+	route.LatencyTarget = object.durationField("target_latency_ms", time.Millisecond, route.Timeout)
+	switch c := object.stringField("category", false); c {
 	case "idempotent":
-		r.Category = Idempotent
+		route.Category = Idempotent
 	case "non_idempotent", "": // what is not told may not be repeated
-		r.Category = NonIdempotent
+		route.Category = NonIdempotent
 	case "streaming":
-		r.Category = Streaming
+		route.Category = Streaming
 	default:
-		it.fail("category %q is unknown: send idempotent, non_idempotent or streaming", c)
+		object.fail("category %q is unknown: send idempotent, non_idempotent or streaming", c)
 	}
-	if it.err == nil && r.Timeout < 0 {
-		it.fail("timeout_ms is missing: add it")
+	if object.err == nil && route.Timeout < 0 {
+		object.fail("timeout_ms is missing: add it")
 	}
-	if r.Timeout == 0 {
-		it.fail("timeout_ms is 0: send a time above 0")
+	if route.Timeout == 0 {
+		object.fail("timeout_ms is 0: send a time above 0")
 	}
-	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
-		it.fail("path_prefix %q does not begin and end with a slash: add it", r.Prefix)
+	if !strings.HasPrefix(route.Prefix, "/") || !strings.HasSuffix(route.Prefix, "/") {
+		object.fail("path_prefix %q does not begin and end with a slash: add it", route.Prefix)
 	}
-	if it.err == nil && hostKey(r.Host) == "" {
-		it.fail("hostname %q is empty: fill it", r.Host)
+	if object.err == nil && hostKey(route.Host) == "" {
+		object.fail("hostname %q is empty: fill it", route.Host)
 	}
-	it.shares(r)
-	it.homes(r)
-	return r, it.err
+	object.readShares(route)
+	object.readHomeRegions(route)
+	return route, object.err
 }
 
-// shares reads the groups. Shares of one service are added up, at the place of the first.
-func (it *item) shares(r *Route) {
+// readShares reads the groups. Shares of one service are added up, at the place of the first.
+func (it *objectReader) readShares(r *Route) {
 	target, list := it.get("target"), it.get("shares")
 	if list != nil && list.Type() != fastjson.TypeArray {
 		it.fail("shares is no list: send [...]")
@@ -173,10 +173,10 @@
 		if len(list.GetArray()) > 0 {
 			it.fail("has target and shares: leave one")
 		}
-		r.Shares = []Share{{Service: it.text("target", true), Weight: 1}}
+		r.Shares = []Share{{Service: it.stringField("target", true), Weight: 1}}
 		return
 	}
-	sum, whole := 0.0, it.v
+	sum, whole := 0.0, it.value
 	values := list.GetArray()
 	r.Shares = make([]Share, 0, len(values))
 	for _, e := range values {
@@ -184,14 +184,14 @@
 			it.fail("a share is no object: send {...}")
 			return
 		}
-		it.v = e
-		s := Share{Service: it.text("target", true), Weight: it.number("share", -1)}
-		it.v = whole
+		it.value = e
+		s := Share{Service: it.stringField("target", true), Weight: it.nonNegativeNumber("share", -1)}
+		it.value = whole
 		if it.err == nil && s.Weight < 0 {
 			it.fail("the share of %q is missing: add it", s.Service)
 		}
 		sum += s.Weight
-		r.add(s)
+		r.addShare(s)
 	}
 	if len(r.Shares) == 0 {
 		it.fail("has neither target nor shares: add one")
@@ -204,7 +204,7 @@
 	}
 }
 
-func (r *Route) add(s Share) {
+func (r *Route) addShare(s Share) {
 	for i := range r.Shares {
 		if r.Shares[i].Service == s.Service {
 			r.Shares[i].Weight += s.Weight
@@ -214,7 +214,7 @@
 	r.Shares = append(r.Shares, s)
 }
 
-func (it *item) homes(r *Route) {
+func (it *objectReader) readHomeRegions(r *Route) {
 	v := it.get("home_regions")
 	if v == nil {
 		return
@@ -229,70 +229,70 @@
 			it.fail("home_regions holds something that is no name: send names in quotes")
 			return
 		}
-		r.HomeRegions = append(r.HomeRegions, it.d.intern(b))
+		r.HomeRegions = append(r.HomeRegions, it.decoder.intern(b))
 	}
 }
 
-func (d *decoder) service(raw []byte) (*Service, error) {
-	it, name, err := d.named(raw, "service")
+func (d *itemDecoder) service(raw []byte) (*Service, error) {
+	object, name, err := d.namedObject(raw, "service")
 	if err != nil {
 		return nil, err
 	}
-	s := &Service{
-		Name: name, HealthPath: it.text("health_path", false),
-		MaxConns:   int(it.count("max_conns", math.MaxInt32)),
-		WarmUpTime: it.span("cold_s", time.Second, 0),
-		WarmUpRate: it.number("cold_per_s", 0),
+	service := &Service{
+		Name: name, HealthPath: object.stringField("health_path", false),
+		MaxConns:   int(object.integerField("max_conns", math.MaxInt32)),
+		WarmUpTime: object.durationField("cold_s", time.Second, 0),
+		WarmUpRate: object.nonNegativeNumber("cold_per_s", 0),
 	}
-	if e := it.get("engine"); e != nil {
+	if e := object.get("engine"); e != nil {
 		if e.Type() != fastjson.TypeObject {
-			it.fail("engine is no object: send {...}")
-			return nil, it.err
+			object.fail("engine is no object: send {...}")
+			return nil, object.err
 		}
-		it.v = e
-		s.Engine = &Engine{
-			Slots:          int(it.count("slots", math.MaxInt32)),
-			CacheTokens:    it.count("cache_tokens", 1<<53),
-			TokensPerEvent: int(it.count("stride", math.MaxInt32)),
+		object.value = e
+		service.Engine = &Engine{
+			Slots:          int(object.integerField("slots", math.MaxInt32)),
+			CacheTokens:    object.integerField("cache_tokens", 1<<53),
+			TokensPerEvent: int(object.integerField("stride", math.MaxInt32)),
 		}
-		if m := it.get("models"); m != nil {
+		if m := object.get("models"); m != nil {
 			if m.Type() != fastjson.TypeArray {
-				it.fail("models is no list: send [...]")
+				object.fail("models is no list: send [...]")
 			}
 			for _, x := range m.GetArray() {
 				if x.Type() != fastjson.TypeObject {
-					it.fail("a model is no object: send {...}")
+					object.fail("a model is no object: send {...}")
 					break
 				}
-				it.v = x
-				s.Engine.Models = append(s.Engine.Models, it.text("name", true))
+				object.value = x
+				service.Engine.Models = append(service.Engine.Models, object.stringField("name", true))
 			}
 		}
 	}
-	return s, it.err
+	return service, object.err
 }
 
-func (d *decoder) limits(raw []byte) (Limits, error) {
-	it, err := d.item(raw, "limits")
+func (d *itemDecoder) limits(raw []byte) (Limits, error) {
+	object, err := d.object(raw, "limits")
 	if err != nil {
 		return Limits{}, err
 	}
-	l := Limits{
-		HeaderBytes: it.count("max_header_bytes", 1<<40), BodyBytes: it.count("max_body_bytes", 1<<40),
-		HeaderTimeout: it.span("header_timeout_ms", time.Millisecond, 0),
-		IdleTimeout:   it.span("idle_timeout_ms", time.Millisecond, 0),
+	limits := Limits{
+		HeaderBytes: object.integerField("max_header_bytes", 1<<40), BodyBytes: object.integerField("max_body_bytes", 1<<40),
+		HeaderTimeout: object.durationField("header_timeout_ms", time.Millisecond, 0),
+		IdleTimeout:   object.durationField("idle_timeout_ms", time.Millisecond, 0),
 	}
-	if l.HeaderBytes == 0 {
-		l.HeaderBytes = defaultLimits.HeaderBytes
+	if limits.HeaderBytes == 0 {
+		limits.HeaderBytes = defaultLimits.HeaderBytes
 	}
-	if l.BodyBytes == 0 {
-		l.BodyBytes = defaultLimits.BodyBytes
+	if limits.BodyBytes == 0 {
+		limits.BodyBytes = defaultLimits.BodyBytes
 	}
-	if l.HeaderTimeout == 0 {
-		l.HeaderTimeout = defaultLimits.HeaderTimeout
+	if limits.HeaderTimeout == 0 {
+		limits.HeaderTimeout = defaultLimits.HeaderTimeout
 	}
-	if l.IdleTimeout == 0 {
-		l.IdleTimeout = defaultLimits.IdleTimeout
+	if limits.IdleTimeout == 0 {
+		limits.IdleTimeout = defaultLimits.IdleTimeout
 	}
-	return l, it.err
+	return limits, object.err
 }
--- a/internal/system/config/json.go
+++ b/internal/system/config/json.go
@@ -10,8 +10,8 @@
 // maxDepth bounds the nesting of a body, so that reading it needs a bounded stack.
 const maxDepth = 64
 
-// validate fails unless raw is one whole JSON value in UTF-8 that nests at most maxDepth deep.
-func validate(raw []byte) error {
+// validateJSON fails unless raw is one whole JSON value in UTF-8 that nests at most maxDepth deep.
+func validateJSON(raw []byte) error {
 	depth := 0
 	for i := 0; i < len(raw); i++ {
 		switch raw[i] {
@@ -90,8 +90,8 @@
 	return i
 }
 
-// elements calls f with each element of raw, a valid array; false where raw is no array.
-func elements(raw []byte, f func(value []byte) error) (bool, error) {
+// forEachElement calls f with each element of raw, a valid array; false where raw is no array.
+func forEachElement(raw []byte, f func(value []byte) error) (bool, error) {
 	i := skipSpace(raw, 0)
 	if i >= len(raw) || raw[i] != '[' {
 		return false, nil
@@ -161,12 +161,12 @@
 	return string(v.GetStringBytes()), nil
 }
 
-// noRepeats fails where an object inside v has a name twice: which one counts would be anyone's guess.
-func noRepeats(v *fastjson.Value, what string) error {
+// rejectDuplicateKeys fails where an object inside v has a name twice: which one counts would be anyone's guess.
+func rejectDuplicateKeys(v *fastjson.Value, what string) error {
 	switch v.Type() {
 	case fastjson.TypeArray:
 		for _, e := range v.GetArray() {
-			if err := noRepeats(e, what); err != nil {
+			if err := rejectDuplicateKeys(e, what); err != nil {
 				return err
 			}
 		}
@@ -197,7 +197,7 @@
 				}
 				keys = append(keys, key)
 			}
-			err = noRepeats(e, what)
+			err = rejectDuplicateKeys(e, what)
 		})
 		return err
 	}
--- a/internal/system/config/match.go
+++ b/internal/system/config/match.go
@@ -7,8 +7,8 @@
 
 // hostIndex holds the routes of one host.
 type hostIndex struct {
-	prefixes map[string]*Route
-	lengths  []int // of the prefixes, each once, longest first
+	routes        map[string]*Route
+	prefixLengths []int // of the prefixes, each once, longest first
 }
 
 // Match returns the route of host with the longest prefix that begins path, or nil. Case and port of host do not count.
@@ -22,9 +22,9 @@
 			return nil
 		}
 	}
-	for _, n := range h.lengths {
+	for _, n := range h.prefixLengths {
 		if n <= len(path) && path[n-1] == '/' {
-			if r := h.prefixes[path[:n]]; r != nil {
+			if r := h.routes[path[:n]]; r != nil {
 				return r
 			}
 		}
@@ -42,8 +42,8 @@
 	return strings.ToLower(strings.TrimSuffix(host, "."))
 }
 
-// index makes the table that Match reads.
-func (c *Config) index() error {
+// indexHosts makes the table that Match reads.
+func (c *Config) indexHosts() error {
 	c.hosts = make(map[string]*hostIndex)
 	last, lastKey := "", "" // most routes follow one of the same host
 	for _, r := range c.Routes {
@@ -52,23 +52,23 @@
 		}
 		h := c.hosts[lastKey]
 		if h == nil {
-			h = &hostIndex{prefixes: map[string]*Route{}}
+			h = &hostIndex{routes: map[string]*Route{}}
 			c.hosts[lastKey] = h
 		}
-		if other := h.prefixes[r.Prefix]; other != nil {
+		if other := h.routes[r.Prefix]; other != nil {
 			return invalid("routes %q and %q share host %q and prefix %q: change one", other.Name, r.Name, r.Host, r.Prefix)
 		}
-		h.prefixes[r.Prefix] = r
+		h.routes[r.Prefix] = r
 	}
 	for _, h := range c.hosts {
 		seen := map[int]bool{}
-		for p := range h.prefixes {
+		for p := range h.routes {
 			if !seen[len(p)] {
 				seen[len(p)] = true
-				h.lengths = append(h.lengths, len(p))
+				h.prefixLengths = append(h.prefixLengths, len(p))
 			}
 		}
-		slices.SortFunc(h.lengths, func(a, b int) int { return b - a })
+		slices.SortFunc(h.prefixLengths, func(a, b int) int { return b - a })
 	}
 	return nil
 }
--- a/internal/system/config/model_test.go
+++ b/internal/system/config/model_test.go
@@ -10,11 +10,11 @@
 	"pgregory.net/rapid"
 )
 
-type object = map[string]any
+type jsonObject = map[string]any
 
 // drawRoute draws a route, which may clash with others or name a service that is not there.
-func drawRoute(t *rapid.T) object {
-	r := object{
+func drawRoute(t *rapid.T) jsonObject {
+	r := jsonObject{
 		"name": rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "name"), "hostname": "h",
 		"path_prefix": rapid.SampledFrom([]string{"/", "/x/", "/y/", "/x/y/", "/z/"}).Draw(t, "prefix"),
 		"timeout_ms":  rapid.IntRange(0, 30).Draw(t, "timeout"), "unknown": rapid.SampledFrom([]string{"", "}", `"`, "\\"}).Draw(t, "unknown"),
@@ -22,30 +22,30 @@
 	if rapid.Bool().Draw(t, "single") {
 		r["target"] = rapid.SampledFrom([]string{"s", "t", "u"}).Draw(t, "target")
 	} else {
-		r["shares"] = []any{object{"target": "s", "share": rapid.IntRange(0, 2).Draw(t, "share")}, object{"target": "t", "share": 1}}
+		r["shares"] = []any{jsonObject{"target": "s", "share": rapid.IntRange(0, 2).Draw(t, "share")}, jsonObject{"target": "t", "share": 1}}
 	}
 	return r
 }
 
-func drawService(t *rapid.T) object {
-	return object{"name": rapid.SampledFrom([]string{"s", "t", "u"}).Draw(t, "service"), "max_conns": rapid.IntRange(0, 9).Draw(t, "conns")}
+func drawService(t *rapid.T) jsonObject {
+	return jsonObject{"name": rapid.SampledFrom([]string{"s", "t", "u"}).Draw(t, "service"), "max_conns": rapid.IntRange(0, 9).Draw(t, "conns")}
 }
 
-func uniqueByName(all []object) []object {
-	var kept []object
+func uniqueByName(all []jsonObject) []jsonObject {
+	var kept []jsonObject
 	for _, o := range all {
-		if !slices.ContainsFunc(kept, func(k object) bool { return k["name"] == o["name"] }) {
+		if !slices.ContainsFunc(kept, func(k jsonObject) bool { return k["name"] == o["name"] }) {
 			kept = append(kept, o)
 		}
 	}
 	return kept
 }
 
-// merged is the plain model of an amendment to one list.
-func merged(base, upsert []object, remove []string) []any {
+// mergedModel is the plain model of an amendment to one list.
+func mergedModel(base, upsert []jsonObject, remove []string) []any {
 	var out []any
 	for _, o := range base {
-		i := slices.IndexFunc(upsert, func(u object) bool { return u["name"] == o["name"] })
+		i := slices.IndexFunc(upsert, func(u jsonObject) bool { return u["name"] == o["name"] })
 		switch {
 		case i >= 0:
 			out = append(out, upsert[i])
@@ -54,14 +54,14 @@
 		}
 	}
 	for _, u := range upsert {
-		if !slices.ContainsFunc(base, func(o object) bool { return o["name"] == u["name"] }) {
+		if !slices.ContainsFunc(base, func(o jsonObject) bool { return o["name"] == u["name"] }) {
 			out = append(out, u)
 		}
 	}
 	return out
 }
 
-func marshal(t *rapid.T, v any) []byte {
+func mustMarshal(t *rapid.T, v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
 		t.Fatal(err)
@@ -75,14 +75,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		routes := uniqueByName(rapid.SliceOfN(rapid.Custom(drawRoute), 0, 4).Draw(t, "routes"))
 		services := uniqueByName(rapid.SliceOfN(rapid.Custom(drawService), 0, 3).Draw(t, "services"))
-		whole := object{"revision": 3, "routes": routes, "services": services, "other": []any{1, "x"}}
+		whole := jsonObject{"revision": 3, "routes": routes, "services": services, "other": []any{1, "x"}}
 		if routes == nil {
 			whole["routes"] = []any{}
 		}
 		if services == nil {
 			whole["services"] = []any{}
 		}
-		base, err := Parse(marshal(t, whole))
+		base, err := Parse(mustMarshal(t, whole))
 		if err != nil {
 			return
 		}
@@ -90,10 +90,10 @@
 		upServices := uniqueByName(rapid.SliceOfN(rapid.Custom(drawService), 0, 2).Draw(t, "upsert services"))
 		names := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "s", "u"}), 0, 2)
 		goneRoutes, goneServices := names.Draw(t, "remove routes"), names.Draw(t, "remove services")
-		change := object{"revision": 3 + rapid.IntRange(0, 2).Draw(t, "step"), "upsert": object{}, "remove": object{}}
+		change := jsonObject{"revision": 3 + rapid.IntRange(0, 2).Draw(t, "step"), "upsert": jsonObject{}, "remove": jsonObject{}}
 		set := func(group, list string, v any, n int) {
 			if n > 0 {
-				change[group].(object)[list] = v
+				change[group].(jsonObject)[list] = v
 			}
 		}
 		set("upsert", "routes", upRoutes, len(upRoutes))
@@ -101,12 +101,12 @@
 		set("remove", "routes", goneRoutes, len(goneRoutes))
 		set("remove", "services", goneServices, len(goneServices))
 
-		got, err := Amend(base, marshal(t, change))
+		got, err := Amend(base, mustMarshal(t, change))
 
 		whole["revision"] = change["revision"]
-		whole["routes"] = append([]any{}, merged(routes, upRoutes, goneRoutes)...)
-		whole["services"] = append([]any{}, merged(services, upServices, goneServices)...)
-		want, wantErr := Parse(marshal(t, whole))
+		whole["routes"] = append([]any{}, mergedModel(routes, upRoutes, goneRoutes)...)
+		whole["services"] = append([]any{}, mergedModel(services, upServices, goneServices)...)
+		want, wantErr := Parse(mustMarshal(t, whole))
 		if change["revision"] == 3 {
 			wantErr = fmt.Errorf("the current revision")
 		}
@@ -117,8 +117,8 @@
 			return
 		}
 		taken++
-		if got.dump() != want.dump() {
-			t.Fatalf("%s\nwant\n%s", got.dump(), want.dump())
+		if got.describe() != want.describe() {
+			t.Fatalf("%s\nwant\n%s", got.describe(), want.describe())
 		}
 		var a, b any
 		if json.Unmarshal(got.Raw, &a) != nil || json.Unmarshal(want.Raw, &b) != nil || !reflect.DeepEqual(a, b) {
--- a/internal/system/config/parse.go
+++ b/internal/system/config/parse.go
@@ -13,44 +13,44 @@
 // Parse reads and checks a whole configuration. The result keeps raw, which must not be changed afterwards. Fields that
 // it does not know are passed over. Every error is an ErrInvalid.
 func Parse(raw []byte) (*Config, error) {
-	if err := validate(raw); err != nil {
+	if err := validateJSON(raw); err != nil {
 		return nil, err
 	}
 	fields, err := members(raw, "the configuration")
 	if err != nil {
 		return nil, err
 	}
-	c := &Config{Raw: raw, Limits: defaultLimits, Services: map[string]*Service{}}
-	d := newDecoder()
+	parsed := &Config{Raw: raw, Limits: defaultLimits, Services: map[string]*Service{}}
+	decoder := newDecoder()
 	var sawRevision, sawRoutes, sawServices bool
-	for _, f := range fields {
-		switch f.key {
+	for _, field := range fields {
+		switch field.key {
 		case "revision":
 			sawRevision = true
-			c.Revision, err = d.revision(f.value)
+			parsed.Revision, err = decoder.revision(field.value)
 		case "services":
 			sawServices = true
-			err = d.list(f, func(item []byte) error {
-				s, err := d.service(item)
+			err = decoder.forEachItem(field, func(item []byte) error {
+				s, err := decoder.service(item)
 				if err != nil {
 					return err
 				}
-				return c.addService(s)
+				return parsed.addService(s)
 			})
 		case "routes":
 			sawRoutes = true
-			c.Routes = make([]*Route, 0, bytes.Count(f.value, []byte(`"path_prefix"`)))
-			err = d.list(f, func(item []byte) error {
-				r, err := d.route(item)
-				c.Routes = append(c.Routes, r)
+			parsed.Routes = make([]*Route, 0, bytes.Count(field.value, []byte(`"path_prefix"`)))
+			err = decoder.forEachItem(field, func(item []byte) error {
+				r, err := decoder.route(item)
+				parsed.Routes = append(parsed.Routes, r)
 				return err
 			})
 		case "limits":
-			if !f.isNull {
-				c.Limits, err = d.limits(f.value)
+			if !field.isNull {
+				parsed.Limits, err = decoder.limits(field.value)
 			}
 		default:
-			_, err = d.parse(f.value, f.key)
+			_, err = decoder.parse(field.value, field.key)
 		}
 		if err != nil {
 			return nil, err
@@ -64,10 +64,10 @@
 	case !sawServices:
 		return nil, invalid("services are missing: send the whole configuration, or Config.Amend")
 	}
-	if err := c.finish(); err != nil {
+	if err := parsed.checkReferences(); err != nil {
 		return nil, err
 	}
-	return c, nil
+	return parsed, nil
 }
 
 func (c *Config) addService(s *Service) error {
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// finish checks what concerns several items, and makes the index.
-func (c *Config) finish() error {
+// checkReferences checks what concerns several items, and makes the index.
+func (c *Config) checkReferences() error {
 	names := make(map[string]struct{}, len(c.Routes))
 	for _, r := range c.Routes {
 		if _, ok := names[r.Name]; ok {
@@ -93,26 +93,26 @@
 			}
 		}
 	}
-	return c.index()
+	return c.indexHosts()
 }
 
-// decoder reads items with one parser, so that memory for the JSON of one item is all that it takes.
-type decoder struct {
+// itemDecoder reads items with one parser, so that memory for the JSON of one item is all that it takes.
+type itemDecoder struct {
 	parser fastjson.Parser
 	names  map[string]string // each text once, however many items hold it
 }
 
-func newDecoder() *decoder { return &decoder{names: map[string]string{}} }
+func newDecoder() *itemDecoder { return &itemDecoder{names: map[string]string{}} }
 
-func (d *decoder) parse(raw []byte, what string) (*fastjson.Value, error) {
+func (d *itemDecoder) parse(raw []byte, what string) (*fastjson.Value, error) {
 	v, err := d.parser.ParseBytes(raw)
 	if err != nil {
 		return nil, invalid("%s cannot be read: %v", what, err)
 	}
-	return v, noRepeats(v, what)
+	return v, rejectDuplicateKeys(v, what)
 }
 
-func (d *decoder) intern(b []byte) string {
+func (d *itemDecoder) intern(b []byte) string {
 	if s, ok := d.names[string(b)]; ok {
 		return s
 	}
@@ -121,8 +121,8 @@
 	return s
 }
 
-func (d *decoder) list(f member, item func([]byte) error) error {
-	ok, err := elements(f.value, item)
+func (d *itemDecoder) forEachItem(f member, item func([]byte) error) error {
+	ok, err := forEachElement(f.value, item)
 	if !ok {
 		return invalid("%s is no list: send [...]", f.key)
 	}
@@ -130,7 +130,7 @@
 }
 
 // revision reads a whole number above 0.
-func (d *decoder) revision(raw []byte) (int64, error) {
+func (d *itemDecoder) revision(raw []byte) (int64, error) {
 	v, err := d.parser.ParseBytes(raw)
 	if err != nil || v.Type() != fastjson.TypeNumber {
 		return 0, invalid("revision is no number: send a whole number above 0")
