--- a/internal/system/config/amend.go
+++ b/internal/system/config/amend.go
@@ -5,13 +5,6 @@
 	"slices"
 )
 
-// namedList is one top-level namedList of named items while an amendment is merged into it.
-type namedList struct {
-	names   []string
-	items   [][]byte
-	indexOf map[string]int // index by name
-}
-
 // Amend merges an amendment into base, which it leaves as it was, and checks the result as a whole. Items replaced stay at
 // their place, new ones follow, fields that are not known are kept. Removing what is not there is no error. What is
 // removed and added under one name is replaced. Every error is an ErrInvalid.
@@ -284,20 +277,3 @@
 	})
 	return l, removed, err
 }
-
-// appendJSON appends the list as JSON.
-func (l *namedList) appendJSON(out []byte) []byte {
-	out = append(out, '[')
-	first := true
-	for _, raw := range l.items {
-		if raw == nil {
-			continue
-		}
-		if !first {
-			out = append(out, ',')
-		}
-		first = false
-		out = append(out, raw...)
-	}
-	return append(out, ']')
-}
--- /dev/null
+++ b/internal/system/config/object.go
@@ -0,0 +1,121 @@
+package config
+
+import (
+	"fmt"
+	"math"
+	"time"
+
+	"github.com/valyala/fastjson"
+)
+
+// maxDuration bounds told times, so that sums of them do not overflow.
+const maxDuration = 365 * 24 * time.Hour
+
+// objectReader reads the fields of one object and keeps the first error.
+type objectReader struct {
+	decoder *itemDecoder
+	value   *fastjson.Value
+	label   string
+	err     error
+}
+
+// object reads one object; what names it in messages.
+func (d *itemDecoder) object(raw []byte, what string) (*objectReader, error) {
+	v, err := d.parse(raw, what)
+	if err != nil {
+		return nil, err
+	}
+	if v.Type() != fastjson.TypeObject {
+		return nil, invalid("%s is no object: send {...}", what)
+	}
+	return &objectReader{decoder: d, value: v, label: what}, nil
+}
+
+// namedObject is item for those that need a name.
+func (d *itemDecoder) namedObject(raw []byte, kind string) (*objectReader, string, error) {
+	object, err := d.object(raw, "a "+kind)
+	if err != nil {
+		return nil, "", err
+	}
+	name := object.stringField("name", true)
+	object.label = kind + ` "` + name + `"`
+	return object, name, object.err
+}
+
+func (it *objectReader) fail(format string, args ...any) {
+	if it.err == nil {
+		it.err = invalid("%s: %s", it.label, fmt.Sprintf(format, args...))
+	}
+}
+
+// get returns a field, nil where it is absent or null.
+func (it *objectReader) get(key string) *fastjson.Value {
+	v := it.value.Get(key)
+	if v == nil || v.Type() == fastjson.TypeNull {
+		return nil
+	}
+	return v
+}
+
+func (it *objectReader) stringField(key string, needed bool) string {
+	v := it.get(key)
+	if v == nil {
+		if needed {
+			it.fail("%s is missing: add it", key)
+		}
+		return ""
+	}
+	b, err := v.StringBytes()
+	if err != nil {
+		it.fail("%s is no string: quote it", key)
+		return ""
+	}
+	if needed && len(b) == 0 {
+		it.fail("%s is empty: fill it", key)
+	}
+	return it.decoder.intern(b)
+}
+
+func (it *objectReader) boolField(key string) bool {
+	v := it.get(key)
+	if v == nil {
+		return false
+	}
+	b, err := v.Bool()
+	if err != nil {
+		it.fail("%s is neither true nor false: send one of them", key)
+	}
+	return b
+}
+
+// nonNegativeNumber returns a finite nonNegativeNumber, 0 or more; absent where it is not there.
+func (it *objectReader) nonNegativeNumber(key string, absent float64) float64 {
+	v := it.get(key)
+	if v == nil {
+		return absent
+	}
+	f, err := v.Float64()
+	switch {
+	case v.Type() != fastjson.TypeNumber || err != nil || math.IsInf(f, 0) || math.IsNaN(f):
+		it.fail("%s is no number that can be read: send a number without quotes", key)
+		return 0
+	case f < 0:
+		it.fail("%s is %g: send 0 or more", key, f)
+		return 0
+	}
+	return f
+}
+
+// integerField returns a number without its fraction, at most most.
+func (it *objectReader) integerField(key string, most int64) int64 {
+	return int64(math.Min(it.nonNegativeNumber(key, 0), float64(most)))
+}
+
+// durationField returns a time of the given unit, absent where there is none. One above 0 stays above 0.
+func (it *objectReader) durationField(key string, unit, absent time.Duration) time.Duration {
+	f := it.nonNegativeNumber(key, -1)
+	if f < 0 {
+		return absent
+	}
+	return time.Duration(math.Ceil(math.Min(f*float64(unit), float64(maxDuration))))
+}
