--- a/internal/system/controlstate/history_test.go
+++ b/internal/system/controlstate/history_test.go
@@ -12,24 +12,24 @@
 	"gradeusher.example/gradeusher/internal/system/fields"
 )
 
-// manyChanges applies count changes of the configuration, each under a revision three above the one before.
-func manyChanges(t testing.TB, count int) (*State, []Change) {
+// applyMany applies count changes of the configuration, each under a revision three above its predecessor's.
+func applyMany(t testing.TB, count int) (*State, []Change) {
 	t.Helper()
 	s := Empty()
 	var all []Change
 	for i := range int64(count) {
-		c := Change{Op: OpReplace, Base: s.Revision(), Body: body(i*3+1, "")}
+		c := Change{Op: OpReplace, Base: s.Revision(), Body: configBody(i*3+1, "")}
 		if i%5 == 4 {
-			c = Change{Op: OpAmend, Base: s.Revision(), Body: amendment(i*3+1, "a")}
+			c = Change{Op: OpAmend, Base: s.Revision(), Body: amendmentBody(i*3+1, "a")}
 		}
-		s = accept(t, s, c)
+		s = requireAccepted(t, s, c)
 		all = append(all, c)
 	}
 	return s, all
 }
 
-// decoded is s as a keeper has it that took it from a snapshot.
-func decoded(t testing.TB, s *State) *State {
+// roundTrip returns the state as a node has it that restored a snapshot of it.
+func roundTrip(t testing.TB, s *State) *State {
 	t.Helper()
 	out, err := Decode(s.Encode())
 	if err != nil {
@@ -38,43 +38,57 @@
 	return out
 }
 
-// An order that was applied is confirmed for as long as it is remembered, and never refused after that. Another order on the
-// same version is refused for as long as that can be told.
-func TestSentAgain(t *testing.T) {
+// TestRetriedChange: a change that was applied is confirmed for as long as it is remembered, and never refused after that. Another
+// change on the same version is refused for as long as that can be decided.
+func TestRetriedChange(t *testing.T) {
 	const forgotten = 30
-	s, all := manyChanges(t, MaxHistory+forgotten)
-	for what, s := range map[string]*State{"as it is": s, "after a snapshot": decoded(t, s)} {
-		for i, c := range all {
-			want, seq := AlreadyApplied, uint64(i+1)
-			if i < forgotten {
-				want, seq = Uncertain, uint64(len(all))
+	applied, all := applyMany(t, MaxHistory+forgotten)
+	for name, state := range map[string]*State{"as it is": applied, "after a snapshot": roundTrip(t, applied)} {
+		t.Run(name, func(t *testing.T) {
+			for index, change := range all[:forgotten] {
+				requireVerdict(t, state, change, Verdict{Kind: Uncertain, Seq: uint64(len(all))})
+				requireKind(t, state, withOtherBody(change), Uncertain, "another on the version of a forgotten change", index)
 			}
-			if v := s.Check(c); v.Kind != want || v.Seq != seq || v.Reason == "" {
-				t.Fatalf("%s: change %d: %+v", what, i, v)
+			for index, change := range all[forgotten:] {
+				requireVerdict(t, state, change, Verdict{Kind: AlreadyApplied, Seq: uint64(forgotten + index + 1)})
+				requireKind(t, state, withOtherBody(change), Stale, "another on the version of change", forgotten+index)
 			}
-			other := c
-			other.Body = append([]byte(" "), c.Body...)
-			if want == AlreadyApplied {
-				want = Stale
+			for _, base := range []int64{state.history.baseRevision + 1, state.Revision() + 1, -1} {
+				if v := state.Check(Change{Op: OpReplace, Base: base, Body: all[0].Body}); v.Kind != Stale {
+					t.Fatalf("on version %d, which never was: %+v", base, v)
+				}
 			}
-			if v := s.Check(other); v.Kind != want || v.Reason == "" {
-				t.Fatalf("%s: another on the version of change %d: %+v", what, i, v)
-			}
-		}
-		for _, base := range []int64{s.history.base + 1, s.Revision() + 1, -1} {
-			if v := s.Check(Change{Op: OpReplace, Base: base, Body: all[0].Body}); v.Kind != Stale {
-				t.Fatalf("%s: on version %d, which never was: %+v", what, base, v)
-			}
-		}
+		})
+	}
+}
+
+func withOtherBody(change Change) Change {
+	change.Body = append([]byte(" "), change.Body...)
+	return change
+}
+
+// requireVerdict checks the kind and the number of the verdict on a change, and that it gives a reason.
+func requireVerdict(t *testing.T, state *State, change Change, want Verdict) {
+	t.Helper()
+	if got := state.Check(change); got.Kind != want.Kind || got.Seq != want.Seq || got.Reason == "" {
+		t.Fatalf("change on version %d: %+v, want %+v", change.Base, got, want)
+	}
+}
+
+// requireKind checks the kind of the verdict on a change, and that it gives a reason.
+func requireKind(t *testing.T, state *State, change Change, want Kind, what string, index int) {
+	t.Helper()
+	if got := state.Check(change); got.Kind != want || got.Reason == "" {
+		t.Fatalf("%s %d: %+v, want %d", what, index, got, want)
 	}
 }
 
-// What makes an order the same: the operation, the version that it builds on and the bytes of its body.
-func TestSameOrder(t *testing.T) {
-	c := Change{Op: OpReplace, Base: 5, Body: body(6, "a")}
+// TestDigestIdentifiesChange: the operation, the revision that it builds on, the body and the zone make a change the same.
+func TestDigestIdentifiesChange(t *testing.T) {
+	c := Change{Op: OpReplace, Base: 5, Body: configBody(6, "a")}
 	for what, other := range map[string]Change{
 		"operation": {Op: OpAmend, Base: 5, Body: c.Body}, "base": {Op: OpReplace, Base: 4, Body: c.Body},
-		"body": {Op: OpReplace, Base: 5, Body: body(6, "b")}, "length": {Op: OpReplace, Base: 5, Body: append(body(6, "a"), ' ')},
+		"body": {Op: OpReplace, Base: 5, Body: configBody(6, "b")}, "length": {Op: OpReplace, Base: 5, Body: append(configBody(6, "a"), ' ')},
 		"zone": {Op: OpReplace, Base: 5, Body: c.Body[:len(c.Body)-1], Zone: "}"},
 	} {
 		if other.digest() == c.digest() {
@@ -83,24 +97,24 @@
 	}
 	same := Change{Op: OpReplace, Base: 5, Body: slices.Clone(c.Body)}
 	if same.digest() != c.digest() {
-		t.Error("the same order has two digests")
+		t.Error("the same change has two digests")
 	}
 }
 
-// A digest is compared with that of the change on the same version alone, so that an order is never confirmed by the digest
-// of another version's change.
+// TestCollisionOnAnotherVersion: a digest is compared with that of the change on the same revision alone, so that a change is never
+// confirmed by the digest of another one's.
 func TestCollisionOnAnotherVersion(t *testing.T) {
-	s, all := manyChanges(t, 10)
-	c := Change{Op: OpReplace, Base: all[4].Base, Body: body(1000, "")}
+	s, all := applyMany(t, 10)
+	c := Change{Op: OpReplace, Base: all[4].Base, Body: configBody(1000, "")}
 	s.history.changes[7].Digest = c.digest()
 	if v := s.Check(c); v.Kind != Stale {
 		t.Errorf("%+v", v)
 	}
 }
 
-// The memory of changes is bounded, and so is what it adds to an encoding.
+// TestHistoryIsBounded: the history is bounded, and so is its part of an encoding.
 func TestHistoryIsBounded(t *testing.T) {
-	s, _ := manyChanges(t, MaxHistory+10)
+	s, _ := applyMany(t, MaxHistory+10)
 	if n := len(s.history.changes); n != MaxHistory {
 		t.Errorf("%d changes remembered, want %d", n, MaxHistory)
 	}
@@ -114,11 +128,11 @@
 	}
 }
 
-// A state without memory follows as any other, and refuses nothing that may have been applied.
-func TestForgetful(t *testing.T) {
-	whole, all := manyChanges(t, 20)
-	whole = accept(t, whole, Change{Op: OpEvacuate, Base: int64(whole.Seq), Zone: "z"})
-	lean := decoded(t, whole.WithoutHistory())
+// TestWithoutHistory: a state without history applies records as any other, and refuses nothing that may have been applied.
+func TestWithoutHistory(t *testing.T) {
+	full, all := applyMany(t, 20)
+	full = requireAccepted(t, full, Change{Op: OpEvacuate, Base: int64(full.Seq), Zone: "z"})
+	lean := roundTrip(t, full.WithoutHistory())
 	for _, c := range all {
 		if v := lean.Check(c); v.Kind != Uncertain {
 			t.Fatalf("%+v", v)
@@ -128,32 +142,32 @@
 		t.Errorf("%+v", v)
 	}
 	for _, c := range []Change{
-		{Op: OpAmend, Base: whole.Revision(), Body: amendment(100, "b")}, {Op: OpReplace, Base: 100, Body: body(101, "")},
+		{Op: OpAmend, Base: full.Revision(), Body: amendmentBody(100, "b")}, {Op: OpReplace, Base: 100, Body: configBody(101, "")},
 		{Op: OpReadmit, Base: 21, Zone: "z"}, {Op: OpEvacuate, Base: 21, Zone: "y"},
 	} {
-		r := c.Record(whole.Seq + 1)
-		whole = accept(t, whole, c)
+		r := c.Record(full.Seq + 1)
+		full = requireAccepted(t, full, c)
 		next, err := lean.Apply(r)
 		if err != nil {
 			t.Fatal(err)
 		}
 		lean = next
 	}
-	if string(lean.Encode()) != string(whole.WithoutHistory().Encode()) || len(lean.history.changes) > 0 {
+	if string(lean.Encode()) != string(full.WithoutHistory().Encode()) || len(lean.history.changes) > 0 {
 		t.Error("it differs from the other, or remembers changes of the configuration")
 	}
 	for zone, want := range map[string]uint64{"z": 24, "y": 25, "x": 0} {
-		if a, b := lean.ZoneChangeSeq(zone), whole.ZoneChangeSeq(zone); a != want || b != want {
+		if a, b := lean.ZoneChangeSeq(zone), full.ZoneChangeSeq(zone); a != want || b != want {
 			t.Errorf("zone %s changed last by record %d, and %d without memory; want %d", zone, b, a, want)
 		}
 	}
 }
 
-// legacyEncoding is what versions of the software before this one made of a state.
-func legacyEncoding(s *State, all []Change) []byte {
-	b := binary.AppendUvarint([]byte{1}, s.Seq)
-	b = binary.AppendUvarint(b, uint64(len(s.Evacuated)))
-	for zone := range s.Evacuated {
+// legacyEncoding encodes a state as earlier versions of the software did.
+func legacyEncoding(state *State, all []Change) []byte {
+	b := binary.AppendUvarint([]byte{1}, state.Seq)
+	b = binary.AppendUvarint(b, uint64(len(state.Evacuated)))
+	for zone := range state.Evacuated {
 		b = fields.AppendBytes(b, zone)
 	}
 	first := max(0, len(all)-256)
@@ -164,24 +178,24 @@
 		b = append(b, sum[:8]...)
 		b = binary.AppendUvarint(b, uint64(first+i+1))
 	}
-	b = fields.AppendBytes(append(b, 1), s.Config.Raw)
+	b = fields.AppendBytes(append(b, 1), state.Config.Raw)
 	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
-// A snapshot of an earlier version of the software is read, and what it remembers is known again, also once this version has
-// written it anew and further changes have come.
+// TestDecodeLegacy: a snapshot of an earlier version of the software is decoded, and its history recognises retries, also once this
+// version has encoded it again and further changes have come.
 func TestDecodeLegacy(t *testing.T) {
 	for _, count := range []int{1, 255, 256, 300} {
-		s, all := manyChanges(t, count)
-		s = accept(t, s, Change{Op: OpEvacuate, Zone: "z"})
-		old, err := Decode(legacyEncoding(s, all))
+		state, all := applyMany(t, count)
+		state = requireAccepted(t, state, Change{Op: OpEvacuate, Zone: "z"})
+		old, err := Decode(legacyEncoding(state, all))
 		if err != nil {
 			t.Fatal(err)
 		}
-		old = decoded(t, old)
-		next := Change{Op: OpReplace, Base: old.Revision(), Body: body(10_000, "")}
-		old = accept(t, old, next)
-		old = accept(t, decoded(t, old), Change{Op: OpReplace, Base: 10_000, Body: body(10_001, "")})
+		old = roundTrip(t, old)
+		next := Change{Op: OpReplace, Base: old.Revision(), Body: configBody(10_000, "")}
+		old = requireAccepted(t, old, next)
+		old = requireAccepted(t, roundTrip(t, old), Change{Op: OpReplace, Base: 10_000, Body: configBody(10_001, "")})
 		for i, c := range append(slices.Clone(all), next) {
 			want := AlreadyApplied
 			if count >= 256 && i < count-255 {
@@ -198,14 +212,14 @@
 		if !old.Evacuated["z"] {
 			t.Error("an evacuation is lost")
 		}
-		if v := old.Check(Change{Op: OpReadmit, Base: int64(s.Seq) - 1, Zone: "z"}); v.Kind != Superseded {
+		if v := old.Check(Change{Op: OpReadmit, Base: int64(state.Seq) - 1, Zone: "z"}); v.Kind != Superseded {
 			t.Errorf("from before the snapshot: %+v", v)
 		}
-		accept(t, old, Change{Op: OpReadmit, Base: int64(s.Seq), Zone: "z"})
+		requireAccepted(t, old, Change{Op: OpReadmit, Base: int64(state.Seq), Zone: "z"})
 	}
 }
 
-func TestDecodeRefusesUnknownFormat(t *testing.T) {
+func TestDecodeRejectsUnknownFormat(t *testing.T) {
 	b := Empty().Encode()
 	b[0] = stateFormat + 1
 	b = binary.LittleEndian.AppendUint64(b[:len(b)-8], xxhash.Sum64(b[:len(b)-8]))
--- a/internal/system/controlstate/state.go
+++ b/internal/system/controlstate/state.go
@@ -1,5 +1,3 @@
-// Package controlstate is the control state: the deterministic state machine that keepers and proxies share. Keepers hold its
-// records on disk in a log of package wal.
 package controlstate
 
 import (
@@ -10,95 +8,20 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// Op says what a record changes.
-type Op uint8
-
-// The kinds of records. Their numbers are on disk and on the wire: never reuse one.
-const (
-	OpReplace  Op = 1 // Body is a whole configuration, Base the version that it builds on
-	OpAmend    Op = 2 // Body is an amendment, Base as above
-	OpEvacuate Op = 3 // Zone is to get nothing more; Base is the newest record known when the order came, 0 in old records
-	OpReadmit  Op = 4 // Zone is taken back; Base as for OpEvacuate
-	OpNone     Op = 5 // changes nothing: fills a number
-)
-
-// Bounds of a state.
-const (
-	MaxZones    = 256 // evacuated at once
-	MaxZoneName = 255 // bytes
-)
-
-// Record is one numbered change. Numbers rise by one; the first is 1.
-type Record struct {
-	Seq  uint64
-	Op   Op
-	Base int64
-	Body []byte
-	Zone string
-}
-
-// Change is what a caller asks for: a Record that has no number yet.
-type Change struct {
-	Op   Op
-	Base int64
-	Body []byte
-	Zone string
-}
-
-// Record returns the change under a number.
-func (c Change) Record(seq uint64) Record {
-	return Record{Seq: seq, Op: c.Op, Base: c.Base, Body: c.Body, Zone: c.Zone}
-}
-
-// Kind is the kind of a Verdict.
-type Kind int
-
-// The kinds of verdicts. Their numbers are on the wire between keepers: never reuse one.
-const (
-	Accepted       Kind = iota // may be applied
-	AlreadyApplied             // the very same change was applied before, or the evacuation is in force
-	Stale                      // builds on another version than the current one
-	Invalid                    // can never be taken as it is
-	// Uncertain gives no clear answer: the change builds on a version so old that it cannot be told whether it was applied, or
-	// there is no room for it now.
-	Uncertain
-	// Superseded is an evacuation, or the end of one, whose zone was changed after the record numbered Base: whoever still
-	// wants it asks again with a newer Base.
-	Superseded
-)
-
-// Verdict is what Check finds. It holds once the record numbered Seq is committed: for Accept the change's own, otherwise
-// the one that the verdict rests on (0: none).
-type Verdict struct {
-	Kind   Kind
-	Reason string // for the caller, with the remedy; empty with Accept
-	Seq    uint64
-}
-
-// Kinds of errors of Apply and Decode.
-var (
-	// ErrOutOfOrder: the record is not the next one. Send those between, or a snapshot.
-	ErrOutOfOrder = errors.New("record out of order")
-	// ErrRefused: the record does not fit the state, so it cannot have been checked on this state.
-	ErrRefused = errors.New("record refused")
-	// ErrCorrupt: bytes that are no whole encoding. Fetch them again.
-	ErrCorrupt = errors.New("corrupt encoding")
-)
-
-// State is the control state after the record numbered Seq. It is a value: Apply gives a new one and leaves the old as
-// it was, so it may be shared between goroutines.
+// State is the control state after the record numbered Seq. It is immutable: Apply returns a new one. It may be shared between
+// goroutines.
 type State struct {
 	Seq       uint64
-	Config    *config.Config  // nil: none has come yet
-	Evacuated map[string]bool // zones
+	Config    *config.Config  // nil: no configuration has been applied yet
+	Evacuated map[string]bool // by zone
 
-	history history     // of the configuration
-	zones   zoneChanges // when they were last changed
-	parsed  atomic.Pointer[parsed]
+	history     changeHistory // of changes of the configuration
+	zoneChanges zoneChanges   // when each zone was last changed
+	lastChecked atomic.Pointer[checkedChange]
 }
 
-// parsed is the configuration that the change last accepted by Check leads to, so that Apply need not read it again.
-type parsed struct {
+// checkedChange is the configuration of the change that Check accepted last, so that Apply need not parse it again.
+type checkedChange struct {
 	digest digest
 	config *config.Config
 }
@@ -106,7 +29,7 @@
 // Empty returns the state before the first record.
 func Empty() *State { return &State{Evacuated: map[string]bool{}} }
 
-// Revision returns the current version, 0 where there is none.
+// Revision returns the current revision of the configuration, 0 where there is none.
 func (s *State) Revision() int64 {
 	if s.Config == nil {
 		return 0
@@ -114,42 +37,42 @@
 	return s.Config.Revision
 }
 
-// Check tells what becomes of a change on top of this state.
-func (s *State) Check(c Change) Verdict {
-	switch c.Op {
+// Check returns the verdict on a change on top of this state. It does not change the state.
+func (s *State) Check(change Change) Verdict {
+	switch change.Op {
 	case OpReplace, OpAmend:
-		return s.checkConfig(c)
+		return s.checkConfig(change)
 	case OpEvacuate, OpReadmit:
-		return s.checkZone(c)
+		return s.checkZone(change)
 	case OpNone:
 		return Verdict{Kind: Accepted, Seq: s.Seq + 1}
 	}
 	return Verdict{Kind: Invalid, Reason: "unknown operation: send one of this version"}
 }
 
-func (s *State) checkConfig(c Change) Verdict {
-	sum, rests := c.digest(), uint64(0)
+func (s *State) checkConfig(change Change) Verdict {
+	sum, restsOnSeq := change.digest(), uint64(0)
 	if s.Config != nil {
-		rests = s.history.last(s.Seq)
+		restsOnSeq = s.history.lastSeq(s.Seq)
 	}
-	if c.Base != s.Revision() {
-		return s.judgeOld(c, sum, rests)
+	if change.Base != s.Revision() {
+		return s.checkOnOlderVersion(change, sum, restsOnSeq)
 	}
-	// Nothing has been applied on the current version, so this change has not been either.
-	candidate, err := s.next(c)
+	// Nothing has been applied on the current revision, so this change has not been either.
+	candidate, err := s.nextConfig(change)
 	if err != nil {
-		return Verdict{Kind: Invalid, Seq: rests, Reason: err.Error()}
+		return Verdict{Kind: Invalid, Seq: restsOnSeq, Reason: err.Error()}
 	}
-	s.parsed.Store(&parsed{digest: sum, config: candidate})
+	s.lastChecked.Store(&checkedChange{digest: sum, config: candidate})
 	return Verdict{Kind: Accepted, Seq: s.Seq + 1}
 }
 
-// next returns the configuration that c makes of the current one.
-func (s *State) next(c Change) (*config.Config, error) {
-	if c.Op == OpAmend {
-		return config.Amend(s.Config, c.Body)
+// nextConfig returns the configuration that change makes of the current one. Errors are config.ErrInvalid.
+func (s *State) nextConfig(change Change) (*config.Config, error) {
+	if change.Op == OpAmend {
+		return config.Amend(s.Config, change.Body)
 	}
-	candidate, err := config.Parse(c.Body)
+	candidate, err := config.Parse(change.Body)
 	if err != nil {
 		return nil, err
 	}
@@ -160,22 +83,22 @@
 	return candidate, nil
 }
 
-// Apply returns the state after r, which must be numbered Seq+1 and have been accepted by Check on this state. Errors are
-// ErrOutOfOrder or ErrRefused. The result may share r.Body, which must not be changed afterwards.
-func (s *State) Apply(r Record) (*State, error) {
-	if r.Seq != s.Seq+1 {
-		return nil, errors.Mark(errors.Newf("record %d follows %d: send record %d", r.Seq, s.Seq, s.Seq+1), ErrOutOfOrder)
+// Apply returns the state after record, which must be numbered Seq+1 and have been accepted by Check on this state. Errors are
+// ErrOutOfOrder or ErrRefused. The result may share record.Body, which must not be changed afterwards.
+func (s *State) Apply(record Record) (*State, error) {
+	if record.Seq != s.Seq+1 {
+		return nil, errors.Mark(errors.Newf("record %d follows %d: send record %d", record.Seq, s.Seq, s.Seq+1), ErrOutOfOrder)
 	}
-	next := &State{Seq: r.Seq, Config: s.Config, Evacuated: s.Evacuated, history: s.history, zones: s.zones}
+	next := &State{Seq: record.Seq, Config: s.Config, Evacuated: s.Evacuated, history: s.history, zoneChanges: s.zoneChanges}
 	var err error
-	switch r.Op {
+	switch record.Op {
 	case OpReplace, OpAmend:
-		err = s.applyConfig(next, r)
+		err = s.applyConfig(next, record)
 	case OpEvacuate, OpReadmit:
-		err = s.applyZone(next, r)
+		err = s.applyZone(next, record)
 	case OpNone:
 	default:
-		err = refused(r, "its operation is unknown here: run a newer version")
+		err = refusedError(record, "its operation is unknown here: run a newer version")
 	}
 	if err != nil {
 		return nil, err
@@ -183,41 +106,51 @@
 	return next, nil
 }
 
-// applyConfig makes the change that a record asks for in next, a state that shares what it does not change with s.
-func (s *State) applyConfig(next *State, r Record) error {
-	c := Change{Op: r.Op, Base: r.Base, Body: r.Body, Zone: r.Zone}
-	if c.Base != s.Revision() {
-		return refused(r, "it builds on another version than the current one")
+// applyConfig applies a record of the configuration to next, which shares the parts that stay with s.
+func (s *State) applyConfig(next *State, record Record) error {
+	change := record.change()
+	if change.Base != s.Revision() {
+		return refusedError(record, "it builds on another version than the current one")
 	}
 	var sum digest
-	checked := s.parsed.Load()
-	if !s.history.forgetful || checked != nil {
-		sum = c.digest()
+	checked := s.lastChecked.Load()
+	if !s.history.disabled || checked != nil {
+		sum = change.digest()
 	}
 	if checked != nil && checked.digest == sum {
 		next.Config = checked.config
 	} else {
-		candidate, err := s.next(c)
+		candidate, err := s.nextConfig(change)
 		if err != nil {
-			return refused(r, err.Error())
+			return refusedError(record, err.Error())
 		}
 		next.Config = candidate
 	}
-	next.history = s.history.with(appliedChange{Revision: next.Config.Revision, Seq: r.Seq, Digest: sum})
+	next.history = s.history.appended(appliedChange{Revision: next.Config.Revision, Seq: record.Seq, Digest: sum})
 	return nil
 }
 
-// WithoutHistory returns the state without its memory of the configuration's changes, for those who only follow: it and those that
-// Apply makes of it hold the same configuration and zones, are smaller, and never tell that a configuration was applied before.
+// WithoutHistory returns the state without its history, for subscribers that check no changes. It, and the states that Apply
+// derives from it, have the same configuration and zones in less memory; their verdict on an older base is Uncertain.
 func (s *State) WithoutHistory() *State {
 	return &State{Seq: s.Seq, Config: s.Config, Evacuated: s.Evacuated,
-		history: history{forgetful: true, base: s.Revision()}, zones: s.zones}
+		history: changeHistory{disabled: true, baseRevision: s.Revision()}, zoneChanges: s.zoneChanges}
 }
 
-// ZoneChangeSeq returns the number of the record that last evacuated a zone or took it back, or a later one where that is not
-// remembered; 0: none did.
-func (s *State) ZoneChangeSeq(zone string) uint64 { return s.zones.changed(zone) }
+// ZoneChangeSeq returns the number of the record that last evacuated or readmitted a zone, or a later one where that is not
+// remembered. 0: there was none.
+func (s *State) ZoneChangeSeq(zone string) uint64 { return s.zoneChanges.lastChangeOf(zone) }
 
-func refused(r Record, why string) error {
-	return errors.Mark(errors.Newf("record %d cannot be applied: %s; take a snapshot from another keeper", r.Seq, why), ErrRefused)
+// checkOnOlderVersion returns the verdict on a change that does not build on the current revision.
+func (s *State) checkOnOlderVersion(change Change, sum digest, restsOnSeq uint64) Verdict {
+	if entry := s.history.builtOn(change.Base); entry != nil && s.history.matches(entry, change, sum) {
+		return Verdict{Kind: AlreadyApplied, Seq: entry.Seq, Reason: "this very change has been applied"}
+	}
+	if change.Base >= 0 && change.Base < s.history.baseRevision {
+		return Verdict{Kind: Uncertain, Seq: restsOnSeq, Reason: errors.Newf("builds on version %d, and what was applied on versions "+
+			"below %d is not remembered: read the configuration, and if it lacks the change send it on top of version %d",
+			change.Base, s.history.baseRevision, s.Revision()).Error()}
+	}
+	return Verdict{Kind: Stale, Seq: restsOnSeq, Reason: errors.Newf(
+		"builds on version %d, but %d is current: read it and send the change on top of it", change.Base, s.Revision()).Error()}
 }
--- a/internal/system/wal/snapshot.go
+++ b/internal/system/wal/snapshot.go
@@ -2,165 +2,96 @@
 
 import (
 	"fmt"
-	"os"
-
-	"github.com/cockroachdb/errors"
+	"slices"
 )
 
 func snapshotName(generation uint64) string { return fmt.Sprintf("snap-%016x", generation) }
 
-func metaName(name string, generation uint64) string {
-	return fmt.Sprintf("meta-%s-%016x", name, generation)
-}
-
-// Compact implements Disk. It works at MaxBytes, too; the segments behind the snapshot are deleted.
-func (l *Log) Compact(s Snapshot) error {
-	if err := l.settle(); err != nil {
+// Compact implements Disk. It works at Options.MaxBytes, too. Segments that the snapshot covers are deleted.
+func (l *Log) Compact(snapshot Snapshot) error {
+	if err := l.resolveInDoubt(); err != nil {
 		return err
 	}
-	if err := mayCompact(l.snapshot, l.last, s.Seq); err != nil {
+	if err := ValidateCompact(l.snapshotSeq, l.lastSeq, snapshot.Seq); err != nil {
 		return err
 	}
-	// What follows goes to a new segment, so that whether the snapshot is there or not, the log continues in a segment that
-	// counts, and a later Compact can delete this one.
+	// Later records go to a new segment, so that the log continues in a live segment whether or not the snapshot comes about, and
+	// a later Compact can delete this one.
 	if err := l.closeSegment(); err != nil {
 		return err
 	}
-	live := l.batches
-	for len(live) > 0 && live[0].last <= s.Seq {
-		live = live[1:]
-	}
-	first := l.number
+	live := batchesAbove(l.batches, snapshot.Seq)
+	first := l.nextSegment
 	if len(live) > 0 {
 		first = live[0].segment
 	}
-	if err := l.withRoom(len(s.Data), func() error { return l.saveSnapshot(s, first) }); err != nil {
+	if err := l.withFreeSpace(len(snapshot.Data), func() error { return l.saveSnapshot(snapshot, first) }); err != nil {
 		return err
 	}
-	l.batches = append([]batch(nil), live...)
+	l.batches = slices.Clone(live)
 	return nil
 }
 
 // Install implements Disk.
-func (l *Log) Install(s Snapshot) error {
-	if err := l.settle(); err != nil {
+func (l *Log) Install(snapshot Snapshot) error {
+	if err := l.resolveInDoubt(); err != nil {
 		return err
 	}
-	if err := l.withRoom(len(s.Data), func() error { return l.saveSnapshot(s, l.number) }); err != nil {
+	if err := l.withFreeSpace(len(snapshot.Data), func() error { return l.saveSnapshot(snapshot, l.nextSegment) }); err != nil {
 		return err
 	}
-	l.batches, l.last = nil, s.Seq
-	// The ended segment counts no more. What closing it says does not matter then.
+	l.batches, l.lastSeq = nil, snapshot.Seq
+	// The segment is not live any more, so an error of closing it has no effect.
 	_ = l.closeSegment()
 	return nil
 }
 
-// saveSnapshot makes s the snapshot, and the segment numbered first the oldest that counts.
-func (l *Log) saveSnapshot(s Snapshot, first uint64) error {
-	if err := l.settle(); err != nil {
+// saveSnapshot replaces the snapshot, and makes firstSegment the oldest live segment.
+func (l *Log) saveSnapshot(snapshot Snapshot, firstSegment uint64) error {
+	if err := l.resolveInDoubt(); err != nil {
 		return err
 	}
-	l.generation = max(l.generation, l.tail.number<<generationShift) + 1
-	name := snapshotName(l.generation)
-	content := encodeFile(snapshotMagic, []uint64{l.generation, s.Seq, first}, s.Data)
-	f, renamed, err := l.replace(name, content)
-	if err == nil {
-		_ = f.Close() // it is synced
-		err = l.owned()
-	}
+	l.lastGeneration = max(l.lastGeneration, l.tail.number<<generationShift) + 1
+	name := snapshotName(l.lastGeneration)
+	content := encodeFile(snapshotMagic, []uint64{l.lastGeneration, snapshot.Seq, firstSegment}, snapshot.Data)
+	renamed, err := l.replaceOwnedFile(name, content)
 	if err != nil {
 		if renamed && !l.superseded {
-			l.stray = name
-			_ = l.settle()
+			l.snapshotInDoubt = name
+			_ = l.resolveInDoubt()
 		}
 		return err
 	}
-	if l.snapGeneration > 0 {
-		l.garbage = append(l.garbage, snapshotName(l.snapGeneration))
-	}
-	l.snapshot, l.first, l.snapGeneration, l.snapBytes = s.Seq, first, l.generation, int64(len(content))
-	for len(l.segments) > 0 && l.segments[0].number < first {
-		l.garbage = append(l.garbage, segmentName(l.segments[0].number))
-		l.segments = l.segments[1:]
+	if l.snapshotGeneration > 0 {
+		l.garbage = append(l.garbage, snapshotName(l.snapshotGeneration))
 	}
+	l.snapshotSeq, l.snapshotGeneration, l.snapshotBytes = snapshot.Seq, l.lastGeneration, int64(len(content))
+	l.dropSegmentsBefore(firstSegment)
 	l.deleteGarbage()
-	l.reserve()
+	l.createReserve()
 	return nil
 }
 
-// SaveMeta implements Disk. Names have 1 to 64 bytes of a to z, 0 to 9 and _. It works at MaxBytes, too.
-func (l *Log) SaveMeta(name string, data []byte) error {
-	if err := l.usable(); err != nil {
-		return err
-	}
-	if err := checkName(name); err != nil {
-		return err
-	}
-	m := l.meta[name]
-	err := l.withReserve(len(data), func() error {
-		m.tried++ // never used twice: a failed one may be there
-		f, _, err := l.replace(metaName(name, m.tried), encodeFile(metaMagic, []uint64{m.tried}, data))
-		if err == nil {
-			_ = f.Close() // it is synced
-			err = l.owned()
-		}
-		if err != nil {
-			l.garbage = append(l.garbage, metaName(name, m.tried))
-		}
-		return err
-	})
-	if err == nil {
-		if m.saved > 0 {
-			l.garbage = append(l.garbage, metaName(name, m.saved))
-		}
-		m.saved = m.tried
+// dropSegmentsBefore makes first the oldest live segment.
+func (l *Log) dropSegmentsBefore(first uint64) {
+	l.firstSegment = first
+	for len(l.segments) > 0 && l.segments[0].number < first {
+		l.garbage = append(l.garbage, segmentName(l.segments[0].number))
+		l.segments = l.segments[1:]
 	}
-	l.meta[name] = m
-	l.deleteGarbage()
-	return err
 }
 
-// replace writes a file under a temporary name, syncs it, gives it its name and makes that durable. It returns the file, open.
-// renamed tells whether the name may be there in spite of an error.
-func (l *Log) replace(name string, content []byte) (f File, renamed bool, err error) {
-	temporary := name + temporarySuffix
-	f, err = l.createNew(temporary)
-	if err != nil {
-		return nil, false, diskError(err, "make "+name)
+// removeSnapshotInDoubt removes, durably, a snapshot whose saving failed after its rename.
+func (l *Log) removeSnapshotInDoubt() error {
+	if l.snapshotInDoubt == "" {
+		return nil
 	}
-	_, err = f.WriteAt(content, 0)
-	if err == nil {
-		err = f.Sync()
-	}
-	if err != nil {
-		_ = f.Close()
-		_ = l.remove(temporary)
-		return nil, false, diskError(err, "write "+name)
-	}
-	err = l.o.FS.Rename(l.path(temporary), l.path(name))
-	if err != nil {
-		_ = l.remove(temporary)
-		err = diskError(err, "rename "+name)
-	} else {
-		err = diskError(l.o.FS.SyncDir(l.folder), "sync the log's folder")
+	if err := l.remove(l.snapshotInDoubt); err != nil {
+		return diskError(err, "remove a snapshot that was not finished")
 	}
-	if err != nil {
-		_ = f.Close()
-		return nil, true, err
-	}
-	return f, true, nil
-}
-
-// maxGarbage bounds what is remembered; Load finds the rest.
-const maxGarbage = 256
-
-// deleteGarbage deletes what counts no more. What cannot be deleted now is tried again later.
-func (l *Log) deleteGarbage() {
-	kept := l.garbage[:0]
-	for _, name := range l.garbage {
-		if err := l.o.FS.Remove(l.path(name)); err != nil && !errors.Is(err, os.ErrNotExist) {
-			kept = append(kept, name)
-		}
+	if err := l.syncFolder(); err != nil {
+		return err
 	}
-	l.garbage = kept[max(0, len(kept)-maxGarbage):]
+	l.snapshotInDoubt = ""
+	return nil
 }
