--- a/internal/system/replication/agree.go
+++ b/internal/system/replication/agree.go
@@ -11,8 +11,8 @@
 const (
 	proposalTimeout = 800 * time.Millisecond
 	rankDelay       = 150 * time.Millisecond
-	planEvery       = 50 * time.Millisecond
-	formDelay       = 2 * time.Second // a missing seed is waited for
+	planInterval    = 50 * time.Millisecond
+	firstViewDelay  = 2 * time.Second // a missing seed is waited for
 )
 
 // The register of epoch e+1 is a single-decree Paxos among the voters of view e. When the views differ in voters a
@@ -21,17 +21,17 @@
 
 // proposal is an attempt of this keeper to have a view chosen.
 type proposal struct {
-	cur      *View
-	ballot   ballot
-	since    time.Duration
-	promised map[ID]string // addresses of those who promised
-	best     ballot
-	found    *View // accepted by one of them under best
-	value    *View // nil in phase one
-	accepted map[ID]string
+	current             *View
+	number              proposalNumber
+	startedAt           time.Duration
+	promisedBy          map[ID]string // addresses of those who promised
+	highestAccepted     proposalNumber
+	highestAcceptedView *View // accepted by one of them under best
+	value               *View // nil in phase one
+	acceptedBy          map[ID]string
 }
 
-// quorum tells whether the keepers in set are a majority of v's voters. Those of epoch 0 are the seeds' addresses, without
+// isQuorum tells whether the keepers in set are a majority of v's voters. Those of epoch 0 are the seeds' addresses, without
 // the seeds that are known to be observers.
 //
 // That two majorities of epoch 0 meet: let D be the seeds with a disk, which alone vote, and K the observers among the
@@ -43,7 +43,7 @@
 // Where all seeds have said that they are observers, D is empty, and the seeds vote for the first view all the same: a
 // majority of all of them, with their promises in memory. One whose process ends has no vote any more, since it starts
 // without Config.Bootstrap; so nobody votes twice. They name keepers with a disk, and vote no more once there is a view.
-func (c *Core) quorum(v *View, set map[ID]string) bool {
+func (c *Core) isQuorum(v *View, set map[ID]string) bool {
 	n := 0
 	if v.Epoch == 0 {
 		seen := map[string]bool{}
@@ -67,31 +67,31 @@
 	return n > len(v.Voters)/2
 }
 
-func (c *Core) tickAgree() {
-	if c.prop != nil && c.now-c.prop.since > proposalTimeout {
-		c.prop = nil
-		c.retreat()
+func (c *Core) tickProposer() {
+	if c.proposal != nil && c.now-c.proposal.startedAt > proposalTimeout {
+		c.proposal = nil
+		c.backOff()
 	}
-	if c.prop != nil || c.now < c.graceUntil || c.now < c.backoff || !c.ready || c.disk.bad || c.err != nil || !c.isVoter(c.reg.view) {
+	if c.proposal != nil || c.now < c.graceUntil || c.now < c.backoffUntil || !c.identityDurable || c.writer.unhealthy || c.err != nil || !c.isVoter(c.acceptor.view) {
 		return
 	}
-	if c.now-c.plannedAt < planEvery {
+	if c.now-c.lastPlannedAt < planInterval {
 		return
 	}
-	c.plannedAt = c.now
+	c.lastPlannedAt = c.now
 	v, rank := c.plan()
-	if v == nil && c.reg.next != nil {
+	if v == nil && c.acceptor.acceptedView != nil {
 		// An attempt that stopped halfway keeps the voters from vouching for this epoch: finish it.
-		v, rank = c.reg.next, 1+slices.IndexFunc(c.reg.view.Voters, func(m Member) bool { return m.ID == c.reg.self.ID })
+		v, rank = c.acceptor.acceptedView, 1+slices.IndexFunc(c.acceptor.view.Voters, func(m Member) bool { return m.ID == c.acceptor.self.ID })
 	}
 	if v == nil {
-		c.wantAt = -1
+		c.proposeAt = -1
 		return
 	}
-	if c.wantAt < 0 {
-		c.wantAt = c.now + time.Duration(rank)*rankDelay + c.jitter(rankDelay/3)
+	if c.proposeAt < 0 {
+		c.proposeAt = c.now + time.Duration(rank)*rankDelay + c.jitter(rankDelay/3)
 	}
-	if c.now >= c.wantAt {
+	if c.now >= c.proposeAt {
 		c.propose(v)
 	}
 }
@@ -100,37 +100,37 @@
 	return time.Duration(c.rng.Int64N(int64(d) + 1))
 }
 
-// retreat keeps two proposers from outbidding each other for ever.
-func (c *Core) retreat() {
-	c.backoff = c.now + 100*time.Millisecond + c.jitter(500*time.Millisecond)
-	c.wantAt = -1
+// backOff keeps two proposers from outbidding each other for ever.
+func (c *Core) backOff() {
+	c.backoffUntil = c.now + 100*time.Millisecond + c.jitter(500*time.Millisecond)
+	c.proposeAt = -1
 }
 
 func (c *Core) propose(v *View) {
-	cur := c.reg.view
-	b := ballot{round: max(c.reg.promised.round, c.seenRound) + 1, id: c.reg.self.ID}
-	c.prop = &proposal{cur: cur, ballot: b, since: c.now, promised: map[ID]string{}, accepted: map[ID]string{}}
-	c.note(fmt.Sprintf("replication: proposing view %d: %s", v.Epoch, v))
-	m := &replicationpb.Prepare{Current: viewPB(cur), Ballot: ballotPB(b)}
+	cur := c.acceptor.view
+	b := proposalNumber{round: max(c.acceptor.promised.round, c.highestRoundSeen) + 1, id: c.acceptor.self.ID}
+	c.proposal = &proposal{current: cur, number: b, startedAt: c.now, promisedBy: map[ID]string{}, acceptedBy: map[ID]string{}}
+	c.logEvent(fmt.Sprintf("replication: proposing view %d: %s", v.Epoch, v))
+	m := &replicationpb.Prepare{Current: viewPB(cur), Ballot: proposalNumberPB(b)}
 	// This keeper promises first: after a restart it will not use the ballot again.
-	c.reg.promised = b
-	acc, next := c.reg.accepted, c.reg.next
+	c.acceptor.promised = b
+	acc, next := c.acceptor.accepted, c.acceptor.acceptedView
 	c.persist(func() {
-		if c.prop == nil || c.prop.ballot != b || c.reg.view != cur {
+		if c.proposal == nil || c.proposal.number != b || c.acceptor.view != cur {
 			return
 		}
-		c.toVoters(cur, nil, func() *replicationpb.Message {
+		c.broadcastToVoters(cur, nil, func() *replicationpb.Message {
 			return &replicationpb.Message{Body: &replicationpb.Message_Prepare{Prepare: m}}
 		})
-		c.promise(c.reg.self.ID, &replicationpb.Promise{
-			Epoch: cur.Epoch, Ballot: ballotPB(b), Accepted: ballotPB(acc), View: viewPB(next), Addr: c.reg.self.Addr,
+		c.recordPromise(c.acceptor.self.ID, &replicationpb.Promise{
+			Epoch: cur.Epoch, Ballot: proposalNumberPB(b), Accepted: proposalNumberPB(acc), View: viewPB(next), Addr: c.acceptor.self.Addr,
 		})
 	})
 }
 
-// toVoters sends to the voters of the views except this keeper.
-func (c *Core) toVoters(v, w *View, body func() *replicationpb.Message) {
-	sent := map[ID]bool{c.reg.self.ID: true}
+// broadcastToVoters sends to the voters of the views except this keeper.
+func (c *Core) broadcastToVoters(v, w *View, body func() *replicationpb.Message) {
+	sent := map[ID]bool{c.acceptor.self.ID: true}
 	if v.Epoch == 0 {
 		for _, p := range c.peers {
 			if slices.Contains(c.cfg.Seeds, p.member.Addr) && p.heartbeat.GetBootstrap() {
@@ -141,7 +141,7 @@
 	for _, x := range []*View{v, w} {
 		if x != nil {
 			for _, m := range x.Voters {
-				if m.ID != c.reg.self.ID {
+				if m.ID != c.acceptor.self.ID {
 					sent[m.ID] = false
 				}
 			}
@@ -150,9 +150,9 @@
 	ids := unsent(sent)
 	for _, id := range ids {
 		m := body()
-		if c.addr(id) == "" && w != nil {
+		if c.addressOf(id) == "" && w != nil {
 			if mem, ok := w.Voter(id); ok {
-				m.From, m.To = string(c.reg.self.ID), string(id)
+				m.From, m.To = string(c.acceptor.self.ID), string(id)
 				c.out.Messages = append(c.out.Messages, Envelope{Addr: mem.Addr, Msg: m})
 				continue
 			}
@@ -172,160 +172,160 @@
 	return ids
 }
 
-// alignView brings this keeper to the view that a proposer builds on; false when it is at another one.
-func (c *Core) alignView(from ID, cur *View) bool {
+// adoptProposersView brings this keeper to the view that a proposer builds on; false when it is at another one.
+func (c *Core) adoptProposersView(from ID, cur *View) bool {
 	if cur == nil {
 		return false
 	}
-	c.adopt(cur)
-	if cur.Epoch < c.reg.view.Epoch {
-		if c.entered {
-			c.send(from, &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(c.reg.view)}}})
+	c.adoptView(cur)
+	if cur.Epoch < c.acceptor.view.Epoch {
+		if c.viewDurable {
+			c.send(from, &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(c.acceptor.view)}}})
 		}
 		return false
 	}
-	return cur.Epoch == c.reg.view.Epoch
+	return cur.Epoch == c.acceptor.view.Epoch
 }
 
-func (c *Core) reject(to ID) {
+func (c *Core) sendReject(to ID) {
 	c.send(to, &replicationpb.Message{Body: &replicationpb.Message_Reject{Reject: &replicationpb.Reject{
-		Epoch: c.reg.view.Epoch, Promised: ballotPB(c.reg.promised),
+		Epoch: c.acceptor.view.Epoch, Promised: proposalNumberPB(c.acceptor.promised),
 	}}})
 }
 
-func (c *Core) onPrepare(from ID, m *replicationpb.Prepare) {
-	if !c.alignView(from, viewOf(m.GetCurrent())) || !c.isVoter(c.reg.view) {
+func (c *Core) handlePrepare(from ID, m *replicationpb.Prepare) {
+	if !c.adoptProposersView(from, viewOf(m.GetCurrent())) || !c.isVoter(c.acceptor.view) {
 		return
 	}
-	b := ballotOf(m.GetBallot())
-	if b.less(c.reg.promised) {
-		c.reject(from)
+	b := proposalNumberOf(m.GetBallot())
+	if b.less(c.acceptor.promised) {
+		c.sendReject(from)
 		return
 	}
-	c.reg.promised = b
-	epoch := c.reg.view.Epoch
+	c.acceptor.promised = b
+	epoch := c.acceptor.view.Epoch
 	reply := &replicationpb.Promise{
-		Epoch: epoch, Ballot: m.GetBallot(), Accepted: ballotPB(c.reg.accepted), View: viewPB(c.reg.next), Addr: c.reg.self.Addr,
+		Epoch: epoch, Ballot: m.GetBallot(), Accepted: proposalNumberPB(c.acceptor.accepted), View: viewPB(c.acceptor.acceptedView), Addr: c.acceptor.self.Addr,
 	}
 	c.persist(func() {
-		if c.reg.view.Epoch == epoch && c.reg.promised == b {
+		if c.acceptor.view.Epoch == epoch && c.acceptor.promised == b {
 			c.send(from, &replicationpb.Message{Body: &replicationpb.Message_Promise{Promise: reply}})
 		}
 	})
 }
 
-func (c *Core) onPromise(from ID, m *replicationpb.Promise) {
-	if p := c.prop; p != nil && p.value == nil && m.GetEpoch() == p.cur.Epoch && ballotOf(m.GetBallot()) == p.ballot {
-		c.promise(from, m)
+func (c *Core) handlePromise(from ID, m *replicationpb.Promise) {
+	if p := c.proposal; p != nil && p.value == nil && m.GetEpoch() == p.current.Epoch && proposalNumberOf(m.GetBallot()) == p.number {
+		c.recordPromise(from, m)
 	}
 }
 
-func (c *Core) promise(from ID, m *replicationpb.Promise) {
-	p := c.prop
-	p.promised[from] = m.GetAddr()
-	if a := ballotOf(m.GetAccepted()); m.GetView() != nil && p.best.less(a) && !c.cfg.hooks.ignoreAccepted {
-		p.best, p.found = a, viewOf(m.GetView())
+func (c *Core) recordPromise(from ID, m *replicationpb.Promise) {
+	p := c.proposal
+	p.promisedBy[from] = m.GetAddr()
+	if a := proposalNumberOf(m.GetAccepted()); m.GetView() != nil && p.highestAccepted.less(a) && !c.cfg.hooks.ignoreAccepted {
+		p.highestAccepted, p.highestAcceptedView = a, viewOf(m.GetView())
 	}
-	if !c.quorum(p.cur, p.promised) || c.reg.promised != p.ballot {
+	if !c.isQuorum(p.current, p.promisedBy) || c.acceptor.promised != p.number {
 		return
 	}
-	if p.value = p.found; p.value == nil {
+	if p.value = p.highestAcceptedView; p.value == nil {
 		if p.value, _ = c.plan(); p.value == nil {
-			c.prop = nil // what was wrong has passed
+			c.proposal = nil // what was wrong has passed
 			return
 		}
 	}
-	cur, value, b := p.cur, p.value, p.ballot
-	c.reg.accepted, c.reg.next = b, value
+	cur, value, b := p.current, p.value, p.number
+	c.acceptor.accepted, c.acceptor.acceptedView = b, value
 	c.persist(func() {
-		if c.prop != p || c.reg.view != cur {
+		if c.proposal != p || c.acceptor.view != cur {
 			return
 		}
-		acc := &replicationpb.Accept{Current: viewPB(cur), Ballot: ballotPB(b), View: viewPB(value)}
-		c.toVoters(cur, value, func() *replicationpb.Message {
+		acc := &replicationpb.Accept{Current: viewPB(cur), Ballot: proposalNumberPB(b), View: viewPB(value)}
+		c.broadcastToVoters(cur, value, func() *replicationpb.Message {
 			return &replicationpb.Message{Body: &replicationpb.Message_Accept{Accept: acc}}
 		})
-		c.acceptedBy(c.reg.self.ID, c.reg.self.Addr)
+		c.recordAccepted(c.acceptor.self.ID, c.acceptor.self.Addr)
 	})
 }
 
-func (c *Core) onAccept(from ID, m *replicationpb.Accept) {
+func (c *Core) handleAccept(from ID, m *replicationpb.Accept) {
 	value := viewOf(m.GetView())
-	if value == nil || !c.alignView(from, viewOf(m.GetCurrent())) || value.Epoch != c.reg.view.Epoch+1 {
+	if value == nil || !c.adoptProposersView(from, viewOf(m.GetCurrent())) || value.Epoch != c.acceptor.view.Epoch+1 {
 		return
 	}
-	if !c.isVoter(c.reg.view) && !c.isVoter(value) {
+	if !c.isVoter(c.acceptor.view) && !c.isVoter(value) {
 		return
 	}
-	b := ballotOf(m.GetBallot())
-	if b.less(c.reg.promised) {
-		c.reject(from)
+	b := proposalNumberOf(m.GetBallot())
+	if b.less(c.acceptor.promised) {
+		c.sendReject(from)
 		return
 	}
-	c.reg.promised, c.reg.accepted, c.reg.next = b, b, value
-	epoch := c.reg.view.Epoch
+	c.acceptor.promised, c.acceptor.accepted, c.acceptor.acceptedView = b, b, value
+	epoch := c.acceptor.view.Epoch
 	c.persist(func() {
-		if c.reg.view.Epoch == epoch {
+		if c.acceptor.view.Epoch == epoch {
 			c.send(from, &replicationpb.Message{Body: &replicationpb.Message_Accepted{Accepted: &replicationpb.Accepted{
-				Epoch: epoch, Ballot: m.GetBallot(), Addr: c.reg.self.Addr,
+				Epoch: epoch, Ballot: m.GetBallot(), Addr: c.acceptor.self.Addr,
 			}}})
 		}
 	})
 }
 
-func (c *Core) onAccepted(from ID, m *replicationpb.Accepted) {
-	if p := c.prop; p != nil && p.value != nil && m.GetEpoch() == p.cur.Epoch && ballotOf(m.GetBallot()) == p.ballot {
-		c.acceptedBy(from, m.GetAddr())
+func (c *Core) handleAccepted(from ID, m *replicationpb.Accepted) {
+	if p := c.proposal; p != nil && p.value != nil && m.GetEpoch() == p.current.Epoch && proposalNumberOf(m.GetBallot()) == p.number {
+		c.recordAccepted(from, m.GetAddr())
 	}
 }
 
-func (c *Core) acceptedBy(from ID, addr string) {
-	p := c.prop
-	p.accepted[from] = addr
-	if !c.quorum(p.cur, p.accepted) || !c.quorum(p.value, p.accepted) {
+func (c *Core) recordAccepted(from ID, addr string) {
+	p := c.proposal
+	p.acceptedBy[from] = addr
+	if !c.isQuorum(p.current, p.acceptedBy) || !c.isQuorum(p.value, p.acceptedBy) {
 		return
 	}
-	c.prop = nil
-	c.note(fmt.Sprintf("replication: view %d is chosen: %s", p.value.Epoch, p.value))
-	c.toVoters(p.cur, p.value, func() *replicationpb.Message {
+	c.proposal = nil
+	c.logEvent(fmt.Sprintf("replication: view %d is chosen: %s", p.value.Epoch, p.value))
+	c.broadcastToVoters(p.current, p.value, func() *replicationpb.Message {
 		return &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(p.value)}}}
 	})
-	c.tellObservers(p.value)
-	c.adopt(p.value)
+	c.notifyObservers(p.value)
+	c.adoptView(p.value)
 }
 
-func (c *Core) onReject(m *replicationpb.Reject) {
-	b := ballotOf(m.GetPromised())
-	if p := c.prop; p != nil && m.GetEpoch() == p.cur.Epoch && p.ballot.less(b) {
-		c.seenRound = max(c.seenRound, b.round)
-		c.prop = nil
-		c.retreat()
+func (c *Core) handleReject(m *replicationpb.Reject) {
+	b := proposalNumberOf(m.GetPromised())
+	if p := c.proposal; p != nil && m.GetEpoch() == p.current.Epoch && p.number.less(b) {
+		c.highestRoundSeen = max(c.highestRoundSeen, b.round)
+		c.proposal = nil
+		c.backOff()
 	}
 }
 
-// adopt makes a chosen view this keeper's own.
-func (c *Core) adopt(v *View) {
-	if v == nil || v.Epoch <= c.reg.view.Epoch || c.yieldsRestoredLog(v) {
+// adoptView makes a chosen view this keeper's own.
+func (c *Core) adoptView(v *View) {
+	if v == nil || v.Epoch <= c.acceptor.view.Epoch || c.discardRestoredLog(v) {
 		return
 	}
-	self := c.reg.self.ID
-	c.reg.view, c.reg.promised, c.reg.accepted, c.reg.next = v, ballot{}, ballot{}, nil
-	c.entered, c.seenRound, c.wantAt, c.noHeadSince = false, 0, -1, -1
-	c.prop = nil
-	c.matched, c.upstreamCommitted, c.fed, c.joined, c.readFloor, c.start = 0, 0, false, false, 0, 0
-	c.down = map[ID]*progress{}
-	c.ahead = nil
+	self := c.acceptor.self.ID
+	c.acceptor.view, c.acceptor.promised, c.acceptor.accepted, c.acceptor.acceptedView = v, proposalNumber{}, proposalNumber{}, nil
+	c.viewDurable, c.highestRoundSeen, c.proposeAt, c.headlessSince = false, 0, -1, -1
+	c.proposal = nil
+	c.matchIndex, c.upstreamCommitIndex, c.caughtUp, c.upstreamMatched, c.minReadIndex, c.epochStartIndex = 0, 0, false, false, 0, 0
+	c.downstream = map[ID]*progress{}
+	c.uncommittedStates = nil
 	// The head must hold all that was acknowledged, see mayLead.
-	if v.Head() == self && (c.reg.active >= v.base || c.cfg.hooks.anyHead) {
-		c.reg.active = v.Epoch
+	if v.Head() == self && (c.acceptor.activeEpoch >= v.base || c.cfg.hooks.anyHead) {
+		c.acceptor.activeEpoch = v.Epoch
 	}
 	c.abandonChanges()
 	c.persist(func() {
-		if c.reg.view != v {
+		if c.acceptor.view != v {
 			return
 		}
-		c.entered = true
-		if err := c.enter(); err != nil {
+		c.viewDurable = true
+		if err := c.enterView(); err != nil {
 			c.fail(err)
 		}
 		if c.cfg.Observer {
--- a/internal/system/replication/capacity.go
+++ b/internal/system/replication/capacity.go
@@ -12,7 +12,7 @@
 	Nodes                 int // with a disk, heard from lately
 	Observers             int // without a disk, heard from lately
 	Voters                int // of the present view
-	SilentVoters          int // of those, not heard from lately: they count as part of what may be lost
+	TimedOutVoters        int // of those, not heard from lately: they count as part of what may be lost
 	VotersDesired         int // so that a majority is left after any loss that is tolerated
 	ChainReplicas         int // of the present view
 	ChainReplicasRequired int // fewer acknowledge no change
@@ -26,10 +26,10 @@
 
 // Capacity of the keepers as this core sees them.
 func (c *Core) Capacity() Capacity {
-	v := c.reg.view
+	v := c.acceptor.view
 	out := Capacity{
-		Voters: len(v.Voters), VotersDesired: c.cfg.voters(),
-		ChainReplicas: len(v.Chain), ChainReplicasRequired: c.cfg.links(), ChainReplicasDesired: min(c.cfg.voters(), c.cfg.maxLinks()),
+		Voters: len(v.Voters), VotersDesired: c.cfg.targetVoters(),
+		ChainReplicas: len(v.Chain), ChainReplicasRequired: c.cfg.minChainLength(), ChainReplicasDesired: min(c.cfg.targetVoters(), c.cfg.targetChainLength()),
 	}
 	if c.cfg.Observer {
 		out.Observers++
@@ -38,7 +38,7 @@
 	}
 	for id, p := range c.peers {
 		switch {
-		case !c.alive(id):
+		case !c.isAlive(id):
 		case p.heartbeat.GetObserver():
 			out.Observers++
 		default:
@@ -46,8 +46,8 @@
 		}
 	}
 	for _, m := range v.Voters {
-		if !c.alive(m.ID) {
-			out.SilentVoters++
+		if !c.isAlive(m.ID) {
+			out.TimedOutVoters++
 		}
 	}
 	var links []Member
@@ -56,13 +56,13 @@
 			links = append(links, m)
 		}
 	}
-	out.ToleranceMet = v.Epoch > 0 && c.cfg.votersBear(v.Voters) && c.cfg.linksBear(links)
+	out.ToleranceMet = v.Epoch > 0 && c.cfg.votersTolerateLosses(v.Voters) && c.cfg.chainToleratesLosses(links)
 	out.Remedy = c.remedy(out, links)
 	return out
 }
 
 func (c *Core) remedy(have Capacity, links []Member) string {
-	v := c.reg.view
+	v := c.acceptor.view
 	switch {
 	case v.Epoch == 0:
 		return "no view has been formed: start a majority of the seeds that have a disk, with bootstrap = true at the first start of all"
@@ -73,41 +73,41 @@
 			have.Voters, have.VotersDesired, have.VotersDesired-have.Voters)
 	case have.Voters < have.VotersDesired:
 		return fmt.Sprintf("%d of %d voters: others are being taken in; if this lasts, see whether they reach each other", have.Voters, have.VotersDesired)
-	case !c.cfg.votersBear(v.Voters):
+	case !c.cfg.votersTolerateLosses(v.Voters):
 		return fmt.Sprintf("the worst loss takes %d of %d voters: run keepers with a disk in at least %d zones (and %d regions), or lower [tolerance]",
-			max(c.cfg.MachineLosses, exposed(v.Voters, zoneOf, c.cfg.ZoneLosses), exposed(v.Voters, regionOf, c.cfg.RegionLosses)),
+			max(c.cfg.MachineLosses, worstLoss(v.Voters, zoneOf, c.cfg.ZoneLosses), worstLoss(v.Voters, regionOf, c.cfg.RegionLosses)),
 			len(v.Voters), 2*c.cfg.ZoneLosses+1, 2*c.cfg.RegionLosses+1)
 	}
 	return fmt.Sprintf("%d links hold the changes and the worst loss takes all of them: bring the voters back that are no links", len(links))
 }
 
 const (
-	capacityEvery  = time.Second     // between two looks at it
-	capacitySteady = 5 * time.Second // a repair takes less, and is no news
+	capacityInterval   = time.Second     // between two looks at it
+	capacityStableTime = 5 * time.Second // a repair takes less, and is no news
 )
 
-// capacityLog logs what the keepers bear when that has changed for good. The zero value is ready for use.
-type capacityLog struct {
-	looked, since time.Duration
-	seen, logged  Capacity
+// capacityReporter logs what the keepers bear when that has changed for good. The zero value is ready for use.
+type capacityReporter struct {
+	checkedAt, changedAt time.Duration
+	current, logged      Capacity
 }
 
-func (l *capacityLog) look(now time.Duration, c *Core, to log.Interface) {
-	if now-l.looked < capacityEvery {
+func (l *capacityReporter) report(now time.Duration, c *Core, to log.Interface) {
+	if now-l.checkedAt < capacityInterval {
 		return
 	}
-	l.looked = now
+	l.checkedAt = now
 	have := c.Capacity()
-	if have.ToleranceMet != l.seen.ToleranceMet || have.Remedy != l.seen.Remedy {
-		l.since = now
+	if have.ToleranceMet != l.current.ToleranceMet || have.Remedy != l.current.Remedy {
+		l.changedAt = now
 	}
-	l.seen = have
-	if now-l.since < capacitySteady || have.ToleranceMet == l.logged.ToleranceMet && have.Remedy == l.logged.Remedy {
+	l.current = have
+	if now-l.changedAt < capacityStableTime || have.ToleranceMet == l.logged.ToleranceMet && have.Remedy == l.logged.Remedy {
 		return
 	}
 	l.logged = have
 	entry := to.WithFields(log.Fields{
-		"voters": have.Voters, "silent": have.SilentVoters, "links": have.ChainReplicas, "keepers": have.Nodes, "observers": have.Observers,
+		"voters": have.Voters, "silent": have.TimedOutVoters, "links": have.ChainReplicas, "keepers": have.Nodes, "observers": have.Observers,
 	})
 	if have.ToleranceMet {
 		entry.Info("replication: the keepers bear the losses that are tolerated")
--- a/internal/system/replication/chain.go
+++ b/internal/system/replication/chain.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	resendAfter   = 250 * time.Millisecond
-	askAfter      = 50 * time.Millisecond // between a link's calls to be fed: after a start of all, each waits for the one before
-	installAfter  = time.Second
-	stuckAfter    = time.Second
-	stuckActive   = 3 * time.Second // to get level after a change of the view
-	appendBytes   = 256 << 10
-	windowBytes   = 1 << 20     // of records that are under way to a keeper
-	transferPerMB = time.Second // what a slow link takes
-	maxLearners   = maxPeers
-	forgetLearner = 2 * time.Second // after its last call
+	resendTimeout         = 250 * time.Millisecond
+	catchUpInterval       = 50 * time.Millisecond // between a link's calls to be fed: after a start of all, each waits for the one before
+	snapshotResendTimeout = time.Second
+	stalledTimeout        = time.Second
+	activationTimeout     = 3 * time.Second // to get level after a change of the view
+	maxAppendBytes        = 256 << 10
+	maxInFlightBytes      = 1 << 20     // of records that are under way to a keeper
+	transferTimePerMB     = time.Second // what a slow link takes
+	maxLearners           = maxPeers
+	learnerTTL            = 2 * time.Second // after its last call
 )
 
-// next is the link after this one, empty at the tail and outside the chain.
-func (c *Core) next() ID {
-	v := c.reg.view
-	if i := v.place(c.reg.self.ID); i >= 0 && i+1 < len(v.Chain) {
+// successor is the link after this one, empty at the tail and outside the chain.
+func (c *Core) successor() ID {
+	v := c.acceptor.view
+	if i := v.chainIndex(c.acceptor.self.ID); i >= 0 && i+1 < len(v.Chain) {
 		return v.Chain[i+1]
 	}
 	return ""
 }
 
-// prev is the link before this one, empty at the head and outside the chain.
-func (c *Core) prev() ID {
-	v := c.reg.view
-	if i := v.place(c.reg.self.ID); i > 0 {
+// predecessor is the link before this one, empty at the head and outside the chain.
+func (c *Core) predecessor() ID {
+	v := c.acceptor.view
+	if i := v.chainIndex(c.acceptor.self.ID); i > 0 {
 		return v.Chain[i-1]
 	}
 	return ""
@@ -43,77 +43,77 @@
 
 // active tells whether this link takes part: it holds all that was acknowledged before its view.
 func (c *Core) isActive() bool {
-	return c.entered && c.err == nil && c.reg.view.Epoch > 0 && c.activeOn == c.reg.view.Epoch && c.reg.view.place(c.reg.self.ID) >= 0
+	return c.viewDurable && c.err == nil && c.acceptor.view.Epoch > 0 && c.durableActive == c.acceptor.view.Epoch && c.acceptor.view.chainIndex(c.acceptor.self.ID) >= 0
 }
 
-func (c *Core) isHead() bool { return c.isActive() && c.reg.view.Head() == c.reg.self.ID }
+func (c *Core) isHead() bool { return c.isActive() && c.acceptor.view.Head() == c.acceptor.self.ID }
 
-func (c *Core) isTail() bool { return c.isActive() && c.reg.view.Tail() == c.reg.self.ID }
+func (c *Core) isTail() bool { return c.isActive() && c.acceptor.view.Tail() == c.acceptor.self.ID }
 
-// enter starts this link's part in a view that is on disk.
-func (c *Core) enter() error {
+// enterView starts this link's part in a view that is on disk.
+func (c *Core) enterView() error {
 	if !c.isActive() {
 		return nil
 	}
 	if c.isHead() {
 		// What is on disk is enough: nothing beyond it was handed on.
-		c.start, c.readFloor = c.disk.end, max(c.readFloor, c.disk.end)
-		c.ahead = nil
-		for seq := c.committed + 1; seq <= c.log.end(); seq++ {
-			s, err := c.spec().Apply(c.log.at(seq).rec)
+		c.epochStartIndex, c.minReadIndex = c.writer.durableEnd, max(c.minReadIndex, c.writer.durableEnd)
+		c.uncommittedStates = nil
+		for seq := c.commitIndex + 1; seq <= c.log.end(); seq++ {
+			s, err := c.speculativeState().Apply(c.log.at(seq).rec)
 			if err != nil {
 				return errors.Wrapf(err, "replication: record %d cannot be applied", seq)
 			}
-			c.ahead = append(c.ahead, s)
+			c.uncommittedStates = append(c.uncommittedStates, s)
 		}
 	}
-	c.written()
+	c.onDurableChange()
 	return nil
 }
 
-// written follows a change of what is on disk.
-func (c *Core) written() {
+// onDurableChange follows a change of what is on disk.
+func (c *Core) onDurableChange() {
 	c.tryActivate()
-	if c.reg.view.Epoch == 0 || !c.entered {
+	if c.acceptor.view.Epoch == 0 || !c.viewDurable {
 		return
 	}
 	if c.isActive() {
-		c.commitTail()
-		if id := c.next(); id != "" {
-			c.push(id)
+		c.commitAsTail()
+		if id := c.successor(); id != "" {
+			c.replicateTo(id)
 		}
-	} else if c.fed {
-		c.commitTo(min(c.upstreamCommitted, c.matched, c.disk.end))
+	} else if c.caughtUp {
+		c.advanceCommitIndex(min(c.upstreamCommitIndex, c.matchIndex, c.writer.durableEnd))
 	}
-	c.ack()
+	c.sendAck()
 }
 
-// durable is the end of what is on disk and known to be the log of this epoch's chain.
-func (c *Core) durable() uint64 {
+// durableIndex is the end of what is on disk and known to be the log of this epoch's chain.
+func (c *Core) durableIndex() uint64 {
 	if c.isHead() {
-		return c.disk.end
+		return c.writer.durableEnd
 	}
-	return min(c.matched, c.disk.end)
+	return min(c.matchIndex, c.writer.durableEnd)
 }
 
-// commitTail commits at the tail. A record that got here went through every link, each of which had it on disk before
+// commitAsTail commits at the tail. A record that got here went through every link, each of which had it on disk before
 // it handed it on; and every link is active, since only an active one hands on.
-func (c *Core) commitTail() {
+func (c *Core) commitAsTail() {
 	early := c.cfg.hooks.earlyAck && c.isHead()
-	if !c.isTail() && !early || len(c.reg.view.Chain) < c.cfg.links() {
+	if !c.isTail() && !early || len(c.acceptor.view.Chain) < c.cfg.minChainLength() {
 		return
 	}
-	c.commitTo(c.durable())
+	c.advanceCommitIndex(c.durableIndex())
 }
 
-func (c *Core) commitTo(seq uint64) {
-	if seq <= c.committed {
+func (c *Core) advanceCommitIndex(seq uint64) {
+	if seq <= c.commitIndex {
 		return
 	}
-	for s := c.committed + 1; s <= seq; s++ {
+	for s := c.commitIndex + 1; s <= seq; s++ {
 		var next State
-		if len(c.ahead) > 0 {
-			next, c.ahead = c.ahead[0], c.ahead[1:]
+		if len(c.uncommittedStates) > 0 {
+			next, c.uncommittedStates = c.uncommittedStates[0], c.uncommittedStates[1:]
 		} else {
 			var err error
 			if next, err = c.state.Apply(c.log.at(s).rec); err != nil {
@@ -121,73 +121,73 @@
 				return
 			}
 		}
-		c.state, c.committed = next, s
+		c.state, c.commitIndex = next, s
 	}
-	c.ackedAt = 0
-	c.ack()
+	c.ackSentAt = 0
+	c.sendAck()
 	c.completeChanges()
 	c.completeReads()
-	for _, id := range slices.Sorted(maps.Keys(c.down)) {
-		if c.down[id].learner {
-			c.push(id)
+	for _, id := range slices.Sorted(maps.Keys(c.downstream)) {
+		if c.downstream[id].learner {
+			c.replicateTo(id)
 		}
 	}
 }
 
-// ack tells the link before what is on disk here and what is committed.
-func (c *Core) ack() {
-	prev := c.prev()
-	if prev == "" || !c.joined || !c.entered || c.err != nil {
+// sendAck tells the link before what is on disk here and what is committed.
+func (c *Core) sendAck() {
+	prev := c.predecessor()
+	if prev == "" || !c.upstreamMatched || !c.viewDurable || c.err != nil {
 		return
 	}
-	c.ackedAt = c.now
+	c.ackSentAt = c.now
 	c.send(prev, &replicationpb.Message{Body: &replicationpb.Message_Ack{Ack: &replicationpb.Ack{
-		Epoch: c.reg.view.Epoch, Matched: c.durable(), Committed: c.committed, Active: c.isActive(), Complete: c.complete(),
+		Epoch: c.acceptor.view.Epoch, Matched: c.durableIndex(), Committed: c.commitIndex, Active: c.isActive(), Complete: c.isActiveToTail(),
 	}}})
 }
 
-// complete tells whether this link and all after it are active, so that no log of an old epoch is left among them.
-func (c *Core) complete() bool {
+// isActiveToTail tells whether this link and all after it are active, so that no log of an old epoch is left among them.
+func (c *Core) isActiveToTail() bool {
 	if !c.isActive() || c.isTail() {
 		return c.isActive()
 	}
-	p := c.down[c.next()]
-	return p != nil && p.complete
+	p := c.downstream[c.successor()]
+	return p != nil && p.activeToTail
 }
 
 func (c *Core) tickChain() {
-	if !c.entered {
+	if !c.viewDurable {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(c.down)) {
-		if p := c.down[id]; p.learner && c.now-p.seenAt > forgetLearner {
-			delete(c.down, id)
+	for _, id := range slices.Sorted(maps.Keys(c.downstream)) {
+		if p := c.downstream[id]; p.learner && c.now-p.lastContactAt > learnerTTL {
+			delete(c.downstream, id)
 		}
 	}
-	again := resendAfter
-	if !c.joined {
-		again = askAfter
+	again := resendTimeout
+	if !c.upstreamMatched {
+		again = catchUpInterval
 	}
-	if prev := c.prev(); prev != "" && c.now-c.ackedAt >= again {
-		if c.ackedAt = c.now; c.joined {
-			c.ack()
+	if prev := c.predecessor(); prev != "" && c.now-c.ackSentAt >= again {
+		if c.ackSentAt = c.now; c.upstreamMatched {
+			c.sendAck()
 		} else {
-			c.mismatch(prev) // asks to be fed
+			c.sendMismatch(prev) // asks to be fed
 		}
 	}
 	if !c.isActive() {
 		return
 	}
-	if id := c.next(); id != "" {
-		p := c.down[id]
-		if p != nil && (!c.feeds() || p.active && p.match >= c.durable()) {
-			p.movedAt = c.now
-			if c.committed < c.durable() && c.now-p.sentAt >= resendAfter {
-				c.sendAppend(id, p, c.durable(), nil, c.durable()) // its word that it is committed was lost
+	if id := c.successor(); id != "" {
+		p := c.downstream[id]
+		if p != nil && (!c.canReplicate() || p.active && p.match >= c.durableIndex()) {
+			p.advancedAt = c.now
+			if c.commitIndex < c.durableIndex() && c.now-p.lastSentAt >= resendTimeout {
+				c.sendAppend(id, p, c.durableIndex(), nil, c.durableIndex()) // its word that it is committed was lost
 			}
-		} else if p != nil && p.known && !p.active && p.match >= c.durable() && c.now-p.sentAt >= resendAfter {
-			c.sendAppend(id, p, c.durable(), nil, c.durable())
+		} else if p != nil && p.matchKnown && !p.active && p.match >= c.durableIndex() && c.now-p.lastSentAt >= resendTimeout {
+			c.sendAppend(id, p, c.durableIndex(), nil, c.durableIndex())
 		}
-		c.push(id)
+		c.replicateTo(id)
 	}
 }
--- a/internal/system/replication/core_capacity_test.go
+++ b/internal/system/replication/core_capacity_test.go
@@ -43,12 +43,12 @@
 	cl := sizedCluster(t, members, 1, 1, 3)
 	handler := memory.New()
 	logger := &log.Logger{Handler: handler, Level: log.InfoLevel}
-	var capacity capacityLog
+	var capacity capacityReporter
 	first := cl.nodes[members[0].Addr]
 	watch := func(d time.Duration) {
 		for end := cl.now + d; cl.now < end; {
 			cl.step()
-			capacity.look(cl.now, first.core, logger)
+			capacity.report(cl.now, first.core, logger)
 		}
 	}
 	watch(12 * time.Second)
--- a/internal/system/replication/core_catchup_test.go
+++ b/internal/system/replication/core_catchup_test.go
@@ -20,7 +20,7 @@
 			for i, a := range addrs {
 				cl.start(Config{
 					Self: Member{Addr: a, Zone: "zone " + addrs[i], Region: "r"}, MachineLosses: 2, Seeds: addrs[:3], Bootstrap: true,
-					compactAfter: 300, // the 400 changes are behind a snapshot too
+					compactRecords: 300, // the 400 changes are behind a snapshot too
 				})
 			}
 			cl.until(8*time.Second, "the first view", func() bool { return cl.complete(5, 5) })
@@ -40,7 +40,7 @@
 			cl.nodes[feeder].core = nil
 			cl.flow(head, cl.now+10*time.Second, each, func() {
 				v := cl.view()
-				if level == 0 && slices.Contains(v.Chain, ID(member)) && len(v.Chain) == 4 && cl.nodes[member].core.activeOn == v.Epoch {
+				if level == 0 && slices.Contains(v.Chain, ID(member)) && len(v.Chain) == 4 && cl.nodes[member].core.durableActive == v.Epoch {
 					level = cl.now - began
 				}
 			})
@@ -50,7 +50,7 @@
 				t.Errorf("away for %v, its feeder lost after %v: it is no link again within 10 s", away, lostAfter)
 			}
 			longest = max(longest, level)
-			if n := inMemory(cl.nodes[member].core); n > compactBytes+2*keepBytes {
+			if n := inMemory(cl.nodes[member].core); n > compactThresholdBytes+2*minRetainedBytes {
 				t.Errorf("its log takes %d bytes in memory", n)
 			}
 		}
--- a/internal/system/replication/core_cluster_test.go
+++ b/internal/system/replication/core_cluster_test.go
@@ -181,8 +181,8 @@
 		if cl.now-began > limit {
 			for _, addr := range slices.Sorted(maps.Keys(cl.nodes)) {
 				if n := cl.nodes[addr]; n.core != nil {
-					cl.t.Logf("%s: view %d %v, active %d, committed %d of %d", addr, n.core.reg.view.Epoch, n.core.reg.view, n.core.activeOn,
-						n.core.committed, n.core.log.end())
+					cl.t.Logf("%s: view %d %v, active %d, committed %d of %d", addr, n.core.acceptor.view.Epoch, n.core.acceptor.view, n.core.durableActive,
+						n.core.commitIndex, n.core.log.end())
 				}
 			}
 			cl.t.Fatalf("not within %v: %s", limit, what)
@@ -218,8 +218,8 @@
 func (cl *cluster) view() *View {
 	newest := &View{}
 	for _, n := range cl.nodes {
-		if n.core != nil && n.core.reg.view.Epoch > newest.Epoch {
-			newest = n.core.reg.view
+		if n.core != nil && n.core.acceptor.view.Epoch > newest.Epoch {
+			newest = n.core.acceptor.view
 		}
 	}
 	return newest
@@ -232,13 +232,13 @@
 		return false
 	}
 	for _, m := range v.Voters {
-		if n := cl.nodes[m.Addr]; n == nil || n.core == nil || n.core.reg.view.Epoch != v.Epoch || n.core.reg.next != nil {
+		if n := cl.nodes[m.Addr]; n == nil || n.core == nil || n.core.acceptor.view.Epoch != v.Epoch || n.core.acceptor.acceptedView != nil {
 			return false
 		}
 	}
 	for _, id := range v.Chain {
 		m, _ := v.Voter(id)
-		if n := cl.nodes[m.Addr]; n.core.activeOn != v.Epoch {
+		if n := cl.nodes[m.Addr]; n.core.durableActive != v.Epoch {
 			return false
 		}
 	}
--- a/internal/system/replication/core_cut_test.go
+++ b/internal/system/replication/core_cut_test.go
@@ -56,8 +56,8 @@
 				if d := cl.done[read]; d.Outcome == Answered && d.Seq+1 < acked {
 					t.Fatalf("%s of %s: a read gave record %d, %d was acknowledged", name, cut, d.Seq, acked)
 				}
-				if n.core.Current(cl.clock(n)) && n.core.committed+1 < acked {
-					t.Fatalf("%s of %s: it counts as current with record %d of %d", name, cut, n.core.committed, acked)
+				if n.core.Current(cl.clock(n)) && n.core.commitIndex+1 < acked {
+					t.Fatalf("%s of %s: it counts as current with record %d of %d", name, cut, n.core.commitIndex, acked)
 				}
 			}
 			if acked < 20 {
@@ -70,7 +70,7 @@
 			took := cl.until(5*time.Second, name+" of "+cut+": three links", func() bool { return cl.complete(3, 3) })
 			longest = max(longest, took)
 			longestCurrent = max(longestCurrent, took+cl.until(5*time.Second, "it is current", func() bool {
-				return n.core.Current(cl.clock(n)) && n.core.committed >= acked
+				return n.core.Current(cl.clock(n)) && n.core.commitIndex >= acked
 			}))
 		}
 	}
--- a/internal/system/replication/core_disk_test.go
+++ b/internal/system/replication/core_disk_test.go
@@ -131,15 +131,15 @@
 	a := newAlone(t, toyMachine{}, t.TempDir())
 	a.change(1, 3, 100)
 	c := a.core
-	c.disk.bytes = 2 * compactBytes
+	c.writer.loggedBytes = 2 * compactThresholdBytes
 	record := controlstate.Record{Seq: 4, Op: controlstate.OpNone, Zone: "fed"}
 	next, err := c.state.Apply(record)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.log.entries = append(c.log.entries, entry{epoch: c.log.entries[0].epoch, rec: record})
-	c.state, c.committed = next, 4
-	a.until(2*time.Second, "a snapshot at 4", func() bool { return c.disk.snapshot == 4 && c.disk.op == nil })
+	c.state, c.commitIndex = next, 4
+	a.until(2*time.Second, "a snapshot at 4", func() bool { return c.writer.snapshotSeq == 4 && c.writer.op == nil })
 	if _, snapshot, entries, err := a.log.Load(); err != nil || snapshot.Seq != 4 || len(entries) > 0 {
 		t.Errorf("on disk: a snapshot at %d, %d entries, %v", snapshot.Seq, len(entries), err)
 	}
--- a/internal/system/replication/core_feed_test.go
+++ b/internal/system/replication/core_feed_test.go
@@ -73,11 +73,11 @@
 			most = max(most, inMemory(n.core))
 		}
 	})
-	if seq := cl.nodes["a"].core.committed; seq < 390 {
+	if seq := cl.nodes["a"].core.commitIndex; seq < 390 {
 		t.Fatalf("%d changes were acknowledged", seq)
 	}
 	t.Logf("at most %.1f MB", float64(most)/(1<<20))
-	if most > compactBytes+4<<20+8*each {
+	if most > compactThresholdBytes+4<<20+8*each {
 		t.Errorf("the log takes %.1f MB in memory", float64(most)/(1<<20))
 	}
 }
@@ -90,7 +90,7 @@
 	for _, a := range []string{"a", "b", "c"} {
 		cl.start(Config{
 			Self: Member{Addr: a, Zone: "zone " + a, Region: "r"}, MachineLosses: 1, Seeds: []string{"a", "b", "c"}, Bootstrap: true,
-			compactAfter: 50, keepBehind: 20,
+			compactRecords: 50, retainedRecords: 20,
 		})
 	}
 	cl.until(5*time.Second, "the first view", func() bool { return cl.complete(3, 3) })
@@ -129,7 +129,7 @@
 		return true
 	}
 	cl.start(Config{Self: Member{Addr: "d", Zone: "zone d", Region: "r"}, MachineLosses: 1, Seeds: []string{"a", "b", "c"}})
-	took := cl.until(15*time.Second, "the spare is level", func() bool { return cl.nodes["d"].core.committed == cl.nodes["a"].core.committed })
+	took := cl.until(15*time.Second, "the spare is level", func() bool { return cl.nodes["d"].core.commitIndex == cl.nodes["a"].core.commitIndex })
 	t.Logf("level after %v, %d snapshots sent", took, sent)
 	if sent > 2 {
 		t.Errorf("%d snapshots were sent", sent)
@@ -153,7 +153,7 @@
 		cl.start(spare)
 		began, level := cl.now, time.Duration(0)
 		cl.flow("a", cl.now+15*time.Second, each, func() {
-			if level == 0 && cl.nodes["d"].core.committed+5 >= cl.nodes["a"].core.committed {
+			if level == 0 && cl.nodes["d"].core.commitIndex+5 >= cl.nodes["a"].core.commitIndex {
 				level = cl.now - began
 			}
 		})
--- a/internal/system/replication/core_full_test.go
+++ b/internal/system/replication/core_full_test.go
@@ -12,7 +12,7 @@
 	head, sender := cl.link(0), cl.link(2)
 	changes := cl.nodes[head].core.changes
 	for id := range uint64(maxChanges) {
-		changes[changeKey{from: "filler", id: id}] = &pendingChange{done: true, outcome: Answered, at: cl.now + time.Hour}
+		changes[changeKey{from: "filler", callNumber: id}] = &pendingChange{done: true, outcome: Answered, closedAt: cl.now + time.Hour}
 	}
 	id := cl.submit(sender, noted("one too many"), 3*time.Second)
 	cl.until(time.Second, "an answer", func() bool { return cl.done[id].ID != 0 })
--- a/internal/system/replication/core_keeper_test.go
+++ b/internal/system/replication/core_keeper_test.go
@@ -41,7 +41,7 @@
 		if s, err := observer.Read(ctx); err != nil || !s.Evacuated["a"] {
 			t.Fatal(s, err)
 		}
-		if v := observer.View(); len(v.Chain) != 3 || v.place(observer.Self().ID) >= 0 || !observer.Current() {
+		if v := observer.View(); len(v.Chain) != 3 || v.chainIndex(observer.Self().ID) >= 0 || !observer.Current() {
 			t.Errorf("the observer is current: %v, and knows %v", observer.Current(), v)
 		}
 		for _, k := range append(all, observer) {
--- a/internal/system/replication/core_late_test.go
+++ b/internal/system/replication/core_late_test.go
@@ -86,13 +86,13 @@
 			cl.deliver(e)
 		}
 		if n := cl.nodes["d"]; n.core.Current(cl.clock(n)) {
-			t.Fatalf("%v after its start the keeper counts as current with %d of 1 records", cl.clock(n), n.core.committed)
+			t.Fatalf("%v after its start the keeper counts as current with %d of 1 records", cl.clock(n), n.core.commitIndex)
 		}
 	}
 	fresh = true
 	cl.until(2*time.Second, "the spare is current once it is fed", func() bool {
 		n := cl.nodes["d"]
-		return n.core.Current(cl.clock(n)) && n.core.committed == 1
+		return n.core.Current(cl.clock(n)) && n.core.commitIndex == 1
 	})
 }
 
@@ -116,7 +116,7 @@
 		cl.run(20 * time.Second)
 		cl.deliver(double)
 		cl.run(time.Second)
-		return cl.nodes[head].core.committed
+		return cl.nodes[head].core.commitIndex
 	}
 	if n := play(scriptedHooks{}); n != 1 {
 		t.Errorf("%d records are committed", n)
--- a/internal/system/replication/core_observer_test.go
+++ b/internal/system/replication/core_observer_test.go
@@ -23,7 +23,7 @@
 		if n.core == nil {
 			continue
 		}
-		for _, m := range n.core.reg.view.Voters {
+		for _, m := range n.core.acceptor.view.Voters {
 			if cl.nodes[m.Addr].cfg.Observer {
 				t.Fatalf("%s holds a view in which the observer %s votes", addr, m.Addr)
 			}
@@ -54,8 +54,8 @@
 			}
 			cl.run(time.Second)
 			for _, a := range addrs {
-				if n := cl.nodes[a]; !n.core.Current(cl.clock(n)) || n.core.committed != cl.nodes["k4"].core.committed {
-					t.Errorf("%s: current %v, committed %d", a, n.core.Current(cl.clock(n)), n.core.committed)
+				if n := cl.nodes[a]; !n.core.Current(cl.clock(n)) || n.core.commitIndex != cl.nodes["k4"].core.commitIndex {
+					t.Errorf("%s: current %v, committed %d", a, n.core.Current(cl.clock(n)), n.core.commitIndex)
 				}
 			}
 			noObserverInViews(t, cl)
@@ -219,7 +219,7 @@
 		cl.run(4 * time.Second)
 		founders := map[string]bool{}
 		for _, n := range cl.nodes {
-			if v := n.core.reg.view; v.Epoch > 0 {
+			if v := n.core.acceptor.view; v.Epoch > 0 {
 				founders[fmt.Sprint(v.Epoch, v.Chain, v.Voters)] = true
 			}
 		}
--- a/internal/system/replication/core_scenario_test.go
+++ b/internal/system/replication/core_scenario_test.go
@@ -88,7 +88,7 @@
 		if between(from, to, head, tail) {
 			return false
 		}
-		if from == head && to == voter && cl.nodes[head].core.reg.view.Epoch > before || m.GetChosen() != nil && to == voter {
+		if from == head && to == voter && cl.nodes[head].core.acceptor.view.Epoch > before || m.GetChosen() != nil && to == voter {
 			told = true
 			return false // not a word of the new view
 		}
@@ -96,12 +96,12 @@
 	}
 	cl.nodes[tail].core.graceUntil, cl.nodes[voter].core.graceUntil = time.Hour, time.Hour // the head proposes
 	cl.until(5*time.Second, "the head goes on alone", func() bool {
-		return cl.nodes[head].core.reg.view.Epoch > before && cl.nodes[head].core.isTail()
+		return cl.nodes[head].core.acceptor.view.Epoch > before && cl.nodes[head].core.isTail()
 	})
 	id := cl.submit(head, replacing(0, "newer"), time.Second)
 	cl.until(time.Second, "a change in the new view", func() bool { return cl.answered(id) })
-	if !told || cl.nodes[voter].core.reg.view.Epoch != before || cl.nodes[tail].core.reg.view.Epoch != before {
-		t.Fatalf("it did not come about: told %v, views %v and %v", told, cl.nodes[voter].core.reg.view, cl.nodes[tail].core.reg.view)
+	if !told || cl.nodes[voter].core.acceptor.view.Epoch != before || cl.nodes[tail].core.acceptor.view.Epoch != before {
+		t.Fatalf("it did not come about: told %v, views %v and %v", told, cl.nodes[voter].core.acceptor.view, cl.nodes[tail].core.acceptor.view)
 	}
 	read, current := cl.read(tail, 2*time.Second), false
 	cl.run(time.Second) // what the voter said before it accepted may be taken for current for that long
--- a/internal/system/replication/core_seal_test.go
+++ b/internal/system/replication/core_seal_test.go
@@ -37,11 +37,11 @@
 		return true
 	}
 	b := cl.nodes["b"].core
-	cl.until(3*time.Second, "a chain of a and b", func() bool { return b.reg.view.Epoch == 2 && cl.nodes["a"].core.isHead() })
+	cl.until(3*time.Second, "a chain of a and b", func() bool { return b.acceptor.view.Epoch == 2 && cl.nodes["a"].core.isHead() })
 	change := cl.submit("a", noted("acknowledged"), 20*time.Second)
 	cl.run(300 * time.Millisecond)
 	lost = func(from, _ string) bool { return from == "a" }
-	b.disk.bad, b.disk.badUntil = true, time.Hour
+	b.writer.unhealthy, b.writer.unhealthyUntil = true, time.Hour
 	cl.until(5*time.Second, "another view is proposed", func() bool { return len(accepts) > 0 })
 	for _, e := range underWay {
 		cl.deliver(e)
--- a/internal/system/replication/core_sizing_test.go
+++ b/internal/system/replication/core_sizing_test.go
@@ -85,9 +85,9 @@
 				members := placed(layout)
 				cfg := Config{MachineLosses: machines, ZoneLosses: zones}
 				cl := sizedCluster(t, members, machines, zones, 3)
-				wantVoters := min(len(members), cfg.voters())
-				wantLinks := min(wantVoters, cfg.maxLinks())
-				if wantLinks < cfg.links() {
+				wantVoters := min(len(members), cfg.targetVoters())
+				wantLinks := min(wantVoters, cfg.targetChainLength())
+				if wantLinks < cfg.minChainLength() {
 					// What exists may not acknowledge. It still forms a view of all voters.
 					cl.until(8*time.Second, fmt.Sprint(layout, machines, zones), func() bool { return len(cl.view().Voters) == wantVoters })
 					continue
@@ -101,10 +101,10 @@
 					m, _ := v.Voter(id)
 					links = append(links, m)
 				}
-				if can := subsets(members, wantVoters, cfg.votersBear); can != cfg.votersBear(v.Voters) {
+				if can := subsets(members, wantVoters, cfg.votersTolerateLosses); can != cfg.votersTolerateLosses(v.Voters) {
 					t.Errorf("%s: bearable %v, but the voters are %v", name, can, v)
 				}
-				if can := subsets(v.Voters, wantLinks, cfg.linksBear); can != cfg.linksBear(links) {
+				if can := subsets(v.Voters, wantLinks, cfg.chainToleratesLosses); can != cfg.chainToleratesLosses(links) {
 					t.Errorf("%s: bearable %v, but the links are %v", name, can, v)
 				}
 			}
@@ -121,7 +121,7 @@
 		for machines := range 5 {
 			members := placed(layout)
 			cfg := Config{MachineLosses: machines, ZoneLosses: 1}
-			if !subsets(members, min(len(members), cfg.voters()), cfg.votersBear) {
+			if !subsets(members, min(len(members), cfg.targetVoters()), cfg.votersTolerateLosses) {
 				continue
 			}
 			losses := [][]Member{nil} // nil: the first links and then voters
@@ -131,7 +131,7 @@
 			for _, lost := range losses {
 				cl := sizedCluster(t, members, machines, 1, 3)
 				name := fmt.Sprintf("zones %v, losses of %d machines or a zone, without %v", layout, machines, lost)
-				cl.until(8*time.Second, name, func() bool { return cl.complete(min(cfg.voters(), cfg.maxLinks()), cfg.voters()) })
+				cl.until(8*time.Second, name, func() bool { return cl.complete(min(cfg.targetVoters(), cfg.targetChainLength()), cfg.targetVoters()) })
 				cl.run(3 * time.Second)
 				first := cl.submit(members[0].Addr, replacing(0, "first"), 2*time.Second)
 				cl.until(2*time.Second, name+": the first change", func() bool { return cl.answered(first) })
@@ -148,7 +148,7 @@
 				at := slices.IndexFunc(members, func(m Member) bool { return !slices.Contains(lost, m) })
 				id := cl.submit(members[at].Addr, replacing(1, "second"), 10*time.Second)
 				longest = max(longest, cl.until(5*time.Second, name+": a change", func() bool { return cl.answered(id) }))
-				if seq := cl.nodes[members[at].Addr].core.committed; seq < 2 {
+				if seq := cl.nodes[members[at].Addr].core.commitIndex; seq < 2 {
 					t.Errorf("%s: %d records are left", name, seq)
 				}
 				runs++
@@ -173,7 +173,7 @@
 			t.Fatalf("on the way: %v", v)
 		}
 		cfg := Config{MachineLosses: 1, ZoneLosses: 1}
-		return cl.complete(3, 3) && cfg.votersBear(cl.view().Voters)
+		return cl.complete(3, 3) && cfg.votersTolerateLosses(cl.view().Voters)
 	})
 	t.Logf("after %v: %v", took, cl.view())
 }
--- a/internal/system/replication/disk.go
+++ b/internal/system/replication/disk.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	metaRegister = "register"
+	metaAcceptor = "register"
 
-	diskRetry    = 500 * time.Millisecond
-	compactAfter = 2000    // records
-	compactBytes = 8 << 20 // or bytes of them
-	keepBehind   = 20000   // records kept in memory below a snapshot, for those who follow; keepBytes of them at most
-	keepBytes    = 4 << 20
+	diskRetryInterval      = 500 * time.Millisecond
+	defaultCompactRecords  = 2000    // records
+	compactThresholdBytes  = 8 << 20 // or bytes of them
+	defaultRetainedRecords = 20000   // records kept in memory below a snapshot, for those who follow; minRetainedBytes of them at most
+	minRetainedBytes       = 4 << 20
 )
 
 // DiskKind says what a DiskOp does.
@@ -60,31 +60,31 @@
 	return errors.AssertionFailedf("replication: disk operation %d is not known: update the keeper", op.Kind)
 }
 
-// storage is what the core knows of its disk.
-type storage struct {
-	op       *DiskOp
-	done     func(err error)
-	since    time.Duration // when op began
-	token    uint64
-	retryAt  time.Duration
-	bad      bool          // refused or was slow the last time
-	badUntil time.Duration // no earlier than this it counts as good again
-	probe    bool          // a write to find out whether it is good again is wanted
+// diskWriter is what the core knows of its disk.
+type diskWriter struct {
+	op             *DiskOp
+	onDone         func(err error)
+	startedAt      time.Duration // when op began
+	token          uint64
+	retryAt        time.Duration
+	unhealthy      bool          // refused or was slow the last time
+	unhealthyUntil time.Duration // no earlier than this it counts as good again
+	probeWanted    bool          // a write to find out whether it is good again is wanted
 
-	dirty   bool     // the register differs from what is on disk
-	waiters []func() // run when the register as it is now is on disk
+	acceptorDirty bool     // the register differs from what is on disk
+	waiters       []func() // run when the register as it is now is on disk
 
-	end      uint64 // newest record on disk that is the same in memory
-	unsure   bool   // there may be other records above end: truncate first
-	install  *wal.Snapshot
-	snapshot uint64 // newest snapshot on disk
-	bytes    int    // logged since
-	refused  bool   // the last append, with no compaction since
+	durableEnd     uint64 // newest record on disk that is the same in memory
+	truncateNeeded bool   // there may be other records above end: truncate first
+	pendingInstall *wal.Snapshot
+	snapshotSeq    uint64 // newest snapshot on disk
+	loggedBytes    int    // logged since
+	appendRefused  bool   // the last append, with no compaction since
 }
 
 // persist writes the register and then runs then, unless the process ends before.
 func (c *Core) persist(then func()) {
-	c.disk.dirty = true
+	c.writer.acceptorDirty = true
 	if then == nil {
 		return
 	}
@@ -92,66 +92,66 @@
 		then()
 		return
 	}
-	c.disk.waiters = append(c.disk.waiters, then)
+	c.writer.waiters = append(c.writer.waiters, then)
 }
 
 // truncateLog drops the records above after from memory and disk.
 func (c *Core) truncateLog(after uint64) {
 	c.log.truncate(after)
-	c.matched = min(c.matched, after)
-	if after < c.disk.end {
-		c.disk.end, c.disk.unsure = after, true
-	} else if c.disk.op != nil && c.disk.op.Kind == DiskAppend {
-		c.disk.unsure = true
+	c.matchIndex = min(c.matchIndex, after)
+	if after < c.writer.durableEnd {
+		c.writer.durableEnd, c.writer.truncateNeeded = after, true
+	} else if c.writer.op != nil && c.writer.op.Kind == DiskAppend {
+		c.writer.truncateNeeded = true
 	}
 }
 
 // startWrite starts the next write.
 func (c *Core) startWrite() {
-	d := &c.disk
+	d := &c.writer
 	if d.op != nil || c.now < d.retryAt {
 		return
 	}
 	switch {
-	case d.dirty || d.probe:
-		d.dirty, d.probe = false, false
-		data, err := proto.Marshal(c.reg.pb())
+	case d.acceptorDirty || d.probeWanted:
+		d.acceptorDirty, d.probeWanted = false, false
+		data, err := proto.Marshal(c.acceptor.pb())
 		if err != nil {
 			c.fail(errors.Wrap(err, "replication: register"))
 			return
 		}
 		waiters := d.waiters
 		d.waiters = nil
-		active, sealed, epoch := c.reg.active, c.reg.sealed, c.reg.view.Epoch
-		c.startOp(&DiskOp{Kind: DiskSaveMeta, Name: metaRegister, Data: data}, func(err error) {
+		active, sealed, epoch := c.acceptor.activeEpoch, c.acceptor.sealedEpoch, c.acceptor.view.Epoch
+		c.beginWrite(&DiskOp{Kind: DiskSaveMeta, Name: metaAcceptor, Data: data}, func(err error) {
 			if err != nil {
-				d.dirty, d.waiters = true, append(waiters, d.waiters...)
+				d.acceptorDirty, d.waiters = true, append(waiters, d.waiters...)
 				return
 			}
-			c.activeOn, c.sealedOn, c.epochOn = active, sealed, epoch
+			c.durableActive, c.durableSealed, c.durableEpoch = active, sealed, epoch
 			for _, w := range waiters {
 				w()
 			}
 		})
-	case d.install != nil:
-		snap := d.install
-		c.startOp(&DiskOp{Kind: DiskInstall, Snapshot: *snap}, func(err error) {
-			if err != nil || d.install != snap {
+	case d.pendingInstall != nil:
+		snap := d.pendingInstall
+		c.beginWrite(&DiskOp{Kind: DiskInstall, Snapshot: *snap}, func(err error) {
+			if err != nil || d.pendingInstall != snap {
 				return
 			}
-			d.install, d.unsure = nil, false
-			d.end, d.snapshot, d.bytes = snap.Seq, snap.Seq, 0
+			d.pendingInstall, d.truncateNeeded = nil, false
+			d.durableEnd, d.snapshotSeq, d.loggedBytes = snap.Seq, snap.Seq, 0
 		})
-	case d.unsure:
-		after := d.end
-		c.startOp(&DiskOp{Kind: DiskTruncate, After: after}, func(err error) {
-			if err == nil && d.end >= after {
-				d.unsure = false
+	case d.truncateNeeded:
+		after := d.durableEnd
+		c.beginWrite(&DiskOp{Kind: DiskTruncate, After: after}, func(err error) {
+			if err == nil && d.durableEnd >= after {
+				d.truncateNeeded = false
 			}
 		})
 	case c.compactionDue(2) && c.startCompact(): // before more records, that wait at the end of each write under load
-	case d.refused && min(c.committed, d.end) > d.snapshot && c.startCompact(): // the log may be full
-	case d.end < c.log.end():
+	case d.appendRefused && min(c.commitIndex, d.durableEnd) > d.snapshotSeq && c.startCompact(): // the log may be full
+	case d.durableEnd < c.log.end():
 		c.startAppend()
 	case c.compactionDue(1) && c.startCompact():
 	}
@@ -159,16 +159,16 @@
 
 // compactionDue tells whether so many times as many records or bytes are committed on disk as a snapshot is taken after.
 func (c *Core) compactionDue(times uint64) bool {
-	d := &c.disk
-	done := min(c.committed, d.end)
-	return done >= d.snapshot+times*c.cfg.compactAfter || d.bytes >= int(times)*compactBytes && done > d.snapshot
+	d := &c.writer
+	done := min(c.commitIndex, d.durableEnd)
+	return done >= d.snapshotSeq+times*c.cfg.compactRecords || d.loggedBytes >= int(times)*compactThresholdBytes && done > d.snapshotSeq
 }
 
 func (c *Core) startAppend() {
-	d := &c.disk
+	d := &c.writer
 	var entries []wal.Entry
 	bytes := 0
-	for seq := d.end + 1; seq <= c.log.end() && bytes < 1<<20; seq++ {
+	for seq := d.durableEnd + 1; seq <= c.log.end() && bytes < 1<<20; seq++ {
 		data, err := proto.Marshal(c.log.at(seq).pb())
 		if err != nil {
 			c.fail(errors.Wrap(err, "replication: record"))
@@ -178,62 +178,62 @@
 		bytes += len(data)
 	}
 	last := entries[len(entries)-1].Seq
-	c.startOp(&DiskOp{Kind: DiskAppend, Entries: entries}, func(err error) {
-		if d.install != nil {
+	c.beginWrite(&DiskOp{Kind: DiskAppend, Entries: entries}, func(err error) {
+		if d.pendingInstall != nil {
 			return
 		}
-		d.refused = err != nil
+		d.appendRefused = err != nil
 		if err != nil {
-			d.unsure = true
+			d.truncateNeeded = true
 			return
 		}
-		if !d.unsure {
-			d.end = last
-			d.bytes += bytes
+		if !d.truncateNeeded {
+			d.durableEnd = last
+			d.loggedBytes += bytes
 		}
 	})
 }
 
 // startCompact begins to write the committed state as a snapshot; false where it cannot.
 func (c *Core) startCompact() bool {
-	d := &c.disk
-	epoch, ok := c.log.epochAt(c.committed)
+	d := &c.writer
+	epoch, ok := c.log.epochAt(c.commitIndex)
 	if !ok {
 		return false
 	}
-	snap, err := encodeImage(c.committed, epoch, c.state)
+	snap, err := encodeImage(c.commitIndex, epoch, c.state)
 	if err != nil {
 		c.fail(err)
 		return false
 	}
 	op := &DiskOp{Kind: DiskCompact, Snapshot: snap}
-	if c.committed > d.end { // it is ahead of the log on disk, and takes its place
+	if c.commitIndex > d.durableEnd { // it is ahead of the log on disk, and takes its place
 		op.Kind = DiskInstall
 	}
-	c.startOp(op, func(err error) {
-		d.refused = false
-		if err != nil || d.install != nil {
+	c.beginWrite(op, func(err error) {
+		d.appendRefused = false
+		if err != nil || d.pendingInstall != nil {
 			return
 		}
-		d.end, d.snapshot, d.bytes = max(d.end, snap.Seq), snap.Seq, 0
-		c.dropBehind(snap)
+		d.durableEnd, d.snapshotSeq, d.loggedBytes = max(d.durableEnd, snap.Seq), snap.Seq, 0
+		c.compactMemory(snap)
 	})
 	return true
 }
 
-// dropBehind forgets records below a snapshot, but for those that somebody may need who is a little behind: at most
-// keepBehind records, of keepBytes or twice the size of the snapshot. That much is enough for one that was sent a snapshot
+// compactMemory forgets records below a snapshot, but for those that somebody may need who is a little behind: at most
+// defaultRetainedRecords records, of minRetainedBytes or twice the size of the snapshot. That much is enough for one that was sent a snapshot
 // to go on from there: while it was under way, changes took less of the link than the snapshot did, or else the link could
 // not carry the changes at all.
-func (c *Core) dropBehind(snap wal.Snapshot) {
-	room, keep := max(keepBytes, 2*len(snap.Data)), uint64(0)
-	for seq := min(snap.Seq, c.log.end()); seq > c.log.base && keep < c.cfg.keepBehind; seq-- {
+func (c *Core) compactMemory(snap wal.Snapshot) {
+	room, keep := max(minRetainedBytes, 2*len(snap.Data)), uint64(0)
+	for seq := min(snap.Seq, c.log.end()); seq > c.log.base && keep < c.cfg.retainedRecords; seq-- {
 		if room -= c.log.at(seq).size(); room < 0 {
 			break
 		}
 		keep++
 	}
-	c.log.drop(snap.Seq - keep)
+	c.log.compact(snap.Seq - keep)
 }
 
 func encodeImage(seq, epoch uint64, s State) (wal.Snapshot, error) {
@@ -244,49 +244,49 @@
 	return wal.Snapshot{Seq: seq, Data: data}, nil
 }
 
-func (c *Core) startOp(op *DiskOp, done func(error)) {
-	d := &c.disk
+func (c *Core) beginWrite(op *DiskOp, done func(error)) {
+	d := &c.writer
 	d.token++
 	op.Token = d.token
-	d.op, d.done, d.since = op, done, c.now
+	d.op, d.onDone, d.startedAt = op, done, c.now
 	c.out.Disk = op
 }
 
 // DiskDone tells that the operation with the token has ended.
 func (c *Core) DiskDone(now time.Duration, token uint64, err error) {
 	c.advance(now)
-	d := &c.disk
+	d := &c.writer
 	if d.op == nil || d.op.Token != token {
 		return
 	}
-	done := d.done
-	d.op, d.done = nil, nil
-	slow := c.now-d.since > c.cfg.SlowDiskTimeout
+	done := d.onDone
+	d.op, d.onDone = nil, nil
+	slow := c.now-d.startedAt > c.cfg.SlowDiskTimeout
 	switch {
 	case errors.Is(err, wal.ErrSuperseded): // no try can succeed any more
 		c.fail(errors.Wrap(err, "replication: this keeper takes no part any more"))
 	case err != nil:
-		d.bad, d.retryAt = true, c.now+diskRetry
-		d.badUntil = c.now + diskRetry
-		c.note("replication: the disk refuses writes, retrying: " + err.Error())
+		d.unhealthy, d.retryAt = true, c.now+diskRetryInterval
+		d.unhealthyUntil = c.now + diskRetryInterval
+		c.logEvent("replication: the disk refuses writes, retrying: " + err.Error())
 	case slow:
-		d.bad, d.badUntil = true, c.now+4*diskRetry
+		d.unhealthy, d.unhealthyUntil = true, c.now+4*diskRetryInterval
 		d.retryAt = 0
-	case d.bad && c.now >= d.badUntil:
-		d.bad = false
+	case d.unhealthy && c.now >= d.unhealthyUntil:
+		d.unhealthy = false
 	}
 	done(err)
-	c.written()
-	c.settle()
+	c.onDurableChange()
+	c.flush()
 }
 
-// watchDisk notices a write that does not end, and asks for one when the disk may be good again.
-func (c *Core) watchDisk() {
-	d := &c.disk
-	if d.op != nil && c.now-d.since > c.cfg.SlowDiskTimeout {
-		d.bad, d.badUntil = true, c.now+diskRetry
+// superviseWrites notices a write that does not end, and asks for one when the disk may be good again.
+func (c *Core) superviseWrites() {
+	d := &c.writer
+	if d.op != nil && c.now-d.startedAt > c.cfg.SlowDiskTimeout {
+		d.unhealthy, d.unhealthyUntil = true, c.now+diskRetryInterval
 	}
-	if d.bad && d.op == nil && c.now >= d.badUntil {
-		d.probe = true
+	if d.unhealthy && d.op == nil && c.now >= d.unhealthyUntil {
+		d.probeWanted = true
 	}
 }
--- a/internal/system/replication/faults_losses_test.go
+++ b/internal/system/replication/faults_losses_test.go
@@ -60,16 +60,16 @@
 }
 
 // held is what the machine's disk says of it.
-func (m *machine) held() (register, bool) {
-	data, ok := m.disk.meta[metaRegister]
+func (m *machine) held() (acceptor, bool) {
+	data, ok := m.disk.meta[metaAcceptor]
 	if !ok || m.gone {
-		return register{}, false
+		return acceptor{}, false
 	}
 	var p replicationpb.Register
 	if proto.Unmarshal(data, &p) != nil {
-		return register{}, false
+		return acceptor{}, false
 	}
-	return registerOf(&p), true
+	return acceptorOf(&p), true
 }
 
 // whole tells whether the newest view stands on disks that are all there, as many as it should.
@@ -78,14 +78,14 @@
 	if v == nil || len(v.Chain) <= w.losses || len(v.Voters) < 2*w.losses+1 {
 		return false
 	}
-	disks := map[ID]register{}
+	disks := map[ID]acceptor{}
 	for _, m := range w.nodes {
 		if r, ok := m.held(); ok {
 			disks[r.self.ID] = r
 		}
 	}
 	for _, l := range v.Chain {
-		if r, ok := disks[l]; !ok || r.active != v.Epoch || r.view.Epoch != v.Epoch {
+		if r, ok := disks[l]; !ok || r.activeEpoch != v.Epoch || r.view.Epoch != v.Epoch {
 			return false
 		}
 	}
@@ -94,7 +94,7 @@
 	}
 	for _, m := range v.Voters {
 		// A view that is accepted but not chosen names disks of its own, on which the next one depends.
-		if r, ok := disks[m.ID]; !ok || r.view.Epoch != v.Epoch || r.next != nil {
+		if r, ok := disks[m.ID]; !ok || r.view.Epoch != v.Epoch || r.acceptedView != nil {
 			return false
 		}
 	}
@@ -109,7 +109,7 @@
 		m, _ := v.Voter(id)
 		links = append(links, m)
 	}
-	return w.zoneLosses == 0 || c.votersBear(v.Voters) && c.linksBear(links)
+	return w.zoneLosses == 0 || c.votersTolerateLosses(v.Voters) && c.chainToleratesLosses(links)
 }
 
 // loseZone empties all disks of a zone at once, where that must be borne.
--- a/internal/system/replication/feed.go
+++ b/internal/system/replication/feed.go
@@ -10,44 +10,44 @@
 
 // progress is how far a downstream keeper has come: the next link, or a learner.
 type progress struct {
-	learner  bool
-	follow   uint64 // number of a learner's last call
-	known    bool   // match is
-	match    uint64 // on its disk, the same as here
-	next     uint64
-	sentAt   time.Duration
-	resendAt time.Duration // when what was sent and not acknowledged counts as lost
-	movedAt  time.Duration
-	seenAt   time.Duration
-	active   bool
-	complete bool // it and all links after it are active
-	lagging  bool // it was sent a snapshot
+	learner          bool
+	followNumber     uint64 // number of a learner's last call
+	matchKnown       bool   // match is
+	match            uint64 // on its disk, the same as here
+	next             uint64
+	lastSentAt       time.Duration
+	resendAt         time.Duration // when what was sent and not acknowledged counts as lost
+	advancedAt       time.Duration
+	lastContactAt    time.Duration
+	active           bool
+	activeToTail     bool // it and all links after it are active
+	snapshotInFlight bool // it was sent a snapshot
 }
 
-// sent notes that so many bytes went out, after those that are under way.
-func (p *progress) sent(now time.Duration, bytes int) {
-	p.resendAt = max(p.resendAt, now+resendAfter) + transfer(bytes)
+// recordSent notes that so many bytes went out, after those that are under way.
+func (p *progress) recordSent(now time.Duration, bytes int) {
+	p.resendAt = max(p.resendAt, now+resendTimeout) + transferTime(bytes)
 }
 
-// transfer is how long bytes may take to a keeper on a slow link.
-func transfer(bytes int) time.Duration { return time.Duration(bytes) * transferPerMB >> 20 }
+// transferTime is how long bytes may take to a keeper on a slow link.
+func transferTime(bytes int) time.Duration { return time.Duration(bytes) * transferTimePerMB >> 20 }
 
-// feeds tells whether this link may hand on: it takes part, and knows since its start how far its log is the chain's.
-func (c *Core) feeds() bool { return c.isActive() && (c.isHead() || c.joined) }
+// canReplicate tells whether this link may hand on: it takes part, and knows since its start how far its log is the chain's.
+func (c *Core) canReplicate() bool { return c.isActive() && (c.isHead() || c.upstreamMatched) }
 
-// push hands on what the downstream keeper lacks.
-func (c *Core) push(id ID) {
-	p := c.down[id]
+// replicateTo hands on what the downstream keeper lacks.
+func (c *Core) replicateTo(id ID) {
+	p := c.downstream[id]
 	if p == nil {
-		p = &progress{movedAt: c.now, sentAt: -resendAfter}
-		c.down[id] = p
+		p = &progress{advancedAt: c.now, lastSentAt: -resendTimeout}
+		c.downstream[id] = p
 	}
-	if !c.feeds() {
+	if !c.canReplicate() {
 		return
 	}
-	limit := c.limit(p)
-	if !p.known {
-		if c.now-p.sentAt >= resendAfter {
+	limit := c.replicationLimit(p)
+	if !p.matchKnown {
+		if c.now-p.lastSentAt >= resendTimeout {
 			c.sendAppend(id, p, limit, nil, limit)
 		}
 		return
@@ -59,22 +59,22 @@
 		c.sendInstall(id, p)
 		return
 	}
-	for underWay := c.log.bytes(p.match+1, p.next-1); p.next <= limit && underWay < windowBytes; {
-		entries := c.log.between(p.next, limit, appendBytes)
+	for underWay := c.log.size(p.match+1, p.next-1); p.next <= limit && underWay < maxInFlightBytes; {
+		entries := c.log.between(p.next, limit, maxAppendBytes)
 		c.sendAppend(id, p, p.next-1, entries, limit)
-		bytes := c.log.bytes(p.next, p.next+uint64(len(entries))-1)
-		p.sent(c.now, bytes)
+		bytes := c.log.size(p.next, p.next+uint64(len(entries))-1)
+		p.recordSent(c.now, bytes)
 		p.next += uint64(len(entries))
 		underWay += bytes
 	}
 }
 
-// limit is the last record that may be handed on: on disk here; to learners, committed.
-func (c *Core) limit(p *progress) uint64 {
+// replicationLimit is the last record that may be handed on: on disk here; to learners, committed.
+func (c *Core) replicationLimit(p *progress) uint64 {
 	if p.learner {
-		return c.committed
+		return c.commitIndex
 	}
-	return c.durable()
+	return c.durableIndex()
 }
 
 func (c *Core) sendAppend(id ID, p *progress, prev uint64, entries []*replicationpb.Entry, limit uint64) {
@@ -82,123 +82,123 @@
 	if !ok {
 		return
 	}
-	p.sentAt = c.now
+	p.lastSentAt = c.now
 	c.send(id, &replicationpb.Message{Body: &replicationpb.Message_Append{Append: &replicationpb.Append{
-		Epoch: c.reg.view.Epoch, PrevSeq: prev, PrevEpoch: epoch, Entries: entries,
-		Start: c.start, End: limit, Committed: c.committed, Learner: p.learner, Follow: p.follow,
+		Epoch: c.acceptor.view.Epoch, PrevSeq: prev, PrevEpoch: epoch, Entries: entries,
+		Start: c.epochStartIndex, End: limit, Committed: c.commitIndex, Learner: p.learner, Follow: p.followNumber,
 	}}})
 }
 
 func (c *Core) sendInstall(id ID, p *progress) {
-	if p.lagging && c.now < p.resendAt {
+	if p.snapshotInFlight && c.now < p.resendAt {
 		return
 	}
-	epoch, ok := c.log.epochAt(c.committed)
+	epoch, ok := c.log.epochAt(c.commitIndex)
 	if !ok {
 		return
 	}
 	state := c.state.Encode()
-	p.sentAt, p.lagging = c.now, true
-	p.resendAt = c.now + installAfter + transfer(len(state))
+	p.lastSentAt, p.snapshotInFlight = c.now, true
+	p.resendAt = c.now + snapshotResendTimeout + transferTime(len(state))
 	c.send(id, &replicationpb.Message{Body: &replicationpb.Message_Install{Install: &replicationpb.Install{
-		Epoch: c.reg.view.Epoch, Seq: c.committed, SeqEpoch: epoch, State: state, Learner: p.learner,
+		Epoch: c.acceptor.view.Epoch, Seq: c.commitIndex, SeqEpoch: epoch, State: state, Learner: p.learner,
 	}}})
 }
 
-func (c *Core) onAck(from ID, m *replicationpb.Ack) {
-	p := c.down[from]
-	if p == nil || m.GetEpoch() != c.reg.view.Epoch || !c.entered {
+func (c *Core) handleAck(from ID, m *replicationpb.Ack) {
+	p := c.downstream[from]
+	if p == nil || m.GetEpoch() != c.acceptor.view.Epoch || !c.viewDurable {
 		return
 	}
-	p.seenAt = c.now
+	p.lastContactAt = c.now
 	if m.GetMismatch() {
-		if !c.feeds() {
+		if !c.canReplicate() {
 			return // what this link holds for sure it does not know yet; it is asked again
 		}
-		c.rejoin(p, m.GetBase(), m.GetBaseEpoch(), m.GetRuns())
-		if limit := c.limit(p); p.next > limit && p.known {
+		c.locateMatch(p, m.GetBase(), m.GetBaseEpoch(), m.GetRuns())
+		if limit := c.replicationLimit(p); p.next > limit && p.matchKnown {
 			c.sendAppend(from, p, min(p.next-1, limit), nil, limit)
 			return
 		}
-		c.push(from)
+		c.replicateTo(from)
 		return
 	}
-	if m.GetMatched() > p.match || !p.known {
-		p.match, p.movedAt = max(p.match, m.GetMatched()), c.now
+	if m.GetMatched() > p.match || !p.matchKnown {
+		p.match, p.advancedAt = max(p.match, m.GetMatched()), c.now
 		p.next = max(p.next, p.match+1)
-		p.known, p.lagging = true, false
-		p.resendAt = c.now + resendAfter + transfer(c.log.bytes(p.match+1, p.next-1))
+		p.matchKnown, p.snapshotInFlight = true, false
+		p.resendAt = c.now + resendTimeout + transferTime(c.log.size(p.match+1, p.next-1))
 	}
 	if p.learner {
-		c.push(from)
+		c.replicateTo(from)
 		return
 	}
 	if m.GetActive() {
-		if m.GetComplete() && !p.complete {
-			p.complete = true
-			c.ack()
+		if m.GetComplete() && !p.activeToTail {
+			p.activeToTail = true
+			c.sendAck()
 			c.completeChanges()
 		}
 		if !p.active {
-			p.active, p.movedAt = true, c.now
+			p.active, p.advancedAt = true, c.now
 		}
-		if from == c.next() && c.isActive() {
-			c.commitTo(min(m.GetCommitted(), c.durable()))
+		if from == c.successor() && c.isActive() {
+			c.advanceCommitIndex(min(m.GetCommitted(), c.durableIndex()))
 		}
 	}
-	c.push(from)
+	c.replicateTo(from)
 }
 
-// rejoin finds where the logs part.
-func (c *Core) rejoin(p *progress, base, baseEpoch uint64, runs []*replicationpb.Run) {
-	if joint, ok := c.log.joint(base, baseEpoch, runs); ok {
-		p.next, p.match, p.known = joint+1, joint, true
-		p.lagging = false
+// locateMatch finds where the logs part.
+func (c *Core) locateMatch(p *progress, base, baseEpoch uint64, runs []*replicationpb.Run) {
+	if joint, ok := c.log.lastCommon(base, baseEpoch, runs); ok {
+		p.next, p.match, p.matchKnown = joint+1, joint, true
+		p.snapshotInFlight = false
 		return
 	}
-	p.next, p.match, p.known = 0, 0, true // below base: a snapshot
+	p.next, p.match, p.matchKnown = 0, 0, true // below base: a snapshot
 	if c.log.base == 0 {
 		p.next = 1
 	}
 }
 
-func (c *Core) onFollow(from ID, m *replicationpb.Follow) {
-	if !c.isActive() || !c.settled() || m.GetEpoch() != c.reg.view.Epoch || c.reg.view.place(from) >= 0 {
+func (c *Core) handleFollow(from ID, m *replicationpb.Follow) {
+	if !c.isActive() || !c.holdsAcknowledged() || m.GetEpoch() != c.acceptor.view.Epoch || c.acceptor.view.chainIndex(from) >= 0 {
 		return
 	}
-	p := c.down[from]
+	p := c.downstream[from]
 	if p == nil {
-		if len(c.down) > maxLearners {
+		if len(c.downstream) > maxLearners {
 			return
 		}
-		p = &progress{learner: true, sentAt: -installAfter}
-		c.down[from] = p
+		p = &progress{learner: true, lastSentAt: -snapshotResendTimeout}
+		c.downstream[from] = p
 	}
-	p.seenAt, p.follow = c.now, m.GetNumber()
+	p.lastContactAt, p.followNumber = c.now, m.GetNumber()
 	// Every call tells what the learner has. What is under way to it is not sent again before its time.
-	lagging, next := p.lagging, p.next
-	c.rejoin(p, m.GetBase(), m.GetBaseEpoch(), m.GetRuns())
-	p.lagging = lagging
+	lagging, next := p.snapshotInFlight, p.next
+	c.locateMatch(p, m.GetBase(), m.GetBaseEpoch(), m.GetRuns())
+	p.snapshotInFlight = lagging
 	if c.now < p.resendAt && p.next > c.log.base {
 		p.next = max(p.next, next)
 	}
-	before := p.sentAt
-	c.push(from)
-	if p.sentAt != c.now || before == c.now {
+	before := p.lastSentAt
+	c.replicateTo(from)
+	if p.lastSentAt != c.now || before == c.now {
 		// Nothing new to send: the call is answered all the same, by which the learner knows that it lacks nothing.
-		c.sendAppend(from, p, min(p.match, c.committed), nil, c.committed)
+		c.sendAppend(from, p, min(p.match, c.commitIndex), nil, c.commitIndex)
 	}
 }
 
-// stuck is the next link when it has not taken what it was sent for too long.
-func (c *Core) stuck() ID {
-	id := c.next()
-	p := c.down[id]
-	if id == "" || p == nil || !c.feeds() {
+// stalledSuccessor is the next link when it has not taken what it was sent for too long.
+func (c *Core) stalledSuccessor() ID {
+	id := c.successor()
+	p := c.downstream[id]
+	if id == "" || p == nil || !c.canReplicate() {
 		return ""
 	}
-	switch wait := c.now - p.movedAt; {
-	case !p.active && wait > stuckActive, p.active && p.match < c.durable() && wait > stuckAfter+transfer(c.log.bytes(p.match+1, c.durable())):
+	switch wait := c.now - p.advancedAt; {
+	case !p.active && wait > activationTimeout, p.active && p.match < c.durableIndex() && wait > stalledTimeout+transferTime(c.log.size(p.match+1, c.durableIndex())):
 		return id
 	}
 	return ""
--- a/internal/system/replication/follow.go
+++ b/internal/system/replication/follow.go
@@ -8,35 +8,35 @@
 
 // This file is the receiving side of the chain: links and learners take what the one upstream hands on.
 
-// upstream tells whether id feeds this keeper in the epoch.
-func (c *Core) upstream(id ID, epoch uint64, learner bool) bool {
+// isUpstream tells whether id feeds this keeper in the epoch.
+func (c *Core) isUpstream(id ID, epoch uint64, learner bool) bool {
 	if c.err != nil {
 		return false
 	}
-	if c.cfg.hooks.anyEpoch && epoch < c.reg.view.Epoch && !learner {
-		return c.entered
+	if c.cfg.hooks.anyEpoch && epoch < c.acceptor.view.Epoch && !learner {
+		return c.viewDurable
 	}
-	if epoch < c.reg.view.Epoch && c.entered {
-		c.send(id, &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(c.reg.view)}}})
+	if epoch < c.acceptor.view.Epoch && c.viewDurable {
+		c.send(id, &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(c.acceptor.view)}}})
 	}
-	if epoch != c.reg.view.Epoch || !c.entered {
+	if epoch != c.acceptor.view.Epoch || !c.viewDurable {
 		return false
 	}
-	if c.reg.view.place(c.reg.self.ID) >= 0 {
-		return !learner && id == c.prev()
+	if c.acceptor.view.chainIndex(c.acceptor.self.ID) >= 0 {
+		return !learner && id == c.predecessor()
 	}
-	return learner && c.reg.view.place(id) >= 0
+	return learner && c.acceptor.view.chainIndex(id) >= 0
 }
 
-func (c *Core) mismatch(to ID) {
+func (c *Core) sendMismatch(to ID) {
 	base, baseEpoch, runs := c.log.runs()
 	c.send(to, &replicationpb.Message{Body: &replicationpb.Message_Ack{Ack: &replicationpb.Ack{
-		Epoch: c.reg.view.Epoch, Mismatch: true, Base: base, BaseEpoch: baseEpoch, Runs: runs,
+		Epoch: c.acceptor.view.Epoch, Mismatch: true, Base: base, BaseEpoch: baseEpoch, Runs: runs,
 	}}})
 }
 
-func (c *Core) onAppend(from ID, m *replicationpb.Append) {
-	if !c.upstream(from, m.GetEpoch(), m.GetLearner()) {
+func (c *Core) handleAppend(from ID, m *replicationpb.Append) {
+	if !c.isUpstream(from, m.GetEpoch(), m.GetLearner()) {
 		return
 	}
 	prev, entries := m.GetPrevSeq(), m.GetEntries()
@@ -46,11 +46,11 @@
 		// What is below base is committed, so it is the same here.
 		entries = entries[min(uint64(len(entries)), c.log.base-prev):]
 	case !ok || epoch != m.GetPrevEpoch():
-		c.mismatch(from)
+		c.sendMismatch(from)
 		return
 	}
 	if c.cfg.hooks.truncateAll && !c.isActive() {
-		c.truncateLog(max(prev, c.committed))
+		c.truncateLog(max(prev, c.commitIndex))
 	}
 	for _, p := range entries {
 		seq := p.GetSeq()
@@ -58,7 +58,7 @@
 			if have == p.GetEpoch() {
 				continue
 			}
-			if seq <= c.committed || c.isActive() && !c.cfg.hooks.anyEpoch {
+			if seq <= c.commitIndex || c.isActive() && !c.cfg.hooks.anyEpoch {
 				c.fail(errors.Newf("replication: record %d here is of epoch %d, at the link before of epoch %d: empty this keeper's data directory",
 					seq, have, p.GetEpoch()))
 				return
@@ -70,54 +70,54 @@
 		}
 		c.log.entries = append(c.log.entries, entryOf(p))
 	}
-	c.matched, c.joined = max(c.matched, min(last, c.log.end())), true
+	c.matchIndex, c.upstreamMatched = max(c.matchIndex, min(last, c.log.end())), true
 	if m.GetLearner() {
 		// What was under way while this process stood still says nothing of now.
-		if n := m.GetFollow(); n <= c.number && n+sentRing > c.number {
-			c.fed, c.fedAt = true, max(c.fedAt, c.sentAt[n%sentRing])
+		if n := m.GetFollow(); n <= c.heartbeatNumber && n+heartbeatHistory > c.heartbeatNumber {
+			c.caughtUp, c.caughtUpAt = true, max(c.caughtUpAt, c.heartbeatSentAt[n%heartbeatHistory])
 		}
-		c.upstreamCommitted = max(c.upstreamCommitted, m.GetCommitted())
-		c.commitTo(min(c.upstreamCommitted, c.matched, c.disk.end))
-		c.send(from, &replicationpb.Message{Body: &replicationpb.Message_Ack{Ack: &replicationpb.Ack{Epoch: m.GetEpoch(), Matched: c.durable()}}})
+		c.upstreamCommitIndex = max(c.upstreamCommitIndex, m.GetCommitted())
+		c.advanceCommitIndex(min(c.upstreamCommitIndex, c.matchIndex, c.writer.durableEnd))
+		c.send(from, &replicationpb.Message{Body: &replicationpb.Message_Ack{Ack: &replicationpb.Ack{Epoch: m.GetEpoch(), Matched: c.durableIndex()}}})
 		return
 	}
-	if c.reg.active != c.reg.view.Epoch {
-		c.start = m.GetStart()
+	if c.acceptor.activeEpoch != c.acceptor.view.Epoch {
+		c.epochStartIndex = m.GetStart()
 		// What goes beyond the link before is of an old epoch and was never acknowledged. A link before that has just
 		// started may not know yet where its log ends; all that was acknowledged is below start in any case.
 		end := m.GetEnd()
-		if end >= max(c.start, c.committed) && end < c.log.end() && c.log.at(end+1).epoch != c.reg.view.Epoch {
+		if end >= max(c.epochStartIndex, c.commitIndex) && end < c.log.end() && c.log.at(end+1).epoch != c.acceptor.view.Epoch {
 			c.truncateLog(end)
 		}
 	}
 	// Danger: after a start all links may hold the same log, and no write follows upon which the tail would commit it.
-	c.written()
+	c.onDurableChange()
 }
 
 // tryActivate makes this link active once all of its predecessor's log from before the epoch is on its disk.
 func (c *Core) tryActivate() {
-	v := c.reg.view
-	if !c.entered || c.err != nil || c.reg.active == v.Epoch || c.reg.sealed == v.Epoch || !c.joined || c.prev() == "" {
+	v := c.acceptor.view
+	if !c.viewDurable || c.err != nil || c.acceptor.activeEpoch == v.Epoch || c.acceptor.sealedEpoch == v.Epoch || !c.upstreamMatched || c.predecessor() == "" {
 		return
 	}
-	if c.matched < c.start || c.disk.end < c.start || c.disk.unsure || c.disk.install != nil {
+	if c.matchIndex < c.epochStartIndex || c.writer.durableEnd < c.epochStartIndex || c.writer.truncateNeeded || c.writer.pendingInstall != nil {
 		return
 	}
-	c.reg.active, c.readFloor = v.Epoch, max(c.readFloor, c.start)
+	c.acceptor.activeEpoch, c.minReadIndex = v.Epoch, max(c.minReadIndex, c.epochStartIndex)
 	c.persist(func() {
-		if c.reg.view == v {
-			c.written()
+		if c.acceptor.view == v {
+			c.onDurableChange()
 		}
 	})
 }
 
-func (c *Core) onInstall(from ID, m *replicationpb.Install) {
-	if !c.upstream(from, m.GetEpoch(), m.GetLearner()) || c.isActive() || m.GetSeq() <= c.committed {
+func (c *Core) handleInstall(from ID, m *replicationpb.Install) {
+	if !c.isUpstream(from, m.GetEpoch(), m.GetLearner()) || c.isActive() || m.GetSeq() <= c.commitIndex {
 		return
 	}
 	s, err := c.machine.Decode(m.GetState())
 	if err != nil {
-		c.note("replication: a snapshot from another keeper cannot be read: " + err.Error())
+		c.logEvent("replication: a snapshot from another keeper cannot be read: " + err.Error())
 		return
 	}
 	snap, err := encodeImage(m.GetSeq(), m.GetSeqEpoch(), s)
@@ -127,29 +127,29 @@
 	}
 	// What was here may have been acknowledged, and is gone until the records above the snapshot come: this log does
 	// not stand for earlier epochs any more.
-	c.reg.active = 0
+	c.acceptor.activeEpoch = 0
 	c.persist(nil)
-	c.log = memLog{base: m.GetSeq(), baseEpoch: m.GetSeqEpoch()}
-	c.state, c.committed, c.matched = s, m.GetSeq(), m.GetSeq()
-	c.disk.install, c.disk.end, c.disk.unsure = &snap, 0, false
+	c.log = memoryLog{base: m.GetSeq(), baseEpoch: m.GetSeqEpoch()}
+	c.state, c.commitIndex, c.matchIndex = s, m.GetSeq(), m.GetSeq()
+	c.writer.pendingInstall, c.writer.durableEnd, c.writer.truncateNeeded = &snap, 0, false
 	c.completeReads()
 	c.send(from, &replicationpb.Message{Body: &replicationpb.Message_Ack{Ack: &replicationpb.Ack{Epoch: m.GetEpoch(), Matched: m.GetSeq()}}})
 }
 
-// follow asks a link for what is committed, when this keeper is outside the chain.
-func (c *Core) follow() {
-	v := c.reg.view
-	if v.Epoch == 0 || !c.entered || v.place(c.reg.self.ID) >= 0 {
+// sendFollow asks a link for what is committed, when this keeper is outside the chain.
+func (c *Core) sendFollow() {
+	v := c.acceptor.view
+	if v.Epoch == 0 || !c.viewDurable || v.chainIndex(c.acceptor.self.ID) >= 0 {
 		return
 	}
 	for i := len(v.Chain) - 1; i >= 0; i-- {
 		id := v.Chain[i]
-		if p := c.peers[id]; p == nil || !c.alive(id) || p.heartbeat.GetActive() != v.Epoch {
+		if p := c.peers[id]; p == nil || !c.isAlive(id) || p.heartbeat.GetActive() != v.Epoch {
 			continue
 		}
 		base, baseEpoch, runs := c.log.runs()
 		c.send(id, &replicationpb.Message{Body: &replicationpb.Message_Follow{Follow: &replicationpb.Follow{
-			Epoch: v.Epoch, Base: base, BaseEpoch: baseEpoch, Runs: runs, Number: c.number,
+			Epoch: v.Epoch, Base: base, BaseEpoch: baseEpoch, Runs: runs, Number: c.heartbeatNumber,
 		}}})
 		return
 	}
--- a/internal/system/replication/heartbeat.go
+++ b/internal/system/replication/heartbeat.go
@@ -9,42 +9,42 @@
 )
 
 const (
-	// sentRing is how many heartbeats this keeper remembers the time of; an echo of an older one says nothing.
-	sentRing = 512
+	// heartbeatHistory is how many heartbeats this keeper remembers the time of; an echo of an older one says nothing.
+	heartbeatHistory = 512
 
-	forgetAfter = 10 * time.Second // of silence, for those who do not vote
-	maxPeers    = 64
+	peerTTL  = 10 * time.Second // of silence, for those who do not vote
+	maxPeers = 64
 )
 
 // peer is what this keeper knows of another.
 type peer struct {
-	member    Member
-	life      uint64
-	number    uint64
-	heardAt   time.Duration
-	echoAt    time.Duration // when the newest heartbeat that it says it heard was sent; negative: never
-	goodAt    time.Duration // from when it has been good without a break; negative: it is not
-	heartbeat *replicationpb.Heartbeat
+	member          Member
+	incarnation     uint64
+	heartbeatNumber uint64
+	lastContactAt   time.Duration
+	echoedAt        time.Duration // when the newest heartbeat that it says it heard was sent; negative: never
+	eligibleSince   time.Duration // from when it has been good without a break; negative: it is not
+	heartbeat       *replicationpb.Heartbeat
 }
 
-// firstNumber is where a process begins to number its heartbeats: far from where its former lives did, so that what others
+// firstHeartbeatNumber is where a process begins to number its heartbeats: far from where its former lives did, so that what others
 // say of those numbers, under way since then, is no proof that they heard this one.
-func firstNumber(life uint64) uint64 {
+func firstHeartbeatNumber(life uint64) uint64 {
 	const golden = 0x9e3779b97f4a7c15 // odd, with its ones and zeros well mixed
 	return life * golden >> 16
 }
 
 // heartbeat is what this keeper says of itself, under a number of its own, with the echoes given.
 func (c *Core) heartbeat(echoes []*replicationpb.Echo) *replicationpb.Heartbeat {
-	c.number++
-	c.sentAt[c.number%sentRing] = c.now
+	c.heartbeatNumber++
+	c.heartbeatSentAt[c.heartbeatNumber%heartbeatHistory] = c.now
 	b := &replicationpb.Heartbeat{
-		Member: memberPB(c.reg.self), Number: c.number, Life: c.cfg.Incarnation, Epoch: c.epochOn,
-		Active: c.activeOn, Sealed: c.sealedOn, Committed: c.committed, DiskBad: c.disk.bad, Leaving: c.leaving,
-		Bootstrap: c.cfg.Bootstrap, Stuck: string(c.stuck()), Observer: c.cfg.Observer, Echoes: echoes,
+		Member: memberPB(c.acceptor.self), Number: c.heartbeatNumber, Life: c.cfg.Incarnation, Epoch: c.durableEpoch,
+		Active: c.durableActive, Sealed: c.durableSealed, Committed: c.commitIndex, DiskBad: c.writer.unhealthy, Leaving: c.leaving,
+		Bootstrap: c.cfg.Bootstrap, Stuck: string(c.stalledSuccessor()), Observer: c.cfg.Observer, Echoes: echoes,
 	}
-	if c.reg.next != nil {
-		b.Accepted = c.reg.next.Epoch
+	if c.acceptor.acceptedView != nil {
+		b.Accepted = c.acceptor.acceptedView.Epoch
 	}
 	return b
 }
@@ -63,34 +63,34 @@
 // echo says which heartbeat of a peer was heard last, none where that was long ago.
 func (c *Core) echo(id ID) []*replicationpb.Echo {
 	p := c.peers[id]
-	if c.now-p.heardAt >= c.suspectAfter(p) {
+	if c.now-p.lastContactAt >= c.suspectTimeout(p) {
 		return nil
 	}
-	return []*replicationpb.Echo{{Id: string(id), Number: p.number}}
+	return []*replicationpb.Echo{{Id: string(id), Number: p.heartbeatNumber}}
 }
 
 // sendHeartbeats tells everyone how this keeper is. Observers are told in reply to their own heartbeats.
 func (c *Core) sendHeartbeats() {
-	c.heartbeatAt = c.now
+	c.lastHeartbeatAt = c.now
 	c.forgetPeers()
 	body := &replicationpb.Message_Heartbeat{Heartbeat: c.heartbeat(c.echoes())}
-	msg := &replicationpb.Message{From: string(c.reg.self.ID), Body: body}
-	for _, a := range c.audience() {
+	msg := &replicationpb.Message{From: string(c.acceptor.self.ID), Body: body}
+	for _, a := range c.heartbeatTargets() {
 		c.out.Messages = append(c.out.Messages, Envelope{Addr: a, Msg: msg})
 	}
-	c.follow()
+	c.sendFollow()
 }
 
 func (c *Core) forgetPeers() {
 	for id, p := range c.peers {
-		if _, voter := c.reg.view.Voter(id); !voter && c.now-p.heardAt > forgetAfter {
+		if _, voter := c.acceptor.view.Voter(id); !voter && c.now-p.lastContactAt > peerTTL {
 			delete(c.peers, id)
 		}
 	}
 }
 
-// audience lists the addresses that heartbeats go to: voters, seeds and whoever was heard, but for observers.
-func (c *Core) audience() []string {
+// heartbeatTargets lists the addresses that heartbeats go to: voters, seeds and whoever was heard, but for observers.
+func (c *Core) heartbeatTargets() []string {
 	addrs := map[string]bool{}
 	for _, a := range c.cfg.Seeds {
 		addrs[a] = true
@@ -105,15 +105,15 @@
 			addrs[p.member.Addr] = true
 		}
 	}
-	for _, m := range c.reg.view.Voters {
-		addrs[c.addr(m.ID)] = true
+	for _, m := range c.acceptor.view.Voters {
+		addrs[c.addressOf(m.ID)] = true
 	}
-	delete(addrs, c.reg.self.Addr)
+	delete(addrs, c.acceptor.self.Addr)
 	delete(addrs, "")
 	return slices.Sorted(maps.Keys(addrs))
 }
 
-func (c *Core) onHeartbeat(from ID, b *replicationpb.Heartbeat) {
+func (c *Core) handleHeartbeat(from ID, b *replicationpb.Heartbeat) {
 	m := memberOf(b.GetMember())
 	if m.ID != from || m.Addr == "" {
 		return
@@ -124,69 +124,69 @@
 		if len(c.peers) >= maxPeers {
 			return
 		}
-		p = &peer{echoAt: -1, goodAt: -1}
+		p = &peer{echoedAt: -1, eligibleSince: -1}
 		c.peers[from] = p
-	case p.life == b.GetLife() && b.GetNumber() <= p.number:
+	case p.incarnation == b.GetLife() && b.GetNumber() <= p.heartbeatNumber:
 		return // out of order
-	case p.life != b.GetLife():
-		p.echoAt = -1
+	case p.incarnation != b.GetLife():
+		p.echoedAt = -1
 	}
-	p.member, p.life, p.number, p.heardAt, p.heartbeat = m, b.GetLife(), b.GetNumber(), c.now, b
+	p.member, p.incarnation, p.heartbeatNumber, p.lastContactAt, p.heartbeat = m, b.GetLife(), b.GetNumber(), c.now, b
 	for _, e := range b.GetEchoes() {
 		// An older number than the ring holds says nothing; a later one is of a former life.
-		if n := e.GetNumber(); ID(e.GetId()) == c.reg.self.ID && n <= c.number && n+sentRing > c.number && n > 0 {
-			p.echoAt = max(p.echoAt, c.sentAt[n%sentRing])
+		if n := e.GetNumber(); ID(e.GetId()) == c.acceptor.self.ID && n <= c.heartbeatNumber && n+heartbeatHistory > c.heartbeatNumber && n > 0 {
+			p.echoedAt = max(p.echoedAt, c.heartbeatSentAt[n%heartbeatHistory])
 		}
 	}
-	if b.GetEpoch() < c.reg.view.Epoch && c.entered {
-		c.send(from, &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(c.reg.view)}}})
+	if b.GetEpoch() < c.acceptor.view.Epoch && c.viewDurable {
+		c.send(from, &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(c.acceptor.view)}}})
 	}
 	c.replyToObserver(from, b)
-	if c.good(from) {
-		if p.goodAt < 0 {
-			p.goodAt = c.now
+	if c.isEligible(from) {
+		if p.eligibleSince < 0 {
+			p.eligibleSince = c.now
 		}
 	} else {
-		p.goodAt = -1
+		p.eligibleSince = -1
 	}
 }
 
-// alive tells whether messages have lately gone both ways between this keeper and id.
-func (c *Core) alive(id ID) bool {
-	if id == c.reg.self.ID {
+// isAlive tells whether messages have lately gone both ways between this keeper and id.
+func (c *Core) isAlive(id ID) bool {
+	if id == c.acceptor.self.ID {
 		return true
 	}
 	p := c.peers[id]
-	if p == nil || p.echoAt < 0 {
+	if p == nil || p.echoedAt < 0 {
 		return false
 	}
-	suspect := c.suspectAfter(p)
-	return c.now-p.heardAt < suspect && c.now-p.echoAt < suspect+2*c.heartbeatInterval()
+	suspect := c.suspectTimeout(p)
+	return c.now-p.lastContactAt < suspect && c.now-p.echoedAt < suspect+2*c.heartbeatInterval()
 }
 
-// works tells whether id could be a link.
-func (c *Core) works(id ID) bool {
-	if id == c.reg.self.ID {
-		return !c.disk.bad && c.err == nil && !c.cfg.Observer
+// isHealthy tells whether id could be a link.
+func (c *Core) isHealthy(id ID) bool {
+	if id == c.acceptor.self.ID {
+		return !c.writer.unhealthy && c.err == nil && !c.cfg.Observer
 	}
-	return c.alive(id) && !c.peers[id].heartbeat.GetObserver() && !c.peers[id].heartbeat.GetDiskBad()
+	return c.isAlive(id) && !c.peers[id].heartbeat.GetObserver() && !c.peers[id].heartbeat.GetDiskBad()
 }
 
-// good tells whether id is fit to be a link: it works and is not about to leave.
-func (c *Core) good(id ID) bool {
-	if id == c.reg.self.ID {
-		return c.works(id) && !c.leaving
+// isEligible tells whether id is fit to be a link: it works and is not about to leave.
+func (c *Core) isEligible(id ID) bool {
+	if id == c.acceptor.self.ID {
+		return c.isHealthy(id) && !c.leaving
 	}
-	return c.works(id) && !c.peers[id].heartbeat.GetLeaving()
+	return c.isHealthy(id) && !c.peers[id].heartbeat.GetLeaving()
 }
 
-// hears tells whether a has lately heard b, by a's own word.
-func (c *Core) hears(a, b ID) bool {
+// hasContact tells whether a has lately heard b, by a's own word.
+func (c *Core) hasContact(a, b ID) bool {
 	if a == b {
 		return true
 	}
-	if a == c.reg.self.ID {
-		return c.alive(b)
+	if a == c.acceptor.self.ID {
+		return c.isAlive(b)
 	}
 	p := c.peers[a]
 	return p != nil && slices.ContainsFunc(p.heartbeat.GetEchoes(), func(e *replicationpb.Echo) bool { return ID(e.GetId()) == b })
@@ -196,16 +196,16 @@
 // said that no later epoch than its own is about, and it is a link, or fed by one.
 func (c *Core) Current(now time.Duration) bool {
 	c.advance(now)
-	v := c.reg.view
-	if v.Epoch == 0 || !c.entered || c.err != nil {
+	v := c.acceptor.view
+	if v.Epoch == 0 || !c.viewDurable || c.err != nil {
 		return false
 	}
-	window := c.currentFor()
-	if v.place(c.reg.self.ID) >= 0 {
-		if c.activeOn != v.Epoch || !c.settled() {
+	window := c.currentWindow()
+	if v.chainIndex(c.acceptor.self.ID) >= 0 {
+		if c.durableActive != v.Epoch || !c.holdsAcknowledged() {
 			return false
 		}
-	} else if !c.fed || c.now-c.fedAt > window || c.committed < c.upstreamCommitted {
+	} else if !c.caughtUp || c.now-c.caughtUpAt > window || c.commitIndex < c.upstreamCommitIndex {
 		return false
 	}
 	if c.cfg.hooks.alwaysCurrent {
@@ -213,19 +213,19 @@
 	}
 	said := map[ID]string{}
 	for _, m := range v.Voters {
-		if m.ID == c.reg.self.ID {
+		if m.ID == c.acceptor.self.ID {
 			if !c.hasAcceptedLater() {
 				said[m.ID] = m.Addr
 			}
 			continue
 		}
 		p := c.peers[m.ID]
-		if p == nil || p.echoAt < 0 || c.now-p.echoAt > window || p.heartbeat.GetEpoch() != v.Epoch {
+		if p == nil || p.echoedAt < 0 || c.now-p.echoedAt > window || p.heartbeat.GetEpoch() != v.Epoch {
 			continue
 		}
 		if p.heartbeat.GetAccepted() <= v.Epoch || c.cfg.scripted.confirmAccepted {
 			said[m.ID] = m.Addr
 		}
 	}
-	return c.quorum(v, said)
+	return c.isQuorum(v, said)
 }
--- a/internal/system/replication/invariants_test.go
+++ b/internal/system/replication/invariants_test.go
@@ -22,21 +22,21 @@
 	for _, m := range w.nodes {
 		r, ok := m.held()
 		if !m.up() {
-			w.trace("machine %d %s down, gone %v; disk %v %v view %d active %d", m.name, m.member.Addr, m.gone, ok, r.self.ID, epochOf(r.view), r.active)
+			w.trace("machine %d %s down, gone %v; disk %v %v view %d active %d", m.name, m.member.Addr, m.gone, ok, r.self.ID, epochOf(r.view), r.activeEpoch)
 			continue
 		}
 		c := m.core
 		w.trace("machine %d %s %s frozen %v view %d %s entered %v base %d past %v active %d/%d sealed %d next %v promised %v",
-			m.name, m.member.Addr, c.reg.self.ID, m.frozen, c.reg.view.Epoch, c.reg.view, c.entered, c.reg.view.base, c.reg.view.past,
-			c.reg.active, c.activeOn, c.reg.sealed, c.reg.next, c.reg.promised)
+			m.name, m.member.Addr, c.acceptor.self.ID, m.frozen, c.acceptor.view.Epoch, c.acceptor.view, c.viewDurable, c.acceptor.view.base, c.acceptor.view.past,
+			c.acceptor.activeEpoch, c.durableActive, c.acceptor.sealedEpoch, c.acceptor.acceptedView, c.acceptor.promised)
 		w.trace("   log %d..%d disk %d unsure %v install %v bad %v; committed %d matched %d joined %v start %d floor %d fed %v quiet %v prop %v want %v now %v",
-			c.log.base, c.log.end(), c.disk.end, c.disk.unsure, c.disk.install != nil, c.disk.bad, c.committed, c.matched, c.joined,
-			c.start, c.readFloor, c.fed, c.graceUntil, c.prop != nil, c.wantAt, c.now)
-		for id, p := range c.down {
+			c.log.base, c.log.end(), c.writer.durableEnd, c.writer.truncateNeeded, c.writer.pendingInstall != nil, c.writer.unhealthy, c.commitIndex, c.matchIndex, c.upstreamMatched,
+			c.epochStartIndex, c.minReadIndex, c.caughtUp, c.graceUntil, c.proposal != nil, c.proposeAt, c.now)
+		for id, p := range c.downstream {
 			w.trace("   down %s %+v", id, *p)
 		}
 		for id, p := range c.peers {
-			w.trace("   peer %s alive %v good %v since %v: %v", id, c.alive(id), c.good(id), p.goodAt, p.heartbeat)
+			w.trace("   peer %s alive %v good %v since %v: %v", id, c.isAlive(id), c.isEligible(id), p.eligibleSince, p.heartbeat)
 		}
 	}
 	for _, p := range w.proxies {
@@ -132,12 +132,12 @@
 // checkActive holds what an active link has on disk against what was acknowledged up to its epoch.
 func (w *world) checkActive(m *machine) {
 	c := m.core
-	if c.activeOn == 0 || c.reg.active == 0 {
+	if c.durableActive == 0 || c.acceptor.activeEpoch == 0 {
 		return
 	}
-	i := sort.Search(len(w.epochs), func(i int) bool { return w.epochs[i] > c.activeOn })
+	i := sort.Search(len(w.epochs), func(i int) bool { return w.epochs[i] > c.durableActive })
 	if end := m.disk.end(); end < uint64(i) {
-		w.fail(fmt.Errorf("machine %d was active in epoch %d, which has acknowledged %d records, but holds %d", m.name, c.activeOn, i, end))
+		w.fail(fmt.Errorf("machine %d was active in epoch %d, which has acknowledged %d records, but holds %d", m.name, c.durableActive, i, end))
 	}
 }
 
@@ -153,8 +153,8 @@
 	if c == nil || w.broken != nil || !c.Current(m.clock()) {
 		return
 	}
-	if seq := w.ackedBefore(w.now - currentBound); c.committed < seq {
-		w.fail(fmt.Errorf("machine %d counts as current with record %d, but %d was acknowledged over %v ago", m.name, c.committed, seq, currentBound))
+	if seq := w.ackedBefore(w.now - currentBound); c.commitIndex < seq {
+		w.fail(fmt.Errorf("machine %d counts as current with record %d, but %d was acknowledged over %v ago", m.name, c.commitIndex, seq, currentBound))
 	}
 }
 
--- a/internal/system/replication/keeper.go
+++ b/internal/system/replication/keeper.go
@@ -29,7 +29,7 @@
 	ErrNoDisk = errors.New("replication: a keeper that votes needs a disk: set data_dir, or start it as an observer")
 )
 
-const tickEvery = 25 * time.Millisecond
+const tickInterval = 25 * time.Millisecond
 
 // Options are what a Keeper is started with.
 type Options struct {
@@ -63,15 +63,15 @@
 	disk      chan *DiskOp
 	log       log.Interface
 
-	mu      sync.Mutex
-	core    *Core
-	stopped bool
-	ids     uint64
-	waiters map[uint64]chan Completion
-	seq     uint64
-	changed chan struct{} // closed when the committed state changes
-	viewed  *View
-	bears   capacityLog
+	mu               sync.Mutex
+	core             *Core
+	stopped          bool
+	lastCallID       uint64
+	waiters          map[uint64]chan Completion
+	seq              uint64
+	changed          chan struct{} // closed when the committed state changes
+	loggedView       *View
+	capacityReporter capacityReporter
 }
 
 // controlMachine fits controlstate's states to the core.
@@ -94,7 +94,7 @@
 // Start reads the disk and starts the keeper. It ends with ctx or Stop.
 func Start(ctx context.Context, opt Options) (*Node, error) {
 	if opt.Observer {
-		opt.Disk = noDisk{} // an identity that has voted before must not be taken up by one that cannot vote
+		opt.Disk = nullDisk{} // an identity that has voted before must not be taken up by one that cannot vote
 	}
 	if opt.Disk == nil {
 		return nil, ErrNoDisk
@@ -127,49 +127,49 @@
 	ctx, cancel := context.WithCancel(ctx)
 	k := &Node{
 		began: time.Now(), opt: opt, cancel: cancel, disk: make(chan *DiskOp, 1), log: opt.Log, core: core,
-		waiters: map[uint64]chan Completion{}, changed: make(chan struct{}), viewed: core.View(),
+		waiters: map[uint64]chan Completion{}, changed: make(chan struct{}), loggedView: core.View(),
 	}
 	k.seq, _ = core.Committed()
 	k.transport = newTransport(ctx, &k.wg, opt.Port, opt.Transport)
-	k.wg.Go(func() { k.write(ctx) })
-	k.wg.Go(func() { k.run(ctx) })
+	k.wg.Go(func() { k.runDisk(ctx) })
+	k.wg.Go(func() { k.runClock(ctx) })
 	k.log.WithField("id", string(core.Self().ID)).Info("replication: keeper started")
 	return k, nil
 }
 
 func (k *Node) now() time.Duration { return time.Since(k.began) }
 
-// run tells the core the time.
-func (k *Node) run(ctx context.Context) {
-	t := time.NewTicker(tickEvery)
+// runClock tells the core the time.
+func (k *Node) runClock(ctx context.Context) {
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
-	k.do(func(c *Core) { c.Tick(k.now()) })
+	k.update(func(c *Core) { c.Tick(k.now()) })
 	for {
 		select {
 		case <-ctx.Done():
-			k.end()
+			k.failWaiters()
 			return
 		case <-t.C:
-			k.do(func(c *Core) { c.Tick(k.now()) })
+			k.update(func(c *Core) { c.Tick(k.now()) })
 		}
 	}
 }
 
-// write does the core's disk operations.
-func (k *Node) write(ctx context.Context) {
+// runDisk does the core's disk operations.
+func (k *Node) runDisk(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case op := <-k.disk:
 			err := op.Do(k.opt.Disk)
-			k.do(func(c *Core) { c.DiskDone(k.now(), op.Token, err) })
+			k.update(func(c *Core) { c.DiskDone(k.now(), op.Token, err) })
 		}
 	}
 }
 
-// do has the core take an event and carries out what it wants.
-func (k *Node) do(f func(*Core)) {
+// update has the core take an event and carries out what it wants.
+func (k *Node) update(f func(*Core)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.stopped {
@@ -197,14 +197,14 @@
 		close(k.changed)
 		k.changed = make(chan struct{})
 	}
-	k.bears.look(k.now(), k.core, k.log)
-	if v := k.core.View(); v != k.viewed {
-		k.viewed = v
+	k.capacityReporter.report(k.now(), k.core, k.log)
+	if v := k.core.View(); v != k.loggedView {
+		k.loggedView = v
 		k.log.WithField("epoch", v.Epoch).Info("replication: new view: " + v.String())
 	}
 }
 
-func (k *Node) end() {
+func (k *Node) failWaiters() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.stopped = true
@@ -223,8 +223,8 @@
 // Leave tells the others that this keeper is about to stop, and waits until it is out of the chain and enough other links
 // hold what was acknowledged, or until ctx ends. Only then may its disk go.
 func (k *Node) Leave(ctx context.Context) {
-	k.do(func(c *Core) { c.Leave(k.now()) })
-	t := time.NewTicker(tickEvery)
+	k.update(func(c *Core) { c.Leave(k.now()) })
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		k.mu.Lock()
@@ -245,7 +245,7 @@
 func (k *Node) Handler() http.Handler {
 	srv := replicationpb.NewReplicationServer(deliverer{k})
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		r.Body = http.MaxBytesReader(w, r.Body, maxBatch)
+		r.Body = http.MaxBytesReader(w, r.Body, maxBatchBytes)
 		srv.ServeHTTP(w, r)
 	})
 }
@@ -253,20 +253,20 @@
 // PathPrefix is where Handler belongs.
 const PathPrefix = replicationpb.ReplicationPathPrefix
 
-type deliverer struct{ k *Node }
+type deliverer struct{ node *Node }
 
 // Deliver takes messages of another keeper.
 func (d deliverer) Deliver(_ context.Context, b *replicationpb.Batch) (*replicationpb.Empty, error) {
-	d.k.do(func(c *Core) {
+	d.node.update(func(c *Core) {
 		for _, m := range b.GetMessages() {
-			c.Receive(d.k.now(), m)
+			c.Receive(d.node.now(), m)
 		}
 	})
 	return &replicationpb.Empty{}, nil
 }
 
-// wait has the core take up something and waits for its completion.
-func (k *Node) wait(ctx context.Context, f func(c *Core, id uint64, ttl time.Duration)) (Completion, error) {
+// await has the core take up something and waits for its completion.
+func (k *Node) await(ctx context.Context, f func(c *Core, id uint64, ttl time.Duration)) (Completion, error) {
 	ttl := k.opt.AckTimeout
 	if d, ok := ctx.Deadline(); ok {
 		ttl = time.Until(d)
@@ -276,9 +276,9 @@
 	}
 	done := make(chan Completion, 1)
 	var id uint64
-	k.do(func(c *Core) {
-		k.ids++
-		id = k.ids
+	k.update(func(c *Core) {
+		k.lastCallID++
+		id = k.lastCallID
 		k.waiters[id] = done
 		f(c, id, ttl)
 	})
@@ -292,7 +292,7 @@
 		}
 		return d, nil
 	case <-ctx.Done():
-		k.do(func(c *Core) {
+		k.update(func(c *Core) {
 			delete(k.waiters, id)
 			c.Abandon(id)
 		})
@@ -304,7 +304,7 @@
 // called on any keeper. Without a deadline of ctx it waits for Options.Ack. Errors are marked ErrUnavailable, and
 // ErrNotApplied too when the change is certain not to come about.
 func (k *Node) Submit(ctx context.Context, change controlstate.Change) (SubmitResult, error) {
-	d, err := k.wait(ctx, func(c *Core, id uint64, ttl time.Duration) { c.Submit(k.now(), id, change, ttl) })
+	d, err := k.await(ctx, func(c *Core, id uint64, ttl time.Duration) { c.Submit(k.now(), id, change, ttl) })
 	if err != nil {
 		return SubmitResult{}, err
 	}
@@ -320,7 +320,7 @@
 // Read gives the state after all that was acknowledged before the call, and perhaps later changes. It may be called on
 // any keeper. Errors are marked ErrUnavailable.
 func (k *Node) Read(ctx context.Context) (*controlstate.State, error) {
-	d, err := k.wait(ctx, func(c *Core, id uint64, ttl time.Duration) { c.Read(k.now(), id, ttl) })
+	d, err := k.await(ctx, func(c *Core, id uint64, ttl time.Duration) { c.Read(k.now(), id, ttl) })
 	if err != nil {
 		return nil, err
 	}
--- a/internal/system/replication/keeper_test.go
+++ b/internal/system/replication/keeper_test.go
@@ -155,7 +155,7 @@
 		}
 		time.Sleep(4 * time.Second)
 		v := ks[f.seeds[0]].View()
-		if len(v.Chain) != 3 || v.place(ID(lost)) >= 0 {
+		if len(v.Chain) != 3 || v.chainIndex(ID(lost)) >= 0 {
 			t.Fatalf("after a lost disk: %v", v)
 		}
 		for _, a := range f.seeds {
--- a/internal/system/replication/lead.go
+++ b/internal/system/replication/lead.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	sealAfter = time.Second // without a link that may lead
-	maxPast   = 64
+	sealTimeout      = time.Second // without a link that may lead
+	maxEarlierChains = 64
 )
 
-// standing is what a keeper has on disk about itself.
-type standing struct {
+// durableEpochs is what a keeper has on disk about itself.
+type durableEpochs struct {
 	known                 bool
 	active, sealed, epoch uint64
 }
 
-// standing gives what id last said. It may have changed since, but only upwards.
-func (c *Core) standing(id ID) standing {
-	if id == c.reg.self.ID {
-		return standing{known: true, active: c.activeOn, sealed: c.sealedOn, epoch: c.epochOn}
+// durableEpochsOf gives what id last said. It may have changed since, but only upwards.
+func (c *Core) durableEpochsOf(id ID) durableEpochs {
+	if id == c.acceptor.self.ID {
+		return durableEpochs{known: true, active: c.durableActive, sealed: c.durableSealed, epoch: c.durableEpoch}
 	}
 	if p := c.peers[id]; p != nil {
-		return standing{known: true, active: p.heartbeat.GetActive(), sealed: p.heartbeat.GetSealed(), epoch: p.heartbeat.GetEpoch()}
+		return durableEpochs{known: true, active: p.heartbeat.GetActive(), sealed: p.heartbeat.GetSealed(), epoch: p.heartbeat.GetEpoch()}
 	}
-	return standing{}
+	return durableEpochs{}
 }
 
 // mayLead tells whether id holds everything that the present and earlier chains have acknowledged and ever will.
@@ -43,11 +43,11 @@
 	if c.cfg.hooks.anyHead {
 		return true
 	}
-	x := c.standing(id)
+	x := c.durableEpochsOf(id)
 	if !x.known {
 		return false
 	}
-	for g := c.reg.view.Epoch; g > x.active; g-- {
+	for g := c.acceptor.view.Epoch; g > x.active; g-- {
 		if !c.cannotHaveAcknowledged(g, id, suppose) {
 			return false
 		}
@@ -57,23 +57,23 @@
 
 // cannotHaveAcknowledged tells whether epoch g is known to have acknowledged nothing, provided that candidate leads next.
 func (c *Core) cannotHaveAcknowledged(g uint64, candidate ID, suppose bool) bool {
-	return slices.ContainsFunc(c.reg.view.chainOf(g), func(id ID) bool {
-		s := c.standing(id)
+	return slices.ContainsFunc(c.acceptor.view.chainOf(g), func(id ID) bool {
+		s := c.durableEpochsOf(id)
 		return s.known && s.active < g &&
-			(id == candidate || s.epoch > g || s.sealed == g || c.cfg.hooks.presumeUnacknowledged || suppose && g == c.reg.view.Epoch && c.alive(id))
+			(id == candidate || s.epoch > g || s.sealed == g || c.cfg.hooks.presumeUnacknowledged || suppose && g == c.acceptor.view.Epoch && c.isAlive(id))
 	})
 }
 
-// past lists the chains that the next view must remember.
-func (c *Core) past() map[uint64][]ID {
-	cur := c.reg.view
+// earlierChains lists the chains that the next view must remember.
+func (c *Core) earlierChains() map[uint64][]ID {
+	cur := c.acceptor.view
 	out := map[uint64][]ID{}
-	if c.standing(cur.Tail()).active == cur.Epoch {
+	if c.durableEpochsOf(cur.Tail()).active == cur.Epoch {
 		return out // the tail is active only after all others: what was before does not matter any more
 	}
 	maps.Copy(out, cur.past)
 	out[cur.Epoch] = cur.Chain
-	for len(out) > maxPast {
+	for len(out) > maxEarlierChains {
 		delete(out, slices.Min(slices.Collect(maps.Keys(out))))
 	}
 	return out
@@ -82,43 +82,43 @@
 // findHead looks for a head outside the chain, when none of its links may lead: all that were active are gone. Links
 // that are not active are asked to seal the epoch when that helps.
 func (c *Core) findHead(voters []Member) []Member {
-	if c.noHeadSince < 0 {
-		c.noHeadSince = c.now
+	if c.headlessSince < 0 {
+		c.headlessSince = c.now
 	}
-	if c.now-c.noHeadSince < sealAfter {
+	if c.now-c.headlessSince < sealTimeout {
 		return nil
 	}
 	for _, suppose := range []bool{false, true} {
 		for _, m := range voters {
-			if !c.works(m.ID) || !c.mayLead(m.ID, suppose) {
+			if !c.isHealthy(m.ID) || !c.mayLead(m.ID, suppose) {
 				continue
 			}
 			if !suppose {
 				return []Member{m}
 			}
-			for _, id := range c.reg.view.Chain {
-				if c.alive(id) {
-					c.send(id, &replicationpb.Message{Body: &replicationpb.Message_Seal{Seal: &replicationpb.Seal{Epoch: c.reg.view.Epoch}}})
+			for _, id := range c.acceptor.view.Chain {
+				if c.isAlive(id) {
+					c.send(id, &replicationpb.Message{Body: &replicationpb.Message_Seal{Seal: &replicationpb.Seal{Epoch: c.acceptor.view.Epoch}}})
 				}
 			}
-			c.noHeadSince = c.now // once a second
+			c.headlessSince = c.now // once a second
 			return nil
 		}
 	}
 	return nil
 }
 
-func (c *Core) onSeal(m *replicationpb.Seal) {
-	v := c.reg.view
-	if m.GetEpoch() != v.Epoch || v.place(c.reg.self.ID) < 0 || c.reg.active >= v.Epoch || c.reg.sealed >= v.Epoch {
+func (c *Core) handleSeal(m *replicationpb.Seal) {
+	v := c.acceptor.view
+	if m.GetEpoch() != v.Epoch || v.chainIndex(c.acceptor.self.ID) < 0 || c.acceptor.activeEpoch >= v.Epoch || c.acceptor.sealedEpoch >= v.Epoch {
 		return
 	}
-	c.reg.sealed = v.Epoch
-	c.note("replication: sealing an epoch whose active links are gone")
+	c.acceptor.sealedEpoch = v.Epoch
+	c.logEvent("replication: sealing an epoch whose active links are gone")
 	c.persist(c.sendHeartbeats)
 }
 
 // isSealed tells whether a link has sealed the epoch, so that it needs a successor whatever else is well.
 func (c *Core) isSealed() bool {
-	return slices.ContainsFunc(c.reg.view.Chain, func(id ID) bool { return c.standing(id).sealed == c.reg.view.Epoch })
+	return slices.ContainsFunc(c.acceptor.view.Chain, func(id ID) bool { return c.durableEpochsOf(id).sealed == c.acceptor.view.Epoch })
 }
--- a/internal/system/replication/log.go
+++ b/internal/system/replication/log.go
@@ -26,22 +26,22 @@
 
 func (e *entry) size() int { return 32 + len(e.rec.Body) + len(e.rec.Zone) }
 
-// maxRuns bounds what a keeper tells of its log.
-const maxRuns = 64
+// maxReportedRuns bounds what a keeper tells of its log.
+const maxReportedRuns = 64
 
-// memLog is the log in memory: the records above base.
-type memLog struct {
+// memoryLog is the log in memory: the records above base.
+type memoryLog struct {
 	base      uint64
 	baseEpoch uint64
 	entries   []entry
 }
 
-func (l *memLog) end() uint64 { return l.base + uint64(len(l.entries)) }
+func (l *memoryLog) end() uint64 { return l.base + uint64(len(l.entries)) }
 
-func (l *memLog) at(seq uint64) *entry { return &l.entries[seq-l.base-1] }
+func (l *memoryLog) at(seq uint64) *entry { return &l.entries[seq-l.base-1] }
 
 // epochAt gives the epoch of the record seq, false where the log does not hold it.
-func (l *memLog) epochAt(seq uint64) (uint64, bool) {
+func (l *memoryLog) epochAt(seq uint64) (uint64, bool) {
 	switch {
 	case seq < l.base || seq > l.end():
 		return 0, false
@@ -52,14 +52,14 @@
 }
 
 // truncate drops the records above after, which must not be below base.
-func (l *memLog) truncate(after uint64) {
+func (l *memoryLog) truncate(after uint64) {
 	if after < l.end() {
 		l.entries = l.entries[: after-l.base : after-l.base]
 	}
 }
 
-// drop forgets the records up to seq.
-func (l *memLog) drop(seq uint64) {
+// compact forgets the records up to seq.
+func (l *memoryLog) compact(seq uint64) {
 	if seq <= l.base || seq > l.end() {
 		return
 	}
@@ -69,7 +69,7 @@
 }
 
 // between copies the records from..to, as many as fit into bytes and one at least.
-func (l *memLog) between(from, to uint64, bytes int) []*replicationpb.Entry {
+func (l *memoryLog) between(from, to uint64, bytes int) []*replicationpb.Entry {
 	var out []*replicationpb.Entry
 	for seq := from; seq <= to && seq <= l.end(); seq++ {
 		e := l.at(seq)
@@ -81,8 +81,8 @@
 	return out
 }
 
-// bytes is what the records from..to take, as far as they are held.
-func (l *memLog) bytes(from, to uint64) int {
+// size is what the records from..to take, as far as they are held.
+func (l *memoryLog) size(from, to uint64) int {
 	n := 0
 	for seq := max(from, l.base+1); seq <= to && seq <= l.end(); seq++ {
 		n += l.at(seq).size()
@@ -91,7 +91,7 @@
 }
 
 // runs lists the newest stretches of records of one epoch, the oldest first.
-func (l *memLog) runs() (base, baseEpoch uint64, runs []*replicationpb.Run) {
+func (l *memoryLog) runs() (base, baseEpoch uint64, runs []*replicationpb.Run) {
 	base, baseEpoch = l.base, l.baseEpoch
 	for i := range l.entries {
 		e := &l.entries[i]
@@ -101,15 +101,15 @@
 		}
 		runs = append(runs, &replicationpb.Run{Epoch: e.epoch, Last: e.rec.Seq})
 	}
-	if n := len(runs); n > maxRuns {
-		base, baseEpoch = runs[n-maxRuns-1].Last, runs[n-maxRuns-1].Epoch
-		runs = runs[n-maxRuns:]
+	if n := len(runs); n > maxReportedRuns {
+		base, baseEpoch = runs[n-maxReportedRuns-1].Last, runs[n-maxReportedRuns-1].Epoch
+		runs = runs[n-maxReportedRuns:]
 	}
 	return base, baseEpoch, runs
 }
 
-// joint finds the newest record that both this log and the one told of hold; false when none is in sight.
-func (l *memLog) joint(base, baseEpoch uint64, runs []*replicationpb.Run) (uint64, bool) {
+// lastCommon finds the newest record that both this log and the one told of hold; false when none is in sight.
+func (l *memoryLog) lastCommon(base, baseEpoch uint64, runs []*replicationpb.Run) (uint64, bool) {
 	for i := len(runs) - 1; i >= 0; i-- {
 		first := base + 1
 		if i > 0 {
--- a/internal/system/replication/observer.go
+++ b/internal/system/replication/observer.go
@@ -21,8 +21,8 @@
 	observerSlowdown = 5
 
 	// How long a majority's word that the epoch is not passed counts, as parts of Config.Suspect.
-	currentNum, currentDen                 = 6, 7
-	observerCurrentNum, observerCurrentDen = 9, 7
+	currentNumerator, currentDenominator                 = 6, 7
+	observerCurrentNumerator, observerCurrentDenominator = 9, 7
 )
 
 // heartbeatInterval is the time between two heartbeats of this keeper.
@@ -33,28 +33,28 @@
 	return c.cfg.HeartbeatInterval
 }
 
-// suspectAfter is the silence after which p counts as gone. Where either side is an observer, one heartbeat may be lost.
-func (c *Core) suspectAfter(p *peer) time.Duration {
+// suspectTimeout is the silence after which p counts as gone. Where either side is an observer, one heartbeat may be lost.
+func (c *Core) suspectTimeout(p *peer) time.Duration {
 	if c.cfg.Observer || p.heartbeat.GetObserver() {
 		return c.cfg.SuspectTimeout + observerSlowdown*c.cfg.HeartbeatInterval
 	}
 	return c.cfg.SuspectTimeout
 }
 
-// currentFor is how old a majority's word may be for this keeper to be current: what it then holds lacks nothing that
+// currentWindow is how old a majority's word may be for this keeper to be current: what it then holds lacks nothing that
 // was acknowledged longer ago. It is below a second with the default times, for observers too.
-func (c *Core) currentFor() time.Duration {
+func (c *Core) currentWindow() time.Duration {
 	if c.cfg.Observer {
-		return c.cfg.SuspectTimeout * observerCurrentNum / observerCurrentDen
+		return c.cfg.SuspectTimeout * observerCurrentNumerator / observerCurrentDenominator
 	}
-	return c.cfg.SuspectTimeout * currentNum / currentDen
+	return c.cfg.SuspectTimeout * currentNumerator / currentDenominator
 }
 
 // observerSeeds counts the seeds that have said that they are observers.
 func (c *Core) observerSeeds() int {
 	said := map[string]bool{}
 	if c.cfg.Observer {
-		said[c.reg.self.Addr] = true
+		said[c.acceptor.self.Addr] = true
 	}
 	for _, p := range c.peers {
 		if p.heartbeat.GetObserver() {
@@ -85,8 +85,8 @@
 	c.send(from, &replicationpb.Message{Body: &replicationpb.Message_Heartbeat{Heartbeat: reply}})
 }
 
-// tellObservers sends them a chosen view, so that they need not wait for their next heartbeat.
-func (c *Core) tellObservers(v *View) {
+// notifyObservers sends them a chosen view, so that they need not wait for their next heartbeat.
+func (c *Core) notifyObservers(v *View) {
 	for _, id := range slices.Sorted(maps.Keys(c.peers)) {
 		if c.peers[id].heartbeat.GetObserver() {
 			c.send(id, &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(v)}}})
@@ -94,14 +94,14 @@
 	}
 }
 
-// noDisk stands in for the disk of an observer: nothing that it writes is ever read again.
-type noDisk struct{}
+// nullDisk stands in for the disk of an observer: nothing that it writes is ever read again.
+type nullDisk struct{}
 
-func (noDisk) Load() (map[string][]byte, wal.Snapshot, []wal.Entry, error) {
+func (nullDisk) Load() (map[string][]byte, wal.Snapshot, []wal.Entry, error) {
 	return nil, wal.Snapshot{}, nil, nil
 }
-func (noDisk) Append([]wal.Entry) error      { return nil }
-func (noDisk) Truncate(uint64) error         { return nil }
-func (noDisk) Compact(wal.Snapshot) error    { return nil }
-func (noDisk) Install(wal.Snapshot) error    { return nil }
-func (noDisk) SaveMeta(string, []byte) error { return nil }
+func (nullDisk) Append([]wal.Entry) error      { return nil }
+func (nullDisk) Truncate(uint64) error         { return nil }
+func (nullDisk) Compact(wal.Snapshot) error    { return nil }
+func (nullDisk) Install(wal.Snapshot) error    { return nil }
+func (nullDisk) SaveMeta(string, []byte) error { return nil }
--- a/internal/system/replication/plan.go
+++ b/internal/system/replication/plan.go
@@ -8,38 +8,38 @@
 )
 
 const (
-	maxLinks   = 5
-	settleTime = 300 * time.Millisecond // a keeper is good for this long before it becomes a link
-	levelLag   = 64                     // records that a new link may be behind
+	defaultChainLength = 5
+	minEligibleTime    = 300 * time.Millisecond // a keeper is good for this long before it becomes a link
+	maxCaughtUpLag     = 64                     // records that a new link may be behind
 )
 
 // plan gives the view that this keeper would have instead of the present one, nil when all is well or nothing can be
 // done, and its turn among those who see the same.
 func (c *Core) plan() (*View, int) {
-	cur := c.reg.view
+	cur := c.acceptor.view
 	if cur.Epoch == 0 {
 		return c.planFirst()
 	}
 	var chain []ID
 	voters, out := c.planVoters()
-	if c.reachable(cur.Voters) && c.reachable(voters) {
+	if c.hasMajorityAlive(cur.Voters) && c.hasMajorityAlive(voters) {
 		chain = c.planChain(voters, out)
 	}
 	if chain == nil {
 		return nil, 0
 	}
 	next := &View{Epoch: cur.Epoch + 1, Chain: chain, Voters: voters}
-	if next.same(cur) && !c.isSealed() {
+	if next.hasSameMembers(cur) && !c.isSealed() {
 		return nil, 0
 	}
-	next.base = c.standing(chain[0]).active
-	next.past = c.past()
+	next.base = c.durableEpochsOf(chain[0]).active
+	next.past = c.earlierChains()
 	rank := 0
 	for _, m := range cur.Voters {
-		if m.ID == c.reg.self.ID {
+		if m.ID == c.acceptor.self.ID {
 			break
 		}
-		if c.good(m.ID) {
+		if c.isEligible(m.ID) {
 			rank++
 		}
 	}
@@ -54,38 +54,38 @@
 		}
 	}
 	founders := c.seedsWithDisk()
-	members := c.addFounders(founders)
+	members := c.completeFounders(founders)
 	enough := len(founders)+c.observerSeeds() >= len(c.cfg.Seeds)
 	if c.noSeedHasDisk() {
-		enough = len(members) >= c.cfg.voters()
+		enough = len(members) >= c.cfg.targetVoters()
 	}
 	known := map[ID]string{}
 	for _, m := range founders {
 		known[m.ID] = m.Addr
 	}
-	if len(members) == 0 || !c.noSeedHasDisk() && !c.quorum(c.reg.view, known) {
-		c.seedsAt = -1
+	if len(members) == 0 || !c.noSeedHasDisk() && !c.isQuorum(c.acceptor.view, known) {
+		c.seedMajoritySince = -1
 		return nil, 0
 	}
-	if c.seedsAt < 0 {
-		c.seedsAt = c.now
+	if c.seedMajoritySince < 0 {
+		c.seedMajoritySince = c.now
 	}
-	if !enough && c.now-c.seedsAt < formDelay {
+	if !enough && c.now-c.seedMajoritySince < firstViewDelay {
 		return nil, 0
 	}
 	heads := c.longestLogs(members)
 	links := []Member{heads[0]}
-	for more := true; more && len(links) < c.cfg.maxLinks(); {
-		links, more = c.cfg.pick(links, members, func(Member) bool { return true })
+	for more := true; more && len(links) < c.cfg.targetChainLength(); {
+		links, more = c.cfg.addBestSpread(links, members, func(Member) bool { return true })
 	}
 	arrange(links, slices.DeleteFunc(heads, func(m Member) bool { return !slices.Contains(links, m) }))
 	v := &View{Epoch: 1, Voters: members}
 	for _, m := range links {
 		v.Chain = append(v.Chain, m.ID)
 	}
-	rank := slices.IndexFunc(members, func(m Member) bool { return m.ID == c.reg.self.ID })
+	rank := slices.IndexFunc(members, func(m Member) bool { return m.ID == c.acceptor.self.ID })
 	if c.cfg.Observer {
-		rank = slices.Index(c.cfg.Seeds, c.reg.self.Addr)
+		rank = slices.Index(c.cfg.Seeds, c.acceptor.self.Addr)
 	}
 	return v, max(rank, 0)
 }
@@ -94,10 +94,10 @@
 func (c *Core) seedsWithDisk() []Member {
 	var members []Member
 	if !c.cfg.Observer {
-		members = append(members, c.reg.self)
+		members = append(members, c.acceptor.self)
 	}
 	for id, p := range c.peers {
-		if slices.Contains(c.cfg.Seeds, p.member.Addr) && p.heartbeat.GetBootstrap() && !p.heartbeat.GetObserver() && c.alive(id) {
+		if slices.Contains(c.cfg.Seeds, p.member.Addr) && p.heartbeat.GetBootstrap() && !p.heartbeat.GetObserver() && c.isAlive(id) {
 			members = append(members, p.member)
 		}
 	}
@@ -107,29 +107,29 @@
 	return slices.CompactFunc(members, func(a, b Member) bool { return a.Addr == b.Addr })
 }
 
-// addFounders fills up the voters of the first view with keepers that are no seeds. The view is chosen by a majority of
+// completeFounders fills up the voters of the first view with keepers that are no seeds. The view is chosen by a majority of
 // the seeds, and of its own voters as any other.
-func (c *Core) addFounders(members []Member) []Member {
+func (c *Core) completeFounders(members []Member) []Member {
 	var others []Member
 	for _, id := range slices.Sorted(maps.Keys(c.peers)) {
 		p := c.peers[id]
 		known := slices.ContainsFunc(members, func(m Member) bool { return m.Addr == p.member.Addr })
-		if !known && p.heartbeat.GetBootstrap() && p.heartbeat.GetEpoch() == 0 && c.good(id) {
+		if !known && p.heartbeat.GetBootstrap() && p.heartbeat.GetEpoch() == 0 && c.isEligible(id) {
 			others = append(others, p.member)
 		}
 	}
-	for more := true; more && len(members) < c.cfg.voters(); {
-		members, more = c.cfg.pick(members, others, func(m Member) bool {
+	for more := true; more && len(members) < c.cfg.targetVoters(); {
+		members, more = c.cfg.addBestSpread(members, others, func(m Member) bool {
 			return !slices.ContainsFunc(members, func(o Member) bool { return o.Addr == m.Addr })
 		})
 	}
 	return members
 }
 
-func (c *Core) reachable(voters []Member) bool {
+func (c *Core) hasMajorityAlive(voters []Member) bool {
 	n := 0
 	for _, m := range voters {
-		if c.alive(m.ID) {
+		if c.isAlive(m.ID) {
 			n++
 		}
 	}
@@ -139,37 +139,37 @@
 // planChain picks the links: those of the present chain that work, and voters that have caught up. It is nil when no
 // chain that may acknowledge can be had.
 func (c *Core) planChain(voters []Member, out ID) []ID {
-	cur := c.reg.view
+	cur := c.acceptor.view
 	stuck := map[ID]bool{}
 	for i := 0; i+1 < len(cur.Chain); i++ {
 		a, b := cur.Chain[i], cur.Chain[i+1]
-		if a == c.reg.self.ID {
-			stuck[b] = c.stuck() == b
-		} else if p := c.peers[a]; p != nil && c.alive(a) && p.heartbeat.GetEpoch() == cur.Epoch {
+		if a == c.acceptor.self.ID {
+			stuck[b] = c.stalledSuccessor() == b
+		} else if p := c.peers[a]; p != nil && c.isAlive(a) && p.heartbeat.GetEpoch() == cur.Epoch {
 			stuck[b] = ID(p.heartbeat.GetStuck()) == b
 		}
 	}
-	links := c.staying(out, stuck, c.good)
-	if c.holders(links) < c.cfg.links() {
+	links := c.remainingReplicas(out, stuck, c.isEligible)
+	if c.countHolders(links) < c.cfg.minChainLength() {
 		// Those who leave stay until enough others hold what was acknowledged.
-		links = c.staying(out, stuck, c.works)
+		links = c.remainingReplicas(out, stuck, c.isHealthy)
 	}
 	heads := slices.DeleteFunc(slices.Clone(links), func(m Member) bool { return !c.mayLead(m.ID, false) })
-	if slices.ContainsFunc(heads, func(m Member) bool { return c.good(m.ID) }) {
-		heads = slices.DeleteFunc(heads, func(m Member) bool { return !c.good(m.ID) })
+	if slices.ContainsFunc(heads, func(m Member) bool { return c.isEligible(m.ID) }) {
+		heads = slices.DeleteFunc(heads, func(m Member) bool { return !c.isEligible(m.ID) })
 	}
 	if len(heads) > 0 {
-		c.noHeadSince = -1
+		c.headlessSince = -1
 	} else {
 		if heads = c.findHead(voters); len(heads) == 0 {
 			return nil
 		}
-		links = c.connected(append(slices.DeleteFunc(links, func(m Member) bool { return m == heads[0] }), heads...))
+		links = c.mutuallyReachable(append(slices.DeleteFunc(links, func(m Member) bool { return m == heads[0] }), heads...))
 		if !slices.Contains(links, heads[0]) {
 			return nil
 		}
 	}
-	if links = c.joinLinks(links, heads, voters); len(links) < c.cfg.links() {
+	if links = c.addReplicas(links, heads, voters); len(links) < c.cfg.minChainLength() {
 		return nil
 	}
 	arrange(links, heads)
@@ -188,51 +188,51 @@
 	return chain
 }
 
-// staying lists the present links that are fit to stay and hear each other.
-func (c *Core) staying(out ID, stuck map[ID]bool, fit func(ID) bool) []Member {
+// remainingReplicas lists the present links that are fit to stay and hear each other.
+func (c *Core) remainingReplicas(out ID, stuck map[ID]bool, fit func(ID) bool) []Member {
 	var links []Member
-	for _, l := range c.reg.view.Chain {
-		if m, ok := c.reg.view.Voter(l); ok && l != out && fit(l) && !stuck[l] {
+	for _, l := range c.acceptor.view.Chain {
+		if m, ok := c.acceptor.view.Voter(l); ok && l != out && fit(l) && !stuck[l] {
 			links = append(links, m)
 		}
 	}
-	return c.connected(links)
+	return c.mutuallyReachable(links)
 }
 
-// holders counts the links that hold all that the present chain and those before it have acknowledged.
-func (c *Core) holders(links []Member) int {
+// countHolders counts the links that hold all that the present chain and those before it have acknowledged.
+func (c *Core) countHolders(links []Member) int {
 	n := 0
 	for _, m := range links {
-		if c.standing(m.ID).active == c.reg.view.Epoch {
+		if c.durableEpochsOf(m.ID).active == c.acceptor.view.Epoch {
 			n++
 		}
 	}
 	return n
 }
 
-// joinLinks adds voters to the links that stay: those that have caught up, and others only where too few would be left.
-func (c *Core) joinLinks(links, heads, voters []Member) []Member {
+// addReplicas adds voters to the links that stay: those that have caught up, and others only where too few would be left.
+func (c *Core) addReplicas(links, heads, voters []Member) []Member {
 	fits := func(links []Member, m Member) bool {
-		return c.reg.view.place(m.ID) < 0 && c.good(m.ID) &&
-			!slices.ContainsFunc(links, func(l Member) bool { return !c.hears(l.ID, m.ID) || !c.hears(m.ID, l.ID) })
+		return c.acceptor.view.chainIndex(m.ID) < 0 && c.isEligible(m.ID) &&
+			!slices.ContainsFunc(links, func(l Member) bool { return !c.hasContact(l.ID, m.ID) || !c.hasContact(m.ID, l.ID) })
 	}
-	for more := true; more && len(links) < c.cfg.maxLinks(); {
-		links, more = c.cfg.pick(links, voters, func(m Member) bool { return fits(links, m) && c.level(m.ID) })
+	for more := true; more && len(links) < c.cfg.targetChainLength(); {
+		links, more = c.cfg.addBestSpread(links, voters, func(m Member) bool { return fits(links, m) && c.isCaughtUp(m.ID) })
 	}
-	for more := true; more && len(links) < c.cfg.links(); {
-		links, more = c.cfg.pick(links, voters, func(m Member) bool { return fits(links, m) })
+	for more := true; more && len(links) < c.cfg.minChainLength(); {
+		links, more = c.cfg.addBestSpread(links, voters, func(m Member) bool { return fits(links, m) })
 	}
-	if c.cfg.linksBear(links) || len(links) < c.cfg.maxLinks() {
+	if c.cfg.chainToleratesLosses(links) || len(links) < c.cfg.targetChainLength() {
 		return links
 	}
 	// All the links there may be stand where one loss takes them all: one gives its place to a voter elsewhere.
 	best := links
 	for i, l := range links {
-		if l == heads[0] || l.ID == c.reg.view.Head() {
+		if l == heads[0] || l.ID == c.acceptor.view.Head() {
 			continue
 		}
 		rest := slices.Delete(slices.Clone(links), i, i+1)
-		with, ok := c.cfg.pick(rest, voters, func(m Member) bool { return m != l && fits(rest, m) && c.level(m.ID) })
+		with, ok := c.cfg.addBestSpread(rest, voters, func(m Member) bool { return m != l && fits(rest, m) && c.isCaughtUp(m.ID) })
 		if ok && c.cfg.spread(with).compare(c.cfg.spread(best)) < 0 {
 			best = with
 		}
@@ -241,17 +241,17 @@
 }
 
 func sameSet(links []Member, v *View) bool {
-	return len(links) == len(v.Chain) && !slices.ContainsFunc(links, func(m Member) bool { return v.place(m.ID) < 0 })
+	return len(links) == len(v.Chain) && !slices.ContainsFunc(links, func(m Member) bool { return v.chainIndex(m.ID) < 0 })
 }
 
-// connected drops links until all that are left hear each other.
-func (c *Core) connected(links []Member) []Member {
+// mutuallyReachable drops links until all that are left hear each other.
+func (c *Core) mutuallyReachable(links []Member) []Member {
 	for {
 		worst, most := -1, 0
 		for i, a := range links {
 			n := 0
 			for _, b := range links {
-				if !c.hears(a.ID, b.ID) || !c.hears(b.ID, a.ID) {
+				if !c.hasContact(a.ID, b.ID) || !c.hasContact(b.ID, a.ID) {
 					n += 2
 				}
 			}
@@ -269,22 +269,22 @@
 	}
 }
 
-// level tells whether a keeper outside the chain has nearly all that is committed.
-func (c *Core) level(id ID) bool {
-	if id == c.reg.self.ID {
-		return c.fed
+// isCaughtUp tells whether a keeper outside the chain has nearly all that is committed.
+func (c *Core) isCaughtUp(id ID) bool {
+	if id == c.acceptor.self.ID {
+		return c.caughtUp
 	}
 	p := c.peers[id]
-	if p == nil || p.goodAt < 0 || c.now-p.goodAt < settleTime || p.heartbeat.GetEpoch() != c.reg.view.Epoch {
+	if p == nil || p.eligibleSince < 0 || c.now-p.eligibleSince < minEligibleTime || p.heartbeat.GetEpoch() != c.acceptor.view.Epoch {
 		return false
 	}
-	most := c.committed
-	for _, l := range c.reg.view.Chain {
-		if q := c.peers[l]; q != nil && c.alive(l) {
+	most := c.commitIndex
+	for _, l := range c.acceptor.view.Chain {
+		if q := c.peers[l]; q != nil && c.isAlive(l) {
 			most = max(most, q.heartbeat.GetCommitted())
 		}
 	}
-	return p.heartbeat.GetCommitted()+levelLag >= most
+	return p.heartbeat.GetCommitted()+maxCaughtUpLag >= most
 }
 
 // arrange puts the first of heads that is in the region of most links in front, the rest of its region next, and links
--- a/internal/system/replication/reach.go
+++ b/internal/system/replication/reach.go
@@ -4,7 +4,7 @@
 
 // How long a keeper goes on without a way to the chain before it counts as cut off, as part of Config.Suspect: 500 ms with
 // the default times, after those that it counted on are suspected.
-const cutOffNum, cutOffDen = 5, 7
+const partitionedNumerator, partitionedDenominator = 5, 7
 
 // Partitioned tells whether a change asked for here cannot be taken, as there has been no way to the chain for long. It is for
 // callers that should rather ask another keeper at once; Submit and Read do not rest on it.
@@ -14,23 +14,23 @@
 // for, however long it takes. What is asked for while Partitioned is true can thus be taken only if the way comes back meanwhile.
 func (c *Core) Partitioned(now time.Duration) bool {
 	c.advance(now)
-	c.watchReach()
-	return c.now-c.reachedAt >= c.cfg.SuspectTimeout*cutOffNum/cutOffDen
+	c.observeReach()
+	return c.now-c.chainReachedAt >= c.cfg.SuspectTimeout*partitionedNumerator/partitionedDenominator
 }
 
-// watchReach notes when there was last a way to the chain.
-func (c *Core) watchReach() {
+// observeReach notes when there was last a way to the chain.
+func (c *Core) observeReach() {
 	if c.reachesChain() {
-		c.reachedAt = max(c.reachedAt, c.now)
+		c.chainReachedAt = max(c.chainReachedAt, c.now)
 	}
 }
 
 // reachesChain tells whether a change asked for here may be taken by the present chain, or by one that a repair makes.
 func (c *Core) reachesChain() bool {
-	v := c.reg.view
+	v := c.acceptor.view
 	if v.Epoch == 0 { // whoever answers may tell of a view
 		for id := range c.peers {
-			if c.alive(id) {
+			if c.isAlive(id) {
 				return true
 			}
 		}
@@ -41,19 +41,19 @@
 
 // reachesHead tells whether this keeper exchanges messages with the head, or as the head with the link after it.
 func (c *Core) reachesHead(v *View) bool {
-	if v.Head() != c.reg.self.ID {
-		return c.alive(v.Head())
+	if v.Head() != c.acceptor.self.ID {
+		return c.isAlive(v.Head())
 	}
-	return len(v.Chain) == 1 || c.alive(v.Chain[1])
+	return len(v.Chain) == 1 || c.isAlive(v.Chain[1])
 }
 
 // reachesMajority tells whether this keeper exchanges messages with a majority of the voters, itself among them if it votes.
 func (c *Core) reachesMajority(v *View) bool {
 	reached := map[ID]string{}
 	for _, m := range v.Voters {
-		if c.alive(m.ID) {
+		if c.isAlive(m.ID) {
 			reached[m.ID] = m.Addr
 		}
 	}
-	return c.quorum(v, reached)
+	return c.isQuorum(v, reached)
 }
--- a/internal/system/replication/repair_test.go
+++ b/internal/system/replication/repair_test.go
@@ -14,7 +14,7 @@
 func settle(t *testing.T, w *world, limit time.Duration) time.Duration {
 	t.Helper()
 	began := w.now
-	for !w.whole() || len(w.newest.Chain) < min(maxLinks, len(w.newest.Voters)) {
+	for !w.whole() || len(w.newest.Chain) < min(defaultChainLength, len(w.newest.Voters)) {
 		if w.now-began > limit || w.broken != nil {
 			w.trace = t.Logf
 			w.dump()
@@ -121,19 +121,19 @@
 // TestAChangeOfVotersNeedsBothMajorities: so that a majority of the next register's voters knows the view it starts from.
 func TestAChangeOfVotersNeedsBothMajorities(t *testing.T) {
 	a, b, x, y := Member{ID: "a"}, Member{ID: "b"}, Member{ID: "x"}, Member{ID: "y"}
-	c := &Core{cfg: Config{}, reg: register{view: &View{}}}
-	c.cfg.defaults()
+	c := &Core{cfg: Config{}, acceptor: acceptor{view: &View{}}}
+	c.cfg.applyDefaults()
 	cur := &View{Epoch: 1, Voters: []Member{a, x, y}}
-	c.reg.view = cur
+	c.acceptor.view = cur
 	next := &View{Epoch: 2, Voters: []Member{a, b, x, y}}
-	c.prop = &proposal{cur: cur, value: next, accepted: map[ID]string{}}
-	c.acceptedBy("a", "")
-	c.acceptedBy("x", "")
-	if c.reg.view != cur {
+	c.proposal = &proposal{current: cur, value: next, acceptedBy: map[ID]string{}}
+	c.recordAccepted("a", "")
+	c.recordAccepted("x", "")
+	if c.acceptor.view != cur {
 		t.Fatal("chosen by half of the new voters")
 	}
-	c.acceptedBy("b", "")
-	if c.reg.view != next {
+	c.recordAccepted("b", "")
+	if c.acceptor.view != next {
 		t.Fatal("not chosen by both majorities")
 	}
 }
--- a/internal/system/replication/restore.go
+++ b/internal/system/replication/restore.go
@@ -27,7 +27,7 @@
 		return nil, err
 	}
 	s := c.state
-	for seq := c.committed + 1; seq <= c.log.end(); seq++ {
+	for seq := c.commitIndex + 1; seq <= c.log.end(); seq++ {
 		if s, err = s.Apply(c.log.at(seq).rec); err != nil {
 			return nil, errors.Wrapf(err, "replication: record %d cannot be applied", seq)
 		}
@@ -42,8 +42,8 @@
 // longestLogs lists those of the members with the longest log: before the first view, what was restored.
 func (c *Core) longestLogs(members []Member) []Member {
 	held := func(m Member) uint64 {
-		if m.ID == c.reg.self.ID {
-			return c.committed
+		if m.ID == c.acceptor.self.ID {
+			return c.commitIndex
 		}
 		if p := c.peers[m.ID]; p != nil {
 			return p.heartbeat.GetCommitted()
@@ -57,18 +57,18 @@
 	return slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return held(m) < most })
 }
 
-// yieldsRestoredLog empties the log of a keeper whose first view is v, unless it leads there, and tells whether v has to wait for
+// discardRestoredLog empties the log of a keeper whose first view is v, unless it leads there, and tells whether v has to wait for
 // that. What was restored here is no part of the chain's log, which may have begun with something else, or with nothing;
 // records are compared by number and epoch only, and below a snapshot not at all. The log is empty on disk before the view
 // is there, so that no restart comes between.
-func (c *Core) yieldsRestoredLog(v *View) bool {
-	if c.reg.view.Epoch > 0 || v.Head() == c.reg.self.ID {
+func (c *Core) discardRestoredLog(v *View) bool {
+	if c.acceptor.view.Epoch > 0 || v.Head() == c.acceptor.self.ID {
 		return false
 	}
 	if c.log.end() > 0 {
-		c.note("replication: the restored state here gives way to that of the head")
-		c.log, c.state, c.committed = memLog{}, c.machine.Empty(), 0
-		c.disk.install, c.disk.end, c.disk.unsure, c.disk.snapshot = &wal.Snapshot{}, 0, false, 0
+		c.logEvent("replication: the restored state here gives way to that of the head")
+		c.log, c.state, c.commitIndex = memoryLog{}, c.machine.Empty(), 0
+		c.writer.pendingInstall, c.writer.durableEnd, c.writer.truncateNeeded, c.writer.snapshotSeq = &wal.Snapshot{}, 0, false, 0
 	}
-	return c.disk.install != nil
+	return c.writer.pendingInstall != nil
 }
--- a/internal/system/replication/restore_test.go
+++ b/internal/system/replication/restore_test.go
@@ -208,8 +208,8 @@
 	gone := false
 	for range 20 {
 		c.Tick(0)
-		c.adopt(view)
-		c.settle()
+		c.adoptView(view)
+		c.flush()
 		op := c.Ready().Disk
 		if op == nil {
 			continue
--- a/internal/system/replication/sim_hardening_away_test.go
+++ b/internal/system/replication/sim_hardening_away_test.go
@@ -97,7 +97,7 @@
 		out.err = fmt.Errorf("there is no %s", role)
 		return out
 	}
-	held := m.core.committed
+	held := m.core.commitIndex
 	back := awayModes[mode](w, m)
 	w.writeUnless(n+5, 50*time.Millisecond, m)
 	out.missed = w.acked - held
@@ -142,7 +142,7 @@
 		if m.core != nil && !m.frozen && m.core.Current(m.clock()) {
 			current = w.now
 		}
-		is := m.core != nil && m.core.committed >= max(target, w.ackedBefore(w.now-time.Second)) && w.now-current < 500*time.Millisecond
+		is := m.core != nil && m.core.commitIndex >= max(target, w.ackedBefore(w.now-time.Second)) && w.now-current < 500*time.Millisecond
 		if !is || !was {
 			at = w.now
 		}
--- a/internal/system/replication/sim_hardening_cut_test.go
+++ b/internal/system/replication/sim_hardening_cut_test.go
@@ -37,7 +37,7 @@
 	"tail":   func(w *world) *machine { return w.link(-1) },
 	"outsider": func(w *world) *machine { // no link: a spare or an observer
 		for _, m := range w.nodes {
-			if m.up() && w.newest.place(m.core.reg.self.ID) < 0 {
+			if m.up() && w.newest.chainIndex(m.core.acceptor.self.ID) < 0 {
 				return m
 			}
 		}
@@ -86,7 +86,7 @@
 	out.changes = w.stats.accepted - before
 	ended := w.now
 	w.runWhile(2*backBound, func() bool {
-		return m.core == nil || !m.core.Current(m.clock()) || m.core.committed < w.ackedBefore(ended)
+		return m.core == nil || !m.core.Current(m.clock()) || m.core.commitIndex < w.ackedBefore(ended)
 	})
 	out.back = w.now - ended
 	w.runUntil(ended + 5*time.Second)
--- a/internal/system/replication/sim_machine_test.go
+++ b/internal/system/replication/sim_machine_test.go
@@ -64,7 +64,7 @@
 	self.ID = ID(fmt.Sprintf("%s#%d-%x", self.Addr, m.life, w.rng.Uint32()))
 	core, err := NewCore(Config{
 		Self: self, MachineLosses: w.losses, ZoneLosses: w.zoneLosses, Seeds: m.seeds, Bootstrap: m.boot, Incarnation: life, Seed: uint64(m.name), Observer: m.watcher,
-		hooks: w.hooks, scripted: w.scripted, compactAfter: 20, keepBehind: 5,
+		hooks: w.hooks, scripted: w.scripted, compactRecords: 20, retainedRecords: 5,
 	}, w.machine, clone(m.disk.meta), m.disk.snap, slices.Clone(m.disk.entries))
 	if err != nil {
 		w.fail(fmt.Errorf("machine %d does not start: %w", m.name, err))
@@ -149,7 +149,7 @@
 		return
 	}
 	m.w.disturbed()
-	if op := m.core.disk.op; op != nil && op != m.carried && !m.full && m.w.rng.IntN(2) == 0 {
+	if op := m.core.writer.op; op != nil && op != m.carried && !m.full && m.w.rng.IntN(2) == 0 {
 		m.disk.do(op, m.w.rng.IntN(len(op.Entries)+1))
 	}
 	m.core = nil
@@ -171,12 +171,12 @@
 	} else {
 		// The identity survives, its promises do not.
 		if core, err := NewCore(Config{Self: m.member}, toyMachine{}, m.disk.meta, wal.Snapshot{}, nil); err == nil {
-			core.reg.promised, core.reg.accepted, core.reg.next = ballot{}, ballot{}, nil
-			core.reg.view, core.reg.active = &View{}, 0
-			core.disk.dirty, core.disk.op = true, nil
+			core.acceptor.promised, core.acceptor.accepted, core.acceptor.acceptedView = proposalNumber{}, proposalNumber{}, nil
+			core.acceptor.view, core.acceptor.activeEpoch = &View{}, 0
+			core.writer.acceptorDirty, core.writer.op = true, nil
 			core.startWrite()
 			m.disk = plate{meta: map[string][]byte{}}
-			m.disk.do(core.disk.op, 0)
+			m.disk.do(core.writer.op, 0)
 		}
 	}
 	m.boot = false
--- a/internal/system/replication/sim_proxy_checks_test.go
+++ b/internal/system/replication/sim_proxy_checks_test.go
@@ -92,7 +92,7 @@
 func (w *world) knownView() *View {
 	var newest *View
 	for _, m := range w.nodes {
-		if !m.healthy() || newest != nil && m.core.reg.view.Epoch <= newest.Epoch {
+		if !m.healthy() || newest != nil && m.core.acceptor.view.Epoch <= newest.Epoch {
 			continue
 		}
 		reached, all := 0, 0
@@ -104,8 +104,8 @@
 				}
 			}
 		}
-		if reached > all/2 && m.core.reg.view.Epoch > 0 {
-			newest = m.core.reg.view
+		if reached > all/2 && m.core.acceptor.view.Epoch > 0 {
+			newest = m.core.acceptor.view
 		}
 	}
 	return newest
@@ -124,7 +124,7 @@
 		}
 		n := 0
 		for _, v := range view.Voters {
-			if o := w.at(v.Addr); o != nil && o.healthy() && w.connected(m.member.Addr, v.Addr) && ID(o.core.reg.self.ID) == v.ID {
+			if o := w.at(v.Addr); o != nil && o.healthy() && w.connected(m.member.Addr, v.Addr) && ID(o.core.acceptor.self.ID) == v.ID {
 				n++
 			}
 		}
@@ -151,7 +151,7 @@
 	}
 	in := map[ID]bool{}
 	for _, m := range well {
-		in[m.core.reg.self.ID] = true
+		in[m.core.acceptor.self.ID] = true
 	}
 	missing := 0
 	for _, v := range view.Voters {
--- a/internal/system/replication/submit.go
+++ b/internal/system/replication/submit.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	submitResend = 300 * time.Millisecond
-	keepChanges  = 15 * time.Second // how long a change that comes twice is recognised
-	maxChanges   = 4096
-	maxAsked     = 1024
+	callResendInterval = 300 * time.Millisecond
+	changeTTL          = 15 * time.Second // how long a change that comes twice is recognised
+	maxChanges         = 4096
+	maxPendingCalls    = 1024
 )
 
 // Outcome says what became of a change or read.
@@ -38,27 +38,27 @@
 
 // submit is a change asked for here.
 type submit struct {
-	id        uint64 // the caller's
-	key       uint64 // on the wire: new for every try that may not be mistaken for the one before
-	change    controlstate.Change
-	deadline  time.Duration
-	sent      bool
-	uncertain bool // an earlier try may yet come about
-	sentAt    time.Duration
-	again     time.Duration
-	epoch     uint64
-	head      ID
-	life      uint64 // the head's
+	id              uint64 // the caller's
+	callNumber      uint64 // on the wire: new for every try that may not be mistaken for the one before
+	change          controlstate.Change
+	deadline        time.Duration
+	sent            bool
+	uncertain       bool // an earlier try may yet come about
+	sentAt          time.Duration
+	retryAt         time.Duration
+	epoch           uint64
+	head            ID
+	headIncarnation uint64 // the head's
 }
 
-// repeatable tells whether the state machine recognises a change that comes twice.
-func repeatable(ch controlstate.Change) bool {
+// idempotent tells whether the state machine recognises a change that comes twice.
+func idempotent(ch controlstate.Change) bool {
 	return ch.Op == controlstate.OpReplace || ch.Op == controlstate.OpAmend
 }
 
 type changeKey struct {
-	from     ID
-	life, id uint64
+	from                    ID
+	incarnation, callNumber uint64
 }
 
 // pendingChange is a change that came to the head.
@@ -69,20 +69,20 @@
 	confirmed bool
 	done      bool
 	outcome   Outcome
-	at        time.Duration
+	closedAt  time.Duration
 }
 
 // Submit asks for a change. A Completion with id follows within ttl.
 func (c *Core) Submit(now time.Duration, id uint64, ch controlstate.Change, ttl time.Duration) {
 	c.advance(now)
-	if len(c.submits) >= maxAsked {
+	if len(c.submits) >= maxPendingCalls {
 		c.out.Completions = append(c.out.Completions, Completion{ID: id, Outcome: Refused})
 		return
 	}
 	s := &submit{id: id, change: ch, deadline: c.now + ttl}
 	c.submits[id] = s
-	c.trySubmit(s)
-	c.settle()
+	c.sendForward(s)
+	c.flush()
 }
 
 // Abandon ends a Submit or Read without a Completion: nobody waits for it. It is not sent again; what was sent may yet come
@@ -92,33 +92,33 @@
 	delete(c.reads, id)
 }
 
-func (c *Core) headLife() (uint64, bool) {
-	head := c.reg.view.Head()
-	if head == c.reg.self.ID {
+func (c *Core) headIncarnation() (uint64, bool) {
+	head := c.acceptor.view.Head()
+	if head == c.acceptor.self.ID {
 		return c.cfg.Incarnation, c.isHead()
 	}
 	p := c.peers[head]
-	if p == nil || !c.alive(head) || p.heartbeat.GetEpoch() != c.reg.view.Epoch {
+	if p == nil || !c.isAlive(head) || p.heartbeat.GetEpoch() != c.acceptor.view.Epoch {
 		return 0, false
 	}
-	return p.life, true
+	return p.incarnation, true
 }
 
-func (c *Core) trySubmit(s *submit) {
-	life, ok := c.headLife()
+func (c *Core) sendForward(s *submit) {
+	life, ok := c.headIncarnation()
 	if !s.sent {
-		if !ok || c.now < s.again {
+		if !ok || c.now < s.retryAt {
 			return
 		}
-		c.keys++
-		s.key, s.sent, s.epoch, s.head, s.life = c.keys, true, c.reg.view.Epoch, c.reg.view.Head(), life
-	} else if c.now-s.sentAt < submitResend {
+		c.lastCallNumber++
+		s.callNumber, s.sent, s.epoch, s.head, s.headIncarnation = c.lastCallNumber, true, c.acceptor.view.Epoch, c.acceptor.view.Head(), life
+	} else if c.now-s.sentAt < callResendInterval {
 		return
 	}
 	s.sentAt = c.now
 	e := entry{rec: s.change.Record(0)}
 	c.send(s.head, &replicationpb.Message{Body: &replicationpb.Message_Forward{Forward: &replicationpb.Forward{
-		Id: s.key, Life: c.cfg.Incarnation, HeadLife: s.life, Epoch: s.epoch, Change: e.pb(), TtlUs: (s.deadline - c.now).Microseconds(), Heard: c.heardOf(s.head),
+		Id: s.callNumber, Life: c.cfg.Incarnation, HeadLife: s.headIncarnation, Epoch: s.epoch, Change: e.pb(), TtlUs: (s.deadline - c.now).Microseconds(), Heard: c.lastHeartbeatFrom(s.head),
 	}}})
 }
 
@@ -130,51 +130,53 @@
 			if s.sent || s.uncertain {
 				out = Unknown
 			}
-			c.finish(s, Completion{Outcome: out})
+			c.completeSubmit(s, Completion{Outcome: out})
 			continue
 		}
 		if s.sent {
-			life, ok := c.headLife()
+			life, ok := c.headIncarnation()
 			// A head that remains the head keeps what it was asked.
-			if s.head != c.reg.view.Head() || ok && life != s.life {
-				if !repeatable(s.change) {
-					c.finish(s, Completion{Outcome: Unknown})
+			if s.head != c.acceptor.view.Head() || ok && life != s.headIncarnation {
+				if !idempotent(s.change) {
+					c.completeSubmit(s, Completion{Outcome: Unknown})
 					continue
 				}
 				s.sent, s.uncertain = false, true
 			}
 		}
-		c.trySubmit(s)
+		c.sendForward(s)
 	}
 	for k, o := range c.changes {
-		if o.done && c.now-o.at > keepChanges {
+		if o.done && c.now-o.closedAt > changeTTL {
 			delete(c.changes, k)
 		}
 	}
 }
 
-func (c *Core) finish(s *submit, done Completion) {
+func (c *Core) completeSubmit(s *submit, done Completion) {
 	delete(c.submits, s.id)
 	done.ID = s.id
 	c.out.Completions = append(c.out.Completions, done)
 }
 
-// thisLife tells whether an answer is for a call of this life: another life's calls may have had the same numbers.
-func (c *Core) thisLife(life uint64) bool { return life == c.cfg.Incarnation || c.cfg.hooks.anyLife }
+// isThisIncarnation tells whether an answer is for a call of this life: another life's calls may have had the same numbers.
+func (c *Core) isThisIncarnation(life uint64) bool {
+	return life == c.cfg.Incarnation || c.cfg.hooks.anyLife
+}
 
-func (c *Core) onAnswer(m *replicationpb.Answer) {
-	if !c.thisLife(m.GetLife()) {
+func (c *Core) handleAnswer(m *replicationpb.Answer) {
+	if !c.isThisIncarnation(m.GetLife()) {
 		return
 	}
 	for _, s := range c.submits {
-		if !s.sent || s.key != m.GetId() {
+		if !s.sent || s.callNumber != m.GetId() {
 			continue
 		}
 		switch out := Outcome(m.GetOutcome()); {
-		case out == Refused, out == Unknown && repeatable(s.change):
-			s.sent, s.uncertain, s.again = false, s.uncertain || out == Unknown, c.now+c.cfg.HeartbeatInterval
+		case out == Refused, out == Unknown && idempotent(s.change):
+			s.sent, s.uncertain, s.retryAt = false, s.uncertain || out == Unknown, c.now+c.cfg.HeartbeatInterval
 		default:
-			c.finish(s, Completion{
+			c.completeSubmit(s, Completion{
 				Outcome: out, Seq: m.GetSeq(), Verdict: controlstate.Verdict{Kind: controlstate.Kind(m.GetKind()), Reason: m.GetReason()},
 			})
 		}
@@ -182,11 +184,11 @@
 	}
 }
 
-func (c *Core) onForward(from ID, m *replicationpb.Forward) {
-	key := changeKey{from: from, life: m.GetLife(), id: m.GetId()}
+func (c *Core) handleForward(from ID, m *replicationpb.Forward) {
+	key := changeKey{from: from, incarnation: m.GetLife(), callNumber: m.GetId()}
 	if o := c.changes[key]; o != nil && !c.cfg.hooks.duplicateChange {
 		if o.done {
-			c.answer(o)
+			c.sendAnswer(o)
 		}
 		return
 	}
@@ -195,16 +197,16 @@
 	}
 	if len(c.changes) >= maxChanges {
 		// Not Refused: its key is not kept, so a double of this message may be taken once there is room.
-		c.answer(&pendingChange{key: key, outcome: Unknown})
+		c.sendAnswer(&pendingChange{key: key, outcome: Unknown})
 		return
 	}
-	o := &pendingChange{key: key, at: c.now}
+	o := &pendingChange{key: key, closedAt: c.now}
 	c.changes[key] = o
-	if !c.mayJudge(from, m) {
-		c.close(o, Refused)
+	if !c.canDecide(from, m) {
+		c.closeChange(o, Refused)
 		return
 	}
-	c.judge(o, m.GetChange())
+	c.decide(o, m.GetChange())
 	o.seq = c.log.end()
 	c.pending = append(c.pending, o)
 	if c.cfg.hooks.hastyVerdict && o.verdict.Kind != controlstate.Accepted {
@@ -212,12 +214,12 @@
 	}
 	if !o.confirmed {
 		// A deposed head must not judge by what it holds.
-		c.confirm(func(ok bool) {
+		c.confirmEpoch(func(ok bool) {
 			if o.done {
 				return
 			}
 			if o.confirmed = ok; !ok {
-				c.close(o, Refused)
+				c.closeChange(o, Refused)
 			}
 			c.completeChanges()
 		})
@@ -225,78 +227,78 @@
 	c.completeChanges()
 }
 
-// mayJudge tells whether this keeper is the head that the change was sent to, can log it, and its caller still waits.
-func (c *Core) mayJudge(from ID, m *replicationpb.Forward) bool {
-	sameEpoch := m.GetEpoch() == c.reg.view.Epoch || c.cfg.scripted.forwardEpoch
-	canLog := !c.disk.bad && !c.leaving && len(c.pending) < maxAsked && len(c.reg.view.Chain) >= c.cfg.links()
-	return c.isHead() && sameEpoch && canLog && c.inTime(from, m)
+// canDecide tells whether this keeper is the head that the change was sent to, can log it, and its caller still waits.
+func (c *Core) canDecide(from ID, m *replicationpb.Forward) bool {
+	sameEpoch := m.GetEpoch() == c.acceptor.view.Epoch || c.cfg.scripted.forwardEpoch
+	canLog := !c.writer.unhealthy && !c.leaving && len(c.pending) < maxPendingCalls && len(c.acceptor.view.Chain) >= c.cfg.minChainLength()
+	return c.isHead() && sameEpoch && canLog && c.isBeforeDeadline(from, m)
 }
 
-// judge decides on a change by the state after the whole log, and logs it when it is accepted.
-func (c *Core) judge(o *pendingChange, p *replicationpb.Entry) {
+// decide decides on a change by the state after the whole log, and logs it when it is accepted.
+func (c *Core) decide(o *pendingChange, p *replicationpb.Entry) {
 	change := controlstate.Change{Op: controlstate.Op(p.GetOp()), Base: p.GetBase(), Body: p.GetBody(), Zone: p.GetZone()}
-	o.verdict = c.spec().Check(change)
+	o.verdict = c.speculativeState().Check(change)
 	if o.verdict.Kind != controlstate.Accepted {
 		return
 	}
 	rec := change.Record(c.log.end() + 1)
-	next, err := c.spec().Apply(rec)
+	next, err := c.speculativeState().Apply(rec)
 	if err != nil {
 		o.verdict = controlstate.Verdict{Kind: controlstate.Invalid, Reason: err.Error()}
 		return
 	}
-	c.ahead = append(c.ahead, next)
-	c.log.entries = append(c.log.entries, entry{epoch: c.reg.view.Epoch, rec: rec})
+	c.uncommittedStates = append(c.uncommittedStates, next)
+	c.log.entries = append(c.log.entries, entry{epoch: c.acceptor.view.Epoch, rec: rec})
 	o.confirmed = true
 }
 
-// heardOf is the number of the newest heartbeat heard of a keeper, 0 if none was.
-func (c *Core) heardOf(id ID) uint64 {
+// lastHeartbeatFrom is the number of the newest heartbeat heard of a keeper, 0 if none was.
+func (c *Core) lastHeartbeatFrom(id ID) uint64 {
 	if p := c.peers[id]; p != nil {
-		return p.number
+		return p.heartbeatNumber
 	}
 	return 0
 }
 
-// inTime tells whether the caller of a forwarded change still waits for it. What the message says of the time left counts
+// isBeforeDeadline tells whether the caller of a forwarded change still waits for it. What the message says of the time left counts
 // from when it was sent, and it may have been under way for long. It was sent after this head's heartbeat that its sender
 // had heard, and when that was this head knows by its own clock. So no change is taken after its caller's deadline, at the
 // cost of the time since that heartbeat. It takes that clocks run at one rate, not that they agree.
-func (c *Core) inTime(from ID, m *replicationpb.Forward) bool {
+func (c *Core) isBeforeDeadline(from ID, m *replicationpb.Forward) bool {
 	ttl := time.Duration(m.GetTtlUs()) * time.Microsecond
-	if from == c.reg.self.ID || c.cfg.scripted.lateForward {
+	if from == c.acceptor.self.ID || c.cfg.scripted.lateForward {
 		return ttl > 0
 	}
 	heard := m.GetHeard()
-	if heard == 0 || heard > c.number || heard+sentRing <= c.number {
+	if heard == 0 || heard > c.heartbeatNumber || heard+heartbeatHistory <= c.heartbeatNumber {
 		return false
 	}
-	return c.now-c.sentAt[heard%sentRing] < ttl
+	return c.now-c.heartbeatSentAt[heard%heartbeatHistory] < ttl
 }
 
-// spec is the state after the whole log, on which the head judges.
-func (c *Core) spec() State {
-	if n := len(c.ahead); n > 0 {
-		return c.ahead[n-1]
+// speculativeState is the state after the whole log, on which the head judges.
+func (c *Core) speculativeState() State {
+	if n := len(c.uncommittedStates); n > 0 {
+		return c.uncommittedStates[n-1]
 	}
 	return c.state
 }
 
-func (c *Core) close(o *pendingChange, out Outcome) {
-	o.done, o.outcome, o.at = true, out, c.now
-	c.answer(o)
+func (c *Core) closeChange(o *pendingChange, out Outcome) {
+	o.done, o.outcome, o.closedAt = true, out, c.now
+	c.sendAnswer(o)
 }
 
-func (c *Core) answer(o *pendingChange) {
+func (c *Core) sendAnswer(o *pendingChange) {
 	c.send(o.key.from, &replicationpb.Message{Body: &replicationpb.Message_Answer{Answer: &replicationpb.Answer{
-		Id: o.key.id, Life: o.key.life, Outcome: uint32(o.outcome), Kind: uint32(o.verdict.Kind), Reason: o.verdict.Reason, Seq: o.seq,
+		Id: o.key.callNumber, Life: o.key.incarnation, Outcome: uint32(o.outcome), Kind: uint32(o.verdict.Kind), Reason: o.verdict.Reason, Seq: o.seq,
 	}}})
 }
 
 func (c *Core) completeChanges() {
 	c.pending = slices.DeleteFunc(c.pending, func(o *pendingChange) bool {
-		if !o.done && o.confirmed && o.seq <= c.committed && (o.verdict.Kind == controlstate.Accepted || c.complete() || c.cfg.hooks.hastyVerdict) {
-			c.close(o, Answered)
+		if !o.done && o.confirmed && o.seq <= c.commitIndex && (o.verdict.Kind == controlstate.Accepted || c.isActiveToTail() || c.cfg.hooks.hastyVerdict) {
+			c.closeChange(o, Answered)
 		}
 		return o.done
 	})
@@ -305,14 +307,14 @@
 // abandonChanges ends what a head that is about to enter another view cannot answer any more. A head that remains the head
 // keeps its log, so what is in it may still be committed.
 func (c *Core) abandonChanges() {
-	stays := c.reg.view.Head() == c.reg.self.ID && c.reg.active == c.reg.view.Epoch
-	c.failRounds()
+	stays := c.acceptor.view.Head() == c.acceptor.self.ID && c.acceptor.activeEpoch == c.acceptor.view.Epoch
+	c.failConfirmations()
 	c.pending = slices.DeleteFunc(c.pending, func(o *pendingChange) bool {
 		if !o.done && !stays {
 			if o.verdict.Kind == controlstate.Accepted {
-				c.close(o, Unknown)
+				c.closeChange(o, Unknown)
 			} else {
-				c.close(o, Refused)
+				c.closeChange(o, Refused)
 			}
 		}
 		return o.done
--- a/internal/system/replication/transport.go
+++ b/internal/system/replication/transport.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	maxBatch    = 64 << 20
-	batchBytes  = 1 << 20
-	queueLength = 1024
-	queueBytes  = 8 << 20
-	queueAge    = 500 * time.Millisecond // older messages are dropped: peers repeat what still matters
-	senders     = 3                      // requests under way to a peer, so that a long way does not hold up the next
-	postTimeout = 800 * time.Millisecond
-	postPerMB   = 2 * time.Second // more for large batches
-	maxOutboxes = 32
-	outboxIdle  = 30 * time.Second
+	maxBatchBytes     = 64 << 20
+	targetBatchBytes  = 1 << 20
+	maxQueuedMessages = 1024
+	maxQueuedBytes    = 8 << 20
+	messageTTL        = 500 * time.Millisecond // older messages are dropped: peers repeat what still matters
+	sendersPerPeer    = 3                      // requests under way to a peer, so that a long way does not hold up the next
+	requestTimeout    = 800 * time.Millisecond
+	requestTimePerMB  = 2 * time.Second // more for large batches
+	maxOutboxes       = 32
+	outboxIdleTimeout = 30 * time.Second
 )
 
 // transport sends messages, each peer on its own.
@@ -39,23 +39,23 @@
 
 // outbox is the bounded queue to one address.
 type outbox struct {
-	owner  *transport
-	addr   string
-	client replicationpb.Replication
-	idle   func()
-	end    context.CancelFunc
-
-	mu    sync.Mutex
-	queue []queuedMessage
-	bytes int
-	wake  chan struct{}
-	used  time.Time
+	owner                *transport
+	addr                 string
+	client               replicationpb.Replication
+	closeIdleConnections func()
+	cancel               context.CancelFunc
+
+	mu         sync.Mutex
+	queue      []queuedMessage
+	bytes      int
+	wake       chan struct{}
+	lastUsedAt time.Time
 }
 
 type queuedMessage struct {
-	msg  *replicationpb.Message
-	size int
-	at   time.Time
+	msg        *replicationpb.Message
+	size       int
+	enqueuedAt time.Time
 }
 
 func newTransport(ctx context.Context, wg *sync.WaitGroup, port int, t http.RoundTripper) *transport {
@@ -70,7 +70,7 @@
 	}
 	o.mu.Unlock()
 	if b != nil {
-		b.put(e.Msg)
+		b.enqueue(e.Msg)
 	}
 }
 
@@ -78,37 +78,37 @@
 	t, idle := o.roundTripper, func() {}
 	if t == nil {
 		own := &http.Transport{
-			DialContext:         (&net.Dialer{Timeout: postTimeout, KeepAlive: -1}).DialContext,
-			MaxIdleConnsPerHost: senders, MaxConnsPerHost: 2 * senders, IdleConnTimeout: outboxIdle,
+			DialContext:         (&net.Dialer{Timeout: requestTimeout, KeepAlive: -1}).DialContext,
+			MaxIdleConnsPerHost: sendersPerPeer, MaxConnsPerHost: 2 * sendersPerPeer, IdleConnTimeout: outboxIdleTimeout,
 			WriteBufferSize: 4 << 10, ReadBufferSize: 1 << 10,
 		}
 		t, idle = own, own.CloseIdleConnections
 	}
 	b := &outbox{
-		owner: o, addr: addr, idle: idle, wake: make(chan struct{}, senders), used: time.Now(),
+		owner: o, addr: addr, closeIdleConnections: idle, wake: make(chan struct{}, sendersPerPeer), lastUsedAt: time.Now(),
 		client: replicationpb.NewReplicationProtobufClient("http://"+net.JoinHostPort(addr, strconv.Itoa(o.port)), &http.Client{Transport: t}),
 	}
 	o.outboxes[addr] = b
 	var ctx context.Context
-	ctx, b.end = context.WithCancel(o.ctx)
-	for range senders {
+	ctx, b.cancel = context.WithCancel(o.ctx)
+	for range sendersPerPeer {
 		o.wg.Go(func() {
-			defer b.end()
+			defer b.cancel()
 			b.run(ctx)
 		})
 	}
 	return b
 }
 
-func (b *outbox) put(m *replicationpb.Message) {
+func (b *outbox) enqueue(m *replicationpb.Message) {
 	size := proto.Size(m)
 	b.mu.Lock()
-	if len(b.queue) >= queueLength || b.bytes+size > queueBytes && len(b.queue) > 0 {
+	if len(b.queue) >= maxQueuedMessages || b.bytes+size > maxQueuedBytes && len(b.queue) > 0 {
 		b.queue, b.bytes = nil, 0
 	}
 	b.queue = append(b.queue, queuedMessage{m, size, time.Now()})
 	b.bytes += size
-	b.used = time.Now()
+	b.lastUsedAt = time.Now()
 	b.mu.Unlock()
 	select {
 	case b.wake <- struct{}{}:
@@ -116,17 +116,17 @@
 	}
 }
 
-// take empties the queue as far as one request goes.
-func (b *outbox) take() ([]*replicationpb.Message, int) {
+// dequeueBatch empties the queue as far as one request goes.
+func (b *outbox) dequeueBatch() ([]*replicationpb.Message, int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []*replicationpb.Message
 	size := 0
-	for len(b.queue) > 0 && (size == 0 || size+b.queue[0].size <= batchBytes) {
+	for len(b.queue) > 0 && (size == 0 || size+b.queue[0].size <= targetBatchBytes) {
 		l := b.queue[0]
 		b.queue = b.queue[1:]
 		b.bytes -= l.size
-		if time.Since(l.at) <= queueAge {
+		if time.Since(l.enqueuedAt) <= messageTTL {
 			out = append(out, l.msg)
 			size += l.size
 		}
@@ -138,47 +138,47 @@
 }
 
 func (b *outbox) run(ctx context.Context) {
-	t := time.NewTimer(outboxIdle)
+	t := time.NewTimer(outboxIdleTimeout)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			b.idle()
+			b.closeIdleConnections()
 			return
 		case <-t.C:
-			if b.forgotten() {
-				b.idle()
+			if b.closeIfIdle() {
+				b.closeIdleConnections()
 				return
 			}
-			t.Reset(outboxIdle)
+			t.Reset(outboxIdleTimeout)
 			continue
 		case <-b.wake:
 		}
 		for {
-			msgs, size := b.take()
+			msgs, size := b.dequeueBatch()
 			if len(msgs) == 0 {
 				break
 			}
-			b.post(ctx, msgs, size)
+			b.sendBatch(ctx, msgs, size)
 		}
 	}
 }
 
-func (b *outbox) post(ctx context.Context, msgs []*replicationpb.Message, size int) {
-	ctx, cancel := context.WithTimeout(ctx, postTimeout+time.Duration(size)*postPerMB>>20)
+func (b *outbox) sendBatch(ctx context.Context, msgs []*replicationpb.Message, size int) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout+time.Duration(size)*requestTimePerMB>>20)
 	defer cancel()
 	if _, err := b.client.Deliver(ctx, &replicationpb.Batch{Messages: msgs}); err != nil {
-		b.idle() // the next try gets a new connection
+		b.closeIdleConnections() // the next try gets a new connection
 	}
 }
 
-// forgotten closes a outbox that nothing was sent to for long.
-func (b *outbox) forgotten() bool {
+// closeIfIdle closes a outbox that nothing was sent to for long.
+func (b *outbox) closeIfIdle() bool {
 	b.owner.mu.Lock()
 	defer b.owner.mu.Unlock()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if time.Since(b.used) < outboxIdle {
+	if time.Since(b.lastUsedAt) < outboxIdleTimeout {
 		return false
 	}
 	if b.owner.outboxes[b.addr] == b {
--- a/internal/system/replication/types.go
+++ b/internal/system/replication/types.go
@@ -59,7 +59,7 @@
 	return Member{}, false
 }
 
-func (v *View) place(id ID) int {
+func (v *View) chainIndex(id ID) int {
 	return slices.Index(v.Chain, id)
 }
 
@@ -71,7 +71,7 @@
 	return v.past[epoch]
 }
 
-func (v *View) same(w *View) bool {
+func (v *View) hasSameMembers(w *View) bool {
 	return slices.Equal(v.Chain, w.Chain) &&
 		slices.EqualFunc(v.Voters, w.Voters, func(a, b Member) bool { return a.ID == b.ID })
 }
@@ -104,9 +104,9 @@
 	Incarnation       uint64        // differs from start to start
 	Seed              uint64        // of the jitter
 
-	compactAfter, keepBehind uint64 // records
-	hooks                    hooks
-	scripted                 scriptedHooks
+	compactRecords, retainedRecords uint64 // records
+	hooks                           hooks
+	scripted                        scriptedHooks
 }
 
 // hooks take protections out, so that tests can show what each is for.
@@ -136,39 +136,39 @@
 	lateForward     bool // the head takes changes whatever their age
 }
 
-func (c *Config) defaults() {
+func (c *Config) applyDefaults() {
 	if c.HeartbeatInterval <= 0 {
 		c.HeartbeatInterval = 100 * time.Millisecond
 	}
 	if c.SuspectTimeout <= 0 {
 		c.SuspectTimeout = 700 * time.Millisecond
 	}
-	if c.compactAfter == 0 {
-		c.compactAfter, c.keepBehind = compactAfter, keepBehind
+	if c.compactRecords == 0 {
+		c.compactRecords, c.retainedRecords = defaultCompactRecords, defaultRetainedRecords
 	}
 	if c.SlowDiskTimeout <= 0 {
 		c.SlowDiskTimeout = 500 * time.Millisecond
 	}
 }
 
-type ballot struct {
+type proposalNumber struct {
 	round uint64
 	id    ID
 }
 
-func (b ballot) less(o ballot) bool {
+func (b proposalNumber) less(o proposalNumber) bool {
 	return b.round < o.round || b.round == o.round && b.id < o.id
 }
 
-// register is the durable state of an acceptor and link.
-type register struct {
-	self     Member
-	view     *View  // newest chosen view known
-	active   uint64 // newest epoch in which this link held all that its predecessor did
-	sealed   uint64 // epoch in which it will never be active
-	promised ballot // for the epoch after view's
-	accepted ballot
-	next     *View // accepted, perhaps chosen
+// acceptor is the durable state of an acceptor and link.
+type acceptor struct {
+	self         Member
+	view         *View          // newest chosen view known
+	activeEpoch  uint64         // newest epoch in which this link held all that its predecessor did
+	sealedEpoch  uint64         // epoch in which it will never be active
+	promised     proposalNumber // for the epoch after view's
+	accepted     proposalNumber
+	acceptedView *View // accepted, perhaps chosen
 }
 
 func memberPB(m Member) *replicationpb.Member {
@@ -223,23 +223,25 @@
 	return v
 }
 
-func ballotPB(b ballot) *replicationpb.Ballot {
+func proposalNumberPB(b proposalNumber) *replicationpb.Ballot {
 	return &replicationpb.Ballot{Round: b.round, Id: string(b.id)}
 }
 
-func ballotOf(b *replicationpb.Ballot) ballot { return ballot{round: b.GetRound(), id: ID(b.GetId())} }
+func proposalNumberOf(b *replicationpb.Ballot) proposalNumber {
+	return proposalNumber{round: b.GetRound(), id: ID(b.GetId())}
+}
 
-func (r *register) pb() *replicationpb.Register {
+func (r *acceptor) pb() *replicationpb.Register {
 	return &replicationpb.Register{
-		Self: memberPB(r.self), View: viewPB(r.view), Active: r.active, Sealed: r.sealed,
-		Promised: ballotPB(r.promised), Accepted: ballotPB(r.accepted), AcceptedView: viewPB(r.next),
+		Self: memberPB(r.self), View: viewPB(r.view), Active: r.activeEpoch, Sealed: r.sealedEpoch,
+		Promised: proposalNumberPB(r.promised), Accepted: proposalNumberPB(r.accepted), AcceptedView: viewPB(r.acceptedView),
 	}
 }
 
-func registerOf(p *replicationpb.Register) register {
-	r := register{
-		self: memberOf(p.GetSelf()), view: viewOf(p.GetView()), active: p.GetActive(), sealed: p.GetSealed(),
-		promised: ballotOf(p.GetPromised()), accepted: ballotOf(p.GetAccepted()), next: viewOf(p.GetAcceptedView()),
+func acceptorOf(p *replicationpb.Register) acceptor {
+	r := acceptor{
+		self: memberOf(p.GetSelf()), view: viewOf(p.GetView()), activeEpoch: p.GetActive(), sealedEpoch: p.GetSealed(),
+		promised: proposalNumberOf(p.GetPromised()), accepted: proposalNumberOf(p.GetAccepted()), acceptedView: viewOf(p.GetAcceptedView()),
 	}
 	if r.view == nil {
 		r.view = &View{}
