--- a/cmd/controlplane/status.go
+++ b/cmd/controlplane/status.go
@@ -26,7 +26,7 @@
 }
 
 func capacity(c replication.Capacity) *admin.Capacity {
-	return &admin.Capacity{ToleranceMet: c.ToleranceMet, Nodes: c.Nodes, Observers: c.Observers, Voters: c.Voters, SilentVoters: c.SilentVoters,
+	return &admin.Capacity{ToleranceMet: c.ToleranceMet, Nodes: c.Nodes, Observers: c.Observers, Voters: c.Voters, SilentVoters: c.TimedOutVoters,
 		VotersDesired: c.VotersDesired, ChainReplicas: c.ChainReplicas, ChainReplicasRequired: c.ChainReplicasRequired, Remedy: c.Remedy}
 }
 
