--- a/internal/system/replication/chain_replica.go
+++ b/internal/system/replication/chain_replica.go
@@ -99,7 +99,7 @@
 // commitAsTail commits at the tail. A record that got here went through every link, each of which had it on disk before
 // it handed it on; and every link is active, since only an active one hands on.
 func (c *Core) commitAsTail() {
-	early := c.cfg.hooks.earlyAck && c.isHead()
+	early := c.cfg.knobs.AcknowledgeAtHead && c.isHead()
 	if !c.isTail() && !early || len(c.acceptor.view.Chain) < c.cfg.minChainLength() {
 		return
 	}
--- a/internal/system/replication/client_calls.go
+++ b/internal/system/replication/client_calls.go
@@ -161,7 +161,7 @@
 
 // isThisIncarnation tells whether an answer is for a call of this life: another life's calls may have had the same numbers.
 func (c *Core) isThisIncarnation(life uint64) bool {
-	return life == c.cfg.Incarnation || c.cfg.hooks.anyLife
+	return life == c.cfg.Incarnation || c.cfg.knobs.AcceptAnyIncarnation
 }
 
 func (c *Core) handleAnswer(m *replicationpb.Answer) {
@@ -186,13 +186,13 @@
 
 func (c *Core) handleForward(from ID, m *replicationpb.Forward) {
 	key := changeKey{from: from, incarnation: m.GetLife(), callNumber: m.GetId()}
-	if o := c.changes[key]; o != nil && !c.cfg.hooks.duplicateChange {
+	if o := c.changes[key]; o != nil && !c.cfg.knobs.SkipDeduplication {
 		if o.done {
 			c.sendAnswer(o)
 		}
 		return
 	}
-	if m.GetHeadLife() != c.cfg.Incarnation && !c.cfg.hooks.anyHeadLife {
+	if m.GetHeadLife() != c.cfg.Incarnation && !c.cfg.knobs.AcceptAnyHeadIncarnation {
 		return // it was for a former life: its sender notices
 	}
 	if len(c.changes) >= maxChanges {
@@ -209,7 +209,7 @@
 	c.decide(o, m.GetChange())
 	o.seq = c.log.end()
 	c.pending = append(c.pending, o)
-	if c.cfg.hooks.hastyVerdict && o.verdict.Kind != controlstate.Accepted {
+	if c.cfg.knobs.SkipVerdictConfirmation && o.verdict.Kind != controlstate.Accepted {
 		o.seq, o.confirmed = 0, true
 	}
 	if !o.confirmed {
@@ -229,7 +229,7 @@
 
 // canDecide tells whether this keeper is the head that the change was sent to, can log it, and its caller still waits.
 func (c *Core) canDecide(from ID, m *replicationpb.Forward) bool {
-	sameEpoch := m.GetEpoch() == c.acceptor.view.Epoch || c.cfg.scripted.forwardEpoch
+	sameEpoch := m.GetEpoch() == c.acceptor.view.Epoch || c.cfg.knobs.AcceptForwardsOfEarlierEpochs
 	canLog := !c.writer.unhealthy && !c.leaving && len(c.pending) < maxPendingCalls && len(c.acceptor.view.Chain) >= c.cfg.minChainLength()
 	return c.isHead() && sameEpoch && canLog && c.isBeforeDeadline(from, m)
 }
@@ -266,7 +266,7 @@
 // cost of the time since that heartbeat. It takes that clocks run at one rate, not that they agree.
 func (c *Core) isBeforeDeadline(from ID, m *replicationpb.Forward) bool {
 	ttl := time.Duration(m.GetTtlUs()) * time.Microsecond
-	if from == c.acceptor.self.ID || c.cfg.scripted.lateForward {
+	if from == c.acceptor.self.ID || c.cfg.knobs.AcceptLateForwards {
 		return ttl > 0
 	}
 	heard := m.GetHeard()
@@ -297,7 +297,7 @@
 
 func (c *Core) completeChanges() {
 	c.pending = slices.DeleteFunc(c.pending, func(o *pendingChange) bool {
-		if !o.done && o.confirmed && o.seq <= c.commitIndex && (o.verdict.Kind == controlstate.Accepted || c.isActiveToTail() || c.cfg.hooks.hastyVerdict) {
+		if !o.done && o.confirmed && o.seq <= c.commitIndex && (o.verdict.Kind == controlstate.Accepted || c.isActiveToTail() || c.cfg.knobs.SkipVerdictConfirmation) {
 			c.closeChange(o, Answered)
 		}
 		return o.done
--- a/internal/system/replication/core_cut_test.go
+++ b/internal/system/replication/core_cut_test.go
@@ -20,7 +20,7 @@
 	var longest, longestCurrent time.Duration
 	for name, stops := range directions {
 		for link := range 3 {
-			cl := trio(t, 1, scriptedHooks{})
+			cl := trio(t, 1, TestingKnobs{})
 			cut := cl.link(link)
 			other := cl.link((link + 1) % 3)
 			var late []Envelope
--- a/internal/system/replication/core_feed_test.go
+++ b/internal/system/replication/core_feed_test.go
@@ -65,7 +65,7 @@
 func TestTheLogInMemoryIsBounded(t *testing.T) {
 	cl := newCluster(t)
 	cl.machine = blobMachine{}
-	formTrio(cl, 1, scriptedHooks{})
+	formTrio(cl, 1, TestingKnobs{})
 	const each = 256 << 10
 	most := 0
 	cl.flow("a", cl.now+20*time.Second, each, func() {
@@ -114,7 +114,7 @@
 func TestASnapshotUnderWayIsNotSentAgain(t *testing.T) {
 	cl := newCluster(t)
 	cl.machine = blobMachine{}
-	formTrio(cl, 1, scriptedHooks{})
+	formTrio(cl, 1, TestingKnobs{})
 	id := cl.submit("a", sized(4<<20), 2*time.Second)
 	cl.until(2*time.Second, "a large change", func() bool { return cl.answered(id) })
 	cl.flow("a", cl.now+3*time.Second, 300<<10, nil) // 18 MB: the first records are behind a snapshot
@@ -142,7 +142,7 @@
 	for _, away := range []time.Duration{20 * time.Second, 100 * time.Second} {
 		cl := newCluster(t)
 		cl.machine = blobMachine{}
-		formTrio(cl, 1, scriptedHooks{})
+		formTrio(cl, 1, TestingKnobs{})
 		spare := Config{Self: Member{Addr: "d", Zone: "zone d", Region: "r"}, MachineLosses: 1, Seeds: []string{"a", "b", "c"}}
 		cl.start(spare)
 		cl.run(time.Second)
--- a/internal/system/replication/core_frozen_test.go
+++ b/internal/system/replication/core_frozen_test.go
@@ -10,7 +10,7 @@
 // TestAFrozenVoterWaitsBeforeItPlans freezes the voter that would propose first for 20 s. When it wakes, one message waits
 // in its sockets, and nobody else has been heard for 20 s. Danger: it takes the others for gone and cuts them out.
 func TestAFrozenVoterWaitsBeforeItPlans(t *testing.T) {
-	cl := trio(t, 1, scriptedHooks{})
+	cl := trio(t, 1, TestingKnobs{})
 	n := cl.nodes["a"]
 	n.frozen = true
 	var waiting []Envelope
--- a/internal/system/replication/core_full_test.go
+++ b/internal/system/replication/core_full_test.go
@@ -8,7 +8,7 @@
 // TestAFullHeadAnswersAtOnce: a head that remembers as many changes as it may tells so. Danger: silence, for which callers wait
 // until their deadlines.
 func TestAFullHeadAnswersAtOnce(t *testing.T) {
-	cl := trio(t, 1, scriptedHooks{})
+	cl := trio(t, 1, TestingKnobs{})
 	head, sender := cl.link(0), cl.link(2)
 	changes := cl.nodes[head].core.changes
 	for id := range uint64(maxChanges) {
--- a/internal/system/replication/core_late_test.go
+++ b/internal/system/replication/core_late_test.go
@@ -9,7 +9,7 @@
 
 // playLateForward holds up a change on its way to the head for 20 s, while nothing else happens to the keepers. Its caller
 // has long been told that there is no clear answer, and a later change was acknowledged. Danger: it undoes the later one.
-func playLateForward(t *testing.T, h scriptedHooks) string {
+func playLateForward(t *testing.T, h TestingKnobs) string {
 	cl := trio(t, 1, h)
 	head, sender := cl.link(0), cl.link(2)
 	held := cl.holdForwards(sender, head)
@@ -36,7 +36,7 @@
 
 // TestAForwardedChangeHasItsTime: a change that comes within its time is taken, also one that was under way for a while.
 func TestAForwardedChangeHasItsTime(t *testing.T) {
-	cl := trio(t, 1, scriptedHooks{})
+	cl := trio(t, 1, TestingKnobs{})
 	head, sender := cl.link(0), cl.link(2)
 	slow := true
 	var held []Envelope
@@ -57,7 +57,7 @@
 // TestAFeedOfAFormerLifeProvesNothing delivers to a keeper outside the chain, right after its restart, what it was fed
 // before. Danger: the answer to a call of its former life passes for one to a call of now, and the past for the newest.
 func TestAFeedOfAFormerLifeProvesNothing(t *testing.T) {
-	cl := trio(t, 1, scriptedHooks{})
+	cl := trio(t, 1, TestingKnobs{})
 	spare := Config{Self: Member{Addr: "d", Zone: "zone d", Region: "r"}, MachineLosses: 1, Seeds: []string{"a", "b", "c"}}
 	cl.start(spare)
 	var old []Envelope
@@ -99,7 +99,7 @@
 // TestADoubleThatComesLateIsRefused delivers a change a second time, 20 s after it was taken, when its key is forgotten.
 // Danger: it is taken again.
 func TestADoubleThatComesLateIsRefused(t *testing.T) {
-	play := func(h scriptedHooks) uint64 {
+	play := func(h TestingKnobs) uint64 {
 		cl := newCluster(t)
 		cl.machine = blobMachine{} // takes everything
 		formTrio(cl, 1, h)
@@ -118,10 +118,10 @@
 		cl.run(time.Second)
 		return cl.nodes[head].core.commitIndex
 	}
-	if n := play(scriptedHooks{}); n != 1 {
+	if n := play(TestingKnobs{}); n != 1 {
 		t.Errorf("%d records are committed", n)
 	}
-	if n := play(scriptedHooks{lateForward: true}); n != 2 {
+	if n := play(TestingKnobs{AcceptLateForwards: true}); n != 2 {
 		t.Errorf("without the fence %d records are committed: the scenario shows nothing", n)
 	}
 }
--- a/internal/system/replication/core_leave_test.go
+++ b/internal/system/replication/core_leave_test.go
@@ -44,7 +44,7 @@
 func TestALeaverWaitsForEnoughCopies(t *testing.T) {
 	for leaves := range 2 {
 		t.Run([]string{"head", "tail"}[leaves], func(t *testing.T) {
-			cl := trio(t, 1, scriptedHooks{})
+			cl := trio(t, 1, TestingKnobs{})
 			away := cl.nodes["c"]
 			away.core = nil
 			cl.until(3*time.Second, "a chain of two", func() bool { return len(cl.view().Chain) == 2 })
@@ -88,7 +88,7 @@
 
 // TestALeaverHandsOverTheOnlyCopy: a single link leaves and another keeper is there. Danger: it never hands over.
 func TestALeaverHandsOverTheOnlyCopy(t *testing.T) {
-	cl := trio(t, 0, scriptedHooks{})
+	cl := trio(t, 0, TestingKnobs{})
 	cl.nodes["b"].core, cl.nodes["c"].core = nil, nil
 	cl.run(3 * time.Second)
 	cl.start(cl.nodes["b"].cfg)
@@ -106,7 +106,7 @@
 // TestALeaverLeadsWhenNobodyElseCan loses the only other copy while a link waits to leave. Danger: the changes are on the
 // leaver's disk alone, nobody else may lead, and it does not any more.
 func TestALeaverLeadsWhenNobodyElseCan(t *testing.T) {
-	cl := trio(t, 1, scriptedHooks{})
+	cl := trio(t, 1, TestingKnobs{})
 	cl.nodes["c"].core = nil
 	cl.until(3*time.Second, "a chain of two", func() bool { return len(cl.view().Chain) == 2 })
 	cl.run(time.Second)
--- a/internal/system/replication/core_reach_test.go
+++ b/internal/system/replication/core_reach_test.go
@@ -11,7 +11,7 @@
 
 // reachCluster is three links, a spare and an observer.
 func reachCluster(t *testing.T) *cluster {
-	cl := trio(t, 1, scriptedHooks{})
+	cl := trio(t, 1, TestingKnobs{})
 	seeds := []string{"a", "b", "c"}
 	cl.start(observed("s", seeds, nil))
 	cl.start(observed("o", seeds, []string{"o"}))
--- a/internal/system/replication/core_scenario_test.go
+++ b/internal/system/replication/core_scenario_test.go
@@ -1,7 +1,6 @@
 package replication
 
 import (
-	"reflect"
 	"testing"
 	"time"
 
@@ -11,51 +10,47 @@
 // scenarios play one course of events each that random faults hardly ever meet. They give what was broken, empty when
 // nothing was. With the protection taken out something must be.
 var scenarios = []struct {
-	name string
-	out  scriptedHooks
-	play func(*testing.T, scriptedHooks) string
+	name  string
+	knobs TestingKnobs
+	play  func(*testing.T, TestingKnobs) string
 }{
-	{"an accepted view", scriptedHooks{confirmAccepted: true}, playAcceptedView},
-	{"a change forwarded in an earlier epoch", scriptedHooks{forwardEpoch: true}, playForwardOfAnEarlierEpoch},
-	{"a change that was under way for longer than its caller waits", scriptedHooks{lateForward: true}, playLateForward},
+	{"an accepted view", TestingKnobs{ConfirmAfterAccept: true}, playAcceptedView},
+	{"a change forwarded in an earlier epoch", TestingKnobs{AcceptForwardsOfEarlierEpochs: true}, playForwardOfAnEarlierEpoch},
+	{"a change that was under way for longer than its caller waits", TestingKnobs{AcceptLateForwards: true}, playLateForward},
 }
 
+// scenarioKnobs are those that random faults hardly ever show, so that a scenario must.
+var scenarioKnobs = TestingKnobs{ConfirmAfterAccept: true, AcceptForwardsOfEarlierEpochs: true, AcceptLateForwards: true}
+
 func TestScenariosNeedTheirProtections(t *testing.T) {
-	covered := reflect.ValueOf(&scriptedHooks{}).Elem()
+	var covered TestingKnobs
 	for _, s := range scenarios {
-		out := reflect.ValueOf(s.out)
-		for i := range out.NumField() {
-			if out.Field(i).Bool() {
-				reflect.NewAt(covered.Field(i).Type(), covered.Field(i).Addr().UnsafePointer()).Elem().SetBool(true)
-			}
-		}
+		covered = covered.with(s.knobs)
 		t.Run(s.name, func(t *testing.T) {
-			if broken := s.play(t, scriptedHooks{}); broken != "" {
+			if broken := s.play(t, TestingKnobs{}); broken != "" {
 				t.Error(broken)
 			}
-			if broken := s.play(t, s.out); broken == "" {
+			if broken := s.play(t, s.knobs); broken == "" {
 				t.Error("without the protection nothing is broken: the scenario shows nothing")
 			} else {
 				t.Log("without the protection: " + broken)
 			}
 		})
 	}
-	for i := range covered.NumField() {
-		if !covered.Field(i).Bool() {
-			t.Errorf("no scenario takes out %s", covered.Type().Field(i).Name)
-		}
+	if covered != scenarioKnobs {
+		t.Errorf("the scenarios take out %+v, they must take out %+v", covered, scenarioKnobs)
 	}
 }
 
 // trio starts keepers a, b and c in a zone each and waits until all are links.
-func trio(t *testing.T, machines int, h scriptedHooks) *cluster {
+func trio(t *testing.T, machines int, h TestingKnobs) *cluster {
 	return formTrio(newCluster(t), machines, h)
 }
 
-func formTrio(cl *cluster, machines int, h scriptedHooks) *cluster {
+func formTrio(cl *cluster, machines int, h TestingKnobs) *cluster {
 	for _, a := range []string{"a", "b", "c"} {
 		cl.start(Config{
-			Self: Member{Addr: a, Zone: "zone " + a, Region: "r"}, MachineLosses: machines, Seeds: []string{"a", "b", "c"}, Bootstrap: true, scripted: h,
+			Self: Member{Addr: a, Zone: "zone " + a, Region: "r"}, MachineLosses: machines, Seeds: []string{"a", "b", "c"}, Bootstrap: true, knobs: h,
 		})
 	}
 	cl.until(5*time.Second, "the first view", func() bool { return cl.complete(3, 3) })
@@ -75,7 +70,7 @@
 // playAcceptedView cuts the tail from the head. The voter between them accepts the next view and is
 // not told that it is chosen; it is no link of it, since it is about to leave. Then the new chain acknowledges while tail
 // and voter are a majority of the former view. Danger: together they answer a read with the past.
-func playAcceptedView(t *testing.T, h scriptedHooks) string {
+func playAcceptedView(t *testing.T, h TestingKnobs) string {
 	cl := trio(t, 0, h)
 	voter := cl.link(1)
 	n := cl.nodes[voter]
@@ -123,7 +118,7 @@
 // playForwardOfAnEarlierEpoch holds up a change on its way to the head. Its caller gets no clear answer when another becomes
 // the head, a second change is acknowledged, the former head leads again, and then the first arrives, still within its
 // time. Danger: it undoes the second.
-func playForwardOfAnEarlierEpoch(t *testing.T, h scriptedHooks) string {
+func playForwardOfAnEarlierEpoch(t *testing.T, h TestingKnobs) string {
 	cl := trio(t, 0, h)
 	sender := cl.link(2) // votes on, but is no link any more, so that the two others lead in turn
 	n := cl.nodes[sender]
--- a/internal/system/replication/core_seal_test.go
+++ b/internal/system/replication/core_seal_test.go
@@ -10,10 +10,10 @@
 // playUnsealedEpoch has a chain of a and b in which b, whose disk is slow, is not active yet. What a handed on to it is under
 // way. Nobody hears a any more, and c, which was active in the epoch before, is to lead. While that is agreed, what was
 // under way reaches b. It gives what c lacks of what was acknowledged, empty when it lacks nothing.
-func playUnsealedEpoch(t *testing.T, h hooks) string {
+func playUnsealedEpoch(t *testing.T, h TestingKnobs) string {
 	cl := newCluster(t)
 	for _, a := range []string{"a", "b", "c"} {
-		cl.start(Config{Self: Member{Addr: a, Zone: a, Region: "r"}, Seeds: []string{"a", "b", "c"}, Bootstrap: true, hooks: h})
+		cl.start(Config{Self: Member{Addr: a, Zone: a, Region: "r"}, Seeds: []string{"a", "b", "c"}, Bootstrap: true, knobs: h})
 	}
 	cl.until(5*time.Second, "the first view", func() bool { return cl.complete(3, 3) })
 	cl.run(time.Second)
@@ -61,10 +61,10 @@
 // TestEpochsAreSealedBeforeTheyCountAsEmpty: danger: a link that was not active in an epoch when it was last heard is active
 // a moment later, and acknowledges what the next head does not hold.
 func TestEpochsAreSealedBeforeTheyCountAsEmpty(t *testing.T) {
-	if broken := playUnsealedEpoch(t, hooks{}); broken != "" {
+	if broken := playUnsealedEpoch(t, TestingKnobs{}); broken != "" {
 		t.Error(broken)
 	}
-	if broken := playUnsealedEpoch(t, hooks{presumeUnacknowledged: true}); broken == "" {
+	if broken := playUnsealedEpoch(t, TestingKnobs{PresumeUnacknowledged: true}); broken == "" {
 		t.Error("without the protection nothing is broken: the scenario shows nothing")
 	}
 }
--- a/internal/system/replication/disk_writer.go
+++ b/internal/system/replication/disk_writer.go
@@ -88,7 +88,7 @@
 	if then == nil {
 		return
 	}
-	if c.cfg.hooks.sendFirst {
+	if c.cfg.knobs.SendBeforeWrite {
 		then()
 		return
 	}
--- a/internal/system/replication/golden_trace_test.go
+++ b/internal/system/replication/golden_trace_test.go
@@ -224,7 +224,7 @@
 	if s.keepers == 0 {
 		s.shape, s.faults, s.until = shapeOf(seed), seedFaults(seed), faultsUntil(seed)
 	}
-	w := newWorld(seed, s.shape, hooks{})
+	w := newWorld(seed, s.shape, TestingKnobs{})
 	g := newGoldenTrace(w)
 	for _, f := range s.faults {
 		w.inject(f)
--- a/internal/system/replication/head_election.go
+++ b/internal/system/replication/head_election.go
@@ -40,7 +40,7 @@
 //
 // With suppose, links that could be sealed count as sealed.
 func (c *Core) mayLead(id ID, suppose bool) bool {
-	if c.cfg.hooks.anyHead {
+	if c.cfg.knobs.AllowAnyHead {
 		return true
 	}
 	x := c.durableEpochsOf(id)
@@ -60,7 +60,7 @@
 	return slices.ContainsFunc(c.acceptor.view.chainOf(g), func(id ID) bool {
 		s := c.durableEpochsOf(id)
 		return s.known && s.active < g &&
-			(id == candidate || s.epoch > g || s.sealed == g || c.cfg.hooks.presumeUnacknowledged || suppose && g == c.acceptor.view.Epoch && c.isAlive(id))
+			(id == candidate || s.epoch > g || s.sealed == g || c.cfg.knobs.PresumeUnacknowledged || suppose && g == c.acceptor.view.Epoch && c.isAlive(id))
 	})
 }
 
--- a/internal/system/replication/liveness.go
+++ b/internal/system/replication/liveness.go
@@ -208,7 +208,7 @@
 	} else if !c.caughtUp || c.now-c.caughtUpAt > window || c.commitIndex < c.upstreamCommitIndex {
 		return false
 	}
-	if c.cfg.hooks.alwaysCurrent {
+	if c.cfg.knobs.SkipCurrentMajority {
 		return true
 	}
 	said := map[ID]string{}
@@ -223,7 +223,7 @@
 		if p == nil || p.echoedAt < 0 || c.now-p.echoedAt > window || p.heartbeat.GetEpoch() != v.Epoch {
 			continue
 		}
-		if p.heartbeat.GetAccepted() <= v.Epoch || c.cfg.scripted.confirmAccepted {
+		if p.heartbeat.GetAccepted() <= v.Epoch || c.cfg.knobs.ConfirmAfterAccept {
 			said[m.ID] = m.Addr
 		}
 	}
--- a/internal/system/replication/placement.go
+++ b/internal/system/replication/placement.go
@@ -64,7 +64,7 @@
 // minChainLength is the least number of minChainLength that may acknowledge. That they stand in enough zones is aimed at and not enforced:
 // where a zone is lost, those that are left may be all in one, and must go on.
 func (c *Config) minChainLength() int {
-	if c.hooks.shortChain {
+	if c.knobs.AllowShortChain {
 		return 1
 	}
 	return c.MachineLosses + 1
--- a/internal/system/replication/proposer.go
+++ b/internal/system/replication/proposer.go
@@ -223,7 +223,7 @@
 func (c *Core) recordPromise(from ID, m *replicationpb.Promise) {
 	p := c.proposal
 	p.promisedBy[from] = m.GetAddr()
-	if a := proposalNumberOf(m.GetAccepted()); m.GetView() != nil && p.highestAccepted.less(a) && !c.cfg.hooks.ignoreAccepted {
+	if a := proposalNumberOf(m.GetAccepted()); m.GetView() != nil && p.highestAccepted.less(a) && !c.cfg.knobs.IgnoreAcceptedViews {
 		p.highestAccepted, p.highestAcceptedView = a, viewOf(m.GetView())
 	}
 	if !c.isQuorum(p.current, p.promisedBy) || c.acceptor.promised != p.number {
@@ -316,7 +316,7 @@
 	c.downstream = map[ID]*progress{}
 	c.uncommittedStates = nil
 	// The head must hold all that was acknowledged, see mayLead.
-	if v.Head() == self && (c.acceptor.activeEpoch >= v.base || c.cfg.hooks.anyHead) {
+	if v.Head() == self && (c.acceptor.activeEpoch >= v.base || c.cfg.knobs.AllowAnyHead) {
 		c.acceptor.activeEpoch = v.Epoch
 	}
 	c.abandonChanges()
--- a/internal/system/replication/read_confirm.go
+++ b/internal/system/replication/read_confirm.go
@@ -100,7 +100,7 @@
 // holdsAcknowledged tells whether this link knows to be committed all that may have been acknowledged before it came to its place,
 // in its present life.
 func (c *Core) holdsAcknowledged() bool {
-	return c.commitIndex >= c.minReadIndex || c.cfg.hooks.noFloor
+	return c.commitIndex >= c.minReadIndex || c.cfg.knobs.SkipMinReadIndex
 }
 
 func (c *Core) handleReadAt(m *replicationpb.ReadAt) {
@@ -122,7 +122,7 @@
 // confirmEpoch calls f once a majority of voters has said, asked from now on, that they know of no view after this one and
 // have accepted none. A later view is chosen only when a majority has accepted it, so none is yet.
 func (c *Core) confirmEpoch(f func(bool)) {
-	if c.cfg.hooks.blindRead {
+	if c.cfg.knobs.SkipReadConfirmation {
 		f(true)
 		return
 	}
@@ -177,7 +177,7 @@
 // them, has not been told. That majority does not meet the later chain where a link of that is new among the voters, or
 // where fewer links than a majority may acknowledge. Scenario "an accepted view" plays it.
 func (c *Core) hasAcceptedLater() bool {
-	return c.acceptor.acceptedView != nil && !c.cfg.scripted.confirmAccepted
+	return c.acceptor.acceptedView != nil && !c.cfg.knobs.ConfirmAfterAccept
 }
 
 func (c *Core) handleConfirm(from ID, m *replicationpb.Confirm) {
--- a/internal/system/replication/repair_test.go
+++ b/internal/system/replication/repair_test.go
@@ -35,7 +35,7 @@
 	}
 	for seed := range seeds {
 		s := shapesThatLose()[seed%uint64(len(shapesThatLose()))]
-		w := newWorld(seed, s, hooks{})
+		w := newWorld(seed, s, TestingKnobs{})
 		settle(t, w, 6*time.Second)
 		w.after(0, func() { w.client(0) })
 		for round := range 8 {
@@ -81,7 +81,7 @@
 	var longest time.Duration
 	for seed := range uint64(30) {
 		s := shapesThatLose()[seed%uint64(len(shapesThatLose()))]
-		w := newWorld(seed, s, hooks{})
+		w := newWorld(seed, s, TestingKnobs{})
 		settle(t, w, 6*time.Second)
 		m := w.nodes[seed%uint64(s.keepers)]
 		switch seed % 5 {
--- a/internal/system/replication/sim_hardening_answers_test.go
+++ b/internal/system/replication/sim_hardening_answers_test.go
@@ -25,7 +25,7 @@
 
 // playAnswers has a machine restart while answers to it lie on the way, so that they meet calls of its next life that have
 // the same numbers. It gives how many such answers arrived.
-func playAnswers(seed uint64, s shape, role string, h hooks) (int, error) {
+func playAnswers(seed uint64, s shape, role string, h TestingKnobs) (int, error) {
 	w := newWorld(seed, s, h)
 	w.operate()
 	w.runUntil(4 * time.Second)
@@ -67,9 +67,8 @@
 
 // playLateNote has a call that may not be repeated reach the head, and its repetition by the sending keeper lie on the way
 // for 20 s. It gives how many repetitions arrived.
-func playLateNote(seed uint64, s shape, h hooks, scripted scriptedHooks) (int, error) {
-	w := newWorld(seed, s, h)
-	w.scripted = scripted
+func playLateNote(seed uint64, s shape, knobs TestingKnobs) (int, error) {
+	w := newWorld(seed, s, knobs)
 	w.runUntil(4 * time.Second)
 	w.write(5, 50*time.Millisecond)
 	m, head := cutRoles["outsider"](w), w.link(0)
@@ -103,9 +102,9 @@
 		var former, late atomic.Int64
 		inParallel(3*len(roles), func(i int) {
 			seed, role := uint64(1+i%3), roles[i/3]
-			sum, play := &former, func() (int, error) { return playAnswers(seed, s, role, hooks{}) }
+			sum, play := &former, func() (int, error) { return playAnswers(seed, s, role, TestingKnobs{}) }
 			if role == "late note" {
-				sum, play = &late, func() (int, error) { return playLateNote(seed, s, hooks{}, scriptedHooks{}) }
+				sum, play = &late, func() (int, error) { return playLateNote(seed, s, TestingKnobs{}) }
 			}
 			n, err := play()
 			if err != nil {
@@ -124,13 +123,13 @@
 func TestHardeningAnswersControls(t *testing.T) {
 	for name, play := range map[string]func(seed uint64) (int, error){
 		"a change that comes twice is not recognised": func(seed uint64) (int, error) {
-			return playAnswers(seed, shape{3, 1, 1, 3, 0, 0}, "outsider", hooks{duplicateChange: true})
+			return playAnswers(seed, shape{3, 1, 1, 3, 0, 0}, "outsider", TestingKnobs{SkipDeduplication: true})
 		},
 		"answers of a former life are taken": func(seed uint64) (int, error) {
-			return playAnswers(seed, shape{3, 1, 1, 3, 0, 0}, "outsider", hooks{anyLife: true})
+			return playAnswers(seed, shape{3, 1, 1, 3, 0, 0}, "outsider", TestingKnobs{AcceptAnyIncarnation: true})
 		},
 		"the head takes changes whatever their age": func(seed uint64) (int, error) {
-			return playLateNote(seed, shape{3, 1, 1, 3, 0, 0}, hooks{}, scriptedHooks{lateForward: true})
+			return playLateNote(seed, shape{3, 1, 1, 3, 0, 0}, TestingKnobs{AcceptLateForwards: true})
 		},
 	} {
 		var err error
--- a/internal/system/replication/sim_hardening_away_test.go
+++ b/internal/system/replication/sim_hardening_away_test.go
@@ -83,7 +83,7 @@
 
 // playAway keeps a member away for n changes at 20 a second. While it comes back changes go on, and the first that sends
 // it a snapshot, or else the first that feeds it, is killed at that moment.
-func playAway(seed uint64, s shape, role, mode string, n int, h hooks) *awayPlay {
+func playAway(seed uint64, s shape, role, mode string, n int, h TestingKnobs) *awayPlay {
 	out := &awayPlay{}
 	w := newWorld(seed, s, h)
 	w.operate()
@@ -180,7 +180,9 @@
 		}
 	}
 	got := make([]*awayPlay, len(jobs))
-	inParallel(len(jobs), func(i int) { got[i] = playAway(jobs[i].seed, jobs[i].shape, jobs[i].role, jobs[i].mode, n, hooks{}) })
+	inParallel(len(jobs), func(i int) {
+		got[i] = playAway(jobs[i].seed, jobs[i].shape, jobs[i].role, jobs[i].mode, n, TestingKnobs{})
+	})
 	var sum awayPlay
 	for i, g := range got {
 		switch {
@@ -211,17 +213,17 @@
 func TestHardeningAwayControls(t *testing.T) {
 	for name, c := range map[string]struct {
 		role, mode string
-		hooks
+		TestingKnobs
 	}{
-		"the past is passed on":      {"tail", "cut off", hooks{alwaysCurrent: true}},
-		"a fresh tail answers reads": {"tail", "killed, starts with all others", hooks{noFloor: true}},
-		"the tail answers blindly":   {"tail", "cut off", hooks{blindRead: true}},
+		"the past is passed on":      {"tail", "cut off", TestingKnobs{SkipCurrentMajority: true}},
+		"a fresh tail answers reads": {"tail", "killed, starts with all others", TestingKnobs{SkipMinReadIndex: true}},
+		"the tail answers blindly":   {"tail", "cut off", TestingKnobs{SkipReadConfirmation: true}},
 	} {
 		var err error
 		seed := uint64(0)
 		for err == nil && seed < 40 {
 			seed++
-			err = playAway(seed, shape{3, 1, 1, 3, 0, 0}, c.role, c.mode, 60, c.hooks).err
+			err = playAway(seed, shape{3, 1, 1, 3, 0, 0}, c.role, c.mode, 60, c.TestingKnobs).err
 		}
 		if err == nil {
 			t.Errorf("%s: nothing broke", name)
--- a/internal/system/replication/sim_hardening_cut_test.go
+++ b/internal/system/replication/sim_hardening_cut_test.go
@@ -54,7 +54,7 @@
 	err     error
 }
 
-func playCut(seed uint64, s shape, role string, mode cutMode, h hooks) *cutPlay {
+func playCut(seed uint64, s shape, role string, mode cutMode, h TestingKnobs) *cutPlay {
 	const length = 20 * time.Second
 	out := &cutPlay{}
 	w := newWorld(seed, s, h)
@@ -140,7 +140,7 @@
 		}
 	}
 	got := make([]*cutPlay, len(jobs))
-	inParallel(len(jobs), func(i int) { got[i] = playCut(jobs[i].seed, jobs[i].shape, jobs[i].role, jobs[i].mode, hooks{}) })
+	inParallel(len(jobs), func(i int) { got[i] = playCut(jobs[i].seed, jobs[i].shape, jobs[i].role, jobs[i].mode, TestingKnobs{}) })
 	var longest time.Duration
 	asked, changes := 0, 0
 	for i, g := range got {
@@ -169,13 +169,13 @@
 	for name, c := range map[string]struct {
 		role string
 		mode cutMode
-		hooks
+		TestingKnobs
 	}{
-		"the tail answers without a majority":       {"tail", keepersOnly, hooks{blindRead: true}},
-		"a keeper that is cut off feeds proxies":    {"head", keepersOnly, hooks{alwaysCurrent: true}},
-		"the head acknowledges what it alone holds": {"head", keepersOnly, hooks{earlyAck: true}},
+		"the tail answers without a majority":       {"tail", keepersOnly, TestingKnobs{SkipReadConfirmation: true}},
+		"a keeper that is cut off feeds proxies":    {"head", keepersOnly, TestingKnobs{SkipCurrentMajority: true}},
+		"the head acknowledges what it alone holds": {"head", keepersOnly, TestingKnobs{AcknowledgeAtHead: true}},
 	} {
-		got := playCut(4, shape{3, 1, 1, 3, 0, 0}, c.role, c.mode, c.hooks)
+		got := playCut(4, shape{3, 1, 1, 3, 0, 0}, c.role, c.mode, c.TestingKnobs)
 		if got.err == nil && got.clear == 0 {
 			t.Errorf("%s: nothing broke", name)
 			continue
--- a/internal/system/replication/sim_hardening_leave_test.go
+++ b/internal/system/replication/sim_hardening_leave_test.go
@@ -50,7 +50,7 @@
 // playLeaver has a machine leave for good that holds the only copy of what was acknowledged: one other was away meanwhile,
 // the third has just lost its disk. It gives how long the leaver stayed.
 func playLeaver(seed uint64, patience time.Duration) (time.Duration, error) {
-	w := newWorld(seed, shape{3, 0, 1, 3, 0, 0}, hooks{})
+	w := newWorld(seed, shape{3, 0, 1, 3, 0, 0}, TestingKnobs{})
 	w.operate()
 	w.runUntil(4 * time.Second)
 	if !w.mayLose() {
--- a/internal/system/replication/sim_hardening_operators_test.go
+++ b/internal/system/replication/sim_hardening_operators_test.go
@@ -22,7 +22,7 @@
 
 // playRace sends two different changes of one version through every keeper at once, eight calls in all and more, loses
 // answers, kills keepers between commit and answer, and sends both again after hundreds of changes and a start of all.
-func playRace(seed uint64, s shape, between, history int, h hooks, forgetful bool) *racePlay {
+func playRace(seed uint64, s shape, between, history int, h TestingKnobs, forgetful bool) *racePlay {
 	out := &racePlay{repeats: map[string][]string{}}
 	w := newWorld(seed, s, h)
 	w.machine = toyMachine{forgetful: forgetful, history: history}
@@ -130,7 +130,7 @@
 			}
 			history := []int{toyHistory, toyHistory, 500}[j]
 			for seed := range uint64(envInt("REPLICATION_RACES", 2)) {
-				got := playRace(seed+1, s, between, history, hooks{}, false)
+				got := playRace(seed+1, s, between, history, TestingKnobs{}, false)
 				name := fmt.Sprintf("%v, %d changes between, %d known again, seed %d", s, between, history, seed+1)
 				switch {
 				case got.err != nil:
@@ -159,18 +159,18 @@
 // TestHardeningTwoOperatorsControls takes the protections out; some seed must then break.
 func TestHardeningTwoOperatorsControls(t *testing.T) {
 	for name, c := range map[string]struct {
-		hooks
+		TestingKnobs
 		forgetful bool
 	}{
-		"a judgement is given before it is committed": {hooks{hastyVerdict: true}, false},
-		"a change that was taken is not known again":  {hooks{}, true},
-		"the head acknowledges what it alone holds":   {hooks{earlyAck: true}, false},
+		"a judgement is given before it is committed": {TestingKnobs{SkipVerdictConfirmation: true}, false},
+		"a change that was taken is not known again":  {TestingKnobs{}, true},
+		"the head acknowledges what it alone holds":   {TestingKnobs{AcknowledgeAtHead: true}, false},
 	} {
 		var err error
 		seed := uint64(0)
 		for err == nil && seed < 30 {
 			seed++
-			err = playRace(seed, shape{3, 0, 1, 3, 0, 0}, 10, toyHistory, c.hooks, c.forgetful).err
+			err = playRace(seed, shape{3, 0, 1, 3, 0, 0}, 10, toyHistory, c.TestingKnobs, c.forgetful).err
 		}
 		if err == nil {
 			t.Errorf("%s: nothing broke", name)
--- a/internal/system/replication/sim_machine_test.go
+++ b/internal/system/replication/sim_machine_test.go
@@ -64,7 +64,7 @@
 	self.ID = ID(fmt.Sprintf("%s#%d-%x", self.Addr, m.life, w.rng.Uint32()))
 	core, err := NewCore(Config{
 		Self: self, MachineLosses: w.losses, ZoneLosses: w.zoneLosses, Seeds: m.seeds, Bootstrap: m.boot, Incarnation: life, Seed: uint64(m.name), Observer: m.watcher,
-		hooks: w.hooks, scripted: w.scripted, compactRecords: 20, retainedRecords: 5,
+		knobs: w.knobs, compactRecords: 20, retainedRecords: 5,
 	}, w.machine, clone(m.disk.meta), m.disk.snap, slices.Clone(m.disk.entries))
 	if err != nil {
 		w.fail(fmt.Errorf("machine %d does not start: %w", m.name, err))
@@ -166,7 +166,7 @@
 
 func (m *machine) wipe() {
 	m.kill()
-	if !m.w.hooks.keepVote {
+	if !m.w.knobs.KeepIdentityOfLostDisk {
 		m.disk = plate{meta: map[string][]byte{}}
 	} else {
 		// The identity survives, its promises do not.
--- a/internal/system/replication/sim_repair_steps_test.go
+++ b/internal/system/replication/sim_repair_steps_test.go
@@ -52,7 +52,7 @@
 }
 
 // begun runs an incident's world up to where it begins, with clients at work.
-func (i incident) begun(seed uint64, h hooks) *world {
+func (i incident) begun(seed uint64, h TestingKnobs) *world {
 	w := newWorld(seed, i.shape, h)
 	w.operate()
 	w.runUntil(6 * time.Second)
@@ -66,7 +66,7 @@
 
 // steps lists what happens between the beginning of an incident and its end: each step and how often it is taken.
 func (i incident) steps(seed uint64) (map[string]int, error) {
-	w := i.begun(seed, hooks{})
+	w := i.begun(seed, TestingKnobs{})
 	count := map[string]int{}
 	w.onStep = func(name, _ string) { count[name]++ }
 	i.begin(w)
@@ -92,7 +92,7 @@
 }
 
 // play runs a trial and tells whether the trouble came about.
-func (t trial) play(seed uint64, h hooks) (bool, error) {
+func (t trial) play(seed uint64, h TestingKnobs) (bool, error) {
 	w := t.incident.begun(seed, h)
 	struck := false
 	w.arm(&armedStep{name: t.step, left: t.nth, before: t.before, do: func(m *machine) {
@@ -144,7 +144,7 @@
 		if i *= stride; t.Failed() {
 			return
 		}
-		ok, err := all[i].play(uint64(1+i%7), hooks{})
+		ok, err := all[i].play(uint64(1+i%7), TestingKnobs{})
 		played.Add(1)
 		if ok {
 			struck.Add(1)
@@ -163,17 +163,17 @@
 func TestHardeningSecondLossControls(t *testing.T) {
 	all := trials(t)
 	for name, c := range map[string]struct {
-		hooks
+		TestingKnobs
 		known int // a trial that breaks
 	}{
-		"the head acknowledges what it alone holds":     {hooks{earlyAck: true}, 0},
-		"a wiped disk keeps its vote":                   {hooks{keepVote: true}, 0},
-		"messages go out before the write they rest on": {hooks{sendFirst: true}, 0},
+		"the head acknowledges what it alone holds":     {TestingKnobs{AcknowledgeAtHead: true}, 0},
+		"a wiped disk keeps its vote":                   {TestingKnobs{KeepIdentityOfLostDisk: true}, 0},
+		"messages go out before the write they rest on": {TestingKnobs{SendBeforeWrite: true}, 0},
 	} {
 		var err error
 		for n := 0; n < 600 && err == nil; n++ {
 			i := (c.known + 16*n) % len(all)
-			if _, err = all[i].play(uint64(1+i%7), c.hooks); err != nil {
+			if _, err = all[i].play(uint64(1+i%7), c.TestingKnobs); err != nil {
 				t.Logf("%s: trial %d, %v: %v", name, i, all[i], err)
 			}
 		}
@@ -188,7 +188,7 @@
 	lost := 0
 	for _, i := range incidents {
 		for place := range 5 {
-			w := i.begun(uint64(place+1), hooks{})
+			w := i.begun(uint64(place+1), TestingKnobs{})
 			i.begin(w)
 			w.runUntil(w.now + 1500*time.Millisecond)
 			if !w.runWhile(repairBound, func() bool { return !w.whole() }) {
--- a/internal/system/replication/sim_test.go
+++ b/internal/system/replication/sim_test.go
@@ -31,7 +31,7 @@
 }
 
 // simulate runs a seed with the faults; the error is what was broken.
-func simulate(seed uint64, faults []fault, h hooks, trace func(string, ...any)) (*world, error) {
+func simulate(seed uint64, faults []fault, h TestingKnobs, trace func(string, ...any)) (*world, error) {
 	w := newWorld(seed, shapeOf(seed), h)
 	if trace != nil {
 		w.trace = trace
@@ -129,7 +129,7 @@
 }
 
 // shrink drops faults as long as the rest still breaks something.
-func shrink(seed uint64, faults []fault, h hooks) []fault {
+func shrink(seed uint64, faults []fault, h TestingKnobs) []fault {
 	for again := true; again; {
 		again = false
 		for i := range faults {
@@ -206,7 +206,7 @@
 }
 
 // sweep runs n seeds; with stop, until one breaks.
-func sweep(first, n uint64, h hooks, stop bool) *results {
+func sweep(first, n uint64, h TestingKnobs, stop bool) *results {
 	r := &results{shape: map[shape]*tally{}}
 	inParallel(int(n), func(i int) {
 		if stop && r.found() {
@@ -244,7 +244,7 @@
 // playSeeds plays seeds, and tells what they came to and, where one broke, what broke it.
 func playSeeds(t *testing.T, first, n uint64) {
 	t.Helper()
-	r := sweep(first, n, hooks{}, true)
+	r := sweep(first, n, TestingKnobs{}, true)
 	for _, s := range slices.Concat(shapes[:], zoneShapes[:]) {
 		if ta := r.shape[s]; ta != nil {
 			t.Logf("%v: %d seeds, %d broken, acknowledged again after at most %v: %+v", s, ta.seeds, ta.broken, ta.slowest, ta.stats)
@@ -254,12 +254,12 @@
 		return
 	}
 	t.Errorf("seed %d (%v): %v", r.seed, shapeOf(r.seed), r.err)
-	faults := shrink(r.seed, seedFaults(r.seed), hooks{})
+	faults := shrink(r.seed, seedFaults(r.seed), TestingKnobs{})
 	for _, f := range faults {
 		t.Logf("  %v", f)
 	}
 	var lines []string
-	_, err := simulate(r.seed, faults, hooks{}, func(s string, args ...any) { lines = append(lines, fmt.Sprintf(s, args...)) })
+	_, err := simulate(r.seed, faults, TestingKnobs{}, func(s string, args ...any) { lines = append(lines, fmt.Sprintf(s, args...)) })
 	t.Logf("with these alone: %v", err)
 	if os.Getenv("REPLICATION_TRACE") != "" {
 		for _, l := range lines {
--- a/internal/system/replication/upstream.go
+++ b/internal/system/replication/upstream.go
@@ -13,7 +13,7 @@
 	if c.err != nil {
 		return false
 	}
-	if c.cfg.hooks.anyEpoch && epoch < c.acceptor.view.Epoch && !learner {
+	if c.cfg.knobs.AcceptAnyEpoch && epoch < c.acceptor.view.Epoch && !learner {
 		return c.viewDurable
 	}
 	if epoch < c.acceptor.view.Epoch && c.viewDurable {
@@ -49,7 +49,7 @@
 		c.sendMismatch(from)
 		return
 	}
-	if c.cfg.hooks.truncateAll && !c.isActive() {
+	if c.cfg.knobs.TruncateOnJoin && !c.isActive() {
 		c.truncateLog(max(prev, c.commitIndex))
 	}
 	for _, p := range entries {
@@ -58,7 +58,7 @@
 			if have == p.GetEpoch() {
 				continue
 			}
-			if seq <= c.commitIndex || c.isActive() && !c.cfg.hooks.anyEpoch {
+			if seq <= c.commitIndex || c.isActive() && !c.cfg.knobs.AcceptAnyEpoch {
 				c.fail(errors.Newf("replication: record %d here is of epoch %d, at the link before of epoch %d: empty this keeper's data directory",
 					seq, have, p.GetEpoch()))
 				return
--- a/internal/system/replication/view.go
+++ b/internal/system/replication/view.go
@@ -105,35 +105,7 @@
 	Seed              uint64        // of the jitter
 
 	compactRecords, retainedRecords uint64 // records
-	hooks                           hooks
-	scripted                        scriptedHooks
-}
-
-// hooks take protections out, so that tests can show what each is for.
-type hooks struct {
-	keepVote              bool // a wiped disk keeps its identity
-	blindRead             bool // the tail answers without asking the voters
-	earlyAck              bool // the head acknowledges what only it holds
-	anyHead               bool // any link may become the head
-	truncateAll           bool // a link that joins cuts off all that it was not just sent
-	anyEpoch              bool // links take records of another epoch
-	sendFirst             bool // messages go out before the write that they rest on
-	shortChain            bool // acknowledges with too few links
-	hastyVerdict          bool // Already and Stale do not wait
-	ignoreAccepted        bool // phase one's finds are ignored
-	presumeUnacknowledged bool // epochs count as without acknowledgements though no link has sealed them
-	noFloor               bool // reads and feeds need not hold what earlier tails may have acknowledged
-	alwaysCurrent         bool // no majority is asked before the past is passed on
-	duplicateChange       bool // forwarded changes are not recognised when they come twice
-	anyLife               bool // answers meant for a former life are taken
-	anyHeadLife           bool // forwarded changes meant for a former life of the head are taken
-}
-
-// scriptedHooks take out protections that random faults hardly ever need; a scripted scenario shows each.
-type scriptedHooks struct {
-	confirmAccepted bool // voters vouch for an epoch though they have accepted a later view
-	forwardEpoch    bool // the head takes changes that were forwarded in an earlier epoch
-	lateForward     bool // the head takes changes whatever their age
+	knobs                           TestingKnobs
 }
 
 func (c *Config) applyDefaults() {
--- a/internal/system/replication/world_test.go
+++ b/internal/system/replication/world_test.go
@@ -17,11 +17,10 @@
 	events eventQueue
 	order  uint64
 	shape
-	hooks    hooks
-	scripted scriptedHooks
-	machine  toyMachine
-	nodes    []*machine
-	seeds    []string
+	knobs   TestingKnobs
+	machine toyMachine
+	nodes   []*machine
+	seeds   []string
 
 	cut      map[[2]string]*cutLink
 	loss     float64
@@ -114,9 +113,9 @@
 // disturbed notes that a fault begins or ends.
 func (w *world) disturbed() { w.eventAt = w.now }
 
-func newWorld(seed uint64, s shape, h hooks) *world {
+func newWorld(seed uint64, s shape, h TestingKnobs) *world {
 	w := &world{
-		rng: rand.New(rand.NewPCG(seed, 1)), shape: s, hooks: h,
+		rng: rand.New(rand.NewPCG(seed, 1)), shape: s, knobs: h,
 		cut: map[[2]string]*cutLink{}, viewOf: map[uint64]string{},
 		states: []*toy{{}}, takenAt: map[string]uint64{}, ledger: map[string]*ledgerEntry{}, lost: s.losses,
 		trace: func(string, ...any) {},
