--- a/internal/system/replication/chain_replica.go
+++ b/internal/system/replication/chain_replica.go
@@ -26,7 +26,7 @@
 // successor is the link after this one, empty at the tail and outside the chain.
 func (c *Core) successor() ID {
 	v := c.acceptor.view
-	if i := v.chainIndex(c.acceptor.self.ID); i >= 0 && i+1 < len(v.Chain) {
+	if i := v.chainIndex(c.self.ID); i >= 0 && i+1 < len(v.Chain) {
 		return v.Chain[i+1]
 	}
 	return ""
@@ -35,7 +35,7 @@
 // predecessor is the link before this one, empty at the head and outside the chain.
 func (c *Core) predecessor() ID {
 	v := c.acceptor.view
-	if i := v.chainIndex(c.acceptor.self.ID); i > 0 {
+	if i := v.chainIndex(c.self.ID); i > 0 {
 		return v.Chain[i-1]
 	}
 	return ""
@@ -43,12 +43,12 @@
 
 // active tells whether this link takes part: it holds all that was acknowledged before its view.
 func (c *Core) isActive() bool {
-	return c.viewDurable && c.err == nil && c.acceptor.view.Epoch > 0 && c.durableActive == c.acceptor.view.Epoch && c.acceptor.view.chainIndex(c.acceptor.self.ID) >= 0
+	return c.viewDurable && c.err == nil && c.acceptor.view.Epoch > 0 && c.durableActive == c.acceptor.view.Epoch && c.acceptor.view.chainIndex(c.self.ID) >= 0
 }
 
-func (c *Core) isHead() bool { return c.isActive() && c.acceptor.view.Head() == c.acceptor.self.ID }
+func (c *Core) isHead() bool { return c.isActive() && c.acceptor.view.Head() == c.self.ID }
 
-func (c *Core) isTail() bool { return c.isActive() && c.acceptor.view.Tail() == c.acceptor.self.ID }
+func (c *Core) isTail() bool { return c.isActive() && c.acceptor.view.Tail() == c.self.ID }
 
 // enterView starts this link's part in a view that is on disk.
 func (c *Core) enterView() error {
--- a/internal/system/replication/client_calls.go
+++ b/internal/system/replication/client_calls.go
@@ -75,26 +75,37 @@
 // Submit asks for a change. A Completion with id follows within ttl.
 func (c *Core) Submit(now time.Duration, id uint64, ch controlstate.Change, ttl time.Duration) {
 	c.advance(now)
+	if c.startSubmit(id, ch, ttl) {
+		c.flush()
+	}
+}
+
+// startSubmit takes up a change asked for here; where too many are pending it completes it as Refused and gives false.
+func (c *Core) startSubmit(id uint64, ch controlstate.Change, ttl time.Duration) bool {
 	if len(c.submits) >= maxPendingCalls {
 		c.out.Completions = append(c.out.Completions, Completion{ID: id, Outcome: Refused})
-		return
+		return false
 	}
 	s := &submit{id: id, change: ch, deadline: c.now + ttl}
 	c.submits[id] = s
 	c.sendForward(s)
-	c.flush()
+	return true
 }
 
 // Abandon ends a Submit or Read without a Completion: nobody waits for it. It is not sent again; what was sent may yet come
 // about.
 func (c *Core) Abandon(id uint64) {
+	c.abandonCall(id)
+}
+
+func (c *Core) abandonCall(id uint64) {
 	delete(c.submits, id)
 	delete(c.reads, id)
 }
 
 func (c *Core) headIncarnation() (uint64, bool) {
 	head := c.acceptor.view.Head()
-	if head == c.acceptor.self.ID {
+	if head == c.self.ID {
 		return c.cfg.Incarnation, c.isHead()
 	}
 	p := c.peers[head]
@@ -146,6 +157,10 @@
 		}
 		c.sendForward(s)
 	}
+}
+
+// forgetChanges drops the changes that were answered so long ago that no duplicate of them can be accepted any more.
+func (c *Core) forgetChanges() {
 	for k, o := range c.changes {
 		if o.done && c.now-o.closedAt > changeTTL {
 			delete(c.changes, k)
@@ -266,7 +281,7 @@
 // cost of the time since that heartbeat. It takes that clocks run at one rate, not that they agree.
 func (c *Core) isBeforeDeadline(from ID, m *replicationpb.Forward) bool {
 	ttl := time.Duration(m.GetTtlUs()) * time.Microsecond
-	if from == c.acceptor.self.ID || c.cfg.knobs.AcceptLateForwards {
+	if from == c.self.ID || c.cfg.knobs.AcceptLateForwards {
 		return ttl > 0
 	}
 	heard := m.GetHeard()
@@ -307,7 +322,7 @@
 // abandonChanges ends what a head that is about to enter another view cannot answer any more. A head that remains the head
 // keeps its log, so what is in it may still be committed.
 func (c *Core) abandonChanges() {
-	stays := c.acceptor.view.Head() == c.acceptor.self.ID && c.acceptor.activeEpoch == c.acceptor.view.Epoch
+	stays := c.acceptor.view.Head() == c.self.ID && c.acceptor.activeEpoch == c.acceptor.view.Epoch
 	c.failConfirmations()
 	c.pending = slices.DeleteFunc(c.pending, func(o *pendingChange) bool {
 		if !o.done && !stays {
--- a/internal/system/replication/core.go
+++ b/internal/system/replication/core.go
@@ -36,10 +36,11 @@
 	now      time.Duration
 	rng      *rand.Rand
 	out      Outputs
+	self     Member
 	loopback []*replicationpb.Message // to itself
 	err      error
 
-	acceptor        acceptor
+	acceptor        acceptorState
 	identityDurable bool   // the identity is on disk
 	viewDurable     bool   // the view is on disk
 	durableActive   uint64 // reg.active, reg.sealed and reg.view.Epoch as they are on disk
@@ -89,7 +90,7 @@
 func NewCore(cfg Config, machine Machine, meta map[string][]byte, snap wal.Snapshot, entries []wal.Entry) (*Core, error) {
 	cfg.applyDefaults()
 	c := &Core{
-		cfg: cfg, machine: machine, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Incarnation)), //nolint:gosec // jitter
+		cfg: cfg, self: cfg.Self, machine: machine, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Incarnation)), //nolint:gosec // jitter
 		state: machine.Empty(), proposeAt: -1, seedMajoritySince: -1, headlessSince: -1, lastHeartbeatAt: -cfg.HeartbeatInterval,
 		heartbeatNumber: firstHeartbeatNumber(cfg.Incarnation), downstream: map[ID]*progress{}, peers: map[ID]*peer{}, submits: map[uint64]*submit{},
 		changes: map[changeKey]*pendingChange{}, reads: map[uint64]*read{},
@@ -99,16 +100,16 @@
 		if err := proto.Unmarshal(data, &p); err != nil {
 			return nil, damagedDataError(err, "the register")
 		}
-		c.acceptor = acceptorOf(&p)
-		id := c.acceptor.self.ID
+		c.acceptor = acceptorStateOf(&p)
+		id := c.acceptor.identity.ID
 		if id == "" {
 			return nil, damagedDataError(errors.New("it names no identity"), "the register")
 		}
-		c.acceptor.self = cfg.Self
-		c.acceptor.self.ID = id
+		c.self.ID = id
+		c.acceptor.identity = c.self
 		c.identityDurable = true
 	} else {
-		c.acceptor = acceptor{self: cfg.Self, view: &View{}}
+		c.acceptor = acceptorState{identity: cfg.Self, view: &View{}}
 	}
 	if err := c.loadLog(snap, entries); err != nil {
 		return nil, err
@@ -166,7 +167,7 @@
 }
 
 // Self is this keeper; its ID is the one on disk.
-func (c *Core) Self() Member { return c.acceptor.self }
+func (c *Core) Self() Member { return c.self }
 
 // View is the newest view known.
 func (c *Core) View() *View { return c.acceptor.view }
@@ -201,7 +202,7 @@
 // acknowledged. The disk of a silent one may be gone.
 func (c *Core) Departed() bool {
 	v := c.acceptor.view
-	if v.chainIndex(c.acceptor.self.ID) >= 0 {
+	if v.chainIndex(c.self.ID) >= 0 {
 		return false
 	}
 	var links []Member
@@ -240,7 +241,9 @@
 	}
 	c.tickChain()
 	c.tickSubmits()
+	c.forgetChanges()
 	c.tickReads()
+	c.tickConfirmation()
 	c.tickProposer()
 	c.flush()
 }
@@ -248,7 +251,7 @@
 // Receive takes a message from another keeper. It keeps m.
 func (c *Core) Receive(now time.Duration, m *replicationpb.Message) {
 	c.advance(now)
-	if to := ID(m.GetTo()); to != "" && to != c.acceptor.self.ID || ID(m.GetFrom()) == c.acceptor.self.ID {
+	if to := ID(m.GetTo()); to != "" && to != c.self.ID || ID(m.GetFrom()) == c.self.ID {
 		return
 	}
 	c.step(m)
@@ -314,8 +317,8 @@
 
 // send sends to the keeper with the identity, when its address is known.
 func (c *Core) send(to ID, m *replicationpb.Message) {
-	m.From, m.To = string(c.acceptor.self.ID), string(to)
-	if to == c.acceptor.self.ID {
+	m.From, m.To = string(c.self.ID), string(to)
+	if to == c.self.ID {
 		c.loopback = append(c.loopback, m)
 		return
 	}
@@ -355,11 +358,11 @@
 
 func (c *Core) isVoter(v *View) bool {
 	if v.Epoch == 0 {
-		return c.cfg.Bootstrap && slices.Contains(c.cfg.Seeds, c.acceptor.self.Addr) && (!c.cfg.Observer || c.noSeedHasDisk())
+		return c.cfg.Bootstrap && slices.Contains(c.cfg.Seeds, c.self.Addr) && (!c.cfg.Observer || c.noSeedHasDisk())
 	}
 	if c.cfg.Observer {
 		return false
 	}
-	_, ok := v.Voter(c.acceptor.self.ID)
+	_, ok := v.Voter(c.self.ID)
 	return ok
 }
--- a/internal/system/replication/disk_writer.go
+++ b/internal/system/replication/disk_writer.go
@@ -255,9 +255,18 @@
 // DiskDone tells that the operation with the token has ended.
 func (c *Core) DiskDone(now time.Duration, token uint64, err error) {
 	c.advance(now)
+	if !c.finishWrite(token, err) {
+		return
+	}
+	c.onDurableChange()
+	c.flush()
+}
+
+// finishWrite takes up the result of the write that is in progress, false where it is not that of the token.
+func (c *Core) finishWrite(token uint64, err error) bool {
 	d := &c.writer
 	if d.op == nil || d.op.Token != token {
-		return
+		return false
 	}
 	done := d.onDone
 	d.op, d.onDone = nil, nil
@@ -276,8 +285,7 @@
 		d.unhealthy = false
 	}
 	done(err)
-	c.onDurableChange()
-	c.flush()
+	return true
 }
 
 // superviseWrites notices a write that does not end, and asks for one when the disk may be good again.
--- a/internal/system/replication/faults_losses_test.go
+++ b/internal/system/replication/faults_losses_test.go
@@ -60,16 +60,16 @@
 }
 
 // held is what the machine's disk says of it.
-func (m *machine) held() (acceptor, bool) {
+func (m *machine) held() (acceptorState, bool) {
 	data, ok := m.disk.meta[metaAcceptor]
 	if !ok || m.gone {
-		return acceptor{}, false
+		return acceptorState{}, false
 	}
 	var p replicationpb.Register
 	if proto.Unmarshal(data, &p) != nil {
-		return acceptor{}, false
+		return acceptorState{}, false
 	}
-	return acceptorOf(&p), true
+	return acceptorStateOf(&p), true
 }
 
 // whole tells whether the newest view stands on disks that are all there, as many as it should.
@@ -78,10 +78,10 @@
 	if v == nil || len(v.Chain) <= w.losses || len(v.Voters) < 2*w.losses+1 {
 		return false
 	}
-	disks := map[ID]acceptor{}
+	disks := map[ID]acceptorState{}
 	for _, m := range w.nodes {
 		if r, ok := m.held(); ok {
-			disks[r.self.ID] = r
+			disks[r.identity.ID] = r
 		}
 	}
 	for _, l := range v.Chain {
--- a/internal/system/replication/head_election.go
+++ b/internal/system/replication/head_election.go
@@ -21,7 +21,7 @@
 
 // durableEpochsOf gives what id last said. It may have changed since, but only upwards.
 func (c *Core) durableEpochsOf(id ID) durableEpochs {
-	if id == c.acceptor.self.ID {
+	if id == c.self.ID {
 		return durableEpochs{known: true, active: c.durableActive, sealed: c.durableSealed, epoch: c.durableEpoch}
 	}
 	if p := c.peers[id]; p != nil {
@@ -110,7 +110,7 @@
 
 func (c *Core) handleSeal(m *replicationpb.Seal) {
 	v := c.acceptor.view
-	if m.GetEpoch() != v.Epoch || v.chainIndex(c.acceptor.self.ID) < 0 || c.acceptor.activeEpoch >= v.Epoch || c.acceptor.sealedEpoch >= v.Epoch {
+	if m.GetEpoch() != v.Epoch || v.chainIndex(c.self.ID) < 0 || c.acceptor.activeEpoch >= v.Epoch || c.acceptor.sealedEpoch >= v.Epoch {
 		return
 	}
 	c.acceptor.sealedEpoch = v.Epoch
--- a/internal/system/replication/invariants_test.go
+++ b/internal/system/replication/invariants_test.go
@@ -22,12 +22,12 @@
 	for _, m := range w.nodes {
 		r, ok := m.held()
 		if !m.up() {
-			w.trace("machine %d %s down, gone %v; disk %v %v view %d active %d", m.name, m.member.Addr, m.gone, ok, r.self.ID, epochOf(r.view), r.activeEpoch)
+			w.trace("machine %d %s down, gone %v; disk %v %v view %d active %d", m.name, m.member.Addr, m.gone, ok, r.identity.ID, epochOf(r.view), r.activeEpoch)
 			continue
 		}
 		c := m.core
 		w.trace("machine %d %s %s frozen %v view %d %s entered %v base %d past %v active %d/%d sealed %d next %v promised %v",
-			m.name, m.member.Addr, c.acceptor.self.ID, m.frozen, c.acceptor.view.Epoch, c.acceptor.view, c.viewDurable, c.acceptor.view.base, c.acceptor.view.past,
+			m.name, m.member.Addr, c.self.ID, m.frozen, c.acceptor.view.Epoch, c.acceptor.view, c.viewDurable, c.acceptor.view.base, c.acceptor.view.past,
 			c.acceptor.activeEpoch, c.durableActive, c.acceptor.sealedEpoch, c.acceptor.acceptedView, c.acceptor.promised)
 		w.trace("   log %d..%d disk %d unsure %v install %v bad %v; committed %d matched %d joined %v start %d floor %d fed %v quiet %v prop %v want %v now %v",
 			c.log.base, c.log.end(), c.writer.durableEnd, c.writer.truncateNeeded, c.writer.pendingInstall != nil, c.writer.unhealthy, c.commitIndex, c.matchIndex, c.upstreamMatched,
--- a/internal/system/replication/liveness.go
+++ b/internal/system/replication/liveness.go
@@ -39,7 +39,7 @@
 	c.heartbeatNumber++
 	c.heartbeatSentAt[c.heartbeatNumber%heartbeatHistory] = c.now
 	b := &replicationpb.Heartbeat{
-		Member: memberPB(c.acceptor.self), Number: c.heartbeatNumber, Life: c.cfg.Incarnation, Epoch: c.durableEpoch,
+		Member: memberPB(c.self), Number: c.heartbeatNumber, Life: c.cfg.Incarnation, Epoch: c.durableEpoch,
 		Active: c.durableActive, Sealed: c.durableSealed, Committed: c.commitIndex, DiskBad: c.writer.unhealthy, Leaving: c.leaving,
 		Bootstrap: c.cfg.Bootstrap, Stuck: string(c.stalledSuccessor()), Observer: c.cfg.Observer, Echoes: echoes,
 	}
@@ -74,7 +74,7 @@
 	c.lastHeartbeatAt = c.now
 	c.forgetPeers()
 	body := &replicationpb.Message_Heartbeat{Heartbeat: c.heartbeat(c.echoes())}
-	msg := &replicationpb.Message{From: string(c.acceptor.self.ID), Body: body}
+	msg := &replicationpb.Message{From: string(c.self.ID), Body: body}
 	for _, a := range c.heartbeatTargets() {
 		c.out.Messages = append(c.out.Messages, Envelope{Addr: a, Msg: msg})
 	}
@@ -108,7 +108,7 @@
 	for _, m := range c.acceptor.view.Voters {
 		addrs[c.addressOf(m.ID)] = true
 	}
-	delete(addrs, c.acceptor.self.Addr)
+	delete(addrs, c.self.Addr)
 	delete(addrs, "")
 	return slices.Sorted(maps.Keys(addrs))
 }
@@ -134,7 +134,7 @@
 	p.member, p.incarnation, p.heartbeatNumber, p.lastContactAt, p.heartbeat = m, b.GetLife(), b.GetNumber(), c.now, b
 	for _, e := range b.GetEchoes() {
 		// An older number than the ring holds says nothing; a later one is of a former life.
-		if n := e.GetNumber(); ID(e.GetId()) == c.acceptor.self.ID && n <= c.heartbeatNumber && n+heartbeatHistory > c.heartbeatNumber && n > 0 {
+		if n := e.GetNumber(); ID(e.GetId()) == c.self.ID && n <= c.heartbeatNumber && n+heartbeatHistory > c.heartbeatNumber && n > 0 {
 			p.echoedAt = max(p.echoedAt, c.heartbeatSentAt[n%heartbeatHistory])
 		}
 	}
@@ -153,7 +153,7 @@
 
 // isAlive tells whether messages have lately gone both ways between this keeper and id.
 func (c *Core) isAlive(id ID) bool {
-	if id == c.acceptor.self.ID {
+	if id == c.self.ID {
 		return true
 	}
 	p := c.peers[id]
@@ -166,7 +166,7 @@
 
 // isHealthy tells whether id could be a link.
 func (c *Core) isHealthy(id ID) bool {
-	if id == c.acceptor.self.ID {
+	if id == c.self.ID {
 		return !c.writer.unhealthy && c.err == nil && !c.cfg.Observer
 	}
 	return c.isAlive(id) && !c.peers[id].heartbeat.GetObserver() && !c.peers[id].heartbeat.GetDiskBad()
@@ -174,7 +174,7 @@
 
 // isEligible tells whether id is fit to be a link: it works and is not about to leave.
 func (c *Core) isEligible(id ID) bool {
-	if id == c.acceptor.self.ID {
+	if id == c.self.ID {
 		return c.isHealthy(id) && !c.leaving
 	}
 	return c.isHealthy(id) && !c.peers[id].heartbeat.GetLeaving()
@@ -185,7 +185,7 @@
 	if a == b {
 		return true
 	}
-	if a == c.acceptor.self.ID {
+	if a == c.self.ID {
 		return c.isAlive(b)
 	}
 	p := c.peers[a]
@@ -201,7 +201,7 @@
 		return false
 	}
 	window := c.currentWindow()
-	if v.chainIndex(c.acceptor.self.ID) >= 0 {
+	if v.chainIndex(c.self.ID) >= 0 {
 		if c.durableActive != v.Epoch || !c.holdsAcknowledged() {
 			return false
 		}
@@ -213,7 +213,7 @@
 	}
 	said := map[ID]string{}
 	for _, m := range v.Voters {
-		if m.ID == c.acceptor.self.ID {
+		if m.ID == c.self.ID {
 			if !c.hasAcceptedLater() {
 				said[m.ID] = m.Addr
 			}
--- a/internal/system/replication/observer.go
+++ b/internal/system/replication/observer.go
@@ -54,7 +54,7 @@
 func (c *Core) observerSeeds() int {
 	said := map[string]bool{}
 	if c.cfg.Observer {
-		said[c.acceptor.self.Addr] = true
+		said[c.self.Addr] = true
 	}
 	for _, p := range c.peers {
 		if p.heartbeat.GetObserver() {
--- a/internal/system/replication/planner.go
+++ b/internal/system/replication/planner.go
@@ -36,7 +36,7 @@
 	next.past = c.earlierChains()
 	rank := 0
 	for _, m := range cur.Voters {
-		if m.ID == c.acceptor.self.ID {
+		if m.ID == c.self.ID {
 			break
 		}
 		if c.isEligible(m.ID) {
@@ -83,9 +83,9 @@
 	for _, m := range links {
 		v.Chain = append(v.Chain, m.ID)
 	}
-	rank := slices.IndexFunc(members, func(m Member) bool { return m.ID == c.acceptor.self.ID })
+	rank := slices.IndexFunc(members, func(m Member) bool { return m.ID == c.self.ID })
 	if c.cfg.Observer {
-		rank = slices.Index(c.cfg.Seeds, c.acceptor.self.Addr)
+		rank = slices.Index(c.cfg.Seeds, c.self.Addr)
 	}
 	return v, max(rank, 0)
 }
@@ -94,7 +94,7 @@
 func (c *Core) seedsWithDisk() []Member {
 	var members []Member
 	if !c.cfg.Observer {
-		members = append(members, c.acceptor.self)
+		members = append(members, c.self)
 	}
 	for id, p := range c.peers {
 		if slices.Contains(c.cfg.Seeds, p.member.Addr) && p.heartbeat.GetBootstrap() && !p.heartbeat.GetObserver() && c.isAlive(id) {
@@ -143,7 +143,7 @@
 	stuck := map[ID]bool{}
 	for i := 0; i+1 < len(cur.Chain); i++ {
 		a, b := cur.Chain[i], cur.Chain[i+1]
-		if a == c.acceptor.self.ID {
+		if a == c.self.ID {
 			stuck[b] = c.stalledSuccessor() == b
 		} else if p := c.peers[a]; p != nil && c.isAlive(a) && p.heartbeat.GetEpoch() == cur.Epoch {
 			stuck[b] = ID(p.heartbeat.GetStuck()) == b
@@ -271,7 +271,7 @@
 
 // isCaughtUp tells whether a keeper outside the chain has nearly all that is committed.
 func (c *Core) isCaughtUp(id ID) bool {
-	if id == c.acceptor.self.ID {
+	if id == c.self.ID {
 		return c.caughtUp
 	}
 	p := c.peers[id]
--- a/internal/system/replication/proposer.go
+++ b/internal/system/replication/proposer.go
@@ -82,7 +82,7 @@
 	v, rank := c.plan()
 	if v == nil && c.acceptor.acceptedView != nil {
 		// An attempt that stopped halfway keeps the voters from vouching for this epoch: finish it.
-		v, rank = c.acceptor.acceptedView, 1+slices.IndexFunc(c.acceptor.view.Voters, func(m Member) bool { return m.ID == c.acceptor.self.ID })
+		v, rank = c.acceptor.acceptedView, 1+slices.IndexFunc(c.acceptor.view.Voters, func(m Member) bool { return m.ID == c.self.ID })
 	}
 	if v == nil {
 		c.proposeAt = -1
@@ -108,7 +108,7 @@
 
 func (c *Core) propose(v *View) {
 	cur := c.acceptor.view
-	b := proposalNumber{round: max(c.acceptor.promised.round, c.highestRoundSeen) + 1, id: c.acceptor.self.ID}
+	b := proposalNumber{round: max(c.acceptor.promised.round, c.highestRoundSeen) + 1, id: c.self.ID}
 	c.proposal = &proposal{current: cur, number: b, startedAt: c.now, promisedBy: map[ID]string{}, acceptedBy: map[ID]string{}}
 	c.logEvent(fmt.Sprintf("replication: proposing view %d: %s", v.Epoch, v))
 	m := &replicationpb.Prepare{Current: viewPB(cur), Ballot: proposalNumberPB(b)}
@@ -122,15 +122,15 @@
 		c.broadcastToVoters(cur, nil, func() *replicationpb.Message {
 			return &replicationpb.Message{Body: &replicationpb.Message_Prepare{Prepare: m}}
 		})
-		c.recordPromise(c.acceptor.self.ID, &replicationpb.Promise{
-			Epoch: cur.Epoch, Ballot: proposalNumberPB(b), Accepted: proposalNumberPB(acc), View: viewPB(next), Addr: c.acceptor.self.Addr,
+		c.recordPromise(c.self.ID, &replicationpb.Promise{
+			Epoch: cur.Epoch, Ballot: proposalNumberPB(b), Accepted: proposalNumberPB(acc), View: viewPB(next), Addr: c.self.Addr,
 		})
 	})
 }
 
 // broadcastToVoters sends to the voters of the views except this keeper.
 func (c *Core) broadcastToVoters(v, w *View, body func() *replicationpb.Message) {
-	sent := map[ID]bool{c.acceptor.self.ID: true}
+	sent := map[ID]bool{c.self.ID: true}
 	if v.Epoch == 0 {
 		for _, p := range c.peers {
 			if slices.Contains(c.cfg.Seeds, p.member.Addr) && p.heartbeat.GetBootstrap() {
@@ -141,7 +141,7 @@
 	for _, x := range []*View{v, w} {
 		if x != nil {
 			for _, m := range x.Voters {
-				if m.ID != c.acceptor.self.ID {
+				if m.ID != c.self.ID {
 					sent[m.ID] = false
 				}
 			}
@@ -152,7 +152,7 @@
 		m := body()
 		if c.addressOf(id) == "" && w != nil {
 			if mem, ok := w.Voter(id); ok {
-				m.From, m.To = string(c.acceptor.self.ID), string(id)
+				m.From, m.To = string(c.self.ID), string(id)
 				c.out.Messages = append(c.out.Messages, Envelope{Addr: mem.Addr, Msg: m})
 				continue
 			}
@@ -205,7 +205,7 @@
 	c.acceptor.promised = b
 	epoch := c.acceptor.view.Epoch
 	reply := &replicationpb.Promise{
-		Epoch: epoch, Ballot: m.GetBallot(), Accepted: proposalNumberPB(c.acceptor.accepted), View: viewPB(c.acceptor.acceptedView), Addr: c.acceptor.self.Addr,
+		Epoch: epoch, Ballot: m.GetBallot(), Accepted: proposalNumberPB(c.acceptor.accepted), View: viewPB(c.acceptor.acceptedView), Addr: c.self.Addr,
 	}
 	c.persist(func() {
 		if c.acceptor.view.Epoch == epoch && c.acceptor.promised == b {
@@ -245,7 +245,7 @@
 		c.broadcastToVoters(cur, value, func() *replicationpb.Message {
 			return &replicationpb.Message{Body: &replicationpb.Message_Accept{Accept: acc}}
 		})
-		c.recordAccepted(c.acceptor.self.ID, c.acceptor.self.Addr)
+		c.recordAccepted(c.self.ID, c.self.Addr)
 	})
 }
 
@@ -267,7 +267,7 @@
 	c.persist(func() {
 		if c.acceptor.view.Epoch == epoch {
 			c.send(from, &replicationpb.Message{Body: &replicationpb.Message_Accepted{Accepted: &replicationpb.Accepted{
-				Epoch: epoch, Ballot: m.GetBallot(), Addr: c.acceptor.self.Addr,
+				Epoch: epoch, Ballot: m.GetBallot(), Addr: c.self.Addr,
 			}}})
 		}
 	})
@@ -308,7 +308,7 @@
 	if v == nil || v.Epoch <= c.acceptor.view.Epoch || c.discardRestoredLog(v) {
 		return
 	}
-	self := c.acceptor.self.ID
+	self := c.self.ID
 	c.acceptor.view, c.acceptor.promised, c.acceptor.accepted, c.acceptor.acceptedView = v, proposalNumber{}, proposalNumber{}, nil
 	c.viewDurable, c.highestRoundSeen, c.proposeAt, c.headlessSince = false, 0, -1, -1
 	c.proposal = nil
--- a/internal/system/replication/reach.go
+++ b/internal/system/replication/reach.go
@@ -41,7 +41,7 @@
 
 // reachesHead tells whether this keeper exchanges messages with the head, or as the head with the link after it.
 func (c *Core) reachesHead(v *View) bool {
-	if v.Head() != c.acceptor.self.ID {
+	if v.Head() != c.self.ID {
 		return c.isAlive(v.Head())
 	}
 	return len(v.Chain) == 1 || c.isAlive(v.Chain[1])
--- a/internal/system/replication/read_confirm.go
+++ b/internal/system/replication/read_confirm.go
@@ -35,14 +35,21 @@
 // Read asks for the state after all that was acknowledged before. A Completion with id follows within ttl.
 func (c *Core) Read(now time.Duration, id uint64, ttl time.Duration) {
 	c.advance(now)
+	if c.startRead(id, ttl) {
+		c.flush()
+	}
+}
+
+// startRead takes up a read asked for here; where too many are pending it completes it as Refused and gives false.
+func (c *Core) startRead(id uint64, ttl time.Duration) bool {
 	if len(c.reads) >= maxPendingCalls {
 		c.out.Completions = append(c.out.Completions, Completion{ID: id, Read: true, Outcome: Refused})
-		return
+		return false
 	}
 	r := &read{id: id, deadline: c.now + ttl, sentAt: -callResendInterval}
 	c.reads[id] = r
 	c.sendReadIndex(r)
-	c.flush()
+	return true
 }
 
 func (c *Core) sendReadIndex(r *read) {
@@ -65,6 +72,10 @@
 		}
 		c.sendReadIndex(r)
 	}
+}
+
+// tickConfirmation ends a round that takes too long, and repeats its messages.
+func (c *Core) tickConfirmation() {
 	rd := &c.confirmation
 	if len(rd.waiters) == 0 {
 		return
@@ -147,7 +158,7 @@
 	rd.epoch, rd.startedAt, rd.confirmedBy = c.acceptor.view.Epoch, c.now, map[ID]string{}
 	c.sendRound()
 	if c.isVoter(c.acceptor.view) && !c.hasAcceptedLater() {
-		c.recordConfirmation(c.acceptor.self.ID)
+		c.recordConfirmation(c.self.ID)
 	}
 }
 
@@ -155,7 +166,7 @@
 	rd := &c.confirmation
 	rd.sentAt = c.now
 	for _, m := range c.acceptor.view.Voters {
-		if _, ok := rd.confirmedBy[m.ID]; !ok && m.ID != c.acceptor.self.ID {
+		if _, ok := rd.confirmedBy[m.ID]; !ok && m.ID != c.self.ID {
 			c.send(m.ID, &replicationpb.Message{Body: &replicationpb.Message_Confirm{Confirm: &replicationpb.Confirm{
 				Epoch: rd.epoch, Round: rd.number, Life: c.cfg.Incarnation,
 			}}})
--- a/internal/system/replication/repair_test.go
+++ b/internal/system/replication/repair_test.go
@@ -121,7 +121,7 @@
 // TestAChangeOfVotersNeedsBothMajorities: so that a majority of the next register's voters knows the view it starts from.
 func TestAChangeOfVotersNeedsBothMajorities(t *testing.T) {
 	a, b, x, y := Member{ID: "a"}, Member{ID: "b"}, Member{ID: "x"}, Member{ID: "y"}
-	c := &Core{cfg: Config{}, acceptor: acceptor{view: &View{}}}
+	c := &Core{cfg: Config{}, acceptor: acceptorState{view: &View{}}}
 	c.cfg.applyDefaults()
 	cur := &View{Epoch: 1, Voters: []Member{a, x, y}}
 	c.acceptor.view = cur
--- a/internal/system/replication/restore.go
+++ b/internal/system/replication/restore.go
@@ -42,7 +42,7 @@
 // longestLogs lists those of the members with the longest log: before the first view, what was restored.
 func (c *Core) longestLogs(members []Member) []Member {
 	held := func(m Member) uint64 {
-		if m.ID == c.acceptor.self.ID {
+		if m.ID == c.self.ID {
 			return c.commitIndex
 		}
 		if p := c.peers[m.ID]; p != nil {
@@ -62,7 +62,7 @@
 // records are compared by number and epoch only, and below a snapshot not at all. The log is empty on disk before the view
 // is there, so that no restart comes between.
 func (c *Core) discardRestoredLog(v *View) bool {
-	if c.acceptor.view.Epoch > 0 || v.Head() == c.acceptor.self.ID {
+	if c.acceptor.view.Epoch > 0 || v.Head() == c.self.ID {
 		return false
 	}
 	if c.log.end() > 0 {
--- a/internal/system/replication/sim_hardening_cut_test.go
+++ b/internal/system/replication/sim_hardening_cut_test.go
@@ -37,7 +37,7 @@
 	"tail":   func(w *world) *machine { return w.link(-1) },
 	"outsider": func(w *world) *machine { // no link: a spare or an observer
 		for _, m := range w.nodes {
-			if m.up() && w.newest.chainIndex(m.core.acceptor.self.ID) < 0 {
+			if m.up() && w.newest.chainIndex(m.core.self.ID) < 0 {
 				return m
 			}
 		}
--- a/internal/system/replication/sim_hardening_leave_test.go
+++ b/internal/system/replication/sim_hardening_leave_test.go
@@ -122,7 +122,7 @@
 // TestALeaverDoesNotCountSilentLinks: what a link said of itself long ago does not tell that its disk is still there.
 func TestALeaverDoesNotCountSilentLinks(t *testing.T) {
 	v := &View{Epoch: 3, Chain: []ID{"a", "b"}, Voters: []Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
-	c := &Core{cfg: Config{MachineLosses: 1}, acceptor: acceptor{self: Member{ID: "c"}, view: v}, peers: map[ID]*peer{}}
+	c := &Core{cfg: Config{MachineLosses: 1}, acceptor: acceptorState{identity: Member{ID: "c"}, view: v}, peers: map[ID]*peer{}}
 	c.cfg.applyDefaults()
 	for _, id := range v.Chain {
 		c.peers[id] = &peer{member: Member{ID: id}, heartbeat: &replicationpb.Heartbeat{Epoch: 3, Active: 3}}
--- a/internal/system/replication/sim_proxy_checks_test.go
+++ b/internal/system/replication/sim_proxy_checks_test.go
@@ -124,7 +124,7 @@
 		}
 		n := 0
 		for _, v := range view.Voters {
-			if o := w.at(v.Addr); o != nil && o.healthy() && w.connected(m.member.Addr, v.Addr) && ID(o.core.acceptor.self.ID) == v.ID {
+			if o := w.at(v.Addr); o != nil && o.healthy() && w.connected(m.member.Addr, v.Addr) && ID(o.core.self.ID) == v.ID {
 				n++
 			}
 		}
@@ -151,7 +151,7 @@
 	}
 	in := map[ID]bool{}
 	for _, m := range well {
-		in[m.core.acceptor.self.ID] = true
+		in[m.core.self.ID] = true
 	}
 	missing := 0
 	for _, v := range view.Voters {
--- a/internal/system/replication/upstream.go
+++ b/internal/system/replication/upstream.go
@@ -22,7 +22,7 @@
 	if epoch != c.acceptor.view.Epoch || !c.viewDurable {
 		return false
 	}
-	if c.acceptor.view.chainIndex(c.acceptor.self.ID) >= 0 {
+	if c.acceptor.view.chainIndex(c.self.ID) >= 0 {
 		return !learner && id == c.predecessor()
 	}
 	return learner && c.acceptor.view.chainIndex(id) >= 0
@@ -139,7 +139,7 @@
 // sendFollow asks a link for what is committed, when this keeper is outside the chain.
 func (c *Core) sendFollow() {
 	v := c.acceptor.view
-	if v.Epoch == 0 || !c.viewDurable || v.chainIndex(c.acceptor.self.ID) >= 0 {
+	if v.Epoch == 0 || !c.viewDurable || v.chainIndex(c.self.ID) >= 0 {
 		return
 	}
 	for i := len(v.Chain) - 1; i >= 0; i-- {
--- a/internal/system/replication/view.go
+++ b/internal/system/replication/view.go
@@ -132,9 +132,9 @@
 	return b.round < o.round || b.round == o.round && b.id < o.id
 }
 
-// acceptor is the durable state of an acceptor and link.
-type acceptor struct {
-	self         Member
+// acceptorState is the durable state of an acceptorState and link.
+type acceptorState struct {
+	identity     Member
 	view         *View          // newest chosen view known
 	activeEpoch  uint64         // newest epoch in which this link held all that its predecessor did
 	sealedEpoch  uint64         // epoch in which it will never be active
@@ -203,16 +203,16 @@
 	return proposalNumber{round: b.GetRound(), id: ID(b.GetId())}
 }
 
-func (r *acceptor) pb() *replicationpb.Register {
+func (r *acceptorState) pb() *replicationpb.Register {
 	return &replicationpb.Register{
-		Self: memberPB(r.self), View: viewPB(r.view), Active: r.activeEpoch, Sealed: r.sealedEpoch,
+		Self: memberPB(r.identity), View: viewPB(r.view), Active: r.activeEpoch, Sealed: r.sealedEpoch,
 		Promised: proposalNumberPB(r.promised), Accepted: proposalNumberPB(r.accepted), AcceptedView: viewPB(r.acceptedView),
 	}
 }
 
-func acceptorOf(p *replicationpb.Register) acceptor {
-	r := acceptor{
-		self: memberOf(p.GetSelf()), view: viewOf(p.GetView()), activeEpoch: p.GetActive(), sealedEpoch: p.GetSealed(),
+func acceptorStateOf(p *replicationpb.Register) acceptorState {
+	r := acceptorState{
+		identity: memberOf(p.GetSelf()), view: viewOf(p.GetView()), activeEpoch: p.GetActive(), sealedEpoch: p.GetSealed(),
 		promised: proposalNumberOf(p.GetPromised()), accepted: proposalNumberOf(p.GetAccepted()), acceptedView: viewOf(p.GetAcceptedView()),
 	}
 	if r.view == nil {
--- a/internal/system/replication/voter_planner.go
+++ b/internal/system/replication/voter_planner.go
@@ -63,7 +63,7 @@
 	}
 	if c.headlessSince >= 0 && len(voters) >= c.cfg.targetVoters() && c.mayLead(joiners[0].ID, true) {
 		// None of the voters can lead, so one who can must become one first, in anyone's place if need be.
-		return c.bestSwap(voters, joiners, func(m Member) bool { return m.ID != c.acceptor.self.ID && !c.mayLead(m.ID, true) })
+		return c.bestSwap(voters, joiners, func(m Member) bool { return m.ID != c.self.ID && !c.mayLead(m.ID, true) })
 	}
 	return 0, Member{}, false
 }
@@ -71,7 +71,7 @@
 // isLost tells whether a voter was not heard for long.
 func (c *Core) isLost(m Member) bool {
 	p := c.peers[m.ID]
-	return m.ID != c.acceptor.self.ID && !c.isAlive(m.ID) && (p == nil || c.now-p.lastContactAt > replaceVoterTimeout)
+	return m.ID != c.self.ID && !c.isAlive(m.ID) && (p == nil || c.now-p.lastContactAt > replaceVoterTimeout)
 }
 
 // bestSwap finds the voter, of those that may go, and the joiner in its place that leave the voters spread best; the
