--- a/internal/system/replication/capacity.go
+++ b/internal/system/replication/capacity.go
@@ -36,9 +36,9 @@
 	} else {
 		out.Nodes++
 	}
-	for id, p := range c.peers {
+	for id, p := range c.liveness.peers {
 		switch {
-		case !c.isAlive(id):
+		case !c.liveness.isAlive(id):
 		case p.heartbeat.GetObserver():
 			out.Observers++
 		default:
@@ -46,7 +46,7 @@
 		}
 	}
 	for _, m := range v.Voters {
-		if !c.isAlive(m.ID) {
+		if !c.liveness.isAlive(m.ID) {
 			out.TimedOutVoters++
 		}
 	}
--- a/internal/system/replication/chain_replica.go
+++ b/internal/system/replication/chain_replica.go
@@ -23,8 +23,39 @@
 	learnerTTL            = 2 * time.Second // after its last call
 )
 
+// chainReplica is this node's log and its place in the chain: it receives records from its predecessor, hands them to its
+// successor once they are on disk, and knows what is committed. Outside the chain it catches up as a learner.
+type chainReplica struct {
+	*environment
+	machine             Machine
+	log                 memoryLog
+	state               State // after commitIndex
+	commitIndex         uint64
+	matchIndex          uint64 // up to here the log is known to be the predecessor's, in this epoch
+	upstreamCommitIndex uint64 // commit index of the replica that a learner follows
+	caughtUpAt          time.Duration
+	caughtUp            bool    // a learner has received all that was committed at caughtUpAt
+	upstreamMatched     bool    // an append of the predecessor has matched, in this epoch and incarnation
+	minReadIndex        uint64  // records up to here may have been acknowledged: no read rests on less
+	epochStartIndex     uint64  // where the head's log ended when it entered the epoch
+	uncommittedStates   []State // the head's: after each record above commitIndex
+	downstream          map[ID]*progress
+	ackSentAt           time.Duration
+
+	acceptor *acceptor
+	writer   *diskWriter
+	liveness *liveness
+	waiting  callCompleter
+}
+
+// callCompleter answers the calls that wait for records to be committed.
+type callCompleter interface {
+	completeChanges()
+	completeReads()
+}
+
 // successor is the link after this one, empty at the tail and outside the chain.
-func (c *Core) successor() ID {
+func (c *chainReplica) successor() ID {
 	v := c.acceptor.view
 	if i := v.chainIndex(c.self.ID); i >= 0 && i+1 < len(v.Chain) {
 		return v.Chain[i+1]
@@ -33,7 +64,7 @@
 }
 
 // predecessor is the link before this one, empty at the head and outside the chain.
-func (c *Core) predecessor() ID {
+func (c *chainReplica) predecessor() ID {
 	v := c.acceptor.view
 	if i := v.chainIndex(c.self.ID); i > 0 {
 		return v.Chain[i-1]
@@ -42,16 +73,16 @@
 }
 
 // active tells whether this link takes part: it holds all that was acknowledged before its view.
-func (c *Core) isActive() bool {
-	return c.viewDurable && c.err == nil && c.acceptor.view.Epoch > 0 && c.durableActive == c.acceptor.view.Epoch && c.acceptor.view.chainIndex(c.self.ID) >= 0
+func (c *chainReplica) isActive() bool {
+	return c.acceptor.viewDurable && c.err == nil && c.acceptor.view.Epoch > 0 && c.acceptor.durableActive == c.acceptor.view.Epoch && c.acceptor.view.chainIndex(c.self.ID) >= 0
 }
 
-func (c *Core) isHead() bool { return c.isActive() && c.acceptor.view.Head() == c.self.ID }
+func (c *chainReplica) isHead() bool { return c.isActive() && c.acceptor.view.Head() == c.self.ID }
 
-func (c *Core) isTail() bool { return c.isActive() && c.acceptor.view.Tail() == c.self.ID }
+func (c *chainReplica) isTail() bool { return c.isActive() && c.acceptor.view.Tail() == c.self.ID }
 
 // enterView starts this link's part in a view that is on disk.
-func (c *Core) enterView() error {
+func (c *chainReplica) enterView() error {
 	if !c.isActive() {
 		return nil
 	}
@@ -72,9 +103,9 @@
 }
 
 // onDurableChange follows a change of what is on disk.
-func (c *Core) onDurableChange() {
+func (c *chainReplica) onDurableChange() {
 	c.tryActivate()
-	if c.acceptor.view.Epoch == 0 || !c.viewDurable {
+	if c.acceptor.view.Epoch == 0 || !c.acceptor.viewDurable {
 		return
 	}
 	if c.isActive() {
@@ -89,7 +120,7 @@
 }
 
 // durableIndex is the end of what is on disk and known to be the log of this epoch's chain.
-func (c *Core) durableIndex() uint64 {
+func (c *chainReplica) durableIndex() uint64 {
 	if c.isHead() {
 		return c.writer.durableEnd
 	}
@@ -98,7 +129,7 @@
 
 // commitAsTail commits at the tail. A record that got here went through every link, each of which had it on disk before
 // it handed it on; and every link is active, since only an active one hands on.
-func (c *Core) commitAsTail() {
+func (c *chainReplica) commitAsTail() {
 	early := c.cfg.knobs.AcknowledgeAtHead && c.isHead()
 	if !c.isTail() && !early || len(c.acceptor.view.Chain) < c.cfg.minChainLength() {
 		return
@@ -106,7 +137,7 @@
 	c.advanceCommitIndex(c.durableIndex())
 }
 
-func (c *Core) advanceCommitIndex(seq uint64) {
+func (c *chainReplica) advanceCommitIndex(seq uint64) {
 	if seq <= c.commitIndex {
 		return
 	}
@@ -125,8 +156,8 @@
 	}
 	c.ackSentAt = 0
 	c.sendAck()
-	c.completeChanges()
-	c.completeReads()
+	c.waiting.completeChanges()
+	c.waiting.completeReads()
 	for _, id := range slices.Sorted(maps.Keys(c.downstream)) {
 		if c.downstream[id].learner {
 			c.replicateTo(id)
@@ -135,9 +166,9 @@
 }
 
 // sendAck tells the link before what is on disk here and what is committed.
-func (c *Core) sendAck() {
+func (c *chainReplica) sendAck() {
 	prev := c.predecessor()
-	if prev == "" || !c.upstreamMatched || !c.viewDurable || c.err != nil {
+	if prev == "" || !c.upstreamMatched || !c.acceptor.viewDurable || c.err != nil {
 		return
 	}
 	c.ackSentAt = c.now
@@ -147,7 +178,7 @@
 }
 
 // isActiveToTail tells whether this link and all after it are active, so that no log of an old epoch is left among them.
-func (c *Core) isActiveToTail() bool {
+func (c *chainReplica) isActiveToTail() bool {
 	if !c.isActive() || c.isTail() {
 		return c.isActive()
 	}
@@ -155,8 +186,8 @@
 	return p != nil && p.activeToTail
 }
 
-func (c *Core) tickChain() {
-	if !c.viewDurable {
+func (c *chainReplica) tickChain() {
+	if !c.acceptor.viewDurable {
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.downstream)) {
--- a/internal/system/replication/core.go
+++ b/internal/system/replication/core.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"slices"
 	"time"
 
 	"github.com/cockroachdb/errors"
@@ -28,108 +27,101 @@
 	LogEvents   []string // for the log
 }
 
-// Core is one keeper's part of the chain and of the agreement. Its times are since the start of the process, from a
+// Core is one node's part of the chain and of the agreement on views. It is a pure state machine: it routes messages, ticks and the
+// results of writes to its parts and hands out by Ready what they want done. Its times are since the start of the process, from a
 // monotonic clock. It is not safe for concurrent use.
 type Core struct {
-	cfg      Config
-	machine  Machine
-	now      time.Duration
-	rng      *rand.Rand
-	out      Outputs
-	self     Member
-	loopback []*replicationpb.Message // to itself
-	err      error
-
-	acceptor        acceptorState
-	identityDurable bool   // the identity is on disk
-	viewDurable     bool   // the view is on disk
-	durableActive   uint64 // reg.active, reg.sealed and reg.view.Epoch as they are on disk
-	durableSealed   uint64
-	durableEpoch    uint64
+	*environment
+	acceptor     *acceptor         // this node's vote on views
+	proposer     *proposer         // has views chosen
+	planner      *planner          // works out the next view
+	chain        *chainReplica     // log, commit index, neighbours
+	confirmation *readConfirmation // asks the voters whether the epoch still stands
+	calls        *clientCalls      // asked here
+	decider      *changeDecider    // asked of the head
+	liveness     *liveness         // peers and their heartbeats
+	writer       *diskWriter       // writes to disk, one at a time
+}
 
-	log                 memoryLog
-	state               State // after committed
-	commitIndex         uint64
-	matchIndex          uint64 // up to here the log is known to be the one upstream, in this epoch
-	upstreamCommitIndex uint64 // committed according to upstream (learners)
-	caughtUpAt          time.Duration
-	caughtUp            bool
-	upstreamMatched     bool    // an append of the link before has matched, in this epoch and life
-	minReadIndex        uint64  // no read below: may be acknowledged
-	epochStartIndex     uint64  // where the log of the head ended when it entered the epoch
-	uncommittedStates   []State // the head's: after each record above committed
-	downstream          map[ID]*progress
-	ackSentAt           time.Duration
-	writer              diskWriter
+// newCore makes a core of which nothing is on disk yet, and connects its parts.
+func newCore(cfg Config, machine Machine) *Core {
+	cfg.applyDefaults()
+	env := &environment{cfg: cfg, self: cfg.Self, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Incarnation))} //nolint:gosec // jitter
+	c := &Core{
+		environment:  env,
+		acceptor:     &acceptor{environment: env, acceptorState: acceptorState{identity: cfg.Self, view: &View{}}},
+		proposer:     &proposer{environment: env, proposeAt: -1},
+		planner:      &planner{environment: env, seedMajoritySince: -1, headlessSince: -1},
+		chain:        &chainReplica{environment: env, machine: machine, state: machine.Empty(), downstream: map[ID]*progress{}},
+		confirmation: &readConfirmation{environment: env},
+		calls:        &clientCalls{environment: env, submits: map[uint64]*submit{}, reads: map[uint64]*read{}},
+		decider:      &changeDecider{environment: env, changes: map[changeKey]*pendingChange{}},
+		liveness: &liveness{
+			environment: env, peers: map[ID]*peer{}, lastHeartbeatAt: -cfg.HeartbeatInterval,
+			heartbeatNumber: firstHeartbeatNumber(cfg.Incarnation),
+		},
+		writer: &diskWriter{environment: env},
+	}
+	c.connect()
+	return c
+}
 
-	peers           map[ID]*peer
-	heartbeatNumber uint64 // of the last heartbeat sent
-	heartbeatSentAt [heartbeatHistory]time.Duration
-	lastHeartbeatAt time.Duration
-	graceUntil      time.Duration // until then silence says nothing
-	chainReachedAt  time.Duration // when there was last a way to the chain; not before graceUntil
-	leaving         bool
+// connect gives each part those that it asks.
+func (c *Core) connect() {
+	c.addressOf = c.liveness.addressOf
+	c.acceptor.writer, c.acceptor.liveness, c.acceptor.adoptView = c.writer, c.liveness, c.adoptView
+	c.proposer.acceptor, c.proposer.writer, c.proposer.liveness = c.acceptor, c.writer, c.liveness
+	c.proposer.planner, c.proposer.adoptView = c.planner, c.adoptView
+	c.planner.acceptor, c.planner.liveness, c.planner.chain = c.acceptor, c.liveness, c.chain
+	c.chain.acceptor, c.chain.writer, c.chain.liveness, c.chain.waiting = c.acceptor, c.writer, c.liveness, c
+	c.confirmation.acceptor, c.confirmation.chain = c.acceptor, c.chain
+	c.calls.acceptor, c.calls.liveness, c.calls.chain = c.acceptor, c.liveness, c.chain
+	c.decider.acceptor, c.decider.writer, c.decider.liveness = c.acceptor, c.writer, c.liveness
+	c.decider.chain, c.decider.confirmation = c.chain, c.confirmation
+	c.liveness.acceptor, c.liveness.writer, c.liveness.chain = c.acceptor, c.writer, c.chain
+	c.writer.acceptor, c.writer.chain = c.acceptor, c.chain
+}
 
-	proposal          *proposal
-	proposeAt         time.Duration // when a change of the view was first wanted; negative: none is
-	backoffUntil      time.Duration
-	lastPlannedAt     time.Duration
-	highestRoundSeen  uint64
-	headlessSince     time.Duration // when it was first seen that no link may lead; negative: one may
-	seedMajoritySince time.Duration // when a majority of the seeds was first known; negative: never
+func (c *Core) completeChanges() { c.decider.completeChanges() }
 
-	submits        map[uint64]*submit // asked here
-	changes        map[changeKey]*pendingChange
-	pending        []*pendingChange // in the head's log, not yet committed, by number
-	reads          map[uint64]*read
-	lastCallNumber uint64 // last key of a submit
-	confirmation   readConfirmation
-}
+func (c *Core) completeReads() { c.calls.completeReads() }
 
 // NewCore makes a core from what the disk holds. Call Tick soon and then every few tens of milliseconds.
 func NewCore(cfg Config, machine Machine, meta map[string][]byte, snap wal.Snapshot, entries []wal.Entry) (*Core, error) {
-	cfg.applyDefaults()
-	c := &Core{
-		cfg: cfg, self: cfg.Self, machine: machine, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Incarnation)), //nolint:gosec // jitter
-		state: machine.Empty(), proposeAt: -1, seedMajoritySince: -1, headlessSince: -1, lastHeartbeatAt: -cfg.HeartbeatInterval,
-		heartbeatNumber: firstHeartbeatNumber(cfg.Incarnation), downstream: map[ID]*progress{}, peers: map[ID]*peer{}, submits: map[uint64]*submit{},
-		changes: map[changeKey]*pendingChange{}, reads: map[uint64]*read{},
-	}
+	c := newCore(cfg, machine)
 	if data, ok := meta[metaAcceptor]; ok {
 		var p replicationpb.Register
 		if err := proto.Unmarshal(data, &p); err != nil {
 			return nil, damagedDataError(err, "the register")
 		}
-		c.acceptor = acceptorStateOf(&p)
+		c.acceptor.acceptorState = acceptorStateOf(&p)
 		id := c.acceptor.identity.ID
 		if id == "" {
 			return nil, damagedDataError(errors.New("it names no identity"), "the register")
 		}
 		c.self.ID = id
 		c.acceptor.identity = c.self
-		c.identityDurable = true
-	} else {
-		c.acceptor = acceptorState{identity: cfg.Self, view: &View{}}
+		c.acceptor.identityDurable = true
 	}
-	if err := c.loadLog(snap, entries); err != nil {
+	if err := c.chain.loadLog(snap, entries); err != nil {
 		return nil, err
 	}
-	c.durableActive, c.durableSealed, c.durableEpoch = c.acceptor.activeEpoch, c.acceptor.sealedEpoch, c.acceptor.view.Epoch
-	c.viewDurable = c.acceptor.view.Epoch > 0
+	c.acceptor.durableActive, c.acceptor.durableSealed, c.acceptor.durableEpoch = c.acceptor.activeEpoch, c.acceptor.sealedEpoch, c.acceptor.view.Epoch
+	c.acceptor.viewDurable = c.acceptor.view.Epoch > 0
 	// An active link's log goes beyond where the head's ended when the epoch began.
-	c.minReadIndex, c.epochStartIndex = c.log.end(), c.log.end()
-	c.graceUntil = cfg.SuspectTimeout + cfg.HeartbeatInterval
-	c.chainReachedAt = c.graceUntil
-	if !c.identityDurable {
-		c.persist(func() { c.identityDurable = true })
+	c.chain.minReadIndex, c.chain.epochStartIndex = c.chain.log.end(), c.chain.log.end()
+	c.liveness.graceUntil = c.cfg.SuspectTimeout + c.cfg.HeartbeatInterval
+	c.liveness.chainReachedAt = c.liveness.graceUntil
+	if !c.acceptor.identityDurable {
+		c.writer.persist(func() { c.acceptor.identityDurable = true })
 	}
-	if err := c.enterView(); err != nil {
+	if err := c.chain.enterView(); err != nil {
 		return nil, damagedDataError(err, "the log")
 	}
 	return c, nil
 }
 
-func (c *Core) loadLog(snap wal.Snapshot, entries []wal.Entry) error {
+func (c *chainReplica) loadLog(snap wal.Snapshot, entries []wal.Entry) error {
 	if snap.Seq > 0 {
 		var p replicationpb.Image
 		if err := proto.Unmarshal(snap.Data, &p); err != nil {
@@ -173,19 +165,19 @@
 func (c *Core) View() *View { return c.acceptor.view }
 
 // Committed is the newest number known to be committed and the state after it.
-func (c *Core) Committed() (uint64, State) { return c.commitIndex, c.state }
+func (c *Core) Committed() (uint64, State) { return c.chain.commitIndex, c.chain.state }
 
 // Err tells why the core has stopped taking part: a bug or a disk that lies. It is nil as long as all is well.
 func (c *Core) Err() error { return c.err }
 
 // RecordsAfter lists the committed records after seq, at most of them; false where they are no longer or not yet known.
 func (c *Core) RecordsAfter(seq uint64, most int) ([]controlstate.Record, bool) {
-	if seq < c.log.base || seq > c.commitIndex {
+	if seq < c.chain.log.base || seq > c.chain.commitIndex {
 		return nil, false
 	}
 	var out []controlstate.Record
-	for s := seq + 1; s <= c.commitIndex && s <= c.log.end() && len(out) < most; s++ {
-		out = append(out, c.log.at(s).rec)
+	for s := seq + 1; s <= c.chain.commitIndex && s <= c.chain.log.end() && len(out) < most; s++ {
+		out = append(out, c.chain.log.at(s).rec)
 	}
 	return out, true
 }
@@ -193,8 +185,8 @@
 // Leave makes the others take this keeper out of the chain, as soon as enough others hold what was acknowledged.
 func (c *Core) Leave(now time.Duration) {
 	c.advance(now)
-	c.leaving = true
-	c.sendHeartbeats()
+	c.liveness.leaving = true
+	c.liveness.sendHeartbeats()
 	c.flush()
 }
 
@@ -207,11 +199,11 @@
 	}
 	var links []Member
 	for _, id := range v.Chain {
-		if m, ok := v.Voter(id); ok && c.isAlive(id) {
+		if m, ok := v.Voter(id); ok && c.liveness.isAlive(id) {
 			links = append(links, m)
 		}
 	}
-	return c.cfg.Observer || v.Epoch == 0 || c.countHolders(links) >= c.cfg.minChainLength()
+	return c.cfg.Observer || v.Epoch == 0 || c.planner.countHolders(links) >= c.cfg.minChainLength()
 }
 
 // Ready hands over what is to be done.
@@ -225,8 +217,8 @@
 // process stood still: what others sent meanwhile has yet to be read, and their silence says nothing.
 func (c *Core) advance(now time.Duration) {
 	if now-c.now > c.cfg.SuspectTimeout/2 {
-		c.graceUntil = now + c.cfg.SuspectTimeout
-		c.chainReachedAt = c.graceUntil
+		c.liveness.graceUntil = now + c.cfg.SuspectTimeout
+		c.liveness.chainReachedAt = c.liveness.graceUntil
 	}
 	c.now = max(c.now, now)
 }
@@ -234,17 +226,17 @@
 // Tick tells the time.
 func (c *Core) Tick(now time.Duration) {
 	c.advance(now)
-	c.superviseWrites()
-	c.observeReach()
-	if c.now-c.lastHeartbeatAt >= c.heartbeatInterval() {
-		c.sendHeartbeats()
+	c.writer.superviseWrites()
+	c.liveness.observeReach()
+	if c.now-c.liveness.lastHeartbeatAt >= c.liveness.heartbeatInterval() {
+		c.liveness.sendHeartbeats()
 	}
-	c.tickChain()
-	c.tickSubmits()
-	c.forgetChanges()
-	c.tickReads()
-	c.tickConfirmation()
-	c.tickProposer()
+	c.chain.tickChain()
+	c.calls.tickSubmits()
+	c.decider.forgetChanges()
+	c.calls.tickReads()
+	c.confirmation.tickConfirmation()
+	c.proposer.tickProposer()
 	c.flush()
 }
 
@@ -266,9 +258,9 @@
 		c.step(m)
 	}
 	if c.err == nil {
-		c.startWrite()
+		c.writer.startWrite()
 	}
-	if !c.identityDurable || c.err != nil {
+	if !c.acceptor.identityDurable || c.err != nil {
 		c.out.Messages = nil
 	}
 }
@@ -277,92 +269,40 @@
 	from := ID(m.GetFrom())
 	switch b := m.GetBody().(type) {
 	case *replicationpb.Message_Heartbeat:
-		c.handleHeartbeat(from, b.Heartbeat)
+		c.liveness.handleHeartbeat(from, b.Heartbeat)
 	case *replicationpb.Message_Prepare:
-		c.handlePrepare(from, b.Prepare)
+		c.acceptor.handlePrepare(from, b.Prepare)
 	case *replicationpb.Message_Promise:
-		c.handlePromise(from, b.Promise)
+		c.proposer.handlePromise(from, b.Promise)
 	case *replicationpb.Message_Accept:
-		c.handleAccept(from, b.Accept)
+		c.acceptor.handleAccept(from, b.Accept)
 	case *replicationpb.Message_Accepted:
-		c.handleAccepted(from, b.Accepted)
+		c.proposer.handleAccepted(from, b.Accepted)
 	case *replicationpb.Message_Reject:
-		c.handleReject(b.Reject)
+		c.proposer.handleReject(b.Reject)
 	case *replicationpb.Message_Chosen:
 		c.adoptView(viewOf(b.Chosen.GetView()))
 	case *replicationpb.Message_Append:
-		c.handleAppend(from, b.Append)
+		c.chain.handleAppend(from, b.Append)
 	case *replicationpb.Message_Ack:
-		c.handleAck(from, b.Ack)
+		c.chain.handleAck(from, b.Ack)
 	case *replicationpb.Message_Install:
-		c.handleInstall(from, b.Install)
+		c.chain.handleInstall(from, b.Install)
 	case *replicationpb.Message_Follow:
-		c.handleFollow(from, b.Follow)
+		c.chain.handleFollow(from, b.Follow)
 	case *replicationpb.Message_Forward:
-		c.handleForward(from, b.Forward)
+		c.decider.handleForward(from, b.Forward)
 	case *replicationpb.Message_Answer:
-		c.handleAnswer(b.Answer)
+		c.calls.handleAnswer(b.Answer)
 	case *replicationpb.Message_Confirm:
-		c.handleConfirm(from, b.Confirm)
+		c.confirmation.handleConfirm(from, b.Confirm)
 	case *replicationpb.Message_Confirmed:
-		c.handleConfirmed(from, b.Confirmed)
+		c.confirmation.handleConfirmed(from, b.Confirmed)
 	case *replicationpb.Message_ReadIndex:
-		c.handleReadIndex(from, b.ReadIndex)
+		c.confirmation.handleReadIndex(from, b.ReadIndex)
 	case *replicationpb.Message_Seal:
-		c.handleSeal(b.Seal)
+		c.acceptor.handleSeal(b.Seal)
 	case *replicationpb.Message_ReadAt:
-		c.handleReadAt(b.ReadAt)
-	}
-}
-
-// send sends to the keeper with the identity, when its address is known.
-func (c *Core) send(to ID, m *replicationpb.Message) {
-	m.From, m.To = string(c.self.ID), string(to)
-	if to == c.self.ID {
-		c.loopback = append(c.loopback, m)
-		return
-	}
-	if addr := c.addressOf(to); addr != "" {
-		c.out.Messages = append(c.out.Messages, Envelope{Addr: addr, Msg: m})
-	}
-}
-
-func (c *Core) addressOf(id ID) string {
-	if p := c.peers[id]; p != nil {
-		return p.member.Addr
-	}
-	if m, ok := c.acceptor.view.Voter(id); ok {
-		return m.Addr
-	}
-	if c.acceptor.acceptedView != nil {
-		if m, ok := c.acceptor.acceptedView.Voter(id); ok {
-			return m.Addr
-		}
-	}
-	return ""
-}
-
-func (c *Core) logEvent(s string) {
-	if len(c.out.LogEvents) < 16 {
-		c.out.LogEvents = append(c.out.LogEvents, s)
-	}
-}
-
-// fail stops this keeper's part for good; the others cut it out.
-func (c *Core) fail(err error) {
-	if c.err == nil {
-		c.err = err
-		c.logEvent(err.Error())
-	}
-}
-
-func (c *Core) isVoter(v *View) bool {
-	if v.Epoch == 0 {
-		return c.cfg.Bootstrap && slices.Contains(c.cfg.Seeds, c.self.Addr) && (!c.cfg.Observer || c.noSeedHasDisk())
-	}
-	if c.cfg.Observer {
-		return false
+		c.calls.handleReadAt(b.ReadAt)
 	}
-	_, ok := v.Voter(c.self.ID)
-	return ok
 }
--- a/internal/system/replication/core_abandon_test.go
+++ b/internal/system/replication/core_abandon_test.go
@@ -36,7 +36,7 @@
 			t.Errorf("a change that was given up ended with %v", err)
 		}
 		k.mu.Lock()
-		left := len(k.core.submits)
+		left := len(k.core.calls.submits)
 		k.mu.Unlock()
 		if left != 0 {
 			t.Errorf("%d changes are still asked for", left)
--- a/internal/system/replication/core_catchup_test.go
+++ b/internal/system/replication/core_catchup_test.go
@@ -40,7 +40,7 @@
 			cl.nodes[feeder].core = nil
 			cl.flow(head, cl.now+10*time.Second, each, func() {
 				v := cl.view()
-				if level == 0 && slices.Contains(v.Chain, ID(member)) && len(v.Chain) == 4 && cl.nodes[member].core.durableActive == v.Epoch {
+				if level == 0 && slices.Contains(v.Chain, ID(member)) && len(v.Chain) == 4 && cl.nodes[member].core.acceptor.durableActive == v.Epoch {
 					level = cl.now - began
 				}
 			})
--- a/internal/system/replication/core_cluster_test.go
+++ b/internal/system/replication/core_cluster_test.go
@@ -181,8 +181,8 @@
 		if cl.now-began > limit {
 			for _, addr := range slices.Sorted(maps.Keys(cl.nodes)) {
 				if n := cl.nodes[addr]; n.core != nil {
-					cl.t.Logf("%s: view %d %v, active %d, committed %d of %d", addr, n.core.acceptor.view.Epoch, n.core.acceptor.view, n.core.durableActive,
-						n.core.commitIndex, n.core.log.end())
+					cl.t.Logf("%s: view %d %v, active %d, committed %d of %d", addr, n.core.acceptor.view.Epoch, n.core.acceptor.view, n.core.acceptor.durableActive,
+						n.core.chain.commitIndex, n.core.chain.log.end())
 				}
 			}
 			cl.t.Fatalf("not within %v: %s", limit, what)
@@ -238,7 +238,7 @@
 	}
 	for _, id := range v.Chain {
 		m, _ := v.Voter(id)
-		if n := cl.nodes[m.Addr]; n.core.durableActive != v.Epoch {
+		if n := cl.nodes[m.Addr]; n.core.acceptor.durableActive != v.Epoch {
 			return false
 		}
 	}
--- a/internal/system/replication/core_cut_test.go
+++ b/internal/system/replication/core_cut_test.go
@@ -48,7 +48,7 @@
 					if d := cl.done[here]; d.Outcome == Answered && d.Verdict.Kind != controlstate.Accepted && d.Verdict.Kind != controlstate.Stale {
 						t.Fatalf("%s of %s: a change at it ended with %v", name, cut, d.Verdict)
 					}
-					here = cl.submit(cut, replacing(n.core.state.(*toy).rev, "at the cut one"), time.Second)
+					here = cl.submit(cut, replacing(n.core.chain.state.(*toy).rev, "at the cut one"), time.Second)
 				}
 				if cl.now-began < 2*time.Second {
 					continue
@@ -56,8 +56,8 @@
 				if d := cl.done[read]; d.Outcome == Answered && d.Seq+1 < acked {
 					t.Fatalf("%s of %s: a read gave record %d, %d was acknowledged", name, cut, d.Seq, acked)
 				}
-				if n.core.Current(cl.clock(n)) && n.core.commitIndex+1 < acked {
-					t.Fatalf("%s of %s: it counts as current with record %d of %d", name, cut, n.core.commitIndex, acked)
+				if n.core.Current(cl.clock(n)) && n.core.chain.commitIndex+1 < acked {
+					t.Fatalf("%s of %s: it counts as current with record %d of %d", name, cut, n.core.chain.commitIndex, acked)
 				}
 			}
 			if acked < 20 {
@@ -70,7 +70,7 @@
 			took := cl.until(5*time.Second, name+" of "+cut+": three links", func() bool { return cl.complete(3, 3) })
 			longest = max(longest, took)
 			longestCurrent = max(longestCurrent, took+cl.until(5*time.Second, "it is current", func() bool {
-				return n.core.Current(cl.clock(n)) && n.core.commitIndex >= acked
+				return n.core.Current(cl.clock(n)) && n.core.chain.commitIndex >= acked
 			}))
 		}
 	}
--- a/internal/system/replication/core_disk_test.go
+++ b/internal/system/replication/core_disk_test.go
@@ -58,8 +58,8 @@
 			a.core.Tick(a.now)
 		}
 		held := 0
-		for i := range a.core.log.entries {
-			held += a.core.log.entries[i].size()
+		for i := range a.core.chain.log.entries {
+			held += a.core.chain.log.entries[i].size()
 		}
 		a.peak = max(a.peak, held)
 	}
@@ -133,12 +133,12 @@
 	c := a.core
 	c.writer.loggedBytes = 2 * compactThresholdBytes
 	record := controlstate.Record{Seq: 4, Op: controlstate.OpNone, Zone: "fed"}
-	next, err := c.state.Apply(record)
+	next, err := c.chain.state.Apply(record)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.log.entries = append(c.log.entries, entry{epoch: c.log.entries[0].epoch, rec: record})
-	c.state, c.commitIndex = next, 4
+	c.chain.log.entries = append(c.chain.log.entries, entry{epoch: c.chain.log.entries[0].epoch, rec: record})
+	c.chain.state, c.chain.commitIndex = next, 4
 	a.until(2*time.Second, "a snapshot at 4", func() bool { return c.writer.snapshotSeq == 4 && c.writer.op == nil })
 	if _, snapshot, entries, err := a.log.Load(); err != nil || snapshot.Seq != 4 || len(entries) > 0 {
 		t.Errorf("on disk: a snapshot at %d, %d entries, %v", snapshot.Seq, len(entries), err)
--- a/internal/system/replication/core_feed_test.go
+++ b/internal/system/replication/core_feed_test.go
@@ -40,8 +40,8 @@
 // inMemory is what the log of a core takes.
 func inMemory(c *Core) int {
 	n := 0
-	for i := range c.log.entries {
-		n += c.log.entries[i].size()
+	for i := range c.chain.log.entries {
+		n += c.chain.log.entries[i].size()
 	}
 	return n
 }
@@ -73,7 +73,7 @@
 			most = max(most, inMemory(n.core))
 		}
 	})
-	if seq := cl.nodes["a"].core.commitIndex; seq < 390 {
+	if seq := cl.nodes["a"].core.chain.commitIndex; seq < 390 {
 		t.Fatalf("%d changes were acknowledged", seq)
 	}
 	t.Logf("at most %.1f MB", float64(most)/(1<<20))
@@ -129,7 +129,7 @@
 		return true
 	}
 	cl.start(Config{Self: Member{Addr: "d", Zone: "zone d", Region: "r"}, MachineLosses: 1, Seeds: []string{"a", "b", "c"}})
-	took := cl.until(15*time.Second, "the spare is level", func() bool { return cl.nodes["d"].core.commitIndex == cl.nodes["a"].core.commitIndex })
+	took := cl.until(15*time.Second, "the spare is level", func() bool { return cl.nodes["d"].core.chain.commitIndex == cl.nodes["a"].core.chain.commitIndex })
 	t.Logf("level after %v, %d snapshots sent", took, sent)
 	if sent > 2 {
 		t.Errorf("%d snapshots were sent", sent)
@@ -153,7 +153,7 @@
 		cl.start(spare)
 		began, level := cl.now, time.Duration(0)
 		cl.flow("a", cl.now+15*time.Second, each, func() {
-			if level == 0 && cl.nodes["d"].core.commitIndex+5 >= cl.nodes["a"].core.commitIndex {
+			if level == 0 && cl.nodes["d"].core.chain.commitIndex+5 >= cl.nodes["a"].core.chain.commitIndex {
 				level = cl.now - began
 			}
 		})
--- a/internal/system/replication/core_frozen_test.go
+++ b/internal/system/replication/core_frozen_test.go
@@ -23,7 +23,7 @@
 	cl.run(20 * time.Second)
 	n.frozen, cl.filter = false, nil
 	cl.deliver(waiting[len(waiting)-1])
-	if grace := n.core.graceUntil - cl.clock(n); grace <= 0 {
+	if grace := n.core.liveness.graceUntil - cl.clock(n); grace <= 0 {
 		t.Errorf("it may plan at once: grace %v", grace)
 	}
 }
--- a/internal/system/replication/core_full_test.go
+++ b/internal/system/replication/core_full_test.go
@@ -10,7 +10,7 @@
 func TestAFullHeadAnswersAtOnce(t *testing.T) {
 	cl := trio(t, 1, TestingKnobs{})
 	head, sender := cl.link(0), cl.link(2)
-	changes := cl.nodes[head].core.changes
+	changes := cl.nodes[head].core.decider.changes
 	for id := range uint64(maxChanges) {
 		changes[changeKey{from: "filler", callNumber: id}] = &pendingChange{done: true, outcome: Answered, closedAt: cl.now + time.Hour}
 	}
--- a/internal/system/replication/core_late_test.go
+++ b/internal/system/replication/core_late_test.go
@@ -28,7 +28,7 @@
 	if cl.view().Epoch != epoch {
 		t.Fatal("the view has changed: the scenario shows nothing")
 	}
-	if note := cl.nodes[head].core.state.(*toy).note; note != "second" {
+	if note := cl.nodes[head].core.chain.state.(*toy).note; note != "second" {
 		return "the change " + note + " undoes a later one"
 	}
 	return ""
@@ -86,13 +86,13 @@
 			cl.deliver(e)
 		}
 		if n := cl.nodes["d"]; n.core.Current(cl.clock(n)) {
-			t.Fatalf("%v after its start the keeper counts as current with %d of 1 records", cl.clock(n), n.core.commitIndex)
+			t.Fatalf("%v after its start the keeper counts as current with %d of 1 records", cl.clock(n), n.core.chain.commitIndex)
 		}
 	}
 	fresh = true
 	cl.until(2*time.Second, "the spare is current once it is fed", func() bool {
 		n := cl.nodes["d"]
-		return n.core.Current(cl.clock(n)) && n.core.commitIndex == 1
+		return n.core.Current(cl.clock(n)) && n.core.chain.commitIndex == 1
 	})
 }
 
@@ -116,7 +116,7 @@
 		cl.run(20 * time.Second)
 		cl.deliver(double)
 		cl.run(time.Second)
-		return cl.nodes[head].core.commitIndex
+		return cl.nodes[head].core.chain.commitIndex
 	}
 	if n := play(TestingKnobs{}); n != 1 {
 		t.Errorf("%d records are committed", n)
--- a/internal/system/replication/core_leave_test.go
+++ b/internal/system/replication/core_leave_test.go
@@ -51,7 +51,7 @@
 			cl.run(time.Second)
 			leaver := cl.link(leaves)
 			cl.many("b", 40)
-			acked := cl.nodes["b"].core.commitIndex
+			acked := cl.nodes["b"].core.chain.commitIndex
 			cl.leave(leaver)
 			for range 1000 {
 				cl.step()
--- a/internal/system/replication/core_losses_test.go
+++ b/internal/system/replication/core_losses_test.go
@@ -99,7 +99,7 @@
 					}
 					id := cl.submit(at, replacing(3, "after"), 5*time.Second)
 					longest = max(longest, cl.until(5*time.Second, name+": a change", func() bool { return cl.answered(id) }))
-					newest = cl.nodes[at].core.state.(*toy).rev
+					newest = cl.nodes[at].core.chain.state.(*toy).rev
 					read := cl.read(at, 2*time.Second)
 					cl.until(2*time.Second, name+": a read", func() bool { return cl.answered(read) })
 					if rev := cl.done[read].State.(*toy).rev; rev != 4 {
--- a/internal/system/replication/core_observer_test.go
+++ b/internal/system/replication/core_observer_test.go
@@ -54,8 +54,8 @@
 			}
 			cl.run(time.Second)
 			for _, a := range addrs {
-				if n := cl.nodes[a]; !n.core.Current(cl.clock(n)) || n.core.commitIndex != cl.nodes["k4"].core.commitIndex {
-					t.Errorf("%s: current %v, committed %d", a, n.core.Current(cl.clock(n)), n.core.commitIndex)
+				if n := cl.nodes[a]; !n.core.Current(cl.clock(n)) || n.core.chain.commitIndex != cl.nodes["k4"].core.chain.commitIndex {
+					t.Errorf("%s: current %v, committed %d", a, n.core.Current(cl.clock(n)), n.core.chain.commitIndex)
 				}
 			}
 			noObserverInViews(t, cl)
--- a/internal/system/replication/core_scenario_test.go
+++ b/internal/system/replication/core_scenario_test.go
@@ -89,9 +89,9 @@
 		}
 		return true
 	}
-	cl.nodes[tail].core.graceUntil, cl.nodes[voter].core.graceUntil = time.Hour, time.Hour // the head proposes
+	cl.nodes[tail].core.liveness.graceUntil, cl.nodes[voter].core.liveness.graceUntil = time.Hour, time.Hour // the head proposes
 	cl.until(5*time.Second, "the head goes on alone", func() bool {
-		return cl.nodes[head].core.acceptor.view.Epoch > before && cl.nodes[head].core.isTail()
+		return cl.nodes[head].core.acceptor.view.Epoch > before && cl.nodes[head].core.chain.isTail()
 	})
 	id := cl.submit(head, replacing(0, "newer"), time.Second)
 	cl.until(time.Second, "a change in the new view", func() bool { return cl.answered(id) })
@@ -130,7 +130,7 @@
 	cl.run(100 * time.Millisecond)
 	off := head
 	cl.filter = func(from, to string, m *replicationpb.Message) bool { return from != off && to != off }
-	leads := func(addr string) bool { c := cl.nodes[addr].core; return c.isHead() && c.isTail() }
+	leads := func(addr string) bool { c := cl.nodes[addr].core; return c.chain.isHead() && c.chain.isTail() }
 	cl.until(3*time.Second, "the other leads", func() bool { return leads(other) })
 	cl.until(time.Second, "the first change ends", func() bool { return cl.done[first].ID != 0 })
 	if got := cl.done[first].Outcome; got != Unknown || len(*held) == 0 {
@@ -146,7 +146,7 @@
 		cl.deliver(e)
 	}
 	cl.run(200 * time.Millisecond)
-	if note := cl.nodes[head].core.state.(*toy).note; note != "second" {
+	if note := cl.nodes[head].core.chain.state.(*toy).note; note != "second" {
 		return "the change " + note + " undoes a later one"
 	}
 	return ""
--- a/internal/system/replication/core_seal_test.go
+++ b/internal/system/replication/core_seal_test.go
@@ -37,7 +37,7 @@
 		return true
 	}
 	b := cl.nodes["b"].core
-	cl.until(3*time.Second, "a chain of a and b", func() bool { return b.acceptor.view.Epoch == 2 && cl.nodes["a"].core.isHead() })
+	cl.until(3*time.Second, "a chain of a and b", func() bool { return b.acceptor.view.Epoch == 2 && cl.nodes["a"].core.chain.isHead() })
 	change := cl.submit("a", noted("acknowledged"), 20*time.Second)
 	cl.run(300 * time.Millisecond)
 	lost = func(from, _ string) bool { return from == "a" }
@@ -50,9 +50,9 @@
 	for _, e := range accepts {
 		cl.deliver(e)
 	}
-	cl.until(5*time.Second, "c leads", func() bool { return cl.nodes["c"].core.isHead() })
+	cl.until(5*time.Second, "c leads", func() bool { return cl.nodes["c"].core.chain.isHead() })
 	cl.run(time.Second)
-	if cl.answered(change) && cl.nodes["c"].core.log.end() == 0 {
+	if cl.answered(change) && cl.nodes["c"].core.chain.log.end() == 0 {
 		return "a change was acknowledged in an epoch that counted as empty, and its successor lacks it"
 	}
 	return ""
--- a/internal/system/replication/core_sizing_test.go
+++ b/internal/system/replication/core_sizing_test.go
@@ -148,7 +148,7 @@
 				at := slices.IndexFunc(members, func(m Member) bool { return !slices.Contains(lost, m) })
 				id := cl.submit(members[at].Addr, replacing(1, "second"), 10*time.Second)
 				longest = max(longest, cl.until(5*time.Second, name+": a change", func() bool { return cl.answered(id) }))
-				if seq := cl.nodes[members[at].Addr].core.commitIndex; seq < 2 {
+				if seq := cl.nodes[members[at].Addr].core.chain.commitIndex; seq < 2 {
 					t.Errorf("%s: %d records are left", name, seq)
 				}
 				runs++
--- a/internal/system/replication/disk_writer.go
+++ b/internal/system/replication/disk_writer.go
@@ -62,6 +62,10 @@
 
 // diskWriter is what the core knows of its disk.
 type diskWriter struct {
+	*environment
+	acceptor *acceptor
+	chain    *chainReplica
+
 	op             *DiskOp
 	onDone         func(err error)
 	startedAt      time.Duration // when op began
@@ -83,8 +87,8 @@
 }
 
 // persist writes the register and then runs then, unless the process ends before.
-func (c *Core) persist(then func()) {
-	c.writer.acceptorDirty = true
+func (c *diskWriter) persist(then func()) {
+	c.acceptorDirty = true
 	if then == nil {
 		return
 	}
@@ -92,11 +96,11 @@
 		then()
 		return
 	}
-	c.writer.waiters = append(c.writer.waiters, then)
+	c.waiters = append(c.waiters, then)
 }
 
 // truncateLog drops the records above after from memory and disk.
-func (c *Core) truncateLog(after uint64) {
+func (c *chainReplica) truncateLog(after uint64) {
 	c.log.truncate(after)
 	c.matchIndex = min(c.matchIndex, after)
 	if after < c.writer.durableEnd {
@@ -107,8 +111,8 @@
 }
 
 // startWrite starts the next write.
-func (c *Core) startWrite() {
-	d := &c.writer
+func (c *diskWriter) startWrite() {
+	d := c
 	if d.op != nil || c.now < d.retryAt {
 		return
 	}
@@ -128,7 +132,7 @@
 				d.acceptorDirty, d.waiters = true, append(waiters, d.waiters...)
 				return
 			}
-			c.durableActive, c.durableSealed, c.durableEpoch = active, sealed, epoch
+			c.acceptor.durableActive, c.acceptor.durableSealed, c.acceptor.durableEpoch = active, sealed, epoch
 			for _, w := range waiters {
 				w()
 			}
@@ -150,26 +154,26 @@
 			}
 		})
 	case c.compactionDue(2) && c.startCompact(): // before more records, that wait at the end of each write under load
-	case d.appendRefused && min(c.commitIndex, d.durableEnd) > d.snapshotSeq && c.startCompact(): // the log may be full
-	case d.durableEnd < c.log.end():
+	case d.appendRefused && min(c.chain.commitIndex, d.durableEnd) > d.snapshotSeq && c.startCompact(): // the log may be full
+	case d.durableEnd < c.chain.log.end():
 		c.startAppend()
 	case c.compactionDue(1) && c.startCompact():
 	}
 }
 
 // compactionDue tells whether so many times as many records or bytes are committed on disk as a snapshot is taken after.
-func (c *Core) compactionDue(times uint64) bool {
-	d := &c.writer
-	done := min(c.commitIndex, d.durableEnd)
+func (c *diskWriter) compactionDue(times uint64) bool {
+	d := c
+	done := min(c.chain.commitIndex, d.durableEnd)
 	return done >= d.snapshotSeq+times*c.cfg.compactRecords || d.loggedBytes >= int(times)*compactThresholdBytes && done > d.snapshotSeq
 }
 
-func (c *Core) startAppend() {
-	d := &c.writer
+func (c *diskWriter) startAppend() {
+	d := c
 	var entries []wal.Entry
 	bytes := 0
-	for seq := d.durableEnd + 1; seq <= c.log.end() && bytes < 1<<20; seq++ {
-		data, err := proto.Marshal(c.log.at(seq).pb())
+	for seq := d.durableEnd + 1; seq <= c.chain.log.end() && bytes < 1<<20; seq++ {
+		data, err := proto.Marshal(c.chain.log.at(seq).pb())
 		if err != nil {
 			c.fail(errors.Wrap(err, "replication: record"))
 			return
@@ -195,19 +199,19 @@
 }
 
 // startCompact begins to write the committed state as a snapshot; false where it cannot.
-func (c *Core) startCompact() bool {
-	d := &c.writer
-	epoch, ok := c.log.epochAt(c.commitIndex)
+func (c *diskWriter) startCompact() bool {
+	d := c
+	epoch, ok := c.chain.log.epochAt(c.chain.commitIndex)
 	if !ok {
 		return false
 	}
-	snap, err := encodeImage(c.commitIndex, epoch, c.state)
+	snap, err := encodeImage(c.chain.commitIndex, epoch, c.chain.state)
 	if err != nil {
 		c.fail(err)
 		return false
 	}
 	op := &DiskOp{Kind: DiskCompact, Snapshot: snap}
-	if c.commitIndex > d.durableEnd { // it is ahead of the log on disk, and takes its place
+	if c.chain.commitIndex > d.durableEnd { // it is ahead of the log on disk, and takes its place
 		op.Kind = DiskInstall
 	}
 	c.beginWrite(op, func(err error) {
@@ -216,7 +220,7 @@
 			return
 		}
 		d.durableEnd, d.snapshotSeq, d.loggedBytes = max(d.durableEnd, snap.Seq), snap.Seq, 0
-		c.compactMemory(snap)
+		c.chain.compactMemory(snap)
 	})
 	return true
 }
@@ -225,7 +229,7 @@
 // defaultRetainedRecords records, of minRetainedBytes or twice the size of the snapshot. That much is enough for one that was sent a snapshot
 // to go on from there: while it was under way, changes took less of the link than the snapshot did, or else the link could
 // not carry the changes at all.
-func (c *Core) compactMemory(snap wal.Snapshot) {
+func (c *chainReplica) compactMemory(snap wal.Snapshot) {
 	room, keep := max(minRetainedBytes, 2*len(snap.Data)), uint64(0)
 	for seq := min(snap.Seq, c.log.end()); seq > c.log.base && keep < c.cfg.retainedRecords; seq-- {
 		if room -= c.log.at(seq).size(); room < 0 {
@@ -244,8 +248,8 @@
 	return wal.Snapshot{Seq: seq, Data: data}, nil
 }
 
-func (c *Core) beginWrite(op *DiskOp, done func(error)) {
-	d := &c.writer
+func (c *diskWriter) beginWrite(op *DiskOp, done func(error)) {
+	d := c
 	d.token++
 	op.Token = d.token
 	d.op, d.onDone, d.startedAt = op, done, c.now
@@ -255,16 +259,16 @@
 // DiskDone tells that the operation with the token has ended.
 func (c *Core) DiskDone(now time.Duration, token uint64, err error) {
 	c.advance(now)
-	if !c.finishWrite(token, err) {
+	if !c.writer.finishWrite(token, err) {
 		return
 	}
-	c.onDurableChange()
+	c.chain.onDurableChange()
 	c.flush()
 }
 
 // finishWrite takes up the result of the write that is in progress, false where it is not that of the token.
-func (c *Core) finishWrite(token uint64, err error) bool {
-	d := &c.writer
+func (c *diskWriter) finishWrite(token uint64, err error) bool {
+	d := c
 	if d.op == nil || d.op.Token != token {
 		return false
 	}
@@ -289,8 +293,8 @@
 }
 
 // superviseWrites notices a write that does not end, and asks for one when the disk may be good again.
-func (c *Core) superviseWrites() {
-	d := &c.writer
+func (c *diskWriter) superviseWrites() {
+	d := c
 	if d.op != nil && c.now-d.startedAt > c.cfg.SlowDiskTimeout {
 		d.unhealthy, d.unhealthyUntil = true, c.now+diskRetryInterval
 	}
--- a/internal/system/replication/downstream.go
+++ b/internal/system/replication/downstream.go
@@ -33,10 +33,10 @@
 func transferTime(bytes int) time.Duration { return time.Duration(bytes) * transferTimePerMB >> 20 }
 
 // canReplicate tells whether this link may hand on: it takes part, and knows since its start how far its log is the chain's.
-func (c *Core) canReplicate() bool { return c.isActive() && (c.isHead() || c.upstreamMatched) }
+func (c *chainReplica) canReplicate() bool { return c.isActive() && (c.isHead() || c.upstreamMatched) }
 
 // replicateTo hands on what the downstream keeper lacks.
-func (c *Core) replicateTo(id ID) {
+func (c *chainReplica) replicateTo(id ID) {
 	p := c.downstream[id]
 	if p == nil {
 		p = &progress{advancedAt: c.now, lastSentAt: -resendTimeout}
@@ -70,14 +70,14 @@
 }
 
 // replicationLimit is the last record that may be handed on: on disk here; to learners, committed.
-func (c *Core) replicationLimit(p *progress) uint64 {
+func (c *chainReplica) replicationLimit(p *progress) uint64 {
 	if p.learner {
 		return c.commitIndex
 	}
 	return c.durableIndex()
 }
 
-func (c *Core) sendAppend(id ID, p *progress, prev uint64, entries []*replicationpb.Entry, limit uint64) {
+func (c *chainReplica) sendAppend(id ID, p *progress, prev uint64, entries []*replicationpb.Entry, limit uint64) {
 	epoch, ok := c.log.epochAt(prev)
 	if !ok {
 		return
@@ -89,7 +89,7 @@
 	}}})
 }
 
-func (c *Core) sendInstall(id ID, p *progress) {
+func (c *chainReplica) sendInstall(id ID, p *progress) {
 	if p.snapshotInFlight && c.now < p.resendAt {
 		return
 	}
@@ -105,9 +105,9 @@
 	}}})
 }
 
-func (c *Core) handleAck(from ID, m *replicationpb.Ack) {
+func (c *chainReplica) handleAck(from ID, m *replicationpb.Ack) {
 	p := c.downstream[from]
-	if p == nil || m.GetEpoch() != c.acceptor.view.Epoch || !c.viewDurable {
+	if p == nil || m.GetEpoch() != c.acceptor.view.Epoch || !c.acceptor.viewDurable {
 		return
 	}
 	p.lastContactAt = c.now
@@ -137,7 +137,7 @@
 		if m.GetComplete() && !p.activeToTail {
 			p.activeToTail = true
 			c.sendAck()
-			c.completeChanges()
+			c.waiting.completeChanges()
 		}
 		if !p.active {
 			p.active, p.advancedAt = true, c.now
@@ -150,7 +150,7 @@
 }
 
 // locateMatch finds where the logs part.
-func (c *Core) locateMatch(p *progress, base, baseEpoch uint64, runs []*replicationpb.Run) {
+func (c *chainReplica) locateMatch(p *progress, base, baseEpoch uint64, runs []*replicationpb.Run) {
 	if joint, ok := c.log.lastCommon(base, baseEpoch, runs); ok {
 		p.next, p.match, p.matchKnown = joint+1, joint, true
 		p.snapshotInFlight = false
@@ -162,7 +162,7 @@
 	}
 }
 
-func (c *Core) handleFollow(from ID, m *replicationpb.Follow) {
+func (c *chainReplica) handleFollow(from ID, m *replicationpb.Follow) {
 	if !c.isActive() || !c.holdsAcknowledged() || m.GetEpoch() != c.acceptor.view.Epoch || c.acceptor.view.chainIndex(from) >= 0 {
 		return
 	}
@@ -191,7 +191,7 @@
 }
 
 // stalledSuccessor is the next link when it has not taken what it was sent for too long.
-func (c *Core) stalledSuccessor() ID {
+func (c *chainReplica) stalledSuccessor() ID {
 	id := c.successor()
 	p := c.downstream[id]
 	if id == "" || p == nil || !c.canReplicate() {
--- a/internal/system/replication/head_election.go
+++ b/internal/system/replication/head_election.go
@@ -20,9 +20,9 @@
 }
 
 // durableEpochsOf gives what id last said. It may have changed since, but only upwards.
-func (c *Core) durableEpochsOf(id ID) durableEpochs {
+func (c *liveness) durableEpochsOf(id ID) durableEpochs {
 	if id == c.self.ID {
-		return durableEpochs{known: true, active: c.durableActive, sealed: c.durableSealed, epoch: c.durableEpoch}
+		return durableEpochs{known: true, active: c.acceptor.durableActive, sealed: c.acceptor.durableSealed, epoch: c.acceptor.durableEpoch}
 	}
 	if p := c.peers[id]; p != nil {
 		return durableEpochs{known: true, active: p.heartbeat.GetActive(), sealed: p.heartbeat.GetSealed(), epoch: p.heartbeat.GetEpoch()}
@@ -39,11 +39,11 @@
 // anything can be acknowledged there.
 //
 // With suppose, links that could be sealed count as sealed.
-func (c *Core) mayLead(id ID, suppose bool) bool {
+func (c *planner) mayLead(id ID, suppose bool) bool {
 	if c.cfg.knobs.AllowAnyHead {
 		return true
 	}
-	x := c.durableEpochsOf(id)
+	x := c.liveness.durableEpochsOf(id)
 	if !x.known {
 		return false
 	}
@@ -56,19 +56,19 @@
 }
 
 // cannotHaveAcknowledged tells whether epoch g is known to have acknowledged nothing, provided that candidate leads next.
-func (c *Core) cannotHaveAcknowledged(g uint64, candidate ID, suppose bool) bool {
+func (c *planner) cannotHaveAcknowledged(g uint64, candidate ID, suppose bool) bool {
 	return slices.ContainsFunc(c.acceptor.view.chainOf(g), func(id ID) bool {
-		s := c.durableEpochsOf(id)
+		s := c.liveness.durableEpochsOf(id)
 		return s.known && s.active < g &&
-			(id == candidate || s.epoch > g || s.sealed == g || c.cfg.knobs.PresumeUnacknowledged || suppose && g == c.acceptor.view.Epoch && c.isAlive(id))
+			(id == candidate || s.epoch > g || s.sealed == g || c.cfg.knobs.PresumeUnacknowledged || suppose && g == c.acceptor.view.Epoch && c.liveness.isAlive(id))
 	})
 }
 
 // earlierChains lists the chains that the next view must remember.
-func (c *Core) earlierChains() map[uint64][]ID {
+func (c *planner) earlierChains() map[uint64][]ID {
 	cur := c.acceptor.view
 	out := map[uint64][]ID{}
-	if c.durableEpochsOf(cur.Tail()).active == cur.Epoch {
+	if c.liveness.durableEpochsOf(cur.Tail()).active == cur.Epoch {
 		return out // the tail is active only after all others: what was before does not matter any more
 	}
 	maps.Copy(out, cur.past)
@@ -81,7 +81,7 @@
 
 // findHead looks for a head outside the chain, when none of its links may lead: all that were active are gone. Links
 // that are not active are asked to seal the epoch when that helps.
-func (c *Core) findHead(voters []Member) []Member {
+func (c *planner) findHead(voters []Member) []Member {
 	if c.headlessSince < 0 {
 		c.headlessSince = c.now
 	}
@@ -90,14 +90,14 @@
 	}
 	for _, suppose := range []bool{false, true} {
 		for _, m := range voters {
-			if !c.isHealthy(m.ID) || !c.mayLead(m.ID, suppose) {
+			if !c.liveness.isHealthy(m.ID) || !c.mayLead(m.ID, suppose) {
 				continue
 			}
 			if !suppose {
 				return []Member{m}
 			}
 			for _, id := range c.acceptor.view.Chain {
-				if c.isAlive(id) {
+				if c.liveness.isAlive(id) {
 					c.send(id, &replicationpb.Message{Body: &replicationpb.Message_Seal{Seal: &replicationpb.Seal{Epoch: c.acceptor.view.Epoch}}})
 				}
 			}
@@ -108,17 +108,7 @@
 	return nil
 }
 
-func (c *Core) handleSeal(m *replicationpb.Seal) {
-	v := c.acceptor.view
-	if m.GetEpoch() != v.Epoch || v.chainIndex(c.self.ID) < 0 || c.acceptor.activeEpoch >= v.Epoch || c.acceptor.sealedEpoch >= v.Epoch {
-		return
-	}
-	c.acceptor.sealedEpoch = v.Epoch
-	c.logEvent("replication: sealing an epoch whose active links are gone")
-	c.persist(c.sendHeartbeats)
-}
-
 // isSealed tells whether a link has sealed the epoch, so that it needs a successor whatever else is well.
-func (c *Core) isSealed() bool {
-	return slices.ContainsFunc(c.acceptor.view.Chain, func(id ID) bool { return c.durableEpochsOf(id).sealed == c.acceptor.view.Epoch })
+func (c *planner) isSealed() bool {
+	return slices.ContainsFunc(c.acceptor.view.Chain, func(id ID) bool { return c.liveness.durableEpochsOf(id).sealed == c.acceptor.view.Epoch })
 }
--- a/internal/system/replication/invariants_test.go
+++ b/internal/system/replication/invariants_test.go
@@ -27,16 +27,16 @@
 		}
 		c := m.core
 		w.trace("machine %d %s %s frozen %v view %d %s entered %v base %d past %v active %d/%d sealed %d next %v promised %v",
-			m.name, m.member.Addr, c.self.ID, m.frozen, c.acceptor.view.Epoch, c.acceptor.view, c.viewDurable, c.acceptor.view.base, c.acceptor.view.past,
-			c.acceptor.activeEpoch, c.durableActive, c.acceptor.sealedEpoch, c.acceptor.acceptedView, c.acceptor.promised)
+			m.name, m.member.Addr, c.self.ID, m.frozen, c.acceptor.view.Epoch, c.acceptor.view, c.acceptor.viewDurable, c.acceptor.view.base, c.acceptor.view.past,
+			c.acceptor.activeEpoch, c.acceptor.durableActive, c.acceptor.sealedEpoch, c.acceptor.acceptedView, c.acceptor.promised)
 		w.trace("   log %d..%d disk %d unsure %v install %v bad %v; committed %d matched %d joined %v start %d floor %d fed %v quiet %v prop %v want %v now %v",
-			c.log.base, c.log.end(), c.writer.durableEnd, c.writer.truncateNeeded, c.writer.pendingInstall != nil, c.writer.unhealthy, c.commitIndex, c.matchIndex, c.upstreamMatched,
-			c.epochStartIndex, c.minReadIndex, c.caughtUp, c.graceUntil, c.proposal != nil, c.proposeAt, c.now)
-		for id, p := range c.downstream {
+			c.chain.log.base, c.chain.log.end(), c.writer.durableEnd, c.writer.truncateNeeded, c.writer.pendingInstall != nil, c.writer.unhealthy, c.chain.commitIndex, c.chain.matchIndex, c.chain.upstreamMatched,
+			c.chain.epochStartIndex, c.chain.minReadIndex, c.chain.caughtUp, c.liveness.graceUntil, c.proposer.proposal != nil, c.proposer.proposeAt, c.now)
+		for id, p := range c.chain.downstream {
 			w.trace("   down %s %+v", id, *p)
 		}
-		for id, p := range c.peers {
-			w.trace("   peer %s alive %v good %v since %v: %v", id, c.isAlive(id), c.isEligible(id), p.eligibleSince, p.heartbeat)
+		for id, p := range c.liveness.peers {
+			w.trace("   peer %s alive %v good %v since %v: %v", id, c.liveness.isAlive(id), c.liveness.isEligible(id), p.eligibleSince, p.heartbeat)
 		}
 	}
 	for _, p := range w.proxies {
@@ -67,7 +67,7 @@
 		w.fail(fmt.Errorf("machine %d went back from record %d to %d", m.name, m.committed, seq))
 	}
 	for s := m.committed + 1; s <= seq; s++ {
-		if s > c.log.base && s <= c.log.end() {
+		if s > c.chain.log.base && s <= c.chain.log.end() {
 			w.checkRecord(m, s)
 		}
 	}
@@ -107,7 +107,7 @@
 
 // checkRecord holds a committed record against what others have committed under its number.
 func (w *world) checkRecord(m *machine, s uint64) {
-	e := m.core.log.at(s)
+	e := m.core.chain.log.at(s)
 	id := fmt.Sprintf("%d %d %d %s %s", e.epoch, e.rec.Op, e.rec.Base, e.rec.Body, e.rec.Zone)
 	switch {
 	case s <= uint64(len(w.truth)):
@@ -132,12 +132,12 @@
 // checkActive holds what an active link has on disk against what was acknowledged up to its epoch.
 func (w *world) checkActive(m *machine) {
 	c := m.core
-	if c.durableActive == 0 || c.acceptor.activeEpoch == 0 {
+	if c.acceptor.durableActive == 0 || c.acceptor.activeEpoch == 0 {
 		return
 	}
-	i := sort.Search(len(w.epochs), func(i int) bool { return w.epochs[i] > c.durableActive })
+	i := sort.Search(len(w.epochs), func(i int) bool { return w.epochs[i] > c.acceptor.durableActive })
 	if end := m.disk.end(); end < uint64(i) {
-		w.fail(fmt.Errorf("machine %d was active in epoch %d, which has acknowledged %d records, but holds %d", m.name, c.durableActive, i, end))
+		w.fail(fmt.Errorf("machine %d was active in epoch %d, which has acknowledged %d records, but holds %d", m.name, c.acceptor.durableActive, i, end))
 	}
 }
 
@@ -153,8 +153,8 @@
 	if c == nil || w.broken != nil || !c.Current(m.clock()) {
 		return
 	}
-	if seq := w.ackedBefore(w.now - currentBound); c.commitIndex < seq {
-		w.fail(fmt.Errorf("machine %d counts as current with record %d, but %d was acknowledged over %v ago", m.name, c.commitIndex, seq, currentBound))
+	if seq := w.ackedBefore(w.now - currentBound); c.chain.commitIndex < seq {
+		w.fail(fmt.Errorf("machine %d counts as current with record %d, but %d was acknowledged over %v ago", m.name, c.chain.commitIndex, seq, currentBound))
 	}
 }
 
--- a/internal/system/replication/liveness.go
+++ b/internal/system/replication/liveness.go
@@ -16,6 +16,23 @@
 	maxPeers = 64
 )
 
+// liveness is what this node knows of its peers by their heartbeats: who is alive, who could be a chain replica, and whether a
+// change can reach the chain from here. It suspects a peer by time-out alone; nothing that must be safe rests on that.
+type liveness struct {
+	*environment
+	peers           map[ID]*peer
+	heartbeatNumber uint64 // of the last heartbeat sent
+	heartbeatSentAt [heartbeatHistory]time.Duration
+	lastHeartbeatAt time.Duration
+	graceUntil      time.Duration // until then nobody is suspected
+	chainReachedAt  time.Duration // when the chain was last reachable; not before graceUntil
+	leaving         bool
+
+	acceptor *acceptor
+	writer   *diskWriter
+	chain    *chainReplica
+}
+
 // peer is what this keeper knows of another.
 type peer struct {
 	member          Member
@@ -35,13 +52,13 @@
 }
 
 // heartbeat is what this keeper says of itself, under a number of its own, with the echoes given.
-func (c *Core) heartbeat(echoes []*replicationpb.Echo) *replicationpb.Heartbeat {
+func (c *liveness) heartbeat(echoes []*replicationpb.Echo) *replicationpb.Heartbeat {
 	c.heartbeatNumber++
 	c.heartbeatSentAt[c.heartbeatNumber%heartbeatHistory] = c.now
 	b := &replicationpb.Heartbeat{
-		Member: memberPB(c.self), Number: c.heartbeatNumber, Life: c.cfg.Incarnation, Epoch: c.durableEpoch,
-		Active: c.durableActive, Sealed: c.durableSealed, Committed: c.commitIndex, DiskBad: c.writer.unhealthy, Leaving: c.leaving,
-		Bootstrap: c.cfg.Bootstrap, Stuck: string(c.stalledSuccessor()), Observer: c.cfg.Observer, Echoes: echoes,
+		Member: memberPB(c.self), Number: c.heartbeatNumber, Life: c.cfg.Incarnation, Epoch: c.acceptor.durableEpoch,
+		Active: c.acceptor.durableActive, Sealed: c.acceptor.durableSealed, Committed: c.chain.commitIndex, DiskBad: c.writer.unhealthy, Leaving: c.leaving,
+		Bootstrap: c.cfg.Bootstrap, Stuck: string(c.chain.stalledSuccessor()), Observer: c.cfg.Observer, Echoes: echoes,
 	}
 	if c.acceptor.acceptedView != nil {
 		b.Accepted = c.acceptor.acceptedView.Epoch
@@ -50,7 +67,7 @@
 }
 
 // echoes of the members that have lately been heard. Those of an observer matter to it alone and go into the reply to it.
-func (c *Core) echoes() []*replicationpb.Echo {
+func (c *liveness) echoes() []*replicationpb.Echo {
 	var all []*replicationpb.Echo
 	for _, id := range slices.Sorted(maps.Keys(c.peers)) {
 		if !c.peers[id].heartbeat.GetObserver() {
@@ -61,7 +78,7 @@
 }
 
 // echo says which heartbeat of a peer was heard last, none where that was long ago.
-func (c *Core) echo(id ID) []*replicationpb.Echo {
+func (c *liveness) echo(id ID) []*replicationpb.Echo {
 	p := c.peers[id]
 	if c.now-p.lastContactAt >= c.suspectTimeout(p) {
 		return nil
@@ -70,7 +87,7 @@
 }
 
 // sendHeartbeats tells everyone how this keeper is. Observers are told in reply to their own heartbeats.
-func (c *Core) sendHeartbeats() {
+func (c *liveness) sendHeartbeats() {
 	c.lastHeartbeatAt = c.now
 	c.forgetPeers()
 	body := &replicationpb.Message_Heartbeat{Heartbeat: c.heartbeat(c.echoes())}
@@ -78,10 +95,10 @@
 	for _, a := range c.heartbeatTargets() {
 		c.out.Messages = append(c.out.Messages, Envelope{Addr: a, Msg: msg})
 	}
-	c.sendFollow()
+	c.chain.sendFollow()
 }
 
-func (c *Core) forgetPeers() {
+func (c *liveness) forgetPeers() {
 	for id, p := range c.peers {
 		if _, voter := c.acceptor.view.Voter(id); !voter && c.now-p.lastContactAt > peerTTL {
 			delete(c.peers, id)
@@ -90,7 +107,7 @@
 }
 
 // heartbeatTargets lists the addresses that heartbeats go to: voters, seeds and whoever was heard, but for observers.
-func (c *Core) heartbeatTargets() []string {
+func (c *liveness) heartbeatTargets() []string {
 	addrs := map[string]bool{}
 	for _, a := range c.cfg.Seeds {
 		addrs[a] = true
@@ -113,7 +130,7 @@
 	return slices.Sorted(maps.Keys(addrs))
 }
 
-func (c *Core) handleHeartbeat(from ID, b *replicationpb.Heartbeat) {
+func (c *liveness) handleHeartbeat(from ID, b *replicationpb.Heartbeat) {
 	m := memberOf(b.GetMember())
 	if m.ID != from || m.Addr == "" {
 		return
@@ -138,7 +155,7 @@
 			p.echoedAt = max(p.echoedAt, c.heartbeatSentAt[n%heartbeatHistory])
 		}
 	}
-	if b.GetEpoch() < c.acceptor.view.Epoch && c.viewDurable {
+	if b.GetEpoch() < c.acceptor.view.Epoch && c.acceptor.viewDurable {
 		c.send(from, &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(c.acceptor.view)}}})
 	}
 	c.replyToObserver(from, b)
@@ -152,7 +169,7 @@
 }
 
 // isAlive tells whether messages have lately gone both ways between this keeper and id.
-func (c *Core) isAlive(id ID) bool {
+func (c *liveness) isAlive(id ID) bool {
 	if id == c.self.ID {
 		return true
 	}
@@ -165,7 +182,7 @@
 }
 
 // isHealthy tells whether id could be a link.
-func (c *Core) isHealthy(id ID) bool {
+func (c *liveness) isHealthy(id ID) bool {
 	if id == c.self.ID {
 		return !c.writer.unhealthy && c.err == nil && !c.cfg.Observer
 	}
@@ -173,7 +190,7 @@
 }
 
 // isEligible tells whether id is fit to be a link: it works and is not about to leave.
-func (c *Core) isEligible(id ID) bool {
+func (c *liveness) isEligible(id ID) bool {
 	if id == c.self.ID {
 		return c.isHealthy(id) && !c.leaving
 	}
@@ -181,7 +198,7 @@
 }
 
 // hasContact tells whether a has lately heard b, by a's own word.
-func (c *Core) hasContact(a, b ID) bool {
+func (c *liveness) hasContact(a, b ID) bool {
 	if a == b {
 		return true
 	}
@@ -197,15 +214,15 @@
 func (c *Core) Current(now time.Duration) bool {
 	c.advance(now)
 	v := c.acceptor.view
-	if v.Epoch == 0 || !c.viewDurable || c.err != nil {
+	if v.Epoch == 0 || !c.acceptor.viewDurable || c.err != nil {
 		return false
 	}
 	window := c.currentWindow()
 	if v.chainIndex(c.self.ID) >= 0 {
-		if c.durableActive != v.Epoch || !c.holdsAcknowledged() {
+		if c.acceptor.durableActive != v.Epoch || !c.chain.holdsAcknowledged() {
 			return false
 		}
-	} else if !c.caughtUp || c.now-c.caughtUpAt > window || c.commitIndex < c.upstreamCommitIndex {
+	} else if !c.chain.caughtUp || c.now-c.chain.caughtUpAt > window || c.chain.commitIndex < c.chain.upstreamCommitIndex {
 		return false
 	}
 	if c.cfg.knobs.SkipCurrentMajority {
@@ -214,12 +231,12 @@
 	said := map[ID]string{}
 	for _, m := range v.Voters {
 		if m.ID == c.self.ID {
-			if !c.hasAcceptedLater() {
+			if !c.acceptor.hasAcceptedLater() {
 				said[m.ID] = m.Addr
 			}
 			continue
 		}
-		p := c.peers[m.ID]
+		p := c.liveness.peers[m.ID]
 		if p == nil || p.echoedAt < 0 || c.now-p.echoedAt > window || p.heartbeat.GetEpoch() != v.Epoch {
 			continue
 		}
@@ -227,5 +244,20 @@
 			said[m.ID] = m.Addr
 		}
 	}
-	return c.isQuorum(v, said)
+	return c.acceptor.isQuorum(v, said)
+}
+
+func (c *liveness) addressOf(id ID) string {
+	if p := c.peers[id]; p != nil {
+		return p.member.Addr
+	}
+	if m, ok := c.acceptor.view.Voter(id); ok {
+		return m.Addr
+	}
+	if c.acceptor.acceptedView != nil {
+		if m, ok := c.acceptor.acceptedView.Voter(id); ok {
+			return m.Addr
+		}
+	}
+	return ""
 }
--- a/internal/system/replication/observer.go
+++ b/internal/system/replication/observer.go
@@ -26,7 +26,7 @@
 )
 
 // heartbeatInterval is the time between two heartbeats of this keeper.
-func (c *Core) heartbeatInterval() time.Duration {
+func (c *liveness) heartbeatInterval() time.Duration {
 	if c.cfg.Observer {
 		return observerSlowdown * c.cfg.HeartbeatInterval
 	}
@@ -34,7 +34,7 @@
 }
 
 // suspectTimeout is the silence after which p counts as gone. Where either side is an observer, one heartbeat may be lost.
-func (c *Core) suspectTimeout(p *peer) time.Duration {
+func (c *liveness) suspectTimeout(p *peer) time.Duration {
 	if c.cfg.Observer || p.heartbeat.GetObserver() {
 		return c.cfg.SuspectTimeout + observerSlowdown*c.cfg.HeartbeatInterval
 	}
@@ -51,7 +51,7 @@
 }
 
 // observerSeeds counts the seeds that have said that they are observers.
-func (c *Core) observerSeeds() int {
+func (c *liveness) observerSeeds() int {
 	said := map[string]bool{}
 	if c.cfg.Observer {
 		said[c.self.Addr] = true
@@ -71,12 +71,12 @@
 }
 
 // noSeedHasDisk tells whether all seeds have said that they are observers.
-func (c *Core) noSeedHasDisk() bool {
+func (c *liveness) noSeedHasDisk() bool {
 	return len(c.cfg.Seeds) > 0 && c.observerSeeds() == len(slices.Compact(slices.Sorted(slices.Values(c.cfg.Seeds))))
 }
 
 // replyToObserver answers a heartbeat of an observer, which this keeper sends none by itself.
-func (c *Core) replyToObserver(from ID, b *replicationpb.Heartbeat) {
+func (c *liveness) replyToObserver(from ID, b *replicationpb.Heartbeat) {
 	if !b.GetObserver() || b.GetReply() {
 		return
 	}
@@ -86,7 +86,7 @@
 }
 
 // notifyObservers sends them a chosen view, so that they need not wait for their next heartbeat.
-func (c *Core) notifyObservers(v *View) {
+func (c *liveness) notifyObservers(v *View) {
 	for _, id := range slices.Sorted(maps.Keys(c.peers)) {
 		if c.peers[id].heartbeat.GetObserver() {
 			c.send(id, &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(v)}}})
--- a/internal/system/replication/planner.go
+++ b/internal/system/replication/planner.go
@@ -13,16 +13,28 @@
 	maxCaughtUpLag     = 64                     // records that a new link may be behind
 )
 
+// planner works out the view that this node would have instead of the present one, from what heartbeats say of the others. It
+// only proposes: what may lead is decided by mayLead, and the acceptors decide what is chosen.
+type planner struct {
+	*environment
+	headlessSince     time.Duration // when it was first seen that no chain replica may lead; negative: one may
+	seedMajoritySince time.Duration // when a majority of the seeds was first known; negative: never
+
+	acceptor *acceptor
+	liveness *liveness
+	chain    *chainReplica
+}
+
 // plan gives the view that this keeper would have instead of the present one, nil when all is well or nothing can be
 // done, and its turn among those who see the same.
-func (c *Core) plan() (*View, int) {
+func (c *planner) plan() (*View, int) {
 	cur := c.acceptor.view
 	if cur.Epoch == 0 {
 		return c.planFirst()
 	}
 	var chain []ID
 	voters, out := c.planVoters()
-	if c.hasMajorityAlive(cur.Voters) && c.hasMajorityAlive(voters) {
+	if c.liveness.hasMajorityAlive(cur.Voters) && c.liveness.hasMajorityAlive(voters) {
 		chain = c.planChain(voters, out)
 	}
 	if chain == nil {
@@ -32,14 +44,14 @@
 	if next.hasSameMembers(cur) && !c.isSealed() {
 		return nil, 0
 	}
-	next.base = c.durableEpochsOf(chain[0]).active
+	next.base = c.liveness.durableEpochsOf(chain[0]).active
 	next.past = c.earlierChains()
 	rank := 0
 	for _, m := range cur.Voters {
 		if m.ID == c.self.ID {
 			break
 		}
-		if c.isEligible(m.ID) {
+		if c.liveness.isEligible(m.ID) {
 			rank++
 		}
 	}
@@ -47,23 +59,23 @@
 }
 
 // planFirst gives the first view: of the seeds with a disk, and others up to the number of voters aimed at.
-func (c *Core) planFirst() (*View, int) {
-	for _, id := range slices.Sorted(maps.Keys(c.peers)) {
-		if c.peers[id].heartbeat.GetEpoch() > 0 {
+func (c *planner) planFirst() (*View, int) {
+	for _, id := range slices.Sorted(maps.Keys(c.liveness.peers)) {
+		if c.liveness.peers[id].heartbeat.GetEpoch() > 0 {
 			return nil, 0 // the view is on its way
 		}
 	}
 	founders := c.seedsWithDisk()
 	members := c.completeFounders(founders)
-	enough := len(founders)+c.observerSeeds() >= len(c.cfg.Seeds)
-	if c.noSeedHasDisk() {
+	enough := len(founders)+c.liveness.observerSeeds() >= len(c.cfg.Seeds)
+	if c.liveness.noSeedHasDisk() {
 		enough = len(members) >= c.cfg.targetVoters()
 	}
 	known := map[ID]string{}
 	for _, m := range founders {
 		known[m.ID] = m.Addr
 	}
-	if len(members) == 0 || !c.noSeedHasDisk() && !c.isQuorum(c.acceptor.view, known) {
+	if len(members) == 0 || !c.liveness.noSeedHasDisk() && !c.acceptor.isQuorum(c.acceptor.view, known) {
 		c.seedMajoritySince = -1
 		return nil, 0
 	}
@@ -91,13 +103,13 @@
 }
 
 // seedsWithDisk lists the seeds that may found the first view and are heard, in the order of the seeds.
-func (c *Core) seedsWithDisk() []Member {
+func (c *planner) seedsWithDisk() []Member {
 	var members []Member
 	if !c.cfg.Observer {
 		members = append(members, c.self)
 	}
-	for id, p := range c.peers {
-		if slices.Contains(c.cfg.Seeds, p.member.Addr) && p.heartbeat.GetBootstrap() && !p.heartbeat.GetObserver() && c.isAlive(id) {
+	for id, p := range c.liveness.peers {
+		if slices.Contains(c.cfg.Seeds, p.member.Addr) && p.heartbeat.GetBootstrap() && !p.heartbeat.GetObserver() && c.liveness.isAlive(id) {
 			members = append(members, p.member)
 		}
 	}
@@ -109,12 +121,12 @@
 
 // completeFounders fills up the voters of the first view with keepers that are no seeds. The view is chosen by a majority of
 // the seeds, and of its own voters as any other.
-func (c *Core) completeFounders(members []Member) []Member {
+func (c *planner) completeFounders(members []Member) []Member {
 	var others []Member
-	for _, id := range slices.Sorted(maps.Keys(c.peers)) {
-		p := c.peers[id]
+	for _, id := range slices.Sorted(maps.Keys(c.liveness.peers)) {
+		p := c.liveness.peers[id]
 		known := slices.ContainsFunc(members, func(m Member) bool { return m.Addr == p.member.Addr })
-		if !known && p.heartbeat.GetBootstrap() && p.heartbeat.GetEpoch() == 0 && c.isEligible(id) {
+		if !known && p.heartbeat.GetBootstrap() && p.heartbeat.GetEpoch() == 0 && c.liveness.isEligible(id) {
 			others = append(others, p.member)
 		}
 	}
@@ -126,7 +138,7 @@
 	return members
 }
 
-func (c *Core) hasMajorityAlive(voters []Member) bool {
+func (c *liveness) hasMajorityAlive(voters []Member) bool {
 	n := 0
 	for _, m := range voters {
 		if c.isAlive(m.ID) {
@@ -138,25 +150,25 @@
 
 // planChain picks the links: those of the present chain that work, and voters that have caught up. It is nil when no
 // chain that may acknowledge can be had.
-func (c *Core) planChain(voters []Member, out ID) []ID {
+func (c *planner) planChain(voters []Member, out ID) []ID {
 	cur := c.acceptor.view
 	stuck := map[ID]bool{}
 	for i := 0; i+1 < len(cur.Chain); i++ {
 		a, b := cur.Chain[i], cur.Chain[i+1]
 		if a == c.self.ID {
-			stuck[b] = c.stalledSuccessor() == b
-		} else if p := c.peers[a]; p != nil && c.isAlive(a) && p.heartbeat.GetEpoch() == cur.Epoch {
+			stuck[b] = c.chain.stalledSuccessor() == b
+		} else if p := c.liveness.peers[a]; p != nil && c.liveness.isAlive(a) && p.heartbeat.GetEpoch() == cur.Epoch {
 			stuck[b] = ID(p.heartbeat.GetStuck()) == b
 		}
 	}
-	links := c.remainingReplicas(out, stuck, c.isEligible)
+	links := c.remainingReplicas(out, stuck, c.liveness.isEligible)
 	if c.countHolders(links) < c.cfg.minChainLength() {
 		// Those who leave stay until enough others hold what was acknowledged.
-		links = c.remainingReplicas(out, stuck, c.isHealthy)
+		links = c.remainingReplicas(out, stuck, c.liveness.isHealthy)
 	}
 	heads := slices.DeleteFunc(slices.Clone(links), func(m Member) bool { return !c.mayLead(m.ID, false) })
-	if slices.ContainsFunc(heads, func(m Member) bool { return c.isEligible(m.ID) }) {
-		heads = slices.DeleteFunc(heads, func(m Member) bool { return !c.isEligible(m.ID) })
+	if slices.ContainsFunc(heads, func(m Member) bool { return c.liveness.isEligible(m.ID) }) {
+		heads = slices.DeleteFunc(heads, func(m Member) bool { return !c.liveness.isEligible(m.ID) })
 	}
 	if len(heads) > 0 {
 		c.headlessSince = -1
@@ -189,7 +201,7 @@
 }
 
 // remainingReplicas lists the present links that are fit to stay and hear each other.
-func (c *Core) remainingReplicas(out ID, stuck map[ID]bool, fit func(ID) bool) []Member {
+func (c *planner) remainingReplicas(out ID, stuck map[ID]bool, fit func(ID) bool) []Member {
 	var links []Member
 	for _, l := range c.acceptor.view.Chain {
 		if m, ok := c.acceptor.view.Voter(l); ok && l != out && fit(l) && !stuck[l] {
@@ -200,10 +212,10 @@
 }
 
 // countHolders counts the links that hold all that the present chain and those before it have acknowledged.
-func (c *Core) countHolders(links []Member) int {
+func (c *planner) countHolders(links []Member) int {
 	n := 0
 	for _, m := range links {
-		if c.durableEpochsOf(m.ID).active == c.acceptor.view.Epoch {
+		if c.liveness.durableEpochsOf(m.ID).active == c.acceptor.view.Epoch {
 			n++
 		}
 	}
@@ -211,10 +223,10 @@
 }
 
 // addReplicas adds voters to the links that stay: those that have caught up, and others only where too few would be left.
-func (c *Core) addReplicas(links, heads, voters []Member) []Member {
+func (c *planner) addReplicas(links, heads, voters []Member) []Member {
 	fits := func(links []Member, m Member) bool {
-		return c.acceptor.view.chainIndex(m.ID) < 0 && c.isEligible(m.ID) &&
-			!slices.ContainsFunc(links, func(l Member) bool { return !c.hasContact(l.ID, m.ID) || !c.hasContact(m.ID, l.ID) })
+		return c.acceptor.view.chainIndex(m.ID) < 0 && c.liveness.isEligible(m.ID) &&
+			!slices.ContainsFunc(links, func(l Member) bool { return !c.liveness.hasContact(l.ID, m.ID) || !c.liveness.hasContact(m.ID, l.ID) })
 	}
 	for more := true; more && len(links) < c.cfg.targetChainLength(); {
 		links, more = c.cfg.addBestSpread(links, voters, func(m Member) bool { return fits(links, m) && c.isCaughtUp(m.ID) })
@@ -245,13 +257,13 @@
 }
 
 // mutuallyReachable drops links until all that are left hear each other.
-func (c *Core) mutuallyReachable(links []Member) []Member {
+func (c *planner) mutuallyReachable(links []Member) []Member {
 	for {
 		worst, most := -1, 0
 		for i, a := range links {
 			n := 0
 			for _, b := range links {
-				if !c.hasContact(a.ID, b.ID) || !c.hasContact(b.ID, a.ID) {
+				if !c.liveness.hasContact(a.ID, b.ID) || !c.liveness.hasContact(b.ID, a.ID) {
 					n += 2
 				}
 			}
@@ -270,17 +282,17 @@
 }
 
 // isCaughtUp tells whether a keeper outside the chain has nearly all that is committed.
-func (c *Core) isCaughtUp(id ID) bool {
+func (c *planner) isCaughtUp(id ID) bool {
 	if id == c.self.ID {
-		return c.caughtUp
+		return c.chain.caughtUp
 	}
-	p := c.peers[id]
+	p := c.liveness.peers[id]
 	if p == nil || p.eligibleSince < 0 || c.now-p.eligibleSince < minEligibleTime || p.heartbeat.GetEpoch() != c.acceptor.view.Epoch {
 		return false
 	}
-	most := c.commitIndex
+	most := c.chain.commitIndex
 	for _, l := range c.acceptor.view.Chain {
-		if q := c.peers[l]; q != nil && c.isAlive(l) {
+		if q := c.liveness.peers[l]; q != nil && c.liveness.isAlive(l) {
 			most = max(most, q.heartbeat.GetCommitted())
 		}
 	}
--- a/internal/system/replication/reach.go
+++ b/internal/system/replication/reach.go
@@ -14,19 +14,19 @@
 // for, however long it takes. What is asked for while Partitioned is true can thus be taken only if the way comes back meanwhile.
 func (c *Core) Partitioned(now time.Duration) bool {
 	c.advance(now)
-	c.observeReach()
-	return c.now-c.chainReachedAt >= c.cfg.SuspectTimeout*partitionedNumerator/partitionedDenominator
+	c.liveness.observeReach()
+	return c.now-c.liveness.chainReachedAt >= c.cfg.SuspectTimeout*partitionedNumerator/partitionedDenominator
 }
 
 // observeReach notes when there was last a way to the chain.
-func (c *Core) observeReach() {
+func (c *liveness) observeReach() {
 	if c.reachesChain() {
 		c.chainReachedAt = max(c.chainReachedAt, c.now)
 	}
 }
 
 // reachesChain tells whether a change asked for here may be taken by the present chain, or by one that a repair makes.
-func (c *Core) reachesChain() bool {
+func (c *liveness) reachesChain() bool {
 	v := c.acceptor.view
 	if v.Epoch == 0 { // whoever answers may tell of a view
 		for id := range c.peers {
@@ -40,7 +40,7 @@
 }
 
 // reachesHead tells whether this keeper exchanges messages with the head, or as the head with the link after it.
-func (c *Core) reachesHead(v *View) bool {
+func (c *liveness) reachesHead(v *View) bool {
 	if v.Head() != c.self.ID {
 		return c.isAlive(v.Head())
 	}
@@ -48,12 +48,12 @@
 }
 
 // reachesMajority tells whether this keeper exchanges messages with a majority of the voters, itself among them if it votes.
-func (c *Core) reachesMajority(v *View) bool {
+func (c *liveness) reachesMajority(v *View) bool {
 	reached := map[ID]string{}
 	for _, m := range v.Voters {
 		if c.isAlive(m.ID) {
 			reached[m.ID] = m.Addr
 		}
 	}
-	return c.isQuorum(v, reached)
+	return c.acceptor.isQuorum(v, reached)
 }
--- a/internal/system/replication/repair_test.go
+++ b/internal/system/replication/repair_test.go
@@ -121,18 +121,17 @@
 // TestAChangeOfVotersNeedsBothMajorities: so that a majority of the next register's voters knows the view it starts from.
 func TestAChangeOfVotersNeedsBothMajorities(t *testing.T) {
 	a, b, x, y := Member{ID: "a"}, Member{ID: "b"}, Member{ID: "x"}, Member{ID: "y"}
-	c := &Core{cfg: Config{}, acceptor: acceptorState{view: &View{}}}
-	c.cfg.applyDefaults()
+	c := newCore(Config{}, toyMachine{})
 	cur := &View{Epoch: 1, Voters: []Member{a, x, y}}
 	c.acceptor.view = cur
 	next := &View{Epoch: 2, Voters: []Member{a, b, x, y}}
-	c.proposal = &proposal{current: cur, value: next, acceptedBy: map[ID]string{}}
-	c.recordAccepted("a", "")
-	c.recordAccepted("x", "")
+	c.proposer.proposal = &proposal{current: cur, value: next, acceptedBy: map[ID]string{}}
+	c.proposer.recordAccepted("a", "")
+	c.proposer.recordAccepted("x", "")
 	if c.acceptor.view != cur {
 		t.Fatal("chosen by half of the new voters")
 	}
-	c.recordAccepted("b", "")
+	c.proposer.recordAccepted("b", "")
 	if c.acceptor.view != next {
 		t.Fatal("not chosen by both majorities")
 	}
--- a/internal/system/replication/restore.go
+++ b/internal/system/replication/restore.go
@@ -26,9 +26,9 @@
 	if err != nil {
 		return nil, err
 	}
-	s := c.state
-	for seq := c.commitIndex + 1; seq <= c.log.end(); seq++ {
-		if s, err = s.Apply(c.log.at(seq).rec); err != nil {
+	s := c.chain.state
+	for seq := c.chain.commitIndex + 1; seq <= c.chain.log.end(); seq++ {
+		if s, err = s.Apply(c.chain.log.at(seq).rec); err != nil {
 			return nil, errors.Wrapf(err, "replication: record %d cannot be applied", seq)
 		}
 	}
@@ -40,12 +40,12 @@
 }
 
 // longestLogs lists those of the members with the longest log: before the first view, what was restored.
-func (c *Core) longestLogs(members []Member) []Member {
+func (c *planner) longestLogs(members []Member) []Member {
 	held := func(m Member) uint64 {
 		if m.ID == c.self.ID {
-			return c.commitIndex
+			return c.chain.commitIndex
 		}
-		if p := c.peers[m.ID]; p != nil {
+		if p := c.liveness.peers[m.ID]; p != nil {
 			return p.heartbeat.GetCommitted()
 		}
 		return 0
@@ -61,7 +61,7 @@
 // that. What was restored here is no part of the chain's log, which may have begun with something else, or with nothing;
 // records are compared by number and epoch only, and below a snapshot not at all. The log is empty on disk before the view
 // is there, so that no restart comes between.
-func (c *Core) discardRestoredLog(v *View) bool {
+func (c *chainReplica) discardRestoredLog(v *View) bool {
 	if c.acceptor.view.Epoch > 0 || v.Head() == c.self.ID {
 		return false
 	}
--- a/internal/system/replication/sim_hardening_away_test.go
+++ b/internal/system/replication/sim_hardening_away_test.go
@@ -97,7 +97,7 @@
 		out.err = fmt.Errorf("there is no %s", role)
 		return out
 	}
-	held := m.core.commitIndex
+	held := m.core.chain.commitIndex
 	back := awayModes[mode](w, m)
 	w.writeUnless(n+5, 50*time.Millisecond, m)
 	out.missed = w.acked - held
@@ -107,7 +107,7 @@
 		}
 		for _, o := range w.nodes {
 			if o.up() {
-				out.longest = max(out.longest, len(o.core.log.entries))
+				out.longest = max(out.longest, len(o.core.chain.log.entries))
 			}
 		}
 	}
@@ -142,7 +142,7 @@
 		if m.core != nil && !m.frozen && m.core.Current(m.clock()) {
 			current = w.now
 		}
-		is := m.core != nil && m.core.commitIndex >= max(target, w.ackedBefore(w.now-time.Second)) && w.now-current < 500*time.Millisecond
+		is := m.core != nil && m.core.chain.commitIndex >= max(target, w.ackedBefore(w.now-time.Second)) && w.now-current < 500*time.Millisecond
 		if !is || !was {
 			at = w.now
 		}
--- a/internal/system/replication/sim_hardening_cut_test.go
+++ b/internal/system/replication/sim_hardening_cut_test.go
@@ -86,7 +86,7 @@
 	out.changes = w.stats.accepted - before
 	ended := w.now
 	w.runWhile(2*backBound, func() bool {
-		return m.core == nil || !m.core.Current(m.clock()) || m.core.commitIndex < w.ackedBefore(ended)
+		return m.core == nil || !m.core.Current(m.clock()) || m.core.chain.commitIndex < w.ackedBefore(ended)
 	})
 	out.back = w.now - ended
 	w.runUntil(ended + 5*time.Second)
--- a/internal/system/replication/sim_hardening_leave_test.go
+++ b/internal/system/replication/sim_hardening_leave_test.go
@@ -33,7 +33,7 @@
 // checkLeft: who has left goes without anything being lost, since enough others hold all that was acknowledged.
 func (w *world) checkLeft(m *machine) {
 	c := m.core
-	if c == nil || !c.leaving || m.watcher || w.now-w.lostAt < 3*time.Second || !c.Departed() || c.acceptor.view.Epoch == 0 {
+	if c == nil || !c.liveness.leaving || m.watcher || w.now-w.lostAt < 3*time.Second || !c.Departed() || c.acceptor.view.Epoch == 0 {
 		return
 	}
 	holders := 0
@@ -122,16 +122,16 @@
 // TestALeaverDoesNotCountSilentLinks: what a link said of itself long ago does not tell that its disk is still there.
 func TestALeaverDoesNotCountSilentLinks(t *testing.T) {
 	v := &View{Epoch: 3, Chain: []ID{"a", "b"}, Voters: []Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
-	c := &Core{cfg: Config{MachineLosses: 1}, acceptor: acceptorState{identity: Member{ID: "c"}, view: v}, peers: map[ID]*peer{}}
-	c.cfg.applyDefaults()
+	c := newCore(Config{MachineLosses: 1, Self: Member{ID: "c"}}, toyMachine{})
+	c.acceptor.view = v
 	for _, id := range v.Chain {
-		c.peers[id] = &peer{member: Member{ID: id}, heartbeat: &replicationpb.Heartbeat{Epoch: 3, Active: 3}}
+		c.liveness.peers[id] = &peer{member: Member{ID: id}, heartbeat: &replicationpb.Heartbeat{Epoch: 3, Active: 3}}
 	}
 	if !c.Departed() {
 		t.Error("two links that are alive hold all, and the leaver does not go")
 	}
 	c.now = 20 * time.Second
-	c.peers["a"].lastContactAt, c.peers["a"].echoedAt = c.now, c.now
+	c.liveness.peers["a"].lastContactAt, c.liveness.peers["a"].echoedAt = c.now, c.now
 	if c.Departed() {
 		t.Error("one of two links is silent, and the leaver goes")
 	}
--- a/internal/system/replication/sim_hardening_operators_test.go
+++ b/internal/system/replication/sim_hardening_operators_test.go
@@ -74,7 +74,7 @@
 	w.powerAll(fault{})
 	w.runUntil(w.now + 5*time.Second)
 	for _, m := range w.nodes {
-		if m.up() && m.core.log.base > raced {
+		if m.up() && m.core.chain.log.base > raced {
 			out.snapshots++
 		}
 	}
--- a/internal/system/replication/sim_machine_test.go
+++ b/internal/system/replication/sim_machine_test.go
@@ -174,7 +174,7 @@
 			core.acceptor.promised, core.acceptor.accepted, core.acceptor.acceptedView = proposalNumber{}, proposalNumber{}, nil
 			core.acceptor.view, core.acceptor.activeEpoch = &View{}, 0
 			core.writer.acceptorDirty, core.writer.op = true, nil
-			core.startWrite()
+			core.writer.startWrite()
 			m.disk = plate{meta: map[string][]byte{}}
 			m.disk.do(core.writer.op, 0)
 		}
--- a/internal/system/replication/sim_operators_test.go
+++ b/internal/system/replication/sim_operators_test.go
@@ -78,7 +78,7 @@
 		w.answer(a, Completion{Outcome: Refused})
 		return
 	}
-	a.change.Base = int64(core.commitIndex)
+	a.change.Base = int64(core.chain.commitIndex)
 	read := &asked{at: m, read: true, acked: max(w.acked, w.seen)}
 	read.inside = func(d Completion) {
 		if d.Outcome != Answered {
--- a/internal/system/replication/sim_proxies_test.go
+++ b/internal/system/replication/sim_proxies_test.go
@@ -172,7 +172,7 @@
 	}
 	current := m.core.Current(m.clock())
 	m.polls = slices.DeleteFunc(m.polls, func(p *poll) bool {
-		if current && m.core.commitIndex <= p.seq && m.w.now < p.until {
+		if current && m.core.chain.commitIndex <= p.seq && m.w.now < p.until {
 			return false
 		}
 		p.reply(m.answerPoll(p, current))
--- a/internal/system/replication/sim_test.go
+++ b/internal/system/replication/sim_test.go
@@ -109,8 +109,8 @@
 		if m.up() && !m.core.Current(m.clock()) {
 			w.fail(fmt.Errorf("machine %d is not current", m.name))
 		}
-		if m.up() && m.core.commitIndex != uint64(len(w.truth)) {
-			w.fail(fmt.Errorf("machine %d has %d of %d records", m.name, m.core.commitIndex, len(w.truth)))
+		if m.up() && m.core.chain.commitIndex != uint64(len(w.truth)) {
+			w.fail(fmt.Errorf("machine %d has %d of %d records", m.name, m.core.chain.commitIndex, len(w.truth)))
 		}
 	}
 	for _, p := range w.proxies {
--- a/internal/system/replication/upstream.go
+++ b/internal/system/replication/upstream.go
@@ -9,17 +9,17 @@
 // This file is the receiving side of the chain: links and learners take what the one upstream hands on.
 
 // isUpstream tells whether id feeds this keeper in the epoch.
-func (c *Core) isUpstream(id ID, epoch uint64, learner bool) bool {
+func (c *chainReplica) isUpstream(id ID, epoch uint64, learner bool) bool {
 	if c.err != nil {
 		return false
 	}
 	if c.cfg.knobs.AcceptAnyEpoch && epoch < c.acceptor.view.Epoch && !learner {
-		return c.viewDurable
+		return c.acceptor.viewDurable
 	}
-	if epoch < c.acceptor.view.Epoch && c.viewDurable {
+	if epoch < c.acceptor.view.Epoch && c.acceptor.viewDurable {
 		c.send(id, &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(c.acceptor.view)}}})
 	}
-	if epoch != c.acceptor.view.Epoch || !c.viewDurable {
+	if epoch != c.acceptor.view.Epoch || !c.acceptor.viewDurable {
 		return false
 	}
 	if c.acceptor.view.chainIndex(c.self.ID) >= 0 {
@@ -28,14 +28,14 @@
 	return learner && c.acceptor.view.chainIndex(id) >= 0
 }
 
-func (c *Core) sendMismatch(to ID) {
+func (c *chainReplica) sendMismatch(to ID) {
 	base, baseEpoch, runs := c.log.runs()
 	c.send(to, &replicationpb.Message{Body: &replicationpb.Message_Ack{Ack: &replicationpb.Ack{
 		Epoch: c.acceptor.view.Epoch, Mismatch: true, Base: base, BaseEpoch: baseEpoch, Runs: runs,
 	}}})
 }
 
-func (c *Core) handleAppend(from ID, m *replicationpb.Append) {
+func (c *chainReplica) handleAppend(from ID, m *replicationpb.Append) {
 	if !c.isUpstream(from, m.GetEpoch(), m.GetLearner()) {
 		return
 	}
@@ -73,8 +73,8 @@
 	c.matchIndex, c.upstreamMatched = max(c.matchIndex, min(last, c.log.end())), true
 	if m.GetLearner() {
 		// What was under way while this process stood still says nothing of now.
-		if n := m.GetFollow(); n <= c.heartbeatNumber && n+heartbeatHistory > c.heartbeatNumber {
-			c.caughtUp, c.caughtUpAt = true, max(c.caughtUpAt, c.heartbeatSentAt[n%heartbeatHistory])
+		if n := m.GetFollow(); n <= c.liveness.heartbeatNumber && n+heartbeatHistory > c.liveness.heartbeatNumber {
+			c.caughtUp, c.caughtUpAt = true, max(c.caughtUpAt, c.liveness.heartbeatSentAt[n%heartbeatHistory])
 		}
 		c.upstreamCommitIndex = max(c.upstreamCommitIndex, m.GetCommitted())
 		c.advanceCommitIndex(min(c.upstreamCommitIndex, c.matchIndex, c.writer.durableEnd))
@@ -95,23 +95,23 @@
 }
 
 // tryActivate makes this link active once all of its predecessor's log from before the epoch is on its disk.
-func (c *Core) tryActivate() {
+func (c *chainReplica) tryActivate() {
 	v := c.acceptor.view
-	if !c.viewDurable || c.err != nil || c.acceptor.activeEpoch == v.Epoch || c.acceptor.sealedEpoch == v.Epoch || !c.upstreamMatched || c.predecessor() == "" {
+	if !c.acceptor.viewDurable || c.err != nil || c.acceptor.activeEpoch == v.Epoch || c.acceptor.sealedEpoch == v.Epoch || !c.upstreamMatched || c.predecessor() == "" {
 		return
 	}
 	if c.matchIndex < c.epochStartIndex || c.writer.durableEnd < c.epochStartIndex || c.writer.truncateNeeded || c.writer.pendingInstall != nil {
 		return
 	}
 	c.acceptor.activeEpoch, c.minReadIndex = v.Epoch, max(c.minReadIndex, c.epochStartIndex)
-	c.persist(func() {
+	c.writer.persist(func() {
 		if c.acceptor.view == v {
 			c.onDurableChange()
 		}
 	})
 }
 
-func (c *Core) handleInstall(from ID, m *replicationpb.Install) {
+func (c *chainReplica) handleInstall(from ID, m *replicationpb.Install) {
 	if !c.isUpstream(from, m.GetEpoch(), m.GetLearner()) || c.isActive() || m.GetSeq() <= c.commitIndex {
 		return
 	}
@@ -128,28 +128,28 @@
 	// What was here may have been acknowledged, and is gone until the records above the snapshot come: this log does
 	// not stand for earlier epochs any more.
 	c.acceptor.activeEpoch = 0
-	c.persist(nil)
+	c.writer.persist(nil)
 	c.log = memoryLog{base: m.GetSeq(), baseEpoch: m.GetSeqEpoch()}
 	c.state, c.commitIndex, c.matchIndex = s, m.GetSeq(), m.GetSeq()
 	c.writer.pendingInstall, c.writer.durableEnd, c.writer.truncateNeeded = &snap, 0, false
-	c.completeReads()
+	c.waiting.completeReads()
 	c.send(from, &replicationpb.Message{Body: &replicationpb.Message_Ack{Ack: &replicationpb.Ack{Epoch: m.GetEpoch(), Matched: m.GetSeq()}}})
 }
 
 // sendFollow asks a link for what is committed, when this keeper is outside the chain.
-func (c *Core) sendFollow() {
+func (c *chainReplica) sendFollow() {
 	v := c.acceptor.view
-	if v.Epoch == 0 || !c.viewDurable || v.chainIndex(c.self.ID) >= 0 {
+	if v.Epoch == 0 || !c.acceptor.viewDurable || v.chainIndex(c.self.ID) >= 0 {
 		return
 	}
 	for i := len(v.Chain) - 1; i >= 0; i-- {
 		id := v.Chain[i]
-		if p := c.peers[id]; p == nil || !c.isAlive(id) || p.heartbeat.GetActive() != v.Epoch {
+		if p := c.liveness.peers[id]; p == nil || !c.liveness.isAlive(id) || p.heartbeat.GetActive() != v.Epoch {
 			continue
 		}
 		base, baseEpoch, runs := c.log.runs()
 		c.send(id, &replicationpb.Message{Body: &replicationpb.Message_Follow{Follow: &replicationpb.Follow{
-			Epoch: v.Epoch, Base: base, BaseEpoch: baseEpoch, Runs: runs, Number: c.heartbeatNumber,
+			Epoch: v.Epoch, Base: base, BaseEpoch: baseEpoch, Runs: runs, Number: c.liveness.heartbeatNumber,
 		}}})
 		return
 	}
--- a/internal/system/replication/view.go
+++ b/internal/system/replication/view.go
@@ -123,26 +123,6 @@
 	}
 }
 
-type proposalNumber struct {
-	round uint64
-	id    ID
-}
-
-func (b proposalNumber) less(o proposalNumber) bool {
-	return b.round < o.round || b.round == o.round && b.id < o.id
-}
-
-// acceptorState is the durable state of an acceptorState and link.
-type acceptorState struct {
-	identity     Member
-	view         *View          // newest chosen view known
-	activeEpoch  uint64         // newest epoch in which this link held all that its predecessor did
-	sealedEpoch  uint64         // epoch in which it will never be active
-	promised     proposalNumber // for the epoch after view's
-	accepted     proposalNumber
-	acceptedView *View // accepted, perhaps chosen
-}
-
 func memberPB(m Member) *replicationpb.Member {
 	return &replicationpb.Member{Id: string(m.ID), Addr: m.Addr, Zone: m.Zone, Region: m.Region}
 }
@@ -194,29 +174,3 @@
 	}
 	return v
 }
-
-func proposalNumberPB(b proposalNumber) *replicationpb.Ballot {
-	return &replicationpb.Ballot{Round: b.round, Id: string(b.id)}
-}
-
-func proposalNumberOf(b *replicationpb.Ballot) proposalNumber {
-	return proposalNumber{round: b.GetRound(), id: ID(b.GetId())}
-}
-
-func (r *acceptorState) pb() *replicationpb.Register {
-	return &replicationpb.Register{
-		Self: memberPB(r.identity), View: viewPB(r.view), Active: r.activeEpoch, Sealed: r.sealedEpoch,
-		Promised: proposalNumberPB(r.promised), Accepted: proposalNumberPB(r.accepted), AcceptedView: viewPB(r.acceptedView),
-	}
-}
-
-func acceptorStateOf(p *replicationpb.Register) acceptorState {
-	r := acceptorState{
-		identity: memberOf(p.GetSelf()), view: viewOf(p.GetView()), activeEpoch: p.GetActive(), sealedEpoch: p.GetSealed(),
-		promised: proposalNumberOf(p.GetPromised()), accepted: proposalNumberOf(p.GetAccepted()), acceptedView: viewOf(p.GetAcceptedView()),
-	}
-	if r.view == nil {
-		r.view = &View{}
-	}
-	return r
-}
--- a/internal/system/replication/voter_planner.go
+++ b/internal/system/replication/voter_planner.go
@@ -13,7 +13,7 @@
 
 // planVoters takes in one joiner at most: in the place of a voter that is lost, as one more, or in the place of a voter
 // that works where the voters do not bear the loss of a zone. It gives the voter whose place is taken.
-func (c *Core) planVoters() (voters []Member, out ID) {
+func (c *planner) planVoters() (voters []Member, out ID) {
 	voters = slices.Clone(c.acceptor.view.Voters)
 	joiners := c.joiners()
 	if len(joiners) == 0 {
@@ -32,15 +32,15 @@
 }
 
 // joiners lists the keepers that could become voters, by identity; where no voter may lead, those that may.
-func (c *Core) joiners() []Member {
+func (c *planner) joiners() []Member {
 	var all, heads []Member
-	for _, id := range slices.Sorted(maps.Keys(c.peers)) {
-		if _, ok := c.acceptor.view.Voter(id); ok || !c.isEligible(id) || c.peers[id].eligibleSince < 0 {
+	for _, id := range slices.Sorted(maps.Keys(c.liveness.peers)) {
+		if _, ok := c.acceptor.view.Voter(id); ok || !c.liveness.isEligible(id) || c.liveness.peers[id].eligibleSince < 0 {
 			continue
 		}
-		all = append(all, c.peers[id].member)
+		all = append(all, c.liveness.peers[id].member)
 		if c.headlessSince >= 0 && c.mayLead(id, true) {
-			heads = append(heads, c.peers[id].member)
+			heads = append(heads, c.liveness.peers[id].member)
 		}
 	}
 	if len(heads) > 0 {
@@ -51,14 +51,14 @@
 
 // replacement finds a voter that is lost and the joiner that takes its place: at its machine's address, or else where it
 // leaves the voters spread best.
-func (c *Core) replacement(joiners []Member) (place int, in Member, ok bool) {
+func (c *planner) replacement(joiners []Member) (place int, in Member, ok bool) {
 	voters := c.acceptor.view.Voters
 	for _, j := range joiners {
-		if i := slices.IndexFunc(voters, func(m Member) bool { return m.Addr == j.Addr && !c.isAlive(m.ID) }); i >= 0 {
+		if i := slices.IndexFunc(voters, func(m Member) bool { return m.Addr == j.Addr && !c.liveness.isAlive(m.ID) }); i >= 0 {
 			return i, j, true
 		}
 	}
-	if place, in, ok = c.bestSwap(voters, joiners, c.isLost); ok {
+	if place, in, ok = c.bestSwap(voters, joiners, c.liveness.isLost); ok {
 		return place, in, true
 	}
 	if c.headlessSince >= 0 && len(voters) >= c.cfg.targetVoters() && c.mayLead(joiners[0].ID, true) {
@@ -69,14 +69,14 @@
 }
 
 // isLost tells whether a voter was not heard for long.
-func (c *Core) isLost(m Member) bool {
+func (c *liveness) isLost(m Member) bool {
 	p := c.peers[m.ID]
 	return m.ID != c.self.ID && !c.isAlive(m.ID) && (p == nil || c.now-p.lastContactAt > replaceVoterTimeout)
 }
 
 // bestSwap finds the voter, of those that may go, and the joiner in its place that leave the voters spread best; the
 // first of those that are alike.
-func (c *Core) bestSwap(voters, joiners []Member, mayGo func(Member) bool) (place int, in Member, ok bool) {
+func (c *planner) bestSwap(voters, joiners []Member, mayGo func(Member) bool) (place int, in Member, ok bool) {
 	var best spread
 	for i, m := range voters {
 		if !mayGo(m) {
@@ -95,11 +95,11 @@
 
 // rebalanced puts a joiner in the place of a voter that works, where the loss of a zone or region would take the
 // majority and this makes it smaller. It never takes the head, nor a link that the chain cannot spare.
-func (c *Core) rebalanced(voters, joiners []Member) ([]Member, ID) {
+func (c *planner) rebalanced(voters, joiners []Member) ([]Member, ID) {
 	if c.cfg.votersTolerateLosses(voters) || c.headlessSince >= 0 || !c.isStable() {
 		return voters, ""
 	}
-	joiners = slices.DeleteFunc(joiners, func(m Member) bool { return c.now-c.peers[m.ID].eligibleSince < minRebalanceEligibleTime })
+	joiners = slices.DeleteFunc(joiners, func(m Member) bool { return c.now-c.liveness.peers[m.ID].eligibleSince < minRebalanceEligibleTime })
 	chain := c.acceptor.view.Chain
 	place, in, ok := c.bestSwap(voters, joiners, func(m Member) bool {
 		return m.ID != c.acceptor.view.Head() && (c.acceptor.view.chainIndex(m.ID) < 0 || len(chain) > c.cfg.minChainLength())
@@ -116,8 +116,8 @@
 }
 
 // isStable tells whether every voter is good and every link active in the present epoch.
-func (c *Core) isStable() bool {
+func (c *planner) isStable() bool {
 	v := c.acceptor.view
-	return !slices.ContainsFunc(v.Voters, func(m Member) bool { return !c.isEligible(m.ID) }) &&
-		!slices.ContainsFunc(v.Chain, func(id ID) bool { return c.durableEpochsOf(id).active != v.Epoch })
+	return !slices.ContainsFunc(v.Voters, func(m Member) bool { return !c.liveness.isEligible(m.ID) }) &&
+		!slices.ContainsFunc(v.Chain, func(id ID) bool { return c.liveness.durableEpochsOf(id).active != v.Epoch })
 }
