--- a/internal/system/replication/chain_replica.go
+++ b/internal/system/replication/chain_replica.go
@@ -1,13 +1,16 @@
 package replication
 
 import (
+	"fmt"
 	"maps"
 	"slices"
 	"time"
 
 	"github.com/cockroachdb/errors"
+	"google.golang.org/protobuf/proto"
 
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
+	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
 const (
@@ -222,3 +225,32 @@
 		c.replicateTo(id)
 	}
 }
+
+func (c *chainReplica) loadLog(snap wal.Snapshot, entries []wal.Entry) error {
+	if snap.Seq > 0 {
+		var p replicationpb.Image
+		if err := proto.Unmarshal(snap.Data, &p); err != nil {
+			return damagedDataError(err, "the snapshot")
+		}
+		s, err := c.machine.Decode(p.GetState())
+		if err != nil {
+			return damagedDataError(err, "the snapshot")
+		}
+		c.state, c.commitIndex = s, snap.Seq
+		c.log.base, c.log.baseEpoch = snap.Seq, p.GetEpoch()
+		c.writer.snapshotSeq = snap.Seq
+	}
+	for _, e := range entries {
+		if e.Seq <= c.log.end() {
+			continue
+		}
+		var p replicationpb.Entry
+		if err := proto.Unmarshal(e.Data, &p); err != nil || p.GetSeq() != c.log.end()+1 {
+			return damagedDataError(err, fmt.Sprintf("record %d", e.Seq))
+		}
+		c.log.entries = append(c.log.entries, entryOf(&p))
+		c.writer.loggedBytes += len(e.Data)
+	}
+	c.writer.durableEnd = c.log.end()
+	return nil
+}
--- a/internal/system/replication/client_calls.go
+++ b/internal/system/replication/client_calls.go
@@ -68,14 +68,6 @@
 	return ch.Op == controlstate.OpReplace || ch.Op == controlstate.OpAmend
 }
 
-// Submit asks for a change. A Completion with id follows within ttl.
-func (c *Core) Submit(now time.Duration, id uint64, ch controlstate.Change, ttl time.Duration) {
-	c.advance(now)
-	if c.calls.startSubmit(id, ch, ttl) {
-		c.flush()
-	}
-}
-
 // startSubmit takes up a change asked for here; where too many are pending it completes it as Refused and gives false.
 func (c *clientCalls) startSubmit(id uint64, ch controlstate.Change, ttl time.Duration) bool {
 	if len(c.submits) >= maxPendingCalls {
@@ -88,12 +80,6 @@
 	return true
 }
 
-// Abandon ends a Submit or Read without a Completion: nobody waits for it. It is not sent again; what was sent may yet come
-// about.
-func (c *Core) Abandon(id uint64) {
-	c.calls.abandonCall(id)
-}
-
 func (c *clientCalls) abandonCall(id uint64) {
 	delete(c.submits, id)
 	delete(c.reads, id)
--- a/internal/system/replication/core.go
+++ b/internal/system/replication/core.go
@@ -1,7 +1,6 @@
 package replication
 
 import (
-	"fmt"
 	"math/rand/v2"
 	"time"
 
@@ -121,67 +120,6 @@
 	return c, nil
 }
 
-func (c *chainReplica) loadLog(snap wal.Snapshot, entries []wal.Entry) error {
-	if snap.Seq > 0 {
-		var p replicationpb.Image
-		if err := proto.Unmarshal(snap.Data, &p); err != nil {
-			return damagedDataError(err, "the snapshot")
-		}
-		s, err := c.machine.Decode(p.GetState())
-		if err != nil {
-			return damagedDataError(err, "the snapshot")
-		}
-		c.state, c.commitIndex = s, snap.Seq
-		c.log.base, c.log.baseEpoch = snap.Seq, p.GetEpoch()
-		c.writer.snapshotSeq = snap.Seq
-	}
-	for _, e := range entries {
-		if e.Seq <= c.log.end() {
-			continue
-		}
-		var p replicationpb.Entry
-		if err := proto.Unmarshal(e.Data, &p); err != nil || p.GetSeq() != c.log.end()+1 {
-			return damagedDataError(err, fmt.Sprintf("record %d", e.Seq))
-		}
-		c.log.entries = append(c.log.entries, entryOf(&p))
-		c.writer.loggedBytes += len(e.Data)
-	}
-	c.writer.durableEnd = c.log.end()
-	return nil
-}
-
-// damagedDataError marks what the disk gave back whole but is not what a keeper writes: it is as good as damaged.
-func damagedDataError(err error, what string) error {
-	if err == nil {
-		err = errors.New("its number is not the next one")
-	}
-	return errors.Mark(errors.Wrapf(err, "replication: %s on disk cannot be read: put the log aside and start under a new identity", what), wal.ErrDamaged)
-}
-
-// Self is this keeper; its ID is the one on disk.
-func (c *Core) Self() Member { return c.self }
-
-// View is the newest view known.
-func (c *Core) View() *View { return c.acceptor.view }
-
-// Committed is the newest number known to be committed and the state after it.
-func (c *Core) Committed() (uint64, State) { return c.chain.commitIndex, c.chain.state }
-
-// Err tells why the core has stopped taking part: a bug or a disk that lies. It is nil as long as all is well.
-func (c *Core) Err() error { return c.err }
-
-// RecordsAfter lists the committed records after seq, at most of them; false where they are no longer or not yet known.
-func (c *Core) RecordsAfter(seq uint64, most int) ([]controlstate.Record, bool) {
-	if seq < c.chain.log.base || seq > c.chain.commitIndex {
-		return nil, false
-	}
-	var out []controlstate.Record
-	for s := seq + 1; s <= c.chain.commitIndex && s <= c.chain.log.end() && len(out) < most; s++ {
-		out = append(out, c.chain.log.at(s).rec)
-	}
-	return out, true
-}
-
 // Leave makes the others take this keeper out of the chain, as soon as enough others hold what was acknowledged.
 func (c *Core) Leave(now time.Duration) {
 	c.advance(now)
@@ -190,22 +128,6 @@
 	c.flush()
 }
 
-// Departed tells whether nobody counts on this keeper any more: it is no link, and enough links that are alive hold what was
-// acknowledged. The disk of a silent one may be gone.
-func (c *Core) Departed() bool {
-	v := c.acceptor.view
-	if v.chainIndex(c.self.ID) >= 0 {
-		return false
-	}
-	var links []Member
-	for _, id := range v.Chain {
-		if m, ok := v.Voter(id); ok && c.liveness.isAlive(id) {
-			links = append(links, m)
-		}
-	}
-	return c.cfg.Observer || v.Epoch == 0 || c.planner.countHolders(links) >= c.cfg.minChainLength()
-}
-
 // Ready hands over what is to be done.
 func (c *Core) Ready() Outputs {
 	out := c.out
@@ -306,3 +228,66 @@
 		c.calls.handleReadAt(b.ReadAt)
 	}
 }
+
+// Submit asks for a change. A Completion with id follows within ttl.
+func (c *Core) Submit(now time.Duration, id uint64, ch controlstate.Change, ttl time.Duration) {
+	c.advance(now)
+	if c.calls.startSubmit(id, ch, ttl) {
+		c.flush()
+	}
+}
+
+// Read asks for the state after all that was acknowledged before. A Completion with id follows within ttl.
+func (c *Core) Read(now time.Duration, id uint64, ttl time.Duration) {
+	c.advance(now)
+	if c.calls.startRead(id, ttl) {
+		c.flush()
+	}
+}
+
+// Abandon ends a Submit or Read without a Completion: nobody waits for it. It is not sent again; what was sent may yet come
+// about.
+func (c *Core) Abandon(id uint64) {
+	c.calls.abandonCall(id)
+}
+
+// DiskDone tells that the operation with the token has ended.
+func (c *Core) DiskDone(now time.Duration, token uint64, err error) {
+	c.advance(now)
+	if !c.writer.finishWrite(token, err) {
+		return
+	}
+	c.chain.onDurableChange()
+	c.flush()
+}
+
+// adoptView makes a chosen view this keeper's own.
+func (c *Core) adoptView(v *View) {
+	if v == nil || v.Epoch <= c.acceptor.view.Epoch || c.chain.discardRestoredLog(v) {
+		return
+	}
+	self := c.self.ID
+	c.acceptor.view, c.acceptor.promised, c.acceptor.accepted, c.acceptor.acceptedView = v, proposalNumber{}, proposalNumber{}, nil
+	c.acceptor.viewDurable, c.proposer.highestRoundSeen, c.proposer.proposeAt, c.planner.headlessSince = false, 0, -1, -1
+	c.proposer.proposal = nil
+	c.chain.matchIndex, c.chain.upstreamCommitIndex, c.chain.caughtUp, c.chain.upstreamMatched, c.chain.minReadIndex, c.chain.epochStartIndex = 0, 0, false, false, 0, 0
+	c.chain.downstream = map[ID]*progress{}
+	c.chain.uncommittedStates = nil
+	// The head must hold all that was acknowledged, see mayLead.
+	if v.Head() == self && (c.acceptor.activeEpoch >= v.base || c.cfg.knobs.AllowAnyHead) {
+		c.acceptor.activeEpoch = v.Epoch
+	}
+	c.decider.abandonChanges()
+	c.writer.persist(func() {
+		if c.acceptor.view != v {
+			return
+		}
+		c.acceptor.viewDurable = true
+		if err := c.chain.enterView(); err != nil {
+			c.fail(err)
+		}
+		if c.cfg.Observer {
+			c.liveness.sendHeartbeats() // its next heartbeat is far off, and calls wait for word of the new head
+		}
+	})
+}
--- a/internal/system/replication/disk_writer.go
+++ b/internal/system/replication/disk_writer.go
@@ -112,24 +112,23 @@
 
 // startWrite starts the next write.
 func (c *diskWriter) startWrite() {
-	d := c
-	if d.op != nil || c.now < d.retryAt {
+	if c.op != nil || c.now < c.retryAt {
 		return
 	}
 	switch {
-	case d.acceptorDirty || d.probeWanted:
-		d.acceptorDirty, d.probeWanted = false, false
+	case c.acceptorDirty || c.probeWanted:
+		c.acceptorDirty, c.probeWanted = false, false
 		data, err := proto.Marshal(c.acceptor.pb())
 		if err != nil {
 			c.fail(errors.Wrap(err, "replication: register"))
 			return
 		}
-		waiters := d.waiters
-		d.waiters = nil
+		waiters := c.waiters
+		c.waiters = nil
 		active, sealed, epoch := c.acceptor.activeEpoch, c.acceptor.sealedEpoch, c.acceptor.view.Epoch
 		c.beginWrite(&DiskOp{Kind: DiskSaveMeta, Name: metaAcceptor, Data: data}, func(err error) {
 			if err != nil {
-				d.acceptorDirty, d.waiters = true, append(waiters, d.waiters...)
+				c.acceptorDirty, c.waiters = true, append(waiters, c.waiters...)
 				return
 			}
 			c.acceptor.durableActive, c.acceptor.durableSealed, c.acceptor.durableEpoch = active, sealed, epoch
@@ -137,25 +136,25 @@
 				w()
 			}
 		})
-	case d.pendingInstall != nil:
-		snap := d.pendingInstall
+	case c.pendingInstall != nil:
+		snap := c.pendingInstall
 		c.beginWrite(&DiskOp{Kind: DiskInstall, Snapshot: *snap}, func(err error) {
-			if err != nil || d.pendingInstall != snap {
+			if err != nil || c.pendingInstall != snap {
 				return
 			}
-			d.pendingInstall, d.truncateNeeded = nil, false
-			d.durableEnd, d.snapshotSeq, d.loggedBytes = snap.Seq, snap.Seq, 0
+			c.pendingInstall, c.truncateNeeded = nil, false
+			c.durableEnd, c.snapshotSeq, c.loggedBytes = snap.Seq, snap.Seq, 0
 		})
-	case d.truncateNeeded:
-		after := d.durableEnd
+	case c.truncateNeeded:
+		after := c.durableEnd
 		c.beginWrite(&DiskOp{Kind: DiskTruncate, After: after}, func(err error) {
-			if err == nil && d.durableEnd >= after {
-				d.truncateNeeded = false
+			if err == nil && c.durableEnd >= after {
+				c.truncateNeeded = false
 			}
 		})
 	case c.compactionDue(2) && c.startCompact(): // before more records, that wait at the end of each write under load
-	case d.appendRefused && min(c.chain.commitIndex, d.durableEnd) > d.snapshotSeq && c.startCompact(): // the log may be full
-	case d.durableEnd < c.chain.log.end():
+	case c.appendRefused && min(c.chain.commitIndex, c.durableEnd) > c.snapshotSeq && c.startCompact(): // the log may be full
+	case c.durableEnd < c.chain.log.end():
 		c.startAppend()
 	case c.compactionDue(1) && c.startCompact():
 	}
@@ -163,16 +162,14 @@
 
 // compactionDue tells whether so many times as many records or bytes are committed on disk as a snapshot is taken after.
 func (c *diskWriter) compactionDue(times uint64) bool {
-	d := c
-	done := min(c.chain.commitIndex, d.durableEnd)
-	return done >= d.snapshotSeq+times*c.cfg.compactRecords || d.loggedBytes >= int(times)*compactThresholdBytes && done > d.snapshotSeq
+	done := min(c.chain.commitIndex, c.durableEnd)
+	return done >= c.snapshotSeq+times*c.cfg.compactRecords || c.loggedBytes >= int(times)*compactThresholdBytes && done > c.snapshotSeq
 }
 
 func (c *diskWriter) startAppend() {
-	d := c
 	var entries []wal.Entry
 	bytes := 0
-	for seq := d.durableEnd + 1; seq <= c.chain.log.end() && bytes < 1<<20; seq++ {
+	for seq := c.durableEnd + 1; seq <= c.chain.log.end() && bytes < 1<<20; seq++ {
 		data, err := proto.Marshal(c.chain.log.at(seq).pb())
 		if err != nil {
 			c.fail(errors.Wrap(err, "replication: record"))
@@ -183,24 +180,23 @@
 	}
 	last := entries[len(entries)-1].Seq
 	c.beginWrite(&DiskOp{Kind: DiskAppend, Entries: entries}, func(err error) {
-		if d.pendingInstall != nil {
+		if c.pendingInstall != nil {
 			return
 		}
-		d.appendRefused = err != nil
+		c.appendRefused = err != nil
 		if err != nil {
-			d.truncateNeeded = true
+			c.truncateNeeded = true
 			return
 		}
-		if !d.truncateNeeded {
-			d.durableEnd = last
-			d.loggedBytes += bytes
+		if !c.truncateNeeded {
+			c.durableEnd = last
+			c.loggedBytes += bytes
 		}
 	})
 }
 
 // startCompact begins to write the committed state as a snapshot; false where it cannot.
 func (c *diskWriter) startCompact() bool {
-	d := c
 	epoch, ok := c.chain.log.epochAt(c.chain.commitIndex)
 	if !ok {
 		return false
@@ -211,15 +207,15 @@
 		return false
 	}
 	op := &DiskOp{Kind: DiskCompact, Snapshot: snap}
-	if c.chain.commitIndex > d.durableEnd { // it is ahead of the log on disk, and takes its place
+	if c.chain.commitIndex > c.durableEnd { // it is ahead of the log on disk, and takes its place
 		op.Kind = DiskInstall
 	}
 	c.beginWrite(op, func(err error) {
-		d.appendRefused = false
-		if err != nil || d.pendingInstall != nil {
+		c.appendRefused = false
+		if err != nil || c.pendingInstall != nil {
 			return
 		}
-		d.durableEnd, d.snapshotSeq, d.loggedBytes = max(d.durableEnd, snap.Seq), snap.Seq, 0
+		c.durableEnd, c.snapshotSeq, c.loggedBytes = max(c.durableEnd, snap.Seq), snap.Seq, 0
 		c.chain.compactMemory(snap)
 	})
 	return true
@@ -249,44 +245,32 @@
 }
 
 func (c *diskWriter) beginWrite(op *DiskOp, done func(error)) {
-	d := c
-	d.token++
-	op.Token = d.token
-	d.op, d.onDone, d.startedAt = op, done, c.now
+	c.token++
+	op.Token = c.token
+	c.op, c.onDone, c.startedAt = op, done, c.now
 	c.out.Disk = op
 }
 
-// DiskDone tells that the operation with the token has ended.
-func (c *Core) DiskDone(now time.Duration, token uint64, err error) {
-	c.advance(now)
-	if !c.writer.finishWrite(token, err) {
-		return
-	}
-	c.chain.onDurableChange()
-	c.flush()
-}
-
 // finishWrite takes up the result of the write that is in progress, false where it is not that of the token.
 func (c *diskWriter) finishWrite(token uint64, err error) bool {
-	d := c
-	if d.op == nil || d.op.Token != token {
+	if c.op == nil || c.op.Token != token {
 		return false
 	}
-	done := d.onDone
-	d.op, d.onDone = nil, nil
-	slow := c.now-d.startedAt > c.cfg.SlowDiskTimeout
+	done := c.onDone
+	c.op, c.onDone = nil, nil
+	slow := c.now-c.startedAt > c.cfg.SlowDiskTimeout
 	switch {
 	case errors.Is(err, wal.ErrSuperseded): // no try can succeed any more
 		c.fail(errors.Wrap(err, "replication: this keeper takes no part any more"))
 	case err != nil:
-		d.unhealthy, d.retryAt = true, c.now+diskRetryInterval
-		d.unhealthyUntil = c.now + diskRetryInterval
+		c.unhealthy, c.retryAt = true, c.now+diskRetryInterval
+		c.unhealthyUntil = c.now + diskRetryInterval
 		c.logEvent("replication: the disk refuses writes, retrying: " + err.Error())
 	case slow:
-		d.unhealthy, d.unhealthyUntil = true, c.now+4*diskRetryInterval
-		d.retryAt = 0
-	case d.unhealthy && c.now >= d.unhealthyUntil:
-		d.unhealthy = false
+		c.unhealthy, c.unhealthyUntil = true, c.now+4*diskRetryInterval
+		c.retryAt = 0
+	case c.unhealthy && c.now >= c.unhealthyUntil:
+		c.unhealthy = false
 	}
 	done(err)
 	return true
@@ -294,11 +278,10 @@
 
 // superviseWrites notices a write that does not end, and asks for one when the disk may be good again.
 func (c *diskWriter) superviseWrites() {
-	d := c
-	if d.op != nil && c.now-d.startedAt > c.cfg.SlowDiskTimeout {
-		d.unhealthy, d.unhealthyUntil = true, c.now+diskRetryInterval
+	if c.op != nil && c.now-c.startedAt > c.cfg.SlowDiskTimeout {
+		c.unhealthy, c.unhealthyUntil = true, c.now+diskRetryInterval
 	}
-	if d.unhealthy && d.op == nil && c.now >= d.unhealthyUntil {
-		d.probeWanted = true
+	if c.unhealthy && c.op == nil && c.now >= c.unhealthyUntil {
+		c.probeWanted = true
 	}
 }
--- a/internal/system/replication/liveness.go
+++ b/internal/system/replication/liveness.go
@@ -209,44 +209,6 @@
 	return p != nil && slices.ContainsFunc(p.heartbeat.GetEchoes(), func(e *replicationpb.Echo) bool { return ID(e.GetId()) == b })
 }
 
-// Current tells whether what this keeper holds can be passed on as new: within the last moments a majority of voters
-// said that no later epoch than its own is about, and it is a link, or fed by one.
-func (c *Core) Current(now time.Duration) bool {
-	c.advance(now)
-	v := c.acceptor.view
-	if v.Epoch == 0 || !c.acceptor.viewDurable || c.err != nil {
-		return false
-	}
-	window := c.currentWindow()
-	if v.chainIndex(c.self.ID) >= 0 {
-		if c.acceptor.durableActive != v.Epoch || !c.chain.holdsAcknowledged() {
-			return false
-		}
-	} else if !c.chain.caughtUp || c.now-c.chain.caughtUpAt > window || c.chain.commitIndex < c.chain.upstreamCommitIndex {
-		return false
-	}
-	if c.cfg.knobs.SkipCurrentMajority {
-		return true
-	}
-	said := map[ID]string{}
-	for _, m := range v.Voters {
-		if m.ID == c.self.ID {
-			if !c.acceptor.hasAcceptedLater() {
-				said[m.ID] = m.Addr
-			}
-			continue
-		}
-		p := c.liveness.peers[m.ID]
-		if p == nil || p.echoedAt < 0 || c.now-p.echoedAt > window || p.heartbeat.GetEpoch() != v.Epoch {
-			continue
-		}
-		if p.heartbeat.GetAccepted() <= v.Epoch || c.cfg.knobs.ConfirmAfterAccept {
-			said[m.ID] = m.Addr
-		}
-	}
-	return c.acceptor.isQuorum(v, said)
-}
-
 func (c *liveness) addressOf(id ID) string {
 	if p := c.peers[id]; p != nil {
 		return p.member.Addr
--- a/internal/system/replication/observer.go
+++ b/internal/system/replication/observer.go
@@ -41,15 +41,6 @@
 	return c.cfg.SuspectTimeout
 }
 
-// currentWindow is how old a majority's word may be for this keeper to be current: what it then holds lacks nothing that
-// was acknowledged longer ago. It is below a second with the default times, for observers too.
-func (c *Core) currentWindow() time.Duration {
-	if c.cfg.Observer {
-		return c.cfg.SuspectTimeout * observerCurrentNumerator / observerCurrentDenominator
-	}
-	return c.cfg.SuspectTimeout * currentNumerator / currentDenominator
-}
-
 // observerSeeds counts the seeds that have said that they are observers.
 func (c *liveness) observerSeeds() int {
 	said := map[string]bool{}
--- a/internal/system/replication/proposer.go
+++ b/internal/system/replication/proposer.go
@@ -213,37 +213,6 @@
 	}
 }
 
-// adoptView makes a chosen view this keeper's own.
-func (c *Core) adoptView(v *View) {
-	if v == nil || v.Epoch <= c.acceptor.view.Epoch || c.chain.discardRestoredLog(v) {
-		return
-	}
-	self := c.self.ID
-	c.acceptor.view, c.acceptor.promised, c.acceptor.accepted, c.acceptor.acceptedView = v, proposalNumber{}, proposalNumber{}, nil
-	c.acceptor.viewDurable, c.proposer.highestRoundSeen, c.proposer.proposeAt, c.planner.headlessSince = false, 0, -1, -1
-	c.proposer.proposal = nil
-	c.chain.matchIndex, c.chain.upstreamCommitIndex, c.chain.caughtUp, c.chain.upstreamMatched, c.chain.minReadIndex, c.chain.epochStartIndex = 0, 0, false, false, 0, 0
-	c.chain.downstream = map[ID]*progress{}
-	c.chain.uncommittedStates = nil
-	// The head must hold all that was acknowledged, see mayLead.
-	if v.Head() == self && (c.acceptor.activeEpoch >= v.base || c.cfg.knobs.AllowAnyHead) {
-		c.acceptor.activeEpoch = v.Epoch
-	}
-	c.decider.abandonChanges()
-	c.writer.persist(func() {
-		if c.acceptor.view != v {
-			return
-		}
-		c.acceptor.viewDurable = true
-		if err := c.chain.enterView(); err != nil {
-			c.fail(err)
-		}
-		if c.cfg.Observer {
-			c.liveness.sendHeartbeats() // its next heartbeat is far off, and calls wait for word of the new head
-		}
-	})
-}
-
 // String shows the chain by addresses.
 func (v *View) String() string {
 	s := "chain"
--- a/internal/system/replication/reach.go
+++ b/internal/system/replication/reach.go
@@ -1,23 +1,9 @@
 package replication
 
-import "time"
-
 // How long a keeper goes on without a way to the chain before it counts as cut off, as part of Config.Suspect: 500 ms with
 // the default times, after those that it counted on are suspected.
 const partitionedNumerator, partitionedDenominator = 5, 7
 
-// Partitioned tells whether a change asked for here cannot be taken, as there has been no way to the chain for long. It is for
-// callers that should rather ask another keeper at once; Submit and Read do not rest on it.
-//
-// It is false for a keeper that exchanges heartbeats with the head, and a change is sent on only while the head is alive here
-// (see headLife). A lost head is replaced by a majority of the voters, so while a majority is alive here the repair is waited
-// for, however long it takes. What is asked for while Partitioned is true can thus be taken only if the way comes back meanwhile.
-func (c *Core) Partitioned(now time.Duration) bool {
-	c.advance(now)
-	c.liveness.observeReach()
-	return c.now-c.liveness.chainReachedAt >= c.cfg.SuspectTimeout*partitionedNumerator/partitionedDenominator
-}
-
 // observeReach notes when there was last a way to the chain.
 func (c *liveness) observeReach() {
 	if c.reachesChain() {
--- a/internal/system/replication/read_confirm.go
+++ b/internal/system/replication/read_confirm.go
@@ -25,28 +25,19 @@
 	chain    *chainReplica
 }
 
-// Read asks for the state after all that was acknowledged before. A Completion with id follows within ttl.
-func (c *Core) Read(now time.Duration, id uint64, ttl time.Duration) {
-	c.advance(now)
-	if c.calls.startRead(id, ttl) {
-		c.flush()
-	}
-}
-
 // tickConfirmation ends a round that takes too long, and repeats its messages.
 func (c *readConfirmation) tickConfirmation() {
-	rd := c
-	if len(rd.waiters) == 0 {
+	if len(c.waiters) == 0 {
 		return
 	}
-	if c.now-rd.startedAt > confirmTimeout {
-		w := rd.waiters
-		rd.waiters = nil
+	if c.now-c.startedAt > confirmTimeout {
+		w := c.waiters
+		c.waiters = nil
 		for _, f := range w {
 			f(false)
 		}
 		c.startRound()
-	} else if c.now-rd.sentAt >= callResendInterval {
+	} else if c.now-c.sentAt >= callResendInterval {
 		c.sendRound()
 	}
 }
@@ -80,25 +71,23 @@
 		f(true)
 		return
 	}
-	rd := c
-	if len(rd.queued) >= maxPendingCalls {
+	if len(c.queued) >= maxPendingCalls {
 		f(false)
 		return
 	}
-	rd.queued = append(rd.queued, f)
-	if len(rd.waiters) == 0 {
+	c.queued = append(c.queued, f)
+	if len(c.waiters) == 0 {
 		c.startRound()
 	}
 }
 
 func (c *readConfirmation) startRound() {
-	rd := c
-	if len(rd.queued) == 0 {
+	if len(c.queued) == 0 {
 		return
 	}
-	rd.waiters, rd.queued = rd.queued, nil
-	rd.number++
-	rd.epoch, rd.startedAt, rd.confirmedBy = c.acceptor.view.Epoch, c.now, map[ID]string{}
+	c.waiters, c.queued = c.queued, nil
+	c.number++
+	c.epoch, c.startedAt, c.confirmedBy = c.acceptor.view.Epoch, c.now, map[ID]string{}
 	c.sendRound()
 	if c.acceptor.isVoter(c.acceptor.view) && !c.acceptor.hasAcceptedLater() {
 		c.recordConfirmation(c.self.ID)
@@ -106,21 +95,19 @@
 }
 
 func (c *readConfirmation) sendRound() {
-	rd := c
-	rd.sentAt = c.now
+	c.sentAt = c.now
 	for _, m := range c.acceptor.view.Voters {
-		if _, ok := rd.confirmedBy[m.ID]; !ok && m.ID != c.self.ID {
+		if _, ok := c.confirmedBy[m.ID]; !ok && m.ID != c.self.ID {
 			c.send(m.ID, &replicationpb.Message{Body: &replicationpb.Message_Confirm{Confirm: &replicationpb.Confirm{
-				Epoch: rd.epoch, Round: rd.number, Life: c.cfg.Incarnation,
+				Epoch: c.epoch, Round: c.number, Life: c.cfg.Incarnation,
 			}}})
 		}
 	}
 }
 
 func (c *readConfirmation) failConfirmations() {
-	rd := c
-	w := slices.Concat(rd.waiters, rd.queued)
-	rd.waiters, rd.queued = nil, nil
+	w := slices.Concat(c.waiters, c.queued)
+	c.waiters, c.queued = nil, nil
 	for _, f := range w {
 		f(false)
 	}
@@ -139,24 +126,22 @@
 }
 
 func (c *readConfirmation) handleConfirmed(from ID, m *replicationpb.Confirmed) {
-	rd := c
-	if c.isThisIncarnation(m.GetLife()) && m.GetRound() == rd.number && m.GetEpoch() == rd.epoch && rd.epoch == c.acceptor.view.Epoch && len(rd.waiters) > 0 {
+	if c.isThisIncarnation(m.GetLife()) && m.GetRound() == c.number && m.GetEpoch() == c.epoch && c.epoch == c.acceptor.view.Epoch && len(c.waiters) > 0 {
 		c.recordConfirmation(from)
 	}
 }
 
 func (c *readConfirmation) recordConfirmation(id ID) {
-	rd := c
-	rd.confirmedBy[id] = ""
-	if !c.acceptor.isQuorum(c.acceptor.view, rd.confirmedBy) {
+	c.confirmedBy[id] = ""
+	if !c.acceptor.isQuorum(c.acceptor.view, c.confirmedBy) {
 		return
 	}
-	w := rd.waiters
-	rd.waiters = nil
+	w := c.waiters
+	c.waiters = nil
 	for _, f := range w {
 		f(true)
 	}
-	if len(rd.waiters) == 0 {
+	if len(c.waiters) == 0 {
 		c.startRound()
 	}
 }
