--- a/internal/system/replication/acceptor.go
+++ b/internal/system/replication/acceptor.go
@@ -69,78 +69,78 @@
 	adoptView func(*View) // takes up a view that is chosen
 }
 
-func (c *acceptor) isVoter(v *View) bool {
+func (ac *acceptor) isVoter(v *View) bool {
 	if v.Epoch == 0 {
-		return c.cfg.Bootstrap && slices.Contains(c.cfg.Seeds, c.self.Addr) && (!c.cfg.Observer || c.liveness.noSeedHasDisk())
+		return ac.cfg.Bootstrap && slices.Contains(ac.cfg.Seeds, ac.self.Addr) && (!ac.cfg.Observer || ac.liveness.noSeedHasDisk())
 	}
-	if c.cfg.Observer {
+	if ac.cfg.Observer {
 		return false
 	}
-	_, ok := v.Voter(c.self.ID)
+	_, ok := v.Voter(ac.self.ID)
 	return ok
 }
 
 // adoptProposersView brings this keeper to the view that a proposer builds on; false when it is at another one.
-func (c *acceptor) adoptProposersView(from ID, cur *View) bool {
+func (ac *acceptor) adoptProposersView(from ID, cur *View) bool {
 	if cur == nil {
 		return false
 	}
-	c.adoptView(cur)
-	if cur.Epoch < c.view.Epoch {
-		if c.viewDurable {
-			c.send(from, &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(c.view)}}})
+	ac.adoptView(cur)
+	if cur.Epoch < ac.view.Epoch {
+		if ac.viewDurable {
+			ac.send(from, &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(ac.view)}}})
 		}
 		return false
 	}
-	return cur.Epoch == c.view.Epoch
+	return cur.Epoch == ac.view.Epoch
 }
 
-func (c *acceptor) sendReject(to ID) {
-	c.send(to, &replicationpb.Message{Body: &replicationpb.Message_Reject{Reject: &replicationpb.Reject{
-		Epoch: c.view.Epoch, Promised: proposalNumberPB(c.promised),
+func (ac *acceptor) sendReject(to ID) {
+	ac.send(to, &replicationpb.Message{Body: &replicationpb.Message_Reject{Reject: &replicationpb.Reject{
+		Epoch: ac.view.Epoch, Promised: proposalNumberPB(ac.promised),
 	}}})
 }
 
-func (c *acceptor) handlePrepare(from ID, m *replicationpb.Prepare) {
-	if !c.adoptProposersView(from, viewOf(m.GetCurrent())) || !c.isVoter(c.view) {
+func (ac *acceptor) handlePrepare(from ID, m *replicationpb.Prepare) {
+	if !ac.adoptProposersView(from, viewOf(m.GetCurrent())) || !ac.isVoter(ac.view) {
 		return
 	}
 	b := proposalNumberOf(m.GetBallot())
-	if b.less(c.promised) {
-		c.sendReject(from)
+	if b.less(ac.promised) {
+		ac.sendReject(from)
 		return
 	}
-	c.promised = b
-	epoch := c.view.Epoch
+	ac.promised = b
+	epoch := ac.view.Epoch
 	reply := &replicationpb.Promise{
-		Epoch: epoch, Ballot: m.GetBallot(), Accepted: proposalNumberPB(c.accepted), View: viewPB(c.acceptedView), Addr: c.self.Addr,
+		Epoch: epoch, Ballot: m.GetBallot(), Accepted: proposalNumberPB(ac.accepted), View: viewPB(ac.acceptedView), Addr: ac.self.Addr,
 	}
-	c.writer.persist(func() {
-		if c.view.Epoch == epoch && c.promised == b {
-			c.send(from, &replicationpb.Message{Body: &replicationpb.Message_Promise{Promise: reply}})
+	ac.writer.persist(func() {
+		if ac.view.Epoch == epoch && ac.promised == b {
+			ac.send(from, &replicationpb.Message{Body: &replicationpb.Message_Promise{Promise: reply}})
 		}
 	})
 }
 
-func (c *acceptor) handleAccept(from ID, m *replicationpb.Accept) {
+func (ac *acceptor) handleAccept(from ID, m *replicationpb.Accept) {
 	value := viewOf(m.GetView())
-	if value == nil || !c.adoptProposersView(from, viewOf(m.GetCurrent())) || value.Epoch != c.view.Epoch+1 {
+	if value == nil || !ac.adoptProposersView(from, viewOf(m.GetCurrent())) || value.Epoch != ac.view.Epoch+1 {
 		return
 	}
-	if !c.isVoter(c.view) && !c.isVoter(value) {
+	if !ac.isVoter(ac.view) && !ac.isVoter(value) {
 		return
 	}
 	b := proposalNumberOf(m.GetBallot())
-	if b.less(c.promised) {
-		c.sendReject(from)
+	if b.less(ac.promised) {
+		ac.sendReject(from)
 		return
 	}
-	c.promised, c.accepted, c.acceptedView = b, b, value
-	epoch := c.view.Epoch
-	c.writer.persist(func() {
-		if c.view.Epoch == epoch {
-			c.send(from, &replicationpb.Message{Body: &replicationpb.Message_Accepted{Accepted: &replicationpb.Accepted{
-				Epoch: epoch, Ballot: m.GetBallot(), Addr: c.self.Addr,
+	ac.promised, ac.accepted, ac.acceptedView = b, b, value
+	epoch := ac.view.Epoch
+	ac.writer.persist(func() {
+		if ac.view.Epoch == epoch {
+			ac.send(from, &replicationpb.Message{Body: &replicationpb.Message_Accepted{Accepted: &replicationpb.Accepted{
+				Epoch: epoch, Ballot: m.GetBallot(), Addr: ac.self.Addr,
 			}}})
 		}
 	})
@@ -150,16 +150,16 @@
 // no more: the later view may be chosen and acknowledge changes while a majority of the present voters, this one among
 // them, has not been told. That majority does not meet the later chain where a link of that is new among the voters, or
 // where fewer links than a majority may acknowledge. Scenario "an accepted view" plays it.
-func (c *acceptor) hasAcceptedLater() bool {
-	return c.acceptedView != nil && !c.cfg.knobs.ConfirmAfterAccept
+func (ac *acceptor) hasAcceptedLater() bool {
+	return ac.acceptedView != nil && !ac.cfg.knobs.ConfirmAfterAccept
 }
 
-func (c *acceptor) handleSeal(m *replicationpb.Seal) {
-	v := c.view
-	if m.GetEpoch() != v.Epoch || v.chainIndex(c.self.ID) < 0 || c.activeEpoch >= v.Epoch || c.sealedEpoch >= v.Epoch {
+func (ac *acceptor) handleSeal(m *replicationpb.Seal) {
+	v := ac.view
+	if m.GetEpoch() != v.Epoch || v.chainIndex(ac.self.ID) < 0 || ac.activeEpoch >= v.Epoch || ac.sealedEpoch >= v.Epoch {
 		return
 	}
-	c.sealedEpoch = v.Epoch
-	c.logEvent("replication: sealing an epoch whose active links are gone")
-	c.writer.persist(c.liveness.sendHeartbeats)
+	ac.sealedEpoch = v.Epoch
+	ac.logEvent("replication: sealing an epoch whose active links are gone")
+	ac.writer.persist(ac.liveness.sendHeartbeats)
 }
--- a/internal/system/replication/chain_replica.go
+++ b/internal/system/replication/chain_replica.go
@@ -58,199 +58,199 @@
 }
 
 // successor is the link after this one, empty at the tail and outside the chain.
-func (c *chainReplica) successor() ID {
-	v := c.acceptor.view
-	if i := v.chainIndex(c.self.ID); i >= 0 && i+1 < len(v.Chain) {
+func (cr *chainReplica) successor() ID {
+	v := cr.acceptor.view
+	if i := v.chainIndex(cr.self.ID); i >= 0 && i+1 < len(v.Chain) {
 		return v.Chain[i+1]
 	}
 	return ""
 }
 
 // predecessor is the link before this one, empty at the head and outside the chain.
-func (c *chainReplica) predecessor() ID {
-	v := c.acceptor.view
-	if i := v.chainIndex(c.self.ID); i > 0 {
+func (cr *chainReplica) predecessor() ID {
+	v := cr.acceptor.view
+	if i := v.chainIndex(cr.self.ID); i > 0 {
 		return v.Chain[i-1]
 	}
 	return ""
 }
 
 // active tells whether this link takes part: it holds all that was acknowledged before its view.
-func (c *chainReplica) isActive() bool {
-	return c.acceptor.viewDurable && c.err == nil && c.acceptor.view.Epoch > 0 && c.acceptor.durableActive == c.acceptor.view.Epoch && c.acceptor.view.chainIndex(c.self.ID) >= 0
+func (cr *chainReplica) isActive() bool {
+	return cr.acceptor.viewDurable && cr.err == nil && cr.acceptor.view.Epoch > 0 && cr.acceptor.durableActive == cr.acceptor.view.Epoch && cr.acceptor.view.chainIndex(cr.self.ID) >= 0
 }
 
-func (c *chainReplica) isHead() bool { return c.isActive() && c.acceptor.view.Head() == c.self.ID }
+func (cr *chainReplica) isHead() bool { return cr.isActive() && cr.acceptor.view.Head() == cr.self.ID }
 
-func (c *chainReplica) isTail() bool { return c.isActive() && c.acceptor.view.Tail() == c.self.ID }
+func (cr *chainReplica) isTail() bool { return cr.isActive() && cr.acceptor.view.Tail() == cr.self.ID }
 
 // enterView starts this link's part in a view that is on disk.
-func (c *chainReplica) enterView() error {
-	if !c.isActive() {
+func (cr *chainReplica) enterView() error {
+	if !cr.isActive() {
 		return nil
 	}
-	if c.isHead() {
+	if cr.isHead() {
 		// What is on disk is enough: nothing beyond it was handed on.
-		c.epochStartIndex, c.minReadIndex = c.writer.durableEnd, max(c.minReadIndex, c.writer.durableEnd)
-		c.uncommittedStates = nil
-		for seq := c.commitIndex + 1; seq <= c.log.end(); seq++ {
-			s, err := c.speculativeState().Apply(c.log.at(seq).rec)
+		cr.epochStartIndex, cr.minReadIndex = cr.writer.durableEnd, max(cr.minReadIndex, cr.writer.durableEnd)
+		cr.uncommittedStates = nil
+		for seq := cr.commitIndex + 1; seq <= cr.log.end(); seq++ {
+			s, err := cr.speculativeState().Apply(cr.log.at(seq).rec)
 			if err != nil {
 				return errors.Wrapf(err, "replication: record %d cannot be applied", seq)
 			}
-			c.uncommittedStates = append(c.uncommittedStates, s)
+			cr.uncommittedStates = append(cr.uncommittedStates, s)
 		}
 	}
-	c.onDurableChange()
+	cr.onDurableChange()
 	return nil
 }
 
 // onDurableChange follows a change of what is on disk.
-func (c *chainReplica) onDurableChange() {
-	c.tryActivate()
-	if c.acceptor.view.Epoch == 0 || !c.acceptor.viewDurable {
+func (cr *chainReplica) onDurableChange() {
+	cr.tryActivate()
+	if cr.acceptor.view.Epoch == 0 || !cr.acceptor.viewDurable {
 		return
 	}
-	if c.isActive() {
-		c.commitAsTail()
-		if id := c.successor(); id != "" {
-			c.replicateTo(id)
+	if cr.isActive() {
+		cr.commitAsTail()
+		if id := cr.successor(); id != "" {
+			cr.replicateTo(id)
 		}
-	} else if c.caughtUp {
-		c.advanceCommitIndex(min(c.upstreamCommitIndex, c.matchIndex, c.writer.durableEnd))
+	} else if cr.caughtUp {
+		cr.advanceCommitIndex(min(cr.upstreamCommitIndex, cr.matchIndex, cr.writer.durableEnd))
 	}
-	c.sendAck()
+	cr.sendAck()
 }
 
 // durableIndex is the end of what is on disk and known to be the log of this epoch's chain.
-func (c *chainReplica) durableIndex() uint64 {
-	if c.isHead() {
-		return c.writer.durableEnd
+func (cr *chainReplica) durableIndex() uint64 {
+	if cr.isHead() {
+		return cr.writer.durableEnd
 	}
-	return min(c.matchIndex, c.writer.durableEnd)
+	return min(cr.matchIndex, cr.writer.durableEnd)
 }
 
 // commitAsTail commits at the tail. A record that got here went through every link, each of which had it on disk before
 // it handed it on; and every link is active, since only an active one hands on.
-func (c *chainReplica) commitAsTail() {
-	early := c.cfg.knobs.AcknowledgeAtHead && c.isHead()
-	if !c.isTail() && !early || len(c.acceptor.view.Chain) < c.cfg.minChainLength() {
+func (cr *chainReplica) commitAsTail() {
+	early := cr.cfg.knobs.AcknowledgeAtHead && cr.isHead()
+	if !cr.isTail() && !early || len(cr.acceptor.view.Chain) < cr.cfg.minChainLength() {
 		return
 	}
-	c.advanceCommitIndex(c.durableIndex())
+	cr.advanceCommitIndex(cr.durableIndex())
 }
 
-func (c *chainReplica) advanceCommitIndex(seq uint64) {
-	if seq <= c.commitIndex {
+func (cr *chainReplica) advanceCommitIndex(seq uint64) {
+	if seq <= cr.commitIndex {
 		return
 	}
-	for s := c.commitIndex + 1; s <= seq; s++ {
+	for s := cr.commitIndex + 1; s <= seq; s++ {
 		var next State
-		if len(c.uncommittedStates) > 0 {
-			next, c.uncommittedStates = c.uncommittedStates[0], c.uncommittedStates[1:]
+		if len(cr.uncommittedStates) > 0 {
+			next, cr.uncommittedStates = cr.uncommittedStates[0], cr.uncommittedStates[1:]
 		} else {
 			var err error
-			if next, err = c.state.Apply(c.log.at(s).rec); err != nil {
-				c.fail(errors.Wrapf(err, "replication: record %d cannot be applied", s))
+			if next, err = cr.state.Apply(cr.log.at(s).rec); err != nil {
+				cr.fail(errors.Wrapf(err, "replication: record %d cannot be applied", s))
 				return
 			}
 		}
-		c.state, c.commitIndex = next, s
+		cr.state, cr.commitIndex = next, s
 	}
-	c.ackSentAt = 0
-	c.sendAck()
-	c.waiting.completeChanges()
-	c.waiting.completeReads()
-	for _, id := range slices.Sorted(maps.Keys(c.downstream)) {
-		if c.downstream[id].learner {
-			c.replicateTo(id)
+	cr.ackSentAt = 0
+	cr.sendAck()
+	cr.waiting.completeChanges()
+	cr.waiting.completeReads()
+	for _, id := range slices.Sorted(maps.Keys(cr.downstream)) {
+		if cr.downstream[id].learner {
+			cr.replicateTo(id)
 		}
 	}
 }
 
 // sendAck tells the link before what is on disk here and what is committed.
-func (c *chainReplica) sendAck() {
-	prev := c.predecessor()
-	if prev == "" || !c.upstreamMatched || !c.acceptor.viewDurable || c.err != nil {
+func (cr *chainReplica) sendAck() {
+	prev := cr.predecessor()
+	if prev == "" || !cr.upstreamMatched || !cr.acceptor.viewDurable || cr.err != nil {
 		return
 	}
-	c.ackSentAt = c.now
-	c.send(prev, &replicationpb.Message{Body: &replicationpb.Message_Ack{Ack: &replicationpb.Ack{
-		Epoch: c.acceptor.view.Epoch, Matched: c.durableIndex(), Committed: c.commitIndex, Active: c.isActive(), Complete: c.isActiveToTail(),
+	cr.ackSentAt = cr.now
+	cr.send(prev, &replicationpb.Message{Body: &replicationpb.Message_Ack{Ack: &replicationpb.Ack{
+		Epoch: cr.acceptor.view.Epoch, Matched: cr.durableIndex(), Committed: cr.commitIndex, Active: cr.isActive(), Complete: cr.isActiveToTail(),
 	}}})
 }
 
 // isActiveToTail tells whether this link and all after it are active, so that no log of an old epoch is left among them.
-func (c *chainReplica) isActiveToTail() bool {
-	if !c.isActive() || c.isTail() {
-		return c.isActive()
+func (cr *chainReplica) isActiveToTail() bool {
+	if !cr.isActive() || cr.isTail() {
+		return cr.isActive()
 	}
-	p := c.downstream[c.successor()]
+	p := cr.downstream[cr.successor()]
 	return p != nil && p.activeToTail
 }
 
-func (c *chainReplica) tickChain() {
-	if !c.acceptor.viewDurable {
+func (cr *chainReplica) tickChain() {
+	if !cr.acceptor.viewDurable {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(c.downstream)) {
-		if p := c.downstream[id]; p.learner && c.now-p.lastContactAt > learnerTTL {
-			delete(c.downstream, id)
+	for _, id := range slices.Sorted(maps.Keys(cr.downstream)) {
+		if p := cr.downstream[id]; p.learner && cr.now-p.lastContactAt > learnerTTL {
+			delete(cr.downstream, id)
 		}
 	}
 	again := resendTimeout
-	if !c.upstreamMatched {
+	if !cr.upstreamMatched {
 		again = catchUpInterval
 	}
-	if prev := c.predecessor(); prev != "" && c.now-c.ackSentAt >= again {
-		if c.ackSentAt = c.now; c.upstreamMatched {
-			c.sendAck()
+	if prev := cr.predecessor(); prev != "" && cr.now-cr.ackSentAt >= again {
+		if cr.ackSentAt = cr.now; cr.upstreamMatched {
+			cr.sendAck()
 		} else {
-			c.sendMismatch(prev) // asks to be fed
+			cr.sendMismatch(prev) // asks to be fed
 		}
 	}
-	if !c.isActive() {
+	if !cr.isActive() {
 		return
 	}
-	if id := c.successor(); id != "" {
-		p := c.downstream[id]
-		if p != nil && (!c.canReplicate() || p.active && p.match >= c.durableIndex()) {
-			p.advancedAt = c.now
-			if c.commitIndex < c.durableIndex() && c.now-p.lastSentAt >= resendTimeout {
-				c.sendAppend(id, p, c.durableIndex(), nil, c.durableIndex()) // its word that it is committed was lost
+	if id := cr.successor(); id != "" {
+		p := cr.downstream[id]
+		if p != nil && (!cr.canReplicate() || p.active && p.match >= cr.durableIndex()) {
+			p.advancedAt = cr.now
+			if cr.commitIndex < cr.durableIndex() && cr.now-p.lastSentAt >= resendTimeout {
+				cr.sendAppend(id, p, cr.durableIndex(), nil, cr.durableIndex()) // its word that it is committed was lost
 			}
-		} else if p != nil && p.matchKnown && !p.active && p.match >= c.durableIndex() && c.now-p.lastSentAt >= resendTimeout {
-			c.sendAppend(id, p, c.durableIndex(), nil, c.durableIndex())
+		} else if p != nil && p.matchKnown && !p.active && p.match >= cr.durableIndex() && cr.now-p.lastSentAt >= resendTimeout {
+			cr.sendAppend(id, p, cr.durableIndex(), nil, cr.durableIndex())
 		}
-		c.replicateTo(id)
+		cr.replicateTo(id)
 	}
 }
 
-func (c *chainReplica) loadLog(snap wal.Snapshot, entries []wal.Entry) error {
+func (cr *chainReplica) loadLog(snap wal.Snapshot, entries []wal.Entry) error {
 	if snap.Seq > 0 {
 		var p replicationpb.Image
 		if err := proto.Unmarshal(snap.Data, &p); err != nil {
 			return damagedDataError(err, "the snapshot")
 		}
-		s, err := c.machine.Decode(p.GetState())
+		s, err := cr.machine.Decode(p.GetState())
 		if err != nil {
 			return damagedDataError(err, "the snapshot")
 		}
-		c.state, c.commitIndex = s, snap.Seq
-		c.log.base, c.log.baseEpoch = snap.Seq, p.GetEpoch()
-		c.writer.snapshotSeq = snap.Seq
+		cr.state, cr.commitIndex = s, snap.Seq
+		cr.log.base, cr.log.baseEpoch = snap.Seq, p.GetEpoch()
+		cr.writer.snapshotSeq = snap.Seq
 	}
 	for _, e := range entries {
-		if e.Seq <= c.log.end() {
+		if e.Seq <= cr.log.end() {
 			continue
 		}
 		var p replicationpb.Entry
-		if err := proto.Unmarshal(e.Data, &p); err != nil || p.GetSeq() != c.log.end()+1 {
+		if err := proto.Unmarshal(e.Data, &p); err != nil || p.GetSeq() != cr.log.end()+1 {
 			return damagedDataError(err, fmt.Sprintf("record %d", e.Seq))
 		}
-		c.log.entries = append(c.log.entries, entryOf(&p))
-		c.writer.loggedBytes += len(e.Data)
+		cr.log.entries = append(cr.log.entries, entryOf(&p))
+		cr.writer.loggedBytes += len(e.Data)
 	}
-	c.writer.durableEnd = c.log.end()
+	cr.writer.durableEnd = cr.log.end()
 	return nil
 }
--- a/internal/system/replication/change_decider.go
+++ b/internal/system/replication/change_decider.go
@@ -38,71 +38,71 @@
 	closedAt  time.Duration
 }
 
-func (c *changeDecider) handleForward(from ID, m *replicationpb.Forward) {
+func (cd *changeDecider) handleForward(from ID, m *replicationpb.Forward) {
 	key := changeKey{from: from, incarnation: m.GetLife(), callNumber: m.GetId()}
-	if o := c.changes[key]; o != nil && !c.cfg.knobs.SkipDeduplication {
+	if o := cd.changes[key]; o != nil && !cd.cfg.knobs.SkipDeduplication {
 		if o.done {
-			c.sendAnswer(o)
+			cd.sendAnswer(o)
 		}
 		return
 	}
-	if m.GetHeadLife() != c.cfg.Incarnation && !c.cfg.knobs.AcceptAnyHeadIncarnation {
+	if m.GetHeadLife() != cd.cfg.Incarnation && !cd.cfg.knobs.AcceptAnyHeadIncarnation {
 		return // it was for a former life: its sender notices
 	}
-	if len(c.changes) >= maxChanges {
+	if len(cd.changes) >= maxChanges {
 		// Not Refused: its key is not kept, so a double of this message may be taken once there is room.
-		c.sendAnswer(&pendingChange{key: key, outcome: Unknown})
+		cd.sendAnswer(&pendingChange{key: key, outcome: Unknown})
 		return
 	}
-	o := &pendingChange{key: key, closedAt: c.now}
-	c.changes[key] = o
-	if !c.canDecide(from, m) {
-		c.closeChange(o, Refused)
+	o := &pendingChange{key: key, closedAt: cd.now}
+	cd.changes[key] = o
+	if !cd.canDecide(from, m) {
+		cd.closeChange(o, Refused)
 		return
 	}
-	c.decide(o, m.GetChange())
-	o.seq = c.chain.log.end()
-	c.pending = append(c.pending, o)
-	if c.cfg.knobs.SkipVerdictConfirmation && o.verdict.Kind != controlstate.Accepted {
+	cd.decide(o, m.GetChange())
+	o.seq = cd.chain.log.end()
+	cd.pending = append(cd.pending, o)
+	if cd.cfg.knobs.SkipVerdictConfirmation && o.verdict.Kind != controlstate.Accepted {
 		o.seq, o.confirmed = 0, true
 	}
 	if !o.confirmed {
 		// A deposed head must not judge by what it holds.
-		c.confirmation.confirmEpoch(func(ok bool) {
+		cd.confirmation.confirmEpoch(func(ok bool) {
 			if o.done {
 				return
 			}
 			if o.confirmed = ok; !ok {
-				c.closeChange(o, Refused)
+				cd.closeChange(o, Refused)
 			}
-			c.completeChanges()
+			cd.completeChanges()
 		})
 	}
-	c.completeChanges()
+	cd.completeChanges()
 }
 
 // canDecide tells whether this keeper is the head that the change was sent to, can log it, and its caller still waits.
-func (c *changeDecider) canDecide(from ID, m *replicationpb.Forward) bool {
-	sameEpoch := m.GetEpoch() == c.acceptor.view.Epoch || c.cfg.knobs.AcceptForwardsOfEarlierEpochs
-	canLog := !c.writer.unhealthy && !c.liveness.leaving && len(c.pending) < maxPendingCalls && len(c.acceptor.view.Chain) >= c.cfg.minChainLength()
-	return c.chain.isHead() && sameEpoch && canLog && c.isBeforeDeadline(from, m)
+func (cd *changeDecider) canDecide(from ID, m *replicationpb.Forward) bool {
+	sameEpoch := m.GetEpoch() == cd.acceptor.view.Epoch || cd.cfg.knobs.AcceptForwardsOfEarlierEpochs
+	canLog := !cd.writer.unhealthy && !cd.liveness.leaving && len(cd.pending) < maxPendingCalls && len(cd.acceptor.view.Chain) >= cd.cfg.minChainLength()
+	return cd.chain.isHead() && sameEpoch && canLog && cd.isBeforeDeadline(from, m)
 }
 
 // decide decides on a change by the state after the whole log, and logs it when it is accepted.
-func (c *changeDecider) decide(o *pendingChange, p *replicationpb.Entry) {
+func (cd *changeDecider) decide(o *pendingChange, p *replicationpb.Entry) {
 	change := controlstate.Change{Op: controlstate.Op(p.GetOp()), Base: p.GetBase(), Body: p.GetBody(), Zone: p.GetZone()}
-	o.verdict = c.chain.speculativeState().Check(change)
+	o.verdict = cd.chain.speculativeState().Check(change)
 	if o.verdict.Kind != controlstate.Accepted {
 		return
 	}
-	rec := change.Record(c.chain.log.end() + 1)
-	next, err := c.chain.speculativeState().Apply(rec)
+	rec := change.Record(cd.chain.log.end() + 1)
+	next, err := cd.chain.speculativeState().Apply(rec)
 	if err != nil {
 		o.verdict = controlstate.Verdict{Kind: controlstate.Invalid, Reason: err.Error()}
 		return
 	}
-	c.chain.uncommittedStates = append(c.chain.uncommittedStates, next)
-	c.chain.log.entries = append(c.chain.log.entries, entry{epoch: c.acceptor.view.Epoch, rec: rec})
+	cd.chain.uncommittedStates = append(cd.chain.uncommittedStates, next)
+	cd.chain.log.entries = append(cd.chain.log.entries, entry{epoch: cd.acceptor.view.Epoch, rec: rec})
 	o.confirmed = true
 }
 
@@ -110,33 +110,33 @@
 // from when it was sent, and it may have been under way for long. It was sent after this head's heartbeat that its sender
 // had heard, and when that was this head knows by its own clock. So no change is taken after its caller's deadline, at the
 // cost of the time since that heartbeat. It takes that clocks run at one rate, not that they agree.
-func (c *changeDecider) isBeforeDeadline(from ID, m *replicationpb.Forward) bool {
+func (cd *changeDecider) isBeforeDeadline(from ID, m *replicationpb.Forward) bool {
 	ttl := time.Duration(m.GetTtlUs()) * time.Microsecond
-	if from == c.self.ID || c.cfg.knobs.AcceptLateForwards {
+	if from == cd.self.ID || cd.cfg.knobs.AcceptLateForwards {
 		return ttl > 0
 	}
 	heard := m.GetHeard()
-	if heard == 0 || heard > c.liveness.heartbeatNumber || heard+heartbeatHistory <= c.liveness.heartbeatNumber {
+	if heard == 0 || heard > cd.liveness.heartbeatNumber || heard+heartbeatHistory <= cd.liveness.heartbeatNumber {
 		return false
 	}
-	return c.now-c.liveness.heartbeatSentAt[heard%heartbeatHistory] < ttl
+	return cd.now-cd.liveness.heartbeatSentAt[heard%heartbeatHistory] < ttl
 }
 
-func (c *changeDecider) closeChange(o *pendingChange, out Outcome) {
-	o.done, o.outcome, o.closedAt = true, out, c.now
-	c.sendAnswer(o)
+func (cd *changeDecider) closeChange(o *pendingChange, out Outcome) {
+	o.done, o.outcome, o.closedAt = true, out, cd.now
+	cd.sendAnswer(o)
 }
 
-func (c *changeDecider) sendAnswer(o *pendingChange) {
-	c.send(o.key.from, &replicationpb.Message{Body: &replicationpb.Message_Answer{Answer: &replicationpb.Answer{
+func (cd *changeDecider) sendAnswer(o *pendingChange) {
+	cd.send(o.key.from, &replicationpb.Message{Body: &replicationpb.Message_Answer{Answer: &replicationpb.Answer{
 		Id: o.key.callNumber, Life: o.key.incarnation, Outcome: uint32(o.outcome), Kind: uint32(o.verdict.Kind), Reason: o.verdict.Reason, Seq: o.seq,
 	}}})
 }
 
-func (c *changeDecider) completeChanges() {
-	c.pending = slices.DeleteFunc(c.pending, func(o *pendingChange) bool {
-		if !o.done && o.confirmed && o.seq <= c.chain.commitIndex && (o.verdict.Kind == controlstate.Accepted || c.chain.isActiveToTail() || c.cfg.knobs.SkipVerdictConfirmation) {
-			c.closeChange(o, Answered)
+func (cd *changeDecider) completeChanges() {
+	cd.pending = slices.DeleteFunc(cd.pending, func(o *pendingChange) bool {
+		if !o.done && o.confirmed && o.seq <= cd.chain.commitIndex && (o.verdict.Kind == controlstate.Accepted || cd.chain.isActiveToTail() || cd.cfg.knobs.SkipVerdictConfirmation) {
+			cd.closeChange(o, Answered)
 		}
 		return o.done
 	})
@@ -144,15 +144,15 @@
 
 // abandonChanges ends what a head that is about to enter another view cannot answer any more. A head that remains the head
 // keeps its log, so what is in it may still be committed.
-func (c *changeDecider) abandonChanges() {
-	stays := c.acceptor.view.Head() == c.self.ID && c.acceptor.activeEpoch == c.acceptor.view.Epoch
-	c.confirmation.failConfirmations()
-	c.pending = slices.DeleteFunc(c.pending, func(o *pendingChange) bool {
+func (cd *changeDecider) abandonChanges() {
+	stays := cd.acceptor.view.Head() == cd.self.ID && cd.acceptor.activeEpoch == cd.acceptor.view.Epoch
+	cd.confirmation.failConfirmations()
+	cd.pending = slices.DeleteFunc(cd.pending, func(o *pendingChange) bool {
 		if !o.done && !stays {
 			if o.verdict.Kind == controlstate.Accepted {
-				c.closeChange(o, Unknown)
+				cd.closeChange(o, Unknown)
 			} else {
-				c.closeChange(o, Refused)
+				cd.closeChange(o, Refused)
 			}
 		}
 		return o.done
@@ -160,10 +160,10 @@
 }
 
 // forgetChanges drops the changes that were answered so long ago that no duplicate of them can be accepted any more.
-func (c *changeDecider) forgetChanges() {
-	for k, o := range c.changes {
-		if o.done && c.now-o.closedAt > changeTTL {
-			delete(c.changes, k)
+func (cd *changeDecider) forgetChanges() {
+	for k, o := range cd.changes {
+		if o.done && cd.now-o.closedAt > changeTTL {
+			delete(cd.changes, k)
 		}
 	}
 }
--- a/internal/system/replication/client_calls.go
+++ b/internal/system/replication/client_calls.go
@@ -69,97 +69,97 @@
 }
 
 // startSubmit takes up a change asked for here; where too many are pending it completes it as Refused and gives false.
-func (c *clientCalls) startSubmit(id uint64, ch controlstate.Change, ttl time.Duration) bool {
-	if len(c.submits) >= maxPendingCalls {
-		c.out.Completions = append(c.out.Completions, Completion{ID: id, Outcome: Refused})
+func (cc *clientCalls) startSubmit(id uint64, ch controlstate.Change, ttl time.Duration) bool {
+	if len(cc.submits) >= maxPendingCalls {
+		cc.out.Completions = append(cc.out.Completions, Completion{ID: id, Outcome: Refused})
 		return false
 	}
-	s := &submit{id: id, change: ch, deadline: c.now + ttl}
-	c.submits[id] = s
-	c.sendForward(s)
+	s := &submit{id: id, change: ch, deadline: cc.now + ttl}
+	cc.submits[id] = s
+	cc.sendForward(s)
 	return true
 }
 
-func (c *clientCalls) abandonCall(id uint64) {
-	delete(c.submits, id)
-	delete(c.reads, id)
+func (cc *clientCalls) abandonCall(id uint64) {
+	delete(cc.submits, id)
+	delete(cc.reads, id)
 }
 
-func (c *liveness) headIncarnation() (uint64, bool) {
-	head := c.acceptor.view.Head()
-	if head == c.self.ID {
-		return c.cfg.Incarnation, c.chain.isHead()
+func (lv *liveness) headIncarnation() (uint64, bool) {
+	head := lv.acceptor.view.Head()
+	if head == lv.self.ID {
+		return lv.cfg.Incarnation, lv.chain.isHead()
 	}
-	p := c.peers[head]
-	if p == nil || !c.isAlive(head) || p.heartbeat.GetEpoch() != c.acceptor.view.Epoch {
+	p := lv.peers[head]
+	if p == nil || !lv.isAlive(head) || p.heartbeat.GetEpoch() != lv.acceptor.view.Epoch {
 		return 0, false
 	}
 	return p.incarnation, true
 }
 
-func (c *clientCalls) sendForward(s *submit) {
-	life, ok := c.liveness.headIncarnation()
+func (cc *clientCalls) sendForward(s *submit) {
+	life, ok := cc.liveness.headIncarnation()
 	if !s.sent {
-		if !ok || c.now < s.retryAt {
+		if !ok || cc.now < s.retryAt {
 			return
 		}
-		c.lastCallNumber++
-		s.callNumber, s.sent, s.epoch, s.head, s.headIncarnation = c.lastCallNumber, true, c.acceptor.view.Epoch, c.acceptor.view.Head(), life
-	} else if c.now-s.sentAt < callResendInterval {
+		cc.lastCallNumber++
+		s.callNumber, s.sent, s.epoch, s.head, s.headIncarnation = cc.lastCallNumber, true, cc.acceptor.view.Epoch, cc.acceptor.view.Head(), life
+	} else if cc.now-s.sentAt < callResendInterval {
 		return
 	}
-	s.sentAt = c.now
+	s.sentAt = cc.now
 	e := entry{rec: s.change.Record(0)}
-	c.send(s.head, &replicationpb.Message{Body: &replicationpb.Message_Forward{Forward: &replicationpb.Forward{
-		Id: s.callNumber, Life: c.cfg.Incarnation, HeadLife: s.headIncarnation, Epoch: s.epoch, Change: e.pb(), TtlUs: (s.deadline - c.now).Microseconds(), Heard: c.liveness.lastHeartbeatFrom(s.head),
+	cc.send(s.head, &replicationpb.Message{Body: &replicationpb.Message_Forward{Forward: &replicationpb.Forward{
+		Id: s.callNumber, Life: cc.cfg.Incarnation, HeadLife: s.headIncarnation, Epoch: s.epoch, Change: e.pb(), TtlUs: (s.deadline - cc.now).Microseconds(), Heard: cc.liveness.lastHeartbeatFrom(s.head),
 	}}})
 }
 
-func (c *clientCalls) tickSubmits() {
-	for _, id := range slices.Sorted(maps.Keys(c.submits)) {
-		s := c.submits[id]
-		if c.now >= s.deadline {
+func (cc *clientCalls) tickSubmits() {
+	for _, id := range slices.Sorted(maps.Keys(cc.submits)) {
+		s := cc.submits[id]
+		if cc.now >= s.deadline {
 			out := Refused
 			if s.sent || s.uncertain {
 				out = Unknown
 			}
-			c.completeSubmit(s, Completion{Outcome: out})
+			cc.completeSubmit(s, Completion{Outcome: out})
 			continue
 		}
 		if s.sent {
-			life, ok := c.liveness.headIncarnation()
+			life, ok := cc.liveness.headIncarnation()
 			// A head that remains the head keeps what it was asked.
-			if s.head != c.acceptor.view.Head() || ok && life != s.headIncarnation {
+			if s.head != cc.acceptor.view.Head() || ok && life != s.headIncarnation {
 				if !idempotent(s.change) {
-					c.completeSubmit(s, Completion{Outcome: Unknown})
+					cc.completeSubmit(s, Completion{Outcome: Unknown})
 					continue
 				}
 				s.sent, s.uncertain = false, true
 			}
 		}
-		c.sendForward(s)
+		cc.sendForward(s)
 	}
 }
 
-func (c *clientCalls) completeSubmit(s *submit, done Completion) {
-	delete(c.submits, s.id)
+func (cc *clientCalls) completeSubmit(s *submit, done Completion) {
+	delete(cc.submits, s.id)
 	done.ID = s.id
-	c.out.Completions = append(c.out.Completions, done)
+	cc.out.Completions = append(cc.out.Completions, done)
 }
 
-func (c *clientCalls) handleAnswer(m *replicationpb.Answer) {
-	if !c.isThisIncarnation(m.GetLife()) {
+func (cc *clientCalls) handleAnswer(m *replicationpb.Answer) {
+	if !cc.isThisIncarnation(m.GetLife()) {
 		return
 	}
-	for _, s := range c.submits {
+	for _, s := range cc.submits {
 		if !s.sent || s.callNumber != m.GetId() {
 			continue
 		}
 		switch out := Outcome(m.GetOutcome()); {
 		case out == Refused, out == Unknown && idempotent(s.change):
-			s.sent, s.uncertain, s.retryAt = false, s.uncertain || out == Unknown, c.now+c.cfg.HeartbeatInterval
+			s.sent, s.uncertain, s.retryAt = false, s.uncertain || out == Unknown, cc.now+cc.cfg.HeartbeatInterval
 		default:
-			c.completeSubmit(s, Completion{
+			cc.completeSubmit(s, Completion{
 				Outcome: out, Seq: m.GetSeq(), Verdict: controlstate.Verdict{Kind: controlstate.Kind(m.GetKind()), Reason: m.GetReason()},
 			})
 		}
@@ -168,19 +168,19 @@
 }
 
 // lastHeartbeatFrom is the number of the newest heartbeat heard of a keeper, 0 if none was.
-func (c *liveness) lastHeartbeatFrom(id ID) uint64 {
-	if p := c.peers[id]; p != nil {
+func (lv *liveness) lastHeartbeatFrom(id ID) uint64 {
+	if p := lv.peers[id]; p != nil {
 		return p.heartbeatNumber
 	}
 	return 0
 }
 
 // speculativeState is the state after the whole log, on which the head judges.
-func (c *chainReplica) speculativeState() State {
-	if n := len(c.uncommittedStates); n > 0 {
-		return c.uncommittedStates[n-1]
+func (cr *chainReplica) speculativeState() State {
+	if n := len(cr.uncommittedStates); n > 0 {
+		return cr.uncommittedStates[n-1]
 	}
-	return c.state
+	return cr.state
 }
 
 // read is a linearizable read asked for here. It rests on two things: the tail's word on what is committed, and a
@@ -194,51 +194,51 @@
 }
 
 // startRead takes up a read asked for here; where too many are pending it completes it as Refused and gives false.
-func (c *clientCalls) startRead(id uint64, ttl time.Duration) bool {
-	if len(c.reads) >= maxPendingCalls {
-		c.out.Completions = append(c.out.Completions, Completion{ID: id, Read: true, Outcome: Refused})
+func (cc *clientCalls) startRead(id uint64, ttl time.Duration) bool {
+	if len(cc.reads) >= maxPendingCalls {
+		cc.out.Completions = append(cc.out.Completions, Completion{ID: id, Read: true, Outcome: Refused})
 		return false
 	}
-	r := &read{id: id, deadline: c.now + ttl, sentAt: -callResendInterval}
-	c.reads[id] = r
-	c.sendReadIndex(r)
+	r := &read{id: id, deadline: cc.now + ttl, sentAt: -callResendInterval}
+	cc.reads[id] = r
+	cc.sendReadIndex(r)
 	return true
 }
 
-func (c *clientCalls) sendReadIndex(r *read) {
-	if r.indexKnown || c.now-r.sentAt < callResendInterval || c.acceptor.view.Epoch == 0 {
+func (cc *clientCalls) sendReadIndex(r *read) {
+	if r.indexKnown || cc.now-r.sentAt < callResendInterval || cc.acceptor.view.Epoch == 0 {
 		return
 	}
-	r.sentAt = c.now
-	c.send(c.acceptor.view.Tail(), &replicationpb.Message{Body: &replicationpb.Message_ReadIndex{ReadIndex: &replicationpb.ReadIndex{
-		Id: r.id, Life: c.cfg.Incarnation, Epoch: c.acceptor.view.Epoch,
+	r.sentAt = cc.now
+	cc.send(cc.acceptor.view.Tail(), &replicationpb.Message{Body: &replicationpb.Message_ReadIndex{ReadIndex: &replicationpb.ReadIndex{
+		Id: r.id, Life: cc.cfg.Incarnation, Epoch: cc.acceptor.view.Epoch,
 	}}})
 }
 
-func (c *clientCalls) tickReads() {
-	for _, id := range slices.Sorted(maps.Keys(c.reads)) {
-		r := c.reads[id]
-		if c.now >= r.deadline {
-			delete(c.reads, id)
-			c.out.Completions = append(c.out.Completions, Completion{ID: id, Read: true, Outcome: Refused})
+func (cc *clientCalls) tickReads() {
+	for _, id := range slices.Sorted(maps.Keys(cc.reads)) {
+		r := cc.reads[id]
+		if cc.now >= r.deadline {
+			delete(cc.reads, id)
+			cc.out.Completions = append(cc.out.Completions, Completion{ID: id, Read: true, Outcome: Refused})
 			continue
 		}
-		c.sendReadIndex(r)
+		cc.sendReadIndex(r)
 	}
 }
 
-func (c *clientCalls) handleReadAt(m *replicationpb.ReadAt) {
-	if r := c.reads[m.GetId()]; r != nil && c.isThisIncarnation(m.GetLife()) && !r.indexKnown {
+func (cc *clientCalls) handleReadAt(m *replicationpb.ReadAt) {
+	if r := cc.reads[m.GetId()]; r != nil && cc.isThisIncarnation(m.GetLife()) && !r.indexKnown {
 		r.readIndex, r.indexKnown = m.GetSeq(), true
-		c.completeReads()
+		cc.completeReads()
 	}
 }
 
-func (c *clientCalls) completeReads() {
-	for _, id := range slices.Sorted(maps.Keys(c.reads)) {
-		if r := c.reads[id]; r.indexKnown && r.readIndex <= c.chain.commitIndex {
-			delete(c.reads, id)
-			c.out.Completions = append(c.out.Completions, Completion{ID: id, Read: true, Outcome: Answered, Seq: c.chain.commitIndex, State: c.chain.state})
+func (cc *clientCalls) completeReads() {
+	for _, id := range slices.Sorted(maps.Keys(cc.reads)) {
+		if r := cc.reads[id]; r.indexKnown && r.readIndex <= cc.chain.commitIndex {
+			delete(cc.reads, id)
+			cc.out.Completions = append(cc.out.Completions, Completion{ID: id, Read: true, Outcome: Answered, Seq: cc.chain.commitIndex, State: cc.chain.state})
 		}
 	}
 }
--- a/internal/system/replication/disk_writer.go
+++ b/internal/system/replication/disk_writer.go
@@ -87,136 +87,136 @@
 }
 
 // persist writes the register and then runs then, unless the process ends before.
-func (c *diskWriter) persist(then func()) {
-	c.acceptorDirty = true
+func (dw *diskWriter) persist(then func()) {
+	dw.acceptorDirty = true
 	if then == nil {
 		return
 	}
-	if c.cfg.knobs.SendBeforeWrite {
+	if dw.cfg.knobs.SendBeforeWrite {
 		then()
 		return
 	}
-	c.waiters = append(c.waiters, then)
+	dw.waiters = append(dw.waiters, then)
 }
 
 // truncateLog drops the records above after from memory and disk.
-func (c *chainReplica) truncateLog(after uint64) {
-	c.log.truncate(after)
-	c.matchIndex = min(c.matchIndex, after)
-	if after < c.writer.durableEnd {
-		c.writer.durableEnd, c.writer.truncateNeeded = after, true
-	} else if c.writer.op != nil && c.writer.op.Kind == DiskAppend {
-		c.writer.truncateNeeded = true
+func (cr *chainReplica) truncateLog(after uint64) {
+	cr.log.truncate(after)
+	cr.matchIndex = min(cr.matchIndex, after)
+	if after < cr.writer.durableEnd {
+		cr.writer.durableEnd, cr.writer.truncateNeeded = after, true
+	} else if cr.writer.op != nil && cr.writer.op.Kind == DiskAppend {
+		cr.writer.truncateNeeded = true
 	}
 }
 
 // startWrite starts the next write.
-func (c *diskWriter) startWrite() {
-	if c.op != nil || c.now < c.retryAt {
+func (dw *diskWriter) startWrite() {
+	if dw.op != nil || dw.now < dw.retryAt {
 		return
 	}
 	switch {
-	case c.acceptorDirty || c.probeWanted:
-		c.acceptorDirty, c.probeWanted = false, false
-		data, err := proto.Marshal(c.acceptor.pb())
+	case dw.acceptorDirty || dw.probeWanted:
+		dw.acceptorDirty, dw.probeWanted = false, false
+		data, err := proto.Marshal(dw.acceptor.pb())
 		if err != nil {
-			c.fail(errors.Wrap(err, "replication: register"))
+			dw.fail(errors.Wrap(err, "replication: register"))
 			return
 		}
-		waiters := c.waiters
-		c.waiters = nil
-		active, sealed, epoch := c.acceptor.activeEpoch, c.acceptor.sealedEpoch, c.acceptor.view.Epoch
-		c.beginWrite(&DiskOp{Kind: DiskSaveMeta, Name: metaAcceptor, Data: data}, func(err error) {
+		waiters := dw.waiters
+		dw.waiters = nil
+		active, sealed, epoch := dw.acceptor.activeEpoch, dw.acceptor.sealedEpoch, dw.acceptor.view.Epoch
+		dw.beginWrite(&DiskOp{Kind: DiskSaveMeta, Name: metaAcceptor, Data: data}, func(err error) {
 			if err != nil {
-				c.acceptorDirty, c.waiters = true, append(waiters, c.waiters...)
+				dw.acceptorDirty, dw.waiters = true, append(waiters, dw.waiters...)
 				return
 			}
-			c.acceptor.durableActive, c.acceptor.durableSealed, c.acceptor.durableEpoch = active, sealed, epoch
+			dw.acceptor.durableActive, dw.acceptor.durableSealed, dw.acceptor.durableEpoch = active, sealed, epoch
 			for _, w := range waiters {
 				w()
 			}
 		})
-	case c.pendingInstall != nil:
-		snap := c.pendingInstall
-		c.beginWrite(&DiskOp{Kind: DiskInstall, Snapshot: *snap}, func(err error) {
-			if err != nil || c.pendingInstall != snap {
+	case dw.pendingInstall != nil:
+		snap := dw.pendingInstall
+		dw.beginWrite(&DiskOp{Kind: DiskInstall, Snapshot: *snap}, func(err error) {
+			if err != nil || dw.pendingInstall != snap {
 				return
 			}
-			c.pendingInstall, c.truncateNeeded = nil, false
-			c.durableEnd, c.snapshotSeq, c.loggedBytes = snap.Seq, snap.Seq, 0
+			dw.pendingInstall, dw.truncateNeeded = nil, false
+			dw.durableEnd, dw.snapshotSeq, dw.loggedBytes = snap.Seq, snap.Seq, 0
 		})
-	case c.truncateNeeded:
-		after := c.durableEnd
-		c.beginWrite(&DiskOp{Kind: DiskTruncate, After: after}, func(err error) {
-			if err == nil && c.durableEnd >= after {
-				c.truncateNeeded = false
+	case dw.truncateNeeded:
+		after := dw.durableEnd
+		dw.beginWrite(&DiskOp{Kind: DiskTruncate, After: after}, func(err error) {
+			if err == nil && dw.durableEnd >= after {
+				dw.truncateNeeded = false
 			}
 		})
-	case c.compactionDue(2) && c.startCompact(): // before more records, that wait at the end of each write under load
-	case c.appendRefused && min(c.chain.commitIndex, c.durableEnd) > c.snapshotSeq && c.startCompact(): // the log may be full
-	case c.durableEnd < c.chain.log.end():
-		c.startAppend()
-	case c.compactionDue(1) && c.startCompact():
+	case dw.compactionDue(2) && dw.startCompact(): // before more records, that wait at the end of each write under load
+	case dw.appendRefused && min(dw.chain.commitIndex, dw.durableEnd) > dw.snapshotSeq && dw.startCompact(): // the log may be full
+	case dw.durableEnd < dw.chain.log.end():
+		dw.startAppend()
+	case dw.compactionDue(1) && dw.startCompact():
 	}
 }
 
 // compactionDue tells whether so many times as many records or bytes are committed on disk as a snapshot is taken after.
-func (c *diskWriter) compactionDue(times uint64) bool {
-	done := min(c.chain.commitIndex, c.durableEnd)
-	return done >= c.snapshotSeq+times*c.cfg.compactRecords || c.loggedBytes >= int(times)*compactThresholdBytes && done > c.snapshotSeq
+func (dw *diskWriter) compactionDue(times uint64) bool {
+	done := min(dw.chain.commitIndex, dw.durableEnd)
+	return done >= dw.snapshotSeq+times*dw.cfg.compactRecords || dw.loggedBytes >= int(times)*compactThresholdBytes && done > dw.snapshotSeq
 }
 
-func (c *diskWriter) startAppend() {
+func (dw *diskWriter) startAppend() {
 	var entries []wal.Entry
 	bytes := 0
-	for seq := c.durableEnd + 1; seq <= c.chain.log.end() && bytes < 1<<20; seq++ {
-		data, err := proto.Marshal(c.chain.log.at(seq).pb())
+	for seq := dw.durableEnd + 1; seq <= dw.chain.log.end() && bytes < 1<<20; seq++ {
+		data, err := proto.Marshal(dw.chain.log.at(seq).pb())
 		if err != nil {
-			c.fail(errors.Wrap(err, "replication: record"))
+			dw.fail(errors.Wrap(err, "replication: record"))
 			return
 		}
 		entries = append(entries, wal.Entry{Seq: seq, Data: data})
 		bytes += len(data)
 	}
 	last := entries[len(entries)-1].Seq
-	c.beginWrite(&DiskOp{Kind: DiskAppend, Entries: entries}, func(err error) {
-		if c.pendingInstall != nil {
+	dw.beginWrite(&DiskOp{Kind: DiskAppend, Entries: entries}, func(err error) {
+		if dw.pendingInstall != nil {
 			return
 		}
-		c.appendRefused = err != nil
+		dw.appendRefused = err != nil
 		if err != nil {
-			c.truncateNeeded = true
+			dw.truncateNeeded = true
 			return
 		}
-		if !c.truncateNeeded {
-			c.durableEnd = last
-			c.loggedBytes += bytes
+		if !dw.truncateNeeded {
+			dw.durableEnd = last
+			dw.loggedBytes += bytes
 		}
 	})
 }
 
 // startCompact begins to write the committed state as a snapshot; false where it cannot.
-func (c *diskWriter) startCompact() bool {
-	epoch, ok := c.chain.log.epochAt(c.chain.commitIndex)
+func (dw *diskWriter) startCompact() bool {
+	epoch, ok := dw.chain.log.epochAt(dw.chain.commitIndex)
 	if !ok {
 		return false
 	}
-	snap, err := encodeImage(c.chain.commitIndex, epoch, c.chain.state)
+	snap, err := encodeImage(dw.chain.commitIndex, epoch, dw.chain.state)
 	if err != nil {
-		c.fail(err)
+		dw.fail(err)
 		return false
 	}
 	op := &DiskOp{Kind: DiskCompact, Snapshot: snap}
-	if c.chain.commitIndex > c.durableEnd { // it is ahead of the log on disk, and takes its place
+	if dw.chain.commitIndex > dw.durableEnd { // it is ahead of the log on disk, and takes its place
 		op.Kind = DiskInstall
 	}
-	c.beginWrite(op, func(err error) {
-		c.appendRefused = false
-		if err != nil || c.pendingInstall != nil {
+	dw.beginWrite(op, func(err error) {
+		dw.appendRefused = false
+		if err != nil || dw.pendingInstall != nil {
 			return
 		}
-		c.durableEnd, c.snapshotSeq, c.loggedBytes = max(c.durableEnd, snap.Seq), snap.Seq, 0
-		c.chain.compactMemory(snap)
+		dw.durableEnd, dw.snapshotSeq, dw.loggedBytes = max(dw.durableEnd, snap.Seq), snap.Seq, 0
+		dw.chain.compactMemory(snap)
 	})
 	return true
 }
@@ -225,15 +225,15 @@
 // defaultRetainedRecords records, of minRetainedBytes or twice the size of the snapshot. That much is enough for one that was sent a snapshot
 // to go on from there: while it was under way, changes took less of the link than the snapshot did, or else the link could
 // not carry the changes at all.
-func (c *chainReplica) compactMemory(snap wal.Snapshot) {
+func (cr *chainReplica) compactMemory(snap wal.Snapshot) {
 	room, keep := max(minRetainedBytes, 2*len(snap.Data)), uint64(0)
-	for seq := min(snap.Seq, c.log.end()); seq > c.log.base && keep < c.cfg.retainedRecords; seq-- {
-		if room -= c.log.at(seq).size(); room < 0 {
+	for seq := min(snap.Seq, cr.log.end()); seq > cr.log.base && keep < cr.cfg.retainedRecords; seq-- {
+		if room -= cr.log.at(seq).size(); room < 0 {
 			break
 		}
 		keep++
 	}
-	c.log.compact(snap.Seq - keep)
+	cr.log.compact(snap.Seq - keep)
 }
 
 func encodeImage(seq, epoch uint64, s State) (wal.Snapshot, error) {
@@ -244,44 +244,44 @@
 	return wal.Snapshot{Seq: seq, Data: data}, nil
 }
 
-func (c *diskWriter) beginWrite(op *DiskOp, done func(error)) {
-	c.token++
-	op.Token = c.token
-	c.op, c.onDone, c.startedAt = op, done, c.now
-	c.out.Disk = op
+func (dw *diskWriter) beginWrite(op *DiskOp, done func(error)) {
+	dw.token++
+	op.Token = dw.token
+	dw.op, dw.onDone, dw.startedAt = op, done, dw.now
+	dw.out.Disk = op
 }
 
 // finishWrite takes up the result of the write that is in progress, false where it is not that of the token.
-func (c *diskWriter) finishWrite(token uint64, err error) bool {
-	if c.op == nil || c.op.Token != token {
+func (dw *diskWriter) finishWrite(token uint64, err error) bool {
+	if dw.op == nil || dw.op.Token != token {
 		return false
 	}
-	done := c.onDone
-	c.op, c.onDone = nil, nil
-	slow := c.now-c.startedAt > c.cfg.SlowDiskTimeout
+	done := dw.onDone
+	dw.op, dw.onDone = nil, nil
+	slow := dw.now-dw.startedAt > dw.cfg.SlowDiskTimeout
 	switch {
 	case errors.Is(err, wal.ErrSuperseded): // no try can succeed any more
-		c.fail(errors.Wrap(err, "replication: this keeper takes no part any more"))
+		dw.fail(errors.Wrap(err, "replication: this keeper takes no part any more"))
 	case err != nil:
-		c.unhealthy, c.retryAt = true, c.now+diskRetryInterval
-		c.unhealthyUntil = c.now + diskRetryInterval
-		c.logEvent("replication: the disk refuses writes, retrying: " + err.Error())
+		dw.unhealthy, dw.retryAt = true, dw.now+diskRetryInterval
+		dw.unhealthyUntil = dw.now + diskRetryInterval
+		dw.logEvent("replication: the disk refuses writes, retrying: " + err.Error())
 	case slow:
-		c.unhealthy, c.unhealthyUntil = true, c.now+4*diskRetryInterval
-		c.retryAt = 0
-	case c.unhealthy && c.now >= c.unhealthyUntil:
-		c.unhealthy = false
+		dw.unhealthy, dw.unhealthyUntil = true, dw.now+4*diskRetryInterval
+		dw.retryAt = 0
+	case dw.unhealthy && dw.now >= dw.unhealthyUntil:
+		dw.unhealthy = false
 	}
 	done(err)
 	return true
 }
 
 // superviseWrites notices a write that does not end, and asks for one when the disk may be good again.
-func (c *diskWriter) superviseWrites() {
-	if c.op != nil && c.now-c.startedAt > c.cfg.SlowDiskTimeout {
-		c.unhealthy, c.unhealthyUntil = true, c.now+diskRetryInterval
+func (dw *diskWriter) superviseWrites() {
+	if dw.op != nil && dw.now-dw.startedAt > dw.cfg.SlowDiskTimeout {
+		dw.unhealthy, dw.unhealthyUntil = true, dw.now+diskRetryInterval
 	}
-	if c.unhealthy && c.op == nil && c.now >= c.unhealthyUntil {
-		c.probeWanted = true
+	if dw.unhealthy && dw.op == nil && dw.now >= dw.unhealthyUntil {
+		dw.probeWanted = true
 	}
 }
--- a/internal/system/replication/downstream.go
+++ b/internal/system/replication/downstream.go
@@ -33,172 +33,174 @@
 func transferTime(bytes int) time.Duration { return time.Duration(bytes) * transferTimePerMB >> 20 }
 
 // canReplicate tells whether this link may hand on: it takes part, and knows since its start how far its log is the chain's.
-func (c *chainReplica) canReplicate() bool { return c.isActive() && (c.isHead() || c.upstreamMatched) }
+func (cr *chainReplica) canReplicate() bool {
+	return cr.isActive() && (cr.isHead() || cr.upstreamMatched)
+}
 
 // replicateTo hands on what the downstream keeper lacks.
-func (c *chainReplica) replicateTo(id ID) {
-	p := c.downstream[id]
+func (cr *chainReplica) replicateTo(id ID) {
+	p := cr.downstream[id]
 	if p == nil {
-		p = &progress{advancedAt: c.now, lastSentAt: -resendTimeout}
-		c.downstream[id] = p
+		p = &progress{advancedAt: cr.now, lastSentAt: -resendTimeout}
+		cr.downstream[id] = p
 	}
-	if !c.canReplicate() {
+	if !cr.canReplicate() {
 		return
 	}
-	limit := c.replicationLimit(p)
+	limit := cr.replicationLimit(p)
 	if !p.matchKnown {
-		if c.now-p.lastSentAt >= resendTimeout {
-			c.sendAppend(id, p, limit, nil, limit)
+		if cr.now-p.lastSentAt >= resendTimeout {
+			cr.sendAppend(id, p, limit, nil, limit)
 		}
 		return
 	}
-	if c.now >= p.resendAt && p.match+1 < p.next {
+	if cr.now >= p.resendAt && p.match+1 < p.next {
 		p.next = p.match + 1
 	}
-	if p.next <= c.log.base && p.next <= limit {
-		c.sendInstall(id, p)
+	if p.next <= cr.log.base && p.next <= limit {
+		cr.sendInstall(id, p)
 		return
 	}
-	for underWay := c.log.size(p.match+1, p.next-1); p.next <= limit && underWay < maxInFlightBytes; {
-		entries := c.log.between(p.next, limit, maxAppendBytes)
-		c.sendAppend(id, p, p.next-1, entries, limit)
-		bytes := c.log.size(p.next, p.next+uint64(len(entries))-1)
-		p.recordSent(c.now, bytes)
+	for underWay := cr.log.size(p.match+1, p.next-1); p.next <= limit && underWay < maxInFlightBytes; {
+		entries := cr.log.between(p.next, limit, maxAppendBytes)
+		cr.sendAppend(id, p, p.next-1, entries, limit)
+		bytes := cr.log.size(p.next, p.next+uint64(len(entries))-1)
+		p.recordSent(cr.now, bytes)
 		p.next += uint64(len(entries))
 		underWay += bytes
 	}
 }
 
 // replicationLimit is the last record that may be handed on: on disk here; to learners, committed.
-func (c *chainReplica) replicationLimit(p *progress) uint64 {
+func (cr *chainReplica) replicationLimit(p *progress) uint64 {
 	if p.learner {
-		return c.commitIndex
+		return cr.commitIndex
 	}
-	return c.durableIndex()
+	return cr.durableIndex()
 }
 
-func (c *chainReplica) sendAppend(id ID, p *progress, prev uint64, entries []*replicationpb.Entry, limit uint64) {
-	epoch, ok := c.log.epochAt(prev)
+func (cr *chainReplica) sendAppend(id ID, p *progress, prev uint64, entries []*replicationpb.Entry, limit uint64) {
+	epoch, ok := cr.log.epochAt(prev)
 	if !ok {
 		return
 	}
-	p.lastSentAt = c.now
-	c.send(id, &replicationpb.Message{Body: &replicationpb.Message_Append{Append: &replicationpb.Append{
-		Epoch: c.acceptor.view.Epoch, PrevSeq: prev, PrevEpoch: epoch, Entries: entries,
-		Start: c.epochStartIndex, End: limit, Committed: c.commitIndex, Learner: p.learner, Follow: p.followNumber,
+	p.lastSentAt = cr.now
+	cr.send(id, &replicationpb.Message{Body: &replicationpb.Message_Append{Append: &replicationpb.Append{
+		Epoch: cr.acceptor.view.Epoch, PrevSeq: prev, PrevEpoch: epoch, Entries: entries,
+		Start: cr.epochStartIndex, End: limit, Committed: cr.commitIndex, Learner: p.learner, Follow: p.followNumber,
 	}}})
 }
 
-func (c *chainReplica) sendInstall(id ID, p *progress) {
-	if p.snapshotInFlight && c.now < p.resendAt {
+func (cr *chainReplica) sendInstall(id ID, p *progress) {
+	if p.snapshotInFlight && cr.now < p.resendAt {
 		return
 	}
-	epoch, ok := c.log.epochAt(c.commitIndex)
+	epoch, ok := cr.log.epochAt(cr.commitIndex)
 	if !ok {
 		return
 	}
-	state := c.state.Encode()
-	p.lastSentAt, p.snapshotInFlight = c.now, true
-	p.resendAt = c.now + snapshotResendTimeout + transferTime(len(state))
-	c.send(id, &replicationpb.Message{Body: &replicationpb.Message_Install{Install: &replicationpb.Install{
-		Epoch: c.acceptor.view.Epoch, Seq: c.commitIndex, SeqEpoch: epoch, State: state, Learner: p.learner,
+	state := cr.state.Encode()
+	p.lastSentAt, p.snapshotInFlight = cr.now, true
+	p.resendAt = cr.now + snapshotResendTimeout + transferTime(len(state))
+	cr.send(id, &replicationpb.Message{Body: &replicationpb.Message_Install{Install: &replicationpb.Install{
+		Epoch: cr.acceptor.view.Epoch, Seq: cr.commitIndex, SeqEpoch: epoch, State: state, Learner: p.learner,
 	}}})
 }
 
-func (c *chainReplica) handleAck(from ID, m *replicationpb.Ack) {
-	p := c.downstream[from]
-	if p == nil || m.GetEpoch() != c.acceptor.view.Epoch || !c.acceptor.viewDurable {
+func (cr *chainReplica) handleAck(from ID, m *replicationpb.Ack) {
+	p := cr.downstream[from]
+	if p == nil || m.GetEpoch() != cr.acceptor.view.Epoch || !cr.acceptor.viewDurable {
 		return
 	}
-	p.lastContactAt = c.now
+	p.lastContactAt = cr.now
 	if m.GetMismatch() {
-		if !c.canReplicate() {
+		if !cr.canReplicate() {
 			return // what this link holds for sure it does not know yet; it is asked again
 		}
-		c.locateMatch(p, m.GetBase(), m.GetBaseEpoch(), m.GetRuns())
-		if limit := c.replicationLimit(p); p.next > limit && p.matchKnown {
-			c.sendAppend(from, p, min(p.next-1, limit), nil, limit)
+		cr.locateMatch(p, m.GetBase(), m.GetBaseEpoch(), m.GetRuns())
+		if limit := cr.replicationLimit(p); p.next > limit && p.matchKnown {
+			cr.sendAppend(from, p, min(p.next-1, limit), nil, limit)
 			return
 		}
-		c.replicateTo(from)
+		cr.replicateTo(from)
 		return
 	}
 	if m.GetMatched() > p.match || !p.matchKnown {
-		p.match, p.advancedAt = max(p.match, m.GetMatched()), c.now
+		p.match, p.advancedAt = max(p.match, m.GetMatched()), cr.now
 		p.next = max(p.next, p.match+1)
 		p.matchKnown, p.snapshotInFlight = true, false
-		p.resendAt = c.now + resendTimeout + transferTime(c.log.size(p.match+1, p.next-1))
+		p.resendAt = cr.now + resendTimeout + transferTime(cr.log.size(p.match+1, p.next-1))
 	}
 	if p.learner {
-		c.replicateTo(from)
+		cr.replicateTo(from)
 		return
 	}
 	if m.GetActive() {
 		if m.GetComplete() && !p.activeToTail {
 			p.activeToTail = true
-			c.sendAck()
-			c.waiting.completeChanges()
+			cr.sendAck()
+			cr.waiting.completeChanges()
 		}
 		if !p.active {
-			p.active, p.advancedAt = true, c.now
+			p.active, p.advancedAt = true, cr.now
 		}
-		if from == c.successor() && c.isActive() {
-			c.advanceCommitIndex(min(m.GetCommitted(), c.durableIndex()))
+		if from == cr.successor() && cr.isActive() {
+			cr.advanceCommitIndex(min(m.GetCommitted(), cr.durableIndex()))
 		}
 	}
-	c.replicateTo(from)
+	cr.replicateTo(from)
 }
 
 // locateMatch finds where the logs part.
-func (c *chainReplica) locateMatch(p *progress, base, baseEpoch uint64, runs []*replicationpb.Run) {
-	if joint, ok := c.log.lastCommon(base, baseEpoch, runs); ok {
+func (cr *chainReplica) locateMatch(p *progress, base, baseEpoch uint64, runs []*replicationpb.Run) {
+	if joint, ok := cr.log.lastCommon(base, baseEpoch, runs); ok {
 		p.next, p.match, p.matchKnown = joint+1, joint, true
 		p.snapshotInFlight = false
 		return
 	}
 	p.next, p.match, p.matchKnown = 0, 0, true // below base: a snapshot
-	if c.log.base == 0 {
+	if cr.log.base == 0 {
 		p.next = 1
 	}
 }
 
-func (c *chainReplica) handleFollow(from ID, m *replicationpb.Follow) {
-	if !c.isActive() || !c.holdsAcknowledged() || m.GetEpoch() != c.acceptor.view.Epoch || c.acceptor.view.chainIndex(from) >= 0 {
+func (cr *chainReplica) handleFollow(from ID, m *replicationpb.Follow) {
+	if !cr.isActive() || !cr.holdsAcknowledged() || m.GetEpoch() != cr.acceptor.view.Epoch || cr.acceptor.view.chainIndex(from) >= 0 {
 		return
 	}
-	p := c.downstream[from]
+	p := cr.downstream[from]
 	if p == nil {
-		if len(c.downstream) > maxLearners {
+		if len(cr.downstream) > maxLearners {
 			return
 		}
 		p = &progress{learner: true, lastSentAt: -snapshotResendTimeout}
-		c.downstream[from] = p
+		cr.downstream[from] = p
 	}
-	p.lastContactAt, p.followNumber = c.now, m.GetNumber()
+	p.lastContactAt, p.followNumber = cr.now, m.GetNumber()
 	// Every call tells what the learner has. What is under way to it is not sent again before its time.
 	lagging, next := p.snapshotInFlight, p.next
-	c.locateMatch(p, m.GetBase(), m.GetBaseEpoch(), m.GetRuns())
+	cr.locateMatch(p, m.GetBase(), m.GetBaseEpoch(), m.GetRuns())
 	p.snapshotInFlight = lagging
-	if c.now < p.resendAt && p.next > c.log.base {
+	if cr.now < p.resendAt && p.next > cr.log.base {
 		p.next = max(p.next, next)
 	}
 	before := p.lastSentAt
-	c.replicateTo(from)
-	if p.lastSentAt != c.now || before == c.now {
+	cr.replicateTo(from)
+	if p.lastSentAt != cr.now || before == cr.now {
 		// Nothing new to send: the call is answered all the same, by which the learner knows that it lacks nothing.
-		c.sendAppend(from, p, min(p.match, c.commitIndex), nil, c.commitIndex)
+		cr.sendAppend(from, p, min(p.match, cr.commitIndex), nil, cr.commitIndex)
 	}
 }
 
 // stalledSuccessor is the next link when it has not taken what it was sent for too long.
-func (c *chainReplica) stalledSuccessor() ID {
-	id := c.successor()
-	p := c.downstream[id]
-	if id == "" || p == nil || !c.canReplicate() {
+func (cr *chainReplica) stalledSuccessor() ID {
+	id := cr.successor()
+	p := cr.downstream[id]
+	if id == "" || p == nil || !cr.canReplicate() {
 		return ""
 	}
-	switch wait := c.now - p.advancedAt; {
-	case !p.active && wait > activationTimeout, p.active && p.match < c.durableIndex() && wait > stalledTimeout+transferTime(c.log.size(p.match+1, c.durableIndex())):
+	switch wait := cr.now - p.advancedAt; {
+	case !p.active && wait > activationTimeout, p.active && p.match < cr.durableIndex() && wait > stalledTimeout+transferTime(cr.log.size(p.match+1, cr.durableIndex())):
 		return id
 	}
 	return ""
--- a/internal/system/replication/environment.go
+++ b/internal/system/replication/environment.go
@@ -24,38 +24,38 @@
 }
 
 // send adds a message to the outputs where the receiver's address is known.
-func (c *environment) send(to ID, m *replicationpb.Message) {
-	m.From, m.To = string(c.self.ID), string(to)
-	if to == c.self.ID {
-		c.loopback = append(c.loopback, m)
+func (e *environment) send(to ID, m *replicationpb.Message) {
+	m.From, m.To = string(e.self.ID), string(to)
+	if to == e.self.ID {
+		e.loopback = append(e.loopback, m)
 		return
 	}
-	if addr := c.addressOf(to); addr != "" {
-		c.out.Messages = append(c.out.Messages, Envelope{Addr: addr, Msg: m})
+	if addr := e.addressOf(to); addr != "" {
+		e.out.Messages = append(e.out.Messages, Envelope{Addr: addr, Msg: m})
 	}
 }
 
 // logEvent adds a line for the log; more than maxLogEvents between two calls of Ready are dropped.
-func (c *environment) logEvent(s string) {
-	if len(c.out.LogEvents) < maxLogEvents {
-		c.out.LogEvents = append(c.out.LogEvents, s)
+func (e *environment) logEvent(s string) {
+	if len(e.out.LogEvents) < maxLogEvents {
+		e.out.LogEvents = append(e.out.LogEvents, s)
 	}
 }
 
 // fail ends this node's part for good; the others remove it from the chain.
-func (c *environment) fail(err error) {
-	if c.err == nil {
-		c.err = err
-		c.logEvent(err.Error())
+func (e *environment) fail(err error) {
+	if e.err == nil {
+		e.err = err
+		e.logEvent(err.Error())
 	}
 }
 
 // jitter is a random time of at most d.
-func (c *environment) jitter(d time.Duration) time.Duration {
-	return time.Duration(c.rng.Int64N(int64(d) + 1))
+func (e *environment) jitter(d time.Duration) time.Duration {
+	return time.Duration(e.rng.Int64N(int64(d) + 1))
 }
 
 // isThisIncarnation tells whether an answer is for a call of this incarnation: calls of another may have had the same numbers.
-func (c *environment) isThisIncarnation(incarnation uint64) bool {
-	return incarnation == c.cfg.Incarnation || c.cfg.knobs.AcceptAnyIncarnation
+func (e *environment) isThisIncarnation(incarnation uint64) bool {
+	return incarnation == e.cfg.Incarnation || e.cfg.knobs.AcceptAnyIncarnation
 }
--- a/internal/system/replication/head_election.go
+++ b/internal/system/replication/head_election.go
@@ -20,11 +20,11 @@
 }
 
 // durableEpochsOf gives what id last said. It may have changed since, but only upwards.
-func (c *liveness) durableEpochsOf(id ID) durableEpochs {
-	if id == c.self.ID {
-		return durableEpochs{known: true, active: c.acceptor.durableActive, sealed: c.acceptor.durableSealed, epoch: c.acceptor.durableEpoch}
+func (lv *liveness) durableEpochsOf(id ID) durableEpochs {
+	if id == lv.self.ID {
+		return durableEpochs{known: true, active: lv.acceptor.durableActive, sealed: lv.acceptor.durableSealed, epoch: lv.acceptor.durableEpoch}
 	}
-	if p := c.peers[id]; p != nil {
+	if p := lv.peers[id]; p != nil {
 		return durableEpochs{known: true, active: p.heartbeat.GetActive(), sealed: p.heartbeat.GetSealed(), epoch: p.heartbeat.GetEpoch()}
 	}
 	return durableEpochs{}
@@ -39,16 +39,16 @@
 // anything can be acknowledged there.
 //
 // With suppose, links that could be sealed count as sealed.
-func (c *planner) mayLead(id ID, suppose bool) bool {
-	if c.cfg.knobs.AllowAnyHead {
+func (pl *planner) mayLead(id ID, suppose bool) bool {
+	if pl.cfg.knobs.AllowAnyHead {
 		return true
 	}
-	x := c.liveness.durableEpochsOf(id)
+	x := pl.liveness.durableEpochsOf(id)
 	if !x.known {
 		return false
 	}
-	for g := c.acceptor.view.Epoch; g > x.active; g-- {
-		if !c.cannotHaveAcknowledged(g, id, suppose) {
+	for g := pl.acceptor.view.Epoch; g > x.active; g-- {
+		if !pl.cannotHaveAcknowledged(g, id, suppose) {
 			return false
 		}
 	}
@@ -56,19 +56,19 @@
 }
 
 // cannotHaveAcknowledged tells whether epoch g is known to have acknowledged nothing, provided that candidate leads next.
-func (c *planner) cannotHaveAcknowledged(g uint64, candidate ID, suppose bool) bool {
-	return slices.ContainsFunc(c.acceptor.view.chainOf(g), func(id ID) bool {
-		s := c.liveness.durableEpochsOf(id)
+func (pl *planner) cannotHaveAcknowledged(g uint64, candidate ID, suppose bool) bool {
+	return slices.ContainsFunc(pl.acceptor.view.chainOf(g), func(id ID) bool {
+		s := pl.liveness.durableEpochsOf(id)
 		return s.known && s.active < g &&
-			(id == candidate || s.epoch > g || s.sealed == g || c.cfg.knobs.PresumeUnacknowledged || suppose && g == c.acceptor.view.Epoch && c.liveness.isAlive(id))
+			(id == candidate || s.epoch > g || s.sealed == g || pl.cfg.knobs.PresumeUnacknowledged || suppose && g == pl.acceptor.view.Epoch && pl.liveness.isAlive(id))
 	})
 }
 
 // earlierChains lists the chains that the next view must remember.
-func (c *planner) earlierChains() map[uint64][]ID {
-	cur := c.acceptor.view
+func (pl *planner) earlierChains() map[uint64][]ID {
+	cur := pl.acceptor.view
 	out := map[uint64][]ID{}
-	if c.liveness.durableEpochsOf(cur.Tail()).active == cur.Epoch {
+	if pl.liveness.durableEpochsOf(cur.Tail()).active == cur.Epoch {
 		return out // the tail is active only after all others: what was before does not matter any more
 	}
 	maps.Copy(out, cur.past)
@@ -81,27 +81,27 @@
 
 // findHead looks for a head outside the chain, when none of its links may lead: all that were active are gone. Links
 // that are not active are asked to seal the epoch when that helps.
-func (c *planner) findHead(voters []Member) []Member {
-	if c.headlessSince < 0 {
-		c.headlessSince = c.now
+func (pl *planner) findHead(voters []Member) []Member {
+	if pl.headlessSince < 0 {
+		pl.headlessSince = pl.now
 	}
-	if c.now-c.headlessSince < sealTimeout {
+	if pl.now-pl.headlessSince < sealTimeout {
 		return nil
 	}
 	for _, suppose := range []bool{false, true} {
 		for _, m := range voters {
-			if !c.liveness.isHealthy(m.ID) || !c.mayLead(m.ID, suppose) {
+			if !pl.liveness.isHealthy(m.ID) || !pl.mayLead(m.ID, suppose) {
 				continue
 			}
 			if !suppose {
 				return []Member{m}
 			}
-			for _, id := range c.acceptor.view.Chain {
-				if c.liveness.isAlive(id) {
-					c.send(id, &replicationpb.Message{Body: &replicationpb.Message_Seal{Seal: &replicationpb.Seal{Epoch: c.acceptor.view.Epoch}}})
+			for _, id := range pl.acceptor.view.Chain {
+				if pl.liveness.isAlive(id) {
+					pl.send(id, &replicationpb.Message{Body: &replicationpb.Message_Seal{Seal: &replicationpb.Seal{Epoch: pl.acceptor.view.Epoch}}})
 				}
 			}
-			c.headlessSince = c.now // once a second
+			pl.headlessSince = pl.now // once a second
 			return nil
 		}
 	}
@@ -109,6 +109,6 @@
 }
 
 // isSealed tells whether a link has sealed the epoch, so that it needs a successor whatever else is well.
-func (c *planner) isSealed() bool {
-	return slices.ContainsFunc(c.acceptor.view.Chain, func(id ID) bool { return c.liveness.durableEpochsOf(id).sealed == c.acceptor.view.Epoch })
+func (pl *planner) isSealed() bool {
+	return slices.ContainsFunc(pl.acceptor.view.Chain, func(id ID) bool { return pl.liveness.durableEpochsOf(id).sealed == pl.acceptor.view.Epoch })
 }
--- a/internal/system/replication/liveness.go
+++ b/internal/system/replication/liveness.go
@@ -52,116 +52,116 @@
 }
 
 // heartbeat is what this keeper says of itself, under a number of its own, with the echoes given.
-func (c *liveness) heartbeat(echoes []*replicationpb.Echo) *replicationpb.Heartbeat {
-	c.heartbeatNumber++
-	c.heartbeatSentAt[c.heartbeatNumber%heartbeatHistory] = c.now
+func (lv *liveness) heartbeat(echoes []*replicationpb.Echo) *replicationpb.Heartbeat {
+	lv.heartbeatNumber++
+	lv.heartbeatSentAt[lv.heartbeatNumber%heartbeatHistory] = lv.now
 	b := &replicationpb.Heartbeat{
-		Member: memberPB(c.self), Number: c.heartbeatNumber, Life: c.cfg.Incarnation, Epoch: c.acceptor.durableEpoch,
-		Active: c.acceptor.durableActive, Sealed: c.acceptor.durableSealed, Committed: c.chain.commitIndex, DiskBad: c.writer.unhealthy, Leaving: c.leaving,
-		Bootstrap: c.cfg.Bootstrap, Stuck: string(c.chain.stalledSuccessor()), Observer: c.cfg.Observer, Echoes: echoes,
+		Member: memberPB(lv.self), Number: lv.heartbeatNumber, Life: lv.cfg.Incarnation, Epoch: lv.acceptor.durableEpoch,
+		Active: lv.acceptor.durableActive, Sealed: lv.acceptor.durableSealed, Committed: lv.chain.commitIndex, DiskBad: lv.writer.unhealthy, Leaving: lv.leaving,
+		Bootstrap: lv.cfg.Bootstrap, Stuck: string(lv.chain.stalledSuccessor()), Observer: lv.cfg.Observer, Echoes: echoes,
 	}
-	if c.acceptor.acceptedView != nil {
-		b.Accepted = c.acceptor.acceptedView.Epoch
+	if lv.acceptor.acceptedView != nil {
+		b.Accepted = lv.acceptor.acceptedView.Epoch
 	}
 	return b
 }
 
 // echoes of the members that have lately been heard. Those of an observer matter to it alone and go into the reply to it.
-func (c *liveness) echoes() []*replicationpb.Echo {
+func (lv *liveness) echoes() []*replicationpb.Echo {
 	var all []*replicationpb.Echo
-	for _, id := range slices.Sorted(maps.Keys(c.peers)) {
-		if !c.peers[id].heartbeat.GetObserver() {
-			all = append(all, c.echo(id)...)
+	for _, id := range slices.Sorted(maps.Keys(lv.peers)) {
+		if !lv.peers[id].heartbeat.GetObserver() {
+			all = append(all, lv.echo(id)...)
 		}
 	}
 	return all
 }
 
 // echo says which heartbeat of a peer was heard last, none where that was long ago.
-func (c *liveness) echo(id ID) []*replicationpb.Echo {
-	p := c.peers[id]
-	if c.now-p.lastContactAt >= c.suspectTimeout(p) {
+func (lv *liveness) echo(id ID) []*replicationpb.Echo {
+	p := lv.peers[id]
+	if lv.now-p.lastContactAt >= lv.suspectTimeout(p) {
 		return nil
 	}
 	return []*replicationpb.Echo{{Id: string(id), Number: p.heartbeatNumber}}
 }
 
 // sendHeartbeats tells everyone how this keeper is. Observers are told in reply to their own heartbeats.
-func (c *liveness) sendHeartbeats() {
-	c.lastHeartbeatAt = c.now
-	c.forgetPeers()
-	body := &replicationpb.Message_Heartbeat{Heartbeat: c.heartbeat(c.echoes())}
-	msg := &replicationpb.Message{From: string(c.self.ID), Body: body}
-	for _, a := range c.heartbeatTargets() {
-		c.out.Messages = append(c.out.Messages, Envelope{Addr: a, Msg: msg})
-	}
-	c.chain.sendFollow()
+func (lv *liveness) sendHeartbeats() {
+	lv.lastHeartbeatAt = lv.now
+	lv.forgetPeers()
+	body := &replicationpb.Message_Heartbeat{Heartbeat: lv.heartbeat(lv.echoes())}
+	msg := &replicationpb.Message{From: string(lv.self.ID), Body: body}
+	for _, a := range lv.heartbeatTargets() {
+		lv.out.Messages = append(lv.out.Messages, Envelope{Addr: a, Msg: msg})
+	}
+	lv.chain.sendFollow()
 }
 
-func (c *liveness) forgetPeers() {
-	for id, p := range c.peers {
-		if _, voter := c.acceptor.view.Voter(id); !voter && c.now-p.lastContactAt > peerTTL {
-			delete(c.peers, id)
+func (lv *liveness) forgetPeers() {
+	for id, p := range lv.peers {
+		if _, voter := lv.acceptor.view.Voter(id); !voter && lv.now-p.lastContactAt > peerTTL {
+			delete(lv.peers, id)
 		}
 	}
 }
 
 // heartbeatTargets lists the addresses that heartbeats go to: voters, seeds and whoever was heard, but for observers.
-func (c *liveness) heartbeatTargets() []string {
+func (lv *liveness) heartbeatTargets() []string {
 	addrs := map[string]bool{}
-	for _, a := range c.cfg.Seeds {
+	for _, a := range lv.cfg.Seeds {
 		addrs[a] = true
 	}
-	for _, p := range c.peers {
+	for _, p := range lv.peers {
 		if p.heartbeat.GetObserver() {
 			delete(addrs, p.member.Addr)
 		}
 	}
-	for _, p := range c.peers {
+	for _, p := range lv.peers {
 		if !p.heartbeat.GetObserver() {
 			addrs[p.member.Addr] = true
 		}
 	}
-	for _, m := range c.acceptor.view.Voters {
-		addrs[c.addressOf(m.ID)] = true
+	for _, m := range lv.acceptor.view.Voters {
+		addrs[lv.addressOf(m.ID)] = true
 	}
-	delete(addrs, c.self.Addr)
+	delete(addrs, lv.self.Addr)
 	delete(addrs, "")
 	return slices.Sorted(maps.Keys(addrs))
 }
 
-func (c *liveness) handleHeartbeat(from ID, b *replicationpb.Heartbeat) {
+func (lv *liveness) handleHeartbeat(from ID, b *replicationpb.Heartbeat) {
 	m := memberOf(b.GetMember())
 	if m.ID != from || m.Addr == "" {
 		return
 	}
-	p := c.peers[from]
+	p := lv.peers[from]
 	switch {
 	case p == nil:
-		if len(c.peers) >= maxPeers {
+		if len(lv.peers) >= maxPeers {
 			return
 		}
 		p = &peer{echoedAt: -1, eligibleSince: -1}
-		c.peers[from] = p
+		lv.peers[from] = p
 	case p.incarnation == b.GetLife() && b.GetNumber() <= p.heartbeatNumber:
 		return // out of order
 	case p.incarnation != b.GetLife():
 		p.echoedAt = -1
 	}
-	p.member, p.incarnation, p.heartbeatNumber, p.lastContactAt, p.heartbeat = m, b.GetLife(), b.GetNumber(), c.now, b
+	p.member, p.incarnation, p.heartbeatNumber, p.lastContactAt, p.heartbeat = m, b.GetLife(), b.GetNumber(), lv.now, b
 	for _, e := range b.GetEchoes() {
 		// An older number than the ring holds says nothing; a later one is of a former life.
-		if n := e.GetNumber(); ID(e.GetId()) == c.self.ID && n <= c.heartbeatNumber && n+heartbeatHistory > c.heartbeatNumber && n > 0 {
-			p.echoedAt = max(p.echoedAt, c.heartbeatSentAt[n%heartbeatHistory])
+		if n := e.GetNumber(); ID(e.GetId()) == lv.self.ID && n <= lv.heartbeatNumber && n+heartbeatHistory > lv.heartbeatNumber && n > 0 {
+			p.echoedAt = max(p.echoedAt, lv.heartbeatSentAt[n%heartbeatHistory])
 		}
 	}
-	if b.GetEpoch() < c.acceptor.view.Epoch && c.acceptor.viewDurable {
-		c.send(from, &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(c.acceptor.view)}}})
+	if b.GetEpoch() < lv.acceptor.view.Epoch && lv.acceptor.viewDurable {
+		lv.send(from, &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(lv.acceptor.view)}}})
 	}
-	c.replyToObserver(from, b)
-	if c.isEligible(from) {
+	lv.replyToObserver(from, b)
+	if lv.isEligible(from) {
 		if p.eligibleSince < 0 {
-			p.eligibleSince = c.now
+			p.eligibleSince = lv.now
 		}
 	} else {
 		p.eligibleSince = -1
@@ -169,55 +169,55 @@
 }
 
 // isAlive tells whether messages have lately gone both ways between this keeper and id.
-func (c *liveness) isAlive(id ID) bool {
-	if id == c.self.ID {
+func (lv *liveness) isAlive(id ID) bool {
+	if id == lv.self.ID {
 		return true
 	}
-	p := c.peers[id]
+	p := lv.peers[id]
 	if p == nil || p.echoedAt < 0 {
 		return false
 	}
-	suspect := c.suspectTimeout(p)
-	return c.now-p.lastContactAt < suspect && c.now-p.echoedAt < suspect+2*c.heartbeatInterval()
+	suspect := lv.suspectTimeout(p)
+	return lv.now-p.lastContactAt < suspect && lv.now-p.echoedAt < suspect+2*lv.heartbeatInterval()
 }
 
 // isHealthy tells whether id could be a link.
-func (c *liveness) isHealthy(id ID) bool {
-	if id == c.self.ID {
-		return !c.writer.unhealthy && c.err == nil && !c.cfg.Observer
+func (lv *liveness) isHealthy(id ID) bool {
+	if id == lv.self.ID {
+		return !lv.writer.unhealthy && lv.err == nil && !lv.cfg.Observer
 	}
-	return c.isAlive(id) && !c.peers[id].heartbeat.GetObserver() && !c.peers[id].heartbeat.GetDiskBad()
+	return lv.isAlive(id) && !lv.peers[id].heartbeat.GetObserver() && !lv.peers[id].heartbeat.GetDiskBad()
 }
 
 // isEligible tells whether id is fit to be a link: it works and is not about to leave.
-func (c *liveness) isEligible(id ID) bool {
-	if id == c.self.ID {
-		return c.isHealthy(id) && !c.leaving
+func (lv *liveness) isEligible(id ID) bool {
+	if id == lv.self.ID {
+		return lv.isHealthy(id) && !lv.leaving
 	}
-	return c.isHealthy(id) && !c.peers[id].heartbeat.GetLeaving()
+	return lv.isHealthy(id) && !lv.peers[id].heartbeat.GetLeaving()
 }
 
 // hasContact tells whether a has lately heard b, by a's own word.
-func (c *liveness) hasContact(a, b ID) bool {
+func (lv *liveness) hasContact(a, b ID) bool {
 	if a == b {
 		return true
 	}
-	if a == c.self.ID {
-		return c.isAlive(b)
+	if a == lv.self.ID {
+		return lv.isAlive(b)
 	}
-	p := c.peers[a]
+	p := lv.peers[a]
 	return p != nil && slices.ContainsFunc(p.heartbeat.GetEchoes(), func(e *replicationpb.Echo) bool { return ID(e.GetId()) == b })
 }
 
-func (c *liveness) addressOf(id ID) string {
-	if p := c.peers[id]; p != nil {
+func (lv *liveness) addressOf(id ID) string {
+	if p := lv.peers[id]; p != nil {
 		return p.member.Addr
 	}
-	if m, ok := c.acceptor.view.Voter(id); ok {
+	if m, ok := lv.acceptor.view.Voter(id); ok {
 		return m.Addr
 	}
-	if c.acceptor.acceptedView != nil {
-		if m, ok := c.acceptor.acceptedView.Voter(id); ok {
+	if lv.acceptor.acceptedView != nil {
+		if m, ok := lv.acceptor.acceptedView.Voter(id); ok {
 			return m.Addr
 		}
 	}
--- a/internal/system/replication/observer.go
+++ b/internal/system/replication/observer.go
@@ -26,34 +26,34 @@
 )
 
 // heartbeatInterval is the time between two heartbeats of this keeper.
-func (c *liveness) heartbeatInterval() time.Duration {
-	if c.cfg.Observer {
-		return observerSlowdown * c.cfg.HeartbeatInterval
+func (lv *liveness) heartbeatInterval() time.Duration {
+	if lv.cfg.Observer {
+		return observerSlowdown * lv.cfg.HeartbeatInterval
 	}
-	return c.cfg.HeartbeatInterval
+	return lv.cfg.HeartbeatInterval
 }
 
 // suspectTimeout is the silence after which p counts as gone. Where either side is an observer, one heartbeat may be lost.
-func (c *liveness) suspectTimeout(p *peer) time.Duration {
-	if c.cfg.Observer || p.heartbeat.GetObserver() {
-		return c.cfg.SuspectTimeout + observerSlowdown*c.cfg.HeartbeatInterval
+func (lv *liveness) suspectTimeout(p *peer) time.Duration {
+	if lv.cfg.Observer || p.heartbeat.GetObserver() {
+		return lv.cfg.SuspectTimeout + observerSlowdown*lv.cfg.HeartbeatInterval
 	}
-	return c.cfg.SuspectTimeout
+	return lv.cfg.SuspectTimeout
 }
 
 // observerSeeds counts the seeds that have said that they are observers.
-func (c *liveness) observerSeeds() int {
+func (lv *liveness) observerSeeds() int {
 	said := map[string]bool{}
-	if c.cfg.Observer {
-		said[c.self.Addr] = true
+	if lv.cfg.Observer {
+		said[lv.self.Addr] = true
 	}
-	for _, p := range c.peers {
+	for _, p := range lv.peers {
 		if p.heartbeat.GetObserver() {
 			said[p.member.Addr] = true
 		}
 	}
 	n := 0
-	for _, a := range slices.Compact(slices.Sorted(slices.Values(c.cfg.Seeds))) {
+	for _, a := range slices.Compact(slices.Sorted(slices.Values(lv.cfg.Seeds))) {
 		if said[a] {
 			n++
 		}
@@ -62,25 +62,25 @@
 }
 
 // noSeedHasDisk tells whether all seeds have said that they are observers.
-func (c *liveness) noSeedHasDisk() bool {
-	return len(c.cfg.Seeds) > 0 && c.observerSeeds() == len(slices.Compact(slices.Sorted(slices.Values(c.cfg.Seeds))))
+func (lv *liveness) noSeedHasDisk() bool {
+	return len(lv.cfg.Seeds) > 0 && lv.observerSeeds() == len(slices.Compact(slices.Sorted(slices.Values(lv.cfg.Seeds))))
 }
 
 // replyToObserver answers a heartbeat of an observer, which this keeper sends none by itself.
-func (c *liveness) replyToObserver(from ID, b *replicationpb.Heartbeat) {
+func (lv *liveness) replyToObserver(from ID, b *replicationpb.Heartbeat) {
 	if !b.GetObserver() || b.GetReply() {
 		return
 	}
-	reply := c.heartbeat(c.echo(from))
+	reply := lv.heartbeat(lv.echo(from))
 	reply.Reply = true
-	c.send(from, &replicationpb.Message{Body: &replicationpb.Message_Heartbeat{Heartbeat: reply}})
+	lv.send(from, &replicationpb.Message{Body: &replicationpb.Message_Heartbeat{Heartbeat: reply}})
 }
 
 // notifyObservers sends them a chosen view, so that they need not wait for their next heartbeat.
-func (c *liveness) notifyObservers(v *View) {
-	for _, id := range slices.Sorted(maps.Keys(c.peers)) {
-		if c.peers[id].heartbeat.GetObserver() {
-			c.send(id, &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(v)}}})
+func (lv *liveness) notifyObservers(v *View) {
+	for _, id := range slices.Sorted(maps.Keys(lv.peers)) {
+		if lv.peers[id].heartbeat.GetObserver() {
+			lv.send(id, &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(v)}}})
 		}
 	}
 }
--- a/internal/system/replication/planner.go
+++ b/internal/system/replication/planner.go
@@ -27,31 +27,31 @@
 
 // plan gives the view that this keeper would have instead of the present one, nil when all is well or nothing can be
 // done, and its turn among those who see the same.
-func (c *planner) plan() (*View, int) {
-	cur := c.acceptor.view
+func (pl *planner) plan() (*View, int) {
+	cur := pl.acceptor.view
 	if cur.Epoch == 0 {
-		return c.planFirst()
+		return pl.planFirst()
 	}
 	var chain []ID
-	voters, out := c.planVoters()
-	if c.liveness.hasMajorityAlive(cur.Voters) && c.liveness.hasMajorityAlive(voters) {
-		chain = c.planChain(voters, out)
+	voters, out := pl.planVoters()
+	if pl.liveness.hasMajorityAlive(cur.Voters) && pl.liveness.hasMajorityAlive(voters) {
+		chain = pl.planChain(voters, out)
 	}
 	if chain == nil {
 		return nil, 0
 	}
 	next := &View{Epoch: cur.Epoch + 1, Chain: chain, Voters: voters}
-	if next.hasSameMembers(cur) && !c.isSealed() {
+	if next.hasSameMembers(cur) && !pl.isSealed() {
 		return nil, 0
 	}
-	next.base = c.liveness.durableEpochsOf(chain[0]).active
-	next.past = c.earlierChains()
+	next.base = pl.liveness.durableEpochsOf(chain[0]).active
+	next.past = pl.earlierChains()
 	rank := 0
 	for _, m := range cur.Voters {
-		if m.ID == c.self.ID {
+		if m.ID == pl.self.ID {
 			break
 		}
-		if c.liveness.isEligible(m.ID) {
+		if pl.liveness.isEligible(m.ID) {
 			rank++
 		}
 	}
@@ -59,89 +59,89 @@
 }
 
 // planFirst gives the first view: of the seeds with a disk, and others up to the number of voters aimed at.
-func (c *planner) planFirst() (*View, int) {
-	for _, id := range slices.Sorted(maps.Keys(c.liveness.peers)) {
-		if c.liveness.peers[id].heartbeat.GetEpoch() > 0 {
+func (pl *planner) planFirst() (*View, int) {
+	for _, id := range slices.Sorted(maps.Keys(pl.liveness.peers)) {
+		if pl.liveness.peers[id].heartbeat.GetEpoch() > 0 {
 			return nil, 0 // the view is on its way
 		}
 	}
-	founders := c.seedsWithDisk()
-	members := c.completeFounders(founders)
-	enough := len(founders)+c.liveness.observerSeeds() >= len(c.cfg.Seeds)
-	if c.liveness.noSeedHasDisk() {
-		enough = len(members) >= c.cfg.targetVoters()
+	founders := pl.seedsWithDisk()
+	members := pl.completeFounders(founders)
+	enough := len(founders)+pl.liveness.observerSeeds() >= len(pl.cfg.Seeds)
+	if pl.liveness.noSeedHasDisk() {
+		enough = len(members) >= pl.cfg.targetVoters()
 	}
 	known := map[ID]string{}
 	for _, m := range founders {
 		known[m.ID] = m.Addr
 	}
-	if len(members) == 0 || !c.liveness.noSeedHasDisk() && !c.acceptor.isQuorum(c.acceptor.view, known) {
-		c.seedMajoritySince = -1
+	if len(members) == 0 || !pl.liveness.noSeedHasDisk() && !pl.acceptor.isQuorum(pl.acceptor.view, known) {
+		pl.seedMajoritySince = -1
 		return nil, 0
 	}
-	if c.seedMajoritySince < 0 {
-		c.seedMajoritySince = c.now
+	if pl.seedMajoritySince < 0 {
+		pl.seedMajoritySince = pl.now
 	}
-	if !enough && c.now-c.seedMajoritySince < firstViewDelay {
+	if !enough && pl.now-pl.seedMajoritySince < firstViewDelay {
 		return nil, 0
 	}
-	heads := c.longestLogs(members)
+	heads := pl.longestLogs(members)
 	links := []Member{heads[0]}
-	for more := true; more && len(links) < c.cfg.targetChainLength(); {
-		links, more = c.cfg.addBestSpread(links, members, func(Member) bool { return true })
+	for more := true; more && len(links) < pl.cfg.targetChainLength(); {
+		links, more = pl.cfg.addBestSpread(links, members, func(Member) bool { return true })
 	}
 	arrange(links, slices.DeleteFunc(heads, func(m Member) bool { return !slices.Contains(links, m) }))
 	v := &View{Epoch: 1, Voters: members}
 	for _, m := range links {
 		v.Chain = append(v.Chain, m.ID)
 	}
-	rank := slices.IndexFunc(members, func(m Member) bool { return m.ID == c.self.ID })
-	if c.cfg.Observer {
-		rank = slices.Index(c.cfg.Seeds, c.self.Addr)
+	rank := slices.IndexFunc(members, func(m Member) bool { return m.ID == pl.self.ID })
+	if pl.cfg.Observer {
+		rank = slices.Index(pl.cfg.Seeds, pl.self.Addr)
 	}
 	return v, max(rank, 0)
 }
 
 // seedsWithDisk lists the seeds that may found the first view and are heard, in the order of the seeds.
-func (c *planner) seedsWithDisk() []Member {
+func (pl *planner) seedsWithDisk() []Member {
 	var members []Member
-	if !c.cfg.Observer {
-		members = append(members, c.self)
+	if !pl.cfg.Observer {
+		members = append(members, pl.self)
 	}
-	for id, p := range c.liveness.peers {
-		if slices.Contains(c.cfg.Seeds, p.member.Addr) && p.heartbeat.GetBootstrap() && !p.heartbeat.GetObserver() && c.liveness.isAlive(id) {
+	for id, p := range pl.liveness.peers {
+		if slices.Contains(pl.cfg.Seeds, p.member.Addr) && p.heartbeat.GetBootstrap() && !p.heartbeat.GetObserver() && pl.liveness.isAlive(id) {
 			members = append(members, p.member)
 		}
 	}
 	slices.SortFunc(members, func(a, b Member) int {
-		return cmp.Or(cmp.Compare(slices.Index(c.cfg.Seeds, a.Addr), slices.Index(c.cfg.Seeds, b.Addr)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(slices.Index(pl.cfg.Seeds, a.Addr), slices.Index(pl.cfg.Seeds, b.Addr)), cmp.Compare(a.ID, b.ID))
 	})
 	return slices.CompactFunc(members, func(a, b Member) bool { return a.Addr == b.Addr })
 }
 
 // completeFounders fills up the voters of the first view with keepers that are no seeds. The view is chosen by a majority of
 // the seeds, and of its own voters as any other.
-func (c *planner) completeFounders(members []Member) []Member {
+func (pl *planner) completeFounders(members []Member) []Member {
 	var others []Member
-	for _, id := range slices.Sorted(maps.Keys(c.liveness.peers)) {
-		p := c.liveness.peers[id]
+	for _, id := range slices.Sorted(maps.Keys(pl.liveness.peers)) {
+		p := pl.liveness.peers[id]
 		known := slices.ContainsFunc(members, func(m Member) bool { return m.Addr == p.member.Addr })
-		if !known && p.heartbeat.GetBootstrap() && p.heartbeat.GetEpoch() == 0 && c.liveness.isEligible(id) {
+		if !known && p.heartbeat.GetBootstrap() && p.heartbeat.GetEpoch() == 0 && pl.liveness.isEligible(id) {
 			others = append(others, p.member)
 		}
 	}
-	for more := true; more && len(members) < c.cfg.targetVoters(); {
-		members, more = c.cfg.addBestSpread(members, others, func(m Member) bool {
+	for more := true; more && len(members) < pl.cfg.targetVoters(); {
+		members, more = pl.cfg.addBestSpread(members, others, func(m Member) bool {
 			return !slices.ContainsFunc(members, func(o Member) bool { return o.Addr == m.Addr })
 		})
 	}
 	return members
 }
 
-func (c *liveness) hasMajorityAlive(voters []Member) bool {
+func (lv *liveness) hasMajorityAlive(voters []Member) bool {
 	n := 0
 	for _, m := range voters {
-		if c.isAlive(m.ID) {
+		if lv.isAlive(m.ID) {
 			n++
 		}
 	}
@@ -150,38 +150,38 @@
 
 // planChain picks the links: those of the present chain that work, and voters that have caught up. It is nil when no
 // chain that may acknowledge can be had.
-func (c *planner) planChain(voters []Member, out ID) []ID {
-	cur := c.acceptor.view
+func (pl *planner) planChain(voters []Member, out ID) []ID {
+	cur := pl.acceptor.view
 	stuck := map[ID]bool{}
 	for i := 0; i+1 < len(cur.Chain); i++ {
 		a, b := cur.Chain[i], cur.Chain[i+1]
-		if a == c.self.ID {
-			stuck[b] = c.chain.stalledSuccessor() == b
-		} else if p := c.liveness.peers[a]; p != nil && c.liveness.isAlive(a) && p.heartbeat.GetEpoch() == cur.Epoch {
+		if a == pl.self.ID {
+			stuck[b] = pl.chain.stalledSuccessor() == b
+		} else if p := pl.liveness.peers[a]; p != nil && pl.liveness.isAlive(a) && p.heartbeat.GetEpoch() == cur.Epoch {
 			stuck[b] = ID(p.heartbeat.GetStuck()) == b
 		}
 	}
-	links := c.remainingReplicas(out, stuck, c.liveness.isEligible)
-	if c.countHolders(links) < c.cfg.minChainLength() {
+	links := pl.remainingReplicas(out, stuck, pl.liveness.isEligible)
+	if pl.countHolders(links) < pl.cfg.minChainLength() {
 		// Those who leave stay until enough others hold what was acknowledged.
-		links = c.remainingReplicas(out, stuck, c.liveness.isHealthy)
+		links = pl.remainingReplicas(out, stuck, pl.liveness.isHealthy)
 	}
-	heads := slices.DeleteFunc(slices.Clone(links), func(m Member) bool { return !c.mayLead(m.ID, false) })
-	if slices.ContainsFunc(heads, func(m Member) bool { return c.liveness.isEligible(m.ID) }) {
-		heads = slices.DeleteFunc(heads, func(m Member) bool { return !c.liveness.isEligible(m.ID) })
+	heads := slices.DeleteFunc(slices.Clone(links), func(m Member) bool { return !pl.mayLead(m.ID, false) })
+	if slices.ContainsFunc(heads, func(m Member) bool { return pl.liveness.isEligible(m.ID) }) {
+		heads = slices.DeleteFunc(heads, func(m Member) bool { return !pl.liveness.isEligible(m.ID) })
 	}
 	if len(heads) > 0 {
-		c.headlessSince = -1
+		pl.headlessSince = -1
 	} else {
-		if heads = c.findHead(voters); len(heads) == 0 {
+		if heads = pl.findHead(voters); len(heads) == 0 {
 			return nil
 		}
-		links = c.mutuallyReachable(append(slices.DeleteFunc(links, func(m Member) bool { return m == heads[0] }), heads...))
+		links = pl.mutuallyReachable(append(slices.DeleteFunc(links, func(m Member) bool { return m == heads[0] }), heads...))
 		if !slices.Contains(links, heads[0]) {
 			return nil
 		}
 	}
-	if links = c.addReplicas(links, heads, voters); len(links) < c.cfg.minChainLength() {
+	if links = pl.addReplicas(links, heads, voters); len(links) < pl.cfg.minChainLength() {
 		return nil
 	}
 	arrange(links, heads)
@@ -201,21 +201,21 @@
 }
 
 // remainingReplicas lists the present links that are fit to stay and hear each other.
-func (c *planner) remainingReplicas(out ID, stuck map[ID]bool, fit func(ID) bool) []Member {
+func (pl *planner) remainingReplicas(out ID, stuck map[ID]bool, fit func(ID) bool) []Member {
 	var links []Member
-	for _, l := range c.acceptor.view.Chain {
-		if m, ok := c.acceptor.view.Voter(l); ok && l != out && fit(l) && !stuck[l] {
+	for _, l := range pl.acceptor.view.Chain {
+		if m, ok := pl.acceptor.view.Voter(l); ok && l != out && fit(l) && !stuck[l] {
 			links = append(links, m)
 		}
 	}
-	return c.mutuallyReachable(links)
+	return pl.mutuallyReachable(links)
 }
 
 // countHolders counts the links that hold all that the present chain and those before it have acknowledged.
-func (c *planner) countHolders(links []Member) int {
+func (pl *planner) countHolders(links []Member) int {
 	n := 0
 	for _, m := range links {
-		if c.liveness.durableEpochsOf(m.ID).active == c.acceptor.view.Epoch {
+		if pl.liveness.durableEpochsOf(m.ID).active == pl.acceptor.view.Epoch {
 			n++
 		}
 	}
@@ -223,29 +223,29 @@
 }
 
 // addReplicas adds voters to the links that stay: those that have caught up, and others only where too few would be left.
-func (c *planner) addReplicas(links, heads, voters []Member) []Member {
+func (pl *planner) addReplicas(links, heads, voters []Member) []Member {
 	fits := func(links []Member, m Member) bool {
-		return c.acceptor.view.chainIndex(m.ID) < 0 && c.liveness.isEligible(m.ID) &&
-			!slices.ContainsFunc(links, func(l Member) bool { return !c.liveness.hasContact(l.ID, m.ID) || !c.liveness.hasContact(m.ID, l.ID) })
+		return pl.acceptor.view.chainIndex(m.ID) < 0 && pl.liveness.isEligible(m.ID) &&
+			!slices.ContainsFunc(links, func(l Member) bool { return !pl.liveness.hasContact(l.ID, m.ID) || !pl.liveness.hasContact(m.ID, l.ID) })
 	}
-	for more := true; more && len(links) < c.cfg.targetChainLength(); {
-		links, more = c.cfg.addBestSpread(links, voters, func(m Member) bool { return fits(links, m) && c.isCaughtUp(m.ID) })
+	for more := true; more && len(links) < pl.cfg.targetChainLength(); {
+		links, more = pl.cfg.addBestSpread(links, voters, func(m Member) bool { return fits(links, m) && pl.isCaughtUp(m.ID) })
 	}
-	for more := true; more && len(links) < c.cfg.minChainLength(); {
-		links, more = c.cfg.addBestSpread(links, voters, func(m Member) bool { return fits(links, m) })
+	for more := true; more && len(links) < pl.cfg.minChainLength(); {
+		links, more = pl.cfg.addBestSpread(links, voters, func(m Member) bool { return fits(links, m) })
 	}
-	if c.cfg.chainToleratesLosses(links) || len(links) < c.cfg.targetChainLength() {
+	if pl.cfg.chainToleratesLosses(links) || len(links) < pl.cfg.targetChainLength() {
 		return links
 	}
 	// All the links there may be stand where one loss takes them all: one gives its place to a voter elsewhere.
 	best := links
 	for i, l := range links {
-		if l == heads[0] || l.ID == c.acceptor.view.Head() {
+		if l == heads[0] || l.ID == pl.acceptor.view.Head() {
 			continue
 		}
 		rest := slices.Delete(slices.Clone(links), i, i+1)
-		with, ok := c.cfg.addBestSpread(rest, voters, func(m Member) bool { return m != l && fits(rest, m) && c.isCaughtUp(m.ID) })
-		if ok && c.cfg.spread(with).compare(c.cfg.spread(best)) < 0 {
+		with, ok := pl.cfg.addBestSpread(rest, voters, func(m Member) bool { return m != l && fits(rest, m) && pl.isCaughtUp(m.ID) })
+		if ok && pl.cfg.spread(with).compare(pl.cfg.spread(best)) < 0 {
 			best = with
 		}
 	}
@@ -257,17 +257,17 @@
 }
 
 // mutuallyReachable drops links until all that are left hear each other.
-func (c *planner) mutuallyReachable(links []Member) []Member {
+func (pl *planner) mutuallyReachable(links []Member) []Member {
 	for {
 		worst, most := -1, 0
 		for i, a := range links {
 			n := 0
 			for _, b := range links {
-				if !c.liveness.hasContact(a.ID, b.ID) || !c.liveness.hasContact(b.ID, a.ID) {
+				if !pl.liveness.hasContact(a.ID, b.ID) || !pl.liveness.hasContact(b.ID, a.ID) {
 					n += 2
 				}
 			}
-			if n > 0 && !c.mayLead(a.ID, false) {
+			if n > 0 && !pl.mayLead(a.ID, false) {
 				n++
 			}
 			if n >= most && n > 0 {
@@ -282,17 +282,17 @@
 }
 
 // isCaughtUp tells whether a keeper outside the chain has nearly all that is committed.
-func (c *planner) isCaughtUp(id ID) bool {
-	if id == c.self.ID {
-		return c.chain.caughtUp
+func (pl *planner) isCaughtUp(id ID) bool {
+	if id == pl.self.ID {
+		return pl.chain.caughtUp
 	}
-	p := c.liveness.peers[id]
-	if p == nil || p.eligibleSince < 0 || c.now-p.eligibleSince < minEligibleTime || p.heartbeat.GetEpoch() != c.acceptor.view.Epoch {
+	p := pl.liveness.peers[id]
+	if p == nil || p.eligibleSince < 0 || pl.now-p.eligibleSince < minEligibleTime || p.heartbeat.GetEpoch() != pl.acceptor.view.Epoch {
 		return false
 	}
-	most := c.chain.commitIndex
-	for _, l := range c.acceptor.view.Chain {
-		if q := c.liveness.peers[l]; q != nil && c.liveness.isAlive(l) {
+	most := pl.chain.commitIndex
+	for _, l := range pl.acceptor.view.Chain {
+		if q := pl.liveness.peers[l]; q != nil && pl.liveness.isAlive(l) {
 			most = max(most, q.heartbeat.GetCommitted())
 		}
 	}
--- a/internal/system/replication/proposer.go
+++ b/internal/system/replication/proposer.go
@@ -47,69 +47,69 @@
 	acceptedBy          map[ID]string
 }
 
-func (c *proposer) tickProposer() {
-	if c.proposal != nil && c.now-c.proposal.startedAt > proposalTimeout {
-		c.proposal = nil
-		c.backOff()
+func (pr *proposer) tickProposer() {
+	if pr.proposal != nil && pr.now-pr.proposal.startedAt > proposalTimeout {
+		pr.proposal = nil
+		pr.backOff()
 	}
-	if c.proposal != nil || c.now < c.liveness.graceUntil || c.now < c.backoffUntil || !c.acceptor.identityDurable || c.writer.unhealthy || c.err != nil || !c.acceptor.isVoter(c.acceptor.view) {
+	if pr.proposal != nil || pr.now < pr.liveness.graceUntil || pr.now < pr.backoffUntil || !pr.acceptor.identityDurable || pr.writer.unhealthy || pr.err != nil || !pr.acceptor.isVoter(pr.acceptor.view) {
 		return
 	}
-	if c.now-c.lastPlannedAt < planInterval {
+	if pr.now-pr.lastPlannedAt < planInterval {
 		return
 	}
-	c.lastPlannedAt = c.now
-	v, rank := c.planner.plan()
-	if v == nil && c.acceptor.acceptedView != nil {
+	pr.lastPlannedAt = pr.now
+	v, rank := pr.planner.plan()
+	if v == nil && pr.acceptor.acceptedView != nil {
 		// An attempt that stopped halfway keeps the voters from vouching for this epoch: finish it.
-		v, rank = c.acceptor.acceptedView, 1+slices.IndexFunc(c.acceptor.view.Voters, func(m Member) bool { return m.ID == c.self.ID })
+		v, rank = pr.acceptor.acceptedView, 1+slices.IndexFunc(pr.acceptor.view.Voters, func(m Member) bool { return m.ID == pr.self.ID })
 	}
 	if v == nil {
-		c.proposeAt = -1
+		pr.proposeAt = -1
 		return
 	}
-	if c.proposeAt < 0 {
-		c.proposeAt = c.now + time.Duration(rank)*rankDelay + c.jitter(rankDelay/3)
+	if pr.proposeAt < 0 {
+		pr.proposeAt = pr.now + time.Duration(rank)*rankDelay + pr.jitter(rankDelay/3)
 	}
-	if c.now >= c.proposeAt {
-		c.propose(v)
+	if pr.now >= pr.proposeAt {
+		pr.propose(v)
 	}
 }
 
 // backOff keeps two proposers from outbidding each other for ever.
-func (c *proposer) backOff() {
-	c.backoffUntil = c.now + 100*time.Millisecond + c.jitter(500*time.Millisecond)
-	c.proposeAt = -1
+func (pr *proposer) backOff() {
+	pr.backoffUntil = pr.now + 100*time.Millisecond + pr.jitter(500*time.Millisecond)
+	pr.proposeAt = -1
 }
 
-func (c *proposer) propose(v *View) {
-	cur := c.acceptor.view
-	b := proposalNumber{round: max(c.acceptor.promised.round, c.highestRoundSeen) + 1, id: c.self.ID}
-	c.proposal = &proposal{current: cur, number: b, startedAt: c.now, promisedBy: map[ID]string{}, acceptedBy: map[ID]string{}}
-	c.logEvent(fmt.Sprintf("replication: proposing view %d: %s", v.Epoch, v))
+func (pr *proposer) propose(v *View) {
+	cur := pr.acceptor.view
+	b := proposalNumber{round: max(pr.acceptor.promised.round, pr.highestRoundSeen) + 1, id: pr.self.ID}
+	pr.proposal = &proposal{current: cur, number: b, startedAt: pr.now, promisedBy: map[ID]string{}, acceptedBy: map[ID]string{}}
+	pr.logEvent(fmt.Sprintf("replication: proposing view %d: %s", v.Epoch, v))
 	m := &replicationpb.Prepare{Current: viewPB(cur), Ballot: proposalNumberPB(b)}
 	// This keeper promises first: after a restart it will not use the ballot again.
-	c.acceptor.promised = b
-	acc, next := c.acceptor.accepted, c.acceptor.acceptedView
-	c.writer.persist(func() {
-		if c.proposal == nil || c.proposal.number != b || c.acceptor.view != cur {
+	pr.acceptor.promised = b
+	acc, next := pr.acceptor.accepted, pr.acceptor.acceptedView
+	pr.writer.persist(func() {
+		if pr.proposal == nil || pr.proposal.number != b || pr.acceptor.view != cur {
 			return
 		}
-		c.broadcastToVoters(cur, nil, func() *replicationpb.Message {
+		pr.broadcastToVoters(cur, nil, func() *replicationpb.Message {
 			return &replicationpb.Message{Body: &replicationpb.Message_Prepare{Prepare: m}}
 		})
-		c.recordPromise(c.self.ID, &replicationpb.Promise{
-			Epoch: cur.Epoch, Ballot: proposalNumberPB(b), Accepted: proposalNumberPB(acc), View: viewPB(next), Addr: c.self.Addr,
+		pr.recordPromise(pr.self.ID, &replicationpb.Promise{
+			Epoch: cur.Epoch, Ballot: proposalNumberPB(b), Accepted: proposalNumberPB(acc), View: viewPB(next), Addr: pr.self.Addr,
 		})
 	})
 }
 
 // broadcastToVoters sends to the voters of the views except this keeper.
-func (c *proposer) broadcastToVoters(v, w *View, body func() *replicationpb.Message) {
-	sent := map[ID]bool{c.self.ID: true}
+func (pr *proposer) broadcastToVoters(v, w *View, body func() *replicationpb.Message) {
+	sent := map[ID]bool{pr.self.ID: true}
 	if v.Epoch == 0 {
-		for _, p := range c.liveness.peers {
-			if slices.Contains(c.cfg.Seeds, p.member.Addr) && p.heartbeat.GetBootstrap() {
+		for _, p := range pr.liveness.peers {
+			if slices.Contains(pr.cfg.Seeds, p.member.Addr) && p.heartbeat.GetBootstrap() {
 				sent[p.member.ID] = false
 			}
 		}
@@ -117,7 +117,7 @@
 	for _, x := range []*View{v, w} {
 		if x != nil {
 			for _, m := range x.Voters {
-				if m.ID != c.self.ID {
+				if m.ID != pr.self.ID {
 					sent[m.ID] = false
 				}
 			}
@@ -126,14 +126,14 @@
 	ids := unsent(sent)
 	for _, id := range ids {
 		m := body()
-		if c.liveness.addressOf(id) == "" && w != nil {
+		if pr.liveness.addressOf(id) == "" && w != nil {
 			if mem, ok := w.Voter(id); ok {
-				m.From, m.To = string(c.self.ID), string(id)
-				c.out.Messages = append(c.out.Messages, Envelope{Addr: mem.Addr, Msg: m})
+				m.From, m.To = string(pr.self.ID), string(id)
+				pr.out.Messages = append(pr.out.Messages, Envelope{Addr: mem.Addr, Msg: m})
 				continue
 			}
 		}
-		c.send(id, m)
+		pr.send(id, m)
 	}
 }
 
@@ -148,68 +148,68 @@
 	return ids
 }
 
-func (c *proposer) handlePromise(from ID, m *replicationpb.Promise) {
-	if p := c.proposal; p != nil && p.value == nil && m.GetEpoch() == p.current.Epoch && proposalNumberOf(m.GetBallot()) == p.number {
-		c.recordPromise(from, m)
+func (pr *proposer) handlePromise(from ID, m *replicationpb.Promise) {
+	if p := pr.proposal; p != nil && p.value == nil && m.GetEpoch() == p.current.Epoch && proposalNumberOf(m.GetBallot()) == p.number {
+		pr.recordPromise(from, m)
 	}
 }
 
-func (c *proposer) recordPromise(from ID, m *replicationpb.Promise) {
-	p := c.proposal
+func (pr *proposer) recordPromise(from ID, m *replicationpb.Promise) {
+	p := pr.proposal
 	p.promisedBy[from] = m.GetAddr()
-	if a := proposalNumberOf(m.GetAccepted()); m.GetView() != nil && p.highestAccepted.less(a) && !c.cfg.knobs.IgnoreAcceptedViews {
+	if a := proposalNumberOf(m.GetAccepted()); m.GetView() != nil && p.highestAccepted.less(a) && !pr.cfg.knobs.IgnoreAcceptedViews {
 		p.highestAccepted, p.highestAcceptedView = a, viewOf(m.GetView())
 	}
-	if !c.acceptor.isQuorum(p.current, p.promisedBy) || c.acceptor.promised != p.number {
+	if !pr.acceptor.isQuorum(p.current, p.promisedBy) || pr.acceptor.promised != p.number {
 		return
 	}
 	if p.value = p.highestAcceptedView; p.value == nil {
-		if p.value, _ = c.planner.plan(); p.value == nil {
-			c.proposal = nil // what was wrong has passed
+		if p.value, _ = pr.planner.plan(); p.value == nil {
+			pr.proposal = nil // what was wrong has passed
 			return
 		}
 	}
 	cur, value, b := p.current, p.value, p.number
-	c.acceptor.accepted, c.acceptor.acceptedView = b, value
-	c.writer.persist(func() {
-		if c.proposal != p || c.acceptor.view != cur {
+	pr.acceptor.accepted, pr.acceptor.acceptedView = b, value
+	pr.writer.persist(func() {
+		if pr.proposal != p || pr.acceptor.view != cur {
 			return
 		}
 		acc := &replicationpb.Accept{Current: viewPB(cur), Ballot: proposalNumberPB(b), View: viewPB(value)}
-		c.broadcastToVoters(cur, value, func() *replicationpb.Message {
+		pr.broadcastToVoters(cur, value, func() *replicationpb.Message {
 			return &replicationpb.Message{Body: &replicationpb.Message_Accept{Accept: acc}}
 		})
-		c.recordAccepted(c.self.ID, c.self.Addr)
+		pr.recordAccepted(pr.self.ID, pr.self.Addr)
 	})
 }
 
-func (c *proposer) handleAccepted(from ID, m *replicationpb.Accepted) {
-	if p := c.proposal; p != nil && p.value != nil && m.GetEpoch() == p.current.Epoch && proposalNumberOf(m.GetBallot()) == p.number {
-		c.recordAccepted(from, m.GetAddr())
+func (pr *proposer) handleAccepted(from ID, m *replicationpb.Accepted) {
+	if p := pr.proposal; p != nil && p.value != nil && m.GetEpoch() == p.current.Epoch && proposalNumberOf(m.GetBallot()) == p.number {
+		pr.recordAccepted(from, m.GetAddr())
 	}
 }
 
-func (c *proposer) recordAccepted(from ID, addr string) {
-	p := c.proposal
+func (pr *proposer) recordAccepted(from ID, addr string) {
+	p := pr.proposal
 	p.acceptedBy[from] = addr
-	if !c.acceptor.isQuorum(p.current, p.acceptedBy) || !c.acceptor.isQuorum(p.value, p.acceptedBy) {
+	if !pr.acceptor.isQuorum(p.current, p.acceptedBy) || !pr.acceptor.isQuorum(p.value, p.acceptedBy) {
 		return
 	}
-	c.proposal = nil
-	c.logEvent(fmt.Sprintf("replication: view %d is chosen: %s", p.value.Epoch, p.value))
-	c.broadcastToVoters(p.current, p.value, func() *replicationpb.Message {
+	pr.proposal = nil
+	pr.logEvent(fmt.Sprintf("replication: view %d is chosen: %s", p.value.Epoch, p.value))
+	pr.broadcastToVoters(p.current, p.value, func() *replicationpb.Message {
 		return &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(p.value)}}}
 	})
-	c.liveness.notifyObservers(p.value)
-	c.adoptView(p.value)
+	pr.liveness.notifyObservers(p.value)
+	pr.adoptView(p.value)
 }
 
-func (c *proposer) handleReject(m *replicationpb.Reject) {
+func (pr *proposer) handleReject(m *replicationpb.Reject) {
 	b := proposalNumberOf(m.GetPromised())
-	if p := c.proposal; p != nil && m.GetEpoch() == p.current.Epoch && p.number.less(b) {
-		c.highestRoundSeen = max(c.highestRoundSeen, b.round)
-		c.proposal = nil
-		c.backOff()
+	if p := pr.proposal; p != nil && m.GetEpoch() == p.current.Epoch && p.number.less(b) {
+		pr.highestRoundSeen = max(pr.highestRoundSeen, b.round)
+		pr.proposal = nil
+		pr.backOff()
 	}
 }
 
--- a/internal/system/replication/quorum.go
+++ b/internal/system/replication/quorum.go
@@ -14,19 +14,19 @@
 // Where all seeds have said that they are observers, D is empty, and the seeds vote for the first view all the same: a
 // majority of all of them, with their promises in memory. One whose process ends has no vote any more, since it starts
 // without Config.Bootstrap; so nobody votes twice. They name keepers with a disk, and vote no more once there is a view.
-func (c *acceptor) isQuorum(v *View, set map[ID]string) bool {
+func (ac *acceptor) isQuorum(v *View, set map[ID]string) bool {
 	n := 0
 	if v.Epoch == 0 {
 		seen := map[string]bool{}
 		for _, a := range set {
-			if slices.Contains(c.cfg.Seeds, a) && !seen[a] {
+			if slices.Contains(ac.cfg.Seeds, a) && !seen[a] {
 				seen[a] = true
 				n++
 			}
 		}
-		total := len(c.cfg.Seeds)
-		if !c.liveness.noSeedHasDisk() {
-			total -= c.liveness.observerSeeds()
+		total := len(ac.cfg.Seeds)
+		if !ac.liveness.noSeedHasDisk() {
+			total -= ac.liveness.observerSeeds()
 		}
 		return total > 0 && n > total/2
 	}
--- a/internal/system/replication/read_confirm.go
+++ b/internal/system/replication/read_confirm.go
@@ -26,122 +26,122 @@
 }
 
 // tickConfirmation ends a round that takes too long, and repeats its messages.
-func (c *readConfirmation) tickConfirmation() {
-	if len(c.waiters) == 0 {
+func (rc *readConfirmation) tickConfirmation() {
+	if len(rc.waiters) == 0 {
 		return
 	}
-	if c.now-c.startedAt > confirmTimeout {
-		w := c.waiters
-		c.waiters = nil
+	if rc.now-rc.startedAt > confirmTimeout {
+		w := rc.waiters
+		rc.waiters = nil
 		for _, f := range w {
 			f(false)
 		}
-		c.startRound()
-	} else if c.now-c.sentAt >= callResendInterval {
-		c.sendRound()
+		rc.startRound()
+	} else if rc.now-rc.sentAt >= callResendInterval {
+		rc.sendRound()
 	}
 }
 
-func (c *readConfirmation) handleReadIndex(from ID, m *replicationpb.ReadIndex) {
-	if m.GetEpoch() != c.acceptor.view.Epoch || !c.chain.isTail() {
+func (rc *readConfirmation) handleReadIndex(from ID, m *replicationpb.ReadIndex) {
+	if m.GetEpoch() != rc.acceptor.view.Epoch || !rc.chain.isTail() {
 		return
 	}
-	epoch := c.acceptor.view.Epoch
-	c.confirmEpoch(func(ok bool) {
+	epoch := rc.acceptor.view.Epoch
+	rc.confirmEpoch(func(ok bool) {
 		// Below floor there may be records that an earlier tail, or this one in an earlier life, has acknowledged.
-		if !ok || !c.chain.isTail() || c.acceptor.view.Epoch != epoch || !c.chain.holdsAcknowledged() {
+		if !ok || !rc.chain.isTail() || rc.acceptor.view.Epoch != epoch || !rc.chain.holdsAcknowledged() {
 			return // asked again soon
 		}
-		c.send(from, &replicationpb.Message{Body: &replicationpb.Message_ReadAt{ReadAt: &replicationpb.ReadAt{
-			Id: m.GetId(), Life: m.GetLife(), Seq: c.chain.commitIndex,
+		rc.send(from, &replicationpb.Message{Body: &replicationpb.Message_ReadAt{ReadAt: &replicationpb.ReadAt{
+			Id: m.GetId(), Life: m.GetLife(), Seq: rc.chain.commitIndex,
 		}}})
 	})
 }
 
 // holdsAcknowledged tells whether this link knows to be committed all that may have been acknowledged before it came to its place,
 // in its present life.
-func (c *chainReplica) holdsAcknowledged() bool {
-	return c.commitIndex >= c.minReadIndex || c.cfg.knobs.SkipMinReadIndex
+func (cr *chainReplica) holdsAcknowledged() bool {
+	return cr.commitIndex >= cr.minReadIndex || cr.cfg.knobs.SkipMinReadIndex
 }
 
 // confirmEpoch calls f once a majority of voters has said, asked from now on, that they know of no view after this one and
 // have accepted none. A later view is chosen only when a majority has accepted it, so none is yet.
-func (c *readConfirmation) confirmEpoch(f func(bool)) {
-	if c.cfg.knobs.SkipReadConfirmation {
+func (rc *readConfirmation) confirmEpoch(f func(bool)) {
+	if rc.cfg.knobs.SkipReadConfirmation {
 		f(true)
 		return
 	}
-	if len(c.queued) >= maxPendingCalls {
+	if len(rc.queued) >= maxPendingCalls {
 		f(false)
 		return
 	}
-	c.queued = append(c.queued, f)
-	if len(c.waiters) == 0 {
-		c.startRound()
+	rc.queued = append(rc.queued, f)
+	if len(rc.waiters) == 0 {
+		rc.startRound()
 	}
 }
 
-func (c *readConfirmation) startRound() {
-	if len(c.queued) == 0 {
+func (rc *readConfirmation) startRound() {
+	if len(rc.queued) == 0 {
 		return
 	}
-	c.waiters, c.queued = c.queued, nil
-	c.number++
-	c.epoch, c.startedAt, c.confirmedBy = c.acceptor.view.Epoch, c.now, map[ID]string{}
-	c.sendRound()
-	if c.acceptor.isVoter(c.acceptor.view) && !c.acceptor.hasAcceptedLater() {
-		c.recordConfirmation(c.self.ID)
+	rc.waiters, rc.queued = rc.queued, nil
+	rc.number++
+	rc.epoch, rc.startedAt, rc.confirmedBy = rc.acceptor.view.Epoch, rc.now, map[ID]string{}
+	rc.sendRound()
+	if rc.acceptor.isVoter(rc.acceptor.view) && !rc.acceptor.hasAcceptedLater() {
+		rc.recordConfirmation(rc.self.ID)
 	}
 }
 
-func (c *readConfirmation) sendRound() {
-	c.sentAt = c.now
-	for _, m := range c.acceptor.view.Voters {
-		if _, ok := c.confirmedBy[m.ID]; !ok && m.ID != c.self.ID {
-			c.send(m.ID, &replicationpb.Message{Body: &replicationpb.Message_Confirm{Confirm: &replicationpb.Confirm{
-				Epoch: c.epoch, Round: c.number, Life: c.cfg.Incarnation,
+func (rc *readConfirmation) sendRound() {
+	rc.sentAt = rc.now
+	for _, m := range rc.acceptor.view.Voters {
+		if _, ok := rc.confirmedBy[m.ID]; !ok && m.ID != rc.self.ID {
+			rc.send(m.ID, &replicationpb.Message{Body: &replicationpb.Message_Confirm{Confirm: &replicationpb.Confirm{
+				Epoch: rc.epoch, Round: rc.number, Life: rc.cfg.Incarnation,
 			}}})
 		}
 	}
 }
 
-func (c *readConfirmation) failConfirmations() {
-	w := slices.Concat(c.waiters, c.queued)
-	c.waiters, c.queued = nil, nil
+func (rc *readConfirmation) failConfirmations() {
+	w := slices.Concat(rc.waiters, rc.queued)
+	rc.waiters, rc.queued = nil, nil
 	for _, f := range w {
 		f(false)
 	}
 }
 
-func (c *readConfirmation) handleConfirm(from ID, m *replicationpb.Confirm) {
-	if m.GetEpoch() < c.acceptor.view.Epoch && c.acceptor.viewDurable {
-		c.send(from, &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(c.acceptor.view)}}})
+func (rc *readConfirmation) handleConfirm(from ID, m *replicationpb.Confirm) {
+	if m.GetEpoch() < rc.acceptor.view.Epoch && rc.acceptor.viewDurable {
+		rc.send(from, &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(rc.acceptor.view)}}})
 	}
-	if m.GetEpoch() != c.acceptor.view.Epoch || c.acceptor.hasAcceptedLater() || !c.acceptor.isVoter(c.acceptor.view) {
+	if m.GetEpoch() != rc.acceptor.view.Epoch || rc.acceptor.hasAcceptedLater() || !rc.acceptor.isVoter(rc.acceptor.view) {
 		return
 	}
-	c.send(from, &replicationpb.Message{Body: &replicationpb.Message_Confirmed{Confirmed: &replicationpb.Confirmed{
+	rc.send(from, &replicationpb.Message{Body: &replicationpb.Message_Confirmed{Confirmed: &replicationpb.Confirmed{
 		Epoch: m.GetEpoch(), Round: m.GetRound(), Life: m.GetLife(),
 	}}})
 }
 
-func (c *readConfirmation) handleConfirmed(from ID, m *replicationpb.Confirmed) {
-	if c.isThisIncarnation(m.GetLife()) && m.GetRound() == c.number && m.GetEpoch() == c.epoch && c.epoch == c.acceptor.view.Epoch && len(c.waiters) > 0 {
-		c.recordConfirmation(from)
+func (rc *readConfirmation) handleConfirmed(from ID, m *replicationpb.Confirmed) {
+	if rc.isThisIncarnation(m.GetLife()) && m.GetRound() == rc.number && m.GetEpoch() == rc.epoch && rc.epoch == rc.acceptor.view.Epoch && len(rc.waiters) > 0 {
+		rc.recordConfirmation(from)
 	}
 }
 
-func (c *readConfirmation) recordConfirmation(id ID) {
-	c.confirmedBy[id] = ""
-	if !c.acceptor.isQuorum(c.acceptor.view, c.confirmedBy) {
+func (rc *readConfirmation) recordConfirmation(id ID) {
+	rc.confirmedBy[id] = ""
+	if !rc.acceptor.isQuorum(rc.acceptor.view, rc.confirmedBy) {
 		return
 	}
-	w := c.waiters
-	c.waiters = nil
+	w := rc.waiters
+	rc.waiters = nil
 	for _, f := range w {
 		f(true)
 	}
-	if len(c.waiters) == 0 {
-		c.startRound()
+	if len(rc.waiters) == 0 {
+		rc.startRound()
 	}
 }
--- a/internal/system/replication/restore.go
+++ b/internal/system/replication/restore.go
@@ -40,12 +40,12 @@
 }
 
 // longestLogs lists those of the members with the longest log: before the first view, what was restored.
-func (c *planner) longestLogs(members []Member) []Member {
+func (pl *planner) longestLogs(members []Member) []Member {
 	held := func(m Member) uint64 {
-		if m.ID == c.self.ID {
-			return c.chain.commitIndex
+		if m.ID == pl.self.ID {
+			return pl.chain.commitIndex
 		}
-		if p := c.liveness.peers[m.ID]; p != nil {
+		if p := pl.liveness.peers[m.ID]; p != nil {
 			return p.heartbeat.GetCommitted()
 		}
 		return 0
@@ -61,14 +61,14 @@
 // that. What was restored here is no part of the chain's log, which may have begun with something else, or with nothing;
 // records are compared by number and epoch only, and below a snapshot not at all. The log is empty on disk before the view
 // is there, so that no restart comes between.
-func (c *chainReplica) discardRestoredLog(v *View) bool {
-	if c.acceptor.view.Epoch > 0 || v.Head() == c.self.ID {
+func (cr *chainReplica) discardRestoredLog(v *View) bool {
+	if cr.acceptor.view.Epoch > 0 || v.Head() == cr.self.ID {
 		return false
 	}
-	if c.log.end() > 0 {
-		c.logEvent("replication: the restored state here gives way to that of the head")
-		c.log, c.state, c.commitIndex = memoryLog{}, c.machine.Empty(), 0
-		c.writer.pendingInstall, c.writer.durableEnd, c.writer.truncateNeeded, c.writer.snapshotSeq = &wal.Snapshot{}, 0, false, 0
+	if cr.log.end() > 0 {
+		cr.logEvent("replication: the restored state here gives way to that of the head")
+		cr.log, cr.state, cr.commitIndex = memoryLog{}, cr.machine.Empty(), 0
+		cr.writer.pendingInstall, cr.writer.durableEnd, cr.writer.truncateNeeded, cr.writer.snapshotSeq = &wal.Snapshot{}, 0, false, 0
 	}
-	return c.writer.pendingInstall != nil
+	return cr.writer.pendingInstall != nil
 }
