--- a/internal/system/replication/acceptor.go
+++ b/internal/system/replication/acceptor.go
@@ -88,7 +88,7 @@
 	ac.adoptView(cur)
 	if cur.Epoch < ac.view.Epoch {
 		if ac.viewDurable {
-			ac.send(from, &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(ac.view)}}})
+			ac.send(from, chosenMessage(ac.view))
 		}
 		return false
 	}
@@ -96,9 +96,9 @@
 }
 
 func (ac *acceptor) sendReject(to ID) {
-	ac.send(to, &replicationpb.Message{Body: &replicationpb.Message_Reject{Reject: &replicationpb.Reject{
+	ac.send(to, rejectMessage(&replicationpb.Reject{
 		Epoch: ac.view.Epoch, Promised: proposalNumberPB(ac.promised),
-	}}})
+	}))
 }
 
 func (ac *acceptor) handlePrepare(from ID, m *replicationpb.Prepare) {
@@ -117,7 +117,7 @@
 	}
 	ac.writer.persist(func() {
 		if ac.view.Epoch == epoch && ac.promised == b {
-			ac.send(from, &replicationpb.Message{Body: &replicationpb.Message_Promise{Promise: reply}})
+			ac.send(from, promiseMessage(reply))
 		}
 	})
 }
@@ -139,9 +139,9 @@
 	epoch := ac.view.Epoch
 	ac.writer.persist(func() {
 		if ac.view.Epoch == epoch {
-			ac.send(from, &replicationpb.Message{Body: &replicationpb.Message_Accepted{Accepted: &replicationpb.Accepted{
+			ac.send(from, acceptedMessage(&replicationpb.Accepted{
 				Epoch: epoch, Ballot: m.GetBallot(), Addr: ac.self.Addr,
-			}}})
+			}))
 		}
 	})
 }
--- a/internal/system/replication/chain_replica.go
+++ b/internal/system/replication/chain_replica.go
@@ -175,9 +175,9 @@
 		return
 	}
 	cr.ackSentAt = cr.now
-	cr.send(prev, &replicationpb.Message{Body: &replicationpb.Message_Ack{Ack: &replicationpb.Ack{
+	cr.send(prev, ackMessage(&replicationpb.Ack{
 		Epoch: cr.acceptor.view.Epoch, Matched: cr.durableIndex(), Committed: cr.commitIndex, Active: cr.isActive(), Complete: cr.isActiveToTail(),
-	}}})
+	}))
 }
 
 // isActiveToTail tells whether this link and all after it are active, so that no log of an old epoch is left among them.
--- a/internal/system/replication/change_decider.go
+++ b/internal/system/replication/change_decider.go
@@ -128,9 +128,9 @@
 }
 
 func (cd *changeDecider) sendAnswer(o *pendingChange) {
-	cd.send(o.key.from, &replicationpb.Message{Body: &replicationpb.Message_Answer{Answer: &replicationpb.Answer{
+	cd.send(o.key.from, answerMessage(&replicationpb.Answer{
 		Id: o.key.callNumber, Life: o.key.incarnation, Outcome: uint32(o.outcome), Kind: uint32(o.verdict.Kind), Reason: o.verdict.Reason, Seq: o.seq,
-	}}})
+	}))
 }
 
 func (cd *changeDecider) completeChanges() {
--- a/internal/system/replication/client_calls.go
+++ b/internal/system/replication/client_calls.go
@@ -110,9 +110,9 @@
 	}
 	s.sentAt = cc.now
 	e := entry{rec: s.change.Record(0)}
-	cc.send(s.head, &replicationpb.Message{Body: &replicationpb.Message_Forward{Forward: &replicationpb.Forward{
+	cc.send(s.head, forwardMessage(&replicationpb.Forward{
 		Id: s.callNumber, Life: cc.cfg.Incarnation, HeadLife: s.headIncarnation, Epoch: s.epoch, Change: e.pb(), TtlUs: (s.deadline - cc.now).Microseconds(), Heard: cc.liveness.lastHeartbeatFrom(s.head),
-	}}})
+	}))
 }
 
 func (cc *clientCalls) tickSubmits() {
@@ -210,9 +210,9 @@
 		return
 	}
 	r.sentAt = cc.now
-	cc.send(cc.acceptor.view.Tail(), &replicationpb.Message{Body: &replicationpb.Message_ReadIndex{ReadIndex: &replicationpb.ReadIndex{
+	cc.send(cc.acceptor.view.Tail(), readIndexMessage(&replicationpb.ReadIndex{
 		Id: r.id, Life: cc.cfg.Incarnation, Epoch: cc.acceptor.view.Epoch,
-	}}})
+	}))
 }
 
 func (cc *clientCalls) tickReads() {
--- a/internal/system/replication/downstream.go
+++ b/internal/system/replication/downstream.go
@@ -85,10 +85,10 @@
 		return
 	}
 	p.lastSentAt = cr.now
-	cr.send(id, &replicationpb.Message{Body: &replicationpb.Message_Append{Append: &replicationpb.Append{
+	cr.send(id, appendMessage(&replicationpb.Append{
 		Epoch: cr.acceptor.view.Epoch, PrevSeq: prev, PrevEpoch: epoch, Entries: entries,
 		Start: cr.epochStartIndex, End: limit, Committed: cr.commitIndex, Learner: p.learner, Follow: p.followNumber,
-	}}})
+	}))
 }
 
 func (cr *chainReplica) sendInstall(id ID, p *progress) {
@@ -102,9 +102,9 @@
 	state := cr.state.Encode()
 	p.lastSentAt, p.snapshotInFlight = cr.now, true
 	p.resendAt = cr.now + snapshotResendTimeout + transferTime(len(state))
-	cr.send(id, &replicationpb.Message{Body: &replicationpb.Message_Install{Install: &replicationpb.Install{
+	cr.send(id, installMessage(&replicationpb.Install{
 		Epoch: cr.acceptor.view.Epoch, Seq: cr.commitIndex, SeqEpoch: epoch, State: state, Learner: p.learner,
-	}}})
+	}))
 }
 
 func (cr *chainReplica) handleAck(from ID, m *replicationpb.Ack) {
--- a/internal/system/replication/head_election.go
+++ b/internal/system/replication/head_election.go
@@ -4,8 +4,6 @@
 	"maps"
 	"slices"
 	"time"
-
-	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
 const (
@@ -98,7 +96,7 @@
 			}
 			for _, id := range pl.acceptor.view.Chain {
 				if pl.liveness.isAlive(id) {
-					pl.send(id, &replicationpb.Message{Body: &replicationpb.Message_Seal{Seal: &replicationpb.Seal{Epoch: pl.acceptor.view.Epoch}}})
+					pl.send(id, sealMessage(pl.acceptor.view.Epoch))
 				}
 			}
 			pl.headlessSince = pl.now // once a second
--- a/internal/system/replication/liveness.go
+++ b/internal/system/replication/liveness.go
@@ -156,7 +156,7 @@
 		}
 	}
 	if b.GetEpoch() < lv.acceptor.view.Epoch && lv.acceptor.viewDurable {
-		lv.send(from, &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(lv.acceptor.view)}}})
+		lv.send(from, chosenMessage(lv.acceptor.view))
 	}
 	lv.replyToObserver(from, b)
 	if lv.isEligible(from) {
--- a/internal/system/replication/observer.go
+++ b/internal/system/replication/observer.go
@@ -73,14 +73,14 @@
 	}
 	reply := lv.heartbeat(lv.echo(from))
 	reply.Reply = true
-	lv.send(from, &replicationpb.Message{Body: &replicationpb.Message_Heartbeat{Heartbeat: reply}})
+	lv.send(from, heartbeatMessage(reply))
 }
 
 // notifyObservers sends them a chosen view, so that they need not wait for their next heartbeat.
 func (lv *liveness) notifyObservers(v *View) {
 	for _, id := range slices.Sorted(maps.Keys(lv.peers)) {
 		if lv.peers[id].heartbeat.GetObserver() {
-			lv.send(id, &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(v)}}})
+			lv.send(id, chosenMessage(v))
 		}
 	}
 }
--- a/internal/system/replication/proposer.go
+++ b/internal/system/replication/proposer.go
@@ -96,7 +96,7 @@
 			return
 		}
 		pr.broadcastToVoters(cur, nil, func() *replicationpb.Message {
-			return &replicationpb.Message{Body: &replicationpb.Message_Prepare{Prepare: m}}
+			return prepareMessage(m)
 		})
 		pr.recordPromise(pr.self.ID, &replicationpb.Promise{
 			Epoch: cur.Epoch, Ballot: proposalNumberPB(b), Accepted: proposalNumberPB(acc), View: viewPB(next), Addr: pr.self.Addr,
@@ -177,7 +177,7 @@
 		}
 		acc := &replicationpb.Accept{Current: viewPB(cur), Ballot: proposalNumberPB(b), View: viewPB(value)}
 		pr.broadcastToVoters(cur, value, func() *replicationpb.Message {
-			return &replicationpb.Message{Body: &replicationpb.Message_Accept{Accept: acc}}
+			return acceptMessage(acc)
 		})
 		pr.recordAccepted(pr.self.ID, pr.self.Addr)
 	})
@@ -198,7 +198,7 @@
 	pr.proposal = nil
 	pr.logEvent(fmt.Sprintf("replication: view %d is chosen: %s", p.value.Epoch, p.value))
 	pr.broadcastToVoters(p.current, p.value, func() *replicationpb.Message {
-		return &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(p.value)}}}
+		return chosenMessage(p.value)
 	})
 	pr.liveness.notifyObservers(p.value)
 	pr.adoptView(p.value)
--- a/internal/system/replication/read_confirm.go
+++ b/internal/system/replication/read_confirm.go
@@ -52,9 +52,9 @@
 		if !ok || !rc.chain.isTail() || rc.acceptor.view.Epoch != epoch || !rc.chain.holdsAcknowledged() {
 			return // asked again soon
 		}
-		rc.send(from, &replicationpb.Message{Body: &replicationpb.Message_ReadAt{ReadAt: &replicationpb.ReadAt{
+		rc.send(from, readAtMessage(&replicationpb.ReadAt{
 			Id: m.GetId(), Life: m.GetLife(), Seq: rc.chain.commitIndex,
-		}}})
+		}))
 	})
 }
 
@@ -98,9 +98,9 @@
 	rc.sentAt = rc.now
 	for _, m := range rc.acceptor.view.Voters {
 		if _, ok := rc.confirmedBy[m.ID]; !ok && m.ID != rc.self.ID {
-			rc.send(m.ID, &replicationpb.Message{Body: &replicationpb.Message_Confirm{Confirm: &replicationpb.Confirm{
+			rc.send(m.ID, confirmMessage(&replicationpb.Confirm{
 				Epoch: rc.epoch, Round: rc.number, Life: rc.cfg.Incarnation,
-			}}})
+			}))
 		}
 	}
 }
@@ -115,14 +115,14 @@
 
 func (rc *readConfirmation) handleConfirm(from ID, m *replicationpb.Confirm) {
 	if m.GetEpoch() < rc.acceptor.view.Epoch && rc.acceptor.viewDurable {
-		rc.send(from, &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(rc.acceptor.view)}}})
+		rc.send(from, chosenMessage(rc.acceptor.view))
 	}
 	if m.GetEpoch() != rc.acceptor.view.Epoch || rc.acceptor.hasAcceptedLater() || !rc.acceptor.isVoter(rc.acceptor.view) {
 		return
 	}
-	rc.send(from, &replicationpb.Message{Body: &replicationpb.Message_Confirmed{Confirmed: &replicationpb.Confirmed{
+	rc.send(from, confirmedMessage(&replicationpb.Confirmed{
 		Epoch: m.GetEpoch(), Round: m.GetRound(), Life: m.GetLife(),
-	}}})
+	}))
 }
 
 func (rc *readConfirmation) handleConfirmed(from ID, m *replicationpb.Confirmed) {
--- a/internal/system/replication/upstream.go
+++ b/internal/system/replication/upstream.go
@@ -17,7 +17,7 @@
 		return cr.acceptor.viewDurable
 	}
 	if epoch < cr.acceptor.view.Epoch && cr.acceptor.viewDurable {
-		cr.send(id, &replicationpb.Message{Body: &replicationpb.Message_Chosen{Chosen: &replicationpb.Chosen{View: viewPB(cr.acceptor.view)}}})
+		cr.send(id, chosenMessage(cr.acceptor.view))
 	}
 	if epoch != cr.acceptor.view.Epoch || !cr.acceptor.viewDurable {
 		return false
@@ -30,9 +30,9 @@
 
 func (cr *chainReplica) sendMismatch(to ID) {
 	base, baseEpoch, runs := cr.log.runs()
-	cr.send(to, &replicationpb.Message{Body: &replicationpb.Message_Ack{Ack: &replicationpb.Ack{
+	cr.send(to, ackMessage(&replicationpb.Ack{
 		Epoch: cr.acceptor.view.Epoch, Mismatch: true, Base: base, BaseEpoch: baseEpoch, Runs: runs,
-	}}})
+	}))
 }
 
 func (cr *chainReplica) handleAppend(from ID, m *replicationpb.Append) {
@@ -78,7 +78,7 @@
 		}
 		cr.upstreamCommitIndex = max(cr.upstreamCommitIndex, m.GetCommitted())
 		cr.advanceCommitIndex(min(cr.upstreamCommitIndex, cr.matchIndex, cr.writer.durableEnd))
-		cr.send(from, &replicationpb.Message{Body: &replicationpb.Message_Ack{Ack: &replicationpb.Ack{Epoch: m.GetEpoch(), Matched: cr.durableIndex()}}})
+		cr.send(from, ackMessage(&replicationpb.Ack{Epoch: m.GetEpoch(), Matched: cr.durableIndex()}))
 		return
 	}
 	if cr.acceptor.activeEpoch != cr.acceptor.view.Epoch {
@@ -133,7 +133,7 @@
 	cr.state, cr.commitIndex, cr.matchIndex = s, m.GetSeq(), m.GetSeq()
 	cr.writer.pendingInstall, cr.writer.durableEnd, cr.writer.truncateNeeded = &snap, 0, false
 	cr.waiting.completeReads()
-	cr.send(from, &replicationpb.Message{Body: &replicationpb.Message_Ack{Ack: &replicationpb.Ack{Epoch: m.GetEpoch(), Matched: m.GetSeq()}}})
+	cr.send(from, ackMessage(&replicationpb.Ack{Epoch: m.GetEpoch(), Matched: m.GetSeq()}))
 }
 
 // sendFollow asks a link for what is committed, when this keeper is outside the chain.
@@ -148,9 +148,9 @@
 			continue
 		}
 		base, baseEpoch, runs := cr.log.runs()
-		cr.send(id, &replicationpb.Message{Body: &replicationpb.Message_Follow{Follow: &replicationpb.Follow{
+		cr.send(id, followMessage(&replicationpb.Follow{
 			Epoch: v.Epoch, Base: base, BaseEpoch: baseEpoch, Runs: runs, Number: cr.liveness.heartbeatNumber,
-		}}})
+		}))
 		return
 	}
 }
--- a/internal/system/replication/view.go
+++ b/internal/system/replication/view.go
@@ -1,7 +1,3 @@
-// Package replication is chain replication of the control log among keepers, with a reconfigurable membership view that is
-// agreed by single-decree Paxos, one decree an epoch.
-//
-// Core is the pure state machine: no I/O, clock or goroutine. Keeper drives it with a disk and a network.
 package replication
 
 import (
