--- a/internal/system/replication/acceptor.go
+++ b/internal/system/replication/acceptor.go
@@ -12,49 +12,50 @@
 	id    ID
 }
 
-func (b proposalNumber) less(o proposalNumber) bool {
-	return b.round < o.round || b.round == o.round && b.id < o.id
+func (n proposalNumber) less(other proposalNumber) bool {
+	return n.round < other.round || n.round == other.round && n.id < other.id
 }
 
-func proposalNumberPB(b proposalNumber) *replicationpb.Ballot {
-	return &replicationpb.Ballot{Round: b.round, Id: string(b.id)}
+func proposalNumberPB(n proposalNumber) *replicationpb.Ballot {
+	return &replicationpb.Ballot{Round: n.round, Id: string(n.id)}
 }
 
-func proposalNumberOf(b *replicationpb.Ballot) proposalNumber {
-	return proposalNumber{round: b.GetRound(), id: ID(b.GetId())}
+func proposalNumberOf(p *replicationpb.Ballot) proposalNumber {
+	return proposalNumber{round: p.GetRound(), id: ID(p.GetId())}
 }
 
-// acceptorState is what a node must remember across a restart: its vote, and the epochs in which it may stand for the log.
+// acceptorState is what a node must remember across a restart: its vote, and the epochs in which its log may stand for the chain's.
 type acceptorState struct {
 	identity     Member
 	view         *View          // newest chosen view known
-	activeEpoch  uint64         // newest epoch in which this link held all that its predecessor did
+	activeEpoch  uint64         // newest epoch in which this replica was active
 	sealedEpoch  uint64         // epoch in which it will never be active
 	promised     proposalNumber // for the epoch after view's
 	accepted     proposalNumber
 	acceptedView *View // accepted, perhaps chosen
 }
 
-func (r *acceptorState) pb() *replicationpb.Register {
+func (s *acceptorState) pb() *replicationpb.Register {
 	return &replicationpb.Register{
-		Self: memberPB(r.identity), View: viewPB(r.view), Active: r.activeEpoch, Sealed: r.sealedEpoch,
-		Promised: proposalNumberPB(r.promised), Accepted: proposalNumberPB(r.accepted), AcceptedView: viewPB(r.acceptedView),
+		Self: memberPB(s.identity), View: viewPB(s.view), Active: s.activeEpoch, Sealed: s.sealedEpoch,
+		Promised: proposalNumberPB(s.promised), Accepted: proposalNumberPB(s.accepted), AcceptedView: viewPB(s.acceptedView),
 	}
 }
 
 func acceptorStateOf(p *replicationpb.Register) acceptorState {
-	r := acceptorState{
+	s := acceptorState{
 		identity: memberOf(p.GetSelf()), view: viewOf(p.GetView()), activeEpoch: p.GetActive(), sealedEpoch: p.GetSealed(),
 		promised: proposalNumberOf(p.GetPromised()), accepted: proposalNumberOf(p.GetAccepted()), acceptedView: viewOf(p.GetAcceptedView()),
 	}
-	if r.view == nil {
-		r.view = &View{}
+	if s.view == nil {
+		s.view = &View{}
 	}
-	return r
+	return s
 }
 
-// acceptor is this node's vote in the agreement on views: single-decree Paxos, one decree an epoch (Lamport 2001). It promises and
-// accepts only after a write, so that a restart forgets nothing, and it knows which epochs the disk holds.
+// acceptor is this node's vote in the agreement on views. The view of epoch e+1 is the value of a single-decree Paxos among the
+// voters of e (Lamport 2001). The acceptor answers only after its promise or acceptance is on disk, so that a restart forgets neither.
+// It also knows which of its epochs are on disk, which is all that this node may tell of itself.
 type acceptor struct {
 	*environment
 	acceptorState
@@ -69,9 +70,10 @@
 	adoptView func(*View) // takes up a view that is chosen
 }
 
+// isVoter tells whether this node votes on the view after v.
 func (ac *acceptor) isVoter(v *View) bool {
 	if v.Epoch == 0 {
-		return ac.cfg.Bootstrap && slices.Contains(ac.cfg.Seeds, ac.self.Addr) && (!ac.cfg.Observer || ac.liveness.noSeedHasDisk())
+		return ac.isFounder()
 	}
 	if ac.cfg.Observer {
 		return false
@@ -80,86 +82,121 @@
 	return ok
 }
 
-// adoptProposersView brings this keeper to the view that a proposer builds on; false when it is at another one.
-func (ac *acceptor) adoptProposersView(from ID, cur *View) bool {
-	if cur == nil {
-		return false
+// isFounder tells whether this node votes on the first view: it is a seed at the first start of all, and has a disk unless none has.
+func (ac *acceptor) isFounder() bool {
+	return ac.cfg.Bootstrap && slices.Contains(ac.cfg.Seeds, ac.self.Addr) && (!ac.cfg.Observer || ac.liveness.noSeedHasDisk())
+}
+
+// sendNewerView tells a sender that is at an earlier epoch of the present view, once that is on disk.
+func (ac *acceptor) sendNewerView(to ID, epoch uint64) {
+	if epoch < ac.view.Epoch && ac.viewDurable {
+		ac.send(to, chosenMessage(ac.view))
 	}
-	ac.adoptView(cur)
-	if cur.Epoch < ac.view.Epoch {
-		if ac.viewDurable {
-			ac.send(from, chosenMessage(ac.view))
-		}
+}
+
+// reachProposersView brings this node to the view that a proposer builds on; false when it is at another one.
+func (ac *acceptor) reachProposersView(from ID, current *View) bool {
+	if current == nil {
 		return false
 	}
-	return cur.Epoch == ac.view.Epoch
+	ac.adoptView(current)
+	ac.sendNewerView(from, current.Epoch)
+	return current.Epoch == ac.view.Epoch
 }
 
 func (ac *acceptor) sendReject(to ID) {
-	ac.send(to, rejectMessage(&replicationpb.Reject{
-		Epoch: ac.view.Epoch, Promised: proposalNumberPB(ac.promised),
-	}))
+	ac.send(to, rejectMessage(&replicationpb.Reject{Epoch: ac.view.Epoch, Promised: proposalNumberPB(ac.promised)}))
 }
 
+// promise promises to accept nothing below number, and runs then once the promise is on disk.
+func (ac *acceptor) promise(number proposalNumber, then func()) {
+	ac.promised = number
+	ac.writer.persist(then)
+}
+
+// accept accepts a view under number, and runs then once that is on disk.
+func (ac *acceptor) accept(number proposalNumber, value *View, then func()) {
+	ac.accepted, ac.acceptedView = number, value
+	ac.writer.persist(then)
+}
+
+// promiseReply is what this node answers to Prepare: its promise, and what it has accepted before.
+func (ac *acceptor) promiseReply(number proposalNumber) *replicationpb.Promise {
+	return &replicationpb.Promise{
+		Epoch: ac.view.Epoch, Ballot: proposalNumberPB(number), Accepted: proposalNumberPB(ac.accepted),
+		View: viewPB(ac.acceptedView), Addr: ac.self.Addr,
+	}
+}
+
+// handlePrepare is phase 1b of Paxos.
 func (ac *acceptor) handlePrepare(from ID, m *replicationpb.Prepare) {
-	if !ac.adoptProposersView(from, viewOf(m.GetCurrent())) || !ac.isVoter(ac.view) {
+	if !ac.reachProposersView(from, viewOf(m.GetCurrent())) || !ac.isVoter(ac.view) {
 		return
 	}
-	b := proposalNumberOf(m.GetBallot())
-	if b.less(ac.promised) {
+	number := proposalNumberOf(m.GetBallot())
+	if number.less(ac.promised) {
 		ac.sendReject(from)
 		return
 	}
-	ac.promised = b
-	epoch := ac.view.Epoch
-	reply := &replicationpb.Promise{
-		Epoch: epoch, Ballot: m.GetBallot(), Accepted: proposalNumberPB(ac.accepted), View: viewPB(ac.acceptedView), Addr: ac.self.Addr,
-	}
-	ac.writer.persist(func() {
-		if ac.view.Epoch == epoch && ac.promised == b {
+	epoch, reply := ac.view.Epoch, ac.promiseReply(number)
+	ac.promise(number, func() {
+		if ac.view.Epoch == epoch && ac.promised == number {
 			ac.send(from, promiseMessage(reply))
 		}
 	})
 }
 
+// handleAccept is phase 2b of Paxos. The voters of the view that is proposed vote on it too, see proposal.isChosen.
 func (ac *acceptor) handleAccept(from ID, m *replicationpb.Accept) {
 	value := viewOf(m.GetView())
-	if value == nil || !ac.adoptProposersView(from, viewOf(m.GetCurrent())) || value.Epoch != ac.view.Epoch+1 {
+	if value == nil || !ac.reachProposersView(from, viewOf(m.GetCurrent())) || value.Epoch != ac.view.Epoch+1 {
 		return
 	}
 	if !ac.isVoter(ac.view) && !ac.isVoter(value) {
 		return
 	}
-	b := proposalNumberOf(m.GetBallot())
-	if b.less(ac.promised) {
+	number := proposalNumberOf(m.GetBallot())
+	if number.less(ac.promised) {
 		ac.sendReject(from)
 		return
 	}
-	ac.promised, ac.accepted, ac.acceptedView = b, b, value
 	epoch := ac.view.Epoch
-	ac.writer.persist(func() {
+	ac.promised = number
+	ac.accept(number, value, func() {
 		if ac.view.Epoch == epoch {
-			ac.send(from, acceptedMessage(&replicationpb.Accepted{
-				Epoch: epoch, Ballot: m.GetBallot(), Addr: ac.self.Addr,
-			}))
+			ac.send(from, acceptedMessage(&replicationpb.Accepted{Epoch: epoch, Ballot: m.GetBallot(), Addr: ac.self.Addr}))
 		}
 	})
 }
 
-// hasAcceptedLater tells whether this voter has accepted a view after the present one. It then vouches for the present one
-// no more: the later view may be chosen and acknowledge changes while a majority of the present voters, this one among
-// them, has not been told. That majority does not meet the later chain where a link of that is new among the voters, or
-// where fewer links than a majority may acknowledge. Scenario "an accepted view" plays it.
+// hasAcceptedLater tells whether this voter has accepted a view after the present one. It then no longer confirms the present epoch:
+// the later view may be chosen and its chain acknowledge changes while a majority of the present voters, this one among them, has
+// not learned of it. That it was chosen is not enough to ask for. The majority need not meet the later chain where a replica of
+// that chain is new among the voters, or where a chain shorter than a majority may acknowledge. Scenario "an accepted view" plays it.
 func (ac *acceptor) hasAcceptedLater() bool {
 	return ac.acceptedView != nil && !ac.cfg.knobs.ConfirmAfterAccept
 }
 
+// handleSeal promises that this replica will never be active in the present epoch, unless it is already.
 func (ac *acceptor) handleSeal(m *replicationpb.Seal) {
-	v := ac.view
-	if m.GetEpoch() != v.Epoch || v.chainIndex(ac.self.ID) < 0 || ac.activeEpoch >= v.Epoch || ac.sealedEpoch >= v.Epoch {
+	epoch := ac.view.Epoch
+	if m.GetEpoch() != epoch || ac.view.chainIndex(ac.self.ID) < 0 {
 		return
 	}
-	ac.sealedEpoch = v.Epoch
-	ac.logEvent("replication: sealing an epoch whose active links are gone")
+	if ac.activeEpoch >= epoch || ac.sealedEpoch >= epoch {
+		return
+	}
+	ac.sealedEpoch = epoch
+	ac.logEvent("replication: sealing an epoch whose active chain replicas are unavailable")
 	ac.writer.persist(ac.liveness.sendHeartbeats)
 }
+
+// enterEpoch takes up the chosen view v, and begins the vote on the one after it.
+func (ac *acceptor) enterEpoch(v *View) {
+	ac.view, ac.viewDurable = v, false
+	ac.promised, ac.accepted, ac.acceptedView = proposalNumber{}, proposalNumber{}, nil
+	// The head must hold all that was acknowledged, see planner.mayLead.
+	if v.Head() == ac.self.ID && (ac.activeEpoch >= v.base || ac.cfg.knobs.AllowAnyHead) {
+		ac.activeEpoch = v.Epoch
+	}
+}
--- a/internal/system/replication/chain_replica.go
+++ b/internal/system/replication/chain_replica.go
@@ -84,6 +84,15 @@
 
 func (cr *chainReplica) isTail() bool { return cr.isActive() && cr.acceptor.view.Tail() == cr.self.ID }
 
+// leaveEpoch forgets what was known of the chain of the epoch that has ended.
+func (cr *chainReplica) leaveEpoch() {
+	cr.matchIndex, cr.upstreamMatched = 0, false
+	cr.upstreamCommitIndex, cr.caughtUp = 0, false
+	cr.minReadIndex, cr.epochStartIndex = 0, 0
+	cr.downstream = map[ID]*progress{}
+	cr.uncommittedStates = nil
+}
+
 // enterView starts this link's part in a view that is on disk.
 func (cr *chainReplica) enterView() error {
 	if !cr.isActive() {
--- a/internal/system/replication/core.go
+++ b/internal/system/replication/core.go
@@ -266,17 +266,10 @@
 	if v == nil || v.Epoch <= c.acceptor.view.Epoch || c.chain.discardRestoredLog(v) {
 		return
 	}
-	self := c.self.ID
-	c.acceptor.view, c.acceptor.promised, c.acceptor.accepted, c.acceptor.acceptedView = v, proposalNumber{}, proposalNumber{}, nil
-	c.acceptor.viewDurable, c.proposer.highestRoundSeen, c.proposer.proposeAt, c.planner.headlessSince = false, 0, -1, -1
-	c.proposer.proposal = nil
-	c.chain.matchIndex, c.chain.upstreamCommitIndex, c.chain.caughtUp, c.chain.upstreamMatched, c.chain.minReadIndex, c.chain.epochStartIndex = 0, 0, false, false, 0, 0
-	c.chain.downstream = map[ID]*progress{}
-	c.chain.uncommittedStates = nil
-	// The head must hold all that was acknowledged, see mayLead.
-	if v.Head() == self && (c.acceptor.activeEpoch >= v.base || c.cfg.knobs.AllowAnyHead) {
-		c.acceptor.activeEpoch = v.Epoch
-	}
+	c.acceptor.enterEpoch(v)
+	c.proposer.reset()
+	c.planner.headlessSince = -1
+	c.chain.leaveEpoch()
 	c.decider.abandonChanges()
 	c.writer.persist(func() {
 		if c.acceptor.view != v {
--- a/internal/system/replication/liveness.go
+++ b/internal/system/replication/liveness.go
@@ -155,9 +155,7 @@
 			p.echoedAt = max(p.echoedAt, lv.heartbeatSentAt[n%heartbeatHistory])
 		}
 	}
-	if b.GetEpoch() < lv.acceptor.view.Epoch && lv.acceptor.viewDurable {
-		lv.send(from, chosenMessage(lv.acceptor.view))
-	}
+	lv.acceptor.sendNewerView(from, b.GetEpoch())
 	lv.replyToObserver(from, b)
 	if lv.isEligible(from) {
 		if p.eligibleSince < 0 {
--- a/internal/system/replication/planner.go
+++ b/internal/system/replication/planner.go
@@ -8,6 +8,7 @@
 )
 
 const (
+	firstViewDelay     = 2 * time.Second // a missing seed is waited for
 	defaultChainLength = 5
 	minEligibleTime    = 300 * time.Millisecond // a keeper is good for this long before it becomes a link
 	maxCaughtUpLag     = 64                     // records that a new link may be behind
--- a/internal/system/replication/proposer.go
+++ b/internal/system/replication/proposer.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"slices"
 	"time"
 
@@ -9,17 +10,15 @@
 )
 
 const (
-	proposalTimeout = 800 * time.Millisecond
-	rankDelay       = 150 * time.Millisecond
-	planInterval    = 50 * time.Millisecond
-	firstViewDelay  = 2 * time.Second // a missing seed is waited for
+	proposalTimeout  = 800 * time.Millisecond
+	rankDelay        = 150 * time.Millisecond // between the turns of two proposers
+	planInterval     = 50 * time.Millisecond
+	minProposerDelay = 100 * time.Millisecond // after a proposal that failed
+	proposerJitter   = 500 * time.Millisecond
 )
 
-// The register of epoch e+1 is a single-decree Paxos among the voters of view e. When the views differ in voters a
-// majority of either must accept, so that a majority of the next register's voters knows the view it starts from.
-// Phase one needs the old majority only: it meets every old majority that may have accepted.
-
-// proposer has views chosen, as Paxos' proposer: it asks the planner for a view, takes its turn, and runs both phases.
+// proposer has views chosen, as the proposer of Paxos: it asks the planner for a view, waits its turn, and runs both phases. For
+// liveness alone, proposers take turns by rank and back off at random; any of them may propose at any time.
 type proposer struct {
 	*environment
 	proposal         *proposal     // in progress, nil: none
@@ -35,36 +34,43 @@
 	adoptView func(*View) // takes up a view that is chosen
 }
 
-// proposal is an attempt of this keeper to have a view chosen.
+// proposal is an attempt of this node to have a view chosen.
 type proposal struct {
-	current             *View
+	current             *View // whose voters decide
 	number              proposalNumber
 	startedAt           time.Duration
 	promisedBy          map[ID]string // addresses of those who promised
 	highestAccepted     proposalNumber
-	highestAcceptedView *View // accepted by one of them under best
+	highestAcceptedView *View // accepted by one of them under highestAccepted
 	value               *View // nil in phase one
 	acceptedBy          map[ID]string
 }
 
+// isFor tells whether an answer of an acceptor is for this proposal.
+func (p *proposal) isFor(epoch uint64, ballot *replicationpb.Ballot) bool {
+	return epoch == p.current.Epoch && proposalNumberOf(ballot) == p.number
+}
+
+// observeAccepted remembers the view accepted under the highest number, which phase two must propose.
+func (p *proposal) observeAccepted(m *replicationpb.Promise) {
+	number := proposalNumberOf(m.GetAccepted())
+	if m.GetView() != nil && p.highestAccepted.less(number) {
+		p.highestAccepted, p.highestAcceptedView = number, viewOf(m.GetView())
+	}
+}
+
+// tickProposer ends a proposal that has timed out and starts one that is due.
 func (pr *proposer) tickProposer() {
 	if pr.proposal != nil && pr.now-pr.proposal.startedAt > proposalTimeout {
 		pr.proposal = nil
 		pr.backOff()
 	}
-	if pr.proposal != nil || pr.now < pr.liveness.graceUntil || pr.now < pr.backoffUntil || !pr.acceptor.identityDurable || pr.writer.unhealthy || pr.err != nil || !pr.acceptor.isVoter(pr.acceptor.view) {
-		return
-	}
-	if pr.now-pr.lastPlannedAt < planInterval {
+	if !pr.canPropose() || !pr.isDue() || pr.now-pr.lastPlannedAt < planInterval {
 		return
 	}
 	pr.lastPlannedAt = pr.now
-	v, rank := pr.planner.plan()
-	if v == nil && pr.acceptor.acceptedView != nil {
-		// An attempt that stopped halfway keeps the voters from vouching for this epoch: finish it.
-		v, rank = pr.acceptor.acceptedView, 1+slices.IndexFunc(pr.acceptor.view.Voters, func(m Member) bool { return m.ID == pr.self.ID })
-	}
-	if v == nil {
+	next, rank := pr.wantedView()
+	if next == nil {
 		pr.proposeAt = -1
 		return
 	}
@@ -72,157 +78,165 @@
 		pr.proposeAt = pr.now + time.Duration(rank)*rankDelay + pr.jitter(rankDelay/3)
 	}
 	if pr.now >= pr.proposeAt {
-		pr.propose(v)
+		pr.propose(next)
 	}
 }
 
-// backOff keeps two proposers from outbidding each other for ever.
+// canPropose tells whether this node votes and can write its promises.
+func (pr *proposer) canPropose() bool {
+	return pr.err == nil && pr.acceptor.identityDurable && !pr.writer.unhealthy && pr.acceptor.isVoter(pr.acceptor.view)
+}
+
+// isDue tells whether no proposal is in progress, and neither back-off nor a grace period lasts.
+func (pr *proposer) isDue() bool {
+	return pr.proposal == nil && pr.now >= pr.liveness.graceUntil && pr.now >= pr.backoffUntil
+}
+
+// wantedView gives the view to propose, nil when none is, and this node's turn.
+func (pr *proposer) wantedView() (next *View, rank int) {
+	if next, rank = pr.planner.plan(); next != nil || pr.acceptor.acceptedView == nil {
+		return next, rank
+	}
+	// A proposal that ended halfway keeps the voters from confirming this epoch: complete it.
+	index := slices.IndexFunc(pr.acceptor.view.Voters, func(m Member) bool { return m.ID == pr.self.ID })
+	return pr.acceptor.acceptedView, 1 + index
+}
+
+// backOff keeps two proposers from preempting each other for ever.
 func (pr *proposer) backOff() {
-	pr.backoffUntil = pr.now + 100*time.Millisecond + pr.jitter(500*time.Millisecond)
+	pr.backoffUntil = pr.now + minProposerDelay + pr.jitter(proposerJitter)
 	pr.proposeAt = -1
 }
 
-func (pr *proposer) propose(v *View) {
-	cur := pr.acceptor.view
-	b := proposalNumber{round: max(pr.acceptor.promised.round, pr.highestRoundSeen) + 1, id: pr.self.ID}
-	pr.proposal = &proposal{current: cur, number: b, startedAt: pr.now, promisedBy: map[ID]string{}, acceptedBy: map[ID]string{}}
-	pr.logEvent(fmt.Sprintf("replication: proposing view %d: %s", v.Epoch, v))
-	m := &replicationpb.Prepare{Current: viewPB(cur), Ballot: proposalNumberPB(b)}
-	// This keeper promises first: after a restart it will not use the ballot again.
-	pr.acceptor.promised = b
-	acc, next := pr.acceptor.accepted, pr.acceptor.acceptedView
-	pr.writer.persist(func() {
-		if pr.proposal == nil || pr.proposal.number != b || pr.acceptor.view != cur {
+// propose starts phase one. This node promises first, so that after a restart it does not use the number again.
+func (pr *proposer) propose(next *View) {
+	current := pr.acceptor.view
+	number := proposalNumber{round: max(pr.acceptor.promised.round, pr.highestRoundSeen) + 1, id: pr.self.ID}
+	pr.proposal = &proposal{current: current, number: number, startedAt: pr.now, promisedBy: map[ID]string{}, acceptedBy: map[ID]string{}}
+	pr.logEvent(fmt.Sprintf("replication: proposing view %d: %s", next.Epoch, next))
+	prepare := &replicationpb.Prepare{Current: viewPB(current), Ballot: proposalNumberPB(number)}
+	own := pr.acceptor.promiseReply(number)
+	pr.acceptor.promise(number, func() {
+		if pr.proposal == nil || pr.proposal.number != number || pr.acceptor.view != current {
 			return
 		}
-		pr.broadcastToVoters(cur, nil, func() *replicationpb.Message {
-			return prepareMessage(m)
-		})
-		pr.recordPromise(pr.self.ID, &replicationpb.Promise{
-			Epoch: cur.Epoch, Ballot: proposalNumberPB(b), Accepted: proposalNumberPB(acc), View: viewPB(next), Addr: pr.self.Addr,
-		})
+		pr.broadcastToVoters(current, nil, func() *replicationpb.Message { return prepareMessage(prepare) })
+		pr.recordPromise(pr.self.ID, own)
 	})
 }
 
-// broadcastToVoters sends to the voters of the views except this keeper.
-func (pr *proposer) broadcastToVoters(v, w *View, body func() *replicationpb.Message) {
-	sent := map[ID]bool{pr.self.ID: true}
-	if v.Epoch == 0 {
+// broadcastToVoters sends to the voters of both views except this node, by identity.
+func (pr *proposer) broadcastToVoters(current, next *View, newMessage func() *replicationpb.Message) {
+	receivers := map[ID]bool{}
+	if current.Epoch == 0 {
 		for _, p := range pr.liveness.peers {
 			if slices.Contains(pr.cfg.Seeds, p.member.Addr) && p.heartbeat.GetBootstrap() {
-				sent[p.member.ID] = false
+				receivers[p.member.ID] = true
 			}
 		}
 	}
-	for _, x := range []*View{v, w} {
-		if x != nil {
-			for _, m := range x.Voters {
-				if m.ID != pr.self.ID {
-					sent[m.ID] = false
-				}
-			}
+	for _, v := range []*View{current, next} {
+		if v == nil {
+			continue
 		}
-	}
-	ids := unsent(sent)
-	for _, id := range ids {
-		m := body()
-		if pr.liveness.addressOf(id) == "" && w != nil {
-			if mem, ok := w.Voter(id); ok {
-				m.From, m.To = string(pr.self.ID), string(id)
-				pr.out.Messages = append(pr.out.Messages, Envelope{Addr: mem.Addr, Msg: m})
-				continue
-			}
+		for _, m := range v.Voters {
+			receivers[m.ID] = true
 		}
-		pr.send(id, m)
+	}
+	delete(receivers, pr.self.ID)
+	for _, id := range slices.Sorted(maps.Keys(receivers)) {
+		pr.sendToVoter(id, next, newMessage())
 	}
 }
 
-func unsent(sent map[ID]bool) []ID {
-	var ids []ID
-	for id, done := range sent {
-		if !done {
-			ids = append(ids, id)
-		}
+// sendToVoter sends to a voter that may be known from the next view alone.
+func (pr *proposer) sendToVoter(id ID, next *View, m *replicationpb.Message) {
+	if pr.liveness.addressOf(id) != "" || next == nil {
+		pr.send(id, m)
+		return
+	}
+	if voter, ok := next.Voter(id); ok {
+		m.From, m.To = string(pr.self.ID), string(id)
+		pr.out.Messages = append(pr.out.Messages, Envelope{Addr: voter.Addr, Msg: m})
 	}
-	slices.Sort(ids)
-	return ids
 }
 
 func (pr *proposer) handlePromise(from ID, m *replicationpb.Promise) {
-	if p := pr.proposal; p != nil && p.value == nil && m.GetEpoch() == p.current.Epoch && proposalNumberOf(m.GetBallot()) == p.number {
+	if p := pr.proposal; p != nil && p.value == nil && p.isFor(m.GetEpoch(), m.GetBallot()) {
 		pr.recordPromise(from, m)
 	}
 }
 
+// recordPromise starts phase two once a majority of the voters has promised.
 func (pr *proposer) recordPromise(from ID, m *replicationpb.Promise) {
 	p := pr.proposal
 	p.promisedBy[from] = m.GetAddr()
-	if a := proposalNumberOf(m.GetAccepted()); m.GetView() != nil && p.highestAccepted.less(a) && !pr.cfg.knobs.IgnoreAcceptedViews {
-		p.highestAccepted, p.highestAcceptedView = a, viewOf(m.GetView())
+	if !pr.cfg.knobs.IgnoreAcceptedViews {
+		p.observeAccepted(m)
 	}
 	if !pr.acceptor.isQuorum(p.current, p.promisedBy) || pr.acceptor.promised != p.number {
 		return
 	}
 	if p.value = p.highestAcceptedView; p.value == nil {
-		if p.value, _ = pr.planner.plan(); p.value == nil {
-			pr.proposal = nil // what was wrong has passed
-			return
-		}
+		p.value, _ = pr.planner.plan()
 	}
-	cur, value, b := p.current, p.value, p.number
-	pr.acceptor.accepted, pr.acceptor.acceptedView = b, value
-	pr.writer.persist(func() {
-		if pr.proposal != p || pr.acceptor.view != cur {
+	if p.value == nil {
+		pr.proposal = nil // the reason for the proposal has passed
+		return
+	}
+	pr.requestAccept(p)
+}
+
+// requestAccept starts phase two. This node accepts first.
+func (pr *proposer) requestAccept(p *proposal) {
+	current, value, number := p.current, p.value, p.number
+	pr.acceptor.accept(number, value, func() {
+		if pr.proposal != p || pr.acceptor.view != current {
 			return
 		}
-		acc := &replicationpb.Accept{Current: viewPB(cur), Ballot: proposalNumberPB(b), View: viewPB(value)}
-		pr.broadcastToVoters(cur, value, func() *replicationpb.Message {
-			return acceptMessage(acc)
-		})
+		accept := &replicationpb.Accept{Current: viewPB(current), Ballot: proposalNumberPB(number), View: viewPB(value)}
+		pr.broadcastToVoters(current, value, func() *replicationpb.Message { return acceptMessage(accept) })
 		pr.recordAccepted(pr.self.ID, pr.self.Addr)
 	})
 }
 
 func (pr *proposer) handleAccepted(from ID, m *replicationpb.Accepted) {
-	if p := pr.proposal; p != nil && p.value != nil && m.GetEpoch() == p.current.Epoch && proposalNumberOf(m.GetBallot()) == p.number {
+	if p := pr.proposal; p != nil && p.value != nil && p.isFor(m.GetEpoch(), m.GetBallot()) {
 		pr.recordAccepted(from, m.GetAddr())
 	}
 }
 
+// recordAccepted publishes the view once it is chosen.
 func (pr *proposer) recordAccepted(from ID, addr string) {
 	p := pr.proposal
 	p.acceptedBy[from] = addr
-	if !pr.acceptor.isQuorum(p.current, p.acceptedBy) || !pr.acceptor.isQuorum(p.value, p.acceptedBy) {
+	if !pr.isChosen(p) {
 		return
 	}
 	pr.proposal = nil
 	pr.logEvent(fmt.Sprintf("replication: view %d is chosen: %s", p.value.Epoch, p.value))
-	pr.broadcastToVoters(p.current, p.value, func() *replicationpb.Message {
-		return chosenMessage(p.value)
-	})
+	pr.broadcastToVoters(p.current, p.value, func() *replicationpb.Message { return chosenMessage(p.value) })
 	pr.liveness.notifyObservers(p.value)
 	pr.adoptView(p.value)
 }
 
+// isChosen tells whether majorities of the voters of both views have accepted. The old majority decides, as in any Paxos. The new
+// one sees to it that a majority of the voters who decide on the next view knows the view that it starts from. Phase one needs the
+// old majority only: it meets every old majority that may have accepted.
+func (pr *proposer) isChosen(p *proposal) bool {
+	return pr.acceptor.isQuorum(p.current, p.acceptedBy) && pr.acceptor.isQuorum(p.value, p.acceptedBy)
+}
+
 func (pr *proposer) handleReject(m *replicationpb.Reject) {
-	b := proposalNumberOf(m.GetPromised())
-	if p := pr.proposal; p != nil && m.GetEpoch() == p.current.Epoch && p.number.less(b) {
-		pr.highestRoundSeen = max(pr.highestRoundSeen, b.round)
+	promised := proposalNumberOf(m.GetPromised())
+	if p := pr.proposal; p != nil && m.GetEpoch() == p.current.Epoch && p.number.less(promised) {
+		pr.highestRoundSeen = max(pr.highestRoundSeen, promised.round)
 		pr.proposal = nil
 		pr.backOff()
 	}
 }
 
-// String shows the chain by addresses.
-func (v *View) String() string {
-	s := "chain"
-	for _, l := range v.Chain {
-		m, _ := v.Voter(l)
-		s += " " + m.Addr
-	}
-	s += ", voters"
-	for _, m := range v.Voters {
-		s += " " + m.Addr
-	}
-	return s
+// reset drops a proposal that has been overtaken by a chosen view.
+func (pr *proposer) reset() {
+	pr.proposal, pr.proposeAt, pr.highestRoundSeen = nil, -1, 0
 }
--- a/internal/system/replication/read_confirm.go
+++ b/internal/system/replication/read_confirm.go
@@ -114,9 +114,7 @@
 }
 
 func (rc *readConfirmation) handleConfirm(from ID, m *replicationpb.Confirm) {
-	if m.GetEpoch() < rc.acceptor.view.Epoch && rc.acceptor.viewDurable {
-		rc.send(from, chosenMessage(rc.acceptor.view))
-	}
+	rc.acceptor.sendNewerView(from, m.GetEpoch())
 	if m.GetEpoch() != rc.acceptor.view.Epoch || rc.acceptor.hasAcceptedLater() || !rc.acceptor.isVoter(rc.acceptor.view) {
 		return
 	}
--- a/internal/system/replication/upstream.go
+++ b/internal/system/replication/upstream.go
@@ -16,9 +16,7 @@
 	if cr.cfg.knobs.AcceptAnyEpoch && epoch < cr.acceptor.view.Epoch && !learner {
 		return cr.acceptor.viewDurable
 	}
-	if epoch < cr.acceptor.view.Epoch && cr.acceptor.viewDurable {
-		cr.send(id, chosenMessage(cr.acceptor.view))
-	}
+	cr.acceptor.sendNewerView(id, epoch)
 	if epoch != cr.acceptor.view.Epoch || !cr.acceptor.viewDurable {
 		return false
 	}
--- a/internal/system/replication/view.go
+++ b/internal/system/replication/view.go
@@ -67,6 +67,20 @@
 	return v.past[epoch]
 }
 
+// String shows chain and voters by their addresses.
+func (v *View) String() string {
+	s := "chain"
+	for _, id := range v.Chain {
+		m, _ := v.Voter(id)
+		s += " " + m.Addr
+	}
+	s += ", voters"
+	for _, m := range v.Voters {
+		s += " " + m.Addr
+	}
+	return s
+}
+
 func (v *View) hasSameMembers(w *View) bool {
 	return slices.Equal(v.Chain, w.Chain) &&
 		slices.EqualFunc(v.Voters, w.Voters, func(a, b Member) bool { return a.ID == b.ID })
