--- a/internal/system/replication/chain_replica.go
+++ b/internal/system/replication/chain_replica.go
@@ -131,6 +131,16 @@
 	cr.sendAck()
 }
 
+// isUpToDate tells whether this node, in the chain, knows all to be committed that may have been acknowledged before its epoch; or outside
+// the chain has received within the window all that was committed then.
+func (cr *chainReplica) isUpToDate(window time.Duration) bool {
+	v := cr.acceptor.view
+	if v.chainIndex(cr.self.ID) >= 0 {
+		return cr.acceptor.durableActive == v.Epoch && cr.holdsAcknowledged()
+	}
+	return cr.caughtUp && cr.now-cr.caughtUpAt <= window && cr.commitIndex >= cr.upstreamCommitIndex
+}
+
 // durableIndex is the end of what is on disk and known to be the log of this epoch's chain.
 func (cr *chainReplica) durableIndex() uint64 {
 	if cr.isHead() {
--- a/internal/system/replication/client_calls.go
+++ b/internal/system/replication/client_calls.go
@@ -85,18 +85,6 @@
 	delete(cc.reads, id)
 }
 
-func (lv *liveness) headIncarnation() (uint64, bool) {
-	head := lv.acceptor.view.Head()
-	if head == lv.self.ID {
-		return lv.cfg.Incarnation, lv.chain.isHead()
-	}
-	p := lv.peers[head]
-	if p == nil || !lv.isAlive(head) || p.heartbeat.GetEpoch() != lv.acceptor.view.Epoch {
-		return 0, false
-	}
-	return p.incarnation, true
-}
-
 func (cc *clientCalls) sendForward(s *submit) {
 	life, ok := cc.liveness.headIncarnation()
 	if !s.sent {
@@ -167,14 +155,6 @@
 	}
 }
 
-// lastHeartbeatFrom is the number of the newest heartbeat heard of a keeper, 0 if none was.
-func (lv *liveness) lastHeartbeatFrom(id ID) uint64 {
-	if p := lv.peers[id]; p != nil {
-		return p.heartbeatNumber
-	}
-	return 0
-}
-
 // speculativeState is the state after the whole log, on which the head judges.
 func (cr *chainReplica) speculativeState() State {
 	if n := len(cr.uncommittedStates); n > 0 {
--- a/internal/system/replication/head_election.go
+++ b/internal/system/replication/head_election.go
@@ -7,17 +7,27 @@
 )
 
 const (
-	sealTimeout      = time.Second // without a link that may lead
-	maxEarlierChains = 64
+	sealTimeout      = time.Second // without a chain replica that may lead
+	maxEarlierChains = 64          // that a view remembers
 )
 
-// durableEpochs is what a keeper has on disk about itself.
+// durableEpochs is what a node has on disk about the epochs in which it was a chain replica.
 type durableEpochs struct {
-	known                 bool
-	active, sealed, epoch uint64
+	known  bool   // the node has told
+	active uint64 // newest epoch in which it was active
+	sealed uint64 // epoch in which it will never be active
+	epoch  uint64 // of its view
 }
 
-// durableEpochsOf gives what id last said. It may have changed since, but only upwards.
+// isInactiveIn tells whether the node was not active in the epoch when it last told.
+func (e durableEpochs) isInactiveIn(epoch uint64) bool { return e.known && e.active < epoch }
+
+// cannotActivateIn tells whether a node that was not active in the epoch never will be: it is in a later one, or has sealed it.
+func (e durableEpochs) cannotActivateIn(epoch uint64) bool {
+	return e.epoch > epoch || e.sealed == epoch
+}
+
+// durableEpochsOf gives what the node last told. The numbers may have changed since, but only upwards.
 func (lv *liveness) durableEpochsOf(id ID) durableEpochs {
 	if id == lv.self.ID {
 		return durableEpochs{known: true, active: lv.acceptor.durableActive, sealed: lv.acceptor.durableSealed, epoch: lv.acceptor.durableEpoch}
@@ -28,57 +38,75 @@
 	return durableEpochs{}
 }
 
-// mayLead tells whether id holds everything that the present and earlier chains have acknowledged and ever will.
-//
-// A link that was active in epoch f holds what was acknowledged up to f. An acknowledgement in a later epoch g takes
-// every link of g to be active in it. So when one link of g was not active in it and never will be, since it has gone
-// on to a later epoch or is sealed, g has acknowledged nothing. When that holds for all epochs after f, id holds
-// everything. A candidate speaks for itself: it leaves the present epoch by entering the next as its head, before
-// anything can be acknowledged there.
+// sealing says what mayLead assumes of replicas that have not sealed the present epoch.
+type sealing bool
+
+const (
+	asSealed       sealing = false // as they have told
+	assumingSealed sealing = true  // those that are alive count as sealed, since they can be asked to
+)
+
+// mayLead tells whether the candidate holds everything that the present and earlier chains have acknowledged and ever will
+// (invariant 3 of the package).
 //
-// With suppose, links that could be sealed count as sealed.
-func (pl *planner) mayLead(id ID, suppose bool) bool {
+// Proof. A replica that was active in epoch f holds what was acknowledged up to f: it had all that its predecessor had when f began,
+// by induction all that the head had, and the head of f held all that was acknowledged before. An acknowledgement in a later epoch g
+// requires each replica of g to be active in g, since only active replicas replicate further. So when one replica of g was not active
+// in g and never will be, g has acknowledged nothing and never will (cannotHaveAcknowledged). When that holds for all epochs
+// after f up to the present one, the candidate holds everything. The candidate itself needs no seal: it leaves the present epoch by
+// entering the next as its head, before anything can be acknowledged there.
+func (pl *planner) mayLead(candidate ID, seals sealing) bool {
 	if pl.cfg.knobs.AllowAnyHead {
 		return true
 	}
-	x := pl.liveness.durableEpochsOf(id)
-	if !x.known {
+	held := pl.liveness.durableEpochsOf(candidate)
+	if !held.known {
 		return false
 	}
-	for g := pl.acceptor.view.Epoch; g > x.active; g-- {
-		if !pl.cannotHaveAcknowledged(g, id, suppose) {
+	for epoch := pl.acceptor.view.Epoch; epoch > held.active; epoch-- {
+		if !pl.cannotHaveAcknowledged(epoch, candidate, seals) {
 			return false
 		}
 	}
 	return true
 }
 
-// cannotHaveAcknowledged tells whether epoch g is known to have acknowledged nothing, provided that candidate leads next.
-func (pl *planner) cannotHaveAcknowledged(g uint64, candidate ID, suppose bool) bool {
-	return slices.ContainsFunc(pl.acceptor.view.chainOf(g), func(id ID) bool {
-		s := pl.liveness.durableEpochsOf(id)
-		return s.known && s.active < g &&
-			(id == candidate || s.epoch > g || s.sealed == g || pl.cfg.knobs.PresumeUnacknowledged || suppose && g == pl.acceptor.view.Epoch && pl.liveness.isAlive(id))
+// cannotHaveAcknowledged tells whether the epoch is known to have acknowledged nothing, for good, provided that the candidate leads
+// next. One replica of its chain that was not active and cannot become so is enough. An epoch whose chain is not remembered any
+// more may have acknowledged.
+func (pl *planner) cannotHaveAcknowledged(epoch uint64, candidate ID, seals sealing) bool {
+	return slices.ContainsFunc(pl.acceptor.view.chainOf(epoch), func(id ID) bool {
+		told := pl.liveness.durableEpochsOf(id)
+		if !told.isInactiveIn(epoch) {
+			return false // it may be active
+		}
+		return id == candidate || told.cannotActivateIn(epoch) || pl.cfg.knobs.PresumeUnacknowledged ||
+			seals == assumingSealed && pl.canBeAskedToSeal(id, epoch)
 	})
 }
 
-// earlierChains lists the chains that the next view must remember.
+// canBeAskedToSeal tells whether a replica that was not active in the epoch can still promise never to be.
+func (pl *planner) canBeAskedToSeal(id ID, epoch uint64) bool {
+	return epoch == pl.acceptor.view.Epoch && pl.liveness.isAlive(id)
+}
+
+// earlierChains lists the chains that the next view must remember for mayLead.
 func (pl *planner) earlierChains() map[uint64][]ID {
-	cur := pl.acceptor.view
-	out := map[uint64][]ID{}
-	if pl.liveness.durableEpochsOf(cur.Tail()).active == cur.Epoch {
-		return out // the tail is active only after all others: what was before does not matter any more
+	current := pl.acceptor.view
+	chains := map[uint64][]ID{}
+	if pl.liveness.durableEpochsOf(current.Tail()).active == current.Epoch {
+		return chains // the tail is active only after all others, so earlier chains do not matter any more
 	}
-	maps.Copy(out, cur.past)
-	out[cur.Epoch] = cur.Chain
-	for len(out) > maxEarlierChains {
-		delete(out, slices.Min(slices.Collect(maps.Keys(out))))
+	maps.Copy(chains, current.past)
+	chains[current.Epoch] = current.Chain
+	for len(chains) > maxEarlierChains {
+		delete(chains, slices.Min(slices.Collect(maps.Keys(chains))))
 	}
-	return out
+	return chains
 }
 
-// findHead looks for a head outside the chain, when none of its links may lead: all that were active are gone. Links
-// that are not active are asked to seal the epoch when that helps.
+// findHead looks for a head outside the chain, when no replica of the chain may lead because all that were active are lost. Where a
+// voter could lead once the others have sealed the epoch, they are asked to, and the search goes on when they have.
 func (pl *planner) findHead(voters []Member) []Member {
 	if pl.headlessSince < 0 {
 		pl.headlessSince = pl.now
@@ -86,27 +114,31 @@
 	if pl.now-pl.headlessSince < sealTimeout {
 		return nil
 	}
-	for _, suppose := range []bool{false, true} {
-		for _, m := range voters {
-			if !pl.liveness.isHealthy(m.ID) || !pl.mayLead(m.ID, suppose) {
-				continue
-			}
-			if !suppose {
-				return []Member{m}
-			}
-			for _, id := range pl.acceptor.view.Chain {
-				if pl.liveness.isAlive(id) {
-					pl.send(id, sealMessage(pl.acceptor.view.Epoch))
-				}
-			}
-			pl.headlessSince = pl.now // once a second
-			return nil
-		}
+	canLead := func(seals sealing) func(Member) bool {
+		return func(m Member) bool { return pl.liveness.isHealthy(m.ID) && pl.mayLead(m.ID, seals) }
+	}
+	if i := slices.IndexFunc(voters, canLead(asSealed)); i >= 0 {
+		return []Member{voters[i]}
+	}
+	if slices.ContainsFunc(voters, canLead(assumingSealed)) {
+		pl.requestSeals()
 	}
 	return nil
 }
 
-// isSealed tells whether a link has sealed the epoch, so that it needs a successor whatever else is well.
+// requestSeals asks the replicas that are alive to seal the epoch, once in sealTimeout.
+func (pl *planner) requestSeals() {
+	for _, id := range pl.acceptor.view.Chain {
+		if pl.liveness.isAlive(id) {
+			pl.send(id, sealMessage(pl.acceptor.view.Epoch))
+		}
+	}
+	pl.headlessSince = pl.now
+}
+
+// isSealed tells whether a replica has sealed the present epoch, so that it needs a successor whatever else is well.
 func (pl *planner) isSealed() bool {
-	return slices.ContainsFunc(pl.acceptor.view.Chain, func(id ID) bool { return pl.liveness.durableEpochsOf(id).sealed == pl.acceptor.view.Epoch })
+	return slices.ContainsFunc(pl.acceptor.view.Chain, func(id ID) bool {
+		return pl.liveness.durableEpochsOf(id).sealed == pl.acceptor.view.Epoch
+	})
 }
--- a/internal/system/replication/liveness.go
+++ b/internal/system/replication/liveness.go
@@ -9,64 +9,79 @@
 )
 
 const (
-	// heartbeatHistory is how many heartbeats this keeper remembers the time of; an echo of an older one says nothing.
+	// heartbeatHistory is how many heartbeats this node remembers the time of; an echo of an older one proves nothing.
 	heartbeatHistory = 512
 
-	peerTTL  = 10 * time.Second // of silence, for those who do not vote
+	peerTTL  = 10 * time.Second // without contact, for those who do not vote
 	maxPeers = 64
 )
 
-// liveness is what this node knows of its peers by their heartbeats: who is alive, who could be a chain replica, and whether a
-// change can reach the chain from here. It suspects a peer by time-out alone; nothing that must be safe rests on that.
+// liveness is what this node knows of its peers by their heartbeats: who is alive, who could be a chain replica, and whether a change can
+// reach the chain from here. Each heartbeat echoes the numbers of those received, so that both directions are known to work. A peer is
+// suspected by time-out alone; no safety rests on that.
 type liveness struct {
 	*environment
 	peers           map[ID]*peer
-	heartbeatNumber uint64 // of the last heartbeat sent
-	heartbeatSentAt [heartbeatHistory]time.Duration
+	heartbeatNumber uint64                          // of the last heartbeat sent
+	heartbeatSentAt [heartbeatHistory]time.Duration // by number modulo heartbeatHistory
 	lastHeartbeatAt time.Duration
 	graceUntil      time.Duration // until then nobody is suspected
 	chainReachedAt  time.Duration // when the chain was last reachable; not before graceUntil
-	leaving         bool
+	leaving         bool          // this node is about to leave
 
 	acceptor *acceptor
 	writer   *diskWriter
 	chain    *chainReplica
 }
 
-// peer is what this keeper knows of another.
+// peer is what this node knows of another.
 type peer struct {
 	member          Member
 	incarnation     uint64
-	heartbeatNumber uint64
+	heartbeatNumber uint64 // of its newest heartbeat
 	lastContactAt   time.Duration
-	echoedAt        time.Duration // when the newest heartbeat that it says it heard was sent; negative: never
-	eligibleSince   time.Duration // from when it has been good without a break; negative: it is not
+	echoedAt        time.Duration // when this node sent the newest heartbeat that the peer has echoed; negative: never
+	eligibleSince   time.Duration // since when it has been eligible without a break; negative: it is not
 	heartbeat       *replicationpb.Heartbeat
 }
 
-// firstHeartbeatNumber is where a process begins to number its heartbeats: far from where its former lives did, so that what others
-// say of those numbers, under way since then, is no proof that they heard this one.
-func firstHeartbeatNumber(life uint64) uint64 {
+// isEligibleFor tells whether the peer has been eligible for so long.
+func (p *peer) isEligibleFor(d, now time.Duration) bool {
+	return p.eligibleSince >= 0 && now-p.eligibleSince >= d
+}
+
+// firstHeartbeatNumber is where an incarnation begins to number its heartbeats: far from where the former ones did, so that an echo of
+// a former incarnation's heartbeat, in flight since then, does not pass for one of this incarnation's.
+func firstHeartbeatNumber(incarnation uint64) uint64 {
 	const golden = 0x9e3779b97f4a7c15 // odd, with its ones and zeros well mixed
-	return life * golden >> 16
+	return incarnation * golden >> 16
+}
+
+// sentTime gives when the heartbeat of a number was sent; false where it is not one of the last heartbeatHistory of this incarnation.
+func (lv *liveness) sentTime(number uint64) (time.Duration, bool) {
+	if number == 0 || number > lv.heartbeatNumber || number+heartbeatHistory <= lv.heartbeatNumber {
+		return 0, false
+	}
+	return lv.heartbeatSentAt[number%heartbeatHistory], true
 }
 
-// heartbeat is what this keeper says of itself, under a number of its own, with the echoes given.
-func (lv *liveness) heartbeat(echoes []*replicationpb.Echo) *replicationpb.Heartbeat {
+// newHeartbeat makes the next heartbeat of this node, with the echoes given. What it says of this node is on disk.
+func (lv *liveness) newHeartbeat(echoes []*replicationpb.Echo) *replicationpb.Heartbeat {
 	lv.heartbeatNumber++
 	lv.heartbeatSentAt[lv.heartbeatNumber%heartbeatHistory] = lv.now
-	b := &replicationpb.Heartbeat{
-		Member: memberPB(lv.self), Number: lv.heartbeatNumber, Life: lv.cfg.Incarnation, Epoch: lv.acceptor.durableEpoch,
-		Active: lv.acceptor.durableActive, Sealed: lv.acceptor.durableSealed, Committed: lv.chain.commitIndex, DiskBad: lv.writer.unhealthy, Leaving: lv.leaving,
-		Bootstrap: lv.cfg.Bootstrap, Stuck: string(lv.chain.stalledSuccessor()), Observer: lv.cfg.Observer, Echoes: echoes,
+	heartbeat := &replicationpb.Heartbeat{
+		Member: memberPB(lv.self), Number: lv.heartbeatNumber, Life: lv.cfg.Incarnation,
+		Epoch: lv.acceptor.durableEpoch, Active: lv.acceptor.durableActive, Sealed: lv.acceptor.durableSealed,
+		Committed: lv.chain.commitIndex, DiskBad: lv.writer.unhealthy, Leaving: lv.leaving, Bootstrap: lv.cfg.Bootstrap,
+		Stuck: string(lv.chain.stalledSuccessor()), Observer: lv.cfg.Observer, Echoes: echoes,
 	}
 	if lv.acceptor.acceptedView != nil {
-		b.Accepted = lv.acceptor.acceptedView.Epoch
+		heartbeat.Accepted = lv.acceptor.acceptedView.Epoch
 	}
-	return b
+	return heartbeat
 }
 
-// echoes of the members that have lately been heard. Those of an observer matter to it alone and go into the reply to it.
+// echoes of the members that have lately been in contact. Those of an observer matter to it alone and go into the reply to it.
 func (lv *liveness) echoes() []*replicationpb.Echo {
 	var all []*replicationpb.Echo
 	for _, id := range slices.Sorted(maps.Keys(lv.peers)) {
@@ -77,7 +92,7 @@
 	return all
 }
 
-// echo says which heartbeat of a peer was heard last, none where that was long ago.
+// echo names the newest heartbeat of a peer, none where the peer has timed out.
 func (lv *liveness) echo(id ID) []*replicationpb.Echo {
 	p := lv.peers[id]
 	if lv.now-p.lastContactAt >= lv.suspectTimeout(p) {
@@ -86,31 +101,32 @@
 	return []*replicationpb.Echo{{Id: string(id), Number: p.heartbeatNumber}}
 }
 
-// sendHeartbeats tells everyone how this keeper is. Observers are told in reply to their own heartbeats.
+// sendHeartbeats sends this node's state to all members, and asks to be sent records where this node is outside the chain. Observers get
+// a reply to their own heartbeats.
 func (lv *liveness) sendHeartbeats() {
 	lv.lastHeartbeatAt = lv.now
 	lv.forgetPeers()
-	body := &replicationpb.Message_Heartbeat{Heartbeat: lv.heartbeat(lv.echoes())}
-	msg := &replicationpb.Message{From: string(lv.self.ID), Body: body}
-	for _, a := range lv.heartbeatTargets() {
-		lv.out.Messages = append(lv.out.Messages, Envelope{Addr: a, Msg: msg})
+	message := heartbeatMessage(lv.newHeartbeat(lv.echoes()))
+	message.From = string(lv.self.ID)
+	for _, addr := range lv.heartbeatTargets() {
+		lv.out.Messages = append(lv.out.Messages, Envelope{Addr: addr, Msg: message})
 	}
 	lv.chain.sendFollow()
 }
 
 func (lv *liveness) forgetPeers() {
 	for id, p := range lv.peers {
-		if _, voter := lv.acceptor.view.Voter(id); !voter && lv.now-p.lastContactAt > peerTTL {
+		if _, isVoter := lv.acceptor.view.Voter(id); !isVoter && lv.now-p.lastContactAt > peerTTL {
 			delete(lv.peers, id)
 		}
 	}
 }
 
-// heartbeatTargets lists the addresses that heartbeats go to: voters, seeds and whoever was heard, but for observers.
+// heartbeatTargets lists the addresses that heartbeats go to: voters, seeds and all peers but observers.
 func (lv *liveness) heartbeatTargets() []string {
 	addrs := map[string]bool{}
-	for _, a := range lv.cfg.Seeds {
-		addrs[a] = true
+	for _, addr := range lv.cfg.Seeds {
+		addrs[addr] = true
 	}
 	for _, p := range lv.peers {
 		if p.heartbeat.GetObserver() {
@@ -130,43 +146,57 @@
 	return slices.Sorted(maps.Keys(addrs))
 }
 
-func (lv *liveness) handleHeartbeat(from ID, b *replicationpb.Heartbeat) {
-	m := memberOf(b.GetMember())
-	if m.ID != from || m.Addr == "" {
+// handleHeartbeat updates what is known of a peer.
+func (lv *liveness) handleHeartbeat(from ID, m *replicationpb.Heartbeat) {
+	member := memberOf(m.GetMember())
+	if member.ID != from || member.Addr == "" {
+		return
+	}
+	p := lv.peerOf(from, m)
+	if p == nil {
 		return
 	}
-	p := lv.peers[from]
+	p.member, p.incarnation, p.heartbeatNumber, p.lastContactAt, p.heartbeat = member, m.GetLife(), m.GetNumber(), lv.now, m
+	lv.observeEchoes(p)
+	lv.acceptor.sendNewerView(from, m.GetEpoch())
+	lv.replyToObserver(from, m)
+	if !lv.isEligible(from) {
+		p.eligibleSince = -1
+	} else if p.eligibleSince < 0 {
+		p.eligibleSince = lv.now
+	}
+}
+
+// peerOf gives the peer that a heartbeat is of, nil where the heartbeat arrived out of order or there are too many peers.
+func (lv *liveness) peerOf(id ID, m *replicationpb.Heartbeat) *peer {
+	p := lv.peers[id]
 	switch {
+	case p == nil && len(lv.peers) >= maxPeers:
+		return nil
 	case p == nil:
-		if len(lv.peers) >= maxPeers {
-			return
-		}
 		p = &peer{echoedAt: -1, eligibleSince: -1}
-		lv.peers[from] = p
-	case p.incarnation == b.GetLife() && b.GetNumber() <= p.heartbeatNumber:
-		return // out of order
-	case p.incarnation != b.GetLife():
+		lv.peers[id] = p
+	case p.incarnation != m.GetLife():
 		p.echoedAt = -1
+	case m.GetNumber() <= p.heartbeatNumber:
+		return nil
 	}
-	p.member, p.incarnation, p.heartbeatNumber, p.lastContactAt, p.heartbeat = m, b.GetLife(), b.GetNumber(), lv.now, b
-	for _, e := range b.GetEchoes() {
-		// An older number than the ring holds says nothing; a later one is of a former life.
-		if n := e.GetNumber(); ID(e.GetId()) == lv.self.ID && n <= lv.heartbeatNumber && n+heartbeatHistory > lv.heartbeatNumber && n > 0 {
-			p.echoedAt = max(p.echoedAt, lv.heartbeatSentAt[n%heartbeatHistory])
+	return p
+}
+
+// observeEchoes takes up which of this node's heartbeats the peer has received.
+func (lv *liveness) observeEchoes(p *peer) {
+	for _, echo := range p.heartbeat.GetEchoes() {
+		if ID(echo.GetId()) != lv.self.ID {
+			continue
 		}
-	}
-	lv.acceptor.sendNewerView(from, b.GetEpoch())
-	lv.replyToObserver(from, b)
-	if lv.isEligible(from) {
-		if p.eligibleSince < 0 {
-			p.eligibleSince = lv.now
+		if sentAt, ok := lv.sentTime(echo.GetNumber()); ok {
+			p.echoedAt = max(p.echoedAt, sentAt)
 		}
-	} else {
-		p.eligibleSince = -1
 	}
 }
 
-// isAlive tells whether messages have lately gone both ways between this keeper and id.
+// isAlive tells whether messages have lately gone both ways between this node and id.
 func (lv *liveness) isAlive(id ID) bool {
 	if id == lv.self.ID {
 		return true
@@ -175,11 +205,11 @@
 	if p == nil || p.echoedAt < 0 {
 		return false
 	}
-	suspect := lv.suspectTimeout(p)
-	return lv.now-p.lastContactAt < suspect && lv.now-p.echoedAt < suspect+2*lv.heartbeatInterval()
+	timeout := lv.suspectTimeout(p)
+	return lv.now-p.lastContactAt < timeout && lv.now-p.echoedAt < timeout+2*lv.heartbeatInterval()
 }
 
-// isHealthy tells whether id could be a link.
+// isHealthy tells whether id could be a chain replica: it is alive and has a disk that works.
 func (lv *liveness) isHealthy(id ID) bool {
 	if id == lv.self.ID {
 		return !lv.writer.unhealthy && lv.err == nil && !lv.cfg.Observer
@@ -187,7 +217,7 @@
 	return lv.isAlive(id) && !lv.peers[id].heartbeat.GetObserver() && !lv.peers[id].heartbeat.GetDiskBad()
 }
 
-// isEligible tells whether id is fit to be a link: it works and is not about to leave.
+// isEligible tells whether id is fit to become a chain replica: it is healthy and not about to leave.
 func (lv *liveness) isEligible(id ID) bool {
 	if id == lv.self.ID {
 		return lv.isHealthy(id) && !lv.leaving
@@ -195,18 +225,54 @@
 	return lv.isHealthy(id) && !lv.peers[id].heartbeat.GetLeaving()
 }
 
-// hasContact tells whether a has lately heard b, by a's own word.
-func (lv *liveness) hasContact(a, b ID) bool {
-	if a == b {
+// receivesFrom tells whether receiver lately got messages of sender, as receiver itself says.
+func (lv *liveness) receivesFrom(receiver, sender ID) bool {
+	if receiver == sender {
 		return true
 	}
-	if a == lv.self.ID {
-		return lv.isAlive(b)
+	if receiver == lv.self.ID {
+		return lv.isAlive(sender)
+	}
+	p := lv.peers[receiver]
+	return p != nil && slices.ContainsFunc(p.heartbeat.GetEchoes(), func(e *replicationpb.Echo) bool { return ID(e.GetId()) == sender })
+}
+
+// haveContact tells whether messages lately went both ways between a and b.
+func (lv *liveness) haveContact(a, b ID) bool { return lv.receivesFrom(a, b) && lv.receivesFrom(b, a) }
+
+// hasMajorityAlive tells whether a majority of the voters is alive.
+func (lv *liveness) hasMajorityAlive(voters []Member) bool {
+	alive := 0
+	for _, m := range voters {
+		if lv.isAlive(m.ID) {
+			alive++
+		}
+	}
+	return alive > len(voters)/2
+}
+
+// lastHeartbeatFrom is the number of the newest heartbeat of a peer, 0 if there was none.
+func (lv *liveness) lastHeartbeatFrom(id ID) uint64 {
+	if p := lv.peers[id]; p != nil {
+		return p.heartbeatNumber
+	}
+	return 0
+}
+
+// headIncarnation gives the incarnation of the head, false where the head is not alive or not in the present epoch.
+func (lv *liveness) headIncarnation() (uint64, bool) {
+	head := lv.acceptor.view.Head()
+	if head == lv.self.ID {
+		return lv.cfg.Incarnation, lv.chain.isHead()
+	}
+	p := lv.peers[head]
+	if p == nil || !lv.isAlive(head) || p.heartbeat.GetEpoch() != lv.acceptor.view.Epoch {
+		return 0, false
 	}
-	p := lv.peers[a]
-	return p != nil && slices.ContainsFunc(p.heartbeat.GetEchoes(), func(e *replicationpb.Echo) bool { return ID(e.GetId()) == b })
+	return p.incarnation, true
 }
 
+// addressOf gives the address of a node by its heartbeat, or by the views, empty where it is not known.
 func (lv *liveness) addressOf(id ID) string {
 	if p := lv.peers[id]; p != nil {
 		return p.member.Addr
--- a/internal/system/replication/placement.go
+++ b/internal/system/replication/placement.go
@@ -5,64 +5,77 @@
 	"slices"
 )
 
-// spread tells how unevenly keepers stand over regions and zones. Of two sets of one size the lesser is better.
+// spread tells how unevenly nodes are placed over failure domains: regions and zones. Of two sets of one size the lesser is better.
 type spread struct {
-	regionExposure, zoneExposure int // keepers that the worst loss of as many regions or zones as may be lost takes away
-	unevenness                   int // sum of the squares of the keepers per zone
+	regionExposure int // nodes lost with the worst loss of as many regions as must be tolerated
+	zoneExposure   int // nodes lost with the worst loss of as many zones, at least one
+	unevenness     int // sum of the squares of the nodes per zone
 }
 
-func (s spread) compare(o spread) int {
-	return cmp.Or(cmp.Compare(s.regionExposure, o.regionExposure), cmp.Compare(s.zoneExposure, o.zoneExposure), cmp.Compare(s.unevenness, o.unevenness))
+func (s spread) compare(other spread) int {
+	return cmp.Or(
+		cmp.Compare(s.regionExposure, other.regionExposure),
+		cmp.Compare(s.zoneExposure, other.zoneExposure),
+		cmp.Compare(s.unevenness, other.unevenness),
+	)
 }
 
 func zoneOf(m Member) string   { return m.Zone }
 func regionOf(m Member) string { return m.Region }
 
-// domainCounts gives the number of members of each domain, the largest first.
+// domainCounts gives the number of members of each failure domain, the largest first.
 func domainCounts(members []Member, domain func(Member) string) []int {
-	by := map[string]int{}
+	byDomain := map[string]int{}
 	for _, m := range members {
-		by[domain(m)]++
+		byDomain[domain(m)]++
 	}
-	var out []int
-	for _, n := range by {
-		out = append(out, n)
+	var counts []int
+	for _, n := range byDomain {
+		counts = append(counts, n)
 	}
-	slices.SortFunc(out, func(a, b int) int { return b - a })
-	return out
+	slices.SortFunc(counts, func(a, b int) int { return b - a })
+	return counts
 }
 
 // worstLoss is how many of the members go with the worst loss of so many domains.
-func worstLoss(members []Member, domain func(Member) string, losses int) int {
-	n := 0
-	for _, k := range domainCounts(members, domain)[:min(losses, len(domainCounts(members, domain)))] {
-		n += k
+func worstLoss(members []Member, domain func(Member) string, domains int) int {
+	lost := 0
+	counts := domainCounts(members, domain)
+	for _, n := range counts[:min(domains, len(counts))] {
+		lost += n
 	}
-	return n
+	return lost
 }
 
-// spread of members. A zone counts as one that may be lost even where none must be: it costs nothing.
+// spread of members. A zone counts as one that may be lost even where none must be tolerated: it costs nothing.
 func (c *Config) spread(members []Member) spread {
-	s := spread{regionExposure: worstLoss(members, regionOf, c.RegionLosses), zoneExposure: worstLoss(members, zoneOf, max(1, c.ZoneLosses))}
+	s := spread{
+		regionExposure: worstLoss(members, regionOf, c.RegionLosses),
+		zoneExposure:   worstLoss(members, zoneOf, max(1, c.ZoneLosses)),
+	}
 	for _, n := range domainCounts(members, zoneOf) {
 		s.unevenness += n * n
 	}
 	return s
 }
 
-// votersTolerateLosses tells whether a majority of the voters is left after any loss that is tolerated.
+// worstToleratedLoss is how many of the members may be lost at once.
+func (c *Config) worstToleratedLoss(members []Member) int {
+	return max(c.MachineLosses, worstLoss(members, zoneOf, c.ZoneLosses), worstLoss(members, regionOf, c.RegionLosses))
+}
+
+// votersTolerateLosses tells whether a majority of the voters is left after any loss that must be tolerated.
 func (c *Config) votersTolerateLosses(voters []Member) bool {
-	worst := max(c.MachineLosses, worstLoss(voters, zoneOf, c.ZoneLosses), worstLoss(voters, regionOf, c.RegionLosses))
-	return len(voters)-worst > len(voters)/2
+	return len(voters)-c.worstToleratedLoss(voters) > len(voters)/2
 }
 
-// chainToleratesLosses tells whether a link is left after any loss that is tolerated.
-func (c *Config) chainToleratesLosses(links []Member) bool {
-	return len(links) > max(c.MachineLosses, worstLoss(links, zoneOf, c.ZoneLosses), worstLoss(links, regionOf, c.RegionLosses))
+// chainToleratesLosses tells whether a replica is left after any loss that must be tolerated.
+func (c *Config) chainToleratesLosses(replicas []Member) bool {
+	return len(replicas) > c.worstToleratedLoss(replicas)
 }
 
-// minChainLength is the least number of minChainLength that may acknowledge. That they stand in enough zones is aimed at and not enforced:
-// where a zone is lost, those that are left may be all in one, and must go on.
+// minChainLength is the least number of replicas of a chain that may acknowledge. That they stand in enough zones is aimed at and not
+// enforced: where a zone is lost, those that are left may be all in one, and must go on.
 func (c *Config) minChainLength() int {
 	if c.knobs.AllowShortChain {
 		return 1
@@ -70,24 +83,24 @@
 	return c.MachineLosses + 1
 }
 
-// defaultChainLength is the number of links aimed at: more than may acknowledge, so that the loss of one need not wait for another
-// to catch up.
+// targetChainLength is the number of replicas aimed at: more than the minimum, so that after the loss of one, changes need not wait until
+// another has caught up.
 func (c *Config) targetChainLength() int {
 	return max(defaultChainLength, c.MachineLosses+1, c.ZoneLosses+1, c.RegionLosses+1)
 }
 
-// targetVoters is the number of targetVoters aimed at, always odd: a majority is left when any machines, zones or regions that may be
-// lost at once are, provided that the targetVoters stand in enough of them.
+// targetVoters is the number of voters aimed at, always odd: a majority is left when any machines, zones or regions that may be lost at
+// once are, provided that the voters are placed in enough of them.
 func (c *Config) targetVoters() int {
 	return 2*max(1, c.MachineLosses, c.ZoneLosses, c.RegionLosses) + 1
 }
 
-// addBestSpread adds the candidate that leaves the members spread best, the first of those that are alike. It gives false where
-// none is allowed.
-func (c *Config) addBestSpread(members, candidates []Member, allowed func(Member) bool) ([]Member, bool) {
+// addBestSpread adds the candidate that leaves the members best spread, the first of those that are alike. It gives false where none is
+// allowed.
+func (c *Config) addBestSpread(members, candidates []Member, isAllowed func(Member) bool) ([]Member, bool) {
 	var best []Member
 	for _, m := range candidates {
-		if slices.Contains(members, m) || !allowed(m) {
+		if slices.Contains(members, m) || !isAllowed(m) {
 			continue
 		}
 		if with := append(slices.Clone(members), m); best == nil || c.spread(with).compare(c.spread(best)) < 0 {
--- a/internal/system/replication/planner.go
+++ b/internal/system/replication/planner.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	firstViewDelay     = 2 * time.Second // a missing seed is waited for
+	firstViewDelay     = 2 * time.Second // how long the first view waits for a missing seed
 	defaultChainLength = 5
-	minEligibleTime    = 300 * time.Millisecond // a keeper is good for this long before it becomes a link
-	maxCaughtUpLag     = 64                     // records that a new link may be behind
+	minEligibleTime    = 300 * time.Millisecond // a node is eligible for this long before it becomes a chain replica
+	maxCaughtUpLag     = 64                     // records that a new chain replica may lack
 )
 
-// planner works out the view that this node would have instead of the present one, from what heartbeats say of the others. It
-// only proposes: what may lead is decided by mayLead, and the acceptors decide what is chosen.
+// planner works out the view that this node would have instead of the present one, from what heartbeats say of the others. It only
+// proposes: mayLead sees to it that a head holds what was acknowledged, and the acceptors decide what is chosen.
 type planner struct {
 	*environment
 	headlessSince     time.Duration // when it was first seen that no chain replica may lead; negative: one may
@@ -26,29 +26,34 @@
 	chain    *chainReplica
 }
 
-// plan gives the view that this keeper would have instead of the present one, nil when all is well or nothing can be
-// done, and its turn among those who see the same.
-func (pl *planner) plan() (*View, int) {
-	cur := pl.acceptor.view
-	if cur.Epoch == 0 {
+// plan gives the view that this node would have instead of the present one, nil when all is well or nothing can be done, and its turn
+// among the nodes that see the same.
+func (pl *planner) plan() (next *View, rank int) {
+	current := pl.acceptor.view
+	if current.Epoch == 0 {
 		return pl.planFirst()
 	}
-	var chain []ID
-	voters, out := pl.planVoters()
-	if pl.liveness.hasMajorityAlive(cur.Voters) && pl.liveness.hasMajorityAlive(voters) {
-		chain = pl.planChain(voters, out)
+	voters, replaced := pl.planVoters()
+	if !pl.liveness.hasMajorityAlive(current.Voters) || !pl.liveness.hasMajorityAlive(voters) {
+		return nil, 0
 	}
+	chain := pl.planChain(voters, replaced)
 	if chain == nil {
 		return nil, 0
 	}
-	next := &View{Epoch: cur.Epoch + 1, Chain: chain, Voters: voters}
-	if next.hasSameMembers(cur) && !pl.isSealed() {
+	next = &View{Epoch: current.Epoch + 1, Chain: chain, Voters: voters}
+	if next.hasSameMembers(current) && !pl.isSealed() {
 		return nil, 0
 	}
 	next.base = pl.liveness.durableEpochsOf(chain[0]).active
 	next.past = pl.earlierChains()
+	return next, pl.rank()
+}
+
+// rank counts the eligible voters before this node.
+func (pl *planner) rank() int {
 	rank := 0
-	for _, m := range cur.Voters {
+	for _, m := range pl.acceptor.view.Voters {
 		if m.ID == pl.self.ID {
 			break
 		}
@@ -56,61 +61,91 @@
 			rank++
 		}
 	}
-	return next, rank
+	return rank
 }
 
-// planFirst gives the first view: of the seeds with a disk, and others up to the number of voters aimed at.
-func (pl *planner) planFirst() (*View, int) {
-	for _, id := range slices.Sorted(maps.Keys(pl.liveness.peers)) {
-		if pl.liveness.peers[id].heartbeat.GetEpoch() > 0 {
-			return nil, 0 // the view is on its way
-		}
+// planFirst gives the first view: the seeds with a disk, and other nodes up to the number of voters aimed at.
+func (pl *planner) planFirst() (first *View, rank int) {
+	if pl.peerHasView() {
+		return nil, 0 // it will be sent here
 	}
 	founders := pl.seedsWithDisk()
 	members := pl.completeFounders(founders)
-	enough := len(founders)+pl.liveness.observerSeeds() >= len(pl.cfg.Seeds)
-	if pl.liveness.noSeedHasDisk() {
-		enough = len(members) >= pl.cfg.targetVoters()
-	}
-	known := map[ID]string{}
-	for _, m := range founders {
-		known[m.ID] = m.Addr
-	}
-	if len(members) == 0 || !pl.liveness.noSeedHasDisk() && !pl.acceptor.isQuorum(pl.acceptor.view, known) {
+	if !pl.canFound(founders, members) {
 		pl.seedMajoritySince = -1
 		return nil, 0
 	}
 	if pl.seedMajoritySince < 0 {
 		pl.seedMajoritySince = pl.now
 	}
-	if !enough && pl.now-pl.seedMajoritySince < firstViewDelay {
-		return nil, 0
+	if !pl.isFounderMissing(founders, members) || pl.now-pl.seedMajoritySince >= firstViewDelay {
+		return &View{Epoch: 1, Voters: members, Chain: pl.firstChain(members)}, pl.founderRank(members)
 	}
-	heads := pl.longestLogs(members)
-	links := []Member{heads[0]}
-	for more := true; more && len(links) < pl.cfg.targetChainLength(); {
-		links, more = pl.cfg.addBestSpread(links, members, func(Member) bool { return true })
+	return nil, 0
+}
+
+// peerHasView tells whether a node has entered a view already.
+func (pl *planner) peerHasView() bool {
+	for _, p := range pl.liveness.peers {
+		if p.heartbeat.GetEpoch() > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// canFound tells whether there are members for the first view, and votes of the seeds to choose it.
+func (pl *planner) canFound(founders, members []Member) bool {
+	if len(members) == 0 {
+		return false
+	}
+	if pl.liveness.noSeedHasDisk() {
+		return true
+	}
+	known := map[ID]string{}
+	for _, m := range founders {
+		known[m.ID] = m.Addr
 	}
-	arrange(links, slices.DeleteFunc(heads, func(m Member) bool { return !slices.Contains(links, m) }))
-	v := &View{Epoch: 1, Voters: members}
-	for _, m := range links {
-		v.Chain = append(v.Chain, m.ID)
+	return pl.acceptor.isQuorum(pl.acceptor.view, known)
+}
+
+// isFounderMissing tells whether a seed is worth waiting for: it has not been heard from, or, where no seed has a disk, there are too
+// few nodes that have one.
+func (pl *planner) isFounderMissing(founders, members []Member) bool {
+	if pl.liveness.noSeedHasDisk() {
+		return len(members) < pl.cfg.targetVoters()
 	}
-	rank := slices.IndexFunc(members, func(m Member) bool { return m.ID == pl.self.ID })
+	return len(founders)+pl.liveness.observerSeeds() < len(pl.cfg.Seeds)
+}
+
+// firstChain picks the first chain out of the members, with a head that has the longest log.
+func (pl *planner) firstChain(members []Member) []ID {
+	heads := pl.longestLogs(members)
+	replicas := []Member{heads[0]}
+	for more := true; more && len(replicas) < pl.cfg.targetChainLength(); {
+		replicas, more = pl.cfg.addBestSpread(replicas, members, func(Member) bool { return true })
+	}
+	arrange(replicas, slices.DeleteFunc(heads, func(m Member) bool { return !slices.Contains(replicas, m) }))
+	return idsOfMembers(replicas)
+}
+
+// founderRank is this node's turn to propose the first view.
+func (pl *planner) founderRank(members []Member) int {
 	if pl.cfg.Observer {
-		rank = slices.Index(pl.cfg.Seeds, pl.self.Addr)
+		return max(slices.Index(pl.cfg.Seeds, pl.self.Addr), 0)
 	}
-	return v, max(rank, 0)
+	return max(slices.IndexFunc(members, func(m Member) bool { return m.ID == pl.self.ID }), 0)
 }
 
-// seedsWithDisk lists the seeds that may found the first view and are heard, in the order of the seeds.
+// seedsWithDisk lists the seeds that may found the first view and are alive, in the order of the seeds.
 func (pl *planner) seedsWithDisk() []Member {
 	var members []Member
 	if !pl.cfg.Observer {
 		members = append(members, pl.self)
 	}
 	for id, p := range pl.liveness.peers {
-		if slices.Contains(pl.cfg.Seeds, p.member.Addr) && p.heartbeat.GetBootstrap() && !p.heartbeat.GetObserver() && pl.liveness.isAlive(id) {
+		isSeed := slices.Contains(pl.cfg.Seeds, p.member.Addr)
+		if isSeed && p.heartbeat.GetBootstrap() && !p.heartbeat.GetObserver() && pl.liveness.isAlive(id) {
 			members = append(members, p.member)
 		}
 	}
@@ -120,8 +155,8 @@
 	return slices.CompactFunc(members, func(a, b Member) bool { return a.Addr == b.Addr })
 }
 
-// completeFounders fills up the voters of the first view with keepers that are no seeds. The view is chosen by a majority of
-// the seeds, and of its own voters as any other.
+// completeFounders adds nodes that are no seeds to the voters of the first view, up to the number aimed at. The view is chosen by a
+// majority of the seeds, and of its own voters as any other.
 func (pl *planner) completeFounders(members []Member) []Member {
 	var others []Member
 	for _, id := range slices.Sorted(maps.Keys(pl.liveness.peers)) {
@@ -139,83 +174,97 @@
 	return members
 }
 
-func (lv *liveness) hasMajorityAlive(voters []Member) bool {
-	n := 0
-	for _, m := range voters {
-		if lv.isAlive(m.ID) {
-			n++
-		}
-	}
-	return n > len(voters)/2
-}
-
-// planChain picks the links: those of the present chain that work, and voters that have caught up. It is nil when no
-// chain that may acknowledge can be had.
-func (pl *planner) planChain(voters []Member, out ID) []ID {
-	cur := pl.acceptor.view
-	stuck := map[ID]bool{}
-	for i := 0; i+1 < len(cur.Chain); i++ {
-		a, b := cur.Chain[i], cur.Chain[i+1]
-		if a == pl.self.ID {
-			stuck[b] = pl.chain.stalledSuccessor() == b
-		} else if p := pl.liveness.peers[a]; p != nil && pl.liveness.isAlive(a) && p.heartbeat.GetEpoch() == cur.Epoch {
-			stuck[b] = ID(p.heartbeat.GetStuck()) == b
-		}
-	}
-	links := pl.remainingReplicas(out, stuck, pl.liveness.isEligible)
-	if pl.countHolders(links) < pl.cfg.minChainLength() {
-		// Those who leave stay until enough others hold what was acknowledged.
-		links = pl.remainingReplicas(out, stuck, pl.liveness.isHealthy)
-	}
-	heads := slices.DeleteFunc(slices.Clone(links), func(m Member) bool { return !pl.mayLead(m.ID, false) })
-	if slices.ContainsFunc(heads, func(m Member) bool { return pl.liveness.isEligible(m.ID) }) {
-		heads = slices.DeleteFunc(heads, func(m Member) bool { return !pl.liveness.isEligible(m.ID) })
-	}
+// planChain picks the chain: the present replicas that are fit to stay, and voters that have caught up. It is nil when no chain that
+// may acknowledge can be formed. replaced is the voter that planVoters gives up, empty for none.
+func (pl *planner) planChain(voters []Member, replaced ID) []ID {
+	replicas := pl.stayingReplicas(replaced)
+	heads := pl.possibleHeads(replicas)
 	if len(heads) > 0 {
 		pl.headlessSince = -1
 	} else {
 		if heads = pl.findHead(voters); len(heads) == 0 {
 			return nil
 		}
-		links = pl.mutuallyReachable(append(slices.DeleteFunc(links, func(m Member) bool { return m == heads[0] }), heads...))
-		if !slices.Contains(links, heads[0]) {
+		replicas = slices.DeleteFunc(replicas, func(m Member) bool { return m == heads[0] })
+		replicas = pl.mutuallyReachable(append(replicas, heads...))
+		if !slices.Contains(replicas, heads[0]) {
 			return nil
 		}
 	}
-	if links = pl.addReplicas(links, heads, voters); len(links) < pl.cfg.minChainLength() {
+	if replicas = pl.addReplicas(replicas, heads, voters); len(replicas) < pl.cfg.minChainLength() {
 		return nil
 	}
-	arrange(links, heads)
-	if links[0].ID != cur.Head() && sameSet(links, cur) && slices.ContainsFunc(heads, func(m Member) bool { return m.ID == cur.Head() }) {
-		// A head that works is worth more than one in a better place.
-		i := slices.IndexFunc(links, func(m Member) bool { return m.ID == cur.Head() })
-		links[0], links[i] = links[i], links[0]
-	}
-	if sameSet(links, cur) && links[0].ID == cur.Head() {
-		return cur.Chain
+	arrange(replicas, heads)
+	pl.keepHead(replicas, heads)
+	if current := pl.acceptor.view; isChainOf(replicas, current) && replicas[0].ID == current.Head() {
+		return current.Chain
 	}
-	var chain []ID
-	for _, m := range links {
-		chain = append(chain, m.ID)
+	return idsOfMembers(replicas)
+}
+
+// keepHead puts the present head in front where the chain keeps its members and the head may lead: to change a head that works costs
+// more than a better placed one gains.
+func (pl *planner) keepHead(replicas, heads []Member) {
+	current := pl.acceptor.view
+	isHead := func(m Member) bool { return m.ID == current.Head() }
+	if isHead(replicas[0]) || !isChainOf(replicas, current) || !slices.ContainsFunc(heads, isHead) {
+		return
+	}
+	i := slices.IndexFunc(replicas, isHead)
+	replicas[0], replicas[i] = replicas[i], replicas[0]
+}
+
+// possibleHeads lists the replicas that may lead, without those that are about to leave where others are left.
+func (pl *planner) possibleHeads(replicas []Member) []Member {
+	heads := slices.DeleteFunc(slices.Clone(replicas), func(m Member) bool { return !pl.mayLead(m.ID, asSealed) })
+	isEligible := func(m Member) bool { return pl.liveness.isEligible(m.ID) }
+	if !slices.ContainsFunc(heads, isEligible) {
+		return heads
+	}
+	return slices.DeleteFunc(heads, func(m Member) bool { return !isEligible(m) })
+}
+
+// stayingReplicas lists the present replicas that stay in the chain, with those that are about to leave as long as too few others hold
+// what was acknowledged.
+func (pl *planner) stayingReplicas(replaced ID) []Member {
+	stalled := pl.stalledReplicas()
+	replicas := pl.remainingReplicas(replaced, stalled, pl.liveness.isEligible)
+	if pl.countHolders(replicas) >= pl.cfg.minChainLength() {
+		return replicas
+	}
+	return pl.remainingReplicas(replaced, stalled, pl.liveness.isHealthy)
+}
+
+// stalledReplicas lists the replicas of which their predecessors say that they do not acknowledge what they are sent.
+func (pl *planner) stalledReplicas() map[ID]bool {
+	current := pl.acceptor.view
+	stalled := map[ID]bool{}
+	for i := 0; i+1 < len(current.Chain); i++ {
+		id, successor := current.Chain[i], current.Chain[i+1]
+		if id == pl.self.ID {
+			stalled[successor] = pl.chain.stalledSuccessor() == successor
+		} else if p := pl.liveness.peers[id]; p != nil && pl.liveness.isAlive(id) && p.heartbeat.GetEpoch() == current.Epoch {
+			stalled[successor] = ID(p.heartbeat.GetStuck()) == successor
+		}
 	}
-	return chain
+	return stalled
 }
 
-// remainingReplicas lists the present links that are fit to stay and hear each other.
-func (pl *planner) remainingReplicas(out ID, stuck map[ID]bool, fit func(ID) bool) []Member {
-	var links []Member
-	for _, l := range pl.acceptor.view.Chain {
-		if m, ok := pl.acceptor.view.Voter(l); ok && l != out && fit(l) && !stuck[l] {
-			links = append(links, m)
+// remainingReplicas lists the present replicas that are fit, not stalled and mutually reachable.
+func (pl *planner) remainingReplicas(replaced ID, stalled map[ID]bool, isFit func(ID) bool) []Member {
+	var replicas []Member
+	for _, id := range pl.acceptor.view.Chain {
+		if m, ok := pl.acceptor.view.Voter(id); ok && id != replaced && isFit(id) && !stalled[id] {
+			replicas = append(replicas, m)
 		}
 	}
-	return pl.mutuallyReachable(links)
+	return pl.mutuallyReachable(replicas)
 }
 
-// countHolders counts the links that hold all that the present chain and those before it have acknowledged.
-func (pl *planner) countHolders(links []Member) int {
+// countHolders counts the replicas that hold all that the present chain and those before it have acknowledged.
+func (pl *planner) countHolders(replicas []Member) int {
 	n := 0
-	for _, m := range links {
+	for _, m := range replicas {
 		if pl.liveness.durableEpochsOf(m.ID).active == pl.acceptor.view.Epoch {
 			n++
 		}
@@ -223,29 +272,39 @@
 	return n
 }
 
-// addReplicas adds voters to the links that stay: those that have caught up, and others only where too few would be left.
-func (pl *planner) addReplicas(links, heads, voters []Member) []Member {
-	fits := func(links []Member, m Member) bool {
-		return pl.acceptor.view.chainIndex(m.ID) < 0 && pl.liveness.isEligible(m.ID) &&
-			!slices.ContainsFunc(links, func(l Member) bool { return !pl.liveness.hasContact(l.ID, m.ID) || !pl.liveness.hasContact(m.ID, l.ID) })
+// addReplicas adds voters to the replicas that stay: those that have caught up, up to the length aimed at, and others only where too few
+// would be left.
+func (pl *planner) addReplicas(replicas, heads, voters []Member) []Member {
+	for more := true; more && len(replicas) < pl.cfg.targetChainLength(); {
+		replicas, more = pl.cfg.addBestSpread(replicas, voters, func(m Member) bool { return pl.canJoin(replicas, m) && pl.isCaughtUp(m.ID) })
 	}
-	for more := true; more && len(links) < pl.cfg.targetChainLength(); {
-		links, more = pl.cfg.addBestSpread(links, voters, func(m Member) bool { return fits(links, m) && pl.isCaughtUp(m.ID) })
+	for more := true; more && len(replicas) < pl.cfg.minChainLength(); {
+		replicas, more = pl.cfg.addBestSpread(replicas, voters, func(m Member) bool { return pl.canJoin(replicas, m) })
 	}
-	for more := true; more && len(links) < pl.cfg.minChainLength(); {
-		links, more = pl.cfg.addBestSpread(links, voters, func(m Member) bool { return fits(links, m) })
+	if pl.cfg.chainToleratesLosses(replicas) || len(replicas) < pl.cfg.targetChainLength() {
+		return replicas
 	}
-	if pl.cfg.chainToleratesLosses(links) || len(links) < pl.cfg.targetChainLength() {
-		return links
-	}
-	// All the links there may be stand where one loss takes them all: one gives its place to a voter elsewhere.
-	best := links
-	for i, l := range links {
-		if l == heads[0] || l.ID == pl.acceptor.view.Head() {
+	return pl.spreadReplicas(replicas, heads, voters)
+}
+
+// canJoin tells whether a voter outside the chain is eligible and exchanges messages with all the replicas.
+func (pl *planner) canJoin(replicas []Member, m Member) bool {
+	return pl.acceptor.view.chainIndex(m.ID) < 0 && pl.liveness.isEligible(m.ID) &&
+		!slices.ContainsFunc(replicas, func(r Member) bool { return !pl.liveness.haveContact(r.ID, m.ID) })
+}
+
+// spreadReplicas exchanges one replica for a voter elsewhere, where one tolerated loss would take the whole chain and no more replicas
+// may be added.
+func (pl *planner) spreadReplicas(replicas, heads, voters []Member) []Member {
+	best := replicas
+	for i, replica := range replicas {
+		if replica == heads[0] || replica.ID == pl.acceptor.view.Head() {
 			continue
 		}
-		rest := slices.Delete(slices.Clone(links), i, i+1)
-		with, ok := pl.cfg.addBestSpread(rest, voters, func(m Member) bool { return m != l && fits(rest, m) && pl.isCaughtUp(m.ID) })
+		rest := slices.Delete(slices.Clone(replicas), i, i+1)
+		with, ok := pl.cfg.addBestSpread(rest, voters, func(m Member) bool {
+			return m != replica && pl.canJoin(rest, m) && pl.isCaughtUp(m.ID)
+		})
 		if ok && pl.cfg.spread(with).compare(pl.cfg.spread(best)) < 0 {
 			best = with
 		}
@@ -253,74 +312,90 @@
 	return best
 }
 
-func sameSet(links []Member, v *View) bool {
-	return len(links) == len(v.Chain) && !slices.ContainsFunc(links, func(m Member) bool { return v.chainIndex(m.ID) < 0 })
-}
-
-// mutuallyReachable drops links until all that are left hear each other.
-func (pl *planner) mutuallyReachable(links []Member) []Member {
+// mutuallyReachable drops replicas until all that are left exchange messages with each other: first the one that lacks contact with the
+// most, of two alike one that may not lead, then the later one.
+func (pl *planner) mutuallyReachable(replicas []Member) []Member {
 	for {
-		worst, most := -1, 0
-		for i, a := range links {
-			n := 0
-			for _, b := range links {
-				if !pl.liveness.hasContact(a.ID, b.ID) || !pl.liveness.hasContact(b.ID, a.ID) {
-					n += 2
-				}
-			}
-			if n > 0 && !pl.mayLead(a.ID, false) {
-				n++
-			}
-			if n >= most && n > 0 {
-				worst, most = i, n
+		worst, maxScore := -1, 0
+		for i, m := range replicas {
+			if score := pl.isolationScore(m, replicas); score > 0 && score >= maxScore {
+				worst, maxScore = i, score
 			}
 		}
 		if worst < 0 {
-			return links
+			return replicas
+		}
+		replicas = slices.Delete(replicas, worst, worst+1)
+	}
+}
+
+// isolationScore is zero for a replica that exchanges messages with all others: else two for each that it does not, and one where it may
+// not lead.
+func (pl *planner) isolationScore(m Member, replicas []Member) int {
+	score := 0
+	for _, other := range replicas {
+		if !pl.liveness.haveContact(m.ID, other.ID) {
+			score += 2
 		}
-		links = slices.Delete(links, worst, worst+1)
 	}
+	if score > 0 && !pl.mayLead(m.ID, asSealed) {
+		score++
+	}
+	return score
 }
 
-// isCaughtUp tells whether a keeper outside the chain has nearly all that is committed.
+// isCaughtUp tells whether a node outside the chain has nearly all that is committed.
 func (pl *planner) isCaughtUp(id ID) bool {
 	if id == pl.self.ID {
 		return pl.chain.caughtUp
 	}
 	p := pl.liveness.peers[id]
-	if p == nil || p.eligibleSince < 0 || pl.now-p.eligibleSince < minEligibleTime || p.heartbeat.GetEpoch() != pl.acceptor.view.Epoch {
+	if p == nil || !p.isEligibleFor(minEligibleTime, pl.now) || p.heartbeat.GetEpoch() != pl.acceptor.view.Epoch {
 		return false
 	}
-	most := pl.chain.commitIndex
-	for _, l := range pl.acceptor.view.Chain {
-		if q := pl.liveness.peers[l]; q != nil && pl.liveness.isAlive(l) {
-			most = max(most, q.heartbeat.GetCommitted())
+	newest := pl.chain.commitIndex
+	for _, replica := range pl.acceptor.view.Chain {
+		if q := pl.liveness.peers[replica]; q != nil && pl.liveness.isAlive(replica) {
+			newest = max(newest, q.heartbeat.GetCommitted())
 		}
 	}
-	return p.heartbeat.GetCommitted()+maxCaughtUpLag >= most
+	return p.heartbeat.GetCommitted()+maxCaughtUpLag >= newest
+}
+
+// isChainOf tells whether the replicas are those of the view's chain, in any order.
+func isChainOf(replicas []Member, v *View) bool {
+	return len(replicas) == len(v.Chain) && !slices.ContainsFunc(replicas, func(m Member) bool { return v.chainIndex(m.ID) < 0 })
+}
+
+func idsOfMembers(members []Member) []ID {
+	var ids []ID
+	for _, m := range members {
+		ids = append(ids, m.ID)
+	}
+	return ids
 }
 
-// arrange puts the first of heads that is in the region of most links in front, the rest of its region next, and links
-// of one region side by side, so that a record crosses each border once.
-func arrange(links, heads []Member) {
-	count := map[string]int{}
-	for _, m := range links {
-		count[m.Region]++
+// arrange orders a chain: in front the first of the heads that is in the region of the most replicas, the rest of its region next, and
+// replicas of one region side by side, so that a record crosses each border once.
+func arrange(replicas, heads []Member) {
+	inRegion := map[string]int{}
+	for _, m := range replicas {
+		inRegion[m.Region]++
 	}
 	head := heads[0]
 	for _, m := range heads {
-		if count[m.Region] > count[head.Region] {
+		if inRegion[m.Region] > inRegion[head.Region] {
 			head = m
 		}
 	}
-	first := map[string]int{}
-	for i, m := range links {
+	first := map[string]int{} // index of a region's first replica
+	for i, m := range replicas {
 		if _, ok := first[m.Region]; !ok {
 			first[m.Region] = i
 		}
 	}
 	first[head.Region] = -1
-	slices.SortStableFunc(links, func(a, b Member) int {
+	slices.SortStableFunc(replicas, func(a, b Member) int {
 		if (a.ID == head.ID) != (b.ID == head.ID) {
 			if a.ID == head.ID {
 				return -1
--- a/internal/system/replication/view.go
+++ b/internal/system/replication/view.go
@@ -59,6 +59,17 @@
 	return slices.Index(v.Chain, id)
 }
 
+// chainMembers lists the chain replicas with their places.
+func (v *View) chainMembers() []Member {
+	var members []Member
+	for _, id := range v.Chain {
+		if m, ok := v.Voter(id); ok {
+			members = append(members, m)
+		}
+	}
+	return members
+}
+
 // chainOf is the chain of an epoch up to this one, nil when it is not known any more.
 func (v *View) chainOf(epoch uint64) []ID {
 	if epoch == v.Epoch {
--- a/internal/system/replication/voter_planner.go
+++ b/internal/system/replication/voter_planner.go
@@ -7,40 +7,48 @@
 )
 
 const (
-	replaceVoterTimeout      = 1500 * time.Millisecond // silence after which a joiner takes a voter's place
-	minRebalanceEligibleTime = 600 * time.Millisecond  // a keeper is good for this long before it takes the place of a voter that works
+	replaceVoterTimeout      = 1500 * time.Millisecond // without contact, until another node may replace a voter
+	minRebalanceEligibleTime = 600 * time.Millisecond  // a node is eligible for this long before it replaces a voter that works
 )
 
-// planVoters takes in one joiner at most: in the place of a voter that is lost, as one more, or in the place of a voter
-// that works where the voters do not bear the loss of a zone. It gives the voter whose place is taken.
-func (pl *planner) planVoters() (voters []Member, out ID) {
+// replacement puts a joiner in a voter's place.
+type replacement struct {
+	index  int // of the voter
+	joiner Member
+}
+
+// planVoters takes in one node at most: in the place of a voter that is lost, as one more, or in the place of a voter that works where
+// the voters do not tolerate the loss of a zone. One exchange a view keeps quorums of consecutive views overlapping. It also gives the
+// voter whose place is taken, empty for none.
+func (pl *planner) planVoters() (voters []Member, replaced ID) {
 	voters = slices.Clone(pl.acceptor.view.Voters)
 	joiners := pl.joiners()
 	if len(joiners) == 0 {
 		return voters, ""
 	}
-	if i, in, ok := pl.replacement(joiners); ok {
-		out = voters[i].ID
-		voters[i] = in
-		return voters, out
+	if r, ok := pl.replaceLostVoter(joiners); ok {
+		replaced = voters[r.index].ID
+		voters[r.index] = r.joiner
+		return voters, replaced
 	}
 	if len(voters) < pl.cfg.targetVoters() {
 		voters, _ = pl.cfg.addBestSpread(voters, joiners, func(Member) bool { return true })
 		return voters, ""
 	}
-	return pl.rebalanced(voters, joiners)
+	return pl.rebalanceVoters(voters, joiners)
 }
 
-// joiners lists the keepers that could become voters, by identity; where no voter may lead, those that may.
+// joiners lists the nodes that could become voters, by identity; where no voter may lead, those that may.
 func (pl *planner) joiners() []Member {
 	var all, heads []Member
 	for _, id := range slices.Sorted(maps.Keys(pl.liveness.peers)) {
-		if _, ok := pl.acceptor.view.Voter(id); ok || !pl.liveness.isEligible(id) || pl.liveness.peers[id].eligibleSince < 0 {
+		p := pl.liveness.peers[id]
+		if _, isVoter := pl.acceptor.view.Voter(id); isVoter || !pl.liveness.isEligible(id) || p.eligibleSince < 0 {
 			continue
 		}
-		all = append(all, pl.liveness.peers[id].member)
-		if pl.headlessSince >= 0 && pl.mayLead(id, true) {
-			heads = append(heads, pl.liveness.peers[id].member)
+		all = append(all, p.member)
+		if pl.isHeadless() && pl.mayLead(id, assumingSealed) {
+			heads = append(heads, p.member)
 		}
 	}
 	if len(heads) > 0 {
@@ -49,73 +57,83 @@
 	return all
 }
 
-// replacement finds a voter that is lost and the joiner that takes its place: at its machine's address, or else where it
-// leaves the voters spread best.
-func (pl *planner) replacement(joiners []Member) (place int, in Member, ok bool) {
+// isHeadless tells whether no chain replica may lead.
+func (pl *planner) isHeadless() bool { return pl.headlessSince >= 0 }
+
+// replaceLostVoter finds a voter that is lost and the joiner that takes its place: at its machine's address, or else where it leaves
+// the voters best spread. Where no voter can lead, a joiner that can takes the place of any.
+func (pl *planner) replaceLostVoter(joiners []Member) (replacement, bool) {
 	voters := pl.acceptor.view.Voters
-	for _, j := range joiners {
-		if i := slices.IndexFunc(voters, func(m Member) bool { return m.Addr == j.Addr && !pl.liveness.isAlive(m.ID) }); i >= 0 {
-			return i, j, true
+	for _, joiner := range joiners {
+		i := slices.IndexFunc(voters, func(m Member) bool { return m.Addr == joiner.Addr && !pl.liveness.isAlive(m.ID) })
+		if i >= 0 {
+			return replacement{index: i, joiner: joiner}, true
 		}
 	}
-	if place, in, ok = pl.bestSwap(voters, joiners, pl.liveness.isLost); ok {
-		return place, in, true
+	if r, ok := pl.bestReplacement(voters, joiners, pl.liveness.isLost); ok {
+		return r, true
 	}
-	if pl.headlessSince >= 0 && len(voters) >= pl.cfg.targetVoters() && pl.mayLead(joiners[0].ID, true) {
-		// None of the voters can lead, so one who can must become one first, in anyone's place if need be.
-		return pl.bestSwap(voters, joiners, func(m Member) bool { return m.ID != pl.self.ID && !pl.mayLead(m.ID, true) })
+	if pl.isHeadless() && len(voters) >= pl.cfg.targetVoters() && pl.mayLead(joiners[0].ID, assumingSealed) {
+		return pl.bestReplacement(voters, joiners, func(m Member) bool {
+			return m.ID != pl.self.ID && !pl.mayLead(m.ID, assumingSealed)
+		})
 	}
-	return 0, Member{}, false
+	return replacement{}, false
 }
 
-// isLost tells whether a voter was not heard for long.
+// isLost tells whether a voter has been without contact for long.
 func (lv *liveness) isLost(m Member) bool {
 	p := lv.peers[m.ID]
 	return m.ID != lv.self.ID && !lv.isAlive(m.ID) && (p == nil || lv.now-p.lastContactAt > replaceVoterTimeout)
 }
 
-// bestSwap finds the voter, of those that may go, and the joiner in its place that leave the voters spread best; the
-// first of those that are alike.
-func (pl *planner) bestSwap(voters, joiners []Member, mayGo func(Member) bool) (place int, in Member, ok bool) {
-	var best spread
-	for i, m := range voters {
-		if !mayGo(m) {
+// bestReplacement finds the replacement, of the voters that may go, that leaves the voters best spread; the first of those that are
+// alike.
+func (pl *planner) bestReplacement(voters, joiners []Member, mayGo func(Member) bool) (best replacement, found bool) {
+	var bestSpread spread
+	for i, voter := range voters {
+		if !mayGo(voter) {
 			continue
 		}
-		for _, j := range joiners {
+		for _, joiner := range joiners {
 			with := slices.Clone(voters)
-			with[i] = j
-			if s := pl.cfg.spread(with); !ok || s.compare(best) < 0 {
-				place, in, ok, best = i, j, true, s
+			with[i] = joiner
+			if s := pl.cfg.spread(with); !found || s.compare(bestSpread) < 0 {
+				best, found, bestSpread = replacement{index: i, joiner: joiner}, true, s
 			}
 		}
 	}
-	return place, in, ok
+	return best, found
 }
 
-// rebalanced puts a joiner in the place of a voter that works, where the loss of a zone or region would take the
-// majority and this makes it smaller. It never takes the head, nor a link that the chain cannot spare.
-func (pl *planner) rebalanced(voters, joiners []Member) ([]Member, ID) {
-	if pl.cfg.votersTolerateLosses(voters) || pl.headlessSince >= 0 || !pl.isStable() {
+// rebalanceVoters puts a joiner in the place of a voter that works, where the loss of a zone or region would take the majority and this
+// makes it smaller. It never replaces the head, nor a replica that the chain cannot spare.
+func (pl *planner) rebalanceVoters(voters, joiners []Member) ([]Member, ID) {
+	if pl.cfg.votersTolerateLosses(voters) || pl.isHeadless() || !pl.isStable() {
 		return voters, ""
 	}
-	joiners = slices.DeleteFunc(joiners, func(m Member) bool { return pl.now-pl.liveness.peers[m.ID].eligibleSince < minRebalanceEligibleTime })
-	chain := pl.acceptor.view.Chain
-	place, in, ok := pl.bestSwap(voters, joiners, func(m Member) bool {
-		return m.ID != pl.acceptor.view.Head() && (pl.acceptor.view.chainIndex(m.ID) < 0 || len(chain) > pl.cfg.minChainLength())
+	joiners = slices.DeleteFunc(joiners, func(m Member) bool {
+		return !pl.liveness.peers[m.ID].isEligibleFor(minRebalanceEligibleTime, pl.now)
 	})
+	best, ok := pl.bestReplacement(voters, joiners, pl.isSpare)
 	if !ok {
 		return voters, ""
 	}
 	with := slices.Clone(voters)
-	with[place] = in
+	with[best.index] = best.joiner
 	if pl.cfg.spread(with).compare(pl.cfg.spread(voters)) >= 0 {
 		return voters, ""
 	}
-	return with, voters[place].ID
+	return with, voters[best.index].ID
+}
+
+// isSpare tells whether the chain can do without a voter.
+func (pl *planner) isSpare(m Member) bool {
+	v := pl.acceptor.view
+	return m.ID != v.Head() && (v.chainIndex(m.ID) < 0 || len(v.Chain) > pl.cfg.minChainLength())
 }
 
-// isStable tells whether every voter is good and every link active in the present epoch.
+// isStable tells whether every voter is eligible and every chain replica active in the present epoch.
 func (pl *planner) isStable() bool {
 	v := pl.acceptor.view
 	return !slices.ContainsFunc(v.Voters, func(m Member) bool { return !pl.liveness.isEligible(m.ID) }) &&
