--- a/internal/system/replication/chain_replica.go
+++ b/internal/system/replication/chain_replica.go
@@ -15,33 +15,33 @@
 
 const (
 	resendTimeout         = 250 * time.Millisecond
-	catchUpInterval       = 50 * time.Millisecond // between a link's calls to be fed: after a start of all, each waits for the one before
+	catchUpInterval       = 50 * time.Millisecond // between a replica's requests: after a start of all nodes, each waits for its predecessor
 	snapshotResendTimeout = time.Second
 	stalledTimeout        = time.Second
-	activationTimeout     = 3 * time.Second // to get level after a change of the view
+	activationTimeout     = 3 * time.Second // for a successor to catch up after a change of the view
 	maxAppendBytes        = 256 << 10
-	maxInFlightBytes      = 1 << 20     // of records that are under way to a keeper
-	transferTimePerMB     = time.Second // what a slow link takes
+	maxInFlightBytes      = 1 << 20     // of records to one node
+	transferTimePerMB     = time.Second // on a slow network
 	maxLearners           = maxPeers
-	learnerTTL            = 2 * time.Second // after its last call
+	learnerTTL            = 2 * time.Second // after its last request
 )
 
-// chainReplica is this node's log and its place in the chain: it receives records from its predecessor, hands them to its
-// successor once they are on disk, and knows what is committed. Outside the chain it catches up as a learner.
+// chainReplica is this node's log and its place in the chain: it receives records from its predecessor, sends them to its successor once
+// they are on disk, and knows what is committed. Outside the chain it catches up as a learner.
 type chainReplica struct {
 	*environment
 	machine             Machine
 	log                 memoryLog
 	state               State // after commitIndex
 	commitIndex         uint64
-	matchIndex          uint64 // up to here the log is known to be the predecessor's, in this epoch
-	upstreamCommitIndex uint64 // commit index of the replica that a learner follows
-	caughtUpAt          time.Duration
-	caughtUp            bool    // a learner has received all that was committed at caughtUpAt
-	upstreamMatched     bool    // an append of the predecessor has matched, in this epoch and incarnation
-	minReadIndex        uint64  // records up to here may have been acknowledged: no read rests on less
-	epochStartIndex     uint64  // where the head's log ended when it entered the epoch
-	uncommittedStates   []State // the head's: after each record above commitIndex
+	matchIndex          uint64        // up to here the log is known to be the predecessor's, in this epoch
+	upstreamCommitIndex uint64        // commit index of the replica that a learner follows
+	caughtUpAt          time.Duration // when a learner sent the newest request that has been answered
+	caughtUp            bool          // a learner's request has been answered in this epoch
+	upstreamMatched     bool          // an append of the predecessor has matched, in this epoch and incarnation
+	minReadIndex        uint64        // records up to here may have been acknowledged: no read rests on less
+	epochStartIndex     uint64        // where the head's log ended when it entered the epoch
+	uncommittedStates   []State       // the head's: after each record above commitIndex
 	downstream          map[ID]*progress
 	ackSentAt           time.Duration
 
@@ -57,7 +57,7 @@
 	completeReads()
 }
 
-// successor is the link after this one, empty at the tail and outside the chain.
+// successor is the replica after this one, empty at the tail and outside the chain.
 func (cr *chainReplica) successor() ID {
 	v := cr.acceptor.view
 	if i := v.chainIndex(cr.self.ID); i >= 0 && i+1 < len(v.Chain) {
@@ -66,7 +66,7 @@
 	return ""
 }
 
-// predecessor is the link before this one, empty at the head and outside the chain.
+// predecessor is the replica before this one, empty at the head and outside the chain.
 func (cr *chainReplica) predecessor() ID {
 	v := cr.acceptor.view
 	if i := v.chainIndex(cr.self.ID); i > 0 {
@@ -75,15 +75,29 @@
 	return ""
 }
 
-// active tells whether this link takes part: it holds all that was acknowledged before its view.
+// isInChain tells whether this node is a replica of the present chain, active or not.
+func (cr *chainReplica) isInChain() bool { return cr.acceptor.view.chainIndex(cr.self.ID) >= 0 }
+
+// isActive tells whether this replica takes part: it has on disk that it holds all that was acknowledged before its view.
 func (cr *chainReplica) isActive() bool {
-	return cr.acceptor.viewDurable && cr.err == nil && cr.acceptor.view.Epoch > 0 && cr.acceptor.durableActive == cr.acceptor.view.Epoch && cr.acceptor.view.chainIndex(cr.self.ID) >= 0
+	epoch := cr.acceptor.view.Epoch
+	isUsable := cr.err == nil && cr.acceptor.viewDurable
+	return isUsable && epoch > 0 && cr.acceptor.durableActive == epoch && cr.isInChain()
 }
 
 func (cr *chainReplica) isHead() bool { return cr.isActive() && cr.acceptor.view.Head() == cr.self.ID }
 
 func (cr *chainReplica) isTail() bool { return cr.isActive() && cr.acceptor.view.Tail() == cr.self.ID }
 
+// isActiveToTail tells whether this replica and all after it are active, so that no log of an old epoch is left among them.
+func (cr *chainReplica) isActiveToTail() bool {
+	if !cr.isActive() || cr.isTail() {
+		return cr.isActive()
+	}
+	p := cr.downstream[cr.successor()]
+	return p != nil && p.activeToTail
+}
+
 // leaveEpoch forgets what was known of the chain of the epoch that has ended.
 func (cr *chainReplica) leaveEpoch() {
 	cr.matchIndex, cr.upstreamMatched = 0, false
@@ -93,28 +107,51 @@
 	cr.uncommittedStates = nil
 }
 
-// enterView starts this link's part in a view that is on disk.
+// enterView starts this replica's part in a view that is on disk.
 func (cr *chainReplica) enterView() error {
 	if !cr.isActive() {
 		return nil
 	}
 	if cr.isHead() {
-		// What is on disk is enough: nothing beyond it was handed on.
-		cr.epochStartIndex, cr.minReadIndex = cr.writer.durableEnd, max(cr.minReadIndex, cr.writer.durableEnd)
-		cr.uncommittedStates = nil
-		for seq := cr.commitIndex + 1; seq <= cr.log.end(); seq++ {
-			s, err := cr.speculativeState().Apply(cr.log.at(seq).rec)
-			if err != nil {
-				return errors.Wrapf(err, "replication: record %d cannot be applied", seq)
-			}
-			cr.uncommittedStates = append(cr.uncommittedStates, s)
+		if err := cr.enterAsHead(); err != nil {
+			return err
 		}
 	}
 	cr.onDurableChange()
 	return nil
 }
 
-// onDurableChange follows a change of what is on disk.
+// enterAsHead computes the states after the records that are not known to be committed. The epoch starts with what is on disk: nothing
+// beyond it was sent on.
+func (cr *chainReplica) enterAsHead() error {
+	cr.epochStartIndex = cr.writer.durableEnd
+	cr.minReadIndex = max(cr.minReadIndex, cr.writer.durableEnd)
+	cr.uncommittedStates = nil
+	for seq := cr.commitIndex + 1; seq <= cr.log.end(); seq++ {
+		next, err := cr.speculativeState().Apply(cr.log.at(seq).rec)
+		if err != nil {
+			return applyError(err, seq)
+		}
+		cr.uncommittedStates = append(cr.uncommittedStates, next)
+	}
+	return nil
+}
+
+// speculativeState is the state after the whole log, on which the head decides.
+func (cr *chainReplica) speculativeState() State {
+	if n := len(cr.uncommittedStates); n > 0 {
+		return cr.uncommittedStates[n-1]
+	}
+	return cr.state
+}
+
+// appendAsHead adds a record that the head has accepted, with the state after it.
+func (cr *chainReplica) appendAsHead(rec entry, next State) {
+	cr.uncommittedStates = append(cr.uncommittedStates, next)
+	cr.log.entries = append(cr.log.entries, rec)
+}
+
+// onDurableChange follows a change of what is on disk: it may make this replica active, commit records, or have them to send on.
 func (cr *chainReplica) onDurableChange() {
 	cr.tryActivate()
 	if cr.acceptor.view.Epoch == 0 || !cr.acceptor.viewDurable {
@@ -126,21 +163,11 @@
 			cr.replicateTo(id)
 		}
 	} else if cr.caughtUp {
-		cr.advanceCommitIndex(min(cr.upstreamCommitIndex, cr.matchIndex, cr.writer.durableEnd))
+		cr.commitAsLearner()
 	}
 	cr.sendAck()
 }
 
-// isUpToDate tells whether this node, in the chain, knows all to be committed that may have been acknowledged before its epoch; or outside
-// the chain has received within the window all that was committed then.
-func (cr *chainReplica) isUpToDate(window time.Duration) bool {
-	v := cr.acceptor.view
-	if v.chainIndex(cr.self.ID) >= 0 {
-		return cr.acceptor.durableActive == v.Epoch && cr.holdsAcknowledged()
-	}
-	return cr.caughtUp && cr.now-cr.caughtUpAt <= window && cr.commitIndex >= cr.upstreamCommitIndex
-}
-
 // durableIndex is the end of what is on disk and known to be the log of this epoch's chain.
 func (cr *chainReplica) durableIndex() uint64 {
 	if cr.isHead() {
@@ -149,32 +176,33 @@
 	return min(cr.matchIndex, cr.writer.durableEnd)
 }
 
-// commitAsTail commits at the tail. A record that got here went through every link, each of which had it on disk before
-// it handed it on; and every link is active, since only an active one hands on.
+// commitAsTail commits at the tail, where the chain is long enough (invariant 2 of the package). A record that arrived here went through
+// every replica, each of which had it on disk before it sent it on; and every replica is active, since only an active one sends on.
 func (cr *chainReplica) commitAsTail() {
-	early := cr.cfg.knobs.AcknowledgeAtHead && cr.isHead()
-	if !cr.isTail() && !early || len(cr.acceptor.view.Chain) < cr.cfg.minChainLength() {
-		return
+	commitsHere := cr.isTail() || cr.cfg.knobs.AcknowledgeAtHead && cr.isHead()
+	if commitsHere && len(cr.acceptor.view.Chain) >= cr.cfg.minChainLength() {
+		cr.advanceCommitIndex(cr.durableIndex())
 	}
-	cr.advanceCommitIndex(cr.durableIndex())
 }
 
+// commitAsLearner commits what is committed upstream and on disk here.
+func (cr *chainReplica) commitAsLearner() {
+	cr.advanceCommitIndex(min(cr.upstreamCommitIndex, cr.matchIndex, cr.writer.durableEnd))
+}
+
+// advanceCommitIndex applies the records up to seq, and tells those who wait for them.
 func (cr *chainReplica) advanceCommitIndex(seq uint64) {
 	if seq <= cr.commitIndex {
 		return
 	}
-	for s := cr.commitIndex + 1; s <= seq; s++ {
-		var next State
-		if len(cr.uncommittedStates) > 0 {
-			next, cr.uncommittedStates = cr.uncommittedStates[0], cr.uncommittedStates[1:]
-		} else {
-			var err error
-			if next, err = cr.state.Apply(cr.log.at(s).rec); err != nil {
-				cr.fail(errors.Wrapf(err, "replication: record %d cannot be applied", s))
-				return
-			}
+	for cr.commitIndex < seq {
+		next, err := cr.nextState()
+		if err != nil {
+			cr.fail(applyError(err, cr.commitIndex+1))
+			return
 		}
-		cr.state, cr.commitIndex = next, s
+		cr.state = next
+		cr.commitIndex++
 	}
 	cr.ackSentAt = 0
 	cr.sendAck()
@@ -187,77 +215,71 @@
 	}
 }
 
-// sendAck tells the link before what is on disk here and what is committed.
-func (cr *chainReplica) sendAck() {
-	prev := cr.predecessor()
-	if prev == "" || !cr.upstreamMatched || !cr.acceptor.viewDurable || cr.err != nil {
-		return
+// nextState gives the state after the record above the commit index. The head has computed it already.
+func (cr *chainReplica) nextState() (State, error) {
+	if len(cr.uncommittedStates) == 0 {
+		return cr.state.Apply(cr.log.at(cr.commitIndex + 1).rec)
 	}
-	cr.ackSentAt = cr.now
-	cr.send(prev, ackMessage(&replicationpb.Ack{
-		Epoch: cr.acceptor.view.Epoch, Matched: cr.durableIndex(), Committed: cr.commitIndex, Active: cr.isActive(), Complete: cr.isActiveToTail(),
-	}))
+	next := cr.uncommittedStates[0]
+	cr.uncommittedStates = cr.uncommittedStates[1:]
+	return next, nil
 }
 
-// isActiveToTail tells whether this link and all after it are active, so that no log of an old epoch is left among them.
-func (cr *chainReplica) isActiveToTail() bool {
-	if !cr.isActive() || cr.isTail() {
-		return cr.isActive()
+// holdsAcknowledged tells whether this replica knows to be committed all that may have been acknowledged before it came to its place, in
+// its present incarnation.
+func (cr *chainReplica) holdsAcknowledged() bool {
+	return cr.commitIndex >= cr.minReadIndex || cr.cfg.knobs.SkipMinReadIndex
+}
+
+// isUpToDate tells whether this node, in the chain, knows all to be committed that may have been acknowledged before its epoch; or,
+// outside the chain, has received what was committed within the window.
+func (cr *chainReplica) isUpToDate(window time.Duration) bool {
+	if cr.isInChain() {
+		return cr.acceptor.durableActive == cr.acceptor.view.Epoch && cr.holdsAcknowledged()
 	}
-	p := cr.downstream[cr.successor()]
-	return p != nil && p.activeToTail
+	return cr.caughtUp && cr.now-cr.caughtUpAt <= window && cr.commitIndex >= cr.upstreamCommitIndex
 }
 
+// tickChain repeats what may have been lost on its way to the neighbours.
 func (cr *chainReplica) tickChain() {
 	if !cr.acceptor.viewDurable {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(cr.downstream)) {
-		if p := cr.downstream[id]; p.learner && cr.now-p.lastContactAt > learnerTTL {
-			delete(cr.downstream, id)
-		}
-	}
-	again := resendTimeout
-	if !cr.upstreamMatched {
-		again = catchUpInterval
-	}
-	if prev := cr.predecessor(); prev != "" && cr.now-cr.ackSentAt >= again {
-		if cr.ackSentAt = cr.now; cr.upstreamMatched {
-			cr.sendAck()
-		} else {
-			cr.sendMismatch(prev) // asks to be fed
-		}
-	}
-	if !cr.isActive() {
-		return
+	cr.forgetLearners()
+	cr.tickPredecessor()
+	if cr.isActive() {
+		cr.tickSuccessor()
 	}
-	if id := cr.successor(); id != "" {
-		p := cr.downstream[id]
-		if p != nil && (!cr.canReplicate() || p.active && p.match >= cr.durableIndex()) {
-			p.advancedAt = cr.now
-			if cr.commitIndex < cr.durableIndex() && cr.now-p.lastSentAt >= resendTimeout {
-				cr.sendAppend(id, p, cr.durableIndex(), nil, cr.durableIndex()) // its word that it is committed was lost
-			}
-		} else if p != nil && p.matchKnown && !p.active && p.match >= cr.durableIndex() && cr.now-p.lastSentAt >= resendTimeout {
-			cr.sendAppend(id, p, cr.durableIndex(), nil, cr.durableIndex())
+}
+
+// truncateLog drops the records above after from memory and disk.
+func (cr *chainReplica) truncateLog(after uint64) {
+	cr.log.truncate(after)
+	cr.matchIndex = min(cr.matchIndex, after)
+	cr.writer.truncated(after)
+}
+
+// compactMemory forgets records below a snapshot, but for those that a node which is a little behind may need: at most retainedRecords,
+// of minRetainedBytes or twice the size of the snapshot. That much is enough for a node that was sent a snapshot to go on from there:
+// while the snapshot was in flight, changes took less of the network than the snapshot did, or else the network could not carry the
+// changes at all.
+func (cr *chainReplica) compactMemory(snap wal.Snapshot) {
+	budget, retained := max(minRetainedBytes, 2*len(snap.Data)), uint64(0)
+	for seq := min(snap.Seq, cr.log.end()); seq > cr.log.base && retained < cr.cfg.retainedRecords; seq-- {
+		if budget -= cr.log.at(seq).size(); budget < 0 {
+			break
 		}
-		cr.replicateTo(id)
+		retained++
 	}
+	cr.log.compact(snap.Seq - retained)
 }
 
+// loadLog takes up what the disk holds: a snapshot, and the records after it.
 func (cr *chainReplica) loadLog(snap wal.Snapshot, entries []wal.Entry) error {
 	if snap.Seq > 0 {
-		var p replicationpb.Image
-		if err := proto.Unmarshal(snap.Data, &p); err != nil {
-			return damagedDataError(err, "the snapshot")
-		}
-		s, err := cr.machine.Decode(p.GetState())
-		if err != nil {
-			return damagedDataError(err, "the snapshot")
+		if err := cr.loadSnapshot(snap); err != nil {
+			return err
 		}
-		cr.state, cr.commitIndex = s, snap.Seq
-		cr.log.base, cr.log.baseEpoch = snap.Seq, p.GetEpoch()
-		cr.writer.snapshotSeq = snap.Seq
 	}
 	for _, e := range entries {
 		if e.Seq <= cr.log.end() {
@@ -273,3 +295,22 @@
 	cr.writer.durableEnd = cr.log.end()
 	return nil
 }
+
+func (cr *chainReplica) loadSnapshot(snap wal.Snapshot) error {
+	var image replicationpb.Image
+	if err := proto.Unmarshal(snap.Data, &image); err != nil {
+		return damagedDataError(err, "the snapshot")
+	}
+	state, err := cr.machine.Decode(image.GetState())
+	if err != nil {
+		return damagedDataError(err, "the snapshot")
+	}
+	cr.state, cr.commitIndex = state, snap.Seq
+	cr.log.base, cr.log.baseEpoch = snap.Seq, image.GetEpoch()
+	cr.writer.snapshotSeq = snap.Seq
+	return nil
+}
+
+func applyError(err error, seq uint64) error {
+	return errors.Wrapf(err, "replication: record %d cannot be applied", seq)
+}
--- a/internal/system/replication/client_calls.go
+++ b/internal/system/replication/client_calls.go
@@ -155,14 +155,6 @@
 	}
 }
 
-// speculativeState is the state after the whole log, on which the head judges.
-func (cr *chainReplica) speculativeState() State {
-	if n := len(cr.uncommittedStates); n > 0 {
-		return cr.uncommittedStates[n-1]
-	}
-	return cr.state
-}
-
 // read is a linearizable read asked for here. It rests on two things: the tail's word on what is committed, and a
 // majority's, given after the read was asked for, that no later view can have acknowledged anything before.
 type read struct {
--- a/internal/system/replication/disk_writer.go
+++ b/internal/system/replication/disk_writer.go
@@ -11,12 +11,14 @@
 )
 
 const (
-	metaAcceptor = "register"
+	metaAcceptor = "register" // name of the acceptor's state on disk
 
 	diskRetryInterval      = 500 * time.Millisecond
-	defaultCompactRecords  = 2000    // records
-	compactThresholdBytes  = 8 << 20 // or bytes of them
-	defaultRetainedRecords = 20000   // records kept in memory below a snapshot, for those who follow; minRetainedBytes of them at most
+	slowDiskPenalty        = 4 * diskRetryInterval // a disk that was slow counts as unhealthy for so long
+	maxAppendOpBytes       = 1 << 20               // a write of records stops growing there
+	defaultCompactRecords  = 2000                  // a snapshot is taken after so many records
+	compactThresholdBytes  = 8 << 20               // or so many bytes of them
+	defaultRetainedRecords = 20000                 // kept in memory below a snapshot for nodes that are behind, within minRetainedBytes
 	minRetainedBytes       = 4 << 20
 )
 
@@ -32,18 +34,18 @@
 	DiskInstall
 )
 
-// DiskOp is a write that the core waits for. At most one is under way.
+// DiskOp is a write that the core waits for. At most one is in progress.
 type DiskOp struct {
-	Token    uint64
+	Token    uint64 // passed back to Core.DiskDone
 	Kind     DiskKind
-	Name     string
-	Data     []byte
-	Entries  []wal.Entry
-	After    uint64
-	Snapshot wal.Snapshot
+	Name     string       // of DiskSaveMeta
+	Data     []byte       // of DiskSaveMeta
+	Entries  []wal.Entry  // of DiskAppend
+	After    uint64       // of DiskTruncate: the last record that stays
+	Snapshot wal.Snapshot // of DiskCompact and DiskInstall
 }
 
-// Do runs the operation.
+// Do runs the operation, and gives the error of the disk.
 func (op *DiskOp) Do(d wal.Disk) error {
 	switch op.Kind {
 	case DiskSaveMeta:
@@ -57,36 +59,37 @@
 	case DiskInstall:
 		return d.Install(op.Snapshot)
 	}
-	return errors.AssertionFailedf("replication: disk operation %d is not known: update the keeper", op.Kind)
+	return errors.AssertionFailedf("replication: disk operation %d is not known: update the node", op.Kind)
 }
 
-// diskWriter is what the core knows of its disk.
+// diskWriter orders the writes of a core: one at a time, the acceptor's state before anything else. It knows which part of the log is on disk,
+// and whether the disk is healthy.
 type diskWriter struct {
 	*environment
 	acceptor *acceptor
 	chain    *chainReplica
 
-	op             *DiskOp
+	op             *DiskOp // in progress, nil: none
 	onDone         func(err error)
 	startedAt      time.Duration // when op began
 	token          uint64
 	retryAt        time.Duration
-	unhealthy      bool          // refused or was slow the last time
-	unhealthyUntil time.Duration // no earlier than this it counts as good again
-	probeWanted    bool          // a write to find out whether it is good again is wanted
+	unhealthy      bool          // the disk failed or was slow the last time
+	unhealthyUntil time.Duration // no earlier than this it counts as healthy again
+	probeWanted    bool          // a write is wanted to find out whether it is healthy again
 
-	acceptorDirty bool     // the register differs from what is on disk
-	waiters       []func() // run when the register as it is now is on disk
+	acceptorDirty bool     // the acceptor's state differs from what is on disk
+	waiters       []func() // run when the acceptor's state as it is now is on disk
 
-	durableEnd     uint64 // newest record on disk that is the same in memory
-	truncateNeeded bool   // there may be other records above end: truncate first
-	pendingInstall *wal.Snapshot
-	snapshotSeq    uint64 // newest snapshot on disk
-	loggedBytes    int    // logged since
-	appendRefused  bool   // the last append, with no compaction since
+	durableEnd     uint64        // newest record on disk that is the same in memory
+	truncateNeeded bool          // there may be other records above durableEnd: truncate first
+	pendingInstall *wal.Snapshot // to take the place of the log on disk
+	snapshotSeq    uint64        // newest snapshot on disk
+	loggedBytes    int           // since that snapshot
+	appendRefused  bool          // the last append, with no compaction since
 }
 
-// persist writes the register and then runs then, unless the process ends before.
+// persist writes the acceptor's state and then runs then, unless the process ends before.
 func (dw *diskWriter) persist(then func()) {
 	dw.acceptorDirty = true
 	if then == nil {
@@ -99,77 +102,109 @@
 	dw.waiters = append(dw.waiters, then)
 }
 
-// truncateLog drops the records above after from memory and disk.
-func (cr *chainReplica) truncateLog(after uint64) {
-	cr.log.truncate(after)
-	cr.matchIndex = min(cr.matchIndex, after)
-	if after < cr.writer.durableEnd {
-		cr.writer.durableEnd, cr.writer.truncateNeeded = after, true
-	} else if cr.writer.op != nil && cr.writer.op.Kind == DiskAppend {
-		cr.writer.truncateNeeded = true
+// truncated follows a truncation of the log in memory.
+func (dw *diskWriter) truncated(after uint64) {
+	if after < dw.durableEnd {
+		dw.durableEnd, dw.truncateNeeded = after, true
+	} else if dw.op != nil && dw.op.Kind == DiskAppend {
+		dw.truncateNeeded = true // the records may be among those that are being written
 	}
 }
 
-// startWrite starts the next write.
+// install has a snapshot take the place of the log on disk.
+func (dw *diskWriter) install(snap *wal.Snapshot) {
+	dw.pendingInstall, dw.durableEnd, dw.truncateNeeded = snap, 0, false
+}
+
+// isLogClean tells whether the log on disk holds nothing that is to be replaced.
+func (dw *diskWriter) isLogClean() bool { return !dw.truncateNeeded && dw.pendingInstall == nil }
+
+// startWrite starts the write that is wanted most, unless one is in progress.
 func (dw *diskWriter) startWrite() {
 	if dw.op != nil || dw.now < dw.retryAt {
 		return
 	}
 	switch {
 	case dw.acceptorDirty || dw.probeWanted:
-		dw.acceptorDirty, dw.probeWanted = false, false
-		data, err := proto.Marshal(dw.acceptor.pb())
-		if err != nil {
-			dw.fail(errors.Wrap(err, "replication: register"))
-			return
-		}
-		waiters := dw.waiters
-		dw.waiters = nil
-		active, sealed, epoch := dw.acceptor.activeEpoch, dw.acceptor.sealedEpoch, dw.acceptor.view.Epoch
-		dw.beginWrite(&DiskOp{Kind: DiskSaveMeta, Name: metaAcceptor, Data: data}, func(err error) {
-			if err != nil {
-				dw.acceptorDirty, dw.waiters = true, append(waiters, dw.waiters...)
-				return
-			}
-			dw.acceptor.durableActive, dw.acceptor.durableSealed, dw.acceptor.durableEpoch = active, sealed, epoch
-			for _, w := range waiters {
-				w()
-			}
-		})
+		dw.startSave()
 	case dw.pendingInstall != nil:
-		snap := dw.pendingInstall
-		dw.beginWrite(&DiskOp{Kind: DiskInstall, Snapshot: *snap}, func(err error) {
-			if err != nil || dw.pendingInstall != snap {
-				return
-			}
-			dw.pendingInstall, dw.truncateNeeded = nil, false
-			dw.durableEnd, dw.snapshotSeq, dw.loggedBytes = snap.Seq, snap.Seq, 0
-		})
+		dw.startInstall()
 	case dw.truncateNeeded:
-		after := dw.durableEnd
-		dw.beginWrite(&DiskOp{Kind: DiskTruncate, After: after}, func(err error) {
-			if err == nil && dw.durableEnd >= after {
-				dw.truncateNeeded = false
-			}
-		})
-	case dw.compactionDue(2) && dw.startCompact(): // before more records, that wait at the end of each write under load
-	case dw.appendRefused && min(dw.chain.commitIndex, dw.durableEnd) > dw.snapshotSeq && dw.startCompact(): // the log may be full
+		dw.startTruncate()
+	case dw.isCompactionDue(2) && dw.startCompact(): // goes before more records, which under load wait at the end of each write
+	case dw.isLogPerhapsFull() && dw.startCompact():
 	case dw.durableEnd < dw.chain.log.end():
 		dw.startAppend()
-	case dw.compactionDue(1) && dw.startCompact():
+	case dw.isCompactionDue(1) && dw.startCompact():
+	}
+}
+
+// durableCommitIndex is the newest record that is committed and on disk.
+func (dw *diskWriter) durableCommitIndex() uint64 { return min(dw.chain.commitIndex, dw.durableEnd) }
+
+// isLogPerhapsFull tells whether an append failed that a snapshot may make room for.
+func (dw *diskWriter) isLogPerhapsFull() bool {
+	return dw.appendRefused && dw.durableCommitIndex() > dw.snapshotSeq
+}
+
+// isCompactionDue tells whether so many times the records or bytes are committed on disk after which a snapshot is taken.
+func (dw *diskWriter) isCompactionDue(times uint64) bool {
+	index := dw.durableCommitIndex()
+	hasRecords := index >= dw.snapshotSeq+times*dw.cfg.compactRecords
+	hasBytes := dw.loggedBytes >= int(times)*compactThresholdBytes && index > dw.snapshotSeq
+	return hasRecords || hasBytes
+}
+
+// startSave writes the acceptor's state.
+func (dw *diskWriter) startSave() {
+	dw.acceptorDirty, dw.probeWanted = false, false
+	data, err := proto.Marshal(dw.acceptor.pb())
+	if err != nil {
+		dw.fail(errors.Wrap(err, "replication: register"))
+		return
 	}
+	waiters := dw.waiters
+	dw.waiters = nil
+	active, sealed, epoch := dw.acceptor.activeEpoch, dw.acceptor.sealedEpoch, dw.acceptor.view.Epoch
+	dw.beginWrite(&DiskOp{Kind: DiskSaveMeta, Name: metaAcceptor, Data: data}, func(err error) {
+		if err != nil {
+			dw.acceptorDirty, dw.waiters = true, append(waiters, dw.waiters...)
+			return
+		}
+		dw.acceptor.durableActive, dw.acceptor.durableSealed, dw.acceptor.durableEpoch = active, sealed, epoch
+		for _, onDurable := range waiters {
+			onDurable()
+		}
+	})
 }
 
-// compactionDue tells whether so many times as many records or bytes are committed on disk as a snapshot is taken after.
-func (dw *diskWriter) compactionDue(times uint64) bool {
-	done := min(dw.chain.commitIndex, dw.durableEnd)
-	return done >= dw.snapshotSeq+times*dw.cfg.compactRecords || dw.loggedBytes >= int(times)*compactThresholdBytes && done > dw.snapshotSeq
+// startInstall writes a snapshot that takes the place of the log.
+func (dw *diskWriter) startInstall() {
+	snap := dw.pendingInstall
+	dw.beginWrite(&DiskOp{Kind: DiskInstall, Snapshot: *snap}, func(err error) {
+		if err != nil || dw.pendingInstall != snap {
+			return
+		}
+		dw.pendingInstall, dw.truncateNeeded = nil, false
+		dw.durableEnd, dw.snapshotSeq, dw.loggedBytes = snap.Seq, snap.Seq, 0
+	})
+}
+
+// startTruncate drops from disk the records that may differ from those in memory.
+func (dw *diskWriter) startTruncate() {
+	after := dw.durableEnd
+	dw.beginWrite(&DiskOp{Kind: DiskTruncate, After: after}, func(err error) {
+		if err == nil && dw.durableEnd >= after {
+			dw.truncateNeeded = false
+		}
+	})
 }
 
+// startAppend writes records, up to about maxAppendOpBytes.
 func (dw *diskWriter) startAppend() {
 	var entries []wal.Entry
 	bytes := 0
-	for seq := dw.durableEnd + 1; seq <= dw.chain.log.end() && bytes < 1<<20; seq++ {
+	for seq := dw.durableEnd + 1; seq <= dw.chain.log.end() && bytes < maxAppendOpBytes; seq++ {
 		data, err := proto.Marshal(dw.chain.log.at(seq).pb())
 		if err != nil {
 			dw.fail(errors.Wrap(err, "replication: record"))
@@ -195,7 +230,7 @@
 	})
 }
 
-// startCompact begins to write the committed state as a snapshot; false where it cannot.
+// startCompact starts to write the committed state as a snapshot; false where it cannot.
 func (dw *diskWriter) startCompact() bool {
 	epoch, ok := dw.chain.log.epochAt(dw.chain.commitIndex)
 	if !ok {
@@ -207,8 +242,8 @@
 		return false
 	}
 	op := &DiskOp{Kind: DiskCompact, Snapshot: snap}
-	if dw.chain.commitIndex > dw.durableEnd { // it is ahead of the log on disk, and takes its place
-		op.Kind = DiskInstall
+	if dw.chain.commitIndex > dw.durableEnd {
+		op.Kind = DiskInstall // the snapshot goes beyond the log on disk, and takes its place
 	}
 	dw.beginWrite(op, func(err error) {
 		dw.appendRefused = false
@@ -221,21 +256,7 @@
 	return true
 }
 
-// compactMemory forgets records below a snapshot, but for those that somebody may need who is a little behind: at most
-// defaultRetainedRecords records, of minRetainedBytes or twice the size of the snapshot. That much is enough for one that was sent a snapshot
-// to go on from there: while it was under way, changes took less of the link than the snapshot did, or else the link could
-// not carry the changes at all.
-func (cr *chainReplica) compactMemory(snap wal.Snapshot) {
-	room, keep := max(minRetainedBytes, 2*len(snap.Data)), uint64(0)
-	for seq := min(snap.Seq, cr.log.end()); seq > cr.log.base && keep < cr.cfg.retainedRecords; seq-- {
-		if room -= cr.log.at(seq).size(); room < 0 {
-			break
-		}
-		keep++
-	}
-	cr.log.compact(snap.Seq - keep)
-}
-
+// encodeImage makes a snapshot of the state after the record seq, which was accepted in the epoch.
 func encodeImage(seq, epoch uint64, s State) (wal.Snapshot, error) {
 	data, err := proto.Marshal(&replicationpb.Image{Epoch: epoch, State: s.Encode()})
 	if err != nil {
@@ -244,10 +265,11 @@
 	return wal.Snapshot{Seq: seq, Data: data}, nil
 }
 
-func (dw *diskWriter) beginWrite(op *DiskOp, done func(error)) {
+// beginWrite hands a write out; onDone runs when it has ended.
+func (dw *diskWriter) beginWrite(op *DiskOp, onDone func(error)) {
 	dw.token++
 	op.Token = dw.token
-	dw.op, dw.onDone, dw.startedAt = op, done, dw.now
+	dw.op, dw.onDone, dw.startedAt = op, onDone, dw.now
 	dw.out.Disk = op
 }
 
@@ -256,27 +278,32 @@
 	if dw.op == nil || dw.op.Token != token {
 		return false
 	}
-	done := dw.onDone
+	onDone := dw.onDone
 	dw.op, dw.onDone = nil, nil
-	slow := dw.now-dw.startedAt > dw.cfg.SlowDiskTimeout
+	dw.observeWrite(err)
+	onDone(err)
+	return true
+}
+
+// observeWrite takes up what the end of a write says of the disk. A slow disk counts as unhealthy, since others would wait for it.
+func (dw *diskWriter) observeWrite(err error) {
+	wasSlow := dw.now-dw.startedAt > dw.cfg.SlowDiskTimeout
 	switch {
-	case errors.Is(err, wal.ErrSuperseded): // no try can succeed any more
-		dw.fail(errors.Wrap(err, "replication: this keeper takes no part any more"))
+	case errors.Is(err, wal.ErrSuperseded): // no retry can succeed
+		dw.fail(errors.Wrap(err, "replication: this node takes no part any more"))
 	case err != nil:
 		dw.unhealthy, dw.retryAt = true, dw.now+diskRetryInterval
 		dw.unhealthyUntil = dw.now + diskRetryInterval
-		dw.logEvent("replication: the disk refuses writes, retrying: " + err.Error())
-	case slow:
-		dw.unhealthy, dw.unhealthyUntil = true, dw.now+4*diskRetryInterval
+		dw.logEvent("replication: write to disk failed, retrying: " + err.Error())
+	case wasSlow:
+		dw.unhealthy, dw.unhealthyUntil = true, dw.now+slowDiskPenalty
 		dw.retryAt = 0
 	case dw.unhealthy && dw.now >= dw.unhealthyUntil:
 		dw.unhealthy = false
 	}
-	done(err)
-	return true
 }
 
-// superviseWrites notices a write that does not end, and asks for one when the disk may be good again.
+// superviseWrites notices a write that takes too long, and asks for one when the disk may be healthy again.
 func (dw *diskWriter) superviseWrites() {
 	if dw.op != nil && dw.now-dw.startedAt > dw.cfg.SlowDiskTimeout {
 		dw.unhealthy, dw.unhealthyUntil = true, dw.now+diskRetryInterval
--- a/internal/system/replication/downstream.go
+++ b/internal/system/replication/downstream.go
@@ -1,43 +1,53 @@
 package replication
 
 import (
+	"maps"
+	"slices"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// This file is the sending side of the chain: a link feeds the next one, and learners.
+// This file is the sending side of the chain: a replica sends records or snapshots to its successor, and to learners.
 
-// progress is how far a downstream keeper has come: the next link, or a learner.
+// progress is how far a downstream node has come: the successor, or a learner.
 type progress struct {
 	learner          bool
-	followNumber     uint64 // number of a learner's last call
-	matchKnown       bool   // match is
-	match            uint64 // on its disk, the same as here
-	next             uint64
+	followNumber     uint64 // of a learner's newest request
+	matchKnown       bool   // whether match is
+	match            uint64 // up to here the node has on disk the same log as this one
+	next             uint64 // to send
 	lastSentAt       time.Duration
 	resendAt         time.Duration // when what was sent and not acknowledged counts as lost
-	advancedAt       time.Duration
+	advancedAt       time.Duration // when it last acknowledged anything new, or had nothing to acknowledge
 	lastContactAt    time.Duration
 	active           bool
-	activeToTail     bool // it and all links after it are active
-	snapshotInFlight bool // it was sent a snapshot
+	activeToTail     bool // it and all replicas after it are active
+	snapshotInFlight bool
 }
 
-// recordSent notes that so many bytes went out, after those that are under way.
+// recordSent puts off the next resend by what so many bytes take, after those that are in flight.
 func (p *progress) recordSent(now time.Duration, bytes int) {
 	p.resendAt = max(p.resendAt, now+resendTimeout) + transferTime(bytes)
 }
 
-// transferTime is how long bytes may take to a keeper on a slow link.
+// transferTime is how long bytes may take on a slow network.
 func transferTime(bytes int) time.Duration { return time.Duration(bytes) * transferTimePerMB >> 20 }
 
-// canReplicate tells whether this link may hand on: it takes part, and knows since its start how far its log is the chain's.
+// canReplicate tells whether this replica may send records on: it is active, and knows since its start how far its log is the chain's.
 func (cr *chainReplica) canReplicate() bool {
 	return cr.isActive() && (cr.isHead() || cr.upstreamMatched)
 }
 
-// replicateTo hands on what the downstream keeper lacks.
+// replicationLimit is the last record that may be sent: to the successor what is on disk here, to learners what is committed.
+func (cr *chainReplica) replicationLimit(p *progress) uint64 {
+	if p.learner {
+		return cr.commitIndex
+	}
+	return cr.durableIndex()
+}
+
+// replicateTo sends what the downstream node lacks, as far as the window allows.
 func (cr *chainReplica) replicateTo(id ID) {
 	p := cr.downstream[id]
 	if p == nil {
@@ -50,7 +60,7 @@
 	limit := cr.replicationLimit(p)
 	if !p.matchKnown {
 		if cr.now-p.lastSentAt >= resendTimeout {
-			cr.sendAppend(id, p, limit, nil, limit)
+			cr.sendAppend(id, p, limit, nil) // the answer says where the logs match
 		}
 		return
 	}
@@ -61,36 +71,30 @@
 		cr.sendInstall(id, p)
 		return
 	}
-	for underWay := cr.log.size(p.match+1, p.next-1); p.next <= limit && underWay < maxInFlightBytes; {
+	for inFlight := cr.log.size(p.match+1, p.next-1); p.next <= limit && inFlight < maxInFlightBytes; {
 		entries := cr.log.between(p.next, limit, maxAppendBytes)
-		cr.sendAppend(id, p, p.next-1, entries, limit)
+		cr.sendAppend(id, p, p.next-1, entries)
 		bytes := cr.log.size(p.next, p.next+uint64(len(entries))-1)
 		p.recordSent(cr.now, bytes)
 		p.next += uint64(len(entries))
-		underWay += bytes
+		inFlight += bytes
 	}
 }
 
-// replicationLimit is the last record that may be handed on: on disk here; to learners, committed.
-func (cr *chainReplica) replicationLimit(p *progress) uint64 {
-	if p.learner {
-		return cr.commitIndex
-	}
-	return cr.durableIndex()
-}
-
-func (cr *chainReplica) sendAppend(id ID, p *progress, prev uint64, entries []*replicationpb.Entry, limit uint64) {
+// sendAppend sends the entries after the record prev, or none to tell how far the log here goes and is committed.
+func (cr *chainReplica) sendAppend(id ID, p *progress, prev uint64, entries []*replicationpb.Entry) {
 	epoch, ok := cr.log.epochAt(prev)
 	if !ok {
 		return
 	}
 	p.lastSentAt = cr.now
 	cr.send(id, appendMessage(&replicationpb.Append{
-		Epoch: cr.acceptor.view.Epoch, PrevSeq: prev, PrevEpoch: epoch, Entries: entries,
-		Start: cr.epochStartIndex, End: limit, Committed: cr.commitIndex, Learner: p.learner, Follow: p.followNumber,
+		Epoch: cr.acceptor.view.Epoch, PrevSeq: prev, PrevEpoch: epoch, Entries: entries, Start: cr.epochStartIndex,
+		End: cr.replicationLimit(p), Committed: cr.commitIndex, Learner: p.learner, Follow: p.followNumber,
 	}))
 }
 
+// sendInstall sends the committed state, unless one is in flight.
 func (cr *chainReplica) sendInstall(id ID, p *progress) {
 	if p.snapshotInFlight && cr.now < p.resendAt {
 		return
@@ -107,6 +111,7 @@
 	}))
 }
 
+// handleAck takes up what a downstream node has on disk, and at a replica what is committed.
 func (cr *chainReplica) handleAck(from ID, m *replicationpb.Ack) {
 	p := cr.downstream[from]
 	if p == nil || m.GetEpoch() != cr.acceptor.view.Epoch || !cr.acceptor.viewDurable {
@@ -114,58 +119,72 @@
 	}
 	p.lastContactAt = cr.now
 	if m.GetMismatch() {
-		if !cr.canReplicate() {
-			return // what this link holds for sure it does not know yet; it is asked again
-		}
-		cr.locateMatch(p, m.GetBase(), m.GetBaseEpoch(), m.GetRuns())
-		if limit := cr.replicationLimit(p); p.next > limit && p.matchKnown {
-			cr.sendAppend(from, p, min(p.next-1, limit), nil, limit)
-			return
-		}
-		cr.replicateTo(from)
+		cr.handleMismatch(from, p, m)
 		return
 	}
-	if m.GetMatched() > p.match || !p.matchKnown {
-		p.match, p.advancedAt = max(p.match, m.GetMatched()), cr.now
-		p.next = max(p.next, p.match+1)
-		p.matchKnown, p.snapshotInFlight = true, false
-		p.resendAt = cr.now + resendTimeout + transferTime(cr.log.size(p.match+1, p.next-1))
+	cr.recordMatch(p, m.GetMatched())
+	if !p.learner && m.GetActive() {
+		cr.handleActiveSuccessor(from, p, m)
 	}
-	if p.learner {
-		cr.replicateTo(from)
-		return
+	cr.replicateTo(from)
+}
+
+// handleMismatch sends a downstream node records from where its log matches.
+func (cr *chainReplica) handleMismatch(from ID, p *progress, m *replicationpb.Ack) {
+	if !cr.canReplicate() {
+		return // how much of the log here is the chain's is not known yet; the node asks again
 	}
-	if m.GetActive() {
-		if m.GetComplete() && !p.activeToTail {
-			p.activeToTail = true
-			cr.sendAck()
-			cr.waiting.completeChanges()
-		}
-		if !p.active {
-			p.active, p.advancedAt = true, cr.now
-		}
-		if from == cr.successor() && cr.isActive() {
-			cr.advanceCommitIndex(min(m.GetCommitted(), cr.durableIndex()))
-		}
+	cr.locateMatch(p, logSummary{base: m.GetBase(), baseEpoch: m.GetBaseEpoch(), runs: m.GetRuns()})
+	if limit := cr.replicationLimit(p); p.next > limit && p.matchKnown {
+		cr.sendAppend(from, p, min(p.next-1, limit), nil)
+		return
 	}
 	cr.replicateTo(from)
 }
 
-// locateMatch finds where the logs part.
-func (cr *chainReplica) locateMatch(p *progress, base, baseEpoch uint64, runs []*replicationpb.Run) {
-	if joint, ok := cr.log.lastCommon(base, baseEpoch, runs); ok {
-		p.next, p.match, p.matchKnown = joint+1, joint, true
+// recordMatch takes up how far a downstream node has the log on disk.
+func (cr *chainReplica) recordMatch(p *progress, match uint64) {
+	if p.matchKnown && match <= p.match {
+		return
+	}
+	p.match, p.advancedAt = max(p.match, match), cr.now
+	p.next = max(p.next, p.match+1)
+	p.matchKnown, p.snapshotInFlight = true, false
+	p.resendAt = cr.now + resendTimeout + transferTime(cr.log.size(p.match+1, p.next-1))
+}
+
+// handleActiveSuccessor takes up that the successor is active, and commits what it says is committed.
+func (cr *chainReplica) handleActiveSuccessor(from ID, p *progress, m *replicationpb.Ack) {
+	if m.GetComplete() && !p.activeToTail {
+		p.activeToTail = true
+		cr.sendAck()
+		cr.waiting.completeChanges()
+	}
+	if !p.active {
+		p.active, p.advancedAt = true, cr.now
+	}
+	if from == cr.successor() && cr.isActive() {
+		cr.advanceCommitIndex(min(m.GetCommitted(), cr.durableIndex()))
+	}
+}
+
+// locateMatch finds where a downstream node's log matches this one; where it nowhere does, a snapshot is needed, unless the whole log
+// is in memory.
+func (cr *chainReplica) locateMatch(p *progress, theirs logSummary) {
+	if match, ok := cr.log.lastCommon(theirs); ok {
+		p.next, p.match, p.matchKnown = match+1, match, true
 		p.snapshotInFlight = false
 		return
 	}
-	p.next, p.match, p.matchKnown = 0, 0, true // below base: a snapshot
+	p.next, p.match, p.matchKnown = 0, 0, true
 	if cr.log.base == 0 {
 		p.next = 1
 	}
 }
 
+// handleFollow sends a node outside the chain what is committed.
 func (cr *chainReplica) handleFollow(from ID, m *replicationpb.Follow) {
-	if !cr.isActive() || !cr.holdsAcknowledged() || m.GetEpoch() != cr.acceptor.view.Epoch || cr.acceptor.view.chainIndex(from) >= 0 {
+	if !cr.canServeLearner(from, m.GetEpoch()) {
 		return
 	}
 	p := cr.downstream[from]
@@ -177,30 +196,79 @@
 		cr.downstream[from] = p
 	}
 	p.lastContactAt, p.followNumber = cr.now, m.GetNumber()
-	// Every call tells what the learner has. What is under way to it is not sent again before its time.
-	lagging, next := p.snapshotInFlight, p.next
-	cr.locateMatch(p, m.GetBase(), m.GetBaseEpoch(), m.GetRuns())
-	p.snapshotInFlight = lagging
+	// Every request tells what the learner has. What is in flight to it is not sent again before its time.
+	snapshotInFlight, next := p.snapshotInFlight, p.next
+	cr.locateMatch(p, logSummary{base: m.GetBase(), baseEpoch: m.GetBaseEpoch(), runs: m.GetRuns()})
+	p.snapshotInFlight = snapshotInFlight
 	if cr.now < p.resendAt && p.next > cr.log.base {
 		p.next = max(p.next, next)
 	}
 	before := p.lastSentAt
 	cr.replicateTo(from)
-	if p.lastSentAt != cr.now || before == cr.now {
-		// Nothing new to send: the call is answered all the same, by which the learner knows that it lacks nothing.
-		cr.sendAppend(from, p, min(p.match, cr.commitIndex), nil, cr.commitIndex)
+	if sentNothing := p.lastSentAt != cr.now || before == cr.now; sentNothing {
+		// The request is answered all the same, by which the learner knows that it lacks nothing.
+		cr.sendAppend(from, p, min(p.match, cr.commitIndex), nil)
+	}
+}
+
+// canServeLearner tells whether this replica has all that was acknowledged for a node outside the chain of the epoch.
+func (cr *chainReplica) canServeLearner(id ID, epoch uint64) bool {
+	v := cr.acceptor.view
+	return cr.isActive() && cr.holdsAcknowledged() && epoch == v.Epoch && v.chainIndex(id) < 0
+}
+
+// forgetLearners drops the learners that have not asked for long.
+func (cr *chainReplica) forgetLearners() {
+	for _, id := range slices.Sorted(maps.Keys(cr.downstream)) {
+		if p := cr.downstream[id]; p.learner && cr.now-p.lastContactAt > learnerTTL {
+			delete(cr.downstream, id)
+		}
 	}
 }
 
-// stalledSuccessor is the next link when it has not taken what it was sent for too long.
+// tickSuccessor repeats to the successor what may have been lost.
+func (cr *chainReplica) tickSuccessor() {
+	id := cr.successor()
+	if id == "" {
+		return
+	}
+	if p := cr.downstream[id]; p != nil {
+		if cr.hasAcknowledgedAll(p) {
+			p.advancedAt = cr.now
+		}
+		if cr.lacksAck(p) && cr.now-p.lastSentAt >= resendTimeout {
+			cr.sendAppend(id, p, cr.durableIndex(), nil)
+		}
+	}
+	cr.replicateTo(id)
+}
+
+// hasAcknowledgedAll tells whether the successor has nothing to acknowledge that it was sent.
+func (cr *chainReplica) hasAcknowledgedAll(p *progress) bool {
+	return !cr.canReplicate() || p.active && p.match >= cr.durableIndex()
+}
+
+// lacksAck tells whether an acknowledgement of the successor may have been lost: that records are committed which it has, or that it is
+// active though it has the whole log.
+func (cr *chainReplica) lacksAck(p *progress) bool {
+	if cr.hasAcknowledgedAll(p) {
+		return cr.commitIndex < cr.durableIndex()
+	}
+	return p.matchKnown && !p.active && p.match >= cr.durableIndex()
+}
+
+// stalledSuccessor is the successor when it has not acknowledged what it was sent for too long, else empty.
 func (cr *chainReplica) stalledSuccessor() ID {
 	id := cr.successor()
 	p := cr.downstream[id]
 	if id == "" || p == nil || !cr.canReplicate() {
 		return ""
 	}
-	switch wait := cr.now - p.advancedAt; {
-	case !p.active && wait > activationTimeout, p.active && p.match < cr.durableIndex() && wait > stalledTimeout+transferTime(cr.log.size(p.match+1, cr.durableIndex())):
+	wait := cr.now - p.advancedAt
+	switch {
+	case !p.active && wait > activationTimeout:
+		return id
+	case p.active && p.match < cr.durableIndex() && wait > stalledTimeout+transferTime(cr.log.size(p.match+1, cr.durableIndex())):
 		return id
 	}
 	return ""
--- a/internal/system/replication/memory_log.go
+++ b/internal/system/replication/memory_log.go
@@ -1,12 +1,14 @@
 package replication
 
 import (
+	"slices"
+
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// entry is a record and the epoch in which the head took it. The two numbers together name one record, and the whole
-// log below it, among all keepers: an epoch has one head, which hands on only what it has on disk.
+// entry is a record and the epoch in which the head accepted it. The two numbers together name one record, and the whole log below it,
+// among all nodes: an epoch has one head, which sends on only what it has on disk.
 type entry struct {
 	epoch uint64
 	rec   controlstate.Record
@@ -26,10 +28,10 @@
 
 func (e *entry) size() int { return 32 + len(e.rec.Body) + len(e.rec.Zone) }
 
-// maxReportedRuns bounds what a keeper tells of its log.
+// maxReportedRuns bounds what a node tells of its log.
 const maxReportedRuns = 64
 
-// memoryLog is the log in memory: the records above base.
+// memoryLog is the log in memory: the records above base, which is in a snapshot. The zero value is empty.
 type memoryLog struct {
 	base      uint64
 	baseEpoch uint64
@@ -40,7 +42,7 @@
 
 func (l *memoryLog) at(seq uint64) *entry { return &l.entries[seq-l.base-1] }
 
-// epochAt gives the epoch of the record seq, false where the log does not hold it.
+// epochAt gives the epoch of the record seq, false where it is not here.
 func (l *memoryLog) epochAt(seq uint64) (uint64, bool) {
 	switch {
 	case seq < l.base || seq > l.end():
@@ -68,12 +70,12 @@
 	l.base, l.baseEpoch = seq, epoch
 }
 
-// between copies the records from..to, as many as fit into bytes and one at least.
-func (l *memoryLog) between(from, to uint64, bytes int) []*replicationpb.Entry {
+// between copies the records from..to, as many as fit into maxBytes and one at least.
+func (l *memoryLog) between(from, to uint64, maxBytes int) []*replicationpb.Entry {
 	var out []*replicationpb.Entry
 	for seq := from; seq <= to && seq <= l.end(); seq++ {
 		e := l.at(seq)
-		if bytes -= e.size(); bytes < 0 && len(out) > 0 {
+		if maxBytes -= e.size(); maxBytes < 0 && len(out) > 0 {
 			break
 		}
 		out = append(out, e.pb())
@@ -81,51 +83,66 @@
 	return out
 }
 
-// size is what the records from..to take, as far as they are held.
+// size is the number of bytes that the records from..to take, as far as they are here.
 func (l *memoryLog) size(from, to uint64) int {
-	n := 0
+	total := 0
 	for seq := max(from, l.base+1); seq <= to && seq <= l.end(); seq++ {
-		n += l.at(seq).size()
+		total += l.at(seq).size()
 	}
-	return n
+	return total
+}
+
+// logSummary tells what a log holds: the record base, all below it, and runs of records of one epoch above it, the oldest first.
+type logSummary struct {
+	base, baseEpoch uint64
+	runs            []*replicationpb.Run
 }
 
-// runs lists the newest stretches of records of one epoch, the oldest first.
-func (l *memoryLog) runs() (base, baseEpoch uint64, runs []*replicationpb.Run) {
-	base, baseEpoch = l.base, l.baseEpoch
+// summary describes the newest maxReportedRuns runs.
+func (l *memoryLog) summary() logSummary {
+	sum := logSummary{base: l.base, baseEpoch: l.baseEpoch}
 	for i := range l.entries {
 		e := &l.entries[i]
-		if n := len(runs); n > 0 && runs[n-1].Epoch == e.epoch {
-			runs[n-1].Last = e.rec.Seq
+		if n := len(sum.runs); n > 0 && sum.runs[n-1].Epoch == e.epoch {
+			sum.runs[n-1].Last = e.rec.Seq
 			continue
 		}
-		runs = append(runs, &replicationpb.Run{Epoch: e.epoch, Last: e.rec.Seq})
+		sum.runs = append(sum.runs, &replicationpb.Run{Epoch: e.epoch, Last: e.rec.Seq})
 	}
-	if n := len(runs); n > maxReportedRuns {
-		base, baseEpoch = runs[n-maxReportedRuns-1].Last, runs[n-maxReportedRuns-1].Epoch
-		runs = runs[n-maxReportedRuns:]
+	if dropped := len(sum.runs) - maxReportedRuns; dropped > 0 {
+		newest := sum.runs[dropped-1]
+		sum.base, sum.baseEpoch, sum.runs = newest.Last, newest.Epoch, sum.runs[dropped:]
 	}
-	return base, baseEpoch, runs
+	return sum
 }
 
-// lastCommon finds the newest record that both this log and the one told of hold; false when none is in sight.
-func (l *memoryLog) lastCommon(base, baseEpoch uint64, runs []*replicationpb.Run) (uint64, bool) {
-	for i := len(runs) - 1; i >= 0; i-- {
-		first := base + 1
+// lastCommon finds the newest record that both this log and the one described hold; false when none is in sight. Epoch and number name a
+// record and the log below it, so the logs agree up to there.
+func (l *memoryLog) lastCommon(theirs logSummary) (uint64, bool) {
+	for i, run := range slices.Backward(theirs.runs) {
+		first := theirs.base + 1
 		if i > 0 {
-			first = runs[i-1].GetLast() + 1
+			first = theirs.runs[i-1].GetLast() + 1
 		}
-		for seq := min(runs[i].GetLast(), l.end()); seq >= first && seq >= l.base; seq-- {
-			if e, ok := l.epochAt(seq); ok && e == runs[i].GetEpoch() {
-				return seq, true
-			}
-			if seq == 0 {
-				break
-			}
+		if seq, ok := l.lastOf(run.GetEpoch(), first, run.GetLast()); ok {
+			return seq, true
 		}
 	}
-	if e, ok := l.epochAt(base); ok && e == baseEpoch {
-		return base, true
+	if epoch, ok := l.epochAt(theirs.base); ok && epoch == theirs.baseEpoch {
+		return theirs.base, true
+	}
+	return 0, false
+}
+
+// lastOf finds the newest record of the epoch among first..last.
+func (l *memoryLog) lastOf(wanted, first, last uint64) (uint64, bool) {
+	for seq := min(last, l.end()); seq >= first && seq >= l.base; seq-- {
+		if epoch, ok := l.epochAt(seq); ok && epoch == wanted {
+			return seq, true
+		}
+		if seq == 0 {
+			break
+		}
 	}
 	return 0, false
 }
--- a/internal/system/replication/read_confirm.go
+++ b/internal/system/replication/read_confirm.go
@@ -58,12 +58,6 @@
 	})
 }
 
-// holdsAcknowledged tells whether this link knows to be committed all that may have been acknowledged before it came to its place,
-// in its present life.
-func (cr *chainReplica) holdsAcknowledged() bool {
-	return cr.commitIndex >= cr.minReadIndex || cr.cfg.knobs.SkipMinReadIndex
-}
-
 // confirmEpoch calls f once a majority of voters has said, asked from now on, that they know of no view after this one and
 // have accepted none. A later view is chosen only when a majority has accepted it, so none is yet.
 func (rc *readConfirmation) confirmEpoch(f func(bool)) {
--- a/internal/system/replication/restore.go
+++ b/internal/system/replication/restore.go
@@ -9,17 +9,17 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// RestoredSnapshot gives the snapshot for the empty disk of a keeper that is to begin with s. The disk gets no register, so
-// the keeper gets a new identity, and the keepers form a first view, whose head is one that holds the most. The other
-// links take what the head has; whoever comes later takes what the chain has.
+// RestoredSnapshot gives the snapshot for the empty disk of a node that is to begin with s. The disk gets no acceptor state, so the node gets
+// a new identity, and the nodes form a first view, whose head is one with the longest log. The other replicas receive what the head has,
+// and nodes that come later what the chain has.
 func RestoredSnapshot(s *controlstate.State) (wal.Snapshot, error) {
 	if s.Seq == 0 {
-		return wal.Snapshot{}, errors.New("replication: the state holds no record: start the keepers without it")
+		return wal.Snapshot{}, errors.New("replication: the state holds no record: start the nodes without it")
 	}
 	return encodeImage(s.Seq, 0, controlState{s}) // epoch 0: from before the first view
 }
 
-// RecoverState gives the state after all records that a keeper's disk holds. The last of them may never have been
+// RecoverState gives the state after all records that a node's disk holds. The last of them may never have been
 // acknowledged.
 func RecoverState(snap wal.Snapshot, entries []wal.Entry) (*controlstate.State, error) {
 	c, err := NewCore(Config{}, controlMachine{}, nil, snap, entries)
@@ -29,19 +29,19 @@
 	s := c.chain.state
 	for seq := c.chain.commitIndex + 1; seq <= c.chain.log.end(); seq++ {
 		if s, err = s.Apply(c.chain.log.at(seq).rec); err != nil {
-			return nil, errors.Wrapf(err, "replication: record %d cannot be applied", seq)
+			return nil, applyError(err, seq)
 		}
 	}
-	held, ok := s.(controlState)
+	recovered, ok := s.(controlState)
 	if !ok {
 		return nil, errors.AssertionFailedf("replication: a state of type %T: report it", s)
 	}
-	return held.State, nil
+	return recovered.State, nil
 }
 
 // longestLogs lists those of the members with the longest log: before the first view, what was restored.
 func (pl *planner) longestLogs(members []Member) []Member {
-	held := func(m Member) uint64 {
+	logEnd := func(m Member) uint64 {
 		if m.ID == pl.self.ID {
 			return pl.chain.commitIndex
 		}
@@ -50,25 +50,26 @@
 		}
 		return 0
 	}
-	var most uint64
+	var longest uint64
 	for _, m := range members {
-		most = max(most, held(m))
+		longest = max(longest, logEnd(m))
 	}
-	return slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return held(m) < most })
+	return slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return logEnd(m) < longest })
 }
 
-// discardRestoredLog empties the log of a keeper whose first view is v, unless it leads there, and tells whether v has to wait for
-// that. What was restored here is no part of the chain's log, which may have begun with something else, or with nothing;
-// records are compared by number and epoch only, and below a snapshot not at all. The log is empty on disk before the view
-// is there, so that no restart comes between.
+// discardRestoredLog empties the log of a node whose first view is v, unless it leads there, and tells whether v has to wait for that.
+// What was restored here is no part of the chain's log, which may have begun with something else, or with nothing; records are
+// compared by number and epoch only, and below a snapshot not at all. The log is empty on disk before the view is there, so that no
+// restart comes between.
 func (cr *chainReplica) discardRestoredLog(v *View) bool {
 	if cr.acceptor.view.Epoch > 0 || v.Head() == cr.self.ID {
 		return false
 	}
 	if cr.log.end() > 0 {
-		cr.logEvent("replication: the restored state here gives way to that of the head")
+		cr.logEvent("replication: discarding the restored state in favor of the head's")
 		cr.log, cr.state, cr.commitIndex = memoryLog{}, cr.machine.Empty(), 0
-		cr.writer.pendingInstall, cr.writer.durableEnd, cr.writer.truncateNeeded, cr.writer.snapshotSeq = &wal.Snapshot{}, 0, false, 0
+		cr.writer.install(&wal.Snapshot{})
+		cr.writer.snapshotSeq = 0
 	}
 	return cr.writer.pendingInstall != nil
 }
--- a/internal/system/replication/upstream.go
+++ b/internal/system/replication/upstream.go
@@ -1,14 +1,14 @@
 package replication
 
 import (
-	"github.com/cockroachdb/errors"
+	"slices"
 
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// This file is the receiving side of the chain: links and learners take what the one upstream hands on.
+// This file is the receiving side of the chain: replicas and learners receive records or snapshots from the replica upstream.
 
-// isUpstream tells whether id feeds this keeper in the epoch.
+// isUpstream tells whether id sends this node the log of the epoch: its predecessor, or for a learner any replica.
 func (cr *chainReplica) isUpstream(id ID, epoch uint64, learner bool) bool {
 	if cr.err != nil {
 		return false
@@ -20,19 +20,52 @@
 	if epoch != cr.acceptor.view.Epoch || !cr.acceptor.viewDurable {
 		return false
 	}
-	if cr.acceptor.view.chainIndex(cr.self.ID) >= 0 {
+	if cr.isInChain() {
 		return !learner && id == cr.predecessor()
 	}
 	return learner && cr.acceptor.view.chainIndex(id) >= 0
 }
 
+// sendMismatch asks the replica upstream for records, and says what the log here holds.
 func (cr *chainReplica) sendMismatch(to ID) {
-	base, baseEpoch, runs := cr.log.runs()
+	sum := cr.log.summary()
 	cr.send(to, ackMessage(&replicationpb.Ack{
-		Epoch: cr.acceptor.view.Epoch, Mismatch: true, Base: base, BaseEpoch: baseEpoch, Runs: runs,
+		Epoch: cr.acceptor.view.Epoch, Mismatch: true, Base: sum.base, BaseEpoch: sum.baseEpoch, Runs: sum.runs,
 	}))
 }
 
+// sendAck tells the predecessor what is on disk here and what is committed.
+func (cr *chainReplica) sendAck() {
+	predecessor := cr.predecessor()
+	if predecessor == "" || !cr.upstreamMatched || !cr.acceptor.viewDurable || cr.err != nil {
+		return
+	}
+	cr.ackSentAt = cr.now
+	cr.send(predecessor, ackMessage(&replicationpb.Ack{
+		Epoch: cr.acceptor.view.Epoch, Matched: cr.durableIndex(), Committed: cr.commitIndex,
+		Active: cr.isActive(), Complete: cr.isActiveToTail(),
+	}))
+}
+
+// tickPredecessor repeats the acknowledgement, or asks for records where none have come yet.
+func (cr *chainReplica) tickPredecessor() {
+	interval := resendTimeout
+	if !cr.upstreamMatched {
+		interval = catchUpInterval
+	}
+	predecessor := cr.predecessor()
+	if predecessor == "" || cr.now-cr.ackSentAt < interval {
+		return
+	}
+	cr.ackSentAt = cr.now
+	if cr.upstreamMatched {
+		cr.sendAck()
+	} else {
+		cr.sendMismatch(predecessor)
+	}
+}
+
+// handleAppend takes up records, or the news that there are none to send.
 func (cr *chainReplica) handleAppend(from ID, m *replicationpb.Append) {
 	if !cr.isUpstream(from, m.GetEpoch(), m.GetLearner()) {
 		return
@@ -50,57 +83,82 @@
 	if cr.cfg.knobs.TruncateOnJoin && !cr.isActive() {
 		cr.truncateLog(max(prev, cr.commitIndex))
 	}
-	for _, p := range entries {
-		seq := p.GetSeq()
-		if have, ok := cr.log.epochAt(seq); ok {
-			if have == p.GetEpoch() {
+	if !cr.appendEntries(entries) {
+		return
+	}
+	cr.matchIndex, cr.upstreamMatched = max(cr.matchIndex, min(last, cr.log.end())), true
+	if m.GetLearner() {
+		cr.followUpstream(from, m)
+		return
+	}
+	if cr.acceptor.activeEpoch != cr.acceptor.view.Epoch {
+		cr.alignEnd(m)
+	}
+	// Needed though nothing may have been written: after a start of all nodes, all replicas may hold the same log, and no write follows
+	// upon which the tail would commit it.
+	cr.onDurableChange()
+}
+
+// appendEntries adds the records that the log lacks, in place of those of other epochs. It gives false where they do not continue the
+// log, or contradict what cannot be truncated.
+func (cr *chainReplica) appendEntries(entries []*replicationpb.Entry) bool {
+	for _, e := range entries {
+		seq := e.GetSeq()
+		if epoch, ok := cr.log.epochAt(seq); ok {
+			if epoch == e.GetEpoch() {
 				continue
 			}
-			if seq <= cr.commitIndex || cr.isActive() && !cr.cfg.knobs.AcceptAnyEpoch {
-				cr.fail(errors.Newf("replication: record %d here is of epoch %d, at the link before of epoch %d: empty this keeper's data directory",
-					seq, have, p.GetEpoch()))
-				return
+			if !cr.canTruncate(seq) {
+				cr.fail(&DivergedLogError{Seq: seq, Epoch: epoch, UpstreamEpoch: e.GetEpoch()})
+				return false
 			}
 			cr.truncateLog(seq - 1)
 		}
 		if seq != cr.log.end()+1 {
-			return
+			return false
 		}
-		cr.log.entries = append(cr.log.entries, entryOf(p))
+		cr.log.entries = append(cr.log.entries, entryOf(e))
 	}
-	cr.matchIndex, cr.upstreamMatched = max(cr.matchIndex, min(last, cr.log.end())), true
-	if m.GetLearner() {
-		// What was under way while this process stood still says nothing of now.
-		if n := m.GetFollow(); n <= cr.liveness.heartbeatNumber && n+heartbeatHistory > cr.liveness.heartbeatNumber {
-			cr.caughtUp, cr.caughtUpAt = true, max(cr.caughtUpAt, cr.liveness.heartbeatSentAt[n%heartbeatHistory])
-		}
-		cr.upstreamCommitIndex = max(cr.upstreamCommitIndex, m.GetCommitted())
-		cr.advanceCommitIndex(min(cr.upstreamCommitIndex, cr.matchIndex, cr.writer.durableEnd))
-		cr.send(from, ackMessage(&replicationpb.Ack{Epoch: m.GetEpoch(), Matched: cr.durableIndex()}))
+	return true
+}
+
+// canTruncate tells whether the record seq and those above it may never have been acknowledged: it is not committed, and this replica
+// does not vouch for its log yet.
+func (cr *chainReplica) canTruncate(seq uint64) bool {
+	return seq > cr.commitIndex && (!cr.isActive() || cr.cfg.knobs.AcceptAnyEpoch)
+}
+
+// followUpstream has a learner commit what is committed upstream.
+func (cr *chainReplica) followUpstream(from ID, m *replicationpb.Append) {
+	// The answer counts from when its request was sent: what was in flight while this process was stalled proves nothing of now.
+	if sentAt, ok := cr.liveness.sentTime(m.GetFollow()); ok {
+		cr.caughtUp, cr.caughtUpAt = true, max(cr.caughtUpAt, sentAt)
+	}
+	cr.upstreamCommitIndex = max(cr.upstreamCommitIndex, m.GetCommitted())
+	cr.commitAsLearner()
+	cr.send(from, ackMessage(&replicationpb.Ack{Epoch: m.GetEpoch(), Matched: cr.durableIndex()}))
+}
+
+// alignEnd drops what a replica that is not active holds beyond the log of its predecessor, where that is of an old epoch: it was never
+// acknowledged. A predecessor that has just started may not know yet where its log ends; all that was acknowledged is at most
+// epochStartIndex in any case, so less is never dropped.
+func (cr *chainReplica) alignEnd(m *replicationpb.Append) {
+	cr.epochStartIndex = m.GetStart()
+	end := m.GetEnd()
+	if end < max(cr.epochStartIndex, cr.commitIndex) || end >= cr.log.end() {
 		return
 	}
-	if cr.acceptor.activeEpoch != cr.acceptor.view.Epoch {
-		cr.epochStartIndex = m.GetStart()
-		// What goes beyond the link before is of an old epoch and was never acknowledged. A link before that has just
-		// started may not know yet where its log ends; all that was acknowledged is below start in any case.
-		end := m.GetEnd()
-		if end >= max(cr.epochStartIndex, cr.commitIndex) && end < cr.log.end() && cr.log.at(end+1).epoch != cr.acceptor.view.Epoch {
-			cr.truncateLog(end)
-		}
+	if cr.log.at(end+1).epoch != cr.acceptor.view.Epoch {
+		cr.truncateLog(end)
 	}
-	// Danger: after a start all links may hold the same log, and no write follows upon which the tail would commit it.
-	cr.onDurableChange()
 }
 
-// tryActivate makes this link active once all of its predecessor's log from before the epoch is on its disk.
+// tryActivate makes this replica active once all of its predecessor's log from before the epoch is on its disk.
 func (cr *chainReplica) tryActivate() {
-	v := cr.acceptor.view
-	if !cr.acceptor.viewDurable || cr.err != nil || cr.acceptor.activeEpoch == v.Epoch || cr.acceptor.sealedEpoch == v.Epoch || !cr.upstreamMatched || cr.predecessor() == "" {
-		return
-	}
-	if cr.matchIndex < cr.epochStartIndex || cr.writer.durableEnd < cr.epochStartIndex || cr.writer.truncateNeeded || cr.writer.pendingInstall != nil {
+	if !cr.mayActivate() || !cr.holdsEpochStart() {
 		return
 	}
+	v := cr.acceptor.view
 	cr.acceptor.activeEpoch, cr.minReadIndex = v.Epoch, max(cr.minReadIndex, cr.epochStartIndex)
 	cr.writer.persist(func() {
 		if cr.acceptor.view == v {
@@ -109,45 +167,59 @@
 	})
 }
 
+// mayActivate tells whether this replica takes part in the epoch, has not sealed it and is not active yet. The head is made active by
+// acceptor.enterEpoch.
+func (cr *chainReplica) mayActivate() bool {
+	ac := cr.acceptor
+	isOpen := ac.activeEpoch != ac.view.Epoch && ac.sealedEpoch != ac.view.Epoch
+	return cr.err == nil && ac.viewDurable && isOpen && cr.upstreamMatched && cr.predecessor() != ""
+}
+
+// holdsEpochStart tells whether the log up to where the epoch began is the predecessor's, and on disk.
+func (cr *chainReplica) holdsEpochStart() bool {
+	return cr.matchIndex >= cr.epochStartIndex && cr.writer.durableEnd >= cr.epochStartIndex && cr.writer.isLogClean()
+}
+
+// handleInstall takes up a snapshot.
 func (cr *chainReplica) handleInstall(from ID, m *replicationpb.Install) {
 	if !cr.isUpstream(from, m.GetEpoch(), m.GetLearner()) || cr.isActive() || m.GetSeq() <= cr.commitIndex {
 		return
 	}
-	s, err := cr.machine.Decode(m.GetState())
+	state, err := cr.machine.Decode(m.GetState())
 	if err != nil {
-		cr.logEvent("replication: a snapshot from another keeper cannot be read: " + err.Error())
+		cr.logEvent("replication: a snapshot from another node cannot be decoded: " + err.Error())
 		return
 	}
-	snap, err := encodeImage(m.GetSeq(), m.GetSeqEpoch(), s)
+	snap, err := encodeImage(m.GetSeq(), m.GetSeqEpoch(), state)
 	if err != nil {
 		cr.fail(err)
 		return
 	}
-	// What was here may have been acknowledged, and is gone until the records above the snapshot come: this log does
-	// not stand for earlier epochs any more.
+	// What was here may have been acknowledged, and is gone until the records above the snapshot come: this log does not stand for
+	// earlier epochs any more. That is on disk before the log is dropped there.
 	cr.acceptor.activeEpoch = 0
 	cr.writer.persist(nil)
 	cr.log = memoryLog{base: m.GetSeq(), baseEpoch: m.GetSeqEpoch()}
-	cr.state, cr.commitIndex, cr.matchIndex = s, m.GetSeq(), m.GetSeq()
-	cr.writer.pendingInstall, cr.writer.durableEnd, cr.writer.truncateNeeded = &snap, 0, false
+	cr.state, cr.commitIndex, cr.matchIndex = state, m.GetSeq(), m.GetSeq()
+	cr.writer.install(&snap)
 	cr.waiting.completeReads()
 	cr.send(from, ackMessage(&replicationpb.Ack{Epoch: m.GetEpoch(), Matched: m.GetSeq()}))
 }
 
-// sendFollow asks a link for what is committed, when this keeper is outside the chain.
+// sendFollow asks the last active replica for what is committed, when this node is outside the chain. The request goes with each
+// heartbeat and has its number.
 func (cr *chainReplica) sendFollow() {
 	v := cr.acceptor.view
-	if v.Epoch == 0 || !cr.acceptor.viewDurable || v.chainIndex(cr.self.ID) >= 0 {
+	if v.Epoch == 0 || !cr.acceptor.viewDurable || cr.isInChain() {
 		return
 	}
-	for i := len(v.Chain) - 1; i >= 0; i-- {
-		id := v.Chain[i]
+	for _, id := range slices.Backward(v.Chain) {
 		if p := cr.liveness.peers[id]; p == nil || !cr.liveness.isAlive(id) || p.heartbeat.GetActive() != v.Epoch {
 			continue
 		}
-		base, baseEpoch, runs := cr.log.runs()
+		sum := cr.log.summary()
 		cr.send(id, followMessage(&replicationpb.Follow{
-			Epoch: v.Epoch, Base: base, BaseEpoch: baseEpoch, Runs: runs, Number: cr.liveness.heartbeatNumber,
+			Epoch: v.Epoch, Base: sum.base, BaseEpoch: sum.baseEpoch, Runs: sum.runs, Number: cr.liveness.heartbeatNumber,
 		}))
 		return
 	}
