--- a/internal/system/replication/change_decider.go
+++ b/internal/system/replication/change_decider.go
@@ -8,12 +8,17 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// changeDecider is the head's side of changes: it decides on each forwarded change once, appends what is accepted to the log,
-// and answers when the record that the verdict rests on is committed.
+const (
+	changeTTL  = 15 * time.Second // how long a duplicate of a change is recognized; longer than any change may be in flight
+	maxChanges = 4096
+)
+
+// changeDecider is the head's side of changes: it decides on each forwarded change once, by the state after the whole log, appends what is
+// accepted, and answers when the record that the verdict rests on is committed.
 type changeDecider struct {
 	*environment
 	changes map[changeKey]*pendingChange
-	pending []*pendingChange // in the head's log and not yet committed, by number
+	pending []*pendingChange // in the head's log and not yet answered, by number
 
 	acceptor     *acceptor
 	writer       *diskWriter
@@ -22,148 +27,175 @@
 	confirmation *readConfirmation
 }
 
+// changeKey names a change among all that were ever forwarded.
 type changeKey struct {
 	from                    ID
-	incarnation, callNumber uint64
+	incarnation, callNumber uint64 // of the sender
 }
 
-// pendingChange is a change that came to the head.
+// pendingChange is a change that was forwarded to the head.
 type pendingChange struct {
 	key       changeKey
 	verdict   controlstate.Verdict
-	seq       uint64 // the verdict stands when this is committed
-	confirmed bool
+	seq       uint64 // the verdict stands when this record is committed
+	confirmed bool   // the verdict needs no confirmation of the epoch any more
 	done      bool
 	outcome   Outcome
 	closedAt  time.Duration
 }
 
+// handleForward decides on a change, unless it has already.
 func (cd *changeDecider) handleForward(from ID, m *replicationpb.Forward) {
 	key := changeKey{from: from, incarnation: m.GetLife(), callNumber: m.GetId()}
-	if o := cd.changes[key]; o != nil && !cd.cfg.knobs.SkipDeduplication {
-		if o.done {
-			cd.sendAnswer(o)
+	if known := cd.changes[key]; known != nil && !cd.cfg.knobs.SkipDeduplication {
+		if known.done {
+			cd.sendAnswer(known)
 		}
 		return
 	}
 	if m.GetHeadLife() != cd.cfg.Incarnation && !cd.cfg.knobs.AcceptAnyHeadIncarnation {
-		return // it was for a former life: its sender notices
+		return // it was for a former incarnation: its sender notices by the heartbeats
 	}
 	if len(cd.changes) >= maxChanges {
-		// Not Refused: its key is not kept, so a double of this message may be taken once there is room.
+		// Not Refused: the key is not kept, so a duplicate of this message may be accepted once there is capacity.
 		cd.sendAnswer(&pendingChange{key: key, outcome: Unknown})
 		return
 	}
-	o := &pendingChange{key: key, closedAt: cd.now}
-	cd.changes[key] = o
+	change := &pendingChange{key: key, closedAt: cd.now}
+	cd.changes[key] = change
 	if !cd.canDecide(from, m) {
-		cd.closeChange(o, Refused)
+		cd.closeChange(change, Refused)
 		return
 	}
-	cd.decide(o, m.GetChange())
-	o.seq = cd.chain.log.end()
-	cd.pending = append(cd.pending, o)
-	if cd.cfg.knobs.SkipVerdictConfirmation && o.verdict.Kind != controlstate.Accepted {
-		o.seq, o.confirmed = 0, true
-	}
-	if !o.confirmed {
-		// A deposed head must not judge by what it holds.
-		cd.confirmation.confirmEpoch(func(ok bool) {
-			if o.done {
-				return
-			}
-			if o.confirmed = ok; !ok {
-				cd.closeChange(o, Refused)
-			}
-			cd.completeChanges()
-		})
+	cd.decide(change, m.GetChange())
+	if !change.confirmed {
+		cd.confirmVerdict(change)
 	}
 	cd.completeChanges()
 }
 
-// canDecide tells whether this keeper is the head that the change was sent to, can log it, and its caller still waits.
+// canDecide tells whether this node is the head that the change was sent to, in the epoch of the change, can append it, and the caller
+// still waits.
 func (cd *changeDecider) canDecide(from ID, m *replicationpb.Forward) bool {
-	sameEpoch := m.GetEpoch() == cd.acceptor.view.Epoch || cd.cfg.knobs.AcceptForwardsOfEarlierEpochs
-	canLog := !cd.writer.unhealthy && !cd.liveness.leaving && len(cd.pending) < maxPendingCalls && len(cd.acceptor.view.Chain) >= cd.cfg.minChainLength()
-	return cd.chain.isHead() && sameEpoch && canLog && cd.isBeforeDeadline(from, m)
+	isSameEpoch := m.GetEpoch() == cd.acceptor.view.Epoch || cd.cfg.knobs.AcceptForwardsOfEarlierEpochs
+	return cd.chain.isHead() && isSameEpoch && cd.canAppend() && cd.isBeforeDeadline(from, m)
 }
 
-// decide decides on a change by the state after the whole log, and logs it when it is accepted.
-func (cd *changeDecider) decide(o *pendingChange, p *replicationpb.Entry) {
-	change := controlstate.Change{Op: controlstate.Op(p.GetOp()), Base: p.GetBase(), Body: p.GetBody(), Zone: p.GetZone()}
-	o.verdict = cd.chain.speculativeState().Check(change)
-	if o.verdict.Kind != controlstate.Accepted {
-		return
-	}
-	rec := change.Record(cd.chain.log.end() + 1)
-	next, err := cd.chain.speculativeState().Apply(rec)
-	if err != nil {
-		o.verdict = controlstate.Verdict{Kind: controlstate.Invalid, Reason: err.Error()}
-		return
-	}
-	cd.chain.uncommittedStates = append(cd.chain.uncommittedStates, next)
-	cd.chain.log.entries = append(cd.chain.log.entries, entry{epoch: cd.acceptor.view.Epoch, rec: rec})
-	o.confirmed = true
+// canAppend tells whether a record appended now is likely to be committed, and there is capacity for it.
+func (cd *changeDecider) canAppend() bool {
+	isFit := !cd.writer.unhealthy && !cd.liveness.leaving
+	return isFit && len(cd.pending) < maxPendingCalls && len(cd.acceptor.view.Chain) >= cd.cfg.minChainLength()
 }
 
-// isBeforeDeadline tells whether the caller of a forwarded change still waits for it. What the message says of the time left counts
-// from when it was sent, and it may have been under way for long. It was sent after this head's heartbeat that its sender
-// had heard, and when that was this head knows by its own clock. So no change is taken after its caller's deadline, at the
-// cost of the time since that heartbeat. It takes that clocks run at one rate, not that they agree.
+// isBeforeDeadline tells whether the caller of a forwarded change still waits for it (invariant 6 of the package).
+//
+// The message says how much time was left when it was sent, and it may have been in flight for long. Let it be sent at s with time t left.
+// Its sender had by then received the head's heartbeat h, so s ≥ sent(h), which the head knows by its own clock. The change is accepted
+// at n only if n − sent(h) < t; then n < s + t. The cost is the time since h. It assumes that clocks run at one rate, not that they agree.
 func (cd *changeDecider) isBeforeDeadline(from ID, m *replicationpb.Forward) bool {
-	ttl := time.Duration(m.GetTtlUs()) * time.Microsecond
+	timeLeft := time.Duration(m.GetTtlUs()) * time.Microsecond
 	if from == cd.self.ID || cd.cfg.knobs.AcceptLateForwards {
-		return ttl > 0
+		return timeLeft > 0
+	}
+	sentAt, ok := cd.liveness.sentTime(m.GetHeard())
+	return ok && cd.now-sentAt < timeLeft
+}
+
+// decide decides on a change by the state after the whole log, and appends it when it is accepted. The verdict rests on that whole log.
+func (cd *changeDecider) decide(change *pendingChange, p *replicationpb.Entry) {
+	if cd.tryAppend(change, p) {
+		change.confirmed = true // the epoch is confirmed when the record is committed
+	}
+	change.seq = cd.chain.log.end()
+	cd.pending = append(cd.pending, change)
+	if cd.cfg.knobs.SkipVerdictConfirmation && change.verdict.Kind != controlstate.Accepted {
+		change.seq, change.confirmed = 0, true
+	}
+}
+
+// tryAppend appends the change when it is accepted, and sets the verdict.
+func (cd *changeDecider) tryAppend(change *pendingChange, p *replicationpb.Entry) bool {
+	wanted := controlstate.Change{Op: controlstate.Op(p.GetOp()), Base: p.GetBase(), Body: p.GetBody(), Zone: p.GetZone()}
+	state := cd.chain.speculativeState()
+	if change.verdict = state.Check(wanted); change.verdict.Kind != controlstate.Accepted {
+		return false
 	}
-	heard := m.GetHeard()
-	if heard == 0 || heard > cd.liveness.heartbeatNumber || heard+heartbeatHistory <= cd.liveness.heartbeatNumber {
+	rec := wanted.Record(cd.chain.log.end() + 1)
+	next, err := state.Apply(rec)
+	if err != nil {
+		change.verdict = controlstate.Verdict{Kind: controlstate.Invalid, Reason: err.Error()}
 		return false
 	}
-	return cd.now-cd.liveness.heartbeatSentAt[heard%heartbeatHistory] < ttl
+	cd.chain.appendAsHead(entry{epoch: cd.acceptor.view.Epoch, rec: rec}, next)
+	return true
 }
 
-func (cd *changeDecider) closeChange(o *pendingChange, out Outcome) {
-	o.done, o.outcome, o.closedAt = true, out, cd.now
-	cd.sendAnswer(o)
+// confirmVerdict asks the voters before a verdict that appends nothing is given: a deposed head must not decide by what it holds.
+func (cd *changeDecider) confirmVerdict(change *pendingChange) {
+	cd.confirmation.confirmEpoch(func(confirmed bool) {
+		if change.done {
+			return
+		}
+		if change.confirmed = confirmed; !confirmed {
+			cd.closeChange(change, Refused)
+		}
+		cd.completeChanges()
+	})
 }
 
-func (cd *changeDecider) sendAnswer(o *pendingChange) {
-	cd.send(o.key.from, answerMessage(&replicationpb.Answer{
-		Id: o.key.callNumber, Life: o.key.incarnation, Outcome: uint32(o.outcome), Kind: uint32(o.verdict.Kind), Reason: o.verdict.Reason, Seq: o.seq,
+func (cd *changeDecider) closeChange(change *pendingChange, outcome Outcome) {
+	change.done, change.outcome, change.closedAt = true, outcome, cd.now
+	cd.sendAnswer(change)
+}
+
+func (cd *changeDecider) sendAnswer(change *pendingChange) {
+	cd.send(change.key.from, answerMessage(&replicationpb.Answer{
+		Id: change.key.callNumber, Life: change.key.incarnation, Outcome: uint32(change.outcome),
+		Kind: uint32(change.verdict.Kind), Reason: change.verdict.Reason, Seq: change.seq,
 	}))
 }
 
+// completeChanges answers the changes whose verdict stands.
 func (cd *changeDecider) completeChanges() {
-	cd.pending = slices.DeleteFunc(cd.pending, func(o *pendingChange) bool {
-		if !o.done && o.confirmed && o.seq <= cd.chain.commitIndex && (o.verdict.Kind == controlstate.Accepted || cd.chain.isActiveToTail() || cd.cfg.knobs.SkipVerdictConfirmation) {
-			cd.closeChange(o, Answered)
+	cd.pending = slices.DeleteFunc(cd.pending, func(change *pendingChange) bool {
+		if !change.done && cd.isFinal(change) {
+			cd.closeChange(change, Answered)
 		}
-		return o.done
+		return change.done
 	})
 }
 
-// abandonChanges ends what a head that is about to enter another view cannot answer any more. A head that remains the head
-// keeps its log, so what is in it may still be committed.
+// isFinal tells whether the verdict rests on what is committed alone. One that appends nothing needs the whole chain to be active as well:
+// a replica that is not may still hold a log of an old epoch with records that the head lacks.
+func (cd *changeDecider) isFinal(change *pendingChange) bool {
+	if !change.confirmed || change.seq > cd.chain.commitIndex {
+		return false
+	}
+	return change.verdict.Kind == controlstate.Accepted || cd.chain.isActiveToTail() || cd.cfg.knobs.SkipVerdictConfirmation
+}
+
+// abandonChanges ends what a head that is about to enter another view cannot answer any more. A head that remains the head keeps its log,
+// so what is in it may still be committed.
 func (cd *changeDecider) abandonChanges() {
-	stays := cd.acceptor.view.Head() == cd.self.ID && cd.acceptor.activeEpoch == cd.acceptor.view.Epoch
+	remainsHead := cd.acceptor.view.Head() == cd.self.ID && cd.acceptor.activeEpoch == cd.acceptor.view.Epoch
 	cd.confirmation.failConfirmations()
-	cd.pending = slices.DeleteFunc(cd.pending, func(o *pendingChange) bool {
-		if !o.done && !stays {
-			if o.verdict.Kind == controlstate.Accepted {
-				cd.closeChange(o, Unknown)
-			} else {
-				cd.closeChange(o, Refused)
-			}
+	cd.pending = slices.DeleteFunc(cd.pending, func(change *pendingChange) bool {
+		switch {
+		case change.done || remainsHead:
+		case change.verdict.Kind == controlstate.Accepted:
+			cd.closeChange(change, Unknown)
+		default:
+			cd.closeChange(change, Refused)
 		}
-		return o.done
+		return change.done
 	})
 }
 
 // forgetChanges drops the changes that were answered so long ago that no duplicate of them can be accepted any more.
 func (cd *changeDecider) forgetChanges() {
-	for k, o := range cd.changes {
-		if o.done && cd.now-o.closedAt > changeTTL {
-			delete(cd.changes, k)
+	for key, change := range cd.changes {
+		if change.done && cd.now-change.closedAt > changeTTL {
+			delete(cd.changes, key)
 		}
 	}
 }
--- a/internal/system/replication/client_calls.go
+++ b/internal/system/replication/client_calls.go
@@ -11,8 +11,6 @@
 
 const (
 	callResendInterval = 300 * time.Millisecond
-	changeTTL          = 15 * time.Second // how long a change that comes twice is recognised
-	maxChanges         = 4096
 	maxPendingCalls    = 1024
 )
 
@@ -22,26 +20,27 @@
 // The outcomes. Their numbers are on the wire.
 const (
 	Answered Outcome = 1 // the verdict stands
-	Refused  Outcome = 2 // it has not come about, nor will it
-	Unknown  Outcome = 3 // it may or may not come about
+	Refused  Outcome = 2 // it was not applied, nor will be
+	Unknown  Outcome = 3 // it may or may not be applied
 )
 
 // Completion ends a Submit or Read. State is set for a read that was answered.
 type Completion struct {
-	ID      uint64
+	ID      uint64 // as passed to Submit or Read
 	Read    bool
 	Outcome Outcome
-	Verdict controlstate.Verdict
-	Seq     uint64
+	Verdict controlstate.Verdict // on a change that was answered
+	Seq     uint64               // the record that verdict or state rests on, committed
 	State   State
 }
 
-// clientCalls are the changes and reads asked for at this node: it forwards them to head and tail until they are answered.
+// clientCalls are the changes and reads asked for at this node. It forwards changes to the head and asks the tail for reads, until they are
+// answered or their time has passed.
 type clientCalls struct {
 	*environment
-	submits        map[uint64]*submit
-	reads          map[uint64]*read
-	lastCallNumber uint64 // of a forwarded change
+	submits        map[uint64]*submit // by the caller's id
+	reads          map[uint64]*read   // by the caller's id
+	lastCallNumber uint64             // of a forwarded change
 
 	acceptor *acceptor
 	liveness *liveness
@@ -51,124 +50,156 @@
 // submit is a change asked for here.
 type submit struct {
 	id              uint64 // the caller's
-	callNumber      uint64 // on the wire: new for every try that may not be mistaken for the one before
 	change          controlstate.Change
 	deadline        time.Duration
-	sent            bool
-	uncertain       bool // an earlier try may yet come about
+	callNumber      uint64 // on the wire: a new one for each attempt that must not be taken for a duplicate of an earlier one
+	sent            bool   // an attempt is in progress
+	uncertain       bool   // an earlier attempt may yet be applied
 	sentAt          time.Duration
-	retryAt         time.Duration
-	epoch           uint64
-	head            ID
-	headIncarnation uint64 // the head's
+	retryAt         time.Duration // no new attempt before
+	epoch           uint64        // in which the attempt was sent
+	head            ID            // to which it was sent
+	headIncarnation uint64
 }
 
-// idempotent tells whether the state machine recognises a change that comes twice.
-func idempotent(ch controlstate.Change) bool {
-	return ch.Op == controlstate.OpReplace || ch.Op == controlstate.OpAmend
+// idempotent tells whether the state machine recognizes a change that is applied twice.
+func idempotent(change controlstate.Change) bool {
+	return change.Op == controlstate.OpReplace || change.Op == controlstate.OpAmend
 }
 
 // startSubmit takes up a change asked for here; where too many are pending it completes it as Refused and gives false.
-func (cc *clientCalls) startSubmit(id uint64, ch controlstate.Change, ttl time.Duration) bool {
+func (cc *clientCalls) startSubmit(id uint64, change controlstate.Change, ttl time.Duration) bool {
 	if len(cc.submits) >= maxPendingCalls {
-		cc.out.Completions = append(cc.out.Completions, Completion{ID: id, Outcome: Refused})
+		cc.complete(Completion{ID: id, Outcome: Refused})
 		return false
 	}
-	s := &submit{id: id, change: ch, deadline: cc.now + ttl}
+	s := &submit{id: id, change: change, deadline: cc.now + ttl}
 	cc.submits[id] = s
-	cc.sendForward(s)
+	cc.tryForward(s)
 	return true
 }
 
+// abandonCall forgets a call without a Completion.
 func (cc *clientCalls) abandonCall(id uint64) {
 	delete(cc.submits, id)
 	delete(cc.reads, id)
 }
 
-func (cc *clientCalls) sendForward(s *submit) {
-	life, ok := cc.liveness.headIncarnation()
-	if !s.sent {
-		if !ok || cc.now < s.retryAt {
-			return
+// tryForward starts an attempt where there is a head, or repeats the message of the one in progress.
+func (cc *clientCalls) tryForward(s *submit) {
+	if s.sent {
+		if cc.now-s.sentAt >= callResendInterval {
+			cc.sendForward(s)
 		}
-		cc.lastCallNumber++
-		s.callNumber, s.sent, s.epoch, s.head, s.headIncarnation = cc.lastCallNumber, true, cc.acceptor.view.Epoch, cc.acceptor.view.Head(), life
-	} else if cc.now-s.sentAt < callResendInterval {
 		return
 	}
+	incarnation, ok := cc.liveness.headIncarnation()
+	if !ok || cc.now < s.retryAt {
+		return
+	}
+	cc.lastCallNumber++
+	s.callNumber, s.sent = cc.lastCallNumber, true
+	s.epoch, s.head, s.headIncarnation = cc.acceptor.view.Epoch, cc.acceptor.view.Head(), incarnation
+	cc.sendForward(s)
+}
+
+func (cc *clientCalls) sendForward(s *submit) {
 	s.sentAt = cc.now
-	e := entry{rec: s.change.Record(0)}
+	change := entry{rec: s.change.Record(0)}
 	cc.send(s.head, forwardMessage(&replicationpb.Forward{
-		Id: s.callNumber, Life: cc.cfg.Incarnation, HeadLife: s.headIncarnation, Epoch: s.epoch, Change: e.pb(), TtlUs: (s.deadline - cc.now).Microseconds(), Heard: cc.liveness.lastHeartbeatFrom(s.head),
+		Id: s.callNumber, Life: cc.cfg.Incarnation, HeadLife: s.headIncarnation, Epoch: s.epoch, Change: change.pb(),
+		TtlUs: (s.deadline - cc.now).Microseconds(), Heard: cc.liveness.lastHeartbeatFrom(s.head),
 	}))
 }
 
+// tickSubmits ends the changes whose time has passed, and sends or repeats the others.
 func (cc *clientCalls) tickSubmits() {
 	for _, id := range slices.Sorted(maps.Keys(cc.submits)) {
 		s := cc.submits[id]
-		if cc.now >= s.deadline {
-			out := Refused
-			if s.sent || s.uncertain {
-				out = Unknown
-			}
-			cc.completeSubmit(s, Completion{Outcome: out})
-			continue
-		}
-		if s.sent {
-			life, ok := cc.liveness.headIncarnation()
-			// A head that remains the head keeps what it was asked.
-			if s.head != cc.acceptor.view.Head() || ok && life != s.headIncarnation {
-				if !idempotent(s.change) {
-					cc.completeSubmit(s, Completion{Outcome: Unknown})
-					continue
-				}
-				s.sent, s.uncertain = false, true
-			}
+		switch {
+		case cc.now >= s.deadline:
+			cc.completeSubmit(s, Completion{Outcome: s.outcomeAtDeadline()})
+		case cc.isHeadReplaced(s) && !idempotent(s.change):
+			cc.completeSubmit(s, Completion{Outcome: Unknown})
+		case cc.isHeadReplaced(s):
+			s.sent, s.uncertain = false, true
+			cc.tryForward(s)
+		default:
+			cc.tryForward(s)
 		}
-		cc.sendForward(s)
 	}
 }
 
+func (s *submit) outcomeAtDeadline() Outcome {
+	if s.sent || s.uncertain {
+		return Unknown
+	}
+	return Refused
+}
+
+// isHeadReplaced tells whether the head that an attempt was sent to is not the head any more, or has restarted. A head that remains the head
+// keeps what it was asked.
+func (cc *clientCalls) isHeadReplaced(s *submit) bool {
+	if !s.sent {
+		return false
+	}
+	incarnation, ok := cc.liveness.headIncarnation()
+	return s.head != cc.acceptor.view.Head() || ok && incarnation != s.headIncarnation
+}
+
 func (cc *clientCalls) completeSubmit(s *submit, done Completion) {
 	delete(cc.submits, s.id)
 	done.ID = s.id
+	cc.complete(done)
+}
+
+func (cc *clientCalls) complete(done Completion) {
 	cc.out.Completions = append(cc.out.Completions, done)
 }
 
+// handleAnswer ends an attempt, and with it the change unless another attempt may follow.
 func (cc *clientCalls) handleAnswer(m *replicationpb.Answer) {
 	if !cc.isThisIncarnation(m.GetLife()) {
 		return
 	}
+	s := cc.submitOf(m.GetId())
+	if s == nil {
+		return
+	}
+	switch outcome := Outcome(m.GetOutcome()); {
+	case outcome == Refused, outcome == Unknown && idempotent(s.change):
+		s.sent, s.uncertain = false, s.uncertain || outcome == Unknown
+		s.retryAt = cc.now + cc.cfg.HeartbeatInterval
+	default:
+		verdict := controlstate.Verdict{Kind: controlstate.Kind(m.GetKind()), Reason: m.GetReason()}
+		cc.completeSubmit(s, Completion{Outcome: outcome, Seq: m.GetSeq(), Verdict: verdict})
+	}
+}
+
+// submitOf finds the change whose attempt in progress has the number, nil for none.
+func (cc *clientCalls) submitOf(callNumber uint64) *submit {
 	for _, s := range cc.submits {
-		if !s.sent || s.callNumber != m.GetId() {
-			continue
+		if s.sent && s.callNumber == callNumber {
+			return s
 		}
-		switch out := Outcome(m.GetOutcome()); {
-		case out == Refused, out == Unknown && idempotent(s.change):
-			s.sent, s.uncertain, s.retryAt = false, s.uncertain || out == Unknown, cc.now+cc.cfg.HeartbeatInterval
-		default:
-			cc.completeSubmit(s, Completion{
-				Outcome: out, Seq: m.GetSeq(), Verdict: controlstate.Verdict{Kind: controlstate.Kind(m.GetKind()), Reason: m.GetReason()},
-			})
-		}
-		return
 	}
+	return nil
 }
 
-// read is a linearizable read asked for here. It rests on two things: the tail's word on what is committed, and a
-// majority's, given after the read was asked for, that no later view can have acknowledged anything before.
+// read is a linearizable read asked for here. It rests on two things: the tail's commit index, and the confirmation of a majority, given
+// after the read was asked for, that no later view can have acknowledged anything before.
 type read struct {
 	id         uint64
 	deadline   time.Duration
 	sentAt     time.Duration
-	readIndex  uint64
-	indexKnown bool // at is known
+	readIndex  uint64 // the state must be at least after this record
+	indexKnown bool   // whether readIndex is
 }
 
 // startRead takes up a read asked for here; where too many are pending it completes it as Refused and gives false.
 func (cc *clientCalls) startRead(id uint64, ttl time.Duration) bool {
 	if len(cc.reads) >= maxPendingCalls {
-		cc.out.Completions = append(cc.out.Completions, Completion{ID: id, Read: true, Outcome: Refused})
+		cc.complete(Completion{ID: id, Read: true, Outcome: Refused})
 		return false
 	}
 	r := &read{id: id, deadline: cc.now + ttl, sentAt: -callResendInterval}
@@ -177,6 +208,7 @@
 	return true
 }
 
+// sendReadIndex asks the tail for the read index, again after callResendInterval.
 func (cc *clientCalls) sendReadIndex(r *read) {
 	if r.indexKnown || cc.now-r.sentAt < callResendInterval || cc.acceptor.view.Epoch == 0 {
 		return
@@ -187,12 +219,13 @@
 	}))
 }
 
+// tickReads ends the reads whose time has passed, and repeats the others.
 func (cc *clientCalls) tickReads() {
 	for _, id := range slices.Sorted(maps.Keys(cc.reads)) {
 		r := cc.reads[id]
 		if cc.now >= r.deadline {
 			delete(cc.reads, id)
-			cc.out.Completions = append(cc.out.Completions, Completion{ID: id, Read: true, Outcome: Refused})
+			cc.complete(Completion{ID: id, Read: true, Outcome: Refused})
 			continue
 		}
 		cc.sendReadIndex(r)
@@ -206,11 +239,12 @@
 	}
 }
 
+// completeReads answers the reads for which enough is committed here.
 func (cc *clientCalls) completeReads() {
 	for _, id := range slices.Sorted(maps.Keys(cc.reads)) {
 		if r := cc.reads[id]; r.indexKnown && r.readIndex <= cc.chain.commitIndex {
 			delete(cc.reads, id)
-			cc.out.Completions = append(cc.out.Completions, Completion{ID: id, Read: true, Outcome: Answered, Seq: cc.chain.commitIndex, State: cc.chain.state})
+			cc.complete(Completion{ID: id, Read: true, Outcome: Answered, Seq: cc.chain.commitIndex, State: cc.chain.state})
 		}
 	}
 }
--- a/internal/system/replication/read_confirm.go
+++ b/internal/system/replication/read_confirm.go
@@ -9,72 +9,41 @@
 
 const confirmTimeout = 1500 * time.Millisecond
 
-// readConfirmation asks the voters whether the epoch still stands. Those who come while a round is under way wait for the
-// next one, since the voters may have answered before.
+// readConfirmation asks the voters in rounds whether the epoch still stands (invariant 5 of the package). A request that comes during a round
+// waits for the next one, since the voters may have answered before it came.
 type readConfirmation struct {
 	*environment
-	number      uint64
-	epoch       uint64
+	number      uint64 // of the round, 0 before the first
+	epoch       uint64 // that the round asks about
 	startedAt   time.Duration
 	sentAt      time.Duration
 	confirmedBy map[ID]string
-	waiters     []func(bool)
-	queued      []func(bool)
+	waiters     []func(confirmed bool) // of the round; none: no round is in progress
+	queued      []func(confirmed bool) // for the next round
 
 	acceptor *acceptor
 	chain    *chainReplica
 }
 
-// tickConfirmation ends a round that takes too long, and repeats its messages.
-func (rc *readConfirmation) tickConfirmation() {
-	if len(rc.waiters) == 0 {
-		return
-	}
-	if rc.now-rc.startedAt > confirmTimeout {
-		w := rc.waiters
-		rc.waiters = nil
-		for _, f := range w {
-			f(false)
-		}
-		rc.startRound()
-	} else if rc.now-rc.sentAt >= callResendInterval {
-		rc.sendRound()
-	}
-}
-
-func (rc *readConfirmation) handleReadIndex(from ID, m *replicationpb.ReadIndex) {
-	if m.GetEpoch() != rc.acceptor.view.Epoch || !rc.chain.isTail() {
-		return
-	}
-	epoch := rc.acceptor.view.Epoch
-	rc.confirmEpoch(func(ok bool) {
-		// Below floor there may be records that an earlier tail, or this one in an earlier life, has acknowledged.
-		if !ok || !rc.chain.isTail() || rc.acceptor.view.Epoch != epoch || !rc.chain.holdsAcknowledged() {
-			return // asked again soon
-		}
-		rc.send(from, readAtMessage(&replicationpb.ReadAt{
-			Id: m.GetId(), Life: m.GetLife(), Seq: rc.chain.commitIndex,
-		}))
-	})
-}
-
-// confirmEpoch calls f once a majority of voters has said, asked from now on, that they know of no view after this one and
-// have accepted none. A later view is chosen only when a majority has accepted it, so none is yet.
-func (rc *readConfirmation) confirmEpoch(f func(bool)) {
+// confirmEpoch calls then once a majority of the voters has confirmed, asked from now on, that they know of no view after this one and have
+// accepted none. A later view is chosen only when a majority has accepted it, so none is yet. then gets false where the epoch ends or
+// the round times out.
+func (rc *readConfirmation) confirmEpoch(then func(confirmed bool)) {
 	if rc.cfg.knobs.SkipReadConfirmation {
-		f(true)
+		then(true)
 		return
 	}
 	if len(rc.queued) >= maxPendingCalls {
-		f(false)
+		then(false)
 		return
 	}
-	rc.queued = append(rc.queued, f)
+	rc.queued = append(rc.queued, then)
 	if len(rc.waiters) == 0 {
 		rc.startRound()
 	}
 }
 
+// startRound asks the voters for those that are queued.
 func (rc *readConfirmation) startRound() {
 	if len(rc.queued) == 0 {
 		return
@@ -88,52 +57,93 @@
 	}
 }
 
+// sendRound asks the voters that have not confirmed yet.
 func (rc *readConfirmation) sendRound() {
 	rc.sentAt = rc.now
 	for _, m := range rc.acceptor.view.Voters {
 		if _, ok := rc.confirmedBy[m.ID]; !ok && m.ID != rc.self.ID {
-			rc.send(m.ID, confirmMessage(&replicationpb.Confirm{
-				Epoch: rc.epoch, Round: rc.number, Life: rc.cfg.Incarnation,
-			}))
+			rc.send(m.ID, confirmMessage(&replicationpb.Confirm{Epoch: rc.epoch, Round: rc.number, Life: rc.cfg.Incarnation}))
 		}
 	}
 }
 
-func (rc *readConfirmation) failConfirmations() {
-	w := slices.Concat(rc.waiters, rc.queued)
-	rc.waiters, rc.queued = nil, nil
-	for _, f := range w {
-		f(false)
+// tickConfirmation ends a round that takes too long, and repeats its messages.
+func (rc *readConfirmation) tickConfirmation() {
+	if len(rc.waiters) == 0 {
+		return
+	}
+	if rc.now-rc.startedAt > confirmTimeout {
+		rc.endRound(false)
+		rc.startRound()
+	} else if rc.now-rc.sentAt >= callResendInterval {
+		rc.sendRound()
+	}
+}
+
+// endRound tells those who wait for the round.
+func (rc *readConfirmation) endRound(confirmed bool) {
+	waiters := rc.waiters
+	rc.waiters = nil
+	for _, then := range waiters {
+		then(confirmed)
 	}
 }
 
+// failConfirmations ends the round and what is queued, when the epoch ends.
+func (rc *readConfirmation) failConfirmations() {
+	rc.waiters, rc.queued = slices.Concat(rc.waiters, rc.queued), nil
+	rc.endRound(false)
+}
+
+// handleConfirm confirms an epoch as a voter.
 func (rc *readConfirmation) handleConfirm(from ID, m *replicationpb.Confirm) {
-	rc.acceptor.sendNewerView(from, m.GetEpoch())
-	if m.GetEpoch() != rc.acceptor.view.Epoch || rc.acceptor.hasAcceptedLater() || !rc.acceptor.isVoter(rc.acceptor.view) {
+	ac := rc.acceptor
+	ac.sendNewerView(from, m.GetEpoch())
+	if m.GetEpoch() != ac.view.Epoch || ac.hasAcceptedLater() || !ac.isVoter(ac.view) {
 		return
 	}
-	rc.send(from, confirmedMessage(&replicationpb.Confirmed{
-		Epoch: m.GetEpoch(), Round: m.GetRound(), Life: m.GetLife(),
-	}))
+	rc.send(from, confirmedMessage(&replicationpb.Confirmed{Epoch: m.GetEpoch(), Round: m.GetRound(), Life: m.GetLife()}))
 }
 
 func (rc *readConfirmation) handleConfirmed(from ID, m *replicationpb.Confirmed) {
-	if rc.isThisIncarnation(m.GetLife()) && m.GetRound() == rc.number && m.GetEpoch() == rc.epoch && rc.epoch == rc.acceptor.view.Epoch && len(rc.waiters) > 0 {
+	if len(rc.waiters) > 0 && rc.isOfRound(m) && rc.epoch == rc.acceptor.view.Epoch {
 		rc.recordConfirmation(from)
 	}
 }
 
+// isOfRound tells whether a confirmation answers the round in progress.
+func (rc *readConfirmation) isOfRound(m *replicationpb.Confirmed) bool {
+	return rc.isThisIncarnation(m.GetLife()) && m.GetRound() == rc.number && m.GetEpoch() == rc.epoch
+}
+
+// recordConfirmation ends the round once a majority of the voters has confirmed.
 func (rc *readConfirmation) recordConfirmation(id ID) {
 	rc.confirmedBy[id] = ""
 	if !rc.acceptor.isQuorum(rc.acceptor.view, rc.confirmedBy) {
 		return
 	}
-	w := rc.waiters
-	rc.waiters = nil
-	for _, f := range w {
-		f(true)
-	}
+	rc.endRound(true)
 	if len(rc.waiters) == 0 {
 		rc.startRound()
 	}
 }
+
+// handleReadIndex answers a read as the tail, with the commit index, once the epoch is confirmed. Where it does not answer, the reader asks
+// again.
+func (rc *readConfirmation) handleReadIndex(from ID, m *replicationpb.ReadIndex) {
+	if m.GetEpoch() != rc.acceptor.view.Epoch || !rc.chain.isTail() {
+		return
+	}
+	epoch := rc.acceptor.view.Epoch
+	rc.confirmEpoch(func(confirmed bool) {
+		if confirmed && rc.acceptor.view.Epoch == epoch && rc.canAnswerReads() {
+			rc.send(from, readAtMessage(&replicationpb.ReadAt{Id: m.GetId(), Life: m.GetLife(), Seq: rc.chain.commitIndex}))
+		}
+	})
+}
+
+// canAnswerReads tells whether this node is the tail and knows to be committed what an earlier tail, or this one in a former incarnation,
+// may have acknowledged.
+func (rc *readConfirmation) canAnswerReads() bool {
+	return rc.chain.isTail() && rc.chain.holdsAcknowledged()
+}
