--- a/internal/system/replication/acceptor.go
+++ b/internal/system/replication/acceptor.go
@@ -70,6 +70,13 @@
 	adoptView func(*View) // takes up a view that is chosen
 }
 
+// restart takes up the state that is on disk.
+func (ac *acceptor) restart(state acceptorState) {
+	ac.acceptorState = state
+	ac.identityDurable, ac.viewDurable = true, state.view.Epoch > 0
+	ac.durableActive, ac.durableSealed, ac.durableEpoch = state.activeEpoch, state.sealedEpoch, state.view.Epoch
+}
+
 // isVoter tells whether this node votes on the view after v.
 func (ac *acceptor) isVoter(v *View) bool {
 	if v.Epoch == 0 {
--- a/internal/system/replication/core.go
+++ b/internal/system/replication/core.go
@@ -20,10 +20,10 @@
 
 // Outputs is what the core wants done.
 type Outputs struct {
-	Messages    []Envelope
-	Disk        *DiskOp // report its end with DiskDone
-	Completions []Completion
-	LogEvents   []string // for the log
+	Messages    []Envelope   // send them, in order; any may be lost
+	Disk        *DiskOp      // run it and report its end with DiskDone; nil: none
+	Completions []Completion // of Submit and Read
+	LogEvents   []string     // for people
 }
 
 // Core is one node's part of the chain and of the agreement on views. It is a pure state machine: it routes messages, ticks and the
@@ -89,28 +89,16 @@
 func NewCore(cfg Config, machine Machine, meta map[string][]byte, snap wal.Snapshot, entries []wal.Entry) (*Core, error) {
 	c := newCore(cfg, machine)
 	if data, ok := meta[metaAcceptor]; ok {
-		var p replicationpb.Register
-		if err := proto.Unmarshal(data, &p); err != nil {
-			return nil, damagedDataError(err, "the register")
+		if err := c.loadAcceptor(data); err != nil {
+			return nil, err
 		}
-		c.acceptor.acceptorState = acceptorStateOf(&p)
-		id := c.acceptor.identity.ID
-		if id == "" {
-			return nil, damagedDataError(errors.New("it names no identity"), "the register")
-		}
-		c.self.ID = id
-		c.acceptor.identity = c.self
-		c.acceptor.identityDurable = true
 	}
 	if err := c.chain.loadLog(snap, entries); err != nil {
 		return nil, err
 	}
-	c.acceptor.durableActive, c.acceptor.durableSealed, c.acceptor.durableEpoch = c.acceptor.activeEpoch, c.acceptor.sealedEpoch, c.acceptor.view.Epoch
-	c.acceptor.viewDurable = c.acceptor.view.Epoch > 0
-	// An active link's log goes beyond where the head's ended when the epoch began.
+	// The log of a replica that was active goes beyond where the head's ended when the epoch began.
 	c.chain.minReadIndex, c.chain.epochStartIndex = c.chain.log.end(), c.chain.log.end()
-	c.liveness.graceUntil = c.cfg.SuspectTimeout + c.cfg.HeartbeatInterval
-	c.liveness.chainReachedAt = c.liveness.graceUntil
+	c.liveness.startGrace(c.cfg.SuspectTimeout + c.cfg.HeartbeatInterval)
 	if !c.acceptor.identityDurable {
 		c.writer.persist(func() { c.acceptor.identityDurable = true })
 	}
@@ -120,7 +108,25 @@
 	return c, nil
 }
 
-// Leave makes the others take this keeper out of the chain, as soon as enough others hold what was acknowledged.
+// loadAcceptor takes up the acceptor's state from disk.
+func (c *Core) loadAcceptor(data []byte) error {
+	const what = "the register"
+	var p replicationpb.Register
+	if err := proto.Unmarshal(data, &p); err != nil {
+		return damagedDataError(err, what)
+	}
+	state := acceptorStateOf(&p)
+	if state.identity.ID == "" {
+		return damagedDataError(errors.New("it names no identity"), what)
+	}
+	c.self.ID = state.identity.ID
+	state.identity = c.self
+	c.acceptor.restart(state)
+	return nil
+}
+
+// Leave makes the others remove this node from the chain, as soon as enough others hold what was acknowledged. Departed tells when that is
+// done.
 func (c *Core) Leave(now time.Duration) {
 	c.advance(now)
 	c.liveness.leaving = true
@@ -128,24 +134,23 @@
 	c.flush()
 }
 
-// Ready hands over what is to be done.
+// Ready hands over what is to be done, once.
 func (c *Core) Ready() Outputs {
 	out := c.out
 	c.out = Outputs{}
 	return out
 }
 
-// advance moves the core's time on; it never goes back. Ticks come every few tens of milliseconds, so a leap means that the
-// process stood still: what others sent meanwhile has yet to be read, and their silence says nothing.
+// advance moves the core's clock on; it never goes back. Ticks come every few tens of milliseconds, so a leap means that the process was
+// stalled: what others sent meanwhile has yet to be read, and nobody is to be suspected for it.
 func (c *Core) advance(now time.Duration) {
 	if now-c.now > c.cfg.SuspectTimeout/2 {
-		c.liveness.graceUntil = now + c.cfg.SuspectTimeout
-		c.liveness.chainReachedAt = c.liveness.graceUntil
+		c.liveness.startGrace(now + c.cfg.SuspectTimeout)
 	}
 	c.now = max(c.now, now)
 }
 
-// Tick tells the time.
+// Tick moves the clock on, and does what has become due.
 func (c *Core) Tick(now time.Duration) {
 	c.advance(now)
 	c.writer.superviseWrites()
@@ -162,17 +167,18 @@
 	c.flush()
 }
 
-// Receive takes a message from another keeper. It keeps m.
+// Receive takes a message from another node. The core keeps m.
 func (c *Core) Receive(now time.Duration, m *replicationpb.Message) {
 	c.advance(now)
-	if to := ID(m.GetTo()); to != "" && to != c.self.ID || ID(m.GetFrom()) == c.self.ID {
+	isForAnother := m.GetTo() != "" && ID(m.GetTo()) != c.self.ID
+	if isForAnother || ID(m.GetFrom()) == c.self.ID {
 		return
 	}
 	c.step(m)
 	c.flush()
 }
 
-// flush does what the last event made possible.
+// flush delivers what this node has sent to itself, and starts the next write. Nothing leaves a node before its identity is on disk.
 func (c *Core) flush() {
 	for len(c.loopback) > 0 {
 		m := c.loopback[0]
@@ -187,6 +193,7 @@
 	}
 }
 
+// step routes a message to the part that it is for.
 func (c *Core) step(m *replicationpb.Message) {
 	from := ID(m.GetFrom())
 	switch b := m.GetBody().(type) {
@@ -245,13 +252,12 @@
 	}
 }
 
-// Abandon ends a Submit or Read without a Completion: nobody waits for it. It is not sent again; what was sent may yet come
-// about.
+// Abandon ends a Submit or Read without a Completion: nobody waits for it. It is not sent again; what was sent may yet be applied.
 func (c *Core) Abandon(id uint64) {
 	c.calls.abandonCall(id)
 }
 
-// DiskDone tells that the operation with the token has ended.
+// DiskDone tells that the operation with the token has ended, and how.
 func (c *Core) DiskDone(now time.Duration, token uint64, err error) {
 	c.advance(now)
 	if !c.writer.finishWrite(token, err) {
@@ -261,7 +267,7 @@
 	c.flush()
 }
 
-// adoptView makes a chosen view this keeper's own.
+// adoptView makes a chosen view this node's own, unless it has a later one. It takes part in it once the view is on disk.
 func (c *Core) adoptView(v *View) {
 	if v == nil || v.Epoch <= c.acceptor.view.Epoch || c.chain.discardRestoredLog(v) {
 		return
@@ -280,7 +286,7 @@
 			c.fail(err)
 		}
 		if c.cfg.Observer {
-			c.liveness.sendHeartbeats() // its next heartbeat is far off, and calls wait for word of the new head
+			c.liveness.sendHeartbeats() // its next heartbeat is far off, and calls wait for a contact with the new head
 		}
 	})
 }
--- a/internal/system/replication/liveness.go
+++ b/internal/system/replication/liveness.go
@@ -57,6 +57,11 @@
 	return incarnation * golden >> 16
 }
 
+// startGrace has nobody suspected, and the chain count as reachable, until then.
+func (lv *liveness) startGrace(until time.Duration) {
+	lv.graceUntil, lv.chainReachedAt = until, until
+}
+
 // sentTime gives when the heartbeat of a number was sent; false where it is not one of the last heartbeatHistory of this incarnation.
 func (lv *liveness) sentTime(number uint64) (time.Duration, bool) {
 	if number == 0 || number > lv.heartbeatNumber || number+heartbeatHistory <= lv.heartbeatNumber {
--- a/internal/system/replication/node.go
+++ b/internal/system/replication/node.go
@@ -74,23 +74,6 @@
 	capacityReporter capacityReporter
 }
 
-// controlMachine fits controlstate's states to the core.
-type controlMachine struct{}
-
-type controlState struct{ *controlstate.State }
-
-func (controlMachine) Empty() State { return controlState{controlstate.Empty()} }
-
-func (controlMachine) Decode(b []byte) (State, error) {
-	s, err := controlstate.Decode(b)
-	return controlState{s}, err
-}
-
-func (s controlState) Apply(r controlstate.Record) (State, error) {
-	next, err := s.State.Apply(r)
-	return controlState{next}, err
-}
-
 // Start reads the disk and starts the keeper. It ends with ctx or Stop.
 func Start(ctx context.Context, opt Options) (*Node, error) {
 	if opt.Observer {
