--- a/internal/system/replication/capacity.go
+++ b/internal/system/replication/capacity.go
@@ -7,61 +7,60 @@
 	"github.com/apex/log"
 )
 
-// Capacity compares the keepers that exist with those that the tolerance needs.
+// Capacity compares the nodes that exist with those that the tolerance needs.
 type Capacity struct {
-	Nodes                 int // with a disk, heard from lately
-	Observers             int // without a disk, heard from lately
-	Voters                int // of the present view
-	TimedOutVoters        int // of those, not heard from lately: they count as part of what may be lost
-	VotersDesired         int // so that a majority is left after any loss that is tolerated
-	ChainReplicas         int // of the present view
-	ChainReplicasRequired int // fewer acknowledge no change
-	ChainReplicasDesired  int // so that the loss of one need not wait for another to catch up
-	// Bears tells whether a majority of the present voters and one of the present links are left, whatever is lost of
-	// what may be lost at once.
-	ToleranceMet bool
-	// Remedy says in one line what is missing and what to do, empty when nothing is.
-	Remedy string
+	Nodes                 int    // alive, with a disk
+	Observers             int    // alive, without a disk
+	Voters                int    // of the present view
+	TimedOutVoters        int    // of those, not alive: they count as part of what may be lost
+	VotersDesired         int    // so that a majority is left after any loss that must be tolerated
+	ChainReplicas         int    // of the present view
+	ChainReplicasRequired int    // a shorter chain acknowledges no change
+	ChainReplicasDesired  int    // so that after the loss of one, changes need not wait until another has caught up
+	ToleranceMet          bool   // a majority of the voters and a chain replica are left after any loss that must be tolerated
+	Remedy                string // in one line what is missing and what to do, empty when nothing is
 }
 
-// Capacity of the keepers as this core sees them.
+// Capacity of the fleet as this core sees it.
 func (c *Core) Capacity() Capacity {
 	v := c.acceptor.view
-	out := Capacity{
-		Voters: len(v.Voters), VotersDesired: c.cfg.targetVoters(),
-		ChainReplicas: len(v.Chain), ChainReplicasRequired: c.cfg.minChainLength(), ChainReplicasDesired: min(c.cfg.targetVoters(), c.cfg.targetChainLength()),
+	replicas := v.chainMembers()
+	have := Capacity{
+		Voters: len(v.Voters), VotersDesired: c.cfg.targetVoters(), ChainReplicas: len(v.Chain),
+		ChainReplicasRequired: c.cfg.minChainLength(), ChainReplicasDesired: min(c.cfg.targetVoters(), c.cfg.targetChainLength()),
+		ToleranceMet: v.Epoch > 0 && c.cfg.votersTolerateLosses(v.Voters) && c.cfg.chainToleratesLosses(replicas),
 	}
+	have.Nodes, have.Observers = c.countNodes()
+	for _, m := range v.Voters {
+		if !c.liveness.isAlive(m.ID) {
+			have.TimedOutVoters++
+		}
+	}
+	have.Remedy = c.remedy(have)
+	return have
+}
+
+// countNodes counts those that are alive, with this one.
+func (c *Core) countNodes() (withDisk, observers int) {
 	if c.cfg.Observer {
-		out.Observers++
+		observers++
 	} else {
-		out.Nodes++
+		withDisk++
 	}
 	for id, p := range c.liveness.peers {
 		switch {
 		case !c.liveness.isAlive(id):
 		case p.heartbeat.GetObserver():
-			out.Observers++
+			observers++
 		default:
-			out.Nodes++
-		}
-	}
-	for _, m := range v.Voters {
-		if !c.liveness.isAlive(m.ID) {
-			out.TimedOutVoters++
-		}
-	}
-	var links []Member
-	for _, id := range v.Chain {
-		if m, ok := v.Voter(id); ok {
-			links = append(links, m)
+			withDisk++
 		}
 	}
-	out.ToleranceMet = v.Epoch > 0 && c.cfg.votersTolerateLosses(v.Voters) && c.cfg.chainToleratesLosses(links)
-	out.Remedy = c.remedy(out, links)
-	return out
+	return withDisk, observers
 }
 
-func (c *Core) remedy(have Capacity, links []Member) string {
+// remedy is text for operators, in the words of their pages. It is part of the status JSON.
+func (c *Core) remedy(have Capacity) string {
 	v := c.acceptor.view
 	switch {
 	case v.Epoch == 0:
@@ -75,50 +74,48 @@
 		return fmt.Sprintf("%d of %d voters: others are being taken in; if this lasts, see whether they reach each other", have.Voters, have.VotersDesired)
 	case !c.cfg.votersTolerateLosses(v.Voters):
 		return fmt.Sprintf("the worst loss takes %d of %d voters: run keepers with a disk in at least %d zones (and %d regions), or lower [tolerance]",
-			max(c.cfg.MachineLosses, worstLoss(v.Voters, zoneOf, c.cfg.ZoneLosses), worstLoss(v.Voters, regionOf, c.cfg.RegionLosses)),
-			len(v.Voters), 2*c.cfg.ZoneLosses+1, 2*c.cfg.RegionLosses+1)
+			c.cfg.worstToleratedLoss(v.Voters), len(v.Voters), 2*c.cfg.ZoneLosses+1, 2*c.cfg.RegionLosses+1)
 	}
-	return fmt.Sprintf("%d links hold the changes and the worst loss takes all of them: bring the voters back that are no links", len(links))
+	return fmt.Sprintf("%d links hold the changes and the worst loss takes all of them: bring the voters back that are no links", len(v.chainMembers()))
 }
 
 const (
-	capacityInterval   = time.Second     // between two looks at it
-	capacityStableTime = 5 * time.Second // a repair takes less, and is no news
+	capacityInterval   = time.Second     // between two checks
+	capacityStableTime = 5 * time.Second // a change is logged after so long: a repair takes less
 )
 
-// capacityReporter logs what the keepers bear when that has changed for good. The zero value is ready for use.
+// capacityReporter logs whether the tolerated losses are covered, when that has changed for good. The zero value is ready for use.
 type capacityReporter struct {
 	checkedAt, changedAt time.Duration
 	current, logged      Capacity
 }
 
-func (l *capacityReporter) report(now time.Duration, c *Core, to log.Interface) {
-	if now-l.checkedAt < capacityInterval {
+// isLike tells whether two capacities ask the operator for the same.
+func (c *Capacity) isLike(other Capacity) bool {
+	return c.ToleranceMet == other.ToleranceMet && c.Remedy == other.Remedy
+}
+
+// report checks the capacity when that is due, and logs it when it is to be logged.
+func (r *capacityReporter) report(now time.Duration, c *Core, logger log.Interface) {
+	if now-r.checkedAt < capacityInterval {
 		return
 	}
-	l.checkedAt = now
+	r.checkedAt = now
 	have := c.Capacity()
-	if have.ToleranceMet != l.current.ToleranceMet || have.Remedy != l.current.Remedy {
-		l.changedAt = now
+	if !have.isLike(r.current) {
+		r.changedAt = now
 	}
-	l.current = have
-	if now-l.changedAt < capacityStableTime || have.ToleranceMet == l.logged.ToleranceMet && have.Remedy == l.logged.Remedy {
+	r.current = have
+	if now-r.changedAt < capacityStableTime || have.isLike(r.logged) {
 		return
 	}
-	l.logged = have
-	entry := to.WithFields(log.Fields{
+	r.logged = have
+	entry := logger.WithFields(log.Fields{
 		"voters": have.Voters, "silent": have.TimedOutVoters, "links": have.ChainReplicas, "keepers": have.Nodes, "observers": have.Observers,
 	})
 	if have.ToleranceMet {
-		entry.Info("replication: the keepers bear the losses that are tolerated")
+		entry.Info("replication: the tolerated losses are covered")
 		return
 	}
-	entry.Warn("replication: the keepers do not bear the losses that are tolerated: " + have.Remedy)
-}
-
-// Capacity compares the keepers that exist with those that the tolerance needs, as this keeper sees them now.
-func (k *Node) Capacity() Capacity {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.core.Capacity()
+	entry.Warn("replication: the tolerated losses are not covered: " + have.Remedy)
 }
--- a/internal/system/replication/node.go
+++ b/internal/system/replication/node.go
@@ -17,216 +17,244 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// Kinds of errors.
-var (
-	// ErrUnavailable marks what could not be done in time. A change may or may not come about: ask again.
-	ErrUnavailable = errors.New("replication: no answer in time: ask again")
-	// ErrNotApplied marks, beside ErrUnavailable, a change that has not come about and will not.
-	ErrNotApplied = errors.New("replication: not taken: ask again")
-	// ErrStopped marks calls after Stop, and of a keeper that had to give up.
-	ErrStopped = errors.New("replication: this keeper has stopped: ask another")
-	// ErrNoDisk is given where a keeper that is no observer is started without a disk.
-	ErrNoDisk = errors.New("replication: a keeper that votes needs a disk: set data_dir, or start it as an observer")
+const (
+	tickInterval      = 25 * time.Millisecond
+	defaultAckTimeout = 5 * time.Second
 )
 
-const tickInterval = 25 * time.Millisecond
-
-// Options are what a Keeper is started with.
+// Options are what a Node is started with.
 type Options struct {
 	Addr, Zone, Region string            // of this machine; Addr is its IP address
 	Port               int               // inner port, the same on all machines
-	Seeds              []string          // IP addresses of the keepers that form the first view
-	Bootstrap          bool              // this keeper may take part in forming it
+	Seeds              []string          // IP addresses of the nodes that form the first view
+	Bootstrap          bool              // this node may take part in forming it
 	MachineLosses      int               // disks that may be lost at once
-	ZoneLosses         int               // zones that may be lost at once, all of their keepers with them
+	ZoneLosses         int               // zones that may be lost at once, all of their nodes with them
 	RegionLosses       int               // regions, likewise
 	AckTimeout         time.Duration     // a change must be acknowledged within it; repair times are derived from it. 0: 5 s
-	Disk               wal.Disk          // used by this keeper alone until Stop has returned; nil for an observer
-	Observer           bool              // the machine has no disk: follows and passes calls on, never a voter nor a link
+	Disk               wal.Disk          // used by this node alone until Stop has returned; nil for an observer
+	Observer           bool              // the machine has no disk: follows and forwards calls, never a voter nor a chain replica
 	Transport          http.RoundTripper // nil: connections of its own
 	Log                log.Interface     // nil: the standard logger
 }
 
+// applyDefaults fills in what is not set, and checks that there is a disk.
+func (o *Options) applyDefaults() error {
+	if o.Observer {
+		o.Disk = nullDisk{} // an identity that has voted before must not be taken up by one that cannot vote
+	}
+	if o.Disk == nil {
+		return ErrNoDisk
+	}
+	if o.AckTimeout <= 0 {
+		o.AckTimeout = defaultAckTimeout
+	}
+	if o.Log == nil {
+		o.Log = log.Log
+	}
+	return nil
+}
+
+// coreConfig derives the configuration of the core. Identity, incarnation and jitter are random.
+func (o *Options) coreConfig() (Config, error) {
+	var random [24]byte
+	if _, err := rand.Read(random[:]); err != nil {
+		return Config{}, errors.Wrap(err, "replication: no random numbers")
+	}
+	identity, incarnation := random[:16], random[16:]
+	return Config{
+		Self:              Member{ID: ID(hex.EncodeToString(identity)), Addr: o.Addr, Zone: o.Zone, Region: o.Region},
+		MachineLosses:     o.MachineLosses,
+		ZoneLosses:        o.ZoneLosses,
+		RegionLosses:      o.RegionLosses,
+		Seeds:             o.Seeds,
+		Bootstrap:         o.Bootstrap,
+		Observer:          o.Observer,
+		HeartbeatInterval: min(defaultHeartbeatInterval, o.AckTimeout/50),
+		SuspectTimeout:    min(defaultSuspectTimeout, o.AckTimeout*7/50),
+		SlowDiskTimeout:   min(defaultSlowDiskTimeout, o.AckTimeout/10),
+		Incarnation:       binary.BigEndian.Uint64(incarnation) | 1,
+		Seed:              binary.BigEndian.Uint64(identity),
+	}, nil
+}
+
 // SubmitResult is what became of a change.
 type SubmitResult struct {
 	Verdict controlstate.Verdict
 	Seq     uint64 // the record that the verdict rests on, committed
 }
 
-// Node is one member of the chain. Its methods may be called by several goroutines at once.
+// Node drives a Core with a clock, a disk and a network: one member of the chain, or an observer. Its methods may be called by several
+// goroutines at once.
 type Node struct {
 	began     time.Time
 	opt       Options
 	cancel    context.CancelFunc
-	wg        sync.WaitGroup
+	wg        sync.WaitGroup // of all goroutines of the node
 	transport *transport
 	disk      chan *DiskOp
 	log       log.Interface
 
-	mu               sync.Mutex
+	mu               sync.Mutex // guards what follows
 	core             *Core
 	stopped          bool
 	lastCallID       uint64
-	waiters          map[uint64]chan Completion
-	seq              uint64
-	changed          chan struct{} // closed when the committed state changes
+	waiters          map[uint64]chan Completion // by call
+	seq              uint64                     // committed, as last published
+	changed          chan struct{}              // closed when the committed state changes
 	loggedView       *View
 	capacityReporter capacityReporter
 }
 
-// Start reads the disk and starts the keeper. It ends with ctx or Stop.
+// Start reads the disk and starts the node. It ends with ctx or Stop. The error is ErrNoDisk, or marked wal.ErrDamaged where the disk is to be
+// replaced.
 func Start(ctx context.Context, opt Options) (*Node, error) {
-	if opt.Observer {
-		opt.Disk = nullDisk{} // an identity that has voted before must not be taken up by one that cannot vote
-	}
-	if opt.Disk == nil {
-		return nil, ErrNoDisk
+	if err := opt.applyDefaults(); err != nil {
+		return nil, err
 	}
 	meta, snap, entries, err := opt.Disk.Load()
 	if err != nil {
-		return nil, errors.Wrap(err, "replication: the disk cannot be read: repair it, or empty the keeper's data directory")
-	}
-	if opt.AckTimeout <= 0 {
-		opt.AckTimeout = 5 * time.Second
-	}
-	if opt.Log == nil {
-		opt.Log = log.Log
-	}
-	var random [24]byte
-	if _, err := rand.Read(random[:]); err != nil {
-		return nil, errors.Wrap(err, "replication: no random numbers")
+		return nil, errors.Wrap(err, "replication: the disk cannot be read: repair it, or empty the node's data directory")
 	}
-	cfg := Config{
-		Self:          Member{ID: ID(hex.EncodeToString(random[:16])), Addr: opt.Addr, Zone: opt.Zone, Region: opt.Region},
-		MachineLosses: opt.MachineLosses, ZoneLosses: opt.ZoneLosses, RegionLosses: opt.RegionLosses, Seeds: opt.Seeds, Bootstrap: opt.Bootstrap, Observer: opt.Observer,
-		HeartbeatInterval: min(100*time.Millisecond, opt.AckTimeout/50), SuspectTimeout: min(700*time.Millisecond, opt.AckTimeout*7/50),
-		SlowDiskTimeout: min(500*time.Millisecond, opt.AckTimeout/10),
-		Incarnation:     binary.BigEndian.Uint64(random[16:]) | 1, Seed: binary.BigEndian.Uint64(random[:8]),
+	cfg, err := opt.coreConfig()
+	if err != nil {
+		return nil, err
 	}
 	core, err := NewCore(cfg, controlMachine{}, meta, snap, entries)
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	k := &Node{
+	n := &Node{
 		began: time.Now(), opt: opt, cancel: cancel, disk: make(chan *DiskOp, 1), log: opt.Log, core: core,
 		waiters: map[uint64]chan Completion{}, changed: make(chan struct{}), loggedView: core.View(),
 	}
-	k.seq, _ = core.Committed()
-	k.transport = newTransport(ctx, &k.wg, opt.Port, opt.Transport)
-	k.wg.Go(func() { k.runDisk(ctx) })
-	k.wg.Go(func() { k.runClock(ctx) })
-	k.log.WithField("id", string(core.Self().ID)).Info("replication: keeper started")
-	return k, nil
+	n.seq, _ = core.Committed()
+	n.transport = newTransport(ctx, &n.wg, opt.Port, opt.Transport)
+	n.wg.Go(func() { n.runDisk(ctx) })
+	n.wg.Go(func() { n.runClock(ctx) })
+	n.log.WithField("id", string(core.Self().ID)).Info("replication: node started")
+	return n, nil
 }
 
-func (k *Node) now() time.Duration { return time.Since(k.began) }
+// now is the core's clock: the time since the start, from a monotonic clock.
+func (n *Node) now() time.Duration { return time.Since(n.began) }
 
-// runClock tells the core the time.
-func (k *Node) runClock(ctx context.Context) {
-	t := time.NewTicker(tickInterval)
-	defer t.Stop()
-	k.update(func(c *Core) { c.Tick(k.now()) })
+// runClock ticks until ctx ends.
+func (n *Node) runClock(ctx context.Context) {
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	n.update(func(c *Core) { c.Tick(n.now()) })
 	for {
 		select {
 		case <-ctx.Done():
-			k.failWaiters()
+			n.failWaiters()
 			return
-		case <-t.C:
-			k.update(func(c *Core) { c.Tick(k.now()) })
+		case <-ticker.C:
+			n.update(func(c *Core) { c.Tick(n.now()) })
 		}
 	}
 }
 
-// runDisk does the core's disk operations.
-func (k *Node) runDisk(ctx context.Context) {
+// runDisk runs the core's disk operations until ctx ends.
+func (n *Node) runDisk(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case op := <-k.disk:
-			err := op.Do(k.opt.Disk)
-			k.update(func(c *Core) { c.DiskDone(k.now(), op.Token, err) })
+		case op := <-n.disk:
+			err := op.Do(n.opt.Disk)
+			n.update(func(c *Core) { c.DiskDone(n.now(), op.Token, err) })
 		}
 	}
 }
 
-// update has the core take an event and carries out what it wants.
-func (k *Node) update(f func(*Core)) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.stopped {
+// update has the core take up an event and carries out what it wants. It does nothing once the node is stopped.
+func (n *Node) update(event func(*Core)) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.stopped {
 		return
 	}
-	f(k.core)
-	out := k.core.Ready()
-	for _, n := range out.LogEvents {
-		k.log.Info(n)
+	event(n.core)
+	n.execute(n.core.Ready())
+	n.publishState()
+	n.capacityReporter.report(n.now(), n.core, n.log)
+	if v := n.core.View(); v != n.loggedView {
+		n.loggedView = v
+		n.log.WithField("epoch", v.Epoch).Info("replication: new view: " + v.String())
+	}
+}
+
+// execute carries out what the core wants. The caller holds mu.
+func (n *Node) execute(out Outputs) {
+	for _, event := range out.LogEvents {
+		n.log.Info(event)
 	}
 	for _, e := range out.Messages {
-		k.transport.send(e)
+		n.transport.send(e)
 	}
 	if out.Disk != nil {
-		k.disk <- out.Disk // has room: the core has one operation under way at most
+		n.disk <- out.Disk // does not block: the core has one operation in progress at most
 	}
-	for _, d := range out.Completions {
-		if w := k.waiters[d.ID]; w != nil {
-			delete(k.waiters, d.ID)
-			w <- d
+	for _, done := range out.Completions {
+		if waiter := n.waiters[done.ID]; waiter != nil {
+			delete(n.waiters, done.ID)
+			waiter <- done
 		}
 	}
-	if seq, _ := k.core.Committed(); seq != k.seq {
-		k.seq = seq
-		close(k.changed)
-		k.changed = make(chan struct{})
-	}
-	k.capacityReporter.report(k.now(), k.core, k.log)
-	if v := k.core.View(); v != k.loggedView {
-		k.loggedView = v
-		k.log.WithField("epoch", v.Epoch).Info("replication: new view: " + v.String())
+}
+
+// publishState tells those who wait for a change of the committed state. The caller holds mu.
+func (n *Node) publishState() {
+	if seq, _ := n.core.Committed(); seq != n.seq {
+		n.seq = seq
+		close(n.changed)
+		n.changed = make(chan struct{})
 	}
 }
 
-func (k *Node) failWaiters() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.stopped = true
-	for id, w := range k.waiters {
-		delete(k.waiters, id)
-		close(w)
+// failWaiters marks the node as stopped and ends all calls.
+func (n *Node) failWaiters() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.stopped = true
+	for id, waiter := range n.waiters {
+		delete(n.waiters, id)
+		close(waiter)
 	}
 }
 
-// Stop ends the keeper's goroutines and waits for them, at most as long as a disk write takes.
-func (k *Node) Stop() {
-	k.cancel()
-	k.wg.Wait()
+// Stop ends the node's goroutines and waits for them, at most as long as a disk write takes.
+func (n *Node) Stop() {
+	n.cancel()
+	n.wg.Wait()
 }
 
-// Leave tells the others that this keeper is about to stop, and waits until it is out of the chain and enough other links
-// hold what was acknowledged, or until ctx ends. Only then may its disk go.
-func (k *Node) Leave(ctx context.Context) {
-	k.update(func(c *Core) { c.Leave(k.now()) })
-	t := time.NewTicker(tickInterval)
-	defer t.Stop()
-	for {
-		k.mu.Lock()
-		left := k.stopped || k.core.Departed()
-		k.mu.Unlock()
-		if left {
-			return
-		}
+// Leave tells the others that this node is about to stop, and waits until it is out of the chain and enough other replicas hold what was
+// acknowledged, or until ctx ends. Only then may its disk go.
+func (n *Node) Leave(ctx context.Context) {
+	n.update(func(c *Core) { c.Leave(n.now()) })
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	for !n.hasDeparted() {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// Handler serves what other keepers send. Mount it at PathPrefix on the inner port.
-func (k *Node) Handler() http.Handler {
-	srv := replicationpb.NewReplicationServer(deliverer{k})
+func (n *Node) hasDeparted() bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.stopped || n.core.Departed()
+}
+
+// Handler serves what other nodes send. Mount it at PathPrefix on the inner port.
+func (n *Node) Handler() http.Handler {
+	srv := replicationpb.NewReplicationServer(deliverer{n})
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, maxBatchBytes)
 		srv.ServeHTTP(w, r)
@@ -238,7 +266,7 @@
 
 type deliverer struct{ node *Node }
 
-// Deliver takes messages of another keeper.
+// Deliver takes messages of another node.
 func (d deliverer) Deliver(_ context.Context, b *replicationpb.Batch) (*replicationpb.Empty, error) {
 	d.node.update(func(c *Core) {
 		for _, m := range b.GetMessages() {
@@ -248,121 +276,128 @@
 	return &replicationpb.Empty{}, nil
 }
 
-// await has the core take up something and waits for its completion.
-func (k *Node) await(ctx context.Context, f func(c *Core, id uint64, ttl time.Duration)) (Completion, error) {
-	ttl := k.opt.AckTimeout
-	if d, ok := ctx.Deadline(); ok {
-		ttl = time.Until(d)
+// call has the core take up a call and waits for its completion.
+func (n *Node) call(ctx context.Context, start func(c *Core, id uint64, ttl time.Duration)) (Completion, error) {
+	ttl := n.opt.AckTimeout
+	if deadline, ok := ctx.Deadline(); ok {
+		ttl = time.Until(deadline)
 	}
 	if ttl <= 0 || ctx.Err() != nil {
-		return Completion{}, errors.Mark(errors.Mark(errors.New("replication: the deadline has passed: ask again"), ErrNotApplied), ErrUnavailable)
+		err := errors.New("replication: the deadline has passed: ask again")
+		return Completion{}, errors.Mark(errors.Mark(err, ErrNotApplied), ErrUnavailable)
 	}
-	done := make(chan Completion, 1)
+	waiter := make(chan Completion, 1)
 	var id uint64
-	k.update(func(c *Core) {
-		k.lastCallID++
-		id = k.lastCallID
-		k.waiters[id] = done
-		f(c, id, ttl)
+	n.update(func(c *Core) {
+		n.lastCallID++
+		id = n.lastCallID
+		n.waiters[id] = waiter
+		start(c, id, ttl)
 	})
 	if id == 0 {
 		return Completion{}, ErrStopped
 	}
 	select {
-	case d, ok := <-done:
+	case done, ok := <-waiter:
 		if !ok {
 			return Completion{}, errors.Mark(ErrStopped, ErrUnavailable)
 		}
-		return d, nil
+		return done, nil
 	case <-ctx.Done():
-		k.update(func(c *Core) {
-			delete(k.waiters, id)
+		n.update(func(c *Core) {
+			delete(n.waiters, id)
 			c.Abandon(id)
 		})
 		return Completion{}, errors.Mark(errors.Wrap(ctx.Err(), "replication: no answer"), ErrUnavailable)
 	}
 }
 
-// Submit asks for a change and waits until what becomes of it is committed: acknowledged by enough disks. It may be
-// called on any keeper. Without a deadline of ctx it waits for Options.Ack. Errors are marked ErrUnavailable, and
-// ErrNotApplied too when the change is certain not to come about.
-func (k *Node) Submit(ctx context.Context, change controlstate.Change) (SubmitResult, error) {
-	d, err := k.await(ctx, func(c *Core, id uint64, ttl time.Duration) { c.Submit(k.now(), id, change, ttl) })
+// Submit asks for a change and waits until what becomes of it is committed: acknowledged by enough disks. It may be called on any node. Without
+// a deadline of ctx it waits for Options.AckTimeout. Errors are marked ErrUnavailable, and ErrNotApplied too when the change is certain not to
+// be applied; after Stop the error is ErrStopped.
+func (n *Node) Submit(ctx context.Context, change controlstate.Change) (SubmitResult, error) {
+	done, err := n.call(ctx, func(c *Core, id uint64, ttl time.Duration) { c.Submit(n.now(), id, change, ttl) })
 	if err != nil {
 		return SubmitResult{}, err
 	}
-	switch d.Outcome {
+	switch done.Outcome {
 	case Answered:
-		return SubmitResult{Verdict: d.Verdict, Seq: d.Seq}, nil
+		return SubmitResult{Verdict: done.Verdict, Seq: done.Seq}, nil
 	case Refused:
 		return SubmitResult{}, errors.Mark(ErrNotApplied, ErrUnavailable)
 	}
 	return SubmitResult{}, ErrUnavailable
 }
 
-// Read gives the state after all that was acknowledged before the call, and perhaps later changes. It may be called on
-// any keeper. Errors are marked ErrUnavailable.
-func (k *Node) Read(ctx context.Context) (*controlstate.State, error) {
-	d, err := k.await(ctx, func(c *Core, id uint64, ttl time.Duration) { c.Read(k.now(), id, ttl) })
+// Read gives the state after all that was acknowledged before the call, and perhaps later changes. It may be called on any node. Errors are
+// marked ErrUnavailable; after Stop the error is ErrStopped.
+func (n *Node) Read(ctx context.Context) (*controlstate.State, error) {
+	done, err := n.call(ctx, func(c *Core, id uint64, ttl time.Duration) { c.Read(n.now(), id, ttl) })
 	if err != nil {
 		return nil, err
 	}
-	s, ok := d.State.(controlState)
-	if d.Outcome != Answered || !ok {
+	state, ok := done.State.(controlState)
+	if done.Outcome != Answered || !ok {
 		return nil, ErrUnavailable
 	}
-	return s.State, nil
+	return state.State, nil
 }
 
 // Committed gives the newest state known here to be committed, and a channel that is closed when there is a newer one.
-func (k *Node) Committed() (*controlstate.State, <-chan struct{}) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	_, s := k.core.Committed()
-	cs, _ := s.(controlState)
-	return cs.State, k.changed
+func (n *Node) Committed() (*controlstate.State, <-chan struct{}) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	_, s := n.core.Committed()
+	state, _ := s.(controlState)
+	return state.State, n.changed
+}
+
+// RecordsAfter lists the committed records after seq, at most limit of them; false where they are no longer or not yet known.
+func (n *Node) RecordsAfter(seq uint64, limit int) ([]controlstate.Record, bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.core.RecordsAfter(seq, limit)
 }
 
-// RecordsAfter lists the committed records after seq, at most of them; false where they are no longer or not yet known.
-func (k *Node) RecordsAfter(seq uint64, most int) ([]controlstate.Record, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.core.RecordsAfter(seq, most)
+// Current tells whether what Committed gives may be passed on as new: within the last 600 ms (900 ms at an observer) a majority of the voters
+// confirmed that they know of no later epoch, and this node is a chain replica or a learner that has caught up.
+func (n *Node) Current() bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return !n.stopped && n.core.Current(n.now())
 }
 
-// Current tells whether what Committed gives may be passed on as new: within the last 600 ms a majority of voters said
-// that no later epoch is about, and this keeper is a link or fed by one.
-func (k *Node) Current() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return !k.stopped && k.core.Current(k.now())
+// Partitioned tells whether this node has had no way to the chain for so long that a change asked for here would not be accepted.
+func (n *Node) Partitioned() bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return !n.stopped && n.core.Partitioned(n.now())
 }
 
-// Partitioned tells whether this keeper has had no way to the chain for so long that a change asked for here would not be taken.
-func (k *Node) Partitioned() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return !k.stopped && k.core.Partitioned(k.now())
+// Capacity compares the nodes that exist with those that the tolerance needs, as this node sees them now.
+func (n *Node) Capacity() Capacity {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.core.Capacity()
 }
 
-// View gives the newest view known here. Do not change it.
-func (k *Node) View() *View {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.core.View()
+// View gives the newest view known here. The caller must not change it.
+func (n *Node) View() *View {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.core.View()
 }
 
-// Err tells why this keeper has stopped taking part for good; the others go on without it. It is nil as long as all is
-// well.
-func (k *Node) Err() error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.core.Err()
+// Err tells why this node takes no part any more, for good; the others go on without it. It is nil as long as all is well.
+func (n *Node) Err() error {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.core.Err()
 }
 
-// Self gives this keeper's identity and place.
-func (k *Node) Self() Member {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.core.Self()
+// Self gives this node's identity, address, zone and region.
+func (n *Node) Self() Member {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.core.Self()
 }
