--- a/internal/system/replication/acceptor.go
+++ b/internal/system/replication/acceptor.go
@@ -136,11 +136,11 @@
 }
 
 // handlePrepare is phase 1b of Paxos.
-func (ac *acceptor) handlePrepare(from ID, m *replicationpb.Prepare) {
-	if !ac.reachProposersView(from, viewOf(m.GetCurrent())) || !ac.isVoter(ac.view) {
+func (ac *acceptor) handlePrepare(from ID, msg *replicationpb.Prepare) {
+	if !ac.reachProposersView(from, viewOf(msg.GetCurrent())) || !ac.isVoter(ac.view) {
 		return
 	}
-	number := proposalNumberOf(m.GetBallot())
+	number := proposalNumberOf(msg.GetBallot())
 	if number.less(ac.promised) {
 		ac.sendReject(from)
 		return
@@ -154,15 +154,15 @@
 }
 
 // handleAccept is phase 2b of Paxos. The voters of the view that is proposed vote on it too, see proposal.isChosen.
-func (ac *acceptor) handleAccept(from ID, m *replicationpb.Accept) {
-	value := viewOf(m.GetView())
-	if value == nil || !ac.reachProposersView(from, viewOf(m.GetCurrent())) || value.Epoch != ac.view.Epoch+1 {
+func (ac *acceptor) handleAccept(from ID, msg *replicationpb.Accept) {
+	value := viewOf(msg.GetView())
+	if value == nil || !ac.reachProposersView(from, viewOf(msg.GetCurrent())) || value.Epoch != ac.view.Epoch+1 {
 		return
 	}
 	if !ac.isVoter(ac.view) && !ac.isVoter(value) {
 		return
 	}
-	number := proposalNumberOf(m.GetBallot())
+	number := proposalNumberOf(msg.GetBallot())
 	if number.less(ac.promised) {
 		ac.sendReject(from)
 		return
@@ -171,7 +171,7 @@
 	ac.promised = number
 	ac.accept(number, value, func() {
 		if ac.view.Epoch == epoch {
-			ac.send(from, acceptedMessage(&replicationpb.Accepted{Epoch: epoch, Ballot: m.GetBallot(), Addr: ac.self.Addr}))
+			ac.send(from, acceptedMessage(&replicationpb.Accepted{Epoch: epoch, Ballot: msg.GetBallot(), Addr: ac.self.Addr}))
 		}
 	})
 }
--- a/internal/system/replication/capacity.go
+++ b/internal/system/replication/capacity.go
@@ -61,9 +61,9 @@
 
 // remedy is text for operators, in the words of their pages. It is part of the status JSON.
 func (c *Core) remedy(have Capacity) string {
-	v := c.acceptor.view
+	view := c.acceptor.view
 	switch {
-	case v.Epoch == 0:
+	case view.Epoch == 0:
 		return "no view has been formed: start a majority of the seeds that have a disk, with bootstrap = true at the first start of all"
 	case have.ToleranceMet:
 		return ""
@@ -72,11 +72,11 @@
 			have.Voters, have.VotersDesired, have.VotersDesired-have.Voters)
 	case have.Voters < have.VotersDesired:
 		return fmt.Sprintf("%d of %d voters: others are being taken in; if this lasts, see whether they reach each other", have.Voters, have.VotersDesired)
-	case !c.cfg.votersTolerateLosses(v.Voters):
+	case !c.cfg.votersTolerateLosses(view.Voters):
 		return fmt.Sprintf("the worst loss takes %d of %d voters: run keepers with a disk in at least %d zones (and %d regions), or lower [tolerance]",
-			c.cfg.worstToleratedLoss(v.Voters), len(v.Voters), 2*c.cfg.ZoneLosses+1, 2*c.cfg.RegionLosses+1)
+			c.cfg.worstToleratedLoss(view.Voters), len(view.Voters), 2*c.cfg.ZoneLosses+1, 2*c.cfg.RegionLosses+1)
 	}
-	return fmt.Sprintf("%d links hold the changes and the worst loss takes all of them: bring the voters back that are no links", len(v.chainMembers()))
+	return fmt.Sprintf("%d links hold the changes and the worst loss takes all of them: bring the voters back that are no links", len(view.chainMembers()))
 }
 
 const (
--- a/internal/system/replication/change_decider.go
+++ b/internal/system/replication/change_decider.go
@@ -45,15 +45,15 @@
 }
 
 // handleForward decides on a change, unless it has already.
-func (cd *changeDecider) handleForward(from ID, m *replicationpb.Forward) {
-	key := changeKey{from: from, incarnation: m.GetLife(), callNumber: m.GetId()}
+func (cd *changeDecider) handleForward(from ID, msg *replicationpb.Forward) {
+	key := changeKey{from: from, incarnation: msg.GetLife(), callNumber: msg.GetId()}
 	if known := cd.changes[key]; known != nil && !cd.cfg.knobs.SkipDeduplication {
 		if known.done {
 			cd.sendAnswer(known)
 		}
 		return
 	}
-	if m.GetHeadLife() != cd.cfg.Incarnation && !cd.cfg.knobs.AcceptAnyHeadIncarnation {
+	if msg.GetHeadLife() != cd.cfg.Incarnation && !cd.cfg.knobs.AcceptAnyHeadIncarnation {
 		return // it was for a former incarnation: its sender notices by the heartbeats
 	}
 	if len(cd.changes) >= maxChanges {
@@ -63,11 +63,11 @@
 	}
 	change := &pendingChange{key: key, closedAt: cd.now}
 	cd.changes[key] = change
-	if !cd.canDecide(from, m) {
+	if !cd.canDecide(from, msg) {
 		cd.closeChange(change, Refused)
 		return
 	}
-	cd.decide(change, m.GetChange())
+	cd.decide(change, msg.GetChange())
 	if !change.confirmed {
 		cd.confirmVerdict(change)
 	}
@@ -76,9 +76,9 @@
 
 // canDecide tells whether this node is the head that the change was sent to, in the epoch of the change, can append it, and the caller
 // still waits.
-func (cd *changeDecider) canDecide(from ID, m *replicationpb.Forward) bool {
-	isSameEpoch := m.GetEpoch() == cd.acceptor.view.Epoch || cd.cfg.knobs.AcceptForwardsOfEarlierEpochs
-	return cd.chain.isHead() && isSameEpoch && cd.canAppend() && cd.isBeforeDeadline(from, m)
+func (cd *changeDecider) canDecide(from ID, msg *replicationpb.Forward) bool {
+	isSameEpoch := msg.GetEpoch() == cd.acceptor.view.Epoch || cd.cfg.knobs.AcceptForwardsOfEarlierEpochs
+	return cd.chain.isHead() && isSameEpoch && cd.canAppend() && cd.isBeforeDeadline(from, msg)
 }
 
 // canAppend tells whether a record appended now is likely to be committed, and there is capacity for it.
@@ -92,12 +92,12 @@
 // The message says how much time was left when it was sent, and it may have been in flight for long. Let it be sent at s with time t left.
 // Its sender had by then received the head's heartbeat h, so s ≥ sent(h), which the head knows by its own clock. The change is accepted
 // at n only if n − sent(h) < t; then n < s + t. The cost is the time since h. It assumes that clocks run at one rate, not that they agree.
-func (cd *changeDecider) isBeforeDeadline(from ID, m *replicationpb.Forward) bool {
-	timeLeft := time.Duration(m.GetTtlUs()) * time.Microsecond
+func (cd *changeDecider) isBeforeDeadline(from ID, msg *replicationpb.Forward) bool {
+	timeLeft := time.Duration(msg.GetTtlUs()) * time.Microsecond
 	if from == cd.self.ID || cd.cfg.knobs.AcceptLateForwards {
 		return timeLeft > 0
 	}
-	sentAt, ok := cd.liveness.sentTime(m.GetHeard())
+	sentAt, ok := cd.liveness.sentTime(msg.GetHeard())
 	return ok && cd.now-sentAt < timeLeft
 }
 
--- a/internal/system/replication/client_calls.go
+++ b/internal/system/replication/client_calls.go
@@ -86,29 +86,29 @@
 }
 
 // tryForward starts an attempt where there is a head, or repeats the message of the one in progress.
-func (cc *clientCalls) tryForward(s *submit) {
-	if s.sent {
-		if cc.now-s.sentAt >= callResendInterval {
-			cc.sendForward(s)
+func (cc *clientCalls) tryForward(call *submit) {
+	if call.sent {
+		if cc.now-call.sentAt >= callResendInterval {
+			cc.sendForward(call)
 		}
 		return
 	}
 	incarnation, ok := cc.liveness.headIncarnation()
-	if !ok || cc.now < s.retryAt {
+	if !ok || cc.now < call.retryAt {
 		return
 	}
 	cc.lastCallNumber++
-	s.callNumber, s.sent = cc.lastCallNumber, true
-	s.epoch, s.head, s.headIncarnation = cc.acceptor.view.Epoch, cc.acceptor.view.Head(), incarnation
-	cc.sendForward(s)
+	call.callNumber, call.sent = cc.lastCallNumber, true
+	call.epoch, call.head, call.headIncarnation = cc.acceptor.view.Epoch, cc.acceptor.view.Head(), incarnation
+	cc.sendForward(call)
 }
 
-func (cc *clientCalls) sendForward(s *submit) {
-	s.sentAt = cc.now
-	change := entry{rec: s.change.Record(0)}
-	cc.send(s.head, forwardMessage(&replicationpb.Forward{
-		Id: s.callNumber, Life: cc.cfg.Incarnation, HeadLife: s.headIncarnation, Epoch: s.epoch, Change: change.pb(),
-		TtlUs: (s.deadline - cc.now).Microseconds(), Heard: cc.liveness.lastHeartbeatFrom(s.head),
+func (cc *clientCalls) sendForward(call *submit) {
+	call.sentAt = cc.now
+	change := entry{rec: call.change.Record(0)}
+	cc.send(call.head, forwardMessage(&replicationpb.Forward{
+		Id: call.callNumber, Life: cc.cfg.Incarnation, HeadLife: call.headIncarnation, Epoch: call.epoch, Change: change.pb(),
+		TtlUs: (call.deadline - cc.now).Microseconds(), Heard: cc.liveness.lastHeartbeatFrom(call.head),
 	}))
 }
 
@@ -158,21 +158,21 @@
 }
 
 // handleAnswer ends an attempt, and with it the change unless another attempt may follow.
-func (cc *clientCalls) handleAnswer(m *replicationpb.Answer) {
-	if !cc.isThisIncarnation(m.GetLife()) {
+func (cc *clientCalls) handleAnswer(msg *replicationpb.Answer) {
+	if !cc.isThisIncarnation(msg.GetLife()) {
 		return
 	}
-	s := cc.submitOf(m.GetId())
-	if s == nil {
+	call := cc.submitOf(msg.GetId())
+	if call == nil {
 		return
 	}
-	switch outcome := Outcome(m.GetOutcome()); {
-	case outcome == Refused, outcome == Unknown && idempotent(s.change):
-		s.sent, s.uncertain = false, s.uncertain || outcome == Unknown
-		s.retryAt = cc.now + cc.cfg.HeartbeatInterval
+	switch outcome := Outcome(msg.GetOutcome()); {
+	case outcome == Refused, outcome == Unknown && idempotent(call.change):
+		call.sent, call.uncertain = false, call.uncertain || outcome == Unknown
+		call.retryAt = cc.now + cc.cfg.HeartbeatInterval
 	default:
-		verdict := controlstate.Verdict{Kind: controlstate.Kind(m.GetKind()), Reason: m.GetReason()}
-		cc.completeSubmit(s, Completion{Outcome: outcome, Seq: m.GetSeq(), Verdict: verdict})
+		verdict := controlstate.Verdict{Kind: controlstate.Kind(msg.GetKind()), Reason: msg.GetReason()}
+		cc.completeSubmit(call, Completion{Outcome: outcome, Seq: msg.GetSeq(), Verdict: verdict})
 	}
 }
 
--- a/internal/system/replication/core.go
+++ b/internal/system/replication/core.go
@@ -46,7 +46,7 @@
 func newCore(cfg Config, machine Machine) *Core {
 	cfg.applyDefaults()
 	env := &environment{cfg: cfg, self: cfg.Self, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Incarnation))} //nolint:gosec // jitter
-	c := &Core{
+	core := &Core{
 		environment:  env,
 		acceptor:     &acceptor{environment: env, acceptorState: acceptorState{identity: cfg.Self, view: &View{}}},
 		proposer:     &proposer{environment: env, proposeAt: -1},
@@ -61,8 +61,8 @@
 		},
 		writer: &diskWriter{environment: env},
 	}
-	c.connect()
-	return c
+	core.connect()
+	return core
 }
 
 // connect gives each part those that it asks.
@@ -87,25 +87,25 @@
 
 // NewCore makes a core from what the disk holds. Call Tick soon and then every few tens of milliseconds.
 func NewCore(cfg Config, machine Machine, meta map[string][]byte, snap wal.Snapshot, entries []wal.Entry) (*Core, error) {
-	c := newCore(cfg, machine)
+	core := newCore(cfg, machine)
 	if data, ok := meta[metaAcceptor]; ok {
-		if err := c.loadAcceptor(data); err != nil {
+		if err := core.loadAcceptor(data); err != nil {
 			return nil, err
 		}
 	}
-	if err := c.chain.loadLog(snap, entries); err != nil {
+	if err := core.chain.loadLog(snap, entries); err != nil {
 		return nil, err
 	}
 	// The log of a replica that was active goes beyond where the head's ended when the epoch began.
-	c.chain.minReadIndex, c.chain.epochStartIndex = c.chain.log.end(), c.chain.log.end()
-	c.liveness.startGrace(c.cfg.SuspectTimeout + c.cfg.HeartbeatInterval)
-	if !c.acceptor.identityDurable {
-		c.writer.persist(func() { c.acceptor.identityDurable = true })
+	core.chain.minReadIndex, core.chain.epochStartIndex = core.chain.log.end(), core.chain.log.end()
+	core.liveness.startGrace(core.cfg.SuspectTimeout + core.cfg.HeartbeatInterval)
+	if !core.acceptor.identityDurable {
+		core.writer.persist(func() { core.acceptor.identityDurable = true })
 	}
-	if err := c.chain.enterView(); err != nil {
+	if err := core.chain.enterView(); err != nil {
 		return nil, damagedDataError(err, "the log")
 	}
-	return c, nil
+	return core, nil
 }
 
 // loadAcceptor takes up the acceptor's state from disk.
--- a/internal/system/replication/downstream.go
+++ b/internal/system/replication/downstream.go
@@ -49,34 +49,34 @@
 
 // replicateTo sends what the downstream node lacks, as far as the window allows.
 func (cr *chainReplica) replicateTo(id ID) {
-	p := cr.downstream[id]
-	if p == nil {
-		p = &progress{advancedAt: cr.now, lastSentAt: -resendTimeout}
-		cr.downstream[id] = p
+	target := cr.downstream[id]
+	if target == nil {
+		target = &progress{advancedAt: cr.now, lastSentAt: -resendTimeout}
+		cr.downstream[id] = target
 	}
 	if !cr.canReplicate() {
 		return
 	}
-	limit := cr.replicationLimit(p)
-	if !p.matchKnown {
-		if cr.now-p.lastSentAt >= resendTimeout {
-			cr.sendAppend(id, p, limit, nil) // the answer says where the logs match
+	limit := cr.replicationLimit(target)
+	if !target.matchKnown {
+		if cr.now-target.lastSentAt >= resendTimeout {
+			cr.sendAppend(id, target, limit, nil) // the answer says where the logs match
 		}
 		return
 	}
-	if cr.now >= p.resendAt && p.match+1 < p.next {
-		p.next = p.match + 1
+	if cr.now >= target.resendAt && target.match+1 < target.next {
+		target.next = target.match + 1
 	}
-	if p.next <= cr.log.base && p.next <= limit {
-		cr.sendInstall(id, p)
+	if target.next <= cr.log.base && target.next <= limit {
+		cr.sendInstall(id, target)
 		return
 	}
-	for inFlight := cr.log.size(p.match+1, p.next-1); p.next <= limit && inFlight < maxInFlightBytes; {
-		entries := cr.log.between(p.next, limit, maxAppendBytes)
-		cr.sendAppend(id, p, p.next-1, entries)
-		bytes := cr.log.size(p.next, p.next+uint64(len(entries))-1)
-		p.recordSent(cr.now, bytes)
-		p.next += uint64(len(entries))
+	for inFlight := cr.log.size(target.match+1, target.next-1); target.next <= limit && inFlight < maxInFlightBytes; {
+		entries := cr.log.between(target.next, limit, maxAppendBytes)
+		cr.sendAppend(id, target, target.next-1, entries)
+		bytes := cr.log.size(target.next, target.next+uint64(len(entries))-1)
+		target.recordSent(cr.now, bytes)
+		target.next += uint64(len(entries))
 		inFlight += bytes
 	}
 }
@@ -183,31 +183,31 @@
 }
 
 // handleFollow sends a node outside the chain what is committed.
-func (cr *chainReplica) handleFollow(from ID, m *replicationpb.Follow) {
-	if !cr.canServeLearner(from, m.GetEpoch()) {
+func (cr *chainReplica) handleFollow(from ID, msg *replicationpb.Follow) {
+	if !cr.canServeLearner(from, msg.GetEpoch()) {
 		return
 	}
-	p := cr.downstream[from]
-	if p == nil {
+	learner := cr.downstream[from]
+	if learner == nil {
 		if len(cr.downstream) > maxLearners {
 			return
 		}
-		p = &progress{learner: true, lastSentAt: -snapshotResendTimeout}
-		cr.downstream[from] = p
+		learner = &progress{learner: true, lastSentAt: -snapshotResendTimeout}
+		cr.downstream[from] = learner
 	}
-	p.lastContactAt, p.followNumber = cr.now, m.GetNumber()
+	learner.lastContactAt, learner.followNumber = cr.now, msg.GetNumber()
 	// Every request tells what the learner has. What is in flight to it is not sent again before its time.
-	snapshotInFlight, next := p.snapshotInFlight, p.next
-	cr.locateMatch(p, logSummary{base: m.GetBase(), baseEpoch: m.GetBaseEpoch(), runs: m.GetRuns()})
-	p.snapshotInFlight = snapshotInFlight
-	if cr.now < p.resendAt && p.next > cr.log.base {
-		p.next = max(p.next, next)
+	snapshotInFlight, next := learner.snapshotInFlight, learner.next
+	cr.locateMatch(learner, logSummary{base: msg.GetBase(), baseEpoch: msg.GetBaseEpoch(), runs: msg.GetRuns()})
+	learner.snapshotInFlight = snapshotInFlight
+	if cr.now < learner.resendAt && learner.next > cr.log.base {
+		learner.next = max(learner.next, next)
 	}
-	before := p.lastSentAt
+	before := learner.lastSentAt
 	cr.replicateTo(from)
-	if sentNothing := p.lastSentAt != cr.now || before == cr.now; sentNothing {
+	if sentNothing := learner.lastSentAt != cr.now || before == cr.now; sentNothing {
 		// The request is answered all the same, by which the learner knows that it lacks nothing.
-		cr.sendAppend(from, p, min(p.match, cr.commitIndex), nil)
+		cr.sendAppend(from, learner, min(learner.match, cr.commitIndex), nil)
 	}
 }
 
--- a/internal/system/replication/proposer.go
+++ b/internal/system/replication/proposer.go
@@ -169,22 +169,22 @@
 
 // recordPromise starts phase two once a majority of the voters has promised.
 func (pr *proposer) recordPromise(from ID, m *replicationpb.Promise) {
-	p := pr.proposal
-	p.promisedBy[from] = m.GetAddr()
+	attempt := pr.proposal
+	attempt.promisedBy[from] = m.GetAddr()
 	if !pr.cfg.knobs.IgnoreAcceptedViews {
-		p.observeAccepted(m)
+		attempt.observeAccepted(m)
 	}
-	if !pr.acceptor.isQuorum(p.current, p.promisedBy) || pr.acceptor.promised != p.number {
+	if !pr.acceptor.isQuorum(attempt.current, attempt.promisedBy) || pr.acceptor.promised != attempt.number {
 		return
 	}
-	if p.value = p.highestAcceptedView; p.value == nil {
-		p.value, _ = pr.planner.plan()
+	if attempt.value = attempt.highestAcceptedView; attempt.value == nil {
+		attempt.value, _ = pr.planner.plan()
 	}
-	if p.value == nil {
+	if attempt.value == nil {
 		pr.proposal = nil // the reason for the proposal has passed
 		return
 	}
-	pr.requestAccept(p)
+	pr.requestAccept(attempt)
 }
 
 // requestAccept starts phase two. This node accepts first.
--- a/internal/system/replication/transport.go
+++ b/internal/system/replication/transport.go
@@ -14,40 +14,39 @@
 )
 
 const (
-	maxBatchBytes     = 64 << 20
-	targetBatchBytes  = 1 << 20
-	maxQueuedMessages = 1024
+	maxBatchBytes     = 64 << 20 // of a request that is received
+	targetBatchBytes  = 1 << 20  // of a request that is sent; one message may be larger
+	maxQueuedMessages = 1024     // to an address
 	maxQueuedBytes    = 8 << 20
-	messageTTL        = 500 * time.Millisecond // older messages are dropped: peers repeat what still matters
-	sendersPerPeer    = 3                      // requests under way to a peer, so that a long way does not hold up the next
+	messageTTL        = 500 * time.Millisecond // older messages are dropped: nodes repeat what still matters
+	sendersPerPeer    = 3                      // requests in flight to an address, so that a long round trip does not hold up the next
 	requestTimeout    = 800 * time.Millisecond
-	requestTimePerMB  = 2 * time.Second // more for large batches
+	requestTimePerMB  = 2 * time.Second // added for large batches
 	maxOutboxes       = 32
 	outboxIdleTimeout = 30 * time.Second
 )
 
-// transport sends messages, each peer on its own.
+// transport sends messages to other nodes, to each address by an outbox of its own. Messages may be lost, and come out of order.
 type transport struct {
-	ctx          context.Context
-	wg           *sync.WaitGroup
 	port         int
-	roundTripper http.RoundTripper
+	roundTripper http.RoundTripper                   // nil: each outbox has connections of its own
+	stopped      <-chan struct{}                     // closed when no outbox may be opened any more
+	runSenders   func(run func(ctx context.Context)) // runs goroutines that end with the transport
 
 	mu       sync.Mutex
-	outboxes map[string]*outbox
+	outboxes map[string]*outbox // by address
 }
 
-// outbox is the bounded queue to one address.
+// outbox is the bounded queue to one address. Its senders end when nothing has been sent for outboxIdleTimeout.
 type outbox struct {
 	owner                *transport
 	addr                 string
 	client               replicationpb.Replication
 	closeIdleConnections func()
-	cancel               context.CancelFunc
 
 	mu         sync.Mutex
 	queue      []queuedMessage
-	bytes      int
+	bytes      int // of the queue
 	wake       chan struct{}
 	lastUsedAt time.Time
 }
@@ -58,55 +57,72 @@
 	enqueuedAt time.Time
 }
 
-func newTransport(ctx context.Context, wg *sync.WaitGroup, port int, t http.RoundTripper) *transport {
-	return &transport{ctx: ctx, wg: wg, port: port, roundTripper: t, outboxes: map[string]*outbox{}}
+// newTransport makes a transport whose goroutines end with ctx and are counted in wg.
+func newTransport(ctx context.Context, wg *sync.WaitGroup, port int, roundTripper http.RoundTripper) *transport {
+	runSenders := func(run func(ctx context.Context)) {
+		ctx, cancel := context.WithCancel(ctx)
+		endAll := sync.OnceFunc(cancel) // the senders of an outbox end together
+		for range sendersPerPeer {
+			wg.Go(func() {
+				defer endAll()
+				run(ctx)
+			})
+		}
+	}
+	return &transport{port: port, roundTripper: roundTripper, stopped: ctx.Done(), runSenders: runSenders, outboxes: map[string]*outbox{}}
 }
 
-func (o *transport) send(e Envelope) {
-	o.mu.Lock()
-	b := o.outboxes[e.Addr]
-	if b == nil && len(o.outboxes) < maxOutboxes && o.ctx.Err() == nil {
-		b = o.open(e.Addr)
+// send queues a message. It drops it where there are too many outboxes, or the transport has ended.
+func (t *transport) send(e Envelope) {
+	t.mu.Lock()
+	box := t.outboxes[e.Addr]
+	if box == nil && len(t.outboxes) < maxOutboxes && !t.isStopped() {
+		box = t.open(e.Addr)
 	}
-	o.mu.Unlock()
-	if b != nil {
-		b.enqueue(e.Msg)
+	t.mu.Unlock()
+	if box != nil {
+		box.enqueue(e.Msg)
+	}
+}
+
+func (t *transport) isStopped() bool {
+	select {
+	case <-t.stopped:
+		return true
+	default:
+		return false
 	}
 }
 
-func (o *transport) open(addr string) *outbox {
-	t, idle := o.roundTripper, func() {}
-	if t == nil {
+// open starts an outbox. The caller holds mu.
+func (t *transport) open(addr string) *outbox {
+	roundTripper, closeIdleConnections := t.roundTripper, func() {}
+	if roundTripper == nil {
 		own := &http.Transport{
 			DialContext:         (&net.Dialer{Timeout: requestTimeout, KeepAlive: -1}).DialContext,
 			MaxIdleConnsPerHost: sendersPerPeer, MaxConnsPerHost: 2 * sendersPerPeer, IdleConnTimeout: outboxIdleTimeout,
 			WriteBufferSize: 4 << 10, ReadBufferSize: 1 << 10,
 		}
-		t, idle = own, own.CloseIdleConnections
+		roundTripper, closeIdleConnections = own, own.CloseIdleConnections
 	}
-	b := &outbox{
-		owner: o, addr: addr, closeIdleConnections: idle, wake: make(chan struct{}, sendersPerPeer), lastUsedAt: time.Now(),
-		client: replicationpb.NewReplicationProtobufClient("http://"+net.JoinHostPort(addr, strconv.Itoa(o.port)), &http.Client{Transport: t}),
+	url := "http://" + net.JoinHostPort(addr, strconv.Itoa(t.port))
+	box := &outbox{
+		owner: t, addr: addr, closeIdleConnections: closeIdleConnections, wake: make(chan struct{}, sendersPerPeer), lastUsedAt: time.Now(),
+		client: replicationpb.NewReplicationProtobufClient(url, &http.Client{Transport: roundTripper}),
 	}
-	o.outboxes[addr] = b
-	var ctx context.Context
-	ctx, b.cancel = context.WithCancel(o.ctx)
-	for range sendersPerPeer {
-		o.wg.Go(func() {
-			defer b.cancel()
-			b.run(ctx)
-		})
-	}
-	return b
+	t.outboxes[addr] = box
+	t.runSenders(box.run)
+	return box
 }
 
-func (b *outbox) enqueue(m *replicationpb.Message) {
-	size := proto.Size(m)
+// enqueue queues a message for the senders. A queue that is full is emptied first: what it holds is late.
+func (b *outbox) enqueue(msg *replicationpb.Message) {
+	size := proto.Size(msg)
 	b.mu.Lock()
 	if len(b.queue) >= maxQueuedMessages || b.bytes+size > maxQueuedBytes && len(b.queue) > 0 {
 		b.queue, b.bytes = nil, 0
 	}
-	b.queue = append(b.queue, queuedMessage{m, size, time.Now()})
+	b.queue = append(b.queue, queuedMessage{msg: msg, size: size, enqueuedAt: time.Now()})
 	b.bytes += size
 	b.lastUsedAt = time.Now()
 	b.mu.Unlock()
@@ -116,63 +132,67 @@
 	}
 }
 
-// dequeueBatch empties the queue as far as one request goes.
+// dequeueBatch takes from the queue as much as one request carries, without what is too old, and gives its size in bytes.
 func (b *outbox) dequeueBatch() ([]*replicationpb.Message, int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var out []*replicationpb.Message
+	var batch []*replicationpb.Message
 	size := 0
 	for len(b.queue) > 0 && (size == 0 || size+b.queue[0].size <= targetBatchBytes) {
-		l := b.queue[0]
+		next := b.queue[0]
 		b.queue = b.queue[1:]
-		b.bytes -= l.size
-		if time.Since(l.enqueuedAt) <= messageTTL {
-			out = append(out, l.msg)
-			size += l.size
+		b.bytes -= next.size
+		if time.Since(next.enqueuedAt) <= messageTTL {
+			batch = append(batch, next.msg)
+			size += next.size
 		}
 	}
 	if len(b.queue) == 0 {
 		b.queue = nil
 	}
-	return out, size
+	return batch, size
 }
 
+// run sends what is queued until ctx ends or the outbox is idle.
 func (b *outbox) run(ctx context.Context) {
-	t := time.NewTimer(outboxIdleTimeout)
-	defer t.Stop()
+	defer b.closeIdleConnections()
+	idle := time.NewTimer(outboxIdleTimeout)
+	defer idle.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			b.closeIdleConnections()
 			return
-		case <-t.C:
+		case <-idle.C:
 			if b.closeIfIdle() {
-				b.closeIdleConnections()
 				return
 			}
-			t.Reset(outboxIdleTimeout)
-			continue
+			idle.Reset(outboxIdleTimeout)
 		case <-b.wake:
+			b.sendQueued(ctx)
 		}
-		for {
-			msgs, size := b.dequeueBatch()
-			if len(msgs) == 0 {
-				break
-			}
-			b.sendBatch(ctx, msgs, size)
+	}
+}
+
+// sendQueued sends batches until the queue is empty.
+func (b *outbox) sendQueued(ctx context.Context) {
+	for {
+		batch, size := b.dequeueBatch()
+		if len(batch) == 0 {
+			return
 		}
+		b.sendBatch(ctx, batch, size)
 	}
 }
 
-func (b *outbox) sendBatch(ctx context.Context, msgs []*replicationpb.Message, size int) {
+func (b *outbox) sendBatch(ctx context.Context, batch []*replicationpb.Message, size int) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout+time.Duration(size)*requestTimePerMB>>20)
 	defer cancel()
-	if _, err := b.client.Deliver(ctx, &replicationpb.Batch{Messages: msgs}); err != nil {
-		b.closeIdleConnections() // the next try gets a new connection
+	if _, err := b.client.Deliver(ctx, &replicationpb.Batch{Messages: batch}); err != nil {
+		b.closeIdleConnections() // the next attempt gets a new connection
 	}
 }
 
-// closeIfIdle closes a outbox that nothing was sent to for long.
+// closeIfIdle removes an outbox that nothing was sent to for long, and tells whether it did.
 func (b *outbox) closeIfIdle() bool {
 	b.owner.mu.Lock()
 	defer b.owner.mu.Unlock()
--- a/internal/system/replication/upstream.go
+++ b/internal/system/replication/upstream.go
@@ -66,17 +66,17 @@
 }
 
 // handleAppend takes up records, or the news that there are none to send.
-func (cr *chainReplica) handleAppend(from ID, m *replicationpb.Append) {
-	if !cr.isUpstream(from, m.GetEpoch(), m.GetLearner()) {
+func (cr *chainReplica) handleAppend(from ID, msg *replicationpb.Append) {
+	if !cr.isUpstream(from, msg.GetEpoch(), msg.GetLearner()) {
 		return
 	}
-	prev, entries := m.GetPrevSeq(), m.GetEntries()
+	prev, entries := msg.GetPrevSeq(), msg.GetEntries()
 	last := prev + uint64(len(entries))
 	switch epoch, ok := cr.log.epochAt(prev); {
 	case prev < cr.log.base:
 		// What is below base is committed, so it is the same here.
 		entries = entries[min(uint64(len(entries)), cr.log.base-prev):]
-	case !ok || epoch != m.GetPrevEpoch():
+	case !ok || epoch != msg.GetPrevEpoch():
 		cr.sendMismatch(from)
 		return
 	}
@@ -87,12 +87,12 @@
 		return
 	}
 	cr.matchIndex, cr.upstreamMatched = max(cr.matchIndex, min(last, cr.log.end())), true
-	if m.GetLearner() {
-		cr.followUpstream(from, m)
+	if msg.GetLearner() {
+		cr.followUpstream(from, msg)
 		return
 	}
 	if cr.acceptor.activeEpoch != cr.acceptor.view.Epoch {
-		cr.alignEnd(m)
+		cr.alignEnd(msg)
 	}
 	// Needed though nothing may have been written: after a start of all nodes, all replicas may hold the same log, and no write follows
 	// upon which the tail would commit it.
@@ -102,14 +102,14 @@
 // appendEntries adds the records that the log lacks, in place of those of other epochs. It gives false where they do not continue the
 // log, or contradict what cannot be truncated.
 func (cr *chainReplica) appendEntries(entries []*replicationpb.Entry) bool {
-	for _, e := range entries {
-		seq := e.GetSeq()
+	for _, rec := range entries {
+		seq := rec.GetSeq()
 		if epoch, ok := cr.log.epochAt(seq); ok {
-			if epoch == e.GetEpoch() {
+			if epoch == rec.GetEpoch() {
 				continue
 			}
 			if !cr.canTruncate(seq) {
-				cr.fail(&DivergedLogError{Seq: seq, Epoch: epoch, UpstreamEpoch: e.GetEpoch()})
+				cr.fail(&DivergedLogError{Seq: seq, Epoch: epoch, UpstreamEpoch: rec.GetEpoch()})
 				return false
 			}
 			cr.truncateLog(seq - 1)
@@ -117,7 +117,7 @@
 		if seq != cr.log.end()+1 {
 			return false
 		}
-		cr.log.entries = append(cr.log.entries, entryOf(e))
+		cr.log.entries = append(cr.log.entries, entryOf(rec))
 	}
 	return true
 }
@@ -181,16 +181,16 @@
 }
 
 // handleInstall takes up a snapshot.
-func (cr *chainReplica) handleInstall(from ID, m *replicationpb.Install) {
-	if !cr.isUpstream(from, m.GetEpoch(), m.GetLearner()) || cr.isActive() || m.GetSeq() <= cr.commitIndex {
+func (cr *chainReplica) handleInstall(from ID, msg *replicationpb.Install) {
+	if !cr.isUpstream(from, msg.GetEpoch(), msg.GetLearner()) || cr.isActive() || msg.GetSeq() <= cr.commitIndex {
 		return
 	}
-	state, err := cr.machine.Decode(m.GetState())
+	state, err := cr.machine.Decode(msg.GetState())
 	if err != nil {
 		cr.logEvent("replication: a snapshot from another node cannot be decoded: " + err.Error())
 		return
 	}
-	snap, err := encodeImage(m.GetSeq(), m.GetSeqEpoch(), state)
+	snap, err := encodeImage(msg.GetSeq(), msg.GetSeqEpoch(), state)
 	if err != nil {
 		cr.fail(err)
 		return
@@ -199,11 +199,11 @@
 	// earlier epochs any more. That is on disk before the log is dropped there.
 	cr.acceptor.activeEpoch = 0
 	cr.writer.persist(nil)
-	cr.log = memoryLog{base: m.GetSeq(), baseEpoch: m.GetSeqEpoch()}
-	cr.state, cr.commitIndex, cr.matchIndex = state, m.GetSeq(), m.GetSeq()
+	cr.log = memoryLog{base: msg.GetSeq(), baseEpoch: msg.GetSeqEpoch()}
+	cr.state, cr.commitIndex, cr.matchIndex = state, msg.GetSeq(), msg.GetSeq()
 	cr.writer.install(&snap)
 	cr.waiting.completeReads()
-	cr.send(from, ackMessage(&replicationpb.Ack{Epoch: m.GetEpoch(), Matched: m.GetSeq()}))
+	cr.send(from, ackMessage(&replicationpb.Ack{Epoch: msg.GetEpoch(), Matched: msg.GetSeq()}))
 }
 
 // sendFollow asks the last active replica for what is committed, when this node is outside the chain. The request goes with each
