--- a/internal/system/replication/control_test.go
+++ b/internal/system/replication/control_test.go
@@ -34,7 +34,7 @@
 		covered = covered.with(c.knobs)
 		t.Run(name, func(t *testing.T) {
 			seed := c.seed
-			_, err := simulate(seed, seedFaults(seed), c.knobs, nil)
+			_, err := simulateSeed(seed, seedFaults(seed), c.knobs, nil)
 			if err == nil {
 				r := sweep(1, uint64(envInt("REPLICATION_CONTROL_SEEDS", 3000)), c.knobs, true)
 				seed, err = r.seed, r.err
@@ -43,7 +43,7 @@
 				t.Fatal("nothing broke without this protection")
 			}
 			t.Logf("seed %d: %v", seed, err)
-			if _, err := simulate(seed, seedFaults(seed), TestingKnobs{}, nil); err != nil {
+			if _, err := simulateSeed(seed, seedFaults(seed), TestingKnobs{}, nil); err != nil {
 				t.Errorf("it breaks with the protection too: %v", err)
 			}
 		})
--- a/internal/system/replication/core_catchup_test.go
+++ b/internal/system/replication/core_catchup_test.go
@@ -14,7 +14,7 @@
 	var longest time.Duration
 	for _, away := range []time.Duration{20 * time.Second, 100 * time.Second} {
 		for _, lostAfter := range []time.Duration{100 * time.Millisecond, 400 * time.Millisecond, 800 * time.Millisecond, 2 * time.Second} {
-			cl := newCluster(t)
+			cl := newScriptedCluster(t)
 			cl.machine = blobMachine{}
 			addrs := []string{"k1", "k2", "k3", "k4", "k5"}
 			for i, a := range addrs {
@@ -25,17 +25,17 @@
 			}
 			cl.until(8*time.Second, "the first view", func() bool { return cl.complete(5, 5) })
 			cl.run(time.Second)
-			member := cl.link(4)
-			head := cl.link(0)
+			member := cl.replica(4)
+			head := cl.replica(0)
 			cl.nodes[member].core = nil
 			cl.flow(head, cl.now+away, each, nil)
-			cl.pipes[member] = &pipe{rate: 2 << 20}
+			cl.slowNetworks[member] = &slowNetwork{bytesPerSecond: 2 << 20}
 			cl.start(cl.nodes[member].cfg)
 			began, level := cl.now, time.Duration(0)
 			cl.flow(head, cl.now+lostAfter, each, nil)
-			feeder := cl.link(len(cl.view().Chain) - 1)
+			feeder := cl.replica(len(cl.view().Chain) - 1)
 			if feeder == member {
-				feeder = cl.link(len(cl.view().Chain) - 2)
+				feeder = cl.replica(len(cl.view().Chain) - 2)
 			}
 			cl.nodes[feeder].core = nil
 			cl.flow(head, cl.now+10*time.Second, each, func() {
@@ -45,7 +45,7 @@
 				}
 			})
 			t.Logf("away for %v, its feeder lost after %v: a link again after %v, %.1f MB sent", away, lostAfter, level,
-				float64(cl.pipes[member].sent)/(1<<20))
+				float64(cl.slowNetworks[member].sentBytes)/(1<<20))
 			if level == 0 {
 				t.Errorf("away for %v, its feeder lost after %v: it is no link again within 10 s", away, lostAfter)
 			}
--- a/internal/system/replication/core_cluster_test.go
+++ b/internal/system/replication/core_cluster_test.go
@@ -15,69 +15,69 @@
 // clusterStep is how long a message and a write take in a cluster.
 const clusterStep = 5 * time.Millisecond
 
-// cluster drives cores without faults of its own: a test scripts who runs, what is held back and when it arrives.
-type cluster struct {
-	t       *testing.T
-	now     time.Duration
-	nodes   map[string]*node // by address
-	sent    []Envelope
-	filter  func(from, to string, m *replicationpb.Message) bool // false: the message is lost; nil: none is
-	ids     uint64
-	done    map[uint64]Completion
-	machine Machine
-	pipes   map[string]*pipe // by address: what arrives there through a slow link
-}
-
-// pipe is a slow link to a keeper, on which appends and snapshots wait for each other.
-type pipe struct {
-	rate float64 // bytes a second
-	free time.Duration
-	sent int // bytes
-	due  []arrival
+// scriptedCluster drives cores without faults of its own: a test scripts who runs, what is held back and when it arrives.
+type scriptedCluster struct {
+	t            *testing.T
+	now          time.Duration
+	nodes        map[string]*scriptedNode // by address
+	sent         []Envelope
+	filter       func(from, to string, m *replicationpb.Message) bool // false: the message is lost; nil: none is
+	lastCallID   uint64
+	done         map[uint64]Completion
+	machine      Machine
+	slowNetworks map[string]*slowNetwork // by address: what arrives there through a slow link
+}
+
+// slowNetwork is a slow link to a keeper, on which appends and snapshots wait for each other.
+type slowNetwork struct {
+	bytesPerSecond float64 // bytes a second
+	freeAt         time.Duration
+	sentBytes      int // bytes
+	arrivals       []arrival
 }
 
 type arrival struct {
-	at time.Duration
-	e  Envelope
+	at       time.Duration
+	envelope Envelope
 }
 
-// takes tells whether the message goes through the pipe; heartbeats have a connection of their own.
-func (p *pipe) takes(now time.Duration, e Envelope) bool {
+// transmits tells whether the message goes through the pipe; heartbeats have a connection of their own.
+func (p *slowNetwork) transmits(now time.Duration, e Envelope) bool {
 	if e.Msg.GetAppend() == nil && e.Msg.GetInstall() == nil {
 		return false
 	}
 	size := proto.Size(e.Msg)
-	p.sent += size
-	p.free = max(p.free, now) + time.Duration(float64(size)/p.rate*float64(time.Second))
-	p.due = append(p.due, arrival{p.free, e})
+	p.sentBytes += size
+	p.freeAt = max(p.freeAt, now) + time.Duration(float64(size)/p.bytesPerSecond*float64(time.Second))
+	p.arrivals = append(p.arrivals, arrival{p.freeAt, e})
 	return true
 }
 
-// node is one core and what its disk holds.
-type node struct {
-	core    *Core // nil: it does not run
-	cfg     Config
-	born    time.Duration
-	frozen  bool
-	disk    *memDisk
-	pending []*DiskOp
+// scriptedNode is one core and what its disk holds.
+type scriptedNode struct {
+	core      *Core // nil: it does not run
+	cfg       Config
+	startedAt time.Duration
+	paused    bool
+	disk      *memDisk
+	pending   []*DiskOp
 }
 
-func newCluster(t *testing.T) *cluster {
-	return &cluster{t: t, nodes: map[string]*node{}, done: map[uint64]Completion{}, machine: toyMachine{}, pipes: map[string]*pipe{}}
+func newScriptedCluster(t *testing.T) *scriptedCluster {
+	return &scriptedCluster{t: t, nodes: map[string]*scriptedNode{}, done: map[uint64]Completion{}, machine: toyMachine{}, slowNetworks: map[string]*slowNetwork{}}
 }
 
 // start starts a keeper at cfg.Self.Addr, on the disk that it left there.
-func (cl *cluster) start(cfg Config) *node {
+func (cl *scriptedCluster) start(cfg Config) *scriptedNode {
 	cl.t.Helper()
 	addr := cfg.Self.Addr
 	n := cl.nodes[addr]
 	if n == nil {
-		n = &node{disk: newMemDisk()}
+		n = &scriptedNode{disk: newMemDisk()}
 		cl.nodes[addr] = n
 	}
-	cl.ids++
-	cfg.Incarnation, cfg.Seed = cl.ids, cl.ids
+	cl.lastCallID++
+	cfg.Incarnation, cfg.Seed = cl.lastCallID, cl.lastCallID
 	if cfg.Self.ID == "" {
 		cfg.Self.ID = ID(addr)
 	}
@@ -85,15 +85,15 @@
 	if err != nil {
 		cl.t.Fatal(err)
 	}
-	n.core, n.cfg, n.born, n.frozen, n.pending = core, cfg, cl.now, false, nil
+	n.core, n.cfg, n.startedAt, n.paused, n.pending = core, cfg, cl.now, false, nil
 	cl.collect(addr)
 	return n
 }
 
-func (cl *cluster) clock(n *node) time.Duration { return cl.now - n.born }
+func (cl *scriptedCluster) clock(n *scriptedNode) time.Duration { return cl.now - n.startedAt }
 
 // collect takes what a core wants done.
-func (cl *cluster) collect(addr string) {
+func (cl *scriptedCluster) collect(addr string) {
 	n := cl.nodes[addr]
 	out := n.core.Ready()
 	for _, e := range out.Messages {
@@ -112,8 +112,8 @@
 	}
 }
 
-// holdForwards takes the changes that sender passes on to head off the network from now on, until another filter is set.
-func (cl *cluster) holdForwards(sender, head string) *[]Envelope {
+// captureForwards takes the changes that sender passes on to head off the network from now on, until another filter is set.
+func (cl *scriptedCluster) captureForwards(sender, head string) *[]Envelope {
 	var held []Envelope
 	cl.filter = func(from, to string, m *replicationpb.Message) bool {
 		if from == sender && to == head && m.GetForward() != nil {
@@ -126,32 +126,32 @@
 }
 
 // deliver hands a message over at once, whether or not the filter would let it through.
-func (cl *cluster) deliver(e Envelope) {
-	if n := cl.nodes[e.Addr]; n != nil && n.core != nil && !n.frozen {
+func (cl *scriptedCluster) deliver(e Envelope) {
+	if n := cl.nodes[e.Addr]; n != nil && n.core != nil && !n.paused {
 		n.core.Receive(cl.clock(n), e.Msg)
 		cl.collect(e.Addr)
 	}
 }
 
-func (cl *cluster) step() {
+func (cl *scriptedCluster) step() {
 	cl.now += clusterStep
 	sent := cl.sent
 	cl.sent = nil
 	for _, e := range sent {
-		if p := cl.pipes[e.Addr]; p == nil || !p.takes(cl.now, e) {
+		if p := cl.slowNetworks[e.Addr]; p == nil || !p.transmits(cl.now, e) {
 			cl.deliver(e)
 		}
 	}
-	for _, p := range cl.pipes {
-		for len(p.due) > 0 && p.due[0].at <= cl.now {
-			e := p.due[0].e
-			p.due = p.due[1:]
+	for _, p := range cl.slowNetworks {
+		for len(p.arrivals) > 0 && p.arrivals[0].at <= cl.now {
+			e := p.arrivals[0].envelope
+			p.arrivals = p.arrivals[1:]
 			cl.deliver(e)
 		}
 	}
 	for _, addr := range slices.Sorted(maps.Keys(cl.nodes)) {
 		n := cl.nodes[addr]
-		if n.core == nil || n.frozen {
+		if n.core == nil || n.paused {
 			continue
 		}
 		ops := n.pending
@@ -167,14 +167,14 @@
 	}
 }
 
-func (cl *cluster) run(d time.Duration) {
+func (cl *scriptedCluster) run(d time.Duration) {
 	for end := cl.now + d; cl.now < end; {
 		cl.step()
 	}
 }
 
 // until runs until ok, and fails the test when that takes longer than limit.
-func (cl *cluster) until(limit time.Duration, what string, ok func() bool) time.Duration {
+func (cl *scriptedCluster) until(limit time.Duration, what string, ok func() bool) time.Duration {
 	cl.t.Helper()
 	began := cl.now
 	for !ok() {
@@ -193,29 +193,29 @@
 }
 
 // submit asks for a change at addr and gives the number under which it ends.
-func (cl *cluster) submit(addr string, ch controlstate.Change, ttl time.Duration) uint64 {
-	cl.ids++
+func (cl *scriptedCluster) submit(addr string, ch controlstate.Change, ttl time.Duration) uint64 {
+	cl.lastCallID++
 	n := cl.nodes[addr]
-	n.core.Submit(cl.clock(n), cl.ids, ch, ttl)
+	n.core.Submit(cl.clock(n), cl.lastCallID, ch, ttl)
 	cl.collect(addr)
-	return cl.ids
+	return cl.lastCallID
 }
 
-func (cl *cluster) read(addr string, ttl time.Duration) uint64 {
-	cl.ids++
+func (cl *scriptedCluster) read(addr string, ttl time.Duration) uint64 {
+	cl.lastCallID++
 	n := cl.nodes[addr]
-	n.core.Read(cl.clock(n), cl.ids, ttl)
+	n.core.Read(cl.clock(n), cl.lastCallID, ttl)
 	cl.collect(addr)
-	return cl.ids
+	return cl.lastCallID
 }
 
-func (cl *cluster) answered(id uint64) bool {
+func (cl *scriptedCluster) answered(id uint64) bool {
 	d, ok := cl.done[id]
 	return ok && d.Outcome == Answered
 }
 
 // view is the newest view that any running core knows.
-func (cl *cluster) view() *View {
+func (cl *scriptedCluster) view() *View {
 	newest := &View{}
 	for _, n := range cl.nodes {
 		if n.core != nil && n.core.acceptor.view.Epoch > newest.Epoch {
@@ -226,7 +226,7 @@
 }
 
 // complete tells whether the newest view has that many links and voters, and all links are active.
-func (cl *cluster) complete(links, voters int) bool {
+func (cl *scriptedCluster) complete(links, voters int) bool {
 	v := cl.view()
 	if len(v.Chain) != links || len(v.Voters) != voters {
 		return false
@@ -245,7 +245,7 @@
 	return true
 }
 
-func noted(zone string) controlstate.Change {
+func evacuating(zone string) controlstate.Change {
 	return controlstate.Change{Op: controlstate.OpEvacuate, Zone: zone}
 }
 
--- a/internal/system/replication/core_cut_test.go
+++ b/internal/system/replication/core_cut_test.go
@@ -20,9 +20,9 @@
 	var longest, longestCurrent time.Duration
 	for name, stops := range directions {
 		for link := range 3 {
-			cl := trio(t, 1, TestingKnobs{})
-			cut := cl.link(link)
-			other := cl.link((link + 1) % 3)
+			cl := threeNodes(t, 1, TestingKnobs{})
+			cut := cl.replica(link)
+			other := cl.replica((link + 1) % 3)
 			var late []Envelope
 			cl.filter = func(from, to string, m *replicationpb.Message) bool {
 				if stops(from, to, cut) {
--- a/internal/system/replication/core_disk_test.go
+++ b/internal/system/replication/core_disk_test.go
@@ -12,8 +12,8 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// alone is one keeper whose chain is itself, on a log in a folder.
-type alone struct {
+// singleNode is one keeper whose chain is itself, on a log in a folder.
+type singleNode struct {
 	t    *testing.T
 	core *Core
 	log  *wal.Log
@@ -22,7 +22,7 @@
 	peak int // bytes of records in memory, at most
 }
 
-func newAlone(t *testing.T, machine Machine, folder string) *alone {
+func newSingleNode(t *testing.T, machine Machine, folder string) *singleNode {
 	t.Helper()
 	log, err := wal.Open(folder, wal.Options{})
 	if err != nil {
@@ -38,11 +38,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &alone{t: t, core: core, log: log, done: map[uint64]Completion{}}
+	return &singleNode{t: t, core: core, log: log, done: map[uint64]Completion{}}
 }
 
 // until goes on until ok, for limit at most; a write takes no time.
-func (a *alone) until(limit time.Duration, what string, ok func() bool) {
+func (a *singleNode) until(limit time.Duration, what string, ok func() bool) {
 	a.t.Helper()
 	for end := a.now + limit; !ok(); a.now += clusterStep {
 		if a.now > end {
@@ -66,7 +66,7 @@
 }
 
 // change submits changes of so many bytes, all at once, and waits for them.
-func (a *alone) change(first, count uint64, size int) {
+func (a *singleNode) change(first, count uint64, size int) {
 	a.t.Helper()
 	for id := first; id < first+count; id++ {
 		a.core.Submit(a.now, id, controlstate.Change{Op: controlstate.OpNone, Zone: fmt.Sprint(id), Body: make([]byte, size)}, 5*time.Second)
@@ -86,38 +86,38 @@
 	}
 }
 
-// heavyMachine is a toyMachine whose states take so many bytes on disk.
-type heavyMachine struct {
+// largeStateMachine is a toyMachine whose states take so many bytes on disk.
+type largeStateMachine struct {
 	toyMachine
 	bytes int
 }
 
-type heavy struct {
+type largeState struct {
 	State
 	bytes int
 }
 
-func (m heavyMachine) Empty() State { return heavy{m.toyMachine.Empty(), m.bytes} }
+func (m largeStateMachine) Empty() State { return largeState{m.toyMachine.Empty(), m.bytes} }
 
-func (m heavyMachine) Decode(data []byte) (State, error) {
+func (m largeStateMachine) Decode(data []byte) (State, error) {
 	s, err := m.toyMachine.Decode(data)
-	return heavy{s, m.bytes}, err
+	return largeState{s, m.bytes}, err
 }
 
-func (h heavy) Encode() []byte {
+func (h largeState) Encode() []byte {
 	return append(h.State.Encode(), bytes.Repeat([]byte(" "), h.bytes)...)
 }
 
-func (h heavy) Apply(r controlstate.Record) (State, error) {
+func (h largeState) Apply(r controlstate.Record) (State, error) {
 	next, err := h.State.Apply(r)
-	return heavy{next, h.bytes}, err
+	return largeState{next, h.bytes}, err
 }
 
 // TestFullLogIsCompacted has more under way than the log may hold beside its snapshot. Danger: the log is full of what is
 // committed, each append is refused, and the compaction that would make room waits behind them for good.
 func TestFullLogIsCompacted(t *testing.T) {
 	const size = 15 << 20
-	a := newAlone(t, heavyMachine{bytes: size}, t.TempDir())
+	a := newSingleNode(t, largeStateMachine{bytes: size}, t.TempDir())
 	a.change(1, 1, size)
 	a.change(2, 4, size)
 	if n := a.log.Size(); n > 40<<20 {
@@ -128,7 +128,7 @@
 // TestCompactionAheadOfTheLog is due to compact while what is committed is not all on its own disk yet, as on a keeper that is
 // fed under load. Danger: the log refuses a snapshot beyond its end, and the compaction is tried again for good.
 func TestCompactionAheadOfTheLog(t *testing.T) {
-	a := newAlone(t, toyMachine{}, t.TempDir())
+	a := newSingleNode(t, toyMachine{}, t.TempDir())
 	a.change(1, 3, 100)
 	c := a.core
 	c.writer.loggedBytes = 2 * compactThresholdBytes
@@ -149,7 +149,7 @@
 // told that two keepers run on one data directory.
 func TestSupersededKeeperStops(t *testing.T) {
 	folder := t.TempDir()
-	a := newAlone(t, toyMachine{}, folder)
+	a := newSingleNode(t, toyMachine{}, folder)
 	a.change(1, 1, 100)
 	other, err := wal.Open(folder, wal.Options{})
 	if err != nil {
--- a/internal/system/replication/core_feed_test.go
+++ b/internal/system/replication/core_feed_test.go
@@ -8,30 +8,30 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// blob is a state that is replaced as a whole by each change with a body, as a configuration is.
-type blob struct {
+// blobState is a state that is replaced as a whole by each change with a body, as a configuration is.
+type blobState struct {
 	seq  uint64
 	body []byte
 }
 
-func (*blob) Check(controlstate.Change) controlstate.Verdict {
+func (*blobState) Check(controlstate.Change) controlstate.Verdict {
 	return controlstate.Verdict{Kind: controlstate.Accepted}
 }
 
-func (s *blob) Apply(r controlstate.Record) (State, error) {
-	next := &blob{r.Seq, s.body}
+func (s *blobState) Apply(r controlstate.Record) (State, error) {
+	next := &blobState{r.Seq, s.body}
 	if len(r.Body) > 0 {
 		next.body = r.Body
 	}
 	return next, nil
 }
 
-func (s *blob) Encode() []byte { return s.body }
+func (s *blobState) Encode() []byte { return s.body }
 
 type blobMachine struct{}
 
-func (blobMachine) Empty() State                   { return &blob{} }
-func (blobMachine) Decode(b []byte) (State, error) { return &blob{body: b}, nil }
+func (blobMachine) Empty() State                   { return &blobState{} }
+func (blobMachine) Decode(b []byte) (State, error) { return &blobState{body: b}, nil }
 
 func sized(bytes int) controlstate.Change {
 	return controlstate.Change{Op: controlstate.OpReplace, Body: make([]byte, bytes)}
@@ -47,7 +47,7 @@
 }
 
 // flow asks for a change of so many bytes at addr, 20 times a second, until the clock shows end.
-func (cl *cluster) flow(addr string, end time.Duration, bytes int, each func()) {
+func (cl *scriptedCluster) flow(addr string, end time.Duration, bytes int, each func()) {
 	for next := cl.now; cl.now < end; {
 		if cl.now >= next {
 			cl.submit(addr, sized(bytes), 2*time.Second)
@@ -63,9 +63,9 @@
 // TestTheLogInMemoryIsBounded has hundreds of large changes acknowledged. Danger: the records that are kept for those who
 // follow are counted and not weighed, and the process goes over its memory.
 func TestTheLogInMemoryIsBounded(t *testing.T) {
-	cl := newCluster(t)
+	cl := newScriptedCluster(t)
 	cl.machine = blobMachine{}
-	formTrio(cl, 1, TestingKnobs{})
+	formThreeNodes(cl, 1, TestingKnobs{})
 	const each = 256 << 10
 	most := 0
 	cl.flow("a", cl.now+20*time.Second, each, func() {
@@ -85,7 +85,7 @@
 // TestTheLogOnDiskIsBounded lets writes take so long that new records wait at the end of each. Danger: the next append
 // always goes before a snapshot, and the log grows until the load ends.
 func TestTheLogOnDiskIsBounded(t *testing.T) {
-	cl := newCluster(t)
+	cl := newScriptedCluster(t)
 	cl.machine = blobMachine{}
 	for _, a := range []string{"a", "b", "c"} {
 		cl.start(Config{
@@ -97,7 +97,7 @@
 	cl.run(time.Second)
 	most := 0
 	for range 2000 { // a change each step: a write takes one
-		cl.submit("a", noted("x"), 2*time.Second)
+		cl.submit("a", evacuating("x"), 2*time.Second)
 		cl.step()
 		for _, n := range cl.nodes {
 			most = max(most, len(n.disk.p.entries))
@@ -112,15 +112,15 @@
 // TestASnapshotUnderWayIsNotSentAgain: danger: a large snapshot takes longer than the wait for its receipt, and the link is
 // filled with copies of it.
 func TestASnapshotUnderWayIsNotSentAgain(t *testing.T) {
-	cl := newCluster(t)
+	cl := newScriptedCluster(t)
 	cl.machine = blobMachine{}
-	formTrio(cl, 1, TestingKnobs{})
+	formThreeNodes(cl, 1, TestingKnobs{})
 	id := cl.submit("a", sized(4<<20), 2*time.Second)
 	cl.until(2*time.Second, "a large change", func() bool { return cl.answered(id) })
 	cl.flow("a", cl.now+3*time.Second, 300<<10, nil) // 18 MB: the first records are behind a snapshot
 	id = cl.submit("a", sized(4<<20), 2*time.Second)
 	cl.until(2*time.Second, "a large change", func() bool { return cl.answered(id) })
-	cl.pipes["d"] = &pipe{rate: 1 << 20}
+	cl.slowNetworks["d"] = &slowNetwork{bytesPerSecond: 1 << 20}
 	sent := 0
 	cl.filter = func(_, to string, m *replicationpb.Message) bool {
 		if to == "d" && m.GetInstall() != nil {
@@ -140,16 +140,16 @@
 // of 1 MB/s, while changes go on at 20 a second. Danger: what is under way is sent again and again, and never ends.
 func TestASlowLinkIsNotFilledWithCopies(t *testing.T) {
 	for _, away := range []time.Duration{20 * time.Second, 100 * time.Second} {
-		cl := newCluster(t)
+		cl := newScriptedCluster(t)
 		cl.machine = blobMachine{}
-		formTrio(cl, 1, TestingKnobs{})
+		formThreeNodes(cl, 1, TestingKnobs{})
 		spare := Config{Self: Member{Addr: "d", Zone: "zone d", Region: "r"}, MachineLosses: 1, Seeds: []string{"a", "b", "c"}}
 		cl.start(spare)
 		cl.run(time.Second)
 		cl.nodes["d"].core = nil
 		const each = 10 << 10
 		cl.flow("a", cl.now+away, each, nil)
-		cl.pipes["d"] = &pipe{rate: 1 << 20}
+		cl.slowNetworks["d"] = &slowNetwork{bytesPerSecond: 1 << 20}
 		cl.start(spare)
 		began, level := cl.now, time.Duration(0)
 		cl.flow("a", cl.now+15*time.Second, each, func() {
@@ -157,7 +157,7 @@
 				level = cl.now - began
 			}
 		})
-		offered := float64(cl.pipes["d"].sent) / (1 << 20)
+		offered := float64(cl.slowNetworks["d"].sentBytes) / (1 << 20)
 		t.Logf("away for %v: level after %v, %.1f MB sent in 15 s", away, level, offered)
 		if level == 0 || offered > 15 {
 			t.Errorf("away for %v: level after %v, %.1f MB sent in 15 s through a link of 1 MB/s", away, level, offered)
--- a/internal/system/replication/core_frozen_test.go
+++ b/internal/system/replication/core_frozen_test.go
@@ -10,9 +10,9 @@
 // TestAFrozenVoterWaitsBeforeItPlans freezes the voter that would propose first for 20 s. When it wakes, one message waits
 // in its sockets, and nobody else has been heard for 20 s. Danger: it takes the others for gone and cuts them out.
 func TestAFrozenVoterWaitsBeforeItPlans(t *testing.T) {
-	cl := trio(t, 1, TestingKnobs{})
+	cl := threeNodes(t, 1, TestingKnobs{})
 	n := cl.nodes["a"]
-	n.frozen = true
+	n.paused = true
 	var waiting []Envelope
 	cl.filter = func(from, to string, m *replicationpb.Message) bool {
 		if to == "a" && m.GetHeartbeat() != nil {
@@ -21,7 +21,7 @@
 		return to != "a"
 	}
 	cl.run(20 * time.Second)
-	n.frozen, cl.filter = false, nil
+	n.paused, cl.filter = false, nil
 	cl.deliver(waiting[len(waiting)-1])
 	if grace := n.core.liveness.graceUntil - cl.clock(n); grace <= 0 {
 		t.Errorf("it may plan at once: grace %v", grace)
--- a/internal/system/replication/core_full_test.go
+++ b/internal/system/replication/core_full_test.go
@@ -8,13 +8,13 @@
 // TestAFullHeadAnswersAtOnce: a head that remembers as many changes as it may tells so. Danger: silence, for which callers wait
 // until their deadlines.
 func TestAFullHeadAnswersAtOnce(t *testing.T) {
-	cl := trio(t, 1, TestingKnobs{})
-	head, sender := cl.link(0), cl.link(2)
+	cl := threeNodes(t, 1, TestingKnobs{})
+	head, sender := cl.replica(0), cl.replica(2)
 	changes := cl.nodes[head].core.decider.changes
 	for id := range uint64(maxChanges) {
 		changes[changeKey{from: "filler", callNumber: id}] = &pendingChange{done: true, outcome: Answered, closedAt: cl.now + time.Hour}
 	}
-	id := cl.submit(sender, noted("one too many"), 3*time.Second)
+	id := cl.submit(sender, evacuating("one too many"), 3*time.Second)
 	cl.until(time.Second, "an answer", func() bool { return cl.done[id].ID != 0 })
 	if got := cl.done[id].Outcome; got != Unknown {
 		t.Errorf("the outcome is %d, not Unknown", got)
--- a/internal/system/replication/core_late_test.go
+++ b/internal/system/replication/core_late_test.go
@@ -10,16 +10,16 @@
 // playLateForward holds up a change on its way to the head for 20 s, while nothing else happens to the keepers. Its caller
 // has long been told that there is no clear answer, and a later change was acknowledged. Danger: it undoes the later one.
 func playLateForward(t *testing.T, h TestingKnobs) string {
-	cl := trio(t, 1, h)
-	head, sender := cl.link(0), cl.link(2)
-	held := cl.holdForwards(sender, head)
-	first := cl.submit(sender, noted("first"), 4*time.Second)
+	cl := threeNodes(t, 1, h)
+	head, sender := cl.replica(0), cl.replica(2)
+	held := cl.captureForwards(sender, head)
+	first := cl.submit(sender, evacuating("first"), 4*time.Second)
 	cl.until(5*time.Second, "the first change ends", func() bool { return cl.done[first].ID != 0 })
 	if got := cl.done[first].Outcome; got != Unknown || len(*held) == 0 {
 		t.Fatalf("the first change ended with outcome %d, %d messages are held", got, len(*held))
 	}
 	cl.filter = nil
-	second := cl.submit(head, noted("second"), 3*time.Second)
+	second := cl.submit(head, evacuating("second"), 3*time.Second)
 	cl.until(3*time.Second, "the second change", func() bool { return cl.answered(second) })
 	epoch := cl.view().Epoch
 	cl.run(20 * time.Second)
@@ -36,8 +36,8 @@
 
 // TestAForwardedChangeHasItsTime: a change that comes within its time is taken, also one that was under way for a while.
 func TestAForwardedChangeHasItsTime(t *testing.T) {
-	cl := trio(t, 1, TestingKnobs{})
-	head, sender := cl.link(0), cl.link(2)
+	cl := threeNodes(t, 1, TestingKnobs{})
+	head, sender := cl.replica(0), cl.replica(2)
 	slow := true
 	var held []Envelope
 	cl.filter = func(from, to string, m *replicationpb.Message) bool {
@@ -47,7 +47,7 @@
 		}
 		return true
 	}
-	id := cl.submit(sender, noted("late"), 4*time.Second)
+	id := cl.submit(sender, evacuating("late"), 4*time.Second)
 	cl.run(3500 * time.Millisecond)
 	slow = false
 	cl.deliver(held[0])
@@ -57,7 +57,7 @@
 // TestAFeedOfAFormerLifeProvesNothing delivers to a keeper outside the chain, right after its restart, what it was fed
 // before. Danger: the answer to a call of its former life passes for one to a call of now, and the past for the newest.
 func TestAFeedOfAFormerLifeProvesNothing(t *testing.T) {
-	cl := trio(t, 1, TestingKnobs{})
+	cl := threeNodes(t, 1, TestingKnobs{})
 	spare := Config{Self: Member{Addr: "d", Zone: "zone d", Region: "r"}, MachineLosses: 1, Seeds: []string{"a", "b", "c"}}
 	cl.start(spare)
 	var old []Envelope
@@ -76,7 +76,7 @@
 	cl.filter = func(from, to string, m *replicationpb.Message) bool {
 		return fresh || to != "d" || m.GetAppend() == nil
 	}
-	id := cl.submit("a", noted("newer"), time.Second)
+	id := cl.submit("a", evacuating("newer"), time.Second)
 	cl.until(time.Second, "a change", func() bool { return cl.answered(id) })
 	cl.run(2 * time.Second)
 	cl.start(spare)
@@ -100,10 +100,10 @@
 // Danger: it is taken again.
 func TestADoubleThatComesLateIsRefused(t *testing.T) {
 	play := func(h TestingKnobs) uint64 {
-		cl := newCluster(t)
+		cl := newScriptedCluster(t)
 		cl.machine = blobMachine{} // takes everything
-		formTrio(cl, 1, h)
-		head, sender := cl.link(0), cl.link(2)
+		formThreeNodes(cl, 1, h)
+		head, sender := cl.replica(0), cl.replica(2)
 		var double Envelope
 		cl.filter = func(from, to string, m *replicationpb.Message) bool {
 			if from == sender && to == head && m.GetForward() != nil {
@@ -111,7 +111,7 @@
 			}
 			return true
 		}
-		id := cl.submit(sender, noted("once"), 4*time.Second)
+		id := cl.submit(sender, evacuating("once"), 4*time.Second)
 		cl.until(time.Second, "a change", func() bool { return cl.answered(id) })
 		cl.run(20 * time.Second)
 		cl.deliver(double)
--- a/internal/system/replication/core_leave_test.go
+++ b/internal/system/replication/core_leave_test.go
@@ -9,7 +9,7 @@
 )
 
 // holders counts the keepers other than addr whose disk holds the records up to seq.
-func (cl *cluster) holders(seq uint64, addr string) int {
+func (cl *scriptedCluster) holders(seq uint64, addr string) int {
 	n := 0
 	for a, x := range cl.nodes {
 		end := x.disk.p.snap.Seq
@@ -23,18 +23,18 @@
 	return n
 }
 
-func (cl *cluster) leave(addr string) {
+func (cl *scriptedCluster) leave(addr string) {
 	n := cl.nodes[addr]
 	n.core.Leave(cl.clock(n))
 	cl.collect(addr)
 }
 
-// many has count changes acknowledged, through addr.
-func (cl *cluster) many(addr string, count int) {
+// submitMany has count changes acknowledged, through addr.
+func (cl *scriptedCluster) submitMany(addr string, count int) {
 	cl.t.Helper()
 	for range count {
-		cl.ids++
-		id := cl.submit(addr, noted(fmt.Sprint("zone ", cl.ids)), 2*time.Second)
+		cl.lastCallID++
+		id := cl.submit(addr, evacuating(fmt.Sprint("zone ", cl.lastCallID)), 2*time.Second)
 		cl.until(3*time.Second, "a change", func() bool { return cl.answered(id) })
 	}
 }
@@ -44,13 +44,13 @@
 func TestALeaverWaitsForEnoughCopies(t *testing.T) {
 	for leaves := range 2 {
 		t.Run([]string{"head", "tail"}[leaves], func(t *testing.T) {
-			cl := trio(t, 1, TestingKnobs{})
+			cl := threeNodes(t, 1, TestingKnobs{})
 			away := cl.nodes["c"]
 			away.core = nil
 			cl.until(3*time.Second, "a chain of two", func() bool { return len(cl.view().Chain) == 2 })
 			cl.run(time.Second)
-			leaver := cl.link(leaves)
-			cl.many("b", 40)
+			leaver := cl.replica(leaves)
+			cl.submitMany("b", 40)
 			acked := cl.nodes["b"].core.chain.commitIndex
 			cl.leave(leaver)
 			for range 1000 {
@@ -88,14 +88,14 @@
 
 // TestALeaverHandsOverTheOnlyCopy: a single link leaves and another keeper is there. Danger: it never hands over.
 func TestALeaverHandsOverTheOnlyCopy(t *testing.T) {
-	cl := trio(t, 0, TestingKnobs{})
+	cl := threeNodes(t, 0, TestingKnobs{})
 	cl.nodes["b"].core, cl.nodes["c"].core = nil, nil
 	cl.run(3 * time.Second)
 	cl.start(cl.nodes["b"].cfg)
 	cl.until(5*time.Second, "a chain", func() bool { return len(cl.view().Chain) > 0 })
 	cl.run(2 * time.Second)
-	head := cl.link(0)
-	cl.many(head, 3)
+	head := cl.replica(0)
+	cl.submitMany(head, 3)
 	cl.leave(head)
 	cl.until(3*time.Second, "it has left", func() bool { return cl.nodes[head].core.Departed() })
 	if n := cl.holders(3, head); n < 1 {
@@ -106,11 +106,11 @@
 // TestALeaverLeadsWhenNobodyElseCan loses the only other copy while a link waits to leave. Danger: the changes are on the
 // leaver's disk alone, nobody else may lead, and it does not any more.
 func TestALeaverLeadsWhenNobodyElseCan(t *testing.T) {
-	cl := trio(t, 1, TestingKnobs{})
+	cl := threeNodes(t, 1, TestingKnobs{})
 	cl.nodes["c"].core = nil
 	cl.until(3*time.Second, "a chain of two", func() bool { return len(cl.view().Chain) == 2 })
 	cl.run(time.Second)
-	cl.many("b", 5)
+	cl.submitMany("b", 5)
 	cl.leave("a")
 	cl.run(100 * time.Millisecond)
 	cl.nodes["b"].core = nil
--- a/internal/system/replication/core_losses_test.go
+++ b/internal/system/replication/core_losses_test.go
@@ -10,8 +10,8 @@
 var lossKinds = []string{"killed", "wiped", "leaving", "replaced"}
 
 // five forms a chain of five keepers that bears the loss of two, and has three changes acknowledged.
-func five(t *testing.T) *cluster {
-	cl := newCluster(t)
+func five(t *testing.T) *scriptedCluster {
+	cl := newScriptedCluster(t)
 	var addrs []string
 	for i := range 5 {
 		addrs = append(addrs, fmt.Sprintf("k%d", i))
@@ -29,19 +29,19 @@
 }
 
 // again starts a keeper with an empty disk, and so another identity, at addr.
-func (cl *cluster) again(addr string, cfg Config) {
+func (cl *scriptedCluster) again(addr string, cfg Config) {
 	cfg.Bootstrap = false
 	cfg.Self.Addr = addr
-	cl.ids++
-	cfg.Self.ID = ID(fmt.Sprint(addr, "#", cl.ids))
+	cl.lastCallID++
+	cfg.Self.ID = ID(fmt.Sprint(addr, "#", cl.lastCallID))
 	if n := cl.nodes[addr]; n != nil {
 		n.disk = newMemDisk()
 	}
 	cl.start(cfg)
 }
 
-// back brings the first machine back as its kind of loss has it.
-func (cl *cluster) back(kind, addr string) {
+// heal brings the first machine heal as its kind of loss has it.
+func (cl *scriptedCluster) heal(kind, addr string) {
 	n := cl.nodes[addr]
 	switch kind {
 	case "killed", "leaving":
@@ -70,7 +70,7 @@
 				for at := time.Duration(0); at < until; at += steps {
 					name := fmt.Sprintf("link %d %s, after %v link %d lost", 2*first, kind, at, second)
 					cl := five(t)
-					lost := cl.link(2 * first)
+					lost := cl.replica(2 * first)
 					if kind == "leaving" {
 						cl.leave(lost)
 						cl.until(2*time.Second, name+": it has left", func() bool { return cl.nodes[lost].core.Departed() })
@@ -79,17 +79,17 @@
 					returned := false
 					for began := cl.now; cl.now-began < at; {
 						if !returned && cl.now-began >= comesBack {
-							cl.back(kind, lost)
+							cl.heal(kind, lost)
 							returned = true
 						}
 						cl.step()
 					}
-					lost2 := cl.link(second * (len(cl.view().Chain) - 1))
+					lost2 := cl.replica(second * (len(cl.view().Chain) - 1))
 					if n := cl.nodes[lost2]; n.core != nil {
 						n.core, n.disk = nil, newMemDisk()
 					}
 					if !returned {
-						cl.back(kind, lost)
+						cl.heal(kind, lost)
 					}
 					at, newest := "", int64(0)
 					for a, n := range cl.nodes {
--- a/internal/system/replication/core_observer_test.go
+++ b/internal/system/replication/core_observer_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-func noObserverInViews(t *testing.T, cl *cluster) {
+func noObserverInViews(t *testing.T, cl *scriptedCluster) {
 	t.Helper()
 	for addr, n := range cl.nodes {
 		if n.core == nil {
@@ -37,7 +37,7 @@
 	addrs := []string{"k1", "k2", "k3", "k4", "k5"}
 	for observers := range 3 {
 		t.Run(fmt.Sprint(observers), func(t *testing.T) {
-			cl := newCluster(t)
+			cl := newScriptedCluster(t)
 			for _, a := range addrs {
 				cl.start(observed(a, addrs[:3], addrs[:observers]))
 			}
@@ -47,7 +47,7 @@
 			})
 			t.Logf("complete after %v", took)
 			for _, a := range addrs {
-				id := cl.submit(a, noted("zone of "+a), 2*time.Second)
+				id := cl.submit(a, evacuating("zone of "+a), 2*time.Second)
 				cl.until(2*time.Second, "a change through "+a, func() bool { return cl.answered(id) })
 				id = cl.read(a, 2*time.Second)
 				cl.until(2*time.Second, "a read through "+a, func() bool { return cl.answered(id) })
@@ -67,7 +67,7 @@
 // nobody forms a view alone, and the two others form one too.
 func TestSeedsThatAreSilentAreNoObservers(t *testing.T) {
 	seeds := []string{"k1", "k2", "k3"}
-	cl := newCluster(t)
+	cl := newScriptedCluster(t)
 	cl.start(observed("k1", seeds, nil))
 	cl.start(observed("k2", seeds, []string{"k2"}))
 	cl.run(10 * time.Second)
@@ -81,7 +81,7 @@
 // TestAnObserverNeverJoins keeps observers beside a chain that lacks a link. Danger: one without a disk is taken in.
 func TestAnObserverNeverJoins(t *testing.T) {
 	addrs := []string{"k1", "k2", "k3"}
-	cl := newCluster(t)
+	cl := newScriptedCluster(t)
 	for _, a := range addrs {
 		cl.start(observed(a, addrs, nil))
 	}
@@ -96,7 +96,7 @@
 		cl.run(100 * time.Millisecond)
 		noObserverInViews(t, cl)
 	}
-	id := cl.submit("o1", noted("a"), time.Second)
+	id := cl.submit("o1", evacuating("a"), time.Second)
 	cl.until(time.Second, "a change through an observer", func() bool { return cl.answered(id) })
 	// It is told of another head at once, not with its next heartbeat.
 	cl.start(observed("k2", addrs, nil))
@@ -115,7 +115,7 @@
 func TestALaterKeeperKnowsObserversOnly(t *testing.T) {
 	addrs := []string{"k1", "k2", "k3"}
 	observers := []string{"o1", "o2", "o3"}
-	cl := newCluster(t)
+	cl := newScriptedCluster(t)
 	for _, a := range addrs {
 		cl.start(observed(a, addrs, nil))
 	}
@@ -139,7 +139,7 @@
 	members := []string{"k1", "k2", "k3"}
 	observers := []string{"o1", "o2", "o3", "o4", "o5", "o6"}
 	seeds := []string{"k1", "o1", "o2"}
-	cl := newCluster(t)
+	cl := newScriptedCluster(t)
 	for _, a := range slices.Concat(members, observers) {
 		cl.start(observed(a, seeds, observers))
 	}
@@ -175,7 +175,7 @@
 func TestAllSeedsAreObservers(t *testing.T) {
 	seeds := []string{"o1", "o2", "o3"}
 	for keepers := 1; keepers <= 4; keepers++ {
-		cl := newCluster(t)
+		cl := newScriptedCluster(t)
 		for _, a := range slices.Concat([]string{"k1", "k2", "k3", "k4"}[:keepers], seeds) {
 			cl.start(observed(a, seeds, seeds))
 		}
@@ -187,7 +187,7 @@
 		if keepers < 2 {
 			continue
 		}
-		id := cl.submit("o2", noted("a"), 2*time.Second)
+		id := cl.submit("o2", evacuating("a"), 2*time.Second)
 		cl.until(2*time.Second, "a change through an observer", func() bool { return cl.answered(id) })
 	}
 }
@@ -197,7 +197,7 @@
 func TestSeedsWithoutADiskFormOneView(t *testing.T) {
 	seeds := []string{"o1", "o2", "o3"}
 	for round := range 60 {
-		cl := newCluster(t)
+		cl := newScriptedCluster(t)
 		for _, a := range slices.Concat([]string{"k1", "k2", "k3", "k4"}, seeds) {
 			cl.start(observed(a, seeds, seeds))
 		}
--- a/internal/system/replication/core_reach_test.go
+++ b/internal/system/replication/core_reach_test.go
@@ -10,8 +10,8 @@
 )
 
 // reachCluster is three links, a spare and an observer.
-func reachCluster(t *testing.T) *cluster {
-	cl := trio(t, 1, TestingKnobs{})
+func reachCluster(t *testing.T) *scriptedCluster {
+	cl := threeNodes(t, 1, TestingKnobs{})
 	seeds := []string{"a", "b", "c"}
 	cl.start(observed("s", seeds, nil))
 	cl.start(observed("o", seeds, []string{"o"}))
@@ -19,7 +19,7 @@
 	return cl
 }
 
-func (cl *cluster) cutOff(addr string) bool {
+func (cl *scriptedCluster) partition(addr string) bool {
 	n := cl.nodes[addr]
 	return n.core.Partitioned(cl.clock(n))
 }
@@ -35,19 +35,19 @@
 	for name, stops := range directions {
 		for place := range 5 {
 			cl := reachCluster(t)
-			keepers := []string{cl.link(0), cl.link(1), cl.link(2), "s", "o"}
+			keepers := []string{cl.replica(0), cl.replica(1), cl.replica(2), "s", "o"}
 			cut := keepers[place]
 			cl.filter = func(from, to string, _ *replicationpb.Message) bool { return !stops(from, to, cut) }
-			noticed := cl.until(2500*time.Millisecond, "it is noticed", func() bool { return cl.cutOff(cut) })
+			noticed := cl.until(2500*time.Millisecond, "it is noticed", func() bool { return cl.partition(cut) })
 			if noticed < time.Second {
 				t.Errorf("%s, place %d: cut off after %v, within which a keeper may be silent", name, place, noticed)
 			}
 			for range 100 {
-				id := cl.submit(cut, noted("z"), 700*time.Millisecond)
+				id := cl.submit(cut, evacuating("z"), 700*time.Millisecond)
 				for range 20 {
 					cl.step()
 					for _, other := range keepers {
-						if got := cl.cutOff(other); got != (other == cut) {
+						if got := cl.partition(other); got != (other == cut) {
 							t.Fatalf("%s, place %d: cut off %v at %s while %s is cut", name, place, got, other, cut)
 						}
 					}
@@ -57,7 +57,7 @@
 				}
 			}
 			cl.filter = nil
-			ended := cl.until(1500*time.Millisecond, "its end is noticed", func() bool { return !cl.cutOff(cut) })
+			ended := cl.until(1500*time.Millisecond, "its end is noticed", func() bool { return !cl.partition(cut) })
 			t.Logf("%s, place %d: noticed after %v, its end after %v", name, place, noticed, ended)
 		}
 	}
@@ -67,34 +67,34 @@
 // the head was lost, the process stood still, or no voter but the head is reached. Changes are asked for at all keepers.
 func TestNoCutOffWhileChangesAreTaken(t *testing.T) {
 	const lasts = 20 * time.Second
-	for name, prepare := range map[string]func(*cluster){
-		"all is well": func(*cluster) {},
-		"two of three heartbeats are lost": func(cl *cluster) {
+	for name, prepare := range map[string]func(*scriptedCluster){
+		"all is well": func(*scriptedCluster) {},
+		"two of three heartbeats are lost": func(cl *scriptedCluster) {
 			cl.filter = func(_, _ string, m *replicationpb.Message) bool {
 				h := m.GetHeartbeat()
 				return h == nil || h.GetReply() || h.GetNumber()%3 == 0
 			}
 		},
-		"no voter but the head is reached": func(cl *cluster) {
-			head := cl.link(0)
+		"no voter but the head is reached": func(cl *scriptedCluster) {
+			head := cl.replica(0)
 			outside := func(a string) bool { return a == "s" || a == "o" }
 			cl.filter = func(from, to string, _ *replicationpb.Message) bool {
 				return !(outside(from) && to != head || outside(to) && from != head)
 			}
 		},
-		"the head is lost, and its repair takes three seconds": func(cl *cluster) {
-			cl.nodes[cl.link(0)].core = nil
+		"the head is lost, and its repair takes three seconds": func(cl *scriptedCluster) {
+			cl.nodes[cl.replica(0)].core = nil
 			ends := cl.now + 3*time.Second
 			cl.filter = func(_, _ string, m *replicationpb.Message) bool { return m.GetPrepare() == nil || cl.now > ends }
 		},
-		"the head is lost":        func(cl *cluster) { cl.nodes[cl.link(0)].core = nil },
-		"the middle is lost":      func(cl *cluster) { cl.nodes[cl.link(1)].core = nil },
-		"the tail is lost":        func(cl *cluster) { cl.nodes[cl.link(2)].core = nil },
-		"a link stood still":      func(cl *cluster) { cl.standStill(cl.link(1)) },
-		"the head stood still":    func(cl *cluster) { cl.standStill(cl.link(0)) },
-		"an observer stood still": func(cl *cluster) { cl.standStill("o") },
-		"an observer starts anew": func(cl *cluster) { cl.start(observed("o", []string{"a", "b", "c"}, []string{"o"})) },
-		"a spare starts anew":     func(cl *cluster) { cl.start(observed("s", []string{"a", "b", "c"}, nil)) },
+		"the head is lost":        func(cl *scriptedCluster) { cl.nodes[cl.replica(0)].core = nil },
+		"the middle is lost":      func(cl *scriptedCluster) { cl.nodes[cl.replica(1)].core = nil },
+		"the tail is lost":        func(cl *scriptedCluster) { cl.nodes[cl.replica(2)].core = nil },
+		"a link stood still":      func(cl *scriptedCluster) { cl.pause(cl.replica(1)) },
+		"the head stood still":    func(cl *scriptedCluster) { cl.pause(cl.replica(0)) },
+		"an observer stood still": func(cl *scriptedCluster) { cl.pause("o") },
+		"an observer starts anew": func(cl *scriptedCluster) { cl.start(observed("o", []string{"a", "b", "c"}, []string{"o"})) },
+		"a spare starts anew":     func(cl *scriptedCluster) { cl.start(observed("s", []string{"a", "b", "c"}, nil)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			cl := reachCluster(t)
@@ -105,11 +105,11 @@
 					if cl.nodes[addr].core == nil {
 						continue
 					}
-					if cl.cutOff(addr) {
+					if cl.partition(addr) {
 						t.Fatalf("%s counts as cut off after %v", addr, cl.now-began)
 					}
 					if (cl.now-began)%(200*time.Millisecond) == 0 {
-						asked[addr] = append(asked[addr], cl.submit(addr, noted("z"), 700*time.Millisecond))
+						asked[addr] = append(asked[addr], cl.submit(addr, evacuating("z"), 700*time.Millisecond))
 					}
 				}
 			}
@@ -128,11 +128,11 @@
 	}
 }
 
-// standStill freezes a keeper for ten seconds.
-func (cl *cluster) standStill(addr string) {
-	cl.nodes[addr].frozen = true
+// pause freezes a keeper for ten seconds.
+func (cl *scriptedCluster) pause(addr string) {
+	cl.nodes[addr].paused = true
 	cl.run(10 * time.Second)
-	cl.nodes[addr].frozen = false
+	cl.nodes[addr].paused = false
 }
 
 // TestNoCutOffOverASlowNetwork: danger: keepers 150 ms apart count as cut off between two heartbeats.
@@ -145,12 +145,12 @@
 	}
 	for began := cl.now; cl.now-began < 20*time.Second; cl.step() {
 		for len(underWay) > 0 && underWay[0].at <= cl.now {
-			e := underWay[0].e
+			e := underWay[0].envelope
 			underWay = underWay[1:]
 			cl.deliver(e)
 		}
 		for addr := range cl.nodes {
-			if cl.cutOff(addr) {
+			if cl.partition(addr) {
 				t.Fatalf("%s counts as cut off after %v", addr, cl.now-began)
 			}
 		}
@@ -160,7 +160,7 @@
 // TestCutOffBeforeAnyView: a keeper that hears nobody and knows of no view is cut off, one that hears another waits.
 func TestCutOffBeforeAnyView(t *testing.T) {
 	for others := range 2 {
-		cl := newCluster(t)
+		cl := newScriptedCluster(t)
 		seeds := []string{"a", "b", "c"}
 		for _, a := range seeds[:1+others] {
 			cfg := observed(a, seeds, nil)
@@ -168,9 +168,9 @@
 			cl.start(cfg)
 		}
 		cl.run(time.Second)
-		early := cl.cutOff("a")
+		early := cl.partition("a")
 		cl.run(9 * time.Second)
-		if late := cl.cutOff("a"); early || late != (others == 0) {
+		if late := cl.partition("a"); early || late != (others == 0) {
 			t.Errorf("%d others: cut off %v after 1 s, %v after 10 s", others, early, late)
 		}
 	}
--- a/internal/system/replication/core_scenario_test.go
+++ b/internal/system/replication/core_scenario_test.go
@@ -42,12 +42,12 @@
 	}
 }
 
-// trio starts keepers a, b and c in a zone each and waits until all are links.
-func trio(t *testing.T, machines int, h TestingKnobs) *cluster {
-	return formTrio(newCluster(t), machines, h)
+// threeNodes starts keepers a, b and c in a zone each and waits until all are links.
+func threeNodes(t *testing.T, machines int, h TestingKnobs) *scriptedCluster {
+	return formThreeNodes(newScriptedCluster(t), machines, h)
 }
 
-func formTrio(cl *cluster, machines int, h TestingKnobs) *cluster {
+func formThreeNodes(cl *scriptedCluster, machines int, h TestingKnobs) *scriptedCluster {
 	for _, a := range []string{"a", "b", "c"} {
 		cl.start(Config{
 			Self: Member{Addr: a, Zone: "zone " + a, Region: "r"}, MachineLosses: machines, Seeds: []string{"a", "b", "c"}, Bootstrap: true, knobs: h,
@@ -58,7 +58,7 @@
 	return cl
 }
 
-func (cl *cluster) link(i int) string {
+func (cl *scriptedCluster) replica(i int) string {
 	v := cl.view()
 	m, _ := v.Voter(v.Chain[i])
 	return m.Addr
@@ -71,12 +71,12 @@
 // not told that it is chosen; it is no link of it, since it is about to leave. Then the new chain acknowledges while tail
 // and voter are a majority of the former view. Danger: together they answer a read with the past.
 func playAcceptedView(t *testing.T, h TestingKnobs) string {
-	cl := trio(t, 0, h)
-	voter := cl.link(1)
+	cl := threeNodes(t, 0, h)
+	voter := cl.replica(1)
 	n := cl.nodes[voter]
 	n.core.Leave(cl.clock(n))
 	cl.until(3*time.Second, "a chain without the leaver", func() bool { return cl.complete(2, 3) })
-	head, tail := cl.link(0), cl.link(1)
+	head, tail := cl.replica(0), cl.replica(1)
 	before := cl.view().Epoch
 	told := false
 	cl.filter = func(from, to string, m *replicationpb.Message) bool {
@@ -119,14 +119,14 @@
 // the head, a second change is acknowledged, the former head leads again, and then the first arrives, still within its
 // time. Danger: it undoes the second.
 func playForwardOfAnEarlierEpoch(t *testing.T, h TestingKnobs) string {
-	cl := trio(t, 0, h)
-	sender := cl.link(2) // votes on, but is no link any more, so that the two others lead in turn
+	cl := threeNodes(t, 0, h)
+	sender := cl.replica(2) // votes on, but is no link any more, so that the two others lead in turn
 	n := cl.nodes[sender]
 	n.core.Leave(cl.clock(n))
 	cl.until(3*time.Second, "a chain of two", func() bool { return cl.complete(2, 3) })
-	head, other := cl.link(0), cl.link(1)
-	held := cl.holdForwards(sender, head)
-	first := cl.submit(sender, noted("first"), 20*time.Second)
+	head, other := cl.replica(0), cl.replica(1)
+	held := cl.captureForwards(sender, head)
+	first := cl.submit(sender, evacuating("first"), 20*time.Second)
 	cl.run(100 * time.Millisecond)
 	off := head
 	cl.filter = func(from, to string, m *replicationpb.Message) bool { return from != off && to != off }
@@ -137,7 +137,7 @@
 		t.Fatalf("the first change ended with outcome %d, %d messages are held", got, len(*held))
 	}
 	off = ""
-	second := cl.submit(other, noted("second"), 3*time.Second)
+	second := cl.submit(other, evacuating("second"), 3*time.Second)
 	cl.until(3*time.Second, "the second change", func() bool { return cl.answered(second) })
 	cl.until(5*time.Second, "a chain of two", func() bool { return cl.complete(2, 3) })
 	off = other
--- a/internal/system/replication/core_seal_test.go
+++ b/internal/system/replication/core_seal_test.go
@@ -11,13 +11,13 @@
 // way. Nobody hears a any more, and c, which was active in the epoch before, is to lead. While that is agreed, what was
 // under way reaches b. It gives what c lacks of what was acknowledged, empty when it lacks nothing.
 func playUnsealedEpoch(t *testing.T, h TestingKnobs) string {
-	cl := newCluster(t)
+	cl := newScriptedCluster(t)
 	for _, a := range []string{"a", "b", "c"} {
 		cl.start(Config{Self: Member{Addr: a, Zone: a, Region: "r"}, Seeds: []string{"a", "b", "c"}, Bootstrap: true, knobs: h})
 	}
 	cl.until(5*time.Second, "the first view", func() bool { return cl.complete(3, 3) })
 	cl.run(time.Second)
-	if cl.link(0) != "a" || cl.link(1) != "b" {
+	if cl.replica(0) != "a" || cl.replica(1) != "b" {
 		t.Fatalf("the chain is %v", cl.view())
 	}
 	var underWay, accepts []Envelope
@@ -38,7 +38,7 @@
 	}
 	b := cl.nodes["b"].core
 	cl.until(3*time.Second, "a chain of a and b", func() bool { return b.acceptor.view.Epoch == 2 && cl.nodes["a"].core.chain.isHead() })
-	change := cl.submit("a", noted("acknowledged"), 20*time.Second)
+	change := cl.submit("a", evacuating("acknowledged"), 20*time.Second)
 	cl.run(300 * time.Millisecond)
 	lost = func(from, _ string) bool { return from == "a" }
 	b.writer.unhealthy, b.writer.unhealthyUntil = true, time.Hour
--- a/internal/system/replication/core_sizing_test.go
+++ b/internal/system/replication/core_sizing_test.go
@@ -63,8 +63,8 @@
 	return choose(0, nil)
 }
 
-func sizedCluster(t *testing.T, members []Member, machines, zones, seeds int) *cluster {
-	cl := newCluster(t)
+func sizedCluster(t *testing.T, members []Member, machines, zones, seeds int) *scriptedCluster {
+	cl := newScriptedCluster(t)
 	var addrs []string
 	for _, m := range members[:min(seeds, len(members))] {
 		addrs = append(addrs, m.Addr)
--- a/internal/system/replication/faults_apply_test.go
+++ b/internal/system/replication/faults_apply_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-func (w *world) inject(f fault) {
+func (w *clusterSim) inject(f fault) {
 	w.after(f.at-w.now, func() {
-		if w.quiet {
+		if w.faultsOver {
 			return
 		}
 		w.trace("%v FAULT %v", w.now, f)
@@ -15,75 +15,75 @@
 	})
 }
 
-func (w *world) apply(f fault) {
-	if w.quiet {
+func (w *clusterSim) apply(f fault) {
+	if w.faultsOver {
 		return
 	}
-	w.disturbed()
+	w.recordDisturbance()
 	a, b := w.nodes[f.a], w.nodes[f.b]
 	switch f.kind {
 	case faultKill:
 		a.kill()
-		a.back(f.dur)
+		a.restartAfter(f.duration)
 	case faultPowerAll:
 		w.powerAll(f)
-	case faultFreeze:
-		a.freeze(f.dur)
-	case faultCutPair:
-		w.block(a.member.Addr, b.member.Addr, f.dur, f.n&4 != 0)
-		w.block(b.member.Addr, a.member.Addr, f.dur, f.n&4 != 0)
-	case faultCutOneWay:
-		w.block(a.member.Addr, b.member.Addr, f.dur, f.n&4 != 0)
+	case faultPause:
+		a.pause(f.duration)
+	case faultPartitionPair:
+		w.block(a.member.Addr, b.member.Addr, f.duration, f.n&4 != 0)
+		w.block(b.member.Addr, a.member.Addr, f.duration, f.n&4 != 0)
+	case faultPartitionOneWay:
+		w.block(a.member.Addr, b.member.Addr, f.duration, f.n&4 != 0)
 	case faultIsolate:
 		w.isolate(a, f)
 	case faultSplit:
 		for _, x := range w.nodes {
 			for _, y := range w.nodes {
 				if f.n>>x.name&1 != f.n>>y.name&1 {
-					w.block(x.member.Addr, y.member.Addr, f.dur, f.n&4 != 0)
+					w.block(x.member.Addr, y.member.Addr, f.duration, f.n&4 != 0)
 				}
 			}
 		}
 	case faultLoss:
 		w.loss = 0.3
-		w.after(f.dur, func() { w.loss = 0; w.disturbed() })
-	case faultSlack:
-		w.slack = 400 * time.Millisecond
-		w.after(f.dur, func() { w.slack = 0; w.disturbed() })
-	case faultFull:
-		a.full, a.reserve = true, f.n&1 == 1
-		w.after(f.dur, func() { a.full = false; w.disturbed() })
-	case faultSlow:
-		a.slow = time.Duration(100+f.n%900) * time.Millisecond
-		w.after(f.dur, func() { a.slow = 0; w.disturbed() })
-	case faultStall:
-		a.stall = true
-		w.after(f.dur, func() { a.stall = false; w.disturbed() })
+		w.after(f.duration, func() { w.loss = 0; w.recordDisturbance() })
+	case faultDelay:
+		w.extraDelay = 400 * time.Millisecond
+		w.after(f.duration, func() { w.extraDelay = 0; w.recordDisturbance() })
+	case faultDiskFull:
+		a.diskFull, a.acceptorReserve = true, f.n&1 == 1
+		w.after(f.duration, func() { a.diskFull = false; w.recordDisturbance() })
+	case faultDiskSlow:
+		a.diskDelay = time.Duration(100+f.n%900) * time.Millisecond
+		w.after(f.duration, func() { a.diskDelay = 0; w.recordDisturbance() })
+	case faultDiskStall:
+		a.diskStalled = true
+		w.after(f.duration, func() { a.diskStalled = false; w.recordDisturbance() })
 	case faultWipe:
 		if w.lose(a) {
-			a.back(f.dur)
+			a.restartAfter(f.duration)
 		}
 	case faultReplace:
 		w.replace(a, f)
 	case faultLeave:
-		a.leave(f.patience(), func() {
+		a.leave(f.ackTimeout(), func() {
 			a.kill()
-			a.back(f.dur)
+			a.restartAfter(f.duration)
 		})
-	case faultFullButOne:
+	case faultDisksFullButOne:
 		for _, m := range w.nodes {
 			if m != a {
-				m.full, m.reserve = true, true
-				w.after(f.dur, func() { m.full = false; w.disturbed() })
+				m.diskFull, m.acceptorReserve = true, true
+				w.after(f.duration, func() { m.diskFull = false; w.recordDisturbance() })
 			}
 		}
-		w.after(f.dur/2, func() { w.apply(fault{kind: faultWipeAfterAck, a: f.a, dur: f.dur}) })
+		w.after(f.duration/2, func() { w.apply(fault{kind: faultWipeAfterAck, a: f.a, duration: f.duration}) })
 	case faultPowerAfterAck:
 		w.onAck = append(w.onAck, func() { w.powerAll(f) })
 	case faultWipeAfterAck:
 		w.onAck = append(w.onAck, func() {
 			if w.lose(a) {
-				a.back(f.dur)
+				a.restartAfter(f.duration)
 			}
 		})
 	default:
@@ -92,30 +92,30 @@
 }
 
 // applyGrouped applies the faults that strike several machines, or later ones.
-func (w *world) applyGrouped(f fault, a *machine) {
+func (w *clusterSim) applyGrouped(f fault, a *simNode) {
 	act := f
 	act.kind = f.act
 	switch f.kind {
 	case faultZone:
-		if w.loseZone(a.member.Zone, f) {
+		if w.loseZoneDisks(a.member.Zone, f) {
 			return
 		}
 		for _, m := range slices.Clone(w.nodes) {
-			if m.member.Zone == a.member.Zone && !m.gone {
+			if m.member.Zone == a.member.Zone && !m.removed {
 				act.a = m.name
 				w.apply(act)
 			}
 		}
 	case faultGroup:
 		for _, m := range slices.Clone(w.nodes) {
-			if (f.n>>(m.name%16)&1 == 1 || m == a) && !m.gone {
+			if (f.n>>(m.name%16)&1 == 1 || m == a) && !m.removed {
 				act.a = m.name
 				w.apply(act)
 			}
 		}
 	case faultStep:
-		w.arm(&armedStep{name: f.step, left: 1 + f.n%8, before: f.before, do: func(m *machine) {
-			if !m.gone {
+		w.arm(&stepTrigger{name: f.step, remaining: 1 + f.n%8, before: f.before, action: func(m *simNode) {
+			if !m.removed {
 				act.a = m.name
 				w.apply(act)
 			}
@@ -123,8 +123,8 @@
 	case faultReplaceTwice:
 		w.replace(a, f)
 		next := f
-		w.after(f.dur+time.Duration(f.n%4000)*time.Millisecond, func() {
-			if m := w.nodes[len(w.nodes)-1]; !m.gone && !w.quiet {
+		w.after(f.duration+time.Duration(f.n%4000)*time.Millisecond, func() {
+			if m := w.nodes[len(w.nodes)-1]; !m.removed && !w.faultsOver {
 				next.n >>= 1
 				w.replace(m, next)
 			}
@@ -141,7 +141,7 @@
 
 // isolate cuts a machine off: all its links or one direction of them, or only those to other keepers, so that operators
 // and proxies still reach it. What it is sent meanwhile is gone, or comes after the cut.
-func (w *world) isolate(a *machine, f fault) {
+func (w *clusterSim) isolate(a *simNode, f fault) {
 	others := []string{}
 	for _, m := range w.nodes {
 		others = append(others, m.member.Addr)
@@ -154,26 +154,26 @@
 	}
 	for _, o := range others {
 		if f.n%3 != 1 {
-			w.block(a.member.Addr, o, f.dur, f.n&4 != 0)
+			w.block(a.member.Addr, o, f.duration, f.n&4 != 0)
 		}
 		if f.n%3 != 2 {
-			w.block(o, a.member.Addr, f.dur, f.n&4 != 0)
+			w.block(o, a.member.Addr, f.duration, f.n&4 != 0)
 		}
 	}
 }
 
-// patience is how long a leaver waits: half of them hardly do, as if they were killed soon after.
-func (f fault) patience() time.Duration {
+// ackTimeout is how long a leaver waits: half of them hardly do, as if they were killed soon after.
+func (f fault) ackTimeout() time.Duration {
 	if f.n&2 != 0 {
 		return 200 * time.Millisecond
 	}
 	return 2 * time.Second
 }
 
-func (m *machine) back(d time.Duration) { m.w.after(d, m.start) }
+func (m *simNode) restartAfter(d time.Duration) { m.sim.after(d, m.start) }
 
 // powerAll takes the power from all machines; some lose their disks, as many as may.
-func (w *world) powerAll(f fault) {
+func (w *clusterSim) powerAll(f fault) {
 	for _, m := range w.nodes {
 		m.kill()
 	}
@@ -183,6 +183,6 @@
 		}
 	}
 	for _, m := range w.nodes {
-		m.back(time.Duration(w.rng.IntN(3000)) * time.Millisecond)
+		m.restartAfter(time.Duration(w.rng.IntN(3000)) * time.Millisecond)
 	}
 }
--- a/internal/system/replication/faults_losses_test.go
+++ b/internal/system/replication/faults_losses_test.go
@@ -9,8 +9,8 @@
 )
 
 // lose empties the disk of a machine, when the number of disks that may be lost allows it.
-func (w *world) lose(m *machine) bool {
-	if m.gone || m.watcher || !w.mayLose() {
+func (w *clusterSim) lose(m *simNode) bool {
+	if m.removed || m.observer || !w.canLoseDisk() {
 		return false
 	}
 	w.lost++
@@ -21,24 +21,24 @@
 }
 
 // replace ends a machine for good and starts another, at a new address and with an empty disk.
-func (w *world) replace(a *machine, f fault) {
-	if a.gone || a.watcher || !w.mayLose() || len(w.nodes) > 40 {
+func (w *clusterSim) replace(a *simNode, f fault) {
+	if a.removed || a.observer || !w.canLoseDisk() || len(w.nodes) > 40 {
 		return
 	}
 	w.lost++
 	w.lostAt = w.now
 	w.trace("%v REPLACED machine %d", w.now, a.name)
 	end := func() {
-		if a.gone {
+		if a.removed {
 			return
 		}
 		a.kill()
-		a.gone = true
-		w.successor(a, f).back(f.dur)
+		a.removed = true
+		w.successor(a, f).restartAfter(f.duration)
 	}
-	if f.n&1 == 1 && a.up() && !a.frozen {
+	if f.n&1 == 1 && a.isRunning() && !a.paused {
 		w.pending++
-		a.leave(f.patience(), func() {
+		a.leave(f.ackTimeout(), func() {
 			w.pending--
 			end()
 		})
@@ -48,21 +48,21 @@
 }
 
 // successor makes a machine in the place of a.
-func (w *world) successor(a *machine, f fault) *machine {
-	m := w.newMachine(fmt.Sprintf("10.0.2.%d", len(w.nodes)), a.member.Zone, a.member.Region)
+func (w *clusterSim) successor(a *simNode, f fault) *simNode {
+	m := w.newNode(fmt.Sprintf("10.0.2.%d", len(w.nodes)), a.member.Zone, a.member.Region)
 	m.seeds = nil // the operator's list as it is now, three of them
 	for i := range w.nodes {
-		if n := w.nodes[(i+f.n)%len(w.nodes)]; !n.gone && n != m && len(m.seeds) < 3 {
+		if n := w.nodes[(i+f.n)%len(w.nodes)]; !n.removed && n != m && len(m.seeds) < 3 {
 			m.seeds = append(m.seeds, n.member.Addr)
 		}
 	}
 	return m
 }
 
-// held is what the machine's disk says of it.
-func (m *machine) held() (acceptorState, bool) {
+// durableState is what the machine's disk says of it.
+func (m *simNode) durableState() (acceptorState, bool) {
 	data, ok := m.disk.meta[metaAcceptor]
-	if !ok || m.gone {
+	if !ok || m.removed {
 		return acceptorState{}, false
 	}
 	var p replicationpb.Register
@@ -72,15 +72,15 @@
 	return acceptorStateOf(&p), true
 }
 
-// whole tells whether the newest view stands on disks that are all there, as many as it should.
-func (w *world) whole() bool {
+// isFullyReplicated tells whether the newest view stands on disks that are all there, as many as it should.
+func (w *clusterSim) isFullyReplicated() bool {
 	v := w.newest
 	if v == nil || len(v.Chain) <= w.losses || len(v.Voters) < 2*w.losses+1 {
 		return false
 	}
 	disks := map[ID]acceptorState{}
 	for _, m := range w.nodes {
-		if r, ok := m.held(); ok {
+		if r, ok := m.durableState(); ok {
 			disks[r.identity.ID] = r
 		}
 	}
@@ -89,7 +89,7 @@
 			return false
 		}
 	}
-	if !w.bears(v) {
+	if !w.toleratesLosses(v) {
 		return false
 	}
 	for _, m := range v.Voters {
@@ -101,8 +101,8 @@
 	return true
 }
 
-// bears tells whether enough voters and a link are left whatever zones are lost of those that may be.
-func (w *world) bears(v *View) bool {
+// toleratesLosses tells whether enough voters and a link are left whatever zones are lost of those that may be.
+func (w *clusterSim) toleratesLosses(v *View) bool {
 	c := Config{MachineLosses: w.losses, ZoneLosses: w.zoneLosses}
 	var links []Member
 	for _, id := range v.Chain {
@@ -112,25 +112,25 @@
 	return w.zoneLosses == 0 || c.votersTolerateLosses(v.Voters) && c.chainToleratesLosses(links)
 }
 
-// loseZone empties all disks of a zone at once, where that must be borne.
-func (w *world) loseZone(zone string, f fault) bool {
-	if w.zoneLosses == 0 || !w.mayLose() || w.lost > 0 {
+// loseZoneDisks empties all disks of a zone at once, where that must be borne.
+func (w *clusterSim) loseZoneDisks(zone string, f fault) bool {
+	if w.zoneLosses == 0 || !w.canLoseDisk() || w.lost > 0 {
 		return false
 	}
 	w.trace("%v LOST the disks of zone %s", w.now, zone)
 	w.lost, w.lostAt = w.losses, w.now
 	for _, m := range w.nodes {
-		if m.member.Zone == zone && !m.gone && !m.watcher {
+		if m.member.Zone == zone && !m.removed && !m.observer {
 			m.wipe()
-			m.back(f.dur)
+			m.restartAfter(f.duration)
 		}
 	}
 	w.stats.zones++
 	return true
 }
 
-func (w *world) mayLose() bool {
-	if w.pending == 0 && w.whole() {
+func (w *clusterSim) canLoseDisk() bool {
+	if w.pending == 0 && w.isFullyReplicated() {
 		w.lost = 0
 	}
 	return w.lost < w.losses
--- a/internal/system/replication/faults_test.go
+++ b/internal/system/replication/faults_test.go
@@ -11,22 +11,22 @@
 const (
 	faultKill faultKind = iota
 	faultPowerAll
-	faultFreeze
-	faultCutPair
-	faultCutOneWay
+	faultPause
+	faultPartitionPair
+	faultPartitionOneWay
 	faultIsolate
 	faultSplit
 	faultLoss
-	faultSlack
-	faultFull
-	faultSlow
-	faultStall
+	faultDelay
+	faultDiskFull
+	faultDiskSlow
+	faultDiskStall
 	faultWipe
 	faultReplace
 	faultLeave
 	faultPowerAfterAck
 	faultWipeAfterAck
-	faultFullButOne
+	faultDisksFullButOne
 	faultZone         // all machines of a zone suffer the act
 	faultGroup        // some machines suffer the act at once
 	faultStep         // the act comes at the n-th step of a name
@@ -41,21 +41,21 @@
 	"full disks but one, which is wiped after ack", "zone", "group", "step", "replace twice", "join", "proxy"}
 
 // acts are the faults that may strike several machines at once, or at a step.
-var acts = [...]faultKind{faultKill, faultFreeze, faultIsolate, faultWipe, faultPowerAll, faultReplace, faultLeave, faultStall}
+var acts = [...]faultKind{faultKill, faultPause, faultIsolate, faultWipe, faultPowerAll, faultReplace, faultLeave, faultDiskStall}
 
 type fault struct {
-	at     time.Duration
-	kind   faultKind
-	a, b   int // machines
-	dur    time.Duration
-	n      int
-	act    faultKind // of a zone, group or step
-	step   string
-	before bool
+	at       time.Duration
+	kind     faultKind
+	a, b     int // machines
+	duration time.Duration
+	n        int
+	act      faultKind // of a zone, group or step
+	step     string
+	before   bool
 }
 
 func (f fault) String() string {
-	s := fmt.Sprintf("%v: %s of %d (other %d) for %v, %d", f.at, faultNames[f.kind], f.a, f.b, f.dur, f.n)
+	s := fmt.Sprintf("%v: %s of %d (other %d) for %v, %d", f.at, faultNames[f.kind], f.a, f.b, f.duration, f.n)
 	switch f.kind {
 	case faultZone, faultGroup:
 		s += ": " + faultNames[f.act]
@@ -80,8 +80,8 @@
 		f := fault{
 			at: 3*time.Second + time.Duration(rng.Int64N(int64(until-3*time.Second))), kind: faultKind(rng.IntN(int(faultKinds))),
 			a: rng.IntN(machines), b: rng.IntN(machines), n: rng.IntN(1 << 16),
-			dur: time.Duration(50+rng.IntN(3000)) * time.Millisecond,
-			act: acts[rng.IntN(len(acts))], step: names[rng.IntN(len(names))], before: rng.IntN(2) == 0,
+			duration: time.Duration(50+rng.IntN(3000)) * time.Millisecond,
+			act:      acts[rng.IntN(len(acts))], step: names[rng.IntN(len(names))], before: rng.IntN(2) == 0,
 		}
 		if rng.IntN(4) == 0 {
 			f.kind = faultStep
@@ -93,18 +93,18 @@
 	}
 	if until > faultsEnd {
 		for range 1 + rng.IntN(2) {
-			out = append(out, longFault(rng, machines, until))
+			out = append(out, longOutage(rng, machines, until))
 		}
 	}
 	return out
 }
 
-// longFault is a machine that is cut off or away for 20 s and more.
-func longFault(rng *rand.Rand, machines int, until time.Duration) fault {
-	kinds := [...]faultKind{faultIsolate, faultIsolate, faultCutPair, faultFreeze, faultKill, faultSplit}
+// longOutage is a machine that is cut off or away for 20 s and more.
+func longOutage(rng *rand.Rand, machines int, until time.Duration) fault {
+	kinds := [...]faultKind{faultIsolate, faultIsolate, faultPartitionPair, faultPause, faultKill, faultSplit}
 	dur := 20*time.Second + time.Duration(rng.IntN(4000))*time.Millisecond
 	return fault{
 		at: 3*time.Second + time.Duration(rng.Int64N(int64(until-dur-3*time.Second))), kind: kinds[rng.IntN(len(kinds))],
-		a: rng.IntN(machines), b: rng.IntN(machines), n: rng.IntN(1 << 16), dur: dur,
+		a: rng.IntN(machines), b: rng.IntN(machines), n: rng.IntN(1 << 16), duration: dur,
 	}
 }
--- a/internal/system/replication/golden_trace_test.go
+++ b/internal/system/replication/golden_trace_test.go
@@ -29,10 +29,10 @@
 	err   error
 }
 
-func newGoldenTrace(w *world) *goldenTrace {
+func newGoldenTrace(w *clusterSim) *goldenTrace {
 	g := &goldenTrace{sum: sha256.New(), epoch: map[*Core]uint64{}}
-	w.onOutput = func(m *machine, out *Outputs) { g.step(w, m, out) }
-	w.onReply = func(m *machine, r *pollReply) { g.reply(w, m, r) }
+	w.onOutput = func(m *simNode, out *Outputs) { g.step(w, m, out) }
+	w.onReply = func(m *simNode, r *pollReply) { g.reply(w, m, r) }
 	return g
 }
 
@@ -64,10 +64,10 @@
 }
 
 // step records one Take of a core: when, whose, what it wants done, and what it holds then.
-func (g *goldenTrace) step(w *world, m *machine, out *Outputs) {
+func (g *goldenTrace) step(w *clusterSim, m *simNode, out *Outputs) {
 	g.steps++
 	g.text("step")
-	g.number(uint64(w.now), uint64(m.name), m.life)
+	g.number(uint64(w.now), uint64(m.name), m.incarnation)
 	for _, e := range out.Messages {
 		g.message(e)
 	}
@@ -77,7 +77,7 @@
 	for _, d := range out.Completions {
 		g.done(d)
 	}
-	g.held(m)
+	g.core(m)
 	g.flush()
 }
 
@@ -126,7 +126,7 @@
 }
 
 // reply records the answer to a proxy that follows the keepers.
-func (g *goldenTrace) reply(w *world, m *machine, r *pollReply) {
+func (g *goldenTrace) reply(w *clusterSim, m *simNode, r *pollReply) {
 	g.steps++
 	g.text("reply")
 	g.number(uint64(w.now), uint64(m.name), r.newest, r.snapSeq, uint64(len(r.records)))
@@ -137,14 +137,14 @@
 		g.text(string(rec.Body))
 		g.text(rec.Zone)
 	}
-	for _, addr := range r.keepers {
+	for _, addr := range r.nodes {
 		g.text(addr)
 	}
 	g.flush()
 }
 
-// held records how far a core is, and its view when that is new.
-func (g *goldenTrace) held(m *machine) {
+// core records how far a core is, and its view when that is new.
+func (g *goldenTrace) core(m *simNode) {
 	seq, _ := m.core.Committed()
 	g.number(seq)
 	if v := m.core.View(); v.Epoch != g.epoch[m.core] {
@@ -155,11 +155,11 @@
 }
 
 // end records what is left at the end of a play.
-func (g *goldenTrace) end(w *world) string {
+func (g *goldenTrace) end(w *clusterSim) string {
 	g.text("end")
-	g.number(uint64(w.now), uint64(len(w.truth)), w.acked, w.seen)
+	g.number(uint64(w.now), uint64(len(w.truth)), w.acked, w.newestRead)
 	for _, m := range w.nodes {
-		g.flag(m.up())
+		g.flag(m.isRunning())
 		g.number(m.disk.end())
 	}
 	for _, p := range w.proxies {
@@ -174,7 +174,7 @@
 type goldenScenario struct {
 	name  string
 	seeds []uint64
-	shape
+	topology
 	faults  []fault
 	joiners int           // machines that join, each in a zone of its own
 	until   time.Duration // the end of the faults
@@ -182,56 +182,56 @@
 
 // goldenScenarios are played in turn. Without a shape, shape and faults are those of the seed.
 var goldenScenarios = []goldenScenario{
-	{name: "normal", seeds: []uint64{1, 2}, shape: shape{3, 0, 1, 3, 0, 0}, until: 10 * time.Second},
-	{name: "cuts", seeds: []uint64{1, 2}, shape: shape{5, 1, 2, 3, 0, 0}, until: 16 * time.Second, faults: []fault{
-		{at: 4 * time.Second, kind: faultIsolate, a: 0, n: 8, dur: 2 * time.Second},
-		{at: 6 * time.Second, kind: faultIsolate, a: 1, n: 4, dur: 2 * time.Second},
-		{at: 8 * time.Second, kind: faultCutOneWay, a: 2, b: 0, n: 4, dur: 2 * time.Second},
-		{at: 9 * time.Second, kind: faultCutPair, a: 1, b: 3, dur: 2 * time.Second},
-		{at: 11 * time.Second, kind: faultSplit, n: 0b110, dur: 3 * time.Second},
-		{at: 12 * time.Second, kind: faultLoss, dur: time.Second},
-		{at: 13 * time.Second, kind: faultSlack, dur: time.Second},
+	{name: "normal", seeds: []uint64{1, 2}, topology: topology{3, 0, 1, 3, 0, 0}, until: 10 * time.Second},
+	{name: "cuts", seeds: []uint64{1, 2}, topology: topology{5, 1, 2, 3, 0, 0}, until: 16 * time.Second, faults: []fault{
+		{at: 4 * time.Second, kind: faultIsolate, a: 0, n: 8, duration: 2 * time.Second},
+		{at: 6 * time.Second, kind: faultIsolate, a: 1, n: 4, duration: 2 * time.Second},
+		{at: 8 * time.Second, kind: faultPartitionOneWay, a: 2, b: 0, n: 4, duration: 2 * time.Second},
+		{at: 9 * time.Second, kind: faultPartitionPair, a: 1, b: 3, duration: 2 * time.Second},
+		{at: 11 * time.Second, kind: faultSplit, n: 0b110, duration: 3 * time.Second},
+		{at: 12 * time.Second, kind: faultLoss, duration: time.Second},
+		{at: 13 * time.Second, kind: faultDelay, duration: time.Second},
 	}},
-	{name: "leaving", seeds: []uint64{1, 2}, shape: shape{4, 1, 1, 2, 0, 0}, until: 16 * time.Second, faults: []fault{
-		{at: 4 * time.Second, kind: faultLeave, a: 0, dur: time.Second},
-		{at: 7 * time.Second, kind: faultLeave, a: 2, n: 2, dur: time.Second},
-		{at: 9 * time.Second, kind: faultReplace, a: 1, n: 1, dur: time.Second},
+	{name: "leaving", seeds: []uint64{1, 2}, topology: topology{4, 1, 1, 2, 0, 0}, until: 16 * time.Second, faults: []fault{
+		{at: 4 * time.Second, kind: faultLeave, a: 0, duration: time.Second},
+		{at: 7 * time.Second, kind: faultLeave, a: 2, n: 2, duration: time.Second},
+		{at: 9 * time.Second, kind: faultReplace, a: 1, n: 1, duration: time.Second},
 		{at: 13 * time.Second, kind: faultJoin, a: 3},
 	}},
-	{name: "disks", seeds: []uint64{1, 2}, shape: shape{3, 1, 1, 3, 0, 0}, until: 18 * time.Second, faults: []fault{
-		{at: 4 * time.Second, kind: faultWipe, a: 0, dur: time.Second},
-		{at: 8 * time.Second, kind: faultKill, a: 1, dur: time.Second},
-		{at: 10 * time.Second, kind: faultFull, a: 2, n: 1, dur: 2 * time.Second},
+	{name: "disks", seeds: []uint64{1, 2}, topology: topology{3, 1, 1, 3, 0, 0}, until: 18 * time.Second, faults: []fault{
+		{at: 4 * time.Second, kind: faultWipe, a: 0, duration: time.Second},
+		{at: 8 * time.Second, kind: faultKill, a: 1, duration: time.Second},
+		{at: 10 * time.Second, kind: faultDiskFull, a: 2, n: 1, duration: 2 * time.Second},
 		{at: 12 * time.Second, kind: faultPowerAll, n: 1, a: 2},
-		{at: 16 * time.Second, kind: faultStall, a: 0, dur: time.Second},
-		{at: 16 * time.Second, kind: faultSlow, a: 1, n: 500, dur: time.Second},
+		{at: 16 * time.Second, kind: faultDiskStall, a: 0, duration: time.Second},
+		{at: 16 * time.Second, kind: faultDiskSlow, a: 1, n: 500, duration: time.Second},
 	}},
-	{name: "observers", seeds: []uint64{1, 2}, shape: shape{3, 0, 1, 2, 2, 0}, until: 14 * time.Second, faults: []fault{
-		{at: 4 * time.Second, kind: faultKill, a: 3, dur: time.Second},
-		{at: 6 * time.Second, kind: faultIsolate, a: 4, n: 8, dur: 2 * time.Second},
-		{at: 8 * time.Second, kind: faultKill, a: 0, dur: 2 * time.Second},
-		{at: 11 * time.Second, kind: faultFreeze, a: 3, dur: 2 * time.Second},
+	{name: "observers", seeds: []uint64{1, 2}, topology: topology{3, 0, 1, 2, 2, 0}, until: 14 * time.Second, faults: []fault{
+		{at: 4 * time.Second, kind: faultKill, a: 3, duration: time.Second},
+		{at: 6 * time.Second, kind: faultIsolate, a: 4, n: 8, duration: 2 * time.Second},
+		{at: 8 * time.Second, kind: faultKill, a: 0, duration: 2 * time.Second},
+		{at: 11 * time.Second, kind: faultPause, a: 3, duration: 2 * time.Second},
 	}},
-	{name: "zones", seeds: []uint64{1}, shape: shape{6, 0, 1, 3, 0, 1}, until: 12 * time.Second, faults: []fault{
-		{at: 5 * time.Second, kind: faultZone, act: faultWipe, a: 0, dur: 2 * time.Second},
+	{name: "zones", seeds: []uint64{1}, topology: topology{6, 0, 1, 3, 0, 1}, until: 12 * time.Second, faults: []fault{
+		{at: 5 * time.Second, kind: faultZone, act: faultWipe, a: 0, duration: 2 * time.Second},
 	}},
-	{name: "rebalance", seeds: []uint64{1}, shape: shape{4, 0, 1, 2, 0, 1}, joiners: 2, until: 14 * time.Second},
+	{name: "rebalance", seeds: []uint64{1}, topology: topology{4, 0, 1, 2, 0, 1}, joiners: 2, until: 14 * time.Second},
 	{name: "random", seeds: []uint64{1, 3, 5, 16, 27, 117, zoneSeeds + 1}}, // 117: links seal an epoch
 }
 
 // playGolden plays a scenario and gives the steps and the digest.
 func playGolden(s goldenScenario, seed uint64) (string, error) {
-	if s.keepers == 0 {
-		s.shape, s.faults, s.until = shapeOf(seed), seedFaults(seed), faultsUntil(seed)
+	if s.diskNodes == 0 {
+		s.topology, s.faults, s.until = topologyOf(seed), seedFaults(seed), faultsUntil(seed)
 	}
-	w := newWorld(seed, s.shape, TestingKnobs{})
+	w := newClusterSim(seed, s.topology, TestingKnobs{})
 	g := newGoldenTrace(w)
 	for _, f := range s.faults {
 		w.inject(f)
 	}
 	for i := range s.joiners {
 		w.after(time.Duration(5+3*i)*time.Second, func() {
-			m := w.newMachine(fmt.Sprintf("10.0.1.%d", i+1), fmt.Sprintf("y%d", i), "r0")
+			m := w.newNode(fmt.Sprintf("10.0.1.%d", i+1), fmt.Sprintf("y%d", i), "r0")
 			m.seeds = w.seeds
 			m.start()
 		})
@@ -241,7 +241,7 @@
 	w.heal()
 	w.expectAck("after the last fault")
 	w.runUntil(w.now + 2*time.Second)
-	if err := w.settle(settleBound); err != nil {
+	if err := w.converge(convergenceBound); err != nil {
 		return "", err
 	}
 	return g.end(w), g.err
--- a/internal/system/replication/invariants_test.go
+++ b/internal/system/replication/invariants_test.go
@@ -8,26 +8,26 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-func (w *world) fail(err error) {
-	if w.broken == nil {
-		w.broken = fmt.Errorf("%v: %w", w.now, err)
+func (w *clusterSim) fail(err error) {
+	if w.violation == nil {
+		w.violation = fmt.Errorf("%v: %w", w.now, err)
 		w.trace("%v BROKEN %v", w.now, err)
 		w.dump()
 	}
 }
 
 // dump shows what every machine knows.
-func (w *world) dump() {
-	w.trace("truth %d, acked %d, lost %d, whole %v", len(w.truth), w.acked, w.lost, w.whole())
+func (w *clusterSim) dump() {
+	w.trace("truth %d, acked %d, lost %d, whole %v", len(w.truth), w.acked, w.lost, w.isFullyReplicated())
 	for _, m := range w.nodes {
-		r, ok := m.held()
-		if !m.up() {
-			w.trace("machine %d %s down, gone %v; disk %v %v view %d active %d", m.name, m.member.Addr, m.gone, ok, r.identity.ID, epochOf(r.view), r.activeEpoch)
+		r, ok := m.durableState()
+		if !m.isRunning() {
+			w.trace("machine %d %s down, gone %v; disk %v %v view %d active %d", m.name, m.member.Addr, m.removed, ok, r.identity.ID, epochOf(r.view), r.activeEpoch)
 			continue
 		}
 		c := m.core
 		w.trace("machine %d %s %s frozen %v view %d %s entered %v base %d past %v active %d/%d sealed %d next %v promised %v",
-			m.name, m.member.Addr, c.self.ID, m.frozen, c.acceptor.view.Epoch, c.acceptor.view, c.acceptor.viewDurable, c.acceptor.view.base, c.acceptor.view.past,
+			m.name, m.member.Addr, c.self.ID, m.paused, c.acceptor.view.Epoch, c.acceptor.view, c.acceptor.viewDurable, c.acceptor.view.base, c.acceptor.view.past,
 			c.acceptor.activeEpoch, c.acceptor.durableActive, c.acceptor.sealedEpoch, c.acceptor.acceptedView, c.acceptor.promised)
 		w.trace("   log %d..%d disk %d unsure %v install %v bad %v; committed %d matched %d joined %v start %d floor %d fed %v quiet %v prop %v want %v now %v",
 			c.chain.log.base, c.chain.log.end(), c.writer.durableEnd, c.writer.truncateNeeded, c.writer.pendingInstall != nil, c.writer.unhealthy, c.chain.commitIndex, c.chain.matchIndex, c.chain.upstreamMatched,
@@ -40,7 +40,7 @@
 		}
 	}
 	for _, p := range w.proxies {
-		w.trace("proxy %s up %v frozen %v record %d fresh at %v disturbed at %v", p.name, p.up, p.frozen, p.seq, p.freshAt, p.eventAt)
+		w.trace("proxy %s up %v frozen %v record %d fresh at %v disturbed at %v", p.name, p.running, p.paused, p.seq, p.freshAt, p.eventAt)
 	}
 }
 
@@ -52,9 +52,9 @@
 }
 
 // check holds the machine's view and committed log against those of all others.
-func (w *world) check(m *machine) {
+func (w *clusterSim) check(m *simNode) {
 	c := m.core
-	if c == nil || w.broken != nil {
+	if c == nil || w.violation != nil {
 		return
 	}
 	if err := c.Err(); err != nil {
@@ -84,7 +84,7 @@
 	}
 }
 
-func (w *world) checkView(m *machine, v *View) {
+func (w *clusterSim) checkView(m *simNode, v *View) {
 	if v == m.view || v.Epoch == 0 {
 		return
 	}
@@ -106,7 +106,7 @@
 }
 
 // checkRecord holds a committed record against what others have committed under its number.
-func (w *world) checkRecord(m *machine, s uint64) {
+func (w *clusterSim) checkRecord(m *simNode, s uint64) {
 	e := m.core.chain.log.at(s)
 	id := fmt.Sprintf("%d %d %d %s %s", e.epoch, e.rec.Op, e.rec.Base, e.rec.Body, e.rec.Zone)
 	switch {
@@ -130,7 +130,7 @@
 }
 
 // checkActive holds what an active link has on disk against what was acknowledged up to its epoch.
-func (w *world) checkActive(m *machine) {
+func (w *clusterSim) checkActive(m *simNode) {
 	c := m.core
 	if c.acceptor.durableActive == 0 || c.acceptor.activeEpoch == 0 {
 		return
@@ -148,9 +148,9 @@
 }
 
 // checkCurrent holds a keeper that would pass on what it has as new against what was acknowledged long before.
-func (w *world) checkCurrent(m *machine) {
+func (w *clusterSim) checkCurrent(m *simNode) {
 	c := m.core
-	if c == nil || w.broken != nil || !c.Current(m.clock()) {
+	if c == nil || w.violation != nil || !c.Current(m.clock()) {
 		return
 	}
 	if seq := w.ackedBefore(w.now - currentBound); c.chain.commitIndex < seq {
@@ -159,8 +159,8 @@
 }
 
 // ended holds an answer against what is committed.
-func (w *world) ended(a *asked, d Completion) {
-	if w.broken != nil {
+func (w *clusterSim) ended(a *simCall, d Completion) {
+	if w.violation != nil {
 		return
 	}
 	if w.onAnswer != nil {
@@ -169,7 +169,7 @@
 	if a.read {
 		w.checkRead(a, d)
 	} else {
-		w.trace("%v answer to %s at machine %d: outcome %d %v record %d", w.now, keyOf(a.change), a.at.name, d.Outcome, d.Verdict, d.Seq)
+		w.trace("%v answer to %s at machine %d: outcome %d %v record %d", w.now, keyOf(a.change), a.node.name, d.Outcome, d.Verdict, d.Seq)
 		w.checkAnswer(a, d)
 	}
 	if a.inside != nil {
@@ -180,24 +180,24 @@
 }
 
 // checkRead: a read gives a committed state, with all that was acknowledged or read before it was asked for.
-func (w *world) checkRead(a *asked, d Completion) {
+func (w *clusterSim) checkRead(a *simCall, d Completion) {
 	if d.Outcome != Answered {
 		return
 	}
 	w.stats.reads++
 	if d.Seq < a.acked {
-		w.fail(fmt.Errorf("a read at machine %d gave record %d, but %d had been acknowledged or read", a.at.name, d.Seq, a.acked))
+		w.fail(fmt.Errorf("a read at machine %d gave record %d, but %d had been acknowledged or read", a.node.name, d.Seq, a.acked))
 	} else if d.Seq > uint64(len(w.truth)) || describe(d.State.(*toy)) != describe(w.states[d.Seq]) {
 		w.fail(fmt.Errorf("a read gave %q at record %d", describe(d.State.(*toy)), d.Seq))
 	}
-	w.seen = max(w.seen, d.Seq)
+	w.newestRead = max(w.newestRead, d.Seq)
 }
 
 // checkAnswer holds the answer to a change against what is committed, and notes what it promises.
-func (w *world) checkAnswer(a *asked, d Completion) {
+func (w *clusterSim) checkAnswer(a *simCall, d Completion) {
 	key := keyOf(a.change)
 	l := w.entryOf(key)
-	taken := w.takenAt[key]
+	taken := w.acceptedAt[key]
 	switch {
 	case d.Outcome == Unknown:
 		w.stats.unknown++
@@ -208,14 +208,14 @@
 		w.checkAcknowledged(a, d, l, taken)
 	case d.Verdict.Kind == controlstate.Stale, d.Verdict.Kind == controlstate.Invalid:
 		w.stats.stale++
-		l.judged = true
+		l.rejected = true
 		if taken > 0 {
 			w.fail(fmt.Errorf("%s is record %d and was refused when it came again: %v", key, taken, d.Verdict))
 		}
-		if d.Verdict.Kind == controlstate.Invalid && !a.bad() {
+		if d.Verdict.Kind == controlstate.Invalid && !a.fail() {
 			w.fail(fmt.Errorf("%s counts as invalid: %v", key, d.Verdict))
 		}
-		found := a.bad()
+		found := a.fail()
 		for s := a.acked; s <= uint64(len(w.truth)); s++ {
 			found = found || w.states[s].rev != a.change.Base
 		}
@@ -227,7 +227,7 @@
 	}
 }
 
-func (w *world) checkAcknowledged(a *asked, d Completion, l *ledgerEntry, taken uint64) {
+func (w *clusterSim) checkAcknowledged(a *simCall, d Completion, l *changeHistory, taken uint64) {
 	key := keyOf(a.change)
 	already := d.Verdict.Kind == controlstate.AlreadyApplied
 	if already {
@@ -237,7 +237,7 @@
 	}
 	zone := a.change.Op == controlstate.OpEvacuate || a.change.Op == controlstate.OpReadmit
 	switch {
-	case a.bad():
+	case a.fail():
 		w.fail(fmt.Errorf("%s was acknowledged", key))
 	case zone && already:
 		// It was in force at some time between the question and the answer.
--- a/internal/system/replication/node_test.go
+++ b/internal/system/replication/node_test.go
@@ -22,10 +22,10 @@
 // memDisk is a wal.Disk in memory.
 type memDisk struct {
 	mu sync.Mutex
-	p  plate
+	p  simDisk
 }
 
-func newMemDisk() *memDisk { return &memDisk{p: plate{meta: map[string][]byte{}}} }
+func newMemDisk() *memDisk { return &memDisk{p: simDisk{meta: map[string][]byte{}}} }
 
 func (d *memDisk) Load() (map[string][]byte, wal.Snapshot, []wal.Entry, error) {
 	return clone(d.p.meta), d.p.snap, append([]wal.Entry(nil), d.p.entries...), nil
@@ -56,18 +56,18 @@
 }
 
 // net is a network in memory: requests go straight to the handlers.
-type memNet struct {
+type memNetwork struct {
 	mu    sync.Mutex
 	hosts map[string]http.Handler
 }
 
-func (n *memNet) set(addr string, h http.Handler) {
+func (n *memNetwork) set(addr string, h http.Handler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.hosts[addr] = h
 }
 
-func (n *memNet) RoundTrip(r *http.Request) (*http.Response, error) {
+func (n *memNetwork) RoundTrip(r *http.Request) (*http.Response, error) {
 	n.mu.Lock()
 	h := n.hosts[r.URL.Hostname()]
 	n.mu.Unlock()
@@ -86,13 +86,13 @@
 
 type fleet struct {
 	t     *testing.T
-	net   *memNet
+	net   *memNetwork
 	disks map[string]*memDisk
 	seeds []string
 }
 
 func newFleet(t *testing.T, n int) *fleet {
-	f := &fleet{t: t, net: &memNet{hosts: map[string]http.Handler{}}, disks: map[string]*memDisk{}}
+	f := &fleet{t: t, net: &memNetwork{hosts: map[string]http.Handler{}}, disks: map[string]*memDisk{}}
 	for i := range n {
 		f.seeds = append(f.seeds, fmt.Sprintf("10.0.0.%d", i+1))
 	}
--- a/internal/system/replication/repair_test.go
+++ b/internal/system/replication/repair_test.go
@@ -11,14 +11,14 @@
 const catchUp = 4 * time.Second
 
 // settle runs a world without faults until its view is whole.
-func settle(t *testing.T, w *world, limit time.Duration) time.Duration {
+func settle(t *testing.T, w *clusterSim, limit time.Duration) time.Duration {
 	t.Helper()
 	began := w.now
-	for !w.whole() || len(w.newest.Chain) < min(defaultChainLength, len(w.newest.Voters)) {
-		if w.now-began > limit || w.broken != nil {
+	for !w.isFullyReplicated() || len(w.newest.Chain) < min(defaultChainLength, len(w.newest.Voters)) {
+		if w.now-began > limit || w.violation != nil {
 			w.trace = t.Logf
 			w.dump()
-			t.Fatalf("not whole after %v: %v, %v", w.now-began, w.newest, w.broken)
+			t.Fatalf("not whole after %v: %v, %v", w.now-began, w.newest, w.violation)
 		}
 		w.runUntil(w.now + 20*time.Millisecond)
 	}
@@ -34,13 +34,13 @@
 		seeds = 4
 	}
 	for seed := range seeds {
-		s := shapesThatLose()[seed%uint64(len(shapesThatLose()))]
-		w := newWorld(seed, s, TestingKnobs{})
+		s := zoneLossTopologies()[seed%uint64(len(zoneLossTopologies()))]
+		w := newClusterSim(seed, s, TestingKnobs{})
 		settle(t, w, 6*time.Second)
 		w.after(0, func() { w.client(0) })
 		for round := range 8 {
 			m := w.nodes[w.rng.IntN(len(w.nodes))]
-			if m.gone {
+			if m.removed {
 				continue
 			}
 			away := time.Duration(w.rng.IntN(3000)) * time.Millisecond
@@ -55,13 +55,13 @@
 			case 2:
 				what = "replaced"
 				m.kill()
-				m.gone = true
+				m.removed = true
 				seeds := m.seeds
-				m = w.newMachine(m.member.Addr+"9", m.member.Zone, m.member.Region)
+				m = w.newNode(m.member.Addr+"9", m.member.Zone, m.member.Region)
 				m.seeds = seeds
 			case 3:
 				what = "frozen"
-				m.freeze(away)
+				m.pause(away)
 				w.runUntil(w.now + away)
 			}
 			if what != "frozen" {
@@ -80,35 +80,35 @@
 func TestChangesWaitOnlyForTheRepair(t *testing.T) {
 	var longest time.Duration
 	for seed := range uint64(30) {
-		s := shapesThatLose()[seed%uint64(len(shapesThatLose()))]
-		w := newWorld(seed, s, TestingKnobs{})
+		s := zoneLossTopologies()[seed%uint64(len(zoneLossTopologies()))]
+		w := newClusterSim(seed, s, TestingKnobs{})
 		settle(t, w, 6*time.Second)
-		m := w.nodes[seed%uint64(s.keepers)]
+		m := w.nodes[seed%uint64(s.diskNodes)]
 		switch seed % 5 {
 		case 0:
 			m.kill()
 		case 1:
 			m.wipe()
 		case 2:
-			m.frozen = true
+			m.paused = true
 		case 3:
-			m.stall = true
+			m.diskStalled = true
 		case 4:
-			other := w.nodes[(seed+1)%uint64(s.keepers)]
+			other := w.nodes[(seed+1)%uint64(s.diskNodes)]
 			w.block(m.member.Addr, other.member.Addr, time.Hour, false)
 		}
-		asker := w.nodes[(seed+2)%uint64(s.keepers)]
-		a := &asked{at: asker, change: controlstate.Change{Op: controlstate.OpReplace, Body: []byte("x")}, ttl: 5 * time.Second}
-		w.clientsEnd = true
+		asker := w.nodes[(seed+2)%uint64(s.diskNodes)]
+		a := &simCall{node: asker, change: controlstate.Change{Op: controlstate.OpReplace, Body: []byte("x")}, ttl: 5 * time.Second}
+		w.clientsDone = true
 		began := w.now
 		w.ask(a)
-		for w.acked+uint64(w.stats.already) == 0 && w.now-began < 5*time.Second && w.broken == nil {
+		for w.acked+uint64(w.stats.already) == 0 && w.now-began < 5*time.Second && w.violation == nil {
 			w.runUntil(w.now + 10*time.Millisecond)
 		}
-		if w.broken != nil || w.acked+uint64(w.stats.already) == 0 {
+		if w.violation != nil || w.acked+uint64(w.stats.already) == 0 {
 			w.trace = t.Logf
 			w.dump()
-			t.Fatalf("seed %d: not acknowledged: %v", seed, w.broken)
+			t.Fatalf("seed %d: not acknowledged: %v", seed, w.violation)
 		}
 		longest = max(longest, w.now-began)
 	}
--- a/internal/system/replication/restore_test.go
+++ b/internal/system/replication/restore_test.go
@@ -39,7 +39,7 @@
 type restoredFleet struct {
 	*fleet
 	folders map[string]string
-	ks      map[string]*Node
+	nodes   map[string]*Node
 }
 
 func (f *restoredFleet) disk(addr string) *wal.Log {
@@ -77,7 +77,7 @@
 		f.t.Fatal(err)
 	}
 	f.net.set(addr, k.Handler())
-	f.ks[addr] = k
+	f.nodes[addr] = k
 }
 
 // serves checks that every keeper holds the records of want, and that a further change comes about on all.
@@ -86,12 +86,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	for _, a := range f.seeds {
-		s, err := f.ks[a].Read(ctx)
+		s, err := f.nodes[a].Read(ctx)
 		if err != nil || string(s.Encode()) != string(want.Encode()) {
 			f.t.Fatalf("%s, %s: %v, want %v: %v", when, a, s, want, err)
 		}
 	}
-	if _, err := f.ks[f.seeds[1]].Submit(ctx, evacuate(next)); err != nil {
+	if _, err := f.nodes[f.seeds[1]].Submit(ctx, evacuate(next)); err != nil {
 		f.t.Fatalf("%s: %v", when, err)
 	}
 	after, err := want.Apply(evacuate(next).Record(want.Seq + 1))
@@ -99,15 +99,15 @@
 		f.t.Fatal(err)
 	}
 	for _, a := range f.seeds {
-		s, err := f.ks[a].Read(ctx)
+		s, err := f.nodes[a].Read(ctx)
 		if err != nil || string(s.Encode()) != string(after.Encode()) {
 			f.t.Fatalf("%s, %s, after a change: %v, want %v: %v", when, a, s, after, err)
 		}
 	}
 	time.Sleep(time.Second)
 	for _, a := range f.seeds {
-		if !f.ks[a].Current() || len(f.ks[a].View().Chain) != len(f.seeds) {
-			f.t.Errorf("%s: %s is not current, or the chain is not whole: %v", when, a, f.ks[a].View())
+		if !f.nodes[a].Current() || len(f.nodes[a].View().Chain) != len(f.seeds) {
+			f.t.Errorf("%s: %s is not current, or the chain is not whole: %v", when, a, f.nodes[a].View())
 		}
 	}
 	return after
@@ -138,7 +138,7 @@
 				folders[a] = t.TempDir()
 			}
 			synctest.Test(t, func(t *testing.T) {
-				f := &restoredFleet{fleet: newFleet(t, 3), folders: folders, ks: map[string]*Node{}}
+				f := &restoredFleet{fleet: newFleet(t, 3), folders: folders, nodes: map[string]*Node{}}
 				for i, s := range c.on {
 					if s != nil {
 						f.restore(f.seeds[i], s)
@@ -152,14 +152,14 @@
 					t.Error(want)
 				}
 				for _, a := range f.seeds {
-					f.stop(a, f.ks[a])
+					f.stop(a, f.nodes[a])
 				}
 				for _, a := range f.seeds {
 					f.run(a, true)
 				}
 				f.serves("after a restart", want, "newer")
 				for _, a := range f.seeds {
-					f.stop(a, f.ks[a])
+					f.stop(a, f.nodes[a])
 				}
 			})
 		})
@@ -174,20 +174,20 @@
 		folders[a] = t.TempDir()
 	}
 	synctest.Test(t, func(t *testing.T) {
-		f := &restoredFleet{fleet: newFleet(t, 3), folders: folders, ks: map[string]*Node{}}
+		f := &restoredFleet{fleet: newFleet(t, 3), folders: folders, nodes: map[string]*Node{}}
 		f.restore(f.seeds[0], restored(t, "old", 700))
 		f.run(f.seeds[1], true)
 		f.run(f.seeds[2], true)
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
-		if _, err := f.ks[f.seeds[2]].Submit(ctx, evacuate("x")); err != nil {
+		if _, err := f.nodes[f.seeds[2]].Submit(ctx, evacuate("x")); err != nil {
 			t.Fatal(err)
 		}
 		f.run(f.seeds[0], true)
 		time.Sleep(5 * time.Second)
 		f.serves("late", restored(t, "x", 1), "y")
 		for _, a := range f.seeds {
-			f.stop(a, f.ks[a])
+			f.stop(a, f.nodes[a])
 		}
 	})
 }
--- a/internal/system/replication/sim_disk_test.go
+++ b/internal/system/replication/sim_disk_test.go
@@ -9,8 +9,8 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// plate is what would be left after a loss of power.
-type plate struct {
+// simDisk is what would be left after a loss of power.
+type simDisk struct {
 	meta    map[string][]byte
 	snap    wal.Snapshot
 	entries []wal.Entry
@@ -23,7 +23,7 @@
 	DiskSaveMeta: "register", DiskAppend: "append", DiskTruncate: "truncate", DiskCompact: "compact", DiskInstall: "install",
 }
 
-func (p *plate) do(op *DiskOp, part int) {
+func (p *simDisk) do(op *DiskOp, part int) {
 	switch op.Kind {
 	case DiskSaveMeta:
 		p.meta[op.Name] = op.Data
@@ -59,33 +59,33 @@
 }
 
 // end is the number of the newest record on the disk.
-func (p *plate) end() uint64 {
+func (p *simDisk) end() uint64 {
 	if n := len(p.entries); n > 0 {
 		return p.entries[n-1].Seq
 	}
 	return p.snap.Seq
 }
 
-func (m *machine) write(core *Core, op *DiskOp) {
-	w := m.w
+func (m *simNode) write(core *Core, op *DiskOp) {
+	w := m.sim
 	if m.core != core {
 		return
 	}
-	if m.stall {
+	if m.diskStalled {
 		w.after(50*time.Millisecond, func() { m.write(core, op) })
 		return
 	}
-	d := time.Duration(1+w.rng.IntN(8))*time.Millisecond + m.slow
+	d := time.Duration(1+w.rng.IntN(8))*time.Millisecond + m.diskDelay
 	w.after(d, func() {
 		if m.core != core {
 			return
 		}
-		if m.stall {
+		if m.diskStalled {
 			m.write(core, op)
 			return
 		}
-		m.carried = op
-		if m.full && op.Kind != DiskTruncate && (op.Kind != DiskSaveMeta || !m.reserve) {
+		m.completedOp = op
+		if m.diskFull && op.Kind != DiskTruncate && (op.Kind != DiskSaveMeta || !m.acceptorReserve) {
 			if w.rng.IntN(3) == 0 && op.Kind == DiskAppend { // some of it came about
 				m.disk.do(op, w.rng.IntN(len(op.Entries)+1))
 			}
--- a/internal/system/replication/sim_hardening_answers_test.go
+++ b/internal/system/replication/sim_hardening_answers_test.go
@@ -10,8 +10,8 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// formerLife tells whether a message answers a call of a former life of its addressee.
-func formerLife(m *replicationpb.Message, life uint64) bool {
+// fromFormerIncarnation tells whether a message answers a call of a former life of its addressee.
+func fromFormerIncarnation(m *replicationpb.Message, life uint64) bool {
 	switch b := m.GetBody().(type) {
 	case *replicationpb.Message_Answer:
 		return b.Answer.GetLife() != life
@@ -25,14 +25,14 @@
 
 // playAnswers has a machine restart while answers to it lie on the way, so that they meet calls of its next life that have
 // the same numbers. It gives how many such answers arrived.
-func playAnswers(seed uint64, s shape, role string, h TestingKnobs) (int, error) {
-	w := newWorld(seed, s, h)
+func playAnswers(seed uint64, s topology, role string, h TestingKnobs) (int, error) {
+	w := newClusterSim(seed, s, h)
 	w.operate()
 	w.runUntil(4 * time.Second)
 	for round := range 6 {
 		m := cutRoles[role](w)
 		if m == nil {
-			return 0, fmt.Errorf("there is no %s: %w", role, w.broken)
+			return 0, fmt.Errorf("there is no %s: %w", role, w.violation)
 		}
 		for _, o := range w.nodes {
 			w.block(o.member.Addr, m.member.Addr, 500*time.Millisecond, true)
@@ -44,34 +44,34 @@
 		w.askMixed(m, round+100)
 		w.runUntil(w.now + 3*time.Second)
 	}
-	err := w.settle(8 * time.Second)
-	return w.stats.formerLife, err
+	err := w.converge(8 * time.Second)
+	return w.stats.formerIncarnation, err
 }
 
 // askMixed asks a machine for reads, changes and notes, twelve at once.
-func (w *world) askMixed(m *machine, n int) {
+func (w *clusterSim) askMixed(m *simNode, n int) {
 	for i := range 12 {
-		a := &asked{at: m, first: w.acked, ttl: 3 * time.Second}
+		a := &simCall{node: m, first: w.acked, ttl: 3 * time.Second}
 		switch i % 3 {
 		case 0:
 			a.read = true
 		case 1:
 			a.change = w.newChange(n)
 		default:
-			w.ids++
-			a.change = controlstate.Change{Op: controlstate.OpNone, Zone: fmt.Sprintf("m%d", w.ids)}
+			w.lastChange++
+			a.change = controlstate.Change{Op: controlstate.OpNone, Zone: fmt.Sprintf("m%d", w.lastChange)}
 		}
 		w.ask(a)
 	}
 }
 
-// playLateNote has a call that may not be repeated reach the head, and its repetition by the sending keeper lie on the way
+// playLateEvacuation has a call that may not be repeated reach the head, and its repetition by the sending keeper lie on the way
 // for 20 s. It gives how many repetitions arrived.
-func playLateNote(seed uint64, s shape, knobs TestingKnobs) (int, error) {
-	w := newWorld(seed, s, knobs)
+func playLateEvacuation(seed uint64, s topology, knobs TestingKnobs) (int, error) {
+	w := newClusterSim(seed, s, knobs)
 	w.runUntil(4 * time.Second)
 	w.write(5, 50*time.Millisecond)
-	m, head := cutRoles["outsider"](w), w.link(0)
+	m, head := cutRoles["outsider"](w), w.replica(0)
 	w.block(head.member.Addr, m.member.Addr, 20*time.Second, false)
 	w.askMixed(m, 0)
 	w.runUntil(w.now + 100*time.Millisecond)
@@ -85,10 +85,10 @@
 	}
 	w.runUntil(w.now + 3*time.Second)
 	w.runUntil(w.now + 6*time.Second)
-	if w.broken == nil {
-		w.checkSettled()
+	if w.violation == nil {
+		w.checkConverged()
 	}
-	return late, w.broken
+	return late, w.violation
 }
 
 // TestHardeningAnswersReachTheirCall: an answer completes the call that it is for and no other, and a call that may not be
@@ -98,13 +98,13 @@
 	if raceDetector {
 		roles = roles[3:]
 	}
-	for _, s := range []shape{{3, 1, 1, 3, 0, 0}, {5, 1, 2, 3, 0, 0}, {4, 1, 1, 2, 1, 0}} {
+	for _, s := range []topology{{3, 1, 1, 3, 0, 0}, {5, 1, 2, 3, 0, 0}, {4, 1, 1, 2, 1, 0}} {
 		var former, late atomic.Int64
 		inParallel(3*len(roles), func(i int) {
 			seed, role := uint64(1+i%3), roles[i/3]
 			sum, play := &former, func() (int, error) { return playAnswers(seed, s, role, TestingKnobs{}) }
 			if role == "late note" {
-				sum, play = &late, func() (int, error) { return playLateNote(seed, s, TestingKnobs{}) }
+				sum, play = &late, func() (int, error) { return playLateEvacuation(seed, s, TestingKnobs{}) }
 			}
 			n, err := play()
 			if err != nil {
@@ -123,13 +123,13 @@
 func TestHardeningAnswersControls(t *testing.T) {
 	for name, play := range map[string]func(seed uint64) (int, error){
 		"a change that comes twice is not recognised": func(seed uint64) (int, error) {
-			return playAnswers(seed, shape{3, 1, 1, 3, 0, 0}, "outsider", TestingKnobs{SkipDeduplication: true})
+			return playAnswers(seed, topology{3, 1, 1, 3, 0, 0}, "outsider", TestingKnobs{SkipDeduplication: true})
 		},
 		"answers of a former life are taken": func(seed uint64) (int, error) {
-			return playAnswers(seed, shape{3, 1, 1, 3, 0, 0}, "outsider", TestingKnobs{AcceptAnyIncarnation: true})
+			return playAnswers(seed, topology{3, 1, 1, 3, 0, 0}, "outsider", TestingKnobs{AcceptAnyIncarnation: true})
 		},
 		"the head takes changes whatever their age": func(seed uint64) (int, error) {
-			return playLateNote(seed, shape{3, 1, 1, 3, 0, 0}, TestingKnobs{AcceptLateForwards: true})
+			return playLateEvacuation(seed, topology{3, 1, 1, 3, 0, 0}, TestingKnobs{AcceptLateForwards: true})
 		},
 	} {
 		var err error
--- a/internal/system/replication/sim_hardening_away_test.go
+++ b/internal/system/replication/sim_hardening_away_test.go
@@ -12,20 +12,20 @@
 const levelBound = 5 * time.Second
 
 // awayModes are the ways to be away.
-var awayModes = map[string]func(w *world, m *machine) (back func()){
-	"killed": func(_ *world, m *machine) func() {
+var awayModes = map[string]func(w *clusterSim, m *simNode) (back func()){
+	"killed": func(_ *clusterSim, m *simNode) func() {
 		m.kill()
 		return m.start
 	},
-	"cut off": func(w *world, m *machine) func() {
-		w.cutOff(m, cutModes[0], time.Hour)
+	"cut off": func(w *clusterSim, m *simNode) func() {
+		w.partitionNode(m, cutModes[0], time.Hour)
 		return func() { w.rejoin(m) }
 	},
-	"cut off, messages late": func(w *world, m *machine) func() {
-		w.cutOff(m, cutModes[1], time.Hour)
+	"cut off, messages late": func(w *clusterSim, m *simNode) func() {
+		w.partitionNode(m, cutModes[1], time.Hour)
 		return func() { w.rejoin(m) }
 	},
-	"killed, starts with as few others as go on": func(w *world, m *machine) func() {
+	"killed, starts with as few others as go on": func(w *clusterSim, m *simNode) func() {
 		m.kill()
 		return func() {
 			with := len(w.newest.Voters)/2 + 1
@@ -38,58 +38,58 @@
 					with--
 					o.start()
 				} else {
-					o.back(3 * time.Second)
+					o.restartAfter(3 * time.Second)
 				}
 			}
 			m.start()
 		}
 	},
-	"killed, starts with all others": func(w *world, m *machine) func() {
+	"killed, starts with all others": func(w *clusterSim, m *simNode) func() {
 		m.kill()
 		return func() {
 			w.powerAll(fault{})
 			m.start()
 		}
 	},
-	"frozen": func(_ *world, m *machine) func() {
-		m.freeze(time.Hour)
-		return m.thaw
+	"frozen": func(_ *clusterSim, m *simNode) func() {
+		m.pause(time.Hour)
+		return m.resume
 	},
 }
 
 // rejoin ends all cuts of a machine's links.
-func (w *world) rejoin(m *machine) {
+func (w *clusterSim) rejoin(m *simNode) {
 	var ends [][2]string
-	for k := range w.cut {
+	for k := range w.partitioned {
 		if k[0] == m.member.Addr || k[1] == m.member.Addr {
 			ends = append(ends, k)
 		}
 	}
 	for _, k := range sortedLinks(ends) {
-		w.join(k)
+		w.healPath(k)
 	}
 }
 
-// awayPlay is what came about when a member was away.
-type awayPlay struct {
-	missed    uint64
-	installs  int // snapshots that it was sent after its return
-	feeders   int // lost while they fed it
-	level     time.Duration
-	longest   int // records in the longest log of any machine
-	stillMore int // changes made while it caught up
-	err       error
+// outageRun is what came about when a member was away.
+type outageRun struct {
+	missed           uint64
+	installs         int // snapshots that it was sent after its return
+	upstreamLosses   int // lost while they fed it
+	caughtUpAfter    time.Duration
+	longest          int // records in the longest log of any machine
+	changesMeanwhile int // changes made while it caught up
+	err              error
 }
 
-// playAway keeps a member away for n changes at 20 a second. While it comes back changes go on, and the first that sends
+// playOutage keeps a member away for n changes at 20 a second. While it comes back changes go on, and the first that sends
 // it a snapshot, or else the first that feeds it, is killed at that moment.
-func playAway(seed uint64, s shape, role, mode string, n int, h TestingKnobs) *awayPlay {
-	out := &awayPlay{}
-	w := newWorld(seed, s, h)
+func playOutage(seed uint64, s topology, role, mode string, n int, h TestingKnobs) *outageRun {
+	out := &outageRun{}
+	w := newClusterSim(seed, s, h)
 	w.operate()
 	w.runUntil(5 * time.Second)
 	if w.newest == nil {
-		out.err = fmt.Errorf("there is no view: %w", w.broken)
+		out.err = fmt.Errorf("there is no view: %w", w.violation)
 		return out
 	}
 	m := cutRoles[role](w)
@@ -106,40 +106,40 @@
 			out.installs++
 		}
 		for _, o := range w.nodes {
-			if o.up() {
+			if o.isRunning() {
 				out.longest = max(out.longest, len(o.core.chain.log.entries))
 			}
 		}
 	}
-	kill := func(feeder *machine) {
-		if out.feeders == 0 {
-			out.feeders++
-			w.apply(fault{kind: faultKill, a: feeder.name, dur: time.Second})
+	kill := func(feeder *simNode) {
+		if out.upstreamLosses == 0 {
+			out.upstreamLosses++
+			w.apply(fault{kind: faultKill, a: feeder.name, duration: time.Second})
 		}
 	}
-	w.arm(&armedStep{name: "send install", left: 1, to: m.member.Addr, do: kill})
+	w.arm(&stepTrigger{name: "send install", remaining: 1, to: m.member.Addr, action: kill})
 	w.after(600*time.Millisecond, func() {
-		w.arm(&armedStep{name: "send append", left: 2, to: m.member.Addr, do: kill})
+		w.arm(&stepTrigger{name: "send append", remaining: 2, to: m.member.Addr, action: kill})
 	})
 	back()
 	before := len(w.truth)
 	levelAt := w.watchLevel(m)
 	w.writeUnless(60, 50*time.Millisecond, m)
-	out.stillMore = len(w.truth) - before
+	out.changesMeanwhile = len(w.truth) - before
 	w.runUntil(w.now + 2*levelBound)
-	out.level = max(0, *levelAt-w.eventAt)
-	out.err = w.settle(8 * time.Second)
+	out.caughtUpAfter = max(0, *levelAt-w.eventAt)
+	out.err = w.converge(8 * time.Second)
 	return out
 }
 
 // watchLevel keeps the time when a member last became level: current, with all that was acknowledged a second ago.
-func (w *world) watchLevel(m *machine) *time.Duration {
+func (w *clusterSim) watchLevel(m *simNode) *time.Duration {
 	at, was := w.now, false
 	current := -time.Hour // when it was last; between a record and its write a learner is not, for some milliseconds
 	target := w.acked
 	var look func()
 	look = func() {
-		if m.core != nil && !m.frozen && m.core.Current(m.clock()) {
+		if m.core != nil && !m.paused && m.core.Current(m.clock()) {
 			current = w.now
 		}
 		is := m.core != nil && m.core.chain.commitIndex >= max(target, w.ackedBefore(w.now-time.Second)) && w.now-current < 500*time.Millisecond
@@ -147,7 +147,7 @@
 			at = w.now
 		}
 		was = is
-		if !w.clientsEnd {
+		if !w.clientsDone {
 			w.after(20*time.Millisecond, look)
 		}
 	}
@@ -160,13 +160,13 @@
 // Danger: it leads or feeds proxies with what it held before, or never catches up.
 func TestHardeningAwayForHundredsOfChanges(t *testing.T) {
 	type job struct {
-		shape
+		topology
 		role, mode string
 		seed       uint64
 	}
 	n := envInt("REPLICATION_AWAY", 400)
 	var jobs []job
-	for i, s := range []shape{{3, 0, 1, 3, 0, 0}, {5, 0, 2, 3, 1, 0}, {4, 1, 1, 2, 0, 0}} {
+	for i, s := range []topology{{3, 0, 1, 3, 0, 0}, {5, 0, 2, 3, 1, 0}, {4, 1, 1, 2, 0, 0}} {
 		for _, role := range []string{"head", "second", "tail", "outsider"} {
 			for _, mode := range slices.Sorted(maps.Keys(awayModes)) {
 				if role == "outsider" && s.spares+s.observers == 0 || (raceDetector || testing.Short()) && (i > 0 || mode != "killed") {
@@ -179,32 +179,32 @@
 			}
 		}
 	}
-	got := make([]*awayPlay, len(jobs))
+	got := make([]*outageRun, len(jobs))
 	inParallel(len(jobs), func(i int) {
-		got[i] = playAway(jobs[i].seed, jobs[i].shape, jobs[i].role, jobs[i].mode, n, TestingKnobs{})
+		got[i] = playOutage(jobs[i].seed, jobs[i].topology, jobs[i].role, jobs[i].mode, n, TestingKnobs{})
 	})
-	var sum awayPlay
+	var sum outageRun
 	for i, g := range got {
 		switch {
 		case g.err != nil:
 			t.Errorf("%v: %v", jobs[i], g.err)
 		case g.missed < uint64(n):
 			t.Errorf("%v: it missed only %d changes", jobs[i], g.missed)
-		case g.level > levelBound:
-			t.Errorf("%v: level after %v only", jobs[i], g.level)
+		case g.caughtUpAfter > levelBound:
+			t.Errorf("%v: level after %v only", jobs[i], g.caughtUpAfter)
 		case g.longest > 100: // snapshots each 20 records, 5 kept behind, and what is under way
 			t.Errorf("%v: a log of %d records", jobs[i], g.longest)
-		case g.stillMore < 20:
-			t.Errorf("%v: only %d changes were made meanwhile", jobs[i], g.stillMore)
+		case g.changesMeanwhile < 20:
+			t.Errorf("%v: only %d changes were made meanwhile", jobs[i], g.changesMeanwhile)
 		}
-		sum.level = max(sum.level, g.level)
+		sum.caughtUpAfter = max(sum.caughtUpAfter, g.caughtUpAfter)
 		sum.longest = max(sum.longest, g.longest)
 		sum.installs += g.installs
-		sum.feeders += g.feeders
+		sum.upstreamLosses += g.upstreamLosses
 	}
 	t.Logf("%d plays, away for %d changes: level after at most %v, %d snapshots sent, %d feeders lost meanwhile, logs of at most %d records",
-		len(jobs), n, sum.level, sum.installs, sum.feeders, sum.longest)
-	if sum.installs == 0 || sum.feeders == 0 {
+		len(jobs), n, sum.caughtUpAfter, sum.installs, sum.upstreamLosses, sum.longest)
+	if sum.installs == 0 || sum.upstreamLosses == 0 {
 		t.Error("no snapshot was sent, or no feeder was lost")
 	}
 }
@@ -223,7 +223,7 @@
 		seed := uint64(0)
 		for err == nil && seed < 40 {
 			seed++
-			err = playAway(seed, shape{3, 1, 1, 3, 0, 0}, c.role, c.mode, 60, c.TestingKnobs).err
+			err = playOutage(seed, topology{3, 1, 1, 3, 0, 0}, c.role, c.mode, 60, c.TestingKnobs).err
 		}
 		if err == nil {
 			t.Errorf("%s: nothing broke", name)
--- a/internal/system/replication/sim_hardening_cut_test.go
+++ b/internal/system/replication/sim_hardening_cut_test.go
@@ -11,33 +11,33 @@
 // backBound is within what a machine that was cut off holds all again and counts as current.
 const backBound = 3 * time.Second
 
-// cutMode is how a machine is cut off.
-type cutMode struct {
+// partitionMode is how a machine is cut off.
+type partitionMode struct {
 	name      string
 	out, in   bool // the directions that are cut
 	late      bool // what was sent meanwhile comes after the cut
 	reachable bool // operators and proxies still reach it
-	frozen    bool // instead of a cut, the process stands still
+	paused    bool // instead of a cut, the process stands still
 }
 
-var cutModes = []cutMode{
+var cutModes = []partitionMode{
 	{name: "silent", out: true, in: true},
 	{name: "delivered late", out: true, in: true, late: true},
 	{name: "only outwards", out: true, late: true},
 	{name: "only inwards", in: true, late: true},
 	{name: "from keepers only", out: true, in: true, reachable: true},
 	{name: "from keepers only, late", out: true, in: true, late: true, reachable: true},
-	{name: "frozen", frozen: true},
+	{name: "frozen", paused: true},
 }
 
 // cutRoles are the machines that are cut off, as they stand when the cut begins.
-var cutRoles = map[string]func(*world) *machine{
-	"head":   func(w *world) *machine { return w.link(0) },
-	"second": func(w *world) *machine { return w.link(1) },
-	"tail":   func(w *world) *machine { return w.link(-1) },
-	"outsider": func(w *world) *machine { // no link: a spare or an observer
+var cutRoles = map[string]func(*clusterSim) *simNode{
+	"head":   func(w *clusterSim) *simNode { return w.replica(0) },
+	"second": func(w *clusterSim) *simNode { return w.replica(1) },
+	"tail":   func(w *clusterSim) *simNode { return w.replica(-1) },
+	"outsider": func(w *clusterSim) *simNode { // no link: a spare or an observer
 		for _, m := range w.nodes {
-			if m.up() && w.newest.chainIndex(m.core.self.ID) < 0 {
+			if m.isRunning() && w.newest.chainIndex(m.core.self.ID) < 0 {
 				return m
 			}
 		}
@@ -45,19 +45,19 @@
 	},
 }
 
-// cutPlay cuts a machine off for 20 s while operators go on everywhere, and checks what it answers meanwhile.
-type cutPlay struct {
-	asked   int // calls that reached it during the cut
-	clear   int // of these, those that it answered with a clear answer
-	changes int // acknowledged elsewhere during the cut
-	back    time.Duration
-	err     error
+// partitionRun cuts a machine off for 20 s while operators go on everywhere, and checks what it answers meanwhile.
+type partitionRun struct {
+	asked         int // calls that reached it during the cut
+	answered      int // of these, those that it answered with a clear answer
+	changes       int // acknowledged elsewhere during the cut
+	rejoinedAfter time.Duration
+	err           error
 }
 
-func playCut(seed uint64, s shape, role string, mode cutMode, h TestingKnobs) *cutPlay {
+func playPartition(seed uint64, s topology, role string, mode partitionMode, h TestingKnobs) *partitionRun {
 	const length = 20 * time.Second
-	out := &cutPlay{}
-	w := newWorld(seed, s, h)
+	out := &partitionRun{}
+	w := newClusterSim(seed, s, h)
 	w.operate()
 	w.runUntil(5 * time.Second)
 	m := cutRoles[role](w)
@@ -66,20 +66,20 @@
 		return out
 	}
 	began, before := w.now, w.stats.accepted
-	w.onAnswer = func(a *asked, d Completion) {
-		if a.at == m && a.sent > began && w.now < began+length {
+	w.onAnswer = func(a *simCall, d Completion) {
+		if a.node == m && a.sent > began && w.now < began+length {
 			out.asked++
 			if d.Outcome == Answered {
-				out.clear++
+				out.answered++
 				w.trace("%v CLEAR answer of the machine that is cut off: %s read %v %+v", w.now, keyOf(a.change), a.read, d)
 			}
 		}
 	}
-	w.cutOff(m, mode, length)
+	w.partitionNode(m, mode, length)
 	// Whoever is cut off is asked all the while; the others are by the operators.
 	for i := range 60 {
 		w.after(time.Duration(i)*length/60, func() {
-			w.ask(&asked{at: m, read: i%2 == 0, change: w.newChange(100 + i)})
+			w.ask(&simCall{node: m, read: i%2 == 0, change: w.newChange(100 + i)})
 		})
 	}
 	w.runUntil(began + length)
@@ -88,15 +88,15 @@
 	w.runWhile(2*backBound, func() bool {
 		return m.core == nil || !m.core.Current(m.clock()) || m.core.chain.commitIndex < w.ackedBefore(ended)
 	})
-	out.back = w.now - ended
+	out.rejoinedAfter = w.now - ended
 	w.runUntil(ended + 5*time.Second)
-	out.err = w.settle(7 * time.Second)
+	out.err = w.converge(7 * time.Second)
 	return out
 }
 
-func (w *world) cutOff(m *machine, mode cutMode, length time.Duration) {
-	if mode.frozen {
-		m.freeze(length)
+func (w *clusterSim) partitionNode(m *simNode, mode partitionMode, length time.Duration) {
+	if mode.paused {
+		m.pause(length)
 		return
 	}
 	others := []string{}
@@ -123,13 +123,13 @@
 // what it held, refuses what it cannot know, or is not back in force soon after.
 func TestHardeningCutOffForTwentySeconds(t *testing.T) {
 	type job struct {
-		shape
+		topology
 		role string
-		mode cutMode
+		mode partitionMode
 		seed uint64
 	}
 	var jobs []job
-	for i, s := range []shape{{3, 1, 1, 3, 0, 0}, {5, 0, 2, 3, 1, 0}} {
+	for i, s := range []topology{{3, 1, 1, 3, 0, 0}, {5, 0, 2, 3, 1, 0}} {
 		for _, role := range slices.Sorted(maps.Keys(cutRoles)) {
 			for j, mode := range cutModes {
 				if (raceDetector || testing.Short()) && j%3 != i {
@@ -139,12 +139,14 @@
 			}
 		}
 	}
-	got := make([]*cutPlay, len(jobs))
-	inParallel(len(jobs), func(i int) { got[i] = playCut(jobs[i].seed, jobs[i].shape, jobs[i].role, jobs[i].mode, TestingKnobs{}) })
+	got := make([]*partitionRun, len(jobs))
+	inParallel(len(jobs), func(i int) {
+		got[i] = playPartition(jobs[i].seed, jobs[i].topology, jobs[i].role, jobs[i].mode, TestingKnobs{})
+	})
 	var longest time.Duration
 	asked, changes := 0, 0
 	for i, g := range got {
-		name := fmt.Sprintf("%v, %s cut off %s", jobs[i].shape, jobs[i].role, jobs[i].mode.name)
+		name := fmt.Sprintf("%v, %s cut off %s", jobs[i].topology, jobs[i].role, jobs[i].mode.name)
 		switch {
 		case g.err != nil:
 			t.Errorf("%s: %v", name, g.err)
@@ -152,12 +154,12 @@
 			t.Errorf("%s: only %d changes were acknowledged meanwhile", name, g.changes)
 		case jobs[i].mode.reachable && g.asked < 20:
 			t.Errorf("%s: only %d calls reached it", name, g.asked)
-		case g.clear > 0:
-			t.Errorf("%s: it gave %d clear answers", name, g.clear)
-		case g.back > backBound:
-			t.Errorf("%s: back after %v only", name, g.back)
+		case g.answered > 0:
+			t.Errorf("%s: it gave %d clear answers", name, g.answered)
+		case g.rejoinedAfter > backBound:
+			t.Errorf("%s: back after %v only", name, g.rejoinedAfter)
 		}
-		longest = max(longest, g.back)
+		longest = max(longest, g.rejoinedAfter)
 		asked, changes = asked+g.asked, changes+g.changes
 	}
 	t.Logf("%d plays: %d changes elsewhere, %d calls ended without a clear answer, back in force after at most %v", len(jobs), changes, asked, longest)
@@ -168,18 +170,18 @@
 	keepersOnly := cutModes[4]
 	for name, c := range map[string]struct {
 		role string
-		mode cutMode
+		mode partitionMode
 		TestingKnobs
 	}{
 		"the tail answers without a majority":       {"tail", keepersOnly, TestingKnobs{SkipReadConfirmation: true}},
 		"a keeper that is cut off feeds proxies":    {"head", keepersOnly, TestingKnobs{SkipCurrentMajority: true}},
 		"the head acknowledges what it alone holds": {"head", keepersOnly, TestingKnobs{AcknowledgeAtHead: true}},
 	} {
-		got := playCut(4, shape{3, 1, 1, 3, 0, 0}, c.role, c.mode, c.TestingKnobs)
-		if got.err == nil && got.clear == 0 {
+		got := playPartition(4, topology{3, 1, 1, 3, 0, 0}, c.role, c.mode, c.TestingKnobs)
+		if got.err == nil && got.answered == 0 {
 			t.Errorf("%s: nothing broke", name)
 			continue
 		}
-		t.Logf("%s: %v, %d clear answers", name, got.err, got.clear)
+		t.Logf("%s: %v, %d clear answers", name, got.err, got.answered)
 	}
 }
--- a/internal/system/replication/sim_hardening_leave_test.go
+++ b/internal/system/replication/sim_hardening_leave_test.go
@@ -12,33 +12,33 @@
 const leavePatience = 5 * time.Second
 
 // leave says goodbye and then ends: when enough others hold what it holds, at the latest after the patience.
-func (m *machine) leave(patience time.Duration, end func()) {
-	if !m.up() || m.frozen {
+func (m *simNode) leave(patience time.Duration, end func()) {
+	if !m.isRunning() || m.paused {
 		return
 	}
-	core, until := m.core, m.w.now+patience
+	core, until := m.core, m.sim.now+patience
 	core.Leave(m.clock())
 	m.drain() // a fault aimed at what it sends may end the process here
 	var look func()
 	look = func() {
-		if m.core == core && m.w.now < until && (m.frozen || !core.Departed()) {
-			m.w.after(20*time.Millisecond, look)
+		if m.core == core && m.sim.now < until && (m.paused || !core.Departed()) {
+			m.sim.after(20*time.Millisecond, look)
 			return
 		}
 		end()
 	}
-	m.w.after(20*time.Millisecond, look)
+	m.sim.after(20*time.Millisecond, look)
 }
 
 // checkLeft: who has left goes without anything being lost, since enough others hold all that was acknowledged.
-func (w *world) checkLeft(m *machine) {
+func (w *clusterSim) checkLeft(m *simNode) {
 	c := m.core
-	if c == nil || !c.liveness.leaving || m.watcher || w.now-w.lostAt < 3*time.Second || !c.Departed() || c.acceptor.view.Epoch == 0 {
+	if c == nil || !c.liveness.leaving || m.observer || w.now-w.lostAt < 3*time.Second || !c.Departed() || c.acceptor.view.Epoch == 0 {
 		return
 	}
 	holders := 0
 	for _, o := range w.nodes {
-		if r, ok := o.held(); ok && o != m && r.activeEpoch >= c.acceptor.view.Epoch && o.disk.end() >= w.acked {
+		if r, ok := o.durableState(); ok && o != m && r.activeEpoch >= c.acceptor.view.Epoch && o.disk.end() >= w.acked {
 			holders++
 		}
 	}
@@ -47,43 +47,43 @@
 	}
 }
 
-// playLeaver has a machine leave for good that holds the only copy of what was acknowledged: one other was away meanwhile,
+// playLeavingNode has a machine leave for good that holds the only copy of what was acknowledged: one other was away meanwhile,
 // the third has just lost its disk. It gives how long the leaver stayed.
-func playLeaver(seed uint64, patience time.Duration) (time.Duration, error) {
-	w := newWorld(seed, shape{3, 0, 1, 3, 0, 0}, TestingKnobs{})
+func playLeavingNode(seed uint64, patience time.Duration) (time.Duration, error) {
+	w := newClusterSim(seed, topology{3, 0, 1, 3, 0, 0}, TestingKnobs{})
 	w.operate()
 	w.runUntil(4 * time.Second)
-	if !w.mayLose() {
-		return 0, fmt.Errorf("there is no whole view: %w", w.broken)
+	if !w.canLoseDisk() {
+		return 0, fmt.Errorf("there is no whole view: %w", w.violation)
 	}
-	a, b, c := w.link(0), w.link(1), w.link(2)
+	a, b, c := w.replica(0), w.replica(1), w.replica(2)
 	if seed%2 == 0 {
 		a, b = b, a
 	}
 	b.kill()
 	w.writeUnless(60, 50*time.Millisecond, b)
 	if !w.lose(c) {
-		return 0, fmt.Errorf("the second copy cannot be lost: %v", w.broken)
+		return 0, fmt.Errorf("the second copy cannot be lost: %v", w.violation)
 	}
-	for _, o := range []*machine{b, c} {
+	for _, o := range []*simNode{b, c} {
 		if o.disk.end() >= w.acked {
 			return 0, fmt.Errorf("machine %d holds a copy", o.name)
 		}
 	}
 	began, stayed := w.now, time.Duration(0)
-	b.back(300 * time.Millisecond)
-	c.back(600 * time.Millisecond)
+	b.restartAfter(300 * time.Millisecond)
+	c.restartAfter(600 * time.Millisecond)
 	w.after(time.Duration(w.rng.IntN(1500))*time.Millisecond, func() {
 		a.leave(patience, func() {
 			stayed = w.now - began
 			a.kill()
-			a.gone = true
-			w.successor(a, fault{}).back(time.Second)
+			a.removed = true
+			w.successor(a, fault{}).restartAfter(time.Second)
 		})
 	})
 	w.runUntil(w.now + leavePatience + 2*time.Second)
 	w.expectAck("after the leaver has gone")
-	err := w.settle(8 * time.Second)
+	err := w.converge(8 * time.Second)
 	return stayed, err
 }
 
@@ -96,7 +96,7 @@
 		n = 6
 	}
 	stays, errs := make([]time.Duration, n), make([]error, n)
-	inParallel(n, func(i int) { stays[i], errs[i] = playLeaver(uint64(i+1), leavePatience) })
+	inParallel(n, func(i int) { stays[i], errs[i] = playLeavingNode(uint64(i+1), leavePatience) })
 	for i, err := range errs {
 		if err != nil {
 			t.Errorf("seed %d: %v", i+1, err)
@@ -111,7 +111,7 @@
 	seed := uint64(0)
 	for err == nil && seed < 40 {
 		seed++
-		_, err = playLeaver(seed, 0)
+		_, err = playLeavingNode(seed, 0)
 	}
 	if err == nil {
 		t.Error("nothing broke where the leaver went at once")
--- a/internal/system/replication/sim_hardening_operators_test.go
+++ b/internal/system/replication/sim_hardening_operators_test.go
@@ -8,23 +8,23 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// racePlay is what came about when two operators raced under one version.
-type racePlay struct {
-	underWay  int // calls under way at once
-	clear     int // tries of the race that got a clear answer
-	lost      int // answers that were lost
-	kills     int // keepers killed between the commit and the answer
-	changes   int // taken between the race and the repeats
-	snapshots int // machines whose log no longer holds the race
-	repeats   map[string][]string
-	err       error
+// raceRun is what came about when two operators raced under one version.
+type raceRun struct {
+	inFlight    int // calls under way at once
+	answered    int // tries of the race that got a clear answer
+	lostAnswers int // answers that were lost
+	kills       int // keepers killed between the commit and the answer
+	changes     int // taken between the race and the repeats
+	snapshots   int // machines whose log no longer holds the race
+	retries     map[string][]string
+	err         error
 }
 
 // playRace sends two different changes of one version through every keeper at once, eight calls in all and more, loses
 // answers, kills keepers between commit and answer, and sends both again after hundreds of changes and a start of all.
-func playRace(seed uint64, s shape, between, history int, h TestingKnobs, forgetful bool) *racePlay {
-	out := &racePlay{repeats: map[string][]string{}}
-	w := newWorld(seed, s, h)
+func playRace(seed uint64, s topology, between, history int, h TestingKnobs, forgetful bool) *raceRun {
+	out := &raceRun{retries: map[string][]string{}}
+	w := newClusterSim(seed, s, h)
 	w.machine = toyMachine{forgetful: forgetful, history: history}
 	w.runUntil(4 * time.Second)
 	w.write(3, 50*time.Millisecond)
@@ -34,35 +34,35 @@
 	changes[1].Body = fmt.Appendf(nil, "%s of the other", race.Body)
 
 	// Every second answer is lost, and two keepers die when they have just written the record and nobody knows.
-	w.onAnswer = func(a *asked, d Completion) {
+	w.onAnswer = func(a *simCall, d Completion) {
 		if a.read || string(a.change.Body) != string(changes[0].Body) && string(a.change.Body) != string(changes[1].Body) {
 			return
 		}
 		if settles(d) {
-			out.clear++
+			out.answered++
 		}
-		if w.rng.IntN(2) == 0 && a.at.up() && !a.closed {
-			out.lost++
+		if w.rng.IntN(2) == 0 && a.node.isRunning() && !a.closed {
+			out.lostAnswers++
 			a.closed = true // the caller hears nothing and asks again
-			again := &asked{at: w.pickMachine(), change: a.change, first: a.first}
+			again := &simCall{node: w.pickNode(), change: a.change, first: a.first}
 			w.after(300*time.Millisecond, func() {
-				if again.at != nil {
+				if again.node != nil {
 					w.ask(again)
 				}
 			})
 		}
 	}
 	for range 2 {
-		w.arm(&armedStep{name: "wrote append", left: 1 + w.rng.IntN(s.keepers), before: true, do: func(m *machine) {
+		w.arm(&stepTrigger{name: "wrote append", remaining: 1 + w.rng.IntN(s.diskNodes), before: true, action: func(m *simNode) {
 			out.kills++
-			w.apply(fault{kind: faultKill, a: m.name, dur: time.Second})
+			w.apply(fault{kind: faultKill, a: m.name, duration: time.Second})
 		}})
 	}
-	for range max(1, 8/s.keepers+1) {
+	for range max(1, 8/s.diskNodes+1) {
 		for _, m := range w.nodes {
 			for _, ch := range changes {
-				w.pursue(&asked{at: m, change: ch, first: w.acked}, 5, func() {})
-				out.underWay++
+				w.submitUntilDone(&simCall{node: m, change: ch, first: w.acked}, 5, func() {})
+				out.inFlight++
 			}
 		}
 	}
@@ -74,46 +74,46 @@
 	w.powerAll(fault{})
 	w.runUntil(w.now + 5*time.Second)
 	for _, m := range w.nodes {
-		if m.up() && m.core.chain.log.base > raced {
+		if m.isRunning() && m.core.chain.log.base > raced {
 			out.snapshots++
 		}
 	}
 	for i, ch := range changes {
 		for _, m := range w.nodes {
-			a := &asked{at: m, change: ch, ttl: 4 * time.Second}
-			name := []string{"lost", "taken"}[min(1, int(w.takenAt[keyOf(ch)]))]
-			a.then = func(d Completion) {
-				out.repeats[name] = append(out.repeats[name], fmt.Sprintf("outcome %d kind %d", d.Outcome, d.Verdict.Kind))
+			a := &simCall{node: m, change: ch, ttl: 4 * time.Second}
+			name := []string{"lost", "taken"}[min(1, int(w.acceptedAt[keyOf(ch)]))]
+			a.onDone = func(d Completion) {
+				out.retries[name] = append(out.retries[name], fmt.Sprintf("outcome %d kind %d", d.Outcome, d.Verdict.Kind))
 			}
 			w.after(time.Duration(i)*20*time.Millisecond, func() { w.ask(a) })
 		}
 	}
 	w.runUntil(w.now + 6*time.Second)
-	if w.broken == nil {
-		w.checkSettled()
+	if w.violation == nil {
+		w.checkConverged()
 	}
-	out.err = w.broken
+	out.err = w.violation
 	return out
 }
 
 // write has changes made one after another, through any keeper that runs, with a pause between them.
-func (w *world) write(n int, pause time.Duration) {
+func (w *clusterSim) write(n int, pause time.Duration) {
 	w.writeUnless(n, pause, nil)
 }
 
 // writeUnless is write, but never through the machine not.
-func (w *world) writeUnless(n int, pause time.Duration, not *machine) {
+func (w *clusterSim) writeUnless(n int, pause time.Duration, not *simNode) {
 	end := int64(n) + w.states[len(w.states)-1].rev
 	next := w.now
-	for limit := w.now + 4*time.Duration(n)*pause + 10*time.Second; w.broken == nil && w.now < limit; {
+	for limit := w.now + 4*time.Duration(n)*pause + 10*time.Second; w.violation == nil && w.now < limit; {
 		rev := w.states[len(w.states)-1].rev
 		if rev >= end {
 			return
 		}
-		if m := w.pickMachine(); m != nil && m != not && !m.frozen {
+		if m := w.pickNode(); m != nil && m != not && !m.paused {
 			change := w.newChange(50)
 			change.Base = rev
-			w.ask(&asked{at: m, change: change, first: w.acked, ttl: time.Second})
+			w.ask(&simCall{node: m, change: change, first: w.acked, ttl: time.Second})
 		}
 		next += pause
 		w.runUntil(next)
@@ -123,7 +123,7 @@
 // TestHardeningTwoOperatorsOneNumber: exactly one of two changes of one version is confirmed, and what was taken is never
 // refused, also after hundreds of changes, snapshots and a start of all.
 func TestHardeningTwoOperatorsOneNumber(t *testing.T) {
-	for i, s := range []shape{{3, 0, 1, 3, 0, 0}, {5, 1, 2, 3, 0, 0}, {4, 0, 1, 2, 1, 0}, {1, 0, 0, 1, 0, 0}} {
+	for i, s := range []topology{{3, 0, 1, 3, 0, 0}, {5, 1, 2, 3, 0, 0}, {4, 0, 1, 2, 1, 0}, {1, 0, 0, 1, 0, 0}} {
 		for j, between := range []int{10, 300, 300} {
 			if raceDetector && i+j > 0 {
 				continue
@@ -135,21 +135,21 @@
 				switch {
 				case got.err != nil:
 					t.Errorf("%s: %v", name, got.err)
-				case got.underWay < 8 || got.clear < 4 || got.lost == 0 || got.kills == 0 || got.changes < between:
+				case got.inFlight < 8 || got.answered < 4 || got.lostAnswers == 0 || got.kills == 0 || got.changes < between:
 					t.Errorf("%s: it did not come about: %+v", name, got)
 				case between > 100 && got.snapshots == 0:
 					t.Errorf("%s: no snapshot was taken over the race", name)
-				case len(got.repeats["taken"]) == 0 || len(got.repeats["lost"]) == 0:
-					t.Errorf("%s: the repeats were %v", name, got.repeats)
+				case len(got.retries["taken"]) == 0 || len(got.retries["lost"]) == 0:
+					t.Errorf("%s: the repeats were %v", name, got.retries)
 				}
-				for _, r := range got.repeats["taken"] {
+				for _, r := range got.retries["taken"] {
 					known, unclear := "outcome 1 kind 1", "outcome 1 kind 4"
 					if history > between && r != known || history <= between && r != unclear {
 						t.Errorf("%s: what was taken got %s when it came again", name, r)
 					}
 				}
 				if seed == 0 {
-					t.Logf("%s: %d calls at once, %d clear answers, %d lost, %d kills, then %v", name, got.underWay, got.clear, got.lost, got.kills, got.repeats)
+					t.Logf("%s: %d calls at once, %d clear answers, %d lost, %d kills, then %v", name, got.inFlight, got.answered, got.lostAnswers, got.kills, got.retries)
 				}
 			}
 		}
@@ -170,7 +170,7 @@
 		seed := uint64(0)
 		for err == nil && seed < 30 {
 			seed++
-			err = playRace(seed, shape{3, 0, 1, 3, 0, 0}, 10, toyHistory, c.TestingKnobs, c.forgetful).err
+			err = playRace(seed, topology{3, 0, 1, 3, 0, 0}, 10, toyHistory, c.TestingKnobs, c.forgetful).err
 		}
 		if err == nil {
 			t.Errorf("%s: nothing broke", name)
--- a/internal/system/replication/sim_ledger_test.go
+++ b/internal/system/replication/sim_ledger_test.go
@@ -8,12 +8,12 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// ledgerEntry is what is known of a change, over all its tries.
-type ledgerEntry struct {
-	tries   int  // sent
-	refused int  // of them, those that are certain not to have come about
-	judged  bool // was called stale or invalid, so it must never come about
-	acked   bool
+// changeHistory is what is known of a change, over all its tries.
+type changeHistory struct {
+	attempts int  // sent
+	refused  int  // of them, those that are certain not to have come about
+	rejected bool // was called stale or invalid, so it must never come about
+	acked    bool
 }
 
 // keyOf names a change; the tries of one have the same name.
@@ -27,45 +27,45 @@
 	return registerKey(ch.Op, ch.Base, ch.Body)
 }
 
-func (w *world) entryOf(key string) *ledgerEntry {
-	l := w.ledger[key]
+func (w *clusterSim) entryOf(key string) *changeHistory {
+	l := w.histories[key]
 	if l == nil {
-		l = &ledgerEntry{}
-		w.ledger[key] = l
+		l = &changeHistory{}
+		w.histories[key] = l
 	}
 	return l
 }
 
-func (a *asked) bad() bool { return strings.HasPrefix(string(a.change.Body), "bad") }
+func (a *simCall) fail() bool { return strings.HasPrefix(string(a.change.Body), "bad") }
 
 // committed takes note of a record that was committed first just now.
-func (w *world) committed(r controlstate.Record) {
+func (w *clusterSim) committed(r controlstate.Record) {
 	key := keyOf(controlstate.Change{Op: r.Op, Base: r.Base, Body: r.Body, Zone: r.Zone})
-	if seq := w.takenAt[key]; seq > 0 {
+	if seq := w.acceptedAt[key]; seq > 0 {
 		w.fail(fmt.Errorf("%s came about twice, as records %d and %d", key, seq, r.Seq))
 	}
-	w.takenAt[key] = r.Seq
+	w.acceptedAt[key] = r.Seq
 	l := w.entryOf(key)
-	if l.judged {
+	if l.rejected {
 		w.fail(fmt.Errorf("%s was called stale or invalid and came about", key))
 	}
-	if z := w.zoneOf(r.Zone); z != nil && z.settled && z.want != r.Op {
+	if z := w.zoneOf(r.Zone); z != nil && z.acknowledged && z.wanted != r.Op {
 		w.fail(fmt.Errorf("%s, an old one, undid the later change of its zone that was acknowledged", key))
 	}
 }
 
-// checkLedger holds what came about against what was refused.
-func (w *world) checkLedger() {
-	for key, l := range w.ledger {
-		if l.tries > 0 && l.refused == l.tries && w.takenAt[key] > 0 {
-			w.fail(fmt.Errorf("all %d tries of %s were refused, and it came about", l.tries, key))
+// checkHistories holds what came about against what was refused.
+func (w *clusterSim) checkHistories() {
+	for key, l := range w.histories {
+		if l.attempts > 0 && l.refused == l.attempts && w.acceptedAt[key] > 0 {
+			w.fail(fmt.Errorf("all %d tries of %s were refused, and it came about", l.attempts, key))
 		}
-		if l.acked && w.takenAt[key] == 0 && !strings.Contains(key, "zone") {
+		if l.acked && w.acceptedAt[key] == 0 && !strings.Contains(key, "zone") {
 			w.fail(fmt.Errorf("%s was acknowledged and is gone", key))
 		}
 	}
 	bases := map[int64][]string{}
-	for key, l := range w.ledger {
+	for key, l := range w.histories {
 		var op, base int64
 		var body string
 		if n, _ := fmt.Sscanf(key, "%d %d %s", &op, &base, &body); n == 3 && l.acked && !slices.Contains(bases[base], key) {
--- a/internal/system/replication/sim_network_test.go
+++ b/internal/system/replication/sim_network_test.go
@@ -14,66 +14,66 @@
 // maxHeld is how many messages a cut link holds back, as the buffers of its connections do.
 const maxHeld = 200
 
-// cutLink is one direction of a link that carries nothing.
-type cutLink struct {
-	until time.Duration
-	late  bool // what is sent meanwhile arrives after the cut
-	held  []func()
+// partitionedPath is one direction of a link that carries nothing.
+type partitionedPath struct {
+	until   time.Duration
+	late    bool // what is sent meanwhile arrives after the cut
+	delayed []func()
 }
 
 // block cuts one direction of a link.
-func (w *world) block(from, to string, d time.Duration, late bool) {
+func (w *clusterSim) block(from, to string, d time.Duration, late bool) {
 	if from == to || w.beyond(from) && w.beyond(to) {
 		return
 	}
 	if !w.beyond(from) && !w.beyond(to) {
-		w.disturbed()
+		w.recordDisturbance()
 	}
 	k := [2]string{from, to}
-	l := w.cut[k]
+	l := w.partitioned[k]
 	if l == nil {
-		l = &cutLink{late: late}
-		w.cut[k] = l
+		l = &partitionedPath{late: late}
+		w.partitioned[k] = l
 	}
 	l.until = max(l.until, w.now+d)
 	w.after(d, func() {
-		if w.cut[k] == l && w.now >= l.until {
-			w.join(k)
+		if w.partitioned[k] == l && w.now >= l.until {
+			w.healPath(k)
 		}
 	})
 }
 
 // beyond tells whether the address is no keeper's.
-func (w *world) beyond(addr string) bool {
+func (w *clusterSim) beyond(addr string) bool {
 	return addr == outside || strings.HasPrefix(addr, proxyPrefix)
 }
 
-// join ends a cut.
-func (w *world) join(k [2]string) {
-	l := w.cut[k]
+// healPath ends a cut.
+func (w *clusterSim) healPath(k [2]string) {
+	l := w.partitioned[k]
 	if l == nil {
 		return
 	}
-	delete(w.cut, k)
+	delete(w.partitioned, k)
 	if !w.beyond(k[0]) && !w.beyond(k[1]) {
-		w.disturbed()
+		w.recordDisturbance()
 	}
-	w.stats.lateMessages += len(l.held)
-	for i, do := range l.held {
+	w.stats.lateMessages += len(l.delayed)
+	for i, do := range l.delayed {
 		w.after(time.Millisecond+time.Duration(i)*10*time.Microsecond, do)
 	}
 }
 
 // connected tells whether nothing is cut between two addresses.
-func (w *world) connected(a, b string) bool {
-	return w.cut[[2]string{a, b}] == nil && w.cut[[2]string{b, a}] == nil
+func (w *clusterSim) connected(a, b string) bool {
+	return w.partitioned[[2]string{a, b}] == nil && w.partitioned[[2]string{b, a}] == nil
 }
 
 // carry brings something from one address to another, unless the link is cut or loses it.
-func (w *world) carry(from, to string, d time.Duration, do func()) {
-	if l := w.cut[[2]string{from, to}]; l != nil {
-		if l.late && len(l.held) < maxHeld {
-			l.held = append(l.held, do)
+func (w *clusterSim) carry(from, to string, d time.Duration, do func()) {
+	if l := w.partitioned[[2]string{from, to}]; l != nil {
+		if l.late && len(l.delayed) < maxHeld {
+			l.delayed = append(l.delayed, do)
 		}
 		return
 	}
@@ -81,13 +81,13 @@
 		return
 	}
 	d += time.Duration(w.rng.ExpFloat64() * float64(d) / 4)
-	if w.slack > 0 && w.rng.IntN(4) == 0 {
-		d += time.Duration(w.rng.Int64N(int64(w.slack)))
+	if w.extraDelay > 0 && w.rng.IntN(4) == 0 {
+		d += time.Duration(w.rng.Int64N(int64(w.extraDelay)))
 	}
 	w.after(d, do)
 }
 
-func (w *world) deliver(from *machine, e Envelope) {
+func (w *clusterSim) deliver(from *simNode, e Envelope) {
 	kind := kindOf(e.Msg)
 	core := from.core
 	if w.step("send "+kind, from, e.Addr); from.core != core {
@@ -106,22 +106,22 @@
 	}
 }
 
-func (w *world) arrive(addr, kind string, msg *replicationpb.Message) {
+func (w *clusterSim) arrive(addr, kind string, msg *replicationpb.Message) {
 	m := w.at(addr)
 	if m == nil || m.core == nil {
 		return
 	}
 	core := m.core
-	if formerLife(msg, core.cfg.Incarnation) {
-		w.stats.formerLife++
+	if fromFormerIncarnation(msg, core.cfg.Incarnation) {
+		w.stats.formerIncarnation++
 	}
 	w.step("receive "+kind, m, addr)
 	m.run(core, func() { core.Receive(m.clock(), msg) })
 }
 
-func (w *world) at(addr string) *machine {
+func (w *clusterSim) at(addr string) *simNode {
 	for _, m := range w.nodes {
-		if m.member.Addr == addr && !m.gone {
+		if m.member.Addr == addr && !m.removed {
 			return m
 		}
 	}
--- a/internal/system/replication/sim_operators_test.go
+++ b/internal/system/replication/sim_operators_test.go
@@ -7,9 +7,9 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// asked is a change or read that goes to one machine, and what was known when it was asked for.
-type asked struct {
-	at     *machine
+// simCall is a change or read that goes to one machine, and what was known when it was simCall for.
+type simCall struct {
+	node   *simNode
 	read   bool
 	change controlstate.Change
 	fenced bool          // the keeper that takes it up fills in the fence: the newest record that it knows
@@ -17,14 +17,14 @@
 	sent   time.Duration
 	acked  uint64 // newest record acknowledged or read when this try was sent
 	first  uint64 // and when the first try was
-	then   func(Completion)
+	onDone func(Completion)
 	inside func(Completion) // instead: the keeper's own read, on behalf of a call
 	closed bool             // the caller has an answer, or has given up
 }
 
 // ask sends a change or read to a.at. The caller is told an outcome once, Unknown when none came in time.
-func (w *world) ask(a *asked) {
-	a.acked, a.sent = max(w.acked, w.seen), w.now
+func (w *clusterSim) ask(a *simCall) {
+	a.acked, a.sent = max(w.acked, w.newestRead), w.now
 	if a.ttl == 0 {
 		a.ttl = 4 * time.Second
 		if w.rng.IntN(3) == 0 {
@@ -32,10 +32,10 @@
 		}
 	}
 	if !a.read && !a.fenced {
-		w.entryOf(keyOf(a.change)).tries++
+		w.entryOf(keyOf(a.change)).attempts++
 	}
-	w.trace("%v asks machine %d: read %v, %s", w.now, a.at.name, a.read, keyOf(a.change))
-	m, core := a.at, a.at.core
+	w.trace("%v asks machine %d: read %v, %s", w.now, a.node.name, a.read, keyOf(a.change))
+	m, core := a.node, a.node.core
 	if core == nil {
 		w.after(time.Millisecond, func() { a.close(Completion{Outcome: Unknown}) })
 		return
@@ -47,7 +47,7 @@
 }
 
 // submit takes up a call at the keeper. Its time to live begins here, however long it lay in a socket.
-func (m *machine) submit(a *asked) {
+func (m *simNode) submit(a *simCall) {
 	if a.fenced {
 		m.submitFenced(a)
 		return
@@ -61,10 +61,10 @@
 }
 
 // number files a call under a number of its own, as Keeper does in each life anew.
-func (m *machine) number(a *asked) uint64 {
-	m.ids++
-	m.asked[m.ids] = a
-	return m.ids
+func (m *simNode) number(a *simCall) uint64 {
+	m.lastCallID++
+	m.calls[m.lastCallID] = a
+	return m.lastCallID
 }
 
 // stallFence is how long after a stall of the process orders of zones are refused, see control.StallDetector.
@@ -72,14 +72,14 @@
 
 // submitFenced takes up an order of a zone as control does: the fence is the newest record known when the order came; then
 // the keeper reads, and passes the order on if its caller is still there.
-func (m *machine) submitFenced(a *asked) {
-	w, core := m.w, m.core
-	if m.thawedAt > 0 && w.now-m.thawedAt < stallFence {
+func (m *simNode) submitFenced(a *simCall) {
+	w, core := m.sim, m.core
+	if m.resumedAt > 0 && w.now-m.resumedAt < stallFence {
 		w.answer(a, Completion{Outcome: Refused})
 		return
 	}
 	a.change.Base = int64(core.chain.commitIndex)
-	read := &asked{at: m, read: true, acked: max(w.acked, w.seen)}
+	read := &simCall{node: m, read: true, acked: max(w.acked, w.newestRead)}
 	read.inside = func(d Completion) {
 		if d.Outcome != Answered {
 			w.answer(a, Completion{Outcome: Refused})
@@ -90,7 +90,7 @@
 				if a.closed {
 					return // the end of the caller's connection has been read by now
 				}
-				w.entryOf(keyOf(a.change)).tries++
+				w.entryOf(keyOf(a.change)).attempts++
 				core.Submit(m.clock(), m.number(a), a.change, a.ttl)
 			})
 		})
@@ -99,21 +99,21 @@
 }
 
 // answer brings an answer back to the caller, unless it is lost on its way.
-func (w *world) answer(a *asked, d Completion) {
-	if a.at.core == nil {
+func (w *clusterSim) answer(a *simCall, d Completion) {
+	if a.node.core == nil {
 		a.close(d) // the connection is reset
 		return
 	}
-	w.carry(a.at.member.Addr, outside, time.Millisecond, func() { a.close(d) })
+	w.carry(a.node.member.Addr, outside, time.Millisecond, func() { a.close(d) })
 }
 
-func (a *asked) close(d Completion) {
+func (a *simCall) close(d Completion) {
 	if a.closed {
 		return
 	}
 	a.closed = true
-	if a.then != nil {
-		a.then(d)
+	if a.onDone != nil {
+		a.onDone(d)
 	}
 }
 
@@ -122,10 +122,10 @@
 	return d.Outcome == Answered && d.Verdict.Kind != controlstate.Uncertain && d.Verdict.Kind != controlstate.Superseded
 }
 
-// pickMachine draws a machine that runs; it may be frozen or cut off.
-func (w *world) pickMachine() *machine {
+// pickNode draws a machine that runs; it may be frozen or cut off.
+func (w *clusterSim) pickNode() *simNode {
 	for range 8 {
-		if m := w.nodes[w.rng.IntN(len(w.nodes))]; m.up() {
+		if m := w.nodes[w.rng.IntN(len(w.nodes))]; m.isRunning() {
 			return m
 		}
 	}
@@ -133,35 +133,35 @@
 }
 
 // client asks for one thing after another.
-func (w *world) client(n int) {
-	if w.broken != nil || w.clientsEnd {
+func (w *clusterSim) client(n int) {
+	if w.violation != nil || w.clientsDone {
 		return
 	}
-	m := w.pickMachine()
+	m := w.pickNode()
 	if m == nil {
 		w.after(50*time.Millisecond, func() { w.client(n) })
 		return
 	}
-	w.ids++
-	a := &asked{at: m, first: w.acked}
+	w.lastChange++
+	a := &simCall{node: m, first: w.acked}
 	switch k := w.rng.IntN(20); {
 	case k < 6:
 		a.read = true
 	case k < 9:
-		a.change = controlstate.Change{Op: controlstate.OpNone, Zone: fmt.Sprintf("n%d", w.ids)}
+		a.change = controlstate.Change{Op: controlstate.OpNone, Zone: fmt.Sprintf("n%d", w.lastChange)}
 	case k < 10:
-		a.change = controlstate.Change{Op: controlstate.OpReplace, Body: fmt.Appendf(nil, "bad%d", w.ids)}
+		a.change = controlstate.Change{Op: controlstate.OpReplace, Body: fmt.Appendf(nil, "bad%d", w.lastChange)}
 	default:
 		a.change = w.newChange(n)
 	}
-	w.pursue(a, 5, func() {
+	w.submitUntilDone(a, 5, func() {
 		w.after(time.Duration(10+w.rng.IntN(250))*time.Millisecond, func() { w.client(n) })
 	})
 }
 
 // newChange draws a change of the register. What an operator knows is at best as new as the last answer, and may be what
 // a keeper has not yet confirmed.
-func (w *world) newChange(n int) controlstate.Change {
+func (w *clusterSim) newChange(n int) controlstate.Change {
 	base := w.states[len(w.states)-1].rev
 	if w.rng.IntN(5) == 0 {
 		base = max(0, w.states[w.acked].rev-int64(w.rng.IntN(2)))
@@ -170,42 +170,42 @@
 	if w.rng.IntN(4) == 0 {
 		op = controlstate.OpAmend
 	}
-	w.ids++
-	return controlstate.Change{Op: op, Base: base, Body: fmt.Appendf(nil, "c%d-%d", n, w.ids)}
+	w.lastChange++
+	return controlstate.Change{Op: op, Base: base, Body: fmt.Appendf(nil, "c%d-%d", n, w.lastChange)}
 }
 
-// pursue asks, and asks again elsewhere as long as the answer is not clear and tries are left.
-func (w *world) pursue(a *asked, tries int, done func()) {
-	a.then = func(d Completion) {
+// submitUntilDone asks, and asks again elsewhere as long as the answer is not clear and tries are left.
+func (w *clusterSim) submitUntilDone(a *simCall, tries int, done func()) {
+	a.onDone = func(d Completion) {
 		if !a.read && a.change.Op != controlstate.OpNone && !settles(d) && tries > 1 {
-			w.pursueAgain(a, tries-1, done)
+			w.resubmit(a, tries-1, done)
 			return
 		}
 		if !a.read && a.change.Op != controlstate.OpNone {
-			w.old = append(w.old, a.change)
+			w.resendable = append(w.resendable, a.change)
 		}
 		done()
 	}
 	w.ask(a)
 }
 
-// pursueAgain asks as before, through whichever machine runs then.
-func (w *world) pursueAgain(a *asked, tries int, done func()) {
-	if w.clientsEnd {
+// resubmit asks as before, through whichever machine runs then.
+func (w *clusterSim) resubmit(a *simCall, tries int, done func()) {
+	if w.clientsDone {
 		return
 	}
 	w.after(time.Duration(w.rng.IntN(300))*time.Millisecond, func() {
-		if m := w.pickMachine(); m != nil {
-			w.pursue(&asked{at: m, change: a.change, first: a.first}, tries, done)
+		if m := w.pickNode(); m != nil {
+			w.submitUntilDone(&simCall{node: m, change: a.change, first: a.first}, tries, done)
 		} else {
-			w.pursueAgain(a, tries, done)
+			w.resubmit(a, tries, done)
 		}
 	})
 }
 
 // operator sends up to eight orders at once: one or several changes of the same version, each through several keepers.
-func (w *world) operator(n int) {
-	if w.broken != nil || w.clientsEnd {
+func (w *clusterSim) operator(n int) {
+	if w.violation != nil || w.clientsDone {
 		return
 	}
 	bodies, left := 1+w.rng.IntN(3), 0
@@ -219,9 +219,9 @@
 		change := first
 		change.Body = fmt.Appendf(nil, "%s-%d", first.Body, b)
 		for range max(1, 8/bodies) {
-			if m := w.pickMachine(); m != nil {
+			if m := w.pickNode(); m != nil {
 				left++
-				w.pursue(&asked{at: m, change: change, first: w.acked}, 4, done)
+				w.submitUntilDone(&simCall{node: m, change: change, first: w.acked}, 4, done)
 			}
 		}
 	}
@@ -232,28 +232,28 @@
 }
 
 // repeater sends orders of long ago again, whatever became of them: what was taken is never refused.
-func (w *world) repeater() {
-	if w.broken != nil || w.clientsEnd {
+func (w *clusterSim) repeater() {
+	if w.violation != nil || w.clientsDone {
 		return
 	}
 	w.after(time.Duration(50+w.rng.IntN(400))*time.Millisecond, w.repeater)
-	m := w.pickMachine()
-	if m == nil || len(w.old) == 0 {
+	m := w.pickNode()
+	if m == nil || len(w.resendable) == 0 {
 		return
 	}
 	w.stats.resent++
-	w.ask(&asked{at: m, change: w.old[w.rng.IntN(len(w.old))]})
+	w.ask(&simCall{node: m, change: w.resendable[w.rng.IntN(len(w.resendable))]})
 }
 
-// zone is evacuated and taken back by an operator of its own, one order after the other.
-type zone struct {
-	name    string
-	want    controlstate.Op
-	settled bool // the last order was acknowledged, and the next has not been sent
+// evacuationZone is evacuated and taken back by an operator of its own, one order after the other.
+type evacuationZone struct {
+	name         string
+	wanted       controlstate.Op
+	acknowledged bool // the last order was acknowledged, and the next has not been sent
 }
 
-func (w *world) zoneOf(name string) *zone {
-	for _, z := range w.zones {
+func (w *clusterSim) zoneOf(name string) *evacuationZone {
+	for _, z := range w.evacuationZones {
 		if z.name == name {
 			return z
 		}
@@ -262,23 +262,23 @@
 }
 
 // zoneOperator sends the order that its zone waits for through one keeper after another until it is acknowledged.
-func (w *world) zoneOperator(z *zone) {
-	if w.broken != nil || w.clientsEnd {
+func (w *clusterSim) zoneOperator(z *evacuationZone) {
+	if w.violation != nil || w.clientsDone {
 		return
 	}
-	m := w.pickMachine()
+	m := w.pickNode()
 	if m == nil {
 		w.after(50*time.Millisecond, func() { w.zoneOperator(z) })
 		return
 	}
-	if z.settled {
-		z.settled = false
-		z.want = controlstate.OpEvacuate + controlstate.OpReadmit - z.want
+	if z.acknowledged {
+		z.acknowledged = false
+		z.wanted = controlstate.OpEvacuate + controlstate.OpReadmit - z.wanted
 	}
-	a := &asked{at: m, change: controlstate.Change{Op: z.want, Zone: z.name}, fenced: true, ttl: time.Second, first: w.acked}
-	a.then = func(d Completion) {
+	a := &simCall{node: m, change: controlstate.Change{Op: z.wanted, Zone: z.name}, fenced: true, ttl: time.Second, first: w.acked}
+	a.onDone = func(d Completion) {
 		if settles(d) {
-			z.settled = true
+			z.acknowledged = true
 		}
 		w.after(time.Duration(100+w.rng.IntN(900))*time.Millisecond, func() { w.zoneOperator(z) })
 	}
@@ -286,7 +286,7 @@
 }
 
 // operate sets clients and operators to work.
-func (w *world) operate() {
+func (w *clusterSim) operate() {
 	for i := range 3 {
 		w.after(2*time.Second, func() { w.client(i) })
 	}
@@ -294,8 +294,8 @@
 	w.after(3*time.Second, w.watchProgress)
 	w.after(3*time.Second, w.repeater)
 	for _, name := range []string{"east", "west"} {
-		z := &zone{name: name, want: controlstate.OpEvacuate}
-		w.zones = append(w.zones, z)
+		z := &evacuationZone{name: name, wanted: controlstate.OpEvacuate}
+		w.evacuationZones = append(w.evacuationZones, z)
 		w.after(2*time.Second, func() { w.zoneOperator(z) })
 	}
 }
--- a/internal/system/replication/sim_proxies_test.go
+++ b/internal/system/replication/sim_proxies_test.go
@@ -13,33 +13,33 @@
 // The figures of distribution.Subscriber and Hub, which this file models: see follower_keepers.go and hub_follow.go there.
 // What a hub answers and what a follower makes of it are decided by distribution's own functions.
 const (
-	proxyPrefix = "10.1."
-	pollHold    = time.Second
-	pollSilence = 400 * time.Millisecond // beyond the hold, until another keeper is taken
-	seekTimeout = 1200 * time.Millisecond
-	seekStagger = 50 * time.Millisecond
-	avoidFor    = 2 * time.Second
-	pollRecords = 64 // in one answer
+	proxyPrefix       = "10.1."
+	longPollTimeout   = time.Second
+	pollTimeoutMargin = 400 * time.Millisecond // beyond the hold, until another keeper is taken
+	seekTimeout       = 1200 * time.Millisecond
+	seekStagger       = 50 * time.Millisecond
+	avoidTime         = 2 * time.Second
+	maxPollRecords    = 64 // in one answer
 )
 
 // proxy is a process that follows the keepers, as distribution.Subscriber does.
 type proxy struct {
-	w       *world
-	name    string
-	addr    string
-	life    int
-	up      bool
-	frozen  bool
-	inbox   []func()
-	eventAt time.Duration // of the last fault's begin or end here
+	w           *clusterSim
+	name        string
+	addr        string
+	incarnation int
+	running     bool
+	paused      bool
+	inbox       []func()
+	eventAt     time.Duration // of the last fault's begin or end here
 
-	seq     uint64
-	state   *toy
-	known   []string // keepers
-	failed  map[string]time.Duration
-	freshAt time.Duration // when it was certainly so that nothing newer had been acknowledged; negative: never
-	calls   uint64
-	open    map[uint64]func(*pollReply) // calls under way
+	seq        uint64
+	state      *toy
+	knownNodes []string // keepers
+	failed     map[string]time.Duration
+	freshAt    time.Duration // when it was certainly so that nothing newer had been acknowledged; negative: never
+	calls      uint64
+	inFlight   map[uint64]func(*pollReply) // calls under way
 }
 
 // poll is a proxy's call that a keeper holds.
@@ -57,39 +57,39 @@
 	records  []controlstate.Record
 	snapshot []byte
 	snapSeq  uint64
-	keepers  []string
+	nodes    []string
 }
 
-func (w *world) newProxy(i int) {
+func (w *clusterSim) newProxy(i int) {
 	p := &proxy{w: w, name: fmt.Sprintf("p%d", i), addr: fmt.Sprintf("%s0.%d", proxyPrefix, i+1)}
 	w.proxies = append(w.proxies, p)
 	w.after(time.Duration(w.rng.IntN(300))*time.Millisecond, p.start)
 }
 
 func (p *proxy) start() {
-	if p.up {
+	if p.running {
 		return
 	}
-	p.up, p.frozen, p.inbox = true, false, nil
-	p.life++
+	p.running, p.paused, p.inbox = true, false, nil
+	p.incarnation++
 	p.eventAt = p.w.now
 	p.seq, p.state, p.freshAt = 0, &toy{}, -1
-	p.known = slices.Clone(p.w.seeds)
-	p.failed, p.open = map[string]time.Duration{}, map[uint64]func(*pollReply){}
-	p.seek()
-	p.watch(p.life)
+	p.knownNodes = slices.Clone(p.w.seeds)
+	p.failed, p.inFlight = map[string]time.Duration{}, map[uint64]func(*pollReply){}
+	p.findNode()
+	p.watch(p.incarnation)
 }
 
 func (p *proxy) stop() {
-	p.up, p.frozen, p.inbox, p.open = false, false, nil, nil
+	p.running, p.paused, p.inbox, p.inFlight = false, false, nil, nil
 	p.eventAt = p.w.now
 }
 
 // run has the process of a life do something, when it is not frozen.
 func (p *proxy) run(life int, do func()) {
 	switch {
-	case p.life != life || !p.up:
-	case p.frozen:
+	case p.incarnation != life || !p.running:
+	case p.paused:
 		p.inbox = append(p.inbox, do)
 	default:
 		do()
@@ -97,21 +97,21 @@
 }
 
 func (p *proxy) after(d time.Duration, do func()) {
-	life := p.life
+	life := p.incarnation
 	p.w.after(d, func() { p.run(life, do) })
 }
 
-func (p *proxy) freeze(d time.Duration) {
-	life := p.life
-	p.frozen, p.eventAt = p.up, p.w.now
-	p.w.after(d, func() { p.thaw(life) })
+func (p *proxy) pause(d time.Duration) {
+	life := p.incarnation
+	p.paused, p.eventAt = p.running, p.w.now
+	p.w.after(d, func() { p.resume(life) })
 }
 
-func (p *proxy) thaw(life int) {
-	if p.life != life || !p.frozen {
+func (p *proxy) resume(life int) {
+	if p.incarnation != life || !p.paused {
 		return
 	}
-	p.frozen, p.eventAt = false, p.w.now
+	p.paused, p.eventAt = false, p.w.now
 	inbox := p.inbox
 	p.inbox = nil
 	for _, do := range inbox {
@@ -123,18 +123,18 @@
 func (p *proxy) call(keeper string, hold, patience time.Duration, done func(*pollReply)) {
 	w := p.w
 	p.calls++
-	id, life, seq, asked := p.calls, p.life, p.seq, w.now
+	id, life, seq, asked := p.calls, p.incarnation, p.seq, w.now
 	finish := func(r *pollReply) {
-		if p.open[id] == nil {
+		if p.inFlight[id] == nil {
 			return
 		}
-		delete(p.open, id)
-		if r != nil && !p.take(r, asked) {
+		delete(p.inFlight, id)
+		if r != nil && !p.applyReply(r, asked) {
 			r = nil
 		}
 		done(r)
 	}
-	p.open[id] = finish
+	p.inFlight[id] = finish
 	p.after(hold+patience, func() { finish(nil) })
 	w.carry(p.addr, keeper, time.Millisecond, func() {
 		m := w.at(keeper)
@@ -155,24 +155,24 @@
 
 // serve answers a poll as Hub.Follow does: at once where the keeper is not current or has something newer, otherwise when
 // that comes about, at the latest when the hold ends.
-func (m *machine) serve(p *poll) {
+func (m *simNode) serve(p *poll) {
 	core := m.core
 	if !core.Current(m.clock()) {
 		p.reply(&pollReply{})
 		return
 	}
 	m.polls = append(m.polls, p)
-	m.w.after(max(0, p.until-m.w.now), func() { m.run(core, func() {}) })
+	m.sim.after(max(0, p.until-m.sim.now), func() { m.run(core, func() {}) })
 }
 
 // wakePolls answers the held polls that are due.
-func (m *machine) wakePolls() {
+func (m *simNode) wakePolls() {
 	if m.core == nil || len(m.polls) == 0 {
 		return
 	}
 	current := m.core.Current(m.clock())
 	m.polls = slices.DeleteFunc(m.polls, func(p *poll) bool {
-		if current && m.core.chain.commitIndex <= p.seq && m.w.now < p.until {
+		if current && m.core.chain.commitIndex <= p.seq && m.sim.now < p.until {
 			return false
 		}
 		p.reply(m.answerPoll(p, current))
@@ -181,22 +181,22 @@
 }
 
 // answerPoll gives the records after what the proxy holds, or a snapshot where those are gone.
-func (m *machine) answerPoll(p *poll, current bool) *pollReply {
-	m.w.stats.polls++
+func (m *simNode) answerPoll(p *poll, current bool) *pollReply {
+	m.sim.stats.polls++
 	seq, state := m.core.Committed()
-	r := &pollReply{current: current, newest: seq, checked: m.w.now - p.start}
+	r := &pollReply{current: current, newest: seq, checked: m.sim.now - p.start}
 	v := m.core.View()
 	for _, id := range v.Chain {
 		if member, ok := v.Voter(id); ok {
-			r.keepers = append(r.keepers, member.Addr)
+			r.nodes = append(r.nodes, member.Addr)
 		}
 	}
 	if !current {
 		return r
 	}
-	records, known := m.core.RecordsAfter(p.seq, pollRecords+1)
+	records, known := m.core.RecordsAfter(p.seq, maxPollRecords+1)
 	stock := distribution.Availability{Committed: seq, Known: known && len(records) > 0, Records: len(records)}
-	switch distribution.PlanCatchUp(p.seq, stock, pollRecords) {
+	switch distribution.PlanCatchUp(p.seq, stock, maxPollRecords) {
 	case distribution.CatchUpRecords:
 		r.records = records
 	case distribution.CatchUpNewSnapshot:
@@ -214,12 +214,12 @@
 	return o
 }
 
-// take takes in an answer to a call that was sent at asked, and tells whether it came in time.
-func (p *proxy) take(r *pollReply, asked time.Duration) bool {
+// applyReply takes in an answer to a call that was sent at asked, and tells whether it came in time.
+func (p *proxy) applyReply(r *pollReply, asked time.Duration) bool {
 	checked := asked + r.checked
 	offer := r.offer(p.w.now - checked)
-	if len(r.keepers) > 0 {
-		p.known = r.keepers
+	if len(r.nodes) > 0 {
+		p.knownNodes = r.nodes
 	}
 	before := p.seq
 	step := distribution.Position{Seq: p.seq}.Plan(offer)
@@ -242,16 +242,16 @@
 		}
 		p.state, p.seq = s.(*toy), rec.Seq
 	}
-	p.checkHeld(before)
+	p.checkState(before)
 	if (distribution.Position{Seq: p.seq}).ProvesFreshness(offer) {
 		p.freshAt = max(p.freshAt, checked)
 	}
 	return !offer.Expired()
 }
 
-// seek tries the keepers, those that just failed last, until one that is current has answered.
-func (p *proxy) seek() {
-	list := p.ranked()
+// findNode tries the keepers, those that just failed last, until one that is current has answered.
+func (p *proxy) findNode() {
+	list := p.rankNodes()
 	settled, open := false, len(list)
 	for i, keeper := range list {
 		p.after(time.Duration(i)*seekStagger, func() {
@@ -271,37 +271,37 @@
 					p.failed[keeper] = p.w.now
 				}
 				if open == 0 {
-					p.after(20*time.Millisecond+time.Duration(p.w.rng.IntN(180))*time.Millisecond, p.seek)
+					p.after(20*time.Millisecond+time.Duration(p.w.rng.IntN(180))*time.Millisecond, p.findNode)
 				}
 			})
 		})
 	}
 }
 
-// ranked gives the keepers to try. The seeds stay known, in case all others are gone.
-func (p *proxy) ranked() []string {
-	list := slices.Clone(p.known)
+// rankNodes gives the keepers to try. The seeds stay known, in case all others are gone.
+func (p *proxy) rankNodes() []string {
+	list := slices.Clone(p.knownNodes)
 	for _, s := range p.w.seeds {
 		if !slices.Contains(list, s) {
 			list = append(list, s)
 		}
 	}
 	p.w.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	sort.SliceStable(list, func(i, j int) bool { return !p.avoids(list[i]) && p.avoids(list[j]) })
+	sort.SliceStable(list, func(i, j int) bool { return !p.isAvoided(list[i]) && p.isAvoided(list[j]) })
 	return list
 }
 
-func (p *proxy) avoids(keeper string) bool {
+func (p *proxy) isAvoided(keeper string) bool {
 	at, ok := p.failed[keeper]
-	return ok && p.w.now-at < avoidFor
+	return ok && p.w.now-at < avoidTime
 }
 
 // follow polls one keeper until it is silent or not current.
 func (p *proxy) follow(keeper string) {
-	p.call(keeper, pollHold, pollSilence, func(r *pollReply) {
+	p.call(keeper, longPollTimeout, pollTimeoutMargin, func(r *pollReply) {
 		if r == nil || !r.current {
 			p.failed[keeper] = p.w.now
-			p.seek()
+			p.findNode()
 			return
 		}
 		p.follow(keeper)
--- a/internal/system/replication/sim_proxy_checks_test.go
+++ b/internal/system/replication/sim_proxy_checks_test.go
@@ -20,11 +20,11 @@
 	touchBound = 3 * time.Second
 )
 
-// checkHeld holds what a proxy has taken against what is committed.
-func (p *proxy) checkHeld(before uint64) {
+// checkState holds what a proxy has taken against what is committed.
+func (p *proxy) checkState(before uint64) {
 	w := p.w
 	switch {
-	case w.broken != nil:
+	case w.violation != nil:
 	case p.seq < before:
 		w.fail(fmt.Errorf("proxy %s went back from record %d to %d", p.name, before, p.seq))
 	case p.seq >= uint64(len(w.states)):
@@ -36,28 +36,30 @@
 
 // watch holds what clients of the proxy get against what was acknowledged, again and again.
 func (p *proxy) watch(life int) {
-	if p.life != life || !p.up {
+	if p.incarnation != life || !p.running {
 		return
 	}
 	p.checkAge()
 	p.w.after(100*time.Millisecond, func() { p.watch(life) })
 }
 
-// fresh tells whether a keeper's word that there is nothing newer still counts.
-func (p *proxy) fresh() bool { return p.freshAt >= 0 && p.w.now-p.freshAt <= distribution.FreshnessTTL }
+// isFresh tells whether a keeper's word that there is nothing newer still counts.
+func (p *proxy) isFresh() bool {
+	return p.freshAt >= 0 && p.w.now-p.freshAt <= distribution.FreshnessTTL
+}
 
 // checkAge: a proxy that counts as fresh, or that is in touch, does not serve what is too old.
 func (p *proxy) checkAge() {
 	w := p.w
-	if w.broken != nil || p.frozen {
+	if w.violation != nil || p.paused {
 		return
 	}
-	if p.fresh() {
+	if p.isFresh() {
 		if seq := w.ackedBefore(w.now - freshBound); p.seq < seq {
 			w.fail(fmt.Errorf("proxy %s counts as fresh with record %d, but %d was acknowledged over %v ago", p.name, p.seq, seq, freshBound))
 		}
 	}
-	if p.inTouch() {
+	if p.hasContact() {
 		if seq := w.ackedBefore(w.now - touchBound); p.seq < seq {
 			w.fail(fmt.Errorf("proxy %s is in touch with record %d, but %d was acknowledged over %v ago", p.name, p.seq, seq, touchBound))
 		}
@@ -65,7 +67,7 @@
 }
 
 // ackedBefore is the newest record that was acknowledged at the time.
-func (w *world) ackedBefore(at time.Duration) uint64 {
+func (w *clusterSim) ackedBefore(at time.Duration) uint64 {
 	i := sort.Search(len(w.acks), func(i int) bool { return w.acks[i].at > at })
 	if i == 0 {
 		return 0
@@ -73,8 +75,8 @@
 	return w.acks[i-1].seq
 }
 
-// inTouch: the proxy and the keepers have been undisturbed for long, and it reaches all that are well connected.
-func (p *proxy) inTouch() bool {
+// hasContact: the proxy and the keepers have been undisturbed for long, and it reaches all that are well connected.
+func (p *proxy) hasContact() bool {
 	w := p.w
 	if w.now-p.eventAt < contact || !w.stable() {
 		return false
@@ -89,7 +91,7 @@
 
 // knownView is the newest view that a healthy machine holds which reaches most of the others. One that only a machine
 // holds which is cut off makes no loss good.
-func (w *world) knownView() *View {
+func (w *clusterSim) knownView() *View {
 	var newest *View
 	for _, m := range w.nodes {
 		if !m.healthy() || newest != nil && m.core.acceptor.view.Epoch <= newest.Epoch {
@@ -97,7 +99,7 @@
 		}
 		reached, all := 0, 0
 		for _, o := range w.nodes {
-			if !o.gone {
+			if !o.removed {
 				all++
 				if w.connected(m.member.Addr, o.member.Addr) {
 					reached++
@@ -112,8 +114,8 @@
 }
 
 // core lists the healthy machines that reach a majority of the voters both ways.
-func (w *world) core() []*machine {
-	var out []*machine
+func (w *clusterSim) core() []*simNode {
+	var out []*simNode
 	view := w.knownView()
 	if view == nil {
 		return nil
@@ -136,9 +138,9 @@
 }
 
 // stable tells whether nothing has disturbed the keepers of late and no more are in trouble than may be lost.
-func (w *world) stable() bool {
+func (w *clusterSim) stable() bool {
 	view := w.knownView()
-	if w.now-w.eventAt < contact || w.loss > 0 || w.slack > 0 || view == nil {
+	if w.now-w.eventAt < contact || w.loss > 0 || w.extraDelay > 0 || view == nil {
 		return false
 	}
 	well := w.core()
@@ -167,8 +169,8 @@
 
 // watchProgress asks for a change through a keeper of the core, again and again while the keepers are stable: it must be
 // acknowledged, unless something disturbs them meanwhile.
-func (w *world) watchProgress() {
-	if w.broken != nil || w.clientsEnd {
+func (w *clusterSim) watchProgress() {
+	if w.violation != nil || w.clientsDone {
 		return
 	}
 	w.after(500*time.Millisecond, w.watchProgress)
@@ -180,10 +182,10 @@
 	if !w.connected(outside, m.member.Addr) {
 		return
 	}
-	w.ids++
+	w.lastChange++
 	w.stats.probes++
-	a := &asked{at: m, change: controlstate.Change{Op: controlstate.OpNone, Zone: fmt.Sprintf("p%d", w.ids)}, first: w.acked, ttl: progressBound}
-	a.then = func(d Completion) {
+	a := &simCall{node: m, change: controlstate.Change{Op: controlstate.OpNone, Zone: fmt.Sprintf("p%d", w.lastChange)}, first: w.acked, ttl: progressBound}
+	a.onDone = func(d Completion) {
 		if d.Outcome != Answered && w.eventAt == event && w.connected(outside, m.member.Addr) {
 			w.fail(fmt.Errorf("the keepers are stable, and a change that machine %d got %v ago is not acknowledged", m.name, w.now-began))
 		}
@@ -192,20 +194,20 @@
 }
 
 // disturbProxy restarts, freezes or cuts off a proxy.
-func (w *world) disturbProxy(f fault) {
+func (w *clusterSim) disturbProxy(f fault) {
 	p := w.proxies[f.n%len(w.proxies)]
 	switch f.n / 2 % 3 {
 	case 0:
 		p.stop()
-		w.after(f.dur, p.start)
+		w.after(f.duration, p.start)
 	case 1:
-		p.freeze(f.dur)
+		p.pause(f.duration)
 	case 2:
 		for _, m := range w.nodes {
-			w.block(p.addr, m.member.Addr, f.dur, f.n&8 != 0)
-			w.block(m.member.Addr, p.addr, f.dur, f.n&8 != 0)
+			w.block(p.addr, m.member.Addr, f.duration, f.n&8 != 0)
+			w.block(m.member.Addr, p.addr, f.duration, f.n&8 != 0)
 		}
 		p.eventAt = w.now
-		w.after(f.dur, func() { p.eventAt = w.now })
+		w.after(f.duration, func() { p.eventAt = w.now })
 	}
 }
--- a/internal/system/replication/sim_repair_steps_test.go
+++ b/internal/system/replication/sim_repair_steps_test.go
@@ -9,33 +9,33 @@
 	"time"
 )
 
-// incident is something that the keepers repair, or a planned change of who they are.
-type incident struct {
+// firstLoss is something that the keepers repair, or a planned change of who they are.
+type firstLoss struct {
 	name  string
-	shape shape
-	begin func(*world)
+	shape topology
+	start func(*clusterSim)
 }
 
 // incidents are those whose every step meets a second trouble. In the first four a second disk may be lost on the way, in
 // the others only after the repair.
-var incidents = []incident{
-	{"a lost head", shape{5, 0, 2, 3, 0, 0}, func(w *world) { w.link(0).loseFor(w, time.Second) }},
-	{"a lost tail", shape{5, 0, 2, 3, 0, 0}, func(w *world) { w.link(-1).loseFor(w, time.Second) }},
-	{"a replacement without warning", shape{5, 0, 2, 3, 0, 0}, func(w *world) { w.replace(w.link(1), fault{dur: time.Second}) }},
-	{"a replacement with warning", shape{5, 0, 2, 3, 0, 0}, func(w *world) { w.replace(w.link(1), fault{dur: time.Second, n: 1}) }},
-	{"a replaced head", shape{3, 0, 1, 3, 0, 0}, func(w *world) { w.replace(w.link(0), fault{dur: 500 * time.Millisecond}) }},
-	{"a joining for a lost voter", shape{3, 1, 1, 3, 0, 0}, func(w *world) { w.replace(w.link(1), fault{dur: time.Hour}) }},
-	{"a leaving head", shape{3, 0, 1, 3, 0, 0}, func(w *world) { w.apply(fault{kind: faultLeave, a: w.link(0).name, dur: time.Second}) }},
-	{"a leaving tail", shape{4, 0, 1, 2, 0, 0}, func(w *world) { w.apply(fault{kind: faultLeave, a: w.link(-1).name, dur: time.Second}) }},
-	{"a killed head", shape{3, 0, 1, 3, 0, 0}, func(w *world) { w.apply(fault{kind: faultKill, a: w.link(0).name, dur: time.Second}) }},
-	{"a start of all", shape{3, 0, 1, 3, 0, 0}, func(w *world) { w.powerAll(fault{}) }},
+var incidents = []firstLoss{
+	{"a lost head", topology{5, 0, 2, 3, 0, 0}, func(w *clusterSim) { w.replica(0).loseFor(w, time.Second) }},
+	{"a lost tail", topology{5, 0, 2, 3, 0, 0}, func(w *clusterSim) { w.replica(-1).loseFor(w, time.Second) }},
+	{"a replacement without warning", topology{5, 0, 2, 3, 0, 0}, func(w *clusterSim) { w.replace(w.replica(1), fault{duration: time.Second}) }},
+	{"a replacement with warning", topology{5, 0, 2, 3, 0, 0}, func(w *clusterSim) { w.replace(w.replica(1), fault{duration: time.Second, n: 1}) }},
+	{"a replaced head", topology{3, 0, 1, 3, 0, 0}, func(w *clusterSim) { w.replace(w.replica(0), fault{duration: 500 * time.Millisecond}) }},
+	{"a joining for a lost voter", topology{3, 1, 1, 3, 0, 0}, func(w *clusterSim) { w.replace(w.replica(1), fault{duration: time.Hour}) }},
+	{"a leaving head", topology{3, 0, 1, 3, 0, 0}, func(w *clusterSim) { w.apply(fault{kind: faultLeave, a: w.replica(0).name, duration: time.Second}) }},
+	{"a leaving tail", topology{4, 0, 1, 2, 0, 0}, func(w *clusterSim) { w.apply(fault{kind: faultLeave, a: w.replica(-1).name, duration: time.Second}) }},
+	{"a killed head", topology{3, 0, 1, 3, 0, 0}, func(w *clusterSim) { w.apply(fault{kind: faultKill, a: w.replica(0).name, duration: time.Second}) }},
+	{"a start of all", topology{3, 0, 1, 3, 0, 0}, func(w *clusterSim) { w.powerAll(fault{}) }},
 }
 
 // secondTroubles strike at a step of an incident.
-var secondTroubles = []faultKind{faultKill, faultFreeze, faultIsolate, faultWipe, faultPowerAll}
+var secondTroubles = []faultKind{faultKill, faultPause, faultIsolate, faultWipe, faultPowerAll}
 
-// link is the machine of a link, counted from the end when i is negative.
-func (w *world) link(i int) *machine {
+// replica is the machine of a replica, counted from the end when i is negative.
+func (w *clusterSim) replica(i int) *simNode {
 	v := w.newest
 	if i < 0 {
 		i += len(v.Chain)
@@ -45,15 +45,15 @@
 }
 
 // loseFor empties the disk of a machine, which is away for a while.
-func (m *machine) loseFor(w *world, away time.Duration) {
+func (m *simNode) loseFor(w *clusterSim, away time.Duration) {
 	if w.lose(m) {
-		m.back(away)
+		m.restartAfter(away)
 	}
 }
 
-// begun runs an incident's world up to where it begins, with clients at work.
-func (i incident) begun(seed uint64, h TestingKnobs) *world {
-	w := newWorld(seed, i.shape, h)
+// startIn runs an incident's world up to where it begins, with clients at work.
+func (i firstLoss) startIn(seed uint64, h TestingKnobs) *clusterSim {
+	w := newClusterSim(seed, i.shape, h)
 	w.operate()
 	w.runUntil(6 * time.Second)
 	return w
@@ -65,55 +65,55 @@
 )
 
 // steps lists what happens between the beginning of an incident and its end: each step and how often it is taken.
-func (i incident) steps(seed uint64) (map[string]int, error) {
-	w := i.begun(seed, TestingKnobs{})
+func (i firstLoss) steps(seed uint64) (map[string]int, error) {
+	w := i.startIn(seed, TestingKnobs{})
 	count := map[string]int{}
 	w.onStep = func(name, _ string) { count[name]++ }
-	i.begin(w)
+	i.start(w)
 	w.runUntil(w.now + 1500*time.Millisecond)
-	w.runWhile(repairBound, func() bool { return !w.whole() })
-	if w.broken == nil && !w.whole() {
+	w.runWhile(repairBound, func() bool { return !w.isFullyReplicated() })
+	if w.violation == nil && !w.isFullyReplicated() {
 		w.fail(fmt.Errorf("%s is not over within %v", i.name, repairBound))
 	}
-	return count, w.broken
+	return count, w.violation
 }
 
-// trial is a second trouble at a step of an incident.
-type trial struct {
-	incident incident
-	step     string
-	nth      int
-	before   bool
-	trouble  faultKind
+// repairTrial is a second trouble at a step of an incident.
+type repairTrial struct {
+	first  firstLoss
+	step   string
+	nth    int
+	before bool
+	second faultKind
 }
 
-func (t trial) String() string {
-	return fmt.Sprintf("%s, %s at %q number %d, before %v", t.incident.name, faultNames[t.trouble], t.step, t.nth, t.before)
+func (t repairTrial) String() string {
+	return fmt.Sprintf("%s, %s at %q number %d, before %v", t.first.name, faultNames[t.second], t.step, t.nth, t.before)
 }
 
 // play runs a trial and tells whether the trouble came about.
-func (t trial) play(seed uint64, h TestingKnobs) (bool, error) {
-	w := t.incident.begun(seed, h)
+func (t repairTrial) play(seed uint64, h TestingKnobs) (bool, error) {
+	w := t.first.startIn(seed, h)
 	struck := false
-	w.arm(&armedStep{name: t.step, left: t.nth, before: t.before, do: func(m *machine) {
-		if m.gone {
+	w.arm(&stepTrigger{name: t.step, remaining: t.nth, before: t.before, action: func(m *simNode) {
+		if m.removed {
 			return
 		}
 		lost := w.lost
-		w.apply(fault{kind: t.trouble, a: m.name, dur: 1200 * time.Millisecond})
-		struck = t.trouble != faultWipe || w.lost > lost
+		w.apply(fault{kind: t.second, a: m.name, duration: 1200 * time.Millisecond})
+		struck = t.second != faultWipe || w.lost > lost
 	}})
-	t.incident.begin(w)
+	t.first.start(w)
 	w.runUntil(w.now + 5*time.Second)
 	w.heal()
 	w.expectAck("after the trouble")
-	err := w.settle(8 * time.Second)
+	err := w.converge(8 * time.Second)
 	return struck, err
 }
 
 // trials lists all second troubles at all steps of the incidents.
-func trials(t *testing.T) []trial {
-	var out []trial
+func trials(t *testing.T) []repairTrial {
+	var out []repairTrial
 	for _, i := range incidents {
 		steps, err := i.steps(1)
 		if err != nil {
@@ -122,7 +122,7 @@
 		for _, name := range slices.Sorted(maps.Keys(steps)) {
 			for nth := 1; nth <= min(maxNth, steps[name]); nth++ {
 				for _, trouble := range secondTroubles {
-					out = append(out, trial{i, name, nth, true, trouble}, trial{i, name, nth, false, trouble})
+					out = append(out, repairTrial{i, name, nth, true, trouble}, repairTrial{i, name, nth, false, trouble})
 				}
 			}
 		}
@@ -188,26 +188,26 @@
 	lost := 0
 	for _, i := range incidents {
 		for place := range 5 {
-			w := i.begun(uint64(place+1), TestingKnobs{})
-			i.begin(w)
+			w := i.startIn(uint64(place+1), TestingKnobs{})
+			i.start(w)
 			w.runUntil(w.now + 1500*time.Millisecond)
-			if !w.runWhile(repairBound, func() bool { return !w.whole() }) {
-				t.Fatalf("%s is not over within %v: %v", i.name, repairBound, w.broken)
+			if !w.runWhile(repairBound, func() bool { return !w.isFullyReplicated() }) {
+				t.Fatalf("%s is not over within %v: %v", i.name, repairBound, w.violation)
 			}
 			if place >= len(w.newest.Chain) {
 				continue
 			}
-			m, before := w.link(place), w.acked
+			m, before := w.replica(place), w.acked
 			m.loseFor(w, time.Second)
-			if w.lost != 1 || m.up() {
+			if w.lost != 1 || m.isRunning() {
 				t.Fatalf("%s: link %d was not lost", i.name, place)
 			}
 			lost++
 			w.runUntil(w.now + 1500*time.Millisecond)
-			if !w.runWhile(repairBound, func() bool { return !w.whole() || w.acked == before }) {
-				t.Fatalf("%s, then link %d: not over within %v: %v", i.name, place, repairBound, w.broken)
+			if !w.runWhile(repairBound, func() bool { return !w.isFullyReplicated() || w.acked == before }) {
+				t.Fatalf("%s, then link %d: not over within %v: %v", i.name, place, repairBound, w.violation)
 			}
-			if err := w.settle(6 * time.Second); err != nil {
+			if err := w.converge(6 * time.Second); err != nil {
 				t.Errorf("%s, then link %d: %v", i.name, place, err)
 			}
 		}
--- a/internal/system/replication/sim_shapes_test.go
+++ b/internal/system/replication/sim_shapes_test.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// shape is the size and the spread of a simulated system.
-type shape struct {
-	keepers, spares int
-	losses          int // disks that may be lost at once
-	zones           int
-	observers       int // keepers without a disk, some of them seeds
-	zoneLosses      int // zones that may be lost at once, with all their disks
+// topology is the size and the spread of a simulated system.
+type topology struct {
+	diskNodes, spares int
+	losses            int // disks that may be lost at once
+	zones             int
+	observers         int // keepers without a disk, some of them seeds
+	zoneLosses        int // zones that may be lost at once, with all their disks
 }
 
 // shapes are played in turn, by seed.
-var shapes = [...]shape{
+var shapes = [...]topology{
 	{3, 0, 1, 3, 0, 0}, {5, 0, 2, 3, 0, 0}, {1, 0, 0, 1, 0, 0}, {4, 0, 1, 2, 0, 0}, {6, 0, 2, 3, 0, 0}, {3, 1, 1, 3, 0, 0}, {7, 0, 3, 4, 0, 0},
 	{5, 1, 2, 3, 0, 0}, {9, 0, 3, 3, 0, 0}, {3, 2, 1, 1, 0, 0}, {4, 1, 1, 4, 0, 0}, {3, 0, 0, 1, 0, 0}, {6, 1, 2, 2, 0, 0}, {5, 2, 1, 2, 0, 0},
 	{7, 1, 2, 3, 0, 0}, {1, 1, 0, 2, 0, 0}, {3, 0, 1, 2, 2, 0}, {5, 0, 2, 1, 0, 0}, {9, 0, 2, 4, 0, 0}, {4, 2, 1, 3, 1, 0},
@@ -21,18 +21,18 @@
 // zoneSeeds is the first seed of those that play the shapes that must bear the loss of a zone.
 const zoneSeeds = 1 << 32
 
-var zoneShapes = [...]shape{{6, 0, 1, 3, 0, 1}, {3, 0, 1, 3, 0, 1}, {6, 1, 2, 3, 0, 1}, {9, 0, 3, 3, 0, 1}, {7, 0, 1, 4, 1, 1}}
+var zoneShapes = [...]topology{{6, 0, 1, 3, 0, 1}, {3, 0, 1, 3, 0, 1}, {6, 1, 2, 3, 0, 1}, {9, 0, 3, 3, 0, 1}, {7, 0, 1, 4, 1, 1}}
 
-func shapeOf(seed uint64) shape {
+func topologyOf(seed uint64) topology {
 	if seed >= zoneSeeds {
 		return zoneShapes[seed%uint64(len(zoneShapes))]
 	}
 	return shapes[seed%uint64(len(shapes))]
 }
 
-// shapesThatLose are those that must bear the loss of a disk.
-func shapesThatLose() []shape {
-	var out []shape
+// zoneLossTopologies are those that must bear the loss of a disk.
+func zoneLossTopologies() []topology {
+	var out []topology
 	for _, s := range shapes {
 		if s.losses > 0 {
 			out = append(out, s)
@@ -41,19 +41,19 @@
 	return out
 }
 
-func (s shape) machines() int { return s.keepers + s.spares + s.observers }
+func (s topology) machines() int { return s.diskNodes + s.spares + s.observers }
 
-func (s shape) proxies() int { return 2 }
+func (s topology) proxies() int { return 2 }
 
-func (s shape) zone(i int) string { return fmt.Sprintf("z%d", i%s.zones) }
+func (s topology) zone(i int) string { return fmt.Sprintf("z%d", i%s.zones) }
 
-func (s shape) region(i int) string {
+func (s topology) region(i int) string {
 	if s.machines() > 3 && s.zones > 1 && i%2 == 1 {
 		return "r1"
 	}
 	return "r0"
 }
 
-func (s shape) String() string {
-	return fmt.Sprintf("%d keepers, %d spares, %d observers, %d losses, %d zones, %d may be lost", s.keepers, s.spares, s.observers, s.losses, s.zones, s.zoneLosses)
+func (s topology) String() string {
+	return fmt.Sprintf("%d keepers, %d spares, %d observers, %d losses, %d zones, %d may be lost", s.diskNodes, s.spares, s.observers, s.losses, s.zones, s.zoneLosses)
 }
--- a/internal/system/replication/sim_steps_test.go
+++ b/internal/system/replication/sim_steps_test.go
@@ -5,39 +5,39 @@
 // A step is a moment in the protocol: a message of a kind goes out or comes in ("send append", "receive promise"), a write
 // to disk begins or has come about ("write register", "wrote install").
 
-// armedStep has something done at the n-th step of a name.
-type armedStep struct {
-	name   string
-	left   int
-	at     *machine // only there; nil: anywhere
-	to     string   // only messages to this address; empty: to any
-	before bool     // before the step has its effect, otherwise right after it
-	do     func(*machine)
+// stepTrigger has something done at the n-th step of a name.
+type stepTrigger struct {
+	name      string
+	remaining int
+	node      *simNode // only there; nil: anywhere
+	to        string   // only messages to this address; empty: to any
+	before    bool     // before the step has its effect, otherwise right after it
+	action    func(*simNode)
 }
 
 // arm waits for the n-th step of a name from now on.
-func (w *world) arm(s *armedStep) { w.armed = append(w.armed, s) }
+func (w *clusterSim) arm(s *stepTrigger) { w.triggers = append(w.triggers, s) }
 
-func (w *world) step(name string, m *machine, to string) {
+func (w *clusterSim) step(name string, m *simNode, to string) {
 	if w.onStep != nil {
 		w.onStep(name, m.member.Addr)
 	}
-	for i := 0; i < len(w.armed); i++ {
-		s := w.armed[i]
-		if s.name != name || s.at != nil && s.at != m || s.to != "" && s.to != to {
+	for i := 0; i < len(w.triggers); i++ {
+		s := w.triggers[i]
+		if s.name != name || s.node != nil && s.node != m || s.to != "" && s.to != to {
 			continue
 		}
-		if s.left--; s.left > 0 {
+		if s.remaining--; s.remaining > 0 {
 			continue
 		}
-		w.armed = append(w.armed[:i:i], w.armed[i+1:]...)
+		w.triggers = append(w.triggers[:i:i], w.triggers[i+1:]...)
 		i--
 		w.stats.steps++
 		w.trace("%v STEP %s at machine %d", w.now, name, m.name)
 		if s.before {
-			s.do(m)
+			s.action(m)
 		} else {
-			w.after(0, func() { s.do(m) })
+			w.after(0, func() { s.action(m) })
 		}
 	}
 }
--- a/internal/system/replication/sim_test.go
+++ b/internal/system/replication/sim_test.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	faultsEnd     = 20 * time.Second
-	longFaultsEnd = 45 * time.Second // of the seeds with cuts of 20 s and more
-	ackBound      = 10 * time.Second // after the last fault, until a change is acknowledged
-	settleBound   = 16 * time.Second // after the last fault, until all machines and proxies are level
+	faultsEnd        = 20 * time.Second
+	longFaultsEnd    = 45 * time.Second // of the seeds with cuts of 20 s and more
+	ackBound         = 10 * time.Second // after the last fault, until a change is acknowledged
+	convergenceBound = 16 * time.Second // after the last fault, until all machines and proxies are level
 )
 
 // faultsUntil is when the faults of a seed end: one in five has long ones.
@@ -30,9 +30,9 @@
 	return faultsEnd
 }
 
-// simulate runs a seed with the faults; the error is what was broken.
-func simulate(seed uint64, faults []fault, h TestingKnobs, trace func(string, ...any)) (*world, error) {
-	w := newWorld(seed, shapeOf(seed), h)
+// simulateSeed runs a seed with the faults; the error is what was broken.
+func simulateSeed(seed uint64, faults []fault, h TestingKnobs, trace func(string, ...any)) (*clusterSim, error) {
+	w := newClusterSim(seed, topologyOf(seed), h)
 	if trace != nil {
 		w.trace = trace
 	}
@@ -42,51 +42,51 @@
 	w.operate()
 	end := faultsUntil(seed)
 	w.runUntil(end)
-	if w.broken != nil {
-		return w, w.broken
+	if w.violation != nil {
+		return w, w.violation
 	}
 	w.heal()
 	w.expectAck("after the last fault")
-	w.ackedAfter = w.now - end
+	w.ackDelay = w.now - end
 	w.runUntil(end + ackBound)
-	return w, w.settle(end + settleBound - w.now)
+	return w, w.converge(end + convergenceBound - w.now)
 }
 
-// settle has clients ask for nothing more, lets the keepers run on for d, and checks that all of them hold the same then. It
+// converge has clients ask for nothing more, lets the keepers run on for d, and checks that all of them hold the same then. It
 // returns what was broken, then or before.
-func (w *world) settle(d time.Duration) error {
-	w.clientsEnd = true
+func (w *clusterSim) converge(d time.Duration) error {
+	w.clientsDone = true
 	w.runUntil(w.now + d)
-	if w.broken == nil {
-		w.checkSettled()
+	if w.violation == nil {
+		w.checkConverged()
 	}
-	return w.broken
+	return w.violation
 }
 
 // expectAck runs until a change is acknowledged, and fails where none is within the bound. when completes the failure.
-func (w *world) expectAck(when string) {
+func (w *clusterSim) expectAck(when string) {
 	before := w.stats.accepted
 	w.runWhile(ackBound, func() bool { return w.stats.accepted == before })
-	if w.broken == nil && w.stats.accepted == before {
+	if w.violation == nil && w.stats.accepted == before {
 		w.fail(fmt.Errorf("nothing is acknowledged within %v %s", ackBound, when))
 	}
 }
 
 // heal ends all faults.
-func (w *world) heal() {
+func (w *clusterSim) heal() {
 	w.trace("%v HEAL", w.now)
-	w.quiet, w.onAck, w.armed = true, nil, nil
-	for _, k := range sortedLinks(slices.Collect(maps.Keys(w.cut))) {
-		w.join(k)
+	w.faultsOver, w.onAck, w.triggers = true, nil, nil
+	for _, k := range sortedLinks(slices.Collect(maps.Keys(w.partitioned))) {
+		w.healPath(k)
 	}
-	w.loss, w.slack = 0, 0
+	w.loss, w.extraDelay = 0, 0
 	for _, m := range w.nodes {
-		m.full, m.stall, m.slow = false, false, 0
-		m.thaw()
+		m.diskFull, m.diskStalled, m.diskDelay = false, false, 0
+		m.resume()
 		m.start()
 	}
 	for _, p := range w.proxies {
-		p.thaw(p.life)
+		p.resume(p.incarnation)
 		p.start()
 	}
 }
@@ -97,19 +97,19 @@
 	return links
 }
 
-// checkSettled checks what must hold some time after the last fault and change.
-func (w *world) checkSettled() {
-	if !w.whole() {
+// checkConverged checks what must hold some time after the last fault and change.
+func (w *clusterSim) checkConverged() {
+	if !w.isFullyReplicated() {
 		w.fail(fmt.Errorf("the view has not been made whole: %v", w.newest))
 	}
 	if uint64(len(w.truth)) < w.acked {
 		w.fail(fmt.Errorf("record %d was acknowledged, %d are left", w.acked, len(w.truth)))
 	}
 	for _, m := range w.nodes {
-		if m.up() && !m.core.Current(m.clock()) {
+		if m.isRunning() && !m.core.Current(m.clock()) {
 			w.fail(fmt.Errorf("machine %d is not current", m.name))
 		}
-		if m.up() && m.core.chain.commitIndex != uint64(len(w.truth)) {
+		if m.isRunning() && m.core.chain.commitIndex != uint64(len(w.truth)) {
 			w.fail(fmt.Errorf("machine %d has %d of %d records", m.name, m.core.chain.commitIndex, len(w.truth)))
 		}
 	}
@@ -117,24 +117,24 @@
 		if p.seq != uint64(len(w.truth)) {
 			w.fail(fmt.Errorf("proxy %s has %d of %d records", p.name, p.seq, len(w.truth)))
 		}
-		if !p.fresh() {
+		if !p.isFresh() {
 			w.fail(fmt.Errorf("proxy %s is not fresh", p.name))
 		}
 	}
-	w.checkLedger()
+	w.checkHistories()
 }
 
 func seedFaults(seed uint64) []fault {
-	return faultsFor(rand.New(rand.NewPCG(seed, 2)), shapeOf(seed).machines(), faultsUntil(seed))
+	return faultsFor(rand.New(rand.NewPCG(seed, 2)), topologyOf(seed).machines(), faultsUntil(seed))
 }
 
-// shrink drops faults as long as the rest still breaks something.
-func shrink(seed uint64, faults []fault, h TestingKnobs) []fault {
+// shrinkFaults drops faults as long as the rest still breaks something.
+func shrinkFaults(seed uint64, faults []fault, h TestingKnobs) []fault {
 	for again := true; again; {
 		again = false
 		for i := range faults {
 			less := slices.Delete(slices.Clone(faults), i, i+1)
-			if _, err := simulate(seed, less, h, nil); err != nil {
+			if _, err := simulateSeed(seed, less, h, nil); err != nil {
 				faults, again = less, true
 				break
 			}
@@ -150,32 +150,32 @@
 	return or
 }
 
-// tally is what the runs of a shape came to.
-type tally struct {
+// topologyTally is what the runs of a shape came to.
+type topologyTally struct {
 	seeds, broken int
 	slowest       time.Duration // from the last fault to the next acknowledgement
 	stats         stats
 }
 
-// results collects what the seeds of a sweep came to.
-type results struct {
+// sweepResults collects what the seeds of a sweep came to.
+type sweepResults struct {
 	mu    sync.Mutex
 	seed  uint64 // the first that broke
 	err   error
-	shape map[shape]*tally
+	shape map[topology]*topologyTally
 }
 
-func (r *results) add(seed uint64, w *world, err error) {
+func (r *sweepResults) add(seed uint64, w *clusterSim, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := r.shape[w.shape]
+	t := r.shape[w.topology]
 	if t == nil {
-		t = &tally{}
-		r.shape[w.shape] = t
+		t = &topologyTally{}
+		r.shape[w.topology] = t
 	}
 	t.seeds++
 	t.stats.add(w.stats)
-	t.slowest = max(t.slowest, w.ackedAfter)
+	t.slowest = max(t.slowest, w.ackDelay)
 	if err != nil {
 		t.broken++
 		if r.err == nil || seed < r.seed {
@@ -184,7 +184,7 @@
 	}
 }
 
-func (r *results) found() bool {
+func (r *sweepResults) hasViolation() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.err != nil
@@ -206,14 +206,14 @@
 }
 
 // sweep runs n seeds; with stop, until one breaks.
-func sweep(first, n uint64, h TestingKnobs, stop bool) *results {
-	r := &results{shape: map[shape]*tally{}}
+func sweep(first, n uint64, h TestingKnobs, stop bool) *sweepResults {
+	r := &sweepResults{shape: map[topology]*topologyTally{}}
 	inParallel(int(n), func(i int) {
-		if stop && r.found() {
+		if stop && r.hasViolation() {
 			return
 		}
 		seed := first + uint64(i)
-		w, err := simulate(seed, seedFaults(seed), h, nil)
+		w, err := simulateSeed(seed, seedFaults(seed), h, nil)
 		r.add(seed, w, err)
 	})
 	return r
@@ -253,13 +253,13 @@
 	if r.err == nil {
 		return
 	}
-	t.Errorf("seed %d (%v): %v", r.seed, shapeOf(r.seed), r.err)
-	faults := shrink(r.seed, seedFaults(r.seed), TestingKnobs{})
+	t.Errorf("seed %d (%v): %v", r.seed, topologyOf(r.seed), r.err)
+	faults := shrinkFaults(r.seed, seedFaults(r.seed), TestingKnobs{})
 	for _, f := range faults {
 		t.Logf("  %v", f)
 	}
 	var lines []string
-	_, err := simulate(r.seed, faults, TestingKnobs{}, func(s string, args ...any) { lines = append(lines, fmt.Sprintf(s, args...)) })
+	_, err := simulateSeed(r.seed, faults, TestingKnobs{}, func(s string, args ...any) { lines = append(lines, fmt.Sprintf(s, args...)) })
 	t.Logf("with these alone: %v", err)
 	if os.Getenv("REPLICATION_TRACE") != "" {
 		for _, l := range lines {
--- a/internal/system/replication/toy_test.go
+++ b/internal/system/replication/toy_test.go
@@ -19,12 +19,12 @@
 // knows its last changes again, zones whose changes carry a fence (OpEvacuate, OpReadmit), and notes that nothing protects
 // from coming about twice but the core (OpNone).
 type toy struct {
-	seq   uint64
-	rev   int64
-	hash  uint64 // of all records
-	taken []toyTaken
-	zones map[string]toyZone
-	note  string // the last zone named
+	seq     uint64
+	rev     int64
+	hash    uint64 // of all records
+	applied []toyApplied
+	zones   map[string]toyZone
+	note    string // the last zone named
 
 	machine toyMachine
 }
@@ -34,12 +34,12 @@
 	Seq   uint64             `json:"Seq"`
 	Rev   int64              `json:"Rev"`
 	Hash  uint64             `json:"Hash"`
-	Taken []toyTaken         `json:"Taken"`
+	Taken []toyApplied       `json:"Taken"`
 	Zones map[string]toyZone `json:"Zones"`
 	Note  string             `json:"Note"`
 }
 
-type toyTaken struct {
+type toyApplied struct {
 	Key string `json:"Key"`
 	Seq uint64 `json:"Seq"`
 }
@@ -66,7 +66,7 @@
 		return controlstate.Verdict{Kind: controlstate.Accepted}
 	}
 	key := registerKey(ch.Op, ch.Base, ch.Body)
-	for _, t := range s.taken {
+	for _, t := range s.applied {
 		if t.Key == key && !s.machine.forgetful {
 			return controlstate.Verdict{Kind: controlstate.AlreadyApplied, Seq: t.Seq}
 		}
@@ -74,7 +74,7 @@
 	switch {
 	case ch.Base == s.rev:
 		return controlstate.Verdict{Kind: controlstate.Accepted}
-	case ch.Base+1 <= s.rev-int64(len(s.taken)):
+	case ch.Base+1 <= s.rev-int64(len(s.applied)):
 		return controlstate.Verdict{Kind: controlstate.Uncertain}
 	}
 	return controlstate.Verdict{Kind: controlstate.Stale}
@@ -110,7 +110,7 @@
 			return nil, fmt.Errorf("record %d builds on version %d, current is %d", r.Seq, r.Base, s.rev)
 		}
 		n.rev++
-		n.taken = append(slices.Clone(s.taken[max(0, len(s.taken)-cmp.Or(s.machine.history, toyHistory)+1):]), toyTaken{registerKey(r.Op, r.Base, r.Body), r.Seq})
+		n.applied = append(slices.Clone(s.applied[max(0, len(s.applied)-cmp.Or(s.machine.history, toyHistory)+1):]), toyApplied{registerKey(r.Op, r.Base, r.Body), r.Seq})
 	case controlstate.OpEvacuate, controlstate.OpReadmit:
 		n.zones = maps.Clone(s.zones)
 		if n.zones == nil {
@@ -122,7 +122,7 @@
 }
 
 func (s *toy) Encode() []byte {
-	data, _ := json.Marshal(toyImage{s.seq, s.rev, s.hash, s.taken, s.zones, s.note})
+	data, _ := json.Marshal(toyImage{s.seq, s.rev, s.hash, s.applied, s.zones, s.note})
 	return data
 }
 
@@ -138,7 +138,7 @@
 	if err := json.Unmarshal(data, &im); err != nil {
 		return nil, err
 	}
-	return &toy{seq: im.Seq, rev: im.Rev, hash: im.Hash, taken: im.Taken, zones: im.Zones, note: im.Note, machine: m}, nil
+	return &toy{seq: im.Seq, rev: im.Rev, hash: im.Hash, applied: im.Taken, zones: im.Zones, note: im.Note, machine: m}, nil
 }
 
 // describe tells states apart.
--- a/internal/system/replication/world_test.go
+++ b/internal/system/replication/world_test.go
@@ -9,61 +9,61 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// world is a seeded simulation of keepers, the proxies that follow them and the operators that call them, over a faulty
+// clusterSim is a seeded simulation of keepers, the proxies that follow them and the operators that call them, over a faulty
 // network, faulty disks and a clock of its own.
-type world struct {
+type clusterSim struct {
 	rng    *rand.Rand
 	now    time.Duration
 	events eventQueue
 	order  uint64
-	shape
+	topology
 	knobs   TestingKnobs
 	machine toyMachine
-	nodes   []*machine
+	nodes   []*simNode
 	seeds   []string
 
-	cut      map[[2]string]*cutLink
-	loss     float64
-	slack    time.Duration // more delay
-	armed    []*armedStep
-	onAck    []func()                   // armed faults
-	onAnswer func(*asked, Completion)   // told every answer of a keeper
-	onStep   func(string, string)       // told every step and the address that takes it
-	onOutput func(*machine, *Outputs)   // told all that a core wants done, before any of it is
-	onReply  func(*machine, *pollReply) // told every answer of a keeper to a proxy
-	eventAt  time.Duration              // of the last fault's begin or end
-
-	truth   []string // committed records, agreed by all
-	states  []*toy   // after each committed record
-	takenAt map[string]uint64
-	epochs  []uint64 // in which each record was committed first
-	viewOf  map[uint64]string
-	newest  *View
-
-	acked   uint64 // newest number acknowledged
-	seen    uint64 // newest number that a read gave
-	acks    []ack
-	ids     uint64  // of changes
-	zones   []*zone // with an operator each
-	old     []controlstate.Change
-	ledger  map[string]*ledgerEntry
-	proxies []*proxy
-
-	lost       int           // disks lost since all was well
-	lostAt     time.Duration // when the last one was
-	pending    int           // machines that are about to be replaced
-	broken     error
-	clientsEnd bool
-	ackedAfter time.Duration // the last fault, a change was acknowledged
-	quiet      bool          // faults are over
-	stats      stats
-	trace      func(string, ...any)
+	partitioned map[[2]string]*partitionedPath
+	loss        float64
+	extraDelay  time.Duration // more delay
+	triggers    []*stepTrigger
+	onAck       []func()                   // armed faults
+	onAnswer    func(*simCall, Completion) // told every answer of a keeper
+	onStep      func(string, string)       // told every step and the address that takes it
+	onOutput    func(*simNode, *Outputs)   // told all that a core wants done, before any of it is
+	onReply     func(*simNode, *pollReply) // told every answer of a keeper to a proxy
+	eventAt     time.Duration              // of the last fault's begin or end
+
+	truth      []string // committed records, agreed by all
+	states     []*toy   // after each committed record
+	acceptedAt map[string]uint64
+	epochs     []uint64 // in which each record was committed first
+	viewOf     map[uint64]string
+	newest     *View
+
+	acked           uint64 // newest number acknowledged
+	newestRead      uint64 // newest number that a read gave
+	acks            []ack
+	lastChange      uint64            // of changes
+	evacuationZones []*evacuationZone // with an operator each
+	resendable      []controlstate.Change
+	histories       map[string]*changeHistory
+	proxies         []*proxy
+
+	lost        int           // disks lost since all was well
+	lostAt      time.Duration // when the last one was
+	pending     int           // machines that are about to be replaced
+	violation   error
+	clientsDone bool
+	ackDelay    time.Duration // the last fault, a change was acknowledged
+	faultsOver  bool          // faults are over
+	stats       stats
+	trace       func(string, ...any)
 }
 
 // stats count what came about in a run.
 type stats struct {
-	accepted, unknown, refused, already, stale, reads, views             int
-	steps, lateMessages, polls, resent, joins, formerLife, probes, zones int
+	accepted, unknown, refused, already, stale, reads, views                    int
+	steps, lateMessages, polls, resent, joins, formerIncarnation, probes, zones int
 }
 
 func (s *stats) add(o stats) {
@@ -79,7 +79,7 @@
 	s.polls += o.polls
 	s.resent += o.resent
 	s.joins += o.joins
-	s.formerLife += o.formerLife
+	s.formerIncarnation += o.formerIncarnation
 	s.probes += o.probes
 	s.zones += o.zones
 }
@@ -105,29 +105,29 @@
 	return e
 }
 
-func (w *world) after(d time.Duration, do func()) {
+func (w *clusterSim) after(d time.Duration, do func()) {
 	w.order++
 	heap.Push(&w.events, event{at: w.now + d, seq: w.order, do: do})
 }
 
-// disturbed notes that a fault begins or ends.
-func (w *world) disturbed() { w.eventAt = w.now }
+// recordDisturbance notes that a fault begins or ends.
+func (w *clusterSim) recordDisturbance() { w.eventAt = w.now }
 
-func newWorld(seed uint64, s shape, h TestingKnobs) *world {
-	w := &world{
-		rng: rand.New(rand.NewPCG(seed, 1)), shape: s, knobs: h,
-		cut: map[[2]string]*cutLink{}, viewOf: map[uint64]string{},
-		states: []*toy{{}}, takenAt: map[string]uint64{}, ledger: map[string]*ledgerEntry{}, lost: s.losses,
+func newClusterSim(seed uint64, s topology, h TestingKnobs) *clusterSim {
+	w := &clusterSim{
+		rng: rand.New(rand.NewPCG(seed, 1)), topology: s, knobs: h,
+		partitioned: map[[2]string]*partitionedPath{}, viewOf: map[uint64]string{},
+		states: []*toy{{}}, acceptedAt: map[string]uint64{}, histories: map[string]*changeHistory{}, lost: s.losses,
 		trace: func(string, ...any) {},
 	}
-	for i := range s.keepers {
-		m := w.newMachine(fmt.Sprintf("10.0.0.%d", i+1), s.zone(i), s.region(i))
-		m.boot = true
+	for i := range s.diskNodes {
+		m := w.newNode(fmt.Sprintf("10.0.0.%d", i+1), s.zone(i), s.region(i))
+		m.bootstrap = true
 		w.seeds = append(w.seeds, m.member.Addr)
 	}
 	for i := range s.observers {
-		m := w.newMachine(fmt.Sprintf("10.0.3.%d", i+1), s.zone(i), "r0")
-		m.watcher, m.boot = true, true
+		m := w.newNode(fmt.Sprintf("10.0.3.%d", i+1), s.zone(i), "r0")
+		m.observer, m.bootstrap = true, true
 		if i == 0 {
 			w.seeds = append([]string{m.member.Addr}, w.seeds...)
 		}
@@ -136,7 +136,7 @@
 		m.seeds = w.seeds
 	}
 	for i := range s.spares {
-		w.newMachine(fmt.Sprintf("10.0.1.%d", i+1), s.zone(i), "r0")
+		w.newNode(fmt.Sprintf("10.0.1.%d", i+1), s.zone(i), "r0")
 	}
 	for _, m := range w.nodes {
 		w.after(time.Duration(w.rng.IntN(300))*time.Millisecond, func() { m.start() })
@@ -148,8 +148,8 @@
 }
 
 // runUntil lets the simulation go on.
-func (w *world) runUntil(t time.Duration) {
-	for w.broken == nil && len(w.events) > 0 && w.events[0].at <= t {
+func (w *clusterSim) runUntil(t time.Duration) {
+	for w.violation == nil && len(w.events) > 0 && w.events[0].at <= t {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
 		e.do()
@@ -158,9 +158,9 @@
 }
 
 // runWhile lets the simulation go on while cond holds, until the limit; it tells whether cond ended.
-func (w *world) runWhile(limit time.Duration, cond func() bool) bool {
+func (w *clusterSim) runWhile(limit time.Duration, cond func() bool) bool {
 	for end := w.now + limit; cond(); {
-		if w.broken != nil || w.now >= end {
+		if w.violation != nil || w.now >= end {
 			return false
 		}
 		w.runUntil(w.now + 10*time.Millisecond)
