--- a/internal/system/replication/change_decider_test.go
+++ b/internal/system/replication/change_decider_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestAFullHeadAnswersAtOnce: a head that remembers as many changes as it may tells so. Danger: silence, for which callers wait
+// TestOverloadedHeadAnswersAtOnce: a head that remembers as many changes as it may tells so. Danger: silence, for which callers wait
 // until their deadlines.
-func TestAFullHeadAnswersAtOnce(t *testing.T) {
+func TestOverloadedHeadAnswersAtOnce(t *testing.T) {
 	cl := threeNodes(t, 1, TestingKnobs{})
 	head, sender := cl.replica(0), cl.replica(2)
 	changes := cl.nodes[head].core.decider.changes
--- a/internal/system/replication/client_calls_abandon_test.go
+++ b/internal/system/replication/client_calls_abandon_test.go
@@ -9,9 +9,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// TestWhatItsCallerGaveUpIsNotSentAgain ends the caller's context while the head is not heard. Danger: the keeper goes on
+// TestAbandonedCallIsNotResent ends the caller's context while the head is not heard. Danger: the keeper goes on
 // sending the change to whoever leads, until a deadline that its caller does not wait for.
-func TestWhatItsCallerGaveUpIsNotSentAgain(t *testing.T) {
+func TestAbandonedCallIsNotResent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
 		ks := map[string]*Node{}
--- a/internal/system/replication/disk_writer_test.go
+++ b/internal/system/replication/disk_writer_test.go
@@ -145,9 +145,9 @@
 	}
 }
 
-// TestSupersededKeeperStops opens the log in another process while the keeper runs. Danger: it tries again for good, and nobody is
+// TestSupersededNodeFails opens the log in another process while the keeper runs. Danger: it tries again for good, and nobody is
 // told that two keepers run on one data directory.
-func TestSupersededKeeperStops(t *testing.T) {
+func TestSupersededNodeFails(t *testing.T) {
 	folder := t.TempDir()
 	a := newSingleNode(t, toyMachine{}, folder)
 	a.change(1, 1, 100)
--- a/internal/system/replication/downstream_test.go
+++ b/internal/system/replication/downstream_test.go
@@ -109,9 +109,9 @@
 	}
 }
 
-// TestASnapshotUnderWayIsNotSentAgain: danger: a large snapshot takes longer than the wait for its receipt, and the link is
+// TestSnapshotInFlightIsNotResent: danger: a large snapshot takes longer than the wait for its receipt, and the link is
 // filled with copies of it.
-func TestASnapshotUnderWayIsNotSentAgain(t *testing.T) {
+func TestSnapshotInFlightIsNotResent(t *testing.T) {
 	cl := newScriptedCluster(t)
 	cl.machine = blobMachine{}
 	formThreeNodes(cl, 1, TestingKnobs{})
@@ -136,9 +136,9 @@
 	}
 }
 
-// TestASlowLinkIsNotFilledWithCopies brings a keeper that was away for 400 and for 2,000 changes up to date through a link
+// TestSlowNetworkIsNotFilledWithDuplicates brings a keeper that was away for 400 and for 2,000 changes up to date through a link
 // of 1 MB/s, while changes go on at 20 a second. Danger: what is under way is sent again and again, and never ends.
-func TestASlowLinkIsNotFilledWithCopies(t *testing.T) {
+func TestSlowNetworkIsNotFilledWithDuplicates(t *testing.T) {
 	for _, away := range []time.Duration{20 * time.Second, 100 * time.Second} {
 		cl := newScriptedCluster(t)
 		cl.machine = blobMachine{}
--- a/internal/system/replication/late_messages_test.go
+++ b/internal/system/replication/late_messages_test.go
@@ -34,8 +34,8 @@
 	return ""
 }
 
-// TestAForwardedChangeHasItsTime: a change that comes within its time is taken, also one that was under way for a while.
-func TestAForwardedChangeHasItsTime(t *testing.T) {
+// TestForwardedChangeHasDeadline: a change that comes within its time is taken, also one that was under way for a while.
+func TestForwardedChangeHasDeadline(t *testing.T) {
 	cl := threeNodes(t, 1, TestingKnobs{})
 	head, sender := cl.replica(0), cl.replica(2)
 	slow := true
@@ -54,9 +54,9 @@
 	cl.until(500*time.Millisecond, "the change that was under way for 3.5 of its 4 s", func() bool { return cl.answered(id) })
 }
 
-// TestAFeedOfAFormerLifeProvesNothing delivers to a keeper outside the chain, right after its restart, what it was fed
+// TestCatchUpOfFormerIncarnationProvesNothing delivers to a keeper outside the chain, right after its restart, what it was fed
 // before. Danger: the answer to a call of its former life passes for one to a call of now, and the past for the newest.
-func TestAFeedOfAFormerLifeProvesNothing(t *testing.T) {
+func TestCatchUpOfFormerIncarnationProvesNothing(t *testing.T) {
 	cl := threeNodes(t, 1, TestingKnobs{})
 	spare := Config{Self: Member{Addr: "d", Zone: "zone d", Region: "r"}, MachineLosses: 1, Seeds: []string{"a", "b", "c"}}
 	cl.start(spare)
@@ -96,9 +96,9 @@
 	})
 }
 
-// TestADoubleThatComesLateIsRefused delivers a change a second time, 20 s after it was taken, when its key is forgotten.
+// TestLateDuplicateIsRefused delivers a change a second time, 20 s after it was taken, when its key is forgotten.
 // Danger: it is taken again.
-func TestADoubleThatComesLateIsRefused(t *testing.T) {
+func TestLateDuplicateIsRefused(t *testing.T) {
 	play := func(h TestingKnobs) uint64 {
 		cl := newScriptedCluster(t)
 		cl.machine = blobMachine{} // takes everything
--- a/internal/system/replication/leave_test.go
+++ b/internal/system/replication/leave_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestALeaverWaitsForEnoughCopies has a link leave while another is away. Danger: it goes, and what was acknowledged is
+// TestLeavingNodeWaitsForEnoughReplicas has a link leave while another is away. Danger: it goes, and what was acknowledged is
 // left on a single disk, though a machine may be lost at any time.
-func TestALeaverWaitsForEnoughCopies(t *testing.T) {
+func TestLeavingNodeWaitsForEnoughReplicas(t *testing.T) {
 	for leaves := range 2 {
 		t.Run([]string{"head", "tail"}[leaves], func(t *testing.T) {
 			cl := threeNodes(t, 1, TestingKnobs{})
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestALeaverHandsOverTheOnlyCopy: a single link leaves and another keeper is there. Danger: it never hands over.
-func TestALeaverHandsOverTheOnlyCopy(t *testing.T) {
+// TestLeavingNodeHandsOverOnlyReplica: a single link leaves and another keeper is there. Danger: it never hands over.
+func TestLeavingNodeHandsOverOnlyReplica(t *testing.T) {
 	cl := threeNodes(t, 0, TestingKnobs{})
 	cl.nodes["b"].core, cl.nodes["c"].core = nil, nil
 	cl.run(3 * time.Second)
@@ -103,9 +103,9 @@
 	}
 }
 
-// TestALeaverLeadsWhenNobodyElseCan loses the only other copy while a link waits to leave. Danger: the changes are on the
+// TestLeavingNodeLeadsWhenNobodyElseCan loses the only other copy while a link waits to leave. Danger: the changes are on the
 // leaver's disk alone, nobody else may lead, and it does not any more.
-func TestALeaverLeadsWhenNobodyElseCan(t *testing.T) {
+func TestLeavingNodeLeadsWhenNobodyElseCan(t *testing.T) {
 	cl := threeNodes(t, 1, TestingKnobs{})
 	cl.nodes["c"].core = nil
 	cl.until(3*time.Second, "a chain of two", func() bool { return len(cl.view().Chain) == 2 })
--- a/internal/system/replication/node_observer_test.go
+++ b/internal/system/replication/node_observer_test.go
@@ -13,8 +13,8 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// TestAKeeperWithoutADisk starts an observer beside three keepers: it needs no disk, and passes calls on.
-func TestAKeeperWithoutADisk(t *testing.T) {
+// TestNodeWithoutDisk starts an observer beside three keepers: it needs no disk, and passes calls on.
+func TestNodeWithoutDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
 		var all []*Node
--- a/internal/system/replication/node_test.go
+++ b/internal/system/replication/node_test.go
@@ -124,7 +124,7 @@
 	return controlstate.Change{Op: controlstate.OpEvacuate, Zone: zone}
 }
 
-func TestKeepersSubmitReadAndReplaceALostDisk(t *testing.T) {
+func TestNodesSubmitReadAndReplaceLostDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
 		ks := map[string]*Node{}
@@ -183,7 +183,7 @@
 	})
 }
 
-func TestALoneKeeperSaysThatNothingWasTaken(t *testing.T) {
+func TestLoneNodeReportsNotApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
 		k := f.start(f.seeds[0], true)
--- a/internal/system/replication/observer_test.go
+++ b/internal/system/replication/observer_test.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestSeedsThatAreSilentAreNoObservers: only a seed that has said so is left out. Danger: one seed of three that hears
+// TestTimedOutSeedsAreNoObservers: only a seed that has said so is left out. Danger: one seed of three that hears
 // nobody forms a view alone, and the two others form one too.
-func TestSeedsThatAreSilentAreNoObservers(t *testing.T) {
+func TestTimedOutSeedsAreNoObservers(t *testing.T) {
 	seeds := []string{"k1", "k2", "k3"}
 	cl := newScriptedCluster(t)
 	cl.start(observed("k1", seeds, nil))
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestALaterKeeperKnowsObserversOnly starts a keeper whose seeds are all observers. Danger: it never learns of the others.
-func TestALaterKeeperKnowsObserversOnly(t *testing.T) {
+// TestLateNodeKnowsObserversOnly starts a keeper whose seeds are all observers. Danger: it never learns of the others.
+func TestLateNodeKnowsObserversOnly(t *testing.T) {
 	addrs := []string{"k1", "k2", "k3"}
 	observers := []string{"o1", "o2", "o3"}
 	cl := newScriptedCluster(t)
--- a/internal/system/replication/paused_test.go
+++ b/internal/system/replication/paused_test.go
@@ -7,9 +7,9 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// TestAFrozenVoterWaitsBeforeItPlans freezes the voter that would propose first for 20 s. When it wakes, one message waits
+// TestPausedVoterWaitsBeforeItPlans freezes the voter that would propose first for 20 s. When it wakes, one message waits
 // in its sockets, and nobody else has been heard for 20 s. Danger: it takes the others for gone and cuts them out.
-func TestAFrozenVoterWaitsBeforeItPlans(t *testing.T) {
+func TestPausedVoterWaitsBeforeItPlans(t *testing.T) {
 	cl := threeNodes(t, 1, TestingKnobs{})
 	n := cl.nodes["a"]
 	n.paused = true
--- a/internal/system/replication/placement_test.go
+++ b/internal/system/replication/placement_test.go
@@ -112,9 +112,9 @@
 	}
 }
 
-// TestTheToleratedLossIsBorne takes from each layout that can bear it what may be lost at once, the head first, with the
+// TestToleratedLossIsSurvived takes from each layout that can bear it what may be lost at once, the head first, with the
 // disks, and asks for a change.
-func TestTheToleratedLossIsBorne(t *testing.T) {
+func TestToleratedLossIsSurvived(t *testing.T) {
 	var longest time.Duration
 	runs := 0
 	for _, layout := range layouts() {
--- a/internal/system/replication/reach_test.go
+++ b/internal/system/replication/reach_test.go
@@ -24,9 +24,9 @@
 	return n.core.Partitioned(cl.clock(n))
 }
 
-// TestCutOff cuts each kind of keeper off, both ways or one. Danger: it is not noticed, or lasts on after the cut, or keepers
+// TestPartitioned cuts each kind of keeper off, both ways or one. Danger: it is not noticed, or lasts on after the cut, or keepers
 // that the cut does not concern count as cut off too. While it is told, what is asked of the keeper is not answered.
-func TestCutOff(t *testing.T) {
+func TestPartitioned(t *testing.T) {
 	directions := map[string]func(from, to, cut string) bool{
 		"both ways": func(from, to, cut string) bool { return from == cut || to == cut },
 		"from it":   func(from, _, cut string) bool { return from == cut },
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestNoCutOffWhileChangesAreTaken: danger: a change is refused that the chain would take, since a few heartbeats were lost,
+// TestNotPartitionedWhileChangesAreAccepted: danger: a change is refused that the chain would take, since a few heartbeats were lost,
 // the head was lost, the process stood still, or no voter but the head is reached. Changes are asked for at all keepers.
-func TestNoCutOffWhileChangesAreTaken(t *testing.T) {
+func TestNotPartitionedWhileChangesAreAccepted(t *testing.T) {
 	const lasts = 20 * time.Second
 	for name, prepare := range map[string]func(*scriptedCluster){
 		"all is well": func(*scriptedCluster) {},
@@ -135,8 +135,8 @@
 	cl.nodes[addr].paused = false
 }
 
-// TestNoCutOffOverASlowNetwork: danger: keepers 150 ms apart count as cut off between two heartbeats.
-func TestNoCutOffOverASlowNetwork(t *testing.T) {
+// TestNotPartitionedOverSlowNetwork: danger: keepers 150 ms apart count as cut off between two heartbeats.
+func TestNotPartitionedOverSlowNetwork(t *testing.T) {
 	cl := reachCluster(t)
 	var underWay []arrival
 	cl.filter = func(_, to string, m *replicationpb.Message) bool {
@@ -157,8 +157,8 @@
 	}
 }
 
-// TestCutOffBeforeAnyView: a keeper that hears nobody and knows of no view is cut off, one that hears another waits.
-func TestCutOffBeforeAnyView(t *testing.T) {
+// TestPartitionedBeforeAnyView: a keeper that hears nobody and knows of no view is cut off, one that hears another waits.
+func TestPartitionedBeforeAnyView(t *testing.T) {
 	for others := range 2 {
 		cl := newScriptedCluster(t)
 		seeds := []string{"a", "b", "c"}
--- a/internal/system/replication/repair_test.go
+++ b/internal/system/replication/repair_test.go
@@ -25,9 +25,9 @@
 	return w.now - began
 }
 
-// TestALostDiskIsMadeGoodInTime wipes, replaces or restarts one machine after another. Danger: the next one is lost
+// TestLostDiskIsRepairedInTime wipes, replaces or restarts one machine after another. Danger: the next one is lost
 // catch_up_s after the return of the one before, and that would be one too many.
-func TestALostDiskIsMadeGoodInTime(t *testing.T) {
+func TestLostDiskIsRepairedInTime(t *testing.T) {
 	longest := map[string]time.Duration{}
 	seeds := uint64(24)
 	if raceDetector {
--- a/internal/system/replication/restart_test.go
+++ b/internal/system/replication/restart_test.go
@@ -12,9 +12,9 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// TestAllKeepersRestartOnTheirLogs ends all keepers at the same moment and starts them again on their own files. Danger:
+// TestAllNodesRestartFromTheirLogs ends all keepers at the same moment and starts them again on their own files. Danger:
 // what was acknowledged is on disk, and nobody answers for it.
-func TestAllKeepersRestartOnTheirLogs(t *testing.T) {
+func TestAllNodesRestartFromTheirLogs(t *testing.T) {
 	folders := map[string]string{}
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
--- a/internal/system/replication/restore_test.go
+++ b/internal/system/replication/restore_test.go
@@ -113,9 +113,9 @@
 	return after
 }
 
-// TestRestoredKeepersFormTheFirstView restores some of three keepers. Danger: the head is one that holds nothing, and the
+// TestRestoredNodesFormFirstView restores some of three keepers. Danger: the head is one that holds nothing, and the
 // others go on with another log below the same numbers.
-func TestRestoredKeepersFormTheFirstView(t *testing.T) {
+func TestRestoredNodesFormFirstView(t *testing.T) {
 	long, short, other := restored(t, "long", 700), restored(t, "long", 300), restored(t, "other", 500)
 	for _, c := range []struct {
 		what string
@@ -166,9 +166,9 @@
 	}
 }
 
-// TestARestoredKeeperThatComesLate starts it when the others have formed a view and taken changes. Danger: its log, which
+// TestRestoredNodeThatStartsLate starts it when the others have formed a view and taken changes. Danger: its log, which
 // is longer, is taken for the chain's.
-func TestARestoredKeeperThatComesLate(t *testing.T) {
+func TestRestoredNodeThatStartsLate(t *testing.T) {
 	folders := map[string]string{}
 	for _, a := range newFleet(t, 3).seeds {
 		folders[a] = t.TempDir()
--- a/internal/system/replication/second_loss_test.go
+++ b/internal/system/replication/second_loss_test.go
@@ -53,10 +53,10 @@
 	}
 }
 
-// TestASecondLossAtEachStepOfARepair loses one machine of five, has it come back 1 s later, and loses a second one, with
+// TestSecondLossAtEachStepOfRepair loses one machine of five, has it come back 1 s later, and loses a second one, with
 // its disk, at each step on the way: every REPLICATION_STEP_MS from the first loss until all is well again. A third is not
 // lost. Danger: at some step the system waits for the one that is lost next.
-func TestASecondLossAtEachStepOfARepair(t *testing.T) {
+func TestSecondLossAtEachStepOfRepair(t *testing.T) {
 	const until, comesBack = 3 * time.Second, time.Second
 	steps := time.Duration(envInt("REPLICATION_STEP_MS", 150)) * time.Millisecond
 	if raceDetector {
--- a/internal/system/replication/sim_hardening_leave_test.go
+++ b/internal/system/replication/sim_hardening_leave_test.go
@@ -87,9 +87,9 @@
 	return stayed, err
 }
 
-// TestHardeningLeaverWithTheOnlyCopy: it goes when enough others hold what it holds, and not before. The control goes at
+// TestHardeningLeavingNodeWithOnlyReplica: it goes when enough others hold what it holds, and not before. The control goes at
 // once.
-func TestHardeningLeaverWithTheOnlyCopy(t *testing.T) {
+func TestHardeningLeavingNodeWithOnlyReplica(t *testing.T) {
 	var longest time.Duration
 	n := 40
 	if raceDetector {
@@ -119,8 +119,8 @@
 	t.Logf("control, the leaver goes at once: seed %d: %v", seed, err)
 }
 
-// TestALeaverDoesNotCountSilentLinks: what a link said of itself long ago does not tell that its disk is still there.
-func TestALeaverDoesNotCountSilentLinks(t *testing.T) {
+// TestLeavingNodeDoesNotCountTimedOutReplicas: what a link said of itself long ago does not tell that its disk is still there.
+func TestLeavingNodeDoesNotCountTimedOutReplicas(t *testing.T) {
 	v := &View{Epoch: 3, Chain: []ID{"a", "b"}, Voters: []Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
 	c := newCore(Config{MachineLosses: 1, Self: Member{ID: "c"}}, toyMachine{})
 	c.acceptor.view = v
--- a/internal/system/replication/sim_hardening_outage_test.go
+++ b/internal/system/replication/sim_hardening_outage_test.go
@@ -155,10 +155,10 @@
 	return &at
 }
 
-// TestHardeningAwayForHundredsOfChanges: a member that missed hundreds of changes is level within levelBound after the last
+// TestHardeningOutageOfHundredsOfChanges: a member that missed hundreds of changes is level within levelBound after the last
 // trouble, though changes go on and its feeder is lost; logs stay bounded. REPLICATION_AWAY=2000 for the deep run, 401 for all plays of the usual length.
 // Danger: it leads or feeds proxies with what it held before, or never catches up.
-func TestHardeningAwayForHundredsOfChanges(t *testing.T) {
+func TestHardeningOutageOfHundredsOfChanges(t *testing.T) {
 	type job struct {
 		topology
 		role, mode string
@@ -209,8 +209,8 @@
 	}
 }
 
-// TestHardeningAwayControls takes the protections out; the same play must then break.
-func TestHardeningAwayControls(t *testing.T) {
+// TestHardeningOutageControls takes the protections out; the same play must then break.
+func TestHardeningOutageControls(t *testing.T) {
 	for name, c := range map[string]struct {
 		role, mode string
 		TestingKnobs
--- a/internal/system/replication/sim_hardening_partition_test.go
+++ b/internal/system/replication/sim_hardening_partition_test.go
@@ -119,9 +119,9 @@
 	}
 }
 
-// TestHardeningCutOffForTwentySeconds cuts each kind of machine off in each way. Danger: it answers operators or proxies by
+// TestHardeningPartitionOfTwentySeconds cuts each kind of machine off in each way. Danger: it answers operators or proxies by
 // what it held, refuses what it cannot know, or is not back in force soon after.
-func TestHardeningCutOffForTwentySeconds(t *testing.T) {
+func TestHardeningPartitionOfTwentySeconds(t *testing.T) {
 	type job struct {
 		topology
 		role string
@@ -165,8 +165,8 @@
 	t.Logf("%d plays: %d changes elsewhere, %d calls ended without a clear answer, back in force after at most %v", len(jobs), changes, asked, longest)
 }
 
-// TestHardeningCutOffControls takes the protections out; the same plays must then break.
-func TestHardeningCutOffControls(t *testing.T) {
+// TestHardeningPartitionControls takes the protections out; the same plays must then break.
+func TestHardeningPartitionControls(t *testing.T) {
 	keepersOnly := cutModes[4]
 	for name, c := range map[string]struct {
 		role string
--- a/internal/system/replication/upstream_catchup_test.go
+++ b/internal/system/replication/upstream_catchup_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// TestCatchingUpWhileTheFeederIsLost brings back a member that was away for 400 and for 2,000 changes, as a former link and
+// TestCatchUpWhileUpstreamIsLost brings back a member that was away for 400 and for 2,000 changes, as a former link and
 // as a spare, through a link of 2 MB/s, while changes go on at 20 a second; the tail, which feeds it, ends at each of some
 // moments on the way. Danger: it starts anew for ever, or is never a link again.
-func TestCatchingUpWhileTheFeederIsLost(t *testing.T) {
+func TestCatchUpWhileUpstreamIsLost(t *testing.T) {
 	const each = 10 << 10
 	var longest time.Duration
 	for _, away := range []time.Duration{20 * time.Second, 100 * time.Second} {
