--- a/internal/system/distribution/age.go
+++ b/internal/system/distribution/age.go
@@ -10,21 +10,23 @@
 // TimeBounds are those between which something was made, by this process's monotonic clock.
 type TimeBounds struct{ Earliest, Latest time.Time }
 
-// age is how long ago something was made.
-func (m TimeBounds) age(now time.Time) Age { return Age{now.Sub(m.Latest), now.Sub(m.Earliest)} }
+// AgeAt is how long ago something was made.
+func (m TimeBounds) AgeAt(now time.Time) Age { return Age{now.Sub(m.Latest), now.Sub(m.Earliest)} }
 
-// before tells the moments between which something was made that is so old now.
-func (a Age) before(now time.Time) TimeBounds { return TimeBounds{now.Add(-a.Max), now.Add(-a.Min)} }
+// madeBetween tells the moments between which something was made that is so old now.
+func (a Age) madeBetween(now time.Time) TimeBounds {
+	return TimeBounds{now.Add(-a.Max), now.Add(-a.Min)}
+}
 
-// plus is the age after a hop whose duration is bounded likewise.
-func (a Age) plus(hop Age) Age { return Age{a.Min + hop.Min, a.Max + hop.Max} }
+// Plus is the age after a hop whose duration is bounded likewise.
+func (a Age) Plus(hop Age) Age { return Age{a.Min + hop.Min, a.Max + hop.Max} }
 
-// ordered makes an age that another process told sound: neither bound is negative, and Least is no more than Most.
-func (a Age) ordered() Age {
+// normalized makes an age that another process told sound: neither bound is negative, and Least is no more than Most.
+func (a Age) normalized() Age {
 	a.Max = max(a.Max, 0)
 	a.Min = min(max(a.Min, 0), a.Max)
 	return a
 }
 
-// upTo is the age of what was made at some moment since then.
-func upTo(d time.Duration) Age { return Age{0, max(d, 0)} }
+// AgeUpTo is the age of what was made at some moment since then.
+func AgeUpTo(d time.Duration) Age { return Age{0, max(d, 0)} }
--- a/internal/system/distribution/awaited_test.go
+++ b/internal/system/distribution/awaited_test.go
@@ -11,7 +11,7 @@
 func TestAwaitedListWakesItsOwner(t *testing.T) {
 	f := NewSubscriber(SubscriberOptions{Log: quiet()})
 	read := func(version uint64) bool {
-		return f.takeEntries(time.Now(), Age{}, &distributionpb.FollowReply{Entries: []*distributionpb.Entry{{Key: listKey, Fence: 1, Version: version}}})
+		return f.applyEntries(time.Now(), Age{}, &distributionpb.FollowReply{Entries: []*distributionpb.Entry{{Key: ListKey, Fence: 1, Version: version}}})
 	}
 	if read(1) {
 		t.Error("told though nothing changed")
--- a/internal/system/distribution/call.go
+++ b/internal/system/distribution/call.go
@@ -9,18 +9,18 @@
 // ErrMismatchedReply marks an answer that belongs to another call.
 var ErrMismatchedReply = errors.New("distribution: an answer that belongs to another call")
 
-// calls names the calls of a process to others. On a connection that is used again an answer is told from another by its
+// CallIDs names the CallIDs of a process to others. On a connection that is used again an answer is told from another by its
 // place alone: a peer that answers once too often would put off all that follow. The zero value is ready.
-type calls struct{ last atomic.Uint32 }
+type CallIDs struct{ last atomic.Uint32 }
 
-// callNumbers is how many names there are: more than may be under way, and few enough to be short on the wire.
-const callNumbers = 1 << 14
+// maxCallIDs is how many names there are: more than may be under way, and few enough to be short on the wire.
+const maxCallIDs = 1 << 14
 
-// next gives the name of a call; never 0.
-func (c *calls) next() uint32 { return c.last.Add(1)%(callNumbers-1) + 1 }
+// Next gives the name of a call; never 0.
+func (c *CallIDs) Next() uint32 { return c.last.Add(1)%(maxCallIDs-1) + 1 }
 
-// answers fails with ErrMismatchedReply unless got is the name that was asked under.
-func answers(asked, got uint32) error {
+// CheckReply fails with ErrMismatchedReply unless got is the name that was asked under.
+func CheckReply(asked, got uint32) error {
 	if asked == got {
 		return nil
 	}
--- a/internal/system/distribution/catchup_test.go
+++ b/internal/system/distribution/catchup_test.go
@@ -109,7 +109,7 @@
 			}
 			return true
 		})
-		if n := fl.hubs["k1:1"].snapshots.count; n != 1 {
+		if n := fl.hubs["k1:1"].snapshot.count; n != 1 {
 			t.Errorf("%d snapshots were made", n)
 		}
 	})
--- a/internal/system/distribution/coldedge_test.go
+++ b/internal/system/distribution/coldedge_test.go
@@ -52,15 +52,15 @@
 		f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
 		empty := newIdleHub() // a keeper that has started anew, warm, with no list yet
 		empty.markComplete()
-		items, full := empty.table.since(0)
-		reply := &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: toWire(time.Now(), items),
-			Soft: &distributionpb.Cursor{Boot: empty.boot, Number: empty.table.number}}
-		req := f.request(nil, false)
+		items, full := empty.table.ChangesSince(0)
+		reply := &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: EncodeEntries(time.Now(), items),
+			Soft: &distributionpb.Cursor{Boot: empty.bootID, Number: empty.table.lastNumber}}
+		req := f.buildRequest(nil, false)
 		read := time.Now() // call(): f.take(asked, time.Now(), req, reply), before the lock
 		time.Sleep(1500 * time.Millisecond)
 		end := time.Now().Add(3 * time.Second)
-		f.take(time.Now(), time.Now(), f.request(nil, false), wholeTable(t, 0, 5, pick.Server{ID: "s", WarmUpMax: 3 * time.Second}))
-		f.take(read, read, req, reply)
+		f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), wholeTable(t, 0, 5, pick.Server{ID: "s", WarmUpMax: 3 * time.Second}))
+		f.handleReply(read, read, req, reply)
 		got := f.Current().Servers
 		if len(got) != 1 {
 			t.Fatalf("holds %+v", got)
@@ -82,14 +82,14 @@
 			t.Fatal(err)
 		}
 		time.Sleep(20 * time.Second)
-		items, full := h.table.since(0)
-		w := toWire(time.Now(), items)
+		items, full := h.table.ChangesSince(0)
+		w := EncodeEntries(time.Now(), items)
 		for _, e := range w {
 			e.LeastAgeMs = nil
 		}
 		f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
-		f.take(time.Now(), time.Now(), f.request(nil, false), &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: w,
-			Soft: &distributionpb.Cursor{Boot: h.boot, Number: h.table.number}})
+		f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: w,
+			Soft: &distributionpb.Cursor{Boot: h.bootID, Number: h.table.lastNumber}})
 		for _, s := range f.Current().Servers {
 			if s.WarmUpMax > 0 {
 				t.Errorf("cold for %v more, 17 s after the cold state's end", s.WarmUpMax)
@@ -164,7 +164,7 @@
 					told.WarmUpMax += ms
 				}
 				was, _, _ := h.List()
-				if err := h.PutList(1, v, []pick.Server{told}, madeAgo(upTo(time.Since(asked)))); err != nil {
+				if err := h.PutList(1, v, []pick.Server{told}, madeAgo(AgeUpTo(time.Since(asked)))); err != nil {
 					t.Fatal(err)
 				}
 				now, _, _ := h.List()
--- a/internal/system/distribution/coldpath_test.go
+++ b/internal/system/distribution/coldpath_test.go
@@ -51,7 +51,7 @@
 	p.mesh.host("other:1", p.shares.to.Handler())
 	for _, node := range []string{"proxy", "neighbour"} {
 		f := NewSubscriber(SubscriberOptions{Self: Member{Node: node}, Log: quiet(), Transport: station{p.mesh, node},
-			hooks: followerHooks{neighbourAtOnce: true}}) // the neighbour hears of keepers, and isn't to try them first
+			Knobs: followerHooks{neighbourAtOnce: true}}) // the neighbour hears of keepers, and isn't to try them first
 		p.followers[node] = f
 		p.mesh.host(node+":2", f.Handler())
 	}
@@ -64,7 +64,7 @@
 // putReading has a hub take in a reading of the list that was asked for at asked, and came just now.
 func putReading(tb testing.TB, h *Server, version uint64, asked time.Time, servers ...pick.Server) {
 	tb.Helper()
-	if err := h.PutList(1, version, servers, madeAgo(upTo(time.Since(asked)))); err != nil {
+	if err := h.PutList(1, version, servers, madeAgo(AgeUpTo(time.Since(asked)))); err != nil {
 		tb.Fatal(err)
 	}
 }
@@ -98,7 +98,7 @@
 // ask has the neighbour ask the proxy.
 func (p *coldPath) ask(l leg) {
 	p.connect("neighbour", "proxy:2", l)
-	p.followers["neighbour"].askNeighbour(p.t.Context(), "proxy:2")
+	p.followers["neighbour"].queryNeighbour(p.t.Context(), "proxy:2")
 }
 
 func (p *coldPath) connect(from, to string, l leg) {
--- a/internal/system/distribution/coldworld_serve_test.go
+++ b/internal/system/distribution/coldworld_serve_test.go
@@ -123,7 +123,7 @@
 				w.came["cold sends"]++
 			}
 			if _, cut := w.cutTill[node]; !cut && !s.draining.IsZero() {
-				since := later(later(w.trouble[node], w.trouble[""]), s.draining.Add(coldWorldLag))
+				since := laterOf(laterOf(w.trouble[node], w.trouble[""]), s.draining.Add(coldWorldLag))
 				w.late = max(w.late, time.Since(since))
 			}
 		}
--- a/internal/system/distribution/compression.go
+++ b/internal/system/distribution/compression.go
@@ -22,8 +22,8 @@
 	cachedBytes   = 4 << 20  // bytes of these bodies, unless a single one has more
 )
 
-// compress compresses what is large by DEFLATE, and tells whether it did.
-func compress(b []byte) (out []byte, deflated bool) {
+// Compress compresses what is large by DEFLATE, and tells whether it did.
+func Compress(b []byte) (out []byte, deflated bool) {
 	if len(b) < compressFrom {
 		return b, false
 	}
@@ -41,8 +41,8 @@
 	return bytes.Clone(buffer.Bytes()), true
 }
 
-// expand undoes compress. It fails where the bytes are damaged or come to more than 64 MiB.
-func expand(b []byte, deflated bool) ([]byte, error) {
+// Expand undoes compress. It fails where the bytes are damaged or come to more than 64 MiB.
+func Expand(b []byte, deflated bool) ([]byte, error) {
 	if !deflated {
 		return b, nil
 	}
@@ -63,8 +63,8 @@
 	bytes   int
 }
 
-// record is r as it goes out. It is shared: do not change it.
-func (c *recordCache) record(r controlstate.Record) *distributionpb.Record {
+// encode is r as it goes out. It is shared: do not change it.
+func (c *recordCache) encode(r controlstate.Record) *distributionpb.Record {
 	w := &distributionpb.Record{Seq: r.Seq, Op: uint32(r.Op), Base: r.Base, Body: r.Body, Zone: r.Zone}
 	if len(r.Body) < compressFrom {
 		return w
@@ -76,7 +76,7 @@
 			return k
 		}
 	}
-	w.Body, w.Deflated = compress(r.Body)
+	w.Body, w.Deflated = Compress(r.Body)
 	c.records, c.bytes = append(c.records, w), c.bytes+len(w.GetBody())
 	for len(c.records) > 1 && (len(c.records) > cachedRecords || c.bytes > cachedBytes) {
 		c.bytes -= len(c.records[0].GetBody())
--- a/internal/system/distribution/compression_test.go
+++ b/internal/system/distribution/compression_test.go
@@ -18,21 +18,21 @@
 	}
 	var s recordCache
 	r := controlstate.Record{Seq: 3, Op: controlstate.OpAmend, Body: body.Bytes()}
-	w := s.record(r)
-	if again := s.record(r); again != w {
+	w := s.encode(r)
+	if again := s.encode(r); again != w {
 		t.Error("compressed for each follower anew")
 	}
 	if len(w.GetBody())*10 > body.Len() {
 		t.Errorf("%d bytes of %d", len(w.GetBody()), body.Len())
 	}
-	out, err := expand(w.GetBody(), w.GetDeflated())
+	out, err := Expand(w.GetBody(), w.GetDeflated())
 	if err != nil || !bytes.Equal(out, body.Bytes()) {
 		t.Errorf("%d bytes back, %v", len(out), err)
 	}
-	if small := s.record(controlstate.Record{Seq: 4, Body: []byte("{}")}); small.GetDeflated() || string(small.GetBody()) != "{}" {
+	if small := s.encode(controlstate.Record{Seq: 4, Body: []byte("{}")}); small.GetDeflated() || string(small.GetBody()) != "{}" {
 		t.Error("a small body was changed")
 	}
-	if _, err := expand(w.GetBody()[:len(w.GetBody())/2], true); err == nil {
+	if _, err := Expand(w.GetBody()[:len(w.GetBody())/2], true); err == nil {
 		t.Error("half of it counts as whole")
 	}
 	random := make([]byte, 64<<10)
@@ -42,7 +42,7 @@
 		if i%4 == 0 {
 			size = len(random) // such bodies reach the bound of bytes first
 		}
-		s.record(controlstate.Record{Seq: 10 + i, Body: random[:size]})
+		s.encode(controlstate.Record{Seq: 10 + i, Body: random[:size]})
 	}
 	if len(s.records) > cachedRecords || s.bytes > cachedBytes || len(s.records) < 10 {
 		t.Errorf("%d records with %d bytes are kept", len(s.records), s.bytes)
--- a/internal/system/distribution/faults_test.go
+++ b/internal/system/distribution/faults_test.go
@@ -97,7 +97,7 @@
 		within(t, 150*time.Millisecond-time.Since(start), "b leaves", func() bool { return !a.sees("b") })
 		fl.cutOff("a", true)
 		start = time.Now()
-		if err := a.f.Leave(t.Context()); err == nil || time.Since(start) > leaveWithin {
+		if err := a.f.Leave(t.Context()); err == nil || time.Since(start) > leaveTimeout {
 			t.Errorf("cut off: %v after %v", err, time.Since(start))
 		}
 	})
@@ -277,7 +277,7 @@
 		follows := func() string {
 			p.f.mu.Lock()
 			defer p.f.mu.Unlock()
-			return p.f.current
+			return p.f.servingNode
 		}
 		within(t, 3*time.Second, "the nearest", func() bool { return follows() == "k2:1" })
 		fl.killHub("k2:1")
--- a/internal/system/distribution/fence_test.go
+++ b/internal/system/distribution/fence_test.go
@@ -16,16 +16,16 @@
 	h.markComplete()
 	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
 	poll := func() {
-		req := f.request(nil, false)
-		items, full := h.table.since(func() uint64 {
-			if req.GetSoft().GetBoot() == h.boot {
+		req := f.buildRequest(nil, false)
+		items, full := h.table.ChangesSince(func() uint64 {
+			if req.GetSoft().GetBoot() == h.bootID {
 				return req.GetSoft().GetNumber()
 			}
 			return 0
 		}())
 		now := time.Now()
-		f.take(now, now, req, &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: toWire(now, items),
-			Soft: &distributionpb.Cursor{Boot: h.boot, Number: h.table.number}})
+		f.handleReply(now, now, req, &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: EncodeEntries(now, items),
+			Soft: &distributionpb.Cursor{Boot: h.bootID, Number: h.table.lastNumber}})
 	}
 	put := func(fence, version uint64, draining bool, ago time.Duration) {
 		t.Helper()
--- a/internal/system/distribution/follower.go
+++ b/internal/system/distribution/follower.go
@@ -30,7 +30,7 @@
 	Log                         log.Interface
 	LongPollTimeout             time.Duration // longest wait of a poll; 1 s
 
-	hooks followerHooks
+	Knobs followerHooks
 }
 
 // followerHooks take protections out, so that tests show what each is for.
@@ -60,46 +60,46 @@
 
 // Subscriber is a proxy's end.
 type Subscriber struct {
-	opt    SubscriberOptions
-	client *http.Client
-	calls  calls
-	began  time.Time
+	options   SubscriberOptions
+	client    *http.Client
+	callIDs   CallIDs
+	startedAt time.Time
 
-	mu          sync.Mutex
-	self        Member
-	told        uint64 // revision of self that a keeper has taken in
-	tellDone    chan struct{}
-	down        map[string]uint64 // verdicts to pass on: node to incarnation
-	state       *controlstate.State
-	resync      bool // the records do not apply: ask for a snapshot
-	borrowed    bool // the state is a neighbour's, since no keeper could be reached
-	table       *table
-	unconfirmed map[string]bool // keys of servers that no keeper has told since all lost their tables
-	whole       bool            // a table that misses no live proxy has been taken in
-	skipped     bool            // a list was not taken, as it looked older than the one held: a whole table is to be told again
-	soft        distributionpb.Cursor
-	totals      reading
-	own         *vector
-	history     []ownLoads // as told, newest last
-	toldOwn     distributionpb.Cursor
-	others      map[string]pick.Load
-	keepers     map[string]*keeperInfo
-	digest      uint64
-	current     string // the keeper that is followed; empty: none
-	stale       bool   // it is not current
-	heard       time.Time
-	freshAt     time.Time // when it was certainly so that nothing newer than state had been acknowledged; zero: never yet
-	currentAt   time.Time // when a keeper that was current certainly still answered
-	wanted      time.Time // the owner is to be told of a current keeper's word from after it; zero: of none in particular
-	pace        time.Duration
+	mu                 sync.Mutex
+	self               Member
+	ackedRevision      uint64 // revision of self that a keeper has taken in
+	revisionAcked      chan struct{}
+	pendingVerdicts    map[string]uint64 // verdicts to pass on: node to incarnation
+	state              *controlstate.State
+	resync             bool // the records do not apply: ask for a snapshot
+	stateFromNeighbour bool // the state is a neighbour's, since no keeper could be reached
+	table              *Table
+	unconfirmedServers map[string]bool // keys of servers that no keeper has told since all lost their tables
+	membershipComplete bool            // a table that misses no live proxy has been taken in
+	skippedOldList     bool            // a list was not taken, as it looked older than the one held: a whole table is to be told again
+	tableCursor        distributionpb.Cursor
+	totalLoads         Received
+	ownLoads           *Vector
+	sentLoads          []sentLoads // as told, newest last
+	ackedLoads         distributionpb.Cursor
+	otherLoads         map[string]pick.Load
+	nodes              map[string]*controlPlaneNode
+	nodesDigest        uint64
+	servingNode        string // the keeper that is followed; empty: none
+	servingNodeStale   bool   // it is not current
+	lastContact        time.Time
+	freshAt            time.Time // when it was certainly so that nothing newer than state had been acknowledged; zero: never yet
+	lastCurrentContact time.Time // when a keeper that was current certainly still answered
+	refreshAfter       time.Time // the owner is to be told of a current keeper's word from after it; zero: of none in particular
+	loadReportInterval time.Duration
 
-	awaitsList  bool
-	changed     chan struct{} // something in Update
-	loadChanged chan struct{}
-	tellNow     chan struct{}
+	notifyListUpdates bool
+	updatePending     chan struct{} // something in Update
+	loadsPending      chan struct{}
+	callRequested     chan struct{}
 }
 
-type ownLoads struct {
+type sentLoads struct {
 	number uint64
 	loads  map[string]pick.Load
 }
@@ -116,12 +116,12 @@
 		opt.Self.Incarnation = rand.Uint64() | 1
 	}
 	opt.Self.Revision = max(1, opt.Self.Revision)
-	f := &Subscriber{opt: opt, client: &http.Client{Transport: boundedTransport{opt.Transport}}, began: time.Now(), self: opt.Self,
-		tellDone: make(chan struct{}), down: map[string]uint64{}, state: controlstate.Empty().WithoutHistory(), table: newTable(), own: newVector(true),
-		keepers: map[string]*keeperInfo{}, pace: 100 * time.Millisecond,
-		changed: make(chan struct{}, 1), loadChanged: make(chan struct{}, 1), tellNow: make(chan struct{}, 1)}
+	f := &Subscriber{options: opt, client: &http.Client{Transport: BoundedTransport{opt.Transport}}, startedAt: time.Now(), self: opt.Self,
+		revisionAcked: make(chan struct{}), pendingVerdicts: map[string]uint64{}, state: controlstate.Empty().WithoutHistory(), table: NewTable(), ownLoads: NewVector(true),
+		nodes: map[string]*controlPlaneNode{}, loadReportInterval: 100 * time.Millisecond,
+		updatePending: make(chan struct{}, 1), loadsPending: make(chan struct{}, 1), callRequested: make(chan struct{}, 1)}
 	for _, s := range opt.Seeds {
-		f.keepers[s] = &keeperInfo{address: s, seed: true}
+		f.nodes[s] = &controlPlaneNode{address: s, seed: true}
 	}
 	return f
 }
@@ -130,14 +130,14 @@
 func (f *Subscriber) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { f.follow(ctx) })
-	wg.Go(func() { f.watch(ctx) })
-	wg.Go(func() { f.tell(ctx) })
-	wg.Go(func() { f.askNeighbours(ctx) })
+	wg.Go(func() { f.pollLoop(ctx) })
+	wg.Go(func() { f.notifyLoop(ctx) })
+	wg.Go(func() { f.promptCallLoop(ctx) })
+	wg.Go(func() { f.neighbourLoop(ctx) })
 }
 
 // Incarnation is the number of this process's life.
-func (f *Subscriber) Incarnation() uint64 { return f.opt.Self.Incarnation }
+func (f *Subscriber) Incarnation() uint64 { return f.options.Self.Incarnation }
 
 // SetReady says whether this proxy serves clients.
 func (f *Subscriber) SetReady(ready bool) {
@@ -146,30 +146,30 @@
 	if f.self.Ready != ready {
 		f.self.Ready = ready
 		f.self.Revision++
-		poke(f.tellNow)
-		poke(f.changed)
+		signal(f.callRequested)
+		signal(f.updatePending)
 	}
 }
 
-// leaveWithin bounds Leave.
-const leaveWithin = 300 * time.Millisecond
+// leaveTimeout bounds Leave.
+const leaveTimeout = 300 * time.Millisecond
 
 // Leave says that this proxy is about to stop, and waits up to 300 ms until a keeper has heard it.
 func (f *Subscriber) Leave(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, leaveWithin)
+	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	f.mu.Lock()
 	if !f.self.Draining {
 		f.self.Draining, f.self.Ready = true, false
 		f.self.Revision++
-		poke(f.changed)
+		signal(f.updatePending)
 	}
 	want := f.self.Revision
 	f.mu.Unlock()
-	poke(f.tellNow)
+	signal(f.callRequested)
 	for {
 		f.mu.Lock()
-		told, done := f.told, f.tellDone
+		told, done := f.ackedRevision, f.revisionAcked
 		f.mu.Unlock()
 		if told >= want {
 			return nil
@@ -186,9 +186,9 @@
 func (f *Subscriber) Report(node string, incarnation uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.down) < 256 {
-		f.down[node] = incarnation
-		poke(f.tellNow)
+	if len(f.pendingVerdicts) < 256 {
+		f.pendingVerdicts[node] = incarnation
+		signal(f.callRequested)
 	}
 }
 
@@ -196,35 +196,35 @@
 func (f *Subscriber) NotifyListUpdates(await bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.awaitsList = await
+	f.notifyListUpdates = await
 }
 
 // Refresh asks the keeper that is followed at once, and has OnUpdate called when a current keeper has answered to a call from
 // after now, also if it tells nothing new.
 func (f *Subscriber) Refresh() {
 	f.mu.Lock()
-	f.wanted = time.Now()
+	f.refreshAfter = time.Now()
 	f.mu.Unlock()
-	poke(f.tellNow)
+	signal(f.callRequested)
 }
 
 // Current gives what is held now.
 func (f *Subscriber) Current() Update {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.held(time.Now())
+	return f.currentUpdate(time.Now())
 }
 
-func (f *Subscriber) held(now time.Time) Update {
-	u := Update{State: f.state, Fresh: f.fresh(now), MembershipIncomplete: !f.whole, AsOf: now, ContactAge: min(now.Sub(f.currentAt), oldest)}
-	u.Stale = f.givenUp(now)
-	if f.freshAt.IsZero() && !f.borrowed && !f.opt.hooks.startOnAny {
+func (f *Subscriber) currentUpdate(now time.Time) Update {
+	u := Update{State: f.state, Fresh: f.isFresh(now), MembershipIncomplete: !f.membershipComplete, AsOf: now, ContactAge: min(now.Sub(f.lastCurrentContact), unknownAge)}
+	u.Stale = f.mayBeMarkedDown(now)
+	if f.freshAt.IsZero() && !f.stateFromNeighbour && !f.options.Knobs.startOnAny {
 		u.State = controlstate.Empty() // it came late, so it may be old: the next answer tells
 	}
-	u.Servers, u.ListAge, u.HasList = f.table.servers(now)
-	u.ListCoversSeq = f.table.listCovers()
+	u.Servers, u.ListAge, u.HasList = f.table.Servers(now)
+	u.ListCoversSeq = f.table.ListCoversSeq()
 	seen := false
-	for _, m := range f.table.members() {
+	for _, m := range f.table.Members() {
 		if m.Node == f.self.Node {
 			m, seen = f.self, true
 		}
@@ -243,31 +243,31 @@
 	return u
 }
 
-// oldest is the age of what has never come.
-const oldest = time.Hour
+// unknownAge is the age of what has never come.
+const unknownAge = time.Hour
 
-func (f *Subscriber) fresh(now time.Time) bool {
+func (f *Subscriber) isFresh(now time.Time) bool {
 	return !f.freshAt.IsZero() && now.Sub(f.freshAt) <= FreshnessTTL
 }
 
-// givenUp tells whether others may have given this proxy up.
-func (f *Subscriber) givenUp(now time.Time) bool {
-	if now.Sub(f.currentAt) > FreshnessTTL {
+// mayBeMarkedDown tells whether others may have given this proxy up.
+func (f *Subscriber) mayBeMarkedDown(now time.Time) bool {
+	if now.Sub(f.lastCurrentContact) > FreshnessTTL {
 		return true
 	}
-	held := f.table.items[memberPrefix+f.self.Node]
+	held := f.table.entries[MemberPrefix+f.self.Node]
 	if held == nil {
 		return false
 	}
-	m, ok := held.memberIn()
+	m, ok := held.Member()
 	return ok && m.Down && m.Incarnation == f.self.Incarnation
 }
 
-// tellSpacing is the least time between two calls of the owner.
-const tellSpacing = 15 * time.Millisecond
+// minNotifyInterval is the least time between two calls of the owner.
+const minNotifyInterval = 15 * time.Millisecond
 
-// watch calls the owner back, and notices what only time brings about.
-func (f *Subscriber) watch(ctx context.Context) {
+// notifyLoop calls the owner back, and notices what only time brings about.
+func (f *Subscriber) notifyLoop(ctx context.Context) {
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
 	fresh, stale := false, true
@@ -277,73 +277,73 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.changed:
+		case <-f.updatePending:
 			update = true
-		case <-f.loadChanged:
+		case <-f.loadsPending:
 			loads = true
 		case <-tick.C:
-			f.noticeLoads()
+			f.reportFirstLoad()
 		}
 		now := time.Now()
 		f.mu.Lock()
 		if now.Sub(expired) >= time.Second {
 			expired = now
-			f.table.expire(now)
+			f.table.Expire(now)
 		}
-		if f.fresh(now) != fresh {
+		if f.isFresh(now) != fresh {
 			fresh, update = !fresh, true
 		}
-		if f.givenUp(now) != stale {
+		if f.mayBeMarkedDown(now) != stale {
 			stale, update = !stale, true
 		}
-		if len(f.others) > 0 && now.Sub(f.heard) > loadLife+f.opt.LongPollTimeout {
-			f.others, loads = nil, true
+		if len(f.otherLoads) > 0 && now.Sub(f.lastContact) > LoadTTL+f.options.LongPollTimeout {
+			f.otherLoads, loads = nil, true
 		}
 		var u Update
 		if update {
-			u = f.held(now)
+			u = f.currentUpdate(now)
 		}
-		others := f.others
+		others := f.otherLoads
 		f.mu.Unlock()
-		if loads && f.opt.OnLoads != nil {
-			f.opt.OnLoads(others)
+		if loads && f.options.OnLoads != nil {
+			f.options.OnLoads(others)
 		}
-		if update && f.opt.OnUpdate != nil {
-			f.opt.OnUpdate(u)
+		if update && f.options.OnUpdate != nil {
+			f.options.OnUpdate(u)
 		}
 		// Changes that come together are to be told together: what an owner makes of an update costs more than the update.
-		if (update || loads) && !sleep(ctx, tellSpacing) {
+		if (update || loads) && !sleep(ctx, minNotifyInterval) {
 			return
 		}
 	}
 }
 
-// noticeLoads tells a keeper at once where load begins during a long wait.
-func (f *Subscriber) noticeLoads() {
-	if f.opt.Loads == nil {
+// reportFirstLoad tells a keeper at once where load begins during a long wait.
+func (f *Subscriber) reportFirstLoad() {
+	if f.options.Loads == nil {
 		return
 	}
 	f.mu.Lock()
-	idle := len(f.history) == 0 || len(f.history[len(f.history)-1].loads) == 0
+	idle := len(f.sentLoads) == 0 || len(f.sentLoads[len(f.sentLoads)-1].loads) == 0
 	f.mu.Unlock()
-	if idle && len(f.opt.Loads()) > 0 {
-		poke(f.tellNow)
+	if idle && len(f.options.Loads()) > 0 {
+		signal(f.callRequested)
 	}
 }
 
-// tell makes short calls beside the held one, for what is not to wait.
-func (f *Subscriber) tell(ctx context.Context) {
+// promptCallLoop makes short calls beside the held one, for what is not to wait.
+func (f *Subscriber) promptCallLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.tellNow:
+		case <-f.callRequested:
 		}
 		f.mu.Lock()
-		keeper := f.current
+		keeper := f.servingNode
 		f.mu.Unlock()
 		if keeper != "" {
-			_, _ = f.call(ctx, keeper, 0, silence, true)
+			_, _ = f.call(ctx, keeper, 0, replyIdleTimeout, true)
 		}
 		if !sleep(ctx, 20*time.Millisecond) {
 			return
--- a/internal/system/distribution/follower_state.go
+++ b/internal/system/distribution/follower_state.go
@@ -12,8 +12,8 @@
 // position is how far this proxy is. The caller holds mu.
 func (f *Subscriber) position() Position { return Position{Seq: f.state.Seq, Resync: f.resync} }
 
-// offerOf reads what a reply says of the control state; the snapshot's number is known once it has been read.
-func offerOf(reply *distributionpb.FollowReply, age time.Duration) Offer {
+// offerFromReply reads what a reply says of the control state; the snapshot's number is known once it has been read.
+func offerFromReply(reply *distributionpb.FollowReply, age time.Duration) Offer {
 	o := Offer{Current: reply.GetCurrent(), Newest: reply.GetNewest(), Age: age}
 	if records := reply.GetRecords(); len(records) > 0 {
 		o.First, o.Last = records[0].GetSeq(), records[len(records)-1].GetSeq()
@@ -21,20 +21,20 @@
 	return o
 }
 
-// takeState takes what is newer of a snapshot and of records, so that a proxy never goes back. The caller holds mu.
-func (f *Subscriber) takeState(offer Offer, reply *distributionpb.FollowReply) {
+// applyState takes what is newer of a snapshot and of records, so that a proxy never goes back. The caller holds mu.
+func (f *Subscriber) applyState(offer Offer, reply *distributionpb.FollowReply) {
 	var snapshot *controlstate.State
 	if b := reply.GetSnapshot(); len(b) > 0 {
 		var err error
-		if snapshot, err = readSnapshot(b, reply.GetSnapshotDeflated()); err != nil {
-			f.opt.Log.WithError(err).Warn("distribution: a snapshot of the control state is not readable")
+		if snapshot, err = decodeSnapshot(b, reply.GetSnapshotDeflated()); err != nil {
+			f.options.Log.WithError(err).Warn("distribution: a snapshot of the control state is not readable")
 			return
 		}
 		offer.Snapshot = snapshot.Seq
 	}
 	step := f.position().Plan(offer)
 	if step.Snapshot {
-		f.hold(snapshot)
+		f.setState(snapshot)
 	}
 	if snapshot != nil {
 		f.resync = false
@@ -48,22 +48,22 @@
 		}
 		s, err := applyRecord(f.state, w)
 		if err != nil {
-			f.opt.Log.WithError(err).WithField("seq", w.GetSeq()).Warn("distribution: a record does not apply; asking for a snapshot")
+			f.options.Log.WithError(err).WithField("seq", w.GetSeq()).Warn("distribution: a record does not apply; asking for a snapshot")
 			f.resync = true
 			return
 		}
-		f.hold(s)
+		f.setState(s)
 	}
 }
 
-// hold takes a state in place of the one that is held. The caller holds mu.
-func (f *Subscriber) hold(s *controlstate.State) {
-	neverBack.Check(s.Seq >= f.state.Seq)
+// setState takes a state in place of the one that is held. The caller holds mu.
+func (f *Subscriber) setState(s *controlstate.State) {
+	stateNeverGoesBack.Check(s.Seq >= f.state.Seq)
 	f.state = s
 }
 
-func readSnapshot(b []byte, deflated bool) (*controlstate.State, error) {
-	b, err := expand(b, deflated)
+func decodeSnapshot(b []byte, deflated bool) (*controlstate.State, error) {
+	b, err := Expand(b, deflated)
 	if err != nil {
 		return nil, err
 	}
@@ -72,7 +72,7 @@
 }
 
 func applyRecord(s *controlstate.State, w *distributionpb.Record) (*controlstate.State, error) {
-	body, err := expand(w.GetBody(), w.GetDeflated())
+	body, err := Expand(w.GetBody(), w.GetDeflated())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/system/distribution/forgetful_test.go
+++ b/internal/system/distribution/forgetful_test.go
@@ -23,10 +23,10 @@
 		}
 		f.state = next
 	}
-	state, _ := h.opt.Source.Committed()
+	state, _ := h.options.Source.Committed()
 	reply := &distributionpb.FollowReply{}
 	h.addSnapshot(reply, 0, state)
-	snapshot, err := readSnapshot(reply.GetSnapshot(), reply.GetSnapshotDeflated())
+	snapshot, err := decodeSnapshot(reply.GetSnapshot(), reply.GetSnapshotDeflated())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/system/distribution/givenup_test.go
+++ b/internal/system/distribution/givenup_test.go
@@ -14,7 +14,7 @@
 	now := time.Now()
 	reply := wholeTable(t, 0, 1, pick.Server{ID: "a"})
 	reply.Newest = 5
-	f.take(now, now, f.request(nil, false), reply)
+	f.handleReply(now, now, f.buildRequest(nil, false), reply)
 	if u := f.Current(); u.Stale {
 		t.Errorf("stale, though a current keeper has just been heard: %+v", u)
 	}
--- a/internal/system/distribution/goeson_test.go
+++ b/internal/system/distribution/goeson_test.go
@@ -25,15 +25,15 @@
 	put(first, 5, exactAge(300*time.Millisecond), 3*time.Second)
 	pollByHand(f, first)
 	asked := time.Now()
-	req := f.request(nil, false)
+	req := f.buildRequest(nil, false)
 	put(second, 4, Age{Max: time.Second}, 0) // it can't be told which of both readings is the later one
 	pollByHand(f, second)
 	put(first, 6, exactAge(0), 2700*time.Millisecond)
 	first.mu.Lock()
-	items, _ := first.table.since(req.GetSoft().GetNumber())
-	late := &distributionpb.FollowReply{Current: true, Entries: toWire(time.Now(), items), Soft: &distributionpb.Cursor{Boot: first.boot, Number: first.table.number}}
+	items, _ := first.table.ChangesSince(req.GetSoft().GetNumber())
+	late := &distributionpb.FollowReply{Current: true, Entries: EncodeEntries(time.Now(), items), Soft: &distributionpb.Cursor{Boot: first.bootID, Number: first.table.lastNumber}}
 	first.mu.Unlock()
-	f.take(asked, time.Now(), req, late)
+	f.handleReply(asked, time.Now(), req, late)
 	u := f.Current()
 	if len(u.Servers) != 1 {
 		t.Fatalf("holds %+v", u.Servers)
--- a/internal/system/distribution/golden_trace_test.go
+++ b/internal/system/distribution/golden_trace_test.go
@@ -86,7 +86,7 @@
 	sources   []*source
 	hubs      []*Server
 	boots     []uint64 // of hubs, as the test gave them
-	shares    map[[2]int]*shareProgress
+	shares    map[[2]int]*syncProgress
 	followers []*Subscriber
 	loads     []map[string]pick.Load
 	replies   []heldReply
@@ -107,13 +107,13 @@
 )
 
 func newExchange(tr *trace, seed uint64) *exchange {
-	x := &exchange{tr: tr, rng: rand.New(rand.NewPCG(seed, 13)), chain: newChain(), shares: map[[2]int]*shareProgress{}}
+	x := &exchange{tr: tr, rng: rand.New(rand.NewPCG(seed, 13)), chain: newChain(), shares: map[[2]int]*syncProgress{}}
 	for _, k := range exchangeKeepers {
 		s := &source{chain: x.chain, keepers: exchangeKeepers}
 		x.sources = append(x.sources, s)
 		h := NewServer(ServerOptions{Source: s, Self: k, Zone: "z" + k[:2], Region: "r", ListLag: 100 * time.Millisecond, Log: quiet()})
-		x.giveIndexes(h.sums)
-		x.giveIndexes(h.totals)
+		x.giveIndexes(h.localLoads)
+		x.giveIndexes(h.totalLoads)
 		x.hubs, x.boots = append(x.hubs, h), append(x.boots, 0)
 		x.reboot(len(x.hubs) - 1)
 	}
@@ -129,26 +129,26 @@
 	node := fmt.Sprint("p", i)
 	f := NewSubscriber(SubscriberOptions{Seeds: exchangeKeepers, ControlPlanePort: 1, ProxyPort: 2, Log: quiet(),
 		Self: Member{Node: node, Incarnation: x.rng.Uint64() | 1, Zone: "zk1", Region: "r", IP: node + ":2"}})
-	x.giveIndexes(f.own)
+	x.giveIndexes(f.ownLoads)
 	x.followers[i], x.loads[i] = f, map[string]pick.Load{}
 }
 
 // giveIndexes draws a vector's boot from the seed and has it number the servers in their order: of several that come at once the
 // order is the map's.
-func (x *exchange) giveIndexes(v *vector) {
-	v.boot = x.rng.Uint64() | 1
+func (x *exchange) giveIndexes(v *Vector) {
+	v.bootID = x.rng.Uint64() | 1
 	all := map[string]pick.Load{}
 	for _, id := range exchangeServers {
 		all[id] = pick.Load{Requests: 1}
-		v.publish(time.Now(), all)
+		v.Publish(time.Now(), all)
 	}
 }
 
 // reboot gives a hub a boot of the seed where it has drawn one itself.
 func (x *exchange) reboot(i int) {
-	if h := x.hubs[i]; h.boot != x.boots[i] {
-		h.boot = x.rng.Uint64() | 1
-		x.boots[i] = h.boot
+	if h := x.hubs[i]; h.bootID != x.boots[i] {
+		h.bootID = x.rng.Uint64() | 1
+		x.boots[i] = h.bootID
 	}
 }
 
@@ -180,9 +180,9 @@
 func (x *exchange) follow(i, to int) {
 	f := x.followers[i]
 	asked := time.Now()
-	req := f.request(x.loads[i], x.rng.IntN(3) > 0)
+	req := f.buildRequest(x.loads[i], x.rng.IntN(3) > 0)
 	slices.SortFunc(req.Down, func(a, b *distributionpb.Verdict) int { return strings.Compare(a.GetNode(), b.GetNode()) })
-	req.Call = f.calls.next()
+	req.Call = f.callIDs.Next()
 	got := wire(x.tr, 'Q', req, &distributionpb.FollowRequest{})
 	time.Sleep(time.Duration(x.rng.IntN(40)) * time.Millisecond)
 	reply, err := x.hubs[to].Follow(context.Background(), got)
@@ -205,10 +205,10 @@
 	if x.rng.IntN(10) == 0 || r.reply.GetSoft() == nil || r.req.GetMember().GetIncarnation() != f.Incarnation() {
 		return
 	}
-	got := f.take(r.asked, time.Now(), r.req, r.reply)
+	got := f.handleReply(r.asked, time.Now(), r.req, r.reply)
 	x.tr.step('T')
 	x.tr.num(int64(r.follower))
-	x.tr.flags(got.current, got.feeds, got.durable, got.behind)
+	x.tr.flags(got.current, got.serves, got.stateAdvanced, got.stillBehind)
 	x.held(f)
 }
 
@@ -219,16 +219,16 @@
 	x.tr.flags(u.HasList, u.Fresh, u.MembershipIncomplete, u.Stale, u.State.Evacuated["za"], u.State.Evacuated["zb"])
 	x.tr.num(int64(u.State.ZoneChangeSeq("za")), int64(u.State.ZoneChangeSeq("zb")), int64(len(u.Members)), int64(len(u.Servers)))
 	for _, m := range u.Members {
-		x.tr.bytes(m.encode())
+		x.tr.bytes(m.Encode())
 	}
 	for _, s := range u.Servers {
 		x.tr.bytes([]byte(s.ID))
-		x.tr.bytes(encodeServer(s))
+		x.tr.bytes(EncodeServer(s))
 		x.tr.num(int64(s.WarmUpMax), int64(s.WarmUpMin), int64(s.Remaining))
 	}
-	for _, id := range slices.Sorted(maps.Keys(f.others)) {
+	for _, id := range slices.Sorted(maps.Keys(f.otherLoads)) {
 		x.tr.bytes([]byte(id))
-		x.tr.num(int64(f.others[id].Requests), f.others[id].Prefill, f.others[id].Tokens)
+		x.tr.num(int64(f.otherLoads[id].Requests), f.otherLoads[id].Prefill, f.otherLoads[id].Tokens)
 	}
 }
 
@@ -239,11 +239,11 @@
 	}
 	way := [2]int{from, to}
 	if x.shares[way] == nil {
-		x.shares[way] = &shareProgress{}
+		x.shares[way] = &syncProgress{}
 	}
 	for range 2 { // once more where the first told nothing but the clock
-		req, number := x.hubs[from].shareRequest(x.shares[way])
-		req.Call = x.hubs[from].calls.next()
+		req, number := x.hubs[from].buildShareRequest(x.shares[way])
+		req.Call = x.hubs[from].callIDs.Next()
 		got := wire(x.tr, 'S', req, &distributionpb.ShareRequest{})
 		time.Sleep(time.Duration(x.rng.IntN(20)) * time.Millisecond)
 		reply, err := x.hubs[to].Share(context.Background(), got)
@@ -252,9 +252,9 @@
 			return
 		}
 		x.reboot(to)
-		reply.Boot = x.hubs[to].boot
+		reply.Boot = x.hubs[to].bootID
 		answer := wire(x.tr, 'R', reply, &distributionpb.ShareReply{})
-		if x.shares[way].took(time.Now(), req, number, answer) {
+		if x.shares[way].handleReply(time.Now(), req, number, answer) {
 			return
 		}
 	}
@@ -326,7 +326,7 @@
 // hint writes or deletes a hint at a hub.
 func (x *exchange) hint() {
 	h := x.hubs[x.rng.IntN(len(x.hubs))]
-	key, version := hintPrefix+fmt.Sprint(x.rng.IntN(3)), uint64(x.rng.IntN(50))
+	key, version := HintPrefix+fmt.Sprint(x.rng.IntN(3)), uint64(x.rng.IntN(50))
 	var err error
 	if x.rng.IntN(3) == 0 {
 		err = h.Remove(key, 1, version)
--- a/internal/system/distribution/hub.go
+++ b/internal/system/distribution/hub.go
@@ -45,7 +45,7 @@
 	TableCompleteAfter   time.Duration // after the start, until the table counts as whole without another keeper's; 3 s
 }
 
-func (l ServerLimits) filled() ServerLimits {
+func (l ServerLimits) withDefaults() ServerLimits {
 	def := func(d *time.Duration, to time.Duration) {
 		if *d <= 0 {
 			*d = to
@@ -78,7 +78,7 @@
 	Log          log.Interface
 	Limits       ServerLimits
 
-	hooks hubHooks
+	Knobs hubHooks
 }
 
 // hubHooks take protections out, so that tests show what each is for.
@@ -91,59 +91,59 @@
 
 // Server is a keeper's end: it feeds the proxies that follow it and shares soft state with the other keepers.
 type Server struct {
-	opt    ServerOptions
-	limits ServerLimits
+	options ServerOptions
+	limits  ServerLimits
 
 	mu          sync.Mutex
-	table       *table
-	boot        uint64 // drawn anew once the table is complete, so that followers then take it whole
+	table       *Table
+	bootID      uint64 // drawn anew once the table is complete, so that followers then take it whole
 	complete    bool
-	started     time.Time
-	ticked      time.Time
-	expired     time.Time
-	news        chan struct{} // closed when followers are to look again
-	acked       chan struct{} // closed when an acknowledgement may have risen
-	followers   map[string]*follower
+	startedAt   time.Time
+	lastTick    time.Time
+	lastExpiry  time.Time
+	changed     chan struct{} // closed when followers are to look again
+	ackChanged  chan struct{} // closed when an acknowledgement may have risen
+	subscribers map[string]*subscriberSession
 	peers       map[string]*peer // by address
-	totals      *vector          // of all proxies
-	sums        *vector          // of the followers here
-	lowest      uint64
+	totalLoads  *Vector          // of all proxies
+	localLoads  *Vector          // of the followers here
+	minAckedSeq uint64
 	lastCurrent time.Time // when this keeper was last seen to be current; zero: never yet
-	rejoined    time.Time // when it was so again after isolatedAfter
-	deaf        time.Time // when it last heard less than half of the other keepers, or stood still
-	snapshots   snapshots
-	compressed  recordCache
+	rejoinedAt  time.Time // when it was so again after isolationThreshold
+	isolatedAt  time.Time // when it last heard less than half of the other keepers, or stood still
+	snapshot    snapshotCache
+	records     recordCache
 	commits     commitLog
-	room        room
-	calls       calls
+	replyBudget replyBudget
+	callIDs     CallIDs
 
-	done  chan struct{} // closed when Run ends
-	kick  chan struct{} // the table or a vector changed
-	share chan struct{}
+	done          chan struct{} // closed when Run ends
+	wakeRequested chan struct{} // the table or a vector changed
+	syncRequested chan struct{}
 }
 
-// follower is a proxy that calls this hub.
-type follower struct {
-	member   Member
-	seen     time.Time // start or end of its last call
-	open     int       // calls that are held
-	broken   time.Time // when a held call's connection ended, and no call has come since; zero: it has not
-	seq      uint64
-	reported time.Time // last answer with totals
-	changed  time.Time // last answer with entries
-	loads    reading
-	included uint64 // number of its loads in the totals
+// subscriberSession is a proxy that calls this hub.
+type subscriberSession struct {
+	member           Member
+	lastCall         time.Time // start or end of its last call
+	openCalls        int       // calls that are held
+	connectionLostAt time.Time // when a held call's connection ended, and no call has come since; zero: it has not
+	ackedSeq         uint64
+	totalsSentAt     time.Time // last answer with totals
+	entriesSentAt    time.Time // last answer with entries
+	loads            Received
+	loadsInTotals    uint64 // number of its loads in the totals
 }
 
 // peer is another keeper.
 type peer struct {
-	keeper    *distributionpb.Keeper
-	boot      uint64
-	heard     time.Time
-	lowest    uint64
-	followers uint64
-	hears     []string // keepers that have shared with it of late, by its own word
-	loads     reading
+	location        *distributionpb.Keeper
+	bootID          uint64
+	lastContact     time.Time
+	minAckedSeq     uint64
+	subscriberCount uint64
+	reachablePeers  []string // keepers that have shared with it of late, by its own word
+	loads           Received
 }
 
 // NewServer makes a Hub; Run makes it work.
@@ -152,27 +152,27 @@
 		opt.Transport = NewTransport()
 	}
 	now := time.Now()
-	limits := opt.Limits.filled()
-	return &Server{opt: opt, limits: limits, room: room{most: limits.MaxPendingReplyBytes}, table: newTable(), boot: rand.Uint64() | 1, started: now, ticked: now,
-		news: make(chan struct{}), acked: make(chan struct{}), followers: map[string]*follower{}, peers: map[string]*peer{},
-		totals: newVector(false), sums: newVector(false), lowest: math.MaxUint64,
-		done: make(chan struct{}), kick: make(chan struct{}, 1), share: make(chan struct{}, 1)}
+	limits := opt.Limits.withDefaults()
+	return &Server{options: opt, limits: limits, replyBudget: replyBudget{maxBytes: limits.MaxPendingReplyBytes}, table: NewTable(), bootID: rand.Uint64() | 1, startedAt: now, lastTick: now,
+		changed: make(chan struct{}), ackChanged: make(chan struct{}), subscribers: map[string]*subscriberSession{}, peers: map[string]*peer{},
+		totalLoads: NewVector(false), localLoads: NewVector(false), minAckedSeq: math.MaxUint64,
+		done: make(chan struct{}), wakeRequested: make(chan struct{}, 1), syncRequested: make(chan struct{}, 1)}
 }
 
 // Handler serves the calls of followers and of other keepers, under /twirp/gradeusher.distribution.Distribution/.
 func (h *Server) Handler() http.Handler {
-	return bounded(leasing(distributionpb.NewDistributionServer(h)))
+	return BoundedHandler(withReplyBudget(distributionpb.NewDistributionServer(h)))
 }
 
-// coalesce is how long the first change waits for others before followers are woken.
-const coalesce = 5 * time.Millisecond
+// coalesceDelay is how long the first change waits for others before followers are woken.
+const coalesceDelay = 5 * time.Millisecond
 
 // Run works until ctx ends, and then ends the polls that are held. It is called once.
 func (h *Server) Run(ctx context.Context) {
 	defer close(h.done)
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { h.shareAll(ctx) })
+	wg.Go(func() { h.syncPeers(ctx) })
 	tick := time.NewTicker(h.limits.LoadReportInterval)
 	defer tick.Stop()
 	for {
@@ -181,25 +181,25 @@
 			return
 		case <-tick.C:
 			h.tick(time.Now())
-		case <-h.kick:
-			if !sleep(ctx, coalesce) {
+		case <-h.wakeRequested:
+			if !sleep(ctx, coalesceDelay) {
 				return
 			}
 			h.mu.Lock()
-			h.wake()
+			h.wakeSubscribers()
 			h.mu.Unlock()
-			poke(h.share)
+			signal(h.syncRequested)
 		}
 	}
 }
 
-// wake makes held polls look again. The caller holds mu.
-func (h *Server) wake() {
-	close(h.news)
-	h.news = make(chan struct{})
+// wakeSubscribers makes held polls look again. The caller holds mu.
+func (h *Server) wakeSubscribers() {
+	close(h.changed)
+	h.changed = make(chan struct{})
 }
 
-func poke(c chan struct{}) {
+func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
@@ -219,70 +219,70 @@
 
 // tick judges followers, adds up loads and forgets what is over.
 func (h *Server) tick(now time.Time) {
-	current := h.opt.Source.Current()
-	state, _ := h.opt.Source.Committed()
+	current := h.options.Source.Current()
+	state, _ := h.options.Source.Committed()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if state != nil {
-		h.commits.note(now, state.Seq)
+		h.commits.observe(now, state.Seq)
 	}
-	if gap := now.Sub(h.ticked); gap > h.limits.SubscriberTimeout/2 {
+	if gap := now.Sub(h.lastTick); gap > h.limits.SubscriberTimeout/2 {
 		// This process stood still, so the silence of others says nothing.
-		for _, f := range h.followers {
-			f.seen, f.broken = f.seen.Add(gap), time.Time{}
+		for _, f := range h.subscribers {
+			f.lastCall, f.connectionLostAt = f.lastCall.Add(gap), time.Time{}
 		}
 		for _, p := range h.peers {
-			p.heard = p.heard.Add(gap)
+			p.lastContact = p.lastContact.Add(gap)
 		}
-		h.deaf = now
+		h.isolatedAt = now
 	}
-	if 2*len(h.heard(now)) < len(h.peers) {
-		h.deaf = now
+	if 2*len(h.recentPeers(now)) < len(h.peers) {
+		h.isolatedAt = now
 	}
-	h.ticked = now
-	h.feeds(now, current)
-	h.settle(now)
-	h.judge(now)
-	if now.Sub(h.expired) >= time.Second {
-		h.expired = now
-		h.table.expire(now)
+	h.lastTick = now
+	h.mayServe(now, current)
+	h.completeAfterStart(now)
+	h.evaluateLiveness(now)
+	if now.Sub(h.lastExpiry) >= time.Second {
+		h.lastExpiry = now
+		h.table.Expire(now)
 	}
 
 	sum := map[string]pick.Load{}
-	for _, f := range h.followers {
-		f.loads.add(now, sum)
-		f.included = f.loads.number
+	for _, f := range h.subscribers {
+		f.loads.AddTo(now, sum)
+		f.loadsInTotals = f.loads.number
 	}
-	changed := h.sums.publish(now, sum)
+	changed := h.localLoads.Publish(now, sum)
 	for _, p := range h.peers {
-		p.loads.add(now, sum)
+		p.loads.AddTo(now, sum)
 	}
-	if h.totals.publish(now, sum) {
-		h.wake()
+	if h.totalLoads.Publish(now, sum) {
+		h.wakeSubscribers()
 	}
 	if changed {
-		poke(h.share)
+		signal(h.syncRequested)
 	}
 }
 
-// settle declares the table complete once it has had the time to fill.
-func (h *Server) settle(now time.Time) {
-	if !h.complete && now.Sub(h.started) > h.limits.TableCompleteAfter {
+// completeAfterStart declares the table complete once it has had the time to fill.
+func (h *Server) completeAfterStart(now time.Time) {
+	if !h.complete && now.Sub(h.startedAt) > h.limits.TableCompleteAfter {
 		h.markComplete()
 	}
 }
 
 func (h *Server) markComplete() {
-	h.complete, h.boot = true, rand.Uint64()|1
-	h.wake()
+	h.complete, h.bootID = true, rand.Uint64()|1
+	h.wakeSubscribers()
 }
 
-// pace is the time between load reports to one follower: it grows with the fleet, so that the bytes that one proxy and
+// loadReportInterval is the time between load reports to one follower: it grows with the fleet, so that the bytes that one proxy and
 // the work that one keeper spends on them stay level.
-func (h *Server) pace() time.Duration {
-	n := len(h.followers)
+func (h *Server) loadReportInterval() time.Duration {
+	n := len(h.subscribers)
 	for _, p := range h.peers {
-		n += int(min(p.followers, 1<<16))
+		n += int(min(p.subscriberCount, 1<<16))
 	}
 	return h.limits.LoadReportInterval * time.Duration(max(1, (n+127)/128))
 }
@@ -299,11 +299,11 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
-	out := make([]SubscriberInfo, 0, len(h.followers))
-	for node, f := range h.followers {
-		info := SubscriberInfo{Node: node, Seq: f.seq}
-		if f.open == 0 {
-			info.SinceLastCall = now.Sub(f.seen)
+	out := make([]SubscriberInfo, 0, len(h.subscribers))
+	for node, f := range h.subscribers {
+		info := SubscriberInfo{Node: node, Seq: f.ackedSeq}
+		if f.openCalls == 0 {
+			info.SinceLastCall = now.Sub(f.lastCall)
 		}
 		out = append(out, info)
 	}
@@ -316,8 +316,8 @@
 func (h *Server) WaitAcknowledged(ctx context.Context, seq uint64) error {
 	for {
 		h.mu.Lock()
-		ok := h.level(time.Now(), seq)
-		acked := h.acked
+		ok := h.allAcknowledged(time.Now(), seq)
+		acked := h.ackChanged
 		h.mu.Unlock()
 		if ok {
 			return nil
@@ -330,14 +330,14 @@
 	}
 }
 
-func (h *Server) level(now time.Time, seq uint64) bool {
-	for _, f := range h.followers {
-		if f.seq < seq {
+func (h *Server) allAcknowledged(now time.Time, seq uint64) bool {
+	for _, f := range h.subscribers {
+		if f.ackedSeq < seq {
 			return false
 		}
 	}
 	for _, p := range h.peers {
-		if now.Sub(p.heard) <= peerLife && p.lowest < seq {
+		if now.Sub(p.lastContact) <= peerTTL && p.minAckedSeq < seq {
 			return false
 		}
 	}
--- a/internal/system/distribution/hub_follow.go
+++ b/internal/system/distribution/hub_follow.go
@@ -12,42 +12,42 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 )
 
-// recheck is how often a keeper that is not current looks whether it has become so, while a proxy waits for that.
-const recheck = 40 * time.Millisecond
+// currentRecheckInterval is how often a keeper that is not current looks whether it has become so, while a proxy waits for that.
+const currentRecheckInterval = 40 * time.Millisecond
 
 // Follow serves a poll of a proxy: see the service's definition.
 func (h *Server) Follow(ctx context.Context, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
-	reply, err := h.follow(ctx, req)
+	reply, err := h.serveFollow(ctx, req)
 	if reply != nil {
 		reply.Call = req.GetCall()
 	}
 	return reply, err
 }
 
-func (h *Server) follow(ctx context.Context, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
+func (h *Server) serveFollow(ctx context.Context, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
 	start := time.Now()
-	m := memberOf(req.GetMember())
-	if m.Node == "" || len(m.Node) > maxID || m.Incarnation == 0 {
+	m := MemberFromProto(req.GetMember())
+	if m.Node == "" || len(m.Node) > MaxIDBytes || m.Incarnation == 0 {
 		return nil, twirp.RequiredArgumentError("member")
 	}
 	if req.GetProbe() {
-		return h.probed(start), nil
+		return h.probeReply(start), nil
 	}
-	if !h.current() && !req.GetAcceptStale() {
+	if !h.isCurrent() && !req.GetAcceptStale() {
 		return &distributionpb.FollowReply{PaceMs: uint64(h.limits.LoadReportInterval / time.Millisecond)}, nil
 	}
-	f := h.begin(m, req)
+	f := h.beginCall(m, req)
 	if f == nil {
 		return nil, twirp.NewError(twirp.ResourceExhausted, "this keeper has too many followers: follow another")
 	}
-	defer h.end(f)
-	wait := min(millis(req.GetWaitMs(), time.Minute), h.limits.LongPollTimeout)
+	defer h.endCall(f)
+	wait := min(BoundedMilliseconds(req.GetWaitMs(), time.Minute), h.limits.LongPollTimeout)
 	for {
-		reply, news, committed, again := h.answer(ctx, f, req, start)
+		reply, news, committed, again := h.tryReply(ctx, f, req, start)
 		left := wait - time.Since(start)
 		if reply != nil || left <= 0 {
 			if reply == nil {
-				reply = h.compose(ctx, f, req, start)
+				reply = h.buildReply(ctx, f, req, start)
 			}
 			return reply, nil
 		}
@@ -58,7 +58,7 @@
 		select {
 		case <-ctx.Done():
 			timer.Stop()
-			h.broke(f)
+			h.recordLostConnection(f)
 			return nil, twirp.NewError(twirp.Canceled, "the proxy went away")
 		case <-h.done:
 			timer.Stop()
@@ -71,80 +71,80 @@
 	}
 }
 
-// maxFollowers bounds the proxies of one keeper.
-const maxFollowers = 4096
+// maxSubscribers bounds the proxies of one keeper.
+const maxSubscribers = 4096
 
-// begin notes a call: the member, its acknowledgement, its loads, its verdicts. It gives nil where there are too many.
-func (h *Server) begin(m Member, req *distributionpb.FollowRequest) *follower {
+// beginCall notes a call: the member, its acknowledgement, its loads, its verdicts. It gives nil where there are too many.
+func (h *Server) beginCall(m Member, req *distributionpb.FollowRequest) *subscriberSession {
 	now := time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	f := h.followers[m.Node]
+	f := h.subscribers[m.Node]
 	fresh := f == nil || f.member.Incarnation != m.Incarnation
-	if f == nil && len(h.followers) >= maxFollowers {
+	if f == nil && len(h.subscribers) >= maxSubscribers {
 		return nil
 	}
 	if fresh {
-		f = &follower{member: m}
-		h.followers[m.Node] = f
+		f = &subscriberSession{member: m}
+		h.subscribers[m.Node] = f
 	}
-	f.seen, f.broken = now, time.Time{}
-	f.open++
-	if fresh || req.GetSeq() > f.seq {
-		f.seq = max(f.seq, req.GetSeq())
-		h.acknowledge()
+	f.lastCall, f.connectionLostAt = now, time.Time{}
+	f.openCalls++
+	if fresh || req.GetSeq() > f.ackedSeq {
+		f.ackedSeq = max(f.ackedSeq, req.GetSeq())
+		h.updateMinAcked()
 	}
-	f.loads.apply(now, req.GetLoads())
+	f.loads.Apply(now, req.GetLoads())
 	if m.Revision >= f.member.Revision {
 		f.member = m
 	}
-	h.assert(now, f.member)
+	h.assertAlive(now, f.member)
 	for _, v := range req.GetDown() {
-		h.verdict(now, v.GetNode(), v.GetIncarnation())
+		h.applyVerdict(now, v.GetNode(), v.GetIncarnation())
 	}
 	return f
 }
 
-// broke notes that a held call's connection ended: a process that ends takes its connections with it.
-func (h *Server) broke(f *follower) {
+// recordLostConnection notes that a held call's connection ended: a process that ends takes its connections with it.
+func (h *Server) recordLostConnection(f *subscriberSession) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	f.broken = time.Now()
+	f.connectionLostAt = time.Now()
 }
 
-func (h *Server) end(f *follower) {
+func (h *Server) endCall(f *subscriberSession) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	f.open--
-	f.seen = time.Now()
+	f.openCalls--
+	f.lastCall = time.Now()
 }
 
-// acknowledge brings lowest up to date. The caller holds mu.
-func (h *Server) acknowledge() {
+// updateMinAcked brings lowest up to date. The caller holds mu.
+func (h *Server) updateMinAcked() {
 	lowest := uint64(math.MaxUint64)
-	for _, f := range h.followers {
-		lowest = min(lowest, f.seq)
+	for _, f := range h.subscribers {
+		lowest = min(lowest, f.ackedSeq)
 	}
-	if lowest != h.lowest {
-		h.lowest = lowest
-		poke(h.share)
+	if lowest != h.minAckedSeq {
+		h.minAckedSeq = lowest
+		signal(h.syncRequested)
 	}
-	close(h.acked)
-	h.acked = make(chan struct{})
+	close(h.ackChanged)
+	h.ackChanged = make(chan struct{})
 }
 
-// answer gives a reply if there is something that the request does not have. Otherwise it gives what to wait for, and
+// tryReply gives a reply if there is something that the request does not have. Otherwise it gives what to wait for, and
 // after how long a report of loads is due.
-func (h *Server) answer(ctx context.Context, f *follower, req *distributionpb.FollowRequest, start time.Time) (*distributionpb.FollowReply, <-chan struct{}, <-chan struct{}, time.Duration) {
-	state, committed := h.opt.Source.Committed()
-	current := h.current()
-	digest := digestOf(h.opt.Source.Addresses())
+func (h *Server) tryReply(ctx context.Context, f *subscriberSession, req *distributionpb.FollowRequest, start time.Time) (*distributionpb.FollowReply, <-chan struct{}, <-chan struct{}, time.Duration) {
+	state, committed := h.options.Source.Committed()
+	current := h.isCurrent()
+	digest := addressDigest(h.options.Source.Addresses())
 	h.mu.Lock()
-	news := h.news
+	news := h.changed
 	c := req.GetSoft()
 	ready := !current && !req.GetAcceptStale() ||
 		current && state != nil && state.Seq > req.GetSeq() ||
-		c.GetBoot() != h.boot || h.keepersDigest(digest) != req.GetKeepers()
+		c.GetBoot() != h.bootID || h.nodesDigest(digest) != req.GetKeepers()
 	var again time.Duration
 	due := func(last time.Time, every time.Duration) {
 		left := every - time.Since(last)
@@ -156,67 +156,67 @@
 	}
 	if c.GetNumber() < h.table.lastUrgent {
 		// A change that comes alone goes out at once, one close upon another waits for more.
-		due(f.changed, h.pace()/2)
+		due(f.entriesSentAt, h.loadReportInterval()/2)
 	}
-	if !current && (again == 0 || recheck < again) {
-		again = recheck // nothing tells that this keeper has become current
+	if !current && (again == 0 || currentRecheckInterval < again) {
+		again = currentRecheckInterval // nothing tells that this keeper has become current
 	}
-	if t := req.GetTotals(); t.GetBoot() != h.totals.boot || t.GetNumber() != h.totals.number {
-		due(f.reported, h.pace())
+	if t := req.GetTotals(); t.GetBoot() != h.totalLoads.bootID || t.GetNumber() != h.totalLoads.number {
+		due(f.totalsSentAt, h.loadReportInterval())
 	}
 	h.mu.Unlock()
 	if ready {
-		return h.compose(ctx, f, req, start), nil, nil, 0
+		return h.buildReply(ctx, f, req, start), nil, nil, 0
 	}
 	return nil, news, committed, again
 }
 
-// compose makes the reply to a request that came at start, with all that it does not have.
-func (h *Server) compose(ctx context.Context, f *follower, req *distributionpb.FollowRequest, start time.Time) *distributionpb.FollowReply {
+// buildReply makes the reply to a request that came at start, with all that it does not have.
+func (h *Server) buildReply(ctx context.Context, f *subscriberSession, req *distributionpb.FollowRequest, start time.Time) *distributionpb.FollowReply {
 	reply := &distributionpb.FollowReply{CheckedMs: uint64(time.Since(start) / time.Millisecond)}
 	// First whether this keeper is current, then what it holds: what is acknowledged between is then in the reply.
-	reply.Current = h.current()
-	addresses := h.opt.Source.Addresses()
-	digest := digestOf(addresses)
+	reply.Current = h.isCurrent()
+	addresses := h.options.Source.Addresses()
+	digest := addressDigest(addresses)
 	if reply.Current {
-		h.durable(ctx, reply, req.GetSeq())
+		h.addControlState(ctx, reply, req.GetSeq())
 	}
 	now := time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	since := uint64(0)
-	if req.GetSoft().GetBoot() == h.boot {
+	if req.GetSoft().GetBoot() == h.bootID {
 		since = req.GetSoft().GetNumber()
 	}
-	items, full := h.table.since(since)
-	reply.Entries, reply.Full, reply.Complete = toWire(now, items), full, h.complete
+	items, full := h.table.ChangesSince(since)
+	reply.Entries, reply.Full, reply.Complete = EncodeEntries(now, items), full, h.complete
 	if len(items) > 0 {
-		f.changed = now
+		f.entriesSentAt = now
 	}
-	reply.Soft = &distributionpb.Cursor{Boot: h.boot, Number: h.table.number}
-	totals := h.totals.since(req.GetTotals().GetBoot(), req.GetTotals().GetNumber())
+	reply.Soft = &distributionpb.Cursor{Boot: h.bootID, Number: h.table.lastNumber}
+	totals := h.totalLoads.ChangesSince(req.GetTotals().GetBoot(), req.GetTotals().GetNumber())
 	if totals.From != totals.Number || req.GetTotals().GetBoot() != totals.Boot {
 		reply.Totals = marshal(totals)
-		f.reported = now
+		f.totalsSentAt = now
 	}
-	reply.TotalsOf = f.included
-	reply.Told = &distributionpb.Cursor{Boot: f.loads.boot, Number: f.loads.number}
-	if reply.KeepersDigest = h.keepersDigest(digest); reply.KeepersDigest != req.GetKeepers() {
-		reply.Keepers = h.keepers(addresses)
+	reply.TotalsOf = f.loadsInTotals
+	reply.Told = &distributionpb.Cursor{Boot: f.loads.bootID, Number: f.loads.number}
+	if reply.KeepersDigest = h.nodesDigest(digest); reply.KeepersDigest != req.GetKeepers() {
+		reply.Keepers = h.controlPlaneNodes(addresses)
 	}
-	reply.PaceMs = uint64(h.pace() / time.Millisecond)
+	reply.PaceMs = uint64(h.loadReportInterval() / time.Millisecond)
 	return reply
 }
 
-// keepers gives the keepers in the chain's order, with where they are as far as that has been heard.
-func (h *Server) keepers(addresses []string) []*distributionpb.Keeper {
+// controlPlaneNodes gives the controlPlaneNodes in the chain's order, with where they are as far as that has been heard.
+func (h *Server) controlPlaneNodes(addresses []string) []*distributionpb.Keeper {
 	out := make([]*distributionpb.Keeper, 0, len(addresses))
 	for _, a := range addresses {
 		switch p := h.peers[a]; {
-		case a == h.opt.Self:
-			out = append(out, &distributionpb.Keeper{Address: a, Zone: h.opt.Zone, Region: h.opt.Region})
+		case a == h.options.Self:
+			out = append(out, &distributionpb.Keeper{Address: a, Zone: h.options.Zone, Region: h.options.Region})
 		case p != nil:
-			out = append(out, p.keeper)
+			out = append(out, p.location)
 		default:
 			out = append(out, &distributionpb.Keeper{Address: a})
 		}
@@ -224,7 +224,7 @@
 	return out
 }
 
-func digestOf(addresses []string) uint64 {
+func addressDigest(addresses []string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	for _, a := range addresses {
@@ -234,16 +234,16 @@
 	return d.Sum64()
 }
 
-// keepersDigest mixes into the digest of the addresses how many keepers are known by place.
-func (h *Server) keepersDigest(digest uint64) uint64 { return digest + uint64(len(h.peers)) }
+// nodesDigest mixes into the digest of the addresses how many keepers are known by place.
+func (h *Server) nodesDigest(digest uint64) uint64 { return digest + uint64(len(h.peers)) }
 
-// assert writes that the process m lives and follows this hub. The caller holds mu.
-func (h *Server) assert(now time.Time, m Member) {
-	m.Owner, m.Down = h.opt.Self, false
-	key := memberPrefix + m.Node
-	e := Entry{Key: key, Fence: 1, Version: 1, Value: m.encode()}
-	if held := h.table.items[key]; held != nil {
-		was, ok := held.memberIn()
+// assertAlive writes that the process m lives and follows this hub. The caller holds mu.
+func (h *Server) assertAlive(now time.Time, m Member) {
+	m.Owner, m.Down = h.options.Self, false
+	key := MemberPrefix + m.Node
+	e := Entry{Key: key, Fence: 1, Version: 1, Value: m.Encode()}
+	if held := h.table.entries[key]; held != nil {
+		was, ok := held.Member()
 		switch {
 		case ok && !held.Deleted && was.Incarnation == m.Incarnation:
 			if was == m || was.Revision > m.Revision {
@@ -255,112 +255,112 @@
 			e.Fence = held.Fence + 1
 		}
 	}
-	h.merge(now, e, Age{})
+	h.mergeEntry(now, e, Age{})
 }
 
 // markDown writes that the process that the entry is about is silent. The caller holds mu.
-func (h *Server) markDown(now time.Time, it *item, m Member, why string) {
+func (h *Server) markDown(now time.Time, it *StoredEntry, m Member, why string) {
 	m.Down = true
-	h.opt.Log.WithFields(logFields(m.Node, why)).Info("distribution: a proxy is marked down")
-	h.merge(now, Entry{Key: it.Key, Fence: it.Fence, Version: it.Version + 1, Value: m.encode()}, Age{})
+	h.options.Log.WithFields(downLogFields(m.Node, why)).Info("distribution: a proxy is marked down")
+	h.mergeEntry(now, Entry{Key: it.Key, Fence: it.Fence, Version: it.Version + 1, Value: m.Encode()}, Age{})
 }
 
-// verdict takes in what another proxy says of one: the keeper that it follows knows better, while that one is heard.
-func (h *Server) verdict(now time.Time, node string, incarnation uint64) {
-	it := h.table.items[memberPrefix+node]
+// applyVerdict takes in what another proxy says of one: the keeper that it follows knows better, while that one is heard.
+func (h *Server) applyVerdict(now time.Time, node string, incarnation uint64) {
+	it := h.table.entries[MemberPrefix+node]
 	if it == nil || it.Deleted {
 		return
 	}
-	m, ok := it.memberIn()
+	m, ok := it.Member()
 	if !ok || m.Down || m.Incarnation != incarnation {
 		return
 	}
-	if f := h.followers[node]; f != nil && f.member.Incarnation == incarnation && (f.open > 0 || now.Sub(f.seen) < h.limits.SubscriberTimeout/2) {
+	if f := h.subscribers[node]; f != nil && f.member.Incarnation == incarnation && (f.openCalls > 0 || now.Sub(f.lastCall) < h.limits.SubscriberTimeout/2) {
 		return
 	}
-	if m.Owner != h.opt.Self && h.hears(now, m.Owner) {
+	if m.Owner != h.options.Self && h.hasContact(now, m.Owner) {
 		return
 	}
 	h.markDown(now, it, m, "other proxies hear nothing from it")
 }
 
-// brokenLife is how long a proxy whose held call's connection ended may take to call again, here or at another keeper.
-const brokenLife = 350 * time.Millisecond
+// reconnectTimeout is how long a proxy whose held call's connection ended may take to call again, here or at another keeper.
+const reconnectTimeout = 350 * time.Millisecond
 
-// hears tells whether the keeper has shared of late, with this one or with another that has shared with this one: a keeper
+// hasContact tells whether the keeper has shared of late, with this one or with another that has shared with this one: a keeper
 // that only this one does not hear still judges its own followers. The caller holds mu.
-func (h *Server) hears(now time.Time, keeper string) bool {
+func (h *Server) hasContact(now time.Time, keeper string) bool {
 	for address, p := range h.peers {
-		if now.Sub(p.heard) <= peerLife && (address == keeper || slices.Contains(p.hears, keeper) && !h.opt.hooks.ownEarsOnly) {
+		if now.Sub(p.lastContact) <= peerTTL && (address == keeper || slices.Contains(p.reachablePeers, keeper) && !h.options.Knobs.ownEarsOnly) {
 			return true
 		}
 	}
 	return false
 }
 
-// judge drops followers that stopped calling, marks them down, deletes those down for long, and takes over the judging
+// evaluateLiveness drops followers that stopped calling, marks them down, deletes those down for long, and takes over the judging
 // of those that followed a keeper which is not heard from. The caller holds mu.
-func (h *Server) judge(now time.Time) {
+func (h *Server) evaluateLiveness(now time.Time) {
 	dropped := false
 	ended := map[string]uint64{} // lives whose connection ended, and that have not come back
-	for node, f := range h.followers {
-		if f.open > 0 {
+	for node, f := range h.subscribers {
+		if f.openCalls > 0 {
 			continue
 		}
-		if !f.broken.IsZero() && now.Sub(f.broken) > brokenLife {
+		if !f.connectionLostAt.IsZero() && now.Sub(f.connectionLostAt) > reconnectTimeout {
 			ended[node] = f.member.Incarnation
-		} else if now.Sub(f.seen) <= h.limits.SubscriberTimeout {
+		} else if now.Sub(f.lastCall) <= h.limits.SubscriberTimeout {
 			continue
 		}
-		delete(h.followers, node)
+		delete(h.subscribers, node)
 		dropped = true
 	}
 	type fall struct {
-		it  *item
+		it  *StoredEntry
 		m   Member
 		why string
 	}
 	var falls []fall
-	var gone []*item
-	for _, it := range h.table.live(memberPrefix) {
-		m, ok := it.memberIn()
-		f := h.followers[m.Node]
+	var gone []*StoredEntry
+	for _, it := range h.table.Live(MemberPrefix) {
+		m, ok := it.Member()
+		f := h.subscribers[m.Node]
 		switch {
 		case !ok:
 			gone = append(gone, it)
 		case f != nil && f.member.Incarnation == m.Incarnation:
-			if m.Owner != h.opt.Self {
+			if m.Owner != h.options.Self {
 				// It has moved: its loads and acknowledgements are told there.
-				delete(h.followers, m.Node)
+				delete(h.subscribers, m.Node)
 				dropped = true
 			}
 		case m.Down:
-			if it.age(now).Max > h.limits.TombstoneTTL {
+			if it.AgeAt(now).Max > h.limits.TombstoneTTL {
 				gone = append(gone, it)
 			}
-		case m.Owner == h.opt.Self && ended[m.Node] == m.Incarnation:
+		case m.Owner == h.options.Self && ended[m.Node] == m.Incarnation:
 			falls = append(falls, fall{it, m, "its connection ended"})
-		case m.Owner == h.opt.Self:
-			if it.age(now).Max > h.limits.SubscriberTimeout {
+		case m.Owner == h.options.Self:
+			if it.AgeAt(now).Max > h.limits.SubscriberTimeout {
 				falls = append(falls, fall{it, m, "it does not call any more"})
 			}
-		case !h.hears(now, m.Owner) && it.age(now).Max > orphanLife && now.Sub(h.started) > orphanLife && h.lost(now, m.Owner):
+		case !h.hasContact(now, m.Owner) && it.AgeAt(now).Max > orphanTimeout && now.Sub(h.startedAt) > orphanTimeout && h.isPeerLost(now, m.Owner):
 			falls = append(falls, fall{it, m, "the keeper that it followed is silent too"})
 		}
 	}
 	if dropped {
-		h.acknowledge()
+		h.updateMinAcked()
 	}
 	for _, f := range falls {
 		h.markDown(now, f.it, f.m, f.why)
 	}
 	for _, it := range gone {
-		h.merge(now, Entry{Key: it.Key, Fence: it.Fence, Version: it.Version + 1, Deleted: true}, Age{})
+		h.mergeEntry(now, Entry{Key: it.Key, Fence: it.Fence, Version: it.Version + 1, Deleted: true}, Age{})
 	}
 }
 
-// lost tells whether a keeper has been silent for so long that its followers must have moved on.
-func (h *Server) lost(now time.Time, keeper string) bool {
+// isPeerLost tells whether a keeper has been silent for so long that its followers must have moved on.
+func (h *Server) isPeerLost(now time.Time, keeper string) bool {
 	p := h.peers[keeper]
-	return p == nil || now.Sub(p.heard) > peerLife+orphanLife
+	return p == nil || now.Sub(p.lastContact) > peerTTL+orphanTimeout
 }
--- a/internal/system/distribution/hub_share.go
+++ b/internal/system/distribution/hub_share.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// peerLife is how long another keeper's word counts after it was last heard.
-	peerLife = 1500 * time.Millisecond
-	// orphanLife is what the followers of a keeper that fell silent get to move on before they are marked down.
-	orphanLife = 2500 * time.Millisecond
-	// clockSlack is by how many milliseconds the clocks of two processes may drift apart between two shares. A time further
+	// peerTTL is how long another keeper's word counts after it was last heard.
+	peerTTL = 1500 * time.Millisecond
+	// orphanTimeout is what the followers of a keeper that fell silent get to move on before they are marked down.
+	orphanTimeout = 2500 * time.Millisecond
+	// maxClockDriftMS is by how many milliseconds the clocks of two processes may drift apart between two shares. A time further
 	// ahead is of a former life.
-	clockSlack = 100
-	// shareTimeout bounds a call between keepers.
-	shareTimeout = time.Second
+	maxClockDriftMS = 100
+	// syncTimeout bounds a call between keepers.
+	syncTimeout = time.Second
 )
 
-func logFields(node, why string) log.Fields { return log.Fields{"node": node, "why": why} }
+func downLogFields(node, why string) log.Fields { return log.Fields{"node": node, "why": why} }
 
-// shareAll keeps a loop for each of the other keepers until ctx ends.
-func (h *Server) shareAll(ctx context.Context) {
-	if h.opt.Peers == nil {
+// syncPeers keeps a loop for each of the other keepers until ctx ends.
+func (h *Server) syncPeers(ctx context.Context) {
+	if h.options.Peers == nil {
 		return
 	}
 	type loop struct {
@@ -44,13 +44,13 @@
 	defer look.Stop()
 	for {
 		wanted := map[string]bool{}
-		for _, url := range h.opt.Peers() {
+		for _, url := range h.options.Peers() {
 			wanted[url] = true
 			if _, ok := loops[url]; !ok {
 				sub, stop := context.WithCancel(ctx)
 				l := loop{stop, make(chan struct{}, 1)}
 				loops[url] = l
-				wg.Go(func() { h.shareWith(sub, url, l.poke) })
+				wg.Go(func() { h.syncWith(sub, url, l.poke) })
 			}
 		}
 		for url, l := range loops {
@@ -66,28 +66,28 @@
 			}
 			return
 		case <-look.C:
-		case <-h.share:
+		case <-h.syncRequested:
 			for _, l := range loops {
-				poke(l.poke)
+				signal(l.poke)
 			}
 		}
 	}
 }
 
-// shareWith passes changes to one keeper: on change, at most every Share, at least every Beat.
-func (h *Server) shareWith(ctx context.Context, url string, changed <-chan struct{}) {
-	caller := &http.Client{Transport: boundedTransport{h.opt.Transport}}
+// syncWith passes changes to one keeper: on change, at most every Share, at least every Beat.
+func (h *Server) syncWith(ctx context.Context, url string, changed <-chan struct{}) {
+	caller := &http.Client{Transport: BoundedTransport{h.options.Transport}}
 	client := distributionpb.NewDistributionProtobufClient(url, caller)
-	var progress shareProgress
+	var progress syncProgress
 	reached := true
 	for {
-		req, number := h.shareRequest(&progress)
-		call, cancel := context.WithTimeout(ctx, shareTimeout)
-		req.Call = h.calls.next()
+		req, number := h.buildShareRequest(&progress)
+		call, cancel := context.WithTimeout(ctx, syncTimeout)
+		req.Call = h.callIDs.Next()
 		reply, err := client.Share(call, req)
 		cancel()
 		if err == nil {
-			if err = answers(req.GetCall(), reply.GetCall()); err != nil {
+			if err = CheckReply(req.GetCall(), reply.GetCall()); err != nil {
 				caller.CloseIdleConnections()
 			}
 		}
@@ -97,12 +97,12 @@
 		if (err == nil) != reached {
 			reached = err == nil
 			if reached {
-				h.opt.Log.WithField("keeper", url).Info("distribution: a keeper takes shares again")
+				h.options.Log.WithField("keeper", url).Info("distribution: a keeper takes shares again")
 			} else {
-				h.opt.Log.WithField("keeper", url).WithError(err).Warn("distribution: a keeper takes no shares")
+				h.options.Log.WithField("keeper", url).WithError(err).Warn("distribution: a keeper takes no shares")
 			}
 		}
-		if err == nil && !progress.took(time.Now(), req, number, reply) {
+		if err == nil && !progress.handleReply(time.Now(), req, number, reply) {
 			continue // send it anew at once
 		}
 		if !sleep(ctx, h.limits.MinSyncInterval) {
@@ -120,141 +120,143 @@
 	}
 }
 
-// shareProgress is how far a keeper has told another.
-type shareProgress struct {
-	cursor, told distributionpb.Cursor // in the table of this boot, and in the loads
-	boot         uint64                // of the other
-	clock        time.Duration         // the other's, as it answered last; 0: it has not yet
-	answered     time.Time             // when that came
+// syncProgress is how far a keeper has told another.
+type syncProgress struct {
+	cursor, ackedLoads distributionpb.Cursor // in the table of this boot, and in the loads
+	peerBootID         uint64                // of the other
+	peerClock          time.Duration         // the other's, as it answered last; 0: it has not yet
+	repliedAt          time.Time             // when that came
 }
 
-// took takes in the answer to a share of the table up to a number. It tells false where the share is to be sent anew.
-func (p *shareProgress) took(now time.Time, req *distributionpb.ShareRequest, number uint64, reply *distributionpb.ShareReply) bool {
-	p.clock, p.answered = time.Duration(reply.GetClockMs())*time.Millisecond, now
+// handleReply takes in the answer to a share of the table up to a number. It tells false where the share is to be sent anew.
+func (p *syncProgress) handleReply(now time.Time, req *distributionpb.ShareRequest, number uint64, reply *distributionpb.ShareReply) bool {
+	p.peerClock, p.repliedAt = time.Duration(reply.GetClockMs())*time.Millisecond, now
 	if reply.GetLate() {
 		return false
 	}
-	if reply.GetBoot() != p.boot {
+	if reply.GetBoot() != p.peerBootID {
 		// Another life: what went to the former one is lost, unless this very share was whole.
-		if p.boot = reply.GetBoot(); !req.GetFull() {
+		if p.peerBootID = reply.GetBoot(); !req.GetFull() {
 			p.cursor.Boot, p.cursor.Number = 0, 0
 			return false
 		}
 	}
 	p.cursor.Boot, p.cursor.Number = req.GetBoot(), number
-	p.told.Boot, p.told.Number = reply.GetTold().GetBoot(), reply.GetTold().GetNumber()
+	p.ackedLoads.Boot, p.ackedLoads.Number = reply.GetTold().GetBoot(), reply.GetTold().GetNumber()
 	return true
 }
 
-// sent is the least that the other's clock shows at a moment.
-func (p *shareProgress) sent(now time.Time) uint64 {
-	if p.clock == 0 {
+// estimatedPeerClockMS is the least that the other's clock shows at a moment.
+func (p *syncProgress) estimatedPeerClockMS(now time.Time) uint64 {
+	if p.peerClock == 0 {
 		return 0
 	}
-	return uint64((p.clock + now.Sub(p.answered)) / time.Millisecond)
+	return uint64((p.peerClock + now.Sub(p.repliedAt)) / time.Millisecond)
 }
 
-// clock is this process's time as others are told it: milliseconds from its start, and never 0.
-func (h *Server) clock(now time.Time) uint64 { return uint64(now.Sub(h.started)/time.Millisecond) + 1 }
+// clockMS is this process's time as others are told it: milliseconds from its start, and never 0.
+func (h *Server) clockMS(now time.Time) uint64 {
+	return uint64(now.Sub(h.startedAt)/time.Millisecond) + 1
+}
 
-func (h *Server) shareRequest(p *shareProgress) (*distributionpb.ShareRequest, uint64) {
+func (h *Server) buildShareRequest(p *syncProgress) (*distributionpb.ShareRequest, uint64) {
 	now := time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	since := uint64(0)
-	if p.cursor.GetBoot() == h.boot {
+	if p.cursor.GetBoot() == h.bootID {
 		since = p.cursor.GetNumber()
 	}
-	items, full := h.table.since(since)
-	return &distributionpb.ShareRequest{From: &distributionpb.Keeper{Address: h.opt.Self, Zone: h.opt.Zone, Region: h.opt.Region}, Boot: h.boot,
-		Full: full, Complete: h.complete, Entries: toWire(now, items), Loads: h.sums.since(p.told.GetBoot(), p.told.GetNumber()),
-		Lowest: h.lowest, Followers: uint64(len(h.followers)), Hears: h.heard(now), SentMs: p.sent(now)}, h.table.number
+	items, full := h.table.ChangesSince(since)
+	return &distributionpb.ShareRequest{From: &distributionpb.Keeper{Address: h.options.Self, Zone: h.options.Zone, Region: h.options.Region}, Boot: h.bootID,
+		Full: full, Complete: h.complete, Entries: EncodeEntries(now, items), Loads: h.localLoads.ChangesSince(p.ackedLoads.GetBoot(), p.ackedLoads.GetNumber()),
+		Lowest: h.minAckedSeq, Followers: uint64(len(h.subscribers)), Hears: h.recentPeers(now), SentMs: p.estimatedPeerClockMS(now)}, h.table.lastNumber
 }
 
 // Share serves another keeper's share.
 func (h *Server) Share(_ context.Context, req *distributionpb.ShareRequest) (*distributionpb.ShareReply, error) {
 	from := req.GetFrom().GetAddress()
-	if from == "" || from == h.opt.Self {
+	if from == "" || from == h.options.Self {
 		return nil, twirp.InvalidArgumentError("from", "must be the address of another keeper")
 	}
 	now := time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	clock := h.clock(now)
-	delay := millis(clock-min(clock, req.GetSentMs()), maxAge)
-	if h.opt.hooks.fromArrival {
+	clock := h.clockMS(now)
+	delay := BoundedMilliseconds(clock-min(clock, req.GetSentMs()), maxAge)
+	if h.options.Knobs.fromArrival {
 		delay = 0
-	} else if req.GetSentMs() == 0 || req.GetSentMs() > clock+clockSlack || delay > peerLife {
-		return &distributionpb.ShareReply{Boot: h.boot, ClockMs: clock, Late: true, Call: req.GetCall()}, nil
+	} else if req.GetSentMs() == 0 || req.GetSentMs() > clock+maxClockDriftMS || delay > peerTTL {
+		return &distributionpb.ShareReply{Boot: h.bootID, ClockMs: clock, Late: true, Call: req.GetCall()}, nil
 	}
 	p := h.peers[from]
 	if p == nil {
 		if len(h.peers) >= maxPeers {
-			h.dropPeers(now)
+			h.removeExpiredPeers(now)
 		}
 		if len(h.peers) >= maxPeers {
 			return nil, twirp.NewError(twirp.ResourceExhausted, "too many keepers share with this one: take some out of the view")
 		}
 		p = &peer{}
 		h.peers[from] = p
-		h.wake()
+		h.wakeSubscribers()
 	}
-	p.keeper, p.boot, p.heard, p.lowest, p.followers = req.GetFrom(), req.GetBoot(), later(p.heard, now.Add(-delay)), req.GetLowest(), req.GetFollowers()
-	p.hears = req.GetHears()[:min(len(req.GetHears()), maxPeers)]
+	p.location, p.bootID, p.lastContact, p.minAckedSeq, p.subscriberCount = req.GetFrom(), req.GetBoot(), laterOf(p.lastContact, now.Add(-delay)), req.GetLowest(), req.GetFollowers()
+	p.reachablePeers = req.GetHears()[:min(len(req.GetHears()), maxPeers)]
 	before := h.listFence()
 	for _, w := range req.GetEntries() {
-		e, age := fromWire(w)
-		if e.Key != "" && len(e.Key) <= 2*maxID {
-			h.mergeShared(now, from, e, age.plus(upTo(delay)))
+		e, age := DecodeEntry(w)
+		if e.Key != "" && len(e.Key) <= 2*MaxIDBytes {
+			h.mergePeerEntry(now, from, e, age.Plus(AgeUpTo(delay)))
 		}
 	}
 	if fence := h.listFence(); fence > before {
-		h.dropFormerReader(now, fence)
+		h.deleteServersOfOldFences(now, fence)
 	}
 	if req.GetFull() && req.GetComplete() && !h.complete {
 		h.markComplete()
 	}
-	p.loads.apply(now.Add(-delay), req.GetLoads())
-	close(h.acked)
-	h.acked = make(chan struct{})
-	return &distributionpb.ShareReply{Boot: h.boot, ClockMs: clock, Call: req.GetCall(),
-		Told: &distributionpb.Cursor{Boot: p.loads.boot, Number: p.loads.number}}, nil
+	p.loads.Apply(now.Add(-delay), req.GetLoads())
+	close(h.ackChanged)
+	h.ackChanged = make(chan struct{})
+	return &distributionpb.ShareReply{Boot: h.bootID, ClockMs: clock, Call: req.GetCall(),
+		Told: &distributionpb.Cursor{Boot: p.loads.bootID, Number: p.loads.number}}, nil
 }
 
-// mergeShared takes in an entry that another keeper shares. One that was cut off has marked down what it no longer heard of,
+// mergePeerEntry takes in an entry that another keeper shares. One that was cut off has marked down what it no longer heard of,
 // so whoever hears the proxy knows better: this keeper, or the one that the proxy follows. The caller holds mu.
-func (h *Server) mergeShared(now time.Time, from string, e Entry, age Age) {
-	was, refuted := h.marksDown(e)
-	if !refuted || h.opt.hooks.believeDown {
-		h.merge(now, e, age)
+func (h *Server) mergePeerEntry(now time.Time, from string, e Entry, age Age) {
+	was, refuted := h.marksLiveMemberDown(e)
+	if !refuted || h.options.Knobs.believeDown {
+		h.mergeEntry(now, e, age)
 		return
 	}
-	if f := h.followers[was.Node]; f != nil && f.member.Incarnation == was.Incarnation && (f.open > 0 || now.Sub(f.seen) < h.limits.SubscriberTimeout/2) {
-		h.merge(now, e, age)
-		h.assert(now, f.member)
+	if f := h.subscribers[was.Node]; f != nil && f.member.Incarnation == was.Incarnation && (f.openCalls > 0 || now.Sub(f.lastCall) < h.limits.SubscriberTimeout/2) {
+		h.mergeEntry(now, e, age)
+		h.assertAlive(now, f.member)
 		return
 	}
-	if was.Owner == from || was.Owner == h.opt.Self || !h.hears(now, was.Owner) {
-		h.merge(now, e, age)
+	if was.Owner == from || was.Owner == h.options.Self || !h.hasContact(now, was.Owner) {
+		h.mergeEntry(now, e, age)
 	}
 }
 
-// marksDown tells whether an entry marks down a process that counts as up here, and what is held of it.
-func (h *Server) marksDown(e Entry) (was Member, ok bool) {
-	held := h.table.items[e.Key]
-	if held == nil || held.Deleted || e.Deleted || !strings.HasPrefix(e.Key, memberPrefix) {
+// marksLiveMemberDown tells whether an entry marks down a process that counts as up here, and what is held of it.
+func (h *Server) marksLiveMemberDown(e Entry) (was Member, ok bool) {
+	held := h.table.entries[e.Key]
+	if held == nil || held.Deleted || e.Deleted || !strings.HasPrefix(e.Key, MemberPrefix) {
 		return Member{}, false
 	}
-	was, known := held.memberIn()
-	told, read := decodeMember(e.Value)
+	was, known := held.Member()
+	told, read := DecodeMember(e.Value)
 	return was, known && read && told.Down && !was.Down && told.Incarnation == was.Incarnation
 }
 
-// heard gives the keepers that have shared of late, in order. The caller holds mu.
-func (h *Server) heard(now time.Time) []string {
+// recentPeers gives the keepers that have shared of late, in order. The caller holds mu.
+func (h *Server) recentPeers(now time.Time) []string {
 	var out []string
 	for address, p := range h.peers {
-		if now.Sub(p.heard) <= peerLife {
+		if now.Sub(p.lastContact) <= peerTTL {
 			out = append(out, address)
 		}
 	}
@@ -265,9 +267,9 @@
 // maxPeers bounds the keepers remembered.
 const maxPeers = 64
 
-func (h *Server) dropPeers(now time.Time) {
+func (h *Server) removeExpiredPeers(now time.Time) {
 	for a, p := range h.peers {
-		if now.Sub(p.heard) > peerLife+2*orphanLife {
+		if now.Sub(p.lastContact) > peerTTL+2*orphanTimeout {
 			delete(h.peers, a)
 		}
 	}
--- a/internal/system/distribution/hub_table.go
+++ b/internal/system/distribution/hub_table.go
@@ -12,31 +12,31 @@
 
 // Put writes an entry of the soft state. The error is ErrStale where a newer one is held.
 func (h *Server) Put(key string, fence, version uint64, value []byte) error {
-	return h.put(Entry{Key: key, Fence: fence, Version: version, Value: value})
+	return h.putEntry(Entry{Key: key, Fence: fence, Version: version, Value: value})
 }
 
 // Remove deletes an entry of the soft state. The error is ErrStale where a newer one is held.
 func (h *Server) Remove(key string, fence, version uint64) error {
-	return h.put(Entry{Key: key, Fence: fence, Version: version, Deleted: true})
+	return h.putEntry(Entry{Key: key, Fence: fence, Version: version, Deleted: true})
 }
 
-func (h *Server) put(e Entry) error {
+func (h *Server) putEntry(e Entry) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.merge(time.Now(), e, Age{}) {
+	if !h.mergeEntry(time.Now(), e, Age{}) {
 		return errors.Mark(errors.Newf("distribution: %s is held with a higher fence or version than %d, %d: read it and write above",
 			e.Key, e.Fence, e.Version), ErrStale)
 	}
 	return nil
 }
 
-// merge takes an entry in and has followers woken. The caller holds mu.
-func (h *Server) merge(now time.Time, e Entry, age Age) bool {
-	if !h.table.merge(now, e, age) {
+// mergeEntry takes an entry in and has followers woken. The caller holds mu.
+func (h *Server) mergeEntry(now time.Time, e Entry, age Age) bool {
+	if !h.table.Merge(now, e, age) {
 		return false
 	}
-	if !lazy(e.Key) {
-		poke(h.kick)
+	if !isLazy(e.Key) {
+		signal(h.wakeRequested)
 	}
 	return true
 }
@@ -50,39 +50,39 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
-	age := read.age(now)
-	if held := h.table.items[listKey]; held != nil && held.Fence == fence && age.Max > held.age(now).Max {
+	age := read.AgeAt(now)
+	if held := h.table.entries[ListKey]; held != nil && held.Fence == fence && age.Max > held.AgeAt(now).Max {
 		return errors.Mark(errors.Newf("distribution: a list that was asked for %v later is held: this one counts for nothing",
-			age.Max-held.age(now).Max), ErrStale)
+			age.Max-held.AgeAt(now).Max), ErrStale)
 	}
 	// A poller that starts anew under its old fence counts from the start, so versions go on from the table's.
 	write := func(e Entry) bool {
-		if held := h.table.items[e.Key]; held != nil && held.Fence == e.Fence {
+		if held := h.table.entries[e.Key]; held != nil && held.Fence == e.Fence {
 			e.Version = max(e.Version, held.Version+1)
 		}
-		return h.merge(now, e, age)
+		return h.mergeEntry(now, e, age)
 	}
 	first := h.listFence() < fence
-	covers := h.commits.before(read.Earliest.Add(-h.opt.ListLag))
-	if !write(Entry{Key: listKey, Fence: fence, Version: version, Value: encodeCovers(covers)}) {
+	covers := h.commits.committedBefore(read.Earliest.Add(-h.options.ListLag))
+	if !write(Entry{Key: ListKey, Fence: fence, Version: version, Value: encodeListCovers(covers)}) {
 		return errors.Mark(errors.Newf("distribution: the list is fed under a higher fence than %d: ask for the duty again before polling",
 			fence), ErrStale)
 	}
 	named := make(map[string]bool, len(servers))
 	for _, s := range servers {
-		if len(s.ID) == 0 || len(s.ID) > maxID || len(named) >= maxServers {
+		if len(s.ID) == 0 || len(s.ID) > MaxIDBytes || len(named) >= MaxServers {
 			continue
 		}
-		named[serverPrefix+s.ID] = true
+		named[ServerPrefix+s.ID] = true
 		// Under a new fence all is written once: of what the reader of the former one told, other keepers may hold more.
-		if held := h.table.items[serverPrefix+s.ID]; held != nil && !held.Deleted && !first {
-			if was, ok := held.serverAt(now); ok && standsBeside(was, countDown(s, age)) {
+		if held := h.table.entries[ServerPrefix+s.ID]; held != nil && !held.Deleted && !first {
+			if was, ok := held.ServerAt(now); ok && AgreesWithReading(was, CountDown(s, age)) {
 				continue
 			}
 		}
-		write(Entry{Key: serverPrefix + s.ID, Fence: fence, Version: version, Value: encodeServer(withMargin(s))})
+		write(Entry{Key: ServerPrefix + s.ID, Fence: fence, Version: version, Value: EncodeServer(WithWarmUpMargin(s))})
 	}
-	for _, it := range slices.Clone(h.table.live(serverPrefix)) {
+	for _, it := range slices.Clone(h.table.Live(ServerPrefix)) {
 		if !named[it.Key] {
 			write(Entry{Key: it.Key, Fence: fence, Version: version, Deleted: true})
 		}
@@ -94,8 +94,8 @@
 func (h *Server) Table() []Entry {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := make([]Entry, 0, len(h.table.items))
-	for _, it := range h.table.items {
+	out := make([]Entry, 0, len(h.table.entries))
+	for _, it := range h.table.entries {
 		if !it.Deleted {
 			out = append(out, it.Entry)
 		}
@@ -108,12 +108,12 @@
 func (h *Server) Members() []Member {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.table.members()
+	return h.table.Members()
 }
 
 // List gives the servers as last read, with their times as of now, and the age of that reading; false: none yet.
 func (h *Server) List() ([]pick.Server, time.Duration, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.table.servers(time.Now())
+	return h.table.Servers(time.Now())
 }
--- a/internal/system/distribution/invariants.go
+++ b/internal/system/distribution/invariants.go
@@ -2,5 +2,5 @@
 
 import "gradeusher.example/gradeusher/internal/system/invariant"
 
-// neverBack is what CONFIG rests on at the proxies.
-var neverBack = invariant.New("distribution_never_back", "the control state that a proxy holds never goes back in one life")
+// stateNeverGoesBack is what CONFIG rests on at the proxies.
+var stateNeverGoesBack = invariant.New("distribution_never_back", "the control state that a proxy holds never goes back in one life")
--- a/internal/system/distribution/invariants_test.go
+++ b/internal/system/distribution/invariants_test.go
@@ -12,6 +12,6 @@
 	f := NewSubscriber(SubscriberOptions{Log: quiet()})
 	newer := controlstate.Empty()
 	newer.Seq = 5
-	f.hold(newer)
-	invarianttest.Expect(t, neverBack, func() { f.hold(controlstate.Empty()) })
+	f.setState(newer)
+	invarianttest.Expect(t, stateNeverGoesBack, func() { f.setState(controlstate.Empty()) })
 }
--- a/internal/system/distribution/late_test.go
+++ b/internal/system/distribution/late_test.go
@@ -20,14 +20,14 @@
 	if err := h.PutList(1, 1, []pick.Server{{ID: "old"}}, madeAgo(Age{})); err != nil {
 		tb.Fatal(err)
 	}
-	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet(), hooks: hooks})
+	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet(), Knobs: hooks})
 	asked := time.Now()
-	req := f.request(nil, false)
+	req := f.buildRequest(nil, false)
 	reply, err := h.Follow(tb.Context(), req)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	got := f.take(asked.Add(-wait), time.Now(), req, reply)
+	got := f.handleReply(asked.Add(-wait), time.Now(), req, reply)
 	if got.current != f.Current().Fresh {
 		tb.Errorf("the keeper counts as current: %v, the state as fresh: %v", got.current, f.Current().Fresh)
 	}
@@ -59,7 +59,7 @@
 	}
 	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
 	f.state = &controlstate.State{Seq: 7}
-	f.take(time.Now(), time.Now(), f.request(nil, false), &distributionpb.FollowReply{Current: true, Newest: 7})
+	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), &distributionpb.FollowReply{Current: true, Newest: 7})
 	if got := f.Current().State.Seq; got != 7 {
 		t.Errorf("serves %d after a prompt word", got)
 	}
@@ -69,7 +69,7 @@
 func TestWaitAtTheKeeperIsNoAge(t *testing.T) {
 	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
 	asked := time.Now().Add(-3 * time.Second)
-	f.take(asked, time.Now(), f.request(nil, false), &distributionpb.FollowReply{Current: true, CheckedMs: 2900})
+	f.handleReply(asked, time.Now(), f.buildRequest(nil, false), &distributionpb.FollowReply{Current: true, CheckedMs: 2900})
 	if !f.Current().Fresh {
 		t.Error("held for 2.9 s, and 100 ms under way: not fresh")
 	}
--- a/internal/system/distribution/lateworld_test.go
+++ b/internal/system/distribution/lateworld_test.go
@@ -40,7 +40,7 @@
 	w := &lateWorld{fleet: newHookedFleet(hub, "k1:1", "k2:1", "k3:1"), t: t, rng: rng, read: map[uint64]time.Time{},
 		until: map[string]time.Time{}, faults: map[string]int{}, broken: map[string]int{}, shown: map[string]time.Time{}}
 	for i := range 6 {
-		w.startFollower(fmt.Sprint("p", i), func(o *SubscriberOptions) { o.hooks = proxies })
+		w.startFollower(fmt.Sprint("p", i), func(o *SubscriberOptions) { o.Knobs = proxies })
 	}
 	return w
 }
@@ -135,13 +135,13 @@
 		}
 		p.mu.Unlock()
 		p.f.mu.Lock()
-		if held := p.f.table.items[listKey]; held != nil {
-			if was := w.shown[n]; was.Sub(w.read[held.Version]) > listTolerance+lateMargin && !w.read[held.Version].IsZero() {
+		if held := p.f.table.entries[ListKey]; held != nil {
+			if was := w.shown[n]; was.Sub(w.read[held.Version]) > maxListAgeSkew+lateMargin && !w.read[held.Version].IsZero() {
 				w.broken["a list went back"]++
 			} else if w.read[held.Version].After(was) {
 				w.shown[n] = w.read[held.Version]
 			}
-			if age := now.Sub(w.read[held.Version]); held.age(now).Max < age-lateMargin && !w.read[held.Version].IsZero() {
+			if age := now.Sub(w.read[held.Version]); held.AgeAt(now).Max < age-lateMargin && !w.read[held.Version].IsZero() {
 				w.broken["a list is told to be younger than it is"]++
 			}
 		}
--- a/internal/system/distribution/list_covers.go
+++ b/internal/system/distribution/list_covers.go
@@ -12,45 +12,45 @@
 
 // commitLog remembers when a keeper knew which records to be committed. The zero value is empty.
 type commitLog struct {
-	notes []commitNote // by time; numbers rise
+	marks []commitMark // by time; numbers rise
 }
 
-// commitNote is that the record numbered seq was committed at or before a moment.
-type commitNote struct {
+// commitMark is that the record numbered seq was committed at or before a moment.
+type commitMark struct {
 	at  time.Time
 	seq uint64
 }
 
-// commitNotes bounds a commitLog: at one note a tick it reaches back for some seconds.
-const commitNotes = 64
+// maxCommitMarks bounds a commitLog: at one note a tick it reaches back for some seconds.
+const maxCommitMarks = 64
 
-// note takes in the number of the newest record that is known to be committed at now.
-func (l *commitLog) note(now time.Time, seq uint64) {
-	if n := len(l.notes); n > 0 && seq <= l.notes[n-1].seq {
+// observe takes in the number of the newest record that is known to be committed at now.
+func (l *commitLog) observe(now time.Time, seq uint64) {
+	if n := len(l.marks); n > 0 && seq <= l.marks[n-1].seq {
 		return
 	}
-	if len(l.notes) == commitNotes {
-		l.notes = append(l.notes[:0], l.notes[1:]...)
+	if len(l.marks) == maxCommitMarks {
+		l.marks = append(l.marks[:0], l.marks[1:]...)
 	}
-	l.notes = append(l.notes, commitNote{now, seq})
+	l.marks = append(l.marks, commitMark{now, seq})
 }
 
-// before is the number of the newest record that was known to be committed at the moment t; 0: none that is remembered.
-func (l *commitLog) before(t time.Time) uint64 {
-	for i := len(l.notes) - 1; i >= 0; i-- {
-		if !l.notes[i].at.After(t) {
-			return l.notes[i].seq
+// committedBefore is the number of the newest record that was known to be committed at the moment t; 0: none that is remembered.
+func (l *commitLog) committedBefore(t time.Time) uint64 {
+	for i := len(l.marks) - 1; i >= 0; i-- {
+		if !l.marks[i].at.After(t) {
+			return l.marks[i].seq
 		}
 	}
 	return 0
 }
 
-// encodeCovers is the value of the list's entry.
-func encodeCovers(seq uint64) []byte { return binary.AppendUvarint(nil, seq) }
+// encodeListCovers is the value of the list's entry.
+func encodeListCovers(seq uint64) []byte { return binary.AppendUvarint(nil, seq) }
 
-// listCovers is the newest record that the reading held covers; 0: none for certain.
-func (t *table) listCovers() uint64 {
-	held := t.items[listKey]
+// ListCoversSeq is the newest record that the reading held covers; 0: none for certain.
+func (t *Table) ListCoversSeq() uint64 {
+	held := t.entries[ListKey]
 	if held == nil {
 		return 0
 	}
--- a/internal/system/distribution/list_covers_test.go
+++ b/internal/system/distribution/list_covers_test.go
@@ -13,24 +13,24 @@
 	var l commitLog
 	begin := time.Now()
 	at := func(d time.Duration) time.Time { return begin.Add(d) }
-	if got := l.before(begin); got != 0 {
+	if got := l.committedBefore(begin); got != 0 {
 		t.Errorf("%d before any", got)
 	}
-	l.note(at(time.Second), 3)
-	l.note(at(2*time.Second), 3)
-	l.note(at(3*time.Second), 5)
+	l.observe(at(time.Second), 3)
+	l.observe(at(2*time.Second), 3)
+	l.observe(at(3*time.Second), 5)
 	for when, want := range map[time.Duration]uint64{0: 0, time.Second: 3, 2500 * time.Millisecond: 3, 3 * time.Second: 5, time.Hour: 5} {
-		if got := l.before(at(when)); got != want {
+		if got := l.committedBefore(at(when)); got != want {
 			t.Errorf("at %v: %d, want %d", when, got, want)
 		}
 	}
-	for i := range 10 * commitNotes {
-		l.note(at(time.Duration(4+i)*time.Second), uint64(6+i))
+	for i := range 10 * maxCommitMarks {
+		l.observe(at(time.Duration(4+i)*time.Second), uint64(6+i))
 	}
-	if len(l.notes) != commitNotes || l.before(at(3*time.Second)) != 0 {
-		t.Errorf("%d notes; at 3 s %d", len(l.notes), l.before(at(3*time.Second)))
+	if len(l.marks) != maxCommitMarks || l.committedBefore(at(3*time.Second)) != 0 {
+		t.Errorf("%d notes; at 3 s %d", len(l.marks), l.committedBefore(at(3*time.Second)))
 	}
-	if got := l.before(at(time.Hour)); got != uint64(5+10*commitNotes) {
+	if got := l.committedBefore(at(time.Hour)); got != uint64(5+10*maxCommitMarks) {
 		t.Errorf("at last %d", got)
 	}
 }
@@ -40,8 +40,8 @@
 	const lag = 800 * time.Millisecond
 	h := NewServer(ServerOptions{Source: &source{chain: newChain(), keepers: []string{"k"}}, Self: "k", Log: quiet(), ListLag: lag})
 	begin := time.Now().Add(-10 * time.Second)
-	h.commits.note(begin, 4)
-	h.commits.note(begin.Add(time.Second), 5)
+	h.commits.observe(begin, 4)
+	h.commits.observe(begin.Add(time.Second), 5)
 	f := NewSubscriber(SubscriberOptions{Log: quiet()})
 	for _, read := range []struct {
 		asked  time.Duration
@@ -51,11 +51,11 @@
 		if err := h.PutList(1, 1, []pick.Server{{ID: "s"}}, TimeBounds{asked, asked.Add(time.Millisecond)}); err != nil {
 			t.Fatal(err)
 		}
-		if got := h.table.listCovers(); got != read.covers {
+		if got := h.table.ListCoversSeq(); got != read.covers {
 			t.Errorf("asked at %v: covers %d, want %d", read.asked, got, read.covers)
 		}
-		told := toWire(time.Now(), []*item{h.table.items[listKey]})
-		f.takeEntries(time.Now(), Age{}, &distributionpb.FollowReply{Entries: told})
+		told := EncodeEntries(time.Now(), []*StoredEntry{h.table.entries[ListKey]})
+		f.applyEntries(time.Now(), Age{}, &distributionpb.FollowReply{Entries: told})
 		if got := f.Current().ListCoversSeq; got != read.covers {
 			t.Errorf("asked at %v: a proxy hears %d, want %d", read.asked, got, read.covers)
 		}
@@ -68,14 +68,14 @@
 	f := NewSubscriber(SubscriberOptions{Log: quiet()})
 	told := func() bool {
 		select {
-		case <-f.changed:
+		case <-f.updatePending:
 			return true
 		default:
 			return false
 		}
 	}
 	answer := func(asked time.Time, current bool) {
-		f.take(asked, time.Now(), &distributionpb.FollowRequest{}, &distributionpb.FollowReply{Current: current, Soft: &distributionpb.Cursor{}})
+		f.handleReply(asked, time.Now(), &distributionpb.FollowRequest{}, &distributionpb.FollowReply{Current: current, Soft: &distributionpb.Cursor{}})
 	}
 	answer(time.Now(), true)
 	told() // what is held may be served from now on
@@ -86,7 +86,7 @@
 	before := time.Now()
 	f.Refresh()
 	select {
-	case <-f.tellNow:
+	case <-f.callRequested:
 	default:
 		t.Error("no keeper is asked at once")
 	}
--- a/internal/system/distribution/list_version.go
+++ b/internal/system/distribution/list_version.go
@@ -8,19 +8,19 @@
 
 // listFence is the fence of the newest whole reading of the platform's list; 0: none has come. The caller holds mu.
 func (h *Server) listFence() uint64 {
-	if held := h.table.items[listKey]; held != nil {
+	if held := h.table.entries[ListKey]; held != nil {
 		return held.Fence
 	}
 	return 0
 }
 
-// dropFormerReader deletes the servers that were told under fences below that of the list, which has just come with all of its
+// deleteServersOfOldFences deletes the servers that were told under fences below that of the list, which has just come with all of its
 // servers: whoever read it may not know of all that the former reader told. The caller holds mu.
-func (h *Server) dropFormerReader(now time.Time, fence uint64) {
-	version := h.table.items[listKey].Version
-	for _, it := range slices.Clone(h.table.live(serverPrefix)) {
+func (h *Server) deleteServersOfOldFences(now time.Time, fence uint64) {
+	version := h.table.entries[ListKey].Version
+	for _, it := range slices.Clone(h.table.Live(ServerPrefix)) {
 		if it.Fence < fence {
-			h.merge(now, Entry{Key: it.Key, Fence: fence, Version: version, Deleted: true}, Age{})
+			h.mergeEntry(now, Entry{Key: it.Key, Fence: fence, Version: version, Deleted: true}, Age{})
 		}
 	}
 }
@@ -30,9 +30,9 @@
 func (h *Server) ListVersion() (fence, version uint64, age time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	held := h.table.items[listKey]
+	held := h.table.entries[ListKey]
 	if held == nil {
 		return 0, 0, math.MaxInt64
 	}
-	return held.Fence, held.Version, held.age(time.Now()).Max
+	return held.Fence, held.Version, held.AgeAt(time.Now()).Max
 }
--- a/internal/system/distribution/loads.go
+++ b/internal/system/distribution/loads.go
@@ -9,59 +9,59 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// loadLife is how long a load counts after it was told.
-const loadLife = time.Second
+// LoadTTL is how long a load counts after it was told.
+const LoadTTL = time.Second
 
-// maxServers bounds the servers of one vector, and maxID the length of a server's id.
+// MaxServers bounds the servers of one vector, and MaxIDBytes the length of a server's id.
 const (
-	maxServers = 1 << 16
-	maxID      = 256
+	MaxServers = 1 << 16
+	MaxIDBytes = 256
 )
 
-// vector publishes a load vector as numbered changes. Servers get indexes, so that an id goes over the wire once to each
+// Vector publishes a load Vector as numbered changes. Servers get indexes, so that an id goes over the wire once to each
 // reader. A change of no weight (under an eighth) is held back for up to settle.
 //
 // Tokens are told in units, rounded up where they are first told, so that sums and differences of what is told are whole.
 //
 // The coding of the changes after a number: for each server changed, uvarint(index - previous index - 1)<<1 | new, the id
 // (uvarint length, bytes) if the reader cannot know it yet, then uvarints requests, prefill and tokens in their units.
-type vector struct {
-	exact  bool // publish every change
-	boot   uint64
-	number uint64
-	index  map[string]int
-	items  []slot
+type Vector struct {
+	exact   bool // publish every change
+	bootID  uint64
+	number  uint64
+	indexes map[string]int
+	slots   []slot
 
 	cachedFrom, cachedAt uint64 // the numbers between which cached holds the changes
 	cached               []byte
 }
 
 type slot struct {
-	id      string
-	load    pick.Load
-	born    uint64 // number that brought the id
-	number  uint64 // of the last change
-	changed time.Time
+	id          string
+	load        pick.Load
+	addedNumber uint64 // number that brought the id
+	number      uint64 // of the last change
+	changed     time.Time
 }
 
-const settle = time.Second
+const minorChangeDelay = time.Second
 
 const (
 	prefillUnit = 64
 	tokensUnit  = 256
 )
 
-// inUnits rounds a load up to whole units.
-func inUnits(l pick.Load) pick.Load {
+// roundUpToUnits rounds a load up to whole units.
+func roundUpToUnits(l pick.Load) pick.Load {
 	up := func(n, unit int64) int64 { return (max(0, min(n, 1<<40)) + unit - 1) / unit * unit }
 	return pick.Load{Requests: max(0, l.Requests), Prefill: up(l.Prefill, prefillUnit), Tokens: up(l.Tokens, tokensUnit)}
 }
 
-func newVector(exact bool) *vector {
-	return &vector{exact: exact, boot: rand.Uint64() | 1, index: map[string]int{}}
+func NewVector(exact bool) *Vector {
+	return &Vector{exact: exact, bootID: rand.Uint64() | 1, indexes: map[string]int{}}
 }
 
-func material(old, now pick.Load) bool {
+func isMaterial(old, now pick.Load) bool {
 	far := func(a, b, unit int64) bool {
 		d := a - b
 		if d < 0 {
@@ -72,11 +72,11 @@
 	return far(int64(old.Requests), int64(now.Requests), 0) || far(old.Prefill, now.Prefill, 256) || far(old.Tokens, now.Tokens, 1024)
 }
 
-// publish makes loads the vector and tells whether that made a change.
-func (v *vector) publish(now time.Time, loads map[string]pick.Load) bool {
-	if len(v.items) > 2*len(loads)+1024 {
+// Publish makes loads the vector and tells whether that made a change.
+func (v *Vector) Publish(now time.Time, loads map[string]pick.Load) bool {
+	if len(v.slots) > 2*len(loads)+1024 {
 		// Most indexes are of servers long gone.
-		*v = *newVector(v.exact)
+		*v = *NewVector(v.exact)
 	}
 	next := v.number + 1
 	changed := false
@@ -84,15 +84,15 @@
 		if l.Requests <= 0 && l.Prefill <= 0 && l.Tokens <= 0 {
 			continue // an index is given together with a load, so that readers hear of it
 		}
-		if _, ok := v.index[id]; !ok && len(v.items) < maxServers && len(id) <= maxID {
-			v.index[id] = len(v.items)
-			v.items = append(v.items, slot{id: id, born: next})
+		if _, ok := v.indexes[id]; !ok && len(v.slots) < MaxServers && len(id) <= MaxIDBytes {
+			v.indexes[id] = len(v.slots)
+			v.slots = append(v.slots, slot{id: id, addedNumber: next})
 		}
 	}
-	for i := range v.items {
-		s := &v.items[i]
-		l := inUnits(loads[s.id])
-		if l == s.load || !v.exact && !material(s.load, l) && now.Sub(s.changed) < settle {
+	for i := range v.slots {
+		s := &v.slots[i]
+		l := roundUpToUnits(loads[s.id])
+		if l == s.load || !v.exact && !isMaterial(s.load, l) && now.Sub(s.changed) < minorChangeDelay {
 			continue
 		}
 		s.load, s.number, s.changed, changed = l, next, now, true
@@ -103,33 +103,33 @@
 	return changed
 }
 
-// since codes the changes after the cursor; all of them for a cursor of another life.
-func (v *vector) since(boot, number uint64) *distributionpb.Loads {
-	if boot != v.boot || number > v.number {
+// ChangesSince codes the changes after the cursor; all of them for a cursor of another life.
+func (v *Vector) ChangesSince(boot, number uint64) *distributionpb.Loads {
+	if boot != v.bootID || number > v.number {
 		number = 0
 	}
-	out := &distributionpb.Loads{Boot: v.boot, From: number, Number: v.number}
+	out := &distributionpb.Loads{Boot: v.bootID, From: number, Number: v.number}
 	if number == v.number {
 		return out
 	}
 	if v.cached == nil || v.cachedFrom != number || v.cachedAt != v.number {
-		v.cached, v.cachedFrom, v.cachedAt = v.code(number), number, v.number
+		v.cached, v.cachedFrom, v.cachedAt = v.encode(number), number, v.number
 	}
 	out.Body = v.cached
 	return out
 }
 
-func (v *vector) code(from uint64) []byte {
+func (v *Vector) encode(from uint64) []byte {
 	out := make([]byte, 0, 64)
 	last := -1
-	for i := range v.items {
-		s := &v.items[i]
+	for i := range v.slots {
+		s := &v.slots[i]
 		if s.number <= from {
 			continue
 		}
 		head := uint64(i-last-1) << 1
 		last = i
-		if s.born > from {
+		if s.addedNumber > from {
 			out = binary.AppendUvarint(out, head|1)
 			out = binary.AppendUvarint(out, uint64(len(s.id)))
 			out = append(out, s.id...)
@@ -143,23 +143,23 @@
 	return out
 }
 
-// reading is what a reader holds of another process's vector.
-type reading struct {
-	boot, number uint64
-	ids          []string
-	loads        []pick.Load
-	at           time.Time // when it was last told
+// Received is what a reader holds of another process's vector.
+type Received struct {
+	bootID, number uint64
+	ids            []string
+	loads          []pick.Load
+	receivedAt     time.Time // when it was last told
 }
 
-// apply takes changes in; it tells false for ones that do not follow on what is held or cannot be read, and then holds
+// Apply takes changes in; it tells false for ones that do not follow on what is held or cannot be read, and then holds
 // what it held.
-func (r *reading) apply(now time.Time, w *distributionpb.Loads) bool {
+func (r *Received) Apply(now time.Time, w *distributionpb.Loads) bool {
 	if w == nil {
 		return false
 	}
 	if w.GetFrom() == 0 {
-		fresh := reading{boot: w.GetBoot(), at: now}
-		if w.GetBoot() == r.boot && w.GetNumber() < r.number {
+		fresh := Received{bootID: w.GetBoot(), receivedAt: now}
+		if w.GetBoot() == r.bootID && w.GetNumber() < r.number {
 			return false
 		}
 		if !fresh.decode(w.GetBody()) {
@@ -169,23 +169,23 @@
 		*r = fresh
 		return true
 	}
-	if w.GetBoot() != r.boot || w.GetFrom() > r.number || w.GetNumber() < r.number {
+	if w.GetBoot() != r.bootID || w.GetFrom() > r.number || w.GetNumber() < r.number {
 		return false
 	}
-	r.at = now
+	r.receivedAt = now
 	if w.GetNumber() == r.number {
 		return true
 	}
 	// Values are absolute and indexes stay, so a reader that is ahead of From may take them as well.
 	if !r.decode(w.GetBody()) {
-		*r = reading{}
+		*r = Received{}
 		return false
 	}
 	r.number = w.GetNumber()
 	return true
 }
 
-func (r *reading) decode(b []byte) bool {
+func (r *Received) decode(b []byte) bool {
 	next := func() (uint64, bool) {
 		n, size := binary.Uvarint(b)
 		if size <= 0 {
@@ -197,15 +197,15 @@
 	i := -1
 	for len(b) > 0 {
 		head, ok := next()
-		if !ok || head>>1 > maxServers {
+		if !ok || head>>1 > MaxServers {
 			return false
 		}
-		if i += int(head>>1) + 1; i > maxServers || i > len(r.ids) {
+		if i += int(head>>1) + 1; i > MaxServers || i > len(r.ids) {
 			return false
 		}
 		if head&1 == 1 {
 			n, ok := next()
-			if !ok || n > maxID || n > uint64(len(b)) {
+			if !ok || n > MaxIDBytes || n > uint64(len(b)) {
 				return false
 			}
 			id := string(b[:n])
@@ -230,9 +230,9 @@
 	return true
 }
 
-// add adds what is held to sum, unless it is too old to count.
-func (r *reading) add(now time.Time, sum map[string]pick.Load) {
-	if now.Sub(r.at) > loadLife {
+// AddTo adds what is held to sum, unless it is too old to count.
+func (r *Received) AddTo(now time.Time, sum map[string]pick.Load) {
+	if now.Sub(r.receivedAt) > LoadTTL {
 		return
 	}
 	for i, l := range r.loads {
@@ -243,15 +243,15 @@
 	}
 }
 
-// less gives what is held less mine, at least 0, without what becomes 0.
-func (r *reading) less(mine map[string]pick.Load) map[string]pick.Load {
+// Without gives what is held Without mine, at least 0, without what becomes 0.
+func (r *Received) Without(mine map[string]pick.Load) map[string]pick.Load {
 	out := make(map[string]pick.Load, len(r.loads))
 	for i, l := range r.loads {
 		if l == (pick.Load{}) {
 			continue
 		}
 		if o, ok := mine[r.ids[i]]; ok {
-			o = inUnits(o)
+			o = roundUpToUnits(o)
 			l = pick.Load{Requests: max(0, l.Requests-o.Requests), Prefill: max(0, l.Prefill-o.Prefill), Tokens: max(0, l.Tokens-o.Tokens)}
 			if l == (pick.Load{}) {
 				continue
--- a/internal/system/distribution/mesh_test.go
+++ b/internal/system/distribution/mesh_test.go
@@ -268,7 +268,7 @@
 func (fl *fleet) startHub(name string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	h := NewServer(ServerOptions{Source: fl.sources[name], Self: name, Zone: "zone-" + name, Region: "r", ListLag: coldWorldLag, Log: quiet(),
-		hooks: fl.hooks, Transport: station{fl.mesh, name}, Peers: func() []string {
+		Knobs: fl.hooks, Transport: station{fl.mesh, name}, Peers: func() []string {
 			var out []string
 			for _, k := range fl.names {
 				if k != name {
--- a/internal/system/distribution/newfence_test.go
+++ b/internal/system/distribution/newfence_test.go
@@ -25,9 +25,9 @@
 	put(other, 1, 100, pick.Server{ID: "x"}, pick.Server{ID: "gone"}) // as the lost keeper told it
 	put(reader, 1, 96, pick.Server{ID: "x", Draining: true})
 	put(reader, 2, 1, pick.Server{ID: "x", Draining: true})
-	req, _ := reader.shareRequest(&shareProgress{cursor: distributionpb.Cursor{Boot: reader.boot, Number: 2}})
+	req, _ := reader.buildShareRequest(&syncProgress{cursor: distributionpb.Cursor{Boot: reader.bootID, Number: 2}})
 	req.From = &distributionpb.Keeper{Address: "a"}
-	req.SentMs = other.clock(time.Now())
+	req.SentMs = other.clockMS(time.Now())
 	if _, err := other.Share(context.Background(), req); err != nil {
 		t.Fatal(err)
 	}
@@ -35,9 +35,9 @@
 	if len(got) != 1 || got[0].ID != "x" || !got[0].Draining {
 		t.Errorf("under the new fence it holds %+v", got)
 	}
-	before := reader.table.number
+	before := reader.table.lastNumber
 	put(reader, 2, 2, pick.Server{ID: "x", Draining: true})
-	if written := reader.table.number - before; written != 1 {
+	if written := reader.table.lastNumber - before; written != 1 {
 		t.Errorf("a reading that changes nothing writes %d entries, want that of the list alone", written)
 	}
 }
--- a/internal/system/distribution/oldlist_test.go
+++ b/internal/system/distribution/oldlist_test.go
@@ -18,18 +18,18 @@
 	if err := h.PutList(1, version, servers, madeAgo(exactAge(age))); err != nil {
 		tb.Fatal(err)
 	}
-	items, full := h.table.since(0)
-	return &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: toWire(time.Now(), items),
-		Soft: &distributionpb.Cursor{Boot: h.boot, Number: h.table.number}}
+	items, full := h.table.ChangesSince(0)
+	return &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: EncodeEntries(time.Now(), items),
+		Soft: &distributionpb.Cursor{Boot: h.bootID, Number: h.table.lastNumber}}
 }
 
 // moveToKeeperThatIsJustBack has a follower that knows a server as draining move to a keeper whose table is 20 s old, and
 // gives what it holds then.
 func moveToKeeperThatIsJustBack(tb testing.TB, hooks followerHooks) []pick.Server {
 	tb.Helper()
-	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet(), hooks: hooks})
-	f.take(time.Now(), time.Now(), f.request(nil, false), wholeTable(tb, 0, 990, pick.Server{ID: "a", Draining: true}, pick.Server{ID: "new"}))
-	f.take(time.Now(), time.Now(), f.request(nil, false), wholeTable(tb, 20*time.Second, 950, pick.Server{ID: "a"}, pick.Server{ID: "gone"}))
+	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet(), Knobs: hooks})
+	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), wholeTable(tb, 0, 990, pick.Server{ID: "a", Draining: true}, pick.Server{ID: "new"}))
+	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), wholeTable(tb, 20*time.Second, 950, pick.Server{ID: "a"}, pick.Server{ID: "gone"}))
 	return f.Current().Servers
 }
 
@@ -48,8 +48,8 @@
 // TestKeepersThatCountAnewAreBelieved: after a restart of all keepers versions begin anew, so the younger reading counts.
 func TestKeepersThatCountAnewAreBelieved(t *testing.T) {
 	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
-	f.take(time.Now(), time.Now(), f.request(nil, false), wholeTable(t, 20*time.Second, 990, pick.Server{ID: "a"}))
-	f.take(time.Now(), time.Now(), f.request(nil, false), wholeTable(t, 0, 1, pick.Server{ID: "b"}))
+	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), wholeTable(t, 20*time.Second, 990, pick.Server{ID: "a"}))
+	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), wholeTable(t, 0, 1, pick.Server{ID: "b"}))
 	if got := f.Current().Servers; len(got) != 1 || got[0].ID != "b" {
 		t.Errorf("holds %+v", got)
 	}
@@ -81,17 +81,17 @@
 	f := NewSubscriber(SubscriberOptions{Log: quiet()})
 	reply := func(cold time.Duration, version, least, most uint64) *distributionpb.FollowReply {
 		return &distributionpb.FollowReply{Full: true, Complete: true, Entries: []*distributionpb.Entry{
-			{Key: listKey, Fence: 1, Version: version, AgeMs: most, LeastAgeMs: &least},
-			{Key: serverPrefix + "a", Fence: 1, Version: version, AgeMs: most, LeastAgeMs: &least,
-				Value: encodeServer(pick.Server{ID: "a", Service: "x", WarmUpMax: cold})}}}
+			{Key: ListKey, Fence: 1, Version: version, AgeMs: most, LeastAgeMs: &least},
+			{Key: ServerPrefix + "a", Fence: 1, Version: version, AgeMs: most, LeastAgeMs: &least,
+				Value: EncodeServer(pick.Server{ID: "a", Service: "x", WarmUpMax: cold})}}}
 	}
-	f.takeEntries(now, Age{}, reply(3*time.Second, 9, 0, 100))
-	f.takeEntries(now, Age{}, reply(0, 5, 900, 1900))
-	if s, _, _ := f.table.servers(now); s[0].WarmUpMax < 2900*time.Millisecond {
+	f.applyEntries(now, Age{}, reply(3*time.Second, 9, 0, 100))
+	f.applyEntries(now, Age{}, reply(0, 5, 900, 1900))
+	if s, _, _ := f.table.Servers(now); s[0].WarmUpMax < 2900*time.Millisecond {
 		t.Errorf("cold for %v more after an older list", s[0].WarmUpMax)
 	}
-	f.takeEntries(now, Age{}, reply(time.Second, 6, 0, 50))
-	if s, _, _ := f.table.servers(now); s[0].WarmUpMax != time.Second {
+	f.applyEntries(now, Age{}, reply(time.Second, 6, 0, 50))
+	if s, _, _ := f.table.Servers(now); s[0].WarmUpMax != time.Second {
 		t.Errorf("cold for %v more after a newer list", s[0].WarmUpMax)
 	}
 }
--- a/internal/system/distribution/oldlistlost_test.go
+++ b/internal/system/distribution/oldlistlost_test.go
@@ -11,17 +11,17 @@
 
 // pollByHand has a follower take in what a hub would answer it now.
 func pollByHand(f *Subscriber, h *Server) {
-	req := f.request(nil, false)
+	req := f.buildRequest(nil, false)
 	h.mu.Lock()
 	since := uint64(0)
-	if req.GetSoft().GetBoot() == h.boot {
+	if req.GetSoft().GetBoot() == h.bootID {
 		since = req.GetSoft().GetNumber()
 	}
-	items, full := h.table.since(since)
-	reply := &distributionpb.FollowReply{Full: full, Complete: h.complete, Current: true, Entries: toWire(time.Now(), items),
-		Soft: &distributionpb.Cursor{Boot: h.boot, Number: h.table.number}}
+	items, full := h.table.ChangesSince(since)
+	reply := &distributionpb.FollowReply{Full: full, Complete: h.complete, Current: true, Entries: EncodeEntries(time.Now(), items),
+		Soft: &distributionpb.Cursor{Boot: h.bootID, Number: h.table.lastNumber}}
 	h.mu.Unlock()
-	f.take(time.Now(), time.Now(), req, reply)
+	f.handleReply(time.Now(), time.Now(), req, reply)
 }
 
 // TestListThatLookedOldIsToldAgain: a proxy moves to a keeper whose newest reading came by a slow share, so that its age lies between 0 and 2.6 s. It
--- a/internal/system/distribution/partial_test.go
+++ b/internal/system/distribution/partial_test.go
@@ -12,25 +12,25 @@
 func TestUpdateTellsOfMembersThatMayLack(t *testing.T) {
 	now := time.Now()
 	f := NewSubscriber(SubscriberOptions{Log: quiet(), Self: Member{Node: "p", Incarnation: 4}})
-	if u := f.held(now); !u.MembershipIncomplete || !u.Stale {
+	if u := f.currentUpdate(now); !u.MembershipIncomplete || !u.Stale {
 		t.Errorf("at the start: %+v", u)
 	}
-	f.takeEntries(now, Age{}, &distributionpb.FollowReply{Full: true})
-	if u := f.held(now); !u.MembershipIncomplete {
+	f.applyEntries(now, Age{}, &distributionpb.FollowReply{Full: true})
+	if u := f.currentUpdate(now); !u.MembershipIncomplete {
 		t.Error("a keeper that has just started knows all proxies")
 	}
-	if !f.takeEntries(now, Age{}, &distributionpb.FollowReply{Full: true, Complete: true}) {
+	if !f.applyEntries(now, Age{}, &distributionpb.FollowReply{Full: true, Complete: true}) {
 		t.Error("that the members are whole is no change")
 	}
-	f.currentAt = now
-	if u := f.held(now); u.MembershipIncomplete || u.Stale {
+	f.lastCurrentContact = now
+	if u := f.currentUpdate(now); u.MembershipIncomplete || u.Stale {
 		t.Errorf("fresh, with all members: %+v", u)
 	}
 	down := f.self
 	down.Down = true
-	f.takeEntries(now, Age{}, &distributionpb.FollowReply{Entries: []*distributionpb.Entry{
-		{Key: memberPrefix + "p", Fence: 1, Version: 2, Value: down.encode()}}})
-	if u := f.held(now); !u.Stale {
+	f.applyEntries(now, Age{}, &distributionpb.FollowReply{Entries: []*distributionpb.Entry{
+		{Key: MemberPrefix + "p", Fence: 1, Version: 2, Value: down.Encode()}}})
+	if u := f.currentUpdate(now); !u.Stale {
 		t.Error("not stale though it is called down")
 	}
 }
--- a/internal/system/distribution/peer_test.go
+++ b/internal/system/distribution/peer_test.go
@@ -51,7 +51,7 @@
 		p.seen[req.GetCall()]++
 		act := p.script(req.GetCall())
 		p.mu.Unlock()
-		if !perform(c, in, act, answerBytes(req.GetCall()), answerBytes(req.GetCall()%(callNumbers-1)+1)) {
+		if !perform(c, in, act, answerBytes(req.GetCall()), answerBytes(req.GetCall()%(maxCallIDs-1)+1)) {
 			return
 		}
 	}
@@ -129,9 +129,9 @@
 	})
 	good := 0
 	for range 400 {
-		ctx, cancel := withPatience(t.Context(), 20*time.Millisecond, 20*time.Millisecond)
+		ctx, cancel := WithIdleTimeout(t.Context(), 20*time.Millisecond, 20*time.Millisecond)
 		req := &distributionpb.FollowRequest{}
-		reply, err := f.poll(ctx, address, req)
+		reply, err := f.sendPoll(ctx, address, req)
 		cancel()
 		if err == nil {
 			good++
@@ -161,9 +161,9 @@
 func TestAnswersOfOthersControl(t *testing.T) {
 	f, _, address := scriptedFollower(t, func(uint32) string { return "another's answer" })
 	for _, hook := range []bool{false, true} {
-		f.opt.hooks.anyCall = hook
-		ctx, cancel := withPatience(t.Context(), time.Second, time.Second)
-		if _, err := f.poll(ctx, address, &distributionpb.FollowRequest{}); (err == nil) != hook {
+		f.options.Knobs.anyCall = hook
+		ctx, cancel := WithIdleTimeout(t.Context(), time.Second, time.Second)
+		if _, err := f.sendPoll(ctx, address, &distributionpb.FollowRequest{}); (err == nil) != hook {
 			t.Errorf("control %v: %v", hook, err)
 		}
 		cancel()
@@ -175,8 +175,8 @@
 	f, _, address := scriptedFollower(t, func(uint32) string { return "twice in one packet" })
 	for range 200 {
 		req := &distributionpb.FollowRequest{}
-		ctx, cancel := withPatience(t.Context(), time.Second, time.Second)
-		if reply, err := f.poll(ctx, address, req); err == nil && reply.GetNewest() != uint64(req.GetCall()) {
+		ctx, cancel := WithIdleTimeout(t.Context(), time.Second, time.Second)
+		if reply, err := f.sendPoll(ctx, address, req); err == nil && reply.GetNewest() != uint64(req.GetCall()) {
 			t.Fatalf("call %d got the answer of %d", req.GetCall(), reply.GetNewest())
 		}
 		cancel()
@@ -189,11 +189,11 @@
 	h.markComplete()
 	m := Member{Node: "p", Incarnation: 5, Revision: 2, Ready: true}
 	other := Member{Node: "q", Incarnation: 6}
-	h.end(h.begin(other, &distributionpb.FollowRequest{Member: other.wire()}))
-	v := newVector(true)
-	poll := &distributionpb.FollowRequest{Member: m.wire(), Seq: 7, AcceptStale: true, Loads: v.since(0, 0),
+	h.endCall(h.beginCall(other, &distributionpb.FollowRequest{Member: other.ToProto()}))
+	v := NewVector(true)
+	poll := &distributionpb.FollowRequest{Member: m.ToProto(), Seq: 7, AcceptStale: true, Loads: v.ChangesSince(0, 0),
 		Down: []*distributionpb.Verdict{{Node: "q", Incarnation: 6}}}
-	share := &distributionpb.ShareRequest{From: &distributionpb.Keeper{Address: "o"}, Boot: 3, SentMs: h.clock(time.Now()), Loads: v.since(0, 0),
+	share := &distributionpb.ShareRequest{From: &distributionpb.Keeper{Address: "o"}, Boot: 3, SentMs: h.clockMS(time.Now()), Loads: v.ChangesSince(0, 0),
 		Entries: []*distributionpb.Entry{{Key: "hint/x", Fence: 1, Version: 4, Value: []byte("1")}}}
 	for name, call := range map[string]func() error{
 		"poll":  func() error { _, err := h.Follow(t.Context(), poll); return err },
@@ -202,15 +202,15 @@
 		if err := call(); err != nil {
 			t.Fatal(name, err)
 		}
-		number, held, members := h.table.number, fmt.Sprint(contents(h.table)), fmt.Sprint(h.Members())
+		number, held, members := h.table.lastNumber, fmt.Sprint(contents(h.table)), fmt.Sprint(h.Members())
 		if err := call(); err != nil {
 			t.Fatal(name, err)
 		}
-		if h.table.number != number || fmt.Sprint(contents(h.table)) != held || fmt.Sprint(h.Members()) != members {
+		if h.table.lastNumber != number || fmt.Sprint(contents(h.table)) != held || fmt.Sprint(h.Members()) != members {
 			t.Errorf("%s: the second call changed the table", name)
 		}
 	}
-	if f := h.followers["p"]; f.seq != 7 || f.open != 0 {
-		t.Errorf("acknowledged %d, %d calls open", f.seq, f.open)
+	if f := h.subscribers["p"]; f.ackedSeq != 7 || f.openCalls != 0 {
+		t.Errorf("acknowledged %d, %d calls open", f.ackedSeq, f.openCalls)
 	}
 }
--- a/internal/system/distribution/referral.go
+++ b/internal/system/distribution/referral.go
@@ -23,15 +23,15 @@
 
 // Handler serves the calls of followers and of other keepers, under the same path as Hub.Handler.
 func (r Referral) Handler() http.Handler {
-	return bounded(distributionpb.NewDistributionServer(r))
+	return BoundedHandler(distributionpb.NewDistributionServer(r))
 }
 
 // Follow names the keepers. The reply has no soft state, by which a follower knows that it is not fed here.
 func (r Referral) Follow(_ context.Context, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
-	return &distributionpb.FollowReply{Call: req.GetCall(), Keepers: wireKeepers(r.Servers()...)}, nil
+	return &distributionpb.FollowReply{Call: req.GetCall(), Keepers: encodeLocations(r.Servers()...)}, nil
 }
 
-func wireKeepers(places ...ServerLocation) []*distributionpb.Keeper {
+func encodeLocations(places ...ServerLocation) []*distributionpb.Keeper {
 	out := make([]*distributionpb.Keeper, 0, len(places))
 	for _, k := range places {
 		out = append(out, &distributionpb.Keeper{Address: k.Address, Zone: k.Zone, Region: k.Region})
--- a/internal/system/distribution/referral_test.go
+++ b/internal/system/distribution/referral_test.go
@@ -30,7 +30,7 @@
 	f := NewSubscriber(SubscriberOptions{Seeds: []string{first, second}, Self: Member{Node: "p"}, Log: quiet(), Transport: transport,
 		OnUpdate: func(u Update) {
 			if u.Fresh && u.State.Seq == seq {
-				poke(fresh)
+				signal(fresh)
 			}
 		}})
 	wg.Go(func() { f.Run(ctx) })
@@ -46,20 +46,20 @@
 func TestAReferralChangesNothingThatIsKnown(t *testing.T) {
 	f := NewSubscriber(SubscriberOptions{Seeds: []string{"10.0.0.1", "10.0.0.9"}, Self: Member{Node: "p"}, Log: quiet()})
 	f.mu.Lock()
-	f.takeKeepers(wireKeepers(ServerLocation{"10.0.0.2", "zb", "r"}, ServerLocation{"10.0.0.9", "zc", "r"}))
+	f.replaceNodes(encodeLocations(ServerLocation{"10.0.0.2", "zb", "r"}, ServerLocation{"10.0.0.9", "zc", "r"}))
 	f.mu.Unlock()
-	f.learnKeepers(wireKeepers(ServerLocation{"10.0.0.1", "za", "r"}, ServerLocation{"10.0.0.9", "old", "old"}))
-	want := map[string]keeperInfo{
-		"10.0.0.1": {address: "10.0.0.1", zone: "za", region: "r", seed: true, view: true},
-		"10.0.0.2": {address: "10.0.0.2", zone: "zb", region: "r", view: true},
-		"10.0.0.9": {address: "10.0.0.9", zone: "zc", region: "r", seed: true, view: true},
+	f.learnNodes(encodeLocations(ServerLocation{"10.0.0.1", "za", "r"}, ServerLocation{"10.0.0.9", "old", "old"}))
+	want := map[string]controlPlaneNode{
+		"10.0.0.1": {address: "10.0.0.1", zone: "za", region: "r", seed: true, inView: true},
+		"10.0.0.2": {address: "10.0.0.2", zone: "zb", region: "r", inView: true},
+		"10.0.0.9": {address: "10.0.0.9", zone: "zc", region: "r", seed: true, inView: true},
 	}
 	for address, k := range want {
-		if have := f.keepers[address]; have == nil || *have != k {
+		if have := f.nodes[address]; have == nil || *have != k {
 			t.Errorf("%s: %+v, want %+v", address, have, k)
 		}
 	}
-	if len(f.keepers) != len(want) {
-		t.Errorf("%d keepers are known, want %d", len(f.keepers), len(want))
+	if len(f.nodes) != len(want) {
+		t.Errorf("%d keepers are known, want %d", len(f.nodes), len(want))
 	}
 }
--- a/internal/system/distribution/rejoin_test.go
+++ b/internal/system/distribution/rejoin_test.go
@@ -18,7 +18,7 @@
 			defer fl.stop()
 			time.Sleep(4 * time.Second)
 			k := fl.hubs["k1:1"]
-			if !k.current() {
+			if !k.isCurrent() {
 				t.Errorf("%s: waits at its start", c.name)
 			}
 			for _, other := range []string{"k2:1", "k3:1"} {
@@ -31,16 +31,16 @@
 			clear(fl.mesh.cut)
 			fl.mesh.mu.Unlock()
 			fl.sources["k1:1"].setStale(false)
-			if got := k.current(); got != c.want {
+			if got := k.isCurrent(); got != c.want {
 				t.Errorf("%s: at once: %v", c.name, got)
 			}
-			time.Sleep(rejoinFor - 100*time.Millisecond)
-			if got := k.current(); got != c.want {
+			time.Sleep(rejoinDelay - 100*time.Millisecond)
+			if got := k.isCurrent(); got != c.want {
 				t.Errorf("%s: a moment before: %v", c.name, got)
 			}
 			time.Sleep(200 * time.Millisecond)
-			if !k.current() {
-				t.Errorf("%s: not in force %v after it is current", c.name, rejoinFor)
+			if !k.isCurrent() {
+				t.Errorf("%s: not in force %v after it is current", c.name, rejoinDelay)
 			}
 		})
 	}
--- a/internal/system/distribution/room_test.go
+++ b/internal/system/distribution/room_test.go
@@ -20,8 +20,8 @@
 	h := NewServer(ServerOptions{Source: &source{chain: c, keepers: []string{"k"}}, Self: "k", Log: quiet(), Limits: ServerLimits{MaxPendingReplyBytes: 1500 << 10}})
 	c.add(largeConfig(t, 1, 1<<20, rand.NewChaCha8([32]byte{5})))
 	ask := func(node string, held uint64) (*distributionpb.FollowReply, func()) {
-		ctx, release := withLease(t.Context())
-		reply, err := h.Follow(ctx, &distributionpb.FollowRequest{Member: Member{Node: node, Incarnation: 1}.wire(), Seq: held})
+		ctx, release := withReservation(t.Context())
+		reply, err := h.Follow(ctx, &distributionpb.FollowRequest{Member: Member{Node: node, Incarnation: 1}.ToProto(), Seq: held})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -46,8 +46,8 @@
 	}
 	five()
 	two()
-	if h.room.held != 0 {
-		t.Errorf("%d bytes are never given back", h.room.held)
+	if h.replyBudget.reservedBytes != 0 {
+		t.Errorf("%d bytes are never given back", h.replyBudget.reservedBytes)
 	}
 }
 
@@ -65,7 +65,7 @@
 		call := func(node string) net.Conn {
 			near, far := net.Pipe()
 			ends <- far
-			body := marshal(&distributionpb.FollowRequest{Member: Member{Node: node, Incarnation: 1}.wire()})
+			body := marshal(&distributionpb.FollowRequest{Member: Member{Node: node, Incarnation: 1}.ToProto()})
 			_, err := fmt.Fprintf(near, "POST /twirp/gradeusher.distribution.Distribution/Follow HTTP/1.1\r\nHost: k\r\nContent-Type: application/protobuf\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 			if err != nil {
 				t.Fatal(err)
@@ -75,9 +75,9 @@
 		deaf := call("deaf")
 		defer deaf.Close()
 		time.Sleep(time.Second)
-		h.room.mu.Lock()
-		held := h.room.held
-		h.room.mu.Unlock()
+		h.replyBudget.mu.Lock()
+		held := h.replyBudget.reservedBytes
+		h.replyBudget.mu.Unlock()
 		if held < 2<<20 {
 			t.Errorf("the run brought nothing about: %d bytes are held", held)
 		}
@@ -88,11 +88,11 @@
 			t.Errorf("%q, %v", head, err)
 		}
 		_ = other.Close()
-		time.Sleep(answerWithin)
-		h.room.mu.Lock()
-		defer h.room.mu.Unlock()
-		if h.room.held != 0 {
-			t.Errorf("%d bytes are held after %v", h.room.held, answerWithin)
+		time.Sleep(replyWriteTimeout)
+		h.replyBudget.mu.Lock()
+		defer h.replyBudget.mu.Unlock()
+		if h.replyBudget.reservedBytes != 0 {
+			t.Errorf("%d bytes are held after %v", h.replyBudget.reservedBytes, replyWriteTimeout)
 		}
 	})
 }
--- a/internal/system/distribution/share_test.go
+++ b/internal/system/distribution/share_test.go
@@ -17,7 +17,7 @@
 // sharing passes shares from one hub to another by hand.
 type sharing struct {
 	from, to *Server
-	progress shareProgress
+	progress syncProgress
 }
 
 // send composes a share, waits as if it lay in a buffer, hands it over, and takes the answer in.
@@ -29,14 +29,14 @@
 // sendOver sends a share over a link that delays it and its answer.
 func (s *sharing) sendOver(tb testing.TB, l leg) *distributionpb.ShareReply {
 	tb.Helper()
-	req, number := s.from.shareRequest(&s.progress)
+	req, number := s.from.buildShareRequest(&s.progress)
 	time.Sleep(l.out)
 	reply, err := s.to.Share(tb.Context(), req)
 	if err != nil {
 		tb.Fatal(err)
 	}
 	time.Sleep(l.back)
-	s.progress.took(time.Now(), req, number, reply)
+	s.progress.handleReply(time.Now(), req, number, reply)
 	return reply
 }
 
@@ -85,7 +85,7 @@
 func TestTimeInBuffersControl(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &sharing{from: hubNamed("a"), to: hubNamed("b")}
-		s.to.opt.hooks.fromArrival = true
+		s.to.options.Knobs.fromArrival = true
 		if err := s.from.PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(Age{})); err != nil {
 			t.Fatal(err)
 		}
@@ -130,7 +130,7 @@
 			s.send(t, 0)
 			s.send(t, 0)
 			if got, _, _ := s.to.List(); len(got) != 2 || !got[1].Draining {
-				t.Errorf("%s holds %+v", s.to.opt.Self, got)
+				t.Errorf("%s holds %+v", s.to.options.Self, got)
 			}
 		}
 		if cutOff.PutList(3, 2000, nil, madeAgo(Age{})) == nil {
--- a/internal/system/distribution/start_test.go
+++ b/internal/system/distribution/start_test.go
@@ -54,7 +54,7 @@
 	}
 	var first firstState
 	start := time.Now()
-	fl.startFollower(node, func(o *SubscriberOptions) { o.Seeds, o.OnUpdate, o.hooks = seeds, first.note, hooks })
+	fl.startFollower(node, func(o *SubscriberOptions) { o.Seeds, o.OnUpdate, o.Knobs = seeds, first.note, hooks })
 	time.Sleep(10 * time.Second)
 	seq, at := first.get()
 	return seq, at.Sub(start)
--- a/internal/system/distribution/table.go
+++ b/internal/system/distribution/table.go
@@ -20,8 +20,8 @@
 	Deleted        bool
 }
 
-// after is a total order over entries of one key, so that merging commutes even where two writers drew the same version.
-func (e Entry) after(o Entry) bool {
+// supersedes is a total order over entries of one key, so that merging commutes even where two writers drew the same version.
+func (e Entry) supersedes(o Entry) bool {
 	switch {
 	case e.Fence != o.Fence:
 		return e.Fence > o.Fence
@@ -35,29 +35,29 @@
 
 // Prefixes and names of keys.
 const (
-	memberPrefix = "member/"
-	serverPrefix = "server/"
-	hintPrefix   = "hint/"
-	listKey      = "list" // rises with each whole poll of the platform's list, also one that changed nothing
+	MemberPrefix = "member/"
+	ServerPrefix = "server/"
+	HintPrefix   = "hint/"
+	ListKey      = "list" // rises with each whole poll of the platform's list, also one that changed nothing
 )
 
-// lazy tells whether a change of the key may wait for the next answer that is sent anyway.
-func lazy(key string) bool { return key == listKey }
+// isLazy tells whether a change of the key may wait for the next answer that is sent anyway.
+func isLazy(key string) bool { return key == ListKey }
 
-// tombstoneFor is how long deletions are remembered: much longer than any keeper goes without hearing from another
+// tombstoneTTL is how long deletions are remembered: much longer than any keeper goes without hearing from another
 // while both feed proxies.
-const tombstoneFor = 60 * time.Second
+const tombstoneTTL = 60 * time.Second
 
-type item struct {
+type StoredEntry struct {
 	Entry
-	number uint64
-	made   TimeBounds
+	number      uint64
+	madeBetween TimeBounds
 
 	// What the value says, once it has been asked for; see views.go.
-	read   bool
-	valid  bool
-	member Member
-	server pick.Server
+	decoded       bool
+	valid         bool
+	decodedMember Member
+	decodedServer pick.Server
 }
 
 type change struct {
@@ -65,102 +65,104 @@
 	key    string
 }
 
-// table is a join semilattice of entries with a local log of changes. It is pure; its owner locks.
-type table struct {
-	items      map[string]*item
-	log        []change           // rising numbers; may name a key more than once
-	number     uint64             // of the last change
-	lastUrgent uint64             // of the last change that is not lazy
-	cut        uint64             // a deletion with this number has been forgotten
-	sorted     map[string][]*item // the live items under a prefix, by key, where they have been asked for
+// Table is a join semilattice of entries with a local log of changes. It is pure; its owner locks.
+type Table struct {
+	entries         map[string]*StoredEntry
+	log             []change                  // rising numbers; may name a key more than once
+	lastNumber      uint64                    // of the last change
+	lastUrgent      uint64                    // of the last change that is not lazy
+	forgottenNumber uint64                    // a deletion with this number has been forgotten
+	sorted          map[string][]*StoredEntry // the live items under a prefix, by key, where they have been asked for
 }
 
-func newTable() *table { return &table{items: map[string]*item{}, sorted: map[string][]*item{}} }
+func NewTable() *Table {
+	return &Table{entries: map[string]*StoredEntry{}, sorted: map[string][]*StoredEntry{}}
+}
 
-// age is how long ago the entry was made.
-func (it *item) age(now time.Time) Age { return it.made.age(now) }
+// AgeAt is how long ago the entry was made.
+func (it *StoredEntry) AgeAt(now time.Time) Age { return it.madeBetween.AgeAt(now) }
 
-// merge takes e in if it is after what is held. age is how long ago e was made.
-func (t *table) merge(now time.Time, e Entry, age Age) bool {
-	return t.put(e, age.ordered().before(now))
+// Merge takes e in if it is after what is held. age is how long ago e was made.
+func (t *Table) Merge(now time.Time, e Entry, age Age) bool {
+	return t.Put(e, age.normalized().madeBetween(now))
 }
 
-// put takes e in if it is after what is held. made is when e was made, which may be later than a clock that was read before.
-func (t *table) put(e Entry, made TimeBounds) bool {
-	held := t.items[e.Key]
-	if held != nil && !e.after(held.Entry) {
+// Put takes e in if it is after what is held. made is when e was made, which may be later than a clock that was read before.
+func (t *Table) Put(e Entry, made TimeBounds) bool {
+	held := t.entries[e.Key]
+	if held != nil && !e.supersedes(held.Entry) {
 		return false
 	}
-	t.number++
-	if !lazy(e.Key) {
-		t.lastUrgent = t.number
+	t.lastNumber++
+	if !isLazy(e.Key) {
+		t.lastUrgent = t.lastNumber
 	}
-	it := &item{Entry: e, made: made, number: t.number}
-	t.items[e.Key] = it
-	t.resort(held, it)
-	t.log = append(t.log, change{t.number, e.Key})
-	if len(t.log) > 2*len(t.items)+1024 {
+	it := &StoredEntry{Entry: e, madeBetween: made, number: t.lastNumber}
+	t.entries[e.Key] = it
+	t.updateSorted(held, it)
+	t.log = append(t.log, change{t.lastNumber, e.Key})
+	if len(t.log) > 2*len(t.entries)+1024 {
 		t.compact()
 	}
 	return true
 }
 
 // compact drops changes that later ones hide.
-func (t *table) compact() {
+func (t *Table) compact() {
 	kept := t.log[:0]
 	for _, c := range t.log {
-		if it := t.items[c.key]; it != nil && it.number == c.number {
+		if it := t.entries[c.key]; it != nil && it.number == c.number {
 			kept = append(kept, c)
 		}
 	}
 	t.log = kept
 }
 
-// since gives the items changed after the number n, and whether these are the whole table.
-func (t *table) since(n uint64) (items []*item, full bool) {
-	if n < t.cut || n > t.number {
+// ChangesSince gives the items changed after the number n, and whether these are the whole table.
+func (t *Table) ChangesSince(n uint64) (items []*StoredEntry, full bool) {
+	if n < t.forgottenNumber || n > t.lastNumber {
 		n = 0
 	}
 	first := sort.Search(len(t.log), func(i int) bool { return t.log[i].number > n })
 	for _, c := range t.log[first:] {
-		if it := t.items[c.key]; it != nil && it.number == c.number {
+		if it := t.entries[c.key]; it != nil && it.number == c.number {
 			items = append(items, it)
 		}
 	}
 	return items, n == 0
 }
 
-// hintFor is how long a hint counts.
-const hintFor = 30 * time.Second
+// hintTTL is how long a hint counts.
+const hintTTL = 30 * time.Second
 
-// expire forgets tombstones and hints whose time is over. A reader that is not past a tombstone forgotten has to take
+// Expire forgets tombstones and hints whose time is over. A reader that is not past a tombstone forgotten has to take
 // the whole table.
-func (t *table) expire(now time.Time) {
-	for key, it := range t.items {
-		switch age := it.age(now).Max; {
-		case it.Deleted && age > tombstoneFor:
-			t.cut = max(t.cut, it.number)
-			t.drop(key)
-		case age > hintFor && strings.HasPrefix(key, hintPrefix):
-			t.drop(key)
+func (t *Table) Expire(now time.Time) {
+	for key, it := range t.entries {
+		switch age := it.AgeAt(now).Max; {
+		case it.Deleted && age > tombstoneTTL:
+			t.forgottenNumber = max(t.forgottenNumber, it.number)
+			t.Drop(key)
+		case age > hintTTL && strings.HasPrefix(key, HintPrefix):
+			t.Drop(key)
 		}
 	}
 }
 
-// drop forgets an entry as if it had never come.
-func (t *table) drop(key string) {
-	if it := t.items[key]; it != nil {
-		delete(t.items, key)
-		t.resort(it, nil)
+// Drop forgets an entry as if it had never come.
+func (t *Table) Drop(key string) {
+	if it := t.entries[key]; it != nil {
+		delete(t.entries, key)
+		t.updateSorted(it, nil)
 	}
 }
 
-func toWire(now time.Time, items []*item) []*distributionpb.Entry {
+func EncodeEntries(now time.Time, items []*StoredEntry) []*distributionpb.Entry {
 	out := make([]*distributionpb.Entry, len(items))
 	for i, it := range items {
-		age := it.age(now)
+		age := it.AgeAt(now)
 		out[i] = &distributionpb.Entry{Key: it.Key, Fence: it.Fence, Version: it.Version, Value: it.Value, Deleted: it.Deleted,
-			AgeMs: ceilMillis(age.Max), LeastAgeMs: proto.Uint64(uint64(max(0, age.Min) / time.Millisecond))}
+			AgeMs: millisecondsCeil(age.Max), LeastAgeMs: proto.Uint64(uint64(max(0, age.Min) / time.Millisecond))}
 	}
 	return out
 }
@@ -168,22 +170,22 @@
 // maxAge bounds ages that others tell, so that none overflows.
 const maxAge = 24 * time.Hour
 
-// untoldSpan is by how much the least age lies below the most where a process from before least_age_ms does not tell it: longer
+// defaultAgeSpan is by how much the least age lies below the most where a process from before least_age_ms does not tell it: longer
 // than calls take that are answered in time. Were it 0, what such a process tells of a cold state of long ago would begin anew.
-const untoldSpan = 2 * time.Second
+const defaultAgeSpan = 2 * time.Second
 
-func fromWire(e *distributionpb.Entry) (Entry, Age) {
-	age := Age{Max: millis(e.GetAgeMs(), maxAge)}
+func DecodeEntry(e *distributionpb.Entry) (Entry, Age) {
+	age := Age{Max: BoundedMilliseconds(e.GetAgeMs(), maxAge)}
 	if e.LeastAgeMs != nil {
-		age.Min = millis(e.GetLeastAgeMs(), maxAge)
+		age.Min = BoundedMilliseconds(e.GetLeastAgeMs(), maxAge)
 	} else {
-		age.Min = age.Max - untoldSpan
+		age.Min = age.Max - defaultAgeSpan
 	}
-	return Entry{Key: e.GetKey(), Fence: e.GetFence(), Version: e.GetVersion(), Value: e.GetValue(), Deleted: e.GetDeleted()}, age.ordered()
+	return Entry{Key: e.GetKey(), Fence: e.GetFence(), Version: e.GetVersion(), Value: e.GetValue(), Deleted: e.GetDeleted()}, age.normalized()
 }
 
-// millis reads a number of milliseconds that another process told, bounded.
-func millis(ms uint64, most time.Duration) time.Duration {
+// BoundedMilliseconds reads a number of milliseconds that another process told, bounded.
+func BoundedMilliseconds(ms uint64, most time.Duration) time.Duration {
 	if ms > uint64(most/time.Millisecond) {
 		return most
 	}
--- a/internal/system/distribution/unit_test.go
+++ b/internal/system/distribution/unit_test.go
@@ -13,9 +13,9 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-func contents(tb *table) map[string]string {
+func contents(tb *Table) map[string]string {
 	out := map[string]string{}
-	for k, it := range tb.items {
+	for k, it := range tb.entries {
 		out[k] = fmt.Sprint(it.Fence, it.Version, it.Deleted, string(it.Value))
 	}
 	return out
@@ -32,12 +32,12 @@
 		entries := rapid.SliceOfN(entry, 1, 12).Draw(t, "entries")
 		again := rapid.Permutation(append(entries, entries[:len(entries)/2]...)).Draw(t, "again")
 		now := time.Now()
-		one, two := newTable(), newTable()
+		one, two := NewTable(), NewTable()
 		for _, e := range entries {
-			one.merge(now, e, Age{})
+			one.Merge(now, e, Age{})
 		}
 		for _, e := range again {
-			two.merge(now, e, Age{})
+			two.Merge(now, e, Age{})
 		}
 		if !maps.Equal(contents(one), contents(two)) {
 			t.Fatalf("%v, then %v", contents(one), contents(two))
@@ -49,29 +49,29 @@
 func TestDeltasAddUpToTheTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
-		tb, reader, at := newTable(), newTable(), uint64(0)
+		tb, reader, at := NewTable(), NewTable(), uint64(0)
 		n := rapid.IntRange(1, 200).Draw(t, "steps")
 		for i := range n {
 			e := Entry{Key: fmt.Sprint("k", rapid.IntRange(0, 6).Draw(t, "key")), Version: uint64(i), Deleted: rapid.IntRange(0, 3).Draw(t, "deleted") == 0}
-			tb.merge(now, e, Age{})
+			tb.Merge(now, e, Age{})
 			now = now.Add(rapid.SampledFrom([]time.Duration{0, time.Second, 40 * time.Second}).Draw(t, "pause"))
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
-				tb.expire(now)
+				tb.Expire(now)
 			case 1:
 				tb.compact()
 			case 2:
-				items, full := tb.since(at)
+				items, full := tb.ChangesSince(at)
 				if full {
-					reader = newTable()
+					reader = NewTable()
 				}
-				for _, w := range toWire(now, items) {
-					e, age := fromWire(w)
-					reader.merge(now, e, age)
+				for _, w := range EncodeEntries(now, items) {
+					e, age := DecodeEntry(w)
+					reader.Merge(now, e, age)
 				}
-				at = tb.number
-				tb.expire(now)
-				reader.expire(now)
+				at = tb.lastNumber
+				tb.Expire(now)
+				reader.Expire(now)
 				if !maps.Equal(contents(tb), contents(reader)) {
 					t.Fatalf("%v, the reader %v", contents(tb), contents(reader))
 				}
@@ -80,9 +80,9 @@
 	})
 }
 
-func sumOf(r *reading, now time.Time) map[string]pick.Load {
+func sumOf(r *Received, now time.Time) map[string]pick.Load {
 	out := map[string]pick.Load{}
-	r.add(now, out)
+	r.AddTo(now, out)
 	return out
 }
 
@@ -91,7 +91,7 @@
 	out := map[string]pick.Load{}
 	for id, l := range loads {
 		if l != (pick.Load{}) {
-			out[id] = inUnits(l)
+			out[id] = roundUpToUnits(l)
 		}
 	}
 	return out
@@ -102,15 +102,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
 		exact := rapid.Bool().Draw(t, "exact")
-		v, r := newVector(exact), &reading{}
+		v, r := NewVector(exact), &Received{}
 		loads := map[string]pick.Load{}
 		var old []*distributionpb.Loads
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(100 * time.Millisecond)
 			id := fmt.Sprint("s", rapid.IntRange(0, 9).Draw(t, "server"))
 			loads[id] = pick.Load{Requests: rapid.IntRange(0, 300).Draw(t, "requests"), Prefill: rapid.Int64Range(0, 1e6).Draw(t, "prefill")}
-			v.publish(now, loads)
-			w := v.since(r.boot, r.number)
+			v.Publish(now, loads)
+			w := v.ChangesSince(r.bootID, r.number)
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0: // lost
 				continue
@@ -118,43 +118,43 @@
 				old = append(old, w)
 				continue
 			case 2:
-				v = newVector(exact)
-				v.publish(now, loads)
-				w = v.since(r.boot, r.number)
+				v = NewVector(exact)
+				v.Publish(now, loads)
+				w = v.ChangesSince(r.bootID, r.number)
 				old = nil // those of a former life could not be told from news
 			case 3:
 				if len(old) > 0 {
-					r.apply(now, old[rapid.IntRange(0, len(old)-1).Draw(t, "which")])
+					r.Apply(now, old[rapid.IntRange(0, len(old)-1).Draw(t, "which")])
 				}
-				w = v.since(r.boot, r.number)
+				w = v.ChangesSince(r.bootID, r.number)
 			}
-			if !r.apply(now, w) {
+			if !r.Apply(now, w) {
 				t.Fatalf("refused %+v at %d", w, r.number)
 			}
 			got := sumOf(r, now)
 			for id, l := range loads {
-				if g := got[id]; g != inUnits(l) && (exact || material(g, inUnits(l))) {
+				if g := got[id]; g != roundUpToUnits(l) && (exact || isMaterial(g, roundUpToUnits(l))) {
 					t.Fatalf("%s: %+v for %+v", id, g, l)
 				}
 			}
 		}
-		v.publish(now.Add(settle), loads)
-		if r.apply(now, v.since(r.boot, r.number)); !maps.Equal(sumOf(r, now), told(loads)) {
+		v.Publish(now.Add(minorChangeDelay), loads)
+		if r.Apply(now, v.ChangesSince(r.bootID, r.number)); !maps.Equal(sumOf(r, now), told(loads)) {
 			t.Fatalf("in the end %+v for %+v", sumOf(r, now), loads)
 		}
-		if got := sumOf(r, now.Add(loadLife+1)); len(got) > 0 {
+		if got := sumOf(r, now.Add(LoadTTL+1)); len(got) > 0 {
 			t.Fatalf("counts after its life: %v", got)
 		}
 	})
 }
 
 func FuzzReading(f *testing.F) {
-	v := newVector(true)
-	v.publish(time.Now(), map[string]pick.Load{"a": {Requests: 1}, "b": {Tokens: 70000}})
-	f.Add(v.since(0, 0).GetBody())
+	v := NewVector(true)
+	v.Publish(time.Now(), map[string]pick.Load{"a": {Requests: 1}, "b": {Tokens: 70000}})
+	f.Add(v.ChangesSince(0, 0).GetBody())
 	f.Fuzz(func(_ *testing.T, b []byte) {
-		var r reading
-		r.apply(time.Now(), &distributionpb.Loads{Boot: 1, Number: 1, Body: b})
+		var r Received
+		r.Apply(time.Now(), &distributionpb.Loads{Boot: 1, Number: 1, Body: b})
 		sumOf(&r, time.Now())
 	})
 }
@@ -222,18 +222,18 @@
 func TestServerTimesCountDown(t *testing.T) {
 	in := pick.Server{ID: "a", Service: "s", Address: "h:1", Zone: "z", Region: "r", Slots: 4, Draining: true,
 		Remaining: 2 * time.Second, WarmUpMax: 3 * time.Second}
-	told, ok := decodeServer("a", encodeServer(in))
+	told, ok := decodeServer("a", EncodeServer(in))
 	if !ok || told != in {
 		t.Errorf("told %+v", told)
 	}
 	// What forbids ends late and what permits ends early, as far as the age is known. What is least left lacks the margin that
 	// was added to the end, and what was rounded up.
-	got := countDown(told, Age{Min: 300 * time.Millisecond, Max: 500 * time.Millisecond})
+	got := CountDown(told, Age{Min: 300 * time.Millisecond, Max: 500 * time.Millisecond})
 	in.Remaining, in.WarmUpMax, in.WarmUpMin = 1500*time.Millisecond, 2700*time.Millisecond, 2478*time.Millisecond
 	if got != in {
 		t.Errorf("got %+v", got)
 	}
-	if got = countDown(told, exactAge(time.Minute)); got.WarmUpMax != 0 || got.WarmUpMin != 0 || got.Remaining != time.Millisecond {
+	if got = CountDown(told, exactAge(time.Minute)); got.WarmUpMax != 0 || got.WarmUpMin != 0 || got.Remaining != time.Millisecond {
 		t.Errorf("after all: %+v", got)
 	}
 }
@@ -243,7 +243,7 @@
 	h := newIdleHub()
 	now := time.Now()
 	m := Member{Node: "p", Incarnation: 5}
-	h.end(h.begin(m, &distributionpb.FollowRequest{Member: m.wire()}))
+	h.endCall(h.beginCall(m, &distributionpb.FollowRequest{Member: m.ToProto()}))
 	down := func() bool { return h.Members()[0].Down }
 	h.tick(now.Add(100 * time.Millisecond))
 	h.tick(now.Add(20 * time.Second))
@@ -256,7 +256,7 @@
 	if !down() {
 		t.Error("not down though silent")
 	}
-	h.end(h.begin(m, &distributionpb.FollowRequest{Member: m.wire()}))
+	h.endCall(h.beginCall(m, &distributionpb.FollowRequest{Member: m.ToProto()}))
 	if down() {
 		t.Error("its call does not refute")
 	}
@@ -266,16 +266,16 @@
 	h := newIdleHub()
 	now := time.Now()
 	m := Member{Node: "p", Incarnation: 5}
-	h.end(h.begin(m, &distributionpb.FollowRequest{Member: m.wire()}))
+	h.endCall(h.beginCall(m, &distributionpb.FollowRequest{Member: m.ToProto()}))
 	other := Member{Node: "q", Incarnation: 6}
 	say := func(incarnation uint64) bool {
-		h.end(h.begin(other, &distributionpb.FollowRequest{Member: other.wire(), Down: []*distributionpb.Verdict{{Node: "p", Incarnation: incarnation}}}))
+		h.endCall(h.beginCall(other, &distributionpb.FollowRequest{Member: other.ToProto(), Down: []*distributionpb.Verdict{{Node: "p", Incarnation: incarnation}}}))
 		return h.Members()[0].Down
 	}
 	if say(5) {
 		t.Error("a proxy that just called is down")
 	}
-	h.followers["p"].seen = now.Add(-time.Second)
+	h.subscribers["p"].lastCall = now.Add(-time.Second)
 	if say(4) {
 		t.Error("a verdict on another life counts")
 	}
@@ -289,7 +289,7 @@
 func TestEndedConnectionMarksDown(t *testing.T) {
 	h := newIdleHub()
 	now := time.Now()
-	h.ticked = now
+	h.lastTick = now
 	down := func(node string) bool {
 		t.Helper()
 		for _, m := range h.Members() {
@@ -301,27 +301,27 @@
 		return false
 	}
 	for _, node := range []string{"ended", "reset", "held"} {
-		f := h.begin(Member{Node: node, Incarnation: 7, Revision: 1}, &distributionpb.FollowRequest{})
+		f := h.beginCall(Member{Node: node, Incarnation: 7, Revision: 1}, &distributionpb.FollowRequest{})
 		if node != "held" {
-			h.broke(f)
-			h.end(f)
+			h.recordLostConnection(f)
+			h.endCall(f)
 		}
 	}
-	h.end(h.begin(Member{Node: "reset", Incarnation: 7, Revision: 1}, &distributionpb.FollowRequest{}))
+	h.endCall(h.beginCall(Member{Node: "reset", Incarnation: 7, Revision: 1}, &distributionpb.FollowRequest{}))
 	for i := range 6 {
 		h.tick(now.Add(time.Duration(i+1) * 100 * time.Millisecond))
 	}
 	if !down("ended") || down("reset") || down("held") {
 		t.Errorf("after 600 ms: ended %v, reset %v, held %v", down("ended"), down("reset"), down("held"))
 	}
-	h.end(h.begin(Member{Node: "ended", Incarnation: 8, Revision: 1}, &distributionpb.FollowRequest{}))
+	h.endCall(h.beginCall(Member{Node: "ended", Incarnation: 8, Revision: 1}, &distributionpb.FollowRequest{}))
 	if down("ended") {
 		t.Error("its next life is still down")
 	}
 }
 
 // madeAgo is when something was made that is so old now.
-func madeAgo(age Age) TimeBounds { return age.before(time.Now()) }
+func madeAgo(age Age) TimeBounds { return age.madeBetween(time.Now()) }
 
 // exactAge is the age of what is known to be d old.
 func exactAge(d time.Duration) Age { return Age{d, d} }
--- a/internal/system/distribution/values.go
+++ b/internal/system/distribution/values.go
@@ -23,25 +23,25 @@
 	Revision      uint64 // rises with each change that the process makes to Ready or Leaving
 }
 
-func (m Member) wire() *distributionpb.Member {
+func (m Member) ToProto() *distributionpb.Member {
 	return &distributionpb.Member{Node: m.Node, Incarnation: m.Incarnation, Zone: m.Zone, Region: m.Region, Ip: m.IP, Front: m.ClientAddress,
 		Ready: m.Ready, Leaving: m.Draining, Down: m.Down, Owner: m.Owner, Revision: m.Revision}
 }
 
-func memberOf(m *distributionpb.Member) Member {
+func MemberFromProto(m *distributionpb.Member) Member {
 	return Member{Node: m.GetNode(), Incarnation: m.GetIncarnation(), Zone: m.GetZone(), Region: m.GetRegion(), IP: m.GetIp(),
 		ClientAddress: m.GetFront(), Ready: m.GetReady(), Draining: m.GetLeaving(), Down: m.GetDown(), Owner: m.GetOwner(),
 		Revision: m.GetRevision()}
 }
 
-func (m Member) encode() []byte { return marshal(m.wire()) }
+func (m Member) Encode() []byte { return marshal(m.ToProto()) }
 
-func decodeMember(value []byte) (Member, bool) {
+func DecodeMember(value []byte) (Member, bool) {
 	var m distributionpb.Member
 	if proto.Unmarshal(value, &m) != nil {
 		return Member{}, false
 	}
-	return memberOf(&m), true
+	return MemberFromProto(&m), true
 }
 
 // marshal encodes a message; its own messages hold valid strings, so no error is possible.
@@ -50,16 +50,16 @@
 	return b
 }
 
-// longest bounds the times told of a server.
-const longest = 24 * time.Hour
+// maxServerDuration bounds the times told of a server.
+const maxServerDuration = 24 * time.Hour
 
-func encodeServer(s pick.Server) []byte {
+func EncodeServer(s pick.Server) []byte {
 	return marshal(&distributionpb.Server{Service: s.Service, Address: s.Address, Zone: s.Zone, Region: s.Region,
-		Slots: uint32(max(0, min(s.Slots, 1<<30))), Draining: s.Draining, RemainingMs: ceilMillis(s.Remaining), ColdMs: ceilMillis(s.WarmUpMax)})
+		Slots: uint32(max(0, min(s.Slots, 1<<30))), Draining: s.Draining, RemainingMs: millisecondsCeil(s.Remaining), ColdMs: millisecondsCeil(s.WarmUpMax)})
 }
 
-func ceilMillis(d time.Duration) uint64 {
-	return uint64((max(0, min(d, longest)) + time.Millisecond - 1) / time.Millisecond)
+func millisecondsCeil(d time.Duration) uint64 {
+	return uint64((max(0, min(d, maxServerDuration)) + time.Millisecond - 1) / time.Millisecond)
 }
 
 // decodeServer reads the entry of a server, with its times as they were when the entry was made.
@@ -69,15 +69,15 @@
 		return pick.Server{}, false
 	}
 	s := pick.Server{ID: id, Service: w.GetService(), Address: w.GetAddress(), Zone: w.GetZone(), Region: w.GetRegion(),
-		Slots: int(w.GetSlots()), Draining: w.GetDraining(), WarmUpMax: millis(w.GetColdMs(), longest),
-		Remaining: millis(w.GetRemainingMs(), longest)}
+		Slots: int(w.GetSlots()), Draining: w.GetDraining(), WarmUpMax: BoundedMilliseconds(w.GetColdMs(), maxServerDuration),
+		Remaining: BoundedMilliseconds(w.GetRemainingMs(), maxServerDuration)}
 	return s, true
 }
 
-// countDown gives a server with its times as they are, age after they were told. Cold forbids, so it errs late; Remaining
+// CountDown gives a server with its times as they are, age after they were told. Cold forbids, so it errs late; Remaining
 // permits, so it errs early.
-func countDown(s pick.Server, age Age) pick.Server {
-	s.WarmUpMin = max(0, s.WarmUpMax-coldMargin-coldGrain-age.Max)
+func CountDown(s pick.Server, age Age) pick.Server {
+	s.WarmUpMin = max(0, s.WarmUpMax-warmUpMargin-warmUpRounding-age.Max)
 	s.WarmUpMax = max(0, s.WarmUpMax-age.Min)
 	if s.Remaining > 0 {
 		s.Remaining = max(time.Millisecond, s.Remaining-age.Max) // 0 would mean that nothing was told
@@ -86,22 +86,22 @@
 }
 
 const (
-	// remainingSlack is how far a notice told anew may be from the one that counts down before the entry is written again.
+	// remainingTolerance is how far a notice told anew may be from the one that counts down before the entry is written again.
 	// The list rounds and lags by about as much.
-	remainingSlack = 400 * time.Millisecond
-	// coldSlack is how much longer than by a new reading an entry may call a server cold before it is written again.
-	coldSlack = 250 * time.Millisecond
-	// coldMargin is added to an end of the cold state that is written, so that readings of one cold state, which differ by what
+	remainingTolerance = 400 * time.Millisecond
+	// warmUpTolerance is how much longer than by a new reading an entry may call a server cold before it is written again.
+	warmUpTolerance = 250 * time.Millisecond
+	// warmUpMargin is added to an end of the cold state that is written, so that readings of one cold state, which differ by what
 	// their ways take, are not written one after the other.
-	coldMargin = 20 * time.Millisecond
-	// coldGrain is by how much an end is rounded up on the way, at most.
-	coldGrain = 2 * time.Millisecond
+	warmUpMargin = 20 * time.Millisecond
+	// warmUpRounding is by how much an end is rounded up on the way, at most.
+	warmUpRounding = 2 * time.Millisecond
 )
 
-// standsBeside tells whether what is held of a server stands beside a new reading of it, both with their times as of now, so that
+// AgreesWithReading tells whether what is held of a server stands beside a new reading of it, both with their times as of now, so that
 // the entry need not be written again.
-func standsBeside(held, read pick.Server) bool {
-	ok := coldStandsBeside(held, read) && (held.Remaining-read.Remaining).Abs() <= remainingSlack &&
+func AgreesWithReading(held, read pick.Server) bool {
+	ok := warmUpAgrees(held, read) && (held.Remaining-read.Remaining).Abs() <= remainingTolerance &&
 		(held.Remaining > 0) == (read.Remaining > 0)
 	for _, s := range []*pick.Server{&held, &read} {
 		s.WarmUpMax, s.WarmUpMin, s.Remaining = 0, 0, 0
@@ -109,16 +109,16 @@
 	return ok && held == read
 }
 
-// coldStandsBeside tells whether a server is held to be cold for about as long as a new reading says, and never for less than it
+// warmUpAgrees tells whether a server is held to be cold for about as long as a new reading says, and never for less than it
 // may be. A later end counts even where both may be of one cold state, as that may have been extended in between.
-func coldStandsBeside(held, read pick.Server) bool {
-	return read.WarmUpMax <= held.WarmUpMax && held.WarmUpMax-read.WarmUpMax <= coldSlack
+func warmUpAgrees(held, read pick.Server) bool {
+	return read.WarmUpMax <= held.WarmUpMax && held.WarmUpMax-read.WarmUpMax <= warmUpTolerance
 }
 
-// withMargin is a server whose cold state, if it has one, ends a little later.
-func withMargin(s pick.Server) pick.Server {
+// WithWarmUpMargin is a server whose cold state, if it has one, ends a little later.
+func WithWarmUpMargin(s pick.Server) pick.Server {
 	if s.WarmUpMax > 0 {
-		s.WarmUpMax += coldMargin
+		s.WarmUpMax += warmUpMargin
 	}
 	return s
 }
--- a/internal/system/distribution/views.go
+++ b/internal/system/distribution/views.go
@@ -8,24 +8,24 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// live gives the items under the prefix of members or servers that are not deleted, by key. It is the table's own slice.
-func (t *table) live(prefix string) []*item {
+// Live gives the items under the prefix of members or servers that are not deleted, by key. It is the table's own slice.
+func (t *Table) Live(prefix string) []*StoredEntry {
 	if out, ok := t.sorted[prefix]; ok {
 		return out
 	}
-	var out []*item
-	for key, it := range t.items {
+	var out []*StoredEntry
+	for key, it := range t.entries {
 		if !it.Deleted && strings.HasPrefix(key, prefix) {
 			out = append(out, it)
 		}
 	}
-	slices.SortFunc(out, func(a, b *item) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortFunc(out, func(a, b *StoredEntry) int { return strings.Compare(a.Key, b.Key) })
 	t.sorted[prefix] = out
 	return out
 }
 
-// resort keeps the sorted items right where now takes the place of was; either may be nil.
-func (t *table) resort(was, now *item) {
+// updateSorted keeps the sorted items right where now takes the place of was; either may be nil.
+func (t *Table) updateSorted(was, now *StoredEntry) {
 	key := ""
 	if now != nil {
 		key = now.Key
@@ -37,7 +37,7 @@
 			continue
 		}
 		lived, lives := was != nil && !was.Deleted, now != nil && !now.Deleted
-		i, found := slices.BinarySearchFunc(list, key, func(it *item, key string) int { return strings.Compare(it.Key, key) })
+		i, found := slices.BinarySearchFunc(list, key, func(it *StoredEntry, key string) int { return strings.Compare(it.Key, key) })
 		switch {
 		case lived && lives && found:
 			list[i] = now
@@ -48,56 +48,56 @@
 }
 
 // decode reads the value once.
-func (it *item) decode() {
-	if it.read {
+func (it *StoredEntry) decode() {
+	if it.decoded {
 		return
 	}
-	it.read = true
+	it.decoded = true
 	switch name := it.Key; {
-	case strings.HasPrefix(name, memberPrefix):
-		it.member, it.valid = decodeMember(it.Value)
-		it.valid = it.valid && it.member.Node == name[len(memberPrefix):]
-	case strings.HasPrefix(name, serverPrefix):
-		it.server, it.valid = decodeServer(name[len(serverPrefix):], it.Value)
+	case strings.HasPrefix(name, MemberPrefix):
+		it.decodedMember, it.valid = DecodeMember(it.Value)
+		it.valid = it.valid && it.decodedMember.Node == name[len(MemberPrefix):]
+	case strings.HasPrefix(name, ServerPrefix):
+		it.decodedServer, it.valid = decodeServer(name[len(ServerPrefix):], it.Value)
 	}
 }
 
-// memberIn gives the member that an entry is about.
-func (it *item) memberIn() (Member, bool) {
+// Member gives the member that an entry is about.
+func (it *StoredEntry) Member() (Member, bool) {
 	it.decode()
-	return it.member, it.valid
+	return it.decodedMember, it.valid
 }
 
-// serverAt gives the server that an entry is about, with its times as of now.
-func (it *item) serverAt(now time.Time) (pick.Server, bool) {
+// ServerAt gives the server that an entry is about, with its times as of now.
+func (it *StoredEntry) ServerAt(now time.Time) (pick.Server, bool) {
 	it.decode()
-	return countDown(it.server, it.age(now)), it.valid
+	return CountDown(it.decodedServer, it.AgeAt(now)), it.valid
 }
 
-// members gives the members, by name.
-func (t *table) members() []Member {
-	items := t.live(memberPrefix)
+// Members gives the Members, by name.
+func (t *Table) Members() []Member {
+	items := t.Live(MemberPrefix)
 	out := make([]Member, 0, len(items))
 	for _, it := range items {
-		if m, ok := it.memberIn(); ok {
+		if m, ok := it.Member(); ok {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// servers gives the servers as of now, by id, and the age of the newest whole reading of the list; false: none yet.
-func (t *table) servers(now time.Time) ([]pick.Server, time.Duration, bool) {
-	items := t.live(serverPrefix)
+// Servers gives the Servers as of now, by id, and the age of the newest whole reading of the list; false: none yet.
+func (t *Table) Servers(now time.Time) ([]pick.Server, time.Duration, bool) {
+	items := t.Live(ServerPrefix)
 	out := make([]pick.Server, 0, len(items))
 	for _, it := range items {
-		if s, ok := it.serverAt(now); ok {
+		if s, ok := it.ServerAt(now); ok {
 			out = append(out, s)
 		}
 	}
-	held := t.items[listKey]
+	held := t.entries[ListKey]
 	if held == nil {
 		return out, 0, false
 	}
-	return out, held.age(now).Max, true
+	return out, held.AgeAt(now).Max, true
 }
