--- a/internal/system/distribution/catchup_test.go
+++ b/internal/system/distribution/catchup_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestPlanFeed(t *testing.T) {
+func TestPlanCatchUp(t *testing.T) {
 	const most = 64
 	for _, c := range []struct {
 		name  string
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestDecideTakesOnlyWhatIsNewerAndGoesOn(t *testing.T) {
+func TestPlanTakesOnlyNewerContiguousRecords(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		at    Position
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestOnlyAPromptWordOfACurrentKeeperProves(t *testing.T) {
+func TestOnlyFreshOfferOfCurrentNodeProvesFreshness(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		at    Position
--- a/internal/system/distribution/commit_log_test.go
+++ b/internal/system/distribution/commit_log_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestReadingTellsWhatItCovers: a keeper's reading covers the records that it knew lag before it asked, and proxies hear which.
-func TestReadingTellsWhatItCovers(t *testing.T) {
+// TestReadingReportsCoveredRecord: a keeper's reading covers the records that it knew lag before it asked, and proxies hear which.
+func TestReadingReportsCoveredRecord(t *testing.T) {
 	const lag = 800 * time.Millisecond
 	h := NewServer(ServerOptions{Source: &source{chain: newChain(), keepers: []string{"k"}}, Self: "k", Log: quiet(), ListLag: lag})
 	begin := time.Now().Add(-10 * time.Second)
@@ -62,9 +62,9 @@
 	}
 }
 
-// TestRefreshTellsOfTheNextWord: the owner is told of a current keeper's answer to a call from after Refresh, also if it holds
+// TestRefreshNotifiesOfNextContact: the owner is told of a current keeper's answer to a call from after Refresh, also if it holds
 // nothing new, and of none before.
-func TestRefreshTellsOfTheNextWord(t *testing.T) {
+func TestRefreshNotifiesOfNextContact(t *testing.T) {
 	f := NewSubscriber(SubscriberOptions{Log: quiet()})
 	told := func() bool {
 		select {
--- a/internal/system/distribution/fleet_faults_test.go
+++ b/internal/system/distribution/fleet_faults_test.go
@@ -39,7 +39,7 @@
 	return false
 }
 
-func TestProxiesStayMembersWhileTheirKeeperIsKilled(t *testing.T) {
+func TestProxiesStayMembersWhileTheirNodeIsKilled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet("k1:1", "k2:1", "k3:1")
 		defer fl.stop()
@@ -59,7 +59,7 @@
 	})
 }
 
-func TestSilentProxyIsDownUntilItCallsAgain(t *testing.T) {
+func TestTimedOutProxyIsDownUntilItCallsAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet("k1:1", "k2:1", "k3:1")
 		defer fl.stop()
@@ -84,7 +84,7 @@
 	})
 }
 
-func TestLeavingIsKnownAtOnce(t *testing.T) {
+func TestDrainingIsPublishedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet("k1:1", "k2:1", "k3:1")
 		defer fl.stop()
@@ -128,7 +128,7 @@
 	})
 }
 
-func TestLoadsOfOthersAreToldAndForgotten(t *testing.T) {
+func TestLoadsOfOthersArePublishedAndExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet("k1:1", "k2:1", "k3:1")
 		defer fl.stop()
@@ -176,7 +176,7 @@
 	})
 }
 
-func TestKeeperThatIsNotCurrentIsLeft(t *testing.T) {
+func TestSubscriberLeavesNodeThatIsNotCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet("k1:1", "k2:1", "k3:1")
 		defer fl.stop()
@@ -213,7 +213,7 @@
 	})
 }
 
-func TestServersOutliveARestartOfAllKeepers(t *testing.T) {
+func TestServersOutliveRestartOfAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet("k1:1", "k2:1", "k3:1")
 		defer fl.stop()
@@ -245,7 +245,7 @@
 	})
 }
 
-func TestNeighboursFeedWhereNoKeeperIsReached(t *testing.T) {
+func TestNeighboursServeWhereNoNodeIsReached(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet("k1:1", "k2:1", "k3:1")
 		defer fl.stop()
@@ -269,7 +269,7 @@
 	})
 }
 
-func TestNearestKeeperIsTakenAndTakenAgain(t *testing.T) {
+func TestNearestNodeIsChosenAndChosenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet("k1:1", "k2:1", "k3:1")
 		defer fl.stop()
--- a/internal/system/distribution/fleet_test.go
+++ b/internal/system/distribution/fleet_test.go
@@ -16,7 +16,7 @@
 
 func none() controlstate.Record { return controlstate.Record{Op: controlstate.OpNone} }
 
-func TestProxyIsFedWithinHalfASecondOfItsStart(t *testing.T) {
+func TestProxyIsCaughtUpWithinHalfASecondOfItsStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet("k1:1", "k2:1", "k3:1")
 		defer fl.stop()
--- a/internal/system/distribution/invariants_test.go
+++ b/internal/system/distribution/invariants_test.go
@@ -7,8 +7,8 @@
 	"gradeusher.example/gradeusher/internal/system/invariant/invarianttest"
 )
 
-// TestNeverBackControl: a state that is older than the one held is seen.
-func TestNeverBackControl(t *testing.T) {
+// TestStateNeverGoesBackControl: a state that is older than the one held is seen.
+func TestStateNeverGoesBackControl(t *testing.T) {
 	f := NewSubscriber(SubscriberOptions{Log: quiet()})
 	newer := controlstate.Empty()
 	newer.Seq = 5
--- a/internal/system/distribution/late_delivery_controls_norace_test.go
+++ b/internal/system/distribution/late_delivery_controls_norace_test.go
@@ -10,8 +10,8 @@
 // Not with the race detector: go1.26.8's runtime crashed in this test (SIGSEGV in runtime.(*timer).maybeRunChan, in a bubble of
 // testing/synctest), though the test looks for no races. .ci/run plays it without.
 
-// TestSeededCutsControls: with a protection taken out some seed breaks what must hold.
-func TestSeededCutsControls(t *testing.T) {
+// TestSeededPartitionsControls: with a protection taken out some seed breaks what must hold.
+func TestSeededPartitionsControls(t *testing.T) {
 	for name, c := range map[string]struct {
 		hub     hubHooks
 		proxies followerHooks
--- a/internal/system/distribution/late_delivery_test.go
+++ b/internal/system/distribution/late_delivery_test.go
@@ -173,11 +173,11 @@
 	return w.faults, w.broken
 }
 
-// TestSeededCutsWithLateDelivery: keepers and proxies are cut off for 20 s, wholly or from the keepers alone, and what was
+// TestSeededPartitionsWithLateDelivery: keepers and proxies are cut off for 20 s, wholly or from the keepers alone, and what was
 // under way comes afterwards. At no moment does a proxy go back, count as fresh on a state that was overtaken over 1.6 s
 // ago, go back to a list that was read over 2 s before, or take one for younger than it is; 6 s after the last fault all are level. DISTRIBUTION_SEEDS sets how many seeds
 // run.
-func TestSeededCutsWithLateDelivery(t *testing.T) {
+func TestSeededPartitionsWithLateDelivery(t *testing.T) {
 	seeds, err := strconv.ParseUint(cmp.Or(os.Getenv("DISTRIBUTION_SEEDS"), "5"), 10, 64)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/system/distribution/loopback_test.go
+++ b/internal/system/distribution/loopback_test.go
@@ -114,10 +114,10 @@
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
 }
 
-// BenchmarkKeeperWithFollowers runs a keeper and 100 followers in one process over loopback, each with load on 40 of
+// BenchmarkServerWithSubscribers runs a keeper and 100 followers in one process over loopback, each with load on 40 of
 // 400 servers that changes all the time, and a changed server each 100 ms. It reports what both ends together spend a
 // follower, and the bytes of their connections without TCP's own.
-func BenchmarkKeeperWithFollowers(b *testing.B) {
+func BenchmarkServerWithSubscribers(b *testing.B) {
 	for _, pace := range []time.Duration{100 * time.Millisecond, 300 * time.Millisecond} {
 		for _, busy := range []bool{false, true} {
 			b.Run(fmt.Sprintf("pace=%v/busy=%v", pace, busy), func(b *testing.B) { benchmarkKeeper(b, pace, busy) })
--- a/internal/system/distribution/membership_incomplete_test.go
+++ b/internal/system/distribution/membership_incomplete_test.go
@@ -7,9 +7,9 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 )
 
-// TestUpdateTellsOfMembersThatMayLack: a proxy is told that its members may be part of all until a table that misses none has
+// TestUpdateReportsIncompleteMembership: a proxy is told that its members may be part of all until a table that misses none has
 // come, and that others may have given it up where they call it down.
-func TestUpdateTellsOfMembersThatMayLack(t *testing.T) {
+func TestUpdateReportsIncompleteMembership(t *testing.T) {
 	now := time.Now()
 	f := NewSubscriber(SubscriberOptions{Log: quiet(), Self: Member{Node: "p", Incarnation: 4}})
 	if u := f.currentUpdate(now); !u.MembershipIncomplete || !u.Stale {
--- a/internal/system/distribution/membership_partition_test.go
+++ b/internal/system/distribution/membership_partition_test.go
@@ -78,9 +78,9 @@
 	return c.fewest()
 }
 
-// TestKeeperBackFromACutTakesNobodyDown: a keeper that was cut off from the others for 20 s has marked down what it no longer
+// TestNodeBackFromPartitionMarksNobodyDown: a keeper that was cut off from the others for 20 s has marked down what it no longer
 // heard of. Danger: back again, it spreads that, and for a moment every proxy counts itself the only one.
-func TestKeeperBackFromACutTakesNobodyDown(t *testing.T) {
+func TestNodeBackFromPartitionMarksNobodyDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		if n := backFromACut(t, hubHooks{}); n != flapMembers {
 			t.Errorf("a proxy was told of %d members", n)
@@ -93,9 +93,9 @@
 	})
 }
 
-// TestKeepersThatDoNotHearEachOther: two keepers that both hear the third, but not each other, leave each other's proxies
+// TestNodesWithoutContactToEachOther: two keepers that both hear the third, but not each other, leave each other's proxies
 // alone. Danger: they mark them down again and again.
-func TestKeepersThatDoNotHearEachOther(t *testing.T) {
+func TestNodesWithoutContactToEachOther(t *testing.T) {
 	run := func(t *testing.T, hooks hubHooks) int {
 		t.Helper()
 		fl, c := flapFleet(hooks)
--- a/internal/system/distribution/mismatched_reply_test.go
+++ b/internal/system/distribution/mismatched_reply_test.go
@@ -117,9 +117,9 @@
 	return NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet(), Transport: transport}), p, ln.Addr().String()
 }
 
-// TestAnAnswerReachesItsCallAlone: whatever a peer does, on fresh connections and on ones that are used again, in any order: a
+// TestReplyReachesItsCallAlone: whatever a peer does, on fresh connections and on ones that are used again, in any order: a
 // poll that succeeds brings the answer to that very poll, and none is sent a second time.
-func TestAnAnswerReachesItsCallAlone(t *testing.T) {
+func TestReplyReachesItsCallAlone(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 5))
 	counts := map[string]int{}
 	f, p, address := scriptedFollower(t, func(uint32) string {
@@ -157,8 +157,8 @@
 	}
 }
 
-// TestAnswersOfOthersControl: without the names of calls, the answer to another call is taken.
-func TestAnswersOfOthersControl(t *testing.T) {
+// TestMismatchedReplyControl: without the names of calls, the answer to another call is taken.
+func TestMismatchedReplyControl(t *testing.T) {
 	f, _, address := scriptedFollower(t, func(uint32) string { return "another's answer" })
 	for _, hook := range []bool{false, true} {
 		f.options.Knobs.anyCall = hook
@@ -170,8 +170,8 @@
 	}
 }
 
-// TestOneAnswerTooManyPutsNothingOff: after a peer that answered twice, the next poll does not take the surplus answer.
-func TestOneAnswerTooManyPutsNothingOff(t *testing.T) {
+// TestSurplusReplyShiftsNothing: after a peer that answered twice, the next poll does not take the surplus answer.
+func TestSurplusReplyShiftsNothing(t *testing.T) {
 	f, _, address := scriptedFollower(t, func(uint32) string { return "twice in one packet" })
 	for range 200 {
 		req := &distributionpb.FollowRequest{}
@@ -183,8 +183,8 @@
 	}
 }
 
-// TestRepeatedCallsChangeNothing: a poll or a share that comes twice leaves a keeper as it was after the first.
-func TestRepeatedCallsChangeNothing(t *testing.T) {
+// TestRetriedCallsChangeNothing: a poll or a share that comes twice leaves a keeper as it was after the first.
+func TestRetriedCallsChangeNothing(t *testing.T) {
 	h := newIdleHub()
 	h.markComplete()
 	m := Member{Node: "p", Incarnation: 5, Revision: 2, Ready: true}
--- a/internal/system/distribution/older_list_resync_test.go
+++ b/internal/system/distribution/older_list_resync_test.go
@@ -24,10 +24,10 @@
 	f.handleReply(time.Now(), time.Now(), req, reply)
 }
 
-// TestListThatLookedOldIsToldAgain: a proxy moves to a keeper whose newest reading came by a slow share, so that its age lies between 0 and 2.6 s. It
+// TestSkippedListIsSentAgain: a proxy moves to a keeper whose newest reading came by a slow share, so that its age lies between 0 and 2.6 s. It
 // is newer than the one that is held, but looks older by more than the tolerance, and is not taken. The keeper's next readings change
 // nothing there. Danger: what the first one said (a server drains, or is cold) is never told.
-func TestListThatLookedOldIsToldAgain(t *testing.T) {
+func TestSkippedListIsSentAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := newIdleHub(), newIdleHub()
 		a.markComplete()
@@ -56,11 +56,11 @@
 	})
 }
 
-// TestNewerReadingOfALowerVersionIsTaken: a proxy holds the list as the holder of the duty read it last, in version 100. It moves to a keeper that
+// TestNewerReadingOfLowerVersionIsApplied: a proxy holds the list as the holder of the duty read it last, in version 100. It moves to a keeper that
 // has not heard of the last 2.4 s of that, and goes on with its own list. That keeper steps in and reads the list under the same fence, in
 // version 97; then the chain is repaired, and it reads under the next fence. Danger: what the first reading said is of a lower version than
 // what the proxy holds, and is not written again, as the keeper holds it.
-func TestNewerReadingOfALowerVersionIsTaken(t *testing.T) {
+func TestNewerReadingOfLowerVersionIsApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := newIdleHub(), newIdleHub()
 		a.markComplete()
@@ -93,10 +93,10 @@
 	})
 }
 
-// TestReadingHeldUpOnItsWayEndsNoColdState: a poller stands still for 2.3 s while the platform's answer lies in its socket; meanwhile another
+// TestDelayedReadingEndsNoWarmUp: a poller stands still for 2.3 s while the platform's answer lies in its socket; meanwhile another
 // one steps in under the same fence, and reads that a server has turned cold. Which of the two was made later can't be told by their
 // ages. Danger: the server is called warm, and what has been listed since vanishes.
-func TestReadingHeldUpOnItsWayEndsNoColdState(t *testing.T) {
+func TestDelayedReadingEndsNoWarmUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newIdleHub()
 		asked := time.Now()
--- a/internal/system/distribution/older_list_test.go
+++ b/internal/system/distribution/older_list_test.go
@@ -33,9 +33,9 @@
 	return f.Current().Servers
 }
 
-// TestKeeperThatIsJustBackBringsNoOldList: a keeper that was cut off or stopped for 20 s may be current again before the
+// TestRejoinedNodeBringsNoOldList: a keeper that was cut off or stopped for 20 s may be current again before the
 // others have told it what the list has become. Danger: requests go to servers that have been draining for 20 s.
-func TestKeeperThatIsJustBackBringsNoOldList(t *testing.T) {
+func TestRejoinedNodeBringsNoOldList(t *testing.T) {
 	got := moveToKeeperThatIsJustBack(t, followerHooks{})
 	if len(got) != 2 || got[0].ID != "a" || !got[0].Draining || got[1].ID != "new" {
 		t.Errorf("holds %+v", got)
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestKeepersThatCountAnewAreBelieved: after a restart of all keepers versions begin anew, so the younger reading counts.
-func TestKeepersThatCountAnewAreBelieved(t *testing.T) {
+// TestNodesThatRestartVersionsAreAccepted: after a restart of all keepers versions begin anew, so the younger reading counts.
+func TestNodesThatRestartVersionsAreAccepted(t *testing.T) {
 	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
 	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), wholeTable(t, 20*time.Second, 990, pick.Server{ID: "a"}))
 	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), wholeTable(t, 0, 1, pick.Server{ID: "b"}))
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestReadingOfTheListMadeEarlier: of two pollers under one fence the one that is slow, or stood still, ends last. Danger: what
+// TestEarlierReadingOfTheList: of two pollers under one fence the one that is slow, or stood still, ends last. Danger: what
 // it read before brings back servers that have gone and calls cold ones warm.
-func TestReadingOfTheListMadeEarlier(t *testing.T) {
+func TestEarlierReadingOfTheList(t *testing.T) {
 	h := newIdleHub()
 	cold := []pick.Server{{ID: "a", Service: "x", WarmUpMax: 3 * time.Second}}
 	if err := h.PutList(1, 7, cold, madeAgo(Age{})); err != nil {
@@ -74,9 +74,9 @@
 	}
 }
 
-// TestMoveToAKeeperWithAnOlderList: a proxy that moves to a keeper whose list is certainly older, if only by a second, goes on
+// TestMoveToNodeWithOlderList: a proxy that moves to a keeper whose list is certainly older, if only by a second, goes on
 // with its own until that keeper has heard of it.
-func TestMoveToAKeeperWithAnOlderList(t *testing.T) {
+func TestMoveToNodeWithOlderList(t *testing.T) {
 	now := time.Now()
 	f := NewSubscriber(SubscriberOptions{Log: quiet()})
 	reply := func(cold time.Duration, version, least, most uint64) *distributionpb.FollowReply {
--- a/internal/system/distribution/referral_test.go
+++ b/internal/system/distribution/referral_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestAProxyWhoseSeedsAreAllObservers starts a follower that is told of observers only. Danger: they answer that they feed
+// TestProxyWhoseSeedsAreAllObservers starts a follower that is told of observers only. Danger: they answer that they feed
 // nothing, and it never learns of a keeper.
-func TestAProxyWhoseSeedsAreAllObservers(t *testing.T) {
+func TestProxyWhoseSeedsAreAllObservers(t *testing.T) {
 	c := newChain()
 	src := &source{chain: c}
 	h := NewServer(ServerOptions{Source: src, Self: "k", Log: quiet()})
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestAReferralChangesNothingThatIsKnown: an observer may be behind. Danger: a keeper that has gone is taken for one of the
+// TestReferralKeepsKnownNodes: an observer may be behind. Danger: a keeper that has gone is taken for one of the
 // view, or one that is of the view is forgotten.
-func TestAReferralChangesNothingThatIsKnown(t *testing.T) {
+func TestReferralKeepsKnownNodes(t *testing.T) {
 	f := NewSubscriber(SubscriberOptions{Seeds: []string{"10.0.0.1", "10.0.0.9"}, Self: Member{Node: "p"}, Log: quiet()})
 	f.mu.Lock()
 	f.replaceNodes(encodeLocations(ServerLocation{"10.0.0.2", "zb", "r"}, ServerLocation{"10.0.0.9", "zc", "r"}))
--- a/internal/system/distribution/reply_budget_test.go
+++ b/internal/system/distribution/reply_budget_test.go
@@ -13,9 +13,9 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 )
 
-// TestAnswersInMemoryAreBounded: callers that take nothing of a large answer hold so many of them in a keeper's memory as its
+// TestPendingRepliesAreBounded: callers that take nothing of a large answer hold so many of them in a keeper's memory as its
 // bound allows, and others are told to ask again instead; small answers go out all the same.
-func TestAnswersInMemoryAreBounded(t *testing.T) {
+func TestPendingRepliesAreBounded(t *testing.T) {
 	c := newChain()
 	h := NewServer(ServerOptions{Source: &source{chain: c, keepers: []string{"k"}}, Self: "k", Log: quiet(), Limits: ServerLimits{MaxPendingReplyBytes: 1500 << 10}})
 	c.add(largeConfig(t, 1, 1<<20, rand.NewChaCha8([32]byte{5})))
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestCallerThatDoesNotReadHoldsUpNobody: a proxy that takes no byte of a large answer is given up after a bound, and what
+// TestCallerThatDoesNotReadBlocksNobody: a proxy that takes no byte of a large answer is given up after a bound, and what
 // it held of the keeper's memory is free again; other proxies are fed meanwhile.
-func TestCallerThatDoesNotReadHoldsUpNobody(t *testing.T) {
+func TestCallerThatDoesNotReadBlocksNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newChain()
 		h := NewServer(ServerOptions{Source: &source{chain: c, keepers: []string{"k"}}, Self: "k", Log: quiet()})
--- a/internal/system/distribution/server_new_fence_test.go
+++ b/internal/system/distribution/server_new_fence_test.go
@@ -9,10 +9,10 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestNewFenceTellsAllOnce: a keeper that is lost had told only one of the others of its last reading. The keeper that reads the list under the
+// TestNewFenceWritesAllEntriesOnce: a keeper that is lost had told only one of the others of its last reading. The keeper that reads the list under the
 // next fence holds another state of a server, and none of a server that came with that reading. Danger: what it reads does not
 // differ from what it holds, so it writes nothing, and the other one keeps the lost keeper's word for good.
-func TestNewFenceTellsAllOnce(t *testing.T) {
+func TestNewFenceWritesAllEntriesOnce(t *testing.T) {
 	reader, other := newIdleHub(), NewServer(ServerOptions{Source: &source{chain: newChain(), keepers: []string{"a", "c"}}, Self: "c", Log: quiet()})
 	reader.markComplete()
 	other.markComplete()
--- a/internal/system/distribution/server_rejoin_test.go
+++ b/internal/system/distribution/server_rejoin_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestKeeperBackFromACutHearsFirst: for 2 s after it is current again, a keeper that was cut off or stood still leaves
+// TestNodeBackFromPartitionSynchronisesFirst: for 2 s after it is current again, a keeper that was cut off or stood still leaves
 // followers to others. One that heard the others all the while feeds at once, and so does one that starts.
-func TestKeeperBackFromACutHearsFirst(t *testing.T) {
+func TestNodeBackFromPartitionSynchronisesFirst(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		cut, hook, want bool
--- a/internal/system/distribution/server_sync_test.go
+++ b/internal/system/distribution/server_sync_test.go
@@ -95,8 +95,8 @@
 	})
 }
 
-// TestShareToAnotherLife: a keeper that was started anew does not take what was dated by its former life's clock.
-func TestShareToAnotherLife(t *testing.T) {
+// TestShareToAnotherIncarnation: a keeper that was started anew does not take what was dated by its former life's clock.
+func TestShareToAnotherIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &sharing{from: hubNamed("a"), to: hubNamed("b")}
 		time.Sleep(time.Minute)
@@ -112,9 +112,9 @@
 	})
 }
 
-// TestListOfAnOldFenceIsOverruled: a keeper that was cut off for 20 s and went on to read the list under the fence of its view
+// TestListOfOldFenceIsSuperseded: a keeper that was cut off for 20 s and went on to read the list under the fence of its view
 // does not bring that back over the list of the view that followed, however high its versions are.
-func TestListOfAnOldFenceIsOverruled(t *testing.T) {
+func TestListOfOldFenceIsSuperseded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cutOff, next := hubNamed("a"), hubNamed("b")
 		for version := uint64(1); version <= 40; version++ {
--- a/internal/system/distribution/slow_link_test.go
+++ b/internal/system/distribution/slow_link_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestKeeperThatFallsSilentMidwayIsLeft: an answer whose bytes stop is given up as soon as one that does not begin.
-func TestKeeperThatFallsSilentMidwayIsLeft(t *testing.T) {
+// TestNodeThatStallsMidReplyIsLeft: an answer whose bytes stop is given up as soon as one that does not begin.
+func TestNodeThatStallsMidReplyIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet("k1:1", "k2:1")
 		defer fl.stop()
@@ -120,8 +120,8 @@
 	return n, err
 }
 
-// TestOneKeeperAloneSendsItsState: a proxy that starts looks at several keepers, and takes the state from one.
-func TestOneKeeperAloneSendsItsState(t *testing.T) {
+// TestOneNodeAloneSendsItsState: a proxy that starts looks at several keepers, and takes the state from one.
+func TestOneNodeAloneSendsItsState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet("k1:1", "k2:1", "k3:1")
 		defer fl.stop()
@@ -141,9 +141,9 @@
 	})
 }
 
-// TestKeeperThatAnswersNoPollIsNotAskedAllTheTime: one that says that it is current, but whose answers cannot be had, is left
+// TestNodeThatFailsPollsIsRetriedWithBackoff: one that says that it is current, but whose answers cannot be had, is left
 // in peace between the tries.
-func TestKeeperThatAnswersNoPollIsNotAskedAllTheTime(t *testing.T) {
+func TestNodeThatFailsPollsIsRetriedWithBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet("k1:1")
 		defer fl.stop()
--- a/internal/system/distribution/subscriber_delta_test.go
+++ b/internal/system/distribution/subscriber_delta_test.go
@@ -8,10 +8,10 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestDeltaOfAnotherTableTellsNoList: while a proxy awaits a keeper's answer it takes another one's whole table, in which a server is not yet
+// TestDeltaOfAnotherTableBringsNoList: while a proxy awaits a keeper's answer it takes another one's whole table, in which a server is not yet
 // called cold. The first keeper's answer then brings its newest reading, but not the server, which the proxy had been told of before.
 // Danger: the server looks warm by the newest reading.
-func TestDeltaOfAnotherTableTellsNoList(t *testing.T) {
+func TestDeltaOfAnotherTableBringsNoList(t *testing.T) {
 	first, second := newIdleHub(), newIdleHub()
 	first.markComplete()
 	second.markComplete()
--- a/internal/system/distribution/subscriber_history_test.go
+++ b/internal/system/distribution/subscriber_history_test.go
@@ -10,7 +10,7 @@
 
 // Keepers remember thousands of changes to know them again. Proxies judge no changes: neither the snapshots that they are
 // sent nor what they make of records grows with the number of changes.
-func TestFollowersHoldNoHistory(t *testing.T) {
+func TestSubscribersKeepNoHistory(t *testing.T) {
 	c := newChain()
 	h := NewServer(ServerOptions{Source: &source{chain: c, keepers: []string{"k"}}, Self: "k", Log: quiet()})
 	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
--- a/internal/system/distribution/subscriber_late_reply_test.go
+++ b/internal/system/distribution/subscriber_late_reply_test.go
@@ -34,9 +34,9 @@
 	return f.Current(), f.state.Seq
 }
 
-// TestLateAnswerSaysNothingOfNow: an answer that lay in a buffer for 20 s, or whose reader was stopped, brings records, which
+// TestLateReplyProvesNoFreshness: an answer that lay in a buffer for 20 s, or whose reader was stopped, brings records, which
 // are numbered, but neither the word that nothing is newer, nor servers. Danger: a proxy that was cut off counts as fresh.
-func TestLateAnswerSaysNothingOfNow(t *testing.T) {
+func TestLateReplyProvesNoFreshness(t *testing.T) {
 	if u, _ := lateReply(t, 0, followerHooks{}); !u.Fresh || u.State.Seq != 1 || len(u.Servers) != 1 {
 		t.Errorf("in time: fresh %v, %d, %d servers", u.Fresh, u.State.Seq, len(u.Servers))
 	}
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestStartWaitsForAWordOfNow: a proxy that starts holds what a late answer brought, and serves it once a prompt one has said
+// TestStartWaitsForFreshReply: a proxy that starts holds what a late answer brought, and serves it once a prompt one has said
 // that there is nothing newer.
-func TestStartWaitsForAWordOfNow(t *testing.T) {
+func TestStartWaitsForFreshReply(t *testing.T) {
 	if u, seq := lateReply(t, 20*time.Second, followerHooks{}); u.State.Seq != 0 || seq != 1 {
 		t.Errorf("serves %d, holds %d", u.State.Seq, seq)
 	}
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestWaitAtTheKeeperIsNoAge: a poll that a keeper held for long is answered with a word of now.
-func TestWaitAtTheKeeperIsNoAge(t *testing.T) {
+// TestWaitAtTheServerIsNoAge: a poll that a keeper held for long is answered with a word of now.
+func TestWaitAtTheServerIsNoAge(t *testing.T) {
 	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
 	asked := time.Now().Add(-3 * time.Second)
 	f.handleReply(asked, time.Now(), f.buildRequest(nil, false), &distributionpb.FollowReply{Current: true, CheckedMs: 2900})
--- a/internal/system/distribution/subscriber_list_updates_test.go
+++ b/internal/system/distribution/subscriber_list_updates_test.go
@@ -7,8 +7,8 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 )
 
-// TestAwaitedListWakesItsOwner: a reading of the list that changes nothing is told at once where it is awaited, and only there.
-func TestAwaitedListWakesItsOwner(t *testing.T) {
+// TestListUpdateNotifiesOwner: a reading of the list that changes nothing is told at once where it is awaited, and only there.
+func TestListUpdateNotifiesOwner(t *testing.T) {
 	f := NewSubscriber(SubscriberOptions{Log: quiet()})
 	read := func(version uint64) bool {
 		return f.applyEntries(time.Now(), Age{}, &distributionpb.FollowReply{Entries: []*distributionpb.Entry{{Key: ListKey, Fence: 1, Version: version}}})
--- a/internal/system/distribution/subscriber_neighbours_test.go
+++ b/internal/system/distribution/subscriber_neighbours_test.go
@@ -9,9 +9,9 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestStaleProxyHearsOfEvacuations: a proxy loses all keepers, though not the other proxies. A zone is evacuated, and one of its
+// TestStaleProxyLearnsOfEvacuationsFromNeighbours: a proxy loses all keepers, though not the other proxies. A zone is evacuated, and one of its
 // servers turns cold. Danger: it goes on to send there.
-func TestStaleProxyHearsOfEvacuations(t *testing.T) {
+func TestStaleProxyLearnsOfEvacuationsFromNeighbours(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet("k1:1", "k2:1")
 		defer fl.stop()
--- a/internal/system/distribution/subscriber_stale_test.go
+++ b/internal/system/distribution/subscriber_stale_test.go
@@ -7,9 +7,9 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestBehindIsNotGivenUp: a proxy that hears from a current keeper, but does not yet hold all of the control state (a large configuration on
+// TestBehindIsNotStale: a proxy that hears from a current keeper, but does not yet hold all of the control state (a large configuration on
 // a thin link), has not been given up by anybody.
-func TestBehindIsNotGivenUp(t *testing.T) {
+func TestBehindIsNotStale(t *testing.T) {
 	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
 	now := time.Now()
 	reply := wholeTable(t, 0, 1, pick.Server{ID: "a"})
--- a/internal/system/distribution/subscriber_start_test.go
+++ b/internal/system/distribution/subscriber_start_test.go
@@ -60,9 +60,9 @@
 	return seq, at.Sub(start)
 }
 
-// TestStartPrefersAnyKeeperToANeighbour: a proxy that starts with eight seeds that are cut off, one keeper, and a neighbour
+// TestStartPrefersAnyNodeToNeighbour: a proxy that starts with eight seeds that are cut off, one keeper, and a neighbour
 // that holds an old state serves what the keeper holds, whichever it tries last.
-func TestStartPrefersAnyKeeperToANeighbour(t *testing.T) {
+func TestStartPrefersAnyNodeToNeighbour(t *testing.T) {
 	seeds := []string{"old:2", "k1:1"}
 	for i := range 8 {
 		seeds = append(seeds, fmt.Sprintf("dead%d:1", i))
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestStartAsksKeepersThatANeighbourNames: a proxy whose seeds name no keeper learns of one from an old neighbour, and asks it
+// TestStartProbesNodesThatNeighbourNames: a proxy whose seeds name no keeper learns of one from an old neighbour, and asks it
 // before it serves what that neighbour holds.
-func TestStartAsksKeepersThatANeighbourNames(t *testing.T) {
+func TestStartProbesNodesThatNeighbourNames(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		if seq, took := startBeside(t, "p", followerHooks{}, "old:2", "dead:1"); seq != 2 || took > 4*time.Second {
 			t.Errorf("serves change %d after %v", seq, took)
@@ -91,8 +91,8 @@
 	})
 }
 
-// TestStartWithoutAnyKeeperServesTheNeighboursState: where no keeper can be reached at all, an old state is better than none.
-func TestStartWithoutAnyKeeperServesTheNeighboursState(t *testing.T) {
+// TestStartWithoutNodeServesNeighboursState: where no keeper can be reached at all, an old state is better than none.
+func TestStartWithoutNodeServesNeighboursState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := oldNeighbour()
 		defer fl.stop()
--- a/internal/system/distribution/unit_test.go
+++ b/internal/system/distribution/unit_test.go
@@ -204,7 +204,7 @@
 	}
 }
 
-func TestPutRefusesWhatIsNotAfter(t *testing.T) {
+func TestPutRejectsStaleEntry(t *testing.T) {
 	h := newIdleHub()
 	if err := h.Put("hint/x", 2, 1, []byte("1")); err != nil {
 		t.Fatal(err)
@@ -239,7 +239,7 @@
 }
 
 // A keeper that stood still must not take the silence of all for theirs.
-func TestFrozenKeeperMarksNobodyDown(t *testing.T) {
+func TestPausedNodeMarksNobodyDown(t *testing.T) {
 	h := newIdleHub()
 	now := time.Now()
 	m := Member{Node: "p", Incarnation: 5}
--- a/internal/system/distribution/warmup_bounds_test.go
+++ b/internal/system/distribution/warmup_bounds_test.go
@@ -9,10 +9,10 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestColdStateThatIsExtendedEndsLate: a server that is cold becomes cold again ("at any moment"), so that its cold state ends a
+// TestExtendedWarmUpEndsLate: a server that is cold becomes cold again ("at any moment"), so that its cold state ends a
 // little later. Each reading is right by itself. Danger: coversCold takes the second for another reading of the first state, as
 // their spans overlap, and the held end stays before the true one.
-func TestColdStateThatIsExtendedEndsLate(t *testing.T) {
+func TestExtendedWarmUpEndsLate(t *testing.T) {
 	const ms = time.Millisecond
 	for name, c := range map[string]struct {
 		more          time.Duration
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestKeptEntriesKeepTheirMoments: a reply is taken in with a clock that was read before the process froze, or waited for the
+// TestCarriedEntriesKeepTheirTimes: a reply is taken in with a clock that was read before the process froze, or waited for the
 // lock, while another reply came. Danger: what is kept of the newer table is dated back to the older clock.
-func TestKeptEntriesKeepTheirMoments(t *testing.T) {
+func TestCarriedEntriesKeepTheirTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
 		empty := newIdleHub() // a keeper that has started anew, warm, with no list yet
@@ -71,10 +71,10 @@
 	})
 }
 
-// TestColdStateOfLongAgoIsOver: a process from before least_age_ms passes on an entry that was made 20 s ago, when the server was
+// TestOldWarmUpIsOver: a process from before least_age_ms passes on an entry that was made 20 s ago, when the server was
 // cold for 3 s more. Danger: whoever takes it in holds a server for cold that has been warm for 17 s: after each change of
 // keepers, all servers that have ever been told as cold.
-func TestColdStateOfLongAgoIsOver(t *testing.T) {
+func TestOldWarmUpIsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newIdleHub()
 		h.markComplete()
@@ -98,9 +98,9 @@
 	})
 }
 
-// TestSecondCopyNarrowsTheAge: the first copy of an entry came by a slow way, the second by a fast one. Both bounds of both hold,
+// TestSecondReplicaNarrowsTheAge: the first copy of an entry came by a slow way, the second by a fast one. Both bounds of both hold,
 // so the cold state need not end later than by the better of the two.
-func TestSecondCopyNarrowsTheAge(t *testing.T) {
+func TestSecondReplicaNarrowsTheAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newColdPath(t, leg{})
 		p.truth.coldEnd = time.Now().Add(4 * time.Second)
@@ -118,9 +118,9 @@
 	})
 }
 
-// TestListAgeHoldsOverAFreeze: the process stops between the platform's answer and taking it in. Danger: the list and a notice of
+// TestListAgeHoldsOverAPause: the process stops between the platform's answer and taking it in. Danger: the list and a notice of
 // withdrawal count as younger than they are by the time of the stop.
-func TestListAgeHoldsOverAFreeze(t *testing.T) {
+func TestListAgeHoldsOverAPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const stop = 300 * time.Millisecond
 		h := newIdleHub()
@@ -137,8 +137,8 @@
 	})
 }
 
-// TestEndOfColdDoesNotFlap: readings of one cold state, near its end, over a slow way.
-func TestEndOfColdDoesNotFlap(t *testing.T) {
+// TestWarmUpEndDoesNotFlap: readings of one cold state, near its end, over a slow way.
+func TestWarmUpEndDoesNotFlap(t *testing.T) {
 	const ms = time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		var worst time.Duration
--- a/internal/system/distribution/warmup_fleet_test.go
+++ b/internal/system/distribution/warmup_fleet_test.go
@@ -316,10 +316,10 @@
 	return w, differ
 }
 
-// TestColdWorld: keepers and proxies are cut off, killed and started anew while zones are evacuated and taken back cold, go down and come
+// TestWarmUpFleet: keepers and proxies are cut off, killed and started anew while zones are evacuated and taken back cold, go down and come
 // back cold, and servers drain; in half of the plays one in ten entries is missing from each reading of the list. No cold server
 // gets more in a second than its bound. COLD_WORLD_SEEDS sets how many seeds run.
-func TestColdWorld(t *testing.T) {
+func TestWarmUpFleet(t *testing.T) {
 	seeds, err := strconv.Atoi(cmp.Or(os.Getenv("COLD_WORLD_SEEDS"), "1"))
 	if err != nil {
 		t.Fatal(err)
@@ -346,8 +346,8 @@
 	t.Logf("%d seeds: at most %d in a second; brought about %v", seeds, worst, came)
 }
 
-// TestColdWorldControl: pickers that hear nothing of cold servers flood them, and that is seen.
-func TestColdWorldControl(t *testing.T) {
+// TestWarmUpFleetControl: pickers that hear nothing of cold servers flood them, and that is seen.
+func TestWarmUpFleetControl(t *testing.T) {
 	if w, _ := playColdWorld(t, 1, 12, func(w *coldWorld) { w.untold = true }); float64(w.worst) <= coldWorldBound {
 		t.Errorf("%d requests in a second at a cold server, of %v", w.worst, coldWorldBound)
 	}
--- a/internal/system/distribution/warmup_times_test.go
+++ b/internal/system/distribution/warmup_times_test.go
@@ -12,10 +12,10 @@
 // coldLagMost is how long after the true end proxies may hold a server for cold here: more than all legs of a case together.
 const coldLagMost = time.Second
 
-// TestColdNeverEndsEarly: however long the list was under way, and on whichever part of the way, no proxy takes a server for
+// TestWarmUpNeverEndsEarly: however long the list was under way, and on whichever part of the way, no proxy takes a server for
 // warm before it is. Danger: all proxies flood it with what waited for it, and it falls over (FAILBACK). Nor does one hold
 // it for cold much longer.
-func TestColdNeverEndsEarly(t *testing.T) {
+func TestWarmUpNeverEndsEarly(t *testing.T) {
 	const ms = time.Millisecond
 	none, near, far := leg{}, leg{35 * ms, 35 * ms}, leg{110 * ms, 110 * ms}
 	for name, c := range map[string]struct{ read, share, follow, ask leg }{
@@ -59,9 +59,9 @@
 	}
 }
 
-// TestLaterReadingCorrectsColdEnd: a reading by which a server stays cold for a little longer than was held counts, however
+// TestLaterReadingCorrectsWarmUpEnd: a reading by which a server stays cold for a little longer than was held counts, however
 // small the difference is.
-func TestLaterReadingCorrectsColdEnd(t *testing.T) {
+func TestLaterReadingCorrectsWarmUpEnd(t *testing.T) {
 	for _, more := range []time.Duration{time.Millisecond, 35 * time.Millisecond, 80 * time.Millisecond, 399 * time.Millisecond, 401 * time.Millisecond} {
 		t.Run(fmt.Sprint(more), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
