--- a/internal/system/proxy/pick/coldend_test.go
+++ b/internal/system/proxy/pick/coldend_test.go
@@ -117,7 +117,7 @@
 
 // TestEarlyWordFloodsTheColdServer is the control, of issue 36: where the word of the cold state ends 80 ms before that
 // state, all that waits goes out at once. This package can't know better, so it is not to be mended here: those who pass
-// the word on must let it err late (distribution's TestColdNeverEndsEarly).
+// the word on must let it err late (distribution's TestWarmUpNeverEndsEarly).
 func TestEarlyWordFloodsTheColdServer(t *testing.T) {
 	most := newColdGroup(80 * time.Millisecond).play()
 	t.Logf("at most %d requests in a second", most)
