--- a/internal/system/distribution/late_delivery_controls_norace_test.go
+++ b/internal/system/distribution/late_delivery_controls_norace_test.go
@@ -13,10 +13,10 @@
 // TestSeededPartitionsControls: with a protection taken out some seed breaks what must hold.
 func TestSeededPartitionsControls(t *testing.T) {
 	for name, c := range map[string]struct {
-		hub     hubHooks
-		proxies followerHooks
+		hub     TestingKnobs
+		proxies TestingKnobs
 	}{
-		"shares count from their arrival": {hub: hubHooks{fromArrival: true}},
+		"shares count from their arrival": {hub: TestingKnobs{DateByArrival: true}},
 	} {
 		found := false
 		for seed := uint64(0); seed < 20 && !found; seed++ {
--- a/internal/system/distribution/late_delivery_test.go
+++ b/internal/system/distribution/late_delivery_test.go
@@ -35,7 +35,7 @@
 // lateSteps is how many steps a run has: at about 200 ms each, room for some cuts one after the other.
 const lateSteps = 300
 
-func newLateWorld(t *testing.T, rng *rand.Rand, hub hubHooks, proxies followerHooks) *lateWorld {
+func newLateWorld(t *testing.T, rng *rand.Rand, hub TestingKnobs, proxies TestingKnobs) *lateWorld {
 	t.Helper()
 	w := &lateWorld{fleet: newHookedFleet(hub, "k1:1", "k2:1", "k3:1"), t: t, rng: rng, read: map[uint64]time.Time{},
 		until: map[string]time.Time{}, faults: map[string]int{}, broken: map[string]int{}, shown: map[string]time.Time{}}
@@ -150,7 +150,7 @@
 }
 
 // runLateWorld plays a seed and gives what came about and what did not hold.
-func runLateWorld(t *testing.T, seed uint64, hub hubHooks, proxies followerHooks) (faults, broken map[string]int) {
+func runLateWorld(t *testing.T, seed uint64, hub TestingKnobs, proxies TestingKnobs) (faults, broken map[string]int) {
 	t.Helper()
 	w := newLateWorld(t, rand.New(rand.NewPCG(seed, 11)), hub, proxies)
 	defer w.stop()
@@ -185,7 +185,7 @@
 	came := map[string]int{}
 	for seed := range seeds {
 		synctest.Test(t, func(t *testing.T) {
-			faults, broken := runLateWorld(t, seed, hubHooks{}, followerHooks{})
+			faults, broken := runLateWorld(t, seed, TestingKnobs{}, TestingKnobs{})
 			for what, n := range faults {
 				came[what] += n
 			}
--- a/internal/system/distribution/membership_partition_test.go
+++ b/internal/system/distribution/membership_partition_test.go
@@ -38,7 +38,7 @@
 
 const flapMembers = 9
 
-func flapFleet(hooks hubHooks) (*fleet, *census) {
+func flapFleet(hooks TestingKnobs) (*fleet, *census) {
 	fl := newHookedFleet(hooks, "k1:1", "k2:1", "k3:1")
 	c := &census{}
 	for i := range flapMembers {
@@ -52,7 +52,7 @@
 
 // backFromACut cuts a keeper off from the others for 20 s, and gives the fewest members that a proxy was told of in the
 // 10 s after that.
-func backFromACut(t *testing.T, hooks hubHooks) int {
+func backFromACut(t *testing.T, hooks TestingKnobs) int {
 	t.Helper()
 	fl, c := flapFleet(hooks)
 	defer fl.stop()
@@ -82,12 +82,12 @@
 // heard of. Danger: back again, it spreads that, and for a moment every proxy counts itself the only one.
 func TestNodeBackFromPartitionMarksNobodyDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		if n := backFromACut(t, hubHooks{}); n != flapMembers {
+		if n := backFromACut(t, TestingKnobs{}); n != flapMembers {
 			t.Errorf("a proxy was told of %d members", n)
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
-		if backFromACut(t, hubHooks{believeDown: true}) == flapMembers {
+		if backFromACut(t, TestingKnobs{AcceptDownVerdicts: true}) == flapMembers {
 			t.Error("control: nothing was lost where every mark is believed")
 		}
 	})
@@ -96,7 +96,7 @@
 // TestNodesWithoutContactToEachOther: two keepers that both hear the third, but not each other, leave each other's proxies
 // alone. Danger: they mark them down again and again.
 func TestNodesWithoutContactToEachOther(t *testing.T) {
-	run := func(t *testing.T, hooks hubHooks) int {
+	run := func(t *testing.T, hooks TestingKnobs) int {
 		t.Helper()
 		fl, c := flapFleet(hooks)
 		defer fl.stop()
@@ -108,12 +108,12 @@
 		return c.fewest()
 	}
 	synctest.Test(t, func(t *testing.T) {
-		if n := run(t, hubHooks{}); n != flapMembers {
+		if n := run(t, TestingKnobs{}); n != flapMembers {
 			t.Errorf("a proxy was told of %d members", n)
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
-		if run(t, hubHooks{ownEarsOnly: true}) == flapMembers {
+		if run(t, TestingKnobs{OwnContactsOnly: true}) == flapMembers {
 			t.Error("control: nothing was lost where a keeper goes by its own ears")
 		}
 	})
--- a/internal/system/distribution/mismatched_reply_test.go
+++ b/internal/system/distribution/mismatched_reply_test.go
@@ -161,7 +161,7 @@
 func TestMismatchedReplyControl(t *testing.T) {
 	f, _, address := scriptedFollower(t, func(uint32) string { return "another's answer" })
 	for _, hook := range []bool{false, true} {
-		f.options.Knobs.anyCall = hook
+		f.options.Knobs.AcceptAnyReply = hook
 		ctx, cancel := WithIdleTimeout(t.Context(), time.Second, time.Second)
 		if _, err := f.sendPoll(ctx, address, &distributionpb.FollowRequest{}); (err == nil) != hook {
 			t.Errorf("control %v: %v", hook, err)
--- a/internal/system/distribution/older_list_test.go
+++ b/internal/system/distribution/older_list_test.go
@@ -25,7 +25,7 @@
 
 // moveToKeeperThatIsJustBack has a follower that knows a server as draining move to a keeper whose table is 20 s old, and
 // gives what it holds then.
-func moveToKeeperThatIsJustBack(tb testing.TB, hooks followerHooks) []pick.Server {
+func moveToKeeperThatIsJustBack(tb testing.TB, hooks TestingKnobs) []pick.Server {
 	tb.Helper()
 	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet(), Knobs: hooks})
 	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), wholeTable(tb, 0, 990, pick.Server{ID: "a", Draining: true}, pick.Server{ID: "new"}))
@@ -36,11 +36,11 @@
 // TestRejoinedNodeBringsNoOldList: a keeper that was cut off or stopped for 20 s may be current again before the
 // others have told it what the list has become. Danger: requests go to servers that have been draining for 20 s.
 func TestRejoinedNodeBringsNoOldList(t *testing.T) {
-	got := moveToKeeperThatIsJustBack(t, followerHooks{})
+	got := moveToKeeperThatIsJustBack(t, TestingKnobs{})
 	if len(got) != 2 || got[0].ID != "a" || !got[0].Draining || got[1].ID != "new" {
 		t.Errorf("holds %+v", got)
 	}
-	if got := moveToKeeperThatIsJustBack(t, followerHooks{replaceAlways: true}); len(got) == 2 && got[0].Draining {
+	if got := moveToKeeperThatIsJustBack(t, TestingKnobs{ReplaceAlways: true}); len(got) == 2 && got[0].Draining {
 		t.Error("control: nothing was lost where each whole table takes the place of what is held")
 	}
 }
--- a/internal/system/distribution/server.go
+++ b/internal/system/distribution/server.go
@@ -78,15 +78,7 @@
 	Log          log.Interface
 	Limits       ServerLimits
 
-	Knobs hubHooks
-}
-
-// hubHooks take protections out, so that tests show what each is for.
-type hubHooks struct {
-	believeDown bool // what another keeper marks down is down
-	ownEarsOnly bool // a keeper that does not share with this one is silent, whatever others say
-	fromArrival bool // a share counts from when it arrived and not from when it was sent
-	noRejoin    bool // a keeper that was cut off feeds proxies as soon as it is current
+	Knobs TestingKnobs
 }
 
 // Server is a keeper's end: it feeds the proxies that follow it and shares soft state with the other keepers.
--- a/internal/system/distribution/server_follow.go
+++ b/internal/system/distribution/server_follow.go
@@ -291,7 +291,7 @@
 // that only this one does not hear still judges its own followers. The caller holds mu.
 func (h *Server) hasContact(now time.Time, keeper string) bool {
 	for address, p := range h.peers {
-		if now.Sub(p.lastContact) <= peerTTL && (address == keeper || slices.Contains(p.reachablePeers, keeper) && !h.options.Knobs.ownEarsOnly) {
+		if now.Sub(p.lastContact) <= peerTTL && (address == keeper || slices.Contains(p.reachablePeers, keeper) && !h.options.Knobs.OwnContactsOnly) {
 			return true
 		}
 	}
--- a/internal/system/distribution/server_state.go
+++ b/internal/system/distribution/server_state.go
@@ -40,7 +40,7 @@
 		h.rejoinedAt = now
 	}
 	h.lastCurrent = now
-	return h.rejoinedAt.IsZero() || now.Sub(h.rejoinedAt) >= rejoinDelay || h.options.Knobs.noRejoin
+	return h.rejoinedAt.IsZero() || now.Sub(h.rejoinedAt) >= rejoinDelay || h.options.Knobs.SkipRejoinDelay
 }
 
 // snapshotCache keeps the newest encoded snapshot, which all followers share. The zero value is ready.
--- a/internal/system/distribution/server_sync.go
+++ b/internal/system/distribution/server_sync.go
@@ -184,7 +184,7 @@
 	defer h.mu.Unlock()
 	clock := h.clockMS(now)
 	delay := BoundedMilliseconds(clock-min(clock, req.GetSentMs()), maxAge)
-	if h.options.Knobs.fromArrival {
+	if h.options.Knobs.DateByArrival {
 		delay = 0
 	} else if req.GetSentMs() == 0 || req.GetSentMs() > clock+maxClockDriftMS || delay > peerTTL {
 		return &distributionpb.ShareReply{Boot: h.bootID, ClockMs: clock, Late: true, Call: req.GetCall()}, nil
@@ -227,7 +227,7 @@
 // so whoever hears the proxy knows better: this keeper, or the one that the proxy follows. The caller holds mu.
 func (h *Server) mergePeerEntry(now time.Time, from string, e Entry, age Age) {
 	was, refuted := h.marksLiveMemberDown(e)
-	if !refuted || h.options.Knobs.believeDown {
+	if !refuted || h.options.Knobs.AcceptDownVerdicts {
 		h.mergeEntry(now, e, age)
 		return
 	}
--- a/internal/system/distribution/server_sync_test.go
+++ b/internal/system/distribution/server_sync_test.go
@@ -85,7 +85,7 @@
 func TestTimeInBuffersControl(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &sharing{from: hubNamed("a"), to: hubNamed("b")}
-		s.to.options.Knobs.fromArrival = true
+		s.to.options.Knobs.DateByArrival = true
 		if err := s.from.PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(Age{})); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/system/distribution/subscriber.go
+++ b/internal/system/distribution/subscriber.go
@@ -30,16 +30,7 @@
 	Log                         log.Interface
 	LongPollTimeout             time.Duration // longest wait of a poll; 1 s
 
-	Knobs followerHooks
-}
-
-// followerHooks take protections out, so that tests show what each is for.
-type followerHooks struct {
-	fromArrival     bool // a reply counts from when it arrived and not from when it was asked for
-	replaceAlways   bool // a whole table takes the place of what is held, however old its list is
-	anyCall         bool // an answer is taken for the call whose place it has on the connection
-	startOnAny      bool // a state that came late is served by a process that has just started
-	neighbourAtOnce bool // what a neighbour holds is served before the keepers that it names have been tried
+	Knobs TestingKnobs
 }
 
 // Update is what a proxy holds. Nothing in it is changed later.
@@ -218,7 +209,7 @@
 func (f *Subscriber) currentUpdate(now time.Time) Update {
 	u := Update{State: f.state, Fresh: f.isFresh(now), MembershipIncomplete: !f.membershipComplete, AsOf: now, ContactAge: min(now.Sub(f.lastCurrentContact), unknownAge)}
 	u.Stale = f.mayBeMarkedDown(now)
-	if f.freshAt.IsZero() && !f.stateFromNeighbour && !f.options.Knobs.startOnAny {
+	if f.freshAt.IsZero() && !f.stateFromNeighbour && !f.options.Knobs.ServeLateState {
 		u.State = controlstate.Empty() // it came late, so it may be old: the next answer tells
 	}
 	u.Servers, u.ListAge, u.HasList = f.table.Servers(now)
--- a/internal/system/distribution/subscriber_call.go
+++ b/internal/system/distribution/subscriber_call.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := CheckReply(req.GetCall(), reply.GetCall()); err != nil && !f.options.Knobs.anyCall {
+	if err := CheckReply(req.GetCall(), reply.GetCall()); err != nil && !f.options.Knobs.AcceptAnyReply {
 		f.client.CloseIdleConnections()
 		return nil, err
 	}
@@ -119,7 +119,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	checked := asked.Add(BoundedMilliseconds(reply.GetCheckedMs(), time.Minute))
-	if f.options.Knobs.fromArrival {
+	if f.options.Knobs.DateByArrival {
 		checked = now
 	}
 	offer := offerFromReply(reply, now.Sub(checked))
--- a/internal/system/distribution/subscriber_late_reply_test.go
+++ b/internal/system/distribution/subscriber_late_reply_test.go
@@ -11,7 +11,7 @@
 
 // lateReply has a follower ask a current keeper that reads the list as empty, hands it the answer after a wait, and gives
 // what it holds then.
-func lateReply(tb testing.TB, wait time.Duration, hooks followerHooks) (u Update, seq uint64) {
+func lateReply(tb testing.TB, wait time.Duration, hooks TestingKnobs) (u Update, seq uint64) {
 	tb.Helper()
 	c := newChain()
 	h := NewServer(ServerOptions{Source: &source{chain: c, keepers: []string{"k"}}, Self: "k", Log: quiet()})
@@ -37,13 +37,13 @@
 // TestLateReplyProvesNoFreshness: an answer that lay in a buffer for 20 s, or whose reader was stopped, brings records, which
 // are numbered, but neither the word that nothing is newer, nor servers. Danger: a proxy that was cut off counts as fresh.
 func TestLateReplyProvesNoFreshness(t *testing.T) {
-	if u, _ := lateReply(t, 0, followerHooks{}); !u.Fresh || u.State.Seq != 1 || len(u.Servers) != 1 {
+	if u, _ := lateReply(t, 0, TestingKnobs{}); !u.Fresh || u.State.Seq != 1 || len(u.Servers) != 1 {
 		t.Errorf("in time: fresh %v, %d, %d servers", u.Fresh, u.State.Seq, len(u.Servers))
 	}
-	if u, seq := lateReply(t, 20*time.Second, followerHooks{}); u.Fresh || seq != 1 || len(u.Servers) != 0 {
+	if u, seq := lateReply(t, 20*time.Second, TestingKnobs{}); u.Fresh || seq != 1 || len(u.Servers) != 0 {
 		t.Errorf("late: fresh %v, %d, %d servers", u.Fresh, seq, len(u.Servers))
 	}
-	if u, _ := lateReply(t, 20*time.Second, followerHooks{fromArrival: true}); !u.Fresh {
+	if u, _ := lateReply(t, 20*time.Second, TestingKnobs{DateByArrival: true}); !u.Fresh {
 		t.Error("control: judged by its arrival it is not taken for new either")
 	}
 }
@@ -51,10 +51,10 @@
 // TestStartWaitsForFreshReply: a proxy that starts holds what a late answer brought, and serves it once a prompt one has said
 // that there is nothing newer.
 func TestStartWaitsForFreshReply(t *testing.T) {
-	if u, seq := lateReply(t, 20*time.Second, followerHooks{}); u.State.Seq != 0 || seq != 1 {
+	if u, seq := lateReply(t, 20*time.Second, TestingKnobs{}); u.State.Seq != 0 || seq != 1 {
 		t.Errorf("serves %d, holds %d", u.State.Seq, seq)
 	}
-	if u, _ := lateReply(t, 20*time.Second, followerHooks{startOnAny: true}); u.State.Seq != 1 {
+	if u, _ := lateReply(t, 20*time.Second, TestingKnobs{ServeLateState: true}); u.State.Seq != 1 {
 		t.Error("control: a late state is not served either")
 	}
 	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
--- a/internal/system/distribution/subscriber_neighbours.go
+++ b/internal/system/distribution/subscriber_neighbours.go
@@ -109,7 +109,7 @@
 	if f.nodesDigest == 0 {
 		f.addNodes(reply.GetKeepers())
 	}
-	if starts && !f.allNodesTried() && !f.options.Knobs.neighbourAtOnce {
+	if starts && !f.allNodesTried() && !f.options.Knobs.NeighbourAtOnce {
 		return false // a keeper that can be reached knows better: ask again once they have been tried
 	}
 	before := f.state.Seq
--- a/internal/system/distribution/subscriber_soft_state.go
+++ b/internal/system/distribution/subscriber_soft_state.go
@@ -28,7 +28,7 @@
 // still may be current again before the others have told it of their list. The caller holds mu.
 func (f *Subscriber) bringsOlderList(now time.Time, delay Age, reply *distributionpb.FollowReply) bool {
 	held, told := f.table.entries[ListKey], listEntry(reply)
-	if held == nil || told == nil || f.options.Knobs.replaceAlways {
+	if held == nil || told == nil || f.options.Knobs.ReplaceAlways {
 		return false
 	}
 	if told.GetFence() > held.Fence {
--- a/internal/system/distribution/subscriber_start_test.go
+++ b/internal/system/distribution/subscriber_start_test.go
@@ -43,7 +43,7 @@
 }
 
 // startBeside starts a proxy with some seeds beside the old neighbour, and gives the first state that it serves.
-func startBeside(t *testing.T, node string, hooks followerHooks, seeds ...string) (seq uint64, took time.Duration) {
+func startBeside(t *testing.T, node string, hooks TestingKnobs, seeds ...string) (seq uint64, took time.Duration) {
 	t.Helper()
 	fl := oldNeighbour()
 	defer fl.stop()
@@ -69,7 +69,7 @@
 	}
 	for i := range 30 {
 		synctest.Test(t, func(t *testing.T) {
-			if seq, took := startBeside(t, fmt.Sprint("p", i), followerHooks{}, seeds...); seq != 2 || took > 1500*time.Millisecond {
+			if seq, took := startBeside(t, fmt.Sprint("p", i), TestingKnobs{}, seeds...); seq != 2 || took > 1500*time.Millisecond {
 				t.Errorf("p%d: serves change %d after %v", i, seq, took)
 			}
 		})
@@ -80,12 +80,12 @@
 // before it serves what that neighbour holds.
 func TestStartProbesNodesThatNeighbourNames(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		if seq, took := startBeside(t, "p", followerHooks{}, "old:2", "dead:1"); seq != 2 || took > 4*time.Second {
+		if seq, took := startBeside(t, "p", TestingKnobs{}, "old:2", "dead:1"); seq != 2 || took > 4*time.Second {
 			t.Errorf("serves change %d after %v", seq, took)
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
-		if seq, _ := startBeside(t, "p", followerHooks{neighbourAtOnce: true}, "old:2", "dead:1"); seq == 2 {
+		if seq, _ := startBeside(t, "p", TestingKnobs{NeighbourAtOnce: true}, "old:2", "dead:1"); seq == 2 {
 			t.Error("control: the keeper's state came first though the neighbour was believed at once")
 		}
 	})
--- a/internal/system/distribution/testfleet_test.go
+++ b/internal/system/distribution/testfleet_test.go
@@ -232,7 +232,7 @@
 
 // fleet is some hubs and followers on a mesh.
 type fleet struct {
-	hooks     hubHooks
+	hooks     TestingKnobs
 	mesh      *mesh
 	chain     *chain
 	names     []string // of keepers
@@ -252,10 +252,10 @@
 	back bool // it went back
 }
 
-func newFleet(keepers ...string) *fleet { return newHookedFleet(hubHooks{}, keepers...) }
+func newFleet(keepers ...string) *fleet { return newHookedFleet(TestingKnobs{}, keepers...) }
 
 // newHookedFleet is a fleet whose hubs lack a protection.
-func newHookedFleet(hooks hubHooks, keepers ...string) *fleet {
+func newHookedFleet(hooks TestingKnobs, keepers ...string) *fleet {
 	fl := &fleet{hooks: hooks, mesh: newMesh(), chain: newChain(), names: keepers, sources: map[string]*source{}, hubs: map[string]*Server{},
 		stopHub: map[string]context.CancelFunc{}, followers: map[string]*proxy{}}
 	for _, k := range keepers {
--- a/internal/system/distribution/warmup_path_test.go
+++ b/internal/system/distribution/warmup_path_test.go
@@ -51,7 +51,7 @@
 	p.mesh.host("other:1", p.shares.to.Handler())
 	for _, node := range []string{"proxy", "neighbour"} {
 		f := NewSubscriber(SubscriberOptions{Self: Member{Node: node}, Log: quiet(), Transport: station{p.mesh, node},
-			Knobs: followerHooks{neighbourAtOnce: true}}) // the neighbour hears of keepers, and isn't to try them first
+			Knobs: TestingKnobs{NeighbourAtOnce: true}}) // the neighbour hears of keepers, and isn't to try them first
 		p.followers[node] = f
 		p.mesh.host(node+":2", f.Handler())
 	}
