--- a/internal/system/distribution/commit_log.go
+++ b/internal/system/distribution/commit_log.go
@@ -1,9 +1,6 @@
 package distribution
 
-import (
-	"encoding/binary"
-	"time"
-)
+import "time"
 
 // A reading of the platform's list covers a record of the control state if it certainly shows all that had happened to servers
 // when the record was committed. Proxies need to know that where the record takes a zone back, whose servers may have become
@@ -44,19 +41,3 @@
 	}
 	return 0
 }
-
-// encodeListCovers is the value of the list's entry.
-func encodeListCovers(seq uint64) []byte { return binary.AppendUvarint(nil, seq) }
-
-// ListCoversSeq is the newest record that the reading held covers; 0: none for certain.
-func (t *Table) ListCoversSeq() uint64 {
-	held := t.entries[ListKey]
-	if held == nil {
-		return 0
-	}
-	seq, n := binary.Uvarint(held.Value)
-	if n <= 0 {
-		return 0
-	}
-	return seq
-}
--- a/internal/system/distribution/compression.go
+++ b/internal/system/distribution/compression.go
@@ -4,12 +4,8 @@
 	"bytes"
 	"compress/flate"
 	"io"
-	"sync"
 
 	"github.com/cockroachdb/errors"
-
-	"gradeusher.example/gradeusher/internal/system/controlstate"
-	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 )
 
 // A configuration of thousands of routes is much the same line again and again, and the way from one keeper to its
@@ -18,8 +14,6 @@
 const (
 	compressFrom  = 4 << 10  // bytes; less is not worth the time
 	expandedLimit = 64 << 20 // bytes that compressed ones may come to
-	cachedRecords = 256      // records whose compressed bodies are kept, at most
-	cachedBytes   = 4 << 20  // bytes of these bodies, unless a single one has more
 )
 
 // Compress compresses what is large by DEFLATE, and tells whether it did.
@@ -55,33 +49,3 @@
 	}
 	return out, nil
 }
-
-// recordCache keeps the newest large records as they go out. The zero value is ready.
-type recordCache struct {
-	mu      sync.Mutex // held while one is compressed: the others wait for it
-	records []*distributionpb.Record
-	bytes   int
-}
-
-// encode is r as it goes out. It is shared: do not change it.
-func (c *recordCache) encode(r controlstate.Record) *distributionpb.Record {
-	w := &distributionpb.Record{Seq: r.Seq, Op: uint32(r.Op), Base: r.Base, Body: r.Body, Zone: r.Zone}
-	if len(r.Body) < compressFrom {
-		return w
-	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, k := range c.records {
-		if k.GetSeq() == r.Seq {
-			return k
-		}
-	}
-	w.Body, w.Deflated = Compress(r.Body)
-	c.records, c.bytes = append(c.records, w), c.bytes+len(w.GetBody())
-	for len(c.records) > 1 && (len(c.records) > cachedRecords || c.bytes > cachedBytes) {
-		c.bytes -= len(c.records[0].GetBody())
-		c.records[0] = nil
-		c.records = c.records[1:]
-	}
-	return w
-}
--- a/internal/system/distribution/compat_test.go
+++ b/internal/system/distribution/loads_compat_test.go
@@ -19,7 +19,4 @@
 			t.Errorf("after %d: %s, want %s", from, got, want)
 		}
 	}
-	if ServerPrefix != "server/" || MemberPrefix != "member/" || ListKey != "list" {
-		t.Errorf("keys %q, %q and %q", ServerPrefix, MemberPrefix, ListKey)
-	}
 }
--- /dev/null
+++ b/internal/system/distribution/server_test.go
@@ -0,0 +1,152 @@
+package distribution
+
+import (
+	"testing"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+)
+
+func newIdleHub() *Server {
+	return NewServer(ServerOptions{Source: &source{chain: newChain(), keepers: []string{"k"}}, Self: "k", Log: quiet()})
+}
+
+func TestListWritesOnlyWhatDiffers(t *testing.T) {
+	h := newIdleHub()
+	list := []pick.Server{{ID: "a", Service: "x", WarmUpMax: 3 * time.Second}, {ID: "b", Service: "x"}}
+	put := func(fence, version uint64, age time.Duration, want uint64) {
+		t.Helper()
+		before := h.table.lastUrgent
+		if err := h.PutList(fence, version, list, madeAgo(exactAge(age))); err != nil {
+			t.Fatal(err)
+		}
+		if h.table.lastUrgent-before > 0 != (want > 0) {
+			t.Errorf("%d urgent changes", h.table.lastUrgent-before)
+		}
+	}
+	put(1, 1, 0, 1)
+	put(1, 2, 0, 0)
+	list[0].WarmUpMax = 2800 * time.Millisecond
+	put(1, 3, 0, 0)
+	list[0].WarmUpMax = time.Second
+	put(1, 4, 0, 1)
+	list[1].Draining = true
+	put(1, 5, 0, 1)
+	put(2, 1, 0, 1) // another poller takes over: others may hold more of what the former one told than it knows of
+	put(2, 2, 0, 0)
+	list = list[1:]
+	put(2, 3, 0, 1)
+	if err := h.PutList(1, 99, nil, madeAgo(Age{})); !errors.Is(err, ErrStale) {
+		t.Errorf("a poller that lost its duty: %v", err)
+	}
+	got, age, ok := h.List()
+	if !ok || age > time.Minute || len(got) != 1 || !got[0].Draining {
+		t.Errorf("holds %+v, %v, %v", got, age, ok)
+	}
+	list = nil
+	put(2, 0, 0, 1) // it started anew
+	list = []pick.Server{{ID: "a"}}
+	put(2, 1, 0, 1) // the same server is back
+	if got, _, _ := h.List(); len(got) != 1 {
+		t.Errorf("holds %+v", got)
+	}
+}
+
+func TestPutRejectsStaleEntry(t *testing.T) {
+	h := newIdleHub()
+	if err := h.Put("hint/x", 2, 1, []byte("1")); err != nil {
+		t.Fatal(err)
+	}
+	for _, e := range [][2]uint64{{1, 9}, {2, 0}, {2, 1}} {
+		if err := h.Put("hint/x", e[0], e[1], []byte("1")); !errors.Is(err, ErrStale) {
+			t.Errorf("%v: %v", e, err)
+		}
+	}
+	if err := h.Remove("hint/x", 2, 2); err != nil || len(h.Table()) != 0 {
+		t.Errorf("%v, %v", err, h.Table())
+	}
+}
+
+func TestPausedNodeMarksNobodyDown(t *testing.T) {
+	h := newIdleHub()
+	now := time.Now()
+	m := Member{Node: "p", Incarnation: 5}
+	h.endCall(h.beginCall(m, &distributionpb.FollowRequest{Member: m.ToProto()}))
+	down := func() bool { return h.Members()[0].Down }
+	h.tick(now.Add(100 * time.Millisecond))
+	h.tick(now.Add(20 * time.Second))
+	if down() {
+		t.Error("down after a freeze")
+	}
+	for i := range 30 {
+		h.tick(now.Add(20*time.Second + time.Duration(i)*100*time.Millisecond))
+	}
+	if !down() {
+		t.Error("not down though silent")
+	}
+	h.endCall(h.beginCall(m, &distributionpb.FollowRequest{Member: m.ToProto()}))
+	if down() {
+		t.Error("its call does not refute")
+	}
+}
+
+func TestVerdictsOfOthers(t *testing.T) {
+	h := newIdleHub()
+	now := time.Now()
+	m := Member{Node: "p", Incarnation: 5}
+	h.endCall(h.beginCall(m, &distributionpb.FollowRequest{Member: m.ToProto()}))
+	other := Member{Node: "q", Incarnation: 6}
+	say := func(incarnation uint64) bool {
+		h.endCall(h.beginCall(other, &distributionpb.FollowRequest{Member: other.ToProto(), Down: []*distributionpb.Verdict{{Node: "p", Incarnation: incarnation}}}))
+		return h.Members()[0].Down
+	}
+	if say(5) {
+		t.Error("a proxy that just called is down")
+	}
+	h.subscribers["p"].lastCall = now.Add(-time.Second)
+	if say(4) {
+		t.Error("a verdict on another life counts")
+	}
+	if !say(5) {
+		t.Error("a verdict on a silent proxy does not count")
+	}
+}
+
+func TestEndedConnectionMarksDown(t *testing.T) {
+	h := newIdleHub()
+	now := time.Now()
+	h.lastTick = now
+	down := func(node string) bool {
+		t.Helper()
+		for _, m := range h.Members() {
+			if m.Node == node {
+				return m.Down
+			}
+		}
+		t.Fatalf("%s is no member", node)
+		return false
+	}
+	for _, node := range []string{"ended", "reset", "held"} {
+		f := h.beginCall(Member{Node: node, Incarnation: 7, Revision: 1}, &distributionpb.FollowRequest{})
+		if node != "held" {
+			h.recordLostConnection(f)
+			h.endCall(f)
+		}
+	}
+	h.endCall(h.beginCall(Member{Node: "reset", Incarnation: 7, Revision: 1}, &distributionpb.FollowRequest{}))
+	for i := range 6 {
+		h.tick(now.Add(time.Duration(i+1) * 100 * time.Millisecond))
+	}
+	if !down("ended") || down("reset") || down("held") {
+		t.Errorf("after 600 ms: ended %v, reset %v, held %v", down("ended"), down("reset"), down("held"))
+	}
+	h.endCall(h.beginCall(Member{Node: "ended", Incarnation: 8, Revision: 1}, &distributionpb.FollowRequest{}))
+	if down("ended") {
+		t.Error("its next life is still down")
+	}
+}
+
+func madeAgo(age Age) TimeBounds { return age.madeBetween(time.Now()) }
--- /dev/null
+++ b/internal/system/distribution/values_test.go
@@ -0,0 +1,29 @@
+package distribution
+
+import (
+	"testing"
+	"time"
+
+	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+)
+
+func TestServerTimesCountDown(t *testing.T) {
+	in := pick.Server{ID: "a", Service: "s", Address: "h:1", Zone: "z", Region: "r", Slots: 4, Draining: true,
+		Remaining: 2 * time.Second, WarmUpMax: 3 * time.Second}
+	told, ok := decodeServer("a", EncodeServer(in))
+	if !ok || told != in {
+		t.Errorf("told %+v", told)
+	}
+	// What forbids ends late and what permits ends early, as far as the age is known. What is least left lacks the margin that
+	// was added to the end, and what was rounded up.
+	got := CountDown(told, Age{Min: 300 * time.Millisecond, Max: 500 * time.Millisecond})
+	in.Remaining, in.WarmUpMax, in.WarmUpMin = 1500*time.Millisecond, 2700*time.Millisecond, 2478*time.Millisecond
+	if got != in {
+		t.Errorf("got %+v", got)
+	}
+	if got = CountDown(told, exactAge(time.Minute)); got.WarmUpMax != 0 || got.WarmUpMin != 0 || got.Remaining != time.Millisecond {
+		t.Errorf("after all: %+v", got)
+	}
+}
+
+func exactAge(d time.Duration) Age { return Age{d, d} }
