--- a/internal/system/distribution/age.go
+++ b/internal/system/distribution/age.go
@@ -13,8 +13,8 @@
 // AgeAt is how long ago something was made.
 func (m TimeBounds) AgeAt(now time.Time) Age { return Age{now.Sub(m.Latest), now.Sub(m.Earliest)} }
 
-// madeBetween tells the moments between which something was made that is so old now.
-func (a Age) madeBetween(now time.Time) TimeBounds {
+// MadeBetween tells the moments between which something was made that is so old now.
+func (a Age) MadeBetween(now time.Time) TimeBounds {
 	return TimeBounds{now.Add(-a.Max), now.Add(-a.Min)}
 }
 
--- a/internal/system/distribution/commit_log_test.go
+++ b/internal/system/distribution/commit_log_test.go
@@ -54,7 +54,7 @@
 		if got := h.table.ListCoversSeq(); got != read.covers {
 			t.Errorf("asked at %v: covers %d, want %d", read.asked, got, read.covers)
 		}
-		told := EncodeEntries(time.Now(), []*StoredEntry{h.table.entries[ListKey]})
+		told := EncodeEntries(time.Now(), []*StoredEntry{h.table.Get(ListKey)})
 		f.applyEntries(time.Now(), Age{}, &distributionpb.FollowReply{Entries: told})
 		if got := f.Current().ListCoversSeq; got != read.covers {
 			t.Errorf("asked at %v: a proxy hears %d, want %d", read.asked, got, read.covers)
--- a/internal/system/distribution/golden_trace_test.go
+++ b/internal/system/distribution/golden_trace_test.go
@@ -63,7 +63,7 @@
 
 // wire takes in a message as it goes out, and gives the copy that arrives.
 func wire[M proto.Message](tr *trace, tag byte, m, into M) M {
-	b := marshal(m)
+	b := Marshal(m)
 	tr.step(tag)
 	tr.bytes(b)
 	if err := proto.Unmarshal(b, into); err != nil {
@@ -136,7 +136,7 @@
 // giveIndexes draws a vector's boot from the seed and has it number the servers in their order: of several that come at once the
 // order is the map's.
 func (x *exchange) giveIndexes(v *Vector) {
-	v.bootID = x.rng.Uint64() | 1
+	v.BootID = x.rng.Uint64() | 1
 	all := map[string]pick.Load{}
 	for _, id := range exchangeServers {
 		all[id] = pick.Load{Requests: 1}
--- a/internal/system/distribution/late_delivery_test.go
+++ b/internal/system/distribution/late_delivery_test.go
@@ -37,7 +37,7 @@
 
 func newLateWorld(t *testing.T, rng *rand.Rand, hub TestingKnobs, proxies TestingKnobs) *lateWorld {
 	t.Helper()
-	w := &lateWorld{fleet: newHookedFleet(hub, "k1:1", "k2:1", "k3:1"), t: t, rng: rng, read: map[uint64]time.Time{},
+	w := &lateWorld{fleet: newFleetWithKnobs(hub, "k1:1", "k2:1", "k3:1"), t: t, rng: rng, read: map[uint64]time.Time{},
 		until: map[string]time.Time{}, faults: map[string]int{}, broken: map[string]int{}, shown: map[string]time.Time{}}
 	for i := range 6 {
 		w.startFollower(fmt.Sprint("p", i), func(o *SubscriberOptions) { o.Knobs = proxies })
@@ -135,7 +135,7 @@
 		}
 		p.mu.Unlock()
 		p.f.mu.Lock()
-		if held := p.f.table.entries[ListKey]; held != nil {
+		if held := p.f.table.Get(ListKey); held != nil {
 			if was := w.shown[n]; was.Sub(w.read[held.Version]) > maxListAgeSkew+lateMargin && !w.read[held.Version].IsZero() {
 				w.broken["a list went back"]++
 			} else if w.read[held.Version].After(was) {
--- a/internal/system/distribution/list_entry.go
+++ b/internal/system/distribution/list_entry.go
@@ -2,8 +2,8 @@
 
 import "encoding/binary"
 
-// encodeListCovers is the value of the list's entry.
-func encodeListCovers(seq uint64) []byte { return binary.AppendUvarint(nil, seq) }
+// EncodeListCovers is the value of the list's entry.
+func EncodeListCovers(seq uint64) []byte { return binary.AppendUvarint(nil, seq) }
 
 // ListCoversSeq is the newest record that the reading held covers; 0: none for certain.
 func (t *Table) ListCoversSeq() uint64 {
--- a/internal/system/distribution/loads.go
+++ b/internal/system/distribution/loads.go
@@ -27,8 +27,8 @@
 // (uvarint length, bytes) if the reader cannot know it yet, then uvarints requests, prefill and tokens in their units.
 type Vector struct {
 	exact   bool // publish every change
-	bootID  uint64
-	number  uint64
+	BootID  uint64
+	Number  uint64
 	indexes map[string]int
 	slots   []slot
 
@@ -58,7 +58,7 @@
 }
 
 func NewVector(exact bool) *Vector {
-	return &Vector{exact: exact, bootID: rand.Uint64() | 1, indexes: map[string]int{}}
+	return &Vector{exact: exact, BootID: rand.Uint64() | 1, indexes: map[string]int{}}
 }
 
 func isMaterial(old, now pick.Load) bool {
@@ -78,7 +78,7 @@
 		// Most indexes are of servers long gone.
 		*v = *NewVector(v.exact)
 	}
-	next := v.number + 1
+	next := v.Number + 1
 	changed := false
 	for id, l := range loads {
 		if l.Requests <= 0 && l.Prefill <= 0 && l.Tokens <= 0 {
@@ -98,22 +98,22 @@
 		s.load, s.number, s.changed, changed = l, next, now, true
 	}
 	if changed {
-		v.number = next
+		v.Number = next
 	}
 	return changed
 }
 
 // ChangesSince codes the changes after the cursor; all of them for a cursor of another life.
 func (v *Vector) ChangesSince(boot, number uint64) *distributionpb.Loads {
-	if boot != v.bootID || number > v.number {
+	if boot != v.BootID || number > v.Number {
 		number = 0
 	}
-	out := &distributionpb.Loads{Boot: v.bootID, From: number, Number: v.number}
-	if number == v.number {
+	out := &distributionpb.Loads{Boot: v.BootID, From: number, Number: v.Number}
+	if number == v.Number {
 		return out
 	}
-	if v.cached == nil || v.cachedFrom != number || v.cachedAt != v.number {
-		v.cached, v.cachedFrom, v.cachedAt = v.encode(number), number, v.number
+	if v.cached == nil || v.cachedFrom != number || v.cachedAt != v.Number {
+		v.cached, v.cachedFrom, v.cachedAt = v.encode(number), number, v.Number
 	}
 	out.Body = v.cached
 	return out
@@ -145,10 +145,10 @@
 
 // Received is what a reader holds of another process's vector.
 type Received struct {
-	bootID, number uint64
+	BootID, Number uint64
 	ids            []string
 	loads          []pick.Load
-	receivedAt     time.Time // when it was last told
+	ReceivedAt     time.Time // when it was last told
 }
 
 // Apply takes changes in; it tells false for ones that do not follow on what is held or cannot be read, and then holds
@@ -158,22 +158,22 @@
 		return false
 	}
 	if w.GetFrom() == 0 {
-		fresh := Received{bootID: w.GetBoot(), receivedAt: now}
-		if w.GetBoot() == r.bootID && w.GetNumber() < r.number {
+		fresh := Received{BootID: w.GetBoot(), ReceivedAt: now}
+		if w.GetBoot() == r.BootID && w.GetNumber() < r.Number {
 			return false
 		}
 		if !fresh.decode(w.GetBody()) {
 			return false
 		}
-		fresh.number = w.GetNumber()
+		fresh.Number = w.GetNumber()
 		*r = fresh
 		return true
 	}
-	if w.GetBoot() != r.bootID || w.GetFrom() > r.number || w.GetNumber() < r.number {
+	if w.GetBoot() != r.BootID || w.GetFrom() > r.Number || w.GetNumber() < r.Number {
 		return false
 	}
-	r.receivedAt = now
-	if w.GetNumber() == r.number {
+	r.ReceivedAt = now
+	if w.GetNumber() == r.Number {
 		return true
 	}
 	// Values are absolute and indexes stay, so a reader that is ahead of From may take them as well.
@@ -181,7 +181,7 @@
 		*r = Received{}
 		return false
 	}
-	r.number = w.GetNumber()
+	r.Number = w.GetNumber()
 	return true
 }
 
@@ -232,7 +232,7 @@
 
 // AddTo adds what is held to sum, unless it is too old to count.
 func (r *Received) AddTo(now time.Time, sum map[string]pick.Load) {
-	if now.Sub(r.receivedAt) > LoadTTL {
+	if now.Sub(r.ReceivedAt) > LoadTTL {
 		return
 	}
 	for i, l := range r.loads {
--- a/internal/system/distribution/loads_test.go
+++ b/internal/system/distribution/loads_test.go
@@ -40,7 +40,7 @@
 			id := fmt.Sprint("s", rapid.IntRange(0, 9).Draw(t, "server"))
 			loads[id] = pick.Load{Requests: rapid.IntRange(0, 300).Draw(t, "requests"), Prefill: rapid.Int64Range(0, 1e6).Draw(t, "prefill")}
 			v.Publish(now, loads)
-			w := v.ChangesSince(r.bootID, r.number)
+			w := v.ChangesSince(r.BootID, r.Number)
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0: // lost
 				continue
@@ -50,16 +50,16 @@
 			case 2:
 				v = NewVector(exact)
 				v.Publish(now, loads)
-				w = v.ChangesSince(r.bootID, r.number)
+				w = v.ChangesSince(r.BootID, r.Number)
 				old = nil // those of a former life could not be told from news
 			case 3:
 				if len(old) > 0 {
 					r.Apply(now, old[rapid.IntRange(0, len(old)-1).Draw(t, "which")])
 				}
-				w = v.ChangesSince(r.bootID, r.number)
+				w = v.ChangesSince(r.BootID, r.Number)
 			}
 			if !r.Apply(now, w) {
-				t.Fatalf("refused %+v at %d", w, r.number)
+				t.Fatalf("refused %+v at %d", w, r.Number)
 			}
 			got := sumOf(r, now)
 			for id, l := range loads {
@@ -69,7 +69,7 @@
 			}
 		}
 		v.Publish(now.Add(minorChangeDelay), loads)
-		if r.Apply(now, v.ChangesSince(r.bootID, r.number)); !maps.Equal(sumOf(r, now), told(loads)) {
+		if r.Apply(now, v.ChangesSince(r.BootID, r.Number)); !maps.Equal(sumOf(r, now), told(loads)) {
 			t.Fatalf("in the end %+v for %+v", sumOf(r, now), loads)
 		}
 		if got := sumOf(r, now.Add(LoadTTL+1)); len(got) > 0 {
--- a/internal/system/distribution/membership_partition_test.go
+++ b/internal/system/distribution/membership_partition_test.go
@@ -38,8 +38,8 @@
 
 const flapMembers = 9
 
-func flapFleet(hooks TestingKnobs) (*fleet, *census) {
-	fl := newHookedFleet(hooks, "k1:1", "k2:1", "k3:1")
+func flapFleet(knobs TestingKnobs) (*fleet, *census) {
+	fl := newFleetWithKnobs(knobs, "k1:1", "k2:1", "k3:1")
 	c := &census{}
 	for i := range flapMembers {
 		fl.startFollower(fmt.Sprint("p", i), func(o *SubscriberOptions) {
@@ -52,9 +52,9 @@
 
 // backFromACut cuts a keeper off from the others for 20 s, and gives the fewest members that a proxy was told of in the
 // 10 s after that.
-func backFromACut(t *testing.T, hooks TestingKnobs) int {
+func backFromACut(t *testing.T, knobs TestingKnobs) int {
 	t.Helper()
-	fl, c := flapFleet(hooks)
+	fl, c := flapFleet(knobs)
 	defer fl.stop()
 	time.Sleep(8 * time.Second)
 	for _, k := range []string{"k2:1", "k3:1"} {
@@ -96,9 +96,9 @@
 // TestNodesWithoutContactToEachOther: two keepers that both hear the third, but not each other, leave each other's proxies
 // alone. Danger: they mark them down again and again.
 func TestNodesWithoutContactToEachOther(t *testing.T) {
-	run := func(t *testing.T, hooks TestingKnobs) int {
+	run := func(t *testing.T, knobs TestingKnobs) int {
 		t.Helper()
-		fl, c := flapFleet(hooks)
+		fl, c := flapFleet(knobs)
 		defer fl.stop()
 		time.Sleep(8 * time.Second)
 		fl.mesh.setCut("k1:1", "k2:1", true)
--- a/internal/system/distribution/mismatched_reply_test.go
+++ b/internal/system/distribution/mismatched_reply_test.go
@@ -29,7 +29,7 @@
 	"end before the head", "end in the head", "end in the body", "answer, then end", "half-closed"}
 
 func answerBytes(call uint32) []byte {
-	body := marshal(&distributionpb.FollowReply{Call: call, Newest: uint64(call), Current: true, Soft: &distributionpb.Cursor{Boot: 1}})
+	body := Marshal(&distributionpb.FollowReply{Call: call, Newest: uint64(call), Current: true, Soft: &distributionpb.Cursor{Boot: 1}})
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/protobuf\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
@@ -51,7 +51,7 @@
 		p.seen[req.GetCall()]++
 		act := p.script(req.GetCall())
 		p.mu.Unlock()
-		if !perform(c, in, act, answerBytes(req.GetCall()), answerBytes(req.GetCall()%(maxCallIDs-1)+1)) {
+		if !perform(c, in, act, answerBytes(req.GetCall()), answerBytes(req.GetCall()%(MaxCallIDs-1)+1)) {
 			return
 		}
 	}
@@ -160,11 +160,11 @@
 // TestMismatchedReplyControl: without the names of calls, the answer to another call is taken.
 func TestMismatchedReplyControl(t *testing.T) {
 	f, _, address := scriptedFollower(t, func(uint32) string { return "another's answer" })
-	for _, hook := range []bool{false, true} {
-		f.options.Knobs.AcceptAnyReply = hook
+	for _, knob := range []bool{false, true} {
+		f.options.Knobs.AcceptAnyReply = knob
 		ctx, cancel := WithIdleTimeout(t.Context(), time.Second, time.Second)
-		if _, err := f.sendPoll(ctx, address, &distributionpb.FollowRequest{}); (err == nil) != hook {
-			t.Errorf("control %v: %v", hook, err)
+		if _, err := f.sendPoll(ctx, address, &distributionpb.FollowRequest{}); (err == nil) != knob {
+			t.Errorf("control %v: %v", knob, err)
 		}
 		cancel()
 	}
@@ -202,11 +202,11 @@
 		if err := call(); err != nil {
 			t.Fatal(name, err)
 		}
-		number, held, members := h.table.lastNumber, fmt.Sprint(contents(h.table)), fmt.Sprint(h.Members())
+		number, held, members := h.table.LastNumber, fmt.Sprint(contents(h.table)), fmt.Sprint(h.Members())
 		if err := call(); err != nil {
 			t.Fatal(name, err)
 		}
-		if h.table.lastNumber != number || fmt.Sprint(contents(h.table)) != held || fmt.Sprint(h.Members()) != members {
+		if h.table.LastNumber != number || fmt.Sprint(contents(h.table)) != held || fmt.Sprint(h.Members()) != members {
 			t.Errorf("%s: the second call changed the table", name)
 		}
 	}
--- a/internal/system/distribution/older_list_resync_test.go
+++ b/internal/system/distribution/older_list_resync_test.go
@@ -19,7 +19,7 @@
 	}
 	items, full := h.table.ChangesSince(since)
 	reply := &distributionpb.FollowReply{Full: full, Complete: h.complete, Current: true, Entries: EncodeEntries(time.Now(), items),
-		Soft: &distributionpb.Cursor{Boot: h.bootID, Number: h.table.lastNumber}}
+		Soft: &distributionpb.Cursor{Boot: h.bootID, Number: h.table.LastNumber}}
 	h.mu.Unlock()
 	f.handleReply(time.Now(), time.Now(), req, reply)
 }
--- a/internal/system/distribution/older_list_test.go
+++ b/internal/system/distribution/older_list_test.go
@@ -20,14 +20,14 @@
 	}
 	items, full := h.table.ChangesSince(0)
 	return &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: EncodeEntries(time.Now(), items),
-		Soft: &distributionpb.Cursor{Boot: h.bootID, Number: h.table.lastNumber}}
+		Soft: &distributionpb.Cursor{Boot: h.bootID, Number: h.table.LastNumber}}
 }
 
 // moveToKeeperThatIsJustBack has a follower that knows a server as draining move to a keeper whose table is 20 s old, and
 // gives what it holds then.
-func moveToKeeperThatIsJustBack(tb testing.TB, hooks TestingKnobs) []pick.Server {
+func moveToKeeperThatIsJustBack(tb testing.TB, knobs TestingKnobs) []pick.Server {
 	tb.Helper()
-	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet(), Knobs: hooks})
+	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet(), Knobs: knobs})
 	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), wholeTable(tb, 0, 990, pick.Server{ID: "a", Draining: true}, pick.Server{ID: "new"}))
 	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), wholeTable(tb, 20*time.Second, 950, pick.Server{ID: "a"}, pick.Server{ID: "gone"}))
 	return f.Current().Servers
--- a/internal/system/distribution/reply_budget_test.go
+++ b/internal/system/distribution/reply_budget_test.go
@@ -65,7 +65,7 @@
 		call := func(node string) net.Conn {
 			near, far := net.Pipe()
 			ends <- far
-			body := marshal(&distributionpb.FollowRequest{Member: Member{Node: node, Incarnation: 1}.ToProto()})
+			body := Marshal(&distributionpb.FollowRequest{Member: Member{Node: node, Incarnation: 1}.ToProto()})
 			_, err := fmt.Fprintf(near, "POST /twirp/gradeusher.distribution.Distribution/Follow HTTP/1.1\r\nHost: k\r\nContent-Type: application/protobuf\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 			if err != nil {
 				t.Fatal(err)
@@ -88,11 +88,11 @@
 			t.Errorf("%q, %v", head, err)
 		}
 		_ = other.Close()
-		time.Sleep(replyWriteTimeout)
+		time.Sleep(ReplyWriteTimeout)
 		h.replyBudget.mu.Lock()
 		defer h.replyBudget.mu.Unlock()
 		if h.replyBudget.reservedBytes != 0 {
-			t.Errorf("%d bytes are held after %v", h.replyBudget.reservedBytes, replyWriteTimeout)
+			t.Errorf("%d bytes are held after %v", h.replyBudget.reservedBytes, ReplyWriteTimeout)
 		}
 	})
 }
--- a/internal/system/distribution/server.go
+++ b/internal/system/distribution/server.go
@@ -243,7 +243,7 @@
 	sum := map[string]pick.Load{}
 	for _, f := range h.subscribers {
 		f.loads.AddTo(now, sum)
-		f.loadsInTotals = f.loads.number
+		f.loadsInTotals = f.loads.Number
 	}
 	changed := h.localLoads.Publish(now, sum)
 	for _, p := range h.peers {
--- a/internal/system/distribution/server_follow.go
+++ b/internal/system/distribution/server_follow.go
@@ -154,14 +154,14 @@
 			again = left
 		}
 	}
-	if c.GetNumber() < h.table.lastUrgent {
+	if c.GetNumber() < h.table.LastUrgent {
 		// A change that comes alone goes out at once, one close upon another waits for more.
 		due(f.entriesSentAt, h.loadReportInterval()/2)
 	}
 	if !current && (again == 0 || currentRecheckInterval < again) {
 		again = currentRecheckInterval // nothing tells that this keeper has become current
 	}
-	if t := req.GetTotals(); t.GetBoot() != h.totalLoads.bootID || t.GetNumber() != h.totalLoads.number {
+	if t := req.GetTotals(); t.GetBoot() != h.totalLoads.BootID || t.GetNumber() != h.totalLoads.Number {
 		due(f.totalsSentAt, h.loadReportInterval())
 	}
 	h.mu.Unlock()
@@ -193,14 +193,14 @@
 	if len(items) > 0 {
 		f.entriesSentAt = now
 	}
-	reply.Soft = &distributionpb.Cursor{Boot: h.bootID, Number: h.table.lastNumber}
+	reply.Soft = &distributionpb.Cursor{Boot: h.bootID, Number: h.table.LastNumber}
 	totals := h.totalLoads.ChangesSince(req.GetTotals().GetBoot(), req.GetTotals().GetNumber())
 	if totals.From != totals.Number || req.GetTotals().GetBoot() != totals.Boot {
-		reply.Totals = marshal(totals)
+		reply.Totals = Marshal(totals)
 		f.totalsSentAt = now
 	}
 	reply.TotalsOf = f.loadsInTotals
-	reply.Told = &distributionpb.Cursor{Boot: f.loads.bootID, Number: f.loads.number}
+	reply.Told = &distributionpb.Cursor{Boot: f.loads.BootID, Number: f.loads.Number}
 	if reply.KeepersDigest = h.nodesDigest(digest); reply.KeepersDigest != req.GetKeepers() {
 		reply.Keepers = h.controlPlaneNodes(addresses)
 	}
@@ -242,7 +242,7 @@
 	m.Owner, m.Down = h.options.Self, false
 	key := MemberPrefix + m.Node
 	e := Entry{Key: key, Fence: 1, Version: 1, Value: m.Encode()}
-	if held := h.table.entries[key]; held != nil {
+	if held := h.table.Get(key); held != nil {
 		was, ok := held.Member()
 		switch {
 		case ok && !held.Deleted && was.Incarnation == m.Incarnation:
@@ -267,7 +267,7 @@
 
 // applyVerdict takes in what another proxy says of one: the keeper that it follows knows better, while that one is heard.
 func (h *Server) applyVerdict(now time.Time, node string, incarnation uint64) {
-	it := h.table.entries[MemberPrefix+node]
+	it := h.table.Get(MemberPrefix + node)
 	if it == nil || it.Deleted {
 		return
 	}
--- a/internal/system/distribution/server_list_fence_test.go
+++ b/internal/system/distribution/server_list_fence_test.go
@@ -25,7 +25,7 @@
 		}())
 		now := time.Now()
 		f.handleReply(now, now, req, &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: EncodeEntries(now, items),
-			Soft: &distributionpb.Cursor{Boot: h.bootID, Number: h.table.lastNumber}})
+			Soft: &distributionpb.Cursor{Boot: h.bootID, Number: h.table.LastNumber}})
 	}
 	put := func(fence, version uint64, draining bool, ago time.Duration) {
 		t.Helper()
--- a/internal/system/distribution/server_new_fence_test.go
+++ b/internal/system/distribution/server_new_fence_test.go
@@ -35,9 +35,9 @@
 	if len(got) != 1 || got[0].ID != "x" || !got[0].Draining {
 		t.Errorf("under the new fence it holds %+v", got)
 	}
-	before := reader.table.lastNumber
+	before := reader.table.LastNumber
 	put(reader, 2, 2, pick.Server{ID: "x", Draining: true})
-	if written := reader.table.lastNumber - before; written != 1 {
+	if written := reader.table.LastNumber - before; written != 1 {
 		t.Errorf("a reading that changes nothing writes %d entries, want that of the list alone", written)
 	}
 }
--- a/internal/system/distribution/server_rejoin_test.go
+++ b/internal/system/distribution/server_rejoin_test.go
@@ -14,7 +14,7 @@
 		cut, hook, want bool
 	}{{"cut off", true, false, false}, {"a repair of the chain", false, false, true}, {"control", true, true, true}} {
 		synctest.Test(t, func(t *testing.T) {
-			fl := newHookedFleet(TestingKnobs{SkipRejoinDelay: c.hook}, "k1:1", "k2:1", "k3:1")
+			fl := newFleetWithKnobs(TestingKnobs{SkipRejoinDelay: c.hook}, "k1:1", "k2:1", "k3:1")
 			defer fl.stop()
 			time.Sleep(4 * time.Second)
 			k := fl.hubs["k1:1"]
--- a/internal/system/distribution/server_sync.go
+++ b/internal/system/distribution/server_sync.go
@@ -170,7 +170,7 @@
 	items, full := h.table.ChangesSince(since)
 	return &distributionpb.ShareRequest{From: &distributionpb.Keeper{Address: h.options.Self, Zone: h.options.Zone, Region: h.options.Region}, Boot: h.bootID,
 		Full: full, Complete: h.complete, Entries: EncodeEntries(now, items), Loads: h.localLoads.ChangesSince(p.ackedLoads.GetBoot(), p.ackedLoads.GetNumber()),
-		Lowest: h.minAckedSeq, Followers: uint64(len(h.subscribers)), Hears: h.recentPeers(now), SentMs: p.estimatedPeerClockMS(now)}, h.table.lastNumber
+		Lowest: h.minAckedSeq, Followers: uint64(len(h.subscribers)), Hears: h.recentPeers(now), SentMs: p.estimatedPeerClockMS(now)}, h.table.LastNumber
 }
 
 // Share serves another keeper's share.
@@ -183,7 +183,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	clock := h.clockMS(now)
-	delay := BoundedMilliseconds(clock-min(clock, req.GetSentMs()), maxAge)
+	delay := BoundedMilliseconds(clock-min(clock, req.GetSentMs()), MaxAge)
 	if h.options.Knobs.DateByArrival {
 		delay = 0
 	} else if req.GetSentMs() == 0 || req.GetSentMs() > clock+maxClockDriftMS || delay > peerTTL {
@@ -220,7 +220,7 @@
 	close(h.ackChanged)
 	h.ackChanged = make(chan struct{})
 	return &distributionpb.ShareReply{Boot: h.bootID, ClockMs: clock, Call: req.GetCall(),
-		Told: &distributionpb.Cursor{Boot: p.loads.bootID, Number: p.loads.number}}, nil
+		Told: &distributionpb.Cursor{Boot: p.loads.BootID, Number: p.loads.Number}}, nil
 }
 
 // mergePeerEntry takes in an entry that another keeper shares. One that was cut off has marked down what it no longer heard of,
@@ -243,7 +243,7 @@
 
 // marksLiveMemberDown tells whether an entry marks down a process that counts as up here, and what is held of it.
 func (h *Server) marksLiveMemberDown(e Entry) (was Member, ok bool) {
-	held := h.table.entries[e.Key]
+	held := h.table.Get(e.Key)
 	if held == nil || held.Deleted || e.Deleted || !strings.HasPrefix(e.Key, MemberPrefix) {
 		return Member{}, false
 	}
--- a/internal/system/distribution/server_table.go
+++ b/internal/system/distribution/server_table.go
@@ -35,7 +35,7 @@
 	if !h.table.Merge(now, e, age) {
 		return false
 	}
-	if !isLazy(e.Key) {
+	if !IsLazy(e.Key) {
 		signal(h.wakeRequested)
 	}
 	return true
@@ -51,20 +51,20 @@
 	defer h.mu.Unlock()
 	now := time.Now()
 	age := read.AgeAt(now)
-	if held := h.table.entries[ListKey]; held != nil && held.Fence == fence && age.Max > held.AgeAt(now).Max {
+	if held := h.table.Get(ListKey); held != nil && held.Fence == fence && age.Max > held.AgeAt(now).Max {
 		return errors.Mark(errors.Newf("distribution: a list that was asked for %v later is held: this one counts for nothing",
 			age.Max-held.AgeAt(now).Max), ErrStale)
 	}
 	// A poller that starts anew under its old fence counts from the start, so versions go on from the table's.
 	write := func(e Entry) bool {
-		if held := h.table.entries[e.Key]; held != nil && held.Fence == e.Fence {
+		if held := h.table.Get(e.Key); held != nil && held.Fence == e.Fence {
 			e.Version = max(e.Version, held.Version+1)
 		}
 		return h.mergeEntry(now, e, age)
 	}
 	first := h.listFence() < fence
 	covers := h.commits.committedBefore(read.Earliest.Add(-h.options.ListLag))
-	if !write(Entry{Key: ListKey, Fence: fence, Version: version, Value: encodeListCovers(covers)}) {
+	if !write(Entry{Key: ListKey, Fence: fence, Version: version, Value: EncodeListCovers(covers)}) {
 		return errors.Mark(errors.Newf("distribution: the list is fed under a higher fence than %d: ask for the duty again before polling",
 			fence), ErrStale)
 	}
@@ -75,7 +75,7 @@
 		}
 		named[ServerPrefix+s.ID] = true
 		// Under a new fence all is written once: of what the reader of the former one told, other keepers may hold more.
-		if held := h.table.entries[ServerPrefix+s.ID]; held != nil && !held.Deleted && !first {
+		if held := h.table.Get(ServerPrefix + s.ID); held != nil && !held.Deleted && !first {
 			if was, ok := held.ServerAt(now); ok && AgreesWithReading(was, CountDown(s, age)) {
 				continue
 			}
@@ -94,8 +94,8 @@
 func (h *Server) Table() []Entry {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := make([]Entry, 0, len(h.table.entries))
-	for _, it := range h.table.entries {
+	out := make([]Entry, 0, h.table.Len())
+	for _, it := range h.table.All() {
 		if !it.Deleted {
 			out = append(out, it.Entry)
 		}
--- a/internal/system/distribution/server_test.go
+++ b/internal/system/distribution/server_test.go
@@ -19,12 +19,12 @@
 	list := []pick.Server{{ID: "a", Service: "x", WarmUpMax: 3 * time.Second}, {ID: "b", Service: "x"}}
 	put := func(fence, version uint64, age time.Duration, want uint64) {
 		t.Helper()
-		before := h.table.lastUrgent
+		before := h.table.LastUrgent
 		if err := h.PutList(fence, version, list, madeAgo(exactAge(age))); err != nil {
 			t.Fatal(err)
 		}
-		if h.table.lastUrgent-before > 0 != (want > 0) {
-			t.Errorf("%d urgent changes", h.table.lastUrgent-before)
+		if h.table.LastUrgent-before > 0 != (want > 0) {
+			t.Errorf("%d urgent changes", h.table.LastUrgent-before)
 		}
 	}
 	put(1, 1, 0, 1)
@@ -149,4 +149,4 @@
 	}
 }
 
-func madeAgo(age Age) TimeBounds { return age.madeBetween(time.Now()) }
+func madeAgo(age Age) TimeBounds { return age.MadeBetween(time.Now()) }
--- a/internal/system/distribution/subscriber.go
+++ b/internal/system/distribution/subscriber.go
@@ -246,7 +246,7 @@
 	if now.Sub(f.lastCurrentContact) > FreshnessTTL {
 		return true
 	}
-	held := f.table.entries[MemberPrefix+f.self.Node]
+	held := f.table.Get(MemberPrefix + f.self.Node)
 	if held == nil {
 		return false
 	}
--- a/internal/system/distribution/subscriber_call.go
+++ b/internal/system/distribution/subscriber_call.go
@@ -96,8 +96,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	if f.ownLoads.Publish(now, loads) || len(f.sentLoads) == 0 || f.sentLoads[len(f.sentLoads)-1].number != f.ownLoads.number {
-		f.sentLoads = append(f.sentLoads, sentLoads{f.ownLoads.number, loads})
+	if f.ownLoads.Publish(now, loads) || len(f.sentLoads) == 0 || f.sentLoads[len(f.sentLoads)-1].number != f.ownLoads.Number {
+		f.sentLoads = append(f.sentLoads, sentLoads{f.ownLoads.Number, loads})
 		if len(f.sentLoads) > 16 {
 			f.sentLoads = f.sentLoads[1:]
 		}
@@ -105,7 +105,7 @@
 	req := &distributionpb.FollowRequest{
 		Member: f.self.ToProto(), Seq: f.position().Ask(), AcceptStale: acceptStale, Keepers: f.nodesDigest,
 		Soft:   &distributionpb.Cursor{Boot: f.tableCursor.GetBoot(), Number: f.tableCursor.GetNumber()},
-		Totals: &distributionpb.Cursor{Boot: f.totalLoads.bootID, Number: f.totalLoads.number},
+		Totals: &distributionpb.Cursor{Boot: f.totalLoads.BootID, Number: f.totalLoads.Number},
 		Loads:  f.ownLoads.ChangesSince(f.ackedLoads.GetBoot(), f.ackedLoads.GetNumber()),
 	}
 	for node, incarnation := range f.pendingVerdicts {
@@ -218,7 +218,7 @@
 			return
 		}
 	}
-	f.totalLoads.receivedAt = now
+	f.totalLoads.ReceivedAt = now
 	var mine map[string]pick.Load
 	for _, o := range f.sentLoads {
 		if o.number == reply.GetTotalsOf() {
--- a/internal/system/distribution/subscriber_delta_test.go
+++ b/internal/system/distribution/subscriber_delta_test.go
@@ -31,7 +31,7 @@
 	put(first, 6, exactAge(0), 2700*time.Millisecond)
 	first.mu.Lock()
 	items, _ := first.table.ChangesSince(req.GetSoft().GetNumber())
-	late := &distributionpb.FollowReply{Current: true, Entries: EncodeEntries(time.Now(), items), Soft: &distributionpb.Cursor{Boot: first.bootID, Number: first.table.lastNumber}}
+	late := &distributionpb.FollowReply{Current: true, Entries: EncodeEntries(time.Now(), items), Soft: &distributionpb.Cursor{Boot: first.bootID, Number: first.table.LastNumber}}
 	first.mu.Unlock()
 	f.handleReply(asked, time.Now(), req, late)
 	u := f.Current()
--- a/internal/system/distribution/subscriber_late_reply_test.go
+++ b/internal/system/distribution/subscriber_late_reply_test.go
@@ -11,7 +11,7 @@
 
 // lateReply has a follower ask a current keeper that reads the list as empty, hands it the answer after a wait, and gives
 // what it holds then.
-func lateReply(tb testing.TB, wait time.Duration, hooks TestingKnobs) (u Update, seq uint64) {
+func lateReply(tb testing.TB, wait time.Duration, knobs TestingKnobs) (u Update, seq uint64) {
 	tb.Helper()
 	c := newChain()
 	h := NewServer(ServerOptions{Source: &source{chain: c, keepers: []string{"k"}}, Self: "k", Log: quiet()})
@@ -20,7 +20,7 @@
 	if err := h.PutList(1, 1, []pick.Server{{ID: "old"}}, madeAgo(Age{})); err != nil {
 		tb.Fatal(err)
 	}
-	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet(), Knobs: hooks})
+	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet(), Knobs: knobs})
 	asked := time.Now()
 	req := f.buildRequest(nil, false)
 	reply, err := h.Follow(tb.Context(), req)
--- a/internal/system/distribution/subscriber_neighbours.go
+++ b/internal/system/distribution/subscriber_neighbours.go
@@ -21,7 +21,7 @@
 	defer f.mu.Unlock()
 	items, _ := f.table.ChangesSince(0)
 	if req.GetSeq() > 0 {
-		items = slices.DeleteFunc(items, func(it *StoredEntry) bool { return !belongsToList(it.Key) })
+		items = slices.DeleteFunc(items, func(it *StoredEntry) bool { return !BelongsToList(it.Key) })
 	}
 	reply := &distributionpb.FollowReply{Call: req.GetCall(), Entries: EncodeEntries(time.Now(), items)}
 	if f.state.Seq > req.GetSeq() {
--- a/internal/system/distribution/subscriber_soft_state.go
+++ b/internal/system/distribution/subscriber_soft_state.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-	"strings"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
@@ -12,9 +11,6 @@
 // the older one.
 const maxListAgeSkew = 2 * time.Second
 
-// belongsToList tells whether an entry comes with the platform's list.
-func belongsToList(key string) bool { return key == ListKey || strings.HasPrefix(key, ServerPrefix) }
-
 // listEntry finds the entry that tells when the list was read; nil where a reply brings none.
 func listEntry(reply *distributionpb.FollowReply) *distributionpb.Entry {
 	i := slices.IndexFunc(reply.GetEntries(), func(w *distributionpb.Entry) bool { return w.GetKey() == ListKey })
@@ -27,7 +23,7 @@
 // bringsOlderList tells whether the list in a reply was read before the one that is held. A keeper that was cut off or stood
 // still may be current again before the others have told it of their list. The caller holds mu.
 func (f *Subscriber) bringsOlderList(now time.Time, delay Age, reply *distributionpb.FollowReply) bool {
-	held, told := f.table.entries[ListKey], listEntry(reply)
+	held, told := f.table.Get(ListKey), listEntry(reply)
 	if held == nil || told == nil || f.options.Knobs.ReplaceAlways {
 		return false
 	}
@@ -59,25 +55,25 @@
 	}
 	for _, w := range reply.GetEntries() {
 		e, age := DecodeEntry(w)
-		if e.Key == "" || len(e.Key) > 2*MaxIDBytes || old && belongsToList(e.Key) {
+		if e.Key == "" || len(e.Key) > 2*MaxIDBytes || old && BelongsToList(e.Key) {
 			continue
 		}
 		if f.unconfirmedServers[e.Key] {
 			delete(f.unconfirmedServers, e.Key)
 			into.Drop(e.Key)
 		}
-		if into.Merge(now, e, age.Plus(delay)) && (!isLazy(e.Key) || f.notifyListUpdates) {
+		if into.Merge(now, e, age.Plus(delay)) && (!IsLazy(e.Key) || f.notifyListUpdates) {
 			changed = true
 		}
 	}
 	if into == f.table {
 		return changed
 	}
-	if into.entries[ListKey] == nil {
+	if into.Get(ListKey) == nil {
 		// The list has not been read since: until then old servers are better than none.
 		f.unconfirmedServers = map[string]bool{}
-		for key, it := range f.table.entries {
-			if belongsToList(key) && into.Put(it.Entry, it.madeBetween) {
+		for key, it := range f.table.All() {
+			if BelongsToList(key) && into.Put(it.Entry, it.MadeBetween) {
 				f.unconfirmedServers[key] = true
 			}
 		}
--- a/internal/system/distribution/subscriber_start_test.go
+++ b/internal/system/distribution/subscriber_start_test.go
@@ -43,7 +43,7 @@
 }
 
 // startBeside starts a proxy with some seeds beside the old neighbour, and gives the first state that it serves.
-func startBeside(t *testing.T, node string, hooks TestingKnobs, seeds ...string) (seq uint64, took time.Duration) {
+func startBeside(t *testing.T, node string, knobs TestingKnobs, seeds ...string) (seq uint64, took time.Duration) {
 	t.Helper()
 	fl := oldNeighbour()
 	defer fl.stop()
@@ -54,7 +54,7 @@
 	}
 	var first firstState
 	start := time.Now()
-	fl.startFollower(node, func(o *SubscriberOptions) { o.Seeds, o.OnUpdate, o.Knobs = seeds, first.note, hooks })
+	fl.startFollower(node, func(o *SubscriberOptions) { o.Seeds, o.OnUpdate, o.Knobs = seeds, first.note, knobs })
 	time.Sleep(10 * time.Second)
 	seq, at := first.get()
 	return seq, at.Sub(start)
--- a/internal/system/distribution/table.go
+++ b/internal/system/distribution/table.go
@@ -2,6 +2,8 @@
 
 import (
 	"bytes"
+	"iter"
+	"maps"
 	"sort"
 	"strings"
 	"time"
@@ -41,8 +43,11 @@
 	ListKey      = "list" // rises with each whole poll of the platform's list, also one that changed nothing
 )
 
-// isLazy tells whether a change of the key may wait for the next answer that is sent anyway.
-func isLazy(key string) bool { return key == ListKey }
+// IsLazy tells whether a change of the key may wait for the next answer that is sent anyway.
+func IsLazy(key string) bool { return key == ListKey }
+
+// BelongsToList tells whether an entry comes with the platform's list.
+func BelongsToList(key string) bool { return key == ListKey || strings.HasPrefix(key, ServerPrefix) }
 
 // tombstoneTTL is how long deletions are remembered: much longer than any keeper goes without hearing from another
 // while both feed proxies.
@@ -51,7 +56,7 @@
 type StoredEntry struct {
 	Entry
 	number      uint64
-	madeBetween TimeBounds
+	MadeBetween TimeBounds
 
 	// What the value says, once it has been asked for; see views.go.
 	decoded       bool
@@ -69,8 +74,8 @@
 type Table struct {
 	entries         map[string]*StoredEntry
 	log             []change                  // rising numbers; may name a key more than once
-	lastNumber      uint64                    // of the last change
-	lastUrgent      uint64                    // of the last change that is not lazy
+	LastNumber      uint64                    // of the last change
+	LastUrgent      uint64                    // of the last change that is not lazy
 	forgottenNumber uint64                    // a deletion with this number has been forgotten
 	sorted          map[string][]*StoredEntry // the live items under a prefix, by key, where they have been asked for
 }
@@ -79,12 +84,21 @@
 	return &Table{entries: map[string]*StoredEntry{}, sorted: map[string][]*StoredEntry{}}
 }
 
+// Get gives the entry of a key, deleted or not; nil: there is none.
+func (t *Table) Get(key string) *StoredEntry { return t.entries[key] }
+
+// All gives the entries with their keys, those that are deleted included, in no order.
+func (t *Table) All() iter.Seq2[string, *StoredEntry] { return maps.All(t.entries) }
+
+// Len is how many entries there are, those that are deleted included.
+func (t *Table) Len() int { return len(t.entries) }
+
 // AgeAt is how long ago the entry was made.
-func (it *StoredEntry) AgeAt(now time.Time) Age { return it.madeBetween.AgeAt(now) }
+func (it *StoredEntry) AgeAt(now time.Time) Age { return it.MadeBetween.AgeAt(now) }
 
 // Merge takes e in if it is after what is held. age is how long ago e was made.
 func (t *Table) Merge(now time.Time, e Entry, age Age) bool {
-	return t.Put(e, age.normalized().madeBetween(now))
+	return t.Put(e, age.normalized().MadeBetween(now))
 }
 
 // Put takes e in if it is after what is held. made is when e was made, which may be later than a clock that was read before.
@@ -93,14 +107,14 @@
 	if held != nil && !e.supersedes(held.Entry) {
 		return false
 	}
-	t.lastNumber++
-	if !isLazy(e.Key) {
-		t.lastUrgent = t.lastNumber
+	t.LastNumber++
+	if !IsLazy(e.Key) {
+		t.LastUrgent = t.LastNumber
 	}
-	it := &StoredEntry{Entry: e, madeBetween: made, number: t.lastNumber}
+	it := &StoredEntry{Entry: e, MadeBetween: made, number: t.LastNumber}
 	t.entries[e.Key] = it
 	t.updateSorted(held, it)
-	t.log = append(t.log, change{t.lastNumber, e.Key})
+	t.log = append(t.log, change{t.LastNumber, e.Key})
 	if len(t.log) > 2*len(t.entries)+1024 {
 		t.compact()
 	}
@@ -120,7 +134,7 @@
 
 // ChangesSince gives the items changed after the number n, and whether these are the whole table.
 func (t *Table) ChangesSince(n uint64) (items []*StoredEntry, full bool) {
-	if n < t.forgottenNumber || n > t.lastNumber {
+	if n < t.forgottenNumber || n > t.LastNumber {
 		n = 0
 	}
 	first := sort.Search(len(t.log), func(i int) bool { return t.log[i].number > n })
@@ -167,17 +181,17 @@
 	return out
 }
 
-// maxAge bounds ages that others tell, so that none overflows.
-const maxAge = 24 * time.Hour
+// MaxAge bounds ages that others tell, so that none overflows.
+const MaxAge = 24 * time.Hour
 
 // defaultAgeSpan is by how much the least age lies below the most where a process from before least_age_ms does not tell it: longer
 // than calls take that are answered in time. Were it 0, what such a process tells of a cold state of long ago would begin anew.
 const defaultAgeSpan = 2 * time.Second
 
 func DecodeEntry(e *distributionpb.Entry) (Entry, Age) {
-	age := Age{Max: BoundedMilliseconds(e.GetAgeMs(), maxAge)}
+	age := Age{Max: BoundedMilliseconds(e.GetAgeMs(), MaxAge)}
 	if e.LeastAgeMs != nil {
-		age.Min = BoundedMilliseconds(e.GetLeastAgeMs(), maxAge)
+		age.Min = BoundedMilliseconds(e.GetLeastAgeMs(), MaxAge)
 	} else {
 		age.Min = age.Max - defaultAgeSpan
 	}
--- a/internal/system/distribution/table_test.go
+++ b/internal/system/distribution/table_test.go
@@ -11,7 +11,7 @@
 
 func contents(tb *Table) map[string]string {
 	out := map[string]string{}
-	for k, it := range tb.entries {
+	for k, it := range tb.All() {
 		out[k] = fmt.Sprint(it.Fence, it.Version, it.Deleted, string(it.Value))
 	}
 	return out
@@ -63,7 +63,7 @@
 					e, age := DecodeEntry(w)
 					reader.Merge(now, e, age)
 				}
-				at = tb.lastNumber
+				at = tb.LastNumber
 				tb.Expire(now)
 				reader.Expire(now)
 				if !maps.Equal(contents(tb), contents(reader)) {
--- a/internal/system/distribution/testfleet_test.go
+++ b/internal/system/distribution/testfleet_test.go
@@ -232,7 +232,7 @@
 
 // fleet is some hubs and followers on a mesh.
 type fleet struct {
-	hooks     TestingKnobs
+	knobs     TestingKnobs
 	mesh      *mesh
 	chain     *chain
 	names     []string // of keepers
@@ -252,11 +252,11 @@
 	back bool // it went back
 }
 
-func newFleet(keepers ...string) *fleet { return newHookedFleet(TestingKnobs{}, keepers...) }
+func newFleet(keepers ...string) *fleet { return newFleetWithKnobs(TestingKnobs{}, keepers...) }
 
-// newHookedFleet is a fleet whose hubs lack a protection.
-func newHookedFleet(hooks TestingKnobs, keepers ...string) *fleet {
-	fl := &fleet{hooks: hooks, mesh: newMesh(), chain: newChain(), names: keepers, sources: map[string]*source{}, hubs: map[string]*Server{},
+// newFleetWithKnobs is a fleet whose hubs lack a protection.
+func newFleetWithKnobs(knobs TestingKnobs, keepers ...string) *fleet {
+	fl := &fleet{knobs: knobs, mesh: newMesh(), chain: newChain(), names: keepers, sources: map[string]*source{}, hubs: map[string]*Server{},
 		stopHub: map[string]context.CancelFunc{}, followers: map[string]*proxy{}}
 	for _, k := range keepers {
 		fl.sources[k] = &source{chain: fl.chain, keepers: keepers}
@@ -268,7 +268,7 @@
 func (fl *fleet) startHub(name string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	h := NewServer(ServerOptions{Source: fl.sources[name], Self: name, Zone: "zone-" + name, Region: "r", ListLag: coldWorldLag, Log: quiet(),
-		Knobs: fl.hooks, Transport: station{fl.mesh, name}, Peers: func() []string {
+		Knobs: fl.knobs, Transport: station{fl.mesh, name}, Peers: func() []string {
 			var out []string
 			for _, k := range fl.names {
 				if k != name {
--- a/internal/system/distribution/transport.go
+++ b/internal/system/distribution/transport.go
@@ -19,7 +19,7 @@
 	dialTimeout        = 500 * time.Millisecond
 	tcpUserTimeout     = 1500 * time.Millisecond
 	requestReadTimeout = 5 * time.Second  // until a request has been read
-	replyWriteTimeout  = 30 * time.Second // from then on, until its answer has been taken
+	ReplyWriteTimeout  = 30 * time.Second // from then on, until its answer has been taken
 	maxReplyDuration   = 20 * time.Second // until an answer that comes slowly is complete
 )
 
@@ -58,7 +58,7 @@
 			return
 		}
 		_ = c.SetReadDeadline(time.Time{}) // an end of the connection now means that the caller is gone
-		_ = c.SetWriteDeadline(time.Now().Add(replyWriteTimeout))
+		_ = c.SetWriteDeadline(time.Now().Add(ReplyWriteTimeout))
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		next.ServeHTTP(w, r)
 	})
--- a/internal/system/distribution/values.go
+++ b/internal/system/distribution/values.go
@@ -34,7 +34,7 @@
 		Revision: m.GetRevision()}
 }
 
-func (m Member) Encode() []byte { return marshal(m.ToProto()) }
+func (m Member) Encode() []byte { return Marshal(m.ToProto()) }
 
 func DecodeMember(value []byte) (Member, bool) {
 	var m distributionpb.Member
@@ -44,8 +44,8 @@
 	return MemberFromProto(&m), true
 }
 
-// marshal encodes a message; its own messages hold valid strings, so no error is possible.
-func marshal(m proto.Message) []byte {
+// Marshal encodes a message; its own messages hold valid strings, so no error is possible.
+func Marshal(m proto.Message) []byte {
 	b, _ := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	return b
 }
@@ -54,7 +54,7 @@
 const maxServerDuration = 24 * time.Hour
 
 func EncodeServer(s pick.Server) []byte {
-	return marshal(&distributionpb.Server{Service: s.Service, Address: s.Address, Zone: s.Zone, Region: s.Region,
+	return Marshal(&distributionpb.Server{Service: s.Service, Address: s.Address, Zone: s.Zone, Region: s.Region,
 		Slots: uint32(max(0, min(s.Slots, 1<<30))), Draining: s.Draining, RemainingMs: millisecondsCeil(s.Remaining), ColdMs: millisecondsCeil(s.WarmUpMax)})
 }
 
--- a/internal/system/distribution/warmup_bounds_test.go
+++ b/internal/system/distribution/warmup_bounds_test.go
@@ -54,7 +54,7 @@
 		empty.markComplete()
 		items, full := empty.table.ChangesSince(0)
 		reply := &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: EncodeEntries(time.Now(), items),
-			Soft: &distributionpb.Cursor{Boot: empty.bootID, Number: empty.table.lastNumber}}
+			Soft: &distributionpb.Cursor{Boot: empty.bootID, Number: empty.table.LastNumber}}
 		req := f.buildRequest(nil, false)
 		read := time.Now() // call(): f.take(asked, time.Now(), req, reply), before the lock
 		time.Sleep(1500 * time.Millisecond)
@@ -89,7 +89,7 @@
 		}
 		f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
 		f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: w,
-			Soft: &distributionpb.Cursor{Boot: h.bootID, Number: h.table.lastNumber}})
+			Soft: &distributionpb.Cursor{Boot: h.bootID, Number: h.table.LastNumber}})
 		for _, s := range f.Current().Servers {
 			if s.WarmUpMax > 0 {
 				t.Errorf("cold for %v more, 17 s after the cold state's end", s.WarmUpMax)
