--- a/internal/system/distribution/catchup.go
+++ b/internal/system/distribution/catchup/catchup.go
@@ -1,10 +1,30 @@
-package distribution
+// Package catchup decides how a subscriber gets the part of the control state that it lacks.
+//
+// The problem: a server that holds a log of numbered, committed records and a subscriber that holds a prefix of it exchange messages
+// that may be lost, repeated, late by tens of seconds or answered by a server that is itself behind. The subscriber must reach the
+// newest state in few bytes, must never go back, and must know when it is as new as the control plane.
+//
+// The terms: a subscriber's Position is the number of the newest record that it has applied. An Availability is what a server could
+// send after a position, a Method how it does so, an Offer what a reply brings, and a Step what the subscriber takes of an offer.
+//
+// The invariants:
+//
+//   - A position never goes back within one incarnation. Proof: Position.Plan takes a snapshot only if its number is above the
+//     position, or equal to it after a record that did not apply, and records only from position+1 on; the number that results
+//     is at least the position in each case.
+//   - What is planned makes progress: PlanReply chooses None only if nothing is committed after the position, and each other
+//     method ends at a number above it.
+//   - A subscriber that ProvesFreshness was, at most FreshnessTTL ago by its own monotonic clock, as new as anything that had been
+//     acknowledged. Proof: the server looked whether it is current before it read its state and no earlier than Offer.Age ago, so
+//     whatever was acknowledged before that is numbered at most Offer.Newest, and the position is no lower. No clock is shared:
+//     Age is measured by the subscriber alone, from when it sent the request.
+//
+// The functions are pure: they read no clock and do no input or output, so that a simulation runs the rules of the processes.
+// Catching up by log or by snapshot is as in raft (Ongaro, Ousterhout 2014, section 7); acknowledged versions are as in xDS.
+package catchup
 
 import "time"
 
-// The decisions of delivery, in numbers only: what a hub answers to a cursor and what a follower makes of a reply. They do
-// no input or output and read no clock, so that a simulation can run the very same rules as the processes do.
-
 const (
 	// FreshnessTTL is how long a current keeper's word counts, from the moment that the follower can prove it was given:
 	// the longest wait of a poll, the silence that is borne beyond it, and some.
@@ -25,29 +45,29 @@
 	CachedSnapshotUsable bool   // the records after that snapshot fit into the same answer, or it was made a moment ago
 }
 
-// CatchUp is a way to bring a follower further.
-type CatchUp int
+// Method is a way to bring a follower further.
+type Method int
 
 // The ways to feed a follower.
 const (
-	CatchUpNone           CatchUp = iota // it holds all that is committed here
-	CatchUpRecords                       // all records that it lacks
-	CatchUpCachedSnapshot                // the snapshot at hand, and the records after it where they fit
-	CatchUpNewSnapshot                   // a snapshot made now
+	None           Method = iota // it holds all that is committed here
+	Records                      // all records that it lacks
+	CachedSnapshot               // the snapshot at hand, and the records after it where they fit
+	NewSnapshot                  // a snapshot made now
 )
 
-// PlanCatchUp decides how a follower that asks for what comes after the number after is fed. most bounds the records of one
+// PlanReply decides how a follower that asks for what comes after the number after is fed. most bounds the records of one
 // answer. Whatever is planned brings the follower further, and no answer is larger than MaxReplyBytes and one snapshot.
-func PlanCatchUp(after uint64, s Availability, most int) CatchUp {
+func PlanReply(after uint64, s Availability, most int) Method {
 	switch {
 	case s.Committed <= after:
-		return CatchUpNone
+		return None
 	case after > 0 && s.Known && (s.Records == 1 || s.Records <= most && s.Bytes <= MaxReplyBytes):
-		return CatchUpRecords
+		return Records
 	case s.CachedSnapshotUsable && s.CachedSnapshot > after:
-		return CatchUpCachedSnapshot
+		return CachedSnapshot
 	}
-	return CatchUpNewSnapshot
+	return NewSnapshot
 }
 
 // Offer is what a reply says of the control state.
--- a/internal/system/distribution/catchup_test.go
+++ b/internal/system/distribution/catchup/catchup_test.go
@@ -1,4 +1,4 @@
-package distribution
+package catchup
 
 import (
 	"testing"
@@ -11,22 +11,22 @@
 		name  string
 		after uint64
 		stock Availability
-		want  CatchUp
+		want  Method
 	}{
-		{"level", 9, Availability{Committed: 9}, CatchUpNone},
-		{"the hub is behind", 9, Availability{Committed: 7, CachedSnapshot: 7, CachedSnapshotUsable: true}, CatchUpNone},
-		{"nothing at all", 0, Availability{}, CatchUpNone},
-		{"a few records", 5, Availability{Committed: 9, Known: true, Records: 4, Bytes: 400}, CatchUpRecords},
-		{"a start takes a snapshot though all records are known", 0, Availability{Committed: 9, Known: true, Records: 9}, CatchUpNewSnapshot},
-		{"one large record", 8, Availability{Committed: 9, Known: true, Records: 1, Bytes: 16 << 20}, CatchUpRecords},
-		{"large records", 7, Availability{Committed: 9, Known: true, Records: 2, Bytes: MaxReplyBytes + 1}, CatchUpNewSnapshot},
-		{"away for 400 changes", 5, Availability{Committed: 405, Known: true, Records: most + 1}, CatchUpNewSnapshot},
-		{"the records are gone", 5, Availability{Committed: 405}, CatchUpNewSnapshot},
-		{"and a snapshot is at hand", 5, Availability{Committed: 405, CachedSnapshot: 400, CachedSnapshotUsable: true}, CatchUpCachedSnapshot},
-		{"which is too old", 5, Availability{Committed: 405, CachedSnapshot: 300}, CatchUpNewSnapshot},
-		{"which brings nothing", 400, Availability{Committed: 405, CachedSnapshot: 400, CachedSnapshotUsable: true}, CatchUpNewSnapshot},
+		{"level", 9, Availability{Committed: 9}, None},
+		{"the hub is behind", 9, Availability{Committed: 7, CachedSnapshot: 7, CachedSnapshotUsable: true}, None},
+		{"nothing at all", 0, Availability{}, None},
+		{"a few records", 5, Availability{Committed: 9, Known: true, Records: 4, Bytes: 400}, Records},
+		{"a start takes a snapshot though all records are known", 0, Availability{Committed: 9, Known: true, Records: 9}, NewSnapshot},
+		{"one large record", 8, Availability{Committed: 9, Known: true, Records: 1, Bytes: 16 << 20}, Records},
+		{"large records", 7, Availability{Committed: 9, Known: true, Records: 2, Bytes: MaxReplyBytes + 1}, NewSnapshot},
+		{"away for 400 changes", 5, Availability{Committed: 405, Known: true, Records: most + 1}, NewSnapshot},
+		{"the records are gone", 5, Availability{Committed: 405}, NewSnapshot},
+		{"and a snapshot is at hand", 5, Availability{Committed: 405, CachedSnapshot: 400, CachedSnapshotUsable: true}, CachedSnapshot},
+		{"which is too old", 5, Availability{Committed: 405, CachedSnapshot: 300}, NewSnapshot},
+		{"which brings nothing", 400, Availability{Committed: 405, CachedSnapshot: 400, CachedSnapshotUsable: true}, NewSnapshot},
 	} {
-		if got := PlanCatchUp(c.after, c.stock, most); got != c.want {
+		if got := PlanReply(c.after, c.stock, most); got != c.want {
 			t.Errorf("%s: %v for %v", c.name, got, c.want)
 		}
 	}
--- a/internal/system/distribution/golden_trace_test.go
+++ b/internal/system/distribution/golden_trace_test.go
@@ -20,6 +20,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/system/distribution/catchup"
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
@@ -352,13 +353,13 @@
 // tracePlans takes in how hubs feed, and what followers take, over numbers drawn from the seed.
 func tracePlans(tr *trace, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 17))
-	tags := map[CatchUp]byte{CatchUpNone: 'N', CatchUpRecords: 'R', CatchUpCachedSnapshot: 'K', CatchUpNewSnapshot: 'S'}
+	tags := map[catchup.Method]byte{catchup.None: 'N', catchup.Records: 'R', catchup.CachedSnapshot: 'K', catchup.NewSnapshot: 'S'}
 	n := func() uint64 { return rng.Uint64N(12) }
 	for range 20_000 {
-		s := Availability{Committed: n(), Known: rng.IntN(2) == 0, Records: rng.IntN(6), Bytes: rng.IntN(2 * MaxReplyBytes), CachedSnapshot: n(), CachedSnapshotUsable: rng.IntN(2) == 0}
-		tr.step(tags[PlanCatchUp(n(), s, 4)])
-		p := Position{Seq: n(), Resync: rng.IntN(3) == 0}
-		o := Offer{Current: rng.IntN(2) == 0, Newest: n(), Snapshot: n(), First: n(), Age: time.Duration(rng.IntN(2 * int(FreshnessTTL)))}
+		s := catchup.Availability{Committed: n(), Known: rng.IntN(2) == 0, Records: rng.IntN(6), Bytes: rng.IntN(2 * catchup.MaxReplyBytes), CachedSnapshot: n(), CachedSnapshotUsable: rng.IntN(2) == 0}
+		tr.step(tags[catchup.PlanReply(n(), s, 4)])
+		p := catchup.Position{Seq: n(), Resync: rng.IntN(3) == 0}
+		o := catchup.Offer{Current: rng.IntN(2) == 0, Newest: n(), Snapshot: n(), First: n(), Age: time.Duration(rng.IntN(2 * int(catchup.FreshnessTTL)))}
 		o.Last = o.First + n()
 		step := p.Plan(o)
 		tr.flags(step.Snapshot, o.Expired(), p.ProvesFreshness(o))
--- a/internal/system/distribution/late_delivery_test.go
+++ b/internal/system/distribution/late_delivery_test.go
@@ -10,6 +10,7 @@
 	"testing/synctest"
 	"time"
 
+	"gradeusher.example/gradeusher/internal/system/distribution/catchup"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -126,7 +127,7 @@
 	now := time.Now()
 	for n, p := range w.followers {
 		u := p.f.Current()
-		if u.Fresh && int(u.State.Seq) < len(w.acked) && now.Sub(w.acked[u.State.Seq]) > FreshnessTTL+lateMargin {
+		if u.Fresh && int(u.State.Seq) < len(w.acked) && now.Sub(w.acked[u.State.Seq]) > catchup.FreshnessTTL+lateMargin {
 			w.broken["fresh though a change is older than that"]++
 		}
 		p.mu.Lock()
--- a/internal/system/distribution/server_state.go
+++ b/internal/system/distribution/server_state.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/system/distribution/catchup"
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 )
 
@@ -73,11 +74,11 @@
 	}
 	reply.Newest = state.Seq
 	records, stock := h.availability(after, state.Seq)
-	switch PlanCatchUp(after, stock, h.limits.MaxRecordsPerReply) {
-	case CatchUpNone:
-	case CatchUpRecords:
+	switch catchup.PlanReply(after, stock, h.limits.MaxRecordsPerReply) {
+	case catchup.None:
+	case catchup.Records:
 		h.addRecords(reply, records)
-	case CatchUpCachedSnapshot, CatchUpNewSnapshot:
+	case catchup.CachedSnapshot, catchup.NewSnapshot:
 		h.addSnapshot(reply, after, state)
 	}
 	size := len(reply.GetSnapshot())
@@ -90,8 +91,8 @@
 }
 
 // availability counts the records between two numbers.
-func (h *Server) availability(after, committed uint64) ([]controlstate.Record, Availability) {
-	s := Availability{Committed: committed}
+func (h *Server) availability(after, committed uint64) ([]controlstate.Record, catchup.Availability) {
+	s := catchup.Availability{Committed: committed}
 	if after >= committed {
 		return nil, s
 	}
@@ -116,10 +117,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	records, stock := h.availability(s.seq, state.Seq)
-	fit := s.seq == state.Seq || stock.Known && stock.Records <= h.limits.MaxRecordsPerReply && stock.Bytes <= MaxReplyBytes
+	fit := s.seq == state.Seq || stock.Known && stock.Records <= h.limits.MaxRecordsPerReply && stock.Bytes <= catchup.MaxReplyBytes
 	stock.CachedSnapshot, stock.CachedSnapshotUsable = s.seq, s.seq > 0 && (fit || time.Since(s.madeAt) < snapshotTTL)
 	stock.Known = false
-	if PlanCatchUp(after, stock, h.limits.MaxRecordsPerReply) == CatchUpNewSnapshot {
+	if catchup.PlanReply(after, stock, h.limits.MaxRecordsPerReply) == catchup.NewSnapshot {
 		s.encoded, s.deflated = Compress(state.WithoutHistory().Encode()) // followers judge no changes
 		s.seq, s.madeAt, s.count = state.Seq, time.Now(), s.count+1
 		records, fit = nil, false
--- a/internal/system/distribution/subscriber.go
+++ b/internal/system/distribution/subscriber.go
@@ -11,6 +11,7 @@
 	"github.com/cockroachdb/errors"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/system/distribution/catchup"
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
@@ -238,12 +239,12 @@
 const unknownAge = time.Hour
 
 func (f *Subscriber) isFresh(now time.Time) bool {
-	return !f.freshAt.IsZero() && now.Sub(f.freshAt) <= FreshnessTTL
+	return !f.freshAt.IsZero() && now.Sub(f.freshAt) <= catchup.FreshnessTTL
 }
 
 // mayBeMarkedDown tells whether others may have given this proxy up.
 func (f *Subscriber) mayBeMarkedDown(now time.Time) bool {
-	if now.Sub(f.lastCurrentContact) > FreshnessTTL {
+	if now.Sub(f.lastCurrentContact) > catchup.FreshnessTTL {
 		return true
 	}
 	held := f.table.Get(MemberPrefix + f.self.Node)
--- a/internal/system/distribution/subscriber_state.go
+++ b/internal/system/distribution/subscriber_state.go
@@ -6,15 +6,18 @@
 	"github.com/cockroachdb/errors"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/system/distribution/catchup"
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 )
 
 // position is how far this proxy is. The caller holds mu.
-func (f *Subscriber) position() Position { return Position{Seq: f.state.Seq, Resync: f.resync} }
+func (f *Subscriber) position() catchup.Position {
+	return catchup.Position{Seq: f.state.Seq, Resync: f.resync}
+}
 
 // offerFromReply reads what a reply says of the control state; the snapshot's number is known once it has been read.
-func offerFromReply(reply *distributionpb.FollowReply, age time.Duration) Offer {
-	o := Offer{Current: reply.GetCurrent(), Newest: reply.GetNewest(), Age: age}
+func offerFromReply(reply *distributionpb.FollowReply, age time.Duration) catchup.Offer {
+	o := catchup.Offer{Current: reply.GetCurrent(), Newest: reply.GetNewest(), Age: age}
 	if records := reply.GetRecords(); len(records) > 0 {
 		o.First, o.Last = records[0].GetSeq(), records[len(records)-1].GetSeq()
 	}
@@ -22,7 +25,7 @@
 }
 
 // applyState takes what is newer of a snapshot and of records, so that a proxy never goes back. The caller holds mu.
-func (f *Subscriber) applyState(offer Offer, reply *distributionpb.FollowReply) {
+func (f *Subscriber) applyState(offer catchup.Offer, reply *distributionpb.FollowReply) {
 	var snapshot *controlstate.State
 	if b := reply.GetSnapshot(); len(b) > 0 {
 		var err error
