--- a/internal/system/replication/sim_proxies_test.go
+++ b/internal/system/replication/sim_proxies_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
-	"gradeusher.example/gradeusher/internal/system/distribution"
+	"gradeusher.example/gradeusher/internal/system/distribution/catchup"
 )
 
 // The figures of distribution.Subscriber and Hub, which this file models: see follower_keepers.go and hub_follow.go there.
@@ -195,19 +195,19 @@
 		return r
 	}
 	records, known := m.core.RecordsAfter(p.seq, pollRecords+1)
-	stock := distribution.Availability{Committed: seq, Known: known && len(records) > 0, Records: len(records)}
-	switch distribution.PlanCatchUp(p.seq, stock, pollRecords) {
-	case distribution.CatchUpRecords:
+	stock := catchup.Availability{Committed: seq, Known: known && len(records) > 0, Records: len(records)}
+	switch catchup.PlanReply(p.seq, stock, pollRecords) {
+	case catchup.Records:
 		r.records = records
-	case distribution.CatchUpNewSnapshot:
+	case catchup.NewSnapshot:
 		r.snapshot, r.snapSeq = state.Encode(), seq
 	}
 	return r
 }
 
 // offer is what an answer says of the control state.
-func (r *pollReply) offer(age time.Duration) distribution.Offer {
-	o := distribution.Offer{Current: r.current, Newest: r.newest, Snapshot: r.snapSeq, Age: age}
+func (r *pollReply) offer(age time.Duration) catchup.Offer {
+	o := catchup.Offer{Current: r.current, Newest: r.newest, Snapshot: r.snapSeq, Age: age}
 	if n := len(r.records); n > 0 {
 		o.First, o.Last = r.records[0].Seq, r.records[n-1].Seq
 	}
@@ -222,7 +222,7 @@
 		p.known = r.keepers
 	}
 	before := p.seq
-	step := distribution.Position{Seq: p.seq}.Plan(offer)
+	step := catchup.Position{Seq: p.seq}.Plan(offer)
 	if step.Snapshot {
 		s, err := toyMachine{}.Decode(r.snapshot)
 		if err != nil {
@@ -243,7 +243,7 @@
 		p.state, p.seq = s.(*toy), rec.Seq
 	}
 	p.checkHeld(before)
-	if (distribution.Position{Seq: p.seq}).ProvesFreshness(offer) {
+	if (catchup.Position{Seq: p.seq}).ProvesFreshness(offer) {
 		p.freshAt = max(p.freshAt, checked)
 	}
 	return !offer.Expired()
--- a/internal/system/replication/sim_proxy_checks_test.go
+++ b/internal/system/replication/sim_proxy_checks_test.go
@@ -6,14 +6,14 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
-	"gradeusher.example/gradeusher/internal/system/distribution"
+	"gradeusher.example/gradeusher/internal/system/distribution/catchup"
 )
 
 const (
 	currentBound = time.Second // what a keeper that is current may lack, see checkCurrent
 
 	// freshBound is how old what a proxy holds may be while it counts as fresh.
-	freshBound = distribution.FreshnessTTL + currentBound
+	freshBound = catchup.FreshnessTTL + currentBound
 	// contact is how long a proxy and the keepers must have been undisturbed for the proxy to count as in touch.
 	contact = 5 * time.Second
 	// touchBound is within what a proxy in touch holds what was acknowledged.
@@ -44,7 +44,7 @@
 }
 
 // fresh tells whether a keeper's word that there is nothing newer still counts.
-func (p *proxy) fresh() bool { return p.freshAt >= 0 && p.w.now-p.freshAt <= distribution.FreshnessTTL }
+func (p *proxy) fresh() bool { return p.freshAt >= 0 && p.w.now-p.freshAt <= catchup.FreshnessTTL }
 
 // checkAge: a proxy that counts as fresh, or that is in touch, does not serve what is too old.
 func (p *proxy) checkAge() {
