--- a/internal/system/distribution/compression_test.go
+++ b/internal/system/distribution/compression_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 )
 
 // TestCompression: 1,800 routes that are much alike go out in under a tenth of their bytes, compressed once for all followers.
@@ -25,14 +26,14 @@
 	if len(w.GetBody())*10 > body.Len() {
 		t.Errorf("%d bytes of %d", len(w.GetBody()), body.Len())
 	}
-	out, err := Expand(w.GetBody(), w.GetDeflated())
+	out, err := rpc.Expand(w.GetBody(), w.GetDeflated())
 	if err != nil || !bytes.Equal(out, body.Bytes()) {
 		t.Errorf("%d bytes back, %v", len(out), err)
 	}
 	if small := s.encode(controlstate.Record{Seq: 4, Body: []byte("{}")}); small.GetDeflated() || string(small.GetBody()) != "{}" {
 		t.Error("a small body was changed")
 	}
-	if _, err := Expand(w.GetBody()[:len(w.GetBody())/2], true); err == nil {
+	if _, err := rpc.Expand(w.GetBody()[:len(w.GetBody())/2], true); err == nil {
 		t.Error("half of it counts as whole")
 	}
 	random := make([]byte, 64<<10)
--- a/internal/system/distribution/golden_trace_test.go
+++ b/internal/system/distribution/golden_trace_test.go
@@ -22,6 +22,7 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/distribution/catchup"
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -136,7 +137,7 @@
 
 // giveIndexes draws a vector's boot from the seed and has it number the servers in their order: of several that come at once the
 // order is the map's.
-func (x *exchange) giveIndexes(v *Vector) {
+func (x *exchange) giveIndexes(v *loadreport.Vector) {
 	v.BootID = x.rng.Uint64() | 1
 	all := map[string]pick.Load{}
 	for _, id := range exchangeServers {
--- a/internal/system/distribution/loads.go
+++ b/internal/system/distribution/loadreport/loads.go
@@ -1,4 +1,4 @@
-package distribution
+package loadreport
 
 import (
 	"encoding/binary"
@@ -9,8 +9,8 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// LoadTTL is how long a load counts after it was told.
-const LoadTTL = time.Second
+// TTL is how long a load counts after it was told.
+const TTL = time.Second
 
 // MaxServers bounds the servers of one vector, and MaxIDBytes the length of a server's id.
 const (
@@ -232,7 +232,7 @@
 
 // AddTo adds what is held to sum, unless it is too old to count.
 func (r *Received) AddTo(now time.Time, sum map[string]pick.Load) {
-	if now.Sub(r.ReceivedAt) > LoadTTL {
+	if now.Sub(r.ReceivedAt) > TTL {
 		return
 	}
 	for i, l := range r.loads {
--- a/internal/system/distribution/loads_compat_test.go
+++ b/internal/system/distribution/loadreport/loads_compat_test.go
@@ -1,4 +1,4 @@
-package distribution
+package loadreport
 
 import (
 	"encoding/hex"
--- a/internal/system/distribution/loads_test.go
+++ b/internal/system/distribution/loadreport/loads_test.go
@@ -1,4 +1,4 @@
-package distribution
+package loadreport
 
 import (
 	"fmt"
@@ -72,13 +72,13 @@
 		if r.Apply(now, v.ChangesSince(r.BootID, r.Number)); !maps.Equal(sumOf(r, now), told(loads)) {
 			t.Fatalf("in the end %+v for %+v", sumOf(r, now), loads)
 		}
-		if got := sumOf(r, now.Add(LoadTTL+1)); len(got) > 0 {
+		if got := sumOf(r, now.Add(TTL+1)); len(got) > 0 {
 			t.Fatalf("counts after its life: %v", got)
 		}
 	})
 }
 
-func FuzzReading(f *testing.F) {
+func FuzzReceived(f *testing.F) {
 	v := NewVector(true)
 	v.Publish(time.Now(), map[string]pick.Load{"a": {Requests: 1}, "b": {Tokens: 70000}})
 	f.Add(v.ChangesSince(0, 0).GetBody())
--- a/internal/system/distribution/loopback_test.go
+++ b/internal/system/distribution/loopback_test.go
@@ -13,6 +13,7 @@
 
 	"go.uber.org/goleak"
 
+	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -75,7 +76,7 @@
 	defer cancel()
 	wg.Go(func() { h.Run(ctx) })
 	updates := make(chan Update, 1)
-	transport := NewTransport()
+	transport := rpc.NewTransport()
 	defer transport.CloseIdleConnections()
 	f := NewSubscriber(SubscriberOptions{Seeds: []string{address}, Self: Member{Node: "p"}, Log: quiet(), Transport: transport,
 		OnUpdate: func(u Update) {
@@ -143,7 +144,7 @@
 		b.Fatal(err)
 	}
 	var tick atomic.Int64
-	transport := NewTransport()
+	transport := rpc.NewTransport()
 	transport.MaxIdleConns, transport.MaxIdleConnsPerHost = 0, 2*followers
 	all := make([]*Subscriber, followers)
 	for n := range all {
--- a/internal/system/distribution/mismatched_reply_test.go
+++ b/internal/system/distribution/mismatched_reply_test.go
@@ -15,6 +15,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
+	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 )
 
 // A scriptedPeer takes polls and answers each as its script says, on as many connections as come.
@@ -51,7 +53,7 @@
 		p.seen[req.GetCall()]++
 		act := p.script(req.GetCall())
 		p.mu.Unlock()
-		if !perform(c, in, act, answerBytes(req.GetCall()), answerBytes(req.GetCall()%(MaxCallIDs-1)+1)) {
+		if !perform(c, in, act, answerBytes(req.GetCall()), answerBytes(req.GetCall()%(rpc.MaxCallIDs-1)+1)) {
 			return
 		}
 	}
@@ -108,7 +110,7 @@
 			wg.Go(func() { p.serve(c) })
 		}
 	})
-	transport := NewTransport()
+	transport := rpc.NewTransport()
 	t.Cleanup(func() {
 		_ = ln.Close()
 		transport.CloseIdleConnections()
@@ -129,7 +131,7 @@
 	})
 	good := 0
 	for range 400 {
-		ctx, cancel := WithIdleTimeout(t.Context(), 20*time.Millisecond, 20*time.Millisecond)
+		ctx, cancel := rpc.WithIdleTimeout(t.Context(), 20*time.Millisecond, 20*time.Millisecond)
 		req := &distributionpb.FollowRequest{}
 		reply, err := f.sendPoll(ctx, address, req)
 		cancel()
@@ -162,7 +164,7 @@
 	f, _, address := scriptedFollower(t, func(uint32) string { return "another's answer" })
 	for _, knob := range []bool{false, true} {
 		f.options.Knobs.AcceptAnyReply = knob
-		ctx, cancel := WithIdleTimeout(t.Context(), time.Second, time.Second)
+		ctx, cancel := rpc.WithIdleTimeout(t.Context(), time.Second, time.Second)
 		if _, err := f.sendPoll(ctx, address, &distributionpb.FollowRequest{}); (err == nil) != knob {
 			t.Errorf("control %v: %v", knob, err)
 		}
@@ -175,7 +177,7 @@
 	f, _, address := scriptedFollower(t, func(uint32) string { return "twice in one packet" })
 	for range 200 {
 		req := &distributionpb.FollowRequest{}
-		ctx, cancel := WithIdleTimeout(t.Context(), time.Second, time.Second)
+		ctx, cancel := rpc.WithIdleTimeout(t.Context(), time.Second, time.Second)
 		if reply, err := f.sendPoll(ctx, address, req); err == nil && reply.GetNewest() != uint64(req.GetCall()) {
 			t.Fatalf("call %d got the answer of %d", req.GetCall(), reply.GetNewest())
 		}
@@ -190,7 +192,7 @@
 	m := Member{Node: "p", Incarnation: 5, Revision: 2, Ready: true}
 	other := Member{Node: "q", Incarnation: 6}
 	h.endCall(h.beginCall(other, &distributionpb.FollowRequest{Member: other.ToProto()}))
-	v := NewVector(true)
+	v := loadreport.NewVector(true)
 	poll := &distributionpb.FollowRequest{Member: m.ToProto(), Seq: 7, AcceptStale: true, Loads: v.ChangesSince(0, 0),
 		Down: []*distributionpb.Verdict{{Node: "q", Incarnation: 6}}}
 	share := &distributionpb.ShareRequest{From: &distributionpb.Keeper{Address: "o"}, Boot: 3, SentMs: h.clockMS(time.Now()), Loads: v.ChangesSince(0, 0),
--- a/internal/system/distribution/referral.go
+++ b/internal/system/distribution/referral.go
@@ -7,6 +7,7 @@
 	"github.com/twitchtv/twirp"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 )
 
 // ServerLocation is a keeper that feeds proxies, and where it is.
@@ -23,7 +24,7 @@
 
 // Handler serves the calls of followers and of other keepers, under the same path as Hub.Handler.
 func (r Referral) Handler() http.Handler {
-	return BoundedHandler(distributionpb.NewDistributionServer(r))
+	return rpc.BoundedHandler(distributionpb.NewDistributionServer(r))
 }
 
 // Follow names the keepers. The reply has no soft state, by which a follower knows that it is not fed here.
--- a/internal/system/distribution/referral_test.go
+++ b/internal/system/distribution/referral_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 	"sync"
 	"testing"
 	"time"
@@ -24,7 +25,7 @@
 	defer cancel()
 	wg.Go(func() { h.Run(ctx) })
 	fresh := make(chan struct{}, 1)
-	transport := NewTransport()
+	transport := rpc.NewTransport()
 	defer transport.CloseIdleConnections()
 	seq := c.add(none())
 	f := NewSubscriber(SubscriberOptions{Seeds: []string{first, second}, Self: Member{Node: "p"}, Log: quiet(), Transport: transport,
--- a/internal/system/distribution/reply_budget_test.go
+++ b/internal/system/distribution/reply_budget_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 )
 
 // TestPendingRepliesAreBounded: callers that take nothing of a large answer hold so many of them in a keeper's memory as its
@@ -88,11 +89,11 @@
 			t.Errorf("%q, %v", head, err)
 		}
 		_ = other.Close()
-		time.Sleep(ReplyWriteTimeout)
+		time.Sleep(rpc.ReplyWriteTimeout)
 		h.replyBudget.mu.Lock()
 		defer h.replyBudget.mu.Unlock()
 		if h.replyBudget.reservedBytes != 0 {
-			t.Errorf("%d bytes are held after %v", h.replyBudget.reservedBytes, ReplyWriteTimeout)
+			t.Errorf("%d bytes are held after %v", h.replyBudget.reservedBytes, rpc.ReplyWriteTimeout)
 		}
 	})
 }
--- a/internal/system/distribution/call_id.go
+++ b/internal/system/distribution/rpc/call_id.go
@@ -1,4 +1,4 @@
-package distribution
+package rpc
 
 import (
 	"sync/atomic"
--- a/internal/system/distribution/compression.go
+++ b/internal/system/distribution/rpc/compression.go
@@ -1,4 +1,4 @@
-package distribution
+package rpc
 
 import (
 	"bytes"
@@ -12,13 +12,13 @@
 // followers is narrow: what is large goes out compressed, and is compressed once for all of them.
 
 const (
-	compressFrom  = 4 << 10  // bytes; less is not worth the time
-	expandedLimit = 64 << 20 // bytes that compressed ones may come to
+	MinCompressBytes = 4 << 10  // bytes; less is not worth the time
+	maxExpandedBytes = 64 << 20 // bytes that compressed ones may come to
 )
 
 // Compress compresses what is large by DEFLATE, and tells whether it did.
 func Compress(b []byte) (out []byte, deflated bool) {
-	if len(b) < compressFrom {
+	if len(b) < MinCompressBytes {
 		return b, false
 	}
 	var buffer bytes.Buffer
@@ -40,12 +40,12 @@
 	if !deflated {
 		return b, nil
 	}
-	out, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b)), expandedLimit+1))
+	out, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b)), maxExpandedBytes+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "distribution: compressed bytes cannot be read: ask for a snapshot")
 	}
-	if len(out) > expandedLimit {
-		return nil, errors.Newf("distribution: compressed bytes come to more than %d: make the configuration smaller", expandedLimit)
+	if len(out) > maxExpandedBytes {
+		return nil, errors.Newf("distribution: compressed bytes come to more than %d: make the configuration smaller", maxExpandedBytes)
 	}
 	return out, nil
 }
--- a/internal/system/distribution/server.go
+++ b/internal/system/distribution/server.go
@@ -14,6 +14,8 @@
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
+	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -96,9 +98,9 @@
 	changed     chan struct{} // closed when followers are to look again
 	ackChanged  chan struct{} // closed when an acknowledgement may have risen
 	subscribers map[string]*subscriberSession
-	peers       map[string]*peer // by address
-	totalLoads  *Vector          // of all proxies
-	localLoads  *Vector          // of the followers here
+	peers       map[string]*peer   // by address
+	totalLoads  *loadreport.Vector // of all proxies
+	localLoads  *loadreport.Vector // of the followers here
 	minAckedSeq uint64
 	lastCurrent time.Time // when this keeper was last seen to be current; zero: never yet
 	rejoinedAt  time.Time // when it was so again after isolationThreshold
@@ -107,7 +109,7 @@
 	records     recordCache
 	commits     commitLog
 	replyBudget replyBudget
-	callIDs     CallIDs
+	callIDs     rpc.CallIDs
 
 	done          chan struct{} // closed when Run ends
 	wakeRequested chan struct{} // the table or a vector changed
@@ -123,7 +125,7 @@
 	ackedSeq         uint64
 	totalsSentAt     time.Time // last answer with totals
 	entriesSentAt    time.Time // last answer with entries
-	loads            Received
+	loads            loadreport.Received
 	loadsInTotals    uint64 // number of its loads in the totals
 }
 
@@ -135,25 +137,25 @@
 	minAckedSeq     uint64
 	subscriberCount uint64
 	reachablePeers  []string // keepers that have shared with it of late, by its own word
-	loads           Received
+	loads           loadreport.Received
 }
 
 // NewServer makes a Hub; Run makes it work.
 func NewServer(opt ServerOptions) *Server {
 	if opt.Transport == nil {
-		opt.Transport = NewTransport()
+		opt.Transport = rpc.NewTransport()
 	}
 	now := time.Now()
 	limits := opt.Limits.withDefaults()
 	return &Server{options: opt, limits: limits, replyBudget: replyBudget{maxBytes: limits.MaxPendingReplyBytes}, table: NewTable(), bootID: rand.Uint64() | 1, startedAt: now, lastTick: now,
 		changed: make(chan struct{}), ackChanged: make(chan struct{}), subscribers: map[string]*subscriberSession{}, peers: map[string]*peer{},
-		totalLoads: NewVector(false), localLoads: NewVector(false), minAckedSeq: math.MaxUint64,
+		totalLoads: loadreport.NewVector(false), localLoads: loadreport.NewVector(false), minAckedSeq: math.MaxUint64,
 		done: make(chan struct{}), wakeRequested: make(chan struct{}, 1), syncRequested: make(chan struct{}, 1)}
 }
 
 // Handler serves the calls of followers and of other keepers, under /twirp/gradeusher.distribution.Distribution/.
 func (h *Server) Handler() http.Handler {
-	return BoundedHandler(withReplyBudget(distributionpb.NewDistributionServer(h)))
+	return rpc.BoundedHandler(withReplyBudget(distributionpb.NewDistributionServer(h)))
 }
 
 // coalesceDelay is how long the first change waits for others before followers are woken.
--- a/internal/system/distribution/server_follow.go
+++ b/internal/system/distribution/server_follow.go
@@ -10,6 +10,7 @@
 	"github.com/twitchtv/twirp"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
 )
 
 // currentRecheckInterval is how often a keeper that is not current looks whether it has become so, while a proxy waits for that.
@@ -27,7 +28,7 @@
 func (h *Server) serveFollow(ctx context.Context, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
 	start := time.Now()
 	m := MemberFromProto(req.GetMember())
-	if m.Node == "" || len(m.Node) > MaxIDBytes || m.Incarnation == 0 {
+	if m.Node == "" || len(m.Node) > loadreport.MaxIDBytes || m.Incarnation == 0 {
 		return nil, twirp.RequiredArgumentError("member")
 	}
 	if req.GetProbe() {
--- a/internal/system/distribution/server_record_cache.go
+++ b/internal/system/distribution/server_record_cache.go
@@ -5,6 +5,7 @@
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 )
 
 const (
@@ -22,7 +23,7 @@
 // encode is r as it goes out. It is shared: do not change it.
 func (c *recordCache) encode(r controlstate.Record) *distributionpb.Record {
 	w := &distributionpb.Record{Seq: r.Seq, Op: uint32(r.Op), Base: r.Base, Body: r.Body, Zone: r.Zone}
-	if len(r.Body) < compressFrom {
+	if len(r.Body) < rpc.MinCompressBytes {
 		return w
 	}
 	c.mu.Lock()
@@ -32,7 +33,7 @@
 			return k
 		}
 	}
-	w.Body, w.Deflated = Compress(r.Body)
+	w.Body, w.Deflated = rpc.Compress(r.Body)
 	c.records, c.bytes = append(c.records, w), c.bytes+len(w.GetBody())
 	for len(c.records) > 1 && (len(c.records) > cachedRecords || c.bytes > cachedBytes) {
 		c.bytes -= len(c.records[0].GetBody())
--- a/internal/system/distribution/server_state.go
+++ b/internal/system/distribution/server_state.go
@@ -8,6 +8,7 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/distribution/catchup"
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 )
 
 // snapshotTTL is how long a snapshot is given to followers that need one though there is a newer state: encoding a large
@@ -121,7 +122,7 @@
 	stock.CachedSnapshot, stock.CachedSnapshotUsable = s.seq, s.seq > 0 && (fit || time.Since(s.madeAt) < snapshotTTL)
 	stock.Known = false
 	if catchup.PlanReply(after, stock, h.limits.MaxRecordsPerReply) == catchup.NewSnapshot {
-		s.encoded, s.deflated = Compress(state.WithoutHistory().Encode()) // followers judge no changes
+		s.encoded, s.deflated = rpc.Compress(state.WithoutHistory().Encode()) // followers judge no changes
 		s.seq, s.madeAt, s.count = state.Seq, time.Now(), s.count+1
 		records, fit = nil, false
 	}
--- a/internal/system/distribution/server_sync.go
+++ b/internal/system/distribution/server_sync.go
@@ -12,6 +12,8 @@
 	"github.com/twitchtv/twirp"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
+	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 )
 
 const (
@@ -76,7 +78,7 @@
 
 // syncWith passes changes to one keeper: on change, at most every Share, at least every Beat.
 func (h *Server) syncWith(ctx context.Context, url string, changed <-chan struct{}) {
-	caller := &http.Client{Transport: BoundedTransport{h.options.Transport}}
+	caller := &http.Client{Transport: rpc.BoundedTransport{Next: h.options.Transport}}
 	client := distributionpb.NewDistributionProtobufClient(url, caller)
 	var progress syncProgress
 	reached := true
@@ -87,7 +89,7 @@
 		reply, err := client.Share(call, req)
 		cancel()
 		if err == nil {
-			if err = CheckReply(req.GetCall(), reply.GetCall()); err != nil {
+			if err = rpc.CheckReply(req.GetCall(), reply.GetCall()); err != nil {
 				caller.CloseIdleConnections()
 			}
 		}
@@ -206,7 +208,7 @@
 	before := h.listFence()
 	for _, w := range req.GetEntries() {
 		e, age := DecodeEntry(w)
-		if e.Key != "" && len(e.Key) <= 2*MaxIDBytes {
+		if e.Key != "" && len(e.Key) <= 2*loadreport.MaxIDBytes {
 			h.mergePeerEntry(now, from, e, age.Plus(AgeUpTo(delay)))
 		}
 	}
--- a/internal/system/distribution/server_table.go
+++ b/internal/system/distribution/server_table.go
@@ -7,6 +7,7 @@
 
 	"github.com/cockroachdb/errors"
 
+	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -70,7 +71,7 @@
 	}
 	named := make(map[string]bool, len(servers))
 	for _, s := range servers {
-		if len(s.ID) == 0 || len(s.ID) > MaxIDBytes || len(named) >= MaxServers {
+		if len(s.ID) == 0 || len(s.ID) > loadreport.MaxIDBytes || len(named) >= loadreport.MaxServers {
 			continue
 		}
 		named[ServerPrefix+s.ID] = true
--- a/internal/system/distribution/subscriber.go
+++ b/internal/system/distribution/subscriber.go
@@ -13,6 +13,8 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/distribution/catchup"
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
+	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -54,7 +56,7 @@
 type Subscriber struct {
 	options   SubscriberOptions
 	client    *http.Client
-	callIDs   CallIDs
+	callIDs   rpc.CallIDs
 	startedAt time.Time
 
 	mu                 sync.Mutex
@@ -70,8 +72,8 @@
 	membershipComplete bool            // a table that misses no live proxy has been taken in
 	skippedOldList     bool            // a list was not taken, as it looked older than the one held: a whole table is to be told again
 	tableCursor        distributionpb.Cursor
-	totalLoads         Received
-	ownLoads           *Vector
+	totalLoads         loadreport.Received
+	ownLoads           *loadreport.Vector
 	sentLoads          []sentLoads // as told, newest last
 	ackedLoads         distributionpb.Cursor
 	otherLoads         map[string]pick.Load
@@ -99,7 +101,7 @@
 // NewSubscriber makes a Follower; Run makes it work.
 func NewSubscriber(opt SubscriberOptions) *Subscriber {
 	if opt.Transport == nil {
-		opt.Transport = NewTransport()
+		opt.Transport = rpc.NewTransport()
 	}
 	if opt.LongPollTimeout <= 0 {
 		opt.LongPollTimeout = time.Second
@@ -108,8 +110,8 @@
 		opt.Self.Incarnation = rand.Uint64() | 1
 	}
 	opt.Self.Revision = max(1, opt.Self.Revision)
-	f := &Subscriber{options: opt, client: &http.Client{Transport: BoundedTransport{opt.Transport}}, startedAt: time.Now(), self: opt.Self,
-		revisionAcked: make(chan struct{}), pendingVerdicts: map[string]uint64{}, state: controlstate.Empty().WithoutHistory(), table: NewTable(), ownLoads: NewVector(true),
+	f := &Subscriber{options: opt, client: &http.Client{Transport: rpc.BoundedTransport{Next: opt.Transport}}, startedAt: time.Now(), self: opt.Self,
+		revisionAcked: make(chan struct{}), pendingVerdicts: map[string]uint64{}, state: controlstate.Empty().WithoutHistory(), table: NewTable(), ownLoads: loadreport.NewVector(true),
 		nodes: map[string]*controlPlaneNode{}, loadReportInterval: 100 * time.Millisecond,
 		updatePending: make(chan struct{}, 1), loadsPending: make(chan struct{}, 1), callRequested: make(chan struct{}, 1)}
 	for _, s := range opt.Seeds {
@@ -288,7 +290,7 @@
 		if f.mayBeMarkedDown(now) != stale {
 			stale, update = !stale, true
 		}
-		if len(f.otherLoads) > 0 && now.Sub(f.lastContact) > LoadTTL+f.options.LongPollTimeout {
+		if len(f.otherLoads) > 0 && now.Sub(f.lastContact) > loadreport.TTL+f.options.LongPollTimeout {
 			f.otherLoads, loads = nil, true
 		}
 		var u Update
--- a/internal/system/distribution/subscriber_call.go
+++ b/internal/system/distribution/subscriber_call.go
@@ -9,6 +9,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -25,7 +26,7 @@
 		wait = min(wait, f.loadReportWait())
 	}
 	req.WaitMs = uint64(wait / time.Millisecond)
-	ctx, cancel := WithIdleTimeout(ctx, wait+slack, slack)
+	ctx, cancel := rpc.WithIdleTimeout(ctx, wait+slack, slack)
 	defer cancel()
 	asked := time.Now()
 	reply, err := f.sendPoll(ctx, keeper, req)
@@ -50,7 +51,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := CheckReply(req.GetCall(), reply.GetCall()); err != nil && !f.options.Knobs.AcceptAnyReply {
+	if err := rpc.CheckReply(req.GetCall(), reply.GetCall()); err != nil && !f.options.Knobs.AcceptAnyReply {
 		f.client.CloseIdleConnections()
 		return nil, err
 	}
@@ -59,7 +60,7 @@
 
 // probeNode asks a keeper whether it is current, and nothing else: several are asked at once, and one only is to send its state.
 func (f *Subscriber) probeNode(ctx context.Context, keeper string) (current bool, err error) {
-	ctx, cancel := WithIdleTimeout(ctx, probeTimeout, replyIdleTimeout)
+	ctx, cancel := rpc.WithIdleTimeout(ctx, probeTimeout, replyIdleTimeout)
 	defer cancel()
 	f.mu.Lock()
 	req := &distributionpb.FollowRequest{Member: f.self.ToProto(), Seq: f.state.Seq, Probe: true}
--- a/internal/system/distribution/subscriber_neighbours.go
+++ b/internal/system/distribution/subscriber_neighbours.go
@@ -8,11 +8,12 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 )
 
 // Handler serves neighbours that start, under /twirp/gradeusher.distribution.Neighbours/.
 func (f *Subscriber) Handler() http.Handler {
-	return BoundedHandler(distributionpb.NewNeighboursServer(f))
+	return rpc.BoundedHandler(distributionpb.NewNeighboursServer(f))
 }
 
 // Neighbour answers all that is held; to a proxy that holds a state of its own, the list of servers and a newer state.
@@ -25,7 +26,7 @@
 	}
 	reply := &distributionpb.FollowReply{Call: req.GetCall(), Entries: EncodeEntries(time.Now(), items)}
 	if f.state.Seq > req.GetSeq() {
-		reply.Snapshot, reply.SnapshotDeflated = Compress(f.state.Encode())
+		reply.Snapshot, reply.SnapshotDeflated = rpc.Compress(f.state.Encode())
 	}
 	for _, k := range f.nodes {
 		if k.inView {
@@ -90,7 +91,7 @@
 }
 
 func (f *Subscriber) queryNeighbour(ctx context.Context, place string) bool {
-	ctx, cancel := WithIdleTimeout(ctx, probeTimeout, replyIdleTimeout)
+	ctx, cancel := rpc.WithIdleTimeout(ctx, probeTimeout, replyIdleTimeout)
 	defer cancel()
 	asked := time.Now()
 	f.mu.Lock()
@@ -101,7 +102,7 @@
 		req.Seq = seq
 	}
 	reply, err := distributionpb.NewNeighboursProtobufClient(f.baseURL(place, f.options.ProxyPort), f.client).Neighbour(ctx, req)
-	if err != nil || CheckReply(req.GetCall(), reply.GetCall()) != nil {
+	if err != nil || rpc.CheckReply(req.GetCall(), reply.GetCall()) != nil {
 		return false
 	}
 	f.mu.Lock()
--- a/internal/system/distribution/subscriber_soft_state.go
+++ b/internal/system/distribution/subscriber_soft_state.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
 )
 
 // maxListAgeSkew is by how much a list may look older than the one that is held and still be taken, where neither is certainly
@@ -55,7 +56,7 @@
 	}
 	for _, w := range reply.GetEntries() {
 		e, age := DecodeEntry(w)
-		if e.Key == "" || len(e.Key) > 2*MaxIDBytes || old && BelongsToList(e.Key) {
+		if e.Key == "" || len(e.Key) > 2*loadreport.MaxIDBytes || old && BelongsToList(e.Key) {
 			continue
 		}
 		if f.unconfirmedServers[e.Key] {
--- a/internal/system/distribution/subscriber_state.go
+++ b/internal/system/distribution/subscriber_state.go
@@ -8,6 +8,7 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/distribution/catchup"
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 )
 
 // position is how far this proxy is. The caller holds mu.
@@ -66,7 +67,7 @@
 }
 
 func decodeSnapshot(b []byte, deflated bool) (*controlstate.State, error) {
-	b, err := Expand(b, deflated)
+	b, err := rpc.Expand(b, deflated)
 	if err != nil {
 		return nil, err
 	}
@@ -75,7 +76,7 @@
 }
 
 func applyRecord(s *controlstate.State, w *distributionpb.Record) (*controlstate.State, error) {
-	body, err := Expand(w.GetBody(), w.GetDeflated())
+	body, err := rpc.Expand(w.GetBody(), w.GetDeflated())
 	if err != nil {
 		return nil, err
 	}
