--- /dev/null
+++ b/internal/system/distribution/loadreport/vector.go
@@ -0,0 +1,171 @@
+package loadreport
+
+import (
+	"encoding/binary"
+	"math/rand/v2"
+	"time"
+
+	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+)
+
+// TTL is how long a load counts after the message that brought it.
+const TTL = time.Second
+
+const (
+	// MaxServers bounds the servers of one vector.
+	MaxServers = 1 << 16
+	// MaxIDBytes bounds the length of a server's id.
+	MaxIDBytes = 256
+)
+
+const (
+	prefillUnit = 64  // tokens of prompts, in one unit on the wire
+	tokensUnit  = 256 // tokens in one unit on the wire
+)
+
+// minorChangeDelay is how long a change that is not material may wait to be published.
+const minorChangeDelay = time.Second
+
+// Cursor is a position in the changes of a vector.
+type Cursor struct {
+	BootID uint64 // of the vector; never 0 for one that exists
+	Number uint64 // of the last change that is known
+}
+
+// CursorFromProto reads a cursor of a message; the zero cursor for nil.
+func CursorFromProto(message *distributionpb.Cursor) Cursor {
+	return Cursor{BootID: message.GetBoot(), Number: message.GetNumber()}
+}
+
+// ToProto gives the cursor as a message.
+func (c Cursor) ToProto() *distributionpb.Cursor {
+	return &distributionpb.Cursor{Boot: c.BootID, Number: c.Number}
+}
+
+// Vector publishes loads as numbered changes. Servers get indexes, so that an id is sent once to each reader. A change that is not
+// material (up to an eighth) is held back for up to minorChangeDelay, unless the vector is exact.
+//
+// The changes after a number are coded as follows: for each server changed, uvarint(index - previous index - 1)<<1 | new, the id
+// (uvarint length, bytes) if the reader cannot know it yet, then uvarints requests, prefill and tokens in their units.
+//
+// A Vector is not safe for concurrent use; its owner locks.
+type Vector struct {
+	Cursor // of the newest change
+
+	exact   bool // publish every change
+	indexes map[string]int
+	slots   []slot
+
+	cachedFrom, cachedAt uint64 // the numbers between which cached has the changes
+	cached               []byte
+}
+
+type slot struct {
+	id            string
+	load          pick.Load
+	addedNumber   uint64 // of the change that brought the id
+	changedNumber uint64 // of the last change
+	changedAt     time.Time
+}
+
+// NewVector makes an empty vector with a boot id of its own. An exact one publishes every change.
+func NewVector(exact bool) *Vector {
+	return &Vector{Cursor: Cursor{BootID: rand.Uint64() | 1}, exact: exact, indexes: map[string]int{}}
+}
+
+// Publish makes loads, by server id, the vector's and tells whether that made a change. Loads are rounded up to units.
+func (v *Vector) Publish(now time.Time, loads map[string]pick.Load) bool {
+	if len(v.slots) > 2*len(loads)+1024 {
+		// Most indexes are of servers long gone.
+		*v = *NewVector(v.exact)
+	}
+	next := v.Number + 1
+	v.addSlots(next, loads)
+	changed := false
+	for i := range v.slots {
+		s := &v.slots[i]
+		load := roundUpToUnits(loads[s.id])
+		mayWait := !v.exact && !isMaterial(s.load, load) && now.Sub(s.changedAt) < minorChangeDelay
+		if load == s.load || mayWait {
+			continue
+		}
+		s.load, s.changedNumber, s.changedAt, changed = load, next, now, true
+	}
+	if changed {
+		v.Number = next
+	}
+	return changed
+}
+
+// addSlots gives an index to each server that has a load and none yet. An index is given together with a load, so that readers
+// learn of it.
+func (v *Vector) addSlots(number uint64, loads map[string]pick.Load) {
+	for id, load := range loads {
+		if load.Requests <= 0 && load.Prefill <= 0 && load.Tokens <= 0 {
+			continue
+		}
+		if _, ok := v.indexes[id]; !ok && len(v.slots) < MaxServers && len(id) <= MaxIDBytes {
+			v.indexes[id] = len(v.slots)
+			v.slots = append(v.slots, slot{id: id, addedNumber: number})
+		}
+	}
+}
+
+// ChangesSince gives the changes after the cursor; all of them for a cursor of another vector. The body is shared: do not change it.
+func (v *Vector) ChangesSince(cursor Cursor) *distributionpb.Loads {
+	from := cursor.Number
+	if cursor.BootID != v.BootID || from > v.Number {
+		from = 0
+	}
+	out := &distributionpb.Loads{Boot: v.BootID, From: from, Number: v.Number}
+	if from == v.Number {
+		return out
+	}
+	if v.cached == nil || v.cachedFrom != from || v.cachedAt != v.Number {
+		v.cached, v.cachedFrom, v.cachedAt = v.encode(from), from, v.Number
+	}
+	out.Body = v.cached
+	return out
+}
+
+func (v *Vector) encode(from uint64) []byte {
+	out := make([]byte, 0, 64)
+	last := -1
+	for i := range v.slots {
+		s := &v.slots[i]
+		if s.changedNumber <= from {
+			continue
+		}
+		head := uint64(i-last-1) << 1
+		last = i
+		if s.addedNumber > from {
+			out = binary.AppendUvarint(out, head|1)
+			out = binary.AppendUvarint(out, uint64(len(s.id)))
+			out = append(out, s.id...)
+		} else {
+			out = binary.AppendUvarint(out, head)
+		}
+		out = binary.AppendUvarint(out, uint64(s.load.Requests))
+		out = binary.AppendUvarint(out, uint64(s.load.Prefill/prefillUnit))
+		out = binary.AppendUvarint(out, uint64(s.load.Tokens/tokensUnit))
+	}
+	return out
+}
+
+// roundUpToUnits rounds a load up to complete units.
+func roundUpToUnits(load pick.Load) pick.Load {
+	up := func(n, unit int64) int64 { return (max(0, min(n, 1<<40)) + unit - 1) / unit * unit }
+	return pick.Load{Requests: max(0, load.Requests), Prefill: up(load.Prefill, prefillUnit), Tokens: up(load.Tokens, tokensUnit)}
+}
+
+// isMaterial tells whether a load differs by so much that it is to be published at once.
+func isMaterial(old, now pick.Load) bool {
+	return differs(int64(old.Requests), int64(now.Requests), 0) || differs(old.Prefill, now.Prefill, 256) || differs(old.Tokens, now.Tokens, 1024)
+}
+
+// differs tells whether two numbers are apart by more than an eighth and more than atLeast, or just one of them is 0.
+func differs(a, b, atLeast int64) bool {
+	distance := max(a-b, b-a)
+	return distance > 0 && (a == 0 || b == 0 || distance > max(atLeast, max(a, b)/8))
+}
--- a/internal/system/distribution/loadreport/loads_test.go
+++ b/internal/system/distribution/loadreport/vector_test.go
@@ -40,7 +40,7 @@
 			id := fmt.Sprint("s", rapid.IntRange(0, 9).Draw(t, "server"))
 			loads[id] = pick.Load{Requests: rapid.IntRange(0, 300).Draw(t, "requests"), Prefill: rapid.Int64Range(0, 1e6).Draw(t, "prefill")}
 			v.Publish(now, loads)
-			w := v.ChangesSince(r.BootID, r.Number)
+			w := v.ChangesSince(r.Cursor)
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0: // lost
 				continue
@@ -50,13 +50,13 @@
 			case 2:
 				v = NewVector(exact)
 				v.Publish(now, loads)
-				w = v.ChangesSince(r.BootID, r.Number)
+				w = v.ChangesSince(r.Cursor)
 				old = nil // those of a former life could not be told from news
 			case 3:
 				if len(old) > 0 {
 					r.Apply(now, old[rapid.IntRange(0, len(old)-1).Draw(t, "which")])
 				}
-				w = v.ChangesSince(r.BootID, r.Number)
+				w = v.ChangesSince(r.Cursor)
 			}
 			if !r.Apply(now, w) {
 				t.Fatalf("refused %+v at %d", w, r.Number)
@@ -69,7 +69,7 @@
 			}
 		}
 		v.Publish(now.Add(minorChangeDelay), loads)
-		if r.Apply(now, v.ChangesSince(r.BootID, r.Number)); !maps.Equal(sumOf(r, now), told(loads)) {
+		if r.Apply(now, v.ChangesSince(r.Cursor)); !maps.Equal(sumOf(r, now), told(loads)) {
 			t.Fatalf("in the end %+v for %+v", sumOf(r, now), loads)
 		}
 		if got := sumOf(r, now.Add(TTL+1)); len(got) > 0 {
@@ -81,7 +81,7 @@
 func FuzzReceived(f *testing.F) {
 	v := NewVector(true)
 	v.Publish(time.Now(), map[string]pick.Load{"a": {Requests: 1}, "b": {Tokens: 70000}})
-	f.Add(v.ChangesSince(0, 0).GetBody())
+	f.Add(v.ChangesSince(Cursor{}).GetBody())
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		var r Received
 		r.Apply(time.Now(), &distributionpb.Loads{Boot: 1, Number: 1, Body: b})
--- a/internal/system/distribution/server_follow.go
+++ b/internal/system/distribution/server_follow.go
@@ -162,7 +162,7 @@
 	if !current && (again == 0 || currentRecheckInterval < again) {
 		again = currentRecheckInterval // nothing tells that this keeper has become current
 	}
-	if t := req.GetTotals(); t.GetBoot() != h.totalLoads.BootID || t.GetNumber() != h.totalLoads.Number {
+	if loadreport.CursorFromProto(req.GetTotals()) != h.totalLoads.Cursor {
 		due(f.totalsSentAt, h.loadReportInterval())
 	}
 	h.mu.Unlock()
@@ -195,13 +195,13 @@
 		f.entriesSentAt = now
 	}
 	reply.Soft = &distributionpb.Cursor{Boot: h.bootID, Number: h.table.LastNumber}
-	totals := h.totalLoads.ChangesSince(req.GetTotals().GetBoot(), req.GetTotals().GetNumber())
+	totals := h.totalLoads.ChangesSince(loadreport.CursorFromProto(req.GetTotals()))
 	if totals.From != totals.Number || req.GetTotals().GetBoot() != totals.Boot {
 		reply.Totals = Marshal(totals)
 		f.totalsSentAt = now
 	}
 	reply.TotalsOf = f.loadsInTotals
-	reply.Told = &distributionpb.Cursor{Boot: f.loads.BootID, Number: f.loads.Number}
+	reply.Told = f.loads.Cursor.ToProto()
 	if reply.KeepersDigest = h.nodesDigest(digest); reply.KeepersDigest != req.GetKeepers() {
 		reply.Keepers = h.controlPlaneNodes(addresses)
 	}
--- a/internal/system/distribution/server_sync.go
+++ b/internal/system/distribution/server_sync.go
@@ -124,10 +124,11 @@
 
 // syncProgress is how far a keeper has told another.
 type syncProgress struct {
-	cursor, ackedLoads distributionpb.Cursor // in the table of this boot, and in the loads
-	peerBootID         uint64                // of the other
-	peerClock          time.Duration         // the other's, as it answered last; 0: it has not yet
-	repliedAt          time.Time             // when that came
+	cursor     distributionpb.Cursor // in the table of this boot id
+	ackedLoads loadreport.Cursor
+	peerBootID uint64        // of the other
+	peerClock  time.Duration // the other's, as it answered last; 0: it has not yet
+	repliedAt  time.Time     // when that came
 }
 
 // handleReply takes in the answer to a share of the table up to a number. It tells false where the share is to be sent anew.
@@ -144,7 +145,7 @@
 		}
 	}
 	p.cursor.Boot, p.cursor.Number = req.GetBoot(), number
-	p.ackedLoads.Boot, p.ackedLoads.Number = reply.GetTold().GetBoot(), reply.GetTold().GetNumber()
+	p.ackedLoads = loadreport.CursorFromProto(reply.GetTold())
 	return true
 }
 
@@ -171,7 +172,7 @@
 	}
 	items, full := h.table.ChangesSince(since)
 	return &distributionpb.ShareRequest{From: &distributionpb.Keeper{Address: h.options.Self, Zone: h.options.Zone, Region: h.options.Region}, Boot: h.bootID,
-		Full: full, Complete: h.complete, Entries: EncodeEntries(now, items), Loads: h.localLoads.ChangesSince(p.ackedLoads.GetBoot(), p.ackedLoads.GetNumber()),
+		Full: full, Complete: h.complete, Entries: EncodeEntries(now, items), Loads: h.localLoads.ChangesSince(p.ackedLoads),
 		Lowest: h.minAckedSeq, Followers: uint64(len(h.subscribers)), Hears: h.recentPeers(now), SentMs: p.estimatedPeerClockMS(now)}, h.table.LastNumber
 }
 
@@ -222,7 +223,7 @@
 	close(h.ackChanged)
 	h.ackChanged = make(chan struct{})
 	return &distributionpb.ShareReply{Boot: h.bootID, ClockMs: clock, Call: req.GetCall(),
-		Told: &distributionpb.Cursor{Boot: p.loads.BootID, Number: p.loads.Number}}, nil
+		Told: p.loads.Cursor.ToProto()}, nil
 }
 
 // mergePeerEntry takes in an entry that another keeper shares. One that was cut off has marked down what it no longer heard of,
--- a/internal/system/distribution/subscriber.go
+++ b/internal/system/distribution/subscriber.go
@@ -75,7 +75,7 @@
 	totalLoads         loadreport.Received
 	ownLoads           *loadreport.Vector
 	sentLoads          []sentLoads // as told, newest last
-	ackedLoads         distributionpb.Cursor
+	ackedLoads         loadreport.Cursor
 	otherLoads         map[string]pick.Load
 	nodes              map[string]*controlPlaneNode
 	nodesDigest        uint64
--- a/internal/system/distribution/subscriber_call.go
+++ b/internal/system/distribution/subscriber_call.go
@@ -9,6 +9,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
 	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
@@ -106,8 +107,8 @@
 	req := &distributionpb.FollowRequest{
 		Member: f.self.ToProto(), Seq: f.position().Ask(), AcceptStale: acceptStale, Keepers: f.nodesDigest,
 		Soft:   &distributionpb.Cursor{Boot: f.tableCursor.GetBoot(), Number: f.tableCursor.GetNumber()},
-		Totals: &distributionpb.Cursor{Boot: f.totalLoads.BootID, Number: f.totalLoads.Number},
-		Loads:  f.ownLoads.ChangesSince(f.ackedLoads.GetBoot(), f.ackedLoads.GetNumber()),
+		Totals: f.totalLoads.Cursor.ToProto(),
+		Loads:  f.ownLoads.ChangesSince(f.ackedLoads),
 	}
 	for node, incarnation := range f.pendingVerdicts {
 		req.Down = append(req.Down, &distributionpb.Verdict{Node: node, Incarnation: incarnation})
@@ -178,7 +179,7 @@
 	case goesOn:
 		f.tableCursor.Boot, f.tableCursor.Number = to.GetBoot(), to.GetNumber()
 	}
-	f.ackedLoads.Boot, f.ackedLoads.Number = reply.GetTold().GetBoot(), reply.GetTold().GetNumber()
+	f.ackedLoads = loadreport.CursorFromProto(reply.GetTold())
 	f.applyTotalLoads(now.Add(-delay), reply)
 	if len(reply.GetKeepers()) > 0 {
 		f.replaceNodes(reply.GetKeepers())
