--- a/internal/system/distribution/loadreport/vector_test.go
+++ b/internal/system/distribution/loadreport/vector_test.go
@@ -18,6 +18,7 @@
 	return out
 }
 
+// told gives loads as they are told.
 func told(loads map[string]pick.Load) map[string]pick.Load {
 	out := map[string]pick.Load{}
 	for id, l := range loads {
@@ -28,6 +29,7 @@
 	return out
 }
 
+// A reader follows a vector through lost, repeated and late answers, and lives of the writer.
 func TestReaderFollowsAVector(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
--- a/internal/system/distribution/server_test.go
+++ b/internal/system/distribution/server_test.go
@@ -70,6 +70,7 @@
 	}
 }
 
+// A keeper that stood still must not take the silence of all for theirs.
 func TestPausedNodeMarksNobodyDown(t *testing.T) {
 	h := newIdleHub()
 	now := time.Now()
@@ -115,6 +116,8 @@
 	}
 }
 
+// TestEndedConnectionMarksDown: a process that ends takes its held call with it, and is down soon; one that calls again, as
+// after a reset, stays. Danger: clients are sent to proxies that are gone for as long as silence takes to tell.
 func TestEndedConnectionMarksDown(t *testing.T) {
 	h := newIdleHub()
 	now := time.Now()
@@ -149,4 +152,5 @@
 	}
 }
 
+// madeAgo is when something was made that is so old now.
 func madeAgo(age Age) TimeBounds { return age.MadeBetween(time.Now()) }
--- a/internal/system/distribution/table_test.go
+++ b/internal/system/distribution/table_test.go
@@ -17,6 +17,7 @@
 	return out
 }
 
+// Merging is commutative, associative and idempotent: any order, with repeats, ends in the same.
 func TestMergeIsAJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entry := rapid.Custom(func(t *rapid.T) Entry {
@@ -40,6 +41,7 @@
 	})
 }
 
+// A reader that merges what came since its number holds what the table holds, whatever was forgotten in between.
 func TestDeltasAddUpToTheTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
--- a/internal/system/distribution/values_test.go
+++ b/internal/system/distribution/values_test.go
@@ -26,4 +26,5 @@
 	}
 }
 
+// exactAge is the age of what is known to be d old.
 func exactAge(d time.Duration) Age { return Age{d, d} }
