--- a/internal/system/distribution/commit_log_test.go
+++ b/internal/system/distribution/commit_log_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -48,14 +49,14 @@
 		covers uint64
 	}{{lag - 1, 0}, {lag, 4}, {time.Second + lag - 1, 4}, {time.Second + lag, 5}} {
 		asked := begin.Add(read.asked)
-		if err := h.PutList(1, 1, []pick.Server{{ID: "s"}}, TimeBounds{asked, asked.Add(time.Millisecond)}); err != nil {
+		if err := h.PutList(1, 1, []pick.Server{{ID: "s"}}, softstate.TimeBounds{Earliest: asked, Latest: asked.Add(time.Millisecond)}); err != nil {
 			t.Fatal(err)
 		}
 		if got := h.table.ListCoversSeq(); got != read.covers {
 			t.Errorf("asked at %v: covers %d, want %d", read.asked, got, read.covers)
 		}
-		told := EncodeEntries(time.Now(), []*StoredEntry{h.table.Get(ListKey)})
-		f.applyEntries(time.Now(), Age{}, &distributionpb.FollowReply{Entries: told})
+		told := softstate.EncodeEntries(time.Now(), []*softstate.StoredEntry{h.table.Get(softstate.ListKey)})
+		f.applyEntries(time.Now(), softstate.Age{}, &distributionpb.FollowReply{Entries: told})
 		if got := f.Current().ListCoversSeq; got != read.covers {
 			t.Errorf("asked at %v: a proxy hears %d, want %d", read.asked, got, read.covers)
 		}
--- a/internal/system/distribution/fleet_faults_test.go
+++ b/internal/system/distribution/fleet_faults_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -199,7 +200,7 @@
 		fl.sources["k3:1"].setStale(true)
 		fl.chain.add(none())
 		time.Sleep(4 * time.Second)
-		if err := fl.hubs["k2:1"].PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(Age{})); err != nil {
+		if err := fl.hubs["k2:1"].PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(softstate.Age{})); err != nil {
 			t.Fatal(err)
 		}
 		within(t, 2*time.Second, "all hold the server", func() bool {
@@ -220,7 +221,7 @@
 		p := fl.startFollower("p", nil)
 		time.Sleep(4 * time.Second)
 		list := []pick.Server{{ID: "s"}, {ID: "r"}}
-		if err := fl.hubs["k2:1"].PutList(1, 1000, list, madeAgo(Age{})); err != nil {
+		if err := fl.hubs["k2:1"].PutList(1, 1000, list, madeAgo(softstate.Age{})); err != nil {
 			t.Fatal(err)
 		}
 		within(t, time.Second, "two servers", func() bool { return len(p.update().Servers) == 2 })
@@ -238,7 +239,7 @@
 			}
 		}
 		// The poller counts from the start again; s is gone.
-		if err := fl.hubs["k1:1"].PutList(1, 1, list[1:], madeAgo(Age{})); err != nil {
+		if err := fl.hubs["k1:1"].PutList(1, 1, list[1:], madeAgo(softstate.Age{})); err != nil {
 			t.Fatal(err)
 		}
 		within(t, 5*time.Second, "one server", func() bool { return len(p.update().Servers) == 1 })
@@ -252,7 +253,7 @@
 		fl.startFollower("a", nil)
 		seq := fl.chain.add(controlstate.Record{Op: controlstate.OpEvacuate, Zone: "z"})
 		time.Sleep(4 * time.Second)
-		if err := fl.hubs["k1:1"].PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(Age{})); err != nil {
+		if err := fl.hubs["k1:1"].PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(softstate.Age{})); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
--- a/internal/system/distribution/fleet_test.go
+++ b/internal/system/distribution/fleet_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -22,7 +23,7 @@
 		defer fl.stop()
 		time.Sleep(time.Second)
 		fl.chain.add(none())
-		if err := fl.hubs["k1:1"].PutList(1, 1, []pick.Server{{ID: "s1", Service: "a", WarmUpMax: 3 * time.Second}}, madeAgo(Age{})); err != nil {
+		if err := fl.hubs["k1:1"].PutList(1, 1, []pick.Server{{ID: "s1", Service: "a", WarmUpMax: 3 * time.Second}}, madeAgo(softstate.Age{})); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(200 * time.Millisecond)
--- a/internal/system/distribution/golden_trace_test.go
+++ b/internal/system/distribution/golden_trace_test.go
@@ -23,6 +23,7 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/catchup"
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -65,7 +66,7 @@
 
 // wire takes in a message as it goes out, and gives the copy that arrives.
 func wire[M proto.Message](tr *trace, tag byte, m, into M) M {
-	b := Marshal(m)
+	b := softstate.Marshal(m)
 	tr.step(tag)
 	tr.bytes(b)
 	if err := proto.Unmarshal(b, into); err != nil {
@@ -130,7 +131,7 @@
 func (x *exchange) startFollower(i int) {
 	node := fmt.Sprint("p", i)
 	f := NewSubscriber(SubscriberOptions{Seeds: exchangeKeepers, ControlPlanePort: 1, ProxyPort: 2, Log: quiet(),
-		Self: Member{Node: node, Incarnation: x.rng.Uint64() | 1, Zone: "zk1", Region: "r", IP: node + ":2"}})
+		Self: softstate.Member{Node: node, Incarnation: x.rng.Uint64() | 1, Zone: "zk1", Region: "r", IP: node + ":2"}})
 	x.giveIndexes(f.ownLoads)
 	x.followers[i], x.loads[i] = f, map[string]pick.Load{}
 }
@@ -225,7 +226,7 @@
 	}
 	for _, s := range u.Servers {
 		x.tr.bytes([]byte(s.ID))
-		x.tr.bytes(EncodeServer(s))
+		x.tr.bytes(softstate.EncodeServer(s))
 		x.tr.num(int64(s.WarmUpMax), int64(s.WarmUpMin), int64(s.Remaining))
 	}
 	for _, id := range slices.Sorted(maps.Keys(f.otherLoads)) {
@@ -281,7 +282,7 @@
 		servers = append(servers, s)
 	}
 	spent := time.Duration(x.rng.IntN(300)) * time.Millisecond
-	err := x.hubs[x.rng.IntN(len(x.hubs))].PutList(1+x.lists/40, x.lists, servers, madeAgo(Age{Min: spent / 2, Max: spent}))
+	err := x.hubs[x.rng.IntN(len(x.hubs))].PutList(1+x.lists/40, x.lists, servers, madeAgo(softstate.Age{Min: spent / 2, Max: spent}))
 	x.tr.step('P')
 	x.tr.flags(err != nil)
 }
@@ -328,7 +329,7 @@
 // hint writes or deletes a hint at a hub.
 func (x *exchange) hint() {
 	h := x.hubs[x.rng.IntN(len(x.hubs))]
-	key, version := HintPrefix+fmt.Sprint(x.rng.IntN(3)), uint64(x.rng.IntN(50))
+	key, version := softstate.HintPrefix+fmt.Sprint(x.rng.IntN(3)), uint64(x.rng.IntN(50))
 	var err error
 	if x.rng.IntN(3) == 0 {
 		err = h.Remove(key, 1, version)
--- a/internal/system/distribution/late_delivery_test.go
+++ b/internal/system/distribution/late_delivery_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/catchup"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -115,7 +116,7 @@
 		w.version++
 		w.read[w.version] = time.Now()
 		// A keeper that is cut off goes on to read the list.
-		if w.hubs[w.names[w.rng.IntN(3)]].PutList(1, w.version, []pick.Server{{ID: fmt.Sprint("s", w.version)}}, madeAgo(Age{})) != nil {
+		if w.hubs[w.names[w.rng.IntN(3)]].PutList(1, w.version, []pick.Server{{ID: fmt.Sprint("s", w.version)}}, madeAgo(softstate.Age{})) != nil {
 			w.faults["refused list"]++
 		}
 	}
@@ -136,7 +137,7 @@
 		}
 		p.mu.Unlock()
 		p.f.mu.Lock()
-		if held := p.f.table.Get(ListKey); held != nil {
+		if held := p.f.table.Get(softstate.ListKey); held != nil {
 			if was := w.shown[n]; was.Sub(w.read[held.Version]) > maxListAgeSkew+lateMargin && !w.read[held.Version].IsZero() {
 				w.broken["a list went back"]++
 			} else if w.read[held.Version].After(was) {
--- a/internal/system/distribution/loopback_test.go
+++ b/internal/system/distribution/loopback_test.go
@@ -14,6 +14,7 @@
 	"go.uber.org/goleak"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -78,7 +79,7 @@
 	updates := make(chan Update, 1)
 	transport := rpc.NewTransport()
 	defer transport.CloseIdleConnections()
-	f := NewSubscriber(SubscriberOptions{Seeds: []string{address}, Self: Member{Node: "p"}, Log: quiet(), Transport: transport,
+	f := NewSubscriber(SubscriberOptions{Seeds: []string{address}, Self: softstate.Member{Node: "p"}, Log: quiet(), Transport: transport,
 		OnUpdate: func(u Update) {
 			select {
 			case <-updates:
@@ -140,7 +141,7 @@
 		list[i] = pick.Server{ID: fmt.Sprintf("i-%08x", i*7919), Service: "a", Address: "10.0.0.1:8080", Zone: "z", Slots: 64}
 	}
 	src.add(none())
-	if err := h.PutList(1, 1, list, madeAgo(Age{})); err != nil {
+	if err := h.PutList(1, 1, list, madeAgo(softstate.Age{})); err != nil {
 		b.Fatal(err)
 	}
 	var tick atomic.Int64
@@ -148,7 +149,7 @@
 	transport.MaxIdleConns, transport.MaxIdleConnsPerHost = 0, 2*followers
 	all := make([]*Subscriber, followers)
 	for n := range all {
-		all[n] = NewSubscriber(SubscriberOptions{Seeds: []string{address}, Self: Member{Node: fmt.Sprint("p", n), Ready: true}, Log: quiet(),
+		all[n] = NewSubscriber(SubscriberOptions{Seeds: []string{address}, Self: softstate.Member{Node: fmt.Sprint("p", n), Ready: true}, Log: quiet(),
 			Transport: transport, Loads: func() map[string]pick.Load {
 				if !busy {
 					return nil
@@ -185,7 +186,7 @@
 			version++
 			i := int(version) % servers
 			list[i].Draining = !list[i].Draining
-			if err := h.PutList(1, version, list, madeAgo(Age{})); err != nil {
+			if err := h.PutList(1, version, list, madeAgo(softstate.Age{})); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/system/distribution/membership_incomplete_test.go
+++ b/internal/system/distribution/membership_incomplete_test.go
@@ -5,21 +5,22 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
 // TestUpdateReportsIncompleteMembership: a proxy is told that its members may be part of all until a table that misses none has
 // come, and that others may have given it up where they call it down.
 func TestUpdateReportsIncompleteMembership(t *testing.T) {
 	now := time.Now()
-	f := NewSubscriber(SubscriberOptions{Log: quiet(), Self: Member{Node: "p", Incarnation: 4}})
+	f := NewSubscriber(SubscriberOptions{Log: quiet(), Self: softstate.Member{Node: "p", Incarnation: 4}})
 	if u := f.currentUpdate(now); !u.MembershipIncomplete || !u.Stale {
 		t.Errorf("at the start: %+v", u)
 	}
-	f.applyEntries(now, Age{}, &distributionpb.FollowReply{Full: true})
+	f.applyEntries(now, softstate.Age{}, &distributionpb.FollowReply{Full: true})
 	if u := f.currentUpdate(now); !u.MembershipIncomplete {
 		t.Error("a keeper that has just started knows all proxies")
 	}
-	if !f.applyEntries(now, Age{}, &distributionpb.FollowReply{Full: true, Complete: true}) {
+	if !f.applyEntries(now, softstate.Age{}, &distributionpb.FollowReply{Full: true, Complete: true}) {
 		t.Error("that the members are whole is no change")
 	}
 	f.lastCurrentContact = now
@@ -28,8 +29,8 @@
 	}
 	down := f.self
 	down.Down = true
-	f.applyEntries(now, Age{}, &distributionpb.FollowReply{Entries: []*distributionpb.Entry{
-		{Key: MemberPrefix + "p", Fence: 1, Version: 2, Value: down.Encode()}}})
+	f.applyEntries(now, softstate.Age{}, &distributionpb.FollowReply{Entries: []*distributionpb.Entry{
+		{Key: softstate.MemberPrefix + "p", Fence: 1, Version: 2, Value: down.Encode()}}})
 	if u := f.currentUpdate(now); !u.Stale {
 		t.Error("not stale though it is called down")
 	}
--- a/internal/system/distribution/membership_partition_test.go
+++ b/internal/system/distribution/membership_partition_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"slices"
 	"sync"
 	"testing"
@@ -67,7 +68,7 @@
 	if c.fewest() != flapMembers {
 		t.Errorf("during the cut a proxy was told of %d members", c.fewest())
 	}
-	if !slices.ContainsFunc(fl.hubs["k1:1"].Members(), func(m Member) bool { return m.Down }) {
+	if !slices.ContainsFunc(fl.hubs["k1:1"].Members(), func(m softstate.Member) bool { return m.Down }) {
 		t.Error("the run brought nothing about: the keeper that is cut off marked nobody down")
 	}
 	fl.mesh.mu.Lock()
--- a/internal/system/distribution/mismatched_reply_test.go
+++ b/internal/system/distribution/mismatched_reply_test.go
@@ -17,6 +17,7 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
 	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
 // A scriptedPeer takes polls and answers each as its script says, on as many connections as come.
@@ -31,7 +32,7 @@
 	"end before the head", "end in the head", "end in the body", "answer, then end", "half-closed"}
 
 func answerBytes(call uint32) []byte {
-	body := Marshal(&distributionpb.FollowReply{Call: call, Newest: uint64(call), Current: true, Soft: &distributionpb.Cursor{Boot: 1}})
+	body := softstate.Marshal(&distributionpb.FollowReply{Call: call, Newest: uint64(call), Current: true, Soft: &distributionpb.Cursor{Boot: 1}})
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/protobuf\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
@@ -116,7 +117,7 @@
 		transport.CloseIdleConnections()
 		wg.Wait()
 	})
-	return NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet(), Transport: transport}), p, ln.Addr().String()
+	return NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet(), Transport: transport}), p, ln.Addr().String()
 }
 
 // TestReplyReachesItsCallAlone: whatever a peer does, on fresh connections and on ones that are used again, in any order: a
@@ -189,8 +190,8 @@
 func TestRetriedCallsChangeNothing(t *testing.T) {
 	h := newIdleHub()
 	h.markComplete()
-	m := Member{Node: "p", Incarnation: 5, Revision: 2, Ready: true}
-	other := Member{Node: "q", Incarnation: 6}
+	m := softstate.Member{Node: "p", Incarnation: 5, Revision: 2, Ready: true}
+	other := softstate.Member{Node: "q", Incarnation: 6}
 	h.endCall(h.beginCall(other, &distributionpb.FollowRequest{Member: other.ToProto()}))
 	v := loadreport.NewVector(true)
 	poll := &distributionpb.FollowRequest{Member: m.ToProto(), Seq: 7, AcceptStale: true, Loads: v.ChangesSince(loadreport.Cursor{}),
@@ -204,11 +205,11 @@
 		if err := call(); err != nil {
 			t.Fatal(name, err)
 		}
-		number, held, members := h.table.LastNumber, fmt.Sprint(contents(h.table)), fmt.Sprint(h.Members())
+		number, held, members := h.table.LastNumber, fmt.Sprint(tableContents(h.table)), fmt.Sprint(h.Members())
 		if err := call(); err != nil {
 			t.Fatal(name, err)
 		}
-		if h.table.LastNumber != number || fmt.Sprint(contents(h.table)) != held || fmt.Sprint(h.Members()) != members {
+		if h.table.LastNumber != number || fmt.Sprint(tableContents(h.table)) != held || fmt.Sprint(h.Members()) != members {
 			t.Errorf("%s: the second call changed the table", name)
 		}
 	}
@@ -216,3 +217,12 @@
 		t.Errorf("acknowledged %d, %d calls open", f.ackedSeq, f.openCalls)
 	}
 }
+
+// tableContents gives all that a table holds, deletions included.
+func tableContents(table *softstate.Table) map[string]string {
+	out := map[string]string{}
+	for key, entry := range table.All() {
+		out[key] = fmt.Sprint(entry.Fence, entry.Version, entry.Deleted, string(entry.Value))
+	}
+	return out
+}
--- a/internal/system/distribution/older_list_resync_test.go
+++ b/internal/system/distribution/older_list_resync_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -18,7 +19,7 @@
 		since = req.GetSoft().GetNumber()
 	}
 	items, full := h.table.ChangesSince(since)
-	reply := &distributionpb.FollowReply{Full: full, Complete: h.complete, Current: true, Entries: EncodeEntries(time.Now(), items),
+	reply := &distributionpb.FollowReply{Full: full, Complete: h.complete, Current: true, Entries: softstate.EncodeEntries(time.Now(), items),
 		Soft: &distributionpb.Cursor{Boot: h.bootID, Number: h.table.LastNumber}}
 	h.mu.Unlock()
 	f.handleReply(time.Now(), time.Now(), req, reply)
@@ -32,21 +33,21 @@
 		a, b := newIdleHub(), newIdleHub()
 		a.markComplete()
 		b.markComplete()
-		f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
-		put := func(h *Server, version uint64, age Age, s pick.Server) {
+		f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+		put := func(h *Server, version uint64, age softstate.Age, s pick.Server) {
 			t.Helper()
 			if err := h.PutList(1, version, []pick.Server{s}, madeAgo(age)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		put(a, 10, Age{}, pick.Server{ID: "x"})
+		put(a, 10, softstate.Age{}, pick.Server{ID: "x"})
 		pollByHand(f, a)
 		time.Sleep(200 * time.Millisecond)
-		put(b, 11, Age{Max: 2600 * time.Millisecond}, pick.Server{ID: "x", Draining: true})
+		put(b, 11, softstate.Age{Max: 2600 * time.Millisecond}, pick.Server{ID: "x", Draining: true})
 		pollByHand(f, b)
 		for version := range uint64(20) {
 			time.Sleep(500 * time.Millisecond)
-			put(b, 12+version, Age{}, pick.Server{ID: "x", Draining: true})
+			put(b, 12+version, softstate.Age{}, pick.Server{ID: "x", Draining: true})
 			pollByHand(f, b)
 		}
 		u := f.Current()
@@ -65,10 +66,10 @@
 		a, b := newIdleHub(), newIdleHub()
 		a.markComplete()
 		b.markComplete()
-		f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
+		f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
 		put := func(h *Server, fence, version uint64, s pick.Server) {
 			t.Helper()
-			if err := h.PutList(fence, version, []pick.Server{s}, madeAgo(Age{Max: 20 * time.Millisecond})); err != nil {
+			if err := h.PutList(fence, version, []pick.Server{s}, madeAgo(softstate.Age{Max: 20 * time.Millisecond})); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -101,11 +102,11 @@
 		h := newIdleHub()
 		asked := time.Now()
 		time.Sleep(2200 * time.Millisecond)
-		if err := h.PutList(1, 8, []pick.Server{{ID: "a", WarmUpMax: 3 * time.Second}}, madeAgo(Age{Max: 20 * time.Millisecond})); err != nil {
+		if err := h.PutList(1, 8, []pick.Server{{ID: "a", WarmUpMax: 3 * time.Second}}, madeAgo(softstate.Age{Max: 20 * time.Millisecond})); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(100 * time.Millisecond)
-		_ = h.PutList(1, 7, []pick.Server{{ID: "a"}}, TimeBounds{Earliest: asked, Latest: time.Now()})
+		_ = h.PutList(1, 7, []pick.Server{{ID: "a"}}, softstate.TimeBounds{Earliest: asked, Latest: time.Now()})
 		if got, _, _ := h.List(); len(got) != 1 || got[0].WarmUpMax < 2900*time.Millisecond {
 			t.Errorf("holds %+v", got)
 		}
--- a/internal/system/distribution/older_list_test.go
+++ b/internal/system/distribution/older_list_test.go
@@ -7,6 +7,7 @@
 	"github.com/cockroachdb/errors"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -19,7 +20,7 @@
 		tb.Fatal(err)
 	}
 	items, full := h.table.ChangesSince(0)
-	return &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: EncodeEntries(time.Now(), items),
+	return &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: softstate.EncodeEntries(time.Now(), items),
 		Soft: &distributionpb.Cursor{Boot: h.bootID, Number: h.table.LastNumber}}
 }
 
@@ -27,7 +28,7 @@
 // gives what it holds then.
 func moveToKeeperThatIsJustBack(tb testing.TB, knobs TestingKnobs) []pick.Server {
 	tb.Helper()
-	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet(), Knobs: knobs})
+	f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet(), Knobs: knobs})
 	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), wholeTable(tb, 0, 990, pick.Server{ID: "a", Draining: true}, pick.Server{ID: "new"}))
 	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), wholeTable(tb, 20*time.Second, 950, pick.Server{ID: "a"}, pick.Server{ID: "gone"}))
 	return f.Current().Servers
@@ -47,7 +48,7 @@
 
 // TestNodesThatRestartVersionsAreAccepted: after a restart of all keepers versions begin anew, so the younger reading counts.
 func TestNodesThatRestartVersionsAreAccepted(t *testing.T) {
-	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
+	f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
 	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), wholeTable(t, 20*time.Second, 990, pick.Server{ID: "a"}))
 	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), wholeTable(t, 0, 1, pick.Server{ID: "b"}))
 	if got := f.Current().Servers; len(got) != 1 || got[0].ID != "b" {
@@ -60,16 +61,16 @@
 func TestEarlierReadingOfTheList(t *testing.T) {
 	h := newIdleHub()
 	cold := []pick.Server{{ID: "a", Service: "x", WarmUpMax: 3 * time.Second}}
-	if err := h.PutList(1, 7, cold, madeAgo(Age{})); err != nil {
+	if err := h.PutList(1, 7, cold, madeAgo(softstate.Age{})); err != nil {
 		t.Fatal(err)
 	}
-	if err := h.PutList(1, 7, []pick.Server{{ID: "a", Service: "x"}}, madeAgo(Age{Min: 900 * time.Millisecond, Max: time.Second})); !errors.Is(err, ErrStale) {
+	if err := h.PutList(1, 7, []pick.Server{{ID: "a", Service: "x"}}, madeAgo(softstate.Age{Min: 900 * time.Millisecond, Max: time.Second})); !errors.Is(err, ErrStale) {
 		t.Errorf("a reading 900 ms older: %v", err)
 	}
 	if got, _, _ := h.List(); len(got) != 1 || got[0].WarmUpMax < 2900*time.Millisecond {
 		t.Errorf("holds %+v", got)
 	}
-	if err := h.PutList(2, 1, []pick.Server{{ID: "a", Service: "x"}}, madeAgo(Age{Min: 900 * time.Millisecond, Max: time.Second})); err != nil {
+	if err := h.PutList(2, 1, []pick.Server{{ID: "a", Service: "x"}}, madeAgo(softstate.Age{Min: 900 * time.Millisecond, Max: time.Second})); err != nil {
 		t.Errorf("under a higher fence: %v", err)
 	}
 }
@@ -81,16 +82,16 @@
 	f := NewSubscriber(SubscriberOptions{Log: quiet()})
 	reply := func(cold time.Duration, version, least, most uint64) *distributionpb.FollowReply {
 		return &distributionpb.FollowReply{Full: true, Complete: true, Entries: []*distributionpb.Entry{
-			{Key: ListKey, Fence: 1, Version: version, AgeMs: most, LeastAgeMs: &least},
-			{Key: ServerPrefix + "a", Fence: 1, Version: version, AgeMs: most, LeastAgeMs: &least,
-				Value: EncodeServer(pick.Server{ID: "a", Service: "x", WarmUpMax: cold})}}}
+			{Key: softstate.ListKey, Fence: 1, Version: version, AgeMs: most, LeastAgeMs: &least},
+			{Key: softstate.ServerPrefix + "a", Fence: 1, Version: version, AgeMs: most, LeastAgeMs: &least,
+				Value: softstate.EncodeServer(pick.Server{ID: "a", Service: "x", WarmUpMax: cold})}}}
 	}
-	f.applyEntries(now, Age{}, reply(3*time.Second, 9, 0, 100))
-	f.applyEntries(now, Age{}, reply(0, 5, 900, 1900))
+	f.applyEntries(now, softstate.Age{}, reply(3*time.Second, 9, 0, 100))
+	f.applyEntries(now, softstate.Age{}, reply(0, 5, 900, 1900))
 	if s, _, _ := f.table.Servers(now); s[0].WarmUpMax < 2900*time.Millisecond {
 		t.Errorf("cold for %v more after an older list", s[0].WarmUpMax)
 	}
-	f.applyEntries(now, Age{}, reply(time.Second, 6, 0, 50))
+	f.applyEntries(now, softstate.Age{}, reply(time.Second, 6, 0, 50))
 	if s, _, _ := f.table.Servers(now); s[0].WarmUpMax != time.Second {
 		t.Errorf("cold for %v more after a newer list", s[0].WarmUpMax)
 	}
--- a/internal/system/distribution/random_faults_test.go
+++ b/internal/system/distribution/random_faults_test.go
@@ -11,6 +11,7 @@
 	"testing/synctest"
 	"time"
 
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -97,7 +98,7 @@
 				servers = servers[1:]
 			}
 			if fl.hubs[k] != nil {
-				_ = fl.hubs[k].PutList(1, version, servers, madeAgo(Age{}))
+				_ = fl.hubs[k].PutList(1, version, servers, madeAgo(softstate.Age{}))
 			}
 		}
 	}
@@ -112,7 +113,7 @@
 	}
 	seq := fl.chain.add(none())
 	time.Sleep(9 * time.Second)
-	if err := fl.hubs["k1:1"].PutList(1, version+1, servers, madeAgo(Age{})); err != nil {
+	if err := fl.hubs["k1:1"].PutList(1, version+1, servers, madeAgo(softstate.Age{})); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(500 * time.Millisecond)
--- a/internal/system/distribution/referral_test.go
+++ b/internal/system/distribution/referral_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"sync"
 	"testing"
 	"time"
@@ -28,7 +29,7 @@
 	transport := rpc.NewTransport()
 	defer transport.CloseIdleConnections()
 	seq := c.add(none())
-	f := NewSubscriber(SubscriberOptions{Seeds: []string{first, second}, Self: Member{Node: "p"}, Log: quiet(), Transport: transport,
+	f := NewSubscriber(SubscriberOptions{Seeds: []string{first, second}, Self: softstate.Member{Node: "p"}, Log: quiet(), Transport: transport,
 		OnUpdate: func(u Update) {
 			if u.Fresh && u.State.Seq == seq {
 				signal(fresh)
@@ -45,7 +46,7 @@
 // TestReferralKeepsKnownNodes: an observer may be behind. Danger: a keeper that has gone is taken for one of the
 // view, or one that is of the view is forgotten.
 func TestReferralKeepsKnownNodes(t *testing.T) {
-	f := NewSubscriber(SubscriberOptions{Seeds: []string{"10.0.0.1", "10.0.0.9"}, Self: Member{Node: "p"}, Log: quiet()})
+	f := NewSubscriber(SubscriberOptions{Seeds: []string{"10.0.0.1", "10.0.0.9"}, Self: softstate.Member{Node: "p"}, Log: quiet()})
 	f.mu.Lock()
 	f.replaceNodes(encodeLocations(ServerLocation{"10.0.0.2", "zb", "r"}, ServerLocation{"10.0.0.9", "zc", "r"}))
 	f.mu.Unlock()
--- a/internal/system/distribution/reply_budget_test.go
+++ b/internal/system/distribution/reply_budget_test.go
@@ -12,6 +12,7 @@
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
 // TestPendingRepliesAreBounded: callers that take nothing of a large answer hold so many of them in a keeper's memory as its
@@ -22,7 +23,7 @@
 	c.add(largeConfig(t, 1, 1<<20, rand.NewChaCha8([32]byte{5})))
 	ask := func(node string, held uint64) (*distributionpb.FollowReply, func()) {
 		ctx, release := withReservation(t.Context())
-		reply, err := h.Follow(ctx, &distributionpb.FollowRequest{Member: Member{Node: node, Incarnation: 1}.ToProto(), Seq: held})
+		reply, err := h.Follow(ctx, &distributionpb.FollowRequest{Member: softstate.Member{Node: node, Incarnation: 1}.ToProto(), Seq: held})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -66,7 +67,7 @@
 		call := func(node string) net.Conn {
 			near, far := net.Pipe()
 			ends <- far
-			body := Marshal(&distributionpb.FollowRequest{Member: Member{Node: node, Incarnation: 1}.ToProto()})
+			body := softstate.Marshal(&distributionpb.FollowRequest{Member: softstate.Member{Node: node, Incarnation: 1}.ToProto()})
 			_, err := fmt.Fprintf(near, "POST /twirp/gradeusher.distribution.Distribution/Follow HTTP/1.1\r\nHost: k\r\nContent-Type: application/protobuf\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/system/distribution/server.go
+++ b/internal/system/distribution/server.go
@@ -16,6 +16,7 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
 	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -89,7 +90,7 @@
 	limits  ServerLimits
 
 	mu          sync.Mutex
-	table       *Table
+	table       *softstate.Table
 	bootID      uint64 // drawn anew once the table is complete, so that followers then take it whole
 	complete    bool
 	startedAt   time.Time
@@ -118,7 +119,7 @@
 
 // subscriberSession is a proxy that calls this hub.
 type subscriberSession struct {
-	member           Member
+	member           softstate.Member
 	lastCall         time.Time // start or end of its last call
 	openCalls        int       // calls that are held
 	connectionLostAt time.Time // when a held call's connection ended, and no call has come since; zero: it has not
@@ -147,7 +148,7 @@
 	}
 	now := time.Now()
 	limits := opt.Limits.withDefaults()
-	return &Server{options: opt, limits: limits, replyBudget: replyBudget{maxBytes: limits.MaxPendingReplyBytes}, table: NewTable(), bootID: rand.Uint64() | 1, startedAt: now, lastTick: now,
+	return &Server{options: opt, limits: limits, replyBudget: replyBudget{maxBytes: limits.MaxPendingReplyBytes}, table: softstate.NewTable(), bootID: rand.Uint64() | 1, startedAt: now, lastTick: now,
 		changed: make(chan struct{}), ackChanged: make(chan struct{}), subscribers: map[string]*subscriberSession{}, peers: map[string]*peer{},
 		totalLoads: loadreport.NewVector(false), localLoads: loadreport.NewVector(false), minAckedSeq: math.MaxUint64,
 		done: make(chan struct{}), wakeRequested: make(chan struct{}, 1), syncRequested: make(chan struct{}, 1)}
--- a/internal/system/distribution/server_follow.go
+++ b/internal/system/distribution/server_follow.go
@@ -11,6 +11,7 @@
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
 // currentRecheckInterval is how often a keeper that is not current looks whether it has become so, while a proxy waits for that.
@@ -27,7 +28,7 @@
 
 func (h *Server) serveFollow(ctx context.Context, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
 	start := time.Now()
-	m := MemberFromProto(req.GetMember())
+	m := softstate.MemberFromProto(req.GetMember())
 	if m.Node == "" || len(m.Node) > loadreport.MaxIDBytes || m.Incarnation == 0 {
 		return nil, twirp.RequiredArgumentError("member")
 	}
@@ -42,7 +43,7 @@
 		return nil, twirp.NewError(twirp.ResourceExhausted, "this keeper has too many followers: follow another")
 	}
 	defer h.endCall(f)
-	wait := min(BoundedMilliseconds(req.GetWaitMs(), time.Minute), h.limits.LongPollTimeout)
+	wait := min(softstate.BoundedMilliseconds(req.GetWaitMs(), time.Minute), h.limits.LongPollTimeout)
 	for {
 		reply, news, committed, again := h.tryReply(ctx, f, req, start)
 		left := wait - time.Since(start)
@@ -76,7 +77,7 @@
 const maxSubscribers = 4096
 
 // beginCall notes a call: the member, its acknowledgement, its loads, its verdicts. It gives nil where there are too many.
-func (h *Server) beginCall(m Member, req *distributionpb.FollowRequest) *subscriberSession {
+func (h *Server) beginCall(m softstate.Member, req *distributionpb.FollowRequest) *subscriberSession {
 	now := time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -190,14 +191,14 @@
 		since = req.GetSoft().GetNumber()
 	}
 	items, full := h.table.ChangesSince(since)
-	reply.Entries, reply.Full, reply.Complete = EncodeEntries(now, items), full, h.complete
+	reply.Entries, reply.Full, reply.Complete = softstate.EncodeEntries(now, items), full, h.complete
 	if len(items) > 0 {
 		f.entriesSentAt = now
 	}
 	reply.Soft = &distributionpb.Cursor{Boot: h.bootID, Number: h.table.LastNumber}
 	totals := h.totalLoads.ChangesSince(loadreport.CursorFromProto(req.GetTotals()))
 	if totals.From != totals.Number || req.GetTotals().GetBoot() != totals.Boot {
-		reply.Totals = Marshal(totals)
+		reply.Totals = softstate.Marshal(totals)
 		f.totalsSentAt = now
 	}
 	reply.TotalsOf = f.loadsInTotals
@@ -239,10 +240,10 @@
 func (h *Server) nodesDigest(digest uint64) uint64 { return digest + uint64(len(h.peers)) }
 
 // assertAlive writes that the process m lives and follows this hub. The caller holds mu.
-func (h *Server) assertAlive(now time.Time, m Member) {
+func (h *Server) assertAlive(now time.Time, m softstate.Member) {
 	m.Owner, m.Down = h.options.Self, false
-	key := MemberPrefix + m.Node
-	e := Entry{Key: key, Fence: 1, Version: 1, Value: m.Encode()}
+	key := softstate.MemberPrefix + m.Node
+	e := softstate.Entry{Key: key, Fence: 1, Version: 1, Value: m.Encode()}
 	if held := h.table.Get(key); held != nil {
 		was, ok := held.Member()
 		switch {
@@ -256,19 +257,19 @@
 			e.Fence = held.Fence + 1
 		}
 	}
-	h.mergeEntry(now, e, Age{})
+	h.mergeEntry(now, e, softstate.Age{})
 }
 
 // markDown writes that the process that the entry is about is silent. The caller holds mu.
-func (h *Server) markDown(now time.Time, it *StoredEntry, m Member, why string) {
+func (h *Server) markDown(now time.Time, it *softstate.StoredEntry, m softstate.Member, why string) {
 	m.Down = true
 	h.options.Log.WithFields(downLogFields(m.Node, why)).Info("distribution: a proxy is marked down")
-	h.mergeEntry(now, Entry{Key: it.Key, Fence: it.Fence, Version: it.Version + 1, Value: m.Encode()}, Age{})
+	h.mergeEntry(now, softstate.Entry{Key: it.Key, Fence: it.Fence, Version: it.Version + 1, Value: m.Encode()}, softstate.Age{})
 }
 
 // applyVerdict takes in what another proxy says of one: the keeper that it follows knows better, while that one is heard.
 func (h *Server) applyVerdict(now time.Time, node string, incarnation uint64) {
-	it := h.table.Get(MemberPrefix + node)
+	it := h.table.Get(softstate.MemberPrefix + node)
 	if it == nil || it.Deleted {
 		return
 	}
@@ -317,13 +318,13 @@
 		dropped = true
 	}
 	type fall struct {
-		it  *StoredEntry
-		m   Member
+		it  *softstate.StoredEntry
+		m   softstate.Member
 		why string
 	}
 	var falls []fall
-	var gone []*StoredEntry
-	for _, it := range h.table.Live(MemberPrefix) {
+	var gone []*softstate.StoredEntry
+	for _, it := range h.table.Live(softstate.MemberPrefix) {
 		m, ok := it.Member()
 		f := h.subscribers[m.Node]
 		switch {
@@ -356,7 +357,7 @@
 		h.markDown(now, f.it, f.m, f.why)
 	}
 	for _, it := range gone {
-		h.mergeEntry(now, Entry{Key: it.Key, Fence: it.Fence, Version: it.Version + 1, Deleted: true}, Age{})
+		h.mergeEntry(now, softstate.Entry{Key: it.Key, Fence: it.Fence, Version: it.Version + 1, Deleted: true}, softstate.Age{})
 	}
 }
 
--- a/internal/system/distribution/server_list.go
+++ b/internal/system/distribution/server_list.go
@@ -1,6 +1,7 @@
 package distribution
 
 import (
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"math"
 	"slices"
 	"time"
@@ -8,7 +9,7 @@
 
 // listFence is the fence of the newest whole reading of the platform's list; 0: none has come. The caller holds mu.
 func (h *Server) listFence() uint64 {
-	if held := h.table.Get(ListKey); held != nil {
+	if held := h.table.Get(softstate.ListKey); held != nil {
 		return held.Fence
 	}
 	return 0
@@ -17,10 +18,10 @@
 // deleteServersOfOldFences deletes the servers that were told under fences below that of the list, which has just come with all of its
 // servers: whoever read it may not know of all that the former reader told. The caller holds mu.
 func (h *Server) deleteServersOfOldFences(now time.Time, fence uint64) {
-	version := h.table.Get(ListKey).Version
-	for _, it := range slices.Clone(h.table.Live(ServerPrefix)) {
+	version := h.table.Get(softstate.ListKey).Version
+	for _, it := range slices.Clone(h.table.Live(softstate.ServerPrefix)) {
 		if it.Fence < fence {
-			h.mergeEntry(now, Entry{Key: it.Key, Fence: fence, Version: version, Deleted: true}, Age{})
+			h.mergeEntry(now, softstate.Entry{Key: it.Key, Fence: fence, Version: version, Deleted: true}, softstate.Age{})
 		}
 	}
 }
@@ -30,7 +31,7 @@
 func (h *Server) ListVersion() (fence, version uint64, age time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	held := h.table.Get(ListKey)
+	held := h.table.Get(softstate.ListKey)
 	if held == nil {
 		return 0, 0, math.MaxInt64
 	}
--- a/internal/system/distribution/server_list_fence_test.go
+++ b/internal/system/distribution/server_list_fence_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -14,7 +15,7 @@
 func TestHigherFenceWithAnOlderReading(t *testing.T) {
 	h := newIdleHub()
 	h.markComplete()
-	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
+	f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
 	poll := func() {
 		req := f.buildRequest(nil, false)
 		items, full := h.table.ChangesSince(func() uint64 {
@@ -24,7 +25,7 @@
 			return 0
 		}())
 		now := time.Now()
-		f.handleReply(now, now, req, &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: EncodeEntries(now, items),
+		f.handleReply(now, now, req, &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: softstate.EncodeEntries(now, items),
 			Soft: &distributionpb.Cursor{Boot: h.bootID, Number: h.table.LastNumber}})
 	}
 	put := func(fence, version uint64, draining bool, ago time.Duration) {
--- a/internal/system/distribution/server_new_fence_test.go
+++ b/internal/system/distribution/server_new_fence_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -18,7 +19,7 @@
 	other.markComplete()
 	put := func(h *Server, fence, version uint64, servers ...pick.Server) {
 		t.Helper()
-		if err := h.PutList(fence, version, servers, madeAgo(Age{Max: 20 * time.Millisecond})); err != nil {
+		if err := h.PutList(fence, version, servers, madeAgo(softstate.Age{Max: 20 * time.Millisecond})); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/system/distribution/server_sync.go
+++ b/internal/system/distribution/server_sync.go
@@ -14,6 +14,7 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
 	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
 const (
@@ -172,7 +173,7 @@
 	}
 	items, full := h.table.ChangesSince(since)
 	return &distributionpb.ShareRequest{From: &distributionpb.Keeper{Address: h.options.Self, Zone: h.options.Zone, Region: h.options.Region}, Boot: h.bootID,
-		Full: full, Complete: h.complete, Entries: EncodeEntries(now, items), Loads: h.localLoads.ChangesSince(p.ackedLoads),
+		Full: full, Complete: h.complete, Entries: softstate.EncodeEntries(now, items), Loads: h.localLoads.ChangesSince(p.ackedLoads),
 		Lowest: h.minAckedSeq, Followers: uint64(len(h.subscribers)), Hears: h.recentPeers(now), SentMs: p.estimatedPeerClockMS(now)}, h.table.LastNumber
 }
 
@@ -186,7 +187,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	clock := h.clockMS(now)
-	delay := BoundedMilliseconds(clock-min(clock, req.GetSentMs()), MaxAge)
+	delay := softstate.BoundedMilliseconds(clock-min(clock, req.GetSentMs()), softstate.MaxAge)
 	if h.options.Knobs.DateByArrival {
 		delay = 0
 	} else if req.GetSentMs() == 0 || req.GetSentMs() > clock+maxClockDriftMS || delay > peerTTL {
@@ -208,9 +209,9 @@
 	p.reachablePeers = req.GetHears()[:min(len(req.GetHears()), maxPeers)]
 	before := h.listFence()
 	for _, w := range req.GetEntries() {
-		e, age := DecodeEntry(w)
+		e, age := softstate.DecodeEntry(w)
 		if e.Key != "" && len(e.Key) <= 2*loadreport.MaxIDBytes {
-			h.mergePeerEntry(now, from, e, age.Plus(AgeUpTo(delay)))
+			h.mergePeerEntry(now, from, e, age.Plus(softstate.AgeUpTo(delay)))
 		}
 	}
 	if fence := h.listFence(); fence > before {
@@ -228,7 +229,7 @@
 
 // mergePeerEntry takes in an entry that another keeper shares. One that was cut off has marked down what it no longer heard of,
 // so whoever hears the proxy knows better: this keeper, or the one that the proxy follows. The caller holds mu.
-func (h *Server) mergePeerEntry(now time.Time, from string, e Entry, age Age) {
+func (h *Server) mergePeerEntry(now time.Time, from string, e softstate.Entry, age softstate.Age) {
 	was, refuted := h.marksLiveMemberDown(e)
 	if !refuted || h.options.Knobs.AcceptDownVerdicts {
 		h.mergeEntry(now, e, age)
@@ -245,13 +246,13 @@
 }
 
 // marksLiveMemberDown tells whether an entry marks down a process that counts as up here, and what is held of it.
-func (h *Server) marksLiveMemberDown(e Entry) (was Member, ok bool) {
+func (h *Server) marksLiveMemberDown(e softstate.Entry) (was softstate.Member, ok bool) {
 	held := h.table.Get(e.Key)
-	if held == nil || held.Deleted || e.Deleted || !strings.HasPrefix(e.Key, MemberPrefix) {
-		return Member{}, false
+	if held == nil || held.Deleted || e.Deleted || !strings.HasPrefix(e.Key, softstate.MemberPrefix) {
+		return softstate.Member{}, false
 	}
 	was, known := held.Member()
-	told, read := DecodeMember(e.Value)
+	told, read := softstate.DecodeMember(e.Value)
 	return was, known && read && told.Down && !was.Down && told.Incarnation == was.Incarnation
 }
 
--- a/internal/system/distribution/server_sync_test.go
+++ b/internal/system/distribution/server_sync_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -60,13 +61,13 @@
 		if s.send(t, 0).GetLate() || listAge(s.to) != 2*time.Second {
 			t.Errorf("at once: the list is %v old", listAge(s.to))
 		}
-		if err := s.from.PutList(1, 2, []pick.Server{{ID: "s"}, {ID: "r"}}, madeAgo(Age{})); err != nil {
+		if err := s.from.PutList(1, 2, []pick.Server{{ID: "s"}, {ID: "r"}}, madeAgo(softstate.Age{})); err != nil {
 			t.Fatal(err)
 		}
 		if s.send(t, time.Second).GetLate() || listAge(s.to) != time.Second {
 			t.Errorf("after a second under way: the list is %v old", listAge(s.to))
 		}
-		if err := s.from.PutList(1, 3, nil, madeAgo(Age{})); err != nil {
+		if err := s.from.PutList(1, 3, nil, madeAgo(softstate.Age{})); err != nil {
 			t.Fatal(err)
 		}
 		if !s.send(t, 20*time.Second).GetLate() || listAge(s.to) != 21*time.Second {
@@ -86,7 +87,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &sharing{from: hubNamed("a"), to: hubNamed("b")}
 		s.to.options.Knobs.DateByArrival = true
-		if err := s.from.PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(Age{})); err != nil {
+		if err := s.from.PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(softstate.Age{})); err != nil {
 			t.Fatal(err)
 		}
 		if s.send(t, 20*time.Second); listAge(s.to) != 0 {
@@ -119,10 +120,10 @@
 		cutOff, next := hubNamed("a"), hubNamed("b")
 		for version := uint64(1); version <= 40; version++ {
 			time.Sleep(500 * time.Millisecond)
-			if err := cutOff.PutList(3, 900+version, []pick.Server{{ID: "s"}}, madeAgo(Age{})); err != nil {
+			if err := cutOff.PutList(3, 900+version, []pick.Server{{ID: "s"}}, madeAgo(softstate.Age{})); err != nil {
 				t.Fatal(err)
 			}
-			if err := next.PutList(4, version, []pick.Server{{ID: "s", Draining: true}, {ID: "r"}}, madeAgo(Age{})); err != nil {
+			if err := next.PutList(4, version, []pick.Server{{ID: "s", Draining: true}, {ID: "r"}}, madeAgo(softstate.Age{})); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -133,7 +134,7 @@
 				t.Errorf("%s holds %+v", s.to.options.Self, got)
 			}
 		}
-		if cutOff.PutList(3, 2000, nil, madeAgo(Age{})) == nil {
+		if cutOff.PutList(3, 2000, nil, madeAgo(softstate.Age{})) == nil {
 			t.Error("a reading under the old fence is taken still")
 		}
 	})
--- a/internal/system/distribution/server_table.go
+++ b/internal/system/distribution/server_table.go
@@ -8,23 +8,24 @@
 	"github.com/cockroachdb/errors"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
 // Put writes an entry of the soft state. The error is ErrStale where a newer one is held.
 func (h *Server) Put(key string, fence, version uint64, value []byte) error {
-	return h.putEntry(Entry{Key: key, Fence: fence, Version: version, Value: value})
+	return h.putEntry(softstate.Entry{Key: key, Fence: fence, Version: version, Value: value})
 }
 
 // Remove deletes an entry of the soft state. The error is ErrStale where a newer one is held.
 func (h *Server) Remove(key string, fence, version uint64) error {
-	return h.putEntry(Entry{Key: key, Fence: fence, Version: version, Deleted: true})
+	return h.putEntry(softstate.Entry{Key: key, Fence: fence, Version: version, Deleted: true})
 }
 
-func (h *Server) putEntry(e Entry) error {
+func (h *Server) putEntry(e softstate.Entry) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.mergeEntry(time.Now(), e, Age{}) {
+	if !h.mergeEntry(time.Now(), e, softstate.Age{}) {
 		return errors.Mark(errors.Newf("distribution: %s is held with a higher fence or version than %d, %d: read it and write above",
 			e.Key, e.Fence, e.Version), ErrStale)
 	}
@@ -32,11 +33,11 @@
 }
 
 // mergeEntry takes an entry in and has followers woken. The caller holds mu.
-func (h *Server) mergeEntry(now time.Time, e Entry, age Age) bool {
+func (h *Server) mergeEntry(now time.Time, e softstate.Entry, age softstate.Age) bool {
 	if !h.table.Merge(now, e, age) {
 		return false
 	}
-	if !IsLazy(e.Key) {
+	if !softstate.IsLazy(e.Key) {
 		signal(h.wakeRequested)
 	}
 	return true
@@ -47,17 +48,17 @@
 // Only what differs from the table goes out. version rises from reading to reading of one fence. The error is ErrStale
 // where a reading under a higher fence, or one that was asked for later, has been taken in: a reading that was held up on its way
 // may be older than one that was asked for after it.
-func (h *Server) PutList(fence, version uint64, servers []pick.Server, read TimeBounds) error {
+func (h *Server) PutList(fence, version uint64, servers []pick.Server, read softstate.TimeBounds) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
 	age := read.AgeAt(now)
-	if held := h.table.Get(ListKey); held != nil && held.Fence == fence && age.Max > held.AgeAt(now).Max {
+	if held := h.table.Get(softstate.ListKey); held != nil && held.Fence == fence && age.Max > held.AgeAt(now).Max {
 		return errors.Mark(errors.Newf("distribution: a list that was asked for %v later is held: this one counts for nothing",
 			age.Max-held.AgeAt(now).Max), ErrStale)
 	}
 	// A poller that starts anew under its old fence counts from the start, so versions go on from the table's.
-	write := func(e Entry) bool {
+	write := func(e softstate.Entry) bool {
 		if held := h.table.Get(e.Key); held != nil && held.Fence == e.Fence {
 			e.Version = max(e.Version, held.Version+1)
 		}
@@ -65,7 +66,7 @@
 	}
 	first := h.listFence() < fence
 	covers := h.commits.committedBefore(read.Earliest.Add(-h.options.ListLag))
-	if !write(Entry{Key: ListKey, Fence: fence, Version: version, Value: EncodeListCovers(covers)}) {
+	if !write(softstate.Entry{Key: softstate.ListKey, Fence: fence, Version: version, Value: softstate.EncodeListCovers(covers)}) {
 		return errors.Mark(errors.Newf("distribution: the list is fed under a higher fence than %d: ask for the duty again before polling",
 			fence), ErrStale)
 	}
@@ -74,28 +75,28 @@
 		if len(s.ID) == 0 || len(s.ID) > loadreport.MaxIDBytes || len(named) >= loadreport.MaxServers {
 			continue
 		}
-		named[ServerPrefix+s.ID] = true
+		named[softstate.ServerPrefix+s.ID] = true
 		// Under a new fence all is written once: of what the reader of the former one told, other keepers may hold more.
-		if held := h.table.Get(ServerPrefix + s.ID); held != nil && !held.Deleted && !first {
-			if was, ok := held.ServerAt(now); ok && AgreesWithReading(was, CountDown(s, age)) {
+		if held := h.table.Get(softstate.ServerPrefix + s.ID); held != nil && !held.Deleted && !first {
+			if was, ok := held.ServerAt(now); ok && softstate.AgreesWithReading(was, softstate.CountDown(s, age)) {
 				continue
 			}
 		}
-		write(Entry{Key: ServerPrefix + s.ID, Fence: fence, Version: version, Value: EncodeServer(WithWarmUpMargin(s))})
+		write(softstate.Entry{Key: softstate.ServerPrefix + s.ID, Fence: fence, Version: version, Value: softstate.EncodeServer(softstate.WithWarmUpMargin(s))})
 	}
-	for _, it := range slices.Clone(h.table.Live(ServerPrefix)) {
+	for _, it := range slices.Clone(h.table.Live(softstate.ServerPrefix)) {
 		if !named[it.Key] {
-			write(Entry{Key: it.Key, Fence: fence, Version: version, Deleted: true})
+			write(softstate.Entry{Key: it.Key, Fence: fence, Version: version, Deleted: true})
 		}
 	}
 	return nil
 }
 
 // Table gives the entries that are not deleted, by key.
-func (h *Server) Table() []Entry {
+func (h *Server) Table() []softstate.Entry {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := make([]Entry, 0, h.table.Len())
+	out := make([]softstate.Entry, 0, h.table.Len())
 	for _, it := range h.table.All() {
 		if !it.Deleted {
 			out = append(out, it.Entry)
@@ -106,7 +107,7 @@
 }
 
 // Members gives the proxies known, by name, those that are down or leaving included.
-func (h *Server) Members() []Member {
+func (h *Server) Members() []softstate.Member {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.table.Members()
--- a/internal/system/distribution/server_test.go
+++ b/internal/system/distribution/server_test.go
@@ -7,6 +7,7 @@
 	"github.com/cockroachdb/errors"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -39,7 +40,7 @@
 	put(2, 2, 0, 0)
 	list = list[1:]
 	put(2, 3, 0, 1)
-	if err := h.PutList(1, 99, nil, madeAgo(Age{})); !errors.Is(err, ErrStale) {
+	if err := h.PutList(1, 99, nil, madeAgo(softstate.Age{})); !errors.Is(err, ErrStale) {
 		t.Errorf("a poller that lost its duty: %v", err)
 	}
 	got, age, ok := h.List()
@@ -74,7 +75,7 @@
 func TestPausedNodeMarksNobodyDown(t *testing.T) {
 	h := newIdleHub()
 	now := time.Now()
-	m := Member{Node: "p", Incarnation: 5}
+	m := softstate.Member{Node: "p", Incarnation: 5}
 	h.endCall(h.beginCall(m, &distributionpb.FollowRequest{Member: m.ToProto()}))
 	down := func() bool { return h.Members()[0].Down }
 	h.tick(now.Add(100 * time.Millisecond))
@@ -97,9 +98,9 @@
 func TestVerdictsOfOthers(t *testing.T) {
 	h := newIdleHub()
 	now := time.Now()
-	m := Member{Node: "p", Incarnation: 5}
+	m := softstate.Member{Node: "p", Incarnation: 5}
 	h.endCall(h.beginCall(m, &distributionpb.FollowRequest{Member: m.ToProto()}))
-	other := Member{Node: "q", Incarnation: 6}
+	other := softstate.Member{Node: "q", Incarnation: 6}
 	say := func(incarnation uint64) bool {
 		h.endCall(h.beginCall(other, &distributionpb.FollowRequest{Member: other.ToProto(), Down: []*distributionpb.Verdict{{Node: "p", Incarnation: incarnation}}}))
 		return h.Members()[0].Down
@@ -133,24 +134,27 @@
 		return false
 	}
 	for _, node := range []string{"ended", "reset", "held"} {
-		f := h.beginCall(Member{Node: node, Incarnation: 7, Revision: 1}, &distributionpb.FollowRequest{})
+		f := h.beginCall(softstate.Member{Node: node, Incarnation: 7, Revision: 1}, &distributionpb.FollowRequest{})
 		if node != "held" {
 			h.recordLostConnection(f)
 			h.endCall(f)
 		}
 	}
-	h.endCall(h.beginCall(Member{Node: "reset", Incarnation: 7, Revision: 1}, &distributionpb.FollowRequest{}))
+	h.endCall(h.beginCall(softstate.Member{Node: "reset", Incarnation: 7, Revision: 1}, &distributionpb.FollowRequest{}))
 	for i := range 6 {
 		h.tick(now.Add(time.Duration(i+1) * 100 * time.Millisecond))
 	}
 	if !down("ended") || down("reset") || down("held") {
 		t.Errorf("after 600 ms: ended %v, reset %v, held %v", down("ended"), down("reset"), down("held"))
 	}
-	h.endCall(h.beginCall(Member{Node: "ended", Incarnation: 8, Revision: 1}, &distributionpb.FollowRequest{}))
+	h.endCall(h.beginCall(softstate.Member{Node: "ended", Incarnation: 8, Revision: 1}, &distributionpb.FollowRequest{}))
 	if down("ended") {
 		t.Error("its next life is still down")
 	}
 }
 
 // madeAgo is when something was made that is so old now.
-func madeAgo(age Age) TimeBounds { return age.MadeBetween(time.Now()) }
+func madeAgo(age softstate.Age) softstate.TimeBounds { return age.MadeBetween(time.Now()) }
+
+// exactAge is the age of what is known to be d old.
+func exactAge(d time.Duration) softstate.Age { return softstate.Age{Min: d, Max: d} }
--- a/internal/system/distribution/age.go
+++ b/internal/system/distribution/softstate/age.go
@@ -1,4 +1,4 @@
-package distribution
+package softstate
 
 import "time"
 
--- a/internal/system/distribution/values_test.go
+++ b/internal/system/distribution/softstate/values_test.go
@@ -1,4 +1,4 @@
-package distribution
+package softstate
 
 import (
 	"testing"
@@ -21,10 +21,7 @@
 	if got != in {
 		t.Errorf("got %+v", got)
 	}
-	if got = CountDown(told, exactAge(time.Minute)); got.WarmUpMax != 0 || got.WarmUpMin != 0 || got.Remaining != time.Millisecond {
+	if got = CountDown(told, Age{Min: time.Minute, Max: time.Minute}); got.WarmUpMax != 0 || got.WarmUpMin != 0 || got.Remaining != time.Millisecond {
 		t.Errorf("after all: %+v", got)
 	}
 }
-
-// exactAge is the age of what is known to be d old.
-func exactAge(d time.Duration) Age { return Age{d, d} }
--- a/internal/system/distribution/subscriber.go
+++ b/internal/system/distribution/subscriber.go
@@ -15,6 +15,7 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
 	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -25,7 +26,7 @@
 type SubscriberOptions struct {
 	Seeds                       []string                    // machines that may be keepers or proxies, as IP or IP:port; always kept as a fallback
 	ControlPlanePort, ProxyPort int                         // inner ports
-	Self                        Member                      // Incarnation 0: one is drawn
+	Self                        softstate.Member            // Incarnation 0: one is drawn
 	Loads                       func() map[string]pick.Load // this proxy's own, by server id; called from several goroutines
 	OnUpdate                    func(Update)                // called from one goroutine, with the newest only
 	OnLoads                     func(map[string]pick.Load)  // what all other proxies bring, by server id; called as OnUpdate
@@ -39,7 +40,7 @@
 // Update is what a proxy holds. Nothing in it is changed later.
 type Update struct {
 	State                *controlstate.State // Seq 0 and no Config until one has come that was the newest a moment ago, or a neighbour's
-	Members              []Member            // the live proxies, this one and those leaving included, by name
+	Members              []softstate.Member  // the live proxies, this one and those leaving included, by name
 	Servers              []pick.Server       // by id; times as of now
 	HasList              bool                // a whole reading of the platform's list has come
 	ListAge              time.Duration       // of the newest whole reading, at most
@@ -60,14 +61,14 @@
 	startedAt time.Time
 
 	mu                 sync.Mutex
-	self               Member
+	self               softstate.Member
 	ackedRevision      uint64 // revision of self that a keeper has taken in
 	revisionAcked      chan struct{}
 	pendingVerdicts    map[string]uint64 // verdicts to pass on: node to incarnation
 	state              *controlstate.State
 	resync             bool // the records do not apply: ask for a snapshot
 	stateFromNeighbour bool // the state is a neighbour's, since no keeper could be reached
-	table              *Table
+	table              *softstate.Table
 	unconfirmedServers map[string]bool // keys of servers that no keeper has told since all lost their tables
 	membershipComplete bool            // a table that misses no live proxy has been taken in
 	skippedOldList     bool            // a list was not taken, as it looked older than the one held: a whole table is to be told again
@@ -111,7 +112,7 @@
 	}
 	opt.Self.Revision = max(1, opt.Self.Revision)
 	f := &Subscriber{options: opt, client: &http.Client{Transport: rpc.BoundedTransport{Next: opt.Transport}}, startedAt: time.Now(), self: opt.Self,
-		revisionAcked: make(chan struct{}), pendingVerdicts: map[string]uint64{}, state: controlstate.Empty().WithoutHistory(), table: NewTable(), ownLoads: loadreport.NewVector(true),
+		revisionAcked: make(chan struct{}), pendingVerdicts: map[string]uint64{}, state: controlstate.Empty().WithoutHistory(), table: softstate.NewTable(), ownLoads: loadreport.NewVector(true),
 		nodes: map[string]*controlPlaneNode{}, loadReportInterval: 100 * time.Millisecond,
 		updatePending: make(chan struct{}, 1), loadsPending: make(chan struct{}, 1), callRequested: make(chan struct{}, 1)}
 	for _, s := range opt.Seeds {
@@ -249,7 +250,7 @@
 	if now.Sub(f.lastCurrentContact) > catchup.FreshnessTTL {
 		return true
 	}
-	held := f.table.Get(MemberPrefix + f.self.Node)
+	held := f.table.Get(softstate.MemberPrefix + f.self.Node)
 	if held == nil {
 		return false
 	}
--- a/internal/system/distribution/subscriber_call.go
+++ b/internal/system/distribution/subscriber_call.go
@@ -11,6 +11,7 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
 	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -75,7 +76,7 @@
 		f.learnNodes(reply.GetKeepers())
 		return false, errReferred
 	}
-	offer := offerFromReply(reply, time.Since(asked.Add(BoundedMilliseconds(reply.GetCheckedMs(), time.Minute))))
+	offer := offerFromReply(reply, time.Since(asked.Add(softstate.BoundedMilliseconds(reply.GetCheckedMs(), time.Minute))))
 	return offer.Current && !offer.Expired(), nil
 }
 
@@ -120,7 +121,7 @@
 func (f *Subscriber) handleReply(asked, now time.Time, req *distributionpb.FollowRequest, reply *distributionpb.FollowReply) callResult {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	checked := asked.Add(BoundedMilliseconds(reply.GetCheckedMs(), time.Minute))
+	checked := asked.Add(softstate.BoundedMilliseconds(reply.GetCheckedMs(), time.Minute))
 	if f.options.Knobs.DateByArrival {
 		checked = now
 	}
@@ -171,8 +172,8 @@
 	if !goesOn {
 		reply.Entries = withoutListEntry(reply.GetEntries())
 	}
-	again := f.trackSkippedList(f.bringsOlderList(now, AgeUpTo(delay), reply), reply)
-	changed := f.applyEntries(now, AgeUpTo(delay), reply)
+	again := f.trackSkippedList(f.bringsOlderList(now, softstate.AgeUpTo(delay), reply), reply)
+	changed := f.applyEntries(now, softstate.AgeUpTo(delay), reply)
 	switch to := reply.GetSoft(); {
 	case again:
 		f.tableCursor.Boot, f.tableCursor.Number = 0, 0
@@ -185,7 +186,7 @@
 		f.replaceNodes(reply.GetKeepers())
 		f.nodesDigest = reply.GetKeepersDigest()
 	}
-	if p := BoundedMilliseconds(reply.GetPaceMs(), 2*time.Second); p > 0 {
+	if p := softstate.BoundedMilliseconds(reply.GetPaceMs(), 2*time.Second); p > 0 {
 		f.loadReportInterval = p
 	}
 	return changed
@@ -209,7 +210,7 @@
 // withoutListEntry leaves out the entry that tells when the platform's list was read: without the servers that the reading showed, and
 // that the delta takes for known, it would make older ones look as if they came from that reading.
 func withoutListEntry(entries []*distributionpb.Entry) []*distributionpb.Entry {
-	return slices.DeleteFunc(entries, func(e *distributionpb.Entry) bool { return e.GetKey() == ListKey })
+	return slices.DeleteFunc(entries, func(e *distributionpb.Entry) bool { return e.GetKey() == softstate.ListKey })
 }
 
 // applyTotalLoads takes total loads in and works out what is of others.
--- a/internal/system/distribution/subscriber_delta_test.go
+++ b/internal/system/distribution/subscriber_delta_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -15,23 +16,23 @@
 	first, second := newIdleHub(), newIdleHub()
 	first.markComplete()
 	second.markComplete()
-	put := func(h *Server, version uint64, age Age, cold time.Duration) {
+	put := func(h *Server, version uint64, age softstate.Age, cold time.Duration) {
 		t.Helper()
 		if err := h.PutList(1, version, []pick.Server{{ID: "s", WarmUpMax: cold}}, madeAgo(age)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
+	f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
 	put(first, 5, exactAge(300*time.Millisecond), 3*time.Second)
 	pollByHand(f, first)
 	asked := time.Now()
 	req := f.buildRequest(nil, false)
-	put(second, 4, Age{Max: time.Second}, 0) // it can't be told which of both readings is the later one
+	put(second, 4, softstate.Age{Max: time.Second}, 0) // it can't be told which of both readings is the later one
 	pollByHand(f, second)
 	put(first, 6, exactAge(0), 2700*time.Millisecond)
 	first.mu.Lock()
 	items, _ := first.table.ChangesSince(req.GetSoft().GetNumber())
-	late := &distributionpb.FollowReply{Current: true, Entries: EncodeEntries(time.Now(), items), Soft: &distributionpb.Cursor{Boot: first.bootID, Number: first.table.LastNumber}}
+	late := &distributionpb.FollowReply{Current: true, Entries: softstate.EncodeEntries(time.Now(), items), Soft: &distributionpb.Cursor{Boot: first.bootID, Number: first.table.LastNumber}}
 	first.mu.Unlock()
 	f.handleReply(asked, time.Now(), req, late)
 	u := f.Current()
--- a/internal/system/distribution/subscriber_history_test.go
+++ b/internal/system/distribution/subscriber_history_test.go
@@ -6,6 +6,7 @@
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
 // Keepers remember thousands of changes to know them again. Proxies judge no changes: neither the snapshots that they are
@@ -13,7 +14,7 @@
 func TestSubscribersKeepNoHistory(t *testing.T) {
 	c := newChain()
 	h := NewServer(ServerOptions{Source: &source{chain: c, keepers: []string{"k"}}, Self: "k", Log: quiet()})
-	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
+	f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
 	for i := range int64(200) {
 		body := fmt.Appendf(nil, `{"revision":%d,"routes":[],"services":[]}`, i+1)
 		seq := c.add(controlstate.Record{Op: controlstate.OpReplace, Base: i, Body: body})
--- a/internal/system/distribution/subscriber_late_reply_test.go
+++ b/internal/system/distribution/subscriber_late_reply_test.go
@@ -6,6 +6,7 @@
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -17,10 +18,10 @@
 	h := NewServer(ServerOptions{Source: &source{chain: c, keepers: []string{"k"}}, Self: "k", Log: quiet()})
 	h.markComplete()
 	c.add(controlstate.Record{Op: controlstate.OpEvacuate, Zone: "z"})
-	if err := h.PutList(1, 1, []pick.Server{{ID: "old"}}, madeAgo(Age{})); err != nil {
+	if err := h.PutList(1, 1, []pick.Server{{ID: "old"}}, madeAgo(softstate.Age{})); err != nil {
 		tb.Fatal(err)
 	}
-	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet(), Knobs: knobs})
+	f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet(), Knobs: knobs})
 	asked := time.Now()
 	req := f.buildRequest(nil, false)
 	reply, err := h.Follow(tb.Context(), req)
@@ -57,7 +58,7 @@
 	if u, _ := lateReply(t, 20*time.Second, TestingKnobs{ServeLateState: true}); u.State.Seq != 1 {
 		t.Error("control: a late state is not served either")
 	}
-	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
+	f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
 	f.state = &controlstate.State{Seq: 7}
 	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), &distributionpb.FollowReply{Current: true, Newest: 7})
 	if got := f.Current().State.Seq; got != 7 {
@@ -67,7 +68,7 @@
 
 // TestWaitAtTheServerIsNoAge: a poll that a keeper held for long is answered with a word of now.
 func TestWaitAtTheServerIsNoAge(t *testing.T) {
-	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
+	f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
 	asked := time.Now().Add(-3 * time.Second)
 	f.handleReply(asked, time.Now(), f.buildRequest(nil, false), &distributionpb.FollowReply{Current: true, CheckedMs: 2900})
 	if !f.Current().Fresh {
--- a/internal/system/distribution/subscriber_list_updates_test.go
+++ b/internal/system/distribution/subscriber_list_updates_test.go
@@ -5,13 +5,14 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
 // TestListUpdateNotifiesOwner: a reading of the list that changes nothing is told at once where it is awaited, and only there.
 func TestListUpdateNotifiesOwner(t *testing.T) {
 	f := NewSubscriber(SubscriberOptions{Log: quiet()})
 	read := func(version uint64) bool {
-		return f.applyEntries(time.Now(), Age{}, &distributionpb.FollowReply{Entries: []*distributionpb.Entry{{Key: ListKey, Fence: 1, Version: version}}})
+		return f.applyEntries(time.Now(), softstate.Age{}, &distributionpb.FollowReply{Entries: []*distributionpb.Entry{{Key: softstate.ListKey, Fence: 1, Version: version}}})
 	}
 	if read(1) {
 		t.Error("told though nothing changed")
--- a/internal/system/distribution/subscriber_neighbours.go
+++ b/internal/system/distribution/subscriber_neighbours.go
@@ -9,6 +9,7 @@
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
 // Handler serves neighbours that start, under /twirp/gradeusher.distribution.Neighbours/.
@@ -22,9 +23,9 @@
 	defer f.mu.Unlock()
 	items, _ := f.table.ChangesSince(0)
 	if req.GetSeq() > 0 {
-		items = slices.DeleteFunc(items, func(it *StoredEntry) bool { return !BelongsToList(it.Key) })
+		items = slices.DeleteFunc(items, func(it *softstate.StoredEntry) bool { return !softstate.BelongsToList(it.Key) })
 	}
-	reply := &distributionpb.FollowReply{Call: req.GetCall(), Entries: EncodeEntries(time.Now(), items)}
+	reply := &distributionpb.FollowReply{Call: req.GetCall(), Entries: softstate.EncodeEntries(time.Now(), items)}
 	if f.state.Seq > req.GetSeq() {
 		reply.Snapshot, reply.SnapshotDeflated = rpc.Compress(f.state.Encode())
 	}
@@ -116,7 +117,7 @@
 	before := f.state.Seq
 	f.applyState(offerFromReply(reply, 0), reply)
 	now := time.Now()
-	changed := f.applyEntries(now, AgeUpTo(now.Sub(asked)), reply)
+	changed := f.applyEntries(now, softstate.AgeUpTo(now.Sub(asked)), reply)
 	f.stateFromNeighbour = f.stateFromNeighbour || f.state.Seq > 0 && starts
 	if changed || f.state.Seq != before {
 		f.options.Log.WithField("neighbour", place).WithField("seq", f.state.Seq).Info("distribution: no keeper is reached; holding what a neighbour holds")
--- a/internal/system/distribution/subscriber_stale_test.go
+++ b/internal/system/distribution/subscriber_stale_test.go
@@ -4,13 +4,14 @@
 	"testing"
 	"time"
 
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
 // TestBehindIsNotStale: a proxy that hears from a current keeper, but does not yet hold all of the control state (a large configuration on
 // a thin link), has not been given up by anybody.
 func TestBehindIsNotStale(t *testing.T) {
-	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
+	f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
 	now := time.Now()
 	reply := wholeTable(t, 0, 1, pick.Server{ID: "a"})
 	reply.Newest = 5
--- a/internal/system/distribution/testfleet_test.go
+++ b/internal/system/distribution/testfleet_test.go
@@ -14,6 +14,7 @@
 	"github.com/apex/log/handlers/discard"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
 func quiet() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.DebugLevel} }
@@ -292,7 +293,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &proxy{stop: cancel}
 	opt := SubscriberOptions{Seeds: fl.names, ControlPlanePort: 1, ProxyPort: 2, Log: quiet(), Transport: station{fl.mesh, node},
-		Self: Member{Node: node, Zone: "zone-" + fl.names[rand.IntN(len(fl.names))], Region: "r", IP: node + ":2"},
+		Self: softstate.Member{Node: node, Zone: "zone-" + fl.names[rand.IntN(len(fl.names))], Region: "r", IP: node + ":2"},
 		OnUpdate: func(u Update) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
--- a/internal/system/distribution/warmup_bounds_test.go
+++ b/internal/system/distribution/warmup_bounds_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -49,11 +50,11 @@
 // lock, while another reply came. Danger: what is kept of the newer table is dated back to the older clock.
 func TestCarriedEntriesKeepTheirTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
+		f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
 		empty := newIdleHub() // a keeper that has started anew, warm, with no list yet
 		empty.markComplete()
 		items, full := empty.table.ChangesSince(0)
-		reply := &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: EncodeEntries(time.Now(), items),
+		reply := &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: softstate.EncodeEntries(time.Now(), items),
 			Soft: &distributionpb.Cursor{Boot: empty.bootID, Number: empty.table.LastNumber}}
 		req := f.buildRequest(nil, false)
 		read := time.Now() // call(): f.take(asked, time.Now(), req, reply), before the lock
@@ -78,16 +79,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newIdleHub()
 		h.markComplete()
-		if err := h.PutList(1, 1, []pick.Server{{ID: "s", WarmUpMax: 3 * time.Second}}, madeAgo(Age{})); err != nil {
+		if err := h.PutList(1, 1, []pick.Server{{ID: "s", WarmUpMax: 3 * time.Second}}, madeAgo(softstate.Age{})); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(20 * time.Second)
 		items, full := h.table.ChangesSince(0)
-		w := EncodeEntries(time.Now(), items)
+		w := softstate.EncodeEntries(time.Now(), items)
 		for _, e := range w {
 			e.LeastAgeMs = nil
 		}
-		f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
+		f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
 		f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: w,
 			Soft: &distributionpb.Cursor{Boot: h.bootID, Number: h.table.LastNumber}})
 		for _, s := range f.Current().Servers {
@@ -124,7 +125,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const stop = 300 * time.Millisecond
 		h := newIdleHub()
-		read := madeAgo(Age{Max: 50 * time.Millisecond})
+		read := madeAgo(softstate.Age{Max: 50 * time.Millisecond})
 		withdrawn := read.Earliest.Add(3 * time.Second)
 		time.Sleep(stop)
 		if err := h.PutList(1, 1, []pick.Server{{ID: "s", Remaining: 3 * time.Second}}, read); err != nil {
@@ -164,7 +165,7 @@
 					told.WarmUpMax += ms
 				}
 				was, _, _ := h.List()
-				if err := h.PutList(1, v, []pick.Server{told}, madeAgo(AgeUpTo(time.Since(asked)))); err != nil {
+				if err := h.PutList(1, v, []pick.Server{told}, madeAgo(softstate.AgeUpTo(time.Since(asked)))); err != nil {
 					t.Fatal(err)
 				}
 				now, _, _ := h.List()
--- a/internal/system/distribution/warmup_path_test.go
+++ b/internal/system/distribution/warmup_path_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -50,7 +51,7 @@
 	p.mesh.host("reader:1", p.reader.Handler())
 	p.mesh.host("other:1", p.shares.to.Handler())
 	for _, node := range []string{"proxy", "neighbour"} {
-		f := NewSubscriber(SubscriberOptions{Self: Member{Node: node}, Log: quiet(), Transport: station{p.mesh, node},
+		f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: node}, Log: quiet(), Transport: station{p.mesh, node},
 			Knobs: TestingKnobs{NeighbourAtOnce: true}}) // the neighbour hears of keepers, and isn't to try them first
 		p.followers[node] = f
 		p.mesh.host(node+":2", f.Handler())
@@ -64,7 +65,7 @@
 // putReading has a hub take in a reading of the list that was asked for at asked, and came just now.
 func putReading(tb testing.TB, h *Server, version uint64, asked time.Time, servers ...pick.Server) {
 	tb.Helper()
-	if err := h.PutList(1, version, servers, madeAgo(AgeUpTo(time.Since(asked)))); err != nil {
+	if err := h.PutList(1, version, servers, madeAgo(softstate.AgeUpTo(time.Since(asked)))); err != nil {
 		tb.Fatal(err)
 	}
 }
