--- a/cmd/controlplane/feed.go
+++ b/cmd/controlplane/feed.go
@@ -9,6 +9,7 @@
 	"github.com/apex/log"
 
 	"gradeusher.example/gradeusher/internal/system/distribution"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/ownership"
 	"gradeusher.example/gradeusher/internal/system/platform"
 	"gradeusher.example/gradeusher/internal/system/process"
@@ -88,7 +89,7 @@
 			Remaining: i.Remaining, WarmUpMax: roundedUp(i.WarmUpLeft)})
 	}
 	f.logCold(r)
-	if err := f.hub.PutList(r.Fence, r.Version, servers, distribution.TimeBounds{Earliest: r.Asked, Latest: r.Answered}); err != nil {
+	if err := f.hub.PutList(r.Fence, r.Version, servers, softstate.TimeBounds{Earliest: r.Asked, Latest: r.Answered}); err != nil {
 		f.log.WithError(err).Info("keeper: a reading of the list came too late")
 	}
 }
--- a/cmd/proxy/run.go
+++ b/cmd/proxy/run.go
@@ -15,6 +15,7 @@
 	"gradeusher.example/gradeusher/internal/system/admin"
 	"gradeusher.example/gradeusher/internal/system/directory"
 	"gradeusher.example/gradeusher/internal/system/distribution"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/failuredetector"
 	"gradeusher.example/gradeusher/internal/system/invariant"
 	"gradeusher.example/gradeusher/internal/system/process"
@@ -55,7 +56,7 @@
 		LossSlack: settings.Milliseconds(s.Bounds.LossSlack), FDLimit: s.Limits.FDs, MemoryMB: int(s.Limits.MemoryMB), Log: p.log,
 		OnStall: func() { p.follower.Refresh() }})
 	p.follower = distribution.NewSubscriber(distribution.SubscriberOptions{Seeds: s.SeedIPs(), ControlPlanePort: s.ControlPlanePort(),
-		ProxyPort: s.ProxyPort(), Self: distribution.Member{Node: s.Node, Zone: s.Zone, Region: s.Region, IP: s.IP, ClientAddress: s.Bind.Front},
+		ProxyPort: s.ProxyPort(), Self: softstate.Member{Node: s.Node, Zone: s.Zone, Region: s.Region, IP: s.IP, ClientAddress: s.Bind.Front},
 		Loads: p.dataPlane.Loads, OnUpdate: p.update, OnLoads: p.dataPlane.SetLoads, Log: p.log})
 	p.dataPlane.Publish()
 	inner := net.JoinHostPort(s.IP, strconv.Itoa(s.ProxyPort()))
--- a/cmd/proxy/update_test.go
+++ b/cmd/proxy/update_test.go
@@ -11,6 +11,7 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/directory"
 	"gradeusher.example/gradeusher/internal/system/distribution"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/failuredetector"
 	"gradeusher.example/gradeusher/internal/system/proxy"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
@@ -32,7 +33,7 @@
 	t.Cleanup(func() { _ = conn.Close() })
 	return &server{settings: &settings.Settings{Node: "p0", Ports: []int{1, 2}}, log: quiet, complete: make(chan struct{}),
 		dataPlane: proxy.New(proxy.Options{Settings: pick.Settings{Zone: "z", Region: "r"}, Log: quiet}),
-		follower:  distribution.NewSubscriber(distribution.SubscriberOptions{Self: distribution.Member{Node: "p0"}, Log: quiet}),
+		follower:  distribution.NewSubscriber(distribution.SubscriberOptions{Self: softstate.Member{Node: "p0"}, Log: quiet}),
 		directory: directory.NewDirectory(time.Second),
 		agent:     failuredetector.NewAgent(failuredetector.AgentOptions{Conn: conn, Log: quiet, Options: failuredetector.Options{Self: "p0"}}),
 	}
@@ -62,7 +63,7 @@
 	before := applied(t, controlstate.Empty().WithoutHistory(), controlstate.Change{Op: controlstate.OpReplace, Body: []byte(configuration)})
 	after := applied(t, before, controlstate.Change{Op: controlstate.OpEvacuate, Zone: "z"}, controlstate.Change{Op: controlstate.OpReadmit, Zone: "z"})
 	u := distribution.Update{State: before, HasList: true, ListAge: 100 * time.Millisecond, Fresh: true, AsOf: time.Now(),
-		Members: []distribution.Member{{Node: "p0"}},
+		Members: []softstate.Member{{Node: "p0"}},
 		Servers: []pick.Server{{ID: "s0", Service: "a", Zone: "z", Address: "127.0.0.1:1"}}}
 	p.update(u)
 	if p.dataPlane.AwaitsServerList() {
@@ -80,7 +81,7 @@
 	p := newTestServer(t)
 	whole := applied(t, controlstate.Empty(), controlstate.Change{Op: controlstate.OpReplace, Body: []byte(configuration)})
 	u := distribution.Update{State: snapshot(t, whole), HasList: true, ListAge: 100 * time.Millisecond, Fresh: true, AsOf: time.Now(),
-		Members: []distribution.Member{{Node: "p0"}},
+		Members: []softstate.Member{{Node: "p0"}},
 		Servers: []pick.Server{{ID: "s0", Service: "a", Zone: "z", Address: "127.0.0.1:1"}}}
 	p.update(u)
 	whole = applied(t, whole, controlstate.Change{Op: controlstate.OpEvacuate, Zone: "z"}, controlstate.Change{Op: controlstate.OpReadmit, Zone: "z"})
