--- a/internal/system/distribution/loadreport/doc.go
+++ b/internal/system/distribution/loadreport/doc.go
@@ -14,7 +14,7 @@
 //     changes that begin above the reader's number are refused, and the next call names the cursor that is held.
 //   - A sum that lacks a reader's own part is exact as far as it is published: values are rounded up to units before they are summed,
 //     so that differences are whole.
-//   - Memory is bounded: MaxServers entries with ids of up to MaxIDBytes, whatever the other end sends.
+//   - Memory is bounded: softstate.MaxServers entries with ids of up to softstate.MaxIDBytes, whatever the other end sends.
 //
 // A load counts for TTL after the message that brought it; a publisher that is lost is then out of the sums. The scheme is that of
 // deltas with acknowledged versions, as in xDS (incremental) and in delta-state CRDTs (Almeida, Shoker, Baquero 2018).
--- a/internal/system/distribution/loadreport/received.go
+++ b/internal/system/distribution/loadreport/received.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -14,7 +15,7 @@
 // Received is what a reader has of another process's vector. The zero value has received nothing. It is not safe for concurrent use;
 // its owner locks.
 type Received struct {
-	Cursor // up to which changes have been applied
+	softstate.Cursor // up to which changes have been applied
 
 	ReceivedAt time.Time // when the vector was last confirmed or changed by a message
 
@@ -52,7 +53,7 @@
 	if complete.GetBoot() == r.BootID && complete.GetNumber() < r.Number {
 		return false
 	}
-	fresh := Received{Cursor: Cursor{BootID: complete.GetBoot(), Number: complete.GetNumber()}, ReceivedAt: now}
+	fresh := Received{Cursor: softstate.Cursor{BootID: complete.GetBoot(), Number: complete.GetNumber()}, ReceivedAt: now}
 	if !fresh.decode(complete.GetBody()) {
 		return false
 	}
@@ -66,11 +67,11 @@
 	index := -1
 	for len(rest.body) > 0 {
 		head := rest.uvarint()
-		if !rest.ok || head>>1 > MaxServers {
+		if !rest.ok || head>>1 > softstate.MaxServers {
 			return false
 		}
 		index += int(head>>1) + 1
-		if index > MaxServers || index > len(r.ids) {
+		if index > softstate.MaxServers || index > len(r.ids) {
 			return false
 		}
 		switch isNew := head&1 == 1; {
@@ -114,7 +115,7 @@
 
 func (d *decoder) id() string {
 	size := d.uvarint()
-	if !d.ok || size > MaxIDBytes || size > uint64(len(d.body)) {
+	if !d.ok || size > softstate.MaxIDBytes || size > uint64(len(d.body)) {
 		d.ok = false
 		return ""
 	}
--- a/internal/system/distribution/loadreport/vector.go
+++ b/internal/system/distribution/loadreport/vector.go
@@ -6,19 +6,13 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
 // TTL is how long a load counts after the message that brought it.
 const TTL = time.Second
 
-const (
-	// MaxServers bounds the servers of one vector.
-	MaxServers = 1 << 16
-	// MaxIDBytes bounds the length of a server's id.
-	MaxIDBytes = 256
-)
-
 const (
 	prefillUnit = 64  // tokens of prompts, in one unit on the wire
 	tokensUnit  = 256 // tokens in one unit on the wire
@@ -27,22 +21,6 @@
 // minorChangeDelay is how long a change that is not material may wait to be published.
 const minorChangeDelay = time.Second
 
-// Cursor is a position in the changes of a vector.
-type Cursor struct {
-	BootID uint64 // of the vector; never 0 for one that exists
-	Number uint64 // of the last change that is known
-}
-
-// CursorFromProto reads a cursor of a message; the zero cursor for nil.
-func CursorFromProto(message *distributionpb.Cursor) Cursor {
-	return Cursor{BootID: message.GetBoot(), Number: message.GetNumber()}
-}
-
-// ToProto gives the cursor as a message.
-func (c Cursor) ToProto() *distributionpb.Cursor {
-	return &distributionpb.Cursor{Boot: c.BootID, Number: c.Number}
-}
-
 // Vector publishes loads as numbered changes. Servers get indexes, so that an id is sent once to each reader. A change that is not
 // material (up to an eighth) is held back for up to minorChangeDelay, unless the vector is exact.
 //
@@ -51,7 +29,7 @@
 //
 // A Vector is not safe for concurrent use; its owner locks.
 type Vector struct {
-	Cursor // of the newest change
+	softstate.Cursor // of the newest change
 
 	exact   bool // publish every change
 	indexes map[string]int
@@ -71,7 +49,7 @@
 
 // NewVector makes an empty vector with a boot id of its own. An exact one publishes every change.
 func NewVector(exact bool) *Vector {
-	return &Vector{Cursor: Cursor{BootID: rand.Uint64() | 1}, exact: exact, indexes: map[string]int{}}
+	return &Vector{Cursor: softstate.Cursor{BootID: rand.Uint64() | 1}, exact: exact, indexes: map[string]int{}}
 }
 
 // Publish makes loads, by server id, the vector's and tells whether that made a change. Loads are rounded up to units.
@@ -105,7 +83,7 @@
 		if load.Requests <= 0 && load.Prefill <= 0 && load.Tokens <= 0 {
 			continue
 		}
-		if _, ok := v.indexes[id]; !ok && len(v.slots) < MaxServers && len(id) <= MaxIDBytes {
+		if _, ok := v.indexes[id]; !ok && len(v.slots) < softstate.MaxServers && len(id) <= softstate.MaxIDBytes {
 			v.indexes[id] = len(v.slots)
 			v.slots = append(v.slots, slot{id: id, addedNumber: number})
 		}
@@ -113,7 +91,7 @@
 }
 
 // ChangesSince gives the changes after the cursor; all of them for a cursor of another vector. The body is shared: do not change it.
-func (v *Vector) ChangesSince(cursor Cursor) *distributionpb.Loads {
+func (v *Vector) ChangesSince(cursor softstate.Cursor) *distributionpb.Loads {
 	from := cursor.Number
 	if cursor.BootID != v.BootID || from > v.Number {
 		from = 0
--- a/internal/system/distribution/loadreport/vector_test.go
+++ b/internal/system/distribution/loadreport/vector_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -83,7 +84,7 @@
 func FuzzReceived(f *testing.F) {
 	v := NewVector(true)
 	v.Publish(time.Now(), map[string]pick.Load{"a": {Requests: 1}, "b": {Tokens: 70000}})
-	f.Add(v.ChangesSince(Cursor{}).GetBody())
+	f.Add(v.ChangesSince(softstate.Cursor{}).GetBody())
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		var r Received
 		r.Apply(time.Now(), &distributionpb.Loads{Boot: 1, Number: 1, Body: b})
--- a/internal/system/distribution/mismatched_reply_test.go
+++ b/internal/system/distribution/mismatched_reply_test.go
@@ -194,9 +194,9 @@
 	other := softstate.Member{Node: "q", Incarnation: 6}
 	h.endCall(h.beginCall(other, &distributionpb.FollowRequest{Member: other.ToProto()}))
 	v := loadreport.NewVector(true)
-	poll := &distributionpb.FollowRequest{Member: m.ToProto(), Seq: 7, AcceptStale: true, Loads: v.ChangesSince(loadreport.Cursor{}),
+	poll := &distributionpb.FollowRequest{Member: m.ToProto(), Seq: 7, AcceptStale: true, Loads: v.ChangesSince(softstate.Cursor{}),
 		Down: []*distributionpb.Verdict{{Node: "q", Incarnation: 6}}}
-	share := &distributionpb.ShareRequest{From: &distributionpb.Keeper{Address: "o"}, Boot: 3, SentMs: h.clockMS(time.Now()), Loads: v.ChangesSince(loadreport.Cursor{}),
+	share := &distributionpb.ShareRequest{From: &distributionpb.Keeper{Address: "o"}, Boot: 3, SentMs: h.clockMS(time.Now()), Loads: v.ChangesSince(softstate.Cursor{}),
 		Entries: []*distributionpb.Entry{{Key: "hint/x", Fence: 1, Version: 4, Value: []byte("1")}}}
 	for name, call := range map[string]func() error{
 		"poll":  func() error { _, err := h.Follow(t.Context(), poll); return err },
--- a/internal/system/distribution/server_follow.go
+++ b/internal/system/distribution/server_follow.go
@@ -10,7 +10,6 @@
 	"github.com/twitchtv/twirp"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
-	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
@@ -29,7 +28,7 @@
 func (h *Server) serveFollow(ctx context.Context, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
 	start := time.Now()
 	m := softstate.MemberFromProto(req.GetMember())
-	if m.Node == "" || len(m.Node) > loadreport.MaxIDBytes || m.Incarnation == 0 {
+	if m.Node == "" || len(m.Node) > softstate.MaxIDBytes || m.Incarnation == 0 {
 		return nil, twirp.RequiredArgumentError("member")
 	}
 	if req.GetProbe() {
@@ -163,7 +162,7 @@
 	if !current && (again == 0 || currentRecheckInterval < again) {
 		again = currentRecheckInterval // nothing tells that this keeper has become current
 	}
-	if loadreport.CursorFromProto(req.GetTotals()) != h.totalLoads.Cursor {
+	if softstate.CursorFromProto(req.GetTotals()) != h.totalLoads.Cursor {
 		due(f.totalsSentAt, h.loadReportInterval())
 	}
 	h.mu.Unlock()
@@ -196,7 +195,7 @@
 		f.entriesSentAt = now
 	}
 	reply.Soft = &distributionpb.Cursor{Boot: h.bootID, Number: h.table.LastNumber}
-	totals := h.totalLoads.ChangesSince(loadreport.CursorFromProto(req.GetTotals()))
+	totals := h.totalLoads.ChangesSince(softstate.CursorFromProto(req.GetTotals()))
 	if totals.From != totals.Number || req.GetTotals().GetBoot() != totals.Boot {
 		reply.Totals = softstate.Marshal(totals)
 		f.totalsSentAt = now
--- a/internal/system/distribution/server_sync.go
+++ b/internal/system/distribution/server_sync.go
@@ -12,7 +12,6 @@
 	"github.com/twitchtv/twirp"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
-	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
 	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
@@ -126,7 +125,7 @@
 // syncProgress is how far a keeper has told another.
 type syncProgress struct {
 	cursor     distributionpb.Cursor // in the table of this boot id
-	ackedLoads loadreport.Cursor
+	ackedLoads softstate.Cursor
 	peerBootID uint64        // of the other
 	peerClock  time.Duration // the other's, as it answered last; 0: it has not yet
 	repliedAt  time.Time     // when that came
@@ -146,7 +145,7 @@
 		}
 	}
 	p.cursor.Boot, p.cursor.Number = req.GetBoot(), number
-	p.ackedLoads = loadreport.CursorFromProto(reply.GetTold())
+	p.ackedLoads = softstate.CursorFromProto(reply.GetTold())
 	return true
 }
 
@@ -210,7 +209,7 @@
 	before := h.listFence()
 	for _, w := range req.GetEntries() {
 		e, age := softstate.DecodeEntry(w)
-		if e.Key != "" && len(e.Key) <= 2*loadreport.MaxIDBytes {
+		if e.Key != "" && len(e.Key) <= 2*softstate.MaxIDBytes {
 			h.mergePeerEntry(now, from, e, age.Plus(softstate.AgeUpTo(delay)))
 		}
 	}
--- a/internal/system/distribution/server_table.go
+++ b/internal/system/distribution/server_table.go
@@ -7,7 +7,6 @@
 
 	"github.com/cockroachdb/errors"
 
-	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
@@ -72,7 +71,7 @@
 	}
 	named := make(map[string]bool, len(servers))
 	for _, s := range servers {
-		if len(s.ID) == 0 || len(s.ID) > loadreport.MaxIDBytes || len(named) >= loadreport.MaxServers {
+		if len(s.ID) == 0 || len(s.ID) > softstate.MaxIDBytes || len(named) >= softstate.MaxServers {
 			continue
 		}
 		named[softstate.ServerPrefix+s.ID] = true
--- a/internal/system/distribution/softstate/list_entry.go
+++ b/internal/system/distribution/softstate/list_entry.go
@@ -2,17 +2,17 @@
 
 import "encoding/binary"
 
-// EncodeListCovers is the value of the list's entry.
+// EncodeListCovers gives the value of the list's entry: the newest record of the control state that the reading covers.
 func EncodeListCovers(seq uint64) []byte { return binary.AppendUvarint(nil, seq) }
 
-// ListCoversSeq is the newest record that the reading held covers; 0: none for certain.
+// ListCoversSeq is the number of the newest record of the control state that the stored reading of the list covers; 0: none for certain.
 func (t *Table) ListCoversSeq() uint64 {
-	held := t.entries[ListKey]
-	if held == nil {
+	list := t.entries[ListKey]
+	if list == nil {
 		return 0
 	}
-	seq, n := binary.Uvarint(held.Value)
-	if n <= 0 {
+	seq, size := binary.Uvarint(list.Value)
+	if size <= 0 {
 		return 0
 	}
 	return seq
--- /dev/null
+++ b/internal/system/distribution/softstate/member.go
@@ -0,0 +1,46 @@
+package softstate
+
+import (
+	"google.golang.org/protobuf/proto"
+
+	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+)
+
+// Member is a proxy.
+type Member struct {
+	Node          string
+	Incarnation   uint64 // drawn at the start of the process
+	Zone, Region  string
+	IP            string // where its inner port is
+	ClientAddress string // host:port that serves clients
+	Ready         bool   // it serves clients
+	Draining      bool   // it has been asked to stop
+	Down          bool   // it timed out; the process itself refutes that with its next call if it is alive
+	Owner         string // the control-plane node that it follows
+	Revision      uint64 // rises with each change that the process makes to Ready or Draining
+}
+
+// ToProto gives the member as a message.
+func (m Member) ToProto() *distributionpb.Member {
+	return &distributionpb.Member{Node: m.Node, Incarnation: m.Incarnation, Zone: m.Zone, Region: m.Region, Ip: m.IP, Front: m.ClientAddress,
+		Ready: m.Ready, Leaving: m.Draining, Down: m.Down, Owner: m.Owner, Revision: m.Revision}
+}
+
+// MemberFromProto reads a member of a message.
+func MemberFromProto(m *distributionpb.Member) Member {
+	return Member{Node: m.GetNode(), Incarnation: m.GetIncarnation(), Zone: m.GetZone(), Region: m.GetRegion(), IP: m.GetIp(),
+		ClientAddress: m.GetFront(), Ready: m.GetReady(), Draining: m.GetLeaving(), Down: m.GetDown(), Owner: m.GetOwner(),
+		Revision: m.GetRevision()}
+}
+
+// Encode gives the value of the member's entry.
+func (m Member) Encode() []byte { return Marshal(m.ToProto()) }
+
+// DecodeMember reads the value of a member's entry; false: it is no member.
+func DecodeMember(value []byte) (Member, bool) {
+	var m distributionpb.Member
+	if proto.Unmarshal(value, &m) != nil {
+		return Member{}, false
+	}
+	return MemberFromProto(&m), true
+}
--- /dev/null
+++ b/internal/system/distribution/softstate/server_entry.go
@@ -0,0 +1,91 @@
+package softstate
+
+import (
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+)
+
+const (
+	// maxServerDuration bounds the times of a server.
+	maxServerDuration = 24 * time.Hour
+	// maxSlots bounds the slots of a server.
+	maxSlots = 1 << 30
+	// remainingTolerance is how far a notice read anew may be from the one that counts down before the entry is written again.
+	// The list rounds and lags by about as much.
+	remainingTolerance = 400 * time.Millisecond
+	// warmUpTolerance is how much longer than by a new reading an entry may call a server cold before it is written again.
+	warmUpTolerance = 250 * time.Millisecond
+	// warmUpMargin is added to an end of a warm-up that is written, so that readings of one warm-up, which differ by what their ways
+	// take, are not written one after the other.
+	warmUpMargin = 20 * time.Millisecond
+	// warmUpRounding is by how much an end is rounded up on the way, at most.
+	warmUpRounding = 2 * time.Millisecond
+)
+
+// EncodeServer gives the value of a server's entry.
+func EncodeServer(s pick.Server) []byte {
+	return Marshal(&distributionpb.Server{Service: s.Service, Address: s.Address, Zone: s.Zone, Region: s.Region,
+		Slots: uint32(max(0, min(s.Slots, maxSlots))), Draining: s.Draining, RemainingMs: millisecondsCeil(s.Remaining),
+		ColdMs: millisecondsCeil(s.WarmUpMax)})
+}
+
+// decodeServer reads the entry of a server, with its times as they were when the entry was made.
+func decodeServer(id string, value []byte) (pick.Server, bool) {
+	var message distributionpb.Server
+	if proto.Unmarshal(value, &message) != nil {
+		return pick.Server{}, false
+	}
+	return pick.Server{ID: id, Service: message.GetService(), Address: message.GetAddress(), Zone: message.GetZone(),
+		Region: message.GetRegion(), Slots: int(message.GetSlots()), Draining: message.GetDraining(),
+		WarmUpMax: BoundedMilliseconds(message.GetColdMs(), maxServerDuration),
+		Remaining: BoundedMilliseconds(message.GetRemainingMs(), maxServerDuration)}, true
+}
+
+// millisecondsCeil gives a duration in milliseconds, rounded up and bounded by maxServerDuration.
+func millisecondsCeil(d time.Duration) uint64 {
+	return uint64((max(0, min(d, maxServerDuration)) + time.Millisecond - 1) / time.Millisecond)
+}
+
+// CountDown gives a server with its times as they are, age after they were stated. A warm-up forbids, so it errs late; the remaining
+// time permits, so it errs early.
+func CountDown(s pick.Server, age Age) pick.Server {
+	s.WarmUpMin = max(0, s.WarmUpMax-warmUpMargin-warmUpRounding-age.Max)
+	s.WarmUpMax = max(0, s.WarmUpMax-age.Min)
+	if s.Remaining > 0 {
+		s.Remaining = max(time.Millisecond, s.Remaining-age.Max) // 0 would mean that there is no notice
+	}
+	return s
+}
+
+// AgreesWithReading tells whether what is stored of a server agrees with a new reading of it, both with their times as of now, so that
+// the entry need not be written again.
+func AgreesWithReading(stored, read pick.Server) bool {
+	return warmUpAgrees(stored, read) && remainingAgrees(stored, read) && withoutTimes(stored) == withoutTimes(read)
+}
+
+// warmUpAgrees tells whether a server is stored as cold for about as long as a new reading says, and never for less than it may
+// be. A later end counts even where both may be of one warm-up, as that may have been extended in between.
+func warmUpAgrees(stored, read pick.Server) bool {
+	return read.WarmUpMax <= stored.WarmUpMax && stored.WarmUpMax-read.WarmUpMax <= warmUpTolerance
+}
+
+func remainingAgrees(stored, read pick.Server) bool {
+	return (stored.Remaining-read.Remaining).Abs() <= remainingTolerance && (stored.Remaining > 0) == (read.Remaining > 0)
+}
+
+func withoutTimes(s pick.Server) pick.Server {
+	s.WarmUpMax, s.WarmUpMin, s.Remaining = 0, 0, 0
+	return s
+}
+
+// WithWarmUpMargin is a server whose warm-up, if it has one, ends a little later: what is written of a reading.
+func WithWarmUpMargin(s pick.Server) pick.Server {
+	if s.WarmUpMax > 0 {
+		s.WarmUpMax += warmUpMargin
+	}
+	return s
+}
--- a/internal/system/distribution/subscriber.go
+++ b/internal/system/distribution/subscriber.go
@@ -76,7 +76,7 @@
 	totalLoads         loadreport.Received
 	ownLoads           *loadreport.Vector
 	sentLoads          []sentLoads // as told, newest last
-	ackedLoads         loadreport.Cursor
+	ackedLoads         softstate.Cursor
 	otherLoads         map[string]pick.Load
 	nodes              map[string]*controlPlaneNode
 	nodesDigest        uint64
--- a/internal/system/distribution/subscriber_call.go
+++ b/internal/system/distribution/subscriber_call.go
@@ -9,7 +9,6 @@
 	"google.golang.org/protobuf/proto"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
-	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
 	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
@@ -180,7 +179,7 @@
 	case goesOn:
 		f.tableCursor.Boot, f.tableCursor.Number = to.GetBoot(), to.GetNumber()
 	}
-	f.ackedLoads = loadreport.CursorFromProto(reply.GetTold())
+	f.ackedLoads = softstate.CursorFromProto(reply.GetTold())
 	f.applyTotalLoads(now.Add(-delay), reply)
 	if len(reply.GetKeepers()) > 0 {
 		f.replaceNodes(reply.GetKeepers())
--- a/internal/system/distribution/subscriber_soft_state.go
+++ b/internal/system/distribution/subscriber_soft_state.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
-	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
@@ -57,7 +56,7 @@
 	}
 	for _, w := range reply.GetEntries() {
 		e, age := softstate.DecodeEntry(w)
-		if e.Key == "" || len(e.Key) > 2*loadreport.MaxIDBytes || old && softstate.BelongsToList(e.Key) {
+		if e.Key == "" || len(e.Key) > 2*softstate.MaxIDBytes || old && softstate.BelongsToList(e.Key) {
 			continue
 		}
 		if f.unconfirmedServers[e.Key] {
