--- a/internal/system/distribution/catchup/catchup.go
+++ b/internal/system/distribution/catchup/catchup.go
@@ -26,59 +26,64 @@
 import "time"
 
 const (
-	// FreshnessTTL is how long a current keeper's word counts, from the moment that the follower can prove it was given:
-	// the longest wait of a poll, the silence that is borne beyond it, and some.
+	// FreshnessTTL is how long a server's statement that it is current counts, from the moment that the subscriber can prove it was made:
+	// the longest wait of a poll, the idle time that is tolerated beyond it, and some.
 	FreshnessTTL = 1600 * time.Millisecond
 
-	// MaxReplyBytes bounds the bodies of the records in one answer, before compression. More go out as one snapshot; a
+	// MaxReplyBytes bounds the bodies of the records in one reply, before compression. More are sent as one snapshot; a
 	// record that comes alone may be larger.
 	MaxReplyBytes = 1 << 20
 )
 
-// Availability is what a hub could send to a follower that asks for what comes after a number.
+// Availability is what a server could send to a subscriber that asks for what comes after a number.
 type Availability struct {
 	Committed            uint64 // number of the newest record known to be committed
-	Known                bool   // the records between the number asked for and Committed are at hand
+	Known                bool   // the server has the records between the number asked for and Committed
 	Records              int    // how many these are
 	Bytes                int    // of their bodies
-	CachedSnapshot       uint64 // number of the encoded snapshot that is at hand; 0: none
-	CachedSnapshotUsable bool   // the records after that snapshot fit into the same answer, or it was made a moment ago
+	CachedSnapshot       uint64 // number of the encoded snapshot that the server has; 0: none
+	CachedSnapshotUsable bool   // the records after that snapshot fit into the same reply, or it was made a moment ago
 }
 
-// Method is a way to bring a follower further.
+// Method is a way to bring a subscriber further.
 type Method int
 
-// The ways to feed a follower.
+// The methods.
 const (
-	None           Method = iota // it holds all that is committed here
+	None           Method = iota // the subscriber has all that is committed here
 	Records                      // all records that it lacks
-	CachedSnapshot               // the snapshot at hand, and the records after it where they fit
+	CachedSnapshot               // the encoded snapshot, and the records after it where they fit
 	NewSnapshot                  // a snapshot made now
 )
 
-// PlanReply decides how a follower that asks for what comes after the number after is fed. most bounds the records of one
-// answer. Whatever is planned brings the follower further, and no answer is larger than MaxReplyBytes and one snapshot.
-func PlanReply(after uint64, s Availability, most int) Method {
+// PlanReply decides how a subscriber that asks for what comes after a number catches up. maxRecords bounds the records of one reply.
+// Every method but None brings the subscriber further, and no reply is larger than MaxReplyBytes and one snapshot.
+func PlanReply(after uint64, available Availability, maxRecords int) Method {
 	switch {
-	case s.Committed <= after:
+	case available.Committed <= after:
 		return None
-	case after > 0 && s.Known && (s.Records == 1 || s.Records <= most && s.Bytes <= MaxReplyBytes):
+	case after > 0 && available.recordsFit(maxRecords):
 		return Records
-	case s.CachedSnapshotUsable && s.CachedSnapshot > after:
+	case available.CachedSnapshotUsable && available.CachedSnapshot > after:
 		return CachedSnapshot
 	}
 	return NewSnapshot
 }
 
+// recordsFit tells whether one reply has room for the records asked for; a single one may be of any size.
+func (a Availability) recordsFit(maxRecords int) bool {
+	return a.Known && (a.Records == 1 || a.Records <= maxRecords && a.Bytes <= MaxReplyBytes)
+}
+
 // Offer is what a reply says of the control state.
 type Offer struct {
-	Current     bool   // the keeper had the word of a majority that nothing newer than what it knows was acknowledged
+	Current     bool   // a majority had confirmed to the server that nothing newer than what it knows was acknowledged
 	Newest      uint64 // number of the newest committed record that it knew
 	Snapshot    uint64 // number of the snapshot that the reply brings; 0: none
 	First, Last uint64 // numbers of the records that it brings after that; 0: none
 
-	// Age is how long ago the keeper asked for that word, at the most: by the follower's clock from when it sent the
-	// request, less the time that the keeper waited before it asked. Time spent in buffers, cuts and stopped processes
+	// Age is how long ago the server looked whether it is current, at the most: by the subscriber's clock from when it sent the
+	// request, less the time that the server waited before it looked. Time spent in buffers, partitions and paused processes
 	// is part of it, on both ways and at both ends.
 	Age time.Duration
 }
@@ -87,13 +92,13 @@
 // committed; its soft state does not.
 func (o Offer) Expired() bool { return o.Age > FreshnessTTL }
 
-// Position is how far a follower is in the control state.
+// Position is how far a subscriber is in the control state.
 type Position struct {
-	Seq    uint64 // number of the newest record that it holds
+	Seq    uint64 // number of the newest record that it has applied
 	Resync bool   // a record did not apply: nothing but a snapshot helps
 }
 
-// Ask gives the number to ask a keeper from; 0 asks for a snapshot.
+// Ask gives the number to ask a server from; 0 asks for a snapshot.
 func (p Position) Ask() uint64 {
 	if p.Resync {
 		return 0
@@ -101,27 +106,29 @@
 	return p.Seq
 }
 
-// Step is what a follower does with an offer.
+// Step is what a subscriber does with an offer.
 type Step struct {
-	Snapshot bool   // take the snapshot over
+	Snapshot bool   // replace the state by the snapshot
 	First    uint64 // and then apply the records from this number on; 0: none
 }
 
-// Plan tells what to take of an offer: only what is newer, and of records only those that go on from what is held then.
-func (p Position) Plan(o Offer) Step {
-	var s Step
-	held := p.Seq
-	if o.Snapshot > held || p.Resync && o.Snapshot == held && held > 0 {
-		s.Snapshot, held = true, o.Snapshot
+// Plan decides what to take of an offer: only what is newer, and of records only those that continue what is applied then.
+func (p Position) Plan(offer Offer) Step {
+	var step Step
+	seq := p.Seq
+	repairs := p.Resync && offer.Snapshot == seq && seq > 0
+	if offer.Snapshot > seq || repairs {
+		step.Snapshot, seq = true, offer.Snapshot
 	}
-	if o.First > 0 && o.First <= held+1 && o.Last > held && (!p.Resync || s.Snapshot) {
-		s.First = held + 1
+	continues := offer.First > 0 && offer.First <= seq+1 && offer.Last > seq
+	if continues && (!p.Resync || step.Snapshot) {
+		step.First = seq + 1
 	}
-	return s
+	return step
 }
 
 // ProvesFreshness tells whether an offer, once its step is done and the position is p, shows that p is as new as anything that had
 // been acknowledged Age ago.
-func (p Position) ProvesFreshness(o Offer) bool {
-	return o.Current && !o.Expired() && !p.Resync && p.Seq >= o.Newest
+func (p Position) ProvesFreshness(offer Offer) bool {
+	return offer.Current && !offer.Expired() && !p.Resync && p.Seq >= offer.Newest
 }
--- a/internal/system/distribution/catchup/catchup_test.go
+++ b/internal/system/distribution/catchup/catchup_test.go
@@ -6,34 +6,36 @@
 )
 
 func TestPlanCatchUp(t *testing.T) {
-	const most = 64
-	for _, c := range []struct {
-		name  string
-		after uint64
-		stock Availability
-		want  Method
+	const maxRecords = 64
+	for _, test := range []struct {
+		name      string
+		after     uint64
+		available Availability
+		want      Method
 	}{
-		{"level", 9, Availability{Committed: 9}, None},
-		{"the hub is behind", 9, Availability{Committed: 7, CachedSnapshot: 7, CachedSnapshotUsable: true}, None},
+		{"caught up", 9, Availability{Committed: 9}, None},
+		{"the server is behind", 9, Availability{Committed: 7, CachedSnapshot: 7, CachedSnapshotUsable: true}, None},
 		{"nothing at all", 0, Availability{}, None},
 		{"a few records", 5, Availability{Committed: 9, Known: true, Records: 4, Bytes: 400}, Records},
 		{"a start takes a snapshot though all records are known", 0, Availability{Committed: 9, Known: true, Records: 9}, NewSnapshot},
 		{"one large record", 8, Availability{Committed: 9, Known: true, Records: 1, Bytes: 16 << 20}, Records},
 		{"large records", 7, Availability{Committed: 9, Known: true, Records: 2, Bytes: MaxReplyBytes + 1}, NewSnapshot},
-		{"away for 400 changes", 5, Availability{Committed: 405, Known: true, Records: most + 1}, NewSnapshot},
+		{"away for 400 changes", 5, Availability{Committed: 405, Known: true, Records: maxRecords + 1}, NewSnapshot},
 		{"the records are gone", 5, Availability{Committed: 405}, NewSnapshot},
-		{"and a snapshot is at hand", 5, Availability{Committed: 405, CachedSnapshot: 400, CachedSnapshotUsable: true}, CachedSnapshot},
+		{"and a snapshot is cached", 5, Availability{Committed: 405, CachedSnapshot: 400, CachedSnapshotUsable: true}, CachedSnapshot},
 		{"which is too old", 5, Availability{Committed: 405, CachedSnapshot: 300}, NewSnapshot},
 		{"which brings nothing", 400, Availability{Committed: 405, CachedSnapshot: 400, CachedSnapshotUsable: true}, NewSnapshot},
 	} {
-		if got := PlanReply(c.after, c.stock, most); got != c.want {
-			t.Errorf("%s: %v for %v", c.name, got, c.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			if got := PlanReply(test.after, test.available, maxRecords); got != test.want {
+				t.Errorf("%v for %v", got, test.want)
+			}
+		})
 	}
 }
 
 func TestPlanTakesOnlyNewerContiguousRecords(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		at    Position
 		offer Offer
@@ -41,40 +43,44 @@
 	}{
 		{"nothing", Position{Seq: 5}, Offer{Current: true, Newest: 5}, Step{}},
 		{"the next records", Position{Seq: 5}, Offer{First: 6, Last: 8}, Step{First: 6}},
-		{"some are held", Position{Seq: 7}, Offer{First: 6, Last: 8}, Step{First: 8}},
-		{"all are held", Position{Seq: 8}, Offer{First: 6, Last: 8}, Step{}},
+		{"some are applied", Position{Seq: 7}, Offer{First: 6, Last: 8}, Step{First: 8}},
+		{"all are applied", Position{Seq: 8}, Offer{First: 6, Last: 8}, Step{}},
 		{"a gap", Position{Seq: 4}, Offer{First: 6, Last: 8}, Step{}},
 		{"a snapshot", Position{Seq: 4}, Offer{Snapshot: 7}, Step{Snapshot: true}},
 		{"an older snapshot", Position{Seq: 8}, Offer{Snapshot: 7}, Step{}},
 		{"a snapshot and what follows", Position{Seq: 4}, Offer{Snapshot: 7, First: 8, Last: 9}, Step{Snapshot: true, First: 8}},
 		{"an older snapshot and what follows", Position{Seq: 8}, Offer{Snapshot: 7, First: 8, Last: 9}, Step{First: 9}},
-		{"records do not heal one that did not apply", Position{Seq: 5, Resync: true}, Offer{First: 6, Last: 8}, Step{}},
+		{"records do not repair one that did not apply", Position{Seq: 5, Resync: true}, Offer{First: 6, Last: 8}, Step{}},
 		{"a snapshot of the same number does", Position{Seq: 5, Resync: true}, Offer{Snapshot: 5, First: 6, Last: 6}, Step{Snapshot: true, First: 6}},
 		{"an older one does not", Position{Seq: 5, Resync: true}, Offer{Snapshot: 4, First: 5, Last: 6}, Step{}},
 	} {
-		if got := c.at.Plan(c.offer); got != c.want {
-			t.Errorf("%s: %+v for %+v", c.name, got, c.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			if got := test.at.Plan(test.offer); got != test.want {
+				t.Errorf("%+v for %+v", got, test.want)
+			}
+		})
 	}
 }
 
 func TestOnlyFreshOfferOfCurrentNodeProvesFreshness(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		at    Position
 		offer Offer
 		want  bool
 	}{
-		{"level", Position{Seq: 5}, Offer{Current: true, Newest: 5, Age: time.Millisecond}, true},
+		{"caught up", Position{Seq: 5}, Offer{Current: true, Newest: 5, Age: time.Millisecond}, true},
 		{"beyond a link that lags", Position{Seq: 6}, Offer{Current: true, Newest: 5}, true},
 		{"more is to come", Position{Seq: 5}, Offer{Current: true, Newest: 6}, false},
-		{"a keeper that is cut off", Position{Seq: 5}, Offer{Newest: 5}, false},
-		{"held up for 20 s", Position{Seq: 5}, Offer{Current: true, Newest: 5, Age: 20 * time.Second}, false},
+		{"an isolated node", Position{Seq: 5}, Offer{Newest: 5}, false},
+		{"delayed for 20 s", Position{Seq: 5}, Offer{Current: true, Newest: 5, Age: 20 * time.Second}, false},
 		{"a record did not apply", Position{Seq: 5, Resync: true}, Offer{Current: true, Newest: 5}, false},
 	} {
-		if got := c.at.ProvesFreshness(c.offer); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			if got := test.at.ProvesFreshness(test.offer); got != test.want {
+				t.Errorf("%v", got)
+			}
+		})
 	}
 	if (Position{Seq: 5, Resync: true}).Ask() != 0 || (Position{Seq: 5}).Ask() != 5 {
 		t.Error("asks from the wrong number")
--- a/internal/system/distribution/loadreport/vector.go
+++ b/internal/system/distribution/loadreport/vector.go
@@ -111,22 +111,22 @@
 	out := make([]byte, 0, 64)
 	last := -1
 	for i := range v.slots {
-		s := &v.slots[i]
-		if s.changedNumber <= from {
+		entry := &v.slots[i]
+		if entry.changedNumber <= from {
 			continue
 		}
 		head := uint64(i-last-1) << 1
 		last = i
-		if s.addedNumber > from {
+		if entry.addedNumber > from {
 			out = binary.AppendUvarint(out, head|1)
-			out = binary.AppendUvarint(out, uint64(len(s.id)))
-			out = append(out, s.id...)
+			out = binary.AppendUvarint(out, uint64(len(entry.id)))
+			out = append(out, entry.id...)
 		} else {
 			out = binary.AppendUvarint(out, head)
 		}
-		out = binary.AppendUvarint(out, uint64(s.load.Requests))
-		out = binary.AppendUvarint(out, uint64(s.load.Prefill/prefillUnit))
-		out = binary.AppendUvarint(out, uint64(s.load.Tokens/tokensUnit))
+		out = binary.AppendUvarint(out, uint64(entry.load.Requests))
+		out = binary.AppendUvarint(out, uint64(entry.load.Prefill/prefillUnit))
+		out = binary.AppendUvarint(out, uint64(entry.load.Tokens/tokensUnit))
 	}
 	return out
 }
--- a/internal/system/distribution/loadreport/vector_test.go
+++ b/internal/system/distribution/loadreport/vector_test.go
@@ -19,72 +19,91 @@
 	return out
 }
 
-// told gives loads as they are told.
-func told(loads map[string]pick.Load) map[string]pick.Load {
+// published gives loads as they are published.
+func published(loads map[string]pick.Load) map[string]pick.Load {
 	out := map[string]pick.Load{}
-	for id, l := range loads {
-		if l != (pick.Load{}) {
-			out[id] = roundUpToUnits(l)
+	for id, load := range loads {
+		if load != (pick.Load{}) {
+			out[id] = roundUpToUnits(load)
 		}
 	}
 	return out
 }
 
-// A reader follows a vector through lost, repeated and late answers, and lives of the writer.
+// TestReaderFollowsAVector: a reader follows a vector through lost, repeated and late messages, and incarnations of the writer.
 func TestReaderFollowsAVector(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
+		link := &lossyLink{exact: rapid.Bool().Draw(t, "exact"), loads: map[string]pick.Load{}}
+		link.vector = NewVector(link.exact)
 		now := time.Now()
-		exact := rapid.Bool().Draw(t, "exact")
-		v, r := NewVector(exact), &Received{}
-		loads := map[string]pick.Load{}
-		var old []*distributionpb.Loads
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(100 * time.Millisecond)
-			id := fmt.Sprint("s", rapid.IntRange(0, 9).Draw(t, "server"))
-			loads[id] = pick.Load{Requests: rapid.IntRange(0, 300).Draw(t, "requests"), Prefill: rapid.Int64Range(0, 1e6).Draw(t, "prefill")}
-			v.Publish(now, loads)
-			w := v.ChangesSince(r.Cursor)
-			switch rapid.IntRange(0, 5).Draw(t, "event") {
-			case 0: // lost
-				continue
-			case 1: // late
-				old = append(old, w)
-				continue
-			case 2:
-				v = NewVector(exact)
-				v.Publish(now, loads)
-				w = v.ChangesSince(r.Cursor)
-				old = nil // those of a former life could not be told from news
-			case 3:
-				if len(old) > 0 {
-					r.Apply(now, old[rapid.IntRange(0, len(old)-1).Draw(t, "which")])
-				}
-				w = v.ChangesSince(r.Cursor)
-			}
-			if !r.Apply(now, w) {
-				t.Fatalf("refused %+v at %d", w, r.Number)
-			}
-			got := sumOf(r, now)
-			for id, l := range loads {
-				if g := got[id]; g != roundUpToUnits(l) && (exact || isMaterial(g, roundUpToUnits(l))) {
-					t.Fatalf("%s: %+v for %+v", id, g, l)
-				}
-			}
+			link.step(t, now)
 		}
-		v.Publish(now.Add(minorChangeDelay), loads)
-		if r.Apply(now, v.ChangesSince(r.Cursor)); !maps.Equal(sumOf(r, now), told(loads)) {
-			t.Fatalf("in the end %+v for %+v", sumOf(r, now), loads)
+		link.vector.Publish(now.Add(minorChangeDelay), link.loads)
+		reader := &link.reader
+		if reader.Apply(now, link.vector.ChangesSince(reader.Cursor)); !maps.Equal(sumOf(reader, now), published(link.loads)) {
+			t.Fatalf("in the end %+v for %+v", sumOf(reader, now), link.loads)
 		}
-		if got := sumOf(r, now.Add(TTL+1)); len(got) > 0 {
-			t.Fatalf("counts after its life: %v", got)
+		if got := sumOf(reader, now.Add(TTL+1)); len(got) > 0 {
+			t.Fatalf("counts after its TTL: %v", got)
 		}
 	})
 }
 
+// lossyLink is a vector and a reader, with messages between them that are lost, late or repeated.
+type lossyLink struct {
+	exact  bool
+	vector *Vector
+	reader Received
+	loads  map[string]pick.Load // as the writer has them
+	late   []*distributionpb.Loads
+}
+
+// step changes a load and has a message sent.
+func (l *lossyLink) step(t *rapid.T, now time.Time) {
+	id := fmt.Sprint("s", rapid.IntRange(0, 9).Draw(t, "server"))
+	l.loads[id] = pick.Load{Requests: rapid.IntRange(0, 300).Draw(t, "requests"), Prefill: rapid.Int64Range(0, 1e6).Draw(t, "prefill")}
+	l.vector.Publish(now, l.loads)
+	changes := l.vector.ChangesSince(l.reader.Cursor)
+	switch rapid.IntRange(0, 5).Draw(t, "event") {
+	case 0: // lost
+		return
+	case 1:
+		l.late = append(l.late, changes)
+		return
+	case 2: // the writer starts again
+		l.vector = NewVector(l.exact)
+		l.vector.Publish(now, l.loads)
+		changes = l.vector.ChangesSince(l.reader.Cursor)
+		l.late = nil // those of a former incarnation could not be told from new ones
+	case 3:
+		if len(l.late) > 0 {
+			l.reader.Apply(now, l.late[rapid.IntRange(0, len(l.late)-1).Draw(t, "which")])
+		}
+		changes = l.vector.ChangesSince(l.reader.Cursor)
+	}
+	if !l.reader.Apply(now, changes) {
+		t.Fatalf("refused %+v at %d", changes, l.reader.Number)
+	}
+	l.check(t, now)
+}
+
+// check compares what the reader has with the writer's loads.
+func (l *lossyLink) check(t *rapid.T, now time.Time) {
+	received := sumOf(&l.reader, now)
+	for id, load := range l.loads {
+		got, want := received[id], roundUpToUnits(load)
+		if got != want && (l.exact || isMaterial(got, want)) {
+			t.Fatalf("%s: %+v for %+v", id, got, load)
+		}
+	}
+}
+
 func FuzzReceived(f *testing.F) {
-	v := NewVector(true)
-	v.Publish(time.Now(), map[string]pick.Load{"a": {Requests: 1}, "b": {Tokens: 70000}})
-	f.Add(v.ChangesSince(softstate.Cursor{}).GetBody())
+	vector := NewVector(true)
+	vector.Publish(time.Now(), map[string]pick.Load{"a": {Requests: 1}, "b": {Tokens: 70000}})
+	f.Add(vector.ChangesSince(softstate.Cursor{}).GetBody())
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		var r Received
 		r.Apply(time.Now(), &distributionpb.Loads{Boot: 1, Number: 1, Body: b})
--- a/internal/system/distribution/rpc/compression.go
+++ b/internal/system/distribution/rpc/compression.go
@@ -8,13 +8,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// A configuration of thousands of routes is much the same line again and again, and the way from one keeper to its
-// followers is narrow: what is large goes out compressed, and is compressed once for all of them.
+// ErrExpand marks bytes that cannot be expanded: they are damaged or too large.
+var ErrExpand = errors.New("distribution: bytes cannot be expanded")
 
-const (
-	MinCompressBytes = 4 << 10  // bytes; less is not worth the time
-	maxExpandedBytes = 64 << 20 // bytes that compressed ones may come to
-)
+// A configuration of thousands of routes is much the same line again and again, and the link from one control-plane node to its
+// subscribers is narrow: what is large is sent compressed, and compressed once for all of them.
+
+// MinCompressBytes is the size from which bytes are compressed; less is not worth the time.
+const MinCompressBytes = 4 << 10
+
+// maxExpandedBytes bounds what compressed bytes may come to.
+const maxExpandedBytes = 64 << 20
 
 // Compress compresses what is large by DEFLATE, and tells whether it did.
 func Compress(b []byte) (out []byte, deflated bool) {
@@ -22,12 +26,12 @@
 		return b, false
 	}
 	var buffer bytes.Buffer
-	w, err := flate.NewWriter(&buffer, flate.BestSpeed)
+	writer, err := flate.NewWriter(&buffer, flate.BestSpeed)
 	if err != nil {
 		return b, false
 	}
-	if _, err = w.Write(b); err == nil {
-		err = w.Close()
+	if _, err = writer.Write(b); err == nil {
+		err = writer.Close()
 	}
 	if err != nil || buffer.Len() >= len(b) {
 		return b, false
@@ -35,17 +39,18 @@
 	return bytes.Clone(buffer.Bytes()), true
 }
 
-// Expand undoes compress. It fails where the bytes are damaged or come to more than 64 MiB.
+// Expand undoes Compress. It fails with ErrExpand where the bytes are damaged or come to more than 64 MiB.
 func Expand(b []byte, deflated bool) ([]byte, error) {
 	if !deflated {
 		return b, nil
 	}
 	out, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b)), maxExpandedBytes+1))
 	if err != nil {
-		return nil, errors.Wrap(err, "distribution: compressed bytes cannot be read: ask for a snapshot")
+		return nil, errors.Mark(errors.Wrap(err, "distribution: compressed bytes cannot be read: ask for a snapshot"), ErrExpand)
 	}
 	if len(out) > maxExpandedBytes {
-		return nil, errors.Newf("distribution: compressed bytes come to more than %d: make the configuration smaller", maxExpandedBytes)
+		return nil, errors.Mark(errors.Newf("distribution: compressed bytes come to more than %d: make the configuration smaller",
+			maxExpandedBytes), ErrExpand)
 	}
 	return out, nil
 }
--- a/internal/system/distribution/rpc/transport_test.go
+++ b/internal/system/distribution/rpc/transport_test.go
@@ -20,17 +20,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if came, failed := breakEverySecond(t, context.Background(), 40); came != 40 || failed != 20 {
+	if came, failed := breakEverySecond(context.Background(), t, 40); came != 40 || failed != 20 {
 		t.Errorf("of 40 calls %d came and %d failed, want 40 and 20", came, failed)
 	}
-	if came, failed := breakEverySecond(t, key, 40); came <= 40 || failed >= 20 {
+	if came, failed := breakEverySecond(key, t, 40); came <= 40 || failed >= 20 {
 		t.Errorf("control: of 40 calls %d came and %d failed", came, failed)
 	}
 }
 
 // breakEverySecond makes calls, and tells how many came to a peer that breaks every second one of a connection, and how many
 // failed.
-func breakEverySecond(t *testing.T, ctx context.Context, calls int) (came, failed int) {
+func breakEverySecond(ctx context.Context, t *testing.T, calls int) (came, failed int) {
 	t.Helper()
 	arrived := make(chan uint64, 4*calls)
 	peer, err := resetserver.Listen(func(body []byte) {
