--- a/internal/system/distribution/golden_trace_test.go
+++ b/internal/system/distribution/golden_trace_test.go
@@ -115,8 +115,8 @@
 		s := &source{chain: x.chain, keepers: exchangeKeepers}
 		x.sources = append(x.sources, s)
 		h := NewServer(ServerOptions{Source: s, Self: k, Zone: "z" + k[:2], Region: "r", ListLag: 100 * time.Millisecond, Log: quiet()})
-		x.giveIndexes(h.localLoads)
-		x.giveIndexes(h.totalLoads)
+		x.giveIndexes(h.loads.local)
+		x.giveIndexes(h.loads.total)
 		x.hubs, x.boots = append(x.hubs, h), append(x.boots, 0)
 		x.reboot(len(x.hubs) - 1)
 	}
--- a/internal/system/distribution/mismatched_reply_test.go
+++ b/internal/system/distribution/mismatched_reply_test.go
@@ -213,7 +213,7 @@
 			t.Errorf("%s: the second call changed the table", name)
 		}
 	}
-	if f := h.subscribers["p"]; f.ackedSeq != 7 || f.openCalls != 0 {
+	if f := h.sessions.byNode["p"]; f.ackedSeq != 7 || f.openCalls != 0 {
 		t.Errorf("acknowledged %d, %d calls open", f.ackedSeq, f.openCalls)
 	}
 }
--- a/internal/system/distribution/server_follow.go
+++ b/internal/system/distribution/server_follow.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"math"
-	"slices"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
@@ -13,355 +11,236 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
-// currentRecheckInterval is how often a keeper that is not current looks whether it has become so, while a proxy waits for that.
-const currentRecheckInterval = 40 * time.Millisecond
+const (
+	// currentRecheckInterval is how often a node that is not current looks whether it has become so, while a proxy waits for that.
+	currentRecheckInterval = 40 * time.Millisecond
+	// maxRequestedWait bounds the wait that a poll may ask for.
+	maxRequestedWait = time.Minute
+)
 
 // Follow serves a poll of a proxy: see the service's definition.
-func (h *Server) Follow(ctx context.Context, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
-	reply, err := h.serveFollow(ctx, req)
+func (s *Server) Follow(ctx context.Context, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
+	reply, err := s.serveFollow(ctx, req)
 	if reply != nil {
 		reply.Call = req.GetCall()
 	}
 	return reply, err
 }
 
-func (h *Server) serveFollow(ctx context.Context, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
+func (s *Server) serveFollow(ctx context.Context, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
 	start := time.Now()
 	m := softstate.MemberFromProto(req.GetMember())
 	if m.Node == "" || len(m.Node) > softstate.MaxIDBytes || m.Incarnation == 0 {
 		return nil, twirp.RequiredArgumentError("member")
 	}
 	if req.GetProbe() {
-		return h.probeReply(start), nil
+		return s.probeReply(start), nil
 	}
-	if !h.isCurrent() && !req.GetAcceptStale() {
-		return &distributionpb.FollowReply{PaceMs: uint64(h.limits.LoadReportInterval / time.Millisecond)}, nil
+	if !s.isCurrent() && !req.GetAcceptStale() {
+		return &distributionpb.FollowReply{PaceMs: uint64(s.limits.LoadReportInterval / time.Millisecond)}, nil
 	}
-	f := h.beginCall(m, req)
-	if f == nil {
-		return nil, twirp.NewError(twirp.ResourceExhausted, "this keeper has too many followers: follow another")
+	caller := s.beginCall(m, req)
+	if caller == nil {
+		return nil, twirp.NewError(twirp.ResourceExhausted, "this control-plane node has too many subscribers: follow another")
 	}
-	defer h.endCall(f)
-	wait := min(softstate.BoundedMilliseconds(req.GetWaitMs(), time.Minute), h.limits.LongPollTimeout)
+	defer s.endCall(caller)
+	return s.longPoll(ctx, &poll{caller: caller, req: req, start: start})
+}
+
+// poll is a request of a subscriber that waits for what it does not have.
+type poll struct {
+	caller *session
+	req    *distributionpb.FollowRequest
+	start  time.Time // when it arrived
+}
+
+// pollWait is what a poll waits for.
+type pollWait struct {
+	changed   <-chan struct{} // soft state
+	committed <-chan struct{} // control state
+	dueIn     time.Duration   // until something is due; 0: nothing is
+}
+
+// longPoll waits until there is something that the request does not have, or its wait is over.
+func (s *Server) longPoll(ctx context.Context, p *poll) (*distributionpb.FollowReply, error) {
+	maxWait := min(softstate.BoundedMilliseconds(p.req.GetWaitMs(), maxRequestedWait), s.limits.LongPollTimeout)
 	for {
-		reply, news, committed, again := h.tryReply(ctx, f, req, start)
-		left := wait - time.Since(start)
-		if reply != nil || left <= 0 {
-			if reply == nil {
-				reply = h.buildReply(ctx, f, req, start)
-			}
+		reply, wait := s.tryReply(ctx, p)
+		if reply != nil {
 			return reply, nil
 		}
-		if again > 0 {
-			left = min(left, again)
+		left := maxWait - time.Since(p.start)
+		if left <= 0 {
+			return s.buildReply(ctx, p), nil
+		}
+		if wait.dueIn > 0 {
+			left = min(left, wait.dueIn)
 		}
-		timer := time.NewTimer(left)
-		select {
-		case <-ctx.Done():
-			timer.Stop()
-			h.recordLostConnection(f)
-			return nil, twirp.NewError(twirp.Canceled, "the proxy went away")
-		case <-h.done:
-			timer.Stop()
-			return nil, twirp.NewError(twirp.Unavailable, "this keeper stops; follow another")
-		case <-news:
-		case <-committed:
-		case <-timer.C:
+		if err := s.awaitChange(ctx, p, wait, left); err != nil {
+			return nil, err
 		}
-		timer.Stop()
 	}
 }
 
-// maxSubscribers bounds the proxies of one keeper.
-const maxSubscribers = 4096
-
-// beginCall notes a call: the member, its acknowledgement, its loads, its verdicts. It gives nil where there are too many.
-func (h *Server) beginCall(m softstate.Member, req *distributionpb.FollowRequest) *subscriberSession {
-	now := time.Now()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	f := h.subscribers[m.Node]
-	fresh := f == nil || f.member.Incarnation != m.Incarnation
-	if f == nil && len(h.subscribers) >= maxSubscribers {
-		return nil
-	}
-	if fresh {
-		f = &subscriberSession{member: m}
-		h.subscribers[m.Node] = f
+// awaitChange waits for a change, at most for the time given. It fails where the caller or this server is gone.
+func (s *Server) awaitChange(ctx context.Context, p *poll, wait pollWait, atMost time.Duration) error {
+	timer := time.NewTimer(atMost)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		s.recordLostConnection(p.caller)
+		return twirp.NewError(twirp.Canceled, "the proxy went away")
+	case <-s.done:
+		return twirp.NewError(twirp.Unavailable, "this control-plane node stops; follow another")
+	case <-wait.changed:
+	case <-wait.committed:
+	case <-timer.C:
 	}
-	f.lastCall, f.connectionLostAt = now, time.Time{}
-	f.openCalls++
-	if fresh || req.GetSeq() > f.ackedSeq {
-		f.ackedSeq = max(f.ackedSeq, req.GetSeq())
-		h.updateMinAcked()
-	}
-	f.loads.Apply(now, req.GetLoads())
-	if m.Revision >= f.member.Revision {
-		f.member = m
-	}
-	h.assertAlive(now, f.member)
-	for _, v := range req.GetDown() {
-		h.applyVerdict(now, v.GetNode(), v.GetIncarnation())
-	}
-	return f
+	return nil
 }
 
-// recordLostConnection notes that a held call's connection ended: a process that ends takes its connections with it.
-func (h *Server) recordLostConnection(f *subscriberSession) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	f.connectionLostAt = time.Now()
+// schedule says whether something is due now, or else in how long the first thing is.
+type schedule struct {
+	ready bool
+	dueIn time.Duration // 0: nothing is due
 }
 
-func (h *Server) endCall(f *subscriberSession) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	f.openCalls--
-	f.lastCall = time.Now()
+// add schedules what is to be done at an interval and was done last at a moment.
+func (s *schedule) add(last time.Time, interval time.Duration) {
+	left := interval - time.Since(last)
+	if left <= 0 {
+		s.ready = true
+	} else {
+		s.addIn(left)
+	}
 }
 
-// updateMinAcked brings lowest up to date. The caller holds mu.
-func (h *Server) updateMinAcked() {
-	lowest := uint64(math.MaxUint64)
-	for _, f := range h.subscribers {
-		lowest = min(lowest, f.ackedSeq)
+// addIn schedules what is due after a time.
+func (s *schedule) addIn(left time.Duration) {
+	if s.dueIn == 0 || left < s.dueIn {
+		s.dueIn = left
 	}
-	if lowest != h.minAckedSeq {
-		h.minAckedSeq = lowest
-		signal(h.syncRequested)
-	}
-	close(h.ackChanged)
-	h.ackChanged = make(chan struct{})
 }
 
-// tryReply gives a reply if there is something that the request does not have. Otherwise it gives what to wait for, and
-// after how long a report of loads is due.
-func (h *Server) tryReply(ctx context.Context, f *subscriberSession, req *distributionpb.FollowRequest, start time.Time) (*distributionpb.FollowReply, <-chan struct{}, <-chan struct{}, time.Duration) {
-	state, committed := h.options.Source.Committed()
-	current := h.isCurrent()
-	digest := addressDigest(h.options.Source.Addresses())
-	h.mu.Lock()
-	news := h.changed
-	c := req.GetSoft()
-	ready := !current && !req.GetAcceptStale() ||
-		current && state != nil && state.Seq > req.GetSeq() ||
-		c.GetBoot() != h.bootID || h.nodesDigest(digest) != req.GetKeepers()
-	var again time.Duration
-	due := func(last time.Time, every time.Duration) {
-		left := every - time.Since(last)
-		if left <= 0 {
-			ready = true
-		} else if again == 0 || left < again {
-			again = left
-		}
-	}
-	if c.GetNumber() < h.table.LastUrgent {
-		// A change that comes alone goes out at once, one close upon another waits for more.
-		due(f.entriesSentAt, h.loadReportInterval()/2)
+// tryReply gives a reply if there is something that the request does not have. Otherwise it gives what to wait for.
+func (s *Server) tryReply(ctx context.Context, p *poll) (*distributionpb.FollowReply, pollWait) {
+	state, committed := s.options.Source.Committed()
+	current := s.isCurrent()
+	digest := addressDigest(s.options.Source.Addresses())
+	stateReady := !current && !p.req.GetAcceptStale() || current && state != nil && state.Seq > p.req.GetSeq()
+	s.mu.Lock()
+	changed := s.changed
+	plan := s.scheduleSoftState(p, digest)
+	s.mu.Unlock()
+	if !current {
+		plan.addIn(currentRecheckInterval) // nothing notifies that this node has become current
 	}
-	if !current && (again == 0 || currentRecheckInterval < again) {
-		again = currentRecheckInterval // nothing tells that this keeper has become current
+	if stateReady || plan.ready {
+		return s.buildReply(ctx, p), pollWait{}
 	}
-	if softstate.CursorFromProto(req.GetTotals()) != h.totalLoads.Cursor {
-		due(f.totalsSentAt, h.loadReportInterval())
+	return nil, pollWait{changed: changed, committed: committed, dueIn: plan.dueIn}
+}
+
+// scheduleSoftState decides when soft state is to be sent. The caller holds mu.
+func (s *Server) scheduleSoftState(p *poll, digest uint64) schedule {
+	cursor := softstate.CursorFromProto(p.req.GetSoft())
+	plan := schedule{ready: cursor.BootID != s.bootID || s.nodesDigest(digest) != p.req.GetKeepers()}
+	if cursor.Number < s.table.LastUrgent {
+		// A change that comes alone is sent at once, one close upon another waits for more.
+		plan.add(p.caller.entriesSentAt, s.loadReportInterval()/2)
 	}
-	h.mu.Unlock()
-	if ready {
-		return h.buildReply(ctx, f, req, start), nil, nil, 0
+	if softstate.CursorFromProto(p.req.GetTotals()) != s.loads.total.Cursor {
+		plan.add(p.caller.totalsSentAt, s.loadReportInterval())
 	}
-	return nil, news, committed, again
+	return plan
 }
 
-// buildReply makes the reply to a request that came at start, with all that it does not have.
-func (h *Server) buildReply(ctx context.Context, f *subscriberSession, req *distributionpb.FollowRequest, start time.Time) *distributionpb.FollowReply {
-	reply := &distributionpb.FollowReply{CheckedMs: uint64(time.Since(start) / time.Millisecond)}
-	// First whether this keeper is current, then what it holds: what is acknowledged between is then in the reply.
-	reply.Current = h.isCurrent()
-	addresses := h.options.Source.Addresses()
-	digest := addressDigest(addresses)
+// buildReply makes the reply to a request, with all that it does not have.
+func (s *Server) buildReply(ctx context.Context, p *poll) *distributionpb.FollowReply {
+	reply := &distributionpb.FollowReply{CheckedMs: uint64(time.Since(p.start) / time.Millisecond)}
+	// First whether this node is current, then what it has: what is acknowledged between is then in the reply.
+	reply.Current = s.isCurrent()
+	addresses := s.options.Source.Addresses()
 	if reply.Current {
-		h.addControlState(ctx, reply, req.GetSeq())
+		s.addControlState(ctx, reply, p.req.GetSeq())
 	}
 	now := time.Now()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	since := uint64(0)
-	if req.GetSoft().GetBoot() == h.bootID {
-		since = req.GetSoft().GetNumber()
-	}
-	items, full := h.table.ChangesSince(since)
-	reply.Entries, reply.Full, reply.Complete = softstate.EncodeEntries(now, items), full, h.complete
-	if len(items) > 0 {
-		f.entriesSentAt = now
-	}
-	reply.Soft = &distributionpb.Cursor{Boot: h.bootID, Number: h.table.LastNumber}
-	totals := h.totalLoads.ChangesSince(softstate.CursorFromProto(req.GetTotals()))
-	if totals.From != totals.Number || req.GetTotals().GetBoot() != totals.Boot {
-		reply.Totals = softstate.Marshal(totals)
-		f.totalsSentAt = now
-	}
-	reply.TotalsOf = f.loadsInTotals
-	reply.Told = f.loads.Cursor.ToProto()
-	if reply.KeepersDigest = h.nodesDigest(digest); reply.KeepersDigest != req.GetKeepers() {
-		reply.Keepers = h.controlPlaneNodes(addresses)
-	}
-	reply.PaceMs = uint64(h.loadReportInterval() / time.Millisecond)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.addEntries(now, reply, p)
+	s.addLoads(now, reply, p)
+	reply.KeepersDigest = s.nodesDigest(addressDigest(addresses))
+	if reply.GetKeepersDigest() != p.req.GetKeepers() {
+		reply.Keepers = s.controlPlaneNodes(addresses)
+	}
+	reply.PaceMs = uint64(s.loadReportInterval() / time.Millisecond)
 	return reply
 }
 
-// controlPlaneNodes gives the controlPlaneNodes in the chain's order, with where they are as far as that has been heard.
-func (h *Server) controlPlaneNodes(addresses []string) []*distributionpb.Keeper {
-	out := make([]*distributionpb.Keeper, 0, len(addresses))
-	for _, a := range addresses {
-		switch p := h.peers[a]; {
-		case a == h.options.Self:
-			out = append(out, &distributionpb.Keeper{Address: a, Zone: h.options.Zone, Region: h.options.Region})
-		case p != nil:
-			out = append(out, p.location)
-		default:
-			out = append(out, &distributionpb.Keeper{Address: a})
-		}
+// addEntries adds the entries that the caller lacks. The caller holds mu.
+func (s *Server) addEntries(now time.Time, reply *distributionpb.FollowReply, p *poll) {
+	entries, full := s.table.ChangesSince(s.numberAt(softstate.CursorFromProto(p.req.GetSoft())))
+	reply.Entries, reply.Full, reply.Complete = softstate.EncodeEntries(now, entries), full, s.complete
+	if len(entries) > 0 {
+		p.caller.entriesSentAt = now
 	}
-	return out
+	reply.Soft = s.tableCursor().ToProto()
 }
 
-func addressDigest(addresses []string) uint64 {
-	var d xxhash.Digest
-	d.Reset()
-	for _, a := range addresses {
-		_, _ = d.WriteString(a)
-		_, _ = d.Write([]byte{0})
-	}
-	return d.Sum64()
+// tableCursor is the position of the table's last change. The caller holds mu.
+func (s *Server) tableCursor() softstate.Cursor {
+	return softstate.Cursor{BootID: s.bootID, Number: s.table.LastNumber}
 }
 
-// nodesDigest mixes into the digest of the addresses how many keepers are known by place.
-func (h *Server) nodesDigest(digest uint64) uint64 { return digest + uint64(len(h.peers)) }
-
-// assertAlive writes that the process m lives and follows this hub. The caller holds mu.
-func (h *Server) assertAlive(now time.Time, m softstate.Member) {
-	m.Owner, m.Down = h.options.Self, false
-	key := softstate.MemberPrefix + m.Node
-	e := softstate.Entry{Key: key, Fence: 1, Version: 1, Value: m.Encode()}
-	if held := h.table.Get(key); held != nil {
-		was, ok := held.Member()
-		switch {
-		case ok && !held.Deleted && was.Incarnation == m.Incarnation:
-			if was == m || was.Revision > m.Revision {
-				return
-			}
-			e.Fence, e.Version = held.Fence, held.Version+1
-		default:
-			// Another life of the node: whatever is still said of the former one is below.
-			e.Fence = held.Fence + 1
-		}
+// numberAt is the number of the change up to which a reader has this table; 0 for a cursor of another. The caller holds mu.
+func (s *Server) numberAt(cursor softstate.Cursor) uint64 {
+	if cursor.BootID != s.bootID {
+		return 0
 	}
-	h.mergeEntry(now, e, softstate.Age{})
-}
-
-// markDown writes that the process that the entry is about is silent. The caller holds mu.
-func (h *Server) markDown(now time.Time, it *softstate.StoredEntry, m softstate.Member, why string) {
-	m.Down = true
-	h.options.Log.WithFields(downLogFields(m.Node, why)).Info("distribution: a proxy is marked down")
-	h.mergeEntry(now, softstate.Entry{Key: it.Key, Fence: it.Fence, Version: it.Version + 1, Value: m.Encode()}, softstate.Age{})
+	return cursor.Number
 }
 
-// applyVerdict takes in what another proxy says of one: the keeper that it follows knows better, while that one is heard.
-func (h *Server) applyVerdict(now time.Time, node string, incarnation uint64) {
-	it := h.table.Get(softstate.MemberPrefix + node)
-	if it == nil || it.Deleted {
-		return
-	}
-	m, ok := it.Member()
-	if !ok || m.Down || m.Incarnation != incarnation {
-		return
-	}
-	if f := h.subscribers[node]; f != nil && f.member.Incarnation == incarnation && (f.openCalls > 0 || now.Sub(f.lastCall) < h.limits.SubscriberTimeout/2) {
-		return
-	}
-	if m.Owner != h.options.Self && h.hasContact(now, m.Owner) {
-		return
+// addLoads adds the changes of the total loads, and how far the caller's own have come. The caller holds mu.
+func (s *Server) addLoads(now time.Time, reply *distributionpb.FollowReply, p *poll) {
+	totals := s.loads.total.ChangesSince(softstate.CursorFromProto(p.req.GetTotals()))
+	if totals.GetFrom() != totals.GetNumber() || p.req.GetTotals().GetBoot() != totals.GetBoot() {
+		reply.Totals = softstate.Marshal(totals)
+		p.caller.totalsSentAt = now
 	}
-	h.markDown(now, it, m, "other proxies hear nothing from it")
+	reply.TotalsOf = p.caller.loadsInTotals
+	reply.Told = p.caller.loads.ToProto()
 }
 
-// reconnectTimeout is how long a proxy whose held call's connection ended may take to call again, here or at another keeper.
-const reconnectTimeout = 350 * time.Millisecond
-
-// hasContact tells whether the keeper has shared of late, with this one or with another that has shared with this one: a keeper
-// that only this one does not hear still judges its own followers. The caller holds mu.
-func (h *Server) hasContact(now time.Time, keeper string) bool {
-	for address, p := range h.peers {
-		if now.Sub(p.lastContact) <= peerTTL && (address == keeper || slices.Contains(p.reachablePeers, keeper) && !h.options.Knobs.OwnContactsOnly) {
-			return true
+// controlPlaneNodes gives the nodes in the chain's order, with where they are as far as that is known. The caller holds mu.
+func (s *Server) controlPlaneNodes(addresses []string) []*distributionpb.Keeper {
+	out := make([]*distributionpb.Keeper, 0, len(addresses))
+	for _, address := range addresses {
+		switch p := s.peers.byAddress[address]; {
+		case address == s.options.Self:
+			out = append(out, s.location())
+		case p != nil:
+			out = append(out, p.location)
+		default:
+			out = append(out, &distributionpb.Keeper{Address: address})
 		}
 	}
-	return false
+	return out
 }
 
-// evaluateLiveness drops followers that stopped calling, marks them down, deletes those down for long, and takes over the judging
-// of those that followed a keeper which is not heard from. The caller holds mu.
-func (h *Server) evaluateLiveness(now time.Time) {
-	dropped := false
-	ended := map[string]uint64{} // lives whose connection ended, and that have not come back
-	for node, f := range h.subscribers {
-		if f.openCalls > 0 {
-			continue
-		}
-		if !f.connectionLostAt.IsZero() && now.Sub(f.connectionLostAt) > reconnectTimeout {
-			ended[node] = f.member.Incarnation
-		} else if now.Sub(f.lastCall) <= h.limits.SubscriberTimeout {
-			continue
-		}
-		delete(h.subscribers, node)
-		dropped = true
-	}
-	type fall struct {
-		it  *softstate.StoredEntry
-		m   softstate.Member
-		why string
-	}
-	var falls []fall
-	var gone []*softstate.StoredEntry
-	for _, it := range h.table.Live(softstate.MemberPrefix) {
-		m, ok := it.Member()
-		f := h.subscribers[m.Node]
-		switch {
-		case !ok:
-			gone = append(gone, it)
-		case f != nil && f.member.Incarnation == m.Incarnation:
-			if m.Owner != h.options.Self {
-				// It has moved: its loads and acknowledgements are told there.
-				delete(h.subscribers, m.Node)
-				dropped = true
-			}
-		case m.Down:
-			if it.AgeAt(now).Max > h.limits.TombstoneTTL {
-				gone = append(gone, it)
-			}
-		case m.Owner == h.options.Self && ended[m.Node] == m.Incarnation:
-			falls = append(falls, fall{it, m, "its connection ended"})
-		case m.Owner == h.options.Self:
-			if it.AgeAt(now).Max > h.limits.SubscriberTimeout {
-				falls = append(falls, fall{it, m, "it does not call any more"})
-			}
-		case !h.hasContact(now, m.Owner) && it.AgeAt(now).Max > orphanTimeout && now.Sub(h.startedAt) > orphanTimeout && h.isPeerLost(now, m.Owner):
-			falls = append(falls, fall{it, m, "the keeper that it followed is silent too"})
-		}
-	}
-	if dropped {
-		h.updateMinAcked()
-	}
-	for _, f := range falls {
-		h.markDown(now, f.it, f.m, f.why)
-	}
-	for _, it := range gone {
-		h.mergeEntry(now, softstate.Entry{Key: it.Key, Fence: it.Fence, Version: it.Version + 1, Deleted: true}, softstate.Age{})
-	}
+// location is this node's address, and where it is.
+func (s *Server) location() *distributionpb.Keeper {
+	return &distributionpb.Keeper{Address: s.options.Self, Zone: s.options.Zone, Region: s.options.Region}
 }
 
-// isPeerLost tells whether a keeper has been silent for so long that its followers must have moved on.
-func (h *Server) isPeerLost(now time.Time, keeper string) bool {
-	p := h.peers[keeper]
-	return p == nil || now.Sub(p.lastContact) > peerTTL+orphanTimeout
+func addressDigest(addresses []string) uint64 {
+	var digest xxhash.Digest
+	digest.Reset()
+	for _, address := range addresses {
+		_, _ = digest.WriteString(address)
+		_, _ = digest.Write([]byte{0})
+	}
+	return digest.Sum64()
 }
+
+// nodesDigest mixes into the digest of the addresses how many nodes are known by location. The caller holds mu.
+func (s *Server) nodesDigest(digest uint64) uint64 { return digest + uint64(s.peers.len()) }
--- a/internal/system/distribution/server_new_fence_test.go
+++ b/internal/system/distribution/server_new_fence_test.go
@@ -26,7 +26,7 @@
 	put(other, 1, 100, pick.Server{ID: "x"}, pick.Server{ID: "gone"}) // as the lost keeper told it
 	put(reader, 1, 96, pick.Server{ID: "x", Draining: true})
 	put(reader, 2, 1, pick.Server{ID: "x", Draining: true})
-	req, _ := reader.buildShareRequest(&syncProgress{cursor: distributionpb.Cursor{Boot: reader.bootID, Number: 2}})
+	req, _ := reader.buildShareRequest(&syncProgress{cursor: softstate.Cursor{BootID: reader.bootID, Number: 2}})
 	req.From = &distributionpb.Keeper{Address: "a"}
 	req.SentMs = other.clockMS(time.Now())
 	if _, err := other.Share(context.Background(), req); err != nil {
--- /dev/null
+++ b/internal/system/distribution/server_sessions.go
@@ -0,0 +1,192 @@
+package distribution
+
+import (
+	"math"
+	"sort"
+	"time"
+
+	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
+)
+
+// maxSubscribers bounds the proxies that follow one node.
+const maxSubscribers = 4096
+
+// reconnectTimeout is how long a proxy whose waiting call lost its connection may take to call again, here or at another node.
+const reconnectTimeout = 350 * time.Millisecond
+
+// session is what a server knows of a proxy that calls it.
+type session struct {
+	member           softstate.Member
+	lastCall         time.Time // start or end of its last call
+	openCalls        int
+	connectionLostAt time.Time // when a waiting call's connection ended, and no call has come since; zero: it has not
+	ackedSeq         uint64
+	totalsSentAt     time.Time // last reply with totals
+	entriesSentAt    time.Time // last reply with entries
+	loads            loadreport.Received
+	loadsInTotals    uint64 // number of its loads in the totals
+}
+
+// recentlyCalled tells whether the proxy is certainly alive, by a call that is open or ended within the duration given.
+func (c *session) recentlyCalled(now time.Time, within time.Duration) bool {
+	return c.openCalls > 0 || now.Sub(c.lastCall) < within
+}
+
+// timedOut tells whether the proxy is taken for lost, and whether that is as its connection ended.
+func (c *session) timedOut(now time.Time, timeout time.Duration) (timedOut, connectionLost bool) {
+	switch {
+	case c.openCalls > 0:
+		return false, false
+	case !c.connectionLostAt.IsZero() && now.Sub(c.connectionLostAt) > reconnectTimeout:
+		return true, true
+	}
+	return now.Sub(c.lastCall) > timeout, false
+}
+
+// sessionSet is the proxies that follow this node, with what they have acknowledged. The server's mu guards it.
+type sessionSet struct {
+	byNode      map[string]*session
+	minAckedSeq uint64        // math.MaxUint64: there is no session
+	ackChanged  chan struct{} // closed when an acknowledgement may have risen
+}
+
+func newSessionSet() sessionSet {
+	return sessionSet{byNode: map[string]*session{}, minAckedSeq: math.MaxUint64, ackChanged: make(chan struct{})}
+}
+
+// open finds or makes the session of a process; isNew: of one that has not called before. nil: there are too many.
+func (c *sessionSet) open(m softstate.Member) (found *session, isNew bool) {
+	found = c.byNode[m.Node]
+	isNew = found == nil || found.member.Incarnation != m.Incarnation
+	if found == nil && len(c.byNode) >= maxSubscribers {
+		return nil, false
+	}
+	if isNew {
+		found = &session{member: m}
+		c.byNode[m.Node] = found
+	}
+	return found, isNew
+}
+
+// of gives the session of exactly this incarnation of a node; nil: there is none.
+func (c *sessionSet) of(m softstate.Member) *session {
+	if found := c.byNode[m.Node]; found != nil && found.member.Incarnation == m.Incarnation {
+		return found
+	}
+	return nil
+}
+
+// dropTimedOut drops the sessions of proxies that are taken for lost. It tells whether there were any, and gives the incarnations, by
+// node, that lost their connection and have not come back.
+func (c *sessionSet) dropTimedOut(now time.Time, timeout time.Duration) (dropped bool, disconnected map[string]uint64) {
+	disconnected = map[string]uint64{}
+	for node, found := range c.byNode {
+		timedOut, connectionLost := found.timedOut(now, timeout)
+		if !timedOut {
+			continue
+		}
+		if connectionLost {
+			disconnected[node] = found.member.Incarnation
+		}
+		delete(c.byNode, node)
+		dropped = true
+	}
+	return dropped, disconnected
+}
+
+// updateMinAcked brings minAckedSeq up to date, notifies of it, and tells whether it changed.
+func (c *sessionSet) updateMinAcked() (changed bool) {
+	lowest := uint64(math.MaxUint64)
+	for _, each := range c.byNode {
+		lowest = min(lowest, each.ackedSeq)
+	}
+	changed = lowest != c.minAckedSeq
+	c.minAckedSeq = lowest
+	c.notifyAcked()
+	return changed
+}
+
+// notifyAcked wakes those who wait for acknowledgements.
+func (c *sessionSet) notifyAcked() {
+	close(c.ackChanged)
+	c.ackChanged = make(chan struct{})
+}
+
+func (c *sessionSet) allAcknowledged(seq uint64) bool {
+	for _, each := range c.byNode {
+		if each.ackedSeq < seq {
+			return false
+		}
+	}
+	return true
+}
+
+// extendBy gives all sessions more time, since this process was paused for so long.
+func (c *sessionSet) extendBy(pause time.Duration) {
+	for _, each := range c.byNode {
+		each.lastCall, each.connectionLostAt = each.lastCall.Add(pause), time.Time{}
+	}
+}
+
+func (c *sessionSet) infos(now time.Time) []SubscriberInfo {
+	out := make([]SubscriberInfo, 0, len(c.byNode))
+	for node, each := range c.byNode {
+		info := SubscriberInfo{Node: node, Seq: each.ackedSeq}
+		if each.openCalls == 0 {
+			info.SinceLastCall = now.Sub(each.lastCall)
+		}
+		out = append(out, info)
+	}
+	sort.Slice(out, func(i, j int) bool { return out[i].Node < out[j].Node })
+	return out
+}
+
+// beginCall takes in what a call says: the member, its acknowledgement, its loads, its verdicts. It gives nil where there are too many
+// subscribers.
+func (s *Server) beginCall(m softstate.Member, req *distributionpb.FollowRequest) *session {
+	now := time.Now()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	caller, isNew := s.sessions.open(m)
+	if caller == nil {
+		return nil
+	}
+	caller.lastCall, caller.connectionLostAt = now, time.Time{}
+	caller.openCalls++
+	if isNew || req.GetSeq() > caller.ackedSeq {
+		caller.ackedSeq = max(caller.ackedSeq, req.GetSeq())
+		s.updateMinAcked()
+	}
+	caller.loads.Apply(now, req.GetLoads())
+	if m.Revision >= caller.member.Revision {
+		caller.member = m
+	}
+	s.assertAlive(now, caller.member)
+	for _, verdict := range req.GetDown() {
+		s.applyVerdict(now, verdict.GetNode(), verdict.GetIncarnation())
+	}
+	return caller
+}
+
+// recordLostConnection records that a waiting call's connection ended: a process that ends takes its connections with it.
+func (s *Server) recordLostConnection(caller *session) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	caller.connectionLostAt = time.Now()
+}
+
+func (s *Server) endCall(caller *session) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	caller.openCalls--
+	caller.lastCall = time.Now()
+}
+
+// updateMinAcked brings the lowest acknowledgement up to date, and has peers notified where it changed. The caller holds mu.
+func (s *Server) updateMinAcked() {
+	if s.sessions.updateMinAcked() {
+		signal(s.syncRequested)
+	}
+}
--- a/internal/system/distribution/server_sync.go
+++ b/internal/system/distribution/server_sync.go
@@ -3,12 +3,11 @@
 import (
 	"context"
 	"net/http"
-	"slices"
 	"strings"
 	"sync"
 	"time"
 
-	"github.com/apex/log"
+	"github.com/cockroachdb/errors"
 	"github.com/twitchtv/twirp"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
@@ -17,139 +16,164 @@
 )
 
 const (
-	// peerTTL is how long another keeper's word counts after it was last heard.
-	peerTTL = 1500 * time.Millisecond
-	// orphanTimeout is what the followers of a keeper that fell silent get to move on before they are marked down.
-	orphanTimeout = 2500 * time.Millisecond
-	// maxClockDriftMS is by how many milliseconds the clocks of two processes may drift apart between two shares. A time further
-	// ahead is of a former life.
+	// maxClockDriftMS is by how many milliseconds the clocks of two processes may drift apart between two calls. A time further
+	// ahead is of a former incarnation.
 	maxClockDriftMS = 100
-	// syncTimeout bounds a call between keepers.
+	// syncTimeout bounds a call between peers.
 	syncTimeout = time.Second
+	// maxKeyBytes bounds the key of an entry.
+	maxKeyBytes = 2 * softstate.MaxIDBytes
 )
 
-func downLogFields(node, why string) log.Fields { return log.Fields{"node": node, "why": why} }
+// syncLoop is the goroutine that synchronises with one peer.
+type syncLoop struct {
+	stop    context.CancelFunc
+	changed chan struct{}
+}
 
-// syncPeers keeps a loop for each of the other keepers until ctx ends.
-func (h *Server) syncPeers(ctx context.Context) {
-	if h.options.Peers == nil {
+// syncPeers runs a loop for each of the peers until ctx ends.
+func (s *Server) syncPeers(ctx context.Context) {
+	if s.options.Peers == nil {
 		return
 	}
-	type loop struct {
-		stop context.CancelFunc
-		poke chan struct{}
-	}
-	loops := map[string]loop{}
+	loops := map[string]syncLoop{}
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	look := time.NewTicker(h.limits.MaxSyncInterval)
-	defer look.Stop()
+	refresh := time.NewTicker(s.limits.MaxSyncInterval)
+	defer refresh.Stop()
 	for {
-		wanted := map[string]bool{}
-		for _, url := range h.options.Peers() {
-			wanted[url] = true
-			if _, ok := loops[url]; !ok {
-				sub, stop := context.WithCancel(ctx)
-				l := loop{stop, make(chan struct{}, 1)}
-				loops[url] = l
-				wg.Go(func() { h.syncWith(sub, url, l.poke) })
-			}
-		}
-		for url, l := range loops {
-			if !wanted[url] {
-				l.stop()
-				delete(loops, url)
-			}
-		}
+		s.updateSyncLoops(ctx, &wg, loops)
 		select {
 		case <-ctx.Done():
-			for _, l := range loops {
-				l.stop()
+			for _, loop := range loops {
+				loop.stop()
 			}
 			return
-		case <-look.C:
-		case <-h.syncRequested:
-			for _, l := range loops {
-				signal(l.poke)
+		case <-refresh.C:
+		case <-s.syncRequested:
+			for _, loop := range loops {
+				signal(loop.changed)
 			}
 		}
 	}
 }
 
-// syncWith passes changes to one keeper: on change, at most every Share, at least every Beat.
-func (h *Server) syncWith(ctx context.Context, url string, changed <-chan struct{}) {
-	caller := &http.Client{Transport: rpc.BoundedTransport{Next: h.options.Transport}}
+// updateSyncLoops starts the loops of new peers, and stops those of peers that are gone.
+func (s *Server) updateSyncLoops(ctx context.Context, wg *sync.WaitGroup, loops map[string]syncLoop) {
+	peers := map[string]bool{}
+	for _, url := range s.options.Peers() {
+		peers[url] = true
+		if _, ok := loops[url]; ok {
+			continue
+		}
+		loopCtx, stop := context.WithCancel(ctx)
+		loop := syncLoop{stop: stop, changed: make(chan struct{}, 1)}
+		loops[url] = loop
+		wg.Go(func() { s.syncWith(loopCtx, url, loop.changed) })
+	}
+	for url, loop := range loops {
+		if !peers[url] {
+			loop.stop()
+			delete(loops, url)
+		}
+	}
+}
+
+// syncWith passes changes to one peer: on change, at most every MinSyncInterval, at least every MaxSyncInterval.
+func (s *Server) syncWith(ctx context.Context, url string, changed <-chan struct{}) {
+	caller := &http.Client{Transport: rpc.BoundedTransport{Next: s.options.Transport}}
 	client := distributionpb.NewDistributionProtobufClient(url, caller)
 	var progress syncProgress
 	reached := true
 	for {
-		req, number := h.buildShareRequest(&progress)
-		call, cancel := context.WithTimeout(ctx, syncTimeout)
-		req.Call = h.callIDs.Next()
-		reply, err := client.Share(call, req)
-		cancel()
-		if err == nil {
-			if err = rpc.CheckReply(req.GetCall(), reply.GetCall()); err != nil {
-				caller.CloseIdleConnections()
-			}
+		req, number := s.buildShareRequest(&progress)
+		reply, err := s.share(ctx, client, req)
+		if err != nil && errors.Is(err, rpc.ErrMismatchedReply) {
+			caller.CloseIdleConnections()
 		}
 		if ctx.Err() != nil {
 			return
 		}
 		if (err == nil) != reached {
 			reached = err == nil
-			if reached {
-				h.options.Log.WithField("keeper", url).Info("distribution: a keeper takes shares again")
-			} else {
-				h.options.Log.WithField("keeper", url).WithError(err).Warn("distribution: a keeper takes no shares")
-			}
+			s.logReached(url, err)
 		}
 		if err == nil && !progress.handleReply(time.Now(), req, number, reply) {
 			continue // send it anew at once
 		}
-		if !sleep(ctx, h.limits.MinSyncInterval) {
-			return
-		}
-		timer := time.NewTimer(h.limits.MaxSyncInterval - h.limits.MinSyncInterval)
-		select {
-		case <-ctx.Done():
-			timer.Stop()
+		if !s.awaitSync(ctx, changed) {
 			return
-		case <-changed:
-		case <-timer.C:
 		}
-		timer.Stop()
 	}
 }
 
-// syncProgress is how far a keeper has told another.
+// share makes one call to a peer.
+func (s *Server) share(ctx context.Context, client distributionpb.Distribution, req *distributionpb.ShareRequest) (*distributionpb.ShareReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
+	defer cancel()
+	req.Call = s.callIDs.Next()
+	reply, err := client.Share(ctx, req)
+	if err != nil {
+		return nil, err
+	}
+	return reply, rpc.CheckReply(req.GetCall(), reply.GetCall())
+}
+
+// logReached logs that a peer is reached again, or why it is not any more.
+func (s *Server) logReached(url string, err error) {
+	if err == nil {
+		s.options.Log.WithField("peer", url).Info("distribution: synchronisation with a peer resumed")
+	} else {
+		s.options.Log.WithField("peer", url).WithError(err).Warn("distribution: synchronisation with a peer fails")
+	}
+}
+
+// awaitSync waits until the next call to a peer is due; false: ctx ended.
+func (s *Server) awaitSync(ctx context.Context, changed <-chan struct{}) bool {
+	if !sleep(ctx, s.limits.MinSyncInterval) {
+		return false
+	}
+	timer := time.NewTimer(s.limits.MaxSyncInterval - s.limits.MinSyncInterval)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return false
+	case <-changed:
+	case <-timer.C:
+	}
+	return true
+}
+
+// syncProgress is how far a node has brought a peer.
 type syncProgress struct {
-	cursor     distributionpb.Cursor // in the table of this boot id
-	ackedLoads softstate.Cursor
-	peerBootID uint64        // of the other
-	peerClock  time.Duration // the other's, as it answered last; 0: it has not yet
+	cursor     softstate.Cursor // in this node's table
+	ackedLoads softstate.Cursor // in this node's loads
+	peerBootID uint64
+	peerClock  time.Duration // the peer's, as it replied last; 0: it has not yet
 	repliedAt  time.Time     // when that came
 }
 
-// handleReply takes in the answer to a share of the table up to a number. It tells false where the share is to be sent anew.
+// handleReply takes in the reply to a request that brought the table up to a number. It gives false where the request is to be sent
+// anew.
 func (p *syncProgress) handleReply(now time.Time, req *distributionpb.ShareRequest, number uint64, reply *distributionpb.ShareReply) bool {
 	p.peerClock, p.repliedAt = time.Duration(reply.GetClockMs())*time.Millisecond, now
 	if reply.GetLate() {
 		return false
 	}
 	if reply.GetBoot() != p.peerBootID {
-		// Another life: what went to the former one is lost, unless this very share was whole.
-		if p.peerBootID = reply.GetBoot(); !req.GetFull() {
-			p.cursor.Boot, p.cursor.Number = 0, 0
+		// Another incarnation: what was sent to the former one is lost, unless this very request was complete.
+		p.peerBootID = reply.GetBoot()
+		if !req.GetFull() {
+			p.cursor = softstate.Cursor{}
 			return false
 		}
 	}
-	p.cursor.Boot, p.cursor.Number = req.GetBoot(), number
+	p.cursor = softstate.Cursor{BootID: req.GetBoot(), Number: number}
 	p.ackedLoads = softstate.CursorFromProto(reply.GetTold())
 	return true
 }
 
-// estimatedPeerClockMS is the least that the other's clock shows at a moment.
+// estimatedPeerClockMS is the least that the peer's clock shows at a moment, in milliseconds; 0: it is not known.
 func (p *syncProgress) estimatedPeerClockMS(now time.Time) uint64 {
 	if p.peerClock == 0 {
 		return 0
@@ -157,123 +181,105 @@
 	return uint64((p.peerClock + now.Sub(p.repliedAt)) / time.Millisecond)
 }
 
-// clockMS is this process's time as others are told it: milliseconds from its start, and never 0.
-func (h *Server) clockMS(now time.Time) uint64 {
-	return uint64(now.Sub(h.startedAt)/time.Millisecond) + 1
+// clockMS is this process's time as peers get it: milliseconds from its start, and never 0.
+func (s *Server) clockMS(now time.Time) uint64 {
+	return uint64(now.Sub(s.startedAt)/time.Millisecond) + 1
 }
 
-func (h *Server) buildShareRequest(p *syncProgress) (*distributionpb.ShareRequest, uint64) {
+// buildShareRequest makes the request that brings a peer up to date, and gives the number of the change up to which it does.
+func (s *Server) buildShareRequest(p *syncProgress) (*distributionpb.ShareRequest, uint64) {
 	now := time.Now()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	since := uint64(0)
-	if p.cursor.GetBoot() == h.bootID {
-		since = p.cursor.GetNumber()
-	}
-	items, full := h.table.ChangesSince(since)
-	return &distributionpb.ShareRequest{From: &distributionpb.Keeper{Address: h.options.Self, Zone: h.options.Zone, Region: h.options.Region}, Boot: h.bootID,
-		Full: full, Complete: h.complete, Entries: softstate.EncodeEntries(now, items), Loads: h.localLoads.ChangesSince(p.ackedLoads),
-		Lowest: h.minAckedSeq, Followers: uint64(len(h.subscribers)), Hears: h.recentPeers(now), SentMs: p.estimatedPeerClockMS(now)}, h.table.LastNumber
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	entries, full := s.table.ChangesSince(s.numberAt(p.cursor))
+	return &distributionpb.ShareRequest{
+		From: s.location(), Boot: s.bootID, Full: full, Complete: s.complete, Entries: softstate.EncodeEntries(now, entries),
+		Loads: s.loads.local.ChangesSince(p.ackedLoads), Lowest: s.sessions.minAckedSeq, Followers: uint64(len(s.sessions.byNode)),
+		Hears: s.peers.recent(now), SentMs: p.estimatedPeerClockMS(now),
+	}, s.table.LastNumber
 }
 
-// Share serves another keeper's share.
-func (h *Server) Share(_ context.Context, req *distributionpb.ShareRequest) (*distributionpb.ShareReply, error) {
+// Share serves a peer's synchronisation.
+func (s *Server) Share(_ context.Context, req *distributionpb.ShareRequest) (*distributionpb.ShareReply, error) {
 	from := req.GetFrom().GetAddress()
-	if from == "" || from == h.options.Self {
-		return nil, twirp.InvalidArgumentError("from", "must be the address of another keeper")
+	if from == "" || from == s.options.Self {
+		return nil, twirp.InvalidArgumentError("from", "must be the address of another control-plane node")
 	}
 	now := time.Now()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	clock := h.clockMS(now)
-	delay := softstate.BoundedMilliseconds(clock-min(clock, req.GetSentMs()), softstate.MaxAge)
-	if h.options.Knobs.DateByArrival {
-		delay = 0
-	} else if req.GetSentMs() == 0 || req.GetSentMs() > clock+maxClockDriftMS || delay > peerTTL {
-		return &distributionpb.ShareReply{Boot: h.bootID, ClockMs: clock, Late: true, Call: req.GetCall()}, nil
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	clock := s.clockMS(now)
+	delay, dated := s.transitTime(clock, req.GetSentMs())
+	if !dated {
+		return &distributionpb.ShareReply{Boot: s.bootID, ClockMs: clock, Late: true, Call: req.GetCall()}, nil
 	}
-	p := h.peers[from]
-	if p == nil {
-		if len(h.peers) >= maxPeers {
-			h.removeExpiredPeers(now)
-		}
-		if len(h.peers) >= maxPeers {
-			return nil, twirp.NewError(twirp.ResourceExhausted, "too many keepers share with this one: take some out of the view")
+	sender := s.peers.byAddress[from]
+	if sender == nil {
+		if sender = s.peers.add(now, from); sender == nil {
+			return nil, twirp.NewError(twirp.ResourceExhausted, "too many nodes synchronise with this one: take some out of the view")
 		}
-		p = &peer{}
-		h.peers[from] = p
-		h.wakeSubscribers()
+		s.wakeSubscribers()
+	}
+	sender.observe(now.Add(-delay), req)
+	s.mergeShare(now, from, delay, req)
+	sender.loads.Apply(now.Add(-delay), req.GetLoads())
+	s.sessions.notifyAcked()
+	return &distributionpb.ShareReply{Boot: s.bootID, ClockMs: clock, Call: req.GetCall(), Told: sender.loads.ToProto()}, nil
+}
+
+// transitTime bounds how long a message was in transit, by this process's clock alone: its sender states what that clock showed at the
+// least when it was sent. It gives false where that is not known, is of a former incarnation, or is too long ago.
+func (s *Server) transitTime(clock, sentMS uint64) (delay time.Duration, dated bool) {
+	if s.options.Knobs.DateByArrival {
+		return 0, true
 	}
-	p.location, p.bootID, p.lastContact, p.minAckedSeq, p.subscriberCount = req.GetFrom(), req.GetBoot(), laterOf(p.lastContact, now.Add(-delay)), req.GetLowest(), req.GetFollowers()
-	p.reachablePeers = req.GetHears()[:min(len(req.GetHears()), maxPeers)]
-	before := h.listFence()
-	for _, w := range req.GetEntries() {
-		e, age := softstate.DecodeEntry(w)
-		if e.Key != "" && len(e.Key) <= 2*softstate.MaxIDBytes {
-			h.mergePeerEntry(now, from, e, age.Plus(softstate.AgeUpTo(delay)))
+	delay = softstate.BoundedMilliseconds(clock-min(clock, sentMS), softstate.MaxAge)
+	return delay, sentMS != 0 && sentMS <= clock+maxClockDriftMS && delay <= peerTTL
+}
+
+// mergeShare merges the entries of a peer's message that was in transit for up to delay. The caller holds mu.
+func (s *Server) mergeShare(now time.Time, from string, delay time.Duration, req *distributionpb.ShareRequest) {
+	formerFence := s.listFence()
+	for _, message := range req.GetEntries() {
+		entry, age := softstate.DecodeEntry(message)
+		if entry.Key != "" && len(entry.Key) <= maxKeyBytes {
+			s.mergePeerEntry(now, from, entry, age.Plus(softstate.AgeUpTo(delay)))
 		}
 	}
-	if fence := h.listFence(); fence > before {
-		h.deleteServersOfOldFences(now, fence)
+	if fence := s.listFence(); fence > formerFence {
+		s.deleteServersOfOldFences(now, fence)
 	}
-	if req.GetFull() && req.GetComplete() && !h.complete {
-		h.markComplete()
+	if req.GetFull() && req.GetComplete() && !s.complete {
+		s.markComplete()
 	}
-	p.loads.Apply(now.Add(-delay), req.GetLoads())
-	close(h.ackChanged)
-	h.ackChanged = make(chan struct{})
-	return &distributionpb.ShareReply{Boot: h.bootID, ClockMs: clock, Call: req.GetCall(),
-		Told: p.loads.Cursor.ToProto()}, nil
 }
 
-// mergePeerEntry takes in an entry that another keeper shares. One that was cut off has marked down what it no longer heard of,
-// so whoever hears the proxy knows better: this keeper, or the one that the proxy follows. The caller holds mu.
-func (h *Server) mergePeerEntry(now time.Time, from string, e softstate.Entry, age softstate.Age) {
-	was, refuted := h.marksLiveMemberDown(e)
-	if !refuted || h.options.Knobs.AcceptDownVerdicts {
-		h.mergeEntry(now, e, age)
+// mergePeerEntry merges an entry of a peer. One that was isolated has marked down what it had no contact to any more, so whoever
+// has contact to the proxy knows better: this node, or the one that the proxy follows. The caller holds mu.
+func (s *Server) mergePeerEntry(now time.Time, from string, entry softstate.Entry, age softstate.Age) {
+	live, marksDown := s.marksLiveMemberDown(entry)
+	if !marksDown || s.options.Knobs.AcceptDownVerdicts {
+		s.mergeEntry(now, entry, age)
 		return
 	}
-	if f := h.subscribers[was.Node]; f != nil && f.member.Incarnation == was.Incarnation && (f.openCalls > 0 || now.Sub(f.lastCall) < h.limits.SubscriberTimeout/2) {
-		h.mergeEntry(now, e, age)
-		h.assertAlive(now, f.member)
+	if s.hasLiveSession(now, live.Node, live.Incarnation) {
+		s.mergeEntry(now, entry, age)
+		s.assertAlive(now, s.sessions.of(live).member)
 		return
 	}
-	if was.Owner == from || was.Owner == h.options.Self || !h.hasContact(now, was.Owner) {
-		h.mergeEntry(now, e, age)
+	if live.Owner == from || live.Owner == s.options.Self || !s.peers.hasContact(now, live.Owner) {
+		s.mergeEntry(now, entry, age)
 	}
 }
 
-// marksLiveMemberDown tells whether an entry marks down a process that counts as up here, and what is held of it.
-func (h *Server) marksLiveMemberDown(e softstate.Entry) (was softstate.Member, ok bool) {
-	held := h.table.Get(e.Key)
-	if held == nil || held.Deleted || e.Deleted || !strings.HasPrefix(e.Key, softstate.MemberPrefix) {
+// marksLiveMemberDown tells whether an entry marks down a process that counts as up here, and what is stored of it. The caller
+// holds mu.
+func (s *Server) marksLiveMemberDown(entry softstate.Entry) (live softstate.Member, marksDown bool) {
+	stored := s.table.Get(entry.Key)
+	if stored == nil || stored.Deleted || entry.Deleted || !strings.HasPrefix(entry.Key, softstate.MemberPrefix) {
 		return softstate.Member{}, false
 	}
-	was, known := held.Member()
-	told, read := softstate.DecodeMember(e.Value)
-	return was, known && read && told.Down && !was.Down && told.Incarnation == was.Incarnation
-}
-
-// recentPeers gives the keepers that have shared of late, in order. The caller holds mu.
-func (h *Server) recentPeers(now time.Time) []string {
-	var out []string
-	for address, p := range h.peers {
-		if now.Sub(p.lastContact) <= peerTTL {
-			out = append(out, address)
-		}
-	}
-	slices.Sort(out)
-	return out
-}
-
-// maxPeers bounds the keepers remembered.
-const maxPeers = 64
-
-func (h *Server) removeExpiredPeers(now time.Time) {
-	for a, p := range h.peers {
-		if now.Sub(p.lastContact) > peerTTL+2*orphanTimeout {
-			delete(h.peers, a)
-		}
-	}
+	live, known := stored.Member()
+	next, ok := softstate.DecodeMember(entry.Value)
+	return live, known && ok && next.Down && !live.Down && next.Incarnation == live.Incarnation
 }
--- a/internal/system/distribution/server_test.go
+++ b/internal/system/distribution/server_test.go
@@ -108,7 +108,7 @@
 	if say(5) {
 		t.Error("a proxy that just called is down")
 	}
-	h.subscribers["p"].lastCall = now.Add(-time.Second)
+	h.sessions.byNode["p"].lastCall = now.Add(-time.Second)
 	if say(4) {
 		t.Error("a verdict on another life counts")
 	}
--- a/internal/system/distribution/subscriber_call.go
+++ b/internal/system/distribution/subscriber_call.go
@@ -191,13 +191,6 @@
 	return changed
 }
 
-func laterOf(a, b time.Time) time.Time {
-	if b.After(a) {
-		return b
-	}
-	return a
-}
-
 // continuesTable tells whether a reply is a whole table, or a delta that goes on from what is held: another call may have brought the table
 // of another keeper in the meantime. The caller holds mu.
 func (f *Subscriber) continuesTable(req *distributionpb.FollowRequest, reply *distributionpb.FollowReply) bool {
