--- a/internal/system/distribution/server_follow.go
+++ b/internal/system/distribution/server_follow.go
@@ -29,8 +29,8 @@
 
 func (s *Server) serveFollow(ctx context.Context, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
 	start := time.Now()
-	m := softstate.MemberFromProto(req.GetMember())
-	if m.Node == "" || len(m.Node) > softstate.MaxIDBytes || m.Incarnation == 0 {
+	member := softstate.MemberFromProto(req.GetMember())
+	if member.Node == "" || len(member.Node) > softstate.MaxIDBytes || member.Incarnation == 0 {
 		return nil, twirp.RequiredArgumentError("member")
 	}
 	if req.GetProbe() {
@@ -39,7 +39,7 @@
 	if !s.isCurrent() && !req.GetAcceptStale() {
 		return &distributionpb.FollowReply{PaceMs: uint64(s.limits.LoadReportInterval / time.Millisecond)}, nil
 	}
-	caller := s.beginCall(m, req)
+	caller := s.beginCall(member, req)
 	if caller == nil {
 		return nil, twirp.NewError(twirp.ResourceExhausted, "this control-plane node has too many subscribers: follow another")
 	}
@@ -62,33 +62,33 @@
 }
 
 // longPoll waits until there is something that the request does not have, or its wait is over.
-func (s *Server) longPoll(ctx context.Context, p *poll) (*distributionpb.FollowReply, error) {
-	maxWait := min(softstate.BoundedMilliseconds(p.req.GetWaitMs(), maxRequestedWait), s.limits.LongPollTimeout)
+func (s *Server) longPoll(ctx context.Context, waiting *poll) (*distributionpb.FollowReply, error) {
+	maxWait := min(softstate.BoundedMilliseconds(waiting.req.GetWaitMs(), maxRequestedWait), s.limits.LongPollTimeout)
 	for {
-		reply, wait := s.tryReply(ctx, p)
+		reply, wait := s.tryReply(ctx, waiting)
 		if reply != nil {
 			return reply, nil
 		}
-		left := maxWait - time.Since(p.start)
+		left := maxWait - time.Since(waiting.start)
 		if left <= 0 {
-			return s.buildReply(ctx, p), nil
+			return s.buildReply(ctx, waiting), nil
 		}
 		if wait.dueIn > 0 {
 			left = min(left, wait.dueIn)
 		}
-		if err := s.awaitChange(ctx, p, wait, left); err != nil {
+		if err := s.awaitChange(ctx, waiting, wait, left); err != nil {
 			return nil, err
 		}
 	}
 }
 
 // awaitChange waits for a change, at most for the time given. It fails where the caller or this server is gone.
-func (s *Server) awaitChange(ctx context.Context, p *poll, wait pollWait, atMost time.Duration) error {
+func (s *Server) awaitChange(ctx context.Context, waiting *poll, wait pollWait, atMost time.Duration) error {
 	timer := time.NewTimer(atMost)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-		s.recordLostConnection(p.caller)
+		s.recordLostConnection(waiting.caller)
 		return twirp.NewError(twirp.Canceled, "the proxy went away")
 	case <-s.done:
 		return twirp.NewError(twirp.Unavailable, "this control-plane node stops; follow another")
@@ -123,54 +123,54 @@
 }
 
 // tryReply gives a reply if there is something that the request does not have. Otherwise it gives what to wait for.
-func (s *Server) tryReply(ctx context.Context, p *poll) (*distributionpb.FollowReply, pollWait) {
+func (s *Server) tryReply(ctx context.Context, waiting *poll) (*distributionpb.FollowReply, pollWait) {
 	state, committed := s.options.Source.Committed()
 	current := s.isCurrent()
 	digest := addressDigest(s.options.Source.Addresses())
-	stateReady := !current && !p.req.GetAcceptStale() || current && state != nil && state.Seq > p.req.GetSeq()
+	stateReady := !current && !waiting.req.GetAcceptStale() || current && state != nil && state.Seq > waiting.req.GetSeq()
 	s.mu.Lock()
 	changed := s.changed
-	plan := s.scheduleSoftState(p, digest)
+	plan := s.scheduleSoftState(waiting, digest)
 	s.mu.Unlock()
 	if !current {
 		plan.addIn(currentRecheckInterval) // nothing notifies that this node has become current
 	}
 	if stateReady || plan.ready {
-		return s.buildReply(ctx, p), pollWait{}
+		return s.buildReply(ctx, waiting), pollWait{}
 	}
 	return nil, pollWait{changed: changed, committed: committed, dueIn: plan.dueIn}
 }
 
 // scheduleSoftState decides when soft state is to be sent. The caller holds mu.
-func (s *Server) scheduleSoftState(p *poll, digest uint64) schedule {
-	cursor := softstate.CursorFromProto(p.req.GetSoft())
-	plan := schedule{ready: cursor.BootID != s.bootID || s.nodesDigest(digest) != p.req.GetKeepers()}
+func (s *Server) scheduleSoftState(waiting *poll, digest uint64) schedule {
+	cursor := softstate.CursorFromProto(waiting.req.GetSoft())
+	plan := schedule{ready: cursor.BootID != s.bootID || s.nodesDigest(digest) != waiting.req.GetKeepers()}
 	if cursor.Number < s.table.LastUrgent {
 		// A change that comes alone is sent at once, one close upon another waits for more.
-		plan.add(p.caller.entriesSentAt, s.loadReportInterval()/2)
+		plan.add(waiting.caller.entriesSentAt, s.loadReportInterval()/2)
 	}
-	if softstate.CursorFromProto(p.req.GetTotals()) != s.loads.total.Cursor {
-		plan.add(p.caller.totalsSentAt, s.loadReportInterval())
+	if softstate.CursorFromProto(waiting.req.GetTotals()) != s.loads.total.Cursor {
+		plan.add(waiting.caller.totalsSentAt, s.loadReportInterval())
 	}
 	return plan
 }
 
 // buildReply makes the reply to a request, with all that it does not have.
-func (s *Server) buildReply(ctx context.Context, p *poll) *distributionpb.FollowReply {
-	reply := &distributionpb.FollowReply{CheckedMs: uint64(time.Since(p.start) / time.Millisecond)}
+func (s *Server) buildReply(ctx context.Context, waiting *poll) *distributionpb.FollowReply {
+	reply := &distributionpb.FollowReply{CheckedMs: uint64(time.Since(waiting.start) / time.Millisecond)}
 	// First whether this node is current, then what it has: what is acknowledged between is then in the reply.
 	reply.Current = s.isCurrent()
 	addresses := s.options.Source.Addresses()
 	if reply.Current {
-		s.addControlState(ctx, reply, p.req.GetSeq())
+		s.addControlState(ctx, reply, waiting.req.GetSeq())
 	}
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.addEntries(now, reply, p)
-	s.addLoads(now, reply, p)
+	s.addEntries(now, reply, waiting)
+	s.addLoads(now, reply, waiting)
 	reply.KeepersDigest = s.nodesDigest(addressDigest(addresses))
-	if reply.GetKeepersDigest() != p.req.GetKeepers() {
+	if reply.GetKeepersDigest() != waiting.req.GetKeepers() {
 		reply.Keepers = s.controlPlaneNodes(addresses)
 	}
 	reply.PaceMs = uint64(s.loadReportInterval() / time.Millisecond)
@@ -178,11 +178,11 @@
 }
 
 // addEntries adds the entries that the caller lacks. The caller holds mu.
-func (s *Server) addEntries(now time.Time, reply *distributionpb.FollowReply, p *poll) {
-	entries, full := s.table.ChangesSince(s.numberAt(softstate.CursorFromProto(p.req.GetSoft())))
+func (s *Server) addEntries(now time.Time, reply *distributionpb.FollowReply, waiting *poll) {
+	entries, full := s.table.ChangesSince(s.numberAt(softstate.CursorFromProto(waiting.req.GetSoft())))
 	reply.Entries, reply.Full, reply.Complete = softstate.EncodeEntries(now, entries), full, s.complete
 	if len(entries) > 0 {
-		p.caller.entriesSentAt = now
+		waiting.caller.entriesSentAt = now
 	}
 	reply.Soft = s.tableCursor().ToProto()
 }
@@ -201,14 +201,14 @@
 }
 
 // addLoads adds the changes of the total loads, and how far the caller's own have come. The caller holds mu.
-func (s *Server) addLoads(now time.Time, reply *distributionpb.FollowReply, p *poll) {
-	totals := s.loads.total.ChangesSince(softstate.CursorFromProto(p.req.GetTotals()))
-	if totals.GetFrom() != totals.GetNumber() || p.req.GetTotals().GetBoot() != totals.GetBoot() {
+func (s *Server) addLoads(now time.Time, reply *distributionpb.FollowReply, waiting *poll) {
+	totals := s.loads.total.ChangesSince(softstate.CursorFromProto(waiting.req.GetTotals()))
+	if totals.GetFrom() != totals.GetNumber() || waiting.req.GetTotals().GetBoot() != totals.GetBoot() {
 		reply.Totals = softstate.Marshal(totals)
-		p.caller.totalsSentAt = now
+		waiting.caller.totalsSentAt = now
 	}
-	reply.TotalsOf = p.caller.loadsInTotals
-	reply.Told = p.caller.loads.ToProto()
+	reply.TotalsOf = waiting.caller.loadsInTotals
+	reply.Told = waiting.caller.loads.ToProto()
 }
 
 // controlPlaneNodes gives the nodes in the chain's order, with where they are as far as that is known. The caller holds mu.
--- a/internal/system/distribution/server_members.go
+++ b/internal/system/distribution/server_members.go
@@ -120,27 +120,27 @@
 // decideMember decides what is to be done about a member, and why it is down. disconnected are the incarnations, by node, that lost
 // their connection to this node. The caller holds mu.
 func (s *Server) decideMember(now time.Time, stored *softstate.StoredEntry, disconnected map[string]uint64) (memberDecision, string) {
-	m, ok := stored.Member()
+	member, ok := stored.Member()
 	age := stored.AgeAt(now).Max
-	isOwn := m.Owner == s.options.Self
+	isOwn := member.Owner == s.options.Self
 	switch {
 	case !ok:
 		return deleteMember, ""
-	case s.sessions.of(m) != nil:
+	case s.sessions.of(member) != nil:
 		if !isOwn {
 			return dropSession, ""
 		}
-	case m.Down:
+	case member.Down:
 		if age > s.limits.TombstoneTTL {
 			return deleteMember, ""
 		}
-	case isOwn && disconnected[m.Node] == m.Incarnation:
+	case isOwn && disconnected[member.Node] == member.Incarnation:
 		return markMemberDown, downDisconnected
 	case isOwn:
 		if age > s.limits.SubscriberTimeout {
 			return markMemberDown, downTimedOut
 		}
-	case age > orphanTimeout && s.ownerIsLost(now, m.Owner):
+	case age > orphanTimeout && s.ownerIsLost(now, member.Owner):
 		return markMemberDown, downOrphaned
 	}
 	return keepMember, ""
--- a/internal/system/distribution/server_sessions.go
+++ b/internal/system/distribution/server_sessions.go
@@ -145,11 +145,11 @@
 
 // beginCall takes in what a call says: the member, its acknowledgement, its loads, its verdicts. It gives nil where there are too many
 // subscribers.
-func (s *Server) beginCall(m softstate.Member, req *distributionpb.FollowRequest) *session {
+func (s *Server) beginCall(member softstate.Member, req *distributionpb.FollowRequest) *session {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	caller, isNew := s.sessions.open(m)
+	caller, isNew := s.sessions.open(member)
 	if caller == nil {
 		return nil
 	}
@@ -160,8 +160,8 @@
 		s.updateMinAcked()
 	}
 	caller.loads.Apply(now, req.GetLoads())
-	if m.Revision >= caller.member.Revision {
-		caller.member = m
+	if member.Revision >= caller.member.Revision {
+		caller.member = member
 	}
 	s.assertAlive(now, caller.member)
 	for _, verdict := range req.GetDown() {
