--- a/internal/system/distribution/commit_log_test.go
+++ b/internal/system/distribution/commit_log_test.go
@@ -56,7 +56,7 @@
 			t.Errorf("asked at %v: covers %d, want %d", read.asked, got, read.covers)
 		}
 		told := softstate.EncodeEntries(time.Now(), []*softstate.StoredEntry{h.table.Get(softstate.ListKey)})
-		f.applyEntries(time.Now(), softstate.Age{}, &distributionpb.FollowReply{Entries: told})
+		f.soft.applyEntries(time.Now(), softstate.Age{}, &distributionpb.FollowReply{Entries: told})
 		if got := f.Current().ListCoversSeq; got != read.covers {
 			t.Errorf("asked at %v: a proxy hears %d, want %d", read.asked, got, read.covers)
 		}
--- a/internal/system/distribution/fleet_faults_test.go
+++ b/internal/system/distribution/fleet_faults_test.go
@@ -278,7 +278,7 @@
 		follows := func() string {
 			p.f.mu.Lock()
 			defer p.f.mu.Unlock()
-			return p.f.servingNode
+			return p.f.nodes.serving
 		}
 		within(t, 3*time.Second, "the nearest", func() bool { return follows() == "k2:1" })
 		fl.killHub("k2:1")
--- a/internal/system/distribution/golden_trace_test.go
+++ b/internal/system/distribution/golden_trace_test.go
@@ -132,7 +132,7 @@
 	node := fmt.Sprint("p", i)
 	f := NewSubscriber(SubscriberOptions{Seeds: exchangeKeepers, ControlPlanePort: 1, ProxyPort: 2, Log: quiet(),
 		Self: softstate.Member{Node: node, Incarnation: x.rng.Uint64() | 1, Zone: "zk1", Region: "r", IP: node + ":2"}})
-	x.giveIndexes(f.ownLoads)
+	x.giveIndexes(f.loads.own)
 	x.followers[i], x.loads[i] = f, map[string]pick.Load{}
 }
 
@@ -229,9 +229,9 @@
 		x.tr.bytes(softstate.EncodeServer(s))
 		x.tr.num(int64(s.WarmUpMax), int64(s.WarmUpMin), int64(s.Remaining))
 	}
-	for _, id := range slices.Sorted(maps.Keys(f.otherLoads)) {
+	for _, id := range slices.Sorted(maps.Keys(f.loads.others)) {
 		x.tr.bytes([]byte(id))
-		x.tr.num(int64(f.otherLoads[id].Requests), f.otherLoads[id].Prefill, f.otherLoads[id].Tokens)
+		x.tr.num(int64(f.loads.others[id].Requests), f.loads.others[id].Prefill, f.loads.others[id].Tokens)
 	}
 }
 
--- a/internal/system/distribution/invariants_test.go
+++ b/internal/system/distribution/invariants_test.go
@@ -12,6 +12,6 @@
 	f := NewSubscriber(SubscriberOptions{Log: quiet()})
 	newer := controlstate.Empty()
 	newer.Seq = 5
-	f.setState(newer)
-	invarianttest.Expect(t, stateNeverGoesBack, func() { f.setState(controlstate.Empty()) })
+	f.control.set(newer)
+	invarianttest.Expect(t, stateNeverGoesBack, func() { f.control.set(controlstate.Empty()) })
 }
--- a/internal/system/distribution/late_delivery_test.go
+++ b/internal/system/distribution/late_delivery_test.go
@@ -137,7 +137,7 @@
 		}
 		p.mu.Unlock()
 		p.f.mu.Lock()
-		if held := p.f.table.Get(softstate.ListKey); held != nil {
+		if held := p.f.soft.table.Get(softstate.ListKey); held != nil {
 			if was := w.shown[n]; was.Sub(w.read[held.Version]) > maxListAgeSkew+lateMargin && !w.read[held.Version].IsZero() {
 				w.broken["a list went back"]++
 			} else if w.read[held.Version].After(was) {
--- a/internal/system/distribution/membership_incomplete_test.go
+++ b/internal/system/distribution/membership_incomplete_test.go
@@ -16,20 +16,20 @@
 	if u := f.currentUpdate(now); !u.MembershipIncomplete || !u.Stale {
 		t.Errorf("at the start: %+v", u)
 	}
-	f.applyEntries(now, softstate.Age{}, &distributionpb.FollowReply{Full: true})
+	f.soft.applyEntries(now, softstate.Age{}, &distributionpb.FollowReply{Full: true})
 	if u := f.currentUpdate(now); !u.MembershipIncomplete {
 		t.Error("a keeper that has just started knows all proxies")
 	}
-	if !f.applyEntries(now, softstate.Age{}, &distributionpb.FollowReply{Full: true, Complete: true}) {
+	if !f.soft.applyEntries(now, softstate.Age{}, &distributionpb.FollowReply{Full: true, Complete: true}) {
 		t.Error("that the members are whole is no change")
 	}
-	f.lastCurrentContact = now
+	f.freshness.lastCurrentContact = now
 	if u := f.currentUpdate(now); u.MembershipIncomplete || u.Stale {
 		t.Errorf("fresh, with all members: %+v", u)
 	}
-	down := f.self
+	down := f.announced.self
 	down.Down = true
-	f.applyEntries(now, softstate.Age{}, &distributionpb.FollowReply{Entries: []*distributionpb.Entry{
+	f.soft.applyEntries(now, softstate.Age{}, &distributionpb.FollowReply{Entries: []*distributionpb.Entry{
 		{Key: softstate.MemberPrefix + "p", Fence: 1, Version: 2, Value: down.Encode()}}})
 	if u := f.currentUpdate(now); !u.Stale {
 		t.Error("not stale though it is called down")
--- a/internal/system/distribution/older_list_test.go
+++ b/internal/system/distribution/older_list_test.go
@@ -86,13 +86,13 @@
 			{Key: softstate.ServerPrefix + "a", Fence: 1, Version: version, AgeMs: most, LeastAgeMs: &least,
 				Value: softstate.EncodeServer(pick.Server{ID: "a", Service: "x", WarmUpMax: cold})}}}
 	}
-	f.applyEntries(now, softstate.Age{}, reply(3*time.Second, 9, 0, 100))
-	f.applyEntries(now, softstate.Age{}, reply(0, 5, 900, 1900))
-	if s, _, _ := f.table.Servers(now); s[0].WarmUpMax < 2900*time.Millisecond {
+	f.soft.applyEntries(now, softstate.Age{}, reply(3*time.Second, 9, 0, 100))
+	f.soft.applyEntries(now, softstate.Age{}, reply(0, 5, 900, 1900))
+	if s, _, _ := f.soft.table.Servers(now); s[0].WarmUpMax < 2900*time.Millisecond {
 		t.Errorf("cold for %v more after an older list", s[0].WarmUpMax)
 	}
-	f.applyEntries(now, softstate.Age{}, reply(time.Second, 6, 0, 50))
-	if s, _, _ := f.table.Servers(now); s[0].WarmUpMax != time.Second {
+	f.soft.applyEntries(now, softstate.Age{}, reply(time.Second, 6, 0, 50))
+	if s, _, _ := f.soft.table.Servers(now); s[0].WarmUpMax != time.Second {
 		t.Errorf("cold for %v more after a newer list", s[0].WarmUpMax)
 	}
 }
--- a/internal/system/distribution/referral_test.go
+++ b/internal/system/distribution/referral_test.go
@@ -48,7 +48,7 @@
 func TestReferralKeepsKnownNodes(t *testing.T) {
 	f := NewSubscriber(SubscriberOptions{Seeds: []string{"10.0.0.1", "10.0.0.9"}, Self: softstate.Member{Node: "p"}, Log: quiet()})
 	f.mu.Lock()
-	f.replaceNodes(encodeLocations(ServerLocation{"10.0.0.2", "zb", "r"}, ServerLocation{"10.0.0.9", "zc", "r"}))
+	f.nodes.replace(encodeLocations(ServerLocation{"10.0.0.2", "zb", "r"}, ServerLocation{"10.0.0.9", "zc", "r"}), 0)
 	f.mu.Unlock()
 	f.learnNodes(encodeLocations(ServerLocation{"10.0.0.1", "za", "r"}, ServerLocation{"10.0.0.9", "old", "old"}))
 	want := map[string]controlPlaneNode{
@@ -57,11 +57,11 @@
 		"10.0.0.9": {address: "10.0.0.9", zone: "zc", region: "r", seed: true, inView: true},
 	}
 	for address, k := range want {
-		if have := f.nodes[address]; have == nil || *have != k {
+		if have := f.nodes.byAddress[address]; have == nil || *have != k {
 			t.Errorf("%s: %+v, want %+v", address, have, k)
 		}
 	}
-	if len(f.nodes) != len(want) {
-		t.Errorf("%d keepers are known, want %d", len(f.nodes), len(want))
+	if len(f.nodes.byAddress) != len(want) {
+		t.Errorf("%d keepers are known, want %d", len(f.nodes.byAddress), len(want))
 	}
 }
--- a/internal/system/distribution/subscriber_call.go
+++ b/internal/system/distribution/subscriber_call.go
@@ -2,227 +2,182 @@
 
 import (
 	"context"
-	"maps"
-	"slices"
 	"time"
 
-	"google.golang.org/protobuf/proto"
-
+	"gradeusher.example/gradeusher/internal/system/distribution/catchup"
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// call polls a keeper once and takes in what it answers. It tells how the keeper stands. The answer must begin within wait
-// and slack, and not pause for longer than slack.
-func (f *Subscriber) call(ctx context.Context, keeper string, wait, slack time.Duration, acceptStale bool) (callResult, error) {
+const (
+	// replyIdleTimeout is how long beyond the wait of a poll nothing may arrive, until another node is followed.
+	replyIdleTimeout = 400 * time.Millisecond
+	// probeTimeout bounds one probe while several are made at once.
+	probeTimeout = 1200 * time.Millisecond
+	// maxCheckedDelay bounds how long a node may say that it waited before it looked whether it is current.
+	maxCheckedDelay = time.Minute
+)
+
+// callOptions say how long a call may take, and what it asks for.
+type callOptions struct {
+	wait        time.Duration // how long the node may wait for something new
+	maxPause    time.Duration // beyond that until the reply begins, and then between parts of it
+	acceptStale bool          // soft state of a node that is not current is wanted as well
+}
+
+// callResult is what a reply says of a node.
+type callResult struct {
+	current       bool // it is current, so it serves the control state
+	serves        bool // it serves anything
+	stateAdvanced bool // the reply brought something new of the control state
+	stillBehind   bool // though the node has something newer, the reply did not bring this proxy further
+}
+
+// call polls a node once and takes in what it replies.
+func (s *Subscriber) call(ctx context.Context, node string, options callOptions) (callResult, error) {
 	var loads map[string]pick.Load
-	if f.options.Loads != nil {
-		loads = f.options.Loads()
+	if s.options.Loads != nil {
+		loads = s.options.Loads()
 	}
-	req := f.buildRequest(loads, acceptStale)
+	req := s.buildRequest(loads, options.acceptStale)
+	wait := options.wait
 	if len(loads) > 0 {
-		// Without news from others, its own load is to be told at the keeper's pace.
-		wait = min(wait, f.loadReportWait())
+		// Without changes of others, its own load is to be reported at the node's interval.
+		wait = min(wait, s.loadReportWait())
 	}
 	req.WaitMs = uint64(wait / time.Millisecond)
-	ctx, cancel := rpc.WithIdleTimeout(ctx, wait+slack, slack)
+	ctx, cancel := rpc.WithIdleTimeout(ctx, wait+options.maxPause, options.maxPause)
 	defer cancel()
-	asked := time.Now()
-	reply, err := f.sendPoll(ctx, keeper, req)
+	sentAt := time.Now()
+	reply, err := s.sendPoll(ctx, node, req)
 	if err != nil {
 		return callResult{}, err
 	}
 	switch {
 	case reply.GetSoft() != nil:
 	case len(reply.GetKeepers()) > 0:
-		f.learnNodes(reply.GetKeepers())
+		s.learnNodes(reply.GetKeepers())
 		return callResult{}, errReferred
 	default:
-		return callResult{}, nil // a keeper that is not current and says nothing else
+		return callResult{}, nil // a node that is not current and says nothing else
 	}
-	return f.handleReply(asked, time.Now(), req, reply), nil
+	return s.handleReply(sentAt, time.Now(), req, reply), nil
 }
 
-// sendPoll sends a request to a keeper, and gives the answer to this very one.
-func (f *Subscriber) sendPoll(ctx context.Context, keeper string, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
-	req.Call = f.callIDs.Next()
-	reply, err := distributionpb.NewDistributionProtobufClient(f.baseURL(keeper, f.options.ControlPlanePort), f.client).Follow(ctx, req)
+// sendPoll sends a request to a node, and gives the reply to this very one.
+func (s *Subscriber) sendPoll(ctx context.Context, node string, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
+	req.Call = s.callIDs.Next()
+	client := distributionpb.NewDistributionProtobufClient(baseURL(node, s.options.ControlPlanePort), s.client)
+	reply, err := client.Follow(ctx, req)
 	if err != nil {
 		return nil, err
 	}
-	if err := rpc.CheckReply(req.GetCall(), reply.GetCall()); err != nil && !f.options.Knobs.AcceptAnyReply {
-		f.client.CloseIdleConnections()
+	if err := rpc.CheckReply(req.GetCall(), reply.GetCall()); err != nil && !s.options.Knobs.AcceptAnyReply {
+		s.client.CloseIdleConnections()
 		return nil, err
 	}
 	return reply, nil
 }
 
-// probeNode asks a keeper whether it is current, and nothing else: several are asked at once, and one only is to send its state.
-func (f *Subscriber) probeNode(ctx context.Context, keeper string) (current bool, err error) {
+// probeNode asks a node whether it is current, and nothing else: several are asked at once, and one only is to send its state.
+func (s *Subscriber) probeNode(ctx context.Context, node string) (current bool, err error) {
 	ctx, cancel := rpc.WithIdleTimeout(ctx, probeTimeout, replyIdleTimeout)
 	defer cancel()
-	f.mu.Lock()
-	req := &distributionpb.FollowRequest{Member: f.self.ToProto(), Seq: f.state.Seq, Probe: true}
-	f.mu.Unlock()
-	asked := time.Now()
-	reply, err := f.sendPoll(ctx, keeper, req)
+	s.mu.Lock()
+	req := &distributionpb.FollowRequest{Member: s.announced.self.ToProto(), Seq: s.control.state.Seq, Probe: true}
+	s.mu.Unlock()
+	sentAt := time.Now()
+	reply, err := s.sendPoll(ctx, node, req)
 	if err != nil {
 		return false, err
 	}
 	if len(reply.GetKeepers()) > 0 {
-		f.learnNodes(reply.GetKeepers())
+		s.learnNodes(reply.GetKeepers())
 		return false, errReferred
 	}
-	offer := offerFromReply(reply, time.Since(asked.Add(softstate.BoundedMilliseconds(reply.GetCheckedMs(), time.Minute))))
+	offer := offerFromReply(reply, time.Since(checkedAt(sentAt, reply)))
 	return offer.Current && !offer.Expired(), nil
 }
 
-// callResult is how a keeper answered.
-type callResult struct {
-	current       bool // it feeds the control state
-	serves        bool // it feeds anything
-	stateAdvanced bool // and there was something new in it
-	stillBehind   bool // though it holds something newer, it did not bring this proxy further
+// checkedAt is when a node looked whether it is current, at the earliest: it waited so long after the request came, and that came
+// after it was sent.
+func checkedAt(sentAt time.Time, reply *distributionpb.FollowReply) time.Time {
+	return sentAt.Add(softstate.BoundedMilliseconds(reply.GetCheckedMs(), maxCheckedDelay))
 }
 
-func (f *Subscriber) loadReportWait() time.Duration {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.loadReportInterval + f.loadReportInterval/4
+func (s *Subscriber) loadReportWait() time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.loads.maxWait()
 }
 
-// buildRequest says what is held.
-func (f *Subscriber) buildRequest(loads map[string]pick.Load, acceptStale bool) *distributionpb.FollowRequest {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// buildRequest says what this proxy has.
+func (s *Subscriber) buildRequest(loads map[string]pick.Load, acceptStale bool) *distributionpb.FollowRequest {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := time.Now()
-	if f.ownLoads.Publish(now, loads) || len(f.sentLoads) == 0 || f.sentLoads[len(f.sentLoads)-1].number != f.ownLoads.Number {
-		f.sentLoads = append(f.sentLoads, sentLoads{f.ownLoads.Number, loads})
-		if len(f.sentLoads) > 16 {
-			f.sentLoads = f.sentLoads[1:]
-		}
-	}
 	req := &distributionpb.FollowRequest{
-		Member: f.self.ToProto(), Seq: f.position().Ask(), AcceptStale: acceptStale, Keepers: f.nodesDigest,
-		Soft:   &distributionpb.Cursor{Boot: f.tableCursor.GetBoot(), Number: f.tableCursor.GetNumber()},
-		Totals: f.totalLoads.Cursor.ToProto(),
-		Loads:  f.ownLoads.ChangesSince(f.ackedLoads),
-	}
-	for node, incarnation := range f.pendingVerdicts {
-		req.Down = append(req.Down, &distributionpb.Verdict{Node: node, Incarnation: incarnation})
+		Seq: s.control.position().Ask(), AcceptStale: acceptStale, Keepers: s.nodes.digest, Soft: s.soft.cursor.ToProto(),
 	}
+	s.loads.addTo(now, req, loads)
+	s.announced.addTo(req)
 	return req
 }
 
-// handleReply takes a keeper's reply in, to a request that was sent at asked.
-func (f *Subscriber) handleReply(asked, now time.Time, req *distributionpb.FollowRequest, reply *distributionpb.FollowReply) callResult {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	checked := asked.Add(softstate.BoundedMilliseconds(reply.GetCheckedMs(), time.Minute))
-	if f.options.Knobs.DateByArrival {
+// handleReply takes in a node's reply to a request that was sent at a moment.
+func (s *Subscriber) handleReply(sentAt, now time.Time, req *distributionpb.FollowRequest, reply *distributionpb.FollowReply) callResult {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	checked := checkedAt(sentAt, reply)
+	if s.options.Knobs.DateByArrival {
 		checked = now
 	}
 	offer := offerFromReply(reply, now.Sub(checked))
-	if rev := req.GetMember().GetRevision(); rev > f.ackedRevision {
-		f.ackedRevision = rev
-		close(f.revisionAcked)
-		f.revisionAcked = make(chan struct{})
-	}
-	for _, v := range req.GetDown() {
-		if f.pendingVerdicts[v.GetNode()] == v.GetIncarnation() {
-			delete(f.pendingVerdicts, v.GetNode())
-		}
-	}
-	before := f.state.Seq
-	f.applyState(offer, reply)
-	durable := f.state.Seq != before
-	if durable {
-		signal(f.updatePending)
+	s.announced.acknowledge(req)
+	advanced := s.control.apply(s.options.Log, offer, reply)
+	if advanced {
+		signal(s.updatePending)
 	}
 	if offer.Expired() {
-		return callResult{serves: true, stateAdvanced: durable}
-	}
-	f.lastContact = now
-	if offer.Current {
-		f.lastCurrentContact = laterOf(f.lastCurrentContact, checked)
-		if !f.refreshAfter.IsZero() && !f.lastCurrentContact.Before(f.refreshAfter) {
-			f.refreshAfter = time.Time{}
-			signal(f.updatePending)
-		}
-	}
-	if f.applySoftState(now, now.Sub(checked), req, reply) {
-		signal(f.updatePending)
-	}
-	if f.position().ProvesFreshness(offer) {
-		if f.freshAt.IsZero() {
-			signal(f.updatePending) // what is held may be served from now on
-		}
-		f.freshAt = laterOf(f.freshAt, checked)
-	}
-	return callResult{current: offer.Current, serves: true, stateAdvanced: durable, stillBehind: offer.Newest > f.state.Seq && !durable}
-}
-
-// applySoftState takes in all of a reply but the control state, and tells whether anything changed that matters to the owner. The
-// reply is about some moment of the delay before now, at most, so ages add up over all hops. The caller holds mu.
-func (f *Subscriber) applySoftState(now time.Time, delay time.Duration, req *distributionpb.FollowRequest, reply *distributionpb.FollowReply) bool {
-	goesOn := f.continuesTable(req, reply)
-	if !goesOn {
-		reply.Entries = withoutListEntry(reply.GetEntries())
-	}
-	again := f.trackSkippedList(f.bringsOlderList(now, softstate.AgeUpTo(delay), reply), reply)
-	changed := f.applyEntries(now, softstate.AgeUpTo(delay), reply)
-	switch to := reply.GetSoft(); {
-	case again:
-		f.tableCursor.Boot, f.tableCursor.Number = 0, 0
-	case goesOn:
-		f.tableCursor.Boot, f.tableCursor.Number = to.GetBoot(), to.GetNumber()
-	}
-	f.ackedLoads = softstate.CursorFromProto(reply.GetTold())
-	f.applyTotalLoads(now.Add(-delay), reply)
-	if len(reply.GetKeepers()) > 0 {
-		f.replaceNodes(reply.GetKeepers())
-		f.nodesDigest = reply.GetKeepersDigest()
+		return callResult{serves: true, stateAdvanced: advanced}
+	}
+	s.freshness.lastContact = now
+	if offer.Current && s.freshness.observeCurrent(checked) {
+		signal(s.updatePending)
 	}
-	if p := softstate.BoundedMilliseconds(reply.GetPaceMs(), 2*time.Second); p > 0 {
-		f.loadReportInterval = p
+	s.applySoftState(now, checked, req, reply)
+	if s.control.position().ProvesFreshness(offer) && s.freshness.observeFresh(checked) {
+		signal(s.updatePending) // what this proxy has may be served from now on
 	}
-	return changed
+	return callResult{current: offer.Current, serves: true, stateAdvanced: advanced, stillBehind: isBehind(s.control.position(), offer) && !advanced}
 }
 
-// continuesTable tells whether a reply is a whole table, or a delta that goes on from what is held: another call may have brought the table
-// of another keeper in the meantime. The caller holds mu.
-func (f *Subscriber) continuesTable(req *distributionpb.FollowRequest, reply *distributionpb.FollowReply) bool {
-	asked, to := req.GetSoft(), reply.GetSoft()
-	same := to.GetBoot() == f.tableCursor.GetBoot() && asked.GetBoot() == to.GetBoot()
-	return reply.GetFull() || same && asked.GetNumber() <= f.tableCursor.GetNumber() && to.GetNumber() >= f.tableCursor.GetNumber()
+// isBehind tells whether a node has something newer.
+func isBehind(position catchup.Position, offer catchup.Offer) bool {
+	return offer.Newest > position.Seq
 }
 
-// withoutListEntry leaves out the entry that tells when the platform's list was read: without the servers that the reading showed, and
-// that the delta takes for known, it would make older ones look as if they came from that reading.
-func withoutListEntry(entries []*distributionpb.Entry) []*distributionpb.Entry {
-	return slices.DeleteFunc(entries, func(e *distributionpb.Entry) bool { return e.GetKey() == softstate.ListKey })
+// applySoftState takes in all of a reply but the control state. The reply was made between a moment and now, so ages add up over all
+// hops. The caller holds mu.
+func (s *Subscriber) applySoftState(now, earliest time.Time, req *distributionpb.FollowRequest, reply *distributionpb.FollowReply) {
+	delay := softstate.AgeUpTo(now.Sub(earliest))
+	changed := s.soft.merge(now, delay, req, reply)
+	if s.loads.handleReply(earliest, reply) {
+		signal(s.loadsPending)
+	}
+	if len(reply.GetKeepers()) > 0 {
+		s.nodes.replace(reply.GetKeepers(), reply.GetKeepersDigest())
+	}
+	if changed {
+		signal(s.updatePending)
+	}
 }
 
-// applyTotalLoads takes total loads in and works out what is of others.
-func (f *Subscriber) applyTotalLoads(now time.Time, reply *distributionpb.FollowReply) {
-	if b := reply.GetTotals(); len(b) > 0 {
-		var w distributionpb.Loads
-		if proto.Unmarshal(b, &w) != nil || !f.totalLoads.Apply(now, &w) {
-			return
-		}
-	}
-	f.totalLoads.ReceivedAt = now
-	var mine map[string]pick.Load
-	for _, o := range f.sentLoads {
-		if o.number == reply.GetTotalsOf() {
-			mine = o.loads
-		}
-	}
-	others := f.totalLoads.Without(mine)
-	if !maps.Equal(others, f.otherLoads) {
-		f.otherLoads = others
-		signal(f.loadsPending)
-	}
+// learnNodes adds the nodes that an observer names. Those known already stay as they are: one that serves knows better.
+func (s *Subscriber) learnNodes(named []*distributionpb.Keeper) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.nodes.add(named)
 }
--- /dev/null
+++ b/internal/system/distribution/subscriber_freshness.go
@@ -0,0 +1,54 @@
+package distribution
+
+import (
+	"time"
+
+	"gradeusher.example/gradeusher/internal/system/distribution/catchup"
+)
+
+// unknownAge is the age of a contact that never was.
+const unknownAge = time.Hour
+
+// freshnessTracker tracks what the subscriber can prove of its contacts to the control plane. All moments are by this process's
+// monotonic clock. The subscriber's mu guards it.
+type freshnessTracker struct {
+	lastContact        time.Time // when the last reply came that was not late
+	freshAt            time.Time // when it was certainly so that nothing newer than the state had been acknowledged; zero: never yet
+	lastCurrentContact time.Time // when a node that was current certainly still replied
+	refreshAfter       time.Time // the owner awaits a current node's reply to a call from after it; zero: none in particular
+}
+
+// neverFresh tells whether no reply since the start has proved that the state is the newest.
+func (t *freshnessTracker) neverFresh() bool { return t.freshAt.IsZero() }
+
+// isFresh tells whether the state was the newest at most FreshnessTTL ago.
+func (t *freshnessTracker) isFresh(now time.Time) bool {
+	return !t.freshAt.IsZero() && now.Sub(t.freshAt) <= catchup.FreshnessTTL
+}
+
+// outOfContact tells whether there was no contact to a current node for so long that others may take this process for lost.
+func (t *freshnessTracker) outOfContact(now time.Time) bool {
+	return now.Sub(t.lastCurrentContact) > catchup.FreshnessTTL
+}
+
+// contactAge is how long ago a current node certainly still replied, at most.
+func (t *freshnessTracker) contactAge(now time.Time) time.Duration {
+	return min(now.Sub(t.lastCurrentContact), unknownAge)
+}
+
+// observeCurrent records that a node was current at a moment, and tells whether the owner awaits that.
+func (t *freshnessTracker) observeCurrent(at time.Time) (awaited bool) {
+	t.lastCurrentContact = laterOf(t.lastCurrentContact, at)
+	awaited = !t.refreshAfter.IsZero() && !t.lastCurrentContact.Before(t.refreshAfter)
+	if awaited {
+		t.refreshAfter = time.Time{}
+	}
+	return awaited
+}
+
+// observeFresh records that the state was the newest at a moment, and tells whether that is the first proof since the start.
+func (t *freshnessTracker) observeFresh(at time.Time) (first bool) {
+	first = t.neverFresh()
+	t.freshAt = laterOf(t.freshAt, at)
+	return first
+}
--- a/internal/system/distribution/subscriber_history_test.go
+++ b/internal/system/distribution/subscriber_history_test.go
@@ -18,11 +18,11 @@
 	for i := range int64(200) {
 		body := fmt.Appendf(nil, `{"revision":%d,"routes":[],"services":[]}`, i+1)
 		seq := c.add(controlstate.Record{Op: controlstate.OpReplace, Base: i, Body: body})
-		next, err := applyRecord(f.state, &distributionpb.Record{Seq: seq, Op: uint32(controlstate.OpReplace), Base: i, Body: body})
+		next, err := applyRecord(f.control.state, &distributionpb.Record{Seq: seq, Op: uint32(controlstate.OpReplace), Base: i, Body: body})
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.state = next
+		f.control.state = next
 	}
 	state, _ := h.options.Source.Committed()
 	reply := &distributionpb.FollowReply{}
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	const most = 128 // bytes
-	for what, s := range map[string]*controlstate.State{"a snapshot": snapshot, "records": f.state} {
+	for what, s := range map[string]*controlstate.State{"a snapshot": snapshot, "records": f.control.state} {
 		if s.Seq != 200 || s.Revision() != 200 || len(s.Encode()) > most {
 			t.Errorf("from %s: record %d, version %d, %d bytes", what, s.Seq, s.Revision(), len(s.Encode()))
 		}
--- a/internal/system/distribution/subscriber_late_reply_test.go
+++ b/internal/system/distribution/subscriber_late_reply_test.go
@@ -32,7 +32,7 @@
 	if got.current != f.Current().Fresh {
 		tb.Errorf("the keeper counts as current: %v, the state as fresh: %v", got.current, f.Current().Fresh)
 	}
-	return f.Current(), f.state.Seq
+	return f.Current(), f.control.state.Seq
 }
 
 // TestLateReplyProvesNoFreshness: an answer that lay in a buffer for 20 s, or whose reader was stopped, brings records, which
@@ -59,7 +59,7 @@
 		t.Error("control: a late state is not served either")
 	}
 	f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
-	f.state = &controlstate.State{Seq: 7}
+	f.control.state = &controlstate.State{Seq: 7}
 	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), &distributionpb.FollowReply{Current: true, Newest: 7})
 	if got := f.Current().State.Seq; got != 7 {
 		t.Errorf("serves %d after a prompt word", got)
--- a/internal/system/distribution/subscriber_list_updates_test.go
+++ b/internal/system/distribution/subscriber_list_updates_test.go
@@ -12,7 +12,7 @@
 func TestListUpdateNotifiesOwner(t *testing.T) {
 	f := NewSubscriber(SubscriberOptions{Log: quiet()})
 	read := func(version uint64) bool {
-		return f.applyEntries(time.Now(), softstate.Age{}, &distributionpb.FollowReply{Entries: []*distributionpb.Entry{{Key: softstate.ListKey, Fence: 1, Version: version}}})
+		return f.soft.applyEntries(time.Now(), softstate.Age{}, &distributionpb.FollowReply{Entries: []*distributionpb.Entry{{Key: softstate.ListKey, Fence: 1, Version: version}}})
 	}
 	if read(1) {
 		t.Error("told though nothing changed")
--- a/internal/system/distribution/subscriber_neighbours.go
+++ b/internal/system/distribution/subscriber_neighbours.go
@@ -12,116 +12,127 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
-// Handler serves neighbours that start, under /twirp/gradeusher.distribution.Neighbours/.
-func (f *Subscriber) Handler() http.Handler {
-	return rpc.BoundedHandler(distributionpb.NewNeighboursServer(f))
+const (
+	// neighbourQueryDelay is how long without contact to a control-plane node neighbours are queried.
+	neighbourQueryDelay = 1500 * time.Millisecond
+	// maxStartNeighbours is how many neighbours a proxy that starts queries in a round, until so many have replied with a state.
+	maxStartNeighbours = 3
+	// maxStaleNeighbours is how many neighbours a proxy queries that has no contact to a control-plane node any more.
+	maxStaleNeighbours = 2
+)
+
+// Handler serves neighbours, under /twirp/gradeusher.distribution.Neighbours/.
+func (s *Subscriber) Handler() http.Handler {
+	return rpc.BoundedHandler(distributionpb.NewNeighboursServer(s))
 }
 
-// Neighbour answers all that is held; to a proxy that holds a state of its own, the list of servers and a newer state.
-func (f *Subscriber) Neighbour(_ context.Context, req *distributionpb.NeighbourRequest) (*distributionpb.FollowReply, error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	items, _ := f.table.ChangesSince(0)
+// Neighbour replies with all that this proxy has; to a proxy that has a state of its own, with the list of servers and a newer state.
+func (s *Subscriber) Neighbour(_ context.Context, req *distributionpb.NeighbourRequest) (*distributionpb.FollowReply, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	entries, _ := s.soft.table.ChangesSince(0)
 	if req.GetSeq() > 0 {
-		items = slices.DeleteFunc(items, func(it *softstate.StoredEntry) bool { return !softstate.BelongsToList(it.Key) })
+		entries = slices.DeleteFunc(entries, func(e *softstate.StoredEntry) bool { return !softstate.BelongsToList(e.Key) })
 	}
-	reply := &distributionpb.FollowReply{Call: req.GetCall(), Entries: softstate.EncodeEntries(time.Now(), items)}
-	if f.state.Seq > req.GetSeq() {
-		reply.Snapshot, reply.SnapshotDeflated = rpc.Compress(f.state.Encode())
-	}
-	for _, k := range f.nodes {
-		if k.inView {
-			reply.Keepers = append(reply.Keepers, &distributionpb.Keeper{Address: k.address, Zone: k.zone, Region: k.region})
-		}
+	reply := &distributionpb.FollowReply{Call: req.GetCall(), Entries: softstate.EncodeEntries(time.Now(), entries), Keepers: s.nodes.view()}
+	if s.control.state.Seq > req.GetSeq() {
+		reply.Snapshot, reply.SnapshotDeflated = rpc.Compress(s.control.state.Encode())
 	}
 	return reply, nil
 }
 
-const (
-	maxStartNeighbours = 3 // neighbours that a proxy which starts asks in a round, until so many have answered with a state
-	maxStaleNeighbours = 2 // and one that hears no keeper any more
-)
-
-// neighbourLoop takes what neighbours hold while no keeper has been reached since the start, and while none has been heard of late:
-// then others may still hear of evacuations and cold servers.
-func (f *Subscriber) neighbourLoop(ctx context.Context) {
+// neighbourLoop takes what neighbours have while no control-plane node has been reached since the start, and while there is no contact
+// to any: others may still learn of evacuations and cold servers. It runs until ctx ends.
+func (s *Subscriber) neighbourLoop(ctx context.Context) {
 	for wait := neighbourQueryDelay; sleep(ctx, wait); wait = neighbourQueryDelay / 2 {
-		f.mu.Lock()
-		starts, silent := f.freshAt.IsZero(), time.Since(f.lastCurrentContact) > neighbourQueryDelay
-		f.mu.Unlock()
+		s.mu.Lock()
+		starting, outOfContact := s.freshness.neverFresh(), time.Since(s.freshness.lastCurrentContact) > neighbourQueryDelay
+		s.mu.Unlock()
 		switch {
-		case starts:
-			f.queryNeighbours(ctx, f.neighbourAddresses(true), maxStartNeighbours)
-		case silent:
-			f.queryNeighbours(ctx, f.neighbourAddresses(false), maxStaleNeighbours)
+		case starting:
+			s.queryNeighbours(ctx, s.neighbourAddresses(true), maxStartNeighbours)
+		case outOfContact:
+			s.queryNeighbours(ctx, s.neighbourAddresses(false), maxStaleNeighbours)
 		}
 	}
 }
 
-// neighbourAddresses are the machines where other proxies are to be found, in the order of trying them: at random, where the seeds are not
+// neighbourAddresses are the machines where other proxies are to be found, in the order of trying them: at random, where seeds are not
 // wanted those of this region first.
-func (f *Subscriber) neighbourAddresses(seeds bool) []string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (s *Subscriber) neighbourAddresses(withSeeds bool) []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	self := s.announced.self
 	var near, far []string
-	for _, m := range f.table.Members() {
+	for _, member := range s.soft.table.Members() {
 		switch {
-		case m.Node == f.self.Node || m.IP == "" || m.Down:
-		case m.Region == f.self.Region && !seeds:
-			near = append(near, m.IP)
+		case member.Node == self.Node || member.IP == "" || member.Down:
+		case member.Region == self.Region && !withSeeds:
+			near = append(near, member.IP)
 		default:
-			far = append(far, m.IP)
+			far = append(far, member.IP)
 		}
 	}
-	if seeds {
-		far = append(far, f.options.Seeds...)
+	if withSeeds {
+		far = append(far, s.options.Seeds...)
 	}
-	for _, places := range [][]string{near, far} {
-		rand.Shuffle(len(places), func(i, j int) { places[i], places[j] = places[j], places[i] })
+	for _, addresses := range [][]string{near, far} {
+		rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	}
 	return append(near, far...)
 }
 
-// queryNeighbours asks one place after the other until so many have answered.
-func (f *Subscriber) queryNeighbours(ctx context.Context, places []string, most int) {
-	for i, taken := 0, 0; i < len(places) && taken < most && ctx.Err() == nil; i++ {
-		if f.queryNeighbour(ctx, places[i]) {
-			taken++
+// queryNeighbours queries one address after the other until enough have replied.
+func (s *Subscriber) queryNeighbours(ctx context.Context, addresses []string, enough int) {
+	replied := 0
+	for _, address := range addresses {
+		if replied >= enough || ctx.Err() != nil {
+			return
+		}
+		if s.queryNeighbour(ctx, address) {
+			replied++
 		}
 	}
 }
 
-func (f *Subscriber) queryNeighbour(ctx context.Context, place string) bool {
+// queryNeighbour takes in what a neighbour has, and tells whether that was of use.
+func (s *Subscriber) queryNeighbour(ctx context.Context, address string) bool {
 	ctx, cancel := rpc.WithIdleTimeout(ctx, probeTimeout, replyIdleTimeout)
 	defer cancel()
-	asked := time.Now()
-	f.mu.Lock()
-	starts, seq := f.freshAt.IsZero(), f.state.Seq
-	f.mu.Unlock()
-	req := &distributionpb.NeighbourRequest{Node: f.options.Self.Node, Call: f.callIDs.Next()}
-	if !starts {
+	sentAt := time.Now()
+	s.mu.Lock()
+	starting, seq := s.freshness.neverFresh(), s.control.state.Seq
+	s.mu.Unlock()
+	req := &distributionpb.NeighbourRequest{Node: s.options.Self.Node, Call: s.callIDs.Next()}
+	if !starting {
 		req.Seq = seq
 	}
-	reply, err := distributionpb.NewNeighboursProtobufClient(f.baseURL(place, f.options.ProxyPort), f.client).Neighbour(ctx, req)
+	client := distributionpb.NewNeighboursProtobufClient(baseURL(address, s.options.ProxyPort), s.client)
+	reply, err := client.Neighbour(ctx, req)
 	if err != nil || rpc.CheckReply(req.GetCall(), reply.GetCall()) != nil {
 		return false
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.nodesDigest == 0 {
-		f.addNodes(reply.GetKeepers())
+	return s.handleNeighbourReply(sentAt, address, starting, reply)
+}
+
+// handleNeighbourReply takes in a neighbour's reply to a request that was sent at a moment, and tells whether that was of use.
+func (s *Subscriber) handleNeighbourReply(sentAt time.Time, address string, starting bool, reply *distributionpb.FollowReply) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.nodes.digest == 0 {
+		s.nodes.add(reply.GetKeepers())
 	}
-	if starts && !f.allNodesTried() && !f.options.Knobs.NeighbourAtOnce {
-		return false // a keeper that can be reached knows better: ask again once they have been tried
+	if starting && !s.nodes.allTried() && !s.options.Knobs.NeighbourAtOnce {
+		return false // a node that can be reached knows better: query again once they have been tried
 	}
-	before := f.state.Seq
-	f.applyState(offerFromReply(reply, 0), reply)
+	advanced := s.control.apply(s.options.Log, offerFromReply(reply, 0), reply)
 	now := time.Now()
-	changed := f.applyEntries(now, softstate.AgeUpTo(now.Sub(asked)), reply)
-	f.stateFromNeighbour = f.stateFromNeighbour || f.state.Seq > 0 && starts
-	if changed || f.state.Seq != before {
-		f.options.Log.WithField("neighbour", place).WithField("seq", f.state.Seq).Info("distribution: no keeper is reached; holding what a neighbour holds")
-		signal(f.updatePending)
+	changed := s.soft.applyEntries(now, softstate.AgeUpTo(now.Sub(sentAt)), reply)
+	s.control.fromNeighbour = s.control.fromNeighbour || s.control.state.Seq > 0 && starting
+	if changed || advanced {
+		s.options.Log.WithField("neighbour", address).WithField("seq", s.control.state.Seq).
+			Info("distribution: no control-plane node is reached; using what a neighbour has")
+		signal(s.updatePending)
 	}
-	return len(reply.GetSnapshot()) > 0 || !starts
+	return len(reply.GetSnapshot()) > 0 || !starting
 }
--- a/internal/system/distribution/subscriber_nodes.go
+++ b/internal/system/distribution/subscriber_nodes.go
@@ -1,8 +1,6 @@
 package distribution
 
 import (
-	"context"
-	"math/rand/v2"
 	"net"
 	"sort"
 	"strconv"
@@ -12,309 +10,209 @@
 	"github.com/cockroachdb/errors"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
 const (
-	replyIdleTimeout    = 400 * time.Millisecond  // beyond the wait of a poll, until another keeper is taken
-	probeTimeout        = 1200 * time.Millisecond // of one try while several are made at once
-	probeInterval       = 50 * time.Millisecond   // between the tries
-	minSearchBackoff    = 20 * time.Millisecond   // after the keepers were tried in vain, for the first time
-	maxSearchBackoff    = 200 * time.Millisecond  // and for as long as that lasts
-	maxConcurrentProbes = 16                      // tries under way: as many as there may be keepers, and some seeds that are none
-	failurePenalty      = 2 * time.Second         // a keeper that just failed comes last
-	returnInterval      = 5 * time.Second         // until a nearer keeper is tried again
-	behindRetryInterval = 100 * time.Millisecond  // until a keeper is asked again whose answer did not help
-	maxStaleDuration    = time.Second             // with a keeper that is not current, until a current one is sought again
-	neighbourQueryDelay = 1500 * time.Millisecond // without a keeper, until neighbours are asked
+	// failurePenalty is how long a node that just failed comes last.
+	failurePenalty = 2 * time.Second
+	// returnInterval is how long after a failure a nearer node is tried again.
+	returnInterval = 5 * time.Second
 )
 
-// controlPlaneNode is a keeper known, or a seed that may be one.
+// errReferred marks a call to a node that serves no proxies and has named those that do.
+var errReferred = errors.New("distribution: this node serves no proxies; the ones that it names are tried")
+
+// distance ranks control-plane nodes by how near they are.
+type distance int
+
+const (
+	sameZone distance = iota
+	sameRegion
+	otherRegion
+	onlySeed // a machine that may be no control-plane node
+)
+
+// controlPlaneNode is a control-plane node known, or a seed that may be one.
 type controlPlaneNode struct {
 	address, zone, region string
-	seed, inView          bool // told in the settings; told by a keeper or a neighbour
+	seed, inView          bool // named in the settings; named by a node or a neighbour
 	tried                 bool // a call has ended since the start, whatever came of it
 	failedAt              time.Time
 }
 
-func (f *Subscriber) baseURL(address string, port int) string {
-	if _, _, err := net.SplitHostPort(address); err == nil {
-		return "http://" + address
+// failedWithin tells whether the node has failed within the duration before now.
+func (n *controlPlaneNode) failedWithin(now time.Time, d time.Duration) bool {
+	return !n.failedAt.IsZero() && now.Sub(n.failedAt) < d
+}
+
+// nodeSet is the control-plane nodes that a subscriber knows, and the one that it follows. The subscriber's mu guards it.
+type nodeSet struct {
+	self      softstate.Member
+	byAddress map[string]*controlPlaneNode
+	digest    uint64 // of the nodes, as the node followed computes it; 0: none has named them yet
+	serving   string // the node that is followed; empty: none
+}
+
+func newNodeSet(self softstate.Member, seeds []string) nodeSet {
+	set := nodeSet{self: self, byAddress: map[string]*controlPlaneNode{}}
+	for _, seed := range seeds {
+		set.byAddress[seed] = &controlPlaneNode{address: seed, seed: true}
 	}
-	return "http://" + net.JoinHostPort(address, strconv.Itoa(port))
+	return set
 }
 
-// replaceNodes makes the keepers told the ones known. The caller holds mu.
-func (f *Subscriber) replaceNodes(told []*distributionpb.Keeper) {
-	for a, k := range f.nodes {
-		if k.inView = false; !k.seed {
-			delete(f.nodes, a)
+// replace makes the nodes named the ones known, beside the seeds.
+func (s *nodeSet) replace(named []*distributionpb.Keeper, digest uint64) {
+	for address, node := range s.byAddress {
+		if node.inView = false; !node.seed {
+			delete(s.byAddress, address)
 		}
 	}
-	for i, w := range told {
-		if i == maxPeers {
-			break
-		}
-		k := f.nodes[w.GetAddress()]
-		if k == nil {
-			k = &controlPlaneNode{address: w.GetAddress()}
-			f.nodes[k.address] = k
+	for _, each := range named[:min(len(named), maxPeers)] {
+		node := s.byAddress[each.GetAddress()]
+		if node == nil {
+			node = &controlPlaneNode{address: each.GetAddress()}
+			s.byAddress[node.address] = node
 		}
-		k.zone, k.region, k.inView = w.GetZone(), w.GetRegion(), true
+		node.zone, node.region, node.inView = each.GetZone(), each.GetRegion(), true
 	}
+	s.digest = digest
 }
 
-// errReferred is given by a call to a keeper that feeds no proxies and has named those that do.
-var errReferred = errors.New("distribution: this keeper feeds no proxies; the ones that it names are tried")
-
-// learnNodes adds the keepers that an observer names. Those known already stay as they are: one that feeds knows better.
-func (f *Subscriber) learnNodes(told []*distributionpb.Keeper) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.addNodes(told)
-}
-
-// addNodes adds the keepers that an observer or a neighbour names. The caller holds mu.
-func (f *Subscriber) addNodes(told []*distributionpb.Keeper) {
-	for i, w := range told {
-		k := f.nodes[w.GetAddress()]
-		if i >= maxPeers || k != nil && k.inView || k == nil && len(f.nodes) >= 2*maxPeers {
+// add adds the nodes that an observer or a neighbour names. Those of the view stay as they are.
+func (s *nodeSet) add(named []*distributionpb.Keeper) {
+	for _, each := range named[:min(len(named), maxPeers)] {
+		known := s.byAddress[each.GetAddress()]
+		if known != nil && known.inView || known == nil && len(s.byAddress) >= 2*maxPeers {
 			continue
 		}
-		named := &controlPlaneNode{address: w.GetAddress(), zone: w.GetZone(), region: w.GetRegion(), inView: true}
-		if k != nil {
-			named.seed, named.tried = k.seed, k.tried
+		node := &controlPlaneNode{address: each.GetAddress(), zone: each.GetZone(), region: each.GetRegion(), inView: true}
+		if known != nil {
+			node.seed, node.tried = known.seed, known.tried
 		}
-		f.nodes[w.GetAddress()] = named
+		s.byAddress[node.address] = node
 	}
 }
 
-// distance ranks a keeper: those of the view before mere seeds, then the nearer. The caller holds mu.
-func (f *Subscriber) distance(k *controlPlaneNode) int {
+// view gives the nodes that were named, as messages.
+func (s *nodeSet) view() []*distributionpb.Keeper {
+	var out []*distributionpb.Keeper
+	for _, node := range s.byAddress {
+		if node.inView {
+			out = append(out, &distributionpb.Keeper{Address: node.address, Zone: node.zone, Region: node.region})
+		}
+	}
+	return out
+}
+
+// distance ranks a node: those of the view before mere seeds, then the nearer.
+func (s *nodeSet) distance(node *controlPlaneNode) distance {
 	switch {
-	case !k.inView:
-		return 3
-	case k.zone != "" && k.zone == f.self.Zone:
-		return 0
-	case k.region != "" && k.region == f.self.Region:
-		return 1
+	case !node.inView:
+		return onlySeed
+	case node.zone != "" && node.zone == s.self.Zone:
+		return sameZone
+	case node.region != "" && node.region == s.self.Region:
+		return sameRegion
 	}
-	return 2
+	return otherRegion
 }
 
-// rankedNodes gives the keepers to try, best first: near before far, and among equals by rendezvous, so that the proxies
-// spread evenly. Those that just failed come last.
-func (f *Subscriber) rankedNodes(now time.Time) []string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	type candidate struct {
-		address  string
-		failed   bool
-		distance int
-		weight   uint64
+// candidate is a node with what ranks it.
+type candidate struct {
+	address  string
+	failed   bool
+	distance distance
+	weight   uint64 // by rendezvous hashing
+}
+
+// before tells whether a node is to be tried before another.
+func (c candidate) before(other candidate) bool {
+	switch {
+	case c.failed != other.failed:
+		return other.failed
+	case c.distance != other.distance:
+		return c.distance < other.distance
+	case c.weight != other.weight:
+		return c.weight > other.weight
 	}
-	var all []candidate
-	for _, k := range f.nodes {
-		all = append(all, candidate{k.address, !k.failedAt.IsZero() && now.Sub(k.failedAt) < failurePenalty, f.distance(k),
-			xxhash.Sum64String(f.self.Node + "\x00" + k.address)})
+	return c.address < other.address
+}
+
+// ranked gives the nodes to try, best first: near before far, and among equals by rendezvous hashing (Thaler, Ravishankar 1998), so
+// that the proxies spread evenly. Those that just failed come last.
+func (s *nodeSet) ranked(now time.Time) []string {
+	candidates := make([]candidate, 0, len(s.byAddress))
+	for _, node := range s.byAddress {
+		candidates = append(candidates, candidate{address: node.address, failed: node.failedWithin(now, failurePenalty),
+			distance: s.distance(node), weight: xxhash.Sum64String(s.self.Node + "\x00" + node.address)})
 	}
-	sort.Slice(all, func(i, j int) bool {
-		a, b := all[i], all[j]
-		switch {
-		case a.failed != b.failed:
-			return b.failed
-		case a.distance != b.distance:
-			return a.distance < b.distance
-		case a.weight != b.weight:
-			return a.weight > b.weight
-		}
-		return a.address < b.address
-	})
-	out := make([]string, len(all))
-	for i, c := range all {
-		out[i] = c.address
+	sort.Slice(candidates, func(i, j int) bool { return candidates[i].before(candidates[j]) })
+	out := make([]string, len(candidates))
+	for i, each := range candidates {
+		out[i] = each.address
 	}
 	return out
 }
 
-// nearerNode gives a keeper that is nearerNode than the one followed and has not failed of late; "": there is none.
-func (f *Subscriber) nearerNode(now time.Time, current string) string {
-	best := f.rankedNodes(now)
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if len(best) == 0 || best[0] == current {
+// nearer gives a node that is nearer than the one followed and has not failed lately; "": there is none.
+func (s *nodeSet) nearer(now time.Time, current string) string {
+	ranked := s.ranked(now)
+	if len(ranked) == 0 || ranked[0] == current {
 		return ""
 	}
-	k, c := f.nodes[best[0]], f.nodes[current]
-	if k == nil || c == nil || f.distance(k) >= f.distance(c) || !k.failedAt.IsZero() && now.Sub(k.failedAt) < returnInterval {
+	best, followed := s.byAddress[ranked[0]], s.byAddress[current]
+	if best == nil || followed == nil || s.distance(best) >= s.distance(followed) || best.failedWithin(now, returnInterval) {
 		return ""
 	}
-	return best[0]
+	return ranked[0]
 }
 
-func (f *Subscriber) recordFailure(now time.Time, keeper string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if k := f.nodes[keeper]; k != nil {
-		k.failedAt = now
-	}
-}
-
-// recordAttempt notes that a keeper has had its chance since the start.
-func (f *Subscriber) recordAttempt(keeper string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if k := f.nodes[keeper]; k != nil {
-		k.tried = true
-	}
-}
-
-// allNodesTried tells whether every keeper that is known has had its chance since the start. The caller holds mu.
-func (f *Subscriber) allNodesTried() bool {
-	for _, k := range f.nodes {
-		if !k.tried {
+// allTried tells whether every node that is known has had its chance since the start.
+func (s *nodeSet) allTried() bool {
+	for _, node := range s.byAddress {
+		if !node.tried {
 			return false
 		}
 	}
 	return true
 }
 
-func (f *Subscriber) setServingNode(keeper string, stale bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.servingNode, f.servingNodeStale = keeper, stale
+// baseURL is where a process is called: at its own port where the address has one.
+func baseURL(address string, port int) string {
+	if _, _, err := net.SplitHostPort(address); err == nil {
+		return "http://" + address
+	}
+	return "http://" + net.JoinHostPort(address, strconv.Itoa(port))
 }
 
-// pollLoop holds a poll at one keeper, and finds another where that one fails.
-func (f *Subscriber) pollLoop(ctx context.Context) {
-	pause := minSearchBackoff
-	for ctx.Err() == nil {
-		if f.followOneNode(ctx) {
-			pause = minSearchBackoff
-			continue
-		}
-		if !sleep(ctx, pause/2+rand.N(pause)) {
-			return
-		}
-		pause = min(2*pause, maxSearchBackoff)
-	}
+func (s *Subscriber) nearerNode(now time.Time, current string) string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.nodes.nearer(now, current)
 }
 
-// followOneNode finds a keeper and follows it until it fails. It tells whether that one answered any poll.
-func (f *Subscriber) followOneNode(ctx context.Context) (served bool) {
-	keeper, current := f.findNode(ctx)
-	if keeper == "" {
-		return false
+// recordFailure records that a call to a node failed.
+func (s *Subscriber) recordFailure(now time.Time, address string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if node := s.nodes.byAddress[address]; node != nil {
+		node.failedAt = now
 	}
-	f.setServingNode(keeper, !current)
-	f.options.Log.WithField("keeper", keeper).WithField("current", current).Info("distribution: following a keeper")
-	defer f.setServingNode("", false)
-	return f.pollNode(ctx, keeper, current)
 }
 
-// pollNode polls the keeper until it fails or is not current, or, with one that never was, for a while. It tells whether any
-// poll was answered.
-func (f *Subscriber) pollNode(ctx context.Context, keeper string, current bool) (served bool) {
-	began := time.Now()
-	// The first look for a nearer one is early: at the start only seeds were known.
-	look := began.Add(300*time.Millisecond + rand.N(200*time.Millisecond))
-	for {
-		start := time.Now()
-		if !current && start.Sub(began) > maxStaleDuration {
-			return served
-		}
-		if current && start.After(look) {
-			look = start.Add(returnInterval/2 + rand.N(returnInterval/2))
-			if better := f.nearerNode(start, keeper); better != "" {
-				if a, err := f.call(ctx, better, 0, probeTimeout, false); err == nil && a.current {
-					keeper = better
-					f.setServingNode(keeper, false)
-					continue
-				}
-				f.recordFailure(time.Now(), better)
-			}
-		}
-		a, err := f.call(ctx, keeper, f.options.LongPollTimeout, replyIdleTimeout, !current)
-		if ctx.Err() != nil {
-			return served
-		}
-		if err != nil || current && !a.current || !a.serves {
-			f.recordFailure(time.Now(), keeper)
-			f.options.Log.WithField("keeper", keeper).WithError(err).Info("distribution: the keeper is silent, or not current")
-			return served
-		}
-		served, current = true, a.current
-		if a.stillBehind && !sleep(ctx, behindRetryInterval) {
-			return served
-		}
-		if gap := f.loadReportWait()/4 - time.Since(start); gap > 0 && !a.stateAdvanced && !sleep(ctx, gap) {
-			return served
-		}
+// recordAttempt records that a node has had its chance since the start.
+func (s *Subscriber) recordAttempt(address string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if node := s.nodes.byAddress[address]; node != nil {
+		node.tried = true
 	}
 }
 
-// findNode tries the keepers, best first and one each 50 ms, until one that is current has answered. Where none is, it gives
-// one that answered at all.
-func (f *Subscriber) findNode(ctx context.Context) (keeper string, current bool) {
-	ctx, cancel := context.WithCancel(ctx)
-	type result struct {
-		keeper  string
-		current bool
-		err     error
-	}
-	list := f.rankedNodes(time.Now())
-	results := make(chan result, len(list))
-	open, next := 0, 0
-	defer func() {
-		cancel()
-		for ; open > 0; open-- {
-			<-results
-		}
-	}()
-	try := func() {
-		k := list[next]
-		next++
-		open++
-		go func() {
-			current, err := f.probeNode(ctx, k)
-			results <- result{k, current, err}
-		}()
-	}
-	f.mu.Lock()
-	atOnce := f.lastContact.IsZero() // a start is not to wait for a dead seed
-	f.mu.Unlock()
-	if len(list) > 0 {
-		try()
-		if atOnce && len(list) > 1 {
-			try()
-		}
-	}
-	stale := ""
-	for open > 0 {
-		timer := time.NewTimer(probeInterval)
-		select {
-		case r := <-results:
-			open--
-			f.recordAttempt(r.keeper)
-			switch {
-			case r.err == nil && r.current:
-				timer.Stop()
-				return r.keeper, true
-			case r.err == nil:
-				if stale == "" {
-					stale = r.keeper
-				}
-			case ctx.Err() == nil:
-				f.recordFailure(time.Now(), r.keeper)
-			}
-			if next < len(list) {
-				try()
-			}
-		case <-timer.C:
-			if next < len(list) && open < maxConcurrentProbes {
-				try()
-			}
-		}
-		timer.Stop()
-	}
-	return stale, false
+func (s *Subscriber) setServingNode(address string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.nodes.serving = address
 }
--- /dev/null
+++ b/internal/system/distribution/subscriber_notify.go
@@ -0,0 +1,116 @@
+package distribution
+
+import (
+	"context"
+	"time"
+
+	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+)
+
+const (
+	// minNotifyInterval is the least time between two calls of the owner. Changes that come together are to be notified together: what
+	// an owner makes of an update costs more than the update.
+	minNotifyInterval = 15 * time.Millisecond
+	// timeCheckInterval is how often a subscriber looks for what only time brings about.
+	timeCheckInterval = 100 * time.Millisecond
+	// minPromptCallInterval is the least time between two prompt calls.
+	minPromptCallInterval = 20 * time.Millisecond
+)
+
+// notification is what the owner is to be notified of.
+type notification struct {
+	update, loads bool
+}
+
+// notified is what the owner was last notified of, as far as time alone changes it.
+type notified struct {
+	fresh, stale bool
+	lastExpiry   time.Time
+}
+
+// notifyLoop calls the owner back, and notices what only time brings about. It runs until ctx ends.
+func (s *Subscriber) notifyLoop(ctx context.Context) {
+	tick := time.NewTicker(timeCheckInterval)
+	defer tick.Stop()
+	last := notified{stale: true}
+	for {
+		var due notification
+		select {
+		case <-ctx.Done():
+			return
+		case <-s.updatePending:
+			due.update = true
+		case <-s.loadsPending:
+			due.loads = true
+		case <-tick.C:
+			s.reportFirstLoad()
+		}
+		update, others := s.collect(time.Now(), &due, &last)
+		if due.loads && s.options.OnLoads != nil {
+			s.options.OnLoads(others)
+		}
+		if due.update && s.options.OnUpdate != nil {
+			s.options.OnUpdate(update)
+		}
+		if (due.update || due.loads) && !sleep(ctx, minNotifyInterval) {
+			return
+		}
+	}
+}
+
+// collect adds to a notification what time has brought about, and gives what the owner is to get.
+func (s *Subscriber) collect(now time.Time, due *notification, last *notified) (update Update, others map[string]pick.Load) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if now.Sub(last.lastExpiry) >= time.Second {
+		last.lastExpiry = now
+		s.soft.table.Expire(now)
+	}
+	if s.freshness.isFresh(now) != last.fresh {
+		last.fresh, due.update = !last.fresh, true
+	}
+	if s.mayBeMarkedDown(now) != last.stale {
+		last.stale, due.update = !last.stale, true
+	}
+	if len(s.loads.others) > 0 && now.Sub(s.freshness.lastContact) > loadreport.TTL+s.options.LongPollTimeout {
+		s.loads.others, due.loads = nil, true
+	}
+	if due.update {
+		update = s.currentUpdate(now)
+	}
+	return update, s.loads.others
+}
+
+// reportFirstLoad has a node called at once where load begins during a long wait.
+func (s *Subscriber) reportFirstLoad() {
+	if s.options.Loads == nil {
+		return
+	}
+	s.mu.Lock()
+	idle := s.loads.sentNone()
+	s.mu.Unlock()
+	if idle && len(s.options.Loads()) > 0 {
+		signal(s.callRequested)
+	}
+}
+
+// promptCallLoop makes short calls beside the poll that waits, for what is not to wait. It runs until ctx ends.
+func (s *Subscriber) promptCallLoop(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-s.callRequested:
+		}
+		s.mu.Lock()
+		node := s.nodes.serving
+		s.mu.Unlock()
+		if node != "" {
+			_, _ = s.call(ctx, node, callOptions{maxPause: replyIdleTimeout, acceptStale: true})
+		}
+		if !sleep(ctx, minPromptCallInterval) {
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/system/distribution/subscriber_poll.go
@@ -0,0 +1,119 @@
+package distribution
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+)
+
+const (
+	minSearchBackoff    = 20 * time.Millisecond  // after all nodes were tried in vain, for the first time
+	maxSearchBackoff    = 200 * time.Millisecond // and for as long as that lasts
+	behindRetryInterval = 100 * time.Millisecond // until a node is asked again whose reply did not help
+	maxStaleDuration    = time.Second            // with a node that is not current, until a current one is sought again
+	// firstNearerCheck is after how long, and with up to how much jitter, a nearer node is looked for first: at the start only seeds
+	// were known.
+	firstNearerCheck       = 300 * time.Millisecond
+	firstNearerCheckJitter = 200 * time.Millisecond
+)
+
+// pollLoop polls one node, and finds another where that one fails. It runs until ctx ends.
+func (s *Subscriber) pollLoop(ctx context.Context) {
+	backoff := minSearchBackoff
+	for ctx.Err() == nil {
+		if s.followOneNode(ctx) {
+			backoff = minSearchBackoff
+			continue
+		}
+		if !sleep(ctx, backoff/2+rand.N(backoff)) {
+			return
+		}
+		backoff = min(2*backoff, maxSearchBackoff)
+	}
+}
+
+// followOneNode finds a node and polls it until it fails. It tells whether that one replied to any poll.
+func (s *Subscriber) followOneNode(ctx context.Context) (served bool) {
+	node, current := s.findNode(ctx)
+	if node == "" {
+		return false
+	}
+	s.setServingNode(node)
+	s.options.Log.WithField("server", node).WithField("current", current).Info("distribution: following a control-plane node")
+	defer s.setServingNode("")
+	return s.pollNode(ctx, node, current)
+}
+
+// followedNode is the node that is polled, and how it stands.
+type followedNode struct {
+	address   string
+	current   bool
+	since     time.Time
+	nextCheck time.Time // for a nearer one
+}
+
+// pollNode polls a node until it fails or is not current any more, or, one that never was, for a while. It tells whether any
+// poll was replied to.
+func (s *Subscriber) pollNode(ctx context.Context, address string, current bool) (served bool) {
+	now := time.Now()
+	node := followedNode{address: address, current: current, since: now,
+		nextCheck: now.Add(firstNearerCheck + rand.N(firstNearerCheckJitter))}
+	for {
+		start := time.Now()
+		if !node.current && start.Sub(node.since) > maxStaleDuration {
+			return served
+		}
+		if node.current && start.After(node.nextCheck) && s.moveNearer(ctx, start, &node) {
+			continue
+		}
+		result, ok := s.pollOnce(ctx, &node)
+		if !ok {
+			return served
+		}
+		served = true
+		if !s.pauseAfterPoll(ctx, start, result) {
+			return served
+		}
+	}
+}
+
+// moveNearer looks for a nearer node, and tells whether one is followed from now on.
+func (s *Subscriber) moveNearer(ctx context.Context, now time.Time, node *followedNode) (moved bool) {
+	node.nextCheck = now.Add(returnInterval/2 + rand.N(returnInterval/2))
+	nearer := s.nearerNode(now, node.address)
+	if nearer == "" {
+		return false
+	}
+	if result, err := s.call(ctx, nearer, callOptions{maxPause: probeTimeout}); err != nil || !result.current {
+		s.recordFailure(time.Now(), nearer)
+		return false
+	}
+	node.address = nearer
+	s.setServingNode(nearer)
+	return true
+}
+
+// pollOnce polls a node once; false: it is to be left, or ctx ended.
+func (s *Subscriber) pollOnce(ctx context.Context, node *followedNode) (callResult, bool) {
+	result, err := s.call(ctx, node.address, callOptions{wait: s.options.LongPollTimeout, maxPause: replyIdleTimeout, acceptStale: !node.current})
+	if ctx.Err() != nil {
+		return callResult{}, false
+	}
+	lostCurrent := node.current && !result.current
+	if err != nil || lostCurrent || !result.serves {
+		s.recordFailure(time.Now(), node.address)
+		s.options.Log.WithField("server", node.address).WithError(err).Info("distribution: the control-plane node timed out, or is not current")
+		return callResult{}, false
+	}
+	node.current = result.current
+	return result, true
+}
+
+// pauseAfterPoll waits until a node is to be polled again; false: ctx ended.
+func (s *Subscriber) pauseAfterPoll(ctx context.Context, start time.Time, result callResult) bool {
+	if result.stillBehind && !sleep(ctx, behindRetryInterval) {
+		return false
+	}
+	pause := s.loadReportWait()/4 - time.Since(start)
+	return pause <= 0 || result.stateAdvanced || sleep(ctx, pause)
+}
--- /dev/null
+++ b/internal/system/distribution/subscriber_search.go
@@ -0,0 +1,108 @@
+package distribution
+
+import (
+	"context"
+	"time"
+)
+
+const (
+	// probeInterval is the time between probes of one search.
+	probeInterval = 50 * time.Millisecond
+	// maxConcurrentProbes bounds the probes in flight: as many as there may be control-plane nodes, and some seeds that are none.
+	maxConcurrentProbes = 16
+)
+
+// probeResult is how a probe ended.
+type probeResult struct {
+	address string
+	current bool
+	err     error
+}
+
+// nodeSearch probes nodes, several at once. One goroutine drives it.
+type nodeSearch struct {
+	probe      func(address string) probeResult
+	candidates []string // not probed yet, best first
+	inFlight   int
+	results    chan probeResult
+}
+
+func newNodeSearch(candidates []string, probe func(address string) probeResult) *nodeSearch {
+	return &nodeSearch{probe: probe, candidates: candidates, results: make(chan probeResult, len(candidates))}
+}
+
+// probeNext begins to probe the next candidate, if there is one.
+func (n *nodeSearch) probeNext() {
+	if len(n.candidates) == 0 {
+		return
+	}
+	address := n.candidates[0]
+	n.candidates = n.candidates[1:]
+	n.inFlight++
+	go func() { n.results <- n.probe(address) }()
+}
+
+// await waits for a result; false: none came within probeInterval.
+func (n *nodeSearch) await() (probeResult, bool) {
+	timer := time.NewTimer(probeInterval)
+	defer timer.Stop()
+	select {
+	case result := <-n.results:
+		n.inFlight--
+		return result, true
+	case <-timer.C:
+		return probeResult{}, false
+	}
+}
+
+// drain waits for the probes in flight.
+func (n *nodeSearch) drain() {
+	for ; n.inFlight > 0; n.inFlight-- {
+		<-n.results
+	}
+}
+
+// findNode probes the nodes, best first and one each probeInterval, until one that is current has replied. Where none is, it gives
+// one that replied at all.
+func (s *Subscriber) findNode(ctx context.Context) (address string, current bool) {
+	ctx, cancel := context.WithCancel(ctx)
+	candidates, starting := s.searchCandidates()
+	search := newNodeSearch(candidates, func(address string) probeResult {
+		current, err := s.probeNode(ctx, address)
+		return probeResult{address, current, err}
+	})
+	defer search.drain()
+	defer cancel()
+	search.probeNext()
+	if starting {
+		search.probeNext() // a start is not to wait for a dead seed
+	}
+	stale := ""
+	for search.inFlight > 0 {
+		result, ok := search.await()
+		if !ok {
+			if search.inFlight < maxConcurrentProbes {
+				search.probeNext()
+			}
+			continue
+		}
+		s.recordAttempt(result.address)
+		switch {
+		case result.err == nil && result.current:
+			return result.address, true
+		case result.err == nil && stale == "":
+			stale = result.address
+		case result.err != nil && ctx.Err() == nil:
+			s.recordFailure(time.Now(), result.address)
+		}
+		search.probeNext()
+	}
+	return stale, false
+}
+
+// searchCandidates gives the nodes to probe, best first, and whether there was no contact to any since the start.
+func (s *Subscriber) searchCandidates() (candidates []string, starting bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.nodes.ranked(time.Now()), s.freshness.lastContact.IsZero()
+}
--- a/internal/system/distribution/subscriber_state.go
+++ b/internal/system/distribution/subscriber_state.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/apex/log"
 	"github.com/cockroachdb/errors"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
@@ -11,74 +12,92 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 )
 
-// position is how far this proxy is. The caller holds mu.
-func (f *Subscriber) position() catchup.Position {
-	return catchup.Position{Seq: f.state.Seq, Resync: f.resync}
+// stateReplica is a proxy's replica of the control state. The subscriber's mu guards it.
+type stateReplica struct {
+	state         *controlstate.State
+	resync        bool // a record did not apply: ask for a snapshot
+	fromNeighbour bool // the state is a neighbour's, since no node could be reached
 }
 
-// offerFromReply reads what a reply says of the control state; the snapshot's number is known once it has been read.
+func newStateReplica() stateReplica {
+	return stateReplica{state: controlstate.Empty().WithoutHistory()}
+}
+
+// position is how far this replica is.
+func (r *stateReplica) position() catchup.Position {
+	return catchup.Position{Seq: r.state.Seq, Resync: r.resync}
+}
+
+// set replaces the state. It never goes back.
+func (r *stateReplica) set(next *controlstate.State) {
+	stateNeverGoesBack.Check(next.Seq >= r.state.Seq)
+	r.state = next
+}
+
+// offerFromReply reads what a reply says of the control state; the snapshot's number is known once that has been decoded.
 func offerFromReply(reply *distributionpb.FollowReply, age time.Duration) catchup.Offer {
-	o := catchup.Offer{Current: reply.GetCurrent(), Newest: reply.GetNewest(), Age: age}
+	offer := catchup.Offer{Current: reply.GetCurrent(), Newest: reply.GetNewest(), Age: age}
 	if records := reply.GetRecords(); len(records) > 0 {
-		o.First, o.Last = records[0].GetSeq(), records[len(records)-1].GetSeq()
+		offer.First, offer.Last = records[0].GetSeq(), records[len(records)-1].GetSeq()
 	}
-	return o
+	return offer
 }
 
-// applyState takes what is newer of a snapshot and of records, so that a proxy never goes back. The caller holds mu.
-func (f *Subscriber) applyState(offer catchup.Offer, reply *distributionpb.FollowReply) {
+// apply takes what is newer of a snapshot and of records, so that a proxy never goes back, and tells whether that brought it further.
+func (r *stateReplica) apply(logger log.Interface, offer catchup.Offer, reply *distributionpb.FollowReply) (advanced bool) {
+	before := r.state.Seq
 	var snapshot *controlstate.State
-	if b := reply.GetSnapshot(); len(b) > 0 {
+	if encoded := reply.GetSnapshot(); len(encoded) > 0 {
 		var err error
-		if snapshot, err = decodeSnapshot(b, reply.GetSnapshotDeflated()); err != nil {
-			f.options.Log.WithError(err).Warn("distribution: a snapshot of the control state is not readable")
-			return
+		if snapshot, err = decodeSnapshot(encoded, reply.GetSnapshotDeflated()); err != nil {
+			logger.WithError(err).Warn("distribution: a snapshot of the control state cannot be decoded")
+			return false
 		}
 		offer.Snapshot = snapshot.Seq
 	}
-	step := f.position().Plan(offer)
+	step := r.position().Plan(offer)
 	if step.Snapshot {
-		f.setState(snapshot)
+		r.set(snapshot)
 	}
 	if snapshot != nil {
-		f.resync = false
+		r.resync = false
 	}
-	if step.First == 0 {
-		return
+	if step.First > 0 {
+		r.applyRecords(logger, step.First, reply.GetRecords())
 	}
-	for _, w := range reply.GetRecords() {
-		if w.GetSeq() < step.First {
+	return r.state.Seq != before
+}
+
+// applyRecords applies the records from a number on, up to the first that does not apply.
+func (r *stateReplica) applyRecords(logger log.Interface, first uint64, records []*distributionpb.Record) {
+	for _, record := range records {
+		if record.GetSeq() < first {
 			continue
 		}
-		s, err := applyRecord(f.state, w)
+		next, err := applyRecord(r.state, record)
 		if err != nil {
-			f.options.Log.WithError(err).WithField("seq", w.GetSeq()).Warn("distribution: a record does not apply; asking for a snapshot")
-			f.resync = true
+			logger.WithError(err).WithField("seq", record.GetSeq()).Warn("distribution: a record does not apply; asking for a snapshot")
+			r.resync = true
 			return
 		}
-		f.setState(s)
+		r.set(next)
 	}
 }
 
-// setState takes a state in place of the one that is held. The caller holds mu.
-func (f *Subscriber) setState(s *controlstate.State) {
-	stateNeverGoesBack.Check(s.Seq >= f.state.Seq)
-	f.state = s
-}
-
-func decodeSnapshot(b []byte, deflated bool) (*controlstate.State, error) {
-	b, err := rpc.Expand(b, deflated)
+func decodeSnapshot(encoded []byte, deflated bool) (*controlstate.State, error) {
+	expanded, err := rpc.Expand(encoded, deflated)
 	if err != nil {
 		return nil, err
 	}
-	s, err := controlstate.Decode(b)
-	return s, errors.Wrap(err, "distribution: a snapshot cannot be read: run the same version on keepers and proxies")
+	state, err := controlstate.Decode(expanded)
+	return state, errors.Wrap(err, "distribution: a snapshot cannot be read: run the same version on control-plane nodes and proxies")
 }
 
-func applyRecord(s *controlstate.State, w *distributionpb.Record) (*controlstate.State, error) {
-	body, err := rpc.Expand(w.GetBody(), w.GetDeflated())
+func applyRecord(state *controlstate.State, record *distributionpb.Record) (*controlstate.State, error) {
+	body, err := rpc.Expand(record.GetBody(), record.GetDeflated())
 	if err != nil {
 		return nil, err
 	}
-	return s.Apply(controlstate.Record{Seq: w.GetSeq(), Op: controlstate.Op(w.GetOp()), Base: w.GetBase(), Body: body, Zone: w.GetZone()})
+	return state.Apply(controlstate.Record{Seq: record.GetSeq(), Op: controlstate.Op(record.GetOp()), Base: record.GetBase(), Body: body,
+		Zone: record.GetZone()})
 }
--- a/internal/system/distribution/warmup_path_test.go
+++ b/internal/system/distribution/warmup_path_test.go
@@ -91,7 +91,7 @@
 func (p *coldPath) follow(keeper string, l leg) {
 	p.t.Helper()
 	p.connect("proxy", keeper, l)
-	if _, err := p.followers["proxy"].call(p.t.Context(), keeper, 0, time.Second, false); err != nil {
+	if _, err := p.followers["proxy"].call(p.t.Context(), keeper, callOptions{maxPause: time.Second}); err != nil {
 		p.t.Fatal(err)
 	}
 }
