--- a/internal/system/distribution/referral.go
+++ b/internal/system/distribution/referral.go
@@ -10,37 +10,38 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 )
 
-// ServerLocation is a keeper that feeds proxies, and where it is.
+// ServerLocation is a control-plane node that serves proxies, and where it is.
 type ServerLocation struct {
 	Address      string // IP or IP:port
 	Zone, Region string
 }
 
-// Referral answers proxies at a keeper that feeds none, an observer: it names the keepers that do, in the chain's order.
-// Without it a proxy whose seeds are all observers would find no keeper.
+// Referral serves proxies at a node that serves them no state, an observer: it names the nodes that do, in the chain's order.
+// Without it a proxy whose seeds are all observers would find no node.
 type Referral struct {
 	Servers func() []ServerLocation
 }
 
-// Handler serves the calls of followers and of other keepers, under the same path as Hub.Handler.
+// Handler serves the calls of subscribers and of peers, under the same path as Server.Handler.
 func (r Referral) Handler() http.Handler {
 	return rpc.BoundedHandler(distributionpb.NewDistributionServer(r))
 }
 
-// Follow names the keepers. The reply has no soft state, by which a follower knows that it is not fed here.
+// Follow names the nodes. The reply has no soft state, by which a subscriber knows that it is not served here.
 func (r Referral) Follow(_ context.Context, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
 	return &distributionpb.FollowReply{Call: req.GetCall(), Keepers: encodeLocations(r.Servers()...)}, nil
 }
 
-func encodeLocations(places ...ServerLocation) []*distributionpb.Keeper {
-	out := make([]*distributionpb.Keeper, 0, len(places))
-	for _, k := range places {
-		out = append(out, &distributionpb.Keeper{Address: k.Address, Zone: k.Zone, Region: k.Region})
+func encodeLocations(locations ...ServerLocation) []*distributionpb.Keeper {
+	out := make([]*distributionpb.Keeper, 0, len(locations))
+	for _, location := range locations {
+		out = append(out, &distributionpb.Keeper{Address: location.Address, Zone: location.Zone, Region: location.Region})
 	}
 	return out
 }
 
-// Share refuses: an observer holds no soft state.
+// Share refuses: an observer has no soft state.
 func (Referral) Share(context.Context, *distributionpb.ShareRequest) (*distributionpb.ShareReply, error) {
-	return nil, twirp.NewError(twirp.FailedPrecondition, "this keeper is an observer and holds no soft state: share with the keepers of the view")
+	return nil, twirp.NewError(twirp.FailedPrecondition,
+		"this node is an observer and has no soft state: synchronise with the control-plane nodes of the view")
 }
--- a/internal/system/distribution/commit_log.go
+++ b/internal/system/distribution/server_commit_log.go
@@ -4,24 +4,24 @@
 
 // A reading of the platform's list covers a record of the control state if it certainly shows all that had happened to servers
 // when the record was committed. Proxies need to know that where the record takes a zone back, whose servers may have become
-// cold shortly before. A keeper tells it without any clock but its own: it was asked ListLag or longer after the keeper knew
+// cold shortly before. A node decides it without any clock but its own: the platform was asked ListLag or longer after the node knew
 // that the record was committed.
 
-// commitLog remembers when a keeper knew which records to be committed. The zero value is empty.
+// commitLog remembers when this node knew which records to be committed. The zero value is empty.
 type commitLog struct {
 	marks []commitMark // by time; numbers rise
 }
 
-// commitMark is that the record numbered seq was committed at or before a moment.
+// commitMark says that the record numbered seq was committed at or before a moment.
 type commitMark struct {
 	at  time.Time
 	seq uint64
 }
 
-// maxCommitMarks bounds a commitLog: at one note a tick it reaches back for some seconds.
+// maxCommitMarks bounds a commitLog: at one mark a tick it reaches back for some seconds.
 const maxCommitMarks = 64
 
-// observe takes in the number of the newest record that is known to be committed at now.
+// observe records the number of the newest record that is known to be committed at now.
 func (l *commitLog) observe(now time.Time, seq uint64) {
 	if n := len(l.marks); n > 0 && seq <= l.marks[n-1].seq {
 		return
@@ -32,10 +32,10 @@
 	l.marks = append(l.marks, commitMark{now, seq})
 }
 
-// committedBefore is the number of the newest record that was known to be committed at the moment t; 0: none that is remembered.
-func (l *commitLog) committedBefore(t time.Time) uint64 {
+// committedBefore is the number of the newest record that was known to be committed at a moment; 0: none that is remembered.
+func (l *commitLog) committedBefore(moment time.Time) uint64 {
 	for i := len(l.marks) - 1; i >= 0; i-- {
-		if !l.marks[i].at.After(t) {
+		if !l.marks[i].at.After(moment) {
 			return l.marks[i].seq
 		}
 	}
