--- a/internal/system/distribution/commit_log_test.go
+++ b/internal/system/distribution/commit_log_test.go
@@ -39,7 +39,7 @@
 // TestReadingReportsCoveredRecord: a keeper's reading covers the records that it knew lag before it asked, and proxies hear which.
 func TestReadingReportsCoveredRecord(t *testing.T) {
 	const lag = 800 * time.Millisecond
-	h := NewServer(ServerOptions{Source: &source{chain: newChain(), keepers: []string{"k"}}, Self: "k", Log: quiet(), ListLag: lag})
+	h := NewServer(ServerOptions{Source: &fakeSource{fakeChain: newChain(), addresses: []string{"k"}}, Self: "k", Log: quiet(), ListLag: lag})
 	begin := time.Now().Add(-10 * time.Second)
 	h.commits.observe(begin, 4)
 	h.commits.observe(begin.Add(time.Second), 5)
--- a/internal/system/distribution/fleet_catchup_test.go
+++ b/internal/system/distribution/fleet_catchup_test.go
@@ -18,48 +18,48 @@
 	return controlstate.Record{Op: controlstate.OpReadmit, Zone: "z"}
 }
 
-// awayFor starts a proxy on a configuration of some bytes, cuts it off while n changes are acknowledged, brings the one
+// runAbsence starts a proxy on a configuration of some bytes, cuts it off while n changes are acknowledged, brings the one
 // keeper that is current back without its older records, and goes on with 20 changes a second. It gives how long after
 // the end of the cut the proxy was level, and the bytes that went over the wires until then.
-func awayFor(t *testing.T, n, size int, lose bool) (took time.Duration, bytes int64) {
+func runAbsence(t *testing.T, n, size int, lose bool) (took time.Duration, bytes int64) {
 	t.Helper()
 	fl := newFleet("k1:1", "k2:1", "k3:1")
 	defer fl.stop()
 	fl.chain.add(largeConfig(t, 1, size, rand.NewChaCha8([32]byte{7})))
-	p := fl.startFollower("p", nil)
+	p := fl.startProxy("p", nil)
 	within(t, 5*time.Second, "it starts", func() bool { return p.update().State != nil && p.update().State.Seq == 1 })
-	fl.cutOff("p", true)
+	fl.isolate("p", true)
 	for i := range n {
 		fl.chain.add(zoneChange(i))
 	}
 	time.Sleep(20 * time.Second)
 	fl.sources["k2:1"].setStale(true)
-	fl.killHub("k1:1")
+	fl.killServer("k1:1")
 	fl.chain.mu.Lock()
-	fl.chain.gone = uint64(len(fl.chain.records)) // it came back by a snapshot
+	fl.chain.compactedTo = uint64(len(fl.chain.records)) // it came back by a snapshot
 	fl.chain.mu.Unlock()
-	fl.startHub("k1:1")
+	fl.startServer("k1:1")
 	fl.sources["k3:1"].setStale(!lose)
 	fl.mesh.mu.Lock()
 	fl.mesh.bytes = 0
 	fl.mesh.mu.Unlock()
-	fl.cutOff("p", false)
+	fl.isolate("p", false)
 	start := time.Now()
 	for i := n; ; i++ {
 		fl.chain.add(zoneChange(i))
 		time.Sleep(45 * time.Millisecond)
 		if lose && i == n+2 {
 			feeder := "k3:1"
-			if len(fl.hubs["k1:1"].Subscribers()) > 0 {
+			if len(fl.servers["k1:1"].Subscribers()) > 0 {
 				feeder = "k1:1"
 			}
-			fl.killHub(feeder)
+			fl.killServer(feeder)
 		}
-		if fl.chain.seq()-p.f.Current().State.Seq == 0 && p.f.Current().Fresh {
+		if fl.chain.seq()-p.subscriber.Current().State.Seq == 0 && p.subscriber.Current().Fresh {
 			break
 		}
 		if time.Since(start) > 20*time.Second {
-			t.Fatalf("holds %d of %d after %v", p.f.Current().State.Seq, fl.chain.seq(), time.Since(start))
+			t.Fatalf("holds %d of %d after %v", p.subscriber.Current().State.Seq, fl.chain.seq(), time.Since(start))
 		}
 	}
 	fl.mesh.mu.Lock()
@@ -75,7 +75,7 @@
 		for _, size := range []int{1 << 10, 600 << 10} {
 			for _, lose := range []bool{false, true} {
 				synctest.Test(t, func(t *testing.T) {
-					took, bytes := awayFor(t, n, size, lose)
+					took, bytes := runAbsence(t, n, size, lose)
 					t.Logf("%d changes, %d bytes, keeper lost: %v: level after %v, %d bytes", n, size, lose, took, bytes)
 					most := int64(size) + 256<<10
 					if lose {
@@ -99,17 +99,17 @@
 		defer fl.stop()
 		seq := fl.chain.add(largeConfig(t, 1, 100<<10, rand.NewChaCha8([32]byte{8})))
 		for i := range proxies {
-			fl.startFollower(fmt.Sprint("p", i), nil)
+			fl.startProxy(fmt.Sprint("p", i), nil)
 		}
 		within(t, 5*time.Second, "all are fed", func() bool {
-			for _, p := range fl.followers {
+			for _, p := range fl.proxies {
 				if u := p.update(); u.State == nil || u.State.Seq != seq {
 					return false
 				}
 			}
 			return true
 		})
-		if n := fl.hubs["k1:1"].snapshot.count; n != 1 {
+		if n := fl.servers["k1:1"].snapshot.count; n != 1 {
 			t.Errorf("%d snapshots were made", n)
 		}
 	})
--- a/internal/system/distribution/fleet_faults_test.go
+++ b/internal/system/distribution/fleet_faults_test.go
@@ -24,14 +24,14 @@
 	}
 }
 
-func (fl *fleet) cutOff(host string, cut bool) {
+func (fl *testFleet) isolate(host string, cut bool) {
 	for _, k := range fl.names {
-		fl.mesh.setCut(host, k, cut)
-		fl.mesh.setCut(k, host, cut)
+		fl.mesh.setPartitioned(host, k, cut)
+		fl.mesh.setPartitioned(k, host, cut)
 	}
 }
 
-func (p *proxy) sees(node string) bool {
+func (p *testProxy) sees(node string) bool {
 	for _, m := range p.update().Members {
 		if m.Node == node && !m.Draining {
 			return true
@@ -45,13 +45,13 @@
 		fl := newFleet("k1:1", "k2:1", "k3:1")
 		defer fl.stop()
 		for i := range 9 {
-			fl.startFollower(fmt.Sprint("p", i), nil)
+			fl.startProxy(fmt.Sprint("p", i), nil)
 		}
 		time.Sleep(6 * time.Second)
-		fl.killHub("k1:1")
+		fl.killServer("k1:1")
 		for range 1000 {
 			time.Sleep(10 * time.Millisecond)
-			for n, p := range fl.followers {
+			for n, p := range fl.proxies {
 				if got := len(p.update().Members); got != 9 {
 					t.Fatalf("%s knows %d members", n, got)
 				}
@@ -64,23 +64,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet("k1:1", "k2:1", "k3:1")
 		defer fl.stop()
-		a, b := fl.startFollower("a", nil), fl.startFollower("b", nil)
+		a, b := fl.startProxy("a", nil), fl.startProxy("b", nil)
 		within(t, time.Second, "a sees b", func() bool { return a.sees("b") && b.sees("a") })
 		time.Sleep(5 * time.Second)
-		fl.cutOff("b", true)
+		fl.isolate("b", true)
 		within(t, 3*time.Second, "b is down", func() bool { return !a.sees("b") })
-		if b.f.Current().Fresh {
+		if b.subscriber.Current().Fresh {
 			t.Error("b takes itself for fresh")
 		}
-		fl.cutOff("b", false)
-		within(t, 2*time.Second, "b is back", func() bool { return a.sees("b") && b.f.Current().Fresh })
-		fl.killFollower("b")
+		fl.isolate("b", false)
+		within(t, 2*time.Second, "b is back", func() bool { return a.sees("b") && b.subscriber.Current().Fresh })
+		fl.killProxy("b")
 		within(t, 3*time.Second, "b is down again", func() bool { return !a.sees("b") })
 		time.Sleep(65 * time.Second)
-		if got := len(fl.hubs["k1:1"].Members()); got != 1 {
+		if got := len(fl.servers["k1:1"].Members()); got != 1 {
 			t.Errorf("%d members are kept", got)
 		}
-		fl.startFollower("b", nil)
+		fl.startProxy("b", nil)
 		within(t, time.Second, "b is back in another life", func() bool { return a.sees("b") })
 	})
 }
@@ -89,16 +89,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet("k1:1", "k2:1", "k3:1")
 		defer fl.stop()
-		a, b := fl.startFollower("a", nil), fl.startFollower("b", nil)
+		a, b := fl.startProxy("a", nil), fl.startProxy("b", nil)
 		within(t, time.Second, "a sees b", func() bool { return a.sees("b") })
 		start := time.Now()
-		if err := b.f.Leave(t.Context()); err != nil {
+		if err := b.subscriber.Leave(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		within(t, 150*time.Millisecond-time.Since(start), "b leaves", func() bool { return !a.sees("b") })
-		fl.cutOff("a", true)
+		fl.isolate("a", true)
 		start = time.Now()
-		if err := a.f.Leave(t.Context()); err == nil || time.Since(start) > leaveTimeout {
+		if err := a.subscriber.Leave(t.Context()); err == nil || time.Since(start) > leaveTimeout {
 			t.Errorf("cut off: %v after %v", err, time.Since(start))
 		}
 	})
@@ -109,12 +109,12 @@
 		fl := newFleet("k1:1", "k2:1", "k3:1")
 		defer fl.stop()
 		for i := range 6 {
-			fl.startFollower(fmt.Sprint("p", i), nil)
+			fl.startProxy(fmt.Sprint("p", i), nil)
 		}
 		time.Sleep(6 * time.Second)
-		fl.cutOff("p3", true)
+		fl.isolate("p3", true)
 		seq := fl.chain.add(none())
-		for name, h := range fl.hubs {
+		for name, h := range fl.servers {
 			ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 			if h.WaitAcknowledged(ctx, seq) == nil {
 				t.Errorf("%s: acknowledged while p3, not yet known to be cut off, may hold the former", name)
@@ -123,7 +123,7 @@
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
-		if err := fl.hubs["k1:1"].WaitAcknowledged(ctx, seq); err != nil {
+		if err := fl.servers["k1:1"].WaitAcknowledged(ctx, seq); err != nil {
 			t.Error(err)
 		}
 	})
@@ -143,7 +143,7 @@
 			x.own <- nil
 			x.others <- nil
 			proxies[n] = x
-			fl.startFollower(n, func(o *SubscriberOptions) {
+			fl.startProxy(n, func(o *SubscriberOptions) {
 				o.Self.Zone = "zone-" + fl.names[i]
 				o.Loads = func() map[string]pick.Load { l := <-x.own; x.own <- l; return l }
 				o.OnLoads = func(l map[string]pick.Load) { <-x.others; x.others <- l }
@@ -170,7 +170,7 @@
 		}
 		set("a", map[string]pick.Load{"s": {Requests: 1}})
 		within(t, 500*time.Millisecond, "less", func() bool { return others("c", "s").Requests == 6 && others("b", "s").Requests == 1 })
-		fl.killFollower("b")
+		fl.killProxy("b")
 		within(t, 2*time.Second, "a load is forgotten", func() bool { return others("c", "s").Requests == 1 && others("a", "s").Requests == 0 })
 		set("a", nil)
 		within(t, 500*time.Millisecond, "nothing", func() bool { return others("c", "s") == pick.Load{} })
@@ -182,15 +182,15 @@
 		fl := newFleet("k1:1", "k2:1", "k3:1")
 		defer fl.stop()
 		for i := range 6 {
-			fl.startFollower(fmt.Sprint("p", i), nil)
+			fl.startProxy(fmt.Sprint("p", i), nil)
 		}
 		time.Sleep(2 * time.Second)
 		fl.sources["k1:1"].setStale(true)
 		fl.sources["k2:1"].setStale(true)
 		seq := fl.chain.add(none())
 		within(t, 2500*time.Millisecond, "all hold the newest", func() bool {
-			for _, p := range fl.followers {
-				if p.f.Current().State.Seq != seq {
+			for _, p := range fl.proxies {
+				if p.subscriber.Current().State.Seq != seq {
 					return false
 				}
 			}
@@ -200,12 +200,12 @@
 		fl.sources["k3:1"].setStale(true)
 		fl.chain.add(none())
 		time.Sleep(4 * time.Second)
-		if err := fl.hubs["k2:1"].PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(softstate.Age{})); err != nil {
+		if err := fl.servers["k2:1"].PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(softstate.Age{})); err != nil {
 			t.Fatal(err)
 		}
 		within(t, 2*time.Second, "all hold the server", func() bool {
-			for _, p := range fl.followers {
-				if u := p.f.Current(); u.State.Seq != seq || u.Fresh || len(u.Servers) != 1 || len(u.Members) != 6 {
+			for _, p := range fl.proxies {
+				if u := p.subscriber.Current(); u.State.Seq != seq || u.Fresh || len(u.Servers) != 1 || len(u.Members) != 6 {
 					return false
 				}
 			}
@@ -218,28 +218,28 @@
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet("k1:1", "k2:1", "k3:1")
 		defer fl.stop()
-		p := fl.startFollower("p", nil)
+		p := fl.startProxy("p", nil)
 		time.Sleep(4 * time.Second)
 		list := []pick.Server{{ID: "s"}, {ID: "r"}}
-		if err := fl.hubs["k2:1"].PutList(1, 1000, list, madeAgo(softstate.Age{})); err != nil {
+		if err := fl.servers["k2:1"].PutList(1, 1000, list, madeAgo(softstate.Age{})); err != nil {
 			t.Fatal(err)
 		}
 		within(t, time.Second, "two servers", func() bool { return len(p.update().Servers) == 2 })
 		for _, k := range fl.names {
-			fl.killHub(k)
+			fl.killServer(k)
 		}
 		time.Sleep(time.Second)
 		for _, k := range fl.names {
-			fl.startHub(k)
+			fl.startServer(k)
 		}
 		for range 100 {
 			time.Sleep(10 * time.Millisecond)
-			if len(p.f.Current().Servers) != 2 {
+			if len(p.subscriber.Current().Servers) != 2 {
 				t.Fatal("a server was forgotten")
 			}
 		}
 		// The poller counts from the start again; s is gone.
-		if err := fl.hubs["k1:1"].PutList(1, 1, list[1:], madeAgo(softstate.Age{})); err != nil {
+		if err := fl.servers["k1:1"].PutList(1, 1, list[1:], madeAgo(softstate.Age{})); err != nil {
 			t.Fatal(err)
 		}
 		within(t, 5*time.Second, "one server", func() bool { return len(p.update().Servers) == 1 })
@@ -250,22 +250,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet("k1:1", "k2:1", "k3:1")
 		defer fl.stop()
-		fl.startFollower("a", nil)
+		fl.startProxy("a", nil)
 		seq := fl.chain.add(controlstate.Record{Op: controlstate.OpEvacuate, Zone: "z"})
 		time.Sleep(4 * time.Second)
-		if err := fl.hubs["k1:1"].PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(softstate.Age{})); err != nil {
+		if err := fl.servers["k1:1"].PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(softstate.Age{})); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
 		for _, k := range fl.names {
-			fl.killHub(k)
+			fl.killServer(k)
 		}
-		b := fl.startFollower("b", func(o *SubscriberOptions) { o.Seeds = append([]string{"a:2"}, o.Seeds...) })
+		b := fl.startProxy("b", func(o *SubscriberOptions) { o.Seeds = append([]string{"a:2"}, o.Seeds...) })
 		within(t, 2*time.Second, "b holds what a holds", func() bool {
 			u := b.update()
 			return u.State != nil && u.State.Seq == seq && u.State.Evacuated["z"] && len(u.Servers) == 1 && !u.Fresh
 		})
-		fl.startHub("k3:1")
+		fl.startServer("k3:1")
 		within(t, 2*time.Second, "b is fresh", func() bool { return b.update().Fresh })
 	})
 }
@@ -274,17 +274,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet("k1:1", "k2:1", "k3:1")
 		defer fl.stop()
-		p := fl.startFollower("p", func(o *SubscriberOptions) { o.Self.Zone = "zone-k2:1" })
+		p := fl.startProxy("p", func(o *SubscriberOptions) { o.Self.Zone = "zone-k2:1" })
 		follows := func() string {
-			p.f.mu.Lock()
-			defer p.f.mu.Unlock()
-			return p.f.nodes.serving
+			p.subscriber.mu.Lock()
+			defer p.subscriber.mu.Unlock()
+			return p.subscriber.nodes.serving
 		}
 		within(t, 3*time.Second, "the nearest", func() bool { return follows() == "k2:1" })
-		fl.killHub("k2:1")
+		fl.killServer("k2:1")
 		within(t, time.Second, "another", func() bool { f := follows(); return f != "" && f != "k2:1" })
 		time.Sleep(time.Second)
-		fl.startHub("k2:1")
+		fl.startServer("k2:1")
 		within(t, 11*time.Second, "the nearest again", func() bool { return follows() == "k2:1" })
 	})
 }
--- a/internal/system/distribution/golden_trace_test.go
+++ b/internal/system/distribution/golden_trace_test.go
@@ -64,8 +64,8 @@
 	tr.sum.Write(b)
 }
 
-// wire takes in a message as it goes out, and gives the copy that arrives.
-func wire[M proto.Message](tr *trace, tag byte, m, into M) M {
+// transferred takes in a message as it goes out, and gives the copy that arrives.
+func transferred[M proto.Message](tr *trace, tag byte, m, into M) M {
 	b := softstate.Marshal(m)
 	tr.step(tag)
 	tr.bytes(b)
@@ -83,62 +83,62 @@
 // exchange is hubs and followers whose calls the test makes itself, one after the other and in the order of the seed: with the
 // goroutines of Run, the order within one moment of the bubble's clock is the scheduler's.
 type exchange struct {
-	tr        *trace
-	rng       *rand.Rand
-	chain     *chain
-	sources   []*source
-	hubs      []*Server
-	boots     []uint64 // of hubs, as the test gave them
-	shares    map[[2]int]*syncProgress
-	followers []*Subscriber
-	loads     []map[string]pick.Load
-	replies   []heldReply
-	lists     uint64
+	tr          *trace
+	rng         *rand.Rand
+	chain       *fakeChain
+	sources     []*fakeSource
+	servers     []*Server
+	bootIDs     []uint64 // of hubs, as the test gave them
+	progress    map[[2]int]*syncProgress
+	subscribers []*Subscriber
+	loads       []map[string]pick.Load
+	replies     []pendingReply
+	lists       uint64
 }
 
-// heldReply is an answer that is under way.
-type heldReply struct {
-	follower int
-	asked    time.Time
-	req      *distributionpb.FollowRequest
-	reply    *distributionpb.FollowReply
+// pendingReply is an answer that is under way.
+type pendingReply struct {
+	subscriber int
+	sentAt     time.Time
+	req        *distributionpb.FollowRequest
+	reply      *distributionpb.FollowReply
 }
 
 var (
-	exchangeKeepers = []string{"k1:1", "k2:1", "k3:1"}
+	exchangeNodes   = []string{"k1:1", "k2:1", "k3:1"}
 	exchangeServers = []string{"s1", "s2", "s3", "s4", "s5", "s6"}
 )
 
 func newExchange(tr *trace, seed uint64) *exchange {
-	x := &exchange{tr: tr, rng: rand.New(rand.NewPCG(seed, 13)), chain: newChain(), shares: map[[2]int]*syncProgress{}}
-	for _, k := range exchangeKeepers {
-		s := &source{chain: x.chain, keepers: exchangeKeepers}
+	x := &exchange{tr: tr, rng: rand.New(rand.NewPCG(seed, 13)), chain: newChain(), progress: map[[2]int]*syncProgress{}}
+	for _, k := range exchangeNodes {
+		s := &fakeSource{fakeChain: x.chain, addresses: exchangeNodes}
 		x.sources = append(x.sources, s)
 		h := NewServer(ServerOptions{Source: s, Self: k, Zone: "z" + k[:2], Region: "r", ListLag: 100 * time.Millisecond, Log: quiet()})
-		x.giveIndexes(h.loads.local)
-		x.giveIndexes(h.loads.total)
-		x.hubs, x.boots = append(x.hubs, h), append(x.boots, 0)
-		x.reboot(len(x.hubs) - 1)
+		x.assignIndexes(h.loads.local)
+		x.assignIndexes(h.loads.total)
+		x.servers, x.bootIDs = append(x.servers, h), append(x.bootIDs, 0)
+		x.redrawBootID(len(x.servers) - 1)
 	}
 	for i := range 5 {
-		x.followers, x.loads = append(x.followers, nil), append(x.loads, nil)
-		x.startFollower(i)
+		x.subscribers, x.loads = append(x.subscribers, nil), append(x.loads, nil)
+		x.startSubscriber(i)
 	}
 	return x
 }
 
-// startFollower starts a process anew in the place of a follower.
-func (x *exchange) startFollower(i int) {
+// startSubscriber starts a process anew in the place of a follower.
+func (x *exchange) startSubscriber(i int) {
 	node := fmt.Sprint("p", i)
-	f := NewSubscriber(SubscriberOptions{Seeds: exchangeKeepers, ControlPlanePort: 1, ProxyPort: 2, Log: quiet(),
+	f := NewSubscriber(SubscriberOptions{Seeds: exchangeNodes, ControlPlanePort: 1, ProxyPort: 2, Log: quiet(),
 		Self: softstate.Member{Node: node, Incarnation: x.rng.Uint64() | 1, Zone: "zk1", Region: "r", IP: node + ":2"}})
-	x.giveIndexes(f.loads.own)
-	x.followers[i], x.loads[i] = f, map[string]pick.Load{}
+	x.assignIndexes(f.loads.own)
+	x.subscribers[i], x.loads[i] = f, map[string]pick.Load{}
 }
 
-// giveIndexes draws a vector's boot from the seed and has it number the servers in their order: of several that come at once the
+// assignIndexes draws a vector's boot from the seed and has it number the servers in their order: of several that come at once the
 // order is the map's.
-func (x *exchange) giveIndexes(v *loadreport.Vector) {
+func (x *exchange) assignIndexes(v *loadreport.Vector) {
 	v.BootID = x.rng.Uint64() | 1
 	all := map[string]pick.Load{}
 	for _, id := range exchangeServers {
@@ -147,11 +147,11 @@
 	}
 }
 
-// reboot gives a hub a boot of the seed where it has drawn one itself.
-func (x *exchange) reboot(i int) {
-	if h := x.hubs[i]; h.bootID != x.boots[i] {
+// redrawBootID gives a hub a boot of the seed where it has drawn one itself.
+func (x *exchange) redrawBootID(i int) {
+	if h := x.servers[i]; h.bootID != x.bootIDs[i] {
 		h.bootID = x.rng.Uint64() | 1
-		x.boots[i] = h.bootID
+		x.bootIDs[i] = h.bootID
 	}
 }
 
@@ -160,63 +160,63 @@
 		time.Sleep(time.Duration(x.rng.IntN(30)) * time.Millisecond)
 		switch x.rng.IntN(16) {
 		case 0, 1, 2, 3, 4:
-			x.follow(x.rng.IntN(len(x.followers)), x.rng.IntN(len(x.hubs)))
+			x.poll(x.rng.IntN(len(x.subscribers)), x.rng.IntN(len(x.servers)))
 		case 5, 6, 7, 8:
-			x.arrive()
+			x.deliver()
 		case 9, 10:
-			x.share(x.rng.IntN(len(x.hubs)), x.rng.IntN(len(x.hubs)))
+			x.synchronise(x.rng.IntN(len(x.servers)), x.rng.IntN(len(x.servers)))
 		case 11, 12:
-			i := x.rng.IntN(len(x.hubs))
-			x.hubs[i].tick(time.Now())
-			x.reboot(i)
+			i := x.rng.IntN(len(x.servers))
+			x.servers[i].tick(time.Now())
+			x.redrawBootID(i)
 		case 13:
-			x.list()
+			x.readList()
 		case 14:
-			x.load(x.rng.IntN(len(x.followers)))
+			x.changeLoad(x.rng.IntN(len(x.subscribers)))
 		case 15:
-			x.event()
+			x.rareEvent()
 		}
 	}
 }
 
-// follow sends a poll to a hub; the answer arrives later.
-func (x *exchange) follow(i, to int) {
-	f := x.followers[i]
+// poll sends a poll to a hub; the answer arrives later.
+func (x *exchange) poll(i, to int) {
+	f := x.subscribers[i]
 	asked := time.Now()
 	req := f.buildRequest(x.loads[i], x.rng.IntN(3) > 0)
 	slices.SortFunc(req.Down, func(a, b *distributionpb.Verdict) int { return strings.Compare(a.GetNode(), b.GetNode()) })
 	req.Call = f.callIDs.Next()
-	got := wire(x.tr, 'Q', req, &distributionpb.FollowRequest{})
+	got := transferred(x.tr, 'Q', req, &distributionpb.FollowRequest{})
 	time.Sleep(time.Duration(x.rng.IntN(40)) * time.Millisecond)
-	reply, err := x.hubs[to].Follow(context.Background(), got)
+	reply, err := x.servers[to].Follow(context.Background(), got)
 	if err != nil {
 		x.tr.step('E')
 		return
 	}
-	x.replies = append(x.replies, heldReply{i, asked, req, wire(x.tr, 'A', reply, &distributionpb.FollowReply{})})
+	x.replies = append(x.replies, pendingReply{i, asked, req, transferred(x.tr, 'A', reply, &distributionpb.FollowReply{})})
 }
 
-// arrive has one of the answers under way arrive, or loses it.
-func (x *exchange) arrive() {
+// deliver has one of the answers under way deliver, or loses it.
+func (x *exchange) deliver() {
 	if len(x.replies) == 0 {
 		return
 	}
 	at := x.rng.IntN(len(x.replies))
 	r := x.replies[at]
 	x.replies = slices.Delete(x.replies, at, at+1)
-	f := x.followers[r.follower]
+	f := x.subscribers[r.subscriber]
 	if x.rng.IntN(10) == 0 || r.reply.GetSoft() == nil || r.req.GetMember().GetIncarnation() != f.Incarnation() {
 		return
 	}
-	got := f.handleReply(r.asked, time.Now(), r.req, r.reply)
+	got := f.handleReply(r.sentAt, time.Now(), r.req, r.reply)
 	x.tr.step('T')
-	x.tr.num(int64(r.follower))
+	x.tr.num(int64(r.subscriber))
 	x.tr.flags(got.current, got.serves, got.stateAdvanced, got.stillBehind)
-	x.held(f)
+	x.traceUpdate(f)
 }
 
-// held takes in what a follower holds.
-func (x *exchange) held(f *Subscriber) {
+// traceUpdate takes in what a follower holds.
+func (x *exchange) traceUpdate(f *Subscriber) {
 	u := f.Current()
 	x.tr.num(int64(u.State.Seq), int64(u.ListAge), int64(u.ListCoversSeq), int64(u.ContactAge), int64(u.DownCount))
 	x.tr.flags(u.HasList, u.Fresh, u.MembershipIncomplete, u.Stale, u.State.Evacuated["za"], u.State.Evacuated["zb"])
@@ -235,36 +235,36 @@
 	}
 }
 
-// share has a hub share with another.
-func (x *exchange) share(from, to int) {
+// synchronise has a hub synchronise with another.
+func (x *exchange) synchronise(from, to int) {
 	if from == to {
 		return
 	}
 	way := [2]int{from, to}
-	if x.shares[way] == nil {
-		x.shares[way] = &syncProgress{}
+	if x.progress[way] == nil {
+		x.progress[way] = &syncProgress{}
 	}
 	for range 2 { // once more where the first told nothing but the clock
-		req, number := x.hubs[from].buildShareRequest(x.shares[way])
-		req.Call = x.hubs[from].callIDs.Next()
-		got := wire(x.tr, 'S', req, &distributionpb.ShareRequest{})
+		req, number := x.servers[from].buildShareRequest(x.progress[way])
+		req.Call = x.servers[from].callIDs.Next()
+		got := transferred(x.tr, 'S', req, &distributionpb.ShareRequest{})
 		time.Sleep(time.Duration(x.rng.IntN(20)) * time.Millisecond)
-		reply, err := x.hubs[to].Share(context.Background(), got)
+		reply, err := x.servers[to].Share(context.Background(), got)
 		if err != nil {
 			x.tr.step('E')
 			return
 		}
-		x.reboot(to)
-		reply.Boot = x.hubs[to].bootID
-		answer := wire(x.tr, 'R', reply, &distributionpb.ShareReply{})
-		if x.shares[way].handleReply(time.Now(), req, number, answer) {
+		x.redrawBootID(to)
+		reply.Boot = x.servers[to].bootID
+		answer := transferred(x.tr, 'R', reply, &distributionpb.ShareReply{})
+		if x.progress[way].handleReply(time.Now(), req, number, answer) {
 			return
 		}
 	}
 }
 
-// list reads the platform's list: some servers, some of them cold, draining or withdrawn.
-func (x *exchange) list() {
+// readList reads the platform's readList: some servers, some of them cold, draining or withdrawn.
+func (x *exchange) readList() {
 	x.lists++
 	var servers []pick.Server
 	for i, id := range exchangeServers {
@@ -282,13 +282,13 @@
 		servers = append(servers, s)
 	}
 	spent := time.Duration(x.rng.IntN(300)) * time.Millisecond
-	err := x.hubs[x.rng.IntN(len(x.hubs))].PutList(1+x.lists/40, x.lists, servers, madeAgo(softstate.Age{Min: spent / 2, Max: spent}))
+	err := x.servers[x.rng.IntN(len(x.servers))].PutList(1+x.lists/40, x.lists, servers, madeAgo(softstate.Age{Min: spent / 2, Max: spent}))
 	x.tr.step('P')
 	x.tr.flags(err != nil)
 }
 
-// load changes what a follower has outstanding.
-func (x *exchange) load(i int) {
+// changeLoad changes what a follower has outstanding.
+func (x *exchange) changeLoad(i int) {
 	x.loads[i] = maps.Clone(x.loads[i])
 	id := exchangeServers[x.rng.IntN(len(exchangeServers))]
 	if x.rng.IntN(4) == 0 {
@@ -298,9 +298,9 @@
 	x.loads[i][id] = pick.Load{Requests: x.rng.IntN(20), Prefill: int64(x.rng.IntN(9000)), Tokens: int64(x.rng.IntN(30_000))}
 }
 
-// event is one that is rare.
-func (x *exchange) event() {
-	f := x.followers[x.rng.IntN(len(x.followers))]
+// rareEvent is one that is rare.
+func (x *exchange) rareEvent() {
+	f := x.subscribers[x.rng.IntN(len(x.subscribers))]
 	zone := []string{"za", "zb"}[x.rng.IntN(2)]
 	switch x.rng.IntN(11) {
 	case 0, 1:
@@ -310,25 +310,25 @@
 	case 3:
 		x.chain.add(controlstate.Record{Op: controlstate.OpReadmit, Zone: zone})
 	case 4:
-		x.chain.gone = x.chain.seq()
+		x.chain.compactedTo = x.chain.seq()
 	case 5:
 		x.sources[x.rng.IntN(len(x.sources))].setStale(x.rng.IntN(3) == 0)
 	case 6:
 		f.SetReady(x.rng.IntN(2) == 0)
 	case 7:
-		f.Report(fmt.Sprint("p", x.rng.IntN(5)), x.followers[x.rng.IntN(5)].Incarnation())
+		f.Report(fmt.Sprint("p", x.rng.IntN(5)), x.subscribers[x.rng.IntN(5)].Incarnation())
 	case 8:
-		x.hint()
+		x.writeHint()
 	case 9:
-		x.startFollower(x.rng.IntN(len(x.followers)))
+		x.startSubscriber(x.rng.IntN(len(x.subscribers)))
 	case 10:
 		time.Sleep(time.Duration(x.rng.IntN(4000)) * time.Millisecond)
 	}
 }
 
-// hint writes or deletes a hint at a hub.
-func (x *exchange) hint() {
-	h := x.hubs[x.rng.IntN(len(x.hubs))]
+// writeHint writes or deletes a writeHint at a hub.
+func (x *exchange) writeHint() {
+	h := x.servers[x.rng.IntN(len(x.servers))]
 	key, version := softstate.HintPrefix+fmt.Sprint(x.rng.IntN(3)), uint64(x.rng.IntN(50))
 	var err error
 	if x.rng.IntN(3) == 0 {
@@ -340,9 +340,9 @@
 	x.tr.flags(err != nil)
 }
 
-// tables takes in what the hubs hold in the end.
-func (x *exchange) tables() {
-	for _, h := range x.hubs {
+// traceTables takes in what the hubs hold in the end.
+func (x *exchange) traceTables() {
+	for _, h := range x.servers {
 		x.tr.step('F')
 		for _, e := range h.Table() {
 			x.tr.bytes([]byte(e.Key))
@@ -372,7 +372,7 @@
 func traceExchange(tr *trace, seed uint64) {
 	x := newExchange(tr, seed)
 	x.run(5000)
-	x.tables()
+	x.traceTables()
 }
 
 // TestGoldenTrace holds every message, and what followers hold after each, to what they were, step by step. A change that is meant
--- a/internal/system/distribution/late_delivery_controls_norace_test.go
+++ b/internal/system/distribution/late_delivery_controls_norace_test.go
@@ -21,7 +21,7 @@
 		found := false
 		for seed := uint64(0); seed < 20 && !found; seed++ {
 			synctest.Test(t, func(t *testing.T) {
-				_, broken := runLateWorld(t, seed, c.hub, c.proxies)
+				_, broken := runLateFleet(t, seed, c.hub, c.proxies)
 				found = len(broken) > 0
 				if found {
 					t.Logf("%s: seed %d: %v", name, seed, broken)
--- a/internal/system/distribution/loopback_test.go
+++ b/internal/system/distribution/loopback_test.go
@@ -67,10 +67,10 @@
 func TestOverLoopback(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	c := newChain()
-	src := &source{chain: c}
+	src := &fakeSource{fakeChain: c}
 	h := NewServer(ServerOptions{Source: src, Self: "k", Log: quiet()})
 	address, _ := serve(t, h.Handler())
-	src.keepers = []string{address}
+	src.addresses = []string{address}
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -122,17 +122,17 @@
 func BenchmarkServerWithSubscribers(b *testing.B) {
 	for _, pace := range []time.Duration{100 * time.Millisecond, 300 * time.Millisecond} {
 		for _, busy := range []bool{false, true} {
-			b.Run(fmt.Sprintf("pace=%v/busy=%v", pace, busy), func(b *testing.B) { benchmarkKeeper(b, pace, busy) })
+			b.Run(fmt.Sprintf("pace=%v/busy=%v", pace, busy), func(b *testing.B) { benchmarkServer(b, pace, busy) })
 		}
 	}
 }
 
-func benchmarkKeeper(b *testing.B, pace time.Duration, busy bool) {
+func benchmarkServer(b *testing.B, pace time.Duration, busy bool) {
 	const followers, servers = 100, 400
-	src := &source{chain: newChain()}
+	src := &fakeSource{fakeChain: newChain()}
 	h := NewServer(ServerOptions{Source: src, Self: "k", Log: quiet(), Limits: ServerLimits{LoadReportInterval: pace, TableCompleteAfter: time.Millisecond}})
 	address, bytes := serve(b, h.Handler())
-	src.keepers = []string{address}
+	src.addresses = []string{address}
 	ctx, cancel := context.WithCancel(b.Context())
 	var wg sync.WaitGroup
 	wg.Go(func() { h.Run(ctx) })
--- a/internal/system/distribution/membership_partition_test.go
+++ b/internal/system/distribution/membership_partition_test.go
@@ -17,7 +17,7 @@
 	on    bool
 }
 
-func (c *census) note(u Update) {
+func (c *census) observe(u Update) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.on {
@@ -37,42 +37,42 @@
 	return c.least
 }
 
-const flapMembers = 9
+const censusMembers = 9
 
-func flapFleet(knobs TestingKnobs) (*fleet, *census) {
+func newCensusFleet(knobs TestingKnobs) (*testFleet, *census) {
 	fl := newFleetWithKnobs(knobs, "k1:1", "k2:1", "k3:1")
 	c := &census{}
-	for i := range flapMembers {
-		fl.startFollower(fmt.Sprint("p", i), func(o *SubscriberOptions) {
+	for i := range censusMembers {
+		fl.startProxy(fmt.Sprint("p", i), func(o *SubscriberOptions) {
 			o.Self.Zone = "zone-" + fl.names[i%len(fl.names)]
-			o.OnUpdate = c.note
+			o.OnUpdate = c.observe
 		})
 	}
 	return fl, c
 }
 
-// backFromACut cuts a keeper off from the others for 20 s, and gives the fewest members that a proxy was told of in the
+// fewestAfterPartition cuts a keeper off from the others for 20 s, and gives the fewest members that a proxy was told of in the
 // 10 s after that.
-func backFromACut(t *testing.T, knobs TestingKnobs) int {
+func fewestAfterPartition(t *testing.T, knobs TestingKnobs) int {
 	t.Helper()
-	fl, c := flapFleet(knobs)
+	fl, c := newCensusFleet(knobs)
 	defer fl.stop()
 	time.Sleep(8 * time.Second)
 	for _, k := range []string{"k2:1", "k3:1"} {
-		fl.mesh.setCut("k1:1", k, true)
-		fl.mesh.setCut(k, "k1:1", true)
+		fl.mesh.setPartitioned("k1:1", k, true)
+		fl.mesh.setPartitioned(k, "k1:1", true)
 	}
 	fl.sources["k1:1"].setStale(true)
-	c.begin(flapMembers)
+	c.begin(censusMembers)
 	time.Sleep(20 * time.Second)
-	if c.fewest() != flapMembers {
+	if c.fewest() != censusMembers {
 		t.Errorf("during the cut a proxy was told of %d members", c.fewest())
 	}
-	if !slices.ContainsFunc(fl.hubs["k1:1"].Members(), func(m softstate.Member) bool { return m.Down }) {
+	if !slices.ContainsFunc(fl.servers["k1:1"].Members(), func(m softstate.Member) bool { return m.Down }) {
 		t.Error("the run brought nothing about: the keeper that is cut off marked nobody down")
 	}
 	fl.mesh.mu.Lock()
-	clear(fl.mesh.cut)
+	clear(fl.mesh.partitioned)
 	fl.mesh.mu.Unlock()
 	fl.sources["k1:1"].setStale(false)
 	time.Sleep(10 * time.Second)
@@ -83,12 +83,12 @@
 // heard of. Danger: back again, it spreads that, and for a moment every proxy counts itself the only one.
 func TestNodeBackFromPartitionMarksNobodyDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		if n := backFromACut(t, TestingKnobs{}); n != flapMembers {
+		if n := fewestAfterPartition(t, TestingKnobs{}); n != censusMembers {
 			t.Errorf("a proxy was told of %d members", n)
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
-		if backFromACut(t, TestingKnobs{AcceptDownVerdicts: true}) == flapMembers {
+		if fewestAfterPartition(t, TestingKnobs{AcceptDownVerdicts: true}) == censusMembers {
 			t.Error("control: nothing was lost where every mark is believed")
 		}
 	})
@@ -99,22 +99,22 @@
 func TestNodesWithoutContactToEachOther(t *testing.T) {
 	run := func(t *testing.T, knobs TestingKnobs) int {
 		t.Helper()
-		fl, c := flapFleet(knobs)
+		fl, c := newCensusFleet(knobs)
 		defer fl.stop()
 		time.Sleep(8 * time.Second)
-		fl.mesh.setCut("k1:1", "k2:1", true)
-		fl.mesh.setCut("k2:1", "k1:1", true)
-		c.begin(flapMembers)
+		fl.mesh.setPartitioned("k1:1", "k2:1", true)
+		fl.mesh.setPartitioned("k2:1", "k1:1", true)
+		c.begin(censusMembers)
 		time.Sleep(20 * time.Second)
 		return c.fewest()
 	}
 	synctest.Test(t, func(t *testing.T) {
-		if n := run(t, TestingKnobs{}); n != flapMembers {
+		if n := run(t, TestingKnobs{}); n != censusMembers {
 			t.Errorf("a proxy was told of %d members", n)
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
-		if run(t, TestingKnobs{OwnContactsOnly: true}) == flapMembers {
+		if run(t, TestingKnobs{OwnContactsOnly: true}) == censusMembers {
 			t.Error("control: nothing was lost where a keeper goes by its own ears")
 		}
 	})
--- a/internal/system/distribution/mismatched_reply_test.go
+++ b/internal/system/distribution/mismatched_reply_test.go
@@ -93,8 +93,8 @@
 	return false
 }
 
-// scriptedFollower is a follower of a scripted peer on loopback.
-func scriptedFollower(t *testing.T, script func(uint32) string) (f *Subscriber, p *scriptedPeer, address string) {
+// newScriptedSubscriber is a follower of a scripted peer on loopback.
+func newScriptedSubscriber(t *testing.T, script func(uint32) string) (f *Subscriber, p *scriptedPeer, address string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -125,7 +125,7 @@
 func TestReplyReachesItsCallAlone(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 5))
 	counts := map[string]int{}
-	f, p, address := scriptedFollower(t, func(uint32) string {
+	f, p, address := newScriptedSubscriber(t, func(uint32) string {
 		act := peerActs[rng.IntN(len(peerActs))]
 		counts[act]++
 		return act
@@ -162,7 +162,7 @@
 
 // TestMismatchedReplyControl: without the names of calls, the answer to another call is taken.
 func TestMismatchedReplyControl(t *testing.T) {
-	f, _, address := scriptedFollower(t, func(uint32) string { return "another's answer" })
+	f, _, address := newScriptedSubscriber(t, func(uint32) string { return "another's answer" })
 	for _, knob := range []bool{false, true} {
 		f.options.Knobs.AcceptAnyReply = knob
 		ctx, cancel := rpc.WithIdleTimeout(t.Context(), time.Second, time.Second)
@@ -175,7 +175,7 @@
 
 // TestSurplusReplyShiftsNothing: after a peer that answered twice, the next poll does not take the surplus answer.
 func TestSurplusReplyShiftsNothing(t *testing.T) {
-	f, _, address := scriptedFollower(t, func(uint32) string { return "twice in one packet" })
+	f, _, address := newScriptedSubscriber(t, func(uint32) string { return "twice in one packet" })
 	for range 200 {
 		req := &distributionpb.FollowRequest{}
 		ctx, cancel := rpc.WithIdleTimeout(t.Context(), time.Second, time.Second)
@@ -188,7 +188,7 @@
 
 // TestRetriedCallsChangeNothing: a poll or a share that comes twice leaves a keeper as it was after the first.
 func TestRetriedCallsChangeNothing(t *testing.T) {
-	h := newIdleHub()
+	h := newIdleServer()
 	h.markComplete()
 	m := softstate.Member{Node: "p", Incarnation: 5, Revision: 2, Ready: true}
 	other := softstate.Member{Node: "q", Incarnation: 6}
--- a/internal/system/distribution/older_list_resync_test.go
+++ b/internal/system/distribution/older_list_resync_test.go
@@ -30,7 +30,7 @@
 // nothing there. Danger: what the first one said (a server drains, or is cold) is never told.
 func TestSkippedListIsSentAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, b := newIdleHub(), newIdleHub()
+		a, b := newIdleServer(), newIdleServer()
 		a.markComplete()
 		b.markComplete()
 		f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
@@ -63,7 +63,7 @@
 // what the proxy holds, and is not written again, as the keeper holds it.
 func TestNewerReadingOfLowerVersionIsApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, b := newIdleHub(), newIdleHub()
+		a, b := newIdleServer(), newIdleServer()
 		a.markComplete()
 		b.markComplete()
 		f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
@@ -99,7 +99,7 @@
 // ages. Danger: the server is called warm, and what has been listed since vanishes.
 func TestDelayedReadingEndsNoWarmUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newIdleHub()
+		h := newIdleServer()
 		asked := time.Now()
 		time.Sleep(2200 * time.Millisecond)
 		if err := h.PutList(1, 8, []pick.Server{{ID: "a", WarmUpMax: 3 * time.Second}}, madeAgo(softstate.Age{Max: 20 * time.Millisecond})); err != nil {
--- a/internal/system/distribution/older_list_test.go
+++ b/internal/system/distribution/older_list_test.go
@@ -12,9 +12,9 @@
 )
 
 // reading is a keeper's whole table after it read the list.
-func wholeTable(tb testing.TB, age time.Duration, version uint64, servers ...pick.Server) *distributionpb.FollowReply {
+func completeTable(tb testing.TB, age time.Duration, version uint64, servers ...pick.Server) *distributionpb.FollowReply {
 	tb.Helper()
-	h := newIdleHub()
+	h := newIdleServer()
 	h.markComplete()
 	if err := h.PutList(1, version, servers, madeAgo(exactAge(age))); err != nil {
 		tb.Fatal(err)
@@ -24,24 +24,24 @@
 		Soft: &distributionpb.Cursor{Boot: h.bootID, Number: h.table.LastNumber}}
 }
 
-// moveToKeeperThatIsJustBack has a follower that knows a server as draining move to a keeper whose table is 20 s old, and
+// moveToRejoinedNode has a follower that knows a server as draining move to a keeper whose table is 20 s old, and
 // gives what it holds then.
-func moveToKeeperThatIsJustBack(tb testing.TB, knobs TestingKnobs) []pick.Server {
+func moveToRejoinedNode(tb testing.TB, knobs TestingKnobs) []pick.Server {
 	tb.Helper()
 	f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet(), Knobs: knobs})
-	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), wholeTable(tb, 0, 990, pick.Server{ID: "a", Draining: true}, pick.Server{ID: "new"}))
-	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), wholeTable(tb, 20*time.Second, 950, pick.Server{ID: "a"}, pick.Server{ID: "gone"}))
+	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), completeTable(tb, 0, 990, pick.Server{ID: "a", Draining: true}, pick.Server{ID: "new"}))
+	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), completeTable(tb, 20*time.Second, 950, pick.Server{ID: "a"}, pick.Server{ID: "gone"}))
 	return f.Current().Servers
 }
 
 // TestRejoinedNodeBringsNoOldList: a keeper that was cut off or stopped for 20 s may be current again before the
 // others have told it what the list has become. Danger: requests go to servers that have been draining for 20 s.
 func TestRejoinedNodeBringsNoOldList(t *testing.T) {
-	got := moveToKeeperThatIsJustBack(t, TestingKnobs{})
+	got := moveToRejoinedNode(t, TestingKnobs{})
 	if len(got) != 2 || got[0].ID != "a" || !got[0].Draining || got[1].ID != "new" {
 		t.Errorf("holds %+v", got)
 	}
-	if got := moveToKeeperThatIsJustBack(t, TestingKnobs{ReplaceAlways: true}); len(got) == 2 && got[0].Draining {
+	if got := moveToRejoinedNode(t, TestingKnobs{ReplaceAlways: true}); len(got) == 2 && got[0].Draining {
 		t.Error("control: nothing was lost where each whole table takes the place of what is held")
 	}
 }
@@ -49,8 +49,8 @@
 // TestNodesThatRestartVersionsAreAccepted: after a restart of all keepers versions begin anew, so the younger reading counts.
 func TestNodesThatRestartVersionsAreAccepted(t *testing.T) {
 	f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
-	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), wholeTable(t, 20*time.Second, 990, pick.Server{ID: "a"}))
-	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), wholeTable(t, 0, 1, pick.Server{ID: "b"}))
+	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), completeTable(t, 20*time.Second, 990, pick.Server{ID: "a"}))
+	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), completeTable(t, 0, 1, pick.Server{ID: "b"}))
 	if got := f.Current().Servers; len(got) != 1 || got[0].ID != "b" {
 		t.Errorf("holds %+v", got)
 	}
@@ -59,7 +59,7 @@
 // TestEarlierReadingOfTheList: of two pollers under one fence the one that is slow, or stood still, ends last. Danger: what
 // it read before brings back servers that have gone and calls cold ones warm.
 func TestEarlierReadingOfTheList(t *testing.T) {
-	h := newIdleHub()
+	h := newIdleServer()
 	cold := []pick.Server{{ID: "a", Service: "x", WarmUpMax: 3 * time.Second}}
 	if err := h.PutList(1, 7, cold, madeAgo(softstate.Age{})); err != nil {
 		t.Fatal(err)
--- a/internal/system/distribution/random_faults_test.go
+++ b/internal/system/distribution/random_faults_test.go
@@ -36,7 +36,7 @@
 	fl.mesh.mu.Unlock()
 	nodes := 0
 	start := func() {
-		fl.startFollower(fmt.Sprint("p", nodes), nil)
+		fl.startProxy(fmt.Sprint("p", nodes), nil)
 		nodes++
 	}
 	for range 8 {
@@ -44,7 +44,7 @@
 	}
 	hosts := func() []string {
 		out := append([]string{}, fl.names...)
-		for n := range fl.followers {
+		for n := range fl.proxies {
 			out = append(out, n)
 		}
 		return out
@@ -59,33 +59,33 @@
 			fl.chain.add(none())
 			if rng.IntN(4) == 0 {
 				fl.chain.mu.Lock()
-				fl.chain.gone = uint64(len(fl.chain.records))
+				fl.chain.compactedTo = uint64(len(fl.chain.records))
 				fl.chain.mu.Unlock()
 			}
 		case 2:
 			h := hosts()
-			fl.mesh.setCut(h[rng.IntN(len(h))], h[rng.IntN(len(h))], true)
+			fl.mesh.setPartitioned(h[rng.IntN(len(h))], h[rng.IntN(len(h))], true)
 		case 3:
 			fl.mesh.mu.Lock()
-			clear(fl.mesh.cut)
+			clear(fl.mesh.partitioned)
 			fl.mesh.mu.Unlock()
 		case 4:
-			if fl.hubs[k] != nil && len(fl.hubs) > 1 {
-				fl.killHub(k)
+			if fl.servers[k] != nil && len(fl.servers) > 1 {
+				fl.killServer(k)
 			}
 		case 5:
-			if fl.hubs[k] == nil {
-				fl.startHub(k)
+			if fl.servers[k] == nil {
+				fl.startServer(k)
 			}
 		case 6:
 			fl.sources[k].setStale(rng.IntN(2) == 0)
 		case 7:
-			if len(fl.followers) > 5 {
-				for n, p := range fl.followers {
+			if len(fl.proxies) > 5 {
+				for n, p := range fl.proxies {
 					p.mu.Lock()
-					back = back || p.back
+					back = back || p.wentBack
 					p.mu.Unlock()
-					fl.killFollower(n)
+					fl.killProxy(n)
 					break
 				}
 			} else {
@@ -97,28 +97,28 @@
 			if len(servers) > 5 {
 				servers = servers[1:]
 			}
-			if fl.hubs[k] != nil {
-				_ = fl.hubs[k].PutList(1, version, servers, madeAgo(softstate.Age{}))
+			if fl.servers[k] != nil {
+				_ = fl.servers[k].PutList(1, version, servers, madeAgo(softstate.Age{}))
 			}
 		}
 	}
 	fl.mesh.mu.Lock()
-	clear(fl.mesh.cut)
+	clear(fl.mesh.partitioned)
 	fl.mesh.mu.Unlock()
 	for _, k := range fl.names {
 		fl.sources[k].setStale(false)
-		if fl.hubs[k] == nil {
-			fl.startHub(k)
+		if fl.servers[k] == nil {
+			fl.startServer(k)
 		}
 	}
 	seq := fl.chain.add(none())
 	time.Sleep(9 * time.Second)
-	if err := fl.hubs["k1:1"].PutList(1, version+1, servers, madeAgo(softstate.Age{})); err != nil {
+	if err := fl.servers["k1:1"].PutList(1, version+1, servers, madeAgo(softstate.Age{})); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(500 * time.Millisecond)
 	defer func() {
-		for n, h := range fl.hubs {
+		for n, h := range fl.servers {
 			for _, m := range h.Members() {
 				if t.Failed() {
 					t.Logf("%s: %+v", n, m)
@@ -128,24 +128,24 @@
 	}()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	if err := fl.hubs["k1:1"].WaitAcknowledged(ctx, seq); err != nil {
+	if err := fl.servers["k1:1"].WaitAcknowledged(ctx, seq); err != nil {
 		t.Error(err)
 	}
 	within(t, 2*time.Second, "each proxy is followed once", func() bool {
 		followed := 0
-		for _, h := range fl.hubs {
+		for _, h := range fl.servers {
 			followed += len(h.Subscribers())
 		}
-		return followed == len(fl.followers)
+		return followed == len(fl.proxies)
 	})
-	for n, p := range fl.followers {
+	for n, p := range fl.proxies {
 		p.mu.Lock()
-		back = back || p.back
+		back = back || p.wentBack
 		p.mu.Unlock()
-		u := p.f.Current()
-		if u.State.Seq != seq || !u.Fresh || len(u.Members) != len(fl.followers) || len(u.Servers) != len(servers) {
+		u := p.subscriber.Current()
+		if u.State.Seq != seq || !u.Fresh || len(u.Members) != len(fl.proxies) || len(u.Servers) != len(servers) {
 			t.Errorf("%s: seq %d of %d, fresh %v, members %d of %d, servers %d of %d", n, u.State.Seq, seq, u.Fresh,
-				len(u.Members), len(fl.followers), len(u.Servers), len(servers))
+				len(u.Members), len(fl.proxies), len(u.Servers), len(servers))
 		}
 		for i := range min(len(u.Servers), len(servers)) {
 			if u.Servers[i].Service != "a" {
--- a/internal/system/distribution/referral_test.go
+++ b/internal/system/distribution/referral_test.go
@@ -13,10 +13,10 @@
 // nothing, and it never learns of a keeper.
 func TestProxyWhoseSeedsAreAllObservers(t *testing.T) {
 	c := newChain()
-	src := &source{chain: c}
+	src := &fakeSource{fakeChain: c}
 	h := NewServer(ServerOptions{Source: src, Self: "k", Log: quiet()})
 	keeper, _ := serve(t, h.Handler())
-	src.keepers = []string{keeper}
+	src.addresses = []string{keeper}
 	observer := Referral{Servers: func() []ServerLocation { return []ServerLocation{{Address: keeper, Zone: "za", Region: "r"}} }}
 	first, _ := serve(t, observer.Handler())
 	second, _ := serve(t, observer.Handler())
--- a/internal/system/distribution/reply_budget_test.go
+++ b/internal/system/distribution/reply_budget_test.go
@@ -19,7 +19,7 @@
 // bound allows, and others are told to ask again instead; small answers go out all the same.
 func TestPendingRepliesAreBounded(t *testing.T) {
 	c := newChain()
-	h := NewServer(ServerOptions{Source: &source{chain: c, keepers: []string{"k"}}, Self: "k", Log: quiet(), Limits: ServerLimits{MaxPendingReplyBytes: 1500 << 10}})
+	h := NewServer(ServerOptions{Source: &fakeSource{fakeChain: c, addresses: []string{"k"}}, Self: "k", Log: quiet(), Limits: ServerLimits{MaxPendingReplyBytes: 1500 << 10}})
 	c.add(largeConfig(t, 1, 1<<20, rand.NewChaCha8([32]byte{5})))
 	ask := func(node string, held uint64) (*distributionpb.FollowReply, func()) {
 		ctx, release := withReservation(t.Context())
@@ -58,7 +58,7 @@
 func TestCallerThatDoesNotReadBlocksNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newChain()
-		h := NewServer(ServerOptions{Source: &source{chain: c, keepers: []string{"k"}}, Self: "k", Log: quiet()})
+		h := NewServer(ServerOptions{Source: &fakeSource{fakeChain: c, addresses: []string{"k"}}, Self: "k", Log: quiet()})
 		c.add(largeConfig(t, 1, 4<<20, rand.NewChaCha8([32]byte{6})))
 		ends := make(chan net.Conn)
 		srv := &http.Server{Handler: h.Handler()}
--- a/internal/system/distribution/server_list_fence_test.go
+++ b/internal/system/distribution/server_list_fence_test.go
@@ -13,7 +13,7 @@
 // last one under the former. Keepers take it in; then the second reading under the new fence says the same. Danger: a proxy skips
 // the first, moves its cursor past it, and never hears of what it said.
 func TestHigherFenceWithAnOlderReading(t *testing.T) {
-	h := newIdleHub()
+	h := newIdleServer()
 	h.markComplete()
 	f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
 	poll := func() {
--- a/internal/system/distribution/server_new_fence_test.go
+++ b/internal/system/distribution/server_new_fence_test.go
@@ -14,7 +14,7 @@
 // next fence holds another state of a server, and none of a server that came with that reading. Danger: what it reads does not
 // differ from what it holds, so it writes nothing, and the other one keeps the lost keeper's word for good.
 func TestNewFenceWritesAllEntriesOnce(t *testing.T) {
-	reader, other := newIdleHub(), NewServer(ServerOptions{Source: &source{chain: newChain(), keepers: []string{"a", "c"}}, Self: "c", Log: quiet()})
+	reader, other := newIdleServer(), NewServer(ServerOptions{Source: &fakeSource{fakeChain: newChain(), addresses: []string{"a", "c"}}, Self: "c", Log: quiet()})
 	reader.markComplete()
 	other.markComplete()
 	put := func(h *Server, fence, version uint64, servers ...pick.Server) {
--- a/internal/system/distribution/server_rejoin_test.go
+++ b/internal/system/distribution/server_rejoin_test.go
@@ -17,18 +17,18 @@
 			fl := newFleetWithKnobs(TestingKnobs{SkipRejoinDelay: c.hook}, "k1:1", "k2:1", "k3:1")
 			defer fl.stop()
 			time.Sleep(4 * time.Second)
-			k := fl.hubs["k1:1"]
+			k := fl.servers["k1:1"]
 			if !k.isCurrent() {
 				t.Errorf("%s: waits at its start", c.name)
 			}
 			for _, other := range []string{"k2:1", "k3:1"} {
-				fl.mesh.setCut("k1:1", other, c.cut)
-				fl.mesh.setCut(other, "k1:1", c.cut)
+				fl.mesh.setPartitioned("k1:1", other, c.cut)
+				fl.mesh.setPartitioned(other, "k1:1", c.cut)
 			}
 			fl.sources["k1:1"].setStale(true)
 			time.Sleep(20 * time.Second)
 			fl.mesh.mu.Lock()
-			clear(fl.mesh.cut)
+			clear(fl.mesh.partitioned)
 			fl.mesh.mu.Unlock()
 			fl.sources["k1:1"].setStale(false)
 			if got := k.isCurrent(); got != c.want {
--- a/internal/system/distribution/server_sync_test.go
+++ b/internal/system/distribution/server_sync_test.go
@@ -10,25 +10,25 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// hubNamed is a hub that shares with nobody by itself.
-func hubNamed(name string) *Server {
-	return NewServer(ServerOptions{Source: &source{chain: newChain(), keepers: []string{"a", "b"}}, Self: name, Log: quiet()})
+// newNamedServer is a hub that shares with nobody by itself.
+func newNamedServer(name string) *Server {
+	return NewServer(ServerOptions{Source: &fakeSource{fakeChain: newChain(), addresses: []string{"a", "b"}}, Self: name, Log: quiet()})
 }
 
-// sharing passes shares from one hub to another by hand.
-type sharing struct {
+// manualSync passes shares from one hub to another by hand.
+type manualSync struct {
 	from, to *Server
 	progress syncProgress
 }
 
 // send composes a share, waits as if it lay in a buffer, hands it over, and takes the answer in.
-func (s *sharing) send(tb testing.TB, held time.Duration) *distributionpb.ShareReply {
+func (s *manualSync) send(tb testing.TB, held time.Duration) *distributionpb.ShareReply {
 	tb.Helper()
-	return s.sendOver(tb, leg{out: held})
+	return s.sendOver(tb, transit{out: held})
 }
 
 // sendOver sends a share over a link that delays it and its answer.
-func (s *sharing) sendOver(tb testing.TB, l leg) *distributionpb.ShareReply {
+func (s *manualSync) sendOver(tb testing.TB, l transit) *distributionpb.ShareReply {
 	tb.Helper()
 	req, number := s.from.buildShareRequest(&s.progress)
 	time.Sleep(l.out)
@@ -50,7 +50,7 @@
 // was held up for long, or whose sending cannot be placed, is sent anew.
 func TestTimeInBuffersCountsAsAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &sharing{from: hubNamed("a"), to: hubNamed("b")}
+		s := &manualSync{from: newNamedServer("a"), to: newNamedServer("b")}
 		if err := s.from.PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(exactAge(time.Second))); err != nil {
 			t.Fatal(err)
 		}
@@ -85,7 +85,7 @@
 // TestTimeInBuffersControl: judged by its arrival, a share that lay in a buffer for 20 s makes an old list a new one.
 func TestTimeInBuffersControl(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &sharing{from: hubNamed("a"), to: hubNamed("b")}
+		s := &manualSync{from: newNamedServer("a"), to: newNamedServer("b")}
 		s.to.options.Knobs.DateByArrival = true
 		if err := s.from.PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(softstate.Age{})); err != nil {
 			t.Fatal(err)
@@ -99,11 +99,11 @@
 // TestShareToAnotherIncarnation: a keeper that was started anew does not take what was dated by its former life's clock.
 func TestShareToAnotherIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &sharing{from: hubNamed("a"), to: hubNamed("b")}
+		s := &manualSync{from: newNamedServer("a"), to: newNamedServer("b")}
 		time.Sleep(time.Minute)
 		s.send(t, 0)
 		s.send(t, 0)
-		s.to = hubNamed("b")
+		s.to = newNamedServer("b")
 		if !s.send(t, 0).GetLate() {
 			t.Error("taken though its time is of a former life")
 		}
@@ -117,7 +117,7 @@
 // does not bring that back over the list of the view that followed, however high its versions are.
 func TestListOfOldFenceIsSuperseded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cutOff, next := hubNamed("a"), hubNamed("b")
+		cutOff, next := newNamedServer("a"), newNamedServer("b")
 		for version := uint64(1); version <= 40; version++ {
 			time.Sleep(500 * time.Millisecond)
 			if err := cutOff.PutList(3, 900+version, []pick.Server{{ID: "s"}}, madeAgo(softstate.Age{})); err != nil {
@@ -127,7 +127,7 @@
 				t.Fatal(err)
 			}
 		}
-		for _, s := range []*sharing{{from: cutOff, to: next}, {from: next, to: cutOff}} {
+		for _, s := range []*manualSync{{from: cutOff, to: next}, {from: next, to: cutOff}} {
 			s.send(t, 0)
 			s.send(t, 0)
 			if got, _, _ := s.to.List(); len(got) != 2 || !got[1].Draining {
--- a/internal/system/distribution/server_test.go
+++ b/internal/system/distribution/server_test.go
@@ -11,12 +11,12 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-func newIdleHub() *Server {
-	return NewServer(ServerOptions{Source: &source{chain: newChain(), keepers: []string{"k"}}, Self: "k", Log: quiet()})
+func newIdleServer() *Server {
+	return NewServer(ServerOptions{Source: &fakeSource{fakeChain: newChain(), addresses: []string{"k"}}, Self: "k", Log: quiet()})
 }
 
 func TestListWritesOnlyWhatDiffers(t *testing.T) {
-	h := newIdleHub()
+	h := newIdleServer()
 	list := []pick.Server{{ID: "a", Service: "x", WarmUpMax: 3 * time.Second}, {ID: "b", Service: "x"}}
 	put := func(fence, version uint64, age time.Duration, want uint64) {
 		t.Helper()
@@ -57,7 +57,7 @@
 }
 
 func TestPutRejectsStaleEntry(t *testing.T) {
-	h := newIdleHub()
+	h := newIdleServer()
 	if err := h.Put("hint/x", 2, 1, []byte("1")); err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +73,7 @@
 
 // A keeper that stood still must not take the silence of all for theirs.
 func TestPausedNodeMarksNobodyDown(t *testing.T) {
-	h := newIdleHub()
+	h := newIdleServer()
 	now := time.Now()
 	m := softstate.Member{Node: "p", Incarnation: 5}
 	h.endCall(h.beginCall(m, &distributionpb.FollowRequest{Member: m.ToProto()}))
@@ -96,7 +96,7 @@
 }
 
 func TestVerdictsOfOthers(t *testing.T) {
-	h := newIdleHub()
+	h := newIdleServer()
 	now := time.Now()
 	m := softstate.Member{Node: "p", Incarnation: 5}
 	h.endCall(h.beginCall(m, &distributionpb.FollowRequest{Member: m.ToProto()}))
@@ -120,7 +120,7 @@
 // TestEndedConnectionMarksDown: a process that ends takes its held call with it, and is down soon; one that calls again, as
 // after a reset, stays. Danger: clients are sent to proxies that are gone for as long as silence takes to tell.
 func TestEndedConnectionMarksDown(t *testing.T) {
-	h := newIdleHub()
+	h := newIdleServer()
 	now := time.Now()
 	h.lastTick = now
 	down := func(node string) bool {
--- a/internal/system/distribution/slow_link_test.go
+++ b/internal/system/distribution/slow_link_test.go
@@ -34,27 +34,27 @@
 	return controlstate.Record{Op: controlstate.OpReplace, Base: revision - 1, Body: b.Bytes()}
 }
 
-// narrow is a network whose answers come at some bytes each 100 ms.
-type narrow struct {
-	next http.RoundTripper
-	rate int
+// slowTransport is a network whose answers come at some bytes each 100 ms.
+type slowTransport struct {
+	next           http.RoundTripper
+	bytesPerSecond int
 }
 
-type narrowBody struct {
+type slowBody struct {
 	io.ReadCloser
 	ctx  context.Context
 	rate int
 }
 
-func (n narrow) RoundTrip(r *http.Request) (*http.Response, error) {
+func (n slowTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	resp, err := n.next.RoundTrip(r)
 	if err == nil {
-		resp.Body = narrowBody{resp.Body, r.Context(), n.rate}
+		resp.Body = slowBody{resp.Body, r.Context(), n.bytesPerSecond}
 	}
 	return resp, err
 }
 
-func (b narrowBody) Read(p []byte) (int, error) {
+func (b slowBody) Read(p []byte) (int, error) {
 	if !sleep(b.ctx, 100*time.Millisecond) {
 		return 0, errors.New("the call was given up")
 	}
@@ -71,7 +71,7 @@
 			defer fl.stop()
 			fl.chain.add(largeConfig(t, 1, c.size, rand.NewChaCha8([32]byte{1})))
 			start := time.Now()
-			p := fl.startFollower("p", func(o *SubscriberOptions) { o.Transport = narrow{o.Transport, c.rate} })
+			p := fl.startProxy("p", func(o *SubscriberOptions) { o.Transport = slowTransport{o.Transport, c.rate} })
 			within(t, 10*time.Second, fmt.Sprint(c.size, " bytes arrive"), func() bool { return p.update().State != nil && p.update().State.Seq == 1 })
 			t.Logf("%d bytes after %v", c.size, time.Since(start))
 		})
@@ -83,15 +83,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet("k1:1", "k2:1")
 		defer fl.stop()
-		p := fl.startFollower("p", func(o *SubscriberOptions) { o.Self.Zone, o.Transport = "zone-k1:1", stalling{o.Transport, "k1:1"} })
+		p := fl.startProxy("p", func(o *SubscriberOptions) {
+			o.Self.Zone, o.Transport = "zone-k1:1", stallingTransport{o.Transport, "k1:1"}
+		})
 		time.Sleep(3 * time.Second)
 		seq := fl.chain.add(largeConfig(t, 1, 256<<10, rand.NewChaCha8([32]byte{2})))
 		within(t, 2*time.Second, "the change arrives", func() bool { return p.update().State.Seq == seq })
 	})
 }
 
-// stalling is a network in which a host's large answers stop after 64 KB.
-type stalling struct {
+// stallingTransport is a network in which a host's large answers stop after 64 KB.
+type stallingTransport struct {
 	next http.RoundTripper
 	host string
 }
@@ -102,7 +104,7 @@
 	left int
 }
 
-func (s stalling) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s stallingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	resp, err := s.next.RoundTrip(r)
 	if err == nil && r.URL.Host == s.host {
 		resp.Body = &stallingBody{resp.Body, r.Context(), 64 << 10}
@@ -130,7 +132,7 @@
 		fl.mesh.mu.Lock()
 		before := fl.mesh.bytes
 		fl.mesh.mu.Unlock()
-		p := fl.startFollower("p", nil)
+		p := fl.startProxy("p", nil)
 		within(t, 400*time.Millisecond, "it starts", func() bool { return p.update().State != nil && p.update().State.Seq == 1 })
 		time.Sleep(time.Second)
 		fl.mesh.mu.Lock()
@@ -148,7 +150,7 @@
 		fl := newFleet("k1:1")
 		defer fl.stop()
 		fl.chain.add(largeConfig(t, 1, 600<<10, rand.NewChaCha8([32]byte{4})))
-		fl.startFollower("p", func(o *SubscriberOptions) { o.Transport = refusing{o.Transport} })
+		fl.startProxy("p", func(o *SubscriberOptions) { o.Transport = refusingTransport{o.Transport} })
 		time.Sleep(10 * time.Second)
 		fl.mesh.mu.Lock()
 		defer fl.mesh.mu.Unlock()
@@ -158,10 +160,10 @@
 	})
 }
 
-// refusing is a network through which no answer of more than 4 KB comes.
-type refusing struct{ next http.RoundTripper }
+// refusingTransport is a network through which no answer of more than 4 KB comes.
+type refusingTransport struct{ next http.RoundTripper }
 
-func (r refusing) RoundTrip(req *http.Request) (*http.Response, error) {
+func (r refusingTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	resp, err := r.next.RoundTrip(req)
 	if err == nil && resp.ContentLength > 4<<10 {
 		return nil, errors.New("too large for this network")
--- a/internal/system/distribution/subscriber_delta_test.go
+++ b/internal/system/distribution/subscriber_delta_test.go
@@ -13,7 +13,7 @@
 // called cold. The first keeper's answer then brings its newest reading, but not the server, which the proxy had been told of before.
 // Danger: the server looks warm by the newest reading.
 func TestDeltaOfAnotherTableBringsNoList(t *testing.T) {
-	first, second := newIdleHub(), newIdleHub()
+	first, second := newIdleServer(), newIdleServer()
 	first.markComplete()
 	second.markComplete()
 	put := func(h *Server, version uint64, age softstate.Age, cold time.Duration) {
--- a/internal/system/distribution/subscriber_history_test.go
+++ b/internal/system/distribution/subscriber_history_test.go
@@ -13,7 +13,7 @@
 // sent nor what they make of records grows with the number of changes.
 func TestSubscribersKeepNoHistory(t *testing.T) {
 	c := newChain()
-	h := NewServer(ServerOptions{Source: &source{chain: c, keepers: []string{"k"}}, Self: "k", Log: quiet()})
+	h := NewServer(ServerOptions{Source: &fakeSource{fakeChain: c, addresses: []string{"k"}}, Self: "k", Log: quiet()})
 	f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
 	for i := range int64(200) {
 		body := fmt.Appendf(nil, `{"revision":%d,"routes":[],"services":[]}`, i+1)
--- a/internal/system/distribution/subscriber_late_reply_test.go
+++ b/internal/system/distribution/subscriber_late_reply_test.go
@@ -15,7 +15,7 @@
 func lateReply(tb testing.TB, wait time.Duration, knobs TestingKnobs) (u Update, seq uint64) {
 	tb.Helper()
 	c := newChain()
-	h := NewServer(ServerOptions{Source: &source{chain: c, keepers: []string{"k"}}, Self: "k", Log: quiet()})
+	h := NewServer(ServerOptions{Source: &fakeSource{fakeChain: c, addresses: []string{"k"}}, Self: "k", Log: quiet()})
 	h.markComplete()
 	c.add(controlstate.Record{Op: controlstate.OpEvacuate, Zone: "z"})
 	if err := h.PutList(1, 1, []pick.Server{{ID: "old"}}, madeAgo(softstate.Age{})); err != nil {
--- a/internal/system/distribution/subscriber_neighbours_test.go
+++ b/internal/system/distribution/subscriber_neighbours_test.go
@@ -15,10 +15,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		fl := newFleet("k1:1", "k2:1")
 		defer fl.stop()
-		cut, other := fl.startFollower("cut", nil), fl.startFollower("other", nil)
+		cut, other := fl.startProxy("cut", nil), fl.startProxy("other", nil)
 		put := func(version uint64, s pick.Server) {
 			t.Helper()
-			if err := fl.hubs["k1:1"].PutList(1, version, []pick.Server{s}, madeAgo(exactAge(0))); err != nil {
+			if err := fl.servers["k1:1"].PutList(1, version, []pick.Server{s}, madeAgo(exactAge(0))); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -26,8 +26,8 @@
 		put(1, pick.Server{ID: "s", Zone: "z"})
 		time.Sleep(6 * time.Second)
 		for _, k := range fl.names {
-			fl.mesh.setCut("cut", k, true)
-			fl.mesh.setCut(k, "cut", true)
+			fl.mesh.setPartitioned("cut", k, true)
+			fl.mesh.setPartitioned(k, "cut", true)
 		}
 		time.Sleep(3 * time.Second)
 		fl.chain.add(controlstate.Record{Op: controlstate.OpEvacuate, Zone: "z"})
--- a/internal/system/distribution/subscriber_stale_test.go
+++ b/internal/system/distribution/subscriber_stale_test.go
@@ -13,7 +13,7 @@
 func TestBehindIsNotStale(t *testing.T) {
 	f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
 	now := time.Now()
-	reply := wholeTable(t, 0, 1, pick.Server{ID: "a"})
+	reply := completeTable(t, 0, 1, pick.Server{ID: "a"})
 	reply.Newest = 5
 	f.handleReply(now, now, f.buildRequest(nil, false), reply)
 	if u := f.Current(); u.Stale {
--- a/internal/system/distribution/subscriber_start_test.go
+++ b/internal/system/distribution/subscriber_start_test.go
@@ -17,7 +17,7 @@
 	at  time.Time
 }
 
-func (f *firstState) note(u Update) {
+func (f *firstState) observe(u Update) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.seq == 0 && u.State.Seq > 0 {
@@ -31,30 +31,30 @@
 	return f.seq, f.at
 }
 
-// oldNeighbour makes a fleet of one keeper, and a proxy that holds change 1 and is cut off before change 2 is acknowledged.
-func oldNeighbour() *fleet {
+// newOldNeighbour makes a fleet of one keeper, and a proxy that holds change 1 and is cut off before change 2 is acknowledged.
+func newOldNeighbour() *testFleet {
 	fl := newFleet("k1:1")
-	fl.startFollower("old", nil)
+	fl.startProxy("old", nil)
 	fl.chain.add(controlstate.Record{Op: controlstate.OpEvacuate, Zone: "z"})
 	time.Sleep(5 * time.Second)
-	fl.cutOff("old", true)
+	fl.isolate("old", true)
 	fl.chain.add(controlstate.Record{Op: controlstate.OpReadmit, Zone: "z"})
 	return fl
 }
 
-// startBeside starts a proxy with some seeds beside the old neighbour, and gives the first state that it serves.
-func startBeside(t *testing.T, node string, knobs TestingKnobs, seeds ...string) (seq uint64, took time.Duration) {
+// startBesideNeighbour starts a proxy with some seeds beside the old neighbour, and gives the first state that it serves.
+func startBesideNeighbour(t *testing.T, node string, knobs TestingKnobs, seeds ...string) (seq uint64, took time.Duration) {
 	t.Helper()
-	fl := oldNeighbour()
+	fl := newOldNeighbour()
 	defer fl.stop()
 	for _, s := range seeds {
 		if s != "k1:1" && s != "old:2" {
-			fl.mesh.setCut(node, s, true) // silent, as a machine that is cut off
+			fl.mesh.setPartitioned(node, s, true) // silent, as a machine that is cut off
 		}
 	}
 	var first firstState
 	start := time.Now()
-	fl.startFollower(node, func(o *SubscriberOptions) { o.Seeds, o.OnUpdate, o.Knobs = seeds, first.note, knobs })
+	fl.startProxy(node, func(o *SubscriberOptions) { o.Seeds, o.OnUpdate, o.Knobs = seeds, first.observe, knobs })
 	time.Sleep(10 * time.Second)
 	seq, at := first.get()
 	return seq, at.Sub(start)
@@ -69,7 +69,7 @@
 	}
 	for i := range 30 {
 		synctest.Test(t, func(t *testing.T) {
-			if seq, took := startBeside(t, fmt.Sprint("p", i), TestingKnobs{}, seeds...); seq != 2 || took > 1500*time.Millisecond {
+			if seq, took := startBesideNeighbour(t, fmt.Sprint("p", i), TestingKnobs{}, seeds...); seq != 2 || took > 1500*time.Millisecond {
 				t.Errorf("p%d: serves change %d after %v", i, seq, took)
 			}
 		})
@@ -80,12 +80,12 @@
 // before it serves what that neighbour holds.
 func TestStartProbesNodesThatNeighbourNames(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		if seq, took := startBeside(t, "p", TestingKnobs{}, "old:2", "dead:1"); seq != 2 || took > 4*time.Second {
+		if seq, took := startBesideNeighbour(t, "p", TestingKnobs{}, "old:2", "dead:1"); seq != 2 || took > 4*time.Second {
 			t.Errorf("serves change %d after %v", seq, took)
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
-		if seq, _ := startBeside(t, "p", TestingKnobs{NeighbourAtOnce: true}, "old:2", "dead:1"); seq == 2 {
+		if seq, _ := startBesideNeighbour(t, "p", TestingKnobs{NeighbourAtOnce: true}, "old:2", "dead:1"); seq == 2 {
 			t.Error("control: the keeper's state came first though the neighbour was believed at once")
 		}
 	})
@@ -94,12 +94,12 @@
 // TestStartWithoutNodeServesNeighboursState: where no keeper can be reached at all, an old state is better than none.
 func TestStartWithoutNodeServesNeighboursState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fl := oldNeighbour()
+		fl := newOldNeighbour()
 		defer fl.stop()
-		fl.mesh.setCut("p", "k1:1", true)
+		fl.mesh.setPartitioned("p", "k1:1", true)
 		var first firstState
 		start := time.Now()
-		fl.startFollower("p", func(o *SubscriberOptions) { o.Seeds, o.OnUpdate = []string{"old:2", "dead:1"}, first.note })
+		fl.startProxy("p", func(o *SubscriberOptions) { o.Seeds, o.OnUpdate = []string{"old:2", "dead:1"}, first.observe })
 		time.Sleep(10 * time.Second)
 		if seq, at := first.get(); seq != 1 || at.Sub(start) > 6*time.Second {
 			t.Errorf("serves change %d after %v", seq, at.Sub(start))
--- a/internal/system/distribution/warmup_bounds_test.go
+++ b/internal/system/distribution/warmup_bounds_test.go
@@ -17,25 +17,25 @@
 	const ms = time.Millisecond
 	for name, c := range map[string]struct {
 		more          time.Duration
-		first, second leg
+		first, second transit
 	}{
-		"one page at 45 ms": {40 * ms, leg{45 * ms, 0}, leg{45 * ms, 45 * ms}},
-		"two pages, the server on the second: 45 ms each way": {130 * ms, leg{135 * ms, 0}, leg{135 * ms, 45 * ms}},
-		"a slow reading":                {700 * ms, leg{0, 0}, leg{800 * ms, 0}},
-		"same ways, 40 ms more":         {40 * ms, leg{45 * ms, 10 * ms}, leg{45 * ms, 10 * ms}},
-		"same ways, exact, 1.4 ms more": {1400 * time.Microsecond, leg{1 * ms, 0}, leg{1 * ms, 0}},
+		"one page at 45 ms": {40 * ms, transit{45 * ms, 0}, transit{45 * ms, 45 * ms}},
+		"two pages, the server on the second: 45 ms each way": {130 * ms, transit{135 * ms, 0}, transit{135 * ms, 45 * ms}},
+		"a slow reading":                {700 * ms, transit{0, 0}, transit{800 * ms, 0}},
+		"same ways, 40 ms more":         {40 * ms, transit{45 * ms, 10 * ms}, transit{45 * ms, 10 * ms}},
+		"same ways, exact, 1.4 ms more": {1400 * time.Microsecond, transit{1 * ms, 0}, transit{1 * ms, 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := newColdPath(t, leg{})
+				p := newWarmUpPath(t, transit{})
 				start := time.Now()
-				p.truth.coldEnd = start.Add(3 * time.Second)
+				p.server.warmUpEnd = start.Add(3 * time.Second)
 				p.read(c.first)
 				time.Sleep(200 * ms)
-				p.truth.coldEnd = p.truth.coldEnd.Add(c.more)
+				p.server.warmUpEnd = p.server.warmUpEnd.Add(c.more)
 				for range 2 {
 					p.read(c.second)
-					p.follow("reader:1", leg{})
+					p.poll("reader:1", transit{})
 					p.check()
 				}
 				if len(p.early) > 0 {
@@ -51,7 +51,7 @@
 func TestCarriedEntriesKeepTheirTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
-		empty := newIdleHub() // a keeper that has started anew, warm, with no list yet
+		empty := newIdleServer() // a keeper that has started anew, warm, with no list yet
 		empty.markComplete()
 		items, full := empty.table.ChangesSince(0)
 		reply := &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: softstate.EncodeEntries(time.Now(), items),
@@ -60,7 +60,7 @@
 		read := time.Now() // call(): f.take(asked, time.Now(), req, reply), before the lock
 		time.Sleep(1500 * time.Millisecond)
 		end := time.Now().Add(3 * time.Second)
-		f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), wholeTable(t, 0, 5, pick.Server{ID: "s", WarmUpMax: 3 * time.Second}))
+		f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), completeTable(t, 0, 5, pick.Server{ID: "s", WarmUpMax: 3 * time.Second}))
 		f.handleReply(read, read, req, reply)
 		got := f.Current().Servers
 		if len(got) != 1 {
@@ -77,7 +77,7 @@
 // keepers, all servers that have ever been told as cold.
 func TestOldWarmUpIsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newIdleHub()
+		h := newIdleServer()
 		h.markComplete()
 		if err := h.PutList(1, 1, []pick.Server{{ID: "s", WarmUpMax: 3 * time.Second}}, madeAgo(softstate.Age{})); err != nil {
 			t.Fatal(err)
@@ -103,15 +103,15 @@
 // so the cold state need not end later than by the better of the two.
 func TestSecondReplicaNarrowsTheAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newColdPath(t, leg{})
-		p.truth.coldEnd = time.Now().Add(4 * time.Second)
-		p.read(leg{})
-		p.share(leg{out: 1400 * time.Millisecond}) // a slow share to the other keeper
-		p.follow("other:1", leg{})
-		p.follow("reader:1", leg{})
-		p.follow("reader:1", leg{})
+		p := newWarmUpPath(t, transit{})
+		p.server.warmUpEnd = time.Now().Add(4 * time.Second)
+		p.read(transit{})
+		p.synchronise(transit{out: 1400 * time.Millisecond}) // a slow share to the other keeper
+		p.poll("other:1", transit{})
+		p.poll("reader:1", transit{})
+		p.poll("reader:1", transit{})
 		p.check()
-		late := p.held()["proxy"].WarmUpMax - time.Until(p.truth.coldEnd)
+		late := p.stored()["proxy"].WarmUpMax - time.Until(p.server.warmUpEnd)
 		t.Logf("late by %v, early %v", late, p.early)
 		if late > 300*time.Millisecond {
 			t.Errorf("the cold state ends %v late at a proxy that has a fast word of it", late)
@@ -124,7 +124,7 @@
 func TestListAgeHoldsOverAPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const stop = 300 * time.Millisecond
-		h := newIdleHub()
+		h := newIdleServer()
 		read := madeAgo(softstate.Age{Max: 50 * time.Millisecond})
 		withdrawn := read.Earliest.Add(3 * time.Second)
 		time.Sleep(stop)
@@ -145,7 +145,7 @@
 		var worst time.Duration
 		flaps := 0
 		for phase := range 50 {
-			h := newIdleHub()
+			h := newIdleServer()
 			start := time.Now()
 			end := start.Add(3 * time.Second)
 			time.Sleep(time.Duration(phase) * 10 * ms)
@@ -157,7 +157,7 @@
 					back = 165 * ms
 				}
 				time.Sleep(55 * ms)
-				told := (truth{coldEnd: end}).told(time.Now())
+				told := (trueServer{warmUpEnd: end}).statedAt(time.Now())
 				time.Sleep(back)
 				v++
 				// as feed does, rounding up
--- a/internal/system/distribution/warmup_fleet_faults_test.go
+++ b/internal/system/distribution/warmup_fleet_faults_test.go
@@ -5,49 +5,49 @@
 	"time"
 )
 
-// cutOffFor cuts a machine off the others for a while; what was under way is lost.
-func (w *coldWorld) cutOffFor(host string, d time.Duration) {
-	w.cutTill[host] = time.Now().Add(d)
+// isolateFor cuts a machine off the others for a while; what was under way is lost.
+func (w *warmUpFleet) isolateFor(host string, d time.Duration) {
+	w.isolatedUntil[host] = time.Now().Add(d)
 	w.log("cut ", host, " for ", d)
-	w.note(host)
-	w.setCuts(host, true)
+	w.recordFault(host)
+	w.setPartitions(host, true)
 	if s := w.sources[host]; s != nil {
 		s.setStale(true)
 	}
-	w.came["cut"]++
+	w.faultCounts["cut"]++
 }
 
-func (w *coldWorld) setCuts(host string, cut bool) {
-	for _, o := range append(slices.Clone(w.names), w.proxies...) {
+func (w *warmUpFleet) setPartitions(host string, cut bool) {
+	for _, o := range append(slices.Clone(w.names), w.proxyNames...) {
 		if o == host {
 			continue
 		}
 		for _, from := range []string{host, host + ":2"} {
 			for _, to := range []string{o, o + ":2"} {
-				w.mesh.setCut(from, to, cut)
-				w.mesh.setCut(to, from, cut)
+				w.mesh.setPartitioned(from, to, cut)
+				w.mesh.setPartitioned(to, from, cut)
 			}
 		}
 	}
 }
 
-// note remembers a trouble.
-func (w *coldWorld) note(host string) {
+// recordFault remembers a trouble.
+func (w *warmUpFleet) recordFault(host string) {
 	if w.sources[host] != nil {
 		host = ""
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.trouble[host] = time.Now()
+	w.lastFault[host] = time.Now()
 }
 
 // fault brings some trouble about.
-func (w *coldWorld) fault() {
-	for host, end := range w.cutTill {
+func (w *warmUpFleet) fault() {
+	for host, end := range w.isolatedUntil {
 		if time.Now().After(end) {
-			delete(w.cutTill, host)
-			w.note(host)
-			w.setCuts(host, false)
+			delete(w.isolatedUntil, host)
+			w.recordFault(host)
+			w.setPartitions(host, false)
 			if s := w.sources[host]; s != nil {
 				s.setStale(false)
 			}
@@ -55,47 +55,47 @@
 	}
 	cutKeepers := 0
 	for _, k := range w.names {
-		if _, cut := w.cutTill[k]; cut {
+		if _, cut := w.isolatedUntil[k]; cut {
 			cutKeepers++
 		}
 	}
 	k := w.names[w.rng.IntN(3)]
-	node := w.proxies[w.rng.IntN(len(w.proxies))]
-	_, kCut := w.cutTill[k]
-	_, nCut := w.cutTill[node]
+	node := w.proxyNames[w.rng.IntN(len(w.proxyNames))]
+	_, kCut := w.isolatedUntil[k]
+	_, nCut := w.isolatedUntil[node]
 	span := time.Second + time.Duration(w.rng.IntN(5000))*time.Millisecond
-	switch w.rng.IntN(coldWorldCalm) {
+	switch w.rng.IntN(faultPeriodSteps) {
 	case 0:
 		if cutKeepers == 0 {
-			w.cutOffFor(k, span)
+			w.isolateFor(k, span)
 		}
 	case 1, 2:
 		if !nCut {
-			w.cutOffFor(node, span)
+			w.isolateFor(node, span)
 		}
 	case 3:
 		if cutKeepers == 0 {
-			w.note(k)
+			w.recordFault(k)
 			w.polls[k]()
-			w.killHub(k)
-			w.startHub(k)
+			w.killServer(k)
+			w.startServer(k)
 			w.poll(k)
-			w.came["keeper anew"]++
+			w.faultCounts["keeper anew"]++
 			w.log("anew ", k)
 		}
 	case 4:
 		if !nCut {
-			w.note(node)
-			w.killFollower(node)
-			w.startProxy(node)
-			w.came["proxy anew"]++
+			w.recordFault(node)
+			w.killProxy(node)
+			w.startPickingProxy(node)
+			w.faultCounts["proxy anew"]++
 			w.log("anew ", node)
 		}
 	case 5:
 		if cutKeepers == 0 && !kCut {
 			w.sources[k].setStale(true) // it is not current for a while, but reaches the others
-			w.wg.Go(func() { time.Sleep(span / 3); w.note(k); w.sources[k].setStale(false) })
-			w.came["not current"]++
+			w.wg.Go(func() { time.Sleep(span / 3); w.recordFault(k); w.sources[k].setStale(false) })
+			w.faultCounts["not current"]++
 			w.log("not current ", k, " for ", span/3)
 		}
 	}
--- a/internal/system/distribution/warmup_fleet_serve_test.go
+++ b/internal/system/distribution/warmup_fleet_serve_test.go
@@ -14,20 +14,20 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// show adds what the list shows from now on, lag later. The caller holds mu or is alone.
-func (w *coldWorld) show() {
-	w.shown = append(w.shown, shownList{time.Now(), maps.Clone(w.servers)})
+// publishList adds what the list shows from now on, lag later. The caller holds mu or is alone.
+func (w *warmUpFleet) publishList() {
+	w.listHistory = append(w.listHistory, shownList{time.Now(), maps.Clone(w.trueServers)})
 }
 
 // List implements platform.Lister, for one keeper.
-type coldLister struct {
-	w     *coldWorld
+type fleetLister struct {
+	w     *warmUpFleet
 	calls uint64
 }
 
-func (l *coldLister) Calls() uint64 { return l.calls }
+func (l *fleetLister) Calls() uint64 { return l.calls }
 
-func (l *coldLister) List(ctx context.Context, _ string) ([]platform.Instance, error) {
+func (l *fleetLister) List(ctx context.Context, _ string) ([]platform.Instance, error) {
 	l.calls++
 	if !sleep(ctx, time.Millisecond+rand.N(60*time.Millisecond)) {
 		return nil, ctx.Err()
@@ -35,8 +35,8 @@
 	l.w.mu.Lock()
 	now := time.Now()
 	var list []platform.Instance
-	for _, s := range slices.Backward(l.w.shown) {
-		if now.Sub(s.at) < coldWorldLag {
+	for _, s := range slices.Backward(l.w.listHistory) {
+		if now.Sub(s.at) < warmUpListLag {
 			continue
 		}
 		for id, v := range s.servers {
@@ -60,18 +60,18 @@
 }
 
 // poll has a keeper poll the platform.
-func (w *coldWorld) poll(k string) {
+func (w *warmUpFleet) poll(k string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	w.polls[k] = cancel
-	h := w.hubs[k]
-	p := platform.NewPoller(platform.PollerOptions{Lister: &coldLister{w: w}, Newest: h.ListVersion, Log: quiet(),
+	h := w.servers[k]
+	p := platform.NewPoller(platform.PollerOptions{Lister: &fleetLister{w: w}, Newest: h.ListVersion, Log: quiet(),
 		Ownership: func() (uint64, bool) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			if w.sources[k].Current() {
 				w.seen[k] = w.epoch
 			}
-			return w.seen[k], w.holder == k && w.seen[k] == w.epoch
+			return w.seen[k], w.owner == k && w.seen[k] == w.epoch
 		},
 		OnResult: func(r platform.Result) {
 			var servers []pick.Server
@@ -84,10 +84,10 @@
 }
 
 // serve has every proxy ask for a server twice, and notes what reaches cold and draining ones.
-func (w *coldWorld) serve() {
+func (w *warmUpFleet) serve() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, node := range w.proxies {
+	for _, node := range w.proxyNames {
 		p := w.pickers[node]
 		p.mu.Lock()
 		for range 2 {
@@ -101,39 +101,39 @@
 				continue
 			}
 			p.picker.Done(now, c.Ticket, pick.Served, 0)
-			s, ok := w.servers[c.Server.ID]
+			s, ok := w.trueServers[c.Server.ID]
 			if !ok {
 				continue // 421
 			}
 			cold := time.Now().Before(s.coldUntil)
 			if cold && p.changes[s.zone] < w.evacuated[s.zone] {
 				// Such a proxy goes on at its part of the load: see the postmortem of FAILBACK, what is left.
-				w.came["cold sends by proxies that have not heard of the evacuation"]++
+				w.faultCounts["cold sends by proxies that have not heard of the evacuation"]++
 				continue
 			}
 			if cold {
-				sent := append(w.sent[c.Server.ID], coldSent{time.Now(), node, p.picker.Stats().WarmUpSends > before})
+				sent := append(w.sent[c.Server.ID], sentToCold{time.Now(), node, p.picker.Stats().WarmUpSends > before})
 				for time.Since(sent[0].at) >= time.Second {
 					sent = sent[1:]
 				}
 				w.sent[c.Server.ID] = sent
 				if len(sent) > w.worst {
 					w.worst = len(sent)
-					w.told = w.tell(c.Server.ID, s)
+					w.worstSecond = w.describeSecond(c.Server.ID, s)
 				}
-				w.came["cold sends"]++
+				w.faultCounts["cold sends"]++
 			}
-			if _, cut := w.cutTill[node]; !cut && !s.draining.IsZero() {
-				since := laterOf(laterOf(w.trouble[node], w.trouble[""]), s.draining.Add(coldWorldLag))
-				w.late = max(w.late, time.Since(since))
+			if _, cut := w.isolatedUntil[node]; !cut && !s.draining.IsZero() {
+				since := laterOf(laterOf(w.lastFault[node], w.lastFault[""]), s.draining.Add(warmUpListLag))
+				w.maxLateness = max(w.maxLateness, time.Since(since))
 			}
 		}
 		p.mu.Unlock()
 	}
 }
 
-// tell says what the last second at a server was made of.
-func (w *coldWorld) tell(id string, s coldServer) string {
+// describeSecond says what the last second at a server was made of.
+func (w *warmUpFleet) describeSecond(id string, s warmingServer) string {
 	as := map[string][2]int{}
 	for _, v := range w.sent[id] {
 		n := as[v.node]
@@ -145,19 +145,19 @@
 		as[v.node] = n
 	}
 	out := fmt.Sprintf("%v: %s in %s, cold since %v, by proxy (as cold, as warm):", time.Since(w.begin).Round(time.Millisecond), id, s.zone,
-		s.coldUntil.Add(-coldWorldFor).Sub(w.begin).Round(time.Millisecond))
+		s.coldUntil.Add(-warmUpDuration).Sub(w.begin).Round(time.Millisecond))
 	for _, node := range slices.Sorted(maps.Keys(as)) {
 		out += fmt.Sprint(" ", node, as[node])
-		if end, cut := w.cutTill[node]; cut {
+		if end, cut := w.isolatedUntil[node]; cut {
 			out += fmt.Sprint("(cut until ", end.Sub(w.begin), ")")
-		} else if at, ok := w.trouble[node]; ok {
+		} else if at, ok := w.lastFault[node]; ok {
 			out += fmt.Sprint("(last trouble ", at.Sub(w.begin), ")")
 		}
 	}
-	return out + "\n" + fmt.Sprint(w.story[max(0, len(w.story)-45):])
+	return out + "\n" + fmt.Sprint(w.eventLog[max(0, len(w.eventLog)-45):])
 }
 
 // log notes what happens.
-func (w *coldWorld) log(what ...any) {
-	w.story = append(w.story, fmt.Sprint(time.Since(w.begin).Round(time.Millisecond), " ", fmt.Sprint(what...)))
+func (w *warmUpFleet) log(what ...any) {
+	w.eventLog = append(w.eventLog, fmt.Sprint(time.Since(w.begin).Round(time.Millisecond), " ", fmt.Sprint(what...)))
 }
--- a/internal/system/distribution/warmup_fleet_test.go
+++ b/internal/system/distribution/warmup_fleet_test.go
@@ -20,16 +20,16 @@
 )
 
 const (
-	coldWorldLag   = 800 * time.Millisecond // of the platform's list
-	coldWorldFor   = 3 * time.Second
-	coldWorldRate  = 31.0
-	coldWorldBound = coldWorldRate*1.5 + 5
-	drainWithin    = 4 * time.Second
-	coldWorldCalm  = 150 // one in so many steps of 25 ms brings each kind of trouble
+	warmUpListLag    = 800 * time.Millisecond // of the platform's list
+	warmUpDuration   = 3 * time.Second
+	warmUpRate       = 31.0
+	warmUpBound      = warmUpRate*1.5 + 5
+	drainTimeout     = 4 * time.Second
+	faultPeriodSteps = 150 // one in so many steps of 25 ms brings each kind of trouble
 )
 
-// coldServer is a server as it truly is.
-type coldServer struct {
+// warmingServer is a server as it truly is.
+type warmingServer struct {
 	zone      string
 	coldUntil time.Time
 	draining  time.Time // since; zero: serves
@@ -38,60 +38,60 @@
 // shownList is the list from a moment on.
 type shownList struct {
 	at      time.Time
-	servers map[string]coldServer
+	servers map[string]warmingServer
 }
 
-// coldWorld is keepers that poll the platform, proxies with pickers, and servers that turn cold: with a new id, or under theirs 2.4 s before their
+// warmUpFleet is keepers that poll the platform, proxies with pickers, and servers that turn cold: with a new id, or under theirs 2.4 s before their
 // zone is taken back. Machines are cut off, killed and started meanwhile.
-type coldWorld struct {
-	*fleet
-	t         *testing.T
-	rng       *rand.Rand
-	config    *config.Config
-	proxies   []string
-	pickers   map[string]*coldPicker
-	polls     map[string]context.CancelFunc
-	cutTill   map[string]time.Time
-	evacuated map[string]uint64 // the record that evacuated a zone last
-	begin     time.Time
-	untold    bool // pickers hear nothing of cold servers: a control
-	missing   int  // of 100 entries are not in a reading
-	worst     int
-	trouble   map[string]time.Time // when a proxy, or a keeper (""), was last cut off, joined, killed or started
-	late      time.Duration        // by which requests came at most after a server was shown as draining, and after troubles of their way
-	came      map[string]int
+type warmUpFleet struct {
+	*testFleet
+	t             *testing.T
+	rng           *rand.Rand
+	config        *config.Config
+	proxyNames    []string
+	pickers       map[string]*fleetPicker
+	polls         map[string]context.CancelFunc
+	isolatedUntil map[string]time.Time
+	evacuated     map[string]uint64 // the record that evacuated a zone last
+	begin         time.Time
+	hideWarmUps   bool // pickers hear nothing of cold servers: a control
+	missing       int  // of 100 entries are not in a reading
+	worst         int
+	lastFault     map[string]time.Time // when a proxy, or a keeper (""), was last cut off, joined, killed or started
+	maxLateness   time.Duration        // by which requests came at most after a server was shown as draining, and after troubles of their way
+	faultCounts   map[string]int
 
-	mu      sync.Mutex
-	epoch   uint64
-	holder  string
-	seen    map[string]uint64 // epochs that keepers know
-	servers map[string]coldServer
-	shown   []shownList
-	ids     int
-	sent    map[string][]coldSent // to cold servers, within the last second
-	story   []string
-	told    string // what the worst second was made of
+	mu          sync.Mutex
+	epoch       uint64
+	owner       string
+	seen        map[string]uint64 // epochs that keepers know
+	trueServers map[string]warmingServer
+	listHistory []shownList
+	ids         int
+	sent        map[string][]sentToCold // to cold servers, within the last second
+	eventLog    []string
+	worstSecond string // what the worst second was made of
 }
 
-// coldSent is a request to a server that was cold, and whether its proxy took that for cold.
-type coldSent struct {
+// sentToCold is a request to a server that was cold, and whether its proxy took that for cold.
+type sentToCold struct {
 	at   time.Time
 	node string
 	cold bool
 }
 
-// coldPicker is a proxy's picker, told as cmd/proxy does it.
-type coldPicker struct {
-	mu     sync.Mutex
-	start  time.Time
-	picker *pick.Picker
-	serves bool
-	f      *Subscriber
+// fleetPicker is a proxy's picker, told as cmd/proxy does it.
+type fleetPicker struct {
+	mu         sync.Mutex
+	start      time.Time
+	picker     *pick.Picker
+	serves     bool
+	subscriber *Subscriber
 
 	changes map[string]uint64 // the records that changed zones last, as far as it has heard
 }
 
-func (p *coldPicker) update(w *coldWorld, node string, u Update) {
+func (p *fleetPicker) update(w *warmUpFleet, node string, u Update) {
 	var live []string
 	for _, m := range u.Members {
 		if !m.Draining && !m.Down {
@@ -106,7 +106,7 @@
 	if u.State.Seq > 0 {
 		world.Config, p.serves, p.changes = w.config, true, world.ZoneChanges
 	}
-	if w.untold {
+	if w.hideWarmUps {
 		world.ZoneChanges = nil
 		world.Servers = slices.Clone(world.Servers)
 		for i := range world.Servers {
@@ -114,60 +114,60 @@
 		}
 	}
 	p.picker.UpdateClusterState(time.Since(p.start), world)
-	if p.f != nil {
-		p.f.NotifyListUpdates(p.picker.AwaitsServerList())
+	if p.subscriber != nil {
+		p.subscriber.NotifyListUpdates(p.picker.AwaitsServerList())
 	}
 }
 
-func newColdWorld(t *testing.T, rng *rand.Rand, proxies int, change func(*coldWorld)) *coldWorld {
+func newWarmUpFleet(t *testing.T, rng *rand.Rand, proxies int, change func(*warmUpFleet)) *warmUpFleet {
 	t.Helper()
-	w := &coldWorld{fleet: newFleet("k1:1", "k2:1", "k3:1"), t: t, rng: rng, pickers: map[string]*coldPicker{}, polls: map[string]context.CancelFunc{},
-		cutTill: map[string]time.Time{}, evacuated: map[string]uint64{}, trouble: map[string]time.Time{}, came: map[string]int{}, epoch: 1, holder: "k1:1", seen: map[string]uint64{}, servers: map[string]coldServer{}, sent: map[string][]coldSent{}}
+	w := &warmUpFleet{testFleet: newFleet("k1:1", "k2:1", "k3:1"), t: t, rng: rng, pickers: map[string]*fleetPicker{}, polls: map[string]context.CancelFunc{},
+		isolatedUntil: map[string]time.Time{}, evacuated: map[string]uint64{}, lastFault: map[string]time.Time{}, faultCounts: map[string]int{}, epoch: 1, owner: "k1:1", seen: map[string]uint64{}, trueServers: map[string]warmingServer{}, sent: map[string][]sentToCold{}}
 	change(w)
 	w.mesh.mu.Lock()
 	w.mesh.delay = func(_, _ string) time.Duration { return time.Millisecond + rand.N(50*time.Millisecond) }
 	w.mesh.mu.Unlock()
-	w.config = &config.Config{Services: map[string]*config.Service{"a": {Name: "a", WarmUpRate: coldWorldRate, WarmUpTime: coldWorldFor}}}
+	w.config = &config.Config{Services: map[string]*config.Service{"a": {Name: "a", WarmUpRate: warmUpRate, WarmUpTime: warmUpDuration}}}
 	w.config.Routes = []*config.Route{{Host: "h", Prefix: "/", MaxTries: 1, Shares: []config.Share{{Service: "a", Weight: 1}}}}
 	w.chain.add(controlstate.Record{Op: controlstate.OpNone})
 	for _, zone := range []string{"za", "zb"} {
 		for range 3 {
 			w.ids++
-			w.servers[fmt.Sprint("s", w.ids)] = coldServer{zone: zone}
+			w.trueServers[fmt.Sprint("s", w.ids)] = warmingServer{zone: zone}
 		}
 	}
-	w.show()
+	w.publishList()
 	for _, k := range w.names {
 		w.poll(k)
 	}
 	for i := range proxies {
 		node := fmt.Sprintf("p%02d", i)
-		w.proxies = append(w.proxies, node)
-		w.startProxy(node)
+		w.proxyNames = append(w.proxyNames, node)
+		w.startPickingProxy(node)
 	}
 	return w
 }
 
-func (w *coldWorld) startProxy(node string) {
-	p := &coldPicker{start: time.Now(), picker: pick.New(pick.Settings{Zone: "za", Region: "r", WarmUpExcess: 1.5, WarmUpSlack: 5})}
+func (w *warmUpFleet) startPickingProxy(node string) {
+	p := &fleetPicker{start: time.Now(), picker: pick.New(pick.Settings{Zone: "za", Region: "r", WarmUpExcess: 1.5, WarmUpSlack: 5})}
 	w.pickers[node] = p
-	started := w.startFollower(node, func(o *SubscriberOptions) { o.OnUpdate = func(u Update) { p.update(w, node, u) } })
+	started := w.startProxy(node, func(o *SubscriberOptions) { o.OnUpdate = func(u Update) { p.update(w, node, u) } })
 	p.mu.Lock()
-	p.f = started.f
+	p.subscriber = started.subscriber
 	p.mu.Unlock()
 }
 
 // elect moves the duty to a keeper that is current, in the next epoch.
-func (w *coldWorld) elect() {
+func (w *warmUpFleet) elect() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if s := w.sources[w.holder]; w.hubs[w.holder] != nil && s.Current() {
+	if s := w.sources[w.owner]; w.servers[w.owner] != nil && s.Current() {
 		return
 	}
 	for _, k := range w.names {
-		if w.hubs[k] != nil && w.sources[k].Current() {
+		if w.servers[k] != nil && w.sources[k].Current() {
 			w.epoch++
-			w.holder = k
+			w.owner = k
 			w.log("epoch ", w.epoch, ": ", k)
 			return
 		}
@@ -175,30 +175,30 @@
 }
 
 // change changes the servers of a zone. The caller is alone.
-func (w *coldWorld) change(zone string, f func(id string, s coldServer) (string, coldServer)) {
+func (w *warmUpFleet) change(zone string, f func(id string, s warmingServer) (string, warmingServer)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, id := range slices.Sorted(maps.Keys(w.servers)) {
-		s := w.servers[id]
+	for _, id := range slices.Sorted(maps.Keys(w.trueServers)) {
+		s := w.trueServers[id]
 		if s.zone != zone {
 			continue
 		}
-		delete(w.servers, id)
+		delete(w.trueServers, id)
 		to, v := f(id, s)
 		if to != "" {
-			w.servers[to] = v
+			w.trueServers[to] = v
 		}
 	}
-	w.show()
+	w.publishList()
 }
 
-func (w *coldWorld) anew(_ string, s coldServer) (string, coldServer) {
+func (w *warmUpFleet) replaceServer(_ string, s warmingServer) (string, warmingServer) {
 	w.ids++
-	return fmt.Sprint("s", w.ids), coldServer{zone: s.zone, coldUntil: time.Now().Add(coldWorldFor)}
+	return fmt.Sprint("s", w.ids), warmingServer{zone: s.zone, coldUntil: time.Now().Add(warmUpDuration)}
 }
 
 // run plays a day of some seconds.
-func (w *coldWorld) run(seconds int) {
+func (w *warmUpFleet) run(seconds int) {
 	const step = 25 * time.Millisecond
 	w.begin = time.Now()
 	next, phase, zone := 8*time.Second, 0, "za"
@@ -220,16 +220,16 @@
 				next, phase = at+time.Second+time.Duration(w.rng.IntN(3000))*time.Millisecond, 1
 			case 1: // the other zone goes down and comes back cold, or one of its servers drains
 				if w.rng.IntN(2) == 0 {
-					w.change(other, w.anew)
-					w.came["zone anew"]++
+					w.change(other, w.replaceServer)
+					w.faultCounts["zone anew"]++
 					w.log("anew with new ids ", other)
 				} else {
 					first := true
-					w.change(other, func(id string, s coldServer) (string, coldServer) {
+					w.change(other, func(id string, s warmingServer) (string, warmingServer) {
 						if first && s.draining.IsZero() {
 							s.draining = time.Now()
 							first = false
-							w.came["draining"]++
+							w.faultCounts["draining"]++
 						}
 						return id, s
 					})
@@ -237,20 +237,20 @@
 				next, phase = at+time.Duration(w.rng.IntN(2000))*time.Millisecond, 2
 			case 2: // cold anew, under the old ids
 				w.log("cold under its ids ", zone)
-				w.change(zone, func(id string, s coldServer) (string, coldServer) {
-					s.coldUntil = time.Now().Add(coldWorldFor)
+				w.change(zone, func(id string, s warmingServer) (string, warmingServer) {
+					s.coldUntil = time.Now().Add(warmUpDuration)
 					return id, s
 				})
 				next, phase = at+time.Duration(w.rng.IntN(2400))*time.Millisecond, 3
 			case 3:
 				w.chain.add(controlstate.Record{Op: controlstate.OpReadmit, Zone: zone})
-				w.came["taken back"]++
+				w.faultCounts["taken back"]++
 				w.log("taken back ", zone)
 				next, phase = at+4*time.Second, 4
 			case 4: // draining ones have ended
-				w.change(other, func(id string, s coldServer) (string, coldServer) {
+				w.change(other, func(id string, s warmingServer) (string, warmingServer) {
 					if !s.draining.IsZero() {
-						return w.anew(id, s)
+						return w.replaceServer(id, s)
 					}
 					return id, s
 				})
@@ -263,11 +263,11 @@
 	}
 }
 
-// level ends all troubles, and tells of proxies that then hold other servers than the keeper whose duty the list is.
-func (w *coldWorld) level() (differ []string) {
-	for host := range w.cutTill {
-		delete(w.cutTill, host)
-		w.setCuts(host, false)
+// disagreements ends all troubles, and tells of proxies that then hold other servers than the keeper whose duty the list is.
+func (w *warmUpFleet) disagreements() (differ []string) {
+	for host := range w.isolatedUntil {
+		delete(w.isolatedUntil, host)
+		w.setPartitions(host, false)
 	}
 	for _, s := range w.sources {
 		s.setStale(false)
@@ -283,17 +283,17 @@
 		}
 		return out
 	}
-	held, _, _ := w.hubs[w.holder].List()
-	for _, node := range w.proxies {
-		if u := w.pickers[node].f.Current(); told(u.Servers) != told(held) {
+	held, _, _ := w.servers[w.owner].List()
+	for _, node := range w.proxyNames {
+		if u := w.pickers[node].subscriber.Current(); told(u.Servers) != told(held) {
 			differ = append(differ, fmt.Sprint(node, ": ", told(u.Servers), "of ", told(held)))
 		}
 	}
 	return differ
 }
 
-// end stops all.
-func (w *coldWorld) end() {
+// stopAll stops all.
+func (w *warmUpFleet) stopAll() {
 	for _, stop := range w.polls {
 		stop()
 	}
@@ -301,17 +301,17 @@
 	w.stop()
 }
 
-// playColdWorld plays 60 s of a seed, and tells of proxies that hold other servers than their keeper some seconds after the last trouble.
-func playColdWorld(t *testing.T, seed uint64, proxies int, change func(*coldWorld)) (w *coldWorld, differ []string) {
+// runWarmUpFleet plays 60 s of a seed, and tells of proxies that hold other servers than their keeper some seconds after the last trouble.
+func runWarmUpFleet(t *testing.T, seed uint64, proxies int, change func(*warmUpFleet)) (w *warmUpFleet, differ []string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w = newColdWorld(t, rand.New(rand.NewPCG(seed, uint64(proxies))), proxies, change)
-		defer w.end()
+		w = newWarmUpFleet(t, rand.New(rand.NewPCG(seed, uint64(proxies))), proxies, change)
+		defer w.stopAll()
 		w.run(60)
 		w.mu.Lock()
 		w.missing = 0
 		w.mu.Unlock()
-		differ = w.level()
+		differ = w.disagreements()
 	})
 	return w, differ
 }
@@ -328,19 +328,19 @@
 	for play := range 4 * seeds {
 		seed, proxies, missing := uint64(play/4), 12+8*(play%2), 10*(play/2%2)
 		name := fmt.Sprintf("seed %d, %d proxies, %d of 100 entries missing", seed, proxies, missing)
-		w, differ := playColdWorld(t, seed, proxies, func(w *coldWorld) { w.missing = missing })
-		for what, n := range w.came {
+		w, differ := runWarmUpFleet(t, seed, proxies, func(w *warmUpFleet) { w.missing = missing })
+		for what, n := range w.faultCounts {
 			came[what] += n
 		}
 		worst = max(worst, w.worst)
-		if float64(w.worst) > coldWorldBound {
-			t.Errorf("%s: %d requests in a second at a cold server, of %v\n%s", name, w.worst, coldWorldBound, w.told)
+		if float64(w.worst) > warmUpBound {
+			t.Errorf("%s: %d requests in a second at a cold server, of %v\n%s", name, w.worst, warmUpBound, w.worstSecond)
 		}
 		if len(differ) > 0 {
-			t.Errorf("%s: 10 s after all troubles hold other servers than their keeper: %v\n%v", name, differ, w.story)
+			t.Errorf("%s: 10 s after all troubles hold other servers than their keeper: %v\n%v", name, differ, w.eventLog)
 		}
-		if w.late > drainWithin {
-			t.Errorf("%s: a request came %v after the list showed its server as draining\n%v", name, w.late, w.story)
+		if w.maxLateness > drainTimeout {
+			t.Errorf("%s: a request came %v after the list showed its server as draining\n%v", name, w.maxLateness, w.eventLog)
 		}
 	}
 	t.Logf("%d seeds: at most %d in a second; brought about %v", seeds, worst, came)
@@ -348,7 +348,7 @@
 
 // TestWarmUpFleetControl: pickers that hear nothing of cold servers flood them, and that is seen.
 func TestWarmUpFleetControl(t *testing.T) {
-	if w, _ := playColdWorld(t, 1, 12, func(w *coldWorld) { w.untold = true }); float64(w.worst) <= coldWorldBound {
-		t.Errorf("%d requests in a second at a cold server, of %v", w.worst, coldWorldBound)
+	if w, _ := runWarmUpFleet(t, 1, 12, func(w *warmUpFleet) { w.hideWarmUps = true }); float64(w.worst) <= warmUpBound {
+		t.Errorf("%d requests in a second at a cold server, of %v", w.worst, warmUpBound)
 	}
 }
--- a/internal/system/distribution/warmup_times_test.go
+++ b/internal/system/distribution/warmup_times_test.go
@@ -9,39 +9,39 @@
 	"pgregory.net/rapid"
 )
 
-// coldLagMost is how long after the true end proxies may hold a server for cold here: more than all legs of a case together.
-const coldLagMost = time.Second
+// maxListLag is how long after the true end proxies may hold a server for cold here: more than all legs of a case together.
+const maxListLag = time.Second
 
 // TestWarmUpNeverEndsEarly: however long the list was under way, and on whichever part of the way, no proxy takes a server for
 // warm before it is. Danger: all proxies flood it with what waited for it, and it falls over (FAILBACK). Nor does one hold
 // it for cold much longer.
 func TestWarmUpNeverEndsEarly(t *testing.T) {
 	const ms = time.Millisecond
-	none, near, far := leg{}, leg{35 * ms, 35 * ms}, leg{110 * ms, 110 * ms}
-	for name, c := range map[string]struct{ read, share, follow, ask leg }{
+	none, near, far := transit{}, transit{35 * ms, 35 * ms}, transit{110 * ms, 110 * ms}
+	for name, c := range map[string]struct{ read, share, follow, ask transit }{
 		"no delay":                      {none, none, none, none},
 		"reading":                       {near, none, none, none},
-		"reading, answered at once":     {leg{0, 200 * ms}, none, none, none},
-		"reading, answered late":        {leg{200 * ms, 0}, none, none, none},
+		"reading, answered at once":     {transit{0, 200 * ms}, none, none, none},
+		"reading, answered late":        {transit{200 * ms, 0}, none, none, none},
 		"share, near":                   {none, near, none, none},
 		"share, far":                    {none, far, none, none},
-		"share, slow there":             {none, leg{110 * ms, 35 * ms}, none, none},
-		"share, slow back":              {none, leg{35 * ms, 110 * ms}, none, none},
+		"share, slow there":             {none, transit{110 * ms, 35 * ms}, none, none},
+		"share, slow back":              {none, transit{35 * ms, 110 * ms}, none, none},
 		"proxy":                         {none, none, near, none},
-		"proxy, slow there":             {none, none, leg{110 * ms, 0}, none},
+		"proxy, slow there":             {none, none, transit{110 * ms, 0}, none},
 		"neighbour":                     {none, none, none, near},
-		"neighbour, slow there":         {none, none, none, leg{110 * ms, 0}},
+		"neighbour, slow there":         {none, none, none, transit{110 * ms, 0}},
 		"all near":                      {near, near, near, near},
-		"all far, the reading answered": {leg{0, 200 * ms}, far, far, far},
+		"all far, the reading answered": {transit{0, 200 * ms}, far, far, far},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := newColdPath(t, c.share)
-				p.truth.coldEnd = time.Now().Add(3 * time.Second)
-				for time.Until(p.truth.coldEnd) > -coldLagMost {
+				p := newWarmUpPath(t, c.share)
+				p.server.warmUpEnd = time.Now().Add(3 * time.Second)
+				for time.Until(p.server.warmUpEnd) > -maxListLag {
 					for _, step := range []func(){
-						func() { p.read(c.read) }, func() { p.share(c.share) },
-						func() { p.follow("other:1", c.follow) }, func() { p.ask(c.ask) },
+						func() { p.read(c.read) }, func() { p.synchronise(c.share) },
+						func() { p.poll("other:1", c.follow) }, func() { p.queryNeighbour(c.ask) },
 						func() { time.Sleep(100 * ms) },
 					} {
 						step()
@@ -51,8 +51,8 @@
 				if len(p.early) > 0 {
 					t.Errorf("the cold state ends early by %v", p.early)
 				}
-				if held := p.held(); len(held) != 2 || held["proxy"].WarmUpMax > 0 || held["neighbour"].WarmUpMax > 0 {
-					t.Errorf("%v after the true end: %+v", coldLagMost, held)
+				if held := p.stored(); len(held) != 2 || held["proxy"].WarmUpMax > 0 || held["neighbour"].WarmUpMax > 0 {
+					t.Errorf("%v after the true end: %+v", maxListLag, held)
 				}
 			})
 		})
@@ -65,19 +65,19 @@
 	for _, more := range []time.Duration{time.Millisecond, 35 * time.Millisecond, 80 * time.Millisecond, 399 * time.Millisecond, 401 * time.Millisecond} {
 		t.Run(fmt.Sprint(more), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := newColdPath(t, leg{})
-				p.truth.coldEnd = time.Now().Add(3 * time.Second)
+				p := newWarmUpPath(t, transit{})
+				p.server.warmUpEnd = time.Now().Add(3 * time.Second)
 				for range 2 {
-					p.read(leg{})
-					p.share(leg{})
-					p.follow("other:1", leg{})
-					p.ask(leg{})
+					p.read(transit{})
+					p.synchronise(transit{})
+					p.poll("other:1", transit{})
+					p.queryNeighbour(transit{})
 					p.check()
 					if len(p.early) > 0 {
 						t.Fatalf("the cold state ends early by %v", p.early)
 					}
 					time.Sleep(time.Second)
-					p.truth.coldEnd = p.truth.coldEnd.Add(more)
+					p.server.warmUpEnd = p.server.warmUpEnd.Add(more)
 				}
 			})
 		})
@@ -86,8 +86,8 @@
 
 // pathStep is one step on a list's way.
 type pathStep struct {
-	what, keeper string
-	leg          leg
+	what, node string
+	transit    transit
 }
 
 // drawPathStep draws a step, with delays that the slowest links have.
@@ -96,7 +96,7 @@
 		return time.Duration(rapid.IntRange(0, 200).Draw(t, name)) * time.Millisecond
 	}
 	return pathStep{what: rapid.SampledFrom([]string{"read", "share", "follow", "ask", "pause"}).Draw(t, "what"),
-		keeper: rapid.SampledFrom([]string{"reader:1", "other:1"}).Draw(t, "keeper"), leg: leg{out: way("out"), back: way("back")}}
+		node: rapid.SampledFrom([]string{"reader:1", "other:1"}).Draw(t, "keeper"), transit: transit{out: way("out"), back: way("back")}}
 }
 
 // TestTimesErrOnTheSafeSide: in any order of readings, shares, polls and questions, with any delays, no proxy takes a server
@@ -119,10 +119,10 @@
 // tells what a proxy then holds that it must not.
 func playSteps(t *testing.T, cold, notice time.Duration, steps []pathStep) (wrong string) {
 	t.Helper()
-	p := newColdPath(t, steps[0].leg)
-	p.truth.coldEnd = time.Now().Add(cold)
+	p := newWarmUpPath(t, steps[0].transit)
+	p.server.warmUpEnd = time.Now().Add(cold)
 	if notice > 0 {
-		p.truth.withdrawn = time.Now().Add(notice)
+		p.server.withdrawnAt = time.Now().Add(notice)
 	}
 	for _, s := range steps {
 		p.step(s)
@@ -134,32 +134,32 @@
 }
 
 // step has one of the processes do something.
-func (p *coldPath) step(s pathStep) {
+func (p *warmUpPath) step(s pathStep) {
 	switch s.what {
 	case "read":
-		p.read(s.leg)
+		p.read(s.transit)
 	case "share":
-		p.share(s.leg)
+		p.synchronise(s.transit)
 	case "follow":
-		p.follow(s.keeper, s.leg)
+		p.poll(s.node, s.transit)
 	case "ask":
-		p.ask(s.leg)
+		p.queryNeighbour(s.transit)
 	case "pause":
-		time.Sleep(s.leg.out)
+		time.Sleep(s.transit.out)
 	}
 }
 
 // wrong tells which of the times that followers hold errs on the wrong side. A notice counts down to a millisecond, as 0
 // means that none came.
-func (p *coldPath) wrong() string {
+func (p *warmUpPath) wrong() string {
 	if p.check(); len(p.early) > 0 {
 		return fmt.Sprintf("the cold state ends early by %v", p.early)
 	}
-	for node, s := range p.held() {
-		if (s.Remaining > 0) == p.truth.withdrawn.IsZero() {
-			return fmt.Sprintf("%s: %v left, and a notice that ends at %v", node, s.Remaining, p.truth.withdrawn)
+	for node, s := range p.stored() {
+		if (s.Remaining > 0) == p.server.withdrawnAt.IsZero() {
+			return fmt.Sprintf("%s: %v left, and a notice that ends at %v", node, s.Remaining, p.server.withdrawnAt)
 		}
-		if late := s.Remaining - max(0, time.Until(p.truth.withdrawn)); late > time.Millisecond {
+		if late := s.Remaining - max(0, time.Until(p.server.withdrawnAt)); late > time.Millisecond {
 			return fmt.Sprintf("%s: the notice ends late by %v", node, late)
 		}
 	}
