--- a/internal/system/distribution/commit_log_test.go
+++ b/internal/system/distribution/commit_log_test.go
@@ -39,25 +39,25 @@
 // TestReadingReportsCoveredRecord: a keeper's reading covers the records that it knew lag before it asked, and proxies hear which.
 func TestReadingReportsCoveredRecord(t *testing.T) {
 	const lag = 800 * time.Millisecond
-	h := NewServer(ServerOptions{Source: &fakeSource{fakeChain: newChain(), addresses: []string{"k"}}, Self: "k", Log: quiet(), ListLag: lag})
+	server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: newChain(), addresses: []string{"k"}}, Self: "k", Log: quiet(), ListLag: lag})
 	begin := time.Now().Add(-10 * time.Second)
-	h.commits.observe(begin, 4)
-	h.commits.observe(begin.Add(time.Second), 5)
-	f := NewSubscriber(SubscriberOptions{Log: quiet()})
+	server.commits.observe(begin, 4)
+	server.commits.observe(begin.Add(time.Second), 5)
+	subscriber := NewSubscriber(SubscriberOptions{Log: quiet()})
 	for _, read := range []struct {
 		asked  time.Duration
 		covers uint64
 	}{{lag - 1, 0}, {lag, 4}, {time.Second + lag - 1, 4}, {time.Second + lag, 5}} {
 		asked := begin.Add(read.asked)
-		if err := h.PutList(1, 1, []pick.Server{{ID: "s"}}, softstate.TimeBounds{Earliest: asked, Latest: asked.Add(time.Millisecond)}); err != nil {
+		if err := server.PutList(1, 1, []pick.Server{{ID: "s"}}, softstate.TimeBounds{Earliest: asked, Latest: asked.Add(time.Millisecond)}); err != nil {
 			t.Fatal(err)
 		}
-		if got := h.table.ListCoversSeq(); got != read.covers {
+		if got := server.table.ListCoversSeq(); got != read.covers {
 			t.Errorf("asked at %v: covers %d, want %d", read.asked, got, read.covers)
 		}
-		told := softstate.EncodeEntries(time.Now(), []*softstate.StoredEntry{h.table.Get(softstate.ListKey)})
-		f.soft.applyEntries(time.Now(), softstate.Age{}, &distributionpb.FollowReply{Entries: told})
-		if got := f.Current().ListCoversSeq; got != read.covers {
+		told := softstate.EncodeEntries(time.Now(), []*softstate.StoredEntry{server.table.Get(softstate.ListKey)})
+		subscriber.soft.applyEntries(time.Now(), softstate.Age{}, &distributionpb.FollowReply{Entries: told})
+		if got := subscriber.Current().ListCoversSeq; got != read.covers {
 			t.Errorf("asked at %v: a proxy hears %d, want %d", read.asked, got, read.covers)
 		}
 	}
@@ -66,17 +66,17 @@
 // TestRefreshNotifiesOfNextContact: the owner is told of a current keeper's answer to a call from after Refresh, also if it holds
 // nothing new, and of none before.
 func TestRefreshNotifiesOfNextContact(t *testing.T) {
-	f := NewSubscriber(SubscriberOptions{Log: quiet()})
+	subscriber := NewSubscriber(SubscriberOptions{Log: quiet()})
 	told := func() bool {
 		select {
-		case <-f.updatePending:
+		case <-subscriber.updatePending:
 			return true
 		default:
 			return false
 		}
 	}
 	answer := func(asked time.Time, current bool) {
-		f.handleReply(asked, time.Now(), &distributionpb.FollowRequest{}, &distributionpb.FollowReply{Current: current, Soft: &distributionpb.Cursor{}})
+		subscriber.handleReply(asked, time.Now(), &distributionpb.FollowRequest{}, &distributionpb.FollowReply{Current: current, Soft: &distributionpb.Cursor{}})
 	}
 	answer(time.Now(), true)
 	told() // what is held may be served from now on
@@ -85,9 +85,9 @@
 		t.Error("told of an answer that holds nothing new and is not awaited")
 	}
 	before := time.Now()
-	f.Refresh()
+	subscriber.Refresh()
 	select {
-	case <-f.callRequested:
+	case <-subscriber.callRequested:
 	default:
 		t.Error("no keeper is asked at once")
 	}
--- a/internal/system/distribution/fleet_catchup_test.go
+++ b/internal/system/distribution/fleet_catchup_test.go
@@ -23,48 +23,48 @@
 // the end of the cut the proxy was level, and the bytes that went over the wires until then.
 func runAbsence(t *testing.T, n, size int, lose bool) (took time.Duration, bytes int64) {
 	t.Helper()
-	fl := newFleet("k1:1", "k2:1", "k3:1")
-	defer fl.stop()
-	fl.chain.add(largeConfig(t, 1, size, rand.NewChaCha8([32]byte{7})))
-	p := fl.startProxy("p", nil)
-	within(t, 5*time.Second, "it starts", func() bool { return p.update().State != nil && p.update().State.Seq == 1 })
-	fl.isolate("p", true)
+	fleet := newFleet("k1:1", "k2:1", "k3:1")
+	defer fleet.stop()
+	fleet.chain.add(largeConfig(t, 1, size, rand.NewChaCha8([32]byte{7})))
+	proxy := fleet.startProxy("p", nil)
+	within(t, 5*time.Second, "it starts", func() bool { return proxy.update().State != nil && proxy.update().State.Seq == 1 })
+	fleet.isolate("p", true)
 	for i := range n {
-		fl.chain.add(zoneChange(i))
+		fleet.chain.add(zoneChange(i))
 	}
 	time.Sleep(20 * time.Second)
-	fl.sources["k2:1"].setStale(true)
-	fl.killServer("k1:1")
-	fl.chain.mu.Lock()
-	fl.chain.compactedTo = uint64(len(fl.chain.records)) // it came back by a snapshot
-	fl.chain.mu.Unlock()
-	fl.startServer("k1:1")
-	fl.sources["k3:1"].setStale(!lose)
-	fl.mesh.mu.Lock()
-	fl.mesh.bytes = 0
-	fl.mesh.mu.Unlock()
-	fl.isolate("p", false)
+	fleet.sources["k2:1"].setStale(true)
+	fleet.killServer("k1:1")
+	fleet.chain.mu.Lock()
+	fleet.chain.compactedTo = uint64(len(fleet.chain.records)) // it came back by a snapshot
+	fleet.chain.mu.Unlock()
+	fleet.startServer("k1:1")
+	fleet.sources["k3:1"].setStale(!lose)
+	fleet.mesh.mu.Lock()
+	fleet.mesh.bytes = 0
+	fleet.mesh.mu.Unlock()
+	fleet.isolate("p", false)
 	start := time.Now()
 	for i := n; ; i++ {
-		fl.chain.add(zoneChange(i))
+		fleet.chain.add(zoneChange(i))
 		time.Sleep(45 * time.Millisecond)
 		if lose && i == n+2 {
 			feeder := "k3:1"
-			if len(fl.servers["k1:1"].Subscribers()) > 0 {
+			if len(fleet.servers["k1:1"].Subscribers()) > 0 {
 				feeder = "k1:1"
 			}
-			fl.killServer(feeder)
+			fleet.killServer(feeder)
 		}
-		if fl.chain.seq()-p.subscriber.Current().State.Seq == 0 && p.subscriber.Current().Fresh {
+		if fleet.chain.seq()-proxy.subscriber.Current().State.Seq == 0 && proxy.subscriber.Current().Fresh {
 			break
 		}
 		if time.Since(start) > 20*time.Second {
-			t.Fatalf("holds %d of %d after %v", p.subscriber.Current().State.Seq, fl.chain.seq(), time.Since(start))
+			t.Fatalf("holds %d of %d after %v", proxy.subscriber.Current().State.Seq, fleet.chain.seq(), time.Since(start))
 		}
 	}
-	fl.mesh.mu.Lock()
-	defer fl.mesh.mu.Unlock()
-	return time.Since(start), fl.mesh.bytes
+	fleet.mesh.mu.Lock()
+	defer fleet.mesh.mu.Unlock()
+	return time.Since(start), fleet.mesh.bytes
 }
 
 // TestProxyAwayForHundredsOfChanges: a proxy that was away for 400 and for 2,000 changes comes level within 3 s through a
@@ -95,21 +95,21 @@
 func TestWholeFleetStartsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const proxies = 410
-		fl := newFleet("k1:1")
-		defer fl.stop()
-		seq := fl.chain.add(largeConfig(t, 1, 100<<10, rand.NewChaCha8([32]byte{8})))
+		fleet := newFleet("k1:1")
+		defer fleet.stop()
+		seq := fleet.chain.add(largeConfig(t, 1, 100<<10, rand.NewChaCha8([32]byte{8})))
 		for i := range proxies {
-			fl.startProxy(fmt.Sprint("p", i), nil)
+			fleet.startProxy(fmt.Sprint("p", i), nil)
 		}
 		within(t, 5*time.Second, "all are fed", func() bool {
-			for _, p := range fl.proxies {
-				if u := p.update(); u.State == nil || u.State.Seq != seq {
+			for _, proxy := range fleet.proxies {
+				if update := proxy.update(); update.State == nil || update.State.Seq != seq {
 					return false
 				}
 			}
 			return true
 		})
-		if n := fl.servers["k1:1"].snapshot.count; n != 1 {
+		if n := fleet.servers["k1:1"].snapshot.count; n != 1 {
 			t.Errorf("%d snapshots were made", n)
 		}
 	})
--- a/internal/system/distribution/fleet_faults_test.go
+++ b/internal/system/distribution/fleet_faults_test.go
@@ -32,8 +32,8 @@
 }
 
 func (p *testProxy) sees(node string) bool {
-	for _, m := range p.update().Members {
-		if m.Node == node && !m.Draining {
+	for _, member := range p.update().Members {
+		if member.Node == node && !member.Draining {
 			return true
 		}
 	}
@@ -42,17 +42,17 @@
 
 func TestProxiesStayMembersWhileTheirNodeIsKilled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fl := newFleet("k1:1", "k2:1", "k3:1")
-		defer fl.stop()
+		fleet := newFleet("k1:1", "k2:1", "k3:1")
+		defer fleet.stop()
 		for i := range 9 {
-			fl.startProxy(fmt.Sprint("p", i), nil)
+			fleet.startProxy(fmt.Sprint("p", i), nil)
 		}
 		time.Sleep(6 * time.Second)
-		fl.killServer("k1:1")
+		fleet.killServer("k1:1")
 		for range 1000 {
 			time.Sleep(10 * time.Millisecond)
-			for n, p := range fl.proxies {
-				if got := len(p.update().Members); got != 9 {
+			for n, proxy := range fleet.proxies {
+				if got := len(proxy.update().Members); got != 9 {
 					t.Fatalf("%s knows %d members", n, got)
 				}
 			}
@@ -62,43 +62,43 @@
 
 func TestTimedOutProxyIsDownUntilItCallsAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fl := newFleet("k1:1", "k2:1", "k3:1")
-		defer fl.stop()
-		a, b := fl.startProxy("a", nil), fl.startProxy("b", nil)
-		within(t, time.Second, "a sees b", func() bool { return a.sees("b") && b.sees("a") })
+		fleet := newFleet("k1:1", "k2:1", "k3:1")
+		defer fleet.stop()
+		proxyA, proxyB := fleet.startProxy("a", nil), fleet.startProxy("b", nil)
+		within(t, time.Second, "a sees b", func() bool { return proxyA.sees("b") && proxyB.sees("a") })
 		time.Sleep(5 * time.Second)
-		fl.isolate("b", true)
-		within(t, 3*time.Second, "b is down", func() bool { return !a.sees("b") })
-		if b.subscriber.Current().Fresh {
+		fleet.isolate("b", true)
+		within(t, 3*time.Second, "b is down", func() bool { return !proxyA.sees("b") })
+		if proxyB.subscriber.Current().Fresh {
 			t.Error("b takes itself for fresh")
 		}
-		fl.isolate("b", false)
-		within(t, 2*time.Second, "b is back", func() bool { return a.sees("b") && b.subscriber.Current().Fresh })
-		fl.killProxy("b")
-		within(t, 3*time.Second, "b is down again", func() bool { return !a.sees("b") })
+		fleet.isolate("b", false)
+		within(t, 2*time.Second, "b is back", func() bool { return proxyA.sees("b") && proxyB.subscriber.Current().Fresh })
+		fleet.killProxy("b")
+		within(t, 3*time.Second, "b is down again", func() bool { return !proxyA.sees("b") })
 		time.Sleep(65 * time.Second)
-		if got := len(fl.servers["k1:1"].Members()); got != 1 {
+		if got := len(fleet.servers["k1:1"].Members()); got != 1 {
 			t.Errorf("%d members are kept", got)
 		}
-		fl.startProxy("b", nil)
-		within(t, time.Second, "b is back in another life", func() bool { return a.sees("b") })
+		fleet.startProxy("b", nil)
+		within(t, time.Second, "b is back in another life", func() bool { return proxyA.sees("b") })
 	})
 }
 
 func TestDrainingIsPublishedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fl := newFleet("k1:1", "k2:1", "k3:1")
-		defer fl.stop()
-		a, b := fl.startProxy("a", nil), fl.startProxy("b", nil)
-		within(t, time.Second, "a sees b", func() bool { return a.sees("b") })
+		fleet := newFleet("k1:1", "k2:1", "k3:1")
+		defer fleet.stop()
+		proxyA, proxyB := fleet.startProxy("a", nil), fleet.startProxy("b", nil)
+		within(t, time.Second, "a sees b", func() bool { return proxyA.sees("b") })
 		start := time.Now()
-		if err := b.subscriber.Leave(t.Context()); err != nil {
+		if err := proxyB.subscriber.Leave(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		within(t, 150*time.Millisecond-time.Since(start), "b leaves", func() bool { return !a.sees("b") })
-		fl.isolate("a", true)
+		within(t, 150*time.Millisecond-time.Since(start), "b leaves", func() bool { return !proxyA.sees("b") })
+		fleet.isolate("a", true)
 		start = time.Now()
-		if err := a.subscriber.Leave(t.Context()); err == nil || time.Since(start) > leaveTimeout {
+		if err := proxyA.subscriber.Leave(t.Context()); err == nil || time.Since(start) > leaveTimeout {
 			t.Errorf("cut off: %v after %v", err, time.Since(start))
 		}
 	})
@@ -106,24 +106,24 @@
 
 func TestAcknowledgementWaitsForConnectedProxiesOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fl := newFleet("k1:1", "k2:1", "k3:1")
-		defer fl.stop()
+		fleet := newFleet("k1:1", "k2:1", "k3:1")
+		defer fleet.stop()
 		for i := range 6 {
-			fl.startProxy(fmt.Sprint("p", i), nil)
+			fleet.startProxy(fmt.Sprint("p", i), nil)
 		}
 		time.Sleep(6 * time.Second)
-		fl.isolate("p3", true)
-		seq := fl.chain.add(none())
-		for name, h := range fl.servers {
+		fleet.isolate("p3", true)
+		seq := fleet.chain.add(none())
+		for name, server := range fleet.servers {
 			ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
-			if h.WaitAcknowledged(ctx, seq) == nil {
+			if server.WaitAcknowledged(ctx, seq) == nil {
 				t.Errorf("%s: acknowledged while p3, not yet known to be cut off, may hold the former", name)
 			}
 			cancel()
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
-		if err := fl.servers["k1:1"].WaitAcknowledged(ctx, seq); err != nil {
+		if err := fleet.servers["k1:1"].WaitAcknowledged(ctx, seq); err != nil {
 			t.Error(err)
 		}
 	})
@@ -131,8 +131,8 @@
 
 func TestLoadsOfOthersArePublishedAndExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fl := newFleet("k1:1", "k2:1", "k3:1")
-		defer fl.stop()
+		fleet := newFleet("k1:1", "k2:1", "k3:1")
+		defer fleet.stop()
 		type told struct {
 			own    chan map[string]pick.Load
 			others chan map[string]pick.Load
@@ -143,10 +143,10 @@
 			x.own <- nil
 			x.others <- nil
 			proxies[n] = x
-			fl.startProxy(n, func(o *SubscriberOptions) {
-				o.Self.Zone = "zone-" + fl.names[i]
-				o.Loads = func() map[string]pick.Load { l := <-x.own; x.own <- l; return l }
-				o.OnLoads = func(l map[string]pick.Load) { <-x.others; x.others <- l }
+			fleet.startProxy(n, func(options *SubscriberOptions) {
+				options.Self.Zone = "zone-" + fleet.names[i]
+				options.Loads = func() map[string]pick.Load { l := <-x.own; x.own <- l; return l }
+				options.OnLoads = func(l map[string]pick.Load) { <-x.others; x.others <- l }
 			})
 		}
 		set := func(n string, l map[string]pick.Load) { <-proxies[n].own; proxies[n].own <- l }
@@ -170,7 +170,7 @@
 		}
 		set("a", map[string]pick.Load{"s": {Requests: 1}})
 		within(t, 500*time.Millisecond, "less", func() bool { return others("c", "s").Requests == 6 && others("b", "s").Requests == 1 })
-		fl.killProxy("b")
+		fleet.killProxy("b")
 		within(t, 2*time.Second, "a load is forgotten", func() bool { return others("c", "s").Requests == 1 && others("a", "s").Requests == 0 })
 		set("a", nil)
 		within(t, 500*time.Millisecond, "nothing", func() bool { return others("c", "s") == pick.Load{} })
@@ -179,33 +179,33 @@
 
 func TestSubscriberLeavesNodeThatIsNotCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fl := newFleet("k1:1", "k2:1", "k3:1")
-		defer fl.stop()
+		fleet := newFleet("k1:1", "k2:1", "k3:1")
+		defer fleet.stop()
 		for i := range 6 {
-			fl.startProxy(fmt.Sprint("p", i), nil)
+			fleet.startProxy(fmt.Sprint("p", i), nil)
 		}
 		time.Sleep(2 * time.Second)
-		fl.sources["k1:1"].setStale(true)
-		fl.sources["k2:1"].setStale(true)
-		seq := fl.chain.add(none())
+		fleet.sources["k1:1"].setStale(true)
+		fleet.sources["k2:1"].setStale(true)
+		seq := fleet.chain.add(none())
 		within(t, 2500*time.Millisecond, "all hold the newest", func() bool {
-			for _, p := range fl.proxies {
-				if p.subscriber.Current().State.Seq != seq {
+			for _, proxy := range fleet.proxies {
+				if proxy.subscriber.Current().State.Seq != seq {
 					return false
 				}
 			}
 			return true
 		})
 		// Without any that is current the soft state still flows.
-		fl.sources["k3:1"].setStale(true)
-		fl.chain.add(none())
+		fleet.sources["k3:1"].setStale(true)
+		fleet.chain.add(none())
 		time.Sleep(4 * time.Second)
-		if err := fl.servers["k2:1"].PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(softstate.Age{})); err != nil {
+		if err := fleet.servers["k2:1"].PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(softstate.Age{})); err != nil {
 			t.Fatal(err)
 		}
 		within(t, 2*time.Second, "all hold the server", func() bool {
-			for _, p := range fl.proxies {
-				if u := p.subscriber.Current(); u.State.Seq != seq || u.Fresh || len(u.Servers) != 1 || len(u.Members) != 6 {
+			for _, proxy := range fleet.proxies {
+				if update := proxy.subscriber.Current(); update.State.Seq != seq || update.Fresh || len(update.Servers) != 1 || len(update.Members) != 6 {
 					return false
 				}
 			}
@@ -216,75 +216,75 @@
 
 func TestServersOutliveRestartOfAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fl := newFleet("k1:1", "k2:1", "k3:1")
-		defer fl.stop()
-		p := fl.startProxy("p", nil)
+		fleet := newFleet("k1:1", "k2:1", "k3:1")
+		defer fleet.stop()
+		proxy := fleet.startProxy("p", nil)
 		time.Sleep(4 * time.Second)
 		list := []pick.Server{{ID: "s"}, {ID: "r"}}
-		if err := fl.servers["k2:1"].PutList(1, 1000, list, madeAgo(softstate.Age{})); err != nil {
+		if err := fleet.servers["k2:1"].PutList(1, 1000, list, madeAgo(softstate.Age{})); err != nil {
 			t.Fatal(err)
 		}
-		within(t, time.Second, "two servers", func() bool { return len(p.update().Servers) == 2 })
-		for _, k := range fl.names {
-			fl.killServer(k)
+		within(t, time.Second, "two servers", func() bool { return len(proxy.update().Servers) == 2 })
+		for _, k := range fleet.names {
+			fleet.killServer(k)
 		}
 		time.Sleep(time.Second)
-		for _, k := range fl.names {
-			fl.startServer(k)
+		for _, k := range fleet.names {
+			fleet.startServer(k)
 		}
 		for range 100 {
 			time.Sleep(10 * time.Millisecond)
-			if len(p.subscriber.Current().Servers) != 2 {
+			if len(proxy.subscriber.Current().Servers) != 2 {
 				t.Fatal("a server was forgotten")
 			}
 		}
 		// The poller counts from the start again; s is gone.
-		if err := fl.servers["k1:1"].PutList(1, 1, list[1:], madeAgo(softstate.Age{})); err != nil {
+		if err := fleet.servers["k1:1"].PutList(1, 1, list[1:], madeAgo(softstate.Age{})); err != nil {
 			t.Fatal(err)
 		}
-		within(t, 5*time.Second, "one server", func() bool { return len(p.update().Servers) == 1 })
+		within(t, 5*time.Second, "one server", func() bool { return len(proxy.update().Servers) == 1 })
 	})
 }
 
 func TestNeighboursServeWhereNoNodeIsReached(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fl := newFleet("k1:1", "k2:1", "k3:1")
-		defer fl.stop()
-		fl.startProxy("a", nil)
-		seq := fl.chain.add(controlstate.Record{Op: controlstate.OpEvacuate, Zone: "z"})
+		fleet := newFleet("k1:1", "k2:1", "k3:1")
+		defer fleet.stop()
+		fleet.startProxy("a", nil)
+		seq := fleet.chain.add(controlstate.Record{Op: controlstate.OpEvacuate, Zone: "z"})
 		time.Sleep(4 * time.Second)
-		if err := fl.servers["k1:1"].PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(softstate.Age{})); err != nil {
+		if err := fleet.servers["k1:1"].PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(softstate.Age{})); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		for _, k := range fl.names {
-			fl.killServer(k)
+		for _, k := range fleet.names {
+			fleet.killServer(k)
 		}
-		b := fl.startProxy("b", func(o *SubscriberOptions) { o.Seeds = append([]string{"a:2"}, o.Seeds...) })
+		proxyB := fleet.startProxy("b", func(options *SubscriberOptions) { options.Seeds = append([]string{"a:2"}, options.Seeds...) })
 		within(t, 2*time.Second, "b holds what a holds", func() bool {
-			u := b.update()
-			return u.State != nil && u.State.Seq == seq && u.State.Evacuated["z"] && len(u.Servers) == 1 && !u.Fresh
+			update := proxyB.update()
+			return update.State != nil && update.State.Seq == seq && update.State.Evacuated["z"] && len(update.Servers) == 1 && !update.Fresh
 		})
-		fl.startServer("k3:1")
-		within(t, 2*time.Second, "b is fresh", func() bool { return b.update().Fresh })
+		fleet.startServer("k3:1")
+		within(t, 2*time.Second, "b is fresh", func() bool { return proxyB.update().Fresh })
 	})
 }
 
 func TestNearestNodeIsChosenAndChosenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fl := newFleet("k1:1", "k2:1", "k3:1")
-		defer fl.stop()
-		p := fl.startProxy("p", func(o *SubscriberOptions) { o.Self.Zone = "zone-k2:1" })
+		fleet := newFleet("k1:1", "k2:1", "k3:1")
+		defer fleet.stop()
+		proxy := fleet.startProxy("p", func(options *SubscriberOptions) { options.Self.Zone = "zone-k2:1" })
 		follows := func() string {
-			p.subscriber.mu.Lock()
-			defer p.subscriber.mu.Unlock()
-			return p.subscriber.nodes.serving
+			proxy.subscriber.mu.Lock()
+			defer proxy.subscriber.mu.Unlock()
+			return proxy.subscriber.nodes.serving
 		}
 		within(t, 3*time.Second, "the nearest", func() bool { return follows() == "k2:1" })
-		fl.killServer("k2:1")
+		fleet.killServer("k2:1")
 		within(t, time.Second, "another", func() bool { f := follows(); return f != "" && f != "k2:1" })
 		time.Sleep(time.Second)
-		fl.startServer("k2:1")
+		fleet.startServer("k2:1")
 		within(t, 11*time.Second, "the nearest again", func() bool { return follows() == "k2:1" })
 	})
 }
--- a/internal/system/distribution/golden_trace_test.go
+++ b/internal/system/distribution/golden_trace_test.go
@@ -114,10 +114,10 @@
 	for _, k := range exchangeNodes {
 		s := &fakeSource{fakeChain: x.chain, addresses: exchangeNodes}
 		x.sources = append(x.sources, s)
-		h := NewServer(ServerOptions{Source: s, Self: k, Zone: "z" + k[:2], Region: "r", ListLag: 100 * time.Millisecond, Log: quiet()})
-		x.assignIndexes(h.loads.local)
-		x.assignIndexes(h.loads.total)
-		x.servers, x.bootIDs = append(x.servers, h), append(x.bootIDs, 0)
+		server := NewServer(ServerOptions{Source: s, Self: k, Zone: "z" + k[:2], Region: "r", ListLag: 100 * time.Millisecond, Log: quiet()})
+		x.assignIndexes(server.loads.local)
+		x.assignIndexes(server.loads.total)
+		x.servers, x.bootIDs = append(x.servers, server), append(x.bootIDs, 0)
 		x.redrawBootID(len(x.servers) - 1)
 	}
 	for i := range 5 {
@@ -130,10 +130,10 @@
 // startSubscriber starts a process anew in the place of a follower.
 func (x *exchange) startSubscriber(i int) {
 	node := fmt.Sprint("p", i)
-	f := NewSubscriber(SubscriberOptions{Seeds: exchangeNodes, ControlPlanePort: 1, ProxyPort: 2, Log: quiet(),
+	subscriber := NewSubscriber(SubscriberOptions{Seeds: exchangeNodes, ControlPlanePort: 1, ProxyPort: 2, Log: quiet(),
 		Self: softstate.Member{Node: node, Incarnation: x.rng.Uint64() | 1, Zone: "zk1", Region: "r", IP: node + ":2"}})
-	x.assignIndexes(f.loads.own)
-	x.subscribers[i], x.loads[i] = f, map[string]pick.Load{}
+	x.assignIndexes(subscriber.loads.own)
+	x.subscribers[i], x.loads[i] = subscriber, map[string]pick.Load{}
 }
 
 // assignIndexes draws a vector's boot from the seed and has it number the servers in their order: of several that come at once the
@@ -149,9 +149,9 @@
 
 // redrawBootID gives a hub a boot of the seed where it has drawn one itself.
 func (x *exchange) redrawBootID(i int) {
-	if h := x.servers[i]; h.bootID != x.bootIDs[i] {
-		h.bootID = x.rng.Uint64() | 1
-		x.bootIDs[i] = h.bootID
+	if server := x.servers[i]; server.bootID != x.bootIDs[i] {
+		server.bootID = x.rng.Uint64() | 1
+		x.bootIDs[i] = server.bootID
 	}
 }
 
@@ -181,11 +181,11 @@
 
 // poll sends a poll to a hub; the answer arrives later.
 func (x *exchange) poll(i, to int) {
-	f := x.subscribers[i]
+	subscriber := x.subscribers[i]
 	asked := time.Now()
-	req := f.buildRequest(x.loads[i], x.rng.IntN(3) > 0)
+	req := subscriber.buildRequest(x.loads[i], x.rng.IntN(3) > 0)
 	slices.SortFunc(req.Down, func(a, b *distributionpb.Verdict) int { return strings.Compare(a.GetNode(), b.GetNode()) })
-	req.Call = f.callIDs.Next()
+	req.Call = subscriber.callIDs.Next()
 	got := transferred(x.tr, 'Q', req, &distributionpb.FollowRequest{})
 	time.Sleep(time.Duration(x.rng.IntN(40)) * time.Millisecond)
 	reply, err := x.servers[to].Follow(context.Background(), got)
@@ -204,34 +204,34 @@
 	at := x.rng.IntN(len(x.replies))
 	r := x.replies[at]
 	x.replies = slices.Delete(x.replies, at, at+1)
-	f := x.subscribers[r.subscriber]
-	if x.rng.IntN(10) == 0 || r.reply.GetSoft() == nil || r.req.GetMember().GetIncarnation() != f.Incarnation() {
+	subscriber := x.subscribers[r.subscriber]
+	if x.rng.IntN(10) == 0 || r.reply.GetSoft() == nil || r.req.GetMember().GetIncarnation() != subscriber.Incarnation() {
 		return
 	}
-	got := f.handleReply(r.sentAt, time.Now(), r.req, r.reply)
+	got := subscriber.handleReply(r.sentAt, time.Now(), r.req, r.reply)
 	x.tr.step('T')
 	x.tr.num(int64(r.subscriber))
 	x.tr.flags(got.current, got.serves, got.stateAdvanced, got.stillBehind)
-	x.traceUpdate(f)
+	x.traceUpdate(subscriber)
 }
 
 // traceUpdate takes in what a follower holds.
-func (x *exchange) traceUpdate(f *Subscriber) {
-	u := f.Current()
-	x.tr.num(int64(u.State.Seq), int64(u.ListAge), int64(u.ListCoversSeq), int64(u.ContactAge), int64(u.DownCount))
-	x.tr.flags(u.HasList, u.Fresh, u.MembershipIncomplete, u.Stale, u.State.Evacuated["za"], u.State.Evacuated["zb"])
-	x.tr.num(int64(u.State.ZoneChangeSeq("za")), int64(u.State.ZoneChangeSeq("zb")), int64(len(u.Members)), int64(len(u.Servers)))
-	for _, m := range u.Members {
-		x.tr.bytes(m.Encode())
+func (x *exchange) traceUpdate(subscriber *Subscriber) {
+	update := subscriber.Current()
+	x.tr.num(int64(update.State.Seq), int64(update.ListAge), int64(update.ListCoversSeq), int64(update.ContactAge), int64(update.DownCount))
+	x.tr.flags(update.HasList, update.Fresh, update.MembershipIncomplete, update.Stale, update.State.Evacuated["za"], update.State.Evacuated["zb"])
+	x.tr.num(int64(update.State.ZoneChangeSeq("za")), int64(update.State.ZoneChangeSeq("zb")), int64(len(update.Members)), int64(len(update.Servers)))
+	for _, member := range update.Members {
+		x.tr.bytes(member.Encode())
 	}
-	for _, s := range u.Servers {
+	for _, s := range update.Servers {
 		x.tr.bytes([]byte(s.ID))
 		x.tr.bytes(softstate.EncodeServer(s))
 		x.tr.num(int64(s.WarmUpMax), int64(s.WarmUpMin), int64(s.Remaining))
 	}
-	for _, id := range slices.Sorted(maps.Keys(f.loads.others)) {
+	for _, id := range slices.Sorted(maps.Keys(subscriber.loads.others)) {
 		x.tr.bytes([]byte(id))
-		x.tr.num(int64(f.loads.others[id].Requests), f.loads.others[id].Prefill, f.loads.others[id].Tokens)
+		x.tr.num(int64(subscriber.loads.others[id].Requests), subscriber.loads.others[id].Prefill, subscriber.loads.others[id].Tokens)
 	}
 }
 
@@ -300,7 +300,7 @@
 
 // rareEvent is one that is rare.
 func (x *exchange) rareEvent() {
-	f := x.subscribers[x.rng.IntN(len(x.subscribers))]
+	subscriber := x.subscribers[x.rng.IntN(len(x.subscribers))]
 	zone := []string{"za", "zb"}[x.rng.IntN(2)]
 	switch x.rng.IntN(11) {
 	case 0, 1:
@@ -314,9 +314,9 @@
 	case 5:
 		x.sources[x.rng.IntN(len(x.sources))].setStale(x.rng.IntN(3) == 0)
 	case 6:
-		f.SetReady(x.rng.IntN(2) == 0)
+		subscriber.SetReady(x.rng.IntN(2) == 0)
 	case 7:
-		f.Report(fmt.Sprint("p", x.rng.IntN(5)), x.subscribers[x.rng.IntN(5)].Incarnation())
+		subscriber.Report(fmt.Sprint("p", x.rng.IntN(5)), x.subscribers[x.rng.IntN(5)].Incarnation())
 	case 8:
 		x.writeHint()
 	case 9:
@@ -328,13 +328,13 @@
 
 // writeHint writes or deletes a writeHint at a hub.
 func (x *exchange) writeHint() {
-	h := x.servers[x.rng.IntN(len(x.servers))]
+	server := x.servers[x.rng.IntN(len(x.servers))]
 	key, version := softstate.HintPrefix+fmt.Sprint(x.rng.IntN(3)), uint64(x.rng.IntN(50))
 	var err error
 	if x.rng.IntN(3) == 0 {
-		err = h.Remove(key, 1, version)
+		err = server.Remove(key, 1, version)
 	} else {
-		err = h.Put(key, 1, version, []byte{byte(x.rng.IntN(9))})
+		err = server.Put(key, 1, version, []byte{byte(x.rng.IntN(9))})
 	}
 	x.tr.step('H')
 	x.tr.flags(err != nil)
@@ -342,9 +342,9 @@
 
 // traceTables takes in what the hubs hold in the end.
 func (x *exchange) traceTables() {
-	for _, h := range x.servers {
+	for _, server := range x.servers {
 		x.tr.step('F')
-		for _, e := range h.Table() {
+		for _, e := range server.Table() {
 			x.tr.bytes([]byte(e.Key))
 			x.tr.num(int64(e.Fence), int64(e.Version))
 			x.tr.bytes(e.Value)
--- a/internal/system/distribution/invariants_test.go
+++ b/internal/system/distribution/invariants_test.go
@@ -9,9 +9,9 @@
 
 // TestStateNeverGoesBackControl: a state that is older than the one held is seen.
 func TestStateNeverGoesBackControl(t *testing.T) {
-	f := NewSubscriber(SubscriberOptions{Log: quiet()})
+	subscriber := NewSubscriber(SubscriberOptions{Log: quiet()})
 	newer := controlstate.Empty()
 	newer.Seq = 5
-	f.control.set(newer)
-	invarianttest.Expect(t, stateNeverGoesBack, func() { f.control.set(controlstate.Empty()) })
+	subscriber.control.set(newer)
+	invarianttest.Expect(t, stateNeverGoesBack, func() { subscriber.control.set(controlstate.Empty()) })
 }
--- a/internal/system/distribution/late_delivery_test.go
+++ b/internal/system/distribution/late_delivery_test.go
@@ -42,7 +42,7 @@
 	w := &lateFleet{testFleet: newFleetWithKnobs(hub, "k1:1", "k2:1", "k3:1"), t: t, rng: rng, readAt: map[uint64]time.Time{},
 		isolatedUntil: map[string]time.Time{}, faults: map[string]int{}, violations: map[string]int{}, shownReadAt: map[string]time.Time{}}
 	for i := range 6 {
-		w.startProxy(fmt.Sprint("p", i), func(o *SubscriberOptions) { o.Knobs = proxies })
+		w.startProxy(fmt.Sprint("p", i), func(options *SubscriberOptions) { options.Knobs = proxies })
 	}
 	return w
 }
@@ -126,18 +126,18 @@
 // check looks at what every proxy holds.
 func (w *lateFleet) check() {
 	now := time.Now()
-	for n, p := range w.proxies {
-		u := p.subscriber.Current()
-		if u.Fresh && int(u.State.Seq) < len(w.ackedAt) && now.Sub(w.ackedAt[u.State.Seq]) > catchup.FreshnessTTL+freshnessMargin {
+	for n, proxy := range w.proxies {
+		update := proxy.subscriber.Current()
+		if update.Fresh && int(update.State.Seq) < len(w.ackedAt) && now.Sub(w.ackedAt[update.State.Seq]) > catchup.FreshnessTTL+freshnessMargin {
 			w.violations["fresh though a change is older than that"]++
 		}
-		p.mu.Lock()
-		if p.wentBack {
+		proxy.mu.Lock()
+		if proxy.wentBack {
 			w.violations["went back"]++
 		}
-		p.mu.Unlock()
-		p.subscriber.mu.Lock()
-		if held := p.subscriber.soft.table.Get(softstate.ListKey); held != nil {
+		proxy.mu.Unlock()
+		proxy.subscriber.mu.Lock()
+		if held := proxy.subscriber.soft.table.Get(softstate.ListKey); held != nil {
 			if was := w.shownReadAt[n]; was.Sub(w.readAt[held.Version]) > maxListAgeSkew+freshnessMargin && !w.readAt[held.Version].IsZero() {
 				w.violations["a list went back"]++
 			} else if w.readAt[held.Version].After(was) {
@@ -147,7 +147,7 @@
 				w.violations["a list is told to be younger than it is"]++
 			}
 		}
-		p.subscriber.mu.Unlock()
+		proxy.subscriber.mu.Unlock()
 	}
 }
 
@@ -167,9 +167,9 @@
 	w.mesh.release()
 	time.Sleep(6 * time.Second)
 	w.check()
-	for n, p := range w.proxies {
-		if u := p.subscriber.Current(); !u.Fresh || int(u.State.Seq) != len(w.ackedAt) || len(u.Members) != len(w.proxies) {
-			t.Errorf("%s, 6 s after the last fault: fresh %v, %d of %d, %d members", n, u.Fresh, u.State.Seq, len(w.ackedAt), len(u.Members))
+	for n, proxy := range w.proxies {
+		if update := proxy.subscriber.Current(); !update.Fresh || int(update.State.Seq) != len(w.ackedAt) || len(update.Members) != len(w.proxies) {
+			t.Errorf("%s, 6 s after the last fault: fresh %v, %d of %d, %d members", n, update.Fresh, update.State.Seq, len(w.ackedAt), len(update.Members))
 		}
 	}
 	return w.faults, w.violations
--- a/internal/system/distribution/loopback_test.go
+++ b/internal/system/distribution/loopback_test.go
@@ -66,38 +66,38 @@
 
 func TestOverLoopback(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	c := newChain()
-	src := &fakeSource{fakeChain: c}
-	h := NewServer(ServerOptions{Source: src, Self: "k", Log: quiet()})
-	address, _ := serve(t, h.Handler())
+	chain := newChain()
+	src := &fakeSource{fakeChain: chain}
+	server := NewServer(ServerOptions{Source: src, Self: "k", Log: quiet()})
+	address, _ := serve(t, server.Handler())
 	src.addresses = []string{address}
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer cancel()
-	wg.Go(func() { h.Run(ctx) })
+	wg.Go(func() { server.Run(ctx) })
 	updates := make(chan Update, 1)
 	transport := rpc.NewTransport()
 	defer transport.CloseIdleConnections()
-	f := NewSubscriber(SubscriberOptions{Seeds: []string{address}, Self: softstate.Member{Node: "p"}, Log: quiet(), Transport: transport,
-		OnUpdate: func(u Update) {
+	subscriber := NewSubscriber(SubscriberOptions{Seeds: []string{address}, Self: softstate.Member{Node: "p"}, Log: quiet(), Transport: transport,
+		OnUpdate: func(update Update) {
 			select {
 			case <-updates:
 			default:
 			}
-			updates <- u
+			updates <- update
 		}})
-	wg.Go(func() { f.Run(ctx) })
-	seq := c.add(none())
+	wg.Go(func() { subscriber.Run(ctx) })
+	seq := chain.add(none())
 	limit := time.After(5 * time.Second)
 	for {
 		select {
-		case u := <-updates:
-			if u.State.Seq == seq && u.Fresh {
-				if err := h.WaitAcknowledged(ctx, seq); err != nil {
+		case update := <-updates:
+			if update.State.Seq == seq && update.Fresh {
+				if err := server.WaitAcknowledged(ctx, seq); err != nil {
 					t.Error(err)
 				}
-				if err := f.Leave(ctx); err != nil {
+				if err := subscriber.Leave(ctx); err != nil {
 					t.Error(err)
 				}
 				return
@@ -130,18 +130,18 @@
 func benchmarkServer(b *testing.B, pace time.Duration, busy bool) {
 	const followers, servers = 100, 400
 	src := &fakeSource{fakeChain: newChain()}
-	h := NewServer(ServerOptions{Source: src, Self: "k", Log: quiet(), Limits: ServerLimits{LoadReportInterval: pace, TableCompleteAfter: time.Millisecond}})
-	address, bytes := serve(b, h.Handler())
+	server := NewServer(ServerOptions{Source: src, Self: "k", Log: quiet(), Limits: ServerLimits{LoadReportInterval: pace, TableCompleteAfter: time.Millisecond}})
+	address, bytes := serve(b, server.Handler())
 	src.addresses = []string{address}
 	ctx, cancel := context.WithCancel(b.Context())
 	var wg sync.WaitGroup
-	wg.Go(func() { h.Run(ctx) })
+	wg.Go(func() { server.Run(ctx) })
 	list := make([]pick.Server, servers)
 	for i := range list {
 		list[i] = pick.Server{ID: fmt.Sprintf("i-%08x", i*7919), Service: "a", Address: "10.0.0.1:8080", Zone: "z", Slots: 64}
 	}
 	src.add(none())
-	if err := h.PutList(1, 1, list, madeAgo(softstate.Age{})); err != nil {
+	if err := server.PutList(1, 1, list, madeAgo(softstate.Age{})); err != nil {
 		b.Fatal(err)
 	}
 	var tick atomic.Int64
@@ -165,8 +165,8 @@
 	}
 	for b.Context().Err() == nil {
 		ok := true
-		for _, f := range all {
-			if u := f.Current(); !u.Fresh || len(u.Members) != followers {
+		for _, subscriber := range all {
+			if update := subscriber.Current(); !update.Fresh || len(update.Members) != followers {
 				ok = false
 			}
 		}
@@ -186,7 +186,7 @@
 			version++
 			i := int(version) % servers
 			list[i].Draining = !list[i].Draining
-			if err := h.PutList(1, version, list, madeAgo(softstate.Age{})); err != nil {
+			if err := server.PutList(1, version, list, madeAgo(softstate.Age{})); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/system/distribution/membership_incomplete_test.go
+++ b/internal/system/distribution/membership_incomplete_test.go
@@ -12,26 +12,26 @@
 // come, and that others may have given it up where they call it down.
 func TestUpdateReportsIncompleteMembership(t *testing.T) {
 	now := time.Now()
-	f := NewSubscriber(SubscriberOptions{Log: quiet(), Self: softstate.Member{Node: "p", Incarnation: 4}})
-	if u := f.currentUpdate(now); !u.MembershipIncomplete || !u.Stale {
-		t.Errorf("at the start: %+v", u)
+	subscriber := NewSubscriber(SubscriberOptions{Log: quiet(), Self: softstate.Member{Node: "p", Incarnation: 4}})
+	if update := subscriber.currentUpdate(now); !update.MembershipIncomplete || !update.Stale {
+		t.Errorf("at the start: %+v", update)
 	}
-	f.soft.applyEntries(now, softstate.Age{}, &distributionpb.FollowReply{Full: true})
-	if u := f.currentUpdate(now); !u.MembershipIncomplete {
+	subscriber.soft.applyEntries(now, softstate.Age{}, &distributionpb.FollowReply{Full: true})
+	if update := subscriber.currentUpdate(now); !update.MembershipIncomplete {
 		t.Error("a keeper that has just started knows all proxies")
 	}
-	if !f.soft.applyEntries(now, softstate.Age{}, &distributionpb.FollowReply{Full: true, Complete: true}) {
+	if !subscriber.soft.applyEntries(now, softstate.Age{}, &distributionpb.FollowReply{Full: true, Complete: true}) {
 		t.Error("that the members are whole is no change")
 	}
-	f.freshness.lastCurrentContact = now
-	if u := f.currentUpdate(now); u.MembershipIncomplete || u.Stale {
-		t.Errorf("fresh, with all members: %+v", u)
+	subscriber.freshness.lastCurrentContact = now
+	if update := subscriber.currentUpdate(now); update.MembershipIncomplete || update.Stale {
+		t.Errorf("fresh, with all members: %+v", update)
 	}
-	down := f.announced.self
+	down := subscriber.announced.self
 	down.Down = true
-	f.soft.applyEntries(now, softstate.Age{}, &distributionpb.FollowReply{Entries: []*distributionpb.Entry{
+	subscriber.soft.applyEntries(now, softstate.Age{}, &distributionpb.FollowReply{Entries: []*distributionpb.Entry{
 		{Key: softstate.MemberPrefix + "p", Fence: 1, Version: 2, Value: down.Encode()}}})
-	if u := f.currentUpdate(now); !u.Stale {
+	if update := subscriber.currentUpdate(now); !update.Stale {
 		t.Error("not stale though it is called down")
 	}
 }
--- a/internal/system/distribution/membership_partition_test.go
+++ b/internal/system/distribution/membership_partition_test.go
@@ -17,11 +17,11 @@
 	on    bool
 }
 
-func (c *census) observe(u Update) {
+func (c *census) observe(update Update) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.on {
-		c.least = min(c.least, len(u.Members))
+		c.least = min(c.least, len(update.Members))
 	}
 }
 
@@ -40,43 +40,43 @@
 const censusMembers = 9
 
 func newCensusFleet(knobs TestingKnobs) (*testFleet, *census) {
-	fl := newFleetWithKnobs(knobs, "k1:1", "k2:1", "k3:1")
-	c := &census{}
+	fleet := newFleetWithKnobs(knobs, "k1:1", "k2:1", "k3:1")
+	memberCensus := &census{}
 	for i := range censusMembers {
-		fl.startProxy(fmt.Sprint("p", i), func(o *SubscriberOptions) {
-			o.Self.Zone = "zone-" + fl.names[i%len(fl.names)]
-			o.OnUpdate = c.observe
+		fleet.startProxy(fmt.Sprint("p", i), func(options *SubscriberOptions) {
+			options.Self.Zone = "zone-" + fleet.names[i%len(fleet.names)]
+			options.OnUpdate = memberCensus.observe
 		})
 	}
-	return fl, c
+	return fleet, memberCensus
 }
 
 // fewestAfterPartition cuts a keeper off from the others for 20 s, and gives the fewest members that a proxy was told of in the
 // 10 s after that.
 func fewestAfterPartition(t *testing.T, knobs TestingKnobs) int {
 	t.Helper()
-	fl, c := newCensusFleet(knobs)
-	defer fl.stop()
+	fleet, memberCensus := newCensusFleet(knobs)
+	defer fleet.stop()
 	time.Sleep(8 * time.Second)
 	for _, k := range []string{"k2:1", "k3:1"} {
-		fl.mesh.setPartitioned("k1:1", k, true)
-		fl.mesh.setPartitioned(k, "k1:1", true)
+		fleet.mesh.setPartitioned("k1:1", k, true)
+		fleet.mesh.setPartitioned(k, "k1:1", true)
 	}
-	fl.sources["k1:1"].setStale(true)
-	c.begin(censusMembers)
+	fleet.sources["k1:1"].setStale(true)
+	memberCensus.begin(censusMembers)
 	time.Sleep(20 * time.Second)
-	if c.fewest() != censusMembers {
-		t.Errorf("during the cut a proxy was told of %d members", c.fewest())
+	if memberCensus.fewest() != censusMembers {
+		t.Errorf("during the cut a proxy was told of %d members", memberCensus.fewest())
 	}
-	if !slices.ContainsFunc(fl.servers["k1:1"].Members(), func(m softstate.Member) bool { return m.Down }) {
+	if !slices.ContainsFunc(fleet.servers["k1:1"].Members(), func(member softstate.Member) bool { return member.Down }) {
 		t.Error("the run brought nothing about: the keeper that is cut off marked nobody down")
 	}
-	fl.mesh.mu.Lock()
-	clear(fl.mesh.partitioned)
-	fl.mesh.mu.Unlock()
-	fl.sources["k1:1"].setStale(false)
+	fleet.mesh.mu.Lock()
+	clear(fleet.mesh.partitioned)
+	fleet.mesh.mu.Unlock()
+	fleet.sources["k1:1"].setStale(false)
 	time.Sleep(10 * time.Second)
-	return c.fewest()
+	return memberCensus.fewest()
 }
 
 // TestNodeBackFromPartitionMarksNobodyDown: a keeper that was cut off from the others for 20 s has marked down what it no longer
@@ -99,14 +99,14 @@
 func TestNodesWithoutContactToEachOther(t *testing.T) {
 	run := func(t *testing.T, knobs TestingKnobs) int {
 		t.Helper()
-		fl, c := newCensusFleet(knobs)
-		defer fl.stop()
+		fleet, memberCensus := newCensusFleet(knobs)
+		defer fleet.stop()
 		time.Sleep(8 * time.Second)
-		fl.mesh.setPartitioned("k1:1", "k2:1", true)
-		fl.mesh.setPartitioned("k2:1", "k1:1", true)
-		c.begin(censusMembers)
+		fleet.mesh.setPartitioned("k1:1", "k2:1", true)
+		fleet.mesh.setPartitioned("k2:1", "k1:1", true)
+		memberCensus.begin(censusMembers)
 		time.Sleep(20 * time.Second)
-		return c.fewest()
+		return memberCensus.fewest()
 	}
 	synctest.Test(t, func(t *testing.T) {
 		if n := run(t, TestingKnobs{}); n != censusMembers {
--- a/internal/system/distribution/mismatched_reply_test.go
+++ b/internal/system/distribution/mismatched_reply_test.go
@@ -94,13 +94,13 @@
 }
 
 // newScriptedSubscriber is a follower of a scripted peer on loopback.
-func newScriptedSubscriber(t *testing.T, script func(uint32) string) (f *Subscriber, p *scriptedPeer, address string) {
+func newScriptedSubscriber(t *testing.T, script func(uint32) string) (subscriber *Subscriber, scripted *scriptedPeer, address string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p = &scriptedPeer{seen: map[uint32]int{}, script: script}
+	scripted = &scriptedPeer{seen: map[uint32]int{}, script: script}
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for {
@@ -108,7 +108,7 @@
 			if err != nil {
 				return
 			}
-			wg.Go(func() { p.serve(c) })
+			wg.Go(func() { scripted.serve(c) })
 		}
 	})
 	transport := rpc.NewTransport()
@@ -117,7 +117,7 @@
 		transport.CloseIdleConnections()
 		wg.Wait()
 	})
-	return NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet(), Transport: transport}), p, ln.Addr().String()
+	return NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet(), Transport: transport}), scripted, ln.Addr().String()
 }
 
 // TestReplyReachesItsCallAlone: whatever a peer does, on fresh connections and on ones that are used again, in any order: a
@@ -125,7 +125,7 @@
 func TestReplyReachesItsCallAlone(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 5))
 	counts := map[string]int{}
-	f, p, address := newScriptedSubscriber(t, func(uint32) string {
+	subscriber, scripted, address := newScriptedSubscriber(t, func(uint32) string {
 		act := peerActs[rng.IntN(len(peerActs))]
 		counts[act]++
 		return act
@@ -134,7 +134,7 @@
 	for range 400 {
 		ctx, cancel := rpc.WithIdleTimeout(t.Context(), 20*time.Millisecond, 20*time.Millisecond)
 		req := &distributionpb.FollowRequest{}
-		reply, err := f.sendPoll(ctx, address, req)
+		reply, err := subscriber.sendPoll(ctx, address, req)
 		cancel()
 		if err == nil {
 			good++
@@ -143,9 +143,9 @@
 			}
 		}
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for call, n := range p.seen {
+	scripted.mu.Lock()
+	defer scripted.mu.Unlock()
+	for call, n := range scripted.seen {
 		if n > 1 {
 			t.Errorf("call %d was sent %d times", call, n)
 		}
@@ -162,11 +162,11 @@
 
 // TestMismatchedReplyControl: without the names of calls, the answer to another call is taken.
 func TestMismatchedReplyControl(t *testing.T) {
-	f, _, address := newScriptedSubscriber(t, func(uint32) string { return "another's answer" })
+	subscriber, _, address := newScriptedSubscriber(t, func(uint32) string { return "another's answer" })
 	for _, knob := range []bool{false, true} {
-		f.options.Knobs.AcceptAnyReply = knob
+		subscriber.options.Knobs.AcceptAnyReply = knob
 		ctx, cancel := rpc.WithIdleTimeout(t.Context(), time.Second, time.Second)
-		if _, err := f.sendPoll(ctx, address, &distributionpb.FollowRequest{}); (err == nil) != knob {
+		if _, err := subscriber.sendPoll(ctx, address, &distributionpb.FollowRequest{}); (err == nil) != knob {
 			t.Errorf("control %v: %v", knob, err)
 		}
 		cancel()
@@ -175,11 +175,11 @@
 
 // TestSurplusReplyShiftsNothing: after a peer that answered twice, the next poll does not take the surplus answer.
 func TestSurplusReplyShiftsNothing(t *testing.T) {
-	f, _, address := newScriptedSubscriber(t, func(uint32) string { return "twice in one packet" })
+	subscriber, _, address := newScriptedSubscriber(t, func(uint32) string { return "twice in one packet" })
 	for range 200 {
 		req := &distributionpb.FollowRequest{}
 		ctx, cancel := rpc.WithIdleTimeout(t.Context(), time.Second, time.Second)
-		if reply, err := f.sendPoll(ctx, address, req); err == nil && reply.GetNewest() != uint64(req.GetCall()) {
+		if reply, err := subscriber.sendPoll(ctx, address, req); err == nil && reply.GetNewest() != uint64(req.GetCall()) {
 			t.Fatalf("call %d got the answer of %d", req.GetCall(), reply.GetNewest())
 		}
 		cancel()
@@ -188,33 +188,33 @@
 
 // TestRetriedCallsChangeNothing: a poll or a share that comes twice leaves a keeper as it was after the first.
 func TestRetriedCallsChangeNothing(t *testing.T) {
-	h := newIdleServer()
-	h.markComplete()
-	m := softstate.Member{Node: "p", Incarnation: 5, Revision: 2, Ready: true}
+	server := newIdleServer()
+	server.markComplete()
+	member := softstate.Member{Node: "p", Incarnation: 5, Revision: 2, Ready: true}
 	other := softstate.Member{Node: "q", Incarnation: 6}
-	h.endCall(h.beginCall(other, &distributionpb.FollowRequest{Member: other.ToProto()}))
+	server.endCall(server.beginCall(other, &distributionpb.FollowRequest{Member: other.ToProto()}))
 	v := loadreport.NewVector(true)
-	poll := &distributionpb.FollowRequest{Member: m.ToProto(), Seq: 7, AcceptStale: true, Loads: v.ChangesSince(softstate.Cursor{}),
+	poll := &distributionpb.FollowRequest{Member: member.ToProto(), Seq: 7, AcceptStale: true, Loads: v.ChangesSince(softstate.Cursor{}),
 		Down: []*distributionpb.Verdict{{Node: "q", Incarnation: 6}}}
-	share := &distributionpb.ShareRequest{From: &distributionpb.Keeper{Address: "o"}, Boot: 3, SentMs: h.clockMS(time.Now()), Loads: v.ChangesSince(softstate.Cursor{}),
+	share := &distributionpb.ShareRequest{From: &distributionpb.Keeper{Address: "o"}, Boot: 3, SentMs: server.clockMS(time.Now()), Loads: v.ChangesSince(softstate.Cursor{}),
 		Entries: []*distributionpb.Entry{{Key: "hint/x", Fence: 1, Version: 4, Value: []byte("1")}}}
 	for name, call := range map[string]func() error{
-		"poll":  func() error { _, err := h.Follow(t.Context(), poll); return err },
-		"share": func() error { _, err := h.Share(t.Context(), share); return err },
+		"poll":  func() error { _, err := server.Follow(t.Context(), poll); return err },
+		"share": func() error { _, err := server.Share(t.Context(), share); return err },
 	} {
 		if err := call(); err != nil {
 			t.Fatal(name, err)
 		}
-		number, held, members := h.table.LastNumber, fmt.Sprint(tableContents(h.table)), fmt.Sprint(h.Members())
+		number, held, members := server.table.LastNumber, fmt.Sprint(tableContents(server.table)), fmt.Sprint(server.Members())
 		if err := call(); err != nil {
 			t.Fatal(name, err)
 		}
-		if h.table.LastNumber != number || fmt.Sprint(tableContents(h.table)) != held || fmt.Sprint(h.Members()) != members {
+		if server.table.LastNumber != number || fmt.Sprint(tableContents(server.table)) != held || fmt.Sprint(server.Members()) != members {
 			t.Errorf("%s: the second call changed the table", name)
 		}
 	}
-	if f := h.sessions.byNode["p"]; f.ackedSeq != 7 || f.openCalls != 0 {
-		t.Errorf("acknowledged %d, %d calls open", f.ackedSeq, f.openCalls)
+	if caller := server.sessions.byNode["p"]; caller.ackedSeq != 7 || caller.openCalls != 0 {
+		t.Errorf("acknowledged %d, %d calls open", caller.ackedSeq, caller.openCalls)
 	}
 }
 
--- a/internal/system/distribution/older_list_resync_test.go
+++ b/internal/system/distribution/older_list_resync_test.go
@@ -11,18 +11,18 @@
 )
 
 // pollByHand has a follower take in what a hub would answer it now.
-func pollByHand(f *Subscriber, h *Server) {
-	req := f.buildRequest(nil, false)
-	h.mu.Lock()
+func pollByHand(subscriber *Subscriber, server *Server) {
+	req := subscriber.buildRequest(nil, false)
+	server.mu.Lock()
 	since := uint64(0)
-	if req.GetSoft().GetBoot() == h.bootID {
+	if req.GetSoft().GetBoot() == server.bootID {
 		since = req.GetSoft().GetNumber()
 	}
-	items, full := h.table.ChangesSince(since)
-	reply := &distributionpb.FollowReply{Full: full, Complete: h.complete, Current: true, Entries: softstate.EncodeEntries(time.Now(), items),
-		Soft: &distributionpb.Cursor{Boot: h.bootID, Number: h.table.LastNumber}}
-	h.mu.Unlock()
-	f.handleReply(time.Now(), time.Now(), req, reply)
+	items, full := server.table.ChangesSince(since)
+	reply := &distributionpb.FollowReply{Full: full, Complete: server.complete, Current: true, Entries: softstate.EncodeEntries(time.Now(), items),
+		Soft: &distributionpb.Cursor{Boot: server.bootID, Number: server.table.LastNumber}}
+	server.mu.Unlock()
+	subscriber.handleReply(time.Now(), time.Now(), req, reply)
 }
 
 // TestSkippedListIsSentAgain: a proxy moves to a keeper whose newest reading came by a slow share, so that its age lies between 0 and 2.6 s. It
@@ -30,29 +30,29 @@
 // nothing there. Danger: what the first one said (a server drains, or is cold) is never told.
 func TestSkippedListIsSentAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, b := newIdleServer(), newIdleServer()
-		a.markComplete()
-		b.markComplete()
-		f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
-		put := func(h *Server, version uint64, age softstate.Age, s pick.Server) {
+		serverA, serverB := newIdleServer(), newIdleServer()
+		serverA.markComplete()
+		serverB.markComplete()
+		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+		put := func(server *Server, version uint64, age softstate.Age, s pick.Server) {
 			t.Helper()
-			if err := h.PutList(1, version, []pick.Server{s}, madeAgo(age)); err != nil {
+			if err := server.PutList(1, version, []pick.Server{s}, madeAgo(age)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		put(a, 10, softstate.Age{}, pick.Server{ID: "x"})
-		pollByHand(f, a)
+		put(serverA, 10, softstate.Age{}, pick.Server{ID: "x"})
+		pollByHand(subscriber, serverA)
 		time.Sleep(200 * time.Millisecond)
-		put(b, 11, softstate.Age{Max: 2600 * time.Millisecond}, pick.Server{ID: "x", Draining: true})
-		pollByHand(f, b)
+		put(serverB, 11, softstate.Age{Max: 2600 * time.Millisecond}, pick.Server{ID: "x", Draining: true})
+		pollByHand(subscriber, serverB)
 		for version := range uint64(20) {
 			time.Sleep(500 * time.Millisecond)
-			put(b, 12+version, softstate.Age{}, pick.Server{ID: "x", Draining: true})
-			pollByHand(f, b)
+			put(serverB, 12+version, softstate.Age{}, pick.Server{ID: "x", Draining: true})
+			pollByHand(subscriber, serverB)
 		}
-		u := f.Current()
-		if len(u.Servers) != 1 || !u.Servers[0].Draining {
-			t.Errorf("10 s after the keeper's list said that x drains: %+v, with a list that is %v old", u.Servers, u.ListAge)
+		update := subscriber.Current()
+		if len(update.Servers) != 1 || !update.Servers[0].Draining {
+			t.Errorf("10 s after the keeper's list said that x drains: %+v, with a list that is %v old", update.Servers, update.ListAge)
 		}
 	})
 }
@@ -63,33 +63,33 @@
 // what the proxy holds, and is not written again, as the keeper holds it.
 func TestNewerReadingOfLowerVersionIsApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, b := newIdleServer(), newIdleServer()
-		a.markComplete()
-		b.markComplete()
-		f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
-		put := func(h *Server, fence, version uint64, s pick.Server) {
+		serverA, serverB := newIdleServer(), newIdleServer()
+		serverA.markComplete()
+		serverB.markComplete()
+		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+		put := func(server *Server, fence, version uint64, s pick.Server) {
 			t.Helper()
-			if err := h.PutList(fence, version, []pick.Server{s}, madeAgo(softstate.Age{Max: 20 * time.Millisecond})); err != nil {
+			if err := server.PutList(fence, version, []pick.Server{s}, madeAgo(softstate.Age{Max: 20 * time.Millisecond})); err != nil {
 				t.Fatal(err)
 			}
 		}
-		put(b, 1, 95, pick.Server{ID: "x"})
+		put(serverB, 1, 95, pick.Server{ID: "x"})
 		time.Sleep(2400 * time.Millisecond)
-		put(a, 1, 100, pick.Server{ID: "x", WarmUpMax: 3 * time.Second}) // it has turned cold anew
-		pollByHand(f, a)
+		put(serverA, 1, 100, pick.Server{ID: "x", WarmUpMax: 3 * time.Second}) // it has turned cold anew
+		pollByHand(subscriber, serverA)
 		time.Sleep(100 * time.Millisecond)
-		pollByHand(f, b) // an older list: not taken
+		pollByHand(subscriber, serverB) // an older list: not taken
 		time.Sleep(400 * time.Millisecond)
-		put(b, 1, 96, pick.Server{ID: "x", Draining: true})
-		pollByHand(f, b)
+		put(serverB, 1, 96, pick.Server{ID: "x", Draining: true})
+		pollByHand(subscriber, serverB)
 		for version := range uint64(20) {
 			time.Sleep(500 * time.Millisecond)
-			put(b, 2, 1+version, pick.Server{ID: "x", Draining: true})
-			pollByHand(f, b)
+			put(serverB, 2, 1+version, pick.Server{ID: "x", Draining: true})
+			pollByHand(subscriber, serverB)
 		}
-		u := f.Current()
-		if len(u.Servers) != 1 || !u.Servers[0].Draining {
-			t.Errorf("10 s after the keeper's list said that x drains: %+v, with a list that is %v old", u.Servers, u.ListAge)
+		update := subscriber.Current()
+		if len(update.Servers) != 1 || !update.Servers[0].Draining {
+			t.Errorf("10 s after the keeper's list said that x drains: %+v, with a list that is %v old", update.Servers, update.ListAge)
 		}
 	})
 }
@@ -99,15 +99,15 @@
 // ages. Danger: the server is called warm, and what has been listed since vanishes.
 func TestDelayedReadingEndsNoWarmUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newIdleServer()
+		server := newIdleServer()
 		asked := time.Now()
 		time.Sleep(2200 * time.Millisecond)
-		if err := h.PutList(1, 8, []pick.Server{{ID: "a", WarmUpMax: 3 * time.Second}}, madeAgo(softstate.Age{Max: 20 * time.Millisecond})); err != nil {
+		if err := server.PutList(1, 8, []pick.Server{{ID: "a", WarmUpMax: 3 * time.Second}}, madeAgo(softstate.Age{Max: 20 * time.Millisecond})); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(100 * time.Millisecond)
-		_ = h.PutList(1, 7, []pick.Server{{ID: "a"}}, softstate.TimeBounds{Earliest: asked, Latest: time.Now()})
-		if got, _, _ := h.List(); len(got) != 1 || got[0].WarmUpMax < 2900*time.Millisecond {
+		_ = server.PutList(1, 7, []pick.Server{{ID: "a"}}, softstate.TimeBounds{Earliest: asked, Latest: time.Now()})
+		if got, _, _ := server.List(); len(got) != 1 || got[0].WarmUpMax < 2900*time.Millisecond {
 			t.Errorf("holds %+v", got)
 		}
 	})
--- a/internal/system/distribution/older_list_test.go
+++ b/internal/system/distribution/older_list_test.go
@@ -14,24 +14,24 @@
 // reading is a keeper's whole table after it read the list.
 func completeTable(tb testing.TB, age time.Duration, version uint64, servers ...pick.Server) *distributionpb.FollowReply {
 	tb.Helper()
-	h := newIdleServer()
-	h.markComplete()
-	if err := h.PutList(1, version, servers, madeAgo(exactAge(age))); err != nil {
+	server := newIdleServer()
+	server.markComplete()
+	if err := server.PutList(1, version, servers, madeAgo(exactAge(age))); err != nil {
 		tb.Fatal(err)
 	}
-	items, full := h.table.ChangesSince(0)
+	items, full := server.table.ChangesSince(0)
 	return &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: softstate.EncodeEntries(time.Now(), items),
-		Soft: &distributionpb.Cursor{Boot: h.bootID, Number: h.table.LastNumber}}
+		Soft: &distributionpb.Cursor{Boot: server.bootID, Number: server.table.LastNumber}}
 }
 
 // moveToRejoinedNode has a follower that knows a server as draining move to a keeper whose table is 20 s old, and
 // gives what it holds then.
 func moveToRejoinedNode(tb testing.TB, knobs TestingKnobs) []pick.Server {
 	tb.Helper()
-	f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet(), Knobs: knobs})
-	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), completeTable(tb, 0, 990, pick.Server{ID: "a", Draining: true}, pick.Server{ID: "new"}))
-	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), completeTable(tb, 20*time.Second, 950, pick.Server{ID: "a"}, pick.Server{ID: "gone"}))
-	return f.Current().Servers
+	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet(), Knobs: knobs})
+	subscriber.handleReply(time.Now(), time.Now(), subscriber.buildRequest(nil, false), completeTable(tb, 0, 990, pick.Server{ID: "a", Draining: true}, pick.Server{ID: "new"}))
+	subscriber.handleReply(time.Now(), time.Now(), subscriber.buildRequest(nil, false), completeTable(tb, 20*time.Second, 950, pick.Server{ID: "a"}, pick.Server{ID: "gone"}))
+	return subscriber.Current().Servers
 }
 
 // TestRejoinedNodeBringsNoOldList: a keeper that was cut off or stopped for 20 s may be current again before the
@@ -48,10 +48,10 @@
 
 // TestNodesThatRestartVersionsAreAccepted: after a restart of all keepers versions begin anew, so the younger reading counts.
 func TestNodesThatRestartVersionsAreAccepted(t *testing.T) {
-	f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
-	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), completeTable(t, 20*time.Second, 990, pick.Server{ID: "a"}))
-	f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), completeTable(t, 0, 1, pick.Server{ID: "b"}))
-	if got := f.Current().Servers; len(got) != 1 || got[0].ID != "b" {
+	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+	subscriber.handleReply(time.Now(), time.Now(), subscriber.buildRequest(nil, false), completeTable(t, 20*time.Second, 990, pick.Server{ID: "a"}))
+	subscriber.handleReply(time.Now(), time.Now(), subscriber.buildRequest(nil, false), completeTable(t, 0, 1, pick.Server{ID: "b"}))
+	if got := subscriber.Current().Servers; len(got) != 1 || got[0].ID != "b" {
 		t.Errorf("holds %+v", got)
 	}
 }
@@ -59,18 +59,18 @@
 // TestEarlierReadingOfTheList: of two pollers under one fence the one that is slow, or stood still, ends last. Danger: what
 // it read before brings back servers that have gone and calls cold ones warm.
 func TestEarlierReadingOfTheList(t *testing.T) {
-	h := newIdleServer()
+	server := newIdleServer()
 	cold := []pick.Server{{ID: "a", Service: "x", WarmUpMax: 3 * time.Second}}
-	if err := h.PutList(1, 7, cold, madeAgo(softstate.Age{})); err != nil {
+	if err := server.PutList(1, 7, cold, madeAgo(softstate.Age{})); err != nil {
 		t.Fatal(err)
 	}
-	if err := h.PutList(1, 7, []pick.Server{{ID: "a", Service: "x"}}, madeAgo(softstate.Age{Min: 900 * time.Millisecond, Max: time.Second})); !errors.Is(err, ErrStale) {
+	if err := server.PutList(1, 7, []pick.Server{{ID: "a", Service: "x"}}, madeAgo(softstate.Age{Min: 900 * time.Millisecond, Max: time.Second})); !errors.Is(err, ErrStale) {
 		t.Errorf("a reading 900 ms older: %v", err)
 	}
-	if got, _, _ := h.List(); len(got) != 1 || got[0].WarmUpMax < 2900*time.Millisecond {
+	if got, _, _ := server.List(); len(got) != 1 || got[0].WarmUpMax < 2900*time.Millisecond {
 		t.Errorf("holds %+v", got)
 	}
-	if err := h.PutList(2, 1, []pick.Server{{ID: "a", Service: "x"}}, madeAgo(softstate.Age{Min: 900 * time.Millisecond, Max: time.Second})); err != nil {
+	if err := server.PutList(2, 1, []pick.Server{{ID: "a", Service: "x"}}, madeAgo(softstate.Age{Min: 900 * time.Millisecond, Max: time.Second})); err != nil {
 		t.Errorf("under a higher fence: %v", err)
 	}
 }
@@ -79,20 +79,20 @@
 // with its own until that keeper has heard of it.
 func TestMoveToNodeWithOlderList(t *testing.T) {
 	now := time.Now()
-	f := NewSubscriber(SubscriberOptions{Log: quiet()})
+	subscriber := NewSubscriber(SubscriberOptions{Log: quiet()})
 	reply := func(cold time.Duration, version, least, most uint64) *distributionpb.FollowReply {
 		return &distributionpb.FollowReply{Full: true, Complete: true, Entries: []*distributionpb.Entry{
 			{Key: softstate.ListKey, Fence: 1, Version: version, AgeMs: most, LeastAgeMs: &least},
 			{Key: softstate.ServerPrefix + "a", Fence: 1, Version: version, AgeMs: most, LeastAgeMs: &least,
 				Value: softstate.EncodeServer(pick.Server{ID: "a", Service: "x", WarmUpMax: cold})}}}
 	}
-	f.soft.applyEntries(now, softstate.Age{}, reply(3*time.Second, 9, 0, 100))
-	f.soft.applyEntries(now, softstate.Age{}, reply(0, 5, 900, 1900))
-	if s, _, _ := f.soft.table.Servers(now); s[0].WarmUpMax < 2900*time.Millisecond {
+	subscriber.soft.applyEntries(now, softstate.Age{}, reply(3*time.Second, 9, 0, 100))
+	subscriber.soft.applyEntries(now, softstate.Age{}, reply(0, 5, 900, 1900))
+	if s, _, _ := subscriber.soft.table.Servers(now); s[0].WarmUpMax < 2900*time.Millisecond {
 		t.Errorf("cold for %v more after an older list", s[0].WarmUpMax)
 	}
-	f.soft.applyEntries(now, softstate.Age{}, reply(time.Second, 6, 0, 50))
-	if s, _, _ := f.soft.table.Servers(now); s[0].WarmUpMax != time.Second {
+	subscriber.soft.applyEntries(now, softstate.Age{}, reply(time.Second, 6, 0, 50))
+	if s, _, _ := subscriber.soft.table.Servers(now); s[0].WarmUpMax != time.Second {
 		t.Errorf("cold for %v more after a newer list", s[0].WarmUpMax)
 	}
 }
--- a/internal/system/distribution/random_faults_test.go
+++ b/internal/system/distribution/random_faults_test.go
@@ -29,22 +29,22 @@
 }
 
 func randomFaults(t *testing.T, rng *rand.Rand) {
-	fl := newFleet("k1:1", "k2:1", "k3:1")
-	defer fl.stop()
-	fl.mesh.mu.Lock()
-	fl.mesh.delay = func(_, _ string) time.Duration { return time.Millisecond + rand.N(20*time.Millisecond) }
-	fl.mesh.mu.Unlock()
+	fleet := newFleet("k1:1", "k2:1", "k3:1")
+	defer fleet.stop()
+	fleet.mesh.mu.Lock()
+	fleet.mesh.delay = func(_, _ string) time.Duration { return time.Millisecond + rand.N(20*time.Millisecond) }
+	fleet.mesh.mu.Unlock()
 	nodes := 0
 	start := func() {
-		fl.startProxy(fmt.Sprint("p", nodes), nil)
+		fleet.startProxy(fmt.Sprint("p", nodes), nil)
 		nodes++
 	}
 	for range 8 {
 		start()
 	}
 	hosts := func() []string {
-		out := append([]string{}, fl.names...)
-		for n := range fl.proxies {
+		out := append([]string{}, fleet.names...)
+		for n := range fleet.proxies {
 			out = append(out, n)
 		}
 		return out
@@ -54,38 +54,38 @@
 	back := false
 	for range 60 {
 		time.Sleep(rand.N(300 * time.Millisecond))
-		switch k := fl.names[rng.IntN(3)]; rng.IntN(9) {
+		switch k := fleet.names[rng.IntN(3)]; rng.IntN(9) {
 		case 0, 1:
-			fl.chain.add(none())
+			fleet.chain.add(none())
 			if rng.IntN(4) == 0 {
-				fl.chain.mu.Lock()
-				fl.chain.compactedTo = uint64(len(fl.chain.records))
-				fl.chain.mu.Unlock()
+				fleet.chain.mu.Lock()
+				fleet.chain.compactedTo = uint64(len(fleet.chain.records))
+				fleet.chain.mu.Unlock()
 			}
 		case 2:
-			h := hosts()
-			fl.mesh.setPartitioned(h[rng.IntN(len(h))], h[rng.IntN(len(h))], true)
+			server := hosts()
+			fleet.mesh.setPartitioned(server[rng.IntN(len(server))], server[rng.IntN(len(server))], true)
 		case 3:
-			fl.mesh.mu.Lock()
-			clear(fl.mesh.partitioned)
-			fl.mesh.mu.Unlock()
+			fleet.mesh.mu.Lock()
+			clear(fleet.mesh.partitioned)
+			fleet.mesh.mu.Unlock()
 		case 4:
-			if fl.servers[k] != nil && len(fl.servers) > 1 {
-				fl.killServer(k)
+			if fleet.servers[k] != nil && len(fleet.servers) > 1 {
+				fleet.killServer(k)
 			}
 		case 5:
-			if fl.servers[k] == nil {
-				fl.startServer(k)
+			if fleet.servers[k] == nil {
+				fleet.startServer(k)
 			}
 		case 6:
-			fl.sources[k].setStale(rng.IntN(2) == 0)
+			fleet.sources[k].setStale(rng.IntN(2) == 0)
 		case 7:
-			if len(fl.proxies) > 5 {
-				for n, p := range fl.proxies {
-					p.mu.Lock()
-					back = back || p.wentBack
-					p.mu.Unlock()
-					fl.killProxy(n)
+			if len(fleet.proxies) > 5 {
+				for n, proxy := range fleet.proxies {
+					proxy.mu.Lock()
+					back = back || proxy.wentBack
+					proxy.mu.Unlock()
+					fleet.killProxy(n)
 					break
 				}
 			} else {
@@ -97,59 +97,59 @@
 			if len(servers) > 5 {
 				servers = servers[1:]
 			}
-			if fl.servers[k] != nil {
-				_ = fl.servers[k].PutList(1, version, servers, madeAgo(softstate.Age{}))
+			if fleet.servers[k] != nil {
+				_ = fleet.servers[k].PutList(1, version, servers, madeAgo(softstate.Age{}))
 			}
 		}
 	}
-	fl.mesh.mu.Lock()
-	clear(fl.mesh.partitioned)
-	fl.mesh.mu.Unlock()
-	for _, k := range fl.names {
-		fl.sources[k].setStale(false)
-		if fl.servers[k] == nil {
-			fl.startServer(k)
+	fleet.mesh.mu.Lock()
+	clear(fleet.mesh.partitioned)
+	fleet.mesh.mu.Unlock()
+	for _, k := range fleet.names {
+		fleet.sources[k].setStale(false)
+		if fleet.servers[k] == nil {
+			fleet.startServer(k)
 		}
 	}
-	seq := fl.chain.add(none())
+	seq := fleet.chain.add(none())
 	time.Sleep(9 * time.Second)
-	if err := fl.servers["k1:1"].PutList(1, version+1, servers, madeAgo(softstate.Age{})); err != nil {
+	if err := fleet.servers["k1:1"].PutList(1, version+1, servers, madeAgo(softstate.Age{})); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(500 * time.Millisecond)
 	defer func() {
-		for n, h := range fl.servers {
-			for _, m := range h.Members() {
+		for n, server := range fleet.servers {
+			for _, member := range server.Members() {
 				if t.Failed() {
-					t.Logf("%s: %+v", n, m)
+					t.Logf("%s: %+v", n, member)
 				}
 			}
 		}
 	}()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	if err := fl.servers["k1:1"].WaitAcknowledged(ctx, seq); err != nil {
+	if err := fleet.servers["k1:1"].WaitAcknowledged(ctx, seq); err != nil {
 		t.Error(err)
 	}
 	within(t, 2*time.Second, "each proxy is followed once", func() bool {
 		followed := 0
-		for _, h := range fl.servers {
-			followed += len(h.Subscribers())
+		for _, server := range fleet.servers {
+			followed += len(server.Subscribers())
 		}
-		return followed == len(fl.proxies)
+		return followed == len(fleet.proxies)
 	})
-	for n, p := range fl.proxies {
-		p.mu.Lock()
-		back = back || p.wentBack
-		p.mu.Unlock()
-		u := p.subscriber.Current()
-		if u.State.Seq != seq || !u.Fresh || len(u.Members) != len(fl.proxies) || len(u.Servers) != len(servers) {
-			t.Errorf("%s: seq %d of %d, fresh %v, members %d of %d, servers %d of %d", n, u.State.Seq, seq, u.Fresh,
-				len(u.Members), len(fl.proxies), len(u.Servers), len(servers))
+	for n, proxy := range fleet.proxies {
+		proxy.mu.Lock()
+		back = back || proxy.wentBack
+		proxy.mu.Unlock()
+		update := proxy.subscriber.Current()
+		if update.State.Seq != seq || !update.Fresh || len(update.Members) != len(fleet.proxies) || len(update.Servers) != len(servers) {
+			t.Errorf("%s: seq %d of %d, fresh %v, members %d of %d, servers %d of %d", n, update.State.Seq, seq, update.Fresh,
+				len(update.Members), len(fleet.proxies), len(update.Servers), len(servers))
 		}
-		for i := range min(len(u.Servers), len(servers)) {
-			if u.Servers[i].Service != "a" {
-				t.Errorf("%s: server %+v", n, u.Servers[i])
+		for i := range min(len(update.Servers), len(servers)) {
+			if update.Servers[i].Service != "a" {
+				t.Errorf("%s: server %+v", n, update.Servers[i])
 			}
 		}
 	}
--- a/internal/system/distribution/referral_test.go
+++ b/internal/system/distribution/referral_test.go
@@ -12,10 +12,10 @@
 // TestProxyWhoseSeedsAreAllObservers starts a follower that is told of observers only. Danger: they answer that they feed
 // nothing, and it never learns of a keeper.
 func TestProxyWhoseSeedsAreAllObservers(t *testing.T) {
-	c := newChain()
-	src := &fakeSource{fakeChain: c}
-	h := NewServer(ServerOptions{Source: src, Self: "k", Log: quiet()})
-	keeper, _ := serve(t, h.Handler())
+	chain := newChain()
+	src := &fakeSource{fakeChain: chain}
+	server := NewServer(ServerOptions{Source: src, Self: "k", Log: quiet()})
+	keeper, _ := serve(t, server.Handler())
 	src.addresses = []string{keeper}
 	observer := Referral{Servers: func() []ServerLocation { return []ServerLocation{{Address: keeper, Zone: "za", Region: "r"}} }}
 	first, _ := serve(t, observer.Handler())
@@ -24,18 +24,18 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer cancel()
-	wg.Go(func() { h.Run(ctx) })
+	wg.Go(func() { server.Run(ctx) })
 	fresh := make(chan struct{}, 1)
 	transport := rpc.NewTransport()
 	defer transport.CloseIdleConnections()
-	seq := c.add(none())
-	f := NewSubscriber(SubscriberOptions{Seeds: []string{first, second}, Self: softstate.Member{Node: "p"}, Log: quiet(), Transport: transport,
-		OnUpdate: func(u Update) {
-			if u.Fresh && u.State.Seq == seq {
+	seq := chain.add(none())
+	subscriber := NewSubscriber(SubscriberOptions{Seeds: []string{first, second}, Self: softstate.Member{Node: "p"}, Log: quiet(), Transport: transport,
+		OnUpdate: func(update Update) {
+			if update.Fresh && update.State.Seq == seq {
 				signal(fresh)
 			}
 		}})
-	wg.Go(func() { f.Run(ctx) })
+	wg.Go(func() { subscriber.Run(ctx) })
 	select {
 	case <-fresh:
 	case <-time.After(5 * time.Second):
@@ -46,22 +46,22 @@
 // TestReferralKeepsKnownNodes: an observer may be behind. Danger: a keeper that has gone is taken for one of the
 // view, or one that is of the view is forgotten.
 func TestReferralKeepsKnownNodes(t *testing.T) {
-	f := NewSubscriber(SubscriberOptions{Seeds: []string{"10.0.0.1", "10.0.0.9"}, Self: softstate.Member{Node: "p"}, Log: quiet()})
-	f.mu.Lock()
-	f.nodes.replace(encodeLocations(ServerLocation{"10.0.0.2", "zb", "r"}, ServerLocation{"10.0.0.9", "zc", "r"}), 0)
-	f.mu.Unlock()
-	f.learnNodes(encodeLocations(ServerLocation{"10.0.0.1", "za", "r"}, ServerLocation{"10.0.0.9", "old", "old"}))
+	subscriber := NewSubscriber(SubscriberOptions{Seeds: []string{"10.0.0.1", "10.0.0.9"}, Self: softstate.Member{Node: "p"}, Log: quiet()})
+	subscriber.mu.Lock()
+	subscriber.nodes.replace(encodeLocations(ServerLocation{"10.0.0.2", "zb", "r"}, ServerLocation{"10.0.0.9", "zc", "r"}), 0)
+	subscriber.mu.Unlock()
+	subscriber.learnNodes(encodeLocations(ServerLocation{"10.0.0.1", "za", "r"}, ServerLocation{"10.0.0.9", "old", "old"}))
 	want := map[string]controlPlaneNode{
 		"10.0.0.1": {address: "10.0.0.1", zone: "za", region: "r", seed: true, inView: true},
 		"10.0.0.2": {address: "10.0.0.2", zone: "zb", region: "r", inView: true},
 		"10.0.0.9": {address: "10.0.0.9", zone: "zc", region: "r", seed: true, inView: true},
 	}
 	for address, k := range want {
-		if have := f.nodes.byAddress[address]; have == nil || *have != k {
+		if have := subscriber.nodes.byAddress[address]; have == nil || *have != k {
 			t.Errorf("%s: %+v, want %+v", address, have, k)
 		}
 	}
-	if len(f.nodes.byAddress) != len(want) {
-		t.Errorf("%d keepers are known, want %d", len(f.nodes.byAddress), len(want))
+	if len(subscriber.nodes.byAddress) != len(want) {
+		t.Errorf("%d keepers are known, want %d", len(subscriber.nodes.byAddress), len(want))
 	}
 }
--- a/internal/system/distribution/reply_budget_test.go
+++ b/internal/system/distribution/reply_budget_test.go
@@ -18,12 +18,12 @@
 // TestPendingRepliesAreBounded: callers that take nothing of a large answer hold so many of them in a keeper's memory as its
 // bound allows, and others are told to ask again instead; small answers go out all the same.
 func TestPendingRepliesAreBounded(t *testing.T) {
-	c := newChain()
-	h := NewServer(ServerOptions{Source: &fakeSource{fakeChain: c, addresses: []string{"k"}}, Self: "k", Log: quiet(), Limits: ServerLimits{MaxPendingReplyBytes: 1500 << 10}})
-	c.add(largeConfig(t, 1, 1<<20, rand.NewChaCha8([32]byte{5})))
+	chain := newChain()
+	server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: chain, addresses: []string{"k"}}, Self: "k", Log: quiet(), Limits: ServerLimits{MaxPendingReplyBytes: 1500 << 10}})
+	chain.add(largeConfig(t, 1, 1<<20, rand.NewChaCha8([32]byte{5})))
 	ask := func(node string, held uint64) (*distributionpb.FollowReply, func()) {
 		ctx, release := withReservation(t.Context())
-		reply, err := h.Follow(ctx, &distributionpb.FollowRequest{Member: softstate.Member{Node: node, Incarnation: 1}.ToProto(), Seq: held})
+		reply, err := server.Follow(ctx, &distributionpb.FollowRequest{Member: softstate.Member{Node: node, Incarnation: 1}.ToProto(), Seq: held})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -48,8 +48,8 @@
 	}
 	five()
 	two()
-	if h.replyBudget.reservedBytes != 0 {
-		t.Errorf("%d bytes are never given back", h.replyBudget.reservedBytes)
+	if server.replyBudget.reservedBytes != 0 {
+		t.Errorf("%d bytes are never given back", server.replyBudget.reservedBytes)
 	}
 }
 
@@ -57,11 +57,11 @@
 // it held of the keeper's memory is free again; other proxies are fed meanwhile.
 func TestCallerThatDoesNotReadBlocksNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newChain()
-		h := NewServer(ServerOptions{Source: &fakeSource{fakeChain: c, addresses: []string{"k"}}, Self: "k", Log: quiet()})
-		c.add(largeConfig(t, 1, 4<<20, rand.NewChaCha8([32]byte{6})))
+		chain := newChain()
+		server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: chain, addresses: []string{"k"}}, Self: "k", Log: quiet()})
+		chain.add(largeConfig(t, 1, 4<<20, rand.NewChaCha8([32]byte{6})))
 		ends := make(chan net.Conn)
-		srv := &http.Server{Handler: h.Handler()}
+		srv := &http.Server{Handler: server.Handler()}
 		go func() { _ = srv.Serve(pipes{ends}) }()
 		defer srv.Close()
 		call := func(node string) net.Conn {
@@ -77,9 +77,9 @@
 		deaf := call("deaf")
 		defer deaf.Close()
 		time.Sleep(time.Second)
-		h.replyBudget.mu.Lock()
-		held := h.replyBudget.reservedBytes
-		h.replyBudget.mu.Unlock()
+		server.replyBudget.mu.Lock()
+		held := server.replyBudget.reservedBytes
+		server.replyBudget.mu.Unlock()
 		if held < 2<<20 {
 			t.Errorf("the run brought nothing about: %d bytes are held", held)
 		}
@@ -91,10 +91,10 @@
 		}
 		_ = other.Close()
 		time.Sleep(rpc.ReplyWriteTimeout)
-		h.replyBudget.mu.Lock()
-		defer h.replyBudget.mu.Unlock()
-		if h.replyBudget.reservedBytes != 0 {
-			t.Errorf("%d bytes are held after %v", h.replyBudget.reservedBytes, rpc.ReplyWriteTimeout)
+		server.replyBudget.mu.Lock()
+		defer server.replyBudget.mu.Unlock()
+		if server.replyBudget.reservedBytes != 0 {
+			t.Errorf("%d bytes are held after %v", server.replyBudget.reservedBytes, rpc.ReplyWriteTimeout)
 		}
 	})
 }
--- a/internal/system/distribution/server_list_fence_test.go
+++ b/internal/system/distribution/server_list_fence_test.go
@@ -13,24 +13,24 @@
 // last one under the former. Keepers take it in; then the second reading under the new fence says the same. Danger: a proxy skips
 // the first, moves its cursor past it, and never hears of what it said.
 func TestHigherFenceWithAnOlderReading(t *testing.T) {
-	h := newIdleServer()
-	h.markComplete()
-	f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+	server := newIdleServer()
+	server.markComplete()
+	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
 	poll := func() {
-		req := f.buildRequest(nil, false)
-		items, full := h.table.ChangesSince(func() uint64 {
-			if req.GetSoft().GetBoot() == h.bootID {
+		req := subscriber.buildRequest(nil, false)
+		items, full := server.table.ChangesSince(func() uint64 {
+			if req.GetSoft().GetBoot() == server.bootID {
 				return req.GetSoft().GetNumber()
 			}
 			return 0
 		}())
 		now := time.Now()
-		f.handleReply(now, now, req, &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: softstate.EncodeEntries(now, items),
-			Soft: &distributionpb.Cursor{Boot: h.bootID, Number: h.table.LastNumber}})
+		subscriber.handleReply(now, now, req, &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: softstate.EncodeEntries(now, items),
+			Soft: &distributionpb.Cursor{Boot: server.bootID, Number: server.table.LastNumber}})
 	}
 	put := func(fence, version uint64, draining bool, ago time.Duration) {
 		t.Helper()
-		if err := h.PutList(fence, version, []pick.Server{{ID: "a", Service: "x", Draining: draining}}, madeAgo(exactAge(ago))); err != nil {
+		if err := server.PutList(fence, version, []pick.Server{{ID: "a", Service: "x", Draining: draining}}, madeAgo(exactAge(ago))); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -42,8 +42,8 @@
 		put(2, v, true, 0)
 		poll()
 	}
-	held, _, _ := h.List()
-	if got := f.Current().Servers; len(got) != 1 || got[0].Draining != held[0].Draining {
+	held, _, _ := server.List()
+	if got := subscriber.Current().Servers; len(got) != 1 || got[0].Draining != held[0].Draining {
 		t.Errorf("the proxy holds %+v, the keeper %+v", got, held)
 	}
 }
--- a/internal/system/distribution/server_new_fence_test.go
+++ b/internal/system/distribution/server_new_fence_test.go
@@ -17,9 +17,9 @@
 	reader, other := newIdleServer(), NewServer(ServerOptions{Source: &fakeSource{fakeChain: newChain(), addresses: []string{"a", "c"}}, Self: "c", Log: quiet()})
 	reader.markComplete()
 	other.markComplete()
-	put := func(h *Server, fence, version uint64, servers ...pick.Server) {
+	put := func(server *Server, fence, version uint64, servers ...pick.Server) {
 		t.Helper()
-		if err := h.PutList(fence, version, servers, madeAgo(softstate.Age{Max: 20 * time.Millisecond})); err != nil {
+		if err := server.PutList(fence, version, servers, madeAgo(softstate.Age{Max: 20 * time.Millisecond})); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/system/distribution/server_rejoin_test.go
+++ b/internal/system/distribution/server_rejoin_test.go
@@ -14,23 +14,23 @@
 		cut, hook, want bool
 	}{{"cut off", true, false, false}, {"a repair of the chain", false, false, true}, {"control", true, true, true}} {
 		synctest.Test(t, func(t *testing.T) {
-			fl := newFleetWithKnobs(TestingKnobs{SkipRejoinDelay: c.hook}, "k1:1", "k2:1", "k3:1")
-			defer fl.stop()
+			fleet := newFleetWithKnobs(TestingKnobs{SkipRejoinDelay: c.hook}, "k1:1", "k2:1", "k3:1")
+			defer fleet.stop()
 			time.Sleep(4 * time.Second)
-			k := fl.servers["k1:1"]
+			k := fleet.servers["k1:1"]
 			if !k.isCurrent() {
 				t.Errorf("%s: waits at its start", c.name)
 			}
 			for _, other := range []string{"k2:1", "k3:1"} {
-				fl.mesh.setPartitioned("k1:1", other, c.cut)
-				fl.mesh.setPartitioned(other, "k1:1", c.cut)
+				fleet.mesh.setPartitioned("k1:1", other, c.cut)
+				fleet.mesh.setPartitioned(other, "k1:1", c.cut)
 			}
-			fl.sources["k1:1"].setStale(true)
+			fleet.sources["k1:1"].setStale(true)
 			time.Sleep(20 * time.Second)
-			fl.mesh.mu.Lock()
-			clear(fl.mesh.partitioned)
-			fl.mesh.mu.Unlock()
-			fl.sources["k1:1"].setStale(false)
+			fleet.mesh.mu.Lock()
+			clear(fleet.mesh.partitioned)
+			fleet.mesh.mu.Unlock()
+			fleet.sources["k1:1"].setStale(false)
 			if got := k.isCurrent(); got != c.want {
 				t.Errorf("%s: at once: %v", c.name, got)
 			}
--- a/internal/system/distribution/server_sync_test.go
+++ b/internal/system/distribution/server_sync_test.go
@@ -41,8 +41,8 @@
 	return reply
 }
 
-func listAge(h *Server) time.Duration {
-	_, _, age := h.ListVersion()
+func listAge(server *Server) time.Duration {
+	_, _, age := server.ListVersion()
 	return age.Round(100 * time.Millisecond)
 }
 
@@ -50,33 +50,33 @@
 // was held up for long, or whose sending cannot be placed, is sent anew.
 func TestTimeInBuffersCountsAsAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &manualSync{from: newNamedServer("a"), to: newNamedServer("b")}
-		if err := s.from.PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(exactAge(time.Second))); err != nil {
+		manual := &manualSync{from: newNamedServer("a"), to: newNamedServer("b")}
+		if err := manual.from.PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(exactAge(time.Second))); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second) // the list is 2 s old
-		if !s.send(t, 0).GetLate() || listAge(s.to) < time.Hour {
+		if !manual.send(t, 0).GetLate() || listAge(manual.to) < time.Hour {
 			t.Error("taken though nothing tells when it was sent")
 		}
-		if s.send(t, 0).GetLate() || listAge(s.to) != 2*time.Second {
-			t.Errorf("at once: the list is %v old", listAge(s.to))
+		if manual.send(t, 0).GetLate() || listAge(manual.to) != 2*time.Second {
+			t.Errorf("at once: the list is %v old", listAge(manual.to))
 		}
-		if err := s.from.PutList(1, 2, []pick.Server{{ID: "s"}, {ID: "r"}}, madeAgo(softstate.Age{})); err != nil {
+		if err := manual.from.PutList(1, 2, []pick.Server{{ID: "s"}, {ID: "r"}}, madeAgo(softstate.Age{})); err != nil {
 			t.Fatal(err)
 		}
-		if s.send(t, time.Second).GetLate() || listAge(s.to) != time.Second {
-			t.Errorf("after a second under way: the list is %v old", listAge(s.to))
+		if manual.send(t, time.Second).GetLate() || listAge(manual.to) != time.Second {
+			t.Errorf("after a second under way: the list is %v old", listAge(manual.to))
 		}
-		if err := s.from.PutList(1, 3, nil, madeAgo(softstate.Age{})); err != nil {
+		if err := manual.from.PutList(1, 3, nil, madeAgo(softstate.Age{})); err != nil {
 			t.Fatal(err)
 		}
-		if !s.send(t, 20*time.Second).GetLate() || listAge(s.to) != 21*time.Second {
-			t.Errorf("after 20 s under way: the list is %v old", listAge(s.to))
+		if !manual.send(t, 20*time.Second).GetLate() || listAge(manual.to) != 21*time.Second {
+			t.Errorf("after 20 s under way: the list is %v old", listAge(manual.to))
 		}
-		if s.send(t, 0).GetLate() || listAge(s.to) != 20*time.Second {
-			t.Errorf("sent anew: the list is %v old", listAge(s.to))
+		if manual.send(t, 0).GetLate() || listAge(manual.to) != 20*time.Second {
+			t.Errorf("sent anew: the list is %v old", listAge(manual.to))
 		}
-		if servers, _, _ := s.to.List(); len(servers) != 0 {
+		if servers, _, _ := manual.to.List(); len(servers) != 0 {
 			t.Errorf("holds %d servers", len(servers))
 		}
 	})
@@ -85,13 +85,13 @@
 // TestTimeInBuffersControl: judged by its arrival, a share that lay in a buffer for 20 s makes an old list a new one.
 func TestTimeInBuffersControl(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &manualSync{from: newNamedServer("a"), to: newNamedServer("b")}
-		s.to.options.Knobs.DateByArrival = true
-		if err := s.from.PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(softstate.Age{})); err != nil {
+		manual := &manualSync{from: newNamedServer("a"), to: newNamedServer("b")}
+		manual.to.options.Knobs.DateByArrival = true
+		if err := manual.from.PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(softstate.Age{})); err != nil {
 			t.Fatal(err)
 		}
-		if s.send(t, 20*time.Second); listAge(s.to) != 0 {
-			t.Errorf("control: the list is known to be %v old", listAge(s.to))
+		if manual.send(t, 20*time.Second); listAge(manual.to) != 0 {
+			t.Errorf("control: the list is known to be %v old", listAge(manual.to))
 		}
 	})
 }
@@ -99,15 +99,15 @@
 // TestShareToAnotherIncarnation: a keeper that was started anew does not take what was dated by its former life's clock.
 func TestShareToAnotherIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &manualSync{from: newNamedServer("a"), to: newNamedServer("b")}
+		manual := &manualSync{from: newNamedServer("a"), to: newNamedServer("b")}
 		time.Sleep(time.Minute)
-		s.send(t, 0)
-		s.send(t, 0)
-		s.to = newNamedServer("b")
-		if !s.send(t, 0).GetLate() {
+		manual.send(t, 0)
+		manual.send(t, 0)
+		manual.to = newNamedServer("b")
+		if !manual.send(t, 0).GetLate() {
 			t.Error("taken though its time is of a former life")
 		}
-		if s.send(t, 0).GetLate() {
+		if manual.send(t, 0).GetLate() {
 			t.Error("not taken though its time is of this life")
 		}
 	})
@@ -127,11 +127,11 @@
 				t.Fatal(err)
 			}
 		}
-		for _, s := range []*manualSync{{from: cutOff, to: next}, {from: next, to: cutOff}} {
-			s.send(t, 0)
-			s.send(t, 0)
-			if got, _, _ := s.to.List(); len(got) != 2 || !got[1].Draining {
-				t.Errorf("%s holds %+v", s.to.options.Self, got)
+		for _, manual := range []*manualSync{{from: cutOff, to: next}, {from: next, to: cutOff}} {
+			manual.send(t, 0)
+			manual.send(t, 0)
+			if got, _, _ := manual.to.List(); len(got) != 2 || !got[1].Draining {
+				t.Errorf("%s holds %+v", manual.to.options.Self, got)
 			}
 		}
 		if cutOff.PutList(3, 2000, nil, madeAgo(softstate.Age{})) == nil {
--- a/internal/system/distribution/server_test.go
+++ b/internal/system/distribution/server_test.go
@@ -16,16 +16,16 @@
 }
 
 func TestListWritesOnlyWhatDiffers(t *testing.T) {
-	h := newIdleServer()
+	server := newIdleServer()
 	list := []pick.Server{{ID: "a", Service: "x", WarmUpMax: 3 * time.Second}, {ID: "b", Service: "x"}}
 	put := func(fence, version uint64, age time.Duration, want uint64) {
 		t.Helper()
-		before := h.table.LastUrgent
-		if err := h.PutList(fence, version, list, madeAgo(exactAge(age))); err != nil {
+		before := server.table.LastUrgent
+		if err := server.PutList(fence, version, list, madeAgo(exactAge(age))); err != nil {
 			t.Fatal(err)
 		}
-		if h.table.LastUrgent-before > 0 != (want > 0) {
-			t.Errorf("%d urgent changes", h.table.LastUrgent-before)
+		if server.table.LastUrgent-before > 0 != (want > 0) {
+			t.Errorf("%d urgent changes", server.table.LastUrgent-before)
 		}
 	}
 	put(1, 1, 0, 1)
@@ -40,10 +40,10 @@
 	put(2, 2, 0, 0)
 	list = list[1:]
 	put(2, 3, 0, 1)
-	if err := h.PutList(1, 99, nil, madeAgo(softstate.Age{})); !errors.Is(err, ErrStale) {
+	if err := server.PutList(1, 99, nil, madeAgo(softstate.Age{})); !errors.Is(err, ErrStale) {
 		t.Errorf("a poller that lost its duty: %v", err)
 	}
-	got, age, ok := h.List()
+	got, age, ok := server.List()
 	if !ok || age > time.Minute || len(got) != 1 || !got[0].Draining {
 		t.Errorf("holds %+v, %v, %v", got, age, ok)
 	}
@@ -51,64 +51,64 @@
 	put(2, 0, 0, 1) // it started anew
 	list = []pick.Server{{ID: "a"}}
 	put(2, 1, 0, 1) // the same server is back
-	if got, _, _ := h.List(); len(got) != 1 {
+	if got, _, _ := server.List(); len(got) != 1 {
 		t.Errorf("holds %+v", got)
 	}
 }
 
 func TestPutRejectsStaleEntry(t *testing.T) {
-	h := newIdleServer()
-	if err := h.Put("hint/x", 2, 1, []byte("1")); err != nil {
+	server := newIdleServer()
+	if err := server.Put("hint/x", 2, 1, []byte("1")); err != nil {
 		t.Fatal(err)
 	}
 	for _, e := range [][2]uint64{{1, 9}, {2, 0}, {2, 1}} {
-		if err := h.Put("hint/x", e[0], e[1], []byte("1")); !errors.Is(err, ErrStale) {
+		if err := server.Put("hint/x", e[0], e[1], []byte("1")); !errors.Is(err, ErrStale) {
 			t.Errorf("%v: %v", e, err)
 		}
 	}
-	if err := h.Remove("hint/x", 2, 2); err != nil || len(h.Table()) != 0 {
-		t.Errorf("%v, %v", err, h.Table())
+	if err := server.Remove("hint/x", 2, 2); err != nil || len(server.Table()) != 0 {
+		t.Errorf("%v, %v", err, server.Table())
 	}
 }
 
 // A keeper that stood still must not take the silence of all for theirs.
 func TestPausedNodeMarksNobodyDown(t *testing.T) {
-	h := newIdleServer()
+	server := newIdleServer()
 	now := time.Now()
-	m := softstate.Member{Node: "p", Incarnation: 5}
-	h.endCall(h.beginCall(m, &distributionpb.FollowRequest{Member: m.ToProto()}))
-	down := func() bool { return h.Members()[0].Down }
-	h.tick(now.Add(100 * time.Millisecond))
-	h.tick(now.Add(20 * time.Second))
+	member := softstate.Member{Node: "p", Incarnation: 5}
+	server.endCall(server.beginCall(member, &distributionpb.FollowRequest{Member: member.ToProto()}))
+	down := func() bool { return server.Members()[0].Down }
+	server.tick(now.Add(100 * time.Millisecond))
+	server.tick(now.Add(20 * time.Second))
 	if down() {
 		t.Error("down after a freeze")
 	}
 	for i := range 30 {
-		h.tick(now.Add(20*time.Second + time.Duration(i)*100*time.Millisecond))
+		server.tick(now.Add(20*time.Second + time.Duration(i)*100*time.Millisecond))
 	}
 	if !down() {
 		t.Error("not down though silent")
 	}
-	h.endCall(h.beginCall(m, &distributionpb.FollowRequest{Member: m.ToProto()}))
+	server.endCall(server.beginCall(member, &distributionpb.FollowRequest{Member: member.ToProto()}))
 	if down() {
 		t.Error("its call does not refute")
 	}
 }
 
 func TestVerdictsOfOthers(t *testing.T) {
-	h := newIdleServer()
+	server := newIdleServer()
 	now := time.Now()
-	m := softstate.Member{Node: "p", Incarnation: 5}
-	h.endCall(h.beginCall(m, &distributionpb.FollowRequest{Member: m.ToProto()}))
+	member := softstate.Member{Node: "p", Incarnation: 5}
+	server.endCall(server.beginCall(member, &distributionpb.FollowRequest{Member: member.ToProto()}))
 	other := softstate.Member{Node: "q", Incarnation: 6}
 	say := func(incarnation uint64) bool {
-		h.endCall(h.beginCall(other, &distributionpb.FollowRequest{Member: other.ToProto(), Down: []*distributionpb.Verdict{{Node: "p", Incarnation: incarnation}}}))
-		return h.Members()[0].Down
+		server.endCall(server.beginCall(other, &distributionpb.FollowRequest{Member: other.ToProto(), Down: []*distributionpb.Verdict{{Node: "p", Incarnation: incarnation}}}))
+		return server.Members()[0].Down
 	}
 	if say(5) {
 		t.Error("a proxy that just called is down")
 	}
-	h.sessions.byNode["p"].lastCall = now.Add(-time.Second)
+	server.sessions.byNode["p"].lastCall = now.Add(-time.Second)
 	if say(4) {
 		t.Error("a verdict on another life counts")
 	}
@@ -120,34 +120,34 @@
 // TestEndedConnectionMarksDown: a process that ends takes its held call with it, and is down soon; one that calls again, as
 // after a reset, stays. Danger: clients are sent to proxies that are gone for as long as silence takes to tell.
 func TestEndedConnectionMarksDown(t *testing.T) {
-	h := newIdleServer()
+	server := newIdleServer()
 	now := time.Now()
-	h.lastTick = now
+	server.lastTick = now
 	down := func(node string) bool {
 		t.Helper()
-		for _, m := range h.Members() {
-			if m.Node == node {
-				return m.Down
+		for _, member := range server.Members() {
+			if member.Node == node {
+				return member.Down
 			}
 		}
 		t.Fatalf("%s is no member", node)
 		return false
 	}
 	for _, node := range []string{"ended", "reset", "held"} {
-		f := h.beginCall(softstate.Member{Node: node, Incarnation: 7, Revision: 1}, &distributionpb.FollowRequest{})
+		caller := server.beginCall(softstate.Member{Node: node, Incarnation: 7, Revision: 1}, &distributionpb.FollowRequest{})
 		if node != "held" {
-			h.recordLostConnection(f)
-			h.endCall(f)
+			server.recordLostConnection(caller)
+			server.endCall(caller)
 		}
 	}
-	h.endCall(h.beginCall(softstate.Member{Node: "reset", Incarnation: 7, Revision: 1}, &distributionpb.FollowRequest{}))
+	server.endCall(server.beginCall(softstate.Member{Node: "reset", Incarnation: 7, Revision: 1}, &distributionpb.FollowRequest{}))
 	for i := range 6 {
-		h.tick(now.Add(time.Duration(i+1) * 100 * time.Millisecond))
+		server.tick(now.Add(time.Duration(i+1) * 100 * time.Millisecond))
 	}
 	if !down("ended") || down("reset") || down("held") {
 		t.Errorf("after 600 ms: ended %v, reset %v, held %v", down("ended"), down("reset"), down("held"))
 	}
-	h.endCall(h.beginCall(softstate.Member{Node: "ended", Incarnation: 8, Revision: 1}, &distributionpb.FollowRequest{}))
+	server.endCall(server.beginCall(softstate.Member{Node: "ended", Incarnation: 8, Revision: 1}, &distributionpb.FollowRequest{}))
 	if down("ended") {
 		t.Error("its next life is still down")
 	}
--- a/internal/system/distribution/slow_link_test.go
+++ b/internal/system/distribution/slow_link_test.go
@@ -67,12 +67,12 @@
 func TestLargeStateOverANarrowLink(t *testing.T) {
 	for _, c := range []struct{ size, rate int }{{2 << 20, 64 << 10}, {15 << 20, 400 << 10}} {
 		synctest.Test(t, func(t *testing.T) {
-			fl := newFleet("k1:1")
-			defer fl.stop()
-			fl.chain.add(largeConfig(t, 1, c.size, rand.NewChaCha8([32]byte{1})))
+			fleet := newFleet("k1:1")
+			defer fleet.stop()
+			fleet.chain.add(largeConfig(t, 1, c.size, rand.NewChaCha8([32]byte{1})))
 			start := time.Now()
-			p := fl.startProxy("p", func(o *SubscriberOptions) { o.Transport = slowTransport{o.Transport, c.rate} })
-			within(t, 10*time.Second, fmt.Sprint(c.size, " bytes arrive"), func() bool { return p.update().State != nil && p.update().State.Seq == 1 })
+			proxy := fleet.startProxy("p", func(options *SubscriberOptions) { options.Transport = slowTransport{options.Transport, c.rate} })
+			within(t, 10*time.Second, fmt.Sprint(c.size, " bytes arrive"), func() bool { return proxy.update().State != nil && proxy.update().State.Seq == 1 })
 			t.Logf("%d bytes after %v", c.size, time.Since(start))
 		})
 	}
@@ -81,14 +81,14 @@
 // TestNodeThatStallsMidReplyIsLeft: an answer whose bytes stop is given up as soon as one that does not begin.
 func TestNodeThatStallsMidReplyIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fl := newFleet("k1:1", "k2:1")
-		defer fl.stop()
-		p := fl.startProxy("p", func(o *SubscriberOptions) {
-			o.Self.Zone, o.Transport = "zone-k1:1", stallingTransport{o.Transport, "k1:1"}
+		fleet := newFleet("k1:1", "k2:1")
+		defer fleet.stop()
+		proxy := fleet.startProxy("p", func(options *SubscriberOptions) {
+			options.Self.Zone, options.Transport = "zone-k1:1", stallingTransport{options.Transport, "k1:1"}
 		})
 		time.Sleep(3 * time.Second)
-		seq := fl.chain.add(largeConfig(t, 1, 256<<10, rand.NewChaCha8([32]byte{2})))
-		within(t, 2*time.Second, "the change arrives", func() bool { return p.update().State.Seq == seq })
+		seq := fleet.chain.add(largeConfig(t, 1, 256<<10, rand.NewChaCha8([32]byte{2})))
+		within(t, 2*time.Second, "the change arrives", func() bool { return proxy.update().State.Seq == seq })
 	})
 }
 
@@ -125,19 +125,19 @@
 // TestOneNodeAloneSendsItsState: a proxy that starts looks at several keepers, and takes the state from one.
 func TestOneNodeAloneSendsItsState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fl := newFleet("k1:1", "k2:1", "k3:1")
-		defer fl.stop()
-		fl.chain.add(largeConfig(t, 1, 600<<10, rand.NewChaCha8([32]byte{3})))
+		fleet := newFleet("k1:1", "k2:1", "k3:1")
+		defer fleet.stop()
+		fleet.chain.add(largeConfig(t, 1, 600<<10, rand.NewChaCha8([32]byte{3})))
 		time.Sleep(5 * time.Second)
-		fl.mesh.mu.Lock()
-		before := fl.mesh.bytes
-		fl.mesh.mu.Unlock()
-		p := fl.startProxy("p", nil)
-		within(t, 400*time.Millisecond, "it starts", func() bool { return p.update().State != nil && p.update().State.Seq == 1 })
+		fleet.mesh.mu.Lock()
+		before := fleet.mesh.bytes
+		fleet.mesh.mu.Unlock()
+		proxy := fleet.startProxy("p", nil)
+		within(t, 400*time.Millisecond, "it starts", func() bool { return proxy.update().State != nil && proxy.update().State.Seq == 1 })
 		time.Sleep(time.Second)
-		fl.mesh.mu.Lock()
-		defer fl.mesh.mu.Unlock()
-		if got := fl.mesh.bytes - before; got > 700<<10 {
+		fleet.mesh.mu.Lock()
+		defer fleet.mesh.mu.Unlock()
+		if got := fleet.mesh.bytes - before; got > 700<<10 {
 			t.Errorf("%d bytes on the wires", got)
 		}
 	})
@@ -147,15 +147,15 @@
 // in peace between the tries.
 func TestNodeThatFailsPollsIsRetriedWithBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fl := newFleet("k1:1")
-		defer fl.stop()
-		fl.chain.add(largeConfig(t, 1, 600<<10, rand.NewChaCha8([32]byte{4})))
-		fl.startProxy("p", func(o *SubscriberOptions) { o.Transport = refusingTransport{o.Transport} })
+		fleet := newFleet("k1:1")
+		defer fleet.stop()
+		fleet.chain.add(largeConfig(t, 1, 600<<10, rand.NewChaCha8([32]byte{4})))
+		fleet.startProxy("p", func(options *SubscriberOptions) { options.Transport = refusingTransport{options.Transport} })
 		time.Sleep(10 * time.Second)
-		fl.mesh.mu.Lock()
-		defer fl.mesh.mu.Unlock()
-		if fl.mesh.calls > 300 {
-			t.Errorf("%d messages in 10 s", fl.mesh.calls)
+		fleet.mesh.mu.Lock()
+		defer fleet.mesh.mu.Unlock()
+		if fleet.mesh.calls > 300 {
+			t.Errorf("%d messages in 10 s", fleet.mesh.calls)
 		}
 	})
 }
--- a/internal/system/distribution/subscriber_delta_test.go
+++ b/internal/system/distribution/subscriber_delta_test.go
@@ -16,30 +16,30 @@
 	first, second := newIdleServer(), newIdleServer()
 	first.markComplete()
 	second.markComplete()
-	put := func(h *Server, version uint64, age softstate.Age, cold time.Duration) {
+	put := func(server *Server, version uint64, age softstate.Age, cold time.Duration) {
 		t.Helper()
-		if err := h.PutList(1, version, []pick.Server{{ID: "s", WarmUpMax: cold}}, madeAgo(age)); err != nil {
+		if err := server.PutList(1, version, []pick.Server{{ID: "s", WarmUpMax: cold}}, madeAgo(age)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
 	put(first, 5, exactAge(300*time.Millisecond), 3*time.Second)
-	pollByHand(f, first)
+	pollByHand(subscriber, first)
 	asked := time.Now()
-	req := f.buildRequest(nil, false)
+	req := subscriber.buildRequest(nil, false)
 	put(second, 4, softstate.Age{Max: time.Second}, 0) // it can't be told which of both readings is the later one
-	pollByHand(f, second)
+	pollByHand(subscriber, second)
 	put(first, 6, exactAge(0), 2700*time.Millisecond)
 	first.mu.Lock()
 	items, _ := first.table.ChangesSince(req.GetSoft().GetNumber())
 	late := &distributionpb.FollowReply{Current: true, Entries: softstate.EncodeEntries(time.Now(), items), Soft: &distributionpb.Cursor{Boot: first.bootID, Number: first.table.LastNumber}}
 	first.mu.Unlock()
-	f.handleReply(asked, time.Now(), req, late)
-	u := f.Current()
-	if len(u.Servers) != 1 {
-		t.Fatalf("holds %+v", u.Servers)
+	subscriber.handleReply(asked, time.Now(), req, late)
+	update := subscriber.Current()
+	if len(update.Servers) != 1 {
+		t.Fatalf("holds %+v", update.Servers)
 	}
-	if warm := u.Servers[0].WarmUpMax == 0; warm && u.ListAge < 500*time.Millisecond {
-		t.Errorf("the server is warm by a list that is %v old", u.ListAge)
+	if warm := update.Servers[0].WarmUpMax == 0; warm && update.ListAge < 500*time.Millisecond {
+		t.Errorf("the server is warm by a list that is %v old", update.ListAge)
 	}
 }
--- a/internal/system/distribution/subscriber_history_test.go
+++ b/internal/system/distribution/subscriber_history_test.go
@@ -12,27 +12,27 @@
 // Keepers remember thousands of changes to know them again. Proxies judge no changes: neither the snapshots that they are
 // sent nor what they make of records grows with the number of changes.
 func TestSubscribersKeepNoHistory(t *testing.T) {
-	c := newChain()
-	h := NewServer(ServerOptions{Source: &fakeSource{fakeChain: c, addresses: []string{"k"}}, Self: "k", Log: quiet()})
-	f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+	chain := newChain()
+	server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: chain, addresses: []string{"k"}}, Self: "k", Log: quiet()})
+	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
 	for i := range int64(200) {
 		body := fmt.Appendf(nil, `{"revision":%d,"routes":[],"services":[]}`, i+1)
-		seq := c.add(controlstate.Record{Op: controlstate.OpReplace, Base: i, Body: body})
-		next, err := applyRecord(f.control.state, &distributionpb.Record{Seq: seq, Op: uint32(controlstate.OpReplace), Base: i, Body: body})
+		seq := chain.add(controlstate.Record{Op: controlstate.OpReplace, Base: i, Body: body})
+		next, err := applyRecord(subscriber.control.state, &distributionpb.Record{Seq: seq, Op: uint32(controlstate.OpReplace), Base: i, Body: body})
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.control.state = next
+		subscriber.control.state = next
 	}
-	state, _ := h.options.Source.Committed()
+	state, _ := server.options.Source.Committed()
 	reply := &distributionpb.FollowReply{}
-	h.addSnapshot(reply, 0, state)
+	server.addSnapshot(reply, 0, state)
 	snapshot, err := decodeSnapshot(reply.GetSnapshot(), reply.GetSnapshotDeflated())
 	if err != nil {
 		t.Fatal(err)
 	}
 	const most = 128 // bytes
-	for what, s := range map[string]*controlstate.State{"a snapshot": snapshot, "records": f.control.state} {
+	for what, s := range map[string]*controlstate.State{"a snapshot": snapshot, "records": subscriber.control.state} {
 		if s.Seq != 200 || s.Revision() != 200 || len(s.Encode()) > most {
 			t.Errorf("from %s: record %d, version %d, %d bytes", what, s.Seq, s.Revision(), len(s.Encode()))
 		}
--- a/internal/system/distribution/subscriber_list_updates_test.go
+++ b/internal/system/distribution/subscriber_list_updates_test.go
@@ -10,18 +10,18 @@
 
 // TestListUpdateNotifiesOwner: a reading of the list that changes nothing is told at once where it is awaited, and only there.
 func TestListUpdateNotifiesOwner(t *testing.T) {
-	f := NewSubscriber(SubscriberOptions{Log: quiet()})
+	subscriber := NewSubscriber(SubscriberOptions{Log: quiet()})
 	read := func(version uint64) bool {
-		return f.soft.applyEntries(time.Now(), softstate.Age{}, &distributionpb.FollowReply{Entries: []*distributionpb.Entry{{Key: softstate.ListKey, Fence: 1, Version: version}}})
+		return subscriber.soft.applyEntries(time.Now(), softstate.Age{}, &distributionpb.FollowReply{Entries: []*distributionpb.Entry{{Key: softstate.ListKey, Fence: 1, Version: version}}})
 	}
 	if read(1) {
 		t.Error("told though nothing changed")
 	}
-	f.NotifyListUpdates(true)
+	subscriber.NotifyListUpdates(true)
 	if !read(2) {
 		t.Error("not told though it is awaited")
 	}
-	f.NotifyListUpdates(false)
+	subscriber.NotifyListUpdates(false)
 	if read(3) {
 		t.Error("told though it is awaited no more")
 	}
--- a/internal/system/distribution/subscriber_stale_test.go
+++ b/internal/system/distribution/subscriber_stale_test.go
@@ -11,12 +11,12 @@
 // TestBehindIsNotStale: a proxy that hears from a current keeper, but does not yet hold all of the control state (a large configuration on
 // a thin link), has not been given up by anybody.
 func TestBehindIsNotStale(t *testing.T) {
-	f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
 	now := time.Now()
 	reply := completeTable(t, 0, 1, pick.Server{ID: "a"})
 	reply.Newest = 5
-	f.handleReply(now, now, f.buildRequest(nil, false), reply)
-	if u := f.Current(); u.Stale {
-		t.Errorf("stale, though a current keeper has just been heard: %+v", u)
+	subscriber.handleReply(now, now, subscriber.buildRequest(nil, false), reply)
+	if update := subscriber.Current(); update.Stale {
+		t.Errorf("stale, though a current keeper has just been heard: %+v", update)
 	}
 }
--- a/internal/system/distribution/subscriber_start_test.go
+++ b/internal/system/distribution/subscriber_start_test.go
@@ -17,11 +17,11 @@
 	at  time.Time
 }
 
-func (f *firstState) observe(u Update) {
+func (f *firstState) observe(update Update) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.seq == 0 && u.State.Seq > 0 {
-		f.seq, f.at = u.State.Seq, time.Now()
+	if f.seq == 0 && update.State.Seq > 0 {
+		f.seq, f.at = update.State.Seq, time.Now()
 	}
 }
 
@@ -33,28 +33,30 @@
 
 // newOldNeighbour makes a fleet of one keeper, and a proxy that holds change 1 and is cut off before change 2 is acknowledged.
 func newOldNeighbour() *testFleet {
-	fl := newFleet("k1:1")
-	fl.startProxy("old", nil)
-	fl.chain.add(controlstate.Record{Op: controlstate.OpEvacuate, Zone: "z"})
+	fleet := newFleet("k1:1")
+	fleet.startProxy("old", nil)
+	fleet.chain.add(controlstate.Record{Op: controlstate.OpEvacuate, Zone: "z"})
 	time.Sleep(5 * time.Second)
-	fl.isolate("old", true)
-	fl.chain.add(controlstate.Record{Op: controlstate.OpReadmit, Zone: "z"})
-	return fl
+	fleet.isolate("old", true)
+	fleet.chain.add(controlstate.Record{Op: controlstate.OpReadmit, Zone: "z"})
+	return fleet
 }
 
 // startBesideNeighbour starts a proxy with some seeds beside the old neighbour, and gives the first state that it serves.
 func startBesideNeighbour(t *testing.T, node string, knobs TestingKnobs, seeds ...string) (seq uint64, took time.Duration) {
 	t.Helper()
-	fl := newOldNeighbour()
-	defer fl.stop()
+	fleet := newOldNeighbour()
+	defer fleet.stop()
 	for _, s := range seeds {
 		if s != "k1:1" && s != "old:2" {
-			fl.mesh.setPartitioned(node, s, true) // silent, as a machine that is cut off
+			fleet.mesh.setPartitioned(node, s, true) // silent, as a machine that is cut off
 		}
 	}
 	var first firstState
 	start := time.Now()
-	fl.startProxy(node, func(o *SubscriberOptions) { o.Seeds, o.OnUpdate, o.Knobs = seeds, first.observe, knobs })
+	fleet.startProxy(node, func(options *SubscriberOptions) {
+		options.Seeds, options.OnUpdate, options.Knobs = seeds, first.observe, knobs
+	})
 	time.Sleep(10 * time.Second)
 	seq, at := first.get()
 	return seq, at.Sub(start)
@@ -94,12 +96,14 @@
 // TestStartWithoutNodeServesNeighboursState: where no keeper can be reached at all, an old state is better than none.
 func TestStartWithoutNodeServesNeighboursState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fl := newOldNeighbour()
-		defer fl.stop()
-		fl.mesh.setPartitioned("p", "k1:1", true)
+		fleet := newOldNeighbour()
+		defer fleet.stop()
+		fleet.mesh.setPartitioned("p", "k1:1", true)
 		var first firstState
 		start := time.Now()
-		fl.startProxy("p", func(o *SubscriberOptions) { o.Seeds, o.OnUpdate = []string{"old:2", "dead:1"}, first.observe })
+		fleet.startProxy("p", func(options *SubscriberOptions) {
+			options.Seeds, options.OnUpdate = []string{"old:2", "dead:1"}, first.observe
+		})
 		time.Sleep(10 * time.Second)
 		if seq, at := first.get(); seq != 1 || at.Sub(start) > 6*time.Second {
 			t.Errorf("serves change %d after %v", seq, at.Sub(start))
--- a/internal/system/distribution/testfleet_test.go
+++ b/internal/system/distribution/testfleet_test.go
@@ -257,18 +257,18 @@
 
 // newFleetWithKnobs is a fleet whose hubs lack a protection.
 func newFleetWithKnobs(knobs TestingKnobs, keepers ...string) *testFleet {
-	fl := &testFleet{knobs: knobs, mesh: newMesh(), chain: newChain(), names: keepers, sources: map[string]*fakeSource{}, servers: map[string]*Server{},
+	fleet := &testFleet{knobs: knobs, mesh: newMesh(), chain: newChain(), names: keepers, sources: map[string]*fakeSource{}, servers: map[string]*Server{},
 		stopServer: map[string]context.CancelFunc{}, proxies: map[string]*testProxy{}}
 	for _, k := range keepers {
-		fl.sources[k] = &fakeSource{fakeChain: fl.chain, addresses: keepers}
-		fl.startServer(k)
+		fleet.sources[k] = &fakeSource{fakeChain: fleet.chain, addresses: keepers}
+		fleet.startServer(k)
 	}
-	return fl
+	return fleet
 }
 
 func (fl *testFleet) startServer(name string) {
 	ctx, cancel := context.WithCancel(context.Background())
-	h := NewServer(ServerOptions{Source: fl.sources[name], Self: name, Zone: "zone-" + name, Region: "r", ListLag: warmUpListLag, Log: quiet(),
+	server := NewServer(ServerOptions{Source: fl.sources[name], Self: name, Zone: "zone-" + name, Region: "r", ListLag: warmUpListLag, Log: quiet(),
 		Knobs: fl.knobs, Transport: meshTransport{fl.mesh, name}, Peers: func() []string {
 			var out []string
 			for _, k := range fl.names {
@@ -278,9 +278,9 @@
 			}
 			return out
 		}})
-	fl.servers[name], fl.stopServer[name] = h, cancel
-	fl.mesh.host(name, h.Handler())
-	fl.wg.Go(func() { h.Run(ctx) })
+	fl.servers[name], fl.stopServer[name] = server, cancel
+	fl.mesh.host(name, server.Handler())
+	fl.wg.Go(func() { server.Run(ctx) })
 }
 
 func (fl *testFleet) killServer(name string) {
@@ -291,23 +291,23 @@
 
 func (fl *testFleet) startProxy(node string, change func(*SubscriberOptions)) *testProxy {
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &testProxy{stop: cancel}
+	proxy := &testProxy{stop: cancel}
 	opt := SubscriberOptions{Seeds: fl.names, ControlPlanePort: 1, ProxyPort: 2, Log: quiet(), Transport: meshTransport{fl.mesh, node},
 		Self: softstate.Member{Node: node, Zone: "zone-" + fl.names[rand.IntN(len(fl.names))], Region: "r", IP: node + ":2"},
-		OnUpdate: func(u Update) {
-			p.mu.Lock()
-			defer p.mu.Unlock()
-			p.wentBack = p.wentBack || p.lastUpdate.State != nil && u.State.Seq < p.lastUpdate.State.Seq
-			p.lastUpdate = u
+		OnUpdate: func(update Update) {
+			proxy.mu.Lock()
+			defer proxy.mu.Unlock()
+			proxy.wentBack = proxy.wentBack || proxy.lastUpdate.State != nil && update.State.Seq < proxy.lastUpdate.State.Seq
+			proxy.lastUpdate = update
 		}}
 	if change != nil {
 		change(&opt)
 	}
-	p.subscriber = NewSubscriber(opt)
-	fl.mesh.host(node+":2", p.subscriber.Handler())
-	fl.proxies[node] = p
-	fl.wg.Go(func() { p.subscriber.Run(ctx) })
-	return p
+	proxy.subscriber = NewSubscriber(opt)
+	fl.mesh.host(node+":2", proxy.subscriber.Handler())
+	fl.proxies[node] = proxy
+	fl.wg.Go(func() { proxy.subscriber.Run(ctx) })
+	return proxy
 }
 
 func (fl *testFleet) killProxy(node string) {
--- a/internal/system/distribution/warmup_bounds_test.go
+++ b/internal/system/distribution/warmup_bounds_test.go
@@ -50,19 +50,19 @@
 // lock, while another reply came. Danger: what is kept of the newer table is dated back to the older clock.
 func TestCarriedEntriesKeepTheirTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
 		empty := newIdleServer() // a keeper that has started anew, warm, with no list yet
 		empty.markComplete()
 		items, full := empty.table.ChangesSince(0)
 		reply := &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: softstate.EncodeEntries(time.Now(), items),
 			Soft: &distributionpb.Cursor{Boot: empty.bootID, Number: empty.table.LastNumber}}
-		req := f.buildRequest(nil, false)
+		req := subscriber.buildRequest(nil, false)
 		read := time.Now() // call(): f.take(asked, time.Now(), req, reply), before the lock
 		time.Sleep(1500 * time.Millisecond)
 		end := time.Now().Add(3 * time.Second)
-		f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), completeTable(t, 0, 5, pick.Server{ID: "s", WarmUpMax: 3 * time.Second}))
-		f.handleReply(read, read, req, reply)
-		got := f.Current().Servers
+		subscriber.handleReply(time.Now(), time.Now(), subscriber.buildRequest(nil, false), completeTable(t, 0, 5, pick.Server{ID: "s", WarmUpMax: 3 * time.Second}))
+		subscriber.handleReply(read, read, req, reply)
+		got := subscriber.Current().Servers
 		if len(got) != 1 {
 			t.Fatalf("holds %+v", got)
 		}
@@ -77,21 +77,21 @@
 // keepers, all servers that have ever been told as cold.
 func TestOldWarmUpIsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newIdleServer()
-		h.markComplete()
-		if err := h.PutList(1, 1, []pick.Server{{ID: "s", WarmUpMax: 3 * time.Second}}, madeAgo(softstate.Age{})); err != nil {
+		server := newIdleServer()
+		server.markComplete()
+		if err := server.PutList(1, 1, []pick.Server{{ID: "s", WarmUpMax: 3 * time.Second}}, madeAgo(softstate.Age{})); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(20 * time.Second)
-		items, full := h.table.ChangesSince(0)
+		items, full := server.table.ChangesSince(0)
 		w := softstate.EncodeEntries(time.Now(), items)
 		for _, e := range w {
 			e.LeastAgeMs = nil
 		}
-		f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
-		f.handleReply(time.Now(), time.Now(), f.buildRequest(nil, false), &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: w,
-			Soft: &distributionpb.Cursor{Boot: h.bootID, Number: h.table.LastNumber}})
-		for _, s := range f.Current().Servers {
+		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+		subscriber.handleReply(time.Now(), time.Now(), subscriber.buildRequest(nil, false), &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: w,
+			Soft: &distributionpb.Cursor{Boot: server.bootID, Number: server.table.LastNumber}})
+		for _, s := range subscriber.Current().Servers {
 			if s.WarmUpMax > 0 {
 				t.Errorf("cold for %v more, 17 s after the cold state's end", s.WarmUpMax)
 			}
@@ -124,14 +124,14 @@
 func TestListAgeHoldsOverAPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const stop = 300 * time.Millisecond
-		h := newIdleServer()
+		server := newIdleServer()
 		read := madeAgo(softstate.Age{Max: 50 * time.Millisecond})
 		withdrawn := read.Earliest.Add(3 * time.Second)
 		time.Sleep(stop)
-		if err := h.PutList(1, 1, []pick.Server{{ID: "s", Remaining: 3 * time.Second}}, read); err != nil {
+		if err := server.PutList(1, 1, []pick.Server{{ID: "s", Remaining: 3 * time.Second}}, read); err != nil {
 			t.Fatal(err)
 		}
-		got, listed, _ := h.List()
+		got, listed, _ := server.List()
 		if late := got[0].Remaining - time.Until(withdrawn); late > 0 || listed < stop {
 			t.Errorf("the notice ends late by %v; the list, read %v ago, is told to be %v old", late, stop, listed)
 		}
@@ -145,7 +145,7 @@
 		var worst time.Duration
 		flaps := 0
 		for phase := range 50 {
-			h := newIdleServer()
+			server := newIdleServer()
 			start := time.Now()
 			end := start.Add(3 * time.Second)
 			time.Sleep(time.Duration(phase) * 10 * ms)
@@ -164,11 +164,11 @@
 				if told.WarmUpMax > 0 {
 					told.WarmUpMax += ms
 				}
-				was, _, _ := h.List()
-				if err := h.PutList(1, v, []pick.Server{told}, madeAgo(softstate.AgeUpTo(time.Since(asked)))); err != nil {
+				was, _, _ := server.List()
+				if err := server.PutList(1, v, []pick.Server{told}, madeAgo(softstate.AgeUpTo(time.Since(asked)))); err != nil {
 					t.Fatal(err)
 				}
-				now, _, _ := h.List()
+				now, _, _ := server.List()
 				if len(was) > 0 && was[0].WarmUpMax == 0 && now[0].WarmUpMax > 0 {
 					flaps++
 				}
--- a/internal/system/distribution/warmup_fleet_serve_test.go
+++ b/internal/system/distribution/warmup_fleet_serve_test.go
@@ -63,8 +63,8 @@
 func (w *warmUpFleet) poll(k string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	w.polls[k] = cancel
-	h := w.servers[k]
-	p := platform.NewPoller(platform.PollerOptions{Lister: &fleetLister{w: w}, Newest: h.ListVersion, Log: quiet(),
+	server := w.servers[k]
+	p := platform.NewPoller(platform.PollerOptions{Lister: &fleetLister{w: w}, Newest: server.ListVersion, Log: quiet(),
 		Ownership: func() (uint64, bool) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
@@ -78,7 +78,7 @@
 			for _, i := range r.Instances {
 				servers = append(servers, pick.Server{ID: i.ID, Service: i.Target, Address: i.Address, Zone: i.Zone, Slots: i.Slots, Draining: i.Phase == platform.Draining, WarmUpMax: i.WarmUpLeft})
 			}
-			_ = h.PutList(r.Fence, r.Version, servers, softstate.TimeBounds{Earliest: r.Asked, Latest: r.Answered})
+			_ = server.PutList(r.Fence, r.Version, servers, softstate.TimeBounds{Earliest: r.Asked, Latest: r.Answered})
 		}})
 	w.wg.Go(func() { p.Run(ctx) })
 }
--- a/internal/system/distribution/warmup_fleet_test.go
+++ b/internal/system/distribution/warmup_fleet_test.go
@@ -91,19 +91,19 @@
 	changes map[string]uint64 // the records that changed zones last, as far as it has heard
 }
 
-func (p *fleetPicker) update(w *warmUpFleet, node string, u Update) {
+func (p *fleetPicker) update(w *warmUpFleet, node string, update Update) {
 	var live []string
-	for _, m := range u.Members {
-		if !m.Draining && !m.Down {
-			live = append(live, m.Node)
+	for _, member := range update.Members {
+		if !member.Draining && !member.Down {
+			live = append(live, member.Node)
 		}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	world := pick.ClusterState{Evacuated: u.State.Evacuated, Servers: u.Servers, ListCoversSeq: u.ListCoversSeq, ContactAge: u.ContactAge, Age: time.Since(u.AsOf),
-		ZoneChanges: map[string]uint64{"za": u.State.ZoneChangeSeq("za"), "zb": u.State.ZoneChangeSeq("zb")},
-		Self:        node, Peers: live, DownCount: u.DownCount, MembershipIncomplete: u.MembershipIncomplete, Stale: u.Stale}
-	if u.State.Seq > 0 {
+	world := pick.ClusterState{Evacuated: update.State.Evacuated, Servers: update.Servers, ListCoversSeq: update.ListCoversSeq, ContactAge: update.ContactAge, Age: time.Since(update.AsOf),
+		ZoneChanges: map[string]uint64{"za": update.State.ZoneChangeSeq("za"), "zb": update.State.ZoneChangeSeq("zb")},
+		Self:        node, Peers: live, DownCount: update.DownCount, MembershipIncomplete: update.MembershipIncomplete, Stale: update.Stale}
+	if update.State.Seq > 0 {
 		world.Config, p.serves, p.changes = w.config, true, world.ZoneChanges
 	}
 	if w.hideWarmUps {
@@ -151,7 +151,7 @@
 func (w *warmUpFleet) startPickingProxy(node string) {
 	p := &fleetPicker{start: time.Now(), picker: pick.New(pick.Settings{Zone: "za", Region: "r", WarmUpExcess: 1.5, WarmUpSlack: 5})}
 	w.pickers[node] = p
-	started := w.startProxy(node, func(o *SubscriberOptions) { o.OnUpdate = func(u Update) { p.update(w, node, u) } })
+	started := w.startProxy(node, func(options *SubscriberOptions) { options.OnUpdate = func(update Update) { p.update(w, node, update) } })
 	p.mu.Lock()
 	p.subscriber = started.subscriber
 	p.mu.Unlock()
@@ -285,8 +285,8 @@
 	}
 	held, _, _ := w.servers[w.owner].List()
 	for _, node := range w.proxyNames {
-		if u := w.pickers[node].subscriber.Current(); told(u.Servers) != told(held) {
-			differ = append(differ, fmt.Sprint(node, ": ", told(u.Servers), "of ", told(held)))
+		if update := w.pickers[node].subscriber.Current(); told(update.Servers) != told(held) {
+			differ = append(differ, fmt.Sprint(node, ": ", told(update.Servers), "of ", told(held)))
 		}
 	}
 	return differ
--- a/internal/system/distribution/warmup_path_test.go
+++ b/internal/system/distribution/warmup_path_test.go
@@ -51,10 +51,10 @@
 	p.mesh.host("reader:1", p.reader.Handler())
 	p.mesh.host("other:1", p.sync.to.Handler())
 	for _, node := range []string{"proxy", "neighbour"} {
-		f := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: node}, Log: quiet(), Transport: meshTransport{p.mesh, node},
+		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: node}, Log: quiet(), Transport: meshTransport{p.mesh, node},
 			Knobs: TestingKnobs{NeighbourAtOnce: true}}) // the neighbour hears of keepers, and isn't to try them first
-		p.subscribers[node] = f
-		p.mesh.host(node+":2", f.Handler())
+		p.subscribers[node] = subscriber
+		p.mesh.host(node+":2", subscriber.Handler())
 	}
 	p.reader.markComplete()
 	p.synchronise(shared) // refused: the other's clock is not known yet
@@ -63,9 +63,9 @@
 }
 
 // putReading has a hub take in a reading of the list that was asked for at asked, and came just now.
-func putReading(tb testing.TB, h *Server, version uint64, asked time.Time, servers ...pick.Server) {
+func putReading(tb testing.TB, server *Server, version uint64, asked time.Time, servers ...pick.Server) {
 	tb.Helper()
-	if err := h.PutList(1, version, servers, madeAgo(softstate.AgeUpTo(time.Since(asked)))); err != nil {
+	if err := server.PutList(1, version, servers, madeAgo(softstate.AgeUpTo(time.Since(asked)))); err != nil {
 		tb.Fatal(err)
 	}
 }
@@ -109,8 +109,8 @@
 // stored gives the server as each follower that has heard of it holds it.
 func (p *warmUpPath) stored() map[string]pick.Server {
 	out := map[string]pick.Server{}
-	for node, f := range p.subscribers {
-		for _, s := range f.Current().Servers {
+	for node, subscriber := range p.subscribers {
+		for _, s := range subscriber.Current().Servers {
 			out[node] = s
 		}
 	}
