--- a/internal/system/distribution/commit_log_test.go
+++ b/internal/system/distribution/commit_log_test.go
@@ -11,27 +11,27 @@
 
 // TestCommitLog: what was certainly committed at a moment, by notes that come from time to time.
 func TestCommitLog(t *testing.T) {
-	var l commitLog
+	var commits commitLog
 	begin := time.Now()
 	at := func(d time.Duration) time.Time { return begin.Add(d) }
-	if got := l.committedBefore(begin); got != 0 {
+	if got := commits.committedBefore(begin); got != 0 {
 		t.Errorf("%d before any", got)
 	}
-	l.observe(at(time.Second), 3)
-	l.observe(at(2*time.Second), 3)
-	l.observe(at(3*time.Second), 5)
+	commits.observe(at(time.Second), 3)
+	commits.observe(at(2*time.Second), 3)
+	commits.observe(at(3*time.Second), 5)
 	for when, want := range map[time.Duration]uint64{0: 0, time.Second: 3, 2500 * time.Millisecond: 3, 3 * time.Second: 5, time.Hour: 5} {
-		if got := l.committedBefore(at(when)); got != want {
+		if got := commits.committedBefore(at(when)); got != want {
 			t.Errorf("at %v: %d, want %d", when, got, want)
 		}
 	}
 	for i := range 10 * maxCommitMarks {
-		l.observe(at(time.Duration(4+i)*time.Second), uint64(6+i))
+		commits.observe(at(time.Duration(4+i)*time.Second), uint64(6+i))
 	}
-	if len(l.marks) != maxCommitMarks || l.committedBefore(at(3*time.Second)) != 0 {
-		t.Errorf("%d notes; at 3 s %d", len(l.marks), l.committedBefore(at(3*time.Second)))
+	if len(commits.marks) != maxCommitMarks || commits.committedBefore(at(3*time.Second)) != 0 {
+		t.Errorf("%d notes; at 3 s %d", len(commits.marks), commits.committedBefore(at(3*time.Second)))
 	}
-	if got := l.committedBefore(at(time.Hour)); got != uint64(5+10*maxCommitMarks) {
+	if got := commits.committedBefore(at(time.Hour)); got != uint64(5+10*maxCommitMarks) {
 		t.Errorf("at last %d", got)
 	}
 }
--- a/internal/system/distribution/compression_test.go
+++ b/internal/system/distribution/compression_test.go
@@ -17,10 +17,10 @@
 	for i := range 1800 {
 		fmt.Fprintf(&body, `{"name":"r-%d","hostname":"xago29.example","path_prefix":"/azp%dx/","category":"idempotent","timeout_ms":2500,"target":"lelo71b"},`, i, i*7919)
 	}
-	var s recordCache
+	var cache recordCache
 	r := controlstate.Record{Seq: 3, Op: controlstate.OpAmend, Body: body.Bytes()}
-	w := s.encode(r)
-	if again := s.encode(r); again != w {
+	w := cache.encode(r)
+	if again := cache.encode(r); again != w {
 		t.Error("compressed for each follower anew")
 	}
 	if len(w.GetBody())*10 > body.Len() {
@@ -30,7 +30,7 @@
 	if err != nil || !bytes.Equal(out, body.Bytes()) {
 		t.Errorf("%d bytes back, %v", len(out), err)
 	}
-	if small := s.encode(controlstate.Record{Seq: 4, Body: []byte("{}")}); small.GetDeflated() || string(small.GetBody()) != "{}" {
+	if small := cache.encode(controlstate.Record{Seq: 4, Body: []byte("{}")}); small.GetDeflated() || string(small.GetBody()) != "{}" {
 		t.Error("a small body was changed")
 	}
 	if _, err := rpc.Expand(w.GetBody()[:len(w.GetBody())/2], true); err == nil {
@@ -43,9 +43,9 @@
 		if i%4 == 0 {
 			size = len(random) // such bodies reach the bound of bytes first
 		}
-		s.encode(controlstate.Record{Seq: 10 + i, Body: random[:size]})
+		cache.encode(controlstate.Record{Seq: 10 + i, Body: random[:size]})
 	}
-	if len(s.records) > cachedRecords || s.bytes > cachedBytes || len(s.records) < 10 {
-		t.Errorf("%d records with %d bytes are kept", len(s.records), s.bytes)
+	if len(cache.records) > cachedRecords || cache.bytes > cachedBytes || len(cache.records) < 10 {
+		t.Errorf("%d records with %d bytes are kept", len(cache.records), cache.bytes)
 	}
 }
--- a/internal/system/distribution/fleet_catchup_test.go
+++ b/internal/system/distribution/fleet_catchup_test.go
@@ -21,7 +21,7 @@
 // runAbsence starts a proxy on a configuration of some bytes, cuts it off while n changes are acknowledged, brings the one
 // keeper that is current back without its older records, and goes on with 20 changes a second. It gives how long after
 // the end of the cut the proxy was level, and the bytes that went over the wires until then.
-func runAbsence(t *testing.T, n, size int, lose bool) (took time.Duration, bytes int64) {
+func runAbsence(t *testing.T, changes, size int, lose bool) (took time.Duration, bytes int64) {
 	t.Helper()
 	fleet := newFleet("k1:1", "k2:1", "k3:1")
 	defer fleet.stop()
@@ -29,7 +29,7 @@
 	proxy := fleet.startProxy("p", nil)
 	within(t, 5*time.Second, "it starts", func() bool { return proxy.update().State != nil && proxy.update().State.Seq == 1 })
 	fleet.isolate("p", true)
-	for i := range n {
+	for i := range changes {
 		fleet.chain.add(zoneChange(i))
 	}
 	time.Sleep(20 * time.Second)
@@ -45,10 +45,10 @@
 	fleet.mesh.mu.Unlock()
 	fleet.isolate("p", false)
 	start := time.Now()
-	for i := n; ; i++ {
+	for i := changes; ; i++ {
 		fleet.chain.add(zoneChange(i))
 		time.Sleep(45 * time.Millisecond)
-		if lose && i == n+2 {
+		if lose && i == changes+2 {
 			feeder := "k3:1"
 			if len(fleet.servers["k1:1"].Subscribers()) > 0 {
 				feeder = "k1:1"
--- a/internal/system/distribution/golden_trace_test.go
+++ b/internal/system/distribution/golden_trace_test.go
@@ -110,21 +110,21 @@
 )
 
 func newExchange(tr *trace, seed uint64) *exchange {
-	x := &exchange{tr: tr, rng: rand.New(rand.NewPCG(seed, 13)), chain: newChain(), progress: map[[2]int]*syncProgress{}}
+	created := &exchange{tr: tr, rng: rand.New(rand.NewPCG(seed, 13)), chain: newChain(), progress: map[[2]int]*syncProgress{}}
 	for _, k := range exchangeNodes {
-		s := &fakeSource{fakeChain: x.chain, addresses: exchangeNodes}
-		x.sources = append(x.sources, s)
+		s := &fakeSource{fakeChain: created.chain, addresses: exchangeNodes}
+		created.sources = append(created.sources, s)
 		server := NewServer(ServerOptions{Source: s, Self: k, Zone: "z" + k[:2], Region: "r", ListLag: 100 * time.Millisecond, Log: quiet()})
-		x.assignIndexes(server.loads.local)
-		x.assignIndexes(server.loads.total)
-		x.servers, x.bootIDs = append(x.servers, server), append(x.bootIDs, 0)
-		x.redrawBootID(len(x.servers) - 1)
+		created.assignIndexes(server.loads.local)
+		created.assignIndexes(server.loads.total)
+		created.servers, created.bootIDs = append(created.servers, server), append(created.bootIDs, 0)
+		created.redrawBootID(len(created.servers) - 1)
 	}
 	for i := range 5 {
-		x.subscribers, x.loads = append(x.subscribers, nil), append(x.loads, nil)
-		x.startSubscriber(i)
+		created.subscribers, created.loads = append(created.subscribers, nil), append(created.loads, nil)
+		created.startSubscriber(i)
 	}
-	return x
+	return created
 }
 
 // startSubscriber starts a process anew in the place of a follower.
@@ -180,10 +180,10 @@
 }
 
 // poll sends a poll to a hub; the answer arrives later.
-func (x *exchange) poll(i, to int) {
-	subscriber := x.subscribers[i]
+func (x *exchange) poll(which, to int) {
+	subscriber := x.subscribers[which]
 	asked := time.Now()
-	req := subscriber.buildRequest(x.loads[i], x.rng.IntN(3) > 0)
+	req := subscriber.buildRequest(x.loads[which], x.rng.IntN(3) > 0)
 	slices.SortFunc(req.Down, func(a, b *distributionpb.Verdict) int { return strings.Compare(a.GetNode(), b.GetNode()) })
 	req.Call = subscriber.callIDs.Next()
 	got := transferred(x.tr, 'Q', req, &distributionpb.FollowRequest{})
@@ -193,7 +193,7 @@
 		x.tr.step('E')
 		return
 	}
-	x.replies = append(x.replies, pendingReply{i, asked, req, transferred(x.tr, 'A', reply, &distributionpb.FollowReply{})})
+	x.replies = append(x.replies, pendingReply{which, asked, req, transferred(x.tr, 'A', reply, &distributionpb.FollowReply{})})
 }
 
 // deliver has one of the answers under way deliver, or loses it.
--- a/internal/system/distribution/late_delivery_test.go
+++ b/internal/system/distribution/late_delivery_test.go
@@ -126,7 +126,7 @@
 // check looks at what every proxy holds.
 func (w *lateFleet) check() {
 	now := time.Now()
-	for n, proxy := range w.proxies {
+	for proxyNode, proxy := range w.proxies {
 		update := proxy.subscriber.Current()
 		if update.Fresh && int(update.State.Seq) < len(w.ackedAt) && now.Sub(w.ackedAt[update.State.Seq]) > catchup.FreshnessTTL+freshnessMargin {
 			w.violations["fresh though a change is older than that"]++
@@ -138,10 +138,10 @@
 		proxy.mu.Unlock()
 		proxy.subscriber.mu.Lock()
 		if held := proxy.subscriber.soft.table.Get(softstate.ListKey); held != nil {
-			if was := w.shownReadAt[n]; was.Sub(w.readAt[held.Version]) > maxListAgeSkew+freshnessMargin && !w.readAt[held.Version].IsZero() {
+			if was := w.shownReadAt[proxyNode]; was.Sub(w.readAt[held.Version]) > maxListAgeSkew+freshnessMargin && !w.readAt[held.Version].IsZero() {
 				w.violations["a list went back"]++
 			} else if w.readAt[held.Version].After(was) {
-				w.shownReadAt[n] = w.readAt[held.Version]
+				w.shownReadAt[proxyNode] = w.readAt[held.Version]
 			}
 			if age := now.Sub(w.readAt[held.Version]); held.AgeAt(now).Max < age-freshnessMargin && !w.readAt[held.Version].IsZero() {
 				w.violations["a list is told to be younger than it is"]++
--- a/internal/system/distribution/loopback_test.go
+++ b/internal/system/distribution/loopback_test.go
@@ -148,8 +148,8 @@
 	transport := rpc.NewTransport()
 	transport.MaxIdleConns, transport.MaxIdleConnsPerHost = 0, 2*followers
 	all := make([]*Subscriber, followers)
-	for n := range all {
-		all[n] = NewSubscriber(SubscriberOptions{Seeds: []string{address}, Self: softstate.Member{Node: fmt.Sprint("p", n), Ready: true}, Log: quiet(),
+	for changes := range all {
+		all[changes] = NewSubscriber(SubscriberOptions{Seeds: []string{address}, Self: softstate.Member{Node: fmt.Sprint("p", changes), Ready: true}, Log: quiet(),
 			Transport: transport, Loads: func() map[string]pick.Load {
 				if !busy {
 					return nil
@@ -157,11 +157,11 @@
 				out := make(map[string]pick.Load, 40)
 				at := int(tick.Load())
 				for i := range 40 {
-					out[list[(n*41+i*10)%servers].ID] = pick.Load{Requests: 1 + (at+i+n)%5, Prefill: int64(at*i%9) * 700, Tokens: int64((at+n)%11) * 900}
+					out[list[(changes*41+i*10)%servers].ID] = pick.Load{Requests: 1 + (at+i+changes)%5, Prefill: int64(at*i%9) * 700, Tokens: int64((at+changes)%11) * 900}
 				}
 				return out
 			}})
-		wg.Go(func() { all[n].Run(ctx) })
+		wg.Go(func() { all[changes].Run(ctx) })
 	}
 	for b.Context().Err() == nil {
 		ok := true
--- a/internal/system/distribution/mismatched_reply_test.go
+++ b/internal/system/distribution/mismatched_reply_test.go
@@ -37,11 +37,11 @@
 }
 
 // serve answers the requests of a connection until an act ends it.
-func (p *scriptedPeer) serve(c net.Conn) {
-	defer c.Close()
-	in := bufio.NewReader(c)
+func (p *scriptedPeer) serve(conn net.Conn) {
+	defer conn.Close()
+	reader := bufio.NewReader(conn)
 	for {
-		r, err := http.ReadRequest(in)
+		r, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -54,41 +54,41 @@
 		p.seen[req.GetCall()]++
 		act := p.script(req.GetCall())
 		p.mu.Unlock()
-		if !perform(c, in, act, answerBytes(req.GetCall()), answerBytes(req.GetCall()%(rpc.MaxCallIDs-1)+1)) {
+		if !perform(conn, reader, act, answerBytes(req.GetCall()), answerBytes(req.GetCall()%(rpc.MaxCallIDs-1)+1)) {
 			return
 		}
 	}
 }
 
 // perform does one act with the answer to the request and to another one, and tells whether the connection goes on.
-func perform(c net.Conn, in io.Reader, act string, answer, other []byte) bool {
-	tcp, _ := c.(*net.TCPConn)
+func perform(conn net.Conn, reader io.Reader, act string, answer, other []byte) bool {
+	tcp, _ := conn.(*net.TCPConn)
 	switch act {
 	case "answer":
-		_, _ = c.Write(answer)
+		_, _ = conn.Write(answer)
 		return true
 	case "twice in one packet":
-		_, _ = c.Write(append(bytes.Clone(answer), answer...))
+		_, _ = conn.Write(append(bytes.Clone(answer), answer...))
 		return true
 	case "informational, then answer":
-		_, _ = c.Write(append([]byte("HTTP/1.1 103 Early Hints\r\n\r\n"), answer...))
+		_, _ = conn.Write(append([]byte("HTTP/1.1 103 Early Hints\r\n\r\n"), answer...))
 		return true
 	case "another's answer":
-		_, _ = c.Write(other)
+		_, _ = conn.Write(other)
 		return true
 	case "silence":
-		_, _ = io.Copy(io.Discard, in) // until the caller gives up
+		_, _ = io.Copy(io.Discard, reader) // until the caller gives up
 	case "reset at once":
 		_ = tcp.SetLinger(0)
 	case "end in the head":
-		_, _ = c.Write(answer[:20])
+		_, _ = conn.Write(answer[:20])
 	case "end in the body":
-		_, _ = c.Write(answer[:len(answer)-3])
+		_, _ = conn.Write(answer[:len(answer)-3])
 	case "answer, then end":
-		_, _ = c.Write(answer)
+		_, _ = conn.Write(answer)
 	case "half-closed":
 		_ = tcp.CloseWrite()
-		_, _ = io.Copy(io.Discard, in)
+		_, _ = io.Copy(io.Discard, reader)
 	}
 	return false
 }
--- a/internal/system/distribution/random_faults_test.go
+++ b/internal/system/distribution/random_faults_test.go
@@ -28,132 +28,185 @@
 	}
 }
 
+// faultRun is a fleet in which faults are drawn from a seed.
+type faultRun struct {
+	*testFleet
+	t        *testing.T
+	rng      *rand.Rand
+	started  int // proxies so far
+	version  uint64
+	list     []pick.Server
+	wentBack bool
+}
+
 func randomFaults(t *testing.T, rng *rand.Rand) {
-	fleet := newFleet("k1:1", "k2:1", "k3:1")
-	defer fleet.stop()
-	fleet.mesh.mu.Lock()
-	fleet.mesh.delay = func(_, _ string) time.Duration { return time.Millisecond + rand.N(20*time.Millisecond) }
-	fleet.mesh.mu.Unlock()
-	nodes := 0
-	start := func() {
-		fleet.startProxy(fmt.Sprint("p", nodes), nil)
-		nodes++
-	}
+	run := &faultRun{testFleet: newFleet("k1:1", "k2:1", "k3:1"), t: t, rng: rng}
+	defer run.stop()
+	run.mesh.mu.Lock()
+	run.mesh.delay = func(_, _ string) time.Duration { return time.Millisecond + rand.N(20*time.Millisecond) }
+	run.mesh.mu.Unlock()
 	for range 8 {
-		start()
+		run.startNext()
 	}
-	hosts := func() []string {
-		out := append([]string{}, fleet.names...)
-		for n := range fleet.proxies {
-			out = append(out, n)
-		}
-		return out
-	}
-	var version uint64
-	var servers []pick.Server
-	back := false
 	for range 60 {
 		time.Sleep(rand.N(300 * time.Millisecond))
-		switch k := fleet.names[rng.IntN(3)]; rng.IntN(9) {
-		case 0, 1:
-			fleet.chain.add(none())
-			if rng.IntN(4) == 0 {
-				fleet.chain.mu.Lock()
-				fleet.chain.compactedTo = uint64(len(fleet.chain.records))
-				fleet.chain.mu.Unlock()
-			}
-		case 2:
-			server := hosts()
-			fleet.mesh.setPartitioned(server[rng.IntN(len(server))], server[rng.IntN(len(server))], true)
-		case 3:
-			fleet.mesh.mu.Lock()
-			clear(fleet.mesh.partitioned)
-			fleet.mesh.mu.Unlock()
-		case 4:
-			if fleet.servers[k] != nil && len(fleet.servers) > 1 {
-				fleet.killServer(k)
-			}
-		case 5:
-			if fleet.servers[k] == nil {
-				fleet.startServer(k)
-			}
-		case 6:
-			fleet.sources[k].setStale(rng.IntN(2) == 0)
-		case 7:
-			if len(fleet.proxies) > 5 {
-				for n, proxy := range fleet.proxies {
-					proxy.mu.Lock()
-					back = back || proxy.wentBack
-					proxy.mu.Unlock()
-					fleet.killProxy(n)
-					break
-				}
-			} else {
-				start()
-			}
-		case 8:
-			version++
-			servers = append(servers, pick.Server{ID: fmt.Sprint("s", version), Service: "a"})
-			if len(servers) > 5 {
-				servers = servers[1:]
-			}
-			if fleet.servers[k] != nil {
-				_ = fleet.servers[k].PutList(1, version, servers, madeAgo(softstate.Age{}))
-			}
+		run.fault()
+	}
+	run.endFaults()
+	run.checkAgreement()
+}
+
+func (f *faultRun) startNext() {
+	f.startProxy(fmt.Sprint("p", f.started), nil)
+	f.started++
+}
+
+func (f *faultRun) hosts() []string {
+	out := append([]string{}, f.names...)
+	for name := range f.proxies {
+		out = append(out, name)
+	}
+	return out
+}
+
+// fault brings one fault or change about.
+func (f *faultRun) fault() {
+	switch node := f.names[f.rng.IntN(3)]; f.rng.IntN(9) {
+	case 0, 1:
+		f.change()
+	case 2:
+		hosts := f.hosts()
+		f.mesh.setPartitioned(hosts[f.rng.IntN(len(hosts))], hosts[f.rng.IntN(len(hosts))], true)
+	case 3:
+		f.endPartitions()
+	case 4:
+		if f.servers[node] != nil && len(f.servers) > 1 {
+			f.killServer(node)
+		}
+	case 5:
+		if f.servers[node] == nil {
+			f.startServer(node)
 		}
+	case 6:
+		f.sources[node].setStale(f.rng.IntN(2) == 0)
+	case 7:
+		f.killOrStartProxy()
+	case 8:
+		f.readList(node)
+	}
+}
+
+// change adds a record, and lets the older ones be compacted now and then.
+func (f *faultRun) change() {
+	f.chain.add(none())
+	if f.rng.IntN(4) == 0 {
+		f.chain.mu.Lock()
+		defer f.chain.mu.Unlock()
+		f.chain.compactedTo = uint64(len(f.chain.records))
+	}
+}
+
+func (f *faultRun) endPartitions() {
+	f.mesh.mu.Lock()
+	defer f.mesh.mu.Unlock()
+	clear(f.mesh.partitioned)
+}
+
+func (f *faultRun) killOrStartProxy() {
+	if len(f.proxies) <= 5 {
+		f.startNext()
+		return
+	}
+	for name, proxy := range f.proxies {
+		f.noteRegress(proxy)
+		f.killProxy(name)
+		return
 	}
-	fleet.mesh.mu.Lock()
-	clear(fleet.mesh.partitioned)
-	fleet.mesh.mu.Unlock()
-	for _, k := range fleet.names {
-		fleet.sources[k].setStale(false)
-		if fleet.servers[k] == nil {
-			fleet.startServer(k)
+}
+
+// noteRegress remembers whether a proxy has gone back.
+func (f *faultRun) noteRegress(proxy *testProxy) {
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	f.wentBack = f.wentBack || proxy.wentBack
+}
+
+// readList has a node read a list with one server more.
+func (f *faultRun) readList(node string) {
+	f.version++
+	f.list = append(f.list, pick.Server{ID: fmt.Sprint("s", f.version), Service: "a"})
+	if len(f.list) > 5 {
+		f.list = f.list[1:]
+	}
+	if f.servers[node] != nil {
+		_ = f.servers[node].PutList(1, f.version, f.list, madeAgo(softstate.Age{}))
+	}
+}
+
+// endFaults ends all faults and has all nodes run.
+func (f *faultRun) endFaults() {
+	f.endPartitions()
+	for _, node := range f.names {
+		f.sources[node].setStale(false)
+		if f.servers[node] == nil {
+			f.startServer(node)
 		}
 	}
-	seq := fleet.chain.add(none())
+}
+
+// checkAgreement has a last change and a last list go out, and checks that all proxies get both.
+func (f *faultRun) checkAgreement() {
+	t := f.t
+	seq := f.chain.add(none())
 	time.Sleep(9 * time.Second)
-	if err := fleet.servers["k1:1"].PutList(1, version+1, servers, madeAgo(softstate.Age{})); err != nil {
+	if err := f.servers["k1:1"].PutList(1, f.version+1, f.list, madeAgo(softstate.Age{})); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(500 * time.Millisecond)
-	defer func() {
-		for n, server := range fleet.servers {
-			for _, member := range server.Members() {
-				if t.Failed() {
-					t.Logf("%s: %+v", n, member)
-				}
-			}
-		}
-	}()
+	defer f.logMembersOnFailure()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	if err := fleet.servers["k1:1"].WaitAcknowledged(ctx, seq); err != nil {
+	if err := f.servers["k1:1"].WaitAcknowledged(ctx, seq); err != nil {
 		t.Error(err)
 	}
 	within(t, 2*time.Second, "each proxy is followed once", func() bool {
 		followed := 0
-		for _, server := range fleet.servers {
+		for _, server := range f.servers {
 			followed += len(server.Subscribers())
 		}
-		return followed == len(fleet.proxies)
+		return followed == len(f.proxies)
 	})
-	for n, proxy := range fleet.proxies {
-		proxy.mu.Lock()
-		back = back || proxy.wentBack
-		proxy.mu.Unlock()
-		update := proxy.subscriber.Current()
-		if update.State.Seq != seq || !update.Fresh || len(update.Members) != len(fleet.proxies) || len(update.Servers) != len(servers) {
-			t.Errorf("%s: seq %d of %d, fresh %v, members %d of %d, servers %d of %d", n, update.State.Seq, seq, update.Fresh,
-				len(update.Members), len(fleet.proxies), len(update.Servers), len(servers))
-		}
-		for i := range min(len(update.Servers), len(servers)) {
-			if update.Servers[i].Service != "a" {
-				t.Errorf("%s: server %+v", n, update.Servers[i])
-			}
-		}
+	for name, proxy := range f.proxies {
+		f.noteRegress(proxy)
+		f.checkProxy(name, proxy, seq)
 	}
-	if back {
+	if f.wentBack {
 		t.Error("a proxy went back")
 	}
 }
+
+// checkProxy checks that a proxy has the change seq, all members and the list.
+func (f *faultRun) checkProxy(name string, proxy *testProxy, seq uint64) {
+	f.t.Helper()
+	update := proxy.subscriber.Current()
+	if update.State.Seq != seq || !update.Fresh || len(update.Members) != len(f.proxies) || len(update.Servers) != len(f.list) {
+		f.t.Errorf("%s: seq %d of %d, fresh %v, members %d of %d, servers %d of %d", name, update.State.Seq, seq, update.Fresh,
+			len(update.Members), len(f.proxies), len(update.Servers), len(f.list))
+	}
+	for i := range min(len(update.Servers), len(f.list)) {
+		if update.Servers[i].Service != "a" {
+			f.t.Errorf("%s: server %+v", name, update.Servers[i])
+		}
+	}
+}
+
+func (f *faultRun) logMembersOnFailure() {
+	if !f.t.Failed() {
+		return
+	}
+	for node, server := range f.servers {
+		for _, member := range server.Members() {
+			f.t.Logf("%s: %+v", node, member)
+		}
+	}
+}
--- a/internal/system/distribution/server_sync_test.go
+++ b/internal/system/distribution/server_sync_test.go
@@ -46,42 +46,44 @@
 	return age.Round(100 * time.Millisecond)
 }
 
-// TestTimeInBuffersCountsAsAge: what a share tells is as old as it was when it was sent, and the time under way. A share that
-// was held up for long, or whose sending cannot be placed, is sent anew.
+// TestTimeInBuffersCountsAsAge: what a message states is as old as it was when it was sent, and the time in transit. A message that
+// was delayed for long, or whose sending cannot be dated, is sent anew.
 func TestTimeInBuffersCountsAsAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		manual := &manualSync{from: newNamedServer("a"), to: newNamedServer("b")}
-		if err := manual.from.PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(exactAge(time.Second))); err != nil {
-			t.Fatal(err)
-		}
+		manual.putList(t, 1, exactAge(time.Second), pick.Server{ID: "s"})
 		time.Sleep(time.Second) // the list is 2 s old
 		if !manual.send(t, 0).GetLate() || listAge(manual.to) < time.Hour {
 			t.Error("taken though nothing tells when it was sent")
 		}
-		if manual.send(t, 0).GetLate() || listAge(manual.to) != 2*time.Second {
-			t.Errorf("at once: the list is %v old", listAge(manual.to))
-		}
-		if err := manual.from.PutList(1, 2, []pick.Server{{ID: "s"}, {ID: "r"}}, madeAgo(softstate.Age{})); err != nil {
-			t.Fatal(err)
-		}
-		if manual.send(t, time.Second).GetLate() || listAge(manual.to) != time.Second {
-			t.Errorf("after a second under way: the list is %v old", listAge(manual.to))
-		}
-		if err := manual.from.PutList(1, 3, nil, madeAgo(softstate.Age{})); err != nil {
-			t.Fatal(err)
-		}
-		if !manual.send(t, 20*time.Second).GetLate() || listAge(manual.to) != 21*time.Second {
-			t.Errorf("after 20 s under way: the list is %v old", listAge(manual.to))
-		}
-		if manual.send(t, 0).GetLate() || listAge(manual.to) != 20*time.Second {
-			t.Errorf("sent anew: the list is %v old", listAge(manual.to))
-		}
+		manual.checkSend(t, "at once", 0, false, 2*time.Second)
+		manual.putList(t, 2, softstate.Age{}, pick.Server{ID: "s"}, pick.Server{ID: "r"})
+		manual.checkSend(t, "after a second in transit", time.Second, false, time.Second)
+		manual.putList(t, 3, softstate.Age{})
+		manual.checkSend(t, "after 20 s in transit", 20*time.Second, true, 21*time.Second)
+		manual.checkSend(t, "sent anew", 0, false, 20*time.Second)
 		if servers, _, _ := manual.to.List(); len(servers) != 0 {
-			t.Errorf("holds %d servers", len(servers))
+			t.Errorf("has %d servers", len(servers))
 		}
 	})
 }
 
+// putList has the sender read a list.
+func (s *manualSync) putList(tb testing.TB, version uint64, age softstate.Age, servers ...pick.Server) {
+	tb.Helper()
+	if err := s.from.PutList(1, version, servers, madeAgo(age)); err != nil {
+		tb.Fatal(err)
+	}
+}
+
+// checkSend sends a message that is delayed, and checks whether it is refused as late and how old the receiver's list is then.
+func (s *manualSync) checkSend(tb testing.TB, name string, delay time.Duration, wantLate bool, wantAge time.Duration) {
+	tb.Helper()
+	if s.send(tb, delay).GetLate() != wantLate || listAge(s.to) != wantAge {
+		tb.Errorf("%s: the list is %v old", name, listAge(s.to))
+	}
+}
+
 // TestTimeInBuffersControl: judged by its arrival, a share that lay in a buffer for 20 s makes an old list a new one.
 func TestTimeInBuffersControl(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/system/distribution/warmup_bounds_test.go
+++ b/internal/system/distribution/warmup_bounds_test.go
@@ -14,8 +14,8 @@
 // little later. Each reading is right by itself. Danger: coversCold takes the second for another reading of the first state, as
 // their spans overlap, and the held end stays before the true one.
 func TestExtendedWarmUpEndsLate(t *testing.T) {
-	const ms = time.Millisecond
-	for name, c := range map[string]struct {
+	const ms = time.Millisecond //nolint:varnamelen // the unit of the table below
+	for name, test := range map[string]struct {
 		more          time.Duration
 		first, second transit
 	}{
@@ -30,11 +30,11 @@
 				p := newWarmUpPath(t, transit{})
 				start := time.Now()
 				p.server.warmUpEnd = start.Add(3 * time.Second)
-				p.read(c.first)
+				p.read(test.first)
 				time.Sleep(200 * ms)
-				p.server.warmUpEnd = p.server.warmUpEnd.Add(c.more)
+				p.server.warmUpEnd = p.server.warmUpEnd.Add(test.more)
 				for range 2 {
-					p.read(c.second)
+					p.read(test.second)
 					p.poll("reader:1", transit{})
 					p.check()
 				}
@@ -138,49 +138,53 @@
 	})
 }
 
-// TestWarmUpEndDoesNotFlap: readings of one cold state, near its end, over a slow way.
+// TestWarmUpEndDoesNotFlap: readings of one warm-up, near its end, over a slow way.
 func TestWarmUpEndDoesNotFlap(t *testing.T) {
-	const ms = time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		var worst time.Duration
 		flaps := 0
 		for phase := range 50 {
 			server := newIdleServer()
-			start := time.Now()
-			end := start.Add(3 * time.Second)
-			time.Sleep(time.Duration(phase) * 10 * ms)
-			var v uint64
-			for time.Until(end) > -time.Second {
-				asked := time.Now()
-				back := 55 * ms
-				if v%2 == 1 {
-					back = 165 * ms
-				}
-				time.Sleep(55 * ms)
-				told := (trueServer{warmUpEnd: end}).statedAt(time.Now())
-				time.Sleep(back)
-				v++
-				// as feed does, rounding up
-				if told.WarmUpMax > 0 {
-					told.WarmUpMax += ms
-				}
-				was, _, _ := server.List()
-				if err := server.PutList(1, v, []pick.Server{told}, madeAgo(softstate.AgeUpTo(time.Since(asked)))); err != nil {
-					t.Fatal(err)
-				}
-				now, _, _ := server.List()
-				if len(was) > 0 && was[0].WarmUpMax == 0 && now[0].WarmUpMax > 0 {
+			end := time.Now().Add(3 * time.Second)
+			time.Sleep(time.Duration(phase) * 10 * time.Millisecond)
+			for version := uint64(1); time.Until(end) > -time.Second; version++ {
+				flapped, late := readWarmUp(t, server, version, end)
+				if flapped {
 					flaps++
 				}
-				if late := now[0].WarmUpMax - max(0, time.Until(end)); late > worst {
-					worst = late
-				}
-				time.Sleep(500*ms - time.Since(asked))
+				worst = max(worst, late)
 			}
 		}
 		t.Logf("50 phases: warm and cold again %d times, worst late %v", flaps, worst)
 		if flaps > 0 {
-			t.Errorf("a warm server is called cold again by a reading of the same cold state, %d of 50", flaps)
+			t.Errorf("a warm server is called cold again by a reading of the same warm-up, %d of 50", flaps)
 		}
 	})
 }
+
+// readWarmUp has a server read a warm-up that ends at a moment, over a way that is slow each second time, and waits until the next reading
+// is due. It tells whether the server was taken for warm before and for cold then, and by how much its warm-up ends late.
+func readWarmUp(t *testing.T, server *Server, version uint64, end time.Time) (flapped bool, late time.Duration) {
+	t.Helper()
+	asked := time.Now()
+	back := 55 * time.Millisecond
+	if version%2 == 0 {
+		back = 165 * time.Millisecond
+	}
+	time.Sleep(55 * time.Millisecond)
+	stated := (trueServer{warmUpEnd: end}).statedAt(time.Now())
+	time.Sleep(back)
+	// as feed does, rounding up
+	if stated.WarmUpMax > 0 {
+		stated.WarmUpMax += time.Millisecond
+	}
+	before, _, _ := server.List()
+	if err := server.PutList(1, version, []pick.Server{stated}, madeAgo(softstate.AgeUpTo(time.Since(asked)))); err != nil {
+		t.Fatal(err)
+	}
+	after, _, _ := server.List()
+	flapped = len(before) > 0 && before[0].WarmUpMax == 0 && after[0].WarmUpMax > 0
+	late = after[0].WarmUpMax - max(0, time.Until(end))
+	time.Sleep(500*time.Millisecond - time.Since(asked))
+	return flapped, late
+}
--- a/internal/system/distribution/warmup_fleet_faults_test.go
+++ b/internal/system/distribution/warmup_fleet_faults_test.go
@@ -54,20 +54,20 @@
 		}
 	}
 	cutKeepers := 0
-	for _, k := range w.names {
-		if _, cut := w.isolatedUntil[k]; cut {
+	for _, chosen := range w.names {
+		if _, cut := w.isolatedUntil[chosen]; cut {
 			cutKeepers++
 		}
 	}
-	k := w.names[w.rng.IntN(3)]
+	chosen := w.names[w.rng.IntN(3)]
 	node := w.proxyNames[w.rng.IntN(len(w.proxyNames))]
-	_, kCut := w.isolatedUntil[k]
+	_, kCut := w.isolatedUntil[chosen]
 	_, nCut := w.isolatedUntil[node]
 	span := time.Second + time.Duration(w.rng.IntN(5000))*time.Millisecond
 	switch w.rng.IntN(faultPeriodSteps) {
 	case 0:
 		if cutKeepers == 0 {
-			w.isolateFor(k, span)
+			w.isolateFor(chosen, span)
 		}
 	case 1, 2:
 		if !nCut {
@@ -75,13 +75,13 @@
 		}
 	case 3:
 		if cutKeepers == 0 {
-			w.recordFault(k)
-			w.polls[k]()
-			w.killServer(k)
-			w.startServer(k)
-			w.poll(k)
+			w.recordFault(chosen)
+			w.polls[chosen]()
+			w.killServer(chosen)
+			w.startServer(chosen)
+			w.poll(chosen)
 			w.faultCounts["keeper anew"]++
-			w.log("anew ", k)
+			w.log("anew ", chosen)
 		}
 	case 4:
 		if !nCut {
@@ -93,10 +93,10 @@
 		}
 	case 5:
 		if cutKeepers == 0 && !kCut {
-			w.sources[k].setStale(true) // it is not current for a while, but reaches the others
-			w.wg.Go(func() { time.Sleep(span / 3); w.recordFault(k); w.sources[k].setStale(false) })
+			w.sources[chosen].setStale(true) // it is not current for a while, but reaches the others
+			w.wg.Go(func() { time.Sleep(span / 3); w.recordFault(chosen); w.sources[chosen].setStale(false) })
 			w.faultCounts["not current"]++
-			w.log("not current ", k, " for ", span/3)
+			w.log("not current ", chosen, " for ", span/3)
 		}
 	}
 }
--- a/internal/system/distribution/warmup_fleet_serve_test.go
+++ b/internal/system/distribution/warmup_fleet_serve_test.go
@@ -64,7 +64,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	w.polls[k] = cancel
 	server := w.servers[k]
-	p := platform.NewPoller(platform.PollerOptions{Lister: &fleetLister{w: w}, Newest: server.ListVersion, Log: quiet(),
+	poller := platform.NewPoller(platform.PollerOptions{Lister: &fleetLister{w: w}, Newest: server.ListVersion, Log: quiet(),
 		Ownership: func() (uint64, bool) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
@@ -80,7 +80,7 @@
 			}
 			_ = server.PutList(r.Fence, r.Version, servers, softstate.TimeBounds{Earliest: r.Asked, Latest: r.Answered})
 		}})
-	w.wg.Go(func() { p.Run(ctx) })
+	w.wg.Go(func() { poller.Run(ctx) })
 }
 
 // serve has every proxy ask for a server twice, and notes what reaches cold and draining ones.
@@ -134,20 +134,20 @@
 
 // describeSecond says what the last second at a server was made of.
 func (w *warmUpFleet) describeSecond(id string, s warmingServer) string {
-	as := map[string][2]int{}
+	byProxy := map[string][2]int{}
 	for _, v := range w.sent[id] {
-		n := as[v.node]
+		n := byProxy[v.node]
 		if v.cold {
 			n[0]++
 		} else {
 			n[1]++
 		}
-		as[v.node] = n
+		byProxy[v.node] = n
 	}
 	out := fmt.Sprintf("%v: %s in %s, cold since %v, by proxy (as cold, as warm):", time.Since(w.begin).Round(time.Millisecond), id, s.zone,
 		s.coldUntil.Add(-warmUpDuration).Sub(w.begin).Round(time.Millisecond))
-	for _, node := range slices.Sorted(maps.Keys(as)) {
-		out += fmt.Sprint(" ", node, as[node])
+	for _, node := range slices.Sorted(maps.Keys(byProxy)) {
+		out += fmt.Sprint(" ", node, byProxy[node])
 		if end, cut := w.isolatedUntil[node]; cut {
 			out += fmt.Sprint("(cut until ", end.Sub(w.begin), ")")
 		} else if at, ok := w.lastFault[node]; ok {
--- a/internal/system/distribution/warmup_path_test.go
+++ b/internal/system/distribution/warmup_path_test.go
@@ -44,22 +44,22 @@
 // as well as that allows.
 func newWarmUpPath(t *testing.T, shared transit) *warmUpPath {
 	t.Helper()
-	p := &warmUpPath{t: t, mesh: newMesh(), transits: map[[2]string]time.Duration{}, reader: newNamedServer("reader:1"),
+	path := &warmUpPath{t: t, mesh: newMesh(), transits: map[[2]string]time.Duration{}, reader: newNamedServer("reader:1"),
 		subscribers: map[string]*Subscriber{}, early: map[string]time.Duration{}}
-	p.mesh.delay = func(from, to string) time.Duration { return p.transits[[2]string{from, to}] }
-	p.sync = manualSync{from: p.reader, to: newNamedServer("other:1")}
-	p.mesh.host("reader:1", p.reader.Handler())
-	p.mesh.host("other:1", p.sync.to.Handler())
+	path.mesh.delay = func(from, to string) time.Duration { return path.transits[[2]string{from, to}] }
+	path.sync = manualSync{from: path.reader, to: newNamedServer("other:1")}
+	path.mesh.host("reader:1", path.reader.Handler())
+	path.mesh.host("other:1", path.sync.to.Handler())
 	for _, node := range []string{"proxy", "neighbour"} {
-		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: node}, Log: quiet(), Transport: meshTransport{p.mesh, node},
+		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: node}, Log: quiet(), Transport: meshTransport{path.mesh, node},
 			Knobs: TestingKnobs{NeighbourAtOnce: true}}) // the neighbour hears of keepers, and isn't to try them first
-		p.subscribers[node] = subscriber
-		p.mesh.host(node+":2", subscriber.Handler())
+		path.subscribers[node] = subscriber
+		path.mesh.host(node+":2", subscriber.Handler())
 	}
-	p.reader.markComplete()
-	p.synchronise(shared) // refused: the other's clock is not known yet
-	p.synchronise(shared)
-	return p
+	path.reader.markComplete()
+	path.synchronise(shared) // refused: the other's clock is not known yet
+	path.synchronise(shared)
+	return path
 }
 
 // putReading has a hub take in a reading of the list that was asked for at asked, and came just now.
--- a/internal/system/distribution/warmup_times_test.go
+++ b/internal/system/distribution/warmup_times_test.go
@@ -16,9 +16,9 @@
 // warm before it is. Danger: all proxies flood it with what waited for it, and it falls over (FAILBACK). Nor does one hold
 // it for cold much longer.
 func TestWarmUpNeverEndsEarly(t *testing.T) {
-	const ms = time.Millisecond
+	const ms = time.Millisecond //nolint:varnamelen // the unit of the table below
 	none, near, far := transit{}, transit{35 * ms, 35 * ms}, transit{110 * ms, 110 * ms}
-	for name, c := range map[string]struct{ read, share, follow, ask transit }{
+	for name, test := range map[string]struct{ read, share, follow, ask transit }{
 		"no delay":                      {none, none, none, none},
 		"reading":                       {near, none, none, none},
 		"reading, answered at once":     {transit{0, 200 * ms}, none, none, none},
@@ -36,12 +36,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := newWarmUpPath(t, c.share)
+				p := newWarmUpPath(t, test.share)
 				p.server.warmUpEnd = time.Now().Add(3 * time.Second)
 				for time.Until(p.server.warmUpEnd) > -maxListLag {
 					for _, step := range []func(){
-						func() { p.read(c.read) }, func() { p.synchronise(c.share) },
-						func() { p.poll("other:1", c.follow) }, func() { p.queryNeighbour(c.ask) },
+						func() { p.read(test.read) }, func() { p.synchronise(test.share) },
+						func() { p.poll("other:1", test.follow) }, func() { p.queryNeighbour(test.ask) },
 						func() { time.Sleep(100 * ms) },
 					} {
 						step()
