--- a/internal/system/distribution/warmup_fleet_faults_test.go
+++ b/internal/system/distribution/warmup_fleet_faults_test.go
@@ -41,62 +41,88 @@
 	w.lastFault[host] = time.Now()
 }
 
-// fault brings some trouble about.
+// fault brings some fault about.
 func (w *warmUpFleet) fault() {
-	for host, end := range w.isolatedUntil {
-		if time.Now().After(end) {
-			delete(w.isolatedUntil, host)
-			w.recordFault(host)
-			w.setPartitions(host, false)
-			if s := w.sources[host]; s != nil {
-				s.setStale(false)
-			}
-		}
-	}
-	cutKeepers := 0
-	for _, chosen := range w.names {
-		if _, cut := w.isolatedUntil[chosen]; cut {
-			cutKeepers++
+	w.endIsolations()
+	isolatedNodes := 0
+	for _, name := range w.names {
+		if w.isIsolated(name) {
+			isolatedNodes++
 		}
 	}
 	chosen := w.names[w.rng.IntN(3)]
 	node := w.proxyNames[w.rng.IntN(len(w.proxyNames))]
-	_, kCut := w.isolatedUntil[chosen]
-	_, nCut := w.isolatedUntil[node]
 	span := time.Second + time.Duration(w.rng.IntN(5000))*time.Millisecond
 	switch w.rng.IntN(faultPeriodSteps) {
 	case 0:
-		if cutKeepers == 0 {
+		if isolatedNodes == 0 {
 			w.isolateFor(chosen, span)
 		}
 	case 1, 2:
-		if !nCut {
+		if !w.isIsolated(node) {
 			w.isolateFor(node, span)
 		}
 	case 3:
-		if cutKeepers == 0 {
-			w.recordFault(chosen)
-			w.polls[chosen]()
-			w.killServer(chosen)
-			w.startServer(chosen)
-			w.poll(chosen)
-			w.faultCounts["keeper anew"]++
-			w.log("anew ", chosen)
+		if isolatedNodes == 0 {
+			w.restartServer(chosen)
 		}
 	case 4:
-		if !nCut {
-			w.recordFault(node)
-			w.killProxy(node)
-			w.startPickingProxy(node)
-			w.faultCounts["proxy anew"]++
-			w.log("anew ", node)
+		if !w.isIsolated(node) {
+			w.restartProxy(node)
 		}
 	case 5:
-		if cutKeepers == 0 && !kCut {
-			w.sources[chosen].setStale(true) // it is not current for a while, but reaches the others
-			w.wg.Go(func() { time.Sleep(span / 3); w.recordFault(chosen); w.sources[chosen].setStale(false) })
-			w.faultCounts["not current"]++
-			w.log("not current ", chosen, " for ", span/3)
+		if isolatedNodes == 0 {
+			w.notCurrentFor(chosen, span/3)
 		}
 	}
 }
+
+// endIsolations ends those whose time is over.
+func (w *warmUpFleet) endIsolations() {
+	for host, end := range w.isolatedUntil {
+		if !time.Now().After(end) {
+			continue
+		}
+		delete(w.isolatedUntil, host)
+		w.recordFault(host)
+		w.setPartitions(host, false)
+		if source := w.sources[host]; source != nil {
+			source.setStale(false)
+		}
+	}
+}
+
+func (w *warmUpFleet) isIsolated(host string) bool {
+	_, isolated := w.isolatedUntil[host]
+	return isolated
+}
+
+func (w *warmUpFleet) restartServer(name string) {
+	w.recordFault(name)
+	w.polls[name]()
+	w.killServer(name)
+	w.startServer(name)
+	w.poll(name)
+	w.faultCounts["keeper anew"]++
+	w.log("anew ", name)
+}
+
+func (w *warmUpFleet) restartProxy(node string) {
+	w.recordFault(node)
+	w.killProxy(node)
+	w.startPickingProxy(node)
+	w.faultCounts["proxy anew"]++
+	w.log("anew ", node)
+}
+
+// notCurrentFor has a node not be current for a while, though it reaches the others.
+func (w *warmUpFleet) notCurrentFor(name string, span time.Duration) {
+	w.sources[name].setStale(true)
+	w.wg.Go(func() {
+		time.Sleep(span)
+		w.recordFault(name)
+		w.sources[name].setStale(false)
+	})
+	w.faultCounts["not current"]++
+	w.log("not current ", name, " for ", span)
+}
--- a/internal/system/distribution/warmup_fleet_serve_test.go
+++ b/internal/system/distribution/warmup_fleet_serve_test.go
@@ -83,53 +83,61 @@
 	w.wg.Go(func() { poller.Run(ctx) })
 }
 
-// serve has every proxy ask for a server twice, and notes what reaches cold and draining ones.
+// serve has every proxy choose a server twice, and records what reaches cold and draining ones.
 func (w *warmUpFleet) serve() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, node := range w.proxyNames {
-		p := w.pickers[node]
-		p.mu.Lock()
+		picker := w.pickers[node]
+		picker.mu.Lock()
 		for range 2 {
-			if !p.serves {
-				break
-			}
-			now := time.Since(p.start)
-			before := p.picker.Stats().WarmUpSends
-			c := p.picker.Choose(now, &pick.Request{Route: w.config.Routes[0], TimeLeft: time.Second}, nil, false)
-			if c.Verdict != pick.Send {
-				continue
-			}
-			p.picker.Done(now, c.Ticket, pick.Served, 0)
-			s, ok := w.trueServers[c.Server.ID]
-			if !ok {
-				continue // 421
-			}
-			cold := time.Now().Before(s.coldUntil)
-			if cold && p.changes[s.zone] < w.evacuated[s.zone] {
-				// Such a proxy goes on at its part of the load: see the postmortem of FAILBACK, what is left.
-				w.faultCounts["cold sends by proxies that have not heard of the evacuation"]++
-				continue
-			}
-			if cold {
-				sent := append(w.sent[c.Server.ID], sentToCold{time.Now(), node, p.picker.Stats().WarmUpSends > before})
-				for time.Since(sent[0].at) >= time.Second {
-					sent = sent[1:]
-				}
-				w.sent[c.Server.ID] = sent
-				if len(sent) > w.worst {
-					w.worst = len(sent)
-					w.worstSecond = w.describeSecond(c.Server.ID, s)
-				}
-				w.faultCounts["cold sends"]++
-			}
-			if _, cut := w.isolatedUntil[node]; !cut && !s.draining.IsZero() {
-				since := laterOf(laterOf(w.lastFault[node], w.lastFault[""]), s.draining.Add(warmUpListLag))
-				w.maxLateness = max(w.maxLateness, time.Since(since))
+			if picker.serves {
+				w.serveOnce(node, picker)
 			}
 		}
-		p.mu.Unlock()
+		picker.mu.Unlock()
+	}
+}
+
+// serveOnce has a proxy choose a server. The caller holds mu, and that of the picker.
+func (w *warmUpFleet) serveOnce(node string, picker *fleetPicker) {
+	now := time.Since(picker.start)
+	sendsBefore := picker.picker.Stats().WarmUpSends
+	choice := picker.picker.Choose(now, &pick.Request{Route: w.config.Routes[0], TimeLeft: time.Second}, nil, false)
+	if choice.Verdict != pick.Send {
+		return
+	}
+	picker.picker.Done(now, choice.Ticket, pick.Served, 0)
+	server, ok := w.trueServers[choice.Server.ID]
+	if !ok {
+		return // 421
+	}
+	if time.Now().Before(server.coldUntil) {
+		if picker.changes[server.zone] < w.evacuated[server.zone] {
+			// Such a proxy goes on at its part of the load: see the postmortem of FAILBACK, what is left.
+			w.faultCounts["cold sends by proxies that have not heard of the evacuation"]++
+			return
+		}
+		asCold := picker.picker.Stats().WarmUpSends > sendsBefore
+		w.recordColdSend(choice.Server.ID, server, sentToCold{time.Now(), node, asCold})
+	}
+	if _, isolated := w.isolatedUntil[node]; !isolated && !server.draining.IsZero() {
+		since := laterOf(laterOf(w.lastFault[node], w.lastFault[""]), server.draining.Add(warmUpListLag))
+		w.maxLateness = max(w.maxLateness, time.Since(since))
+	}
+}
+
+// recordColdSend records a request to a cold server. The caller holds mu.
+func (w *warmUpFleet) recordColdSend(id string, server warmingServer, request sentToCold) {
+	w.sent[id] = append(w.sent[id], request)
+	for time.Since(w.sent[id][0].at) >= time.Second {
+		w.sent[id] = w.sent[id][1:]
+	}
+	if count := len(w.sent[id]); count > w.worst {
+		w.worst = count
+		w.worstSecond = w.describeSecond(id, server)
 	}
+	w.faultCounts["cold sends"]++
 }
 
 // describeSecond says what the last second at a server was made of.
--- a/internal/system/distribution/warmup_fleet_test.go
+++ b/internal/system/distribution/warmup_fleet_test.go
@@ -197,11 +197,18 @@
 	return fmt.Sprint("s", w.ids), warmingServer{zone: s.zone, coldUntil: time.Now().Add(warmUpDuration)}
 }
 
+// evacuation is how far the evacuation of a zone, and what goes with it, has come.
+type evacuation struct {
+	zone  string
+	phase int
+	next  time.Duration // when the next phase begins, since the run began
+}
+
 // run plays a day of some seconds.
 func (w *warmUpFleet) run(seconds int) {
 	const step = 25 * time.Millisecond
 	w.begin = time.Now()
-	next, phase, zone := 8*time.Second, 0, "za"
+	current := evacuation{zone: "za", next: 8 * time.Second}
 	var electAt time.Time
 	for at := time.Duration(0); at < time.Duration(seconds)*time.Second; at = time.Since(w.begin) {
 		if at > 6*time.Second {
@@ -211,58 +218,69 @@
 			w.elect()
 			electAt = time.Now()
 		}
-		if at >= next {
-			other := map[string]string{"za": "zb", "zb": "za"}[zone]
-			switch phase {
-			case 0:
-				w.evacuated[zone] = w.chain.add(controlstate.Record{Op: controlstate.OpEvacuate, Zone: zone})
-				w.log("evacuated ", zone)
-				next, phase = at+time.Second+time.Duration(w.rng.IntN(3000))*time.Millisecond, 1
-			case 1: // the other zone goes down and comes back cold, or one of its servers drains
-				if w.rng.IntN(2) == 0 {
-					w.change(other, w.replaceServer)
-					w.faultCounts["zone anew"]++
-					w.log("anew with new ids ", other)
-				} else {
-					first := true
-					w.change(other, func(id string, s warmingServer) (string, warmingServer) {
-						if first && s.draining.IsZero() {
-							s.draining = time.Now()
-							first = false
-							w.faultCounts["draining"]++
-						}
-						return id, s
-					})
-				}
-				next, phase = at+time.Duration(w.rng.IntN(2000))*time.Millisecond, 2
-			case 2: // cold anew, under the old ids
-				w.log("cold under its ids ", zone)
-				w.change(zone, func(id string, s warmingServer) (string, warmingServer) {
-					s.coldUntil = time.Now().Add(warmUpDuration)
-					return id, s
-				})
-				next, phase = at+time.Duration(w.rng.IntN(2400))*time.Millisecond, 3
-			case 3:
-				w.chain.add(controlstate.Record{Op: controlstate.OpReadmit, Zone: zone})
-				w.faultCounts["taken back"]++
-				w.log("taken back ", zone)
-				next, phase = at+4*time.Second, 4
-			case 4: // draining ones have ended
-				w.change(other, func(id string, s warmingServer) (string, warmingServer) {
-					if !s.draining.IsZero() {
-						return w.replaceServer(id, s)
-					}
-					return id, s
-				})
-				zone = other
-				next, phase = at+time.Duration(3000+w.rng.IntN(2000))*time.Millisecond, 0
-			}
+		if at >= current.next {
+			w.advance(&current, at)
 		}
 		w.serve()
 		time.Sleep(step)
 	}
 }
 
+// advance plays the next phase of an evacuation.
+func (w *warmUpFleet) advance(e *evacuation, at time.Duration) {
+	other := map[string]string{"za": "zb", "zb": "za"}[e.zone]
+	pause := func(n int) time.Duration { return time.Duration(w.rng.IntN(n)) * time.Millisecond }
+	switch e.phase {
+	case 0:
+		w.evacuated[e.zone] = w.chain.add(controlstate.Record{Op: controlstate.OpEvacuate, Zone: e.zone})
+		w.log("evacuated ", e.zone)
+		e.next, e.phase = at+time.Second+pause(3000), 1
+	case 1: // the other zone goes down and comes back cold, or one of its servers drains
+		w.disturb(other)
+		e.next, e.phase = at+pause(2000), 2
+	case 2: // cold again, under the old ids
+		w.log("cold under its ids ", e.zone)
+		w.change(e.zone, func(id string, server warmingServer) (string, warmingServer) {
+			server.coldUntil = time.Now().Add(warmUpDuration)
+			return id, server
+		})
+		e.next, e.phase = at+pause(2400), 3
+	case 3:
+		w.chain.add(controlstate.Record{Op: controlstate.OpReadmit, Zone: e.zone})
+		w.faultCounts["taken back"]++
+		w.log("taken back ", e.zone)
+		e.next, e.phase = at+4*time.Second, 4
+	case 4: // draining ones have ended
+		w.change(other, func(id string, server warmingServer) (string, warmingServer) {
+			if !server.draining.IsZero() {
+				return w.replaceServer(id, server)
+			}
+			return id, server
+		})
+		e.zone = other
+		e.next, e.phase = at+time.Duration(3000+w.rng.IntN(2000))*time.Millisecond, 0
+	}
+}
+
+// disturb has a zone come back cold with new ids, or one of its servers drain.
+func (w *warmUpFleet) disturb(zone string) {
+	if w.rng.IntN(2) == 0 {
+		w.change(zone, w.replaceServer)
+		w.faultCounts["zone anew"]++
+		w.log("anew with new ids ", zone)
+		return
+	}
+	first := true
+	w.change(zone, func(id string, server warmingServer) (string, warmingServer) {
+		if first && server.draining.IsZero() {
+			server.draining = time.Now()
+			first = false
+			w.faultCounts["draining"]++
+		}
+		return id, server
+	})
+}
+
 // disagreements ends all troubles, and tells of proxies that then hold other servers than the keeper whose duty the list is.
 func (w *warmUpFleet) disagreements() (differ []string) {
 	for host := range w.isolatedUntil {
