--- a/internal/system/distribution/commit_log_test.go
+++ b/internal/system/distribution/commit_log_test.go
@@ -13,7 +13,7 @@
 func TestCommitLog(t *testing.T) {
 	var commits commitLog
 	begin := time.Now()
-	at := func(d time.Duration) time.Time { return begin.Add(d) }
+	at := begin.Add
 	if got := commits.committedBefore(begin); got != 0 {
 		t.Errorf("%d before any", got)
 	}
--- a/internal/system/distribution/fleet_catchup_test.go
+++ b/internal/system/distribution/fleet_catchup_test.go
@@ -25,7 +25,7 @@
 	t.Helper()
 	fleet := newFleet("k1:1", "k2:1", "k3:1")
 	defer fleet.stop()
-	fleet.chain.add(largeConfig(t, 1, size, rand.NewChaCha8([32]byte{7})))
+	fleet.chain.add(largeConfig(t, size, rand.NewChaCha8([32]byte{7})))
 	proxy := fleet.startProxy("p", nil)
 	within(t, 5*time.Second, "it starts", func() bool { return proxy.update().State != nil && proxy.update().State.Seq == 1 })
 	fleet.isolate("p", true)
@@ -97,7 +97,7 @@
 		const proxies = 410
 		fleet := newFleet("k1:1")
 		defer fleet.stop()
-		seq := fleet.chain.add(largeConfig(t, 1, 100<<10, rand.NewChaCha8([32]byte{8})))
+		seq := fleet.chain.add(largeConfig(t, 100<<10, rand.NewChaCha8([32]byte{8})))
 		for i := range proxies {
 			fleet.startProxy(fmt.Sprint("p", i), nil)
 		}
--- a/internal/system/distribution/loopback_test.go
+++ b/internal/system/distribution/loopback_test.go
@@ -21,7 +21,7 @@
 // serve serves a handler on a loopback port until the test ends.
 func serve(tb testing.TB, h http.Handler) (address string, seen *atomic.Int64) {
 	tb.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	ln, err := (&net.ListenConfig{}).Listen(tb.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -127,75 +127,103 @@
 	}
 }
 
+// benchmarkFleet is a server and subscribers over loopback.
+type benchmarkFleet struct {
+	server      *Server
+	list        []pick.Server
+	subscribers []*Subscriber
+	tick        atomic.Int64 // changes all loads
+}
+
+const (
+	benchmarkSubscribers = 100
+	benchmarkServers     = 400
+)
+
+// loadsOf gives the loads of a subscriber at this tick.
+func (f *benchmarkFleet) loadsOf(subscriber int) map[string]pick.Load {
+	out := make(map[string]pick.Load, 40)
+	tick := int(f.tick.Load())
+	for i := range 40 {
+		id := f.list[(subscriber*41+i*10)%benchmarkServers].ID
+		out[id] = pick.Load{Requests: 1 + (tick+i+subscriber)%5, Prefill: int64(tick*i%9) * 700, Tokens: int64((tick+subscriber)%11) * 900}
+	}
+	return out
+}
+
+// caughtUp tells whether all subscribers are fresh and know each other.
+func (f *benchmarkFleet) caughtUp() bool {
+	for _, subscriber := range f.subscribers {
+		if update := subscriber.Current(); !update.Fresh || len(update.Members) != benchmarkSubscribers {
+			return false
+		}
+	}
+	return true
+}
+
+// putList has the server read the list.
+func (f *benchmarkFleet) putList(b *testing.B, version uint64) {
+	b.Helper()
+	if err := f.server.PutList(1, version, f.list, madeAgo(softstate.Age{})); err != nil {
+		b.Fatal(err)
+	}
+}
+
 func benchmarkServer(b *testing.B, pace time.Duration, busy bool) {
-	const followers, servers = 100, 400
-	src := &fakeSource{fakeChain: newChain()}
-	server := NewServer(ServerOptions{Source: src, Self: "k", Log: quiet(), Limits: ServerLimits{LoadReportInterval: pace, TableCompleteAfter: time.Millisecond}})
-	address, bytes := serve(b, server.Handler())
-	src.addresses = []string{address}
+	b.Helper()
+	source := &fakeSource{fakeChain: newChain()}
+	fleet := &benchmarkFleet{server: NewServer(ServerOptions{Source: source, Self: "k", Log: quiet(),
+		Limits: ServerLimits{LoadReportInterval: pace, TableCompleteAfter: time.Millisecond}})}
+	address, bytes := serve(b, fleet.server.Handler())
+	source.addresses = []string{address}
 	ctx, cancel := context.WithCancel(b.Context())
 	var wg sync.WaitGroup
-	wg.Go(func() { server.Run(ctx) })
-	list := make([]pick.Server, servers)
-	for i := range list {
-		list[i] = pick.Server{ID: fmt.Sprintf("i-%08x", i*7919), Service: "a", Address: "10.0.0.1:8080", Zone: "z", Slots: 64}
+	wg.Go(func() { fleet.server.Run(ctx) })
+	for i := range benchmarkServers {
+		fleet.list = append(fleet.list, pick.Server{ID: fmt.Sprintf("i-%08x", i*7919), Service: "a", Address: "10.0.0.1:8080", Zone: "z", Slots: 64})
 	}
-	src.add(none())
-	if err := server.PutList(1, 1, list, madeAgo(softstate.Age{})); err != nil {
-		b.Fatal(err)
-	}
-	var tick atomic.Int64
+	source.add(none())
+	fleet.putList(b, 1)
 	transport := rpc.NewTransport()
-	transport.MaxIdleConns, transport.MaxIdleConnsPerHost = 0, 2*followers
-	all := make([]*Subscriber, followers)
-	for changes := range all {
-		all[changes] = NewSubscriber(SubscriberOptions{Seeds: []string{address}, Self: softstate.Member{Node: fmt.Sprint("p", changes), Ready: true}, Log: quiet(),
-			Transport: transport, Loads: func() map[string]pick.Load {
-				if !busy {
-					return nil
-				}
-				out := make(map[string]pick.Load, 40)
-				at := int(tick.Load())
-				for i := range 40 {
-					out[list[(changes*41+i*10)%servers].ID] = pick.Load{Requests: 1 + (at+i+changes)%5, Prefill: int64(at*i%9) * 700, Tokens: int64((at+changes)%11) * 900}
-				}
-				return out
-			}})
-		wg.Go(func() { all[changes].Run(ctx) })
-	}
-	for b.Context().Err() == nil {
-		ok := true
-		for _, subscriber := range all {
-			if update := subscriber.Current(); !update.Fresh || len(update.Members) != followers {
-				ok = false
-			}
-		}
-		if ok {
-			break
+	transport.MaxIdleConns, transport.MaxIdleConnsPerHost = 0, 2*benchmarkSubscribers
+	for n := range benchmarkSubscribers {
+		options := SubscriberOptions{Seeds: []string{address}, Self: softstate.Member{Node: fmt.Sprint("p", n), Ready: true}, Log: quiet(),
+			Transport: transport, Loads: func() map[string]pick.Load { return nil }}
+		if busy {
+			options.Loads = func() map[string]pick.Load { return fleet.loadsOf(n) }
 		}
+		subscriber := NewSubscriber(options)
+		fleet.subscribers = append(fleet.subscribers, subscriber)
+		wg.Go(func() { subscriber.Run(ctx) })
+	}
+	for b.Context().Err() == nil && !fleet.caughtUp() {
 		sleep(ctx, 50*time.Millisecond)
 	}
 	sleep(ctx, time.Second)
+	fleet.measure(ctx, b, busy, bytes)
+	cancel()
+	wg.Wait()
+	transport.CloseIdleConnections()
+}
+
+// measure lets the fleet work, and reports what that takes.
+func (f *benchmarkFleet) measure(ctx context.Context, b *testing.B, busy bool, bytes *atomic.Int64) {
+	b.Helper()
 	b.ResetTimer()
 	startCPU, startBytes, start := cpu(), bytes.Load(), time.Now()
 	version := uint64(1)
 	for b.Loop() {
-		// One operation is a tenth of a second of life.
-		tick.Add(1)
+		// One operation is a tenth of a second of work.
+		f.tick.Add(1)
 		if busy {
 			version++
-			i := int(version) % servers
-			list[i].Draining = !list[i].Draining
-			if err := server.PutList(1, version, list, madeAgo(softstate.Age{})); err != nil {
-				b.Fatal(err)
-			}
+			changed := &f.list[int(version)%benchmarkServers]
+			changed.Draining = !changed.Draining
+			f.putList(b, version)
 		}
 		sleep(ctx, 100*time.Millisecond)
 	}
-	seconds := time.Since(start).Seconds() * followers
+	seconds := time.Since(start).Seconds() * benchmarkSubscribers
 	b.ReportMetric((cpu()-startCPU).Seconds()*1000/seconds, "cpu-ms/follower/s")
 	b.ReportMetric(float64(bytes.Load()-startBytes)/seconds, "B/follower/s")
-	cancel()
-	wg.Wait()
-	transport.CloseIdleConnections()
 }
--- a/internal/system/distribution/mismatched_reply_test.go
+++ b/internal/system/distribution/mismatched_reply_test.go
@@ -38,7 +38,7 @@
 
 // serve answers the requests of a connection until an act ends it.
 func (p *scriptedPeer) serve(conn net.Conn) {
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	for {
 		r, err := http.ReadRequest(reader)
@@ -96,7 +96,7 @@
 // newScriptedSubscriber is a follower of a scripted peer on loopback.
 func newScriptedSubscriber(t *testing.T, script func(uint32) string) (subscriber *Subscriber, scripted *scriptedPeer, address string) {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,7 +104,7 @@
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for {
-			c, err := ln.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -113,11 +113,11 @@
 	})
 	transport := rpc.NewTransport()
 	t.Cleanup(func() {
-		_ = ln.Close()
+		_ = listener.Close()
 		transport.CloseIdleConnections()
 		wg.Wait()
 	})
-	return NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet(), Transport: transport}), scripted, ln.Addr().String()
+	return NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet(), Transport: transport}), scripted, listener.Addr().String()
 }
 
 // TestReplyReachesItsCallAlone: whatever a peer does, on fresh connections and on ones that are used again, in any order: a
--- a/internal/system/distribution/reply_budget_test.go
+++ b/internal/system/distribution/reply_budget_test.go
@@ -20,7 +20,7 @@
 func TestPendingRepliesAreBounded(t *testing.T) {
 	chain := newChain()
 	server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: chain, addresses: []string{"k"}}, Self: "k", Log: quiet(), Limits: ServerLimits{MaxPendingReplyBytes: 1500 << 10}})
-	chain.add(largeConfig(t, 1, 1<<20, rand.NewChaCha8([32]byte{5})))
+	chain.add(largeConfig(t, 1<<20, rand.NewChaCha8([32]byte{5})))
 	ask := func(node string, held uint64) (*distributionpb.FollowReply, func()) {
 		ctx, release := withReservation(t.Context())
 		reply, err := server.Follow(ctx, &distributionpb.FollowRequest{Member: softstate.Member{Node: node, Incarnation: 1}.ToProto(), Seq: held})
@@ -59,11 +59,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		chain := newChain()
 		server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: chain, addresses: []string{"k"}}, Self: "k", Log: quiet()})
-		chain.add(largeConfig(t, 1, 4<<20, rand.NewChaCha8([32]byte{6})))
+		chain.add(largeConfig(t, 4<<20, rand.NewChaCha8([32]byte{6})))
 		ends := make(chan net.Conn)
 		srv := &http.Server{Handler: server.Handler()}
 		go func() { _ = srv.Serve(pipes{ends}) }()
-		defer srv.Close()
+		defer func() { _ = srv.Close() }()
 		call := func(node string) net.Conn {
 			near, far := net.Pipe()
 			ends <- far
@@ -74,8 +74,8 @@
 			}
 			return near
 		}
-		deaf := call("deaf")
-		defer deaf.Close()
+		unread := call("unread")
+		defer func() { _ = unread.Close() }()
 		time.Sleep(time.Second)
 		server.replyBudget.mu.Lock()
 		held := server.replyBudget.reservedBytes
@@ -84,7 +84,7 @@
 			t.Errorf("the run brought nothing about: %d bytes are held", held)
 		}
 		other := call("other")
-		defer other.Close()
+		defer func() { _ = other.Close() }()
 		head := make([]byte, 15)
 		if _, err := other.Read(head); err != nil || !strings.HasPrefix(string(head), "HTTP/1.1 200") {
 			t.Errorf("%q, %v", head, err)
--- a/internal/system/distribution/slow_link_test.go
+++ b/internal/system/distribution/slow_link_test.go
@@ -16,10 +16,10 @@
 )
 
 // largeConfig is a change to a whole configuration with a service's worth of routes, of about the given number of bytes.
-func largeConfig(tb testing.TB, revision int64, size int, random *rand.ChaCha8) controlstate.Record {
+func largeConfig(tb testing.TB, size int, random *rand.ChaCha8) controlstate.Record {
 	tb.Helper()
 	var b bytes.Buffer
-	fmt.Fprintf(&b, `{"revision":%d,"services":[{"name":"s"}],"routes":[`, revision)
+	b.WriteString(`{"revision":1,"services":[{"name":"s"}],"routes":[`)
 	for i := 0; b.Len() < size; i++ {
 		if i > 0 {
 			b.WriteByte(',')
@@ -31,7 +31,7 @@
 		fmt.Fprintf(&b, `{"name":"r%d","hostname":"h.example","path_prefix":"/%d/%s/","category":"idempotent","timeout_ms":1000,"target":"s"}`, i, i, name)
 	}
 	b.WriteString(`]}`)
-	return controlstate.Record{Op: controlstate.OpReplace, Base: revision - 1, Body: b.Bytes()}
+	return controlstate.Record{Op: controlstate.OpReplace, Base: 0, Body: b.Bytes()}
 }
 
 // slowTransport is a network whose answers come at some bytes each 100 ms.
@@ -69,7 +69,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			fleet := newFleet("k1:1")
 			defer fleet.stop()
-			fleet.chain.add(largeConfig(t, 1, c.size, rand.NewChaCha8([32]byte{1})))
+			fleet.chain.add(largeConfig(t, c.size, rand.NewChaCha8([32]byte{1})))
 			start := time.Now()
 			proxy := fleet.startProxy("p", func(options *SubscriberOptions) { options.Transport = slowTransport{options.Transport, c.rate} })
 			within(t, 10*time.Second, fmt.Sprint(c.size, " bytes arrive"), func() bool { return proxy.update().State != nil && proxy.update().State.Seq == 1 })
@@ -87,7 +87,7 @@
 			options.Self.Zone, options.Transport = "zone-k1:1", stallingTransport{options.Transport, "k1:1"}
 		})
 		time.Sleep(3 * time.Second)
-		seq := fleet.chain.add(largeConfig(t, 1, 256<<10, rand.NewChaCha8([32]byte{2})))
+		seq := fleet.chain.add(largeConfig(t, 256<<10, rand.NewChaCha8([32]byte{2})))
 		within(t, 2*time.Second, "the change arrives", func() bool { return proxy.update().State.Seq == seq })
 	})
 }
@@ -127,7 +127,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1", "k2:1", "k3:1")
 		defer fleet.stop()
-		fleet.chain.add(largeConfig(t, 1, 600<<10, rand.NewChaCha8([32]byte{3})))
+		fleet.chain.add(largeConfig(t, 600<<10, rand.NewChaCha8([32]byte{3})))
 		time.Sleep(5 * time.Second)
 		fleet.mesh.mu.Lock()
 		before := fleet.mesh.bytes
@@ -149,7 +149,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1")
 		defer fleet.stop()
-		fleet.chain.add(largeConfig(t, 1, 600<<10, rand.NewChaCha8([32]byte{4})))
+		fleet.chain.add(largeConfig(t, 600<<10, rand.NewChaCha8([32]byte{4})))
 		fleet.startProxy("p", func(options *SubscriberOptions) { options.Transport = refusingTransport{options.Transport} })
 		time.Sleep(10 * time.Second)
 		fleet.mesh.mu.Lock()
--- a/internal/system/distribution/testfleet_test.go
+++ b/internal/system/distribution/testfleet_test.go
@@ -118,21 +118,20 @@
 		return nil, err
 	}
 	s.mesh.mu.Lock()
-	h := s.mesh.hosts[to]
+	handler := s.mesh.hosts[to]
 	s.mesh.mu.Unlock()
-	if h == nil {
+	if handler == nil {
 		return nil, errors.New("connection refused")
 	}
 	done := make(chan *http.Response, 1)
 	s.mesh.wg.Add(1)
-	go func() {
+	go func() { //nolint:contextcheck // the host does not notice that its caller went away, as behind a silent partition
 		defer s.mesh.wg.Done()
 		s.mesh.awaitDelivery(s.name, to)
-		// The host does not notice that the caller went away, as behind a silent cut.
 		in := r.Clone(context.WithoutCancel(r.Context()))
 		in.Body = io.NopCloser(newReader(body))
 		w := httptest.NewRecorder()
-		h.ServeHTTP(w, in)
+		handler.ServeHTTP(w, in)
 		s.mesh.awaitDelivery(to, s.name)
 		done <- w.Result()
 	}()
--- a/internal/system/distribution/warmup_fleet_serve_test.go
+++ b/internal/system/distribution/warmup_fleet_serve_test.go
@@ -21,7 +21,7 @@
 
 // List implements platform.Lister, for one keeper.
 type fleetLister struct {
-	w     *warmUpFleet
+	fleet *warmUpFleet
 	calls uint64
 }
 
@@ -32,15 +32,15 @@
 	if !sleep(ctx, time.Millisecond+rand.N(60*time.Millisecond)) {
 		return nil, ctx.Err()
 	}
-	l.w.mu.Lock()
+	l.fleet.mu.Lock()
 	now := time.Now()
 	var list []platform.Instance
-	for _, s := range slices.Backward(l.w.listHistory) {
+	for _, s := range slices.Backward(l.fleet.listHistory) {
 		if now.Sub(s.at) < warmUpListLag {
 			continue
 		}
 		for id, v := range s.servers {
-			if rand.N(100) < l.w.missing {
+			if rand.N(100) < l.fleet.missing {
 				continue
 			}
 			i := platform.Instance{ID: id, Target: "a", Address: id, Zone: v.zone, Slots: 1000, WarmUpLeft: max(0, v.coldUntil.Sub(now))}
@@ -51,7 +51,7 @@
 		}
 		break
 	}
-	l.w.mu.Unlock()
+	l.fleet.mu.Unlock()
 	slices.SortFunc(list, func(a, b platform.Instance) int { return cmp.Compare(a.ID, b.ID) })
 	if !sleep(ctx, time.Millisecond+rand.N(60*time.Millisecond)) {
 		return nil, ctx.Err()
@@ -60,18 +60,18 @@
 }
 
 // poll has a keeper poll the platform.
-func (w *warmUpFleet) poll(k string) {
+func (w *warmUpFleet) poll(node string) {
 	ctx, cancel := context.WithCancel(context.Background())
-	w.polls[k] = cancel
-	server := w.servers[k]
-	poller := platform.NewPoller(platform.PollerOptions{Lister: &fleetLister{w: w}, Newest: server.ListVersion, Log: quiet(),
+	w.polls[node] = cancel
+	server := w.servers[node]
+	poller := platform.NewPoller(platform.PollerOptions{Lister: &fleetLister{fleet: w}, Newest: server.ListVersion, Log: quiet(),
 		Ownership: func() (uint64, bool) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if w.sources[k].Current() {
-				w.seen[k] = w.epoch
+			if w.sources[node].Current() {
+				w.seen[node] = w.epoch
 			}
-			return w.seen[k], w.owner == k && w.seen[k] == w.epoch
+			return w.seen[node], w.owner == node && w.seen[node] == w.epoch
 		},
 		OnResult: func(r platform.Result) {
 			var servers []pick.Server
--- a/internal/system/distribution/warmup_fleet_test.go
+++ b/internal/system/distribution/warmup_fleet_test.go
@@ -227,29 +227,29 @@
 }
 
 // advance plays the next phase of an evacuation.
-func (w *warmUpFleet) advance(e *evacuation, at time.Duration) {
-	other := map[string]string{"za": "zb", "zb": "za"}[e.zone]
+func (w *warmUpFleet) advance(current *evacuation, at time.Duration) {
+	other := map[string]string{"za": "zb", "zb": "za"}[current.zone]
 	pause := func(n int) time.Duration { return time.Duration(w.rng.IntN(n)) * time.Millisecond }
-	switch e.phase {
+	switch current.phase {
 	case 0:
-		w.evacuated[e.zone] = w.chain.add(controlstate.Record{Op: controlstate.OpEvacuate, Zone: e.zone})
-		w.log("evacuated ", e.zone)
-		e.next, e.phase = at+time.Second+pause(3000), 1
+		w.evacuated[current.zone] = w.chain.add(controlstate.Record{Op: controlstate.OpEvacuate, Zone: current.zone})
+		w.log("evacuated ", current.zone)
+		current.next, current.phase = at+time.Second+pause(3000), 1
 	case 1: // the other zone goes down and comes back cold, or one of its servers drains
 		w.disturb(other)
-		e.next, e.phase = at+pause(2000), 2
+		current.next, current.phase = at+pause(2000), 2
 	case 2: // cold again, under the old ids
-		w.log("cold under its ids ", e.zone)
-		w.change(e.zone, func(id string, server warmingServer) (string, warmingServer) {
+		w.log("cold under its ids ", current.zone)
+		w.change(current.zone, func(id string, server warmingServer) (string, warmingServer) {
 			server.coldUntil = time.Now().Add(warmUpDuration)
 			return id, server
 		})
-		e.next, e.phase = at+pause(2400), 3
+		current.next, current.phase = at+pause(2400), 3
 	case 3:
-		w.chain.add(controlstate.Record{Op: controlstate.OpReadmit, Zone: e.zone})
+		w.chain.add(controlstate.Record{Op: controlstate.OpReadmit, Zone: current.zone})
 		w.faultCounts["taken back"]++
-		w.log("taken back ", e.zone)
-		e.next, e.phase = at+4*time.Second, 4
+		w.log("taken back ", current.zone)
+		current.next, current.phase = at+4*time.Second, 4
 	case 4: // draining ones have ended
 		w.change(other, func(id string, server warmingServer) (string, warmingServer) {
 			if !server.draining.IsZero() {
@@ -257,8 +257,8 @@
 			}
 			return id, server
 		})
-		e.zone = other
-		e.next, e.phase = at+time.Duration(3000+w.rng.IntN(2000))*time.Millisecond, 0
+		current.zone = other
+		current.next, current.phase = at+time.Duration(3000+w.rng.IntN(2000))*time.Millisecond, 0
 	}
 }
 
--- a/internal/system/distribution/warmup_times_test.go
+++ b/internal/system/distribution/warmup_times_test.go
@@ -36,22 +36,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := newWarmUpPath(t, test.share)
-				p.server.warmUpEnd = time.Now().Add(3 * time.Second)
-				for time.Until(p.server.warmUpEnd) > -maxListLag {
+				path := newWarmUpPath(t, test.share)
+				path.server.warmUpEnd = time.Now().Add(3 * time.Second)
+				for time.Until(path.server.warmUpEnd) > -maxListLag {
 					for _, step := range []func(){
-						func() { p.read(test.read) }, func() { p.synchronise(test.share) },
-						func() { p.poll("other:1", test.follow) }, func() { p.queryNeighbour(test.ask) },
+						func() { path.read(test.read) }, func() { path.synchronise(test.share) },
+						func() { path.poll("other:1", test.follow) }, func() { path.queryNeighbour(test.ask) },
 						func() { time.Sleep(100 * ms) },
 					} {
 						step()
-						p.check()
+						path.check()
 					}
 				}
-				if len(p.early) > 0 {
-					t.Errorf("the cold state ends early by %v", p.early)
+				if len(path.early) > 0 {
+					t.Errorf("the cold state ends early by %v", path.early)
 				}
-				if held := p.stored(); len(held) != 2 || held["proxy"].WarmUpMax > 0 || held["neighbour"].WarmUpMax > 0 {
+				if held := path.stored(); len(held) != 2 || held["proxy"].WarmUpMax > 0 || held["neighbour"].WarmUpMax > 0 {
 					t.Errorf("%v after the true end: %+v", maxListLag, held)
 				}
 			})
