--- a/cmd/controlplane/run.go
+++ b/cmd/controlplane/run.go
@@ -90,10 +90,10 @@
 
 func (k *keeper) operatorCalls() http.Handler {
 	options := operatorapi.Options{Chain: k.chain, AckTimeout: settings.Milliseconds(k.settings.Bounds.Ack), Log: k.log,
-		Current:     func() *controlstate.State { state, _ := k.chain.Committed(); return state },
-		Stalled:     k.stalls.Stalled,
-		Partitioned: k.chain.Partitioned,
-		Status:      k.status, Backup: admin.BackupHandler(k.chain.Read)}
+		CommittedState: func() *controlstate.State { state, _ := k.chain.Committed(); return state },
+		Stalled:        k.stalls.Stalled,
+		Partitioned:    k.chain.Partitioned,
+		Status:         k.status, Backup: admin.BackupHandler(k.chain.Read)}
 	if k.feed != nil {
 		options.WaitDelivered = k.feed.delivered
 	}
--- a/internal/system/operatorapi/body.go
+++ b/internal/system/operatorapi/body.go
@@ -10,51 +10,51 @@
 	"github.com/cockroachdb/errors"
 )
 
-// bodyStep is how much more a body whose length is not told may hold at a time, in bytes.
-const bodyStep = 64 << 10
+// bodyChunkBytes is how much more a body whose length is not told may hold at a time, in bytes.
+const bodyChunkBytes = 64 << 10
 
-// errBodies: the bodies of all calls together are too large.
-var errBodies = errors.New("this keeper holds too many bodies: send the change again, or to another keeper")
+// errTooManyBodies: the bodies of all calls together are too large.
+var errTooManyBodies = errors.New("this keeper holds too many bodies: send the change again, or to another keeper")
 
 // readBody reads a body within the bounds of size and time. Call release when it is not needed any more, also after an
-// error. Errors are errBodies, a *http.MaxBytesError or those of the connection.
+// error. Errors are errTooManyBodies, a *http.MaxBytesError or those of the connection.
 func (a *api) readBody(w http.ResponseWriter, r *http.Request) (body []byte, release func(), err error) {
-	rc := http.NewResponseController(w)
+	controller := http.NewResponseController(w)
 	// Writers that know no deadlines (those of tests) are bounded by whoever made them.
-	if rc.SetReadDeadline(time.Now().Add(bodyTimeout)) == nil {
-		defer func() { _ = rc.SetReadDeadline(time.Time{}) }()
+	if controller.SetReadDeadline(time.Now().Add(bodyTimeout)) == nil {
+		defer func() { _ = controller.SetReadDeadline(time.Time{}) }()
 	}
 	var reserved int64
-	release = func() { a.bodies.release(reserved) }
+	release = func() { a.bodyBudget.release(reserved) }
 	reserve := func(n int64) bool {
-		if !a.bodies.reserve(n) {
+		if !a.bodyBudget.tryReserve(n) {
 			return false
 		}
 		reserved += n
 		return true
 	}
-	in := http.MaxBytesReader(w, r.Body, maxBody)
+	in := http.MaxBytesReader(w, r.Body, maxBodyBytes)
 	if r.ContentLength >= 0 {
 		if !reserve(r.ContentLength) {
-			return nil, release, errBodies
+			return nil, release, errTooManyBodies
 		}
 		body = make([]byte, r.ContentLength)
 		_, err = io.ReadFull(in, body)
 		return body, release, err
 	}
-	body, err = readSteps(in, reserve)
+	body, err = readChunks(in, reserve)
 	return body, release, err
 }
 
-// readSteps reads to the end, and reserves room before it takes more.
-func readSteps(in io.Reader, reserve func(int64) bool) ([]byte, error) {
+// readChunks reads to the end, and reserves room before it takes more.
+func readChunks(in io.Reader, reserve func(int64) bool) ([]byte, error) {
 	var body []byte
 	for {
-		if !reserve(bodyStep) {
-			return nil, errBodies
+		if !reserve(bodyChunkBytes) {
+			return nil, errTooManyBodies
 		}
-		body = slices.Grow(body, bodyStep)
-		for end := len(body) + bodyStep; len(body) < end; {
+		body = slices.Grow(body, bodyChunkBytes)
+		for end := len(body) + bodyChunkBytes; len(body) < end; {
 			n, err := in.Read(body[len(body):end])
 			body = body[:len(body)+n]
 			if errors.Is(err, io.EOF) {
@@ -67,24 +67,24 @@
 	}
 }
 
-// budget bounds the bytes that all calls hold together.
-type budget struct {
-	mu   sync.Mutex
-	left int64
+// byteBudget bounds the bytes that all calls hold together.
+type byteBudget struct {
+	mu        sync.Mutex
+	available int64
 }
 
-func (b *budget) reserve(n int64) bool {
+func (b *byteBudget) tryReserve(n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if n > b.left {
+	if n > b.available {
 		return false
 	}
-	b.left -= n
+	b.available -= n
 	return true
 }
 
-func (b *budget) release(n int64) {
+func (b *byteBudget) release(n int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left += n
+	b.available += n
 }
--- a/internal/system/operatorapi/body_test.go
+++ b/internal/system/operatorapi/body_test.go
@@ -62,7 +62,7 @@
 
 // Bodies whose lengths are not told are bounded all the same, each and all together, and what they held is given back.
 func TestBodiesInChunksAreBounded(t *testing.T) {
-	a := &api{o: Options{Log: quiet()}, bodies: budget{left: 1 << 20}}
+	a := &api{options: Options{Log: quiet()}, bodyBudget: byteBudget{available: 1 << 20}}
 	read := func(size int64) error {
 		r := httptest.NewRequest(http.MethodPost, "/", io.LimitReader(zeros{}, size))
 		r.ContentLength = -1
@@ -73,12 +73,12 @@
 		}
 		return err
 	}
-	for _, size := range []int64{0, 1, bodyStep - 1, bodyStep, bodyStep + 1, 1 << 20} {
+	for _, size := range []int64{0, 1, bodyChunkBytes - 1, bodyChunkBytes, bodyChunkBytes + 1, 1 << 20} {
 		if err := read(size); (err == nil) != (size < 1<<20) {
 			t.Errorf("%d bytes: %v", size, err)
 		}
-		if a.bodies.left != 1<<20 {
-			t.Fatalf("%d bytes: %d bytes left", size, a.bodies.left)
+		if a.bodyBudget.available != 1<<20 {
+			t.Fatalf("%d bytes: %d bytes left", size, a.bodyBudget.available)
 		}
 	}
 }
--- a/internal/system/operatorapi/chain_test.go
+++ b/internal/system/operatorapi/chain_test.go
@@ -107,7 +107,7 @@
 	}
 	c.keepers[m] = k
 	api := operatorapi.Options{Chain: submitter{k}, Log: quiet, Partitioned: k.Partitioned,
-		Current: func() *controlstate.State { s, _ := k.Committed(); return s }}
+		CommittedState: func() *controlstate.State { s, _ := k.Committed(); return s }}
 	if c.patient {
 		api.Partitioned = nil
 	}
--- a/internal/system/operatorapi/connection_test.go
+++ b/internal/system/operatorapi/connection_test.go
@@ -22,11 +22,11 @@
 		took    time.Duration
 	}{
 		"a new connection":              {time.Millisecond, false, 0, 200, 0},
-		"as quiet as may be":            {quietBound, false, 0, 200, 0},
-		"quiet for longer":              {quietBound + 1, false, 0, 200, endWithin},
+		"as quiet as may be":            {idleThreshold, false, 0, 200, 0},
+		"quiet for longer":              {idleThreshold + 1, false, 0, 200, connectionEndTimeout},
 		"20 s on the way":               {20 * time.Second, false, 150 * time.Millisecond, 503, 150 * time.Millisecond},
 		"a connection that is in use":   {time.Millisecond, true, 0, 200, 0},
-		"one that is used again later":  {20 * time.Second, true, 0, 200, endWithin},
+		"one that is used again later":  {20 * time.Second, true, 0, 200, connectionEndTimeout},
 		"20 s on the way on an old one": {20 * time.Second, true, time.Millisecond, 503, time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/system/operatorapi/control_test.go
+++ b/internal/system/operatorapi/control_test.go
@@ -118,9 +118,9 @@
 			chain := &fakeChain{verdict: tt.verdict, err: tt.err, state: state}
 			var delivered []uint64
 			h := Handler(Options{Chain: chain, Log: quiet(),
-				Current:       func() *controlstate.State { return state },
-				Status:        func() any { return map[string]int{"epoch": 3} },
-				WaitDelivered: func(_ context.Context, seq uint64) { delivered = append(delivered, seq) }})
+				CommittedState: func() *controlstate.State { return state },
+				Status:         func() any { return map[string]int{"epoch": 3} },
+				WaitDelivered:  func(_ context.Context, seq uint64) { delivered = append(delivered, seq) }})
 			w := call(h, tt.method, tt.target, body, tt.headers...)
 			if w.Code != tt.status {
 				t.Fatalf("status %d, want %d: %s", w.Code, tt.status, w.Body)
@@ -160,8 +160,8 @@
 
 func TestBodyTooLarge(t *testing.T) {
 	h := Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted}}, Log: quiet()})
-	for name, length := range map[string]int64{"with a length": maxBody + 1, "in chunks": -1} {
-		r := httptest.NewRequest("POST", "/Config.Replace", io.LimitReader(zeros{}, maxBody+1))
+	for name, length := range map[string]int64{"with a length": maxBodyBytes + 1, "in chunks": -1} {
+		r := httptest.NewRequest("POST", "/Config.Replace", io.LimitReader(zeros{}, maxBodyBytes+1))
 		r.ContentLength = length
 		r.Header.Set("X-Base-Version", "0")
 		w := httptest.NewRecorder()
@@ -193,12 +193,12 @@
 }
 
 func TestBodiesTogetherAreBounded(t *testing.T) {
-	b := budget{left: 100}
-	if !b.reserve(60) || b.reserve(50) || !b.reserve(40) {
+	b := byteBudget{available: 100}
+	if !b.tryReserve(60) || b.tryReserve(50) || !b.tryReserve(40) {
 		t.Error("the budget lets through what it should not, or the reverse")
 	}
 	b.release(60)
-	if !b.reserve(50) {
+	if !b.tryReserve(50) {
 		t.Error("what was given back cannot be taken")
 	}
 }
@@ -209,7 +209,7 @@
 		want time.Duration
 	}{
 		"small": {"{}", 700 * time.Millisecond},
-		"large": {strings.Repeat(" ", largeBody+1), 2500 * time.Millisecond},
+		"large": {strings.Repeat(" ", largeBodyBytes+1), 2500 * time.Millisecond},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/system/operatorapi/evacuation_test.go
+++ b/internal/system/operatorapi/evacuation_test.go
@@ -56,9 +56,9 @@
 					return controlstate.Verdict{Kind: controlstate.Superseded}
 				}
 			}
-			o := Options{Chain: chain, Log: quiet(), hooks: hooks{lateFence: tt.late}}
+			o := Options{Chain: chain, Log: quiet(), knobs: TestingKnobs{FenceByConfirmedState: tt.late}}
 			if tt.known {
-				o.Current = func() *controlstate.State { return stateAt(3) }
+				o.CommittedState = func() *controlstate.State { return stateAt(3) }
 			}
 			w := call(Handler(o), "POST", "/Evacuation.Start/z", "")
 			if w.Code != tt.status || len(chain.got) != 1 || chain.got[0].Base != tt.fence {
@@ -74,8 +74,8 @@
 		read func(cancel func()) // what happens while a majority is asked
 		sent int
 	}{
-		"in time":         {func(func()) { time.Sleep(chainWait - time.Millisecond) }, 1}, // of the bubble's clock
-		"too late":        {func(func()) { time.Sleep(chainWait) }, 0},
+		"in time":         {func(func()) { time.Sleep(chainTimeout - time.Millisecond) }, 1}, // of the bubble's clock
+		"too late":        {func(func()) { time.Sleep(chainTimeout) }, 0},
 		"long after":      {func(func()) { time.Sleep(20 * time.Second) }, 0},
 		"the caller left": {func(cancel func()) { cancel() }, 0},
 	} {
@@ -88,7 +88,7 @@
 						tt.read(cancel)
 						return stateAt(4), nil
 					}}
-					h := Handler(Options{Chain: chain, Log: quiet(), hooks: hooks{ignoreCallers: unprotected}})
+					h := Handler(Options{Chain: chain, Log: quiet(), knobs: TestingKnobs{SubmitForGoneCallers: unprotected}})
 					w := httptest.NewRecorder()
 					h.ServeHTTP(w, httptest.NewRequest("POST", "/Evacuation.Finish/z", nil).WithContext(ctx))
 					want := tt.sent
@@ -160,9 +160,9 @@
 // passed on though its caller has gone.
 func TestEvacuationOfACallerThatHasJustGone(t *testing.T) {
 	chain := &scriptedChain{submit: accepted, read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil }}
-	a := &api{o: Options{Chain: chain, Log: quiet()}}
-	o := order{change: controlstate.Change{Op: controlstate.OpEvacuate, Zone: "z"}, arrived: time.Now()}
-	if _, err := a.submitFenced(endedContext{t.Context()}, &o, nil); !errors.Is(err, errGone) || len(chain.got) > 0 {
+	a := &api{options: Options{Chain: chain, Log: quiet()}}
+	o := changeRequest{change: controlstate.Change{Op: controlstate.OpEvacuate, Zone: "z"}, receivedAt: time.Now()}
+	if _, err := a.submitWithFence(endedContext{t.Context()}, &o, nil); !errors.Is(err, errCallerGone) || len(chain.got) > 0 {
 		t.Errorf("%v, %d orders passed on", err, len(chain.got))
 	}
 }
@@ -184,7 +184,7 @@
 	if w := call(Handler(o), "POST", "/Evacuation.Start/z", ""); w.Code != 200 {
 		t.Errorf("status %d", w.Code)
 	}
-	stalled, o.hooks.ignoreStalls = true, true
+	stalled, o.knobs.AcceptAfterStalls = true, true
 	if w := call(Handler(o), "POST", "/Evacuation.Start/z", ""); w.Code != 200 {
 		t.Errorf("the control: status %d", w.Code)
 	}
@@ -198,7 +198,7 @@
 		status int
 	}{
 		"some": {"{}", 2, 200}, "in chunks": {"{}", -1, 200}, "cut short": {"{}", 9, 503},
-		"too much": {strings.Repeat(" ", maxIgnored+1), maxIgnored + 1, 413},
+		"too much": {strings.Repeat(" ", maxDiscardedBodyBytes+1), maxDiscardedBodyBytes + 1, 413},
 	} {
 		chain := &scriptedChain{submit: accepted, read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil }}
 		s := httptest.NewServer(Handler(Options{Chain: chain, Log: quiet()}))
@@ -236,32 +236,32 @@
 		stalled     bool
 	}{
 		"no stall":                   {0, time.Second, false},
-		"a pause":                    {stallBound, 0, false},
-		"the caller is first":        {stallBound + 1, 0, true},
+		"a pause":                    {stallThreshold, 0, false},
+		"the caller is first":        {stallThreshold + 1, 0, true},
 		"a long one":                 {20 * time.Second, 0, true},
-		"the ticker is first":        {20 * time.Second, stallTick, true},
-		"almost a second later":      {20 * time.Second, stallHold - stallTick, true},
-		"a second later":             {20 * time.Second, stallHold + stallTick, false},
-		"a second after a short one": {stallBound + 1, stallHold + stallTick, false},
+		"the ticker is first":        {20 * time.Second, stallCheckInterval, true},
+		"almost a second later":      {20 * time.Second, stallCooldown - stallCheckInterval, true},
+		"a second later":             {20 * time.Second, stallCooldown + stallCheckInterval, false},
+		"a second after a short one": {stallThreshold + 1, stallCooldown + stallCheckInterval, false},
 	} {
 		d, now := NewStallDetector(), time.Now()
-		d.note(now, true)
+		d.observeRunning(now, true)
 		run := func(span time.Duration) {
 			for end := now.Add(span); now.Before(end); {
-				now = now.Add(stallTick)
-				d.note(now, false)
+				now = now.Add(stallCheckInterval)
+				d.observeRunning(now, false)
 			}
 		}
 		run(time.Second)
 		now = now.Add(tt.still)
 		run(tt.runs)
-		if got := d.note(now, false); got != tt.stalled {
+		if got := d.observeRunning(now, false); got != tt.stalled {
 			t.Errorf("%s: %v", name, got)
 		}
 		// A clock that was read before the last note counts as no pause, and no step back.
-		d.note(now.Add(-stallTick), false)
-		if !d.last.Equal(now) {
-			t.Errorf("%s: a late note steps back by %v", name, now.Sub(d.last))
+		d.observeRunning(now.Add(-stallCheckInterval), false)
+		if !d.lastObserved.Equal(now) {
+			t.Errorf("%s: a late note steps back by %v", name, now.Sub(d.lastObserved))
 		}
 	}
 	if !NewStallDetector().Stalled() {
@@ -284,7 +284,7 @@
 		}
 		stop()
 		synctest.Wait()
-		time.Sleep(stallBound + time.Millisecond)
+		time.Sleep(stallThreshold + time.Millisecond)
 		if !d.Stalled() {
 			t.Error("no stall after a pause")
 		}
--- a/internal/system/operatorapi/model_chain_test.go
+++ b/internal/system/operatorapi/model_chain_test.go
@@ -50,7 +50,7 @@
 	untrusted time.Time // until then it counts as just thawed
 }
 
-func newModelWorld(seed uint64, start *controlstate.State, h hooks, c chainHooks) *modelWorld {
+func newModelWorld(seed uint64, start *controlstate.State, h TestingKnobs, c chainHooks) *modelWorld {
 	w := &modelWorld{hooks: c, began: time.Now(), rng: rand.New(rand.NewPCG(seed, 7)), state: start,
 		applied: map[string]time.Duration{}, raw: map[int64]string{}, counts: map[string]int{}}
 	if start.Config != nil {
@@ -59,7 +59,7 @@
 	for range 3 {
 		k := &modelKeeper{modelWorld: w, known: start}
 		k.life, k.kill = context.WithCancel(context.Background())
-		k.handler = Handler(Options{Chain: k, Log: quiet(), Current: k.current, Stalled: k.stalled, hooks: h})
+		k.handler = Handler(Options{Chain: k, Log: quiet(), CommittedState: k.current, Stalled: k.stalled, knobs: h})
 		w.keepers = append(w.keepers, k)
 	}
 	return w
@@ -279,7 +279,7 @@
 			w.count("freeze")
 			k.mu.Lock()
 			k.frozen = later(k.frozen, time.Now().Add(span))
-			k.untrusted = k.frozen.Add(stallHold)
+			k.untrusted = k.frozen.Add(stallCooldown)
 			k.mu.Unlock()
 		case 1:
 			w.count("cut")
--- a/internal/system/operatorapi/model_client_test.go
+++ b/internal/system/operatorapi/model_client_test.go
@@ -95,7 +95,7 @@
 		w.count("request waited through a freeze")
 		time.Sleep(w.between(0, 100*time.Millisecond))
 	}
-	ctx, cancel := context.WithCancel(context.WithValue(life, connectionKey{}, &connection{began: began}))
+	ctx, cancel := context.WithCancel(context.WithValue(life, connectionKey{}, &connection{acceptedAt: began}))
 	defer cancel()
 	endMayBeLost := stood || !held
 	if !endMayBeLost || !w.chance(2, "end of a connection lost") {
--- a/internal/system/operatorapi/model_test.go
+++ b/internal/system/operatorapi/model_test.go
@@ -90,7 +90,7 @@
 })
 
 // play has eight operators of the configuration and two a zone send orders through three keepers in trouble.
-func play(t *testing.T, seed uint64, h hooks, c chainHooks) *modelHistory {
+func play(t *testing.T, seed uint64, h TestingKnobs, c chainHooks) *modelHistory {
 	t.Helper()
 	start, old := controlstate.Empty(), []*modelOrder(nil)
 	if seed%3 == 0 {
@@ -187,7 +187,7 @@
 	}
 	counts, statuses := map[string]int{}, map[int]int{}
 	for seed := range seeds {
-		h := play(t, seed, hooks{}, chainHooks{})
+		h := play(t, seed, TestingKnobs{}, chainHooks{})
 		if wrong, undecided := h.check(2 * time.Minute); len(wrong) > 0 || undecided {
 			t.Fatalf("seed %d (undecided: %v): %s", seed, undecided, strings.Join(wrong, "\n"))
 		}
@@ -223,18 +223,18 @@
 // Each control takes one protection out; the same runs must then find something wrong.
 func TestModelControls(t *testing.T) {
 	for name, c := range map[string]struct {
-		api   hooks
+		api   TestingKnobs
 		chain chainHooks
 	}{
 		"changes are forgotten and refused":       {chain: chainHooks{forgetAndRefuse: true}},
 		"evacuations are not fenced":              {chain: chainHooks{unfenced: true}},
 		"a keeper refuses by what it alone holds": {chain: chainHooks{localVerdict: true}},
 		"an order in force leaves no record":      {chain: chainHooks{silentInForce: true, often: often("change held up")}},
-		"the fence is what a majority told later": {api: hooks{lateFence: true},
+		"the fence is what a majority told later": {api: TestingKnobs{FenceByConfirmedState: true},
 			chain: chainHooks{often: often("slow round", "caller's connection reset", "end of a connection lost")}},
-		"orders whose callers have gone are passed on": {api: hooks{ignoreCallers: true}},
-		"orders are taken right after a stall":         {api: hooks{ignoreStalls: true}},
-		"the end of a connection is not waited for":    {api: hooks{ignoreWaits: true}},
+		"orders whose callers have gone are passed on": {api: TestingKnobs{SubmitForGoneCallers: true}},
+		"orders are taken right after a stall":         {api: TestingKnobs{AcceptAfterStalls: true}},
+		"the end of a connection is not waited for":    {api: TestingKnobs{SkipConnectionEndWait: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(3000) {
--- a/internal/system/operatorapi/stall.go
+++ b/internal/system/operatorapi/stall.go
@@ -8,18 +8,18 @@
 
 // The times of a StallDetector.
 const (
-	stallTick  = 25 * time.Millisecond
-	stallBound = 250 * time.Millisecond // a pause of the process above it counts as a stall
-	stallHold  = time.Second            // bytes that are read so soon after a stall may have come before it
+	stallCheckInterval = 25 * time.Millisecond
+	stallThreshold     = 250 * time.Millisecond // a pause of the process above it counts as a stall
+	stallCooldown      = time.Second            // bytes that are read so soon after a stall may have come before it
 )
 
 // StallDetector tells whether the process stood still a moment ago (it was frozen or stopped, or got no processor), so that
 // what it reads now may have lain in its sockets for long. It measures with the monotonic clock: steps of the wall clock
 // change nothing. Its methods may be called by several goroutines at once.
 type StallDetector struct {
-	mu      sync.Mutex
-	last    time.Time // when the process was last seen to run
-	trusted time.Time // from then on, what is read came after the last stall
+	mu           sync.Mutex
+	lastObserved time.Time // when the process was last seen to run
+	trustedFrom  time.Time // from then on, what is read came after the last stall
 }
 
 // NewStallDetector returns a detector that counts as stalled until Run has been called.
@@ -27,15 +27,15 @@
 
 // Run notes every 25 ms that the process runs, until ctx is done.
 func (d *StallDetector) Run(ctx context.Context) {
-	d.note(time.Now(), true)
-	ticker := time.NewTicker(stallTick)
+	d.observeRunning(time.Now(), true)
+	ticker := time.NewTicker(stallCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			d.note(time.Now(), false)
+			d.observeRunning(time.Now(), false)
 		}
 	}
 }
@@ -43,22 +43,22 @@
 // Stalled tells whether the process stood still for more than 250 ms and runs again for less than a second, or has not run
 // since: whoever comes first after a stall notices it, be it Run or a caller.
 func (d *StallDetector) Stalled() bool {
-	return d.note(time.Now(), false)
+	return d.observeRunning(time.Now(), false)
 }
 
-// note takes in that the process runs at now, and tells whether it stalled shortly before. first is the begin of all notes.
-func (d *StallDetector) note(now time.Time, first bool) (stalled bool) {
+// observeRunning takes in that the process runs at now, and tells whether it stalled shortly before. first is the begin of all notes.
+func (d *StallDetector) observeRunning(now time.Time, starting bool) (stalled bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
-	case first:
-		d.trusted = now
-	case now.Sub(d.last) > stallBound:
-		d.trusted = now.Add(stallHold)
+	case starting:
+		d.trustedFrom = now
+	case now.Sub(d.lastObserved) > stallThreshold:
+		d.trustedFrom = now.Add(stallCooldown)
 	}
 	// Goroutines may come here in another order than they read the clock.
-	if now.After(d.last) {
-		d.last = now
+	if now.After(d.lastObserved) {
+		d.lastObserved = now
 	}
-	return now.Before(d.trusted)
+	return now.Before(d.trustedFrom)
 }
--- a/internal/system/operatorapi/wire_test.go
+++ b/internal/system/operatorapi/wire_test.go
@@ -159,7 +159,7 @@
 func TestWireRefusedBodyIsNoCall(t *testing.T) {
 	const hidden = "POST /Evacuation.Start/z HTTP/1.1\r\nHost: k\r\n\r\n"
 	for name, head := range map[string]string{
-		"too large":      fmt.Sprintf("POST /Config.Replace HTTP/1.1\r\nHost: k\r\nX-Base-Version: 5\r\nContent-Length: %d\r\n\r\n", maxBody+1),
+		"too large":      fmt.Sprintf("POST /Config.Replace HTTP/1.1\r\nHost: k\r\nX-Base-Version: 5\r\nContent-Length: %d\r\n\r\n", maxBodyBytes+1),
 		"without a base": fmt.Sprintf("POST /Config.Replace HTTP/1.1\r\nHost: k\r\nContent-Length: %d\r\n\r\n", len(hidden)),
 		"unknown call":   fmt.Sprintf("POST /Config.Drop HTTP/1.1\r\nHost: k\r\nContent-Length: %d\r\n\r\n", len(hidden)),
 	} {
@@ -187,7 +187,7 @@
 	if resp, body := c.answer("POST"); resp.StatusCode != 200 || body != `{"revision":100}` {
 		t.Errorf("status %d: %s", resp.StatusCode, body)
 	}
-	c.send(fmt.Sprintf("POST /Config.Replace HTTP/1.1\r\nHost: k\r\nX-Base-Version: 5\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", maxBody+1))
+	c.send(fmt.Sprintf("POST /Config.Replace HTTP/1.1\r\nHost: k\r\nX-Base-Version: 5\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", maxBodyBytes+1))
 	if resp, _ := c.answer("POST"); resp.StatusCode != 413 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
@@ -200,13 +200,13 @@
 		synctest.Test(t, func(t *testing.T) {
 			chain := &scriptedChain{read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil },
 				submit: func(c controlstate.Change) controlstate.Verdict {
-					time.Sleep(chainWait - time.Millisecond) // of the bubble's clock
+					time.Sleep(chainTimeout - time.Millisecond) // of the bubble's clock
 					return accepted(c)
 				}}
 			h := Handler(Options{Chain: chain, Log: quiet(), WaitDelivered: func(ctx context.Context, _ uint64) { <-ctx.Done() }})
 			start := time.Now()
 			w := call(h, "POST", target, "", "X-Base-Version", "0")
-			if took := time.Since(start); w.Code != 200 || took > answerWithin {
+			if took := time.Since(start); w.Code != 200 || took > responseTimeout {
 				t.Errorf("%s: status %d after %v", target, w.Code, took)
 			}
 		})
