--- a/internal/compat/keeperdata_test.go
+++ b/internal/compat/keeperdata_test.go
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	current := func() *controlstate.State { s, _ := k.Committed(); return s }
-	h := operatorapi.Handler(operatorapi.Options{Chain: submitter{k}, Log: quiet, Current: current, Backup: admin.BackupHandler(k.Read)})
+	h := operatorapi.Handler(operatorapi.Options{Chain: submitter{k}, Log: quiet, CommittedState: current, Backup: admin.BackupHandler(k.Read)})
 	return &node{t: t, k: k, log: disk, call: h}
 }
 
