--- a/internal/system/admin/restore/restore_test.go
+++ b/internal/system/admin/restore/restore_test.go
@@ -124,7 +124,7 @@
 
 func example(t *testing.T, name string) []byte {
 	t.Helper()
-	data, err := os.ReadFile("../../conf/testdata/" + name)
+	data, err := os.ReadFile("../../config/testdata/" + name)
 	if err != nil {
 		t.Fatal(err)
 	}
