--- /dev/null
+++ b/internal/system/operatorapi/config.go
@@ -0,0 +1,101 @@
+package operatorapi
+
+import (
+	"context"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"github.com/valyala/fastjson"
+
+	"gradeusher.example/gradeusher/internal/system/controlstate"
+)
+
+// handleConfigChange takes a whole configuration or an amendment.
+func (a *api) handleConfigChange(op controlstate.Op) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		base, err := parseBaseVersion(r.Header)
+		if err != nil {
+			writeError(w, http.StatusBadRequest, err.Error())
+			return
+		}
+		if r.ContentLength > maxBodyBytes {
+			writeBodyTooLarge(w)
+			return
+		}
+		body, release, err := a.readBody(w, r)
+		defer release()
+		var large *http.MaxBytesError
+		switch {
+		case errors.Is(err, errTooManyBodies):
+			w.Header().Set("Connection", "close")
+			writeUnavailable(w, errTooManyBodies.Error())
+			return
+		case errors.As(err, &large):
+			writeBodyTooLarge(w)
+			return
+		case err != nil:
+			// No 4xx: what the network cut short is to be sent again, and some callers give up at the third 4xx of any kind.
+			w.Header().Set("Connection", "close")
+			writeUnavailable(w, "the body did not come whole in time: send the change again")
+			return
+		}
+		a.submitConfigChange(w, r, controlstate.Change{Op: op, Base: base, Body: body}, func() {
+			writeJSON(w, http.StatusOK, map[string]any{"revision": fastjson.GetInt(body, "revision")})
+		})
+	}
+}
+
+// parseBaseVersion reads the version that a change builds on.
+func parseBaseVersion(h http.Header) (int64, error) {
+	values := h.Values("X-Base-Version")
+	if len(values) != 1 {
+		return 0, errors.New("X-Base-Version is missing or told twice: send the version that the change builds on, 0 for the first")
+	}
+	base, err := strconv.ParseInt(strings.TrimSpace(values[0]), 10, 64)
+	if err != nil || base < 0 {
+		return 0, errors.New("X-Base-Version is not a number of 0 or more: send the version that the change builds on")
+	}
+	return base, nil
+}
+
+// submitConfigChange brings a change of the configuration to the chain and answers for it. ok writes the answer of success.
+func (a *api) submitConfigChange(w http.ResponseWriter, r *http.Request, change controlstate.Change, writeSuccess func()) {
+	if a.rejectIfPartitioned(w, change) {
+		return
+	}
+	request := changeRequest{change: change, receivedAt: time.Now()}
+	timeout := chainTimeout
+	request.respondBy = request.receivedAt.Add(responseTimeout)
+	if len(change.Body) > largeBodyBytes {
+		timeout = largeChangeTimeout
+		request.respondBy = request.receivedAt.Add(largeChangeTimeout + deliveryTimeout)
+	}
+	ctx, cancel := context.WithDeadline(r.Context(), request.receivedAt.Add(timeout))
+	defer cancel()
+	verdict, err := a.options.Chain.Submit(ctx, change)
+	a.respondToChange(w, r, request, verdict, err, writeSuccess)
+}
+
+func (a *api) handleConfigRead(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), chainTimeout)
+	defer cancel()
+	state, err := a.options.Chain.Read(ctx)
+	switch {
+	case err != nil:
+		if !errors.Is(err, context.Canceled) {
+			a.options.Log.WithError(err).Warn("control: configuration not read")
+		}
+		writeUnavailable(w, "the newest configuration could not be confirmed in time: ask again")
+	case state == nil || state.Config == nil:
+		writeUnavailable(w, "no configuration has come yet: send one with POST /Config.Replace")
+	default:
+		setResponseHeaders(w, len(state.Config.Raw))
+		w.WriteHeader(http.StatusOK)
+		if r.Method != http.MethodHead {
+			_, _ = w.Write(state.Config.Raw)
+		}
+	}
+}
--- /dev/null
+++ b/internal/system/operatorapi/response.go
@@ -0,0 +1,46 @@
+package operatorapi
+
+import (
+	"encoding/json"
+	"net/http"
+	"strconv"
+)
+
+func reasonOrDefault(told, otherwise string) string {
+	if told == "" {
+		return otherwise
+	}
+	return told
+}
+
+func writeError(w http.ResponseWriter, status int, reason string) {
+	writeJSON(w, status, map[string]any{"error": reason})
+}
+
+// writeUnavailable answers 503, at which callers move on to another keeper.
+func writeUnavailable(w http.ResponseWriter, reason string) {
+	w.Header().Set("Retry-After", "0.2")
+	writeError(w, http.StatusServiceUnavailable, reason)
+}
+
+func writeJSON(w http.ResponseWriter, status int, body any) {
+	data, err := json.Marshal(body)
+	if err != nil {
+		status, data = http.StatusInternalServerError, []byte(`{"error":"the answer cannot be written as JSON: report it"}`)
+	}
+	setResponseHeaders(w, len(data))
+	w.WriteHeader(status)
+	_, _ = w.Write(data)
+}
+
+func writeBodyTooLarge(w http.ResponseWriter) {
+	w.Header().Set("Connection", "close")
+	writeError(w, http.StatusRequestEntityTooLarge,
+		"the body has more than "+strconv.Itoa(maxBodyBytes)+" bytes: send the change in parts with POST /Config.Amend")
+}
+
+func setResponseHeaders(w http.ResponseWriter, length int) {
+	w.Header().Set("Content-Type", "application/json")
+	w.Header().Set("Content-Length", strconv.Itoa(length))
+	w.Header().Set("Cache-Control", "no-store")
+}
