--- a/internal/system/operatorapi/change.go
+++ b/internal/system/operatorapi/change.go
@@ -1,6 +1,7 @@
 package operatorapi
 
 import (
+	"cmp"
 	"context"
 	"net/http"
 	"time"
@@ -11,11 +12,22 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
+// Reasons of answers for which the verdict brings none. Each names the remedy.
+const (
+	reasonStale          = "another version is current: read it and build on that"
+	reasonInvalid        = "the change is invalid: check it against the operator's API"
+	reasonUncertain      = "whether the change was applied long ago cannot be told: read the configuration and compare"
+	reasonSuperseded     = "the zone was changed while this call was under way: send it again if it is still wanted"
+	reasonNotDurable     = "the change could not be made durable in time and may or may not come about: send it again as it was"
+	reasonUnknownVerdict = "this keeper does not know the verdict on the change: send it again as it was, to another keeper"
+)
+
 // changeRequest is a change on its way through the API.
 type changeRequest struct {
 	change     controlstate.Change
 	receivedAt time.Time // when it had come: its head, and the whole body of a configuration
 	respondBy  time.Time
+	success    func() any // the JSON of the answer where the change is acknowledged
 }
 
 // rejectIfPartitioned answers an order where this keeper has no way to the chain, so that the caller need not wait to hear that it
@@ -24,15 +36,14 @@
 	if a.options.Partitioned == nil || !a.options.Partitioned() {
 		return false
 	}
-	a.options.Log.WithFields(log.Fields{"op": change.Op, "base": change.Base, "zone": change.Zone}).
-		Info("control: order not taken, this keeper has no way to the chain")
+	a.logEntry(change).Info("control: order not taken, this keeper has no way to the chain")
 	writeUnavailable(w, errPartitioned.Error())
 	return true
 }
 
 // respondToChange answers for an order. A 4xx is written only on a verdict, which a majority has confirmed.
-func (a *api) respondToChange(w http.ResponseWriter, r *http.Request, request changeRequest, verdict controlstate.Verdict, err error, writeSuccess func()) {
-	entry := a.options.Log.WithFields(log.Fields{"op": request.change.Op, "base": request.change.Base, "zone": request.change.Zone})
+func (a *api) respondToChange(w http.ResponseWriter, r *http.Request, request changeRequest, verdict controlstate.Verdict, err error) {
+	entry := a.logEntry(request.change)
 	if errors.Is(err, errCallerGone) {
 		entry.Info("control: order dropped, its caller has gone or waits too long")
 		writeUnavailable(w, errCallerGone.Error())
@@ -40,37 +51,55 @@
 	}
 	if err != nil {
 		entry.WithError(err).Warn("control: change not acknowledged, it may or may not come about")
-		writeUnavailable(w, "the change could not be made durable in time and may or may not come about: send it again as it was")
+		writeUnavailable(w, reasonNotDurable)
 		return
 	}
 	switch verdict.Kind {
 	case controlstate.Accepted, controlstate.AlreadyApplied:
-		if a.options.WaitDelivered != nil {
-			ctx, cancel := context.WithTimeout(r.Context(), min(deliveryTimeout, a.options.AckTimeout/8, time.Until(request.respondBy)))
-			a.options.WaitDelivered(ctx, verdict.Seq)
-			cancel()
-		}
+		a.waitDelivered(r.Context(), request, verdict.Seq)
 		entry.WithFields(log.Fields{"seq": verdict.Seq, "ms": time.Since(request.receivedAt).Milliseconds()}).Info("control: change acknowledged")
-		writeSuccess()
+		writeJSON(w, http.StatusOK, request.success())
 	case controlstate.Stale:
-		body := map[string]any{"error": reasonOrDefault(verdict.Reason, "another version is current: read it and build on that")}
-		// What lags behind the verdict would tell a revision of the past.
-		if state := a.committedState(); state != nil && state.Config != nil && state.Seq >= verdict.Seq {
-			body["revision"] = state.Config.Revision
-		}
+		body := a.staleBody(verdict)
 		entry.Info("control: change refused, another version is current")
 		writeJSON(w, http.StatusPreconditionFailed, body)
 	case controlstate.Invalid:
 		entry.WithField("reason", verdict.Reason).Info("control: change refused, it is invalid")
-		writeError(w, http.StatusBadRequest, reasonOrDefault(verdict.Reason, "the change is invalid: check it against the operator's API"))
+		writeError(w, http.StatusBadRequest, cmp.Or(verdict.Reason, reasonInvalid))
 	case controlstate.Uncertain:
 		entry.WithField("reason", verdict.Reason).Warn("control: change left without a clear answer")
-		writeUnavailable(w, reasonOrDefault(verdict.Reason, "whether the change was applied long ago cannot be told: read the configuration and compare"))
+		writeUnavailable(w, cmp.Or(verdict.Reason, reasonUncertain))
 	case controlstate.Superseded:
 		entry.Info("control: change came too late, its zone was changed since")
-		writeUnavailable(w, reasonOrDefault(verdict.Reason, "the zone was changed while this call was under way: send it again if it is still wanted"))
+		writeUnavailable(w, cmp.Or(verdict.Reason, reasonSuperseded))
 	default:
 		entry.WithField("verdict", verdict.Kind).Error("control: unknown verdict")
-		writeUnavailable(w, "this keeper does not know the verdict on the change: send it again as it was, to another keeper")
+		writeUnavailable(w, reasonUnknownVerdict)
+	}
+}
+
+// waitDelivered waits until the connected proxies have the record numbered seq, within the bounds of the call.
+func (a *api) waitDelivered(ctx context.Context, request changeRequest, seq uint64) {
+	if a.options.WaitDelivered == nil {
+		return
 	}
+	timeout := min(deliveryTimeout, a.options.AckTimeout/8, time.Until(request.respondBy))
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	a.options.WaitDelivered(ctx, seq)
+}
+
+// staleBody is the body of a 412. It names the current revision only where the state at hand holds the record on which the
+// verdict rests: a state that lags behind it would name a revision of the past.
+func (a *api) staleBody(verdict controlstate.Verdict) map[string]any {
+	body := map[string]any{"error": cmp.Or(verdict.Reason, reasonStale)}
+	state := a.committedState()
+	if state != nil && state.Config != nil && state.Seq >= verdict.Seq {
+		body["revision"] = state.Config.Revision
+	}
+	return body
+}
+
+func (a *api) logEntry(change controlstate.Change) *log.Entry {
+	return a.options.Log.WithFields(log.Fields{"op": change.Op, "base": change.Base, "zone": change.Zone})
 }
--- a/internal/system/operatorapi/config.go
+++ b/internal/system/operatorapi/config.go
@@ -27,24 +27,27 @@
 		}
 		body, release, err := a.readBody(w, r)
 		defer release()
-		var large *http.MaxBytesError
-		switch {
-		case errors.Is(err, errTooManyBodies):
-			w.Header().Set("Connection", "close")
-			writeUnavailable(w, errTooManyBodies.Error())
-			return
-		case errors.As(err, &large):
-			writeBodyTooLarge(w)
-			return
-		case err != nil:
-			// No 4xx: what the network cut short is to be sent again, and some callers give up at the third 4xx of any kind.
-			w.Header().Set("Connection", "close")
-			writeUnavailable(w, "the body did not come whole in time: send the change again")
+		if err != nil {
+			writeBodyError(w, err)
 			return
 		}
-		a.submitConfigChange(w, r, controlstate.Change{Op: op, Base: base, Body: body}, func() {
-			writeJSON(w, http.StatusOK, map[string]any{"revision": fastjson.GetInt(body, "revision")})
-		})
+		a.submitConfigChange(w, r, controlstate.Change{Op: op, Base: base, Body: body})
+	}
+}
+
+// writeBodyError answers a change whose body was not read.
+func writeBodyError(w http.ResponseWriter, err error) {
+	var tooLarge *http.MaxBytesError
+	switch {
+	case errors.Is(err, errTooManyBodies):
+		closeConnection(w)
+		writeUnavailable(w, errTooManyBodies.Error())
+	case errors.As(err, &tooLarge):
+		writeBodyTooLarge(w)
+	default:
+		// No 4xx: what the network cut short is to be sent again, and some callers give up at the third 4xx of any kind.
+		closeConnection(w)
+		writeUnavailable(w, "the body did not come whole in time: send the change again")
 	}
 }
 
@@ -62,11 +65,14 @@
 }
 
 // submitConfigChange brings a change of the configuration to the chain and answers for it. ok writes the answer of success.
-func (a *api) submitConfigChange(w http.ResponseWriter, r *http.Request, change controlstate.Change, writeSuccess func()) {
+func (a *api) submitConfigChange(w http.ResponseWriter, r *http.Request, change controlstate.Change) {
 	if a.rejectIfPartitioned(w, change) {
 		return
 	}
 	request := changeRequest{change: change, receivedAt: time.Now()}
+	request.success = func() any {
+		return map[string]any{"revision": fastjson.GetInt(change.Body, "revision")}
+	}
 	timeout := chainTimeout
 	request.respondBy = request.receivedAt.Add(responseTimeout)
 	if len(change.Body) > largeBodyBytes {
@@ -76,7 +82,7 @@
 	ctx, cancel := context.WithDeadline(r.Context(), request.receivedAt.Add(timeout))
 	defer cancel()
 	verdict, err := a.options.Chain.Submit(ctx, change)
-	a.respondToChange(w, r, request, verdict, err, writeSuccess)
+	a.respondToChange(w, r, request, verdict, err)
 }
 
 func (a *api) handleConfigRead(w http.ResponseWriter, r *http.Request) {
--- a/internal/system/operatorapi/evacuation.go
+++ b/internal/system/operatorapi/evacuation.go
@@ -31,37 +31,37 @@
 func (a *api) handleEvacuation(op controlstate.Op) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		// First of all: whatever delays the order from here on, it is fenced by what was known now.
-		arrived, fence := time.Now(), a.committedState()
+		receivedAt, fence := time.Now(), a.committedState()
 		zone := mux.Vars(r)["zone"]
 		if len(zone) > maxZoneNameBytes {
 			writeError(w, http.StatusBadRequest, "the zone's name is too long: "+strconv.Itoa(maxZoneNameBytes)+" bytes are the most")
 			return
 		}
-		if a.options.Stalled != nil && a.options.Stalled() && !a.options.knobs.AcceptAfterStalls {
-			w.Header().Set("Connection", "close")
+		if a.stalled() {
+			closeConnection(w)
 			writeUnavailable(w, errStalled.Error())
 			return
 		}
-		var large *http.MaxBytesError
-		if err := discardBody(w, r); errors.As(err, &large) {
-			w.Header().Set("Connection", "close")
-			writeError(w, http.StatusRequestEntityTooLarge, "the body is too large: send the order without one")
-			return
-		} else if err != nil {
-			w.Header().Set("Connection", "close")
-			writeUnavailable(w, "the body did not come whole in time: send the order again, without a body")
+		if err := discardBody(w, r); err != nil {
+			writeDiscardError(w, err)
 			return
 		}
 		change := controlstate.Change{Op: op, Zone: zone}
 		if a.rejectIfPartitioned(w, change) {
 			return
 		}
-		request := changeRequest{change: change, receivedAt: arrived, respondBy: arrived.Add(responseTimeout)}
+		request := changeRequest{change: change, receivedAt: receivedAt, respondBy: receivedAt.Add(responseTimeout),
+			success: func() any { return struct{}{} }}
 		verdict, err := a.submitWithFence(r.Context(), &request, fence)
-		a.respondToChange(w, r, request, verdict, err, func() { writeJSON(w, http.StatusOK, struct{}{}) })
+		a.respondToChange(w, r, request, verdict, err)
 	}
 }
 
+// stalled reports whether an order that is read now may have lain in the sockets of a stalled process.
+func (a *api) stalled() bool {
+	return a.options.Stalled != nil && a.options.Stalled() && !a.options.knobs.AcceptAfterStalls
+}
+
 // discardBody reads a body that nothing is done with. Until it is read, net/http does not watch whether the caller is there.
 func discardBody(w http.ResponseWriter, r *http.Request) error {
 	if r.ContentLength == 0 || r.Body == nil {
@@ -75,6 +75,16 @@
 	return err
 }
 
+// writeDiscardError answers an order whose body did not come to its end.
+func writeDiscardError(w http.ResponseWriter, err error) {
+	closeConnection(w)
+	if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
+		writeError(w, http.StatusRequestEntityTooLarge, "the body is too large: send the order without one")
+		return
+	}
+	writeUnavailable(w, "the body did not come whole in time: send the order again, without a body")
+}
+
 // submitWithFence brings an evacuation order to the chain with its fence, the number of the newest committed record that was
 // known as the order came. First a majority is asked, and where the order may have been held up, the end of its connection
 // is waited for: then a caller that hung up before the order's bytes arrived is known to have gone, and the order is dropped. An order that is superseded is not tried
@@ -89,9 +99,7 @@
 	if err != nil {
 		return controlstate.Verdict{}, err
 	}
-	// The clock is asked as well: after a stall its timers may not have run yet. So is the caller's context, as the one made of it
-	// ends a moment later.
-	if deadline, _ := ctx.Deadline(); (caller.Err() != nil || !time.Now().Before(deadline)) && !a.options.knobs.SubmitForGoneCallers {
+	if callerGone(caller, ctx) && !a.options.knobs.SubmitForGoneCallers {
 		return controlstate.Verdict{}, errCallerGone
 	}
 	if fence == nil || a.options.knobs.FenceByConfirmedState {
@@ -103,6 +111,13 @@
 	return a.options.Chain.Submit(ctx, request.change)
 }
 
+// callerGone reports whether the caller has hung up, or the deadline of its order has passed. The clock is asked as well: after
+// a stall the timer of ctx may not have run yet. So is the caller's context, as ctx, which is made of it, ends a moment later.
+func callerGone(caller, ctx context.Context) bool {
+	deadline, _ := ctx.Deadline()
+	return caller.Err() != nil || !time.Now().Before(deadline)
+}
+
 // committedState is the committed state at hand, nil where there is none.
 func (a *api) committedState() *controlstate.State {
 	if a.options.CommittedState == nil {
--- a/internal/system/operatorapi/handler.go
+++ b/internal/system/operatorapi/handler.go
@@ -78,24 +78,29 @@
 		options.Log = log.Log
 	}
 	a := &api{options: options, bodyBudget: byteBudget{available: maxTotalBodyBytes}}
+	return &handler{router: a.newRouter()}
+}
+
+// newRouter maps the paths of the API to their handlers.
+func (a *api) newRouter() *mux.Router {
 	// Cleaning would answer an odd path with a redirect, and callers count those.
-	r := mux.NewRouter().SkipClean(true)
-	r.HandleFunc("/Config.Replace", a.handleConfigChange(controlstate.OpReplace)).Methods(http.MethodPost)
-	r.HandleFunc("/Config.Amend", a.handleConfigChange(controlstate.OpAmend)).Methods(http.MethodPost)
-	r.HandleFunc("/Config.Read", a.handleConfigRead).Methods(http.MethodGet, http.MethodHead)
-	r.HandleFunc("/Evacuation.Start/{zone}", a.handleEvacuation(controlstate.OpEvacuate)).Methods(http.MethodPost)
-	r.HandleFunc("/Evacuation.Finish/{zone}", a.handleEvacuation(controlstate.OpReadmit)).Methods(http.MethodPost)
-	r.HandleFunc("/status", a.handleStatus).Methods(http.MethodGet, http.MethodHead)
-	if options.Backup != nil {
-		r.Handle("/backup", options.Backup)
+	router := mux.NewRouter().SkipClean(true)
+	router.HandleFunc("/Config.Replace", a.handleConfigChange(controlstate.OpReplace)).Methods(http.MethodPost)
+	router.HandleFunc("/Config.Amend", a.handleConfigChange(controlstate.OpAmend)).Methods(http.MethodPost)
+	router.HandleFunc("/Config.Read", a.handleConfigRead).Methods(http.MethodGet, http.MethodHead)
+	router.HandleFunc("/Evacuation.Start/{zone}", a.handleEvacuation(controlstate.OpEvacuate)).Methods(http.MethodPost)
+	router.HandleFunc("/Evacuation.Finish/{zone}", a.handleEvacuation(controlstate.OpReadmit)).Methods(http.MethodPost)
+	router.HandleFunc("/status", a.handleStatus).Methods(http.MethodGet, http.MethodHead)
+	if a.options.Backup != nil {
+		router.Handle("/backup", a.options.Backup)
 	}
-	r.NotFoundHandler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	router.NotFoundHandler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		writeError(w, http.StatusNotFound, "no such call: see the operator's API for the paths")
 	})
-	r.MethodNotAllowedHandler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	router.MethodNotAllowedHandler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		writeError(w, http.StatusMethodNotAllowed, "wrong method: changes are sent with POST, reads with GET")
 	})
-	return &handler{router: r}
+	return router
 }
 
 func (a *api) handleStatus(w http.ResponseWriter, _ *http.Request) {
--- a/internal/system/operatorapi/response.go
+++ b/internal/system/operatorapi/response.go
@@ -6,13 +6,6 @@
 	"strconv"
 )
 
-func reasonOrDefault(told, otherwise string) string {
-	if told == "" {
-		return otherwise
-	}
-	return told
-}
-
 func writeError(w http.ResponseWriter, status int, reason string) {
 	writeJSON(w, status, map[string]any{"error": reason})
 }
@@ -34,7 +27,7 @@
 }
 
 func writeBodyTooLarge(w http.ResponseWriter) {
-	w.Header().Set("Connection", "close")
+	closeConnection(w)
 	writeError(w, http.StatusRequestEntityTooLarge,
 		"the body has more than "+strconv.Itoa(maxBodyBytes)+" bytes: send the change in parts with POST /Config.Amend")
 }
@@ -44,3 +37,8 @@
 	w.Header().Set("Content-Length", strconv.Itoa(length))
 	w.Header().Set("Cache-Control", "no-store")
 }
+
+// closeConnection ends the connection after the answer, so that what is left of a body is never parsed as a call.
+func closeConnection(w http.ResponseWriter) {
+	w.Header().Set("Connection", "close")
+}
--- a/internal/system/operatorapi/stall_detector.go
+++ b/internal/system/operatorapi/stall_detector.go
@@ -27,7 +27,7 @@
 
 // Run notes every 25 ms that the process runs, until ctx is done.
 func (d *StallDetector) Run(ctx context.Context) {
-	d.observeRunning(time.Now(), true)
+	d.start(time.Now())
 	ticker := time.NewTicker(stallCheckInterval)
 	defer ticker.Stop()
 	for {
@@ -35,7 +35,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			d.observeRunning(time.Now(), false)
+			d.observeRunning(time.Now())
 		}
 	}
 }
@@ -43,22 +43,32 @@
 // Stalled tells whether the process stood still for more than 250 ms and runs again for less than a second, or has not run
 // since: whoever comes first after a stall notices it, be it Run or a caller.
 func (d *StallDetector) Stalled() bool {
-	return d.observeRunning(time.Now(), false)
+	return d.observeRunning(time.Now())
 }
 
-// observeRunning takes in that the process runs at now, and tells whether it stalled shortly before. first is the begin of all notes.
-func (d *StallDetector) observeRunning(now time.Time, starting bool) (stalled bool) {
+// start begins the observation at now: the process counts as not stalled from then on.
+func (d *StallDetector) start(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	switch {
-	case starting:
-		d.trustedFrom = now
-	case now.Sub(d.lastObserved) > stallThreshold:
+	d.trustedFrom = now
+	d.advance(now)
+}
+
+// observeRunning records that the process runs at now, and reports whether it stalled shortly before.
+func (d *StallDetector) observeRunning(now time.Time) (stalled bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if now.Sub(d.lastObserved) > stallThreshold {
 		d.trustedFrom = now.Add(stallCooldown)
 	}
-	// Goroutines may come here in another order than they read the clock.
+	d.advance(now)
+	return now.Before(d.trustedFrom)
+}
+
+// advance moves the last observation to now. Goroutines may come here in another order than they read the clock, so that it
+// never moves back.
+func (d *StallDetector) advance(now time.Time) {
 	if now.After(d.lastObserved) {
 		d.lastObserved = now
 	}
-	return now.Before(d.trustedFrom)
 }
--- a/internal/system/operatorapi/stall_detector_test.go
+++ b/internal/system/operatorapi/stall_detector_test.go
@@ -23,21 +23,21 @@
 		"a second after a short one": {stallThreshold + 1, stallCooldown + stallCheckInterval, false},
 	} {
 		d, now := NewStallDetector(), time.Now()
-		d.observeRunning(now, true)
+		d.start(now)
 		run := func(span time.Duration) {
 			for end := now.Add(span); now.Before(end); {
 				now = now.Add(stallCheckInterval)
-				d.observeRunning(now, false)
+				d.observeRunning(now)
 			}
 		}
 		run(time.Second)
 		now = now.Add(tt.still)
 		run(tt.runs)
-		if got := d.observeRunning(now, false); got != tt.stalled {
+		if got := d.observeRunning(now); got != tt.stalled {
 			t.Errorf("%s: %v", name, got)
 		}
 		// A clock that was read before the last note counts as no pause, and no step back.
-		d.observeRunning(now.Add(-stallCheckInterval), false)
+		d.observeRunning(now.Add(-stallCheckInterval))
 		if !d.lastObserved.Equal(now) {
 			t.Errorf("%s: a late note steps back by %v", name, now.Sub(d.lastObserved))
 		}
