--- a/internal/system/operatorapi/body.go
+++ b/internal/system/operatorapi/body.go
@@ -16,41 +16,39 @@
 // errTooManyBodies: the bodies of all calls together are too large.
 var errTooManyBodies = errors.New("this keeper holds too many bodies: send the change again, or to another keeper")
 
-// readBody reads a body within the bounds of size and time. Call release when it is not needed any more, also after an
-// error. Errors are errTooManyBodies, a *http.MaxBytesError or those of the connection.
-func (a *api) readBody(w http.ResponseWriter, r *http.Request) (body []byte, release func(), err error) {
-	controller := http.NewResponseController(w)
-	// Writers that know no deadlines (those of tests) are bounded by whoever made them.
-	if controller.SetReadDeadline(time.Now().Add(bodyTimeout)) == nil {
-		defer func() { _ = controller.SetReadDeadline(time.Time{}) }()
+// readBody reads a body within the bounds of size and time. The caller releases the reservation once it no longer needs the
+// body, also after an error. Errors are errTooManyBodies, a *http.MaxBytesError or those of the connection.
+func (a *api) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *reservation, error) {
+	defer setReadTimeout(w, bodyTimeout)()
+	reserved := &reservation{budget: &a.bodyBudget}
+	limited := http.MaxBytesReader(w, r.Body, maxBodyBytes)
+	if r.ContentLength < 0 {
+		body, err := readChunks(limited, reserved)
+		return body, reserved, err
 	}
-	var reserved int64
-	release = func() { a.bodyBudget.release(reserved) }
-	reserve := func(n int64) bool {
-		if !a.bodyBudget.tryReserve(n) {
-			return false
-		}
-		reserved += n
-		return true
+	if !reserved.tryGrow(r.ContentLength) {
+		return nil, reserved, errTooManyBodies
 	}
-	in := http.MaxBytesReader(w, r.Body, maxBodyBytes)
-	if r.ContentLength >= 0 {
-		if !reserve(r.ContentLength) {
-			return nil, release, errTooManyBodies
-		}
-		body = make([]byte, r.ContentLength)
-		_, err = io.ReadFull(in, body)
-		return body, release, err
+	body := make([]byte, r.ContentLength)
+	_, err := io.ReadFull(limited, body)
+	return body, reserved, err
+}
+
+// setReadTimeout bounds the time for reading a request's body, until the returned function takes the bound away. Writers
+// that support no deadlines (those of tests) are bounded by whoever made them.
+func setReadTimeout(w http.ResponseWriter, timeout time.Duration) (clear func()) {
+	controller := http.NewResponseController(w)
+	if controller.SetReadDeadline(time.Now().Add(timeout)) != nil {
+		return func() {}
 	}
-	body, err = readChunks(in, reserve)
-	return body, release, err
+	return func() { _ = controller.SetReadDeadline(time.Time{}) }
 }
 
-// readChunks reads to the end, and reserves room before it takes more.
-func readChunks(in io.Reader, reserve func(int64) bool) ([]byte, error) {
+// readChunks reads a body of unknown length to its end, and reserves capacity before it reads more.
+func readChunks(in io.Reader, reserved *reservation) ([]byte, error) {
 	var body []byte
 	for {
-		if !reserve(bodyChunkBytes) {
+		if !reserved.tryGrow(bodyChunkBytes) {
 			return nil, errTooManyBodies
 		}
 		body = slices.Grow(body, bodyChunkBytes)
@@ -58,7 +56,7 @@
 			n, err := in.Read(body[len(body):end])
 			body = body[:len(body)+n]
 			if errors.Is(err, io.EOF) {
-				return slices.Clone(body), nil // it is kept: without the room that was not needed
+				return slices.Clone(body), nil // the state keeps it: without the capacity that was not needed
 			}
 			if err != nil {
 				return nil, err
@@ -67,6 +65,23 @@
 	}
 }
 
+// reservation is the part of a byteBudget that one request has taken.
+type reservation struct {
+	budget *byteBudget
+	bytes  int64
+}
+
+// tryGrow reserves more bytes, and reports whether the budget had them.
+func (r *reservation) tryGrow(bytes int64) bool {
+	if !r.budget.tryReserve(bytes) {
+		return false
+	}
+	r.bytes += bytes
+	return true
+}
+
+func (r *reservation) release() { r.budget.release(r.bytes) }
+
 // byteBudget bounds the bytes that all calls hold together.
 type byteBudget struct {
 	mu        sync.Mutex
--- a/internal/system/operatorapi/body_test.go
+++ b/internal/system/operatorapi/body_test.go
@@ -66,8 +66,8 @@
 	read := func(size int64) error {
 		r := httptest.NewRequest(http.MethodPost, "/", io.LimitReader(zeros{}, size))
 		r.ContentLength = -1
-		body, release, err := a.readBody(httptest.NewRecorder(), r)
-		defer release()
+		body, reserved, err := a.readBody(httptest.NewRecorder(), r)
+		defer reserved.release()
 		if err == nil && int64(len(body)) != size {
 			t.Errorf("%d bytes of %d", len(body), size)
 		}
--- a/internal/system/operatorapi/config.go
+++ b/internal/system/operatorapi/config.go
@@ -25,8 +25,8 @@
 			writeBodyTooLarge(w)
 			return
 		}
-		body, release, err := a.readBody(w, r)
-		defer release()
+		body, reserved, err := a.readBody(w, r)
+		defer reserved.release()
 		if err != nil {
 			writeBodyError(w, err)
 			return
--- a/internal/system/operatorapi/evacuation.go
+++ b/internal/system/operatorapi/evacuation.go
@@ -67,10 +67,7 @@
 	if r.ContentLength == 0 || r.Body == nil {
 		return nil
 	}
-	controller := http.NewResponseController(w)
-	if controller.SetReadDeadline(time.Now().Add(discardBodyTimeout)) == nil {
-		defer func() { _ = controller.SetReadDeadline(time.Time{}) }()
-	}
+	defer setReadTimeout(w, discardBodyTimeout)()
 	_, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxDiscardedBodyBytes))
 	return err
 }
