--- a/internal/system/operatorapi/body.go
+++ b/internal/system/operatorapi/body.go
@@ -10,10 +10,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// bodyChunkBytes is how much more a body whose length is not told may hold at a time, in bytes.
+// bodyChunkBytes is what a body of unknown length reserves at a time.
 const bodyChunkBytes = 64 << 10
 
-// errTooManyBodies: the bodies of all calls together are too large.
+// errTooManyBodies says that the bodies of all requests together exceed maxTotalBodyBytes.
 var errTooManyBodies = errors.New("this keeper holds too many bodies: send the change again, or to another keeper")
 
 // readBody reads a body within the bounds of size and time. The caller releases the reservation once it no longer needs the
@@ -82,7 +82,7 @@
 
 func (r *reservation) release() { r.budget.release(r.bytes) }
 
-// byteBudget bounds the bytes that all calls hold together.
+// byteBudget bounds the memory of all bodies together. It may be used by several goroutines at once.
 type byteBudget struct {
 	mu        sync.Mutex
 	available int64
--- a/internal/system/operatorapi/change.go
+++ b/internal/system/operatorapi/change.go
@@ -12,7 +12,7 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// Reasons of answers for which the verdict brings none. Each names the remedy.
+// Reasons of error responses where the verdict has none. Each names the remedy.
 const (
 	reasonStale          = "another version is current: read it and build on that"
 	reasonInvalid        = "the change is invalid: check it against the operator's API"
@@ -22,16 +22,16 @@
 	reasonUnknownVerdict = "this keeper does not know the verdict on the change: send it again as it was, to another keeper"
 )
 
-// changeRequest is a change on its way through the API.
+// changeRequest is one request for a change.
 type changeRequest struct {
 	change     controlstate.Change
-	receivedAt time.Time // when it had come: its head, and the whole body of a configuration
+	receivedAt time.Time // when its head was read and, of a configuration, the whole body
 	respondBy  time.Time
-	success    func() any // the JSON of the answer where the change is acknowledged
+	success    func() any // makes the JSON of the response once the change is acknowledged
 }
 
-// rejectIfPartitioned answers an order where this keeper has no way to the chain, so that the caller need not wait to hear that it
-// was not taken. It tells whether it did.
+// rejectIfPartitioned answers a change at once where this node has no way to the chain, so that the caller need not wait for a
+// time-out. It reports whether it did.
 func (a *api) rejectIfPartitioned(w http.ResponseWriter, change controlstate.Change) bool {
 	if a.options.Partitioned == nil || !a.options.Partitioned() {
 		return false
@@ -41,7 +41,8 @@
 	return true
 }
 
-// respondToChange answers for an order. A 4xx is written only on a verdict, which a majority has confirmed.
+// respondToChange writes the response for the outcome of a submitted change. It writes a 4xx only on a verdict, which a
+// majority has confirmed.
 func (a *api) respondToChange(w http.ResponseWriter, r *http.Request, request changeRequest, verdict controlstate.Verdict, err error) {
 	entry := a.logEntry(request.change)
 	if errors.Is(err, errCallerGone) {
@@ -89,7 +90,7 @@
 	a.options.WaitDelivered(ctx, seq)
 }
 
-// staleBody is the body of a 412. It names the current revision only where the state at hand holds the record on which the
+// staleBody is the body of a 412. It names the current revision only where this node's state contains the record on which the
 // verdict rests: a state that lags behind it would name a revision of the past.
 func (a *api) staleBody(verdict controlstate.Verdict) map[string]any {
 	body := map[string]any{"error": cmp.Or(verdict.Reason, reasonStale)}
@@ -100,6 +101,7 @@
 	return body
 }
 
+// logEntry begins a log line about a change.
 func (a *api) logEntry(change controlstate.Change) *log.Entry {
 	return a.options.Log.WithFields(log.Fields{"op": change.Op, "base": change.Base, "zone": change.Zone})
 }
--- a/internal/system/operatorapi/config.go
+++ b/internal/system/operatorapi/config.go
@@ -13,7 +13,8 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// handleConfigChange takes a whole configuration or an amendment.
+// handleConfigChange serves POST /Config.Replace and /Config.Amend. A change of the configuration needs no fence: the version on
+// which it builds is one.
 func (a *api) handleConfigChange(op controlstate.Op) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		base, err := parseBaseVersion(r.Header)
@@ -35,7 +36,7 @@
 	}
 }
 
-// writeBodyError answers a change whose body was not read.
+// writeBodyError writes the response to a change whose body could not be read.
 func writeBodyError(w http.ResponseWriter, err error) {
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -45,13 +46,13 @@
 	case errors.As(err, &tooLarge):
 		writeBodyTooLarge(w)
 	default:
-		// No 4xx: what the network cut short is to be sent again, and some callers give up at the third 4xx of any kind.
+		// Not a 4xx: what the network truncated is to be retried, and some callers give up at the third 4xx of any kind.
 		closeConnection(w)
 		writeUnavailable(w, "the body did not come whole in time: send the change again")
 	}
 }
 
-// parseBaseVersion reads the version that a change builds on.
+// parseBaseVersion returns the version on which a change builds. Its errors say what is wrong with the header.
 func parseBaseVersion(h http.Header) (int64, error) {
 	values := h.Values("X-Base-Version")
 	if len(values) != 1 {
@@ -64,7 +65,7 @@
 	return base, nil
 }
 
-// submitConfigChange brings a change of the configuration to the chain and answers for it. ok writes the answer of success.
+// submitConfigChange submits a change of the configuration to the chain and writes the response.
 func (a *api) submitConfigChange(w http.ResponseWriter, r *http.Request, change controlstate.Change) {
 	if a.rejectIfPartitioned(w, change) {
 		return
@@ -85,6 +86,7 @@
 	a.respondToChange(w, r, request, verdict, err)
 }
 
+// handleConfigRead serves GET /Config.Read: the configuration of a linearizable read, as it was submitted.
 func (a *api) handleConfigRead(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), chainTimeout)
 	defer cancel()
--- a/internal/system/operatorapi/connection.go
+++ b/internal/system/operatorapi/connection.go
@@ -8,27 +8,28 @@
 	"time"
 )
 
-// The times of a call whose bytes may have been held up on their way. TCP sends again what a cut swallowed, also when the
-// caller has closed its connection: the bytes come as soon as the cut ends, and the end of the connection a round trip later.
+// The bounds for requests that may have been delayed by a network partition. TCP retransmits what a partition swallowed, also
+// after the caller has closed its connection: the bytes arrive as soon as the partition heals, and the end of the connection a
+// round trip later.
 const (
-	idleThreshold        = 500 * time.Millisecond // half of a caller's patience
-	connectionEndTimeout = 250 * time.Millisecond // the longest round trip to a caller, with room
+	idleThreshold        = 500 * time.Millisecond // half of a caller's time-out
+	connectionEndTimeout = 250 * time.Millisecond // the longest round trip to a caller, with headroom
 )
 
-// connection is one connection of a caller.
+// connection records how long a connection of a caller has been idle.
 type connection struct {
 	acceptedAt time.Time
-	idleSince  atomic.Int64 // since when no call is answered on it: time after began
+	idleSince  atomic.Int64 // when the last response was written, as nanoseconds after acceptedAt
 }
 
 type connectionKey struct{}
 
-// handler is the API with what it keeps of each connection.
+// handler is the API with the times of its connections.
 type handler struct {
 	router http.Handler
 }
 
-// ConnContext notes that a connection was accepted. Set it as that of the http.Server; without it calls count as not held up.
+// ConnContext records that a connection was accepted. It belongs into the http.Server; without it no request counts as delayed.
 func (h *handler) ConnContext(ctx context.Context, _ net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, &connection{acceptedAt: time.Now()})
 }
@@ -41,14 +42,14 @@
 	}
 }
 
-// mayHaveBeenDelayed tells whether a call that arrived at a time may have been on its way for longer than 500 ms: nothing came on its
-// connection for so long before it.
+// mayHaveBeenDelayed reports whether a request that arrived at a time may have been on its way for longer than idleThreshold:
+// its connection was idle for that long before.
 func mayHaveBeenDelayed(ctx context.Context, arrived time.Time) bool {
 	c, ok := ctx.Value(connectionKey{}).(*connection)
 	return ok && arrived.Sub(c.acceptedAt)-time.Duration(c.idleSince.Load()) > idleThreshold
 }
 
-// awaitConnectionEnd waits as long as the end of a caller's connection can take to come after its bytes, or until it has come.
+// awaitConnectionEnd waits until the caller's connection has ended, for as long as that end can take to follow its bytes.
 func awaitConnectionEnd(ctx context.Context) {
 	timer := time.NewTimer(connectionEndTimeout)
 	defer timer.Stop()
--- a/internal/system/operatorapi/evacuation.go
+++ b/internal/system/operatorapi/evacuation.go
@@ -13,24 +13,25 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// The bounds of an evacuation order.
+// The bounds of a request for an evacuation.
 const (
-	maxZoneNameBytes      = 128                    // bytes of a zone's name
-	maxDiscardedBodyBytes = 64 << 10               // bytes of a body, which these orders do not need
-	discardBodyTimeout    = 200 * time.Millisecond // for such a body to come
+	maxZoneNameBytes      = 128                    // longer names are rejected
+	maxDiscardedBodyBytes = 64 << 10               // of a body, which these requests do not need
+	discardBodyTimeout    = 200 * time.Millisecond // for such a body to arrive
 )
 
-// Kinds of errors of orders that are not passed on. They have not come about and will not.
+// Reasons why a request is not submitted: it has not taken effect and never will.
 var (
 	errStalled     = errors.New("this keeper stood still, and the order may have waited since before that: send it again")
 	errPartitioned = errors.New("this keeper does not reach the chain and has not passed this order on: send it again as it was, to another keeper")
 	errCallerGone  = errors.New("the caller has gone, or waits too long: send the order again if it is still wanted")
 )
 
-// handleEvacuation takes the order to send nothing more to a zone, or its withdrawal.
+// handleEvacuation serves POST /Evacuation.Start, after which no request is sent to a zone, and /Evacuation.Finish, which ends
+// that.
 func (a *api) handleEvacuation(op controlstate.Op) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		// First of all: whatever delays the order from here on, it is fenced by what was known now.
+		// These come first: whatever delays the request from here on, it is fenced by what was known on arrival.
 		receivedAt, fence := time.Now(), a.committedState()
 		zone := mux.Vars(r)["zone"]
 		if len(zone) > maxZoneNameBytes {
@@ -57,12 +58,12 @@
 	}
 }
 
-// stalled reports whether an order that is read now may have lain in the sockets of a stalled process.
+// stalled reports whether a request that is read now may have waited in a socket while the process was stalled.
 func (a *api) stalled() bool {
 	return a.options.Stalled != nil && a.options.Stalled() && !a.options.knobs.AcceptAfterStalls
 }
 
-// discardBody reads a body that nothing is done with. Until it is read, net/http does not watch whether the caller is there.
+// discardBody reads a body to its end. Before that net/http does not notice that the caller has closed the connection.
 func discardBody(w http.ResponseWriter, r *http.Request) error {
 	if r.ContentLength == 0 || r.Body == nil {
 		return nil
@@ -72,7 +73,7 @@
 	return err
 }
 
-// writeDiscardError answers an order whose body did not come to its end.
+// writeDiscardError writes the response to an evacuation whose body did not come to its end.
 func writeDiscardError(w http.ResponseWriter, err error) {
 	closeConnection(w)
 	if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
@@ -82,10 +83,12 @@
 	writeUnavailable(w, "the body did not come whole in time: send the order again, without a body")
 }
 
-// submitWithFence brings an evacuation order to the chain with its fence, the number of the newest committed record that was
-// known as the order came. First a majority is asked, and where the order may have been held up, the end of its connection
-// is waited for: then a caller that hung up before the order's bytes arrived is known to have gone, and the order is dropped. An order that is superseded is not tried
-// again with a newer fence: its caller, if it still waits, sends it again.
+// submitWithFence submits an evacuation with its fence, the number of the newest committed record that was known on arrival.
+//
+// Before that it makes a linearizable read and, where the request may have been delayed, waits for the end of its connection:
+// a caller that hung up before its bytes arrived is then known to have gone, and the request is dropped. A request that turns
+// out to be superseded is not retried with a newer fence, since its caller may have gone unnoticed; a caller that still waits
+// retries by itself.
 func (a *api) submitWithFence(caller context.Context, request *changeRequest, fence *controlstate.State) (controlstate.Verdict, error) {
 	ctx, cancel := context.WithDeadline(caller, request.receivedAt.Add(chainTimeout))
 	defer cancel()
@@ -108,14 +111,14 @@
 	return a.options.Chain.Submit(ctx, request.change)
 }
 
-// callerGone reports whether the caller has hung up, or the deadline of its order has passed. The clock is asked as well: after
-// a stall the timer of ctx may not have run yet. So is the caller's context, as ctx, which is made of it, ends a moment later.
+// callerGone reports whether the caller has hung up, or the deadline of its request has passed. The clock decides beside ctx, as
+// the timer of ctx may not have fired yet after a stall; and so does the caller's context, as ctx, its child, ends a moment later.
 func callerGone(caller, ctx context.Context) bool {
 	deadline, _ := ctx.Deadline()
 	return caller.Err() != nil || !time.Now().Before(deadline)
 }
 
-// committedState is the committed state at hand, nil where there is none.
+// committedState returns the newest committed state of this node, nil where there is none.
 func (a *api) committedState() *controlstate.State {
 	if a.options.CommittedState == nil {
 		return nil
--- a/internal/system/operatorapi/handler.go
+++ b/internal/system/operatorapi/handler.go
@@ -1,5 +1,23 @@
-// Package control is the operator's HTTP API on a keeper: it takes whole configurations, amendments and evacuations into
-// the chain, answers the newest configuration, and tells staff the keeper's status.
+// Package operatorapi is the HTTP API through which the operator changes the configuration. Every control-plane node serves it.
+//
+// The problem: a node may be partitioned or stalled while the operator still reaches it, requests and responses are lost,
+// delayed and duplicated, and the operator retries at another node. A change must then neither be applied twice, nor be
+// acknowledged without having been applied, nor take effect after a newer one that was acknowledged.
+//
+// Terms: a change is what the operator wants (a whole configuration, an amendment, an evacuation of a zone or its end); a
+// request is one attempt to submit it; a verdict is what the state machine at the head of the chain decides
+// (controlstate.State.Check); a fence is the number of the newest committed record that a node knew when a request arrived.
+//
+// Invariants (docs/hardening/control.md, C1 to C8, has the argument for each):
+//
+//   - A 4xx status follows from the bytes of the request alone, or from a verdict that a majority has confirmed. Everything that
+//     one node believes by itself is answered with 503, at which callers go on to another node.
+//   - A 200 to a change follows from a verdict, a 200 to Config.Read from a linearizable read. An elapsed timer proves nothing.
+//   - Every version of the configuration is the base of one change at most.
+//   - No request for a zone takes effect once a later request for that zone was acknowledged: requests carry their fence, and the
+//     state machine rejects those that are older than the zone's newest change. Fencing tokens are described by M. Kleppmann,
+//     "How to do distributed locking" (2016), and as sequencers by M. Burrows, "The Chubby lock service" (OSDI 2006).
+//   - A response belongs to the request that it answers: where a body was not read to its end, the connection is closed.
 package operatorapi
 
 import (
@@ -13,63 +31,75 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// Chain is where changes become durable. Its errors mean that a change may or may not come about.
+// Chain replicates changes (package replication). After an error a change may or may not be applied.
 type Chain interface {
-	// Submit gives the verdict on a change once everything that it rests on is durable on every link.
+	// Submit returns the verdict on a change once everything that the verdict rests on is durable on every replica.
 	Submit(ctx context.Context, change controlstate.Change) (controlstate.Verdict, error)
-	// Read gives a state that holds all that was acknowledged before the call.
+	// Read returns a state that contains all changes that were acknowledged before the call (a linearizable read).
 	Read(ctx context.Context) (*controlstate.State, error)
 }
 
-// Options are those of the API.
+// Options configure Handler. Only Chain is required.
 type Options struct {
 	Chain Chain
-	// Delivered waits until the connected proxies hold the change numbered seq, or ctx ends. Nil: nothing is waited for.
+	// WaitDelivered waits until the connected proxies have the record numbered seq, or ctx ends. Nil: no wait.
 	WaitDelivered func(ctx context.Context, seq uint64)
-	// Current gives a committed state that is at hand: the fence of an evacuation order, and the revision that a refusal
-	// names. It may lag; where it is nil or gives nil, what a majority told as the order came is the fence.
+	// CommittedState returns the newest committed state of this node without asking the others, so that it may lag. It is the
+	// fence of evacuations, and gives the revision that a 412 names. Where it is nil or returns nil, the state of a linearizable
+	// read that begins when the request has arrived is the fence.
 	CommittedState func() *controlstate.State
-	// Stalled tells whether the process stood still a moment ago. Evacuation orders are then not taken. Nil: never.
+	// Stalled reports whether the process was paused a moment ago (see StallDetector). Evacuations are rejected meanwhile.
+	// Nil: never.
 	Stalled func() bool
-	// CutOff tells whether this keeper has had no way to the chain for so long that an order would not be taken. Orders are
-	// then answered 503 at once, without being passed on. Nil: never.
+	// Partitioned reports whether this node has been without a way to the chain for so long that a change would not be
+	// committed. Changes are then answered with 503 at once and are not forwarded. Nil: never.
 	Partitioned func() bool
-	// Status is what GET /status answers, as JSON. Nil: an empty object.
-	Status     func() any
-	Backup     http.Handler  // answers GET /backup. Nil: there is no such call
-	AckTimeout time.Duration // the ack_ms of the deployment; 0: 5 s
-	Log        log.Interface
+	// Status returns what GET /status answers as JSON. Nil: an empty object.
+	Status func() any
+	// Backup serves GET /backup. Nil: the path does not exist.
+	Backup http.Handler
+	// AckTimeout is the deployment's ack_ms, the longest life of a change that is not acknowledged; the wait for its delivery
+	// takes an eighth of it at most. 0: 5 s.
+	AckTimeout time.Duration
+	// Log receives the node's log. Nil: the default log.
+	Log log.Interface
 
 	knobs TestingKnobs
 }
 
-// TestingKnobs take protections out, so that tests can show what each is for.
+// TestingKnobs take protections out, so that tests can show which fault each of them excludes.
 type TestingKnobs struct {
-	FenceByConfirmedState bool // evacuation orders are fenced by what is known after the round, not as they came
-	SubmitForGoneCallers  bool // evacuation orders are passed on though their callers have gone
-	AcceptAfterStalls     bool // evacuation orders are taken that may have waited through a stall
-	SkipConnectionEndWait bool // nor is the end of a connection waited for where an order may have been held up
+	// FenceByConfirmedState fences evacuations by the state of the linearizable read in place of the one known on arrival.
+	FenceByConfirmedState bool
+	// SubmitForGoneCallers submits evacuations although their callers have hung up or timed out.
+	SubmitForGoneCallers bool
+	// AcceptAfterStalls accepts evacuations that may have waited in a socket during a stall of the process.
+	AcceptAfterStalls bool
+	// SkipConnectionEndWait does not wait for the end of a connection on which an evacuation may have been delayed.
+	SkipConnectionEndWait bool
 }
 
-// The bounds of a call. Callers move on after a second of silence, later where the body is large.
+// The bounds of a request. Callers go on to another node after a second without a response, later where the body is large.
 const (
-	maxBodyBytes       = 16 << 20 // bytes
-	largeBodyBytes     = 256 << 10
-	maxTotalBodyBytes  = 32 << 20 // bytes of all bodies together that are held at one time
+	maxBodyBytes       = 16 << 20
+	largeBodyBytes     = 256 << 10 // bodies above it get the longer time-outs
+	maxTotalBodyBytes  = 32 << 20  // of all bodies in memory
 	bodyTimeout        = 10 * time.Second
 	chainTimeout       = 700 * time.Millisecond
 	largeChangeTimeout = 2500 * time.Millisecond
 	deliveryTimeout    = 300 * time.Millisecond
-	responseTimeout    = 900 * time.Millisecond // for all of it, where the body is not large
+	responseTimeout    = 900 * time.Millisecond // of the whole request, where its body is not large
 )
 
+// api is the state that all requests share.
 type api struct {
 	options    Options
 	bodyBudget byteBudget
 }
 
-// Handler serves the operator's calls. Where it has a method ConnContext, set that in the http.Server. Every answer but 200 of Config.Read is a JSON object; those that refuse carry its
-// reason, which names the remedy, under "error".
+// Handler serves the operator's API. Its result has a method ConnContext, which belongs into the http.Server that serves it.
+// Every response but the 200 of Config.Read is a JSON object; an error response carries the reason, which names the remedy,
+// under "error".
 func Handler(options Options) http.Handler {
 	if options.AckTimeout <= 0 {
 		options.AckTimeout = 5 * time.Second
@@ -83,7 +113,7 @@
 
 // newRouter maps the paths of the API to their handlers.
 func (a *api) newRouter() *mux.Router {
-	// Cleaning would answer an odd path with a redirect, and callers count those.
+	// Cleaning a path would answer it with a redirect, which callers count as an error.
 	router := mux.NewRouter().SkipClean(true)
 	router.HandleFunc("/Config.Replace", a.handleConfigChange(controlstate.OpReplace)).Methods(http.MethodPost)
 	router.HandleFunc("/Config.Amend", a.handleConfigChange(controlstate.OpAmend)).Methods(http.MethodPost)
@@ -103,6 +133,7 @@
 	return router
 }
 
+// handleStatus serves GET /status.
 func (a *api) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	var body any = struct{}{}
 	if a.options.Status != nil {
--- a/internal/system/operatorapi/response.go
+++ b/internal/system/operatorapi/response.go
@@ -6,16 +6,18 @@
 	"strconv"
 )
 
+// writeError writes a JSON object with the reason, which names the remedy, under "error".
 func writeError(w http.ResponseWriter, status int, reason string) {
 	writeJSON(w, status, map[string]any{"error": reason})
 }
 
-// writeUnavailable answers 503, at which callers move on to another keeper.
+// writeUnavailable writes a 503, at which callers go on to another control-plane node.
 func writeUnavailable(w http.ResponseWriter, reason string) {
 	w.Header().Set("Retry-After", "0.2")
 	writeError(w, http.StatusServiceUnavailable, reason)
 }
 
+// writeJSON writes a body as JSON.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -26,19 +28,21 @@
 	_, _ = w.Write(data)
 }
 
+// writeBodyTooLarge writes a 413.
 func writeBodyTooLarge(w http.ResponseWriter) {
 	closeConnection(w)
 	writeError(w, http.StatusRequestEntityTooLarge,
 		"the body has more than "+strconv.Itoa(maxBodyBytes)+" bytes: send the change in parts with POST /Config.Amend")
 }
 
+// setResponseHeaders sets the headers that all responses share; length is that of the body in bytes.
 func setResponseHeaders(w http.ResponseWriter, length int) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(length))
 	w.Header().Set("Cache-Control", "no-store")
 }
 
-// closeConnection ends the connection after the answer, so that what is left of a body is never parsed as a call.
+// closeConnection closes the connection after the response, so that what is left of a body is never parsed as a request.
 func closeConnection(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 }
--- a/internal/system/operatorapi/stall_detector.go
+++ b/internal/system/operatorapi/stall_detector.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// The times of a StallDetector.
+// The bounds of a StallDetector.
 const (
 	stallCheckInterval = 25 * time.Millisecond
-	stallThreshold     = 250 * time.Millisecond // a pause of the process above it counts as a stall
-	stallCooldown      = time.Second            // bytes that are read so soon after a stall may have come before it
+	stallThreshold     = 250 * time.Millisecond // a longer pause of the process counts as a stall
+	stallCooldown      = time.Second            // bytes that are read so soon after a stall may have arrived before it
 )
 
-// StallDetector tells whether the process stood still a moment ago (it was frozen or stopped, or got no processor), so that
-// what it reads now may have lain in its sockets for long. It measures with the monotonic clock: steps of the wall clock
-// change nothing. Its methods may be called by several goroutines at once.
+// StallDetector reports whether the process was paused a moment ago (it was frozen or stopped, or got no processor), so that
+// what it reads now may have waited in its sockets for long. It measures with the monotonic clock: steps of the wall clock
+// have no effect. Its methods may be called by several goroutines at once.
 type StallDetector struct {
 	mu           sync.Mutex
-	lastObserved time.Time // when the process was last seen to run
-	trustedFrom  time.Time // from then on, what is read came after the last stall
+	lastObserved time.Time // when the process was last seen running
+	trustedFrom  time.Time // what is read from then on arrived after the last stall
 }
 
-// NewStallDetector returns a detector that counts as stalled until Run has been called.
+// NewStallDetector returns a detector that reports a stall until Run has been called.
 func NewStallDetector() *StallDetector { return &StallDetector{} }
 
-// Run notes every 25 ms that the process runs, until ctx is done.
+// Run observes every 25 ms that the process runs, until ctx is done.
 func (d *StallDetector) Run(ctx context.Context) {
 	d.start(time.Now())
 	ticker := time.NewTicker(stallCheckInterval)
@@ -40,8 +40,8 @@
 	}
 }
 
-// Stalled tells whether the process stood still for more than 250 ms and runs again for less than a second, or has not run
-// since: whoever comes first after a stall notices it, be it Run or a caller.
+// Stalled reports whether the process was paused for more than 250 ms and has been running again for less than a second. Whoever
+// comes first after the pause detects it, be it Run or a caller.
 func (d *StallDetector) Stalled() bool {
 	return d.observeRunning(time.Now())
 }
