--- a/internal/system/operatorapi/body_test.go
+++ b/internal/system/operatorapi/body_test.go
@@ -12,16 +12,16 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// meeting is a chain that answers once so many changes are under way.
-type meeting struct {
+// rendezvousChain is a chain that answers once so many changes are under way.
+type rendezvousChain struct {
 	fakeChain
-	all sync.WaitGroup
+	arrivals sync.WaitGroup
 }
 
-func (m *meeting) Submit(ctx context.Context, _ controlstate.Change) (controlstate.Verdict, error) {
-	m.all.Done()
+func (m *rendezvousChain) Submit(ctx context.Context, _ controlstate.Change) (controlstate.Verdict, error) {
+	m.arrivals.Done()
 	met := make(chan struct{})
-	go func() { m.all.Wait(); close(met) }()
+	go func() { m.arrivals.Wait(); close(met) }()
 	select {
 	case <-met:
 		return controlstate.Verdict{Kind: controlstate.Accepted}, nil
@@ -31,11 +31,11 @@
 }
 
 // Eight orders may be under way at once, also where their bodies' lengths are not told.
-func TestEightOrdersInChunks(t *testing.T) {
+func TestEightChunkedChanges(t *testing.T) {
 	const orders = 8
-	chain := &meeting{}
-	chain.all.Add(orders)
-	s := httptest.NewServer(Handler(Options{Chain: chain, Log: quiet()}))
+	chain := &rendezvousChain{}
+	chain.arrivals.Add(orders)
+	s := httptest.NewServer(Handler(Options{Chain: chain, Log: discardLog()}))
 	defer s.Close()
 	var calls sync.WaitGroup
 	for range orders {
@@ -61,8 +61,8 @@
 }
 
 // Bodies whose lengths are not told are bounded all the same, each and all together, and what they held is given back.
-func TestBodiesInChunksAreBounded(t *testing.T) {
-	a := &api{options: Options{Log: quiet()}, bodyBudget: byteBudget{available: 1 << 20}}
+func TestChunkedBodiesAreBounded(t *testing.T) {
+	a := &api{options: Options{Log: discardLog()}, bodyBudget: byteBudget{available: 1 << 20}}
 	read := func(size int64) error {
 		r := httptest.NewRequest(http.MethodPost, "/", io.LimitReader(zeros{}, size))
 		r.ContentLength = -1
--- a/internal/system/operatorapi/cluster_test.go
+++ b/internal/system/operatorapi/cluster_test.go
@@ -29,15 +29,15 @@
 
 // cluster is three keepers with their APIs, over disks and a network in memory.
 type cluster struct {
-	tb      testing.TB
-	disks   map[string]*wal.Mem
-	keepers map[string]*replication.Node
-	apis    map[string]http.Handler
-	patient bool // the APIs hold orders also where a keeper is cut off
+	tb                  testing.TB
+	disks               map[string]*wal.Mem
+	nodes               map[string]*replication.Node
+	apis                map[string]http.Handler
+	waitWhenPartitioned bool // the APIs hold orders also where a keeper is cut off
 
-	mu    sync.Mutex
-	inner map[string]http.Handler
-	cut   map[string]bool
+	mu           sync.Mutex
+	peerHandlers map[string]http.Handler
+	partitioned  map[string]bool
 }
 
 // submitter fits a keeper to the API, as cmd/controlplane does.
@@ -58,7 +58,7 @@
 func (n network) RoundTrip(r *http.Request) (*http.Response, error) {
 	to := r.URL.Hostname()
 	n.mu.Lock()
-	h, cut := n.inner[to], n.cut[to] || n.cut[n.from]
+	h, cut := n.peerHandlers[to], n.partitioned[to] || n.partitioned[n.from]
 	n.mu.Unlock()
 	if h == nil || cut {
 		return nil, errors.New("unreachable")
@@ -75,8 +75,8 @@
 }
 
 func newCluster(tb testing.TB) *cluster {
-	c := &cluster{tb: tb, disks: map[string]*wal.Mem{}, keepers: map[string]*replication.Node{}, apis: map[string]http.Handler{},
-		inner: map[string]http.Handler{}, cut: map[string]bool{}}
+	c := &cluster{tb: tb, disks: map[string]*wal.Mem{}, nodes: map[string]*replication.Node{}, apis: map[string]http.Handler{},
+		peerHandlers: map[string]http.Handler{}, partitioned: map[string]bool{}}
 	for _, m := range machines {
 		c.disks[m] = wal.NewMem()
 	}
@@ -86,12 +86,12 @@
 func (c *cluster) start() {
 	c.tb.Helper()
 	for _, m := range machines {
-		c.startKeeper(m)
+		c.startNode(m)
 	}
 }
 
-// startKeeper starts the keeper of one machine, as an observer where the machine has no disk.
-func (c *cluster) startKeeper(m string) {
+// startNode starts the keeper of one machine, as an observer where the machine has no disk.
+func (c *cluster) startNode(m string) {
 	c.tb.Helper()
 	quiet := &log.Logger{Handler: discard.New(), Level: log.InfoLevel}
 	options := replication.Options{Addr: m, Zone: "zone of " + m, Region: "r", Port: 1,
@@ -105,42 +105,42 @@
 	if err != nil {
 		c.tb.Fatal(err)
 	}
-	c.keepers[m] = k
+	c.nodes[m] = k
 	api := operatorapi.Options{Chain: submitter{k}, Log: quiet, Partitioned: k.Partitioned,
 		CommittedState: func() *controlstate.State { s, _ := k.Committed(); return s }}
-	if c.patient {
+	if c.waitWhenPartitioned {
 		api.Partitioned = nil
 	}
 	c.apis[m] = operatorapi.Handler(api)
 	c.mu.Lock()
-	c.inner[m] = k.Handler()
+	c.peerHandlers[m] = k.Handler()
 	c.mu.Unlock()
 }
 
 func (c *cluster) stop() {
-	for m, k := range c.keepers {
+	for m, k := range c.nodes {
 		c.mu.Lock()
-		c.inner[m] = nil
+		c.peerHandlers[m] = nil
 		c.mu.Unlock()
 		k.Stop()
 	}
 }
 
-func (c *cluster) setCut(m string, cut bool) {
+func (c *cluster) setPartitioned(m string, cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut[m] = cut
+	c.partitioned[m] = cut
 }
 
-// order is one call of the operator.
-type order struct{ method, path, base, body string }
+// apiRequest is one call of the operator.
+type apiRequest struct{ method, path, base, body string }
 
-func replacement(base, revision int, mark string) order {
-	return order{http.MethodPost, "/Config.Replace", fmt.Sprint(base),
+func replacement(base, revision int, mark string) apiRequest {
+	return apiRequest{http.MethodPost, "/Config.Replace", fmt.Sprint(base),
 		fmt.Sprintf(`{"revision":%d,"built_on":%d,"routes":[],"services":[{"name":"service %s"}]}`, revision, base, mark)}
 }
 
-func (c *cluster) call(m string, o order) (status int, body string) {
+func (c *cluster) call(m string, o apiRequest) (status int, body string) {
 	r := httptest.NewRequest(o.method, "http://"+m+o.path, bytes.NewBufferString(o.body))
 	if o.base != "" {
 		r.Header.Set("X-Base-Version", o.base)
@@ -150,8 +150,8 @@
 	return w.Code, w.Body.String()
 }
 
-// settle calls until there is a clear answer.
-func (c *cluster) settle(m string, o order) (status int, body string) {
+// callUntilResolved calls until there is a clear answer.
+func (c *cluster) callUntilResolved(m string, o apiRequest) (status int, body string) {
 	for range 50 {
 		if status, body = c.call(m, o); status != http.StatusServiceUnavailable {
 			return status, body
@@ -162,14 +162,14 @@
 	return status, body
 }
 
-// everywhere settles orders at all keepers at once, and counts the answers by status.
-func (c *cluster) everywhere(orders ...order) map[int]int {
+// callAllNodes settles orders at all keepers at once, and counts the answers by status.
+func (c *cluster) callAllNodes(orders ...apiRequest) map[int]int {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	out := map[int]int{}
 	for i, m := range machines {
 		all.Go(func() {
-			status, _ := c.settle(m, orders[i%len(orders)])
+			status, _ := c.callUntilResolved(m, orders[i%len(orders)])
 			mu.Lock()
 			defer mu.Unlock()
 			out[status]++
@@ -186,25 +186,25 @@
 		c := newCluster(t)
 		c.start()
 		defer c.stop()
-		var all []order
+		var all []apiRequest
 		for i := range 300 {
 			o := replacement(i, i+1, "")
 			if i%4 == 3 {
-				o = order{http.MethodPost, "/Config.Amend", fmt.Sprint(i),
+				o = apiRequest{http.MethodPost, "/Config.Amend", fmt.Sprint(i),
 					fmt.Sprintf(`{"revision":%d,"built_on":%d,"upsert":{"services":[{"name":"a"}]}}`, i+1, i)}
 			}
-			if got := c.everywhere(o); got[200] != len(machines) {
+			if got := c.callAllNodes(o); got[200] != len(machines) {
 				t.Fatalf("change %d: %v", i, got)
 			}
 			all = append(all, o)
 		}
 		again := func(when string) {
 			for i, o := range all {
-				if status, body := c.settle(machines[i%3], o); status != 200 || body != fmt.Sprintf(`{"revision":%d}`, i+1) {
+				if status, body := c.callUntilResolved(machines[i%3], o); status != 200 || body != fmt.Sprintf(`{"revision":%d}`, i+1) {
 					t.Fatalf("%s: change %d: status %d: %s", when, i, status, body)
 				}
 			}
-			if state, err := c.keepers[machines[0]].Read(t.Context()); err != nil || state.Seq != uint64(len(all)) {
+			if state, err := c.nodes[machines[0]].Read(t.Context()); err != nil || state.Seq != uint64(len(all)) {
 				t.Errorf("%s: records up to %d, %v", when, state.Seq, err)
 			}
 		}
@@ -222,7 +222,7 @@
 		c.start()
 		defer c.stop()
 		for i := range 50 {
-			got := c.everywhere(replacement(i, i+1, "one"), replacement(i, i+1, "two"), replacement(i, i+1, "three"))
+			got := c.callAllNodes(replacement(i, i+1, "one"), replacement(i, i+1, "two"), replacement(i, i+1, "three"))
 			if got[200] != 1 || got[412] != 2 {
 				t.Fatalf("version %d: %v", i, got)
 			}
@@ -233,30 +233,30 @@
 // A keeper that is cut off from the others, and still reached by callers, confirms nothing, refuses nothing that the state
 // decides, and answers no configuration; when the cut ends it is back within two seconds. That holds by the chain alone, and
 // also where the API answers orders at once.
-func TestCutOffKeeper(t *testing.T) {
+func TestPartitionedNode(t *testing.T) {
 	for name, patient := range map[string]bool{"orders are held": true, "orders are answered at once": false} {
-		t.Run(name, func(t *testing.T) { testCutOffKeeper(t, patient) })
+		t.Run(name, func(t *testing.T) { testPartitionedNode(t, patient) })
 	}
 }
 
-func testCutOffKeeper(t *testing.T, patient bool) {
+func testPartitionedNode(t *testing.T, patient bool) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
-		c.patient = patient
+		c.waitWhenPartitioned = patient
 		c.start()
 		defer c.stop()
 		for i := range 3 {
-			if status, _ := c.settle(machines[0], replacement(i, i+1, "")); status != 200 {
+			if status, _ := c.callUntilResolved(machines[0], replacement(i, i+1, "")); status != 200 {
 				t.Fatalf("status %d", status)
 			}
 		}
-		if status, _ := c.settle(machines[1], order{method: http.MethodPost, path: "/Evacuation.Start/z"}); status != 200 {
+		if status, _ := c.callUntilResolved(machines[1], apiRequest{method: http.MethodPost, path: "/Evacuation.Start/z"}); status != 200 {
 			t.Fatalf("status %d", status)
 		}
 		for _, m := range machines { // the head, the middle, the tail
-			c.setCut(m, true)
+			c.setPartitioned(m, true)
 			for began := time.Now(); time.Since(began) < 20*time.Second; {
-				for what, o := range map[string]order{
+				for what, o := range map[string]apiRequest{
 					"an order that was applied": replacement(1, 2, ""), "the newest": replacement(2, 3, ""), "a stale order": replacement(1, 2, "x"),
 					"an invalid order": replacement(3, 2, ""), "not JSON": {http.MethodPost, "/Config.Replace", "3", "{"},
 					"an evacuation": {method: http.MethodPost, path: "/Evacuation.Start/z"}, "the end of one": {method: http.MethodPost, path: "/Evacuation.Finish/z"},
@@ -267,14 +267,14 @@
 					}
 				}
 			}
-			c.setCut(m, false)
+			c.setPartitioned(m, false)
 			healed := time.Now()
 			for status := 0; status != 200; {
-				if status, _ = c.call(m, order{method: http.MethodGet, path: "/Config.Read"}); time.Since(healed) > 2*time.Second {
+				if status, _ = c.call(m, apiRequest{method: http.MethodGet, path: "/Config.Read"}); time.Since(healed) > 2*time.Second {
 					t.Fatalf("%s does not answer after the cut: status %d", m, status)
 				}
 			}
-			if status, _ := c.settle(m, replacement(1, 2, "")); status != 200 {
+			if status, _ := c.callUntilResolved(m, replacement(1, 2, "")); status != 200 {
 				t.Errorf("after the cut an order that was applied got %d", status)
 			}
 		}
@@ -284,20 +284,20 @@
 // A keeper that has been without a way to the chain for two seconds, whatever its place, answers orders at once, so that
 // callers move on to another keeper. Through the others the order comes into force meanwhile, and soon after the cut through
 // this one again.
-func TestOrdersAtACutOffKeeperAreAnsweredAtOnce(t *testing.T) {
+func TestChangesAtAPartitionedNodeAreAnsweredAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		c.start()
-		c.startKeeper(observer)
+		c.startNode(observer)
 		defer c.stop()
-		if status, body := c.settle(observer, replacement(0, 1, "")); status != 200 {
+		if status, body := c.callUntilResolved(observer, replacement(0, 1, "")); status != 200 {
 			t.Fatalf("status %d: %s", status, body)
 		}
 		for i, m := range append([]string{observer}, machines...) {
-			c.setCut(m, true)
+			c.setPartitioned(m, true)
 			time.Sleep(2 * time.Second) // of the bubble's clock
-			start := order{method: http.MethodPost, path: "/Evacuation.Start/" + m}
-			for _, o := range []order{start, replacement(i+1, i+2, m), {http.MethodPost, "/Config.Amend", fmt.Sprint(i + 1), "{}"}} {
+			start := apiRequest{method: http.MethodPost, path: "/Evacuation.Start/" + m}
+			for _, o := range []apiRequest{start, replacement(i+1, i+2, m), {http.MethodPost, "/Config.Amend", fmt.Sprint(i + 1), "{}"}} {
 				began := time.Now()
 				status, body := c.call(m, o)
 				if took := time.Since(began); status != 503 || took > 20*time.Millisecond {
@@ -305,10 +305,10 @@
 				}
 			}
 			other := machines[(i+1)%len(machines)] // never m
-			if status, body := c.settle(other, start); status != 200 {
+			if status, body := c.callUntilResolved(other, start); status != 200 {
 				t.Errorf("%s at %s: status %d: %s", start.path, other, status, body)
 			}
-			c.setCut(m, false)
+			c.setPartitioned(m, false)
 			time.Sleep(2 * time.Second)
 			if status, body := c.call(m, replacement(i+1, i+2, m)); status != 200 {
 				t.Errorf("at %s after the cut: status %d: %s", m, status, body)
@@ -323,7 +323,7 @@
 	c := newCluster(b)
 	c.start()
 	defer c.stop()
-	if status, body := c.settle(machines[0], replacement(0, 1, "")); status != 200 {
+	if status, body := c.callUntilResolved(machines[0], replacement(0, 1, "")); status != 200 {
 		b.Fatal(status, body)
 	}
 	b.Run("order", func(b *testing.B) {
@@ -332,16 +332,16 @@
 			if i%2 == 1 {
 				path = "/Evacuation.Finish/z"
 			}
-			if status, body := c.settle(machines[1], order{method: http.MethodPost, path: path}); status != 200 {
+			if status, body := c.callUntilResolved(machines[1], apiRequest{method: http.MethodPost, path: path}); status != 200 {
 				b.Fatal(status, body)
 			}
 		}
 	})
 	b.Run("change alone", func(b *testing.B) {
 		for i := 0; b.Loop(); i++ {
-			s, _ := c.keepers[machines[1]].Committed()
+			s, _ := c.nodes[machines[1]].Committed()
 			change := controlstate.Change{Op: controlstate.OpEvacuate, Zone: "y", Base: int64(s.Seq)}
-			if _, err := c.keepers[machines[1]].Submit(b.Context(), change); err != nil {
+			if _, err := c.nodes[machines[1]].Submit(b.Context(), change); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/system/operatorapi/connection_test.go
+++ b/internal/system/operatorapi/connection_test.go
@@ -13,7 +13,7 @@
 
 // An order that comes on a connection that was quiet for long may have been held up by a cut. It waits as long as the end of
 // its connection takes to follow; a call that follows closely on another, or on the connection's begin, does not.
-func TestHeldUpOrderWaits(t *testing.T) {
+func TestDelayedRequestWaits(t *testing.T) {
 	for name, tt := range map[string]struct {
 		quiet   time.Duration // before the order
 		earlier bool          // another call came before that
@@ -34,7 +34,7 @@
 				chain := &scriptedChain{submit: accepted, read: func(ctx context.Context) (*controlstate.State, error) {
 					return stateAt(4), ctx.Err()
 				}}
-				h, _ := Handler(Options{Chain: chain, Log: quiet()}).(*handler)
+				h, _ := Handler(Options{Chain: chain, Log: discardLog()}).(*handler)
 				ctx, end := context.WithCancel(h.ConnContext(t.Context(), nil))
 				defer end()
 				if tt.earlier {
@@ -47,8 +47,8 @@
 				}
 				w, start := httptest.NewRecorder(), time.Now()
 				h.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/Evacuation.Start/z", nil).WithContext(ctx))
-				if took := time.Since(start); w.Code != tt.status || took != tt.took || (len(chain.got) == 1) != (tt.status == 200) {
-					t.Errorf("status %d after %v, %d orders passed on", w.Code, took, len(chain.got))
+				if took := time.Since(start); w.Code != tt.status || took != tt.took || (len(chain.submitted) == 1) != (tt.status == 200) {
+					t.Errorf("status %d after %v, %d orders passed on", w.Code, took, len(chain.submitted))
 				}
 			})
 		})
--- a/internal/system/operatorapi/evacuation_test.go
+++ b/internal/system/operatorapi/evacuation_test.go
@@ -19,15 +19,15 @@
 
 // scriptedChain answers as its functions say, and notes what it was asked.
 type scriptedChain struct {
-	read   func(ctx context.Context) (*controlstate.State, error)
-	submit func(controlstate.Change) controlstate.Verdict
-	got    []controlstate.Change
+	read      func(ctx context.Context) (*controlstate.State, error)
+	submit    func(controlstate.Change) controlstate.Verdict
+	submitted []controlstate.Change
 }
 
 func (s *scriptedChain) Read(ctx context.Context) (*controlstate.State, error) { return s.read(ctx) }
 
 func (s *scriptedChain) Submit(_ context.Context, c controlstate.Change) (controlstate.Verdict, error) {
-	s.got = append(s.got, c)
+	s.submitted = append(s.submitted, c)
 	return s.submit(c), nil
 }
 
@@ -56,13 +56,13 @@
 					return controlstate.Verdict{Kind: controlstate.Superseded}
 				}
 			}
-			o := Options{Chain: chain, Log: quiet(), knobs: TestingKnobs{FenceByConfirmedState: tt.late}}
+			o := Options{Chain: chain, Log: discardLog(), knobs: TestingKnobs{FenceByConfirmedState: tt.late}}
 			if tt.known {
 				o.CommittedState = func() *controlstate.State { return stateAt(3) }
 			}
-			w := call(Handler(o), "POST", "/Evacuation.Start/z", "")
-			if w.Code != tt.status || len(chain.got) != 1 || chain.got[0].Base != tt.fence {
-				t.Errorf("status %d, passed on %+v", w.Code, chain.got)
+			w := serve(Handler(o), "POST", "/Evacuation.Start/z", "")
+			if w.Code != tt.status || len(chain.submitted) != 1 || chain.submitted[0].Base != tt.fence {
+				t.Errorf("status %d, passed on %+v", w.Code, chain.submitted)
 			}
 		})
 	}
@@ -88,15 +88,15 @@
 						tt.read(cancel)
 						return stateAt(4), nil
 					}}
-					h := Handler(Options{Chain: chain, Log: quiet(), knobs: TestingKnobs{SubmitForGoneCallers: unprotected}})
+					h := Handler(Options{Chain: chain, Log: discardLog(), knobs: TestingKnobs{SubmitForGoneCallers: unprotected}})
 					w := httptest.NewRecorder()
 					h.ServeHTTP(w, httptest.NewRequest("POST", "/Evacuation.Finish/z", nil).WithContext(ctx))
 					want := tt.sent
 					if unprotected {
 						want = 1 // the control: without the protection it is passed on
 					}
-					if len(chain.got) != want || !unprotected && (w.Code == 200) != (want == 1) || w.Code != 200 && w.Code != 503 {
-						t.Errorf("unprotected %v: %d orders passed on, want %d; status %d", unprotected, len(chain.got), want, w.Code)
+					if len(chain.submitted) != want || !unprotected && (w.Code == 200) != (want == 1) || w.Code != 200 && w.Code != 503 {
+						t.Errorf("unprotected %v: %d orders passed on, want %d; status %d", unprotected, len(chain.submitted), want, w.Code)
 					}
 				})
 			}
@@ -115,7 +115,7 @@
 			noticed := make(chan bool, 1)
 			chain := &scriptedChain{submit: accepted}
 			entered := make(chan context.Context, 1)
-			h := Handler(Options{Chain: chain, Log: quiet()})
+			h := Handler(Options{Chain: chain, Log: discardLog()})
 			chain.read = func(ctx context.Context) (*controlstate.State, error) {
 				caller := <-entered
 				select {
@@ -144,26 +144,26 @@
 				t.Fatal(err)
 			}
 			<-done
-			if !<-noticed || len(chain.got) > 0 {
-				t.Errorf("%d orders passed on", len(chain.got))
+			if !<-noticed || len(chain.submitted) > 0 {
+				t.Errorf("%d orders passed on", len(chain.submitted))
 			}
 		})
 	}
 }
 
-// endedContext is the context of a caller that has gone, of which contexts made of it have not heard yet.
-type endedContext struct{ context.Context }
+// canceledContext is the context of a caller that has gone, of which contexts made of it have not heard yet.
+type canceledContext struct{ context.Context }
 
-func (endedContext) Err() error { return context.Canceled }
+func (canceledContext) Err() error { return context.Canceled }
 
 // TestEvacuationOfACallerThatHasJustGone: the caller's end is known, and has not reached the context of the order. Danger: the order is
 // passed on though its caller has gone.
 func TestEvacuationOfACallerThatHasJustGone(t *testing.T) {
 	chain := &scriptedChain{submit: accepted, read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil }}
-	a := &api{options: Options{Chain: chain, Log: quiet()}}
+	a := &api{options: Options{Chain: chain, Log: discardLog()}}
 	o := changeRequest{change: controlstate.Change{Op: controlstate.OpEvacuate, Zone: "z"}, receivedAt: time.Now()}
-	if _, err := a.submitWithFence(endedContext{t.Context()}, &o, nil); !errors.Is(err, errCallerGone) || len(chain.got) > 0 {
-		t.Errorf("%v, %d orders passed on", err, len(chain.got))
+	if _, err := a.submitWithFence(canceledContext{t.Context()}, &o, nil); !errors.Is(err, errCallerGone) || len(chain.submitted) > 0 {
+		t.Errorf("%v, %d orders passed on", err, len(chain.submitted))
 	}
 }
 
@@ -171,21 +171,21 @@
 func TestEvacuationAfterAStall(t *testing.T) {
 	chain := &scriptedChain{submit: accepted, read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil }}
 	stalled := true
-	o := Options{Chain: chain, Log: quiet(), Stalled: func() bool { return stalled }}
-	w := call(Handler(o), "POST", "/Evacuation.Start/z", "")
-	if w.Code != 503 || w.Header().Get("Connection") != "close" || len(chain.got) > 0 {
-		t.Errorf("status %d, %d orders passed on", w.Code, len(chain.got))
+	o := Options{Chain: chain, Log: discardLog(), Stalled: func() bool { return stalled }}
+	w := serve(Handler(o), "POST", "/Evacuation.Start/z", "")
+	if w.Code != 503 || w.Header().Get("Connection") != "close" || len(chain.submitted) > 0 {
+		t.Errorf("status %d, %d orders passed on", w.Code, len(chain.submitted))
 	}
 	// A change of the configuration is fenced by its base.
-	if w := call(Handler(o), "POST", "/Config.Replace", "{}", "X-Base-Version", "0"); w.Code != 200 {
+	if w := serve(Handler(o), "POST", "/Config.Replace", "{}", "X-Base-Version", "0"); w.Code != 200 {
 		t.Errorf("a change of the configuration: status %d", w.Code)
 	}
 	stalled = false
-	if w := call(Handler(o), "POST", "/Evacuation.Start/z", ""); w.Code != 200 {
+	if w := serve(Handler(o), "POST", "/Evacuation.Start/z", ""); w.Code != 200 {
 		t.Errorf("status %d", w.Code)
 	}
 	stalled, o.knobs.AcceptAfterStalls = true, true
-	if w := call(Handler(o), "POST", "/Evacuation.Start/z", ""); w.Code != 200 {
+	if w := serve(Handler(o), "POST", "/Evacuation.Start/z", ""); w.Code != 200 {
 		t.Errorf("the control: status %d", w.Code)
 	}
 }
@@ -201,7 +201,7 @@
 		"too much": {strings.Repeat(" ", maxDiscardedBodyBytes+1), maxDiscardedBodyBytes + 1, 413},
 	} {
 		chain := &scriptedChain{submit: accepted, read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil }}
-		s := httptest.NewServer(Handler(Options{Chain: chain, Log: quiet()}))
+		s := httptest.NewServer(Handler(Options{Chain: chain, Log: discardLog()}))
 		conn, err := net.Dial("tcp", s.Listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
--- a/internal/system/operatorapi/handler_test.go
+++ b/internal/system/operatorapi/handler_test.go
@@ -22,18 +22,18 @@
 )
 
 type fakeChain struct {
-	mu      sync.Mutex
-	verdict controlstate.Verdict
-	state   *controlstate.State
-	err     error
-	silent  bool
-	got     []controlstate.Change
+	mu           sync.Mutex
+	verdict      controlstate.Verdict
+	state        *controlstate.State
+	err          error
+	unresponsive bool
+	submitted    []controlstate.Change
 }
 
 func (f *fakeChain) Submit(ctx context.Context, c controlstate.Change) (controlstate.Verdict, error) {
 	f.mu.Lock()
-	f.got = append(f.got, c)
-	silent := f.silent
+	f.submitted = append(f.submitted, c)
+	silent := f.unresponsive
 	f.mu.Unlock()
 	if silent {
 		<-ctx.Done()
@@ -43,16 +43,16 @@
 }
 
 func (f *fakeChain) Read(ctx context.Context) (*controlstate.State, error) {
-	if f.silent {
+	if f.unresponsive {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	return f.state, f.err
 }
 
-func quiet() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.InfoLevel} }
+func discardLog() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.InfoLevel} }
 
-func call(h http.Handler, method, target, body string, headers ...string) *httptest.ResponseRecorder {
+func serve(h http.Handler, method, target, body string, headers ...string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, target, strings.NewReader(body))
 	for i := 0; i+1 < len(headers); i += 2 {
 		r.Header.Add(headers[i], headers[i+1])
@@ -117,11 +117,11 @@
 		t.Run(name, func(t *testing.T) {
 			chain := &fakeChain{verdict: tt.verdict, err: tt.err, state: state}
 			var delivered []uint64
-			h := Handler(Options{Chain: chain, Log: quiet(),
+			h := Handler(Options{Chain: chain, Log: discardLog(),
 				CommittedState: func() *controlstate.State { return state },
 				Status:         func() any { return map[string]int{"epoch": 3} },
 				WaitDelivered:  func(_ context.Context, seq uint64) { delivered = append(delivered, seq) }})
-			w := call(h, tt.method, tt.target, body, tt.headers...)
+			w := serve(h, tt.method, tt.target, body, tt.headers...)
 			if w.Code != tt.status {
 				t.Fatalf("status %d, want %d: %s", w.Code, tt.status, w.Body)
 			}
@@ -138,7 +138,7 @@
 				}
 			}
 			if tt.change != nil {
-				c := chain.got[0]
+				c := chain.submitted[0]
 				if c.Op != tt.change.Op || c.Base != tt.change.Base || c.Zone != tt.change.Zone || !bytes.Equal(c.Body, tt.change.Body) {
 					t.Errorf("change %+v, want %+v", c, *tt.change)
 				}
@@ -152,14 +152,14 @@
 }
 
 func TestReadBeforeAnyConfiguration(t *testing.T) {
-	h := Handler(Options{Chain: &fakeChain{state: controlstate.Empty()}, Log: quiet()})
-	if w := call(h, "GET", "/Config.Read", ""); w.Code != 503 {
+	h := Handler(Options{Chain: &fakeChain{state: controlstate.Empty()}, Log: discardLog()})
+	if w := serve(h, "GET", "/Config.Read", ""); w.Code != 503 {
 		t.Errorf("status %d: %s", w.Code, w.Body)
 	}
 }
 
 func TestBodyTooLarge(t *testing.T) {
-	h := Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted}}, Log: quiet()})
+	h := Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted}}, Log: discardLog()})
 	for name, length := range map[string]int64{"with a length": maxBodyBytes + 1, "in chunks": -1} {
 		r := httptest.NewRequest("POST", "/Config.Replace", io.LimitReader(zeros{}, maxBodyBytes+1))
 		r.ContentLength = length
@@ -179,16 +179,16 @@
 	return len(p), nil
 }
 
-func TestBodyCutShort(t *testing.T) {
+func TestBodyTruncated(t *testing.T) {
 	chain := &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted}}
 	r := httptest.NewRequest("POST", "/Config.Replace", strings.NewReader("{"))
 	r.ContentLength = 10
 	r.Header.Set("X-Base-Version", "0")
 	w := httptest.NewRecorder()
-	Handler(Options{Chain: chain, Log: quiet()}).ServeHTTP(w, r)
+	Handler(Options{Chain: chain, Log: discardLog()}).ServeHTTP(w, r)
 	// No 4xx, at the third of which an operator gives the change up for good.
-	if w.Code != http.StatusServiceUnavailable || w.Header().Get("Connection") != "close" || len(chain.got) != 0 {
-		t.Errorf("status %d, %d changes", w.Code, len(chain.got))
+	if w.Code != http.StatusServiceUnavailable || w.Header().Get("Connection") != "close" || len(chain.submitted) != 0 {
+		t.Errorf("status %d, %d changes", w.Code, len(chain.submitted))
 	}
 }
 
@@ -203,7 +203,7 @@
 	}
 }
 
-func TestSilentChain(t *testing.T) {
+func TestUnresponsiveChain(t *testing.T) {
 	tests := map[string]struct {
 		body string
 		want time.Duration
@@ -214,14 +214,14 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				h := Handler(Options{Chain: &fakeChain{silent: true}, Log: quiet()})
+				h := Handler(Options{Chain: &fakeChain{unresponsive: true}, Log: discardLog()})
 				start := time.Now()
-				w := call(h, "POST", "/Config.Replace", tt.body, "X-Base-Version", "0")
+				w := serve(h, "POST", "/Config.Replace", tt.body, "X-Base-Version", "0")
 				if took := time.Since(start); w.Code != 503 || took != tt.want {
 					t.Errorf("status %d after %v, want 503 after %v", w.Code, took, tt.want)
 				}
 				start = time.Now()
-				w = call(h, "GET", "/Config.Read", "")
+				w = serve(h, "GET", "/Config.Read", "")
 				if took := time.Since(start); w.Code != 503 || took != 700*time.Millisecond {
 					t.Errorf("read: status %d after %v", w.Code, took)
 				}
@@ -232,7 +232,7 @@
 
 // What a keeper without a way to the chain answers at once it has not passed on; what the call's bytes alone decide is answered
 // as ever, and reads are asked for.
-func TestCutOffOrdersAreNotPassedOn(t *testing.T) {
+func TestPartitionedNodeDoesNotForward(t *testing.T) {
 	const waits = 700 * time.Millisecond
 	base := []string{"X-Base-Version", "5"}
 	for name, tt := range map[string]struct {
@@ -248,12 +248,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				chain, cut := &fakeChain{silent: true}, true
-				h := Handler(Options{Chain: chain, Log: quiet(), Partitioned: func() bool { return cut }})
+				chain, cut := &fakeChain{unresponsive: true}, true
+				h := Handler(Options{Chain: chain, Log: discardLog(), Partitioned: func() bool { return cut }})
 				start := time.Now()
-				w := call(h, tt.method, tt.target, "{}", tt.headers...)
-				if took := time.Since(start); w.Code != tt.status || took != tt.took || len(chain.got) > 0 {
-					t.Errorf("status %d after %v, want %d after %v; passed on %+v", w.Code, took, tt.status, tt.took, chain.got)
+				w := serve(h, tt.method, tt.target, "{}", tt.headers...)
+				if took := time.Since(start); w.Code != tt.status || took != tt.took || len(chain.submitted) > 0 {
+					t.Errorf("status %d after %v, want %d after %v; passed on %+v", w.Code, took, tt.status, tt.took, chain.submitted)
 				}
 				var refusal struct{ Error string }
 				if err := json.Unmarshal(w.Body.Bytes(), &refusal); err != nil || refusal.Error == "" {
@@ -261,7 +261,7 @@
 				}
 				cut = false
 				start = time.Now()
-				w = call(h, tt.method, tt.target, "{}", tt.headers...)
+				w = serve(h, tt.method, tt.target, "{}", tt.headers...)
 				if took := time.Since(start); tt.status == 503 && (w.Code != 503 || took != waits) {
 					t.Errorf("not cut off: status %d after %v", w.Code, took)
 				}
@@ -273,10 +273,10 @@
 func TestDeliveryIsBounded(t *testing.T) {
 	for ack, want := range map[time.Duration]time.Duration{0: 300 * time.Millisecond, time.Second: 125 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
-			h := Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted, Seq: 9}}, AckTimeout: ack, Log: quiet(),
+			h := Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted, Seq: 9}}, AckTimeout: ack, Log: discardLog(),
 				WaitDelivered: func(ctx context.Context, _ uint64) { <-ctx.Done() }})
 			start := time.Now()
-			w := call(h, "POST", "/Evacuation.Start/a", "")
+			w := serve(h, "POST", "/Evacuation.Start/a", "")
 			if took := time.Since(start); w.Code != 200 || took != want {
 				t.Errorf("status %d after %v, want 200 after %v", w.Code, took, want)
 			}
@@ -287,7 +287,7 @@
 // Over a real connection: an answer before the whole body is read, and HEAD without a body.
 func TestOverLoopback(t *testing.T) {
 	state := &controlstate.State{Config: &config.Config{Revision: 5, Raw: []byte(`{"revision":5}`)}}
-	s := httptest.NewServer(Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted}, state: state}, Log: quiet()}))
+	s := httptest.NewServer(Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted}, state: state}, Log: discardLog()}))
 	defer s.Close()
 	r, err := http.NewRequest("POST", s.URL+"/Config.Replace", strings.NewReader(`{"revision":9}`))
 	if err != nil {
--- a/internal/system/operatorapi/model_cluster_test.go
+++ b/internal/system/operatorapi/model_cluster_test.go
@@ -11,118 +11,118 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// chainHooks take protections of the state machine and the chain out.
-type chainHooks struct {
-	forgetAndRefuse bool // nothing is remembered, and what cannot be told is refused
-	unfenced        bool // evacuations are not fenced
-	silentInForce   bool // an order that is in force already leaves no record
-	localVerdict    bool // a keeper refuses by what it alone holds
+// chainKnobs take protections of the state machine and the chain out.
+type chainKnobs struct {
+	forgetHistoryAndReject bool // nothing is remembered, and what cannot be told is refused
+	ignoreFences           bool // evacuations are not fenced
+	omitRecordsInForce     bool // an order that is in force already leaves no record
+	rejectByLocalState     bool // a keeper refuses by what it alone holds
 
-	often map[string]bool // troubles that come about four times as often, so that a control finds its fault soon
+	frequentFaults map[string]bool // troubles that come about four times as often, so that a control finds its fault soon
 }
 
-// modelWorld is keepers' APIs over one chain, which is modelled as a state that takes each change at one moment; the ways to
+// modelCluster is keepers' APIs over one chain, which is modelled as a state that takes each change at one moment; the ways to
 // it and back lose, hold up and repeat. All of it runs in the time of a synctest bubble.
-type modelWorld struct {
-	hooks   chainHooks
-	keepers []*modelKeeper
-	began   time.Time
-	running sync.WaitGroup
+type modelCluster struct {
+	knobs     chainKnobs
+	nodes     []*modelNode
+	startedAt time.Time
+	pending   sync.WaitGroup
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	state   *controlstate.State
-	applied map[string]time.Duration // change -> when it was applied
-	raw     map[int64]string         // version -> configuration
-	counts  map[string]int           // of what came about
+	mu             sync.Mutex
+	rng            *rand.Rand
+	state          *controlstate.State
+	applied        map[string]time.Duration // change -> when it was applied
+	configurations map[int64]string         // version -> configuration
+	eventCounts    map[string]int           // of what came about
 }
 
-type modelKeeper struct {
-	*modelWorld
+type modelNode struct {
+	*modelCluster
 	handler http.Handler
 
-	mu        sync.Mutex
-	known     *controlstate.State
-	life      context.Context // ends when it is killed
-	kill      context.CancelFunc
-	frozen    time.Time // until then it stands still
-	cut       time.Time // until then it does not reach the other keepers
-	untrusted time.Time // until then it counts as just thawed
+	mu               sync.Mutex
+	committed        *controlstate.State
+	incarnation      context.Context // ends when it is killed
+	kill             context.CancelFunc
+	frozenUntil      time.Time // until then it stands still
+	partitionedUntil time.Time // until then it does not reach the other keepers
+	stalledUntil     time.Time // until then it counts as just thawed
 }
 
-func newModelWorld(seed uint64, start *controlstate.State, h TestingKnobs, c chainHooks) *modelWorld {
-	w := &modelWorld{hooks: c, began: time.Now(), rng: rand.New(rand.NewPCG(seed, 7)), state: start,
-		applied: map[string]time.Duration{}, raw: map[int64]string{}, counts: map[string]int{}}
+func newModelCluster(seed uint64, start *controlstate.State, h TestingKnobs, c chainKnobs) *modelCluster {
+	w := &modelCluster{knobs: c, startedAt: time.Now(), rng: rand.New(rand.NewPCG(seed, 7)), state: start,
+		applied: map[string]time.Duration{}, configurations: map[int64]string{}, eventCounts: map[string]int{}}
 	if start.Config != nil {
-		w.raw[start.Revision()] = string(start.Config.Raw)
+		w.configurations[start.Revision()] = string(start.Config.Raw)
 	}
 	for range 3 {
-		k := &modelKeeper{modelWorld: w, known: start}
-		k.life, k.kill = context.WithCancel(context.Background())
-		k.handler = Handler(Options{Chain: k, Log: quiet(), CommittedState: k.current, Stalled: k.stalled, knobs: h})
-		w.keepers = append(w.keepers, k)
+		k := &modelNode{modelCluster: w, committed: start}
+		k.incarnation, k.kill = context.WithCancel(context.Background())
+		k.handler = Handler(Options{Chain: k, Log: discardLog(), CommittedState: k.committedState, Stalled: k.stalled, knobs: h})
+		w.nodes = append(w.nodes, k)
 	}
 	return w
 }
 
-func (w *modelWorld) since() time.Duration { return time.Since(w.began) }
+func (w *modelCluster) elapsed() time.Duration { return time.Since(w.startedAt) }
 
-// between draws a span, evenly.
-func (w *modelWorld) between(low, high time.Duration) time.Duration {
+// randomDuration draws a span, evenly.
+func (w *modelCluster) randomDuration(low, high time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return low + time.Duration(w.rng.Int64N(int64(high-low)))
 }
 
-// chance tells whether what comes about once in n times does.
-func (w *modelWorld) chance(n int, what string) bool {
+// happens tells whether what comes about once in n times does.
+func (w *modelCluster) happens(n int, what string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.hooks.often[what] {
+	if w.knobs.frequentFaults[what] {
 		n = max(2, n/4)
 	}
 	if w.rng.IntN(n) > 0 {
 		return false
 	}
-	w.counts[what]++
+	w.eventCounts[what]++
 	return true
 }
 
-func (w *modelWorld) count(what string) {
+func (w *modelCluster) recordEvent(what string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.counts[what]++
+	w.eventCounts[what]++
 }
 
 func changeKey(c controlstate.Change) string {
 	return string(rune('0'+c.Op)) + string(c.Body)
 }
 
-// take is the head's judgement, and the commit.
-func (w *modelWorld) take(c controlstate.Change) controlstate.Verdict {
+// decide is the head's judgement, and the commit.
+func (w *modelCluster) decide(c controlstate.Change) controlstate.Verdict {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	isZone := c.Op == controlstate.OpEvacuate || c.Op == controlstate.OpReadmit
-	if w.hooks.unfenced && isZone {
+	if w.knobs.ignoreFences && isZone {
 		c.Base = math.MaxInt64
 	}
 	inForce := isZone && w.state.Evacuated[c.Zone] == (c.Op == controlstate.OpEvacuate)
-	if w.hooks.silentInForce && inForce {
+	if w.knobs.omitRecordsInForce && inForce {
 		return controlstate.Verdict{Kind: controlstate.AlreadyApplied, Seq: w.state.Seq}
 	}
 	judge := w.state
-	if w.hooks.forgetAndRefuse {
+	if w.knobs.forgetHistoryAndReject {
 		judge = judge.WithoutHistory()
 	}
 	v := judge.Check(c)
-	if w.hooks.forgetAndRefuse && v.Kind == controlstate.Uncertain {
+	if w.knobs.forgetHistoryAndReject && v.Kind == controlstate.Uncertain {
 		v.Kind = controlstate.Stale
 	}
 	if v.Kind == controlstate.Superseded {
-		w.counts["superseded"]++
+		w.eventCounts["superseded"]++
 	}
 	if v.Kind == controlstate.AlreadyApplied && !isZone {
-		w.counts["confirmed again"]++
+		w.eventCounts["confirmed again"]++
 	}
 	if v.Kind != controlstate.Accepted {
 		return v
@@ -135,28 +135,28 @@
 		if next, err = controlstate.Decode(next.Encode()); err != nil {
 			return controlstate.Verdict{Kind: controlstate.Invalid, Reason: err.Error()}
 		}
-		w.counts["snapshot"]++
+		w.eventCounts["snapshot"]++
 	}
 	w.state = next
 	if !isZone {
-		w.applied[changeKey(c)] = w.since()
-		w.raw[next.Revision()] = string(next.Config.Raw)
+		w.applied[changeKey(c)] = w.elapsed()
+		w.configurations[next.Revision()] = string(next.Config.Raw)
 	}
-	for _, k := range w.keepers {
+	for _, k := range w.nodes {
 		lag := time.Duration(w.rng.Int64N(int64(50 * time.Millisecond)))
-		w.running.Go(func() { k.learn(next, lag) })
+		w.pending.Go(func() { k.learnCommitted(next, lag) })
 	}
 	return v
 }
 
-// learn has a keeper hear of a committed state.
-func (k *modelKeeper) learn(s *controlstate.State, lag time.Duration) {
+// learnCommitted has a keeper hear of a committed state.
+func (k *modelNode) learnCommitted(s *controlstate.State, lag time.Duration) {
 	time.Sleep(lag)
-	k.wait(func() time.Time { return later(k.frozen, k.cut) })
+	k.waitUntil(func() time.Time { return later(k.frozenUntil, k.partitionedUntil) })
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if s.Seq > k.known.Seq {
-		k.known = s
+	if s.Seq > k.committed.Seq {
+		k.committed = s
 	}
 }
 
@@ -167,8 +167,8 @@
 	return b
 }
 
-// wait waits until a time that the keeper's faults set.
-func (k *modelKeeper) wait(until func() time.Time) {
+// waitUntil waits until a time that the keeper's faults set.
+func (k *modelNode) waitUntil(until func() time.Time) {
 	for {
 		k.mu.Lock()
 		left := time.Until(until())
@@ -180,66 +180,66 @@
 	}
 }
 
-// thawed waits while the keeper stands still.
-func (k *modelKeeper) thawed() { k.wait(func() time.Time { return k.frozen }) }
+// waitWhileFrozen waits while the keeper stands still.
+func (k *modelNode) waitWhileFrozen() { k.waitUntil(func() time.Time { return k.frozenUntil }) }
 
-func (k *modelKeeper) isCut() bool {
+func (k *modelNode) partitioned() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return time.Now().Before(k.cut)
+	return time.Now().Before(k.partitionedUntil)
 }
 
-func (k *modelKeeper) current() *controlstate.State {
+func (k *modelNode) committedState() *controlstate.State {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.known
+	return k.committed
 }
 
-func (k *modelKeeper) stalled() bool {
+func (k *modelNode) stalled() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return time.Now().Before(k.untrusted)
+	return time.Now().Before(k.stalledUntil)
 }
 
-func (k *modelKeeper) lifeNow() context.Context {
+func (k *modelNode) currentIncarnation() context.Context {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.life
+	return k.incarnation
 }
 
 // Submit implements Chain: the change goes to the head, perhaps late, never or twice, and so does the answer come back.
-func (k *modelKeeper) Submit(ctx context.Context, c controlstate.Change) (controlstate.Verdict, error) {
-	k.thawed()
-	if k.modelWorld.hooks.localVerdict {
-		if v := k.current().Check(c); v.Kind == controlstate.Stale || v.Kind == controlstate.Invalid {
+func (k *modelNode) Submit(ctx context.Context, c controlstate.Change) (controlstate.Verdict, error) {
+	k.waitWhileFrozen()
+	if k.modelCluster.knobs.rejectByLocalState {
+		if v := k.committedState().Check(c); v.Kind == controlstate.Stale || v.Kind == controlstate.Invalid {
 			return v, nil
 		}
 	}
 	answers := make(chan controlstate.Verdict, 1)
-	k.running.Go(func() {
-		if k.chance(40, "change lost") || k.isCut() && k.chance(2, "change lost by a cut") {
+	k.pending.Go(func() {
+		if k.happens(40, "change lost") || k.partitioned() && k.happens(2, "change lost by a cut") {
 			return
 		}
-		time.Sleep(k.between(500*time.Microsecond, 5*time.Millisecond))
-		if k.chance(15, "change held up") {
-			time.Sleep(k.between(time.Second, 22*time.Second))
+		time.Sleep(k.randomDuration(500*time.Microsecond, 5*time.Millisecond))
+		if k.happens(15, "change held up") {
+			time.Sleep(k.randomDuration(time.Second, 22*time.Second))
 		}
-		k.wait(func() time.Time { return k.cut })
-		v := k.take(c)
-		if k.chance(30, "change taken up twice") {
-			k.running.Go(func() {
-				time.Sleep(k.between(0, 20*time.Second))
-				k.take(c)
+		k.waitUntil(func() time.Time { return k.partitionedUntil })
+		v := k.decide(c)
+		if k.happens(30, "change taken up twice") {
+			k.pending.Go(func() {
+				time.Sleep(k.randomDuration(0, 20*time.Second))
+				k.decide(c)
 			})
 		}
-		if k.chance(20, "verdict lost") {
+		if k.happens(20, "verdict lost") {
 			return
 		}
-		time.Sleep(k.between(500*time.Microsecond, 5*time.Millisecond))
-		k.thawed()
+		time.Sleep(k.randomDuration(500*time.Microsecond, 5*time.Millisecond))
+		k.waitWhileFrozen()
 		answers <- v
 	})
-	defer k.thawed()
+	defer k.waitWhileFrozen()
 	select {
 	case v := <-answers:
 		return v, nil
@@ -249,57 +249,57 @@
 }
 
 // Read implements Chain.
-func (k *modelKeeper) Read(ctx context.Context) (*controlstate.State, error) {
-	defer k.thawed()
-	k.thawed()
-	time.Sleep(k.between(2*time.Millisecond, 5*time.Millisecond))
-	if k.chance(6, "slow round") {
-		time.Sleep(k.between(50*time.Millisecond, 600*time.Millisecond))
+func (k *modelNode) Read(ctx context.Context) (*controlstate.State, error) {
+	defer k.waitWhileFrozen()
+	k.waitWhileFrozen()
+	time.Sleep(k.randomDuration(2*time.Millisecond, 5*time.Millisecond))
+	if k.happens(6, "slow round") {
+		time.Sleep(k.randomDuration(50*time.Millisecond, 600*time.Millisecond))
 	}
-	if k.isCut() {
+	if k.partitioned() {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	k.modelWorld.mu.Lock()
+	k.modelCluster.mu.Lock()
 	s := k.state
-	k.modelWorld.mu.Unlock()
-	time.Sleep(k.between(2*time.Millisecond, 5*time.Millisecond))
-	k.learn(s, 0) // a read waits until the keeper holds what it answers
+	k.modelCluster.mu.Unlock()
+	time.Sleep(k.randomDuration(2*time.Millisecond, 5*time.Millisecond))
+	k.learnCommitted(s, 0) // a read waits until the keeper holds what it answers
 	return s, nil
 }
 
-// trouble freezes, cuts off and kills keepers until ctx ends.
-func (w *modelWorld) trouble(ctx context.Context) {
+// injectFaults freezes, cuts off and kills keepers until ctx ends.
+func (w *modelCluster) injectFaults(ctx context.Context) {
 	for ctx.Err() == nil {
-		time.Sleep(w.between(200*time.Millisecond, 4*time.Second))
-		k := w.keepers[w.between(0, time.Duration(len(w.keepers)))]
-		span := w.between(500*time.Millisecond, 20*time.Second)
-		switch w.between(0, 3) {
+		time.Sleep(w.randomDuration(200*time.Millisecond, 4*time.Second))
+		k := w.nodes[w.randomDuration(0, time.Duration(len(w.nodes)))]
+		span := w.randomDuration(500*time.Millisecond, 20*time.Second)
+		switch w.randomDuration(0, 3) {
 		case 0:
-			w.count("freeze")
+			w.recordEvent("freeze")
 			k.mu.Lock()
-			k.frozen = later(k.frozen, time.Now().Add(span))
-			k.untrusted = k.frozen.Add(stallCooldown)
+			k.frozenUntil = later(k.frozenUntil, time.Now().Add(span))
+			k.stalledUntil = k.frozenUntil.Add(stallCooldown)
 			k.mu.Unlock()
 		case 1:
-			w.count("cut")
+			w.recordEvent("cut")
 			k.mu.Lock()
-			k.cut = later(k.cut, time.Now().Add(span))
+			k.partitionedUntil = later(k.partitionedUntil, time.Now().Add(span))
 			k.mu.Unlock()
 		case 2:
-			w.count("kill")
+			w.recordEvent("kill")
 			k.mu.Lock()
 			k.kill()
-			k.life, k.kill = context.WithCancel(context.Background())
-			k.frozen = time.Time{}
+			k.incarnation, k.kill = context.WithCancel(context.Background())
+			k.frozenUntil = time.Time{}
 			k.mu.Unlock()
 		}
 	}
-	for _, k := range w.keepers {
+	for _, k := range w.nodes {
 		k.mu.Lock()
 		k.kill()
-		k.life, k.kill = context.WithCancel(context.Background())
-		k.frozen, k.cut = time.Time{}, time.Time{}
+		k.incarnation, k.kill = context.WithCancel(context.Background())
+		k.frozenUntil, k.partitionedUntil = time.Time{}, time.Time{}
 		k.mu.Unlock()
 	}
 }
--- a/internal/system/operatorapi/model_linear_test.go
+++ b/internal/system/operatorapi/model_linear_test.go
@@ -11,24 +11,24 @@
 
 // version is one version of the configuration, with all before it. Equal lines of versions are the same pointer.
 type version struct {
-	revision int64
-	made     string // key of the change that made it
-	before   *version
+	revision    int64
+	madeBy      string // key of the change that made it
+	predecessor *version
 }
 
-// lines makes versions.
-type lines map[version]*version
+// versionSet makes versions.
+type versionSet map[version]*version
 
-func (l lines) next(v version) *version {
+func (l versionSet) intern(v version) *version {
 	if l[v] == nil {
 		l[v] = &v
 	}
 	return l[v]
 }
 
-func (v *version) holds(key string) bool {
-	for ; v != nil; v = v.before {
-		if v.made == key {
+func (v *version) includes(key string) bool {
+	for ; v != nil; v = v.predecessor {
+		if v.madeBy == key {
 			return true
 		}
 	}
@@ -38,10 +38,10 @@
 // linearizableConfig checks orders and reads of the configuration: an order is one operation from its first sending to its
 // clear answer, however often it was sent. One without a clear answer may take effect at any later time.
 func (h *modelHistory) linearizableConfig(within time.Duration) porcupine.CheckResult {
-	all := lines{}
+	all := versionSet{}
 	start := &version{}
-	var first int64 = never
-	for revision := range h.world.raw {
+	var first int64 = endOfTime
+	for revision := range h.cluster.configurations {
 		first = min(first, revision)
 	}
 	if long, _ := longHistory(); first == long.Revision() {
@@ -52,43 +52,43 @@
 		Step: func(state, input, output any) (bool, any) {
 			now, _ := state.(*version)
 			if read, ok := input.(modelRead); ok {
-				return h.world.raw[now.revision] == read.body, now
+				return h.cluster.configurations[now.revision] == read.body, now
 			}
-			o, _ := input.(*modelOrder)
+			o, _ := input.(*modelChange)
 			key := changeKey(o.change)
 			fits := now.revision == o.change.Base
-			next := all.next(version{revision: o.revision, made: key, before: now})
+			next := all.intern(version{revision: o.revision, madeBy: key, predecessor: now})
 			switch {
 			case o.status == http.StatusOK && fits, o.status == 0 && fits:
 				return true, next
 			case o.status == http.StatusOK:
-				return now.holds(key), now
+				return now.includes(key), now
 			case o.status == 0:
 				return true, now
 			}
-			return !fits && !now.holds(key), now
+			return !fits && !now.includes(key), now
 		},
 	}
 	var operations []porcupine.Operation
-	for i, o := range h.orders {
-		if o.change.Zone != "" || o.again {
+	for i, o := range h.changes {
+		if o.change.Zone != "" || o.resent {
 			continue // what was settled before is checked by itself
 		}
-		op := porcupine.Operation{ClientId: i, Input: o, Call: int64(o.called), Return: int64(o.answered)}
+		op := porcupine.Operation{ClientId: i, Input: o, Call: int64(o.startedAt), Return: int64(o.endedAt)}
 		if o.status == 0 {
-			op.Return = never
+			op.Return = endOfTime
 		}
 		operations = append(operations, op)
 	}
 	for i, r := range h.reads {
-		operations = append(operations, porcupine.Operation{ClientId: len(h.orders) + i, Input: r, Call: int64(r.called), Return: int64(r.answered)})
+		operations = append(operations, porcupine.Operation{ClientId: len(h.changes) + i, Input: r, Call: int64(r.startedAt), Return: int64(r.endedAt)})
 	}
 	return porcupine.CheckOperationsTimeout(model, operations, within)
 }
 
-// zoneTry is one sending of an order for a zone.
-type zoneTry struct {
-	modelTry
+// zoneAttempt is one sending of an order for a zone.
+type zoneAttempt struct {
+	modelAttempt
 	evacuate bool
 }
 
@@ -100,11 +100,11 @@
 		Init: func() []any { return []any{false} },
 		Step: func(state, input, _ any) []any {
 			switch in := input.(type) {
-			case zoneSight:
+			case zoneObservation:
 				if state == any(in.evacuated) {
 					return []any{state}
 				}
-			case zoneTry:
+			case zoneAttempt:
 				if in.acknowledged {
 					return []any{in.evacuate}
 				}
@@ -117,19 +117,19 @@
 	add := func(input any, from, to time.Duration) {
 		operations = append(operations, porcupine.Operation{ClientId: len(operations), Input: input, Call: int64(from), Return: int64(to)})
 	}
-	for _, o := range h.orders {
+	for _, o := range h.changes {
 		if o.change.Zone != zone {
 			continue
 		}
-		for _, try := range o.tries {
-			end := try.ended
+		for _, try := range o.attempts {
+			end := try.endedAt
 			if !try.acknowledged {
-				end = h.fencedAt(zone, try.ended)
+				end = h.firstAcknowledgementAfter(zone, try.endedAt)
 			}
-			add(zoneTry{try, o.change.Op == controlstate.OpEvacuate}, try.called, end)
+			add(zoneAttempt{try, o.change.Op == controlstate.OpEvacuate}, try.startedAt, end)
 		}
 	}
-	for _, s := range h.seen {
+	for _, s := range h.observations {
 		if s.zone == zone {
 			add(s, s.at, s.at)
 		}
@@ -137,13 +137,13 @@
 	return porcupine.CheckOperationsTimeout(model.ToModel(), operations, within)
 }
 
-// fencedAt is the first acknowledgement of a sending for the zone that began after a moment.
-func (h *modelHistory) fencedAt(zone string, moment time.Duration) time.Duration {
-	at := time.Duration(never)
-	for _, o := range h.orders {
-		for _, try := range o.tries {
-			if o.change.Zone == zone && try.acknowledged && try.called > moment {
-				at = min(at, try.ended)
+// firstAcknowledgementAfter is the first acknowledgement of a sending for the zone that began after a moment.
+func (h *modelHistory) firstAcknowledgementAfter(zone string, moment time.Duration) time.Duration {
+	at := time.Duration(endOfTime)
+	for _, o := range h.changes {
+		for _, try := range o.attempts {
+			if o.change.Zone == zone && try.acknowledged && try.startedAt > moment {
+				at = min(at, try.endedAt)
 			}
 		}
 	}
--- a/internal/system/operatorapi/model_test.go
+++ b/internal/system/operatorapi/model_test.go
@@ -23,49 +23,49 @@
 
 // history is what operators and readers saw.
 type modelHistory struct {
-	mu     sync.Mutex
-	orders []*modelOrder
-	reads  []modelRead
-	seen   []zoneSight
-	world  *modelWorld
+	mu           sync.Mutex
+	changes      []*modelChange
+	reads        []modelRead
+	observations []zoneObservation
+	cluster      *modelCluster
 }
 
 // modelRead is an answer of Config.Read.
 type modelRead struct {
-	called, answered time.Duration
-	body             string
+	startedAt, endedAt time.Duration
+	body               string
 }
 
-// zoneSight is whether a zone was evacuated at a moment.
-type zoneSight struct {
+// zoneObservation is whether a zone was evacuated at a moment.
+type zoneObservation struct {
 	at        time.Duration
 	zone      string
 	evacuated bool
 }
 
-func (h *modelHistory) add(o *modelOrder) {
+func (h *modelHistory) add(o *modelChange) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.orders = append(h.orders, o)
+	h.changes = append(h.changes, o)
 }
 
-// look notes every little while which zones are evacuated, and what Config.Read answers.
-func (h *modelHistory) look(ctx context.Context) {
-	w := h.world
+// observe notes every little while which zones are evacuated, and what Config.Read answers.
+func (h *modelHistory) observe(ctx context.Context) {
+	w := h.cluster
 	for ctx.Err() == nil {
-		time.Sleep(w.between(10*time.Millisecond, 150*time.Millisecond))
+		time.Sleep(w.randomDuration(10*time.Millisecond, 150*time.Millisecond))
 		w.mu.Lock()
 		for _, zone := range modelZones {
-			h.seen = append(h.seen, zoneSight{w.since(), zone, w.state.Evacuated[zone]})
+			h.observations = append(h.observations, zoneObservation{w.elapsed(), zone, w.state.Evacuated[zone]})
 		}
 		w.mu.Unlock()
 		r, err := http.NewRequest(http.MethodGet, "/Config.Read", nil)
 		if err != nil {
 			return
 		}
-		read := modelRead{called: w.since()}
-		if a := w.call(w.keepers[w.between(0, time.Duration(len(w.keepers)))], r); a != nil && a.Code == http.StatusOK {
-			read.answered, read.body = w.since(), a.Body.String()
+		read := modelRead{startedAt: w.elapsed()}
+		if a := w.sendRequest(w.nodes[w.randomDuration(0, time.Duration(len(w.nodes)))], r); a != nil && a.Code == http.StatusOK {
+			read.endedAt, read.body = w.elapsed(), a.Body.String()
 			h.reads = append(h.reads, read)
 		}
 	}
@@ -75,10 +75,10 @@
 
 // longHistory is a state whose oldest changes are forgotten, and some of the orders that made it: forgotten ones, the oldest
 // that are known, and the newest.
-var longHistory = sync.OnceValues(func() (*controlstate.State, []*modelOrder) {
-	s, all := controlstate.Empty(), []*modelOrder(nil)
+var longHistory = sync.OnceValues(func() (*controlstate.State, []*modelChange) {
+	s, all := controlstate.Empty(), []*modelChange(nil)
 	for i := range int64(controlstate.MaxHistory + 20) {
-		o := &modelOrder{revision: i + 1}
+		o := &modelChange{revision: i + 1}
 		o.change = controlstate.Change{Op: controlstate.OpReplace, Base: i, Body: modelConfig(i, i+1, "past")}
 		next, err := s.Apply(o.change.Record(s.Seq + 1))
 		if err != nil {
@@ -89,49 +89,49 @@
 	return s, slices.Concat(all[:5], all[20:25], all[len(all)-5:])
 })
 
-// play has eight operators of the configuration and two a zone send orders through three keepers in trouble.
-func play(t *testing.T, seed uint64, h TestingKnobs, c chainHooks) *modelHistory {
+// simulate has eight operators of the configuration and two a zone send orders through three keepers in trouble.
+func simulate(t *testing.T, seed uint64, h TestingKnobs, c chainKnobs) *modelHistory {
 	t.Helper()
-	start, old := controlstate.Empty(), []*modelOrder(nil)
+	start, old := controlstate.Empty(), []*modelChange(nil)
 	if seed%3 == 0 {
 		start, old = longHistory()
 	}
 	out := &modelHistory{}
 	synctest.Test(t, func(t *testing.T) {
-		w := newModelWorld(seed, start, h, c)
+		w := newModelCluster(seed, start, h, c)
 		for _, o := range old {
 			w.applied[changeKey(o.change)] = 0
 		}
-		out.world = w
+		out.cluster = w
 		ctx, stop := context.WithCancel(t.Context())
 		var operators, others sync.WaitGroup
 		for i := range 8 {
-			operators.Go(func() { w.configOperator(i, 6, old, out.add) })
+			operators.Go(func() { w.runConfigOperator(i, 6, old, out.add) })
 		}
 		for _, zone := range modelZones {
 			for range 2 {
-				operators.Go(func() { w.zoneOperator(zone, 8, out.add) })
+				operators.Go(func() { w.runZoneOperator(zone, 8, out.add) })
 			}
 		}
-		others.Go(func() { w.trouble(ctx) })
-		others.Go(func() { out.look(ctx) })
+		others.Go(func() { w.injectFaults(ctx) })
+		others.Go(func() { out.observe(ctx) })
 		operators.Wait()
 		stop()
 		others.Wait()
-		w.running.Wait() // what was held up comes now
+		w.pending.Wait() // what was held up comes now
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		for _, zone := range modelZones {
-			out.seen = append(out.seen, zoneSight{w.since(), zone, w.state.Evacuated[zone]})
+			out.observations = append(out.observations, zoneObservation{w.elapsed(), zone, w.state.Evacuated[zone]})
 		}
 	})
 	return out
 }
 
-// check tells what is wrong with a history, nil where nothing is; undecided: of one part it could not be told in time.
-func (h *modelHistory) check(within time.Duration) (wrong []string, undecided bool) {
+// violations tells what is wrong with a history, nil where nothing is; undecided: of one part it could not be told in time.
+func (h *modelHistory) violations(within time.Duration) (wrong []string, undecided bool) {
 	winner := map[int64]string{}
-	for _, o := range h.orders {
+	for _, o := range h.changes {
 		if o.change.Zone != "" {
 			if o.status != 0 && o.status != http.StatusOK {
 				wrong = append(wrong, fmt.Sprintf("%s got %d", o.path(), o.status))
@@ -139,10 +139,10 @@
 			continue
 		}
 		key := changeKey(o.change)
-		at, taken := h.world.applied[key]
+		at, taken := h.cluster.applied[key]
 		switch {
 		case o.status == http.StatusOK:
-			if !taken || at > o.answered {
+			if !taken || at > o.endedAt {
 				wrong = append(wrong, fmt.Sprintf("on version %d: confirmed and not applied", o.change.Base))
 			}
 			if was := winner[o.change.Base]; was != "" && was != key {
@@ -158,7 +158,7 @@
 	}
 	for _, r := range h.reads {
 		known := false
-		for _, raw := range h.world.raw {
+		for _, raw := range h.cluster.configurations {
 			known = known || raw == r.body
 		}
 		if !known {
@@ -187,14 +187,14 @@
 	}
 	counts, statuses := map[string]int{}, map[int]int{}
 	for seed := range seeds {
-		h := play(t, seed, TestingKnobs{}, chainHooks{})
-		if wrong, undecided := h.check(2 * time.Minute); len(wrong) > 0 || undecided {
+		h := simulate(t, seed, TestingKnobs{}, chainKnobs{})
+		if wrong, undecided := h.violations(2 * time.Minute); len(wrong) > 0 || undecided {
 			t.Fatalf("seed %d (undecided: %v): %s", seed, undecided, strings.Join(wrong, "\n"))
 		}
-		for what, n := range h.world.counts {
+		for what, n := range h.cluster.eventCounts {
 			counts[what] += n
 		}
-		for _, o := range h.orders {
+		for _, o := range h.changes {
 			statuses[o.status]++
 		}
 	}
@@ -212,7 +212,7 @@
 	}
 }
 
-func often(troubles ...string) map[string]bool {
+func faults(troubles ...string) map[string]bool {
 	out := map[string]bool{}
 	for _, what := range troubles {
 		out[what] = true
@@ -224,21 +224,21 @@
 func TestModelControls(t *testing.T) {
 	for name, c := range map[string]struct {
 		api   TestingKnobs
-		chain chainHooks
+		chain chainKnobs
 	}{
-		"changes are forgotten and refused":       {chain: chainHooks{forgetAndRefuse: true}},
-		"evacuations are not fenced":              {chain: chainHooks{unfenced: true}},
-		"a keeper refuses by what it alone holds": {chain: chainHooks{localVerdict: true}},
-		"an order in force leaves no record":      {chain: chainHooks{silentInForce: true, often: often("change held up")}},
+		"changes are forgotten and refused":       {chain: chainKnobs{forgetHistoryAndReject: true}},
+		"evacuations are not fenced":              {chain: chainKnobs{ignoreFences: true}},
+		"a keeper refuses by what it alone holds": {chain: chainKnobs{rejectByLocalState: true}},
+		"an order in force leaves no record":      {chain: chainKnobs{omitRecordsInForce: true, frequentFaults: faults("change held up")}},
 		"the fence is what a majority told later": {api: TestingKnobs{FenceByConfirmedState: true},
-			chain: chainHooks{often: often("slow round", "caller's connection reset", "end of a connection lost")}},
+			chain: chainKnobs{frequentFaults: faults("slow round", "caller's connection reset", "end of a connection lost")}},
 		"orders whose callers have gone are passed on": {api: TestingKnobs{SubmitForGoneCallers: true}},
 		"orders are taken right after a stall":         {api: TestingKnobs{AcceptAfterStalls: true}},
 		"the end of a connection is not waited for":    {api: TestingKnobs{SkipConnectionEndWait: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(3000) {
-				if wrong, _ := play(t, seed, c.api, c.chain).check(200 * time.Millisecond); len(wrong) > 0 {
+				if wrong, _ := simulate(t, seed, c.api, c.chain).violations(200 * time.Millisecond); len(wrong) > 0 {
 					t.Logf("seed %d: %s", seed, wrong[0])
 					return
 				}
@@ -248,4 +248,4 @@
 	}
 }
 
-const never = math.MaxInt64
+const endOfTime = math.MaxInt64
--- a/internal/system/operatorapi/wire_test.go
+++ b/internal/system/operatorapi/wire_test.go
@@ -18,37 +18,37 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// wire is one connection to the API over a chain that accepts everything.
-type wire struct {
+// wireClient is one connection to the API over a chain that accepts everything.
+type wireClient struct {
 	t    *testing.T
 	conn *net.TCPConn
 	in   *bufio.Reader
 
-	mu  sync.Mutex
-	got []controlstate.Change
+	mu        sync.Mutex
+	submitted []controlstate.Change
 }
 
-func (c *wire) Submit(_ context.Context, change controlstate.Change) (controlstate.Verdict, error) {
+func (c *wireClient) Submit(_ context.Context, change controlstate.Change) (controlstate.Verdict, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.got = append(c.got, change)
-	return controlstate.Verdict{Kind: controlstate.Accepted, Seq: uint64(len(c.got))}, nil
+	c.submitted = append(c.submitted, change)
+	return controlstate.Verdict{Kind: controlstate.Accepted, Seq: uint64(len(c.submitted))}, nil
 }
 
-func (c *wire) Read(context.Context) (*controlstate.State, error) {
+func (c *wireClient) Read(context.Context) (*controlstate.State, error) {
 	return &controlstate.State{Seq: 5, Config: &config.Config{Revision: 5, Raw: []byte(`{"revision":5}`)}}, nil
 }
 
-func (c *wire) changes() []controlstate.Change {
+func (c *wireClient) changes() []controlstate.Change {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.got
+	return c.submitted
 }
 
-func dialAPI(t *testing.T) *wire {
+func dialAPI(t *testing.T) *wireClient {
 	t.Helper()
-	c := &wire{t: t}
-	s := httptest.NewServer(Handler(Options{Chain: c, Log: quiet()}))
+	c := &wireClient{t: t}
+	s := httptest.NewServer(Handler(Options{Chain: c, Log: discardLog()}))
 	t.Cleanup(s.Close)
 	conn, err := net.Dial("tcp", s.Listener.Addr().String())
 	if err != nil {
@@ -60,15 +60,15 @@
 	return c
 }
 
-func (c *wire) send(bytes string) {
+func (c *wireClient) send(bytes string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.conn, bytes); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-// answer reads one answer to a request of the method.
-func (c *wire) answer(method string) (*http.Response, string) {
+// readResponse reads one readResponse to a request of the method.
+func (c *wireClient) readResponse(method string) (*http.Response, string) {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.in, &http.Request{Method: method})
 	if err != nil {
@@ -82,8 +82,8 @@
 	return resp, string(body)
 }
 
-// ended tells whether the connection ends without another byte.
-func (c *wire) ended() bool {
+// connectionEnded tells whether the connection ends without another byte.
+func (c *wireClient) connectionEnded() bool {
 	_, err := c.in.ReadByte()
 	return err != nil
 }
@@ -105,13 +105,13 @@
 	}
 	c.send(all.String())
 	for i := range calls {
-		if resp, body := c.answer("POST"); resp.StatusCode != 200 || body != fmt.Sprintf(`{"revision":%d}`, 100+i) {
+		if resp, body := c.readResponse("POST"); resp.StatusCode != 200 || body != fmt.Sprintf(`{"revision":%d}`, 100+i) {
 			t.Fatalf("change %d: status %d: %s", i, resp.StatusCode, body)
 		}
-		if resp, body := c.answer("HEAD"); resp.StatusCode != 200 || body != "" || resp.ContentLength != int64(len(`{"revision":5}`)) {
+		if resp, body := c.readResponse("HEAD"); resp.StatusCode != 200 || body != "" || resp.ContentLength != int64(len(`{"revision":5}`)) {
 			t.Fatalf("read %d: status %d: %s", i, resp.StatusCode, body)
 		}
-		if resp, body := c.answer("POST"); resp.StatusCode != 200 || body != "{}" {
+		if resp, body := c.readResponse("POST"); resp.StatusCode != 200 || body != "{}" {
 			t.Fatalf("evacuation %d: status %d: %s", i, resp.StatusCode, body)
 		}
 	}
@@ -123,13 +123,13 @@
 }
 
 // What follows a body that is longer than told is no answer to anything, and ends the connection.
-func TestWireBodyLongerThanTold(t *testing.T) {
+func TestWireBodyLongerThanDeclared(t *testing.T) {
 	c := dialAPI(t)
 	c.send(rawChange(100, "") + "surplus bytes\r\n\r\n")
-	if resp, body := c.answer("POST"); resp.StatusCode != 200 || body != `{"revision":100}` {
+	if resp, body := c.readResponse("POST"); resp.StatusCode != 200 || body != `{"revision":100}` {
 		t.Errorf("status %d: %s", resp.StatusCode, body)
 	}
-	if resp, _ := c.answer("POST"); resp.StatusCode != 400 || !c.ended() {
+	if resp, _ := c.readResponse("POST"); resp.StatusCode != 400 || !c.connectionEnded() {
 		t.Errorf("status %d for the surplus, or the connection goes on", resp.StatusCode)
 	}
 	if n := len(c.changes()); n != 1 {
@@ -138,7 +138,7 @@
 }
 
 // A body that ends before its told length, or whose chunks are broken, is no change; nor is it refused for good.
-func TestWireBodyCutShort(t *testing.T) {
+func TestWireBodyTruncated(t *testing.T) {
 	for name, framing := range map[string]string{
 		"by its length":  "Content-Length: 100\r\n\r\n{\"revision\":100}",
 		"in a chunk":     "Transfer-Encoding: chunked\r\n\r\n40\r\n{\"revision\":100}",
@@ -149,7 +149,7 @@
 		if err := c.conn.CloseWrite(); err != nil {
 			t.Fatal(err)
 		}
-		if resp, _ := c.answer("POST"); resp.StatusCode != 503 || !resp.Close || !c.ended() || len(c.changes()) != 0 {
+		if resp, _ := c.readResponse("POST"); resp.StatusCode != 503 || !resp.Close || !c.connectionEnded() || len(c.changes()) != 0 {
 			t.Errorf("%s: status %d, %d changes", name, resp.StatusCode, len(c.changes()))
 		}
 	}
@@ -168,7 +168,7 @@
 		if err := c.conn.CloseWrite(); err != nil {
 			t.Fatal(err)
 		}
-		if resp, _ := c.answer("POST"); resp.StatusCode < 400 || !c.ended() || len(c.changes()) != 0 {
+		if resp, _ := c.readResponse("POST"); resp.StatusCode < 400 || !c.connectionEnded() || len(c.changes()) != 0 {
 			t.Errorf("%s: status %d, %d changes", name, resp.StatusCode, len(c.changes()))
 		}
 	}
@@ -180,15 +180,15 @@
 	whole := rawChange(100, "Expect: 100-continue\r\n")
 	head, body, _ := strings.Cut(whole, "\r\n\r\n")
 	c.send(head + "\r\n\r\n")
-	if resp, _ := c.answer("POST"); resp.StatusCode != 100 {
+	if resp, _ := c.readResponse("POST"); resp.StatusCode != 100 {
 		t.Fatalf("status %d", resp.StatusCode)
 	}
 	c.send(body)
-	if resp, body := c.answer("POST"); resp.StatusCode != 200 || body != `{"revision":100}` {
+	if resp, body := c.readResponse("POST"); resp.StatusCode != 200 || body != `{"revision":100}` {
 		t.Errorf("status %d: %s", resp.StatusCode, body)
 	}
 	c.send(fmt.Sprintf("POST /Config.Replace HTTP/1.1\r\nHost: k\r\nX-Base-Version: 5\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", maxBodyBytes+1))
-	if resp, _ := c.answer("POST"); resp.StatusCode != 413 {
+	if resp, _ := c.readResponse("POST"); resp.StatusCode != 413 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
@@ -203,9 +203,9 @@
 					time.Sleep(chainTimeout - time.Millisecond) // of the bubble's clock
 					return accepted(c)
 				}}
-			h := Handler(Options{Chain: chain, Log: quiet(), WaitDelivered: func(ctx context.Context, _ uint64) { <-ctx.Done() }})
+			h := Handler(Options{Chain: chain, Log: discardLog(), WaitDelivered: func(ctx context.Context, _ uint64) { <-ctx.Done() }})
 			start := time.Now()
-			w := call(h, "POST", target, "", "X-Base-Version", "0")
+			w := serve(h, "POST", target, "", "X-Base-Version", "0")
 			if took := time.Since(start); w.Code != 200 || took > responseTimeout {
 				t.Errorf("%s: status %d after %v", target, w.Code, took)
 			}
