--- a/internal/system/operatorapi/body.go
+++ b/internal/system/operatorapi/body.go
@@ -36,7 +36,7 @@
 
 // setReadTimeout bounds the time for reading a request's body, until the returned function takes the bound away. Writers
 // that support no deadlines (those of tests) are bounded by whoever made them.
-func setReadTimeout(w http.ResponseWriter, timeout time.Duration) (clear func()) {
+func setReadTimeout(w http.ResponseWriter, timeout time.Duration) (cancel func()) {
 	controller := http.NewResponseController(w)
 	if controller.SetReadDeadline(time.Now().Add(timeout)) != nil {
 		return func() {}
--- a/internal/system/operatorapi/body_test.go
+++ b/internal/system/operatorapi/body_test.go
@@ -62,11 +62,11 @@
 
 // Bodies whose lengths are not told are bounded all the same, each and all together, and what they held is given back.
 func TestChunkedBodiesAreBounded(t *testing.T) {
-	a := &api{options: Options{Log: discardLog()}, bodyBudget: byteBudget{available: 1 << 20}}
+	bounded := &api{options: Options{Log: discardLog()}, bodyBudget: byteBudget{available: 1 << 20}}
 	read := func(size int64) error {
 		r := httptest.NewRequest(http.MethodPost, "/", io.LimitReader(zeros{}, size))
 		r.ContentLength = -1
-		body, reserved, err := a.readBody(httptest.NewRecorder(), r)
+		body, reserved, err := bounded.readBody(httptest.NewRecorder(), r)
 		defer reserved.release()
 		if err == nil && int64(len(body)) != size {
 			t.Errorf("%d bytes of %d", len(body), size)
@@ -77,8 +77,8 @@
 		if err := read(size); (err == nil) != (size < 1<<20) {
 			t.Errorf("%d bytes: %v", size, err)
 		}
-		if a.bodyBudget.available != 1<<20 {
-			t.Fatalf("%d bytes: %d bytes left", size, a.bodyBudget.available)
+		if bounded.bodyBudget.available != 1<<20 {
+			t.Fatalf("%d bytes: %d bytes left", size, bounded.bodyBudget.available)
 		}
 	}
 }
--- a/internal/system/operatorapi/cluster_test.go
+++ b/internal/system/operatorapi/cluster_test.go
@@ -27,8 +27,8 @@
 // observer is a machine without a disk, which only some tests start.
 const observer = "10.0.0.4"
 
-// cluster is three keepers with their APIs, over disks and a network in memory.
-type cluster struct {
+// apiCluster is three keepers with their APIs, over disks and a network in memory.
+type apiCluster struct {
 	tb                  testing.TB
 	disks               map[string]*wal.Mem
 	nodes               map[string]*replication.Node
@@ -51,7 +51,7 @@
 
 // network is one keeper's way to the others.
 type network struct {
-	*cluster
+	*apiCluster
 	from string
 }
 
@@ -74,29 +74,29 @@
 	return w.Result(), nil
 }
 
-func newCluster(tb testing.TB) *cluster {
-	c := &cluster{tb: tb, disks: map[string]*wal.Mem{}, nodes: map[string]*replication.Node{}, apis: map[string]http.Handler{},
+func newCluster(tb testing.TB) *apiCluster {
+	c := &apiCluster{tb: tb, disks: map[string]*wal.Mem{}, nodes: map[string]*replication.Node{}, apis: map[string]http.Handler{},
 		peerHandlers: map[string]http.Handler{}, partitioned: map[string]bool{}}
-	for _, m := range machines {
-		c.disks[m] = wal.NewMem()
+	for _, addr := range machines {
+		c.disks[addr] = wal.NewMem()
 	}
 	return c
 }
 
-func (c *cluster) start() {
+func (c *apiCluster) start() {
 	c.tb.Helper()
-	for _, m := range machines {
-		c.startNode(m)
+	for _, addr := range machines {
+		c.startNode(addr)
 	}
 }
 
 // startNode starts the keeper of one machine, as an observer where the machine has no disk.
-func (c *cluster) startNode(m string) {
+func (c *apiCluster) startNode(addr string) {
 	c.tb.Helper()
 	quiet := &log.Logger{Handler: discard.New(), Level: log.InfoLevel}
-	options := replication.Options{Addr: m, Zone: "zone of " + m, Region: "r", Port: 1,
-		Seeds: machines, Bootstrap: true, MachineLosses: 1, Transport: network{c, m}, Log: quiet}
-	if disk := c.disks[m]; disk != nil {
+	options := replication.Options{Addr: addr, Zone: "zone of " + addr, Region: "r", Port: 1,
+		Seeds: machines, Bootstrap: true, MachineLosses: 1, Transport: network{c, addr}, Log: quiet}
+	if disk := c.disks[addr]; disk != nil {
 		options.Disk = disk
 	} else {
 		options.Observer = true
@@ -105,31 +105,31 @@
 	if err != nil {
 		c.tb.Fatal(err)
 	}
-	c.nodes[m] = k
+	c.nodes[addr] = k
 	api := operatorapi.Options{Chain: submitter{k}, Log: quiet, Partitioned: k.Partitioned,
 		CommittedState: func() *controlstate.State { s, _ := k.Committed(); return s }}
 	if c.waitWhenPartitioned {
 		api.Partitioned = nil
 	}
-	c.apis[m] = operatorapi.Handler(api)
+	c.apis[addr] = operatorapi.Handler(api)
 	c.mu.Lock()
-	c.peerHandlers[m] = k.Handler()
+	c.peerHandlers[addr] = k.Handler()
 	c.mu.Unlock()
 }
 
-func (c *cluster) stop() {
-	for m, k := range c.nodes {
+func (c *apiCluster) stop() {
+	for addr, k := range c.nodes {
 		c.mu.Lock()
-		c.peerHandlers[m] = nil
+		c.peerHandlers[addr] = nil
 		c.mu.Unlock()
 		k.Stop()
 	}
 }
 
-func (c *cluster) setPartitioned(m string, cut bool) {
+func (c *apiCluster) setPartitioned(addr string, cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.partitioned[m] = cut
+	c.partitioned[addr] = cut
 }
 
 // apiRequest is one call of the operator.
@@ -140,36 +140,36 @@
 		fmt.Sprintf(`{"revision":%d,"built_on":%d,"routes":[],"services":[{"name":"service %s"}]}`, revision, base, mark)}
 }
 
-func (c *cluster) call(m string, o apiRequest) (status int, body string) {
-	r := httptest.NewRequest(o.method, "http://"+m+o.path, bytes.NewBufferString(o.body))
+func (c *apiCluster) call(addr string, o apiRequest) (status int, body string) {
+	r := httptest.NewRequest(o.method, "http://"+addr+o.path, bytes.NewBufferString(o.body))
 	if o.base != "" {
 		r.Header.Set("X-Base-Version", o.base)
 	}
 	w := httptest.NewRecorder()
-	c.apis[m].ServeHTTP(w, r)
+	c.apis[addr].ServeHTTP(w, r)
 	return w.Code, w.Body.String()
 }
 
 // callUntilResolved calls until there is a clear answer.
-func (c *cluster) callUntilResolved(m string, o apiRequest) (status int, body string) {
+func (c *apiCluster) callUntilResolved(addr string, o apiRequest) (status int, body string) {
 	for range 50 {
-		if status, body = c.call(m, o); status != http.StatusServiceUnavailable {
+		if status, body = c.call(addr, o); status != http.StatusServiceUnavailable {
 			return status, body
 		}
 		time.Sleep(100 * time.Millisecond) // of the bubble's clock
 	}
-	c.tb.Errorf("%s %s: no clear answer from %s", o.method, o.path, m)
+	c.tb.Errorf("%s %s: no clear answer from %s", o.method, o.path, addr)
 	return status, body
 }
 
 // callAllNodes settles orders at all keepers at once, and counts the answers by status.
-func (c *cluster) callAllNodes(orders ...apiRequest) map[int]int {
+func (c *apiCluster) callAllNodes(orders ...apiRequest) map[int]int {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	out := map[int]int{}
-	for i, m := range machines {
+	for i, addr := range machines {
 		all.Go(func() {
-			status, _ := c.callUntilResolved(m, orders[i%len(orders)])
+			status, _ := c.callUntilResolved(addr, orders[i%len(orders)])
 			mu.Lock()
 			defer mu.Unlock()
 			out[status]++
@@ -183,9 +183,9 @@
 // sent again later they are confirmed again, also after a restart of all keepers.
 func TestSameOrderOverTheChain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t)
-		c.start()
-		defer c.stop()
+		cluster := newCluster(t)
+		cluster.start()
+		defer cluster.stop()
 		var all []apiRequest
 		for i := range 300 {
 			o := replacement(i, i+1, "")
@@ -193,24 +193,24 @@
 				o = apiRequest{http.MethodPost, "/Config.Amend", fmt.Sprint(i),
 					fmt.Sprintf(`{"revision":%d,"built_on":%d,"upsert":{"services":[{"name":"a"}]}}`, i+1, i)}
 			}
-			if got := c.callAllNodes(o); got[200] != len(machines) {
+			if got := cluster.callAllNodes(o); got[200] != len(machines) {
 				t.Fatalf("change %d: %v", i, got)
 			}
 			all = append(all, o)
 		}
 		again := func(when string) {
 			for i, o := range all {
-				if status, body := c.callUntilResolved(machines[i%3], o); status != 200 || body != fmt.Sprintf(`{"revision":%d}`, i+1) {
+				if status, body := cluster.callUntilResolved(machines[i%3], o); status != 200 || body != fmt.Sprintf(`{"revision":%d}`, i+1) {
 					t.Fatalf("%s: change %d: status %d: %s", when, i, status, body)
 				}
 			}
-			if state, err := c.nodes[machines[0]].Read(t.Context()); err != nil || state.Seq != uint64(len(all)) {
+			if state, err := cluster.nodes[machines[0]].Read(t.Context()); err != nil || state.Seq != uint64(len(all)) {
 				t.Errorf("%s: records up to %d, %v", when, state.Seq, err)
 			}
 		}
 		again("later")
-		c.stop()
-		c.start()
+		cluster.stop()
+		cluster.start()
 		again("after a restart")
 	})
 }
@@ -218,11 +218,11 @@
 // Over the chain itself: of three changes on one version one is confirmed, the others are refused.
 func TestRaceOverTheChain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t)
-		c.start()
-		defer c.stop()
+		cluster := newCluster(t)
+		cluster.start()
+		defer cluster.stop()
 		for i := range 50 {
-			got := c.callAllNodes(replacement(i, i+1, "one"), replacement(i, i+1, "two"), replacement(i, i+1, "three"))
+			got := cluster.callAllNodes(replacement(i, i+1, "one"), replacement(i, i+1, "two"), replacement(i, i+1, "three"))
 			if got[200] != 1 || got[412] != 2 {
 				t.Fatalf("version %d: %v", i, got)
 			}
@@ -241,20 +241,20 @@
 
 func testPartitionedNode(t *testing.T, patient bool) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t)
-		c.waitWhenPartitioned = patient
-		c.start()
-		defer c.stop()
+		cluster := newCluster(t)
+		cluster.waitWhenPartitioned = patient
+		cluster.start()
+		defer cluster.stop()
 		for i := range 3 {
-			if status, _ := c.callUntilResolved(machines[0], replacement(i, i+1, "")); status != 200 {
+			if status, _ := cluster.callUntilResolved(machines[0], replacement(i, i+1, "")); status != 200 {
 				t.Fatalf("status %d", status)
 			}
 		}
-		if status, _ := c.callUntilResolved(machines[1], apiRequest{method: http.MethodPost, path: "/Evacuation.Start/z"}); status != 200 {
+		if status, _ := cluster.callUntilResolved(machines[1], apiRequest{method: http.MethodPost, path: "/Evacuation.Start/z"}); status != 200 {
 			t.Fatalf("status %d", status)
 		}
-		for _, m := range machines { // the head, the middle, the tail
-			c.setPartitioned(m, true)
+		for _, addr := range machines { // the head, the middle, the tail
+			cluster.setPartitioned(addr, true)
 			for began := time.Now(); time.Since(began) < 20*time.Second; {
 				for what, o := range map[string]apiRequest{
 					"an order that was applied": replacement(1, 2, ""), "the newest": replacement(2, 3, ""), "a stale order": replacement(1, 2, "x"),
@@ -262,19 +262,19 @@
 					"an evacuation": {method: http.MethodPost, path: "/Evacuation.Start/z"}, "the end of one": {method: http.MethodPost, path: "/Evacuation.Finish/z"},
 					"the end of none": {method: http.MethodPost, path: "/Evacuation.Finish/y"}, "a read": {method: http.MethodGet, path: "/Config.Read"},
 				} {
-					if status, body := c.call(m, o); status != 503 {
+					if status, body := cluster.call(addr, o); status != 503 {
 						t.Errorf("%s: status %d: %s", what, status, body)
 					}
 				}
 			}
-			c.setPartitioned(m, false)
+			cluster.setPartitioned(addr, false)
 			healed := time.Now()
 			for status := 0; status != 200; {
-				if status, _ = c.call(m, apiRequest{method: http.MethodGet, path: "/Config.Read"}); time.Since(healed) > 2*time.Second {
-					t.Fatalf("%s does not answer after the cut: status %d", m, status)
+				if status, _ = cluster.call(addr, apiRequest{method: http.MethodGet, path: "/Config.Read"}); time.Since(healed) > 2*time.Second {
+					t.Fatalf("%s does not answer after the cut: status %d", addr, status)
 				}
 			}
-			if status, _ := c.callUntilResolved(m, replacement(1, 2, "")); status != 200 {
+			if status, _ := cluster.callUntilResolved(addr, replacement(1, 2, "")); status != 200 {
 				t.Errorf("after the cut an order that was applied got %d", status)
 			}
 		}
@@ -286,32 +286,32 @@
 // this one again.
 func TestChangesAtAPartitionedNodeAreAnsweredAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t)
-		c.start()
-		c.startNode(observer)
-		defer c.stop()
-		if status, body := c.callUntilResolved(observer, replacement(0, 1, "")); status != 200 {
+		cluster := newCluster(t)
+		cluster.start()
+		cluster.startNode(observer)
+		defer cluster.stop()
+		if status, body := cluster.callUntilResolved(observer, replacement(0, 1, "")); status != 200 {
 			t.Fatalf("status %d: %s", status, body)
 		}
-		for i, m := range append([]string{observer}, machines...) {
-			c.setPartitioned(m, true)
+		for i, addr := range append([]string{observer}, machines...) {
+			cluster.setPartitioned(addr, true)
 			time.Sleep(2 * time.Second) // of the bubble's clock
-			start := apiRequest{method: http.MethodPost, path: "/Evacuation.Start/" + m}
-			for _, o := range []apiRequest{start, replacement(i+1, i+2, m), {http.MethodPost, "/Config.Amend", fmt.Sprint(i + 1), "{}"}} {
+			start := apiRequest{method: http.MethodPost, path: "/Evacuation.Start/" + addr}
+			for _, o := range []apiRequest{start, replacement(i+1, i+2, addr), {http.MethodPost, "/Config.Amend", fmt.Sprint(i + 1), "{}"}} {
 				began := time.Now()
-				status, body := c.call(m, o)
+				status, body := cluster.call(addr, o)
 				if took := time.Since(began); status != 503 || took > 20*time.Millisecond {
-					t.Errorf("%s at %s: status %d after %v, want 503 at once: %s", o.path, m, status, took, body)
+					t.Errorf("%s at %s: status %d after %v, want 503 at once: %s", o.path, addr, status, took, body)
 				}
 			}
 			other := machines[(i+1)%len(machines)] // never m
-			if status, body := c.callUntilResolved(other, start); status != 200 {
+			if status, body := cluster.callUntilResolved(other, start); status != 200 {
 				t.Errorf("%s at %s: status %d: %s", start.path, other, status, body)
 			}
-			c.setPartitioned(m, false)
+			cluster.setPartitioned(addr, false)
 			time.Sleep(2 * time.Second)
-			if status, body := c.call(m, replacement(i+1, i+2, m)); status != 200 {
-				t.Errorf("at %s after the cut: status %d: %s", m, status, body)
+			if status, body := cluster.call(addr, replacement(i+1, i+2, addr)); status != 200 {
+				t.Errorf("at %s after the cut: status %d: %s", addr, status, body)
 			}
 		}
 	})
@@ -320,10 +320,10 @@
 // BenchmarkEvacuation measures an evacuation order over a chain in memory, against a change without the round before it. Run
 // it with -benchtime 500x: a head takes 4,096 changes in 15 s at most.
 func BenchmarkEvacuation(b *testing.B) {
-	c := newCluster(b)
-	c.start()
-	defer c.stop()
-	if status, body := c.callUntilResolved(machines[0], replacement(0, 1, "")); status != 200 {
+	cluster := newCluster(b)
+	cluster.start()
+	defer cluster.stop()
+	if status, body := cluster.callUntilResolved(machines[0], replacement(0, 1, "")); status != 200 {
 		b.Fatal(status, body)
 	}
 	b.Run("order", func(b *testing.B) {
@@ -332,16 +332,16 @@
 			if i%2 == 1 {
 				path = "/Evacuation.Finish/z"
 			}
-			if status, body := c.callUntilResolved(machines[1], apiRequest{method: http.MethodPost, path: path}); status != 200 {
+			if status, body := cluster.callUntilResolved(machines[1], apiRequest{method: http.MethodPost, path: path}); status != 200 {
 				b.Fatal(status, body)
 			}
 		}
 	})
 	b.Run("change alone", func(b *testing.B) {
 		for i := 0; b.Loop(); i++ {
-			s, _ := c.nodes[machines[1]].Committed()
+			s, _ := cluster.nodes[machines[1]].Committed()
 			change := controlstate.Change{Op: controlstate.OpEvacuate, Zone: "y", Base: int64(s.Seq)}
-			if _, err := c.nodes[machines[1]].Submit(b.Context(), change); err != nil {
+			if _, err := cluster.nodes[machines[1]].Submit(b.Context(), change); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/system/operatorapi/connection.go
+++ b/internal/system/operatorapi/connection.go
@@ -24,18 +24,18 @@
 
 type connectionKey struct{}
 
-// handler is the API with the times of its connections.
-type handler struct {
+// connectionTracker is the API with the times of its connections.
+type connectionTracker struct {
 	router http.Handler
 }
 
 // ConnContext records that a connection was accepted. It belongs into the http.Server; without it no request counts as delayed.
-func (h *handler) ConnContext(ctx context.Context, _ net.Conn) context.Context {
+func (h *connectionTracker) ConnContext(ctx context.Context, _ net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, &connection{acceptedAt: time.Now()})
 }
 
 // ServeHTTP implements http.Handler.
-func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *connectionTracker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.router.ServeHTTP(w, r)
 	if c, ok := r.Context().Value(connectionKey{}).(*connection); ok {
 		c.idleSince.Store(int64(time.Since(c.acceptedAt)))
--- a/internal/system/operatorapi/connection_test.go
+++ b/internal/system/operatorapi/connection_test.go
@@ -14,7 +14,7 @@
 // An order that comes on a connection that was quiet for long may have been held up by a cut. It waits as long as the end of
 // its connection takes to follow; a call that follows closely on another, or on the connection's begin, does not.
 func TestDelayedRequestWaits(t *testing.T) {
-	for name, tt := range map[string]struct {
+	for name, test := range map[string]struct {
 		quiet   time.Duration // before the order
 		earlier bool          // another call came before that
 		ends    time.Duration // the end of the connection comes so long after the order; 0: it goes on
@@ -34,20 +34,20 @@
 				chain := &scriptedChain{submit: accepted, read: func(ctx context.Context) (*controlstate.State, error) {
 					return stateAt(4), ctx.Err()
 				}}
-				h, _ := Handler(Options{Chain: chain, Log: discardLog()}).(*handler)
-				ctx, end := context.WithCancel(h.ConnContext(t.Context(), nil))
+				handler, _ := Handler(Options{Chain: chain, Log: discardLog()}).(*connectionTracker)
+				ctx, end := context.WithCancel(handler.ConnContext(t.Context(), nil))
 				defer end()
-				if tt.earlier {
+				if test.earlier {
 					time.Sleep(time.Minute) // of the bubble's clock, as below
-					h.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/Config.Read", nil).WithContext(ctx))
+					handler.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/Config.Read", nil).WithContext(ctx))
 				}
-				time.Sleep(tt.quiet)
-				if tt.ends > 0 {
-					time.AfterFunc(tt.ends, end)
+				time.Sleep(test.quiet)
+				if test.ends > 0 {
+					time.AfterFunc(test.ends, end)
 				}
 				w, start := httptest.NewRecorder(), time.Now()
-				h.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/Evacuation.Start/z", nil).WithContext(ctx))
-				if took := time.Since(start); w.Code != tt.status || took != tt.took || (len(chain.submitted) == 1) != (tt.status == 200) {
+				handler.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/Evacuation.Start/z", nil).WithContext(ctx))
+				if took := time.Since(start); w.Code != test.status || took != test.took || (len(chain.submitted) == 1) != (test.status == 200) {
 					t.Errorf("status %d after %v, %d orders passed on", w.Code, took, len(chain.submitted))
 				}
 			})
--- a/internal/system/operatorapi/evacuation_test.go
+++ b/internal/system/operatorapi/evacuation_test.go
@@ -39,7 +39,7 @@
 
 // The fence is what was known as the call came, not what a majority told later, and a superseded order gets no newer one.
 func TestEvacuationFence(t *testing.T) {
-	for name, tt := range map[string]struct {
+	for name, test := range map[string]struct {
 		superseded, known, late bool
 		status                  int
 		fence                   int64
@@ -51,17 +51,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			chain := &scriptedChain{read: func(context.Context) (*controlstate.State, error) { return stateAt(11), nil }, submit: accepted}
-			if tt.superseded {
+			if test.superseded {
 				chain.submit = func(controlstate.Change) controlstate.Verdict {
 					return controlstate.Verdict{Kind: controlstate.Superseded}
 				}
 			}
-			o := Options{Chain: chain, Log: discardLog(), knobs: TestingKnobs{FenceByConfirmedState: tt.late}}
-			if tt.known {
-				o.CommittedState = func() *controlstate.State { return stateAt(3) }
+			options := Options{Chain: chain, Log: discardLog(), knobs: TestingKnobs{FenceByConfirmedState: test.late}}
+			if test.known {
+				options.CommittedState = func() *controlstate.State { return stateAt(3) }
 			}
-			w := serve(Handler(o), "POST", "/Evacuation.Start/z", "")
-			if w.Code != tt.status || len(chain.submitted) != 1 || chain.submitted[0].Base != tt.fence {
+			w := serve(Handler(options), "POST", "/Evacuation.Start/z", "")
+			if w.Code != test.status || len(chain.submitted) != 1 || chain.submitted[0].Base != test.fence {
 				t.Errorf("status %d, passed on %+v", w.Code, chain.submitted)
 			}
 		})
@@ -70,7 +70,7 @@
 
 // An order whose caller hung up, or that took too long to confirm, is not passed on.
 func TestEvacuationDropped(t *testing.T) {
-	for name, tt := range map[string]struct {
+	for name, test := range map[string]struct {
 		read func(cancel func()) // what happens while a majority is asked
 		sent int
 	}{
@@ -85,13 +85,13 @@
 					ctx, cancel := context.WithCancel(t.Context())
 					defer cancel()
 					chain := &scriptedChain{submit: accepted, read: func(context.Context) (*controlstate.State, error) {
-						tt.read(cancel)
+						test.read(cancel)
 						return stateAt(4), nil
 					}}
-					h := Handler(Options{Chain: chain, Log: discardLog(), knobs: TestingKnobs{SubmitForGoneCallers: unprotected}})
+					handler := Handler(Options{Chain: chain, Log: discardLog(), knobs: TestingKnobs{SubmitForGoneCallers: unprotected}})
 					w := httptest.NewRecorder()
-					h.ServeHTTP(w, httptest.NewRequest("POST", "/Evacuation.Finish/z", nil).WithContext(ctx))
-					want := tt.sent
+					handler.ServeHTTP(w, httptest.NewRequest("POST", "/Evacuation.Finish/z", nil).WithContext(ctx))
+					want := test.sent
 					if unprotected {
 						want = 1 // the control: without the protection it is passed on
 					}
@@ -115,7 +115,7 @@
 			noticed := make(chan bool, 1)
 			chain := &scriptedChain{submit: accepted}
 			entered := make(chan context.Context, 1)
-			h := Handler(Options{Chain: chain, Log: discardLog()})
+			handler := Handler(Options{Chain: chain, Log: discardLog()})
 			chain.read = func(ctx context.Context) (*controlstate.State, error) {
 				caller := <-entered
 				select {
@@ -127,13 +127,13 @@
 				return stateAt(4), nil
 			}
 			done := make(chan struct{})
-			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				defer close(done)
 				entered <- r.Context()
-				h.ServeHTTP(w, r)
+				handler.ServeHTTP(w, r)
 			}))
-			defer s.Close()
-			conn, err := net.Dial("tcp", s.Listener.Addr().String())
+			defer server.Close()
+			conn, err := net.Dial("tcp", server.Listener.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -171,28 +171,28 @@
 func TestEvacuationAfterAStall(t *testing.T) {
 	chain := &scriptedChain{submit: accepted, read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil }}
 	stalled := true
-	o := Options{Chain: chain, Log: discardLog(), Stalled: func() bool { return stalled }}
-	w := serve(Handler(o), "POST", "/Evacuation.Start/z", "")
+	options := Options{Chain: chain, Log: discardLog(), Stalled: func() bool { return stalled }}
+	w := serve(Handler(options), "POST", "/Evacuation.Start/z", "")
 	if w.Code != 503 || w.Header().Get("Connection") != "close" || len(chain.submitted) > 0 {
 		t.Errorf("status %d, %d orders passed on", w.Code, len(chain.submitted))
 	}
 	// A change of the configuration is fenced by its base.
-	if w := serve(Handler(o), "POST", "/Config.Replace", "{}", "X-Base-Version", "0"); w.Code != 200 {
+	if w := serve(Handler(options), "POST", "/Config.Replace", "{}", "X-Base-Version", "0"); w.Code != 200 {
 		t.Errorf("a change of the configuration: status %d", w.Code)
 	}
 	stalled = false
-	if w := serve(Handler(o), "POST", "/Evacuation.Start/z", ""); w.Code != 200 {
+	if w := serve(Handler(options), "POST", "/Evacuation.Start/z", ""); w.Code != 200 {
 		t.Errorf("status %d", w.Code)
 	}
-	stalled, o.knobs.AcceptAfterStalls = true, true
-	if w := serve(Handler(o), "POST", "/Evacuation.Start/z", ""); w.Code != 200 {
+	stalled, options.knobs.AcceptAfterStalls = true, true
+	if w := serve(Handler(options), "POST", "/Evacuation.Start/z", ""); w.Code != 200 {
 		t.Errorf("the control: status %d", w.Code)
 	}
 }
 
 // Bodies that evacuations need not have are read, within bounds.
 func TestEvacuationWithABody(t *testing.T) {
-	for name, tt := range map[string]struct {
+	for name, test := range map[string]struct {
 		body   string
 		length int64
 		status int
@@ -201,30 +201,30 @@
 		"too much": {strings.Repeat(" ", maxDiscardedBodyBytes+1), maxDiscardedBodyBytes + 1, 413},
 	} {
 		chain := &scriptedChain{submit: accepted, read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil }}
-		s := httptest.NewServer(Handler(Options{Chain: chain, Log: discardLog()}))
-		conn, err := net.Dial("tcp", s.Listener.Addr().String())
+		server := httptest.NewServer(Handler(Options{Chain: chain, Log: discardLog()}))
+		conn, err := net.Dial("tcp", server.Listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		framing := fmt.Sprintf("Content-Length: %d\r\n\r\n%s", tt.length, tt.body)
-		if tt.length < 0 {
-			framing = fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(tt.body), tt.body)
+		framing := fmt.Sprintf("Content-Length: %d\r\n\r\n%s", test.length, test.body)
+		if test.length < 0 {
+			framing = fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(test.body), test.body)
 		}
 		if _, err := io.WriteString(conn, "POST /Evacuation.Start/z HTTP/1.1\r\nHost: k\r\n"+framing); err != nil {
 			t.Fatal(err)
 		}
-		if tcp, ok := conn.(*net.TCPConn); ok && tt.length > int64(len(tt.body)) {
+		if tcp, ok := conn.(*net.TCPConn); ok && test.length > int64(len(test.body)) {
 			_ = tcp.CloseWrite()
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if resp.StatusCode != tt.status {
-			t.Errorf("%s: status %d, want %d", name, resp.StatusCode, tt.status)
+		if resp.StatusCode != test.status {
+			t.Errorf("%s: status %d, want %d", name, resp.StatusCode, test.status)
 		}
 		_ = resp.Body.Close()
 		_ = conn.Close()
-		s.Close()
+		server.Close()
 	}
 }
--- a/internal/system/operatorapi/handler.go
+++ b/internal/system/operatorapi/handler.go
@@ -108,7 +108,7 @@
 		options.Log = log.Log
 	}
 	a := &api{options: options, bodyBudget: byteBudget{available: maxTotalBodyBytes}}
-	return &handler{router: a.newRouter()}
+	return &connectionTracker{router: a.newRouter()}
 }
 
 // newRouter maps the paths of the API to their handlers.
--- a/internal/system/operatorapi/handler_test.go
+++ b/internal/system/operatorapi/handler_test.go
@@ -113,37 +113,37 @@
 		"status":             {"GET", "/status", nil, controlstate.Verdict{}, nil, 200, `{"epoch":3}`, nil},
 		"status with a POST": {"POST", "/status", nil, controlstate.Verdict{}, nil, 405, "", nil},
 	}
-	for name, tt := range tests {
+	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			chain := &fakeChain{verdict: tt.verdict, err: tt.err, state: state}
+			chain := &fakeChain{verdict: test.verdict, err: test.err, state: state}
 			var delivered []uint64
-			h := Handler(Options{Chain: chain, Log: discardLog(),
+			handler := Handler(Options{Chain: chain, Log: discardLog(),
 				CommittedState: func() *controlstate.State { return state },
 				Status:         func() any { return map[string]int{"epoch": 3} },
 				WaitDelivered:  func(_ context.Context, seq uint64) { delivered = append(delivered, seq) }})
-			w := serve(h, tt.method, tt.target, body, tt.headers...)
-			if w.Code != tt.status {
-				t.Fatalf("status %d, want %d: %s", w.Code, tt.status, w.Body)
+			w := serve(handler, test.method, test.target, body, test.headers...)
+			if w.Code != test.status {
+				t.Fatalf("status %d, want %d: %s", w.Code, test.status, w.Body)
 			}
 			if got := w.Header().Get("Content-Type"); got != "application/json" {
 				t.Errorf("Content-Type = %q", got)
 			}
-			if tt.answer != "" && w.Body.String() != tt.answer {
-				t.Errorf("answer %s, want %s", w.Body, tt.answer)
+			if test.answer != "" && w.Body.String() != test.answer {
+				t.Errorf("answer %s, want %s", w.Body, test.answer)
 			}
-			if tt.answer == "" {
+			if test.answer == "" {
 				var refusal struct{ Error string }
 				if err := json.Unmarshal(w.Body.Bytes(), &refusal); err != nil || refusal.Error == "" {
 					t.Errorf("answer %s, %v", w.Body, err)
 				}
 			}
-			if tt.change != nil {
+			if test.change != nil {
 				c := chain.submitted[0]
-				if c.Op != tt.change.Op || c.Base != tt.change.Base || c.Zone != tt.change.Zone || !bytes.Equal(c.Body, tt.change.Body) {
-					t.Errorf("change %+v, want %+v", c, *tt.change)
+				if c.Op != test.change.Op || c.Base != test.change.Base || c.Zone != test.change.Zone || !bytes.Equal(c.Body, test.change.Body) {
+					t.Errorf("change %+v, want %+v", c, *test.change)
 				}
 			}
-			took := tt.status == 200 && tt.method == "POST"
+			took := test.status == 200 && test.method == "POST"
 			if took != (len(delivered) == 1) || took && delivered[0] != 4 {
 				t.Errorf("waited for the delivery of %v", delivered)
 			}
@@ -152,20 +152,20 @@
 }
 
 func TestReadBeforeAnyConfiguration(t *testing.T) {
-	h := Handler(Options{Chain: &fakeChain{state: controlstate.Empty()}, Log: discardLog()})
-	if w := serve(h, "GET", "/Config.Read", ""); w.Code != 503 {
+	handler := Handler(Options{Chain: &fakeChain{state: controlstate.Empty()}, Log: discardLog()})
+	if w := serve(handler, "GET", "/Config.Read", ""); w.Code != 503 {
 		t.Errorf("status %d: %s", w.Code, w.Body)
 	}
 }
 
 func TestBodyTooLarge(t *testing.T) {
-	h := Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted}}, Log: discardLog()})
+	handler := Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted}}, Log: discardLog()})
 	for name, length := range map[string]int64{"with a length": maxBodyBytes + 1, "in chunks": -1} {
 		r := httptest.NewRequest("POST", "/Config.Replace", io.LimitReader(zeros{}, maxBodyBytes+1))
 		r.ContentLength = length
 		r.Header.Set("X-Base-Version", "0")
 		w := httptest.NewRecorder()
-		h.ServeHTTP(w, r)
+		handler.ServeHTTP(w, r)
 		if w.Code != http.StatusRequestEntityTooLarge {
 			t.Errorf("%s: status %d", name, w.Code)
 		}
@@ -211,17 +211,17 @@
 		"small": {"{}", 700 * time.Millisecond},
 		"large": {strings.Repeat(" ", largeBodyBytes+1), 2500 * time.Millisecond},
 	}
-	for name, tt := range tests {
+	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				h := Handler(Options{Chain: &fakeChain{unresponsive: true}, Log: discardLog()})
+				handler := Handler(Options{Chain: &fakeChain{unresponsive: true}, Log: discardLog()})
 				start := time.Now()
-				w := serve(h, "POST", "/Config.Replace", tt.body, "X-Base-Version", "0")
-				if took := time.Since(start); w.Code != 503 || took != tt.want {
-					t.Errorf("status %d after %v, want 503 after %v", w.Code, took, tt.want)
+				w := serve(handler, "POST", "/Config.Replace", test.body, "X-Base-Version", "0")
+				if took := time.Since(start); w.Code != 503 || took != test.want {
+					t.Errorf("status %d after %v, want 503 after %v", w.Code, took, test.want)
 				}
 				start = time.Now()
-				w = serve(h, "GET", "/Config.Read", "")
+				w = serve(handler, "GET", "/Config.Read", "")
 				if took := time.Since(start); w.Code != 503 || took != 700*time.Millisecond {
 					t.Errorf("read: status %d after %v", w.Code, took)
 				}
@@ -235,7 +235,7 @@
 func TestPartitionedNodeDoesNotForward(t *testing.T) {
 	const waits = 700 * time.Millisecond
 	base := []string{"X-Base-Version", "5"}
-	for name, tt := range map[string]struct {
+	for name, test := range map[string]struct {
 		method, target string
 		headers        []string
 		status         int
@@ -249,11 +249,11 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				chain, cut := &fakeChain{unresponsive: true}, true
-				h := Handler(Options{Chain: chain, Log: discardLog(), Partitioned: func() bool { return cut }})
+				handler := Handler(Options{Chain: chain, Log: discardLog(), Partitioned: func() bool { return cut }})
 				start := time.Now()
-				w := serve(h, tt.method, tt.target, "{}", tt.headers...)
-				if took := time.Since(start); w.Code != tt.status || took != tt.took || len(chain.submitted) > 0 {
-					t.Errorf("status %d after %v, want %d after %v; passed on %+v", w.Code, took, tt.status, tt.took, chain.submitted)
+				w := serve(handler, test.method, test.target, "{}", test.headers...)
+				if took := time.Since(start); w.Code != test.status || took != test.took || len(chain.submitted) > 0 {
+					t.Errorf("status %d after %v, want %d after %v; passed on %+v", w.Code, took, test.status, test.took, chain.submitted)
 				}
 				var refusal struct{ Error string }
 				if err := json.Unmarshal(w.Body.Bytes(), &refusal); err != nil || refusal.Error == "" {
@@ -261,8 +261,8 @@
 				}
 				cut = false
 				start = time.Now()
-				w = serve(h, tt.method, tt.target, "{}", tt.headers...)
-				if took := time.Since(start); tt.status == 503 && (w.Code != 503 || took != waits) {
+				w = serve(handler, test.method, test.target, "{}", test.headers...)
+				if took := time.Since(start); test.status == 503 && (w.Code != 503 || took != waits) {
 					t.Errorf("not cut off: status %d after %v", w.Code, took)
 				}
 			})
@@ -273,10 +273,10 @@
 func TestDeliveryIsBounded(t *testing.T) {
 	for ack, want := range map[time.Duration]time.Duration{0: 300 * time.Millisecond, time.Second: 125 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
-			h := Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted, Seq: 9}}, AckTimeout: ack, Log: discardLog(),
+			handler := Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted, Seq: 9}}, AckTimeout: ack, Log: discardLog(),
 				WaitDelivered: func(ctx context.Context, _ uint64) { <-ctx.Done() }})
 			start := time.Now()
-			w := serve(h, "POST", "/Evacuation.Start/a", "")
+			w := serve(handler, "POST", "/Evacuation.Start/a", "")
 			if took := time.Since(start); w.Code != 200 || took != want {
 				t.Errorf("status %d after %v, want 200 after %v", w.Code, took, want)
 			}
@@ -287,15 +287,15 @@
 // Over a real connection: an answer before the whole body is read, and HEAD without a body.
 func TestOverLoopback(t *testing.T) {
 	state := &controlstate.State{Config: &config.Config{Revision: 5, Raw: []byte(`{"revision":5}`)}}
-	s := httptest.NewServer(Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted}, state: state}, Log: discardLog()}))
-	defer s.Close()
-	r, err := http.NewRequest("POST", s.URL+"/Config.Replace", strings.NewReader(`{"revision":9}`))
+	server := httptest.NewServer(Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted}, state: state}, Log: discardLog()}))
+	defer server.Close()
+	request, err := http.NewRequest("POST", server.URL+"/Config.Replace", strings.NewReader(`{"revision":9}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.ContentLength = -1 // in chunks
-	r.Header.Set("X-Base-Version", "5")
-	resp, err := http.DefaultClient.Do(r)
+	request.ContentLength = -1 // in chunks
+	request.Header.Set("X-Base-Version", "5")
+	resp, err := http.DefaultClient.Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -303,7 +303,7 @@
 	if body, _ := io.ReadAll(resp.Body); resp.StatusCode != 200 || string(body) != `{"revision":9}` {
 		t.Errorf("status %d: %s", resp.StatusCode, body)
 	}
-	head, err := http.Head(s.URL + "/Config.Read")
+	head, err := http.Head(server.URL + "/Config.Read")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/system/operatorapi/model_client_test.go
+++ b/internal/system/operatorapi/model_client_test.go
@@ -112,18 +112,18 @@
 }
 
 // sendUntilResolved sends an order until it gets a clear answer or its operator gives up.
-func (w *modelCluster) sendUntilResolved(o *modelChange) {
+func (w *modelCluster) sendUntilResolved(change *modelChange) {
 	const giveUp = 6 * time.Second
-	o.startedAt = w.elapsed()
-	once := o.change.Zone != "" && w.happens(6, "order given up after one try")
+	change.startedAt = w.elapsed()
+	once := change.change.Zone != "" && w.happens(6, "order given up after one try")
 	pause := 20 * time.Millisecond
-	for w.elapsed()-o.startedAt < giveUp {
+	for w.elapsed()-change.startedAt < giveUp {
 		try := modelAttempt{startedAt: w.elapsed()}
-		a := w.sendRequest(w.nodes[w.randomDuration(0, time.Duration(len(w.nodes)))], o.request())
+		a := w.sendRequest(w.nodes[w.randomDuration(0, time.Duration(len(w.nodes)))], change.request())
 		try.endedAt, try.acknowledged = w.elapsed(), a != nil && a.Code == http.StatusOK
-		o.attempts = append(o.attempts, try)
+		change.attempts = append(change.attempts, try)
 		if a != nil && a.Code != http.StatusServiceUnavailable {
-			o.status, o.body = a.Code, a.Body.String()
+			change.status, change.body = a.Code, a.Body.String()
 			break
 		}
 		if once {
@@ -132,7 +132,7 @@
 		time.Sleep(pause)
 		pause = min(2*pause, 400*time.Millisecond)
 	}
-	o.endedAt = w.elapsed()
+	change.endedAt = w.elapsed()
 }
 
 // runConfigOperator sends changes of the configuration on the version that it believes to be current, whole ones and
--- a/internal/system/operatorapi/model_cluster_test.go
+++ b/internal/system/operatorapi/model_cluster_test.go
@@ -50,8 +50,8 @@
 	stalledUntil     time.Time // until then it counts as just thawed
 }
 
-func newModelCluster(seed uint64, start *controlstate.State, h TestingKnobs, c chainKnobs) *modelCluster {
-	w := &modelCluster{knobs: c, startedAt: time.Now(), rng: rand.New(rand.NewPCG(seed, 7)), state: start,
+func newModelCluster(seed uint64, start *controlstate.State, knobs TestingKnobs, chain chainKnobs) *modelCluster {
+	w := &modelCluster{knobs: chain, startedAt: time.Now(), rng: rand.New(rand.NewPCG(seed, 7)), state: start,
 		applied: map[string]time.Duration{}, configurations: map[int64]string{}, eventCounts: map[string]int{}}
 	if start.Config != nil {
 		w.configurations[start.Revision()] = string(start.Config.Raw)
@@ -59,7 +59,7 @@
 	for range 3 {
 		k := &modelNode{modelCluster: w, committed: start}
 		k.incarnation, k.kill = context.WithCancel(context.Background())
-		k.handler = Handler(Options{Chain: k, Log: discardLog(), CommittedState: k.committedState, Stalled: k.stalled, knobs: h})
+		k.handler = Handler(Options{Chain: k, Log: discardLog(), CommittedState: k.committedState, Stalled: k.stalled, knobs: knobs})
 		w.nodes = append(w.nodes, k)
 	}
 	return w
@@ -99,14 +99,14 @@
 }
 
 // decide is the head's judgement, and the commit.
-func (w *modelCluster) decide(c controlstate.Change) controlstate.Verdict {
+func (w *modelCluster) decide(change controlstate.Change) controlstate.Verdict {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	isZone := c.Op == controlstate.OpEvacuate || c.Op == controlstate.OpReadmit
+	isZone := change.Op == controlstate.OpEvacuate || change.Op == controlstate.OpReadmit
 	if w.knobs.ignoreFences && isZone {
-		c.Base = math.MaxInt64
+		change.Base = math.MaxInt64
 	}
-	inForce := isZone && w.state.Evacuated[c.Zone] == (c.Op == controlstate.OpEvacuate)
+	inForce := isZone && w.state.Evacuated[change.Zone] == (change.Op == controlstate.OpEvacuate)
 	if w.knobs.omitRecordsInForce && inForce {
 		return controlstate.Verdict{Kind: controlstate.AlreadyApplied, Seq: w.state.Seq}
 	}
@@ -114,20 +114,20 @@
 	if w.knobs.forgetHistoryAndReject {
 		judge = judge.WithoutHistory()
 	}
-	v := judge.Check(c)
-	if w.knobs.forgetHistoryAndReject && v.Kind == controlstate.Uncertain {
-		v.Kind = controlstate.Stale
+	verdict := judge.Check(change)
+	if w.knobs.forgetHistoryAndReject && verdict.Kind == controlstate.Uncertain {
+		verdict.Kind = controlstate.Stale
 	}
-	if v.Kind == controlstate.Superseded {
+	if verdict.Kind == controlstate.Superseded {
 		w.eventCounts["superseded"]++
 	}
-	if v.Kind == controlstate.AlreadyApplied && !isZone {
+	if verdict.Kind == controlstate.AlreadyApplied && !isZone {
 		w.eventCounts["confirmed again"]++
 	}
-	if v.Kind != controlstate.Accepted {
-		return v
+	if verdict.Kind != controlstate.Accepted {
+		return verdict
 	}
-	next, err := w.state.Apply(c.Record(v.Seq))
+	next, err := w.state.Apply(change.Record(verdict.Seq))
 	if err != nil {
 		return controlstate.Verdict{Kind: controlstate.Invalid, Reason: err.Error()}
 	}
@@ -139,14 +139,14 @@
 	}
 	w.state = next
 	if !isZone {
-		w.applied[changeKey(c)] = w.elapsed()
+		w.applied[changeKey(change)] = w.elapsed()
 		w.configurations[next.Revision()] = string(next.Config.Raw)
 	}
 	for _, k := range w.nodes {
 		lag := time.Duration(w.rng.Int64N(int64(50 * time.Millisecond)))
 		w.pending.Go(func() { k.learnCommitted(next, lag) })
 	}
-	return v
+	return verdict
 }
 
 // learnCommitted has a keeper hear of a committed state.
@@ -208,11 +208,11 @@
 }
 
 // Submit implements Chain: the change goes to the head, perhaps late, never or twice, and so does the answer come back.
-func (k *modelNode) Submit(ctx context.Context, c controlstate.Change) (controlstate.Verdict, error) {
+func (k *modelNode) Submit(ctx context.Context, change controlstate.Change) (controlstate.Verdict, error) {
 	k.waitWhileFrozen()
 	if k.modelCluster.knobs.rejectByLocalState {
-		if v := k.committedState().Check(c); v.Kind == controlstate.Stale || v.Kind == controlstate.Invalid {
-			return v, nil
+		if verdict := k.committedState().Check(change); verdict.Kind == controlstate.Stale || verdict.Kind == controlstate.Invalid {
+			return verdict, nil
 		}
 	}
 	answers := make(chan controlstate.Verdict, 1)
@@ -225,11 +225,11 @@
 			time.Sleep(k.randomDuration(time.Second, 22*time.Second))
 		}
 		k.waitUntil(func() time.Time { return k.partitionedUntil })
-		v := k.decide(c)
+		verdict := k.decide(change)
 		if k.happens(30, "change taken up twice") {
 			k.pending.Go(func() {
 				time.Sleep(k.randomDuration(0, 20*time.Second))
-				k.decide(c)
+				k.decide(change)
 			})
 		}
 		if k.happens(20, "verdict lost") {
@@ -237,12 +237,12 @@
 		}
 		time.Sleep(k.randomDuration(500*time.Microsecond, 5*time.Millisecond))
 		k.waitWhileFrozen()
-		answers <- v
+		answers <- verdict
 	})
 	defer k.waitWhileFrozen()
 	select {
-	case v := <-answers:
-		return v, nil
+	case verdict := <-answers:
+		return verdict, nil
 	case <-ctx.Done():
 		return controlstate.Verdict{}, ctx.Err()
 	}
@@ -272,34 +272,34 @@
 func (w *modelCluster) injectFaults(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(w.randomDuration(200*time.Millisecond, 4*time.Second))
-		k := w.nodes[w.randomDuration(0, time.Duration(len(w.nodes)))]
+		node := w.nodes[w.randomDuration(0, time.Duration(len(w.nodes)))]
 		span := w.randomDuration(500*time.Millisecond, 20*time.Second)
 		switch w.randomDuration(0, 3) {
 		case 0:
 			w.recordEvent("freeze")
-			k.mu.Lock()
-			k.frozenUntil = later(k.frozenUntil, time.Now().Add(span))
-			k.stalledUntil = k.frozenUntil.Add(stallCooldown)
-			k.mu.Unlock()
+			node.mu.Lock()
+			node.frozenUntil = later(node.frozenUntil, time.Now().Add(span))
+			node.stalledUntil = node.frozenUntil.Add(stallCooldown)
+			node.mu.Unlock()
 		case 1:
 			w.recordEvent("cut")
-			k.mu.Lock()
-			k.partitionedUntil = later(k.partitionedUntil, time.Now().Add(span))
-			k.mu.Unlock()
+			node.mu.Lock()
+			node.partitionedUntil = later(node.partitionedUntil, time.Now().Add(span))
+			node.mu.Unlock()
 		case 2:
 			w.recordEvent("kill")
-			k.mu.Lock()
-			k.kill()
-			k.incarnation, k.kill = context.WithCancel(context.Background())
-			k.frozenUntil = time.Time{}
-			k.mu.Unlock()
+			node.mu.Lock()
+			node.kill()
+			node.incarnation, node.kill = context.WithCancel(context.Background())
+			node.frozenUntil = time.Time{}
+			node.mu.Unlock()
 		}
 	}
-	for _, k := range w.nodes {
-		k.mu.Lock()
-		k.kill()
-		k.incarnation, k.kill = context.WithCancel(context.Background())
-		k.frozenUntil, k.partitionedUntil = time.Time{}, time.Time{}
-		k.mu.Unlock()
+	for _, node := range w.nodes {
+		node.mu.Lock()
+		node.kill()
+		node.incarnation, node.kill = context.WithCancel(context.Background())
+		node.frozenUntil, node.partitionedUntil = time.Time{}, time.Time{}
+		node.mu.Unlock()
 	}
 }
--- a/internal/system/operatorapi/model_test.go
+++ b/internal/system/operatorapi/model_test.go
@@ -90,7 +90,7 @@
 })
 
 // simulate has eight operators of the configuration and two a zone send orders through three keepers in trouble.
-func simulate(t *testing.T, seed uint64, h TestingKnobs, c chainKnobs) *modelHistory {
+func simulate(t *testing.T, seed uint64, knobs TestingKnobs, chain chainKnobs) *modelHistory {
 	t.Helper()
 	start, old := controlstate.Empty(), []*modelChange(nil)
 	if seed%3 == 0 {
@@ -98,7 +98,7 @@
 	}
 	out := &modelHistory{}
 	synctest.Test(t, func(t *testing.T) {
-		w := newModelCluster(seed, start, h, c)
+		w := newModelCluster(seed, start, knobs, chain)
 		for _, o := range old {
 			w.applied[changeKey(o.change)] = 0
 		}
@@ -131,29 +131,29 @@
 // violations tells what is wrong with a history, nil where nothing is; undecided: of one part it could not be told in time.
 func (h *modelHistory) violations(within time.Duration) (wrong []string, undecided bool) {
 	winner := map[int64]string{}
-	for _, o := range h.changes {
-		if o.change.Zone != "" {
-			if o.status != 0 && o.status != http.StatusOK {
-				wrong = append(wrong, fmt.Sprintf("%s got %d", o.path(), o.status))
+	for _, change := range h.changes {
+		if change.change.Zone != "" {
+			if change.status != 0 && change.status != http.StatusOK {
+				wrong = append(wrong, fmt.Sprintf("%s got %d", change.path(), change.status))
 			}
 			continue
 		}
-		key := changeKey(o.change)
+		key := changeKey(change.change)
 		at, taken := h.cluster.applied[key]
 		switch {
-		case o.status == http.StatusOK:
-			if !taken || at > o.endedAt {
-				wrong = append(wrong, fmt.Sprintf("on version %d: confirmed and not applied", o.change.Base))
+		case change.status == http.StatusOK:
+			if !taken || at > change.endedAt {
+				wrong = append(wrong, fmt.Sprintf("on version %d: confirmed and not applied", change.change.Base))
 			}
-			if was := winner[o.change.Base]; was != "" && was != key {
-				wrong = append(wrong, fmt.Sprintf("on version %d: two changes confirmed", o.change.Base))
+			if was := winner[change.change.Base]; was != "" && was != key {
+				wrong = append(wrong, fmt.Sprintf("on version %d: two changes confirmed", change.change.Base))
 			}
-			winner[o.change.Base] = key
-			if want := fmt.Sprintf(`{"revision":%d}`, o.revision); o.body != want {
-				wrong = append(wrong, fmt.Sprintf("on version %d: the answer %s is not that of revision %d", o.change.Base, o.body, o.revision))
+			winner[change.change.Base] = key
+			if want := fmt.Sprintf(`{"revision":%d}`, change.revision); change.body != want {
+				wrong = append(wrong, fmt.Sprintf("on version %d: the answer %s is not that of revision %d", change.change.Base, change.body, change.revision))
 			}
-		case o.status >= 400 && taken:
-			wrong = append(wrong, fmt.Sprintf("on version %d: applied and refused with %d", o.change.Base, o.status))
+		case change.status >= 400 && taken:
+			wrong = append(wrong, fmt.Sprintf("on version %d: applied and refused with %d", change.change.Base, change.status))
 		}
 	}
 	for _, r := range h.reads {
@@ -222,7 +222,7 @@
 
 // Each control takes one protection out; the same runs must then find something wrong.
 func TestModelControls(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, protections := range map[string]struct {
 		api   TestingKnobs
 		chain chainKnobs
 	}{
@@ -238,7 +238,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(3000) {
-				if wrong, _ := simulate(t, seed, c.api, c.chain).violations(200 * time.Millisecond); len(wrong) > 0 {
+				if wrong, _ := simulate(t, seed, protections.api, protections.chain).violations(200 * time.Millisecond); len(wrong) > 0 {
 					t.Logf("seed %d: %s", seed, wrong[0])
 					return
 				}
--- a/internal/system/operatorapi/stall_detector_test.go
+++ b/internal/system/operatorapi/stall_detector_test.go
@@ -9,7 +9,7 @@
 
 func TestStallDetector(t *testing.T) {
 	// The process runs, stands still, and runs again; then a caller asks.
-	for name, tt := range map[string]struct {
+	for name, test := range map[string]struct {
 		still, runs time.Duration
 		stalled     bool
 	}{
@@ -22,24 +22,24 @@
 		"a second later":             {20 * time.Second, stallCooldown + stallCheckInterval, false},
 		"a second after a short one": {stallThreshold + 1, stallCooldown + stallCheckInterval, false},
 	} {
-		d, now := NewStallDetector(), time.Now()
-		d.start(now)
+		detector, now := NewStallDetector(), time.Now()
+		detector.start(now)
 		run := func(span time.Duration) {
 			for end := now.Add(span); now.Before(end); {
 				now = now.Add(stallCheckInterval)
-				d.observeRunning(now)
+				detector.observeRunning(now)
 			}
 		}
 		run(time.Second)
-		now = now.Add(tt.still)
-		run(tt.runs)
-		if got := d.observeRunning(now); got != tt.stalled {
+		now = now.Add(test.still)
+		run(test.runs)
+		if got := detector.observeRunning(now); got != test.stalled {
 			t.Errorf("%s: %v", name, got)
 		}
 		// A clock that was read before the last note counts as no pause, and no step back.
-		d.observeRunning(now.Add(-stallCheckInterval))
-		if !d.lastObserved.Equal(now) {
-			t.Errorf("%s: a late note steps back by %v", name, now.Sub(d.lastObserved))
+		detector.observeRunning(now.Add(-stallCheckInterval))
+		if !detector.lastObserved.Equal(now) {
+			t.Errorf("%s: a late note steps back by %v", name, now.Sub(detector.lastObserved))
 		}
 	}
 	if !NewStallDetector().Stalled() {
@@ -47,23 +47,23 @@
 	}
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		d := NewStallDetector()
-		if !d.Stalled() {
+		detector := NewStallDetector()
+		if !detector.Stalled() {
 			t.Error("no stall before it runs")
 		}
-		go d.Run(ctx)
+		go detector.Run(ctx)
 		synctest.Wait()
-		if d.Stalled() {
+		if detector.Stalled() {
 			t.Error("stalled as it begins to run")
 		}
 		time.Sleep(time.Hour) // of the bubble's clock
-		if d.Stalled() {
+		if detector.Stalled() {
 			t.Error("stalled after an hour of running")
 		}
 		stop()
 		synctest.Wait()
 		time.Sleep(stallThreshold + time.Millisecond)
-		if !d.Stalled() {
+		if !detector.Stalled() {
 			t.Error("no stall after a pause")
 		}
 	})
--- a/internal/system/operatorapi/wire_test.go
+++ b/internal/system/operatorapi/wire_test.go
@@ -95,7 +95,7 @@
 
 // Calls that come together in one packet are answered in their order, each with its own answer.
 func TestWirePipelined(t *testing.T) {
-	c := dialAPI(t)
+	client := dialAPI(t)
 	const calls = 8
 	var all strings.Builder
 	for i := range calls {
@@ -103,19 +103,19 @@
 		all.WriteString("HEAD /Config.Read HTTP/1.1\r\nHost: k\r\n\r\n")
 		all.WriteString("POST /Evacuation.Start/z HTTP/1.1\r\nHost: k\r\n\r\n")
 	}
-	c.send(all.String())
+	client.send(all.String())
 	for i := range calls {
-		if resp, body := c.readResponse("POST"); resp.StatusCode != 200 || body != fmt.Sprintf(`{"revision":%d}`, 100+i) {
+		if resp, body := client.readResponse("POST"); resp.StatusCode != 200 || body != fmt.Sprintf(`{"revision":%d}`, 100+i) {
 			t.Fatalf("change %d: status %d: %s", i, resp.StatusCode, body)
 		}
-		if resp, body := c.readResponse("HEAD"); resp.StatusCode != 200 || body != "" || resp.ContentLength != int64(len(`{"revision":5}`)) {
+		if resp, body := client.readResponse("HEAD"); resp.StatusCode != 200 || body != "" || resp.ContentLength != int64(len(`{"revision":5}`)) {
 			t.Fatalf("read %d: status %d: %s", i, resp.StatusCode, body)
 		}
-		if resp, body := c.readResponse("POST"); resp.StatusCode != 200 || body != "{}" {
+		if resp, body := client.readResponse("POST"); resp.StatusCode != 200 || body != "{}" {
 			t.Fatalf("evacuation %d: status %d: %s", i, resp.StatusCode, body)
 		}
 	}
-	for i, change := range c.changes() {
+	for i, change := range client.changes() {
 		if want := fmt.Sprintf(`{"revision":%d}`, 100+i/2); i%2 == 0 && string(change.Body) != want {
 			t.Errorf("change %d: %s", i, change.Body)
 		}
@@ -203,9 +203,9 @@
 					time.Sleep(chainTimeout - time.Millisecond) // of the bubble's clock
 					return accepted(c)
 				}}
-			h := Handler(Options{Chain: chain, Log: discardLog(), WaitDelivered: func(ctx context.Context, _ uint64) { <-ctx.Done() }})
+			handler := Handler(Options{Chain: chain, Log: discardLog(), WaitDelivered: func(ctx context.Context, _ uint64) { <-ctx.Done() }})
 			start := time.Now()
-			w := serve(h, "POST", target, "", "X-Base-Version", "0")
+			w := serve(handler, "POST", target, "", "X-Base-Version", "0")
 			if took := time.Since(start); w.Code != 200 || took > responseTimeout {
 				t.Errorf("%s: status %d after %v", target, w.Code, took)
 			}
