--- a/internal/system/operatorapi/body_test.go
+++ b/internal/system/operatorapi/body_test.go
@@ -40,7 +40,7 @@
 	var calls sync.WaitGroup
 	for range orders {
 		calls.Go(func() {
-			r, err := http.NewRequest(http.MethodPost, s.URL+"/Config.Replace", io.MultiReader(strings.NewReader(`{"revision":9}`), strings.NewReader(strings.Repeat(" ", 100<<10))))
+			r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, s.URL+"/Config.Replace", io.MultiReader(strings.NewReader(`{"revision":9}`), strings.NewReader(strings.Repeat(" ", 100<<10))))
 			if err != nil {
 				t.Error(err)
 				return
@@ -51,7 +51,7 @@
 				t.Error(err)
 				return
 			}
-			defer resp.Body.Close()
+			defer func() { _ = resp.Body.Close() }()
 			if body, _ := io.ReadAll(resp.Body); resp.StatusCode != http.StatusOK {
 				t.Errorf("status %d: %s", resp.StatusCode, body)
 			}
@@ -64,7 +64,7 @@
 func TestChunkedBodiesAreBounded(t *testing.T) {
 	bounded := &api{options: Options{Log: discardLog()}, bodyBudget: byteBudget{available: 1 << 20}}
 	read := func(size int64) error {
-		r := httptest.NewRequest(http.MethodPost, "/", io.LimitReader(zeros{}, size))
+		r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/", io.LimitReader(zeros{}, size))
 		r.ContentLength = -1
 		body, reserved, err := bounded.readBody(httptest.NewRecorder(), r)
 		defer reserved.release()
--- a/internal/system/operatorapi/cluster_test.go
+++ b/internal/system/operatorapi/cluster_test.go
@@ -141,7 +141,7 @@
 }
 
 func (c *apiCluster) call(addr string, o apiRequest) (status int, body string) {
-	r := httptest.NewRequest(o.method, "http://"+addr+o.path, bytes.NewBufferString(o.body))
+	r := httptest.NewRequestWithContext(c.tb.Context(), o.method, "http://"+addr+o.path, bytes.NewBufferString(o.body))
 	if o.base != "" {
 		r.Header.Set("X-Base-Version", o.base)
 	}
@@ -239,48 +239,71 @@
 	}
 }
 
-func testPartitionedNode(t *testing.T, patient bool) {
+func testPartitionedNode(t *testing.T, waitWhenPartitioned bool) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t)
-		cluster.waitWhenPartitioned = patient
+		cluster.waitWhenPartitioned = waitWhenPartitioned
 		cluster.start()
 		defer cluster.stop()
 		for i := range 3 {
-			if status, _ := cluster.callUntilResolved(machines[0], replacement(i, i+1, "")); status != 200 {
-				t.Fatalf("status %d", status)
-			}
-		}
-		if status, _ := cluster.callUntilResolved(machines[1], apiRequest{method: http.MethodPost, path: "/Evacuation.Start/z"}); status != 200 {
-			t.Fatalf("status %d", status)
+			cluster.mustSucceed(machines[0], replacement(i, i+1, ""))
 		}
+		cluster.mustSucceed(machines[1], apiRequest{method: http.MethodPost, path: "/Evacuation.Start/z"})
 		for _, addr := range machines { // the head, the middle, the tail
 			cluster.setPartitioned(addr, true)
 			for began := time.Now(); time.Since(began) < 20*time.Second; {
-				for what, o := range map[string]apiRequest{
-					"an order that was applied": replacement(1, 2, ""), "the newest": replacement(2, 3, ""), "a stale order": replacement(1, 2, "x"),
-					"an invalid order": replacement(3, 2, ""), "not JSON": {http.MethodPost, "/Config.Replace", "3", "{"},
-					"an evacuation": {method: http.MethodPost, path: "/Evacuation.Start/z"}, "the end of one": {method: http.MethodPost, path: "/Evacuation.Finish/z"},
-					"the end of none": {method: http.MethodPost, path: "/Evacuation.Finish/y"}, "a read": {method: http.MethodGet, path: "/Config.Read"},
-				} {
-					if status, body := cluster.call(addr, o); status != 503 {
-						t.Errorf("%s: status %d: %s", what, status, body)
-					}
-				}
+				cluster.mustBeUnavailable(addr)
 			}
 			cluster.setPartitioned(addr, false)
-			healed := time.Now()
-			for status := 0; status != 200; {
-				if status, _ = cluster.call(addr, apiRequest{method: http.MethodGet, path: "/Config.Read"}); time.Since(healed) > 2*time.Second {
-					t.Fatalf("%s does not answer after the cut: status %d", addr, status)
-				}
-			}
-			if status, _ := cluster.callUntilResolved(addr, replacement(1, 2, "")); status != 200 {
-				t.Errorf("after the cut an order that was applied got %d", status)
+			cluster.mustReadWithin(addr, 2*time.Second)
+			if status, _ := cluster.callUntilResolved(addr, replacement(1, 2, "")); status != http.StatusOK {
+				t.Errorf("after the partition a change that was applied got %d", status)
 			}
 		}
 	})
 }
 
+// mustSucceed sends a request until there is a clear response, which must be 200.
+func (c *apiCluster) mustSucceed(addr string, request apiRequest) {
+	c.tb.Helper()
+	if status, body := c.callUntilResolved(addr, request); status != http.StatusOK {
+		c.tb.Fatalf("%s %s at %s: status %d: %s", request.method, request.path, addr, status, body)
+	}
+}
+
+// mustBeUnavailable sends requests of every kind to a node, which must answer each of them with 503.
+func (c *apiCluster) mustBeUnavailable(addr string) {
+	c.tb.Helper()
+	for name, request := range map[string]apiRequest{
+		"a change that was applied":   replacement(1, 2, ""),
+		"the newest change":           replacement(2, 3, ""),
+		"a stale change":              replacement(1, 2, "x"),
+		"an invalid change":           replacement(3, 2, ""),
+		"not JSON":                    {http.MethodPost, "/Config.Replace", "3", "{"},
+		"an evacuation":               {method: http.MethodPost, path: "/Evacuation.Start/z"},
+		"the end of an evacuation":    {method: http.MethodPost, path: "/Evacuation.Finish/z"},
+		"the end of no evacuation":    {method: http.MethodPost, path: "/Evacuation.Finish/y"},
+		"a read of the configuration": {method: http.MethodGet, path: "/Config.Read"},
+	} {
+		if status, body := c.call(addr, request); status != http.StatusServiceUnavailable {
+			c.tb.Errorf("%s: status %d: %s", name, status, body)
+		}
+	}
+}
+
+// mustReadWithin reads the configuration at a node until that succeeds, which must be within a time.
+func (c *apiCluster) mustReadWithin(addr string, bound time.Duration) {
+	c.tb.Helper()
+	healedAt := time.Now()
+	for status := 0; status != http.StatusOK; {
+		status, _ = c.call(addr, apiRequest{method: http.MethodGet, path: "/Config.Read"})
+		if time.Since(healedAt) > bound {
+			c.tb.Fatalf("%s does not answer after the partition: status %d", addr, status)
+		}
+	}
+}
+
 // A keeper that has been without a way to the chain for two seconds, whatever its place, answers orders at once, so that
 // callers move on to another keeper. Through the others the order comes into force meanwhile, and soon after the cut through
 // this one again.
@@ -293,24 +316,24 @@
 		if status, body := cluster.callUntilResolved(observer, replacement(0, 1, "")); status != 200 {
 			t.Fatalf("status %d: %s", status, body)
 		}
-		for i, addr := range append([]string{observer}, machines...) {
+		for index, addr := range append([]string{observer}, machines...) {
 			cluster.setPartitioned(addr, true)
 			time.Sleep(2 * time.Second) // of the bubble's clock
 			start := apiRequest{method: http.MethodPost, path: "/Evacuation.Start/" + addr}
-			for _, o := range []apiRequest{start, replacement(i+1, i+2, addr), {http.MethodPost, "/Config.Amend", fmt.Sprint(i + 1), "{}"}} {
+			for _, o := range []apiRequest{start, replacement(index+1, index+2, addr), {http.MethodPost, "/Config.Amend", fmt.Sprint(index + 1), "{}"}} {
 				began := time.Now()
 				status, body := cluster.call(addr, o)
 				if took := time.Since(began); status != 503 || took > 20*time.Millisecond {
 					t.Errorf("%s at %s: status %d after %v, want 503 at once: %s", o.path, addr, status, took, body)
 				}
 			}
-			other := machines[(i+1)%len(machines)] // never m
+			other := machines[(index+1)%len(machines)] // never m
 			if status, body := cluster.callUntilResolved(other, start); status != 200 {
 				t.Errorf("%s at %s: status %d: %s", start.path, other, status, body)
 			}
 			cluster.setPartitioned(addr, false)
 			time.Sleep(2 * time.Second)
-			if status, body := cluster.call(addr, replacement(i+1, i+2, addr)); status != 200 {
+			if status, body := cluster.call(addr, replacement(index+1, index+2, addr)); status != 200 {
 				t.Errorf("at %s after the cut: status %d: %s", addr, status, body)
 			}
 		}
--- a/internal/system/operatorapi/connection_test.go
+++ b/internal/system/operatorapi/connection_test.go
@@ -39,14 +39,14 @@
 				defer end()
 				if test.earlier {
 					time.Sleep(time.Minute) // of the bubble's clock, as below
-					handler.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/Config.Read", nil).WithContext(ctx))
+					handler.ServeHTTP(httptest.NewRecorder(), httptest.NewRequestWithContext(ctx, http.MethodGet, "/Config.Read", nil))
 				}
 				time.Sleep(test.quiet)
 				if test.ends > 0 {
 					time.AfterFunc(test.ends, end)
 				}
 				w, start := httptest.NewRecorder(), time.Now()
-				handler.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/Evacuation.Start/z", nil).WithContext(ctx))
+				handler.ServeHTTP(w, httptest.NewRequestWithContext(ctx, http.MethodPost, "/Evacuation.Start/z", nil))
 				if took := time.Since(start); w.Code != test.status || took != test.took || (len(chain.submitted) == 1) != (test.status == 200) {
 					t.Errorf("status %d after %v, %d orders passed on", w.Code, took, len(chain.submitted))
 				}
--- a/internal/system/operatorapi/evacuation_test.go
+++ b/internal/system/operatorapi/evacuation_test.go
@@ -60,7 +60,7 @@
 			if test.known {
 				options.CommittedState = func() *controlstate.State { return stateAt(3) }
 			}
-			w := serve(Handler(options), "POST", "/Evacuation.Start/z", "")
+			w := serve(t, Handler(options), "POST", "/Evacuation.Start/z", "")
 			if w.Code != test.status || len(chain.submitted) != 1 || chain.submitted[0].Base != test.fence {
 				t.Errorf("status %d, passed on %+v", w.Code, chain.submitted)
 			}
@@ -90,7 +90,7 @@
 					}}
 					handler := Handler(Options{Chain: chain, Log: discardLog(), knobs: TestingKnobs{SubmitForGoneCallers: unprotected}})
 					w := httptest.NewRecorder()
-					handler.ServeHTTP(w, httptest.NewRequest("POST", "/Evacuation.Finish/z", nil).WithContext(ctx))
+					handler.ServeHTTP(w, httptest.NewRequestWithContext(ctx, "POST", "/Evacuation.Finish/z", nil))
 					want := test.sent
 					if unprotected {
 						want = 1 // the control: without the protection it is passed on
@@ -116,7 +116,7 @@
 			chain := &scriptedChain{submit: accepted}
 			entered := make(chan context.Context, 1)
 			handler := Handler(Options{Chain: chain, Log: discardLog()})
-			chain.read = func(ctx context.Context) (*controlstate.State, error) {
+			chain.read = func(context.Context) (*controlstate.State, error) {
 				caller := <-entered
 				select {
 				case <-caller.Done():
@@ -133,7 +133,7 @@
 				handler.ServeHTTP(w, r)
 			}))
 			defer server.Close()
-			conn, err := net.Dial("tcp", server.Listener.Addr().String())
+			conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", server.Listener.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -172,20 +172,20 @@
 	chain := &scriptedChain{submit: accepted, read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil }}
 	stalled := true
 	options := Options{Chain: chain, Log: discardLog(), Stalled: func() bool { return stalled }}
-	w := serve(Handler(options), "POST", "/Evacuation.Start/z", "")
+	w := serve(t, Handler(options), "POST", "/Evacuation.Start/z", "")
 	if w.Code != 503 || w.Header().Get("Connection") != "close" || len(chain.submitted) > 0 {
 		t.Errorf("status %d, %d orders passed on", w.Code, len(chain.submitted))
 	}
 	// A change of the configuration is fenced by its base.
-	if w := serve(Handler(options), "POST", "/Config.Replace", "{}", "X-Base-Version", "0"); w.Code != 200 {
+	if w := serve(t, Handler(options), "POST", "/Config.Replace", "{}", "X-Base-Version", "0"); w.Code != 200 {
 		t.Errorf("a change of the configuration: status %d", w.Code)
 	}
 	stalled = false
-	if w := serve(Handler(options), "POST", "/Evacuation.Start/z", ""); w.Code != 200 {
+	if w := serve(t, Handler(options), "POST", "/Evacuation.Start/z", ""); w.Code != 200 {
 		t.Errorf("status %d", w.Code)
 	}
 	stalled, options.knobs.AcceptAfterStalls = true, true
-	if w := serve(Handler(options), "POST", "/Evacuation.Start/z", ""); w.Code != 200 {
+	if w := serve(t, Handler(options), "POST", "/Evacuation.Start/z", ""); w.Code != 200 {
 		t.Errorf("the control: status %d", w.Code)
 	}
 }
@@ -202,7 +202,7 @@
 	} {
 		chain := &scriptedChain{submit: accepted, read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil }}
 		server := httptest.NewServer(Handler(Options{Chain: chain, Log: discardLog()}))
-		conn, err := net.Dial("tcp", server.Listener.Addr().String())
+		conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", server.Listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/system/operatorapi/handler_test.go
+++ b/internal/system/operatorapi/handler_test.go
@@ -7,6 +7,7 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -52,8 +53,8 @@
 
 func discardLog() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.InfoLevel} }
 
-func serve(h http.Handler, method, target, body string, headers ...string) *httptest.ResponseRecorder {
-	r := httptest.NewRequest(method, target, strings.NewReader(body))
+func serve(t *testing.T, h http.Handler, method, target, body string, headers ...string) *httptest.ResponseRecorder {
+	r := httptest.NewRequestWithContext(t.Context(), method, target, strings.NewReader(body))
 	for i := 0; i+1 < len(headers); i += 2 {
 		r.Header.Add(headers[i], headers[i+1])
 	}
@@ -62,58 +63,65 @@
 	return w
 }
 
+// answersBody is the body that TestAnswers sends; answersBase the header with its base.
+const answersBody = `{"revision":7,"routes":[],"services":[]}`
+
+var answersBase = []string{"X-Base-Version", "5"}
+
+// answerTest is a request, the chain's outcome for it, and the response that is due.
+type answerTest struct {
+	method, target string
+	headers        []string
+	verdict        controlstate.Verdict
+	err            error
+	status         int
+	answer         string // empty: a JSON object with an error
+	change         *controlstate.Change
+}
+
+var answerTests = map[string]answerTest{
+	"replaced": {"POST", "/Config.Replace", answersBase, controlstate.Verdict{Kind: controlstate.Accepted, Seq: 4}, nil, 200, `{"revision":7}`,
+		&controlstate.Change{Op: controlstate.OpReplace, Base: 5, Body: []byte(answersBody)}},
+	"sent again": {"POST", "/Config.Replace", answersBase, controlstate.Verdict{Kind: controlstate.AlreadyApplied, Seq: 4}, nil, 200, `{"revision":7}`, nil},
+	"amended": {"POST", "/Config.Amend", answersBase, controlstate.Verdict{Kind: controlstate.Accepted, Seq: 4}, nil, 200, `{"revision":7}`,
+		&controlstate.Change{Op: controlstate.OpAmend, Base: 5, Body: []byte(answersBody)}},
+	"stale": {"POST", "/Config.Amend", answersBase, controlstate.Verdict{Kind: controlstate.Stale, Reason: "another"}, nil, 412,
+		`{"error":"another","revision":5}`, nil},
+	"stale by a record that is not known here yet": {"POST", "/Config.Amend", answersBase, controlstate.Verdict{Kind: controlstate.Stale, Reason: "another", Seq: 4},
+		nil, 412, `{"error":"another"}`, nil},
+	"invalid": {"POST", "/Config.Replace", answersBase, controlstate.Verdict{Kind: controlstate.Invalid, Reason: "no route"}, nil, 400,
+		`{"error":"no route"}`, nil},
+	"invalid without a reason": {"POST", "/Config.Replace", answersBase, controlstate.Verdict{Kind: controlstate.Invalid}, nil, 400, "", nil},
+	"uncertain":                {"POST", "/Config.Replace", answersBase, controlstate.Verdict{Kind: controlstate.Uncertain}, nil, 503, "", nil},
+	"uncertain with a reason": {"POST", "/Config.Amend", answersBase, controlstate.Verdict{Kind: controlstate.Uncertain, Reason: "long ago"}, nil, 503,
+		`{"error":"long ago"}`, nil},
+	"superseded":        {"POST", "/Evacuation.Start/fukuoka-a", nil, controlstate.Verdict{Kind: controlstate.Superseded}, nil, 503, "", nil},
+	"chain away":        {"POST", "/Config.Replace", answersBase, controlstate.Verdict{}, errors.New("away"), 503, "", nil},
+	"unknown verdict":   {"POST", "/Config.Replace", answersBase, controlstate.Verdict{Kind: 99}, nil, 503, "", nil},
+	"no base":           {"POST", "/Config.Replace", nil, controlstate.Verdict{}, nil, 400, "", nil},
+	"base is no number": {"POST", "/Config.Replace", []string{"X-Base-Version", "v5"}, controlstate.Verdict{}, nil, 400, "", nil},
+	"base below 0":      {"POST", "/Config.Replace", []string{"X-Base-Version", "-5"}, controlstate.Verdict{}, nil, 400, "", nil},
+	"two bases":         {"POST", "/Config.Replace", []string{"X-Base-Version", "5", "X-Base-Version", "6"}, controlstate.Verdict{}, nil, 400, "", nil},
+	"evacuated": {"POST", "/Evacuation.Start/fukuoka-a", nil, controlstate.Verdict{Kind: controlstate.Accepted, Seq: 4}, nil, 200, `{}`,
+		&controlstate.Change{Op: controlstate.OpEvacuate, Base: 3, Zone: "fukuoka-a"}},
+	"evacuated before": {"POST", "/Evacuation.Start/fukuoka-a", nil, controlstate.Verdict{Kind: controlstate.AlreadyApplied, Seq: 4}, nil, 200, `{}`, nil},
+	"readmitted": {"POST", "/Evacuation.Finish/fukuoka-a", nil, controlstate.Verdict{Kind: controlstate.Accepted, Seq: 4}, nil, 200, `{}`,
+		&controlstate.Change{Op: controlstate.OpReadmit, Base: 3, Zone: "fukuoka-a"}},
+	"no zone":            {"POST", "/Evacuation.Start/", nil, controlstate.Verdict{}, nil, 404, "", nil},
+	"long zone":          {"POST", "/Evacuation.Start/" + strings.Repeat("z", 200), nil, controlstate.Verdict{}, nil, 400, "", nil},
+	"evacuate by GET":    {"GET", "/Evacuation.Start/fukuoka-a", nil, controlstate.Verdict{}, nil, 405, "", nil},
+	"replace by PUT":     {"PUT", "/Config.Replace", answersBase, controlstate.Verdict{}, nil, 405, "", nil},
+	"unknown path":       {"POST", "/Config.Drop", answersBase, controlstate.Verdict{}, nil, 404, "", nil},
+	"path not cleaned":   {"POST", "//Config.Replace", answersBase, controlstate.Verdict{}, nil, 404, "", nil},
+	"read":               {"GET", "/Config.Read", nil, controlstate.Verdict{}, nil, 200, `{"revision":5}`, nil},
+	"read, chain away":   {"GET", "/Config.Read", nil, controlstate.Verdict{}, errors.New("away"), 503, "", nil},
+	"status":             {"GET", "/status", nil, controlstate.Verdict{}, nil, 200, `{"epoch":3}`, nil},
+	"status with a POST": {"POST", "/status", nil, controlstate.Verdict{}, nil, 405, "", nil},
+}
+
 func TestAnswers(t *testing.T) {
-	const body = `{"revision":7,"routes":[],"services":[]}`
 	state := &controlstate.State{Seq: 3, Config: &config.Config{Revision: 5, Raw: []byte(`{"revision":5}`)}}
-	base := []string{"X-Base-Version", "5"}
-	tests := map[string]struct {
-		method, target string
-		headers        []string
-		verdict        controlstate.Verdict
-		err            error
-		status         int
-		answer         string // empty: a JSON object with an error
-		change         *controlstate.Change
-	}{
-		"replaced": {"POST", "/Config.Replace", base, controlstate.Verdict{Kind: controlstate.Accepted, Seq: 4}, nil, 200, `{"revision":7}`,
-			&controlstate.Change{Op: controlstate.OpReplace, Base: 5, Body: []byte(body)}},
-		"sent again": {"POST", "/Config.Replace", base, controlstate.Verdict{Kind: controlstate.AlreadyApplied, Seq: 4}, nil, 200, `{"revision":7}`, nil},
-		"amended": {"POST", "/Config.Amend", base, controlstate.Verdict{Kind: controlstate.Accepted, Seq: 4}, nil, 200, `{"revision":7}`,
-			&controlstate.Change{Op: controlstate.OpAmend, Base: 5, Body: []byte(body)}},
-		"stale": {"POST", "/Config.Amend", base, controlstate.Verdict{Kind: controlstate.Stale, Reason: "another"}, nil, 412,
-			`{"error":"another","revision":5}`, nil},
-		"stale by a record that is not known here yet": {"POST", "/Config.Amend", base, controlstate.Verdict{Kind: controlstate.Stale, Reason: "another", Seq: 4},
-			nil, 412, `{"error":"another"}`, nil},
-		"invalid": {"POST", "/Config.Replace", base, controlstate.Verdict{Kind: controlstate.Invalid, Reason: "no route"}, nil, 400,
-			`{"error":"no route"}`, nil},
-		"invalid without a reason": {"POST", "/Config.Replace", base, controlstate.Verdict{Kind: controlstate.Invalid}, nil, 400, "", nil},
-		"uncertain":                {"POST", "/Config.Replace", base, controlstate.Verdict{Kind: controlstate.Uncertain}, nil, 503, "", nil},
-		"uncertain with a reason": {"POST", "/Config.Amend", base, controlstate.Verdict{Kind: controlstate.Uncertain, Reason: "long ago"}, nil, 503,
-			`{"error":"long ago"}`, nil},
-		"superseded":        {"POST", "/Evacuation.Start/fukuoka-a", nil, controlstate.Verdict{Kind: controlstate.Superseded}, nil, 503, "", nil},
-		"chain away":        {"POST", "/Config.Replace", base, controlstate.Verdict{}, errors.New("away"), 503, "", nil},
-		"unknown verdict":   {"POST", "/Config.Replace", base, controlstate.Verdict{Kind: 99}, nil, 503, "", nil},
-		"no base":           {"POST", "/Config.Replace", nil, controlstate.Verdict{}, nil, 400, "", nil},
-		"base is no number": {"POST", "/Config.Replace", []string{"X-Base-Version", "v5"}, controlstate.Verdict{}, nil, 400, "", nil},
-		"base below 0":      {"POST", "/Config.Replace", []string{"X-Base-Version", "-5"}, controlstate.Verdict{}, nil, 400, "", nil},
-		"two bases":         {"POST", "/Config.Replace", []string{"X-Base-Version", "5", "X-Base-Version", "6"}, controlstate.Verdict{}, nil, 400, "", nil},
-		"evacuated": {"POST", "/Evacuation.Start/fukuoka-a", nil, controlstate.Verdict{Kind: controlstate.Accepted, Seq: 4}, nil, 200, `{}`,
-			&controlstate.Change{Op: controlstate.OpEvacuate, Base: 3, Zone: "fukuoka-a"}},
-		"evacuated before": {"POST", "/Evacuation.Start/fukuoka-a", nil, controlstate.Verdict{Kind: controlstate.AlreadyApplied, Seq: 4}, nil, 200, `{}`, nil},
-		"readmitted": {"POST", "/Evacuation.Finish/fukuoka-a", nil, controlstate.Verdict{Kind: controlstate.Accepted, Seq: 4}, nil, 200, `{}`,
-			&controlstate.Change{Op: controlstate.OpReadmit, Base: 3, Zone: "fukuoka-a"}},
-		"no zone":            {"POST", "/Evacuation.Start/", nil, controlstate.Verdict{}, nil, 404, "", nil},
-		"long zone":          {"POST", "/Evacuation.Start/" + strings.Repeat("z", 200), nil, controlstate.Verdict{}, nil, 400, "", nil},
-		"evacuate by GET":    {"GET", "/Evacuation.Start/fukuoka-a", nil, controlstate.Verdict{}, nil, 405, "", nil},
-		"replace by PUT":     {"PUT", "/Config.Replace", base, controlstate.Verdict{}, nil, 405, "", nil},
-		"unknown path":       {"POST", "/Config.Drop", base, controlstate.Verdict{}, nil, 404, "", nil},
-		"path not cleaned":   {"POST", "//Config.Replace", base, controlstate.Verdict{}, nil, 404, "", nil},
-		"read":               {"GET", "/Config.Read", nil, controlstate.Verdict{}, nil, 200, `{"revision":5}`, nil},
-		"read, chain away":   {"GET", "/Config.Read", nil, controlstate.Verdict{}, errors.New("away"), 503, "", nil},
-		"status":             {"GET", "/status", nil, controlstate.Verdict{}, nil, 200, `{"epoch":3}`, nil},
-		"status with a POST": {"POST", "/status", nil, controlstate.Verdict{}, nil, 405, "", nil},
-	}
-	for name, test := range tests {
+	for name, test := range answerTests {
 		t.Run(name, func(t *testing.T) {
 			chain := &fakeChain{verdict: test.verdict, err: test.err, state: state}
 			var delivered []uint64
@@ -121,39 +129,48 @@
 				CommittedState: func() *controlstate.State { return state },
 				Status:         func() any { return map[string]int{"epoch": 3} },
 				WaitDelivered:  func(_ context.Context, seq uint64) { delivered = append(delivered, seq) }})
-			w := serve(handler, test.method, test.target, body, test.headers...)
+			w := serve(t, handler, test.method, test.target, answersBody, test.headers...)
 			if w.Code != test.status {
 				t.Fatalf("status %d, want %d: %s", w.Code, test.status, w.Body)
 			}
 			if got := w.Header().Get("Content-Type"); got != "application/json" {
 				t.Errorf("Content-Type = %q", got)
 			}
-			if test.answer != "" && w.Body.String() != test.answer {
-				t.Errorf("answer %s, want %s", w.Body, test.answer)
-			}
 			if test.answer == "" {
-				var refusal struct{ Error string }
-				if err := json.Unmarshal(w.Body.Bytes(), &refusal); err != nil || refusal.Error == "" {
-					t.Errorf("answer %s, %v", w.Body, err)
-				}
+				checkError(t, w.Body.Bytes())
+			} else if w.Body.String() != test.answer {
+				t.Errorf("answer %s, want %s", w.Body, test.answer)
 			}
 			if test.change != nil {
-				c := chain.submitted[0]
-				if c.Op != test.change.Op || c.Base != test.change.Base || c.Zone != test.change.Zone || !bytes.Equal(c.Body, test.change.Body) {
-					t.Errorf("change %+v, want %+v", c, *test.change)
-				}
+				checkChange(t, chain.submitted[0], *test.change)
 			}
-			took := test.status == 200 && test.method == "POST"
-			if took != (len(delivered) == 1) || took && delivered[0] != 4 {
+			acknowledged := test.status == http.StatusOK && test.method == http.MethodPost
+			if want := []uint64{4}; acknowledged != slices.Equal(delivered, want) || !acknowledged && len(delivered) > 0 {
 				t.Errorf("waited for the delivery of %v", delivered)
 			}
 		})
 	}
 }
 
+// checkError checks that a body is a JSON object with a reason.
+func checkError(t *testing.T, body []byte) {
+	t.Helper()
+	var response struct{ Error string }
+	if err := json.Unmarshal(body, &response); err != nil || response.Error == "" {
+		t.Errorf("answer %s, %v", body, err)
+	}
+}
+
+func checkChange(t *testing.T, got, want controlstate.Change) {
+	t.Helper()
+	if got.Op != want.Op || got.Base != want.Base || got.Zone != want.Zone || !bytes.Equal(got.Body, want.Body) {
+		t.Errorf("change %+v, want %+v", got, want)
+	}
+}
+
 func TestReadBeforeAnyConfiguration(t *testing.T) {
 	handler := Handler(Options{Chain: &fakeChain{state: controlstate.Empty()}, Log: discardLog()})
-	if w := serve(handler, "GET", "/Config.Read", ""); w.Code != 503 {
+	if w := serve(t, handler, "GET", "/Config.Read", ""); w.Code != 503 {
 		t.Errorf("status %d: %s", w.Code, w.Body)
 	}
 }
@@ -161,7 +178,7 @@
 func TestBodyTooLarge(t *testing.T) {
 	handler := Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted}}, Log: discardLog()})
 	for name, length := range map[string]int64{"with a length": maxBodyBytes + 1, "in chunks": -1} {
-		r := httptest.NewRequest("POST", "/Config.Replace", io.LimitReader(zeros{}, maxBodyBytes+1))
+		r := httptest.NewRequestWithContext(t.Context(), "POST", "/Config.Replace", io.LimitReader(zeros{}, maxBodyBytes+1))
 		r.ContentLength = length
 		r.Header.Set("X-Base-Version", "0")
 		w := httptest.NewRecorder()
@@ -181,7 +198,7 @@
 
 func TestBodyTruncated(t *testing.T) {
 	chain := &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted}}
-	r := httptest.NewRequest("POST", "/Config.Replace", strings.NewReader("{"))
+	r := httptest.NewRequestWithContext(t.Context(), "POST", "/Config.Replace", strings.NewReader("{"))
 	r.ContentLength = 10
 	r.Header.Set("X-Base-Version", "0")
 	w := httptest.NewRecorder()
@@ -216,12 +233,12 @@
 			synctest.Test(t, func(t *testing.T) {
 				handler := Handler(Options{Chain: &fakeChain{unresponsive: true}, Log: discardLog()})
 				start := time.Now()
-				w := serve(handler, "POST", "/Config.Replace", test.body, "X-Base-Version", "0")
+				w := serve(t, handler, "POST", "/Config.Replace", test.body, "X-Base-Version", "0")
 				if took := time.Since(start); w.Code != 503 || took != test.want {
 					t.Errorf("status %d after %v, want 503 after %v", w.Code, took, test.want)
 				}
 				start = time.Now()
-				w = serve(handler, "GET", "/Config.Read", "")
+				w = serve(t, handler, "GET", "/Config.Read", "")
 				if took := time.Since(start); w.Code != 503 || took != 700*time.Millisecond {
 					t.Errorf("read: status %d after %v", w.Code, took)
 				}
@@ -251,17 +268,14 @@
 				chain, cut := &fakeChain{unresponsive: true}, true
 				handler := Handler(Options{Chain: chain, Log: discardLog(), Partitioned: func() bool { return cut }})
 				start := time.Now()
-				w := serve(handler, test.method, test.target, "{}", test.headers...)
+				w := serve(t, handler, test.method, test.target, "{}", test.headers...)
 				if took := time.Since(start); w.Code != test.status || took != test.took || len(chain.submitted) > 0 {
 					t.Errorf("status %d after %v, want %d after %v; passed on %+v", w.Code, took, test.status, test.took, chain.submitted)
 				}
-				var refusal struct{ Error string }
-				if err := json.Unmarshal(w.Body.Bytes(), &refusal); err != nil || refusal.Error == "" {
-					t.Errorf("answer %s, %v", w.Body, err)
-				}
+				checkError(t, w.Body.Bytes())
 				cut = false
 				start = time.Now()
-				w = serve(handler, test.method, test.target, "{}", test.headers...)
+				w = serve(t, handler, test.method, test.target, "{}", test.headers...)
 				if took := time.Since(start); test.status == 503 && (w.Code != 503 || took != waits) {
 					t.Errorf("not cut off: status %d after %v", w.Code, took)
 				}
@@ -276,7 +290,7 @@
 			handler := Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted, Seq: 9}}, AckTimeout: ack, Log: discardLog(),
 				WaitDelivered: func(ctx context.Context, _ uint64) { <-ctx.Done() }})
 			start := time.Now()
-			w := serve(handler, "POST", "/Evacuation.Start/a", "")
+			w := serve(t, handler, "POST", "/Evacuation.Start/a", "")
 			if took := time.Since(start); w.Code != 200 || took != want {
 				t.Errorf("status %d after %v, want 200 after %v", w.Code, took, want)
 			}
@@ -289,7 +303,7 @@
 	state := &controlstate.State{Config: &config.Config{Revision: 5, Raw: []byte(`{"revision":5}`)}}
 	server := httptest.NewServer(Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted}, state: state}, Log: discardLog()}))
 	defer server.Close()
-	request, err := http.NewRequest("POST", server.URL+"/Config.Replace", strings.NewReader(`{"revision":9}`))
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, server.URL+"/Config.Replace", strings.NewReader(`{"revision":9}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -299,16 +313,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer resp.Body.Close()
-	if body, _ := io.ReadAll(resp.Body); resp.StatusCode != 200 || string(body) != `{"revision":9}` {
+	defer func() { _ = resp.Body.Close() }()
+	if body, _ := io.ReadAll(resp.Body); resp.StatusCode != http.StatusOK || string(body) != `{"revision":9}` {
 		t.Errorf("status %d: %s", resp.StatusCode, body)
 	}
-	head, err := http.Head(server.URL + "/Config.Read")
+	request, err = http.NewRequestWithContext(t.Context(), http.MethodHead, server.URL+"/Config.Read", nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	head, err := http.DefaultClient.Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer head.Body.Close()
-	if head.StatusCode != 200 || head.ContentLength != int64(len(state.Config.Raw)) {
+	defer func() { _ = head.Body.Close() }()
+	if head.StatusCode != http.StatusOK || head.ContentLength != int64(len(state.Config.Raw)) {
 		t.Errorf("HEAD: status %d, length %d", head.StatusCode, head.ContentLength)
 	}
 }
--- a/internal/system/operatorapi/model_client_test.go
+++ b/internal/system/operatorapi/model_client_test.go
@@ -44,8 +44,8 @@
 	return "/Evacuation.Finish/" + o.change.Zone
 }
 
-func (o *modelChange) request() *http.Request {
-	r := httptest.NewRequest(http.MethodPost, o.path(), strings.NewReader(string(o.change.Body)))
+func (o *modelChange) request(ctx context.Context) *http.Request {
+	r := httptest.NewRequestWithContext(ctx, http.MethodPost, o.path(), strings.NewReader(string(o.change.Body)))
 	if o.change.Zone == "" {
 		r.Header.Set("X-Base-Version", strconv.FormatInt(o.change.Base, 10))
 	} else {
@@ -54,83 +54,88 @@
 	return r
 }
 
-// sendRequest sends one request to a keeper, and waits for its answer for a second; nil: none came.
-func (w *modelCluster) sendRequest(k *modelNode, r *http.Request) *httptest.ResponseRecorder {
-	hungUp, hangUp := context.WithCancel(context.Background())
+// sendRequest sends one request to a node, and waits for its response for a second; nil: none arrived.
+func (w *modelCluster) sendRequest(node *modelNode, r *http.Request) *httptest.ResponseRecorder {
+	caller, hangUp := context.WithCancel(r.Context())
 	defer hangUp()
-	answers := make(chan *httptest.ResponseRecorder, 1)
-	life := k.currentIncarnation()
-	w.pending.Go(func() { w.deliverRequest(k, life, r, hungUp, answers) })
-	patience := callerTimeout
+	responses := make(chan *httptest.ResponseRecorder, 1)
+	incarnation := node.currentIncarnation()
+	w.pending.Go(func() { w.deliverRequest(incarnation, caller, node, r, responses) })
+	timeout := callerTimeout
 	if w.happens(12, "caller's connection reset") {
-		patience = w.randomDuration(time.Millisecond, 30*time.Millisecond)
+		timeout = w.randomDuration(time.Millisecond, 30*time.Millisecond)
 	}
 	select {
-	case a := <-answers:
-		return a
-	case <-time.After(patience):
+	case response := <-responses:
+		return response
+	case <-time.After(timeout):
 		return nil
 	}
 }
 
-// deliverRequest brings a request to a keeper, perhaps late, and its answer back. The end of the caller's connection follows its
-// bytes within a round trip of up to 200 ms; while the keeper stands still, or where its connection was reset, it may be lost.
-func (w *modelCluster) deliverRequest(k *modelNode, life context.Context, r *http.Request, hungUp context.Context, answers chan<- *httptest.ResponseRecorder) {
+// deliverRequest brings a request to a node, perhaps late, and its response back. The end of the caller's connection follows its
+// bytes within a round trip of up to 200 ms; while the node is frozen, or where its connection was reset, it may be lost.
+// The context incarnation ends with the node's process, caller with the caller's connection.
+func (w *modelCluster) deliverRequest(incarnation, caller context.Context, node *modelNode, r *http.Request,
+	responses chan<- *httptest.ResponseRecorder,
+) {
 	if w.happens(30, "request lost") {
 		return
 	}
-	began := time.Now()
+	acceptedAt := time.Now()
 	time.Sleep(w.randomDuration(200*time.Microsecond, 2*time.Millisecond))
-	held := w.happens(12, "request held up")
-	if held {
+	delayed := w.happens(12, "request delayed")
+	if delayed {
 		time.Sleep(w.randomDuration(time.Second, 22*time.Second))
 	}
-	waiting := time.Now()
-	k.waitWhileFrozen()
-	stood := time.Since(waiting) > 0
-	if life.Err() != nil {
+	arrivedAt := time.Now()
+	node.waitWhileFrozen()
+	stalled := time.Since(arrivedAt) > 0
+	if incarnation.Err() != nil {
 		return // of a process that is gone, and its sockets with it
 	}
-	if stood {
+	if stalled {
 		w.recordEvent("request waited through a freeze")
 		time.Sleep(w.randomDuration(0, 100*time.Millisecond))
 	}
-	ctx, cancel := context.WithCancel(context.WithValue(life, connectionKey{}, &connection{acceptedAt: began}))
+	ctx, cancel := context.WithCancel(context.WithValue(incarnation, connectionKey{}, &connection{acceptedAt: acceptedAt}))
 	defer cancel()
-	endMayBeLost := stood || !held
+	endMayBeLost := stalled || !delayed
 	if !endMayBeLost || !w.happens(2, "end of a connection lost") {
-		stop := context.AfterFunc(hungUp, func() { time.AfterFunc(w.randomDuration(0, 200*time.Millisecond), cancel) })
+		stop := context.AfterFunc(caller, func() { time.AfterFunc(w.randomDuration(0, 200*time.Millisecond), cancel) })
 		defer stop()
 	}
-	answer := httptest.NewRecorder()
-	k.handler.ServeHTTP(answer, r.WithContext(ctx))
-	if life.Err() != nil || w.happens(20, "answer lost") {
+	response := httptest.NewRecorder()
+	node.handler.ServeHTTP(response, r.WithContext(ctx))
+	if incarnation.Err() != nil || w.happens(20, "response lost") {
 		return
 	}
 	time.Sleep(w.randomDuration(200*time.Microsecond, 2*time.Millisecond))
-	answers <- answer
+	responses <- response
 }
 
-// sendUntilResolved sends an order until it gets a clear answer or its operator gives up.
+// sendUntilResolved sends a change until it gets a clear response or its operator gives up.
 func (w *modelCluster) sendUntilResolved(change *modelChange) {
-	const giveUp = 6 * time.Second
+	const giveUpAfter = 6 * time.Second
 	change.startedAt = w.elapsed()
-	once := change.change.Zone != "" && w.happens(6, "order given up after one try")
-	pause := 20 * time.Millisecond
-	for w.elapsed()-change.startedAt < giveUp {
-		try := modelAttempt{startedAt: w.elapsed()}
-		a := w.sendRequest(w.nodes[w.randomDuration(0, time.Duration(len(w.nodes)))], change.request())
-		try.endedAt, try.acknowledged = w.elapsed(), a != nil && a.Code == http.StatusOK
-		change.attempts = append(change.attempts, try)
-		if a != nil && a.Code != http.StatusServiceUnavailable {
-			change.status, change.body = a.Code, a.Body.String()
+	once := change.change.Zone != "" && w.happens(6, "change given up after one attempt")
+	backoff := 20 * time.Millisecond
+	for w.elapsed()-change.startedAt < giveUpAfter {
+		attempt := modelAttempt{startedAt: w.elapsed()}
+		node := w.nodes[w.randomDuration(0, time.Duration(len(w.nodes)))]
+		response := w.sendRequest(node, change.request(context.Background()))
+		attempt.endedAt = w.elapsed()
+		attempt.acknowledged = response != nil && response.Code == http.StatusOK
+		change.attempts = append(change.attempts, attempt)
+		if response != nil && response.Code != http.StatusServiceUnavailable {
+			change.status, change.body = response.Code, response.Body.String()
 			break
 		}
 		if once {
 			break
 		}
-		time.Sleep(pause)
-		pause = min(2*pause, 400*time.Millisecond)
+		time.Sleep(backoff)
+		backoff = min(2*backoff, 400*time.Millisecond)
 	}
 	change.endedAt = w.elapsed()
 }
--- a/internal/system/operatorapi/model_cluster_test.go
+++ b/internal/system/operatorapi/model_cluster_test.go
@@ -210,7 +210,7 @@
 // Submit implements Chain: the change goes to the head, perhaps late, never or twice, and so does the answer come back.
 func (k *modelNode) Submit(ctx context.Context, change controlstate.Change) (controlstate.Verdict, error) {
 	k.waitWhileFrozen()
-	if k.modelCluster.knobs.rejectByLocalState {
+	if k.knobs.rejectByLocalState {
 		if verdict := k.committedState().Check(change); verdict.Kind == controlstate.Stale || verdict.Kind == controlstate.Invalid {
 			return verdict, nil
 		}
@@ -221,7 +221,7 @@
 			return
 		}
 		time.Sleep(k.randomDuration(500*time.Microsecond, 5*time.Millisecond))
-		if k.happens(15, "change held up") {
+		if k.happens(15, "change delayed") {
 			time.Sleep(k.randomDuration(time.Second, 22*time.Second))
 		}
 		k.waitUntil(func() time.Time { return k.partitionedUntil })
--- a/internal/system/operatorapi/model_linear_test.go
+++ b/internal/system/operatorapi/model_linear_test.go
@@ -49,7 +49,7 @@
 	}
 	model := porcupine.Model{
 		Init: func() any { return start },
-		Step: func(state, input, output any) (bool, any) {
+		Step: func(state, input, _ any) (bool, any) {
 			now, _ := state.(*version)
 			if read, ok := input.(modelRead); ok {
 				return h.cluster.configurations[now.revision] == read.body, now
--- a/internal/system/operatorapi/model_test.go
+++ b/internal/system/operatorapi/model_test.go
@@ -59,7 +59,7 @@
 			h.observations = append(h.observations, zoneObservation{w.elapsed(), zone, w.state.Evacuated[zone]})
 		}
 		w.mu.Unlock()
-		r, err := http.NewRequest(http.MethodGet, "/Config.Read", nil)
+		r, err := http.NewRequestWithContext(context.WithoutCancel(ctx), http.MethodGet, "/Config.Read", nil)
 		if err != nil {
 			return
 		}
@@ -128,43 +128,9 @@
 	return out
 }
 
-// violations tells what is wrong with a history, nil where nothing is; undecided: of one part it could not be told in time.
+// violations lists what is wrong with a history; undecided says that some part of it could not be decided in time.
 func (h *modelHistory) violations(within time.Duration) (wrong []string, undecided bool) {
-	winner := map[int64]string{}
-	for _, change := range h.changes {
-		if change.change.Zone != "" {
-			if change.status != 0 && change.status != http.StatusOK {
-				wrong = append(wrong, fmt.Sprintf("%s got %d", change.path(), change.status))
-			}
-			continue
-		}
-		key := changeKey(change.change)
-		at, taken := h.cluster.applied[key]
-		switch {
-		case change.status == http.StatusOK:
-			if !taken || at > change.endedAt {
-				wrong = append(wrong, fmt.Sprintf("on version %d: confirmed and not applied", change.change.Base))
-			}
-			if was := winner[change.change.Base]; was != "" && was != key {
-				wrong = append(wrong, fmt.Sprintf("on version %d: two changes confirmed", change.change.Base))
-			}
-			winner[change.change.Base] = key
-			if want := fmt.Sprintf(`{"revision":%d}`, change.revision); change.body != want {
-				wrong = append(wrong, fmt.Sprintf("on version %d: the answer %s is not that of revision %d", change.change.Base, change.body, change.revision))
-			}
-		case change.status >= 400 && taken:
-			wrong = append(wrong, fmt.Sprintf("on version %d: applied and refused with %d", change.change.Base, change.status))
-		}
-	}
-	for _, r := range h.reads {
-		known := false
-		for _, raw := range h.cluster.configurations {
-			known = known || raw == r.body
-		}
-		if !known {
-			wrong = append(wrong, "read what never was: "+r.body)
-		}
-	}
+	wrong = slices.Concat(h.zoneViolations(), h.configViolations(), h.readViolations())
 	results := map[string]porcupine.CheckResult{"the configuration": h.linearizableConfig(within)}
 	for _, zone := range modelZones {
 		results["zone "+zone] = h.linearizableZone(zone, within)
@@ -180,6 +146,56 @@
 	return wrong, undecided
 }
 
+// zoneViolations lists the changes of zones that got a response other than 200 and 503.
+func (h *modelHistory) zoneViolations() (wrong []string) {
+	for _, change := range h.changes {
+		if change.change.Zone != "" && change.status != 0 && change.status != http.StatusOK {
+			wrong = append(wrong, fmt.Sprintf("%s got %d", change.path(), change.status))
+		}
+	}
+	return wrong
+}
+
+// configViolations lists the changes of the configuration whose response contradicts what was applied, or that of another.
+func (h *modelHistory) configViolations() (wrong []string) {
+	winner := map[int64]string{} // base -> key of the change that was confirmed
+	for _, change := range h.changes {
+		if change.change.Zone != "" {
+			continue
+		}
+		base, key := change.change.Base, changeKey(change.change)
+		appliedAt, applied := h.cluster.applied[key]
+		if change.status >= 400 && applied {
+			wrong = append(wrong, fmt.Sprintf("on version %d: applied and refused with %d", base, change.status))
+		}
+		if change.status != http.StatusOK {
+			continue
+		}
+		if !applied || appliedAt > change.endedAt {
+			wrong = append(wrong, fmt.Sprintf("on version %d: confirmed and not applied", base))
+		}
+		if other := winner[base]; other != "" && other != key {
+			wrong = append(wrong, fmt.Sprintf("on version %d: two changes confirmed", base))
+		}
+		winner[base] = key
+		if want := fmt.Sprintf(`{"revision":%d}`, change.revision); change.body != want {
+			wrong = append(wrong, fmt.Sprintf("on version %d: the answer %s is not that of revision %d", base, change.body, change.revision))
+		}
+	}
+	return wrong
+}
+
+// readViolations lists the reads of a configuration that never was current.
+func (h *modelHistory) readViolations() (wrong []string) {
+	for _, read := range h.reads {
+		known := slices.Contains(slices.Collect(maps.Values(h.cluster.configurations)), read.body)
+		if !known {
+			wrong = append(wrong, "read what never was: "+read.body)
+		}
+	}
+	return wrong
+}
+
 func TestModel(t *testing.T) {
 	seeds, err := strconv.ParseUint(cmp.Or(os.Getenv("CONTROL_SEEDS"), "60"), 10, 64)
 	if err != nil {
@@ -229,7 +245,7 @@
 		"changes are forgotten and refused":       {chain: chainKnobs{forgetHistoryAndReject: true}},
 		"evacuations are not fenced":              {chain: chainKnobs{ignoreFences: true}},
 		"a keeper refuses by what it alone holds": {chain: chainKnobs{rejectByLocalState: true}},
-		"an order in force leaves no record":      {chain: chainKnobs{omitRecordsInForce: true, frequentFaults: faults("change held up")}},
+		"an order in force leaves no record":      {chain: chainKnobs{omitRecordsInForce: true, frequentFaults: faults("change delayed")}},
 		"the fence is what a majority told later": {api: TestingKnobs{FenceByConfirmedState: true},
 			chain: chainKnobs{frequentFaults: faults("slow round", "caller's connection reset", "end of a connection lost")}},
 		"orders whose callers have gone are passed on": {api: TestingKnobs{SubmitForGoneCallers: true}},
--- a/internal/system/operatorapi/wire_test.go
+++ b/internal/system/operatorapi/wire_test.go
@@ -50,7 +50,7 @@
 	c := &wireClient{t: t}
 	s := httptest.NewServer(Handler(Options{Chain: c, Log: discardLog()}))
 	t.Cleanup(s.Close)
-	conn, err := net.Dial("tcp", s.Listener.Addr().String())
+	conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", s.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,19 +67,27 @@
 	}
 }
 
-// readResponse reads one readResponse to a request of the method.
-func (c *wireClient) readResponse(method string) (*http.Response, string) {
+// wireResponse is a response that was read to its end.
+type wireResponse struct {
+	status        int
+	contentLength int64
+	closes        bool // the connection ends after it
+	body          string
+}
+
+// readResponse reads the response to a request of the method.
+func (c *wireClient) readResponse(method string) wireResponse {
 	c.t.Helper()
-	resp, err := http.ReadResponse(c.in, &http.Request{Method: method})
+	response, err := http.ReadResponse(c.in, &http.Request{Method: method})
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	defer resp.Body.Close()
-	body, err := io.ReadAll(resp.Body)
+	defer func() { _ = response.Body.Close() }()
+	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	return resp, string(body)
+	return wireResponse{response.StatusCode, response.ContentLength, response.Close, string(body)}
 }
 
 // connectionEnded tells whether the connection ends without another byte.
@@ -105,14 +113,14 @@
 	}
 	client.send(all.String())
 	for i := range calls {
-		if resp, body := client.readResponse("POST"); resp.StatusCode != 200 || body != fmt.Sprintf(`{"revision":%d}`, 100+i) {
-			t.Fatalf("change %d: status %d: %s", i, resp.StatusCode, body)
+		if response := client.readResponse("POST"); response.status != 200 || response.body != fmt.Sprintf(`{"revision":%d}`, 100+i) {
+			t.Fatalf("change %d: status %d: %s", i, response.status, response.body)
 		}
-		if resp, body := client.readResponse("HEAD"); resp.StatusCode != 200 || body != "" || resp.ContentLength != int64(len(`{"revision":5}`)) {
-			t.Fatalf("read %d: status %d: %s", i, resp.StatusCode, body)
+		if response := client.readResponse("HEAD"); response.status != 200 || response.body != "" || response.contentLength != int64(len(`{"revision":5}`)) {
+			t.Fatalf("read %d: status %d: %s", i, response.status, response.body)
 		}
-		if resp, body := client.readResponse("POST"); resp.StatusCode != 200 || body != "{}" {
-			t.Fatalf("evacuation %d: status %d: %s", i, resp.StatusCode, body)
+		if response := client.readResponse("POST"); response.status != 200 || response.body != "{}" {
+			t.Fatalf("evacuation %d: status %d: %s", i, response.status, response.body)
 		}
 	}
 	for i, change := range client.changes() {
@@ -126,11 +134,11 @@
 func TestWireBodyLongerThanDeclared(t *testing.T) {
 	c := dialAPI(t)
 	c.send(rawChange(100, "") + "surplus bytes\r\n\r\n")
-	if resp, body := c.readResponse("POST"); resp.StatusCode != 200 || body != `{"revision":100}` {
-		t.Errorf("status %d: %s", resp.StatusCode, body)
+	if response := c.readResponse("POST"); response.status != 200 || response.body != `{"revision":100}` {
+		t.Errorf("status %d: %s", response.status, response.body)
 	}
-	if resp, _ := c.readResponse("POST"); resp.StatusCode != 400 || !c.connectionEnded() {
-		t.Errorf("status %d for the surplus, or the connection goes on", resp.StatusCode)
+	if response := c.readResponse("POST"); response.status != 400 || !c.connectionEnded() {
+		t.Errorf("status %d for the surplus, or the connection goes on", response.status)
 	}
 	if n := len(c.changes()); n != 1 {
 		t.Errorf("%d changes", n)
@@ -149,8 +157,8 @@
 		if err := c.conn.CloseWrite(); err != nil {
 			t.Fatal(err)
 		}
-		if resp, _ := c.readResponse("POST"); resp.StatusCode != 503 || !resp.Close || !c.connectionEnded() || len(c.changes()) != 0 {
-			t.Errorf("%s: status %d, %d changes", name, resp.StatusCode, len(c.changes()))
+		if response := c.readResponse("POST"); response.status != 503 || !response.closes || !c.connectionEnded() || len(c.changes()) != 0 {
+			t.Errorf("%s: status %d, %d changes", name, response.status, len(c.changes()))
 		}
 	}
 }
@@ -168,8 +176,8 @@
 		if err := c.conn.CloseWrite(); err != nil {
 			t.Fatal(err)
 		}
-		if resp, _ := c.readResponse("POST"); resp.StatusCode < 400 || !c.connectionEnded() || len(c.changes()) != 0 {
-			t.Errorf("%s: status %d, %d changes", name, resp.StatusCode, len(c.changes()))
+		if response := c.readResponse("POST"); response.status < 400 || !c.connectionEnded() || len(c.changes()) != 0 {
+			t.Errorf("%s: status %d, %d changes", name, response.status, len(c.changes()))
 		}
 	}
 }
@@ -180,16 +188,16 @@
 	whole := rawChange(100, "Expect: 100-continue\r\n")
 	head, body, _ := strings.Cut(whole, "\r\n\r\n")
 	c.send(head + "\r\n\r\n")
-	if resp, _ := c.readResponse("POST"); resp.StatusCode != 100 {
-		t.Fatalf("status %d", resp.StatusCode)
+	if response := c.readResponse("POST"); response.status != 100 {
+		t.Fatalf("status %d", response.status)
 	}
 	c.send(body)
-	if resp, body := c.readResponse("POST"); resp.StatusCode != 200 || body != `{"revision":100}` {
-		t.Errorf("status %d: %s", resp.StatusCode, body)
+	if response := c.readResponse("POST"); response.status != 200 || response.body != `{"revision":100}` {
+		t.Errorf("status %d: %s", response.status, response.body)
 	}
 	c.send(fmt.Sprintf("POST /Config.Replace HTTP/1.1\r\nHost: k\r\nX-Base-Version: 5\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", maxBodyBytes+1))
-	if resp, _ := c.readResponse("POST"); resp.StatusCode != 413 {
-		t.Errorf("status %d", resp.StatusCode)
+	if response := c.readResponse("POST"); response.status != 413 {
+		t.Errorf("status %d", response.status)
 	}
 }
 
@@ -205,7 +213,7 @@
 				}}
 			handler := Handler(Options{Chain: chain, Log: discardLog(), WaitDelivered: func(ctx context.Context, _ uint64) { <-ctx.Done() }})
 			start := time.Now()
-			w := serve(handler, "POST", target, "", "X-Base-Version", "0")
+			w := serve(t, handler, "POST", target, "", "X-Base-Version", "0")
 			if took := time.Since(start); w.Code != 200 || took > responseTimeout {
 				t.Errorf("%s: status %d after %v", target, w.Code, took)
 			}
