--- a/internal/system/operatorapi/cluster_test.go
+++ b/internal/system/operatorapi/cluster_test.go
@@ -27,20 +27,20 @@
 // observer is a machine without a disk, which only some tests start.
 const observer = "10.0.0.4"
 
-// apiCluster is three keepers with their APIs, over disks and a network in memory.
+// apiCluster is three nodes with their APIs, over disks and a network in memory.
 type apiCluster struct {
 	tb                  testing.TB
 	disks               map[string]*wal.Mem
 	nodes               map[string]*replication.Node
 	apis                map[string]http.Handler
-	waitWhenPartitioned bool // the APIs hold orders also where a keeper is cut off
+	waitWhenPartitioned bool // the APIs hold changes also where a node is partitioned
 
 	mu           sync.Mutex
 	peerHandlers map[string]http.Handler
 	partitioned  map[string]bool
 }
 
-// submitter fits a keeper to the API, as cmd/controlplane does.
+// submitter fits a node to the API, as cmd/controlplane does.
 type submitter struct{ *replication.Node }
 
 func (s submitter) Submit(ctx context.Context, c controlstate.Change) (controlstate.Verdict, error) {
@@ -49,7 +49,7 @@
 	return a.Verdict, err
 }
 
-// network is one keeper's way to the others.
+// network is one node's way to the others.
 type network struct {
 	*apiCluster
 	from string
@@ -90,7 +90,7 @@
 	}
 }
 
-// startNode starts the keeper of one machine, as an observer where the machine has no disk.
+// startNode starts the node of one machine, as an observer where the machine has no disk.
 func (c *apiCluster) startNode(addr string) {
 	c.tb.Helper()
 	quiet := &log.Logger{Handler: discard.New(), Level: log.InfoLevel}
@@ -162,7 +162,7 @@
 	return status, body
 }
 
-// callAllNodes settles orders at all keepers at once, and counts the answers by status.
+// callAllNodes sends changes to all nodes at once, and counts the answers by status.
 func (c *apiCluster) callAllNodes(orders ...apiRequest) map[int]int {
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -179,8 +179,8 @@
 	return out
 }
 
-// Over the chain itself: hundreds of changes, each sent to all keepers at once, are each applied once and confirmed to all;
-// sent again later they are confirmed again, also after a restart of all keepers.
+// Over the chain itself: hundreds of changes, each sent to all nodes at once, are each applied once and confirmed to all;
+// sent again later they are confirmed again, also after a restart of all nodes.
 func TestSameOrderOverTheChain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t)
@@ -230,9 +230,9 @@
 	})
 }
 
-// A keeper that is cut off from the others, and still reached by callers, confirms nothing, refuses nothing that the state
-// decides, and answers no configuration; when the cut ends it is back within two seconds. That holds by the chain alone, and
-// also where the API answers orders at once.
+// A node that is partitioned from the others, and still reached by callers, confirms nothing, refuses nothing that the state
+// decides, and answers no configuration; when the partition ends it is back within two seconds. That holds by the chain alone, and
+// also where the API answers changes at once.
 func TestPartitionedNode(t *testing.T) {
 	for name, patient := range map[string]bool{"orders are held": true, "orders are answered at once": false} {
 		t.Run(name, func(t *testing.T) { testPartitionedNode(t, patient) })
@@ -304,8 +304,8 @@
 	}
 }
 
-// A keeper that has been without a way to the chain for two seconds, whatever its place, answers orders at once, so that
-// callers move on to another keeper. Through the others the order comes into force meanwhile, and soon after the cut through
+// A node that has been without a way to the chain for two seconds, whatever its place, answers changes at once, so that
+// callers move on to another node. Through the others the change comes into force meanwhile, and soon after the partition through
 // this one again.
 func TestChangesAtAPartitionedNodeAreAnsweredAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -340,7 +340,7 @@
 	})
 }
 
-// BenchmarkEvacuation measures an evacuation order over a chain in memory, against a change without the round before it. Run
+// BenchmarkEvacuation measures an evacuation over a chain in memory, against a change without the round before it. Run
 // it with -benchtime 500x: a head takes 4,096 changes in 15 s at most.
 func BenchmarkEvacuation(b *testing.B) {
 	cluster := newCluster(b)
--- a/internal/system/operatorapi/connection_test.go
+++ b/internal/system/operatorapi/connection_test.go
@@ -11,13 +11,13 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// An order that comes on a connection that was quiet for long may have been held up by a cut. It waits as long as the end of
+// A change that comes on a connection that was quiet for long may have been delayed by a partition. It waits as long as the end of
 // its connection takes to follow; a call that follows closely on another, or on the connection's begin, does not.
 func TestDelayedRequestWaits(t *testing.T) {
 	for name, test := range map[string]struct {
-		quiet   time.Duration // before the order
+		quiet   time.Duration // before the change
 		earlier bool          // another call came before that
-		ends    time.Duration // the end of the connection comes so long after the order; 0: it goes on
+		ends    time.Duration // the end of the connection comes so long after the change; 0: it goes on
 		status  int
 		took    time.Duration
 	}{
--- a/internal/system/operatorapi/evacuation_test.go
+++ b/internal/system/operatorapi/evacuation_test.go
@@ -17,7 +17,7 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// scriptedChain answers as its functions say, and notes what it was asked.
+// scriptedChain answers as its functions say, and records what it was asked.
 type scriptedChain struct {
 	read      func(ctx context.Context) (*controlstate.State, error)
 	submit    func(controlstate.Change) controlstate.Verdict
@@ -68,7 +68,7 @@
 	}
 }
 
-// An order whose caller hung up, or that took too long to confirm, is not passed on.
+// A change whose caller hung up, or that took too long to confirm, is not submitted.
 func TestEvacuationDropped(t *testing.T) {
 	for name, test := range map[string]struct {
 		read func(cancel func()) // what happens while a majority is asked
@@ -93,7 +93,7 @@
 					handler.ServeHTTP(w, httptest.NewRequestWithContext(ctx, "POST", "/Evacuation.Finish/z", nil))
 					want := test.sent
 					if unprotected {
-						want = 1 // the control: without the protection it is passed on
+						want = 1 // the control: without the protection it is submitted
 					}
 					if len(chain.submitted) != want || !unprotected && (w.Code == 200) != (want == 1) || w.Code != 200 && w.Code != 503 {
 						t.Errorf("unprotected %v: %d orders passed on, want %d; status %d", unprotected, len(chain.submitted), want, w.Code)
@@ -104,8 +104,8 @@
 	}
 }
 
-// Over a real connection: the bytes of an order and the end of its connection come together, as after a cut. net/http
-// tells of it by the request's context, however the order's body is framed.
+// Over a real connection: the bytes of a change and the end of its connection come together, as after a partition. net/http
+// tells of it by the request's context, however the change's body is framed.
 func TestEvacuationOfACallerThatHungUp(t *testing.T) {
 	for name, body := range map[string]string{
 		"no body": "\r\n", "an empty body": "Content-Length: 0\r\n\r\n", "a body": "Content-Length: 2\r\n\r\n{}",
@@ -156,8 +156,8 @@
 
 func (canceledContext) Err() error { return context.Canceled }
 
-// TestEvacuationOfACallerThatHasJustGone: the caller's end is known, and has not reached the context of the order. Danger: the order is
-// passed on though its caller has gone.
+// TestEvacuationOfACallerThatHasJustGone: the caller's end is known, and has not reached the context of the change. Danger: the change is
+// submitted though its caller has gone.
 func TestEvacuationOfACallerThatHasJustGone(t *testing.T) {
 	chain := &scriptedChain{submit: accepted, read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil }}
 	a := &api{options: Options{Chain: chain, Log: discardLog()}}
@@ -167,7 +167,7 @@
 	}
 }
 
-// An order that is read after a stall is not taken, and its connection ends.
+// A change that is read after a stall is not taken, and its connection ends.
 func TestEvacuationAfterAStall(t *testing.T) {
 	chain := &scriptedChain{submit: accepted, read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil }}
 	stalled := true
--- a/internal/system/operatorapi/handler_test.go
+++ b/internal/system/operatorapi/handler_test.go
@@ -247,7 +247,7 @@
 	}
 }
 
-// What a keeper without a way to the chain answers at once it has not passed on; what the call's bytes alone decide is answered
+// What a node without a way to the chain answers at once it has not submitted; what the call's bytes alone decide is answered
 // as ever, and reads are asked for.
 func TestPartitionedNodeDoesNotForward(t *testing.T) {
 	const waits = 700 * time.Millisecond
--- a/internal/system/operatorapi/model_client_test.go
+++ b/internal/system/operatorapi/model_client_test.go
@@ -20,13 +20,13 @@
 	revision int64
 	resent   bool // was sent and settled before
 
-	startedAt, endedAt time.Duration // answered: when it was settled or given up
+	startedAt, endedAt time.Duration // endedAt: when it was resolved or given up
 	status             int           // 0: no clear answer
 	body               string
 	attempts           []modelAttempt
 }
 
-// modelAttempt is one sending of an order.
+// modelAttempt is one attempt of a change.
 type modelAttempt struct {
 	startedAt, endedAt time.Duration
 	acknowledged       bool
@@ -141,7 +141,7 @@
 }
 
 // runConfigOperator sends changes of the configuration on the version that it believes to be current, whole ones and
-// amendments, its own and those that others send as well, and at times an order that was settled long before.
+// amendments, its own and those that others send as well, and at times a change that was resolved long before.
 func (w *modelCluster) runConfigOperator(number, orders int, old []*modelChange, done func(*modelChange)) {
 	var mine []*modelChange
 	for range orders {
--- a/internal/system/operatorapi/model_cluster_test.go
+++ b/internal/system/operatorapi/model_cluster_test.go
@@ -15,13 +15,13 @@
 type chainKnobs struct {
 	forgetHistoryAndReject bool // nothing is remembered, and what cannot be told is refused
 	ignoreFences           bool // evacuations are not fenced
-	omitRecordsInForce     bool // an order that is in force already leaves no record
-	rejectByLocalState     bool // a keeper refuses by what it alone holds
+	omitRecordsInForce     bool // a change that is in force already leaves no record
+	rejectByLocalState     bool // a node refuses by what it alone holds
 
 	frequentFaults map[string]bool // troubles that come about four times as often, so that a control finds its fault soon
 }
 
-// modelCluster is keepers' APIs over one chain, which is modelled as a state that takes each change at one moment; the ways to
+// modelCluster is the APIs of nodes over one chain, which is modelled as a state that takes each change at one moment; the ways to
 // it and back lose, hold up and repeat. All of it runs in the time of a synctest bubble.
 type modelCluster struct {
 	knobs     chainKnobs
@@ -45,8 +45,8 @@
 	committed        *controlstate.State
 	incarnation      context.Context // ends when it is killed
 	kill             context.CancelFunc
-	frozenUntil      time.Time // until then it stands still
-	partitionedUntil time.Time // until then it does not reach the other keepers
+	frozenUntil      time.Time // until then it is frozen
+	partitionedUntil time.Time // until then it does not reach the other nodes
 	stalledUntil     time.Time // until then it counts as just thawed
 }
 
@@ -74,7 +74,7 @@
 	return low + time.Duration(w.rng.Int64N(int64(high-low)))
 }
 
-// happens tells whether what comes about once in n times does.
+// happens reports whether what comes about once in n times does.
 func (w *modelCluster) happens(n int, what string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -149,7 +149,7 @@
 	return verdict
 }
 
-// learnCommitted has a keeper hear of a committed state.
+// learnCommitted has a node learn of a committed state.
 func (k *modelNode) learnCommitted(s *controlstate.State, lag time.Duration) {
 	time.Sleep(lag)
 	k.waitUntil(func() time.Time { return later(k.frozenUntil, k.partitionedUntil) })
@@ -167,7 +167,7 @@
 	return b
 }
 
-// waitUntil waits until a time that the keeper's faults set.
+// waitUntil waits until a time that the node's faults set.
 func (k *modelNode) waitUntil(until func() time.Time) {
 	for {
 		k.mu.Lock()
@@ -180,7 +180,7 @@
 	}
 }
 
-// waitWhileFrozen waits while the keeper stands still.
+// waitWhileFrozen waits while the node is frozen.
 func (k *modelNode) waitWhileFrozen() { k.waitUntil(func() time.Time { return k.frozenUntil }) }
 
 func (k *modelNode) partitioned() bool {
@@ -264,11 +264,11 @@
 	s := k.state
 	k.modelCluster.mu.Unlock()
 	time.Sleep(k.randomDuration(2*time.Millisecond, 5*time.Millisecond))
-	k.learnCommitted(s, 0) // a read waits until the keeper holds what it answers
+	k.learnCommitted(s, 0) // a read waits until the node holds what it answers
 	return s, nil
 }
 
-// injectFaults freezes, cuts off and kills keepers until ctx ends.
+// injectFaults freezes, partitions and kills nodes until ctx ends.
 func (w *modelCluster) injectFaults(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(w.randomDuration(200*time.Millisecond, 4*time.Second))
--- a/internal/system/operatorapi/model_linear_test.go
+++ b/internal/system/operatorapi/model_linear_test.go
@@ -35,7 +35,7 @@
 	return false
 }
 
-// linearizableConfig checks orders and reads of the configuration: an order is one operation from its first sending to its
+// linearizableConfig checks changes and reads of the configuration: a change is one operation from its first attempt to its
 // clear answer, however often it was sent. One without a clear answer may take effect at any later time.
 func (h *modelHistory) linearizableConfig(within time.Duration) porcupine.CheckResult {
 	all := versionSet{}
@@ -72,7 +72,7 @@
 	var operations []porcupine.Operation
 	for i, o := range h.changes {
 		if o.change.Zone != "" || o.resent {
-			continue // what was settled before is checked by itself
+			continue // what was resolved before is checked by itself
 		}
 		op := porcupine.Operation{ClientId: i, Input: o, Call: int64(o.startedAt), Return: int64(o.endedAt)}
 		if o.status == 0 {
@@ -86,15 +86,15 @@
 	return porcupine.CheckOperationsTimeout(model, operations, within)
 }
 
-// zoneAttempt is one sending of an order for a zone.
+// zoneAttempt is one attempt of a change for a zone.
 type zoneAttempt struct {
 	modelAttempt
 	evacuate bool
 }
 
-// linearizableZone checks the orders of one zone against what was seen of it. Every sending is an operation of its own,
-// since an order that is sent again is meant again. One without an acknowledgement may take effect late or never; but not
-// after the acknowledgement of a sending that began after it was given up.
+// linearizableZone checks the changes of one zone against what was seen of it. Every attempt is an operation of its own,
+// since a change that is sent again is meant again. One without an acknowledgement may take effect late or never; but not
+// after the acknowledgement of an attempt that began after it was given up.
 func (h *modelHistory) linearizableZone(zone string, within time.Duration) porcupine.CheckResult {
 	model := &porcupine.NondeterministicModel{
 		Init: func() []any { return []any{false} },
@@ -137,7 +137,7 @@
 	return porcupine.CheckOperationsTimeout(model.ToModel(), operations, within)
 }
 
-// firstAcknowledgementAfter is the first acknowledgement of a sending for the zone that began after a moment.
+// firstAcknowledgementAfter is the first acknowledgement of an attempt for the zone that began after a moment.
 func (h *modelHistory) firstAcknowledgementAfter(zone string, moment time.Duration) time.Duration {
 	at := time.Duration(endOfTime)
 	for _, o := range h.changes {
--- a/internal/system/operatorapi/model_test.go
+++ b/internal/system/operatorapi/model_test.go
@@ -49,7 +49,7 @@
 	h.changes = append(h.changes, o)
 }
 
-// observe notes every little while which zones are evacuated, and what Config.Read answers.
+// observe records every little while which zones are evacuated, and what Config.Read answers.
 func (h *modelHistory) observe(ctx context.Context) {
 	w := h.cluster
 	for ctx.Err() == nil {
@@ -73,7 +73,7 @@
 
 var modelZones = []string{"north", "south"}
 
-// longHistory is a state whose oldest changes are forgotten, and some of the orders that made it: forgotten ones, the oldest
+// longHistory is a state whose oldest changes are forgotten, and some of the changes that made it: forgotten ones, the oldest
 // that are known, and the newest.
 var longHistory = sync.OnceValues(func() (*controlstate.State, []*modelChange) {
 	s, all := controlstate.Empty(), []*modelChange(nil)
@@ -89,7 +89,7 @@
 	return s, slices.Concat(all[:5], all[20:25], all[len(all)-5:])
 })
 
-// simulate has eight operators of the configuration and two a zone send orders through three keepers in trouble.
+// simulate has eight operators of the configuration and two a zone send changes through three nodes with faults.
 func simulate(t *testing.T, seed uint64, knobs TestingKnobs, chain chainKnobs) *modelHistory {
 	t.Helper()
 	start, old := controlstate.Empty(), []*modelChange(nil)
@@ -118,7 +118,7 @@
 		operators.Wait()
 		stop()
 		others.Wait()
-		w.pending.Wait() // what was held up comes now
+		w.pending.Wait() // what was delayed comes now
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		for _, zone := range modelZones {
--- a/internal/system/operatorapi/stall_detector_test.go
+++ b/internal/system/operatorapi/stall_detector_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestStallDetector(t *testing.T) {
-	// The process runs, stands still, and runs again; then a caller asks.
+	// The process runs, is frozen, and runs again; then a caller asks.
 	for name, test := range map[string]struct {
 		still, runs time.Duration
 		stalled     bool
--- a/internal/system/operatorapi/wire_test.go
+++ b/internal/system/operatorapi/wire_test.go
@@ -90,7 +90,7 @@
 	return wireResponse{response.StatusCode, response.ContentLength, response.Close, string(body)}
 }
 
-// connectionEnded tells whether the connection ends without another byte.
+// connectionEnded reports whether the connection ends without another byte.
 func (c *wireClient) connectionEnded() bool {
 	_, err := c.in.ReadByte()
 	return err != nil
@@ -130,7 +130,7 @@
 	}
 }
 
-// What follows a body that is longer than told is no answer to anything, and ends the connection.
+// What follows a body that is longer than declared is no answer to anything, and ends the connection.
 func TestWireBodyLongerThanDeclared(t *testing.T) {
 	c := dialAPI(t)
 	c.send(rawChange(100, "") + "surplus bytes\r\n\r\n")
@@ -145,7 +145,7 @@
 	}
 }
 
-// A body that ends before its told length, or whose chunks are broken, is no change; nor is it refused for good.
+// A body that ends before its declared length, or whose chunks are broken, is no change; nor is it refused for good.
 func TestWireBodyTruncated(t *testing.T) {
 	for name, framing := range map[string]string{
 		"by its length":  "Content-Length: 100\r\n\r\n{\"revision\":100}",
