--- a/internal/system/failuredetector/agent.go
+++ b/internal/system/failuredetector/agent.go
@@ -33,43 +33,43 @@
 
 // Agent drives a Detector over UDP, with HTTP as the second path.
 type Agent struct {
-	o     AgentOptions
-	start time.Time
-	http  *http.Client
+	options   AgentOptions
+	startedAt time.Time
+	client    *http.Client
 
-	mu        sync.Mutex
-	detector  *Detector
-	addresses map[string]netip.AddrPort
-	probing   map[string]bool
-	ctx       context.Context // of Run; probes end with it
-	probes    sync.WaitGroup
+	mu           sync.Mutex
+	detector     *Detector
+	addresses    map[string]netip.AddrPort
+	activeProbes map[string]bool
+	ctx          context.Context // of Run; probes end with it
+	probes       sync.WaitGroup
 
 	verdicts chan Verdict
 	resumed  chan struct{}
 }
 
 // NewAgent makes an agent; Run starts it.
-func NewAgent(o AgentOptions) *Agent {
-	o.Options = o.withDefaults()
-	if o.Log == nil {
-		o.Log = log.Log
+func NewAgent(options AgentOptions) *Agent {
+	options.Options = options.withDefaults()
+	if options.Log == nil {
+		options.Log = log.Log
 	}
 	return &Agent{
-		o:     o,
-		start: time.Now(),
-		http: &http.Client{
-			Timeout: o.ProbeTimeout,
+		options:   options,
+		startedAt: time.Now(),
+		client: &http.Client{
+			Timeout: options.ProbeTimeout,
 			Transport: &http.Transport{
-				DialContext:       (&net.Dialer{Timeout: o.ProbeTimeout}).DialContext,
+				DialContext:       (&net.Dialer{Timeout: options.ProbeTimeout}).DialContext,
 				DisableKeepAlives: true, // a path that is tried must be a fresh one
 			},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
-		detector:  NewDetector(o.Options),
-		addresses: map[string]netip.AddrPort{},
-		probing:   map[string]bool{},
-		verdicts:  make(chan Verdict, maxVerdicts),
-		resumed:   make(chan struct{}, 1),
+		detector:     NewDetector(options.Options),
+		addresses:    map[string]netip.AddrPort{},
+		activeProbes: map[string]bool{},
+		verdicts:     make(chan Verdict, maxVerdicts),
+		resumed:      make(chan struct{}, 1),
 	}
 }
 
@@ -85,7 +85,7 @@
 	defer a.mu.Unlock()
 	a.addresses = addresses
 	a.detector.SetMembers(a.now(), members)
-	a.carryOut()
+	a.processReady()
 }
 
 // Leave tells those that watch this process that it leaves.
@@ -93,12 +93,12 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.detector.Leave(a.now())
-	a.carryOut()
+	a.processReady()
 }
 
 // Handler answers the second path: GET /failuredetector/alive.
 func (a *Agent) Handler() http.Handler {
-	body, _ := json.Marshal(alive{Node: a.o.Self, Incarnation: a.o.Incarnation}) // strings and numbers always can be
+	body, _ := json.Marshal(aliveResponse{Node: a.options.Self, Incarnation: a.options.Incarnation}) // strings and numbers always can be
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodGet {
 			w.WriteHeader(http.StatusMethodNotAllowed)
@@ -109,12 +109,12 @@
 	})
 }
 
-type alive struct {
+type aliveResponse struct {
 	Node        string `json:"node"`
 	Incarnation uint64 `json:"incarnation,string"` // JSON's numbers do not hold 64 bits everywhere
 }
 
-func (a *Agent) now() Time { return time.Since(a.start) }
+func (a *Agent) now() Time { return time.Since(a.startedAt) }
 
 // Run beats, listens and judges until ctx ends, and closes the connection. It may be called once.
 func (a *Agent) Run(ctx context.Context) {
@@ -123,18 +123,18 @@
 	a.ctx = ctx
 	a.mu.Unlock()
 	var reader sync.WaitGroup
-	reader.Go(func() { a.read(ctx) })
+	reader.Go(func() { a.receiveMessages(ctx) })
 	defer func() {
 		cancel()
-		_ = a.o.Conn.Close()
+		_ = a.options.Conn.Close()
 		reader.Wait()
 		a.mu.Lock()
 		a.ctx = nil // no probe starts any more
 		a.mu.Unlock()
 		a.probes.Wait()
-		a.http.CloseIdleConnections()
+		a.client.CloseIdleConnections()
 	}()
-	ticker := time.NewTicker(a.o.HeartbeatInterval / 4)
+	ticker := time.NewTicker(a.options.HeartbeatInterval / 4)
 	defer ticker.Stop()
 	for {
 		select {
@@ -143,21 +143,21 @@
 		case <-ticker.C:
 			a.mu.Lock()
 			a.detector.Tick(a.now())
-			a.carryOut()
+			a.processReady()
 			a.mu.Unlock()
 		case v := <-a.verdicts:
-			a.o.Log.WithFields(log.Fields{"node": v.Node, "incarnation": v.Incarnation, "down": v.Down}).Info("failuredetector: verdict")
-			a.o.OnVerdict(v)
+			a.options.Log.WithFields(log.Fields{"node": v.Node, "incarnation": v.Incarnation, "down": v.Down}).Info("failuredetector: verdict")
+			a.options.OnVerdict(v)
 		case <-a.resumed:
-			a.o.Log.Warn("failuredetector: this process has slept, it asks before it acts")
+			a.options.Log.Warn("failuredetector: this process has slept, it asks before it acts")
 		}
 	}
 }
 
-func (a *Agent) read(ctx context.Context) {
-	buf := make([]byte, MaxDatagram+1)
+func (a *Agent) receiveMessages(ctx context.Context) {
+	buf := make([]byte, MaxDatagramBytes+1)
 	for {
-		n, _, err := a.o.Conn.ReadFromUDPAddrPort(buf)
+		n, _, err := a.options.Conn.ReadFromUDPAddrPort(buf)
 		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -170,23 +170,23 @@
 		}
 		a.mu.Lock()
 		a.detector.Receive(a.now(), m)
-		a.carryOut()
+		a.processReady()
 		a.mu.Unlock()
 	}
 }
 
-// carryOut does what the detector wants done. Its caller holds mu.
-func (a *Agent) carryOut() {
+// processReady does what the detector wants done. Its caller holds mu.
+func (a *Agent) processReady() {
 	out := a.detector.Ready()
-	var buf [MaxDatagram]byte
+	var buf [MaxDatagramBytes]byte
 	for _, e := range out.Send {
 		if addr, ok := a.addresses[e.To]; ok {
 			// A datagram that cannot be sent is as one that is lost.
-			_, _ = a.o.Conn.WriteToUDPAddrPort(e.Message.Append(buf[:0]), addr)
+			_, _ = a.options.Conn.WriteToUDPAddrPort(e.Message.Append(buf[:0]), addr)
 		}
 	}
 	for _, node := range out.Probe {
-		a.probe(node)
+		a.startProbe(node)
 	}
 	for _, v := range out.Verdicts {
 		select {
@@ -202,31 +202,31 @@
 	}
 }
 
-// probe calls a node over the second path, unless that is under way. Its caller holds mu.
-func (a *Agent) probe(node string) {
+// startProbe calls a node over the second path, unless that is under way. Its caller holds mu.
+func (a *Agent) startProbe(node string) {
 	addr, ok := a.addresses[node]
-	if !ok || a.ctx == nil || a.probing[node] || len(a.probing) >= maxProbes {
+	if !ok || a.ctx == nil || a.activeProbes[node] || len(a.activeProbes) >= maxProbes {
 		return
 	}
-	a.probing[node] = true
+	a.activeProbes[node] = true
 	ctx := a.ctx
 	a.probes.Go(func() {
-		asked := a.now()
-		incarnation, err := a.ask(ctx, node, addr)
+		sentAt := a.now()
+		incarnation, err := a.requestIncarnation(ctx, node, addr)
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		delete(a.probing, node)
-		a.detector.ProbeResult(a.now(), asked, node, incarnation, err == nil)
-		a.carryOut()
+		delete(a.activeProbes, node)
+		a.detector.ProbeResult(a.now(), sentAt, node, incarnation, err == nil)
+		a.processReady()
 	})
 }
 
-func (a *Agent) ask(ctx context.Context, node string, addr netip.AddrPort) (uint64, error) {
+func (a *Agent) requestIncarnation(ctx context.Context, node string, addr netip.AddrPort) (uint64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr.String()+AlivePath, nil)
 	if err != nil {
 		return 0, errors.Wrap(err, "failuredetector: the node's address makes no request")
 	}
-	resp, err := a.http.Do(req)
+	resp, err := a.client.Do(req)
 	if err != nil {
 		return 0, errors.Wrap(err, "failuredetector: the node was not reached")
 	}
@@ -235,10 +235,10 @@
 	if err != nil {
 		return 0, errors.Wrap(err, "failuredetector: the node's answer broke off")
 	}
-	var told alive
-	if err := json.Unmarshal(data, &told); err != nil || resp.StatusCode != http.StatusOK || told.Node != node {
+	var response aliveResponse
+	if err := json.Unmarshal(data, &response); err != nil || resp.StatusCode != http.StatusOK || response.Node != node {
 		// Another node may have its address by now.
 		return 0, errors.Newf("failuredetector: the address of %s answers as another: wait for the members to tell its new one", node)
 	}
-	return told.Incarnation, nil
+	return response.Incarnation, nil
 }
--- a/internal/system/failuredetector/agent_test.go
+++ b/internal/system/failuredetector/agent_test.go
@@ -17,17 +17,17 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// node is an agent with both of its paths on one port of loopback.
-type node struct {
+// testNode is an agent with both of its paths on one port of loopback.
+type testNode struct {
 	agent    *Agent
 	member   Member
 	verdicts chan Verdict
 	stop     func()
 }
 
-func startNode(t *testing.T, name string, incarnation uint64) *node {
+func startNode(t *testing.T, name string, incarnation uint64) *testNode {
 	t.Helper()
-	n := &node{verdicts: make(chan Verdict, 100)}
+	node := &testNode{verdicts: make(chan Verdict, 100)}
 	// The port that TCP is given may be taken in UDP, by whomever: then try another.
 	var (
 		listener net.Listener
@@ -43,46 +43,46 @@
 			listener.Close()
 		}
 	}
-	n.agent = NewAgent(AgentOptions{
+	node.agent = NewAgent(AgentOptions{
 		Options: Options{Self: name, Incarnation: incarnation, HeartbeatInterval: 20 * time.Millisecond, ProbeTimeout: 5 * time.Second, PauseThreshold: time.Minute},
 		Conn:    conn,
 		OnVerdict: func(v Verdict) {
 			select {
-			case n.verdicts <- v:
+			case node.verdicts <- v:
 			default:
 			}
 		},
 		Log: &log.Logger{Handler: discard.New(), Level: log.InfoLevel},
 	})
 	mux := http.NewServeMux()
-	mux.Handle(AlivePath, n.agent.Handler())
+	mux.Handle(AlivePath, node.agent.Handler())
 	server := &httptest.Server{Listener: listener, Config: &http.Server{Handler: mux}}
 	server.Start()
-	n.member = Member{Node: name, Incarnation: incarnation, Address: "127.0.0.1:" + strconv.Itoa(conn.LocalAddr().(*net.UDPAddr).Port)}
+	node.member = Member{Node: name, Incarnation: incarnation, Address: "127.0.0.1:" + strconv.Itoa(conn.LocalAddr().(*net.UDPAddr).Port)}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		n.agent.Run(ctx)
+		node.agent.Run(ctx)
 	}()
-	n.stop = func() {
+	node.stop = func() {
 		cancel()
 		<-done
 		server.Close()
 	}
-	t.Cleanup(n.stop)
-	return n
+	t.Cleanup(node.stop)
+	return node
 }
 
 // connected tells whether the agent's detector may act on what it believes.
-func (n *node) connected() bool {
+func (n *testNode) connected() bool {
 	n.agent.mu.Lock()
 	defer n.agent.mu.Unlock()
 	return n.agent.detector.Connected(n.agent.now())
 }
 
 func TestAgents(t *testing.T) {
-	nodes := map[string]*node{}
+	nodes := map[string]*testNode{}
 	var members []Member
 	for n, name := range []string{"a", "b", "c", "d"} {
 		nodes[name] = startNode(t, name, uint64(n+1))
@@ -126,10 +126,10 @@
 	addr := n.agent.addresses["b"]
 	n.agent.mu.Unlock()
 	ctx := context.Background()
-	if inc, err := n.agent.ask(ctx, "a", addr); err != nil || inc != 1<<63+1 {
+	if inc, err := n.agent.requestIncarnation(ctx, "a", addr); err != nil || inc != 1<<63+1 {
 		t.Errorf("ask a = %d, %v", inc, err)
 	}
-	if _, err := n.agent.ask(ctx, "b", addr); err == nil {
+	if _, err := n.agent.requestIncarnation(ctx, "b", addr); err == nil {
 		t.Error("a answered for b")
 	}
 }
--- a/internal/system/failuredetector/detector.go
+++ b/internal/system/failuredetector/detector.go
@@ -41,7 +41,7 @@
 	ProbeTimeout      time.Duration // that second paths have until the verdict; 2 beats
 	PauseThreshold    time.Duration // in this process's own ticks, after which it was paused; 1 s
 
-	anyAnswer bool // takes a protection out, so that a test shows what it is for: answers count whenever they come
+	acceptStaleReplies bool // takes a protection out, so that a test shows what it is for: answers count whenever they come
 }
 
 func (o Options) withDefaults() Options {
@@ -96,125 +96,125 @@
 // A dead process has a verdict from each of its watchers that is connected within Silence + Probe and two ticks of
 // its last beat's arrival at any of them.
 type Detector struct {
-	o           Options
-	last        Time // of the last input
-	started     bool
-	nextBeat    Time
-	watchers    []string // of this node
-	watched     map[string]*watch
-	lastMembers []Member // the members, as they were told last
-	members     map[string]bool
-	live        []string // the members, self included
+	options       Options
+	lastInput     Time // of the last input
+	started       bool
+	nextHeartbeat Time
+	watchers      []string // of this node
+	watched       map[string]*watchedNode
+	lastMembers   []Member // the members, as they were told last
+	isMember      map[string]bool
+	live          []string // the members, self included
 
 	// Nonces tell answers to what was asked a moment ago from what lay in a buffer, or was asked by a former process.
-	nonce     uint64
-	questions []question // the newest last
-	connected bool       // somebody has answered since the process started or resumed
-	contact   Time       // when anybody was last heard
-	out       Output
+	nonce       uint64
+	recentPings []sentPing // the newest last
+	connected   bool       // somebody has answered since the process started or resumed
+	lastContact Time       // when anybody was last heard
+	output      Output
 }
 
-// watch is what is believed of one watched node.
-type watch struct {
-	incarnation      uint64
-	retired          []uint64 // the last few former incarnations: a feed of members that lags may still tell of them
-	since            Time     // watched from then on; moved on when this process resumes
-	heard            Time     // when it was last heard, by whomever
-	everHeard        bool
-	left             bool // it has left
-	suspect          bool
-	deadline         Time // of a suspicion
-	asked            Time // when the other watchers were last asked
-	incarnationAsked Time // when a second path was last asked for the incarnation
-	probeFailed      bool
-	notHeard         map[string]bool // watchers that answered that they do not hear it either
-	down             bool            // a verdict was given
-	reported         Time            // when
+// watchedNode is what is believed of one watched node.
+type watchedNode struct {
+	incarnation          uint64
+	retiredIncarnations  []uint64 // the last few former incarnations: a feed of members that lags may still tell of them
+	watchedSince         Time     // watched from then on; moved on when this process resumes
+	lastContact          Time     // when it was last heard, by whomever
+	contacted            bool
+	left                 bool // it has left
+	suspected            bool
+	suspicionDeadline    Time // of a suspicion
+	lastIndirectPing     Time // when the other watchers were last asked
+	lastIncarnationProbe Time // when a second path was last asked for the incarnation
+	probeFailed          bool
+	nacks                map[string]bool // watchers that answered that they do not hear it either
+	down                 bool            // a verdict was given
+	lastVerdict          Time            // when
 }
 
-// question is a moment at which something was asked.
-type question struct {
-	nonce uint64
-	at    Time
+// sentPing is a moment at which something was asked.
+type sentPing struct {
+	nonce  uint64
+	sentAt Time
 }
 
 const (
-	maxRetired   = 4
-	maxQuestions = 64 // remembered: those of some seconds
+	maxRetiredIncarnations = 4
+	maxRecentPings         = 64 // remembered: those of some seconds
 )
 
-// question gives the nonce of what is asked now. Answers count for Silence.
-func (d *Detector) question(now Time) uint64 {
-	if n := len(d.questions); n > 0 && d.questions[n-1].at == now {
-		return d.questions[n-1].nonce
+// recordPing gives the nonce of what is asked now. Answers count for Silence.
+func (d *Detector) recordPing(now Time) uint64 {
+	if n := len(d.recentPings); n > 0 && d.recentPings[n-1].sentAt == now {
+		return d.recentPings[n-1].nonce
 	}
 	d.nonce++
-	if len(d.questions) >= maxQuestions {
-		d.questions = slices.Delete(d.questions, 0, 1)
+	if len(d.recentPings) >= maxRecentPings {
+		d.recentPings = slices.Delete(d.recentPings, 0, 1)
 	}
-	d.questions = append(d.questions, question{d.nonce, now})
+	d.recentPings = append(d.recentPings, sentPing{d.nonce, now})
 	return d.nonce
 }
 
-// askedAt gives when the question of an answer was put; false where that was never, or too long ago for an answer to say
+// pingSentAt gives when the question of an answer was put; false where that was never, or too long ago for an answer to say
 // anything of now.
-func (d *Detector) askedAt(now Time, nonce uint64) (Time, bool) {
-	if d.o.anyAnswer {
+func (d *Detector) pingSentAt(now Time, nonce uint64) (Time, bool) {
+	if d.options.acceptStaleReplies {
 		return now, true
 	}
-	for _, q := range d.questions {
+	for _, q := range d.recentPings {
 		if q.nonce == nonce {
-			return q.at, now-q.at < d.o.SuspectTimeout
+			return q.sentAt, now-q.sentAt < d.options.SuspectTimeout
 		}
 	}
 	return 0, false
 }
 
 // NewDetector makes a detector that knows no members.
-func NewDetector(o Options) *Detector {
-	return &Detector{o: o.withDefaults(), watched: map[string]*watch{}, members: map[string]bool{}, nonce: o.Incarnation}
+func NewDetector(options Options) *Detector {
+	return &Detector{options: options.withDefaults(), watched: map[string]*watchedNode{}, isMember: map[string]bool{}, nonce: options.Incarnation}
 }
 
 // Ready gives what is to be done since the last Ready.
 func (d *Detector) Ready() Output {
-	out := d.out
-	d.out = Output{}
+	out := d.output
+	d.output = Output{}
 	return out
 }
 
 // Connected tells whether this process has heard from anybody since it started or resumed, and lately. One that is not may
 // be the one that is cut off or was replaced, and must not act on what it believes.
 func (d *Detector) Connected(now Time) bool {
-	return d.connected && now-d.last <= d.o.PauseThreshold && now-d.contact <= d.o.SuspectTimeout
+	return d.connected && now-d.lastInput <= d.options.PauseThreshold && now-d.lastContact <= d.options.SuspectTimeout
 }
 
 // SetMembers takes over the live nodes, self included or not.
 func (d *Detector) SetMembers(now Time, members []Member) {
-	d.advance(now)
+	d.advanceClock(now)
 	if d.live != nil && slices.Equal(members, d.lastMembers) {
 		return
 	}
 	d.lastMembers = slices.Clone(members)
 	live := make([]string, 0, len(members)+1)
 	incarnations := make(map[string]uint64, len(members))
-	clear(d.members)
-	for _, m := range append(slices.Clone(members), Member{Node: d.o.Self, Incarnation: d.o.Incarnation}) {
-		if d.members[m.Node] {
+	clear(d.isMember)
+	for _, m := range append(slices.Clone(members), Member{Node: d.options.Self, Incarnation: d.options.Incarnation}) {
+		if d.isMember[m.Node] {
 			continue
 		}
-		d.members[m.Node] = true
+		d.isMember[m.Node] = true
 		live = append(live, m.Node)
 		incarnations[m.Node] = m.Incarnation
 	}
 	d.live = live
-	d.watchers = Watchers(d.o.Self, live, d.o.Watchers)
-	watched := map[string]*watch{}
-	for _, node := range Watched(d.o.Self, live, d.o.Watchers) {
+	d.watchers = Watchers(d.options.Self, live, d.options.Watchers)
+	watched := map[string]*watchedNode{}
+	for _, node := range Watched(d.options.Self, live, d.options.Watchers) {
 		w, inc := d.watched[node], incarnations[node]
 		switch {
 		case w == nil:
-			w = &watch{incarnation: inc, since: now}
-		case inc != w.incarnation && !slices.Contains(w.retired, inc):
+			w = &watchedNode{incarnation: inc, watchedSince: now}
+		case inc != w.incarnation && !slices.Contains(w.retiredIncarnations, inc):
 			w.replace(now, inc)
 		}
 		watched[node] = w
@@ -223,46 +223,46 @@
 }
 
 // replace starts to watch a new process of a node.
-func (w *watch) replace(now Time, incarnation uint64) {
-	retired := append(slices.DeleteFunc(w.retired, func(r uint64) bool { return r == incarnation }), w.incarnation)
-	if len(retired) > maxRetired {
+func (w *watchedNode) replace(now Time, incarnation uint64) {
+	retired := append(slices.DeleteFunc(w.retiredIncarnations, func(r uint64) bool { return r == incarnation }), w.incarnation)
+	if len(retired) > maxRetiredIncarnations {
 		retired = slices.Delete(retired, 0, 1)
 	}
-	*w = watch{incarnation: incarnation, retired: retired, since: now}
+	*w = watchedNode{incarnation: incarnation, retiredIncarnations: retired, watchedSince: now}
 }
 
-// advance notes that time goes on, and notices that this process was paused.
-func (d *Detector) advance(now Time) {
-	if d.started && now-d.last > d.o.PauseThreshold {
-		d.resume(now)
+// advanceClock notes that time goes on, and notices that this process was paused.
+func (d *Detector) advanceClock(now Time) {
+	if d.started && now-d.lastInput > d.options.PauseThreshold {
+		d.resumeAfterPause(now)
 	}
-	d.started, d.last = true, max(d.last, now)
+	d.started, d.lastInput = true, max(d.lastInput, now)
 }
 
-// resume forgets what silence seemed to tell: it was this process that did not listen.
-func (d *Detector) resume(now Time) {
-	d.out.Resumed = true
+// resumeAfterPause forgets what silence seemed to tell: it was this process that did not listen.
+func (d *Detector) resumeAfterPause(now Time) {
+	d.output.Resumed = true
 	d.connected = false
-	d.questions = nil
-	d.nextBeat = now
+	d.recentPings = nil
+	d.nextHeartbeat = now
 	for _, w := range d.watched {
-		w.since, w.suspect, w.down, w.notHeard = now, false, false, nil
+		w.watchedSince, w.suspected, w.down, w.nacks = now, false, false, nil
 	}
 }
 
 // Tick is to be called several times a beat.
 func (d *Detector) Tick(now Time) {
-	d.advance(now)
-	if now >= d.nextBeat {
-		d.beat(now)
+	d.advanceClock(now)
+	if now >= d.nextHeartbeat {
+		d.sendHeartbeats(now)
 	}
-	for _, node := range d.sorted() {
-		d.judge(now, node, d.watched[node])
+	for _, node := range d.sortedWatched() {
+		d.evaluateLiveness(now, node, d.watched[node])
 	}
 }
 
-// sorted gives the watched nodes in a steady order, so that a run can be repeated.
-func (d *Detector) sorted() []string {
+// sortedWatched gives the watched nodes in a steady order, so that a run can be repeated.
+func (d *Detector) sortedWatched() []string {
 	nodes := make([]string, 0, len(d.watched))
 	for n := range d.watched {
 		nodes = append(nodes, n)
@@ -271,18 +271,18 @@
 	return nodes
 }
 
-func (d *Detector) beat(now Time) {
+func (d *Detector) sendHeartbeats(now Time) {
 	// Beats that were missed are not made up for.
-	if d.nextBeat += d.o.HeartbeatInterval; d.nextBeat <= now {
-		d.nextBeat = now + d.o.HeartbeatInterval
+	if d.nextHeartbeat += d.options.HeartbeatInterval; d.nextHeartbeat <= now {
+		d.nextHeartbeat = now + d.options.HeartbeatInterval
 	}
 	message := Message{Kind: Heartbeat}
 	to := d.watchers
-	if !d.connected || now-d.contact >= 2*d.o.HeartbeatInterval {
+	if !d.connected || now-d.lastContact >= 2*d.options.HeartbeatInterval {
 		// Few are heard of late: ask for an answer, so that a node that watches nobody knows that it is connected.
-		message = Message{Kind: Ping, Nonce: d.question(now)}
+		message = Message{Kind: Ping, Nonce: d.recordPing(now)}
 		if !d.connected {
-			for _, node := range d.sorted() {
+			for _, node := range d.sortedWatched() {
 				if !slices.Contains(to, node) {
 					to = append(slices.Clip(to), node)
 				}
@@ -295,13 +295,13 @@
 }
 
 func (d *Detector) send(to string, m Message) {
-	m.From, m.Incarnation = d.o.Self, d.o.Incarnation
-	d.out.Send = append(d.out.Send, Envelope{To: to, Message: m})
+	m.From, m.Incarnation = d.options.Self, d.options.Incarnation
+	d.output.Send = append(d.output.Send, Envelope{To: to, Message: m})
 }
 
 // Leave tells it to those that watch this node, so that its end is no failure.
 func (d *Detector) Leave(now Time) {
-	d.advance(now)
+	d.advanceClock(now)
 	for _, node := range d.watchers {
 		d.send(node, Message{Kind: Leave})
 	}
--- a/internal/system/failuredetector/golden_trace_test.go
+++ b/internal/system/failuredetector/golden_trace_test.go
@@ -25,7 +25,7 @@
 	steps int
 }
 
-func newGoldenTrace(w *world) *goldenTrace {
+func newGoldenTrace(w *simulation) *goldenTrace {
 	g := &goldenTrace{sum: sha256.New()}
 	w.onOutput = func(n *simNode, out *Output) { g.step(w, n, out) }
 	return g
@@ -56,11 +56,11 @@
 }
 
 // step records one Take of a detector: when, whose, what it wants done, and whether it is connected then.
-func (g *goldenTrace) step(w *world, n *simNode, out *Output) {
+func (g *goldenTrace) step(w *simulation, node *simNode, out *Output) {
 	g.steps++
 	g.text("step")
-	g.number(uint64(w.now), n.incarnation)
-	g.text(n.name)
+	g.number(uint64(w.now), node.incarnation)
+	g.text(node.name)
 	for _, e := range out.Send {
 		g.text("msg")
 		g.text(e.To)
@@ -78,16 +78,16 @@
 	}
 	g.text("held")
 	g.flag(out.Resumed)
-	g.flag(n.d.Connected(w.now))
+	g.flag(node.detector.Connected(w.now))
 	g.flush()
 }
 
 // end records what is counted live at the end of a play.
-func (g *goldenTrace) end(w *world) string {
+func (g *goldenTrace) end(w *simulation) string {
 	g.text("end")
 	g.number(uint64(w.now))
 	for _, name := range w.names {
-		r := w.table[name]
+		r := w.members[name]
 		g.number(r.incarnation, uint64(r.since))
 		g.flag(r.down)
 	}
@@ -100,50 +100,50 @@
 	name  string
 	nodes int
 	loss  float64
-	play  func(*world)
+	play  func(*simulation)
 }
 
 const goldenSeeds = 3
 
 // goldenScenarios are played in turn, with each seed.
 var goldenScenarios = []goldenScenario{
-	{name: "normal", nodes: 12, play: func(w *world) { w.run(10 * time.Second) }},
-	{name: "cuts", nodes: 24, loss: 0.05, play: playCuts},
+	{name: "normal", nodes: 12, play: func(w *simulation) { w.run(10 * time.Second) }},
+	{name: "cuts", nodes: 24, loss: 0.05, play: playPairPartitions},
 	{name: "partition", nodes: 12, play: playPartition},
-	{name: "dead", nodes: 24, loss: 0.02, play: playDead},
+	{name: "dead", nodes: 24, loss: 0.02, play: playCrashes},
 	{name: "restarts", nodes: 12, loss: 0.02, play: playRestarts},
-	{name: "freezes", nodes: 12, loss: 0.02, play: freezes},
-	{name: "leaving", nodes: 8, play: playLeaving},
+	{name: "freezes", nodes: 12, loss: 0.02, play: playFreezes},
+	{name: "leaving", nodes: 8, play: playLeave},
 }
 
-func playCuts(w *world) {
-	w.slow = true
+func playPairPartitions(w *simulation) {
+	w.interRegion = true
 	w.run(3 * time.Second)
-	pairCuts(w, true)
+	partitionPairs(w, true)
 	w.run(10 * time.Second)
-	pairCuts(w, false)
+	partitionPairs(w, false)
 	w.run(5 * time.Second)
 }
 
 // playPartition cuts a third of the nodes off in both directions.
-func playPartition(w *world) {
+func playPartition(w *simulation) {
 	w.run(3 * time.Second)
-	w.calm = w.now + time.Hour
+	w.calmSince = w.now + time.Hour
 	for _, on := range []bool{true, false} {
 		for _, a := range w.names[:4] {
 			for _, b := range w.names[4:] {
-				w.cut(a, b, on)
-				w.cut(b, a, on)
+				w.setPartitioned(a, b, on)
+				w.setPartitioned(b, a, on)
 			}
 		}
 		w.run(8 * time.Second)
 	}
-	w.calm = w.now
+	w.calmSince = w.now
 	w.run(3 * time.Second)
 }
 
-// playDead ends four nodes at once, and another later.
-func playDead(w *world) {
+// playCrashes ends four nodes at once, and another later.
+func playCrashes(w *simulation) {
 	w.run(3 * time.Second)
 	for _, name := range w.names[4:8] {
 		w.kill(name)
@@ -153,24 +153,24 @@
 	w.run(8 * time.Second)
 }
 
-func playRestarts(w *world) {
+func playRestarts(w *simulation) {
 	w.run(3 * time.Second)
 	for range 6 {
-		name := w.pick()
+		name := w.randomNode()
 		w.kill(name)
-		w.run(time.Duration(w.r.IntN(4000)) * time.Millisecond)
+		w.run(time.Duration(w.rng.IntN(4000)) * time.Millisecond)
 		w.start(name)
-		w.run(time.Duration(w.r.IntN(4000)) * time.Millisecond)
+		w.run(time.Duration(w.rng.IntN(4000)) * time.Millisecond)
 	}
 	w.run(5 * time.Second)
 }
 
-// playLeaving has a node leave and come back.
-func playLeaving(w *world) {
+// playLeave has a node leave and come back.
+func playLeave(w *simulation) {
 	w.run(3 * time.Second)
 	n := w.nodes[w.names[0]]
-	n.d.Leave(w.now)
-	w.carryOut(n)
+	n.detector.Leave(w.now)
+	w.processReady(n)
 	w.kill(n.name)
 	w.run(10 * time.Second)
 	w.start(n.name)
@@ -209,7 +209,7 @@
 			plays++
 			key := fmt.Sprintf("%s %d", s.name, seed)
 			t.Run(key, func(t *testing.T) {
-				w := newWorld(t, seed, s.nodes, Options{})
+				w := newSimulation(t, seed, s.nodes, Options{})
 				w.loss = s.loss
 				g := newGoldenTrace(w)
 				s.play(w)
--- a/internal/system/failuredetector/message.go
+++ b/internal/system/failuredetector/message.go
@@ -32,13 +32,13 @@
 	Age             time.Duration // of Heard; whole milliseconds on the wire
 }
 
-// ErrMessage is the kind of Decode's errors.
-var ErrMessage = errors.New("failuredetector: bytes that are no message of this version")
+// ErrMalformedMessage is the kind of Decode's errors.
+var ErrMalformedMessage = errors.New("failuredetector: bytes that are no message of this version")
 
 // The bounds of a datagram.
 const (
-	maxName     = 128
-	MaxDatagram = 512 // bytes
+	maxNameBytes     = 128
+	MaxDatagramBytes = 512 // bytes
 )
 
 var magic = [3]byte{0xB5, 'r', 1} // the last is the version
@@ -50,7 +50,7 @@
 	dst = appendName(dst, m.From)
 	dst = binary.BigEndian.AppendUint64(dst, m.Incarnation)
 	dst = binary.AppendUvarint(dst, m.Nonce)
-	if !m.Kind.asks() {
+	if !m.Kind.isIndirect() {
 		return dst
 	}
 	dst = appendName(dst, m.Node)
@@ -58,71 +58,71 @@
 	return binary.AppendUvarint(dst, uint64(max(0, m.Age)/time.Millisecond))
 }
 
-// asks tells whether messages of the kind are about another node than their sender.
-func (k Kind) asks() bool { return k == IndirectPing || k == IndirectAck || k == IndirectNack }
+// isIndirect tells whether messages of the kind are about another node than their sender.
+func (k Kind) isIndirect() bool { return k == IndirectPing || k == IndirectAck || k == IndirectNack }
 
 func appendName(dst []byte, s string) []byte {
-	s = s[:min(len(s), maxName)]
+	s = s[:min(len(s), maxNameBytes)]
 	return append(append(dst, byte(len(s))), s...)
 }
 
-// Decode reads a datagram. Its errors are of the kind ErrMessage: drop the datagram.
+// Decode reads a datagram. Its errors are of the kind ErrMalformedMessage: drop the datagram.
 func Decode(data []byte) (Message, error) {
-	d := decoder{in: data}
-	var m Message
-	if len(data) > MaxDatagram || len(data) < 4 || [3]byte(data[:3]) != magic || data[3] < byte(Heartbeat) || data[3] > byte(Leave) {
-		return m, ErrMessage
+	in := decoder{rest: data}
+	var message Message
+	if len(data) > MaxDatagramBytes || len(data) < 4 || [3]byte(data[:3]) != magic || data[3] < byte(Heartbeat) || data[3] > byte(Leave) {
+		return message, ErrMalformedMessage
 	}
-	m.Kind, d.in = Kind(data[3]), data[4:]
-	m.From, m.Incarnation, m.Nonce = d.name(), d.fixed(), d.uvarint()
-	if m.Kind.asks() {
-		m.Node, m.NodeIncarnation = d.name(), d.fixed()
-		m.Age = time.Duration(min(d.uvarint(), uint64(time.Hour/time.Millisecond))) * time.Millisecond
+	message.Kind, in.rest = Kind(data[3]), data[4:]
+	message.From, message.Incarnation, message.Nonce = in.readName(), in.readUint64(), in.readUvarint()
+	if message.Kind.isIndirect() {
+		message.Node, message.NodeIncarnation = in.readName(), in.readUint64()
+		message.Age = time.Duration(min(in.readUvarint(), uint64(time.Hour/time.Millisecond))) * time.Millisecond
 	}
-	if d.bad || len(d.in) > 0 || m.From == "" {
-		return Message{}, ErrMessage
+	if in.failed || len(in.rest) > 0 || message.From == "" {
+		return Message{}, ErrMalformedMessage
 	}
-	return m, nil
+	return message, nil
 }
 
 type decoder struct {
-	in  []byte
-	bad bool
+	rest   []byte
+	failed bool
 }
 
-func (d *decoder) take(n int) []byte {
-	if d.bad || n > len(d.in) {
-		d.bad = true
+func (d *decoder) next(n int) []byte {
+	if d.failed || n > len(d.rest) {
+		d.failed = true
 		return nil
 	}
-	b := d.in[:n]
-	d.in = d.in[n:]
+	b := d.rest[:n]
+	d.rest = d.rest[n:]
 	return b
 }
 
-func (d *decoder) name() string {
-	n := d.take(1)
-	if d.bad || n[0] > maxName {
-		d.bad = true
+func (d *decoder) readName() string {
+	n := d.next(1)
+	if d.failed || n[0] > maxNameBytes {
+		d.failed = true
 		return ""
 	}
-	return string(d.take(int(n[0])))
+	return string(d.next(int(n[0])))
 }
 
-func (d *decoder) fixed() uint64 {
-	b := d.take(8)
-	if d.bad {
+func (d *decoder) readUint64() uint64 {
+	b := d.next(8)
+	if d.failed {
 		return 0
 	}
 	return binary.BigEndian.Uint64(b)
 }
 
-func (d *decoder) uvarint() uint64 {
-	v, n := binary.Uvarint(d.in)
-	if d.bad || n <= 0 {
-		d.bad = true
+func (d *decoder) readUvarint() uint64 {
+	v, n := binary.Uvarint(d.rest)
+	if d.failed || n <= 0 {
+		d.failed = true
 		return 0
 	}
-	d.in = d.in[n:]
+	d.rest = d.rest[n:]
 	return v
 }
--- a/internal/system/failuredetector/late_test.go
+++ b/internal/system/failuredetector/stale_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// suspecting is a detector of node a that watches b, has heard it once, and is asked to tick until it puts a question about
+// tickUntilIndirectPing is a detector of node a that watches b, has heard it once, and is asked to tick until it puts a question about
 // it. It gives the time, the question and whom it went to.
-func suspecting(t *testing.T, d *Detector) (now Time, ask Envelope) {
+func tickUntilIndirectPing(t *testing.T, d *Detector) (now Time, ask Envelope) {
 	t.Helper()
 	d.SetMembers(0, []Member{{Node: "a", Incarnation: 1}, {Node: "b", Incarnation: 2}, {Node: "c", Incarnation: 3}})
 	d.Receive(0, Message{Kind: Heartbeat, From: "b", Incarnation: 2})
@@ -25,64 +25,64 @@
 
 // answers hands the detector an answer to the question after a wait in which it ticks, and tells whether it then believes
 // that b was heard and that it is connected itself.
-func answerAfter(t *testing.T, wait time.Duration, anyAnswer bool) (heard, connected bool) {
+func replyAfter(t *testing.T, wait time.Duration, anyAnswer bool) (heard, connected bool) {
 	t.Helper()
-	d := NewDetector(Options{Self: "a", Incarnation: 1, anyAnswer: anyAnswer})
-	now, ask := suspecting(t, d)
+	d := NewDetector(Options{Self: "a", Incarnation: 1, acceptStaleReplies: anyAnswer})
+	now, ask := tickUntilIndirectPing(t, d)
 	for end := now + wait; now < end; now += 100 * time.Millisecond {
 		d.Tick(now)
 	}
-	before := d.watched["b"].heard
+	before := d.watched["b"].lastContact
 	d.Receive(now, Message{Kind: IndirectAck, From: "c", Incarnation: 3, Nonce: ask.Message.Nonce, Node: "b", NodeIncarnation: 2})
-	return d.watched["b"].heard > before, d.Connected(now)
+	return d.watched["b"].lastContact > before, d.Connected(now)
 }
 
-// TestLateAnswersAreNoNews: an answer that comes 20 s after its question says neither that a node was heard nor that this one
+// TestStaleRepliesAreIgnored: an answer that comes 20 s after its question says neither that a node was heard nor that this one
 // is connected, though this process was not paused. Danger: a cut that ends hands over old answers, and a dead node lives on.
-func TestLateAnswersAreNoNews(t *testing.T) {
-	if heard, connected := answerAfter(t, 100*time.Millisecond, false); !heard || !connected {
+func TestStaleRepliesAreIgnored(t *testing.T) {
+	if heard, connected := replyAfter(t, 100*time.Millisecond, false); !heard || !connected {
 		t.Errorf("in time: heard %v, connected %v", heard, connected)
 	}
-	if heard, connected := answerAfter(t, 20*time.Second, false); heard || connected {
+	if heard, connected := replyAfter(t, 20*time.Second, false); heard || connected {
 		t.Errorf("late: heard %v, connected %v", heard, connected)
 	}
-	if heard, connected := answerAfter(t, 20*time.Second, true); !heard || !connected {
+	if heard, connected := replyAfter(t, 20*time.Second, true); !heard || !connected {
 		t.Errorf("control: heard %v, connected %v", heard, connected)
 	}
 }
 
-// TestAnswersToAFormerLife: an answer to what the former process at this address asked is none to this one.
-func TestAnswersToAFormerLife(t *testing.T) {
-	_, ask := suspecting(t, NewDetector(Options{Self: "a", Incarnation: 1}))
+// TestReplyToFormerIncarnationIsIgnored: an answer to what the former process at this address asked is none to this one.
+func TestReplyToFormerIncarnationIsIgnored(t *testing.T) {
+	_, ask := tickUntilIndirectPing(t, NewDetector(Options{Self: "a", Incarnation: 1}))
 	next := NewDetector(Options{Self: "a", Incarnation: 9})
-	now, _ := suspecting(t, next)
+	now, _ := tickUntilIndirectPing(t, next)
 	next.Receive(now, Message{Kind: IndirectNack, From: "c", Incarnation: 3, Nonce: ask.Message.Nonce, Node: "b", NodeIncarnation: 2})
-	if next.Connected(now) || next.watched["b"].notHeard["c"] {
+	if next.Connected(now) || next.watched["b"].nacks["c"] {
 		t.Error("the answer counts")
 	}
 }
 
-// TestHeardIsDatedByTheQuestion: an answer counts from when it was asked for, since it may have been under way since.
-func TestHeardIsDatedByTheQuestion(t *testing.T) {
+// TestIndirectAckIsDatedByItsPing: an answer counts from when it was asked for, since it may have been under way since.
+func TestIndirectAckIsDatedByItsPing(t *testing.T) {
 	d := NewDetector(Options{Self: "a", Incarnation: 1})
-	now, ask := suspecting(t, d)
+	now, ask := tickUntilIndirectPing(t, d)
 	d.Receive(now+300*time.Millisecond, Message{Kind: IndirectAck, From: "c", Incarnation: 3, Nonce: ask.Message.Nonce, Node: "b",
 		NodeIncarnation: 2, Age: 200 * time.Millisecond})
-	if got := d.watched["b"].heard; got != now-200*time.Millisecond {
+	if got := d.watched["b"].lastContact; got != now-200*time.Millisecond {
 		t.Errorf("heard at %v, asked at %v", got, now)
 	}
 }
 
-// TestLateProbeIsNoNews: an answer over the second path that was read long after it was asked for says nothing of now.
-func TestLateProbeIsNoNews(t *testing.T) {
+// TestStaleProbeResultIsIgnored: an answer over the second path that was read long after it was asked for says nothing of now.
+func TestStaleProbeResultIsIgnored(t *testing.T) {
 	for _, late := range []time.Duration{100 * time.Millisecond, 20 * time.Second} {
 		d := NewDetector(Options{Self: "a", Incarnation: 1})
-		now, _ := suspecting(t, d)
+		now, _ := tickUntilIndirectPing(t, d)
 		for asked := now; now < asked+late; now += 100 * time.Millisecond {
 			d.Tick(now)
 		}
 		d.ProbeResult(now, now-late, "b", 2, true)
-		if got, want := d.watched["b"].heard > 0, late < time.Second; got != want {
+		if got, want := d.watched["b"].lastContact > 0, late < time.Second; got != want {
 			t.Errorf("after %v: heard %v", late, got)
 		}
 	}
