--- a/internal/system/failuredetector/detector.go
+++ b/internal/system/failuredetector/detector.go
@@ -5,64 +5,11 @@
 import (
 	"slices"
 	"time"
-
-	"gradeusher.example/gradeusher/internal/system/ownership"
 )
 
 // Time is a reading of the caller's monotonic clock.
 type Time = time.Duration
 
-// Watchers names the k nodes that watch node: those that it beats to. It is the same for all who count the same nodes
-// live.
-func Watchers(node string, live []string, k int) []string {
-	others := slices.DeleteFunc(slices.Clone(live), func(n string) bool { return n == node })
-	return ownership.Owners(node, others, k)
-}
-
-// Watched names the nodes that self watches, in the order of live: those that count self among their Watchers.
-func Watched(self string, live []string, k int) []string {
-	nodes := ownership.NewNodes(live)
-	var watched []string
-	for _, n := range live {
-		if n != self && nodes.IsOwner(n, self, n, k) {
-			watched = append(watched, n)
-		}
-	}
-	return watched
-}
-
-// Options are those of a Detector. Zero values take the defaults.
-type Options struct {
-	Self              string
-	Incarnation       uint64        // of this process; chosen at random at its start
-	Watchers          int           // 3
-	HeartbeatInterval time.Duration // 400 ms
-	SuspectTimeout    time.Duration // without a beat, after which a node is suspected; 3.5 beats
-	ProbeTimeout      time.Duration // that second paths have until the verdict; 2 beats
-	PauseThreshold    time.Duration // in this process's own ticks, after which it was paused; 1 s
-
-	acceptStaleReplies bool // takes a protection out, so that a test shows what it is for: answers count whenever they come
-}
-
-func (o Options) withDefaults() Options {
-	if o.Watchers <= 0 {
-		o.Watchers = 3
-	}
-	if o.HeartbeatInterval <= 0 {
-		o.HeartbeatInterval = 400 * time.Millisecond
-	}
-	if o.SuspectTimeout <= 0 {
-		o.SuspectTimeout = o.HeartbeatInterval * 7 / 2
-	}
-	if o.ProbeTimeout <= 0 {
-		o.ProbeTimeout = 2 * o.HeartbeatInterval
-	}
-	if o.PauseThreshold <= 0 {
-		o.PauseThreshold = time.Second
-	}
-	return o
-}
-
 // Member is a live node as the agreed members tell of it.
 type Member struct {
 	Node        string
@@ -114,62 +61,6 @@
 	output      Output
 }
 
-// watchedNode is what is believed of one watched node.
-type watchedNode struct {
-	incarnation          uint64
-	retiredIncarnations  []uint64 // the last few former incarnations: a feed of members that lags may still tell of them
-	watchedSince         Time     // watched from then on; moved on when this process resumes
-	lastContact          Time     // when it was last heard, by whomever
-	contacted            bool
-	left                 bool // it has left
-	suspected            bool
-	suspicionDeadline    Time // of a suspicion
-	lastIndirectPing     Time // when the other watchers were last asked
-	lastIncarnationProbe Time // when a second path was last asked for the incarnation
-	probeFailed          bool
-	nacks                map[string]bool // watchers that answered that they do not hear it either
-	down                 bool            // a verdict was given
-	lastVerdict          Time            // when
-}
-
-// sentPing is a moment at which something was asked.
-type sentPing struct {
-	nonce  uint64
-	sentAt Time
-}
-
-const (
-	maxRetiredIncarnations = 4
-	maxRecentPings         = 64 // remembered: those of some seconds
-)
-
-// recordPing gives the nonce of what is asked now. Answers count for Silence.
-func (d *Detector) recordPing(now Time) uint64 {
-	if n := len(d.recentPings); n > 0 && d.recentPings[n-1].sentAt == now {
-		return d.recentPings[n-1].nonce
-	}
-	d.nonce++
-	if len(d.recentPings) >= maxRecentPings {
-		d.recentPings = slices.Delete(d.recentPings, 0, 1)
-	}
-	d.recentPings = append(d.recentPings, sentPing{d.nonce, now})
-	return d.nonce
-}
-
-// pingSentAt gives when the question of an answer was put; false where that was never, or too long ago for an answer to say
-// anything of now.
-func (d *Detector) pingSentAt(now Time, nonce uint64) (Time, bool) {
-	if d.options.acceptStaleReplies {
-		return now, true
-	}
-	for _, q := range d.recentPings {
-		if q.nonce == nonce {
-			return q.sentAt, now-q.sentAt < d.options.SuspectTimeout
-		}
-	}
-	return 0, false
-}
-
 // NewDetector makes a detector that knows no members.
 func NewDetector(options Options) *Detector {
 	return &Detector{options: options.withDefaults(), watched: map[string]*watchedNode{}, isMember: map[string]bool{}, nonce: options.Incarnation}
@@ -222,15 +113,6 @@
 	d.watched = watched
 }
 
-// replace starts to watch a new process of a node.
-func (w *watchedNode) replace(now Time, incarnation uint64) {
-	retired := append(slices.DeleteFunc(w.retiredIncarnations, func(r uint64) bool { return r == incarnation }), w.incarnation)
-	if len(retired) > maxRetiredIncarnations {
-		retired = slices.Delete(retired, 0, 1)
-	}
-	*w = watchedNode{incarnation: incarnation, retiredIncarnations: retired, watchedSince: now}
-}
-
 // advanceClock notes that time goes on, and notices that this process was paused.
 func (d *Detector) advanceClock(now Time) {
 	if d.started && now-d.lastInput > d.options.PauseThreshold {
--- a/internal/system/failuredetector/stale_test.go
+++ b/internal/system/failuredetector/stale_test.go
@@ -27,7 +27,7 @@
 // that b was heard and that it is connected itself.
 func replyAfter(t *testing.T, wait time.Duration, anyAnswer bool) (heard, connected bool) {
 	t.Helper()
-	d := NewDetector(Options{Self: "a", Incarnation: 1, acceptStaleReplies: anyAnswer})
+	d := NewDetector(Options{Self: "a", Incarnation: 1, knobs: TestingKnobs{AcceptStaleReplies: anyAnswer}})
 	now, ask := tickUntilIndirectPing(t, d)
 	for end := now + wait; now < end; now += 100 * time.Millisecond {
 		d.Tick(now)
--- a/internal/system/failuredetector/suspicion.go
+++ b/internal/system/failuredetector/suspicion.go
@@ -34,14 +34,6 @@
 	}
 }
 
-// silentSince is the moment from which silence counts.
-func (w *watchedNode) silentSince() Time {
-	if w.contacted {
-		return max(w.watchedSince, w.lastContact)
-	}
-	return w.watchedSince
-}
-
 // sendIndirectPings puts the question to the other watchers of a node. Any answer also shows that this node is connected.
 func (d *Detector) sendIndirectPings(now Time, node string, w *watchedNode) {
 	w.lastIndirectPing = now
