--- a/internal/system/failuredetector/detector.go
+++ b/internal/system/failuredetector/detector.go
@@ -1,5 +1,28 @@
-// Package failuredetector is failure detection: every node sends heartbeats to the few nodes that rendezvous hashing names as its
-// monitors, and these suspect, ask over second paths and give verdicts that carry the incarnation of a process.
+// Package failuredetector detects failed processes of a cluster, after SWIM (A. Das, I. Gupta, A. Motivala, "SWIM: Scalable
+// Weakly-consistent Infection-style Process Group Membership Protocol", DSN 2002).
+//
+// The problem: decide within some seconds that a process is down, without doing so where only one path to it is lost, where the
+// deciding process was itself paused or partitioned, or where messages of a former process at the same address arrive late.
+//
+// Terms: the watchers of a node are the few nodes to which it sends heartbeats; rendezvous hashing names them (package ownership),
+// so that all who know the same members agree on them. An incarnation is the random number of one process of a node. A watcher
+// suspects a node that has been silent for SuspectTimeout; it then sends indirect pings to the other watchers, which reply when
+// they had contact last, and probes the node over a second path (HTTP). Contact refutes the suspicion; a failed probe and no
+// refutation until the deadline confirm it, and the watcher gives a verdict on that incarnation.
+//
+// Two things differ from SWIM: the nodes push heartbeats in place of being pinged in random order, and verdicts go to an agreed
+// membership list in place of gossip. A process that is called down wrongly refutes the verdict there by registering again.
+//
+// Invariants:
+//
+//   - A verdict is given only while the detector is connected: another node has replied to one of its pings since it started or
+//     resumed from a pause, and there was contact within SuspectTimeout. A paused process forgets its suspicions.
+//   - A reply counts from when its ping was sent and only for SuspectTimeout, and with the age that the replying node states. So
+//     neither buffered replies nor hearsay keep a dead process alive.
+//   - A verdict names an incarnation and never concerns another one.
+//
+// Bound: every connected watcher gives a verdict on a dead process within SuspectTimeout + ProbeTimeout and two ticks after the
+// arrival of its last heartbeat at any watcher.
 package failuredetector
 
 import (
@@ -10,21 +33,21 @@
 // Time is a reading of the caller's monotonic clock.
 type Time = time.Duration
 
-// Member is a live node as the agreed members tell of it.
+// Member is an entry of the agreed membership list: a live node.
 type Member struct {
 	Node        string
 	Incarnation uint64
-	Address     string // ip:port of its inner port; the Detector does not read it
+	Address     string // ip:port of its internal port; the Detector does not use it
 }
 
-// Verdict says that a process is down, or that one that was called down was heard again.
+// Verdict says that a process is down, or takes that back.
 type Verdict struct {
 	Node        string
 	Incarnation uint64
 	Down        bool
 }
 
-// Envelope is a message and whom it goes to.
+// Envelope is a message with its recipient.
 type Envelope struct {
 	To      string
 	Message Message
@@ -33,60 +56,70 @@
 // Output is what a Detector wants done.
 type Output struct {
 	Send     []Envelope
-	Probe    []string // nodes to call over a second path; ProbeResult takes what came of it
+	Probe    []string // nodes to probe over a second path; ProbeResult takes the outcome
 	Verdicts []Verdict
-	Resumed  bool // this process was paused: nothing that it believed holds until Connected
+	Resumed  bool // this process was paused: it does not act on its beliefs until it is connected again
 }
 
-// Detector is the pure core. It is not safe for concurrent use; its time never goes back.
-//
-// A dead process has a verdict from each of its watchers that is connected within Silence + Probe and two ticks of
-// its last beat's arrival at any of them.
+// Detector is the pure core of a failure detector: Receive, ProbeResult, SetMembers and Tick feed it, Ready hands out what it
+// wants done. It is not safe for concurrent use. The times that it is given never decrease.
 type Detector struct {
 	options       Options
-	lastInput     Time // of the last input
 	started       bool
+	lastInput     Time
 	nextHeartbeat Time
-	watchers      []string // of this node
-	watched       map[string]*watchedNode
-	lastMembers   []Member // the members, as they were told last
-	isMember      map[string]bool
-	live          []string // the members, self included
 
-	// Nonces tell answers to what was asked a moment ago from what lay in a buffer, or was asked by a former process.
-	nonce       uint64
-	recentPings []sentPing // the newest last
-	connected   bool       // somebody has answered since the process started or resumed
-	lastContact Time       // when anybody was last heard
-	output      Output
+	lastMembers []Member        // as given to SetMembers last
+	isMember    map[string]bool // self included
+	live        []string        // the members in order, self included
+	watchers    []string        // of this node
+	watched     map[string]*watchedNode
+
+	pings       pingLog
+	connected   bool // a ping was answered since the process started or resumed
+	lastContact Time // with any node
+
+	output Output
 }
 
-// NewDetector makes a detector that knows no members.
+// NewDetector returns a detector without members.
 func NewDetector(options Options) *Detector {
-	return &Detector{options: options.withDefaults(), watched: map[string]*watchedNode{}, isMember: map[string]bool{}, nonce: options.Incarnation}
+	return &Detector{
+		options:  options.withDefaults(),
+		watched:  map[string]*watchedNode{},
+		isMember: map[string]bool{},
+		pings:    pingLog{nonce: options.Incarnation},
+	}
 }
 
-// Ready gives what is to be done since the last Ready.
+// Ready returns what is to be done since the last call of Ready.
 func (d *Detector) Ready() Output {
 	out := d.output
 	d.output = Output{}
 	return out
 }
 
-// Connected tells whether this process has heard from anybody since it started or resumed, and lately. One that is not may
-// be the one that is cut off or was replaced, and must not act on what it believes.
+// Connected reports whether a ping of this process was answered since it started or resumed, and it had contact lately. A process
+// that is not connected may itself be partitioned or replaced, and must not act on its beliefs.
 func (d *Detector) Connected(now Time) bool {
 	return d.connected && now-d.lastInput <= d.options.PauseThreshold && now-d.lastContact <= d.options.SuspectTimeout
 }
 
-// SetMembers takes over the live nodes, self included or not.
+// SetMembers replaces the membership list. It need not contain this node.
 func (d *Detector) SetMembers(now Time, members []Member) {
 	d.advanceClock(now)
 	if d.live != nil && slices.Equal(members, d.lastMembers) {
 		return
 	}
 	d.lastMembers = slices.Clone(members)
-	live := make([]string, 0, len(members)+1)
+	incarnations := d.setLive(members)
+	d.watchers = Watchers(d.options.Self, d.live, d.options.Watchers)
+	d.setWatched(now, incarnations)
+}
+
+// setLive sets the live nodes, each once, and returns their incarnations.
+func (d *Detector) setLive(members []Member) map[string]uint64 {
+	d.live = make([]string, 0, len(members)+1)
 	incarnations := make(map[string]uint64, len(members))
 	clear(d.isMember)
 	for _, m := range append(slices.Clone(members), Member{Node: d.options.Self, Incarnation: d.options.Incarnation}) {
@@ -94,26 +127,29 @@
 			continue
 		}
 		d.isMember[m.Node] = true
-		live = append(live, m.Node)
+		d.live = append(d.live, m.Node)
 		incarnations[m.Node] = m.Incarnation
 	}
-	d.live = live
-	d.watchers = Watchers(d.options.Self, live, d.options.Watchers)
+	return incarnations
+}
+
+// setWatched begins to watch the nodes and processes that are new, and ends to watch those that are this node's no more.
+func (d *Detector) setWatched(now Time, incarnations map[string]uint64) {
 	watched := map[string]*watchedNode{}
-	for _, node := range Watched(d.options.Self, live, d.options.Watchers) {
-		w, inc := d.watched[node], incarnations[node]
+	for _, node := range Watched(d.options.Self, d.live, d.options.Watchers) {
+		w, incarnation := d.watched[node], incarnations[node]
 		switch {
 		case w == nil:
-			w = &watchedNode{incarnation: inc, watchedSince: now}
-		case inc != w.incarnation && !slices.Contains(w.retiredIncarnations, inc):
-			w.replace(now, inc)
+			w = &watchedNode{incarnation: incarnation, watchedSince: now}
+		case w.isNewIncarnation(incarnation):
+			w.replace(now, incarnation)
 		}
 		watched[node] = w
 	}
 	d.watched = watched
 }
 
-// advanceClock notes that time goes on, and notices that this process was paused.
+// advanceClock records the time of an input, and detects that this process was paused before it.
 func (d *Detector) advanceClock(now Time) {
 	if d.started && now-d.lastInput > d.options.PauseThreshold {
 		d.resumeAfterPause(now)
@@ -121,18 +157,19 @@
 	d.started, d.lastInput = true, max(d.lastInput, now)
 }
 
-// resumeAfterPause forgets what silence seemed to tell: it was this process that did not listen.
+// resumeAfterPause forgets all beliefs that rest on silence: it was this process that did not listen.
 func (d *Detector) resumeAfterPause(now Time) {
 	d.output.Resumed = true
 	d.connected = false
-	d.recentPings = nil
+	d.pings.forget()
 	d.nextHeartbeat = now
 	for _, w := range d.watched {
-		w.watchedSince, w.suspected, w.down, w.nacks = now, false, false, nil
+		w.watchedSince, w.down = now, false
+		w.clearSuspicion()
 	}
 }
 
-// Tick is to be called several times a beat.
+// Tick sends heartbeats that are due and evaluates the watched nodes. It is to be called several times per HeartbeatInterval.
 func (d *Detector) Tick(now Time) {
 	d.advanceClock(now)
 	if now >= d.nextHeartbeat {
@@ -143,7 +180,7 @@
 	}
 }
 
-// sortedWatched gives the watched nodes in a steady order, so that a run can be repeated.
+// sortedWatched returns the watched nodes in a fixed order, so that runs are reproducible.
 func (d *Detector) sortedWatched() []string {
 	nodes := make([]string, 0, len(d.watched))
 	for n := range d.watched {
@@ -153,35 +190,47 @@
 	return nodes
 }
 
+// sendHeartbeats sends a heartbeat to each watcher. Without recent contact it sends pings, whose replies show that this node is
+// connected even where it watches nobody; while it is not connected, to those that it watches as well.
 func (d *Detector) sendHeartbeats(now Time) {
-	// Beats that were missed are not made up for.
-	if d.nextHeartbeat += d.options.HeartbeatInterval; d.nextHeartbeat <= now {
-		d.nextHeartbeat = now + d.options.HeartbeatInterval
-	}
-	message := Message{Kind: Heartbeat}
-	to := d.watchers
+	d.scheduleHeartbeat(now)
+	message, recipients := Message{Kind: Heartbeat}, d.watchers
 	if !d.connected || now-d.lastContact >= 2*d.options.HeartbeatInterval {
-		// Few are heard of late: ask for an answer, so that a node that watches nobody knows that it is connected.
-		message = Message{Kind: Ping, Nonce: d.recordPing(now)}
-		if !d.connected {
-			for _, node := range d.sortedWatched() {
-				if !slices.Contains(to, node) {
-					to = append(slices.Clip(to), node)
-				}
-			}
-		}
+		message = Message{Kind: Ping, Nonce: d.pings.record(now)}
+	}
+	if !d.connected {
+		recipients = d.watchersAndWatched()
 	}
-	for _, node := range to {
+	for _, node := range recipients {
 		d.send(node, message)
 	}
 }
 
+// scheduleHeartbeat sets when the next heartbeat is due. Missed ones are not made up for.
+func (d *Detector) scheduleHeartbeat(now Time) {
+	d.nextHeartbeat += d.options.HeartbeatInterval
+	if d.nextHeartbeat <= now {
+		d.nextHeartbeat = now + d.options.HeartbeatInterval
+	}
+}
+
+// watchersAndWatched returns the watchers of this node and then the nodes that it watches, each once.
+func (d *Detector) watchersAndWatched() []string {
+	nodes := slices.Clone(d.watchers)
+	for _, node := range d.sortedWatched() {
+		if !slices.Contains(nodes, node) {
+			nodes = append(nodes, node)
+		}
+	}
+	return nodes
+}
+
 func (d *Detector) send(to string, m Message) {
 	m.From, m.Incarnation = d.options.Self, d.options.Incarnation
 	d.output.Send = append(d.output.Send, Envelope{To: to, Message: m})
 }
 
-// Leave tells it to those that watch this node, so that its end is no failure.
+// Leave announces a graceful shutdown to the watchers, so that they give no verdict on it.
 func (d *Detector) Leave(now Time) {
 	d.advanceClock(now)
 	for _, node := range d.watchers {
--- a/internal/system/failuredetector/ping.go
+++ b/internal/system/failuredetector/ping.go
@@ -5,35 +5,41 @@
 // maxRecentPings bounds the pings that are remembered: those of some seconds.
 const maxRecentPings = 64
 
-// sentPing is a moment at which something was asked.
+// sentPing is a ping, or several of one moment, that may still be answered.
 type sentPing struct {
 	nonce  uint64
 	sentAt Time
 }
 
-// recordPing gives the nonce of what is asked now. Answers count for Silence.
-func (d *Detector) recordPing(now Time) uint64 {
-	if n := len(d.recentPings); n > 0 && d.recentPings[n-1].sentAt == now {
-		return d.recentPings[n-1].nonce
+// pingLog remembers the nonces of recent pings. They distinguish replies to these from replies that waited in a buffer, or that
+// answer a former process at this address.
+type pingLog struct {
+	nonce  uint64     // of the newest ping
+	recent []sentPing // the newest last
+}
+
+// record returns the nonce for the pings that are sent now.
+func (p *pingLog) record(now Time) uint64 {
+	if last := len(p.recent) - 1; last >= 0 && p.recent[last].sentAt == now {
+		return p.recent[last].nonce
 	}
-	d.nonce++
-	if len(d.recentPings) >= maxRecentPings {
-		d.recentPings = slices.Delete(d.recentPings, 0, 1)
+	p.nonce++
+	if len(p.recent) >= maxRecentPings {
+		p.recent = slices.Delete(p.recent, 0, 1)
 	}
-	d.recentPings = append(d.recentPings, sentPing{d.nonce, now})
-	return d.nonce
+	p.recent = append(p.recent, sentPing{p.nonce, now})
+	return p.nonce
 }
 
-// pingSentAt gives when the question of an answer was put; false where that was never, or too long ago for an answer to say
-// anything of now.
-func (d *Detector) pingSentAt(now Time, nonce uint64) (Time, bool) {
-	if d.options.knobs.AcceptStaleReplies {
-		return now, true
-	}
-	for _, q := range d.recentPings {
-		if q.nonce == nonce {
-			return q.sentAt, now-q.sentAt < d.options.SuspectTimeout
+// sentAt returns when the ping with a nonce was sent; false where no such ping is remembered.
+func (p *pingLog) sentAt(nonce uint64) (Time, bool) {
+	for _, ping := range p.recent {
+		if ping.nonce == nonce {
+			return ping.sentAt, true
 		}
 	}
 	return 0, false
 }
+
+// forget makes all replies to the pings so far stale. Nonces go on, so that later pings are not confused with them.
+func (p *pingLog) forget() { p.recent = nil }
--- a/internal/system/failuredetector/watched_node.go
+++ b/internal/system/failuredetector/watched_node.go
@@ -5,25 +5,27 @@
 // maxRetiredIncarnations bounds the former incarnations of a node that are remembered.
 const maxRetiredIncarnations = 4
 
-// watchedNode is what is believed of one watched node.
+// watchedNode is what this detector believes of a node that it watches.
 type watchedNode struct {
-	incarnation          uint64
-	retiredIncarnations  []uint64 // the last few former incarnations: a feed of members that lags may still tell of them
-	watchedSince         Time     // watched from then on; moved on when this process resumes
-	lastContact          Time     // when it was last heard, by whomever
-	contacted            bool
-	left                 bool // it has left
+	incarnation         uint64
+	retiredIncarnations []uint64 // the newest last; a membership list that lags may still name one
+	watchedSince        Time     // moved on when this process resumes from a pause
+	lastContact         Time     // when the newest known sign of life was given, directly or to another watcher
+	contacted           bool     // lastContact is set
+	left                bool     // it announced a graceful shutdown
+
 	suspected            bool
-	suspicionDeadline    Time // of a suspicion
-	lastIndirectPing     Time // when the other watchers were last asked
-	lastIncarnationProbe Time // when a second path was last asked for the incarnation
-	probeFailed          bool
-	nacks                map[string]bool // watchers that answered that they do not hear it either
-	down                 bool            // a verdict was given
-	lastVerdict          Time            // when
+	suspicionDeadline    Time
+	lastIndirectPing     Time
+	lastIncarnationProbe Time            // when it was last probed for its incarnation
+	probeFailed          bool            // the second path failed since the suspicion began
+	nacks                map[string]bool // the watchers that have not heard it either
+
+	down        bool // a verdict was given
+	lastVerdict Time
 }
 
-// replace starts to watch a new process of a node.
+// replace begins to watch a new process of the node.
 func (w *watchedNode) replace(now Time, incarnation uint64) {
 	retired := append(slices.DeleteFunc(w.retiredIncarnations, func(r uint64) bool { return r == incarnation }), w.incarnation)
 	if len(retired) > maxRetiredIncarnations {
@@ -32,10 +34,31 @@
 	*w = watchedNode{incarnation: incarnation, retiredIncarnations: retired, watchedSince: now}
 }
 
-// silentSince is the moment from which silence counts.
-func (w *watchedNode) silentSince() Time {
+// isNewIncarnation reports whether a membership list names a process that is neither the watched one nor one before it.
+func (w *watchedNode) isNewIncarnation(incarnation uint64) bool {
+	return incarnation != w.incarnation && !slices.Contains(w.retiredIncarnations, incarnation)
+}
+
+// sinceLastContact is how long the node has been silent while it was watched.
+func (w *watchedNode) sinceLastContact(now Time) Time {
 	if w.contacted {
-		return max(w.watchedSince, w.lastContact)
+		return now - max(w.watchedSince, w.lastContact)
+	}
+	return now - w.watchedSince
+}
+
+// beginSuspicion starts a suspicion that lasts for a time, within which it is confirmed or refuted.
+func (w *watchedNode) beginSuspicion(now, timeout Time) {
+	w.suspected, w.suspicionDeadline = true, now+timeout
+	w.probeFailed, w.nacks = false, map[string]bool{}
+}
+
+// clearSuspicion ends a suspicion without a verdict.
+func (w *watchedNode) clearSuspicion() { w.suspected, w.nacks = false, nil }
+
+// recordNack records that another watcher has not heard a process of the node either.
+func (w *watchedNode) recordNack(watcher string, incarnation uint64) {
+	if w.suspected && w.incarnation == incarnation {
+		w.nacks[watcher] = true
 	}
-	return w.watchedSince
 }
