--- a/internal/system/failuredetector/message.go
+++ b/internal/system/failuredetector/message.go
@@ -7,18 +7,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind says what a message is. The numbers are on the wire: never reuse one.
+// Kind is the kind of a message. The numbers are on the wire: never reuse one.
 type Kind uint8
 
-// The kinds of messages. Each is a sign of life of its sender, but for Leave.
+// The kinds of messages. All but Leave are signs of life of their senders.
 const (
-	Heartbeat    Kind = 1 // I live
-	Ping         Kind = 2 // I live; answer me
-	Pong         Kind = 3 // the answer, with the nonce of the Ping
-	IndirectPing Kind = 4 // do you hear Node?
-	IndirectAck  Kind = 5 // I heard Node Age ago
-	IndirectNack Kind = 6 // I do not hear Node
-	Leave        Kind = 7 // I leave
+	Heartbeat    Kind = 1 // periodic, without a reply
+	Ping         Kind = 2 // asks for a Pong
+	Pong         Kind = 3 // the reply to a Ping, with its nonce
+	IndirectPing Kind = 4 // asks a watcher for its last contact with Node
+	IndirectAck  Kind = 5 // the reply: contact with Node, Age ago
+	IndirectNack Kind = 6 // the reply: no recent contact with Node
+	Leave        Kind = 7 // announces a graceful shutdown
 )
 
 // Message is one datagram.
@@ -26,24 +26,26 @@
 	Kind            Kind
 	From            string
 	Incarnation     uint64 // of the sender
-	Nonce           uint64 // of Ping, Query and their answers
-	Node            string // of Query and its answers
+	Nonce           uint64 // of Ping, IndirectPing and their replies
+	Node            string // of IndirectPing and its replies
 	NodeIncarnation uint64
-	Age             time.Duration // of Heard; whole milliseconds on the wire
+	Age             time.Duration // of IndirectAck; whole milliseconds on the wire
 }
 
-// ErrMalformedMessage is the kind of Decode's errors.
-var ErrMalformedMessage = errors.New("failuredetector: bytes that are no message of this version")
+// ErrMalformedMessage is returned by Decode for bytes that are not a message, or one of another version of the protocol.
+var ErrMalformedMessage = errors.New("failuredetector: not a message of this protocol version: drop it")
 
 // The bounds of a datagram.
 const (
 	maxNameBytes     = 128
-	MaxDatagramBytes = 512 // bytes
+	MaxDatagramBytes = 512
 )
 
 var magic = [3]byte{0xB5, 'r', 1} // the last is the version
 
-// Append writes a message after dst. Names longer than 128 bytes are cut, which nobody will know.
+const headerBytes = len(magic) + 1 // magic and kind
+
+// Append appends the encoding of a message to dst. Names longer than 128 bytes are truncated, and then match no member.
 func (m Message) Append(dst []byte) []byte {
 	dst = append(dst, magic[:]...)
 	dst = append(dst, byte(m.Kind))
@@ -58,7 +60,7 @@
 	return binary.AppendUvarint(dst, uint64(max(0, m.Age)/time.Millisecond))
 }
 
-// isIndirect tells whether messages of the kind are about another node than their sender.
+// isIndirect reports whether messages of the kind concern another node than their sender.
 func (k Kind) isIndirect() bool { return k == IndirectPing || k == IndirectAck || k == IndirectNack }
 
 func appendName(dst []byte, s string) []byte {
@@ -66,14 +68,14 @@
 	return append(append(dst, byte(len(s))), s...)
 }
 
-// Decode reads a datagram. Its errors are of the kind ErrMalformedMessage: drop the datagram.
+// Decode decodes a datagram. Its error is ErrMalformedMessage.
 func Decode(data []byte) (Message, error) {
 	in := decoder{rest: data}
 	var message Message
-	if len(data) > MaxDatagramBytes || len(data) < 4 || [3]byte(data[:3]) != magic || data[3] < byte(Heartbeat) || data[3] > byte(Leave) {
+	if !hasHeader(data) {
 		return message, ErrMalformedMessage
 	}
-	message.Kind, in.rest = Kind(data[3]), data[4:]
+	message.Kind, in.rest = Kind(data[len(magic)]), data[headerBytes:]
 	message.From, message.Incarnation, message.Nonce = in.readName(), in.readUint64(), in.readUvarint()
 	if message.Kind.isIndirect() {
 		message.Node, message.NodeIncarnation = in.readName(), in.readUint64()
@@ -85,6 +87,16 @@
 	return message, nil
 }
 
+// hasHeader reports whether a datagram begins with the magic bytes and a known kind.
+func hasHeader(data []byte) bool {
+	if len(data) < headerBytes || len(data) > MaxDatagramBytes {
+		return false
+	}
+	kind := Kind(data[len(magic)])
+	return [len(magic)]byte(data) == magic && kind >= Heartbeat && kind <= Leave
+}
+
+// decoder reads the fields of a datagram. Once a field is missing, failed is set and all reads return zero values.
 type decoder struct {
 	rest   []byte
 	failed bool
--- a/internal/system/failuredetector/options.go
+++ b/internal/system/failuredetector/options.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Options are those of a Detector. Zero values take the defaults.
+// Options configure a Detector. Zero values take the defaults, which are given here.
 type Options struct {
 	Self              string
-	Incarnation       uint64        // of this process; chosen at random at its start
-	Watchers          int           // 3
+	Incarnation       uint64        // of this process, chosen at random when it starts
+	Watchers          int           // of each node; 3
 	HeartbeatInterval time.Duration // 400 ms
-	SuspectTimeout    time.Duration // without a beat, after which a node is suspected; 3.5 beats
-	ProbeTimeout      time.Duration // that second paths have until the verdict; 2 beats
-	PauseThreshold    time.Duration // in this process's own ticks, after which it was paused; 1 s
+	SuspectTimeout    time.Duration // without contact, until a node is suspected; 3.5 heartbeat intervals
+	ProbeTimeout      time.Duration // from suspicion to verdict; 2 heartbeat intervals
+	PauseThreshold    time.Duration // between two inputs, above which this process was paused; 1 s
 
 	knobs TestingKnobs
 }
 
 // TestingKnobs take protections out, so that tests can show what each is for.
 type TestingKnobs struct {
-	// AcceptStaleReplies counts replies however long after their ping they arrive.
+	// AcceptStaleReplies accepts replies however long after their ping they arrive.
 	AcceptStaleReplies bool
 }
 
--- a/internal/system/failuredetector/watchers.go
+++ b/internal/system/failuredetector/watchers.go
@@ -6,19 +6,18 @@
 	"gradeusher.example/gradeusher/internal/system/ownership"
 )
 
-// Watchers names the k nodes that watch node: those that it beats to. It is the same for all who count the same nodes
-// live.
-func Watchers(node string, live []string, k int) []string {
+// Watchers returns the count nodes that watch node, to which it sends heartbeats. It is the same at all who know the same live nodes.
+func Watchers(node string, live []string, count int) []string {
 	others := slices.DeleteFunc(slices.Clone(live), func(n string) bool { return n == node })
-	return ownership.Owners(node, others, k)
+	return ownership.Owners(node, others, count)
 }
 
-// Watched names the nodes that self watches, in the order of live: those that count self among their Watchers.
-func Watched(self string, live []string, k int) []string {
+// Watched returns the nodes that self watches, in the order of live: those that have self among their Watchers.
+func Watched(self string, live []string, count int) []string {
 	nodes := ownership.NewNodes(live)
 	var watched []string
 	for _, n := range live {
-		if n != self && nodes.IsOwner(n, self, n, k) {
+		if n != self && nodes.IsOwner(n, self, n, count) {
 			watched = append(watched, n)
 		}
 	}
