--- a/internal/system/failuredetector/agent_test.go
+++ b/internal/system/failuredetector/agent_test.go
@@ -35,12 +35,12 @@
 	)
 	for conn == nil {
 		var err error
-		if listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+		if listener, err = new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
 		port := listener.Addr().(*net.TCPAddr).Port
 		if conn, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: port}); err != nil {
-			listener.Close()
+			_ = listener.Close()
 		}
 	}
 	node.agent = NewAgent(AgentOptions{
@@ -74,7 +74,7 @@
 	return node
 }
 
-// connected tells whether the agent's detector may act on what it believes.
+// connected reports whether the agent's detector may act on what it believes.
 func (n *testNode) connected() bool {
 	n.agent.mu.Lock()
 	defer n.agent.mu.Unlock()
--- a/internal/system/failuredetector/detector_test.go
+++ b/internal/system/failuredetector/detector_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// The bound within which all watchers know a dead process dead, at beats of 400 ms.
+// detectionBound is the time within which all watchers detect a crash, at heartbeats every 400 ms.
 const detectionBound = 2500 * time.Millisecond
 
 func TestWatchersAndWatchedAgree(t *testing.T) {
@@ -43,52 +43,52 @@
 	}
 }
 
-// Loss, cuts of a few pairs and processes that are paused: nobody that lives and is reachable is called down.
+// With packet loss and partitions between a few pairs nobody that lives and is reachable is called down.
 func TestNoFalsePositives(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
-		w := newSimulation(t, seed, 24, Options{})
-		w.interRegion, w.loss = seed%2 == 0, 0.05
-		w.run(3 * time.Second)
-		partitionPairs(w, true)
-		w.run(20 * time.Second)
-		partitionPairs(w, false)
-		w.run(5 * time.Second)
-		w.checkCalm()
-		if len(w.verdicts) > 0 {
-			t.Errorf("verdicts: %v", w.verdicts)
+		sim := newSimulation(t, seed, 24, Options{})
+		sim.interRegion, sim.loss = seed%2 == 0, 0.05
+		sim.run(3 * time.Second)
+		partitionPairs(sim, true)
+		sim.run(20 * time.Second)
+		partitionPairs(sim, false)
+		sim.run(5 * time.Second)
+		sim.checkCalm()
+		if len(sim.verdicts) > 0 {
+			t.Errorf("verdicts: %v", sim.verdicts)
 		}
 	})
 }
 
-// partitionPairs cuts each fourth node off from one of its watchers, in one direction or both.
-func partitionPairs(w *simulation, on bool) {
-	for i := 0; i < len(w.names); i += 4 {
-		node := w.names[i]
-		watcher := w.watchersOf(node)[i/4%3]
-		w.setPartitioned(node, watcher, on)
+// partitionPairs partitions each fourth node from one of its watchers, in one direction or both.
+func partitionPairs(sim *simulation, on bool) {
+	for i := 0; i < len(sim.names); i += 4 {
+		node := sim.names[i]
+		watcher := sim.watchersOf(node)[i/4%3]
+		sim.setPartitioned(node, watcher, on)
 		if i/4%2 == 0 {
-			w.setPartitioned(watcher, node, on)
+			sim.setPartitioned(watcher, node, on)
 		}
 	}
 }
 
 func TestCrashesAreDetectedInTime(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
-		w := newSimulation(t, seed, 24, Options{})
-		w.interRegion, w.loss = seed%2 == 0, float64(seed%3)*0.02
-		w.run(3*time.Second + time.Duration(w.rng.IntN(500))*time.Millisecond)
+		sim := newSimulation(t, seed, 24, Options{})
+		sim.interRegion, sim.loss = seed%2 == 0, float64(seed%3)*0.02
+		sim.run(3*time.Second + time.Duration(sim.rng.IntN(500))*time.Millisecond)
 		// A whole zone at once, or one node.
-		dead := w.names[4:8]
+		dead := sim.names[4:8]
 		if seed%2 == 1 {
-			dead = w.names[9:10]
+			dead = sim.names[9:10]
 		}
-		killed := w.now
+		killed := sim.now
 		for _, name := range dead {
-			w.kill(name)
+			sim.kill(name)
 		}
-		w.run(10 * time.Second)
+		sim.run(10 * time.Second)
 		for _, name := range dead {
-			told := w.verdicts[fmt.Sprint(name, "/", w.nodes[name].incarnation)]
+			told := sim.verdicts[fmt.Sprint(name, "/", sim.nodes[name].incarnation)]
 			if len(told) == 0 {
 				t.Errorf("nobody called %s down", name)
 			}
@@ -97,54 +97,46 @@
 					t.Errorf("%s called %s down after %v", who, name, at-killed)
 				}
 			}
-			if r := w.members[name]; !r.down || r.since-killed > detectionBound+220*time.Millisecond {
+			if r := sim.members[name]; !r.down || r.since-killed > detectionBound+220*time.Millisecond {
 				t.Errorf("%s is counted down: %v, after %v", name, r.down, r.since-killed)
 			}
 		}
-		w.checkCalm()
+		sim.checkCalm()
 	})
 }
 
-// A verdict must come from every watcher, not only from the first: here the members are not told.
+// A verdict must come from every watcher, not only from the first: here the membership list does not change.
 func TestEveryWatcherGivesAVerdict(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
-		w := newSimulation(t, seed, 12, Options{})
-		w.interRegion = seed%2 == 0
-		w.run(3 * time.Second)
-		name := w.randomNode()
-		r := w.members[name]
-		w.kill(name)
+		sim := newSimulation(t, seed, 12, Options{})
+		sim.interRegion = seed%2 == 0
+		sim.run(3 * time.Second)
+		name := sim.randomNode()
+		r := sim.members[name]
+		sim.kill(name)
 		r.incarnation = 0 // verdicts do not match, so the table stays as it is
-		killed := w.now
-		w.run(detectionBound)
-		told := w.verdicts[fmt.Sprint(name, "/", w.nodes[name].incarnation)]
+		killed := sim.now
+		sim.run(detectionBound)
+		told := sim.verdicts[fmt.Sprint(name, "/", sim.nodes[name].incarnation)]
 		var who []string
 		for n := range told {
 			who = append(who, n)
 		}
-		if want := sortStrings(w.watchersOf(name)); !slices.Equal(sortStrings(who), want) {
-			t.Errorf("%v called %s down %v after its end, want %v", who, name, w.now-killed, want)
+		if want := sortStrings(sim.watchersOf(name)); !slices.Equal(sortStrings(who), want) {
+			t.Errorf("%v called %s down %v after its end, want %v", who, name, sim.now-killed, want)
 		}
 	})
 }
 
 func TestRestarts(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
-		w := newSimulation(t, seed, 12, Options{})
-		w.loss = 0.02
-		w.run(3 * time.Second)
-		for range 6 {
-			name := w.randomNode()
-			w.kill(name)
-			w.run(time.Duration(w.rng.IntN(4000)) * time.Millisecond)
-			w.start(name)
-			w.run(time.Duration(w.rng.IntN(4000)) * time.Millisecond)
-		}
-		w.run(5 * time.Second)
-		w.checkCalm()
-		for _, name := range w.names {
-			for _, watcher := range w.watchersOf(name) {
-				if got := w.nodes[watcher].detector.watched[name]; got == nil || got.incarnation != w.nodes[name].incarnation {
+		sim := newSimulation(t, seed, 12, Options{})
+		sim.loss = 0.02
+		playRestarts(sim)
+		sim.checkCalm()
+		for _, name := range sim.names {
+			for _, watcher := range sim.watchersOf(name) {
+				if got := sim.nodes[watcher].detector.watched[name]; got == nil || got.incarnation != sim.nodes[name].incarnation {
 					t.Errorf("%s does not watch the present process of %s", watcher, name)
 				}
 			}
@@ -152,33 +144,33 @@
 	})
 }
 
-func playFreezes(w *simulation) {
-	w.run(3 * time.Second)
+func playFreezes(sim *simulation) {
+	sim.run(3 * time.Second)
 	for range 8 {
 		// Several at once, so that some who watch each other are paused together.
-		paused := []string{w.randomNode(), w.randomNode(), w.randomNode()}
+		paused := []string{sim.randomNode(), sim.randomNode(), sim.randomNode()}
 		for _, name := range paused {
-			w.freeze(name)
+			sim.freeze(name)
 		}
-		w.run(time.Duration(200+w.rng.IntN(8000)) * time.Millisecond)
+		sim.run(time.Duration(200+sim.rng.IntN(8000)) * time.Millisecond)
 		for _, name := range paused {
-			w.thaw(name)
+			sim.thaw(name)
 		}
-		w.run(time.Duration(w.rng.IntN(3000)) * time.Millisecond)
+		sim.run(time.Duration(sim.rng.IntN(3000)) * time.Millisecond)
 	}
-	w.run(5 * time.Second)
+	sim.run(5 * time.Second)
 }
 
 func TestResumedNodesPingFirst(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
-		w := newSimulation(t, seed, 12, Options{})
-		w.loss = 0.02
-		playFreezes(w)
-		w.checkCalm()
+		sim := newSimulation(t, seed, 12, Options{})
+		sim.loss = 0.02
+		playFreezes(sim)
+		sim.checkCalm()
 		resumed := 0
-		for _, n := range w.nodes {
+		for _, n := range sim.nodes {
 			resumed += n.resumed
-			if !n.detector.Connected(w.now) {
+			if !n.detector.Connected(sim.now) {
 				t.Errorf("%s is not connected in calm times", n.name)
 			}
 		}
@@ -189,84 +181,84 @@
 }
 
 func TestNotConnectedUntilAnswered(t *testing.T) {
-	w := newSimulation(t, 1, 6, Options{})
-	name := w.names[0]
-	if w.nodes[name].detector.Connected(w.now) {
+	sim := newSimulation(t, 1, 6, Options{})
+	name := sim.names[0]
+	if sim.nodes[name].detector.Connected(sim.now) {
 		t.Error("connected at its start")
 	}
-	w.run(3 * time.Second)
-	if !w.nodes[name].detector.Connected(w.now) {
+	sim.run(3 * time.Second)
+	if !sim.nodes[name].detector.Connected(sim.now) {
 		t.Error("not connected in calm times")
 	}
-	w.freeze(name)
-	w.run(10 * time.Second)
-	for _, other := range w.names[1:] {
-		w.setPartitioned(other, name, true) // nobody's answers come through
+	sim.freeze(name)
+	sim.run(10 * time.Second)
+	for _, other := range sim.names[1:] {
+		sim.setPartitioned(other, name, true) // nobody's answers come through
 	}
-	w.thaw(name) // with a buffer full of what came while it was paused
-	w.run(100 * time.Millisecond)
-	if w.nodes[name].detector.Connected(w.now) {
+	sim.thaw(name) // with a buffer full of what came while it was paused
+	sim.run(100 * time.Millisecond)
+	if sim.nodes[name].detector.Connected(sim.now) {
 		t.Error("connected after its pause, though nobody has answered")
 	}
-	w.run(20 * time.Second)
-	for key, told := range w.verdicts {
+	sim.run(20 * time.Second)
+	for key, told := range sim.verdicts {
 		if _, ok := told[name]; ok {
 			t.Errorf("cut off, it called %s down", key)
 		}
 	}
-	for _, other := range w.names[1:] {
-		w.setPartitioned(other, name, false)
+	for _, other := range sim.names[1:] {
+		sim.setPartitioned(other, name, false)
 	}
-	w.calmSince = w.now
-	w.run(2 * time.Second)
-	if !w.nodes[name].detector.Connected(w.now) {
+	sim.calmSince = sim.now
+	sim.run(2 * time.Second)
+	if !sim.nodes[name].detector.Connected(sim.now) {
 		t.Error("not connected after it was answered")
 	}
-	w.checkCalm()
+	sim.checkCalm()
 }
 
-// Halves that cannot reach each other call each other down, and none stays down when the cut ends.
+// Halves that cannot reach each other call each other down, and none stays down when the partition ends.
 func TestPartitionHeals(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
-		w := newSimulation(t, seed, 12, Options{})
-		w.run(3 * time.Second)
+		sim := newSimulation(t, seed, 12, Options{})
+		sim.run(3 * time.Second)
 		part := func(on bool) {
-			for _, a := range w.names[:4] {
-				for _, b := range w.names[4:] {
-					w.setPartitioned(a, b, on)
+			for _, a := range sim.names[:4] {
+				for _, b := range sim.names[4:] {
+					sim.setPartitioned(a, b, on)
 					if seed%2 == 0 {
-						w.setPartitioned(b, a, on)
+						sim.setPartitioned(b, a, on)
 					}
 				}
 			}
 		}
 		part(true)
-		w.calmSince = w.now + time.Hour
-		w.run(10 * time.Second)
+		sim.calmSince = sim.now + time.Hour
+		sim.run(10 * time.Second)
 		part(false)
-		w.calmSince = w.now
-		w.run(3 * time.Second)
-		w.checkCalm()
+		sim.calmSince = sim.now
+		sim.run(3 * time.Second)
+		sim.checkCalm()
 	})
 }
 
 func TestLeaveIsNoFailure(t *testing.T) {
-	w := newSimulation(t, 1, 8, Options{})
-	w.run(3 * time.Second)
-	n := w.nodes[w.names[0]]
-	n.detector.Leave(w.now)
-	w.processReady(n)
-	w.kill(n.name)
-	w.run(10 * time.Second)
-	if len(w.verdicts) > 0 {
-		t.Errorf("verdicts on one that left: %v", w.verdicts)
+	sim := newSimulation(t, 1, 8, Options{})
+	sim.run(3 * time.Second)
+	n := sim.nodes[sim.names[0]]
+	n.detector.Leave(sim.now)
+	sim.processReady(n)
+	sim.kill(n.name)
+	sim.run(10 * time.Second)
+	if len(sim.verdicts) > 0 {
+		t.Errorf("verdicts on one that left: %v", sim.verdicts)
 	}
-	w.start(n.name)
-	w.run(3 * time.Second)
-	w.kill(n.name)
-	w.run(3 * time.Second)
-	if len(w.verdicts) != 1 {
-		t.Errorf("verdicts on the process after it: %v, want one", w.verdicts)
+	sim.start(n.name)
+	sim.run(3 * time.Second)
+	sim.kill(n.name)
+	sim.run(3 * time.Second)
+	if len(sim.verdicts) != 1 {
+		t.Errorf("verdicts on the process after it: %v, want one", sim.verdicts)
 	}
 }
 
@@ -274,27 +266,27 @@
 func TestProtectionsAreNeeded(t *testing.T) {
 	found := func(o Options, faults func(*simulation)) bool {
 		for seed := range uint64(20) {
-			w := newSimulation(t, seed, 12, o)
-			faults(w)
-			if len(w.wrongVerdicts) > 0 || w.disconnected > 0 {
+			sim := newSimulation(t, seed, 12, o)
+			faults(sim)
+			if len(sim.wrongVerdicts) > 0 || sim.disconnected > 0 {
 				return true
 			}
 		}
 		return false
 	}
 	// One is paused while it suspects another that was paused, and resumes long after that one.
-	turns := func(w *simulation) {
-		w.run(3 * time.Second)
+	turns := func(sim *simulation) {
+		sim.run(3 * time.Second)
 		for range 10 {
-			name := w.randomNode()
-			watcher := w.watchersOf(name)[0]
-			w.freeze(name)
-			w.run(1600 * time.Millisecond)
-			w.freeze(watcher)
-			w.thaw(name)
-			w.run(5 * time.Second)
-			w.thaw(watcher)
-			w.run(5 * time.Second)
+			name := sim.randomNode()
+			watcher := sim.watchersOf(name)[0]
+			sim.freeze(name)
+			sim.run(1600 * time.Millisecond)
+			sim.freeze(watcher)
+			sim.thaw(name)
+			sim.run(5 * time.Second)
+			sim.thaw(watcher)
+			sim.run(5 * time.Second)
 		}
 	}
 	if found(Options{}, turns) {
@@ -303,11 +295,11 @@
 	if !found(Options{PauseThreshold: time.Hour}, turns) {
 		t.Error("processes that do not notice their pause give no wrong verdict: the harness does not test it")
 	}
-	if !found(Options{Watchers: 1}, func(w *simulation) {
-		w.run(3 * time.Second)
-		for _, name := range w.names {
-			w.setPartitioned(name, Watchers(name, w.names, 1)[0], true)
-			w.run(4 * time.Second)
+	if !found(Options{Watchers: 1}, func(sim *simulation) {
+		sim.run(3 * time.Second)
+		for _, name := range sim.names {
+			sim.setPartitioned(name, Watchers(name, sim.names, 1)[0], true)
+			sim.run(4 * time.Second)
 		}
 	}) {
 		t.Error("watchers that ask nobody else give no wrong verdict: the harness does not test it")
--- a/internal/system/failuredetector/golden_trace_test.go
+++ b/internal/system/failuredetector/golden_trace_test.go
@@ -25,9 +25,9 @@
 	steps int
 }
 
-func newGoldenTrace(w *simulation) *goldenTrace {
+func newGoldenTrace(sim *simulation) *goldenTrace {
 	g := &goldenTrace{sum: sha256.New()}
-	w.onOutput = func(n *simNode, out *Output) { g.step(w, n, out) }
+	sim.onOutput = func(n *simNode, out *Output) { g.step(sim, n, out) }
 	return g
 }
 
@@ -56,10 +56,10 @@
 }
 
 // step records one Take of a detector: when, whose, what it wants done, and whether it is connected then.
-func (g *goldenTrace) step(w *simulation, node *simNode, out *Output) {
+func (g *goldenTrace) step(sim *simulation, node *simNode, out *Output) {
 	g.steps++
 	g.text("step")
-	g.number(uint64(w.now), node.incarnation)
+	g.number(uint64(sim.now), node.incarnation)
 	g.text(node.name)
 	for _, e := range out.Send {
 		g.text("msg")
@@ -78,16 +78,16 @@
 	}
 	g.text("held")
 	g.flag(out.Resumed)
-	g.flag(node.detector.Connected(w.now))
+	g.flag(node.detector.Connected(sim.now))
 	g.flush()
 }
 
 // end records what is counted live at the end of a play.
-func (g *goldenTrace) end(w *simulation) string {
+func (g *goldenTrace) end(sim *simulation) string {
 	g.text("end")
-	g.number(uint64(w.now))
-	for _, name := range w.names {
-		r := w.members[name]
+	g.number(uint64(sim.now))
+	for _, name := range sim.names {
+		r := sim.members[name]
 		g.number(r.incarnation, uint64(r.since))
 		g.flag(r.down)
 	}
@@ -116,65 +116,65 @@
 	{name: "leaving", nodes: 8, play: playLeave},
 }
 
-func playPairPartitions(w *simulation) {
-	w.interRegion = true
-	w.run(3 * time.Second)
-	partitionPairs(w, true)
-	w.run(10 * time.Second)
-	partitionPairs(w, false)
-	w.run(5 * time.Second)
+func playPairPartitions(sim *simulation) {
+	sim.interRegion = true
+	sim.run(3 * time.Second)
+	partitionPairs(sim, true)
+	sim.run(10 * time.Second)
+	partitionPairs(sim, false)
+	sim.run(5 * time.Second)
 }
 
 // playPartition cuts a third of the nodes off in both directions.
-func playPartition(w *simulation) {
-	w.run(3 * time.Second)
-	w.calmSince = w.now + time.Hour
+func playPartition(sim *simulation) {
+	sim.run(3 * time.Second)
+	sim.calmSince = sim.now + time.Hour
 	for _, on := range []bool{true, false} {
-		for _, a := range w.names[:4] {
-			for _, b := range w.names[4:] {
-				w.setPartitioned(a, b, on)
-				w.setPartitioned(b, a, on)
+		for _, a := range sim.names[:4] {
+			for _, b := range sim.names[4:] {
+				sim.setPartitioned(a, b, on)
+				sim.setPartitioned(b, a, on)
 			}
 		}
-		w.run(8 * time.Second)
+		sim.run(8 * time.Second)
 	}
-	w.calmSince = w.now
-	w.run(3 * time.Second)
+	sim.calmSince = sim.now
+	sim.run(3 * time.Second)
 }
 
 // playCrashes ends four nodes at once, and another later.
-func playCrashes(w *simulation) {
-	w.run(3 * time.Second)
-	for _, name := range w.names[4:8] {
-		w.kill(name)
+func playCrashes(sim *simulation) {
+	sim.run(3 * time.Second)
+	for _, name := range sim.names[4:8] {
+		sim.kill(name)
 	}
-	w.run(5 * time.Second)
-	w.kill(w.names[9])
-	w.run(8 * time.Second)
+	sim.run(5 * time.Second)
+	sim.kill(sim.names[9])
+	sim.run(8 * time.Second)
 }
 
-func playRestarts(w *simulation) {
-	w.run(3 * time.Second)
+func playRestarts(sim *simulation) {
+	sim.run(3 * time.Second)
 	for range 6 {
-		name := w.randomNode()
-		w.kill(name)
-		w.run(time.Duration(w.rng.IntN(4000)) * time.Millisecond)
-		w.start(name)
-		w.run(time.Duration(w.rng.IntN(4000)) * time.Millisecond)
+		name := sim.randomNode()
+		sim.kill(name)
+		sim.run(time.Duration(sim.rng.IntN(4000)) * time.Millisecond)
+		sim.start(name)
+		sim.run(time.Duration(sim.rng.IntN(4000)) * time.Millisecond)
 	}
-	w.run(5 * time.Second)
+	sim.run(5 * time.Second)
 }
 
 // playLeave has a node leave and come back.
-func playLeave(w *simulation) {
-	w.run(3 * time.Second)
-	n := w.nodes[w.names[0]]
-	n.detector.Leave(w.now)
-	w.processReady(n)
-	w.kill(n.name)
-	w.run(10 * time.Second)
-	w.start(n.name)
-	w.run(5 * time.Second)
+func playLeave(sim *simulation) {
+	sim.run(3 * time.Second)
+	n := sim.nodes[sim.names[0]]
+	n.detector.Leave(sim.now)
+	sim.processReady(n)
+	sim.kill(n.name)
+	sim.run(10 * time.Second)
+	sim.start(n.name)
+	sim.run(5 * time.Second)
 }
 
 // readGolden gives the recorded steps and digest by scenario and seed.
@@ -209,11 +209,11 @@
 			plays++
 			key := fmt.Sprintf("%s %d", s.name, seed)
 			t.Run(key, func(t *testing.T) {
-				w := newSimulation(t, seed, s.nodes, Options{})
-				w.loss = s.loss
-				g := newGoldenTrace(w)
-				s.play(w)
-				got := g.end(w)
+				sim := newSimulation(t, seed, s.nodes, Options{})
+				sim.loss = s.loss
+				g := newGoldenTrace(sim)
+				s.play(sim)
+				got := g.end(sim)
 				lines = append(lines, key+" "+got+"\n")
 				if want := golden[key]; !writing && got != want {
 					t.Errorf("steps and digest %s, recorded %q", got, want)
--- a/internal/system/failuredetector/simulation_test.go
+++ b/internal/system/failuredetector/simulation_test.go
@@ -12,7 +12,7 @@
 )
 
 // simulation runs the detectors of many nodes over a faulty network, on a clock of its own. A table stands for the agreed
-// members: verdicts reach it late, it tells all nodes late, and a live process that it calls down refutes that.
+// membership list: verdicts reach it late, its changes reach the nodes late, and a live process that it has as down refutes that.
 type simulation struct {
 	t           testing.TB
 	rng         *rand.Rand
@@ -23,7 +23,7 @@
 	names       []string
 	loss        float64
 	interRegion bool // delays as between regions
-	partitioned map[[2]string]bool
+	partitioned map[networkPath]bool
 	options     Options
 
 	onOutput func(*simNode, *Output) // told all that a detector wants done, before any of it is
@@ -35,12 +35,17 @@
 	disconnected  int                        // verdicts of nodes that were not connected
 }
 
+// networkPath is the path from one node to another, in one direction.
+type networkPath struct{ from, to string }
+
+// memberRecord is an entry of the membership list.
 type memberRecord struct {
 	incarnation uint64
 	down        bool
 	since       Time
 }
 
+// simNode is one process of a node.
 type simNode struct {
 	name        string
 	incarnation uint64
@@ -52,12 +57,14 @@
 	resumed     int
 }
 
+// event is something that happens at a time; order decides between events of one time.
 type event struct {
 	at    Time
 	order int
 	run   func()
 }
 
+// events is a heap, the earliest event first.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -74,99 +81,99 @@
 }
 
 func newSimulation(t testing.TB, seed uint64, count int, options Options) *simulation {
-	w := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*simNode{}, partitioned: map[[2]string]bool{},
+	sim := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*simNode{}, partitioned: map[networkPath]bool{},
 		members: map[string]*memberRecord{}, verdicts: map[string]map[string]Time{}, options: options}
 	for i := range count {
 		name := fmt.Sprintf("10.0.%d.%d", i/4, i%4+1)
-		w.names = append(w.names, name)
-		w.start(name)
+		sim.names = append(sim.names, name)
+		sim.start(name)
 	}
-	return w
+	return sim
 }
 
-func (w *simulation) schedule(d Time, run func()) {
-	w.eventCount++
-	heap.Push(&w.queue, event{w.now + d, w.eventCount, run})
+func (sim *simulation) schedule(d Time, run func()) {
+	sim.eventCount++
+	heap.Push(&sim.queue, event{sim.now + d, sim.eventCount, run})
 }
 
-// run lets the world go on for a span.
-func (w *simulation) run(span Time) {
-	until := w.now + span
-	for len(w.queue) > 0 && w.queue[0].at <= until {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
+// run advances the simulation by a span.
+func (sim *simulation) run(span Time) {
+	until := sim.now + span
+	for len(sim.queue) > 0 && sim.queue[0].at <= until {
+		e := heap.Pop(&sim.queue).(event)
+		sim.now = e.at
 		e.run()
 	}
-	w.now = until
+	sim.now = until
 }
 
-func (w *simulation) start(name string) {
-	options := w.options
-	options.Self, options.Incarnation = name, w.rng.Uint64()
-	node := &simNode{name: name, incarnation: options.Incarnation, detector: NewDetector(options), alive: true, lastFault: w.now}
-	w.nodes[name] = node
-	w.publishMembers(node)
+func (sim *simulation) start(name string) {
+	options := sim.options
+	options.Self, options.Incarnation = name, sim.rng.Uint64()
+	node := &simNode{name: name, incarnation: options.Incarnation, detector: NewDetector(options), alive: true, lastFault: sim.now}
+	sim.nodes[name] = node
+	sim.publishMembers(node)
 	var tick func()
 	tick = func() {
 		if !node.alive {
 			return
 		}
 		if !node.frozen {
-			node.detector.Tick(w.now)
-			w.processReady(node)
+			node.detector.Tick(sim.now)
+			sim.processReady(node)
 		}
-		w.schedule(options.withDefaults().HeartbeatInterval/4, tick)
+		sim.schedule(options.withDefaults().HeartbeatInterval/4, tick)
 	}
-	w.schedule(Time(w.rng.Int64N(int64(400*time.Millisecond))), tick)
-	w.schedule(w.membershipDelay(), func() { w.register(node) })
+	sim.schedule(Time(sim.rng.Int64N(int64(400*time.Millisecond))), tick)
+	sim.schedule(sim.membershipDelay(), func() { sim.register(node) })
 }
 
-// register is what a process tells the table of itself.
-func (w *simulation) register(n *simNode) {
+// register has a process enter itself into the membership list, where it is missing or down there.
+func (sim *simulation) register(n *simNode) {
 	if !n.alive || n.frozen {
 		return
 	}
-	if r := w.members[n.name]; r == nil || r.incarnation != n.incarnation || r.down {
-		w.members[n.name] = &memberRecord{incarnation: n.incarnation, since: w.now}
-		w.broadcast()
+	if r := sim.members[n.name]; r == nil || r.incarnation != n.incarnation || r.down {
+		sim.members[n.name] = &memberRecord{incarnation: n.incarnation, since: sim.now}
+		sim.broadcast()
 	}
 }
 
-func (w *simulation) membershipDelay() Time {
-	return time.Duration(20+w.rng.IntN(200)) * time.Millisecond
+func (sim *simulation) membershipDelay() Time {
+	return time.Duration(20+sim.rng.IntN(200)) * time.Millisecond
 }
 
-func (w *simulation) liveMembers() []Member {
+func (sim *simulation) liveMembers() []Member {
 	var members []Member
-	for _, name := range w.names {
-		if r := w.members[name]; r != nil && !r.down {
+	for _, name := range sim.names {
+		if r := sim.members[name]; r != nil && !r.down {
 			members = append(members, Member{Node: name, Incarnation: r.incarnation})
 		}
 	}
 	return members
 }
 
-func (w *simulation) broadcast() {
-	for _, name := range w.names {
-		if n := w.nodes[name]; n != nil {
-			w.schedule(w.membershipDelay(), func() { w.publishMembers(n) })
+func (sim *simulation) broadcast() {
+	for _, name := range sim.names {
+		if n := sim.nodes[name]; n != nil {
+			sim.schedule(sim.membershipDelay(), func() { sim.publishMembers(n) })
 		}
 	}
 }
 
-// publishMembers gives a node the members as they are now, and learns from it whether it is called down.
-func (w *simulation) publishMembers(n *simNode) {
-	if w.nodes[n.name] != n {
+// publishMembers gives a node the present membership list; where the node finds itself down, it registers again.
+func (sim *simulation) publishMembers(n *simNode) {
+	if sim.nodes[n.name] != n {
 		return
 	}
-	w.deliver(n, func() { n.detector.SetMembers(w.now, w.liveMembers()) })
-	if r := w.members[n.name]; r != nil && r.down {
-		w.schedule(w.membershipDelay(), func() { w.register(n) })
+	sim.deliver(n, func() { n.detector.SetMembers(sim.now, sim.liveMembers()) })
+	if r := sim.members[n.name]; r != nil && r.down {
+		sim.schedule(sim.membershipDelay(), func() { sim.register(n) })
 	}
 }
 
-// deliver hands something to a process, which takes it when it runs.
-func (w *simulation) deliver(n *simNode, run func()) {
+// deliver gives an input to a process, which handles it once it runs.
+func (sim *simulation) deliver(n *simNode, run func()) {
 	switch {
 	case !n.alive:
 	case n.frozen:
@@ -175,32 +182,33 @@
 		}
 	default:
 		run()
-		w.processReady(n)
+		sim.processReady(n)
 	}
 }
 
-func (w *simulation) networkDelay() Time {
-	if w.interRegion {
-		return time.Duration(20+w.rng.IntN(45)) * time.Millisecond
+func (sim *simulation) networkDelay() Time {
+	if sim.interRegion {
+		return time.Duration(20+sim.rng.IntN(45)) * time.Millisecond
 	}
-	return time.Duration(300+w.rng.IntN(1000)) * time.Microsecond
+	return time.Duration(300+sim.rng.IntN(1000)) * time.Microsecond
 }
 
-func (w *simulation) dropsPacket() bool { return w.rng.Float64() < w.loss }
+func (sim *simulation) dropsPacket() bool { return sim.rng.Float64() < sim.loss }
 
-// dropsAnyOf tells whether one of n packets is lost.
-func (w *simulation) dropsAnyOf(n int) bool {
+// dropsAnyOf reports whether one of n packets is lost.
+func (sim *simulation) dropsAnyOf(n int) bool {
 	lost := false
 	for range n {
-		lost = w.dropsPacket() || lost
+		lost = sim.dropsPacket() || lost
 	}
 	return lost
 }
 
-func (w *simulation) processReady(sender *simNode) {
+// processReady does what a detector wants done.
+func (sim *simulation) processReady(sender *simNode) {
 	out := sender.detector.Ready()
-	if w.onOutput != nil {
-		w.onOutput(sender, &out)
+	if sim.onOutput != nil {
+		sim.onOutput(sender, &out)
 	}
 	if out.Resumed {
 		sender.resumed++
@@ -208,44 +216,41 @@
 	for _, e := range out.Send {
 		m, err := Decode(e.Message.Append(nil))
 		if err != nil {
-			w.t.Fatalf("%+v: %v", e.Message, err)
+			sim.t.Fatalf("%+v: %v", e.Message, err)
 		}
-		if w.partitioned[[2]string{sender.name, e.To}] || w.dropsPacket() {
+		if sim.partitioned[networkPath{sender.name, e.To}] || sim.dropsPacket() {
 			continue
 		}
-		w.schedule(w.networkDelay(), func() {
-			if to := w.nodes[e.To]; to != nil {
-				w.deliver(to, func() { to.detector.Receive(w.now, m) })
+		sim.schedule(sim.networkDelay(), func() {
+			if to := sim.nodes[e.To]; to != nil {
+				sim.deliver(to, func() { to.detector.Receive(sim.now, m) })
 			}
 		})
 	}
 	for _, node := range out.Probe {
-		w.probe(sender, node)
+		sim.probe(sender, node)
 	}
 	for _, v := range out.Verdicts {
-		w.verdict(sender, v)
+		sim.verdict(sender, v)
 	}
 }
 
 // probe models a fresh TCP connection: a lost first packet costs more time than there is, a later one some of it.
-func (w *simulation) probe(prober *simNode, node string) {
-	timeout := w.options.withDefaults().ProbeTimeout
-	took, asked := 4*w.networkDelay(), w.now
-	if w.dropsAnyOf(2) {
+func (sim *simulation) probe(prober *simNode, node string) {
+	timeout := sim.options.withDefaults().ProbeTimeout
+	took, asked := 4*sim.networkDelay(), sim.now
+	if sim.dropsAnyOf(2) {
 		took = timeout
 	}
-	if w.dropsAnyOf(2) {
+	if sim.dropsAnyOf(2) {
 		took += 250 * time.Millisecond
 	}
-	open := func() bool {
-		return !w.partitioned[[2]string{prober.name, node}] && !w.partitioned[[2]string{node, prober.name}]
-	}
-	w.schedule(min(took, timeout), func() {
-		to := w.nodes[node]
-		ok := took < timeout && open() && to != nil && to.alive && !to.frozen
+	sim.schedule(min(took, timeout), func() {
+		to := sim.nodes[node]
+		ok := took < timeout && sim.connects(prober.name, node) && to != nil && to.alive && !to.frozen
 		if !ok && (to == nil || to.alive) && took < timeout {
 			// Nothing refuses the connection, so only time ends it.
-			w.schedule(timeout-took, func() { w.deliver(prober, func() { prober.detector.ProbeResult(w.now, asked, node, 0, false) }) })
+			sim.schedule(timeout-took, func() { sim.deliver(prober, func() { prober.detector.ProbeResult(sim.now, asked, node, 0, false) }) })
 			return
 		}
 		var incarnation uint64
@@ -255,79 +260,94 @@
 		if ok {
 			incarnation = to.incarnation
 		}
-		w.deliver(prober, func() { prober.detector.ProbeResult(w.now, asked, node, incarnation, ok) })
+		sim.deliver(prober, func() { prober.detector.ProbeResult(sim.now, asked, node, incarnation, ok) })
 	})
 }
 
-func (w *simulation) verdict(by *simNode, verdict Verdict) {
-	if !by.detector.Connected(w.now) && verdict.Down {
-		w.disconnected++
-	}
-	to := w.nodes[verdict.Node]
+// connects reports whether packets pass between two nodes in both directions.
+func (sim *simulation) connects(a, b string) bool {
+	return !sim.partitioned[networkPath{a, b}] && !sim.partitioned[networkPath{b, a}]
+}
+
+// verdict applies a verdict of a watcher: late, and only where it names the process in the membership list.
+func (sim *simulation) verdict(watcher *simNode, verdict Verdict) {
 	if verdict.Down {
-		key := fmt.Sprint(verdict.Node, "/", verdict.Incarnation)
-		if w.verdicts[key] == nil {
-			w.verdicts[key] = map[string]Time{}
-		}
-		if _, ok := w.verdicts[key][by.name]; !ok {
-			w.verdicts[key][by.name] = w.now
-		}
-		if to.alive && !to.frozen && to.incarnation == verdict.Incarnation &&
-			w.now-max(to.lastFault, w.calmSince) > w.options.withDefaults().SuspectTimeout {
-			w.wrongVerdicts = append(w.wrongVerdicts, fmt.Sprintf("%v: %s called %s down", w.now, by.name, verdict.Node))
-		}
+		sim.recordVerdict(watcher, verdict)
 	}
-	w.schedule(w.membershipDelay(), func() {
-		if r := w.members[verdict.Node]; verdict.Down && r != nil && r.incarnation == verdict.Incarnation && !r.down {
-			r.down, r.since = true, w.now
-			w.broadcast()
+	sim.schedule(sim.membershipDelay(), func() {
+		if r := sim.members[verdict.Node]; verdict.Down && r != nil && r.incarnation == verdict.Incarnation && !r.down {
+			r.down, r.since = true, sim.now
+			sim.broadcast()
 		}
 	})
 }
 
-func (w *simulation) kill(name string) { w.nodes[name].alive = false }
+// recordVerdict records the first verdict of a watcher on a process, and whether it is wrong.
+func (sim *simulation) recordVerdict(watcher *simNode, verdict Verdict) {
+	if !watcher.detector.Connected(sim.now) {
+		sim.disconnected++
+	}
+	key := fmt.Sprint(verdict.Node, "/", verdict.Incarnation)
+	if sim.verdicts[key] == nil {
+		sim.verdicts[key] = map[string]Time{}
+	}
+	if _, ok := sim.verdicts[key][watcher.name]; !ok {
+		sim.verdicts[key][watcher.name] = sim.now
+	}
+	if sim.isReachable(sim.nodes[verdict.Node], verdict.Incarnation) {
+		sim.wrongVerdicts = append(sim.wrongVerdicts, fmt.Sprintf("%v: %s called %s down", sim.now, watcher.name, verdict.Node))
+	}
+}
+
+// isReachable reports whether a process runs and has had no fault for so long that no verdict on it is excused.
+func (sim *simulation) isReachable(n *simNode, incarnation uint64) bool {
+	runs := n.alive && !n.frozen && n.incarnation == incarnation
+	return runs && sim.now-max(n.lastFault, sim.calmSince) > sim.options.withDefaults().SuspectTimeout
+}
+
+func (sim *simulation) kill(name string) { sim.nodes[name].alive = false }
 
-func (w *simulation) freeze(name string) { w.nodes[name].frozen = true }
+func (sim *simulation) freeze(name string) { sim.nodes[name].frozen = true }
 
-func (w *simulation) thaw(name string) {
-	n := w.nodes[name]
-	n.frozen, n.lastFault = false, w.now
+func (sim *simulation) thaw(name string) {
+	n := sim.nodes[name]
+	n.frozen, n.lastFault = false, sim.now
 	// Which of the process's threads runs first is open: that of its timers, or one that reads.
-	inbox := append(n.inbox, func() { n.detector.Tick(w.now) })
+	inbox := append(slices.Clone(n.inbox), func() { n.detector.Tick(sim.now) })
 	n.inbox = nil
-	w.rng.Shuffle(len(inbox), func(a, b int) { inbox[a], inbox[b] = inbox[b], inbox[a] })
+	sim.rng.Shuffle(len(inbox), func(a, b int) { inbox[a], inbox[b] = inbox[b], inbox[a] })
 	for _, run := range inbox {
-		w.deliver(n, run)
+		sim.deliver(n, run)
 	}
-	w.schedule(w.membershipDelay(), func() { w.publishMembers(n) })
+	sim.schedule(sim.membershipDelay(), func() { sim.publishMembers(n) })
 }
 
-func (w *simulation) setPartitioned(a, b string, on bool) {
+func (sim *simulation) setPartitioned(a, b string, on bool) {
 	if on {
-		w.partitioned[[2]string{a, b}] = true
+		sim.partitioned[networkPath{a, b}] = true
 	} else {
-		delete(w.partitioned, [2]string{a, b})
+		delete(sim.partitioned, networkPath{a, b})
 	}
 }
 
-// checkCalm checks what must hold once faults have ended and the world has run on: everybody that lives is counted
+// checkCalm checks what must hold once faults have ended and some time has passed: everybody that lives is counted
 // live, and nobody else.
-func (w *simulation) checkCalm() {
-	w.t.Helper()
-	for _, name := range w.names {
-		n, r := w.nodes[name], w.members[name]
+func (sim *simulation) checkCalm() {
+	sim.t.Helper()
+	for _, name := range sim.names {
+		n, r := sim.nodes[name], sim.members[name]
 		switch {
 		case n.alive && (r.down || r.incarnation != n.incarnation):
-			w.t.Errorf("%s lives and is counted down since %v", name, r.since)
+			sim.t.Errorf("%s lives and is counted down since %v", name, r.since)
 		case !n.alive && !r.down:
-			w.t.Errorf("%s is dead and is counted live", name)
+			sim.t.Errorf("%s is dead and is counted live", name)
 		}
 	}
-	for _, wrong := range w.wrongVerdicts {
-		w.t.Errorf("wrong: %s", wrong)
+	for _, wrong := range sim.wrongVerdicts {
+		sim.t.Errorf("wrong: %s", wrong)
 	}
-	if w.disconnected > 0 {
-		w.t.Errorf("%d verdicts of nodes that were not connected", w.disconnected)
+	if sim.disconnected > 0 {
+		sim.t.Errorf("%d verdicts of nodes that were not connected", sim.disconnected)
 	}
 }
 
@@ -339,10 +359,10 @@
 	return 6
 }
 
-func (w *simulation) randomNode() string { return w.names[w.rng.IntN(len(w.names))] }
+func (sim *simulation) randomNode() string { return sim.names[sim.rng.IntN(len(sim.names))] }
 
 // watchersOf names those that watched a node while all were live.
-func (w *simulation) watchersOf(name string) []string { return Watchers(name, w.names, 3) }
+func (sim *simulation) watchersOf(name string) []string { return Watchers(name, sim.names, 3) }
 
 func sortStrings(list []string) []string {
 	slices.Sort(list)
--- a/internal/system/failuredetector/stale_test.go
+++ b/internal/system/failuredetector/stale_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// tickUntilIndirectPing is a detector of node a that watches b, has heard it once, and is asked to tick until it puts a question about
-// it. It gives the time, the question and whom it went to.
+// tickUntilIndirectPing has a detector of node a watch b, gives it one sign of life of b, and ticks until it sends an indirect ping
+// about b. It returns the time, the ping and its recipient.
 func tickUntilIndirectPing(t *testing.T, d *Detector) (now Time, ask Envelope) {
 	t.Helper()
 	d.SetMembers(0, []Member{{Node: "a", Incarnation: 1}, {Node: "b", Incarnation: 2}, {Node: "c", Incarnation: 3}})
@@ -23,8 +23,8 @@
 	return 0, Envelope{}
 }
 
-// answers hands the detector an answer to the question after a wait in which it ticks, and tells whether it then believes
-// that b was heard and that it is connected itself.
+// replyAfter gives a detector the reply to an indirect ping after a wait in which it ticks, and returns whether the reply counts
+// as contact with b, and whether the detector is connected.
 func replyAfter(t *testing.T, wait time.Duration, anyAnswer bool) (heard, connected bool) {
 	t.Helper()
 	d := NewDetector(Options{Self: "a", Incarnation: 1, knobs: TestingKnobs{AcceptStaleReplies: anyAnswer}})
@@ -37,8 +37,8 @@
 	return d.watched["b"].lastContact > before, d.Connected(now)
 }
 
-// TestStaleRepliesAreIgnored: an answer that comes 20 s after its question says neither that a node was heard nor that this one
-// is connected, though this process was not paused. Danger: a cut that ends hands over old answers, and a dead node lives on.
+// TestStaleRepliesAreIgnored: a reply that comes 20 s after its ping is neither contact with a node nor makes this one connected,
+// though this process was not paused. Danger: when a partition heals, old replies arrive, and a dead node stays live.
 func TestStaleRepliesAreIgnored(t *testing.T) {
 	if heard, connected := replyAfter(t, 100*time.Millisecond, false); !heard || !connected {
 		t.Errorf("in time: heard %v, connected %v", heard, connected)
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestReplyToFormerIncarnationIsIgnored: an answer to what the former process at this address asked is none to this one.
+// TestReplyToFormerIncarnationIsIgnored: a reply to a ping of the former process at this address is none to this one.
 func TestReplyToFormerIncarnationIsIgnored(t *testing.T) {
 	_, ask := tickUntilIndirectPing(t, NewDetector(Options{Self: "a", Incarnation: 1}))
 	next := NewDetector(Options{Self: "a", Incarnation: 9})
@@ -62,7 +62,7 @@
 	}
 }
 
-// TestIndirectAckIsDatedByItsPing: an answer counts from when it was asked for, since it may have been under way since.
+// TestIndirectAckIsDatedByItsPing: a reply counts from when its ping was sent, since it may have been under way since.
 func TestIndirectAckIsDatedByItsPing(t *testing.T) {
 	d := NewDetector(Options{Self: "a", Incarnation: 1})
 	now, ask := tickUntilIndirectPing(t, d)
@@ -73,7 +73,7 @@
 	}
 }
 
-// TestStaleProbeResultIsIgnored: an answer over the second path that was read long after it was asked for says nothing of now.
+// TestStaleProbeResultIsIgnored: a response over the second path that was read long after its request says nothing about now.
 func TestStaleProbeResultIsIgnored(t *testing.T) {
 	for _, late := range []time.Duration{100 * time.Millisecond, 20 * time.Second} {
 		d := NewDetector(Options{Self: "a", Incarnation: 1})
