--- a/internal/system/ownership/fence.go
+++ b/internal/system/ownership/assignment.go
@@ -41,7 +41,7 @@
 }
 
 // Owns tells whether this node holds key, and the fence that it must send with everything that it does for it.
-func (f *Assignment) Owns(key string) (fence uint64, holds bool) {
+func (f *Assignment) Owns(key string) (fence uint64, owns bool) {
 	node, fence := f.Owner(key)
 	return fence, node == f.self && fence > 0
 }
@@ -54,10 +54,10 @@
 
 // Next tells whether to act now, and how long to wait until the next look: from the start of what is done now, or from
 // now. age is that of the newest work, whoever did it; random lies in [0, 1) and differs from node to node.
-func (s Standby) Next(holds bool, age time.Duration, random float64) (act bool, wait time.Duration) {
+func (s Standby) Next(owns bool, age time.Duration, random float64) (act bool, wait time.Duration) {
 	jitter := time.Duration(random * float64(s.Interval))
 	switch {
-	case holds:
+	case owns:
 		return true, s.Interval
 	case age < s.After:
 		return false, s.Interval/2 + jitter
--- a/internal/system/ownership/ownership_test.go
+++ b/internal/system/ownership/ownership_test.go
@@ -10,26 +10,26 @@
 	"pgregory.net/rapid"
 )
 
-func nodes() *rapid.Generator[[]string] {
+func drawNodes() *rapid.Generator[[]string] {
 	return rapid.Custom(func(t *rapid.T) []string {
 		return rapid.SliceOfNDistinct(rapid.StringMatching(`[a-z0-9.-]{1,12}`), 1, 30, rapid.ID).Draw(t, "nodes")
 	})
 }
 
-func TestHoldersAgree(t *testing.T) {
+func TestOwnersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		live := nodes().Draw(t, "live")
+		live := drawNodes().Draw(t, "live")
 		key := rapid.String().Draw(t, "key")
-		k := rapid.IntRange(0, 8).Draw(t, "k")
-		want := Owners(key, live, k)
-		if len(want) != min(k, len(live)) {
-			t.Fatalf("%d holders of %d live, want %d", len(want), len(live), k)
+		count := rapid.IntRange(0, 8).Draw(t, "k")
+		want := Owners(key, live, count)
+		if len(want) != min(count, len(live)) {
+			t.Fatalf("%d holders of %d live, want %d", len(want), len(live), count)
 		}
 		other := rapid.Permutation(live).Draw(t, "other order")
-		if got := Owners(key, append(other, other[0]), k); !slices.Equal(got, want) {
+		if got := Owners(key, append(other, other[0]), count); !slices.Equal(got, want) {
 			t.Fatalf("holders %v and, in another order, %v", want, got)
 		}
-		if k > 0 && Owner(key, other) != want[0] {
+		if count > 0 && Owner(key, other) != want[0] {
 			t.Fatalf("holder %q, the first of the holders %q", Owner(key, other), want[0])
 		}
 		// The order is that of all weights: fewer holders are the first of more.
@@ -39,18 +39,18 @@
 	})
 }
 
-func TestNodeThatGoesMovesOnlyItsKeys(t *testing.T) {
+func TestRemovedNodeMovesOnlyItsKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		live := nodes().Draw(t, "live")
-		gone := rapid.SampledFrom(live).Draw(t, "gone")
-		left := slices.DeleteFunc(slices.Clone(live), func(n string) bool { return n == gone })
-		k := rapid.IntRange(1, 5).Draw(t, "k")
+		live := drawNodes().Draw(t, "live")
+		removed := rapid.SampledFrom(live).Draw(t, "gone")
+		left := slices.DeleteFunc(slices.Clone(live), func(n string) bool { return n == removed })
+		count := rapid.IntRange(1, 5).Draw(t, "k")
 		for n := range 50 {
 			key := fmt.Sprint("key", n)
-			before, after := Owners(key, live, k), Owners(key, left, k)
-			remaining := slices.DeleteFunc(slices.Clone(before), func(n string) bool { return n == gone })
+			before, after := Owners(key, live, count), Owners(key, left, count)
+			remaining := slices.DeleteFunc(slices.Clone(before), func(n string) bool { return n == removed })
 			if len(remaining) == len(before) && !slices.Equal(before, after) || !slices.Equal(after[:len(remaining)], remaining) {
-				t.Fatalf("key %s: %v before, %v after %s went", key, before, after, gone)
+				t.Fatalf("key %s: %v before, %v after %s went", key, before, after, removed)
 			}
 		}
 	})
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestNoHolder(t *testing.T) {
+func TestNoOwner(t *testing.T) {
 	if got := Owner("key", nil); got != "" {
 		t.Errorf("Holder = %q", got)
 	}
@@ -85,25 +85,25 @@
 	}
 }
 
-func TestFenceNeverGoesBack(t *testing.T) {
+func TestFencingTokenNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := NewAssignment("a")
+		assignment := NewAssignment("a")
 		var highest uint64
 		live := map[uint64][]string{}
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			epoch := rapid.Uint64Range(0, 10).Draw(t, "epoch")
-			told := nodes().Draw(t, "live")
-			if took := f.Update(epoch, told); took != (epoch > highest) {
+			told := drawNodes().Draw(t, "live")
+			if took := assignment.Update(epoch, told); took != (epoch > highest) {
 				t.Fatalf("epoch %d after %d: taken %v", epoch, highest, took)
 			}
 			if epoch > highest {
 				highest, live[epoch] = epoch, told
 			}
-			node, fence := f.Owner("key")
+			node, fence := assignment.Owner("key")
 			if fence != highest || node != Owner("key", live[highest]) {
 				t.Fatalf("holder %q under %d, want that of epoch %d", node, fence, highest)
 			}
-			if _, holds := f.Owns("key"); holds != (node == "a") {
+			if _, holds := assignment.Owns("key"); holds != (node == "a") {
 				t.Fatalf("holds = %v, the holder is %q", holds, node)
 			}
 		}
@@ -154,7 +154,7 @@
 }
 
 func TestStandby(t *testing.T) {
-	s := Standby{Interval: 500 * time.Millisecond, After: 2 * time.Second}
+	standby := Standby{Interval: 500 * time.Millisecond, After: 2 * time.Second}
 	tests := []struct {
 		holds  bool
 		age    time.Duration
@@ -169,14 +169,14 @@
 		{false, 2 * time.Second, 0, true, time.Second},
 		{false, time.Hour, 0.5, true, 1250 * time.Millisecond},
 	}
-	for _, tt := range tests {
-		if act, wait := s.Next(tt.holds, tt.age, tt.random); act != tt.act || wait != tt.wait {
-			t.Errorf("Next(%v, %v, %v) = %v, %v; want %v, %v", tt.holds, tt.age, tt.random, act, wait, tt.act, tt.wait)
+	for _, test := range tests {
+		if act, wait := standby.Next(test.holds, test.age, test.random); act != test.act || wait != test.wait {
+			t.Errorf("Next(%v, %v, %v) = %v, %v; want %v, %v", test.holds, test.age, test.random, act, wait, test.act, test.wait)
 		}
 	}
 }
 
-func BenchmarkHolders(b *testing.B) {
+func BenchmarkOwners(b *testing.B) {
 	live := make([]string, 410)
 	for n := range live {
 		live[n] = fmt.Sprintf("10.0.%d.%d", n/250, n%250+1)
@@ -187,16 +187,16 @@
 	}
 }
 
-func TestAmong(t *testing.T) {
+func TestIsOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		live := nodes().Draw(t, "live")
+		live := drawNodes().Draw(t, "live")
 		key := rapid.String().Draw(t, "key")
 		except := rapid.SampledFrom(append([]string{""}, live...)).Draw(t, "except")
 		node := rapid.SampledFrom(live).Draw(t, "node")
-		k := rapid.IntRange(0, 5).Draw(t, "k")
+		count := rapid.IntRange(0, 5).Draw(t, "k")
 		left := slices.DeleteFunc(slices.Clone(live), func(n string) bool { return n == except })
-		want := slices.Contains(Owners(key, left, k), node)
-		if got := NewNodes(live).IsOwner(key, node, except, k); got != want {
+		want := slices.Contains(Owners(key, left, count), node)
+		if got := NewNodes(live).IsOwner(key, node, except, count); got != want {
 			t.Fatalf("Among = %v, want %v", got, want)
 		}
 	})
--- a/internal/system/ownership/rendezvous.go
+++ b/internal/system/ownership/rendezvous.go
@@ -14,29 +14,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// mix spreads every bit of x over the whole word (the finalizer of SplitMix64).
-func mix(x uint64) uint64 {
+// mixBits spreads every bit of x over the whole word (the finalizer of SplitMix64).
+func mixBits(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// weigh gives the weight of a node for a key, each told by its hash. Both are mixed before they meet, so that nodes
+// weight gives the weight of a node for a key, each told by its hash. Both are mixed before they meet, so that nodes
 // whose hashes are alike in some bits do not rank alike for many keys.
-func weigh(key, node uint64) uint64 { return mix(mix(key) + bits.RotateLeft64(mix(node), 17)) }
+func weight(key, node uint64) uint64 { return mixBits(mixBits(key) + bits.RotateLeft64(mixBits(node), 17)) }
 
 // Owner names the node of the highest weight for key among the live, whose order does not matter: whoever counts the
 // same nodes live names the same one. It is empty where none is live.
 func Owner(key string, live []string) string {
 	var (
 		best   string
-		weight uint64
-		k      = xxhash.Sum64String(key)
+		bestWeight uint64
+		keyHash      = xxhash.Sum64String(key)
 	)
 	for n, node := range live {
-		w := weigh(k, xxhash.Sum64String(node))
-		if n == 0 || w > weight || w == weight && node < best {
-			best, weight = node, w
+		candidate := weight(keyHash, xxhash.Sum64String(node))
+		if n == 0 || candidate > bestWeight || candidate == bestWeight && node < best {
+			best, bestWeight = node, candidate
 		}
 	}
 	return best
@@ -44,8 +44,8 @@
 
 // Owners names the k nodes of the highest weights, the highest first, or all where fewer are live. The first is
 // Holder's. A node that comes or goes changes at most one place of any key.
-func Owners(key string, live []string, k int) []string {
-	if k <= 0 {
+func Owners(key string, live []string, count int) []string {
+	if count <= 0 {
 		return nil
 	}
 	type ranked struct {
@@ -56,23 +56,23 @@
 		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.node, b.node))
 	}
 	// k is small beside the live: an insertion into a short sorted list does it without sorting them all.
-	top := make([]ranked, 0, min(k, len(live))+1)
-	h := xxhash.Sum64String(key)
+	top := make([]ranked, 0, min(count, len(live))+1)
+	keyHash := xxhash.Sum64String(key)
 	for _, node := range live {
-		r := ranked{node, weigh(h, xxhash.Sum64String(node))}
-		if len(top) == k && less(r, top[k-1]) >= 0 {
+		candidate := ranked{node, weight(keyHash, xxhash.Sum64String(node))}
+		if len(top) == count && less(candidate, top[count-1]) >= 0 {
 			continue
 		}
-		at, found := slices.BinarySearchFunc(top, r, less)
+		at, found := slices.BinarySearchFunc(top, candidate, less)
 		if found {
 			continue // told twice
 		}
-		top = slices.Insert(top, at, r)
-		top = top[:min(len(top), k)]
+		top = slices.Insert(top, at, candidate)
+		top = top[:min(len(top), count)]
 	}
 	nodes := make([]string, len(top))
-	for n, r := range top {
-		nodes[n] = r.node
+	for n, candidate := range top {
+		nodes[n] = candidate.node
 	}
 	return nodes
 }
@@ -85,28 +85,28 @@
 
 // NewNodes hashes the live nodes, each of which is told once.
 func NewNodes(live []string) *Nodes {
-	n := &Nodes{names: live, hashes: make([]uint64, len(live))}
+	nodes := &Nodes{names: live, hashes: make([]uint64, len(live))}
 	for i, name := range live {
-		n.hashes[i] = xxhash.Sum64String(name)
+		nodes.hashes[i] = xxhash.Sum64String(name)
 	}
-	return n
+	return nodes
 }
 
 // IsOwner tells whether node, one of the live, is one of Holders(key, live without except, k). It is faster than to name
 // them all.
-func (n *Nodes) IsOwner(key, node, except string, k int) bool {
-	if k <= 0 || node == except {
+func (n *Nodes) IsOwner(key, node, except string, count int) bool {
+	if count <= 0 || node == except {
 		return false
 	}
-	h := xxhash.Sum64String(key)
-	own := weigh(h, xxhash.Sum64String(node))
-	before := 0
+	keyHash := xxhash.Sum64String(key)
+	ownWeight := weight(keyHash, xxhash.Sum64String(node))
+	higher := 0
 	for i, name := range n.names {
-		w := weigh(h, n.hashes[i])
-		if w < own || name == except || name == node || w == own && name > node {
+		other := weight(keyHash, n.hashes[i])
+		if other < ownWeight || name == except || name == node || other == ownWeight && name > node {
 			continue
 		}
-		if before++; before == k {
+		if higher++; higher == count {
 			return false
 		}
 	}
