--- a/internal/system/ownership/ownership_test.go
+++ b/internal/system/ownership/ownership_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"math/rand/v2"
 	"slices"
 	"testing"
@@ -23,18 +24,18 @@
 		count := rapid.IntRange(0, 8).Draw(t, "k")
 		want := Owners(key, live, count)
 		if len(want) != min(count, len(live)) {
-			t.Fatalf("%d holders of %d live, want %d", len(want), len(live), count)
+			t.Fatalf("%d owners of %d live, want %d", len(want), len(live), count)
 		}
 		other := rapid.Permutation(live).Draw(t, "other order")
 		if got := Owners(key, append(other, other[0]), count); !slices.Equal(got, want) {
-			t.Fatalf("holders %v and, in another order, %v", want, got)
+			t.Fatalf("owners %v and, in another order, %v", want, got)
 		}
 		if count > 0 && Owner(key, other) != want[0] {
-			t.Fatalf("holder %q, the first of the holders %q", Owner(key, other), want[0])
+			t.Fatalf("owner %q, the first of the owners %q", Owner(key, other), want[0])
 		}
-		// The order is that of all weights: fewer holders are the first of more.
+		// The order is that of all weights: fewer owners are the first of more.
 		if all := Owners(key, live, len(live)); !slices.Equal(all[:len(want)], want) {
-			t.Fatalf("holders %v of %v", want, all)
+			t.Fatalf("owners %v of %v", want, all)
 		}
 	})
 }
@@ -68,20 +69,20 @@
 	}
 	for node, n := range count {
 		if n < 850 || n > 1150 {
-			t.Errorf("%s holds %d of %d keys, want about %d", node, n, keys, keys/len(live))
+			t.Errorf("%s owns %d of %d keys, want about %d", node, n, keys, keys/len(live))
 		}
 	}
 }
 
 func TestNoOwner(t *testing.T) {
 	if got := Owner("key", nil); got != "" {
-		t.Errorf("Holder = %q", got)
+		t.Errorf("Owner = %q", got)
 	}
 	if got := Owners("key", nil, 3); len(got) != 0 {
-		t.Errorf("Holders = %q", got)
+		t.Errorf("Owners = %q", got)
 	}
 	if fence, holds := NewAssignment("").Owns("key"); holds || fence != 0 {
-		t.Errorf("Holds = %d, %v before any membership", fence, holds)
+		t.Errorf("Owns = %d, %v before any membership", fence, holds)
 	}
 }
 
@@ -92,33 +93,33 @@
 		live := map[uint64][]string{}
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			epoch := rapid.Uint64Range(0, 10).Draw(t, "epoch")
-			told := drawNodes().Draw(t, "live")
-			if took := assignment.Update(epoch, told); took != (epoch > highest) {
+			members := drawNodes().Draw(t, "live")
+			if took := assignment.Update(epoch, members); took != (epoch > highest) {
 				t.Fatalf("epoch %d after %d: taken %v", epoch, highest, took)
 			}
 			if epoch > highest {
-				highest, live[epoch] = epoch, told
+				highest, live[epoch] = epoch, members
 			}
 			node, fence := assignment.Owner("key")
 			if fence != highest || node != Owner("key", live[highest]) {
-				t.Fatalf("holder %q under %d, want that of epoch %d", node, fence, highest)
+				t.Fatalf("owner %q under %d, want that of epoch %d", node, fence, highest)
 			}
 			if _, holds := assignment.Owns("key"); holds != (node == "a") {
-				t.Fatalf("holds = %v, the holder is %q", holds, node)
+				t.Fatalf("owns = %v, the owner is %q", holds, node)
 			}
 		}
 	})
 }
 
-// Nodes learn of views late and out of step, and some are told nothing for long. At most one node acts under each epoch that is
-// still believed in, and it is the holder that the view of that epoch names.
+// TestNodesWithDifferingViews: nodes learn of views late and out of step, and some learn nothing for long. At most one node acts
+// under each epoch that is still current somewhere, and it is the owner that the view of that epoch names.
 func TestNodesWithDifferingViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		names := []string{"k1", "k2", "k3", "k4", "k5", "k6"}
-		fences := map[string]*Assignment{}
+		assignments := map[string]*Assignment{}
 		for _, n := range names {
-			fences[n] = NewAssignment(n)
+			assignments[n] = NewAssignment(n)
 		}
 		views := [][]string{nil, names}
 		for range 200 {
@@ -127,32 +128,36 @@
 				r.Shuffle(len(view), func(a, b int) { view[a], view[b] = view[b], view[a] })
 				views = append(views, view[:1+r.IntN(len(view))])
 			}
-			heard := names[r.IntN(len(names))]
+			updated := names[r.IntN(len(names))]
 			epoch := 1 + r.IntN(len(views)-1)
-			fences[heard].Update(uint64(epoch), views[epoch])
-
-			acting, believed := map[uint64]string{}, map[uint64]bool{}
-			for _, n := range names {
-				fence, holds := fences[n].Owns("list")
-				believed[fence] = true
-				if !holds {
-					continue
-				}
-				if other, ok := acting[fence]; ok {
-					t.Fatalf("%s and %s act under fence %d", other, n, fence)
-				}
-				acting[fence] = n
-				if want := Owner("list", views[fence]); n != want {
-					t.Fatalf("%s acts under fence %d, whose view names %s", n, fence, want)
-				}
-			}
-			if len(acting) > len(believed) {
-				t.Fatalf("%d nodes act, %d views are believed in", len(acting), len(believed))
-			}
+			assignments[updated].Update(uint64(epoch), views[epoch])
+			checkOwnersOfViews(t, assignments, views)
 		}
 	})
 }
 
+// checkOwnersOfViews checks that one node at most acts under each token, the owner in the view of that epoch.
+func checkOwnersOfViews(t *rapid.T, assignments map[string]*Assignment, views [][]string) {
+	acting, current := map[uint64]string{}, map[uint64]bool{}
+	for _, node := range slices.Sorted(maps.Keys(assignments)) {
+		token, owns := assignments[node].Owns("list")
+		current[token] = true
+		if !owns {
+			continue
+		}
+		if other, ok := acting[token]; ok {
+			t.Fatalf("%s and %s act under token %d", other, node, token)
+		}
+		acting[token] = node
+		if want := Owner("list", views[token]); node != want {
+			t.Fatalf("%s acts under token %d, whose view names %s", node, token, want)
+		}
+	}
+	if len(acting) > len(current) {
+		t.Fatalf("%d nodes act, %d views are current", len(acting), len(current))
+	}
+}
+
 func TestStandby(t *testing.T) {
 	standby := Standby{Interval: 500 * time.Millisecond, After: 2 * time.Second}
 	tests := []struct {
@@ -197,7 +202,7 @@
 		left := slices.DeleteFunc(slices.Clone(live), func(n string) bool { return n == except })
 		want := slices.Contains(Owners(key, left, count), node)
 		if got := NewNodes(live).IsOwner(key, node, except, count); got != want {
-			t.Fatalf("Among = %v, want %v", got, want)
+			t.Fatalf("IsOwner = %v, want %v", got, want)
 		}
 	})
 }
