--- a/internal/system/ownership/rendezvous.go
+++ b/internal/system/ownership/rendezvous.go
@@ -45,12 +45,15 @@
 	weight uint64
 }
 
-// newCandidate weighs a node for a key.
-func newCandidate(keyHash uint64, node string) candidate {
-	return candidate{node, weight(keyHash, xxhash.Sum64String(node))}
+// ranksBefore orders candidates by falling weight, those of one weight by name.
+func (c candidate) ranksBefore(other candidate) bool {
+	if c.weight != other.weight {
+		return c.weight > other.weight
+	}
+	return c.node < other.node
 }
 
-// compareCandidates orders candidates by falling weight, those of one weight by name.
+// compareCandidates is the order of ranksBefore as a comparison.
 func compareCandidates(a, b candidate) int {
 	return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.node, b.node))
 }
@@ -60,8 +63,8 @@
 	keyHash := xxhash.Sum64String(key)
 	var best candidate
 	for i, node := range live {
-		other := newCandidate(keyHash, node)
-		if i == 0 || compareCandidates(other, best) < 0 {
+		other := candidate{node, weight(keyHash, xxhash.Sum64String(node))}
+		if i == 0 || other.ranksBefore(best) {
 			best = other
 		}
 	}
@@ -78,8 +81,8 @@
 	// The count is small beside the live nodes: insertion into a short sorted list avoids sorting them all.
 	top := make([]candidate, 0, min(count, len(live))+1)
 	for _, node := range live {
-		other := newCandidate(keyHash, node)
-		if len(top) == count && compareCandidates(other, top[count-1]) >= 0 {
+		other := candidate{node, weight(keyHash, xxhash.Sum64String(node))}
+		if len(top) == count && !other.ranksBefore(top[count-1]) {
 			continue
 		}
 		at, duplicate := slices.BinarySearchFunc(top, other, compareCandidates)
@@ -117,14 +120,14 @@
 		return false
 	}
 	keyHash := xxhash.Sum64String(key)
-	own := newCandidate(keyHash, node)
+	own := candidate{node, weight(keyHash, xxhash.Sum64String(node))}
 	higher := 0
 	for i, name := range n.names {
 		if name == except || name == node {
 			continue
 		}
 		other := candidate{name, weight(keyHash, n.hashes[i])}
-		if compareCandidates(other, own) > 0 {
+		if !other.ranksBefore(own) {
 			continue
 		}
 		if higher++; higher == count {
