--- a/internal/system/failuredetector/message.go
+++ b/internal/system/failuredetector/message.go
@@ -7,18 +7,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind says what a message is. The numbers are on the wire: never reuse one.
+// Kind is the kind of a message. The numbers are on the wire: never reuse one.
 type Kind uint8
 
-// The kinds of messages. Each is a sign of life of its sender, but for Leave.
+// The kinds of messages. All but Leave are signs of life of their senders.
 const (
-	Heartbeat    Kind = 1 // I live
-	Ping         Kind = 2 // I live; answer me
-	Pong         Kind = 3 // the answer, with the nonce of the Ping
-	IndirectPing Kind = 4 // do you hear Node?
-	IndirectAck  Kind = 5 // I heard Node Age ago
-	IndirectNack Kind = 6 // I do not hear Node
-	Leave        Kind = 7 // I leave
+	Heartbeat    Kind = 1 // periodic, without a reply
+	Ping         Kind = 2 // asks for a Pong
+	Pong         Kind = 3 // the reply to a Ping, with its nonce
+	IndirectPing Kind = 4 // asks a watcher for its last contact with Node
+	IndirectAck  Kind = 5 // the reply: contact with Node, Age ago
+	IndirectNack Kind = 6 // the reply: no recent contact with Node
+	Leave        Kind = 7 // announces a graceful shutdown
 )
 
 // Message is one datagram.
@@ -26,31 +26,33 @@
 	Kind            Kind
 	From            string
 	Incarnation     uint64 // of the sender
-	Nonce           uint64 // of Ping, Query and their answers
-	Node            string // of Query and its answers
+	Nonce           uint64 // of Ping, IndirectPing and their replies
+	Node            string // of IndirectPing and its replies
 	NodeIncarnation uint64
-	Age             time.Duration // of Heard; whole milliseconds on the wire
+	Age             time.Duration // of IndirectAck; whole milliseconds on the wire
 }
 
-// ErrMessage is the kind of Decode's errors.
-var ErrMessage = errors.New("failuredetector: bytes that are no message of this version")
+// ErrMalformedMessage is returned by Decode for bytes that are not a message, or one of another version of the protocol.
+var ErrMalformedMessage = errors.New("failuredetector: not a message of this protocol version: drop it")
 
 // The bounds of a datagram.
 const (
-	maxName     = 128
-	MaxDatagram = 512 // bytes
+	maxNameBytes     = 128
+	MaxDatagramBytes = 512
 )
 
 var magic = [3]byte{0xB5, 'r', 1} // the last is the version
 
-// Append writes a message after dst. Names longer than 128 bytes are cut, which nobody will know.
+const headerBytes = len(magic) + 1 // magic and kind
+
+// Append appends the encoding of a message to dst. Names longer than 128 bytes are truncated, and then match no member.
 func (m Message) Append(dst []byte) []byte {
 	dst = append(dst, magic[:]...)
 	dst = append(dst, byte(m.Kind))
 	dst = appendName(dst, m.From)
 	dst = binary.BigEndian.AppendUint64(dst, m.Incarnation)
 	dst = binary.AppendUvarint(dst, m.Nonce)
-	if !m.Kind.asks() {
+	if !m.Kind.isIndirect() {
 		return dst
 	}
 	dst = appendName(dst, m.Node)
@@ -58,71 +60,81 @@
 	return binary.AppendUvarint(dst, uint64(max(0, m.Age)/time.Millisecond))
 }
 
-// asks tells whether messages of the kind are about another node than their sender.
-func (k Kind) asks() bool { return k == IndirectPing || k == IndirectAck || k == IndirectNack }
+// isIndirect reports whether messages of the kind concern another node than their sender.
+func (k Kind) isIndirect() bool { return k == IndirectPing || k == IndirectAck || k == IndirectNack }
 
 func appendName(dst []byte, s string) []byte {
-	s = s[:min(len(s), maxName)]
+	s = s[:min(len(s), maxNameBytes)]
 	return append(append(dst, byte(len(s))), s...)
 }
 
-// Decode reads a datagram. Its errors are of the kind ErrMessage: drop the datagram.
+// Decode decodes a datagram. Its error is ErrMalformedMessage.
 func Decode(data []byte) (Message, error) {
-	d := decoder{in: data}
-	var m Message
-	if len(data) > MaxDatagram || len(data) < 4 || [3]byte(data[:3]) != magic || data[3] < byte(Heartbeat) || data[3] > byte(Leave) {
-		return m, ErrMessage
+	in := decoder{rest: data}
+	var message Message
+	if !hasHeader(data) {
+		return message, ErrMalformedMessage
+	}
+	message.Kind, in.rest = Kind(data[len(magic)]), data[headerBytes:]
+	message.From, message.Incarnation, message.Nonce = in.readName(), in.readUint64(), in.readUvarint()
+	if message.Kind.isIndirect() {
+		message.Node, message.NodeIncarnation = in.readName(), in.readUint64()
+		message.Age = time.Duration(min(in.readUvarint(), uint64(time.Hour/time.Millisecond))) * time.Millisecond
 	}
-	m.Kind, d.in = Kind(data[3]), data[4:]
-	m.From, m.Incarnation, m.Nonce = d.name(), d.fixed(), d.uvarint()
-	if m.Kind.asks() {
-		m.Node, m.NodeIncarnation = d.name(), d.fixed()
-		m.Age = time.Duration(min(d.uvarint(), uint64(time.Hour/time.Millisecond))) * time.Millisecond
+	if in.failed || len(in.rest) > 0 || message.From == "" {
+		return Message{}, ErrMalformedMessage
 	}
-	if d.bad || len(d.in) > 0 || m.From == "" {
-		return Message{}, ErrMessage
+	return message, nil
+}
+
+// hasHeader reports whether a datagram begins with the magic bytes and a known kind.
+func hasHeader(data []byte) bool {
+	if len(data) < headerBytes || len(data) > MaxDatagramBytes {
+		return false
 	}
-	return m, nil
+	kind := Kind(data[len(magic)])
+	return [len(magic)]byte(data) == magic && kind >= Heartbeat && kind <= Leave
 }
 
+// decoder reads the fields of a datagram. Once a field is missing, failed is set and all reads return zero values.
 type decoder struct {
-	in  []byte
-	bad bool
+	rest   []byte
+	failed bool
 }
 
-func (d *decoder) take(n int) []byte {
-	if d.bad || n > len(d.in) {
-		d.bad = true
+func (d *decoder) next(n int) []byte {
+	if d.failed || n > len(d.rest) {
+		d.failed = true
 		return nil
 	}
-	b := d.in[:n]
-	d.in = d.in[n:]
+	b := d.rest[:n]
+	d.rest = d.rest[n:]
 	return b
 }
 
-func (d *decoder) name() string {
-	n := d.take(1)
-	if d.bad || n[0] > maxName {
-		d.bad = true
+func (d *decoder) readName() string {
+	n := d.next(1)
+	if d.failed || n[0] > maxNameBytes {
+		d.failed = true
 		return ""
 	}
-	return string(d.take(int(n[0])))
+	return string(d.next(int(n[0])))
 }
 
-func (d *decoder) fixed() uint64 {
-	b := d.take(8)
-	if d.bad {
+func (d *decoder) readUint64() uint64 {
+	b := d.next(8)
+	if d.failed {
 		return 0
 	}
 	return binary.BigEndian.Uint64(b)
 }
 
-func (d *decoder) uvarint() uint64 {
-	v, n := binary.Uvarint(d.in)
-	if d.bad || n <= 0 {
-		d.bad = true
+func (d *decoder) readUvarint() uint64 {
+	v, n := binary.Uvarint(d.rest)
+	if d.failed || n <= 0 {
+		d.failed = true
 		return 0
 	}
-	d.in = d.in[n:]
+	d.rest = d.rest[n:]
 	return v
 }
--- a/internal/system/operatorapi/evacuation_test.go
+++ b/internal/system/operatorapi/evacuation_test.go
@@ -17,17 +17,17 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// scriptedChain answers as its functions say, and notes what it was asked.
+// scriptedChain answers as its functions say, and records what it was asked.
 type scriptedChain struct {
-	read   func(ctx context.Context) (*controlstate.State, error)
-	submit func(controlstate.Change) controlstate.Verdict
-	got    []controlstate.Change
+	read      func(ctx context.Context) (*controlstate.State, error)
+	submit    func(controlstate.Change) controlstate.Verdict
+	submitted []controlstate.Change
 }
 
 func (s *scriptedChain) Read(ctx context.Context) (*controlstate.State, error) { return s.read(ctx) }
 
 func (s *scriptedChain) Submit(_ context.Context, c controlstate.Change) (controlstate.Verdict, error) {
-	s.got = append(s.got, c)
+	s.submitted = append(s.submitted, c)
 	return s.submit(c), nil
 }
 
@@ -39,7 +39,7 @@
 
 // The fence is what was known as the call came, not what a majority told later, and a superseded order gets no newer one.
 func TestEvacuationFence(t *testing.T) {
-	for name, tt := range map[string]struct {
+	for name, test := range map[string]struct {
 		superseded, known, late bool
 		status                  int
 		fence                   int64
@@ -51,31 +51,31 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			chain := &scriptedChain{read: func(context.Context) (*controlstate.State, error) { return stateAt(11), nil }, submit: accepted}
-			if tt.superseded {
+			if test.superseded {
 				chain.submit = func(controlstate.Change) controlstate.Verdict {
 					return controlstate.Verdict{Kind: controlstate.Superseded}
 				}
 			}
-			o := Options{Chain: chain, Log: quiet(), hooks: hooks{lateFence: tt.late}}
-			if tt.known {
-				o.Current = func() *controlstate.State { return stateAt(3) }
+			options := Options{Chain: chain, Log: discardLog(), knobs: TestingKnobs{FenceByConfirmedState: test.late}}
+			if test.known {
+				options.CommittedState = func() *controlstate.State { return stateAt(3) }
 			}
-			w := call(Handler(o), "POST", "/Evacuation.Start/z", "")
-			if w.Code != tt.status || len(chain.got) != 1 || chain.got[0].Base != tt.fence {
-				t.Errorf("status %d, passed on %+v", w.Code, chain.got)
+			w := serve(t, Handler(options), "POST", "/Evacuation.Start/z", "")
+			if w.Code != test.status || len(chain.submitted) != 1 || chain.submitted[0].Base != test.fence {
+				t.Errorf("status %d, passed on %+v", w.Code, chain.submitted)
 			}
 		})
 	}
 }
 
-// An order whose caller hung up, or that took too long to confirm, is not passed on.
+// A change whose caller hung up, or that took too long to confirm, is not submitted.
 func TestEvacuationDropped(t *testing.T) {
-	for name, tt := range map[string]struct {
+	for name, test := range map[string]struct {
 		read func(cancel func()) // what happens while a majority is asked
 		sent int
 	}{
-		"in time":         {func(func()) { time.Sleep(chainWait - time.Millisecond) }, 1}, // of the bubble's clock
-		"too late":        {func(func()) { time.Sleep(chainWait) }, 0},
+		"in time":         {func(func()) { time.Sleep(chainTimeout - time.Millisecond) }, 1}, // of the bubble's clock
+		"too late":        {func(func()) { time.Sleep(chainTimeout) }, 0},
 		"long after":      {func(func()) { time.Sleep(20 * time.Second) }, 0},
 		"the caller left": {func(cancel func()) { cancel() }, 0},
 	} {
@@ -85,18 +85,18 @@
 					ctx, cancel := context.WithCancel(t.Context())
 					defer cancel()
 					chain := &scriptedChain{submit: accepted, read: func(context.Context) (*controlstate.State, error) {
-						tt.read(cancel)
+						test.read(cancel)
 						return stateAt(4), nil
 					}}
-					h := Handler(Options{Chain: chain, Log: quiet(), hooks: hooks{ignoreCallers: unprotected}})
+					handler := Handler(Options{Chain: chain, Log: discardLog(), knobs: TestingKnobs{SubmitForGoneCallers: unprotected}})
 					w := httptest.NewRecorder()
-					h.ServeHTTP(w, httptest.NewRequest("POST", "/Evacuation.Finish/z", nil).WithContext(ctx))
-					want := tt.sent
+					handler.ServeHTTP(w, httptest.NewRequestWithContext(ctx, "POST", "/Evacuation.Finish/z", nil))
+					want := test.sent
 					if unprotected {
-						want = 1 // the control: without the protection it is passed on
+						want = 1 // the control: without the protection it is submitted
 					}
-					if len(chain.got) != want || !unprotected && (w.Code == 200) != (want == 1) || w.Code != 200 && w.Code != 503 {
-						t.Errorf("unprotected %v: %d orders passed on, want %d; status %d", unprotected, len(chain.got), want, w.Code)
+					if len(chain.submitted) != want || !unprotected && (w.Code == 200) != (want == 1) || w.Code != 200 && w.Code != 503 {
+						t.Errorf("unprotected %v: %d orders passed on, want %d; status %d", unprotected, len(chain.submitted), want, w.Code)
 					}
 				})
 			}
@@ -104,8 +104,8 @@
 	}
 }
 
-// Over a real connection: the bytes of an order and the end of its connection come together, as after a cut. net/http
-// tells of it by the request's context, however the order's body is framed.
+// Over a real connection: the bytes of a change and the end of its connection come together, as after a partition. net/http
+// tells of it by the request's context, however the change's body is framed.
 func TestEvacuationOfACallerThatHungUp(t *testing.T) {
 	for name, body := range map[string]string{
 		"no body": "\r\n", "an empty body": "Content-Length: 0\r\n\r\n", "a body": "Content-Length: 2\r\n\r\n{}",
@@ -115,8 +115,8 @@
 			noticed := make(chan bool, 1)
 			chain := &scriptedChain{submit: accepted}
 			entered := make(chan context.Context, 1)
-			h := Handler(Options{Chain: chain, Log: quiet()})
-			chain.read = func(ctx context.Context) (*controlstate.State, error) {
+			handler := Handler(Options{Chain: chain, Log: discardLog()})
+			chain.read = func(context.Context) (*controlstate.State, error) {
 				caller := <-entered
 				select {
 				case <-caller.Done():
@@ -127,13 +127,13 @@
 				return stateAt(4), nil
 			}
 			done := make(chan struct{})
-			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				defer close(done)
 				entered <- r.Context()
-				h.ServeHTTP(w, r)
+				handler.ServeHTTP(w, r)
 			}))
-			defer s.Close()
-			conn, err := net.Dial("tcp", s.Listener.Addr().String())
+			defer server.Close()
+			conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", server.Listener.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -144,149 +144,87 @@
 				t.Fatal(err)
 			}
 			<-done
-			if !<-noticed || len(chain.got) > 0 {
-				t.Errorf("%d orders passed on", len(chain.got))
+			if !<-noticed || len(chain.submitted) > 0 {
+				t.Errorf("%d orders passed on", len(chain.submitted))
 			}
 		})
 	}
 }
 
-// endedContext is the context of a caller that has gone, of which contexts made of it have not heard yet.
-type endedContext struct{ context.Context }
+// canceledContext is the context of a caller that has gone, of which contexts made of it have not heard yet.
+type canceledContext struct{ context.Context }
 
-func (endedContext) Err() error { return context.Canceled }
+func (canceledContext) Err() error { return context.Canceled }
 
-// TestEvacuationOfACallerThatHasJustGone: the caller's end is known, and has not reached the context of the order. Danger: the order is
-// passed on though its caller has gone.
+// TestEvacuationOfACallerThatHasJustGone: the caller's end is known, and has not reached the context of the change. Danger: the change is
+// submitted though its caller has gone.
 func TestEvacuationOfACallerThatHasJustGone(t *testing.T) {
 	chain := &scriptedChain{submit: accepted, read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil }}
-	a := &api{o: Options{Chain: chain, Log: quiet()}}
-	o := order{change: controlstate.Change{Op: controlstate.OpEvacuate, Zone: "z"}, arrived: time.Now()}
-	if _, err := a.submitFenced(endedContext{t.Context()}, &o, nil); !errors.Is(err, errGone) || len(chain.got) > 0 {
-		t.Errorf("%v, %d orders passed on", err, len(chain.got))
+	a := &api{options: Options{Chain: chain, Log: discardLog()}}
+	o := changeRequest{change: controlstate.Change{Op: controlstate.OpEvacuate, Zone: "z"}, receivedAt: time.Now()}
+	if _, err := a.submitWithFence(canceledContext{t.Context()}, &o, nil); !errors.Is(err, errCallerGone) || len(chain.submitted) > 0 {
+		t.Errorf("%v, %d orders passed on", err, len(chain.submitted))
 	}
 }
 
-// An order that is read after a stall is not taken, and its connection ends.
+// A change that is read after a stall is not taken, and its connection ends.
 func TestEvacuationAfterAStall(t *testing.T) {
 	chain := &scriptedChain{submit: accepted, read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil }}
 	stalled := true
-	o := Options{Chain: chain, Log: quiet(), Stalled: func() bool { return stalled }}
-	w := call(Handler(o), "POST", "/Evacuation.Start/z", "")
-	if w.Code != 503 || w.Header().Get("Connection") != "close" || len(chain.got) > 0 {
-		t.Errorf("status %d, %d orders passed on", w.Code, len(chain.got))
+	options := Options{Chain: chain, Log: discardLog(), Stalled: func() bool { return stalled }}
+	w := serve(t, Handler(options), "POST", "/Evacuation.Start/z", "")
+	if w.Code != 503 || w.Header().Get("Connection") != "close" || len(chain.submitted) > 0 {
+		t.Errorf("status %d, %d orders passed on", w.Code, len(chain.submitted))
 	}
 	// A change of the configuration is fenced by its base.
-	if w := call(Handler(o), "POST", "/Config.Replace", "{}", "X-Base-Version", "0"); w.Code != 200 {
+	if w := serve(t, Handler(options), "POST", "/Config.Replace", "{}", "X-Base-Version", "0"); w.Code != 200 {
 		t.Errorf("a change of the configuration: status %d", w.Code)
 	}
 	stalled = false
-	if w := call(Handler(o), "POST", "/Evacuation.Start/z", ""); w.Code != 200 {
+	if w := serve(t, Handler(options), "POST", "/Evacuation.Start/z", ""); w.Code != 200 {
 		t.Errorf("status %d", w.Code)
 	}
-	stalled, o.hooks.ignoreStalls = true, true
-	if w := call(Handler(o), "POST", "/Evacuation.Start/z", ""); w.Code != 200 {
+	stalled, options.knobs.AcceptAfterStalls = true, true
+	if w := serve(t, Handler(options), "POST", "/Evacuation.Start/z", ""); w.Code != 200 {
 		t.Errorf("the control: status %d", w.Code)
 	}
 }
 
 // Bodies that evacuations need not have are read, within bounds.
 func TestEvacuationWithABody(t *testing.T) {
-	for name, tt := range map[string]struct {
+	for name, test := range map[string]struct {
 		body   string
 		length int64
 		status int
 	}{
 		"some": {"{}", 2, 200}, "in chunks": {"{}", -1, 200}, "cut short": {"{}", 9, 503},
-		"too much": {strings.Repeat(" ", maxIgnored+1), maxIgnored + 1, 413},
+		"too much": {strings.Repeat(" ", maxDiscardedBodyBytes+1), maxDiscardedBodyBytes + 1, 413},
 	} {
 		chain := &scriptedChain{submit: accepted, read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil }}
-		s := httptest.NewServer(Handler(Options{Chain: chain, Log: quiet()}))
-		conn, err := net.Dial("tcp", s.Listener.Addr().String())
+		server := httptest.NewServer(Handler(Options{Chain: chain, Log: discardLog()}))
+		conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", server.Listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		framing := fmt.Sprintf("Content-Length: %d\r\n\r\n%s", tt.length, tt.body)
-		if tt.length < 0 {
-			framing = fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(tt.body), tt.body)
+		framing := fmt.Sprintf("Content-Length: %d\r\n\r\n%s", test.length, test.body)
+		if test.length < 0 {
+			framing = fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(test.body), test.body)
 		}
 		if _, err := io.WriteString(conn, "POST /Evacuation.Start/z HTTP/1.1\r\nHost: k\r\n"+framing); err != nil {
 			t.Fatal(err)
 		}
-		if tcp, ok := conn.(*net.TCPConn); ok && tt.length > int64(len(tt.body)) {
+		if tcp, ok := conn.(*net.TCPConn); ok && test.length > int64(len(test.body)) {
 			_ = tcp.CloseWrite()
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if resp.StatusCode != tt.status {
-			t.Errorf("%s: status %d, want %d", name, resp.StatusCode, tt.status)
+		if resp.StatusCode != test.status {
+			t.Errorf("%s: status %d, want %d", name, resp.StatusCode, test.status)
 		}
 		_ = resp.Body.Close()
 		_ = conn.Close()
-		s.Close()
+		server.Close()
 	}
 }
-
-func TestStallDetector(t *testing.T) {
-	// The process runs, stands still, and runs again; then a caller asks.
-	for name, tt := range map[string]struct {
-		still, runs time.Duration
-		stalled     bool
-	}{
-		"no stall":                   {0, time.Second, false},
-		"a pause":                    {stallBound, 0, false},
-		"the caller is first":        {stallBound + 1, 0, true},
-		"a long one":                 {20 * time.Second, 0, true},
-		"the ticker is first":        {20 * time.Second, stallTick, true},
-		"almost a second later":      {20 * time.Second, stallHold - stallTick, true},
-		"a second later":             {20 * time.Second, stallHold + stallTick, false},
-		"a second after a short one": {stallBound + 1, stallHold + stallTick, false},
-	} {
-		d, now := NewStallDetector(), time.Now()
-		d.note(now, true)
-		run := func(span time.Duration) {
-			for end := now.Add(span); now.Before(end); {
-				now = now.Add(stallTick)
-				d.note(now, false)
-			}
-		}
-		run(time.Second)
-		now = now.Add(tt.still)
-		run(tt.runs)
-		if got := d.note(now, false); got != tt.stalled {
-			t.Errorf("%s: %v", name, got)
-		}
-		// A clock that was read before the last note counts as no pause, and no step back.
-		d.note(now.Add(-stallTick), false)
-		if !d.last.Equal(now) {
-			t.Errorf("%s: a late note steps back by %v", name, now.Sub(d.last))
-		}
-	}
-	if !NewStallDetector().Stalled() {
-		t.Error("a detector that does not run counts as no stall")
-	}
-	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := context.WithCancel(t.Context())
-		d := NewStallDetector()
-		if !d.Stalled() {
-			t.Error("no stall before it runs")
-		}
-		go d.Run(ctx)
-		synctest.Wait()
-		if d.Stalled() {
-			t.Error("stalled as it begins to run")
-		}
-		time.Sleep(time.Hour) // of the bubble's clock
-		if d.Stalled() {
-			t.Error("stalled after an hour of running")
-		}
-		stop()
-		synctest.Wait()
-		time.Sleep(stallBound + time.Millisecond)
-		if !d.Stalled() {
-			t.Error("no stall after a pause")
-		}
-	})
-}
--- /dev/null
+++ b/internal/system/operatorapi/stall_detector_test.go
@@ -0,0 +1,70 @@
+package operatorapi
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+func TestStallDetector(t *testing.T) {
+	// The process runs, is frozen, and runs again; then a caller asks.
+	for name, test := range map[string]struct {
+		still, runs time.Duration
+		stalled     bool
+	}{
+		"no stall":                   {0, time.Second, false},
+		"a pause":                    {stallThreshold, 0, false},
+		"the caller is first":        {stallThreshold + 1, 0, true},
+		"a long one":                 {20 * time.Second, 0, true},
+		"the ticker is first":        {20 * time.Second, stallCheckInterval, true},
+		"almost a second later":      {20 * time.Second, stallCooldown - stallCheckInterval, true},
+		"a second later":             {20 * time.Second, stallCooldown + stallCheckInterval, false},
+		"a second after a short one": {stallThreshold + 1, stallCooldown + stallCheckInterval, false},
+	} {
+		detector, now := NewStallDetector(), time.Now()
+		detector.start(now)
+		run := func(span time.Duration) {
+			for end := now.Add(span); now.Before(end); {
+				now = now.Add(stallCheckInterval)
+				detector.observeRunning(now)
+			}
+		}
+		run(time.Second)
+		now = now.Add(test.still)
+		run(test.runs)
+		if got := detector.observeRunning(now); got != test.stalled {
+			t.Errorf("%s: %v", name, got)
+		}
+		// A clock that was read before the last note counts as no pause, and no step back.
+		detector.observeRunning(now.Add(-stallCheckInterval))
+		if !detector.lastObserved.Equal(now) {
+			t.Errorf("%s: a late note steps back by %v", name, now.Sub(detector.lastObserved))
+		}
+	}
+	if !NewStallDetector().Stalled() {
+		t.Error("a detector that does not run counts as no stall")
+	}
+	synctest.Test(t, func(t *testing.T) {
+		ctx, stop := context.WithCancel(t.Context())
+		detector := NewStallDetector()
+		if !detector.Stalled() {
+			t.Error("no stall before it runs")
+		}
+		go detector.Run(ctx)
+		synctest.Wait()
+		if detector.Stalled() {
+			t.Error("stalled as it begins to run")
+		}
+		time.Sleep(time.Hour) // of the bubble's clock
+		if detector.Stalled() {
+			t.Error("stalled after an hour of running")
+		}
+		stop()
+		synctest.Wait()
+		time.Sleep(stallThreshold + time.Millisecond)
+		if !detector.Stalled() {
+			t.Error("no stall after a pause")
+		}
+	})
+}
--- a/internal/system/operatorapi/wire_test.go
+++ b/internal/system/operatorapi/wire_test.go
@@ -18,39 +18,39 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// wire is one connection to the API over a chain that accepts everything.
-type wire struct {
+// wireClient is one connection to the API over a chain that accepts everything.
+type wireClient struct {
 	t    *testing.T
 	conn *net.TCPConn
 	in   *bufio.Reader
 
-	mu  sync.Mutex
-	got []controlstate.Change
+	mu        sync.Mutex
+	submitted []controlstate.Change
 }
 
-func (c *wire) Submit(_ context.Context, change controlstate.Change) (controlstate.Verdict, error) {
+func (c *wireClient) Submit(_ context.Context, change controlstate.Change) (controlstate.Verdict, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.got = append(c.got, change)
-	return controlstate.Verdict{Kind: controlstate.Accepted, Seq: uint64(len(c.got))}, nil
+	c.submitted = append(c.submitted, change)
+	return controlstate.Verdict{Kind: controlstate.Accepted, Seq: uint64(len(c.submitted))}, nil
 }
 
-func (c *wire) Read(context.Context) (*controlstate.State, error) {
+func (c *wireClient) Read(context.Context) (*controlstate.State, error) {
 	return &controlstate.State{Seq: 5, Config: &config.Config{Revision: 5, Raw: []byte(`{"revision":5}`)}}, nil
 }
 
-func (c *wire) changes() []controlstate.Change {
+func (c *wireClient) changes() []controlstate.Change {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.got
+	return c.submitted
 }
 
-func dialAPI(t *testing.T) *wire {
+func dialAPI(t *testing.T) *wireClient {
 	t.Helper()
-	c := &wire{t: t}
-	s := httptest.NewServer(Handler(Options{Chain: c, Log: quiet()}))
+	c := &wireClient{t: t}
+	s := httptest.NewServer(Handler(Options{Chain: c, Log: discardLog()}))
 	t.Cleanup(s.Close)
-	conn, err := net.Dial("tcp", s.Listener.Addr().String())
+	conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", s.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,30 +60,38 @@
 	return c
 }
 
-func (c *wire) send(bytes string) {
+func (c *wireClient) send(bytes string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.conn, bytes); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-// answer reads one answer to a request of the method.
-func (c *wire) answer(method string) (*http.Response, string) {
+// wireResponse is a response that was read to its end.
+type wireResponse struct {
+	status        int
+	contentLength int64
+	closes        bool // the connection ends after it
+	body          string
+}
+
+// readResponse reads the response to a request of the method.
+func (c *wireClient) readResponse(method string) wireResponse {
 	c.t.Helper()
-	resp, err := http.ReadResponse(c.in, &http.Request{Method: method})
+	response, err := http.ReadResponse(c.in, &http.Request{Method: method})
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	defer resp.Body.Close()
-	body, err := io.ReadAll(resp.Body)
+	defer func() { _ = response.Body.Close() }()
+	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	return resp, string(body)
+	return wireResponse{response.StatusCode, response.ContentLength, response.Close, string(body)}
 }
 
-// ended tells whether the connection ends without another byte.
-func (c *wire) ended() bool {
+// connectionEnded reports whether the connection ends without another byte.
+func (c *wireClient) connectionEnded() bool {
 	_, err := c.in.ReadByte()
 	return err != nil
 }
@@ -95,7 +103,7 @@
 
 // Calls that come together in one packet are answered in their order, each with its own answer.
 func TestWirePipelined(t *testing.T) {
-	c := dialAPI(t)
+	client := dialAPI(t)
 	const calls = 8
 	var all strings.Builder
 	for i := range calls {
@@ -103,42 +111,42 @@
 		all.WriteString("HEAD /Config.Read HTTP/1.1\r\nHost: k\r\n\r\n")
 		all.WriteString("POST /Evacuation.Start/z HTTP/1.1\r\nHost: k\r\n\r\n")
 	}
-	c.send(all.String())
+	client.send(all.String())
 	for i := range calls {
-		if resp, body := c.answer("POST"); resp.StatusCode != 200 || body != fmt.Sprintf(`{"revision":%d}`, 100+i) {
-			t.Fatalf("change %d: status %d: %s", i, resp.StatusCode, body)
+		if response := client.readResponse("POST"); response.status != 200 || response.body != fmt.Sprintf(`{"revision":%d}`, 100+i) {
+			t.Fatalf("change %d: status %d: %s", i, response.status, response.body)
 		}
-		if resp, body := c.answer("HEAD"); resp.StatusCode != 200 || body != "" || resp.ContentLength != int64(len(`{"revision":5}`)) {
-			t.Fatalf("read %d: status %d: %s", i, resp.StatusCode, body)
+		if response := client.readResponse("HEAD"); response.status != 200 || response.body != "" || response.contentLength != int64(len(`{"revision":5}`)) {
+			t.Fatalf("read %d: status %d: %s", i, response.status, response.body)
 		}
-		if resp, body := c.answer("POST"); resp.StatusCode != 200 || body != "{}" {
-			t.Fatalf("evacuation %d: status %d: %s", i, resp.StatusCode, body)
+		if response := client.readResponse("POST"); response.status != 200 || response.body != "{}" {
+			t.Fatalf("evacuation %d: status %d: %s", i, response.status, response.body)
 		}
 	}
-	for i, change := range c.changes() {
+	for i, change := range client.changes() {
 		if want := fmt.Sprintf(`{"revision":%d}`, 100+i/2); i%2 == 0 && string(change.Body) != want {
 			t.Errorf("change %d: %s", i, change.Body)
 		}
 	}
 }
 
-// What follows a body that is longer than told is no answer to anything, and ends the connection.
-func TestWireBodyLongerThanTold(t *testing.T) {
+// What follows a body that is longer than declared is no answer to anything, and ends the connection.
+func TestWireBodyLongerThanDeclared(t *testing.T) {
 	c := dialAPI(t)
 	c.send(rawChange(100, "") + "surplus bytes\r\n\r\n")
-	if resp, body := c.answer("POST"); resp.StatusCode != 200 || body != `{"revision":100}` {
-		t.Errorf("status %d: %s", resp.StatusCode, body)
+	if response := c.readResponse("POST"); response.status != 200 || response.body != `{"revision":100}` {
+		t.Errorf("status %d: %s", response.status, response.body)
 	}
-	if resp, _ := c.answer("POST"); resp.StatusCode != 400 || !c.ended() {
-		t.Errorf("status %d for the surplus, or the connection goes on", resp.StatusCode)
+	if response := c.readResponse("POST"); response.status != 400 || !c.connectionEnded() {
+		t.Errorf("status %d for the surplus, or the connection goes on", response.status)
 	}
 	if n := len(c.changes()); n != 1 {
 		t.Errorf("%d changes", n)
 	}
 }
 
-// A body that ends before its told length, or whose chunks are broken, is no change; nor is it refused for good.
-func TestWireBodyCutShort(t *testing.T) {
+// A body that ends before its declared length, or whose chunks are broken, is no change; nor is it refused for good.
+func TestWireBodyTruncated(t *testing.T) {
 	for name, framing := range map[string]string{
 		"by its length":  "Content-Length: 100\r\n\r\n{\"revision\":100}",
 		"in a chunk":     "Transfer-Encoding: chunked\r\n\r\n40\r\n{\"revision\":100}",
@@ -149,8 +157,8 @@
 		if err := c.conn.CloseWrite(); err != nil {
 			t.Fatal(err)
 		}
-		if resp, _ := c.answer("POST"); resp.StatusCode != 503 || !resp.Close || !c.ended() || len(c.changes()) != 0 {
-			t.Errorf("%s: status %d, %d changes", name, resp.StatusCode, len(c.changes()))
+		if response := c.readResponse("POST"); response.status != 503 || !response.closes || !c.connectionEnded() || len(c.changes()) != 0 {
+			t.Errorf("%s: status %d, %d changes", name, response.status, len(c.changes()))
 		}
 	}
 }
@@ -159,7 +167,7 @@
 func TestWireRefusedBodyIsNoCall(t *testing.T) {
 	const hidden = "POST /Evacuation.Start/z HTTP/1.1\r\nHost: k\r\n\r\n"
 	for name, head := range map[string]string{
-		"too large":      fmt.Sprintf("POST /Config.Replace HTTP/1.1\r\nHost: k\r\nX-Base-Version: 5\r\nContent-Length: %d\r\n\r\n", maxBody+1),
+		"too large":      fmt.Sprintf("POST /Config.Replace HTTP/1.1\r\nHost: k\r\nX-Base-Version: 5\r\nContent-Length: %d\r\n\r\n", maxBodyBytes+1),
 		"without a base": fmt.Sprintf("POST /Config.Replace HTTP/1.1\r\nHost: k\r\nContent-Length: %d\r\n\r\n", len(hidden)),
 		"unknown call":   fmt.Sprintf("POST /Config.Drop HTTP/1.1\r\nHost: k\r\nContent-Length: %d\r\n\r\n", len(hidden)),
 	} {
@@ -168,8 +176,8 @@
 		if err := c.conn.CloseWrite(); err != nil {
 			t.Fatal(err)
 		}
-		if resp, _ := c.answer("POST"); resp.StatusCode < 400 || !c.ended() || len(c.changes()) != 0 {
-			t.Errorf("%s: status %d, %d changes", name, resp.StatusCode, len(c.changes()))
+		if response := c.readResponse("POST"); response.status < 400 || !c.connectionEnded() || len(c.changes()) != 0 {
+			t.Errorf("%s: status %d, %d changes", name, response.status, len(c.changes()))
 		}
 	}
 }
@@ -180,16 +188,16 @@
 	whole := rawChange(100, "Expect: 100-continue\r\n")
 	head, body, _ := strings.Cut(whole, "\r\n\r\n")
 	c.send(head + "\r\n\r\n")
-	if resp, _ := c.answer("POST"); resp.StatusCode != 100 {
-		t.Fatalf("status %d", resp.StatusCode)
+	if response := c.readResponse("POST"); response.status != 100 {
+		t.Fatalf("status %d", response.status)
 	}
 	c.send(body)
-	if resp, body := c.answer("POST"); resp.StatusCode != 200 || body != `{"revision":100}` {
-		t.Errorf("status %d: %s", resp.StatusCode, body)
+	if response := c.readResponse("POST"); response.status != 200 || response.body != `{"revision":100}` {
+		t.Errorf("status %d: %s", response.status, response.body)
 	}
-	c.send(fmt.Sprintf("POST /Config.Replace HTTP/1.1\r\nHost: k\r\nX-Base-Version: 5\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", maxBody+1))
-	if resp, _ := c.answer("POST"); resp.StatusCode != 413 {
-		t.Errorf("status %d", resp.StatusCode)
+	c.send(fmt.Sprintf("POST /Config.Replace HTTP/1.1\r\nHost: k\r\nX-Base-Version: 5\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", maxBodyBytes+1))
+	if response := c.readResponse("POST"); response.status != 413 {
+		t.Errorf("status %d", response.status)
 	}
 }
 
@@ -200,13 +208,13 @@
 		synctest.Test(t, func(t *testing.T) {
 			chain := &scriptedChain{read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil },
 				submit: func(c controlstate.Change) controlstate.Verdict {
-					time.Sleep(chainWait - time.Millisecond) // of the bubble's clock
+					time.Sleep(chainTimeout - time.Millisecond) // of the bubble's clock
 					return accepted(c)
 				}}
-			h := Handler(Options{Chain: chain, Log: quiet(), WaitDelivered: func(ctx context.Context, _ uint64) { <-ctx.Done() }})
+			handler := Handler(Options{Chain: chain, Log: discardLog(), WaitDelivered: func(ctx context.Context, _ uint64) { <-ctx.Done() }})
 			start := time.Now()
-			w := call(h, "POST", target, "", "X-Base-Version", "0")
-			if took := time.Since(start); w.Code != 200 || took > answerWithin {
+			w := serve(t, handler, "POST", target, "", "X-Base-Version", "0")
+			if took := time.Since(start); w.Code != 200 || took > responseTimeout {
 				t.Errorf("%s: status %d after %v", target, w.Code, took)
 			}
 		})
--- a/internal/system/ownership/rendezvous.go
+++ b/internal/system/ownership/rendezvous.go
@@ -1,9 +1,21 @@
-// Package ownership assigns duties by rendezvous (highest random weight) hashing over the live nodes, and fences their holders
-// with the epoch of the membership that named them. It is pure: no I/O, no clock, no goroutine.
+// Package ownership names the owners of keys by rendezvous hashing over the live nodes, and gives each owner the fencing token
+// under which it acts. It is pure: no I/O, no clock, no goroutine.
 //
-// A duty that lost its holder is taken over within the bound by which a silent node leaves the agreed view, plus the
-// time of that view's agreement, plus one interval of the duty. Where a holder lives but gets nothing done, a Standby
-// lets another step in once the work is older than a bound.
+// The problem: one process of a fleet is to do some work (a singleton role), several are to watch another one, and all have to
+// agree on which without a message for each key; a node that comes or goes is to move as few keys as possible; and an owner that
+// does not know yet that it was replaced must not be taken for the present one.
+//
+// Rendezvous hashing, or highest random weight (D. Thaler, C. Ravishankar, "Using Name-Based Mappings to Increase Hit Rates",
+// IEEE/ACM Transactions on Networking 6(1), 1998): every node has a pseudo-random weight for every key, and the live nodes of the
+// highest weights own it. Whoever knows the same live nodes computes the same owners, in any order of the nodes. A node that
+// goes moves only the keys that it owned, each to the node of the next weight.
+//
+// Fencing: the token of an owner is the epoch of the membership that named it. It rises with each membership, and whoever is
+// acted upon rejects tokens below the highest that it has seen (M. Kleppmann, "How to do distributed locking", 2016).
+// Invariant: under one token one node at most owns a key, since all nodes have the same live nodes for one epoch.
+//
+// Bound: a key whose owner fails has a new one within the time in which a failed node leaves the agreed view, plus that of the
+// agreement, plus one interval of the work. For an owner that lives but gets nothing done, a Standby acts once the work is stale.
 package ownership
 
 import (
@@ -14,99 +26,111 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// mix spreads every bit of x over the whole word (the finalizer of SplitMix64).
-func mix(x uint64) uint64 {
+// mixBits spreads every bit of x over the whole word (the finalizer of SplitMix64).
+func mixBits(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// weigh gives the weight of a node for a key, each told by its hash. Both are mixed before they meet, so that nodes
-// whose hashes are alike in some bits do not rank alike for many keys.
-func weigh(key, node uint64) uint64 { return mix(mix(key) + bits.RotateLeft64(mix(node), 17)) }
+// weight is the weight of a node for a key, both given by their hashes. Both are mixed before they are combined, so that nodes
+// whose hashes agree in some bits do not rank alike for many keys.
+func weight(keyHash, nodeHash uint64) uint64 {
+	return mixBits(mixBits(keyHash) + bits.RotateLeft64(mixBits(nodeHash), 17))
+}
+
+// candidate is a node with its weight for a key.
+type candidate struct {
+	node   string
+	weight uint64
+}
+
+// ranksBefore orders candidates by falling weight, those of one weight by name.
+func (c candidate) ranksBefore(other candidate) bool {
+	if c.weight != other.weight {
+		return c.weight > other.weight
+	}
+	return c.node < other.node
+}
+
+// compareCandidates is the order of ranksBefore as a comparison.
+func compareCandidates(a, b candidate) int {
+	return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.node, b.node))
+}
 
-// Owner names the node of the highest weight for key among the live, whose order does not matter: whoever counts the
-// same nodes live names the same one. It is empty where none is live.
+// Owner returns the live node of the highest weight for key, empty where none is live. The order of live has no effect.
 func Owner(key string, live []string) string {
-	var (
-		best   string
-		weight uint64
-		k      = xxhash.Sum64String(key)
-	)
-	for n, node := range live {
-		w := weigh(k, xxhash.Sum64String(node))
-		if n == 0 || w > weight || w == weight && node < best {
-			best, weight = node, w
+	keyHash := xxhash.Sum64String(key)
+	var best candidate
+	for i, node := range live {
+		other := candidate{node, weight(keyHash, xxhash.Sum64String(node))}
+		if i == 0 || other.ranksBefore(best) {
+			best = other
 		}
 	}
-	return best
+	return best.node
 }
 
-// Owners names the k nodes of the highest weights, the highest first, or all where fewer are live. The first is
-// Holder's. A node that comes or goes changes at most one place of any key.
-func Owners(key string, live []string, k int) []string {
-	if k <= 0 {
+// Owners returns the count live nodes of the highest weights for key, the highest first, or all where fewer are live. The first
+// is Owner's. A node that comes or goes changes at most one place of any key.
+func Owners(key string, live []string, count int) []string {
+	if count <= 0 {
 		return nil
 	}
-	type ranked struct {
-		node   string
-		weight uint64
-	}
-	less := func(a, b ranked) int {
-		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.node, b.node))
-	}
-	// k is small beside the live: an insertion into a short sorted list does it without sorting them all.
-	top := make([]ranked, 0, min(k, len(live))+1)
-	h := xxhash.Sum64String(key)
+	keyHash := xxhash.Sum64String(key)
+	// The count is small beside the live nodes: insertion into a short sorted list avoids sorting them all.
+	top := make([]candidate, 0, min(count, len(live))+1)
 	for _, node := range live {
-		r := ranked{node, weigh(h, xxhash.Sum64String(node))}
-		if len(top) == k && less(r, top[k-1]) >= 0 {
+		other := candidate{node, weight(keyHash, xxhash.Sum64String(node))}
+		if len(top) == count && !other.ranksBefore(top[count-1]) {
 			continue
 		}
-		at, found := slices.BinarySearchFunc(top, r, less)
-		if found {
-			continue // told twice
+		at, duplicate := slices.BinarySearchFunc(top, other, compareCandidates)
+		if duplicate {
+			continue
 		}
-		top = slices.Insert(top, at, r)
-		top = top[:min(len(top), k)]
+		top = slices.Insert(top, at, other)
+		top = top[:min(len(top), count)]
 	}
 	nodes := make([]string, len(top))
-	for n, r := range top {
-		nodes[n] = r.node
+	for i, c := range top {
+		nodes[i] = c.node
 	}
 	return nodes
 }
 
-// Nodes are live nodes hashed once, for whoever asks about many keys.
+// Nodes are live nodes with their hashes, for callers that ask about many keys.
 type Nodes struct {
 	names  []string
 	hashes []uint64
 }
 
-// NewNodes hashes the live nodes, each of which is told once.
+// NewNodes hashes the live nodes, each of which must be given once.
 func NewNodes(live []string) *Nodes {
-	n := &Nodes{names: live, hashes: make([]uint64, len(live))}
+	hashed := &Nodes{names: live, hashes: make([]uint64, len(live))}
 	for i, name := range live {
-		n.hashes[i] = xxhash.Sum64String(name)
+		hashed.hashes[i] = xxhash.Sum64String(name)
 	}
-	return n
+	return hashed
 }
 
-// IsOwner tells whether node, one of the live, is one of Holders(key, live without except, k). It is faster than to name
-// them all.
-func (n *Nodes) IsOwner(key, node, except string, k int) bool {
-	if k <= 0 || node == except {
+// IsOwner reports whether node, a live one, is one of Owners(key, live without except, count). It is faster than Owners.
+func (n *Nodes) IsOwner(key, node, except string, count int) bool {
+	if count <= 0 || node == except {
 		return false
 	}
-	h := xxhash.Sum64String(key)
-	own := weigh(h, xxhash.Sum64String(node))
-	before := 0
+	keyHash := xxhash.Sum64String(key)
+	own := candidate{node, weight(keyHash, xxhash.Sum64String(node))}
+	higher := 0
 	for i, name := range n.names {
-		w := weigh(h, n.hashes[i])
-		if w < own || name == except || name == node || w == own && name > node {
+		if name == except || name == node {
+			continue
+		}
+		other := candidate{name, weight(keyHash, n.hashes[i])}
+		if !other.ranksBefore(own) {
 			continue
 		}
-		if before++; before == k {
+		if higher++; higher == count {
 			return false
 		}
 	}
