--- a/internal/framing/client.go
+++ b/internal/framing/client.go
@@ -34,12 +34,12 @@
 	return f
 }
 
-// Begun tells whether part of a request has been read, and not all of it. Any goroutine may ask.
-func (c *ClientConn) Begun() bool { return c.begun.Load() }
+// MidRequest tells whether part of a request has been read, and not all of it. Any goroutine may ask.
+func (c *ClientConn) MidRequest() bool { return c.begun.Load() }
 
-// From is when the request that is coming, or came last, began: when its first byte was read, or for a connection's first
+// RequestStart is when the request that is coming, or came last, began: when its first byte was read, or for a connection's first
 // request, when the connection was taken. Any goroutine may ask.
-func (c *ClientConn) From() time.Time { return start.Add(time.Duration(c.from.Load())) }
+func (c *ClientConn) RequestStart() time.Time { return start.Add(time.Duration(c.from.Load())) }
 
 // Read implements net.Conn. It fails with ErrAmbiguous before the end of a head that is not plain.
 func (c *ClientConn) Read(p []byte) (int, error) {
--- a/internal/framing/server.go
+++ b/internal/framing/server.go
@@ -59,24 +59,24 @@
 	return n, err
 }
 
-// BoundWrites bounds each later write; 0 takes the bound away.
-func (c *ServerConn) BoundWrites(each time.Duration) {
+// SetWriteTimeout bounds each later write; 0 takes the bound away.
+func (c *ServerConn) SetWriteTimeout(each time.Duration) {
 	if c.stall.Swap(int64(each)) != 0 && each == 0 {
 		_ = c.SetWriteDeadline(time.Time{}) // of a write before
 	}
 }
 
-// ExpectHead tells whether the next answers are to HEAD requests, and so have no body whatever they say. It has to be told
+// SetHeadRequest tells whether the next answers are to HEAD requests, and so have no body whatever they say. It has to be told
 // before the request is written.
-func (c *ServerConn) ExpectHead(is bool) { c.framing.bare.Store(is) }
+func (c *ServerConn) SetHeadRequest(is bool) { c.framing.bare.Store(is) }
 
 // Idle tells whether the last answer has come whole with nothing after it, so far as has been read. Only the reader may ask.
 func (c *ServerConn) Idle() bool {
 	return c.fault == nil && !c.framing.asked.Load() && !c.framing.last && c.framing.seen == 0 && c.framing.part == noPart
 }
 
-// Meter tells how many bytes have been written, and whether a write fell short.
-func (c *ServerConn) Meter() (written int64, short bool) {
+// Written tells how many bytes have been written, and whether a write fell short.
+func (c *ServerConn) Written() (written int64, short bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written, c.short
--- a/internal/framing/server_test.go
+++ b/internal/framing/server_test.go
@@ -33,7 +33,7 @@
 		short   bool
 	}{{4, false}, {6, true}} {
 		_, _ = io.WriteString(c, "skip")
-		if written, short := c.Meter(); written != want.written || short != want.short {
+		if written, short := c.Written(); written != want.written || short != want.short {
 			t.Errorf("meter %d, %v, want %+v", written, short, want)
 		}
 	}
--- a/internal/sidecar/body.go
+++ b/internal/sidecar/body.go
@@ -42,7 +42,7 @@
 func newPaced(conn *http.ResponseController, r *http.Request, leave *leaving) *paced {
 	spare := headWithin
 	if c, ok := r.Context().Value(connKey{}).(*framing.ClientConn); ok {
-		spare -= time.Since(c.From())
+		spare -= time.Since(c.RequestStart())
 	}
 	return &paced{body: r.Body, conn: conn, leave: leave, spare: max(spare, leastGrace),
 		asks: r.Header.Get("Expect") != ""}
--- a/internal/sidecar/crowd.go
+++ b/internal/sidecar/crowd.go
@@ -93,7 +93,7 @@
 // begun tells whether part of a request has been read from a connection.
 func begun(c net.Conn) bool {
 	f, ok := c.(*framing.ClientConn)
-	return ok && f.Begun()
+	return ok && f.MidRequest()
 }
 
 // end closes the connection that has been longest in a state, if it has been since before a time, and tells whether
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -157,12 +157,12 @@
 			u.counts.connected(info.Reused, time.Since(began))
 			fresh = info.IdleTime < u.absence
 			if conn, _ = info.Conn.(*framing.ServerConn); conn != nil {
-				before, _ = conn.Meter()
+				before, _ = conn.Written()
 				bound := time.Duration(0)
 				if m.rest != nil { // a long body, which is not held
 					bound = stallFor
 				}
-				conn.BoundWrites(bound)
+				conn.SetWriteTimeout(bound)
 			}
 			// Said only now: the wait for a connection is the client's time too.
 			wait := m.wait
@@ -191,7 +191,7 @@
 	if conn != nil {
 		// Closed first, so that what is counted after it is all that was or will be written.
 		_ = conn.Close()
-		written, short := conn.Meter()
+		written, short := conn.Written()
 		ran = resp != nil || written > before && !short && (m.rest == nil || m.rest.whole())
 	}
 	var outcome balance.Outcome
--- a/internal/system/proxy/exchange.go
+++ b/internal/system/proxy/exchange.go
@@ -63,8 +63,8 @@
 			return errUnreached
 		}
 		x.begin(conn)
-		conn.ExpectHead(x.bare)
-		before, _ := conn.Meter()
+		conn.SetHeadRequest(x.bare)
+		before, _ := conn.Written()
 		_ = conn.SetWriteDeadline(x.deadline)
 		_, err := conn.Write(head)
 		if err == nil && len(body) > 0 {
@@ -75,7 +75,7 @@
 		if err == nil {
 			return nil
 		}
-		if after, _ := conn.Meter(); after > before && !x.up.without.partlyWritten {
+		if after, _ := conn.Written(); after > before && !x.up.without.partlyWritten {
 			return err
 		}
 		x.drop()
--- a/internal/system/proxy/front.go
+++ b/internal/system/proxy/front.go
@@ -151,7 +151,7 @@
 		if s.state != http.StateIdle && s.state != http.StateNew || now.Sub(s.since) < min(idleMoment, f.p.opt.LossSlack/4) {
 			continue
 		}
-		if g, ok := c.(*framing.ClientConn); ok && (g.Begun() || waiting(g.TCPConn)) {
+		if g, ok := c.(*framing.ClientConn); ok && (g.MidRequest() || waiting(g.TCPConn)) {
 			continue
 		}
 		_ = c.Close()
@@ -166,7 +166,7 @@
 	var state *clientState
 	before := now.Add(-idleMoment)
 	for c, s := range f.conns {
-		if g, ok := c.(*framing.ClientConn); ok && s.state == http.StateIdle && s.since.Before(before) && !g.Begun() {
+		if g, ok := c.(*framing.ClientConn); ok && s.state == http.StateIdle && s.since.Before(before) && !g.MidRequest() {
 			found, state, before = g, s, s.since
 		}
 	}
