--- a/internal/framing/client.go
+++ b/internal/framing/client.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// start is what moments are counted from, so that no jump of the time of day moves them.
-var start = time.Now()
+// processStart is what moments are counted from, so that no jump of the time of day moves them.
+var processStart = time.Now()
 
 // ClientConn is a client's connection that ends before a head whose body's end could be read in two ways.
 //
@@ -17,49 +17,51 @@
 // http.Server gets no last byte of one that is not plain.
 type ClientConn struct {
 	*net.TCPConn
-	framing framing
-	fault   error
-	any     bool         // has been read
-	begun   atomic.Bool  // part of a request has been read, and not all of it
-	from    atomic.Int64 // when the request that is coming, or came last, began: nanoseconds after start
+	tracker      boundaryTracker
+	readErr      error
+	readAny      bool         // has been read
+	midRequest   atomic.Bool  // part of a request has been read, and not all of it
+	requestStart atomic.Int64 // when the request that is coming, or came last, began: nanoseconds after start
 
-	improper *atomic.Int64 // counts the connections ended here
+	rejected *atomic.Int64 // counts the connections ended here
 }
 
 // NewClientConn guards a connection that requests come on. Heads have mostHead bytes at most; improper counts the
 // connections that were ended for their framing.
-func NewClientConn(c *net.TCPConn, mostHead int, improper *atomic.Int64) *ClientConn {
-	f := &ClientConn{TCPConn: c, framing: framing{length: -1, most: mostHead}, improper: improper}
-	f.from.Store(int64(time.Since(start))) // a first request's time begins with its connection
-	return f
+func NewClientConn(c *net.TCPConn, maxHeadBytes int, rejected *atomic.Int64) *ClientConn {
+	conn := &ClientConn{TCPConn: c, tracker: boundaryTracker{contentLength: -1, maxHeadBytes: maxHeadBytes}, rejected: rejected}
+	conn.requestStart.Store(int64(time.Since(processStart))) // a first request's time begins with its connection
+	return conn
 }
 
 // MidRequest tells whether part of a request has been read, and not all of it. Any goroutine may ask.
-func (c *ClientConn) MidRequest() bool { return c.begun.Load() }
+func (c *ClientConn) MidRequest() bool { return c.midRequest.Load() }
 
 // RequestStart is when the request that is coming, or came last, began: when its first byte was read, or for a connection's first
 // request, when the connection was taken. Any goroutine may ask.
-func (c *ClientConn) RequestStart() time.Time { return start.Add(time.Duration(c.from.Load())) }
+func (c *ClientConn) RequestStart() time.Time {
+	return processStart.Add(time.Duration(c.requestStart.Load()))
+}
 
 // Read implements net.Conn. It fails with ErrAmbiguous before the end of a head that is not plain.
 func (c *ClientConn) Read(p []byte) (int, error) {
-	if c.fault != nil {
-		return 0, c.fault
+	if c.readErr != nil {
+		return 0, c.readErr
 	}
 	n, err := c.TCPConn.Read(p)
-	if n > 0 && c.any && !c.begun.Load() {
-		c.from.Store(int64(time.Since(start)))
+	if n > 0 && c.readAny && !c.midRequest.Load() {
+		c.requestStart.Store(int64(time.Since(processStart)))
 	}
-	c.any = c.any || n > 0
-	good := c.framing.check(p[:n])
-	c.begun.Store(c.framing.seen > 0 || c.framing.body > 0 || c.framing.part != noPart)
-	if good < n {
-		c.fault = ErrAmbiguous
-		c.improper.Add(1)
-		if good == 0 {
-			return 0, c.fault
+	c.readAny = c.readAny || n > 0
+	plain := c.tracker.consume(p[:n])
+	c.midRequest.Store(c.tracker.headBytes > 0 || c.tracker.bodyRemaining > 0 || c.tracker.chunkState != notChunked)
+	if plain < n {
+		c.readErr = ErrAmbiguous
+		c.rejected.Add(1)
+		if plain == 0 {
+			return 0, c.readErr
 		}
-		return good, nil
+		return plain, nil
 	}
 	return n, err
 }
--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -8,52 +8,52 @@
 	"sync/atomic"
 )
 
-const mostKept = 1 << 10 // bytes of a line's buffer that a connection keeps
+const maxRetainedLineBytes = 1 << 10 // bytes of a line's buffer that a connection keeps
 
 // ErrAmbiguous is what a read from a guarded connection ends with where a message is not plain, or was not asked for. The
 // remedy is to close the connection.
 var ErrAmbiguous = errors.New("ambiguous framing: close the connection")
 
-// framing follows where one message ends and the next begins.
-type framing struct {
-	answers bool // messages are answers, and may come in chunks
-	most    int  // bytes of a head
+// boundaryTracker follows where one message ends and the next begins.
+type boundaryTracker struct {
+	isResponse   bool // messages are answers, and may come in chunks
+	maxHeadBytes int  // bytes of a head
 
-	line   []byte      // that is coming; bounded by most
-	seen   int         // bytes of the head
-	length int64       // Content-Length; -1: none yet
-	chunks bool        // Transfer-Encoding: chunked
-	old    bool        // not HTTP/1.1
-	body   int64       // bytes of a body still to come
-	part   part        // of a body in chunks that comes next
-	last   bool        // what follows is not looked at: the connection ends behind this message
-	asked  atomic.Bool // an answer is due; another goroutine than the reader's sets this and the next
-	bare   atomic.Bool // it has no body whatever its head says: the request was a HEAD
-	status string      // of the answer that is coming
+	currentLine   []byte      // that is coming; bounded by most
+	headBytes     int         // bytes of the head
+	contentLength int64       // Content-Length; -1: none yet
+	chunked       bool        // Transfer-Encoding: chunked
+	beforeHTTP11  bool        // not HTTP/1.1
+	bodyRemaining int64       // bytes of a body still to come
+	chunkState    chunkState  // of a body in chunks that comes next
+	untilClose    bool        // what follows is not looked at: the connection ends behind this message
+	responseDue   atomic.Bool // an answer is due; another goroutine than the reader's sets this and the next
+	headRequest   atomic.Bool // it has no body whatever its head says: the request was a HEAD
+	status        string      // of the answer that is coming
 }
 
-// part is a part of a body in chunks.
-type part int
+// chunkState is a chunkState of a body in chunks.
+type chunkState int
 
 const (
-	noPart  part = iota // not in such a body
-	sizeOf              // of a chunk
-	endOf               // of a chunk: an empty line
-	trailer             // lines up to an empty one
+	notChunked     chunkState = iota // not in such a body
+	chunkSize                        // of a chunk
+	chunkEnd                         // of a chunk: an empty line
+	trailerSection                   // lines up to an empty one
 )
 
-// check follows the framing through p, and tells how many bytes of it lie before a line that is not plain.
-func (c *framing) check(p []byte) int {
-	for at := 0; at < len(p) && !c.last; {
-		if c.body > 0 {
-			skip := min(c.body, int64(len(p)-at))
+// consume follows the framing through p, and tells how many bytes of it lie before a line that is not plain.
+func (c *boundaryTracker) consume(p []byte) int {
+	for at := 0; at < len(p) && !c.untilClose; {
+		if c.bodyRemaining > 0 {
+			skip := min(c.bodyRemaining, int64(len(p)-at))
 			at += int(skip)
-			if c.body -= skip; c.body == 0 && c.part == noPart {
-				c.asked.Store(false)
+			if c.bodyRemaining -= skip; c.bodyRemaining == 0 && c.chunkState == notChunked {
+				c.responseDue.Store(false)
 			}
 			continue
 		}
-		if c.answers && !c.asked.Load() {
+		if c.isResponse && !c.responseDue.Load() {
 			return at // nobody asked for it
 		}
 		end := bytes.IndexByte(p[at:], '\n')
@@ -62,16 +62,16 @@
 		} else {
 			end++
 		}
-		c.line = append(c.line, p[at:at+end]...)
-		if c.seen += end; c.seen > c.most {
+		c.currentLine = append(c.currentLine, p[at:at+end]...)
+		if c.headBytes += end; c.headBytes > c.maxHeadBytes {
 			return at
 		}
-		if c.line[len(c.line)-1] == '\n' {
-			if !c.endLine() {
+		if c.currentLine[len(c.currentLine)-1] == '\n' {
+			if !c.consumeLine() {
 				return at
 			}
-			if c.line = c.line[:0]; cap(c.line) > mostKept {
-				c.line = nil
+			if c.currentLine = c.currentLine[:0]; cap(c.currentLine) > maxRetainedLineBytes {
+				c.currentLine = nil
 			}
 		}
 		at += end
@@ -79,22 +79,22 @@
 	return len(p)
 }
 
-// endLine takes in a line of the head, and tells whether it is plain.
-func (c *framing) endLine() bool {
-	line, ok := strings.CutSuffix(string(c.line), "\r\n")
-	first := c.seen == len(c.line) && c.part == noPart
+// consumeLine takes in a line of the head, and tells whether it is plain.
+func (c *boundaryTracker) consumeLine() bool {
+	line, ok := strings.CutSuffix(string(c.currentLine), "\r\n")
+	first := c.headBytes == len(c.currentLine) && c.chunkState == notChunked
 	switch {
 	case !ok || strings.Contains(line, "\r") || first && line == "":
 		return false
-	case c.part != noPart:
-		return c.endPart(line)
-	case first && c.answers:
+	case c.chunkState != notChunked:
+		return c.consumeChunkLine(line)
+	case first && c.isResponse:
 		proto, rest, _ := strings.Cut(line, " ")
-		c.old = proto != "HTTP/1.1"
+		c.beforeHTTP11 = proto != "HTTP/1.1"
 		c.status, _, _ = strings.Cut(rest, " ")
 		return isStatus(c.status)
 	case first:
-		c.old = !strings.HasSuffix(line, " HTTP/1.1")
+		c.beforeHTTP11 = !strings.HasSuffix(line, " HTTP/1.1")
 		return true
 	case line == "":
 		return c.endHead()
@@ -106,11 +106,11 @@
 	switch {
 	case strings.EqualFold(name, "Content-Length"):
 		n, err := strconv.ParseUint(value, 10, 63)
-		ok = err == nil && c.length < 0
-		c.length = int64(n)
+		ok = err == nil && c.contentLength < 0
+		c.contentLength = int64(n)
 	case strings.EqualFold(name, "Transfer-Encoding"):
-		ok = !c.chunks && strings.EqualFold(value, "chunked")
-		c.chunks = true
+		ok = !c.chunked && strings.EqualFold(value, "chunked")
+		c.chunked = true
 	}
 	return ok
 }
@@ -124,51 +124,51 @@
 func isDigit(c byte) bool { return c >= '0' && c <= '9' }
 
 // endHead turns to the body, and tells whether its end is plain.
-func (c *framing) endHead() bool {
-	if c.chunks && (c.old || c.length >= 0) {
+func (c *boundaryTracker) endHead() bool {
+	if c.chunked && (c.beforeHTTP11 || c.contentLength >= 0) {
 		return false
 	}
-	chunks, length, interim := c.chunks, c.length, strings.HasPrefix(c.status, "1")
-	c.seen, c.length, c.chunks, c.old = 0, -1, false, false
+	chunks, length, interim := c.chunked, c.contentLength, strings.HasPrefix(c.status, "1")
+	c.headBytes, c.contentLength, c.chunked, c.beforeHTTP11 = 0, -1, false, false
 	switch {
-	case !c.answers && !chunks:
-		c.body = max(length, 0)
+	case !c.isResponse && !chunks:
+		c.bodyRemaining = max(length, 0)
 	case c.status == "101":
-		c.last = true
+		c.untilClose = true
 	case interim: // another head follows
-	case c.status == "204" || c.status == "304" || c.answers && c.bare.Load():
-		c.asked.Store(false)
+	case c.status == "204" || c.status == "304" || c.isResponse && c.headRequest.Load():
+		c.responseDue.Store(false)
 	case chunks:
-		c.part = sizeOf
+		c.chunkState = chunkSize
 	case length < 0:
-		c.last = true // its end is the connection's
+		c.untilClose = true // its end is the connection's
 	default:
-		c.body = length
-		c.asked.Store(length > 0)
+		c.bodyRemaining = length
+		c.responseDue.Store(length > 0)
 	}
 	return true
 }
 
-// endPart takes in a line of a body in chunks, and tells whether it is plain.
-func (c *framing) endPart(line string) bool {
-	c.seen = 0
-	switch c.part {
-	case sizeOf:
+// consumeChunkLine takes in a line of a body in chunks, and tells whether it is plain.
+func (c *boundaryTracker) consumeChunkLine(line string) bool {
+	c.headBytes = 0
+	switch c.chunkState {
+	case chunkSize:
 		size, _, _ := strings.Cut(line, ";")
 		n, err := strconv.ParseUint(strings.Trim(size, " \t"), 16, 31)
 		if err != nil {
 			return false
 		}
-		if c.body, c.part = int64(n), endOf; n == 0 {
-			c.part = trailer
+		if c.bodyRemaining, c.chunkState = int64(n), chunkEnd; n == 0 {
+			c.chunkState = trailerSection
 		}
-	case endOf:
-		c.part = sizeOf
+	case chunkEnd:
+		c.chunkState = chunkSize
 		return line == ""
-	case trailer:
+	case trailerSection:
 		if line == "" {
-			c.part = noPart
-			c.asked.Store(false)
+			c.chunkState = notChunked
+			c.responseDue.Store(false)
 		}
 	}
 	return true
--- a/internal/framing/framing_test.go
+++ b/internal/framing/framing_test.go
@@ -9,23 +9,23 @@
 	"testing"
 )
 
-// requests follows a text as one connection's requests, in pieces of a size, and tells how many of its bytes got through.
-func requests(text string, piece int) int {
-	return follow(&framing{length: -1, most: 1 << 10}, text, piece, func() {})
+// consumeRequests follows a text as one connection's consumeRequests, in pieces of a size, and tells how many of its bytes got through.
+func consumeRequests(text string, pieceSize int) int {
+	return consumeInPieces(&boundaryTracker{contentLength: -1, maxHeadBytes: 1 << 10}, text, pieceSize, func() {})
 }
 
-// answers does so for a server's answers, one of which is asked for each time that the one before has come whole.
-func answers(text string, piece int, bare bool) int {
-	f := &framing{answers: true, length: -1, most: 1 << 10}
-	f.bare.Store(bare)
-	f.asked.Store(true)
-	return follow(f, text, piece, func() { f.asked.Store(true) })
+// consumeResponses does so for a server's consumeResponses, one of which is asked for each time that the one before has come whole.
+func consumeResponses(text string, pieceSize int, bare bool) int {
+	f := &boundaryTracker{isResponse: true, contentLength: -1, maxHeadBytes: 1 << 10}
+	f.headRequest.Store(bare)
+	f.responseDue.Store(true)
+	return consumeInPieces(f, text, pieceSize, func() { f.responseDue.Store(true) })
 }
 
-func follow(f *framing, text string, piece int, after func()) int {
-	for at := 0; at < len(text); at += piece {
-		part := text[at:min(at+piece, len(text))]
-		if good := f.check([]byte(part)); good < len(part) {
+func consumeInPieces(f *boundaryTracker, text string, pieceSize int, after func()) int {
+	for at := 0; at < len(text); at += pieceSize {
+		part := text[at:min(at+pieceSize, len(text))]
+		if good := f.consume([]byte(part)); good < len(part) {
 			return at + good
 		}
 		after()
@@ -64,15 +64,15 @@
 		{"a long head", line + "X-A: " + strings.Repeat("b", 1<<10) + "\r\n\r\n", false},
 	} {
 		for _, piece := range []int{1, 7, 1 << 20} {
-			if n := requests(tt.text, piece); (n == len(tt.text)) != tt.plain {
+			if n := consumeRequests(tt.text, piece); (n == len(tt.text)) != tt.plain {
 				t.Errorf("%s, pieces of %d: %d of %d bytes got through", tt.name, piece, n, len(tt.text))
 			}
 		}
 	}
 }
 
-// TestAnswers does so for answers.
-func TestAnswers(t *testing.T) {
+// TestResponses does so for answers.
+func TestResponses(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
 	for _, tt := range []struct {
 		name, text string
@@ -103,7 +103,7 @@
 		if tt.through < 0 {
 			tt.through = len(tt.text)
 		}
-		if n := answers(tt.text, 1<<20, tt.bare); n != tt.through {
+		if n := consumeResponses(tt.text, 1<<20, tt.bare); n != tt.through {
 			t.Errorf("%s: %d of %d bytes got through, want %d", tt.name, n, len(tt.text), tt.through)
 		}
 	}
@@ -124,11 +124,11 @@
 		if piece <= 0 {
 			piece = 1 << 20
 		}
-		n := requests(text, piece)
-		if whole := requests(text, 1<<20); n < whole {
+		n := consumeRequests(text, piece)
+		if whole := consumeRequests(text, 1<<20); n < whole {
 			t.Errorf("pieces of %d: %d bytes got through, %d at once", piece, n, whole)
 		}
-		guard := &framing{length: -1, most: 1 << 10}
+		guard := &boundaryTracker{contentLength: -1, maxHeadBytes: 1 << 10}
 		in := bufio.NewReader(strings.NewReader(text[:n]))
 		for at := 0; at < n; {
 			r, err := http.ReadRequest(in)
@@ -143,8 +143,8 @@
 			if n > 4096 {
 				return
 			}
-			if good := guard.check([]byte(text[at:end])); good != end-at || guard.seen != 0 || guard.body != 0 {
-				t.Fatalf("the reader ends a request at %d, the guard does not (%d, %d, %d)", end, at+good, guard.seen, guard.body)
+			if good := guard.consume([]byte(text[at:end])); good != end-at || guard.headBytes != 0 || guard.bodyRemaining != 0 {
+				t.Fatalf("the reader ends a request at %d, the guard does not (%d, %d, %d)", end, at+good, guard.headBytes, guard.bodyRemaining)
 			}
 			at = end
 		}
@@ -157,18 +157,18 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n\r\n"), false)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\nA: b\r\n\r\nmore"), true)
 	f.Fuzz(func(t *testing.T, text []byte, bare bool) {
-		g := &framing{answers: true, length: -1, most: 1 << 10}
-		g.bare.Store(bare)
-		if n := g.check(bytes.Clone(text)); n > 0 {
+		g := &boundaryTracker{isResponse: true, contentLength: -1, maxHeadBytes: 1 << 10}
+		g.headRequest.Store(bare)
+		if n := g.consume(bytes.Clone(text)); n > 0 {
 			t.Errorf("%d bytes that nobody asked for", n)
 		}
-		g.asked.Store(true)
-		n := g.check(text)
+		g.responseDue.Store(true)
+		n := g.consume(text)
 		if n < 0 || n > len(text) {
 			t.Errorf("%d of %d bytes", n, len(text))
 		}
-		if !g.asked.Load() && !g.last {
-			if more := g.check([]byte("H")); more != 0 {
+		if !g.responseDue.Load() && !g.untilClose {
+			if more := g.consume([]byte("H")); more != 0 {
 				t.Error("a byte behind the answer")
 			}
 		}
@@ -192,11 +192,11 @@
 		if len(text) > 4000 { // the whole text is to fit the reader's buffer
 			return
 		}
-		guard := &framing{answers: true, length: -1, most: 1 << 12}
-		guard.bare.Store(bare)
-		guard.asked.Store(true)
-		text = text[:guard.check([]byte(text))]
-		if guard.last || guard.asked.Load() {
+		guard := &boundaryTracker{isResponse: true, contentLength: -1, maxHeadBytes: 1 << 12}
+		guard.headRequest.Store(bare)
+		guard.responseDue.Store(true)
+		text = text[:guard.consume([]byte(text))]
+		if guard.untilClose || guard.responseDue.Load() {
 			return // not whole, or up to the end of the connection
 		}
 		method := http.MethodGet
@@ -204,9 +204,9 @@
 			method = http.MethodHead
 		}
 		in := bufio.NewReader(strings.NewReader(text))
-		again := &framing{answers: true, length: -1, most: 1 << 12}
-		again.bare.Store(bare)
-		again.asked.Store(true)
+		again := &boundaryTracker{isResponse: true, contentLength: -1, maxHeadBytes: 1 << 12}
+		again.headRequest.Store(bare)
+		again.responseDue.Store(true)
 		for at := 0; ; {
 			resp, err := http.ReadResponse(in, &http.Request{Method: method})
 			if err != nil {
@@ -216,8 +216,8 @@
 				return
 			}
 			end := len(text) - in.Buffered()
-			again.check([]byte(text[at:end]))
-			if interim := resp.StatusCode < 200; again.seen != 0 || again.body != 0 || again.asked.Load() != interim {
+			again.consume([]byte(text[at:end]))
+			if interim := resp.StatusCode < 200; again.headBytes != 0 || again.bodyRemaining != 0 || again.responseDue.Load() != interim {
 				t.Fatalf("the reader ends an answer of status %d at %d, the guard does not: %q", resp.StatusCode, end, text)
 			} else if !interim {
 				return
--- a/internal/framing/server_test.go
+++ b/internal/framing/server_test.go
@@ -26,7 +26,7 @@
 // SetWriteDeadline implements net.Conn.
 func (c *shortConn) SetWriteDeadline(time.Time) error { return nil }
 
-func TestMeter(t *testing.T) {
+func TestWritten(t *testing.T) {
 	c := NewServerConn(&shortConn{room: 6}, 1<<10)
 	for _, want := range []struct {
 		written int64
