--- a/internal/framing/boundary.go
+++ b/internal/framing/boundary.go
@@ -3,173 +3,273 @@
 import (
 	"bytes"
 	"errors"
+	"net/http"
 	"strconv"
 	"strings"
 	"sync/atomic"
 )
 
-const maxRetainedLineBytes = 1 << 10 // bytes of a line's buffer that a connection keeps
+// maxRetainedLineBytes bounds the line buffer that a connection retains between lines.
+const maxRetainedLineBytes = 1 << 10
 
-// ErrAmbiguous is what a read from a guarded connection ends with where a message is not plain, or was not asked for. The
-// remedy is to close the connection.
+// ErrAmbiguous is returned by reads from a guarded connection where a message is not plain, or where bytes come that no
+// request asked for. The remedy is to close the connection.
 var ErrAmbiguous = errors.New("ambiguous framing: close the connection")
 
-// boundaryTracker follows where one message ends and the next begins.
+// boundaryTracker follows where one message of a connection ends and the next begins. It looks at heads and chunk lines only
+// and counts through bodies. It must not be copied.
 type boundaryTracker struct {
-	isResponse   bool // messages are answers, and may come in chunks
-	maxHeadBytes int  // bytes of a head
-
-	currentLine   []byte      // that is coming; bounded by most
-	headBytes     int         // bytes of the head
-	contentLength int64       // Content-Length; -1: none yet
-	chunked       bool        // Transfer-Encoding: chunked
-	beforeHTTP11  bool        // not HTTP/1.1
-	bodyRemaining int64       // bytes of a body still to come
-	chunkState    chunkState  // of a body in chunks that comes next
-	untilClose    bool        // what follows is not looked at: the connection ends behind this message
-	responseDue   atomic.Bool // an answer is due; another goroutine than the reader's sets this and the next
-	headRequest   atomic.Bool // it has no body whatever its head says: the request was a HEAD
-	status        string      // of the answer that is coming
-}
-
-// chunkState is a chunkState of a body in chunks.
+	isResponse   bool // the messages are responses; otherwise they are requests
+	maxHeadBytes int
+
+	currentLine   []byte // the incomplete line; at most maxHeadBytes
+	headBytes     int    // bytes of the current head, or of the current chunk line, so far
+	contentLength int64  // -1: the current head has named none yet
+	chunked       bool   // the current head has named the transfer coding "chunked"
+	beforeHTTP11  bool
+	bodyRemaining int64 // bytes of a body, or of a chunk's data, still to come
+	chunkState    chunkState
+	untilClose    bool // what follows is not followed: the connection ends after this message
+	statusCode    int  // of the current response
+
+	responseDue atomic.Bool // set by the writer, which may be another goroutine than the reader
+	headRequest atomic.Bool // the response has no body whatever its head says; set by the writer
+}
+
+// chunkState is the element of a chunked body that comes next (RFC 9112, section 7.1).
 type chunkState int
 
 const (
-	notChunked     chunkState = iota // not in such a body
-	chunkSize                        // of a chunk
-	chunkEnd                         // of a chunk: an empty line
-	trailerSection                   // lines up to an empty one
+	notChunked     chunkState = iota // not within a chunked body
+	chunkSize                        // the line with a chunk's size
+	chunkEnd                         // the empty line behind a chunk's data
+	trailerSection                   // trailer fields, up to an empty line
 )
 
-// consume follows the framing through p, and tells how many bytes of it lie before a line that is not plain.
-func (c *boundaryTracker) consume(p []byte) int {
-	for at := 0; at < len(p) && !c.untilClose; {
-		if c.bodyRemaining > 0 {
-			skip := min(c.bodyRemaining, int64(len(p)-at))
-			at += int(skip)
-			if c.bodyRemaining -= skip; c.bodyRemaining == 0 && c.chunkState == notChunked {
-				c.responseDue.Store(false)
-			}
+func newRequestTracker(maxHeadBytes int) *boundaryTracker {
+	return &boundaryTracker{contentLength: -1, maxHeadBytes: maxHeadBytes}
+}
+
+func newResponseTracker(maxHeadBytes int) *boundaryTracker {
+	return &boundaryTracker{isResponse: true, contentLength: -1, maxHeadBytes: maxHeadBytes}
+}
+
+// consume follows the framing through p and returns how many of its bytes precede the first line fragment that is not plain.
+// It returns len(p) if all of them are in order.
+func (t *boundaryTracker) consume(p []byte) int {
+	for offset := 0; offset < len(p) && !t.untilClose; {
+		if t.bodyRemaining > 0 {
+			offset += t.skipBody(len(p) - offset)
 			continue
 		}
-		if c.isResponse && !c.responseDue.Load() {
-			return at // nobody asked for it
+		if t.isResponse && !t.responseDue.Load() {
+			return offset // surplus
 		}
-		end := bytes.IndexByte(p[at:], '\n')
-		if end < 0 {
-			end = len(p) - at
-		} else {
-			end++
+		size := lineFragment(p[offset:])
+		if !t.appendLine(p[offset : offset+size]) {
+			return offset
 		}
-		c.currentLine = append(c.currentLine, p[at:at+end]...)
-		if c.headBytes += end; c.headBytes > c.maxHeadBytes {
-			return at
-		}
-		if c.currentLine[len(c.currentLine)-1] == '\n' {
-			if !c.consumeLine() {
-				return at
-			}
-			if c.currentLine = c.currentLine[:0]; cap(c.currentLine) > maxRetainedLineBytes {
-				c.currentLine = nil
-			}
-		}
-		at += end
+		offset += size
 	}
 	return len(p)
 }
 
-// consumeLine takes in a line of the head, and tells whether it is plain.
-func (c *boundaryTracker) consumeLine() bool {
-	line, ok := strings.CutSuffix(string(c.currentLine), "\r\n")
-	first := c.headBytes == len(c.currentLine) && c.chunkState == notChunked
-	switch {
-	case !ok || strings.Contains(line, "\r") || first && line == "":
+// lineFragment returns how many bytes of p belong to its first line, the line feed included.
+func lineFragment(p []byte) int {
+	if end := bytes.IndexByte(p, '\n'); end >= 0 {
+		return end + 1
+	}
+	return len(p)
+}
+
+// skipBody counts up to available bytes of the body and returns how many belong to it.
+func (t *boundaryTracker) skipBody(available int) int {
+	skipped := min(t.bodyRemaining, int64(available))
+	t.bodyRemaining -= skipped
+	if t.bodyRemaining == 0 && t.chunkState == notChunked {
+		t.responseDue.Store(false)
+	}
+	return int(skipped)
+}
+
+// appendLine adds a fragment of a line, and reports false if the line is too long or, once complete, not plain.
+func (t *boundaryTracker) appendLine(fragment []byte) bool {
+	t.currentLine = append(t.currentLine, fragment...)
+	t.headBytes += len(fragment)
+	if t.headBytes > t.maxHeadBytes {
 		return false
-	case c.chunkState != notChunked:
-		return c.consumeChunkLine(line)
-	case first && c.isResponse:
-		proto, rest, _ := strings.Cut(line, " ")
-		c.beforeHTTP11 = proto != "HTTP/1.1"
-		c.status, _, _ = strings.Cut(rest, " ")
-		return isStatus(c.status)
-	case first:
-		c.beforeHTTP11 = !strings.HasSuffix(line, " HTTP/1.1")
+	}
+	if fragment[len(fragment)-1] != '\n' {
 		return true
+	}
+	if !t.consumeLine() {
+		return false
+	}
+	if t.currentLine = t.currentLine[:0]; cap(t.currentLine) > maxRetainedLineBytes {
+		t.currentLine = nil
+	}
+	return true
+}
+
+// consumeLine interprets the complete current line and reports whether it is plain.
+func (t *boundaryTracker) consumeLine() bool {
+	line, terminated := strings.CutSuffix(string(t.currentLine), "\r\n")
+	if !terminated || strings.Contains(line, "\r") {
+		return false
+	}
+	isStartLine := t.headBytes == len(t.currentLine)
+	switch {
+	case t.chunkState != notChunked:
+		return t.consumeChunkLine(line)
+	case isStartLine:
+		return t.consumeStartLine(line)
 	case line == "":
-		return c.endHead()
-	case line[0] == ' ' || line[0] == '\t':
+		return t.endHead()
+	}
+	return t.consumeField(line)
+}
+
+// consumeStartLine interprets a request line or a status line (RFC 9112, sections 3 and 4).
+func (t *boundaryTracker) consumeStartLine(line string) bool {
+	if line == "" {
+		return false
+	}
+	if !t.isResponse {
+		t.beforeHTTP11 = !strings.HasSuffix(line, " HTTP/1.1")
+		return true
+	}
+	version, rest, _ := strings.Cut(line, " ")
+	t.beforeHTTP11 = version != "HTTP/1.1"
+	status, _, _ := strings.Cut(rest, " ")
+	var plain bool
+	t.statusCode, plain = parseStatus(status)
+	return plain
+}
+
+// consumeField interprets a field line (RFC 9112, section 5) and reports false for folded lines, for repeated or malformed
+// lengths and for transfer codings other than a single "chunked".
+func (t *boundaryTracker) consumeField(line string) bool {
+	if line[0] == ' ' || line[0] == '\t' {
 		return false
 	}
 	name, value, _ := strings.Cut(line, ":")
 	value = strings.Trim(value, " \t")
 	switch {
 	case strings.EqualFold(name, "Content-Length"):
-		n, err := strconv.ParseUint(value, 10, 63)
-		ok = err == nil && c.contentLength < 0
-		c.contentLength = int64(n)
+		length, err := strconv.ParseUint(value, 10, 63)
+		repeated := t.contentLength >= 0
+		t.contentLength = int64(length)
+		return err == nil && !repeated
 	case strings.EqualFold(name, "Transfer-Encoding"):
-		ok = !c.chunked && strings.EqualFold(value, "chunked")
-		c.chunked = true
+		repeated := t.chunked
+		t.chunked = true
+		return !repeated && strings.EqualFold(value, "chunked")
 	}
-	return ok
+	return true
 }
 
-// isStatus tells whether a text is three digits, and 100 or more. Danger: net/http's reader skips spaces before the status
-// and takes one below 100, or with a sign, for an interim answer's: it would look for the next head in what is a body here.
-func isStatus(text string) bool {
-	return len(text) == 3 && text[0] >= '1' && text[0] <= '9' && isDigit(text[1]) && isDigit(text[2])
+// parseStatus reads a status code and reports whether it is three digits that make at least 100. Danger: net/http's reader
+// skips spaces before the status and takes one below 100, or with a sign, for an interim response's: it would look for the
+// next head in what is a body here.
+func parseStatus(text string) (code int, plain bool) {
+	if len(text) != 3 || text[0] < '1' || text[0] > '9' || !isDigit(text[1]) || !isDigit(text[2]) {
+		return 0, false
+	}
+	code, err := strconv.Atoi(text)
+	return code, err == nil
 }
 
 func isDigit(c byte) bool { return c >= '0' && c <= '9' }
 
-// endHead turns to the body, and tells whether its end is plain.
-func (c *boundaryTracker) endHead() bool {
-	if c.chunked && (c.beforeHTTP11 || c.contentLength >= 0) {
+// endHead turns from a complete head to its body and reports whether the end of that body is plain (RFC 9112, section 6.3).
+func (t *boundaryTracker) endHead() bool {
+	chunked, length := t.chunked, t.contentLength
+	if chunked && (t.beforeHTTP11 || length >= 0) {
 		return false
 	}
-	chunks, length, interim := c.chunked, c.contentLength, strings.HasPrefix(c.status, "1")
-	c.headBytes, c.contentLength, c.chunked, c.beforeHTTP11 = 0, -1, false, false
+	t.headBytes, t.contentLength, t.chunked, t.beforeHTTP11 = 0, -1, false, false
 	switch {
-	case !c.isResponse && !chunks:
-		c.bodyRemaining = max(length, 0)
-	case c.status == "101":
-		c.untilClose = true
-	case interim: // another head follows
-	case c.status == "204" || c.status == "304" || c.isResponse && c.headRequest.Load():
-		c.responseDue.Store(false)
-	case chunks:
-		c.chunkState = chunkSize
-	case length < 0:
-		c.untilClose = true // its end is the connection's
+	case t.isResponse:
+		t.beginResponseBody(chunked, length)
+	case chunked:
+		t.chunkState = chunkSize
 	default:
-		c.bodyRemaining = length
-		c.responseDue.Store(length > 0)
+		t.bodyRemaining = max(length, 0)
 	}
 	return true
 }
 
-// consumeChunkLine takes in a line of a body in chunks, and tells whether it is plain.
-func (c *boundaryTracker) consumeChunkLine(line string) bool {
-	c.headBytes = 0
-	switch c.chunkState {
+// beginResponseBody chooses how the body of the current response ends. A length of -1 means that the head named none.
+func (t *boundaryTracker) beginResponseBody(chunked bool, length int64) {
+	isInterim := t.statusCode < http.StatusOK
+	switch {
+	case t.statusCode == http.StatusSwitchingProtocols:
+		t.untilClose = true
+	case isInterim: // the head of another response follows
+	case t.statusCode == http.StatusNoContent || t.statusCode == http.StatusNotModified || t.headRequest.Load():
+		t.responseDue.Store(false)
+	case chunked:
+		t.chunkState = chunkSize
+	case length < 0:
+		t.untilClose = true
+	default:
+		t.bodyRemaining = length
+		t.responseDue.Store(length > 0)
+	}
+}
+
+// consumeChunkLine interprets a line of a chunked body and reports whether it is plain.
+func (t *boundaryTracker) consumeChunkLine(line string) bool {
+	t.headBytes = 0
+	switch t.chunkState {
 	case chunkSize:
-		size, _, _ := strings.Cut(line, ";")
-		n, err := strconv.ParseUint(strings.Trim(size, " \t"), 16, 31)
-		if err != nil {
-			return false
-		}
-		if c.bodyRemaining, c.chunkState = int64(n), chunkEnd; n == 0 {
-			c.chunkState = trailerSection
-		}
+		return t.beginChunk(line)
 	case chunkEnd:
-		c.chunkState = chunkSize
+		t.chunkState = chunkSize
 		return line == ""
 	case trailerSection:
 		if line == "" {
-			c.chunkState = notChunked
-			c.responseDue.Store(false)
+			t.chunkState = notChunked
+			t.responseDue.Store(false)
 		}
 	}
 	return true
 }
+
+// beginChunk reads the size of a chunk, in hexadecimal; the last chunk has size 0. Extensions behind a semicolon are ignored.
+func (t *boundaryTracker) beginChunk(line string) bool {
+	digits, _, _ := strings.Cut(line, ";")
+	size, err := strconv.ParseUint(strings.Trim(digits, " \t"), 16, 31)
+	if err != nil {
+		return false
+	}
+	t.bodyRemaining, t.chunkState = int64(size), chunkEnd
+	if size == 0 {
+		t.chunkState = trailerSection
+	}
+	return true
+}
+
+// midMessage reports whether part of a message has come, and not all of it.
+func (t *boundaryTracker) midMessage() bool {
+	return t.headBytes > 0 || t.bodyRemaining > 0 || t.chunkState != notChunked
+}
+
+// readGuard ends the reads of a connection at the first byte that its tracker does not admit.
+type readGuard struct {
+	tracker *boundaryTracker
+	err     error // ErrAmbiguous once a byte was not admitted
+}
+
+// admit takes what a read returned and gives what the caller of the read gets.
+func (g *readGuard) admit(p []byte, readErr error) (int, error) {
+	plain := g.tracker.consume(p)
+	if plain == len(p) {
+		return plain, readErr
+	}
+	g.err = ErrAmbiguous
+	if plain == 0 {
+		return 0, g.err
+	}
+	return plain, nil // the next read fails
+}
--- a/internal/framing/boundary_test.go
+++ b/internal/framing/boundary_test.go
@@ -11,12 +11,12 @@
 
 // consumeRequests follows a text as one connection's consumeRequests, in pieces of a size, and tells how many of its bytes got through.
 func consumeRequests(text string, pieceSize int) int {
-	return consumeInPieces(&boundaryTracker{contentLength: -1, maxHeadBytes: 1 << 10}, text, pieceSize, func() {})
+	return consumeInPieces(newRequestTracker(1 << 10), text, pieceSize, func() {})
 }
 
 // consumeResponses does so for a server's consumeResponses, one of which is asked for each time that the one before has come whole.
 func consumeResponses(text string, pieceSize int, bare bool) int {
-	f := &boundaryTracker{isResponse: true, contentLength: -1, maxHeadBytes: 1 << 10}
+	f := newResponseTracker(1 << 10)
 	f.headRequest.Store(bare)
 	f.responseDue.Store(true)
 	return consumeInPieces(f, text, pieceSize, func() { f.responseDue.Store(true) })
@@ -128,7 +128,7 @@
 		if whole := consumeRequests(text, 1<<20); n < whole {
 			t.Errorf("pieces of %d: %d bytes got through, %d at once", piece, n, whole)
 		}
-		guard := &boundaryTracker{contentLength: -1, maxHeadBytes: 1 << 10}
+		guard := newRequestTracker(1 << 10)
 		in := bufio.NewReader(strings.NewReader(text[:n]))
 		for at := 0; at < n; {
 			r, err := http.ReadRequest(in)
@@ -157,7 +157,7 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n\r\n"), false)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\nA: b\r\n\r\nmore"), true)
 	f.Fuzz(func(t *testing.T, text []byte, bare bool) {
-		g := &boundaryTracker{isResponse: true, contentLength: -1, maxHeadBytes: 1 << 10}
+		g := newResponseTracker(1 << 10)
 		g.headRequest.Store(bare)
 		if n := g.consume(bytes.Clone(text)); n > 0 {
 			t.Errorf("%d bytes that nobody asked for", n)
@@ -192,7 +192,7 @@
 		if len(text) > 4000 { // the whole text is to fit the reader's buffer
 			return
 		}
-		guard := &boundaryTracker{isResponse: true, contentLength: -1, maxHeadBytes: 1 << 12}
+		guard := newResponseTracker(1 << 12)
 		guard.headRequest.Store(bare)
 		guard.responseDue.Store(true)
 		text = text[:guard.consume([]byte(text))]
@@ -204,7 +204,7 @@
 			method = http.MethodHead
 		}
 		in := bufio.NewReader(strings.NewReader(text))
-		again := &boundaryTracker{isResponse: true, contentLength: -1, maxHeadBytes: 1 << 12}
+		again := newResponseTracker(1 << 12)
 		again.headRequest.Store(bare)
 		again.responseDue.Store(true)
 		for at := 0; ; {
