--- a/internal/framing/boundary.go
+++ b/internal/framing/boundary.go
@@ -54,32 +54,32 @@
 	return &boundaryTracker{isResponse: true, contentLength: -1, maxHeadBytes: maxHeadBytes}
 }
 
-// consume follows the framing through p and returns how many of its bytes precede the first line fragment that is not plain.
-// It returns len(p) if all of them are in order.
-func (t *boundaryTracker) consume(p []byte) int {
-	for offset := 0; offset < len(p) && !t.untilClose; {
+// consume follows the framing through data and returns how many of its bytes precede the first line fragment that is not plain.
+// It returns len(data) if all of them are in order.
+func (t *boundaryTracker) consume(data []byte) int {
+	for offset := 0; offset < len(data) && !t.untilClose; {
 		if t.bodyRemaining > 0 {
-			offset += t.skipBody(len(p) - offset)
+			offset += t.skipBody(len(data) - offset)
 			continue
 		}
 		if t.isResponse && !t.responseDue.Load() {
 			return offset // surplus
 		}
-		size := lineFragment(p[offset:])
-		if !t.appendLine(p[offset : offset+size]) {
+		size := lineFragment(data[offset:])
+		if !t.appendLine(data[offset : offset+size]) {
 			return offset
 		}
 		offset += size
 	}
-	return len(p)
+	return len(data)
 }
 
-// lineFragment returns how many bytes of p belong to its first line, the line feed included.
-func lineFragment(p []byte) int {
-	if end := bytes.IndexByte(p, '\n'); end >= 0 {
+// lineFragment returns how many bytes of data belong to its first line, the line feed included.
+func lineFragment(data []byte) int {
+	if end := bytes.IndexByte(data, '\n'); end >= 0 {
 		return end + 1
 	}
-	return len(p)
+	return len(data)
 }
 
 // skipBody counts up to available bytes of the body and returns how many belong to it.
--- a/internal/framing/boundary_test.go
+++ b/internal/framing/boundary_test.go
@@ -3,42 +3,47 @@
 import (
 	"bufio"
 	"bytes"
+	"fmt"
 	"io"
 	"net/http"
 	"strings"
 	"testing"
 )
 
-// consumeRequests follows a text as one connection's consumeRequests, in pieces of a size, and tells how many of its bytes got through.
+// readerBytes is the size of the buffers through which net/http reads; texts that are compared fit it.
+const readerBytes = 4 << 10
+
+// consumeRequests follows a text as the requests of one connection, in pieces of a size, and returns how many bytes were admitted.
 func consumeRequests(text string, pieceSize int) int {
-	return consumeInPieces(newRequestTracker(1 << 10), text, pieceSize, func() {})
+	return consumeInPieces(newRequestTracker(1<<10), text, pieceSize, func() {})
 }
 
-// consumeResponses does so for a server's consumeResponses, one of which is asked for each time that the one before has come whole.
-func consumeResponses(text string, pieceSize int, bare bool) int {
-	f := newResponseTracker(1 << 10)
-	f.headRequest.Store(bare)
-	f.responseDue.Store(true)
-	return consumeInPieces(f, text, pieceSize, func() { f.responseDue.Store(true) })
+// consumeResponses does so for the responses of a server; another one is due after each piece.
+func consumeResponses(text string, pieceSize int, headRequest bool) int {
+	tracker := newResponseTracker(1 << 10)
+	tracker.headRequest.Store(headRequest)
+	tracker.responseDue.Store(true)
+	return consumeInPieces(tracker, text, pieceSize, func() { tracker.responseDue.Store(true) })
 }
 
-func consumeInPieces(f *boundaryTracker, text string, pieceSize int, after func()) int {
-	for at := 0; at < len(text); at += pieceSize {
-		part := text[at:min(at+pieceSize, len(text))]
-		if good := f.consume([]byte(part)); good < len(part) {
-			return at + good
+// consumeInPieces returns how many bytes the tracker admits, and calls afterPiece after each complete piece.
+func consumeInPieces(tracker *boundaryTracker, text string, pieceSize int, afterPiece func()) int {
+	for offset := 0; offset < len(text); offset += pieceSize {
+		piece := text[offset:min(offset+pieceSize, len(text))]
+		if admitted := tracker.consume([]byte(piece)); admitted < len(piece) {
+			return offset + admitted
 		}
-		after()
+		afterPiece()
 	}
 	return len(text)
 }
 
-// TestRequests has requests whose framing is plain, which get through whole, and ones that do not: of those the byte that
-// would make them whole is held back.
+// TestRequests has requests whose framing is plain, which are admitted completely, and others: of those the byte that would
+// complete them is not admitted.
 func TestRequests(t *testing.T) {
 	const line, host = "POST / HTTP/1.1\r\n", "Host: x\r\n"
 	next := "GET / HTTP/1.1\r\n\r\n"
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		name, text string
 		plain      bool
 	}{
@@ -63,21 +68,23 @@
 		{"chunked twice", line + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", false},
 		{"a long head", line + "X-A: " + strings.Repeat("b", 1<<10) + "\r\n\r\n", false},
 	} {
-		for _, piece := range []int{1, 7, 1 << 20} {
-			if n := consumeRequests(tt.text, piece); (n == len(tt.text)) != tt.plain {
-				t.Errorf("%s, pieces of %d: %d of %d bytes got through", tt.name, piece, n, len(tt.text))
-			}
+		for _, pieceSize := range []int{1, 7, 1 << 20} {
+			t.Run(fmt.Sprint(test.name, " in pieces of ", pieceSize), func(t *testing.T) {
+				if admitted := consumeRequests(test.text, pieceSize); (admitted == len(test.text)) != test.plain {
+					t.Errorf("%d of %d bytes were admitted, plain %v", admitted, len(test.text), test.plain)
+				}
+			})
 		}
 	}
 }
 
-// TestResponses does so for answers.
+// TestResponses does so for responses, and for bytes that follow them.
 func TestResponses(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
-	for _, tt := range []struct {
-		name, text string
-		bare       bool
-		through    int // bytes; -1: all
+	for _, test := range []struct {
+		name, text  string
+		headRequest bool
+		admitted    int // bytes; -1: all
 	}{
 		{"length", ok + "Content-Length: 2\r\n\r\nok", false, -1},
 		{"nothing", ok + "Content-Length: 0\r\n\r\n", false, -1},
@@ -100,17 +107,19 @@
 		{"no reason", "HTTP/1.1 204\r\n\r\n", false, -1},
 		{"a chunk longer than said", ok + "Transfer-Encoding: chunked\r\n\r\n1\r\nok\r\n0\r\n\r\n", false, len(ok) + 30 + 4},
 	} {
-		if tt.through < 0 {
-			tt.through = len(tt.text)
-		}
-		if n := consumeResponses(tt.text, 1<<20, tt.bare); n != tt.through {
-			t.Errorf("%s: %d of %d bytes got through, want %d", tt.name, n, len(tt.text), tt.through)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			want := test.admitted
+			if want < 0 {
+				want = len(test.text)
+			}
+			if admitted := consumeResponses(test.text, 1<<20, test.headRequest); admitted != want {
+				t.Errorf("%d of %d bytes were admitted, want %d", admitted, len(test.text), want)
+			}
+		})
 	}
 }
 
-// FuzzRequests compares the guard with net/http's reader: of what gets through, the guard has every request end where the
-// reader does, so what one takes for a body the other never takes for a request.
+// FuzzRequests compares the tracker with net/http's reader: of what is admitted, every request ends where the reader ends it, so what one takes for a body the other never takes for a request.
 func FuzzRequests(f *testing.F) {
 	for _, text := range []string{
 		"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\nHost: y\r\n\r\n",
@@ -120,63 +129,70 @@
 	} {
 		f.Add(text, 3)
 	}
-	f.Fuzz(func(t *testing.T, text string, piece int) {
-		if piece <= 0 {
-			piece = 1 << 20
-		}
-		n := consumeRequests(text, piece)
-		if whole := consumeRequests(text, 1<<20); n < whole {
-			t.Errorf("pieces of %d: %d bytes got through, %d at once", piece, n, whole)
-		}
-		guard := newRequestTracker(1 << 10)
-		in := bufio.NewReader(strings.NewReader(text[:n]))
-		for at := 0; at < n; {
-			r, err := http.ReadRequest(in)
-			if err != nil {
-				return
-			}
-			length := r.ContentLength
-			if _, err := io.Copy(io.Discard, r.Body); err != nil || length < 0 {
-				return // chunks are followed by the reader alone
-			}
-			end := n - in.Buffered() // the whole text fits the reader's buffer
-			if n > 4096 {
-				return
-			}
-			if good := guard.consume([]byte(text[at:end])); good != end-at || guard.headBytes != 0 || guard.bodyRemaining != 0 {
-				t.Fatalf("the reader ends a request at %d, the guard does not (%d, %d, %d)", end, at+good, guard.headBytes, guard.bodyRemaining)
-			}
-			at = end
+	f.Fuzz(func(t *testing.T, text string, pieceSize int) {
+		if pieceSize <= 0 {
+			pieceSize = 1 << 20
 		}
+		admitted := consumeRequests(text, pieceSize)
+		if atOnce := consumeRequests(text, 1<<20); admitted < atOnce {
+			t.Errorf("pieces of %d: %d bytes were admitted, %d at once", pieceSize, admitted, atOnce)
+		}
+		compareRequestEnds(t, text[:admitted])
 	})
 }
 
-// FuzzAnswers has the guard follow any bytes: it never lets through more than it was given, nor anything that nobody asked
-// for.
+// compareRequestEnds reads requests by net/http and fails the test where the tracker ends one of them elsewhere.
+func compareRequestEnds(t *testing.T, text string) {
+	t.Helper()
+	if len(text) > readerBytes {
+		return
+	}
+	tracker := newRequestTracker(1 << 10)
+	reader := bufio.NewReaderSize(strings.NewReader(text), readerBytes)
+	for offset := 0; offset < len(text); {
+		r, err := http.ReadRequest(reader)
+		if err != nil {
+			return
+		}
+		isChunked := r.ContentLength < 0
+		if _, err := io.Copy(io.Discard, r.Body); err != nil || isChunked {
+			return // chunks are followed by the reader alone
+		}
+		end := len(text) - reader.Buffered()
+		consumed := tracker.consume([]byte(text[offset:end]))
+		if consumed != end-offset || tracker.headBytes != 0 || tracker.bodyRemaining != 0 {
+			t.Fatalf("the reader ends a request at %d, the tracker does not (%d, %d, %d)", end, offset+consumed,
+				tracker.headBytes, tracker.bodyRemaining)
+		}
+		offset = end
+	}
+}
+
+// FuzzAnswers has the tracker follow any bytes: it never admits more than it was given, nor anything while no response is due.
 func FuzzAnswers(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n\r\n"), false)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\nA: b\r\n\r\nmore"), true)
-	f.Fuzz(func(t *testing.T, text []byte, bare bool) {
-		g := newResponseTracker(1 << 10)
-		g.headRequest.Store(bare)
-		if n := g.consume(bytes.Clone(text)); n > 0 {
-			t.Errorf("%d bytes that nobody asked for", n)
-		}
-		g.responseDue.Store(true)
-		n := g.consume(text)
+	f.Fuzz(func(t *testing.T, text []byte, headRequest bool) {
+		tracker := newResponseTracker(1 << 10)
+		tracker.headRequest.Store(headRequest)
+		if n := tracker.consume(bytes.Clone(text)); n > 0 {
+			t.Errorf("%d bytes while no response is due", n)
+		}
+		tracker.responseDue.Store(true)
+		n := tracker.consume(text)
 		if n < 0 || n > len(text) {
 			t.Errorf("%d of %d bytes", n, len(text))
 		}
-		if !g.responseDue.Load() && !g.untilClose {
-			if more := g.consume([]byte("H")); more != 0 {
+		if !tracker.responseDue.Load() && !tracker.untilClose {
+			if more := tracker.consume([]byte("H")); more != 0 {
 				t.Error("a byte behind the answer")
 			}
 		}
 	})
 }
 
-// FuzzAnswerEnds compares the guard with net/http's reader: of what gets through, the guard has every answer, interim ones
-// too, end where the reader does, so that what one takes for a body the other never takes for an answer.
+// FuzzAnswerEnds compares the tracker with net/http's reader: of what is admitted, every response, interim ones too, ends where
+// the reader ends it, so that what one takes for a body the other never takes for a response.
 func FuzzAnswerEnds(f *testing.F) {
 	for _, text := range []string{
 		"HTTP/1.1 103 X\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
@@ -188,41 +204,52 @@
 		f.Add(text, false)
 		f.Add(text, true)
 	}
-	f.Fuzz(func(t *testing.T, text string, bare bool) {
-		if len(text) > 4000 { // the whole text is to fit the reader's buffer
+	f.Fuzz(func(t *testing.T, text string, headRequest bool) {
+		if len(text) > readerBytes-96 { // the whole text is to fit the reader's buffer
 			return
 		}
-		guard := newResponseTracker(1 << 12)
-		guard.headRequest.Store(bare)
-		guard.responseDue.Store(true)
-		text = text[:guard.consume([]byte(text))]
-		if guard.untilClose || guard.responseDue.Load() {
-			return // not whole, or up to the end of the connection
-		}
-		method := http.MethodGet
-		if bare {
-			method = http.MethodHead
-		}
-		in := bufio.NewReader(strings.NewReader(text))
-		again := newResponseTracker(1 << 12)
-		again.headRequest.Store(bare)
-		again.responseDue.Store(true)
-		for at := 0; ; {
-			resp, err := http.ReadResponse(in, &http.Request{Method: method})
-			if err != nil {
-				return // the reader asks for more than the guard does
-			}
-			if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-				return
-			}
-			end := len(text) - in.Buffered()
-			again.consume([]byte(text[at:end]))
-			if interim := resp.StatusCode < 200; again.headBytes != 0 || again.bodyRemaining != 0 || again.responseDue.Load() != interim {
-				t.Fatalf("the reader ends an answer of status %d at %d, the guard does not: %q", resp.StatusCode, end, text)
-			} else if !interim {
-				return
-			}
-			at = end
+		tracker := newResponseTracker(1 << 12)
+		tracker.headRequest.Store(headRequest)
+		tracker.responseDue.Store(true)
+		text = text[:tracker.consume([]byte(text))]
+		if tracker.untilClose || tracker.responseDue.Load() {
+			return // incomplete, or up to the end of the connection
 		}
+		compareResponseEnds(t, text, headRequest)
 	})
 }
+
+// compareResponseEnds reads a response by net/http, with the interim ones before it, and fails the test where the tracker
+// ends one of them elsewhere.
+func compareResponseEnds(t *testing.T, text string, headRequest bool) {
+	t.Helper()
+	method := http.MethodGet
+	if headRequest {
+		method = http.MethodHead
+	}
+	reader := bufio.NewReaderSize(strings.NewReader(text), readerBytes)
+	tracker := newResponseTracker(1 << 12)
+	tracker.headRequest.Store(headRequest)
+	tracker.responseDue.Store(true)
+	for offset := 0; ; {
+		resp, err := http.ReadResponse(reader, &http.Request{Method: method})
+		if err != nil {
+			return // the reader asks for more than the tracker does
+		}
+		_, err = io.Copy(io.Discard, resp.Body)
+		_ = resp.Body.Close()
+		if err != nil {
+			return
+		}
+		end := len(text) - reader.Buffered()
+		tracker.consume([]byte(text[offset:end]))
+		isInterim := resp.StatusCode < http.StatusOK
+		if tracker.headBytes != 0 || tracker.bodyRemaining != 0 || tracker.responseDue.Load() != isInterim {
+			t.Fatalf("the reader ends a response of status %d at %d, the tracker does not: %q", resp.StatusCode, end, text)
+		}
+		if !isInterim {
+			return
+		}
+		offset = end
+	}
+}
--- a/internal/framing/serverconn.go
+++ b/internal/framing/serverconn.go
@@ -41,7 +41,7 @@
 	c.guard.tracker.responseDue.Store(true) // before a response can come
 	// Danger: a server that accepts nothing would hold a long body, and its client, without end.
 	if timeout := c.writeTimeout.Load(); timeout > 0 {
-		if err := c.Conn.SetWriteDeadline(time.Now().Add(time.Duration(timeout))); err != nil {
+		if err := c.SetWriteDeadline(time.Now().Add(time.Duration(timeout))); err != nil {
 			return 0, err
 		}
 	}
--- a/internal/framing/serverconn_test.go
+++ b/internal/framing/serverconn_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// shortConn is a connection that takes only so much.
-type shortConn struct {
+// limitedConn is a connection that accepts only so many bytes.
+type limitedConn struct {
 	net.Conn
-	room int
+	capacity int
 }
 
-func (c *shortConn) Write(p []byte) (int, error) {
-	n := min(c.room, len(p))
-	c.room -= n
+func (c *limitedConn) Write(p []byte) (int, error) {
+	n := min(c.capacity, len(p))
+	c.capacity -= n
 	if n < len(p) {
 		return n, errors.New("broken pipe")
 	}
@@ -24,17 +24,18 @@
 }
 
 // SetWriteDeadline implements net.Conn.
-func (c *shortConn) SetWriteDeadline(time.Time) error { return nil }
+func (c *limitedConn) SetWriteDeadline(time.Time) error { return nil }
 
+// TestWritten has a connection accept a first write and only part of a second one.
 func TestWritten(t *testing.T) {
-	c := NewServerConn(&shortConn{room: 6}, 1<<10)
+	c := NewServerConn(&limitedConn{capacity: 6}, 1<<10)
 	for _, want := range []struct {
 		written int64
 		short   bool
 	}{{4, false}, {6, true}} {
 		_, _ = io.WriteString(c, "skip")
 		if written, short := c.Written(); written != want.written || short != want.short {
-			t.Errorf("meter %d, %v, want %+v", written, short, want)
+			t.Errorf("%d bytes, short %v, want %+v", written, short, want)
 		}
 	}
 }
