--- a/internal/system/proxy/answers_test.go
+++ b/internal/system/proxy/answers_test.go
@@ -71,9 +71,9 @@
 				case want == 502 || want == 503:
 					body = ""
 				}
-				if got.StatusCode != want || got.body != body || got.err != nil || got.Header.Get(attemptID) != "id-1" {
+				if got.StatusCode != want || got.body != body || got.err != nil || got.Header.Get(headerAttemptID) != "id-1" {
 					t.Errorf("status %d, body %q, error %v, id %q; want %d, %q", got.StatusCode, got.body, got.err,
-						got.Header.Get(attemptID), want, body)
+						got.Header.Get(headerAttemptID), want, body)
 				}
 				if ends := f.ends(); !slices.Equal(ends, outcomes) {
 					t.Errorf("sends ended as %v, want %v", ends, outcomes)
@@ -117,7 +117,7 @@
 	})
 	t.Run("nobody listens", func(t *testing.T) {
 		f := startProxy(t, []*fakeServer{startServer(t, full), startServer(t, say(200, "x"))})
-		w := *f.world.Load()
+		w := *f.clusterState.Load()
 		w.Servers = slices.Clone(w.Servers)
 		w.Servers[0].Address = deafAddress(t)
 		f.UpdateClusterState(time.Now(), w)
@@ -212,10 +212,10 @@
 					t.Errorf("%s is %s, want %s", name, v, want)
 				}
 			}
-			if d, ok := millis(r.Header.Get(timeLeft)); !ok || d > 5*time.Second || d < 4*time.Second {
+			if d, ok := parseMilliseconds(r.Header.Get(headerTimeLeft)); !ok || d > 5*time.Second || d < 4*time.Second {
 				t.Errorf("time left %v", d)
 			}
-			if got.body != "answer" || fmt.Sprint(got.Header["X-Own"]) != "[v1 v2]" || got.Header.Get(serverSeal) != "seal" ||
+			if got.body != "answer" || fmt.Sprint(got.Header["X-Own"]) != "[v1 v2]" || got.Header.Get(headerServerSeal) != "seal" ||
 				got.Header.Get("Content-Type") != "text/odd" || got.Header.Get("Date") != "long ago" ||
 				got.Header["X-Hop"] != nil || got.Header["Keep-Alive"] != nil || got.Header["Connection"] != nil {
 				t.Errorf("answer %q, %v", got.body, got.Header)
--- a/internal/system/proxy/bench_test.go
+++ b/internal/system/proxy/bench_test.go
@@ -39,7 +39,7 @@
 						return
 					}
 					_, _ = io.Copy(io.Discard, r.Body)
-					if r.Header.Get(attemptID) == "id-2" {
+					if r.Header.Get(headerAttemptID) == "id-2" {
 						_, _ = c.Write(second)
 					} else {
 						_, _ = c.Write(first)
--- a/internal/system/proxy/budget.go
+++ b/internal/system/proxy/budget.go
@@ -6,46 +6,46 @@
 )
 
 const (
-	bodiesShare = 5        // one part in so many of the memory is for bodies
-	smallBody   = 4 << 10  // bytes; most fit
-	largeBody   = 64 << 10 // bytes; long prompts fit
+	bodyMemoryDivisor = 5        // one part in so many of the memory is for bodies
+	smallBufferBytes  = 4 << 10  // bytes; most fit
+	largeBufferBytes  = 64 << 10 // bytes; long prompts fit
 )
 
-// budget bounds the bytes of bodies that are held over all requests.
-type budget struct {
-	room int64
-	held atomic.Int64
+// memoryBudget bounds the bytes of bodies that are held over all requests.
+type memoryBudget struct {
+	capacity int64
+	reserved atomic.Int64
 }
 
-func newBudget(room int64) *budget { return &budget{room: room} }
+func newMemoryBudget(capacity int64) *memoryBudget { return &memoryBudget{capacity: capacity} }
 
-// take books n bytes, and tells whether there was room.
-func (b *budget) take(n int64) bool {
-	if b.held.Add(n) > b.room {
-		b.held.Add(-n)
+// reserve books n bytes, and tells whether there was room.
+func (b *memoryBudget) reserve(n int64) bool {
+	if b.reserved.Add(n) > b.capacity {
+		b.reserved.Add(-n)
 		return false
 	}
 	return true
 }
 
-func (b *budget) give(n int64) { b.held.Add(-n) }
+func (b *memoryBudget) release(n int64) { b.reserved.Add(-n) }
 
 var (
-	smallBodies = sync.Pool{New: func() any { return new([smallBody]byte) }}
-	largeBodies = sync.Pool{New: func() any { return new([largeBody]byte) }}
+	smallBuffers = sync.Pool{New: func() any { return new([smallBufferBytes]byte) }}
+	largeBuffers = sync.Pool{New: func() any { return new([largeBufferBytes]byte) }}
 )
 
-// bodyBuffer is an empty buffer with room for n bytes, and what gives it back.
-func bodyBuffer(n int64) ([]byte, func()) {
+// getBuffer is an empty buffer with room for n bytes, and what gives it back.
+func getBuffer(n int64) ([]byte, func()) {
 	switch {
 	case n <= 0:
 		return nil, func() {}
-	case n <= smallBody:
-		b := smallBodies.Get().(*[smallBody]byte)
-		return b[:0], func() { smallBodies.Put(b) }
-	case n <= largeBody:
-		b := largeBodies.Get().(*[largeBody]byte)
-		return b[:0], func() { largeBodies.Put(b) }
+	case n <= smallBufferBytes:
+		b := smallBuffers.Get().(*[smallBufferBytes]byte)
+		return b[:0], func() { smallBuffers.Put(b) }
+	case n <= largeBufferBytes:
+		b := largeBuffers.Get().(*[largeBufferBytes]byte)
+		return b[:0], func() { largeBuffers.Put(b) }
 	}
 	return make([]byte, 0, n), func() {}
 }
--- a/internal/system/proxy/exchange.go
+++ b/internal/system/proxy/exchange.go
@@ -10,175 +10,175 @@
 )
 
 var (
-	errUnreached = errors.New("nothing was sent: another server may be asked")
-	errTimeUp    = errors.New("the time for the answer is up")
-	errSilent    = errors.New("the server has been silent: another one is asked")
-	errImproper  = errors.New("this is no proper answer to the request: close the connection")
+	errNotSent         = errors.New("nothing was sent: another server may be asked")
+	errDeadlinePassed  = errors.New("the time for the answer is up")
+	errServerSilent    = errors.New("the server has been silent: another one is asked")
+	errInvalidResponse = errors.New("this is no proper answer to the request: close the connection")
 )
 
-// mostInterim bounds the 1xx answers before an answer.
-const mostInterim = 4
+// maxInterimResponses bounds the 1xx answers before an answer.
+const maxInterimResponses = 4
 
-// exchange is one request to a server and the answer to it, on a connection of its own meanwhile.
-type exchange struct {
-	ctx      context.Context // the client's connection
-	up       *upstream
-	pool     *pool
-	id       string // of the request
-	deadline time.Time
-	sendBy   time.Time // the request goes out by then or not at all
-	bare     bool      // the answer has no body, whatever it says
+// upstreamAttempt is one request to a server and the answer to it, on a connection of its own meanwhile.
+type upstreamAttempt struct {
+	ctx          context.Context // the client's connection
+	pools        *upstreamPools
+	pool         *serverPool
+	attemptID    string // of the request
+	deadline     time.Time
+	sendDeadline time.Time // the request goes out by then or not at all
+	headRequest  bool      // the answer has no body, whatever it says
 
 	// patience is how long the server may be silent before leave is asked whether to leave it; 0: any time.
-	patience time.Duration
-	leave    func() bool
-	progress time.Duration // when bytes last came, or the wait for them began
+	silenceTimeout time.Duration
+	abandon        func() bool
+	lastProgress   time.Duration // when bytes last came, or the wait for them began
 
-	conn    *serverConn
-	reader  *bufio.Reader
-	unwatch func() bool // ends the watch over ctx
-	resp    *http.Response
-	sent    time.Duration // when the request was sent
-	fresh   bool          // it is the first on its connection
+	conn         *serverConn
+	reader       *bufio.Reader
+	stopWatching func() bool // ends the watch over ctx
+	response     *http.Response
+	sentAt       time.Duration // when the request was sent
+	freshConn    bool          // it is the first on its connection
 }
 
-// send writes a request. With errUnreached not a byte was sent; with any other error the server may have run it.
-func (x *exchange) send(head, body []byte) error {
+// send writes a request. With errNotSent not a byte was sent; with any other error the server may have run it.
+func (x *upstreamAttempt) send(head, body []byte) error {
 	for {
-		conn, stale := x.up.take(x.pool, x.id)
+		conn, stale := x.pools.takeIdle(x.pool, x.attemptID)
 		reused := conn != nil
 		if !reused {
 			var err error
-			if conn, err = x.up.dial(x.ctx, x.pool, x.sendBy); err != nil {
-				return errUnreached
+			if conn, err = x.pools.dial(x.ctx, x.pool, x.sendDeadline); err != nil {
+				return errNotSent
 			}
 			if stale > 0 { // the server is there, and closed the connection as it had idled
-				x.up.keeps(x.pool.service, stale)
+				x.pools.observeIdleTimeout(x.pool.service, stale)
 			}
 		} else {
-			x.up.counters.Reused.Add(1)
+			x.pools.counters.Reused.Add(1)
 		}
-		if time.Now().After(x.sendBy) { // the connection took too long, or the process stood still
-			x.up.put(x.pool, conn, "")
-			return errUnreached
+		if time.Now().After(x.sendDeadline) { // the connection took too long, or the process stood still
+			x.pools.putIdle(x.pool, conn, "")
+			return errNotSent
 		}
-		x.begin(conn)
-		conn.SetHeadRequest(x.bare)
+		x.attach(conn)
+		conn.SetHeadRequest(x.headRequest)
 		before, _ := conn.Written()
 		_ = conn.SetWriteDeadline(x.deadline)
 		_, err := conn.Write(head)
 		if err == nil && len(body) > 0 {
 			_, err = conn.Write(body)
 		}
-		x.sent = x.up.now()
-		x.progress = x.sent
+		x.sentAt = x.pools.now()
+		x.lastProgress = x.sentAt
 		if err == nil {
 			return nil
 		}
-		if after, _ := conn.Written(); after > before && !x.up.without.partlyWritten {
+		if after, _ := conn.Written(); after > before && !x.pools.knobs.RetryPartlyWritten {
 			return err
 		}
-		x.drop()
+		x.discard()
 		if !reused || x.ctx.Err() != nil || !time.Now().Before(x.deadline) {
-			return errUnreached
+			return errNotSent
 		}
 	}
 }
 
-// begin takes a connection. It is closed when the client goes away.
-func (x *exchange) begin(c *serverConn) {
-	x.conn, x.fresh = c, c.fresh
+// attach takes a connection. It is closed when the client goes away.
+func (x *upstreamAttempt) attach(c *serverConn) {
+	x.conn, x.freshConn = c, c.fresh
 	x.reader = readers.Get().(*bufio.Reader)
 	x.reader.Reset(x)
-	x.unwatch = context.AfterFunc(x.ctx, func() { _ = c.Close() })
+	x.stopWatching = context.AfterFunc(x.ctx, func() { _ = c.Close() })
 }
 
 // Read implements io.Reader: bytes from the server, until the time is up or the server has been left.
-func (x *exchange) Read(p []byte) (int, error) {
+func (x *upstreamAttempt) Read(p []byte) (int, error) {
 	for {
-		until := x.deadline
-		if x.patience > 0 {
-			if t := x.up.start.Add(x.progress + x.patience); t.Before(until) {
-				until = t
+		deadline := x.deadline
+		if x.silenceTimeout > 0 {
+			if t := x.pools.start.Add(x.lastProgress + x.silenceTimeout); t.Before(deadline) {
+				deadline = t
 			}
 		}
-		if err := x.conn.SetReadDeadline(until); err != nil {
+		if err := x.conn.SetReadDeadline(deadline); err != nil {
 			return 0, err
 		}
 		n, err := x.conn.Read(p)
 		if n > 0 {
-			x.progress = x.up.now()
-			x.pool.heard.Store(int64(x.progress))
+			x.lastProgress = x.pools.now()
+			x.pool.lastContact.Store(int64(x.lastProgress))
 			return n, nil // an error comes again
 		}
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return 0, err
 		}
-		now := x.up.now()
-		heard := max(time.Duration(x.pool.heard.Load()), x.progress)
+		now := x.pools.now()
+		lastContact := max(time.Duration(x.pool.lastContact.Load()), x.lastProgress)
 		switch {
 		case !time.Now().Before(x.deadline):
-			return 0, errTimeUp
-		case x.patience == 0 || heard+x.patience > now: // others there are answered
-			x.progress = heard
-		case x.leave != nil && x.leave():
-			return 0, errSilent
+			return 0, errDeadlinePassed
+		case x.silenceTimeout == 0 || lastContact+x.silenceTimeout > now: // others there are answered
+			x.lastProgress = lastContact
+		case x.abandon != nil && x.abandon():
+			return 0, errServerSilent
 		default:
-			x.progress = now
+			x.lastProgress = now
 		}
 	}
 }
 
-// answer reads the head of the answer.
-func (x *exchange) answer(method string) (*http.Response, error) {
-	for range mostInterim {
+// readHead reads the head of the readHead.
+func (x *upstreamAttempt) readHead(method string) (*http.Response, error) {
+	for range maxInterimResponses {
 		resp, err := http.ReadResponse(x.reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
 		}
-		if resp.StatusCode >= 200 || x.up.without.interim {
-			x.resp = resp
+		if resp.StatusCode >= 200 || x.pools.knobs.PassInterimResponses {
+			x.response = resp
 			return resp, nil
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
 			break
 		}
 	}
-	return nil, errImproper
+	return nil, errInvalidResponse
 }
 
 // finish gives the connection back if the answer has come whole and nothing after it, and it may be used again.
-func (x *exchange) finish() {
+func (x *upstreamAttempt) finish() {
 	if x.conn == nil {
 		return
 	}
-	clean := x.unwatch() && x.resp != nil && !x.resp.Close && x.reader.Buffered() == 0 && x.conn.Idle()
-	if !clean {
-		x.release()
+	reusable := x.stopWatching() && x.response != nil && !x.response.Close && x.reader.Buffered() == 0 && x.conn.Idle()
+	if !reusable {
+		x.detach()
 		return
 	}
-	if d := keepAlive(x.resp.Header); d > 0 {
-		x.up.keeps(x.pool.service, d)
+	if d := parseKeepAlive(x.response.Header); d > 0 {
+		x.pools.observeIdleTimeout(x.pool.service, d)
 	}
 	conn := x.conn
 	x.conn = nil
-	x.release()
+	x.detach()
 	if conn.SetDeadline(time.Time{}) != nil {
 		_ = conn.Close()
 		return
 	}
-	x.up.put(x.pool, conn, x.id)
+	x.pools.putIdle(x.pool, conn, x.attemptID)
 }
 
-// drop closes the connection. Whatever was still to be written on it is not.
-func (x *exchange) drop() {
+// discard closes the connection. Whatever was still to be written on it is not.
+func (x *upstreamAttempt) discard() {
 	if x.conn != nil {
-		x.unwatch()
-		x.release()
+		x.stopWatching()
+		x.detach()
 	}
 }
 
-func (x *exchange) release() {
+func (x *upstreamAttempt) detach() {
 	if x.conn != nil {
 		_ = x.conn.Close()
 		x.conn = nil
--- a/internal/system/proxy/front.go
+++ b/internal/system/proxy/front.go
@@ -17,102 +17,102 @@
 )
 
 const (
-	defaultHeaderTime = 3 * time.Second
-	defaultIdle       = 15 * time.Second
-	mostHeader        = 64 << 10              // bytes of a request's head that net/http reads
-	reserved          = 200                   // descriptors that are not for sockets
-	idleMoment        = 50 * time.Millisecond // a connection that idled so long is no client's that is about to send, mostly
-	sweepDrain        = 100 * time.Millisecond
-	acceptPause       = 20 * time.Millisecond // after an accept that failed
+	defaultHeaderTimeout = 3 * time.Second
+	defaultIdleTimeout   = 15 * time.Second
+	maxRequestHeadBytes  = 64 << 10              // bytes of a request's head that net/http reads
+	reservedFDs          = 200                   // descriptors that are not for sockets
+	minIdleBeforeClose   = 50 * time.Millisecond // a connection that idled so long is no client's that is about to send, mostly
+	drainPollInterval    = 100 * time.Millisecond
+	acceptBackoff        = 20 * time.Millisecond // after an accept that failed
 )
 
 // ErrListener is the kind of error of a listener that cannot be served.
 var ErrListener = errors.New("give a TCP listener that is open")
 
-// front takes the clients' connections.
-type front struct {
-	p        *Proxy
+// clientListener takes the clients' connections.
+type clientListener struct {
+	proxy    *Proxy
 	draining atomic.Bool
-	most     int // connections at once
-
-	mu       sync.Mutex
-	limits   config.Limits
-	now      *generation // that takes new connections; nil: none yet
-	all      []*generation
-	conns    map[net.Conn]*clientState
-	changed  chan struct{} // has room for one: a connection has ended or come
-	ended    bool
-	enough   chan struct{}  // closed when a planned end waits no longer
-	over     chan struct{}  // closed when Serve has ended
-	servers  sync.WaitGroup // generations
-	listener *net.TCPListener
+	maxConns int // connections at once
+
+	mu           sync.Mutex
+	limits       config.Limits
+	current      *serverGeneration // that takes new connections; nil: none yet
+	generations  []*serverGeneration
+	conns        map[net.Conn]*connState
+	connsChanged chan struct{} // has room for one: a connection has ended or come
+	stopped      bool
+	drainExpired chan struct{}  // closed when a planned end waits no longer
+	serveDone    chan struct{}  // closed when Serve has ended
+	serving      sync.WaitGroup // generations
+	listener     *net.TCPListener
 }
 
-// generation is a server with the limits of its time. Its connections keep them.
-type generation struct {
-	server *http.Server
-	hand   *handoff
+// serverGeneration is a server with the limits of its time. Its connections keep them.
+type serverGeneration struct {
+	server  *http.Server
+	handoff *handoffListener
 }
 
-type clientState struct {
+type connState struct {
 	state http.ConnState
 	since time.Time
 }
 
-func newFront(p *Proxy) *front {
-	return &front{p: p, most: max((p.opt.FDLimit-reserved)*6/10, 16), conns: map[net.Conn]*clientState{},
-		changed: make(chan struct{}, 1), enough: make(chan struct{}), over: make(chan struct{}),
-		limits: config.Limits{HeaderTimeout: defaultHeaderTime, IdleTimeout: defaultIdle}}
+func newClientListener(p *Proxy) *clientListener {
+	return &clientListener{proxy: p, maxConns: max((p.options.FDLimit-reservedFDs)*6/10, 16), conns: map[net.Conn]*connState{},
+		connsChanged: make(chan struct{}, 1), drainExpired: make(chan struct{}), serveDone: make(chan struct{}),
+		limits: config.Limits{HeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout}}
 }
 
-// limit has connections from now on keep to other limits.
-func (f *front) limit(l config.Limits) {
-	if l.HeaderTimeout <= 0 {
-		l.HeaderTimeout = defaultHeaderTime
+// setLimits has connections from now on keep to other limits.
+func (f *clientListener) setLimits(limits config.Limits) {
+	if limits.HeaderTimeout <= 0 {
+		limits.HeaderTimeout = defaultHeaderTimeout
 	}
-	if l.IdleTimeout <= 0 {
-		l.IdleTimeout = defaultIdle
+	if limits.IdleTimeout <= 0 {
+		limits.IdleTimeout = defaultIdleTimeout
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.now != nil && (l.HeaderTimeout != f.limits.HeaderTimeout || l.IdleTimeout != f.limits.IdleTimeout) {
-		f.now.hand.close()
-		f.now = nil // made anew for the next connection
+	if f.current != nil && (limits.HeaderTimeout != f.limits.HeaderTimeout || limits.IdleTimeout != f.limits.IdleTimeout) {
+		f.current.handoff.shut()
+		f.current = nil // made anew for the next connection
 	}
-	f.limits = l
+	f.limits = limits
 }
 
-// take hands a connection to a server with the limits of now.
-func (f *front) take(c net.Conn) {
+// handOff hands a connection to a server with the limits of now.
+func (f *clientListener) handOff(c net.Conn) {
 	f.mu.Lock()
-	if f.ended {
+	if f.stopped {
 		f.mu.Unlock()
 		_ = c.Close()
 		return
 	}
-	g := f.now
-	if g == nil {
-		g = &generation{hand: newHandoff(f.listener.Addr())}
-		g.server = &http.Server{Handler: f.p, ReadHeaderTimeout: f.limits.HeaderTimeout, IdleTimeout: f.limits.IdleTimeout,
-			MaxHeaderBytes: mostHeader, DisableGeneralOptionsHandler: true, ConnState: f.note, ErrorLog: quietLog,
+	generation := f.current
+	if generation == nil {
+		generation = &serverGeneration{handoff: newHandoffListener(f.listener.Addr())}
+		generation.server = &http.Server{Handler: f.proxy, ReadHeaderTimeout: f.limits.HeaderTimeout, IdleTimeout: f.limits.IdleTimeout,
+			MaxHeaderBytes: maxRequestHeadBytes, DisableGeneralOptionsHandler: true, ConnState: f.observeConnState, ErrorLog: discardLog,
 			ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-				return context.WithValue(ctx, connKey{}, c)
+				return context.WithValue(ctx, clientConnKey{}, c)
 			}}
-		f.now, f.all = g, append(f.all, g)
-		f.servers.Go(func() { _ = g.server.Serve(g.hand) })
+		f.current, f.generations = generation, append(f.generations, generation)
+		f.serving.Go(func() { _ = generation.server.Serve(generation.handoff) })
 	}
-	f.conns[c] = &clientState{http.StateNew, time.Now()}
+	f.conns[c] = &connState{http.StateNew, time.Now()}
 	f.mu.Unlock()
-	if !g.hand.give(c) {
-		f.forget(c)
+	if !generation.handoff.offer(c) {
+		f.removeConn(c)
 		_ = c.Close()
 	}
 }
 
-// note follows a connection's state.
-func (f *front) note(c net.Conn, s http.ConnState) {
+// observeConnState follows a connection's state.
+func (f *clientListener) observeConnState(c net.Conn, s http.ConnState) {
 	if s == http.StateClosed || s == http.StateHijacked {
-		f.forget(c)
+		f.removeConn(c)
 		return
 	}
 	f.mu.Lock()
@@ -122,49 +122,49 @@
 	}
 }
 
-func (f *front) forget(c net.Conn) {
+func (f *clientListener) removeConn(c net.Conn) {
 	f.mu.Lock()
 	delete(f.conns, c)
 	f.mu.Unlock()
-	f.signal()
+	f.signalChange()
 }
 
-func (f *front) signal() {
+func (f *clientListener) signalChange() {
 	select {
-	case f.changed <- struct{}{}:
+	case f.connsChanged <- struct{}{}:
 	default:
 	}
 }
 
-func (f *front) count() int {
+func (f *clientListener) connCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.conns)
 }
 
-// closeIdle closes the connections that idle. Danger: a client that has just sent a request on one has to send it again, or
+// closeIdleConns closes the connections that idle. Danger: a client that has just sent a request on one has to send it again, or
 // loses it, so not one that idled for less than a moment, nor one with bytes on it.
-func (f *front) closeIdle(now time.Time) {
+func (f *clientListener) closeIdleConns(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c, s := range f.conns {
-		if s.state != http.StateIdle && s.state != http.StateNew || now.Sub(s.since) < min(idleMoment, f.p.opt.LossSlack/4) {
+		if s.state != http.StateIdle && s.state != http.StateNew || now.Sub(s.since) < min(minIdleBeforeClose, f.proxy.options.LossSlack/4) {
 			continue
 		}
-		if g, ok := c.(*framing.ClientConn); ok && (g.MidRequest() || waiting(g.TCPConn)) {
+		if g, ok := c.(*framing.ClientConn); ok && (g.MidRequest() || hasUnreadBytes(g.TCPConn)) {
 			continue
 		}
 		_ = c.Close()
 	}
 }
 
-// closeOldest closes the connection that idles longest, if one does, and tells whether it does.
-func (f *front) closeOldest(now time.Time) bool {
+// closeLongestIdle closes the connection that idles longest, if one does, and tells whether it does.
+func (f *clientListener) closeLongestIdle(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var found *framing.ClientConn
-	var state *clientState
-	before := now.Add(-idleMoment)
+	var state *connState
+	before := now.Add(-minIdleBeforeClose)
 	for c, s := range f.conns {
 		if g, ok := c.(*framing.ClientConn); ok && s.state == http.StateIdle && s.since.Before(before) && !g.MidRequest() {
 			found, state, before = g, s, s.since
@@ -178,8 +178,8 @@
 	return true
 }
 
-// waiting tells whether bytes lie on a connection that nobody has read.
-func waiting(c *net.TCPConn) bool {
+// hasUnreadBytes tells whether bytes lie on a connection that nobody has read.
+func hasUnreadBytes(c *net.TCPConn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return false
@@ -192,15 +192,15 @@
 	return n > 0
 }
 
-// stop ends all that still runs, and waits for it.
-func (f *front) stop() {
+// shutdown ends all that still runs, and waits for it.
+func (f *clientListener) shutdown() {
 	f.mu.Lock()
-	f.ended = true
-	all := f.all
-	f.now = nil
+	f.stopped = true
+	all := f.generations
+	f.current = nil
 	f.mu.Unlock()
 	for _, g := range all {
-		g.hand.close()
+		g.handoff.shut()
 		_ = g.server.Close()
 	}
 	f.mu.Lock()
@@ -208,9 +208,9 @@
 		_ = c.Close()
 	}
 	f.mu.Unlock()
-	for f.count() > 0 { // a connection is forgotten when its last request has ended
-		<-f.changed
+	for f.connCount() > 0 { // a connection is forgotten when its last request has ended
+		<-f.connsChanged
 	}
-	f.servers.Wait()
-	f.p.upstream.close()
+	f.serving.Wait()
+	f.proxy.pools.close()
 }
--- a/internal/system/proxy/front_test.go
+++ b/internal/system/proxy/front_test.go
@@ -110,7 +110,7 @@
 	f := startProxy(t, []*fakeServer{s})
 	old := f.dial(t)
 	old.post("id-1", "").read()
-	w := *f.world.Load()
+	w := *f.clusterState.Load()
 	config := *w.Config
 	config.Limits.HeaderTimeout, config.Limits.IdleTimeout = 50*time.Millisecond, 60*time.Millisecond
 	w.Config = &config
@@ -141,7 +141,7 @@
 	})
 	f := startProxy(t, []*fakeServer{s}, func(o *Options, _ *config.Config) { o.FDLimit = 1 })
 	var all []*client
-	for n := range f.front.most {
+	for n := range f.clients.maxConns {
 		c := f.dial(t)
 		if n != 3 {
 			c.post("id-1", "", "X-Wait: 1")
@@ -219,7 +219,7 @@
 				t.Errorf("served: %q, error %v", got, err)
 			}
 			for len(s.came) > 0 {
-				t.Errorf("forwarded %q", (<-s.came).Header.Get(attemptID))
+				t.Errorf("forwarded %q", (<-s.came).Header.Get(headerAttemptID))
 			}
 		})
 	}
@@ -233,7 +233,7 @@
 	}
 	f := startProxy(t, servers)
 	real := New(Options{Settings: pick.Settings{Zone: "z", Region: "r", Seed: 1}})
-	w := *f.world.Load()
+	w := *f.clusterState.Load()
 	config, err := config.Parse([]byte(`{"revision":1,"routes":[{"name":"r","hostname":"h.example","path_prefix":"/a/",
 		"category":"non_idempotent","timeout_ms":8000,"target_latency_ms":500,"priority":1,"target":"s","max_tries":2}],
 		"services":[{"name":"s","health_path":"/h","max_conns":100}],"limits":{"max_header_bytes":16384,
@@ -245,7 +245,7 @@
 	for i := range w.Servers {
 		w.Servers[i].Zone, w.Servers[i].Region, w.Servers[i].Slots = "z", "r", 8
 	}
-	real.upstream.near = patience
+	real.pools.sameRegionTimeout = patience
 	real.UpdateClusterState(time.Now(), w)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -281,7 +281,7 @@
 		}
 		return say(200, long)(c, r, body)
 	})
-	f := startProxy(t, []*fakeServer{s}, func(o *Options, _ *config.Config) { o.stall = 300 * time.Millisecond })
+	f := startProxy(t, []*fakeServer{s}, func(o *Options, _ *config.Config) { o.clientWriteTimeout = 300 * time.Millisecond })
 	slow := f.dial(t)
 	_ = slow.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	slow.post("id-1", "", "X-Long: 1")
--- a/internal/system/proxy/handler.go
+++ b/internal/system/proxy/handler.go
@@ -14,57 +14,57 @@
 )
 
 const (
-	mostMargin = 20 * time.Millisecond // before its client's limit a request is given up, at the most
-	mostWait   = 10 * time.Minute      // for an answer, whatever is asked
-	restOfBody = time.Second           // a refused request's body is waited for
+	maxDeadlineMargin = 20 * time.Millisecond // before its client's limit a request is given up, at the most
+	maxRequestTimeout = 10 * time.Minute      // for an answer, whatever is asked
+	unreadBodyTimeout = time.Second           // a refused request's body is waited for
 )
 
-type connKey struct{} // of a request's *framing.ClientConn in its context
+type clientConnKey struct{} // of a request's *framing.ClientConn in its context
 
 // ServeHTTP implements http.Handler.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	came := time.Now()
+	startedAt := time.Now()
 	p.counters.Requests.Add(1)
-	rc := http.NewResponseController(w)
-	_ = rc.SetWriteDeadline(came.Add(mostWait)) // not that of the answer before
-	conn, _ := r.Context().Value(connKey{}).(*framing.ClientConn)
-	id := r.Header.Get(attemptID)
+	controller := http.NewResponseController(w)
+	_ = controller.SetWriteDeadline(startedAt.Add(maxRequestTimeout)) // not that of the answer before
+	conn, _ := r.Context().Value(clientConnKey{}).(*framing.ClientConn)
+	id := r.Header.Get(headerAttemptID)
 	config := p.config()
-	_ = rc.SetReadDeadline(came.Add(restOfBody)) // where no body is read, net/http waits for it before it answers
+	_ = controller.SetReadDeadline(startedAt.Add(unreadBodyTimeout)) // where no body is read, net/http waits for it before it answers
 	if config == nil {
 		p.counters.Refused.Add(1)
-		w.Header().Set("Retry-After", seconds(defaultRetry))
-		p.reply(w, id, http.StatusServiceUnavailable)
+		w.Header().Set("Retry-After", formatRetryAfter(defaultRetryAfter))
+		p.respond(w, id, http.StatusServiceUnavailable)
 		return
 	}
 	target, path := targetOf(r)
-	route := p.policy.Route(r.Host, path)
-	if status := check(config.Limits, r, route, target); status != 0 {
+	route := p.picker.Route(r.Host, path)
+	if status := checkHead(config.Limits, r, route, target); status != 0 {
 		p.counters.Rejected.Add(1)
-		p.reply(w, id, status)
+		p.respond(w, id, status)
 		return
 	}
 	left := route.Timeout
-	if t, ok := millis(r.Header.Get(timeLeft)); ok {
+	if t, ok := parseMilliseconds(r.Header.Get(headerTimeLeft)); ok {
 		left = min(left, t)
 	}
-	left = min(left, mostWait)
-	c := &call{p: p, w: w, r: r, rc: rc, conn: conn, id: id, target: target, route: route, began: came,
-		deadline: came.Add(left - min(left/20, mostMargin)), lastID: r.Header.Get(lastEventID)}
-	b := body{room: p.room, most: config.Limits.BodyBytes}
-	defer b.free()
-	_ = rc.SetReadDeadline(c.deadline)
-	if status := b.read(r); status != 0 {
-		c.refuseBody(status)
+	left = min(left, maxRequestTimeout)
+	proxied := &clientRequest{proxy: p, writer: w, request: r, controller: controller, conn: conn, attemptID: id, target: target, route: route, startedAt: startedAt,
+		deadline: startedAt.Add(left - min(left/20, maxDeadlineMargin)), lastEventID: r.Header.Get(headerLastEventID)}
+	body := requestBody{memory: p.memory, maxBytes: config.Limits.BodyBytes}
+	defer body.release()
+	_ = controller.SetReadDeadline(proxied.deadline)
+	if status := body.read(r); status != 0 {
+		proxied.rejectBody(status)
 		return
 	}
-	_ = rc.SetReadDeadline(time.Time{}) // an end of the connection now means that the client is gone
-	c.body = b.bytes
-	in, out := tokenCount(r.Header.Get("X-Token-Count"))
-	c.req = pick.Request{Route: route, Model: r.Header.Get("X-Model"), TokensIn: in, TokensOut: out,
-		Prefix: promptParts(r.Header.Get("X-Prompt-Prefix")), TimeLeft: time.Until(c.deadline), Age: time.Since(came)}
-	p.policy.Arrive(&c.req)
-	c.run()
+	_ = controller.SetReadDeadline(time.Time{}) // an end of the connection now means that the client is gone
+	proxied.body = body.bytes
+	in, out := parseTokenCount(r.Header.Get("X-Token-Count"))
+	proxied.pickRequest = pick.Request{Route: route, Model: r.Header.Get("X-Model"), TokensIn: in, TokensOut: out,
+		Prefix: parsePromptParts(r.Header.Get("X-Prompt-Prefix")), TimeLeft: time.Until(proxied.deadline), Age: time.Since(startedAt)}
+	p.picker.Arrive(&proxied.pickRequest)
+	proxied.run()
 }
 
 // targetOf is the request target as it goes to a server, and its path.
@@ -78,8 +78,8 @@
 	return target, path
 }
 
-// check tells the status that a request's head is answered with at once; 0: none.
-func check(l config.Limits, r *http.Request, route *config.Route, target string) int {
+// checkHead tells the status that a request's head is answered with at once; 0: none.
+func checkHead(limits config.Limits, r *http.Request, route *config.Route, target string) int {
 	size := int64(len(r.Method) + len(r.RequestURI) + len(r.Host) + 24)
 	for name, values := range r.Header {
 		for _, v := range values {
@@ -87,71 +87,71 @@
 		}
 	}
 	switch {
-	case l.HeaderBytes > 0 && size > l.HeaderBytes:
+	case limits.HeaderBytes > 0 && size > limits.HeaderBytes:
 		return http.StatusRequestHeaderFieldsTooLarge
 	case route == nil || target == "":
 		return http.StatusNotFound
-	case r.Header.Get(attemptID) == "" || len(r.Header[attemptID]) > 1:
+	case r.Header.Get(headerAttemptID) == "" || len(r.Header[headerAttemptID]) > 1:
 		return http.StatusBadRequest
-	case l.BodyBytes > 0 && r.ContentLength > l.BodyBytes:
+	case limits.BodyBytes > 0 && r.ContentLength > limits.BodyBytes:
 		return http.StatusRequestEntityTooLarge
 	}
 	return 0
 }
 
-// refuseBody ends a request whose body could not be taken. None of it has been sent to a server.
-func (c *call) refuseBody(status int) {
-	n := &c.p.counters
-	c.w.Header().Set("Connection", "close") // the rest of the body is not read
+// rejectBody ends a request whose body could not be taken. None of it has been sent to a server.
+func (c *clientRequest) rejectBody(status int) {
+	counters := &c.proxy.counters
+	c.writer.Header().Set("Connection", "close") // the rest of the body is not read
 	switch status {
 	case http.StatusServiceUnavailable:
-		n.Refused.Add(1)
-		c.refuse(status, defaultRetry)
-	case statusGone:
-		n.ClientGone.Add(1)
-		c.cut(true)
+		counters.Refused.Add(1)
+		c.respondError(status, defaultRetryAfter)
+	case statusClientGone:
+		counters.ClientGone.Add(1)
+		c.abortConn(true)
 	default:
-		n.Rejected.Add(1)
-		c.refuse(status, 0)
+		counters.Rejected.Add(1)
+		c.respondError(status, 0)
 	}
 }
 
-// reply answers for the system itself.
-func (p *Proxy) reply(w http.ResponseWriter, id string, status int) {
+// respond answers for the system itself.
+func (p *Proxy) respond(w http.ResponseWriter, id string, status int) {
 	h := w.Header()
 	if id != "" {
-		h.Set(attemptID, id)
+		h.Set(headerAttemptID, id)
 	}
 	h.Set("Content-Length", "0")
-	p.closing(h)
+	p.announceClose(h)
 	w.WriteHeader(status)
 }
 
-// closing announces the end of the connection, where a planned end has begun.
-func (p *Proxy) closing(h http.Header) {
-	if p.front.draining.Load() {
+// announceClose announces the end of the connection, where a planned end has begun.
+func (p *Proxy) announceClose(h http.Header) {
+	if p.clients.draining.Load() {
 		h.Set("Connection", "close")
 	}
 }
 
-// statusGone stands for a client that went away.
-const statusGone = -1
+// statusClientGone stands for a client that went away.
+const statusClientGone = -1
 
-// body is a request's body, held whole.
-type body struct {
-	room   *budget
-	most   int64 // bytes; 0: any number
-	bytes  []byte
-	booked int64
-	give   func()
+// requestBody is a request's requestBody, held whole.
+type requestBody struct {
+	memory   *memoryBudget
+	maxBytes int64 // bytes; 0: any number
+	bytes    []byte
+	reserved int64
+	recycle  func()
 }
 
 // read takes the body in, and tells the status that the request is answered with if it cannot be had; 0: it can.
-func (b *body) read(r *http.Request) int {
+func (b *requestBody) read(r *http.Request) int {
 	if r.ContentLength == 0 {
 		return 0
 	}
-	if !b.grow(max(r.ContentLength, smallBody)) {
+	if !b.reserve(max(r.ContentLength, smallBufferBytes)) {
 		return http.StatusServiceUnavailable
 	}
 	for {
@@ -159,7 +159,7 @@
 			if int64(len(b.bytes)) == r.ContentLength {
 				return 0
 			}
-			if !b.grow(2 * int64(cap(b.bytes))) {
+			if !b.reserve(2 * int64(cap(b.bytes))) {
 				return http.StatusServiceUnavailable
 			}
 		}
@@ -167,43 +167,43 @@
 		b.bytes = b.bytes[:len(b.bytes)+n]
 		var timeout net.Error
 		switch {
-		case b.most > 0 && int64(len(b.bytes)) > b.most:
+		case b.maxBytes > 0 && int64(len(b.bytes)) > b.maxBytes:
 			return http.StatusRequestEntityTooLarge
 		case err == io.EOF:
 			return 0
 		case errors.As(err, &timeout) && timeout.Timeout():
 			return http.StatusRequestTimeout
 		case err != nil:
-			return statusGone
+			return statusClientGone
 		}
 	}
 }
 
-// grow makes room for n bytes, and tells whether the budget has it.
-func (b *body) grow(n int64) bool {
-	if b.most > 0 {
-		n = min(n, b.most+1) // one more, to see that it is too long
+// reserve makes room for n bytes, and tells whether the budget has it.
+func (b *requestBody) reserve(n int64) bool {
+	if b.maxBytes > 0 {
+		n = min(n, b.maxBytes+1) // one more, to see that it is too long
 	}
-	if more := n - b.booked; more > 0 {
-		if !b.room.take(more) {
+	if more := n - b.reserved; more > 0 {
+		if !b.memory.reserve(more) {
 			return false
 		}
-		b.booked = n
+		b.reserved = n
 	}
-	next, give := bodyBuffer(n)
+	next, give := getBuffer(n)
 	next = append(next, b.bytes...)
-	if b.give != nil {
-		b.give()
+	if b.recycle != nil {
+		b.recycle()
 	}
-	b.bytes, b.give = next, give
+	b.bytes, b.recycle = next, give
 	return true
 }
 
-// free gives the room back. The bytes are not to be used any more.
-func (b *body) free() {
-	b.room.give(b.booked)
-	if b.give != nil {
-		b.give()
+// release gives the room back. The bytes are not to be used any more.
+func (b *requestBody) release() {
+	b.memory.release(b.reserved)
+	if b.recycle != nil {
+		b.recycle()
 	}
-	*b = body{}
+	*b = requestBody{}
 }
--- a/internal/system/proxy/headers.go
+++ b/internal/system/proxy/headers.go
@@ -12,19 +12,19 @@
 
 // The headers of PROTOCOL.md, in the form that net/http gives them.
 const (
-	attemptID   = "X-Attempt-Id"
-	serverSeal  = "X-Server-Seal"
-	notExecuted = "X-Not-Executed"
-	timeLeft    = "X-Time-Left-Ms"
-	lastEventID = "Last-Event-Id"
-	instance    = "X-Target-Instance"
+	headerAttemptID      = "X-Attempt-Id"
+	headerServerSeal     = "X-Server-Seal"
+	headerNotExecuted    = "X-Not-Executed"
+	headerTimeLeft       = "X-Time-Left-Ms"
+	headerLastEventID    = "Last-Event-Id"
+	headerTargetInstance = "X-Target-Instance"
 )
 
-// mostParts bounds the parts of a prompt that are looked at.
-const mostParts = 64
+// maxPromptParts bounds the parts of a prompt that are looked at.
+const maxPromptParts = 64
 
-// hopByHop tells whether a header concerns a single connection only, whatever Connection names.
-func hopByHop(name string) bool {
+// isHopByHop tells whether a header concerns a single connection only, whatever Connection names.
+func isHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade":
 		return true
@@ -32,8 +32,8 @@
 	return strings.HasPrefix(name, "Proxy-")
 }
 
-// named are the headers that Connection names, as net/http spells them; nil: none.
-func named(h http.Header) map[string]bool {
+// connectionHeaders are the headers that Connection names, as net/http spells them; nil: none.
+func connectionHeaders(h http.Header) map[string]bool {
 	var names map[string]bool
 	for _, v := range h["Connection"] {
 		for name := range strings.SplitSeq(v, ",") {
@@ -49,28 +49,28 @@
 	return names
 }
 
-// protected tells whether a header is passed on even where Connection names it: without it the message is another.
-func protected(name string) bool {
+// isAlwaysForwarded tells whether a header is passed on even where Connection names it: without it the message is another.
+func isAlwaysForwarded(name string) bool {
 	switch name {
-	case attemptID, serverSeal, notExecuted, timeLeft, lastEventID, "Content-Length", "Content-Type", "Content-Encoding", "Host":
+	case headerAttemptID, headerServerSeal, headerNotExecuted, headerTimeLeft, headerLastEventID, "Content-Length", "Content-Type", "Content-Encoding", "Host":
 		return true
 	}
 	return false
 }
 
-// passes tells whether a header is passed on, where Connection names some.
-func passes(name string, names map[string]bool) bool {
-	return !hopByHop(name) && (!names[name] || protected(name))
+// isForwarded tells whether a header is passed on, where Connection names some.
+func isForwarded(name string, names map[string]bool) bool {
+	return !isHopByHop(name) && (!names[name] || isAlwaysForwarded(name))
 }
 
-// tokenCount reads X-Token-Count: those of the prompt, and the most out. What cannot be read is 0.
-func tokenCount(text string) (in, out int) {
+// parseTokenCount reads X-Token-Count: those of the prompt, and the most out. What cannot be read is 0.
+func parseTokenCount(text string) (in, out int) {
 	a, b, _ := strings.Cut(text, ",")
-	return count(a), count(b)
+	return parseCount(a), parseCount(b)
 }
 
-// count reads a count of at most nine digits; anything else is 0.
-func count(text string) int {
+// parseCount reads a parseCount of at most nine digits; anything else is 0.
+func parseCount(text string) int {
 	text = textproto.TrimString(text)
 	n, err := strconv.ParseUint(text, 10, 30)
 	if err != nil {
@@ -79,31 +79,31 @@
 	return int(n)
 }
 
-// promptParts reads X-Prompt-Prefix: ID:TOKENS separated by commas, the ID in hex. It ends where it cannot be read.
-func promptParts(text string) []pick.PrefixPart {
+// parsePromptParts reads X-Prompt-Prefix: ID:TOKENS separated by commas, the ID in hex. It ends where it cannot be read.
+func parsePromptParts(text string) []pick.PrefixPart {
 	if text == "" {
 		return nil
 	}
-	parts := make([]pick.PrefixPart, 0, min(strings.Count(text, ",")+1, mostParts))
+	parts := make([]pick.PrefixPart, 0, min(strings.Count(text, ",")+1, maxPromptParts))
 	for one := range strings.SplitSeq(text, ",") {
 		id, tokens, ok := strings.Cut(textproto.TrimString(one), ":")
 		n, err := strconv.ParseUint(id, 16, 64)
-		if !ok || err != nil || len(parts) == mostParts {
+		if !ok || err != nil || len(parts) == maxPromptParts {
 			break
 		}
-		parts = append(parts, pick.PrefixPart{ID: n, Tokens: count(tokens)})
+		parts = append(parts, pick.PrefixPart{ID: n, Tokens: parseCount(tokens)})
 	}
 	return parts
 }
 
-// millis reads a count of milliseconds; ok tells whether it is one.
-func millis(text string) (d time.Duration, ok bool) {
+// parseMilliseconds reads a count of milliseconds; ok tells whether it is one.
+func parseMilliseconds(text string) (d time.Duration, ok bool) {
 	n, err := strconv.ParseUint(textproto.TrimString(text), 10, 31)
 	return time.Duration(n) * time.Millisecond, err == nil
 }
 
-// retryAfter reads Retry-After in seconds, fractions included; 0: none.
-func retryAfter(text string) time.Duration {
+// parseRetryAfter reads Retry-After in seconds, fractions included; 0: none.
+func parseRetryAfter(text string) time.Duration {
 	s, err := strconv.ParseFloat(textproto.TrimString(text), 64)
 	if err != nil || !(s > 0 && s < 3600) {
 		return 0
@@ -111,43 +111,43 @@
 	return time.Duration(s * float64(time.Second))
 }
 
-// seconds writes a Retry-After.
-func seconds(d time.Duration) string {
+// formatRetryAfter writes a Retry-After.
+func formatRetryAfter(d time.Duration) string {
 	return strconv.FormatFloat(max(d, time.Millisecond).Seconds(), 'f', 3, 64)
 }
 
-// hints are what a server's answer says about the server.
-type hints struct {
-	loaded                  bool
+// serverHints are what a server's answer says about the server.
+type serverHints struct {
+	hasLoad                 bool
 	running, waiting, slots int
-	cold                    bool
-	coldFor                 time.Duration
-	leaving                 bool
-	keeps                   time.Duration // for how long the server keeps the connection without use; 0: it does not tell
+	warmingUp               bool
+	warmUpLeft              time.Duration
+	draining                bool
+	idleTimeout             time.Duration // for how long the server keeps the connection without use; 0: it does not tell
 }
 
-func hintsOf(h http.Header, closes bool) hints {
-	out := hints{leaving: closes, keeps: keepAlive(h)}
+func parseServerHints(h http.Header, closes bool) serverHints {
+	out := serverHints{draining: closes, idleTimeout: parseKeepAlive(h)}
 	if text := h.Get("X-Server-Load"); text != "" {
 		f := strings.Split(text, ",")
 		if len(f) == 3 {
-			out.running, out.waiting, out.slots = count(f[0]), count(f[1]), count(f[2])
-			out.loaded = out.slots > 0
+			out.running, out.waiting, out.slots = parseCount(f[0]), parseCount(f[1]), parseCount(f[2])
+			out.hasLoad = out.slots > 0
 		}
 	}
 	if text := h.Get("X-Cold-Ms"); text != "" {
-		out.coldFor, out.cold = millis(text)
+		out.warmUpLeft, out.warmingUp = parseMilliseconds(text)
 	}
 	return out
 }
 
-// keepAlive reads for how long a server keeps idle connections; 0: it does not tell.
-func keepAlive(h http.Header) time.Duration {
+// parseKeepAlive reads for how long a server keeps idle connections; 0: it does not tell.
+func parseKeepAlive(h http.Header) time.Duration {
 	for _, v := range h["Keep-Alive"] {
 		for one := range strings.SplitSeq(v, ",") {
 			name, value, _ := strings.Cut(textproto.TrimString(one), "=")
 			if strings.EqualFold(textproto.TrimString(name), "timeout") {
-				return time.Duration(count(value)) * time.Second
+				return time.Duration(parseCount(value)) * time.Second
 			}
 		}
 	}
--- a/internal/system/proxy/headers_test.go
+++ b/internal/system/proxy/headers_test.go
@@ -24,32 +24,32 @@
 		"ffffffffffffffff:": {{ID: 1<<64 - 1}},
 		"1:-5":              {{ID: 1}},
 	} {
-		if got := promptParts(text); len(got) != len(want) || len(want) > 0 && !reflect.DeepEqual(got, want) {
+		if got := parsePromptParts(text); len(got) != len(want) || len(want) > 0 && !reflect.DeepEqual(got, want) {
 			t.Errorf("%q: %v, want %v", text, got, want)
 		}
 	}
-	if n := len(promptParts(strings.Repeat("1:1,", 1000))); n != mostParts {
+	if n := len(parsePromptParts(strings.Repeat("1:1,", 1000))); n != maxPromptParts {
 		t.Errorf("%d parts", n)
 	}
 }
 
 func TestHints(t *testing.T) {
 	h := http.Header{"X-Server-Load": {"3, 1,8"}, "X-Cold-Ms": {"1500"}, "Retry-After": {"0.35"}, "Keep-Alive": {"max=4, timeout=7"}}
-	if got, want := hintsOf(h, true), (hints{true, 3, 1, 8, true, 1500 * time.Millisecond, true, 7 * time.Second}); got != want {
+	if got, want := parseServerHints(h, true), (serverHints{true, 3, 1, 8, true, 1500 * time.Millisecond, true, 7 * time.Second}); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
-	if got := hintsOf(http.Header{"X-Server-Load": {"3,1"}, "X-Cold-Ms": {"-1"}}, false); got != (hints{}) {
+	if got := parseServerHints(http.Header{"X-Server-Load": {"3,1"}, "X-Cold-Ms": {"-1"}}, false); got != (serverHints{}) {
 		t.Errorf("%+v", got)
 	}
-	if d := retryAfter(h.Get("Retry-After")); d != 350*time.Millisecond {
+	if d := parseRetryAfter(h.Get("Retry-After")); d != 350*time.Millisecond {
 		t.Error(d)
 	}
 	for _, text := range []string{"", "-1", "NaN", "Inf", "1e9", "soon"} {
-		if d := retryAfter(text); d != 0 {
+		if d := parseRetryAfter(text); d != 0 {
 			t.Errorf("%q: %v", text, d)
 		}
 	}
-	if d := keepAlive(h); d != 7*time.Second {
+	if d := parseKeepAlive(h); d != 7*time.Second {
 		t.Error(d)
 	}
 }
@@ -65,19 +65,19 @@
 		{"other line ends", "id:1\r\ndata: a\r\n\r\nid:02\r\n\r\n", "", "id:1\r\ndata: a\r\n\r\nid:02\r\n\r\n", "02", io.EOF},
 		{"versions first", "versions: 3\nid: 1\n\n", "", "versions: 3\nid: 1\n\n", "1", io.EOF},
 		{"an end without an empty line", "id: 1\n\ndata: b", "", "id: 1\n\ndata: b", "1", io.EOF},
-		{"the same id", "id: 1\n\nid: 1\n\n", "", "id: 1\n\n", "1", errOrder},
-		{"a lower id", "id: 10\n\nid: 9\n\nid: 11\n\n", "", "id: 10\n\n", "10", errOrder},
+		{"the same id", "id: 1\n\nid: 1\n\n", "", "id: 1\n\n", "1", errEventOrder},
+		{"a lower id", "id: 10\n\nid: 9\n\nid: 11\n\n", "", "id: 10\n\n", "10", errEventOrder},
 		{"after another run", "id: 4\n\nid: 5\n\n", "3", "id: 4\n\nid: 5\n\n", "5", io.EOF},
-		{"before another run's end", "id: 3\n\nid: 4\n\n", "3", "", "3", errOrder},
+		{"before another run's end", "id: 3\n\nid: 4\n\n", "3", "", "3", errEventOrder},
 		{"ids that are no numbers", "id: b\n\nid: a\n\n", "", "id: b\n\nid: a\n\n", "a", io.EOF},
 		{"nothing", "", "", "", "", io.EOF},
-		{"an event that never ends", strings.Repeat("data: x\n", mostEvent/8+1), "", "", "", errEventSize},
+		{"an event that never ends", strings.Repeat("data: x\n", maxEventBytes/8+1), "", "", "", errEventTooLong},
 	} {
 		for name, wrap := range map[string]func(io.Reader) io.Reader{"bytes": iotest.OneByteReader, "halves": iotest.HalfReader,
 			"at once": func(r io.Reader) io.Reader { return r }, "with the end": iotest.DataErrReader} {
-			ev := &events{from: wrap(strings.NewReader(tt.text))}
+			ev := &eventReader{source: wrap(strings.NewReader(tt.text))}
 			if tt.after != "" {
-				ev.after(tt.after)
+				ev.resumeAfter(tt.after)
 			}
 			var got bytes.Buffer
 			var err error
@@ -86,8 +86,8 @@
 				whole, err = ev.next()
 				got.Write(whole)
 			}
-			if got.String() != tt.want || !errors.Is(err, tt.err) || ev.lastID != tt.last {
-				t.Errorf("%s in %s: %q, last %q, error %v", tt.name, name, got.String(), ev.lastID, err)
+			if got.String() != tt.want || !errors.Is(err, tt.err) || ev.lastEventID != tt.last {
+				t.Errorf("%s in %s: %q, last %q, error %v", tt.name, name, got.String(), ev.lastEventID, err)
 			}
 		}
 	}
@@ -104,7 +104,7 @@
 			if cut {
 				r = io.MultiReader(r, iotest.ErrReader(io.ErrUnexpectedEOF))
 			}
-			ev := &events{from: r}
+			ev := &eventReader{source: r}
 			var got strings.Builder
 			for {
 				whole, err := ev.next()
--- a/internal/system/proxy/helpers_test.go
+++ b/internal/system/proxy/helpers_test.go
@@ -183,7 +183,7 @@
 
 // head is that of a proper answer to r.
 func head(r *http.Request, status int, more ...string) string {
-	text := fmt.Sprintf("HTTP/1.1 %d X\r\nX-Attempt-Id: %s\r\nX-Server-Seal: seal\r\n", status, r.Header.Get(attemptID))
+	text := fmt.Sprintf("HTTP/1.1 %d X\r\nX-Attempt-Id: %s\r\nX-Server-Seal: seal\r\n", status, r.Header.Get(headerAttemptID))
 	for _, m := range more {
 		text += m + "\r\n"
 	}
@@ -201,7 +201,7 @@
 // raw answers with a text in which ID stands for the request's id.
 func raw(text string, stays bool) deed {
 	return func(c net.Conn, r *http.Request, _ []byte) bool {
-		io.WriteString(c, strings.ReplaceAll(text, "ID", r.Header.Get(attemptID)))
+		io.WriteString(c, strings.ReplaceAll(text, "ID", r.Header.Get(headerAttemptID)))
 		return stays
 	}
 }
@@ -272,7 +272,7 @@
 	}
 	toy := &toyPicker{route: route, down: map[string]bool{}, sent: map[uint64]string{}}
 	f := &fixture{Proxy: newProxy(o, toy), pick: toy, route: route, ended: make(chan error, 1)}
-	f.upstream.near = patience // the machine may be busy
+	f.pools.sameRegionTimeout = patience // the machine may be busy
 	w := pick.ClusterState{Config: config}
 	for i, s := range servers {
 		w.Servers = append(w.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: s.address()})
@@ -290,7 +290,7 @@
 		cancel()
 		within(t, f.ended, "end of Serve")
 		f.ended <- nil
-		if held := f.room.held.Load(); held != 0 {
+		if held := f.memory.reserved.Load(); held != 0 {
 			t.Errorf("%d bytes are booked still", held)
 		}
 	})
@@ -299,7 +299,7 @@
 
 // ends are how the sends have ended so far.
 func (f *fixture) ends() (ends []pick.Outcome) {
-	f.policy.with(func(picker, pick.Time) { ends = slices.Clone(f.pick.ends) })
+	f.picker.withLock(func(picker, pick.Time) { ends = slices.Clone(f.pick.ends) })
 	return ends
 }
 
--- a/internal/system/proxy/late_send_test.go
+++ b/internal/system/proxy/late_send_test.go
@@ -32,8 +32,8 @@
 				}
 				p := newPiped([]change{category(config.NonIdempotent)}, serve(0), serve(1))
 				p.pick.within = tt.within
-				open := p.upstream.open
-				p.upstream.open = func(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
+				open := p.pools.connect
+				p.pools.connect = func(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
 					if address == "at-0" {
 						time.Sleep(tt.opens)
 					}
--- a/internal/system/proxy/metrics.go
+++ b/internal/system/proxy/metrics.go
@@ -17,9 +17,9 @@
 	} {
 		publish(name, func() float64 { return float64(counter.Load()) })
 	}
-	publish("cold_starts", func() float64 { return float64(p.policy.Stats().WarmUpStarts) })
-	publish("cold_sends", func() float64 { return float64(p.policy.Stats().WarmUpSends) })
-	publish("cold_ends", func() float64 { return float64(p.policy.Stats().WarmUpEnds) })
+	publish("cold_starts", func() float64 { return float64(p.picker.Stats().WarmUpStarts) })
+	publish("cold_sends", func() float64 { return float64(p.picker.Stats().WarmUpSends) })
+	publish("cold_ends", func() float64 { return float64(p.picker.Stats().WarmUpEnds) })
 }
 
 // publish names a counter among the process's metrics.
--- a/internal/system/proxy/once_controls_test.go
+++ b/internal/system/proxy/once_controls_test.go
@@ -26,30 +26,30 @@
 	cutStream := with(func(b *behaviour) { b.Framing, b.Cut, b.Then = "chunked", 850, halfClose })
 	for _, tt := range []struct {
 		name     string
-		without  removed
+		without  TestingKnobs
 		category config.Category
 		first    []behaviour
 		breaks   string
 	}{
-		{"the id that an answer echoes", removed{echoedID: true}, config.NonIdempotent,
+		{"the id that an answer echoes", TestingKnobs{SkipAttemptIDCheck: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.Echo = otherID }), "bears another id"},
-		{"the seal of a success", removed{seal: true}, config.NonIdempotent,
+		{"the seal of a success", TestingKnobs{SkipSealCheck: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.Unsealed = true }), "no server gave this answer"},
-		{"interim answers", removed{interim: true}, config.NonIdempotent,
+		{"interim answers", TestingKnobs{PassInterimResponses: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.Interims = 1 }), "bears another id"},
-		{"at most one run", removed{repeatRule: true}, config.NonIdempotent,
+		{"at most one run", TestingKnobs{RetryNonIdempotent: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.Cut, b.Then = 0, resetIt }), "sent again though it may have run"},
-		{"promises", removed{promiseRule: true}, config.NonIdempotent,
+		{"promises", TestingKnobs{PassUnfoundedPromises: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.Status = http.StatusTooManyRequests }), "promised that it has not"},
-		{"the end of an answer", removed{unframed: true}, config.NonIdempotent,
+		{"the end of an answer", TestingKnobs{AcceptUnframed: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.Framing, b.Cut, b.Then = "none", 950, halfClose }), "looks whole"},
-		{"streams that may not be resumed", removed{resumeRule: true}, config.Streaming, cutStream, "sent again though it may have run"},
-		{"a broken answer ends its connection", removed{cut: true}, config.Streaming, cutStream, "looks whole"},
+		{"streams that may not be resumed", TestingKnobs{ResumeAnyStream: true}, config.Streaming, cutStream, "sent again though it may have run"},
+		{"a broken answer ends its connection", TestingKnobs{KeepTruncatedConns: true}, config.Streaming, cutStream, "looks whole"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			s := scenario{Category: tt.category, MaxTries: 2, Servers: [][]behaviour{tt.first, nil},
 				Steps: []step{{Way: "plain", Method: http.MethodPost}}}
-			if err := play(s, removed{}); err != nil {
+			if err := play(s, TestingKnobs{}); err != nil {
 				t.Errorf("with it: %v", err)
 			}
 			without := func() {
@@ -57,8 +57,8 @@
 					t.Errorf("without it: %v, want %q", err, tt.breaks)
 				}
 			}
-			if tt.without.repeatRule || tt.without.resumeRule {
-				invarianttest.Expect(t, runsOnce, without)
+			if tt.without.RetryNonIdempotent || tt.without.ResumeAnyStream {
+				invarianttest.Expect(t, nonIdempotentOnce, without)
 			} else {
 				without()
 			}
@@ -69,15 +69,15 @@
 // TestClosedWhileIdle has a server close a connection that idles, and a request that may run once come when that is known:
 // it is not lost on that connection. With the look at idle connections taken out it is.
 func TestClosedWhileIdle(t *testing.T) {
-	for _, without := range []removed{{}, {idleLook: true}} {
+	for _, without := range []TestingKnobs{{}, {SkipIdleInspection: true}} {
 		s := startServer(t, say(200, "x"))
-		f := startProxy(t, []*fakeServer{s}, func(o *Options, _ *config.Config) { o.without = without })
+		f := startProxy(t, []*fakeServer{s}, func(o *Options, _ *config.Config) { o.Knobs = without })
 		c := f.dial(t)
 		c.post("id-1", "").read()
 		_ = within(t, s.came, "request").conn.(*net.TCPConn).CloseWrite()
 		f.awaitIdleEnd(t)
 		want := 200
-		if without.idleLook {
+		if without.SkipIdleInspection {
 			want = 502
 		}
 		if got := c.post("id-2", "").read(); got.StatusCode != want {
@@ -89,9 +89,9 @@
 // awaitIdleEnd waits until the end of the one idle connection has come.
 func (f *fixture) awaitIdleEnd(t *testing.T) {
 	t.Helper()
-	f.upstream.mu.Lock()
-	defer f.upstream.mu.Unlock()
-	for _, p := range f.upstream.pools {
+	f.pools.mu.Lock()
+	defer f.pools.mu.Unlock()
+	for _, p := range f.pools.pools {
 		for _, c := range p.idle {
 			raw, err := c.tcp.SyscallConn()
 			if err != nil {
@@ -134,20 +134,20 @@
 func TestPartlyWritten(t *testing.T) {
 	for _, tt := range []struct {
 		room    int
-		without removed
+		without TestingKnobs
 		want    int
 		sends   int64
 	}{
-		{0, removed{}, 200, 1},
-		{1, removed{}, 502, 1},
-		{60, removed{}, 502, 1},
-		{1, removed{partlyWritten: true}, 200, 1},
+		{0, TestingKnobs{}, 200, 1},
+		{1, TestingKnobs{}, 502, 1},
+		{60, TestingKnobs{}, 502, 1},
+		{1, TestingKnobs{RetryPartlyWritten: true}, 200, 1},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			p := newPiped([]change{category(config.NonIdempotent), func(o *Options, _ *config.Config) { o.without = tt.without }},
+			p := newPiped([]change{category(config.NonIdempotent), func(o *Options, _ *config.Config) { o.Knobs = tt.without }},
 				say(200, "first"), say(200, "second"))
-			open := p.upstream.open
-			p.upstream.open = func(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
+			open := p.pools.connect
+			p.pools.connect = func(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
 				c, err := open(ctx, address, within)
 				if address == "at-0" && err == nil {
 					c = &narrowConn{c, tt.room}
--- a/internal/system/proxy/once_judge_test.go
+++ b/internal/system/proxy/once_judge_test.go
@@ -48,7 +48,7 @@
 	switch {
 	case o.broken:
 		return nil
-	case promise(o.status):
+	case promisesNotRun(o.status):
 		// Of an id that came twice on a route that repeats, the other request may have run more than once.
 		if ran > 0 && (o.sends == 1 || w.once() && ran >= o.sends) {
 			return errors.New("it has run, and its client was promised that it has not")
@@ -56,7 +56,7 @@
 		return nil
 	case o.seal == "" && (o.status == http.StatusBadGateway || o.status == http.StatusGatewayTimeout):
 		return nil
-	case o.echo != o.id && (success(o.status) || o.echo != ""):
+	case o.echo != o.id && (isSuccess(o.status) || o.echo != ""):
 		return errors.New("the answer bears another id")
 	}
 	for _, a := range w.arrivals {
--- a/internal/system/proxy/once_test.go
+++ b/internal/system/proxy/once_test.go
@@ -112,10 +112,10 @@
 }
 
 // play plays a scenario and tells what it broke.
-func play(s scenario, without removed) error { return playInto(s, without, map[string]int64{}) }
+func play(s scenario, without TestingKnobs) error { return playInto(s, without, map[string]int64{}) }
 
 // playInto adds to a tally of what the proxy did.
-func playInto(s scenario, without removed, tally map[string]int64) error {
+func playInto(s scenario, without TestingKnobs, tally map[string]int64) error {
 	w := &world{scenario: s, script: &script{stream: s.Category == config.Streaming, resumable: s.Resumable}, wait: "4000"}
 	defer w.stop()
 	route := &config.Route{Name: "r", Host: "h.example", Prefix: "/a/", Category: s.Category, Resumable: s.Resumable,
@@ -136,9 +136,9 @@
 		world.Servers = append(world.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: server.l.Addr().String()})
 	}
 	toy := &toyPicker{route: route, down: map[string]bool{}, sent: map[uint64]string{}}
-	p := newProxy(Options{Log: &log.Logger{Handler: discard.New()}, without: without,
-		patience: shortPatience, gap: shortPatience}, toy)
-	p.upstream.near = patience
+	p := newProxy(Options{Log: &log.Logger{Handler: discard.New()}, Knobs: without,
+		minSilenceTimeout: shortPatience, minEventSilenceTimeout: shortPatience}, toy)
+	p.pools.sameRegionTimeout = patience
 	p.UpdateClusterState(time.Now(), world)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -311,7 +311,7 @@
 			continue
 		}
 		body, err := io.ReadAll(resp.Body)
-		out.broken, out.status, out.echo, out.seal = false, resp.StatusCode, resp.Header.Get(attemptID), resp.Header.Get(serverSeal)
+		out.broken, out.status, out.echo, out.seal = false, resp.StatusCode, resp.Header.Get(headerAttemptID), resp.Header.Get(headerServerSeal)
 		out.body, out.err = string(body), err
 		stays = err == nil && !resp.Close
 		break
@@ -335,7 +335,7 @@
 	tally := map[string]int64{}
 	rapid.Check(t, func(t *rapid.T) {
 		s := scenarios.Draw(t, "scenario")
-		if err := playInto(s, removed{}, tally); err != nil {
+		if err := playInto(s, TestingKnobs{}, tally); err != nil {
 			t.Fatalf("%v\n%+v", err, s)
 		}
 	})
--- a/internal/system/proxy/pause_test.go
+++ b/internal/system/proxy/pause_test.go
@@ -12,7 +12,7 @@
 )
 
 // pausedPolicy is a policy of one of twelve proxies that knows two servers, which bear 31 requests a second while they are cold.
-func pausedPolicy() (*policy, *pick.Request, pick.ClusterState) {
+func pausedPolicy() (*lockedPicker, *pick.Request, pick.ClusterState) {
 	route := &config.Route{Host: "h", Prefix: "/", MaxTries: 2, Category: config.Idempotent, Shares: []config.Share{{Service: "a", Weight: 1}}}
 	w := pick.ClusterState{Self: "p00", Config: &config.Config{Routes: []*config.Route{route},
 		Services: map[string]*config.Service{"a": {Name: "a", WarmUpRate: 31, WarmUpTime: 3 * time.Second}}}}
@@ -22,16 +22,16 @@
 	for _, id := range []string{"s0", "s1"} {
 		w.Servers = append(w.Servers, pick.Server{ID: id, Service: "a", Zone: "z", Slots: 1000})
 	}
-	p := newPolicy(pick.New(pick.Settings{Zone: "z", Region: "r", WarmUpExcess: 1.5, WarmUpSlack: 5}), nil)
-	p.stalls.ticking = true
+	p := newLockedPicker(pick.New(pick.Settings{Zone: "z", Region: "r", WarmUpExcess: 1.5, WarmUpSlack: 5}), nil)
+	p.stalls.enabled = true
 	return p, &pick.Request{Route: route, TimeLeft: 5 * time.Second}, w
 }
 
 // standStill lets time go by without a call, as while the process is stopped.
-func standStill(p *policy, d time.Duration) { p.start = p.start.Add(-d) }
+func standStill(p *lockedPicker, d time.Duration) { p.start = p.start.Add(-d) }
 
 // press asks for a server for that many requests at once, and counts what each gets.
-func press(p *policy, r *pick.Request, requests int) map[string]int {
+func press(p *lockedPicker, r *pick.Request, requests int) map[string]int {
 	got := map[string]int{}
 	for range requests {
 		one := *r
@@ -46,7 +46,7 @@
 // may have turned cold meanwhile, which it can't know before it has heard a keeper.
 func TestWokenProxyKeepsColdPace(t *testing.T) {
 	p, r, w := pausedPolicy()
-	p.SetWorld(time.Now(), w)
+	p.UpdateClusterState(time.Now(), w)
 	if got := press(p, r, 10); got["s0"]+got["s1"] != 10 {
 		t.Fatalf("before the pause %v of 10", got)
 	}
@@ -65,13 +65,13 @@
 		p, r, w := pausedPolicy()
 		told := 0
 		p.onStall = func() { told++ }
-		p.SetWorld(time.Now(), w)
+		p.UpdateClusterState(time.Now(), w)
 		standStill(p, 5*time.Second)
 		woke := time.Now()
 		var waiting sync.WaitGroup
 		got := 0
 		waiting.Go(func() {
-			p.awaitWord(t.Context())
+			p.awaitContact(t.Context())
 			for id, n := range press(p, r, 100) {
 				got += n
 				if n < 40 {
@@ -82,14 +82,14 @@
 		synctest.Wait()
 		time.Sleep(20 * time.Millisecond)
 		w.ContactAge = time.Second
-		p.SetWorld(time.Now(), w)
+		p.UpdateClusterState(time.Now(), w)
 		synctest.Wait()
 		if got != 0 {
 			t.Errorf("%d requests went out by a word from before", got)
 		}
 		time.Sleep(20 * time.Millisecond)
 		w.ContactAge = 10 * time.Millisecond
-		p.SetWorld(time.Now(), w)
+		p.UpdateClusterState(time.Now(), w)
 		waiting.Wait()
 		if took := time.Since(woke); took != 40*time.Millisecond || got != 100 || told != 1 {
 			t.Errorf("%d requests after %v; keepers were asked %d times", got, took, told)
@@ -102,21 +102,21 @@
 func TestWokenRequestsWaitNotForLong(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _, w := pausedPolicy()
-		p.SetWorld(time.Now(), w)
+		p.UpdateClusterState(time.Now(), w)
 		standStill(p, 5*time.Second)
 		woke := time.Now()
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
-		p.awaitWord(ctx)
+		p.awaitContact(ctx)
 		if took := time.Since(woke); took != 100*time.Millisecond {
 			t.Errorf("a client that is gone waited for %v", took)
 		}
-		p.awaitWord(t.Context())
-		if took := time.Since(woke); took != wordWait {
+		p.awaitContact(t.Context())
+		if took := time.Since(woke); took != stallContactTimeout {
 			t.Errorf("waited until %v after the stall", took)
 		}
-		p.awaitWord(t.Context())
-		if took := time.Since(woke); took != wordWait {
+		p.awaitContact(t.Context())
+		if took := time.Since(woke); took != stallContactTimeout {
 			t.Errorf("a later request waited, until %v after the stall", took)
 		}
 	})
@@ -130,7 +130,7 @@
 		var watch sync.WaitGroup
 		watch.Go(func() { p.watchStalls(ctx) })
 		synctest.Wait()
-		p.SetWorld(time.Now(), w)
+		p.UpdateClusterState(time.Now(), w)
 		time.Sleep(time.Minute)
 		if got := press(p, r, 100); got["s0"]+got["s1"] != 100 {
 			t.Errorf("after a quiet minute %v of 100", got)
@@ -143,16 +143,16 @@
 // TestWorldThatComesLate: a world is told by durations as of a moment; a keeper's word in it is as old as that when it is used.
 func TestWorldThatComesLate(t *testing.T) {
 	p, _, w := pausedPolicy()
-	p.SetWorld(time.Now(), w)
+	p.UpdateClusterState(time.Now(), w)
 	before := time.Now()
 	standStill(p, 5*time.Second)
 	w.ContactAge = 0
-	p.SetWorld(before.Add(-5*time.Second), w) // made before the stall, used after it
-	if p.stalls.word == nil {
+	p.UpdateClusterState(before.Add(-5*time.Second), w) // made before the stall, used after it
+	if p.stalls.contact == nil {
 		t.Error("a world from before the stall ends the wait")
 	}
-	p.SetWorld(time.Now(), w)
-	if p.stalls.word != nil {
+	p.UpdateClusterState(time.Now(), w)
+	if p.stalls.contact != nil {
 		t.Error("a world from after the stall does not")
 	}
 }
--- a/internal/system/proxy/policy.go
+++ b/internal/system/proxy/policy.go
@@ -32,109 +32,109 @@
 	AwaitsControlPlane() bool
 }
 
-// policy is a picker behind a lock and a monotonic clock. It tells the picker when the process has stood still.
-type policy struct {
+// lockedPicker is a picker behind a lock and a monotonic clock. It tells the picker when the process has stood still.
+type lockedPicker struct {
 	mu      sync.Mutex
 	inner   picker
 	start   time.Time
 	onStall func() // nil: nobody is told
-	stalls  stallWatch
+	stalls  stallDetector
 }
 
-func newPolicy(p picker, onStall func()) *policy {
-	return &policy{inner: p, start: time.Now(), onStall: onStall}
+func newLockedPicker(p picker, onStall func()) *lockedPicker {
+	return &lockedPicker{inner: p, start: time.Now(), onStall: onStall}
 }
 
-// with runs f under the lock.
-func (p *policy) with(f func(picker, pick.Time)) {
-	if p.run(f) && p.onStall != nil {
+// withLock runs f under the lock.
+func (p *lockedPicker) withLock(f func(picker, pick.Time)) {
+	if p.runLocked(f) && p.onStall != nil {
 		p.onStall()
 	}
 }
 
-// run runs f under the lock, and tells whether the process had stood still just before.
-func (p *policy) run(f func(picker, pick.Time)) (stalled bool) {
+// runLocked runs f under the lock, and tells whether the process had stood still just before.
+func (p *lockedPicker) runLocked(f func(picker, pick.Time)) (stalled bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Since(p.start)
-	if stalled = p.stalls.note(now); stalled {
+	if stalled = p.stalls.observeRun(now); stalled {
 		p.inner.Stalled(now)
 	}
 	f(p.inner, now)
-	p.stalls.settle(p.inner.AwaitsControlPlane())
+	p.stalls.releaseWaiters(p.inner.AwaitsControlPlane())
 	return stalled
 }
 
-// SetWorld hands on a world whose durations are as of asOf.
-func (p *policy) SetWorld(asOf time.Time, w pick.ClusterState) {
-	p.with(func(i picker, now pick.Time) {
+// UpdateClusterState hands on a world whose durations are as of asOf.
+func (p *lockedPicker) UpdateClusterState(asOf time.Time, w pick.ClusterState) {
+	p.withLock(func(i picker, now pick.Time) {
 		w.Age = now - asOf.Sub(p.start)
 		i.UpdateClusterState(now, w)
 	})
 }
 
-func (p *policy) SetLoads(loads map[string]pick.Load) {
-	p.with(func(i picker, now pick.Time) { i.SetLoads(now, loads) })
+func (p *lockedPicker) SetLoads(loads map[string]pick.Load) {
+	p.withLock(func(i picker, now pick.Time) { i.SetLoads(now, loads) })
 }
 
 // Loads is what this proxy tells the others: what it has outstanding at servers, and its demands.
-func (p *policy) Loads() (loads map[string]pick.Load) {
-	p.with(func(i picker, _ pick.Time) {
+func (p *lockedPicker) Loads() (loads map[string]pick.Load) {
+	p.withLock(func(i picker, _ pick.Time) {
 		loads = i.Loads()
 		maps.Copy(loads, i.PromptDemands())
 	})
 	return loads
 }
 
-func (p *policy) Describe() (text string) {
-	p.with(func(i picker, now pick.Time) { text = i.Describe(now) })
+func (p *lockedPicker) Describe() (text string) {
+	p.withLock(func(i picker, now pick.Time) { text = i.Describe(now) })
 	return text
 }
 
-func (p *policy) AwaitsList() (awaits bool) {
-	p.with(func(i picker, _ pick.Time) { awaits = i.AwaitsServerList() })
+func (p *lockedPicker) AwaitsServerList() (awaits bool) {
+	p.withLock(func(i picker, _ pick.Time) { awaits = i.AwaitsServerList() })
 	return awaits
 }
 
-func (p *policy) Stats() (s pick.Stats) {
-	p.with(func(i picker, _ pick.Time) { s = i.Stats() })
+func (p *lockedPicker) Stats() (s pick.Stats) {
+	p.withLock(func(i picker, _ pick.Time) { s = i.Stats() })
 	return s
 }
 
-func (p *policy) Route(host, path string) (r *config.Route) {
-	p.with(func(i picker, _ pick.Time) { r = i.Route(host, path) })
+func (p *lockedPicker) Route(host, path string) (r *config.Route) {
+	p.withLock(func(i picker, _ pick.Time) { r = i.Route(host, path) })
 	return r
 }
 
-func (p *policy) Arrive(r *pick.Request) {
-	p.with(func(i picker, now pick.Time) { i.Arrive(now, r) })
+func (p *lockedPicker) Arrive(r *pick.Request) {
+	p.withLock(func(i picker, now pick.Time) { i.Arrive(now, r) })
 }
 
-func (p *policy) Choose(r *pick.Request, tried []string, offered bool) (c pick.Choice) {
-	p.with(func(i picker, now pick.Time) { c = i.Choose(now, r, tried, offered) })
+func (p *lockedPicker) Choose(r *pick.Request, tried []string, offered bool) (c pick.Choice) {
+	p.withLock(func(i picker, now pick.Time) { c = i.Choose(now, r, tried, offered) })
 	return c
 }
 
-func (p *policy) FirstEvent(ticket uint64) {
-	p.with(func(i picker, now pick.Time) { i.FirstEvent(now, ticket) })
+func (p *lockedPicker) FirstEvent(ticket uint64) {
+	p.withLock(func(i picker, now pick.Time) { i.FirstEvent(now, ticket) })
 }
 
-func (p *policy) Done(ticket uint64, o pick.Outcome, retryAfter time.Duration) {
-	p.with(func(i picker, now pick.Time) { i.Done(now, ticket, o, retryAfter) })
+func (p *lockedPicker) Done(ticket uint64, o pick.Outcome, retryAfter time.Duration) {
+	p.withLock(func(i picker, now pick.Time) { i.Done(now, ticket, o, retryAfter) })
 }
 
 // Started takes in that the head of a server's answer has come, and what it says about the server.
-func (p *policy) Started(ticket uint64, id string, h hints) {
-	p.with(func(i picker, now pick.Time) {
+func (p *lockedPicker) Started(ticket uint64, id string, h serverHints) {
+	p.withLock(func(i picker, now pick.Time) {
 		i.Started(now, ticket)
-		if h.loaded {
+		if h.hasLoad {
 			i.ServerLoad(now, id, h.running, h.waiting, h.slots)
 		}
-		if h.cold {
-			i.WarmingUp(now, id, h.coldFor)
+		if h.warmingUp {
+			i.WarmingUp(now, id, h.warmUpLeft)
 		}
-		i.SetIdleTimeout(id, h.keeps)
-		if h.leaving {
+		i.SetIdleTimeout(id, h.idleTimeout)
+		if h.draining {
 			i.ServerDraining(now, id)
 		}
 	})
--- a/internal/system/proxy/promises_test.go
+++ b/internal/system/proxy/promises_test.go
@@ -14,7 +14,7 @@
 // TestLongPromise has a server answer with a status that promises that the request has not run, without X-Not-Executed, and
 // with a body that is too long to be held: the promise is not passed on, as the server has not given it.
 func TestLongPromise(t *testing.T) {
-	long := strings.Repeat("x", mostHeld+1)
+	long := strings.Repeat("x", maxBufferedBytes+1)
 	for _, status := range []int{408, 429, 503} {
 		for _, may := range []config.Category{config.NonIdempotent, config.Idempotent} {
 			t.Run(fmt.Sprint(status, may), func(t *testing.T) {
@@ -48,12 +48,12 @@
 // asked for what follows the last event that was passed on, so that none is lost.
 func TestEventWithTwoIDs(t *testing.T) {
 	text := "id: 1\ndata: d1\n\nid: 2\nid: 1\ndata: d2\n\n"
-	ev := &events{from: strings.NewReader(text), buf: make([]byte, 0, eventRoom)}
+	ev := &eventReader{source: strings.NewReader(text), buf: make([]byte, 0, eventBufferBytes)}
 	whole, err := ev.next()
-	if string(whole) != "id: 1\ndata: d1\n\n" || err != nil || ev.lastID != "1" {
-		t.Fatalf("%q, error %v, last id %q", whole, err, ev.lastID)
+	if string(whole) != "id: 1\ndata: d1\n\n" || err != nil || ev.lastEventID != "1" {
+		t.Fatalf("%q, error %v, last id %q", whole, err, ev.lastEventID)
 	}
-	if whole, err := ev.next(); err == nil || err == io.EOF || ev.lastID != "1" {
-		t.Errorf("%q, error %v, last id %q", whole, err, ev.lastID)
+	if whole, err := ev.next(); err == nil || err == io.EOF || ev.lastEventID != "1" {
+		t.Errorf("%q, error %v, last id %q", whole, err, ev.lastEventID)
 	}
 }
--- a/internal/system/proxy/proxy.go
+++ b/internal/system/proxy/proxy.go
@@ -20,103 +20,103 @@
 	Log         log.Interface // default log.Log
 	OnStall     func()        // is called when the process has stood still: a keeper is to be asked at once; nil: none is. It must not block
 
-	stall    time.Duration // a client that takes nothing for so long is given up; default stallFor
-	patience time.Duration // a server may be silent so long before an answer begins; default leastPatience
-	gap      time.Duration // and so long within a stream; default leastGap
-	without  removed       // in tests
+	clientWriteTimeout     time.Duration // a client that takes nothing for so long is given up; default clientWriteTimeout
+	minSilenceTimeout      time.Duration // a server may be silent so long before an answer begins; default minSilenceTimeout
+	minEventSilenceTimeout time.Duration // and so long within a stream; default minEventSilenceTimeout
+	Knobs                  TestingKnobs  // in tests
 }
 
-// removed are the protections that a test has taken out, to show that something breaks without each. It is zero in service.
-type removed struct {
-	echoedID      bool // an answer bears the id of its request
-	seal          bool // a success bears the server's seal
-	idleLook      bool // a connection is looked at before it is used again
-	partlyWritten bool // a request of which some bytes were written may have run
-	interim       bool // an answer with a status of 1xx is not the last one
-	repeatRule    bool // a request that may run once is not sent on once it may have run
-	promiseRule   bool // only a server's word that it did not run a request becomes a promise to the client
-	unframed      bool // an answer without a length is not whole
-	resumeRule    bool // only a resumable stream goes on at another server
-	cut           bool // an answer that broke off ends with its connection
+// TestingKnobs are the protections that a test has taken out, to show that something breaks without each. It is zero in service.
+type TestingKnobs struct {
+	SkipAttemptIDCheck    bool // an answer bears the id of its request
+	SkipSealCheck         bool // a success bears the server's seal
+	SkipIdleInspection    bool // a connection is looked at before it is used again
+	RetryPartlyWritten    bool // a request of which some bytes were written may have run
+	PassInterimResponses  bool // an answer with a status of 1xx is not the last one
+	RetryNonIdempotent    bool // a request that may run once is not sent on once it may have run
+	PassUnfoundedPromises bool // only a server's word that it did not run a request becomes a promise to the client
+	AcceptUnframed        bool // an answer without a length is not whole
+	ResumeAnyStream       bool // only a resumable stream goes on at another server
+	KeepTruncatedConns    bool // an answer that broke off ends with its connection
 }
 
 // Proxy is the data plane of one process. Its methods may be called from any goroutine.
 type Proxy struct {
-	opt      Options
-	policy   *policy
-	world    atomic.Pointer[pick.ClusterState]
-	upstream *upstream
-	room     *budget
-	front    *front
-	counters Counters
+	options      Options
+	picker       *lockedPicker
+	clusterState atomic.Pointer[pick.ClusterState]
+	pools        *upstreamPools
+	memory       *memoryBudget
+	clients      *clientListener
+	counters     Counters
 }
 
 // New makes a Proxy that knows no world yet: it answers 503 until SetWorld has told it a configuration.
-func New(o Options) *Proxy { return newProxy(o, pick.New(o.Settings)) }
+func New(options Options) *Proxy { return newProxy(options, pick.New(options.Settings)) }
 
-func newProxy(o Options, by picker) *Proxy {
-	if o.GracePeriod <= 0 {
-		o.GracePeriod = 8 * time.Second
+func newProxy(options Options, inner picker) *Proxy {
+	if options.GracePeriod <= 0 {
+		options.GracePeriod = 8 * time.Second
 	}
-	if o.LossSlack <= 0 {
-		o.LossSlack = 200 * time.Millisecond
+	if options.LossSlack <= 0 {
+		options.LossSlack = 200 * time.Millisecond
 	}
-	if o.FDLimit <= 0 {
-		o.FDLimit = 4096
+	if options.FDLimit <= 0 {
+		options.FDLimit = 4096
 	}
-	if o.MemoryMB <= 0 {
-		o.MemoryMB = 256
+	if options.MemoryMB <= 0 {
+		options.MemoryMB = 256
 	}
-	if o.stall <= 0 {
-		o.stall = stallFor
+	if options.clientWriteTimeout <= 0 {
+		options.clientWriteTimeout = clientWriteTimeout
 	}
-	if o.patience <= 0 {
-		o.patience = leastPatience
+	if options.minSilenceTimeout <= 0 {
+		options.minSilenceTimeout = minSilenceTimeout
 	}
-	if o.gap <= 0 {
-		o.gap = leastGap
+	if options.minEventSilenceTimeout <= 0 {
+		options.minEventSilenceTimeout = minEventSilenceTimeout
 	}
-	if o.Log == nil {
-		o.Log = log.Log
+	if options.Log == nil {
+		options.Log = log.Log
 	}
-	p := &Proxy{opt: o, policy: newPolicy(by, o.OnStall), room: newBudget(int64(o.MemoryMB) << 20 / bodiesShare)}
-	p.upstream = newUpstream(o.Settings, &p.counters)
-	p.upstream.without = o.without
-	p.front = newFront(p)
+	p := &Proxy{options: options, picker: newLockedPicker(inner, options.OnStall), memory: newMemoryBudget(int64(options.MemoryMB) << 20 / bodyMemoryDivisor)}
+	p.pools = newUpstreamPools(options.Settings, &p.counters)
+	p.pools.knobs = options.Knobs
+	p.clients = newClientListener(p)
 	return p
 }
 
 // UpdateClusterState replaces what is known of the configuration, the evacuated zones, the servers and the other proxies. The durations in w
 // are as of the moment asOf.
 func (p *Proxy) UpdateClusterState(asOf time.Time, w pick.ClusterState) {
-	p.policy.SetWorld(asOf, w)
-	p.upstream.update(w)
-	p.world.Store(&w)
+	p.picker.UpdateClusterState(asOf, w)
+	p.pools.applyUpdate(w)
+	p.clusterState.Store(&w)
 	if w.Config != nil {
-		p.front.limit(w.Config.Limits)
+		p.clients.setLimits(w.Config.Limits)
 	}
 }
 
 // AwaitsServerList tells whether some servers wait for a newer reading of the platform's list.
-func (p *Proxy) AwaitsServerList() bool { return p.policy.AwaitsList() }
+func (p *Proxy) AwaitsServerList() bool { return p.picker.AwaitsServerList() }
 
 // SetLoads tells what all other proxies together have outstanding at each server.
-func (p *Proxy) SetLoads(loads map[string]pick.Load) { p.policy.SetLoads(loads) }
+func (p *Proxy) SetLoads(loads map[string]pick.Load) { p.picker.SetLoads(loads) }
 
 // Loads is what this proxy has outstanding at each server, for the other proxies.
-func (p *Proxy) Loads() map[string]pick.Load { return p.policy.Loads() }
+func (p *Proxy) Loads() map[string]pick.Load { return p.picker.Loads() }
 
 // Describe says for operators what the choice of servers rests on.
-func (p *Proxy) Describe() string { return p.policy.Describe() }
+func (p *Proxy) Describe() string { return p.picker.Describe() }
 
 // Ready tells whether clients may come: a configuration is held and no planned end has begun.
-func (p *Proxy) Ready() bool { return p.config() != nil && !p.front.draining.Load() }
+func (p *Proxy) Ready() bool { return p.config() != nil && !p.clients.draining.Load() }
 
 // Counters are for operators.
 func (p *Proxy) Counters() *Counters { return &p.counters }
 
 func (p *Proxy) config() *config.Config {
-	if w := p.world.Load(); w != nil {
+	if w := p.clusterState.Load(); w != nil {
 		return w.Config
 	}
 	return nil
--- a/internal/system/proxy/relay.go
+++ b/internal/system/proxy/relay.go
@@ -12,109 +12,109 @@
 )
 
 const (
-	leastHeld = 4 << 10   // bytes of an answer that are held at first, if its length is not known
-	mostHeld  = 256 << 10 // bytes of an answer that are held until it is whole, at the most
-	stallFor  = 10 * time.Second
-	flowPiece = 32 << 10 // bytes of a long answer that are passed on at once
+	initialBufferBytes = 4 << 10   // bytes of an answer that are held at first, if its length is not known
+	maxBufferedBytes   = 256 << 10 // bytes of an answer that are held until it is whole, at the most
+	clientWriteTimeout = 10 * time.Second
+	relayBufferBytes   = 32 << 10 // bytes of a long answer that are passed on at once
 )
 
-var errGone = errors.New("the client takes no more")
+var errClientGone = errors.New("the client takes no more")
 
-// answer is one that is held whole.
-type answer struct {
+// bufferedResponse is one that is held whole.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// take passes on a proper answer, or goes by what it says. It tells whether the request has come to its end.
-func (c *call) take(ch pick.Choice, x *exchange, resp *http.Response) bool {
+// handleResponse passes on a proper answer, or goes by what it says. It tells whether the request has come to its end.
+func (c *clientRequest) handleResponse(choice pick.Choice, attempt *upstreamAttempt, resp *http.Response) bool {
 	status := resp.StatusCode
-	_, refused := resp.Header[notExecuted]
+	_, refused := resp.Header[headerNotExecuted]
 	switch {
 	case refused || status == http.StatusMisdirectedRequest:
-		return c.takeRefusal(ch, x, resp)
-	case success(status) && eventStream(resp):
-		return c.stream(ch, x, resp)
-	case c.passing: // only a stream can go on with one
-		x.drop()
-		c.offered = true
-		c.done(ch, pick.ServerError)
+		return c.handleRefusal(choice, attempt, resp)
+	case isSuccess(status) && isEventStream(resp):
+		return c.relayEvents(choice, attempt, resp)
+	case c.headSent: // only a stream can go on with one
+		attempt.discard()
+		c.mayHaveRun = true
+		c.reportOutcome(choice, pick.ServerError)
 		return false
 	}
-	a := &answer{status: status, header: resp.Header}
+	buffered := &bufferedResponse{status: status, header: resp.Header}
 	var err error
-	var whole bool
-	if a.body, whole, err = c.hold(resp); err != nil {
-		return c.fail(ch, x, err)
+	var complete bool
+	if buffered.body, complete, err = c.bufferBody(resp); err != nil {
+		return c.handleFailure(choice, attempt, err)
 	}
 	// Danger: a status that promises more than the server has said is not passed on, nor is one too long to be held.
-	promised := promise(status) && !c.p.opt.without.promiseRule
-	if !whole && !promised {
-		return c.flow(ch, x, resp, a)
+	promised := promisesNotRun(status) && !c.proxy.options.Knobs.PassUnfoundedPromises
+	if !complete && !promised {
+		return c.relayUnbuffered(choice, attempt, resp, buffered)
 	}
-	if whole {
-		x.finish()
+	if complete {
+		attempt.finish()
 	} else {
-		x.drop()
+		attempt.discard()
 	}
 	if status < 500 && !promised {
-		c.done(ch, pick.Served)
-		c.p.counters.Served.Add(1)
-		a.pass(c)
+		c.reportOutcome(choice, pick.Served)
+		c.proxy.counters.Served.Add(1)
+		buffered.sendTo(c)
 		return true
 	}
-	c.offered = true
-	c.done(ch, pick.ServerError)
-	if c.kept = a; promised {
-		c.kept = nil
+	c.mayHaveRun = true
+	c.reportOutcome(choice, pick.ServerError)
+	if c.fallback = buffered; promised {
+		c.fallback = nil
 	}
 	return false
 }
 
-// takeRefusal takes in that the server did not run the request.
-func (c *call) takeRefusal(ch pick.Choice, x *exchange, resp *http.Response) bool {
-	outcome, after := pick.NotExecuted, retryAfter(resp.Header.Get("Retry-After"))
-	_, whole, err := c.hold(resp)
+// handleRefusal takes in that the server did not run the request.
+func (c *clientRequest) handleRefusal(choice pick.Choice, attempt *upstreamAttempt, resp *http.Response) bool {
+	outcome, after := pick.NotExecuted, parseRetryAfter(resp.Header.Get("Retry-After"))
+	_, complete, err := c.bufferBody(resp)
 	switch {
 	case resp.StatusCode == http.StatusMisdirectedRequest: // another server lives there
 		outcome = pick.Misdirected
-		x.drop()
-		c.p.upstream.abandon(x.pool)
-	case err == nil && whole:
-		x.finish()
+		attempt.discard()
+		c.proxy.pools.closeIdle(attempt.pool)
+	case err == nil && complete:
+		attempt.finish()
 	default:
-		x.drop()
+		attempt.discard()
 	}
-	c.refused = max(c.refused, after)
-	c.p.policy.Done(ch.Ticket, outcome, after)
+	c.retryAfter = max(c.retryAfter, after)
+	c.proxy.picker.Done(choice.Ticket, outcome, after)
 	return false
 }
 
-func eventStream(resp *http.Response) bool {
+func isEventStream(resp *http.Response) bool {
 	kind, _, err := mime.ParseMediaType(resp.Header.Get("Content-Type"))
 	return err == nil && kind == "text/event-stream"
 }
 
-// hold reads an answer's body to its end, or until it is longer than is held, and tells whether it is whole. What it
+// bufferBody reads an answer's body to its end, or until it is longer than is held, and tells whether it is whole. What it
 // books is given back with the call.
-func (c *call) hold(resp *http.Response) (body []byte, whole bool, err error) {
-	if resp.ContentLength > mostHeld && c.r.Method != http.MethodHead {
+func (c *clientRequest) bufferBody(resp *http.Response) (body []byte, complete bool, err error) {
+	if resp.ContentLength > maxBufferedBytes && c.request.Method != http.MethodHead {
 		return nil, false, nil
 	}
-	room := min(max(resp.ContentLength, 0)+1, leastHeld) // one more, so that the end is seen
-	if resp.ContentLength > leastHeld && resp.ContentLength <= mostHeld && c.r.Method != http.MethodHead {
-		room = resp.ContentLength + 1
+	size := min(max(resp.ContentLength, 0)+1, initialBufferBytes) // one more, so that the end is seen
+	if resp.ContentLength > initialBufferBytes && resp.ContentLength <= maxBufferedBytes && c.request.Method != http.MethodHead {
+		size = resp.ContentLength + 1
 	}
 	if resp.ContentLength < 0 {
-		room = leastHeld
+		size = initialBufferBytes
 	}
 	for {
-		if !c.p.room.take(room) {
+		if !c.proxy.memory.reserve(size) {
 			return body, false, nil
 		}
-		c.booked += room
-		body = append(make([]byte, 0, int64(cap(body))+room), body...)
+		c.reservedBytes += size
+		body = append(make([]byte, 0, int64(cap(body))+size), body...)
 		for len(body) < cap(body) {
 			n, err := resp.Body.Read(body[len(body):cap(body)])
 			body = body[:len(body)+n]
@@ -125,105 +125,105 @@
 				return nil, false, err
 			}
 		}
-		if len(body) > mostHeld/2 {
+		if len(body) > maxBufferedBytes/2 {
 			return body, false, nil
 		}
-		room = int64(len(body))
+		size = int64(len(body))
 	}
 }
 
-// flow passes on an answer that is too long to be held.
-func (c *call) flow(ch pick.Choice, x *exchange, resp *http.Response, a *answer) bool {
-	x.patience = 0
-	c.passHead(a.status, a.header, resp.ContentLength)
-	err := c.write(a.body)
-	piece := make([]byte, flowPiece)
+// relayUnbuffered passes on an answer that is too long to be held.
+func (c *clientRequest) relayUnbuffered(choice pick.Choice, attempt *upstreamAttempt, resp *http.Response, buffered *bufferedResponse) bool {
+	attempt.silenceTimeout = 0
+	c.sendHead(buffered.status, buffered.header, resp.ContentLength)
+	err := c.writeToClient(buffered.body)
+	buffer := make([]byte, relayBufferBytes)
 	for err == nil {
 		var n int
-		n, err = resp.Body.Read(piece)
+		n, err = resp.Body.Read(buffer)
 		if n > 0 {
-			if e := c.write(piece[:n]); e != nil {
+			if e := c.writeToClient(buffer[:n]); e != nil {
 				err = e
 			}
 		}
 	}
 	if err == io.EOF {
-		x.finish()
-		c.done(ch, pick.Served)
-		c.p.counters.Served.Add(1)
+		attempt.finish()
+		c.reportOutcome(choice, pick.Served)
+		c.proxy.counters.Served.Add(1)
 		return true
 	}
-	return c.broke(ch, x, err)
+	return c.handleRelayFailure(choice, attempt, err)
 }
 
-// stream passes on events as they come. An answer that is cut may be taken up at another server.
-func (c *call) stream(ch pick.Choice, x *exchange, resp *http.Response) bool {
-	buf, give := bodyBuffer(eventRoom)
-	defer give()
-	ev := &events{from: resp.Body, buf: buf}
+// relayEvents passes on events as they come. An answer that is cut may be taken up at another server.
+func (c *clientRequest) relayEvents(choice pick.Choice, attempt *upstreamAttempt, resp *http.Response) bool {
+	buf, recycle := getBuffer(eventBufferBytes)
+	defer recycle()
+	reader := &eventReader{source: resp.Body, buf: buf}
 	if c.route.Resumable {
-		ev.after(c.lastID)
+		reader.resumeAfter(c.lastEventID)
 	}
-	if c.passing {
-		c.p.counters.Resumed.Add(1)
+	if c.headSent {
+		c.proxy.counters.Resumed.Add(1)
 	}
 	first := true
 	for {
-		whole, err := ev.next()
+		complete, err := reader.next()
 		if err == io.EOF {
-			if !c.passing {
-				c.passHead(resp.StatusCode, resp.Header, resp.ContentLength)
+			if !c.headSent {
+				c.sendHead(resp.StatusCode, resp.Header, resp.ContentLength)
 			}
-			x.finish()
-			c.done(ch, pick.Served)
-			c.p.counters.Served.Add(1)
+			attempt.finish()
+			c.reportOutcome(choice, pick.Served)
+			c.proxy.counters.Served.Add(1)
 			return true
 		}
 		if err != nil {
-			return c.fail(ch, x, err)
+			return c.handleFailure(choice, attempt, err)
 		}
 		if first {
-			c.p.policy.FirstEvent(ch.Ticket)
-			if !c.passing {
+			c.proxy.picker.FirstEvent(choice.Ticket)
+			if !c.headSent {
 				// Danger: a stream that goes on at another server need not come to the length that the first one told.
-				c.passHead(resp.StatusCode, resp.Header, -1)
+				c.sendHead(resp.StatusCode, resp.Header, -1)
 			}
 		}
-		if err := c.write(whole); err != nil {
-			return c.broke(ch, x, err)
+		if err := c.writeToClient(complete); err != nil {
+			return c.handleRelayFailure(choice, attempt, err)
 		}
-		if c.lastID = ev.lastID; ev.bare {
-			c.lastID = "" // it cannot be told where another server should go on
+		if c.lastEventID = reader.lastEventID; reader.missedID {
+			c.lastEventID = "" // it cannot be told where another server should go on
 		}
 		if first {
 			first = false
-			c.watch(x, max(2*c.route.EventGapTarget, c.p.opt.gap))
+			c.watchForSilence(attempt, max(2*c.route.EventGapTarget, c.proxy.options.minEventSilenceTimeout))
 		}
 	}
 }
 
-// broke ends an answer that was cut while it was passed on and cannot go on.
-func (c *call) broke(ch pick.Choice, x *exchange, err error) bool {
-	if !errors.Is(err, errGone) {
-		c.fail(ch, x, err)
-		c.p.counters.Truncated.Add(1)
-		c.cut(false)
+// handleRelayFailure ends an answer that was cut while it was passed on and cannot go on.
+func (c *clientRequest) handleRelayFailure(choice pick.Choice, attempt *upstreamAttempt, err error) bool {
+	if !errors.Is(err, errClientGone) {
+		c.handleFailure(choice, attempt, err)
+		c.proxy.counters.Truncated.Add(1)
+		c.abortConn(false)
 		return true
 	}
-	x.drop()
-	c.done(ch, pick.Canceled)
-	c.p.counters.ClientGone.Add(1)
-	c.cut(true)
+	attempt.discard()
+	c.reportOutcome(choice, pick.Canceled)
+	c.proxy.counters.ClientGone.Add(1)
+	c.abortConn(true)
 	return true
 }
 
-// passHead passes on the head of an answer; length -1: not told.
-func (c *call) passHead(status int, from http.Header, length int64) {
-	c.passing = true
-	to := c.w.Header()
-	names := named(from)
+// sendHead passes on the head of an answer; length -1: not told.
+func (c *clientRequest) sendHead(status int, from http.Header, length int64) {
+	c.headSent = true
+	to := c.writer.Header()
+	names := connectionHeaders(from)
 	for name, values := range from {
-		if name != "Content-Length" && passes(name, names) {
+		if name != "Content-Length" && isForwarded(name, names) {
 			to[name] = values
 		}
 	}
@@ -235,14 +235,14 @@
 	if length >= 0 {
 		to.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	c.p.closing(to)
-	c.w.WriteHeader(status)
+	c.proxy.announceClose(to)
+	c.writer.WriteHeader(status)
 }
 
-// pass passes on an answer that is held whole.
-func (a *answer) pass(c *call) {
+// sendTo passes on an answer that is held whole.
+func (a *bufferedResponse) sendTo(proxied *clientRequest) {
 	length := int64(len(a.body))
-	if c.r.Method == http.MethodHead || a.status == http.StatusNoContent || a.status == http.StatusNotModified {
+	if proxied.request.Method == http.MethodHead || a.status == http.StatusNoContent || a.status == http.StatusNotModified {
 		length = -1
 		if text := a.header.Get("Content-Length"); text != "" && a.status != http.StatusNoContent {
 			if n, err := strconv.ParseInt(text, 10, 64); err == nil {
@@ -250,22 +250,22 @@
 			}
 		}
 	}
-	c.passHead(a.status, a.header, length)
+	proxied.sendHead(a.status, a.header, length)
 	if len(a.body) > 0 {
-		if err := c.write(a.body); err != nil {
-			c.cut(true)
+		if err := proxied.writeToClient(a.body); err != nil {
+			proxied.abortConn(true)
 		}
 	}
 }
 
-// write passes bytes on at once. A client that takes none for long is given up.
-func (c *call) write(b []byte) error {
-	_ = c.rc.SetWriteDeadline(time.Now().Add(c.p.opt.stall))
-	if _, err := c.w.Write(b); err != nil {
-		return errGone
+// writeToClient passes bytes on at once. A client that takes none for long is given up.
+func (c *clientRequest) writeToClient(b []byte) error {
+	_ = c.controller.SetWriteDeadline(time.Now().Add(c.proxy.options.clientWriteTimeout))
+	if _, err := c.writer.Write(b); err != nil {
+		return errClientGone
 	}
-	if c.rc.Flush() != nil {
-		return errGone
+	if c.controller.Flush() != nil {
+		return errClientGone
 	}
 	return nil
 }
--- a/internal/system/proxy/reuse_test.go
+++ b/internal/system/proxy/reuse_test.go
@@ -20,7 +20,7 @@
 		one := func(text string) string {
 			return fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head(r, 200), len(text), text)
 		}
-		fmt.Fprint(c, one(r.Header.Get(attemptID))+one("wrong"))
+		fmt.Fprint(c, one(r.Header.Get(headerAttemptID))+one("wrong"))
 		return true
 	})
 	f := startProxy(t, []*fakeServer{s})
@@ -31,7 +31,7 @@
 			c := f.dial(t)
 			for n := range 100 {
 				id := fmt.Sprint("id-", i, "-", n)
-				if got := c.post(id, "").read(); got.StatusCode == 200 && (got.body != id || got.Header.Get(attemptID) != id) {
+				if got := c.post(id, "").read(); got.StatusCode == 200 && (got.body != id || got.Header.Get(headerAttemptID) != id) {
 					bad.Add(1)
 				}
 			}
@@ -156,7 +156,7 @@
 	f := startProxy(t, []*fakeServer{s})
 	c := f.dial(t).post("id-1", "")
 	was := within(t, s.came, "request").conn
-	w := *f.world.Load()
+	w := *f.clusterState.Load()
 	w.Servers = []pick.Server{{ID: "i-new", Service: "s", Address: s.address()}}
 	f.UpdateClusterState(time.Now(), w)
 	goOn <- true
@@ -164,8 +164,8 @@
 		t.Errorf("status %d", got.StatusCode)
 	}
 	c.post("id-2", "")
-	if r := within(t, s.came, "request"); r.conn == was || r.Header.Get(instance) != "i-new" {
-		t.Errorf("sent to %q on the former connection: %v", r.Header.Get(instance), r.conn == was)
+	if r := within(t, s.came, "request"); r.conn == was || r.Header.Get(headerTargetInstance) != "i-new" {
+		t.Errorf("sent to %q on the former connection: %v", r.Header.Get(headerTargetInstance), r.conn == was)
 	}
 	goOn <- true
 	c.read()
@@ -174,7 +174,7 @@
 // TestPipelined has a client send requests without waiting: answers come in their order.
 func TestPipelined(t *testing.T) {
 	s := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		return say(200, r.Header.Get(attemptID))(c, r, body)
+		return say(200, r.Header.Get(headerAttemptID))(c, r, body)
 	})
 	f := startProxy(t, []*fakeServer{s}, category(config.Idempotent))
 	c := f.dial(t)
@@ -183,7 +183,7 @@
 	}
 	for n := range 5 {
 		resp, err := http.ReadResponse(c.in, nil)
-		if err != nil || resp.Header.Get(attemptID) != fmt.Sprint("id-", n) {
+		if err != nil || resp.Header.Get(headerAttemptID) != fmt.Sprint("id-", n) {
 			t.Fatalf("%v, error %v", resp, err)
 		}
 		buf := make([]byte, 4)
--- a/internal/system/proxy/scripted_test.go
+++ b/internal/system/proxy/scripted_test.go
@@ -215,7 +215,7 @@
 			_, _ = io.Copy(io.Discard, c) // until the proxy closes it
 			return
 		}
-		waiting = v.after(c, b, r.Header.Get(attemptID))
+		waiting = v.after(c, b, r.Header.Get(headerAttemptID))
 	}
 }
 
@@ -246,7 +246,7 @@
 
 // compare looks whether a request came as it was sent: its body begins with its id and its method.
 func (v *scriptedServer) compare(r *http.Request, body string) {
-	id := r.Header.Get(attemptID)
+	id := r.Header.Get(headerAttemptID)
 	want := id + " " + r.Method
 	if r.Method != http.MethodPost {
 		body += want
@@ -269,7 +269,7 @@
 	}
 	v.came++
 	s.runs++
-	id := r.Header.Get(attemptID)
+	id := r.Header.Get(headerAttemptID)
 	if b.Echo == earlierID && v.earlier == id {
 		b.Echo = ownID // the same id twice
 	}
@@ -290,7 +290,7 @@
 
 // answer makes the head and the rest of an answer as they go out.
 func (s *script) answer(r *http.Request, b behaviour, earlier string) (head string, sent answered, wire string) {
-	id := r.Header.Get(attemptID)
+	id := r.Header.Get(headerAttemptID)
 	sent = answered{status: b.Status, seal: fmt.Sprint("seal-", s.runs)}
 	text := strings.Repeat("HTTP/1.1 103 X\r\nA: b\r\n\r\n", b.Interims)
 	if b.Garbage {
@@ -340,7 +340,7 @@
 	if r.Method == http.MethodHead {
 		sent.body, wire = "", ""
 	}
-	success := success(b.Status)
+	success := isSuccess(b.Status)
 	sent.proper = !b.Garbage && b.Interims <= 3 && (b.Framing == "length" || b.Framing == "chunked" || b.Framing == "none" && r.Method == http.MethodHead) &&
 		(b.Echo == ownID || b.Echo == noID && !success) && !(success && (b.Unsealed || b.NotExecuted || b.Encoded))
 	return text + "\r\n", sent, wire
@@ -348,7 +348,7 @@
 
 // events is the text of a stream: one that may be resumed has the same events at each server, any other names its run.
 func (s *script) events(r *http.Request, b behaviour) string {
-	from, _ := strconv.Atoi(r.Header.Get(lastEventID))
+	from, _ := strconv.Atoi(r.Header.Get(headerLastEventID))
 	if from++; b.Repeats && from > 1 {
 		from--
 	}
--- a/internal/system/proxy/serve.go
+++ b/internal/system/proxy/serve.go
@@ -14,65 +14,65 @@
 	"gradeusher.example/gradeusher/internal/framing"
 )
 
-// mostRounds bounds how long connections that keep coming hold a planned end up.
-const mostRounds = 8
-
-// quietLog drops what net/http says about single connections: the counters tell.
-var quietLog = stdlog.New(io.Discard, "", 0)
-
-// handoff is a listener for connections that have been accepted elsewhere.
-type handoff struct {
-	addr net.Addr
-	come chan net.Conn
-	done chan struct{}
-	once sync.Once
+// maxAcceptRounds bounds how long connections that keep coming hold a planned end up.
+const maxAcceptRounds = 8
+
+// discardLog drops what net/http says about single connections: the counters tell.
+var discardLog = stdlog.New(io.Discard, "", 0)
+
+// handoffListener is a listener for connections that have been accepted elsewhere.
+type handoffListener struct {
+	address   net.Addr
+	conns     chan net.Conn
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
-func newHandoff(a net.Addr) *handoff {
-	return &handoff{addr: a, come: make(chan net.Conn), done: make(chan struct{})}
+func newHandoffListener(a net.Addr) *handoffListener {
+	return &handoffListener{address: a, conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// give hands a connection over, and tells whether it was taken.
-func (h *handoff) give(c net.Conn) bool {
+// offer hands a connection over, and tells whether it was taken.
+func (h *handoffListener) offer(c net.Conn) bool {
 	select {
-	case h.come <- c:
+	case h.conns <- c:
 		return true
-	case <-h.done:
+	case <-h.closed:
 		return false
 	}
 }
 
-func (h *handoff) close() { h.once.Do(func() { close(h.done) }) }
+func (h *handoffListener) shut() { h.closeOnce.Do(func() { close(h.closed) }) }
 
 // Accept implements net.Listener.
-func (h *handoff) Accept() (net.Conn, error) {
+func (h *handoffListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-h.come:
+	case c := <-h.conns:
 		return c, nil
-	case <-h.done:
+	case <-h.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements net.Listener.
-func (h *handoff) Close() error {
-	h.close()
+func (h *handoffListener) Close() error {
+	h.shut()
 	return nil
 }
 
 // Addr implements net.Listener.
-func (h *handoff) Addr() net.Addr { return h.addr }
+func (h *handoffListener) Addr() net.Addr { return h.address }
 
 // Serve takes clients' connections from a TCP listener until Drain has ended or ctx is done, closes the listener, and
 // returns when everything that it started has ended. It may be called once. It fails with ErrListener.
-func (p *Proxy) Serve(ctx context.Context, l net.Listener) error {
-	tcp, ok := l.(*net.TCPListener)
+func (p *Proxy) Serve(ctx context.Context, listener net.Listener) error {
+	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
-		return errors.Mark(errors.Newf("a listener of type %T: give a TCP listener", l), ErrListener)
+		return errors.Mark(errors.Newf("a listener of type %T: give a TCP listener", listener), ErrListener)
 	}
-	f := p.front
-	defer close(f.over)
-	defer f.stop()
+	f := p.clients
+	defer close(f.serveDone)
+	defer f.shutdown()
 	defer tcp.Close()
 	f.mu.Lock()
 	f.listener = tcp
@@ -86,7 +86,7 @@
 	rounds, taken := 0, false // of looking for connections left waiting, once a planned end has told to stop
 	failed := false
 	for {
-		if !f.room(ctx) {
+		if !f.awaitCapacity(ctx) {
 			return nil
 		}
 		c, err := tcp.AcceptTCP()
@@ -96,18 +96,18 @@
 		case err == nil:
 			taken = true
 			if raw, err := c.SyscallConn(); err == nil {
-				_ = boundUnacked(raw)
+				_ = setUnackedTimeout(raw)
 			}
-			f.take(framing.NewClientConn(c, mostHead, &p.counters.Rejected))
+			f.handOff(framing.NewClientConn(c, maxHeadBytes, &p.counters.Rejected))
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			// Danger: a deadline can pass with connections waiting, and closing the listener resets them.
-			if rounds > 0 && !taken || rounds == mostRounds {
+			if rounds > 0 && !taken || rounds == maxAcceptRounds {
 				_ = tcp.Close()
-				f.wait(ctx)
+				f.awaitConnsClosed(ctx)
 				return nil
 			}
 			rounds, taken = rounds+1, false
-			if err := tcp.SetDeadline(time.Now().Add(idleMoment)); err != nil {
+			if err := tcp.SetDeadline(time.Now().Add(minIdleBeforeClose)); err != nil {
 				return nil
 			}
 		case errors.Is(err, net.ErrClosed):
@@ -117,30 +117,30 @@
 			return errors.Mark(errors.Wrap(err, "the listener was closed by others"), ErrListener)
 		default: // descriptors are short, or the client has gone
 			if failed = true; !failing {
-				p.opt.Log.WithError(err).Warn("proxy: a connection could not be taken")
+				p.options.Log.WithError(err).Warn("proxy: a connection could not be taken")
 			}
-			pause(ctx, acceptPause)
+			sleep(ctx, acceptBackoff)
 		}
 	}
 }
 
-// room waits until one more connection may be taken, and tells whether one may before ctx is done.
-func (f *front) room(ctx context.Context) bool {
-	for f.count() >= f.most {
-		if f.closeOldest(time.Now()) {
+// awaitCapacity waits until one more connection may be taken, and tells whether one may before ctx is done.
+func (f *clientListener) awaitCapacity(ctx context.Context) bool {
+	for f.connCount() >= f.maxConns {
+		if f.closeLongestIdle(time.Now()) {
 			continue
 		}
 		select {
 		case <-ctx.Done():
 			return false
-		case <-f.changed:
-		case <-time.After(sweepDrain): // one may have become idle
+		case <-f.connsChanged:
+		case <-time.After(drainPollInterval): // one may have become idle
 		}
 	}
 	return ctx.Err() == nil
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
@@ -152,58 +152,58 @@
 // been read is answered. It returns when no connection is left, or GraceFor is nearly over, or ctx is done; Serve ends
 // then. The caller has had readiness and the directory turn clients away before.
 func (p *Proxy) Drain(ctx context.Context) {
-	f := p.front
+	f := p.clients
 	if f.draining.Swap(true) {
 		return
 	}
-	p.opt.Log.WithField("connections", f.count()).Info("proxy: draining")
-	began := time.Now()
+	p.options.Log.WithField("connections", f.connCount()).Info("proxy: draining")
+	startedAt := time.Now()
 	f.mu.Lock()
-	l := f.listener
+	listener := f.listener
 	f.mu.Unlock()
-	if l == nil {
+	if listener == nil {
 		return
 	}
 	// Clients hold the directory's answer for some seconds; new ones are answered as before.
-	pause(ctx, p.opt.GracePeriod/4)
-	_ = l.SetDeadline(time.Now().Add(p.opt.GracePeriod / 8))
-	end := began.Add(p.opt.GracePeriod - min(p.opt.GracePeriod/8, 500*time.Millisecond))
+	sleep(ctx, p.options.GracePeriod/4)
+	_ = listener.SetDeadline(time.Now().Add(p.options.GracePeriod / 8))
+	end := startedAt.Add(p.options.GracePeriod - min(p.options.GracePeriod/8, 500*time.Millisecond))
 	for ctx.Err() == nil && time.Now().Before(end) {
-		f.closeIdle(time.Now())
+		f.closeIdleConns(time.Now())
 		select {
 		case <-ctx.Done():
-		case <-f.over:
-			p.opt.Log.Info("proxy: drained")
+		case <-f.serveDone:
+			p.options.Log.Info("proxy: drained")
 			return
-		case <-time.After(sweepDrain):
+		case <-time.After(drainPollInterval):
 		}
 	}
-	p.opt.Log.WithField("connections", f.count()).Warn("proxy: the time for draining is up")
-	_ = l.SetDeadline(time.Now())
-	close(f.enough)
-	<-f.over
+	p.options.Log.WithField("connections", f.connCount()).Warn("proxy: the time for draining is up")
+	_ = listener.SetDeadline(time.Now())
+	close(f.drainExpired)
+	<-f.serveDone
 }
 
 // watchStalls has stalls of the process noticed until the returned function is called.
 func (p *Proxy) watchStalls(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var watch sync.WaitGroup
-	watch.Go(func() { p.policy.watchStalls(ctx) })
+	watch.Go(func() { p.picker.watchStalls(ctx) })
 	return func() {
 		cancel()
 		watch.Wait()
 	}
 }
 
-// wait returns when no connection is left, or none is waited for any more.
-func (f *front) wait(ctx context.Context) {
-	for f.count() > 0 {
+// awaitConnsClosed returns when no connection is left, or none is waited for any more.
+func (f *clientListener) awaitConnsClosed(ctx context.Context) {
+	for f.connCount() > 0 {
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.enough:
+		case <-f.drainExpired:
 			return
-		case <-f.changed:
+		case <-f.connsChanged:
 		}
 	}
 }
--- a/internal/system/proxy/silence_test.go
+++ b/internal/system/proxy/silence_test.go
@@ -42,7 +42,7 @@
 		w.Servers = append(w.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: at})
 	}
 	p.UpdateClusterState(time.Now(), w)
-	p.upstream.open = func(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
+	p.pools.connect = func(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
 		do := p.servers[address]
 		if do == nil { // nobody answers
 			ctx, cancel := context.WithTimeout(ctx, within)
@@ -62,7 +62,7 @@
 func (p *piped) ask(ctx context.Context, more ...string) (*httptest.ResponseRecorder, time.Duration) {
 	r := httptest.NewRequestWithContext(ctx, "POST", "/a/x", strings.NewReader("body"))
 	r.Host = "h.example"
-	r.Header.Set(attemptID, "id-1")
+	r.Header.Set(headerAttemptID, "id-1")
 	for i := 0; i < len(more); i += 2 {
 		r.Header.Set(more[i], more[i+1])
 	}
@@ -70,7 +70,7 @@
 	began := time.Now()
 	p.ServeHTTP(w, r)
 	took := time.Since(began)
-	p.upstream.close()
+	p.pools.close()
 	synctest.Wait()
 	return w, took
 }
@@ -87,22 +87,22 @@
 		took     time.Duration
 		outcomes []pick.Outcome
 	}{
-		{"may run once", category(config.NonIdempotent), []deed{mute, say(200, "x")}, 504, "", 8*time.Second - mostMargin,
+		{"may run once", category(config.NonIdempotent), []deed{mute, say(200, "x")}, 504, "", 8*time.Second - maxDeadlineMargin,
 			[]pick.Outcome{pick.TimedOut}},
 		{"may run again", category(config.Idempotent), []deed{mute, say(200, "x")}, 200, "x", 1600 * time.Millisecond,
 			[]pick.Outcome{pick.TimedOut, pick.Served}},
-		{"nowhere to go", category(config.Idempotent), []deed{mute}, 504, "", 8*time.Second - mostMargin, []pick.Outcome{pick.TimedOut}},
+		{"nowhere to go", category(config.Idempotent), []deed{mute}, 504, "", 8*time.Second - maxDeadlineMargin, []pick.Outcome{pick.TimedOut}},
 		{"half an answer, may run again", category(config.Idempotent), []deed{stream(1, 0, mute), say(200, "x")}, 200, "x",
 			1600 * time.Millisecond, []pick.Outcome{pick.TimedOut, pick.Served}},
 		{"a stream may be resumed", resumable, []deed{first, eventsOf(3, 4, true)}, 200, streamText(1, 4), 1200 * time.Millisecond,
 			[]pick.Outcome{pick.TimedOut, pick.Served}},
 		{"a stream may not be resumed", category(config.Streaming), []deed{first, eventsOf(3, 4, true)}, 200, streamText(1, 2),
-			8*time.Second - mostMargin, []pick.Outcome{pick.TimedOut}},
-		{"nobody answers a call", category(config.NonIdempotent), []deed{nil, say(200, "x")}, 200, "x", dialNear,
+			8*time.Second - maxDeadlineMargin, []pick.Outcome{pick.TimedOut}},
+		{"nobody answers a call", category(config.NonIdempotent), []deed{nil, say(200, "x")}, 200, "x", sameRegionDialTimeout,
 			[]pick.Outcome{pick.ConnectFailed, pick.Served}},
-		{"nobody answers any call", category(config.NonIdempotent), []deed{nil, nil}, 503, "", 2 * dialNear,
+		{"nobody answers any call", category(config.NonIdempotent), []deed{nil, nil}, 503, "", 2 * sameRegionDialTimeout,
 			[]pick.Outcome{pick.ConnectFailed, pick.ConnectFailed}},
-		{"all are silent", category(config.Idempotent), []deed{mute, mute, mute, mute}, 504, "", 8*time.Second - mostMargin,
+		{"all are silent", category(config.Idempotent), []deed{mute, mute, mute, mute}, 504, "", 8*time.Second - maxDeadlineMargin,
 			[]pick.Outcome{pick.TimedOut, pick.TimedOut, pick.TimedOut}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -134,13 +134,13 @@
 				time.Sleep(500 * time.Millisecond)
 				r := httptest.NewRequest("GET", "/a/x", nil)
 				r.Host = "h.example"
-				r.Header.Set(attemptID, "id-2")
+				r.Header.Set(headerAttemptID, "id-2")
 				p.ServeHTTP(httptest.NewRecorder(), r)
 			}
 		}()
 		w, took := p.ask(t.Context(), "X-Slow", "1")
 		<-done
-		p.upstream.close()
+		p.pools.close()
 		if w.Body.String() != "x" || took != 5*time.Second {
 			t.Errorf("%q after %v", w.Body.String(), took)
 		}
@@ -162,16 +162,16 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			p := newPiped(nil, mute)
-			w, took := p.ask(t.Context(), timeLeft, tt.says)
+			w, took := p.ask(t.Context(), headerTimeLeft, tt.says)
 			r := <-p.came
-			if told, _ := millis(r.Header.Get(timeLeft)); w.Code != 504 || took != tt.took || told != tt.told {
+			if told, _ := parseMilliseconds(r.Header.Get(headerTimeLeft)); w.Code != 504 || took != tt.took || told != tt.told {
 				t.Errorf("%s: status %d after %v, told %v", tt.says, w.Code, took, told)
 			}
 		})
 	}
 	synctest.Test(t, func(t *testing.T) {
 		p := newPiped(nil, mute)
-		if w, took := p.ask(t.Context(), timeLeft, "0"); w.Code != 503 || took != 0 || len(p.came) > 0 {
+		if w, took := p.ask(t.Context(), headerTimeLeft, "0"); w.Code != 503 || took != 0 || len(p.came) > 0 {
 			t.Errorf("status %d after %v, %d sends", w.Code, took, len(p.came))
 		}
 	})
@@ -213,7 +213,7 @@
 					sends++
 					r := httptest.NewRequest("GET", "/a/x", nil)
 					r.Host = "h.example"
-					r.Header.Set(attemptID, fmt.Sprint("id-", sends))
+					r.Header.Set(headerAttemptID, fmt.Sprint("id-", sends))
 					p.ServeHTTP(httptest.NewRecorder(), r)
 				}
 				send()
@@ -221,7 +221,7 @@
 					time.Sleep(d)
 					send()
 				}
-				p.upstream.close()
+				p.pools.close()
 				synctest.Wait()
 				if n := p.Counters().Dials.Load(); n != tt.dials {
 					t.Errorf("%d connections", n)
@@ -244,7 +244,7 @@
 		})
 		r := httptest.NewRequest("GET", "/a/x", nil)
 		r.Host = "h.example"
-		r.Header.Set(attemptID, "id-1")
+		r.Header.Set(headerAttemptID, "id-1")
 		p.ServeHTTP(httptest.NewRecorder(), r)
 		time.Sleep(time.Minute)
 		if d := <-ended; d != 6*time.Second {
@@ -259,7 +259,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		late := make(chan error, 1)
 		p := newPiped([]change{category(config.NonIdempotent)}, func(c net.Conn, r *http.Request, body []byte) bool {
-			if r.Header.Get(attemptID) == "id-1" {
+			if r.Header.Get(headerAttemptID) == "id-1" {
 				time.Sleep(9 * time.Second)
 				_, err := fmt.Fprintf(c, "%sContent-Length: 4\r\n\r\nlate", head(r, 200))
 				late <- err
@@ -270,7 +270,7 @@
 		ask := func(id string) *httptest.ResponseRecorder {
 			r := httptest.NewRequest("POST", "/a/x", strings.NewReader("body"))
 			r.Host = "h.example"
-			r.Header.Set(attemptID, id)
+			r.Header.Set(headerAttemptID, id)
 			w := httptest.NewRecorder()
 			p.ServeHTTP(w, r)
 			return w
@@ -285,7 +285,7 @@
 		if w := ask("id-2"); w.Code != 200 || w.Body.String() != "own" || p.counters.Dials.Load() != 2 {
 			t.Errorf("status %d, body %q, %d connections", w.Code, w.Body.String(), p.counters.Dials.Load())
 		}
-		p.upstream.close()
+		p.pools.close()
 		synctest.Wait()
 	})
 }
--- a/internal/system/proxy/stall.go
+++ b/internal/system/proxy/stall.go
@@ -11,61 +11,61 @@
 // what it knows of servers is as old. Before it chooses for them, it waits for the word of a keeper that was asked after the stall.
 
 const (
-	stallTick  = 100 * time.Millisecond
-	stallBound = 500 * time.Millisecond // a pause of the process above it counts as a stall
-	wordWait   = 300 * time.Millisecond // requests wait so long at most, from the end of the stall
+	stallCheckInterval  = 100 * time.Millisecond
+	stallThreshold      = 500 * time.Millisecond // a pause of the process above it counts as a stall
+	stallContactTimeout = 300 * time.Millisecond // requests wait so long at most, from the end of the stall
 )
 
-// stallWatch notices stalls of the process. The zero value notices none until the first note with a tick.
-type stallWatch struct {
-	ticking bool
-	ran     pick.Time     // when the process was last seen to run
-	word    chan struct{} // closed when the word that is awaited since a stall has come; nil: none is awaited
-	wordBy  pick.Time     // requests wait for it no longer than until then
+// stallDetector notices stalls of the process. The zero value notices none until the first note with a tick.
+type stallDetector struct {
+	enabled   bool
+	lastRan   pick.Time     // when the process was last seen to run
+	contact   chan struct{} // closed when the word that is awaited since a stall has come; nil: none is awaited
+	waitUntil pick.Time     // requests wait for it no longer than until then
 }
 
-// note takes in that the process runs at now, and tells whether it stood still until just before.
-func (s *stallWatch) note(now pick.Time) (stalled bool) {
-	stalled = s.ticking && now-s.ran > stallBound
-	s.ran = now
+// observeRun takes in that the process runs at now, and tells whether it stood still until just before.
+func (s *stallDetector) observeRun(now pick.Time) (stalled bool) {
+	stalled = s.enabled && now-s.lastRan > stallThreshold
+	s.lastRan = now
 	if stalled {
-		s.wordBy = now + wordWait
-		if s.word == nil {
-			s.word = make(chan struct{})
+		s.waitUntil = now + stallContactTimeout
+		if s.contact == nil {
+			s.contact = make(chan struct{})
 		}
 	}
 	return stalled
 }
 
-// settle lets the requests go on that wait, unless a word is still awaited.
-func (s *stallWatch) settle(awaited bool) {
-	if s.word != nil && !awaited {
-		close(s.word)
-		s.word = nil
+// releaseWaiters lets the requests go on that wait, unless a word is still awaited.
+func (s *stallDetector) releaseWaiters(awaited bool) {
+	if s.contact != nil && !awaited {
+		close(s.contact)
+		s.contact = nil
 	}
 }
 
 // watchStalls notes that the process runs, again and again, until ctx is done.
-func (p *policy) watchStalls(ctx context.Context) {
-	ticker := time.NewTicker(stallTick)
+func (p *lockedPicker) watchStalls(ctx context.Context) {
+	ticker := time.NewTicker(stallCheckInterval)
 	defer ticker.Stop()
-	p.with(func(_ picker, now pick.Time) { p.stalls.ticking, p.stalls.ran = true, now })
+	p.withLock(func(_ picker, now pick.Time) { p.stalls.enabled, p.stalls.lastRan = true, now })
 	for {
 		select {
 		case <-ctx.Done():
-			p.with(func(picker, pick.Time) { p.stalls.ticking = false })
+			p.withLock(func(picker, pick.Time) { p.stalls.enabled = false })
 			return
 		case <-ticker.C:
-			p.with(func(picker, pick.Time) {})
+			p.withLock(func(picker, pick.Time) {})
 		}
 	}
 }
 
-// awaitWord returns when a keeper's word from after the last stall has come, or is not waited for any more, or ctx is done.
-func (p *policy) awaitWord(ctx context.Context) {
+// awaitContact returns when a keeper's word from after the last stall has come, or is not waited for any more, or ctx is done.
+func (p *lockedPicker) awaitContact(ctx context.Context) {
 	var word <-chan struct{}
 	var left time.Duration
-	p.with(func(_ picker, now pick.Time) { word, left = p.stalls.word, p.stalls.wordBy-now })
+	p.withLock(func(_ picker, now pick.Time) { word, left = p.stalls.contact, p.stalls.waitUntil-now })
 	if word == nil || left <= 0 {
 		return
 	}
--- a/internal/system/proxy/streams_test.go
+++ b/internal/system/proxy/streams_test.go
@@ -99,8 +99,8 @@
 					t.Errorf("sends ended as %v, want %v", ends, outcomes)
 				}
 				if may && tt.last != "" {
-					if r := within(t, servers[1].came, "request"); r.Header.Get(lastEventID) != tt.last || r.body != "body" ||
-						r.Header.Get(attemptID) != "id-1" || r.Header.Get(instance) != "i-1" {
+					if r := within(t, servers[1].came, "request"); r.Header.Get(headerLastEventID) != tt.last || r.body != "body" ||
+						r.Header.Get(headerAttemptID) != "id-1" || r.Header.Get(headerTargetInstance) != "i-1" {
 						t.Errorf("the second server got %v, %q", r.Header, r.body)
 					}
 				} else if tt.second != nil && len(servers[1].came) > 0 {
@@ -127,8 +127,8 @@
 	f := startProxy(t, []*fakeServer{startServer(t, sealed("one", 1, 2, false)), startServer(t, sealed("two", 3, 3, false)),
 		startServer(t, sealed("three", 4, 5, true))}, resumable)
 	got := f.ask(t, "id-1", "")
-	if got.body != streamText(1, 5) || got.err != nil || got.Header.Get(serverSeal) != "one" {
-		t.Errorf("body %q, error %v, seal %q", got.body, got.err, got.Header.Get(serverSeal))
+	if got.body != streamText(1, 5) || got.err != nil || got.Header.Get(headerServerSeal) != "one" {
+		t.Errorf("body %q, error %v, seal %q", got.body, got.err, got.Header.Get(headerServerSeal))
 	}
 	if n := f.Counters().Resumed.Load(); n != 2 {
 		t.Errorf("%d times taken up", n)
@@ -143,8 +143,8 @@
 	if got.body != streamText(7, 11) || got.err != nil {
 		t.Errorf("body %q, error %v", got.body, got.err)
 	}
-	if a, b := <-first.came, <-second.came; a.Header.Get(lastEventID) != "6" || b.Header.Get(lastEventID) != "9" {
-		t.Errorf("Last-Event-Id %q, then %q", a.Header.Get(lastEventID), b.Header.Get(lastEventID))
+	if a, b := <-first.came, <-second.came; a.Header.Get(headerLastEventID) != "6" || b.Header.Get(headerLastEventID) != "9" {
+		t.Errorf("Last-Event-Id %q, then %q", a.Header.Get(headerLastEventID), b.Header.Get(headerLastEventID))
 	}
 }
 
--- a/internal/system/proxy/upstream.go
+++ b/internal/system/proxy/upstream.go
@@ -16,308 +16,308 @@
 )
 
 const (
-	dialNear     = 250 * time.Millisecond
-	dialFar      = 600 * time.Millisecond
-	leastIdle    = 250 * time.Millisecond // and at least so long
-	leastConns   = 4                      // idle connections to a server, whatever the number of proxies
-	sweepEvery   = 2 * time.Second        // how often connections that idled too long are looked for
-	mostHead     = 64<<10 + 8192          // bytes of a head that are looked at, of requests and answers
-	unackedFor   = 10 * time.Second       // what a peer's machine does not acknowledge for so long breaks the connection
-	readerBuffer = 4 << 10
+	sameRegionDialTimeout  = 250 * time.Millisecond
+	crossRegionDialTimeout = 600 * time.Millisecond
+	minIdleTimeout         = 250 * time.Millisecond // and at least so long
+	minIdleConns           = 4                      // idle connections to a server, whatever the number of proxies
+	sweepInterval          = 2 * time.Second        // how often connections that idled too long are looked for
+	maxHeadBytes           = 64<<10 + 8192          // bytes of a head that are looked at, of requests and answers
+	unackedTimeout         = 10 * time.Second       // what a peer's machine does not acknowledge for so long breaks the connection
+	readerBufferBytes      = 4 << 10
 )
 
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readerBuffer) }}
+var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readerBufferBytes) }}
 
-// upstream holds the connections to the servers, a pool for each incarnation.
-type upstream struct {
-	start    time.Time // moments are counted from it
-	open     func(ctx context.Context, address string, within time.Duration) (net.Conn, error)
-	near     time.Duration // a connection within the region comes up within it
-	far      time.Duration // to another region
-	region   string
-	regions  map[string]string // zone to region
-	counters *Counters
-	without  removed
+// upstreamPools holds the connections to the servers, a pool for each incarnation.
+type upstreamPools struct {
+	start              time.Time // moments are counted from it
+	connect            func(ctx context.Context, address string, within time.Duration) (net.Conn, error)
+	sameRegionTimeout  time.Duration // a connection within the region comes up within it
+	crossRegionTimeout time.Duration // to another region
+	region             string
+	regionOfZone       map[string]string // zone to region
+	counters           *Counters
+	knobs              TestingKnobs
 
-	mu    sync.Mutex
-	pools map[string]*pool         // by the server's id
-	idle  map[string]time.Duration // by service: how long servers keep idle connections, halved
-	most  map[string]int           // by service: idle connections to a server
-	sweep *time.Timer              // nil: no connection idles
+	mu           sync.Mutex
+	pools        map[string]*serverPool   // by the server's id
+	idleTimeouts map[string]time.Duration // by service: how long servers keep idle connections, halved
+	maxIdleConns map[string]int           // by service: idle connections to a server
+	sweepTimer   *time.Timer              // nil: no connection idles
 }
 
-// pool is the connections to one incarnation of a server.
-type pool struct {
+// serverPool is the connections to one incarnation of a server.
+type serverPool struct {
 	id, service, address string
-	far                  bool
-	gone                 bool          // no longer listed
+	crossRegion          bool
+	removed              bool          // no longer listed
 	idle                 []*serverConn // the most recently used last
-	heard                atomic.Int64  // when bytes last came from it, in nanoseconds after start
+	lastContact          atomic.Int64  // when bytes last came from it, in nanoseconds after start
 }
 
 // serverConn is a connection to a server. One exchange has it at a time.
 type serverConn struct {
 	*framing.ServerConn
-	tcp   *net.TCPConn // nil: no socket
-	fresh bool         // no answer has come on it
-	id    string       // of the request that was answered last on it
-	since time.Duration
+	tcp           *net.TCPConn // nil: no socket
+	fresh         bool         // no answer has come on it
+	lastAttemptID string       // of the request that was answered last on it
+	idleSince     time.Duration
 }
 
-func newUpstream(s pick.Settings, c *Counters) *upstream {
-	return &upstream{start: time.Now(), open: open, near: dialNear, far: dialFar, region: s.Region, regions: s.Regions, counters: c, pools: map[string]*pool{},
-		idle: map[string]time.Duration{}, most: map[string]int{}}
+func newUpstreamPools(s pick.Settings, c *Counters) *upstreamPools {
+	return &upstreamPools{start: time.Now(), connect: dialTCP, sameRegionTimeout: sameRegionDialTimeout, crossRegionTimeout: crossRegionDialTimeout, region: s.Region, regionOfZone: s.Regions, counters: c, pools: map[string]*serverPool{},
+		idleTimeouts: map[string]time.Duration{}, maxIdleConns: map[string]int{}}
 }
 
-func (u *upstream) now() time.Duration { return time.Since(u.start) }
+func (u *upstreamPools) now() time.Duration { return time.Since(u.start) }
 
-// update takes in which servers there are. Danger: idle connections to a server that is gone swallow the next requests.
-func (u *upstream) update(w pick.ClusterState) {
+// applyUpdate takes in which servers there are. Danger: idle connections to a server that is gone swallow the next requests.
+func (u *upstreamPools) applyUpdate(w pick.ClusterState) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	listed := make(map[string]bool, len(w.Servers))
 	for _, s := range w.Servers {
 		listed[s.ID] = true
 		if p := u.pools[s.ID]; p != nil && p.address != s.Address {
-			u.drop(p)
+			u.removePool(p)
 		}
 	}
 	for id, p := range u.pools {
 		if !listed[id] {
-			u.drop(p)
+			u.removePool(p)
 		}
 	}
 	if w.Config == nil {
 		return
 	}
-	for name := range u.idle {
+	for name := range u.idleTimeouts {
 		if w.Config.Services[name] == nil {
-			delete(u.idle, name)
+			delete(u.idleTimeouts, name)
 		}
 	}
-	clear(u.most)
+	clear(u.maxIdleConns)
 	for name, s := range w.Config.Services {
-		u.most[name] = max(s.MaxConns/max(len(w.Peers), 1), leastConns)
+		u.maxIdleConns[name] = max(s.MaxConns/max(len(w.Peers), 1), minIdleConns)
 	}
 }
 
-// drop forgets a pool. Connections that are in use end with their exchange.
-func (u *upstream) drop(p *pool) {
-	p.gone = true
-	closeAll(&p.idle)
+// removePool forgets a pool. Connections that are in use end with their exchange.
+func (u *upstreamPools) removePool(p *serverPool) {
+	p.removed = true
+	closeConns(&p.idle)
 	if u.pools[p.id] == p {
 		delete(u.pools, p.id)
 	}
 }
 
-func closeAll(conns *[]*serverConn) {
+func closeConns(conns *[]*serverConn) {
 	for _, c := range *conns {
 		_ = c.Close()
 	}
 	*conns = nil
 }
 
-// pool is that of a server.
-func (u *upstream) pool(s pick.Server) *pool {
+// poolOf is that of a server.
+func (u *upstreamPools) poolOf(s pick.Server) *serverPool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	p := u.pools[s.ID]
 	if p == nil {
 		region := s.Region
 		if region == "" {
-			region = u.regions[s.Zone]
+			region = u.regionOfZone[s.Zone]
 		}
-		p = &pool{id: s.ID, service: s.Service, address: s.Address, far: region != u.region}
+		p = &serverPool{id: s.ID, service: s.Service, address: s.Address, crossRegion: region != u.region}
 		u.pools[s.ID] = p
 	}
 	return p
 }
 
-// idleFor is for how long connections to servers of a service may idle. The caller holds the lock.
-func (u *upstream) idleFor(service string) time.Duration {
-	if d := u.idle[service]; d > 0 {
+// idleTimeout is for how long connections to servers of a service may idle. The caller holds the lock.
+func (u *upstreamPools) idleTimeout(service string) time.Duration {
+	if d := u.idleTimeouts[service]; d > 0 {
 		return d
 	}
 	return pick.DefaultIdleTimeout
 }
 
-// keeps takes in for how long servers of a service keep idle connections.
-func (u *upstream) keeps(service string, d time.Duration) {
+// observeIdleTimeout takes in for how long servers of a service keep idle connections.
+func (u *upstreamPools) observeIdleTimeout(service string, d time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.idle[service] = max(min(pick.IdleTimeout(d), u.idleFor(service)), leastIdle)
+	u.idleTimeouts[service] = max(min(pick.IdleTimeout(d), u.idleTimeout(service)), minIdleTimeout)
 }
 
-// take is an idle connection that looks sound, nil if there is none, and how long one had idled that was found closed by
+// takeIdle is an idle connection that looks sound, nil if there is none, and how long one had idled that was found closed by
 // its server. Danger: a surplus answer to a request of the same id could not be told from the answer, so a connection that
 // answered one last is not used.
-func (u *upstream) take(p *pool, id string) (*serverConn, time.Duration) {
+func (u *upstreamPools) takeIdle(p *serverPool, id string) (*serverConn, time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	now, most := u.now(), u.idleFor(p.service)
+	now, maxAge := u.now(), u.idleTimeout(p.service)
 	var stale time.Duration
 	for len(p.idle) > 0 {
 		last := len(p.idle) - 1
-		c := p.idle[last]
+		conn := p.idle[last]
 		p.idle[last], p.idle = nil, p.idle[:last]
-		age := now - c.since
-		if age > most { // and so are all the others
-			_ = c.Close()
-			closeAll(&p.idle)
+		age := now - conn.idleSince
+		if age > maxAge { // and so are all the others
+			_ = conn.Close()
+			closeConns(&p.idle)
 			break
 		}
-		if c.id == id {
-			_ = c.Close()
+		if conn.lastAttemptID == id {
+			_ = conn.Close()
 			continue
 		}
-		if u.without.idleLook {
-			return c, stale
+		if u.knobs.SkipIdleInspection {
+			return conn, stale
 		}
-		switch quiet(c.tcp) {
-		case sound:
-			return c, stale
-		case surplus:
+		switch inspectIdle(conn.tcp) {
+		case idleSound:
+			return conn, stale
+		case idleSurplus:
 			u.counters.Surplus.Add(1)
 		default:
 			u.counters.Stale.Add(1)
 			stale = age
 		}
-		_ = c.Close()
+		_ = conn.Close()
 	}
 	return nil, stale
 }
 
-// put gives a connection back on which the answer to a request with that id has come whole.
-func (u *upstream) put(p *pool, c *serverConn, id string) {
+// putIdle gives a connection back on which the answer to a request with that id has come whole.
+func (u *upstreamPools) putIdle(p *serverPool, c *serverConn, id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	most := u.most[p.service]
-	if p.gone || len(p.idle) >= max(most, leastConns) {
+	maxIdle := u.maxIdleConns[p.service]
+	if p.removed || len(p.idle) >= max(maxIdle, minIdleConns) {
 		_ = c.Close()
 		return
 	}
-	c.fresh, c.since, c.id = false, u.now(), id
+	c.fresh, c.idleSince, c.lastAttemptID = false, u.now(), id
 	p.idle = append(p.idle, c)
-	if u.sweep == nil {
-		u.sweep = time.AfterFunc(sweepEvery, u.sweepIdle)
+	if u.sweepTimer == nil {
+		u.sweepTimer = time.AfterFunc(sweepInterval, u.sweepIdle)
 	}
 }
 
 // sweepIdle closes connections that idled too long, and comes again while any idles.
-func (u *upstream) sweepIdle() {
+func (u *upstreamPools) sweepIdle() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	left, now := 0, u.now()
+	remaining, now := 0, u.now()
 	for _, p := range u.pools {
-		old, most := 0, u.idleFor(p.service)
-		for old < len(p.idle) && now-p.idle[old].since > most {
-			_ = p.idle[old].Close()
-			old++
+		expired, maxAge := 0, u.idleTimeout(p.service)
+		for expired < len(p.idle) && now-p.idle[expired].idleSince > maxAge {
+			_ = p.idle[expired].Close()
+			expired++
 		}
-		p.idle = append(p.idle[:0], p.idle[old:]...)
-		left += len(p.idle)
+		p.idle = append(p.idle[:0], p.idle[expired:]...)
+		remaining += len(p.idle)
 	}
-	if u.sweep = nil; left > 0 {
-		u.sweep = time.AfterFunc(sweepEvery, u.sweepIdle)
+	if u.sweepTimer = nil; remaining > 0 {
+		u.sweepTimer = time.AfterFunc(sweepInterval, u.sweepIdle)
 	}
 }
 
-// distrust closes the idle connections of a server that has not been heard since a moment. Danger: when a machine
+// closeIdleUnlessContacted closes the idle connections of a server that has not been heard since a moment. Danger: when a machine
 // vanishes, its idle connections stay open and swallow requests that may then never be repeated. A new connection fails
 // before anything is sent.
-func (u *upstream) distrust(p *pool, since time.Duration) {
-	if time.Duration(p.heard.Load()) >= since {
+func (u *upstreamPools) closeIdleUnlessContacted(p *serverPool, since time.Duration) {
+	if time.Duration(p.lastContact.Load()) >= since {
 		return
 	}
-	u.abandon(p)
+	u.closeIdle(p)
 }
 
-// abandon closes the idle connections of a server.
-func (u *upstream) abandon(p *pool) {
+// closeIdle closes the idle connections of a server.
+func (u *upstreamPools) closeIdle(p *serverPool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	closeAll(&p.idle)
+	closeConns(&p.idle)
 }
 
 // close ends all idle connections, and any that come back.
-func (u *upstream) close() {
+func (u *upstreamPools) close() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, p := range u.pools {
-		u.drop(p)
+		u.removePool(p)
 	}
-	if u.sweep != nil {
-		u.sweep.Stop()
-		u.sweep = nil
+	if u.sweepTimer != nil {
+		u.sweepTimer.Stop()
+		u.sweepTimer = nil
 	}
 }
 
 // dial opens a connection.
-func (u *upstream) dial(ctx context.Context, p *pool, deadline time.Time) (*serverConn, error) {
-	most := u.near
-	if p.far {
-		most = u.far
+func (u *upstreamPools) dial(ctx context.Context, p *serverPool, deadline time.Time) (*serverConn, error) {
+	timeout := u.sameRegionTimeout
+	if p.crossRegion {
+		timeout = u.crossRegionTimeout
 	}
 	u.counters.Dials.Add(1)
-	c, err := u.open(ctx, p.address, min(most, time.Until(deadline)))
+	c, err := u.connect(ctx, p.address, min(timeout, time.Until(deadline)))
 	if err != nil {
 		u.counters.DialFailures.Add(1)
 		return nil, err
 	}
 	tcp, _ := c.(*net.TCPConn)
-	return &serverConn{ServerConn: framing.NewServerConn(c, mostHead), tcp: tcp, fresh: true}, nil
+	return &serverConn{ServerConn: framing.NewServerConn(c, maxHeadBytes), tcp: tcp, fresh: true}, nil
 }
 
-// open opens a TCP connection within a time, which is over 0.
-func open(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
+// dialTCP opens a TCP connection within a time, which is over 0.
+func dialTCP(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
 	if within <= 0 {
-		return nil, errTimeUp
+		return nil, errDeadlinePassed
 	}
 	d := net.Dialer{Timeout: within, KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
-		return boundUnacked(raw)
+		return setUnackedTimeout(raw)
 	}}
 	return d.DialContext(ctx, "tcp4", address)
 }
 
-// boundUnacked has the system break a connection whose peer's machine acknowledges nothing. A system that cannot is not at
+// setUnackedTimeout has the system break a connection whose peer's machine acknowledges nothing. A system that cannot is not at
 // fault: every wait here is bounded besides.
-func boundUnacked(raw syscall.RawConn) error {
+func setUnackedTimeout(raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedFor.Milliseconds()))
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
 }
 
-// quietness is what a look at an idle connection finds.
-type quietness int
+// idleCondition is what a look at an idle connection finds.
+type idleCondition int
 
 const (
-	sound   quietness = iota // nothing has come
-	surplus                  // bytes that nobody asked for
-	ended                    // closed or broken
+	idleSound   idleCondition = iota // nothing has come
+	idleSurplus                      // bytes that nobody asked for
+	idleClosed                       // closed or broken
 )
 
-// quiet looks whether an idle connection has ended, or bytes have come on it. It does not wait.
-func quiet(c *net.TCPConn) quietness {
+// inspectIdle looks whether an idle connection has ended, or bytes have come on it. It does not wait.
+func inspectIdle(c *net.TCPConn) idleCondition {
 	if c == nil {
-		return sound
+		return idleSound
 	}
-	found := ended
+	found := idleClosed
 	raw, err := c.SyscallConn()
 	if err != nil {
-		return ended
+		return idleClosed
 	}
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		switch n, err := unix.Read(int(fd), one[:]); {
 		case n > 0:
-			found = surplus
+			found = idleSurplus
 		case err == unix.EAGAIN || err == unix.EINTR:
-			found = sound
+			found = idleSound
 		}
 		return true
 	})
 	if err != nil {
-		return ended
+		return idleClosed
 	}
 	return found
 }
