--- a/internal/system/proxy/call.go
+++ b/internal/system/proxy/clientrequest.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"net/http"
-	"strconv"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/framing"
@@ -164,40 +163,6 @@
 	}
 }
 
-// validateResponse tells whether a head is that of a server's answer to this request.
-func (c *clientRequest) validateResponse(attempt *upstreamAttempt, resp *http.Response) error {
-	id, ok := resp.Header[headerAttemptID]
-	mismatched := len(id) > 1 || ok && id[0] != c.attemptID
-	// Danger: a surplus answer to an earlier request may lie where this one's is due; only its id tells. The first answer on
-	// a connection can be no such one.
-	mismatched = mismatched || !ok && (!attempt.freshConn || isSuccess(resp.StatusCode))
-	mismatched = mismatched && !c.proxy.options.Knobs.SkipAttemptIDCheck
-	if isSuccess(resp.StatusCode) {
-		_, refused := resp.Header[headerNotExecuted] // a success that did not run: neither is believed
-		mismatched = mismatched || refused || resp.Header.Get(headerServerSeal) == "" && !c.proxy.options.Knobs.SkipSealCheck || resp.Header.Get("Content-Encoding") != ""
-	}
-	if mismatched {
-		c.proxy.counters.Mismatch.Add(1)
-		return errInvalidResponse
-	}
-	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && !attempt.headRequest && !c.proxy.options.Knobs.AcceptUnframed {
-		c.proxy.counters.Unframed.Add(1) // its end would be that of the connection, whole or not
-		return errInvalidResponse
-	}
-	return nil
-}
-
-func isSuccess(status int) bool { return status >= 200 && status < 300 }
-
-// promisesNotRun tells whether a status promises that the request has not run.
-func promisesNotRun(status int) bool {
-	switch status {
-	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		return true
-	}
-	return false
-}
-
 // handleFailure takes in that a send brought no answer, or none to its end.
 func (c *clientRequest) handleFailure(choice pick.Choice, attempt *upstreamAttempt, err error) bool {
 	attempt.discard()
@@ -249,77 +214,3 @@
 		c.respondError(http.StatusBadGateway, 0)
 	}
 }
-
-// respondError answers for the system itself.
-func (c *clientRequest) respondError(status int, retryAfter time.Duration) {
-	if promisesNotRun(status) {
-		if retryAfter <= 0 {
-			retryAfter = defaultRetryAfter
-		}
-		if left := time.Until(c.deadline); left > 0 {
-			retryAfter = min(retryAfter, left/3)
-		}
-		c.writer.Header().Set("Retry-After", formatRetryAfter(max(retryAfter, minRetryAfter)))
-	}
-	c.proxy.respond(c.writer, c.attemptID, status)
-}
-
-// abortConn breaks the answer off so that it cannot look complete. What still waits for the client goes out; for one that is gone
-// it is dropped.
-func (c *clientRequest) abortConn(clientGone bool) {
-	if c.conn == nil || c.proxy.options.Knobs.KeepTruncatedConns {
-		return
-	}
-	if clientGone || c.request.ProtoMinor == 0 {
-		_ = c.conn.SetLinger(0) // where the connection's end is the answer's, a reset says that it is not whole
-	}
-	_ = c.conn.Close()
-}
-
-// appendHead appends the request as the server gets it, and tells what of the body follows in a write of its own.
-func (c *clientRequest) appendHead(b []byte, choice pick.Choice) (head, rest []byte) {
-	b = append(b, c.request.Method...)
-	b = append(b, ' ')
-	b = append(b, c.target...)
-	b = append(b, " HTTP/1.1\r\nHost: "...)
-	b = append(b, c.request.Host...)
-	b = append(b, "\r\n"...)
-	names := connectionHeaders(c.request.Header)
-	for name, values := range c.request.Header {
-		switch name {
-		case "Content-Length", "Expect", headerTimeLeft, headerTargetInstance, "Priority", "Host":
-			continue
-		case headerLastEventID:
-			if c.headSent {
-				continue
-			}
-		}
-		if isForwarded(name, names) {
-			for _, v := range values {
-				b = appendField(b, name, v)
-			}
-		}
-	}
-	left := max(time.Until(c.deadline).Milliseconds(), 1)
-	b = appendField(b, headerTimeLeft, strconv.FormatInt(left, 10))
-	b = appendField(b, headerTargetInstance, choice.Server.ID)
-	b = appendField(b, "Priority", strconv.Itoa(choice.Priority))
-	if c.headSent && c.lastEventID != "" {
-		b = appendField(b, headerLastEventID, c.lastEventID)
-	}
-	if len(c.body) > 0 || c.request.ContentLength != 0 || c.request.Header["Content-Length"] != nil {
-		b = appendField(b, "Content-Length", strconv.Itoa(len(c.body)))
-	}
-	b = append(b, "\r\n"...)
-	if len(c.body) <= maxJoinedBodyBytes {
-		return append(b, c.body...), nil
-	}
-	return b, c.body
-}
-
-func appendField(b []byte, name, value string) []byte {
-	b = append(b, name...)
-	b = append(b, ": "...)
-	b = append(b, value...)
-	return append(b, "\r\n"...)
-}
--- a/internal/system/proxy/front.go
+++ b/internal/system/proxy/listener.go
@@ -8,9 +8,8 @@
 	"sync/atomic"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"github.com/cockroachdb/errors"
+	"golang.org/x/sys/unix"
 
 	"gradeusher.example/gradeusher/internal/framing"
 	"gradeusher.example/gradeusher/internal/system/config"
@@ -191,26 +190,3 @@
 	})
 	return n > 0
 }
-
-// shutdown ends all that still runs, and waits for it.
-func (f *clientListener) shutdown() {
-	f.mu.Lock()
-	f.stopped = true
-	all := f.generations
-	f.current = nil
-	f.mu.Unlock()
-	for _, g := range all {
-		g.handoff.shut()
-		_ = g.server.Close()
-	}
-	f.mu.Lock()
-	for c := range f.conns { // handed over, and not yet known to its server
-		_ = c.Close()
-	}
-	f.mu.Unlock()
-	for f.connCount() > 0 { // a connection is forgotten when its last request has ended
-		<-f.connsChanged
-	}
-	f.serving.Wait()
-	f.proxy.pools.close()
-}
--- a/internal/system/proxy/relay.go
+++ b/internal/system/proxy/response.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"io"
-	"mime"
 	"net/http"
 	"strconv"
 	"time"
@@ -91,11 +90,6 @@
 	return false
 }
 
-func isEventStream(resp *http.Response) bool {
-	kind, _, err := mime.ParseMediaType(resp.Header.Get("Content-Type"))
-	return err == nil && kind == "text/event-stream"
-}
-
 // bufferBody reads an answer's body to its end, or until it is longer than is held, and tells whether it is whole. What it
 // books is given back with the call.
 func (c *clientRequest) bufferBody(resp *http.Response) (body []byte, complete bool, err error) {
@@ -132,6 +126,25 @@
 	}
 }
 
+// sendTo passes on an answer that is held whole.
+func (a *bufferedResponse) sendTo(proxied *clientRequest) {
+	length := int64(len(a.body))
+	if proxied.request.Method == http.MethodHead || a.status == http.StatusNoContent || a.status == http.StatusNotModified {
+		length = -1
+		if text := a.header.Get("Content-Length"); text != "" && a.status != http.StatusNoContent {
+			if n, err := strconv.ParseInt(text, 10, 64); err == nil {
+				length = n
+			}
+		}
+	}
+	proxied.sendHead(a.status, a.header, length)
+	if len(a.body) > 0 {
+		if err := proxied.writeToClient(a.body); err != nil {
+			proxied.abortConn(true)
+		}
+	}
+}
+
 // relayUnbuffered passes on an answer that is too long to be held.
 func (c *clientRequest) relayUnbuffered(choice pick.Choice, attempt *upstreamAttempt, resp *http.Response, buffered *bufferedResponse) bool {
 	attempt.silenceTimeout = 0
@@ -156,52 +169,6 @@
 	return c.handleRelayFailure(choice, attempt, err)
 }
 
-// relayEvents passes on events as they come. An answer that is cut may be taken up at another server.
-func (c *clientRequest) relayEvents(choice pick.Choice, attempt *upstreamAttempt, resp *http.Response) bool {
-	buf, recycle := getBuffer(eventBufferBytes)
-	defer recycle()
-	reader := &eventReader{source: resp.Body, buf: buf}
-	if c.route.Resumable {
-		reader.resumeAfter(c.lastEventID)
-	}
-	if c.headSent {
-		c.proxy.counters.Resumed.Add(1)
-	}
-	first := true
-	for {
-		complete, err := reader.next()
-		if err == io.EOF {
-			if !c.headSent {
-				c.sendHead(resp.StatusCode, resp.Header, resp.ContentLength)
-			}
-			attempt.finish()
-			c.reportOutcome(choice, pick.Served)
-			c.proxy.counters.Served.Add(1)
-			return true
-		}
-		if err != nil {
-			return c.handleFailure(choice, attempt, err)
-		}
-		if first {
-			c.proxy.picker.FirstEvent(choice.Ticket)
-			if !c.headSent {
-				// Danger: a stream that goes on at another server need not come to the length that the first one told.
-				c.sendHead(resp.StatusCode, resp.Header, -1)
-			}
-		}
-		if err := c.writeToClient(complete); err != nil {
-			return c.handleRelayFailure(choice, attempt, err)
-		}
-		if c.lastEventID = reader.lastEventID; reader.missedID {
-			c.lastEventID = "" // it cannot be told where another server should go on
-		}
-		if first {
-			first = false
-			c.watchForSilence(attempt, max(2*c.route.EventGapTarget, c.proxy.options.minEventSilenceTimeout))
-		}
-	}
-}
-
 // handleRelayFailure ends an answer that was cut while it was passed on and cannot go on.
 func (c *clientRequest) handleRelayFailure(choice pick.Choice, attempt *upstreamAttempt, err error) bool {
 	if !errors.Is(err, errClientGone) {
@@ -216,56 +183,3 @@
 	c.abortConn(true)
 	return true
 }
-
-// sendHead passes on the head of an answer; length -1: not told.
-func (c *clientRequest) sendHead(status int, from http.Header, length int64) {
-	c.headSent = true
-	to := c.writer.Header()
-	names := connectionHeaders(from)
-	for name, values := range from {
-		if name != "Content-Length" && isForwarded(name, names) {
-			to[name] = values
-		}
-	}
-	for _, name := range []string{"Date", "Content-Type"} { // net/http would make them up
-		if _, ok := from[name]; !ok {
-			to[name] = nil
-		}
-	}
-	if length >= 0 {
-		to.Set("Content-Length", strconv.FormatInt(length, 10))
-	}
-	c.proxy.announceClose(to)
-	c.writer.WriteHeader(status)
-}
-
-// sendTo passes on an answer that is held whole.
-func (a *bufferedResponse) sendTo(proxied *clientRequest) {
-	length := int64(len(a.body))
-	if proxied.request.Method == http.MethodHead || a.status == http.StatusNoContent || a.status == http.StatusNotModified {
-		length = -1
-		if text := a.header.Get("Content-Length"); text != "" && a.status != http.StatusNoContent {
-			if n, err := strconv.ParseInt(text, 10, 64); err == nil {
-				length = n
-			}
-		}
-	}
-	proxied.sendHead(a.status, a.header, length)
-	if len(a.body) > 0 {
-		if err := proxied.writeToClient(a.body); err != nil {
-			proxied.abortConn(true)
-		}
-	}
-}
-
-// writeToClient passes bytes on at once. A client that takes none for long is given up.
-func (c *clientRequest) writeToClient(b []byte) error {
-	_ = c.controller.SetWriteDeadline(time.Now().Add(c.proxy.options.clientWriteTimeout))
-	if _, err := c.writer.Write(b); err != nil {
-		return errClientGone
-	}
-	if c.controller.Flush() != nil {
-		return errClientGone
-	}
-	return nil
-}
