--- a/internal/system/proxy/clientrequest.go
+++ b/internal/system/proxy/clientrequest.go
@@ -68,9 +68,9 @@
 	case len(c.triedServers) >= max(c.route.MaxTries, 1):
 		return false
 	case c.headSent:
-		return (c.route.Resumable || c.proxy.options.Knobs.ResumeAnyStream) && c.lastEventID != ""
+		return (c.route.Resumable || c.proxy.options.TestingKnobs.ResumeAnyStream) && c.lastEventID != ""
 	}
-	return !offered || c.route.Idempotent() || c.proxy.options.Knobs.RetryNonIdempotent
+	return !offered || c.route.Idempotent() || c.proxy.options.TestingKnobs.RetryNonIdempotent
 }
 
 // chooseServer asks where to send the request next.
@@ -116,7 +116,7 @@
 	if c.triedServers = append(c.triedServers, choice.Server.ID); len(c.triedServers) > 1 {
 		c.proxy.counters.Retries.Add(1)
 	}
-	c.watchForSilence(attempt, max(2*c.route.LatencyTarget, c.proxy.options.minSilenceTimeout))
+	c.watchForSilence(attempt, max(2*c.route.LatencyTarget, c.proxy.options.TestingKnobs.MinSilenceTimeout))
 	resp, early := (*http.Response)(nil), err != nil
 	if resp, err = attempt.readHead(c.request.Method); err == nil {
 		resp.Close = resp.Close || early // the rest of the request never goes out
--- a/internal/system/proxy/eventrelay.go
+++ b/internal/system/proxy/eventrelay.go
@@ -48,7 +48,7 @@
 		}
 		if first {
 			first = false
-			c.watchForSilence(attempt, max(2*c.route.EventGapTarget, c.proxy.options.minEventSilenceTimeout))
+			c.watchForSilence(attempt, max(2*c.route.EventGapTarget, c.proxy.options.TestingKnobs.MinEventSilenceTimeout))
 		}
 	}
 }
--- a/internal/system/proxy/front_test.go
+++ b/internal/system/proxy/front_test.go
@@ -281,7 +281,7 @@
 		}
 		return say(200, long)(c, r, body)
 	})
-	f := startProxy(t, []*fakeServer{s}, func(o *Options, _ *config.Config) { o.clientWriteTimeout = 300 * time.Millisecond })
+	f := startProxy(t, []*fakeServer{s}, func(o *Options, _ *config.Config) { o.TestingKnobs.ClientWriteTimeout = 300 * time.Millisecond })
 	slow := f.dial(t)
 	_ = slow.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	slow.post("id-1", "", "X-Long: 1")
--- a/internal/system/proxy/knobs.go
+++ b/internal/system/proxy/knobs.go
@@ -1,15 +1,49 @@
 package proxy
 
-// TestingKnobs are the protections that a test has taken out, to show that something breaks without each. It is zero in service.
+import "time"
+
+// TestingKnobs are for tests only; the zero value is what serves. The booleans each take out one protection, so that a test
+// can show that something breaks without it. The durations replace defaults where a test must not wait for long.
 type TestingKnobs struct {
-	SkipAttemptIDCheck    bool // an answer bears the id of its request
-	SkipSealCheck         bool // a success bears the server's seal
-	SkipIdleInspection    bool // a connection is looked at before it is used again
-	RetryPartlyWritten    bool // a request of which some bytes were written may have run
-	PassInterimResponses  bool // an answer with a status of 1xx is not the last one
-	RetryNonIdempotent    bool // a request that may run once is not sent on once it may have run
-	PassUnfoundedPromises bool // only a server's word that it did not run a request becomes a promise to the client
-	AcceptUnframed        bool // an answer without a length is not whole
-	ResumeAnyStream       bool // only a resumable stream goes on at another server
-	KeepTruncatedConns    bool // an answer that broke off ends with its connection
+	// SkipAttemptIDCheck accepts responses that do not echo the X-Attempt-Id of their request.
+	SkipAttemptIDCheck bool
+	// SkipSealCheck accepts successes without the server's seal.
+	SkipSealCheck bool
+	// SkipIdleInspection uses idle connections again without looking for bytes or an end on them.
+	SkipIdleInspection bool
+	// RetryPartlyWritten treats a request of which only some bytes were written as one that has not run.
+	RetryPartlyWritten bool
+	// PassInterimResponses takes a response with a status of 1xx for the final one.
+	PassInterimResponses bool
+	// RetryNonIdempotent sends a non-idempotent request again although it may have run.
+	RetryNonIdempotent bool
+	// PassUnfoundedPromises passes on statuses that promise that a request has not run although its server did not say so.
+	PassUnfoundedPromises bool
+	// AcceptUnframed takes a response that ends with its connection for a complete one.
+	AcceptUnframed bool
+	// ResumeAnyStream resumes event streams of routes that are not resumable.
+	ResumeAnyStream bool
+	// KeepTruncatedConns leaves the client's connection open behind a truncated response.
+	KeepTruncatedConns bool
+
+	// ClientWriteTimeout replaces the time after which a client that accepts no bytes is given up; 0: the default.
+	ClientWriteTimeout time.Duration
+	// MinSilenceTimeout replaces the least time for which a server may be silent before its response; 0: the default.
+	MinSilenceTimeout time.Duration
+	// MinEventSilenceTimeout replaces the least time for which a server may be silent within an event stream; 0: the default.
+	MinEventSilenceTimeout time.Duration
+}
+
+// withDefaults fills in the durations.
+func (k TestingKnobs) withDefaults() TestingKnobs {
+	if k.ClientWriteTimeout <= 0 {
+		k.ClientWriteTimeout = clientWriteTimeout
+	}
+	if k.MinSilenceTimeout <= 0 {
+		k.MinSilenceTimeout = minSilenceTimeout
+	}
+	if k.MinEventSilenceTimeout <= 0 {
+		k.MinEventSilenceTimeout = minEventSilenceTimeout
+	}
+	return k
 }
--- a/internal/system/proxy/once_controls_test.go
+++ b/internal/system/proxy/once_controls_test.go
@@ -71,7 +71,7 @@
 func TestClosedWhileIdle(t *testing.T) {
 	for _, without := range []TestingKnobs{{}, {SkipIdleInspection: true}} {
 		s := startServer(t, say(200, "x"))
-		f := startProxy(t, []*fakeServer{s}, func(o *Options, _ *config.Config) { o.Knobs = without })
+		f := startProxy(t, []*fakeServer{s}, func(o *Options, _ *config.Config) { o.TestingKnobs = without })
 		c := f.dial(t)
 		c.post("id-1", "").read()
 		_ = within(t, s.came, "request").conn.(*net.TCPConn).CloseWrite()
@@ -144,7 +144,7 @@
 		{1, TestingKnobs{RetryPartlyWritten: true}, 200, 1},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			p := newPiped([]change{category(config.NonIdempotent), func(o *Options, _ *config.Config) { o.Knobs = tt.without }},
+			p := newPiped([]change{category(config.NonIdempotent), func(o *Options, _ *config.Config) { o.TestingKnobs = tt.without }},
 				say(200, "first"), say(200, "second"))
 			open := p.pools.connect
 			p.pools.connect = func(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
--- a/internal/system/proxy/once_test.go
+++ b/internal/system/proxy/once_test.go
@@ -136,8 +136,8 @@
 		world.Servers = append(world.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: server.l.Addr().String()})
 	}
 	toy := &toyPicker{route: route, down: map[string]bool{}, sent: map[uint64]string{}}
-	p := newProxy(Options{Log: &log.Logger{Handler: discard.New()}, Knobs: without,
-		minSilenceTimeout: shortPatience, minEventSilenceTimeout: shortPatience}, toy)
+	without.MinSilenceTimeout, without.MinEventSilenceTimeout = shortPatience, shortPatience
+	p := newProxy(Options{Log: &log.Logger{Handler: discard.New()}, TestingKnobs: without}, toy)
 	p.pools.sameRegionTimeout = patience
 	p.UpdateClusterState(time.Now(), world)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/system/proxy/proxy.go
+++ b/internal/system/proxy/proxy.go
@@ -10,23 +10,56 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// Options are what a Proxy is made with.
+// Defaults of Options.
+const (
+	defaultGracePeriod = 8 * time.Second
+	defaultLossSlack   = 200 * time.Millisecond
+	defaultFDLimit     = 4096
+	defaultMemoryMB    = 256
+)
+
+// Options are what a Proxy is made with. Fields that are not above 0 have their default.
 type Options struct {
-	Settings    pick.Settings
-	GracePeriod time.Duration // that Drain may take: what is left of the time up to the platform's kill; default 8 s
-	LossSlack   time.Duration // how soon a client learns that its connection has ended, around planned work; default 200 ms
-	FDLimit     int           // descriptors of the process; default 4096
-	MemoryMB    int           // of the process; default 256
-	Log         log.Interface // default log.Log
-	OnStall     func()        // is called when the process has stood still: a keeper is to be asked at once; nil: none is. It must not block
-
-	clientWriteTimeout     time.Duration // a client that takes nothing for so long is given up; default clientWriteTimeout
-	minSilenceTimeout      time.Duration // a server may be silent so long before an answer begins; default minSilenceTimeout
-	minEventSilenceTimeout time.Duration // and so long within a stream; default minEventSilenceTimeout
-	Knobs                  TestingKnobs  // in tests
+	Settings pick.Settings
+	// GracePeriod is how long Drain may take: what is left of the time up to the platform's kill. Default 8 s.
+	GracePeriod time.Duration
+	// LossSlack is how soon a client learns that its connection has ended, around planned work. Default 200 ms.
+	LossSlack time.Duration
+	// FDLimit is the process's limit of open file descriptors. Default 4096.
+	FDLimit int
+	// MemoryMB is the process's memory in MiB; a fifth of it is for bodies. Default 256.
+	MemoryMB int
+	// Log is where the proxy logs. Default log.Log.
+	Log log.Interface
+	// OnStall is called after the process was stopped or starved of CPU time, so that the caller refreshes what it knows from the
+	// control plane. It must not block. It may be nil.
+	OnStall func()
+	// TestingKnobs are for tests only.
+	TestingKnobs TestingKnobs
+}
+
+// withDefaults fills in what is not set.
+func (o Options) withDefaults() Options {
+	if o.GracePeriod <= 0 {
+		o.GracePeriod = defaultGracePeriod
+	}
+	if o.LossSlack <= 0 {
+		o.LossSlack = defaultLossSlack
+	}
+	if o.FDLimit <= 0 {
+		o.FDLimit = defaultFDLimit
+	}
+	if o.MemoryMB <= 0 {
+		o.MemoryMB = defaultMemoryMB
+	}
+	if o.Log == nil {
+		o.Log = log.Log
+	}
+	o.TestingKnobs = o.TestingKnobs.withDefaults()
+	return o
 }
 
-// Proxy is the data plane of one process. Its methods may be called from any goroutine.
+// Proxy is the data plane of one process. Its methods are safe for concurrent use.
 type Proxy struct {
 	options      Options
 	picker       *lockedPicker
@@ -37,73 +70,55 @@
 	counters     Counters
 }
 
-// New makes a Proxy that knows no world yet: it answers 503 until SetWorld has told it a configuration.
+// New makes a Proxy without a cluster state: it answers 503 until UpdateClusterState has given it a configuration.
 func New(options Options) *Proxy { return newProxy(options, pick.New(options.Settings)) }
 
 func newProxy(options Options, inner picker) *Proxy {
-	if options.GracePeriod <= 0 {
-		options.GracePeriod = 8 * time.Second
-	}
-	if options.LossSlack <= 0 {
-		options.LossSlack = 200 * time.Millisecond
-	}
-	if options.FDLimit <= 0 {
-		options.FDLimit = 4096
-	}
-	if options.MemoryMB <= 0 {
-		options.MemoryMB = 256
-	}
-	if options.clientWriteTimeout <= 0 {
-		options.clientWriteTimeout = clientWriteTimeout
-	}
-	if options.minSilenceTimeout <= 0 {
-		options.minSilenceTimeout = minSilenceTimeout
-	}
-	if options.minEventSilenceTimeout <= 0 {
-		options.minEventSilenceTimeout = minEventSilenceTimeout
-	}
-	if options.Log == nil {
-		options.Log = log.Log
+	options = options.withDefaults()
+	memoryBytes := int64(options.MemoryMB) << 20
+	p := &Proxy{
+		options: options,
+		picker:  newLockedPicker(inner, options.OnStall),
+		memory:  newMemoryBudget(memoryBytes / bodyMemoryDivisor),
 	}
-	p := &Proxy{options: options, picker: newLockedPicker(inner, options.OnStall), memory: newMemoryBudget(int64(options.MemoryMB) << 20 / bodyMemoryDivisor)}
 	p.pools = newUpstreamPools(options.Settings, &p.counters)
-	p.pools.knobs = options.Knobs
+	p.pools.knobs = options.TestingKnobs
 	p.clients = newClientListener(p)
 	return p
 }
 
-// UpdateClusterState replaces what is known of the configuration, the evacuated zones, the servers and the other proxies. The durations in w
-// are as of the moment asOf.
-func (p *Proxy) UpdateClusterState(asOf time.Time, w pick.ClusterState) {
-	p.picker.UpdateClusterState(asOf, w)
-	p.pools.applyUpdate(w)
-	p.clusterState.Store(&w)
-	if w.Config != nil {
-		p.clients.setLimits(w.Config.Limits)
+// UpdateClusterState replaces what is known of the configuration, the evacuated zones, the servers and the other proxies. The
+// durations in state are as of the moment asOf.
+func (p *Proxy) UpdateClusterState(asOf time.Time, state pick.ClusterState) {
+	p.picker.UpdateClusterState(asOf, state)
+	p.pools.applyUpdate(state)
+	p.clusterState.Store(&state)
+	if state.Config != nil {
+		p.clients.setLimits(state.Config.Limits)
 	}
 }
 
-// AwaitsServerList tells whether some servers wait for a newer reading of the platform's list.
+// AwaitsServerList reports whether the choice of servers waits for a newer server list of the platform.
 func (p *Proxy) AwaitsServerList() bool { return p.picker.AwaitsServerList() }
 
-// SetLoads tells what all other proxies together have outstanding at each server.
+// SetLoads replaces the requests that all other proxies together have in flight, by server.
 func (p *Proxy) SetLoads(loads map[string]pick.Load) { p.picker.SetLoads(loads) }
 
-// Loads is what this proxy has outstanding at each server, for the other proxies.
+// Loads returns the requests that this proxy has in flight, by server, for the other proxies.
 func (p *Proxy) Loads() map[string]pick.Load { return p.picker.Loads() }
 
-// Describe says for operators what the choice of servers rests on.
+// Describe returns a text for operators on what the choice of servers rests on.
 func (p *Proxy) Describe() string { return p.picker.Describe() }
 
-// Ready tells whether clients may come: a configuration is held and no planned end has begun.
+// Ready reports whether the proxy serves clients: it has a configuration and is not draining.
 func (p *Proxy) Ready() bool { return p.config() != nil && !p.clients.draining.Load() }
 
-// Counters are for operators.
+// Counters returns the counters, for operators.
 func (p *Proxy) Counters() *Counters { return &p.counters }
 
 func (p *Proxy) config() *config.Config {
-	if w := p.clusterState.Load(); w != nil {
-		return w.Config
+	if state := p.clusterState.Load(); state != nil {
+		return state.Config
 	}
 	return nil
 }
--- a/internal/system/proxy/reply.go
+++ b/internal/system/proxy/reply.go
@@ -41,7 +41,7 @@
 // abortConn breaks the answer off so that it cannot look complete. What still waits for the client goes out; for one that is gone
 // it is dropped.
 func (c *clientRequest) abortConn(clientGone bool) {
-	if c.conn == nil || c.proxy.options.Knobs.KeepTruncatedConns {
+	if c.conn == nil || c.proxy.options.TestingKnobs.KeepTruncatedConns {
 		return
 	}
 	if clientGone || c.request.ProtoMinor == 0 {
@@ -74,7 +74,7 @@
 
 // writeToClient passes bytes on at once. A client that takes none for long is given up.
 func (c *clientRequest) writeToClient(b []byte) error {
-	_ = c.controller.SetWriteDeadline(time.Now().Add(c.proxy.options.clientWriteTimeout))
+	_ = c.controller.SetWriteDeadline(time.Now().Add(c.proxy.options.TestingKnobs.ClientWriteTimeout))
 	if _, err := c.writer.Write(b); err != nil {
 		return errClientGone
 	}
--- a/internal/system/proxy/response.go
+++ b/internal/system/proxy/response.go
@@ -48,7 +48,7 @@
 		return c.handleFailure(choice, attempt, err)
 	}
 	// Danger: a status that promises more than the server has said is not passed on, nor is one too long to be held.
-	promised := promisesNotRun(status) && !c.proxy.options.Knobs.PassUnfoundedPromises
+	promised := promisesNotRun(status) && !c.proxy.options.TestingKnobs.PassUnfoundedPromises
 	if !complete && !promised {
 		return c.relayUnbuffered(choice, attempt, resp, buffered)
 	}
--- a/internal/system/proxy/validate.go
+++ b/internal/system/proxy/validate.go
@@ -12,16 +12,16 @@
 	// Danger: a surplus answer to an earlier request may lie where this one's is due; only its id tells. The first answer on
 	// a connection can be no such one.
 	mismatched = mismatched || !ok && (!attempt.freshConn || isSuccess(resp.StatusCode))
-	mismatched = mismatched && !c.proxy.options.Knobs.SkipAttemptIDCheck
+	mismatched = mismatched && !c.proxy.options.TestingKnobs.SkipAttemptIDCheck
 	if isSuccess(resp.StatusCode) {
 		_, refused := resp.Header[headerNotExecuted] // a success that did not run: neither is believed
-		mismatched = mismatched || refused || resp.Header.Get(headerServerSeal) == "" && !c.proxy.options.Knobs.SkipSealCheck || resp.Header.Get("Content-Encoding") != ""
+		mismatched = mismatched || refused || resp.Header.Get(headerServerSeal) == "" && !c.proxy.options.TestingKnobs.SkipSealCheck || resp.Header.Get("Content-Encoding") != ""
 	}
 	if mismatched {
 		c.proxy.counters.Mismatch.Add(1)
 		return errInvalidResponse
 	}
-	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && !attempt.headRequest && !c.proxy.options.Knobs.AcceptUnframed {
+	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && !attempt.headRequest && !c.proxy.options.TestingKnobs.AcceptUnframed {
 		c.proxy.counters.Unframed.Add(1) // its end would be that of the connection, whole or not
 		return errInvalidResponse
 	}
