--- a/internal/system/proxy/eventreader.go
+++ b/internal/system/proxy/eventreader.go
@@ -8,45 +8,52 @@
 )
 
 const (
-	eventBufferBytes = 4 << 10   // bytes that are read at once
-	maxEventBytes    = 256 << 10 // bytes of an event
+	eventBufferBytes = 4 << 10   // of a reader's first buffer
+	maxEventBytes    = 256 << 10 // of one event
 )
 
 var (
-	errEventTooLong = errors.New("an event is too long to be held: have the server send shorter ones")
-	errEventOrder   = errors.New("the ids of events do not rise: the stream is not one run's")
+	errEventTooLong = errors.New("an event is too long to be buffered: have the server send shorter ones")
+	errEventOrder   = errors.New("the ids of events do not rise: the stream is not that of one run")
 )
 
-// eventReader reads a text/event-stream and gives out whole eventReader only.
+// eventReader reads a text/event-stream (HTML Living Standard, section "Server-sent events") and gives out complete events
+// only, whose numeric ids rise.
 type eventReader struct {
 	source     io.Reader
-	buf        []byte // from what was given out to what was read
-	emitted    int    // bytes at the start of buf that were given out
-	scanned    int    // bytes of buf that lie before the line that is coming
-	eventStart int    // where the event that is coming begins
-	readErr    error  // why no more can be read
+	buf        []byte // begins with what was given out last
+	emitted    int    // bytes of buf that were given out last
+	scanned    int    // bytes of buf before the incomplete line
+	eventStart int    // where in buf the incomplete event begins
+	readErr    error  // why no more can be read; nil: more may come
 
-	highestID    uint64 // the highest id
-	lastEventID  string // the id that was given out last, as it stood
-	hasNumericID bool   // an id that is a number has come
-	missedID     bool   // an event without an id has come
+	lastEventID  string // of the last event given out that has an id, as it stands in the stream
+	highestID    uint64
+	hasNumericID bool // highestID is valid
+	missedID     bool // an event with data and without an id has come
 }
 
-// resumeAfter has ids rise above one that came before.
+// resumeAfter has numeric ids rise above that of an event which came before this stream.
 func (e *eventReader) resumeAfter(id string) {
 	e.lastEventID = id
-	if n, err := strconv.ParseUint(id, 10, 64); err == nil {
-		e.highestID, e.hasNumericID = n, true
+	if number, err := strconv.ParseUint(id, 10, 64); err == nil {
+		e.highestID, e.hasNumericID = number, true
 	}
 }
 
-// next gives out the events that have come whole, one at least. The bytes are good until the next call. It ends with
-// io.EOF where the stream came whole; bytes that no empty line ends are given out before that.
-func (e *eventReader) next() ([]byte, error) {
-	if e.emitted > 0 {
-		n := copy(e.buf, e.buf[e.emitted:])
-		e.buf, e.scanned, e.eventStart, e.emitted = e.buf[:n], e.scanned-e.emitted, e.eventStart-e.emitted, 0
+// resumableID is the id after which another stream may resume this one; "": it is not known.
+func (e *eventReader) resumableID() string {
+	if e.missedID {
+		return ""
 	}
+	return e.lastEventID
+}
+
+// next returns the complete events that have come, at least one. The bytes are valid until the next call. It fails with
+// io.EOF after a stream that came completely, of which it returns an unterminated last event before; with errEventOrder and
+// errEventTooLong; and with the errors of the source.
+func (e *eventReader) next() ([]byte, error) {
+	e.dropEmitted()
 	for {
 		complete, err := e.scan()
 		if complete > 0 {
@@ -56,7 +63,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if e.readErr == io.EOF && len(e.buf) > 0 {
+		if errors.Is(e.readErr, io.EOF) && len(e.buf) > 0 {
 			e.emitted, e.scanned, e.eventStart = len(e.buf), len(e.buf), len(e.buf)
 			return e.buf, nil
 		}
@@ -67,28 +74,45 @@
 			e.readErr = errEventTooLong
 			return nil, e.readErr
 		}
-		if cap(e.buf)-len(e.buf) < eventBufferBytes/2 {
-			grown := make([]byte, len(e.buf), max(2*cap(e.buf), eventBufferBytes))
-			copy(grown, e.buf)
-			e.buf = grown
-		}
-		n, err := e.source.Read(e.buf[len(e.buf):cap(e.buf)])
-		e.buf = e.buf[:len(e.buf)+n]
-		e.readErr = err
+		e.read()
 	}
 }
 
-// scan goes on through the lines that have come, and tells how many bytes of whole events there are. It stops before an
-// event whose id does not rise.
+// dropEmitted removes from the buffer what was given out last.
+func (e *eventReader) dropEmitted() {
+	if e.emitted == 0 {
+		return
+	}
+	remaining := copy(e.buf, e.buf[e.emitted:])
+	e.buf = e.buf[:remaining]
+	e.scanned -= e.emitted
+	e.eventStart -= e.emitted
+	e.emitted = 0
+}
+
+// read appends to the buffer what the source has, and makes the buffer longer where less than half of a first one is free.
+func (e *eventReader) read() {
+	if cap(e.buf)-len(e.buf) < eventBufferBytes/2 {
+		longer := make([]byte, len(e.buf), max(2*cap(e.buf), eventBufferBytes))
+		copy(longer, e.buf)
+		e.buf = longer
+	}
+	count, err := e.source.Read(e.buf[len(e.buf):cap(e.buf)])
+	e.buf = e.buf[:len(e.buf)+count]
+	e.readErr = err
+}
+
+// scan goes on through the lines that have come, and returns how many bytes of complete events the buffer begins with. It
+// stops before an event whose id does not rise.
 func (e *eventReader) scan() (complete int, err error) {
 	for {
-		end := bytes.IndexByte(e.buf[e.scanned:], '\n')
-		if end < 0 {
+		length := bytes.IndexByte(e.buf[e.scanned:], '\n')
+		if length < 0 {
 			return complete, nil
 		}
-		line := bytes.TrimSuffix(e.buf[e.scanned:e.scanned+end], []byte("\r"))
-		e.scanned += end + 1
-		if len(line) > 0 {
+		line := bytes.TrimSuffix(e.buf[e.scanned:e.scanned+length], []byte("\r"))
+		e.scanned += length + 1
+		if endsEvent := len(line) == 0; !endsEvent {
 			continue
 		}
 		if err := e.checkEvent(e.buf[e.eventStart:e.scanned]); err != nil {
@@ -102,25 +126,31 @@
 	}
 }
 
-// checkEvent takes in the id of an event, the last one where it has several. It takes in nothing of an event whose id does not
-// rise: a stream is resumed after the last event that was given out.
+// checkEvent records the id of an event, the last one where it has several. It records nothing of an event whose id does not
+// rise, as a stream is resumed after the last event that was given out.
 func (e *eventReader) checkEvent(event []byte) error {
-	id, missing := "", true
-	for line := range bytes.Lines(event) {
-		if value, ok := bytes.CutPrefix(bytes.TrimRight(line, "\r\n"), []byte("id:")); ok {
-			id, missing = string(bytes.TrimPrefix(value, []byte(" "))), false
-		}
-	}
-	if missing {
+	id, hasID := eventID(event)
+	if !hasID {
 		e.missedID = e.missedID || bytes.Contains(event, []byte("data"))
 		return nil
 	}
-	if n, err := strconv.ParseUint(id, 10, 64); err == nil {
-		if e.hasNumericID && n <= e.highestID {
+	if number, err := strconv.ParseUint(id, 10, 64); err == nil {
+		if e.hasNumericID && number <= e.highestID {
 			return errEventOrder
 		}
-		e.highestID, e.hasNumericID = n, true
+		e.highestID, e.hasNumericID = number, true
 	}
 	e.lastEventID = id
 	return nil
 }
+
+// eventID returns the last id field of an event.
+func eventID(event []byte) (id string, hasID bool) {
+	for line := range bytes.Lines(event) {
+		value, ok := bytes.CutPrefix(bytes.TrimRight(line, "\r\n"), []byte("id:"))
+		if ok {
+			id, hasID = string(bytes.TrimPrefix(value, []byte(" "))), true
+		}
+	}
+	return id, hasID
+}
