--- a/internal/system/proxy/attempt.go
+++ b/internal/system/proxy/attempt.go
@@ -7,185 +7,229 @@
 	"net/http"
 	"os"
 	"time"
+
+	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
 var (
-	errNotSent         = errors.New("nothing was sent: another server may be asked")
-	errDeadlinePassed  = errors.New("the time for the answer is up")
-	errServerSilent    = errors.New("the server has been silent: another one is asked")
-	errInvalidResponse = errors.New("this is no proper answer to the request: close the connection")
+	errNotSent         = errors.New("not a byte of the request was sent: another server may be asked")
+	errDeadlinePassed  = errors.New("the deadline passed before the response was complete")
+	errServerSilent    = errors.New("the server has been silent for too long: another one is asked")
+	errInvalidResponse = errors.New("the server sent no valid response to this request: close the connection")
 )
 
-// maxInterimResponses bounds the 1xx answers before an answer.
+// maxInterimResponses bounds the responses that may precede the final one, that one included (RFC 9110, section 15.2).
 const maxInterimResponses = 4
 
-// upstreamAttempt is one request to a server and the answer to it, on a connection of its own meanwhile.
+// upstreamAttempt is one send of a request to a server, with its response. It owns a connection meanwhile, so that a response
+// reaches the request that it belongs to. One goroutine owns the attempt.
 type upstreamAttempt struct {
-	ctx          context.Context // the client's connection
+	ctx          context.Context // done when the client's connection has ended
+	choice       pick.Choice
 	pools        *upstreamPools
 	pool         *serverPool
-	attemptID    string // of the request
+	attemptID    string // X-Attempt-Id of the request
 	deadline     time.Time
 	sendDeadline time.Time // the request goes out by then or not at all
-	headRequest  bool      // the answer has no body, whatever it says
+	headRequest  bool      // the response has no body whatever its head says
 
-	// patience is how long the server may be silent before leave is asked whether to leave it; 0: any time.
-	silenceTimeout time.Duration
-	abandon        func() bool
-	lastProgress   time.Duration // when bytes last came, or the wait for them began
+	silenceTimeout time.Duration // how long the server may be silent before abandon is called; 0: until the deadline
+	abandon        func() bool   // reports whether the silent server is given up
+	lastProgress   time.Duration // when bytes last came, or the wait for them began; after pools.start
 
-	conn         *serverConn
+	conn         *serverConn // nil: none, or given back
 	reader       *bufio.Reader
 	stopWatching func() bool // ends the watch over ctx
 	response     *http.Response
-	sentAt       time.Duration // when the request was sent
-	freshConn    bool          // it is the first on its connection
+	sentAt       time.Duration // when the request was written; after pools.start
+	freshConn    bool          // the request is the first on its connection
 }
 
-// send writes a request. With errNotSent not a byte was sent; with any other error the server may have run it.
-func (x *upstreamAttempt) send(head, body []byte) error {
+// send writes the request. After errNotSent not a byte of it was sent; after any other error the server may have run it. Only
+// where an idle connection turns out to be closed and nothing was written does it go on with another connection.
+func (a *upstreamAttempt) send(head, body []byte) error {
 	for {
-		conn, stale := x.pools.takeIdle(x.pool, x.attemptID)
-		reused := conn != nil
-		if !reused {
-			var err error
-			if conn, err = x.pools.dial(x.ctx, x.pool, x.sendDeadline); err != nil {
-				return errNotSent
-			}
-			if stale > 0 { // the server is there, and closed the connection as it had idled
-				x.pools.observeIdleTimeout(x.pool.service, stale)
-			}
-		} else {
-			x.pools.counters.Reused.Add(1)
-		}
-		if time.Now().After(x.sendDeadline) { // the connection took too long, or the process stood still
-			x.pools.putIdle(x.pool, conn, "")
-			return errNotSent
-		}
-		x.attach(conn)
-		conn.SetHeadRequest(x.headRequest)
-		before, _ := conn.Written()
-		_ = conn.SetWriteDeadline(x.deadline)
-		_, err := conn.Write(head)
-		if err == nil && len(body) > 0 {
-			_, err = conn.Write(body)
+		reused, err := a.connect()
+		if err != nil {
+			return err
 		}
-		x.sentAt = x.pools.now()
-		x.lastProgress = x.sentAt
+		before, _ := a.conn.Written()
+		err = a.write(head, body)
 		if err == nil {
 			return nil
 		}
-		if after, _ := conn.Written(); after > before && !x.pools.knobs.RetryPartlyWritten {
+		after, _ := a.conn.Written()
+		if partlyWritten := after > before; partlyWritten && !a.pools.knobs.RetryPartlyWritten {
 			return err
 		}
-		x.discard()
-		if !reused || x.ctx.Err() != nil || !time.Now().Before(x.deadline) {
+		a.discard()
+		if !reused || a.ctx.Err() != nil || !time.Now().Before(a.deadline) {
 			return errNotSent
 		}
 	}
 }
 
-// attach takes a connection. It is closed when the client goes away.
-func (x *upstreamAttempt) attach(c *serverConn) {
-	x.conn, x.freshConn = c, c.fresh
-	x.reader = readers.Get().(*bufio.Reader)
-	x.reader.Reset(x)
-	x.stopWatching = context.AfterFunc(x.ctx, func() { _ = c.Close() })
+// connect takes an idle connection to the server or opens one, and reports which. It fails with errNotSent.
+func (a *upstreamAttempt) connect() (reused bool, err error) {
+	conn, staleAge := a.pools.takeIdle(a.pool, a.attemptID)
+	reused = conn != nil
+	if reused {
+		a.pools.counters.Reused.Add(1)
+	} else {
+		conn, err = a.pools.dial(a.ctx, a.pool, a.sendDeadline)
+		if err != nil {
+			return false, errNotSent
+		}
+		if staleAge > 0 { // the server is there, and closed the other connection because it was idle
+			a.pools.observeIdleTimeout(a.pool.service, staleAge)
+		}
+	}
+	if time.Now().After(a.sendDeadline) { // the connection took too long, or the process was paused
+		a.pools.putIdle(a.pool, conn, "")
+		return reused, errNotSent
+	}
+	a.attach(conn)
+	return reused, nil
+}
+
+// write writes the request on the attempt's connection.
+func (a *upstreamAttempt) write(head, body []byte) error {
+	a.conn.SetHeadRequest(a.headRequest)
+	_ = a.conn.SetWriteDeadline(a.deadline)
+	_, err := a.conn.Write(head)
+	if err == nil && len(body) > 0 {
+		_, err = a.conn.Write(body)
+	}
+	a.sentAt = a.pools.now()
+	a.lastProgress = a.sentAt
+	return err
+}
+
+// attach makes a connection the attempt's own. It is closed when the client goes away.
+func (a *upstreamAttempt) attach(conn *serverConn) {
+	a.conn, a.freshConn = conn, conn.fresh
+	a.reader = readers.Get().(*bufio.Reader)
+	a.reader.Reset(a)
+	a.stopWatching = context.AfterFunc(a.ctx, func() { _ = conn.Close() })
 }
 
-// Read implements io.Reader: bytes from the server, until the time is up or the server has been left.
-func (x *upstreamAttempt) Read(p []byte) (int, error) {
+// Read implements io.Reader with the bytes from the server. It fails with errDeadlinePassed, with errServerSilent once the
+// server has been abandoned, and with the errors of the connection.
+func (a *upstreamAttempt) Read(p []byte) (int, error) {
 	for {
-		deadline := x.deadline
-		if x.silenceTimeout > 0 {
-			if t := x.pools.start.Add(x.lastProgress + x.silenceTimeout); t.Before(deadline) {
-				deadline = t
-			}
-		}
-		if err := x.conn.SetReadDeadline(deadline); err != nil {
+		if err := a.conn.SetReadDeadline(a.readDeadline()); err != nil {
 			return 0, err
 		}
-		n, err := x.conn.Read(p)
-		if n > 0 {
-			x.lastProgress = x.pools.now()
-			x.pool.lastContact.Store(int64(x.lastProgress))
-			return n, nil // an error comes again
+		count, err := a.conn.Read(p)
+		if count > 0 {
+			a.lastProgress = a.pools.now()
+			a.pool.lastContact.Store(int64(a.lastProgress))
+			return count, nil // an error comes again
 		}
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return 0, err
 		}
-		now := x.pools.now()
-		lastContact := max(time.Duration(x.pool.lastContact.Load()), x.lastProgress)
-		switch {
-		case !time.Now().Before(x.deadline):
-			return 0, errDeadlinePassed
-		case x.silenceTimeout == 0 || lastContact+x.silenceTimeout > now: // others there are answered
-			x.lastProgress = lastContact
-		case x.abandon != nil && x.abandon():
-			return 0, errServerSilent
-		default:
-			x.lastProgress = now
+		if err := a.evaluateSilence(); err != nil {
+			return 0, err
 		}
 	}
 }
 
-// readHead reads the head of the readHead.
-func (x *upstreamAttempt) readHead(method string) (*http.Response, error) {
+// readDeadline is when the next read is to end: at the deadline, or when the server has been silent for too long.
+func (a *upstreamAttempt) readDeadline() time.Time {
+	if a.silenceTimeout == 0 {
+		return a.deadline
+	}
+	return earlierOf(a.deadline, a.pools.start.Add(a.lastProgress+a.silenceTimeout))
+}
+
+// evaluateSilence decides after a read that timed out whether to go on reading. A server that answers others is not silent.
+func (a *upstreamAttempt) evaluateSilence() error {
+	now := a.pools.now()
+	lastContact := max(time.Duration(a.pool.lastContact.Load()), a.lastProgress)
+	switch {
+	case !time.Now().Before(a.deadline):
+		return errDeadlinePassed
+	case a.silenceTimeout == 0 || lastContact+a.silenceTimeout > now:
+		a.lastProgress = lastContact
+	case a.abandon != nil && a.abandon():
+		return errServerSilent
+	default:
+		a.lastProgress = now
+	}
+	return nil
+}
+
+// sinceLastContact is how long ago the server last sent anything to any attempt, or this request was sent.
+func (a *upstreamAttempt) sinceLastContact() time.Duration {
+	return a.pools.now() - max(time.Duration(a.pool.lastContact.Load()), a.sentAt)
+}
+
+// readHead reads the head of the final response and skips interim ones. It fails with errInvalidResponse where the server
+// switches protocols or sends too many interim responses. The body needs no Close: finish and discard end the connection that
+// it is read from.
+func (a *upstreamAttempt) readHead(method string) error {
 	for range maxInterimResponses {
-		resp, err := http.ReadResponse(x.reader, &http.Request{Method: method})
+		resp, err := http.ReadResponse(a.reader, &http.Request{Method: method})
 		if err != nil {
-			return nil, err
+			return err
 		}
-		if resp.StatusCode >= 200 || x.pools.knobs.PassInterimResponses {
-			x.response = resp
-			return resp, nil
+		isInterim := resp.StatusCode < http.StatusOK
+		if !isInterim || a.pools.knobs.PassInterimResponses {
+			a.response = resp
+			return nil
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
 			break
 		}
 	}
-	return nil, errInvalidResponse
+	return errInvalidResponse
 }
 
-// finish gives the connection back if the answer has come whole and nothing after it, and it may be used again.
-func (x *upstreamAttempt) finish() {
-	if x.conn == nil {
+// finish ends the attempt. The connection goes back to its pool if it may be used again.
+func (a *upstreamAttempt) finish() {
+	if a.conn == nil {
 		return
 	}
-	reusable := x.stopWatching() && x.response != nil && !x.response.Close && x.reader.Buffered() == 0 && x.conn.Idle()
-	if !reusable {
-		x.detach()
+	if clientGone := !a.stopWatching(); clientGone || !a.connReusable() {
+		a.detach()
 		return
 	}
-	if d := parseKeepAlive(x.response.Header); d > 0 {
-		x.pools.observeIdleTimeout(x.pool.service, d)
+	if timeout := parseKeepAlive(a.response.Header); timeout > 0 {
+		a.pools.observeIdleTimeout(a.pool.service, timeout)
 	}
-	conn := x.conn
-	x.conn = nil
-	x.detach()
+	conn := a.conn
+	a.conn = nil
+	a.detach()
 	if conn.SetDeadline(time.Time{}) != nil {
 		_ = conn.Close()
 		return
 	}
-	x.pools.putIdle(x.pool, conn, x.attemptID)
+	a.pools.putIdle(a.pool, conn, a.attemptID)
+}
+
+// connReusable reports whether the response has come completely, nothing came after it, and neither end announced a close.
+func (a *upstreamAttempt) connReusable() bool {
+	return a.response != nil && !a.response.Close && a.reader.Buffered() == 0 && a.conn.Idle()
 }
 
-// discard closes the connection. Whatever was still to be written on it is not.
-func (x *upstreamAttempt) discard() {
-	if x.conn != nil {
-		x.stopWatching()
-		x.detach()
+// discard ends the attempt and closes its connection. What was still to be written on it is not.
+func (a *upstreamAttempt) discard() {
+	if a.conn != nil {
+		a.stopWatching()
+		a.detach()
 	}
 }
 
-func (x *upstreamAttempt) detach() {
-	if x.conn != nil {
-		_ = x.conn.Close()
-		x.conn = nil
+// detach closes the connection, if the attempt still has one, and gives the reader back.
+func (a *upstreamAttempt) detach() {
+	if a.conn != nil {
+		_ = a.conn.Close()
+		a.conn = nil
 	}
-	if x.reader != nil {
-		x.reader.Reset(nil)
-		readers.Put(x.reader)
-		x.reader = nil
+	if a.reader != nil {
+		a.reader.Reset(nil)
+		readers.Put(a.reader)
+		a.reader = nil
 	}
 }
--- a/internal/system/proxy/clientrequest.go
+++ b/internal/system/proxy/clientrequest.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"context"
 	"errors"
 	"net/http"
 	"time"
@@ -11,22 +12,24 @@
 )
 
 const (
-	maxUnreachedServers    = 4                       // servers that one request finds unreachable before it is given up
-	minSilenceTimeout      = 1500 * time.Millisecond // a server may be silent so long before an answer begins
-	minEventSilenceTimeout = time.Second             // and so long within a stream
-	defaultRetryAfter      = 300 * time.Millisecond  // where nobody has said when there will be room
-	minRetryAfter          = 50 * time.Millisecond
-	typicalHeadBytes       = 2 << 10 // bytes; most heads fit
-	maxJoinedBodyBytes     = 8 << 10 // bytes of a body that goes out in one write with its head
+	// maxUnreachedServers bounds the servers that one request finds unreachable before it is given up.
+	maxUnreachedServers = 4
+	// minSilenceTimeout is the least time for which a server may be silent before the head of its response.
+	minSilenceTimeout = 1500 * time.Millisecond
+	// minEventSilenceTimeout is the least time for which a server may be silent within an event stream.
+	minEventSilenceTimeout = time.Second
+	// silenceTargetFactor: a server may be silent for so many times the target of the route.
+	silenceTargetFactor = 2
 )
 
-// clientRequest is a client's request on its way.
+// clientRequest is one request of a client, from its head to its answer. It makes attempts at one server after another. One
+// goroutine owns it.
 type clientRequest struct {
 	proxy      *Proxy
 	writer     http.ResponseWriter
 	request    *http.Request
 	controller *http.ResponseController
-	conn       *framing.ClientConn // nil in tests
+	conn       *framing.ClientConn // nil where a test calls ServeHTTP itself
 
 	attemptID   string // X-Attempt-Id
 	target      string // path and query as they came
@@ -36,105 +39,112 @@
 	startedAt   time.Time
 	deadline    time.Time
 
-	triedServers   []string // servers it was sent to
-	mayHaveRun     bool     // some send may have run
-	unreachedCount int
-	nextChoice     *pick.Choice      // where to go on, from a silent server
-	retryAfter     time.Duration     // what servers that did not run it said: come again after it
+	triedServers   []string          // ids of the servers that it was sent to
+	mayHaveRun     bool              // some attempt may have run; never unset
+	unreachedCount int               // attempts of which nothing was sent
+	nextChoice     *pick.Choice      // the server that replaces a silent one; nil: none has been chosen
+	retryAfter     time.Duration     // the longest wait that servers which did not run it asked for
 	fallback       *bufferedResponse // a server's own failure, passed on if nothing better comes
-	headSent       bool              // the head of an answer is out
-	lastEventID    string            // of the events that are out, "" if it cannot be told
-	reservedBytes  int64             // bytes of answers
+	headSent       bool              // the head of a response has gone to the client
+	lastEventID    string            // of the last event that went to the client; "": not known
+	reservedBytes  int64             // memory for buffered responses
 }
 
-// run sends the request to one server after another until it is answered.
-func (c *clientRequest) run() {
+// attemptResult is what follows an attempt.
+type attemptResult int
+
+const (
+	requestDone   attemptResult = iota // the client has its answer, or its connection has ended
+	tryNextServer                      // if there is one, and the request may be sent again
+)
+
+// run makes attempts until the client has been answered.
+func (c *clientRequest) run(ctx context.Context) {
 	defer func() { c.proxy.memory.release(c.reservedBytes) }()
 	for {
-		choice := c.chooseServer()
+		choice := c.chooseServer(ctx)
 		if choice.Verdict != pick.Send {
-			c.concludeUnserved(choice)
+			c.answerUnserved(choice)
 			return
 		}
-		if c.tryServer(choice) {
+		if c.tryServer(ctx, choice) == requestDone {
 			return
 		}
 	}
 }
 
-// mayRetry tells whether the request may be sent to one more server, as far as it goes by the request alone.
-func (c *clientRequest) mayRetry(offered bool) bool {
+// mayRetry reports whether the request may be sent to one more server, as far as that depends on the request alone. This is
+// where a non-idempotent request that may have run is kept from running twice.
+func (c *clientRequest) mayRetry(mayHaveRun bool) bool {
+	knobs := &c.proxy.options.TestingKnobs
 	switch {
 	case len(c.triedServers) >= max(c.route.MaxTries, 1):
 		return false
 	case c.headSent:
-		return (c.route.Resumable || c.proxy.options.TestingKnobs.ResumeAnyStream) && c.lastEventID != ""
+		return (c.route.Resumable || knobs.ResumeAnyStream) && c.lastEventID != ""
 	}
-	return !offered || c.route.Idempotent() || c.proxy.options.TestingKnobs.RetryNonIdempotent
+	return !mayHaveRun || c.route.Idempotent() || knobs.RetryNonIdempotent
 }
 
-// chooseServer asks where to send the request next.
-func (c *clientRequest) chooseServer() pick.Choice {
+// chooseServer asks the picker where to send the request next.
+func (c *clientRequest) chooseServer(ctx context.Context) pick.Choice {
 	if choice := c.nextChoice; choice != nil {
 		c.nextChoice = nil
 		return *choice
 	}
-	c.proxy.picker.awaitContact(c.request.Context())
-	left := time.Until(c.deadline)
-	if left <= 0 || c.request.Context().Err() != nil || c.unreachedCount >= maxUnreachedServers || !c.mayRetry(c.mayHaveRun) {
+	c.proxy.picker.awaitContact(ctx)
+	timeLeft := time.Until(c.deadline)
+	if timeLeft <= 0 || c.clientGone() || c.unreachedCount >= maxUnreachedServers || !c.mayRetry(c.mayHaveRun) {
 		return pick.Choice{Verdict: pick.GiveUp}
 	}
-	return c.askPicker(left, c.triedServers, c.mayHaveRun)
+	return c.askPicker(timeLeft, c.mayHaveRun)
 }
 
-func (c *clientRequest) askPicker(left time.Duration, tried []string, offered bool) pick.Choice {
-	c.pickRequest.TimeLeft, c.pickRequest.Age, c.pickRequest.Resumed = left, time.Since(c.startedAt), c.headSent
-	return c.proxy.picker.Choose(&c.pickRequest, tried, offered)
+func (c *clientRequest) askPicker(timeLeft time.Duration, mayHaveRun bool) pick.Choice {
+	c.pickRequest.TimeLeft, c.pickRequest.Age, c.pickRequest.Resumed = timeLeft, time.Since(c.startedAt), c.headSent
+	return c.proxy.picker.Choose(&c.pickRequest, c.triedServers, mayHaveRun)
 }
 
-// tryServer sends the request to a server, and tells whether the request has come to its end.
-func (c *clientRequest) tryServer(choice pick.Choice) bool {
+// tryServer makes one attempt. Every send of a request to a server happens here.
+func (c *clientRequest) tryServer(ctx context.Context, choice pick.Choice) attemptResult {
 	nonIdempotentOnce.Check(!c.mayHaveRun || c.route.Idempotent())
-	pools := c.proxy.pools
-	attempt := &upstreamAttempt{ctx: c.request.Context(), pools: pools, pool: pools.poolOf(choice.Server), attemptID: c.attemptID, deadline: c.deadline, sendDeadline: c.sendDeadline(choice),
-		headRequest: c.request.Method == http.MethodHead}
-	buf, recycle := getBuffer(typicalHeadBytes + int64(min(len(c.body), maxJoinedBodyBytes)))
-	head, body := c.appendHead(buf, choice)
-	err := attempt.send(head, body)
+	attempt := c.newAttempt(ctx, choice)
+	buffer, recycle := getBuffer(typicalHeadBytes + int64(min(len(c.body), maxJoinedBodyBytes)))
+	head, body := c.appendHead(buffer, choice)
+	sendErr := attempt.send(head, body)
 	recycle()
-	if errors.Is(err, errNotSent) {
-		c.unreachedCount++
-		if c.request.Context().Err() != nil {
-			c.reportOutcome(choice, pick.Canceled)
-		} else {
-			pools.closeIdle(attempt.pool)
-			c.reportOutcome(choice, pick.ConnectFailed)
-		}
-		return false
+	if errors.Is(sendErr, errNotSent) {
+		return c.handleNotSent(attempt)
 	}
-	c.proxy.counters.Sends.Add(1)
-	if c.triedServers = append(c.triedServers, choice.Server.ID); len(c.triedServers) > 1 {
-		c.proxy.counters.Retries.Add(1)
+	c.countSend(choice)
+	c.watchForSilence(attempt, max(silenceTargetFactor*c.route.LatencyTarget, c.proxy.options.TestingKnobs.MinSilenceTimeout))
+	if err := attempt.readHead(c.request.Method); err != nil {
+		return c.handleFailure(attempt, err)
 	}
-	c.watchForSilence(attempt, max(2*c.route.LatencyTarget, c.proxy.options.TestingKnobs.MinSilenceTimeout))
-	resp, early := (*http.Response)(nil), err != nil
-	if resp, err = attempt.readHead(c.request.Method); err == nil {
-		resp.Close = resp.Close || early // the rest of the request never goes out
-		err = c.validateResponse(attempt, resp)
-	}
-	if err != nil {
-		return c.handleFailure(choice, attempt, err)
+	resp := attempt.response
+	resp.Close = resp.Close || sendErr != nil // the rest of the request never goes out
+	if err := c.validateResponse(attempt); err != nil {
+		return c.handleFailure(attempt, err)
 	}
 	c.proxy.picker.Started(choice.Ticket, choice.Server.ID, parseServerHints(resp.Header, resp.Close))
-	return c.handleResponse(choice, attempt, resp)
+	return c.handleResponse(attempt)
 }
 
-// sendDeadline is when a request that was chosen to go out just now must have done so.
-func (c *clientRequest) sendDeadline(choice pick.Choice) time.Time {
+func (c *clientRequest) newAttempt(ctx context.Context, choice pick.Choice) *upstreamAttempt {
+	sendDeadline := c.deadline
 	if choice.SendWithin > 0 {
-		return earlierOf(c.deadline, time.Now().Add(choice.SendWithin))
+		sendDeadline = earlierOf(c.deadline, time.Now().Add(choice.SendWithin))
+	}
+	return &upstreamAttempt{
+		ctx:          ctx,
+		choice:       choice,
+		pools:        c.proxy.pools,
+		pool:         c.proxy.pools.poolOf(choice.Server),
+		attemptID:    c.attemptID,
+		deadline:     c.deadline,
+		sendDeadline: sendDeadline,
+		headRequest:  c.request.Method == http.MethodHead,
 	}
-	return c.deadline
 }
 
 func earlierOf(a, b time.Time) time.Time {
@@ -144,65 +154,102 @@
 	return a
 }
 
-// watchForSilence has a silent server left, where the request may go on elsewhere.
+// countSend records that the request was written to a server, completely or in part.
+func (c *clientRequest) countSend(choice pick.Choice) {
+	c.proxy.counters.Sends.Add(1)
+	c.triedServers = append(c.triedServers, choice.Server.ID)
+	if len(c.triedServers) > 1 {
+		c.proxy.counters.Retries.Add(1)
+	}
+}
+
+// watchForSilence has a server abandoned that is silent for longer than the timeout, where the request may be retried.
 func (c *clientRequest) watchForSilence(attempt *upstreamAttempt, timeout time.Duration) {
-	if attempt.silenceTimeout = 0; c.mayRetry(true) {
-		attempt.silenceTimeout = timeout
-		attempt.abandon = func() bool {
-			left := time.Until(c.deadline)
-			if left <= 0 || !c.mayRetry(true) {
-				return false
-			}
-			choice := c.askPicker(left, c.triedServers, true)
-			if choice.Verdict != pick.Send {
-				return false
-			}
-			c.nextChoice = &choice
-			return true
-		}
+	if !c.mayRetry(true) {
+		attempt.silenceTimeout = 0
+		return
+	}
+	attempt.silenceTimeout = timeout
+	attempt.abandon = c.chooseReplacement
+}
+
+// chooseReplacement chooses a server that replaces a silent one, and reports whether there is one.
+func (c *clientRequest) chooseReplacement() bool {
+	timeLeft := time.Until(c.deadline)
+	if timeLeft <= 0 || !c.mayRetry(true) {
+		return false
+	}
+	choice := c.askPicker(timeLeft, true)
+	if choice.Verdict != pick.Send {
+		return false
+	}
+	c.nextChoice = &choice
+	return true
+}
+
+// handleNotSent records an attempt of which no byte was sent.
+func (c *clientRequest) handleNotSent(attempt *upstreamAttempt) attemptResult {
+	c.unreachedCount++
+	if c.clientGone() {
+		c.reportOutcome(attempt, pick.Canceled)
+		return tryNextServer
 	}
+	c.proxy.pools.closeIdle(attempt.pool)
+	c.reportOutcome(attempt, pick.ConnectFailed)
+	return tryNextServer
 }
 
-// handleFailure takes in that a send brought no answer, or none to its end.
-func (c *clientRequest) handleFailure(choice pick.Choice, attempt *upstreamAttempt, err error) bool {
+// handleFailure records an attempt that brought no valid response, or not all of one.
+func (c *clientRequest) handleFailure(attempt *upstreamAttempt, err error) attemptResult {
 	attempt.discard()
 	c.mayHaveRun = true
-	switch {
-	case c.request.Context().Err() != nil:
-		c.reportOutcome(choice, pick.Canceled)
-	case errors.Is(err, errServerSilent):
+	outcome := c.failureOutcome(attempt, err)
+	if outcome == pick.TimedOut && errors.Is(err, errServerSilent) {
 		c.proxy.counters.Abandoned.Add(1)
+	}
+	if outcome != pick.Canceled {
 		c.proxy.pools.closeIdleUnlessContacted(attempt.pool, attempt.sentAt)
-		c.reportOutcome(choice, pick.TimedOut)
-	case errors.Is(err, errDeadlinePassed) && c.proxy.pools.now()-max(time.Duration(attempt.pool.lastContact.Load()), attempt.sentAt) < minSilenceTimeout:
-		c.reportOutcome(choice, pick.Canceled) // late, but alive for all that is known
+	}
+	c.reportOutcome(attempt, outcome)
+	return tryNextServer
+}
+
+// failureOutcome is what a failed attempt says about its server.
+func (c *clientRequest) failureOutcome(attempt *upstreamAttempt, err error) pick.Outcome {
+	switch {
+	case c.clientGone():
+		return pick.Canceled
+	case errors.Is(err, errServerSilent):
+		return pick.TimedOut
 	case errors.Is(err, errDeadlinePassed):
-		c.proxy.pools.closeIdleUnlessContacted(attempt.pool, attempt.sentAt)
-		c.reportOutcome(choice, pick.TimedOut)
-	default:
-		c.proxy.pools.closeIdleUnlessContacted(attempt.pool, attempt.sentAt)
-		c.reportOutcome(choice, pick.ConnectionLost)
+		if attempt.sinceLastContact() < minSilenceTimeout {
+			return pick.Canceled // late, but alive as far as is known
+		}
+		return pick.TimedOut
 	}
-	return false
+	return pick.ConnectionLost
 }
 
-func (c *clientRequest) reportOutcome(choice pick.Choice, o pick.Outcome) {
-	c.proxy.picker.Done(choice.Ticket, o, 0)
+func (c *clientRequest) reportOutcome(attempt *upstreamAttempt, outcome pick.Outcome) {
+	c.proxy.picker.Done(attempt.choice.Ticket, outcome, 0)
 }
 
-// concludeUnserved answers a request that goes to no further server.
-func (c *clientRequest) concludeUnserved(choice pick.Choice) {
+// clientGone reports whether the client has closed its connection.
+func (c *clientRequest) clientGone() bool { return c.request.Context().Err() != nil }
+
+// answerUnserved answers a request that goes to no further server.
+func (c *clientRequest) answerUnserved(choice pick.Choice) {
 	counters := &c.proxy.counters
 	switch {
-	case c.request.Context().Err() != nil:
+	case c.clientGone():
 		counters.ClientGone.Add(1)
-		c.abortConn(true)
+		c.abortConn(dropUnsent)
 	case c.headSent:
 		counters.Truncated.Add(1)
-		c.abortConn(false)
+		c.abortConn(deliverUnsent)
 	case c.fallback != nil:
 		counters.Served.Add(1)
-		c.fallback.sendTo(c)
+		c.sendBuffered(c.fallback)
 	case !c.mayHaveRun:
 		counters.Refused.Add(1)
 		c.respondError(http.StatusServiceUnavailable, max(choice.RetryAfter, c.retryAfter))
--- a/internal/system/proxy/eventrelay.go
+++ b/internal/system/proxy/eventrelay.go
@@ -1,54 +1,51 @@
 package proxy
 
 import (
+	"errors"
 	"io"
-	"net/http"
-
-	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// relayEvents passes on events as they come. An answer that is cut may be taken up at another server.
-func (c *clientRequest) relayEvents(choice pick.Choice, attempt *upstreamAttempt, resp *http.Response) bool {
-	buf, recycle := getBuffer(eventBufferBytes)
+// relayEvents passes on the events of a stream as they come. A truncated stream may be resumed at another server: the next
+// attempt asks for the events after the last one that went to the client.
+func (c *clientRequest) relayEvents(attempt *upstreamAttempt) attemptResult {
+	buffer, recycle := getBuffer(eventBufferBytes)
 	defer recycle()
-	reader := &eventReader{source: resp.Body, buf: buf}
+	reader := &eventReader{source: attempt.response.Body, buf: buffer}
 	if c.route.Resumable {
 		reader.resumeAfter(c.lastEventID)
 	}
 	if c.headSent {
 		c.proxy.counters.Resumed.Add(1)
 	}
-	first := true
-	for {
-		complete, err := reader.next()
-		if err == io.EOF {
+	for isFirst := true; ; isFirst = false {
+		events, err := reader.next()
+		if errors.Is(err, io.EOF) {
 			if !c.headSent {
-				c.sendHead(resp.StatusCode, resp.Header, resp.ContentLength)
+				c.sendHead(attempt.response.StatusCode, attempt.response.Header, attempt.response.ContentLength)
 			}
-			attempt.finish()
-			c.reportOutcome(choice, pick.Served)
-			c.proxy.counters.Served.Add(1)
-			return true
+			return c.finishRelay(attempt)
 		}
 		if err != nil {
-			return c.handleFailure(choice, attempt, err)
-		}
-		if first {
-			c.proxy.picker.FirstEvent(choice.Ticket)
-			if !c.headSent {
-				// Danger: a stream that goes on at another server need not come to the length that the first one told.
-				c.sendHead(resp.StatusCode, resp.Header, -1)
-			}
+			return c.handleFailure(attempt, err)
 		}
-		if err := c.writeToClient(complete); err != nil {
-			return c.handleRelayFailure(choice, attempt, err)
+		if isFirst {
+			c.beginEvents(attempt)
 		}
-		if c.lastEventID = reader.lastEventID; reader.missedID {
-			c.lastEventID = "" // it cannot be told where another server should go on
+		if err := c.writeToClient(events); err != nil {
+			return c.handleRelayFailure(attempt, err)
 		}
-		if first {
-			first = false
-			c.watchForSilence(attempt, max(2*c.route.EventGapTarget, c.proxy.options.TestingKnobs.MinEventSilenceTimeout))
+		c.lastEventID = reader.resumableID()
+		if isFirst {
+			c.watchForSilence(attempt, max(silenceTargetFactor*c.route.EventGapTarget, c.proxy.options.TestingKnobs.MinEventSilenceTimeout))
 		}
 	}
 }
+
+// beginEvents reports a stream's first event to the picker and passes on the head, if this stream does not resume another.
+func (c *clientRequest) beginEvents(attempt *upstreamAttempt) {
+	c.proxy.picker.FirstEvent(attempt.choice.Ticket)
+	if !c.headSent {
+		// Danger: a stream that is resumed at another server need not come to the length that the first one announced.
+		c.sendHead(attempt.response.StatusCode, attempt.response.Header, unknownLength)
+	}
+}
--- a/internal/system/proxy/reply.go
+++ b/internal/system/proxy/reply.go
@@ -1,85 +1,110 @@
 package proxy
 
 import (
+	"errors"
 	"net/http"
 	"strconv"
 	"time"
 )
 
-// respond answers for the system itself.
-func (p *Proxy) respond(w http.ResponseWriter, id string, status int) {
-	h := w.Header()
-	if id != "" {
-		h.Set(headerAttemptID, id)
+const (
+	defaultRetryAfter = 300 * time.Millisecond // where nobody has said when there will be capacity
+	minRetryAfter     = 50 * time.Millisecond
+	// retryAfterDivisor: a client is told to wait for at most one part in so many of the time that it has left.
+	retryAfterDivisor = 3
+	// clientWriteTimeout is how long a client may accept no bytes before it is given up.
+	clientWriteTimeout = 10 * time.Second
+	// unknownLength stands for a body whose length is not announced.
+	unknownLength = -1
+)
+
+// errClientGone means that the client has closed its connection or accepts no more bytes.
+var errClientGone = errors.New("the client accepts no more bytes: its connection is closed")
+
+// respond answers a request with a status of the proxy's own and no body.
+func (p *Proxy) respond(w http.ResponseWriter, attemptID string, status int) {
+	header := w.Header()
+	if attemptID != "" {
+		header.Set(headerAttemptID, attemptID)
 	}
-	h.Set("Content-Length", "0")
-	p.announceClose(h)
+	header.Set("Content-Length", "0")
+	p.announceClose(header)
 	w.WriteHeader(status)
 }
 
-// announceClose announces the end of the connection, where a planned end has begun.
-func (p *Proxy) announceClose(h http.Header) {
+// announceClose says in a response that its connection ends, once the proxy is draining.
+func (p *Proxy) announceClose(header http.Header) {
 	if p.clients.draining.Load() {
-		h.Set("Connection", "close")
+		header.Set("Connection", "close")
 	}
 }
 
-// respondError answers for the system itself.
+// respondError answers with a status of the proxy's own. One that promises that the request has not run comes with a
+// Retry-After; 0: the default.
 func (c *clientRequest) respondError(status int, retryAfter time.Duration) {
 	if promisesNotRun(status) {
 		if retryAfter <= 0 {
 			retryAfter = defaultRetryAfter
 		}
-		if left := time.Until(c.deadline); left > 0 {
-			retryAfter = min(retryAfter, left/3)
+		if timeLeft := time.Until(c.deadline); timeLeft > 0 {
+			retryAfter = min(retryAfter, timeLeft/retryAfterDivisor)
 		}
 		c.writer.Header().Set("Retry-After", formatRetryAfter(max(retryAfter, minRetryAfter)))
 	}
 	c.proxy.respond(c.writer, c.attemptID, status)
 }
 
-// abortConn breaks the answer off so that it cannot look complete. What still waits for the client goes out; for one that is gone
-// it is dropped.
-func (c *clientRequest) abortConn(clientGone bool) {
+// unsentBytes says what becomes of bytes that wait in the system for the client when its connection is aborted.
+type unsentBytes int
+
+const (
+	deliverUnsent unsentBytes = iota
+	dropUnsent                // for a client that is gone
+)
+
+// abortConn closes the client's connection in the middle of a response, so that the response cannot look complete.
+func (c *clientRequest) abortConn(unsent unsentBytes) {
 	if c.conn == nil || c.proxy.options.TestingKnobs.KeepTruncatedConns {
 		return
 	}
-	if clientGone || c.request.ProtoMinor == 0 {
-		_ = c.conn.SetLinger(0) // where the connection's end is the answer's, a reset says that it is not whole
+	// Where the end of the connection is that of the response, only a reset says that it is truncated.
+	endsWithConn := c.request.ProtoMinor == 0
+	if unsent == dropUnsent || endsWithConn {
+		_ = c.conn.SetLinger(0)
 	}
 	_ = c.conn.Close()
 }
 
-// sendHead passes on the head of an answer; length -1: not told.
+// sendHead passes on the head of a response with a Content-Length in bytes, or without one for unknownLength.
 func (c *clientRequest) sendHead(status int, from http.Header, length int64) {
 	c.headSent = true
-	to := c.writer.Header()
-	names := connectionHeaders(from)
+	header := c.writer.Header()
+	named := connectionHeaders(from)
 	for name, values := range from {
-		if name != "Content-Length" && isForwarded(name, names) {
-			to[name] = values
+		if name != "Content-Length" && isForwarded(name, named) {
+			header[name] = values
 		}
 	}
-	for _, name := range []string{"Date", "Content-Type"} { // net/http would make them up
+	for _, name := range []string{"Date", "Content-Type"} {
 		if _, ok := from[name]; !ok {
-			to[name] = nil
+			header[name] = nil // net/http would add its own
 		}
 	}
 	if length >= 0 {
-		to.Set("Content-Length", strconv.FormatInt(length, 10))
+		header.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	c.proxy.announceClose(to)
+	c.proxy.announceClose(header)
 	c.writer.WriteHeader(status)
 }
 
-// writeToClient passes bytes on at once. A client that takes none for long is given up.
-func (c *clientRequest) writeToClient(b []byte) error {
+// writeToClient passes bytes on at once. It fails with errClientGone, also if the client accepts none for too long.
+func (c *clientRequest) writeToClient(data []byte) error {
 	_ = c.controller.SetWriteDeadline(time.Now().Add(c.proxy.options.TestingKnobs.ClientWriteTimeout))
-	if _, err := c.writer.Write(b); err != nil {
-		return errClientGone
+	if _, err := c.writer.Write(data); err != nil {
+		return errors.Join(errClientGone, err)
 	}
-	if c.controller.Flush() != nil {
-		return errClientGone
+	if err := c.controller.Flush(); err != nil {
+		return errors.Join(errClientGone, err)
 	}
 	return nil
 }
--- a/internal/system/proxy/requestbody.go
+++ b/internal/system/proxy/requestbody.go
@@ -7,89 +7,103 @@
 	"net/http"
 )
 
-// rejectBody ends a request whose body could not be taken. None of it has been sent to a server.
-func (c *clientRequest) rejectBody(status int) {
+// Why a request's body could not be read. None of the request has been sent to a server then.
+var (
+	errBodyTooLong = errors.New("the request body is longer than the configured limit: send a shorter one")
+	errBodyTimeout = errors.New("the request body did not arrive before the deadline")
+	errNoMemory    = errors.New("the memory for bodies is in use: send the request again later")
+)
+
+// rejectBody answers a request whose body could not be read.
+func (c *clientRequest) rejectBody(err error) {
 	counters := &c.proxy.counters
 	c.writer.Header().Set("Connection", "close") // the rest of the body is not read
-	switch status {
-	case http.StatusServiceUnavailable:
+	switch {
+	case errors.Is(err, errNoMemory):
 		counters.Refused.Add(1)
-		c.respondError(status, defaultRetryAfter)
-	case statusClientGone:
-		counters.ClientGone.Add(1)
-		c.abortConn(true)
-	default:
+		c.respondError(http.StatusServiceUnavailable, defaultRetryAfter)
+	case errors.Is(err, errBodyTooLong):
 		counters.Rejected.Add(1)
-		c.respondError(status, 0)
+		c.respondError(http.StatusRequestEntityTooLarge, 0)
+	case errors.Is(err, errBodyTimeout):
+		counters.Rejected.Add(1)
+		c.respondError(http.StatusRequestTimeout, 0)
+	default:
+		counters.ClientGone.Add(1)
+		c.abortConn(dropUnsent)
 	}
 }
 
-// statusClientGone stands for a client that went away.
-const statusClientGone = -1
-
-// requestBody is a request's requestBody, held whole.
+// requestBody is the body of a request, buffered completely, so that it can be sent more than once.
 type requestBody struct {
 	memory   *memoryBudget
-	maxBytes int64 // bytes; 0: any number
+	maxBytes int64 // 0: no limit
 	bytes    []byte
-	reserved int64
-	recycle  func()
+	reserved int64  // bytes of memory
+	recycle  func() // gives the buffer of bytes back; nil: there is none
 }
 
-// read takes the body in, and tells the status that the request is answered with if it cannot be had; 0: it can.
-func (b *requestBody) read(r *http.Request) int {
+// read buffers the body. It fails with errBodyTooLong, errBodyTimeout, errNoMemory or errClientGone.
+func (b *requestBody) read(r *http.Request) error {
 	if r.ContentLength == 0 {
-		return 0
+		return nil
 	}
-	if !b.reserve(max(r.ContentLength, smallBufferBytes)) {
-		return http.StatusServiceUnavailable
+	if !b.grow(max(r.ContentLength, smallBufferBytes)) {
+		return errNoMemory
 	}
 	for {
 		if len(b.bytes) == cap(b.bytes) {
 			if int64(len(b.bytes)) == r.ContentLength {
-				return 0
+				return nil
 			}
-			if !b.reserve(2 * int64(cap(b.bytes))) {
-				return http.StatusServiceUnavailable
+			if !b.grow(2 * int64(cap(b.bytes))) {
+				return errNoMemory
 			}
 		}
-		n, err := r.Body.Read(b.bytes[len(b.bytes):cap(b.bytes)])
-		b.bytes = b.bytes[:len(b.bytes)+n]
-		var timeout net.Error
-		switch {
-		case b.maxBytes > 0 && int64(len(b.bytes)) > b.maxBytes:
-			return http.StatusRequestEntityTooLarge
-		case err == io.EOF:
-			return 0
-		case errors.As(err, &timeout) && timeout.Timeout():
-			return http.StatusRequestTimeout
-		case err != nil:
-			return statusClientGone
+		count, err := r.Body.Read(b.bytes[len(b.bytes):cap(b.bytes)])
+		b.bytes = b.bytes[:len(b.bytes)+count]
+		if b.maxBytes > 0 && int64(len(b.bytes)) > b.maxBytes {
+			return errBodyTooLong
+		}
+		if errors.Is(err, io.EOF) {
+			return nil
+		}
+		if err != nil {
+			return bodyError(err)
 		}
 	}
 }
 
-// reserve makes room for n bytes, and tells whether the budget has it.
-func (b *requestBody) reserve(n int64) bool {
+// bodyError says what a failed read of a request's body means.
+func bodyError(err error) error {
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
+		return errBodyTimeout
+	}
+	return errClientGone
+}
+
+// grow moves the body to a buffer of size bytes, and reports false if there is no memory for it.
+func (b *requestBody) grow(size int64) bool {
 	if b.maxBytes > 0 {
-		n = min(n, b.maxBytes+1) // one more, to see that it is too long
+		size = min(size, b.maxBytes+1) // one more, to see that the body is too long
 	}
-	if more := n - b.reserved; more > 0 {
+	if more := size - b.reserved; more > 0 {
 		if !b.memory.reserve(more) {
 			return false
 		}
-		b.reserved = n
+		b.reserved = size
 	}
-	next, give := getBuffer(n)
-	next = append(next, b.bytes...)
+	buffer, recycle := getBuffer(size)
+	buffer = append(buffer, b.bytes...)
 	if b.recycle != nil {
 		b.recycle()
 	}
-	b.bytes, b.recycle = next, give
+	b.bytes, b.recycle = buffer, recycle
 	return true
 }
 
-// release gives the room back. The bytes are not to be used any more.
+// release gives the memory back. The bytes must not be used afterwards.
 func (b *requestBody) release() {
 	b.memory.release(b.reserved)
 	if b.recycle != nil {
--- a/internal/system/proxy/requesthead.go
+++ b/internal/system/proxy/requesthead.go
@@ -11,63 +11,110 @@
 )
 
 const (
-	maxDeadlineMargin = 20 * time.Millisecond // before its client's limit a request is given up, at the most
-	maxRequestTimeout = 10 * time.Minute      // for an answer, whatever is asked
-	unreadBodyTimeout = time.Second           // a refused request's body is waited for
+	// maxDeadlineMargin bounds how long before its client's limit a request is given up.
+	maxDeadlineMargin = 20 * time.Millisecond
+	// deadlineMarginDivisor: the margin is one part in so many of the time that the client waits.
+	deadlineMarginDivisor = 20
+	// maxRequestTimeout bounds the wait for a response, whatever the client and the route allow.
+	maxRequestTimeout = 10 * time.Minute
+	// unreadBodyTimeout bounds how long net/http waits for the body of a request that is answered without reading it.
+	unreadBodyTimeout = time.Second
+	// requestLineOverheadBytes and fieldOverheadBytes are what a head has besides names and values: spaces, colons, line ends,
+	// the version and the name of the Host field.
+	requestLineOverheadBytes = 24
+	fieldOverheadBytes       = 4
 )
 
-type clientConnKey struct{} // of a request's *framing.ClientConn in its context
+// clientConnKey is the key of a request's *framing.ClientConn in its context.
+type clientConnKey struct{}
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP implements http.Handler: it reads one request of a client and has it answered.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	startedAt := time.Now()
+	proxied := newClientRequest(p, w, r)
 	p.counters.Requests.Add(1)
-	controller := http.NewResponseController(w)
-	_ = controller.SetWriteDeadline(startedAt.Add(maxRequestTimeout)) // not that of the answer before
-	conn, _ := r.Context().Value(clientConnKey{}).(*framing.ClientConn)
-	id := r.Header.Get(headerAttemptID)
+	_ = proxied.controller.SetWriteDeadline(proxied.startedAt.Add(maxRequestTimeout)) // not that of the response before
+	_ = proxied.controller.SetReadDeadline(proxied.startedAt.Add(unreadBodyTimeout))
 	config := p.config()
-	_ = controller.SetReadDeadline(startedAt.Add(unreadBodyTimeout)) // where no body is read, net/http waits for it before it answers
 	if config == nil {
 		p.counters.Refused.Add(1)
 		w.Header().Set("Retry-After", formatRetryAfter(defaultRetryAfter))
-		p.respond(w, id, http.StatusServiceUnavailable)
+		p.respond(w, proxied.attemptID, http.StatusServiceUnavailable)
 		return
 	}
-	target, path := targetOf(r)
-	route := p.picker.Route(r.Host, path)
-	if status := checkHead(config.Limits, r, route, target); status != 0 {
+	if status := proxied.matchRoute(config); status != 0 {
 		p.counters.Rejected.Add(1)
-		p.respond(w, id, status)
+		p.respond(w, proxied.attemptID, status)
 		return
 	}
-	left := route.Timeout
-	if t, ok := parseMilliseconds(r.Header.Get(headerTimeLeft)); ok {
-		left = min(left, t)
-	}
-	left = min(left, maxRequestTimeout)
-	proxied := &clientRequest{proxy: p, writer: w, request: r, controller: controller, conn: conn, attemptID: id, target: target, route: route, startedAt: startedAt,
-		deadline: startedAt.Add(left - min(left/20, maxDeadlineMargin)), lastEventID: r.Header.Get(headerLastEventID)}
 	body := requestBody{memory: p.memory, maxBytes: config.Limits.BodyBytes}
 	defer body.release()
-	_ = controller.SetReadDeadline(proxied.deadline)
-	if status := body.read(r); status != 0 {
-		proxied.rejectBody(status)
+	_ = proxied.controller.SetReadDeadline(proxied.deadline)
+	if err := body.read(r); err != nil {
+		proxied.rejectBody(err)
 		return
 	}
-	_ = controller.SetReadDeadline(time.Time{}) // an end of the connection now means that the client is gone
+	_ = proxied.controller.SetReadDeadline(time.Time{}) // an end of the connection now means that the client is gone
 	proxied.body = body.bytes
-	in, out := parseTokenCount(r.Header.Get("X-Token-Count"))
-	proxied.pickRequest = pick.Request{Route: route, Model: r.Header.Get("X-Model"), TokensIn: in, TokensOut: out,
-		Prefix: parsePromptParts(r.Header.Get("X-Prompt-Prefix")), TimeLeft: time.Until(proxied.deadline), Age: time.Since(startedAt)}
-	p.picker.Arrive(&proxied.pickRequest)
-	proxied.run()
+	proxied.describeToPicker()
+	proxied.run(r.Context())
+}
+
+// newClientRequest begins with a request whose head has been read.
+func newClientRequest(p *Proxy, w http.ResponseWriter, r *http.Request) *clientRequest {
+	conn, _ := r.Context().Value(clientConnKey{}).(*framing.ClientConn)
+	return &clientRequest{
+		proxy:       p,
+		writer:      w,
+		request:     r,
+		controller:  http.NewResponseController(w),
+		conn:        conn,
+		attemptID:   r.Header.Get(headerAttemptID),
+		lastEventID: r.Header.Get(headerLastEventID),
+		startedAt:   time.Now(),
+	}
+}
+
+// matchRoute finds the route of the request and its deadline, and returns the status with which a request that goes to no
+// server is answered at once; 0: it goes to one.
+func (c *clientRequest) matchRoute(config *config.Config) (status int) {
+	target, path := targetOf(c.request)
+	route := c.proxy.picker.Route(c.request.Host, path)
+	if status := checkHead(config.Limits, c.request, route, target); status != 0 {
+		return status
+	}
+	c.target, c.route = target, route
+	timeout := min(route.Timeout, maxRequestTimeout)
+	if clientTimeout, ok := parseMilliseconds(c.request.Header.Get(headerTimeLeft)); ok {
+		timeout = min(timeout, clientTimeout)
+	}
+	margin := min(timeout/deadlineMarginDivisor, maxDeadlineMargin)
+	c.deadline = c.startedAt.Add(timeout - margin)
+	return 0
 }
 
-// targetOf is the request target as it goes to a server, and its path.
+// describeToPicker tells the picker of the request.
+func (c *clientRequest) describeToPicker() {
+	header := c.request.Header
+	tokensIn, tokensOut := parseTokenCount(header.Get("X-Token-Count"))
+	c.pickRequest = pick.Request{
+		Route:     c.route,
+		Model:     header.Get("X-Model"),
+		TokensIn:  tokensIn,
+		TokensOut: tokensOut,
+		Prefix:    parsePromptParts(header.Get("X-Prompt-Prefix")),
+		TimeLeft:  time.Until(c.deadline),
+		Age:       time.Since(c.startedAt),
+	}
+	c.proxy.picker.Arrive(&c.pickRequest)
+}
+
+// targetOf returns the request target as it goes to a server, in origin form (RFC 9112, section 3.2.1), and its path. Both are
+// empty if the request has none.
 func targetOf(r *http.Request) (target, path string) {
-	if target = r.RequestURI; !strings.HasPrefix(target, "/") { // a proxy's form, with scheme and host, or none at all
-		if target = ""; strings.HasPrefix(r.URL.EscapedPath(), "/") {
+	target = r.RequestURI
+	if !strings.HasPrefix(target, "/") { // absolute form, or no path at all
+		target = ""
+		if strings.HasPrefix(r.URL.EscapedPath(), "/") {
 			target = r.URL.RequestURI()
 		}
 	}
@@ -75,23 +122,29 @@
 	return target, path
 }
 
-// checkHead tells the status that a request's head is answered with at once; 0: none.
+// checkHead returns the status with which a request is answered because of its head; 0: none.
 func checkHead(limits config.Limits, r *http.Request, route *config.Route, target string) int {
-	size := int64(len(r.Method) + len(r.RequestURI) + len(r.Host) + 24)
-	for name, values := range r.Header {
-		for _, v := range values {
-			size += int64(len(name) + len(v) + 4)
-		}
-	}
+	attemptIDs := r.Header[headerAttemptID]
 	switch {
-	case limits.HeaderBytes > 0 && size > limits.HeaderBytes:
+	case limits.HeaderBytes > 0 && headBytes(r) > limits.HeaderBytes:
 		return http.StatusRequestHeaderFieldsTooLarge
 	case route == nil || target == "":
 		return http.StatusNotFound
-	case r.Header.Get(headerAttemptID) == "" || len(r.Header[headerAttemptID]) > 1:
+	case len(attemptIDs) != 1 || attemptIDs[0] == "":
 		return http.StatusBadRequest
 	case limits.BodyBytes > 0 && r.ContentLength > limits.BodyBytes:
 		return http.StatusRequestEntityTooLarge
 	}
 	return 0
 }
+
+// headBytes is the size of a request's head as it came, but for the spelling of its lines.
+func headBytes(r *http.Request) int64 {
+	size := len(r.Method) + len(r.RequestURI) + len(r.Host) + requestLineOverheadBytes
+	for name, values := range r.Header {
+		for _, value := range values {
+			size += len(name) + len(value) + fieldOverheadBytes
+		}
+	}
+	return int64(size)
+}
--- a/internal/system/proxy/response.go
+++ b/internal/system/proxy/response.go
@@ -5,78 +5,80 @@
 	"io"
 	"net/http"
 	"strconv"
-	"time"
 
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
 const (
-	initialBufferBytes = 4 << 10   // bytes of an answer that are held at first, if its length is not known
-	maxBufferedBytes   = 256 << 10 // bytes of an answer that are held until it is whole, at the most
-	clientWriteTimeout = 10 * time.Second
-	relayBufferBytes   = 32 << 10 // bytes of a long answer that are passed on at once
+	// initialBufferBytes is the size of a response's first buffer if its length is not known.
+	initialBufferBytes = 4 << 10
+	// maxBufferedBytes bounds the bytes of a response that are buffered until it is complete.
+	maxBufferedBytes = 256 << 10
+	// relayBufferBytes is how much of a longer response is passed on at once.
+	relayBufferBytes = 32 << 10
 )
 
-var errClientGone = errors.New("the client takes no more")
-
-// bufferedResponse is one that is held whole.
+// bufferedResponse is a server's response of which the body, or its beginning, is in memory.
 type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// handleResponse passes on a proper answer, or goes by what it says. It tells whether the request has come to its end.
-func (c *clientRequest) handleResponse(choice pick.Choice, attempt *upstreamAttempt, resp *http.Response) bool {
-	status := resp.StatusCode
-	_, refused := resp.Header[headerNotExecuted]
+// handleResponse goes by a valid response: it passes it on, or keeps it for the case that no other server does better.
+func (c *clientRequest) handleResponse(attempt *upstreamAttempt) attemptResult {
+	resp := attempt.response
 	switch {
-	case refused || status == http.StatusMisdirectedRequest:
-		return c.handleRefusal(choice, attempt, resp)
-	case isSuccess(status) && isEventStream(resp):
-		return c.relayEvents(choice, attempt, resp)
-	case c.headSent: // only a stream can go on with one
+	case saysNotExecuted(resp) || resp.StatusCode == http.StatusMisdirectedRequest:
+		return c.handleRefusal(attempt)
+	case isSuccess(resp.StatusCode) && isEventStream(resp):
+		return c.relayEvents(attempt)
+	case c.headSent: // only an event stream can resume one
 		attempt.discard()
-		c.mayHaveRun = true
-		c.reportOutcome(choice, pick.ServerError)
-		return false
+		return c.handleServerError(attempt, nil)
 	}
-	buffered := &bufferedResponse{status: status, header: resp.Header}
-	var err error
-	var complete bool
-	if buffered.body, complete, err = c.bufferBody(resp); err != nil {
-		return c.handleFailure(choice, attempt, err)
+	body, complete, err := c.bufferBody(resp)
+	if err != nil {
+		return c.handleFailure(attempt, err)
 	}
-	// Danger: a status that promises more than the server has said is not passed on, nor is one too long to be held.
-	promised := promisesNotRun(status) && !c.proxy.options.TestingKnobs.PassUnfoundedPromises
-	if !complete && !promised {
-		return c.relayUnbuffered(choice, attempt, resp, buffered)
+	buffered := &bufferedResponse{status: resp.StatusCode, header: resp.Header, body: body}
+	// Danger: a status that promises more than the server has said is not passed on, nor is one too long to be buffered.
+	unfounded := promisesNotRun(resp.StatusCode) && !c.proxy.options.TestingKnobs.PassUnfoundedPromises
+	if !complete && !unfounded {
+		return c.relayUnbuffered(attempt, buffered)
 	}
 	if complete {
 		attempt.finish()
 	} else {
 		attempt.discard()
 	}
-	if status < 500 && !promised {
-		c.reportOutcome(choice, pick.Served)
-		c.proxy.counters.Served.Add(1)
-		buffered.sendTo(c)
-		return true
-	}
+	switch {
+	case unfounded:
+		return c.handleServerError(attempt, nil)
+	case resp.StatusCode >= http.StatusInternalServerError:
+		return c.handleServerError(attempt, buffered)
+	}
+	c.reportOutcome(attempt, pick.Served)
+	c.proxy.counters.Served.Add(1)
+	c.sendBuffered(buffered)
+	return requestDone
+}
+
+// handleServerError records a response that says that the server failed. The fallback replaces the one before; it may be nil.
+func (c *clientRequest) handleServerError(attempt *upstreamAttempt, fallback *bufferedResponse) attemptResult {
 	c.mayHaveRun = true
-	c.reportOutcome(choice, pick.ServerError)
-	if c.fallback = buffered; promised {
-		c.fallback = nil
-	}
-	return false
+	c.reportOutcome(attempt, pick.ServerError)
+	c.fallback = fallback
+	return tryNextServer
 }
 
-// handleRefusal takes in that the server did not run the request.
-func (c *clientRequest) handleRefusal(choice pick.Choice, attempt *upstreamAttempt, resp *http.Response) bool {
-	outcome, after := pick.NotExecuted, parseRetryAfter(resp.Header.Get("Retry-After"))
+// handleRefusal records that the server did not run the request.
+func (c *clientRequest) handleRefusal(attempt *upstreamAttempt) attemptResult {
+	resp := attempt.response
+	outcome, retryAfter := pick.NotExecuted, parseRetryAfter(resp.Header.Get("Retry-After"))
 	_, complete, err := c.bufferBody(resp)
 	switch {
-	case resp.StatusCode == http.StatusMisdirectedRequest: // another server lives there
+	case resp.StatusCode == http.StatusMisdirectedRequest: // another server lives at that address
 		outcome = pick.Misdirected
 		attempt.discard()
 		c.proxy.pools.closeIdle(attempt.pool)
@@ -85,39 +87,28 @@
 	default:
 		attempt.discard()
 	}
-	c.retryAfter = max(c.retryAfter, after)
-	c.proxy.picker.Done(choice.Ticket, outcome, after)
-	return false
+	c.retryAfter = max(c.retryAfter, retryAfter)
+	c.proxy.picker.Done(attempt.choice.Ticket, outcome, retryAfter)
+	return tryNextServer
 }
 
-// bufferBody reads an answer's body to its end, or until it is longer than is held, and tells whether it is whole. What it
-// books is given back with the call.
+// bufferBody reads a response's body until it is complete, or too long to be buffered, and reports whether it is complete. The
+// memory that it reserves is released with the request.
 func (c *clientRequest) bufferBody(resp *http.Response) (body []byte, complete bool, err error) {
-	if resp.ContentLength > maxBufferedBytes && c.request.Method != http.MethodHead {
+	hasBody := c.request.Method != http.MethodHead
+	if hasBody && resp.ContentLength > maxBufferedBytes {
 		return nil, false, nil
 	}
-	size := min(max(resp.ContentLength, 0)+1, initialBufferBytes) // one more, so that the end is seen
-	if resp.ContentLength > initialBufferBytes && resp.ContentLength <= maxBufferedBytes && c.request.Method != http.MethodHead {
-		size = resp.ContentLength + 1
-	}
-	if resp.ContentLength < 0 {
-		size = initialBufferBytes
-	}
+	size := firstBufferSize(resp.ContentLength, hasBody)
 	for {
 		if !c.proxy.memory.reserve(size) {
 			return body, false, nil
 		}
 		c.reservedBytes += size
 		body = append(make([]byte, 0, int64(cap(body))+size), body...)
-		for len(body) < cap(body) {
-			n, err := resp.Body.Read(body[len(body):cap(body)])
-			body = body[:len(body)+n]
-			if err == io.EOF {
-				return body, true, nil
-			}
-			if err != nil {
-				return nil, false, err
-			}
+		body, complete, err = fillBuffer(resp.Body, body)
+		if complete || err != nil {
+			return body, complete, err
 		}
 		if len(body) > maxBufferedBytes/2 {
 			return body, false, nil
@@ -126,60 +117,112 @@
 	}
 }
 
-// sendTo passes on an answer that is held whole.
-func (a *bufferedResponse) sendTo(proxied *clientRequest) {
-	length := int64(len(a.body))
-	if proxied.request.Method == http.MethodHead || a.status == http.StatusNoContent || a.status == http.StatusNotModified {
-		length = -1
-		if text := a.header.Get("Content-Length"); text != "" && a.status != http.StatusNoContent {
-			if n, err := strconv.ParseInt(text, 10, 64); err == nil {
-				length = n
-			}
-		}
+// firstBufferSize is the size in bytes of the first buffer for a response: one byte more than its length, so that the end is
+// seen. A length below 0 is not known.
+func firstBufferSize(length int64, hasBody bool) int64 {
+	switch {
+	case length < 0:
+		return initialBufferBytes
+	case hasBody && length > initialBufferBytes:
+		return length + 1
 	}
-	proxied.sendHead(a.status, a.header, length)
-	if len(a.body) > 0 {
-		if err := proxied.writeToClient(a.body); err != nil {
-			proxied.abortConn(true)
+	return min(length+1, initialBufferBytes)
+}
+
+// fillBuffer reads until the capacity of the buffer is used or the source ends, and reports whether it has ended.
+func fillBuffer(source io.Reader, buffer []byte) (filled []byte, ended bool, err error) {
+	for len(buffer) < cap(buffer) {
+		count, err := source.Read(buffer[len(buffer):cap(buffer)])
+		buffer = buffer[:len(buffer)+count]
+		if errors.Is(err, io.EOF) {
+			return buffer, true, nil
+		}
+		if err != nil {
+			return nil, false, err
 		}
 	}
+	return buffer, false, nil
+}
+
+// sendBuffered passes on a response that is buffered completely.
+func (c *clientRequest) sendBuffered(buffered *bufferedResponse) {
+	c.sendHead(buffered.status, buffered.header, c.announcedLength(buffered))
+	if len(buffered.body) == 0 {
+		return
+	}
+	if err := c.writeToClient(buffered.body); err != nil {
+		c.abortConn(dropUnsent)
+	}
 }
 
-// relayUnbuffered passes on an answer that is too long to be held.
-func (c *clientRequest) relayUnbuffered(choice pick.Choice, attempt *upstreamAttempt, resp *http.Response, buffered *bufferedResponse) bool {
+// announcedLength is the Content-Length with which a buffered response is passed on; unknownLength: none. A response without a
+// body may announce the length that another one would have (RFC 9110, section 8.6).
+func (c *clientRequest) announcedLength(buffered *bufferedResponse) int64 {
+	switch {
+	case buffered.status == http.StatusNoContent:
+		return unknownLength
+	case c.request.Method != http.MethodHead && buffered.status != http.StatusNotModified:
+		return int64(len(buffered.body))
+	}
+	length, err := strconv.ParseInt(buffered.header.Get("Content-Length"), 10, 64)
+	if err != nil {
+		return unknownLength
+	}
+	return length
+}
+
+// relayUnbuffered passes on a response that is too long to be buffered, of which the beginning is.
+func (c *clientRequest) relayUnbuffered(attempt *upstreamAttempt, beginning *bufferedResponse) attemptResult {
 	attempt.silenceTimeout = 0
-	c.sendHead(buffered.status, buffered.header, resp.ContentLength)
-	err := c.writeToClient(buffered.body)
+	c.sendHead(beginning.status, beginning.header, attempt.response.ContentLength)
+	err := c.writeToClient(beginning.body)
+	if err == nil {
+		err = c.relayBody(attempt.response.Body)
+	}
+	if err != nil {
+		return c.handleRelayFailure(attempt, err)
+	}
+	return c.finishRelay(attempt)
+}
+
+// relayBody passes bytes on until the source ends. It fails with errClientGone and with the errors of the source.
+func (c *clientRequest) relayBody(source io.Reader) error {
 	buffer := make([]byte, relayBufferBytes)
-	for err == nil {
-		var n int
-		n, err = resp.Body.Read(buffer)
-		if n > 0 {
-			if e := c.writeToClient(buffer[:n]); e != nil {
-				err = e
+	for {
+		count, err := source.Read(buffer)
+		if count > 0 {
+			if err := c.writeToClient(buffer[:count]); err != nil {
+				return err
 			}
 		}
+		if errors.Is(err, io.EOF) {
+			return nil
+		}
+		if err != nil {
+			return err
+		}
 	}
-	if err == io.EOF {
-		attempt.finish()
-		c.reportOutcome(choice, pick.Served)
-		c.proxy.counters.Served.Add(1)
-		return true
-	}
-	return c.handleRelayFailure(choice, attempt, err)
 }
 
-// handleRelayFailure ends an answer that was cut while it was passed on and cannot go on.
-func (c *clientRequest) handleRelayFailure(choice pick.Choice, attempt *upstreamAttempt, err error) bool {
+// finishRelay ends an attempt whose response has gone to the client completely.
+func (c *clientRequest) finishRelay(attempt *upstreamAttempt) attemptResult {
+	attempt.finish()
+	c.reportOutcome(attempt, pick.Served)
+	c.proxy.counters.Served.Add(1)
+	return requestDone
+}
+
+// handleRelayFailure ends a response that was truncated while it was passed on and cannot be resumed.
+func (c *clientRequest) handleRelayFailure(attempt *upstreamAttempt, err error) attemptResult {
 	if !errors.Is(err, errClientGone) {
-		c.handleFailure(choice, attempt, err)
+		c.handleFailure(attempt, err)
 		c.proxy.counters.Truncated.Add(1)
-		c.abortConn(false)
-		return true
+		c.abortConn(deliverUnsent)
+		return requestDone
 	}
 	attempt.discard()
-	c.reportOutcome(choice, pick.Canceled)
+	c.reportOutcome(attempt, pick.Canceled)
 	c.proxy.counters.ClientGone.Add(1)
-	c.abortConn(true)
-	return true
+	c.abortConn(dropUnsent)
+	return requestDone
 }
--- a/internal/system/proxy/upstreamhead.go
+++ b/internal/system/proxy/upstreamhead.go
@@ -7,7 +7,14 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// appendHead appends the request as the server gets it, and tells what of the body follows in a write of its own.
+const (
+	// typicalHeadBytes is the size of a buffer that most heads fit.
+	typicalHeadBytes = 2 << 10
+	// maxJoinedBodyBytes bounds the body that goes out in one write with its head.
+	maxJoinedBodyBytes = 8 << 10
+)
+
+// appendHead appends the request as it goes to a server, with a short body, and returns a longer body for a write of its own.
 func (c *clientRequest) appendHead(b []byte, choice pick.Choice) (head, rest []byte) {
 	b = append(b, c.request.Method...)
 	b = append(b, ' ')
@@ -15,24 +22,9 @@
 	b = append(b, " HTTP/1.1\r\nHost: "...)
 	b = append(b, c.request.Host...)
 	b = append(b, "\r\n"...)
-	names := connectionHeaders(c.request.Header)
-	for name, values := range c.request.Header {
-		switch name {
-		case "Content-Length", "Expect", headerTimeLeft, headerTargetInstance, "Priority", "Host":
-			continue
-		case headerLastEventID:
-			if c.headSent {
-				continue
-			}
-		}
-		if isForwarded(name, names) {
-			for _, v := range values {
-				b = appendField(b, name, v)
-			}
-		}
-	}
-	left := max(time.Until(c.deadline).Milliseconds(), 1)
-	b = appendField(b, headerTimeLeft, strconv.FormatInt(left, 10))
+	b = c.appendForwarded(b)
+	timeLeftMS := max(time.Until(c.deadline).Milliseconds(), 1)
+	b = appendField(b, headerTimeLeft, strconv.FormatInt(timeLeftMS, 10))
 	b = appendField(b, headerTargetInstance, choice.Server.ID)
 	b = appendField(b, "Priority", strconv.Itoa(choice.Priority))
 	if c.headSent && c.lastEventID != "" {
@@ -48,6 +40,31 @@
 	return b, c.body
 }
 
+// appendForwarded appends the client's fields, but for those of its connection and those that the proxy sets itself.
+func (c *clientRequest) appendForwarded(b []byte) []byte {
+	named := connectionHeaders(c.request.Header)
+	for name, values := range c.request.Header {
+		if c.replacesHeader(name) || !isForwarded(name, named) {
+			continue
+		}
+		for _, value := range values {
+			b = appendField(b, name, value)
+		}
+	}
+	return b
+}
+
+// replacesHeader reports whether the proxy sets a header itself, or leaves it out.
+func (c *clientRequest) replacesHeader(name string) bool {
+	switch name {
+	case "Content-Length", "Expect", headerTimeLeft, headerTargetInstance, "Priority", "Host":
+		return true
+	case headerLastEventID:
+		return c.headSent
+	}
+	return false
+}
+
 func appendField(b []byte, name, value string) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
--- a/internal/system/proxy/validate.go
+++ b/internal/system/proxy/validate.go
@@ -5,32 +5,59 @@
 	"net/http"
 )
 
-// validateResponse tells whether a head is that of a server's answer to this request.
-func (c *clientRequest) validateResponse(attempt *upstreamAttempt, resp *http.Response) error {
-	id, ok := resp.Header[headerAttemptID]
-	mismatched := len(id) > 1 || ok && id[0] != c.attemptID
-	// Danger: a surplus answer to an earlier request may lie where this one's is due; only its id tells. The first answer on
-	// a connection can be no such one.
-	mismatched = mismatched || !ok && (!attempt.freshConn || isSuccess(resp.StatusCode))
-	mismatched = mismatched && !c.proxy.options.TestingKnobs.SkipAttemptIDCheck
-	if isSuccess(resp.StatusCode) {
-		_, refused := resp.Header[headerNotExecuted] // a success that did not run: neither is believed
-		mismatched = mismatched || refused || resp.Header.Get(headerServerSeal) == "" && !c.proxy.options.TestingKnobs.SkipSealCheck || resp.Header.Get("Content-Encoding") != ""
-	}
-	if mismatched {
+// validateResponse checks that the head which an attempt read is that of its server's response to this request, and that the
+// end of the body can be recognized. It fails with errInvalidResponse.
+func (c *clientRequest) validateResponse(attempt *upstreamAttempt) error {
+	resp := attempt.response
+	if !c.belongsToRequest(attempt) || isSuccess(resp.StatusCode) && !c.vouchedFor(resp) {
 		c.proxy.counters.Mismatch.Add(1)
 		return errInvalidResponse
 	}
-	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && !attempt.headRequest && !c.proxy.options.TestingKnobs.AcceptUnframed {
-		c.proxy.counters.Unframed.Add(1) // its end would be that of the connection, whole or not
+	if endsWithConn(resp, attempt.headRequest) && !c.proxy.options.TestingKnobs.AcceptUnframed {
+		c.proxy.counters.Unframed.Add(1) // a truncated one could not be told from a complete one
 		return errInvalidResponse
 	}
 	return nil
 }
 
-func isSuccess(status int) bool { return status >= 200 && status < 300 }
+// belongsToRequest reports whether a response echoes the X-Attempt-Id of its request. Danger: a surplus response to an earlier
+// request may come where this one is due, and only its id tells. A failure without an id is believed as the first response of
+// its connection, as that can be no earlier request's.
+func (c *clientRequest) belongsToRequest(attempt *upstreamAttempt) bool {
+	if c.proxy.options.TestingKnobs.SkipAttemptIDCheck {
+		return true
+	}
+	echoed := attempt.response.Header[headerAttemptID]
+	if len(echoed) == 0 {
+		return attempt.freshConn && !isSuccess(attempt.response.StatusCode)
+	}
+	return len(echoed) == 1 && echoed[0] == c.attemptID
+}
+
+// vouchedFor reports whether a success bears the server's seal and nothing that contradicts it: one that says that the request
+// did not run is not believed in either respect.
+func (c *clientRequest) vouchedFor(resp *http.Response) bool {
+	isSealed := resp.Header.Get(headerServerSeal) != "" || c.proxy.options.TestingKnobs.SkipSealCheck
+	isEncoded := resp.Header.Get("Content-Encoding") != ""
+	return isSealed && !isEncoded && !saysNotExecuted(resp)
+}
+
+// endsWithConn reports whether a response's body has no end but that of its connection (RFC 9112, section 6.3).
+func endsWithConn(resp *http.Response, headRequest bool) bool {
+	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && !headRequest
+}
+
+func isSuccess(status int) bool {
+	return status >= http.StatusOK && status < http.StatusMultipleChoices
+}
+
+// saysNotExecuted reports whether a server says by X-Not-Executed that it did not run the request.
+func saysNotExecuted(resp *http.Response) bool {
+	_, ok := resp.Header[headerNotExecuted]
+	return ok
+}
 
-// promisesNotRun tells whether a status promises that the request has not run.
+// promisesNotRun reports whether a status promises the client that its request has not run.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -40,6 +67,6 @@
 }
 
 func isEventStream(resp *http.Response) bool {
-	kind, _, err := mime.ParseMediaType(resp.Header.Get("Content-Type"))
-	return err == nil && kind == "text/event-stream"
+	mediaType, _, err := mime.ParseMediaType(resp.Header.Get("Content-Type"))
+	return err == nil && mediaType == "text/event-stream"
 }
