--- a/internal/system/proxy/attempt.go
+++ b/internal/system/proxy/attempt.go
@@ -170,7 +170,7 @@
 // it is read from.
 func (a *upstreamAttempt) readHead(method string) error {
 	for range maxInterimResponses {
-		resp, err := http.ReadResponse(a.reader, &http.Request{Method: method})
+		resp, err := http.ReadResponse(a.reader, &http.Request{Method: method}) //nolint:bodyclose // the attempt owns the connection
 		if err != nil {
 			return err
 		}
--- a/internal/system/proxy/handoff.go
+++ b/internal/system/proxy/handoff.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// handoffListener is a listener for connections that have been accepted elsewhere.
+// handoffListener is a listener of connections that were accepted elsewhere.
 type handoffListener struct {
 	address   net.Addr
 	conns     chan net.Conn
@@ -13,14 +13,14 @@
 	closeOnce sync.Once
 }
 
-func newHandoffListener(a net.Addr) *handoffListener {
-	return &handoffListener{address: a, conns: make(chan net.Conn), closed: make(chan struct{})}
+func newHandoffListener(address net.Addr) *handoffListener {
+	return &handoffListener{address: address, conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// offer hands a connection over, and tells whether it was taken.
-func (h *handoffListener) offer(c net.Conn) bool {
+// offer hands a connection to the next Accept, and reports false if the listener is closed before.
+func (h *handoffListener) offer(conn net.Conn) bool {
 	select {
-	case h.conns <- c:
+	case h.conns <- conn:
 		return true
 	case <-h.closed:
 		return false
@@ -32,8 +32,8 @@
 // Accept implements net.Listener.
 func (h *handoffListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-h.conns:
-		return c, nil
+	case conn := <-h.conns:
+		return conn, nil
 	case <-h.closed:
 		return nil, net.ErrClosed
 	}
--- a/internal/system/proxy/serve.go
+++ b/internal/system/proxy/serve.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"io"
-	stdlog "log"
 	"net"
 	"os"
 	"sync"
@@ -14,103 +12,131 @@
 	"gradeusher.example/gradeusher/internal/framing"
 )
 
-// maxAcceptRounds bounds how long connections that keep coming hold a planned end up.
-const maxAcceptRounds = 8
+const (
+	// maxAcceptRounds bounds for how long connections that keep coming delay the end of accepting.
+	maxAcceptRounds = 8
+	// acceptBackoff is the wait after an accept that failed.
+	acceptBackoff = 20 * time.Millisecond
+	// capacityPollInterval is how often a full proxy looks for a connection that has become idle.
+	capacityPollInterval = 100 * time.Millisecond
+)
 
-// discardLog drops what net/http says about single connections: the counters tell.
-var discardLog = stdlog.New(io.Discard, "", 0)
+// ErrListener marks the errors of a listener that cannot be served.
+var ErrListener = errors.New("give a TCP listener that is open")
 
-// Serve takes clients' connections from a TCP listener until Drain has ended or ctx is done, closes the listener, and
-// returns when everything that it started has ended. It may be called once. It fails with ErrListener.
+// Serve accepts clients' connections from a TCP listener until Drain has ended or ctx is done, closes the listener, and
+// returns when everything that it started has ended. It may be called once. Its errors are ErrListener by errors.Is.
 func (p *Proxy) Serve(ctx context.Context, listener net.Listener) error {
 	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
 		return errors.Mark(errors.Newf("a listener of type %T: give a TCP listener", listener), ErrListener)
 	}
-	f := p.clients
-	defer close(f.serveDone)
-	defer f.shutdown()
-	defer tcp.Close()
-	f.mu.Lock()
-	f.listener = tcp
-	f.mu.Unlock()
-	if f.draining.Load() { // Drain may not have seen the listener
+	defer close(p.clients.serveDone)
+	defer p.clients.shutdown()
+	defer func() { _ = tcp.Close() }()
+	p.clients.setListener(tcp)
+	if p.clients.draining.Load() { // Drain may not have seen the listener
 		return nil
 	}
-	unwatch := context.AfterFunc(ctx, func() { _ = tcp.Close() })
-	defer unwatch()
+	stopWatching := context.AfterFunc(ctx, func() { _ = tcp.Close() })
+	defer stopWatching()
 	defer p.watchStalls(ctx)()
-	rounds, taken := 0, false // of looking for connections left waiting, once a planned end has told to stop
-	failed := false
-	for {
-		if !f.awaitCapacity(ctx) {
-			return nil
-		}
-		c, err := tcp.AcceptTCP()
-		failing := failed
-		failed = false
+	acceptor := &acceptor{clients: p.clients, listener: tcp}
+	return acceptor.run(ctx)
+}
+
+// acceptor is the loop that accepts connections. Once the proxy is draining, Drain sets a deadline for the listener.
+type acceptor struct {
+	clients  *clientListener
+	listener *net.TCPListener
+	rounds   int  // of looking for waiting connections, since the deadline of Drain
+	accepted bool // a connection has come in the current round
+	failing  bool // the last accept failed
+	done     bool // no more connections are accepted
+}
+
+// run accepts until the listener is closed or drained, or ctx is done. Its errors are ErrListener by errors.Is.
+func (a *acceptor) run(ctx context.Context) error {
+	for !a.done && a.clients.awaitCapacity(ctx) {
+		conn, err := a.listener.AcceptTCP()
+		wasFailing := a.failing
+		a.failing = false
 		switch {
 		case err == nil:
-			taken = true
-			if raw, err := c.SyscallConn(); err == nil {
-				_ = setUnackedTimeout(raw)
-			}
-			f.handOff(framing.NewClientConn(c, maxHeadBytes, &p.counters.Rejected))
+			a.accept(conn)
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			// Danger: a deadline can pass with connections waiting, and closing the listener resets them.
-			if rounds > 0 && !taken || rounds == maxAcceptRounds {
-				_ = tcp.Close()
-				f.awaitConnsClosed(ctx)
-				return nil
-			}
-			rounds, taken = rounds+1, false
-			if err := tcp.SetDeadline(time.Now().Add(minIdleBeforeClose)); err != nil {
-				return nil
-			}
+			a.endRound(ctx)
 		case errors.Is(err, net.ErrClosed):
 			if ctx.Err() != nil {
 				return nil
 			}
 			return errors.Mark(errors.Wrap(err, "the listener was closed by others"), ErrListener)
 		default: // descriptors are short, or the client has gone
-			if failed = true; !failing {
-				p.options.Log.WithError(err).Warn("proxy: a connection could not be taken")
+			a.failing = true
+			if !wasFailing {
+				a.clients.proxy.options.Log.WithError(err).Warn("proxy: a connection could not be accepted")
 			}
 			sleep(ctx, acceptBackoff)
 		}
 	}
+	return nil
+}
+
+// accept takes a connection in.
+func (a *acceptor) accept(conn *net.TCPConn) {
+	a.accepted = true
+	if raw, err := conn.SyscallConn(); err == nil {
+		_ = setUnackedTimeout(raw)
+	}
+	a.clients.serveConn(framing.NewClientConn(conn, maxHeadBytes, &a.clients.proxy.counters.Rejected))
+}
+
+// endRound goes by the passing of the listener's deadline: it accepts for a moment longer, or ends. Danger: a deadline can pass
+// with connections waiting, and closing the listener resets them, so it is closed only after a round in which none came.
+func (a *acceptor) endRound(ctx context.Context) {
+	quietRound := a.rounds > 0 && !a.accepted
+	if quietRound || a.rounds == maxAcceptRounds {
+		_ = a.listener.Close()
+		a.clients.awaitConnsClosed(ctx)
+		a.done = true
+		return
+	}
+	a.rounds, a.accepted = a.rounds+1, false
+	listenerClosed := a.listener.SetDeadline(time.Now().Add(minIdleBeforeClose)) != nil
+	a.done = listenerClosed
 }
 
-// awaitCapacity waits until one more connection may be taken, and tells whether one may before ctx is done.
-func (f *clientListener) awaitCapacity(ctx context.Context) bool {
-	for f.connCount() >= f.maxConns {
-		if f.closeLongestIdle(time.Now()) {
+// awaitCapacity waits until one more connection may be accepted, and reports false if ctx is done before.
+func (l *clientListener) awaitCapacity(ctx context.Context) bool {
+	for l.conns.count() >= l.maxConns {
+		if l.conns.closeLongestIdle() {
 			continue
 		}
 		select {
 		case <-ctx.Done():
 			return false
-		case <-f.connsChanged:
-		case <-time.After(drainPollInterval): // one may have become idle
+		case <-l.conns.changed:
+		case <-time.After(capacityPollInterval):
 		}
 	}
 	return ctx.Err() == nil
 }
 
-func sleep(ctx context.Context, d time.Duration) {
+// sleep waits for a duration or until ctx is done.
+func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(d):
+	case <-time.After(duration):
 	}
 }
 
-// watchStalls has stalls of the process noticed until the returned function is called.
+// watchStalls has stalls of the process detected until the returned function is called.
 func (p *Proxy) watchStalls(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
-	var watch sync.WaitGroup
-	watch.Go(func() { p.picker.watchStalls(ctx) })
+	var watching sync.WaitGroup
+	watching.Go(func() { p.picker.watchStalls(ctx) })
 	return func() {
 		cancel()
-		watch.Wait()
+		watching.Wait()
 	}
 }
