--- a/internal/system/proxy/dial.go
+++ b/internal/system/proxy/dial.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"net"
 	"syscall"
 	"time"
@@ -9,56 +10,62 @@
 	"golang.org/x/sys/unix"
 )
 
-// dialTCP opens a TCP connection within a time, which is over 0.
-func dialTCP(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
-	if within <= 0 {
+// unackedTimeout is how long data may wait for an acknowledgement of the peer's machine before the system breaks the connection.
+const unackedTimeout = 10 * time.Second
+
+// dialTCP opens a TCP connection within a timeout. It fails with errDeadlinePassed if that is not above 0.
+func dialTCP(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
+	if timeout <= 0 {
 		return nil, errDeadlinePassed
 	}
-	d := net.Dialer{Timeout: within, KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
-		return setUnackedTimeout(raw)
-	}}
-	return d.DialContext(ctx, "tcp4", address)
+	dialer := net.Dialer{
+		Timeout:   timeout,
+		KeepAlive: -1,
+		Control:   func(_, _ string, raw syscall.RawConn) error { return setUnackedTimeout(raw) },
+	}
+	return dialer.DialContext(ctx, "tcp4", address)
 }
 
-// setUnackedTimeout has the system break a connection whose peer's machine acknowledges nothing. A system that cannot is not at
-// fault: every wait here is bounded besides.
+// setUnackedTimeout has the system break a connection whose peer's machine acknowledges nothing (TCP_USER_TIMEOUT, RFC 5482). A
+// system that has no such option is not at fault, as every wait of the proxy is bounded besides.
 func setUnackedTimeout(raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
 }
 
-// idleCondition is what a look at an idle connection finds.
+// idleCondition is what an inspection of an idle connection finds.
 type idleCondition int
 
 const (
 	idleSound   idleCondition = iota // nothing has come
-	idleSurplus                      // bytes that nobody asked for
-	idleClosed                       // closed or broken
+	idleSurplus                      // bytes that no request asked for
+	idleClosed                       // by the server, or broken
 )
 
-// inspectIdle looks whether an idle connection has ended, or bytes have come on it. It does not wait.
-func inspectIdle(c *net.TCPConn) idleCondition {
-	if c == nil {
+// inspectIdle looks whether an idle connection has ended or bytes have come on it. It does not wait.
+func inspectIdle(conn *net.TCPConn) idleCondition {
+	if conn == nil {
 		return idleSound
 	}
-	found := idleClosed
-	raw, err := c.SyscallConn()
+	raw, err := conn.SyscallConn()
 	if err != nil {
 		return idleClosed
 	}
+	condition := idleClosed
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		switch n, err := unix.Read(int(fd), one[:]); {
-		case n > 0:
-			found = idleSurplus
-		case err == unix.EAGAIN || err == unix.EINTR:
-			found = idleSound
+		var first [1]byte
+		count, err := unix.Read(int(fd), first[:])
+		switch {
+		case count > 0:
+			condition = idleSurplus
+		case errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR):
+			condition = idleSound
 		}
 		return true
 	})
 	if err != nil {
 		return idleClosed
 	}
-	return found
+	return condition
 }
--- a/internal/system/proxy/pools.go
+++ b/internal/system/proxy/pools.go
@@ -9,239 +9,287 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/framing"
+	"gradeusher.example/gradeusher/internal/system/config"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
 const (
 	sameRegionDialTimeout  = 250 * time.Millisecond
 	crossRegionDialTimeout = 600 * time.Millisecond
-	minIdleTimeout         = 250 * time.Millisecond // and at least so long
-	minIdleConns           = 4                      // idle connections to a server, whatever the number of proxies
-	sweepInterval          = 2 * time.Second        // how often connections that idled too long are looked for
-	maxHeadBytes           = 64<<10 + 8192          // bytes of a head that are looked at, of requests and answers
-	unackedTimeout         = 10 * time.Second       // what a peer's machine does not acknowledge for so long breaks the connection
-	readerBufferBytes      = 4 << 10
+	// minIdleTimeout is the least time for which connections to servers may be idle.
+	minIdleTimeout = 250 * time.Millisecond
+	// minIdleConns is the least bound of idle connections to a server, whatever the number of proxies.
+	minIdleConns = 4
+	// sweepInterval is how often connections are looked for that have been idle for too long.
+	sweepInterval = 2 * time.Second
+	// maxHeadBytes bounds the heads of requests and responses; net/http reads a little more than maxRequestHeadBytes.
+	maxHeadBytes      = maxRequestHeadBytes + 8<<10
+	readerBufferBytes = 4 << 10
 )
 
 var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readerBufferBytes) }}
 
-// upstreamPools holds the connections to the servers, a pool for each incarnation.
+// connectFunc opens a connection to an address within a timeout.
+type connectFunc func(ctx context.Context, address string, timeout time.Duration) (net.Conn, error)
+
+// upstreamPools owns the connections to servers, in a pool for each incarnation of a server. It is safe for concurrent use.
 type upstreamPools struct {
-	start              time.Time // moments are counted from it
-	connect            func(ctx context.Context, address string, within time.Duration) (net.Conn, error)
-	sameRegionTimeout  time.Duration // a connection within the region comes up within it
-	crossRegionTimeout time.Duration // to another region
-	region             string
-	regionOfZone       map[string]string // zone to region
+	start              time.Time // moments are durations after it
+	connect            connectFunc
+	sameRegionTimeout  time.Duration // of a dial within the proxy's region
+	crossRegionTimeout time.Duration // of a dial to another region
+	region             string        // the proxy's own
+	regionOfZone       map[string]string
 	counters           *Counters
 	knobs              TestingKnobs
 
 	mu           sync.Mutex
-	pools        map[string]*serverPool   // by the server's id
-	idleTimeouts map[string]time.Duration // by service: how long servers keep idle connections, halved
-	maxIdleConns map[string]int           // by service: idle connections to a server
-	sweepTimer   *time.Timer              // nil: no connection idles
+	pools        map[string]*serverPool   // by server id
+	idleTimeouts map[string]time.Duration // by service: for how long its servers keep idle connections, halved
+	maxIdleConns map[string]int           // by service: of one server
+	sweepTimer   *time.Timer              // nil: no connection is idle
 }
 
 // serverPool is the connections to one incarnation of a server.
 type serverPool struct {
 	id, service, address string
 	crossRegion          bool
-	removed              bool          // no longer listed
-	idle                 []*serverConn // the most recently used last
-	lastContact          atomic.Int64  // when bytes last came from it, in nanoseconds after start
+	lastContact          atomic.Int64 // when bytes last came from the server; nanoseconds after upstreamPools.start
+
+	// Under the lock of upstreamPools.
+	removed bool          // the server is no longer listed
+	idle    []*serverConn // the most recently used last
 }
 
-// serverConn is a connection to a server. One exchange has it at a time.
+// serverConn is a connection to a server. One attempt owns it, or its pool.
 type serverConn struct {
 	*framing.ServerConn
-	tcp           *net.TCPConn // nil: no socket
-	fresh         bool         // no answer has come on it
-	lastAttemptID string       // of the request that was answered last on it
-	idleSince     time.Duration
+	tcp           *net.TCPConn  // nil where a test connects by a pipe
+	fresh         bool          // no response has come on it
+	lastAttemptID string        // of the request that was answered last on it
+	idleSince     time.Duration // after upstreamPools.start
 }
 
-func newUpstreamPools(s pick.Settings, c *Counters) *upstreamPools {
-	return &upstreamPools{start: time.Now(), connect: dialTCP, sameRegionTimeout: sameRegionDialTimeout, crossRegionTimeout: crossRegionDialTimeout, region: s.Region, regionOfZone: s.Regions, counters: c, pools: map[string]*serverPool{},
-		idleTimeouts: map[string]time.Duration{}, maxIdleConns: map[string]int{}}
+func newUpstreamPools(settings pick.Settings, counters *Counters) *upstreamPools {
+	return &upstreamPools{
+		start:              time.Now(),
+		connect:            dialTCP,
+		sameRegionTimeout:  sameRegionDialTimeout,
+		crossRegionTimeout: crossRegionDialTimeout,
+		region:             settings.Region,
+		regionOfZone:       settings.Regions,
+		counters:           counters,
+		pools:              map[string]*serverPool{},
+		idleTimeouts:       map[string]time.Duration{},
+		maxIdleConns:       map[string]int{},
+	}
 }
 
+// now is the monotonic time since start.
 func (u *upstreamPools) now() time.Duration { return time.Since(u.start) }
 
-// applyUpdate takes in which servers there are. Danger: idle connections to a server that is gone swallow the next requests.
-func (u *upstreamPools) applyUpdate(w pick.ClusterState) {
+// applyUpdate replaces the servers and the configuration. Danger: idle connections to a server that is gone swallow the next
+// requests, so the pools of servers that are no longer listed, or have moved, are removed.
+func (u *upstreamPools) applyUpdate(state pick.ClusterState) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	listed := make(map[string]bool, len(w.Servers))
-	for _, s := range w.Servers {
-		listed[s.ID] = true
-		if p := u.pools[s.ID]; p != nil && p.address != s.Address {
-			u.removePool(p)
-		}
+	u.removeUnlisted(state.Servers)
+	if state.Config != nil {
+		u.applyConfig(state.Config, max(len(state.Peers), 1))
 	}
-	for id, p := range u.pools {
-		if !listed[id] {
-			u.removePool(p)
-		}
+}
+
+// removeUnlisted removes the pools of servers that are not listed with their address. The caller holds the lock.
+func (u *upstreamPools) removeUnlisted(servers []pick.Server) {
+	addresses := make(map[string]string, len(servers))
+	for _, server := range servers {
+		addresses[server.ID] = server.Address
 	}
-	if w.Config == nil {
-		return
+	for id, pool := range u.pools {
+		if address, listed := addresses[id]; !listed || address != pool.address {
+			u.removePool(pool)
+		}
 	}
+}
+
+// applyConfig divides the services' connections among the proxies. The caller holds the lock.
+func (u *upstreamPools) applyConfig(config *config.Config, proxies int) {
 	for name := range u.idleTimeouts {
-		if w.Config.Services[name] == nil {
+		if config.Services[name] == nil {
 			delete(u.idleTimeouts, name)
 		}
 	}
 	clear(u.maxIdleConns)
-	for name, s := range w.Config.Services {
-		u.maxIdleConns[name] = max(s.MaxConns/max(len(w.Peers), 1), minIdleConns)
+	for name, service := range config.Services {
+		u.maxIdleConns[name] = max(service.MaxConns/proxies, minIdleConns)
 	}
 }
 
-// removePool forgets a pool. Connections that are in use end with their exchange.
-func (u *upstreamPools) removePool(p *serverPool) {
-	p.removed = true
-	closeConns(&p.idle)
-	if u.pools[p.id] == p {
-		delete(u.pools, p.id)
-	}
+// removePool forgets a pool. Connections that are in use end with their attempts. The caller holds the lock.
+func (u *upstreamPools) removePool(pool *serverPool) {
+	pool.removed = true
+	pool.closeIdle()
+	delete(u.pools, pool.id)
 }
 
-func closeConns(conns *[]*serverConn) {
-	for _, c := range *conns {
-		_ = c.Close()
+// closeIdle closes the idle connections. The caller holds the lock.
+func (p *serverPool) closeIdle() {
+	for _, conn := range p.idle {
+		_ = conn.Close()
 	}
-	*conns = nil
+	p.idle = nil
 }
 
-// poolOf is that of a server.
-func (u *upstreamPools) poolOf(s pick.Server) *serverPool {
+// poolOf returns the pool of a server.
+func (u *upstreamPools) poolOf(server pick.Server) *serverPool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	p := u.pools[s.ID]
-	if p == nil {
-		region := s.Region
-		if region == "" {
-			region = u.regionOfZone[s.Zone]
-		}
-		p = &serverPool{id: s.ID, service: s.Service, address: s.Address, crossRegion: region != u.region}
-		u.pools[s.ID] = p
+	if pool := u.pools[server.ID]; pool != nil {
+		return pool
+	}
+	region := server.Region
+	if region == "" {
+		region = u.regionOfZone[server.Zone]
 	}
-	return p
+	pool := &serverPool{id: server.ID, service: server.Service, address: server.Address, crossRegion: region != u.region}
+	u.pools[server.ID] = pool
+	return pool
 }
 
-// idleTimeout is for how long connections to servers of a service may idle. The caller holds the lock.
+// idleTimeout is for how long connections to servers of a service may be idle. The caller holds the lock.
 func (u *upstreamPools) idleTimeout(service string) time.Duration {
-	if d := u.idleTimeouts[service]; d > 0 {
-		return d
+	if timeout := u.idleTimeouts[service]; timeout > 0 {
+		return timeout
 	}
 	return pick.DefaultIdleTimeout
 }
 
-// observeIdleTimeout takes in for how long servers of a service keep idle connections.
-func (u *upstreamPools) observeIdleTimeout(service string, d time.Duration) {
+// observeIdleTimeout records for how long servers of a service keep idle connections, as one announced or showed. Only
+// shorter times than those before count.
+func (u *upstreamPools) observeIdleTimeout(service string, kept time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.idleTimeouts[service] = max(min(pick.IdleTimeout(d), u.idleTimeout(service)), minIdleTimeout)
+	u.idleTimeouts[service] = max(min(pick.IdleTimeout(kept), u.idleTimeout(service)), minIdleTimeout)
 }
 
-// takeIdle is an idle connection that looks sound, nil if there is none, and how long one had idled that was found closed by
-// its server. Danger: a surplus answer to a request of the same id could not be told from the answer, so a connection that
-// answered one last is not used.
-func (u *upstreamPools) takeIdle(p *serverPool, id string) (*serverConn, time.Duration) {
+// takeIdle returns an idle connection that looks sound, or nil, and for how long a connection had been idle that its server
+// was found to have closed; 0: none. Danger: a surplus response to a request of the same id could not be told from the
+// response, so a connection that answered that id last is not used.
+func (u *upstreamPools) takeIdle(pool *serverPool, attemptID string) (conn *serverConn, staleAge time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	now, maxAge := u.now(), u.idleTimeout(p.service)
-	var stale time.Duration
-	for len(p.idle) > 0 {
-		last := len(p.idle) - 1
-		conn := p.idle[last]
-		p.idle[last], p.idle = nil, p.idle[:last]
+	now, maxAge := u.now(), u.idleTimeout(pool.service)
+	for len(pool.idle) > 0 {
+		conn := pool.popIdle()
 		age := now - conn.idleSince
 		if age > maxAge { // and so are all the others
 			_ = conn.Close()
-			closeConns(&p.idle)
+			pool.closeIdle()
 			break
 		}
-		if conn.lastAttemptID == id {
+		if conn.lastAttemptID == attemptID {
 			_ = conn.Close()
 			continue
 		}
-		if u.knobs.SkipIdleInspection {
-			return conn, stale
+		condition := u.inspect(conn)
+		if condition == idleSound {
+			return conn, staleAge
 		}
-		switch inspectIdle(conn.tcp) {
-		case idleSound:
-			return conn, stale
-		case idleSurplus:
-			u.counters.Surplus.Add(1)
-		default:
-			u.counters.Stale.Add(1)
-			stale = age
+		if condition == idleClosed {
+			staleAge = age
 		}
 		_ = conn.Close()
 	}
-	return nil, stale
+	return nil, staleAge
+}
+
+// popIdle takes the connection that was used most recently. The caller holds the lock.
+func (p *serverPool) popIdle() *serverConn {
+	last := len(p.idle) - 1
+	conn := p.idle[last]
+	p.idle[last], p.idle = nil, p.idle[:last]
+	return conn
 }
 
-// putIdle gives a connection back on which the answer to a request with that id has come whole.
-func (u *upstreamPools) putIdle(p *serverPool, c *serverConn, id string) {
+// inspect looks whether an idle connection may be used, and counts those that may not.
+func (u *upstreamPools) inspect(conn *serverConn) idleCondition {
+	if u.knobs.SkipIdleInspection {
+		return idleSound
+	}
+	condition := inspectIdle(conn.tcp)
+	switch condition {
+	case idleSurplus:
+		u.counters.Surplus.Add(1)
+	case idleClosed:
+		u.counters.Stale.Add(1)
+	}
+	return condition
+}
+
+// putIdle gives a connection back on which the response to a request with that id has come completely.
+func (u *upstreamPools) putIdle(pool *serverPool, conn *serverConn, attemptID string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	maxIdle := u.maxIdleConns[p.service]
-	if p.removed || len(p.idle) >= max(maxIdle, minIdleConns) {
-		_ = c.Close()
+	maxIdle := max(u.maxIdleConns[pool.service], minIdleConns)
+	if pool.removed || len(pool.idle) >= maxIdle {
+		_ = conn.Close()
 		return
 	}
-	c.fresh, c.idleSince, c.lastAttemptID = false, u.now(), id
-	p.idle = append(p.idle, c)
+	conn.fresh, conn.idleSince, conn.lastAttemptID = false, u.now(), attemptID
+	pool.idle = append(pool.idle, conn)
 	if u.sweepTimer == nil {
 		u.sweepTimer = time.AfterFunc(sweepInterval, u.sweepIdle)
 	}
 }
 
-// sweepIdle closes connections that idled too long, and comes again while any idles.
+// sweepIdle closes connections that have been idle for too long, and comes again while any is idle.
 func (u *upstreamPools) sweepIdle() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	remaining, now := 0, u.now()
-	for _, p := range u.pools {
-		expired, maxAge := 0, u.idleTimeout(p.service)
-		for expired < len(p.idle) && now-p.idle[expired].idleSince > maxAge {
-			_ = p.idle[expired].Close()
-			expired++
-		}
-		p.idle = append(p.idle[:0], p.idle[expired:]...)
-		remaining += len(p.idle)
+	for _, pool := range u.pools {
+		pool.closeIdleBefore(now - u.idleTimeout(pool.service))
+		remaining += len(pool.idle)
 	}
-	if u.sweepTimer = nil; remaining > 0 {
+	u.sweepTimer = nil
+	if remaining > 0 {
 		u.sweepTimer = time.AfterFunc(sweepInterval, u.sweepIdle)
 	}
 }
 
-// closeIdleUnlessContacted closes the idle connections of a server that has not been heard since a moment. Danger: when a machine
-// vanishes, its idle connections stay open and swallow requests that may then never be repeated. A new connection fails
-// before anything is sent.
-func (u *upstreamPools) closeIdleUnlessContacted(p *serverPool, since time.Duration) {
-	if time.Duration(p.lastContact.Load()) >= since {
+// closeIdleBefore closes the connections that have been idle since before a moment. The caller holds the lock.
+func (p *serverPool) closeIdleBefore(moment time.Duration) {
+	expired := 0
+	for expired < len(p.idle) && p.idle[expired].idleSince < moment {
+		_ = p.idle[expired].Close()
+		expired++
+	}
+	p.idle = append(p.idle[:0], p.idle[expired:]...)
+}
+
+// closeIdleUnlessContacted closes the idle connections of a server of which nothing has come since a moment. Danger: when a
+// machine vanishes, its idle connections stay open and swallow requests that may then never be sent again. A new connection
+// fails before anything is sent.
+func (u *upstreamPools) closeIdleUnlessContacted(pool *serverPool, since time.Duration) {
+	if time.Duration(pool.lastContact.Load()) >= since {
 		return
 	}
-	u.closeIdle(p)
+	u.closeIdle(pool)
 }
 
 // closeIdle closes the idle connections of a server.
-func (u *upstreamPools) closeIdle(p *serverPool) {
+func (u *upstreamPools) closeIdle(pool *serverPool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	closeConns(&p.idle)
+	pool.closeIdle()
 }
 
-// close ends all idle connections, and any that come back.
+// close closes all idle connections, and those that come back later.
 func (u *upstreamPools) close() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for _, p := range u.pools {
-		u.removePool(p)
+	for _, pool := range u.pools {
+		u.removePool(pool)
 	}
 	if u.sweepTimer != nil {
 		u.sweepTimer.Stop()
@@ -249,18 +297,18 @@
 	}
 }
 
-// dial opens a connection.
-func (u *upstreamPools) dial(ctx context.Context, p *serverPool, deadline time.Time) (*serverConn, error) {
+// dial opens a connection to a server before a deadline.
+func (u *upstreamPools) dial(ctx context.Context, pool *serverPool, deadline time.Time) (*serverConn, error) {
 	timeout := u.sameRegionTimeout
-	if p.crossRegion {
+	if pool.crossRegion {
 		timeout = u.crossRegionTimeout
 	}
 	u.counters.Dials.Add(1)
-	c, err := u.connect(ctx, p.address, min(timeout, time.Until(deadline)))
+	conn, err := u.connect(ctx, pool.address, min(timeout, time.Until(deadline)))
 	if err != nil {
 		u.counters.DialFailures.Add(1)
 		return nil, err
 	}
-	tcp, _ := c.(*net.TCPConn)
-	return &serverConn{ServerConn: framing.NewServerConn(c, maxHeadBytes), tcp: tcp, fresh: true}, nil
+	tcp, _ := conn.(*net.TCPConn)
+	return &serverConn{ServerConn: framing.NewServerConn(conn, maxHeadBytes), tcp: tcp, fresh: true}, nil
 }
--- a/internal/system/proxy/serve.go
+++ b/internal/system/proxy/serve.go
@@ -66,15 +66,14 @@
 			a.accept(conn)
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			a.endRound(ctx)
+		case errors.Is(err, net.ErrClosed) && ctx.Err() != nil:
+			a.done = true
 		case errors.Is(err, net.ErrClosed):
-			if ctx.Err() != nil {
-				return nil
-			}
 			return errors.Mark(errors.Wrap(err, "the listener was closed by others"), ErrListener)
 		default: // descriptors are short, or the client has gone
 			a.failing = true
 			if !wasFailing {
-				a.clients.proxy.options.Log.WithError(err).Warn("proxy: a connection could not be accepted")
+				a.clients.proxy.options.Log.WithError(err).Warn("proxy: a connection could not be taken")
 			}
 			sleep(ctx, acceptBackoff)
 		}
