--- a/internal/system/proxy/lockedpicker.go
+++ b/internal/system/proxy/lockedpicker.go
@@ -9,22 +9,22 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// picker is what the data plane asks of package pick. It is not safe for concurrent use.
+// picker chooses servers; it is implemented by pick.Picker. It is not safe for concurrent use.
 type picker interface {
-	UpdateClusterState(now pick.Time, w pick.ClusterState)
+	UpdateClusterState(now pick.Time, state pick.ClusterState)
 	SetLoads(now pick.Time, loads map[string]pick.Load)
 	Loads() map[string]pick.Load
 	PromptDemands() map[string]pick.Load
 	Route(host, path string) *config.Route
 	Arrive(now pick.Time, r *pick.Request)
-	Choose(now pick.Time, r *pick.Request, tried []string, offered bool) pick.Choice
+	Choose(now pick.Time, r *pick.Request, tried []string, mayHaveRun bool) pick.Choice
 	ServerLoad(now pick.Time, id string, running, waiting, slots int)
 	Started(now pick.Time, ticket uint64)
 	FirstEvent(now pick.Time, ticket uint64)
-	Done(now pick.Time, ticket uint64, o pick.Outcome, retryAfter time.Duration)
-	WarmingUp(now pick.Time, id string, left time.Duration)
+	Done(now pick.Time, ticket uint64, outcome pick.Outcome, retryAfter time.Duration)
+	WarmingUp(now pick.Time, id string, timeLeft time.Duration)
 	ServerDraining(now pick.Time, id string)
-	SetIdleTimeout(id string, told time.Duration)
+	SetIdleTimeout(id string, timeout time.Duration)
 	Describe(now pick.Time) string
 	Stats() pick.Stats
 	AwaitsServerList() bool
@@ -32,110 +32,124 @@
 	AwaitsControlPlane() bool
 }
 
-// lockedPicker is a picker behind a lock and a monotonic clock. It tells the picker when the process has stood still.
+// lockedPicker is a picker with a lock and a monotonic clock. It tells the picker when the process has stalled. It is safe for
+// concurrent use.
 type lockedPicker struct {
-	mu      sync.Mutex
-	inner   picker
-	start   time.Time
-	onStall func() // nil: nobody is told
-	stalls  stallDetector
+	onStall func() // called after a stall; may be nil
+
+	mu     sync.Mutex
+	inner  picker
+	start  time.Time // the picker's moments are durations after it
+	stalls stallDetector
 }
 
-func newLockedPicker(p picker, onStall func()) *lockedPicker {
-	return &lockedPicker{inner: p, start: time.Now(), onStall: onStall}
+func newLockedPicker(inner picker, onStall func()) *lockedPicker {
+	return &lockedPicker{inner: inner, start: time.Now(), onStall: onStall}
 }
 
-// withLock runs f under the lock.
-func (p *lockedPicker) withLock(f func(picker, pick.Time)) {
-	if p.runLocked(f) && p.onStall != nil {
+// withLock calls the picker under the lock.
+func (p *lockedPicker) withLock(call func(inner picker, now pick.Time)) {
+	if stalled := p.callLocked(call); stalled && p.onStall != nil {
 		p.onStall()
 	}
 }
 
-// runLocked runs f under the lock, and tells whether the process had stood still just before.
-func (p *lockedPicker) runLocked(f func(picker, pick.Time)) (stalled bool) {
+// callLocked calls the picker under the lock, and reports whether the process had stalled until just before.
+func (p *lockedPicker) callLocked(call func(inner picker, now pick.Time)) (stalled bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Since(p.start)
-	if stalled = p.stalls.observeRun(now); stalled {
+	stalled = p.stalls.observeRun(now)
+	if stalled {
 		p.inner.Stalled(now)
 	}
-	f(p.inner, now)
-	p.stalls.releaseWaiters(p.inner.AwaitsControlPlane())
+	call(p.inner, now)
+	if !p.inner.AwaitsControlPlane() {
+		p.stalls.releaseWaiters()
+	}
 	return stalled
 }
 
-// UpdateClusterState hands on a world whose durations are as of asOf.
-func (p *lockedPicker) UpdateClusterState(asOf time.Time, w pick.ClusterState) {
-	p.withLock(func(i picker, now pick.Time) {
-		w.Age = now - asOf.Sub(p.start)
-		i.UpdateClusterState(now, w)
+// UpdateClusterState hands on a cluster state whose durations are as of the moment asOf.
+func (p *lockedPicker) UpdateClusterState(asOf time.Time, state pick.ClusterState) {
+	p.withLock(func(inner picker, now pick.Time) {
+		state.Age = now - asOf.Sub(p.start)
+		inner.UpdateClusterState(now, state)
 	})
 }
 
+// SetLoads replaces the other proxies' requests in flight, by server.
 func (p *lockedPicker) SetLoads(loads map[string]pick.Load) {
-	p.withLock(func(i picker, now pick.Time) { i.SetLoads(now, loads) })
+	p.withLock(func(inner picker, now pick.Time) { inner.SetLoads(now, loads) })
 }
 
-// Loads is what this proxy tells the others: what it has outstanding at servers, and its demands.
+// Loads returns this proxy's requests in flight, by server, and its prompt demands.
 func (p *lockedPicker) Loads() (loads map[string]pick.Load) {
-	p.withLock(func(i picker, _ pick.Time) {
-		loads = i.Loads()
-		maps.Copy(loads, i.PromptDemands())
+	p.withLock(func(inner picker, _ pick.Time) {
+		loads = inner.Loads()
+		maps.Copy(loads, inner.PromptDemands())
 	})
 	return loads
 }
 
+// Describe returns a text for operators.
 func (p *lockedPicker) Describe() (text string) {
-	p.withLock(func(i picker, now pick.Time) { text = i.Describe(now) })
+	p.withLock(func(inner picker, now pick.Time) { text = inner.Describe(now) })
 	return text
 }
 
+// AwaitsServerList reports whether the picker waits for a newer server list.
 func (p *lockedPicker) AwaitsServerList() (awaits bool) {
-	p.withLock(func(i picker, _ pick.Time) { awaits = i.AwaitsServerList() })
+	p.withLock(func(inner picker, _ pick.Time) { awaits = inner.AwaitsServerList() })
 	return awaits
 }
 
-func (p *lockedPicker) Stats() (s pick.Stats) {
-	p.withLock(func(i picker, _ pick.Time) { s = i.Stats() })
-	return s
+// Stats returns the picker's counters.
+func (p *lockedPicker) Stats() (stats pick.Stats) {
+	p.withLock(func(inner picker, _ pick.Time) { stats = inner.Stats() })
+	return stats
 }
 
-func (p *lockedPicker) Route(host, path string) (r *config.Route) {
-	p.withLock(func(i picker, _ pick.Time) { r = i.Route(host, path) })
-	return r
+// Route returns the route of a request; nil: none.
+func (p *lockedPicker) Route(host, path string) (route *config.Route) {
+	p.withLock(func(inner picker, _ pick.Time) { route = inner.Route(host, path) })
+	return route
 }
 
+// Arrive tells the picker of a request before its first choice.
 func (p *lockedPicker) Arrive(r *pick.Request) {
-	p.withLock(func(i picker, now pick.Time) { i.Arrive(now, r) })
+	p.withLock(func(inner picker, now pick.Time) { inner.Arrive(now, r) })
 }
 
-func (p *lockedPicker) Choose(r *pick.Request, tried []string, offered bool) (c pick.Choice) {
-	p.withLock(func(i picker, now pick.Time) { c = i.Choose(now, r, tried, offered) })
-	return c
+// Choose chooses a server that has not been tried; mayHaveRun says whether an attempt may have run.
+func (p *lockedPicker) Choose(r *pick.Request, tried []string, mayHaveRun bool) (choice pick.Choice) {
+	p.withLock(func(inner picker, now pick.Time) { choice = inner.Choose(now, r, tried, mayHaveRun) })
+	return choice
 }
 
+// FirstEvent reports that the first event of a stream has come.
 func (p *lockedPicker) FirstEvent(ticket uint64) {
-	p.withLock(func(i picker, now pick.Time) { i.FirstEvent(now, ticket) })
+	p.withLock(func(inner picker, now pick.Time) { inner.FirstEvent(now, ticket) })
 }
 
-func (p *lockedPicker) Done(ticket uint64, o pick.Outcome, retryAfter time.Duration) {
-	p.withLock(func(i picker, now pick.Time) { i.Done(now, ticket, o, retryAfter) })
+// Done reports how an attempt ended.
+func (p *lockedPicker) Done(ticket uint64, outcome pick.Outcome, retryAfter time.Duration) {
+	p.withLock(func(inner picker, now pick.Time) { inner.Done(now, ticket, outcome, retryAfter) })
 }
 
-// Started takes in that the head of a server's answer has come, and what it says about the server.
-func (p *lockedPicker) Started(ticket uint64, id string, h serverHints) {
-	p.withLock(func(i picker, now pick.Time) {
-		i.Started(now, ticket)
-		if h.hasLoad {
-			i.ServerLoad(now, id, h.running, h.waiting, h.slots)
+// Started reports that the head of a server's response has come, and what it says about the server.
+func (p *lockedPicker) Started(ticket uint64, serverID string, hints serverHints) {
+	p.withLock(func(inner picker, now pick.Time) {
+		inner.Started(now, ticket)
+		if hints.hasLoad {
+			inner.ServerLoad(now, serverID, hints.running, hints.waiting, hints.slots)
 		}
-		if h.warmingUp {
-			i.WarmingUp(now, id, h.warmUpLeft)
+		if hints.warmingUp {
+			inner.WarmingUp(now, serverID, hints.warmUpLeft)
 		}
-		i.SetIdleTimeout(id, h.idleTimeout)
-		if h.draining {
-			i.ServerDraining(now, id)
+		inner.SetIdleTimeout(serverID, hints.idleTimeout)
+		if hints.draining {
+			inner.ServerDraining(now, serverID)
 		}
 	})
 }
--- a/internal/system/proxy/metrics.go
+++ b/internal/system/proxy/metrics.go
@@ -6,38 +6,57 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Counters count what a Proxy has done since it started. They only rise.
+// Counters count what a Proxy has done since it started. They only rise, and are safe for concurrent use.
 type Counters struct {
-	Requests     atomic.Int64 // read whole or refused
-	Served       atomic.Int64 // a server's answer was passed on whole
-	Refused      atomic.Int64 // 503: nothing of it has run
-	Failed       atomic.Int64 // 502: sent, and no answer came
-	TimedOut     atomic.Int64 // 504
-	Truncated    atomic.Int64 // an answer that was broken off midway
-	ClientGone   atomic.Int64 // the client went away first
-	Rejected     atomic.Int64 // 4xx of our own, or a connection ended for its framing
-	Sends        atomic.Int64 // requests written to servers, wholly or in part
+	Requests     atomic.Int64 // of clients: heads that were read
+	Served       atomic.Int64 // requests of which a server's response was passed on completely
+	Refused      atomic.Int64 // requests answered with 503: none of them has run
+	Failed       atomic.Int64 // requests answered with 502: sent, and no valid response came
+	TimedOut     atomic.Int64 // requests answered with 504
+	Truncated    atomic.Int64 // responses that were truncated and not resumed
+	ClientGone   atomic.Int64 // requests whose client went away first
+	Rejected     atomic.Int64 // requests answered with a 4xx of the proxy's own, and connections ended for their framing
+	Sends        atomic.Int64 // attempts of which something was written to a server
 	Retries      atomic.Int64 // those of them that were not a request's first
-	Resumed      atomic.Int64 // streams taken up at another server
-	Abandoned    atomic.Int64 // sends that were left because their server was silent
-	Dials        atomic.Int64 // connections to servers
-	DialFailures atomic.Int64 // dials that failed
-	Reused       atomic.Int64 // sends on a connection that had idled
-	Stale        atomic.Int64 // idle connections found closed by their server
-	Surplus      atomic.Int64 // idle connections with bytes that nobody asked for
-	Mismatch     atomic.Int64 // answers that were no proper answer to their request
-	Unframed     atomic.Int64 // answers whose end cannot be told
+	Resumed      atomic.Int64 // event streams that were resumed at another server
+	Abandoned    atomic.Int64 // attempts that were given up because their server was silent
+	Dials        atomic.Int64 // of connections to servers
+	DialFailures atomic.Int64
+	Reused       atomic.Int64 // attempts on a connection that had been idle
+	Stale        atomic.Int64 // idle connections that their server was found to have closed
+	Surplus      atomic.Int64 // idle connections with bytes that no request asked for
+	Mismatch     atomic.Int64 // responses that were not valid for their request
+	Unframed     atomic.Int64 // responses whose end cannot be recognized
 }
 
-// Publish has the process's metrics tell this proxy's counters. Call it for one Proxy of a process, once.
+// byMetric gives the counters by the part of their metric's name that differs. The names are the operators'.
+func (c *Counters) byMetric() map[string]*atomic.Int64 {
+	return map[string]*atomic.Int64{
+		"requests":  &c.Requests,
+		"served":    &c.Served,
+		"refused":   &c.Refused,
+		"broken":    &c.Failed,
+		"timed_out": &c.TimedOut,
+		"cut":       &c.Truncated,
+		"gone":      &c.ClientGone,
+		"improper":  &c.Rejected,
+		"sends":     &c.Sends,
+		"repeats":   &c.Retries,
+		"resumed":   &c.Resumed,
+		"moved":     &c.Abandoned,
+		"dials":     &c.Dials,
+		"unreached": &c.DialFailures,
+		"reused":    &c.Reused,
+		"stale":     &c.Stale,
+		"surplus":   &c.Surplus,
+		"mismatch":  &c.Mismatch,
+		"unframed":  &c.Unframed,
+	}
+}
+
+// Publish registers the counters as metrics of the process. It may be called once in a process.
 func (p *Proxy) Publish() {
-	n := &p.counters
-	for name, counter := range map[string]*atomic.Int64{
-		"requests": &n.Requests, "served": &n.Served, "refused": &n.Refused, "broken": &n.Failed, "timed_out": &n.TimedOut,
-		"cut": &n.Truncated, "gone": &n.ClientGone, "improper": &n.Rejected, "sends": &n.Sends, "repeats": &n.Retries, "resumed": &n.Resumed,
-		"moved": &n.Abandoned, "dials": &n.Dials, "unreached": &n.DialFailures, "reused": &n.Reused, "stale": &n.Stale,
-		"surplus": &n.Surplus, "mismatch": &n.Mismatch, "unframed": &n.Unframed,
-	} {
+	for name, counter := range p.counters.byMetric() {
 		publish(name, func() float64 { return float64(counter.Load()) })
 	}
 	publish("cold_starts", func() float64 { return float64(p.picker.Stats().WarmUpStarts) })
@@ -45,7 +64,7 @@
 	publish("cold_ends", func() float64 { return float64(p.picker.Stats().WarmUpEnds) })
 }
 
-// publish names a counter among the process's metrics.
+// publish registers one counter.
 func publish(name string, value func() float64) {
 	metrics.NewGauge("gradeusher_proxy_"+name+"_total", value)
 }
--- a/internal/system/proxy/stall.go
+++ b/internal/system/proxy/stall.go
@@ -7,24 +7,27 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// A process that was stopped, frozen or without a processor finds requests of some seconds in its sockets when it runs again, and
-// what it knows of servers is as old. Before it chooses for them, it waits for the word of a keeper that was asked after the stall.
+// A process that was stopped, frozen or starved of CPU time finds requests of some seconds in its sockets when it runs again,
+// and what it knows of servers is as old. Before it chooses servers for them, it waits for an update from the control plane
+// that was asked for after the stall.
 
 const (
-	stallCheckInterval  = 100 * time.Millisecond
-	stallThreshold      = 500 * time.Millisecond // a pause of the process above it counts as a stall
-	stallContactTimeout = 300 * time.Millisecond // requests wait so long at most, from the end of the stall
+	stallCheckInterval = 100 * time.Millisecond
+	// stallThreshold is the longest pause of the process that does not count as a stall.
+	stallThreshold = 500 * time.Millisecond
+	// stallContactTimeout bounds how long requests wait, from the end of the stall.
+	stallContactTimeout = 300 * time.Millisecond
 )
 
-// stallDetector notices stalls of the process. The zero value notices none until the first note with a tick.
+// stallDetector detects stalls of the process by gaps between its calls. The zero value detects none until it is enabled.
 type stallDetector struct {
 	enabled   bool
 	lastRan   pick.Time     // when the process was last seen to run
-	contact   chan struct{} // closed when the word that is awaited since a stall has come; nil: none is awaited
+	contact   chan struct{} // closed when the update has come that is awaited since a stall; nil: none is awaited
 	waitUntil pick.Time     // requests wait for it no longer than until then
 }
 
-// observeRun takes in that the process runs at now, and tells whether it stood still until just before.
+// observeRun records that the process runs at now, and reports whether it had stalled until just before.
 func (s *stallDetector) observeRun(now pick.Time) (stalled bool) {
 	stalled = s.enabled && now-s.lastRan > stallThreshold
 	s.lastRan = now
@@ -37,15 +40,15 @@
 	return stalled
 }
 
-// releaseWaiters lets the requests go on that wait, unless a word is still awaited.
-func (s *stallDetector) releaseWaiters(awaited bool) {
-	if s.contact != nil && !awaited {
+// releaseWaiters lets the requests go on that wait for an update.
+func (s *stallDetector) releaseWaiters() {
+	if s.contact != nil {
 		close(s.contact)
 		s.contact = nil
 	}
 }
 
-// watchStalls notes that the process runs, again and again, until ctx is done.
+// watchStalls calls the picker at intervals until ctx is done, so that only a stall makes a gap between calls.
 func (p *lockedPicker) watchStalls(ctx context.Context) {
 	ticker := time.NewTicker(stallCheckInterval)
 	defer ticker.Stop()
@@ -61,18 +64,19 @@
 	}
 }
 
-// awaitContact returns when a keeper's word from after the last stall has come, or is not waited for any more, or ctx is done.
+// awaitContact returns when an update of the control plane from after the last stall has come, or is not waited for any more,
+// or ctx is done.
 func (p *lockedPicker) awaitContact(ctx context.Context) {
-	var word <-chan struct{}
-	var left time.Duration
-	p.withLock(func(_ picker, now pick.Time) { word, left = p.stalls.contact, p.stalls.waitUntil-now })
-	if word == nil || left <= 0 {
+	var contact <-chan struct{}
+	var timeLeft time.Duration
+	p.withLock(func(_ picker, now pick.Time) { contact, timeLeft = p.stalls.contact, p.stalls.waitUntil-now })
+	if contact == nil || timeLeft <= 0 {
 		return
 	}
-	timer := time.NewTimer(left)
+	timer := time.NewTimer(timeLeft)
 	defer timer.Stop()
 	select {
-	case <-word:
+	case <-contact:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
