--- a/internal/system/proxy/requesthead.go
+++ b/internal/system/proxy/requesthead.go
@@ -95,13 +95,13 @@
 // describeToPicker tells the picker of the request.
 func (c *clientRequest) describeToPicker() {
 	header := c.request.Header
-	tokensIn, tokensOut := parseTokenCount(header.Get("X-Token-Count"))
+	tokensIn, tokensOut := parseTokenCount(header.Get(headerTokenCount))
 	c.pickRequest = pick.Request{
 		Route:     c.route,
-		Model:     header.Get("X-Model"),
+		Model:     header.Get(headerModel),
 		TokensIn:  tokensIn,
 		TokensOut: tokensOut,
-		Prefix:    parsePromptParts(header.Get("X-Prompt-Prefix")),
+		Prefix:    parsePromptParts(header.Get(headerPromptPrefix)),
 		TimeLeft:  time.Until(c.deadline),
 		Age:       time.Since(c.startedAt),
 	}
--- a/internal/system/proxy/upstreamhead.go
+++ b/internal/system/proxy/upstreamhead.go
@@ -26,7 +26,7 @@
 	timeLeftMS := max(time.Until(c.deadline).Milliseconds(), 1)
 	b = appendField(b, headerTimeLeft, strconv.FormatInt(timeLeftMS, 10))
 	b = appendField(b, headerTargetInstance, choice.Server.ID)
-	b = appendField(b, "Priority", strconv.Itoa(choice.Priority))
+	b = appendField(b, headerPriority, strconv.Itoa(choice.Priority))
 	if c.headSent && c.lastEventID != "" {
 		b = appendField(b, headerLastEventID, c.lastEventID)
 	}
@@ -57,7 +57,7 @@
 // replacesHeader reports whether the proxy sets a header itself, or leaves it out.
 func (c *clientRequest) replacesHeader(name string) bool {
 	switch name {
-	case "Content-Length", "Expect", headerTimeLeft, headerTargetInstance, "Priority", "Host":
+	case "Content-Length", "Expect", headerTimeLeft, headerTargetInstance, headerPriority, "Host":
 		return true
 	case headerLastEventID:
 		return c.headSent
