--- a/internal/system/proxy/doc.go
+++ b/internal/system/proxy/doc.go
@@ -1,4 +1,43 @@
-// Package proxy is the data plane: an HTTP/1.1 forwarding proxy that lets package pick choose a server for each request,
-// sends the request there, passes the answer back unchanged, takes up streams that were cut, and never promises that a
-// request has not run where it may have.
+// Package proxy is the data plane: an HTTP/1.1 proxy that chooses a server for each request by package pick, sends the request
+// there and passes the response back unchanged.
+//
+// # Problem
+//
+// Connections break, servers fall silent, answer late, twice or not at all in the protocol, and HTTP libraries send requests
+// again by themselves. A request may then run twice, a client may get the response to another request, or a truncated response
+// that looks complete. docs/hardening/proxy.md lists the faults, the arguments and the tests.
+//
+// # Terms
+//
+//   - An attempt is one send of a request to a server, with its response. A retry is an attempt after the first one.
+//   - An attempt may have run unless not a byte of it was written, or the server said in a complete head that it did not run it
+//     (X-Not-Executed, or status 421).
+//   - A route is idempotent if its requests may run more than once. The configuration says so, not the method.
+//   - A promise is a status that tells the client that its request has not run: 408, 421, 429 and 503.
+//   - A response is truncated if its end did not come. It is framed if its end can be recognized.
+//   - An event stream is a response of type text/event-stream. It is resumed if another server goes on with it after the last
+//     event that went to the client.
+//
+// # Promises
+//
+//   - Each send is one attempt, and nothing beneath it sends again: clientRequest.tryServer is the only caller of
+//     upstreamAttempt.send, and the package does not use the client side of net/http (TestNoHTTPTransport).
+//   - A non-idempotent request executes at most once: clientRequest.mayRetry allows no attempt after one that may have run;
+//     upstreamAttempt.send asks the connection what was written. The invariant proxy_runs_once checks it.
+//   - A client gets the response to its own request: clientRequest.validateResponse compares the echoed X-Attempt-Id,
+//     upstreamPools.takeIdle inspects idle connections, and upstreamAttempt.finish gives a connection back only after a complete
+//     response with nothing behind it.
+//   - What looks complete is complete: package framing ends connections with ambiguous framing, validateResponse rejects unframed
+//     responses, and clientRequest.abortConn closes the client's connection in the middle of a truncated response.
+//   - A promise goes to a client only if no attempt may have run: clientRequest.answerUnserved and handleResponse.
+//   - Events go out completely and with rising ids, and a stream is resumed after the last one that went out: eventReader and
+//     clientRequest.relayEvents.
+//   - Graceful shutdown loses no request that has been read within the grace period: Proxy.Drain, acceptor.endRound and
+//     connTracker.closeIdle.
+//   - Memory and connections are bounded: memoryBudget, clientListener.maxConns and upstreamPools.maxIdleConns.
+//
+// # Sources
+//
+// Semantics, framing and connections are those of RFC 9110 and RFC 9112; event streams those of the HTML Living Standard, section
+// "Server-sent events". The proxy's own headers are those of PROTOCOL.md.
 package proxy
