--- a/internal/system/proxy/answers_test.go
+++ b/internal/system/proxy/answers_test.go
@@ -13,60 +13,60 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestAnswers has a first server answer in each way and a second one well: what the client gets, how the sends ended, and
+// TestResponses has a first server answer in each way and a second one well: what the client gets, how the sends ended, and
 // how often each server was asked, for a request that may run once and for one that may run again.
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	const ok = "HTTP/1.1 200 X\r\nX-Attempt-Id: ID\r\nX-Server-Seal: s\r\n"
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		name        string
-		do          deed
+		do          serverBehavior
 		once, again int // status; where it may run again, 200 is the second server's
 		outcome     pick.Outcome
 	}{
-		{"served", say(200, "first"), 200, 200, pick.Served},
-		{"created", say(201, "first"), 201, 201, pick.Served},
-		{"chunks", raw(ok+"Transfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n0\r\n\r\n", true), 200, 200, pick.Served},
-		{"interim", raw("HTTP/1.1 103 X\r\nA: b\r\n\r\n"+ok+"Content-Length: 5\r\n\r\nfirst", true), 200, 200, pick.Served},
-		{"its own 404", say(404, "first"), 404, 404, pick.Served},
-		{"its own 500", say(500, "first"), 500, 200, pick.ServerError},
-		{"its own 504", say(504, "first"), 504, 200, pick.ServerError},
-		{"503 that may have run", say(503, "first"), 502, 200, pick.ServerError},
-		{"429 that may have run", say(429, "first"), 502, 200, pick.ServerError},
-		{"408 that may have run", say(408, "first"), 502, 200, pick.ServerError},
-		{"full", say(503, "", "X-Not-Executed: 1"), 200, 200, pick.NotExecuted},
-		{"too late", say(503, "no", "X-Not-Executed: true"), 200, 200, pick.NotExecuted},
-		{"misdirected", say(421, "", "X-Not-Executed: 1"), 200, 200, pick.Misdirected},
-		{"misdirected, nothing more", say(421, ""), 200, 200, pick.Misdirected},
-		{"reset", reset, 502, 200, pick.ConnectionLost},
-		{"close", raw("", false), 502, 200, pick.ConnectionLost},
-		{"garbage", raw("what?\r\n\r\n", true), 502, 200, pick.ConnectionLost},
-		{"another protocol", raw("HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n", true), 502, 200, pick.ConnectionLost},
-		{"another's answer", raw("HTTP/1.1 200 X\r\nX-Attempt-Id: other\r\nX-Server-Seal: s\r\nContent-Length: 5\r\n\r\nfirst", true), 502, 200, pick.ConnectionLost},
-		{"another's refusal", raw("HTTP/1.1 503 X\r\nX-Attempt-Id: other\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", true), 502, 200, pick.ConnectionLost},
-		{"no id", raw("HTTP/1.1 200 X\r\nX-Server-Seal: s\r\nContent-Length: 5\r\n\r\nfirst", true), 502, 200, pick.ConnectionLost},
-		{"no seal", raw("HTTP/1.1 200 X\r\nX-Attempt-Id: ID\r\nContent-Length: 5\r\n\r\nfirst", true), 502, 200, pick.ConnectionLost},
-		{"an encoding", say(200, "first", "Content-Encoding: gzip"), 502, 200, pick.ConnectionLost},
-		{"half a head", raw(ok, false), 502, 200, pick.ConnectionLost},
-		{"half a body", raw(ok+"Content-Length: 10\r\n\r\nfirst", false), 502, 200, pick.ConnectionLost},
-		{"half a chunked body", raw(ok+"Transfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n", false), 502, 200, pick.ConnectionLost},
-		{"half an error", raw("HTTP/1.1 500 X\r\nX-Attempt-Id: ID\r\nContent-Length: 10\r\n\r\nfirst", false), 502, 200, pick.ConnectionLost},
-		{"a body up to the close", raw(ok+"Connection: close\r\n\r\nfirst", false), 502, 200, pick.ConnectionLost},
-		{"two lengths", raw(ok+"Content-Length: 5\r\nContent-Length: 5\r\n\r\nfirst", true), 502, 200, pick.ConnectionLost},
-		{"length and chunks", raw(ok+"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n0\r\n\r\n", true), 502, 200, pick.ConnectionLost},
-		{"half a stream before its first event", raw(ok+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", false), 502, 200, pick.ConnectionLost},
+		{"served", respondWith(200, "first"), 200, 200, pick.Served},
+		{"created", respondWith(201, "first"), 201, 201, pick.Served},
+		{"chunks", respondRaw(ok+"Transfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n0\r\n\r\n", true), 200, 200, pick.Served},
+		{"interim", respondRaw("HTTP/1.1 103 X\r\nA: b\r\n\r\n"+ok+"Content-Length: 5\r\n\r\nfirst", true), 200, 200, pick.Served},
+		{"its own 404", respondWith(404, "first"), 404, 404, pick.Served},
+		{"its own 500", respondWith(500, "first"), 500, 200, pick.ServerError},
+		{"its own 504", respondWith(504, "first"), 504, 200, pick.ServerError},
+		{"503 that may have run", respondWith(503, "first"), 502, 200, pick.ServerError},
+		{"429 that may have run", respondWith(429, "first"), 502, 200, pick.ServerError},
+		{"408 that may have run", respondWith(408, "first"), 502, 200, pick.ServerError},
+		{"full", respondWith(503, "", "X-Not-Executed: 1"), 200, 200, pick.NotExecuted},
+		{"too late", respondWith(503, "no", "X-Not-Executed: true"), 200, 200, pick.NotExecuted},
+		{"misdirected", respondWith(421, "", "X-Not-Executed: 1"), 200, 200, pick.Misdirected},
+		{"misdirected, nothing more", respondWith(421, ""), 200, 200, pick.Misdirected},
+		{"reset", resetConn, 502, 200, pick.ConnectionLost},
+		{"close", respondRaw("", false), 502, 200, pick.ConnectionLost},
+		{"garbage", respondRaw("what?\r\n\r\n", true), 502, 200, pick.ConnectionLost},
+		{"another protocol", respondRaw("HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n", true), 502, 200, pick.ConnectionLost},
+		{"another's answer", respondRaw("HTTP/1.1 200 X\r\nX-Attempt-Id: other\r\nX-Server-Seal: s\r\nContent-Length: 5\r\n\r\nfirst", true), 502, 200, pick.ConnectionLost},
+		{"another's refusal", respondRaw("HTTP/1.1 503 X\r\nX-Attempt-Id: other\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", true), 502, 200, pick.ConnectionLost},
+		{"no id", respondRaw("HTTP/1.1 200 X\r\nX-Server-Seal: s\r\nContent-Length: 5\r\n\r\nfirst", true), 502, 200, pick.ConnectionLost},
+		{"no seal", respondRaw("HTTP/1.1 200 X\r\nX-Attempt-Id: ID\r\nContent-Length: 5\r\n\r\nfirst", true), 502, 200, pick.ConnectionLost},
+		{"an encoding", respondWith(200, "first", "Content-Encoding: gzip"), 502, 200, pick.ConnectionLost},
+		{"half a head", respondRaw(ok, false), 502, 200, pick.ConnectionLost},
+		{"half a body", respondRaw(ok+"Content-Length: 10\r\n\r\nfirst", false), 502, 200, pick.ConnectionLost},
+		{"half a chunked body", respondRaw(ok+"Transfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n", false), 502, 200, pick.ConnectionLost},
+		{"half an error", respondRaw("HTTP/1.1 500 X\r\nX-Attempt-Id: ID\r\nContent-Length: 10\r\n\r\nfirst", false), 502, 200, pick.ConnectionLost},
+		{"a body up to the close", respondRaw(ok+"Connection: close\r\n\r\nfirst", false), 502, 200, pick.ConnectionLost},
+		{"two lengths", respondRaw(ok+"Content-Length: 5\r\nContent-Length: 5\r\n\r\nfirst", true), 502, 200, pick.ConnectionLost},
+		{"length and chunks", respondRaw(ok+"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n0\r\n\r\n", true), 502, 200, pick.ConnectionLost},
+		{"half a stream before its first event", respondRaw(ok+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", false), 502, 200, pick.ConnectionLost},
 	} {
 		for _, may := range []config.Category{config.NonIdempotent, config.Idempotent} {
-			t.Run(fmt.Sprint(tt.name, may), func(t *testing.T) {
-				first, second := startServer(t, tt.do), startServer(t, say(200, "second"))
-				f := startProxy(t, []*fakeServer{first, second}, category(may))
-				got := f.ask(t, "id-1", "body")
-				want, outcomes := tt.once, []pick.Outcome{tt.outcome}
+			t.Run(fmt.Sprint(test.name, may), func(t *testing.T) {
+				first, second := startServer(t, test.do), startServer(t, respondWith(200, "second"))
+				f := startProxy(t, []*fakeServer{first, second}, withCategory(may))
+				got := f.roundTrip(t, "id-1", "body")
+				want, outcomes := test.once, []pick.Outcome{test.outcome}
 				if may == config.Idempotent {
-					want = tt.again
+					want = test.again
 				}
 				body := "first"
 				switch {
-				case tt.outcome != pick.Served && want == 200 && (may == config.Idempotent || tt.once == 200):
+				case test.outcome != pick.Served && want == 200 && (may == config.Idempotent || test.once == 200):
 					body, outcomes = "second", append(outcomes, pick.Served)
 				case want == 502 || want == 503:
 					body = ""
@@ -75,11 +75,11 @@
 					t.Errorf("status %d, body %q, error %v, id %q; want %d, %q", got.StatusCode, got.body, got.err,
 						got.Header.Get(headerAttemptID), want, body)
 				}
-				if ends := f.ends(); !slices.Equal(ends, outcomes) {
+				if ends := f.outcomes(); !slices.Equal(ends, outcomes) {
 					t.Errorf("sends ended as %v, want %v", ends, outcomes)
 				}
-				if len(first.came) != 1 || len(second.came) != len(outcomes)-1 {
-					t.Errorf("the servers were asked %d and %d times", len(first.came), len(second.came))
+				if len(first.requests) != 1 || len(second.requests) != len(outcomes)-1 {
+					t.Errorf("the servers were asked %d and %d times", len(first.requests), len(second.requests))
 				}
 			})
 		}
@@ -88,67 +88,67 @@
 
 // TestRefusals has all servers refuse, or none be there: the answer promises that the request has not run.
 func TestRefusals(t *testing.T) {
-	full := say(503, "", "X-Not-Executed: 1", "Retry-After: 0.45")
+	full := respondWith(503, "", "X-Not-Executed: 1", "Retry-After: 0.45")
 	t.Run("all are full", func(t *testing.T) {
 		f := startProxy(t, []*fakeServer{startServer(t, full), startServer(t, full)})
-		if got := f.ask(t, "id-1", ""); got.StatusCode != 503 || got.Header.Get("Retry-After") != "0.450" {
+		if got := f.roundTrip(t, "id-1", ""); got.StatusCode != 503 || got.Header.Get("Retry-After") != "0.450" {
 			t.Errorf("status %d, Retry-After %q", got.StatusCode, got.Header.Get("Retry-After"))
 		}
 	})
 	t.Run("one is full, one may have run it", func(t *testing.T) {
-		f := startProxy(t, []*fakeServer{startServer(t, full), startServer(t, reset)})
-		if got := f.ask(t, "id-1", ""); got.StatusCode != 502 {
+		f := startProxy(t, []*fakeServer{startServer(t, full), startServer(t, resetConn)})
+		if got := f.roundTrip(t, "id-1", ""); got.StatusCode != 502 {
 			t.Errorf("status %d", got.StatusCode)
 		}
 	})
 	t.Run("one may have run it, one is full", func(t *testing.T) {
-		f := startProxy(t, []*fakeServer{startServer(t, reset), startServer(t, full)}, category(config.Idempotent))
-		if got := f.ask(t, "id-1", ""); got.StatusCode != 502 {
+		f := startProxy(t, []*fakeServer{startServer(t, resetConn), startServer(t, full)}, withCategory(config.Idempotent))
+		if got := f.roundTrip(t, "id-1", ""); got.StatusCode != 502 {
 			t.Errorf("status %d", got.StatusCode)
 		}
 	})
 	t.Run("no more tries", func(t *testing.T) {
-		other := startServer(t, say(200, "x"))
+		other := startServer(t, respondWith(200, "x"))
 		f := startProxy(t, []*fakeServer{startServer(t, full), other},
 			func(_ *Options, c *config.Config) { c.Routes[0].MaxTries = 1 })
-		if got := f.ask(t, "id-1", ""); got.StatusCode != 503 || len(other.came) > 0 {
-			t.Errorf("status %d, %d more sends", got.StatusCode, len(other.came))
+		if got := f.roundTrip(t, "id-1", ""); got.StatusCode != 503 || len(other.requests) > 0 {
+			t.Errorf("status %d, %d more sends", got.StatusCode, len(other.requests))
 		}
 	})
 	t.Run("nobody listens", func(t *testing.T) {
-		f := startProxy(t, []*fakeServer{startServer(t, full), startServer(t, say(200, "x"))})
+		f := startProxy(t, []*fakeServer{startServer(t, full), startServer(t, respondWith(200, "x"))})
 		w := *f.clusterState.Load()
 		w.Servers = slices.Clone(w.Servers)
-		w.Servers[0].Address = deafAddress(t)
+		w.Servers[0].Address = closedAddress(t)
 		f.UpdateClusterState(time.Now(), w)
-		if got := f.ask(t, "id-1", ""); got.StatusCode != 200 {
+		if got := f.roundTrip(t, "id-1", ""); got.StatusCode != 200 {
 			t.Errorf("status %d", got.StatusCode)
 		}
-		if ends := f.ends(); !slices.Equal(ends, []pick.Outcome{pick.ConnectFailed, pick.Served}) {
+		if ends := f.outcomes(); !slices.Equal(ends, []pick.Outcome{pick.ConnectFailed, pick.Served}) {
 			t.Errorf("sends ended as %v", ends)
 		}
 	})
 	t.Run("nobody is chosen", func(t *testing.T) {
 		f := startProxy(t, nil)
-		f.pick.retry = 350 * time.Millisecond
-		if got := f.ask(t, "id-1", ""); got.StatusCode != 503 || got.Header.Get("Retry-After") != "0.350" {
+		f.fake.retryAfter = 350 * time.Millisecond
+		if got := f.roundTrip(t, "id-1", ""); got.StatusCode != 503 || got.Header.Get("Retry-After") != "0.350" {
 			t.Errorf("status %d, Retry-After %q", got.StatusCode, got.Header.Get("Retry-After"))
 		}
 	})
 	t.Run("no configuration", func(t *testing.T) {
 		f := startProxy(t, nil)
 		f.UpdateClusterState(time.Now(), pick.ClusterState{})
-		if got := f.ask(t, "id-1", ""); got.StatusCode != 503 || got.Header.Get("Retry-After") == "" || f.Ready() {
+		if got := f.roundTrip(t, "id-1", ""); got.StatusCode != 503 || got.Header.Get("Retry-After") == "" || f.Ready() {
 			t.Errorf("status %d, ready %v", got.StatusCode, f.Ready())
 		}
 	})
 }
 
-// TestHeads has requests that go to no server.
-func TestHeads(t *testing.T) {
-	s := startServer(t, say(200, "x"))
+// TestRejectedHeads has requests that go to no server.
+func TestRejectedHeads(t *testing.T) {
+	s := startServer(t, respondWith(200, "x"))
 	f := startProxy(t, []*fakeServer{s})
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		name, text string
 		want       int
 	}{
@@ -163,24 +163,24 @@
 		{"long body in chunks", "POST /a/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			"100001\r\n" + strings.Repeat("x", 0x100001) + "\r\n0\r\n\r\n", 413},
 	} {
-		t.Run(tt.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			c := f.dial(t)
-			go func() { _, _ = c.Write([]byte(tt.text)) }()
-			resp, err := http.ReadResponse(c.in, nil)
-			if err != nil || resp.StatusCode != tt.want {
-				t.Errorf("%v, error %v, want %d", resp, err, tt.want)
+			go func() { _, _ = c.Write([]byte(test.text)) }()
+			resp, err := http.ReadResponse(c.reader, nil)
+			if err != nil || resp.StatusCode != test.want {
+				t.Errorf("%v, error %v, want %d", resp, err, test.want)
 			}
-			if len(s.came) > 0 {
+			if len(s.requests) > 0 {
 				t.Error("a server was asked")
 			}
 		})
 	}
 }
 
-// TestUnchanged compares what goes in with what comes out, both ways.
-func TestUnchanged(t *testing.T) {
+// TestMessagesForwardedUnchanged compares what goes in with what comes out, both ways.
+func TestMessagesForwardedUnchanged(t *testing.T) {
 	s := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		return say(200, "answer", "X-Server-Load: 3,1,8", "X-Own: v1", "X-Own: v2", "Connection: X-Hop", "X-Hop: 1",
+		return respondWith(200, "answer", "X-Server-Load: 3,1,8", "X-Own: v1", "X-Own: v2", "Connection: X-Hop", "X-Hop: 1",
 			"Keep-Alive: timeout=9", "Content-Type: text/odd", "Date: long ago")(c, r, body)
 	})
 	f := startProxy(t, []*fakeServer{s})
@@ -193,15 +193,15 @@
 			if chunked {
 				text += "Transfer-Encoding: chunked\r\n\r\n"
 				if body != "" {
-					text += chunk(body[:len(body)/2+1]) + chunkOrNone(body[len(body)/2+1:])
+					text += chunk(body[:len(body)/2+1]) + chunkUnlessEmpty(body[len(body)/2+1:])
 				}
 				text += "0\r\n\r\n"
 			} else {
 				text += fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)
 			}
 			go func() { _, _ = c.Write([]byte(text)) }()
-			got := c.read()
-			r := within(t, s.came, "request")
+			got := c.readResponse()
+			r := receive(t, s.requests, "request")
 			if r.Method != "POST" || r.RequestURI != "/a/b%2fc;d?q=%20&x" || r.Host != "H.example:80" || r.body != body {
 				t.Errorf("%s %s at %s with %d bytes", r.Method, r.RequestURI, r.Host, len(r.body))
 			}
@@ -222,23 +222,23 @@
 			}
 		}
 	}
-	if f.pick.load != "i-0 3,1,8" {
-		t.Errorf("load %q", f.pick.load)
+	if f.fake.lastLoad != "i-0 3,1,8" {
+		t.Errorf("load %q", f.fake.lastLoad)
 	}
 	if n := f.Counters().Dials.Load(); n != 1 {
 		t.Errorf("%d connections", n)
 	}
 }
 
-func chunkOrNone(text string) string {
+func chunkUnlessEmpty(text string) string {
 	if text == "" {
 		return ""
 	}
 	return chunk(text)
 }
 
-// TestHeadMethod has a HEAD request answered: its answer has no body, whatever its length says.
-func TestHeadMethod(t *testing.T) {
+// TestHeadRequests has a HEAD request answered: its answer has no body, whatever its length says.
+func TestHeadRequests(t *testing.T) {
 	s := startServer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
 		fmt.Fprintf(c, "%sContent-Length: 1000\r\n\r\n", head(r, 200))
 		return true
@@ -247,7 +247,7 @@
 	c := f.dial(t)
 	for n := range 2 {
 		fmt.Fprintf(c, "HEAD /a/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a%d\r\n\r\n", n)
-		resp, err := http.ReadResponse(c.in, &http.Request{Method: "HEAD"})
+		resp, err := http.ReadResponse(c.reader, &http.Request{Method: "HEAD"})
 		if err != nil || resp.StatusCode != 200 || resp.ContentLength != 1000 {
 			t.Fatalf("%v, error %v", resp, err)
 		}
--- a/internal/system/proxy/bench_test.go
+++ b/internal/system/proxy/bench_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	s := &fakeServer{l: l}
+	s := &fakeServer{listener: l}
 	first, second := []byte(answer), bytes.Replace([]byte(answer), []byte("id-1"), []byte("id-2"), 1)
 	s.wg.Go(func() {
 		for {
@@ -53,12 +53,12 @@
 }
 
 // benchmark has one client send requests in turn on one connection.
-func benchmark(b *testing.B, answer, end, body string, how change) {
+func benchmark(b *testing.B, answer, end, body string, how configure) {
 	const ok = "HTTP/1.1 200 OK\r\nX-Attempt-Id: id-1\r\nX-Server-Seal: seal\r\nX-Server-Load: 1,2,3\r\nKeep-Alive: timeout=10\r\n"
 	f := startProxy(&testing.T{}, []*fakeServer{benchServer(b, ok+answer)}, how)
 	b.Cleanup(func() {
 		f.cancel()
-		<-f.ended
+		<-f.serveErr
 	})
 	c, err := net.Dial("tcp4", f.address)
 	if err != nil {
@@ -86,19 +86,19 @@
 }
 
 func BenchmarkPlain(b *testing.B) {
-	benchmark(b, "Content-Length: 800\r\n\r\n"+strings.Repeat("x", 800), "xxx", "", category(config.Idempotent))
+	benchmark(b, "Content-Length: 800\r\n\r\n"+strings.Repeat("x", 800), "xxx", "", withCategory(config.Idempotent))
 }
 
 func BenchmarkLongPrompt(b *testing.B) {
-	benchmark(b, "Content-Length: 800\r\n\r\n"+strings.Repeat("x", 800), "xxx", strings.Repeat("y", 34<<10), category(config.Idempotent))
+	benchmark(b, "Content-Length: 800\r\n\r\n"+strings.Repeat("x", 800), "xxx", strings.Repeat("y", 34<<10), withCategory(config.Idempotent))
 }
 
 func BenchmarkStream(b *testing.B) {
 	text := "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for id := range 9 {
-		text += event(id)
+		text += eventChunk(id)
 	}
-	benchmark(b, text+"0\r\n\r\n", "0\r\n\r\n", "", category(config.Streaming))
+	benchmark(b, text+"0\r\n\r\n", "0\r\n\r\n", "", withCategory(config.Streaming))
 }
 
 // BenchmarkConnections tells what a client's connection that idles costs in memory.
@@ -107,7 +107,7 @@
 	f := startProxy(&testing.T{}, []*fakeServer{s})
 	b.Cleanup(func() {
 		f.cancel()
-		<-f.ended
+		<-f.serveErr
 	})
 	const conns = 500
 	for b.Loop() {
--- a/internal/system/proxy/front_test.go
+++ b/internal/system/proxy/front_test.go
@@ -32,18 +32,18 @@
 		if r.Header.Get("X-Wait") != "" {
 			<-goOn
 		}
-		return say(200, "x")(c, r, body)
+		return respondWith(200, "x")(c, r, body)
 	})
 	f := startProxy(t, []*fakeServer{s}, func(o *Options, _ *config.Config) { o.GracePeriod = 3 * time.Second })
 	idle, busy, open := f.dial(t), f.dial(t), f.dial(t)
-	if got := idle.post("id-1", "").read(); got.StatusCode != 200 || got.Close || !f.Ready() {
+	if got := idle.sendRequest("id-1", "").readResponse(); got.StatusCode != 200 || got.Close || !f.Ready() {
 		t.Errorf("status %d, closing %v, ready %v", got.StatusCode, got.Close, f.Ready())
 	}
-	open.post("id-2", "").read()
-	busy.post("id-3", "", "X-Wait: 1")
-	within(t, s.came, "request")
-	within(t, s.came, "request")
-	within(t, s.came, "request")
+	open.sendRequest("id-2", "").readResponse()
+	busy.sendRequest("id-3", "", "X-Wait: 1")
+	receive(t, s.requests, "request")
+	receive(t, s.requests, "request")
+	receive(t, s.requests, "request")
 	over := make(chan bool)
 	go func() {
 		defer close(over)
@@ -52,48 +52,48 @@
 	for f.Ready() { // until Drain has begun
 		runtime.Gosched()
 	}
-	if got := open.post("id-4", "").read(); got.StatusCode != 200 || !got.Close {
+	if got := open.sendRequest("id-4", "").readResponse(); got.StatusCode != 200 || !got.Close {
 		t.Errorf("status %d, closing %v", got.StatusCode, got.Close)
 	}
-	if got := f.ask(t, "id-5", ""); got.StatusCode != 200 || !got.Close {
+	if got := f.roundTrip(t, "id-5", ""); got.StatusCode != 200 || !got.Close {
 		t.Errorf("a new connection: status %d, closing %v", got.StatusCode, got.Close)
 	}
-	if n, err := idle.in.ReadByte(); err != io.EOF {
+	if n, err := idle.reader.ReadByte(); err != io.EOF {
 		t.Errorf("the idle connection: %v, error %v", n, err)
 	}
 	goOn <- true
-	if got := busy.read(); got.StatusCode != 200 || !got.Close || got.body != "x" {
+	if got := busy.readResponse(); got.StatusCode != 200 || !got.Close || got.body != "x" {
 		t.Errorf("status %d, closing %v, body %q", got.StatusCode, got.Close, got.body)
 	}
-	within(t, over, "end of Drain")
-	if err := within(t, f.ended, "end of Serve"); err != nil {
+	receive(t, over, "end of Drain")
+	if err := receive(t, f.serveErr, "end of Serve"); err != nil {
 		t.Error(err)
 	}
-	f.ended <- nil
+	f.serveErr <- nil
 	if _, err := net.Dial("tcp4", f.address); err == nil {
 		t.Error("connections are taken still")
 	}
 }
 
-// TestDrainCuts ends a proxy whose server does not answer: the end comes within the time given.
-func TestDrainCuts(t *testing.T) {
-	s := startServer(t, mute)
+// TestDrainEndsUnanswered ends a proxy whose server does not answer: the end comes within the time given.
+func TestDrainEndsUnanswered(t *testing.T) {
+	s := startServer(t, neverRespond)
 	f := startProxy(t, []*fakeServer{s}, func(o *Options, _ *config.Config) { o.GracePeriod = 400 * time.Millisecond })
-	c := f.dial(t).post("id-1", "")
-	within(t, s.came, "request")
+	c := f.dial(t).sendRequest("id-1", "")
+	receive(t, s.requests, "request")
 	began := time.Now()
 	f.Drain(context.Background())
 	if took := time.Since(began); took < 300*time.Millisecond || took > 5*time.Second {
 		t.Errorf("after %v", took)
 	}
-	if text, err := io.ReadAll(c.in); len(text) > 0 {
+	if text, err := io.ReadAll(c.reader); len(text) > 0 {
 		t.Errorf("%q, error %v", text, err)
 	}
 }
 
 // TestDrainBeforeServe has the end come first.
 func TestDrainBeforeServe(t *testing.T) {
-	p := newProxy(Options{Log: &log.Logger{Handler: discard.New()}}, &toyPicker{})
+	p := newProxy(Options{Log: &log.Logger{Handler: discard.New()}}, &fakePicker{})
 	p.Drain(context.Background())
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -106,10 +106,10 @@
 
 // TestLimits has the times that clients may take change: new connections keep to the new ones, and those that are open go on.
 func TestLimits(t *testing.T) {
-	s := startServer(t, say(200, "x"))
+	s := startServer(t, respondWith(200, "x"))
 	f := startProxy(t, []*fakeServer{s})
 	old := f.dial(t)
-	old.post("id-1", "").read()
+	old.sendRequest("id-1", "").readResponse()
 	w := *f.clusterState.Load()
 	config := *w.Config
 	config.Limits.HeaderTimeout, config.Limits.IdleTimeout = 50*time.Millisecond, 60*time.Millisecond
@@ -121,78 +121,78 @@
 		t.Errorf("half a head: %v", err)
 	}
 	idle := f.dial(t)
-	idle.post("id-2", "").read()
-	if n, err := idle.in.ReadByte(); err != io.EOF {
+	idle.sendRequest("id-2", "").readResponse()
+	if n, err := idle.reader.ReadByte(); err != io.EOF {
 		t.Errorf("idle: %v, error %v", n, err)
 	}
-	if got := old.post("id-3", "").read(); got.StatusCode != 200 {
+	if got := old.sendRequest("id-3", "").readResponse(); got.StatusCode != 200 {
 		t.Errorf("status %d", got.StatusCode)
 	}
 }
 
-// TestRoom has more connections come than are taken: the one that idles longest gives way.
-func TestRoom(t *testing.T) {
+// TestConnectionLimit has more connections come than are taken: the one that idles longest gives way.
+func TestConnectionLimit(t *testing.T) {
 	goOn := make(chan bool)
 	s := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Header.Get("X-Wait") != "" {
 			<-goOn
 		}
-		return say(200, "x")(c, r, body)
+		return respondWith(200, "x")(c, r, body)
 	})
 	f := startProxy(t, []*fakeServer{s}, func(o *Options, _ *config.Config) { o.FDLimit = 1 })
-	var all []*client
+	var all []*testClient
 	for n := range f.clients.maxConns {
 		c := f.dial(t)
 		if n != 3 {
-			c.post("id-1", "", "X-Wait: 1")
+			c.sendRequest("id-1", "", "X-Wait: 1")
 		} else {
-			c.post("id-1", "").read()
+			c.sendRequest("id-1", "").readResponse()
 		}
-		within(t, s.came, "request")
+		receive(t, s.requests, "request")
 		all = append(all, c)
 	}
-	if got := f.ask(t, "id-2", ""); got.StatusCode != 200 {
+	if got := f.roundTrip(t, "id-2", ""); got.StatusCode != 200 {
 		t.Errorf("status %d", got.StatusCode)
 	}
 	close(goOn)
 	for n, c := range all {
 		if n == 3 {
-			if _, err := c.in.ReadByte(); err != io.EOF {
+			if _, err := c.reader.ReadByte(); err != io.EOF {
 				t.Errorf("the idle one: %v", err)
 			}
 			continue
 		}
-		if got := c.read(); got.StatusCode != 200 {
+		if got := c.readResponse(); got.StatusCode != 200 {
 			t.Errorf("%d: status %d", n, got.StatusCode)
 		}
 	}
 }
 
-// TestBodies has more bytes of bodies come than are held at once: what has no room is refused.
-func TestBodies(t *testing.T) {
+// TestBodyMemoryLimit has more bytes of bodies come than are held at once: what has no room is refused.
+func TestBodyMemoryLimit(t *testing.T) {
 	goOn := make(chan bool)
 	s := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		<-goOn
-		return say(200, "x")(c, r, body)
+		return respondWith(200, "x")(c, r, body)
 	})
 	f := startProxy(t, []*fakeServer{s}, func(o *Options, _ *config.Config) { o.MemoryMB = 1 })
 	long := strings.Repeat("x", 150<<10)
-	first := f.dial(t).post("id-1", long)
-	within(t, s.came, "request")
+	first := f.dial(t).sendRequest("id-1", long)
+	receive(t, s.requests, "request")
 	c := f.dial(t)
 	go fmt.Fprintf(c, "POST /a/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: id-2\r\nContent-Length: %d\r\n\r\n%s", len(long), long)
-	if got := c.read(); got.StatusCode != 503 || got.Header.Get("Retry-After") == "" {
+	if got := c.readResponse(); got.StatusCode != 503 || got.Header.Get("Retry-After") == "" {
 		t.Errorf("status %d", got.StatusCode)
 	}
 	goOn <- true
-	if got := first.read(); got.StatusCode != 200 {
+	if got := first.readResponse(); got.StatusCode != 200 {
 		t.Errorf("status %d", got.StatusCode)
 	}
 }
 
 // TestSmuggling has peers send requests whose end can be read in two ways, with a second one inside: neither runs.
 func TestSmuggling(t *testing.T) {
-	s := startServer(t, say(200, "ok"))
+	s := startServer(t, respondWith(200, "ok"))
 	f := startProxy(t, []*fakeServer{s})
 	const common = "POST /a/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: outer\r\n"
 	inner := strings.Replace(common, "outer", "inner", 1) + "Content-Length: 0\r\n\r\n"
@@ -218,8 +218,8 @@
 			if strings.Contains(string(got), " 200 ") {
 				t.Errorf("served: %q, error %v", got, err)
 			}
-			for len(s.came) > 0 {
-				t.Errorf("forwarded %q", (<-s.came).Header.Get(headerAttemptID))
+			for len(s.requests) > 0 {
+				t.Errorf("forwarded %q", (<-s.requests).Header.Get(headerAttemptID))
 			}
 		})
 	}
@@ -229,7 +229,7 @@
 func TestRealPicker(t *testing.T) {
 	var servers []*fakeServer
 	for range 3 {
-		servers = append(servers, startServer(t, say(200, "x", "X-Server-Load: 0,0,8", "Keep-Alive: timeout=10")))
+		servers = append(servers, startServer(t, respondWith(200, "x", "X-Server-Load: 0,0,8", "Keep-Alive: timeout=10")))
 	}
 	f := startProxy(t, servers)
 	real := New(Options{Settings: pick.Settings{Zone: "z", Region: "r", Seed: 1}})
@@ -245,7 +245,7 @@
 	for i := range w.Servers {
 		w.Servers[i].Zone, w.Servers[i].Region, w.Servers[i].Slots = "z", "r", 8
 	}
-	real.pools.sameRegionTimeout = patience
+	real.pools.sameRegionTimeout = testTimeout
 	real.UpdateClusterState(time.Now(), w)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -257,17 +257,17 @@
 	f.address = l.Addr().String()
 	c := f.dial(t)
 	for n := range 30 {
-		if got := c.post(fmt.Sprint("id-", n), "").read(); got.StatusCode != 200 {
+		if got := c.sendRequest(fmt.Sprint("id-", n), "").readResponse(); got.StatusCode != 200 {
 			t.Errorf("status %d", got.StatusCode)
 		}
 	}
 	for n, s := range servers {
-		if len(s.came) < 5 {
-			t.Errorf("server %d got %d of 30 requests", n, len(s.came))
+		if len(s.requests) < 5 {
+			t.Errorf("server %d got %d of 30 requests", n, len(s.requests))
 		}
 	}
 	cancel()
-	if err := within(t, ended, "end of Serve"); err != nil {
+	if err := receive(t, ended, "end of Serve"); err != nil {
 		t.Error(err)
 	}
 }
@@ -277,22 +277,22 @@
 	long := strings.Repeat("x", 16<<20)
 	s := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Header.Get("X-Long") == "" {
-			return say(200, "x")(c, r, body)
+			return respondWith(200, "x")(c, r, body)
 		}
-		return say(200, long)(c, r, body)
+		return respondWith(200, long)(c, r, body)
 	})
 	f := startProxy(t, []*fakeServer{s}, func(o *Options, _ *config.Config) { o.TestingKnobs.ClientWriteTimeout = 300 * time.Millisecond })
 	slow := f.dial(t)
 	_ = slow.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
-	slow.post("id-1", "", "X-Long: 1")
-	within(t, s.came, "request")
-	if got := f.ask(t, "id-2", ""); got.StatusCode != 200 {
+	slow.sendRequest("id-1", "", "X-Long: 1")
+	receive(t, s.requests, "request")
+	if got := f.roundTrip(t, "id-2", ""); got.StatusCode != 200 {
 		t.Errorf("status %d", got.StatusCode)
 	}
 	for f.Counters().ClientGone.Load() == 0 { // within the time of the test binary, or it fails with all stacks
 		runtime.Gosched()
 	}
-	if got := slow.read(); got.err == nil || len(got.body) == len(long) {
+	if got := slow.readResponse(); got.err == nil || len(got.body) == len(long) {
 		t.Errorf("%d bytes, error %v", len(got.body), got.err)
 	}
 }
--- a/internal/system/proxy/headers_test.go
+++ b/internal/system/proxy/headers_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestHints(t *testing.T) {
+func TestServerHints(t *testing.T) {
 	h := http.Header{"X-Server-Load": {"3, 1,8"}, "X-Cold-Ms": {"1500"}, "Retry-After": {"0.35"}, "Keep-Alive": {"max=4, timeout=7"}}
 	if got, want := parseServerHints(h, true), (serverHints{true, 3, 1, 8, true, 1500 * time.Millisecond, true, 7 * time.Second}); got != want {
 		t.Errorf("%+v, want %+v", got, want)
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestEvents reads streams in pieces of each size.
-func TestEvents(t *testing.T) {
-	for _, tt := range []struct {
+// TestEventReader reads streams in pieces of each size.
+func TestEventReader(t *testing.T) {
+	for _, test := range []struct {
 		name, text, after string
 		want, last        string
 		err               error
@@ -75,9 +75,9 @@
 	} {
 		for name, wrap := range map[string]func(io.Reader) io.Reader{"bytes": iotest.OneByteReader, "halves": iotest.HalfReader,
 			"at once": func(r io.Reader) io.Reader { return r }, "with the end": iotest.DataErrReader} {
-			ev := &eventReader{source: wrap(strings.NewReader(tt.text))}
-			if tt.after != "" {
-				ev.resumeAfter(tt.after)
+			ev := &eventReader{source: wrap(strings.NewReader(test.text))}
+			if test.after != "" {
+				ev.resumeAfter(test.after)
 			}
 			var got bytes.Buffer
 			var err error
@@ -86,8 +86,8 @@
 				whole, err = ev.next()
 				got.Write(whole)
 			}
-			if got.String() != tt.want || !errors.Is(err, tt.err) || ev.lastEventID != tt.last {
-				t.Errorf("%s in %s: %q, last %q, error %v", tt.name, name, got.String(), ev.lastEventID, err)
+			if got.String() != test.want || !errors.Is(err, test.err) || ev.lastEventID != test.last {
+				t.Errorf("%s in %s: %q, last %q, error %v", test.name, name, got.String(), ev.lastEventID, err)
 			}
 		}
 	}
--- a/internal/system/proxy/helpers_test.go
+++ b/internal/system/proxy/helpers_test.go
@@ -21,101 +21,101 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-const patience = 10 * time.Second // of tests, for what comes at once
-
-// toyPicker sends to the first server that has not been tried, and records how sends ended.
-type toyPicker struct {
-	world   pick.ClusterState
-	route   *config.Route
-	ticket  uint64
-	ends    []pick.Outcome
-	firsts  int
-	load    string
-	resumed int
-	retry   time.Duration // with refusals
-	within  time.Duration // that sends must go out in
-	no      bool          // refuse all
-	down    map[string]bool
-	sent    map[uint64]string
+const testTimeout = 10 * time.Second // of tests, for what comes at once
+
+// fakePicker sends to the first server that has not been tried, and records how sends ended.
+type fakePicker struct {
+	clusterState pick.ClusterState
+	route        *config.Route
+	lastTicket   uint64
+	outcomes     []pick.Outcome
+	firstEvents  int
+	lastLoad     string
+	resumedCount int
+	retryAfter   time.Duration // with refusals
+	sendWithin   time.Duration // that sends must go out in
+	refuseAll    bool          // refuse all
+	unreachable  map[string]bool
+	serverOf     map[uint64]string
 }
 
-func (t *toyPicker) UpdateClusterState(_ pick.Time, w pick.ClusterState) { t.world = w }
-func (t *toyPicker) SetLoads(pick.Time, map[string]pick.Load)            {}
-func (t *toyPicker) Loads() map[string]pick.Load                         { return nil }
-func (t *toyPicker) SetIdleTimeout(string, time.Duration)                {}
-func (t *toyPicker) PromptDemands() map[string]pick.Load                 { return nil }
-func (t *toyPicker) Arrive(pick.Time, *pick.Request)                     {}
-func (t *toyPicker) FirstEvent(pick.Time, uint64)                        { t.firsts++ }
-func (t *toyPicker) Started(pick.Time, uint64)                           {}
-func (t *toyPicker) WarmingUp(pick.Time, string, time.Duration)          {}
-func (t *toyPicker) ServerDraining(pick.Time, string)                    {}
-func (t *toyPicker) AwaitsServerList() bool                              { return false }
-func (t *toyPicker) Stalled(pick.Time)                                   {}
-func (t *toyPicker) AwaitsControlPlane() bool                            { return false }
-func (t *toyPicker) Stats() pick.Stats                                   { return pick.Stats{} }
-func (t *toyPicker) Describe(pick.Time) string                           { return "toy" }
-func (t *toyPicker) ServerLoad(_ pick.Time, id string, run, wait, of int) {
-	t.load = fmt.Sprintf("%s %d,%d,%d", id, run, wait, of)
+func (t *fakePicker) UpdateClusterState(_ pick.Time, w pick.ClusterState) { t.clusterState = w }
+func (t *fakePicker) SetLoads(pick.Time, map[string]pick.Load)            {}
+func (t *fakePicker) Loads() map[string]pick.Load                         { return nil }
+func (t *fakePicker) SetIdleTimeout(string, time.Duration)                {}
+func (t *fakePicker) PromptDemands() map[string]pick.Load                 { return nil }
+func (t *fakePicker) Arrive(pick.Time, *pick.Request)                     {}
+func (t *fakePicker) FirstEvent(pick.Time, uint64)                        { t.firstEvents++ }
+func (t *fakePicker) Started(pick.Time, uint64)                           {}
+func (t *fakePicker) WarmingUp(pick.Time, string, time.Duration)          {}
+func (t *fakePicker) ServerDraining(pick.Time, string)                    {}
+func (t *fakePicker) AwaitsServerList() bool                              { return false }
+func (t *fakePicker) Stalled(pick.Time)                                   {}
+func (t *fakePicker) AwaitsControlPlane() bool                            { return false }
+func (t *fakePicker) Stats() pick.Stats                                   { return pick.Stats{} }
+func (t *fakePicker) Describe(pick.Time) string                           { return "toy" }
+func (t *fakePicker) ServerLoad(_ pick.Time, id string, run, wait, of int) {
+	t.lastLoad = fmt.Sprintf("%s %d,%d,%d", id, run, wait, of)
 }
 
-func (t *toyPicker) Route(host, path string) *config.Route {
+func (t *fakePicker) Route(host, path string) *config.Route {
 	if strings.EqualFold(strings.TrimSuffix(host, ":80"), t.route.Host) && strings.HasPrefix(path, t.route.Prefix) {
 		return t.route
 	}
 	return nil
 }
 
-func (t *toyPicker) Choose(_ pick.Time, r *pick.Request, tried []string, offered bool) pick.Choice {
+func (t *fakePicker) Choose(_ pick.Time, r *pick.Request, tried []string, offered bool) pick.Choice {
 	if r.Resumed {
-		t.resumed++
+		t.resumedCount++
 	}
-	for _, s := range t.world.Servers {
-		if !t.no && !slices.Contains(tried, s.ID) && !t.down[s.ID] {
-			t.ticket++
-			t.sent[t.ticket] = s.ID
-			return pick.Choice{Server: s, Ticket: t.ticket, Priority: r.Route.Priority, SendWithin: t.within}
+	for _, s := range t.clusterState.Servers {
+		if !t.refuseAll && !slices.Contains(tried, s.ID) && !t.unreachable[s.ID] {
+			t.lastTicket++
+			t.serverOf[t.lastTicket] = s.ID
+			return pick.Choice{Server: s, Ticket: t.lastTicket, Priority: r.Route.Priority, SendWithin: t.sendWithin}
 		}
 	}
 	if offered {
 		return pick.Choice{Verdict: pick.GiveUp}
 	}
-	return pick.Choice{Verdict: pick.Refuse, RetryAfter: t.retry}
+	return pick.Choice{Verdict: pick.Refuse, RetryAfter: t.retryAfter}
 }
 
-func (t *toyPicker) Done(_ pick.Time, ticket uint64, o pick.Outcome, _ time.Duration) {
-	t.ends = append(t.ends, o)
+func (t *fakePicker) Done(_ pick.Time, ticket uint64, o pick.Outcome, _ time.Duration) {
+	t.outcomes = append(t.outcomes, o)
 	if o == pick.ConnectFailed {
-		t.down[t.sent[ticket]] = true
+		t.unreachable[t.serverOf[ticket]] = true
 	}
 }
 
-// deed is what a fake server does with one request; false: it closes the connection.
-type deed func(c net.Conn, r *http.Request, body []byte) bool
+// serverBehavior is what a fake server does with one request; false: it closes the connection.
+type serverBehavior func(c net.Conn, r *http.Request, body []byte) bool
 
 // fakeServer speaks HTTP/1.1 as it is told.
 type fakeServer struct {
-	l    net.Listener
-	came chan *seen
-	wg   sync.WaitGroup
+	listener net.Listener
+	requests chan *receivedRequest
+	wg       sync.WaitGroup
 
 	mu    sync.Mutex
 	conns []net.Conn
 }
 
-// seen is a request as it came.
-type seen struct {
+// receivedRequest is a request as it came.
+type receivedRequest struct {
 	*http.Request
 	body string
 	conn net.Conn
 }
 
-func startServer(t *testing.T, do deed) *fakeServer {
+func startServer(t *testing.T, behavior serverBehavior) *fakeServer {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &fakeServer{l: l, came: make(chan *seen, 4096)}
+	s := &fakeServer{listener: l, requests: make(chan *receivedRequest, 4096)}
 	s.wg.Go(func() {
 		for {
 			c, err := l.Accept()
@@ -125,14 +125,14 @@
 			s.mu.Lock()
 			s.conns = append(s.conns, c)
 			s.mu.Unlock()
-			s.wg.Go(func() { s.serve(c, do) })
+			s.wg.Go(func() { s.serve(c, behavior) })
 		}
 	})
 	t.Cleanup(s.stop)
 	return s
 }
 
-func (s *fakeServer) serve(c net.Conn, do deed) {
+func (s *fakeServer) serve(c net.Conn, do serverBehavior) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -144,7 +144,7 @@
 		if err != nil {
 			return
 		}
-		s.came <- &seen{r, string(body), c}
+		s.requests <- &receivedRequest{r, string(body), c}
 		if !do(c, r, body) {
 			return
 		}
@@ -152,7 +152,7 @@
 }
 
 func (s *fakeServer) stop() {
-	_ = s.l.Close()
+	_ = s.listener.Close()
 	s.mu.Lock()
 	for _, c := range s.conns {
 		_ = c.Close()
@@ -161,10 +161,10 @@
 	s.wg.Wait()
 }
 
-func (s *fakeServer) address() string { return s.l.Addr().String() }
+func (s *fakeServer) address() string { return s.listener.Addr().String() }
 
-// deafAddress is one where nobody listens, and that no other socket gets meanwhile.
-func deafAddress(t *testing.T) string {
+// closedAddress is one where nobody listens, and that no other socket gets meanwhile.
+func closedAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -190,45 +190,45 @@
 	return text
 }
 
-// say answers with a status, headers and a body.
-func say(status int, body string, more ...string) deed {
+// respondWith answers with a status, headers and a body.
+func respondWith(status int, body string, more ...string) serverBehavior {
 	return func(c net.Conn, r *http.Request, _ []byte) bool {
 		fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", head(r, status, more...), len(body), body)
 		return true
 	}
 }
 
-// raw answers with a text in which ID stands for the request's id.
-func raw(text string, stays bool) deed {
+// respondRaw answers with a text in which ID stands for the request's id.
+func respondRaw(text string, stays bool) serverBehavior {
 	return func(c net.Conn, r *http.Request, _ []byte) bool {
 		io.WriteString(c, strings.ReplaceAll(text, "ID", r.Header.Get(headerAttemptID)))
 		return stays
 	}
 }
 
-// reset breaks the connection off without a word.
-func reset(c net.Conn, _ *http.Request, _ []byte) bool {
+// resetConn breaks the connection off without a word.
+func resetConn(c net.Conn, _ *http.Request, _ []byte) bool {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	return false
 }
 
-// mute never answers; it waits for the end of the connection.
-func mute(c net.Conn, _ *http.Request, _ []byte) bool {
+// neverRespond never answers; it waits for the end of the connection.
+func neverRespond(c net.Conn, _ *http.Request, _ []byte) bool {
 	_, _ = c.Read(make([]byte, 1))
 	return false
 }
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// event is one event of a stream, as a chunk.
-func event(id int) string { return chunk(fmt.Sprintf("id: %d\ndata: d%d\n\n", id, id)) }
+// eventChunk is one eventChunk of a stream, as a chunk.
+func eventChunk(id int) string { return chunk(fmt.Sprintf("id: %d\ndata: d%d\n\n", id, id)) }
 
 // events answers with a stream of events; whole: it ends as complete.
-func eventsOf(from, to int, whole bool) deed {
+func respondEvents(from, to int, whole bool) serverBehavior {
 	return func(c net.Conn, r *http.Request, _ []byte) bool {
 		io.WriteString(c, head(r, 200, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")+"\r\n")
 		for id := from; id <= to; id++ {
-			io.WriteString(c, event(id))
+			io.WriteString(c, eventChunk(id))
 		}
 		if whole {
 			io.WriteString(c, "0\r\n\r\n")
@@ -237,28 +237,28 @@
 	}
 }
 
-// fixture is a proxy with a toy picker.
-type fixture struct {
+// testProxy is a proxy with a toy picker.
+type testProxy struct {
 	*Proxy
-	pick    *toyPicker
-	address string
-	route   *config.Route
-	ended   chan error
-	cancel  context.CancelFunc
+	fake     *fakePicker
+	address  string
+	route    *config.Route
+	serveErr chan error
+	cancel   context.CancelFunc
 }
 
-type change func(*Options, *config.Config)
+type configure func(*Options, *config.Config)
 
-func category(k config.Category) change {
+func withCategory(k config.Category) configure {
 	return func(_ *Options, c *config.Config) { c.Routes[0].Category = k }
 }
 
-func resumable(_ *Options, c *config.Config) {
+func withResumable(_ *Options, c *config.Config) {
 	c.Routes[0].Category, c.Routes[0].Resumable = config.Streaming, true
 }
 
 // startProxy serves a route /a/ of the host h.example at servers.
-func startProxy(t *testing.T, servers []*fakeServer, changes ...change) *fixture {
+func startProxy(t *testing.T, servers []*fakeServer, changes ...configure) *testProxy {
 	t.Helper()
 	route := &config.Route{Name: "r", Host: "h.example", Prefix: "/a/", Category: config.NonIdempotent, Timeout: 8 * time.Second,
 		LatencyTarget: time.Second, EventGapTarget: 500 * time.Millisecond, Priority: 3, MaxTries: 3,
@@ -270,9 +270,9 @@
 	for _, c := range changes {
 		c(&o, config)
 	}
-	toy := &toyPicker{route: route, down: map[string]bool{}, sent: map[uint64]string{}}
-	f := &fixture{Proxy: newProxy(o, toy), pick: toy, route: route, ended: make(chan error, 1)}
-	f.pools.sameRegionTimeout = patience // the machine may be busy
+	toy := &fakePicker{route: route, unreachable: map[string]bool{}, serverOf: map[uint64]string{}}
+	f := &testProxy{Proxy: newProxy(o, toy), fake: toy, route: route, serveErr: make(chan error, 1)}
+	f.pools.sameRegionTimeout = testTimeout // the machine may be busy
 	w := pick.ClusterState{Config: config}
 	for i, s := range servers {
 		w.Servers = append(w.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: s.address()})
@@ -285,11 +285,11 @@
 	f.address = l.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
-	go func() { f.ended <- f.Serve(ctx, l) }()
+	go func() { f.serveErr <- f.Serve(ctx, l) }()
 	t.Cleanup(func() {
 		cancel()
-		within(t, f.ended, "end of Serve")
-		f.ended <- nil
+		receive(t, f.serveErr, "end of Serve")
+		f.serveErr <- nil
 		if held := f.memory.reserved.Load(); held != 0 {
 			t.Errorf("%d bytes are booked still", held)
 		}
@@ -297,32 +297,32 @@
 	return f
 }
 
-// ends are how the sends have ended so far.
-func (f *fixture) ends() (ends []pick.Outcome) {
-	f.picker.withLock(func(picker, pick.Time) { ends = slices.Clone(f.pick.ends) })
+// outcomes are how the sends have ended so far.
+func (f *testProxy) outcomes() (ends []pick.Outcome) {
+	f.picker.withLock(func(picker, pick.Time) { ends = slices.Clone(f.fake.outcomes) })
 	return ends
 }
 
-// client is a connection to the proxy.
-type client struct {
+// testClient is a connection to the proxy.
+type testClient struct {
 	net.Conn
-	t  *testing.T
-	in *bufio.Reader
+	t      *testing.T
+	reader *bufio.Reader
 }
 
-func (f *fixture) dial(t *testing.T) *client {
+func (f *testProxy) dial(t *testing.T) *testClient {
 	t.Helper()
 	c, err := net.Dial("tcp4", f.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
-	return &client{c, t, bufio.NewReader(c)}
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
+	return &testClient{c, t, bufio.NewReader(c)}
 }
 
-// post sends a request with an id, headers and a body.
-func (c *client) post(id, body string, more ...string) *client {
+// sendRequest sends a request with an id, headers and a body.
+func (c *testClient) sendRequest(id, body string, more ...string) *testClient {
 	c.t.Helper()
 	text := "POST /a/x?q=1%20a HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: " + id + "\r\n"
 	for _, m := range more {
@@ -334,35 +334,35 @@
 	return c
 }
 
-// reply is an answer as a client sees it.
-type reply struct {
+// clientResponse is an answer as a client sees it.
+type clientResponse struct {
 	*http.Response
 	body string
 	err  error // of the body
 }
 
-func (c *client) read() reply {
+func (c *testClient) readResponse() clientResponse {
 	c.t.Helper()
-	resp, err := http.ReadResponse(c.in, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		c.t.Fatalf("no answer: %v", err)
 	}
 	body, err := io.ReadAll(resp.Body)
-	return reply{resp, string(body), err}
+	return clientResponse{resp, string(body), err}
 }
 
-func (f *fixture) ask(t *testing.T, id, body string, more ...string) reply {
+func (f *testProxy) roundTrip(t *testing.T, id, body string, more ...string) clientResponse {
 	t.Helper()
 	c := f.dial(t)
 	defer c.Close()
-	return c.post(id, body, more...).read()
+	return c.sendRequest(id, body, more...).readResponse()
 }
 
-func within[T any](t *testing.T, c <-chan T, what string) (v T) {
+func receive[T any](t *testing.T, c <-chan T, what string) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("no %s", what)
 	}
 	return v
--- a/internal/system/proxy/late_send_test.go
+++ b/internal/system/proxy/late_send_test.go
@@ -13,10 +13,10 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestLateSendIsGivenUp: a request that is to go out within 200 ms, as its server is cold, goes out to another server if the
+// TestSendDeadline: a request that is to go out within 200 ms, as its server is cold, goes out to another server if the
 // connection comes later, or comes in time and the process stands still.
-func TestLateSendIsGivenUp(t *testing.T) {
-	for name, tt := range map[string]struct{ within, opens time.Duration }{
+func TestSendDeadline(t *testing.T) {
+	for name, test := range map[string]struct{ within, opens time.Duration }{
 		"in time":                {200 * time.Millisecond, 150 * time.Millisecond},
 		"too late":               {200 * time.Millisecond, 210 * time.Millisecond},
 		"late, at no one's cost": {0, 240 * time.Millisecond},
@@ -24,28 +24,28 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ran := make(chan int, 4)
-				serve := func(n int) deed {
+				serve := func(n int) serverBehavior {
 					return func(c net.Conn, r *http.Request, body []byte) bool {
 						ran <- n
-						return say(200, "x")(c, r, body)
+						return respondWith(200, "x")(c, r, body)
 					}
 				}
-				p := newPiped([]change{category(config.NonIdempotent)}, serve(0), serve(1))
-				p.pick.within = tt.within
+				p := newPipedProxy([]configure{withCategory(config.NonIdempotent)}, serve(0), serve(1))
+				p.fake.sendWithin = test.within
 				open := p.pools.connect
 				p.pools.connect = func(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
 					if address == "at-0" {
-						time.Sleep(tt.opens)
+						time.Sleep(test.opens)
 					}
 					return open(ctx, address, within)
 				}
-				w, _ := p.ask(t.Context())
+				w, _ := p.roundTrip(t.Context())
 				want, ends := 0, []pick.Outcome{pick.Served}
-				if tt.within > 0 && tt.opens > tt.within {
+				if test.within > 0 && test.opens > test.within {
 					want, ends = 1, []pick.Outcome{pick.ConnectFailed, pick.Served}
 				}
-				if w.Code != 200 || len(ran) != 1 || <-ran != want || !slices.Equal(p.pick.ends, ends) {
-					t.Errorf("status %d, sends ended as %v, want %v at server %d", w.Code, p.pick.ends, ends, want)
+				if w.Code != 200 || len(ran) != 1 || <-ran != want || !slices.Equal(p.fake.outcomes, ends) {
+					t.Errorf("status %d, sends ended as %v, want %v at server %d", w.Code, p.fake.outcomes, ends, want)
 				}
 			})
 		})
--- a/internal/system/proxy/once_controls_test.go
+++ b/internal/system/proxy/once_controls_test.go
@@ -19,12 +19,12 @@
 // with the protection in place.
 func TestExactlyOnceControls(t *testing.T) {
 	with := func(change func(*behaviour)) []behaviour {
-		b := well
+		b := soundBehaviour
 		change(&b)
 		return []behaviour{b}
 	}
-	cutStream := with(func(b *behaviour) { b.Framing, b.Cut, b.Then = "chunked", 850, halfClose })
-	for _, tt := range []struct {
+	cutStream := with(func(b *behaviour) { b.Framing, b.PermilleSent, b.After = "chunked", 850, halfCloseAfter })
+	for _, test := range []struct {
 		name     string
 		without  TestingKnobs
 		category config.Category
@@ -38,26 +38,26 @@
 		{"interim answers", TestingKnobs{PassInterimResponses: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.Interims = 1 }), "bears another id"},
 		{"at most one run", TestingKnobs{RetryNonIdempotent: true}, config.NonIdempotent,
-			with(func(b *behaviour) { b.Cut, b.Then = 0, resetIt }), "sent again though it may have run"},
+			with(func(b *behaviour) { b.PermilleSent, b.After = 0, resetAfter }), "sent again though it may have run"},
 		{"promises", TestingKnobs{PassUnfoundedPromises: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.Status = http.StatusTooManyRequests }), "promised that it has not"},
 		{"the end of an answer", TestingKnobs{AcceptUnframed: true}, config.NonIdempotent,
-			with(func(b *behaviour) { b.Framing, b.Cut, b.Then = "none", 950, halfClose }), "looks whole"},
+			with(func(b *behaviour) { b.Framing, b.PermilleSent, b.After = "none", 950, halfCloseAfter }), "looks whole"},
 		{"streams that may not be resumed", TestingKnobs{ResumeAnyStream: true}, config.Streaming, cutStream, "sent again though it may have run"},
 		{"a broken answer ends its connection", TestingKnobs{KeepTruncatedConns: true}, config.Streaming, cutStream, "looks whole"},
 	} {
-		t.Run(tt.name, func(t *testing.T) {
-			s := scenario{Category: tt.category, MaxTries: 2, Servers: [][]behaviour{tt.first, nil},
-				Steps: []step{{Way: "plain", Method: http.MethodPost}}}
-			if err := play(s, TestingKnobs{}); err != nil {
+		t.Run(test.name, func(t *testing.T) {
+			s := testScenario{Category: test.category, MaxTries: 2, Servers: [][]behaviour{test.first, nil},
+				Steps: []clientStep{{Manner: "plain", Method: http.MethodPost}}}
+			if err := playScenario(s, TestingKnobs{}); err != nil {
 				t.Errorf("with it: %v", err)
 			}
 			without := func() {
-				if err := play(s, tt.without); err == nil || !strings.Contains(err.Error(), tt.breaks) {
-					t.Errorf("without it: %v, want %q", err, tt.breaks)
+				if err := playScenario(s, test.without); err == nil || !strings.Contains(err.Error(), test.breaks) {
+					t.Errorf("without it: %v, want %q", err, test.breaks)
 				}
 			}
-			if tt.without.RetryNonIdempotent || tt.without.ResumeAnyStream {
+			if test.without.RetryNonIdempotent || test.without.ResumeAnyStream {
 				invarianttest.Expect(t, nonIdempotentOnce, without)
 			} else {
 				without()
@@ -70,24 +70,24 @@
 // it is not lost on that connection. With the look at idle connections taken out it is.
 func TestClosedWhileIdle(t *testing.T) {
 	for _, without := range []TestingKnobs{{}, {SkipIdleInspection: true}} {
-		s := startServer(t, say(200, "x"))
+		s := startServer(t, respondWith(200, "x"))
 		f := startProxy(t, []*fakeServer{s}, func(o *Options, _ *config.Config) { o.TestingKnobs = without })
 		c := f.dial(t)
-		c.post("id-1", "").read()
-		_ = within(t, s.came, "request").conn.(*net.TCPConn).CloseWrite()
-		f.awaitIdleEnd(t)
+		c.sendRequest("id-1", "").readResponse()
+		_ = receive(t, s.requests, "request").conn.(*net.TCPConn).CloseWrite()
+		f.awaitIdleClosed(t)
 		want := 200
 		if without.SkipIdleInspection {
 			want = 502
 		}
-		if got := c.post("id-2", "").read(); got.StatusCode != want {
+		if got := c.sendRequest("id-2", "").readResponse(); got.StatusCode != want {
 			t.Errorf("without %+v: status %d, want %d", without, got.StatusCode, want)
 		}
 	}
 }
 
-// awaitIdleEnd waits until the end of the one idle connection has come.
-func (f *fixture) awaitIdleEnd(t *testing.T) {
+// awaitIdleClosed waits until the end of the one idle connection has come.
+func (f *testProxy) awaitIdleClosed(t *testing.T) {
 	t.Helper()
 	f.pools.mu.Lock()
 	defer f.pools.mu.Unlock()
@@ -99,7 +99,7 @@
 			}
 			err = raw.Control(func(fd uintptr) {
 				wait := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-				if n, err := unix.Poll(wait, int(patience.Milliseconds())); n != 1 {
+				if n, err := unix.Poll(wait, int(testTimeout.Milliseconds())); n != 1 {
 					t.Errorf("no end of the idle connection: %v", err)
 				}
 			})
@@ -110,20 +110,20 @@
 	}
 }
 
-// narrowConn is a connection that takes only so many bytes, and breaks then.
-type narrowConn struct {
+// limitedConn is a connection that takes only so many bytes, and breaks then.
+type limitedConn struct {
 	net.Conn
-	room int
+	capacity int
 }
 
-func (c *narrowConn) Write(p []byte) (int, error) {
-	if len(p) <= c.room {
-		c.room -= len(p)
+func (c *limitedConn) Write(p []byte) (int, error) {
+	if len(p) <= c.capacity {
+		c.capacity -= len(p)
 		return c.Conn.Write(p)
 	}
 	n := 0
-	if c.room > 0 {
-		n, _ = c.Conn.Write(p[:c.room])
+	if c.capacity > 0 {
+		n, _ = c.Conn.Write(p[:c.capacity])
 	}
 	_ = c.Conn.Close()
 	return n, unix.EPIPE
@@ -132,7 +132,7 @@
 // TestPartlyWritten has a connection break while a request that may run once is written on it: it goes to another server only
 // if not a byte of it was written. With that rule taken out it is sent twice.
 func TestPartlyWritten(t *testing.T) {
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		room    int
 		without TestingKnobs
 		want    int
@@ -144,19 +144,19 @@
 		{1, TestingKnobs{RetryPartlyWritten: true}, 200, 1},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			p := newPiped([]change{category(config.NonIdempotent), func(o *Options, _ *config.Config) { o.TestingKnobs = tt.without }},
-				say(200, "first"), say(200, "second"))
+			p := newPipedProxy([]configure{withCategory(config.NonIdempotent), func(o *Options, _ *config.Config) { o.TestingKnobs = test.without }},
+				respondWith(200, "first"), respondWith(200, "second"))
 			open := p.pools.connect
 			p.pools.connect = func(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
 				c, err := open(ctx, address, within)
 				if address == "at-0" && err == nil {
-					c = &narrowConn{c, tt.room}
+					c = &limitedConn{c, test.room}
 				}
 				return c, err
 			}
-			w, _ := p.ask(t.Context())
-			if w.Code != tt.want || p.counters.Sends.Load() != tt.sends {
-				t.Errorf("room for %d bytes, %+v: status %d, %d sends", tt.room, tt.without, w.Code, p.counters.Sends.Load())
+			w, _ := p.roundTrip(t.Context())
+			if w.Code != test.want || p.counters.Sends.Load() != test.sends {
+				t.Errorf("room for %d bytes, %+v: status %d, %d sends", test.room, test.without, w.Code, p.counters.Sends.Load())
 			}
 		})
 	}
--- a/internal/system/proxy/once_test.go
+++ b/internal/system/proxy/once_test.go
@@ -21,50 +21,50 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// scenario is a run of scripted clients and servers around one proxy.
-type scenario struct {
+// testScenario is a run of scripted clients and servers around one proxy.
+type testScenario struct {
 	Category  config.Category
 	Resumable bool
 	MaxTries  int
 	Servers   [][]behaviour
-	Steps     []step
+	Steps     []clientStep
 }
 
-// shortPatience is how long a server may be silent: less than the clients of a scenario with silent servers wait.
-const shortPatience = 20 * time.Millisecond
+// shortSilenceTimeout is how long a server may be silent: less than the clients of a scenario with silent servers wait.
+const shortSilenceTimeout = 20 * time.Millisecond
 
-// step is what a client does, once the step before has ended.
-type step struct {
-	Way    string // "plain", "pipelined", "gone", "halfclosed", "slow", "expect", "trailers" or "twice"
-	Method string
-	Big    bool // a body that does not go out with the head in one write
+// clientStep is what a client does, once the clientStep before has ended.
+type clientStep struct {
+	Manner    string // "plain", "pipelined", "gone", "halfclosed", "slow", "expect", "trailers" or "twice"
+	Method    string
+	LargeBody bool // a body that does not go out with the head in one write
 }
 
-// scenarios draws them. A quarter of all behaviours is sound, so that connections are used again.
-var scenarios = rapid.Custom(func(t *rapid.T) scenario {
-	s := scenario{Category: rapid.SampledFrom([]config.Category{config.NonIdempotent, config.Idempotent, config.Streaming, config.Streaming}).Draw(t, "category"),
+// scenarioGenerator draws them. A quarter of all behaviours is sound, so that connections are used again.
+var scenarioGenerator = rapid.Custom(func(t *rapid.T) testScenario {
+	s := testScenario{Category: rapid.SampledFrom([]config.Category{config.NonIdempotent, config.Idempotent, config.Streaming, config.Streaming}).Draw(t, "category"),
 		MaxTries: rapid.IntRange(1, 3).Draw(t, "tries")}
 	s.Resumable = s.Category == config.Streaming && rapid.Bool().Draw(t, "resumable")
 	for range rapid.IntRange(1, 3).Draw(t, "servers") {
-		s.Servers = append(s.Servers, rapid.SliceOfN(behaviours, 1, 5).Draw(t, "behaviours"))
+		s.Servers = append(s.Servers, rapid.SliceOfN(behaviourGenerator, 1, 5).Draw(t, "behaviours"))
 	}
-	s.Steps = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) step {
-		return step{Way: rapid.SampledFrom([]string{"plain", "plain", "plain", "plain", "pipelined", "gone", "halfclosed", "slow",
+	s.Steps = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) clientStep {
+		return clientStep{Manner: rapid.SampledFrom([]string{"plain", "plain", "plain", "plain", "pipelined", "gone", "halfclosed", "slow",
 			"expect", "trailers", "twice"}).Draw(t, "way"),
-			Method: rapid.SampledFrom([]string{"POST", "POST", "GET", "HEAD"}).Draw(t, "method"), Big: rapid.IntRange(0, 4).Draw(t, "big") == 4}
+			Method: rapid.SampledFrom([]string{"POST", "POST", "GET", "HEAD"}).Draw(t, "method"), LargeBody: rapid.IntRange(0, 4).Draw(t, "big") == 4}
 	}), 1, 6).Draw(t, "steps")
 	return s
 })
 
-var behaviours = rapid.Custom(func(t *rapid.T) behaviour {
-	b := well
+var behaviourGenerator = rapid.Custom(func(t *rapid.T) behaviour {
+	b := soundBehaviour
 	b.Framing = rapid.SampledFrom([]string{"length", "chunked"}).Draw(t, "framing")
 	rare := func(label string) bool { return rapid.IntRange(0, 5).Draw(t, label) == 5 }
 	switch rapid.IntRange(0, 7).Draw(t, "kind") {
 	case 3: // another answer
 		b.Status = rapid.SampledFrom([]int{200, 204, 302, 400, 404, 408, 421, 429, 500, 503, 504}).Draw(t, "status")
 		b.NotExecuted = rapid.Bool().Draw(t, "not executed")
-		b.Echo = rapid.SampledFrom([]echo{ownID, ownID, otherID, earlierID, noID}).Draw(t, "echo")
+		b.Echo = rapid.SampledFrom([]echoedID{ownID, ownID, otherID, earlierID, noID}).Draw(t, "echo")
 		if b.Status == 204 {
 			b.Framing = "length"
 			b.Status = 201
@@ -74,49 +74,51 @@
 		b.Interims = rapid.IntRange(0, 5).Draw(t, "interims")
 		b.Framing = rapid.SampledFrom([]string{"length", "chunked", "none", "both", "twice"}).Draw(t, "odd framing")
 		if b.Closes = rare("closes"); b.Framing == "none" {
-			b.Cut, b.Then = rapid.IntRange(800, 1000).Draw(t, "end"), halfClose
+			b.PermilleSent, b.After = rapid.IntRange(800, 1000).Draw(t, "end"), halfCloseAfter
 		}
 	case 5, 6, 7: // one that is cut, or followed by something
-		b.Cut = rapid.SampledFrom([]int{0, 100, 300, 500, 650, 750, 850, 920, 960, 990, 1000}).Draw(t, "cut")
-		b.Then = rapid.SampledFrom([]then{stay, halfClose, resetIt}).Draw(t, "then")
-		b.Early, b.Repeats, b.Late = rapid.Bool().Draw(t, "early"), rare("repeats"), rapid.Bool().Draw(t, "late")
+		b.PermilleSent = rapid.SampledFrom([]int{0, 100, 300, 500, 650, 750, 850, 920, 960, 990, 1000}).Draw(t, "cut")
+		b.After = rapid.SampledFrom([]afterSend{stayOpen, halfCloseAfter, resetAfter}).Draw(t, "then")
+		b.Early, b.RepeatsEvent, b.SendsRestLate = rapid.Bool().Draw(t, "early"), rare("repeats"), rapid.Bool().Draw(t, "late")
 	case 2: // what comes between two answers
-		b.Surplus = rapid.SampledFrom([]surplusAt{noSurplus, samePacket, whileIdle, withNext}).Draw(t, "surplus")
+		b.Surplus = rapid.SampledFrom([]surplusTiming{noSurplus, samePacket, whileIdle, withNext}).Draw(t, "surplus")
 		b.CloseIdle, b.CloseRace = rapid.Bool().Draw(t, "close idle"), rapid.Bool().Draw(t, "close race")
 	}
 	return b
 })
 
-// world is a scenario that is being played.
-type world struct {
-	scenario
-	*script
-	address string
-	wait    string // X-Time-Left-Ms
+// scenarioRun is a scenario that is being played.
+type scenarioRun struct {
+	testScenario
+	*scriptedServers
+	address    string
+	timeLeftMS string // X-Time-Left-Ms
 
-	mu     sync.Mutex
-	got    []outcome
-	main   net.Conn // kept for many requests
-	reader *bufio.Reader
+	mu         sync.Mutex
+	outcomes   []clientOutcome
+	keptConn   net.Conn // kept for many requests
+	keptReader *bufio.Reader
 }
 
-// outcome is what a client saw of one request; sends: with how many requests of one id.
-type outcome struct {
+// clientOutcome is what a client saw of one request; sends: with how many requests of one id.
+type clientOutcome struct {
 	id, method string
 	sends      int
-	broken     bool // no head of an answer came
+	noHead     bool // no head of an answer came
 	status     int
 	echo, seal string
 	body       string
 	err        error // where the body broke off
 }
 
-// play plays a scenario and tells what it broke.
-func play(s scenario, without TestingKnobs) error { return playInto(s, without, map[string]int64{}) }
+// playScenario plays a scenario and tells what it broke.
+func playScenario(s testScenario, without TestingKnobs) error {
+	return playScenarioInto(s, without, map[string]int64{})
+}
 
-// playInto adds to a tally of what the proxy did.
-func playInto(s scenario, without TestingKnobs, tally map[string]int64) error {
-	w := &world{scenario: s, script: &script{stream: s.Category == config.Streaming, resumable: s.Resumable}, wait: "4000"}
+// playScenarioInto adds to a tally of what the proxy did.
+func playScenarioInto(s testScenario, without TestingKnobs, tally map[string]int64) error {
+	w := &scenarioRun{testScenario: s, scriptedServers: &scriptedServers{stream: s.Category == config.Streaming, resumable: s.Resumable}, timeLeftMS: "4000"}
 	defer w.stop()
 	route := &config.Route{Name: "r", Host: "h.example", Prefix: "/a/", Category: s.Category, Resumable: s.Resumable,
 		Timeout: 8 * time.Second, MaxTries: s.MaxTries, Shares: []config.Share{{Service: "s", Weight: 1}}}
@@ -129,16 +131,16 @@
 			return err
 		}
 		for _, b := range will {
-			if b.hangs() {
-				w.wait = "90"
+			if b.leavesWaiting() {
+				w.timeLeftMS = "90"
 			}
 		}
-		world.Servers = append(world.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: server.l.Addr().String()})
+		world.Servers = append(world.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: server.listener.Addr().String()})
 	}
-	toy := &toyPicker{route: route, down: map[string]bool{}, sent: map[uint64]string{}}
-	without.MinSilenceTimeout, without.MinEventSilenceTimeout = shortPatience, shortPatience
+	toy := &fakePicker{route: route, unreachable: map[string]bool{}, serverOf: map[uint64]string{}}
+	without.MinSilenceTimeout, without.MinEventSilenceTimeout = shortSilenceTimeout, shortSilenceTimeout
 	p := newProxy(Options{Log: &log.Logger{Handler: discard.New()}, TestingKnobs: without}, toy)
-	p.pools.sameRegionTimeout = patience
+	p.pools.sameRegionTimeout = testTimeout
 	p.UpdateClusterState(time.Now(), world)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -163,18 +165,18 @@
 	if err != nil {
 		return err
 	}
-	return w.judge()
+	return w.checkOutcomes()
 }
 
 // run goes through the steps.
-func (w *world) run() error {
-	defer w.hangUp()
+func (w *scenarioRun) run() error {
+	defer w.closeKept()
 	for n, at := range w.Steps {
-		for _, do := range w.take(&w.idle) {
+		for _, do := range w.takeActions(&w.whileIdle) {
 			do()
 		}
 		var racing sync.WaitGroup
-		for _, do := range w.take(&w.race) {
+		for _, do := range w.takeActions(&w.whileSending) {
 			racing.Go(do)
 		}
 		err := w.step(fmt.Sprint("id-", n), at)
@@ -183,44 +185,44 @@
 			return fmt.Errorf("step %d: %w", n, err)
 		}
 	}
-	return w.quietEnd()
+	return w.checkNoSurplus()
 }
 
-func (w *world) hangUp() {
-	if w.main != nil {
-		_ = w.main.Close()
-		w.main = nil
+func (w *scenarioRun) closeKept() {
+	if w.keptConn != nil {
+		_ = w.keptConn.Close()
+		w.keptConn = nil
 	}
 }
 
-// quietEnd looks whether anything comes on the kept connection where no request waits.
-func (w *world) quietEnd() error {
-	if w.main == nil {
+// checkNoSurplus looks whether anything comes on the kept connection where no request waits.
+func (w *scenarioRun) checkNoSurplus() error {
+	if w.keptConn == nil {
 		return nil
 	}
-	if err := w.main.(*net.TCPConn).CloseWrite(); err != nil {
+	if err := w.keptConn.(*net.TCPConn).CloseWrite(); err != nil {
 		return nil // closed by the proxy
 	}
-	if rest, _ := io.ReadAll(w.reader); len(rest) > 0 {
+	if rest, _ := io.ReadAll(w.keptReader); len(rest) > 0 {
 		return fmt.Errorf("bytes that no request waits for: %.60q", rest)
 	}
 	return nil
 }
 
-func (w *world) dial() (net.Conn, error) {
+func (w *scenarioRun) dial() (net.Conn, error) {
 	c, err := net.Dial("tcp4", w.address)
 	if err == nil {
-		err = c.SetDeadline(time.Now().Add(patience))
+		err = c.SetDeadline(time.Now().Add(testTimeout))
 	}
 	return c, err
 }
 
 // step does what a client does, on the kept connection or on one of its own.
-func (w *world) step(id string, at step) error {
-	switch at.Way {
+func (w *scenarioRun) step(id string, at clientStep) error {
+	switch at.Manner {
 	case "gone", "halfclosed", "twice":
 		sends := 1
-		if at.Way == "twice" {
+		if at.Manner == "twice" {
 			sends = 2
 		}
 		var asking sync.WaitGroup
@@ -233,64 +235,64 @@
 			asking.Go(func() {
 				defer c.Close()
 				w.sendHead(c, id, at, "")
-				if at.Way == "gone" {
+				if at.Manner == "gone" {
 					return
 				}
-				if at.Way == "halfclosed" {
+				if at.Manner == "halfclosed" {
 					_ = c.(*net.TCPConn).CloseWrite()
 				}
-				w.receive(c, bufio.NewReader(c), id, at.Method, sends)
+				w.recordResponse(c, bufio.NewReader(c), id, at.Method, sends)
 			})
 		}
 		asking.Wait()
 		return failed
 	}
-	if w.main == nil {
+	if w.keptConn == nil {
 		c, err := w.dial()
 		if err != nil {
 			return err
 		}
-		w.main, w.reader = c, bufio.NewReader(c)
+		w.keptConn, w.keptReader = c, bufio.NewReader(c)
 	}
-	if at.Way == "pipelined" {
+	if at.Manner == "pipelined" {
 		both := at
-		both.Way = "plain"
-		w.sendHead(w.main, id+"-0", both, "")
-		w.sendHead(w.main, id+"-1", both, "")
-		if w.receive(w.main, w.reader, id+"-0", at.Method, 1) {
-			w.receive(w.main, w.reader, id+"-1", at.Method, 1)
+		both.Manner = "plain"
+		w.sendHead(w.keptConn, id+"-0", both, "")
+		w.sendHead(w.keptConn, id+"-1", both, "")
+		if w.recordResponse(w.keptConn, w.keptReader, id+"-0", at.Method, 1) {
+			w.recordResponse(w.keptConn, w.keptReader, id+"-1", at.Method, 1)
 		}
 		return nil
 	}
-	w.sendHead(w.main, id, at, "Expect: 100-continue\r\n")
-	w.receive(w.main, w.reader, id, at.Method, 1)
+	w.sendHead(w.keptConn, id, at, "Expect: 100-continue\r\n")
+	w.recordResponse(w.keptConn, w.keptReader, id, at.Method, 1)
 	return nil
 }
 
 // sendHead sends a request. Its body begins with its id and method. What the proxy takes no more is not its fault.
-func (w *world) sendHead(c net.Conn, id string, at step, expect string) {
+func (w *scenarioRun) sendHead(c net.Conn, id string, at clientStep, expect string) {
 	body := ""
 	if at.Method == http.MethodPost {
-		if body = id + " POST"; at.Big {
+		if body = id + " POST"; at.LargeBody {
 			body += strings.Repeat(".", 2<<20)
 		}
 	}
-	text := fmt.Sprintf("%s /a/%s HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: %s\r\nX-Time-Left-Ms: %s\r\n", at.Method, id, id, w.wait)
+	text := fmt.Sprintf("%s /a/%s HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: %s\r\nX-Time-Left-Ms: %s\r\n", at.Method, id, id, w.timeLeftMS)
 	switch {
 	case body == "":
 		_, _ = io.WriteString(c, text+"\r\n")
-	case at.Way == "trailers":
+	case at.Manner == "trailers":
 		half := len(body) / 2
 		_, _ = io.WriteString(c, text+"Trailer: X-T\r\nTransfer-Encoding: chunked\r\n\r\n"+chunk(body[:half])+chunk(body[half:])+
 			"0\r\nX-T: 1\r\n\r\n")
-	case at.Way == "slow":
+	case at.Manner == "slow":
 		_, _ = fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", text, len(body))
 		for _, part := range []string{body[:2], body[2:]} {
 			_, _ = io.WriteString(c, part)
 		}
-	case at.Way == "expect":
+	case at.Manner == "expect":
 		_, _ = fmt.Fprintf(c, "%s%sContent-Length: %d\r\n\r\n", text, expect, len(body))
-		if line, err := w.reader.Peek(len("HTTP/1.1 100")); err == nil && string(line) == "HTTP/1.1 100" {
+		if line, err := w.keptReader.Peek(len("HTTP/1.1 100")); err == nil && string(line) == "HTTP/1.1 100" {
 			_, _ = io.WriteString(c, body)
 		}
 	default:
@@ -298,9 +300,9 @@
 	}
 }
 
-// receive reads one answer, records it, and tells whether the connection is good for another.
-func (w *world) receive(c net.Conn, in *bufio.Reader, id, method string, sends int) bool {
-	out := outcome{id: id, method: method, sends: sends, broken: true}
+// recordResponse reads one answer, records it, and tells whether the connection is good for another.
+func (w *scenarioRun) recordResponse(c net.Conn, in *bufio.Reader, id, method string, sends int) bool {
+	out := clientOutcome{id: id, method: method, sends: sends, noHead: true}
 	stays := false
 	for {
 		resp, err := http.ReadResponse(in, &http.Request{Method: method})
@@ -311,18 +313,18 @@
 			continue
 		}
 		body, err := io.ReadAll(resp.Body)
-		out.broken, out.status, out.echo, out.seal = false, resp.StatusCode, resp.Header.Get(headerAttemptID), resp.Header.Get(headerServerSeal)
+		out.noHead, out.status, out.echo, out.seal = false, resp.StatusCode, resp.Header.Get(headerAttemptID), resp.Header.Get(headerServerSeal)
 		out.body, out.err = string(body), err
 		stays = err == nil && !resp.Close
 		break
 	}
 	w.mu.Lock()
-	w.got = append(w.got, out)
+	w.outcomes = append(w.outcomes, out)
 	w.mu.Unlock()
 	if !stays {
 		_ = c.Close()
-		if c == w.main {
-			w.main = nil
+		if c == w.keptConn {
+			w.keptConn = nil
 		}
 	}
 	return stays
@@ -334,8 +336,8 @@
 func TestExactlyOnce(t *testing.T) {
 	tally := map[string]int64{}
 	rapid.Check(t, func(t *rapid.T) {
-		s := scenarios.Draw(t, "scenario")
-		if err := playInto(s, TestingKnobs{}, tally); err != nil {
+		s := scenarioGenerator.Draw(t, "scenario")
+		if err := playScenarioInto(s, TestingKnobs{}, tally); err != nil {
 			t.Fatalf("%v\n%+v", err, s)
 		}
 	})
--- a/internal/system/proxy/pause_test.go
+++ b/internal/system/proxy/pause_test.go
@@ -11,8 +11,8 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// pausedPolicy is a policy of one of twelve proxies that knows two servers, which bear 31 requests a second while they are cold.
-func pausedPolicy() (*lockedPicker, *pick.Request, pick.ClusterState) {
+// stalledPicker is a policy of one of twelve proxies that knows two servers, which bear 31 requests a second while they are cold.
+func stalledPicker() (*lockedPicker, *pick.Request, pick.ClusterState) {
 	route := &config.Route{Host: "h", Prefix: "/", MaxTries: 2, Category: config.Idempotent, Shares: []config.Share{{Service: "a", Weight: 1}}}
 	w := pick.ClusterState{Self: "p00", Config: &config.Config{Routes: []*config.Route{route},
 		Services: map[string]*config.Service{"a": {Name: "a", WarmUpRate: 31, WarmUpTime: 3 * time.Second}}}}
@@ -27,11 +27,11 @@
 	return p, &pick.Request{Route: route, TimeLeft: 5 * time.Second}, w
 }
 
-// standStill lets time go by without a call, as while the process is stopped.
-func standStill(p *lockedPicker, d time.Duration) { p.start = p.start.Add(-d) }
+// stallFor lets time go by without a call, as while the process is stopped.
+func stallFor(p *lockedPicker, d time.Duration) { p.start = p.start.Add(-d) }
 
-// press asks for a server for that many requests at once, and counts what each gets.
-func press(p *lockedPicker, r *pick.Request, requests int) map[string]int {
+// chooseMany asks for a server for that many requests at once, and counts what each gets.
+func chooseMany(p *lockedPicker, r *pick.Request, requests int) map[string]int {
 	got := map[string]int{}
 	for range requests {
 		one := *r
@@ -42,37 +42,37 @@
 	return got
 }
 
-// TestWokenProxyKeepsColdPace: a process stands still for 5 s and has 100 requests in its sockets when it wakes. Danger: its servers
+// TestWarmUpRateHoldsAfterStall: a process stands still for 5 s and has 100 requests in its sockets when it wakes. Danger: its servers
 // may have turned cold meanwhile, which it can't know before it has heard a keeper.
-func TestWokenProxyKeepsColdPace(t *testing.T) {
-	p, r, w := pausedPolicy()
+func TestWarmUpRateHoldsAfterStall(t *testing.T) {
+	p, r, w := stalledPicker()
 	p.UpdateClusterState(time.Now(), w)
-	if got := press(p, r, 10); got["s0"]+got["s1"] != 10 {
+	if got := chooseMany(p, r, 10); got["s0"]+got["s1"] != 10 {
 		t.Fatalf("before the pause %v of 10", got)
 	}
-	standStill(p, 5*time.Second)
-	for id, n := range press(p, r, 100) {
+	stallFor(p, 5*time.Second)
+	for id, n := range chooseMany(p, r, 100) {
 		if n > 4 {
 			t.Errorf("%s got %d requests at once, without a word on whether it is cold", id, n)
 		}
 	}
 }
 
-// TestWokenRequestsWaitForAWord: after a stall requests wait until a world comes that a keeper told after it; one from before does
+// TestRequestsAwaitContactAfterStall: after a stall requests wait until a world comes that a keeper told after it; one from before does
 // not count.
-func TestWokenRequestsWaitForAWord(t *testing.T) {
+func TestRequestsAwaitContactAfterStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, r, w := pausedPolicy()
+		p, r, w := stalledPicker()
 		told := 0
 		p.onStall = func() { told++ }
 		p.UpdateClusterState(time.Now(), w)
-		standStill(p, 5*time.Second)
+		stallFor(p, 5*time.Second)
 		woke := time.Now()
 		var waiting sync.WaitGroup
 		got := 0
 		waiting.Go(func() {
 			p.awaitContact(t.Context())
-			for id, n := range press(p, r, 100) {
+			for id, n := range chooseMany(p, r, 100) {
 				got += n
 				if n < 40 {
 					t.Errorf("%s got %d of 100 after the word", id, n)
@@ -97,13 +97,13 @@
 	})
 }
 
-// TestWokenRequestsWaitNotForLong: without a keeper's word they go on after a while, at the pace of cold servers; so do those whose
+// TestContactWaitIsBounded: without a keeper's word they go on after a while, at the pace of cold servers; so do those whose
 // client goes away.
-func TestWokenRequestsWaitNotForLong(t *testing.T) {
+func TestContactWaitIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, _, w := pausedPolicy()
+		p, _, w := stalledPicker()
 		p.UpdateClusterState(time.Now(), w)
-		standStill(p, 5*time.Second)
+		stallFor(p, 5*time.Second)
 		woke := time.Now()
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
@@ -122,17 +122,17 @@
 	})
 }
 
-// TestRunningProcessIsNotStalled: calls that come rarely are no stall while the process runs.
-func TestRunningProcessIsNotStalled(t *testing.T) {
+// TestIdleProcessIsNotStalled: calls that come rarely are no stall while the process runs.
+func TestIdleProcessIsNotStalled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, r, w := pausedPolicy()
+		p, r, w := stalledPicker()
 		ctx, cancel := context.WithCancel(t.Context())
 		var watch sync.WaitGroup
 		watch.Go(func() { p.watchStalls(ctx) })
 		synctest.Wait()
 		p.UpdateClusterState(time.Now(), w)
 		time.Sleep(time.Minute)
-		if got := press(p, r, 100); got["s0"]+got["s1"] != 100 {
+		if got := chooseMany(p, r, 100); got["s0"]+got["s1"] != 100 {
 			t.Errorf("after a quiet minute %v of 100", got)
 		}
 		cancel()
@@ -140,12 +140,12 @@
 	})
 }
 
-// TestWorldThatComesLate: a world is told by durations as of a moment; a keeper's word in it is as old as that when it is used.
-func TestWorldThatComesLate(t *testing.T) {
-	p, _, w := pausedPolicy()
+// TestOutdatedStateEndsNoWait: a world is told by durations as of a moment; a keeper's word in it is as old as that when it is used.
+func TestOutdatedStateEndsNoWait(t *testing.T) {
+	p, _, w := stalledPicker()
 	p.UpdateClusterState(time.Now(), w)
 	before := time.Now()
-	standStill(p, 5*time.Second)
+	stallFor(p, 5*time.Second)
 	w.ContactAge = 0
 	p.UpdateClusterState(before.Add(-5*time.Second), w) // made before the stall, used after it
 	if p.stalls.contact == nil {
--- a/internal/system/proxy/promises_test.go
+++ b/internal/system/proxy/promises_test.go
@@ -11,22 +11,22 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestLongPromise has a server answer with a status that promises that the request has not run, without X-Not-Executed, and
+// TestUnbufferedPromise has a server answer with a status that promises that the request has not run, without X-Not-Executed, and
 // with a body that is too long to be held: the promise is not passed on, as the server has not given it.
-func TestLongPromise(t *testing.T) {
+func TestUnbufferedPromise(t *testing.T) {
 	long := strings.Repeat("x", maxBufferedBytes+1)
 	for _, status := range []int{408, 429, 503} {
 		for _, may := range []config.Category{config.NonIdempotent, config.Idempotent} {
 			t.Run(fmt.Sprint(status, may), func(t *testing.T) {
-				f := startProxy(t, []*fakeServer{startServer(t, say(status, long)), startServer(t, say(200, "second"))}, category(may))
+				f := startProxy(t, []*fakeServer{startServer(t, respondWith(status, long)), startServer(t, respondWith(200, "second"))}, withCategory(may))
 				want, outcomes := 502, []pick.Outcome{pick.ServerError}
 				if may == config.Idempotent {
 					want, outcomes = 200, append(outcomes, pick.Served)
 				}
-				if got := f.ask(t, "id-1", ""); got.StatusCode != want {
+				if got := f.roundTrip(t, "id-1", ""); got.StatusCode != want {
 					t.Errorf("status %d, want %d", got.StatusCode, want)
 				}
-				if ends := f.ends(); !slices.Equal(ends, outcomes) {
+				if ends := f.outcomes(); !slices.Equal(ends, outcomes) {
 					t.Errorf("sends ended as %v, want %v", ends, outcomes)
 				}
 			})
@@ -37,10 +37,10 @@
 // TestSuccessNotExecuted has a server answer with a success that says that the request did not run: as both cannot be true,
 // neither is believed, and a request that may run once goes nowhere else.
 func TestSuccessNotExecuted(t *testing.T) {
-	second := startServer(t, say(200, "second"))
-	f := startProxy(t, []*fakeServer{startServer(t, say(200, "first", "X-Not-Executed: 1")), second})
-	if got := f.ask(t, "id-1", ""); got.StatusCode != 502 || len(second.came) > 0 {
-		t.Errorf("status %d, %d further sends", got.StatusCode, len(second.came))
+	second := startServer(t, respondWith(200, "second"))
+	f := startProxy(t, []*fakeServer{startServer(t, respondWith(200, "first", "X-Not-Executed: 1")), second})
+	if got := f.roundTrip(t, "id-1", ""); got.StatusCode != 502 || len(second.requests) > 0 {
+		t.Errorf("status %d, %d further sends", got.StatusCode, len(second.requests))
 	}
 }
 
--- a/internal/system/proxy/reuse_test.go
+++ b/internal/system/proxy/reuse_test.go
@@ -14,13 +14,13 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestSurplus has a server send a second answer after each, at once: no request gets it.
-func TestSurplus(t *testing.T) {
+// TestSurplusResponses has a server send a second answer after each, at once: no request gets it.
+func TestSurplusResponses(t *testing.T) {
 	s := startServer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
-		one := func(text string) string {
+		oneResponse := func(text string) string {
 			return fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head(r, 200), len(text), text)
 		}
-		fmt.Fprint(c, one(r.Header.Get(headerAttemptID))+one("wrong"))
+		fmt.Fprint(c, oneResponse(r.Header.Get(headerAttemptID))+oneResponse("wrong"))
 		return true
 	})
 	f := startProxy(t, []*fakeServer{s})
@@ -31,7 +31,7 @@
 			c := f.dial(t)
 			for n := range 100 {
 				id := fmt.Sprint("id-", i, "-", n)
-				if got := c.post(id, "").read(); got.StatusCode == 200 && (got.body != id || got.Header.Get(headerAttemptID) != id) {
+				if got := c.sendRequest(id, "").readResponse(); got.StatusCode == 200 && (got.body != id || got.Header.Get(headerAttemptID) != id) {
 					bad.Add(1)
 				}
 			}
@@ -43,88 +43,88 @@
 	}
 }
 
-// TestLateSurplus has a surplus answer come when the next request is out: it is not that one's answer.
-func TestLateSurplus(t *testing.T) {
+// TestLateSurplusResponse has a surplus answer come when the next request is out: it is not that one's answer.
+func TestLateSurplusResponse(t *testing.T) {
 	n := 0
 	s := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if n++; n == 1 {
-			return say(200, "first")(c, r, body)
+			return respondWith(200, "first")(c, r, body)
 		}
 		fmt.Fprint(c, "HTTP/1.1 200 X\r\nX-Attempt-Id: id-1\r\nX-Server-Seal: s\r\nContent-Length: 5\r\n\r\nfirst")
-		return say(200, "second")(c, r, body)
+		return respondWith(200, "second")(c, r, body)
 	})
 	f := startProxy(t, []*fakeServer{s})
 	c := f.dial(t)
-	c.post("id-1", "").read()
-	if got := c.post("id-2", "").read(); got.StatusCode != 502 {
+	c.sendRequest("id-1", "").readResponse()
+	if got := c.sendRequest("id-2", "").readResponse(); got.StatusCode != 502 {
 		t.Errorf("status %d, body %q", got.StatusCode, got.body)
 	}
 }
 
-// TestSameIDAgain has an id come twice, and a surplus answer to the first request where the second's is due: as the id cannot
+// TestDuplicateAttemptID has an id come twice, and a surplus answer to the first request where the second's is due: as the id cannot
 // tell them apart, the second goes out on another connection.
-func TestSameIDAgain(t *testing.T) {
+func TestDuplicateAttemptID(t *testing.T) {
 	var first net.Conn // of the requests, which come one after the other
 	s := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if first == c {
-			say(200, "surplus")(c, r, body)
+			respondWith(200, "surplus")(c, r, body)
 		}
 		text := "second"
 		if first == nil {
 			first, text = c, "first"
 		}
-		return say(200, text)(c, r, body)
+		return respondWith(200, text)(c, r, body)
 	})
 	f := startProxy(t, []*fakeServer{s})
 	c := f.dial(t)
-	c.post("id-1", "").read()
-	if got := c.post("id-1", "").read(); got.StatusCode != 200 || got.body != "second" {
+	c.sendRequest("id-1", "").readResponse()
+	if got := c.sendRequest("id-1", "").readResponse(); got.StatusCode != 200 || got.body != "second" {
 		t.Errorf("status %d, body %q", got.StatusCode, got.body)
 	}
 }
 
-// TestStale has a server close its connection when it has idled: the next request goes out on a new one.
-func TestStale(t *testing.T) {
-	s := startServer(t, say(200, "x"))
+// TestStaleConns has a server close its connection when it has idled: the next request goes out on a new one.
+func TestStaleConns(t *testing.T) {
+	s := startServer(t, respondWith(200, "x"))
 	f := startProxy(t, []*fakeServer{s})
 	c := f.dial(t)
-	c.post("id-1", "").read()
-	first := within(t, s.came, "request")
+	c.sendRequest("id-1", "").readResponse()
+	first := receive(t, s.requests, "request")
 	_ = first.conn.Close()
 	for n := range 20 { // the close may be seen late, and then it is not known whether the request ran
-		if got := c.post("id-2", "").read(); got.StatusCode == 200 {
+		if got := c.sendRequest("id-2", "").readResponse(); got.StatusCode == 200 {
 			break
 		} else if n == 19 {
 			t.Errorf("status %d", got.StatusCode)
 		}
 	}
-	if second := within(t, s.came, "request"); second.conn == first.conn {
+	if second := receive(t, s.requests, "request"); second.conn == first.conn {
 		t.Error("the old connection was used")
 	}
 }
 
-// TestRunsOnce has a server take a request on a connection that it used before, and break it: it is not sent again.
-func TestRunsOnce(t *testing.T) {
+// TestNonIdempotentRunsOnce has a server take a request on a connection that it used before, and break it: it is not sent again.
+func TestNonIdempotentRunsOnce(t *testing.T) {
 	for _, body := range []string{"", "body"} {
-		for _, break_ := range []deed{reset, raw("", false), raw("HTTP/1.1 2", false)} {
+		for _, break_ := range []serverBehavior{resetConn, respondRaw("", false), respondRaw("HTTP/1.1 2", false)} {
 			n := 0
 			s := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 				if n++; n == 1 {
-					return say(200, "x")(c, r, body)
+					return respondWith(200, "x")(c, r, body)
 				}
 				return break_(c, r, body)
 			})
-			other := startServer(t, say(200, "x"))
+			other := startServer(t, respondWith(200, "x"))
 			f := startProxy(t, []*fakeServer{s, other})
 			c := f.dial(t)
-			c.post("id-1", body).read()
-			if got := c.post("id-2", body).read(); got.StatusCode != 502 {
+			c.sendRequest("id-1", body).readResponse()
+			if got := c.sendRequest("id-2", body).readResponse(); got.StatusCode != 502 {
 				t.Errorf("status %d", got.StatusCode)
 			}
-			if len(s.came) != 2 || len(other.came) != 0 {
-				t.Errorf("%d and %d requests came", len(s.came), len(other.came))
+			if len(s.requests) != 2 || len(other.requests) != 0 {
+				t.Errorf("%d and %d requests came", len(s.requests), len(other.requests))
 			}
-			if ends := f.ends(); !slices.Equal(ends, []pick.Outcome{pick.Served, pick.ConnectionLost}) {
+			if ends := f.outcomes(); !slices.Equal(ends, []pick.Outcome{pick.Served, pick.ConnectionLost}) {
 				t.Errorf("sends ended as %v", ends)
 			}
 		}
@@ -133,11 +133,11 @@
 
 // TestAnnouncedClose has a server announce the end of its connection: no further request goes there.
 func TestAnnouncedClose(t *testing.T) {
-	s := startServer(t, say(200, "x", "Connection: close"))
+	s := startServer(t, respondWith(200, "x", "Connection: close"))
 	f := startProxy(t, []*fakeServer{s})
 	c := f.dial(t)
 	for n := range 3 {
-		if got := c.post(fmt.Sprint("id-", n), "").read(); got.StatusCode != 200 || got.Close {
+		if got := c.sendRequest(fmt.Sprint("id-", n), "").readResponse(); got.StatusCode != 200 || got.Close {
 			t.Errorf("status %d, closing %v", got.StatusCode, got.Close)
 		}
 	}
@@ -146,43 +146,43 @@
 	}
 }
 
-// TestGoneServers has a server's id end: idle connections are closed, and those in use are not kept.
-func TestGoneServers(t *testing.T) {
+// TestRemovedServers has a server's id end: idle connections are closed, and those in use are not kept.
+func TestRemovedServers(t *testing.T) {
 	goOn := make(chan bool)
 	s := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		<-goOn
-		return say(200, "x")(c, r, body)
+		return respondWith(200, "x")(c, r, body)
 	})
 	f := startProxy(t, []*fakeServer{s})
-	c := f.dial(t).post("id-1", "")
-	was := within(t, s.came, "request").conn
+	c := f.dial(t).sendRequest("id-1", "")
+	was := receive(t, s.requests, "request").conn
 	w := *f.clusterState.Load()
 	w.Servers = []pick.Server{{ID: "i-new", Service: "s", Address: s.address()}}
 	f.UpdateClusterState(time.Now(), w)
 	goOn <- true
-	if got := c.read(); got.StatusCode != 200 {
+	if got := c.readResponse(); got.StatusCode != 200 {
 		t.Errorf("status %d", got.StatusCode)
 	}
-	c.post("id-2", "")
-	if r := within(t, s.came, "request"); r.conn == was || r.Header.Get(headerTargetInstance) != "i-new" {
+	c.sendRequest("id-2", "")
+	if r := receive(t, s.requests, "request"); r.conn == was || r.Header.Get(headerTargetInstance) != "i-new" {
 		t.Errorf("sent to %q on the former connection: %v", r.Header.Get(headerTargetInstance), r.conn == was)
 	}
 	goOn <- true
-	c.read()
+	c.readResponse()
 }
 
 // TestPipelined has a client send requests without waiting: answers come in their order.
 func TestPipelined(t *testing.T) {
 	s := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		return say(200, r.Header.Get(headerAttemptID))(c, r, body)
+		return respondWith(200, r.Header.Get(headerAttemptID))(c, r, body)
 	})
-	f := startProxy(t, []*fakeServer{s}, category(config.Idempotent))
+	f := startProxy(t, []*fakeServer{s}, withCategory(config.Idempotent))
 	c := f.dial(t)
 	for n := range 5 {
-		c.post(fmt.Sprint("id-", n), "body")
+		c.sendRequest(fmt.Sprint("id-", n), "body")
 	}
 	for n := range 5 {
-		resp, err := http.ReadResponse(c.in, nil)
+		resp, err := http.ReadResponse(c.reader, nil)
 		if err != nil || resp.Header.Get(headerAttemptID) != fmt.Sprint("id-", n) {
 			t.Fatalf("%v, error %v", resp, err)
 		}
--- a/internal/system/proxy/scripted_test.go
+++ b/internal/system/proxy/scripted_test.go
@@ -19,30 +19,30 @@
 
 const lastEvent = 3 // the id of a scripted stream's last event
 
-// echo is what a scripted answer says about the request it belongs to.
-type echo int
+// echoedID is what a scripted answer says about the request it belongs to.
+type echoedID int
 
 const (
-	ownID echo = iota
+	ownID echoedID = iota
 	otherID
 	earlierID // of the request before it at the server
 	noID
 )
 
-// then is what a scripted server does with the connection behind what it sent.
-type then int
+// afterSend is what a scripted server does with the connection behind what it sent.
+type afterSend int
 
 const (
-	stay then = iota
-	halfClose
-	resetIt
+	stayOpen afterSend = iota
+	halfCloseAfter
+	resetAfter
 )
 
-// surplusAt is when a scripted server sends one more answer, with the id of the request before.
-type surplusAt int
+// surplusTiming is when a scripted server sends one more answer, with the id of the request before.
+type surplusTiming int
 
 const (
-	noSurplus surplusAt = iota
+	noSurplus surplusTiming = iota
 	samePacket
 	whileIdle // when the client has its answer, and before its next request
 	withNext  // when the next request has come, and before its answer
@@ -50,81 +50,81 @@
 
 // behaviour is what a scripted server does with one request.
 type behaviour struct {
-	Status      int
-	Echo        echo
-	Unsealed    bool
-	NotExecuted bool
-	Encoded     bool
-	Framing     string // "length", "chunked", "none", "both" or "twice"
-	Interims    int
-	Garbage     bool // the status line is none
-	Closes      bool // Connection: close
-	Repeats     bool // a stream begins with the event that the client has
-	Early       bool // it answers before it has read the body
-	Cut         int  // thousandths of the answer that are sent
-	Then        then
-	Surplus     surplusAt
-	Late        bool // what was cut off is sent when the client has given up or has another answer
-	CloseIdle   bool // closes the connection when the client has its answer, before its next request
-	CloseRace   bool // closes it while the next request is sent
+	Status        int
+	Echo          echoedID
+	Unsealed      bool
+	NotExecuted   bool
+	Encoded       bool
+	Framing       string // "length", "chunked", "none", "both" or "twice"
+	Interims      int
+	Garbage       bool // the status line is none
+	Closes        bool // Connection: close
+	RepeatsEvent  bool // a stream begins with the event that the client has
+	Early         bool // it answers before it has read the body
+	PermilleSent  int  // thousandths of the answer that are sent
+	After         afterSend
+	Surplus       surplusTiming
+	SendsRestLate bool // what was cut off is sent when the client has given up or has another answer
+	CloseIdle     bool // closes the connection when the client has its answer, before its next request
+	CloseRace     bool // closes it while the next request is sent
 }
 
-var well = behaviour{Status: 200, Framing: "length", Cut: 1000}
+var soundBehaviour = behaviour{Status: 200, Framing: "length", PermilleSent: 1000}
 
-// hangs tells whether a client would wait for the rest of the answer in vain.
-func (b behaviour) hangs() bool { return b.Cut < 1000 && b.Then == stay }
+// leavesWaiting tells whether a client would wait for the rest of the answer in vain.
+func (b behaviour) leavesWaiting() bool { return b.PermilleSent < 1000 && b.After == stayOpen }
 
-func (b behaviour) refuses() bool {
+func (b behaviour) isRefusal() bool {
 	return b.Status >= 300 && (b.NotExecuted || b.Status == http.StatusMisdirectedRequest)
 }
 
 // arrival is a request that reached a scripted server.
 type arrival struct {
-	id       string
-	refused  bool // the server said in a whole head that it did not run it
-	answered answered
+	id      string
+	refused bool // the server said in a whole head that it did not run it
+	sent    sentResponse
 }
 
-// answered is an answer as a scripted server sent it.
-type answered struct {
+// sentResponse is an answer as a scripted server sent it.
+type sentResponse struct {
 	status     int
 	seal, body string
-	proper     bool // it may be passed on as it is
+	valid      bool // it may be passed on as it is
 }
 
-// script is the scripted servers of one world, and what they saw.
-type script struct {
+// scriptedServers is the scripted servers of one world, and what they saw.
+type scriptedServers struct {
 	stream, resumable bool
 	serving           sync.WaitGroup
 	servers           []*scriptedServer
 
-	mu       sync.Mutex
-	runs     int
-	arrivals []arrival
-	changed  []string // requests that came other than they were sent
-	idle     []func() // to be done when the client has its answer
-	race     []func() // to be done while the next request is sent
+	mu           sync.Mutex
+	runs         int
+	arrivals     []arrival
+	alterations  []string // requests that came other than they were sent
+	whileIdle    []func() // to be done when the client has its answer
+	whileSending []func() // to be done while the next request is sent
 }
 
 type scriptedServer struct {
-	s       *script
-	l       net.Listener
-	will    []behaviour // by request; then it behaves well
-	came    int
-	earlier string
-	conns   []net.Conn
+	all          *scriptedServers
+	listener     net.Listener
+	behaviours   []behaviour // by request; then it behaves well
+	requestCount int
+	previousID   string
+	conns        []net.Conn
 }
 
-func (s *script) start(will []behaviour) (*scriptedServer, error) {
+func (s *scriptedServers) start(will []behaviour) (*scriptedServer, error) {
 	var listen net.ListenConfig
-	if slices.ContainsFunc(will, func(b behaviour) bool { return b.Early && b.Then == resetIt }) {
-		listen.Control = smallWindow
+	if slices.ContainsFunc(will, func(b behaviour) bool { return b.Early && b.After == resetAfter }) {
+		listen.Control = limitReceiveBuffer
 	}
 	l, err := listen.Listen(context.Background(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	server := &scriptedServer{s: s, l: l, will: will}
+	server := &scriptedServer{all: s, listener: l, behaviours: will}
 	s.servers = append(s.servers, server)
 	s.serving.Go(func() {
 		for {
@@ -141,9 +141,9 @@
 	return server, nil
 }
 
-// smallWindow has the system take in little of what a server does not read, so that a long body is still being written when
+// limitReceiveBuffer has the system take in little of what a server does not read, so that a long body is still being written when
 // the server resets the connection.
-func smallWindow(_, _ string, raw syscall.RawConn) error {
+func limitReceiveBuffer(_, _ string, raw syscall.RawConn) error {
 	var err error
 	if e := raw.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 4<<10) }); e != nil {
 		return e
@@ -151,9 +151,9 @@
 	return err
 }
 
-func (s *script) stop() {
+func (s *scriptedServers) stop() {
 	for _, server := range s.servers {
-		_ = server.l.Close()
+		_ = server.listener.Close()
 	}
 	s.mu.Lock()
 	for _, server := range s.servers {
@@ -165,8 +165,8 @@
 	s.serving.Wait()
 }
 
-// take takes out what is to be done between two requests, or while the next one is sent.
-func (s *script) take(from *[]func()) []func() {
+// takeActions takes out what is to be done between two requests, or while the next one is sent.
+func (s *scriptedServers) takeActions(from *[]func()) []func() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := *from
@@ -183,16 +183,16 @@
 		if err != nil {
 			return
 		}
-		b, text, rest := v.plan(r, first)
+		b, text, rest := v.planResponse(r, first)
 		if b.Early {
-			if _, err = io.WriteString(c, waiting+text); b.Then == resetIt { // while the body is being written
+			if _, err = io.WriteString(c, waiting+text); b.After == resetAfter { // while the body is being written
 				_ = c.(*net.TCPConn).SetLinger(0)
 				return
 			}
 		}
 		body, readErr := io.ReadAll(r.Body)
 		if readErr == nil {
-			v.compare(r, string(body))
+			v.checkUnaltered(r, string(body))
 		}
 		if !b.Early {
 			_, err = io.WriteString(c, waiting+text)
@@ -201,86 +201,86 @@
 		if err != nil || readErr != nil {
 			return
 		}
-		switch b.Then {
-		case resetIt:
+		switch b.After {
+		case resetAfter:
 			_ = c.(*net.TCPConn).SetLinger(0)
 			return
-		case halfClose:
+		case halfCloseAfter:
 			_ = c.(*net.TCPConn).CloseWrite()
 		}
 		if rest != "" || b.Framing == "none" {
-			if b.Late {
-				v.later(c, rest)
+			if b.SendsRestLate {
+				v.sendLater(c, rest)
 			}
 			_, _ = io.Copy(io.Discard, c) // until the proxy closes it
 			return
 		}
-		waiting = v.after(c, b, r.Header.Get(headerAttemptID))
+		waiting = v.arrangeAfter(c, b, r.Header.Get(headerAttemptID))
 	}
 }
 
-// later has bytes sent between this request and the next.
-func (v *scriptedServer) later(c net.Conn, text string) {
-	v.s.mu.Lock()
-	defer v.s.mu.Unlock()
-	v.s.idle = append(v.s.idle, func() { _, _ = io.WriteString(c, text) })
+// sendLater has bytes sent between this request and the next.
+func (v *scriptedServer) sendLater(c net.Conn, text string) {
+	v.all.mu.Lock()
+	defer v.all.mu.Unlock()
+	v.all.whileIdle = append(v.all.whileIdle, func() { _, _ = io.WriteString(c, text) })
 }
 
-// after arranges what happens on a connection behind an answer, and gives what is sent before the next one.
-func (v *scriptedServer) after(c net.Conn, b behaviour, id string) string {
+// arrangeAfter arranges what happens on a connection behind an answer, and gives what is sent before the next one.
+func (v *scriptedServer) arrangeAfter(c net.Conn, b behaviour, id string) string {
 	extra := "HTTP/1.1 200 X\r\nX-Attempt-Id: " + id + "\r\nX-Server-Seal: surplus\r\nContent-Length: 7\r\n\r\nsurplus"
-	v.s.mu.Lock()
-	defer v.s.mu.Unlock()
+	v.all.mu.Lock()
+	defer v.all.mu.Unlock()
 	switch {
 	case b.Surplus == whileIdle:
-		v.s.idle = append(v.s.idle, func() { _, _ = io.WriteString(c, extra) })
+		v.all.whileIdle = append(v.all.whileIdle, func() { _, _ = io.WriteString(c, extra) })
 	case b.Surplus == withNext:
 		return extra
 	case b.CloseIdle:
-		v.s.idle = append(v.s.idle, func() { _ = c.Close() })
+		v.all.whileIdle = append(v.all.whileIdle, func() { _ = c.Close() })
 	case b.CloseRace:
-		v.s.race = append(v.s.race, func() { _ = c.Close() })
+		v.all.whileSending = append(v.all.whileSending, func() { _ = c.Close() })
 	}
 	return ""
 }
 
-// compare looks whether a request came as it was sent: its body begins with its id and its method.
-func (v *scriptedServer) compare(r *http.Request, body string) {
+// checkUnaltered looks whether a request came as it was sent: its body begins with its id and its method.
+func (v *scriptedServer) checkUnaltered(r *http.Request, body string) {
 	id := r.Header.Get(headerAttemptID)
 	want := id + " " + r.Method
 	if r.Method != http.MethodPost {
 		body += want
 	}
 	if r.RequestURI != "/a/"+id || !strings.HasPrefix(body, want) || strings.Trim(body[len(want):], ".") != "" {
-		v.s.mu.Lock()
-		v.s.changed = append(v.s.changed, fmt.Sprintf("%s %s with %.40q", r.Method, r.RequestURI, body))
-		v.s.mu.Unlock()
+		v.all.mu.Lock()
+		v.all.alterations = append(v.all.alterations, fmt.Sprintf("%s %s with %.40q", r.Method, r.RequestURI, body))
+		v.all.mu.Unlock()
 	}
 }
 
-// plan records a request and gives what is done with it: what is sent of the answer, and the rest.
-func (v *scriptedServer) plan(r *http.Request, first bool) (b behaviour, text, rest string) {
-	s := v.s
+// planResponse records a request and gives what is done with it: what is sent of the answer, and the rest.
+func (v *scriptedServer) planResponse(r *http.Request, first bool) (b behaviour, text, rest string) {
+	s := v.all
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b = well
-	if v.came < len(v.will) {
-		b = v.will[v.came]
+	b = soundBehaviour
+	if v.requestCount < len(v.behaviours) {
+		b = v.behaviours[v.requestCount]
 	}
-	v.came++
+	v.requestCount++
 	s.runs++
 	id := r.Header.Get(headerAttemptID)
-	if b.Echo == earlierID && v.earlier == id {
+	if b.Echo == earlierID && v.previousID == id {
 		b.Echo = ownID // the same id twice
 	}
-	head, sent, wire := s.answer(r, b, v.earlier)
-	v.earlier = id
+	head, sent, wire := s.composeResponse(r, b, v.previousID)
+	v.previousID = id
 	text = head + wire
-	cut := len(text) * b.Cut / 1000
-	sent.proper = sent.proper && (cut == len(text) || r.Method == http.MethodHead && cut >= len(head))
-	refused := b.refuses() && cut >= len(head) && !b.Garbage && b.Interims <= 3 &&
+	cut := len(text) * b.PermilleSent / 1000
+	sent.valid = sent.valid && (cut == len(text) || r.Method == http.MethodHead && cut >= len(head))
+	refused := b.isRefusal() && cut >= len(head) && !b.Garbage && b.Interims <= 3 &&
 		(b.Echo == ownID || b.Echo == noID && first) && b.Framing != "both" && b.Framing != "twice"
-	s.arrivals = append(s.arrivals, arrival{id: id, refused: refused, answered: sent})
+	s.arrivals = append(s.arrivals, arrival{id: id, refused: refused, sent: sent})
 	text, rest = text[:cut], text[cut:]
 	if b.Surplus == samePacket && rest == "" {
 		text += "HTTP/1.1 200 X\r\nX-Attempt-Id: " + id + "\r\nX-Server-Seal: surplus\r\nContent-Length: 7\r\n\r\nsurplus"
@@ -288,10 +288,10 @@
 	return b, text, rest
 }
 
-// answer makes the head and the rest of an answer as they go out.
-func (s *script) answer(r *http.Request, b behaviour, earlier string) (head string, sent answered, wire string) {
+// composeResponse makes the head and the rest of an composeResponse as they go out.
+func (s *scriptedServers) composeResponse(r *http.Request, b behaviour, earlier string) (head string, sent sentResponse, wire string) {
 	id := r.Header.Get(headerAttemptID)
-	sent = answered{status: b.Status, seal: fmt.Sprint("seal-", s.runs)}
+	sent = sentResponse{status: b.Status, seal: fmt.Sprint("seal-", s.runs)}
 	text := strings.Repeat("HTTP/1.1 103 X\r\nA: b\r\n\r\n", b.Interims)
 	if b.Garbage {
 		text += "what is this?\r\n"
@@ -318,7 +318,7 @@
 	events := s.stream && b.Status == 200
 	if events {
 		text += "Content-Type: text/event-stream\r\n"
-		sent.body = s.events(r, b)
+		sent.body = s.eventStream(r, b)
 	} else {
 		sent.body = fmt.Sprintf("%s, run %d, of some length", id, s.runs)
 	}
@@ -335,21 +335,21 @@
 			text += length
 		}
 		half := len(sent.body) / 2
-		wire = chunkOrNone(sent.body[:half]) + chunkOrNone(sent.body[half:]) + "0\r\n\r\n"
+		wire = chunkUnlessEmpty(sent.body[:half]) + chunkUnlessEmpty(sent.body[half:]) + "0\r\n\r\n"
 	}
 	if r.Method == http.MethodHead {
 		sent.body, wire = "", ""
 	}
 	success := isSuccess(b.Status)
-	sent.proper = !b.Garbage && b.Interims <= 3 && (b.Framing == "length" || b.Framing == "chunked" || b.Framing == "none" && r.Method == http.MethodHead) &&
+	sent.valid = !b.Garbage && b.Interims <= 3 && (b.Framing == "length" || b.Framing == "chunked" || b.Framing == "none" && r.Method == http.MethodHead) &&
 		(b.Echo == ownID || b.Echo == noID && !success) && !(success && (b.Unsealed || b.NotExecuted || b.Encoded))
 	return text + "\r\n", sent, wire
 }
 
-// events is the text of a stream: one that may be resumed has the same events at each server, any other names its run.
-func (s *script) events(r *http.Request, b behaviour) string {
+// eventStream is the text of a stream: one that may be resumed has the same eventStream at each server, any other names its run.
+func (s *scriptedServers) eventStream(r *http.Request, b behaviour) string {
 	from, _ := strconv.Atoi(r.Header.Get(headerLastEventID))
-	if from++; b.Repeats && from > 1 {
+	if from++; b.RepeatsEvent && from > 1 {
 		from--
 	}
 	run := s.runs
@@ -363,9 +363,9 @@
 	return text.String()
 }
 
-// streamed checks the events that a client got: each once, in their order, of one run, and all of them if the stream looks
+// checkEventStream checks the events that a client got: each once, in their order, of one run, and all of them if the stream looks
 // whole.
-func streamed(body string, whole bool) error {
+func checkEventStream(body string, whole bool) error {
 	run, last := "", 0
 	for event := range strings.SplitAfterSeq(body, "\n\n") {
 		if event == "" || !strings.HasSuffix(event, "\n\n") && !whole {
--- a/internal/system/proxy/silence_test.go
+++ b/internal/system/proxy/silence_test.go
@@ -17,15 +17,15 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// piped is a proxy whose servers are functions at the other ends of pipes, on a clock that the test drives.
-type piped struct {
+// pipedProxy is a proxy whose servers are functions at the other ends of pipes, on a clock that the test drives.
+type pipedProxy struct {
 	*Proxy
-	pick    *toyPicker
-	servers map[string]deed // by address
-	came    chan *seen
+	fake     *fakePicker
+	servers  map[string]serverBehavior // by address
+	requests chan *receivedRequest
 }
 
-func newPiped(changes []change, servers ...deed) *piped {
+func newPipedProxy(changes []configure, servers ...serverBehavior) *pipedProxy {
 	route := &config.Route{Name: "r", Host: "h.example", Prefix: "/a/", Category: config.NonIdempotent, Timeout: 8 * time.Second,
 		LatencyTarget: 800 * time.Millisecond, EventGapTarget: 600 * time.Millisecond, MaxTries: 3}
 	config := &config.Config{Routes: []*config.Route{route}, Services: map[string]*config.Service{"s": {Name: "s", MaxConns: 100}}}
@@ -33,8 +33,8 @@
 	for _, c := range changes {
 		c(&o, config)
 	}
-	toy := &toyPicker{route: route, down: map[string]bool{}, sent: map[uint64]string{}}
-	p := &piped{newProxy(o, toy), toy, map[string]deed{}, make(chan *seen, 100)}
+	toy := &fakePicker{route: route, unreachable: map[string]bool{}, serverOf: map[uint64]string{}}
+	p := &pipedProxy{newProxy(o, toy), toy, map[string]serverBehavior{}, make(chan *receivedRequest, 100)}
 	w := pick.ClusterState{Config: config}
 	for i, do := range servers {
 		at := fmt.Sprint("at-", i)
@@ -51,15 +51,15 @@
 			return nil, ctx.Err()
 		}
 		near, far := net.Pipe()
-		s := &fakeServer{came: p.came}
+		s := &fakeServer{requests: p.requests}
 		go s.serve(far, do)
 		return near, nil
 	}
 	return p
 }
 
-// ask has a client ask and wait for the answer, and tells how long that took.
-func (p *piped) ask(ctx context.Context, more ...string) (*httptest.ResponseRecorder, time.Duration) {
+// roundTrip has a client roundTrip and wait for the answer, and tells how long that took.
+func (p *pipedProxy) roundTrip(ctx context.Context, more ...string) (*httptest.ResponseRecorder, time.Duration) {
 	r := httptest.NewRequestWithContext(ctx, "POST", "/a/x", strings.NewReader("body"))
 	r.Host = "h.example"
 	r.Header.Set(headerAttemptID, "id-1")
@@ -75,58 +75,58 @@
 	return w, took
 }
 
-// TestSilence has a first server say nothing, or stop saying, on a clock that the test drives.
-func TestSilence(t *testing.T) {
-	first := stream(1, 2, mute)
-	for _, tt := range []struct {
+// TestSilentServers has a first server say nothing, or stop saying, on a clock that the test drives.
+func TestSilentServers(t *testing.T) {
+	first := respondEventsThen(1, 2, neverRespond)
+	for _, test := range []struct {
 		name     string
-		how      change
-		servers  []deed
+		how      configure
+		servers  []serverBehavior
 		status   int
 		body     string
 		took     time.Duration
 		outcomes []pick.Outcome
 	}{
-		{"may run once", category(config.NonIdempotent), []deed{mute, say(200, "x")}, 504, "", 8*time.Second - maxDeadlineMargin,
+		{"may run once", withCategory(config.NonIdempotent), []serverBehavior{neverRespond, respondWith(200, "x")}, 504, "", 8*time.Second - maxDeadlineMargin,
 			[]pick.Outcome{pick.TimedOut}},
-		{"may run again", category(config.Idempotent), []deed{mute, say(200, "x")}, 200, "x", 1600 * time.Millisecond,
+		{"may run again", withCategory(config.Idempotent), []serverBehavior{neverRespond, respondWith(200, "x")}, 200, "x", 1600 * time.Millisecond,
 			[]pick.Outcome{pick.TimedOut, pick.Served}},
-		{"nowhere to go", category(config.Idempotent), []deed{mute}, 504, "", 8*time.Second - maxDeadlineMargin, []pick.Outcome{pick.TimedOut}},
-		{"half an answer, may run again", category(config.Idempotent), []deed{stream(1, 0, mute), say(200, "x")}, 200, "x",
+		{"nowhere to go", withCategory(config.Idempotent), []serverBehavior{neverRespond}, 504, "", 8*time.Second - maxDeadlineMargin, []pick.Outcome{pick.TimedOut}},
+		{"half an answer, may run again", withCategory(config.Idempotent), []serverBehavior{respondEventsThen(1, 0, neverRespond), respondWith(200, "x")}, 200, "x",
 			1600 * time.Millisecond, []pick.Outcome{pick.TimedOut, pick.Served}},
-		{"a stream may be resumed", resumable, []deed{first, eventsOf(3, 4, true)}, 200, streamText(1, 4), 1200 * time.Millisecond,
+		{"a stream may be resumed", withResumable, []serverBehavior{first, respondEvents(3, 4, true)}, 200, streamText(1, 4), 1200 * time.Millisecond,
 			[]pick.Outcome{pick.TimedOut, pick.Served}},
-		{"a stream may not be resumed", category(config.Streaming), []deed{first, eventsOf(3, 4, true)}, 200, streamText(1, 2),
+		{"a stream may not be resumed", withCategory(config.Streaming), []serverBehavior{first, respondEvents(3, 4, true)}, 200, streamText(1, 2),
 			8*time.Second - maxDeadlineMargin, []pick.Outcome{pick.TimedOut}},
-		{"nobody answers a call", category(config.NonIdempotent), []deed{nil, say(200, "x")}, 200, "x", sameRegionDialTimeout,
+		{"nobody answers a call", withCategory(config.NonIdempotent), []serverBehavior{nil, respondWith(200, "x")}, 200, "x", sameRegionDialTimeout,
 			[]pick.Outcome{pick.ConnectFailed, pick.Served}},
-		{"nobody answers any call", category(config.NonIdempotent), []deed{nil, nil}, 503, "", 2 * sameRegionDialTimeout,
+		{"nobody answers any call", withCategory(config.NonIdempotent), []serverBehavior{nil, nil}, 503, "", 2 * sameRegionDialTimeout,
 			[]pick.Outcome{pick.ConnectFailed, pick.ConnectFailed}},
-		{"all are silent", category(config.Idempotent), []deed{mute, mute, mute, mute}, 504, "", 8*time.Second - maxDeadlineMargin,
+		{"all are silent", withCategory(config.Idempotent), []serverBehavior{neverRespond, neverRespond, neverRespond, neverRespond}, 504, "", 8*time.Second - maxDeadlineMargin,
 			[]pick.Outcome{pick.TimedOut, pick.TimedOut, pick.TimedOut}},
 	} {
-		t.Run(tt.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := newPiped([]change{tt.how}, tt.servers...)
-				w, took := p.ask(t.Context())
-				if w.Code != tt.status || w.Body.String() != tt.body || took != tt.took || !slices.Equal(p.pick.ends, tt.outcomes) {
-					t.Errorf("status %d, body %q after %v, sends ended as %v", w.Code, w.Body.String(), took, p.pick.ends)
+				p := newPipedProxy([]configure{test.how}, test.servers...)
+				w, took := p.roundTrip(t.Context())
+				if w.Code != test.status || w.Body.String() != test.body || took != test.took || !slices.Equal(p.fake.outcomes, test.outcomes) {
+					t.Errorf("status %d, body %q after %v, sends ended as %v", w.Code, w.Body.String(), took, p.fake.outcomes)
 				}
 			})
 		})
 	}
 }
 
-// TestBusy has a server be slow with one request while it answers others: it is not left.
-func TestBusy(t *testing.T) {
+// TestSlowServerIsNotSilent has a server be slow with one request while it answers others: it is not left.
+func TestSlowServerIsNotSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := func(c net.Conn, r *http.Request, body []byte) bool {
 			if r.Header.Get("X-Slow") != "" {
 				time.Sleep(5 * time.Second)
 			}
-			return say(200, "x")(c, r, body)
+			return respondWith(200, "x")(c, r, body)
 		}
-		p := newPiped([]change{category(config.Idempotent)}, slow, say(200, "other"))
+		p := newPipedProxy([]configure{withCategory(config.Idempotent)}, slow, respondWith(200, "other"))
 		done := make(chan bool)
 		go func() {
 			defer close(done)
@@ -138,7 +138,7 @@
 				p.ServeHTTP(httptest.NewRecorder(), r)
 			}
 		}()
-		w, took := p.ask(t.Context(), "X-Slow", "1")
+		w, took := p.roundTrip(t.Context(), "X-Slow", "1")
 		<-done
 		p.pools.close()
 		if w.Body.String() != "x" || took != 5*time.Second {
@@ -149,7 +149,7 @@
 
 // TestDeadlines compares what a client waits, what the route allows, and what the server is told.
 func TestDeadlines(t *testing.T) {
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		says string
 		told time.Duration
 		took time.Duration
@@ -161,53 +161,53 @@
 		{"-5", 7980 * time.Millisecond, 7980 * time.Millisecond},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			p := newPiped(nil, mute)
-			w, took := p.ask(t.Context(), headerTimeLeft, tt.says)
-			r := <-p.came
-			if told, _ := parseMilliseconds(r.Header.Get(headerTimeLeft)); w.Code != 504 || took != tt.took || told != tt.told {
-				t.Errorf("%s: status %d after %v, told %v", tt.says, w.Code, took, told)
+			p := newPipedProxy(nil, neverRespond)
+			w, took := p.roundTrip(t.Context(), headerTimeLeft, test.says)
+			r := <-p.requests
+			if told, _ := parseMilliseconds(r.Header.Get(headerTimeLeft)); w.Code != 504 || took != test.took || told != test.told {
+				t.Errorf("%s: status %d after %v, told %v", test.says, w.Code, took, told)
 			}
 		})
 	}
 	synctest.Test(t, func(t *testing.T) {
-		p := newPiped(nil, mute)
-		if w, took := p.ask(t.Context(), headerTimeLeft, "0"); w.Code != 503 || took != 0 || len(p.came) > 0 {
-			t.Errorf("status %d after %v, %d sends", w.Code, took, len(p.came))
+		p := newPipedProxy(nil, neverRespond)
+		if w, took := p.roundTrip(t.Context(), headerTimeLeft, "0"); w.Code != 503 || took != 0 || len(p.requests) > 0 {
+			t.Errorf("status %d after %v, %d sends", w.Code, took, len(p.requests))
 		}
 	})
 }
 
 // TestClientGone has a client go away while a server works: the send ends at once.
 func TestClientGone(t *testing.T) {
-	for _, do := range []deed{mute, stream(1, 2, mute)} {
+	for _, do := range []serverBehavior{neverRespond, respondEventsThen(1, 2, neverRespond)} {
 		synctest.Test(t, func(t *testing.T) {
-			p := newPiped([]change{category(config.Streaming)}, do, say(200, "x"))
+			p := newPipedProxy([]configure{withCategory(config.Streaming)}, do, respondWith(200, "x"))
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
-			_, took := p.ask(ctx)
-			if took != time.Second || !slices.Equal(p.pick.ends, []pick.Outcome{pick.Canceled}) || p.Counters().ClientGone.Load() != 1 {
-				t.Errorf("after %v, sends ended as %v", took, p.pick.ends)
+			_, took := p.roundTrip(ctx)
+			if took != time.Second || !slices.Equal(p.fake.outcomes, []pick.Outcome{pick.Canceled}) || p.Counters().ClientGone.Load() != 1 {
+				t.Errorf("after %v, sends ended as %v", took, p.fake.outcomes)
 			}
 		})
 	}
 }
 
-// TestIdleTimes has connections idle for long: which are used again depends on what servers tell and show.
-func TestIdleTimes(t *testing.T) {
-	for _, tt := range []struct {
+// TestIdleTimeouts has connections idle for long: which are used again depends on what servers tell and show.
+func TestIdleTimeouts(t *testing.T) {
+	for _, test := range []struct {
 		name  string
-		do    deed
+		do    serverBehavior
 		waits []time.Duration
 		dials int64
 	}{
-		{"not told", say(200, "x"), []time.Duration{20 * time.Second, 29 * time.Second}, 1},
-		{"not told, too long", say(200, "x"), []time.Duration{31 * time.Second}, 2},
-		{"told", say(200, "x", "Keep-Alive: timeout=5"), []time.Duration{2 * time.Second, 2400 * time.Millisecond}, 1},
-		{"told, too long", say(200, "x", "Keep-Alive: max=3, timeout=5"), []time.Duration{2600 * time.Millisecond}, 2},
+		{"not told", respondWith(200, "x"), []time.Duration{20 * time.Second, 29 * time.Second}, 1},
+		{"not told, too long", respondWith(200, "x"), []time.Duration{31 * time.Second}, 2},
+		{"told", respondWith(200, "x", "Keep-Alive: timeout=5"), []time.Duration{2 * time.Second, 2400 * time.Millisecond}, 1},
+		{"told, too long", respondWith(200, "x", "Keep-Alive: max=3, timeout=5"), []time.Duration{2600 * time.Millisecond}, 2},
 	} {
-		t.Run(tt.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := newPiped(nil, tt.do)
+				p := newPipedProxy(nil, test.do)
 				sends := 0
 				send := func() {
 					sends++
@@ -217,13 +217,13 @@
 					p.ServeHTTP(httptest.NewRecorder(), r)
 				}
 				send()
-				for _, d := range tt.waits {
+				for _, d := range test.waits {
 					time.Sleep(d)
 					send()
 				}
 				p.pools.close()
 				synctest.Wait()
-				if n := p.Counters().Dials.Load(); n != tt.dials {
+				if n := p.Counters().Dials.Load(); n != test.dials {
 					t.Errorf("%d connections", n)
 				}
 			})
@@ -231,13 +231,13 @@
 	}
 }
 
-// TestSweep has connections idle that nobody uses any more: they are closed in time.
-func TestSweep(t *testing.T) {
+// TestIdleConnsAreSwept has connections idle that nobody uses any more: they are closed in time.
+func TestIdleConnsAreSwept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := make(chan time.Duration, 1)
 		began := time.Now()
-		p := newPiped(nil, func(c net.Conn, r *http.Request, body []byte) bool {
-			say(200, "x", "Keep-Alive: timeout=10")(c, r, body)
+		p := newPipedProxy(nil, func(c net.Conn, r *http.Request, body []byte) bool {
+			respondWith(200, "x", "Keep-Alive: timeout=10")(c, r, body)
 			_, _ = io.ReadAll(c)
 			ended <- time.Since(began)
 			return false
@@ -253,19 +253,19 @@
 	})
 }
 
-// TestLateAnswer has a server answer when the time for it is up: its connection is closed by then, and the next request goes
+// TestLateResponse has a server answer when the time for it is up: its connection is closed by then, and the next request goes
 // out on another and gets its own answer.
-func TestLateAnswer(t *testing.T) {
+func TestLateResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		late := make(chan error, 1)
-		p := newPiped([]change{category(config.NonIdempotent)}, func(c net.Conn, r *http.Request, body []byte) bool {
+		p := newPipedProxy([]configure{withCategory(config.NonIdempotent)}, func(c net.Conn, r *http.Request, body []byte) bool {
 			if r.Header.Get(headerAttemptID) == "id-1" {
 				time.Sleep(9 * time.Second)
 				_, err := fmt.Fprintf(c, "%sContent-Length: 4\r\n\r\nlate", head(r, 200))
 				late <- err
 				return err == nil
 			}
-			return say(200, "own")(c, r, body)
+			return respondWith(200, "own")(c, r, body)
 		})
 		ask := func(id string) *httptest.ResponseRecorder {
 			r := httptest.NewRequest("POST", "/a/x", strings.NewReader("body"))
--- a/internal/system/proxy/streams_test.go
+++ b/internal/system/proxy/streams_test.go
@@ -22,88 +22,88 @@
 	return b.String()
 }
 
-// stream answers with events and then does something else.
-func stream(from, to int, then deed) deed {
+// respondEventsThen answers with events and then does something else.
+func respondEventsThen(from, to int, then serverBehavior) serverBehavior {
 	return func(c net.Conn, r *http.Request, body []byte) bool {
-		eventsOf(from, to, false)(c, r, body)
+		respondEvents(from, to, false)(c, r, body)
 		return then(c, r, body)
 	}
 }
 
-// write sends a text.
-func write(text string, stays bool) deed {
+// writeText sends a text.
+func writeText(text string, stays bool) serverBehavior {
 	return func(c net.Conn, _ *http.Request, _ []byte) bool {
 		_, _ = io.WriteString(c, text)
 		return stays
 	}
 }
 
-// TestStreams cuts a stream in each way: a resumable one goes on at another server within the same answer, any other is
+// TestTruncatedStreams cuts a stream in each way: a resumable one goes on at another server within the same answer, any other is
 // broken off so that it does not look complete.
-func TestStreams(t *testing.T) {
+func TestTruncatedStreams(t *testing.T) {
 	hang := func(c net.Conn, _ *http.Request, _ []byte) bool { return false }
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		name      string
-		first     deed
-		second    deed
+		first     serverBehavior
+		second    serverBehavior
 		resumes   string // the whole body where the stream may be resumed; "": it is broken off
 		last      string // Last-Event-Id that the second server gets; "": it is not asked
 		outcomes  []pick.Outcome
 		otherwise string // what comes of a stream that may not be resumed, before it is broken off
 		whole     bool   // it is not broken off
 	}{
-		{"whole", eventsOf(1, 3, true), nil, streamText(1, 3), "", []pick.Outcome{pick.Served}, streamText(1, 3), true},
-		{"cut", stream(1, 3, hang), eventsOf(4, 6, true), streamText(1, 6), "3", []pick.Outcome{pick.ConnectionLost, pick.Served}, streamText(1, 3), false},
-		{"reset", stream(1, 3, reset), eventsOf(4, 6, true), streamText(1, 6), "3", []pick.Outcome{pick.ConnectionLost, pick.Served}, "", false},
-		{"cut within an event", stream(1, 2, write(chunk("id: 3\ndata"), false)), eventsOf(3, 4, true), streamText(1, 4), "2",
+		{"whole", respondEvents(1, 3, true), nil, streamText(1, 3), "", []pick.Outcome{pick.Served}, streamText(1, 3), true},
+		{"cut", respondEventsThen(1, 3, hang), respondEvents(4, 6, true), streamText(1, 6), "3", []pick.Outcome{pick.ConnectionLost, pick.Served}, streamText(1, 3), false},
+		{"reset", respondEventsThen(1, 3, resetConn), respondEvents(4, 6, true), streamText(1, 6), "3", []pick.Outcome{pick.ConnectionLost, pick.Served}, "", false},
+		{"cut within an event", respondEventsThen(1, 2, writeText(chunk("id: 3\ndata"), false)), respondEvents(3, 4, true), streamText(1, 4), "2",
 			[]pick.Outcome{pick.ConnectionLost, pick.Served}, streamText(1, 2), false},
-		{"cut behind an event's data", stream(1, 2, write(chunk("id: 3\ndata: d3\n"), false)), eventsOf(3, 4, true), streamText(1, 4), "2",
+		{"cut behind an event's data", respondEventsThen(1, 2, writeText(chunk("id: 3\ndata: d3\n"), false)), respondEvents(3, 4, true), streamText(1, 4), "2",
 			[]pick.Outcome{pick.ConnectionLost, pick.Served}, streamText(1, 2), false},
-		{"garbage", stream(1, 2, write("zz\r\nwhat\r\n", true)), eventsOf(3, 4, true), streamText(1, 4), "2",
+		{"garbage", respondEventsThen(1, 2, writeText("zz\r\nwhat\r\n", true)), respondEvents(3, 4, true), streamText(1, 4), "2",
 			[]pick.Outcome{pick.ConnectionLost, pick.Served}, streamText(1, 2), false},
-		{"an event again", stream(1, 2, write(event(2)+event(3)+"0\r\n\r\n", true)), eventsOf(3, 4, true), streamText(1, 4), "2",
+		{"an event again", respondEventsThen(1, 2, writeText(eventChunk(2)+eventChunk(3)+"0\r\n\r\n", true)), respondEvents(3, 4, true), streamText(1, 4), "2",
 			[]pick.Outcome{pick.ConnectionLost, pick.Served}, streamText(1, 2), false},
-		{"cut at its end", stream(1, 3, hang), eventsOf(4, 3, true), streamText(1, 3), "3", []pick.Outcome{pick.ConnectionLost, pick.Served}, streamText(1, 3), false},
-		{"repeated by the second", stream(1, 3, hang), eventsOf(3, 6, true), "", "3", []pick.Outcome{pick.ConnectionLost, pick.ConnectionLost}, streamText(1, 3), false},
-		{"started anew by the second", stream(1, 3, hang), eventsOf(1, 6, true), "", "3", []pick.Outcome{pick.ConnectionLost, pick.ConnectionLost}, streamText(1, 3), false},
-		{"failed by the second", stream(1, 3, hang), say(500, "oh"), "", "3", []pick.Outcome{pick.ConnectionLost, pick.ServerError}, streamText(1, 3), false},
-		{"refused by the second", stream(1, 3, hang), say(503, "", "X-Not-Executed: 1"), "", "3",
+		{"cut at its end", respondEventsThen(1, 3, hang), respondEvents(4, 3, true), streamText(1, 3), "3", []pick.Outcome{pick.ConnectionLost, pick.Served}, streamText(1, 3), false},
+		{"repeated by the second", respondEventsThen(1, 3, hang), respondEvents(3, 6, true), "", "3", []pick.Outcome{pick.ConnectionLost, pick.ConnectionLost}, streamText(1, 3), false},
+		{"started anew by the second", respondEventsThen(1, 3, hang), respondEvents(1, 6, true), "", "3", []pick.Outcome{pick.ConnectionLost, pick.ConnectionLost}, streamText(1, 3), false},
+		{"failed by the second", respondEventsThen(1, 3, hang), respondWith(500, "oh"), "", "3", []pick.Outcome{pick.ConnectionLost, pick.ServerError}, streamText(1, 3), false},
+		{"refused by the second", respondEventsThen(1, 3, hang), respondWith(503, "", "X-Not-Executed: 1"), "", "3",
 			[]pick.Outcome{pick.ConnectionLost, pick.NotExecuted}, streamText(1, 3), false},
-		{"no stream from the second", stream(1, 3, hang), say(200, streamText(4, 6)), "", "3",
+		{"no stream from the second", respondEventsThen(1, 3, hang), respondWith(200, streamText(4, 6)), "", "3",
 			[]pick.Outcome{pick.ConnectionLost, pick.ServerError}, streamText(1, 3), false},
-		{"another's stream from the second", stream(1, 3, hang), raw("HTTP/1.1 200 X\r\nX-Attempt-Id: other\r\nX-Server-Seal: s\r\n"+
-			"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"+event(4)+"0\r\n\r\n", true), "", "3",
+		{"another's stream from the second", respondEventsThen(1, 3, hang), respondRaw("HTTP/1.1 200 X\r\nX-Attempt-Id: other\r\nX-Server-Seal: s\r\n"+
+			"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"+eventChunk(4)+"0\r\n\r\n", true), "", "3",
 			[]pick.Outcome{pick.ConnectionLost, pick.ConnectionLost}, streamText(1, 3), false},
-		{"events without ids", stream(1, 2, write(chunk("data: x\n\n"), false)), nil, "", "", []pick.Outcome{pick.ConnectionLost},
+		{"events without ids", respondEventsThen(1, 2, writeText(chunk("data: x\n\n"), false)), nil, "", "", []pick.Outcome{pick.ConnectionLost},
 			streamText(1, 2) + "data: x\n\n", false},
 	} {
 		for _, may := range []bool{true, false} {
-			t.Run(fmt.Sprint(tt.name, may), func(t *testing.T) {
-				servers := []*fakeServer{startServer(t, tt.first)}
-				if tt.second != nil {
-					servers = append(servers, startServer(t, tt.second))
+			t.Run(fmt.Sprint(test.name, may), func(t *testing.T) {
+				servers := []*fakeServer{startServer(t, test.first)}
+				if test.second != nil {
+					servers = append(servers, startServer(t, test.second))
 				}
-				how, want, whole, outcomes := category(config.Streaming), tt.otherwise, tt.whole, tt.outcomes[:1]
+				how, want, whole, outcomes := withCategory(config.Streaming), test.otherwise, test.whole, test.outcomes[:1]
 				if may {
-					how, want, whole, outcomes = resumable, tt.resumes, tt.resumes != "", tt.outcomes
+					how, want, whole, outcomes = withResumable, test.resumes, test.resumes != "", test.outcomes
 				}
 				f := startProxy(t, servers, how)
-				got := f.ask(t, "id-1", "body")
+				got := f.roundTrip(t, "id-1", "body")
 				if want == "" && !whole {
 					want = got.body // how much came does not matter
 				}
 				if got.StatusCode != 200 || got.body != want || (got.err == nil) != whole {
 					t.Errorf("status %d, body %q, error %v; want %q, whole: %v", got.StatusCode, got.body, got.err, want, whole)
 				}
-				if ends := f.ends(); !slices.Equal(ends, outcomes) {
+				if ends := f.outcomes(); !slices.Equal(ends, outcomes) {
 					t.Errorf("sends ended as %v, want %v", ends, outcomes)
 				}
-				if may && tt.last != "" {
-					if r := within(t, servers[1].came, "request"); r.Header.Get(headerLastEventID) != tt.last || r.body != "body" ||
+				if may && test.last != "" {
+					if r := receive(t, servers[1].requests, "request"); r.Header.Get(headerLastEventID) != test.last || r.body != "body" ||
 						r.Header.Get(headerAttemptID) != "id-1" || r.Header.Get(headerTargetInstance) != "i-1" {
 						t.Errorf("the second server got %v, %q", r.Header, r.body)
 					}
-				} else if tt.second != nil && len(servers[1].came) > 0 {
+				} else if test.second != nil && len(servers[1].requests) > 0 {
 					t.Error("the second server was asked")
 				}
 			})
@@ -113,20 +113,20 @@
 
 // TestStreamKeepsHead has a stream go on at another server: its head and seal stay those of the first.
 func TestStreamKeepsHead(t *testing.T) {
-	sealed := func(seal string, from, to int, whole bool) deed {
+	sealed := func(seal string, from, to int, whole bool) serverBehavior {
 		text := "HTTP/1.1 200 X\r\nX-Attempt-Id: ID\r\nX-Server-Seal: " + seal + "\r\nContent-Type: text/event-stream; charset=utf-8\r\n" +
 			"Transfer-Encoding: chunked\r\n\r\n"
 		for id := from; id <= to; id++ {
-			text += event(id)
+			text += eventChunk(id)
 		}
 		if whole {
 			text += "0\r\n\r\n"
 		}
-		return raw(text, whole)
+		return respondRaw(text, whole)
 	}
 	f := startProxy(t, []*fakeServer{startServer(t, sealed("one", 1, 2, false)), startServer(t, sealed("two", 3, 3, false)),
-		startServer(t, sealed("three", 4, 5, true))}, resumable)
-	got := f.ask(t, "id-1", "")
+		startServer(t, sealed("three", 4, 5, true))}, withResumable)
+	got := f.roundTrip(t, "id-1", "")
 	if got.body != streamText(1, 5) || got.err != nil || got.Header.Get(headerServerSeal) != "one" {
 		t.Errorf("body %q, error %v, seal %q", got.body, got.err, got.Header.Get(headerServerSeal))
 	}
@@ -137,13 +137,13 @@
 
 // TestClientResumes has a client take a stream up itself: what it has goes to the server, and ids rise above it.
 func TestClientResumes(t *testing.T) {
-	first, second := startServer(t, eventsOf(7, 9, false)), startServer(t, eventsOf(10, 11, true))
-	f := startProxy(t, []*fakeServer{first, second}, resumable)
-	got := f.ask(t, "id-1", "", "Last-Event-Id: 6")
+	first, second := startServer(t, respondEvents(7, 9, false)), startServer(t, respondEvents(10, 11, true))
+	f := startProxy(t, []*fakeServer{first, second}, withResumable)
+	got := f.roundTrip(t, "id-1", "", "Last-Event-Id: 6")
 	if got.body != streamText(7, 11) || got.err != nil {
 		t.Errorf("body %q, error %v", got.body, got.err)
 	}
-	if a, b := <-first.came, <-second.came; a.Header.Get(headerLastEventID) != "6" || b.Header.Get(headerLastEventID) != "9" {
+	if a, b := <-first.requests, <-second.requests; a.Header.Get(headerLastEventID) != "6" || b.Header.Get(headerLastEventID) != "9" {
 		t.Errorf("Last-Event-Id %q, then %q", a.Header.Get(headerLastEventID), b.Header.Get(headerLastEventID))
 	}
 }
@@ -155,16 +155,16 @@
 		io.WriteString(c, head(r, 200, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")+"\r\n")
 		for id := 1; id <= 3; id++ {
 			<-next
-			io.WriteString(c, event(id))
+			io.WriteString(c, eventChunk(id))
 		}
 		<-next
 		io.WriteString(c, "0\r\n\r\n")
 		return true
 	})
-	f := startProxy(t, []*fakeServer{s}, category(config.Streaming))
-	c := f.dial(t).post("id-1", "")
+	f := startProxy(t, []*fakeServer{s}, withCategory(config.Streaming))
+	c := f.dial(t).sendRequest("id-1", "")
 	next <- true
-	resp, err := http.ReadResponse(c.in, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -178,28 +178,28 @@
 	if rest, err := io.ReadAll(resp.Body); len(rest) > 0 || err != nil {
 		t.Errorf("%q, error %v", rest, err)
 	}
-	if f.pick.firsts != 1 {
-		t.Errorf("%d first events", f.pick.firsts)
+	if f.fake.firstEvents != 1 {
+		t.Errorf("%d first events", f.fake.firstEvents)
 	}
 }
 
-// TestOldClient has a client of HTTP/1.0, where the end of the connection is the answer's: a stream that is cut ends with a
+// TestHTTP10Client has a client of HTTP/1.0, where the end of the connection is the answer's: a stream that is cut ends with a
 // reset.
-func TestOldClient(t *testing.T) {
-	f := startProxy(t, []*fakeServer{startServer(t, eventsOf(1, 2, false))}, category(config.Streaming))
+func TestHTTP10Client(t *testing.T) {
+	f := startProxy(t, []*fakeServer{startServer(t, respondEvents(1, 2, false))}, withCategory(config.Streaming))
 	c := f.dial(t)
 	fmt.Fprint(c, "GET /a/x HTTP/1.0\r\nHost: h.example\r\nX-Attempt-Id: a\r\n\r\n")
-	if text, err := io.ReadAll(c.in); err == nil {
+	if text, err := io.ReadAll(c.reader); err == nil {
 		t.Errorf("%q looks complete", text)
 	}
 }
 
-// TestLongAnswers has answers that are too long to be held.
-func TestLongAnswers(t *testing.T) {
+// TestUnbufferedResponses has answers that are too long to be held.
+func TestUnbufferedResponses(t *testing.T) {
 	long := strings.Repeat("0123456789", 60<<10)
 	ok := "HTTP/1.1 200 X\r\nX-Attempt-Id: ID\r\nX-Server-Seal: s\r\n"
 	length := fmt.Sprintf("Content-Length: %d\r\n\r\n", len(long))
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		name, text string
 		whole      bool
 	}{
@@ -209,11 +209,11 @@
 		{"cut chunks", ok + "Transfer-Encoding: chunked\r\n\r\n" + chunk(long), false},
 		{"cut within a chunk", ok + "Transfer-Encoding: chunked\r\n\r\n" + chunk(long)[:500<<10], false},
 	} {
-		t.Run(tt.name, func(t *testing.T) {
-			s := startServer(t, raw(tt.text, tt.whole))
-			f := startProxy(t, []*fakeServer{s}, category(config.Idempotent))
-			got := f.ask(t, "id-1", "")
-			if (got.err == nil) != tt.whole || tt.whole && got.body != long || !strings.HasPrefix(long, got.body) {
+		t.Run(test.name, func(t *testing.T) {
+			s := startServer(t, respondRaw(test.text, test.whole))
+			f := startProxy(t, []*fakeServer{s}, withCategory(config.Idempotent))
+			got := f.roundTrip(t, "id-1", "")
+			if (got.err == nil) != test.whole || test.whole && got.body != long || !strings.HasPrefix(long, got.body) {
 				t.Errorf("%d bytes, error %v", len(got.body), got.err)
 			}
 		})
