--- a/internal/system/proxy/headers_test.go
+++ b/internal/system/proxy/eventreader_test.go
@@ -4,56 +4,11 @@
 	"bytes"
 	"errors"
 	"io"
-	"net/http"
-	"reflect"
 	"strings"
 	"testing"
 	"testing/iotest"
-	"time"
-
-	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-func TestPromptParts(t *testing.T) {
-	for text, want := range map[string][]pick.PrefixPart{
-		"":                  nil,
-		"5c1e07a2:800":      {{ID: 0x5c1e07a2, Tokens: 800}},
-		"ff:6, 1a:4":        {{ID: 0xff, Tokens: 6}, {ID: 0x1a, Tokens: 4}},
-		"ff:6,zz:4,1a:4":    {{ID: 0xff, Tokens: 6}},
-		"ff:6,1a":           {{ID: 0xff, Tokens: 6}},
-		"ffffffffffffffff:": {{ID: 1<<64 - 1}},
-		"1:-5":              {{ID: 1}},
-	} {
-		if got := parsePromptParts(text); len(got) != len(want) || len(want) > 0 && !reflect.DeepEqual(got, want) {
-			t.Errorf("%q: %v, want %v", text, got, want)
-		}
-	}
-	if n := len(parsePromptParts(strings.Repeat("1:1,", 1000))); n != maxPromptParts {
-		t.Errorf("%d parts", n)
-	}
-}
-
-func TestServerHints(t *testing.T) {
-	h := http.Header{"X-Server-Load": {"3, 1,8"}, "X-Cold-Ms": {"1500"}, "Retry-After": {"0.35"}, "Keep-Alive": {"max=4, timeout=7"}}
-	if got, want := parseServerHints(h, true), (serverHints{true, 3, 1, 8, true, 1500 * time.Millisecond, true, 7 * time.Second}); got != want {
-		t.Errorf("%+v, want %+v", got, want)
-	}
-	if got := parseServerHints(http.Header{"X-Server-Load": {"3,1"}, "X-Cold-Ms": {"-1"}}, false); got != (serverHints{}) {
-		t.Errorf("%+v", got)
-	}
-	if d := parseRetryAfter(h.Get("Retry-After")); d != 350*time.Millisecond {
-		t.Error(d)
-	}
-	for _, text := range []string{"", "-1", "NaN", "Inf", "1e9", "soon"} {
-		if d := parseRetryAfter(text); d != 0 {
-			t.Errorf("%q: %v", text, d)
-		}
-	}
-	if d := parseKeepAlive(h); d != 7*time.Second {
-		t.Error(d)
-	}
-}
-
 // TestEventReader reads streams in pieces of each size.
 func TestEventReader(t *testing.T) {
 	for _, test := range []struct {
@@ -130,3 +85,17 @@
 		}
 	})
 }
+
+// TestEventWithTwoIDs has a stream broken by an event of which the first id rises and the last does not: the next server is
+// asked for what follows the last event that was passed on, so that none is lost.
+func TestEventWithTwoIDs(t *testing.T) {
+	text := "id: 1\ndata: d1\n\nid: 2\nid: 1\ndata: d2\n\n"
+	ev := &eventReader{source: strings.NewReader(text), buf: make([]byte, 0, eventBufferBytes)}
+	whole, err := ev.next()
+	if string(whole) != "id: 1\ndata: d1\n\n" || err != nil || ev.lastEventID != "1" {
+		t.Fatalf("%q, error %v, last id %q", whole, err, ev.lastEventID)
+	}
+	if whole, err := ev.next(); err == nil || err == io.EOF || ev.lastEventID != "1" {
+		t.Errorf("%q, error %v, last id %q", whole, err, ev.lastEventID)
+	}
+}
--- a/internal/system/proxy/streams_test.go
+++ b/internal/system/proxy/eventrelay_test.go
@@ -13,31 +13,6 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// streamText is the events as a client is to see them.
-func streamText(from, to int) string {
-	var b strings.Builder
-	for id := from; id <= to; id++ {
-		fmt.Fprintf(&b, "id: %d\ndata: d%d\n\n", id, id)
-	}
-	return b.String()
-}
-
-// respondEventsThen answers with events and then does something else.
-func respondEventsThen(from, to int, then serverBehavior) serverBehavior {
-	return func(c net.Conn, r *http.Request, body []byte) bool {
-		respondEvents(from, to, false)(c, r, body)
-		return then(c, r, body)
-	}
-}
-
-// writeText sends a text.
-func writeText(text string, stays bool) serverBehavior {
-	return func(c net.Conn, _ *http.Request, _ []byte) bool {
-		_, _ = io.WriteString(c, text)
-		return stays
-	}
-}
-
 // TestTruncatedStreams cuts a stream in each way: a resumable one goes on at another server within the same answer, any other is
 // broken off so that it does not look complete.
 func TestTruncatedStreams(t *testing.T) {
--- /dev/null
+++ b/internal/system/proxy/fakepicker_test.go
@@ -0,0 +1,77 @@
+package proxy
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"gradeusher.example/gradeusher/internal/system/config"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+)
+
+// fakePicker sends to the first server that has not been tried, and records how sends ended.
+type fakePicker struct {
+	clusterState pick.ClusterState
+	route        *config.Route
+	lastTicket   uint64
+	outcomes     []pick.Outcome
+	firstEvents  int
+	lastLoad     string
+	resumedCount int
+	retryAfter   time.Duration // with refusals
+	sendWithin   time.Duration // that sends must go out in
+	refuseAll    bool          // refuse all
+	unreachable  map[string]bool
+	serverOf     map[uint64]string
+}
+
+func (t *fakePicker) UpdateClusterState(_ pick.Time, w pick.ClusterState) { t.clusterState = w }
+func (t *fakePicker) SetLoads(pick.Time, map[string]pick.Load)            {}
+func (t *fakePicker) Loads() map[string]pick.Load                         { return nil }
+func (t *fakePicker) SetIdleTimeout(string, time.Duration)                {}
+func (t *fakePicker) PromptDemands() map[string]pick.Load                 { return nil }
+func (t *fakePicker) Arrive(pick.Time, *pick.Request)                     {}
+func (t *fakePicker) FirstEvent(pick.Time, uint64)                        { t.firstEvents++ }
+func (t *fakePicker) Started(pick.Time, uint64)                           {}
+func (t *fakePicker) WarmingUp(pick.Time, string, time.Duration)          {}
+func (t *fakePicker) ServerDraining(pick.Time, string)                    {}
+func (t *fakePicker) AwaitsServerList() bool                              { return false }
+func (t *fakePicker) Stalled(pick.Time)                                   {}
+func (t *fakePicker) AwaitsControlPlane() bool                            { return false }
+func (t *fakePicker) Stats() pick.Stats                                   { return pick.Stats{} }
+func (t *fakePicker) Describe(pick.Time) string                           { return "toy" }
+func (t *fakePicker) ServerLoad(_ pick.Time, id string, run, wait, of int) {
+	t.lastLoad = fmt.Sprintf("%s %d,%d,%d", id, run, wait, of)
+}
+
+func (t *fakePicker) Route(host, path string) *config.Route {
+	if strings.EqualFold(strings.TrimSuffix(host, ":80"), t.route.Host) && strings.HasPrefix(path, t.route.Prefix) {
+		return t.route
+	}
+	return nil
+}
+
+func (t *fakePicker) Choose(_ pick.Time, r *pick.Request, tried []string, offered bool) pick.Choice {
+	if r.Resumed {
+		t.resumedCount++
+	}
+	for _, s := range t.clusterState.Servers {
+		if !t.refuseAll && !slices.Contains(tried, s.ID) && !t.unreachable[s.ID] {
+			t.lastTicket++
+			t.serverOf[t.lastTicket] = s.ID
+			return pick.Choice{Server: s, Ticket: t.lastTicket, Priority: r.Route.Priority, SendWithin: t.sendWithin}
+		}
+	}
+	if offered {
+		return pick.Choice{Verdict: pick.GiveUp}
+	}
+	return pick.Choice{Verdict: pick.Refuse, RetryAfter: t.retryAfter}
+}
+
+func (t *fakePicker) Done(_ pick.Time, ticket uint64, o pick.Outcome, _ time.Duration) {
+	t.outcomes = append(t.outcomes, o)
+	if o == pick.ConnectFailed {
+		t.unreachable[t.serverOf[ticket]] = true
+	}
+}
--- /dev/null
+++ b/internal/system/proxy/fakeserver_test.go
@@ -0,0 +1,194 @@
+package proxy
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+
+	"golang.org/x/sys/unix"
+)
+
+// serverBehavior is what a fake server does with one request; false: it closes the connection.
+type serverBehavior func(c net.Conn, r *http.Request, body []byte) bool
+
+// fakeServer speaks HTTP/1.1 as it is told.
+type fakeServer struct {
+	listener net.Listener
+	requests chan *receivedRequest
+	wg       sync.WaitGroup
+
+	mu    sync.Mutex
+	conns []net.Conn
+}
+
+// receivedRequest is a request as it came.
+type receivedRequest struct {
+	*http.Request
+	body string
+	conn net.Conn
+}
+
+func startServer(t *testing.T, behavior serverBehavior) *fakeServer {
+	t.Helper()
+	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := &fakeServer{listener: l, requests: make(chan *receivedRequest, 4096)}
+	s.wg.Go(func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			s.mu.Lock()
+			s.conns = append(s.conns, c)
+			s.mu.Unlock()
+			s.wg.Go(func() { s.serve(c, behavior) })
+		}
+	})
+	t.Cleanup(s.stop)
+	return s
+}
+
+func (s *fakeServer) serve(c net.Conn, do serverBehavior) {
+	defer c.Close()
+	in := bufio.NewReader(c)
+	for {
+		r, err := http.ReadRequest(in)
+		if err != nil {
+			return
+		}
+		body, err := io.ReadAll(r.Body)
+		if err != nil {
+			return
+		}
+		s.requests <- &receivedRequest{r, string(body), c}
+		if !do(c, r, body) {
+			return
+		}
+	}
+}
+
+func (s *fakeServer) stop() {
+	_ = s.listener.Close()
+	s.mu.Lock()
+	for _, c := range s.conns {
+		_ = c.Close()
+	}
+	s.mu.Unlock()
+	s.wg.Wait()
+}
+
+func (s *fakeServer) address() string { return s.listener.Addr().String() }
+
+// closedAddress is one where nobody listens, and that no other socket gets meanwhile.
+func closedAddress(t *testing.T) string {
+	t.Helper()
+	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = unix.Close(fd) })
+	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	at, err := unix.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return fmt.Sprint("127.0.0.1:", at.(*unix.SockaddrInet4).Port)
+}
+
+// head is that of a proper answer to r.
+func head(r *http.Request, status int, more ...string) string {
+	text := fmt.Sprintf("HTTP/1.1 %d X\r\nX-Attempt-Id: %s\r\nX-Server-Seal: seal\r\n", status, r.Header.Get(headerAttemptID))
+	for _, m := range more {
+		text += m + "\r\n"
+	}
+	return text
+}
+
+// respondWith answers with a status, headers and a body.
+func respondWith(status int, body string, more ...string) serverBehavior {
+	return func(c net.Conn, r *http.Request, _ []byte) bool {
+		fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", head(r, status, more...), len(body), body)
+		return true
+	}
+}
+
+// respondRaw answers with a text in which ID stands for the request's id.
+func respondRaw(text string, stays bool) serverBehavior {
+	return func(c net.Conn, r *http.Request, _ []byte) bool {
+		io.WriteString(c, strings.ReplaceAll(text, "ID", r.Header.Get(headerAttemptID)))
+		return stays
+	}
+}
+
+// resetConn breaks the connection off without a word.
+func resetConn(c net.Conn, _ *http.Request, _ []byte) bool {
+	_ = c.(*net.TCPConn).SetLinger(0)
+	return false
+}
+
+// neverRespond never answers; it waits for the end of the connection.
+func neverRespond(c net.Conn, _ *http.Request, _ []byte) bool {
+	_, _ = c.Read(make([]byte, 1))
+	return false
+}
+
+func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
+
+func chunkUnlessEmpty(text string) string {
+	if text == "" {
+		return ""
+	}
+	return chunk(text)
+}
+
+// eventChunk is one eventChunk of a stream, as a chunk.
+func eventChunk(id int) string { return chunk(fmt.Sprintf("id: %d\ndata: d%d\n\n", id, id)) }
+
+// events answers with a stream of events; whole: it ends as complete.
+func respondEvents(from, to int, whole bool) serverBehavior {
+	return func(c net.Conn, r *http.Request, _ []byte) bool {
+		io.WriteString(c, head(r, 200, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")+"\r\n")
+		for id := from; id <= to; id++ {
+			io.WriteString(c, eventChunk(id))
+		}
+		if whole {
+			io.WriteString(c, "0\r\n\r\n")
+		}
+		return whole
+	}
+}
+
+// respondEventsThen answers with events and then does something else.
+func respondEventsThen(from, to int, then serverBehavior) serverBehavior {
+	return func(c net.Conn, r *http.Request, body []byte) bool {
+		respondEvents(from, to, false)(c, r, body)
+		return then(c, r, body)
+	}
+}
+
+// writeText sends a text.
+func writeText(text string, stays bool) serverBehavior {
+	return func(c net.Conn, _ *http.Request, _ []byte) bool {
+		_, _ = io.WriteString(c, text)
+		return stays
+	}
+}
+
+// streamText is the events as a client is to see them.
+func streamText(from, to int) string {
+	var b strings.Builder
+	for id := from; id <= to; id++ {
+		fmt.Fprintf(&b, "id: %d\ndata: d%d\n\n", id, id)
+	}
+	return b.String()
+}
--- /dev/null
+++ b/internal/system/proxy/idletimeout_test.go
@@ -0,0 +1,73 @@
+package proxy
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// TestIdleTimeouts has connections idle for long: which are used again depends on what servers tell and show.
+func TestIdleTimeouts(t *testing.T) {
+	for _, test := range []struct {
+		name  string
+		do    serverBehavior
+		waits []time.Duration
+		dials int64
+	}{
+		{"not told", respondWith(200, "x"), []time.Duration{20 * time.Second, 29 * time.Second}, 1},
+		{"not told, too long", respondWith(200, "x"), []time.Duration{31 * time.Second}, 2},
+		{"told", respondWith(200, "x", "Keep-Alive: timeout=5"), []time.Duration{2 * time.Second, 2400 * time.Millisecond}, 1},
+		{"told, too long", respondWith(200, "x", "Keep-Alive: max=3, timeout=5"), []time.Duration{2600 * time.Millisecond}, 2},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				p := newPipedProxy(nil, test.do)
+				sends := 0
+				send := func() {
+					sends++
+					r := httptest.NewRequest("GET", "/a/x", nil)
+					r.Host = "h.example"
+					r.Header.Set(headerAttemptID, fmt.Sprint("id-", sends))
+					p.ServeHTTP(httptest.NewRecorder(), r)
+				}
+				send()
+				for _, d := range test.waits {
+					time.Sleep(d)
+					send()
+				}
+				p.pools.close()
+				synctest.Wait()
+				if n := p.Counters().Dials.Load(); n != test.dials {
+					t.Errorf("%d connections", n)
+				}
+			})
+		})
+	}
+}
+
+// TestIdleConnsAreSwept has connections idle that nobody uses any more: they are closed in time.
+func TestIdleConnsAreSwept(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ended := make(chan time.Duration, 1)
+		began := time.Now()
+		p := newPipedProxy(nil, func(c net.Conn, r *http.Request, body []byte) bool {
+			respondWith(200, "x", "Keep-Alive: timeout=10")(c, r, body)
+			_, _ = io.ReadAll(c)
+			ended <- time.Since(began)
+			return false
+		})
+		r := httptest.NewRequest("GET", "/a/x", nil)
+		r.Host = "h.example"
+		r.Header.Set(headerAttemptID, "id-1")
+		p.ServeHTTP(httptest.NewRecorder(), r)
+		time.Sleep(time.Minute)
+		if d := <-ended; d != 6*time.Second {
+			t.Errorf("closed after %v", d)
+		}
+	})
+}
--- /dev/null
+++ b/internal/system/proxy/pipedproxy_test.go
@@ -0,0 +1,72 @@
+package proxy
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http/httptest"
+	"strings"
+	"testing/synctest"
+	"time"
+
+	"gradeusher.example/gradeusher/internal/system/config"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+)
+
+// pipedProxy is a proxy whose servers are functions at the other ends of pipes, on a clock that the test drives.
+type pipedProxy struct {
+	*Proxy
+	fake     *fakePicker
+	servers  map[string]serverBehavior // by address
+	requests chan *receivedRequest
+}
+
+func newPipedProxy(changes []configure, servers ...serverBehavior) *pipedProxy {
+	route := &config.Route{Name: "r", Host: "h.example", Prefix: "/a/", Category: config.NonIdempotent, Timeout: 8 * time.Second,
+		LatencyTarget: 800 * time.Millisecond, EventGapTarget: 600 * time.Millisecond, MaxTries: 3}
+	config := &config.Config{Routes: []*config.Route{route}, Services: map[string]*config.Service{"s": {Name: "s", MaxConns: 100}}}
+	o := Options{}
+	for _, c := range changes {
+		c(&o, config)
+	}
+	toy := &fakePicker{route: route, unreachable: map[string]bool{}, serverOf: map[uint64]string{}}
+	p := &pipedProxy{newProxy(o, toy), toy, map[string]serverBehavior{}, make(chan *receivedRequest, 100)}
+	w := pick.ClusterState{Config: config}
+	for i, do := range servers {
+		at := fmt.Sprint("at-", i)
+		p.servers[at] = do
+		w.Servers = append(w.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: at})
+	}
+	p.UpdateClusterState(time.Now(), w)
+	p.pools.connect = func(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
+		do := p.servers[address]
+		if do == nil { // nobody answers
+			ctx, cancel := context.WithTimeout(ctx, within)
+			defer cancel()
+			<-ctx.Done()
+			return nil, ctx.Err()
+		}
+		near, far := net.Pipe()
+		s := &fakeServer{requests: p.requests}
+		go s.serve(far, do)
+		return near, nil
+	}
+	return p
+}
+
+// roundTrip has a client roundTrip and wait for the answer, and tells how long that took.
+func (p *pipedProxy) roundTrip(ctx context.Context, more ...string) (*httptest.ResponseRecorder, time.Duration) {
+	r := httptest.NewRequestWithContext(ctx, "POST", "/a/x", strings.NewReader("body"))
+	r.Host = "h.example"
+	r.Header.Set(headerAttemptID, "id-1")
+	for i := 0; i < len(more); i += 2 {
+		r.Header.Set(more[i], more[i+1])
+	}
+	w := httptest.NewRecorder()
+	began := time.Now()
+	p.ServeHTTP(w, r)
+	took := time.Since(began)
+	p.pools.close()
+	synctest.Wait()
+	return w, took
+}
--- a/internal/system/proxy/promises_test.go
+++ b/internal/system/proxy/promises_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"slices"
 	"strings"
 	"testing"
@@ -43,17 +42,3 @@
 		t.Errorf("status %d, %d further sends", got.StatusCode, len(second.requests))
 	}
 }
-
-// TestEventWithTwoIDs has a stream broken by an event of which the first id rises and the last does not: the next server is
-// asked for what follows the last event that was passed on, so that none is lost.
-func TestEventWithTwoIDs(t *testing.T) {
-	text := "id: 1\ndata: d1\n\nid: 2\nid: 1\ndata: d2\n\n"
-	ev := &eventReader{source: strings.NewReader(text), buf: make([]byte, 0, eventBufferBytes)}
-	whole, err := ev.next()
-	if string(whole) != "id: 1\ndata: d1\n\n" || err != nil || ev.lastEventID != "1" {
-		t.Fatalf("%q, error %v, last id %q", whole, err, ev.lastEventID)
-	}
-	if whole, err := ev.next(); err == nil || err == io.EOF || ev.lastEventID != "1" {
-		t.Errorf("%q, error %v, last id %q", whole, err, ev.lastEventID)
-	}
-}
--- a/internal/system/proxy/silence_test.go
+++ b/internal/system/proxy/silence_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -17,64 +16,6 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// pipedProxy is a proxy whose servers are functions at the other ends of pipes, on a clock that the test drives.
-type pipedProxy struct {
-	*Proxy
-	fake     *fakePicker
-	servers  map[string]serverBehavior // by address
-	requests chan *receivedRequest
-}
-
-func newPipedProxy(changes []configure, servers ...serverBehavior) *pipedProxy {
-	route := &config.Route{Name: "r", Host: "h.example", Prefix: "/a/", Category: config.NonIdempotent, Timeout: 8 * time.Second,
-		LatencyTarget: 800 * time.Millisecond, EventGapTarget: 600 * time.Millisecond, MaxTries: 3}
-	config := &config.Config{Routes: []*config.Route{route}, Services: map[string]*config.Service{"s": {Name: "s", MaxConns: 100}}}
-	o := Options{}
-	for _, c := range changes {
-		c(&o, config)
-	}
-	toy := &fakePicker{route: route, unreachable: map[string]bool{}, serverOf: map[uint64]string{}}
-	p := &pipedProxy{newProxy(o, toy), toy, map[string]serverBehavior{}, make(chan *receivedRequest, 100)}
-	w := pick.ClusterState{Config: config}
-	for i, do := range servers {
-		at := fmt.Sprint("at-", i)
-		p.servers[at] = do
-		w.Servers = append(w.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: at})
-	}
-	p.UpdateClusterState(time.Now(), w)
-	p.pools.connect = func(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
-		do := p.servers[address]
-		if do == nil { // nobody answers
-			ctx, cancel := context.WithTimeout(ctx, within)
-			defer cancel()
-			<-ctx.Done()
-			return nil, ctx.Err()
-		}
-		near, far := net.Pipe()
-		s := &fakeServer{requests: p.requests}
-		go s.serve(far, do)
-		return near, nil
-	}
-	return p
-}
-
-// roundTrip has a client roundTrip and wait for the answer, and tells how long that took.
-func (p *pipedProxy) roundTrip(ctx context.Context, more ...string) (*httptest.ResponseRecorder, time.Duration) {
-	r := httptest.NewRequestWithContext(ctx, "POST", "/a/x", strings.NewReader("body"))
-	r.Host = "h.example"
-	r.Header.Set(headerAttemptID, "id-1")
-	for i := 0; i < len(more); i += 2 {
-		r.Header.Set(more[i], more[i+1])
-	}
-	w := httptest.NewRecorder()
-	began := time.Now()
-	p.ServeHTTP(w, r)
-	took := time.Since(began)
-	p.pools.close()
-	synctest.Wait()
-	return w, took
-}
-
 // TestSilentServers has a first server say nothing, or stop saying, on a clock that the test drives.
 func TestSilentServers(t *testing.T) {
 	first := respondEventsThen(1, 2, neverRespond)
@@ -192,67 +133,6 @@
 	}
 }
 
-// TestIdleTimeouts has connections idle for long: which are used again depends on what servers tell and show.
-func TestIdleTimeouts(t *testing.T) {
-	for _, test := range []struct {
-		name  string
-		do    serverBehavior
-		waits []time.Duration
-		dials int64
-	}{
-		{"not told", respondWith(200, "x"), []time.Duration{20 * time.Second, 29 * time.Second}, 1},
-		{"not told, too long", respondWith(200, "x"), []time.Duration{31 * time.Second}, 2},
-		{"told", respondWith(200, "x", "Keep-Alive: timeout=5"), []time.Duration{2 * time.Second, 2400 * time.Millisecond}, 1},
-		{"told, too long", respondWith(200, "x", "Keep-Alive: max=3, timeout=5"), []time.Duration{2600 * time.Millisecond}, 2},
-	} {
-		t.Run(test.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
-				p := newPipedProxy(nil, test.do)
-				sends := 0
-				send := func() {
-					sends++
-					r := httptest.NewRequest("GET", "/a/x", nil)
-					r.Host = "h.example"
-					r.Header.Set(headerAttemptID, fmt.Sprint("id-", sends))
-					p.ServeHTTP(httptest.NewRecorder(), r)
-				}
-				send()
-				for _, d := range test.waits {
-					time.Sleep(d)
-					send()
-				}
-				p.pools.close()
-				synctest.Wait()
-				if n := p.Counters().Dials.Load(); n != test.dials {
-					t.Errorf("%d connections", n)
-				}
-			})
-		})
-	}
-}
-
-// TestIdleConnsAreSwept has connections idle that nobody uses any more: they are closed in time.
-func TestIdleConnsAreSwept(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		ended := make(chan time.Duration, 1)
-		began := time.Now()
-		p := newPipedProxy(nil, func(c net.Conn, r *http.Request, body []byte) bool {
-			respondWith(200, "x", "Keep-Alive: timeout=10")(c, r, body)
-			_, _ = io.ReadAll(c)
-			ended <- time.Since(began)
-			return false
-		})
-		r := httptest.NewRequest("GET", "/a/x", nil)
-		r.Host = "h.example"
-		r.Header.Set(headerAttemptID, "id-1")
-		p.ServeHTTP(httptest.NewRecorder(), r)
-		time.Sleep(time.Minute)
-		if d := <-ended; d != 6*time.Second {
-			t.Errorf("closed after %v", d)
-		}
-	})
-}
-
 // TestLateResponse has a server answer when the time for it is up: its connection is closed by then, and the next request goes
 // out on another and gets its own answer.
 func TestLateResponse(t *testing.T) {
--- /dev/null
+++ b/internal/system/proxy/testproxy_test.go
@@ -0,0 +1,152 @@
+package proxy
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/apex/log"
+	"github.com/apex/log/handlers/discard"
+
+	"gradeusher.example/gradeusher/internal/system/config"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+)
+
+const testTimeout = 10 * time.Second // of tests, for what comes at once
+
+// testProxy is a proxy with a toy picker.
+type testProxy struct {
+	*Proxy
+	fake     *fakePicker
+	address  string
+	route    *config.Route
+	serveErr chan error
+	cancel   context.CancelFunc
+}
+
+type configure func(*Options, *config.Config)
+
+func withCategory(k config.Category) configure {
+	return func(_ *Options, c *config.Config) { c.Routes[0].Category = k }
+}
+
+func withResumable(_ *Options, c *config.Config) {
+	c.Routes[0].Category, c.Routes[0].Resumable = config.Streaming, true
+}
+
+// startProxy serves a route /a/ of the host h.example at servers.
+func startProxy(t *testing.T, servers []*fakeServer, changes ...configure) *testProxy {
+	t.Helper()
+	route := &config.Route{Name: "r", Host: "h.example", Prefix: "/a/", Category: config.NonIdempotent, Timeout: 8 * time.Second,
+		LatencyTarget: time.Second, EventGapTarget: 500 * time.Millisecond, Priority: 3, MaxTries: 3,
+		Shares: []config.Share{{Service: "s", Weight: 1}}}
+	config := &config.Config{Revision: 1, Routes: []*config.Route{route},
+		Services: map[string]*config.Service{"s": {Name: "s", MaxConns: 100}},
+		Limits:   config.Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}}
+	o := Options{Log: &log.Logger{Handler: discard.New()}, GracePeriod: 2 * time.Second}
+	for _, c := range changes {
+		c(&o, config)
+	}
+	toy := &fakePicker{route: route, unreachable: map[string]bool{}, serverOf: map[uint64]string{}}
+	f := &testProxy{Proxy: newProxy(o, toy), fake: toy, route: route, serveErr: make(chan error, 1)}
+	f.pools.sameRegionTimeout = testTimeout // the machine may be busy
+	w := pick.ClusterState{Config: config}
+	for i, s := range servers {
+		w.Servers = append(w.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: s.address()})
+	}
+	f.UpdateClusterState(time.Now(), w)
+	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	f.address = l.Addr().String()
+	ctx, cancel := context.WithCancel(context.Background())
+	f.cancel = cancel
+	go func() { f.serveErr <- f.Serve(ctx, l) }()
+	t.Cleanup(func() {
+		cancel()
+		receive(t, f.serveErr, "end of Serve")
+		f.serveErr <- nil
+		if held := f.memory.reserved.Load(); held != 0 {
+			t.Errorf("%d bytes are booked still", held)
+		}
+	})
+	return f
+}
+
+// outcomes are how the sends have ended so far.
+func (f *testProxy) outcomes() (ends []pick.Outcome) {
+	f.picker.withLock(func(picker, pick.Time) { ends = slices.Clone(f.fake.outcomes) })
+	return ends
+}
+
+// testClient is a connection to the proxy.
+type testClient struct {
+	net.Conn
+	t      *testing.T
+	reader *bufio.Reader
+}
+
+func (f *testProxy) dial(t *testing.T) *testClient {
+	t.Helper()
+	c, err := net.Dial("tcp4", f.address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
+	return &testClient{c, t, bufio.NewReader(c)}
+}
+
+// sendRequest sends a request with an id, headers and a body.
+func (c *testClient) sendRequest(id, body string, more ...string) *testClient {
+	c.t.Helper()
+	text := "POST /a/x?q=1%20a HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: " + id + "\r\n"
+	for _, m := range more {
+		text += m + "\r\n"
+	}
+	if _, err := fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", text, len(body), body); err != nil {
+		c.t.Fatal(err)
+	}
+	return c
+}
+
+// clientResponse is an answer as a client sees it.
+type clientResponse struct {
+	*http.Response
+	body string
+	err  error // of the body
+}
+
+func (c *testClient) readResponse() clientResponse {
+	c.t.Helper()
+	resp, err := http.ReadResponse(c.reader, nil)
+	if err != nil {
+		c.t.Fatalf("no answer: %v", err)
+	}
+	body, err := io.ReadAll(resp.Body)
+	return clientResponse{resp, string(body), err}
+}
+
+func (f *testProxy) roundTrip(t *testing.T, id, body string, more ...string) clientResponse {
+	t.Helper()
+	c := f.dial(t)
+	defer c.Close()
+	return c.sendRequest(id, body, more...).readResponse()
+}
+
+func receive[T any](t *testing.T, c <-chan T, what string) (v T) {
+	t.Helper()
+	select {
+	case v = <-c:
+	case <-time.After(testTimeout):
+		t.Fatalf("no %s", what)
+	}
+	return v
+}
