--- a/internal/system/proxy/bench_test.go
+++ b/internal/system/proxy/bench_test.go
@@ -17,22 +17,19 @@
 // benchServer answers every request on a connection with the same bytes, and does not look further.
 func benchServer(b *testing.B, answer string) *fakeServer {
 	b.Helper()
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		b.Fatal(err)
-	}
-	s := &fakeServer{listener: l}
+	listener := listenLocal(b)
+	server := &fakeServer{listener: listener}
 	first, second := []byte(answer), bytes.Replace([]byte(answer), []byte("id-1"), []byte("id-2"), 1)
-	s.wg.Go(func() {
+	server.wg.Go(func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			s.conns = append(s.conns, c)
-			s.wg.Go(func() {
-				defer c.Close()
-				in := bufio.NewReader(c)
+			server.conns = append(server.conns, conn)
+			server.wg.Go(func() {
+				defer func() { _ = conn.Close() }()
+				in := bufio.NewReader(conn)
 				for {
 					r, err := http.ReadRequest(in)
 					if err != nil {
@@ -40,31 +37,27 @@
 					}
 					_, _ = io.Copy(io.Discard, r.Body)
 					if r.Header.Get(headerAttemptID) == "id-2" {
-						_, _ = c.Write(second)
+						_, _ = conn.Write(second)
 					} else {
-						_, _ = c.Write(first)
+						_, _ = conn.Write(first)
 					}
 				}
 			})
 		}
 	})
-	b.Cleanup(s.stop)
-	return s
+	b.Cleanup(server.stop)
+	return server
 }
 
 // benchmark has one client send requests in turn on one connection.
 func benchmark(b *testing.B, answer, end, body string, how configure) {
 	const ok = "HTTP/1.1 200 OK\r\nX-Attempt-Id: id-1\r\nX-Server-Seal: seal\r\nX-Server-Load: 1,2,3\r\nKeep-Alive: timeout=10\r\n"
-	f := startProxy(&testing.T{}, []*fakeServer{benchServer(b, ok+answer)}, how)
-	b.Cleanup(func() {
-		f.cancel()
-		<-f.serveErr
-	})
-	c, err := net.Dial("tcp4", f.address)
+	proxy := startProxy(b, []*fakeServer{benchServer(b, ok+answer)}, how)
+	conn, err := new(net.Dialer).DialContext(b.Context(), "tcp4", proxy.address)
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = conn.Close() }()
 	request := fmt.Appendf(nil, "POST /a/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: id-1\r\nX-Time-Left-Ms: 5000\r\nX-Model: m\r\n"+
 		"X-Token-Count: 1460,80\r\nX-Prompt-Prefix: 5c1e07a2:800,91bd3f06:410,e4402b7d:250\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	other := bytes.Replace(request, []byte("id-1"), []byte("id-2"), 1) // each try has an id of its own
@@ -72,11 +65,11 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		request, other = other, request
-		if _, err := c.Write(request); err != nil {
+		if _, err := conn.Write(request); err != nil {
 			b.Fatal(err)
 		}
 		for n := 0; !bytes.HasSuffix(got[:n], []byte(end)); {
-			k, err := c.Read(got[n:])
+			k, err := conn.Read(got[n:])
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -104,11 +97,7 @@
 // BenchmarkConnections tells what a client's connection that idles costs in memory.
 func BenchmarkConnections(b *testing.B) {
 	s := benchServer(b, "HTTP/1.1 200 OK\r\nX-Attempt-Id: id-1\r\nX-Server-Seal: seal\r\nContent-Length: 0\r\n\r\n")
-	f := startProxy(&testing.T{}, []*fakeServer{s})
-	b.Cleanup(func() {
-		f.cancel()
-		<-f.serveErr
-	})
+	f := startProxy(b, []*fakeServer{s})
 	const conns = 500
 	for b.Loop() {
 		var before, after runtime.MemStats
@@ -116,7 +105,7 @@
 		runtime.ReadMemStats(&before)
 		var all []net.Conn
 		for range conns {
-			c, err := net.Dial("tcp4", f.address)
+			c, err := new(net.Dialer).DialContext(b.Context(), "tcp4", f.address)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/system/proxy/eventrelay_test.go
+++ b/internal/system/proxy/eventrelay_test.go
@@ -52,28 +52,28 @@
 		{"events without ids", respondEventsThen(1, 2, writeText(chunk("data: x\n\n"), false)), nil, "", "", []pick.Outcome{pick.ConnectionLost},
 			streamText(1, 2) + "data: x\n\n", false},
 	} {
-		for _, may := range []bool{true, false} {
-			t.Run(fmt.Sprint(test.name, may), func(t *testing.T) {
+		for _, isResumable := range []bool{true, false} {
+			t.Run(fmt.Sprint(test.name, isResumable), func(t *testing.T) {
 				servers := []*fakeServer{startServer(t, test.first)}
 				if test.second != nil {
 					servers = append(servers, startServer(t, test.second))
 				}
 				how, want, whole, outcomes := withCategory(config.Streaming), test.otherwise, test.whole, test.outcomes[:1]
-				if may {
+				if isResumable {
 					how, want, whole, outcomes = withResumable, test.resumes, test.resumes != "", test.outcomes
 				}
-				f := startProxy(t, servers, how)
-				got := f.roundTrip(t, "id-1", "body")
+				proxy := startProxy(t, servers, how)
+				got := proxy.roundTrip(t, "id-1", "body")
 				if want == "" && !whole {
 					want = got.body // how much came does not matter
 				}
-				if got.StatusCode != 200 || got.body != want || (got.err == nil) != whole {
+				if got.StatusCode != http.StatusOK || got.body != want || (got.err == nil) != whole {
 					t.Errorf("status %d, body %q, error %v; want %q, whole: %v", got.StatusCode, got.body, got.err, want, whole)
 				}
-				if ends := f.outcomes(); !slices.Equal(ends, outcomes) {
+				if ends := proxy.outcomes(); !slices.Equal(ends, outcomes) {
 					t.Errorf("sends ended as %v, want %v", ends, outcomes)
 				}
-				if may && test.last != "" {
+				if isResumable && test.last != "" {
 					if r := receive(t, servers[1].requests, "request"); r.Header.Get(headerLastEventID) != test.last || r.body != "body" ||
 						r.Header.Get(headerAttemptID) != "id-1" || r.Header.Get(headerTargetInstance) != "i-1" {
 						t.Errorf("the second server got %v, %q", r.Header, r.body)
@@ -127,17 +127,17 @@
 func TestStreamAtOnce(t *testing.T) {
 	next := make(chan bool)
 	s := startServer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
-		io.WriteString(c, head(r, 200, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")+"\r\n")
+		_, _ = io.WriteString(c, head(r, 200, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")+"\r\n")
 		for id := 1; id <= 3; id++ {
 			<-next
-			io.WriteString(c, eventChunk(id))
+			_, _ = io.WriteString(c, eventChunk(id))
 		}
 		<-next
-		io.WriteString(c, "0\r\n\r\n")
+		_, _ = io.WriteString(c, "0\r\n\r\n")
 		return true
 	})
-	f := startProxy(t, []*fakeServer{s}, withCategory(config.Streaming))
-	c := f.dial(t).sendRequest("id-1", "")
+	proxy := startProxy(t, []*fakeServer{s}, withCategory(config.Streaming))
+	c := proxy.dial(t).sendRequest("id-1", "")
 	next <- true
 	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
@@ -153,17 +153,17 @@
 	if rest, err := io.ReadAll(resp.Body); len(rest) > 0 || err != nil {
 		t.Errorf("%q, error %v", rest, err)
 	}
-	if f.fake.firstEvents != 1 {
-		t.Errorf("%d first events", f.fake.firstEvents)
+	if proxy.fake.firstEvents != 1 {
+		t.Errorf("%d first events", proxy.fake.firstEvents)
 	}
 }
 
 // TestHTTP10Client has a client of HTTP/1.0, where the end of the connection is the answer's: a stream that is cut ends with a
 // reset.
 func TestHTTP10Client(t *testing.T) {
-	f := startProxy(t, []*fakeServer{startServer(t, respondEvents(1, 2, false))}, withCategory(config.Streaming))
-	c := f.dial(t)
-	fmt.Fprint(c, "GET /a/x HTTP/1.0\r\nHost: h.example\r\nX-Attempt-Id: a\r\n\r\n")
+	proxy := startProxy(t, []*fakeServer{startServer(t, respondEvents(1, 2, false))}, withCategory(config.Streaming))
+	c := proxy.dial(t)
+	_, _ = fmt.Fprint(c, "GET /a/x HTTP/1.0\r\nHost: h.example\r\nX-Attempt-Id: a\r\n\r\n")
 	if text, err := io.ReadAll(c.reader); err == nil {
 		t.Errorf("%q looks complete", text)
 	}
@@ -186,8 +186,8 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := startServer(t, respondRaw(test.text, test.whole))
-			f := startProxy(t, []*fakeServer{s}, withCategory(config.Idempotent))
-			got := f.roundTrip(t, "id-1", "")
+			proxy := startProxy(t, []*fakeServer{s}, withCategory(config.Idempotent))
+			got := proxy.roundTrip(t, "id-1", "")
 			if (got.err == nil) != test.whole || test.whole && got.body != long || !strings.HasPrefix(long, got.body) {
 				t.Errorf("%d bytes, error %v", len(got.body), got.err)
 			}
--- a/internal/system/proxy/exactlyonce_check_test.go
+++ b/internal/system/proxy/exactlyonce_check_test.go
@@ -44,24 +44,24 @@
 func (w *scenarioRun) nonIdempotent() bool { return w.Category != config.Idempotent && !w.Resumable }
 
 // checkOutcome judges one answer; ran is how often its request may have run.
-func (w *scenarioRun) checkOutcome(o clientOutcome, ran int) error {
+func (w *scenarioRun) checkOutcome(outcome clientOutcome, ran int) error {
 	switch {
-	case o.noHead:
+	case outcome.noHead:
 		return nil
-	case promisesNotRun(o.status):
+	case promisesNotRun(outcome.status):
 		// Of an id that came twice on a route that repeats, the other request may have run more than once.
-		if ran > 0 && (o.sends == 1 || w.nonIdempotent() && ran >= o.sends) {
+		if ran > 0 && (outcome.sends == 1 || w.nonIdempotent() && ran >= outcome.sends) {
 			return errors.New("it has run, and its client was promised that it has not")
 		}
 		return nil
-	case o.seal == "" && (o.status == http.StatusBadGateway || o.status == http.StatusGatewayTimeout):
+	case outcome.seal == "" && (outcome.status == http.StatusBadGateway || outcome.status == http.StatusGatewayTimeout):
 		return nil
-	case o.echo != o.id && (isSuccess(o.status) || o.echo != ""):
+	case outcome.echo != outcome.id && (isSuccess(outcome.status) || outcome.echo != ""):
 		return errors.New("the answer bears another id")
 	}
 	for _, a := range w.arrivals {
-		if a.id == o.id && a.sent.seal == o.seal && a.sent.status == o.status {
-			return w.compareBody(o, a.sent)
+		if a.id == outcome.id && a.sent.seal == outcome.seal && a.sent.status == outcome.status {
+			return w.compareBody(outcome, a.sent)
 		}
 	}
 	return errors.New("no server gave this answer")
--- a/internal/system/proxy/exactlyonce_test.go
+++ b/internal/system/proxy/exactlyonce_test.go
@@ -7,9 +7,9 @@
 	"io"
 	"net"
 	"net/http"
+	"slices"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"testing"
 	"time"
 
@@ -111,61 +111,72 @@
 	err        error // where the body broke off
 }
 
-// playScenario plays a scenario and tells what it broke.
-func playScenario(s testScenario, without TestingKnobs) error {
-	return playScenarioInto(s, without, map[string]int64{})
+// playScenario plays a scenario and returns what it violated.
+func playScenario(s testScenario, knobs TestingKnobs) error {
+	return playScenarioInto(s, knobs, map[string]int64{})
 }
 
-// playScenarioInto adds to a tally of what the proxy did.
-func playScenarioInto(s testScenario, without TestingKnobs, tally map[string]int64) error {
-	w := &scenarioRun{testScenario: s, scriptedServers: &scriptedServers{stream: s.Category == config.Streaming, resumable: s.Resumable}, timeLeftMS: "4000"}
-	defer w.stop()
-	route := &config.Route{Name: "r", Host: "h.example", Prefix: "/a/", Category: s.Category, Resumable: s.Resumable,
-		Timeout: 8 * time.Second, MaxTries: s.MaxTries, Shares: []config.Share{{Service: "s", Weight: 1}}}
-	world := pick.ClusterState{Config: &config.Config{Revision: 1, Routes: []*config.Route{route},
+// playScenarioInto does so, and adds the proxy's counters to a tally.
+func playScenarioInto(s testScenario, knobs TestingKnobs, tally map[string]int64) error {
+	servers := &scriptedServers{stream: s.Category == config.Streaming, resumable: s.Resumable}
+	run := &scenarioRun{testScenario: s, scriptedServers: servers, timeLeftMS: "4000"}
+	defer run.stop()
+	state, err := run.startServers()
+	if err != nil {
+		return err
+	}
+	knobs.MinSilenceTimeout, knobs.MinEventSilenceTimeout = shortSilenceTimeout, shortSilenceTimeout
+	proxy := newProxy(Options{Log: &log.Logger{Handler: discard.New()}, TestingKnobs: knobs}, newFakePicker(state.Config.Routes[0]))
+	proxy.pools.sameRegionTimeout = testTimeout
+	proxy.UpdateClusterState(time.Now(), state)
+	err = run.serveAndRun(proxy)
+	run.stop()
+	for name, counter := range proxy.counters.byMetric() {
+		tally[name] += counter.Load()
+	}
+	if err != nil {
+		return err
+	}
+	return run.checkOutcomes()
+}
+
+// startServers starts the scripted servers and returns the cluster state in which a proxy knows them.
+func (w *scenarioRun) startServers() (pick.ClusterState, error) {
+	route := &config.Route{Name: "r", Host: "h.example", Prefix: "/a/", Category: w.Category, Resumable: w.Resumable,
+		Timeout: 8 * time.Second, MaxTries: w.MaxTries, Shares: []config.Share{{Service: "s", Weight: 1}}}
+	state := pick.ClusterState{Config: &config.Config{Revision: 1, Routes: []*config.Route{route},
 		Services: map[string]*config.Service{"s": {Name: "s", MaxConns: 100}},
 		Limits:   config.Limits{HeaderBytes: 16 << 10, BodyBytes: 4 << 20}}}
-	for i, will := range s.Servers {
-		server, err := w.start(will)
+	for i, behaviours := range w.Servers {
+		server, err := w.start(behaviours)
 		if err != nil {
-			return err
+			return state, err
 		}
-		for _, b := range will {
-			if b.leavesWaiting() {
-				w.timeLeftMS = "90"
-			}
+		if slices.ContainsFunc(behaviours, behaviour.leavesWaiting) {
+			w.timeLeftMS = "90"
 		}
-		world.Servers = append(world.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: server.listener.Addr().String()})
+		state.Servers = append(state.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: server.listener.Addr().String()})
 	}
-	toy := &fakePicker{route: route, unreachable: map[string]bool{}, serverOf: map[uint64]string{}}
-	without.MinSilenceTimeout, without.MinEventSilenceTimeout = shortSilenceTimeout, shortSilenceTimeout
-	p := newProxy(Options{Log: &log.Logger{Handler: discard.New()}, TestingKnobs: without}, toy)
-	p.pools.sameRegionTimeout = testTimeout
-	p.UpdateClusterState(time.Now(), world)
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	return state, nil
+}
+
+// serveAndRun goes through the steps while a proxy serves, and ends it.
+func (w *scenarioRun) serveAndRun(proxy *Proxy) error {
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	listener, err := new(net.ListenConfig).Listen(ctx, "tcp4", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	w.address = l.Addr().String()
-	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- p.Serve(ctx, l) }()
+	w.address = listener.Addr().String()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- proxy.Serve(ctx, listener) }()
 	err = w.run()
 	cancel()
-	if e := <-ended; err == nil {
+	if e := <-serveErr; err == nil {
 		err = e
 	}
-	w.stop()
-	n := &p.counters
-	for name, count := range map[string]*atomic.Int64{"reused": &n.Reused, "repeats": &n.Retries, "resumed": &n.Resumed,
-		"moved": &n.Abandoned, "stale": &n.Stale, "surplus": &n.Surplus, "mismatch": &n.Mismatch, "cut": &n.Truncated, "served": &n.Served,
-		"timed out": &n.TimedOut, "refused": &n.Refused, "broken": &n.Failed, "gone": &n.ClientGone, "unframed": &n.Unframed} {
-		tally[name] += count.Load()
-	}
-	if err != nil {
-		return err
-	}
-	return w.checkOutcomes()
+	return err
 }
 
 // run goes through the steps.
@@ -210,7 +221,7 @@
 }
 
 func (w *scenarioRun) dial() (net.Conn, error) {
-	c, err := net.Dial("tcp4", w.address)
+	c, err := new(net.Dialer).DialContext(context.Background(), "tcp4", w.address)
 	if err == nil {
 		err = c.SetDeadline(time.Now().Add(testTimeout))
 	}
@@ -218,90 +229,90 @@
 }
 
 // step does what a client does, on the kept connection or on one of its own.
-func (w *scenarioRun) step(id string, at clientStep) error {
-	switch at.Manner {
+func (w *scenarioRun) step(id string, step clientStep) error {
+	switch step.Manner {
 	case "gone", "halfclosed", "twice":
 		sends := 1
-		if at.Manner == "twice" {
+		if step.Manner == "twice" {
 			sends = 2
 		}
 		var asking sync.WaitGroup
 		var failed error
 		for range sends {
-			c, err := w.dial()
+			conn, err := w.dial()
 			if err != nil {
 				return err
 			}
 			asking.Go(func() {
-				defer c.Close()
-				w.sendHead(c, id, at, "")
-				if at.Manner == "gone" {
+				defer func() { _ = conn.Close() }()
+				w.sendHead(conn, id, step, "")
+				if step.Manner == "gone" {
 					return
 				}
-				if at.Manner == "halfclosed" {
-					_ = c.(*net.TCPConn).CloseWrite()
+				if step.Manner == "halfclosed" {
+					_ = conn.(*net.TCPConn).CloseWrite()
 				}
-				w.recordResponse(c, bufio.NewReader(c), id, at.Method, sends)
+				w.recordResponse(conn, bufio.NewReader(conn), id, step.Method, sends)
 			})
 		}
 		asking.Wait()
 		return failed
 	}
 	if w.keptConn == nil {
-		c, err := w.dial()
+		conn, err := w.dial()
 		if err != nil {
 			return err
 		}
-		w.keptConn, w.keptReader = c, bufio.NewReader(c)
+		w.keptConn, w.keptReader = conn, bufio.NewReader(conn)
 	}
-	if at.Manner == "pipelined" {
-		both := at
+	if step.Manner == "pipelined" {
+		both := step
 		both.Manner = "plain"
 		w.sendHead(w.keptConn, id+"-0", both, "")
 		w.sendHead(w.keptConn, id+"-1", both, "")
-		if w.recordResponse(w.keptConn, w.keptReader, id+"-0", at.Method, 1) {
-			w.recordResponse(w.keptConn, w.keptReader, id+"-1", at.Method, 1)
+		if w.recordResponse(w.keptConn, w.keptReader, id+"-0", step.Method, 1) {
+			w.recordResponse(w.keptConn, w.keptReader, id+"-1", step.Method, 1)
 		}
 		return nil
 	}
-	w.sendHead(w.keptConn, id, at, "Expect: 100-continue\r\n")
-	w.recordResponse(w.keptConn, w.keptReader, id, at.Method, 1)
+	w.sendHead(w.keptConn, id, step, "Expect: 100-continue\r\n")
+	w.recordResponse(w.keptConn, w.keptReader, id, step.Method, 1)
 	return nil
 }
 
 // sendHead sends a request. Its body begins with its id and method. What the proxy takes no more is not its fault.
-func (w *scenarioRun) sendHead(c net.Conn, id string, at clientStep, expect string) {
+func (w *scenarioRun) sendHead(conn net.Conn, id string, step clientStep, expect string) {
 	body := ""
-	if at.Method == http.MethodPost {
-		if body = id + " POST"; at.LargeBody {
+	if step.Method == http.MethodPost {
+		if body = id + " POST"; step.LargeBody {
 			body += strings.Repeat(".", 2<<20)
 		}
 	}
-	text := fmt.Sprintf("%s /a/%s HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: %s\r\nX-Time-Left-Ms: %s\r\n", at.Method, id, id, w.timeLeftMS)
+	text := fmt.Sprintf("%s /a/%s HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: %s\r\nX-Time-Left-Ms: %s\r\n", step.Method, id, id, w.timeLeftMS)
 	switch {
 	case body == "":
-		_, _ = io.WriteString(c, text+"\r\n")
-	case at.Manner == "trailers":
+		_, _ = io.WriteString(conn, text+"\r\n")
+	case step.Manner == "trailers":
 		half := len(body) / 2
-		_, _ = io.WriteString(c, text+"Trailer: X-T\r\nTransfer-Encoding: chunked\r\n\r\n"+chunk(body[:half])+chunk(body[half:])+
+		_, _ = io.WriteString(conn, text+"Trailer: X-T\r\nTransfer-Encoding: chunked\r\n\r\n"+chunk(body[:half])+chunk(body[half:])+
 			"0\r\nX-T: 1\r\n\r\n")
-	case at.Manner == "slow":
-		_, _ = fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", text, len(body))
+	case step.Manner == "slow":
+		_, _ = fmt.Fprintf(conn, "%sContent-Length: %d\r\n\r\n", text, len(body))
 		for _, part := range []string{body[:2], body[2:]} {
-			_, _ = io.WriteString(c, part)
+			_, _ = io.WriteString(conn, part)
 		}
-	case at.Manner == "expect":
-		_, _ = fmt.Fprintf(c, "%s%sContent-Length: %d\r\n\r\n", text, expect, len(body))
+	case step.Manner == "expect":
+		_, _ = fmt.Fprintf(conn, "%s%sContent-Length: %d\r\n\r\n", text, expect, len(body))
 		if line, err := w.keptReader.Peek(len("HTTP/1.1 100")); err == nil && string(line) == "HTTP/1.1 100" {
-			_, _ = io.WriteString(c, body)
+			_, _ = io.WriteString(conn, body)
 		}
 	default:
-		_, _ = fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", text, len(body), body)
+		_, _ = fmt.Fprintf(conn, "%sContent-Length: %d\r\n\r\n%s", text, len(body), body)
 	}
 }
 
 // recordResponse reads one answer, records it, and tells whether the connection is good for another.
-func (w *scenarioRun) recordResponse(c net.Conn, in *bufio.Reader, id, method string, sends int) bool {
+func (w *scenarioRun) recordResponse(conn net.Conn, in *bufio.Reader, id, method string, sends int) bool {
 	out := clientOutcome{id: id, method: method, sends: sends, noHead: true}
 	stays := false
 	for {
@@ -322,8 +333,8 @@
 	w.outcomes = append(w.outcomes, out)
 	w.mu.Unlock()
 	if !stays {
-		_ = c.Close()
-		if c == w.keptConn {
+		_ = conn.Close()
+		if conn == w.keptConn {
 			w.keptConn = nil
 		}
 	}
--- a/internal/system/proxy/fakepicker_test.go
+++ b/internal/system/proxy/fakepicker_test.go
@@ -26,6 +26,10 @@
 	serverOf     map[uint64]string
 }
 
+func newFakePicker(route *config.Route) *fakePicker {
+	return &fakePicker{route: route, unreachable: map[string]bool{}, serverOf: map[uint64]string{}}
+}
+
 func (t *fakePicker) UpdateClusterState(_ pick.Time, w pick.ClusterState) { t.clusterState = w }
 func (t *fakePicker) SetLoads(pick.Time, map[string]pick.Load)            {}
 func (t *fakePicker) Loads() map[string]pick.Load                         { return nil }
--- a/internal/system/proxy/fakeserver_test.go
+++ b/internal/system/proxy/fakeserver_test.go
@@ -35,30 +35,27 @@
 
 func startServer(t *testing.T, behavior serverBehavior) *fakeServer {
 	t.Helper()
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	s := &fakeServer{listener: l, requests: make(chan *receivedRequest, 4096)}
-	s.wg.Go(func() {
+	listener := listenLocal(t)
+	server := &fakeServer{listener: listener, requests: make(chan *receivedRequest, 4096)}
+	server.wg.Go(func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			s.mu.Lock()
-			s.conns = append(s.conns, c)
-			s.mu.Unlock()
-			s.wg.Go(func() { s.serve(c, behavior) })
+			server.mu.Lock()
+			server.conns = append(server.conns, c)
+			server.mu.Unlock()
+			server.wg.Go(func() { server.serve(c, behavior) })
 		}
 	})
-	t.Cleanup(s.stop)
-	return s
+	t.Cleanup(server.stop)
+	return server
 }
 
-func (s *fakeServer) serve(c net.Conn, do serverBehavior) {
-	defer c.Close()
-	in := bufio.NewReader(c)
+func (s *fakeServer) serve(conn net.Conn, do serverBehavior) {
+	defer func() { _ = conn.Close() }()
+	in := bufio.NewReader(conn)
 	for {
 		r, err := http.ReadRequest(in)
 		if err != nil {
@@ -68,8 +65,8 @@
 		if err != nil {
 			return
 		}
-		s.requests <- &receivedRequest{r, string(body), c}
-		if !do(c, r, body) {
+		s.requests <- &receivedRequest{r, string(body), conn}
+		if !do(conn, r, body) {
 			return
 		}
 	}
@@ -117,7 +114,7 @@
 // respondWith answers with a status, headers and a body.
 func respondWith(status int, body string, more ...string) serverBehavior {
 	return func(c net.Conn, r *http.Request, _ []byte) bool {
-		fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", head(r, status, more...), len(body), body)
+		_, _ = fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", head(r, status, more...), len(body), body)
 		return true
 	}
 }
@@ -125,7 +122,7 @@
 // respondRaw answers with a text in which ID stands for the request's id.
 func respondRaw(text string, stays bool) serverBehavior {
 	return func(c net.Conn, r *http.Request, _ []byte) bool {
-		io.WriteString(c, strings.ReplaceAll(text, "ID", r.Header.Get(headerAttemptID)))
+		_, _ = io.WriteString(c, strings.ReplaceAll(text, "ID", r.Header.Get(headerAttemptID)))
 		return stays
 	}
 }
@@ -157,12 +154,12 @@
 // events answers with a stream of events; whole: it ends as complete.
 func respondEvents(from, to int, whole bool) serverBehavior {
 	return func(c net.Conn, r *http.Request, _ []byte) bool {
-		io.WriteString(c, head(r, 200, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")+"\r\n")
+		_, _ = io.WriteString(c, head(r, 200, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")+"\r\n")
 		for id := from; id <= to; id++ {
-			io.WriteString(c, eventChunk(id))
+			_, _ = io.WriteString(c, eventChunk(id))
 		}
 		if whole {
-			io.WriteString(c, "0\r\n\r\n")
+			_, _ = io.WriteString(c, "0\r\n\r\n")
 		}
 		return whole
 	}
@@ -188,7 +185,7 @@
 func streamText(from, to int) string {
 	var b strings.Builder
 	for id := from; id <= to; id++ {
-		fmt.Fprintf(&b, "id: %d\ndata: d%d\n\n", id, id)
+		_, _ = fmt.Fprintf(&b, "id: %d\ndata: d%d\n\n", id, id)
 	}
 	return b.String()
 }
--- a/internal/system/proxy/headervalues_test.go
+++ b/internal/system/proxy/headervalues_test.go
@@ -30,14 +30,14 @@
 }
 
 func TestServerHints(t *testing.T) {
-	h := http.Header{"X-Server-Load": {"3, 1,8"}, "X-Cold-Ms": {"1500"}, "Retry-After": {"0.35"}, "Keep-Alive": {"max=4, timeout=7"}}
-	if got, want := parseServerHints(h, true), (serverHints{true, 3, 1, 8, true, 1500 * time.Millisecond, true, 7 * time.Second}); got != want {
+	header := http.Header{"X-Server-Load": {"3, 1,8"}, "X-Cold-Ms": {"1500"}, "Retry-After": {"0.35"}, "Keep-Alive": {"max=4, timeout=7"}}
+	if got, want := parseServerHints(header, true), (serverHints{true, 3, 1, 8, true, 1500 * time.Millisecond, true, 7 * time.Second}); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 	if got := parseServerHints(http.Header{"X-Server-Load": {"3,1"}, "X-Cold-Ms": {"-1"}}, false); got != (serverHints{}) {
 		t.Errorf("%+v", got)
 	}
-	if d := parseRetryAfter(h.Get("Retry-After")); d != 350*time.Millisecond {
+	if d := parseRetryAfter(header.Get("Retry-After")); d != 350*time.Millisecond {
 		t.Error(d)
 	}
 	for _, text := range []string{"", "-1", "NaN", "Inf", "1e9", "soon"} {
@@ -45,7 +45,7 @@
 			t.Errorf("%q: %v", text, d)
 		}
 	}
-	if d := parseKeepAlive(h); d != 7*time.Second {
+	if d := parseKeepAlive(header); d != 7*time.Second {
 		t.Error(d)
 	}
 }
--- a/internal/system/proxy/idletimeout_test.go
+++ b/internal/system/proxy/idletimeout_test.go
@@ -26,23 +26,23 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := newPipedProxy(nil, test.do)
+				piped := newPipedProxy(nil, test.do)
 				sends := 0
 				send := func() {
 					sends++
-					r := httptest.NewRequest("GET", "/a/x", nil)
+					r := httptest.NewRequestWithContext(t.Context(), "GET", "/a/x", nil)
 					r.Host = "h.example"
 					r.Header.Set(headerAttemptID, fmt.Sprint("id-", sends))
-					p.ServeHTTP(httptest.NewRecorder(), r)
+					piped.ServeHTTP(httptest.NewRecorder(), r)
 				}
 				send()
 				for _, d := range test.waits {
 					time.Sleep(d)
 					send()
 				}
-				p.pools.close()
+				piped.pools.close()
 				synctest.Wait()
-				if n := p.Counters().Dials.Load(); n != test.dials {
+				if n := piped.Counters().Dials.Load(); n != test.dials {
 					t.Errorf("%d connections", n)
 				}
 			})
@@ -55,16 +55,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		ended := make(chan time.Duration, 1)
 		began := time.Now()
-		p := newPipedProxy(nil, func(c net.Conn, r *http.Request, body []byte) bool {
+		piped := newPipedProxy(nil, func(c net.Conn, r *http.Request, body []byte) bool {
 			respondWith(200, "x", "Keep-Alive: timeout=10")(c, r, body)
 			_, _ = io.ReadAll(c)
 			ended <- time.Since(began)
 			return false
 		})
-		r := httptest.NewRequest("GET", "/a/x", nil)
+		r := httptest.NewRequestWithContext(t.Context(), "GET", "/a/x", nil)
 		r.Host = "h.example"
 		r.Header.Set(headerAttemptID, "id-1")
-		p.ServeHTTP(httptest.NewRecorder(), r)
+		piped.ServeHTTP(httptest.NewRecorder(), r)
 		time.Sleep(time.Minute)
 		if d := <-ended; d != 6*time.Second {
 			t.Errorf("closed after %v", d)
--- a/internal/system/proxy/knobs_test.go
+++ b/internal/system/proxy/knobs_test.go
@@ -70,12 +70,12 @@
 // it is not lost on that connection. With the look at idle connections taken out it is.
 func TestClosedWhileIdle(t *testing.T) {
 	for _, without := range []TestingKnobs{{}, {SkipIdleInspection: true}} {
-		s := startServer(t, respondWith(200, "x"))
-		f := startProxy(t, []*fakeServer{s}, func(o *Options, _ *config.Config) { o.TestingKnobs = without })
-		c := f.dial(t)
+		server := startServer(t, respondWith(200, "x"))
+		proxy := startProxy(t, []*fakeServer{server}, func(o *Options, _ *config.Config) { o.TestingKnobs = without })
+		c := proxy.dial(t)
 		c.sendRequest("id-1", "").readResponse()
-		_ = receive(t, s.requests, "request").conn.(*net.TCPConn).CloseWrite()
-		f.awaitIdleClosed(t)
+		_ = receive(t, server.requests, "request").conn.(*net.TCPConn).CloseWrite()
+		proxy.awaitIdleClosed(t)
 		want := 200
 		if without.SkipIdleInspection {
 			want = 502
@@ -144,19 +144,19 @@
 		{1, TestingKnobs{RetryPartlyWritten: true}, 200, 1},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			p := newPipedProxy([]configure{withCategory(config.NonIdempotent), func(o *Options, _ *config.Config) { o.TestingKnobs = test.without }},
+			piped := newPipedProxy([]configure{withCategory(config.NonIdempotent), func(o *Options, _ *config.Config) { o.TestingKnobs = test.without }},
 				respondWith(200, "first"), respondWith(200, "second"))
-			open := p.pools.connect
-			p.pools.connect = func(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
+			open := piped.pools.connect
+			piped.pools.connect = func(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
 				c, err := open(ctx, address, within)
 				if address == "at-0" && err == nil {
 					c = &limitedConn{c, test.room}
 				}
 				return c, err
 			}
-			w, _ := p.roundTrip(t.Context())
-			if w.Code != test.want || p.counters.Sends.Load() != test.sends {
-				t.Errorf("room for %d bytes, %+v: status %d, %d sends", test.room, test.without, w.Code, p.counters.Sends.Load())
+			w, _ := piped.roundTrip(t.Context())
+			if w.Code != test.want || piped.counters.Sends.Load() != test.sends {
+				t.Errorf("room for %d bytes, %+v: status %d, %d sends", test.room, test.without, w.Code, piped.counters.Sends.Load())
 			}
 		})
 	}
--- a/internal/system/proxy/pipedproxy_test.go
+++ b/internal/system/proxy/pipedproxy_test.go
@@ -25,21 +25,21 @@
 	route := &config.Route{Name: "r", Host: "h.example", Prefix: "/a/", Category: config.NonIdempotent, Timeout: 8 * time.Second,
 		LatencyTarget: 800 * time.Millisecond, EventGapTarget: 600 * time.Millisecond, MaxTries: 3}
 	config := &config.Config{Routes: []*config.Route{route}, Services: map[string]*config.Service{"s": {Name: "s", MaxConns: 100}}}
-	o := Options{}
+	options := Options{}
 	for _, c := range changes {
-		c(&o, config)
+		c(&options, config)
 	}
-	toy := &fakePicker{route: route, unreachable: map[string]bool{}, serverOf: map[uint64]string{}}
-	p := &pipedProxy{newProxy(o, toy), toy, map[string]serverBehavior{}, make(chan *receivedRequest, 100)}
-	w := pick.ClusterState{Config: config}
+	fake := newFakePicker(route)
+	piped := &pipedProxy{newProxy(options, fake), fake, map[string]serverBehavior{}, make(chan *receivedRequest, 100)}
+	state := pick.ClusterState{Config: config}
 	for i, do := range servers {
 		at := fmt.Sprint("at-", i)
-		p.servers[at] = do
-		w.Servers = append(w.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: at})
+		piped.servers[at] = do
+		state.Servers = append(state.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: at})
 	}
-	p.UpdateClusterState(time.Now(), w)
-	p.pools.connect = func(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
-		do := p.servers[address]
+	piped.UpdateClusterState(time.Now(), state)
+	piped.pools.connect = func(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
+		do := piped.servers[address]
 		if do == nil { // nobody answers
 			ctx, cancel := context.WithTimeout(ctx, within)
 			defer cancel()
@@ -47,11 +47,11 @@
 			return nil, ctx.Err()
 		}
 		near, far := net.Pipe()
-		s := &fakeServer{requests: p.requests}
+		s := &fakeServer{requests: piped.requests}
 		go s.serve(far, do)
 		return near, nil
 	}
-	return p
+	return piped
 }
 
 // roundTrip has a client roundTrip and wait for the answer, and tells how long that took.
--- a/internal/system/proxy/pools_test.go
+++ b/internal/system/proxy/pools_test.go
@@ -16,22 +16,22 @@
 
 // TestSurplusResponses has a server send a second answer after each, at once: no request gets it.
 func TestSurplusResponses(t *testing.T) {
-	s := startServer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
+	server := startServer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
 		oneResponse := func(text string) string {
 			return fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head(r, 200), len(text), text)
 		}
-		fmt.Fprint(c, oneResponse(r.Header.Get(headerAttemptID))+oneResponse("wrong"))
+		_, _ = fmt.Fprint(c, oneResponse(r.Header.Get(headerAttemptID))+oneResponse("wrong"))
 		return true
 	})
-	f := startProxy(t, []*fakeServer{s})
+	proxy := startProxy(t, []*fakeServer{server})
 	var bad atomic.Int64
 	var asking sync.WaitGroup
 	for i := range 4 {
 		asking.Go(func() {
-			c := f.dial(t)
+			c := proxy.dial(t)
 			for n := range 100 {
 				id := fmt.Sprint("id-", i, "-", n)
-				if got := c.sendRequest(id, "").readResponse(); got.StatusCode == 200 && (got.body != id || got.Header.Get(headerAttemptID) != id) {
+				if got := c.sendRequest(id, "").readResponse(); got.StatusCode == http.StatusOK && (got.body != id || got.Header.Get(headerAttemptID) != id) {
 					bad.Add(1)
 				}
 			}
@@ -46,17 +46,17 @@
 // TestLateSurplusResponse has a surplus answer come when the next request is out: it is not that one's answer.
 func TestLateSurplusResponse(t *testing.T) {
 	n := 0
-	s := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	server := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if n++; n == 1 {
 			return respondWith(200, "first")(c, r, body)
 		}
-		fmt.Fprint(c, "HTTP/1.1 200 X\r\nX-Attempt-Id: id-1\r\nX-Server-Seal: s\r\nContent-Length: 5\r\n\r\nfirst")
+		_, _ = fmt.Fprint(c, "HTTP/1.1 200 X\r\nX-Attempt-Id: id-1\r\nX-Server-Seal: s\r\nContent-Length: 5\r\n\r\nfirst")
 		return respondWith(200, "second")(c, r, body)
 	})
-	f := startProxy(t, []*fakeServer{s})
-	c := f.dial(t)
+	proxy := startProxy(t, []*fakeServer{server})
+	c := proxy.dial(t)
 	c.sendRequest("id-1", "").readResponse()
-	if got := c.sendRequest("id-2", "").readResponse(); got.StatusCode != 502 {
+	if got := c.sendRequest("id-2", "").readResponse(); got.StatusCode != http.StatusBadGateway {
 		t.Errorf("status %d, body %q", got.StatusCode, got.body)
 	}
 }
@@ -65,7 +65,7 @@
 // tell them apart, the second goes out on another connection.
 func TestDuplicateAttemptID(t *testing.T) {
 	var first net.Conn // of the requests, which come one after the other
-	s := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	server := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if first == c {
 			respondWith(200, "surplus")(c, r, body)
 		}
@@ -75,30 +75,30 @@
 		}
 		return respondWith(200, text)(c, r, body)
 	})
-	f := startProxy(t, []*fakeServer{s})
-	c := f.dial(t)
+	proxy := startProxy(t, []*fakeServer{server})
+	c := proxy.dial(t)
 	c.sendRequest("id-1", "").readResponse()
-	if got := c.sendRequest("id-1", "").readResponse(); got.StatusCode != 200 || got.body != "second" {
+	if got := c.sendRequest("id-1", "").readResponse(); got.StatusCode != http.StatusOK || got.body != "second" {
 		t.Errorf("status %d, body %q", got.StatusCode, got.body)
 	}
 }
 
 // TestStaleConns has a server close its connection when it has idled: the next request goes out on a new one.
 func TestStaleConns(t *testing.T) {
-	s := startServer(t, respondWith(200, "x"))
-	f := startProxy(t, []*fakeServer{s})
-	c := f.dial(t)
-	c.sendRequest("id-1", "").readResponse()
-	first := receive(t, s.requests, "request")
+	server := startServer(t, respondWith(200, "x"))
+	proxy := startProxy(t, []*fakeServer{server})
+	client := proxy.dial(t)
+	client.sendRequest("id-1", "").readResponse()
+	first := receive(t, server.requests, "request")
 	_ = first.conn.Close()
 	for n := range 20 { // the close may be seen late, and then it is not known whether the request ran
-		if got := c.sendRequest("id-2", "").readResponse(); got.StatusCode == 200 {
+		if got := client.sendRequest("id-2", "").readResponse(); got.StatusCode == http.StatusOK {
 			break
 		} else if n == 19 {
 			t.Errorf("status %d", got.StatusCode)
 		}
 	}
-	if second := receive(t, s.requests, "request"); second.conn == first.conn {
+	if second := receive(t, server.requests, "request"); second.conn == first.conn {
 		t.Error("the old connection was used")
 	}
 }
@@ -106,25 +106,25 @@
 // TestNonIdempotentRunsOnce has a server take a request on a connection that it used before, and break it: it is not sent again.
 func TestNonIdempotentRunsOnce(t *testing.T) {
 	for _, body := range []string{"", "body"} {
-		for _, break_ := range []serverBehavior{resetConn, respondRaw("", false), respondRaw("HTTP/1.1 2", false)} {
+		for _, breakConn := range []serverBehavior{resetConn, respondRaw("", false), respondRaw("HTTP/1.1 2", false)} {
 			n := 0
-			s := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+			server := startServer(t, func(client net.Conn, r *http.Request, body []byte) bool {
 				if n++; n == 1 {
-					return respondWith(200, "x")(c, r, body)
+					return respondWith(200, "x")(client, r, body)
 				}
-				return break_(c, r, body)
+				return breakConn(client, r, body)
 			})
 			other := startServer(t, respondWith(200, "x"))
-			f := startProxy(t, []*fakeServer{s, other})
-			c := f.dial(t)
-			c.sendRequest("id-1", body).readResponse()
-			if got := c.sendRequest("id-2", body).readResponse(); got.StatusCode != 502 {
+			proxy := startProxy(t, []*fakeServer{server, other})
+			client := proxy.dial(t)
+			client.sendRequest("id-1", body).readResponse()
+			if got := client.sendRequest("id-2", body).readResponse(); got.StatusCode != http.StatusBadGateway {
 				t.Errorf("status %d", got.StatusCode)
 			}
-			if len(s.requests) != 2 || len(other.requests) != 0 {
-				t.Errorf("%d and %d requests came", len(s.requests), len(other.requests))
+			if len(server.requests) != 2 || len(other.requests) != 0 {
+				t.Errorf("%d and %d requests came", len(server.requests), len(other.requests))
 			}
-			if ends := f.outcomes(); !slices.Equal(ends, []pick.Outcome{pick.Served, pick.ConnectionLost}) {
+			if ends := proxy.outcomes(); !slices.Equal(ends, []pick.Outcome{pick.Served, pick.ConnectionLost}) {
 				t.Errorf("sends ended as %v", ends)
 			}
 		}
@@ -133,15 +133,15 @@
 
 // TestAnnouncedClose has a server announce the end of its connection: no further request goes there.
 func TestAnnouncedClose(t *testing.T) {
-	s := startServer(t, respondWith(200, "x", "Connection: close"))
-	f := startProxy(t, []*fakeServer{s})
-	c := f.dial(t)
+	server := startServer(t, respondWith(200, "x", "Connection: close"))
+	proxy := startProxy(t, []*fakeServer{server})
+	c := proxy.dial(t)
 	for n := range 3 {
-		if got := c.sendRequest(fmt.Sprint("id-", n), "").readResponse(); got.StatusCode != 200 || got.Close {
+		if got := c.sendRequest(fmt.Sprint("id-", n), "").readResponse(); got.StatusCode != http.StatusOK || got.Close {
 			t.Errorf("status %d, closing %v", got.StatusCode, got.Close)
 		}
 	}
-	if n := f.Counters().Dials.Load(); n != 3 {
+	if n := proxy.Counters().Dials.Load(); n != 3 {
 		t.Errorf("%d connections", n)
 	}
 }
@@ -149,35 +149,35 @@
 // TestRemovedServers has a server's id end: idle connections are closed, and those in use are not kept.
 func TestRemovedServers(t *testing.T) {
 	goOn := make(chan bool)
-	s := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	server := startServer(t, func(client net.Conn, r *http.Request, body []byte) bool {
 		<-goOn
-		return respondWith(200, "x")(c, r, body)
+		return respondWith(200, "x")(client, r, body)
 	})
-	f := startProxy(t, []*fakeServer{s})
-	c := f.dial(t).sendRequest("id-1", "")
-	was := receive(t, s.requests, "request").conn
-	w := *f.clusterState.Load()
-	w.Servers = []pick.Server{{ID: "i-new", Service: "s", Address: s.address()}}
-	f.UpdateClusterState(time.Now(), w)
+	proxy := startProxy(t, []*fakeServer{server})
+	client := proxy.dial(t).sendRequest("id-1", "")
+	was := receive(t, server.requests, "request").conn
+	w := *proxy.clusterState.Load()
+	w.Servers = []pick.Server{{ID: "i-new", Service: "s", Address: server.address()}}
+	proxy.UpdateClusterState(time.Now(), w)
 	goOn <- true
-	if got := c.readResponse(); got.StatusCode != 200 {
+	if got := client.readResponse(); got.StatusCode != http.StatusOK {
 		t.Errorf("status %d", got.StatusCode)
 	}
-	c.sendRequest("id-2", "")
-	if r := receive(t, s.requests, "request"); r.conn == was || r.Header.Get(headerTargetInstance) != "i-new" {
+	client.sendRequest("id-2", "")
+	if r := receive(t, server.requests, "request"); r.conn == was || r.Header.Get(headerTargetInstance) != "i-new" {
 		t.Errorf("sent to %q on the former connection: %v", r.Header.Get(headerTargetInstance), r.conn == was)
 	}
 	goOn <- true
-	c.readResponse()
+	client.readResponse()
 }
 
 // TestPipelined has a client send requests without waiting: answers come in their order.
 func TestPipelined(t *testing.T) {
-	s := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	server := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		return respondWith(200, r.Header.Get(headerAttemptID))(c, r, body)
 	})
-	f := startProxy(t, []*fakeServer{s}, withCategory(config.Idempotent))
-	c := f.dial(t)
+	proxy := startProxy(t, []*fakeServer{server}, withCategory(config.Idempotent))
+	c := proxy.dial(t)
 	for n := range 5 {
 		c.sendRequest(fmt.Sprint("id-", n), "body")
 	}
--- a/internal/system/proxy/promises_test.go
+++ b/internal/system/proxy/promises_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"slices"
 	"strings"
 	"testing"
@@ -15,17 +16,17 @@
 func TestUnbufferedPromise(t *testing.T) {
 	long := strings.Repeat("x", maxBufferedBytes+1)
 	for _, status := range []int{408, 429, 503} {
-		for _, may := range []config.Category{config.NonIdempotent, config.Idempotent} {
-			t.Run(fmt.Sprint(status, may), func(t *testing.T) {
-				f := startProxy(t, []*fakeServer{startServer(t, respondWith(status, long)), startServer(t, respondWith(200, "second"))}, withCategory(may))
+		for _, category := range []config.Category{config.NonIdempotent, config.Idempotent} {
+			t.Run(fmt.Sprint(status, category), func(t *testing.T) {
+				proxy := startProxy(t, []*fakeServer{startServer(t, respondWith(status, long)), startServer(t, respondWith(200, "second"))}, withCategory(category))
 				want, outcomes := 502, []pick.Outcome{pick.ServerError}
-				if may == config.Idempotent {
+				if category == config.Idempotent {
 					want, outcomes = 200, append(outcomes, pick.Served)
 				}
-				if got := f.roundTrip(t, "id-1", ""); got.StatusCode != want {
+				if got := proxy.roundTrip(t, "id-1", ""); got.StatusCode != want {
 					t.Errorf("status %d, want %d", got.StatusCode, want)
 				}
-				if ends := f.outcomes(); !slices.Equal(ends, outcomes) {
+				if ends := proxy.outcomes(); !slices.Equal(ends, outcomes) {
 					t.Errorf("sends ended as %v, want %v", ends, outcomes)
 				}
 			})
@@ -37,8 +38,8 @@
 // neither is believed, and a request that may run once goes nowhere else.
 func TestSuccessNotExecuted(t *testing.T) {
 	second := startServer(t, respondWith(200, "second"))
-	f := startProxy(t, []*fakeServer{startServer(t, respondWith(200, "first", "X-Not-Executed: 1")), second})
-	if got := f.roundTrip(t, "id-1", ""); got.StatusCode != 502 || len(second.requests) > 0 {
+	proxy := startProxy(t, []*fakeServer{startServer(t, respondWith(200, "first", "X-Not-Executed: 1")), second})
+	if got := proxy.roundTrip(t, "id-1", ""); got.StatusCode != http.StatusBadGateway || len(second.requests) > 0 {
 		t.Errorf("status %d, %d further sends", got.StatusCode, len(second.requests))
 	}
 }
--- a/internal/system/proxy/proxy_test.go
+++ b/internal/system/proxy/proxy_test.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 	"fmt"
-	"net"
+	"net/http"
 	"testing"
 	"time"
 
@@ -24,9 +24,9 @@
 	for range 3 {
 		servers = append(servers, startServer(t, respondWith(200, "x", "X-Server-Load: 0,0,8", "Keep-Alive: timeout=10")))
 	}
-	f := startProxy(t, servers)
-	real := New(Options{Settings: pick.Settings{Zone: "z", Region: "r", Seed: 1}})
-	w := *f.clusterState.Load()
+	proxy := startProxy(t, servers)
+	withPicker := New(Options{Settings: pick.Settings{Zone: "z", Region: "r", Seed: 1}})
+	w := *proxy.clusterState.Load()
 	config, err := config.Parse([]byte(`{"revision":1,"routes":[{"name":"r","hostname":"h.example","path_prefix":"/a/",
 		"category":"non_idempotent","timeout_ms":8000,"target_latency_ms":500,"priority":1,"target":"s","max_tries":2}],
 		"services":[{"name":"s","health_path":"/h","max_conns":100}],"limits":{"max_header_bytes":16384,
@@ -38,19 +38,16 @@
 	for i := range w.Servers {
 		w.Servers[i].Zone, w.Servers[i].Region, w.Servers[i].Slots = "z", "r", 8
 	}
-	real.pools.sameRegionTimeout = testTimeout
-	real.UpdateClusterState(time.Now(), w)
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	withPicker.pools.sameRegionTimeout = testTimeout
+	withPicker.UpdateClusterState(time.Now(), w)
+	listener := listenLocal(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- real.Serve(ctx, l) }()
-	f.address = l.Addr().String()
-	c := f.dial(t)
+	go func() { ended <- withPicker.Serve(ctx, listener) }()
+	proxy.address = listener.Addr().String()
+	c := proxy.dial(t)
 	for n := range 30 {
-		if got := c.sendRequest(fmt.Sprint("id-", n), "").readResponse(); got.StatusCode != 200 {
+		if got := c.sendRequest(fmt.Sprint("id-", n), "").readResponse(); got.StatusCode != http.StatusOK {
 			t.Errorf("status %d", got.StatusCode)
 		}
 	}
--- a/internal/system/proxy/request_test.go
+++ b/internal/system/proxy/request_test.go
@@ -14,8 +14,8 @@
 
 // TestRejectedHeads has requests that go to no server.
 func TestRejectedHeads(t *testing.T) {
-	s := startServer(t, respondWith(200, "x"))
-	f := startProxy(t, []*fakeServer{s})
+	server := startServer(t, respondWith(200, "x"))
+	proxy := startProxy(t, []*fakeServer{server})
 	for _, test := range []struct {
 		name, text string
 		want       int
@@ -32,13 +32,13 @@
 			"100001\r\n" + strings.Repeat("x", 0x100001) + "\r\n0\r\n\r\n", 413},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := f.dial(t)
-			go func() { _, _ = c.Write([]byte(test.text)) }()
-			resp, err := http.ReadResponse(c.reader, nil)
+			client := proxy.dial(t)
+			go func() { _, _ = client.Write([]byte(test.text)) }()
+			resp, err := http.ReadResponse(client.reader, nil)
 			if err != nil || resp.StatusCode != test.want {
 				t.Errorf("%v, error %v, want %d", resp, err, test.want)
 			}
-			if len(s.requests) > 0 {
+			if len(server.requests) > 0 {
 				t.Error("a server was asked")
 			}
 		})
@@ -47,14 +47,14 @@
 
 // TestMessagesForwardedUnchanged compares what goes in with what comes out, both ways.
 func TestMessagesForwardedUnchanged(t *testing.T) {
-	s := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	server := startServer(t, func(client net.Conn, r *http.Request, body []byte) bool {
 		return respondWith(200, "answer", "X-Server-Load: 3,1,8", "X-Own: v1", "X-Own: v2", "Connection: X-Hop", "X-Hop: 1",
-			"Keep-Alive: timeout=9", "Content-Type: text/odd", "Date: long ago")(c, r, body)
+			"Keep-Alive: timeout=9", "Content-Type: text/odd", "Date: long ago")(client, r, body)
 	})
-	f := startProxy(t, []*fakeServer{s})
+	proxy := startProxy(t, []*fakeServer{server})
 	for _, body := range []string{"", "short", strings.Repeat("long", 20<<10)} {
 		for _, chunked := range []bool{false, true} {
-			c, id := f.dial(t), fmt.Sprint("i-d", len(body), chunked) // each try has its own
+			client, id := proxy.dial(t), fmt.Sprint("i-d", len(body), chunked) // each try has its own
 			text := "POST /a/b%2fc;d?q=%20&x HTTP/1.1\r\nHost: H.example:80\r\nX-Attempt-Id: " + id + "\r\nX-Time-Left-Ms: 5000\r\n" +
 				"X-Model: m\r\nX-Token-Count: 10,20\r\nX-Prompt-Prefix: ff:6,1a:4\r\nConnection: X-Mine, keep-alive\r\nX-Mine: 1\r\n" +
 				"X-End: 2\r\nPriority: 8\r\nX-Target-Instance: odd\r\nTE: trailers\r\nUpgrade: h2c\r\nAccept: a\r\nAccept: b\r\n"
@@ -67,9 +67,9 @@
 			} else {
 				text += fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)
 			}
-			go func() { _, _ = c.Write([]byte(text)) }()
-			got := c.readResponse()
-			r := receive(t, s.requests, "request")
+			go func() { _, _ = client.Write([]byte(text)) }()
+			response := client.readResponse()
+			r := receive(t, server.requests, "request")
 			if r.Method != "POST" || r.RequestURI != "/a/b%2fc;d?q=%20&x" || r.Host != "H.example:80" || r.body != body {
 				t.Errorf("%s %s at %s with %d bytes", r.Method, r.RequestURI, r.Host, len(r.body))
 			}
@@ -83,37 +83,37 @@
 			if d, ok := parseMilliseconds(r.Header.Get(headerTimeLeft)); !ok || d > 5*time.Second || d < 4*time.Second {
 				t.Errorf("time left %v", d)
 			}
-			if got.body != "answer" || fmt.Sprint(got.Header["X-Own"]) != "[v1 v2]" || got.Header.Get(headerServerSeal) != "seal" ||
-				got.Header.Get("Content-Type") != "text/odd" || got.Header.Get("Date") != "long ago" ||
-				got.Header["X-Hop"] != nil || got.Header["Keep-Alive"] != nil || got.Header["Connection"] != nil {
-				t.Errorf("answer %q, %v", got.body, got.Header)
+			if response.body != "answer" || fmt.Sprint(response.Header["X-Own"]) != "[v1 v2]" || response.Header.Get(headerServerSeal) != "seal" ||
+				response.Header.Get("Content-Type") != "text/odd" || response.Header.Get("Date") != "long ago" ||
+				response.Header["X-Hop"] != nil || response.Header["Keep-Alive"] != nil || response.Header["Connection"] != nil {
+				t.Errorf("answer %q, %v", response.body, response.Header)
 			}
 		}
 	}
-	if f.fake.lastLoad != "i-0 3,1,8" {
-		t.Errorf("load %q", f.fake.lastLoad)
+	if proxy.fake.lastLoad != "i-0 3,1,8" {
+		t.Errorf("load %q", proxy.fake.lastLoad)
 	}
-	if n := f.Counters().Dials.Load(); n != 1 {
+	if n := proxy.Counters().Dials.Load(); n != 1 {
 		t.Errorf("%d connections", n)
 	}
 }
 
 // TestHeadRequests has a HEAD request answered: its answer has no body, whatever its length says.
 func TestHeadRequests(t *testing.T) {
-	s := startServer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
-		fmt.Fprintf(c, "%sContent-Length: 1000\r\n\r\n", head(r, 200))
+	server := startServer(t, func(client net.Conn, r *http.Request, _ []byte) bool {
+		_, _ = fmt.Fprintf(client, "%sContent-Length: 1000\r\n\r\n", head(r, 200))
 		return true
 	})
-	f := startProxy(t, []*fakeServer{s})
-	c := f.dial(t)
+	proxy := startProxy(t, []*fakeServer{server})
+	client := proxy.dial(t)
 	for n := range 2 {
-		fmt.Fprintf(c, "HEAD /a/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a%d\r\n\r\n", n)
-		resp, err := http.ReadResponse(c.reader, &http.Request{Method: "HEAD"})
-		if err != nil || resp.StatusCode != 200 || resp.ContentLength != 1000 {
+		_, _ = fmt.Fprintf(client, "HEAD /a/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a%d\r\n\r\n", n)
+		resp, err := http.ReadResponse(client.reader, &http.Request{Method: "HEAD"})
+		if err != nil || resp.StatusCode != http.StatusOK || resp.ContentLength != 1000 {
 			t.Fatalf("%v, error %v", resp, err)
 		}
 	}
-	if n := f.Counters().Dials.Load(); n != 1 {
+	if n := proxy.Counters().Dials.Load(); n != 1 {
 		t.Errorf("%d connections", n)
 	}
 }
@@ -121,29 +121,29 @@
 // TestBodyMemoryLimit has more bytes of bodies come than are held at once: what has no room is refused.
 func TestBodyMemoryLimit(t *testing.T) {
 	goOn := make(chan bool)
-	s := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	server := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		<-goOn
 		return respondWith(200, "x")(c, r, body)
 	})
-	f := startProxy(t, []*fakeServer{s}, func(o *Options, _ *config.Config) { o.MemoryMB = 1 })
+	proxy := startProxy(t, []*fakeServer{server}, func(o *Options, _ *config.Config) { o.MemoryMB = 1 })
 	long := strings.Repeat("x", 150<<10)
-	first := f.dial(t).sendRequest("id-1", long)
-	receive(t, s.requests, "request")
-	c := f.dial(t)
+	first := proxy.dial(t).sendRequest("id-1", long)
+	receive(t, server.requests, "request")
+	c := proxy.dial(t)
 	go fmt.Fprintf(c, "POST /a/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: id-2\r\nContent-Length: %d\r\n\r\n%s", len(long), long)
-	if got := c.readResponse(); got.StatusCode != 503 || got.Header.Get("Retry-After") == "" {
+	if got := c.readResponse(); got.StatusCode != http.StatusServiceUnavailable || got.Header.Get("Retry-After") == "" {
 		t.Errorf("status %d", got.StatusCode)
 	}
 	goOn <- true
-	if got := first.readResponse(); got.StatusCode != 200 {
+	if got := first.readResponse(); got.StatusCode != http.StatusOK {
 		t.Errorf("status %d", got.StatusCode)
 	}
 }
 
 // TestSmuggling has peers send requests whose end can be read in two ways, with a second one inside: neither runs.
 func TestSmuggling(t *testing.T) {
-	s := startServer(t, respondWith(200, "ok"))
-	f := startProxy(t, []*fakeServer{s})
+	server := startServer(t, respondWith(200, "ok"))
+	proxy := startProxy(t, []*fakeServer{server})
 	const common = "POST /a/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: outer\r\n"
 	inner := strings.Replace(common, "outer", "inner", 1) + "Content-Length: 0\r\n\r\n"
 	size := fmt.Sprint(len(inner))
@@ -162,14 +162,14 @@
 		"a line feed in a target": strings.Replace(common, "/a/x", "/a/\nx", 1) + "Content-Length: 0\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := f.dial(t)
+			c := proxy.dial(t)
 			_, _ = io.WriteString(c, text)
 			got, err := io.ReadAll(c)
 			if strings.Contains(string(got), " 200 ") {
 				t.Errorf("served: %q, error %v", got, err)
 			}
-			for len(s.requests) > 0 {
-				t.Errorf("forwarded %q", (<-s.requests).Header.Get(headerAttemptID))
+			for len(server.requests) > 0 {
+				t.Errorf("forwarded %q", (<-server.requests).Header.Get(headerAttemptID))
 			}
 		})
 	}
--- a/internal/system/proxy/response_test.go
+++ b/internal/system/proxy/response_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"slices"
 	"testing"
 	"time"
@@ -52,18 +53,18 @@
 		{"length and chunks", respondRaw(ok+"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n0\r\n\r\n", true), 502, 200, pick.ConnectionLost},
 		{"half a stream before its first event", respondRaw(ok+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", false), 502, 200, pick.ConnectionLost},
 	} {
-		for _, may := range []config.Category{config.NonIdempotent, config.Idempotent} {
-			t.Run(fmt.Sprint(test.name, may), func(t *testing.T) {
+		for _, category := range []config.Category{config.NonIdempotent, config.Idempotent} {
+			t.Run(fmt.Sprint(test.name, category), func(t *testing.T) {
 				first, second := startServer(t, test.do), startServer(t, respondWith(200, "second"))
-				f := startProxy(t, []*fakeServer{first, second}, withCategory(may))
-				got := f.roundTrip(t, "id-1", "body")
+				proxy := startProxy(t, []*fakeServer{first, second}, withCategory(category))
+				got := proxy.roundTrip(t, "id-1", "body")
 				want, outcomes := test.once, []pick.Outcome{test.outcome}
-				if may == config.Idempotent {
+				if category == config.Idempotent {
 					want = test.again
 				}
 				body := "first"
 				switch {
-				case test.outcome != pick.Served && want == 200 && (may == config.Idempotent || test.once == 200):
+				case test.outcome != pick.Served && want == 200 && (category == config.Idempotent || test.once == 200):
 					body, outcomes = "second", append(outcomes, pick.Served)
 				case want == 502 || want == 503:
 					body = ""
@@ -72,7 +73,7 @@
 					t.Errorf("status %d, body %q, error %v, id %q; want %d, %q", got.StatusCode, got.body, got.err,
 						got.Header.Get(headerAttemptID), want, body)
 				}
-				if ends := f.outcomes(); !slices.Equal(ends, outcomes) {
+				if ends := proxy.outcomes(); !slices.Equal(ends, outcomes) {
 					t.Errorf("sends ended as %v, want %v", ends, outcomes)
 				}
 				if len(first.requests) != 1 || len(second.requests) != len(outcomes)-1 {
@@ -87,56 +88,56 @@
 func TestRefusals(t *testing.T) {
 	full := respondWith(503, "", "X-Not-Executed: 1", "Retry-After: 0.45")
 	t.Run("all are full", func(t *testing.T) {
-		f := startProxy(t, []*fakeServer{startServer(t, full), startServer(t, full)})
-		if got := f.roundTrip(t, "id-1", ""); got.StatusCode != 503 || got.Header.Get("Retry-After") != "0.450" {
+		proxy := startProxy(t, []*fakeServer{startServer(t, full), startServer(t, full)})
+		if got := proxy.roundTrip(t, "id-1", ""); got.StatusCode != http.StatusServiceUnavailable || got.Header.Get("Retry-After") != "0.450" {
 			t.Errorf("status %d, Retry-After %q", got.StatusCode, got.Header.Get("Retry-After"))
 		}
 	})
 	t.Run("one is full, one may have run it", func(t *testing.T) {
-		f := startProxy(t, []*fakeServer{startServer(t, full), startServer(t, resetConn)})
-		if got := f.roundTrip(t, "id-1", ""); got.StatusCode != 502 {
+		proxy := startProxy(t, []*fakeServer{startServer(t, full), startServer(t, resetConn)})
+		if got := proxy.roundTrip(t, "id-1", ""); got.StatusCode != http.StatusBadGateway {
 			t.Errorf("status %d", got.StatusCode)
 		}
 	})
 	t.Run("one may have run it, one is full", func(t *testing.T) {
-		f := startProxy(t, []*fakeServer{startServer(t, resetConn), startServer(t, full)}, withCategory(config.Idempotent))
-		if got := f.roundTrip(t, "id-1", ""); got.StatusCode != 502 {
+		proxy := startProxy(t, []*fakeServer{startServer(t, resetConn), startServer(t, full)}, withCategory(config.Idempotent))
+		if got := proxy.roundTrip(t, "id-1", ""); got.StatusCode != http.StatusBadGateway {
 			t.Errorf("status %d", got.StatusCode)
 		}
 	})
 	t.Run("no more tries", func(t *testing.T) {
 		other := startServer(t, respondWith(200, "x"))
-		f := startProxy(t, []*fakeServer{startServer(t, full), other},
+		proxy := startProxy(t, []*fakeServer{startServer(t, full), other},
 			func(_ *Options, c *config.Config) { c.Routes[0].MaxTries = 1 })
-		if got := f.roundTrip(t, "id-1", ""); got.StatusCode != 503 || len(other.requests) > 0 {
+		if got := proxy.roundTrip(t, "id-1", ""); got.StatusCode != http.StatusServiceUnavailable || len(other.requests) > 0 {
 			t.Errorf("status %d, %d more sends", got.StatusCode, len(other.requests))
 		}
 	})
 	t.Run("nobody listens", func(t *testing.T) {
-		f := startProxy(t, []*fakeServer{startServer(t, full), startServer(t, respondWith(200, "x"))})
-		w := *f.clusterState.Load()
+		proxy := startProxy(t, []*fakeServer{startServer(t, full), startServer(t, respondWith(200, "x"))})
+		w := *proxy.clusterState.Load()
 		w.Servers = slices.Clone(w.Servers)
 		w.Servers[0].Address = closedAddress(t)
-		f.UpdateClusterState(time.Now(), w)
-		if got := f.roundTrip(t, "id-1", ""); got.StatusCode != 200 {
+		proxy.UpdateClusterState(time.Now(), w)
+		if got := proxy.roundTrip(t, "id-1", ""); got.StatusCode != http.StatusOK {
 			t.Errorf("status %d", got.StatusCode)
 		}
-		if ends := f.outcomes(); !slices.Equal(ends, []pick.Outcome{pick.ConnectFailed, pick.Served}) {
+		if ends := proxy.outcomes(); !slices.Equal(ends, []pick.Outcome{pick.ConnectFailed, pick.Served}) {
 			t.Errorf("sends ended as %v", ends)
 		}
 	})
 	t.Run("nobody is chosen", func(t *testing.T) {
-		f := startProxy(t, nil)
-		f.fake.retryAfter = 350 * time.Millisecond
-		if got := f.roundTrip(t, "id-1", ""); got.StatusCode != 503 || got.Header.Get("Retry-After") != "0.350" {
+		proxy := startProxy(t, nil)
+		proxy.fake.retryAfter = 350 * time.Millisecond
+		if got := proxy.roundTrip(t, "id-1", ""); got.StatusCode != http.StatusServiceUnavailable || got.Header.Get("Retry-After") != "0.350" {
 			t.Errorf("status %d, Retry-After %q", got.StatusCode, got.Header.Get("Retry-After"))
 		}
 	})
 	t.Run("no configuration", func(t *testing.T) {
-		f := startProxy(t, nil)
-		f.UpdateClusterState(time.Now(), pick.ClusterState{})
-		if got := f.roundTrip(t, "id-1", ""); got.StatusCode != 503 || got.Header.Get("Retry-After") == "" || f.Ready() {
-			t.Errorf("status %d, ready %v", got.StatusCode, f.Ready())
+		proxy := startProxy(t, nil)
+		proxy.UpdateClusterState(time.Now(), pick.ClusterState{})
+		if got := proxy.roundTrip(t, "id-1", ""); got.StatusCode != http.StatusServiceUnavailable || got.Header.Get("Retry-After") == "" || proxy.Ready() {
+			t.Errorf("status %d, ready %v", got.StatusCode, proxy.Ready())
 		}
 	})
 }
--- a/internal/system/proxy/scriptedservers_test.go
+++ b/internal/system/proxy/scriptedservers_test.go
@@ -176,7 +176,7 @@
 
 // serve answers the requests on a connection.
 func (v *scriptedServer) serve(c net.Conn) {
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	in, waiting := bufio.NewReader(c), ""
 	for first := true; ; first = false {
 		r, err := http.ReadRequest(in)
@@ -260,27 +260,27 @@
 
 // planResponse records a request and gives what is done with it: what is sent of the answer, and the rest.
 func (v *scriptedServer) planResponse(r *http.Request, first bool) (b behaviour, text, rest string) {
-	s := v.all
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	all := v.all
+	all.mu.Lock()
+	defer all.mu.Unlock()
 	b = soundBehaviour
 	if v.requestCount < len(v.behaviours) {
 		b = v.behaviours[v.requestCount]
 	}
 	v.requestCount++
-	s.runs++
+	all.runs++
 	id := r.Header.Get(headerAttemptID)
 	if b.Echo == earlierID && v.previousID == id {
 		b.Echo = ownID // the same id twice
 	}
-	head, sent, wire := s.composeResponse(r, b, v.previousID)
+	head, sent, wire := all.composeResponse(r, b, v.previousID)
 	v.previousID = id
 	text = head + wire
 	cut := len(text) * b.PermilleSent / 1000
 	sent.valid = sent.valid && (cut == len(text) || r.Method == http.MethodHead && cut >= len(head))
 	refused := b.isRefusal() && cut >= len(head) && !b.Garbage && b.Interims <= 3 &&
 		(b.Echo == ownID || b.Echo == noID && first) && b.Framing != "both" && b.Framing != "twice"
-	s.arrivals = append(s.arrivals, arrival{id: id, refused: refused, sent: sent})
+	all.arrivals = append(all.arrivals, arrival{id: id, refused: refused, sent: sent})
 	text, rest = text[:cut], text[cut:]
 	if b.Surplus == samePacket && rest == "" {
 		text += "HTTP/1.1 200 X\r\nX-Attempt-Id: " + id + "\r\nX-Server-Seal: surplus\r\nContent-Length: 7\r\n\r\nsurplus"
@@ -358,7 +358,7 @@
 	}
 	var text strings.Builder
 	for id := from; id <= lastEvent; id++ {
-		fmt.Fprintf(&text, "id: %d\ndata: %d of run %d\n\n", id, id, run)
+		_, _ = fmt.Fprintf(&text, "id: %d\ndata: %d of run %d\n\n", id, id, run)
 	}
 	return text.String()
 }
--- a/internal/system/proxy/senddeadline_test.go
+++ b/internal/system/proxy/senddeadline_test.go
@@ -30,22 +30,22 @@
 						return respondWith(200, "x")(c, r, body)
 					}
 				}
-				p := newPipedProxy([]configure{withCategory(config.NonIdempotent)}, serve(0), serve(1))
-				p.fake.sendWithin = test.within
-				open := p.pools.connect
-				p.pools.connect = func(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
+				piped := newPipedProxy([]configure{withCategory(config.NonIdempotent)}, serve(0), serve(1))
+				piped.fake.sendWithin = test.within
+				open := piped.pools.connect
+				piped.pools.connect = func(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
 					if address == "at-0" {
 						time.Sleep(test.opens)
 					}
 					return open(ctx, address, within)
 				}
-				w, _ := p.roundTrip(t.Context())
+				w, _ := piped.roundTrip(t.Context())
 				want, ends := 0, []pick.Outcome{pick.Served}
 				if test.within > 0 && test.opens > test.within {
 					want, ends = 1, []pick.Outcome{pick.ConnectFailed, pick.Served}
 				}
-				if w.Code != 200 || len(ran) != 1 || <-ran != want || !slices.Equal(p.fake.outcomes, ends) {
-					t.Errorf("status %d, sends ended as %v, want %v at server %d", w.Code, p.fake.outcomes, ends, want)
+				if w.Code != http.StatusOK || len(ran) != 1 || <-ran != want || !slices.Equal(piped.fake.outcomes, ends) {
+					t.Errorf("status %d, sends ended as %v, want %v at server %d", w.Code, piped.fake.outcomes, ends, want)
 				}
 			})
 		})
--- a/internal/system/proxy/silence_test.go
+++ b/internal/system/proxy/silence_test.go
@@ -48,10 +48,10 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := newPipedProxy([]configure{test.how}, test.servers...)
-				w, took := p.roundTrip(t.Context())
-				if w.Code != test.status || w.Body.String() != test.body || took != test.took || !slices.Equal(p.fake.outcomes, test.outcomes) {
-					t.Errorf("status %d, body %q after %v, sends ended as %v", w.Code, w.Body.String(), took, p.fake.outcomes)
+				piped := newPipedProxy([]configure{test.how}, test.servers...)
+				w, took := piped.roundTrip(t.Context())
+				if w.Code != test.status || w.Body.String() != test.body || took != test.took || !slices.Equal(piped.fake.outcomes, test.outcomes) {
+					t.Errorf("status %d, body %q after %v, sends ended as %v", w.Code, w.Body.String(), took, piped.fake.outcomes)
 				}
 			})
 		})
@@ -67,21 +67,21 @@
 			}
 			return respondWith(200, "x")(c, r, body)
 		}
-		p := newPipedProxy([]configure{withCategory(config.Idempotent)}, slow, respondWith(200, "other"))
+		piped := newPipedProxy([]configure{withCategory(config.Idempotent)}, slow, respondWith(200, "other"))
 		done := make(chan bool)
 		go func() {
 			defer close(done)
 			for range 10 {
 				time.Sleep(500 * time.Millisecond)
-				r := httptest.NewRequest("GET", "/a/x", nil)
+				r := httptest.NewRequestWithContext(t.Context(), "GET", "/a/x", nil)
 				r.Host = "h.example"
 				r.Header.Set(headerAttemptID, "id-2")
-				p.ServeHTTP(httptest.NewRecorder(), r)
+				piped.ServeHTTP(httptest.NewRecorder(), r)
 			}
 		}()
-		w, took := p.roundTrip(t.Context(), "X-Slow", "1")
+		w, took := piped.roundTrip(t.Context(), "X-Slow", "1")
 		<-done
-		p.pools.close()
+		piped.pools.close()
 		if w.Body.String() != "x" || took != 5*time.Second {
 			t.Errorf("%q after %v", w.Body.String(), took)
 		}
@@ -102,18 +102,18 @@
 		{"-5", 7980 * time.Millisecond, 7980 * time.Millisecond},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			p := newPipedProxy(nil, neverRespond)
-			w, took := p.roundTrip(t.Context(), headerTimeLeft, test.says)
-			r := <-p.requests
-			if told, _ := parseMilliseconds(r.Header.Get(headerTimeLeft)); w.Code != 504 || took != test.took || told != test.told {
+			piped := newPipedProxy(nil, neverRespond)
+			w, took := piped.roundTrip(t.Context(), headerTimeLeft, test.says)
+			r := <-piped.requests
+			if told, _ := parseMilliseconds(r.Header.Get(headerTimeLeft)); w.Code != http.StatusGatewayTimeout || took != test.took || told != test.told {
 				t.Errorf("%s: status %d after %v, told %v", test.says, w.Code, took, told)
 			}
 		})
 	}
 	synctest.Test(t, func(t *testing.T) {
-		p := newPipedProxy(nil, neverRespond)
-		if w, took := p.roundTrip(t.Context(), headerTimeLeft, "0"); w.Code != 503 || took != 0 || len(p.requests) > 0 {
-			t.Errorf("status %d after %v, %d sends", w.Code, took, len(p.requests))
+		piped := newPipedProxy(nil, neverRespond)
+		if w, took := piped.roundTrip(t.Context(), headerTimeLeft, "0"); w.Code != http.StatusServiceUnavailable || took != 0 || len(piped.requests) > 0 {
+			t.Errorf("status %d after %v, %d sends", w.Code, took, len(piped.requests))
 		}
 	})
 }
@@ -122,12 +122,12 @@
 func TestClientGone(t *testing.T) {
 	for _, do := range []serverBehavior{neverRespond, respondEventsThen(1, 2, neverRespond)} {
 		synctest.Test(t, func(t *testing.T) {
-			p := newPipedProxy([]configure{withCategory(config.Streaming)}, do, respondWith(200, "x"))
+			piped := newPipedProxy([]configure{withCategory(config.Streaming)}, do, respondWith(200, "x"))
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
-			_, took := p.roundTrip(ctx)
-			if took != time.Second || !slices.Equal(p.fake.outcomes, []pick.Outcome{pick.Canceled}) || p.Counters().ClientGone.Load() != 1 {
-				t.Errorf("after %v, sends ended as %v", took, p.fake.outcomes)
+			_, took := piped.roundTrip(ctx)
+			if took != time.Second || !slices.Equal(piped.fake.outcomes, []pick.Outcome{pick.Canceled}) || piped.Counters().ClientGone.Load() != 1 {
+				t.Errorf("after %v, sends ended as %v", took, piped.fake.outcomes)
 			}
 		})
 	}
@@ -138,7 +138,7 @@
 func TestLateResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		late := make(chan error, 1)
-		p := newPipedProxy([]configure{withCategory(config.NonIdempotent)}, func(c net.Conn, r *http.Request, body []byte) bool {
+		piped := newPipedProxy([]configure{withCategory(config.NonIdempotent)}, func(c net.Conn, r *http.Request, body []byte) bool {
 			if r.Header.Get(headerAttemptID) == "id-1" {
 				time.Sleep(9 * time.Second)
 				_, err := fmt.Fprintf(c, "%sContent-Length: 4\r\n\r\nlate", head(r, 200))
@@ -148,24 +148,24 @@
 			return respondWith(200, "own")(c, r, body)
 		})
 		ask := func(id string) *httptest.ResponseRecorder {
-			r := httptest.NewRequest("POST", "/a/x", strings.NewReader("body"))
+			r := httptest.NewRequestWithContext(t.Context(), "POST", "/a/x", strings.NewReader("body"))
 			r.Host = "h.example"
 			r.Header.Set(headerAttemptID, id)
 			w := httptest.NewRecorder()
-			p.ServeHTTP(w, r)
+			piped.ServeHTTP(w, r)
 			return w
 		}
 		began := time.Now()
-		if w := ask("id-1"); w.Code != 504 {
+		if w := ask("id-1"); w.Code != http.StatusGatewayTimeout {
 			t.Errorf("status %d", w.Code)
 		}
 		if err := <-late; err == nil || time.Since(began) != 9*time.Second {
 			t.Errorf("the late answer's write ended after %v with %v: its connection was open still", time.Since(began), err)
 		}
-		if w := ask("id-2"); w.Code != 200 || w.Body.String() != "own" || p.counters.Dials.Load() != 2 {
-			t.Errorf("status %d, body %q, %d connections", w.Code, w.Body.String(), p.counters.Dials.Load())
+		if w := ask("id-2"); w.Code != http.StatusOK || w.Body.String() != "own" || piped.counters.Dials.Load() != 2 {
+			t.Errorf("status %d, body %q, %d connections", w.Code, w.Body.String(), piped.counters.Dials.Load())
 		}
-		p.pools.close()
+		piped.pools.close()
 		synctest.Wait()
 	})
 }
--- a/internal/system/proxy/stall_test.go
+++ b/internal/system/proxy/stall_test.go
@@ -14,17 +14,17 @@
 // stalledPicker is a policy of one of twelve proxies that knows two servers, which bear 31 requests a second while they are cold.
 func stalledPicker() (*lockedPicker, *pick.Request, pick.ClusterState) {
 	route := &config.Route{Host: "h", Prefix: "/", MaxTries: 2, Category: config.Idempotent, Shares: []config.Share{{Service: "a", Weight: 1}}}
-	w := pick.ClusterState{Self: "p00", Config: &config.Config{Routes: []*config.Route{route},
+	state := pick.ClusterState{Self: "p00", Config: &config.Config{Routes: []*config.Route{route},
 		Services: map[string]*config.Service{"a": {Name: "a", WarmUpRate: 31, WarmUpTime: 3 * time.Second}}}}
 	for i := range 12 {
-		w.Peers = append(w.Peers, "p"+string(rune('0'+i/10))+string(rune('0'+i%10)))
+		state.Peers = append(state.Peers, "p"+string(rune('0'+i/10))+string(rune('0'+i%10)))
 	}
 	for _, id := range []string{"s0", "s1"} {
-		w.Servers = append(w.Servers, pick.Server{ID: id, Service: "a", Zone: "z", Slots: 1000})
+		state.Servers = append(state.Servers, pick.Server{ID: id, Service: "a", Zone: "z", Slots: 1000})
 	}
-	p := newLockedPicker(pick.New(pick.Settings{Zone: "z", Region: "r", WarmUpExcess: 1.5, WarmUpSlack: 5}), nil)
-	p.stalls.enabled = true
-	return p, &pick.Request{Route: route, TimeLeft: 5 * time.Second}, w
+	locked := newLockedPicker(pick.New(pick.Settings{Zone: "z", Region: "r", WarmUpExcess: 1.5, WarmUpSlack: 5}), nil)
+	locked.stalls.enabled = true
+	return locked, &pick.Request{Route: route, TimeLeft: 5 * time.Second}, state
 }
 
 // stallFor lets time go by without a call, as while the process is stopped.
@@ -45,13 +45,13 @@
 // TestWarmUpRateHoldsAfterStall: a process stands still for 5 s and has 100 requests in its sockets when it wakes. Danger: its servers
 // may have turned cold meanwhile, which it can't know before it has heard a keeper.
 func TestWarmUpRateHoldsAfterStall(t *testing.T) {
-	p, r, w := stalledPicker()
-	p.UpdateClusterState(time.Now(), w)
-	if got := chooseMany(p, r, 10); got["s0"]+got["s1"] != 10 {
+	locked, r, w := stalledPicker()
+	locked.UpdateClusterState(time.Now(), w)
+	if got := chooseMany(locked, r, 10); got["s0"]+got["s1"] != 10 {
 		t.Fatalf("before the pause %v of 10", got)
 	}
-	stallFor(p, 5*time.Second)
-	for id, n := range chooseMany(p, r, 100) {
+	stallFor(locked, 5*time.Second)
+	for id, n := range chooseMany(locked, r, 100) {
 		if n > 4 {
 			t.Errorf("%s got %d requests at once, without a word on whether it is cold", id, n)
 		}
@@ -62,17 +62,17 @@
 // not count.
 func TestRequestsAwaitContactAfterStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, r, w := stalledPicker()
+		locked, r, w := stalledPicker()
 		told := 0
-		p.onStall = func() { told++ }
-		p.UpdateClusterState(time.Now(), w)
-		stallFor(p, 5*time.Second)
+		locked.onStall = func() { told++ }
+		locked.UpdateClusterState(time.Now(), w)
+		stallFor(locked, 5*time.Second)
 		woke := time.Now()
 		var waiting sync.WaitGroup
 		got := 0
 		waiting.Go(func() {
-			p.awaitContact(t.Context())
-			for id, n := range chooseMany(p, r, 100) {
+			locked.awaitContact(t.Context())
+			for id, n := range chooseMany(locked, r, 100) {
 				got += n
 				if n < 40 {
 					t.Errorf("%s got %d of 100 after the word", id, n)
@@ -82,14 +82,14 @@
 		synctest.Wait()
 		time.Sleep(20 * time.Millisecond)
 		w.ContactAge = time.Second
-		p.UpdateClusterState(time.Now(), w)
+		locked.UpdateClusterState(time.Now(), w)
 		synctest.Wait()
 		if got != 0 {
 			t.Errorf("%d requests went out by a word from before", got)
 		}
 		time.Sleep(20 * time.Millisecond)
 		w.ContactAge = 10 * time.Millisecond
-		p.UpdateClusterState(time.Now(), w)
+		locked.UpdateClusterState(time.Now(), w)
 		waiting.Wait()
 		if took := time.Since(woke); took != 40*time.Millisecond || got != 100 || told != 1 {
 			t.Errorf("%d requests after %v; keepers were asked %d times", got, took, told)
@@ -101,21 +101,21 @@
 // client goes away.
 func TestContactWaitIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, _, w := stalledPicker()
-		p.UpdateClusterState(time.Now(), w)
-		stallFor(p, 5*time.Second)
+		locked, _, w := stalledPicker()
+		locked.UpdateClusterState(time.Now(), w)
+		stallFor(locked, 5*time.Second)
 		woke := time.Now()
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
-		p.awaitContact(ctx)
+		locked.awaitContact(ctx)
 		if took := time.Since(woke); took != 100*time.Millisecond {
 			t.Errorf("a client that is gone waited for %v", took)
 		}
-		p.awaitContact(t.Context())
+		locked.awaitContact(t.Context())
 		if took := time.Since(woke); took != stallContactTimeout {
 			t.Errorf("waited until %v after the stall", took)
 		}
-		p.awaitContact(t.Context())
+		locked.awaitContact(t.Context())
 		if took := time.Since(woke); took != stallContactTimeout {
 			t.Errorf("a later request waited, until %v after the stall", took)
 		}
@@ -125,14 +125,14 @@
 // TestIdleProcessIsNotStalled: calls that come rarely are no stall while the process runs.
 func TestIdleProcessIsNotStalled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, r, w := stalledPicker()
+		locked, r, w := stalledPicker()
 		ctx, cancel := context.WithCancel(t.Context())
 		var watch sync.WaitGroup
-		watch.Go(func() { p.watchStalls(ctx) })
+		watch.Go(func() { locked.watchStalls(ctx) })
 		synctest.Wait()
-		p.UpdateClusterState(time.Now(), w)
+		locked.UpdateClusterState(time.Now(), w)
 		time.Sleep(time.Minute)
-		if got := chooseMany(p, r, 100); got["s0"]+got["s1"] != 100 {
+		if got := chooseMany(locked, r, 100); got["s0"]+got["s1"] != 100 {
 			t.Errorf("after a quiet minute %v of 100", got)
 		}
 		cancel()
@@ -142,17 +142,17 @@
 
 // TestOutdatedStateEndsNoWait: a world is told by durations as of a moment; a keeper's word in it is as old as that when it is used.
 func TestOutdatedStateEndsNoWait(t *testing.T) {
-	p, _, w := stalledPicker()
-	p.UpdateClusterState(time.Now(), w)
+	locked, _, w := stalledPicker()
+	locked.UpdateClusterState(time.Now(), w)
 	before := time.Now()
-	stallFor(p, 5*time.Second)
+	stallFor(locked, 5*time.Second)
 	w.ContactAge = 0
-	p.UpdateClusterState(before.Add(-5*time.Second), w) // made before the stall, used after it
-	if p.stalls.contact == nil {
+	locked.UpdateClusterState(before.Add(-5*time.Second), w) // made before the stall, used after it
+	if locked.stalls.contact == nil {
 		t.Error("a world from before the stall ends the wait")
 	}
-	p.UpdateClusterState(time.Now(), w)
-	if p.stalls.contact != nil {
+	locked.UpdateClusterState(time.Now(), w)
+	if locked.stalls.contact != nil {
 		t.Error("a world from after the stall does not")
 	}
 }
--- a/internal/system/proxy/testproxy_test.go
+++ b/internal/system/proxy/testproxy_test.go
@@ -18,30 +18,43 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-const testTimeout = 10 * time.Second // of tests, for what comes at once
+// testTimeout bounds the waits of tests for what comes at once.
+const testTimeout = 10 * time.Second
 
-// testProxy is a proxy with a toy picker.
+// testProxy is a proxy with a fake picker, which serves on a loopback address.
 type testProxy struct {
 	*Proxy
 	fake     *fakePicker
 	address  string
 	route    *config.Route
-	serveErr chan error
-	cancel   context.CancelFunc
+	serveErr chan error // what Serve returned
 }
 
+// configure changes the options and the configuration of a test proxy.
 type configure func(*Options, *config.Config)
 
+// withCategory gives the route a category.
 func withCategory(k config.Category) configure {
 	return func(_ *Options, c *config.Config) { c.Routes[0].Category = k }
 }
 
+// withResumable makes the route a resumable stream.
 func withResumable(_ *Options, c *config.Config) {
 	c.Routes[0].Category, c.Routes[0].Resumable = config.Streaming, true
 }
 
-// startProxy serves a route /a/ of the host h.example at servers.
-func startProxy(t *testing.T, servers []*fakeServer, changes ...configure) *testProxy {
+// listenLocal listens at a free port of the loopback address.
+func listenLocal(t testing.TB) net.Listener {
+	t.Helper()
+	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return listener
+}
+
+// startProxy starts a proxy whose route /a/ of the host h.example goes to the servers.
+func startProxy(t testing.TB, servers []*fakeServer, changes ...configure) *testProxy {
 	t.Helper()
 	route := &config.Route{Name: "r", Host: "h.example", Prefix: "/a/", Category: config.NonIdempotent, Timeout: 8 * time.Second,
 		LatencyTarget: time.Second, EventGapTarget: 500 * time.Millisecond, Priority: 3, MaxTries: 3,
@@ -49,41 +62,37 @@
 	config := &config.Config{Revision: 1, Routes: []*config.Route{route},
 		Services: map[string]*config.Service{"s": {Name: "s", MaxConns: 100}},
 		Limits:   config.Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}}
-	o := Options{Log: &log.Logger{Handler: discard.New()}, GracePeriod: 2 * time.Second}
+	options := Options{Log: &log.Logger{Handler: discard.New()}, GracePeriod: 2 * time.Second}
 	for _, c := range changes {
-		c(&o, config)
+		c(&options, config)
 	}
-	toy := &fakePicker{route: route, unreachable: map[string]bool{}, serverOf: map[uint64]string{}}
-	f := &testProxy{Proxy: newProxy(o, toy), fake: toy, route: route, serveErr: make(chan error, 1)}
-	f.pools.sameRegionTimeout = testTimeout // the machine may be busy
-	w := pick.ClusterState{Config: config}
+	fake := newFakePicker(route)
+	proxy := &testProxy{Proxy: newProxy(options, fake), fake: fake, route: route, serveErr: make(chan error, 1)}
+	proxy.pools.sameRegionTimeout = testTimeout // the machine may be busy
+	state := pick.ClusterState{Config: config}
 	for i, s := range servers {
-		w.Servers = append(w.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: s.address()})
-	}
-	f.UpdateClusterState(time.Now(), w)
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
+		state.Servers = append(state.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: s.address()})
 	}
-	f.address = l.Addr().String()
+	proxy.UpdateClusterState(time.Now(), state)
+	listener := listenLocal(t)
+	proxy.address = listener.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
-	f.cancel = cancel
-	go func() { f.serveErr <- f.Serve(ctx, l) }()
+	go func() { proxy.serveErr <- proxy.Serve(ctx, listener) }()
 	t.Cleanup(func() {
 		cancel()
-		receive(t, f.serveErr, "end of Serve")
-		f.serveErr <- nil
-		if held := f.memory.reserved.Load(); held != 0 {
-			t.Errorf("%d bytes are booked still", held)
+		receive(t, proxy.serveErr, "end of Serve")
+		proxy.serveErr <- nil
+		if reserved := proxy.memory.reserved.Load(); reserved != 0 {
+			t.Errorf("%d bytes are still reserved", reserved)
 		}
 	})
-	return f
+	return proxy
 }
 
-// outcomes are how the sends have ended so far.
-func (f *testProxy) outcomes() (ends []pick.Outcome) {
-	f.picker.withLock(func(picker, pick.Time) { ends = slices.Clone(f.fake.outcomes) })
-	return ends
+// outcomes are how the attempts have ended so far.
+func (f *testProxy) outcomes() (outcomes []pick.Outcome) {
+	f.picker.withLock(func(picker, pick.Time) { outcomes = slices.Clone(f.fake.outcomes) })
+	return outcomes
 }
 
 // testClient is a connection to the proxy.
@@ -95,11 +104,11 @@
 
 func (f *testProxy) dial(t *testing.T) *testClient {
 	t.Helper()
-	c, err := net.Dial("tcp4", f.address)
+	c, err := new(net.Dialer).DialContext(t.Context(), "tcp4", f.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
+	t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	return &testClient{c, t, bufio.NewReader(c)}
 }
@@ -137,11 +146,12 @@
 func (f *testProxy) roundTrip(t *testing.T, id, body string, more ...string) clientResponse {
 	t.Helper()
 	c := f.dial(t)
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	return c.sendRequest(id, body, more...).readResponse()
 }
 
-func receive[T any](t *testing.T, c <-chan T, what string) (v T) {
+// receive returns what comes from a channel within testTimeout.
+func receive[T any](t testing.TB, c <-chan T, what string) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
