--- /dev/null
+++ b/internal/system/proxy/clientrequest.go
@@ -0,0 +1,263 @@
+package proxy
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"time"
+
+	"gradeusher.example/gradeusher/internal/framing"
+	"gradeusher.example/gradeusher/internal/system/config"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+)
+
+const (
+	// maxUnreachedServers bounds the servers that one request finds unreachable before it is given up.
+	maxUnreachedServers = 4
+	// minSilenceTimeout is the least time for which a server may be silent before the head of its response.
+	minSilenceTimeout = 1500 * time.Millisecond
+	// minEventSilenceTimeout is the least time for which a server may be silent within an event stream.
+	minEventSilenceTimeout = time.Second
+	// silenceTargetFactor: a server may be silent for so many times the target of the route.
+	silenceTargetFactor = 2
+)
+
+// clientRequest is one request of a client, from its head to its answer. It makes attempts at one server after another. One
+// goroutine owns it.
+type clientRequest struct {
+	proxy      *Proxy
+	writer     http.ResponseWriter
+	request    *http.Request
+	controller *http.ResponseController
+	conn       *framing.ClientConn // nil where a test calls ServeHTTP itself
+
+	attemptID   string // X-Attempt-Id
+	target      string // path and query as they came
+	route       *config.Route
+	pickRequest pick.Request
+	body        []byte
+	startedAt   time.Time
+	deadline    time.Time
+
+	triedServers   []string          // ids of the servers that it was sent to
+	mayHaveRun     bool              // some attempt may have run; never unset
+	unreachedCount int               // attempts of which nothing was sent
+	nextChoice     *pick.Choice      // the server that replaces a silent one; nil: none has been chosen
+	retryAfter     time.Duration     // the longest wait that servers which did not run it asked for
+	fallback       *bufferedResponse // a server's own failure, passed on if nothing better comes
+	headSent       bool              // the head of a response has gone to the client
+	lastEventID    string            // of the last event that went to the client; "": not known
+	reservedBytes  int64             // memory for buffered responses
+}
+
+// attemptResult is what follows an attempt.
+type attemptResult int
+
+const (
+	requestDone   attemptResult = iota // the client has its answer, or its connection has ended
+	tryNextServer                      // if there is one, and the request may be sent again
+)
+
+// run makes attempts until the client has been answered.
+func (c *clientRequest) run(ctx context.Context) {
+	defer func() { c.proxy.memory.release(c.reservedBytes) }()
+	for {
+		choice := c.chooseServer(ctx)
+		if choice.Verdict != pick.Send {
+			c.answerUnserved(choice)
+			return
+		}
+		if c.tryServer(ctx, choice) == requestDone {
+			return
+		}
+	}
+}
+
+// mayRetry reports whether the request may be sent to one more server, as far as that depends on the request alone. This is
+// where a non-idempotent request that may have run is kept from running twice.
+func (c *clientRequest) mayRetry(mayHaveRun bool) bool {
+	knobs := &c.proxy.options.TestingKnobs
+	switch {
+	case len(c.triedServers) >= max(c.route.MaxTries, 1):
+		return false
+	case c.headSent:
+		return (c.route.Resumable || knobs.ResumeAnyStream) && c.lastEventID != ""
+	}
+	return !mayHaveRun || c.route.Idempotent() || knobs.RetryNonIdempotent
+}
+
+// chooseServer asks the picker where to send the request next.
+func (c *clientRequest) chooseServer(ctx context.Context) pick.Choice {
+	if choice := c.nextChoice; choice != nil {
+		c.nextChoice = nil
+		return *choice
+	}
+	c.proxy.picker.awaitContact(ctx)
+	timeLeft := time.Until(c.deadline)
+	if timeLeft <= 0 || c.clientGone() || c.unreachedCount >= maxUnreachedServers || !c.mayRetry(c.mayHaveRun) {
+		return pick.Choice{Verdict: pick.GiveUp}
+	}
+	return c.askPicker(timeLeft, c.mayHaveRun)
+}
+
+func (c *clientRequest) askPicker(timeLeft time.Duration, mayHaveRun bool) pick.Choice {
+	c.pickRequest.TimeLeft, c.pickRequest.Age, c.pickRequest.Resumed = timeLeft, time.Since(c.startedAt), c.headSent
+	return c.proxy.picker.Choose(&c.pickRequest, c.triedServers, mayHaveRun)
+}
+
+// tryServer makes one attempt. Every send of a request to a server happens here.
+func (c *clientRequest) tryServer(ctx context.Context, choice pick.Choice) attemptResult {
+	nonIdempotentOnce.Check(!c.mayHaveRun || c.route.Idempotent())
+	attempt := c.newAttempt(ctx, choice)
+	buffer, recycle := getBuffer(typicalHeadBytes + int64(min(len(c.body), maxJoinedBodyBytes)))
+	head, body := c.appendHead(buffer, choice)
+	sendErr := attempt.send(head, body)
+	recycle()
+	if errors.Is(sendErr, errNotSent) {
+		return c.handleNotSent(attempt)
+	}
+	c.countSend(choice)
+	c.watchForSilence(attempt, max(silenceTargetFactor*c.route.LatencyTarget, c.proxy.options.TestingKnobs.MinSilenceTimeout))
+	if err := attempt.readHead(c.request.Method); err != nil {
+		return c.handleFailure(attempt, err)
+	}
+	resp := attempt.response
+	resp.Close = resp.Close || sendErr != nil // the rest of the request never goes out
+	if err := c.validateResponse(attempt); err != nil {
+		return c.handleFailure(attempt, err)
+	}
+	c.proxy.picker.Started(choice.Ticket, choice.Server.ID, parseServerHints(resp.Header, resp.Close))
+	return c.handleResponse(attempt)
+}
+
+func (c *clientRequest) newAttempt(ctx context.Context, choice pick.Choice) *upstreamAttempt {
+	sendDeadline := c.deadline
+	if choice.SendWithin > 0 {
+		sendDeadline = earlierOf(c.deadline, time.Now().Add(choice.SendWithin))
+	}
+	return &upstreamAttempt{
+		ctx:          ctx,
+		choice:       choice,
+		pools:        c.proxy.pools,
+		pool:         c.proxy.pools.poolOf(choice.Server),
+		attemptID:    c.attemptID,
+		deadline:     c.deadline,
+		sendDeadline: sendDeadline,
+		headRequest:  c.request.Method == http.MethodHead,
+	}
+}
+
+func earlierOf(a, b time.Time) time.Time {
+	if b.Before(a) {
+		return b
+	}
+	return a
+}
+
+// countSend records that the request was written to a server, completely or in part.
+func (c *clientRequest) countSend(choice pick.Choice) {
+	c.proxy.counters.Sends.Add(1)
+	c.triedServers = append(c.triedServers, choice.Server.ID)
+	if len(c.triedServers) > 1 {
+		c.proxy.counters.Retries.Add(1)
+	}
+}
+
+// watchForSilence has a server abandoned that is silent for longer than the timeout, where the request may be retried.
+func (c *clientRequest) watchForSilence(attempt *upstreamAttempt, timeout time.Duration) {
+	if !c.mayRetry(true) {
+		attempt.silenceTimeout = 0
+		return
+	}
+	attempt.silenceTimeout = timeout
+	attempt.abandon = c.chooseReplacement
+}
+
+// chooseReplacement chooses a server that replaces a silent one, and reports whether there is one.
+func (c *clientRequest) chooseReplacement() bool {
+	timeLeft := time.Until(c.deadline)
+	if timeLeft <= 0 || !c.mayRetry(true) {
+		return false
+	}
+	choice := c.askPicker(timeLeft, true)
+	if choice.Verdict != pick.Send {
+		return false
+	}
+	c.nextChoice = &choice
+	return true
+}
+
+// handleNotSent records an attempt of which no byte was sent.
+func (c *clientRequest) handleNotSent(attempt *upstreamAttempt) attemptResult {
+	c.unreachedCount++
+	if c.clientGone() {
+		c.reportOutcome(attempt, pick.Canceled)
+		return tryNextServer
+	}
+	c.proxy.pools.closeIdle(attempt.pool)
+	c.reportOutcome(attempt, pick.ConnectFailed)
+	return tryNextServer
+}
+
+// handleFailure records an attempt that brought no valid response, or not all of one.
+func (c *clientRequest) handleFailure(attempt *upstreamAttempt, err error) attemptResult {
+	attempt.discard()
+	c.mayHaveRun = true
+	outcome := c.failureOutcome(attempt, err)
+	if outcome == pick.TimedOut && errors.Is(err, errServerSilent) {
+		c.proxy.counters.Abandoned.Add(1)
+	}
+	if outcome != pick.Canceled {
+		c.proxy.pools.closeIdleUnlessContacted(attempt.pool, attempt.sentAt)
+	}
+	c.reportOutcome(attempt, outcome)
+	return tryNextServer
+}
+
+// failureOutcome is what a failed attempt says about its server.
+func (c *clientRequest) failureOutcome(attempt *upstreamAttempt, err error) pick.Outcome {
+	switch {
+	case c.clientGone():
+		return pick.Canceled
+	case errors.Is(err, errServerSilent):
+		return pick.TimedOut
+	case errors.Is(err, errDeadlinePassed):
+		if attempt.sinceLastContact() < minSilenceTimeout {
+			return pick.Canceled // late, but alive as far as is known
+		}
+		return pick.TimedOut
+	}
+	return pick.ConnectionLost
+}
+
+func (c *clientRequest) reportOutcome(attempt *upstreamAttempt, outcome pick.Outcome) {
+	c.proxy.picker.Done(attempt.choice.Ticket, outcome, 0)
+}
+
+// clientGone reports whether the client has closed its connection.
+func (c *clientRequest) clientGone() bool { return c.request.Context().Err() != nil }
+
+// answerUnserved answers a request that goes to no further server.
+func (c *clientRequest) answerUnserved(choice pick.Choice) {
+	counters := &c.proxy.counters
+	switch {
+	case c.clientGone():
+		counters.ClientGone.Add(1)
+		c.abortConn(dropUnsent)
+	case c.headSent:
+		counters.Truncated.Add(1)
+		c.abortConn(deliverUnsent)
+	case c.fallback != nil:
+		counters.Served.Add(1)
+		c.sendBuffered(c.fallback)
+	case !c.mayHaveRun:
+		counters.Refused.Add(1)
+		c.respondError(http.StatusServiceUnavailable, max(choice.RetryAfter, c.retryAfter))
+	case time.Until(c.deadline) <= 0:
+		counters.TimedOut.Add(1)
+		c.respondError(http.StatusGatewayTimeout, 0)
+	default:
+		counters.Failed.Add(1)
+		c.respondError(http.StatusBadGateway, 0)
+	}
+}
--- /dev/null
+++ b/internal/system/proxy/eventrelay_test.go
@@ -0,0 +1,196 @@
+package proxy
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"slices"
+	"strings"
+	"testing"
+
+	"gradeusher.example/gradeusher/internal/system/config"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+)
+
+// TestTruncatedStreams cuts a stream in each way: a resumable one goes on at another server within the same answer, any other is
+// broken off so that it does not look complete.
+func TestTruncatedStreams(t *testing.T) {
+	hang := func(c net.Conn, _ *http.Request, _ []byte) bool { return false }
+	for _, test := range []struct {
+		name      string
+		first     serverBehavior
+		second    serverBehavior
+		resumes   string // the whole body where the stream may be resumed; "": it is broken off
+		last      string // Last-Event-Id that the second server gets; "": it is not asked
+		outcomes  []pick.Outcome
+		otherwise string // what comes of a stream that may not be resumed, before it is broken off
+		whole     bool   // it is not broken off
+	}{
+		{"whole", respondEvents(1, 3, true), nil, streamText(1, 3), "", []pick.Outcome{pick.Served}, streamText(1, 3), true},
+		{"cut", respondEventsThen(1, 3, hang), respondEvents(4, 6, true), streamText(1, 6), "3", []pick.Outcome{pick.ConnectionLost, pick.Served}, streamText(1, 3), false},
+		{"reset", respondEventsThen(1, 3, resetConn), respondEvents(4, 6, true), streamText(1, 6), "3", []pick.Outcome{pick.ConnectionLost, pick.Served}, "", false},
+		{"cut within an event", respondEventsThen(1, 2, writeText(chunk("id: 3\ndata"), false)), respondEvents(3, 4, true), streamText(1, 4), "2",
+			[]pick.Outcome{pick.ConnectionLost, pick.Served}, streamText(1, 2), false},
+		{"cut behind an event's data", respondEventsThen(1, 2, writeText(chunk("id: 3\ndata: d3\n"), false)), respondEvents(3, 4, true), streamText(1, 4), "2",
+			[]pick.Outcome{pick.ConnectionLost, pick.Served}, streamText(1, 2), false},
+		{"garbage", respondEventsThen(1, 2, writeText("zz\r\nwhat\r\n", true)), respondEvents(3, 4, true), streamText(1, 4), "2",
+			[]pick.Outcome{pick.ConnectionLost, pick.Served}, streamText(1, 2), false},
+		{"an event again", respondEventsThen(1, 2, writeText(eventChunk(2)+eventChunk(3)+"0\r\n\r\n", true)), respondEvents(3, 4, true), streamText(1, 4), "2",
+			[]pick.Outcome{pick.ConnectionLost, pick.Served}, streamText(1, 2), false},
+		{"cut at its end", respondEventsThen(1, 3, hang), respondEvents(4, 3, true), streamText(1, 3), "3", []pick.Outcome{pick.ConnectionLost, pick.Served}, streamText(1, 3), false},
+		{"repeated by the second", respondEventsThen(1, 3, hang), respondEvents(3, 6, true), "", "3", []pick.Outcome{pick.ConnectionLost, pick.ConnectionLost}, streamText(1, 3), false},
+		{"started anew by the second", respondEventsThen(1, 3, hang), respondEvents(1, 6, true), "", "3", []pick.Outcome{pick.ConnectionLost, pick.ConnectionLost}, streamText(1, 3), false},
+		{"failed by the second", respondEventsThen(1, 3, hang), respondWith(500, "oh"), "", "3", []pick.Outcome{pick.ConnectionLost, pick.ServerError}, streamText(1, 3), false},
+		{"refused by the second", respondEventsThen(1, 3, hang), respondWith(503, "", "X-Not-Executed: 1"), "", "3",
+			[]pick.Outcome{pick.ConnectionLost, pick.NotExecuted}, streamText(1, 3), false},
+		{"no stream from the second", respondEventsThen(1, 3, hang), respondWith(200, streamText(4, 6)), "", "3",
+			[]pick.Outcome{pick.ConnectionLost, pick.ServerError}, streamText(1, 3), false},
+		{"another's stream from the second", respondEventsThen(1, 3, hang), respondRaw("HTTP/1.1 200 X\r\nX-Attempt-Id: other\r\nX-Server-Seal: s\r\n"+
+			"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"+eventChunk(4)+"0\r\n\r\n", true), "", "3",
+			[]pick.Outcome{pick.ConnectionLost, pick.ConnectionLost}, streamText(1, 3), false},
+		{"events without ids", respondEventsThen(1, 2, writeText(chunk("data: x\n\n"), false)), nil, "", "", []pick.Outcome{pick.ConnectionLost},
+			streamText(1, 2) + "data: x\n\n", false},
+	} {
+		for _, isResumable := range []bool{true, false} {
+			t.Run(fmt.Sprint(test.name, isResumable), func(t *testing.T) {
+				servers := []*fakeServer{startServer(t, test.first)}
+				if test.second != nil {
+					servers = append(servers, startServer(t, test.second))
+				}
+				how, want, whole, outcomes := withCategory(config.Streaming), test.otherwise, test.whole, test.outcomes[:1]
+				if isResumable {
+					how, want, whole, outcomes = withResumable, test.resumes, test.resumes != "", test.outcomes
+				}
+				proxy := startProxy(t, servers, how)
+				got := proxy.roundTrip(t, "id-1", "body")
+				if want == "" && !whole {
+					want = got.body // how much came does not matter
+				}
+				if got.StatusCode != http.StatusOK || got.body != want || (got.err == nil) != whole {
+					t.Errorf("status %d, body %q, error %v; want %q, whole: %v", got.StatusCode, got.body, got.err, want, whole)
+				}
+				if ends := proxy.outcomes(); !slices.Equal(ends, outcomes) {
+					t.Errorf("sends ended as %v, want %v", ends, outcomes)
+				}
+				if isResumable && test.last != "" {
+					if r := receive(t, servers[1].requests, "request"); r.Header.Get(headerLastEventID) != test.last || r.body != "body" ||
+						r.Header.Get(headerAttemptID) != "id-1" || r.Header.Get(headerTargetInstance) != "i-1" {
+						t.Errorf("the second server got %v, %q", r.Header, r.body)
+					}
+				} else if test.second != nil && len(servers[1].requests) > 0 {
+					t.Error("the second server was asked")
+				}
+			})
+		}
+	}
+}
+
+// TestStreamKeepsHead has a stream go on at another server: its head and seal stay those of the first.
+func TestStreamKeepsHead(t *testing.T) {
+	sealed := func(seal string, from, to int, whole bool) serverBehavior {
+		text := "HTTP/1.1 200 X\r\nX-Attempt-Id: ID\r\nX-Server-Seal: " + seal + "\r\nContent-Type: text/event-stream; charset=utf-8\r\n" +
+			"Transfer-Encoding: chunked\r\n\r\n"
+		for id := from; id <= to; id++ {
+			text += eventChunk(id)
+		}
+		if whole {
+			text += "0\r\n\r\n"
+		}
+		return respondRaw(text, whole)
+	}
+	f := startProxy(t, []*fakeServer{startServer(t, sealed("one", 1, 2, false)), startServer(t, sealed("two", 3, 3, false)),
+		startServer(t, sealed("three", 4, 5, true))}, withResumable)
+	got := f.roundTrip(t, "id-1", "")
+	if got.body != streamText(1, 5) || got.err != nil || got.Header.Get(headerServerSeal) != "one" {
+		t.Errorf("body %q, error %v, seal %q", got.body, got.err, got.Header.Get(headerServerSeal))
+	}
+	if n := f.Counters().Resumed.Load(); n != 2 {
+		t.Errorf("%d times taken up", n)
+	}
+}
+
+// TestClientResumes has a client take a stream up itself: what it has goes to the server, and ids rise above it.
+func TestClientResumes(t *testing.T) {
+	first, second := startServer(t, respondEvents(7, 9, false)), startServer(t, respondEvents(10, 11, true))
+	f := startProxy(t, []*fakeServer{first, second}, withResumable)
+	got := f.roundTrip(t, "id-1", "", "Last-Event-Id: 6")
+	if got.body != streamText(7, 11) || got.err != nil {
+		t.Errorf("body %q, error %v", got.body, got.err)
+	}
+	if a, b := <-first.requests, <-second.requests; a.Header.Get(headerLastEventID) != "6" || b.Header.Get(headerLastEventID) != "9" {
+		t.Errorf("Last-Event-Id %q, then %q", a.Header.Get(headerLastEventID), b.Header.Get(headerLastEventID))
+	}
+}
+
+// TestStreamAtOnce has a server send the next event only when the client has the one before.
+func TestStreamAtOnce(t *testing.T) {
+	next := make(chan bool)
+	s := startServer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
+		_, _ = io.WriteString(c, head(r, 200, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")+"\r\n")
+		for id := 1; id <= 3; id++ {
+			<-next
+			_, _ = io.WriteString(c, eventChunk(id))
+		}
+		<-next
+		_, _ = io.WriteString(c, "0\r\n\r\n")
+		return true
+	})
+	proxy := startProxy(t, []*fakeServer{s}, withCategory(config.Streaming))
+	c := proxy.dial(t).sendRequest("id-1", "")
+	next <- true
+	resp, err := http.ReadResponse(c.reader, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for id := 1; id <= 3; id++ {
+		text := make([]byte, len(streamText(id, id)))
+		if _, err := io.ReadFull(resp.Body, text); err != nil || string(text) != streamText(id, id) {
+			t.Fatalf("%q, error %v", text, err)
+		}
+		next <- true
+	}
+	if rest, err := io.ReadAll(resp.Body); len(rest) > 0 || err != nil {
+		t.Errorf("%q, error %v", rest, err)
+	}
+	if proxy.fake.firstEvents != 1 {
+		t.Errorf("%d first events", proxy.fake.firstEvents)
+	}
+}
+
+// TestHTTP10Client has a client of HTTP/1.0, where the end of the connection is the answer's: a stream that is cut ends with a
+// reset.
+func TestHTTP10Client(t *testing.T) {
+	proxy := startProxy(t, []*fakeServer{startServer(t, respondEvents(1, 2, false))}, withCategory(config.Streaming))
+	c := proxy.dial(t)
+	_, _ = fmt.Fprint(c, "GET /a/x HTTP/1.0\r\nHost: h.example\r\nX-Attempt-Id: a\r\n\r\n")
+	if text, err := io.ReadAll(c.reader); err == nil {
+		t.Errorf("%q looks complete", text)
+	}
+}
+
+// TestUnbufferedResponses has answers that are too long to be held.
+func TestUnbufferedResponses(t *testing.T) {
+	long := strings.Repeat("0123456789", 60<<10)
+	ok := "HTTP/1.1 200 X\r\nX-Attempt-Id: ID\r\nX-Server-Seal: s\r\n"
+	length := fmt.Sprintf("Content-Length: %d\r\n\r\n", len(long))
+	for _, test := range []struct {
+		name, text string
+		whole      bool
+	}{
+		{"whole", ok + length + long, true},
+		{"cut", ok + length + long[:300<<10], false},
+		{"chunks", ok + "Transfer-Encoding: chunked\r\n\r\n" + chunk(long) + "0\r\n\r\n", true},
+		{"cut chunks", ok + "Transfer-Encoding: chunked\r\n\r\n" + chunk(long), false},
+		{"cut within a chunk", ok + "Transfer-Encoding: chunked\r\n\r\n" + chunk(long)[:500<<10], false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			s := startServer(t, respondRaw(test.text, test.whole))
+			proxy := startProxy(t, []*fakeServer{s}, withCategory(config.Idempotent))
+			got := proxy.roundTrip(t, "id-1", "")
+			if (got.err == nil) != test.whole || test.whole && got.body != long || !strings.HasPrefix(long, got.body) {
+				t.Errorf("%d bytes, error %v", len(got.body), got.err)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/system/proxy/exactlyonce_test.go
@@ -0,0 +1,361 @@
+package proxy
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/apex/log"
+	"github.com/apex/log/handlers/discard"
+	"pgregory.net/rapid"
+
+	"gradeusher.example/gradeusher/internal/system/config"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+)
+
+// testScenario is a run of scripted clients and servers around one proxy.
+type testScenario struct {
+	Category  config.Category
+	Resumable bool
+	MaxTries  int
+	Servers   [][]behaviour
+	Steps     []clientStep
+}
+
+// shortSilenceTimeout is how long a server may be silent: less than the clients of a scenario with silent servers wait.
+const shortSilenceTimeout = 20 * time.Millisecond
+
+// clientStep is what a client does, once the clientStep before has ended.
+type clientStep struct {
+	Manner    string // "plain", "pipelined", "gone", "halfclosed", "slow", "expect", "trailers" or "twice"
+	Method    string
+	LargeBody bool // a body that does not go out with the head in one write
+}
+
+// scenarioGenerator draws them. A quarter of all behaviours is sound, so that connections are used again.
+var scenarioGenerator = rapid.Custom(func(t *rapid.T) testScenario {
+	s := testScenario{Category: rapid.SampledFrom([]config.Category{config.NonIdempotent, config.Idempotent, config.Streaming, config.Streaming}).Draw(t, "category"),
+		MaxTries: rapid.IntRange(1, 3).Draw(t, "tries")}
+	s.Resumable = s.Category == config.Streaming && rapid.Bool().Draw(t, "resumable")
+	for range rapid.IntRange(1, 3).Draw(t, "servers") {
+		s.Servers = append(s.Servers, rapid.SliceOfN(behaviourGenerator, 1, 5).Draw(t, "behaviours"))
+	}
+	s.Steps = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) clientStep {
+		return clientStep{Manner: rapid.SampledFrom([]string{"plain", "plain", "plain", "plain", "pipelined", "gone", "halfclosed", "slow",
+			"expect", "trailers", "twice"}).Draw(t, "way"),
+			Method: rapid.SampledFrom([]string{"POST", "POST", "GET", "HEAD"}).Draw(t, "method"), LargeBody: rapid.IntRange(0, 4).Draw(t, "big") == 4}
+	}), 1, 6).Draw(t, "steps")
+	return s
+})
+
+var behaviourGenerator = rapid.Custom(func(t *rapid.T) behaviour {
+	b := soundBehaviour
+	b.Framing = rapid.SampledFrom([]string{"length", "chunked"}).Draw(t, "framing")
+	rare := func(label string) bool { return rapid.IntRange(0, 5).Draw(t, label) == 5 }
+	switch rapid.IntRange(0, 7).Draw(t, "kind") {
+	case 3: // another answer
+		b.Status = rapid.SampledFrom([]int{200, 204, 302, 400, 404, 408, 421, 429, 500, 503, 504}).Draw(t, "status")
+		b.NotExecuted = rapid.Bool().Draw(t, "not executed")
+		b.Echo = rapid.SampledFrom([]echoedID{ownID, ownID, otherID, earlierID, noID}).Draw(t, "echo")
+		if b.Status == 204 {
+			b.Framing = "length"
+			b.Status = 201
+		}
+	case 4: // an answer that is none
+		b.Unsealed, b.Encoded, b.Garbage, b.Early = rare("unsealed"), rare("encoded"), rare("garbage"), rare("early")
+		b.Interims = rapid.IntRange(0, 5).Draw(t, "interims")
+		b.Framing = rapid.SampledFrom([]string{"length", "chunked", "none", "both", "twice"}).Draw(t, "odd framing")
+		if b.Closes = rare("closes"); b.Framing == "none" {
+			b.PermilleSent, b.After = rapid.IntRange(800, 1000).Draw(t, "end"), halfCloseAfter
+		}
+	case 5, 6, 7: // one that is cut, or followed by something
+		b.PermilleSent = rapid.SampledFrom([]int{0, 100, 300, 500, 650, 750, 850, 920, 960, 990, 1000}).Draw(t, "cut")
+		b.After = rapid.SampledFrom([]afterSend{stayOpen, halfCloseAfter, resetAfter}).Draw(t, "then")
+		b.Early, b.RepeatsEvent, b.SendsRestLate = rapid.Bool().Draw(t, "early"), rare("repeats"), rapid.Bool().Draw(t, "late")
+	case 2: // what comes between two answers
+		b.Surplus = rapid.SampledFrom([]surplusTiming{noSurplus, samePacket, whileIdle, withNext}).Draw(t, "surplus")
+		b.CloseIdle, b.CloseRace = rapid.Bool().Draw(t, "close idle"), rapid.Bool().Draw(t, "close race")
+	}
+	return b
+})
+
+// scenarioRun is a scenario that is being played.
+type scenarioRun struct {
+	testScenario
+	*scriptedServers
+	address    string
+	timeLeftMS string // X-Time-Left-Ms
+
+	mu         sync.Mutex
+	outcomes   []clientOutcome
+	keptConn   net.Conn // kept for many requests
+	keptReader *bufio.Reader
+}
+
+// clientOutcome is what a client saw of one request; sends: with how many requests of one id.
+type clientOutcome struct {
+	id, method string
+	sends      int
+	noHead     bool // no head of an answer came
+	status     int
+	echo, seal string
+	body       string
+	err        error // where the body broke off
+}
+
+// playScenario plays a scenario and returns what it violated.
+func playScenario(s testScenario, knobs TestingKnobs) error {
+	return playScenarioInto(s, knobs, map[string]int64{})
+}
+
+// playScenarioInto does so, and adds the proxy's counters to a tally.
+func playScenarioInto(s testScenario, knobs TestingKnobs, tally map[string]int64) error {
+	servers := &scriptedServers{stream: s.Category == config.Streaming, resumable: s.Resumable}
+	run := &scenarioRun{testScenario: s, scriptedServers: servers, timeLeftMS: "4000"}
+	defer run.stop()
+	state, err := run.startServers()
+	if err != nil {
+		return err
+	}
+	knobs.MinSilenceTimeout, knobs.MinEventSilenceTimeout = shortSilenceTimeout, shortSilenceTimeout
+	proxy := newProxy(Options{Log: &log.Logger{Handler: discard.New()}, TestingKnobs: knobs}, newFakePicker(state.Config.Routes[0]))
+	proxy.pools.sameRegionTimeout = testTimeout
+	proxy.UpdateClusterState(time.Now(), state)
+	err = run.serveAndRun(proxy)
+	run.stop()
+	for name, counter := range proxy.counters.byMetric() {
+		tally[name] += counter.Load()
+	}
+	if err != nil {
+		return err
+	}
+	return run.checkOutcomes()
+}
+
+// startServers starts the scripted servers and returns the cluster state in which a proxy knows them.
+func (w *scenarioRun) startServers() (pick.ClusterState, error) {
+	route := &config.Route{Name: "r", Host: "h.example", Prefix: "/a/", Category: w.Category, Resumable: w.Resumable,
+		Timeout: 8 * time.Second, MaxTries: w.MaxTries, Shares: []config.Share{{Service: "s", Weight: 1}}}
+	state := pick.ClusterState{Config: &config.Config{Revision: 1, Routes: []*config.Route{route},
+		Services: map[string]*config.Service{"s": {Name: "s", MaxConns: 100}},
+		Limits:   config.Limits{HeaderBytes: 16 << 10, BodyBytes: 4 << 20}}}
+	for i, behaviours := range w.Servers {
+		server, err := w.start(behaviours)
+		if err != nil {
+			return state, err
+		}
+		if slices.ContainsFunc(behaviours, behaviour.leavesWaiting) {
+			w.timeLeftMS = "90"
+		}
+		state.Servers = append(state.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: server.listener.Addr().String()})
+	}
+	return state, nil
+}
+
+// serveAndRun goes through the steps while a proxy serves, and ends it.
+func (w *scenarioRun) serveAndRun(proxy *Proxy) error {
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	listener, err := new(net.ListenConfig).Listen(ctx, "tcp4", "127.0.0.1:0")
+	if err != nil {
+		return err
+	}
+	w.address = listener.Addr().String()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- proxy.Serve(ctx, listener) }()
+	err = w.run()
+	cancel()
+	if e := <-serveErr; err == nil {
+		err = e
+	}
+	return err
+}
+
+// run goes through the steps.
+func (w *scenarioRun) run() error {
+	defer w.closeKept()
+	for n, at := range w.Steps {
+		for _, do := range w.takeActions(&w.whileIdle) {
+			do()
+		}
+		var racing sync.WaitGroup
+		for _, do := range w.takeActions(&w.whileSending) {
+			racing.Go(do)
+		}
+		err := w.step(fmt.Sprint("id-", n), at)
+		racing.Wait()
+		if err != nil {
+			return fmt.Errorf("step %d: %w", n, err)
+		}
+	}
+	return w.checkNoSurplus()
+}
+
+func (w *scenarioRun) closeKept() {
+	if w.keptConn != nil {
+		_ = w.keptConn.Close()
+		w.keptConn = nil
+	}
+}
+
+// checkNoSurplus looks whether anything comes on the kept connection where no request waits.
+func (w *scenarioRun) checkNoSurplus() error {
+	if w.keptConn == nil {
+		return nil
+	}
+	if err := w.keptConn.(*net.TCPConn).CloseWrite(); err != nil {
+		return nil // closed by the proxy
+	}
+	if rest, _ := io.ReadAll(w.keptReader); len(rest) > 0 {
+		return fmt.Errorf("bytes that no request waits for: %.60q", rest)
+	}
+	return nil
+}
+
+func (w *scenarioRun) dial() (net.Conn, error) {
+	c, err := new(net.Dialer).DialContext(context.Background(), "tcp4", w.address)
+	if err == nil {
+		err = c.SetDeadline(time.Now().Add(testTimeout))
+	}
+	return c, err
+}
+
+// step does what a client does, on the kept connection or on one of its own.
+func (w *scenarioRun) step(id string, step clientStep) error {
+	switch step.Manner {
+	case "gone", "halfclosed", "twice":
+		sends := 1
+		if step.Manner == "twice" {
+			sends = 2
+		}
+		var asking sync.WaitGroup
+		var failed error
+		for range sends {
+			conn, err := w.dial()
+			if err != nil {
+				return err
+			}
+			asking.Go(func() {
+				defer func() { _ = conn.Close() }()
+				w.sendHead(conn, id, step, "")
+				if step.Manner == "gone" {
+					return
+				}
+				if step.Manner == "halfclosed" {
+					_ = conn.(*net.TCPConn).CloseWrite()
+				}
+				w.recordResponse(conn, bufio.NewReader(conn), id, step.Method, sends)
+			})
+		}
+		asking.Wait()
+		return failed
+	}
+	if w.keptConn == nil {
+		conn, err := w.dial()
+		if err != nil {
+			return err
+		}
+		w.keptConn, w.keptReader = conn, bufio.NewReader(conn)
+	}
+	if step.Manner == "pipelined" {
+		both := step
+		both.Manner = "plain"
+		w.sendHead(w.keptConn, id+"-0", both, "")
+		w.sendHead(w.keptConn, id+"-1", both, "")
+		if w.recordResponse(w.keptConn, w.keptReader, id+"-0", step.Method, 1) {
+			w.recordResponse(w.keptConn, w.keptReader, id+"-1", step.Method, 1)
+		}
+		return nil
+	}
+	w.sendHead(w.keptConn, id, step, "Expect: 100-continue\r\n")
+	w.recordResponse(w.keptConn, w.keptReader, id, step.Method, 1)
+	return nil
+}
+
+// sendHead sends a request. Its body begins with its id and method. What the proxy takes no more is not its fault.
+func (w *scenarioRun) sendHead(conn net.Conn, id string, step clientStep, expect string) {
+	body := ""
+	if step.Method == http.MethodPost {
+		if body = id + " POST"; step.LargeBody {
+			body += strings.Repeat(".", 2<<20)
+		}
+	}
+	text := fmt.Sprintf("%s /a/%s HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: %s\r\nX-Time-Left-Ms: %s\r\n", step.Method, id, id, w.timeLeftMS)
+	switch {
+	case body == "":
+		_, _ = io.WriteString(conn, text+"\r\n")
+	case step.Manner == "trailers":
+		half := len(body) / 2
+		_, _ = io.WriteString(conn, text+"Trailer: X-T\r\nTransfer-Encoding: chunked\r\n\r\n"+chunk(body[:half])+chunk(body[half:])+
+			"0\r\nX-T: 1\r\n\r\n")
+	case step.Manner == "slow":
+		_, _ = fmt.Fprintf(conn, "%sContent-Length: %d\r\n\r\n", text, len(body))
+		for _, part := range []string{body[:2], body[2:]} {
+			_, _ = io.WriteString(conn, part)
+		}
+	case step.Manner == "expect":
+		_, _ = fmt.Fprintf(conn, "%s%sContent-Length: %d\r\n\r\n", text, expect, len(body))
+		if line, err := w.keptReader.Peek(len("HTTP/1.1 100")); err == nil && string(line) == "HTTP/1.1 100" {
+			_, _ = io.WriteString(conn, body)
+		}
+	default:
+		_, _ = fmt.Fprintf(conn, "%sContent-Length: %d\r\n\r\n%s", text, len(body), body)
+	}
+}
+
+// recordResponse reads one answer, records it, and tells whether the connection is good for another.
+func (w *scenarioRun) recordResponse(conn net.Conn, in *bufio.Reader, id, method string, sends int) bool {
+	out := clientOutcome{id: id, method: method, sends: sends, noHead: true}
+	stays := false
+	for {
+		resp, err := http.ReadResponse(in, &http.Request{Method: method})
+		if err != nil {
+			break
+		}
+		if resp.StatusCode < http.StatusOK {
+			continue
+		}
+		body, err := io.ReadAll(resp.Body)
+		out.noHead, out.status, out.echo, out.seal = false, resp.StatusCode, resp.Header.Get(headerAttemptID), resp.Header.Get(headerServerSeal)
+		out.body, out.err = string(body), err
+		stays = err == nil && !resp.Close
+		break
+	}
+	w.mu.Lock()
+	w.outcomes = append(w.outcomes, out)
+	w.mu.Unlock()
+	if !stays {
+		_ = conn.Close()
+		if conn == w.keptConn {
+			w.keptConn = nil
+		}
+	}
+	return stays
+}
+
+// TestExactlyOnce plays scenarios of peers that misbehave in all ways and orders, on fresh and reused connections: a request
+// that may run once reaches servers once, each client gets its own answer, whole or visibly broken, no promise is false, and
+// streams lose, repeat and join nothing.
+func TestExactlyOnce(t *testing.T) {
+	tally := map[string]int64{}
+	rapid.Check(t, func(t *rapid.T) {
+		s := scenarioGenerator.Draw(t, "scenario")
+		if err := playScenarioInto(s, TestingKnobs{}, tally); err != nil {
+			t.Fatalf("%v\n%+v", err, s)
+		}
+	})
+	t.Logf("the proxy's counters over all scenarios: %v", tally)
+	for _, name := range []string{"reused", "repeats", "mismatch", "served", "broken"} {
+		if tally[name] == 0 {
+			t.Errorf("no scenario brought %s about", name)
+		}
+	}
+}
--- /dev/null
+++ b/internal/system/proxy/response.go
@@ -0,0 +1,228 @@
+package proxy
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"strconv"
+
+	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+)
+
+const (
+	// initialBufferBytes is the size of a response's first buffer if its length is not known.
+	initialBufferBytes = 4 << 10
+	// maxBufferedBytes bounds the bytes of a response that are buffered until it is complete.
+	maxBufferedBytes = 256 << 10
+	// relayBufferBytes is how much of a longer response is passed on at once.
+	relayBufferBytes = 32 << 10
+)
+
+// bufferedResponse is a server's response of which the body, or its beginning, is in memory.
+type bufferedResponse struct {
+	status int
+	header http.Header
+	body   []byte
+}
+
+// handleResponse goes by a valid response: it passes it on, or keeps it for the case that no other server does better.
+func (c *clientRequest) handleResponse(attempt *upstreamAttempt) attemptResult {
+	resp := attempt.response
+	switch {
+	case saysNotExecuted(resp) || resp.StatusCode == http.StatusMisdirectedRequest:
+		return c.handleRefusal(attempt)
+	case isSuccess(resp.StatusCode) && isEventStream(resp):
+		return c.relayEvents(attempt)
+	case c.headSent: // only an event stream can resume one
+		attempt.discard()
+		return c.handleServerError(attempt, nil)
+	}
+	body, complete, err := c.bufferBody(resp)
+	if err != nil {
+		return c.handleFailure(attempt, err)
+	}
+	buffered := &bufferedResponse{status: resp.StatusCode, header: resp.Header, body: body}
+	// Danger: a status that promises more than the server has said is not passed on, nor is one too long to be buffered.
+	unfounded := promisesNotRun(resp.StatusCode) && !c.proxy.options.TestingKnobs.PassUnfoundedPromises
+	if !complete && !unfounded {
+		return c.relayUnbuffered(attempt, buffered)
+	}
+	if complete {
+		attempt.finish()
+	} else {
+		attempt.discard()
+	}
+	switch {
+	case unfounded:
+		return c.handleServerError(attempt, nil)
+	case resp.StatusCode >= http.StatusInternalServerError:
+		return c.handleServerError(attempt, buffered)
+	}
+	c.reportOutcome(attempt, pick.Served)
+	c.proxy.counters.Served.Add(1)
+	c.sendBuffered(buffered)
+	return requestDone
+}
+
+// handleServerError records a response that says that the server failed. The fallback replaces the one before; it may be nil.
+func (c *clientRequest) handleServerError(attempt *upstreamAttempt, fallback *bufferedResponse) attemptResult {
+	c.mayHaveRun = true
+	c.reportOutcome(attempt, pick.ServerError)
+	c.fallback = fallback
+	return tryNextServer
+}
+
+// handleRefusal records that the server did not run the request.
+func (c *clientRequest) handleRefusal(attempt *upstreamAttempt) attemptResult {
+	resp := attempt.response
+	outcome, retryAfter := pick.NotExecuted, parseRetryAfter(resp.Header.Get("Retry-After"))
+	_, complete, err := c.bufferBody(resp)
+	switch {
+	case resp.StatusCode == http.StatusMisdirectedRequest: // another server lives at that address
+		outcome = pick.Misdirected
+		attempt.discard()
+		c.proxy.pools.closeIdle(attempt.pool)
+	case err == nil && complete:
+		attempt.finish()
+	default:
+		attempt.discard()
+	}
+	c.retryAfter = max(c.retryAfter, retryAfter)
+	c.proxy.picker.Done(attempt.choice.Ticket, outcome, retryAfter)
+	return tryNextServer
+}
+
+// bufferBody reads a response's body until it is complete, or too long to be buffered, and reports whether it is complete. The
+// memory that it reserves is released with the request.
+func (c *clientRequest) bufferBody(resp *http.Response) (body []byte, complete bool, err error) {
+	hasBody := c.request.Method != http.MethodHead
+	if hasBody && resp.ContentLength > maxBufferedBytes {
+		return nil, false, nil
+	}
+	size := firstBufferSize(resp.ContentLength, hasBody)
+	for {
+		if !c.proxy.memory.reserve(size) {
+			return body, false, nil
+		}
+		c.reservedBytes += size
+		body = append(make([]byte, 0, int64(cap(body))+size), body...)
+		body, complete, err = fillBuffer(resp.Body, body)
+		if complete || err != nil {
+			return body, complete, err
+		}
+		if len(body) > maxBufferedBytes/2 {
+			return body, false, nil
+		}
+		size = int64(len(body))
+	}
+}
+
+// firstBufferSize is the size in bytes of the first buffer for a response: one byte more than its length, so that the end is
+// seen. A length below 0 is not known.
+func firstBufferSize(length int64, hasBody bool) int64 {
+	switch {
+	case length < 0:
+		return initialBufferBytes
+	case hasBody && length > initialBufferBytes:
+		return length + 1
+	}
+	return min(length+1, initialBufferBytes)
+}
+
+// fillBuffer reads until the capacity of the buffer is used or the source ends, and reports whether it has ended.
+func fillBuffer(source io.Reader, buffer []byte) (filled []byte, ended bool, err error) {
+	for len(buffer) < cap(buffer) {
+		count, err := source.Read(buffer[len(buffer):cap(buffer)])
+		buffer = buffer[:len(buffer)+count]
+		if errors.Is(err, io.EOF) {
+			return buffer, true, nil
+		}
+		if err != nil {
+			return nil, false, err
+		}
+	}
+	return buffer, false, nil
+}
+
+// sendBuffered passes on a response that is buffered completely.
+func (c *clientRequest) sendBuffered(buffered *bufferedResponse) {
+	c.sendHead(buffered.status, buffered.header, c.announcedLength(buffered))
+	if len(buffered.body) == 0 {
+		return
+	}
+	if err := c.writeToClient(buffered.body); err != nil {
+		c.abortConn(dropUnsent)
+	}
+}
+
+// announcedLength is the Content-Length with which a buffered response is passed on; unknownLength: none. A response without a
+// body may announce the length that another one would have (RFC 9110, section 8.6).
+func (c *clientRequest) announcedLength(buffered *bufferedResponse) int64 {
+	switch {
+	case buffered.status == http.StatusNoContent:
+		return unknownLength
+	case c.request.Method != http.MethodHead && buffered.status != http.StatusNotModified:
+		return int64(len(buffered.body))
+	}
+	length, err := strconv.ParseInt(buffered.header.Get("Content-Length"), 10, 64)
+	if err != nil {
+		return unknownLength
+	}
+	return length
+}
+
+// relayUnbuffered passes on a response that is too long to be buffered, of which the beginning is.
+func (c *clientRequest) relayUnbuffered(attempt *upstreamAttempt, beginning *bufferedResponse) attemptResult {
+	attempt.silenceTimeout = 0
+	c.sendHead(beginning.status, beginning.header, attempt.response.ContentLength)
+	err := c.writeToClient(beginning.body)
+	if err == nil {
+		err = c.relayBody(attempt.response.Body)
+	}
+	if err != nil {
+		return c.handleRelayFailure(attempt, err)
+	}
+	return c.finishRelay(attempt)
+}
+
+// relayBody passes bytes on until the source ends. It fails with errClientGone and with the errors of the source.
+func (c *clientRequest) relayBody(source io.Reader) error {
+	buffer := make([]byte, relayBufferBytes)
+	for {
+		count, err := source.Read(buffer)
+		if count > 0 {
+			if err := c.writeToClient(buffer[:count]); err != nil {
+				return err
+			}
+		}
+		if errors.Is(err, io.EOF) {
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+	}
+}
+
+// finishRelay ends an attempt whose response has gone to the client completely.
+func (c *clientRequest) finishRelay(attempt *upstreamAttempt) attemptResult {
+	attempt.finish()
+	c.reportOutcome(attempt, pick.Served)
+	c.proxy.counters.Served.Add(1)
+	return requestDone
+}
+
+// handleRelayFailure ends a response that was truncated while it was passed on and cannot be resumed.
+func (c *clientRequest) handleRelayFailure(attempt *upstreamAttempt, err error) attemptResult {
+	if !errors.Is(err, errClientGone) {
+		c.handleFailure(attempt, err)
+		c.proxy.counters.Truncated.Add(1)
+		c.abortConn(deliverUnsent)
+		return requestDone
+	}
+	attempt.discard()
+	c.reportOutcome(attempt, pick.Canceled)
+	c.proxy.counters.ClientGone.Add(1)
+	c.abortConn(dropUnsent)
+	return requestDone
+}
--- /dev/null
+++ b/internal/system/proxy/response_test.go
@@ -0,0 +1,143 @@
+package proxy
+
+import (
+	"fmt"
+	"net/http"
+	"slices"
+	"testing"
+	"time"
+
+	"gradeusher.example/gradeusher/internal/system/config"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+)
+
+// TestResponses has a first server answer in each way and a second one well: what the client gets, how the sends ended, and
+// how often each server was asked, for a request that may run once and for one that may run again.
+func TestResponses(t *testing.T) {
+	const ok = "HTTP/1.1 200 X\r\nX-Attempt-Id: ID\r\nX-Server-Seal: s\r\n"
+	for _, test := range []struct {
+		name        string
+		do          serverBehavior
+		once, again int // status; where it may run again, 200 is the second server's
+		outcome     pick.Outcome
+	}{
+		{"served", respondWith(200, "first"), 200, 200, pick.Served},
+		{"created", respondWith(201, "first"), 201, 201, pick.Served},
+		{"chunks", respondRaw(ok+"Transfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n0\r\n\r\n", true), 200, 200, pick.Served},
+		{"interim", respondRaw("HTTP/1.1 103 X\r\nA: b\r\n\r\n"+ok+"Content-Length: 5\r\n\r\nfirst", true), 200, 200, pick.Served},
+		{"its own 404", respondWith(404, "first"), 404, 404, pick.Served},
+		{"its own 500", respondWith(500, "first"), 500, 200, pick.ServerError},
+		{"its own 504", respondWith(504, "first"), 504, 200, pick.ServerError},
+		{"503 that may have run", respondWith(503, "first"), 502, 200, pick.ServerError},
+		{"429 that may have run", respondWith(429, "first"), 502, 200, pick.ServerError},
+		{"408 that may have run", respondWith(408, "first"), 502, 200, pick.ServerError},
+		{"full", respondWith(503, "", "X-Not-Executed: 1"), 200, 200, pick.NotExecuted},
+		{"too late", respondWith(503, "no", "X-Not-Executed: true"), 200, 200, pick.NotExecuted},
+		{"misdirected", respondWith(421, "", "X-Not-Executed: 1"), 200, 200, pick.Misdirected},
+		{"misdirected, nothing more", respondWith(421, ""), 200, 200, pick.Misdirected},
+		{"reset", resetConn, 502, 200, pick.ConnectionLost},
+		{"close", respondRaw("", false), 502, 200, pick.ConnectionLost},
+		{"garbage", respondRaw("what?\r\n\r\n", true), 502, 200, pick.ConnectionLost},
+		{"another protocol", respondRaw("HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n", true), 502, 200, pick.ConnectionLost},
+		{"another's answer", respondRaw("HTTP/1.1 200 X\r\nX-Attempt-Id: other\r\nX-Server-Seal: s\r\nContent-Length: 5\r\n\r\nfirst", true), 502, 200, pick.ConnectionLost},
+		{"another's refusal", respondRaw("HTTP/1.1 503 X\r\nX-Attempt-Id: other\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", true), 502, 200, pick.ConnectionLost},
+		{"no id", respondRaw("HTTP/1.1 200 X\r\nX-Server-Seal: s\r\nContent-Length: 5\r\n\r\nfirst", true), 502, 200, pick.ConnectionLost},
+		{"no seal", respondRaw("HTTP/1.1 200 X\r\nX-Attempt-Id: ID\r\nContent-Length: 5\r\n\r\nfirst", true), 502, 200, pick.ConnectionLost},
+		{"an encoding", respondWith(200, "first", "Content-Encoding: gzip"), 502, 200, pick.ConnectionLost},
+		{"half a head", respondRaw(ok, false), 502, 200, pick.ConnectionLost},
+		{"half a body", respondRaw(ok+"Content-Length: 10\r\n\r\nfirst", false), 502, 200, pick.ConnectionLost},
+		{"half a chunked body", respondRaw(ok+"Transfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n", false), 502, 200, pick.ConnectionLost},
+		{"half an error", respondRaw("HTTP/1.1 500 X\r\nX-Attempt-Id: ID\r\nContent-Length: 10\r\n\r\nfirst", false), 502, 200, pick.ConnectionLost},
+		{"a body up to the close", respondRaw(ok+"Connection: close\r\n\r\nfirst", false), 502, 200, pick.ConnectionLost},
+		{"two lengths", respondRaw(ok+"Content-Length: 5\r\nContent-Length: 5\r\n\r\nfirst", true), 502, 200, pick.ConnectionLost},
+		{"length and chunks", respondRaw(ok+"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n0\r\n\r\n", true), 502, 200, pick.ConnectionLost},
+		{"half a stream before its first event", respondRaw(ok+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", false), 502, 200, pick.ConnectionLost},
+	} {
+		for _, category := range []config.Category{config.NonIdempotent, config.Idempotent} {
+			t.Run(fmt.Sprint(test.name, category), func(t *testing.T) {
+				first, second := startServer(t, test.do), startServer(t, respondWith(200, "second"))
+				proxy := startProxy(t, []*fakeServer{first, second}, withCategory(category))
+				got := proxy.roundTrip(t, "id-1", "body")
+				want, outcomes := test.once, []pick.Outcome{test.outcome}
+				if category == config.Idempotent {
+					want = test.again
+				}
+				body := "first"
+				switch {
+				case test.outcome != pick.Served && want == 200 && (category == config.Idempotent || test.once == 200):
+					body, outcomes = "second", append(outcomes, pick.Served)
+				case want == 502 || want == 503:
+					body = ""
+				}
+				if got.StatusCode != want || got.body != body || got.err != nil || got.Header.Get(headerAttemptID) != "id-1" {
+					t.Errorf("status %d, body %q, error %v, id %q; want %d, %q", got.StatusCode, got.body, got.err,
+						got.Header.Get(headerAttemptID), want, body)
+				}
+				if ends := proxy.outcomes(); !slices.Equal(ends, outcomes) {
+					t.Errorf("sends ended as %v, want %v", ends, outcomes)
+				}
+				if len(first.requests) != 1 || len(second.requests) != len(outcomes)-1 {
+					t.Errorf("the servers were asked %d and %d times", len(first.requests), len(second.requests))
+				}
+			})
+		}
+	}
+}
+
+// TestRefusals has all servers refuse, or none be there: the answer promises that the request has not run.
+func TestRefusals(t *testing.T) {
+	full := respondWith(503, "", "X-Not-Executed: 1", "Retry-After: 0.45")
+	t.Run("all are full", func(t *testing.T) {
+		proxy := startProxy(t, []*fakeServer{startServer(t, full), startServer(t, full)})
+		if got := proxy.roundTrip(t, "id-1", ""); got.StatusCode != http.StatusServiceUnavailable || got.Header.Get("Retry-After") != "0.450" {
+			t.Errorf("status %d, Retry-After %q", got.StatusCode, got.Header.Get("Retry-After"))
+		}
+	})
+	t.Run("one is full, one may have run it", func(t *testing.T) {
+		proxy := startProxy(t, []*fakeServer{startServer(t, full), startServer(t, resetConn)})
+		if got := proxy.roundTrip(t, "id-1", ""); got.StatusCode != http.StatusBadGateway {
+			t.Errorf("status %d", got.StatusCode)
+		}
+	})
+	t.Run("one may have run it, one is full", func(t *testing.T) {
+		proxy := startProxy(t, []*fakeServer{startServer(t, resetConn), startServer(t, full)}, withCategory(config.Idempotent))
+		if got := proxy.roundTrip(t, "id-1", ""); got.StatusCode != http.StatusBadGateway {
+			t.Errorf("status %d", got.StatusCode)
+		}
+	})
+	t.Run("no more tries", func(t *testing.T) {
+		other := startServer(t, respondWith(200, "x"))
+		proxy := startProxy(t, []*fakeServer{startServer(t, full), other},
+			func(_ *Options, c *config.Config) { c.Routes[0].MaxTries = 1 })
+		if got := proxy.roundTrip(t, "id-1", ""); got.StatusCode != http.StatusServiceUnavailable || len(other.requests) > 0 {
+			t.Errorf("status %d, %d more sends", got.StatusCode, len(other.requests))
+		}
+	})
+	t.Run("nobody listens", func(t *testing.T) {
+		proxy := startProxy(t, []*fakeServer{startServer(t, full), startServer(t, respondWith(200, "x"))})
+		w := *proxy.clusterState.Load()
+		w.Servers = slices.Clone(w.Servers)
+		w.Servers[0].Address = closedAddress(t)
+		proxy.UpdateClusterState(time.Now(), w)
+		if got := proxy.roundTrip(t, "id-1", ""); got.StatusCode != http.StatusOK {
+			t.Errorf("status %d", got.StatusCode)
+		}
+		if ends := proxy.outcomes(); !slices.Equal(ends, []pick.Outcome{pick.ConnectFailed, pick.Served}) {
+			t.Errorf("sends ended as %v", ends)
+		}
+	})
+	t.Run("nobody is chosen", func(t *testing.T) {
+		proxy := startProxy(t, nil)
+		proxy.fake.retryAfter = 350 * time.Millisecond
+		if got := proxy.roundTrip(t, "id-1", ""); got.StatusCode != http.StatusServiceUnavailable || got.Header.Get("Retry-After") != "0.350" {
+			t.Errorf("status %d, Retry-After %q", got.StatusCode, got.Header.Get("Retry-After"))
+		}
+	})
+	t.Run("no configuration", func(t *testing.T) {
+		proxy := startProxy(t, nil)
+		proxy.UpdateClusterState(time.Now(), pick.ClusterState{})
+		if got := proxy.roundTrip(t, "id-1", ""); got.StatusCode != http.StatusServiceUnavailable || got.Header.Get("Retry-After") == "" || proxy.Ready() {
+			t.Errorf("status %d, ready %v", got.StatusCode, proxy.Ready())
+		}
+	})
+}
--- /dev/null
+++ b/internal/system/proxy/scriptedservers_test.go
@@ -0,0 +1,388 @@
+package proxy
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"syscall"
+
+	"golang.org/x/sys/unix"
+)
+
+const lastEvent = 3 // the id of a scripted stream's last event
+
+// echoedID is what a scripted answer says about the request it belongs to.
+type echoedID int
+
+const (
+	ownID echoedID = iota
+	otherID
+	earlierID // of the request before it at the server
+	noID
+)
+
+// afterSend is what a scripted server does with the connection behind what it sent.
+type afterSend int
+
+const (
+	stayOpen afterSend = iota
+	halfCloseAfter
+	resetAfter
+)
+
+// surplusTiming is when a scripted server sends one more answer, with the id of the request before.
+type surplusTiming int
+
+const (
+	noSurplus surplusTiming = iota
+	samePacket
+	whileIdle // when the client has its answer, and before its next request
+	withNext  // when the next request has come, and before its answer
+)
+
+// behaviour is what a scripted server does with one request.
+type behaviour struct {
+	Status        int
+	Echo          echoedID
+	Unsealed      bool
+	NotExecuted   bool
+	Encoded       bool
+	Framing       string // "length", "chunked", "none", "both" or "twice"
+	Interims      int
+	Garbage       bool // the status line is none
+	Closes        bool // Connection: close
+	RepeatsEvent  bool // a stream begins with the event that the client has
+	Early         bool // it answers before it has read the body
+	PermilleSent  int  // thousandths of the answer that are sent
+	After         afterSend
+	Surplus       surplusTiming
+	SendsRestLate bool // what was cut off is sent when the client has given up or has another answer
+	CloseIdle     bool // closes the connection when the client has its answer, before its next request
+	CloseRace     bool // closes it while the next request is sent
+}
+
+var soundBehaviour = behaviour{Status: 200, Framing: "length", PermilleSent: 1000}
+
+// leavesWaiting tells whether a client would wait for the rest of the answer in vain.
+func (b behaviour) leavesWaiting() bool { return b.PermilleSent < 1000 && b.After == stayOpen }
+
+func (b behaviour) isRefusal() bool {
+	return b.Status >= 300 && (b.NotExecuted || b.Status == http.StatusMisdirectedRequest)
+}
+
+// arrival is a request that reached a scripted server.
+type arrival struct {
+	id      string
+	refused bool // the server said in a whole head that it did not run it
+	sent    sentResponse
+}
+
+// sentResponse is an answer as a scripted server sent it.
+type sentResponse struct {
+	status     int
+	seal, body string
+	valid      bool // it may be passed on as it is
+}
+
+// scriptedServers is the scripted servers of one world, and what they saw.
+type scriptedServers struct {
+	stream, resumable bool
+	serving           sync.WaitGroup
+	servers           []*scriptedServer
+
+	mu           sync.Mutex
+	runs         int
+	arrivals     []arrival
+	alterations  []string // requests that came other than they were sent
+	whileIdle    []func() // to be done when the client has its answer
+	whileSending []func() // to be done while the next request is sent
+}
+
+type scriptedServer struct {
+	all          *scriptedServers
+	listener     net.Listener
+	behaviours   []behaviour // by request; then it behaves well
+	requestCount int
+	previousID   string
+	conns        []net.Conn
+}
+
+func (s *scriptedServers) start(will []behaviour) (*scriptedServer, error) {
+	var listen net.ListenConfig
+	if slices.ContainsFunc(will, func(b behaviour) bool { return b.Early && b.After == resetAfter }) {
+		listen.Control = limitReceiveBuffer
+	}
+	l, err := listen.Listen(context.Background(), "tcp4", "127.0.0.1:0")
+	if err != nil {
+		return nil, err
+	}
+	server := &scriptedServer{all: s, listener: l, behaviours: will}
+	s.servers = append(s.servers, server)
+	s.serving.Go(func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			s.mu.Lock()
+			server.conns = append(server.conns, c)
+			s.mu.Unlock()
+			s.serving.Go(func() { server.serve(c) })
+		}
+	})
+	return server, nil
+}
+
+// limitReceiveBuffer has the system take in little of what a server does not read, so that a long body is still being written when
+// the server resets the connection.
+func limitReceiveBuffer(_, _ string, raw syscall.RawConn) error {
+	var err error
+	if e := raw.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 4<<10) }); e != nil {
+		return e
+	}
+	return err
+}
+
+func (s *scriptedServers) stop() {
+	for _, server := range s.servers {
+		_ = server.listener.Close()
+	}
+	s.mu.Lock()
+	for _, server := range s.servers {
+		for _, c := range server.conns {
+			_ = c.Close()
+		}
+	}
+	s.mu.Unlock()
+	s.serving.Wait()
+}
+
+// takeActions takes out what is to be done between two requests, or while the next one is sent.
+func (s *scriptedServers) takeActions(from *[]func()) []func() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	out := *from
+	*from = nil
+	return out
+}
+
+// serve answers the requests on a connection.
+func (v *scriptedServer) serve(c net.Conn) {
+	defer func() { _ = c.Close() }()
+	in, waiting := bufio.NewReader(c), ""
+	for first := true; ; first = false {
+		r, err := http.ReadRequest(in)
+		if err != nil {
+			return
+		}
+		b, text, rest := v.planResponse(r, first)
+		if b.Early {
+			if _, err = io.WriteString(c, waiting+text); b.After == resetAfter { // while the body is being written
+				_ = c.(*net.TCPConn).SetLinger(0)
+				return
+			}
+		}
+		body, readErr := io.ReadAll(r.Body)
+		if readErr == nil {
+			v.checkUnaltered(r, string(body))
+		}
+		if !b.Early {
+			_, err = io.WriteString(c, waiting+text)
+		}
+		waiting = ""
+		if err != nil || readErr != nil {
+			return
+		}
+		switch b.After {
+		case resetAfter:
+			_ = c.(*net.TCPConn).SetLinger(0)
+			return
+		case halfCloseAfter:
+			_ = c.(*net.TCPConn).CloseWrite()
+		}
+		if rest != "" || b.Framing == "none" {
+			if b.SendsRestLate {
+				v.sendLater(c, rest)
+			}
+			_, _ = io.Copy(io.Discard, c) // until the proxy closes it
+			return
+		}
+		waiting = v.arrangeAfter(c, b, r.Header.Get(headerAttemptID))
+	}
+}
+
+// sendLater has bytes sent between this request and the next.
+func (v *scriptedServer) sendLater(c net.Conn, text string) {
+	v.all.mu.Lock()
+	defer v.all.mu.Unlock()
+	v.all.whileIdle = append(v.all.whileIdle, func() { _, _ = io.WriteString(c, text) })
+}
+
+// arrangeAfter arranges what happens on a connection behind an answer, and gives what is sent before the next one.
+func (v *scriptedServer) arrangeAfter(c net.Conn, b behaviour, id string) string {
+	extra := "HTTP/1.1 200 X\r\nX-Attempt-Id: " + id + "\r\nX-Server-Seal: surplus\r\nContent-Length: 7\r\n\r\nsurplus"
+	v.all.mu.Lock()
+	defer v.all.mu.Unlock()
+	switch {
+	case b.Surplus == whileIdle:
+		v.all.whileIdle = append(v.all.whileIdle, func() { _, _ = io.WriteString(c, extra) })
+	case b.Surplus == withNext:
+		return extra
+	case b.CloseIdle:
+		v.all.whileIdle = append(v.all.whileIdle, func() { _ = c.Close() })
+	case b.CloseRace:
+		v.all.whileSending = append(v.all.whileSending, func() { _ = c.Close() })
+	}
+	return ""
+}
+
+// checkUnaltered looks whether a request came as it was sent: its body begins with its id and its method.
+func (v *scriptedServer) checkUnaltered(r *http.Request, body string) {
+	id := r.Header.Get(headerAttemptID)
+	want := id + " " + r.Method
+	if r.Method != http.MethodPost {
+		body += want
+	}
+	if r.RequestURI != "/a/"+id || !strings.HasPrefix(body, want) || strings.Trim(body[len(want):], ".") != "" {
+		v.all.mu.Lock()
+		v.all.alterations = append(v.all.alterations, fmt.Sprintf("%s %s with %.40q", r.Method, r.RequestURI, body))
+		v.all.mu.Unlock()
+	}
+}
+
+// planResponse records a request and gives what is done with it: what is sent of the answer, and the rest.
+func (v *scriptedServer) planResponse(r *http.Request, first bool) (b behaviour, text, rest string) {
+	all := v.all
+	all.mu.Lock()
+	defer all.mu.Unlock()
+	b = soundBehaviour
+	if v.requestCount < len(v.behaviours) {
+		b = v.behaviours[v.requestCount]
+	}
+	v.requestCount++
+	all.runs++
+	id := r.Header.Get(headerAttemptID)
+	if b.Echo == earlierID && v.previousID == id {
+		b.Echo = ownID // the same id twice
+	}
+	head, sent, wire := all.composeResponse(r, b, v.previousID)
+	v.previousID = id
+	text = head + wire
+	cut := len(text) * b.PermilleSent / 1000
+	sent.valid = sent.valid && (cut == len(text) || r.Method == http.MethodHead && cut >= len(head))
+	refused := b.isRefusal() && cut >= len(head) && !b.Garbage && b.Interims <= 3 &&
+		(b.Echo == ownID || b.Echo == noID && first) && b.Framing != "both" && b.Framing != "twice"
+	all.arrivals = append(all.arrivals, arrival{id: id, refused: refused, sent: sent})
+	text, rest = text[:cut], text[cut:]
+	if b.Surplus == samePacket && rest == "" {
+		text += "HTTP/1.1 200 X\r\nX-Attempt-Id: " + id + "\r\nX-Server-Seal: surplus\r\nContent-Length: 7\r\n\r\nsurplus"
+	}
+	return b, text, rest
+}
+
+// composeResponse makes the head and the rest of an composeResponse as they go out.
+func (s *scriptedServers) composeResponse(r *http.Request, b behaviour, earlier string) (head string, sent sentResponse, wire string) {
+	id := r.Header.Get(headerAttemptID)
+	sent = sentResponse{status: b.Status, seal: fmt.Sprint("seal-", s.runs)}
+	text := strings.Repeat("HTTP/1.1 103 X\r\nA: b\r\n\r\n", b.Interims)
+	if b.Garbage {
+		text += "what is this?\r\n"
+	} else {
+		text += fmt.Sprintf("HTTP/1.1 %d X\r\n", b.Status)
+	}
+	switch {
+	case b.Echo == ownID:
+		text += "X-Attempt-Id: " + id + "\r\n"
+	case b.Echo == otherID || earlier == "" && b.Echo == earlierID:
+		text += "X-Attempt-Id: other\r\n"
+	case b.Echo == earlierID:
+		text += "X-Attempt-Id: " + earlier + "\r\n"
+	}
+	for _, line := range []struct {
+		has  bool
+		text string
+	}{{!b.Unsealed, "X-Server-Seal: " + sent.seal}, {b.NotExecuted, "X-Not-Executed: 1"},
+		{b.Encoded, "Content-Encoding: gzip"}, {b.Closes, "Connection: close"}} {
+		if line.has {
+			text += line.text + "\r\n"
+		}
+	}
+	events := s.stream && b.Status == 200
+	if events {
+		text += "Content-Type: text/event-stream\r\n"
+		sent.body = s.eventStream(r, b)
+	} else {
+		sent.body = fmt.Sprintf("%s, run %d, of some length", id, s.runs)
+	}
+	length := fmt.Sprintf("Content-Length: %d\r\n", len(sent.body))
+	wire = sent.body
+	switch b.Framing {
+	case "length":
+		text += length
+	case "twice":
+		text += length + length
+	case "both", "chunked":
+		text += "Transfer-Encoding: chunked\r\n"
+		if b.Framing == "both" {
+			text += length
+		}
+		half := len(sent.body) / 2
+		wire = chunkUnlessEmpty(sent.body[:half]) + chunkUnlessEmpty(sent.body[half:]) + "0\r\n\r\n"
+	}
+	if r.Method == http.MethodHead {
+		sent.body, wire = "", ""
+	}
+	success := isSuccess(b.Status)
+	sent.valid = !b.Garbage && b.Interims <= 3 && (b.Framing == "length" || b.Framing == "chunked" || b.Framing == "none" && r.Method == http.MethodHead) &&
+		(b.Echo == ownID || b.Echo == noID && !success) && !(success && (b.Unsealed || b.NotExecuted || b.Encoded))
+	return text + "\r\n", sent, wire
+}
+
+// eventStream is the text of a stream: one that may be resumed has the same eventStream at each server, any other names its run.
+func (s *scriptedServers) eventStream(r *http.Request, b behaviour) string {
+	from, _ := strconv.Atoi(r.Header.Get(headerLastEventID))
+	if from++; b.RepeatsEvent && from > 1 {
+		from--
+	}
+	run := s.runs
+	if s.resumable {
+		run = 0
+	}
+	var text strings.Builder
+	for id := from; id <= lastEvent; id++ {
+		_, _ = fmt.Fprintf(&text, "id: %d\ndata: %d of run %d\n\n", id, id, run)
+	}
+	return text.String()
+}
+
+// checkEventStream checks the events that a client got: each once, in their order, of one run, and all of them if the stream looks
+// whole.
+func checkEventStream(body string, whole bool) error {
+	run, last := "", 0
+	for event := range strings.SplitAfterSeq(body, "\n\n") {
+		if event == "" || !strings.HasSuffix(event, "\n\n") && !whole {
+			continue
+		}
+		var id, again int
+		var of string
+		if _, err := fmt.Sscanf(event, "id: %d\ndata: %d of run %s\n\n", &id, &again, &of); err != nil || id != again {
+			return fmt.Errorf("an event %q", event)
+		}
+		if id != last+1 || run != "" && of != run {
+			return fmt.Errorf("event %d of run %s follows event %d of run %s", id, of, last, run)
+		}
+		last, run = id, of
+	}
+	if whole && last != lastEvent {
+		return errors.New("a stream looks whole without its last event")
+	}
+	return nil
+}
--- a/internal/system/proxy/serve.go
+++ b/internal/system/proxy/serve.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"io"
-	stdlog "log"
 	"net"
 	"os"
 	"sync"
@@ -14,196 +12,130 @@
 	"gradeusher.example/gradeusher/internal/framing"
 )
 
-// mostRounds bounds how long connections that keep coming hold a planned end up.
-const mostRounds = 8
-
-// quietLog drops what net/http says about single connections: the counters tell.
-var quietLog = stdlog.New(io.Discard, "", 0)
+const (
+	// maxAcceptRounds bounds for how long connections that keep coming delay the end of accepting.
+	maxAcceptRounds = 8
+	// acceptBackoff is the wait after an accept that failed.
+	acceptBackoff = 20 * time.Millisecond
+	// capacityPollInterval is how often a full proxy looks for a connection that has become idle.
+	capacityPollInterval = 100 * time.Millisecond
+)
 
-// handoff is a listener for connections that have been accepted elsewhere.
-type handoff struct {
-	addr net.Addr
-	come chan net.Conn
-	done chan struct{}
-	once sync.Once
-}
+// ErrListener marks the errors of a listener that cannot be served.
+var ErrListener = errors.New("give a TCP listener that is open")
 
-func newHandoff(a net.Addr) *handoff {
-	return &handoff{addr: a, come: make(chan net.Conn), done: make(chan struct{})}
-}
-
-// give hands a connection over, and tells whether it was taken.
-func (h *handoff) give(c net.Conn) bool {
-	select {
-	case h.come <- c:
-		return true
-	case <-h.done:
-		return false
+// Serve accepts clients' connections from a TCP listener until Drain has ended or ctx is done, closes the listener, and
+// returns when everything that it started has ended. It may be called once. Its errors are ErrListener by errors.Is.
+func (p *Proxy) Serve(ctx context.Context, listener net.Listener) error {
+	tcp, ok := listener.(*net.TCPListener)
+	if !ok {
+		return errors.Mark(errors.Newf("a listener of type %T: give a TCP listener", listener), ErrListener)
 	}
-}
-
-func (h *handoff) close() { h.once.Do(func() { close(h.done) }) }
-
-// Accept implements net.Listener.
-func (h *handoff) Accept() (net.Conn, error) {
-	select {
-	case c := <-h.come:
-		return c, nil
-	case <-h.done:
-		return nil, net.ErrClosed
+	defer close(p.clients.serveDone)
+	defer p.clients.shutdown()
+	defer func() { _ = tcp.Close() }()
+	p.clients.setListener(tcp)
+	if p.clients.draining.Load() { // Drain may not have seen the listener
+		return nil
 	}
+	stopWatching := context.AfterFunc(ctx, func() { _ = tcp.Close() })
+	defer stopWatching()
+	defer p.watchStalls(ctx)()
+	acceptor := &acceptor{clients: p.clients, listener: tcp}
+	return acceptor.run(ctx)
 }
 
-// Close implements net.Listener.
-func (h *handoff) Close() error {
-	h.close()
-	return nil
+// acceptor is the loop that accepts connections. Once the proxy is draining, Drain sets a deadline for the listener.
+type acceptor struct {
+	clients  *clientListener
+	listener *net.TCPListener
+	rounds   int  // of looking for waiting connections, since the deadline of Drain
+	accepted bool // a connection has come in the current round
+	failing  bool // the last accept failed
+	done     bool // no more connections are accepted
 }
 
-// Addr implements net.Listener.
-func (h *handoff) Addr() net.Addr { return h.addr }
-
-// Serve takes clients' connections from a TCP listener until Drain has ended or ctx is done, closes the listener, and
-// returns when everything that it started has ended. It may be called once. It fails with ErrListener.
-func (p *Proxy) Serve(ctx context.Context, l net.Listener) error {
-	tcp, ok := l.(*net.TCPListener)
-	if !ok {
-		return errors.Mark(errors.Newf("a listener of type %T: give a TCP listener", l), ErrListener)
-	}
-	f := p.front
-	defer close(f.over)
-	defer f.stop()
-	defer tcp.Close()
-	f.mu.Lock()
-	f.listener = tcp
-	f.mu.Unlock()
-	if f.draining.Load() { // Drain may not have seen the listener
-		return nil
-	}
-	unwatch := context.AfterFunc(ctx, func() { _ = tcp.Close() })
-	defer unwatch()
-	defer p.watchStalls(ctx)()
-	rounds, taken := 0, false // of looking for connections left waiting, once a planned end has told to stop
-	failed := false
-	for {
-		if !f.room(ctx) {
-			return nil
-		}
-		c, err := tcp.AcceptTCP()
-		failing := failed
-		failed = false
+// run accepts until the listener is closed or drained, or ctx is done. Its errors are ErrListener by errors.Is.
+func (a *acceptor) run(ctx context.Context) error {
+	for !a.done && a.clients.awaitCapacity(ctx) {
+		conn, err := a.listener.AcceptTCP()
+		wasFailing := a.failing
+		a.failing = false
 		switch {
 		case err == nil:
-			taken = true
-			if raw, err := c.SyscallConn(); err == nil {
-				_ = boundUnacked(raw)
-			}
-			f.take(framing.NewClientConn(c, mostHead, &p.counters.Rejected))
+			a.accept(conn)
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			// Danger: a deadline can pass with connections waiting, and closing the listener resets them.
-			if rounds > 0 && !taken || rounds == mostRounds {
-				_ = tcp.Close()
-				f.wait(ctx)
-				return nil
-			}
-			rounds, taken = rounds+1, false
-			if err := tcp.SetDeadline(time.Now().Add(idleMoment)); err != nil {
-				return nil
-			}
+			a.endRound(ctx)
+		case errors.Is(err, net.ErrClosed) && ctx.Err() != nil:
+			a.done = true
 		case errors.Is(err, net.ErrClosed):
-			if ctx.Err() != nil {
-				return nil
-			}
 			return errors.Mark(errors.Wrap(err, "the listener was closed by others"), ErrListener)
 		default: // descriptors are short, or the client has gone
-			if failed = true; !failing {
-				p.opt.Log.WithError(err).Warn("proxy: a connection could not be taken")
+			a.failing = true
+			if !wasFailing {
+				a.clients.proxy.options.Log.WithError(err).Warn("proxy: a connection could not be taken")
 			}
-			pause(ctx, acceptPause)
+			sleep(ctx, acceptBackoff)
 		}
 	}
+	return nil
+}
+
+// accept takes a connection in.
+func (a *acceptor) accept(conn *net.TCPConn) {
+	a.accepted = true
+	if raw, err := conn.SyscallConn(); err == nil {
+		_ = setUnackedTimeout(raw)
+	}
+	a.clients.serveConn(framing.NewClientConn(conn, maxHeadBytes, &a.clients.proxy.counters.Rejected))
+}
+
+// endRound goes by the passing of the listener's deadline: it accepts for a moment longer, or ends. Danger: a deadline can pass
+// with connections waiting, and closing the listener resets them, so it is closed only after a round in which none came.
+func (a *acceptor) endRound(ctx context.Context) {
+	quietRound := a.rounds > 0 && !a.accepted
+	if quietRound || a.rounds == maxAcceptRounds {
+		_ = a.listener.Close()
+		a.clients.awaitConnsClosed(ctx)
+		a.done = true
+		return
+	}
+	a.rounds, a.accepted = a.rounds+1, false
+	listenerClosed := a.listener.SetDeadline(time.Now().Add(minIdleBeforeClose)) != nil
+	a.done = listenerClosed
 }
 
-// room waits until one more connection may be taken, and tells whether one may before ctx is done.
-func (f *front) room(ctx context.Context) bool {
-	for f.count() >= f.most {
-		if f.closeOldest(time.Now()) {
+// awaitCapacity waits until one more connection may be accepted, and reports false if ctx is done before.
+func (l *clientListener) awaitCapacity(ctx context.Context) bool {
+	for l.conns.count() >= l.maxConns {
+		if l.conns.closeLongestIdle() {
 			continue
 		}
 		select {
 		case <-ctx.Done():
 			return false
-		case <-f.changed:
-		case <-time.After(sweepDrain): // one may have become idle
+		case <-l.conns.changed:
+		case <-time.After(capacityPollInterval):
 		}
 	}
 	return ctx.Err() == nil
 }
 
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for a duration or until ctx is done.
+func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(d):
-	}
-}
-
-// Drain ends Serve as planned work does: from now on every answer announces the end of its connection; connections are
-// taken for a part of GraceFor still, as clients learn late that they are to go elsewhere; idle ones are closed; what has
-// been read is answered. It returns when no connection is left, or GraceFor is nearly over, or ctx is done; Serve ends
-// then. The caller has had readiness and the directory turn clients away before.
-func (p *Proxy) Drain(ctx context.Context) {
-	f := p.front
-	if f.draining.Swap(true) {
-		return
+	case <-time.After(duration):
 	}
-	p.opt.Log.WithField("connections", f.count()).Info("proxy: draining")
-	began := time.Now()
-	f.mu.Lock()
-	l := f.listener
-	f.mu.Unlock()
-	if l == nil {
-		return
-	}
-	// Clients hold the directory's answer for some seconds; new ones are answered as before.
-	pause(ctx, p.opt.GracePeriod/4)
-	_ = l.SetDeadline(time.Now().Add(p.opt.GracePeriod / 8))
-	end := began.Add(p.opt.GracePeriod - min(p.opt.GracePeriod/8, 500*time.Millisecond))
-	for ctx.Err() == nil && time.Now().Before(end) {
-		f.closeIdle(time.Now())
-		select {
-		case <-ctx.Done():
-		case <-f.over:
-			p.opt.Log.Info("proxy: drained")
-			return
-		case <-time.After(sweepDrain):
-		}
-	}
-	p.opt.Log.WithField("connections", f.count()).Warn("proxy: the time for draining is up")
-	_ = l.SetDeadline(time.Now())
-	close(f.enough)
-	<-f.over
 }
 
-// watchStalls has stalls of the process noticed until the returned function is called.
+// watchStalls has stalls of the process detected until the returned function is called.
 func (p *Proxy) watchStalls(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
-	var watch sync.WaitGroup
-	watch.Go(func() { p.policy.watchStalls(ctx) })
+	var watching sync.WaitGroup
+	watching.Go(func() { p.picker.watchStalls(ctx) })
 	return func() {
 		cancel()
-		watch.Wait()
-	}
-}
-
-// wait returns when no connection is left, or none is waited for any more.
-func (f *front) wait(ctx context.Context) {
-	for f.count() > 0 {
-		select {
-		case <-ctx.Done():
-			return
-		case <-f.enough:
-			return
-		case <-f.changed:
-		}
+		watching.Wait()
 	}
 }
