--- a/internal/system/proxy/pick/choose.go
+++ b/internal/system/proxy/pick/choose.go
@@ -57,7 +57,7 @@
 			return p.repeatOrSend(now, c, r, got.server, got.cost, prompt, tried)
 		}
 	}
-	if s, at := p.leastDoubted(now, r, o, due, prompt, tried); s != nil {
+	if s, at := p.pickProbe(now, r, o, due, prompt, tried); s != nil {
 		return p.repeatOrSend(now, c, r, s, at, prompt, tried)
 	}
 	return c.without(r, tried, wait)
@@ -94,44 +94,44 @@
 	return c
 }
 
-// bar says why a server can't get a request.
-type bar uint8
+// eligibility says why a server can't get a request.
+type eligibility uint8
 
 const (
-	fit bar = iota
+	eligible eligibility = iota
 	draining
 	evacuated
-	abroad // not in the route's home regions
-	usedUp // this try was sent there
+	outsideHomeRegions // not in the route's home regions
+	alreadyTried       // this try was sent there
 	misdirected
-	doubted
-	coldNow // cold, and this proxy has no send for it now
+	ejected
+	warmUpPaced // cold, and this proxy has no send for it now
 )
 
-func (b bar) String() string {
+func (b eligibility) String() string {
 	return [...]string{"ready", "draining", "in an evacuated zone", "outside the home regions", "tried", "gone: its address answers for another",
 		"doubted", "cold: its allowance is used or held by others"}[b]
 }
 
-// bars tells why s can't get r. The first four are rules and never relaxed.
-func (p *Picker) bars(now Time, s *server, r *Request, tried []string) bar {
+// eligibility tells why s can't get r. The first four are rules and never relaxed.
+func (p *Picker) eligibility(now Time, s *server, r *Request, tried []string) eligibility {
 	switch {
 	case s.Draining:
 		return draining
 	case p.world.Evacuated[s.Zone]:
 		return evacuated
 	case r != nil && len(r.Route.HomeRegions) > 0 && !slices.Contains(r.Route.HomeRegions, s.Region):
-		return abroad
+		return outsideHomeRegions
 	case len(tried) > 0 && slices.Contains(tried, s.ID):
-		return usedUp
-	case s.gone:
+		return alreadyTried
+	case s.misdirected:
 		return misdirected
-	case s.doubted(now), r != nil && s.suspect() && !s.mayTry(now, r, tried):
-		return doubted
+	case s.ejected(now), r != nil && s.suspected() && !s.mayProbe(now, r, tried):
+		return ejected
 	case s.cold(now) && !p.coldToken(now, s):
-		return coldNow
+		return warmUpPaced
 	}
-	return fit
+	return eligible
 }
 
 // found is what a group has for a request.
@@ -154,14 +154,14 @@
 	w := &p.weigher
 	p.weigh(w, now, r, g, prompt)
 	for i, s := range g.servers {
-		switch p.bars(now, s, r, tried) {
-		case fit:
+		switch p.eligibility(now, s, r, tried) {
+		case eligible:
 			costs[i] = p.price(w, now, r, s)
 			least = min(least, costs[i].total)
 			used += costs[i].load
 			slots += s.slots()
 			continue
-		case coldNow:
+		case warmUpPaced:
 			warm = min(warm, p.coldWait(now, s))
 		}
 		costs[i].total = math.Inf(1)
@@ -207,19 +207,19 @@
 	backFactor = 2   // times what it would have waited, a client is told to come back after
 )
 
-// leastDoubted finds a doubted server where no other can be had: the one whose time is over first. It gets one trial at
+// pickProbe finds a doubted server where no other can be had: the one whose time is over first. It gets one trial at
 // a time, as long as none of a request's tries went to one.
-func (p *Picker) leastDoubted(now Time, r *Request, o *rotation, due int, prompt *chain, tried []string) (best *server, at cost) {
+func (p *Picker) pickProbe(now Time, r *Request, o *rotation, due int, prompt *chain, tried []string) (best *server, at cost) {
 	for i := range o.shares {
 		g := p.groups[o.shares[(due+i)%len(o.shares)].Service]
 		if g == nil || g.service == nil {
 			continue
 		}
 		for _, s := range g.servers {
-			if p.bars(now, s, r, tried) != doubted || s.cold(now) && !p.coldToken(now, s) || !p.mayKnock(s) {
+			if p.eligibility(now, s, r, tried) != ejected || s.cold(now) && !p.coldToken(now, s) || !p.hasProbeCapacity(s) {
 				continue
 			}
-			if best == nil || s.outUntil < best.outUntil || s.outUntil == best.outUntil && s.own.Requests < best.own.Requests {
+			if best == nil || s.ejectedUntil < best.ejectedUntil || s.ejectedUntil == best.ejectedUntil && s.own.Requests < best.own.Requests {
 				best = s
 			}
 		}
--- a/internal/system/proxy/pick/flight.go
+++ b/internal/system/proxy/pick/flight.go
@@ -8,10 +8,10 @@
 	holderWait = time.Second // a new holder of a cold server waits until others send as its holders, too
 	// successorWait is longer than a proxy that others have given up goes on as a holder: it is Stale 1.6 s after a keeper's
 	// last word (distribution.FreshnessTTL).
-	successorWait = 1800 * time.Millisecond
-	brokenMost    = 2 // answers that broke off in a row before a server is doubted
-	failedMost    = 5 // 5xx in a row before it is
-	plainTail     = 4 // an answer without a prompt is overdue after this many usual times
+	successorWait              = 1800 * time.Millisecond
+	maxConsecutiveBroken       = 2 // answers that broke off in a row before a server is doubted
+	maxConsecutiveServerErrors = 5 // 5xx in a row before it is
+	plainTail                  = 4 // an answer without a prompt is overdue after this many usual times
 )
 
 // send registers r's way to s and makes the verdict.
@@ -26,8 +26,8 @@
 	p.ticket++
 	f.ticket, f.server, f.request, f.at = p.ticket, s, r, now
 	p.sends[f.ticket] = f
-	if s.suspect() && s.trial == nil {
-		s.trial = f
+	if s.suspected() && s.probe == nil {
+		s.probe = f
 	}
 	p.checkSend(r, s)
 	if s.cold(now) && s.coldRate() > 0 {
@@ -103,27 +103,27 @@
 // Started tells that the head of an answer has come: the server lives.
 func (p *Picker) Started(now Time, ticket uint64) {
 	if f := p.sends[ticket]; f != nil {
-		p.reached(now, f.server)
-		f.server.heard(f)
+		p.recordReachable(now, f.server)
+		f.server.recordResponse(f)
 		if e := f.server.group.service; e == nil || e.Engine == nil {
 			f.settle()
 		}
 	}
 }
 
-// reached takes note that s has answered. Where it could not be reached before, and no keeper either, it may have turned cold unseen.
-func (p *Picker) reached(now Time, s *server) {
-	if s.fails > 0 && p.world.Stale {
+// recordReachable takes note that s has answered. Where it could not be recordReachable before, and no keeper either, it may have turned cold unseen.
+func (p *Picker) recordReachable(now Time, s *server) {
+	if s.consecutiveFailures > 0 && p.world.Stale {
 		p.paceUnseen(now, s)
 	}
 }
 
-// heard ends the doubt in a server that has begun to answer f.
-func (s *server) heard(f *send) {
-	if s.trial == f {
-		s.trial = nil
+// recordResponse ends the doubt in a server that has begun to answer f.
+func (s *server) recordResponse(f *send) {
+	if s.probe == f {
+		s.probe = nil
 	}
-	s.fails, s.outUntil = 0, 0
+	s.consecutiveFailures, s.ejectedUntil = 0, 0
 }
 
 // FirstEvent tells that the first event of a stream has come, so its prompt is read and kept there.
@@ -134,8 +134,8 @@
 	}
 	f.settle()
 	s := f.server
-	p.reached(now, s)
-	s.heard(f)
+	p.recordReachable(now, s)
+	s.recordResponse(f)
 	if !f.alone {
 		return
 	}
@@ -168,47 +168,47 @@
 	f.settle()
 	s.own.Requests--
 	s.own.Tokens -= f.tokens
-	trial := s.trial == f
+	trial := s.probe == f
 	if trial {
-		s.trial = nil
+		s.probe = nil
 	}
 	switch o {
 	case Served:
 		s.kept.put(now)
-		p.reached(now, s)
-		s.failed = 0
-		s.well()
+		p.recordReachable(now, s)
+		s.consecutiveServerErrors = 0
+		s.recordSuccess()
 		g.serviceTime += (min(ms(now-f.at), 10*g.serviceTime+100) - g.serviceTime) / 32
 		g.room = min(g.room+roomGrow, roomMost)
 	case NotExecuted:
 		s.kept.put(now)
-		p.reached(now, s)
-		s.well()
+		p.recordReachable(now, s)
+		s.recordSuccess()
 		g.room = max(roomLeast, min(g.room, float64(s.load(now, p.othersAt))/float64(s.slots())))
 		s.fullUntil = now + min(max(retryAfter, fullLeast), fullMost)
 	case Misdirected:
-		s.gone, s.goneAt = true, now
+		s.misdirected, s.misdirectedAt = true, now
 		p.beliefs.drop(s)
 	case ConnectFailed:
 		s.kept = kept{}
-		s.fail(now)
+		s.recordFailure(now)
 		f.request.arrived--
 		if f.charged {
 			g.budget.repeat(now, -1)
 		}
 	case TimedOut:
 		s.kept = kept{}
-		s.fail(now)
+		s.recordFailure(now)
 	case ConnectionLost:
-		if s.broken++; s.broken >= brokenMost || trial {
-			s.fail(now)
+		if s.consecutiveBroken++; s.consecutiveBroken >= maxConsecutiveBroken || trial {
+			s.recordFailure(now)
 		}
 	case ServerError:
-		s.fails, s.broken = 0, 0
-		if s.failed++; s.failed >= failedMost {
-			s.outUntil = max(s.outUntil, now+doubtFirst)
+		s.consecutiveFailures, s.consecutiveBroken = 0, 0
+		if s.consecutiveServerErrors++; s.consecutiveServerErrors >= maxConsecutiveServerErrors {
+			s.ejectedUntil = max(s.ejectedUntil, now+baseEjectionTime)
 		} else {
-			s.outUntil = 0
+			s.ejectedUntil = 0
 		}
 	case Canceled:
 	}
--- a/internal/system/proxy/pick/lane.go
+++ b/internal/system/proxy/pick/lane.go
@@ -90,7 +90,7 @@
 	// Where a region sees no short prompts at all, the long ones go there, if it is large enough.
 	room, all := 0, 0
 	for _, s := range g.servers {
-		if s.Draining || s.gone || p.world.Evacuated[s.Zone] || s.outUntil > 0 ||
+		if s.Draining || s.misdirected || p.world.Evacuated[s.Zone] || s.ejectedUntil > 0 ||
 			w.long && len(r.Route.HomeRegions) > 0 && !slices.Contains(r.Route.HomeRegions, s.Region) {
 			continue
 		}
--- a/internal/system/proxy/pick/picker.go
+++ b/internal/system/proxy/pick/picker.go
@@ -175,8 +175,8 @@
 	s.WarmUpMin = max(0, s.WarmUpMin-p.world.Age)
 	s.region = p.regionNumber(told.Region)
 	p.listCold(now, s)
-	if s.gone && now-s.goneAt > goneTime {
-		s.gone = false
+	if s.misdirected && now-s.misdirectedAt > misdirectedTimeout {
+		s.misdirected = false
 	}
 	held := s.holder
 	s.holder = p.holderOf(s)
--- a/internal/system/proxy/pick/property_test.go
+++ b/internal/system/proxy/pick/property_test.go
@@ -176,7 +176,7 @@
 		t.Fatalf("%d beliefs, counted %d", count, p.beliefs.count)
 	}
 	for _, s := range p.servers {
-		if s.first != nil || s.last != nil || s.trial != nil {
+		if s.first != nil || s.last != nil || s.probe != nil {
 			t.Fatalf("%s awaits an event of nothing", s.ID)
 		}
 		if held[s] != s.believed {
--- a/internal/system/proxy/pick/server.go
+++ b/internal/system/proxy/pick/server.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	goneTime     = 3 * time.Second        // a server whose address answered 421 stays out at least this long
-	leavingTime  = 3 * time.Second        // a hint that a server leaves holds this long
-	coldHintLife = 3 * time.Second        // a server's own word on being cold outlives a list that says warm by this
-	toldLife     = 400 * time.Millisecond // X-Server-Load is believed this long
-	othersLife   = 2 * time.Second        // the loads of other proxies are believed this long
-	doubtFirst   = 500 * time.Millisecond // the first time that a server which failed gets nothing
-	doubtMost    = 4 * time.Second        // and the longest
-	untriedMost  = 2 * time.Second        // after it, any request may try a doubted server
+	misdirectedTimeout = 3 * time.Second        // a server whose address answered 421 stays out at least this long
+	drainHintTTL       = 3 * time.Second        // a hint that a server leaves holds this long
+	coldHintLife       = 3 * time.Second        // a server's own word on being cold outlives a list that says warm by this
+	toldLife           = 400 * time.Millisecond // X-Server-Load is believed this long
+	othersLife         = 2 * time.Second        // the loads of other proxies are believed this long
+	baseEjectionTime   = 500 * time.Millisecond // the first time that a server which failed gets nothing
+	maxEjectionTime    = 4 * time.Second        // and the longest
+	maxProbeDelay      = 2 * time.Second        // after it, any request may try a doubted server
 )
 
 const (
@@ -78,15 +78,15 @@
 	tokenRate                        float64 // the highest pace, in requests a second, by which token was refilled since it was spent
 	tokenAt                          Time
 
-	gone         bool // its address answered for another server
-	goneAt       Time
-	fails        int // connections that failed in a row
-	broken       int // answers that broke off in a row
-	failed       int // 5xx in a row
-	outUntil     Time
-	trial        *send // the one send that tries a doubted server
-	fullUntil    Time
-	leavingUntil Time
+	misdirected             bool // its address answered for another server
+	misdirectedAt           Time
+	consecutiveFailures     int // connections that failed in a row
+	consecutiveBroken       int // answers that broke off in a row
+	consecutiveServerErrors int // 5xx in a row
+	ejectedUntil            Time
+	probe                   *send // the one send that tries a doubted server
+	fullUntil               Time
+	drainHintUntil          Time
 
 	first, last   *send // own sends that await their first event, oldest first
 	oldest, young *belief
@@ -144,30 +144,32 @@
 	s.coldUntil = until
 }
 
-// doubted tells whether s gets nothing because of failures. One trial at a time may go to a server whose time is over.
-func (s *server) doubted(now Time) bool {
-	return now < s.outUntil || s.suspect() && s.trial != nil
+// ejected tells whether s gets nothing because of failures. One trial at a time may go to a server whose time is over.
+func (s *server) ejected(now Time) bool {
+	return now < s.ejectedUntil || s.suspected() && s.probe != nil
 }
 
-// mayTry tells whether r may be the one that tries a doubted server. That is best left to a request that can go on to
+// mayProbe tells whether r may be the one that tries a doubted server. That is best left to a request that can go on to
 // another server; one that can't tries only a server that nobody has tried for long.
-func (s *server) mayTry(now Time, r *Request, tried []string) bool {
-	return len(tried) == 0 && r.Route.MaxTries > 1 || now >= s.outUntil+untriedMost
+func (s *server) mayProbe(now Time, r *Request, tried []string) bool {
+	return len(tried) == 0 && r.Route.MaxTries > 1 || now >= s.ejectedUntil+maxProbeDelay
 }
 
-func (s *server) suspect() bool { return s.fails > 0 || s.outUntil > 0 }
+func (s *server) suspected() bool { return s.consecutiveFailures > 0 || s.ejectedUntil > 0 }
 
-// fail takes a failure that says that s does not answer.
-func (s *server) fail(now Time) {
-	if now < s.outUntil {
+// recordFailure takes a failure that says that s does not answer.
+func (s *server) recordFailure(now Time) {
+	if now < s.ejectedUntil {
 		return // sends that were under way when the first of them failed
 	}
-	s.fails = min(s.fails+1, 8)
-	s.outUntil = now + min(doubtFirst<<(s.fails-1), doubtMost)
+	s.consecutiveFailures = min(s.consecutiveFailures+1, 8)
+	s.ejectedUntil = now + min(baseEjectionTime<<(s.consecutiveFailures-1), maxEjectionTime)
 }
 
-// well takes an answer: s lives.
-func (s *server) well() { s.fails, s.broken, s.outUntil = 0, 0, 0 }
+// recordSuccess takes an answer: s lives.
+func (s *server) recordSuccess() {
+	s.consecutiveFailures, s.consecutiveBroken, s.ejectedUntil = 0, 0, 0
+}
 
 // overdue is by how much the oldest prompt at s is late, in milliseconds: a server that is slow, frozen or dark shows
 // by it before any send fails.
@@ -203,6 +205,6 @@
 // ServerDraining takes the hint that a server is about to leave: it is used last for some seconds.
 func (p *Picker) ServerDraining(now Time, id string) {
 	if s := p.servers[id]; s != nil {
-		s.leavingUntil = now + leavingTime
+		s.drainHintUntil = now + drainHintTTL
 	}
 }
--- a/internal/system/proxy/pick/stale.go
+++ b/internal/system/proxy/pick/stale.go
@@ -1,9 +1,9 @@
 package pick
 
-// mayKnock tells whether a doubted server may get one more trial. Danger: requests that await connections to servers that are cut off
+// hasProbeCapacity tells whether a doubted server may get one more trial. Danger: requests that await connections to servers that are cut off
 // all go out at the moment when the cut ends, and a Stale proxy, which hears of no evacuation, does not know whether the servers
 // are cold by then.
-func (p *Picker) mayKnock(s *server) bool {
+func (p *Picker) hasProbeCapacity(s *server) bool {
 	if p.world.Stale && s.coldRate() > 0 {
 		return s.own.Requests == 0
 	}
--- a/internal/system/proxy/pick/weigh.go
+++ b/internal/system/proxy/pick/weigh.go
@@ -75,7 +75,7 @@
 func (p *Picker) homes(w *weigher, now Time, r *Request, g *group, key uint64) (home, next *server) {
 	var first, second uint64
 	for _, s := range g.servers {
-		if s.Draining || s.gone || p.world.Evacuated[s.Zone] || s.outUntil > 0 || s.cold(now) || !w.suits(s) ||
+		if s.Draining || s.misdirected || p.world.Evacuated[s.Zone] || s.ejectedUntil > 0 || s.cold(now) || !w.suits(s) ||
 			len(r.Route.HomeRegions) > 0 && !slices.Contains(r.Route.HomeRegions, s.Region) {
 			continue
 		}
@@ -201,7 +201,7 @@
 	if now < s.fullUntil {
 		extra += fullPrice
 	}
-	if now < s.leavingUntil {
+	if now < s.drainHintUntil {
 		extra += leavingPrice
 	}
 	c.total = c.first + extra
