--- a/internal/system/proxy/pick/choose.go
+++ b/internal/system/proxy/pick/choose.go
@@ -128,7 +128,7 @@
 		return misdirected
 	case s.ejected(now), r != nil && s.suspected() && !s.mayProbe(now, r, tried):
 		return ejected
-	case s.cold(now) && !p.coldToken(now, s):
+	case s.warmingUp(now) && !p.hasWarmUpToken(now, s):
 		return warmUpPaced
 	}
 	return eligible
@@ -162,7 +162,7 @@
 			slots += s.slots()
 			continue
 		case warmUpPaced:
-			warm = min(warm, p.coldWait(now, s))
+			warm = min(warm, p.warmUpWait(now, s))
 		}
 		costs[i].total = math.Inf(1)
 	}
@@ -216,7 +216,7 @@
 			continue
 		}
 		for _, s := range g.servers {
-			if p.eligibility(now, s, r, tried) != ejected || s.cold(now) && !p.coldToken(now, s) || !p.hasProbeCapacity(s) {
+			if p.eligibility(now, s, r, tried) != ejected || s.warmingUp(now) && !p.hasWarmUpToken(now, s) || !p.hasProbeCapacity(s) {
 				continue
 			}
 			if best == nil || s.ejectedUntil < best.ejectedUntil || s.ejectedUntil == best.ejectedUntil && s.own.Requests < best.own.Requests {
--- a/internal/system/proxy/pick/coldholders_test.go
+++ b/internal/system/proxy/pick/coldholders_test.go
@@ -8,10 +8,10 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// TestLateConnectionsKeepThePace: a request to a cold server is chosen, and sent up to coldSendWithin later, as its connection takes that
+// TestLateConnectionsKeepThePace: a request to a cold server is chosen, and sent up to warmUpSendTimeout later, as its connection takes that
 // long. What was chosen in that time and a second is then sent within one.
 func TestLateConnectionsKeepThePace(t *testing.T) {
-	const dial = coldSendWithin
+	const dial = warmUpSendTimeout
 	for _, rate := range []float64{31, 45, 300} {
 		for proxies := 1; proxies <= 60; proxies++ {
 			t.Run(fmt.Sprint(rate, proxies), func(t *testing.T) {
--- a/internal/system/proxy/pick/coldshare_test.go
+++ b/internal/system/proxy/pick/coldshare_test.go
@@ -60,7 +60,7 @@
 	lost = map[int]bool{}
 	for i, p := range f.pickers {
 		p.UpdateClusterState(0, f.world(i, 1, time.Minute))
-		if p.servers["s0"].holder && len(lost) < count {
+		if p.servers["s0"].isSender && len(lost) < count {
 			lost[i] = true
 		} else {
 			left = append(left, f.names[i])
@@ -163,7 +163,7 @@
 	late := newColdFleet(12)
 	late.pickers = late.pickers[:1]
 	late.pickers[0].UpdateClusterState(starts, late.world(0, 1, coldFor))
-	late.press(starts, starts+holderWait-10*time.Millisecond, 10*time.Millisecond, nil)
+	late.press(starts, starts+newSenderDelay-10*time.Millisecond, 10*time.Millisecond, nil)
 	if len(late.sent) > 0 {
 		t.Errorf("%d requests of a proxy that has just come", len(late.sent))
 	}
--- a/internal/system/proxy/pick/coldsplit_test.go
+++ b/internal/system/proxy/pick/coldsplit_test.go
@@ -87,14 +87,14 @@
 	const again, request, told = 4800 * time.Millisecond, 5 * time.Second, 5600 * time.Millisecond
 	f := newColdFleet(1)
 	p := f.pickers[0]
-	before := coldEndKept.Violations()
+	before := warmUpEndInvariant.Violations()
 	p.UpdateClusterState(0, f.world(0, 1, coldFor))
 	f.press(0, coldFor, 10*time.Millisecond, nil)
 	f.press(request, request+10*time.Millisecond, 10*time.Millisecond, nil)
 	w := f.world(0, 1, again+coldFor-told)
 	w.Servers[0].WarmUpMin = w.Servers[0].WarmUpMax
 	p.UpdateClusterState(told, w)
-	if coldEndKept.Violations() != before {
+	if warmUpEndInvariant.Violations() != before {
 		t.Error("counted as a fault")
 	}
 }
@@ -104,7 +104,7 @@
 func TestRateChangedForAMomentIsNoViolation(t *testing.T) {
 	f := newColdFleet(1)
 	p := f.pickers[0]
-	before := coldPaceKept.Violations()
+	before := warmUpRateInvariant.Violations()
 	tell := func(now Time, rate float64) {
 		w := f.world(0, 1, 10*time.Second-now)
 		w.Config = &config.Config{Routes: f.config.Routes, Services: map[string]*config.Service{"a": {Name: "a", WarmUpRate: rate, WarmUpTime: 10 * time.Second}}}
@@ -117,7 +117,7 @@
 	p.eligibility(n+20*time.Millisecond, p.servers["s0"], nil, nil) // it is looked at, and the request goes to another
 	tell(n+30*time.Millisecond, 3.1)
 	f.press(n+40*time.Millisecond, n+2*time.Second, 10*time.Millisecond, nil)
-	if coldPaceKept.Violations() != before {
+	if warmUpRateInvariant.Violations() != before {
 		t.Error("counted as a fault")
 	}
 }
@@ -300,7 +300,7 @@
 					continue
 				}
 				s := p.servers["s0"]
-				if inCold && s.cold(now) { // sends of proxies that can't know yet are another matter
+				if inCold && s.warmingUp(now) { // sends of proxies that can't know yet are another matter
 					sent = append(sent, now)
 				}
 				p.Done(now, c.Ticket, Served, 0)
--- a/internal/system/proxy/pick/flight.go
+++ b/internal/system/proxy/pick/flight.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	fullLeast  = 200 * time.Millisecond // a server that said it is full is spared this long
-	fullMost   = 500 * time.Millisecond
-	holderWait = time.Second // a new holder of a cold server waits until others send as its holders, too
-	// successorWait is longer than a proxy that others have given up goes on as a holder: it is Stale 1.6 s after a keeper's
+	fullLeast      = 200 * time.Millisecond // a server that said it is full is spared this long
+	fullMost       = 500 * time.Millisecond
+	newSenderDelay = time.Second // a new holder of a cold server waits until others send as its holders, too
+	// successorDelay is longer than a proxy that others have given up goes on as a holder: it is Stale 1.6 s after a keeper's
 	// last word (distribution.FreshnessTTL).
-	successorWait              = 1800 * time.Millisecond
+	successorDelay             = 1800 * time.Millisecond
 	maxConsecutiveBroken       = 2 // answers that broke off in a row before a server is doubted
 	maxConsecutiveServerErrors = 5 // 5xx in a row before it is
 	plainTail                  = 4 // an answer without a prompt is overdue after this many usual times
@@ -29,11 +29,11 @@
 	if s.suspected() && s.probe == nil {
 		s.probe = f
 	}
-	p.checkSend(r, s)
-	if s.cold(now) && s.coldRate() > 0 {
-		c.SendWithin = coldSendWithin
+	p.checkEligibility(r, s)
+	if s.warmingUp(now) && s.warmUpRate() > 0 {
+		c.SendWithin = warmUpSendTimeout
 	}
-	p.spendCold(now, s)
+	p.recordWarmUpSend(now, s)
 	if r.arrived > 0 {
 		f.charged = true
 		s.group.budget.repeat(now, 1)
@@ -51,7 +51,7 @@
 		f.prefill = int64(w.in - kept)
 		s.group.demand.add(now, p.long(w.in), f.prefill)
 		f.tokens = f.prefill + int64(max(r.TokensOut, 0))
-		f.alone = kept == 0 && s.own.Prefill == 0 && s.others.Prefill == 0 && f.prefill >= 1000 && !s.cold(now)
+		f.alone = kept == 0 && s.own.Prefill == 0 && s.others.Prefill == 0 && f.prefill >= 1000 && !s.warmingUp(now)
 		f.due = now + span(at.first)
 		s.own.Prefill += f.prefill
 		s.own.Tokens += f.tokens
@@ -114,7 +114,7 @@
 // recordReachable takes note that s has answered. Where it could not be recordReachable before, and no keeper either, it may have turned cold unseen.
 func (p *Picker) recordReachable(now Time, s *server) {
 	if s.consecutiveFailures > 0 && p.world.Stale {
-		p.paceUnseen(now, s)
+		p.paceUntilConfirmed(now, s)
 	}
 }
 
--- a/internal/system/proxy/pick/invariants_test.go
+++ b/internal/system/proxy/pick/invariants_test.go
@@ -14,8 +14,8 @@
 	p := f.pickers[0]
 	p.UpdateClusterState(0, f.world(0, 1, time.Minute))
 	f.press(0, 5*time.Second, 10*time.Millisecond, nil)
-	invarianttest.Expect(t, coldPaceKept, func() {
-		f.press(5*time.Second, 5100*time.Millisecond, 10*time.Millisecond, func(Time) { p.servers["s0"].token = 2 })
+	invarianttest.Expect(t, warmUpRateInvariant, func() {
+		f.press(5*time.Second, 5100*time.Millisecond, 10*time.Millisecond, func(Time) { p.servers["s0"].tokens = 2 })
 	})
 }
 
@@ -30,10 +30,10 @@
 		w.Servers[0].WarmUpMin = later
 		f.pickers[0].UpdateClusterState(cold+40*time.Millisecond, w)
 	}
-	invarianttest.Expect(t, coldEndKept, func() { play(coldFor-80*time.Millisecond, 40*time.Millisecond) })
-	before := coldEndKept.Violations()
+	invarianttest.Expect(t, warmUpEndInvariant, func() { play(coldFor-80*time.Millisecond, 40*time.Millisecond) })
+	before := warmUpEndInvariant.Violations()
 	play(coldFor, coldFor-20*time.Millisecond)
-	if coldEndKept.Violations() != before {
+	if warmUpEndInvariant.Violations() != before {
 		t.Error("a cold state that began after the first request counts as the one before")
 	}
 }
@@ -43,7 +43,7 @@
 	f := newColdFleet(1)
 	p := f.pickers[0]
 	p.UpdateClusterState(0, f.world(0, 1, 0))
-	invarianttest.Expect(t, sendsAllowed, func() {
+	invarianttest.Expect(t, eligibilityInvariant, func() {
 		p.world.Evacuated = map[string]bool{"z": true}
 		r := &Request{Route: f.config.Routes[0], TimeLeft: time.Second}
 		p.Done(0, p.send(0, Choice{}, r, p.servers["s0"], cost{}, &chain{}).Ticket, Served, 0)
@@ -56,7 +56,7 @@
 	const back = 12 * time.Second
 	f := newColdFleet(1)
 	p := f.pickers[0]
-	before := coldEndKept.Violations()
+	before := warmUpEndInvariant.Violations()
 	p.UpdateClusterState(0, f.world(0, 1, coldFor))
 	f.press(0, coldFor+100*time.Millisecond, 10*time.Millisecond, nil)
 	w := f.world(0, 1, 0)
@@ -64,14 +64,14 @@
 	p.UpdateClusterState(5*time.Second, w)
 	w.Evacuated, w.ZoneChanges, w.ListCoversSeq = nil, map[string]uint64{"z": 7}, 6
 	p.UpdateClusterState(back, w)
-	if !p.servers["s0"].unproven {
+	if !p.servers["s0"].awaitsNewerList {
 		t.Error("not paced though the list cannot tell")
 	}
 	w = f.world(0, 1, 1700*time.Millisecond)
 	w.ZoneChanges, w.ListCoversSeq = map[string]uint64{"z": 7}, 7
 	w.Servers[0].WarmUpMin = time.Second
 	p.UpdateClusterState(back+500*time.Millisecond, w)
-	if coldEndKept.Violations() != before {
+	if warmUpEndInvariant.Violations() != before {
 		t.Error("counted as a fault")
 	}
 }
@@ -82,13 +82,13 @@
 	const again, told = coldFor - 500*time.Millisecond, coldFor + 400*time.Millisecond
 	f := newColdFleet(1)
 	p := f.pickers[0]
-	before := coldEndKept.Violations()
+	before := warmUpEndInvariant.Violations()
 	p.UpdateClusterState(0, f.world(0, 1, coldFor))
 	f.press(0, told, 10*time.Millisecond, nil)
 	w := f.world(0, 1, again+coldFor-told)
 	w.Servers[0].WarmUpMin = w.Servers[0].WarmUpMax
 	p.UpdateClusterState(told, w)
-	if coldEndKept.Violations() != before {
+	if warmUpEndInvariant.Violations() != before {
 		t.Error("counted as a fault")
 	}
 }
@@ -98,13 +98,13 @@
 func TestUpdateThatComesLateIsNoViolation(t *testing.T) {
 	f := newColdFleet(1)
 	p := f.pickers[0]
-	before := coldEndKept.Violations()
+	before := warmUpEndInvariant.Violations()
 	p.UpdateClusterState(0, f.world(0, 1, coldFor))
 	f.press(0, coldFor+200*time.Millisecond, 10*time.Millisecond, nil)
 	w := f.world(0, 1, 100*time.Millisecond)
 	w.Servers[0].WarmUpMin, w.Age = w.Servers[0].WarmUpMax, 300*time.Millisecond
 	p.UpdateClusterState(coldFor+200*time.Millisecond, w)
-	if coldEndKept.Violations() != before || p.servers["s0"].cold(coldFor+200*time.Millisecond) {
+	if warmUpEndInvariant.Violations() != before || p.servers["s0"].warmingUp(coldFor+200*time.Millisecond) {
 		t.Error("counted as a fault, or cold once more")
 	}
 }
@@ -114,14 +114,14 @@
 func TestStallIsNoColdState(t *testing.T) {
 	const woke = 10 * time.Second
 	p, f := stalledPicker(woke)
-	before := coldEndKept.Violations()
+	before := warmUpEndInvariant.Violations()
 	p.UpdateClusterState(woke+50*time.Millisecond, f.world(0, 1, 0))
 	f.pickers = f.pickers[:1]
 	f.press(woke+50*time.Millisecond, woke+100*time.Millisecond, 10*time.Millisecond, nil)
 	w := f.world(0, 1, 2900*time.Millisecond)
 	w.Servers[0].WarmUpMin = w.Servers[0].WarmUpMax
 	p.UpdateClusterState(woke+100*time.Millisecond, w)
-	if coldEndKept.Violations() != before || len(f.sent) == 0 {
+	if warmUpEndInvariant.Violations() != before || len(f.sent) == 0 {
 		t.Errorf("counted as a fault, with %d requests", len(f.sent))
 	}
 }
--- a/internal/system/proxy/pick/picker.go
+++ b/internal/system/proxy/pick/picker.go
@@ -111,12 +111,12 @@
 	}
 	before := p.world
 	p.world = w
-	p.zoneChanges.note(now, w.ZoneChanges)
+	p.zoneChanges.update(now, w.ZoneChanges)
 	p.peers.set(now, len(w.Peers)+w.DownCount)
 	if w.Stale && !before.Stale {
 		p.staleSince = now
 	}
-	heard := p.stalled && p.heardSince(now, p.stalledAt)
+	heard := p.stalled && p.hasContactSince(now, p.stalledAt)
 	if heard {
 		p.stalled = false
 	}
@@ -174,17 +174,17 @@
 	s.WarmUpMax = max(0, s.WarmUpMax-p.world.Age)
 	s.WarmUpMin = max(0, s.WarmUpMin-p.world.Age)
 	s.region = p.regionNumber(told.Region)
-	p.listCold(now, s)
+	p.updateWarmUp(now, s)
 	if s.misdirected && now-s.misdirectedAt > misdirectedTimeout {
 		s.misdirected = false
 	}
-	held := s.holder
-	s.holder = p.holderOf(s)
+	held := s.isSender
+	s.isSender = p.isWarmUpSender(s)
 	switch {
 	case !s.listed:
-		s.holderSince = p.peersAt // its holders are those that these peers name, once all know them
+		s.senderSince = p.peersAt // its holders are those that these peers name, once all know them
 	case !held:
-		s.holderSince = now
+		s.senderSince = now
 	}
 	s.listed = true
 	g := p.group(told.Service)
--- a/internal/system/proxy/pick/reached_test.go
+++ b/internal/system/proxy/pick/reached_test.go
@@ -29,12 +29,12 @@
 		w := f.world(i, 1, 0)
 		w.ContactAge = told - healed + time.Millisecond
 		p.UpdateClusterState(told, w)
-		if !p.servers["s0"].cold(told) {
+		if !p.servers["s0"].warmingUp(told) {
 			t.Errorf("proxy %d takes the server for warm by a word from before", i)
 		}
 		w.ContactAge = 0
 		p.UpdateClusterState(told, w)
-		if p.servers["s0"].cold(told) {
+		if p.servers["s0"].warmingUp(told) {
 			t.Errorf("proxy %d takes the server for cold though a keeper has told of it since", i)
 		}
 	}
--- a/internal/system/proxy/pick/server.go
+++ b/internal/system/proxy/pick/server.go
@@ -9,7 +9,7 @@
 const (
 	misdirectedTimeout = 3 * time.Second        // a server whose address answered 421 stays out at least this long
 	drainHintTTL       = 3 * time.Second        // a hint that a server leaves holds this long
-	coldHintLife       = 3 * time.Second        // a server's own word on being cold outlives a list that says warm by this
+	warmUpHintTTL      = 3 * time.Second        // a server's own word on being cold outlives a list that says warm by this
 	toldLife           = 400 * time.Millisecond // X-Server-Load is believed this long
 	othersLife         = 2 * time.Second        // the loads of other proxies are believed this long
 	baseEjectionTime   = 500 * time.Millisecond // the first time that a server which failed gets nothing
@@ -62,21 +62,21 @@
 	}
 	speed float64 // of reading prompts, against the fleet's
 
-	coldUntil, coldTold, holderSince Time
-	wasCold                          bool // no request was sent to it as a warm one since it turned cold
-	warmedAt                         Time // when the first one was; 0: none, or it was judged
-	warmedSince                      Time // when this proxy had heard of the cold state that was taken to be over then
-	coldSince                        Time // when this proxy heard of the last cold state
-	unseen                           bool // it may have turned cold at unseenAt or before, of which no keeper's word has come since
-	unseenAt                         Time
-	pacedUnseen                      bool // it counts as cold only because it was unseen
-	coldSent                         coldWindow
-	listed                           bool // in a list before
-	holder                           bool // this proxy may send to it while it is cold
-	unproven                         bool // it may have turned cold without a reading of the list that could show it
-	token                            float64
-	tokenRate                        float64 // the highest pace, in requests a second, by which token was refilled since it was spent
-	tokenAt                          Time
+	warmUntil, warmUpHintAt, senderSince Time
+	awaitsFirstWarmSend                  bool // no request was sent to it as a warm one since it turned cold
+	firstWarmSendAt                      Time // when the first one was; 0: none, or it was judged
+	endedWarmUpLearnedAt                 Time // when this proxy had heard of the cold state that was taken to be over then
+	warmUpLearnedAt                      Time // when this proxy heard of the last cold state
+	unconfirmed                          bool // it may have turned cold at unseenAt or before, of which no keeper's word has come since
+	unconfirmedAt                        Time
+	pacedUnconfirmed                     bool // it counts as cold only because it was unseen
+	recentWarmUpSends                    sendWindow
+	listed                               bool // in a list before
+	isSender                             bool // this proxy may send to it while it is cold
+	awaitsNewerList                      bool // it may have turned cold without a reading of the list that could show it
+	tokens                               float64
+	maxRefillRate                        float64 // the highest pace, in requests a second, by which token was refilled since it was spent
+	refilledAt                           Time
 
 	misdirected             bool // its address answered for another server
 	misdirectedAt           Time
@@ -132,16 +132,16 @@
 	return 1
 }
 
-// cold tells whether s is cold.
-func (s *server) cold(now Time) bool { return now < s.coldUntil }
+// warmingUp tells whether s is warmingUp.
+func (s *server) warmingUp(now Time) bool { return now < s.warmUntil }
 
-func (p *Picker) setCold(now Time, s *server, until Time) {
-	if !s.cold(now) && until > now {
-		s.token, s.tokenAt = 0, now // it turns cold: nothing was saved up
-		s.wasCold, s.coldSent, s.coldSince, s.pacedUnseen = true, coldWindow{}, now, false
+func (p *Picker) setWarmingUp(now Time, s *server, until Time) {
+	if !s.warmingUp(now) && until > now {
+		s.tokens, s.refilledAt = 0, now // it turns cold: nothing was saved up
+		s.awaitsFirstWarmSend, s.recentWarmUpSends, s.warmUpLearnedAt, s.pacedUnconfirmed = true, sendWindow{}, now, false
 		p.stats.WarmUpStarts++
 	}
-	s.coldUntil = until
+	s.warmUntil = until
 }
 
 // ejected tells whether s gets nothing because of failures. One trial at a time may go to a server whose time is over.
@@ -197,8 +197,8 @@
 // WarmingUp takes X-WarmingUp-Ms: how much longer the server is cold; 0: no longer.
 func (p *Picker) WarmingUp(now Time, id string, left time.Duration) {
 	if s := p.servers[id]; s != nil {
-		p.setCold(now, s, now+max(left, 0))
-		s.coldTold = now
+		p.setWarmingUp(now, s, now+max(left, 0))
+		s.warmUpHintAt = now
 	}
 }
 
--- a/internal/system/proxy/pick/stale.go
+++ b/internal/system/proxy/pick/stale.go
@@ -4,7 +4,7 @@
 // all go out at the moment when the cut ends, and a Stale proxy, which hears of no evacuation, does not know whether the servers
 // are cold by then.
 func (p *Picker) hasProbeCapacity(s *server) bool {
-	if p.world.Stale && s.coldRate() > 0 {
+	if p.world.Stale && s.warmUpRate() > 0 {
 		return s.own.Requests == 0
 	}
 	return s.own.Requests < s.slots()
--- a/internal/system/proxy/pick/stalled_test.go
+++ b/internal/system/proxy/pick/stalled_test.go
@@ -27,15 +27,15 @@
 		w.ContactAge, w.Age = word.age, word.delay
 		p.UpdateClusterState(woke+word.came, w)
 		for id, s := range p.servers {
-			if !p.AwaitsControlPlane() || !s.cold(woke+coldFor-1) || s.cold(woke+coldFor) {
-				t.Errorf("%+v: %s is cold until %v, want %v", word, id, s.coldUntil, woke+coldFor)
+			if !p.AwaitsControlPlane() || !s.warmingUp(woke+coldFor-1) || s.warmingUp(woke+coldFor) {
+				t.Errorf("%+v: %s is cold until %v, want %v", word, id, s.warmUntil, woke+coldFor)
 			}
 		}
 	}
 	w := f.world(0, 2, 0)
 	w.ContactAge = 100 * time.Millisecond
 	p.UpdateClusterState(woke+100*time.Millisecond, w)
-	if p.AwaitsControlPlane() || p.servers["s0"].cold(woke+100*time.Millisecond) {
+	if p.AwaitsControlPlane() || p.servers["s0"].warmingUp(woke+100*time.Millisecond) {
 		t.Error("a word from after the stall says that the server is warm")
 	}
 }
@@ -45,8 +45,8 @@
 	const woke = 10 * time.Second
 	p, f := stalledPicker(woke)
 	p.UpdateClusterState(woke+100*time.Millisecond, f.world(0, 1, 2*time.Second))
-	if s := p.servers["s0"]; s.coldUntil != woke+2100*time.Millisecond {
-		t.Errorf("cold until %v", s.coldUntil)
+	if s := p.servers["s0"]; s.warmUntil != woke+2100*time.Millisecond {
+		t.Errorf("cold until %v", s.warmUntil)
 	}
 }
 
@@ -56,15 +56,15 @@
 	f := newColdFleet(60)
 	for i, p := range f.pickers {
 		p.UpdateClusterState(0, f.world(i, 1, time.Minute))
-		if !p.servers["s0"].holder {
+		if !p.servers["s0"].isSender {
 			continue
 		}
 		p.Stalled(woke)
-		if _, may := p.holdsFrom(woke, p.servers["s0"]); may {
+		if _, may := p.sendsFrom(woke, p.servers["s0"]); may {
 			t.Error("it holds on as it wakes")
 		}
 		p.UpdateClusterState(woke+time.Second, f.world(i, 1, time.Minute))
-		if from, may := p.holdsFrom(woke+time.Second, p.servers["s0"]); !may || from != woke+time.Second+successorWait {
+		if from, may := p.sendsFrom(woke+time.Second, p.servers["s0"]); !may || from != woke+time.Second+successorDelay {
 			t.Errorf("it holds again %v, from %v", may, from)
 		}
 	}
@@ -76,7 +76,7 @@
 	w := f.world(0, 1, 2*time.Second)
 	w.Age = 500 * time.Millisecond
 	p.UpdateClusterState(time.Second, w)
-	if s := p.servers["s0"]; s.coldUntil != 2500*time.Millisecond {
-		t.Errorf("cold until %v, want 2.5 s", s.coldUntil)
+	if s := p.servers["s0"]; s.warmUntil != 2500*time.Millisecond {
+		t.Errorf("cold until %v, want 2.5 s", s.warmUntil)
 	}
 }
--- a/internal/system/proxy/pick/takenback_test.go
+++ b/internal/system/proxy/pick/takenback_test.go
@@ -47,17 +47,17 @@
 	p.UpdateClusterState(0, w)
 	w.Evacuated, w.ZoneChanges, w.ListCoversSeq = nil, map[string]uint64{"z": 7}, 5
 	p.UpdateClusterState(back, w)
-	if s := p.servers["s0"]; !s.cold(back) || !p.AwaitsServerList() {
+	if s := p.servers["s0"]; !s.warmingUp(back) || !p.AwaitsServerList() {
 		t.Fatal("taken for warm before the list can tell")
 	}
 	w.ListCoversSeq = 6
 	p.UpdateClusterState(back+time.Second, w)
-	if s := p.servers["s0"]; !s.cold(back + time.Second) {
+	if s := p.servers["s0"]; !s.warmingUp(back + time.Second) {
 		t.Error("taken for warm by a reading that may be too old")
 	}
 	w.ListCoversSeq = 7
 	p.UpdateClusterState(back+1100*time.Millisecond, w)
-	if s := p.servers["s0"]; s.cold(back+1100*time.Millisecond) || p.AwaitsServerList() {
+	if s := p.servers["s0"]; s.warmingUp(back+1100*time.Millisecond) || p.AwaitsServerList() {
 		t.Error("taken for cold though the list knows better")
 	}
 
@@ -65,8 +65,8 @@
 	p.UpdateClusterState(2*back, w)
 	w.Evacuated, w.ZoneChanges = nil, map[string]uint64{"z": 9}
 	p.UpdateClusterState(3*back, w)
-	if s := p.servers["s0"]; !s.cold(3*back+coldFor-1) || s.cold(3*back+coldFor) {
-		t.Errorf("without a list cold for %v, of %v", s.coldUntil-3*back, coldFor)
+	if s := p.servers["s0"]; !s.warmingUp(3*back+coldFor-1) || s.warmingUp(3*back+coldFor) {
+		t.Errorf("without a list cold for %v, of %v", s.warmUntil-3*back, coldFor)
 	}
 }
 
@@ -116,15 +116,15 @@
 	gone.ZoneChanges = nil
 	p.UpdateClusterState(back+100*time.Millisecond, gone)
 	p.UpdateClusterState(back+200*time.Millisecond, world(1))
-	if !p.servers["s0"].cold(back + 200*time.Millisecond) {
+	if !p.servers["s0"].warmingUp(back + 200*time.Millisecond) {
 		t.Error("warm after it was missing from the list")
 	}
 	without := world(1)
 	without.Config = &config.Config{}
 	p.UpdateClusterState(back+300*time.Millisecond, without)
 	p.UpdateClusterState(back+400*time.Millisecond, world(1))
-	if s := p.servers["s0"]; !s.cold(back+400*time.Millisecond) || s.cold(back+coldFor) {
-		t.Errorf("after its service was missing cold until %v, want %v", s.coldUntil, back+coldFor)
+	if s := p.servers["s0"]; !s.warmingUp(back+400*time.Millisecond) || s.warmingUp(back+coldFor) {
+		t.Errorf("after its service was missing cold until %v, want %v", s.warmUntil, back+coldFor)
 	}
 }
 
--- a/internal/system/proxy/pick/weigh.go
+++ b/internal/system/proxy/pick/weigh.go
@@ -75,7 +75,7 @@
 func (p *Picker) homes(w *weigher, now Time, r *Request, g *group, key uint64) (home, next *server) {
 	var first, second uint64
 	for _, s := range g.servers {
-		if s.Draining || s.misdirected || p.world.Evacuated[s.Zone] || s.ejectedUntil > 0 || s.cold(now) || !w.suits(s) ||
+		if s.Draining || s.misdirected || p.world.Evacuated[s.Zone] || s.ejectedUntil > 0 || s.warmingUp(now) || !w.suits(s) ||
 			len(r.Route.HomeRegions) > 0 && !slices.Contains(r.Route.HomeRegions, s.Region) {
 			continue
 		}
@@ -195,7 +195,7 @@
 	late := s.overdue(now)
 	c.first += late
 	c.wait += late
-	if s.cold(now) {
+	if s.warmingUp(now) {
 		extra += coldPrice
 	}
 	if now < s.fullUntil {
