--- a/internal/system/proxy/pick/belief.go
+++ b/internal/system/proxy/pick/belief.go
@@ -4,40 +4,40 @@
 // before it. Each server's beliefs are a list by last use, bounded by a share of its memory; all together are bounded too.
 
 const (
-	beliefsMost  = 8192 // beliefs kept over all servers
-	beliefPart   = 256  // a last part of fewer tokens is not worth remembering
-	keepShare    = 0.7  // of a server's memory that is believed to keep parts
-	chainsMost   = 16   // parts of a prompt that are looked at
-	chainKeySeed = 0x9e3779b97f4a7c15
+	maxPrefixEntries     = 8192 // beliefs kept over all servers
+	minPrivatePartTokens = 256  // a last part of fewer tokens is not worth remembering
+	indexedMemoryShare   = 0.7  // of a server's memory that is believed to keep parts
+	maxChainParts        = 16   // parts of a prompt that are looked at
+	chainKeySeed         = 0x9e3779b97f4a7c15
 )
 
-type belief struct {
+type prefixEntry struct {
 	key          uint64
 	server       *server
 	tokens       int
-	older, newer *belief // of its server
+	older, newer *prefixEntry // of its server
 }
 
-type beliefs struct {
-	byKey map[uint64][]*belief
+type prefixIndex struct {
+	byKey map[uint64][]*prefixEntry
 	count int
 }
 
-func newBeliefs() beliefs { return beliefs{byKey: map[uint64][]*belief{}} }
+func newPrefixIndex() prefixIndex { return prefixIndex{byKey: map[uint64][]*prefixEntry{}} }
 
-// chain is the prompt of one request: the key and the tokens up to each part's end.
-type chain struct {
+// prefixChain is the prompt of one request: the key and the tokens up to each part's end.
+type prefixChain struct {
 	n      int
-	keys   [chainsMost]uint64
-	tokens [chainsMost]int
-	parts  int // of the prompt; n is at most chainsMost
+	keys   [maxChainParts]uint64
+	tokens [maxChainParts]int
+	parts  int // of the prompt; n is at most maxChainParts
 }
 
-func chainOf(r *Request) (c chain) {
+func newPrefixChain(r *Request) (c prefixChain) {
 	key, sum := uint64(chainKeySeed), 0
 	c.parts = len(r.Prefix)
 	for _, part := range r.Prefix {
-		if c.n == chainsMost {
+		if c.n == maxChainParts {
 			break
 		}
 		key = mix(key ^ mix(part.ID+chainKeySeed))
@@ -49,7 +49,7 @@
 }
 
 // shared is the key and the tokens of the parts that other requests may share: all but the last.
-func (c *chain) shared() (key uint64, tokens int) {
+func (c *prefixChain) shared() (key uint64, tokens int) {
 	i := min(c.parts-1, c.n) - 1
 	if i < 0 {
 		return 0, 0
@@ -57,53 +57,53 @@
 	return c.keys[i], c.tokens[i]
 }
 
-// use notes that s now keeps the parts of c.
-func (b *beliefs) use(s *server, c *chain, most int64) {
+// record notes that s now keeps the parts of c.
+func (b *prefixIndex) record(s *server, c *prefixChain, most int64) {
 	sum := 0
 	for i := range c.n {
 		size := c.tokens[i] - sum
 		sum = c.tokens[i]
-		if i == c.parts-1 && size < beliefPart {
+		if i == c.parts-1 && size < minPrivatePartTokens {
 			break
 		}
 		b.touch(s, c.keys[i], size)
 	}
-	for s.believed > most && s.oldest != nil {
-		b.forget(s.oldest)
+	for s.indexedTokens > most && s.leastRecentEntry != nil {
+		b.remove(s.leastRecentEntry)
 	}
 }
 
-func (b *beliefs) touch(s *server, key uint64, tokens int) {
+func (b *prefixIndex) touch(s *server, key uint64, tokens int) {
 	for _, x := range b.byKey[key] {
 		if x.server == s {
-			s.unlink(x)
-			s.link(x)
+			s.unlinkEntry(x)
+			s.linkEntry(x)
 			return
 		}
 	}
-	if b.count >= beliefsMost {
+	if b.count >= maxPrefixEntries {
 		b.evict(s)
 	}
-	x := &belief{key: key, server: s, tokens: tokens}
+	x := &prefixEntry{key: key, server: s, tokens: tokens}
 	b.byKey[key] = append(b.byKey[key], x)
 	b.count++
-	s.believed += int64(tokens)
-	s.link(x)
+	s.indexedTokens += int64(tokens)
+	s.linkEntry(x)
 }
 
 // evict makes room for one more belief: the oldest of the server that gets it, or else of any.
-func (b *beliefs) evict(s *server) {
-	if s.oldest != nil {
-		b.forget(s.oldest)
+func (b *prefixIndex) evict(s *server) {
+	if s.leastRecentEntry != nil {
+		b.remove(s.leastRecentEntry)
 		return
 	}
 	for _, l := range b.byKey {
-		b.forget(l[0].server.oldest)
+		b.remove(l[0].server.leastRecentEntry)
 		return
 	}
 }
 
-func (b *beliefs) forget(x *belief) {
+func (b *prefixIndex) remove(x *prefixEntry) {
 	l := b.byKey[x.key]
 	for i, y := range l {
 		if y == x {
@@ -119,50 +119,50 @@
 		b.byKey[x.key] = l
 	}
 	b.count--
-	x.server.believed -= int64(x.tokens)
-	x.server.unlink(x)
+	x.server.indexedTokens -= int64(x.tokens)
+	x.server.unlinkEntry(x)
 }
 
-// drop forgets all of a server.
-func (b *beliefs) drop(s *server) {
-	for s.oldest != nil {
-		b.forget(s.oldest)
+// removeServer forgets all of a server.
+func (b *prefixIndex) removeServer(s *server) {
+	for s.leastRecentEntry != nil {
+		b.remove(s.leastRecentEntry)
 	}
 }
 
-func (s *server) link(x *belief) {
-	x.older, x.newer = s.young, nil
-	if s.young != nil {
-		s.young.newer = x
+func (s *server) linkEntry(x *prefixEntry) {
+	x.older, x.newer = s.mostRecentEntry, nil
+	if s.mostRecentEntry != nil {
+		s.mostRecentEntry.newer = x
 	} else {
-		s.oldest = x
+		s.leastRecentEntry = x
 	}
-	s.young = x
+	s.mostRecentEntry = x
 }
 
-func (s *server) unlink(x *belief) {
+func (s *server) unlinkEntry(x *prefixEntry) {
 	if x.older != nil {
 		x.older.newer = x.newer
 	} else {
-		s.oldest = x.newer
+		s.leastRecentEntry = x.newer
 	}
 	if x.newer != nil {
 		x.newer.older = x.older
 	} else {
-		s.young = x.older
+		s.mostRecentEntry = x.older
 	}
 	x.older, x.newer = nil, nil
 }
 
-// rateEstimate follows the median of the rates at which servers of common speed read prompts: each sample moves it by a
+// prefillRate follows the median of the rates at which servers of common speed read prompts: each sample moves it by a
 // fixed small part, so no single one counts for much.
-type rateEstimate struct{ value float64 } // tokens in a millisecond
+type prefillRate struct{ tokensPerMS float64 } // tokens in a millisecond
 
-func (e *rateEstimate) sample(v float64) {
-	if v > e.value {
-		e.value *= 1.02
+func (e *prefillRate) observe(v float64) {
+	if v > e.tokensPerMS {
+		e.tokensPerMS *= 1.02
 	} else {
-		e.value /= 1.02
+		e.tokensPerMS /= 1.02
 	}
-	e.value = min(max(e.value, 1), 10000)
+	e.tokensPerMS = min(max(e.tokensPerMS, 1), 10000)
 }
--- a/internal/system/proxy/pick/choose.go
+++ b/internal/system/proxy/pick/choose.go
@@ -35,7 +35,7 @@
 	o := p.rotation(r.Route)
 	due := o.next()
 	prompt := &p.prompt
-	*prompt = chainOf(r)
+	*prompt = newPrefixChain(r)
 	wait := math.Inf(1)
 	// The due group; then the next ones with a weight; those of weight 0 only where all these are empty. A group that
 	// is full is not empty: shares follow the weights, not the load.
@@ -64,7 +64,7 @@
 }
 
 // repeatOrSend sends r to s, unless it would be a repeat that the budget of s's service does not hold.
-func (p *Picker) repeatOrSend(now Time, c Choice, r *Request, s *server, at cost, prompt *chain, tried []string) Choice {
+func (p *Picker) repeatOrSend(now Time, c Choice, r *Request, s *server, at cost, prompt *prefixChain, tried []string) Choice {
 	if r.arrived > 0 && !s.group.budget.allows(now, p.set.RetryRatio, p.retrySlack()) {
 		return c.without(r, tried, math.Inf(1))
 	}
@@ -144,7 +144,7 @@
 
 // inGroup finds the group's server for r: in the order of the rotation, the first of those that cost about the least,
 // where a due server with more of this proxy's requests in flight yields to the next.
-func (p *Picker) inGroup(now Time, r *Request, g *group, prompt *chain, tried []string) found {
+func (p *Picker) inGroup(now Time, r *Request, g *group, prompt *prefixChain, tried []string) found {
 	n := len(g.servers)
 	if cap(p.costs) < n {
 		p.costs = make([]cost, n+n/2)
@@ -209,7 +209,7 @@
 
 // pickProbe finds a doubted server where no other can be had: the one whose time is over first. It gets one trial at
 // a time, as long as none of a request's tries went to one.
-func (p *Picker) pickProbe(now Time, r *Request, o *rotation, due int, prompt *chain, tried []string) (best *server, at cost) {
+func (p *Picker) pickProbe(now Time, r *Request, o *rotation, due int, prompt *prefixChain, tried []string) (best *server, at cost) {
 	for i := range o.shares {
 		g := p.groups[o.shares[(due+i)%len(o.shares)].Service]
 		if g == nil || g.service == nil {
--- a/internal/system/proxy/pick/flight.go
+++ b/internal/system/proxy/pick/flight.go
@@ -15,7 +15,7 @@
 )
 
 // send registers r's way to s and makes the verdict.
-func (p *Picker) send(now Time, c Choice, r *Request, s *server, at cost, prompt *chain) Choice {
+func (p *Picker) send(now Time, c Choice, r *Request, s *server, at cost, prompt *prefixChain) Choice {
 	f := p.free
 	if f == nil {
 		f = &send{}
@@ -45,9 +45,9 @@
 		w := &p.weigher
 		*w = weigher{prompt: prompt, in: max(r.TokensIn, 0)}
 		for i := range prompt.n {
-			w.holders[i] = p.beliefs.byKey[prompt.keys[i]]
+			w.holders[i] = p.prefixes.byKey[prompt.keys[i]]
 		}
-		kept := w.kept(s)
+		kept := w.cachedTokens(s)
 		f.prefill = int64(w.in - kept)
 		s.group.demand.add(now, p.long(w.in), f.prefill)
 		f.tokens = f.prefill + int64(max(r.TokensOut, 0))
@@ -55,7 +55,7 @@
 		f.due = now + span(at.first)
 		s.own.Prefill += f.prefill
 		s.own.Tokens += f.tokens
-		p.beliefs.use(s, prompt, int64(keepShare*float64(e.CacheTokens)))
+		p.prefixes.record(s, prompt, int64(indexedMemoryShare*float64(e.CacheTokens)))
 	} else {
 		f.due = now + span(at.first+plainTail*s.group.serviceTime)
 	}
@@ -145,11 +145,11 @@
 	}
 	n := float64(f.prefill)
 	rate := n / max(took-n*n/2e6*pairTime, took/3)
-	if rate > 4*p.rate.value { // another proxy had it read there: this tells nothing of the rate
+	if rate > 4*p.prefillRate.tokensPerMS { // another proxy had it read there: this tells nothing of the rate
 		return
 	}
-	p.rate.sample(rate)
-	if want := min(max(rate/p.rate.value, 0.4), 1.5); want > s.speed {
+	p.prefillRate.observe(rate)
+	if want := min(max(rate/p.prefillRate.tokensPerMS, 0.4), 1.5); want > s.speed {
 		s.speed *= 1.03
 	} else {
 		s.speed /= 1.03
@@ -188,7 +188,7 @@
 		s.fullUntil = now + min(max(retryAfter, fullLeast), fullMost)
 	case Misdirected:
 		s.misdirected, s.misdirectedAt = true, now
-		p.beliefs.drop(s)
+		p.prefixes.removeServer(s)
 	case ConnectFailed:
 		s.kept = kept{}
 		s.recordFailure(now)
--- a/internal/system/proxy/pick/golden_trace_test.go
+++ b/internal/system/proxy/pick/golden_trace_test.go
@@ -90,7 +90,7 @@
 		g := p.groups[name]
 		tr.float(g.budget.requests, g.budget.repeats, g.serviceTime, g.room)
 	}
-	tr.float(p.rate.value)
+	tr.float(p.prefillRate.tokensPerMS)
 	st := p.Stats()
 	tr.num(int64(st.WarmUpStarts), int64(st.WarmUpSends), int64(st.WarmUpEnds))
 }
--- a/internal/system/proxy/pick/home_test.go
+++ b/internal/system/proxy/pick/home_test.go
@@ -68,24 +68,24 @@
 
 // TestBeliefsBounded fills a server's beliefs: the longest unused give way, and the whole stays in its bound.
 func TestBeliefsBounded(t *testing.T) {
-	b := newBeliefs()
+	b := newPrefixIndex()
 	s, other := &server{}, &server{}
-	for i := range uint64(2 * beliefsMost) {
-		c := chainOf(&Request{Prefix: []PrefixPart{{i, 300}, {1 << 40, 300}}})
-		b.use(s, &c, 1<<40)
-		if b.count > beliefsMost {
+	for i := range uint64(2 * maxPrefixEntries) {
+		c := newPrefixChain(&Request{Prefix: []PrefixPart{{i, 300}, {1 << 40, 300}}})
+		b.record(s, &c, 1<<40)
+		if b.count > maxPrefixEntries {
 			t.Fatalf("%d beliefs", b.count)
 		}
 	}
-	c := chainOf(&Request{Prefix: []PrefixPart{{1 << 50, 400}, {1 << 51, 10}}})
-	b.use(other, &c, 1<<40)
-	b.use(s, &c, 1000)
-	if s.believed > 1000 || len(b.byKey[c.keys[0]]) != 2 {
-		t.Fatalf("%d tokens, %d servers", s.believed, len(b.byKey[c.keys[0]]))
+	c := newPrefixChain(&Request{Prefix: []PrefixPart{{1 << 50, 400}, {1 << 51, 10}}})
+	b.record(other, &c, 1<<40)
+	b.record(s, &c, 1000)
+	if s.indexedTokens > 1000 || len(b.byKey[c.keys[0]]) != 2 {
+		t.Fatalf("%d tokens, %d servers", s.indexedTokens, len(b.byKey[c.keys[0]]))
 	}
-	b.drop(s)
-	b.drop(other)
-	if b.count != 0 || len(b.byKey) != 0 || s.believed != 0 {
-		t.Fatal(fmt.Sprint("left: ", b.count, len(b.byKey), s.believed))
+	b.removeServer(s)
+	b.removeServer(other)
+	if b.count != 0 || len(b.byKey) != 0 || s.indexedTokens != 0 {
+		t.Fatal(fmt.Sprint("left: ", b.count, len(b.byKey), s.indexedTokens))
 	}
 }
--- a/internal/system/proxy/pick/picker.go
+++ b/internal/system/proxy/pick/picker.go
@@ -41,8 +41,8 @@
 	sends       map[uint64]*send
 	free        *send // sends to be used again
 	ticket      uint64
-	costs       []cost // scratch, one for each server of the group that is looked at
-	prompt      chain  // scratch, of the request that is looked at
+	costs       []cost      // scratch, one for each server of the group that is looked at
+	prompt      prefixChain // scratch, of the request that is looked at
 	weigher     weigher
 	peers       peerCount
 	peersAt     Time // when the live proxies last changed
@@ -52,8 +52,8 @@
 	stalled     bool // it stood still, and has not heard from a keeper since
 	stalledAt   Time // the end of its last stall
 	othersAt    Time // of the last SetLoads
-	beliefs     beliefs
-	rate        rateEstimate
+	prefixes    prefixIndex
+	prefillRate prefillRate
 	stats       Stats
 	fixedLane   float64 // of tests: lanes have this share whatever is observed; 0: by the work
 }
@@ -94,8 +94,8 @@
 		regions:     map[string]int{s.Region: 0},
 		names:       []string{s.Region},
 		sends:       map[uint64]*send{},
-		beliefs:     newBeliefs(),
-		rate:        rateEstimate{value: s.PrefillRate},
+		prefixes:    newPrefixIndex(),
+		prefillRate: prefillRate{tokensPerMS: s.PrefillRate},
 	}
 }
 
@@ -136,7 +136,7 @@
 		s := p.servers[told.ID]
 		if s == nil || s.Service != told.Service || s.Address != told.Address {
 			if s != nil {
-				p.beliefs.drop(s)
+				p.prefixes.removeServer(s)
 			}
 			s = &server{speed: 1, hash: xxhash.Sum64String(told.ID)}
 		}
@@ -145,7 +145,7 @@
 	}
 	for id, s := range p.servers {
 		if listed[id] != s {
-			p.beliefs.drop(s)
+			p.prefixes.removeServer(s)
 		}
 	}
 	p.servers = listed
--- a/internal/system/proxy/pick/property_test.go
+++ b/internal/system/proxy/pick/property_test.go
@@ -163,7 +163,7 @@
 		t.Fatalf("loads are left: %v", l)
 	}
 	count, held := 0, map[*server]int64{}
-	for key, l := range p.beliefs.byKey {
+	for key, l := range p.prefixes.byKey {
 		for _, b := range l {
 			if b.key != key || p.servers[b.server.ID] != b.server {
 				t.Fatalf("a belief about a server that is gone: %s", b.server.ID)
@@ -172,15 +172,15 @@
 			held[b.server] += int64(b.tokens)
 		}
 	}
-	if count != p.beliefs.count || count > beliefsMost {
-		t.Fatalf("%d beliefs, counted %d", count, p.beliefs.count)
+	if count != p.prefixes.count || count > maxPrefixEntries {
+		t.Fatalf("%d beliefs, counted %d", count, p.prefixes.count)
 	}
 	for _, s := range p.servers {
 		if s.first != nil || s.last != nil || s.probe != nil {
 			t.Fatalf("%s awaits an event of nothing", s.ID)
 		}
-		if held[s] != s.believed {
-			t.Fatalf("%s: %d tokens believed, counted %d", s.ID, held[s], s.believed)
+		if held[s] != s.indexedTokens {
+			t.Fatalf("%s: %d tokens believed, counted %d", s.ID, held[s], s.indexedTokens)
 		}
 	}
 }
--- a/internal/system/proxy/pick/server.go
+++ b/internal/system/proxy/pick/server.go
@@ -88,9 +88,9 @@
 	fullUntil               Time
 	drainHintUntil          Time
 
-	first, last   *send // own sends that await their first event, oldest first
-	oldest, young *belief
-	believed      int64 // tokens of beliefs
+	first, last                       *send // own sends that await their first event, oldest first
+	leastRecentEntry, mostRecentEntry *prefixEntry
+	indexedTokens                     int64 // tokens of beliefs
 }
 
 // send is one request on its way to one server.
--- a/internal/system/proxy/pick/sim_engine_test.go
+++ b/internal/system/proxy/pick/sim_engine_test.go
@@ -52,7 +52,7 @@
 
 // job is a request at a model server.
 type job struct {
-	chain    chain
+	chain    prefixChain
 	in, out  int
 	priority int
 	deadline Time
--- a/internal/system/proxy/pick/sim_parts_test.go
+++ b/internal/system/proxy/pick/sim_parts_test.go
@@ -121,7 +121,7 @@
 	fmt.Fprintf(&b, "nines %.3f worst window %.3f worst kind %.3f unserved %d\n", nines, worst, class, unserved)
 	fmt.Fprintf(&b, "%s: score %.4f worth %.4f bytes %.4f reread %d parts %.2fM of first %.2fM prefilled %.2fM peak queue %d dials %d (%.4f) read price %.4f rate %.1f\n", f.name,
 		score, worth/owed, bytes/owed, f.rereads, float64(f.reread)/1e6, float64(f.firstRead)/1e6, float64(prefilled)/1e6, waited, f.dials, f.prices.dial*float64(f.dials)/owed,
-		f.prices.readThousand*float64(f.reread)/1000/owed, f.pickers[0].rate.value)
+		f.prices.readThousand*float64(f.reread)/1000/owed, f.pickers[0].prefillRate.tokensPerMS)
 	return b.String(), score
 }
 
--- a/internal/system/proxy/pick/sim_test.go
+++ b/internal/system/proxy/pick/sim_test.go
@@ -318,7 +318,7 @@
 			return
 		}
 		var first time.Duration
-		j := &job{chain: chainOf(r), in: r.TokensIn, out: r.TokensOut, priority: c.Priority, deadline: since + k.deadline}
+		j := &job{chain: newPrefixChain(r), in: r.TokensIn, out: r.TokensOut, priority: c.Priority, deadline: since + k.deadline}
 		j.lost = func(o Outcome) {
 			p.Done(f.now, c.Ticket, o, 0)
 			if k.resume {
--- a/internal/system/proxy/pick/weigh.go
+++ b/internal/system/proxy/pick/weigh.go
@@ -6,37 +6,37 @@
 )
 
 const (
-	regionPrice    = 15   // milliseconds that a request between regions is worth, beside its time
-	regionToken    = 0.01 // and each token of its prompt: the bytes are priced
-	zonePrice      = 3    // the same between zones of a region
-	zoneToken      = 0.003
-	longLane       = 300  // a long prompt outside its lane
-	shortLane      = 150  // a short one inside it
-	coldPrice      = 100  // a cold server is the last choice
-	leavingPrice   = 2000 // so is one that is about to leave
-	fullPrice      = 250  // it just said that it is full
-	memoryPrice    = 500  // its memory would not hold the request
-	toleranceModel = 4    // costs this near to the least are left to the rotation
-	toleranceOther = 3
-	homeSure       = 0.9    // that a prefix's home keeps it, where this proxy has not seen it
-	secondSure     = 0.1    // and its second home
-	pairTime       = 0.4    // milliseconds for a million pairs of a token read and one before it
-	queuePairs     = 0.4e-2 // milliseconds for each token that is waited for: a prompt of 20,000 tokens' pairs
-	rereadToken    = 0.1    // milliseconds that a token is worth which some server keeps and another reads again
+	regionPrice         = 15   // milliseconds that a request between regions is worth, beside its time
+	regionToken         = 0.01 // and each token of its prompt: the bytes are priced
+	zonePrice           = 3    // the same between zones of a region
+	zoneToken           = 0.003
+	longLane            = 300  // a long prompt outside its lane
+	shortLane           = 150  // a short one inside it
+	coldPrice           = 100  // a cold server is the last choice
+	leavingPrice        = 2000 // so is one that is about to leave
+	fullPrice           = 250  // it just said that it is full
+	memoryPrice         = 500  // its memory would not hold the request
+	toleranceModel      = 4    // costs this near to the least are left to the rotation
+	toleranceOther      = 3
+	homeCertainty       = 0.9    // that a prefix's home keeps it, where this proxy has not seen it
+	secondHomeCertainty = 0.1    // and its second home
+	pairTime            = 0.4    // milliseconds for a million pairs of a token read and one before it
+	queuePairs          = 0.4e-2 // milliseconds for each token that is waited for: a prompt of 20,000 tokens' pairs
+	rereadToken         = 0.1    // milliseconds that a token is worth which some server keeps and another reads again
 )
 
 // weigher is what is worked out once for all servers that a request is weighed against.
 type weigher struct {
 	model     bool
 	rate      float64 // tokens in a millisecond
-	prompt    *chain
+	prompt    *prefixChain
 	in, out   int
 	shared    int
 	tolerance float64
 	memory    int64
 	home      *server // first by rendezvous, the same at all proxies
 	second    *server
-	holders   [chainsMost][]*belief
+	holders   [maxChainParts][]*prefixEntry
 	step      float64
 	long      bool              // worth a lane
 	lanes     [regionsMost]bool // regions where long and short prompts go to servers of their own
@@ -45,17 +45,17 @@
 
 const regionsMost = 16
 
-func (p *Picker) weigh(w *weigher, now Time, r *Request, g *group, prompt *chain) {
+func (p *Picker) weigh(w *weigher, now Time, r *Request, g *group, prompt *prefixChain) {
 	e := g.service.Engine
 	*w = weigher{tolerance: toleranceOther}
 	if e == nil {
 		return
 	}
-	w.model, w.rate, w.prompt, w.memory, w.tolerance = true, p.rate.value, prompt, e.CacheTokens, toleranceModel
+	w.model, w.rate, w.prompt, w.memory, w.tolerance = true, p.prefillRate.tokensPerMS, prompt, e.CacheTokens, toleranceModel
 	w.step = ms(p.set.StepTime)
 	w.in, w.out = max(r.TokensIn, 0), max(r.TokensOut, 0)
 	for i := range prompt.n {
-		w.holders[i] = p.beliefs.byKey[prompt.keys[i]]
+		w.holders[i] = p.prefixes.byKey[prompt.keys[i]]
 		if len(w.holders[i]) == 0 {
 			break // without this part, none after it helps
 		}
@@ -103,8 +103,8 @@
 	return true
 }
 
-// kept is how many tokens of the prompt s is believed to keep, from what this proxy sent there.
-func (w *weigher) kept(s *server) int {
+// cachedTokens is how many tokens of the prompt s is believed to keep, from what this proxy sent there.
+func (w *weigher) cachedTokens(s *server) int {
 	n := 0
 	for i := range w.prompt.n {
 		found := false
@@ -160,17 +160,17 @@
 		dial, handshake := p.connecting(now, s)
 		extra += dial
 		c.first += handshake
-		kept := w.kept(s)
+		kept := w.cachedTokens(s)
 		sure := float64(w.in - kept)
 		again := float64(max(w.shared-kept, 0)) // shared tokens that would be read here, and are likely kept elsewhere
 		if again > 0 {
 			switch s {
 			case w.home:
-				sure -= homeSure * again
-				again *= 1 - homeSure
+				sure -= homeCertainty * again
+				again *= 1 - homeCertainty
 			case w.second:
-				sure -= secondSure * again
-				again *= 1 - secondSure
+				sure -= secondHomeCertainty * again
+				again *= 1 - secondHomeCertainty
 			}
 		}
 		read := sure/rate + sure*(float64(w.in)-sure/2)/1e6*pairTime
