--- a/internal/system/proxy/pick/flight.go
+++ b/internal/system/proxy/pick/flight.go
@@ -49,7 +49,7 @@
 		}
 		kept := w.cachedTokens(s)
 		f.prefill = int64(w.in - kept)
-		s.group.demand.add(now, p.long(w.in), f.prefill)
+		s.group.demand.add(now, p.isLongPrompt(w.in), f.prefill)
 		f.tokens = f.prefill + int64(max(r.TokensOut, 0))
 		f.alone = kept == 0 && s.own.Prefill == 0 && s.others.Prefill == 0 && f.prefill >= 1000 && !s.warmingUp(now)
 		f.due = now + span(at.first)
--- a/internal/system/proxy/pick/home_test.go
+++ b/internal/system/proxy/pick/home_test.go
@@ -50,7 +50,7 @@
 		if a != b || a.ID != c.ID || a.ID != d.ID {
 			t.Fatalf("subject %d went to %s, %s, %s and %s", subject, a.ID, b.ID, c.ID, d.ID)
 		}
-		if apart && a.Region != "iasi" || !apart && !a.lane {
+		if apart && a.Region != "iasi" || !apart && !a.inPromptPool {
 			t.Fatalf("subject %d went to %s: no lane, or where short prompts come", subject, a.ID)
 		}
 		homes[a.ID] = true
@@ -60,7 +60,7 @@
 	}
 	for i := range 20 {
 		s := send(p, &Request{Route: short, TokensIn: 300, TokensOut: 50, Prefix: []PrefixPart{{7, 50}, {uint64(5000 + i), 250}}})
-		if apart && s.Region != "cluj" || !apart && s.lane {
+		if apart && s.Region != "cluj" || !apart && s.inPromptPool {
 			t.Fatalf("a short prompt went to %s: a lane, or no home", s.ID)
 		}
 	}
--- a/internal/system/proxy/pick/lane_test.go
+++ b/internal/system/proxy/pick/lane_test.go
@@ -21,7 +21,7 @@
 
 func laneSize(p *Picker) (n int) {
 	for _, s := range p.servers {
-		if s.lane {
+		if s.inPromptPool {
 			n++
 		}
 	}
@@ -77,7 +77,7 @@
 	p := laneWorld(20)
 	now := Time(time.Minute)
 	p.groups["lm"].demand.add(now, true, 5_000_000)
-	p.lay(now, p.groups["lm"])
+	p.assignPromptPools(now, p.groups["lm"])
 	if n := laneSize(p); n != 10 {
 		t.Errorf("the lane moved to %d servers", n)
 	}
@@ -91,12 +91,12 @@
 		now += time.Second
 		p.groups["lm"].demand.add(now, true, 70_000)
 		q.groups["lm"].demand.add(now, false, 30_000)
-		of := func(x *Picker) map[string]Load { x.groups["lm"].demand.fade(now); return x.PromptDemands() }
+		of := func(x *Picker) map[string]Load { x.groups["lm"].demand.decay(now); return x.PromptDemands() }
 		ofP, ofQ := of(p), of(q)
 		p.SetLoads(now, ofQ)
 		q.SetLoads(now, ofP)
 		for id, s := range p.servers {
-			if s.lane != q.servers[id].lane {
+			if s.inPromptPool != q.servers[id].inPromptPool {
 				t.Fatalf("after %v %s is in one proxy's lane alone", now, id)
 			}
 		}
@@ -120,9 +120,9 @@
 
 // TestDemandFades counts work less the longer ago it was.
 func TestDemandFades(t *testing.T) {
-	var d demand
+	var d promptDemand
 	d.add(0, true, 1000)
-	d.add(laneMemory, false, 1000)
+	d.add(promptMixTTL, false, 1000)
 	if d.short != 1000 || d.long < 367 || d.long > 368 {
 		t.Errorf("long %.0f and short %.0f, want 1/e of 1000 and 1000", d.long, d.short)
 	}
--- a/internal/system/proxy/pick/picker.go
+++ b/internal/system/proxy/pick/picker.go
@@ -29,33 +29,33 @@
 
 // Picker decides for one proxy. It is not safe for concurrent use: the caller locks. The zero value is not usable.
 type Picker struct {
-	set         Settings
-	world       ClusterState
-	started     Time
-	known       bool // SetWorld was called
-	servers     map[string]*server
-	groups      map[string]*group // by service
-	rotations   map[*config.Route]*rotation
-	regions     map[string]int // small numbers for regions; 0 is this proxy's own
-	names       []string       // of the regions, by number
-	sends       map[uint64]*send
-	free        *send // sends to be used again
-	ticket      uint64
-	costs       []cost      // scratch, one for each server of the group that is looked at
-	prompt      prefixChain // scratch, of the request that is looked at
-	weigher     weigher
-	peers       peerCount
-	peersAt     Time // when the live proxies last changed
-	zoneChanges zoneChanges
-	staleSince  Time // when it last became Stale
-	resumed     Time // when this proxy was last Stale, Partial or stalled
-	stalled     bool // it stood still, and has not heard from a keeper since
-	stalledAt   Time // the end of its last stall
-	othersAt    Time // of the last SetLoads
-	prefixes    prefixIndex
-	prefillRate prefillRate
-	stats       Stats
-	fixedLane   float64 // of tests: lanes have this share whatever is observed; 0: by the work
+	set            Settings
+	world          ClusterState
+	started        Time
+	known          bool // SetWorld was called
+	servers        map[string]*server
+	groups         map[string]*group // by service
+	rotations      map[*config.Route]*rotation
+	regions        map[string]int // small numbers for regions; 0 is this proxy's own
+	names          []string       // of the regions, by number
+	sends          map[uint64]*send
+	free           *send // sends to be used again
+	ticket         uint64
+	costs          []cost      // scratch, one for each server of the group that is looked at
+	prompt         prefixChain // scratch, of the request that is looked at
+	weigher        weigher
+	peers          peerCount
+	peersAt        Time // when the live proxies last changed
+	zoneChanges    zoneChanges
+	staleSince     Time // when it last became Stale
+	resumed        Time // when this proxy was last Stale, Partial or stalled
+	stalled        bool // it stood still, and has not heard from a keeper since
+	stalledAt      Time // the end of its last stall
+	othersAt       Time // of the last SetLoads
+	prefixes       prefixIndex
+	prefillRate    prefillRate
+	stats          Stats
+	fixedPoolShare float64 // of tests: lanes have this share whatever is observed; 0: by the work
 }
 
 // Stats count what a Picker has done since it was made. They only rise.
@@ -155,7 +155,7 @@
 		}
 	}
 	for name, g := range p.groups {
-		p.lay(now, g)
+		p.assignPromptPools(now, g)
 		if len(g.servers) == 0 && (w.Config == nil || w.Config.Services[name] == nil) {
 			delete(p.groups, name)
 		}
@@ -219,9 +219,9 @@
 	p.othersAt = now
 	for id, s := range p.servers {
 		s.others = loads[id]
-		long := longPrompt * p.set.PrefillRate
+		long := minLongPromptMS * p.set.PrefillRate
 		if n := float64(s.others.Prefill); n >= long && n >= float64(s.others.Requests)*long/4 {
-			s.group.longAt, s.group.longSeen = now, true
+			s.group.lastLongAt, s.group.longSeen = now, true
 		}
 	}
 	for name, g := range p.groups {
@@ -229,7 +229,7 @@
 			continue
 		}
 		g.othersDemand = loads[demandKey(name)]
-		p.lay(now, g)
+		p.assignPromptPools(now, g)
 	}
 }
 
--- a/internal/system/proxy/pick/server.go
+++ b/internal/system/proxy/pick/server.go
@@ -33,25 +33,25 @@
 	serviceTime float64 // milliseconds from a send to its end, learned
 	room        float64 // requests that a server takes, running and waiting, for each of its slots; learned
 
-	longAt    Time // when a long prompt last came
-	longSeen  bool
-	shortAt   [regionsMost]Time // when a short one last came that may go to the region
-	shortSeen [regionsMost]bool
+	lastLongAt  Time // when a long prompt last came
+	longSeen    bool
+	lastShortAt [maxRegions]Time // when a short one last came that may go to the region
+	shortSeen   [maxRegions]bool
 
 	keptFor time.Duration // connections to its servers are kept so long without use
 
-	lanes        [regionsMost]lane
-	demand       demand // of this proxy
-	othersDemand Load   // of all others: Prefill for long prompts, Tokens for short ones
+	promptPools  [maxRegions]promptPool
+	demand       promptDemand // of this proxy
+	othersDemand Load         // of all others: Prefill for long prompts, Tokens for short ones
 }
 
 // server is what is known of one incarnation.
 type server struct {
 	Server
-	group  *group
-	region int
-	lane   bool // long prompts go here rather than to others of its region
-	hash   uint64
+	group        *group
+	region       int
+	inPromptPool bool // long prompts go here rather than to others of its region
+	hash         uint64
 
 	kept        kept
 	own, others Load
--- a/internal/system/proxy/pick/sim_test.go
+++ b/internal/system/proxy/pick/sim_test.go
@@ -89,7 +89,7 @@
 		p := New(Settings{Zone: f.homes[i], Region: sc.regions[f.homes[i]], Regions: sc.regions, RetryRatio: 0.2, RetrySlack: 64,
 			WarmUpExcess: 1.5, WarmUpSlack: 5, Seed: uint64(i), CrossRegionLatency: sc.crossRegion})
 		p.UpdateClusterState(0, ClusterState{Config: f.cfg, Servers: f.servers, Self: name, Peers: peers})
-		p.fixedLane = sc.fixedLane
+		p.fixedPoolShare = sc.fixedLane
 		p.group("lm").keptFor = sc.keepIdle
 		f.pickers = append(f.pickers, p)
 	}
--- a/internal/system/proxy/pick/weigh.go
+++ b/internal/system/proxy/pick/weigh.go
@@ -10,8 +10,8 @@
 	regionToken         = 0.01 // and each token of its prompt: the bytes are priced
 	zonePrice           = 3    // the same between zones of a region
 	zoneToken           = 0.003
-	longLane            = 300  // a long prompt outside its lane
-	shortLane           = 150  // a short one inside it
+	longOutsidePoolCost = 300  // a long prompt outside its lane
+	shortInsidePoolCost = 150  // a short one inside it
 	coldPrice           = 100  // a cold server is the last choice
 	leavingPrice        = 2000 // so is one that is about to leave
 	fullPrice           = 250  // it just said that it is full
@@ -27,23 +27,23 @@
 
 // weigher is what is worked out once for all servers that a request is weighed against.
 type weigher struct {
-	model     bool
-	rate      float64 // tokens in a millisecond
-	prompt    *prefixChain
-	in, out   int
-	shared    int
-	tolerance float64
-	memory    int64
-	home      *server // first by rendezvous, the same at all proxies
-	second    *server
-	holders   [maxChainParts][]*prefixEntry
-	step      float64
-	long      bool              // worth a lane
-	lanes     [regionsMost]bool // regions where long and short prompts go to servers of their own
-	apart     bool              // long prompts go to the other regions, where no short ones come
+	model           bool
+	rate            float64 // tokens in a millisecond
+	prompt          *prefixChain
+	in, out         int
+	shared          int
+	tolerance       float64
+	memory          int64
+	home            *server // first by rendezvous, the same at all proxies
+	second          *server
+	holders         [maxChainParts][]*prefixEntry
+	step            float64
+	long            bool             // worth a lane
+	hasPromptPool   [maxRegions]bool // regions where long and short prompts go to servers of their own
+	regionsSeparate bool             // long prompts go to the other regions, where no short ones come
 }
 
-const regionsMost = 16
+const maxRegions = 16
 
 func (p *Picker) weigh(w *weigher, now Time, r *Request, g *group, prompt *prefixChain) {
 	e := g.service.Engine
@@ -62,8 +62,8 @@
 	}
 	key, shared := prompt.shared()
 	w.shared = min(shared, w.in)
-	w.long = p.long(w.in)
-	p.mix(w, now, r, g)
+	w.long = p.isLongPrompt(w.in)
+	p.observePromptMix(w, now, r, g)
 	if shared > 0 {
 		w.home, w.second = p.homes(w, now, r, g, key)
 	}
@@ -75,7 +75,7 @@
 func (p *Picker) homes(w *weigher, now Time, r *Request, g *group, key uint64) (home, next *server) {
 	var first, second uint64
 	for _, s := range g.servers {
-		if s.Draining || s.misdirected || p.world.Evacuated[s.Zone] || s.ejectedUntil > 0 || s.warmingUp(now) || !w.suits(s) ||
+		if s.Draining || s.misdirected || p.world.Evacuated[s.Zone] || s.ejectedUntil > 0 || s.warmingUp(now) || !w.matchesPool(s) ||
 			len(r.Route.HomeRegions) > 0 && !slices.Contains(r.Route.HomeRegions, s.Region) {
 			continue
 		}
@@ -90,15 +90,15 @@
 	return home, next
 }
 
-// suits tells whether s is one of the servers for prompts of this length, while there is room on them.
-func (w *weigher) suits(s *server) bool {
+// matchesPool tells whether s is one of the servers for prompts of this length, while there is room on them.
+func (w *weigher) matchesPool(s *server) bool {
 	switch {
-	case s.region >= regionsMost:
+	case s.region >= maxRegions:
 		return true
-	case w.apart:
-		return !w.long || !w.lanes[s.region]
-	case w.lanes[s.region]:
-		return w.long == s.lane
+	case w.regionsSeparate:
+		return !w.long || !w.hasPromptPool[s.region]
+	case w.hasPromptPool[s.region]:
+		return w.long == s.inPromptPool
 	}
 	return true
 }
@@ -178,11 +178,11 @@
 		c.wait += queue
 		c.first += queue + read + w.step
 		extra += again * rereadToken
-		if !w.suits(s) {
+		if !w.matchesPool(s) {
 			if w.long {
-				extra += longLane + read
+				extra += longOutsidePoolCost + read
 			} else {
-				extra += shortLane
+				extra += shortInsidePoolCost
 			}
 		}
 		if w.memory > 0 && held+int64(w.in-kept+w.out) > w.memory {
