--- a/internal/system/proxy/pick/choose.go
+++ b/internal/system/proxy/pick/choose.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	retryNone   = 400 * time.Millisecond // Retry-After when no server is known that could take the request
-	retryLeast  = 50 * time.Millisecond
-	unsentTries = 3 // servers beyond MaxTries that may be tried when nothing reaches them
+	defaultRetryAfter = 400 * time.Millisecond // Retry-After when no server is known that could take the request
+	minRetryAfter     = 50 * time.Millisecond
+	maxUnsentAttempts = 3 // servers beyond MaxTries that may be tried when nothing reaches them
 )
 
 // cost is what a server would cost a request, in milliseconds.
 type cost struct {
-	total float64 // what is compared; infinite: it can't be had
-	first float64 // the estimated time to the first event, the network included
-	wait  float64 // its part that is waiting for others
-	load  int     // requests that are believed there
+	total      float64 // what is compared; infinite: it can't be had
+	firstEvent float64 // the estimated time to the first event, the network included
+	queueing   float64 // its part that is waiting for others
+	load       int     // requests that are believed there
 }
 
 // Choose decides where r goes now. tried holds the ids of the servers that this try was sent to, offered tells that one
@@ -28,7 +28,7 @@
 	switch {
 	case offered && !r.Route.Idempotent(),
 		r.arrived >= most,
-		len(tried) >= most+unsentTries:
+		len(tried) >= most+maxUnsentAttempts:
 		c.Verdict = GiveUp
 		return c
 	}
@@ -46,27 +46,27 @@
 			if (share.Weight > 0) != weighted || g == nil || g.service == nil || len(g.servers) == 0 {
 				continue
 			}
-			got := p.inGroup(now, r, g, prompt, tried)
-			wait = min(wait, got.wait)
-			if got.server == nil && !got.crowded {
+			got := p.pickInGroup(now, r, g, prompt, tried)
+			wait = min(wait, got.retryAfterMS)
+			if got.server == nil && !got.overloaded {
 				continue
 			}
-			if got.crowded {
-				return c.without(r, tried, got.wait)
+			if got.overloaded {
+				return c.withoutServer(r, tried, got.retryAfterMS)
 			}
-			return p.repeatOrSend(now, c, r, got.server, got.cost, prompt, tried)
+			return p.sendWithinBudget(now, c, r, got.server, got.cost, prompt, tried)
 		}
 	}
 	if s, at := p.pickProbe(now, r, o, due, prompt, tried); s != nil {
-		return p.repeatOrSend(now, c, r, s, at, prompt, tried)
+		return p.sendWithinBudget(now, c, r, s, at, prompt, tried)
 	}
-	return c.without(r, tried, wait)
+	return c.withoutServer(r, tried, wait)
 }
 
-// repeatOrSend sends r to s, unless it would be a repeat that the budget of s's service does not hold.
-func (p *Picker) repeatOrSend(now Time, c Choice, r *Request, s *server, at cost, prompt *prefixChain, tried []string) Choice {
+// sendWithinBudget sends r to s, unless it would be a repeat that the budget of s's service does not hold.
+func (p *Picker) sendWithinBudget(now Time, c Choice, r *Request, s *server, at cost, prompt *prefixChain, tried []string) Choice {
 	if r.arrived > 0 && !s.group.budget.allows(now, p.set.RetryRatio, p.retrySlack()) {
-		return c.without(r, tried, math.Inf(1))
+		return c.withoutServer(r, tried, math.Inf(1))
 	}
 	return p.send(now, c, r, s, at, prompt)
 }
@@ -80,13 +80,13 @@
 	return p.set.RetrySlack / float64(p.peers.count())
 }
 
-// without is the verdict when r can't be sent: there may be room in wait milliseconds; infinite: not known.
-func (c Choice) without(r *Request, tried []string, wait float64) Choice {
-	c.RetryAfter = retryNone
+// withoutServer is the verdict when r can't be sent: there may be room in wait milliseconds; infinite: not known.
+func (c Choice) withoutServer(r *Request, tried []string, wait float64) Choice {
+	c.RetryAfter = defaultRetryAfter
 	if !math.IsInf(wait, 1) {
 		c.RetryAfter = span(wait)
 	}
-	c.RetryAfter = max(min(c.RetryAfter, r.TimeLeft/3), retryLeast)
+	c.RetryAfter = max(min(c.RetryAfter, r.TimeLeft/3), minRetryAfter)
 	c.Verdict = Refuse
 	if len(tried) > 0 || r.arrived > 0 {
 		c.Verdict = GiveUp
@@ -134,29 +134,29 @@
 	return eligible
 }
 
-// found is what a group has for a request.
-type found struct {
-	server  *server // nil: none
-	cost    cost
-	crowded bool    // one could take it, but not in time
-	wait    float64 // without a server: milliseconds until there may be one; infinite: not known
+// groupResult is what a group has for a request.
+type groupResult struct {
+	server       *server // nil: none
+	cost         cost
+	overloaded   bool    // one could take it, but not in time
+	retryAfterMS float64 // without a server: milliseconds until there may be one; infinite: not known
 }
 
-// inGroup finds the group's server for r: in the order of the rotation, the first of those that cost about the least,
+// pickInGroup finds the group's server for r: in the order of the rotation, the first of those that cost about the least,
 // where a due server with more of this proxy's requests in flight yields to the next.
-func (p *Picker) inGroup(now Time, r *Request, g *group, prompt *prefixChain, tried []string) found {
+func (p *Picker) pickInGroup(now Time, r *Request, g *group, prompt *prefixChain, tried []string) groupResult {
 	n := len(g.servers)
 	if cap(p.costs) < n {
 		p.costs = make([]cost, n+n/2)
 	}
 	costs := p.costs[:n]
 	least, used, slots, warm := math.Inf(1), 0, 0, math.Inf(1)
-	w := &p.weigher
-	p.weigh(w, now, r, g, prompt)
+	w := &p.costModel
+	p.initCostModel(w, now, r, g, prompt)
 	for i, s := range g.servers {
 		switch p.eligibility(now, s, r, tried) {
 		case eligible:
-			costs[i] = p.price(w, now, r, s)
+			costs[i] = p.estimateCost(w, now, r, s)
 			least = min(least, costs[i].total)
 			used += costs[i].load
 			slots += s.slots()
@@ -167,7 +167,7 @@
 		costs[i].total = math.Inf(1)
 	}
 	if math.IsInf(least, 1) {
-		return found{wait: warm}
+		return groupResult{retryAfterMS: warm}
 	}
 	limit := least + w.tolerance
 	first, second := -1, -1
@@ -187,24 +187,24 @@
 	}
 	s, at := g.servers[first], costs[first]
 	// A refusal while under half of the places are taken is never right: the estimate is wrong then.
-	if used*2 >= slots && p.crowded(r, s, at) {
-		return found{crowded: true, wait: min(max(backFactor*at.wait, 100), 2000)}
+	if used*2 >= slots && p.overloaded(r, s, at) {
+		return groupResult{overloaded: true, retryAfterMS: min(max(retryAfterFactor*at.queueing, 100), 2000)}
 	}
 	g.cursor = (first + 1) % n
-	return found{server: s, cost: at}
+	return groupResult{server: s, cost: at}
 }
 
-// crowded tells whether r is better refused than sent to s, which would cost it the least. It is refused where it can't
+// overloaded tells whether r is better refused than sent to s, which would cost it the least. It is refused where it can't
 // be served at all, and where it would come late by waiting for others: every answer that is late then makes the next
 // ones late, and a client that comes back a little later may be in time.
-func (p *Picker) crowded(r *Request, s *server, at cost) bool {
+func (p *Picker) overloaded(r *Request, s *server, at cost) bool {
 	aim := ms(r.Route.LatencyTarget)
-	return at.first > ms(r.TimeLeft) || float64(at.load) >= s.group.room*float64(s.slots()) || aim > 0 && at.wait > waitShare*aim
+	return at.firstEvent > ms(r.TimeLeft) || float64(at.load) >= s.group.room*float64(s.slots()) || aim > 0 && at.queueing > maxQueueingShare*aim
 }
 
 const (
-	waitShare  = 1.5 // of the aim that a request may be believed to wait for others; beliefs are high rather than low
-	backFactor = 2   // times what it would have waited, a client is told to come back after
+	maxQueueingShare = 1.5 // of the aim that a request may be believed to wait for others; beliefs are high rather than low
+	retryAfterFactor = 2   // times what it would have waited, a client is told to come back after
 )
 
 // pickProbe finds a doubted server where no other can be had: the one whose time is over first. It gets one trial at
@@ -224,8 +224,8 @@
 			}
 		}
 		if best != nil {
-			p.weigh(&p.weigher, now, r, g, prompt)
-			return best, p.price(&p.weigher, now, r, best)
+			p.initCostModel(&p.costModel, now, r, g, prompt)
+			return best, p.estimateCost(&p.costModel, now, r, best)
 		}
 	}
 	return nil, cost{}
--- a/internal/system/proxy/pick/flight.go
+++ b/internal/system/proxy/pick/flight.go
@@ -11,7 +11,7 @@
 	successorDelay             = 1800 * time.Millisecond
 	maxConsecutiveBroken       = 2 // answers that broke off in a row before a server is doubted
 	maxConsecutiveServerErrors = 5 // 5xx in a row before it is
-	plainTail                  = 4 // an answer without a prompt is overdue after this many usual times
+	plainOverdueFactor         = 4 // an answer without a prompt is overdue after this many usual times
 )
 
 // send registers r's way to s and makes the verdict.
@@ -42,22 +42,22 @@
 	s.own.Requests++
 	s.kept.take(now, s.group.keptFor)
 	if e := s.group.service.Engine; e != nil {
-		w := &p.weigher
-		*w = weigher{prompt: prompt, in: max(r.TokensIn, 0)}
+		w := &p.costModel
+		*w = costModel{prompt: prompt, tokensIn: max(r.TokensIn, 0)}
 		for i := range prompt.n {
 			w.holders[i] = p.prefixes.byKey[prompt.keys[i]]
 		}
 		kept := w.cachedTokens(s)
-		f.prefill = int64(w.in - kept)
-		s.group.demand.add(now, p.isLongPrompt(w.in), f.prefill)
+		f.prefill = int64(w.tokensIn - kept)
+		s.group.demand.add(now, p.isLongPrompt(w.tokensIn), f.prefill)
 		f.tokens = f.prefill + int64(max(r.TokensOut, 0))
 		f.alone = kept == 0 && s.own.Prefill == 0 && s.others.Prefill == 0 && f.prefill >= 1000 && !s.warmingUp(now)
-		f.due = now + span(at.first)
+		f.due = now + span(at.firstEvent)
 		s.own.Prefill += f.prefill
 		s.own.Tokens += f.tokens
 		p.prefixes.record(s, prompt, int64(indexedMemoryShare*float64(e.CacheTokens)))
 	} else {
-		f.due = now + span(at.first+plainTail*s.group.serviceTime)
+		f.due = now + span(at.firstEvent+plainOverdueFactor*s.group.serviceTime)
 	}
 	f.pending = true
 	s.await(f)
@@ -144,7 +144,7 @@
 		return
 	}
 	n := float64(f.prefill)
-	rate := n / max(took-n*n/2e6*pairTime, took/3)
+	rate := n / max(took-n*n/2e6*attentionMSPerMillionPairs, took/3)
 	if rate > 4*p.prefillRate.tokensPerMS { // another proxy had it read there: this tells nothing of the rate
 		return
 	}
--- a/internal/system/proxy/pick/kept.go
+++ b/internal/system/proxy/pick/kept.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	dialPrice = 30 // milliseconds that a request over a kept connection is worth, beside the time that a new one takes
+	connectCost = 30 // milliseconds that a request over a kept connection is worth, beside the time that a new one takes
 
 	// DefaultIdleTimeout is for how long connections are kept without use where no server has told for how long it keeps them.
 	DefaultIdleTimeout = 30 * time.Second
@@ -40,11 +40,11 @@
 	}
 }
 
-// connecting is what a new connection to s is worth avoiding, in milliseconds, and the part of it that the request waits for; 0
+// connectCost is what a new connection to s is worth avoiding, in milliseconds, and the part of it that the request waits for; 0
 // where one is kept.
-func (p *Picker) connecting(now Time, s *server) (price, wait float64) {
+func (p *Picker) connectCost(now Time, s *server) (price, wait float64) {
 	if s.kept.any(now, s.group.keptFor) {
 		return 0, 0
 	}
-	return dialPrice, p.roundTrip(s)
+	return connectCost, p.roundTrip(s)
 }
--- a/internal/system/proxy/pick/lane.go
+++ b/internal/system/proxy/pick/lane.go
@@ -72,8 +72,8 @@
 }
 
 // observePromptMix notes what kinds of prompts come to a group, and tells where they have lanes.
-func (p *Picker) observePromptMix(w *weigher, now Time, r *Request, g *group) {
-	if w.long {
+func (p *Picker) observePromptMix(w *costModel, now Time, r *Request, g *group) {
+	if w.isLongPrompt {
 		g.lastLongAt, g.longSeen = now, true
 	} else {
 		for i, name := range p.names {
@@ -93,7 +93,7 @@
 	room, all := 0, 0
 	for _, s := range g.servers {
 		if s.Draining || s.misdirected || p.world.Evacuated[s.Zone] || s.ejectedUntil > 0 ||
-			w.long && len(r.Route.HomeRegions) > 0 && !slices.Contains(r.Route.HomeRegions, s.Region) {
+			w.isLongPrompt && len(r.Route.HomeRegions) > 0 && !slices.Contains(r.Route.HomeRegions, s.Region) {
 			continue
 		}
 		all += s.slots()
--- a/internal/system/proxy/pick/picker.go
+++ b/internal/system/proxy/pick/picker.go
@@ -43,7 +43,7 @@
 	ticket         uint64
 	costs          []cost      // scratch, one for each server of the group that is looked at
 	prompt         prefixChain // scratch, of the request that is looked at
-	weigher        weigher
+	costModel      costModel
 	peers          peerCount
 	peersAt        Time // when the live proxies last changed
 	zoneChanges    zoneChanges
--- a/internal/system/proxy/pick/server.go
+++ b/internal/system/proxy/pick/server.go
@@ -177,11 +177,11 @@
 	if s.first == nil {
 		return 0
 	}
-	return max(0, ms(now-s.first.due)-overdueSlack)
+	return max(0, ms(now-s.first.due)-overdueSlackMS)
 }
 
-// overdueSlack is how many milliseconds an estimate may be wrong before it counts against a server.
-const overdueSlack = 40
+// overdueSlackMS is how many milliseconds an estimate may be wrong before it counts against a server.
+const overdueSlackMS = 40
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
