--- a/internal/system/proxy/pick/belief.go
+++ b/internal/system/proxy/pick/belief.go
@@ -40,7 +40,7 @@
 		if c.n == maxChainParts {
 			break
 		}
-		key = mix(key ^ mix(part.ID+chainKeySeed))
+		key = mix64(key ^ mix64(part.ID+chainKeySeed))
 		sum += max(part.Tokens, 0)
 		c.keys[c.n], c.tokens[c.n] = key, sum
 		c.n++
--- a/internal/system/proxy/pick/choose.go
+++ b/internal/system/proxy/pick/choose.go
@@ -32,7 +32,7 @@
 		c.Verdict = GiveUp
 		return c
 	}
-	o := p.rotation(r.Route)
+	o := p.rotationOf(r.Route)
 	due := o.next()
 	prompt := &p.prompt
 	*prompt = newPrefixChain(r)
@@ -65,7 +65,7 @@
 
 // sendWithinBudget sends r to s, unless it would be a repeat that the budget of s's service does not hold.
 func (p *Picker) sendWithinBudget(now Time, c Choice, r *Request, s *server, at cost, prompt *prefixChain, tried []string) Choice {
-	if r.arrived > 0 && !s.group.budget.allows(now, p.set.RetryRatio, p.retrySlack()) {
+	if r.arrived > 0 && !s.group.budget.allows(now, p.settings.RetryRatio, p.retrySlack()) {
 		return c.withoutServer(r, tried, math.Inf(1))
 	}
 	return p.send(now, c, r, s, at, prompt)
@@ -74,17 +74,17 @@
 // retrySlack is this proxy's part of the repeats that all may make beside the ratio; none while it does not know how many there
 // are.
 func (p *Picker) retrySlack() float64 {
-	if p.world.MembershipIncomplete {
+	if p.state.MembershipIncomplete {
 		return 0
 	}
-	return p.set.RetrySlack / float64(p.peers.count())
+	return p.settings.RetrySlack / float64(p.fleetSize.count())
 }
 
 // withoutServer is the verdict when r can't be sent: there may be room in wait milliseconds; infinite: not known.
 func (c Choice) withoutServer(r *Request, tried []string, wait float64) Choice {
 	c.RetryAfter = defaultRetryAfter
 	if !math.IsInf(wait, 1) {
-		c.RetryAfter = span(wait)
+		c.RetryAfter = durationMS(wait)
 	}
 	c.RetryAfter = max(min(c.RetryAfter, r.TimeLeft/3), minRetryAfter)
 	c.Verdict = Refuse
@@ -118,7 +118,7 @@
 	switch {
 	case s.Draining:
 		return draining
-	case p.world.Evacuated[s.Zone]:
+	case p.state.Evacuated[s.Zone]:
 		return evacuated
 	case r != nil && len(r.Route.HomeRegions) > 0 && !slices.Contains(r.Route.HomeRegions, s.Region):
 		return outsideHomeRegions
@@ -182,7 +182,7 @@
 		}
 		first = i
 	}
-	if second >= 0 && g.servers[first].own.Requests > g.servers[second].own.Requests {
+	if second >= 0 && g.servers[first].ownLoad.Requests > g.servers[second].ownLoad.Requests {
 		first = second
 	}
 	s, at := g.servers[first], costs[first]
@@ -199,7 +199,7 @@
 // ones late, and a client that comes back a little later may be in time.
 func (p *Picker) overloaded(r *Request, s *server, at cost) bool {
 	aim := ms(r.Route.LatencyTarget)
-	return at.firstEvent > ms(r.TimeLeft) || float64(at.load) >= s.group.room*float64(s.slots()) || aim > 0 && at.queueing > maxQueueingShare*aim
+	return at.firstEvent > ms(r.TimeLeft) || float64(at.load) >= s.group.capacityPerSlot*float64(s.slots()) || aim > 0 && at.queueing > maxQueueingShare*aim
 }
 
 const (
@@ -209,7 +209,7 @@
 
 // pickProbe finds a doubted server where no other can be had: the one whose time is over first. It gets one trial at
 // a time, as long as none of a request's tries went to one.
-func (p *Picker) pickProbe(now Time, r *Request, o *rotation, due int, prompt *prefixChain, tried []string) (best *server, at cost) {
+func (p *Picker) pickProbe(now Time, r *Request, o *shareRotation, due int, prompt *prefixChain, tried []string) (best *server, at cost) {
 	for i := range o.shares {
 		g := p.groups[o.shares[(due+i)%len(o.shares)].Service]
 		if g == nil || g.service == nil {
@@ -219,7 +219,7 @@
 			if p.eligibility(now, s, r, tried) != ejected || s.warmingUp(now) && !p.hasWarmUpToken(now, s) || !p.hasProbeCapacity(s) {
 				continue
 			}
-			if best == nil || s.ejectedUntil < best.ejectedUntil || s.ejectedUntil == best.ejectedUntil && s.own.Requests < best.own.Requests {
+			if best == nil || s.ejectedUntil < best.ejectedUntil || s.ejectedUntil == best.ejectedUntil && s.ownLoad.Requests < best.ownLoad.Requests {
 				best = s
 			}
 		}
--- a/internal/system/proxy/pick/cold.go
+++ b/internal/system/proxy/pick/cold.go
@@ -25,14 +25,14 @@
 
 // maxWarmUpSends is what a cold server may receive within a second, from all.
 func (p *Picker) maxWarmUpSends(rate float64) float64 {
-	return rate*p.set.WarmUpExcess + p.set.WarmUpSlack
+	return rate*p.settings.WarmUpExcess + p.settings.WarmUpSlack
 }
 
 // warmUpSenders is how many proxies share a cold server, and how many requests a second each of them may send.
 func (p *Picker) warmUpSenders(rate float64) (holders int, each float64) {
 	use := min(warmUpUtilization*rate, 0.6*p.maxWarmUpSends(rate))
 	spare := p.maxWarmUpSends(rate) - use
-	holders = min(max(int(0.7*spare), 1), p.peers.count())
+	holders = min(max(int(0.7*spare), 1), p.fleetSize.count())
 	return holders, use / float64(holders)
 }
 
@@ -47,23 +47,23 @@
 // allPeersSend tells whether every live proxy is a holder of a cold server of that rate.
 func (p *Picker) allPeersSend(rate float64) bool {
 	n, _ := p.warmUpSenders(rate)
-	return n >= p.peers.count()
+	return n >= p.fleetSize.count()
 }
 
 // maxStaleSending is how long a Stale proxy holds where all do: the others remember it for longer.
-const maxStaleSending = peerMemory - 5*time.Second
+const maxStaleSending = fleetSizeTTL - 5*time.Second
 
 // sendsFrom tells from when on this proxy, a holder of s, may act as one; false: not at all for now. Where the holders are some
 // of the proxies, others take the place of one that they have given up: it has stopped by the time that they begin.
 func (p *Picker) sendsFrom(now Time, s *server) (Time, bool) {
 	few := !p.allPeersSend(s.warmUpRate())
-	if p.world.Stale && (few || now-p.staleSince > maxStaleSending) || p.stalled && few {
+	if p.state.Stale && (few || now-p.staleSince > maxStaleSending) || p.stalled && few {
 		return 0, false
 	}
 	if few {
-		return max(s.senderSince, p.resumed) + successorDelay, s.isSender && !p.world.MembershipIncomplete
+		return max(s.senderSince, p.resumedAt) + successorDelay, s.isSender && !p.state.MembershipIncomplete
 	}
-	return s.senderSince + newSenderDelay, s.isSender && !p.world.MembershipIncomplete
+	return s.senderSince + newSenderDelay, s.isSender && !p.state.MembershipIncomplete
 }
 
 // isWarmUpSender tells whether this proxy is one of the holders of s.
@@ -76,20 +76,20 @@
 	if rate <= 0 {
 		return true
 	}
-	if !slices.Contains(p.world.Peers, p.world.Self) {
+	if !slices.Contains(p.state.Peers, p.state.Self) {
 		return false // the others do not count this proxy
 	}
 	if p.allPeersSend(rate) {
 		return true
 	}
 	n, _ := p.warmUpSenders(rate)
-	mine := hashOf(s.hash, p.world.Self)
+	mine := rendezvousWeight(s.hash, p.state.Self)
 	better := 0
-	for _, peer := range p.world.Peers {
-		if peer == p.world.Self {
+	for _, peer := range p.state.Peers {
+		if peer == p.state.Self {
 			continue
 		}
-		if h := mix(s.hash ^ xxhash.Sum64String(peer)); h > mine || h == mine && peer < p.world.Self {
+		if h := mix64(s.hash ^ xxhash.Sum64String(peer)); h > mine || h == mine && peer < p.state.Self {
 			if better++; better >= n {
 				return false
 			}
@@ -175,7 +175,7 @@
 // is taken back may have become cold shortly before.
 func (p *Picker) unconfirmedWarmUpEnd(s *server) Time {
 	change, ok := p.zoneChanges[s.Zone]
-	if !ok || change.number <= p.world.ListCoversSeq || p.world.Evacuated[s.Zone] {
+	if !ok || change.number <= p.state.ListCoversSeq || p.state.Evacuated[s.Zone] {
 		return 0
 	}
 	return change.learnedAt + p.warmUpTime(s.Service)
@@ -216,10 +216,10 @@
 
 // service is what the configuration says of a service; nil: nothing.
 func (p *Picker) service(name string) *config.Service {
-	if p.world.Config == nil {
+	if p.state.Config == nil {
 		return nil
 	}
-	return p.world.Config.Services[name]
+	return p.state.Config.Services[name]
 }
 
 // Stalled takes note that the process stood still until now, and hears no keeper since. Servers may have turned cold meanwhile,
@@ -241,7 +241,7 @@
 
 // hasContactSince tells whether a keeper told of the world after a moment.
 func (p *Picker) hasContactSince(now, since Time) bool {
-	return now-p.world.ContactAge-p.world.Age >= since
+	return now-p.state.ContactAge-p.state.Age >= since
 }
 
 // AwaitsControlPlane tells whether the process stood still and no keeper's word from after that has come.
--- a/internal/system/proxy/pick/coldsplit_test.go
+++ b/internal/system/proxy/pick/coldsplit_test.go
@@ -134,7 +134,7 @@
 				for i, p := range f.pickers {
 					w := f.world(i, 1, time.Minute)
 					if lost[i] {
-						f.pickers[i] = New(p.set)
+						f.pickers[i] = New(p.settings)
 						w.MembershipIncomplete, w.Stale = true, true
 						f.pickers[i].UpdateClusterState(0, w)
 						continue
--- a/internal/system/proxy/pick/describe.go
+++ b/internal/system/proxy/pick/describe.go
@@ -11,7 +11,7 @@
 	for _, id := range p.sortedIDs() {
 		s := p.servers[id]
 		fmt.Fprintf(&b, "%s %s %s: %s, own %d, others %d, prefill %d, slots %d\n", id, s.Service, s.Zone,
-			p.eligibility(now, s, nil, nil), s.own.Requests, s.others.Requests, s.own.Prefill+s.others.Prefill, s.slots())
+			p.eligibility(now, s, nil, nil), s.ownLoad.Requests, s.peerLoad.Requests, s.ownLoad.Prefill+s.peerLoad.Prefill, s.slots())
 	}
 	return b.String()
 }
--- a/internal/system/proxy/pick/golden_trace_test.go
+++ b/internal/system/proxy/pick/golden_trace_test.go
@@ -76,10 +76,10 @@
 	tr.flag(offered)
 	tr.text(c.Server.ID)
 	tr.num(int64(c.Ticket), int64(c.Priority), int64(c.RetryAfter), int64(c.SendWithin))
-	if s := p.sends[c.Ticket]; s != nil {
-		tr.num(int64(s.due), s.prefill, s.tokens)
-		tr.flag(s.alone)
-		tr.flag(s.charged)
+	if s := p.attempts[c.Ticket]; s != nil {
+		tr.num(int64(s.expectedAt), s.prefillTokens, s.memoryTokens)
+		tr.flag(s.measuresRate)
+		tr.flag(s.isRetry)
 	}
 	tr.spent(p)
 }
@@ -88,7 +88,7 @@
 func (tr *trace) spent(p *Picker) {
 	for _, name := range slices.Sorted(maps.Keys(p.groups)) {
 		g := p.groups[name]
-		tr.float(g.budget.requests, g.budget.repeats, g.serviceTime, g.room)
+		tr.float(g.budget.requests, g.budget.retries, g.serviceTimeMS, g.capacityPerSlot)
 	}
 	tr.float(p.prefillRate.tokensPerMS)
 	st := p.Stats()
@@ -155,7 +155,7 @@
 func (f *fleet) eachWorld(at Time, change func(i int, w *ClusterState)) {
 	f.after(at, func() {
 		for i, p := range f.pickers {
-			w := p.world
+			w := p.state
 			w.Servers = slices.Clone(f.servers)
 			change(i, &w)
 			p.UpdateClusterState(f.now, w)
--- a/internal/system/proxy/pick/home_test.go
+++ b/internal/system/proxy/pick/home_test.go
@@ -18,7 +18,7 @@
 func testHomes(t *testing.T, apart bool) {
 	f := newFleet(aula())
 	p, q := f.pickers[0], f.pickers[1] // both of one zone
-	far := f.pickers[slices.IndexFunc(f.pickers, func(p *Picker) bool { return p.set.Region != f.pickers[0].set.Region })]
+	far := f.pickers[slices.IndexFunc(f.pickers, func(p *Picker) bool { return p.settings.Region != f.pickers[0].settings.Region })]
 	long, short := f.cfg.Routes[0], f.cfg.Routes[1]
 	if !apart {
 		everywhere := *short
--- a/internal/system/proxy/pick/invariants_test.go
+++ b/internal/system/proxy/pick/invariants_test.go
@@ -44,7 +44,7 @@
 	p := f.pickers[0]
 	p.UpdateClusterState(0, f.world(0, 1, 0))
 	invarianttest.Expect(t, eligibilityInvariant, func() {
-		p.world.Evacuated = map[string]bool{"z": true}
+		p.state.Evacuated = map[string]bool{"z": true}
 		r := &Request{Route: f.config.Routes[0], TimeLeft: time.Second}
 		p.Done(0, p.send(0, Choice{}, r, p.servers["s0"], cost{}, &prefixChain{}).Ticket, Served, 0)
 	})
--- a/internal/system/proxy/pick/kept_test.go
+++ b/internal/system/proxy/pick/kept_test.go
@@ -35,7 +35,7 @@
 	if second == first {
 		t.Error("the rotation stays at a server whose connections have been without use for too long")
 	}
-	if p.servers[second].kept.any(idle, told) {
+	if p.servers[second].idle.usable(idle, told) {
 		t.Error("a connection to a server that was not reached counts as kept")
 	}
 }
--- a/internal/system/proxy/pick/lane.go
+++ b/internal/system/proxy/pick/lane.go
@@ -53,12 +53,12 @@
 	if p.fixedPoolShare > 0 {
 		return p.fixedPoolShare, true
 	}
-	if now-p.othersAt >= othersLife {
+	if now-p.peerLoadsAt >= peerLoadTTL {
 		return 0, false
 	}
 	g.demand.decay(now)
-	long := g.demand.long + float64(g.othersDemand.Prefill)
-	short := g.demand.short + float64(g.othersDemand.Tokens)
+	long := g.demand.long + float64(g.peerDemand.Prefill)
+	short := g.demand.short + float64(g.peerDemand.Tokens)
 	if long+short < minDemandTokens {
 		return 0, false
 	}
@@ -68,7 +68,7 @@
 // isLongPrompt tells whether a prompt is worth a lane. Its length is held against the rate that all proxies are set to, not the
 // learned one, as all have to agree.
 func (p *Picker) isLongPrompt(tokens int) bool {
-	return float64(tokens)/p.set.PrefillRate >= minLongPromptMS
+	return float64(tokens)/p.settings.PrefillRate >= minLongPromptMS
 }
 
 // observePromptMix notes what kinds of prompts come to a group, and tells where they have lanes.
@@ -76,7 +76,7 @@
 	if w.isLongPrompt {
 		g.lastLongAt, g.longSeen = now, true
 	} else {
-		for i, name := range p.names {
+		for i, name := range p.regionNames {
 			if i < maxRegions && (len(r.Route.HomeRegions) == 0 || slices.Contains(r.Route.HomeRegions, name)) {
 				g.lastShortAt[i], g.shortSeen[i] = now, true
 			}
@@ -92,12 +92,12 @@
 	// Where a region sees no short prompts at all, the long ones go there, if it is large enough.
 	room, all := 0, 0
 	for _, s := range g.servers {
-		if s.Draining || s.misdirected || p.world.Evacuated[s.Zone] || s.ejectedUntil > 0 ||
+		if s.Draining || s.misdirected || p.state.Evacuated[s.Zone] || s.ejectedUntil > 0 ||
 			w.isLongPrompt && len(r.Route.HomeRegions) > 0 && !slices.Contains(r.Route.HomeRegions, s.Region) {
 			continue
 		}
 		all += s.slots()
-		if s.region < maxRegions && !w.hasPromptPool[s.region] {
+		if s.regionIndex < maxRegions && !w.hasPromptPool[s.regionIndex] {
 			room += s.slots()
 		}
 	}
@@ -109,8 +109,8 @@
 	var byRegion [maxRegions][]*server
 	for _, s := range g.servers {
 		s.inPromptPool = false
-		if s.region < maxRegions && !s.Draining && !p.world.Evacuated[s.Zone] {
-			byRegion[s.region] = append(byRegion[s.region], s)
+		if s.regionIndex < maxRegions && !s.Draining && !p.state.Evacuated[s.Zone] {
+			byRegion[s.regionIndex] = append(byRegion[s.regionIndex], s)
 		}
 	}
 	share, known := p.promptPoolShare(now, g)
--- a/internal/system/proxy/pick/lane_test.go
+++ b/internal/system/proxy/pick/lane_test.go
@@ -110,8 +110,8 @@
 func TestLaneKeepsItsShareWhereServersGo(t *testing.T) {
 	p := laneWorld(20)
 	var w ClusterState
-	w.Config = p.world.Config
-	w.Servers = append(w.Servers, p.world.Servers[:10]...)
+	w.Config = p.state.Config
+	w.Servers = append(w.Servers, p.state.Servers[:10]...)
 	p.UpdateClusterState(time.Second, w)
 	if n := laneSize(p); n != 5 {
 		t.Errorf("a lane of %d of 10 servers, want half", n)
--- a/internal/system/proxy/pick/picker.go
+++ b/internal/system/proxy/pick/picker.go
@@ -29,29 +29,29 @@
 
 // Picker decides for one proxy. It is not safe for concurrent use: the caller locks. The zero value is not usable.
 type Picker struct {
-	set            Settings
-	world          ClusterState
+	settings       Settings
+	state          ClusterState
 	started        Time
-	known          bool // SetWorld was called
+	hasState       bool // SetWorld was called
 	servers        map[string]*server
 	groups         map[string]*group // by service
-	rotations      map[*config.Route]*rotation
-	regions        map[string]int // small numbers for regions; 0 is this proxy's own
-	names          []string       // of the regions, by number
-	sends          map[uint64]*send
-	free           *send // sends to be used again
-	ticket         uint64
+	rotations      map[*config.Route]*shareRotation
+	regionIndexes  map[string]int // small numbers for regions; 0 is this proxy's own
+	regionNames    []string       // of the regions, by number
+	attempts       map[uint64]*attempt
+	freeAttempts   *attempt // sends to be used again
+	lastTicket     uint64
 	costs          []cost      // scratch, one for each server of the group that is looked at
 	prompt         prefixChain // scratch, of the request that is looked at
 	costModel      costModel
-	peers          peerCount
-	peersAt        Time // when the live proxies last changed
+	fleetSize      fleetSize
+	peersChangedAt Time // when the live proxies last changed
 	zoneChanges    zoneChanges
 	staleSince     Time // when it last became Stale
-	resumed        Time // when this proxy was last Stale, Partial or stalled
+	resumedAt      Time // when this proxy was last Stale, Partial or stalled
 	stalled        bool // it stood still, and has not heard from a keeper since
 	stalledAt      Time // the end of its last stall
-	othersAt       Time // of the last SetLoads
+	peerLoadsAt    Time // of the last SetLoads
 	prefixes       prefixIndex
 	prefillRate    prefillRate
 	stats          Stats
@@ -86,33 +86,33 @@
 		s.StepTime = 6 * time.Millisecond
 	}
 	return &Picker{
-		set:         s,
-		servers:     map[string]*server{},
-		zoneChanges: zoneChanges{},
-		groups:      map[string]*group{},
-		rotations:   map[*config.Route]*rotation{},
-		regions:     map[string]int{s.Region: 0},
-		names:       []string{s.Region},
-		sends:       map[uint64]*send{},
-		prefixes:    newPrefixIndex(),
-		prefillRate: prefillRate{tokensPerMS: s.PrefillRate},
+		settings:      s,
+		servers:       map[string]*server{},
+		zoneChanges:   zoneChanges{},
+		groups:        map[string]*group{},
+		rotations:     map[*config.Route]*shareRotation{},
+		regionIndexes: map[string]int{s.Region: 0},
+		regionNames:   []string{s.Region},
+		attempts:      map[uint64]*attempt{},
+		prefixes:      newPrefixIndex(),
+		prefillRate:   prefillRate{tokensPerMS: s.PrefillRate},
 	}
 }
 
 // UpdateClusterState replaces what is known of configuration, servers, zones and proxies. Servers whose id stays keep what was
 // learned of them.
 func (p *Picker) UpdateClusterState(now Time, w ClusterState) {
-	if !p.known {
-		p.known, p.started = true, now
+	if !p.hasState {
+		p.hasState, p.started = true, now
 	}
-	reconfigured := p.world.Config != w.Config
-	if !slices.Equal(p.world.Peers, w.Peers) || p.world.MembershipIncomplete != w.MembershipIncomplete {
-		p.peersAt = now
+	reconfigured := p.state.Config != w.Config
+	if !slices.Equal(p.state.Peers, w.Peers) || p.state.MembershipIncomplete != w.MembershipIncomplete {
+		p.peersChangedAt = now
 	}
-	before := p.world
-	p.world = w
+	before := p.state
+	p.state = w
 	p.zoneChanges.update(now, w.ZoneChanges)
-	p.peers.set(now, len(w.Peers)+w.DownCount)
+	p.fleetSize.observe(now, len(w.Peers)+w.DownCount)
 	if w.Stale && !before.Stale {
 		p.staleSince = now
 	}
@@ -121,7 +121,7 @@
 		p.stalled = false
 	}
 	if before.Stale && !w.Stale || before.MembershipIncomplete && !w.MembershipIncomplete || heard {
-		p.resumed = now
+		p.resumedAt = now
 	}
 
 	listed := make(map[string]*server, len(w.Servers))
@@ -138,9 +138,9 @@
 			if s != nil {
 				p.prefixes.removeServer(s)
 			}
-			s = &server{speed: 1, hash: xxhash.Sum64String(told.ID)}
+			s = &server{relativeSpeed: 1, hash: xxhash.Sum64String(told.ID)}
 		}
-		p.list(now, s, *told)
+		p.updateServer(now, s, *told)
 		listed[told.ID] = s
 	}
 	for id, s := range p.servers {
@@ -161,19 +161,19 @@
 		}
 	}
 	if reconfigured {
-		p.reroute()
+		p.updateRotations()
 	}
 }
 
-// list takes what the platform's list tells of one server.
-func (p *Picker) list(now Time, s *server, told Server) {
+// updateServer takes what the platform's updateServer tells of one server.
+func (p *Picker) updateServer(now Time, s *server, told Server) {
 	if told.Region == "" {
-		told.Region = p.set.Regions[told.Zone]
+		told.Region = p.settings.Regions[told.Zone]
 	}
 	s.Server = told
-	s.WarmUpMax = max(0, s.WarmUpMax-p.world.Age)
-	s.WarmUpMin = max(0, s.WarmUpMin-p.world.Age)
-	s.region = p.regionNumber(told.Region)
+	s.WarmUpMax = max(0, s.WarmUpMax-p.state.Age)
+	s.WarmUpMin = max(0, s.WarmUpMin-p.state.Age)
+	s.regionIndex = p.regionIndex(told.Region)
 	p.updateWarmUp(now, s)
 	if s.misdirected && now-s.misdirectedAt > misdirectedTimeout {
 		s.misdirected = false
@@ -182,7 +182,7 @@
 	s.isSender = p.isWarmUpSender(s)
 	switch {
 	case !s.listed:
-		s.senderSince = p.peersAt // its holders are those that these peers name, once all know them
+		s.senderSince = p.peersChangedAt // its holders are those that these peers name, once all know them
 	case !held:
 		s.senderSince = now
 	}
@@ -192,13 +192,13 @@
 	g.servers = append(g.servers, s)
 }
 
-// regionNumber gives a small number to a region, stable for the Picker's life.
-func (p *Picker) regionNumber(name string) int {
-	n, ok := p.regions[name]
+// regionIndex gives a small number to a region, stable for the Picker's life.
+func (p *Picker) regionIndex(name string) int {
+	n, ok := p.regionIndexes[name]
 	if !ok {
-		n = len(p.regions)
-		p.regions[name] = n
-		p.names = append(p.names, name)
+		n = len(p.regionIndexes)
+		p.regionIndexes[name] = n
+		p.regionNames = append(p.regionNames, name)
 	}
 	return n
 }
@@ -206,9 +206,9 @@
 func (p *Picker) group(service string) *group {
 	g := p.groups[service]
 	if g == nil {
-		g = &group{name: service, cursor: int(mix(p.set.Seed^xxhash.Sum64String(service)) % 1024), serviceTime: 60, room: roomMost,
-			keptFor: DefaultIdleTimeout}
-		g.budget.window = p.set.RetryWindow
+		g = &group{name: service, cursor: int(mix64(p.settings.Seed^xxhash.Sum64String(service)) % 1024), serviceTimeMS: 60, capacityPerSlot: maxCapacityPerSlot,
+			idleTimeout: DefaultIdleTimeout}
+		g.budget.window = p.settings.RetryWindow
 		p.groups[service] = g
 	}
 	return g
@@ -216,11 +216,11 @@
 
 // SetLoads replaces what all other proxies together have outstanding, by server id, and their demands by key.
 func (p *Picker) SetLoads(now Time, loads map[string]Load) {
-	p.othersAt = now
+	p.peerLoadsAt = now
 	for id, s := range p.servers {
-		s.others = loads[id]
-		long := minLongPromptMS * p.set.PrefillRate
-		if n := float64(s.others.Prefill); n >= long && n >= float64(s.others.Requests)*long/4 {
+		s.peerLoad = loads[id]
+		long := minLongPromptMS * p.settings.PrefillRate
+		if n := float64(s.peerLoad.Prefill); n >= long && n >= float64(s.peerLoad.Requests)*long/4 {
 			s.group.lastLongAt, s.group.longSeen = now, true
 		}
 	}
@@ -228,7 +228,7 @@
 		if g.service == nil || g.service.Engine == nil {
 			continue
 		}
-		g.othersDemand = loads[demandKey(name)]
+		g.peerDemand = loads[demandKey(name)]
 		p.assignPromptPools(now, g)
 	}
 }
@@ -237,8 +237,8 @@
 func (p *Picker) Loads() map[string]Load {
 	m := make(map[string]Load, len(p.servers))
 	for id, s := range p.servers {
-		if s.own != (Load{}) {
-			m[id] = s.own
+		if s.ownLoad != (Load{}) {
+			m[id] = s.ownLoad
 		}
 	}
 	return m
@@ -258,10 +258,10 @@
 
 // Route finds the rule for a request: of the host's routes the one with the longest prefix of the path; nil: none.
 func (p *Picker) Route(host, path string) *config.Route {
-	if p.world.Config == nil {
+	if p.state.Config == nil {
 		return nil
 	}
-	return p.world.Config.Match(host, path)
+	return p.state.Config.Match(host, path)
 }
 
 // Arrive counts a client's request for its services' budget of repeats. Call it once for each request that was read.
@@ -275,16 +275,16 @@
 	}
 	for _, s := range r.Route.Shares {
 		if s.Weight > 0 {
-			p.group(s.Service).budget.request(now, s.Weight/total)
+			p.group(s.Service).budget.recordRequest(now, s.Weight/total)
 		}
 	}
 }
 
-// hashOf is the rendezvous weight of a peer for a key.
-func hashOf(key uint64, peer string) uint64 { return mix(key ^ xxhash.Sum64String(peer)) }
+// rendezvousWeight is the rendezvous weight of a peer for a key.
+func rendezvousWeight(key uint64, peer string) uint64 { return mix64(key ^ xxhash.Sum64String(peer)) }
 
-// mix is the finalizer of splitmix64: it spreads the bits of x.
-func mix(x uint64) uint64 {
+// mix64 is the finalizer of splitmix64: it spreads the bits of x.
+func mix64(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
@@ -292,28 +292,28 @@
 	return x ^ x>>31
 }
 
-// peerCount holds the highest number of proxies of the last while: when some seem to be gone, they may be cut off and
+// fleetSize holds the highest number of proxies of the last while: when some seem to be gone, they may be cut off and
 // still use their part, so the others' parts do not grow at once.
-type peerCount struct {
-	now, high int
-	highAt    Time
+type fleetSize struct {
+	current, highest int
+	highestAt        Time
 }
 
-// peerMemory is how long a proxy that is no longer listed still counts for the parts of the others.
-const peerMemory = 30 * time.Second
+// fleetSizeTTL is how long a proxy that is no longer listed still counts for the parts of the others.
+const fleetSizeTTL = 30 * time.Second
 
-func (c *peerCount) set(now Time, n int) {
-	if c.now >= c.high {
-		c.highAt = now // the highest number held until now
+func (c *fleetSize) observe(now Time, n int) {
+	if c.current >= c.highest {
+		c.highestAt = now // the highest number held until now
 	}
-	c.now = max(n, 1)
-	if c.now >= c.high || now-c.highAt > peerMemory {
-		c.high, c.highAt = c.now, now
+	c.current = max(n, 1)
+	if c.current >= c.highest || now-c.highestAt > fleetSizeTTL {
+		c.highest, c.highestAt = c.current, now
 	}
 }
 
 // count is the number of proxies that parts are cut for.
-func (c *peerCount) count() int { return max(c.high, 1) }
+func (c *fleetSize) count() int { return max(c.highest, 1) }
 
 // sortedIDs lists the known servers, for output that does not change from call to call.
 func (p *Picker) sortedIDs() []string {
--- a/internal/system/proxy/pick/property_test.go
+++ b/internal/system/proxy/pick/property_test.go
@@ -156,8 +156,8 @@
 
 // check tells what of a Picker with nothing in flight does not add up.
 func (p *Picker) check(t *rapid.T) {
-	if len(p.sends) > 0 {
-		t.Fatalf("%d sends are left", len(p.sends))
+	if len(p.attempts) > 0 {
+		t.Fatalf("%d sends are left", len(p.attempts))
 	}
 	if l := p.Loads(); len(l) > 0 {
 		t.Fatalf("loads are left: %v", l)
@@ -176,7 +176,7 @@
 		t.Fatalf("%d beliefs, counted %d", count, p.prefixes.count)
 	}
 	for _, s := range p.servers {
-		if s.first != nil || s.last != nil || s.probe != nil {
+		if s.oldestPending != nil || s.newestPending != nil || s.probe != nil {
 			t.Fatalf("%s awaits an event of nothing", s.ID)
 		}
 		if held[s] != s.indexedTokens {
--- a/internal/system/proxy/pick/server.go
+++ b/internal/system/proxy/pick/server.go
@@ -10,57 +10,57 @@
 	misdirectedTimeout = 3 * time.Second        // a server whose address answered 421 stays out at least this long
 	drainHintTTL       = 3 * time.Second        // a hint that a server leaves holds this long
 	warmUpHintTTL      = 3 * time.Second        // a server's own word on being cold outlives a list that says warm by this
-	toldLife           = 400 * time.Millisecond // X-Server-Load is believed this long
-	othersLife         = 2 * time.Second        // the loads of other proxies are believed this long
+	reportedLoadTTL    = 400 * time.Millisecond // X-Server-Load is believed this long
+	peerLoadTTL        = 2 * time.Second        // the loads of other proxies are believed this long
 	baseEjectionTime   = 500 * time.Millisecond // the first time that a server which failed gets nothing
 	maxEjectionTime    = 4 * time.Second        // and the longest
 	maxProbeDelay      = 2 * time.Second        // after it, any request may try a doubted server
 )
 
 const (
-	roomMost  = 5.0  // what servers are believed to take until one says that it is full
-	roomLeast = 2.0  // it may say so for other reasons
-	roomGrow  = 0.01 // for each answer, as it may have been full for other reasons
+	maxCapacityPerSlot = 5.0  // what servers are believed to take until one says that it is full
+	minCapacityPerSlot = 2.0  // it may say so for other reasons
+	capacityIncrement  = 0.01 // for each answer, as it may have been full for other reasons
 )
 
 // group is the servers of one service.
 type group struct {
-	name        string
-	service     *config.Service // nil: the configuration does not name it
-	servers     []*server       // in the list's order
-	cursor      int             // whose turn is next
-	budget      budget
-	serviceTime float64 // milliseconds from a send to its end, learned
-	room        float64 // requests that a server takes, running and waiting, for each of its slots; learned
+	name            string
+	service         *config.Service // nil: the configuration does not name it
+	servers         []*server       // in the list's order
+	cursor          int             // whose turn is next
+	budget          retryBudget
+	serviceTimeMS   float64 // milliseconds from a send to its end, learned
+	capacityPerSlot float64 // requests that a server takes, running and waiting, for each of its slots; learned
 
 	lastLongAt  Time // when a long prompt last came
 	longSeen    bool
 	lastShortAt [maxRegions]Time // when a short one last came that may go to the region
 	shortSeen   [maxRegions]bool
 
-	keptFor time.Duration // connections to its servers are kept so long without use
+	idleTimeout time.Duration // connections to its servers are kept so long without use
 
-	promptPools  [maxRegions]promptPool
-	demand       promptDemand // of this proxy
-	othersDemand Load         // of all others: Prefill for long prompts, Tokens for short ones
+	promptPools [maxRegions]promptPool
+	demand      promptDemand // of this proxy
+	peerDemand  Load         // of all others: Prefill for long prompts, Tokens for short ones
 }
 
 // server is what is known of one incarnation.
 type server struct {
 	Server
 	group        *group
-	region       int
+	regionIndex  int
 	inPromptPool bool // long prompts go here rather than to others of its region
 	hash         uint64
 
-	kept        kept
-	own, others Load
-	told        struct {
+	idle              idleConns
+	ownLoad, peerLoad Load
+	reported          struct {
 		running, waiting, slots int
 		at                      Time
 		set                     bool
 	}
-	speed float64 // of reading prompts, against the fleet's
+	relativeSpeed float64 // of reading prompts, against the fleet's
 
 	warmUntil, warmUpHintAt, senderSince Time
 	awaitsFirstWarmSend                  bool // no request was sent to it as a warm one since it turned cold
@@ -84,37 +84,37 @@
 	consecutiveBroken       int // answers that broke off in a row
 	consecutiveServerErrors int // 5xx in a row
 	ejectedUntil            Time
-	probe                   *send // the one send that tries a doubted server
+	probe                   *attempt // the one send that tries a doubted server
 	fullUntil               Time
 	drainHintUntil          Time
 
-	first, last                       *send // own sends that await their first event, oldest first
+	oldestPending, newestPending      *attempt // own sends that await their first event, oldest first
 	leastRecentEntry, mostRecentEntry *prefixEntry
 	indexedTokens                     int64 // tokens of beliefs
 }
 
-// send is one request on its way to one server.
-type send struct {
-	ticket     uint64
-	server     *server
-	request    *Request
-	at, due    Time  // sent; when the first event is expected
-	prefill    int64 // prompt tokens that it adds to the server's work
-	tokens     int64 // memory that it takes there
-	alone      bool  // nothing was waiting there and nothing of it was believed kept: it measures the server's rate
-	pending    bool  // its first event is still awaited
-	charged    bool  // it drew on the budget
-	next, prev *send
+// attempt is one request on its way to one server.
+type attempt struct {
+	ticket             uint64
+	server             *server
+	request            *Request
+	sentAt, expectedAt Time  // sent; when the first event is expected
+	prefillTokens      int64 // prompt tokens that it adds to the server's work
+	memoryTokens       int64 // memory that it takes there
+	measuresRate       bool  // nothing was waiting there and nothing of it was believed kept: it measures the server's rate
+	pending            bool  // its first event is still awaited
+	isRetry            bool  // it drew on the budget
+	next, prev         *attempt
 }
 
 // load is how many requests are believed to be at s.
 func (s *server) load(now Time, othersAt Time) int {
-	n := s.own.Requests
-	if now-othersAt < othersLife {
-		n += s.others.Requests
+	n := s.ownLoad.Requests
+	if now-othersAt < peerLoadTTL {
+		n += s.peerLoad.Requests
 	}
-	if s.told.set && now-s.told.at < toldLife {
-		n = max(n, s.told.running+s.told.waiting)
+	if s.reported.set && now-s.reported.at < reportedLoadTTL {
+		n = max(n, s.reported.running+s.reported.waiting)
 	}
 	return n
 }
@@ -122,8 +122,8 @@
 // slots is how many requests s runs at once; 1 at least.
 func (s *server) slots() int {
 	switch {
-	case s.told.set && s.told.slots > 0:
-		return s.told.slots
+	case s.reported.set && s.reported.slots > 0:
+		return s.reported.slots
 	case s.Slots > 0:
 		return s.Slots
 	case s.group.service != nil && s.group.service.Engine != nil && s.group.service.Engine.Slots > 0:
@@ -174,10 +174,10 @@
 // overdue is by how much the oldest prompt at s is late, in milliseconds: a server that is slow, frozen or dark shows
 // by it before any send fails.
 func (s *server) overdue(now Time) float64 {
-	if s.first == nil {
+	if s.oldestPending == nil {
 		return 0
 	}
-	return max(0, ms(now-s.first.due)-overdueSlackMS)
+	return max(0, ms(now-s.oldestPending.expectedAt)-overdueSlackMS)
 }
 
 // overdueSlackMS is how many milliseconds an estimate may be wrong before it counts against a server.
@@ -185,12 +185,12 @@
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-func span(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func durationMS(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 // ServerLoad takes X-Server-Load: requests running and waiting at a server, and its slots.
 func (p *Picker) ServerLoad(now Time, id string, running, waiting, slots int) {
 	if s := p.servers[id]; s != nil && running >= 0 && waiting >= 0 {
-		s.told.running, s.told.waiting, s.told.slots, s.told.at, s.told.set = running, waiting, slots, now, true
+		s.reported.running, s.reported.waiting, s.reported.slots, s.reported.at, s.reported.set = running, waiting, slots, now, true
 	}
 }
 
--- a/internal/system/proxy/pick/sim_engine_test.go
+++ b/internal/system/proxy/pick/sim_engine_test.go
@@ -192,7 +192,7 @@
 		}
 	}
 	took += e.spec.perSlot * float64(len(decoding))
-	e.after(span(took*e.speed), func() { e.stepped(decoding, ready) })
+	e.after(durationMS(took*e.speed), func() { e.stepped(decoding, ready) })
 }
 
 func (e *engine) stepped(decoding, ready []*job) {
@@ -215,7 +215,7 @@
 		j.made, j.lastAt = 1, e.now
 		e.keep(j)
 		r, w := len(e.running), len(e.waiting)
-		e.after(span(e.spec.first), func() { j.first(r, w) })
+		e.after(durationMS(e.spec.first), func() { j.first(r, w) })
 		if j.out <= 1 {
 			ended = append(ended, j)
 		}
@@ -228,7 +228,7 @@
 			}
 		}
 		e.used -= j.taken
-		e.after(span(e.spec.first), func() { j.done(true) })
+		e.after(durationMS(e.spec.first), func() { j.done(true) })
 	}
 	e.admit()
 	e.step()
--- a/internal/system/proxy/pick/sim_test.go
+++ b/internal/system/proxy/pick/sim_test.go
@@ -90,7 +90,7 @@
 			WarmUpExcess: 1.5, WarmUpSlack: 5, Seed: uint64(i), CrossRegionLatency: sc.crossRegion})
 		p.UpdateClusterState(0, ClusterState{Config: f.cfg, Servers: f.servers, Self: name, Peers: peers})
 		p.fixedPoolShare = sc.fixedLane
-		p.group("lm").keptFor = sc.keepIdle
+		p.group("lm").idleTimeout = sc.keepIdle
 		f.pickers = append(f.pickers, p)
 	}
 	return f
@@ -150,7 +150,7 @@
 	if f.evacuated != "" {
 		f.after(f.evacuateAt, func() {
 			for i, p := range f.pickers {
-				w := p.world
+				w := p.state
 				w.Evacuated = map[string]bool{f.evacuated: true}
 				_ = i
 				p.UpdateClusterState(f.now, w)
@@ -305,7 +305,7 @@
 	}
 	f.after(way, func() {
 		if k.plain {
-			work := span(drawn(f.rng, 60, 0.5, 450))
+			work := durationMS(drawn(f.rng, 60, 0.5, 450))
 			if !f.plains[c.Server.ID].offer(work, func(running, waiting int) {
 				f.after(way, func() {
 					p.ServerLoad(f.now, c.Server.ID, running, waiting, 6)
--- a/internal/system/proxy/pick/stale.go
+++ b/internal/system/proxy/pick/stale.go
@@ -4,8 +4,8 @@
 // all go out at the moment when the cut ends, and a Stale proxy, which hears of no evacuation, does not know whether the servers
 // are cold by then.
 func (p *Picker) hasProbeCapacity(s *server) bool {
-	if p.world.Stale && s.warmUpRate() > 0 {
-		return s.own.Requests == 0
+	if p.state.Stale && s.warmUpRate() > 0 {
+		return s.ownLoad.Requests == 0
 	}
-	return s.own.Requests < s.slots()
+	return s.ownLoad.Requests < s.slots()
 }
--- a/internal/system/proxy/pick/weigh.go
+++ b/internal/system/proxy/pick/weigh.go
@@ -52,7 +52,7 @@
 		return
 	}
 	w.hasEngine, w.prefillRate, w.prompt, w.cacheTokens, w.tolerance = true, p.prefillRate.tokensPerMS, prompt, e.CacheTokens, engineTolerance
-	w.stepMS = ms(p.set.StepTime)
+	w.stepMS = ms(p.settings.StepTime)
 	w.tokensIn, w.maxTokensOut = max(r.TokensIn, 0), max(r.TokensOut, 0)
 	for i := range prompt.n {
 		w.holders[i] = p.prefixes.byKey[prompt.keys[i]]
@@ -75,11 +75,11 @@
 func (p *Picker) homes(w *costModel, now Time, r *Request, g *group, key uint64) (home, next *server) {
 	var first, second uint64
 	for _, s := range g.servers {
-		if s.Draining || s.misdirected || p.world.Evacuated[s.Zone] || s.ejectedUntil > 0 || s.warmingUp(now) || !w.matchesPool(s) ||
+		if s.Draining || s.misdirected || p.state.Evacuated[s.Zone] || s.ejectedUntil > 0 || s.warmingUp(now) || !w.matchesPool(s) ||
 			len(r.Route.HomeRegions) > 0 && !slices.Contains(r.Route.HomeRegions, s.Region) {
 			continue
 		}
-		switch h := mix(key ^ s.hash); {
+		switch h := mix64(key ^ s.hash); {
 		case home == nil || h > first:
 			next, second = home, first
 			home, first = s, h
@@ -93,11 +93,11 @@
 // matchesPool tells whether s is one of the servers for prompts of this length, while there is room on them.
 func (w *costModel) matchesPool(s *server) bool {
 	switch {
-	case s.region >= maxRegions:
+	case s.regionIndex >= maxRegions:
 		return true
 	case w.regionsSeparate:
-		return !w.isLongPrompt || !w.hasPromptPool[s.region]
-	case w.hasPromptPool[s.region]:
+		return !w.isLongPrompt || !w.hasPromptPool[s.regionIndex]
+	case w.hasPromptPool[s.regionIndex]:
 		return w.isLongPrompt == s.inPromptPool
 	}
 	return true
@@ -125,10 +125,10 @@
 // roundTrip is how long the way to s and back takes, in milliseconds.
 func (p *Picker) roundTrip(s *server) float64 {
 	switch {
-	case s.region != 0:
-		return 2 * ms(p.set.CrossRegionLatency)
-	case s.Zone != p.set.Zone:
-		return 2 * ms(p.set.CrossZoneLatency)
+	case s.regionIndex != 0:
+		return 2 * ms(p.settings.CrossRegionLatency)
+	case s.Zone != p.settings.Zone:
+		return 2 * ms(p.settings.CrossZoneLatency)
 	}
 	return 0
 }
@@ -138,24 +138,24 @@
 	c.firstEvent = p.roundTrip(s)
 	extra := 0.0
 	switch {
-	case s.region != 0:
+	case s.regionIndex != 0:
 		extra += crossRegionCost + crossRegionTokenCost*float64(r.TokensIn)
-	case s.Zone != p.set.Zone:
+	case s.Zone != p.settings.Zone:
 		extra += crossZoneCost + crossZoneTokenCost*float64(r.TokensIn)
 	}
-	c.load = s.load(now, p.othersAt)
+	c.load = s.load(now, p.peerLoadsAt)
 	slots := s.slots()
 	if over := c.load + 1 - slots; over > 0 {
-		c.queueing = s.group.serviceTime * float64(over) / float64(slots)
+		c.queueing = s.group.serviceTimeMS * float64(over) / float64(slots)
 		c.firstEvent += c.queueing
 	}
 	if w.hasEngine {
-		rate := w.prefillRate * s.speed
-		queued := s.own.Prefill
-		held := s.own.Tokens
-		if now-p.othersAt < othersLife {
-			queued += s.others.Prefill
-			held += s.others.Tokens
+		rate := w.prefillRate * s.relativeSpeed
+		queued := s.ownLoad.Prefill
+		held := s.ownLoad.Tokens
+		if now-p.peerLoadsAt < peerLoadTTL {
+			queued += s.peerLoad.Prefill
+			held += s.peerLoad.Tokens
 		}
 		dial, handshake := p.connectCost(now, s)
 		extra += dial
@@ -190,7 +190,7 @@
 		}
 	} else {
 		// Some servers slow down when they are nearly full: fill them evenly.
-		extra += 0.3 * s.group.serviceTime * float64(c.load) / float64(slots)
+		extra += 0.3 * s.group.serviceTimeMS * float64(c.load) / float64(slots)
 	}
 	late := s.overdue(now)
 	c.firstEvent += late
