--- a/internal/system/distribution/coldworld_serve_test.go
+++ b/internal/system/distribution/coldworld_serve_test.go
@@ -95,7 +95,7 @@
 			}
 			now := time.Since(p.start)
 			before := p.picker.Stats().WarmUpSends
-			c := p.picker.Choose(now, &pick.Request{Route: w.config.Routes[0], TimeLeft: time.Second}, nil, false)
+			c := p.picker.Pick(now, &pick.Request{Route: w.config.Routes[0], TimeLeft: time.Second}, nil, false)
 			if c.Verdict != pick.Send {
 				continue
 			}
--- a/internal/system/proxy/call.go
+++ b/internal/system/proxy/call.go
@@ -40,7 +40,7 @@
 	tried     []string // servers it was sent to
 	offered   bool     // some send may have run
 	unreached int
-	chosen    *pick.Choice  // where to go on, from a silent server
+	chosen    *pick.Result  // where to go on, from a silent server
 	refused   time.Duration // what servers that did not run it said: come again after it
 	kept      *answer       // a server's own failure, passed on if nothing better comes
 	passing   bool          // the head of an answer is out
@@ -75,7 +75,7 @@
 }
 
 // choose asks where to send the request next.
-func (c *call) choose() pick.Choice {
+func (c *call) choose() pick.Result {
 	if ch := c.chosen; ch != nil {
 		c.chosen = nil
 		return *ch
@@ -83,18 +83,18 @@
 	c.p.policy.awaitWord(c.r.Context())
 	left := time.Until(c.deadline)
 	if left <= 0 || c.r.Context().Err() != nil || c.unreached >= mostUnreached || !c.mayMove(c.offered) {
-		return pick.Choice{Verdict: pick.GiveUp}
+		return pick.Result{Verdict: pick.GiveUp}
 	}
 	return c.ask(left, c.tried, c.offered)
 }
 
-func (c *call) ask(left time.Duration, tried []string, offered bool) pick.Choice {
+func (c *call) ask(left time.Duration, tried []string, offered bool) pick.Result {
 	c.req.TimeLeft, c.req.Age, c.req.Resumed = left, time.Since(c.began), c.passing
 	return c.p.policy.Choose(&c.req, tried, offered)
 }
 
 // attempt sends the request to a server, and tells whether the request has come to its end.
-func (c *call) attempt(ch pick.Choice) bool {
+func (c *call) attempt(ch pick.Result) bool {
 	runsOnce.Check(!c.offered || c.route.Idempotent())
 	up := c.p.upstream
 	x := &exchange{ctx: c.r.Context(), up: up, pool: up.pool(ch.Server), id: c.id, deadline: c.deadline, sendBy: c.sendBy(ch),
@@ -131,7 +131,7 @@
 }
 
 // sendBy is when a request that was chosen to go out just now must have done so.
-func (c *call) sendBy(ch pick.Choice) time.Time {
+func (c *call) sendBy(ch pick.Result) time.Time {
 	if ch.SendWithin > 0 {
 		return earlier(c.deadline, time.Now().Add(ch.SendWithin))
 	}
@@ -199,7 +199,7 @@
 }
 
 // fail takes in that a send brought no answer, or none to its end.
-func (c *call) fail(ch pick.Choice, x *exchange, err error) bool {
+func (c *call) fail(ch pick.Result, x *exchange, err error) bool {
 	x.drop()
 	c.offered = true
 	switch {
@@ -221,10 +221,10 @@
 	return false
 }
 
-func (c *call) done(ch pick.Choice, o pick.Outcome) { c.p.policy.Done(ch.Ticket, o, 0) }
+func (c *call) done(ch pick.Result, o pick.Outcome) { c.p.policy.Done(ch.Ticket, o, 0) }
 
 // conclude answers a request that goes to no further server.
-func (c *call) conclude(ch pick.Choice) {
+func (c *call) conclude(ch pick.Result) {
 	n := &c.p.counters
 	switch {
 	case c.r.Context().Err() != nil:
@@ -275,7 +275,7 @@
 }
 
 // head appends the request as the server gets it, and tells what of the body follows in a write of its own.
-func (c *call) head(b []byte, ch pick.Choice) (head, rest []byte) {
+func (c *call) head(b []byte, ch pick.Result) (head, rest []byte) {
 	b = append(b, c.r.Method...)
 	b = append(b, ' ')
 	b = append(b, c.target...)
--- a/internal/system/proxy/handler.go
+++ b/internal/system/proxy/handler.go
@@ -61,7 +61,7 @@
 	_ = rc.SetReadDeadline(time.Time{}) // an end of the connection now means that the client is gone
 	c.body = b.bytes
 	in, out := tokenCount(r.Header.Get("X-Token-Count"))
-	c.req = pick.Request{Route: route, Model: r.Header.Get("X-Model"), TokensIn: in, TokensOut: out,
+	c.req = pick.Request{Route: route, Model: r.Header.Get("X-Model"), TokensIn: in, MaxTokensOut: out,
 		Prefix: promptParts(r.Header.Get("X-Prompt-Prefix")), TimeLeft: time.Until(c.deadline), Age: time.Since(came)}
 	p.policy.Arrive(&c.req)
 	c.run()
--- a/internal/system/proxy/helpers_test.go
+++ b/internal/system/proxy/helpers_test.go
@@ -40,11 +40,11 @@
 }
 
 func (t *toyPicker) UpdateClusterState(_ pick.Time, w pick.ClusterState) { t.world = w }
-func (t *toyPicker) SetLoads(pick.Time, map[string]pick.Load)            {}
+func (t *toyPicker) UpdatePeerLoads(pick.Time, map[string]pick.Load)            {}
 func (t *toyPicker) Loads() map[string]pick.Load                         { return nil }
 func (t *toyPicker) SetIdleTimeout(string, time.Duration)                {}
 func (t *toyPicker) PromptDemands() map[string]pick.Load                 { return nil }
-func (t *toyPicker) Arrive(pick.Time, *pick.Request)                     {}
+func (t *toyPicker) RecordRequest(pick.Time, *pick.Request)                     {}
 func (t *toyPicker) FirstEvent(pick.Time, uint64)                        { t.firsts++ }
 func (t *toyPicker) Started(pick.Time, uint64)                           {}
 func (t *toyPicker) WarmingUp(pick.Time, string, time.Duration)          {}
@@ -65,7 +65,7 @@
 	return nil
 }
 
-func (t *toyPicker) Choose(_ pick.Time, r *pick.Request, tried []string, offered bool) pick.Choice {
+func (t *toyPicker) Pick(_ pick.Time, r *pick.Request, tried []string, offered bool) pick.Result {
 	if r.Resumed {
 		t.resumed++
 	}
@@ -73,13 +73,13 @@
 		if !t.no && !slices.Contains(tried, s.ID) && !t.down[s.ID] {
 			t.ticket++
 			t.sent[t.ticket] = s.ID
-			return pick.Choice{Server: s, Ticket: t.ticket, Priority: r.Route.Priority, SendWithin: t.within}
+			return pick.Result{Server: s, Ticket: t.ticket, Priority: r.Route.Priority, SendWithin: t.within}
 		}
 	}
 	if offered {
-		return pick.Choice{Verdict: pick.GiveUp}
+		return pick.Result{Verdict: pick.GiveUp}
 	}
-	return pick.Choice{Verdict: pick.Refuse, RetryAfter: t.retry}
+	return pick.Result{Verdict: pick.Reject, RetryAfter: t.retry}
 }
 
 func (t *toyPicker) Done(_ pick.Time, ticket uint64, o pick.Outcome, _ time.Duration) {
--- a/internal/system/proxy/pick/choose.go
+++ b/internal/system/proxy/pick/choose.go
@@ -20,10 +20,10 @@
 	load       int     // requests that are believed there
 }
 
-// Choose decides where r goes now. tried holds the ids of the servers that this try was sent to, offered tells that one
+// Pick decides where r goes now. tried holds the ids of the servers that this try was sent to, offered tells that one
 // of these sends may have run. With Send it registers the send: Done has to follow, exactly once.
-func (p *Picker) Choose(now Time, r *Request, tried []string, offered bool) Choice {
-	c := Choice{Priority: min(max(r.Route.Priority, 0), 9)}
+func (p *Picker) Pick(now Time, r *Request, tried []string, offered bool) Result {
+	c := Result{Priority: min(max(r.Route.Priority, 0), 9)}
 	most := max(r.Route.MaxTries, 1)
 	switch {
 	case offered && !r.Route.Idempotent(),
@@ -64,7 +64,7 @@
 }
 
 // sendWithinBudget sends r to s, unless it would be a repeat that the budget of s's service does not hold.
-func (p *Picker) sendWithinBudget(now Time, c Choice, r *Request, s *server, at cost, prompt *prefixChain, tried []string) Choice {
+func (p *Picker) sendWithinBudget(now Time, c Result, r *Request, s *server, at cost, prompt *prefixChain, tried []string) Result {
 	if r.arrived > 0 && !s.group.budget.allows(now, p.settings.RetryRatio, p.retrySlack()) {
 		return c.withoutServer(r, tried, math.Inf(1))
 	}
@@ -81,13 +81,13 @@
 }
 
 // withoutServer is the verdict when r can't be sent: there may be room in wait milliseconds; infinite: not known.
-func (c Choice) withoutServer(r *Request, tried []string, wait float64) Choice {
+func (c Result) withoutServer(r *Request, tried []string, wait float64) Result {
 	c.RetryAfter = defaultRetryAfter
 	if !math.IsInf(wait, 1) {
 		c.RetryAfter = durationMS(wait)
 	}
 	c.RetryAfter = max(min(c.RetryAfter, r.TimeLeft/3), minRetryAfter)
-	c.Verdict = Refuse
+	c.Verdict = Reject
 	if len(tried) > 0 || r.arrived > 0 {
 		c.Verdict = GiveUp
 	}
--- a/internal/system/proxy/pick/coldend_test.go
+++ b/internal/system/proxy/pick/coldend_test.go
@@ -65,7 +65,7 @@
 			continue
 		}
 		w.request.TimeLeft = w.until - now
-		c := p.Choose(now, w.request, nil, false)
+		c := p.Pick(now, w.request, nil, false)
 		if c.Verdict != Send {
 			left = append(left, w)
 			continue
--- a/internal/system/proxy/pick/coldshare_test.go
+++ b/internal/system/proxy/pick/coldshare_test.go
@@ -43,7 +43,7 @@
 			each(now)
 		}
 		for _, p := range f.pickers {
-			c := p.Choose(now, &Request{Route: f.config.Routes[0], TimeLeft: time.Second}, nil, false)
+			c := p.Pick(now, &Request{Route: f.config.Routes[0], TimeLeft: time.Second}, nil, false)
 			if c.Verdict != Send {
 				continue
 			}
--- a/internal/system/proxy/pick/coldsplit_test.go
+++ b/internal/system/proxy/pick/coldsplit_test.go
@@ -295,7 +295,7 @@
 				if at[i] < 0 {
 					continue
 				}
-				c := p.Choose(now, &Request{Route: f.config.Routes[0], TimeLeft: time.Second}, nil, false)
+				c := p.Pick(now, &Request{Route: f.config.Routes[0], TimeLeft: time.Second}, nil, false)
 				if c.Verdict != Send {
 					continue
 				}
--- a/internal/system/proxy/pick/conformance_test.go
+++ b/internal/system/proxy/pick/conformance_test.go
@@ -74,7 +74,7 @@
 			}
 			loads[f[0]] = Load{Requests: n}
 		}
-		b.p.SetLoads(b.now, loads)
+		b.p.UpdatePeerLoads(b.now, loads)
 		return ""
 	case "told":
 		b.p.ServerLoad(b.now, arg("server", ""), number("running", 0), number("waiting", 0), number("slots", 0))
@@ -90,7 +90,7 @@
 		return ""
 	case "arrive":
 		for range number("n", 1) {
-			b.p.Arrive(b.now, &Request{Route: b.route(arg("path", "/"))})
+			b.p.RecordRequest(b.now, &Request{Route: b.route(arg("path", "/"))})
 		}
 		return ""
 	case "send": // n requests, held under names from name on; with answer they are ended at once
@@ -100,7 +100,7 @@
 			if r.Route == nil {
 				return "no route"
 			}
-			b.p.Arrive(b.now, r)
+			b.p.RecordRequest(b.now, r)
 			name := arg("name", "x")
 			if number("n", 1) > 1 {
 				name += strconv.Itoa(i)
@@ -128,13 +128,13 @@
 }
 
 func (b *table) choose(name string, offered bool) string {
-	c := b.p.Choose(b.now, b.request[name], b.tried[name], offered)
+	c := b.p.Pick(b.now, b.request[name], b.tried[name], offered)
 	switch c.Verdict {
 	case Send:
 		b.tickets[name] = c.Ticket
 		b.tried[name] = append(b.tried[name], c.Server.ID)
 		return c.Server.ID
-	case Refuse:
+	case Reject:
 		return fmt.Sprintf("refused(%v)", c.RetryAfter.Round(time.Millisecond))
 	}
 	return "exhausted"
--- a/internal/system/proxy/pick/days_test.go
+++ b/internal/system/proxy/pick/days_test.go
@@ -176,9 +176,9 @@
 	now := Time(0)
 	for i := 0; b.Loop(); i++ {
 		now += time.Millisecond
-		r := &Request{Route: f.cfg.Routes[1-i%2], TokensIn: 300 + 13000*(i%2), TokensOut: 50, Prefix: parts[i%64], TimeLeft: time.Second}
-		p.Arrive(now, r)
-		c := p.Choose(now, r, nil, false)
+		r := &Request{Route: f.cfg.Routes[1-i%2], TokensIn: 300 + 13000*(i%2), MaxTokensOut: 50, Prefix: parts[i%64], TimeLeft: time.Second}
+		p.RecordRequest(now, r)
+		c := p.Pick(now, r, nil, false)
 		p.FirstEvent(now, c.Ticket)
 		p.Done(now, c.Ticket, Served, 0)
 	}
--- a/internal/system/proxy/pick/flight.go
+++ b/internal/system/proxy/pick/flight.go
@@ -15,7 +15,7 @@
 )
 
 // send registers r's way to s and makes the verdict.
-func (p *Picker) send(now Time, c Choice, r *Request, s *server, at cost, prompt *prefixChain) Choice {
+func (p *Picker) send(now Time, c Result, r *Request, s *server, at cost, prompt *prefixChain) Result {
 	f := p.freeAttempts
 	if f == nil {
 		f = &attempt{}
@@ -50,7 +50,7 @@
 		kept := w.cachedTokens(s)
 		f.prefillTokens = int64(w.tokensIn - kept)
 		s.group.demand.add(now, p.isLongPrompt(w.tokensIn), f.prefillTokens)
-		f.memoryTokens = f.prefillTokens + int64(max(r.TokensOut, 0))
+		f.memoryTokens = f.prefillTokens + int64(max(r.MaxTokensOut, 0))
 		f.measuresRate = kept == 0 && s.ownLoad.Prefill == 0 && s.peerLoad.Prefill == 0 && f.prefillTokens >= 1000 && !s.warmingUp(now)
 		f.expectedAt = now + durationMS(at.firstEvent)
 		s.ownLoad.Prefill += f.prefillTokens
--- a/internal/system/proxy/pick/golden_trace_test.go
+++ b/internal/system/proxy/pick/golden_trace_test.go
@@ -67,10 +67,10 @@
 }
 
 // verdictTags name verdicts in the trace.
-var verdictTags = map[Verdict]byte{Send: 'S', Refuse: 'R', GiveUp: 'X'}
+var verdictTags = map[Verdict]byte{Send: 'S', Reject: 'R', GiveUp: 'X'}
 
 // choice takes in a choice of a picker, what the send registered and what the picker has spent.
-func (tr *trace) choice(now Time, p *Picker, r *Request, tried int, offered bool, c Choice) {
+func (tr *trace) choice(now Time, p *Picker, r *Request, tried int, offered bool, c Result) {
 	tr.step(verdictTags[c.Verdict])
 	tr.num(int64(now), int64(r.arrived), int64(tried), int64(r.TimeLeft))
 	tr.flag(offered)
@@ -117,7 +117,7 @@
 	return func(tr *trace, seed uint64) {
 		sc.seed = seed
 		f := newFleet(sc)
-		f.chosen = func(i int, r *Request, tried int, offered bool, c Choice) {
+		f.chosen = func(i int, r *Request, tried int, offered bool, c Result) {
 			tr.num(int64(i))
 			tr.choice(f.now, f.pickers[i], r, tried, offered, c)
 		}
@@ -309,25 +309,25 @@
 	for i := range 12 {
 		others[fmt.Sprint("s", i)] = Load{Requests: d.rng.IntN(9), Prefill: int64(d.rng.IntN(5000)), Tokens: int64(d.rng.IntN(9000))}
 	}
-	d.p.SetLoads(d.now, others)
+	d.p.UpdatePeerLoads(d.now, others)
 	told := d.p.Loads()
 	maps.Copy(told, d.p.PromptDemands())
 	d.tr.loads(d.now, told)
 }
 
 func (d *driver) ask() {
-	r := &Request{Route: d.cfg.Routes[d.rng.IntN(3)], TokensOut: d.rng.IntN(300), TimeLeft: time.Duration(100+d.rng.IntN(4000)) * time.Millisecond}
+	r := &Request{Route: d.cfg.Routes[d.rng.IntN(3)], MaxTokensOut: d.rng.IntN(300), TimeLeft: time.Duration(100+d.rng.IntN(4000)) * time.Millisecond}
 	for _, part := range []PrefixPart{{uint64(1 + d.rng.IntN(3)), 1500}, {uint64(10 + d.rng.IntN(20)), 400}, {d.rng.Uint64(), 1 + d.rng.IntN(900)}} {
 		r.Prefix = append(r.Prefix, part)
 		r.TokensIn += part.Tokens
 	}
-	d.p.Arrive(d.now, r)
+	d.p.RecordRequest(d.now, r)
 	d.choose(&drivenRequest{r: r})
 }
 
 // choose asks for a server, and keeps the request where it got one.
 func (d *driver) choose(o *drivenRequest) {
-	c := d.p.Choose(d.now, o.r, o.tried, o.offered)
+	c := d.p.Pick(d.now, o.r, o.tried, o.offered)
 	d.tr.choice(d.now, d.p, o.r, len(o.tried), o.offered, c)
 	if c.Verdict == Send {
 		o.ticket, o.tried = c.Ticket, append(o.tried, c.Server.ID)
--- a/internal/system/proxy/pick/home_test.go
+++ b/internal/system/proxy/pick/home_test.go
@@ -30,7 +30,7 @@
 		t.Helper()
 		now += 300 * time.Millisecond
 		r.TimeLeft = 5 * time.Second
-		c := p.Choose(now, r, nil, false)
+		c := p.Pick(now, r, nil, false)
 		if c.Verdict != Send {
 			t.Fatalf("verdict %d", c.Verdict)
 		}
@@ -41,10 +41,10 @@
 	homes := map[string]bool{}
 	for subject := range uint64(20) {
 		for _, x := range []*Picker{p, q, far} { // without short prompts there would be no lanes
-			send(x, &Request{Route: short, TokensIn: 300, TokensOut: 50})
+			send(x, &Request{Route: short, TokensIn: 300, MaxTokensOut: 50})
 		}
 		ask := func(p *Picker, own uint64) *server {
-			return send(p, &Request{Route: long, TokensIn: 16000, TokensOut: 100, Prefix: []PrefixPart{{subject, 13000}, {own, 3000}}})
+			return send(p, &Request{Route: long, TokensIn: 16000, MaxTokensOut: 100, Prefix: []PrefixPart{{subject, 13000}, {own, 3000}}})
 		}
 		a, b, c, d := ask(p, 1000+subject), ask(p, 2000+subject), ask(q, 3000+subject), ask(far, 4000+subject)
 		if a != b || a.ID != c.ID || a.ID != d.ID {
@@ -59,7 +59,7 @@
 		t.Fatal("all subjects share one server")
 	}
 	for i := range 20 {
-		s := send(p, &Request{Route: short, TokensIn: 300, TokensOut: 50, Prefix: []PrefixPart{{7, 50}, {uint64(5000 + i), 250}}})
+		s := send(p, &Request{Route: short, TokensIn: 300, MaxTokensOut: 50, Prefix: []PrefixPart{{7, 50}, {uint64(5000 + i), 250}}})
 		if apart && s.Region != "cluj" || !apart && s.inPromptPool {
 			t.Fatalf("a short prompt went to %s: a lane, or no home", s.ID)
 		}
--- a/internal/system/proxy/pick/invariants_test.go
+++ b/internal/system/proxy/pick/invariants_test.go
@@ -46,7 +46,7 @@
 	invarianttest.Expect(t, eligibilityInvariant, func() {
 		p.state.Evacuated = map[string]bool{"z": true}
 		r := &Request{Route: f.config.Routes[0], TimeLeft: time.Second}
-		p.Done(0, p.send(0, Choice{}, r, p.servers["s0"], cost{}, &prefixChain{}).Ticket, Served, 0)
+		p.Done(0, p.send(0, Result{}, r, p.servers["s0"], cost{}, &prefixChain{}).Ticket, Served, 0)
 	})
 }
 
--- a/internal/system/proxy/pick/kept_test.go
+++ b/internal/system/proxy/pick/kept_test.go
@@ -16,7 +16,7 @@
 	p := laneWorld(6)
 	send := func(now Time, outcome Outcome) string {
 		t.Helper()
-		c := p.Choose(now, &Request{Route: route, TokensIn: 100, TokensOut: 20, TimeLeft: 8 * time.Second}, nil, false)
+		c := p.Pick(now, &Request{Route: route, TokensIn: 100, MaxTokensOut: 20, TimeLeft: 8 * time.Second}, nil, false)
 		if c.Verdict != Send {
 			t.Fatalf("verdict %d", c.Verdict)
 		}
--- a/internal/system/proxy/pick/lane_test.go
+++ b/internal/system/proxy/pick/lane_test.go
@@ -30,7 +30,7 @@
 
 // read has p told at now that the other proxies had so many tokens read of late.
 func read(p *Picker, now Time, long, short int64) {
-	p.SetLoads(now, map[string]Load{demandKey("lm"): {Prefill: long, Tokens: short}})
+	p.UpdatePeerLoads(now, map[string]Load{demandKey("lm"): {Prefill: long, Tokens: short}})
 }
 
 // TestLaneFollowsTheWork has the share of the work that long prompts bring change: the lane follows, by bounded steps with
@@ -93,8 +93,8 @@
 		q.groups["lm"].demand.add(now, false, 30_000)
 		of := func(x *Picker) map[string]Load { x.groups["lm"].demand.decay(now); return x.PromptDemands() }
 		ofP, ofQ := of(p), of(q)
-		p.SetLoads(now, ofQ)
-		q.SetLoads(now, ofP)
+		p.UpdatePeerLoads(now, ofQ)
+		q.UpdatePeerLoads(now, ofP)
 		for id, s := range p.servers {
 			if s.inPromptPool != q.servers[id].inPromptPool {
 				t.Fatalf("after %v %s is in one proxy's lane alone", now, id)
--- a/internal/system/proxy/pick/picker.go
+++ b/internal/system/proxy/pick/picker.go
@@ -214,8 +214,8 @@
 	return g
 }
 
-// SetLoads replaces what all other proxies together have outstanding, by server id, and their demands by key.
-func (p *Picker) SetLoads(now Time, loads map[string]Load) {
+// UpdatePeerLoads replaces what all other proxies together have outstanding, by server id, and their demands by key.
+func (p *Picker) UpdatePeerLoads(now Time, loads map[string]Load) {
 	p.peerLoadsAt = now
 	for id, s := range p.servers {
 		s.peerLoad = loads[id]
@@ -264,8 +264,8 @@
 	return p.state.Config.Match(host, path)
 }
 
-// Arrive counts a client's request for its services' budget of repeats. Call it once for each request that was read.
-func (p *Picker) Arrive(now Time, r *Request) {
+// RecordRequest counts a client's request for its services' budget of repeats. Call it once for each request that was read.
+func (p *Picker) RecordRequest(now Time, r *Request) {
 	total := 0.0
 	for _, s := range r.Route.Shares {
 		total += s.Weight
--- a/internal/system/proxy/pick/property_test.go
+++ b/internal/system/proxy/pick/property_test.go
@@ -65,7 +65,7 @@
 				for _, s := range w.Servers {
 					loads[s.ID] = Load{Requests: rapid.IntRange(0, 20).Draw(t, "requests"), Prefill: int64(rapid.IntRange(0, 20000).Draw(t, "prefill"))}
 				}
-				p.SetLoads(now, loads)
+				p.UpdatePeerLoads(now, loads)
 			case act == 2 && len(w.Servers) > 0:
 				id := rapid.SampledFrom(w.Servers).Draw(t, "server").ID
 				p.WarmingUp(now, id, time.Duration(rapid.IntRange(-1, 3).Draw(t, "left"))*time.Second)
@@ -79,23 +79,23 @@
 					}
 				} else {
 					r := &Request{Route: rapid.SampledFrom(w.Config.Routes).Draw(t, "route"), TimeLeft: time.Duration(rapid.IntRange(-1, 8000).Draw(t, "left")) * time.Millisecond,
-						TokensOut: rapid.IntRange(-1, 300).Draw(t, "out")}
+						MaxTokensOut: rapid.IntRange(-1, 300).Draw(t, "out")}
 					for range rapid.IntRange(0, 20).Draw(t, "parts") {
 						part := PrefixPart{ID: uint64(rapid.IntRange(0, 9).Draw(t, "part")), Tokens: rapid.IntRange(-1, 5000).Draw(t, "tokens")}
 						r.Prefix = append(r.Prefix, part)
 						r.TokensIn += max(part.Tokens, 0)
 					}
-					p.Arrive(now, r)
+					p.RecordRequest(now, r)
 					o = &open{r: r}
 					opens = append(opens, o)
 				}
-				c := p.Choose(now, o.r, o.tried, o.offered)
+				c := p.Pick(now, o.r, o.tried, o.offered)
 				switch {
 				case c.Verdict != Send:
-					if c.Verdict == Refuse && len(o.tried) > 0 {
+					if c.Verdict == Reject && len(o.tried) > 0 {
 						t.Fatal("refused after a send")
 					}
-					if c.Verdict == Refuse && c.RetryAfter <= 0 {
+					if c.Verdict == Reject && c.RetryAfter <= 0 {
 						t.Fatal("a refusal that does not tell when to come back")
 					}
 					continue
@@ -233,7 +233,7 @@
 					p.UpdateClusterState(now, ClusterState{Config: cfg, Self: name(i), Peers: second, Servers: []Server{{ID: "s", Service: "a", Zone: "z", Slots: 1000, WarmUpMax: time.Minute - now}}})
 				}
 				r := &Request{Route: route, TimeLeft: time.Second}
-				if c := p.Choose(now, r, nil, false); c.Verdict == Send {
+				if c := p.Pick(now, r, nil, false); c.Verdict == Send {
 					sent = append(sent, now)
 					p.Done(now, c.Ticket, Served, 0)
 				}
@@ -281,11 +281,11 @@
 			for _, p := range pickers {
 				for range rates[int(now/time.Second)] {
 					r := &Request{Route: route, TimeLeft: time.Minute}
-					p.Arrive(now, r)
+					p.RecordRequest(now, r)
 					requests[i]++
 					var tried []string
 					for {
-						c := p.Choose(now, r, tried, false)
+						c := p.Pick(now, r, tried, false)
 						if c.Verdict != Send {
 							break
 						}
--- a/internal/system/proxy/pick/reached_test.go
+++ b/internal/system/proxy/pick/reached_test.go
@@ -17,7 +17,7 @@
 		w := f.world(i, 1, 0)
 		w.Stale = true
 		p.UpdateClusterState(cut, w)
-		c := p.Choose(cut, &Request{Route: f.config.Routes[0], TimeLeft: time.Second}, nil, false)
+		c := p.Pick(cut, &Request{Route: f.config.Routes[0], TimeLeft: time.Second}, nil, false)
 		p.Done(cut, c.Ticket, ConnectFailed, 0)
 	}
 	f.press(healed, told, 5*time.Millisecond, nil)
@@ -45,7 +45,7 @@
 	f := newColdFleet(12)
 	p := f.pickers[0]
 	p.UpdateClusterState(0, f.world(0, 1, 0))
-	c := p.Choose(0, &Request{Route: f.config.Routes[0], TimeLeft: time.Second}, nil, false)
+	c := p.Pick(0, &Request{Route: f.config.Routes[0], TimeLeft: time.Second}, nil, false)
 	p.Done(0, c.Ticket, ConnectFailed, 0)
 	f.pickers = f.pickers[:1]
 	f.press(10*time.Second, 11*time.Second, 10*time.Millisecond, nil)
--- a/internal/system/proxy/pick/sim_test.go
+++ b/internal/system/proxy/pick/sim_test.go
@@ -34,7 +34,7 @@
 	idle       map[[2]string][]Time // when each idle connection of a proxy to a server was last used
 	ownID      uint64
 	unexecuted int
-	chosen     func(picker int, r *Request, tried int, offered bool, c Choice) // told of every choice; nil: nobody
+	chosen     func(picker int, r *Request, tried int, offered bool, c Result) // told of every choice; nil: nobody
 	tells      func(picker int, loads map[string]Load)                         // told of what a picker shares; nil: nobody
 	windows    [12]struct{ worth, owed float64 }                               // of 3 s each
 }
@@ -133,7 +133,7 @@
 		for id, l := range each[i] {
 			add(others, id, l, -1)
 		}
-		f.after(f.crossRegion, func() { p.SetLoads(f.now, others) })
+		f.after(f.crossRegion, func() { p.UpdatePeerLoads(f.now, others) })
 	}
 	f.after(f.share, f.tellLoads)
 }
@@ -211,7 +211,7 @@
 		r.TokensIn += x.Tokens
 	}
 	events := max(drawn(rng, k.out[0], k.out[1], k.out[2]), 1)
-	r.TokensOut = int(events * float64(f.spec.stride))
+	r.MaxTokensOut = int(events * float64(f.spec.stride))
 	t := f.tallies[k.name]
 	t.asked++
 	t.owed += k.worth
@@ -230,7 +230,7 @@
 	f.after(time.Millisecond, func() {
 		again := *r
 		again.arrived = 0
-		f.pickers[i].Arrive(f.now, &again)
+		f.pickers[i].RecordRequest(f.now, &again)
 		f.place(i, zone, k, &again, since, retries, nil, false)
 	})
 }
@@ -252,7 +252,7 @@
 func (f *fleet) place(i int, zone string, k *kind, r *Request, since Time, retries int, tried []string, offered bool) {
 	p, t := f.pickers[i], f.tallies[k.name]
 	r.TimeLeft = k.deadline - (f.now - since)
-	c := p.Choose(f.now, r, tried, offered)
+	c := p.Pick(f.now, r, tried, offered)
 	if f.chosen != nil {
 		f.chosen(i, r, len(tried), offered, c)
 	}
@@ -265,7 +265,7 @@
 		return
 	}
 	way := 100 * time.Microsecond
-	bytes := float64(r.TokensIn)*k.bytesEach + float64(r.TokensOut)/float64(f.spec.stride)*k.bytes + 300
+	bytes := float64(r.TokensIn)*k.bytesEach + float64(r.MaxTokensOut)/float64(f.spec.stride)*k.bytes + 300
 	if k.plain {
 		bytes = 1700
 	}
@@ -318,7 +318,7 @@
 			return
 		}
 		var first time.Duration
-		j := &job{chain: newPrefixChain(r), in: r.TokensIn, out: r.TokensOut, priority: c.Priority, deadline: since + k.deadline}
+		j := &job{chain: newPrefixChain(r), in: r.TokensIn, out: r.MaxTokensOut, priority: c.Priority, deadline: since + k.deadline}
 		j.lost = func(o Outcome) {
 			p.Done(f.now, c.Ticket, o, 0)
 			if k.resume {
--- a/internal/system/proxy/pick/stale_test.go
+++ b/internal/system/proxy/pick/stale_test.go
@@ -14,8 +14,8 @@
 		w := f.world(0, 2, 0)
 		w.Stale = true
 		p.UpdateClusterState(0, w)
-		ask := func(now Time) Choice {
-			return p.Choose(now, &Request{Route: f.config.Routes[0], TimeLeft: time.Second}, nil, false)
+		ask := func(now Time) Result {
+			return p.Pick(now, &Request{Route: f.config.Routes[0], TimeLeft: time.Second}, nil, false)
 		}
 		for range 2 {
 			c := ask(0)
--- a/internal/system/proxy/pick/types.go
+++ b/internal/system/proxy/pick/types.go
@@ -63,14 +63,14 @@
 
 // Request is a client's request.
 type Request struct {
-	Route     *config.Route
-	Model     string
-	TokensIn  int
-	TokensOut int // the most
-	Prefix    []PrefixPart
-	TimeLeft  time.Duration // of the client's time and the route's timeout, whichever is shorter
-	Age       time.Duration // since the head was read here
-	Resumed   bool          // continues a stream after Last-Event-Id
+	Route        *config.Route
+	Model        string
+	TokensIn     int
+	MaxTokensOut int // the most
+	Prefix       []PrefixPart
+	TimeLeft     time.Duration // of the client's time and the route's timeout, whichever is shorter
+	Age          time.Duration // since the head was read here
+	Resumed      bool          // continues a stream after Last-Event-Id
 
 	arrived int // sends that reached a server, or are under way to one
 }
@@ -96,12 +96,12 @@
 // The verdicts.
 const (
 	Send   Verdict = iota // to Choice.Server
-	Refuse                // answer 503 with Retry-After: nothing can serve it in time (only where it has not run)
+	Reject                // answer 503 with Retry-After: nothing can serve it in time (only where it has not run)
 	GiveUp                // no further send is allowed (tries, budget, no other server): answer with what there is
 )
 
-// Choice is a verdict with what it needs.
-type Choice struct {
+// Result is a verdict with what it needs.
+type Result struct {
 	Verdict    Verdict
 	Server     Server
 	Ticket     uint64        // names this send in Started, FirstEvent and Done
--- a/internal/system/proxy/pick/weigh.go
+++ b/internal/system/proxy/pick/weigh.go
@@ -53,7 +53,7 @@
 	}
 	w.hasEngine, w.prefillRate, w.prompt, w.cacheTokens, w.tolerance = true, p.prefillRate.tokensPerMS, prompt, e.CacheTokens, engineTolerance
 	w.stepMS = ms(p.settings.StepTime)
-	w.tokensIn, w.maxTokensOut = max(r.TokensIn, 0), max(r.TokensOut, 0)
+	w.tokensIn, w.maxTokensOut = max(r.TokensIn, 0), max(r.MaxTokensOut, 0)
 	for i := range prompt.n {
 		w.holders[i] = p.prefixes.byKey[prompt.keys[i]]
 		if len(w.holders[i]) == 0 {
--- a/internal/system/proxy/policy.go
+++ b/internal/system/proxy/policy.go
@@ -12,12 +12,12 @@
 // picker is what the data plane asks of package pick. It is not safe for concurrent use.
 type picker interface {
 	UpdateClusterState(now pick.Time, w pick.ClusterState)
-	SetLoads(now pick.Time, loads map[string]pick.Load)
+	UpdatePeerLoads(now pick.Time, loads map[string]pick.Load)
 	Loads() map[string]pick.Load
 	PromptDemands() map[string]pick.Load
 	Route(host, path string) *config.Route
-	Arrive(now pick.Time, r *pick.Request)
-	Choose(now pick.Time, r *pick.Request, tried []string, offered bool) pick.Choice
+	RecordRequest(now pick.Time, r *pick.Request)
+	Pick(now pick.Time, r *pick.Request, tried []string, offered bool) pick.Result
 	ServerLoad(now pick.Time, id string, running, waiting, slots int)
 	Started(now pick.Time, ticket uint64)
 	FirstEvent(now pick.Time, ticket uint64)
@@ -74,7 +74,7 @@
 }
 
 func (p *policy) SetLoads(loads map[string]pick.Load) {
-	p.with(func(i picker, now pick.Time) { i.SetLoads(now, loads) })
+	p.with(func(i picker, now pick.Time) { i.UpdatePeerLoads(now, loads) })
 }
 
 // Loads is what this proxy tells the others: what it has outstanding at servers, and its demands.
@@ -107,11 +107,11 @@
 }
 
 func (p *policy) Arrive(r *pick.Request) {
-	p.with(func(i picker, now pick.Time) { i.Arrive(now, r) })
+	p.with(func(i picker, now pick.Time) { i.RecordRequest(now, r) })
 }
 
-func (p *policy) Choose(r *pick.Request, tried []string, offered bool) (c pick.Choice) {
-	p.with(func(i picker, now pick.Time) { c = i.Choose(now, r, tried, offered) })
+func (p *policy) Choose(r *pick.Request, tried []string, offered bool) (c pick.Result) {
+	p.with(func(i picker, now pick.Time) { c = i.Pick(now, r, tried, offered) })
 	return c
 }
 
--- a/internal/system/proxy/relay.go
+++ b/internal/system/proxy/relay.go
@@ -28,7 +28,7 @@
 }
 
 // take passes on a proper answer, or goes by what it says. It tells whether the request has come to its end.
-func (c *call) take(ch pick.Choice, x *exchange, resp *http.Response) bool {
+func (c *call) take(ch pick.Result, x *exchange, resp *http.Response) bool {
 	status := resp.StatusCode
 	_, refused := resp.Header[notExecuted]
 	switch {
@@ -73,7 +73,7 @@
 }
 
 // takeRefusal takes in that the server did not run the request.
-func (c *call) takeRefusal(ch pick.Choice, x *exchange, resp *http.Response) bool {
+func (c *call) takeRefusal(ch pick.Result, x *exchange, resp *http.Response) bool {
 	outcome, after := pick.NotExecuted, retryAfter(resp.Header.Get("Retry-After"))
 	_, whole, err := c.hold(resp)
 	switch {
@@ -133,7 +133,7 @@
 }
 
 // flow passes on an answer that is too long to be held.
-func (c *call) flow(ch pick.Choice, x *exchange, resp *http.Response, a *answer) bool {
+func (c *call) flow(ch pick.Result, x *exchange, resp *http.Response, a *answer) bool {
 	x.patience = 0
 	c.passHead(a.status, a.header, resp.ContentLength)
 	err := c.write(a.body)
@@ -157,7 +157,7 @@
 }
 
 // stream passes on events as they come. An answer that is cut may be taken up at another server.
-func (c *call) stream(ch pick.Choice, x *exchange, resp *http.Response) bool {
+func (c *call) stream(ch pick.Result, x *exchange, resp *http.Response) bool {
 	buf, give := bodyBuffer(eventRoom)
 	defer give()
 	ev := &events{from: resp.Body, buf: buf}
@@ -203,7 +203,7 @@
 }
 
 // broke ends an answer that was cut while it was passed on and cannot go on.
-func (c *call) broke(ch pick.Choice, x *exchange, err error) bool {
+func (c *call) broke(ch pick.Result, x *exchange, err error) bool {
 	if !errors.Is(err, errGone) {
 		c.fail(ch, x, err)
 		c.p.counters.Truncated.Add(1)
