--- a/internal/system/proxy/pick/flight.go
+++ b/internal/system/proxy/pick/flight.go
@@ -97,9 +97,6 @@
 	f.prev, f.next = nil, nil
 }
 
-// Connected tells that the ticket's request was written whole to a connection of its server.
-func (p *Picker) Connected(now Time, ticket uint64) {}
-
 // Started tells that the head of an answer has come: the server lives.
 func (p *Picker) Started(now Time, ticket uint64) {
 	if f := p.attempts[ticket]; f != nil {
