--- a/internal/system/proxy/pick/choose.go
+++ b/internal/system/proxy/pick/choose.go
@@ -4,6 +4,8 @@
 	"math"
 	"slices"
 	"time"
+
+	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
 )
 
 const (
@@ -35,7 +37,7 @@
 	o := p.rotationOf(r.Route)
 	due := o.next()
 	prompt := &p.prompt
-	*prompt = newPrefixChain(r)
+	*prompt = prefixcache.NewChain(r.Prefix)
 	wait := math.Inf(1)
 	// The due group; then the next ones with a weight; those of weight 0 only where all these are empty. A group that
 	// is full is not empty: shares follow the weights, not the load.
@@ -64,7 +66,7 @@
 }
 
 // sendWithinBudget sends r to s, unless it would be a repeat that the budget of s's service does not hold.
-func (p *Picker) sendWithinBudget(now Time, c Result, r *Request, s *server, at cost, prompt *prefixChain, tried []string) Result {
+func (p *Picker) sendWithinBudget(now Time, c Result, r *Request, s *server, at cost, prompt *prefixcache.Chain, tried []string) Result {
 	if r.arrived > 0 && !s.group.budget.allows(now, p.settings.RetryRatio, p.retrySlack()) {
 		return c.withoutServer(r, tried, math.Inf(1))
 	}
@@ -144,7 +146,7 @@
 
 // pickInGroup finds the group's server for r: in the order of the rotation, the first of those that cost about the least,
 // where a due server with more of this proxy's requests in flight yields to the next.
-func (p *Picker) pickInGroup(now Time, r *Request, g *group, prompt *prefixChain, tried []string) groupResult {
+func (p *Picker) pickInGroup(now Time, r *Request, g *group, prompt *prefixcache.Chain, tried []string) groupResult {
 	n := len(g.servers)
 	if cap(p.costs) < n {
 		p.costs = make([]cost, n+n/2)
@@ -209,7 +211,7 @@
 
 // pickProbe finds a doubted server where no other can be had: the one whose time is over first. It gets one trial at
 // a time, as long as none of a request's tries went to one.
-func (p *Picker) pickProbe(now Time, r *Request, o *shareRotation, due int, prompt *prefixChain, tried []string) (best *server, at cost) {
+func (p *Picker) pickProbe(now Time, r *Request, o *shareRotation, due int, prompt *prefixcache.Chain, tried []string) (best *server, at cost) {
 	for i := range o.shares {
 		g := p.groups[o.shares[(due+i)%len(o.shares)].Service]
 		if g == nil || g.service == nil {
--- a/internal/system/proxy/pick/cold.go
+++ b/internal/system/proxy/pick/cold.go
@@ -5,9 +5,8 @@
 	"slices"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"gradeusher.example/gradeusher/internal/system/config"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick/rendezvous"
 )
 
 // Cold servers. Their bound counts the requests of all proxies together within any second. Every holder paces its sends
@@ -83,13 +82,13 @@
 		return true
 	}
 	n, _ := p.warmUpSenders(rate)
-	mine := rendezvousWeight(s.hash, p.state.Self)
+	mine := rendezvous.Weight(s.hash, rendezvous.Hash(p.state.Self))
 	better := 0
 	for _, peer := range p.state.Peers {
 		if peer == p.state.Self {
 			continue
 		}
-		if h := mix64(s.hash ^ xxhash.Sum64String(peer)); h > mine || h == mine && peer < p.state.Self {
+		if h := rendezvous.Weight(s.hash, rendezvous.Hash(peer)); h > mine || h == mine && peer < p.state.Self {
 			if better++; better >= n {
 				return false
 			}
--- a/internal/system/proxy/pick/days_test.go
+++ b/internal/system/proxy/pick/days_test.go
@@ -170,7 +170,7 @@
 	p := f.pickers[0]
 	var parts [64][]PrefixPart
 	for i := range parts {
-		parts[i] = []PrefixPart{{uint64(i % 2), 13000 * (i % 2)}, {uint64(100 + i), 300}}
+		parts[i] = []PrefixPart{{ID: uint64(i % 2), Tokens: 13000 * (i % 2)}, {ID: uint64(100 + i), Tokens: 300}}
 	}
 	b.ReportAllocs()
 	now := Time(0)
--- a/internal/system/proxy/pick/flight.go
+++ b/internal/system/proxy/pick/flight.go
@@ -1,11 +1,16 @@
 package pick
 
-import "time"
+import (
+	"time"
+
+	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
+)
 
 const (
-	minFullTime    = 200 * time.Millisecond // a server that said it is full is spared this long
-	maxFullTime    = 500 * time.Millisecond
-	newSenderDelay = time.Second // a new holder of a cold server waits until others send as its holders, too
+	indexedMemoryShare = 0.7                    // of a server's memory that is estimated to cache parts
+	minFullTime        = 200 * time.Millisecond // a server that said it is full is spared this long
+	maxFullTime        = 500 * time.Millisecond
+	newSenderDelay     = time.Second // a new holder of a cold server waits until others send as its holders, too
 	// successorDelay is longer than a proxy that others have given up goes on as a holder: it is Stale 1.6 s after a keeper's
 	// last word (distribution.FreshnessTTL).
 	successorDelay             = 1800 * time.Millisecond
@@ -15,7 +20,7 @@
 )
 
 // send registers r's way to s and makes the verdict.
-func (p *Picker) send(now Time, c Result, r *Request, s *server, at cost, prompt *prefixChain) Result {
+func (p *Picker) send(now Time, c Result, r *Request, s *server, at cost, prompt *prefixcache.Chain) Result {
 	f := p.freeAttempts
 	if f == nil {
 		f = &attempt{}
@@ -43,10 +48,8 @@
 	s.idle.take(now, s.group.idleTimeout)
 	if e := s.group.service.Engine; e != nil {
 		w := &p.costModel
-		*w = costModel{prompt: prompt, tokensIn: max(r.TokensIn, 0)}
-		for i := range prompt.n {
-			w.holders[i] = p.prefixes.byKey[prompt.keys[i]]
-		}
+		*w = costModel{tokensIn: max(r.TokensIn, 0)}
+		p.prefixes.Find(prompt, &w.cached)
 		kept := w.cachedTokens(s)
 		f.prefillTokens = int64(w.tokensIn - kept)
 		s.group.demand.add(now, p.isLongPrompt(w.tokensIn), f.prefillTokens)
@@ -55,7 +58,7 @@
 		f.expectedAt = now + durationMS(at.firstEvent)
 		s.ownLoad.Prefill += f.prefillTokens
 		s.ownLoad.Tokens += f.memoryTokens
-		p.prefixes.record(s, prompt, int64(indexedMemoryShare*float64(e.CacheTokens)))
+		p.prefixes.Record(&s.prefixes, prompt, int64(indexedMemoryShare*float64(e.CacheTokens)))
 	} else {
 		f.expectedAt = now + durationMS(at.firstEvent+plainOverdueFactor*s.group.serviceTimeMS)
 	}
@@ -185,7 +188,7 @@
 		s.fullUntil = now + min(max(retryAfter, minFullTime), maxFullTime)
 	case Misdirected:
 		s.misdirected, s.misdirectedAt = true, now
-		p.prefixes.removeServer(s)
+		p.prefixes.RemoveServer(&s.prefixes)
 	case ConnectFailed:
 		s.idle = idleConns{}
 		s.recordFailure(now)
--- a/internal/system/proxy/pick/golden_trace_test.go
+++ b/internal/system/proxy/pick/golden_trace_test.go
@@ -317,7 +317,7 @@
 
 func (d *driver) ask() {
 	r := &Request{Route: d.cfg.Routes[d.rng.IntN(3)], MaxTokensOut: d.rng.IntN(300), TimeLeft: time.Duration(100+d.rng.IntN(4000)) * time.Millisecond}
-	for _, part := range []PrefixPart{{uint64(1 + d.rng.IntN(3)), 1500}, {uint64(10 + d.rng.IntN(20)), 400}, {d.rng.Uint64(), 1 + d.rng.IntN(900)}} {
+	for _, part := range []PrefixPart{{ID: uint64(1 + d.rng.IntN(3)), Tokens: 1500}, {ID: uint64(10 + d.rng.IntN(20)), Tokens: 400}, {ID: d.rng.Uint64(), Tokens: 1 + d.rng.IntN(900)}} {
 		r.Prefix = append(r.Prefix, part)
 		r.TokensIn += part.Tokens
 	}
--- a/internal/system/proxy/pick/home_test.go
+++ b/internal/system/proxy/pick/home_test.go
@@ -1,7 +1,6 @@
 package pick
 
 import (
-	"fmt"
 	"slices"
 	"testing"
 	"time"
@@ -44,7 +43,7 @@
 			send(x, &Request{Route: short, TokensIn: 300, MaxTokensOut: 50})
 		}
 		ask := func(p *Picker, own uint64) *server {
-			return send(p, &Request{Route: long, TokensIn: 16000, MaxTokensOut: 100, Prefix: []PrefixPart{{subject, 13000}, {own, 3000}}})
+			return send(p, &Request{Route: long, TokensIn: 16000, MaxTokensOut: 100, Prefix: []PrefixPart{{ID: subject, Tokens: 13000}, {ID: own, Tokens: 3000}}})
 		}
 		a, b, c, d := ask(p, 1000+subject), ask(p, 2000+subject), ask(q, 3000+subject), ask(far, 4000+subject)
 		if a != b || a.ID != c.ID || a.ID != d.ID {
@@ -59,33 +58,9 @@
 		t.Fatal("all subjects share one server")
 	}
 	for i := range 20 {
-		s := send(p, &Request{Route: short, TokensIn: 300, MaxTokensOut: 50, Prefix: []PrefixPart{{7, 50}, {uint64(5000 + i), 250}}})
+		s := send(p, &Request{Route: short, TokensIn: 300, MaxTokensOut: 50, Prefix: []PrefixPart{{ID: 7, Tokens: 50}, {ID: uint64(5000 + i), Tokens: 250}}})
 		if apart && s.Region != "cluj" || !apart && s.inPromptPool {
 			t.Fatalf("a short prompt went to %s: a lane, or no home", s.ID)
 		}
 	}
 }
-
-// TestBeliefsBounded fills a server's beliefs: the longest unused give way, and the whole stays in its bound.
-func TestBeliefsBounded(t *testing.T) {
-	b := newPrefixIndex()
-	s, other := &server{}, &server{}
-	for i := range uint64(2 * maxPrefixEntries) {
-		c := newPrefixChain(&Request{Prefix: []PrefixPart{{i, 300}, {1 << 40, 300}}})
-		b.record(s, &c, 1<<40)
-		if b.count > maxPrefixEntries {
-			t.Fatalf("%d beliefs", b.count)
-		}
-	}
-	c := newPrefixChain(&Request{Prefix: []PrefixPart{{1 << 50, 400}, {1 << 51, 10}}})
-	b.record(other, &c, 1<<40)
-	b.record(s, &c, 1000)
-	if s.indexedTokens > 1000 || len(b.byKey[c.keys[0]]) != 2 {
-		t.Fatalf("%d tokens, %d servers", s.indexedTokens, len(b.byKey[c.keys[0]]))
-	}
-	b.removeServer(s)
-	b.removeServer(other)
-	if b.count != 0 || len(b.byKey) != 0 || s.indexedTokens != 0 {
-		t.Fatal(fmt.Sprint("left: ", b.count, len(b.byKey), s.indexedTokens))
-	}
-}
--- a/internal/system/proxy/pick/picker.go
+++ b/internal/system/proxy/pick/picker.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"gradeusher.example/gradeusher/internal/system/config"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick/rendezvous"
 )
 
 // Settings are what a Picker is made with. They never change in its life.
@@ -41,8 +41,8 @@
 	attempts       map[uint64]*attempt
 	freeAttempts   *attempt // sends to be used again
 	lastTicket     uint64
-	costs          []cost      // scratch, one for each server of the group that is looked at
-	prompt         prefixChain // scratch, of the request that is looked at
+	costs          []cost            // scratch, one for each server of the group that is looked at
+	prompt         prefixcache.Chain // scratch, of the request that is looked at
 	costModel      costModel
 	fleetSize      fleetSize
 	peersChangedAt Time // when the live proxies last changed
@@ -52,7 +52,7 @@
 	stalled        bool // it stood still, and has not heard from a keeper since
 	stalledAt      Time // the end of its last stall
 	peerLoadsAt    Time // of the last SetLoads
-	prefixes       prefixIndex
+	prefixes       *prefixcache.Index
 	prefillRate    prefillRate
 	stats          Stats
 	fixedPoolShare float64 // of tests: lanes have this share whatever is observed; 0: by the work
@@ -94,7 +94,7 @@
 		regionIndexes: map[string]int{s.Region: 0},
 		regionNames:   []string{s.Region},
 		attempts:      map[uint64]*attempt{},
-		prefixes:      newPrefixIndex(),
+		prefixes:      prefixcache.NewIndex(),
 		prefillRate:   prefillRate{tokensPerMS: s.PrefillRate},
 	}
 }
@@ -136,16 +136,16 @@
 		s := p.servers[told.ID]
 		if s == nil || s.Service != told.Service || s.Address != told.Address {
 			if s != nil {
-				p.prefixes.removeServer(s)
+				p.prefixes.RemoveServer(&s.prefixes)
 			}
-			s = &server{relativeSpeed: 1, hash: xxhash.Sum64String(told.ID)}
+			s = &server{relativeSpeed: 1, hash: rendezvous.Hash(told.ID)}
 		}
 		p.updateServer(now, s, *told)
 		listed[told.ID] = s
 	}
 	for id, s := range p.servers {
 		if listed[id] != s {
-			p.prefixes.removeServer(s)
+			p.prefixes.RemoveServer(&s.prefixes)
 		}
 	}
 	p.servers = listed
@@ -206,7 +206,7 @@
 func (p *Picker) group(service string) *group {
 	g := p.groups[service]
 	if g == nil {
-		g = &group{name: service, cursor: int(mix64(p.settings.Seed^xxhash.Sum64String(service)) % 1024), serviceTimeMS: 60, capacityPerSlot: maxCapacityPerSlot,
+		g = &group{name: service, cursor: int(rendezvous.Weight(p.settings.Seed, rendezvous.Hash(service)) % 1024), serviceTimeMS: 60, capacityPerSlot: maxCapacityPerSlot,
 			idleTimeout: DefaultIdleTimeout}
 		g.budget.window = p.settings.RetryWindow
 		p.groups[service] = g
@@ -280,18 +280,6 @@
 	}
 }
 
-// rendezvousWeight is the rendezvous weight of a peer for a key.
-func rendezvousWeight(key uint64, peer string) uint64 { return mix64(key ^ xxhash.Sum64String(peer)) }
-
-// mix64 is the finalizer of splitmix64: it spreads the bits of x.
-func mix64(x uint64) uint64 {
-	x ^= x >> 30
-	x *= 0xbf58476d1ce4e5b9
-	x ^= x >> 27
-	x *= 0x94d049bb133111eb
-	return x ^ x>>31
-}
-
 // fleetSize holds the highest number of proxies of the last while: when some seem to be gone, they may be cut off and
 // still use their part, so the others' parts do not grow at once.
 type fleetSize struct {
--- a/internal/system/proxy/pick/property_test.go
+++ b/internal/system/proxy/pick/property_test.go
@@ -162,26 +162,21 @@
 	if l := p.Loads(); len(l) > 0 {
 		t.Fatalf("loads are left: %v", l)
 	}
-	count, held := 0, map[*server]int64{}
-	for key, l := range p.prefixes.byKey {
-		for _, b := range l {
-			if b.key != key || p.servers[b.server.ID] != b.server {
-				t.Fatalf("a belief about a server that is gone: %s", b.server.ID)
-			}
-			count++
-			held[b.server] += int64(b.tokens)
-		}
-	}
-	if count != p.prefixes.count || count > maxPrefixEntries {
-		t.Fatalf("%d beliefs, counted %d", count, p.prefixes.count)
+	if err := p.prefixes.Verify(); err != nil {
+		t.Fatal(err)
 	}
+	entries := 0
 	for _, s := range p.servers {
 		if s.oldestPending != nil || s.newestPending != nil || s.probe != nil {
 			t.Fatalf("%s awaits an event of nothing", s.ID)
 		}
-		if held[s] != s.indexedTokens {
-			t.Fatalf("%s: %d tokens believed, counted %d", s.ID, held[s], s.indexedTokens)
+		if s.prefixes.Len() == 0 && s.prefixes.Tokens() != 0 {
+			t.Fatalf("%s: %d tokens without an entry", s.ID, s.prefixes.Tokens())
 		}
+		entries += s.prefixes.Len()
+	}
+	if entries != p.prefixes.Len() {
+		t.Fatalf("%d prefix-cache entries, of them %d of listed servers", p.prefixes.Len(), entries)
 	}
 }
 
--- a/internal/system/proxy/pick/server.go
+++ b/internal/system/proxy/pick/server.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/config"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
 )
 
 const (
@@ -88,9 +89,8 @@
 	fullUntil               Time
 	drainHintUntil          Time
 
-	oldestPending, newestPending      *attempt // own sends that await their first event, oldest first
-	leastRecentEntry, mostRecentEntry *prefixEntry
-	indexedTokens                     int64 // tokens of beliefs
+	oldestPending, newestPending *attempt           // own sends that await their first event, oldest first
+	prefixes                     prefixcache.Server // what it is estimated to have cached
 }
 
 // attempt is one request on its way to one server.
--- a/internal/system/proxy/pick/sim_engine_test.go
+++ b/internal/system/proxy/pick/sim_engine_test.go
@@ -6,6 +6,8 @@
 	"math"
 	"math/rand/v2"
 	"time"
+
+	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
 )
 
 // The simulation plays a fleet of proxies and servers in virtual time: nothing in it waits, and a seed repeats it.
@@ -52,7 +54,7 @@
 
 // job is a request at a model server.
 type job struct {
-	chain    prefixChain
+	chain    prefixcache.Chain
 	in, out  int
 	priority int
 	deadline Time
@@ -137,13 +139,13 @@
 			continue
 		}
 		kept := 0
-		for i := range j.chain.n {
-			x := e.cache[j.chain.keys[i]]
+		for i := range j.chain.Len {
+			x := e.cache[j.chain.Keys[i]]
 			if x == nil {
 				break
 			}
 			e.order.MoveToBack(x)
-			kept = j.chain.tokens[i]
+			kept = j.chain.EndTokens[i]
 		}
 		need := int64(j.in - kept + j.out)
 		for e.used+e.cached+need > e.spec.memory && e.order.Len() > 0 {
@@ -156,11 +158,11 @@
 		}
 		j.left, j.total, j.taken = j.in-kept, j.in, need
 		sum := 0
-		for i := range j.chain.n {
-			if size := j.chain.tokens[i] - sum; i < j.chain.parts-1 && j.chain.tokens[i] > kept {
-				e.read(j.chain.keys[i], size)
+		for i := range j.chain.Len {
+			if size := j.chain.EndTokens[i] - sum; i < j.chain.Parts-1 && j.chain.EndTokens[i] > kept {
+				e.read(j.chain.Keys[i], size)
 			}
-			sum = j.chain.tokens[i]
+			sum = j.chain.EndTokens[i]
 		}
 		e.prefilled += int64(j.left)
 		e.used += need
@@ -237,14 +239,14 @@
 // keep puts a prompt's parts into the cache.
 func (e *engine) keep(j *job) {
 	sum := 0
-	for i := range j.chain.n {
-		size := j.chain.tokens[i] - sum
-		sum = j.chain.tokens[i]
-		if x := e.cache[j.chain.keys[i]]; x != nil {
+	for i := range j.chain.Len {
+		size := j.chain.EndTokens[i] - sum
+		sum = j.chain.EndTokens[i]
+		if x := e.cache[j.chain.Keys[i]]; x != nil {
 			e.order.MoveToBack(x)
 			continue
 		}
-		e.cache[j.chain.keys[i]] = e.order.PushBack(cachedPart{j.chain.keys[i], size})
+		e.cache[j.chain.Keys[i]] = e.order.PushBack(cachedPart{j.chain.Keys[i], size})
 		e.cached += int64(size)
 		j.taken -= int64(size)
 		e.used -= int64(size)
--- a/internal/system/proxy/pick/sim_test.go
+++ b/internal/system/proxy/pick/sim_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/config"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
 )
 
 // fleet is a deployment at play.
@@ -318,7 +319,7 @@
 			return
 		}
 		var first time.Duration
-		j := &job{chain: newPrefixChain(r), in: r.TokensIn, out: r.MaxTokensOut, priority: c.Priority, deadline: since + k.deadline}
+		j := &job{chain: prefixcache.NewChain(r.Prefix), in: r.TokensIn, out: r.MaxTokensOut, priority: c.Priority, deadline: since + k.deadline}
 		j.lost = func(o Outcome) {
 			p.Done(f.now, c.Ticket, o, 0)
 			if k.resume {
--- a/internal/system/proxy/pick/types.go
+++ b/internal/system/proxy/pick/types.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/config"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
 )
 
 // Time is a reading of the caller's monotonic clock.
@@ -55,11 +56,8 @@
 	Tokens   int64 // tokens of memory that those requests hold or will hold
 }
 
-// PrefixPart is one part of a prompt, in order; shared between requests, but for the last.
-type PrefixPart struct {
-	ID     uint64
-	Tokens int
-}
+// PrefixPart is one part of a prompt.
+type PrefixPart = prefixcache.Part
 
 // Request is a client's request.
 type Request struct {
--- a/internal/system/proxy/pick/weigh.go
+++ b/internal/system/proxy/pick/weigh.go
@@ -3,6 +3,9 @@
 import (
 	"math"
 	"slices"
+
+	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick/rendezvous"
 )
 
 const (
@@ -29,14 +32,13 @@
 type costModel struct {
 	hasEngine              bool
 	prefillRate            float64 // tokens in a millisecond
-	prompt                 *prefixChain
 	tokensIn, maxTokensOut int
 	sharedTokens           int
 	tolerance              float64
 	cacheTokens            int64
 	home                   *server // first by rendezvous, the same at all proxies
 	secondHome             *server
-	holders                [maxChainParts][]*prefixEntry
+	cached                 prefixcache.Lookup
 	stepMS                 float64
 	isLongPrompt           bool             // worth a lane
 	hasPromptPool          [maxRegions]bool // regions where long and short prompts go to servers of their own
@@ -45,22 +47,17 @@
 
 const maxRegions = 16
 
-func (p *Picker) initCostModel(w *costModel, now Time, r *Request, g *group, prompt *prefixChain) {
+func (p *Picker) initCostModel(w *costModel, now Time, r *Request, g *group, prompt *prefixcache.Chain) {
 	e := g.service.Engine
 	*w = costModel{tolerance: plainTolerance}
 	if e == nil {
 		return
 	}
-	w.hasEngine, w.prefillRate, w.prompt, w.cacheTokens, w.tolerance = true, p.prefillRate.tokensPerMS, prompt, e.CacheTokens, engineTolerance
+	w.hasEngine, w.prefillRate, w.cacheTokens, w.tolerance = true, p.prefillRate.tokensPerMS, e.CacheTokens, engineTolerance
 	w.stepMS = ms(p.settings.StepTime)
 	w.tokensIn, w.maxTokensOut = max(r.TokensIn, 0), max(r.MaxTokensOut, 0)
-	for i := range prompt.n {
-		w.holders[i] = p.prefixes.byKey[prompt.keys[i]]
-		if len(w.holders[i]) == 0 {
-			break // without this part, none after it helps
-		}
-	}
-	key, shared := prompt.shared()
+	p.prefixes.Find(prompt, &w.cached)
+	key, shared := prompt.Shared()
 	w.sharedTokens = min(shared, w.tokensIn)
 	w.isLongPrompt = p.isLongPrompt(w.tokensIn)
 	p.observePromptMix(w, now, r, g)
@@ -79,7 +76,7 @@
 			len(r.Route.HomeRegions) > 0 && !slices.Contains(r.Route.HomeRegions, s.Region) {
 			continue
 		}
-		switch h := mix64(key ^ s.hash); {
+		switch h := rendezvous.Weight(key, s.hash); {
 		case home == nil || h > first:
 			next, second = home, first
 			home, first = s, h
@@ -103,23 +100,9 @@
 	return true
 }
 
-// cachedTokens is how many tokens of the prompt s is believed to keep, from what this proxy sent there.
+// cachedTokens is how many tokens of the prompt s is estimated to have cached, from what this proxy sent there.
 func (w *costModel) cachedTokens(s *server) int {
-	n := 0
-	for i := range w.prompt.n {
-		found := false
-		for _, b := range w.holders[i] {
-			if b.server == s {
-				found = true
-				break
-			}
-		}
-		if !found {
-			break
-		}
-		n = w.prompt.tokens[i]
-	}
-	return min(n, w.tokensIn)
+	return min(w.cached.CachedTokens(&s.prefixes), w.tokensIn)
 }
 
 // roundTrip is how long the way to s and back takes, in milliseconds.
