--- a/internal/system/proxy/pick/choose.go
+++ b/internal/system/proxy/pick/choose.go
@@ -67,7 +67,7 @@
 
 // sendWithinBudget sends r to s, unless it would be a repeat that the budget of s's service does not hold.
 func (p *Picker) sendWithinBudget(now Time, c Result, r *Request, s *server, at cost, prompt *prefixcache.Chain, tried []string) Result {
-	if r.arrived > 0 && !s.group.budget.allows(now, p.settings.RetryRatio, p.retrySlack()) {
+	if r.arrived > 0 && !s.group.budget.Allows(now, p.settings.RetryRatio, p.retrySlack()) {
 		return c.withoutServer(r, tried, math.Inf(1))
 	}
 	return p.send(now, c, r, s, at, prompt)
--- a/internal/system/proxy/pick/flight.go
+++ b/internal/system/proxy/pick/flight.go
@@ -41,7 +41,7 @@
 	p.recordWarmUpSend(now, s)
 	if r.arrived > 0 {
 		f.isRetry = true
-		s.group.budget.recordRetry(now, 1)
+		s.group.budget.RecordRetry(now, 1)
 	}
 	r.arrived++
 	s.ownLoad.Requests++
@@ -194,7 +194,7 @@
 		s.recordFailure(now)
 		f.request.arrived--
 		if f.isRetry {
-			g.budget.recordRetry(now, -1)
+			g.budget.RecordRetry(now, -1)
 		}
 	case TimedOut:
 		s.idle = idleConns{}
--- a/internal/system/proxy/pick/golden_trace_test.go
+++ b/internal/system/proxy/pick/golden_trace_test.go
@@ -88,7 +88,8 @@
 func (tr *trace) spent(p *Picker) {
 	for _, name := range slices.Sorted(maps.Keys(p.groups)) {
 		g := p.groups[name]
-		tr.float(g.budget.requests, g.budget.retries, g.serviceTimeMS, g.capacityPerSlot)
+		requests, retries := g.budget.Counts()
+		tr.float(requests, retries, g.serviceTimeMS, g.capacityPerSlot)
 	}
 	tr.float(p.prefillRate.tokensPerMS)
 	st := p.Stats()
--- a/internal/system/proxy/pick/picker.go
+++ b/internal/system/proxy/pick/picker.go
@@ -7,6 +7,7 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick/rendezvous"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick/retrybudget"
 )
 
 // Settings are what a Picker is made with. They never change in its life.
@@ -208,7 +209,7 @@
 	if g == nil {
 		g = &group{name: service, cursor: int(rendezvous.Weight(p.settings.Seed, rendezvous.Hash(service)) % 1024), serviceTimeMS: 60, capacityPerSlot: maxCapacityPerSlot,
 			idleTimeout: DefaultIdleTimeout}
-		g.budget.window = p.settings.RetryWindow
+		g.budget = retrybudget.New(p.settings.RetryWindow)
 		p.groups[service] = g
 	}
 	return g
@@ -275,7 +276,7 @@
 	}
 	for _, s := range r.Route.Shares {
 		if s.Weight > 0 {
-			p.group(s.Service).budget.recordRequest(now, s.Weight/total)
+			p.group(s.Service).budget.RecordRequest(now, s.Weight/total)
 		}
 	}
 }
--- /dev/null
+++ b/internal/system/proxy/pick/rotation/rotation_test.go
@@ -0,0 +1,56 @@
+package rotation
+
+import (
+	"testing"
+
+	"gradeusher.example/gradeusher/internal/system/config"
+)
+
+// turns are the names of the services that are due in n turns.
+func turns(r *Rotation, n int) (names string) {
+	for range n {
+		names += r.Shares()[r.Next()].Service
+	}
+	return names
+}
+
+func TestNext(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		shares []config.Share
+		want   string
+	}{
+		{"interleaved", []config.Share{{Service: "a", Weight: 5}, {Service: "b", Weight: 1}, {Service: "c", Weight: 1}}, "aabacaa"},
+		{"equal", []config.Share{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}}, "abab"},
+		{"without a weight", []config.Share{{Service: "a"}, {Service: "b"}}, "aa"},
+		{"one without a weight", []config.Share{{Service: "a"}, {Service: "b", Weight: 2}}, "bb"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := turns(New(c.shares), len(c.want)); got != c.want {
+				t.Errorf("turns %s, want %s", got, c.want)
+			}
+		})
+	}
+}
+
+// TestUpdateKeepsTurns replaces a configuration: a route with the same shares continues, one with others starts anew, and one of the
+// former configuration is not kept.
+func TestUpdateKeepsTurns(t *testing.T) {
+	shares := []config.Share{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}}
+	first, second := &config.Route{Host: "h", Shares: shares}, &config.Route{Host: "h", Shares: shares}
+	var table Table
+	table.Update([]*config.Route{first})
+	turns(table.Of(first), 1)
+	table.Update([]*config.Route{second})
+	if got := turns(table.Of(second), 1); got != "b" {
+		t.Errorf("turn of %s after an update that changes nothing, want b", got)
+	}
+	if table.Of(first) == table.Of(first) {
+		t.Error("the rotation of a replaced route is kept")
+	}
+	third := &config.Route{Host: "h", Shares: append([]config.Share{{Service: "c", Weight: 1}}, shares...)}
+	table.Update([]*config.Route{third})
+	if got := turns(table.Of(third), 1); got != "c" {
+		t.Errorf("turn of %s after new shares, want c", got)
+	}
+}
--- a/internal/system/proxy/pick/server.go
+++ b/internal/system/proxy/pick/server.go
@@ -5,6 +5,7 @@
 
 	"gradeusher.example/gradeusher/internal/system/config"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick/retrybudget"
 )
 
 const (
@@ -30,7 +31,7 @@
 	service         *config.Service // nil: the configuration does not name it
 	servers         []*server       // in the list's order
 	cursor          int             // whose turn is next
-	budget          retryBudget
+	budget          retrybudget.Budget
 	serviceTimeMS   float64 // milliseconds from a send to its end, learned
 	capacityPerSlot float64 // requests that a server takes, running and waiting, for each of its slots; learned
 
