--- a/internal/system/proxy/pick/choose.go
+++ b/internal/system/proxy/pick/choose.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"gradeusher.example/gradeusher/internal/system/config"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
 )
 
@@ -34,16 +35,16 @@
 		c.Verdict = GiveUp
 		return c
 	}
-	o := p.rotationOf(r.Route)
-	due := o.next()
+	o := p.rotations.Of(r.Route)
+	due, shares := o.Next(), o.Shares()
 	prompt := &p.prompt
 	*prompt = prefixcache.NewChain(r.Prefix)
 	wait := math.Inf(1)
 	// The due group; then the next ones with a weight; those of weight 0 only where all these are empty. A group that
 	// is full is not empty: shares follow the weights, not the load.
 	for _, weighted := range [...]bool{true, false} {
-		for i := range o.shares {
-			share := &o.shares[(due+i)%len(o.shares)]
+		for i := range shares {
+			share := &shares[(due+i)%len(shares)]
 			g := p.groups[share.Service]
 			if (share.Weight > 0) != weighted || g == nil || g.service == nil || len(g.servers) == 0 {
 				continue
@@ -59,7 +60,7 @@
 			return p.sendWithinBudget(now, c, r, got.server, got.cost, prompt, tried)
 		}
 	}
-	if s, at := p.pickProbe(now, r, o, due, prompt, tried); s != nil {
+	if s, at := p.pickProbe(now, r, shares, due, prompt, tried); s != nil {
 		return p.sendWithinBudget(now, c, r, s, at, prompt, tried)
 	}
 	return c.withoutServer(r, tried, wait)
@@ -211,9 +212,9 @@
 
 // pickProbe finds a doubted server where no other can be had: the one whose time is over first. It gets one trial at
 // a time, as long as none of a request's tries went to one.
-func (p *Picker) pickProbe(now Time, r *Request, o *shareRotation, due int, prompt *prefixcache.Chain, tried []string) (best *server, at cost) {
-	for i := range o.shares {
-		g := p.groups[o.shares[(due+i)%len(o.shares)].Service]
+func (p *Picker) pickProbe(now Time, r *Request, shares []config.Share, due int, prompt *prefixcache.Chain, tried []string) (best *server, at cost) {
+	for i := range shares {
+		g := p.groups[shares[(due+i)%len(shares)].Service]
 		if g == nil || g.service == nil {
 			continue
 		}
--- a/internal/system/proxy/pick/picker.go
+++ b/internal/system/proxy/pick/picker.go
@@ -8,6 +8,7 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick/rendezvous"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick/retrybudget"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick/rotation"
 )
 
 // Settings are what a Picker is made with. They never change in its life.
@@ -36,7 +37,7 @@
 	hasState       bool // SetWorld was called
 	servers        map[string]*server
 	groups         map[string]*group // by service
-	rotations      map[*config.Route]*shareRotation
+	rotations      rotation.Table
 	regionIndexes  map[string]int // small numbers for regions; 0 is this proxy's own
 	regionNames    []string       // of the regions, by number
 	attempts       map[uint64]*attempt
@@ -91,7 +92,6 @@
 		servers:       map[string]*server{},
 		zoneChanges:   zoneChanges{},
 		groups:        map[string]*group{},
-		rotations:     map[*config.Route]*shareRotation{},
 		regionIndexes: map[string]int{s.Region: 0},
 		regionNames:   []string{s.Region},
 		attempts:      map[uint64]*attempt{},
@@ -162,7 +162,11 @@
 		}
 	}
 	if reconfigured {
-		p.updateRotations()
+		var routes []*config.Route
+		if w.Config != nil {
+			routes = w.Config.Routes
+		}
+		p.rotations.Update(routes)
 	}
 }
 
