--- a/internal/system/proxy/pick/choose.go
+++ b/internal/system/proxy/pick/choose.go
@@ -129,7 +129,7 @@
 		return alreadyTried
 	case s.misdirected:
 		return misdirected
-	case s.ejected(now), r != nil && s.suspected() && !s.mayProbe(now, r, tried):
+	case s.outlier.Ejected(now), r != nil && s.outlier.Suspected() && !s.outlier.MayProbe(now, len(tried) == 0 && r.Route.MaxTries > 1):
 		return ejected
 	case s.warmingUp(now) && !p.hasWarmUpToken(now, s):
 		return warmUpPaced
@@ -222,7 +222,7 @@
 			if p.eligibility(now, s, r, tried) != ejected || s.warmingUp(now) && !p.hasWarmUpToken(now, s) || !p.hasProbeCapacity(s) {
 				continue
 			}
-			if best == nil || s.ejectedUntil < best.ejectedUntil || s.ejectedUntil == best.ejectedUntil && s.ownLoad.Requests < best.ownLoad.Requests {
+			if best == nil || s.outlier.EjectedUntil() < best.outlier.EjectedUntil() || s.outlier.EjectedUntil() == best.outlier.EjectedUntil() && s.ownLoad.Requests < best.ownLoad.Requests {
 				best = s
 			}
 		}
--- a/internal/system/proxy/pick/flight.go
+++ b/internal/system/proxy/pick/flight.go
@@ -13,10 +13,8 @@
 	newSenderDelay     = time.Second // a new holder of a cold server waits until others send as its holders, too
 	// successorDelay is longer than a proxy that others have given up goes on as a holder: it is Stale 1.6 s after a keeper's
 	// last word (distribution.FreshnessTTL).
-	successorDelay             = 1800 * time.Millisecond
-	maxConsecutiveBroken       = 2 // answers that broke off in a row before a server is doubted
-	maxConsecutiveServerErrors = 5 // 5xx in a row before it is
-	plainOverdueFactor         = 4 // an answer without a prompt is overdue after this many usual times
+	successorDelay     = 1800 * time.Millisecond
+	plainOverdueFactor = 4 // an answer without a prompt is overdue after this many usual times
 )
 
 // send registers r's way to s and makes the verdict.
@@ -31,9 +29,7 @@
 	p.lastTicket++
 	f.ticket, f.server, f.request, f.sentAt = p.lastTicket, s, r, now
 	p.attempts[f.ticket] = f
-	if s.suspected() && s.probe == nil {
-		s.probe = f
-	}
+	s.outlier.StartAttempt(f.ticket)
 	p.checkEligibility(r, s)
 	if s.warmingUp(now) && s.warmUpRate() > 0 {
 		c.SendWithin = warmUpSendTimeout
@@ -104,7 +100,7 @@
 func (p *Picker) Started(now Time, ticket uint64) {
 	if f := p.attempts[ticket]; f != nil {
 		p.recordReachable(now, f.server)
-		f.server.recordResponse(f)
+		f.server.outlier.RecordResponse(f.ticket)
 		if e := f.server.group.service; e == nil || e.Engine == nil {
 			f.endPending()
 		}
@@ -113,19 +109,11 @@
 
 // recordReachable takes note that s has answered. Where it could not be recordReachable before, and no keeper either, it may have turned cold unseen.
 func (p *Picker) recordReachable(now Time, s *server) {
-	if s.consecutiveFailures > 0 && p.state.Stale {
+	if s.outlier.Unreachable() && p.state.Stale {
 		p.paceUntilConfirmed(now, s)
 	}
 }
 
-// recordResponse ends the doubt in a server that has begun to answer f.
-func (s *server) recordResponse(f *attempt) {
-	if s.probe == f {
-		s.probe = nil
-	}
-	s.consecutiveFailures, s.ejectedUntil = 0, 0
-}
-
 // FirstEvent tells that the first event of a stream has come, so its prompt is read and kept there.
 func (p *Picker) FirstEvent(now Time, ticket uint64) {
 	f := p.attempts[ticket]
@@ -135,7 +123,7 @@
 	f.endPending()
 	s := f.server
 	p.recordReachable(now, s)
-	s.recordResponse(f)
+	s.outlier.RecordResponse(f.ticket)
 	if !f.measuresRate {
 		return
 	}
@@ -168,22 +156,18 @@
 	f.endPending()
 	s.ownLoad.Requests--
 	s.ownLoad.Tokens -= f.memoryTokens
-	trial := s.probe == f
-	if trial {
-		s.probe = nil
-	}
+	wasProbe := s.outlier.EndAttempt(ticket)
 	switch o {
 	case Served:
 		s.idle.put(now)
 		p.recordReachable(now, s)
-		s.consecutiveServerErrors = 0
-		s.recordSuccess()
+		s.outlier.RecordSuccess()
 		g.serviceTimeMS += (min(ms(now-f.sentAt), 10*g.serviceTimeMS+100) - g.serviceTimeMS) / 32
 		g.capacityPerSlot = min(g.capacityPerSlot+capacityIncrement, maxCapacityPerSlot)
 	case NotExecuted:
 		s.idle.put(now)
 		p.recordReachable(now, s)
-		s.recordSuccess()
+		s.outlier.RecordRejection()
 		g.capacityPerSlot = max(minCapacityPerSlot, min(g.capacityPerSlot, float64(s.load(now, p.peerLoadsAt))/float64(s.slots())))
 		s.fullUntil = now + min(max(retryAfter, minFullTime), maxFullTime)
 	case Misdirected:
@@ -191,25 +175,18 @@
 		p.prefixes.RemoveServer(&s.prefixes)
 	case ConnectFailed:
 		s.idle = idleConns{}
-		s.recordFailure(now)
+		s.outlier.RecordFailure(now)
 		f.request.arrived--
 		if f.isRetry {
 			g.budget.RecordRetry(now, -1)
 		}
 	case TimedOut:
 		s.idle = idleConns{}
-		s.recordFailure(now)
+		s.outlier.RecordFailure(now)
 	case ConnectionLost:
-		if s.consecutiveBroken++; s.consecutiveBroken >= maxConsecutiveBroken || trial {
-			s.recordFailure(now)
-		}
+		s.outlier.RecordBroken(now, wasProbe)
 	case ServerError:
-		s.consecutiveFailures, s.consecutiveBroken = 0, 0
-		if s.consecutiveServerErrors++; s.consecutiveServerErrors >= maxConsecutiveServerErrors {
-			s.ejectedUntil = max(s.ejectedUntil, now+baseEjectionTime)
-		} else {
-			s.ejectedUntil = 0
-		}
+		s.outlier.RecordServerError(now)
 	case Canceled:
 	}
 	*f = attempt{next: p.freeAttempts}
--- a/internal/system/proxy/pick/lane.go
+++ b/internal/system/proxy/pick/lane.go
@@ -92,7 +92,7 @@
 	// Where a region sees no short prompts at all, the long ones go there, if it is large enough.
 	room, all := 0, 0
 	for _, s := range g.servers {
-		if s.Draining || s.misdirected || p.state.Evacuated[s.Zone] || s.ejectedUntil > 0 ||
+		if s.Draining || s.misdirected || p.state.Evacuated[s.Zone] || s.outlier.WasEjected() ||
 			w.isLongPrompt && len(r.Route.HomeRegions) > 0 && !slices.Contains(r.Route.HomeRegions, s.Region) {
 			continue
 		}
--- a/internal/system/proxy/pick/property_test.go
+++ b/internal/system/proxy/pick/property_test.go
@@ -167,7 +167,7 @@
 	}
 	entries := 0
 	for _, s := range p.servers {
-		if s.oldestPending != nil || s.newestPending != nil || s.probe != nil {
+		if s.oldestPending != nil || s.newestPending != nil || s.outlier.Probing() {
 			t.Fatalf("%s awaits an event of nothing", s.ID)
 		}
 		if s.prefixes.Len() == 0 && s.prefixes.Tokens() != 0 {
--- a/internal/system/proxy/pick/server.go
+++ b/internal/system/proxy/pick/server.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/config"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick/outlier"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick/retrybudget"
 )
@@ -14,9 +15,6 @@
 	warmUpHintTTL      = 3 * time.Second        // a server's own word on being cold outlives a list that says warm by this
 	reportedLoadTTL    = 400 * time.Millisecond // X-Server-Load is believed this long
 	peerLoadTTL        = 2 * time.Second        // the loads of other proxies are believed this long
-	baseEjectionTime   = 500 * time.Millisecond // the first time that a server which failed gets nothing
-	maxEjectionTime    = 4 * time.Second        // and the longest
-	maxProbeDelay      = 2 * time.Second        // after it, any request may try a doubted server
 )
 
 const (
@@ -80,15 +78,11 @@
 	maxRefillRate                        float64 // the highest pace, in requests a second, by which token was refilled since it was spent
 	refilledAt                           Time
 
-	misdirected             bool // its address answered for another server
-	misdirectedAt           Time
-	consecutiveFailures     int // connections that failed in a row
-	consecutiveBroken       int // answers that broke off in a row
-	consecutiveServerErrors int // 5xx in a row
-	ejectedUntil            Time
-	probe                   *attempt // the one send that tries a doubted server
-	fullUntil               Time
-	drainHintUntil          Time
+	misdirected    bool // its address answered for another server
+	misdirectedAt  Time
+	outlier        outlier.Detector
+	fullUntil      Time
+	drainHintUntil Time
 
 	oldestPending, newestPending *attempt           // own sends that await their first event, oldest first
 	prefixes                     prefixcache.Server // what it is estimated to have cached
@@ -145,33 +139,6 @@
 	s.warmUntil = until
 }
 
-// ejected tells whether s gets nothing because of failures. One trial at a time may go to a server whose time is over.
-func (s *server) ejected(now Time) bool {
-	return now < s.ejectedUntil || s.suspected() && s.probe != nil
-}
-
-// mayProbe tells whether r may be the one that tries a doubted server. That is best left to a request that can go on to
-// another server; one that can't tries only a server that nobody has tried for long.
-func (s *server) mayProbe(now Time, r *Request, tried []string) bool {
-	return len(tried) == 0 && r.Route.MaxTries > 1 || now >= s.ejectedUntil+maxProbeDelay
-}
-
-func (s *server) suspected() bool { return s.consecutiveFailures > 0 || s.ejectedUntil > 0 }
-
-// recordFailure takes a failure that says that s does not answer.
-func (s *server) recordFailure(now Time) {
-	if now < s.ejectedUntil {
-		return // sends that were under way when the first of them failed
-	}
-	s.consecutiveFailures = min(s.consecutiveFailures+1, 8)
-	s.ejectedUntil = now + min(baseEjectionTime<<(s.consecutiveFailures-1), maxEjectionTime)
-}
-
-// recordSuccess takes an answer: s lives.
-func (s *server) recordSuccess() {
-	s.consecutiveFailures, s.consecutiveBroken, s.ejectedUntil = 0, 0, 0
-}
-
 // overdue is by how much the oldest prompt at s is late, in milliseconds: a server that is slow, frozen or dark shows
 // by it before any send fails.
 func (s *server) overdue(now Time) float64 {
--- a/internal/system/proxy/pick/weigh.go
+++ b/internal/system/proxy/pick/weigh.go
@@ -72,7 +72,7 @@
 func (p *Picker) homes(w *costModel, now Time, r *Request, g *group, key uint64) (home, next *server) {
 	var first, second uint64
 	for _, s := range g.servers {
-		if s.Draining || s.misdirected || p.state.Evacuated[s.Zone] || s.ejectedUntil > 0 || s.warmingUp(now) || !w.matchesPool(s) ||
+		if s.Draining || s.misdirected || p.state.Evacuated[s.Zone] || s.outlier.WasEjected() || s.warmingUp(now) || !w.matchesPool(s) ||
 			len(r.Route.HomeRegions) > 0 && !slices.Contains(r.Route.HomeRegions, s.Region) {
 			continue
 		}
