--- a/internal/system/proxy/pick/choose.go
+++ b/internal/system/proxy/pick/choose.go
@@ -123,7 +123,7 @@
 		return draining
 	case p.state.Evacuated[s.Zone]:
 		return evacuated
-	case r != nil && len(r.Route.HomeRegions) > 0 && !slices.Contains(r.Route.HomeRegions, s.Region):
+	case r != nil && !r.allowsRegion(s.Region):
 		return outsideHomeRegions
 	case len(tried) > 0 && slices.Contains(tried, s.ID):
 		return alreadyTried
--- a/internal/system/proxy/pick/flight.go
+++ b/internal/system/proxy/pick/flight.go
@@ -48,7 +48,7 @@
 		p.prefixes.Find(prompt, &w.cached)
 		kept := w.cachedTokens(s)
 		f.prefillTokens = int64(w.tokensIn - kept)
-		s.group.demand.add(now, p.isLongPrompt(w.tokensIn), f.prefillTokens)
+		s.group.demand.Add(now, p.isLongPrompt(w.tokensIn), f.prefillTokens)
 		f.memoryTokens = f.prefillTokens + int64(max(r.MaxTokensOut, 0))
 		f.measuresRate = kept == 0 && s.ownLoad.Prefill == 0 && s.peerLoad.Prefill == 0 && f.prefillTokens >= 1000 && !s.warmingUp(now)
 		f.expectedAt = now + durationMS(at.firstEvent)
--- a/internal/system/proxy/pick/invariants.go
+++ b/internal/system/proxy/pick/invariants.go
@@ -40,8 +40,7 @@
 
 // checkEligibility checks that r may go to s.
 func (p *Picker) checkEligibility(r *Request, s *server) {
-	home := len(r.Route.HomeRegions) == 0 || slices.Contains(r.Route.HomeRegions, s.Region)
-	eligibilityInvariant.Check(!s.Draining && !p.state.Evacuated[s.Zone] && home)
+	eligibilityInvariant.Check(!s.Draining && !p.state.Evacuated[s.Zone] && r.allowsRegion(s.Region))
 }
 
 // checkWarmUpEnd checks, by what the list tells now, that s was warm when a request first went to it as to a warm server.
--- a/internal/system/proxy/pick/lane_test.go
+++ b/internal/system/proxy/pick/lane_test.go
@@ -76,7 +76,7 @@
 func TestLaneWithoutWordOfTheOthers(t *testing.T) {
 	p := laneWorld(20)
 	now := Time(time.Minute)
-	p.groups["lm"].demand.add(now, true, 5_000_000)
+	p.groups["lm"].demand.Add(now, true, 5_000_000)
 	p.assignPromptPools(now, p.groups["lm"])
 	if n := laneSize(p); n != 10 {
 		t.Errorf("the lane moved to %d servers", n)
@@ -89,9 +89,9 @@
 	now := Time(0)
 	for range 30 {
 		now += time.Second
-		p.groups["lm"].demand.add(now, true, 70_000)
-		q.groups["lm"].demand.add(now, false, 30_000)
-		of := func(x *Picker) map[string]Load { x.groups["lm"].demand.decay(now); return x.PromptDemands() }
+		p.groups["lm"].demand.Add(now, true, 70_000)
+		q.groups["lm"].demand.Add(now, false, 30_000)
+		of := func(x *Picker) map[string]Load { x.groups["lm"].demand.Decay(now); return x.PromptDemands() }
 		ofP, ofQ := of(p), of(q)
 		p.UpdatePeerLoads(now, ofQ)
 		q.UpdatePeerLoads(now, ofP)
@@ -117,13 +117,3 @@
 		t.Errorf("a lane of %d of 10 servers, want half", n)
 	}
 }
-
-// TestDemandFades counts work less the longer ago it was.
-func TestDemandFades(t *testing.T) {
-	var d promptDemand
-	d.add(0, true, 1000)
-	d.add(promptMixTTL, false, 1000)
-	if d.short != 1000 || d.long < 367 || d.long > 368 {
-		t.Errorf("long %.0f and short %.0f, want 1/e of 1000 and 1000", d.long, d.short)
-	}
-}
--- a/internal/system/proxy/pick/picker.go
+++ b/internal/system/proxy/pick/picker.go
@@ -224,9 +224,8 @@
 	p.peerLoadsAt = now
 	for id, s := range p.servers {
 		s.peerLoad = loads[id]
-		long := minLongPromptMS * p.settings.PrefillRate
-		if n := float64(s.peerLoad.Prefill); n >= long && n >= float64(s.peerLoad.Requests)*long/4 {
-			s.group.lastLongAt, s.group.longSeen = now, true
+		if p.bringsLongPrompts(s.peerLoad) {
+			s.group.mix.RecordLong(now)
 		}
 	}
 	for name, g := range p.groups {
@@ -254,7 +253,7 @@
 func (p *Picker) PromptDemands() map[string]Load {
 	m := map[string]Load{}
 	for name, g := range p.groups {
-		if l := (Load{Prefill: int64(g.demand.long), Tokens: int64(g.demand.short)}); l != (Load{}) {
+		if l := (Load{Prefill: int64(g.demand.Long), Tokens: int64(g.demand.Short)}); l != (Load{}) {
 			m[demandKey(name)] = l
 		}
 	}
--- /dev/null
+++ b/internal/system/proxy/pick/prompt_pools.go
@@ -0,0 +1,147 @@
+package pick
+
+import (
+	"cmp"
+	"slices"
+
+	"gradeusher.example/gradeusher/internal/system/proxy/pick/promptpool"
+)
+
+// A long prompt's prefill delays all that runs at its server. Where long and short prompts come, the long ones get a pool of each region's
+// servers, which the short ones avoid while there is capacity elsewhere. The pool's share of the servers follows the share of the work
+// that long prompts bring, as all proxies together observe it.
+
+const (
+	minLongPromptMS      = 80     // milliseconds of prefill at the configured rate from which a prompt is long
+	minSeparateSlotShare = 0.25   // of a group's slots: regions without short prompts that have fewer can't bear the long ones
+	maxPoolShare         = 0.9    // short prompts keep some servers, as those of a pool cost them shortInsidePoolCost
+	minDemandTokens      = 20_000 // decayed tokens of all proxies from which their work says anything
+)
+
+// demandKey names the entry of a service's demand among the loads that proxies share. No server's id begins so.
+func demandKey(service string) string { return "\x00demand " + service }
+
+// isLongPrompt reports whether a prompt is long. Its length is compared with the rate that all proxies are configured with, not the
+// learned one, as all have to agree.
+func (p *Picker) isLongPrompt(tokens int) bool {
+	return float64(tokens)/p.settings.PrefillRate >= minLongPromptMS
+}
+
+// bringsLongPrompts reports whether some of the requests behind a load have long prompts: the prefill that is left amounts to one, and
+// to a quarter of one for each request.
+func (p *Picker) bringsLongPrompts(load Load) bool {
+	long := minLongPromptMS * p.settings.PrefillRate // tokens
+	prefill := float64(load.Prefill)
+	return prefill >= long && prefill >= float64(load.Requests)*long/4
+}
+
+// promptPoolShare is the share of the servers that long prompts should have; unknown while the peers' work is not known, as the proxies
+// would disagree.
+func (p *Picker) promptPoolShare(now Time, g *group) (share float64, known bool) {
+	if p.fixedPoolShare > 0 {
+		return p.fixedPoolShare, true
+	}
+	if now-p.peerLoadsAt >= peerLoadTTL {
+		return 0, false
+	}
+	g.demand.Decay(now)
+	long := g.demand.Long + float64(g.peerDemand.Prefill)
+	short := g.demand.Short + float64(g.peerDemand.Tokens)
+	if long+short < minDemandTokens {
+		return 0, false
+	}
+	return min(long/(long+short), maxPoolShare), true
+}
+
+// assignPromptPools names the servers of each region's pool: the first by hash, so that proxies agree but for the last few.
+func (p *Picker) assignPromptPools(now Time, g *group) {
+	var byRegion [promptpool.MaxRegions][]*server
+	for _, s := range g.servers {
+		s.inPromptPool = false
+		if s.regionIndex < promptpool.MaxRegions && !s.Draining && !p.state.Evacuated[s.Zone] {
+			byRegion[s.regionIndex] = append(byRegion[s.regionIndex], s)
+		}
+	}
+	share, known := p.promptPoolShare(now, g)
+	for region, servers := range byRegion {
+		if len(servers) < 2 {
+			continue
+		}
+		slices.SortFunc(servers, func(a, b *server) int { return cmp.Compare(a.hash, b.hash) })
+		pool := &g.pools[region]
+		pool.SetServers(len(servers))
+		if known {
+			pool.Adjust(now, share*float64(len(servers)))
+		}
+		for _, s := range servers[:pool.Size()] {
+			s.inPromptPool = true
+		}
+	}
+}
+
+// recordPrompt notes which kind of prompt r brings to g.
+func (p *Picker) recordPrompt(now Time, r *Request, g *group, isLong bool) {
+	if isLong {
+		g.mix.RecordLong(now)
+		return
+	}
+	for region, name := range p.regionNames {
+		if region < promptpool.MaxRegions && r.allowsRegion(name) {
+			g.mix.RecordShort(now, region)
+		}
+	}
+}
+
+// promptPlacement says which servers are for a request's prompt. The zero value says that all are.
+type promptPlacement struct {
+	isLong          bool
+	pooled          [promptpool.MaxRegions]bool // regions to which short prompts come, so that their servers are divided
+	regionsSeparate bool                        // long prompts go to the other regions, short ones to these
+}
+
+// placePrompt finds the servers that are for r's prompt by the prompts that have come to g of late.
+func (p *Picker) placePrompt(now Time, r *Request, g *group, isLong bool) promptPlacement {
+	placement := promptPlacement{isLong: isLong}
+	justStarted := now-p.started <= promptpool.MixTTL // it does not know yet, and assumes that both kinds come
+	if !justStarted && !g.mix.HasLong(now) {
+		return placement
+	}
+	for region := range placement.pooled {
+		placement.pooled[region] = g.mix.HasShort(now, region)
+	}
+	placement.regionsSeparate = p.hasSeparateRegions(r, g, &placement)
+	return placement
+}
+
+// hasSeparateRegions reports whether the regions to which no short prompts come are large enough for the long ones.
+func (p *Picker) hasSeparateRegions(r *Request, g *group, placement *promptPlacement) bool {
+	separate, all := 0, 0 // slots
+	for _, s := range g.servers {
+		if !p.isAvailable(s) || placement.isLong && !r.allowsRegion(s.Region) {
+			continue
+		}
+		all += s.slots()
+		if s.regionIndex < promptpool.MaxRegions && !placement.pooled[s.regionIndex] {
+			separate += s.slots()
+		}
+	}
+	return separate > 0 && float64(separate) >= minSeparateSlotShare*float64(all)
+}
+
+// matches reports whether s is one of the servers for the prompt, while there is capacity on them.
+func (m *promptPlacement) matches(s *server) bool {
+	switch {
+	case s.regionIndex >= promptpool.MaxRegions:
+		return true
+	case m.regionsSeparate:
+		return !m.isLong || !m.pooled[s.regionIndex]
+	case m.pooled[s.regionIndex]:
+		return m.isLong == s.inPromptPool
+	}
+	return true
+}
+
+// isAvailable reports whether s takes requests at all, as far as the list, the evacuations and its own answers say.
+func (p *Picker) isAvailable(s *server) bool {
+	return !s.Draining && !s.misdirected && !p.state.Evacuated[s.Zone] && !s.outlier.WasEjected()
+}
--- a/internal/system/proxy/pick/server.go
+++ b/internal/system/proxy/pick/server.go
@@ -6,6 +6,7 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick/outlier"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick/promptpool"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick/retrybudget"
 )
 
@@ -33,16 +34,13 @@
 	serviceTimeMS   float64 // milliseconds from a send to its end, learned
 	capacityPerSlot float64 // requests that a server takes, running and waiting, for each of its slots; learned
 
-	lastLongAt  Time // when a long prompt last came
-	longSeen    bool
-	lastShortAt [maxRegions]Time // when a short one last came that may go to the region
-	shortSeen   [maxRegions]bool
+	mix promptpool.Mix // which kinds of prompts come
 
 	idleTimeout time.Duration // connections to its servers are kept so long without use
 
-	promptPools [maxRegions]promptPool
-	demand      promptDemand // of this proxy
-	peerDemand  Load         // of all others: Prefill for long prompts, Tokens for short ones
+	pools      [promptpool.MaxRegions]promptpool.Pool // by region
+	demand     promptpool.Demand                      // of this proxy
+	peerDemand Load                                   // of all others: Prefill for long prompts, Tokens for short ones
 }
 
 // server is what is known of one incarnation.
--- a/internal/system/proxy/pick/types.go
+++ b/internal/system/proxy/pick/types.go
@@ -5,6 +5,7 @@
 package pick
 
 import (
+	"slices"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/config"
@@ -73,6 +74,11 @@
 	arrived int // sends that reached a server, or are under way to one
 }
 
+// allowsRegion reports whether r may go to a region, by its route's home regions.
+func (r *Request) allowsRegion(region string) bool {
+	return len(r.Route.HomeRegions) == 0 || slices.Contains(r.Route.HomeRegions, region)
+}
+
 // Outcome is how one send to a server ended.
 type Outcome uint8
 
--- a/internal/system/proxy/pick/weigh.go
+++ b/internal/system/proxy/pick/weigh.go
@@ -2,7 +2,6 @@
 
 import (
 	"math"
-	"slices"
 
 	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick/rendezvous"
@@ -40,13 +39,9 @@
 	secondHome             *server
 	cached                 prefixcache.Lookup
 	stepMS                 float64
-	isLongPrompt           bool             // worth a lane
-	hasPromptPool          [maxRegions]bool // regions where long and short prompts go to servers of their own
-	regionsSeparate        bool             // long prompts go to the other regions, where no short ones come
+	placement              promptPlacement
 }
 
-const maxRegions = 16
-
 func (p *Picker) initCostModel(w *costModel, now Time, r *Request, g *group, prompt *prefixcache.Chain) {
 	e := g.service.Engine
 	*w = costModel{tolerance: plainTolerance}
@@ -59,8 +54,9 @@
 	p.prefixes.Find(prompt, &w.cached)
 	key, shared := prompt.Shared()
 	w.sharedTokens = min(shared, w.tokensIn)
-	w.isLongPrompt = p.isLongPrompt(w.tokensIn)
-	p.observePromptMix(w, now, r, g)
+	isLong := p.isLongPrompt(w.tokensIn)
+	p.recordPrompt(now, r, g, isLong)
+	w.placement = p.placePrompt(now, r, g, isLong)
 	if shared > 0 {
 		w.home, w.secondHome = p.homes(w, now, r, g, key)
 	}
@@ -72,8 +68,7 @@
 func (p *Picker) homes(w *costModel, now Time, r *Request, g *group, key uint64) (home, next *server) {
 	var first, second uint64
 	for _, s := range g.servers {
-		if s.Draining || s.misdirected || p.state.Evacuated[s.Zone] || s.outlier.WasEjected() || s.warmingUp(now) || !w.matchesPool(s) ||
-			len(r.Route.HomeRegions) > 0 && !slices.Contains(r.Route.HomeRegions, s.Region) {
+		if !p.isAvailable(s) || s.warmingUp(now) || !w.placement.matches(s) || !r.allowsRegion(s.Region) {
 			continue
 		}
 		switch h := rendezvous.Weight(key, s.hash); {
@@ -87,19 +82,6 @@
 	return home, next
 }
 
-// matchesPool tells whether s is one of the servers for prompts of this length, while there is room on them.
-func (w *costModel) matchesPool(s *server) bool {
-	switch {
-	case s.regionIndex >= maxRegions:
-		return true
-	case w.regionsSeparate:
-		return !w.isLongPrompt || !w.hasPromptPool[s.regionIndex]
-	case w.hasPromptPool[s.regionIndex]:
-		return w.isLongPrompt == s.inPromptPool
-	}
-	return true
-}
-
 // cachedTokens is how many tokens of the prompt s is estimated to have cached, from what this proxy sent there.
 func (w *costModel) cachedTokens(s *server) int {
 	return min(w.cached.CachedTokens(&s.prefixes), w.tokensIn)
@@ -161,8 +143,8 @@
 		c.queueing += queue
 		c.firstEvent += queue + read + w.stepMS
 		extra += again * duplicatePrefillCost
-		if !w.matchesPool(s) {
-			if w.isLongPrompt {
+		if !w.placement.matches(s) {
+			if w.placement.isLong {
 				extra += longOutsidePoolCost + read
 			} else {
 				extra += shortInsidePoolCost
