--- a/internal/system/proxy/pick/picker.go
+++ b/internal/system/proxy/pick/picker.go
@@ -11,24 +11,6 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick/rotation"
 )
 
-// Settings are what a Picker is made with. They never change in its life.
-type Settings struct {
-	Zone, Region string            // of this proxy
-	Regions      map[string]string // zone to region, for servers whose Region is empty
-
-	RetryRatio  float64       // repeats for each request that all proxies together may make; 0: none
-	RetryWindow time.Duration // the span in which they are counted; default 10 s
-	RetrySlack  float64       // repeats that all proxies together may make beside the ratio
-
-	WarmUpExcess, WarmUpSlack float64 // the bound on a cold server in any second is its rate × ColdExcess + ColdSlack
-
-	Seed               uint64        // of the rotation's starting points
-	CrossRegionLatency time.Duration // one way to another region; default 40 ms
-	CrossZoneLatency   time.Duration // one way to another zone of the region; default 1 ms
-	PrefillRate        float64       // prompt tokens that a model server reads in a millisecond, before it is learned; default 50
-	StepTime           time.Duration // one decoding step of a model server; default 6 ms
-}
-
 // Picker decides for one proxy. It is not safe for concurrent use: the caller locks. The zero value is not usable.
 type Picker struct {
 	settings       Settings
@@ -57,7 +39,6 @@
 	prefixes       *prefixcache.Index
 	prefillRate    prefillRate
 	stats          Stats
-	fixedPoolShare float64 // of tests: lanes have this share whatever is observed; 0: by the work
 }
 
 // Stats count what a Picker has done since it was made. They only rise.
@@ -72,21 +53,7 @@
 
 // New makes a Picker that knows no world yet: it refuses all until SetWorld.
 func New(s Settings) *Picker {
-	if s.RetryWindow <= 0 {
-		s.RetryWindow = 10 * time.Second
-	}
-	if s.CrossRegionLatency <= 0 {
-		s.CrossRegionLatency = 40 * time.Millisecond
-	}
-	if s.CrossZoneLatency <= 0 {
-		s.CrossZoneLatency = time.Millisecond
-	}
-	if s.PrefillRate <= 0 {
-		s.PrefillRate = 50
-	}
-	if s.StepTime <= 0 {
-		s.StepTime = 6 * time.Millisecond
-	}
+	s.setDefaults()
 	return &Picker{
 		settings:      s,
 		servers:       map[string]*server{},
--- a/internal/system/proxy/pick/prompt_pools.go
+++ b/internal/system/proxy/pick/prompt_pools.go
@@ -38,8 +38,8 @@
 // promptPoolShare is the share of the servers that long prompts should have; unknown while the peers' work is not known, as the proxies
 // would disagree.
 func (p *Picker) promptPoolShare(now Time, g *group) (share float64, known bool) {
-	if p.fixedPoolShare > 0 {
-		return p.fixedPoolShare, true
+	if fixed := p.settings.TestingKnobs.PromptPoolShare; fixed > 0 {
+		return fixed, true
 	}
 	if now-p.peerLoadsAt >= peerLoadTTL {
 		return 0, false
--- a/internal/system/proxy/pick/sim_test.go
+++ b/internal/system/proxy/pick/sim_test.go
@@ -88,9 +88,9 @@
 	}
 	for i, name := range peers {
 		p := New(Settings{Zone: f.homes[i], Region: sc.regions[f.homes[i]], Regions: sc.regions, RetryRatio: 0.2, RetrySlack: 64,
-			WarmUpExcess: 1.5, WarmUpSlack: 5, Seed: uint64(i), CrossRegionLatency: sc.crossRegion})
+			WarmUpExcess: 1.5, WarmUpSlack: 5, Seed: uint64(i), CrossRegionLatency: sc.crossRegion,
+			TestingKnobs: TestingKnobs{PromptPoolShare: sc.fixedLane}})
 		p.UpdateClusterState(0, ClusterState{Config: f.cfg, Servers: f.servers, Self: name, Peers: peers})
-		p.fixedPoolShare = sc.fixedLane
 		p.group("lm").idleTimeout = sc.keepIdle
 		f.pickers = append(f.pickers, p)
 	}
