--- a/internal/system/proxy/pick/choose.go
+++ b/internal/system/proxy/pick/choose.go
@@ -80,7 +80,7 @@
 	if p.state.MembershipIncomplete {
 		return 0
 	}
-	return p.settings.RetrySlack / float64(p.fleetSize.count())
+	return p.settings.RetrySlack / float64(p.fleet.size.count())
 }
 
 // withoutServer is the verdict when r can't be sent: there may be room in wait milliseconds; infinite: not known.
@@ -131,7 +131,7 @@
 		return misdirected
 	case s.outlier.Ejected(now), r != nil && s.outlier.Suspected() && !s.outlier.MayProbe(now, len(tried) == 0 && r.Route.MaxTries > 1):
 		return ejected
-	case s.warmingUp(now) && !p.hasWarmUpToken(now, s):
+	case s.warmingUp(now) && !p.warmUps.maySend(now, s):
 		return warmUpPaced
 	}
 	return eligible
@@ -165,7 +165,7 @@
 			slots += s.slots()
 			continue
 		case warmUpPaced:
-			warm = min(warm, p.warmUpWait(now, s))
+			warm = min(warm, p.warmUps.waitMS(now, s))
 		}
 		costs[i].total = math.Inf(1)
 	}
@@ -219,7 +219,7 @@
 			continue
 		}
 		for _, s := range g.servers {
-			if p.eligibility(now, s, r, tried) != ejected || s.warmingUp(now) && !p.hasWarmUpToken(now, s) || !p.hasProbeCapacity(s) {
+			if p.eligibility(now, s, r, tried) != ejected || s.warmingUp(now) && !p.warmUps.maySend(now, s) || !p.hasProbeCapacity(s) {
 				continue
 			}
 			if best == nil || s.outlier.EjectedUntil() < best.outlier.EjectedUntil() || s.outlier.EjectedUntil() == best.outlier.EjectedUntil() && s.ownLoad.Requests < best.ownLoad.Requests {
--- a/internal/system/proxy/pick/coldshare_test.go
+++ b/internal/system/proxy/pick/coldshare_test.go
@@ -60,7 +60,7 @@
 	lost = map[int]bool{}
 	for i, p := range f.pickers {
 		p.UpdateClusterState(0, f.world(i, 1, time.Minute))
-		if p.servers["s0"].isSender && len(lost) < count {
+		if p.servers["s0"].warmUp.isSender && len(lost) < count {
 			lost[i] = true
 		} else {
 			left = append(left, f.names[i])
--- a/internal/system/proxy/pick/flight.go
+++ b/internal/system/proxy/pick/flight.go
@@ -10,10 +10,6 @@
 	indexedMemoryShare = 0.7                    // of a server's memory that is estimated to cache parts
 	minFullTime        = 200 * time.Millisecond // a server that said it is full is spared this long
 	maxFullTime        = 500 * time.Millisecond
-	newSenderDelay     = time.Second // a new holder of a cold server waits until others send as its holders, too
-	// successorDelay is longer than a proxy that others have given up goes on as a holder: it is Stale 1.6 s after a keeper's
-	// last word (distribution.FreshnessTTL).
-	successorDelay     = 1800 * time.Millisecond
 	plainOverdueFactor = 4 // an answer without a prompt is overdue after this many usual times
 )
 
@@ -34,7 +30,7 @@
 	if s.warmingUp(now) && s.warmUpRate() > 0 {
 		c.SendWithin = warmUpSendTimeout
 	}
-	p.recordWarmUpSend(now, s)
+	p.warmUps.recordSend(now, s)
 	if r.arrived > 0 {
 		f.isRetry = true
 		s.group.budget.RecordRetry(now, 1)
@@ -110,7 +106,7 @@
 // recordReachable takes note that s has answered. Where it could not be recordReachable before, and no keeper either, it may have turned cold unseen.
 func (p *Picker) recordReachable(now Time, s *server) {
 	if s.outlier.Unreachable() && p.state.Stale {
-		p.paceUntilConfirmed(now, s)
+		p.warmUps.paceUntilConfirmed(now, s)
 	}
 }
 
--- a/internal/system/proxy/pick/invariants.go
+++ b/internal/system/proxy/pick/invariants.go
@@ -42,15 +42,3 @@
 func (p *Picker) checkEligibility(r *Request, s *server) {
 	eligibilityInvariant.Check(!s.Draining && !p.state.Evacuated[s.Zone] && r.allowsRegion(s.Region))
 }
-
-// checkWarmUpEnd checks, by what the list tells now, that s was warm when a request first went to it as to a warm server.
-func (p *Picker) checkWarmUpEnd(now Time, s *server) {
-	if s.firstWarmSendAt == 0 || s.WarmUpMin <= 0 {
-		return
-	}
-	// The cold state that is told began at this moment at the latest. One that began after this proxy had heard of the former one is
-	// another one, of which no reading may have told in time.
-	began := now + s.WarmUpMax - p.warmUpTime(s.Service)
-	warmUpEndInvariant.Check(began > s.endedWarmUpLearnedAt)
-	s.firstWarmSendAt = 0
-}
--- a/internal/system/proxy/pick/invariants_test.go
+++ b/internal/system/proxy/pick/invariants_test.go
@@ -17,7 +17,7 @@
 	p.UpdateClusterState(0, f.world(0, 1, time.Minute))
 	f.press(0, 5*time.Second, 10*time.Millisecond, nil)
 	invarianttest.Expect(t, warmUpRateInvariant, func() {
-		f.press(5*time.Second, 5100*time.Millisecond, 10*time.Millisecond, func(Time) { p.servers["s0"].tokens = 2 })
+		f.press(5*time.Second, 5100*time.Millisecond, 10*time.Millisecond, func(Time) { p.servers["s0"].warmUp.bucket.tokens = 2 })
 	})
 }
 
@@ -66,7 +66,7 @@
 	p.UpdateClusterState(5*time.Second, w)
 	w.Evacuated, w.ZoneChanges, w.ListCoversSeq = nil, map[string]uint64{"z": 7}, 6
 	p.UpdateClusterState(back, w)
-	if !p.servers["s0"].awaitsNewerList {
+	if !p.servers["s0"].warmUp.awaitsNewerList {
 		t.Error("not paced though the list cannot tell")
 	}
 	w = f.world(0, 1, 1700*time.Millisecond)
--- a/internal/system/proxy/pick/picker.go
+++ b/internal/system/proxy/pick/picker.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-	"time"
 
 	"gradeusher.example/gradeusher/internal/system/config"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
@@ -13,32 +12,27 @@
 
 // Picker decides for one proxy. It is not safe for concurrent use: the caller locks. The zero value is not usable.
 type Picker struct {
-	settings       Settings
-	state          ClusterState
-	started        Time
-	hasState       bool // SetWorld was called
-	servers        map[string]*server
-	groups         map[string]*group // by service
-	rotations      rotation.Table
-	regionIndexes  map[string]int // small numbers for regions; 0 is this proxy's own
-	regionNames    []string       // of the regions, by number
-	attempts       map[uint64]*attempt
-	freeAttempts   *attempt // sends to be used again
-	lastTicket     uint64
-	costs          []cost            // scratch, one for each server of the group that is looked at
-	prompt         prefixcache.Chain // scratch, of the request that is looked at
-	costModel      costModel
-	fleetSize      fleetSize
-	peersChangedAt Time // when the live proxies last changed
-	zoneChanges    zoneChanges
-	staleSince     Time // when it last became Stale
-	resumedAt      Time // when this proxy was last Stale, Partial or stalled
-	stalled        bool // it stood still, and has not heard from a keeper since
-	stalledAt      Time // the end of its last stall
-	peerLoadsAt    Time // of the last SetLoads
-	prefixes       *prefixcache.Index
-	prefillRate    prefillRate
-	stats          Stats
+	settings      Settings
+	state         ClusterState
+	started       Time
+	hasState      bool // SetWorld was called
+	servers       map[string]*server
+	groups        map[string]*group // by service
+	rotations     rotation.Table
+	regionIndexes map[string]int // small numbers for regions; 0 is this proxy's own
+	regionNames   []string       // of the regions, by number
+	attempts      map[uint64]*attempt
+	freeAttempts  *attempt // sends to be used again
+	lastTicket    uint64
+	costs         []cost            // scratch, one for each server of the group that is looked at
+	prompt        prefixcache.Chain // scratch, of the request that is looked at
+	costModel     costModel
+	fleet         fleetView
+	warmUps       warmUpPacer
+	peerLoadsAt   Time // of the last SetLoads
+	prefixes      *prefixcache.Index
+	prefillRate   prefillRate
+	stats         Stats
 }
 
 // Stats count what a Picker has done since it was made. They only rise.
@@ -54,10 +48,9 @@
 // New makes a Picker that knows no world yet: it refuses all until SetWorld.
 func New(s Settings) *Picker {
 	s.setDefaults()
-	return &Picker{
+	p := &Picker{
 		settings:      s,
 		servers:       map[string]*server{},
-		zoneChanges:   zoneChanges{},
 		groups:        map[string]*group{},
 		regionIndexes: map[string]int{s.Region: 0},
 		regionNames:   []string{s.Region},
@@ -65,6 +58,8 @@
 		prefixes:      prefixcache.NewIndex(),
 		prefillRate:   prefillRate{tokensPerMS: s.PrefillRate},
 	}
+	p.warmUps = warmUpPacer{settings: &p.settings, state: &p.state, fleet: &p.fleet, stats: &p.stats, zoneChanges: zoneChanges{}}
+	return p
 }
 
 // UpdateClusterState replaces what is known of configuration, servers, zones and proxies. Servers whose id stays keep what was
@@ -74,23 +69,10 @@
 		p.hasState, p.started = true, now
 	}
 	reconfigured := p.state.Config != w.Config
-	if !slices.Equal(p.state.Peers, w.Peers) || p.state.MembershipIncomplete != w.MembershipIncomplete {
-		p.peersChangedAt = now
-	}
 	before := p.state
 	p.state = w
-	p.zoneChanges.update(now, w.ZoneChanges)
-	p.fleetSize.observe(now, len(w.Peers)+w.DownCount)
-	if w.Stale && !before.Stale {
-		p.staleSince = now
-	}
-	heard := p.stalled && p.hasContactSince(now, p.stalledAt)
-	if heard {
-		p.stalled = false
-	}
-	if before.Stale && !w.Stale || before.MembershipIncomplete && !w.MembershipIncomplete || heard {
-		p.resumedAt = now
-	}
+	p.warmUps.zoneChanges.update(now, w.ZoneChanges)
+	p.fleet.update(now, &before, &p.state)
 
 	listed := make(map[string]*server, len(w.Servers))
 	for _, g := range p.groups {
@@ -146,18 +128,11 @@
 	s.WarmUpMax = max(0, s.WarmUpMax-p.state.Age)
 	s.WarmUpMin = max(0, s.WarmUpMin-p.state.Age)
 	s.regionIndex = p.regionIndex(told.Region)
-	p.updateWarmUp(now, s)
+	p.warmUps.update(now, s)
 	if s.misdirected && now-s.misdirectedAt > misdirectedTimeout {
 		s.misdirected = false
 	}
-	held := s.isSender
-	s.isSender = p.isWarmUpSender(s)
-	switch {
-	case !s.listed:
-		s.senderSince = p.peersChangedAt // its holders are those that these peers name, once all know them
-	case !held:
-		s.senderSince = now
-	}
+	p.warmUps.updateSender(now, s)
 	s.listed = true
 	g := p.group(told.Service)
 	s.group = g
@@ -251,29 +226,6 @@
 	}
 }
 
-// fleetSize holds the highest number of proxies of the last while: when some seem to be gone, they may be cut off and
-// still use their part, so the others' parts do not grow at once.
-type fleetSize struct {
-	current, highest int
-	highestAt        Time
-}
-
-// fleetSizeTTL is how long a proxy that is no longer listed still counts for the parts of the others.
-const fleetSizeTTL = 30 * time.Second
-
-func (c *fleetSize) observe(now Time, n int) {
-	if c.current >= c.highest {
-		c.highestAt = now // the highest number held until now
-	}
-	c.current = max(n, 1)
-	if c.current >= c.highest || now-c.highestAt > fleetSizeTTL {
-		c.highest, c.highestAt = c.current, now
-	}
-}
-
-// count is the number of proxies that parts are cut for.
-func (c *fleetSize) count() int { return max(c.highest, 1) }
-
 // sortedIDs lists the known servers, for output that does not change from call to call.
 func (p *Picker) sortedIDs() []string {
 	ids := make([]string, 0, len(p.servers))
--- a/internal/system/proxy/pick/server.go
+++ b/internal/system/proxy/pick/server.go
@@ -13,7 +13,6 @@
 const (
 	misdirectedTimeout = 3 * time.Second        // a server whose address answered 421 stays out at least this long
 	drainHintTTL       = 3 * time.Second        // a hint that a server leaves holds this long
-	warmUpHintTTL      = 3 * time.Second        // a server's own word on being cold outlives a list that says warm by this
 	reportedLoadTTL    = 400 * time.Millisecond // X-Server-Load is believed this long
 	peerLoadTTL        = 2 * time.Second        // the loads of other proxies are believed this long
 )
@@ -60,21 +59,8 @@
 	}
 	relativeSpeed float64 // of reading prompts, against the fleet's
 
-	warmUntil, warmUpHintAt, senderSince Time
-	awaitsFirstWarmSend                  bool // no request was sent to it as a warm one since it turned cold
-	firstWarmSendAt                      Time // when the first one was; 0: none, or it was judged
-	endedWarmUpLearnedAt                 Time // when this proxy had heard of the cold state that was taken to be over then
-	warmUpLearnedAt                      Time // when this proxy heard of the last cold state
-	unconfirmed                          bool // it may have turned cold at unseenAt or before, of which no keeper's word has come since
-	unconfirmedAt                        Time
-	pacedUnconfirmed                     bool // it counts as cold only because it was unseen
-	recentWarmUpSends                    sendWindow
-	listed                               bool // in a list before
-	isSender                             bool // this proxy may send to it while it is cold
-	awaitsNewerList                      bool // it may have turned cold without a reading of the list that could show it
-	tokens                               float64
-	maxRefillRate                        float64 // the highest pace, in requests a second, by which token was refilled since it was spent
-	refilledAt                           Time
+	listed bool // in a list before
+	warmUp warmUpState
 
 	misdirected    bool // its address answered for another server
 	misdirectedAt  Time
@@ -125,18 +111,6 @@
 	return 1
 }
 
-// warmingUp tells whether s is warmingUp.
-func (s *server) warmingUp(now Time) bool { return now < s.warmUntil }
-
-func (p *Picker) setWarmingUp(now Time, s *server, until Time) {
-	if !s.warmingUp(now) && until > now {
-		s.tokens, s.refilledAt = 0, now // it turns cold: nothing was saved up
-		s.awaitsFirstWarmSend, s.recentWarmUpSends, s.warmUpLearnedAt, s.pacedUnconfirmed = true, sendWindow{}, now, false
-		p.stats.WarmUpStarts++
-	}
-	s.warmUntil = until
-}
-
 // overdue is by how much the oldest prompt at s is late, in milliseconds: a server that is slow, frozen or dark shows
 // by it before any send fails.
 func (s *server) overdue(now Time) float64 {
@@ -160,14 +134,6 @@
 	}
 }
 
-// WarmingUp takes X-WarmingUp-Ms: how much longer the server is cold; 0: no longer.
-func (p *Picker) WarmingUp(now Time, id string, left time.Duration) {
-	if s := p.servers[id]; s != nil {
-		p.setWarmingUp(now, s, now+max(left, 0))
-		s.warmUpHintAt = now
-	}
-}
-
 // ServerDraining takes the hint that a server is about to leave: it is used last for some seconds.
 func (p *Picker) ServerDraining(now Time, id string) {
 	if s := p.servers[id]; s != nil {
--- a/internal/system/proxy/pick/stalled_test.go
+++ b/internal/system/proxy/pick/stalled_test.go
@@ -28,7 +28,7 @@
 		p.UpdateClusterState(woke+word.came, w)
 		for id, s := range p.servers {
 			if !p.AwaitsControlPlane() || !s.warmingUp(woke+coldFor-1) || s.warmingUp(woke+coldFor) {
-				t.Errorf("%+v: %s is cold until %v, want %v", word, id, s.warmUntil, woke+coldFor)
+				t.Errorf("%+v: %s is cold until %v, want %v", word, id, s.warmUp.until, woke+coldFor)
 			}
 		}
 	}
@@ -45,8 +45,8 @@
 	const woke = 10 * time.Second
 	p, f := stalledPicker(woke)
 	p.UpdateClusterState(woke+100*time.Millisecond, f.world(0, 1, 2*time.Second))
-	if s := p.servers["s0"]; s.warmUntil != woke+2100*time.Millisecond {
-		t.Errorf("cold until %v", s.warmUntil)
+	if s := p.servers["s0"]; s.warmUp.until != woke+2100*time.Millisecond {
+		t.Errorf("cold until %v", s.warmUp.until)
 	}
 }
 
@@ -56,15 +56,15 @@
 	f := newColdFleet(60)
 	for i, p := range f.pickers {
 		p.UpdateClusterState(0, f.world(i, 1, time.Minute))
-		if !p.servers["s0"].isSender {
+		if !p.servers["s0"].warmUp.isSender {
 			continue
 		}
 		p.Stalled(woke)
-		if _, may := p.sendsFrom(woke, p.servers["s0"]); may {
+		if _, may := p.warmUps.sendsFrom(woke, p.servers["s0"]); may {
 			t.Error("it holds on as it wakes")
 		}
 		p.UpdateClusterState(woke+time.Second, f.world(i, 1, time.Minute))
-		if from, may := p.sendsFrom(woke+time.Second, p.servers["s0"]); !may || from != woke+time.Second+successorDelay {
+		if from, may := p.warmUps.sendsFrom(woke+time.Second, p.servers["s0"]); !may || from != woke+time.Second+successorDelay {
 			t.Errorf("it holds again %v, from %v", may, from)
 		}
 	}
@@ -76,7 +76,7 @@
 	w := f.world(0, 1, 2*time.Second)
 	w.Age = 500 * time.Millisecond
 	p.UpdateClusterState(time.Second, w)
-	if s := p.servers["s0"]; s.warmUntil != 2500*time.Millisecond {
-		t.Errorf("cold until %v, want 2.5 s", s.warmUntil)
+	if s := p.servers["s0"]; s.warmUp.until != 2500*time.Millisecond {
+		t.Errorf("cold until %v, want 2.5 s", s.warmUp.until)
 	}
 }
--- a/internal/system/proxy/pick/takenback_test.go
+++ b/internal/system/proxy/pick/takenback_test.go
@@ -66,7 +66,7 @@
 	w.Evacuated, w.ZoneChanges = nil, map[string]uint64{"z": 9}
 	p.UpdateClusterState(3*back, w)
 	if s := p.servers["s0"]; !s.warmingUp(3*back+coldFor-1) || s.warmingUp(3*back+coldFor) {
-		t.Errorf("without a list cold for %v, of %v", s.warmUntil-3*back, coldFor)
+		t.Errorf("without a list cold for %v, of %v", s.warmUp.until-3*back, coldFor)
 	}
 }
 
@@ -124,7 +124,7 @@
 	p.UpdateClusterState(back+300*time.Millisecond, without)
 	p.UpdateClusterState(back+400*time.Millisecond, world(1))
 	if s := p.servers["s0"]; !s.warmingUp(back+400*time.Millisecond) || s.warmingUp(back+coldFor) {
-		t.Errorf("after its service was missing cold until %v, want %v", s.warmUntil, back+coldFor)
+		t.Errorf("after its service was missing cold until %v, want %v", s.warmUp.until, back+coldFor)
 	}
 }
 
--- a/internal/system/proxy/pick/types.go
+++ b/internal/system/proxy/pick/types.go
@@ -50,6 +50,17 @@
 	Stale bool
 }
 
+// service is what the configuration says of a service; nil: nothing.
+func (c *ClusterState) service(name string) *config.Service {
+	if c.Config == nil {
+		return nil
+	}
+	return c.Config.Services[name]
+}
+
+// hasContactSince reports whether the state shows what the control plane knew at a time or later.
+func (c *ClusterState) hasContactSince(now, since Time) bool { return now-c.ContactAge-c.Age >= since }
+
 // Load is what one proxy, or all other proxies together, have brought to a server and is not yet answered.
 type Load struct {
 	Requests int   // running or waiting there
