--- a/internal/system/proxy/pick/coldsplit_test.go
+++ b/internal/system/proxy/pick/coldsplit_test.go
@@ -114,7 +114,7 @@
 	f.press(0, 2910*time.Millisecond, 10*time.Millisecond, nil) // the last goes at 2.9 s
 	n := f.sent[len(f.sent)-1]
 	tell(n+10*time.Millisecond, 310)
-	p.eligibility(n+20*time.Millisecond, p.servers["s0"], nil, nil) // it is looked at, and the request goes to another
+	p.eligibility(&pickInput{now: n + 20*time.Millisecond}, p.servers["s0"]) // it is looked at, and the request goes to another
 	tell(n+30*time.Millisecond, 3.1)
 	f.press(n+40*time.Millisecond, n+2*time.Second, 10*time.Millisecond, nil)
 	if warmUpRateInvariant.Violations() != before {
--- /dev/null
+++ b/internal/system/proxy/pick/doc.go
@@ -0,0 +1,2 @@
+// Package pick decides which server gets which request.
+package pick
--- a/internal/system/proxy/pick/golden_trace_test.go
+++ b/internal/system/proxy/pick/golden_trace_test.go
@@ -76,7 +76,7 @@
 	tr.flag(offered)
 	tr.text(c.Server.ID)
 	tr.num(int64(c.Ticket), int64(c.Priority), int64(c.RetryAfter), int64(c.SendWithin))
-	if s := p.attempts[c.Ticket]; s != nil {
+	if s := p.attempts.byTicket[c.Ticket]; s != nil {
 		tr.num(int64(s.expectedAt), s.prefillTokens, s.memoryTokens)
 		tr.flag(s.measuresRate)
 		tr.flag(s.isRetry)
--- a/internal/system/proxy/pick/invariants_test.go
+++ b/internal/system/proxy/pick/invariants_test.go
@@ -48,7 +48,7 @@
 	invarianttest.Expect(t, eligibilityInvariant, func() {
 		p.state.Evacuated = map[string]bool{"z": true}
 		r := &Request{Route: f.config.Routes[0], TimeLeft: time.Second}
-		p.Done(0, p.send(0, Result{}, r, p.servers["s0"], cost{}, &prefixcache.Chain{}).Ticket, Served, 0)
+		p.Done(0, p.send(&pickInput{request: r, prompt: &prefixcache.Chain{}}, Result{}, p.servers["s0"], cost{}).Ticket, Served, 0)
 	})
 }
 
--- a/internal/system/proxy/pick/prompt_pools.go
+++ b/internal/system/proxy/pick/prompt_pools.go
@@ -85,7 +85,7 @@
 		g.mix.RecordLong(now)
 		return
 	}
-	for region, name := range p.regionNames {
+	for region, name := range p.regions.names {
 		if region < promptpool.MaxRegions && r.allowsRegion(name) {
 			g.mix.RecordShort(now, region)
 		}
@@ -102,7 +102,7 @@
 // placePrompt finds the servers that are for r's prompt by the prompts that have come to g of late.
 func (p *Picker) placePrompt(now Time, r *Request, g *group, isLong bool) promptPlacement {
 	placement := promptPlacement{isLong: isLong}
-	justStarted := now-p.started <= promptpool.MixTTL // it does not know yet, and assumes that both kinds come
+	justStarted := now-p.startedAt <= promptpool.MixTTL // it does not know yet, and assumes that both kinds come
 	if !justStarted && !g.mix.HasLong(now) {
 		return placement
 	}
--- a/internal/system/proxy/pick/property_test.go
+++ b/internal/system/proxy/pick/property_test.go
@@ -156,8 +156,8 @@
 
 // check tells what of a Picker with nothing in flight does not add up.
 func (p *Picker) check(t *rapid.T) {
-	if len(p.attempts) > 0 {
-		t.Fatalf("%d sends are left", len(p.attempts))
+	if len(p.attempts.byTicket) > 0 {
+		t.Fatalf("%d sends are left", len(p.attempts.byTicket))
 	}
 	if l := p.Loads(); len(l) > 0 {
 		t.Fatalf("loads are left: %v", l)
@@ -167,7 +167,7 @@
 	}
 	entries := 0
 	for _, s := range p.servers {
-		if s.oldestPending != nil || s.newestPending != nil || s.outlier.Probing() {
+		if s.pending.oldest != nil || s.pending.newest != nil || s.outlier.Probing() {
 			t.Fatalf("%s awaits an event of nothing", s.ID)
 		}
 		if s.prefixes.Len() == 0 && s.prefixes.Tokens() != 0 {
--- /dev/null
+++ b/internal/system/proxy/pick/request.go
@@ -0,0 +1,69 @@
+package pick
+
+import (
+	"slices"
+	"time"
+
+	"gradeusher.example/gradeusher/internal/system/config"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
+)
+
+// PrefixPart is one part of a prompt.
+type PrefixPart = prefixcache.Part
+
+// Request is a client's request.
+type Request struct {
+	Route        *config.Route
+	Model        string
+	TokensIn     int           // of the prompt
+	MaxTokensOut int           // of the answer
+	Prefix       []PrefixPart  // the prompt's parts in order; shared between requests, but for the last
+	TimeLeft     time.Duration // of the client's time and the route's timeout, whichever is shorter
+	Age          time.Duration // since the head was read here
+	Resumed      bool          // continues a stream after Last-Event-Id
+
+	arrived int // attempts that reached a server, or are under way to one
+}
+
+// allowsRegion reports whether r may go to a region, by its route's home regions.
+func (r *Request) allowsRegion(region string) bool {
+	return len(r.Route.HomeRegions) == 0 || slices.Contains(r.Route.HomeRegions, region)
+}
+
+// maxTries is how many attempts of r may reach a server.
+func (r *Request) maxTries() int { return max(r.Route.MaxTries, 1) }
+
+// Outcome is how one attempt at a server ended.
+type Outcome uint8
+
+// The outcomes.
+const (
+	Served         Outcome = iota // a whole answer
+	NotExecuted                   // the server said that it did not run it (X-Not-Executed): full, or too late in its queue
+	Misdirected                   // 421: another server has the address now
+	ConnectFailed                 // no connection, or not a byte was sent
+	ConnectionLost                // sent, then a reset, a close or bytes that are no answer: may have run
+	TimedOut                      // sent, and no answer in the time that was given: may have run
+	ServerError                   // an answer of 5xx that ran
+	Canceled                      // the client went away, or this end gave it up
+)
+
+// Verdict is what is to be done with a request now.
+type Verdict uint8
+
+// The verdicts.
+const (
+	Send   Verdict = iota // to Result.Server
+	Reject                // answer 503 with Retry-After: nothing can serve it in time (only where it has not run)
+	GiveUp                // no further attempt is allowed (tries, budget, no other server): answer with what there is
+)
+
+// Result is a verdict with what it needs.
+type Result struct {
+	Verdict    Verdict
+	Server     Server
+	Ticket     uint64        // names this attempt in Started, FirstEvent and Done
+	Priority   int           // for the Priority header, 0 to 9
+	RetryAfter time.Duration // with Reject: when there will be capacity
+	SendWithin time.Duration // with Send: the request goes out so soon after the choice, or not at all; 0: whenever it can
+}
--- /dev/null
+++ b/internal/system/proxy/pick/send.go
@@ -0,0 +1,160 @@
+package pick
+
+import "time"
+
+const (
+	// indexedMemoryShare is the part of a server's memory that is estimated to cache prefixes.
+	indexedMemoryShare = 0.7
+	// plainOverdueFactor is how many usual service times an answer of a server without an engine may take until it is overdue.
+	plainOverdueFactor = 4
+
+	minFullTime = 200 * time.Millisecond // a server that said that it is full is spared this long
+	maxFullTime = 500 * time.Millisecond
+)
+
+// send registers an attempt at s, which is estimated to cost that much, and completes the result.
+func (p *Picker) send(in *pickInput, result Result, s *server, estimated cost) Result {
+	now, r := in.now, in.request
+	a := p.attempts.start(now, r, s)
+	s.outlier.StartAttempt(a.ticket)
+	p.checkEligibility(r, s)
+	if s.warmingUp(now) && s.warmUpRate() > 0 {
+		result.SendWithin = warmUpSendTimeout
+	}
+	p.warmUps.recordSend(now, s)
+	if r.arrived > 0 {
+		a.isRetry = true
+		s.group.budget.RecordRetry(now, 1)
+	}
+	r.arrived++
+	s.load.own.Requests++
+	s.idle.take(now, s.group.idleTimeout)
+	if s.group.engine() != nil {
+		a.expectedAt = now + durationMS(estimated.firstEventMS)
+		p.recordPrefill(in, a)
+	} else {
+		a.expectedAt = now + durationMS(estimated.firstEventMS+plainOverdueFactor*s.group.serviceTimeMS)
+	}
+	s.pending.add(a)
+	result.Verdict, result.Server, result.Ticket = Send, s.Server, a.ticket
+	return result
+}
+
+// recordPrefill notes the work and memory that an attempt at a model server takes there, and that its prompt is cached from now on.
+func (p *Picker) recordPrefill(in *pickInput, a *attempt) {
+	r, s := in.request, a.server
+	lookup := &p.scratch.lookup
+	p.prefixes.Find(in.prompt, lookup)
+	tokensIn := max(r.TokensIn, 0)
+	cachedTokens := min(lookup.CachedTokens(&s.prefixes), tokensIn)
+	a.prefillTokens = int64(tokensIn - cachedTokens)
+	a.memoryTokens = a.prefillTokens + int64(max(r.MaxTokensOut, 0))
+	isAlone := s.load.own.Prefill == 0 && s.load.peers.Prefill == 0
+	a.measuresRate = isAlone && cachedTokens == 0 && a.prefillTokens >= minSampleTokens && !s.warmingUp(in.now)
+	s.group.demand.Add(in.now, p.isLongPrompt(tokensIn), a.prefillTokens)
+	s.load.own.Prefill += a.prefillTokens
+	s.load.own.Tokens += a.memoryTokens
+	p.prefixes.Record(&s.prefixes, in.prompt, int64(indexedMemoryShare*float64(s.group.engine().CacheTokens)))
+}
+
+// Started notes that the head of an answer has come: the server lives.
+func (p *Picker) Started(now Time, ticket uint64) {
+	a := p.attempts.byTicket[ticket]
+	if a == nil {
+		return
+	}
+	p.recordReachable(now, a.server)
+	a.server.outlier.RecordResponse(a.ticket)
+	if a.server.group.engine() == nil {
+		a.endPending()
+	}
+}
+
+// FirstEvent notes that the first event of a stream has come, so its prompt is prefilled and cached there.
+func (p *Picker) FirstEvent(now Time, ticket uint64) {
+	a := p.attempts.byTicket[ticket]
+	if a == nil || !a.isPending {
+		return
+	}
+	a.endPending()
+	p.recordReachable(now, a.server)
+	a.server.outlier.RecordResponse(a.ticket)
+	if a.measuresRate {
+		p.observePrefill(now, a)
+	}
+}
+
+// Done ends an attempt. retryAfter is what the server's Retry-After said, 0 if nothing. A ticket that is not known, or was ended before,
+// does nothing.
+func (p *Picker) Done(now Time, ticket uint64, outcome Outcome, retryAfter time.Duration) {
+	a := p.attempts.byTicket[ticket]
+	if a == nil {
+		return
+	}
+	delete(p.attempts.byTicket, ticket)
+	a.endPending()
+	a.server.load.own.Requests--
+	a.server.load.own.Tokens -= a.memoryTokens
+	wasProbe := a.server.outlier.EndAttempt(ticket)
+	switch outcome {
+	case Served:
+		p.recordServed(now, a)
+	case NotExecuted:
+		p.recordNotExecuted(now, a.server, retryAfter)
+	case Misdirected:
+		a.server.misdirected, a.server.misdirectedAt = true, now
+		p.prefixes.RemoveServer(&a.server.prefixes)
+	case ConnectFailed:
+		a.recordNoAnswer(now)
+		a.recordNotSent(now)
+	case TimedOut:
+		a.recordNoAnswer(now)
+	case ConnectionLost:
+		a.server.outlier.RecordBroken(now, wasProbe)
+	case ServerError:
+		a.server.outlier.RecordServerError(now)
+	case Canceled:
+	}
+	p.attempts.release(a)
+}
+
+// recordServed takes in a whole answer.
+func (p *Picker) recordServed(now Time, a *attempt) {
+	s := a.server
+	s.idle.put(now)
+	p.recordReachable(now, s)
+	s.outlier.RecordSuccess()
+	s.group.observeServiceTime(ms(now - a.sentAt))
+	s.group.observeServed()
+}
+
+// recordNotExecuted takes in that a server was full.
+func (p *Picker) recordNotExecuted(now Time, s *server, retryAfter time.Duration) {
+	s.idle.put(now)
+	p.recordReachable(now, s)
+	s.outlier.RecordRejection()
+	s.group.observeFull(s.load.requests(now, p.peerLoadsAt), s.slots())
+	s.fullUntil = now + min(max(retryAfter, minFullTime), maxFullTime)
+}
+
+// recordNoAnswer takes in that nothing came back: idle connections are likely broken, too.
+func (a *attempt) recordNoAnswer(now Time) {
+	a.server.idle = idleConns{}
+	a.server.outlier.RecordFailure(now)
+}
+
+// recordNotSent takes back what was counted for an attempt that never reached its server.
+func (a *attempt) recordNotSent(now Time) {
+	a.request.arrived--
+	if a.isRetry {
+		a.server.group.budget.RecordRetry(now, -1)
+	}
+}
+
+// recordReachable notes that s has answered. Where it could not be reached before, and the control plane not either, it may have begun to
+// warm up unseen.
+func (p *Picker) recordReachable(now Time, s *server) {
+	if s.outlier.Unreachable() && p.state.Stale {
+		p.warmUps.paceUntilConfirmed(now, s)
+	}
+}
