--- a/internal/system/proxy/pick/cost.go
+++ b/internal/system/proxy/pick/cost.go
@@ -94,16 +94,16 @@
 	return m
 }
 
-// estimate is what s would cost the request. The terms are summed in a fixed order, so that costs are the same to the bit.
-func (m *costModel) estimate(s *server) cost {
-	c := cost{
+// estimate works out in c what s would cost the request. The terms are summed in a fixed order, so that costs are the same to the bit.
+func (m *costModel) estimate(s *server, c *cost) {
+	*c = cost{
 		firstEventMS: m.network.roundTripMS(s),
 		penaltyMS:    m.network.crossingCost(s, m.request.TokensIn),
 		requests:     s.load.requests(m.now, m.peerLoadsAt),
 	}
 	c.addQueueing(s.slotQueueingMS(c.requests))
 	if m.hasEngine {
-		m.addEngineTerms(&c, s)
+		m.addEngineTerms(c, s)
 	} else {
 		c.penaltyMS += s.fillPenaltyMS(c.requests)
 	}
@@ -121,7 +121,6 @@
 	if math.IsNaN(c.totalMS) {
 		c.totalMS = math.Inf(1)
 	}
-	return c
 }
 
 // slotQueueingMS is how long a further request waits for a slot of s.
--- a/internal/system/proxy/pick/pick.go
+++ b/internal/system/proxy/pick/pick.go
@@ -166,17 +166,18 @@
 	}
 	estimates := groupEstimates{costs: p.scratch.costs[:count], leastMS: math.Inf(1), warmUpWaitMS: math.Inf(1)}
 	for i, s := range g.servers {
+		estimated := &estimates.costs[i]
 		switch p.eligibility(in, s) {
 		case eligible:
-			estimates.costs[i] = model.estimate(s)
-			estimates.leastMS = min(estimates.leastMS, estimates.costs[i].totalMS)
-			estimates.requests += estimates.costs[i].requests
+			model.estimate(s, estimated)
+			estimates.leastMS = min(estimates.leastMS, estimated.totalMS)
+			estimates.requests += estimated.requests
 			estimates.slots += s.slots()
 			continue
 		case warmUpPaced:
 			estimates.warmUpWaitMS = min(estimates.warmUpWaitMS, p.warmUps.waitMS(in.now, s))
 		}
-		estimates.costs[i].totalMS = math.Inf(1)
+		estimated.totalMS = math.Inf(1)
 	}
 	return estimates
 }
--- a/internal/system/proxy/pick/prefixcache/index.go
+++ b/internal/system/proxy/pick/prefixcache/index.go
@@ -134,8 +134,8 @@
 
 // CachedTokens is how many leading tokens of the prompt s is estimated to have cached.
 func (l *Lookup) CachedTokens(s *Server) (tokens int) {
-	for i, entries := range l.entries {
-		if !hasServer(entries, s) {
+	for i := range l.entries {
+		if !hasServer(l.entries[i], s) {
 			break
 		}
 		tokens = l.endTokens[i]
--- a/internal/system/proxy/pick/probe.go
+++ b/internal/system/proxy/pick/probe.go
@@ -16,7 +16,8 @@
 			}
 		}
 		if best != nil {
-			return best, p.initCostModel(in, g).estimate(best)
+			p.initCostModel(in, g).estimate(best, &estimated)
+			return best, estimated
 		}
 	}
 	return nil, cost{}
