--- a/internal/system/proxy/pick/attempt.go
+++ b/internal/system/proxy/pick/attempt.go
@@ -58,22 +58,22 @@
 }
 
 // remove takes a off the list, and reports whether it was on it.
-func (l *pendingAttempts) remove(a *attempt) bool {
-	if !a.isPending {
+func (l *pendingAttempts) remove(ended *attempt) bool {
+	if !ended.isPending {
 		return false
 	}
-	a.isPending = false
-	if a.prev != nil {
-		a.prev.next = a.next
+	ended.isPending = false
+	if ended.prev != nil {
+		ended.prev.next = ended.next
 	} else {
-		l.oldest = a.next
+		l.oldest = ended.next
 	}
-	if a.next != nil {
-		a.next.prev = a.prev
+	if ended.next != nil {
+		ended.next.prev = ended.prev
 	} else {
-		l.newest = a.prev
+		l.newest = ended.prev
 	}
-	a.prev, a.next = nil, nil
+	ended.prev, ended.next = nil, nil
 	return true
 }
 
--- a/internal/system/proxy/pick/cluster_state.go
+++ b/internal/system/proxy/pick/cluster_state.go
@@ -116,22 +116,22 @@
 }
 
 // updateServer takes in what the list says of one server.
-func (p *Picker) updateServer(now Time, s *server, entry Server) {
+func (p *Picker) updateServer(now Time, known *server, entry Server) {
 	if entry.Region == "" {
 		entry.Region = p.settings.Regions[entry.Zone]
 	}
-	s.Server = entry
-	s.WarmUpMax = max(0, s.WarmUpMax-p.state.Age)
-	s.WarmUpMin = max(0, s.WarmUpMin-p.state.Age)
-	s.regionIndex = p.regions.index(entry.Region)
-	p.warmUps.update(now, s)
-	if s.misdirected && now-s.misdirectedAt > misdirectedTimeout {
-		s.misdirected = false
+	known.Server = entry
+	known.WarmUpMax = max(0, known.WarmUpMax-p.state.Age)
+	known.WarmUpMin = max(0, known.WarmUpMin-p.state.Age)
+	known.regionIndex = p.regions.index(entry.Region)
+	p.warmUps.update(now, known)
+	if known.misdirected && now-known.misdirectedAt > misdirectedTimeout {
+		known.misdirected = false
 	}
-	p.warmUps.updateSender(now, s)
-	s.listed = true
-	s.group = p.group(entry.Service)
-	s.group.servers = append(s.group.servers, s)
+	p.warmUps.updateSender(now, known)
+	known.listed = true
+	known.group = p.group(entry.Service)
+	known.group.servers = append(known.group.servers, known)
 }
 
 // updateGroups takes in the configured services, and forgets services that neither have servers nor are configured.
--- a/internal/system/proxy/pick/cost.go
+++ b/internal/system/proxy/pick/cost.go
@@ -70,56 +70,56 @@
 	placement    promptPlacement
 }
 
-// initCostModel works out what the costs of g's servers have in common. It records the request's prompt in the group's mix.
-func (p *Picker) initCostModel(in *pickInput, g *group) *costModel {
-	m := &p.scratch.costModel
-	*m = costModel{now: in.now, request: in.request, network: &p.network, peerLoadsAt: p.peerLoadsAt, toleranceMS: plainTolerance}
-	engine := g.engine()
+// initCostModel works out what the costs of a group's servers have in common. It records the request's prompt in the group's mix.
+func (p *Picker) initCostModel(input *pickInput, members *group) *costModel {
+	model := &p.scratch.costModel
+	*model = costModel{now: input.now, request: input.request, network: &p.network, peerLoadsAt: p.peerLoadsAt, toleranceMS: plainTolerance}
+	engine := members.engine()
 	if engine == nil {
-		return m
+		return model
 	}
-	m.hasEngine, m.toleranceMS = true, engineTolerance
-	e := &m.engine
-	e.tokensPerMS, e.stepMS, e.cacheTokens = p.prefillRate.tokensPerMS, ms(p.settings.StepTime), engine.CacheTokens
-	e.tokensIn, e.maxTokensOut = max(in.request.TokensIn, 0), max(in.request.MaxTokensOut, 0)
-	p.prefixes.Find(in.prompt, &e.cached)
-	key, shared := in.prompt.Shared()
-	e.sharedTokens = min(shared, e.tokensIn)
-	isLong := p.isLongPrompt(e.tokensIn)
-	p.recordPrompt(in.now, in.request, g, isLong)
-	e.placement = p.placePrompt(in.now, in.request, g, isLong)
+	model.hasEngine, model.toleranceMS = true, engineTolerance
+	terms := &model.engine
+	terms.tokensPerMS, terms.stepMS, terms.cacheTokens = p.prefillRate.tokensPerMS, ms(p.settings.StepTime), engine.CacheTokens
+	terms.tokensIn, terms.maxTokensOut = max(input.request.TokensIn, 0), max(input.request.MaxTokensOut, 0)
+	p.prefixes.Find(input.prompt, &terms.cached)
+	key, shared := input.prompt.Shared()
+	terms.sharedTokens = min(shared, terms.tokensIn)
+	isLong := p.isLongPrompt(terms.tokensIn)
+	p.recordPrompt(input.now, input.request, members, isLong)
+	terms.placement = p.placePrompt(input.now, input.request, members, isLong)
 	if shared > 0 {
-		e.homes = p.homesOf(key, in, g, &e.placement)
+		terms.homes = p.homesOf(key, input, members, &terms.placement)
 	}
-	return m
+	return model
 }
 
-// estimate works out in c what s would cost the request. The terms are summed in a fixed order, so that costs are the same to the bit.
-func (m *costModel) estimate(s *server, c *cost) {
-	*c = cost{
-		firstEventMS: m.network.roundTripMS(s),
-		penaltyMS:    m.network.crossingCost(s, m.request.TokensIn),
-		requests:     s.load.requests(m.now, m.peerLoadsAt),
+// estimate works out in total what a candidate would cost the request. The terms are summed in a fixed order, so that costs are the same to the bit.
+func (m *costModel) estimate(candidate *server, total *cost) {
+	*total = cost{
+		firstEventMS: m.network.roundTripMS(candidate),
+		penaltyMS:    m.network.crossingCost(candidate, m.request.TokensIn),
+		requests:     candidate.load.requests(m.now, m.peerLoadsAt),
 	}
-	c.addQueueing(s.slotQueueingMS(c.requests))
+	total.addQueueing(candidate.slotQueueingMS(total.requests))
 	if m.hasEngine {
-		m.addEngineTerms(c, s)
+		m.addEngineTerms(total, candidate)
 	} else {
-		c.penaltyMS += s.fillPenaltyMS(c.requests)
+		total.penaltyMS += candidate.fillPenaltyMS(total.requests)
 	}
-	c.addQueueing(s.overdueMS(m.now))
-	if s.warmingUp(m.now) {
-		c.penaltyMS += warmUpCost
+	total.addQueueing(candidate.overdueMS(m.now))
+	if candidate.warmingUp(m.now) {
+		total.penaltyMS += warmUpCost
 	}
-	if m.now < s.fullUntil {
-		c.penaltyMS += fullCost
+	if m.now < candidate.fullUntil {
+		total.penaltyMS += fullCost
 	}
-	if m.now < s.drainHintUntil {
-		c.penaltyMS += drainHintCost
+	if m.now < candidate.drainHintUntil {
+		total.penaltyMS += drainHintCost
 	}
-	c.totalMS = c.firstEventMS + c.penaltyMS
-	if math.IsNaN(c.totalMS) {
-		c.totalMS = math.Inf(1)
+	total.totalMS = total.firstEventMS + total.penaltyMS
+	if math.IsNaN(total.totalMS) {
+		total.totalMS = math.Inf(1)
 	}
 }
 
@@ -138,23 +138,23 @@
 	return fillCost * s.group.serviceTimeMS * float64(requests) / float64(s.slots())
 }
 
-// addEngineTerms adds what s costs as a model server.
-func (m *costModel) addEngineTerms(c *cost, s *server) {
-	load := s.load.outstanding(m.now, m.peerLoadsAt)
-	if !s.hasIdleConn(m.now) {
-		c.penaltyMS += connectCost
-		c.firstEventMS += m.network.roundTripMS(s) // the handshake
+// addEngineTerms adds what a candidate costs as a model server.
+func (m *costModel) addEngineTerms(total *cost, candidate *server) {
+	load := candidate.load.outstanding(m.now, m.peerLoadsAt)
+	if !candidate.hasIdleConn(m.now) {
+		total.penaltyMS += connectCost
+		total.firstEventMS += m.network.roundTripMS(candidate) // the handshake
 	}
 	e := &m.engine
-	cachedTokens := e.cachedTokens(s)
-	prefill := e.expectedPrefill(s, cachedTokens)
-	prefillMS, queueingMS := e.prefillMS(s, prefill.tokens), e.queueingMS(s, load.Prefill)
-	c.queueingMS += queueingMS
-	c.firstEventMS += queueingMS + prefillMS + e.stepMS
-	c.penaltyMS += prefill.duplicateTokens * duplicatePrefillCost
-	c.penaltyMS += e.poolPenaltyMS(s, prefillMS)
+	cachedTokens := e.cachedTokens(candidate)
+	prefill := e.expectedPrefill(candidate, cachedTokens)
+	prefillMS, queueingMS := e.prefillMS(candidate, prefill.tokens), e.queueingMS(candidate, load.Prefill)
+	total.queueingMS += queueingMS
+	total.firstEventMS += queueingMS + prefillMS + e.stepMS
+	total.penaltyMS += prefill.duplicateTokens * duplicatePrefillCost
+	total.penaltyMS += e.poolPenaltyMS(candidate, prefillMS)
 	if e.exceedsMemory(load.Tokens, cachedTokens) {
-		c.penaltyMS += memoryCost
+		total.penaltyMS += memoryCost
 	}
 }
 
--- a/internal/system/proxy/pick/describe.go
+++ b/internal/system/proxy/pick/describe.go
@@ -10,11 +10,11 @@
 // Describe tells an operator what each server may get and why one gets nothing, a line for each, in the order of ids.
 func (p *Picker) Describe(now Time) string {
 	var b strings.Builder
-	in := &pickInput{now: now}
+	input := &pickInput{now: now}
 	for _, id := range slices.Sorted(maps.Keys(p.servers)) {
 		s := p.servers[id]
 		fmt.Fprintf(&b, "%s %s %s: %s, own %d, others %d, prefill %d, slots %d\n", id, s.Service, s.Zone,
-			p.eligibility(in, s), s.load.own.Requests, s.load.peers.Requests, s.load.own.Prefill+s.load.peers.Prefill, s.slots())
+			p.eligibility(input, s), s.load.own.Requests, s.load.peers.Requests, s.load.own.Prefill+s.load.peers.Prefill, s.slots())
 	}
 	return b.String()
 }
--- a/internal/system/proxy/pick/eligibility.go
+++ b/internal/system/proxy/pick/eligibility.go
@@ -22,26 +22,28 @@
 		"doubted", "cold: its allowance is used or held by others"}[e]
 }
 
-// eligibility says whether s can get the request, or, with a nil request, any request. The first four reasons are rules and never relaxed.
-func (p *Picker) eligibility(in *pickInput, s *server) eligibility {
+// eligibility says whether a candidate can get the request, or, with a nil request, any request. The first four reasons are rules and never relaxed.
+func (p *Picker) eligibility(input *pickInput, candidate *server) eligibility {
 	switch {
-	case s.Draining:
+	case candidate.Draining:
 		return draining
-	case p.state.Evacuated[s.Zone]:
+	case p.state.Evacuated[candidate.Zone]:
 		return evacuated
-	case in.request != nil && !in.request.allowsRegion(s.Region):
+	case input.request != nil && !input.request.allowsRegion(candidate.Region):
 		return outsideHomeRegions
-	case slices.Contains(in.tried, s.ID):
+	case slices.Contains(input.tried, candidate.ID):
 		return alreadyTried
-	case s.misdirected:
+	case candidate.misdirected:
 		return misdirected
-	case s.outlier.Ejected(in.now), in.request != nil && s.outlier.Suspected() && !s.outlier.MayProbe(in.now, in.canRetry()):
+	case candidate.outlier.Ejected(input.now), input.request != nil && candidate.outlier.Suspected() && !candidate.outlier.MayProbe(input.now, input.canRetry()):
 		return ejected
-	case s.warmingUp(in.now) && !p.warmUps.maySend(in.now, s):
+	case candidate.warmingUp(input.now) && !p.warmUps.maySend(input.now, candidate):
 		return warmUpPaced
 	}
 	return eligible
 }
 
 // canRetry reports whether the request could be retried at another server after this attempt.
-func (in *pickInput) canRetry() bool { return len(in.tried) == 0 && in.request.Route.MaxTries > 1 }
+func (input *pickInput) canRetry() bool {
+	return len(input.tried) == 0 && input.request.Route.MaxTries > 1
+}
--- a/internal/system/proxy/pick/homes.go
+++ b/internal/system/proxy/pick/homes.go
@@ -7,10 +7,10 @@
 
 // homesOf finds the homes of the prefix with a key: the first two by rendezvous hashing among the servers that the request may go to at all,
 // all regions together. A prefix that is prefilled in two regions is prefilled twice, which costs more than the way between them.
-func (p *Picker) homesOf(key uint64, in *pickInput, g *group, placement *promptPlacement) (homes prefixHomes) {
+func (p *Picker) homesOf(key uint64, input *pickInput, g *group, placement *promptPlacement) (homes prefixHomes) {
 	var firstWeight, secondWeight uint64
 	for _, s := range g.servers {
-		if !p.mayBeHome(s, in, placement) {
+		if !p.mayBeHome(s, input, placement) {
 			continue
 		}
 		switch weight := rendezvous.Weight(key, s.hash); {
@@ -25,6 +25,6 @@
 }
 
 // mayBeHome reports whether s can serve a request's prompt for as long as is known.
-func (p *Picker) mayBeHome(s *server, in *pickInput, placement *promptPlacement) bool {
-	return p.isAvailable(s) && !s.warmingUp(in.now) && placement.matches(s) && in.request.allowsRegion(s.Region)
+func (p *Picker) mayBeHome(s *server, input *pickInput, placement *promptPlacement) bool {
+	return p.isAvailable(s) && !s.warmingUp(input.now) && placement.matches(s) && input.request.allowsRegion(s.Region)
 }
--- a/internal/system/proxy/pick/invariants.go
+++ b/internal/system/proxy/pick/invariants.go
@@ -7,7 +7,8 @@
 	"gradeusher.example/gradeusher/internal/system/invariant"
 )
 
-// What must hold of every request that a Picker sends. The checks rest on as little as possible of what the choice rests on.
+// Invariants of every request that a Picker sends. Their checks rest on as little as possible of what the choice rests on. The names and
+// descriptions are those of the operators' pages.
 var (
 	warmUpRateInvariant = invariant.New("pick_cold_pace_kept",
 		"in any second a proxy sends a cold server no more than its part of the pace and one request")
@@ -17,25 +18,25 @@
 		"no request goes to a server that drains, lies in an evacuated zone or outside the route's home regions")
 )
 
-// sendWindow is what a proxy has sent to a cold server within the last second. It is empty for a server that is warm.
+// sendWindow is what this proxy has sent to a warming server within the last second. It is empty for a server that is warm.
 type sendWindow struct {
 	sent []warmUpSend
 }
 
-// warmUpSend is one such request, and the proxy's part of the pace as it was then, in requests a second.
+// warmUpSend is one such request, and this proxy's part of the warm-up rate as it was then.
 type warmUpSend struct {
-	at   Time
-	part float64
+	at        Time
+	perSecond float64 // requests
 }
 
-// add takes note of a request and tells whether the pace was kept.
-func (w *sendWindow) add(now Time, part float64) bool {
+// add notes a request, and reports whether the rate was kept: no more than its part of any second's requests and one.
+func (w *sendWindow) add(now Time, perSecond float64) bool {
 	w.sent = slices.DeleteFunc(w.sent, func(s warmUpSend) bool { return s.at <= now-time.Second })
-	w.sent = append(w.sent, warmUpSend{now, part})
+	w.sent = append(w.sent, warmUpSend{now, perSecond})
 	for _, s := range w.sent {
-		part = max(part, s.part)
+		perSecond = max(perSecond, s.perSecond)
 	}
-	return float64(len(w.sent)) <= part+1
+	return float64(len(w.sent)) <= perSecond+1
 }
 
 // checkEligibility checks that r may go to s.
--- a/internal/system/proxy/pick/pick.go
+++ b/internal/system/proxy/pick/pick.go
@@ -44,25 +44,25 @@
 	}
 	rotation := p.rotations.Of(r.Route)
 	due, shares := rotation.Next(), rotation.Shares()
-	in := &p.scratch.input
-	*in = pickInput{now: now, request: r, tried: tried, prompt: &p.scratch.prompt}
+	input := &p.scratch.input
+	*input = pickInput{now: now, request: r, tried: tried, prompt: &p.scratch.prompt}
 	p.scratch.prompt = prefixcache.NewChain(r.Prefix)
 
 	retryAfterMS := math.Inf(1)
 	for g := range p.groupsInTurn(shares, due) {
-		found := p.pickInGroup(in, g)
+		found := p.pickInGroup(input, g)
 		retryAfterMS = min(retryAfterMS, found.retryAfterMS)
 		switch {
 		case found.overloaded:
-			return result.withoutServer(in, found.retryAfterMS)
+			return result.withoutServer(input, found.retryAfterMS)
 		case found.server != nil:
-			return p.sendWithinBudget(in, result, found.server, found.cost)
+			return p.sendWithinBudget(input, result, found.server, found.cost)
 		}
 	}
-	if s, estimated := p.pickProbe(in, shares, due); s != nil {
-		return p.sendWithinBudget(in, result, s, estimated)
+	if s, estimated := p.pickProbe(input, shares, due); s != nil {
+		return p.sendWithinBudget(input, result, s, estimated)
 	}
-	return result.withoutServer(in, retryAfterMS)
+	return result.withoutServer(input, retryAfterMS)
 }
 
 // hasNoTriesLeft reports whether r has used up its attempts, of which tried had a server.
@@ -93,11 +93,11 @@
 }
 
 // sendWithinBudget sends the request to s, unless it would be a retry that the budget of s's service does not hold.
-func (p *Picker) sendWithinBudget(in *pickInput, result Result, s *server, estimated cost) Result {
-	if in.request.arrived > 0 && !s.group.budget.Allows(in.now, p.settings.RetryRatio, p.retrySlack()) {
-		return result.withoutServer(in, math.Inf(1))
+func (p *Picker) sendWithinBudget(input *pickInput, result Result, s *server, estimated cost) Result {
+	if input.request.arrived > 0 && !s.group.budget.Allows(input.now, p.settings.RetryRatio, p.retrySlack()) {
+		return result.withoutServer(input, math.Inf(1))
 	}
-	return p.send(in, result, s, estimated)
+	return p.send(input, result, s, estimated)
 }
 
 // retrySlack is this proxy's part of the retries that all may make beside the ratio; none while it does not know how many there are.
@@ -109,14 +109,14 @@
 }
 
 // withoutServer is the result where the request can't be sent: there may be capacity in that many milliseconds; infinite: not known.
-func (result Result) withoutServer(in *pickInput, retryAfterMS float64) Result {
+func (result Result) withoutServer(input *pickInput, retryAfterMS float64) Result {
 	result.RetryAfter = defaultRetryAfter
 	if !math.IsInf(retryAfterMS, 1) {
 		result.RetryAfter = durationMS(retryAfterMS)
 	}
-	result.RetryAfter = max(min(result.RetryAfter, in.request.TimeLeft/3), minRetryAfter)
+	result.RetryAfter = max(min(result.RetryAfter, input.request.TimeLeft/3), minRetryAfter)
 	result.Verdict = Reject
-	if len(in.tried) > 0 || in.request.arrived > 0 {
+	if len(input.tried) > 0 || input.request.arrived > 0 {
 		result.Verdict = GiveUp
 	}
 	return result
@@ -132,21 +132,21 @@
 
 // pickInGroup finds the group's server for a request: in the order of the rotation, the first of those that cost about the least, where a
 // due server with more of this proxy's requests in flight yields to the next.
-func (p *Picker) pickInGroup(in *pickInput, g *group) groupResult {
-	model := p.initCostModel(in, g)
-	estimates := p.estimateCosts(in, g, model)
+func (p *Picker) pickInGroup(input *pickInput, members *group) groupResult {
+	model := p.initCostModel(input, members)
+	estimates := p.estimateCosts(input, members, model)
 	if math.IsInf(estimates.leastMS, 1) {
 		return groupResult{retryAfterMS: estimates.warmUpWaitMS}
 	}
-	index := g.nextWithin(estimates.costs, estimates.leastMS+model.toleranceMS)
-	s, estimated := g.servers[index], estimates.costs[index]
+	index := members.nextWithin(estimates.costs, estimates.leastMS+model.toleranceMS)
+	s, estimated := members.servers[index], estimates.costs[index]
 	// A rejection while under half of the slots are taken is never right: the estimate is wrong then.
 	halfTaken := estimates.requests*2 >= estimates.slots
-	if halfTaken && isOverloaded(in.request, s, estimated) {
+	if halfTaken && isOverloaded(input.request, s, estimated) {
 		retryAfterMS := min(max(retryAfterFactor*estimated.queueingMS, minOverloadRetryAfterMS), maxOverloadRetryAfterMS)
 		return groupResult{overloaded: true, retryAfterMS: retryAfterMS}
 	}
-	g.cursor = (index + 1) % len(g.servers)
+	members.cursor = (index + 1) % len(members.servers)
 	return groupResult{server: s, cost: estimated}
 }
 
@@ -159,7 +159,7 @@
 }
 
 // estimateCosts finds out what each server of a group costs. The costs are valid until the next call.
-func (p *Picker) estimateCosts(in *pickInput, g *group, model *costModel) groupEstimates {
+func (p *Picker) estimateCosts(input *pickInput, g *group, model *costModel) groupEstimates {
 	count := len(g.servers)
 	if cap(p.scratch.costs) < count {
 		p.scratch.costs = make([]cost, count+count/2)
@@ -167,7 +167,7 @@
 	estimates := groupEstimates{costs: p.scratch.costs[:count], leastMS: math.Inf(1), warmUpWaitMS: math.Inf(1)}
 	for i, s := range g.servers {
 		estimated := &estimates.costs[i]
-		switch p.eligibility(in, s) {
+		switch p.eligibility(input, s) {
 		case eligible:
 			model.estimate(s, estimated)
 			estimates.leastMS = min(estimates.leastMS, estimated.totalMS)
@@ -175,7 +175,7 @@
 			estimates.slots += s.slots()
 			continue
 		case warmUpPaced:
-			estimates.warmUpWaitMS = min(estimates.warmUpWaitMS, p.warmUps.waitMS(in.now, s))
+			estimates.warmUpWaitMS = min(estimates.warmUpWaitMS, p.warmUps.waitMS(input.now, s))
 		}
 		estimated.totalMS = math.Inf(1)
 	}
--- a/internal/system/proxy/pick/prefill_rate.go
+++ b/internal/system/proxy/pick/prefill_rate.go
@@ -28,8 +28,8 @@
 
 // observePrefill learns from the time that a prompt took to its first event, the way there and back and one decoding step included.
 func (p *Picker) observePrefill(now Time, a *attempt) {
-	s := a.server
-	tookMS := ms(now-a.sentAt) - ms(p.settings.StepTime) - p.network.roundTripMS(s)
+	target := a.server
+	tookMS := ms(now-a.sentAt) - ms(p.settings.StepTime) - p.network.roundTripMS(target)
 	if tookMS <= minPrefillMS {
 		return
 	}
@@ -39,9 +39,9 @@
 		return
 	}
 	p.prefillRate.observe(rate)
-	if speed := min(max(rate/p.prefillRate.tokensPerMS, minRelativeSpeed), maxRelativeSpeed); speed > s.relativeSpeed {
-		s.relativeSpeed *= relativeSpeedStep
+	if speed := min(max(rate/p.prefillRate.tokensPerMS, minRelativeSpeed), maxRelativeSpeed); speed > target.relativeSpeed {
+		target.relativeSpeed *= relativeSpeedStep
 	} else {
-		s.relativeSpeed /= relativeSpeedStep
+		target.relativeSpeed /= relativeSpeedStep
 	}
 }
--- a/internal/system/proxy/pick/prefixcache/index.go
+++ b/internal/system/proxy/pick/prefixcache/index.go
@@ -40,9 +40,9 @@
 // Len is the number of entries.
 func (x *Index) Len() int { return x.count }
 
-// Record notes that s has the parts of c cached from now on, and drops what s used the longest ago where its entries exceed maxTokens
+// Record notes that the server has the parts of c cached from now on, and drops what it used the longest ago where its entries exceed maxTokens
 // tokens.
-func (x *Index) Record(s *Server, c *Chain, maxTokens int64) {
+func (x *Index) Record(server *Server, c *Chain, maxTokens int64) {
 	sum := 0
 	for i := range c.Len {
 		size := c.EndTokens[i] - sum
@@ -50,10 +50,10 @@
 		if c.isPrivate(i) && size < minPrivatePartTokens {
 			break
 		}
-		x.touch(s, c.Keys[i], size)
+		x.touch(server, c.Keys[i], size)
 	}
-	for s.tokens > maxTokens && s.oldest != nil {
-		x.remove(s.oldest)
+	for server.tokens > maxTokens && server.oldest != nil {
+		x.remove(server.oldest)
 	}
 }
 
@@ -95,10 +95,10 @@
 	}
 }
 
-func (x *Index) remove(e *entry) {
-	entries := x.byKey[e.key]
+func (x *Index) remove(removed *entry) {
+	entries := x.byKey[removed.key]
 	for i, other := range entries {
-		if other == e {
+		if other == removed {
 			entries[i] = entries[len(entries)-1]
 			entries[len(entries)-1] = nil
 			entries = entries[:len(entries)-1]
@@ -106,13 +106,13 @@
 		}
 	}
 	if len(entries) == 0 {
-		delete(x.byKey, e.key)
+		delete(x.byKey, removed.key)
 	} else {
-		x.byKey[e.key] = entries
+		x.byKey[removed.key] = entries
 	}
 	x.count--
-	e.server.tokens -= int64(e.tokens)
-	e.server.unlink(e)
+	removed.server.tokens -= int64(removed.tokens)
+	removed.server.unlink(removed)
 }
 
 // Lookup is the result of looking a chain up. It is valid until the Index changes.
--- a/internal/system/proxy/pick/probe.go
+++ b/internal/system/proxy/pick/probe.go
@@ -4,19 +4,19 @@
 
 // pickProbe finds an ejected server where no other can be had: of the first group that has one, the one whose ejection ends first. It gets
 // as many requests as it has capacity for, and no request that was tried at one already.
-func (p *Picker) pickProbe(in *pickInput, shares []config.Share, due int) (best *server, estimated cost) {
+func (p *Picker) pickProbe(input *pickInput, shares []config.Share, due int) (best *server, estimated cost) {
 	for i := range shares {
 		g := p.groups[shares[(due+i)%len(shares)].Service]
 		if g == nil || g.service == nil {
 			continue
 		}
 		for _, s := range g.servers {
-			if p.mayBeProbed(in, s) && (best == nil || probedBefore(s, best)) {
+			if p.mayBeProbed(input, s) && (best == nil || probedBefore(s, best)) {
 				best = s
 			}
 		}
 		if best != nil {
-			p.initCostModel(in, g).estimate(best, &estimated)
+			p.initCostModel(input, g).estimate(best, &estimated)
 			return best, estimated
 		}
 	}
@@ -24,11 +24,11 @@
 }
 
 // mayBeProbed reports whether nothing but its ejection keeps s from the request.
-func (p *Picker) mayBeProbed(in *pickInput, s *server) bool {
-	if p.eligibility(in, s) != ejected {
+func (p *Picker) mayBeProbed(input *pickInput, s *server) bool {
+	if p.eligibility(input, s) != ejected {
 		return false
 	}
-	if s.warmingUp(in.now) && !p.warmUps.maySend(in.now, s) {
+	if s.warmingUp(input.now) && !p.warmUps.maySend(input.now, s) {
 		return false
 	}
 	return p.hasProbeCapacity(s)
--- a/internal/system/proxy/pick/prompt_pools.go
+++ b/internal/system/proxy/pick/prompt_pools.go
@@ -54,21 +54,21 @@
 }
 
 // assignPromptPools names the servers of each region's pool: the first by hash, so that proxies agree but for the last few.
-func (p *Picker) assignPromptPools(now Time, g *group) {
+func (p *Picker) assignPromptPools(now Time, members *group) {
 	var byRegion [promptpool.MaxRegions][]*server
-	for _, s := range g.servers {
+	for _, s := range members.servers {
 		s.inPromptPool = false
 		if s.regionIndex < promptpool.MaxRegions && !s.Draining && !p.state.Evacuated[s.Zone] {
 			byRegion[s.regionIndex] = append(byRegion[s.regionIndex], s)
 		}
 	}
-	share, known := p.promptPoolShare(now, g)
+	share, known := p.promptPoolShare(now, members)
 	for region, servers := range byRegion {
 		if len(servers) < 2 {
 			continue
 		}
 		slices.SortFunc(servers, func(a, b *server) int { return cmp.Compare(a.hash, b.hash) })
-		pool := &g.pools[region]
+		pool := &members.pools[region]
 		pool.SetServers(len(servers))
 		if known {
 			pool.Adjust(now, share*float64(len(servers)))
@@ -99,17 +99,17 @@
 	regionsSeparate bool                        // long prompts go to the other regions, short ones to these
 }
 
-// placePrompt finds the servers that are for r's prompt by the prompts that have come to g of late.
-func (p *Picker) placePrompt(now Time, r *Request, g *group, isLong bool) promptPlacement {
+// placePrompt finds the members of a group that are for r's prompt, by the prompts that have come to it of late.
+func (p *Picker) placePrompt(now Time, r *Request, members *group, isLong bool) promptPlacement {
 	placement := promptPlacement{isLong: isLong}
 	justStarted := now-p.startedAt <= promptpool.MixTTL // it does not know yet, and assumes that both kinds come
-	if !justStarted && !g.mix.HasLong(now) {
+	if !justStarted && !members.mix.HasLong(now) {
 		return placement
 	}
 	for region := range placement.pooled {
-		placement.pooled[region] = g.mix.HasShort(now, region)
+		placement.pooled[region] = members.mix.HasShort(now, region)
 	}
-	placement.regionsSeparate = p.hasSeparateRegions(r, g, &placement)
+	placement.regionsSeparate = p.hasSeparateRegions(r, members, &placement)
 	return placement
 }
 
--- a/internal/system/proxy/pick/send.go
+++ b/internal/system/proxy/pick/send.go
@@ -12,49 +12,49 @@
 	maxFullTime = 500 * time.Millisecond
 )
 
-// send registers an attempt at s, which is estimated to cost that much, and completes the result.
-func (p *Picker) send(in *pickInput, result Result, s *server, estimated cost) Result {
-	now, r := in.now, in.request
-	a := p.attempts.start(now, r, s)
-	s.outlier.StartAttempt(a.ticket)
-	p.checkEligibility(r, s)
-	if s.warmingUp(now) && s.warmUpRate() > 0 {
+// send registers an attempt at the target, which is estimated to cost that much, and completes the result.
+func (p *Picker) send(input *pickInput, result Result, target *server, estimated cost) Result {
+	now, r := input.now, input.request
+	started := p.attempts.start(now, r, target)
+	target.outlier.StartAttempt(started.ticket)
+	p.checkEligibility(r, target)
+	if target.warmingUp(now) && target.warmUpRate() > 0 {
 		result.SendWithin = warmUpSendTimeout
 	}
-	p.warmUps.recordSend(now, s)
+	p.warmUps.recordSend(now, target)
 	if r.arrived > 0 {
-		a.isRetry = true
-		s.group.budget.RecordRetry(now, 1)
+		started.isRetry = true
+		target.group.budget.RecordRetry(now, 1)
 	}
 	r.arrived++
-	s.load.own.Requests++
-	s.idle.take(now, s.group.idleTimeout)
-	if s.group.engine() != nil {
-		a.expectedAt = now + durationMS(estimated.firstEventMS)
-		p.recordPrefill(in, a)
+	target.load.own.Requests++
+	target.idle.take(now, target.group.idleTimeout)
+	if target.group.engine() != nil {
+		started.expectedAt = now + durationMS(estimated.firstEventMS)
+		p.recordPrefill(input, started)
 	} else {
-		a.expectedAt = now + durationMS(estimated.firstEventMS+plainOverdueFactor*s.group.serviceTimeMS)
+		started.expectedAt = now + durationMS(estimated.firstEventMS+plainOverdueFactor*target.group.serviceTimeMS)
 	}
-	s.pending.add(a)
-	result.Verdict, result.Server, result.Ticket = Send, s.Server, a.ticket
+	target.pending.add(started)
+	result.Verdict, result.Server, result.Ticket = Send, target.Server, started.ticket
 	return result
 }
 
 // recordPrefill notes the work and memory that an attempt at a model server takes there, and that its prompt is cached from now on.
-func (p *Picker) recordPrefill(in *pickInput, a *attempt) {
-	r, s := in.request, a.server
+func (p *Picker) recordPrefill(input *pickInput, a *attempt) {
+	r, s := input.request, a.server
 	lookup := &p.scratch.lookup
-	p.prefixes.Find(in.prompt, lookup)
+	p.prefixes.Find(input.prompt, lookup)
 	tokensIn := max(r.TokensIn, 0)
 	cachedTokens := min(lookup.CachedTokens(&s.prefixes), tokensIn)
 	a.prefillTokens = int64(tokensIn - cachedTokens)
 	a.memoryTokens = a.prefillTokens + int64(max(r.MaxTokensOut, 0))
 	isAlone := s.load.own.Prefill == 0 && s.load.peers.Prefill == 0
-	a.measuresRate = isAlone && cachedTokens == 0 && a.prefillTokens >= minSampleTokens && !s.warmingUp(in.now)
-	s.group.demand.Add(in.now, p.isLongPrompt(tokensIn), a.prefillTokens)
+	a.measuresRate = isAlone && cachedTokens == 0 && a.prefillTokens >= minSampleTokens && !s.warmingUp(input.now)
+	s.group.demand.Add(input.now, p.isLongPrompt(tokensIn), a.prefillTokens)
 	s.load.own.Prefill += a.prefillTokens
 	s.load.own.Tokens += a.memoryTokens
-	p.prefixes.Record(&s.prefixes, in.prompt, int64(indexedMemoryShare*float64(s.group.engine().CacheTokens)))
+	p.prefixes.Record(&s.prefixes, input.prompt, int64(indexedMemoryShare*float64(s.group.engine().CacheTokens)))
 }
 
 // Started notes that the head of an answer has come: the server lives.
@@ -87,35 +87,35 @@
 // Done ends an attempt. retryAfter is what the server's Retry-After said, 0 if nothing. A ticket that is not known, or was ended before,
 // does nothing.
 func (p *Picker) Done(now Time, ticket uint64, outcome Outcome, retryAfter time.Duration) {
-	a := p.attempts.byTicket[ticket]
-	if a == nil {
+	ended := p.attempts.byTicket[ticket]
+	if ended == nil {
 		return
 	}
 	delete(p.attempts.byTicket, ticket)
-	a.endPending()
-	a.server.load.own.Requests--
-	a.server.load.own.Tokens -= a.memoryTokens
-	wasProbe := a.server.outlier.EndAttempt(ticket)
+	ended.endPending()
+	ended.server.load.own.Requests--
+	ended.server.load.own.Tokens -= ended.memoryTokens
+	wasProbe := ended.server.outlier.EndAttempt(ticket)
 	switch outcome {
 	case Served:
-		p.recordServed(now, a)
+		p.recordServed(now, ended)
 	case NotExecuted:
-		p.recordNotExecuted(now, a.server, retryAfter)
+		p.recordNotExecuted(now, ended.server, retryAfter)
 	case Misdirected:
-		a.server.misdirected, a.server.misdirectedAt = true, now
-		p.prefixes.RemoveServer(&a.server.prefixes)
+		ended.server.misdirected, ended.server.misdirectedAt = true, now
+		p.prefixes.RemoveServer(&ended.server.prefixes)
 	case ConnectFailed:
-		a.recordNoAnswer(now)
-		a.recordNotSent(now)
+		ended.recordNoAnswer(now)
+		ended.recordNotSent(now)
 	case TimedOut:
-		a.recordNoAnswer(now)
+		ended.recordNoAnswer(now)
 	case ConnectionLost:
-		a.server.outlier.RecordBroken(now, wasProbe)
+		ended.server.outlier.RecordBroken(now, wasProbe)
 	case ServerError:
-		a.server.outlier.RecordServerError(now)
+		ended.server.outlier.RecordServerError(now)
 	case Canceled:
 	}
-	p.attempts.release(a)
+	p.attempts.release(ended)
 }
 
 // recordServed takes in a whole answer.
--- a/internal/system/proxy/pick/warmup_state.go
+++ b/internal/system/proxy/pick/warmup_state.go
@@ -59,37 +59,37 @@
 }
 
 // set notes until when s warms up.
-func (w *warmUpPacer) set(now Time, s *server, until Time) {
-	u := &s.warmUp
-	if !s.warmingUp(now) && until > now {
-		u.bucket.tokens, u.bucket.refilledAt = 0, now // nothing was saved up
-		u.awaitsFirstSend, u.recentSends, u.learnedAt, u.pacedUnconfirmed = true, sendWindow{}, now, false
+func (w *warmUpPacer) set(now Time, target *server, until Time) {
+	warmUp := &target.warmUp
+	if !target.warmingUp(now) && until > now {
+		warmUp.bucket.tokens, warmUp.bucket.refilledAt = 0, now // nothing was saved up
+		warmUp.awaitsFirstSend, warmUp.recentSends, warmUp.learnedAt, warmUp.pacedUnconfirmed = true, sendWindow{}, now, false
 		w.stats.WarmUpStarts++
 	}
-	u.until = until
+	warmUp.until = until
 }
 
-// update takes in what the list says of s, which has just been read.
-func (w *warmUpPacer) update(now Time, s *server) {
-	w.checkEnd(now, s)
-	u := &s.warmUp
-	until := now + s.WarmUpMax
-	unlisted := w.unlistedEnd(s)
-	if u.awaitsNewerList = now < unlisted; u.awaitsNewerList {
+// update takes in what the list says of the target, which has just been read.
+func (w *warmUpPacer) update(now Time, target *server) {
+	w.checkEnd(now, target)
+	warmUp := &target.warmUp
+	until := now + target.WarmUpMax
+	unlisted := w.unlistedEnd(target)
+	if warmUp.awaitsNewerList = now < unlisted; warmUp.awaitsNewerList {
 		until = max(until, unlisted)
 	}
-	if u.hasRecentHint(now) || u.awaitsNewerList {
-		until = max(until, u.until)
+	if warmUp.hasRecentHint(now) || warmUp.awaitsNewerList {
+		until = max(until, warmUp.until)
 	}
-	w.updateUnconfirmed(now, u)
-	if u.unconfirmed {
-		until = max(until, u.unconfirmedAt+w.duration(s.Service))
+	w.updateUnconfirmed(now, warmUp)
+	if warmUp.unconfirmed {
+		until = max(until, warmUp.unconfirmedAt+w.duration(target.Service))
 	}
 	if until > now {
-		w.set(now, s, until)
-	} else if s.warmingUp(now) {
-		u.until = now
-		u.awaitsFirstSend = u.awaitsFirstSend && !u.pacedUnconfirmed // it never warmed up, as far as is known
+		w.set(now, target, until)
+	} else if target.warmingUp(now) {
+		warmUp.until = now
+		warmUp.awaitsFirstSend = warmUp.awaitsFirstSend && !warmUp.pacedUnconfirmed // it never warmed up, as far as is known
 	}
 }
 
