--- a/internal/system/proxy/pick/days_test.go
+++ b/internal/system/proxy/pick/days_test.go
@@ -164,8 +164,8 @@
 	}
 }
 
-// BenchmarkChoose sends a short and a long prompt in turn at the grown deployment's size.
-func BenchmarkChoose(b *testing.B) {
+// BenchmarkPick sends a short and a long prompt in turn at the grown deployment's size.
+func BenchmarkPick(b *testing.B) {
 	f := newFleet(grown())
 	p := f.pickers[0]
 	var parts [64][]PrefixPart
--- a/internal/system/proxy/pick/takenback_test.go
+++ b/internal/system/proxy/pick/evacuation_end_test.go
@@ -7,9 +7,9 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// TestZoneTakenBackColdUnseen: the servers of an evacuated zone turn cold 200 ms before it is taken back, and the list shows
+// TestEvacuationEndWithUnseenWarmUp: the servers of an evacuated zone turn cold 200 ms before it is taken back, and the list shows
 // it 950 ms after that. Danger: until then they look warm.
-func TestZoneTakenBackColdUnseen(t *testing.T) {
+func TestEvacuationEndWithUnseenWarmUp(t *testing.T) {
 	const back, cold, told = 10 * time.Second, 9800 * time.Millisecond, 10950 * time.Millisecond
 	f := newColdFleet(12)
 	for i, p := range f.pickers {
@@ -37,9 +37,9 @@
 	}
 }
 
-// TestZoneTakenBackWarm: servers of a zone that is taken back get all again as soon as a reading of the list shows them warm
+// TestEvacuationEndWithWarmServers: servers of a zone that is taken back get all again as soon as a reading of the list shows them warm
 // that was made late enough to know, and not before; without one, once they must be warm.
-func TestZoneTakenBackWarm(t *testing.T) {
+func TestEvacuationEndWithWarmServers(t *testing.T) {
 	const back = 10 * time.Second
 	p, f := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newColdFleet(1)
 	w := f.world(0, 1, 0)
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestZoneTakenBackUnseen: proxies that never saw the evacuation, as it began and ended between two updates, or before their start.
-func TestZoneTakenBackUnseen(t *testing.T) {
+// TestEvacuationEndUnseen: proxies that never saw the evacuation, as it began and ended between two updates, or before their start.
+func TestEvacuationEndUnseen(t *testing.T) {
 	const back, cold, told = 10 * time.Second, 9800 * time.Millisecond, 10950 * time.Millisecond
 	for name, starts := range map[string]bool{"between two updates": false, "before the start": true} {
 		t.Run(name, func(t *testing.T) {
@@ -100,9 +100,9 @@
 	}
 }
 
-// TestUnseenColdOutlivesGaps: a server is missing from one reading of the list, its service from the configuration for a moment; it
+// TestUnseenWarmUpOutlivesGaps: a server is missing from one reading of the list, its service from the configuration for a moment; it
 // may be cold all the same.
-func TestUnseenColdOutlivesGaps(t *testing.T) {
+func TestUnseenWarmUpOutlivesGaps(t *testing.T) {
 	const back = 10 * time.Second
 	p, f := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newColdFleet(1)
 	p.UpdateClusterState(0, f.world(0, 1, 0))
@@ -128,8 +128,8 @@
 	}
 }
 
-// TestZoneNeverTakenBack: a list that covers nothing costs nothing where no zone was ever evacuated, or long ago.
-func TestZoneNeverTakenBack(t *testing.T) {
+// TestUncoveredListWithoutEvacuation: a list that covers nothing costs nothing where no zone was ever evacuated, or long ago.
+func TestUncoveredListWithoutEvacuation(t *testing.T) {
 	p, f := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newColdFleet(1)
 	w := f.world(0, 1, 0)
 	w.ZoneChanges = map[string]uint64{"z": 0}
--- a/internal/system/proxy/pick/kept_test.go
+++ b/internal/system/proxy/pick/idle_conns_test.go
@@ -7,9 +7,9 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// TestKeptConnections: of model servers that cost the same, those get requests to which a connection is kept; nobody prefers one whose
+// TestIdleConnections: of model servers that cost the same, those get requests to which a connection is kept; nobody prefers one whose
 // connections have been without use for longer than the servers keep them, or one that could not be reached.
-func TestKeptConnections(t *testing.T) {
+func TestIdleConnections(t *testing.T) {
 	const told = 10 * time.Second
 	route := &config.Route{Name: "a", Host: "h", Prefix: "/", Category: config.Streaming, Timeout: 8 * time.Second, LatencyTarget: time.Second, MaxTries: 1,
 		Shares: []config.Share{{Service: "lm", Weight: 1}}}
--- a/internal/system/proxy/pick/invariants_test.go
+++ b/internal/system/proxy/pick/invariants_test.go
@@ -9,8 +9,8 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
 )
 
-// TestColdPaceKeptControl: a proxy that saves up more than one request is seen.
-func TestColdPaceKeptControl(t *testing.T) {
+// TestWarmUpRateInvariantControl: a proxy that saves up more than one request is seen.
+func TestWarmUpRateInvariantControl(t *testing.T) {
 	f := newColdFleet(12)
 	f.pickers = f.pickers[:1]
 	p := f.pickers[0]
@@ -21,9 +21,9 @@
 	})
 }
 
-// TestColdEndKeptControl: a word of the cold state that ends 80 ms early is seen with the next reading, and another cold state
+// TestWarmUpEndInvariantControl: a word of the cold state that ends 80 ms early is seen with the next reading, and another cold state
 // that begins after the first request is not taken for it.
-func TestColdEndKeptControl(t *testing.T) {
+func TestWarmUpEndInvariantControl(t *testing.T) {
 	play := func(cold, later time.Duration) {
 		f := newColdFleet(1)
 		f.pickers[0].UpdateClusterState(0, f.world(0, 1, cold))
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestSendsAllowedControl: a request to a server in an evacuated zone is seen.
-func TestSendsAllowedControl(t *testing.T) {
+// TestEligibilityInvariantControl: a request to a server in an evacuated zone is seen.
+func TestEligibilityInvariantControl(t *testing.T) {
 	f := newColdFleet(1)
 	p := f.pickers[0]
 	p.UpdateClusterState(0, f.world(0, 1, 0))
@@ -52,9 +52,9 @@
 	})
 }
 
-// TestZoneTakenBackIsNoViolation: a server was cold and got its first request as a warm one; its zone is evacuated, and taken back
+// TestEvacuationEndIsNoViolation: a server was cold and got its first request as a warm one; its zone is evacuated, and taken back
 // after the server has turned cold anew. The guess that paces it until the list can tell says nothing of that request.
-func TestZoneTakenBackIsNoViolation(t *testing.T) {
+func TestEvacuationEndIsNoViolation(t *testing.T) {
 	const back = 12 * time.Second
 	f := newColdFleet(1)
 	p := f.pickers[0]
@@ -78,9 +78,9 @@
 	}
 }
 
-// TestColdAgainBeforeItsEndIsNoViolation: 500 ms before its cold state ends a server turns cold anew, which the list shows 900 ms
+// TestWarmUpAgainBeforeItsEndIsNoViolation: 500 ms before its cold state ends a server turns cold anew, which the list shows 900 ms
 // later. No proxy can know it when the first state ends.
-func TestColdAgainBeforeItsEndIsNoViolation(t *testing.T) {
+func TestWarmUpAgainBeforeItsEndIsNoViolation(t *testing.T) {
 	const again, told = coldFor - 500*time.Millisecond, coldFor + 400*time.Millisecond
 	f := newColdFleet(1)
 	p := f.pickers[0]
@@ -111,9 +111,9 @@
 	}
 }
 
-// TestStallIsNoColdState: a server that was paced as cold after a stall only, and turns cold later, was never taken for one whose cold
+// TestStallIsNoWarmUp: a server that was paced as cold after a stall only, and turns cold later, was never taken for one whose cold
 // state is over.
-func TestStallIsNoColdState(t *testing.T) {
+func TestStallIsNoWarmUp(t *testing.T) {
 	const woke = 10 * time.Second
 	p, f := stalledPicker(woke)
 	before := warmUpEndInvariant.Violations()
--- a/internal/system/proxy/pick/stale_test.go
+++ b/internal/system/proxy/pick/probe_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestStaleProxyKnocksOnce: all servers of a zone are cut off from a stale proxy. At most one request awaits a connection to each, also in
+// TestStaleProxyProbesOnce: all servers of a zone are cut off from a stale proxy. At most one request awaits a connection to each, also in
 // a large fleet.
-func TestStaleProxyKnocksOnce(t *testing.T) {
+func TestStaleProxyProbesOnce(t *testing.T) {
 	for _, proxies := range []int{12, 60} {
 		f := newColdFleet(proxies)
 		p := f.pickers[0]
--- a/internal/system/proxy/pick/mixes_test.go
+++ b/internal/system/proxy/pick/prompt_mixes_test.go
@@ -56,10 +56,10 @@
 	return sc
 }
 
-// TestLanesOfMixes plays mixes from one in ten of the work to nine in ten brought by long prompts, with three kinds of engine
+// TestPromptPoolsOfMixes plays mixes from one in ten of the work to nine in ten brought by long prompts, with three kinds of engine
 // and one to three regions of unequal size. The lanes that follow the work are within a few hundredths of the best fixed share,
 // found by trying them.
-func TestLanesOfMixes(t *testing.T) {
+func TestPromptPoolsOfMixes(t *testing.T) {
 	const nearBest = 0.97
 	mixes := []mixture{
 		{"a tenth long, one region", 0.1, fastReader, map[string][]int{"a": {8, 8}}, 1},
--- a/internal/system/proxy/pick/lane_test.go
+++ b/internal/system/proxy/pick/prompt_pools_test.go
@@ -33,9 +33,9 @@
 	p.UpdatePeerLoads(now, map[string]Load{demandKey("lm"): {Prefill: long, Tokens: short}})
 }
 
-// TestLaneFollowsTheWork has the share of the work that long prompts bring change: the lane follows, by bounded steps with
+// TestPromptPoolFollowsTheWork has the share of the work that long prompts bring change: the lane follows, by bounded steps with
 // pauses between them, and both kinds of prompts always keep a server.
-func TestLaneFollowsTheWork(t *testing.T) {
+func TestPromptPoolFollowsTheWork(t *testing.T) {
 	p, now := laneWorld(20), Time(0)
 	if n := laneSize(p); n != 10 {
 		t.Fatalf("a lane of %d servers before anything is known, want half", n)
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestLaneStaysWhereTheWorkWavers keeps the work's share within a server's worth of where it was: no home moves.
-func TestLaneStaysWhereTheWorkWavers(t *testing.T) {
+// TestPromptPoolStaysWhereTheWorkWavers keeps the work's share within a server's worth of where it was: no home moves.
+func TestPromptPoolStaysWhereTheWorkWavers(t *testing.T) {
 	p, now := laneWorld(20), Time(0)
 	for i := range 600 {
 		now += 100 * time.Millisecond
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestLaneWithoutWordOfTheOthers has a proxy see its own requests alone, which tell little: it keeps the lane that it has.
-func TestLaneWithoutWordOfTheOthers(t *testing.T) {
+// TestPromptPoolWithoutPeerDemand has a proxy see its own requests alone, which tell little: it keeps the lane that it has.
+func TestPromptPoolWithoutPeerDemand(t *testing.T) {
 	p := laneWorld(20)
 	now := Time(time.Minute)
 	p.groups["lm"].demand.Add(now, true, 5_000_000)
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestLanesAgree has two proxies see different requests, each told what the other one read: their lanes are the same.
-func TestLanesAgree(t *testing.T) {
+// TestPromptPoolsAgree has two proxies see different requests, each told what the other one read: their lanes are the same.
+func TestPromptPoolsAgree(t *testing.T) {
 	p, q := laneWorld(20), laneWorld(20)
 	now := Time(0)
 	for range 30 {
@@ -106,8 +106,8 @@
 	}
 }
 
-// TestLaneKeepsItsShareWhereServersGo takes half of the servers away: the lane's share stays.
-func TestLaneKeepsItsShareWhereServersGo(t *testing.T) {
+// TestPromptPoolKeepsItsShareWhereServersLeave takes half of the servers away: the lane's share stays.
+func TestPromptPoolKeepsItsShareWhereServersLeave(t *testing.T) {
 	p := laneWorld(20)
 	var w ClusterState
 	w.Config = p.state.Config
--- a/internal/system/proxy/pick/property_test.go
+++ b/internal/system/proxy/pick/property_test.go
@@ -40,8 +40,8 @@
 
 var testRegions = map[string]string{"z1": "r1", "z2": "r1", "z3": "r2"}
 
-// TestNeverBarred plays random worlds, requests and answers: no send goes against a rule, and what is counted adds up.
-func TestNeverBarred(t *testing.T) {
+// TestOnlyEligibleServersArePicked plays random worlds, requests and answers: no send goes against a rule, and what is counted adds up.
+func TestOnlyEligibleServersArePicked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := New(Settings{Zone: "z1", Region: "r1", Regions: testRegions, RetryRatio: 0.2, RetrySlack: 20, WarmUpExcess: 1.5, WarmUpSlack: 5})
 		type open struct {
@@ -192,9 +192,9 @@
 	return most
 }
 
-// TestColdBound lets many proxies press upon a cold server with all they may, while each learns at its own time of
+// TestWarmUpBound lets many proxies press upon a cold server with all they may, while each learns at its own time of
 // proxies that come and go: within any second it gets less than its bound.
-func TestColdBound(t *testing.T) {
+func TestWarmUpBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := float64(rapid.IntRange(1, 60).Draw(t, "rate"))
 		n := rapid.IntRange(1, 30).Draw(t, "proxies")
@@ -244,9 +244,9 @@
 	})
 }
 
-// TestBudget lets proxies repeat all they may: in any window, all repeats stay within the ratio of the requests and the
+// TestRetryBudget lets proxies repeat all they may: in any window, all repeats stay within the ratio of the requests and the
 // slack together.
-func TestBudget(t *testing.T) {
+func TestRetryBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window, step = 10 * time.Second, 200 * time.Millisecond
 		n := rapid.IntRange(1, 12).Draw(t, "proxies")
--- a/internal/system/proxy/pick/reached_test.go
+++ b/internal/system/proxy/pick/reachable_again_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestServersReachedAgain: proxies of a zone that is cut off reach neither keepers nor the servers of another zone, which turn cold
+// TestServersReachableAgain: proxies of a zone that is cut off reach neither keepers nor the servers of another zone, which turn cold
 // meanwhile. The cut ends, and servers are reached before a keeper is. Danger: the first answer ends the doubt in a server, and all
 // that waits goes there.
-func TestServersReachedAgain(t *testing.T) {
+func TestServersReachableAgain(t *testing.T) {
 	const cut, healed, told = 5 * time.Second, 10 * time.Second, 10300 * time.Millisecond
 	f := newColdFleet(12)
 	f.pickers = f.pickers[:5]
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestServersReachedAgainInTouch: a proxy that hears its keepers knows of cold servers by them, and goes on at once.
-func TestServersReachedAgainInTouch(t *testing.T) {
+// TestServersReachableAgainWithContact: a proxy that hears its keepers knows of cold servers by them, and goes on at once.
+func TestServersReachableAgainWithContact(t *testing.T) {
 	f := newColdFleet(12)
 	p := f.pickers[0]
 	p.UpdateClusterState(0, f.world(0, 1, 0))
--- a/internal/system/proxy/pick/stalled_test.go
+++ b/internal/system/proxy/pick/stall_test.go
@@ -14,8 +14,8 @@
 	return p, f
 }
 
-// TestStalledAwaitsAWordFromAfter: what a keeper told before the end of the stall says nothing of servers that turned cold in it.
-func TestStalledAwaitsAWordFromAfter(t *testing.T) {
+// TestStalledAwaitsLaterContact: what a keeper told before the end of the stall says nothing of servers that turned cold in it.
+func TestStalledAwaitsLaterContact(t *testing.T) {
 	const woke = 10 * time.Second
 	p, f := stalledPicker(woke)
 	for _, word := range []struct{ came, age, delay time.Duration }{
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestStalledLearnsOfCold: the word tells that the server turned cold during the stall.
-func TestStalledLearnsOfCold(t *testing.T) {
+// TestStalledLearnsOfWarmUp: the word tells that the server turned cold during the stall.
+func TestStalledLearnsOfWarmUp(t *testing.T) {
 	const woke = 10 * time.Second
 	p, f := stalledPicker(woke)
 	p.UpdateClusterState(woke+100*time.Millisecond, f.world(0, 1, 2*time.Second))
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestStalledHolderIsNone: in a large fleet others have taken the place of a holder that stood still.
-func TestStalledHolderIsNone(t *testing.T) {
+// TestStalledSenderStops: in a large fleet others have taken the place of a holder that stood still.
+func TestStalledSenderStops(t *testing.T) {
 	const woke = 10 * time.Second
 	f := newColdFleet(60)
 	for i, p := range f.pickers {
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestDelayedWorldCountsDown: durations are counted from when they were told.
-func TestDelayedWorldCountsDown(t *testing.T) {
+// TestDelayedClusterStateCountsDown: durations are counted from when they were told.
+func TestDelayedClusterStateCountsDown(t *testing.T) {
 	p, f := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newColdFleet(1)
 	w := f.world(0, 1, 2*time.Second)
 	w.Age = 500 * time.Millisecond
--- a/internal/system/proxy/pick/coldend_test.go
+++ b/internal/system/proxy/pick/warmup_end_test.go
@@ -101,9 +101,9 @@
 // coldMost is what a server of the group may get within a second while it is cold.
 const coldMost = 31*1.5 + 5
 
-// TestNoFloodAtTheEndOfCold: while many more requests wait than cold servers may get, none gets more than its bound up to the
+// TestNoFloodAtTheEndOfWarmUp: while many more requests wait than cold servers may get, none gets more than its bound up to the
 // moment in which it is warm, where the proxies know that moment.
-func TestNoFloodAtTheEndOfCold(t *testing.T) {
+func TestNoFloodAtTheEndOfWarmUp(t *testing.T) {
 	g := newColdGroup(0)
 	most := g.play()
 	t.Logf("at most %d requests in a second", most)
@@ -115,13 +115,13 @@
 	}
 }
 
-// TestEarlyWordFloodsTheColdServer is the control, of issue 36: where the word of the cold state ends 80 ms before that
+// TestEarlyEndFloodsTheWarmingServer is the control, of issue 36: where the word of the cold state ends 80 ms before that
 // state, all that waits goes out at once. This package can't know better, so it is not to be mended here: those who pass
 // the word on must let it err late (distribution's TestColdNeverEndsEarly).
-func TestEarlyWordFloodsTheColdServer(t *testing.T) {
+func TestEarlyEndFloodsTheWarmingServer(t *testing.T) {
 	most := newColdGroup(80 * time.Millisecond).play()
 	t.Logf("at most %d requests in a second", most)
 	if float64(most) <= coldMost {
-		t.Errorf("%d requests in a second: the end of the cold state as told no longer matters, so TestNoFloodAtTheEndOfCold shows nothing", most)
+		t.Errorf("%d requests in a second: the end of the cold state as told no longer matters, so TestNoFloodAtTheEndOfWarmUp shows nothing", most)
 	}
 }
--- a/internal/system/proxy/pick/coldsplit_test.go
+++ b/internal/system/proxy/pick/warmup_partition_test.go
@@ -11,9 +11,9 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// TestHoldersThatComeBackWait: holders of a cold server were given up, stopped as they were stale, and hear from a keeper again.
+// TestReturningSendersWait: holders of a cold server were given up, stopped as they were stale, and hear from a keeper again.
 // Those in their places go on until they have heard of it.
-func TestHoldersThatComeBackWait(t *testing.T) {
+func TestReturningSendersWait(t *testing.T) {
 	const givenUp, stale, back = 2 * time.Second, 3600 * time.Millisecond, 8 * time.Second
 	for _, count := range []int{6, 9, 17} {
 		for _, hear := range []time.Duration{100 * time.Millisecond, 300 * time.Millisecond, time.Second, 1600 * time.Millisecond} {
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestSplitFleetKeepsThePace: the keepers' net is cut for over 30 s. On both sides proxies hear of the list, as either side reads
+// TestPartitionedFleetKeepsTheRate: the keepers' net is cut for over 30 s. On both sides proxies hear of the list, as either side reads
 // it, and reach the servers; then one starts cold.
-func TestSplitFleetKeepsThePace(t *testing.T) {
+func TestPartitionedFleetKeepsTheRate(t *testing.T) {
 	for _, minority := range []int{1, 3, 6, 8, 9, 11} {
 		t.Run(fmt.Sprint(minority), func(t *testing.T) {
 			f := newColdFleet(12)
@@ -81,9 +81,9 @@
 	}
 }
 
-// TestColdAgainUnseenIsNoViolation: a server turns cold anew 200 ms before the first request goes to it as to a warm one, which no reading
+// TestUnseenWarmUpIsNoViolation: a server turns cold anew 200 ms before the first request goes to it as to a warm one, which no reading
 // can show by then (PROTOCOL: it may become cold again at any moment). The state before had ended 1.8 s earlier.
-func TestColdAgainUnseenIsNoViolation(t *testing.T) {
+func TestUnseenWarmUpIsNoViolation(t *testing.T) {
 	const again, request, told = 4800 * time.Millisecond, 5 * time.Second, 5600 * time.Millisecond
 	f := newColdFleet(1)
 	p := f.pickers[0]
@@ -122,8 +122,8 @@
 	}
 }
 
-// TestEndOfPartialWaits: proxies that knew a server while partial learn their peers at different times.
-func TestEndOfPartialWaits(t *testing.T) {
+// TestCompleteMembershipWaits: proxies that knew a server while partial learn their peers at different times.
+func TestCompleteMembershipWaits(t *testing.T) {
 	const ends = 4 * time.Second
 	for _, hear := range []time.Duration{300 * time.Millisecond, time.Second, 1600 * time.Millisecond} {
 		for _, back := range []int{6, 9, 17} {
@@ -155,16 +155,16 @@
 	}
 }
 
-// TestColdBoundAroundListing: members come and go, and each proxy hears of it, and of servers that start or turn cold again, up to 1.6 s
+// TestWarmUpBoundAroundListing: members come and go, and each proxy hears of it, and of servers that start or turn cold again, up to 1.6 s
 // later, in order; a proxy that has gone for the others hears of that likewise. Within any second no server gets more than its bound.
-func TestColdBoundAroundListing(t *testing.T) {
+func TestWarmUpBoundAroundListing(t *testing.T) {
 	most := 0
 	rapid.Check(t, func(t *rapid.T) { most = max(most, aroundListing(t, 3, 1)) })
 	t.Logf("at most %d", most)
 }
 
-// TestColdBoundWhileAFleetGrows: as before, with as many that join as there are, or more.
-func TestColdBoundWhileAFleetGrows(t *testing.T) {
+// TestWarmUpBoundWhileAFleetGrows: as before, with as many that join as there are, or more.
+func TestWarmUpBoundWhileAFleetGrows(t *testing.T) {
 	most := 0
 	rapid.Check(t, func(t *rapid.T) { most = max(most, aroundListing(t, 1, 2)) })
 	t.Logf("at most %d", most)
@@ -314,9 +314,9 @@
 	return most
 }
 
-// TestStaleMinorityOfSeventeenHolds: a fleet of more than 17 is split for some seconds, until either side has marked the other down. The
+// TestStaleMinorityOfSeventeenSends: a fleet of more than 17 is split for some seconds, until either side has marked the other down. The
 // smaller one is stale, and hears of a new server from its own keeper.
-func TestStaleMinorityOfSeventeenHolds(t *testing.T) {
+func TestStaleMinorityOfSeventeenSends(t *testing.T) {
 	for _, c := range []struct{ all, minority int }{{93, 15}, {93, 17}, {93, 20}, {30, 14}, {24, 8}, {20, 5}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			f := newColdFleet(c.all)
--- a/internal/system/proxy/pick/coldshare_test.go
+++ b/internal/system/proxy/pick/warmup_quota_test.go
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestQuietTimeKeepsPartsSmall: nothing changes for 31 s, then 9 of 12 proxies lose the keepers, but not the server. Danger: the
+// TestQuietTimeKeepsQuotasSmall: nothing changes for 31 s, then 9 of 12 proxies lose the keepers, but not the server. Danger: the
 // others' parts grow at once though the 9 go on.
-func TestQuietTimeKeepsPartsSmall(t *testing.T) {
+func TestQuietTimeKeepsQuotasSmall(t *testing.T) {
 	f := newColdFleet(12)
 	for i, p := range f.pickers {
 		p.UpdateClusterState(0, f.world(i, 1, time.Minute))
@@ -92,9 +92,9 @@
 	f.check(t)
 }
 
-// TestPartialMembersHoldNothing: all processes start anew, and each half of them knows only itself as the keepers' tables are not
+// TestIncompleteMembershipSendsNothing: all processes start anew, and each half of them knows only itself as the keepers' tables are not
 // whole yet. Danger: either half takes the whole pace, and each proxy a part of the repeats that is too large.
-func TestPartialMembersHoldNothing(t *testing.T) {
+func TestIncompleteMembershipSendsNothing(t *testing.T) {
 	f := newColdFleet(12)
 	for i, p := range f.pickers {
 		w := f.world(i, 1, time.Minute)
@@ -118,9 +118,9 @@
 	}
 }
 
-// TestHoldersGivenUpStop: of 60 proxies some that hold a cold server are given up by the others, which take their places, while
+// TestReplacedSendersStop: of 60 proxies some that hold a cold server are given up by the others, which take their places, while
 // they live on. They stop once they are stale.
-func TestHoldersGivenUpStop(t *testing.T) {
+func TestReplacedSendersStop(t *testing.T) {
 	const givenUp, stale = 2 * time.Second, 1600 * time.Millisecond
 	for _, count := range []int{3, 4, 6, 9, 17} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
@@ -144,9 +144,9 @@
 	}
 }
 
-// TestNewServerIsHeldAtOnce: where the proxies have long known each other, a server that starts cold gets its pace from the
+// TestNewServerHasSendersAtOnce: where the proxies have long known each other, a server that starts cold gets its pace from the
 // beginning; a proxy that has just come waits.
-func TestNewServerIsHeldAtOnce(t *testing.T) {
+func TestNewServerHasSendersAtOnce(t *testing.T) {
 	f := newColdFleet(12)
 	for i, p := range f.pickers {
 		p.UpdateClusterState(0, f.world(i, 0, 0))
--- a/internal/system/proxy/pick/coldholders_test.go
+++ b/internal/system/proxy/pick/warmup_senders_test.go
@@ -8,9 +8,9 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// TestLateConnectionsKeepThePace: a request to a cold server is chosen, and sent up to warmUpSendTimeout later, as its connection takes that
+// TestLateConnectionsKeepTheRate: a request to a cold server is chosen, and sent up to warmUpSendTimeout later, as its connection takes that
 // long. What was chosen in that time and a second is then sent within one.
-func TestLateConnectionsKeepThePace(t *testing.T) {
+func TestLateConnectionsKeepTheRate(t *testing.T) {
 	const dial = warmUpSendTimeout
 	for _, rate := range []float64{31, 45, 300} {
 		for proxies := 1; proxies <= 60; proxies++ {
@@ -37,9 +37,9 @@
 	}
 }
 
-// TestServiceNamedAgainKeepsItsSuccessorsWaiting: of 60 proxies the 17 that hold a cold server are given up by the others, while the configuration does not
+// TestServiceConfiguredAgainDelaysSuccessors: of 60 proxies the 17 that hold a cold server are given up by the others, while the configuration does not
 // name its service for 2.1 s; those cut off have not heard of that. It is named again before they have stopped.
-func TestServiceNamedAgainKeepsItsSuccessorsWaiting(t *testing.T) {
+func TestServiceConfiguredAgainDelaysSuccessors(t *testing.T) {
 	const without, givenUp, again, stale = time.Second, 3 * time.Second, 3100 * time.Millisecond, 4500 * time.Millisecond
 	f := newColdFleet(60)
 	lost, left := f.loseHolders(17)
@@ -65,8 +65,8 @@
 	f.check(t)
 }
 
-// TestBoundComesIntoForceOnAColdServer: servers are cold while the configuration names no bound for them, and then does. What goes from then on keeps the bound.
-func TestBoundComesIntoForceOnAColdServer(t *testing.T) {
+// TestBoundAppliesToAWarmingServer: servers are cold while the configuration names no bound for them, and then does. What goes from then on keeps the bound.
+func TestBoundAppliesToAWarmingServer(t *testing.T) {
 	for _, proxies := range []int{12, 17, 18, 60} {
 		t.Run(fmt.Sprint(proxies), func(t *testing.T) {
 			const bound = 5 * time.Second
@@ -89,9 +89,9 @@
 	}
 }
 
-// TestHalfThatStartsAnewKeepsThePace: the machines are cut into two halves, and all processes of the larger one start anew, with its keepers, which then know the
+// TestHalfRestartedFleetKeepsTheRate: the machines are cut into two halves, and all processes of the larger one start anew, with its keepers, which then know the
 // proxies of that half alone. Those in the smaller one are stale and go on.
-func TestHalfThatStartsAnewKeepsThePace(t *testing.T) {
+func TestHalfRestartedFleetKeepsTheRate(t *testing.T) {
 	for _, smaller := range []int{1, 2, 3, 4, 5, 6} {
 		t.Run(fmt.Sprint(smaller), func(t *testing.T) {
 			f := newColdFleet(12)
