--- a/internal/system/proxy/pick/conformance_test.go
+++ b/internal/system/proxy/pick/conformance_test.go
@@ -16,7 +16,7 @@
 type table struct {
 	p       *Picker
 	now     Time
-	world   ClusterState
+	state   ClusterState
 	tickets map[string]uint64 // by the name of the send
 	request map[string]*Request
 	tried   map[string][]string
@@ -63,7 +63,7 @@
 			RetrySlack: float64(number("slack", 10)), WarmUpExcess: 1.5, WarmUpSlack: 5})
 		return ""
 	case "world":
-		return b.tell(t, d)
+		return b.updateState(t, d)
 	case "load":
 		loads := map[string]Load{}
 		for _, l := range strings.Split(strings.TrimSpace(d.Input), "\n") {
@@ -142,7 +142,7 @@
 
 // route stands for Picker.Route, whose match package conf tests.
 func (b *table) route(path string) (best *config.Route) {
-	for _, r := range b.world.Config.Routes {
+	for _, r := range b.state.Config.Routes {
 		if strings.HasPrefix(path, r.Prefix) && (best == nil || len(r.Prefix) > len(best.Prefix)) {
 			best = r
 		}
@@ -150,8 +150,8 @@
 	return best
 }
 
-// tell reads a world: lines of service, route, server, evacuated and peers.
-func (b *table) tell(t *testing.T, d *datadriven.TestData) string {
+// updateState reads a world: lines of service, route, server, evacuated and peers.
+func (b *table) updateState(t *testing.T, d *datadriven.TestData) string {
 	w := ClusterState{Self: "p1", Peers: []string{"p1"}, Evacuated: map[string]bool{}, Config: &config.Config{Services: map[string]*config.Service{}}}
 	for _, l := range strings.Split(strings.TrimSpace(d.Input), "\n") {
 		f := strings.Fields(l)
@@ -208,6 +208,6 @@
 		}
 	}
 	b.p.UpdateClusterState(b.now, w)
-	b.world = w
+	b.state = w
 	return ""
 }
--- a/internal/system/proxy/pick/days_test.go
+++ b/internal/system/proxy/pick/days_test.go
@@ -12,21 +12,21 @@
 
 func aula() scenario {
 	return scenario{
-		name: "aula", seed: 1, length: 34 * time.Second, share: 200 * time.Millisecond, crossRegion: 35 * time.Millisecond,
+		name: "aula", seed: 1, length: 34 * time.Second, shareInterval: 200 * time.Millisecond, crossRegion: 35 * time.Millisecond,
 		zones:   []string{"ca", "ia", "cb"},
 		regions: map[string]string{"ca": "cluj", "cb": "cluj", "ia": "iasi"},
 		proxies: map[string]int{"ca": 5, "ia": 4, "cb": 3}, engines: map[string]int{"ca": 5, "ia": 8, "cb": 5},
 		traffic: map[string]float64{"ca": 74.5, "ia": 149, "cb": 74.5},
-		slots:   48, queue: 134, keepIdle: 5 * time.Second,
+		slots:   48, queue: 134, idleTimeout: 5 * time.Second,
 		prices: prices{regionGB: 22000, zoneGB: 5500, readThousand: 0.47, dial: 0.012},
 		spec:   engineSpec{step: 5.09, perSlot: 0.0303, rate: 51.1, pairs: 0.323, first: 47, memory: 318206, stride: 5},
 		kinds: []kind{
-			{name: "chapter-summary", part: 14.3 / 298, aim: time.Second, pause: 600 * time.Millisecond, deadline: 8 * time.Second, worth: 2, late: 0.6, priority: 1,
+			{name: "chapter-summary", part: 14.3 / 298, latencyTarget: time.Second, eventGapTarget: 600 * time.Millisecond, deadline: 8 * time.Second, value: 2, lateValue: 0.6, priority: 1,
 				chain: []shareSpec{{13300, 0.7, 39900, 54, 0.3}}, own: [3]float64{3720, 1.1, 53200}, out: [3]float64{23.9, 1.4, 95.8}, bytesEach: 2, bytes: 55},
-			{name: "clip-question", part: 224.0 / 298, aim: 800 * time.Millisecond, pause: 600 * time.Millisecond, deadline: 5 * time.Second, worth: 3, late: 0.9,
-				homes: []string{"cluj"}, chain: []shareSpec{{55.2, 0.4, 138, 8, 0}, {36.8, 0.7, 110, 846, 0.3}}, own: [3]float64{291, 1.4, 1830}, out: [3]float64{9.02, 1.4, 36.1},
-				bytesEach: 2, bytes: 55, resume: true},
-			{name: "thumb-fetch", part: 59.6 / 298, aim: 400 * time.Millisecond, pause: time.Hour, deadline: 2500 * time.Millisecond, worth: 1, late: 0.3, priority: 2, plain: true},
+			{name: "clip-question", part: 224.0 / 298, latencyTarget: 800 * time.Millisecond, eventGapTarget: 600 * time.Millisecond, deadline: 5 * time.Second, value: 3, lateValue: 0.9,
+				homeRegions: []string{"cluj"}, chain: []shareSpec{{55.2, 0.4, 138, 8, 0}, {36.8, 0.7, 110, 846, 0.3}}, own: [3]float64{291, 1.4, 1830}, out: [3]float64{9.02, 1.4, 36.1},
+				bytesEach: 2, bytes: 55, resumable: true},
+			{name: "thumb-fetch", part: 59.6 / 298, latencyTarget: 400 * time.Millisecond, eventGapTarget: time.Hour, deadline: 2500 * time.Millisecond, value: 1, lateValue: 0.3, priority: 2, plain: true},
 		},
 	}
 }
@@ -43,11 +43,11 @@
 	sc.prices = prices{regionGB: 28000, zoneGB: 6900, readThousand: 0.72, dial: 0.012}
 	sc.spec = engineSpec{step: 4.23, perSlot: 0.000767, rate: 64.2, pairs: 0.647, first: 0.67, memory: 319818, stride: 6}
 	k := sc.kinds
-	k[0].part, k[0].pause, k[0].late, k[0].chain[0].things = 8.47/290, 400*time.Millisecond, 0.2, 32
+	k[0].part, k[0].eventGapTarget, k[0].lateValue, k[0].chain[0].things = 8.47/290, 400*time.Millisecond, 0.2, 32
 	k[0].out = [3]float64{20, 1.4, 79.8}
-	k[1].part, k[1].pause, k[1].late, k[1].chain[1].things = 224.0/290, 400*time.Millisecond, 0.3, 1271
+	k[1].part, k[1].eventGapTarget, k[1].lateValue, k[1].chain[1].things = 224.0/290, 400*time.Millisecond, 0.3, 1271
 	k[1].out = [3]float64{7.52, 1.4, 30.1}
-	k[2].part, k[2].aim = 58.1/290, 500*time.Millisecond
+	k[2].part, k[2].latencyTarget = 58.1/290, 500*time.Millisecond
 	return sc
 }
 
@@ -66,9 +66,9 @@
 	sc.prices = prices{regionGB: 26000, zoneGB: 6500, readThousand: 0.27, dial: 0.012}
 	sc.spec.stride, sc.spec.memory = 7, 312631
 	k := sc.kinds
-	k[0].part, k[0].pause, k[0].chain[0].things, k[0].bytesEach = 77.6/900, 800*time.Millisecond, 293, 1
+	k[0].part, k[0].eventGapTarget, k[0].chain[0].things, k[0].bytesEach = 77.6/900, 800*time.Millisecond, 293, 1
 	k[0].out = [3]float64{17.1, 1.4, 68.4}
-	k[1].part, k[1].pause, k[1].chain[1].things, k[1].bytesEach, k[1].deadline = 643.0/900, 800*time.Millisecond, 2430, 1, 4*time.Second
+	k[1].part, k[1].eventGapTarget, k[1].chain[1].things, k[1].bytesEach, k[1].deadline = 643.0/900, 800*time.Millisecond, 2430, 1, 4*time.Second
 	k[1].out = [3]float64{6.45, 1.4, 25.8}
 	k[2].part = 180.0 / 900
 	sc.length = 24 * time.Second
@@ -78,23 +78,23 @@
 // maktab is a deployment of three unequal regions, whose long prompts share parts in two levels.
 func maktab() scenario {
 	sc := scenario{
-		name: "maktab", seed: 1, length: 34 * time.Second, share: 200 * time.Millisecond, crossRegion: 20 * time.Millisecond,
+		name: "maktab", seed: 1, length: 34 * time.Second, shareInterval: 200 * time.Millisecond, crossRegion: 20 * time.Millisecond,
 		zones:   []string{"ca", "xa", "sa", "cb", "xb", "sb"},
 		regions: map[string]string{"ca": "cairo", "cb": "cairo", "xa": "alexandria", "xb": "alexandria", "sa": "aswan", "sb": "aswan"},
 		proxies: map[string]int{"ca": 14, "cb": 14, "xa": 14, "xb": 16, "sa": 15, "sb": 17},
 		engines: map[string]int{"ca": 20, "cb": 20, "xa": 15, "xb": 15, "sa": 10, "sb": 10},
 		traffic: map[string]float64{},
-		slots:   96, queue: 288, keepIdle: 5 * time.Second,
+		slots:   96, queue: 288, idleTimeout: 5 * time.Second,
 		prices: prices{regionGB: 7800, zoneGB: 1900, readThousand: 0.12, dial: 0.06},
 		spec:   engineSpec{step: 4.73, perSlot: 0.0138, rate: 38.4, pairs: 1.18, first: 40, memory: 193656, stride: 6},
 		kinds: []kind{
-			{name: "policy-digest", part: 109 / 463.7, aim: time.Second, pause: 600 * time.Millisecond, deadline: 5 * time.Second, worth: 2, late: 0.6, priority: 1,
+			{name: "policy-digest", part: 109 / 463.7, latencyTarget: time.Second, eventGapTarget: 600 * time.Millisecond, deadline: 5 * time.Second, value: 2, lateValue: 0.6, priority: 1,
 				chain: []shareSpec{{2520, 0.4, 6290, 4, 0}, {3780, 0.7, 11300, 614, 0.3}}, own: [3]float64{2890, 1, 18300}, out: [3]float64{8.68, 1.4, 34.7}, bytesEach: 1, bytes: 60},
-			{name: "booking-confirm", part: 96 / 463.7, aim: 800 * time.Millisecond, pause: 600 * time.Millisecond, deadline: 4 * time.Second, worth: 3, late: 0.9,
-				chain: []shareSpec{{341, 0.4, 851, 16, 0}, {227, 0.7, 681, 362, 0.3}}, own: [3]float64{1800, 1.3, 6870}, out: [3]float64{3.76, 1.4, 15}, bytesEach: 1, bytes: 60, resume: true},
-			{name: "desk-suggest", part: 166 / 463.7, aim: 800 * time.Millisecond, pause: 600 * time.Millisecond, deadline: 15 * time.Second, worth: 1, late: 0.3, priority: 2,
-				homes: []string{"cairo", "alexandria"}, chain: []shareSpec{{103, 0.4, 257, 80, 0}, {68.6, 0.7, 206, 941, 0.3}}, own: [3]float64{543, 0.89, 2310}, out: [3]float64{46.6, 0.7, 159}, bytesEach: 1, bytes: 60},
-			{name: "seat-lookup", part: 92.7 / 463.7, aim: 400 * time.Millisecond, pause: time.Hour, deadline: 2 * time.Second, worth: 1, late: 0.3, priority: 2, plain: true},
+			{name: "booking-confirm", part: 96 / 463.7, latencyTarget: 800 * time.Millisecond, eventGapTarget: 600 * time.Millisecond, deadline: 4 * time.Second, value: 3, lateValue: 0.9,
+				chain: []shareSpec{{341, 0.4, 851, 16, 0}, {227, 0.7, 681, 362, 0.3}}, own: [3]float64{1800, 1.3, 6870}, out: [3]float64{3.76, 1.4, 15}, bytesEach: 1, bytes: 60, resumable: true},
+			{name: "desk-suggest", part: 166 / 463.7, latencyTarget: 800 * time.Millisecond, eventGapTarget: 600 * time.Millisecond, deadline: 15 * time.Second, value: 1, lateValue: 0.3, priority: 2,
+				homeRegions: []string{"cairo", "alexandria"}, chain: []shareSpec{{103, 0.4, 257, 80, 0}, {68.6, 0.7, 206, 941, 0.3}}, own: [3]float64{543, 0.89, 2310}, out: [3]float64{46.6, 0.7, 159}, bytesEach: 1, bytes: 60},
+			{name: "seat-lookup", part: 92.7 / 463.7, latencyTarget: 400 * time.Millisecond, eventGapTarget: time.Hour, deadline: 2 * time.Second, value: 1, lateValue: 0.3, priority: 2, plain: true},
 		},
 	}
 	for _, z := range sc.zones {
--- a/internal/system/proxy/pick/evacuation_end_test.go
+++ b/internal/system/proxy/pick/evacuation_end_test.go
@@ -11,27 +11,27 @@
 // it 950 ms after that. Danger: until then they look warm.
 func TestEvacuationEndWithUnseenWarmUp(t *testing.T) {
 	const back, cold, told = 10 * time.Second, 9800 * time.Millisecond, 10950 * time.Millisecond
-	f := newColdFleet(12)
+	f := newWarmUpFleet(12)
 	for i, p := range f.pickers {
-		w := f.world(i, 5, 0)
+		w := f.state(i, 5, 0)
 		w.Evacuated = map[string]bool{"z": true}
 		p.UpdateClusterState(0, w)
 	}
-	f.press(back, cold+coldFor, 40*time.Millisecond, func(now Time) {
+	f.sendAll(back, cold+warmUpDuration, 40*time.Millisecond, func(now Time) {
 		for i, p := range f.pickers {
 			switch {
 			case now == back:
-				w := f.world(i, 5, 0)
+				w := f.state(i, 5, 0)
 				w.ZoneChanges, w.ListCoversSeq = map[string]uint64{"z": 7}, 6
 				p.UpdateClusterState(now, w)
 			case now >= told && now < told+40*time.Millisecond:
-				w := f.world(i, 5, cold+coldFor-now)
+				w := f.state(i, 5, cold+warmUpDuration-now)
 				w.ZoneChanges, w.ListCoversSeq = map[string]uint64{"z": 7}, 7
 				p.UpdateClusterState(now, w)
 			}
 		}
 	})
-	f.check(t)
+	f.checkBound(t)
 	if len(f.sent) == 0 {
 		t.Error("a server that may be cold got nothing")
 	}
@@ -41,8 +41,8 @@
 // that was made late enough to know, and not before; without one, once they must be warm.
 func TestEvacuationEndWithWarmServers(t *testing.T) {
 	const back = 10 * time.Second
-	p, f := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newColdFleet(1)
-	w := f.world(0, 1, 0)
+	p, f := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newWarmUpFleet(1)
+	w := f.state(0, 1, 0)
 	w.Evacuated, w.ZoneChanges = map[string]bool{"z": true}, map[string]uint64{"z": 6}
 	p.UpdateClusterState(0, w)
 	w.Evacuated, w.ZoneChanges, w.ListCoversSeq = nil, map[string]uint64{"z": 7}, 5
@@ -65,8 +65,8 @@
 	p.UpdateClusterState(2*back, w)
 	w.Evacuated, w.ZoneChanges = nil, map[string]uint64{"z": 9}
 	p.UpdateClusterState(3*back, w)
-	if s := p.servers["s0"]; !s.warmingUp(3*back+coldFor-1) || s.warmingUp(3*back+coldFor) {
-		t.Errorf("without a list cold for %v, of %v", s.warmUp.until-3*back, coldFor)
+	if s := p.servers["s0"]; !s.warmingUp(3*back+warmUpDuration-1) || s.warmingUp(3*back+warmUpDuration) {
+		t.Errorf("without a list cold for %v, of %v", s.warmUp.until-3*back, warmUpDuration)
 	}
 }
 
@@ -75,27 +75,27 @@
 	const back, cold, told = 10 * time.Second, 9800 * time.Millisecond, 10950 * time.Millisecond
 	for name, starts := range map[string]bool{"between two updates": false, "before the start": true} {
 		t.Run(name, func(t *testing.T) {
-			f := newColdFleet(12)
+			f := newWarmUpFleet(12)
 			world := func(i int, cold time.Duration, covers uint64) ClusterState {
-				w := f.world(i, 5, cold)
+				w := f.state(i, 5, cold)
 				w.ZoneChanges, w.ListCoversSeq = map[string]uint64{"z": 7}, covers
 				return w
 			}
 			for i, p := range f.pickers {
 				if !starts {
-					p.UpdateClusterState(0, f.world(i, 5, 0))
+					p.UpdateClusterState(0, f.state(i, 5, 0))
 				}
 				p.UpdateClusterState(back, world(i, 0, 6))
 			}
-			f.press(back, cold+coldFor, 40*time.Millisecond, func(now Time) {
+			f.sendAll(back, cold+warmUpDuration, 40*time.Millisecond, func(now Time) {
 				if now < told || now >= told+40*time.Millisecond {
 					return
 				}
 				for i, p := range f.pickers {
-					p.UpdateClusterState(now, world(i, cold+coldFor-now, 7))
+					p.UpdateClusterState(now, world(i, cold+warmUpDuration-now, 7))
 				}
 			})
-			f.check(t)
+			f.checkBound(t)
 		})
 	}
 }
@@ -104,10 +104,10 @@
 // may be cold all the same.
 func TestUnseenWarmUpOutlivesGaps(t *testing.T) {
 	const back = 10 * time.Second
-	p, f := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newColdFleet(1)
-	p.UpdateClusterState(0, f.world(0, 1, 0))
+	p, f := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newWarmUpFleet(1)
+	p.UpdateClusterState(0, f.state(0, 1, 0))
 	world := func(servers int) ClusterState {
-		w := f.world(0, servers, 0)
+		w := f.state(0, servers, 0)
 		w.ZoneChanges, w.ListCoversSeq = map[string]uint64{"z": 7}, 6
 		return w
 	}
@@ -123,15 +123,15 @@
 	without.Config = &config.Config{}
 	p.UpdateClusterState(back+300*time.Millisecond, without)
 	p.UpdateClusterState(back+400*time.Millisecond, world(1))
-	if s := p.servers["s0"]; !s.warmingUp(back+400*time.Millisecond) || s.warmingUp(back+coldFor) {
-		t.Errorf("after its service was missing cold until %v, want %v", s.warmUp.until, back+coldFor)
+	if s := p.servers["s0"]; !s.warmingUp(back+400*time.Millisecond) || s.warmingUp(back+warmUpDuration) {
+		t.Errorf("after its service was missing cold until %v, want %v", s.warmUp.until, back+warmUpDuration)
 	}
 }
 
 // TestUncoveredListWithoutEvacuation: a list that covers nothing costs nothing where no zone was ever evacuated, or long ago.
 func TestUncoveredListWithoutEvacuation(t *testing.T) {
-	p, f := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newColdFleet(1)
-	w := f.world(0, 1, 0)
+	p, f := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newWarmUpFleet(1)
+	w := f.state(0, 1, 0)
 	w.ZoneChanges = map[string]uint64{"z": 0}
 	p.UpdateClusterState(0, w)
 	if p.AwaitsServerList() {
@@ -140,7 +140,7 @@
 	w.ZoneChanges, w.ListCoversSeq = map[string]uint64{"z": 7}, 7
 	p.UpdateClusterState(time.Second, w)
 	w.ListCoversSeq = 0 // the list's reader has just started
-	p.UpdateClusterState(time.Second+coldFor, w)
+	p.UpdateClusterState(time.Second+warmUpDuration, w)
 	if p.AwaitsServerList() {
 		t.Error("a list is awaited for a change of long ago")
 	}
--- a/internal/system/proxy/pick/golden_trace_test.go
+++ b/internal/system/proxy/pick/golden_trace_test.go
@@ -118,11 +118,11 @@
 	return func(tr *trace, seed uint64) {
 		sc.seed = seed
 		f := newFleet(sc)
-		f.chosen = func(i int, r *Request, tried int, offered bool, c Result) {
+		f.onPick = func(i int, r *Request, tried int, offered bool, c Result) {
 			tr.num(int64(i))
 			tr.choice(f.now, f.pickers[i], r, tried, offered, c)
 		}
-		f.tells = func(i int, loads map[string]Load) {
+		f.onShare = func(i int, loads map[string]Load) {
 			tr.num(int64(i))
 			tr.loads(f.now, loads)
 		}
@@ -140,7 +140,7 @@
 		t := f.tallies[f.kinds[i].name]
 		tr.step('T')
 		tr.num(int64(t.asked), int64(t.inTime), int64(t.late), int64(t.lost), int64(t.refused), int64(t.abroad), int64(t.across))
-		tr.float(t.worth)
+		tr.float(t.value)
 		tr.float(t.latencies...)
 	}
 	tr.num(f.reread, f.firstRead, int64(f.dials), int64(f.unexecuted))
@@ -152,8 +152,8 @@
 	return days(sc)[day]
 }
 
-// eachWorld changes the worlds of all pickers at a moment.
-func (f *fleet) eachWorld(at Time, change func(i int, w *ClusterState)) {
+// updateEachState changes the worlds of all pickers at a moment.
+func (f *fleet) updateEachState(at Time, change func(i int, w *ClusterState)) {
 	f.after(at, func() {
 		for i, p := range f.pickers {
 			w := p.state
@@ -164,10 +164,10 @@
 	})
 }
 
-// coldServers has a zone turn cold, one server in three under its own word alone, others drain or leave, and proxies miss news.
-func coldServers(f *fleet) {
+// warmUpScenario has a zone turn cold, one server in three under its own word alone, others drain or leave, and proxies miss news.
+func warmUpScenario(f *fleet) {
 	zone := f.zones[1]
-	f.eachWorld(time.Second, func(i int, w *ClusterState) {
+	f.updateEachState(time.Second, func(i int, w *ClusterState) {
 		w.Age = time.Duration(i) * 10 * time.Millisecond
 		for j := range w.Servers {
 			if s := &w.Servers[j]; s.Zone == zone && j%3 != 0 {
@@ -187,16 +187,16 @@
 			}
 		}
 	})
-	f.eachWorld(2*time.Second, func(i int, w *ClusterState) {
+	f.updateEachState(2*time.Second, func(i int, w *ClusterState) {
 		w.MembershipIncomplete, w.Stale, w.DownCount = i%4 == 1, i%4 == 2, 1
 		w.Servers[0].Draining, w.Servers[1].Remaining = true, 900*time.Millisecond
 		w.Evacuated, w.ZoneChanges = map[string]bool{f.zones[2]: true}, map[string]uint64{f.zones[2]: 5}
 	})
-	f.eachWorld(3*time.Second, func(i int, w *ClusterState) {
+	f.updateEachState(3*time.Second, func(i int, w *ClusterState) {
 		w.MembershipIncomplete, w.Stale, w.Evacuated, w.ZoneChanges = false, false, nil, map[string]uint64{f.zones[2]: 9}
 		w.ListCoversSeq = uint64(7 + i%3)
 	})
-	f.eachWorld(5*time.Second, func(_ int, w *ClusterState) { w.ListCoversSeq = 9 })
+	f.updateEachState(5*time.Second, func(_ int, w *ClusterState) { w.ListCoversSeq = 9 })
 }
 
 // overloaded is a deployment to which more comes than it can serve.
@@ -222,16 +222,16 @@
 		switch d.rng.IntN(12) {
 		case 0:
 			if d.rng.IntN(20) == 0 {
-				d.world()
+				d.updateState()
 			}
 		case 1:
-			d.hint()
+			d.giveHint()
 		case 2:
-			d.share()
+			d.shareLoads()
 		case 3, 4, 5, 6:
-			d.ask()
+			d.sendNew()
 		default:
-			d.end()
+			d.endOne()
 		}
 	}
 }
@@ -271,11 +271,11 @@
 		d.servers = append(d.servers, s)
 	}
 	d.p = New(Settings{Zone: "z0", Region: "r", RetryRatio: 0.2, RetrySlack: 20, WarmUpExcess: 1.5, WarmUpSlack: 5, Seed: seed})
-	d.world()
+	d.updateState()
 	return d
 }
 
-func (d *driver) world() {
+func (d *driver) updateState() {
 	w := ClusterState{Config: d.cfg, Servers: slices.Clone(d.servers), Self: "p1", Peers: []string{"p0", "p1", "p2"}[:2+d.rng.IntN(2)],
 		ListCoversSeq: uint64(d.rng.IntN(4)), DownCount: d.rng.IntN(2), MembershipIncomplete: d.rng.IntN(8) == 0, Stale: d.rng.IntN(8) == 0,
 		ZoneChanges: map[string]uint64{"z0": uint64(d.rng.IntN(4))}, Evacuated: map[string]bool{"z1": d.rng.IntN(4) == 0}}
@@ -291,7 +291,7 @@
 	d.p.UpdateClusterState(d.now, w)
 }
 
-func (d *driver) hint() {
+func (d *driver) giveHint() {
 	id := fmt.Sprint("s", d.rng.IntN(12))
 	switch d.rng.IntN(8) {
 	case 0:
@@ -305,7 +305,7 @@
 	}
 }
 
-func (d *driver) share() {
+func (d *driver) shareLoads() {
 	others := map[string]Load{}
 	for i := range 12 {
 		others[fmt.Sprint("s", i)] = Load{Requests: d.rng.IntN(9), Prefill: int64(d.rng.IntN(5000)), Tokens: int64(d.rng.IntN(9000))}
@@ -316,7 +316,7 @@
 	d.tr.loads(d.now, told)
 }
 
-func (d *driver) ask() {
+func (d *driver) sendNew() {
 	r := &Request{Route: d.cfg.Routes[d.rng.IntN(3)], MaxTokensOut: d.rng.IntN(300), TimeLeft: time.Duration(100+d.rng.IntN(4000)) * time.Millisecond}
 	for _, part := range []PrefixPart{{ID: uint64(1 + d.rng.IntN(3)), Tokens: 1500}, {ID: uint64(10 + d.rng.IntN(20)), Tokens: 400}, {ID: d.rng.Uint64(), Tokens: 1 + d.rng.IntN(900)}} {
 		r.Prefix = append(r.Prefix, part)
@@ -339,8 +339,8 @@
 // drivenOutcomes are those that are drawn, the usual ones more often.
 var drivenOutcomes = []Outcome{Served, Served, Served, Served, Served, Served, NotExecuted, NotExecuted, Misdirected, ConnectFailed, ConnectionLost, TimedOut, ServerError, Canceled}
 
-// end ends a send and asks again where it failed.
-func (d *driver) end() {
+// endOne ends a send and asks again where it failed.
+func (d *driver) endOne() {
 	if len(d.open) == 0 {
 		return
 	}
@@ -369,7 +369,7 @@
 		{"evacuated", 2, tracedFleet(shortDay(hakata(), 5*time.Second, 1), nil)},
 		{"dark", 3, tracedFleet(shortDay(aula(), 6*time.Second, 3), nil)},
 		{"reset", 4, tracedFleet(shortDay(hakata(), 6*time.Second, 4), nil)},
-		{"cold", 5, tracedFleet(shortDay(aula(), 6*time.Second, 0), coldServers)},
+		{"cold", 5, tracedFleet(shortDay(aula(), 6*time.Second, 0), warmUpScenario)},
 		{"overloaded", 6, tracedFleet(overloaded(), nil)},
 		{"long-prompts", 7, tracedFleet(longPrompts(), nil)},
 	}
--- a/internal/system/proxy/pick/idle_conns_test.go
+++ b/internal/system/proxy/pick/idle_conns_test.go
@@ -13,7 +13,7 @@
 	const told = 10 * time.Second
 	route := &config.Route{Name: "a", Host: "h", Prefix: "/", Category: config.Streaming, Timeout: 8 * time.Second, LatencyTarget: time.Second, MaxTries: 1,
 		Shares: []config.Share{{Service: "lm", Weight: 1}}}
-	p := laneWorld(6)
+	p := newPoolPicker(6)
 	send := func(now Time, outcome Outcome) string {
 		t.Helper()
 		c := p.Pick(now, &Request{Route: route, TokensIn: 100, MaxTokensOut: 20, TimeLeft: 8 * time.Second}, nil, false)
--- a/internal/system/proxy/pick/invariants_test.go
+++ b/internal/system/proxy/pick/invariants_test.go
@@ -11,13 +11,13 @@
 
 // TestWarmUpRateInvariantControl: a proxy that saves up more than one request is seen.
 func TestWarmUpRateInvariantControl(t *testing.T) {
-	f := newColdFleet(12)
+	f := newWarmUpFleet(12)
 	f.pickers = f.pickers[:1]
 	p := f.pickers[0]
-	p.UpdateClusterState(0, f.world(0, 1, time.Minute))
-	f.press(0, 5*time.Second, 10*time.Millisecond, nil)
+	p.UpdateClusterState(0, f.state(0, 1, time.Minute))
+	f.sendAll(0, 5*time.Second, 10*time.Millisecond, nil)
 	invarianttest.Expect(t, warmUpRateInvariant, func() {
-		f.press(5*time.Second, 5100*time.Millisecond, 10*time.Millisecond, func(Time) { p.servers["s0"].warmUp.bucket.tokens = 2 })
+		f.sendAll(5*time.Second, 5100*time.Millisecond, 10*time.Millisecond, func(Time) { p.servers["s0"].warmUp.bucket.tokens = 2 })
 	})
 }
 
@@ -25,16 +25,16 @@
 // that begins after the first request is not taken for it.
 func TestWarmUpEndInvariantControl(t *testing.T) {
 	play := func(cold, later time.Duration) {
-		f := newColdFleet(1)
-		f.pickers[0].UpdateClusterState(0, f.world(0, 1, cold))
-		f.press(0, cold+40*time.Millisecond, 10*time.Millisecond, nil)
-		w := f.world(0, 1, later)
+		f := newWarmUpFleet(1)
+		f.pickers[0].UpdateClusterState(0, f.state(0, 1, cold))
+		f.sendAll(0, cold+40*time.Millisecond, 10*time.Millisecond, nil)
+		w := f.state(0, 1, later)
 		w.Servers[0].WarmUpMin = later
 		f.pickers[0].UpdateClusterState(cold+40*time.Millisecond, w)
 	}
-	invarianttest.Expect(t, warmUpEndInvariant, func() { play(coldFor-80*time.Millisecond, 40*time.Millisecond) })
+	invarianttest.Expect(t, warmUpEndInvariant, func() { play(warmUpDuration-80*time.Millisecond, 40*time.Millisecond) })
 	before := warmUpEndInvariant.Violations()
-	play(coldFor, coldFor-20*time.Millisecond)
+	play(warmUpDuration, warmUpDuration-20*time.Millisecond)
 	if warmUpEndInvariant.Violations() != before {
 		t.Error("a cold state that began after the first request counts as the one before")
 	}
@@ -42,9 +42,9 @@
 
 // TestEligibilityInvariantControl: a request to a server in an evacuated zone is seen.
 func TestEligibilityInvariantControl(t *testing.T) {
-	f := newColdFleet(1)
+	f := newWarmUpFleet(1)
 	p := f.pickers[0]
-	p.UpdateClusterState(0, f.world(0, 1, 0))
+	p.UpdateClusterState(0, f.state(0, 1, 0))
 	invarianttest.Expect(t, eligibilityInvariant, func() {
 		p.state.Evacuated = map[string]bool{"z": true}
 		r := &Request{Route: f.config.Routes[0], TimeLeft: time.Second}
@@ -56,12 +56,12 @@
 // after the server has turned cold anew. The guess that paces it until the list can tell says nothing of that request.
 func TestEvacuationEndIsNoViolation(t *testing.T) {
 	const back = 12 * time.Second
-	f := newColdFleet(1)
+	f := newWarmUpFleet(1)
 	p := f.pickers[0]
 	before := warmUpEndInvariant.Violations()
-	p.UpdateClusterState(0, f.world(0, 1, coldFor))
-	f.press(0, coldFor+100*time.Millisecond, 10*time.Millisecond, nil)
-	w := f.world(0, 1, 0)
+	p.UpdateClusterState(0, f.state(0, 1, warmUpDuration))
+	f.sendAll(0, warmUpDuration+100*time.Millisecond, 10*time.Millisecond, nil)
+	w := f.state(0, 1, 0)
 	w.Evacuated = map[string]bool{"z": true}
 	p.UpdateClusterState(5*time.Second, w)
 	w.Evacuated, w.ZoneChanges, w.ListCoversSeq = nil, map[string]uint64{"z": 7}, 6
@@ -69,7 +69,7 @@
 	if !p.servers["s0"].warmUp.awaitsNewerList {
 		t.Error("not paced though the list cannot tell")
 	}
-	w = f.world(0, 1, 1700*time.Millisecond)
+	w = f.state(0, 1, 1700*time.Millisecond)
 	w.ZoneChanges, w.ListCoversSeq = map[string]uint64{"z": 7}, 7
 	w.Servers[0].WarmUpMin = time.Second
 	p.UpdateClusterState(back+500*time.Millisecond, w)
@@ -81,13 +81,13 @@
 // TestWarmUpAgainBeforeItsEndIsNoViolation: 500 ms before its cold state ends a server turns cold anew, which the list shows 900 ms
 // later. No proxy can know it when the first state ends.
 func TestWarmUpAgainBeforeItsEndIsNoViolation(t *testing.T) {
-	const again, told = coldFor - 500*time.Millisecond, coldFor + 400*time.Millisecond
-	f := newColdFleet(1)
+	const again, told = warmUpDuration - 500*time.Millisecond, warmUpDuration + 400*time.Millisecond
+	f := newWarmUpFleet(1)
 	p := f.pickers[0]
 	before := warmUpEndInvariant.Violations()
-	p.UpdateClusterState(0, f.world(0, 1, coldFor))
-	f.press(0, told, 10*time.Millisecond, nil)
-	w := f.world(0, 1, again+coldFor-told)
+	p.UpdateClusterState(0, f.state(0, 1, warmUpDuration))
+	f.sendAll(0, told, 10*time.Millisecond, nil)
+	w := f.state(0, 1, again+warmUpDuration-told)
 	w.Servers[0].WarmUpMin = w.Servers[0].WarmUpMax
 	p.UpdateClusterState(told, w)
 	if warmUpEndInvariant.Violations() != before {
@@ -98,15 +98,15 @@
 // TestUpdateThatComesLateIsNoViolation: a server's cold state ends at 3 s; an update made at 2.9 s, which tells the remaining 100 ms
 // rightly, is used at 3.2 s, after the first request that took the server for warm.
 func TestUpdateThatComesLateIsNoViolation(t *testing.T) {
-	f := newColdFleet(1)
+	f := newWarmUpFleet(1)
 	p := f.pickers[0]
 	before := warmUpEndInvariant.Violations()
-	p.UpdateClusterState(0, f.world(0, 1, coldFor))
-	f.press(0, coldFor+200*time.Millisecond, 10*time.Millisecond, nil)
-	w := f.world(0, 1, 100*time.Millisecond)
+	p.UpdateClusterState(0, f.state(0, 1, warmUpDuration))
+	f.sendAll(0, warmUpDuration+200*time.Millisecond, 10*time.Millisecond, nil)
+	w := f.state(0, 1, 100*time.Millisecond)
 	w.Servers[0].WarmUpMin, w.Age = w.Servers[0].WarmUpMax, 300*time.Millisecond
-	p.UpdateClusterState(coldFor+200*time.Millisecond, w)
-	if warmUpEndInvariant.Violations() != before || p.servers["s0"].warmingUp(coldFor+200*time.Millisecond) {
+	p.UpdateClusterState(warmUpDuration+200*time.Millisecond, w)
+	if warmUpEndInvariant.Violations() != before || p.servers["s0"].warmingUp(warmUpDuration+200*time.Millisecond) {
 		t.Error("counted as a fault, or cold once more")
 	}
 }
@@ -117,10 +117,10 @@
 	const woke = 10 * time.Second
 	p, f := stalledPicker(woke)
 	before := warmUpEndInvariant.Violations()
-	p.UpdateClusterState(woke+50*time.Millisecond, f.world(0, 1, 0))
+	p.UpdateClusterState(woke+50*time.Millisecond, f.state(0, 1, 0))
 	f.pickers = f.pickers[:1]
-	f.press(woke+50*time.Millisecond, woke+100*time.Millisecond, 10*time.Millisecond, nil)
-	w := f.world(0, 1, 2900*time.Millisecond)
+	f.sendAll(woke+50*time.Millisecond, woke+100*time.Millisecond, 10*time.Millisecond, nil)
+	w := f.state(0, 1, 2900*time.Millisecond)
 	w.Servers[0].WarmUpMin = w.Servers[0].WarmUpMax
 	p.UpdateClusterState(woke+100*time.Millisecond, w)
 	if warmUpEndInvariant.Violations() != before || len(f.sent) == 0 {
--- a/internal/system/proxy/pick/probe_test.go
+++ b/internal/system/proxy/pick/probe_test.go
@@ -9,9 +9,9 @@
 // a large fleet.
 func TestStaleProxyProbesOnce(t *testing.T) {
 	for _, proxies := range []int{12, 60} {
-		f := newColdFleet(proxies)
+		f := newWarmUpFleet(proxies)
 		p := f.pickers[0]
-		w := f.world(0, 2, 0)
+		w := f.state(0, 2, 0)
 		w.Stale = true
 		p.UpdateClusterState(0, w)
 		ask := func(now Time) Result {
--- a/internal/system/proxy/pick/prompt_mixes_test.go
+++ b/internal/system/proxy/pick/prompt_mixes_test.go
@@ -26,9 +26,9 @@
 
 // scenario lays a mix out so that reading what is not shared takes a fifth of the servers' time.
 func (m mixture) scenario() scenario {
-	sc := scenario{name: m.name, seed: m.seed, length: 14 * time.Second, share: 200 * time.Millisecond, crossRegion: 25 * time.Millisecond,
+	sc := scenario{name: m.name, seed: m.seed, length: 14 * time.Second, shareInterval: 200 * time.Millisecond, crossRegion: 25 * time.Millisecond,
 		regions: map[string]string{}, proxies: map[string]int{}, engines: map[string]int{}, traffic: map[string]float64{},
-		slots: 48, queue: 144, spec: m.spec, keepIdle: 5 * time.Second, prices: prices{regionGB: 15_000, zoneGB: 4_000, readThousand: 0.2, dial: 0.02}}
+		slots: 48, queue: 144, spec: m.spec, idleTimeout: 5 * time.Second, prices: prices{regionGB: 15_000, zoneGB: 4_000, readThousand: 0.2, dial: 0.02}}
 	servers := 0
 	for region, zones := range sorted(m.regions) {
 		for i, n := range zones {
@@ -48,10 +48,10 @@
 		sc.traffic[zone] = (long + short) / float64(len(sc.zones))
 	}
 	sc.kinds = []kind{
-		{name: "long", part: long / (long + short), aim: time.Second, pause: 600 * time.Millisecond, deadline: 6 * time.Second, worth: 2, late: 0.6, priority: 1,
+		{name: "long", part: long / (long + short), latencyTarget: time.Second, eventGapTarget: 600 * time.Millisecond, deadline: 6 * time.Second, value: 2, lateValue: 0.6, priority: 1,
 			chain: []shareSpec{{longShared, 0.5, 18_000, 120, 0.3}}, own: [3]float64{longOwn, 1, 18_000}, out: [3]float64{9, 1.2, 36}, bytesEach: 1, bytes: 60},
-		{name: "short", part: short / (long + short), aim: 800 * time.Millisecond, pause: 600 * time.Millisecond, deadline: 5 * time.Second, worth: 2, late: 0.6,
-			chain: []shareSpec{{100, 0.4, 250, 300, 0.3}}, own: [3]float64{shortOwn, 1, 2000}, out: [3]float64{6, 1.2, 24}, bytesEach: 1, bytes: 60, resume: true},
+		{name: "short", part: short / (long + short), latencyTarget: 800 * time.Millisecond, eventGapTarget: 600 * time.Millisecond, deadline: 5 * time.Second, value: 2, lateValue: 0.6,
+			chain: []shareSpec{{100, 0.4, 250, 300, 0.3}}, own: [3]float64{shortOwn, 1, 2000}, out: [3]float64{6, 1.2, 24}, bytesEach: 1, bytes: 60, resumable: true},
 	}
 	return sc
 }
@@ -83,7 +83,7 @@
 			best, at := 0.0, 0.0
 			for _, fixed := range []float64{0.15, 0.4, 0.6, 0.75, 0.9} {
 				sc := m.scenario()
-				sc.fixedLane = fixed
+				sc.fixedPoolShare = fixed
 				if score := play(sc); score > best {
 					best, at = score, fixed
 				}
--- a/internal/system/proxy/pick/property_test.go
+++ b/internal/system/proxy/pick/property_test.go
@@ -11,8 +11,8 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// drawWorld draws a deployment of two services and three zones in two regions.
-func drawWorld(t *rapid.T, age int) ClusterState {
+// drawClusterState draws a deployment of two services and three zones in two regions.
+func drawClusterState(t *rapid.T, age int) ClusterState {
 	w := ClusterState{Self: "p1", Peers: []string{"p1", "p2", "p3"}, Evacuated: map[string]bool{}, Config: &config.Config{Services: map[string]*config.Service{
 		"lm":  {Name: "lm", WarmUpRate: 30, Engine: &config.Engine{Slots: 4, CacheTokens: 50000}},
 		"app": {Name: "app"},
@@ -58,7 +58,7 @@
 			act := rapid.IntRange(0, 9).Draw(t, "act")
 			switch {
 			case step == 0 || act == 0:
-				w = drawWorld(t, step)
+				w = drawClusterState(t, step)
 				p.UpdateClusterState(now, w)
 			case act == 1:
 				loads := map[string]Load{}
@@ -180,8 +180,8 @@
 	}
 }
 
-// mostInASecond is how many of the moments, which are in order, lie in one second at the most.
-func mostInASecond(sent []Time) (most int) {
+// maxInASecond is how many of the moments, which are in order, lie in one second at the most.
+func maxInASecond(sent []Time) (most int) {
 	for i, at := range sent {
 		j := i
 		for j < len(sent) && sent[j] < at+time.Second {
@@ -234,7 +234,7 @@
 				}
 			}
 		}
-		most := mostInASecond(sent)
+		most := maxInASecond(sent)
 		if float64(most) > rate*1.5+5 {
 			t.Fatalf("%d requests in a second, of %v", most, rate*1.5+5)
 		}
--- a/internal/system/proxy/pick/reachable_again_test.go
+++ b/internal/system/proxy/pick/reachable_again_test.go
@@ -10,23 +10,23 @@
 // that waits goes there.
 func TestServersReachableAgain(t *testing.T) {
 	const cut, healed, told = 5 * time.Second, 10 * time.Second, 10300 * time.Millisecond
-	f := newColdFleet(12)
+	f := newWarmUpFleet(12)
 	f.pickers = f.pickers[:5]
 	for i, p := range f.pickers {
-		p.UpdateClusterState(0, f.world(i, 1, 0))
-		w := f.world(i, 1, 0)
+		p.UpdateClusterState(0, f.state(i, 1, 0))
+		w := f.state(i, 1, 0)
 		w.Stale = true
 		p.UpdateClusterState(cut, w)
 		c := p.Pick(cut, &Request{Route: f.config.Routes[0], TimeLeft: time.Second}, nil, false)
 		p.Done(cut, c.Ticket, ConnectFailed, 0)
 	}
-	f.press(healed, told, 5*time.Millisecond, nil)
-	f.check(t)
+	f.sendAll(healed, told, 5*time.Millisecond, nil)
+	f.checkBound(t)
 	if len(f.sent) == 0 {
 		t.Error("nothing was tried")
 	}
 	for i, p := range f.pickers {
-		w := f.world(i, 1, 0)
+		w := f.state(i, 1, 0)
 		w.ContactAge = told - healed + time.Millisecond
 		p.UpdateClusterState(told, w)
 		if !p.servers["s0"].warmingUp(told) {
@@ -42,13 +42,13 @@
 
 // TestServersReachableAgainWithContact: a proxy that hears its keepers knows of cold servers by them, and goes on at once.
 func TestServersReachableAgainWithContact(t *testing.T) {
-	f := newColdFleet(12)
+	f := newWarmUpFleet(12)
 	p := f.pickers[0]
-	p.UpdateClusterState(0, f.world(0, 1, 0))
+	p.UpdateClusterState(0, f.state(0, 1, 0))
 	c := p.Pick(0, &Request{Route: f.config.Routes[0], TimeLeft: time.Second}, nil, false)
 	p.Done(0, c.Ticket, ConnectFailed, 0)
 	f.pickers = f.pickers[:1]
-	f.press(10*time.Second, 11*time.Second, 10*time.Millisecond, nil)
+	f.sendAll(10*time.Second, 11*time.Second, 10*time.Millisecond, nil)
 	if len(f.sent) != 100 {
 		t.Errorf("%d requests of 100", len(f.sent))
 	}
--- a/internal/system/proxy/pick/sim_engine_test.go
+++ b/internal/system/proxy/pick/sim_engine_test.go
@@ -54,19 +54,19 @@
 
 // job is a request at a model server.
 type job struct {
-	chain    prefixcache.Chain
-	in, out  int
-	priority int
-	deadline Time
-	left     int // prompt tokens still to be read
-	total    int
-	made     int // tokens made
-	taken    int64
-	lastAt   Time
-	pause    time.Duration // the longest between events
-	first    func(running, waiting int)
-	done     func(served bool)
-	lost     func(Outcome)
+	chain       prefixcache.Chain
+	in, out     int
+	priority    int
+	deadline    Time
+	prefillLeft int // prompt tokens still to be read
+	total       int
+	tokensMade  int // tokens made
+	memoryTaken int64
+	lastAt      Time
+	maxEventGap time.Duration // the longest between events
+	first       func(running, waiting int)
+	done        func(served bool)
+	lost        func(Outcome)
 }
 
 // engine is a model server: it reads prompts in pieces between the steps in which every running request gets a token.
@@ -78,27 +78,27 @@
 	running, waiting []*job
 	stepping         bool
 	cache            map[uint64]*list.Element // of cachedPart, by chain key
-	order            *list.List               // longest unused first
+	lru              *list.List               // longest unused first
 	used, cached     int64
-	read             func(key uint64, tokens int) // tells of shared parts that are read
+	onPrefill        func(key uint64, tokens int) // tells of shared parts that are read
 	prefilled        int64
 	peakWaiting      int
 	down             string // "reset", "dark" or, when it is up, nothing
 }
 
-// fall ends all that runs here: with resets, or in silence.
-func (e *engine) fall(how string) {
+// fail ends all that runs here: with resets, or in silence.
+func (e *engine) fail(how string) {
 	e.down = how
 	for _, j := range append(e.running, e.waiting...) {
 		if how == "reset" {
 			e.after(time.Millisecond, func() { j.lost(ConnectionLost) })
 		} else {
-			e.after(patience, func() { j.lost(TimedOut) })
+			e.after(serverTimeout, func() { j.lost(TimedOut) })
 		}
 	}
 	e.running, e.waiting, e.used, e.cached = nil, nil, 0, 0
 	e.cache = map[uint64]*list.Element{}
-	e.order.Init()
+	e.lru.Init()
 }
 
 type engineSpec struct {
@@ -144,27 +144,27 @@
 			if x == nil {
 				break
 			}
-			e.order.MoveToBack(x)
+			e.lru.MoveToBack(x)
 			kept = j.chain.EndTokens[i]
 		}
 		need := int64(j.in - kept + j.out)
-		for e.used+e.cached+need > e.spec.memory && e.order.Len() > 0 {
-			old := e.order.Remove(e.order.Front()).(cachedPart)
+		for e.used+e.cached+need > e.spec.memory && e.lru.Len() > 0 {
+			old := e.lru.Remove(e.lru.Front()).(cachedPart)
 			delete(e.cache, old.key)
 			e.cached -= int64(old.tokens)
 		}
 		if e.used+need > e.spec.memory && len(e.running) > 0 {
 			return
 		}
-		j.left, j.total, j.taken = j.in-kept, j.in, need
+		j.prefillLeft, j.total, j.memoryTaken = j.in-kept, j.in, need
 		sum := 0
 		for i := range j.chain.Len {
 			if size := j.chain.EndTokens[i] - sum; i < j.chain.Parts-1 && j.chain.EndTokens[i] > kept {
-				e.read(j.chain.Keys[i], size)
+				e.onPrefill(j.chain.Keys[i], size)
 			}
 			sum = j.chain.EndTokens[i]
 		}
-		e.prefilled += int64(j.left)
+		e.prefilled += int64(j.prefillLeft)
 		e.used += need
 		e.waiting = e.waiting[1:]
 		e.running = append(e.running, j)
@@ -179,43 +179,43 @@
 	budget, took := 4096, e.spec.step
 	var decoding, ready []*job
 	for _, j := range e.running {
-		if j.left <= 0 {
+		if j.prefillLeft <= 0 {
 			decoding = append(decoding, j)
 			continue
 		}
-		n := min(j.left, budget)
+		n := min(j.prefillLeft, budget)
 		if n == 0 {
 			continue
 		}
-		took += float64(n)/e.spec.rate + float64(n)*float64(j.total-j.left+n/2)/1e6*e.spec.pairs
+		took += float64(n)/e.spec.rate + float64(n)*float64(j.total-j.prefillLeft+n/2)/1e6*e.spec.pairs
 		budget -= n
-		if j.left -= n; j.left == 0 {
+		if j.prefillLeft -= n; j.prefillLeft == 0 {
 			ready = append(ready, j)
 		}
 	}
 	took += e.spec.perSlot * float64(len(decoding))
-	e.after(durationMS(took*e.speed), func() { e.stepped(decoding, ready) })
+	e.after(durationMS(took*e.speed), func() { e.endStep(decoding, ready) })
 }
 
-func (e *engine) stepped(decoding, ready []*job) {
+func (e *engine) endStep(decoding, ready []*job) {
 	e.stepping = false
 	if e.down != "" {
 		return
 	}
 	var ended []*job
 	for _, j := range decoding {
-		j.made++
-		if j.made%e.spec.stride == 0 || j.made >= j.out {
-			j.pause = max(j.pause, e.now-j.lastAt)
+		j.tokensMade++
+		if j.tokensMade%e.spec.stride == 0 || j.tokensMade >= j.out {
+			j.maxEventGap = max(j.maxEventGap, e.now-j.lastAt)
 			j.lastAt = e.now
 		}
-		if j.made >= j.out {
+		if j.tokensMade >= j.out {
 			ended = append(ended, j)
 		}
 	}
 	for _, j := range ready {
-		j.made, j.lastAt = 1, e.now
-		e.keep(j)
+		j.tokensMade, j.lastAt = 1, e.now
+		e.cachePrompt(j)
 		r, w := len(e.running), len(e.waiting)
 		e.after(durationMS(e.spec.first), func() { j.first(r, w) })
 		if j.out <= 1 {
@@ -229,26 +229,26 @@
 				break
 			}
 		}
-		e.used -= j.taken
+		e.used -= j.memoryTaken
 		e.after(durationMS(e.spec.first), func() { j.done(true) })
 	}
 	e.admit()
 	e.step()
 }
 
-// keep puts a prompt's parts into the cache.
-func (e *engine) keep(j *job) {
+// cachePrompt puts a prompt's parts into the cache.
+func (e *engine) cachePrompt(j *job) {
 	sum := 0
 	for i := range j.chain.Len {
 		size := j.chain.EndTokens[i] - sum
 		sum = j.chain.EndTokens[i]
 		if x := e.cache[j.chain.Keys[i]]; x != nil {
-			e.order.MoveToBack(x)
+			e.lru.MoveToBack(x)
 			continue
 		}
-		e.cache[j.chain.Keys[i]] = e.order.PushBack(cachedPart{j.chain.Keys[i], size})
+		e.cache[j.chain.Keys[i]] = e.lru.PushBack(cachedPart{j.chain.Keys[i], size})
 		e.cached += int64(size)
-		j.taken -= int64(size)
+		j.memoryTaken -= int64(size)
 		e.used -= int64(size)
 	}
 }
--- a/internal/system/proxy/pick/sim_parts_test.go
+++ b/internal/system/proxy/pick/sim_parts_test.go
@@ -20,16 +20,16 @@
 	spec             engineSpec
 	slots, queue     int
 	crossRegion      time.Duration
-	share            time.Duration // how often loads are told
+	shareInterval    time.Duration // how often loads are told
 	length           time.Duration
 	evacuated        string
 	evacuateAt       Time
 	seed             uint64
 	down             string // "reset" or "dark": what happens to a sixth of the model servers
 	downAt, downTo   Time
-	fixedLane        float64 // the share of the lanes; 0: by the work
+	fixedPoolShare   float64 // the share of the lanes; 0: by the work
 	prices           prices
-	keepIdle         time.Duration // how long connections to servers are kept without use
+	idleTimeout      time.Duration // how long connections to servers are kept without use
 }
 
 // prices are what is taken off the worth, as the site pages have it.
@@ -37,21 +37,21 @@
 
 // kind is one kind of request.
 type kind struct {
-	name             string
-	part             float64 // of the traffic
-	aim, pause       time.Duration
-	deadline         time.Duration
-	worth, late      float64
-	priority         int
-	homes            []string
-	chain            []shareSpec
-	own              [3]float64 // mean, spread, most
-	out              [3]float64 // events
-	bytesEach, bytes float64    // for a token in, for an event out
-	resume           bool
-	plain            bool
-	burstAt, burstTo Time
-	burst            float64
+	name                          string
+	part                          float64 // of the traffic
+	latencyTarget, eventGapTarget time.Duration
+	deadline                      time.Duration
+	value, lateValue              float64
+	priority                      int
+	homeRegions                   []string
+	chain                         []shareSpec
+	own                           [3]float64 // mean, spread, most
+	out                           [3]float64 // events
+	bytesEach, bytes              float64    // for a token in, for an event out
+	resumable                     bool
+	plain                         bool
+	burstAt, burstTo              Time
+	burst                         float64
 }
 
 type shareSpec struct {
@@ -63,7 +63,7 @@
 // tally is what a kind came to.
 type tally struct {
 	asked, inTime, late, lost, refused int
-	worth, owed                        float64
+	value, owed                        float64
 	abroad, across                     int
 	latencies                          []float64
 }
@@ -91,7 +91,7 @@
 	for i := range f.kinds {
 		k := &f.kinds[i]
 		t := f.tallies[k.name]
-		worth, owed = worth+t.worth, owed+t.owed
+		worth, owed = worth+t.value, owed+t.owed
 		fmt.Fprintf(&b, "%-16s asked %5d in time %.4f late %4d lost %3d refused %3d abroad %.3f across %.3f p50 %4.0f p99 %4.0f\n", k.name, t.asked,
 			float64(t.inTime)/float64(t.asked), t.late, t.lost, t.refused, float64(t.abroad)/float64(t.asked), float64(t.across)/float64(t.asked),
 			quantile(t.latencies, 0.5), quantile(t.latencies, 0.99))
@@ -108,7 +108,7 @@
 	for _, t := range f.tallies {
 		asked += t.asked
 		unserved += t.lost + t.refused
-		class = min(class, t.worth/t.owed)
+		class = min(class, t.value/t.owed)
 	}
 	nines := min(1, -math.Log10(max(float64(unserved)/float64(asked), 1e-9))/3)
 	worst := 1.0
--- a/internal/system/proxy/pick/sim_test.go
+++ b/internal/system/proxy/pick/sim_test.go
@@ -16,33 +16,33 @@
 type fleet struct {
 	agenda
 	scenario
-	rng        *rand.Rand
-	cfg        *config.Config
-	servers    []Server
-	engines    map[string]*engine
-	plains     map[string]*plain
-	pickers    []*Picker
-	homes      []string // zones of pickers
-	tallies    map[string]*tally
-	things     map[string][][]PrefixPart
-	reads      map[uint64]int
-	weights    map[shareSpec][]float64
-	reread     int64
-	firstRead  int64
-	rereads    int
-	price      float64
-	dials      int
-	idle       map[[2]string][]Time // when each idle connection of a proxy to a server was last used
-	ownID      uint64
-	unexecuted int
-	chosen     func(picker int, r *Request, tried int, offered bool, c Result) // told of every choice; nil: nobody
-	tells      func(picker int, loads map[string]Load)                         // told of what a picker shares; nil: nobody
-	windows    [12]struct{ worth, owed float64 }                               // of 3 s each
+	rng         *rand.Rand
+	cfg         *config.Config
+	servers     []Server
+	engines     map[string]*engine
+	plains      map[string]*plain
+	pickers     []*Picker
+	proxyZones  []string // zones of pickers
+	tallies     map[string]*tally
+	sharedParts map[string][][]PrefixPart
+	prefills    map[uint64]int
+	weights     map[shareSpec][]float64
+	reread      int64
+	firstRead   int64
+	rereads     int
+	price       float64
+	dials       int
+	idle        map[[2]string][]Time // when each idle connection of a proxy to a server was last used
+	ownID       uint64
+	unexecuted  int
+	onPick      func(picker int, r *Request, tried int, offered bool, c Result) // told of every choice; nil: nobody
+	onShare     func(picker int, loads map[string]Load)                         // told of what a picker shares; nil: nobody
+	windows     [12]struct{ worth, owed float64 }                               // of 3 s each
 }
 
 func newFleet(sc scenario) *fleet {
 	f := &fleet{scenario: sc, rng: rand.New(rand.NewPCG(sc.seed, 7)), engines: map[string]*engine{}, plains: map[string]*plain{},
-		tallies: map[string]*tally{}, things: map[string][][]PrefixPart{}, reads: map[uint64]int{}, weights: map[shareSpec][]float64{}, ownID: 1 << 32,
+		tallies: map[string]*tally{}, sharedParts: map[string][][]PrefixPart{}, prefills: map[uint64]int{}, weights: map[shareSpec][]float64{}, ownID: 1 << 32,
 		idle: map[[2]string][]Time{}}
 	f.cfg = &config.Config{Services: map[string]*config.Service{
 		"lm":     {Name: "lm", WarmUpRate: 31, Engine: &config.Engine{Slots: sc.slots, CacheTokens: sc.spec.memory, TokensPerEvent: sc.spec.stride}},
@@ -50,8 +50,8 @@
 	}}
 	for i := range sc.kinds {
 		k := &sc.kinds[i]
-		r := &config.Route{Name: k.name, Host: k.name, Prefix: "/", Category: config.Streaming, Timeout: k.deadline, LatencyTarget: k.aim,
-			EventGapTarget: k.pause, Priority: k.priority, MaxTries: 2, Resumable: k.resume, HomeRegions: k.homes, Shares: []config.Share{{Service: "lm", Weight: 1}}}
+		r := &config.Route{Name: k.name, Host: k.name, Prefix: "/", Category: config.Streaming, Timeout: k.deadline, LatencyTarget: k.latencyTarget,
+			EventGapTarget: k.eventGapTarget, Priority: k.priority, MaxTries: 2, Resumable: k.resumable, HomeRegions: k.homeRegions, Shares: []config.Share{{Service: "lm", Weight: 1}}}
 		if k.plain {
 			r.Category, r.Shares = config.Idempotent, []config.Share{{Service: "thumbs", Weight: 1}}
 		}
@@ -64,7 +64,7 @@
 				things = append(things, PrefixPart{ID: f.ownID, Tokens: max(int(drawn(f.rng, sh.mean, sh.spread, sh.most)), 1)})
 			}
 			f.weights[sh] = zipf(sh.things, sh.skew)
-			f.things[k.name] = append(f.things[k.name], things)
+			f.sharedParts[k.name] = append(f.sharedParts[k.name], things)
 		}
 	}
 	speeds := []float64{1, 1, 1.3}
@@ -73,7 +73,7 @@
 			id := fmt.Sprintf("lm-%s-%d", z, i)
 			f.servers = append(f.servers, Server{ID: id, Service: "lm", Address: id, Zone: z, Region: sc.regions[z], Slots: sc.slots})
 			f.engines[id] = &engine{agenda: &f.agenda, spec: sc.spec, speed: speeds[i%3], slots: sc.slots, queue: sc.queue,
-				cache: map[uint64]*list.Element{}, order: list.New(), read: f.read}
+				cache: map[uint64]*list.Element{}, lru: list.New(), onPrefill: f.recordPrefill}
 		}
 		id := "th-" + z
 		f.servers = append(f.servers, Server{ID: id, Service: "thumbs", Address: id, Zone: z, Region: sc.regions[z], Slots: 6})
@@ -83,22 +83,22 @@
 	for _, z := range sc.zones {
 		for i := range sc.proxies[z] {
 			peers = append(peers, fmt.Sprintf("p-%s-%d", z, i))
-			f.homes = append(f.homes, z)
+			f.proxyZones = append(f.proxyZones, z)
 		}
 	}
 	for i, name := range peers {
-		p := New(Settings{Zone: f.homes[i], Region: sc.regions[f.homes[i]], Regions: sc.regions, RetryRatio: 0.2, RetrySlack: 64,
+		p := New(Settings{Zone: f.proxyZones[i], Region: sc.regions[f.proxyZones[i]], Regions: sc.regions, RetryRatio: 0.2, RetrySlack: 64,
 			WarmUpExcess: 1.5, WarmUpSlack: 5, Seed: uint64(i), CrossRegionLatency: sc.crossRegion,
-			TestingKnobs: TestingKnobs{PromptPoolShare: sc.fixedLane}})
+			TestingKnobs: TestingKnobs{PromptPoolShare: sc.fixedPoolShare}})
 		p.UpdateClusterState(0, ClusterState{Config: f.cfg, Servers: f.servers, Self: name, Peers: peers})
-		p.group("lm").idleTimeout = sc.keepIdle
+		p.group("lm").idleTimeout = sc.idleTimeout
 		f.pickers = append(f.pickers, p)
 	}
 	return f
 }
 
-func (f *fleet) read(key uint64, tokens int) {
-	if f.reads[key]++; f.reads[key] > 1 {
+func (f *fleet) recordPrefill(key uint64, tokens int) {
+	if f.prefills[key]++; f.prefills[key] > 1 {
 		f.reread += int64(tokens)
 		f.rereads++
 	} else {
@@ -106,7 +106,7 @@
 	}
 }
 
-func (f *fleet) tellLoads() {
+func (f *fleet) shareLoads() {
 	sum := map[string]Load{}
 	each := make([]map[string]Load, len(f.pickers))
 	add := func(m map[string]Load, id string, l Load, sign int) {
@@ -119,8 +119,8 @@
 	for i, p := range f.pickers {
 		each[i] = p.Loads()
 		maps.Copy(each[i], p.PromptDemands())
-		if f.tells != nil {
-			f.tells(i, each[i])
+		if f.onShare != nil {
+			f.onShare(i, each[i])
 		}
 		for id, l := range each[i] {
 			add(sum, id, l, 1)
@@ -136,11 +136,11 @@
 		}
 		f.after(f.crossRegion, func() { p.UpdatePeerLoads(f.now, others) })
 	}
-	f.after(f.share, f.tellLoads)
+	f.after(f.shareInterval, f.shareLoads)
 }
 
 func (f *fleet) run() {
-	f.after(0, f.tellLoads)
+	f.after(0, f.shareLoads)
 	for _, z := range f.zones {
 		for i := range f.kinds {
 			k := &f.kinds[i]
@@ -162,7 +162,7 @@
 		f.after(f.downAt, func() {
 			for i, s := range f.servers {
 				if e := f.engines[s.ID]; e != nil && i%6 == 2 {
-					e.fall(f.down)
+					e.fail(f.down)
 					f.after(f.downTo-f.downAt, func() { e.down = "" })
 				}
 			}
@@ -203,7 +203,7 @@
 	if n := len(k.chain); n > 0 {
 		thing := oneOf(rng, f.weights[k.chain[n-1]])
 		for i, sh := range k.chain { // each thing belongs to one of the level before
-			r.Prefix = append(r.Prefix, f.things[k.name][i][thing%sh.things])
+			r.Prefix = append(r.Prefix, f.sharedParts[k.name][i][thing%sh.things])
 		}
 	}
 	f.ownID++
@@ -215,14 +215,14 @@
 	r.MaxTokensOut = int(events * float64(f.spec.stride))
 	t := f.tallies[k.name]
 	t.asked++
-	t.owed += k.worth
-	f.windows[min(int(f.now/(3*time.Second)), len(f.windows)-1)].owed += k.worth
+	t.owed += k.value
+	f.windows[min(int(f.now/(3*time.Second)), len(f.windows)-1)].owed += k.value
 	f.try(zone, k, r, f.now, 1)
 }
 
 func (f *fleet) try(zone string, k *kind, r *Request, since Time, retries int) {
 	var near []int
-	for i, z := range f.homes {
+	for i, z := range f.proxyZones {
 		if z == zone {
 			near = append(near, i)
 		}
@@ -232,14 +232,14 @@
 		again := *r
 		again.arrived = 0
 		f.pickers[i].RecordRequest(f.now, &again)
-		f.place(i, zone, k, &again, since, retries, nil, false)
+		f.attempt(i, zone, k, &again, since, retries, nil, false)
 	})
 }
 
 // connect takes an idle connection, or counts a new one.
 func (f *fleet) connect(connection [2]string) {
 	idle := f.idle[connection]
-	if n := len(idle); n > 0 && f.now-idle[n-1] <= f.keepIdle {
+	if n := len(idle); n > 0 && f.now-idle[n-1] <= f.idleTimeout {
 		f.idle[connection] = idle[:n-1]
 		return
 	}
@@ -247,15 +247,15 @@
 	f.dials++
 }
 
-// patience is how long a proxy waits for a server that says nothing.
-const patience = 1200 * time.Millisecond
+// serverTimeout is how long a proxy waits for a server that says nothing.
+const serverTimeout = 1200 * time.Millisecond
 
-func (f *fleet) place(i int, zone string, k *kind, r *Request, since Time, retries int, tried []string, offered bool) {
+func (f *fleet) attempt(i int, zone string, k *kind, r *Request, since Time, retries int, tried []string, offered bool) {
 	p, t := f.pickers[i], f.tallies[k.name]
 	r.TimeLeft = k.deadline - (f.now - since)
 	c := p.Pick(f.now, r, tried, offered)
-	if f.chosen != nil {
-		f.chosen(i, r, len(tried), offered, c)
+	if f.onPick != nil {
+		f.onPick(i, r, len(tried), offered, c)
 	}
 	if c.Verdict != Send {
 		if retries > 0 && !offered {
@@ -271,37 +271,37 @@
 		bytes = 1700
 	}
 	switch {
-	case c.Server.Region != f.regions[f.homes[i]]:
+	case c.Server.Region != f.regions[f.proxyZones[i]]:
 		way = f.crossRegion
 		f.price += bytes / 1e9 * f.prices.regionGB
 		t.abroad++
-	case c.Server.Zone != f.homes[i]:
+	case c.Server.Zone != f.proxyZones[i]:
 		way = 900 * time.Microsecond
 		f.price += bytes / 1e9 * f.prices.zoneGB
 		t.across++
 	}
 	window := &f.windows[min(int(since/(3*time.Second)), len(f.windows)-1)]
-	connection := [2]string{f.homes[i], fmt.Sprint(i, c.Server.ID)}
+	connection := [2]string{f.proxyZones[i], fmt.Sprint(i, c.Server.ID)}
 	f.connect(connection)
 	account := func(first, pause time.Duration, served bool) {
 		switch {
 		case !served || f.now-since > k.deadline:
 			t.lost++
-		case first <= k.aim && pause <= k.pause:
+		case first <= k.latencyTarget && pause <= k.eventGapTarget:
 			t.inTime++
-			t.worth += k.worth
-			window.worth += k.worth
+			t.value += k.value
+			window.worth += k.value
 		default:
 			t.late++
-			t.worth += k.late
-			window.worth += k.late
+			t.value += k.lateValue
+			window.worth += k.lateValue
 		}
 	}
 	full := func() {
 		f.unexecuted++
 		f.after(way, func() {
 			p.Done(f.now, c.Ticket, NotExecuted, 0)
-			f.place(i, zone, k, r, since, retries, append(tried, c.Server.ID), offered)
+			f.attempt(i, zone, k, r, since, retries, append(tried, c.Server.ID), offered)
 		})
 	}
 	f.after(way, func() {
@@ -322,8 +322,8 @@
 		j := &job{chain: prefixcache.NewChain(r.Prefix), in: r.TokensIn, out: r.MaxTokensOut, priority: c.Priority, deadline: since + k.deadline}
 		j.lost = func(o Outcome) {
 			p.Done(f.now, c.Ticket, o, 0)
-			if k.resume {
-				f.place(i, zone, k, r, since, retries, append(tried, c.Server.ID), true)
+			if k.resumable {
+				f.attempt(i, zone, k, r, since, retries, append(tried, c.Server.ID), true)
 			} else {
 				account(first, 0, false)
 			}
@@ -345,7 +345,7 @@
 				}
 				f.idle[connection] = append(f.idle[connection], f.now)
 				p.Done(f.now, c.Ticket, o, 0)
-				account(first, j.pause, served)
+				account(first, j.maxEventGap, served)
 			})
 		}
 		e := f.engines[c.Server.ID]
@@ -358,10 +358,10 @@
 		case "reset":
 			f.after(way, func() {
 				p.Done(f.now, c.Ticket, ConnectFailed, 0)
-				f.place(i, zone, k, r, since, retries, append(tried, c.Server.ID), offered)
+				f.attempt(i, zone, k, r, since, retries, append(tried, c.Server.ID), offered)
 			})
 		case "dark":
-			f.after(patience, func() { j.lost(TimedOut) })
+			f.after(serverTimeout, func() { j.lost(TimedOut) })
 		}
 	})
 }
--- a/internal/system/proxy/pick/warmup_end_test.go
+++ b/internal/system/proxy/pick/warmup_end_test.go
@@ -9,57 +9,57 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// coldFor is how long the servers of a cold group are cold, from the start.
-const coldFor = 3 * time.Second
+// warmUpDuration is how long the servers of a cold group are cold, from the start.
+const warmUpDuration = 3 * time.Second
 
-// coldGroup is some proxies before a group whose servers are all cold, and requests that wait for these.
-type coldGroup struct {
-	rng     *rand.Rand
-	early   time.Duration // by how much the proxies' word of the cold state ends before that state
-	config  *config.Config
-	peers   []string
-	pickers []*Picker
-	tells   []Time              // when each picker is told next
-	waiting map[*Picker][]*wait // requests, the oldest first
-	sent    map[string][]Time   // by server, while it was truly cold
+// waitingFleet is some proxies before a group whose servers are all cold, and requests that wait for these.
+type waitingFleet struct {
+	rng         *rand.Rand
+	earlyBy     time.Duration // by how much the proxies' word of the cold state ends before that state
+	config      *config.Config
+	peers       []string
+	pickers     []*Picker
+	nextUpdates []Time                        // when each picker is told next
+	waiting     map[*Picker][]*waitingRequest // requests, the oldest first
+	sent        map[string][]Time             // by server, while it was truly cold
 }
 
-// wait is a request that has no server yet.
-type wait struct {
+// waitingRequest is a request that has no server yet.
+type waitingRequest struct {
 	request *Request
 	until   Time
 }
 
-func newColdGroup(early time.Duration) *coldGroup {
-	g := &coldGroup{rng: rand.New(rand.NewPCG(1, 36)), early: early, waiting: map[*Picker][]*wait{}, sent: map[string][]Time{},
+func newWaitingFleet(early time.Duration) *waitingFleet {
+	g := &waitingFleet{rng: rand.New(rand.NewPCG(1, 36)), earlyBy: early, waiting: map[*Picker][]*waitingRequest{}, sent: map[string][]Time{},
 		config: &config.Config{Services: map[string]*config.Service{"a": {Name: "a", WarmUpRate: 31}}}}
 	g.config.Routes = []*config.Route{{Host: "h", Prefix: "/", MaxTries: 1, Shares: []config.Share{{Service: "a", Weight: 1}}}}
 	for i := range 12 {
 		g.peers = append(g.peers, fmt.Sprintf("p%02d", i))
 		g.pickers = append(g.pickers, New(Settings{Zone: "z", Region: "r", WarmUpExcess: 1.5, WarmUpSlack: 5}))
 	}
-	g.tells = make([]Time, len(g.pickers))
+	g.nextUpdates = make([]Time, len(g.pickers))
 	return g
 }
 
-// tell gives the pickers whose time has come the list anew, and again in 0.5 to 1 s.
-func (g *coldGroup) tell(now Time) {
+// updateStates gives the pickers whose time has come the list anew, and again in 0.5 to 1 s.
+func (g *waitingFleet) updateStates(now Time) {
 	for i, p := range g.pickers {
-		if now < g.tells[i] {
+		if now < g.nextUpdates[i] {
 			continue
 		}
 		w := ClusterState{Config: g.config, Self: g.peers[i], Peers: g.peers}
 		for s := range 5 {
-			w.Servers = append(w.Servers, Server{ID: fmt.Sprint("s", s), Service: "a", Zone: "z", Slots: 1000, WarmUpMax: max(0, coldFor-g.early-now)})
+			w.Servers = append(w.Servers, Server{ID: fmt.Sprint("s", s), Service: "a", Zone: "z", Slots: 1000, WarmUpMax: max(0, warmUpDuration-g.earlyBy-now)})
 		}
 		p.UpdateClusterState(now, w)
-		g.tells[i] = now + 500*time.Millisecond + time.Duration(g.rng.IntN(500))*time.Millisecond
+		g.nextUpdates[i] = now + 500*time.Millisecond + time.Duration(g.rng.IntN(500))*time.Millisecond
 	}
 }
 
 // serve has a picker send what waits there.
-func (g *coldGroup) serve(now Time, p *Picker) {
-	var left []*wait
+func (g *waitingFleet) serve(now Time, p *Picker) {
+	var left []*waitingRequest
 	for _, w := range g.waiting[p] {
 		if now >= w.until {
 			continue
@@ -70,7 +70,7 @@
 			left = append(left, w)
 			continue
 		}
-		if now < coldFor {
+		if now < warmUpDuration {
 			g.sent[c.Server.ID] = append(g.sent[c.Server.ID], now)
 		}
 		p.Done(now, c.Ticket, Served, 0)
@@ -79,36 +79,36 @@
 }
 
 // play lets 260 requests a second come until the servers are warm, and gives the most that a cold one got within a second.
-func (g *coldGroup) play() (most int) {
+func (g *waitingFleet) play() (most int) {
 	const step = 5 * time.Millisecond
 	came := 0
-	for now := Time(0); now < coldFor; now += step {
-		g.tell(now)
+	for now := Time(0); now < warmUpDuration; now += step {
+		g.updateStates(now)
 		for ; came < int(now*260/time.Second); came++ {
 			p := g.pickers[g.rng.IntN(len(g.pickers))]
-			g.waiting[p] = append(g.waiting[p], &wait{request: &Request{Route: g.config.Routes[0]}, until: now + patience})
+			g.waiting[p] = append(g.waiting[p], &waitingRequest{request: &Request{Route: g.config.Routes[0]}, until: now + serverTimeout})
 		}
 		for _, p := range g.pickers {
 			g.serve(now, p)
 		}
 	}
 	for _, sent := range g.sent {
-		most = max(most, mostInASecond(sent))
+		most = max(most, maxInASecond(sent))
 	}
 	return most
 }
 
-// coldMost is what a server of the group may get within a second while it is cold.
-const coldMost = 31*1.5 + 5
+// maxWarmUpRequests is what a server of the group may get within a second while it is cold.
+const maxWarmUpRequests = 31*1.5 + 5
 
 // TestNoFloodAtTheEndOfWarmUp: while many more requests wait than cold servers may get, none gets more than its bound up to the
 // moment in which it is warm, where the proxies know that moment.
 func TestNoFloodAtTheEndOfWarmUp(t *testing.T) {
-	g := newColdGroup(0)
+	g := newWaitingFleet(0)
 	most := g.play()
 	t.Logf("at most %d requests in a second", most)
-	if float64(most) > coldMost {
-		t.Errorf("%d requests in a second, of %v", most, coldMost)
+	if float64(most) > maxWarmUpRequests {
+		t.Errorf("%d requests in a second, of %v", most, maxWarmUpRequests)
 	}
 	if len(g.sent) != 5 {
 		t.Errorf("only %d of 5 cold servers got any", len(g.sent))
@@ -119,9 +119,9 @@
 // state, all that waits goes out at once. This package can't know better, so it is not to be mended here: those who pass
 // the word on must let it err late (distribution's TestColdNeverEndsEarly).
 func TestEarlyEndFloodsTheWarmingServer(t *testing.T) {
-	most := newColdGroup(80 * time.Millisecond).play()
+	most := newWaitingFleet(80 * time.Millisecond).play()
 	t.Logf("at most %d requests in a second", most)
-	if float64(most) <= coldMost {
+	if float64(most) <= maxWarmUpRequests {
 		t.Errorf("%d requests in a second: the end of the cold state as told no longer matters, so TestNoFloodAtTheEndOfWarmUp shows nothing", most)
 	}
 }
--- a/internal/system/proxy/pick/warmup_partition_test.go
+++ b/internal/system/proxy/pick/warmup_partition_test.go
@@ -19,11 +19,11 @@
 		for _, hear := range []time.Duration{100 * time.Millisecond, 300 * time.Millisecond, time.Second, 1600 * time.Millisecond} {
 			for _, idle := range []bool{false, true} {
 				t.Run(fmt.Sprint(count, hear, idle), func(t *testing.T) {
-					f := newColdFleet(60)
-					lost, left := f.loseHolders(count)
+					f := newWarmUpFleet(60)
+					lost, left := f.splitSenders(count)
 					tell := func(now Time) {
 						for i, p := range f.pickers {
-							w := f.world(i, 1, time.Minute-now)
+							w := f.state(i, 1, time.Minute-now)
 							switch {
 							case now == givenUp && !lost[i]:
 								w.Peers = left
@@ -41,11 +41,11 @@
 						for now := Time(0); now < back; now += 10 * time.Millisecond {
 							tell(now)
 						}
-						f.press(back, back+3*time.Second, 10*time.Millisecond, tell)
+						f.sendAll(back, back+3*time.Second, 10*time.Millisecond, tell)
 					} else {
-						f.press(0, back+3*time.Second, 10*time.Millisecond, tell)
+						f.sendAll(0, back+3*time.Second, 10*time.Millisecond, tell)
 					}
-					f.check(t)
+					f.checkBound(t)
 				})
 			}
 		}
@@ -57,9 +57,9 @@
 func TestPartitionedFleetKeepsTheRate(t *testing.T) {
 	for _, minority := range []int{1, 3, 6, 8, 9, 11} {
 		t.Run(fmt.Sprint(minority), func(t *testing.T) {
-			f := newColdFleet(12)
+			f := newWarmUpFleet(12)
 			world := func(i, servers int, cold time.Duration) ClusterState {
-				w := f.world(i, servers, cold)
+				w := f.state(i, servers, cold)
 				if i < minority {
 					w.Peers, w.Stale = f.names[:minority], true
 				} else {
@@ -68,15 +68,15 @@
 				return w
 			}
 			for i, p := range f.pickers {
-				p.UpdateClusterState(0, f.world(i, 0, 0))
+				p.UpdateClusterState(0, f.state(i, 0, 0))
 				p.UpdateClusterState(time.Second, world(i, 0, 0))
 			}
 			const starts = 40 * time.Second
 			for i, p := range f.pickers {
-				p.UpdateClusterState(starts, world(i, 1, coldFor))
+				p.UpdateClusterState(starts, world(i, 1, warmUpDuration))
 			}
-			f.press(starts, starts+coldFor, 10*time.Millisecond, nil)
-			f.check(t)
+			f.sendAll(starts, starts+warmUpDuration, 10*time.Millisecond, nil)
+			f.checkBound(t)
 		})
 	}
 }
@@ -85,13 +85,13 @@
 // can show by then (PROTOCOL: it may become cold again at any moment). The state before had ended 1.8 s earlier.
 func TestUnseenWarmUpIsNoViolation(t *testing.T) {
 	const again, request, told = 4800 * time.Millisecond, 5 * time.Second, 5600 * time.Millisecond
-	f := newColdFleet(1)
+	f := newWarmUpFleet(1)
 	p := f.pickers[0]
 	before := warmUpEndInvariant.Violations()
-	p.UpdateClusterState(0, f.world(0, 1, coldFor))
-	f.press(0, coldFor, 10*time.Millisecond, nil)
-	f.press(request, request+10*time.Millisecond, 10*time.Millisecond, nil)
-	w := f.world(0, 1, again+coldFor-told)
+	p.UpdateClusterState(0, f.state(0, 1, warmUpDuration))
+	f.sendAll(0, warmUpDuration, 10*time.Millisecond, nil)
+	f.sendAll(request, request+10*time.Millisecond, 10*time.Millisecond, nil)
+	w := f.state(0, 1, again+warmUpDuration-told)
 	w.Servers[0].WarmUpMin = w.Servers[0].WarmUpMax
 	p.UpdateClusterState(told, w)
 	if warmUpEndInvariant.Violations() != before {
@@ -102,21 +102,21 @@
 // TestRateChangedForAMomentIsNoViolation: the configuration names a higher cold_per_s for a moment and is put back, while requests went
 // elsewhere; what was saved up under it is no more than one request.
 func TestRateChangedForAMomentIsNoViolation(t *testing.T) {
-	f := newColdFleet(1)
+	f := newWarmUpFleet(1)
 	p := f.pickers[0]
 	before := warmUpRateInvariant.Violations()
 	tell := func(now Time, rate float64) {
-		w := f.world(0, 1, 10*time.Second-now)
+		w := f.state(0, 1, 10*time.Second-now)
 		w.Config = &config.Config{Routes: f.config.Routes, Services: map[string]*config.Service{"a": {Name: "a", WarmUpRate: rate, WarmUpTime: 10 * time.Second}}}
 		p.UpdateClusterState(now, w)
 	}
 	tell(0, 3.1)
-	f.press(0, 2910*time.Millisecond, 10*time.Millisecond, nil) // the last goes at 2.9 s
+	f.sendAll(0, 2910*time.Millisecond, 10*time.Millisecond, nil) // the last goes at 2.9 s
 	n := f.sent[len(f.sent)-1]
 	tell(n+10*time.Millisecond, 310)
 	p.eligibility(&pickInput{now: n + 20*time.Millisecond}, p.servers["s0"]) // it is looked at, and the request goes to another
 	tell(n+30*time.Millisecond, 3.1)
-	f.press(n+40*time.Millisecond, n+2*time.Second, 10*time.Millisecond, nil)
+	f.sendAll(n+40*time.Millisecond, n+2*time.Second, 10*time.Millisecond, nil)
 	if warmUpRateInvariant.Violations() != before {
 		t.Error("counted as a fault")
 	}
@@ -128,11 +128,11 @@
 	for _, hear := range []time.Duration{300 * time.Millisecond, time.Second, 1600 * time.Millisecond} {
 		for _, back := range []int{6, 9, 17} {
 			t.Run(fmt.Sprint(hear, back), func(t *testing.T) {
-				f := newColdFleet(60)
-				lost, left := f.loseHolders(back)
+				f := newWarmUpFleet(60)
+				lost, left := f.splitSenders(back)
 				// The lost ones start anew at 0 without a keeper, and reach one at ends.
 				for i, p := range f.pickers {
-					w := f.world(i, 1, time.Minute)
+					w := f.state(i, 1, time.Minute)
 					if lost[i] {
 						f.pickers[i] = New(p.settings)
 						w.MembershipIncomplete, w.Stale = true, true
@@ -142,14 +142,14 @@
 					w.Peers = left
 					p.UpdateClusterState(0, w)
 				}
-				f.press(ends, ends+3*time.Second, 10*time.Millisecond, func(now Time) {
+				f.sendAll(ends, ends+3*time.Second, 10*time.Millisecond, func(now Time) {
 					for i, p := range f.pickers {
 						if now == ends && lost[i] || now == ends+hear && !lost[i] {
-							p.UpdateClusterState(now, f.world(i, 1, time.Minute))
+							p.UpdateClusterState(now, f.state(i, 1, time.Minute))
 						}
 					}
 				})
-				f.check(t)
+				f.checkBound(t)
 			})
 		}
 	}
@@ -178,7 +178,7 @@
 		extra := rapid.IntRange(0, max(1, n*growth/part)).Draw(t, "extra")
 		lagMost := rapid.SampledFrom([]int{150, 600, 1000, 1600}).Draw(t, "lag")
 		loadFrom := time.Duration(rapid.IntRange(0, 8000).Draw(t, "load")) * time.Millisecond
-		f := newColdFleet(n + extra)
+		f := newWarmUpFleet(n + extra)
 		live, began, n0 := map[int]bool{}, map[int]Time{}, n
 		for i := range n {
 			live[i] = true
@@ -233,7 +233,7 @@
 				}
 			case 2:
 				if cold < at {
-					cold = at + coldFor
+					cold = at + warmUpDuration
 				}
 			}
 			history = append(history, state{at, names(), lost(), cold})
@@ -289,7 +289,7 @@
 			}
 			inCold := false
 			for _, h := range history {
-				inCold = inCold || h.cold > 0 && now >= h.cold-coldFor && now < h.cold
+				inCold = inCold || h.cold > 0 && now >= h.cold-warmUpDuration && now < h.cold
 			}
 			for i, p := range f.pickers {
 				if at[i] < 0 {
@@ -306,9 +306,9 @@
 				p.Done(now, c.Ticket, Served, 0)
 			}
 		}
-		most = mostInASecond(sent)
-		if float64(most) > coldMost {
-			t.Fatalf("%d of %d proxies, load from %v: %d requests in a second, of %v", n, n+extra, loadFrom, most, coldMost)
+		most = maxInASecond(sent)
+		if float64(most) > maxWarmUpRequests {
+			t.Fatalf("%d of %d proxies, load from %v: %d requests in a second, of %v", n, n+extra, loadFrom, most, maxWarmUpRequests)
 		}
 	}
 	return most
@@ -319,12 +319,12 @@
 func TestStaleMinorityOfSeventeenSends(t *testing.T) {
 	for _, c := range []struct{ all, minority int }{{93, 15}, {93, 17}, {93, 20}, {30, 14}, {24, 8}, {20, 5}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
-			f := newColdFleet(c.all)
+			f := newWarmUpFleet(c.all)
 			for i, p := range f.pickers {
-				p.UpdateClusterState(0, f.world(i, 0, 0))
+				p.UpdateClusterState(0, f.state(i, 0, 0))
 			}
 			world := func(i, servers int, cold time.Duration) ClusterState {
-				w := f.world(i, servers, cold)
+				w := f.state(i, servers, cold)
 				if i < c.minority {
 					w.Peers, w.Stale = f.names[:c.minority], true
 				} else {
@@ -337,10 +337,10 @@
 				p.UpdateClusterState(split, world(i, 0, 0))
 			}
 			for i, p := range f.pickers {
-				p.UpdateClusterState(starts, world(i, 1, coldFor))
+				p.UpdateClusterState(starts, world(i, 1, warmUpDuration))
 			}
-			f.press(starts+800*time.Millisecond, starts+coldFor, 10*time.Millisecond, nil)
-			f.check(t)
+			f.sendAll(starts+800*time.Millisecond, starts+warmUpDuration, 10*time.Millisecond, nil)
+			f.checkBound(t)
 		})
 	}
 }
--- a/internal/system/proxy/pick/warmup_quota_test.go
+++ b/internal/system/proxy/pick/warmup_quota_test.go
@@ -8,16 +8,16 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// coldFleet is proxies that press upon servers with all they may. Its servers are of one service, named s0, s1, ...
-type coldFleet struct {
+// warmUpFleet is proxies that press upon servers with all they may. Its servers are of one service, named s0, s1, ...
+type warmUpFleet struct {
 	config  *config.Config
 	names   []string
 	pickers []*Picker
 	sent    []Time // to s0
 }
 
-func newColdFleet(proxies int) *coldFleet {
-	f := &coldFleet{config: &config.Config{Services: map[string]*config.Service{"a": {Name: "a", WarmUpRate: 31, WarmUpTime: coldFor}}}}
+func newWarmUpFleet(proxies int) *warmUpFleet {
+	f := &warmUpFleet{config: &config.Config{Services: map[string]*config.Service{"a": {Name: "a", WarmUpRate: 31, WarmUpTime: warmUpDuration}}}}
 	f.config.Routes = []*config.Route{{Host: "h", Prefix: "/", MaxTries: 2, Category: config.Idempotent, Shares: []config.Share{{Service: "a", Weight: 1}}}}
 	for i := range proxies {
 		f.names = append(f.names, fmt.Sprintf("p%02d", i))
@@ -27,8 +27,8 @@
 	return f
 }
 
-// world is what proxy i knows of servers that stay cold for that long.
-func (f *coldFleet) world(i int, servers int, cold time.Duration) ClusterState {
+// state is what proxy i knows of servers that stay cold for that long.
+func (f *warmUpFleet) state(i int, servers int, cold time.Duration) ClusterState {
 	w := ClusterState{Config: f.config, Self: f.names[i], Peers: f.names}
 	for s := range servers {
 		w.Servers = append(w.Servers, Server{ID: fmt.Sprint("s", s), Service: "a", Zone: "z", Slots: 1000, WarmUpMax: cold})
@@ -36,8 +36,8 @@
 	return w
 }
 
-// press has every proxy ask for a server again and again, and calls each before every step.
-func (f *coldFleet) press(from, to, step time.Duration, each func(now Time)) {
+// sendAll has every proxy ask for a server again and again, and calls each before every step.
+func (f *warmUpFleet) sendAll(from, to, step time.Duration, each func(now Time)) {
 	for now := from; now < to; now += step {
 		if each != nil {
 			each(now)
@@ -55,11 +55,11 @@
 	}
 }
 
-// loseHolders has all proxies know a cold server, and names some that hold it, by number, and all the others.
-func (f *coldFleet) loseHolders(count int) (lost map[int]bool, left []string) {
+// splitSenders has all proxies know a cold server, and names some that hold it, by number, and all the others.
+func (f *warmUpFleet) splitSenders(count int) (lost map[int]bool, left []string) {
 	lost = map[int]bool{}
 	for i, p := range f.pickers {
-		p.UpdateClusterState(0, f.world(i, 1, time.Minute))
+		p.UpdateClusterState(0, f.state(i, 1, time.Minute))
 		if p.servers["s0"].warmUp.isSender && len(lost) < count {
 			lost[i] = true
 		} else {
@@ -69,50 +69,50 @@
 	return lost, left
 }
 
-func (f *coldFleet) check(t *testing.T) {
+func (f *warmUpFleet) checkBound(t *testing.T) {
 	t.Helper()
-	if most := mostInASecond(f.sent); float64(most) > coldMost {
-		t.Errorf("%d requests in a second, of %v", most, coldMost)
+	if most := maxInASecond(f.sent); float64(most) > maxWarmUpRequests {
+		t.Errorf("%d requests in a second, of %v", most, maxWarmUpRequests)
 	}
 }
 
 // TestQuietTimeKeepsQuotasSmall: nothing changes for 31 s, then 9 of 12 proxies lose the keepers, but not the server. Danger: the
 // others' parts grow at once though the 9 go on.
 func TestQuietTimeKeepsQuotasSmall(t *testing.T) {
-	f := newColdFleet(12)
+	f := newWarmUpFleet(12)
 	for i, p := range f.pickers {
-		p.UpdateClusterState(0, f.world(i, 1, time.Minute))
+		p.UpdateClusterState(0, f.state(i, 1, time.Minute))
 	}
 	for i, p := range f.pickers[:3] {
-		w := f.world(i, 1, 29*time.Second)
+		w := f.state(i, 1, 29*time.Second)
 		w.Peers = f.names[:3]
 		p.UpdateClusterState(31*time.Second, w)
 	}
-	f.press(31*time.Second, 34*time.Second, 10*time.Millisecond, nil)
-	f.check(t)
+	f.sendAll(31*time.Second, 34*time.Second, 10*time.Millisecond, nil)
+	f.checkBound(t)
 }
 
 // TestIncompleteMembershipSendsNothing: all processes start anew, and each half of them knows only itself as the keepers' tables are not
 // whole yet. Danger: either half takes the whole pace, and each proxy a part of the repeats that is too large.
 func TestIncompleteMembershipSendsNothing(t *testing.T) {
-	f := newColdFleet(12)
+	f := newWarmUpFleet(12)
 	for i, p := range f.pickers {
-		w := f.world(i, 1, time.Minute)
+		w := f.state(i, 1, time.Minute)
 		w.Peers, w.MembershipIncomplete = f.names[i/6*6:i/6*6+6], true
 		p.UpdateClusterState(0, w)
 		if got := p.retrySlack(); got > 0 {
 			t.Errorf("%v repeats beside the ratio, of a number that is not known", got)
 		}
 	}
-	f.press(0, 4*time.Second, 10*time.Millisecond, nil)
+	f.sendAll(0, 4*time.Second, 10*time.Millisecond, nil)
 	if len(f.sent) > 0 {
 		t.Errorf("%d requests to a cold server whose holders are not known", len(f.sent))
 	}
 	for i, p := range f.pickers {
-		p.UpdateClusterState(4*time.Second, f.world(i, 1, time.Minute))
+		p.UpdateClusterState(4*time.Second, f.state(i, 1, time.Minute))
 	}
-	f.press(4*time.Second, 8*time.Second, 10*time.Millisecond, nil)
-	f.check(t)
+	f.sendAll(4*time.Second, 8*time.Second, 10*time.Millisecond, nil)
+	f.checkBound(t)
 	if len(f.sent) == 0 {
 		t.Error("nothing went to a cold server whose holders are known")
 	}
@@ -124,11 +124,11 @@
 	const givenUp, stale = 2 * time.Second, 1600 * time.Millisecond
 	for _, count := range []int{3, 4, 6, 9, 17} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
-			f := newColdFleet(60)
-			lost, left := f.loseHolders(count)
-			f.press(0, 8*time.Second, 10*time.Millisecond, func(now Time) {
+			f := newWarmUpFleet(60)
+			lost, left := f.splitSenders(count)
+			f.sendAll(0, 8*time.Second, 10*time.Millisecond, func(now Time) {
 				for i, p := range f.pickers {
-					w := f.world(i, 1, time.Minute-now)
+					w := f.state(i, 1, time.Minute-now)
 					switch {
 					case now == givenUp && !lost[i]:
 						w.Peers = left
@@ -139,7 +139,7 @@
 					}
 				}
 			})
-			f.check(t)
+			f.checkBound(t)
 		})
 	}
 }
@@ -147,23 +147,23 @@
 // TestNewServerHasSendersAtOnce: where the proxies have long known each other, a server that starts cold gets its pace from the
 // beginning; a proxy that has just come waits.
 func TestNewServerHasSendersAtOnce(t *testing.T) {
-	f := newColdFleet(12)
+	f := newWarmUpFleet(12)
 	for i, p := range f.pickers {
-		p.UpdateClusterState(0, f.world(i, 0, 0))
+		p.UpdateClusterState(0, f.state(i, 0, 0))
 	}
 	const starts = 10 * time.Second
 	for i, p := range f.pickers {
-		p.UpdateClusterState(starts, f.world(i, 1, coldFor))
+		p.UpdateClusterState(starts, f.state(i, 1, warmUpDuration))
 	}
-	f.press(starts, starts+time.Second, 10*time.Millisecond, nil)
-	f.check(t)
+	f.sendAll(starts, starts+time.Second, 10*time.Millisecond, nil)
+	f.checkBound(t)
 	if len(f.sent) < 20 {
 		t.Errorf("%d requests in the first second, of a pace of 26", len(f.sent))
 	}
-	late := newColdFleet(12)
+	late := newWarmUpFleet(12)
 	late.pickers = late.pickers[:1]
-	late.pickers[0].UpdateClusterState(starts, late.world(0, 1, coldFor))
-	late.press(starts, starts+newSenderDelay-10*time.Millisecond, 10*time.Millisecond, nil)
+	late.pickers[0].UpdateClusterState(starts, late.state(0, 1, warmUpDuration))
+	late.sendAll(starts, starts+newSenderDelay-10*time.Millisecond, 10*time.Millisecond, nil)
 	if len(late.sent) > 0 {
 		t.Errorf("%d requests of a proxy that has just come", len(late.sent))
 	}
--- a/internal/system/proxy/pick/warmup_senders_test.go
+++ b/internal/system/proxy/pick/warmup_senders_test.go
@@ -15,12 +15,12 @@
 	for _, rate := range []float64{31, 45, 300} {
 		for proxies := 1; proxies <= 60; proxies++ {
 			t.Run(fmt.Sprint(rate, proxies), func(t *testing.T) {
-				f := newColdFleet(proxies)
+				f := newWarmUpFleet(proxies)
 				f.config.Services["a"].WarmUpRate = rate
 				for i, p := range f.pickers {
-					p.UpdateClusterState(0, f.world(i, 1, time.Minute))
+					p.UpdateClusterState(0, f.state(i, 1, time.Minute))
 				}
-				f.press(0, 3*time.Second, 4*time.Millisecond, nil)
+				f.sendAll(0, 3*time.Second, 4*time.Millisecond, nil)
 				from := f.sent[0]
 				var arrived []Time
 				for _, at := range f.sent {
@@ -29,7 +29,7 @@
 					}
 					arrived = append(arrived, at)
 				}
-				if most, bound := mostInASecond(arrived), rate*1.5+5; float64(most) > bound {
+				if most, bound := maxInASecond(arrived), rate*1.5+5; float64(most) > bound {
 					t.Errorf("%d requests in a second, of %v", most, bound)
 				}
 			})
@@ -41,12 +41,12 @@
 // name its service for 2.1 s; those cut off have not heard of that. It is named again before they have stopped.
 func TestServiceConfiguredAgainDelaysSuccessors(t *testing.T) {
 	const without, givenUp, again, stale = time.Second, 3 * time.Second, 3100 * time.Millisecond, 4500 * time.Millisecond
-	f := newColdFleet(60)
-	lost, left := f.loseHolders(17)
+	f := newWarmUpFleet(60)
+	lost, left := f.splitSenders(17)
 	missing := &config.Config{Routes: f.config.Routes, Services: map[string]*config.Service{}}
-	f.press(0, 8*time.Second, 10*time.Millisecond, func(now Time) {
+	f.sendAll(0, 8*time.Second, 10*time.Millisecond, func(now Time) {
 		for i, p := range f.pickers {
-			w := f.world(i, 1, time.Minute-now)
+			w := f.state(i, 1, time.Minute-now)
 			switch {
 			case now == without && !lost[i]:
 				w.Config = missing
@@ -62,7 +62,7 @@
 			p.UpdateClusterState(now, w)
 		}
 	})
-	f.check(t)
+	f.checkBound(t)
 }
 
 // TestBoundAppliesToAWarmingServer: servers are cold while the configuration names no bound for them, and then does. What goes from then on keeps the bound.
@@ -70,21 +70,21 @@
 	for _, proxies := range []int{12, 17, 18, 60} {
 		t.Run(fmt.Sprint(proxies), func(t *testing.T) {
 			const bound = 5 * time.Second
-			f := newColdFleet(proxies)
-			free := &config.Config{Routes: f.config.Routes, Services: map[string]*config.Service{"a": {Name: "a", WarmUpTime: coldFor}}}
+			f := newWarmUpFleet(proxies)
+			free := &config.Config{Routes: f.config.Routes, Services: map[string]*config.Service{"a": {Name: "a", WarmUpTime: warmUpDuration}}}
 			for i, p := range f.pickers {
-				w := f.world(i, 1, time.Minute)
+				w := f.state(i, 1, time.Minute)
 				w.Config = free
 				p.UpdateClusterState(0, w)
 			}
-			f.press(bound, bound+3*time.Second, 10*time.Millisecond, func(now Time) {
+			f.sendAll(bound, bound+3*time.Second, 10*time.Millisecond, func(now Time) {
 				if now == bound {
 					for i, p := range f.pickers {
-						p.UpdateClusterState(now, f.world(i, 1, time.Minute))
+						p.UpdateClusterState(now, f.state(i, 1, time.Minute))
 					}
 				}
 			})
-			f.check(t)
+			f.checkBound(t)
 		})
 	}
 }
@@ -94,20 +94,20 @@
 func TestHalfRestartedFleetKeepsTheRate(t *testing.T) {
 	for _, smaller := range []int{1, 2, 3, 4, 5, 6} {
 		t.Run(fmt.Sprint(smaller), func(t *testing.T) {
-			f := newColdFleet(12)
+			f := newWarmUpFleet(12)
 			const starts = 10 * time.Second
 			for i, p := range f.pickers {
-				w := f.world(i, 1, time.Minute)
+				w := f.state(i, 1, time.Minute)
 				if i < smaller {
-					p.UpdateClusterState(0, f.world(i, 1, time.Minute))
+					p.UpdateClusterState(0, f.state(i, 1, time.Minute))
 					w.Peers, w.Stale = f.names[:smaller], true
 				} else {
 					w.Peers = f.names[smaller:]
 				}
 				p.UpdateClusterState(starts, w)
 			}
-			f.press(starts, starts+5*time.Second, 10*time.Millisecond, nil)
-			f.check(t)
+			f.sendAll(starts, starts+5*time.Second, 10*time.Millisecond, nil)
+			f.checkBound(t)
 		})
 	}
 }
