--- a/internal/system/proxy/pick/sim_engine_test.go
+++ b/internal/system/proxy/pick/sim_engine_test.go
@@ -130,44 +130,60 @@
 	return true
 }
 
+// admit starts waiting requests while there are slots and memory.
 func (e *engine) admit() {
 	for len(e.running) < e.slots && len(e.waiting) > 0 {
-		j := e.waiting[0]
-		if e.now > j.deadline {
+		next := e.waiting[0]
+		if e.now > next.deadline {
 			e.waiting = e.waiting[1:]
-			j.done(false)
+			next.done(false)
 			continue
 		}
-		kept := 0
-		for i := range j.chain.Len {
-			x := e.cache[j.chain.Keys[i]]
-			if x == nil {
-				break
-			}
-			e.lru.MoveToBack(x)
-			kept = j.chain.EndTokens[i]
-		}
-		need := int64(j.in - kept + j.out)
-		for e.used+e.cached+need > e.spec.memory && e.lru.Len() > 0 {
-			old := e.lru.Remove(e.lru.Front()).(cachedPart)
-			delete(e.cache, old.key)
-			e.cached -= int64(old.tokens)
-		}
+		cached := e.useCached(next)
+		need := int64(next.in - cached + next.out)
+		e.evict(need)
 		if e.used+need > e.spec.memory && len(e.running) > 0 {
 			return
 		}
-		j.prefillLeft, j.total, j.memoryTaken = j.in-kept, j.in, need
-		sum := 0
-		for i := range j.chain.Len {
-			if size := j.chain.EndTokens[i] - sum; i < j.chain.Parts-1 && j.chain.EndTokens[i] > kept {
-				e.onPrefill(j.chain.Keys[i], size)
-			}
-			sum = j.chain.EndTokens[i]
-		}
-		e.prefilled += int64(j.prefillLeft)
+		next.prefillLeft, next.total, next.memoryTaken = next.in-cached, next.in, need
+		e.reportPrefill(next, cached)
+		e.prefilled += int64(next.prefillLeft)
 		e.used += need
 		e.waiting = e.waiting[1:]
-		e.running = append(e.running, j)
+		e.running = append(e.running, next)
+	}
+}
+
+// useCached is how many leading tokens of a prompt are cached, and marks them as used now.
+func (e *engine) useCached(j *job) (tokens int) {
+	for i := range j.chain.Len {
+		part := e.cache[j.chain.Keys[i]]
+		if part == nil {
+			break
+		}
+		e.lru.MoveToBack(part)
+		tokens = j.chain.EndTokens[i]
+	}
+	return tokens
+}
+
+// evict drops cached parts, the least recently used first, until need fits.
+func (e *engine) evict(need int64) {
+	for e.used+e.cached+need > e.spec.memory && e.lru.Len() > 0 {
+		old := e.lru.Remove(e.lru.Front()).(cachedPart)
+		delete(e.cache, old.key)
+		e.cached -= int64(old.tokens)
+	}
+}
+
+// reportPrefill reports the shared parts of a prompt that are prefilled, behind the cached tokens.
+func (e *engine) reportPrefill(j *job, cached int) {
+	sum := 0
+	for i := range j.chain.Len {
+		if size := j.chain.EndTokens[i] - sum; i < j.chain.Parts-1 && j.chain.EndTokens[i] > cached {
+			e.onPrefill(j.chain.Keys[i], size)
+		}
+		sum = j.chain.EndTokens[i]
 	}
 }
 
--- a/internal/system/proxy/pick/sim_test.go
+++ b/internal/system/proxy/pick/sim_test.go
@@ -217,22 +217,33 @@
 	t.asked++
 	t.owed += k.value
 	f.windows[min(int(f.now/(3*time.Second)), len(f.windows)-1)].owed += k.value
-	f.try(zone, k, r, f.now, 1)
+	f.try(clientCall{zone: zone, kind: k, request: r, since: f.now, retries: 1})
 }
 
-func (f *fleet) try(zone string, k *kind, r *Request, since Time, retries int) {
+// clientCall is one client's request with what the client does about it.
+type clientCall struct {
+	zone    string
+	kind    *kind
+	request *Request
+	since   Time // when the client first asked
+	retries int  // that the client has left
+}
+
+// try has the client ask one of its zone's proxies.
+func (f *fleet) try(call clientCall) {
 	var near []int
-	for i, z := range f.proxyZones {
-		if z == zone {
+	for i, zone := range f.proxyZones {
+		if zone == call.zone {
 			near = append(near, i)
 		}
 	}
-	i := near[f.rng.IntN(len(near))]
+	proxy := near[f.rng.IntN(len(near))]
 	f.after(time.Millisecond, func() {
-		again := *r
+		again := *call.request
 		again.arrived = 0
-		f.pickers[i].RecordRequest(f.now, &again)
-		f.attempt(i, zone, k, &again, since, retries, nil, false)
+		call.request = &again
+		f.pickers[proxy].RecordRequest(f.now, &again)
+		f.attempt(serverCall{clientCall: call, proxy: proxy})
 	})
 }
 
@@ -250,118 +261,180 @@
 // serverTimeout is how long a proxy waits for a server that says nothing.
 const serverTimeout = 1200 * time.Millisecond
 
-func (f *fleet) attempt(i int, zone string, k *kind, r *Request, since Time, retries int, tried []string, offered bool) {
-	p, t := f.pickers[i], f.tallies[k.name]
-	r.TimeLeft = k.deadline - (f.now - since)
-	c := p.Pick(f.now, r, tried, offered)
+// serverCall is one attempt of a proxy to have a request answered.
+type serverCall struct {
+	clientCall
+	proxy   int
+	tried   []string // servers of the attempts before
+	offered bool     // one of these may have run
+
+	result     Result
+	oneWay     time.Duration // to the server
+	connection [2]string
+	first      time.Duration // from the client's request to the first event
+}
+
+// attempt has a proxy pick a server and ask it.
+func (f *fleet) attempt(call serverCall) {
+	call.request.TimeLeft = call.kind.deadline - (f.now - call.since)
+	call.result = f.pickers[call.proxy].Pick(f.now, call.request, call.tried, call.offered)
 	if f.onPick != nil {
-		f.onPick(i, r, len(tried), offered, c)
+		f.onPick(call.proxy, call.request, len(call.tried), call.offered, call.result)
+	}
+	if call.result.Verdict != Send {
+		f.refuse(call)
+		return
 	}
-	if c.Verdict != Send {
-		if retries > 0 && !offered {
-			f.after(c.RetryAfter, func() { f.try(zone, k, r, since, retries-1) })
+	call.oneWay = f.crossNetwork(&call)
+	call.connection = [2]string{f.proxyZones[call.proxy], fmt.Sprint(call.proxy, call.result.Server.ID)}
+	f.connect(call.connection)
+	f.after(call.oneWay, func() {
+		if call.kind.plain {
+			f.callPlain(&call)
 		} else {
-			t.refused++
+			f.callEngine(&call)
 		}
+	})
+}
+
+// refuse has the client come back later, as often as it does.
+func (f *fleet) refuse(call serverCall) {
+	if call.retries == 0 || call.offered {
+		f.tallies[call.kind.name].refused++
 		return
 	}
-	way := 100 * time.Microsecond
+	again := call.clientCall
+	again.retries--
+	f.after(call.result.RetryAfter, func() { f.try(again) })
+}
+
+// crossNetwork is how long a request takes to its server, and counts what the way costs.
+func (f *fleet) crossNetwork(call *serverCall) time.Duration {
+	k, r, t := call.kind, call.request, f.tallies[call.kind.name]
 	bytes := float64(r.TokensIn)*k.bytesEach + float64(r.MaxTokensOut)/float64(f.spec.stride)*k.bytes + 300
 	if k.plain {
 		bytes = 1700
 	}
-	switch {
-	case c.Server.Region != f.regions[f.proxyZones[i]]:
-		way = f.crossRegion
+	switch zone := f.proxyZones[call.proxy]; {
+	case call.result.Server.Region != f.regions[zone]:
 		f.price += bytes / 1e9 * f.prices.regionGB
 		t.abroad++
-	case c.Server.Zone != f.proxyZones[i]:
-		way = 900 * time.Microsecond
+		return f.crossRegion
+	case call.result.Server.Zone != zone:
 		f.price += bytes / 1e9 * f.prices.zoneGB
 		t.across++
+		return 900 * time.Microsecond
 	}
-	window := &f.windows[min(int(since/(3*time.Second)), len(f.windows)-1)]
-	connection := [2]string{f.proxyZones[i], fmt.Sprint(i, c.Server.ID)}
-	f.connect(connection)
-	account := func(first, pause time.Duration, served bool) {
-		switch {
-		case !served || f.now-since > k.deadline:
-			t.lost++
-		case first <= k.latencyTarget && pause <= k.eventGapTarget:
-			t.inTime++
-			t.value += k.value
-			window.worth += k.value
-		default:
-			t.late++
-			t.value += k.lateValue
-			window.worth += k.lateValue
-		}
+	return 100 * time.Microsecond
+}
+
+// account counts how a client's request ended.
+func (f *fleet) account(call *serverCall, first, eventGap time.Duration, served bool) {
+	k, t := call.kind, f.tallies[call.kind.name]
+	window := &f.windows[min(int(call.since/(3*time.Second)), len(f.windows)-1)]
+	switch {
+	case !served || f.now-call.since > k.deadline:
+		t.lost++
+	case first <= k.latencyTarget && eventGap <= k.eventGapTarget:
+		t.inTime++
+		t.value += k.value
+		window.worth += k.value
+	default:
+		t.late++
+		t.value += k.lateValue
+		window.worth += k.lateValue
 	}
-	full := func() {
-		f.unexecuted++
-		f.after(way, func() {
-			p.Done(f.now, c.Ticket, NotExecuted, 0)
-			f.attempt(i, zone, k, r, since, retries, append(tried, c.Server.ID), offered)
+}
+
+// done ends the proxy's attempt.
+func (f *fleet) done(call *serverCall, outcome Outcome) {
+	f.pickers[call.proxy].Done(f.now, call.result.Ticket, outcome, 0)
+}
+
+// retry has the proxy go on to another server.
+func (f *fleet) retry(call *serverCall, offered bool) {
+	f.attempt(serverCall{clientCall: call.clientCall, proxy: call.proxy, tried: append(call.tried, call.result.Server.ID), offered: offered})
+}
+
+// rejectFull has a server say that it is full.
+func (f *fleet) rejectFull(call *serverCall) {
+	f.unexecuted++
+	f.after(call.oneWay, func() {
+		f.done(call, NotExecuted)
+		f.retry(call, call.offered)
+	})
+}
+
+// callPlain has a server without a model answer.
+func (f *fleet) callPlain(call *serverCall) {
+	work := durationMS(drawn(f.rng, 60, 0.5, 450))
+	accepted := f.plains[call.result.Server.ID].offer(work, func(running, waiting int) {
+		f.after(call.oneWay, func() {
+			f.pickers[call.proxy].ServerLoad(f.now, call.result.Server.ID, running, waiting, 6)
+			f.done(call, Served)
+			f.account(call, f.now-call.since+time.Millisecond, 0, true)
 		})
+	})
+	if !accepted {
+		f.rejectFull(call)
 	}
-	f.after(way, func() {
-		if k.plain {
-			work := durationMS(drawn(f.rng, 60, 0.5, 450))
-			if !f.plains[c.Server.ID].offer(work, func(running, waiting int) {
-				f.after(way, func() {
-					p.ServerLoad(f.now, c.Server.ID, running, waiting, 6)
-					p.Done(f.now, c.Ticket, Served, 0)
-					account(f.now-since+time.Millisecond, 0, true)
-				})
-			}) {
-				full()
-			}
-			return
+}
+
+// callEngine has a model server answer, or fail.
+func (f *fleet) callEngine(call *serverCall) {
+	server := f.engines[call.result.Server.ID]
+	request := f.newJob(call)
+	if server.down == "" && server.offer(request) {
+		return
+	}
+	switch server.down {
+	case "":
+		f.rejectFull(call)
+	case "reset":
+		f.after(call.oneWay, func() {
+			f.done(call, ConnectFailed)
+			f.retry(call, call.offered)
+		})
+	case "dark":
+		f.after(serverTimeout, func() { request.lost(TimedOut) })
+	}
+}
+
+// newJob is a call as a model server sees it.
+func (f *fleet) newJob(call *serverCall) *job {
+	r := call.request
+	request := &job{chain: prefixcache.NewChain(r.Prefix), in: r.TokensIn, out: r.MaxTokensOut, priority: call.result.Priority, deadline: call.since + call.kind.deadline}
+	request.lost = func(outcome Outcome) {
+		f.done(call, outcome)
+		if call.kind.resumable {
+			f.retry(call, true)
+		} else {
+			f.account(call, call.first, 0, false)
 		}
-		var first time.Duration
-		j := &job{chain: prefixcache.NewChain(r.Prefix), in: r.TokensIn, out: r.MaxTokensOut, priority: c.Priority, deadline: since + k.deadline}
-		j.lost = func(o Outcome) {
-			p.Done(f.now, c.Ticket, o, 0)
-			if k.resumable {
-				f.attempt(i, zone, k, r, since, retries, append(tried, c.Server.ID), true)
-			} else {
-				account(first, 0, false)
+	}
+	request.first = func(running, waiting int) {
+		f.after(call.oneWay, func() { f.firstEvent(call, running, waiting) })
+	}
+	request.done = func(served bool) {
+		f.after(call.oneWay, func() {
+			outcome := Served
+			if !served {
+				outcome = NotExecuted
 			}
-		}
-		j.first = func(running, waiting int) {
-			f.after(way, func() {
-				first = f.now - since + time.Millisecond
-				t.latencies = append(t.latencies, ms(first))
-				p.ServerLoad(f.now, c.Server.ID, running, waiting, f.slots)
-				p.Started(f.now, c.Ticket)
-				p.FirstEvent(f.now, c.Ticket)
-			})
-		}
-		j.done = func(served bool) {
-			f.after(way, func() {
-				o := Served
-				if !served {
-					o = NotExecuted
-				}
-				f.idle[connection] = append(f.idle[connection], f.now)
-				p.Done(f.now, c.Ticket, o, 0)
-				account(first, j.maxEventGap, served)
-			})
-		}
-		e := f.engines[c.Server.ID]
-		if e.down == "" && e.offer(j) {
-			return
-		}
-		switch e.down {
-		case "":
-			full()
-		case "reset":
-			f.after(way, func() {
-				p.Done(f.now, c.Ticket, ConnectFailed, 0)
-				f.attempt(i, zone, k, r, since, retries, append(tried, c.Server.ID), offered)
-			})
-		case "dark":
-			f.after(serverTimeout, func() { j.lost(TimedOut) })
-		}
-	})
+			f.idle[call.connection] = append(f.idle[call.connection], f.now)
+			f.done(call, outcome)
+			f.account(call, call.first, request.maxEventGap, served)
+		})
+	}
+	return request
+}
+
+// firstEvent has the proxy learn of an answer's first event.
+func (f *fleet) firstEvent(call *serverCall, running, waiting int) {
+	call.first = f.now - call.since + time.Millisecond
+	t, p := f.tallies[call.kind.name], f.pickers[call.proxy]
+	t.latencies = append(t.latencies, ms(call.first))
+	p.ServerLoad(f.now, call.result.Server.ID, running, waiting, f.slots)
+	p.Started(f.now, call.result.Ticket)
+	p.FirstEvent(f.now, call.result.Ticket)
 }
