--- a/internal/system/proxy/pick/property_test.go
+++ b/internal/system/proxy/pick/property_test.go
@@ -40,120 +40,169 @@
 
 var testRegions = map[string]string{"z1": "r1", "z2": "r1", "z3": "r2"}
 
-// TestOnlyEligibleServersArePicked plays random worlds, requests and answers: no send goes against a rule, and what is counted adds up.
+// TestOnlyEligibleServersArePicked plays random cluster states, requests and answers: no attempt goes against a rule, and what is counted
+// adds up.
 func TestOnlyEligibleServersArePicked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := New(Settings{Zone: "z1", Region: "r1", Regions: testRegions, RetryRatio: 0.2, RetrySlack: 20, WarmUpExcess: 1.5, WarmUpSlack: 5})
-		type open struct {
-			r       *Request
-			ticket  uint64
-			tried   []string
-			arrived int
-			offered bool
-		}
-		var opens []*open
-		now, w := Time(time.Minute), ClusterState{}
+		run := &randomRun{T: t, now: time.Minute, picker: New(Settings{Zone: "z1", Region: "r1", Regions: testRegions, RetryRatio: 0.2, RetrySlack: 20,
+			WarmUpExcess: 1.5, WarmUpSlack: 5})}
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
-			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond
-			act := rapid.IntRange(0, 9).Draw(t, "act")
+			run.now += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond
+			action := rapid.IntRange(0, 9).Draw(t, "act")
 			switch {
-			case step == 0 || act == 0:
-				w = drawClusterState(t, step)
-				p.UpdateClusterState(now, w)
-			case act == 1:
-				loads := map[string]Load{}
-				for _, s := range w.Servers {
-					loads[s.ID] = Load{Requests: rapid.IntRange(0, 20).Draw(t, "requests"), Prefill: int64(rapid.IntRange(0, 20000).Draw(t, "prefill"))}
-				}
-				p.UpdatePeerLoads(now, loads)
-			case act == 2 && len(w.Servers) > 0:
-				id := rapid.SampledFrom(w.Servers).Draw(t, "server").ID
-				p.WarmingUp(now, id, time.Duration(rapid.IntRange(-1, 3).Draw(t, "left"))*time.Second)
-				p.ServerDraining(now, id)
-				p.ServerLoad(now, id, rapid.IntRange(-1, 9).Draw(t, "running"), rapid.IntRange(0, 9).Draw(t, "waiting"), rapid.IntRange(-1, 9).Draw(t, "slots"))
-			case act <= 6:
-				var o *open
-				if len(opens) > 0 && rapid.Bool().Draw(t, "again") {
-					if o = rapid.SampledFrom(opens).Draw(t, "request"); o.ticket != 0 {
-						continue
-					}
-				} else {
-					r := &Request{Route: rapid.SampledFrom(w.Config.Routes).Draw(t, "route"), TimeLeft: time.Duration(rapid.IntRange(-1, 8000).Draw(t, "left")) * time.Millisecond,
-						MaxTokensOut: rapid.IntRange(-1, 300).Draw(t, "out")}
-					for range rapid.IntRange(0, 20).Draw(t, "parts") {
-						part := PrefixPart{ID: uint64(rapid.IntRange(0, 9).Draw(t, "part")), Tokens: rapid.IntRange(-1, 5000).Draw(t, "tokens")}
-						r.Prefix = append(r.Prefix, part)
-						r.TokensIn += max(part.Tokens, 0)
-					}
-					p.RecordRequest(now, r)
-					o = &open{r: r}
-					opens = append(opens, o)
-				}
-				c := p.Pick(now, o.r, o.tried, o.offered)
-				switch {
-				case c.Verdict != Send:
-					if c.Verdict == Reject && len(o.tried) > 0 {
-						t.Fatal("refused after a send")
-					}
-					if c.Verdict == Reject && c.RetryAfter <= 0 {
-						t.Fatal("a refusal that does not tell when to come back")
-					}
-					continue
-				case o.offered && !o.r.Route.Idempotent():
-					t.Fatal("a request may run twice")
-				case o.arrived >= o.r.Route.MaxTries:
-					t.Fatal("more tries than max_tries")
-				}
-				i := slices.IndexFunc(w.Servers, func(s Server) bool { return s.ID == c.Server.ID })
-				if i < 0 {
-					t.Fatalf("%s is not listed", c.Server.ID)
-				}
-				s := w.Servers[i]
-				switch {
-				case s.Draining:
-					t.Fatal("draining")
-				case w.Evacuated[s.Zone]:
-					t.Fatal("evacuated")
-				case len(o.r.Route.HomeRegions) > 0 && !slices.Contains(o.r.Route.HomeRegions, testRegions[s.Zone]):
-					t.Fatal("abroad")
-				case slices.Contains(o.tried, s.ID):
-					t.Fatal("tried before")
-				case !slices.ContainsFunc(o.r.Route.Shares, func(x config.Share) bool { return x.Service == s.Service }):
-					t.Fatal("not a service of the route")
-				}
-				o.ticket = c.Ticket
-				o.tried = append(o.tried, s.ID)
-				o.arrived++
+			case step == 0 || action == 0:
+				run.state = drawClusterState(t, step)
+				run.picker.UpdateClusterState(run.now, run.state)
+			case action == 1:
+				run.updateLoads()
+			case action == 2 && len(run.state.Servers) > 0:
+				run.giveHints()
+			case action <= 6:
+				run.pick()
 			default:
-				if len(opens) == 0 {
-					continue
-				}
-				o := rapid.SampledFrom(opens).Draw(t, "request")
-				if o.ticket == 0 {
-					continue
-				}
-				if rapid.Bool().Draw(t, "began") {
-					p.Started(now, o.ticket)
-					p.FirstEvent(now, o.ticket)
-				}
-				out := Outcome(rapid.IntRange(0, int(Canceled)).Draw(t, "outcome"))
-				p.Done(now, o.ticket, out, time.Duration(rapid.IntRange(0, 900).Draw(t, "after"))*time.Millisecond)
-				p.Done(now, o.ticket, TimedOut, 0) // the second end of a send is no end
-				o.ticket = 0
-				o.offered = o.offered || out == ConnectionLost || out == TimedOut || out == ServerError || out == Served || out == Canceled
-				if out == ConnectFailed {
-					o.arrived--
-				}
+				run.end()
 			}
-			p.Describe(now)
+			run.picker.Describe(run.now)
 		}
-		for _, o := range opens {
-			p.Done(now, o.ticket, Served, 0)
+		for _, request := range run.requests {
+			run.picker.Done(run.now, request.ticket, Served, 0)
 		}
-		p.check(t)
+		run.picker.check(t)
 	})
 }
 
+// randomRun is one picker with the requests that came to it.
+type randomRun struct {
+	*rapid.T
+	now      Time
+	state    ClusterState
+	picker   *Picker
+	requests []*randomRequest
+}
+
+// randomRequest is what the rules say of a request, counted apart from the picker.
+type randomRequest struct {
+	request *Request
+	ticket  uint64 // of the attempt under way; 0: none
+	tried   []string
+	arrived int
+	offered bool
+}
+
+func (run *randomRun) updateLoads() {
+	loads := map[string]Load{}
+	for _, s := range run.state.Servers {
+		loads[s.ID] = Load{Requests: rapid.IntRange(0, 20).Draw(run.T, "requests"), Prefill: int64(rapid.IntRange(0, 20000).Draw(run.T, "prefill"))}
+	}
+	run.picker.UpdatePeerLoads(run.now, loads)
+}
+
+func (run *randomRun) giveHints() {
+	id := rapid.SampledFrom(run.state.Servers).Draw(run.T, "server").ID
+	run.picker.WarmingUp(run.now, id, time.Duration(rapid.IntRange(-1, 3).Draw(run.T, "left"))*time.Second)
+	run.picker.ServerDraining(run.now, id)
+	run.picker.ServerLoad(run.now, id, rapid.IntRange(-1, 9).Draw(run.T, "running"), rapid.IntRange(0, 9).Draw(run.T, "waiting"), rapid.IntRange(-1, 9).Draw(run.T, "slots"))
+}
+
+// newRequest draws a request that comes now.
+func (run *randomRun) newRequest() *randomRequest {
+	r := &Request{Route: rapid.SampledFrom(run.state.Config.Routes).Draw(run.T, "route"), TimeLeft: time.Duration(rapid.IntRange(-1, 8000).Draw(run.T, "left")) * time.Millisecond,
+		MaxTokensOut: rapid.IntRange(-1, 300).Draw(run.T, "out")}
+	for range rapid.IntRange(0, 20).Draw(run.T, "parts") {
+		part := PrefixPart{ID: uint64(rapid.IntRange(0, 9).Draw(run.T, "part")), Tokens: rapid.IntRange(-1, 5000).Draw(run.T, "tokens")}
+		r.Prefix = append(r.Prefix, part)
+		r.TokensIn += max(part.Tokens, 0)
+	}
+	run.picker.RecordRequest(run.now, r)
+	request := &randomRequest{request: r}
+	run.requests = append(run.requests, request)
+	return request
+}
+
+// pick asks for a server for a new request, or for one again that has none.
+func (run *randomRun) pick() {
+	var request *randomRequest
+	if len(run.requests) > 0 && rapid.Bool().Draw(run.T, "again") {
+		if request = rapid.SampledFrom(run.requests).Draw(run.T, "request"); request.ticket != 0 {
+			return
+		}
+	} else {
+		request = run.newRequest()
+	}
+	result := run.picker.Pick(run.now, request.request, request.tried, request.offered)
+	if result.Verdict != Send {
+		run.checkRefusal(request, result)
+		return
+	}
+	run.checkSend(request, result)
+	request.ticket = result.Ticket
+	request.tried = append(request.tried, result.Server.ID)
+	request.arrived++
+}
+
+func (run *randomRun) checkRefusal(request *randomRequest, result Result) {
+	if result.Verdict == Reject && len(request.tried) > 0 {
+		run.Fatal("rejected after a send")
+	}
+	if result.Verdict == Reject && result.RetryAfter <= 0 {
+		run.Fatal("a rejection that does not say when to come back")
+	}
+}
+
+func (run *randomRun) checkSend(request *randomRequest, result Result) {
+	route := request.request.Route
+	if request.offered && !route.Idempotent() {
+		run.Fatal("a request may run twice")
+	}
+	if request.arrived >= route.MaxTries {
+		run.Fatal("more tries than max_tries")
+	}
+	listed := slices.IndexFunc(run.state.Servers, func(s Server) bool { return s.ID == result.Server.ID })
+	if listed < 0 {
+		run.Fatalf("%s is not listed", result.Server.ID)
+	}
+	target := run.state.Servers[listed]
+	for _, rule := range []struct {
+		name   string
+		broken bool
+	}{
+		{"draining", target.Draining},
+		{"evacuated", run.state.Evacuated[target.Zone]},
+		{"outside the home regions", len(route.HomeRegions) > 0 && !slices.Contains(route.HomeRegions, testRegions[target.Zone])},
+		{"tried before", slices.Contains(request.tried, target.ID)},
+		{"not a service of the route", !slices.ContainsFunc(route.Shares, func(x config.Share) bool { return x.Service == target.Service })},
+	} {
+		if rule.broken {
+			run.Fatal(rule.name)
+		}
+	}
+}
+
+// end ends an attempt under way.
+func (run *randomRun) end() {
+	if len(run.requests) == 0 {
+		return
+	}
+	request := rapid.SampledFrom(run.requests).Draw(run.T, "request")
+	if request.ticket == 0 {
+		return
+	}
+	if rapid.Bool().Draw(run.T, "began") {
+		run.picker.Started(run.now, request.ticket)
+		run.picker.FirstEvent(run.now, request.ticket)
+	}
+	outcome := Outcome(rapid.IntRange(0, int(Canceled)).Draw(run.T, "outcome"))
+	run.picker.Done(run.now, request.ticket, outcome, time.Duration(rapid.IntRange(0, 900).Draw(run.T, "after"))*time.Millisecond)
+	run.picker.Done(run.now, request.ticket, TimedOut, 0) // the second end of an attempt is no end
+	request.ticket = 0
+	switch outcome {
+	case ConnectionLost, TimedOut, ServerError, Served, Canceled:
+		request.offered = true
+	case ConnectFailed:
+		request.arrived--
+	}
+}
+
 // check tells what of a Picker with nothing in flight does not add up.
 func (p *Picker) check(t *rapid.T) {
 	if len(p.attempts.byTicket) > 0 {
@@ -192,119 +241,161 @@
 	return most
 }
 
-// TestWarmUpBound lets many proxies press upon a cold server with all they may, while each learns at its own time of
-// proxies that come and go: within any second it gets less than its bound.
+// TestWarmUpBound lets many proxies press upon a warming server with all they may, while each learns at its own time of proxies that come and
+// go: within any second it gets less than its bound.
 func TestWarmUpBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rate := float64(rapid.IntRange(1, 60).Draw(t, "rate"))
-		n := rapid.IntRange(1, 30).Draw(t, "proxies")
-		cfg := &config.Config{Services: map[string]*config.Service{"a": {Name: "a", WarmUpRate: rate}}}
-		route := &config.Route{Host: "h", Prefix: "/", MaxTries: 1, Shares: []config.Share{{Service: "a", Weight: 1}}}
-		cfg.Routes = []*config.Route{route}
-		name := func(i int) string { return fmt.Sprintf("p%02d", i) }
-		view := func(from, to int) (v []string) {
-			for i := from; i < to; i++ {
-				v = append(v, name(i))
-			}
-			return v
-		}
-		// The members change once, by at most a third; every proxy hears of it within three seconds.
-		first := view(0, n)
-		second := view(rapid.IntRange(0, n/3).Draw(t, "gone"), n+rapid.IntRange(0, n/3).Draw(t, "new"))
-		var pickers []*Picker
-		var hears []Time
-		for i := range n + n/3 {
-			p := New(Settings{Zone: "z", Region: "r", WarmUpExcess: 1.5, WarmUpSlack: 5})
-			pickers = append(pickers, p)
-			hears = append(hears, 3*time.Second+time.Duration(rapid.IntRange(0, 3000).Draw(t, "lag"))*time.Millisecond)
-			if i < n {
-				p.UpdateClusterState(0, ClusterState{Config: cfg, Self: name(i), Peers: first, Servers: []Server{{ID: "s", Service: "a", Zone: "z", Slots: 1000, WarmUpMax: time.Minute}}})
-			}
-		}
+		run := newMemberChange(t)
 		var sent []Time
-		for now := Time(0); now < 8*time.Second; now += 20 * time.Millisecond {
-			for i, p := range pickers {
-				if hears[i] <= now && hears[i] > now-20*time.Millisecond {
-					p.UpdateClusterState(now, ClusterState{Config: cfg, Self: name(i), Peers: second, Servers: []Server{{ID: "s", Service: "a", Zone: "z", Slots: 1000, WarmUpMax: time.Minute - now}}})
+		for now := Time(0); now < 8*time.Second; now += memberChangeStep {
+			for i, p := range run.pickers {
+				if run.learns(i, now) {
+					p.UpdateClusterState(now, run.state(i, run.after, now))
 				}
-				r := &Request{Route: route, TimeLeft: time.Second}
-				if c := p.Pick(now, r, nil, false); c.Verdict == Send {
+				result := p.Pick(now, &Request{Route: run.config.Routes[0], TimeLeft: time.Second}, nil, false)
+				if result.Verdict == Send {
 					sent = append(sent, now)
-					p.Done(now, c.Ticket, Served, 0)
+					p.Done(now, result.Ticket, Served, 0)
 				}
 			}
 		}
 		most := maxInASecond(sent)
-		if float64(most) > rate*1.5+5 {
-			t.Fatalf("%d requests in a second, of %v", most, rate*1.5+5)
+		if float64(most) > run.rate*1.5+5 {
+			t.Fatalf("%d requests in a second, of %v", most, run.rate*1.5+5)
 		}
 		if len(sent) == 0 {
-			t.Fatal("the cold server got nothing")
+			t.Fatal("the warming server got nothing")
 		}
 	})
 }
 
-// TestRetryBudget lets proxies repeat all they may: in any window, all repeats stay within the ratio of the requests and the
-// slack together.
+const memberChangeStep = 20 * time.Millisecond
+
+// memberChange is a fleet whose members change once, by at most a third; every proxy learns of it within three seconds.
+type memberChange struct {
+	rate          float64 // of the warming server, in requests a second
+	config        *config.Config
+	before, after []string // names of the members
+	pickers       []*Picker
+	learnsAt      []Time // of each picker
+}
+
+func newMemberChange(t *rapid.T) *memberChange {
+	run := &memberChange{rate: float64(rapid.IntRange(1, 60).Draw(t, "rate"))}
+	count := rapid.IntRange(1, 30).Draw(t, "proxies")
+	run.config = &config.Config{Services: map[string]*config.Service{"a": {Name: "a", WarmUpRate: run.rate}}}
+	run.config.Routes = []*config.Route{{Host: "h", Prefix: "/", MaxTries: 1, Shares: []config.Share{{Service: "a", Weight: 1}}}}
+	run.before = proxyNames(0, count)
+	run.after = proxyNames(rapid.IntRange(0, count/3).Draw(t, "gone"), count+rapid.IntRange(0, count/3).Draw(t, "new"))
+	for i := range count + count/3 {
+		p := New(Settings{Zone: "z", Region: "r", WarmUpExcess: 1.5, WarmUpSlack: 5})
+		run.pickers = append(run.pickers, p)
+		run.learnsAt = append(run.learnsAt, 3*time.Second+time.Duration(rapid.IntRange(0, 3000).Draw(t, "lag"))*time.Millisecond)
+		if i < count {
+			p.UpdateClusterState(0, run.state(i, run.before, 0))
+		}
+	}
+	return run
+}
+
+// learns reports whether a picker learns of the change now.
+func (m *memberChange) learns(i int, now Time) bool {
+	return m.learnsAt[i] <= now && m.learnsAt[i] > now-memberChangeStep
+}
+
+// state is what a picker knows, of members and of a server that warms up for a minute from the start.
+func (m *memberChange) state(i int, peers []string, now Time) ClusterState {
+	return ClusterState{Config: m.config, Self: proxyName(i), Peers: peers,
+		Servers: []Server{{ID: "s", Service: "a", Zone: "z", Slots: 1000, WarmUpMax: time.Minute - now}}}
+}
+
+func proxyName(i int) string { return fmt.Sprintf("p%02d", i) }
+
+// proxyNames are the names of proxies with numbers from from to below to.
+func proxyNames(from, to int) (names []string) {
+	for i := from; i < to; i++ {
+		names = append(names, proxyName(i))
+	}
+	return names
+}
+
+// TestRetryBudget lets proxies retry all they may: in any window, all retries stay within the ratio of the requests and the slack together.
 func TestRetryBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const window, step = 10 * time.Second, 200 * time.Millisecond
-		n := rapid.IntRange(1, 12).Draw(t, "proxies")
-		slack := float64(rapid.IntRange(0, 64).Draw(t, "slack"))
-		cfg := &config.Config{Services: map[string]*config.Service{"a": {Name: "a"}}}
-		route := &config.Route{Host: "h", Prefix: "/", MaxTries: 9, Shares: []config.Share{{Service: "a", Weight: 1}}, Category: config.Idempotent}
-		cfg.Routes = []*config.Route{route}
-		var peers []string
-		var servers []Server
-		for i := range n {
-			peers = append(peers, fmt.Sprintf("p%02d", i))
-		}
-		for i := range 8 {
-			servers = append(servers, Server{ID: fmt.Sprint(i), Service: "a", Zone: "z", Slots: 1000})
-		}
-		var pickers []*Picker
-		for _, self := range peers {
-			p := New(Settings{Zone: "z", Region: "r", RetryRatio: 0.2, RetryWindow: window, RetrySlack: slack})
-			p.UpdateClusterState(0, ClusterState{Config: cfg, Self: self, Peers: peers, Servers: servers})
-			pickers = append(pickers, p)
-		}
-		var requests, repeats []int // by step
+		run := newRetryRun(t)
 		rates := rapid.SliceOfN(rapid.IntRange(0, 3), 30, 30).Draw(t, "rates")
-		for i := range int(30 * time.Second / step) {
-			now := Time(i) * step
-			requests, repeats = append(requests, 0), append(repeats, 0)
-			for _, p := range pickers {
+		for i := range int(30 * time.Second / retryStep) {
+			now := Time(i) * retryStep
+			run.requests, run.retries = append(run.requests, 0), append(run.retries, 0)
+			for _, p := range run.pickers {
 				for range rates[int(now/time.Second)] {
-					r := &Request{Route: route, TimeLeft: time.Minute}
-					p.RecordRequest(now, r)
-					requests[i]++
-					var tried []string
-					for {
-						c := p.Pick(now, r, tried, false)
-						if c.Verdict != Send {
-							break
-						}
-						if len(tried) > 0 {
-							repeats[i]++
-						}
-						tried = append(tried, c.Server.ID)
-						p.Done(now, c.Ticket, ServerError, 0)
-					}
+					run.requests[i]++
+					run.retries[i] += run.retryAll(p, now)
 				}
 			}
 		}
-		span := int(window / step)
-		sum := func(v []int, from int) (s int) {
-			for _, x := range v[max(from, 0):min(max(from+span, 0), len(v))] {
-				s += x
-			}
-			return s
+		run.check(t)
+	})
+}
+
+const retryWindow, retryStep = 10 * time.Second, 200 * time.Millisecond
+
+// retryRun is a fleet whose servers fail all requests.
+type retryRun struct {
+	slack             float64
+	route             *config.Route
+	pickers           []*Picker
+	requests, retries []int // by step
+}
+
+func newRetryRun(t *rapid.T) *retryRun {
+	peers := proxyNames(0, rapid.IntRange(1, 12).Draw(t, "proxies"))
+	run := &retryRun{slack: float64(rapid.IntRange(0, 64).Draw(t, "slack"))}
+	run.route = &config.Route{Host: "h", Prefix: "/", MaxTries: 9, Shares: []config.Share{{Service: "a", Weight: 1}}, Category: config.Idempotent}
+	cfg := &config.Config{Services: map[string]*config.Service{"a": {Name: "a"}}, Routes: []*config.Route{run.route}}
+	var servers []Server
+	for i := range 8 {
+		servers = append(servers, Server{ID: fmt.Sprint(i), Service: "a", Zone: "z", Slots: 1000})
+	}
+	for _, self := range peers {
+		p := New(Settings{Zone: "z", Region: "r", RetryRatio: 0.2, RetryWindow: retryWindow, RetrySlack: run.slack})
+		p.UpdateClusterState(0, ClusterState{Config: cfg, Self: self, Peers: peers, Servers: servers})
+		run.pickers = append(run.pickers, p)
+	}
+	return run
+}
+
+// retryAll has a proxy send a request as often as it may, and gives the number of retries.
+func (run *retryRun) retryAll(p *Picker, now Time) (retries int) {
+	r := &Request{Route: run.route, TimeLeft: time.Minute}
+	p.RecordRequest(now, r)
+	var tried []string
+	for {
+		result := p.Pick(now, r, tried, false)
+		if result.Verdict != Send {
+			return retries
 		}
-		for from := range requests {
-			asked := max(sum(requests, from), sum(requests, from-span), sum(requests, from-span/2))
-			if got := sum(repeats, from); float64(got) > 0.2*float64(asked)+slack {
-				t.Fatalf("%d repeats for %d requests and a slack of %v", got, asked, slack)
-			}
+		if len(tried) > 0 {
+			retries++
 		}
-	})
+		tried = append(tried, result.Server.ID)
+		p.Done(now, result.Ticket, ServerError, 0)
+	}
+}
+
+// check compares the retries of each window with the requests of it, of the one before, and of the one half before.
+func (run *retryRun) check(t *rapid.T) {
+	window := int(retryWindow / retryStep)
+	sum := func(counts []int, from int) (total int) {
+		for _, x := range counts[max(from, 0):min(max(from+window, 0), len(counts))] {
+			total += x
+		}
+		return total
+	}
+	for from := range run.requests {
+		asked := max(sum(run.requests, from), sum(run.requests, from-window), sum(run.requests, from-window/2))
+		if got := sum(run.retries, from); float64(got) > 0.2*float64(asked)+run.slack {
+			t.Fatalf("%d retries for %d requests and a slack of %v", got, asked, run.slack)
+		}
+	}
 }
--- /dev/null
+++ b/internal/system/proxy/pick/warmup_listing_test.go
@@ -0,0 +1,216 @@
+package pick
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// TestWarmUpBoundAroundListing: members come and go, and each proxy hears of it, and of servers that start or turn cold again, up to 1.6 s
+// later, in order; a proxy that has gone for the others hears of that likewise. Within any second no server gets more than its bound.
+func TestWarmUpBoundAroundListing(t *testing.T) {
+	most := 0
+	rapid.Check(t, func(t *rapid.T) { most = max(most, aroundListing(t, 3, 1)) })
+	t.Logf("at most %d", most)
+}
+
+// TestWarmUpBoundWhileAFleetGrows: as before, with as many that join as there are, or more.
+func TestWarmUpBoundWhileAFleetGrows(t *testing.T) {
+	most := 0
+	rapid.Check(t, func(t *rapid.T) { most = max(most, aroundListing(t, 1, 2)) })
+	t.Logf("at most %d", most)
+}
+
+// aroundListing plays one such run, in which up to growth times a part of the proxies join, and gives the most.
+func aroundListing(t *rapid.T, part, growth int) (most int) {
+	run := newListingRun(t, part, growth)
+	run.drawHistory(t, part)
+	run.drawLearning(t)
+	sent := run.play()
+	most = maxInASecond(sent)
+	if float64(most) > maxWarmUpRequests {
+		t.Fatalf("%d of %d proxies, load from %v: %d requests in a second, of %v", run.first, len(run.fleet.pickers), run.loadFrom, most, maxWarmUpRequests)
+	}
+	return most
+}
+
+// listingRun is a fleet whose members come and go, and a server that starts and warms up again.
+type listingRun struct {
+	fleet    *warmUpFleet
+	first    int  // proxies at the start
+	maxLagMS int  // until a proxy learns of a change
+	loadFrom Time // when requests begin to come
+	live     map[int]bool
+	began    map[int]Time // when proxies joined that were not there at the start
+	history  []listingState
+	learnsAt [][]Time // of each proxy for each state of the history
+	known    []int    // index of the state that each proxy knows; -1: none
+}
+
+// listingState is what is true from a time on.
+type listingState struct {
+	at        Time
+	peers     []string
+	lost      int  // proxies that have gone, and may live on
+	warmUntil Time // the server warms up until then; 0: it is not listed
+}
+
+func newListingRun(t *rapid.T, part, growth int) *listingRun {
+	run := &listingRun{first: rapid.SampledFrom([]int{1, 2, 3, 8, 12, 16, 17, 18, 20, 30, 60}).Draw(t, "proxies"), live: map[int]bool{}, began: map[int]Time{}}
+	extra := rapid.IntRange(0, max(1, run.first*growth/part)).Draw(t, "extra")
+	run.maxLagMS = rapid.SampledFrom([]int{150, 600, 1000, 1600}).Draw(t, "lag")
+	run.loadFrom = time.Duration(rapid.IntRange(0, 8000).Draw(t, "load")) * time.Millisecond
+	run.fleet = newWarmUpFleet(run.first + extra)
+	for i := range run.first {
+		run.live[i] = true
+	}
+	for range run.fleet.pickers {
+		run.known = append(run.known, -1)
+	}
+	return run
+}
+
+// drawHistory draws changes: proxies join, proxies go, or the server begins to warm up.
+func (run *listingRun) drawHistory(t *rapid.T, part int) {
+	run.record(0, 0)
+	changes := rapid.IntRange(1, 8).Draw(t, "changes")
+	var times []int
+	for range changes {
+		times = append(times, rapid.IntRange(1000, 10000).Draw(t, "at"))
+	}
+	slices.Sort(times)
+	var warmUntil Time
+	for _, ms := range times {
+		now := Time(ms) * time.Millisecond
+		switch rapid.IntRange(0, 2).Draw(t, "kind") {
+		case 0:
+			run.drawJoins(t, now)
+		case 1:
+			run.drawLeaves(t, part)
+		case 2:
+			if warmUntil < now {
+				warmUntil = now + warmUpDuration
+			}
+		}
+		run.record(now, warmUntil)
+	}
+}
+
+func (run *listingRun) drawJoins(t *rapid.T, now Time) {
+	for i := run.first; i < len(run.fleet.pickers); i++ {
+		if run.live[i] || !rapid.Bool().Draw(t, "joins") {
+			continue
+		}
+		run.live[i] = true
+		if _, ok := run.began[i]; !ok {
+			run.began[i] = now
+		}
+	}
+}
+
+func (run *listingRun) drawLeaves(t *rapid.T, part int) {
+	for i := range run.first / part {
+		if run.live[i] && rapid.Bool().Draw(t, "goes") {
+			run.live[i] = false
+		}
+	}
+}
+
+// record appends what is true now to the history.
+func (run *listingRun) record(now, warmUntil Time) {
+	state := listingState{at: now, warmUntil: warmUntil}
+	for i, name := range run.fleet.names {
+		_, joined := run.began[i]
+		switch {
+		case run.live[i]:
+			state.peers = append(state.peers, name)
+		case i < run.first || joined:
+			state.lost++
+		}
+	}
+	run.history = append(run.history, state)
+}
+
+// drawLearning draws when each proxy learns of each state, in order. One that joins knows of that at once.
+func (run *listingRun) drawLearning(t *rapid.T) {
+	for i := range run.fleet.pickers {
+		var learnsAt []Time
+		latest := Time(0)
+		for _, state := range run.history {
+			learned := state.at
+			if state.at > 0 && run.began[i] != state.at {
+				learned += time.Duration(rapid.IntRange(20, run.maxLagMS).Draw(t, "hears")) * time.Millisecond
+			}
+			latest = max(latest, learned)
+			learnsAt = append(learnsAt, latest)
+		}
+		run.learnsAt = append(run.learnsAt, learnsAt)
+	}
+}
+
+// play gives the times of requests that went to the server while it truly warmed up, from proxies that could know.
+func (run *listingRun) play() (sent []Time) {
+	const step, end = 20 * time.Millisecond, 14 * time.Second
+	for now := Time(0); now < end; now += step {
+		for i := range run.fleet.pickers {
+			run.update(now, i)
+		}
+		if now < run.loadFrom {
+			continue
+		}
+		warmingUp := run.warmingUp(now)
+		for i, p := range run.fleet.pickers {
+			if run.known[i] < 0 {
+				continue
+			}
+			result := p.Pick(now, &Request{Route: run.fleet.config.Routes[0], TimeLeft: time.Second}, nil, false)
+			if result.Verdict != Send {
+				continue
+			}
+			if warmingUp && p.servers["s0"].warmingUp(now) { // sends of proxies that can't know yet are another matter
+				sent = append(sent, now)
+			}
+			p.Done(now, result.Ticket, Served, 0)
+		}
+	}
+	return sent
+}
+
+// warmingUp reports whether the server truly warms up.
+func (run *listingRun) warmingUp(now Time) bool {
+	return slices.ContainsFunc(run.history, func(state listingState) bool {
+		return state.warmUntil > 0 && now >= state.warmUntil-warmUpDuration && now < state.warmUntil
+	})
+}
+
+// update has a proxy learn of what it learns by now.
+func (run *listingRun) update(now Time, i int) {
+	if began, late := run.began[i]; i >= run.first && (!late || now < began) {
+		return
+	}
+	newest := run.known[i]
+	for newest+1 < len(run.history) && run.learnsAt[i][newest+1] <= now {
+		newest++
+	}
+	if newest == run.known[i] || newest < 0 {
+		return
+	}
+	run.known[i] = newest
+	run.fleet.pickers[i].UpdateClusterState(now, run.stateOf(now, i, &run.history[newest]))
+}
+
+// stateOf is a state of the history as a proxy gets it. One that has gone for the others goes on until it has learned of that.
+func (run *listingRun) stateOf(now Time, i int, known *listingState) ClusterState {
+	state := ClusterState{Config: run.fleet.config, Self: run.fleet.names[i], Peers: known.peers, DownCount: known.lost}
+	if !slices.Contains(state.Peers, state.Self) {
+		state.Stale = true
+		state.Peers = append(slices.Clone(state.Peers), state.Self)
+		slices.Sort(state.Peers)
+	}
+	if known.warmUntil > 0 {
+		state.Servers = []Server{{ID: "s0", Service: "a", Zone: "z", Slots: 1000, WarmUpMax: max(0, known.warmUntil-now)}}
+	}
+	return state
+}
--- a/internal/system/proxy/pick/warmup_partition_test.go
+++ b/internal/system/proxy/pick/warmup_partition_test.go
@@ -2,56 +2,73 @@
 
 import (
 	"fmt"
-	"slices"
 	"testing"
 	"time"
 
-	"pgregory.net/rapid"
-
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
 // TestReturningSendersWait: holders of a cold server were given up, stopped as they were stale, and hear from a keeper again.
 // Those in their places go on until they have heard of it.
 func TestReturningSendersWait(t *testing.T) {
-	const givenUp, stale, back = 2 * time.Second, 3600 * time.Millisecond, 8 * time.Second
 	for _, count := range []int{6, 9, 17} {
 		for _, hear := range []time.Duration{100 * time.Millisecond, 300 * time.Millisecond, time.Second, 1600 * time.Millisecond} {
 			for _, idle := range []bool{false, true} {
 				t.Run(fmt.Sprint(count, hear, idle), func(t *testing.T) {
-					f := newWarmUpFleet(60)
-					lost, left := f.splitSenders(count)
-					tell := func(now Time) {
-						for i, p := range f.pickers {
-							w := f.state(i, 1, time.Minute-now)
-							switch {
-							case now == givenUp && !lost[i]:
-								w.Peers = left
-							case now == stale && lost[i]:
-								w.Stale = true
-							case now == back && lost[i]:
-							case now == back+hear && !lost[i]:
-							default:
-								continue
-							}
-							p.UpdateClusterState(now, w)
-						}
-					}
-					if idle { // load comes as they come back
-						for now := Time(0); now < back; now += 10 * time.Millisecond {
-							tell(now)
-						}
-						f.sendAll(back, back+3*time.Second, 10*time.Millisecond, tell)
-					} else {
-						f.sendAll(0, back+3*time.Second, 10*time.Millisecond, tell)
-					}
-					f.checkBound(t)
+					run := newReturnRun(count, hear)
+					run.play(idle)
+					run.fleet.checkBound(t)
 				})
 			}
 		}
 	}
 }
 
+// returnRun is a fleet some of whose senders are given up, and come back.
+type returnRun struct {
+	fleet *warmUpFleet
+	lost  map[int]bool  // senders that are given up
+	left  []string      // the other proxies
+	hear  time.Duration // from when the lost ones are in contact again until the others learn of it
+}
+
+const returnGivenUp, returnStale, returnBack = 2 * time.Second, 3600 * time.Millisecond, 8 * time.Second
+
+func newReturnRun(count int, hear time.Duration) *returnRun {
+	run := &returnRun{fleet: newWarmUpFleet(60), hear: hear}
+	run.lost, run.left = run.fleet.splitSenders(count)
+	return run
+}
+
+// play runs the load from the start, or, with idle, from when the lost ones come back.
+func (run *returnRun) play(idle bool) {
+	loadFrom := Time(0)
+	if idle {
+		for now := Time(0); now < returnBack; now += 10 * time.Millisecond {
+			run.updateStates(now)
+		}
+		loadFrom = returnBack
+	}
+	run.fleet.sendAll(loadFrom, returnBack+3*time.Second, 10*time.Millisecond, run.updateStates)
+}
+
+func (run *returnRun) updateStates(now Time) {
+	for i, p := range run.fleet.pickers {
+		state := run.fleet.state(i, 1, time.Minute-now)
+		switch lost := run.lost[i]; {
+		case now == returnGivenUp && !lost:
+			state.Peers = run.left
+		case now == returnStale && lost:
+			state.Stale = true
+		case now == returnBack && lost:
+		case now == returnBack+run.hear && !lost:
+		default:
+			continue
+		}
+		p.UpdateClusterState(now, state)
+	}
+}
+
 // TestPartitionedFleetKeepsTheRate: the keepers' net is cut for over 30 s. On both sides proxies hear of the list, as either side reads
 // it, and reach the servers; then one starts cold.
 func TestPartitionedFleetKeepsTheRate(t *testing.T) {
@@ -124,194 +141,37 @@
 
 // TestCompleteMembershipWaits: proxies that knew a server while partial learn their peers at different times.
 func TestCompleteMembershipWaits(t *testing.T) {
-	const ends = 4 * time.Second
 	for _, hear := range []time.Duration{300 * time.Millisecond, time.Second, 1600 * time.Millisecond} {
 		for _, back := range []int{6, 9, 17} {
-			t.Run(fmt.Sprint(hear, back), func(t *testing.T) {
-				f := newWarmUpFleet(60)
-				lost, left := f.splitSenders(back)
-				// The lost ones start anew at 0 without a keeper, and reach one at ends.
-				for i, p := range f.pickers {
-					w := f.state(i, 1, time.Minute)
-					if lost[i] {
-						f.pickers[i] = New(p.settings)
-						w.MembershipIncomplete, w.Stale = true, true
-						f.pickers[i].UpdateClusterState(0, w)
-						continue
-					}
-					w.Peers = left
-					p.UpdateClusterState(0, w)
-				}
-				f.sendAll(ends, ends+3*time.Second, 10*time.Millisecond, func(now Time) {
-					for i, p := range f.pickers {
-						if now == ends && lost[i] || now == ends+hear && !lost[i] {
-							p.UpdateClusterState(now, f.state(i, 1, time.Minute))
-						}
-					}
-				})
-				f.checkBound(t)
-			})
+			t.Run(fmt.Sprint(hear, back), func(t *testing.T) { testCompleteMembershipWaits(t, hear, back) })
 		}
 	}
 }
 
-// TestWarmUpBoundAroundListing: members come and go, and each proxy hears of it, and of servers that start or turn cold again, up to 1.6 s
-// later, in order; a proxy that has gone for the others hears of that likewise. Within any second no server gets more than its bound.
-func TestWarmUpBoundAroundListing(t *testing.T) {
-	most := 0
-	rapid.Check(t, func(t *rapid.T) { most = max(most, aroundListing(t, 3, 1)) })
-	t.Logf("at most %d", most)
-}
-
-// TestWarmUpBoundWhileAFleetGrows: as before, with as many that join as there are, or more.
-func TestWarmUpBoundWhileAFleetGrows(t *testing.T) {
-	most := 0
-	rapid.Check(t, func(t *rapid.T) { most = max(most, aroundListing(t, 1, 2)) })
-	t.Logf("at most %d", most)
-}
-
-// aroundListing plays one such run, in which up to growth times a part of the proxies join, and gives the most.
-func aroundListing(t *rapid.T, part, growth int) (most int) {
-	{
-		const step, end = 20 * time.Millisecond, 14 * time.Second
-		n := rapid.SampledFrom([]int{1, 2, 3, 8, 12, 16, 17, 18, 20, 30, 60}).Draw(t, "proxies")
-		extra := rapid.IntRange(0, max(1, n*growth/part)).Draw(t, "extra")
-		lagMost := rapid.SampledFrom([]int{150, 600, 1000, 1600}).Draw(t, "lag")
-		loadFrom := time.Duration(rapid.IntRange(0, 8000).Draw(t, "load")) * time.Millisecond
-		f := newWarmUpFleet(n + extra)
-		live, began, n0 := map[int]bool{}, map[int]Time{}, n
-		for i := range n {
-			live[i] = true
-		}
-		type state struct {
-			at    Time
-			peers []string
-			lost  int  // proxies that have gone, and may live on
-			cold  Time // cold until; 0: not listed
-		}
-		names := func() (v []string) {
-			for i, s := range f.names {
-				if live[i] {
-					v = append(v, s)
-				}
-			}
-			return v
-		}
-		lost := func() (n int) {
-			for i := range f.names {
-				if _, joined := began[i]; !live[i] && (i < n0 || joined) {
-					n++
-				}
-			}
-			return n
-		}
-		history := []state{{0, names(), 0, 0}}
-		var cold Time
-		changes := rapid.IntRange(1, 8).Draw(t, "changes")
-		var ats []int
-		for range changes {
-			ats = append(ats, rapid.IntRange(1000, 10000).Draw(t, "at"))
-		}
-		slices.Sort(ats)
-		for _, ms := range ats {
-			at := Time(ms) * time.Millisecond
-			switch rapid.IntRange(0, 2).Draw(t, "kind") {
-			case 0:
-				for i := n; i < n+extra; i++ {
-					if !live[i] && rapid.Bool().Draw(t, "joins") {
-						live[i] = true
-						if _, ok := began[i]; !ok {
-							began[i] = at
-						}
-					}
-				}
-			case 1:
-				for i := range n / part {
-					if live[i] && rapid.Bool().Draw(t, "goes") {
-						live[i] = false
-					}
-				}
-			case 2:
-				if cold < at {
-					cold = at + warmUpDuration
-				}
-			}
-			history = append(history, state{at, names(), lost(), cold})
-		}
-		hears := make([][]Time, n+extra)
-		for i := range hears {
-			prev := Time(0)
-			for _, h := range history {
-				at := h.at
-				if h.at > 0 && began[i] != h.at {
-					at += time.Duration(rapid.IntRange(20, lagMost).Draw(t, "hears")) * time.Millisecond
-				}
-				prev = max(prev, at)
-				hears[i] = append(hears[i], prev)
-			}
-		}
-		at := make([]int, n+extra)
-		for i := range at {
-			at[i] = -1
-		}
-		tell := func(now Time) {
-			for i, p := range f.pickers {
-				if b, late := began[i]; i >= n && (!late || now < b) {
-					continue
-				}
-				k := at[i]
-				for k+1 < len(history) && hears[i][k+1] <= now {
-					k++
-				}
-				if k == at[i] || k < 0 {
-					continue
-				}
-				at[i] = k
-				h := history[k]
-				w := ClusterState{Config: f.config, Self: f.names[i], Peers: h.peers, DownCount: h.lost}
-				if !slices.Contains(w.Peers, w.Self) {
-					// it goes on until it has heard so
-					w.Stale = true
-					w.Peers = append(slices.Clone(w.Peers), w.Self)
-					slices.Sort(w.Peers)
-				}
-				if h.cold > 0 {
-					w.Servers = []Server{{ID: "s0", Service: "a", Zone: "z", Slots: 1000, WarmUpMax: max(0, h.cold-now)}}
-				}
-				p.UpdateClusterState(now, w)
-			}
+// testCompleteMembershipWaits has back senders start anew at 0 without the control plane, and reach it at ends; the others learn of it later.
+func testCompleteMembershipWaits(t *testing.T, hear time.Duration, back int) {
+	const ends = 4 * time.Second
+	fleet := newWarmUpFleet(60)
+	lost, left := fleet.splitSenders(back)
+	for i, p := range fleet.pickers {
+		state := fleet.state(i, 1, time.Minute)
+		if lost[i] {
+			fleet.pickers[i] = New(p.settings)
+			state.MembershipIncomplete, state.Stale = true, true
+			fleet.pickers[i].UpdateClusterState(0, state)
+			continue
 		}
-		var sent []Time
-		for now := Time(0); now < end; now += step {
-			tell(now)
-			if now < loadFrom {
-				continue
-			}
-			inCold := false
-			for _, h := range history {
-				inCold = inCold || h.cold > 0 && now >= h.cold-warmUpDuration && now < h.cold
-			}
-			for i, p := range f.pickers {
-				if at[i] < 0 {
-					continue
-				}
-				c := p.Pick(now, &Request{Route: f.config.Routes[0], TimeLeft: time.Second}, nil, false)
-				if c.Verdict != Send {
-					continue
-				}
-				s := p.servers["s0"]
-				if inCold && s.warmingUp(now) { // sends of proxies that can't know yet are another matter
-					sent = append(sent, now)
-				}
-				p.Done(now, c.Ticket, Served, 0)
+		state.Peers = left
+		p.UpdateClusterState(0, state)
+	}
+	fleet.sendAll(ends, ends+3*time.Second, 10*time.Millisecond, func(now Time) {
+		for i, p := range fleet.pickers {
+			if now == ends && lost[i] || now == ends+hear && !lost[i] {
+				p.UpdateClusterState(now, fleet.state(i, 1, time.Minute))
 			}
 		}
-		most = maxInASecond(sent)
-		if float64(most) > maxWarmUpRequests {
-			t.Fatalf("%d of %d proxies, load from %v: %d requests in a second, of %v", n, n+extra, loadFrom, most, maxWarmUpRequests)
-		}
-	}
-	return most
+	})
+	fleet.checkBound(t)
 }
 
 // TestStaleMinorityOfSeventeenSends: a fleet of more than 17 is split for some seconds, until either side has marked the other down. The
