--- a/internal/system/proxy/pick/conformance_test.go
+++ b/internal/system/proxy/pick/conformance_test.go
@@ -12,12 +12,12 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// table drives one Picker by the words of a conformance table.
+// table drives one Picker by the commands of a conformance table.
 type table struct {
-	p       *Picker
+	picker  *Picker
 	now     Time
 	state   ClusterState
-	tickets map[string]uint64 // by the name of the send
+	tickets map[string]uint64 // by the name of the request
 	request map[string]*Request
 	tried   map[string][]string
 }
@@ -29,118 +29,171 @@
 func TestConformance(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		b := &table{tickets: map[string]uint64{}, request: map[string]*Request{}, tried: map[string][]string{}}
-		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string { return b.play(t, d) })
+		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string { return b.play(&command{t, d}) })
 	})
 }
 
-func (b *table) play(t *testing.T, d *datadriven.TestData) string {
-	arg := func(name, or string) string {
-		for _, a := range d.CmdArgs {
-			if a.Key == name && len(a.Vals) > 0 {
-				return strings.Join(a.Vals, ",")
-			}
+// command is a command of a table with its arguments.
+type command struct {
+	t    *testing.T
+	data *datadriven.TestData
+}
+
+// text is the value of an argument, or what it is without.
+func (c *command) text(name, without string) string {
+	for _, arg := range c.data.CmdArgs {
+		if arg.Key == name && len(arg.Vals) > 0 {
+			return strings.Join(arg.Vals, ",")
 		}
-		return or
 	}
-	number := func(name string, or int) int {
-		n, err := strconv.Atoi(arg(name, strconv.Itoa(or)))
-		if err != nil {
-			d.Fatalf(t, "%s: %v", name, err)
-		}
-		return n
+	return without
+}
+
+func (c *command) number(name string, without int) int {
+	n, err := strconv.Atoi(c.text(name, strconv.Itoa(without)))
+	if err != nil {
+		c.data.Fatalf(c.t, "%s: %v", name, err)
+	}
+	return n
+}
+
+func (c *command) duration(name, without string) time.Duration {
+	d, err := time.ParseDuration(c.text(name, without))
+	if err != nil {
+		c.data.Fatalf(c.t, "%s: %v", name, err)
 	}
-	duration := func(name, or string) time.Duration {
-		v, err := time.ParseDuration(arg(name, or))
+	return d
+}
+
+// lines are the lines of the command's input, split into words.
+func (c *command) lines() (lines [][]string) {
+	for _, line := range strings.Split(strings.TrimSpace(c.data.Input), "\n") {
+		lines = append(lines, strings.Fields(line))
+	}
+	return lines
+}
+
+// commands are those of the tables. What they give out is compared with the table.
+var commands = map[string]func(*table, *command) string{
+	"new":      (*table).newPicker,
+	"world":    (*table).updateState,
+	"load":     (*table).updateLoads,
+	"told":     (*table).reportLoad,
+	"cold":     (*table).reportWarmUp,
+	"leaving":  (*table).reportDrain,
+	"wait":     (*table).wait,
+	"arrive":   (*table).recordRequests,
+	"send":     (*table).send,
+	"again":    (*table).retry,
+	"done":     (*table).done,
+	"describe": (*table).describe,
+}
+
+func (b *table) play(c *command) string {
+	run := commands[c.data.Cmd]
+	if run == nil {
+		c.data.Fatalf(c.t, "unknown command %s", c.data.Cmd)
+	}
+	return run(b, c)
+}
+
+func (b *table) newPicker(c *command) string {
+	b.now = time.Hour // not the clock's start
+	b.picker = New(Settings{Zone: "z1", Region: "r1", Regions: map[string]string{"z1": "r1", "z2": "r1", "z3": "r2"}, RetryRatio: 0.2,
+		RetrySlack: float64(c.number("slack", 10)), WarmUpExcess: 1.5, WarmUpSlack: 5})
+	return ""
+}
+
+func (b *table) updateLoads(c *command) string {
+	loads := map[string]Load{}
+	for _, words := range c.lines() {
+		n, err := strconv.Atoi(words[1])
 		if err != nil {
-			d.Fatalf(t, "%s: %v", name, err)
-		}
-		return v
-	}
-	switch d.Cmd {
-	case "new":
-		b.now = time.Hour // not the clock's start
-		b.p = New(Settings{Zone: "z1", Region: "r1", Regions: map[string]string{"z1": "r1", "z2": "r1", "z3": "r2"}, RetryRatio: 0.2,
-			RetrySlack: float64(number("slack", 10)), WarmUpExcess: 1.5, WarmUpSlack: 5})
-		return ""
-	case "world":
-		return b.updateState(t, d)
-	case "load":
-		loads := map[string]Load{}
-		for _, l := range strings.Split(strings.TrimSpace(d.Input), "\n") {
-			f := strings.Fields(l)
-			n, err := strconv.Atoi(f[1])
-			if err != nil {
-				d.Fatalf(t, "%v", err)
-			}
-			loads[f[0]] = Load{Requests: n}
+			c.data.Fatalf(c.t, "%v", err)
 		}
-		b.p.UpdatePeerLoads(b.now, loads)
-		return ""
-	case "told":
-		b.p.ServerLoad(b.now, arg("server", ""), number("running", 0), number("waiting", 0), number("slots", 0))
-		return ""
-	case "cold":
-		b.p.WarmingUp(b.now, arg("server", ""), duration("left", "0s"))
-		return ""
-	case "leaving":
-		b.p.ServerDraining(b.now, arg("server", ""))
-		return ""
-	case "wait":
-		b.now += duration("for", "0s")
-		return ""
-	case "arrive":
-		for range number("n", 1) {
-			b.p.RecordRequest(b.now, &Request{Route: b.route(arg("path", "/"))})
+		loads[words[0]] = Load{Requests: n}
+	}
+	b.picker.UpdatePeerLoads(b.now, loads)
+	return ""
+}
+
+func (b *table) reportLoad(c *command) string {
+	b.picker.ServerLoad(b.now, c.text("server", ""), c.number("running", 0), c.number("waiting", 0), c.number("slots", 0))
+	return ""
+}
+
+func (b *table) reportWarmUp(c *command) string {
+	b.picker.WarmingUp(b.now, c.text("server", ""), c.duration("left", "0s"))
+	return ""
+}
+
+func (b *table) reportDrain(c *command) string {
+	b.picker.ServerDraining(b.now, c.text("server", ""))
+	return ""
+}
+
+func (b *table) wait(c *command) string {
+	b.now += c.duration("for", "0s")
+	return ""
+}
+
+func (b *table) recordRequests(c *command) string {
+	for range c.number("n", 1) {
+		b.picker.RecordRequest(b.now, &Request{Route: b.route(c.text("path", "/"))})
+	}
+	return ""
+}
+
+// send picks servers for n requests, which are named from name on; with answer they are ended at once.
+func (b *table) send(c *command) string {
+	var out []string
+	for i := range c.number("n", 1) {
+		r := &Request{Route: b.route(c.text("path", "/")), TimeLeft: c.duration("left", "5s")}
+		if r.Route == nil {
+			return "no route"
 		}
-		return ""
-	case "send": // n requests, held under names from name on; with answer they are ended at once
-		var out []string
-		for i := range number("n", 1) {
-			r := &Request{Route: b.route(arg("path", "/")), TimeLeft: duration("left", "5s")}
-			if r.Route == nil {
-				return "no route"
-			}
-			b.p.RecordRequest(b.now, r)
-			name := arg("name", "x")
-			if number("n", 1) > 1 {
-				name += strconv.Itoa(i)
-			}
-			b.request[name], b.tried[name] = r, nil
-			out = append(out, b.choose(name, false))
-			if o, ok := outcomes[arg("answer", "")]; ok {
-				b.p.Done(b.now, b.tickets[name], o, 0)
-			}
-			b.now += duration("gap", "0s")
+		b.picker.RecordRequest(b.now, r)
+		name := c.text("name", "x")
+		if c.number("n", 1) > 1 {
+			name += strconv.Itoa(i)
 		}
-		return strings.Join(out, " ")
-	case "again":
-		return b.choose(arg("name", "x"), arg("offered", "no") == "yes")
-	case "done":
-		for _, name := range strings.Split(arg("name", "x"), ",") {
-			b.p.Done(b.now, b.tickets[name], outcomes[arg("answer", "served")], duration("after", "0s"))
+		b.request[name], b.tried[name] = r, nil
+		out = append(out, b.pick(name, false))
+		if outcome, ok := outcomes[c.text("answer", "")]; ok {
+			b.picker.Done(b.now, b.tickets[name], outcome, 0)
 		}
-		return ""
-	case "describe":
-		return b.p.Describe(b.now)
+		b.now += c.duration("gap", "0s")
+	}
+	return strings.Join(out, " ")
+}
+
+func (b *table) retry(c *command) string {
+	return b.pick(c.text("name", "x"), c.text("offered", "no") == "yes")
+}
+
+func (b *table) done(c *command) string {
+	for _, name := range strings.Split(c.text("name", "x"), ",") {
+		b.picker.Done(b.now, b.tickets[name], outcomes[c.text("answer", "served")], c.duration("after", "0s"))
 	}
-	d.Fatalf(t, "unknown command %s", d.Cmd)
 	return ""
 }
 
-func (b *table) choose(name string, offered bool) string {
-	c := b.p.Pick(b.now, b.request[name], b.tried[name], offered)
-	switch c.Verdict {
+func (b *table) describe(*command) string { return b.picker.Describe(b.now) }
+
+func (b *table) pick(name string, offered bool) string {
+	result := b.picker.Pick(b.now, b.request[name], b.tried[name], offered)
+	switch result.Verdict {
 	case Send:
-		b.tickets[name] = c.Ticket
-		b.tried[name] = append(b.tried[name], c.Server.ID)
-		return c.Server.ID
+		b.tickets[name] = result.Ticket
+		b.tried[name] = append(b.tried[name], result.Server.ID)
+		return result.Server.ID
 	case Reject:
-		return fmt.Sprintf("refused(%v)", c.RetryAfter.Round(time.Millisecond))
+		return fmt.Sprintf("refused(%v)", result.RetryAfter.Round(time.Millisecond))
 	}
 	return "exhausted"
 }
 
-// route stands for Picker.Route, whose match package conf tests.
+// route stands for Picker.Route, whose match package config tests.
 func (b *table) route(path string) (best *config.Route) {
 	for _, r := range b.state.Config.Routes {
 		if strings.HasPrefix(path, r.Prefix) && (best == nil || len(r.Prefix) > len(best.Prefix)) {
@@ -150,64 +203,85 @@
 	return best
 }
 
-// updateState reads a world: lines of service, route, server, evacuated and peers.
-func (b *table) updateState(t *testing.T, d *datadriven.TestData) string {
-	w := ClusterState{Self: "p1", Peers: []string{"p1"}, Evacuated: map[string]bool{}, Config: &config.Config{Services: map[string]*config.Service{}}}
-	for _, l := range strings.Split(strings.TrimSpace(d.Input), "\n") {
-		f := strings.Fields(l)
-		opt := map[string]string{}
-		for _, x := range f[1:] {
-			k, v, _ := strings.Cut(x, "=")
-			opt[k] = v
-		}
-		num := func(k string, or float64) float64 {
-			if opt[k] == "" {
-				return or
-			}
-			v, err := strconv.ParseFloat(opt[k], 64)
-			if err != nil {
-				d.Fatalf(t, "%s: %v", l, err)
-			}
-			return v
-		}
-		switch f[0] {
+// updateState reads a cluster state: lines of service, route, server, evacuated and peers.
+func (b *table) updateState(c *command) string {
+	b.state = ClusterState{Self: "p1", Peers: []string{"p1"}, Evacuated: map[string]bool{}, Config: &config.Config{Services: map[string]*config.Service{}}}
+	for _, words := range c.lines() {
+		line := newStateLine(c, words)
+		switch line.words[0] {
 		case "service":
-			w.Config.Services[f[1]] = &config.Service{Name: f[1], WarmUpRate: num("cold", 0)}
+			b.state.Config.Services[words[1]] = &config.Service{Name: words[1], WarmUpRate: line.number("cold", 0)}
 		case "route":
-			r := &config.Route{Name: f[1], Host: "h", Prefix: f[1], MaxTries: int(num("tries", 2)), Priority: int(num("priority", 0)),
-				Timeout: 10 * time.Second, LatencyTarget: time.Second, Category: config.NonIdempotent}
-			if opt["repeat"] == "yes" {
-				r.Category = config.Idempotent
-			}
-			if opt["homes"] != "" {
-				r.HomeRegions = strings.Split(opt["homes"], ",")
-			}
-			for _, s := range strings.Split(opt["to"], ",") {
-				name, weight, _ := strings.Cut(s, ":")
-				v, err := strconv.ParseFloat(weight, 64)
-				if err != nil {
-					d.Fatalf(t, "%s: %v", l, err)
-				}
-				r.Shares = append(r.Shares, config.Share{Service: name, Weight: v})
-			}
-			w.Config.Routes = append(w.Config.Routes, r)
+			b.state.Config.Routes = append(b.state.Config.Routes, line.route())
 		case "server":
-			s := Server{ID: f[1], Address: f[1], Service: f[2], Zone: "z1", Slots: int(num("slots", 4))}
-			if opt["zone"] != "" {
-				s.Zone = opt["zone"]
-			}
-			_, s.Draining = opt["draining"]
-			s.WarmUpMax = time.Duration(num("cold", 0) * float64(time.Second))
-			w.Servers = append(w.Servers, s)
+			b.state.Servers = append(b.state.Servers, line.server())
 		case "evacuated":
-			w.Evacuated[f[1]] = true
+			b.state.Evacuated[words[1]] = true
 		case "peers":
-			w.Peers = f[1:]
+			b.state.Peers = words[1:]
 		default:
-			d.Fatalf(t, "unknown line %s", l)
+			c.data.Fatalf(c.t, "unknown line %s", strings.Join(words, " "))
 		}
 	}
-	b.p.UpdateClusterState(b.now, w)
-	b.state = w
+	b.picker.UpdateClusterState(b.now, b.state)
 	return ""
 }
+
+// stateLine is a line of a cluster state: words, of which some are options.
+type stateLine struct {
+	*command
+	words   []string
+	options map[string]string
+}
+
+func newStateLine(c *command, words []string) *stateLine {
+	line := &stateLine{c, words, map[string]string{}}
+	for _, word := range words[1:] {
+		key, value, _ := strings.Cut(word, "=")
+		line.options[key] = value
+	}
+	return line
+}
+
+// parse reads a number, or fails the test.
+func (l *stateLine) parse(text string) float64 {
+	value, err := strconv.ParseFloat(text, 64)
+	if err != nil {
+		l.data.Fatalf(l.t, "%s: %v", strings.Join(l.words, " "), err)
+	}
+	return value
+}
+
+// number is the value of an option, or what it is without.
+func (l *stateLine) number(key string, without float64) float64 {
+	if l.options[key] == "" {
+		return without
+	}
+	return l.parse(l.options[key])
+}
+
+func (l *stateLine) route() *config.Route {
+	r := &config.Route{Name: l.words[1], Host: "h", Prefix: l.words[1], MaxTries: int(l.number("tries", 2)), Priority: int(l.number("priority", 0)),
+		Timeout: 10 * time.Second, LatencyTarget: time.Second, Category: config.NonIdempotent}
+	if l.options["repeat"] == "yes" {
+		r.Category = config.Idempotent
+	}
+	if l.options["homes"] != "" {
+		r.HomeRegions = strings.Split(l.options["homes"], ",")
+	}
+	for _, share := range strings.Split(l.options["to"], ",") {
+		name, weight, _ := strings.Cut(share, ":")
+		r.Shares = append(r.Shares, config.Share{Service: name, Weight: l.parse(weight)})
+	}
+	return r
+}
+
+func (l *stateLine) server() Server {
+	s := Server{ID: l.words[1], Address: l.words[1], Service: l.words[2], Zone: "z1", Slots: int(l.number("slots", 4))}
+	if l.options["zone"] != "" {
+		s.Zone = l.options["zone"]
+	}
+	_, s.Draining = l.options["draining"]
+	s.WarmUpMax = time.Duration(l.number("cold", 0) * float64(time.Second))
+	return s
+}
--- a/internal/system/proxy/pick/homes_test.go
+++ b/internal/system/proxy/pick/homes_test.go
@@ -4,63 +4,85 @@
 	"slices"
 	"testing"
 	"time"
+
+	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// TestHomes sends prompts with shared parts through proxies that know nothing of each other, of one zone and of two
-// regions: they agree on the server that reads a shared part. Long prompts go to a region apart, where no short ones come;
-// without one, to a lane of the regions that both come to, and short ones elsewhere.
+// TestHomes sends prompts with shared parts through proxies that know nothing of each other, of one zone and of two regions: they agree on
+// the server that prefills a shared part. Long prompts go to a separate region, where no short ones come; without one, to a pool of the
+// regions that both come to, and short ones elsewhere.
 func TestHomes(t *testing.T) {
-	t.Run("a region apart", func(t *testing.T) { testHomes(t, true) })
-	t.Run("lanes", func(t *testing.T) { testHomes(t, false) })
+	t.Run("a separate region", func(t *testing.T) { newHomesRun(t, true).play() })
+	t.Run("pools", func(t *testing.T) { newHomesRun(t, false).play() })
+}
+
+// homesRun is three proxies of a fleet to which long and short prompts come.
+type homesRun struct {
+	*testing.T
+	first, second, far *Picker // the first two of one zone, the third of another region
+	long, short        *config.Route
+	isSeparate         bool // short prompts come to one region only
+	now                Time
 }
 
-func testHomes(t *testing.T, apart bool) {
+func newHomesRun(t *testing.T, isSeparate bool) *homesRun {
 	f := newFleet(aula())
-	p, q := f.pickers[0], f.pickers[1] // both of one zone
-	far := f.pickers[slices.IndexFunc(f.pickers, func(p *Picker) bool { return p.settings.Region != f.pickers[0].settings.Region })]
-	long, short := f.cfg.Routes[0], f.cfg.Routes[1]
-	if !apart {
-		everywhere := *short
+	run := &homesRun{T: t, first: f.pickers[0], second: f.pickers[1], long: f.cfg.Routes[0], short: f.cfg.Routes[1], isSeparate: isSeparate}
+	run.far = f.pickers[slices.IndexFunc(f.pickers, func(p *Picker) bool { return p.settings.Region != run.first.settings.Region })]
+	if !isSeparate {
+		everywhere := *run.short
 		everywhere.HomeRegions = nil
-		short = &everywhere
-	}
-	now := Time(0)
-	send := func(p *Picker, r *Request) *server {
-		t.Helper()
-		now += 300 * time.Millisecond
-		r.TimeLeft = 5 * time.Second
-		c := p.Pick(now, r, nil, false)
-		if c.Verdict != Send {
-			t.Fatalf("verdict %d", c.Verdict)
-		}
-		p.FirstEvent(now+250*time.Millisecond, c.Ticket)
-		p.Done(now+250*time.Millisecond, c.Ticket, Served, 0)
-		return p.servers[c.Server.ID]
+		run.short = &everywhere
 	}
+	return run
+}
+
+func (run *homesRun) play() {
 	homes := map[string]bool{}
 	for subject := range uint64(20) {
-		for _, x := range []*Picker{p, q, far} { // without short prompts there would be no lanes
-			send(x, &Request{Route: short, TokensIn: 300, MaxTokensOut: 50})
-		}
-		ask := func(p *Picker, own uint64) *server {
-			return send(p, &Request{Route: long, TokensIn: 16000, MaxTokensOut: 100, Prefix: []PrefixPart{{ID: subject, Tokens: 13000}, {ID: own, Tokens: 3000}}})
-		}
-		a, b, c, d := ask(p, 1000+subject), ask(p, 2000+subject), ask(q, 3000+subject), ask(far, 4000+subject)
-		if a != b || a.ID != c.ID || a.ID != d.ID {
-			t.Fatalf("subject %d went to %s, %s, %s and %s", subject, a.ID, b.ID, c.ID, d.ID)
+		for _, p := range []*Picker{run.first, run.second, run.far} { // without short prompts there would be no pools
+			run.send(p, &Request{Route: run.short, TokensIn: 300, MaxTokensOut: 50})
 		}
-		if apart && a.Region != "iasi" || !apart && !a.inPromptPool {
-			t.Fatalf("subject %d went to %s: no lane, or where short prompts come", subject, a.ID)
-		}
-		homes[a.ID] = true
+		homes[run.homeOf(subject).ID] = true
 	}
 	if len(homes) < 2 {
-		t.Fatal("all subjects share one server")
+		run.Fatal("all subjects share one server")
 	}
 	for i := range 20 {
-		s := send(p, &Request{Route: short, TokensIn: 300, MaxTokensOut: 50, Prefix: []PrefixPart{{ID: 7, Tokens: 50}, {ID: uint64(5000 + i), Tokens: 250}}})
-		if apart && s.Region != "cluj" || !apart && s.inPromptPool {
-			t.Fatalf("a short prompt went to %s: a lane, or no home", s.ID)
+		s := run.send(run.first, &Request{Route: run.short, TokensIn: 300, MaxTokensOut: 50,
+			Prefix: []PrefixPart{{ID: 7, Tokens: 50}, {ID: uint64(5000 + i), Tokens: 250}}})
+		if run.isSeparate && s.Region != "cluj" || !run.isSeparate && s.inPromptPool {
+			run.Fatalf("a short prompt went to %s: in a pool, or not at home", s.ID)
 		}
 	}
 }
+
+// homeOf sends long prompts that share a part, and gives the server to which all of them went.
+func (run *homesRun) homeOf(subject uint64) *server {
+	run.Helper()
+	ask := func(p *Picker, own uint64) *server {
+		return run.send(p, &Request{Route: run.long, TokensIn: 16000, MaxTokensOut: 100, Prefix: []PrefixPart{{ID: subject, Tokens: 13000}, {ID: own, Tokens: 3000}}})
+	}
+	a, b, c, d := ask(run.first, 1000+subject), ask(run.first, 2000+subject), ask(run.second, 3000+subject), ask(run.far, 4000+subject)
+	if a != b || a.ID != c.ID || a.ID != d.ID {
+		run.Fatalf("subject %d went to %s, %s, %s and %s", subject, a.ID, b.ID, c.ID, d.ID)
+	}
+	if run.isSeparate && a.Region != "iasi" || !run.isSeparate && !a.inPromptPool {
+		run.Fatalf("subject %d went to %s: in no pool, or where short prompts come", subject, a.ID)
+	}
+	return a
+}
+
+// send has a request answered, and gives the server that it went to.
+func (run *homesRun) send(p *Picker, r *Request) *server {
+	run.Helper()
+	run.now += 300 * time.Millisecond
+	r.TimeLeft = 5 * time.Second
+	result := p.Pick(run.now, r, nil, false)
+	if result.Verdict != Send {
+		run.Fatalf("verdict %d", result.Verdict)
+	}
+	p.FirstEvent(run.now+250*time.Millisecond, result.Ticket)
+	p.Done(run.now+250*time.Millisecond, result.Ticket, Served, 0)
+	return p.servers[result.Server.ID]
+}
--- a/internal/system/proxy/pick/prompt_mixes_test.go
+++ b/internal/system/proxy/pick/prompt_mixes_test.go
@@ -56,9 +56,8 @@
 	return sc
 }
 
-// TestPromptPoolsOfMixes plays mixes from one in ten of the work to nine in ten brought by long prompts, with three kinds of engine
-// and one to three regions of unequal size. The lanes that follow the work are within a few hundredths of the best fixed share,
-// found by trying them.
+// TestPromptPoolsOfMixes plays mixes from one in ten of the work to nine in ten brought by long prompts, with three kinds of engine and one
+// to three regions of unequal size. Pools that follow the work are within a few hundredths of the best fixed share, found by trying them.
 func TestPromptPoolsOfMixes(t *testing.T) {
 	const nearBest = 0.97
 	mixes := []mixture{
@@ -68,35 +67,45 @@
 		{"nine tenths long, two regions", 0.9, slowReader, map[string][]int{"a": {8}, "b": {8}}, 4},
 	}
 	if *long {
-		for i := range 3 {
-			for _, share := range []float64{0.1, 0.3, 0.5, 0.7, 0.9} {
-				for name, spec := range map[string]engineSpec{"fast": fastReader, "slow": slowReader, "tight": tightCache} {
-					regions := []map[string][]int{{"a": {8, 8}}, {"a": {8, 4}, "b": {4}}, {"a": {8}, "b": {5}, "c": {3}}}[i]
-					mixes = append(mixes, mixture{fmt.Sprintf("%.1f long, %s, %d regions", share, name, i+1), share, spec, regions, uint64(10 + i)})
-				}
-			}
-		}
+		mixes = append(mixes, moreMixes()...)
 	}
 	for _, m := range mixes {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
-			best, at := 0.0, 0.0
-			for _, fixed := range []float64{0.15, 0.4, 0.6, 0.75, 0.9} {
-				sc := m.scenario()
-				sc.fixedPoolShare = fixed
-				if score := play(sc); score > best {
-					best, at = score, fixed
-				}
-			}
+			best, bestShare := m.bestFixedShare()
 			adaptive := play(m.scenario())
-			t.Logf("adaptive %.4f, best fixed share %.2f: %.4f", adaptive, at, best)
+			t.Logf("adaptive %.4f, best fixed share %.2f: %.4f", adaptive, bestShare, best)
 			if adaptive < nearBest*best {
-				t.Errorf("adaptive lanes come to %.4f, the fixed share %.2f to %.4f", adaptive, at, best)
+				t.Errorf("adaptive pools come to %.4f, the fixed share %.2f to %.4f", adaptive, bestShare, best)
 			}
 		})
 	}
 }
 
+// moreMixes are all combinations of shares, engines and regions.
+func moreMixes() (mixes []mixture) {
+	for i, regions := range []map[string][]int{{"a": {8, 8}}, {"a": {8, 4}, "b": {4}}, {"a": {8}, "b": {5}, "c": {3}}} {
+		for _, share := range []float64{0.1, 0.3, 0.5, 0.7, 0.9} {
+			for name, spec := range map[string]engineSpec{"fast": fastReader, "slow": slowReader, "tight": tightCache} {
+				mixes = append(mixes, mixture{fmt.Sprintf("%.1f long, %s, %d regions", share, name, i+1), share, spec, regions, uint64(10 + i)})
+			}
+		}
+	}
+	return mixes
+}
+
+// bestFixedShare is the best score with a fixed share of the pools, and that share.
+func (m mixture) bestFixedShare() (best, share float64) {
+	for _, fixed := range []float64{0.15, 0.4, 0.6, 0.75, 0.9} {
+		sc := m.scenario()
+		sc.fixedPoolShare = fixed
+		if score := play(sc); score > best {
+			best, share = score, fixed
+		}
+	}
+	return best, share
+}
+
 func play(sc scenario) float64 {
 	f := newFleet(sc)
 	f.run()
--- a/internal/system/proxy/pick/rotation/rotation_test.go
+++ b/internal/system/proxy/pick/rotation/rotation_test.go
@@ -45,7 +45,8 @@
 	if got := turns(table.Of(second), 1); got != "b" {
 		t.Errorf("turn of %s after an update that changes nothing, want b", got)
 	}
-	if table.Of(first) == table.Of(first) {
+	replaced := table.Of(first)
+	if replaced == table.Of(first) {
 		t.Error("the rotation of a replaced route is kept")
 	}
 	third := &config.Route{Host: "h", Shares: append([]config.Share{{Service: "c", Weight: 1}}, shares...)}
