--- a/internal/system/distribution/warmup_fleet_serve_test.go
+++ b/internal/system/distribution/warmup_fleet_serve_test.go
@@ -103,7 +103,7 @@
 func (w *warmUpFleet) serveOnce(node string, picker *fleetPicker) {
 	now := time.Since(picker.start)
 	sendsBefore := picker.picker.Stats().WarmUpSends
-	choice := picker.picker.Choose(now, &pick.Request{Route: w.config.Routes[0], TimeLeft: time.Second}, nil, false)
+	choice := picker.picker.Pick(now, &pick.Request{Route: w.config.Routes[0], TimeLeft: time.Second}, nil, false)
 	if choice.Verdict != pick.Send {
 		return
 	}
--- a/internal/system/proxy/attempt.go
+++ b/internal/system/proxy/attempt.go
@@ -25,7 +25,7 @@
 // reaches the request that it belongs to. One goroutine owns the attempt.
 type upstreamAttempt struct {
 	ctx          context.Context // done when the client's connection has ended
-	choice       pick.Choice
+	choice       pick.Result
 	pools        *upstreamPools
 	pool         *serverPool
 	attemptID    string // X-Attempt-Id of the request
--- a/internal/system/proxy/clientrequest.go
+++ b/internal/system/proxy/clientrequest.go
@@ -42,7 +42,7 @@
 	triedServers   []string          // ids of the servers that it was sent to
 	mayHaveRun     bool              // some attempt may have run; never unset
 	unreachedCount int               // attempts of which nothing was sent
-	nextChoice     *pick.Choice      // the server that replaces a silent one; nil: none has been chosen
+	nextChoice     *pick.Result      // the server that replaces a silent one; nil: none has been chosen
 	retryAfter     time.Duration     // the longest wait that servers which did not run it asked for
 	fallback       *bufferedResponse // a server's own failure, passed on if nothing better comes
 	headSent       bool              // the head of a response has gone to the client
@@ -87,7 +87,7 @@
 }
 
 // chooseServer asks the picker where to send the request next.
-func (c *clientRequest) chooseServer(ctx context.Context) pick.Choice {
+func (c *clientRequest) chooseServer(ctx context.Context) pick.Result {
 	if choice := c.nextChoice; choice != nil {
 		c.nextChoice = nil
 		return *choice
@@ -95,18 +95,18 @@
 	c.proxy.picker.awaitContact(ctx)
 	timeLeft := time.Until(c.deadline)
 	if timeLeft <= 0 || c.clientGone() || c.unreachedCount >= maxUnreachedServers || !c.mayRetry(c.mayHaveRun) {
-		return pick.Choice{Verdict: pick.GiveUp}
+		return pick.Result{Verdict: pick.GiveUp}
 	}
 	return c.askPicker(timeLeft, c.mayHaveRun)
 }
 
-func (c *clientRequest) askPicker(timeLeft time.Duration, mayHaveRun bool) pick.Choice {
+func (c *clientRequest) askPicker(timeLeft time.Duration, mayHaveRun bool) pick.Result {
 	c.pickRequest.TimeLeft, c.pickRequest.Age, c.pickRequest.Resumed = timeLeft, time.Since(c.startedAt), c.headSent
-	return c.proxy.picker.Choose(&c.pickRequest, c.triedServers, mayHaveRun)
+	return c.proxy.picker.Pick(&c.pickRequest, c.triedServers, mayHaveRun)
 }
 
 // tryServer makes one attempt. Every send of a request to a server happens here.
-func (c *clientRequest) tryServer(ctx context.Context, choice pick.Choice) attemptResult {
+func (c *clientRequest) tryServer(ctx context.Context, choice pick.Result) attemptResult {
 	nonIdempotentOnce.Check(!c.mayHaveRun || c.route.Idempotent())
 	attempt := c.newAttempt(ctx, choice)
 	buffer, recycle := getBuffer(typicalHeadBytes + int64(min(len(c.body), maxJoinedBodyBytes)))
@@ -130,7 +130,7 @@
 	return c.handleResponse(attempt)
 }
 
-func (c *clientRequest) newAttempt(ctx context.Context, choice pick.Choice) *upstreamAttempt {
+func (c *clientRequest) newAttempt(ctx context.Context, choice pick.Result) *upstreamAttempt {
 	sendDeadline := c.deadline
 	if choice.SendWithin > 0 {
 		sendDeadline = earlierOf(c.deadline, time.Now().Add(choice.SendWithin))
@@ -155,7 +155,7 @@
 }
 
 // countSend records that the request was written to a server, completely or in part.
-func (c *clientRequest) countSend(choice pick.Choice) {
+func (c *clientRequest) countSend(choice pick.Result) {
 	c.proxy.counters.Sends.Add(1)
 	c.triedServers = append(c.triedServers, choice.Server.ID)
 	if len(c.triedServers) > 1 {
@@ -238,7 +238,7 @@
 func (c *clientRequest) clientGone() bool { return c.request.Context().Err() != nil }
 
 // answerUnserved answers a request that goes to no further server.
-func (c *clientRequest) answerUnserved(choice pick.Choice) {
+func (c *clientRequest) answerUnserved(choice pick.Result) {
 	counters := &c.proxy.counters
 	switch {
 	case c.clientGone():
--- a/internal/system/proxy/fakepicker_test.go
+++ b/internal/system/proxy/fakepicker_test.go
@@ -31,11 +31,11 @@
 }
 
 func (t *fakePicker) UpdateClusterState(_ pick.Time, w pick.ClusterState) { t.clusterState = w }
-func (t *fakePicker) SetLoads(pick.Time, map[string]pick.Load)            {}
+func (t *fakePicker) UpdatePeerLoads(pick.Time, map[string]pick.Load)     {}
 func (t *fakePicker) Loads() map[string]pick.Load                         { return nil }
 func (t *fakePicker) SetIdleTimeout(string, time.Duration)                {}
 func (t *fakePicker) PromptDemands() map[string]pick.Load                 { return nil }
-func (t *fakePicker) Arrive(pick.Time, *pick.Request)                     {}
+func (t *fakePicker) RecordRequest(pick.Time, *pick.Request)              {}
 func (t *fakePicker) FirstEvent(pick.Time, uint64)                        { t.firstEvents++ }
 func (t *fakePicker) Started(pick.Time, uint64)                           {}
 func (t *fakePicker) WarmingUp(pick.Time, string, time.Duration)          {}
@@ -56,7 +56,7 @@
 	return nil
 }
 
-func (t *fakePicker) Choose(_ pick.Time, r *pick.Request, tried []string, offered bool) pick.Choice {
+func (t *fakePicker) Pick(_ pick.Time, r *pick.Request, tried []string, offered bool) pick.Result {
 	if r.Resumed {
 		t.resumedCount++
 	}
@@ -64,13 +64,13 @@
 		if !t.refuseAll && !slices.Contains(tried, s.ID) && !t.unreachable[s.ID] {
 			t.lastTicket++
 			t.serverOf[t.lastTicket] = s.ID
-			return pick.Choice{Server: s, Ticket: t.lastTicket, Priority: r.Route.Priority, SendWithin: t.sendWithin}
+			return pick.Result{Server: s, Ticket: t.lastTicket, Priority: r.Route.Priority, SendWithin: t.sendWithin}
 		}
 	}
 	if offered {
-		return pick.Choice{Verdict: pick.GiveUp}
+		return pick.Result{Verdict: pick.GiveUp}
 	}
-	return pick.Choice{Verdict: pick.Refuse, RetryAfter: t.retryAfter}
+	return pick.Result{Verdict: pick.Reject, RetryAfter: t.retryAfter}
 }
 
 func (t *fakePicker) Done(_ pick.Time, ticket uint64, o pick.Outcome, _ time.Duration) {
--- a/internal/system/proxy/lockedpicker.go
+++ b/internal/system/proxy/lockedpicker.go
@@ -12,12 +12,12 @@
 // picker chooses servers; it is implemented by pick.Picker. It is not safe for concurrent use.
 type picker interface {
 	UpdateClusterState(now pick.Time, state pick.ClusterState)
-	SetLoads(now pick.Time, loads map[string]pick.Load)
+	UpdatePeerLoads(now pick.Time, loads map[string]pick.Load)
 	Loads() map[string]pick.Load
 	PromptDemands() map[string]pick.Load
 	Route(host, path string) *config.Route
-	Arrive(now pick.Time, r *pick.Request)
-	Choose(now pick.Time, r *pick.Request, tried []string, mayHaveRun bool) pick.Choice
+	RecordRequest(now pick.Time, r *pick.Request)
+	Pick(now pick.Time, r *pick.Request, tried []string, mayHaveRun bool) pick.Result
 	ServerLoad(now pick.Time, id string, running, waiting, slots int)
 	Started(now pick.Time, ticket uint64)
 	FirstEvent(now pick.Time, ticket uint64)
@@ -78,9 +78,9 @@
 	})
 }
 
-// SetLoads replaces the other proxies' requests in flight, by server.
-func (p *lockedPicker) SetLoads(loads map[string]pick.Load) {
-	p.withLock(func(inner picker, now pick.Time) { inner.SetLoads(now, loads) })
+// UpdatePeerLoads replaces the other proxies' requests in flight, by server.
+func (p *lockedPicker) UpdatePeerLoads(loads map[string]pick.Load) {
+	p.withLock(func(inner picker, now pick.Time) { inner.UpdatePeerLoads(now, loads) })
 }
 
 // Loads returns this proxy's requests in flight, by server, and its prompt demands.
@@ -116,14 +116,14 @@
 	return route
 }
 
-// Arrive tells the picker of a request before its first choice.
-func (p *lockedPicker) Arrive(r *pick.Request) {
-	p.withLock(func(inner picker, now pick.Time) { inner.Arrive(now, r) })
+// RecordRequest tells the picker of a request before its first choice.
+func (p *lockedPicker) RecordRequest(r *pick.Request) {
+	p.withLock(func(inner picker, now pick.Time) { inner.RecordRequest(now, r) })
 }
 
-// Choose chooses a server that has not been tried; mayHaveRun says whether an attempt may have run.
-func (p *lockedPicker) Choose(r *pick.Request, tried []string, mayHaveRun bool) (choice pick.Choice) {
-	p.withLock(func(inner picker, now pick.Time) { choice = inner.Choose(now, r, tried, mayHaveRun) })
+// Pick chooses a server that has not been tried; mayHaveRun says whether an attempt may have run.
+func (p *lockedPicker) Pick(r *pick.Request, tried []string, mayHaveRun bool) (choice pick.Result) {
+	p.withLock(func(inner picker, now pick.Time) { choice = inner.Pick(now, r, tried, mayHaveRun) })
 	return choice
 }
 
--- /dev/null
+++ b/internal/system/proxy/pick/eligibility.go
@@ -0,0 +1,49 @@
+package pick
+
+import "slices"
+
+// eligibility says whether a server can get a request now, or why not.
+type eligibility uint8
+
+const (
+	eligible eligibility = iota
+	draining
+	evacuated
+	outsideHomeRegions
+	alreadyTried
+	misdirected
+	ejected
+	warmUpPaced // it warms up, and this proxy may send it nothing now
+)
+
+// String is for operators; the conformance tables pin it.
+func (e eligibility) String() string {
+	return [...]string{"ready", "draining", "in an evacuated zone", "outside the home regions", "tried", "gone: its address answers for another",
+		"doubted", "cold: its allowance is used or held by others"}[e]
+}
+
+// eligibility says whether a candidate can get the request, or, with a nil request, any request. The first four reasons are rules and never relaxed.
+func (p *Picker) eligibility(input *pickInput, candidate *server) eligibility {
+	switch {
+	case candidate.Draining:
+		return draining
+	case p.state.Evacuated[candidate.Zone]:
+		return evacuated
+	case input.request != nil && !input.request.allowsRegion(candidate.Region):
+		return outsideHomeRegions
+	case slices.Contains(input.tried, candidate.ID):
+		return alreadyTried
+	case candidate.misdirected:
+		return misdirected
+	case candidate.outlier.Ejected(input.now), input.request != nil && candidate.outlier.Suspected() && !candidate.outlier.MayProbe(input.now, input.canRetry()):
+		return ejected
+	case candidate.warmingUp(input.now) && !p.warmUps.maySend(input.now, candidate):
+		return warmUpPaced
+	}
+	return eligible
+}
+
+// canRetry reports whether the request could be retried at another server after this attempt.
+func (input *pickInput) canRetry() bool {
+	return len(input.tried) == 0 && input.request.Route.MaxTries > 1
+}
--- a/internal/system/proxy/pick/stale_test.go
+++ b/internal/system/proxy/pick/probe_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// TestStaleProxyKnocksOnce: all servers of a zone are cut off from a stale proxy. At most one request awaits a connection to each, also in
+// TestStaleProxyProbesOnce: all servers of a zone are cut off from a stale proxy. At most one request awaits a connection to each, also in
 // a large fleet.
-func TestStaleProxyKnocksOnce(t *testing.T) {
+func TestStaleProxyProbesOnce(t *testing.T) {
 	for _, proxies := range []int{12, 60} {
-		f := newColdFleet(proxies)
+		f := newWarmUpFleet(proxies)
 		p := f.pickers[0]
-		w := f.world(0, 2, 0)
+		w := f.state(0, 2, 0)
 		w.Stale = true
 		p.UpdateClusterState(0, w)
-		ask := func(now Time) Choice {
-			return p.Choose(now, &Request{Route: f.config.Routes[0], TimeLeft: time.Second}, nil, false)
+		ask := func(now Time) Result {
+			return p.Pick(now, &Request{Route: f.config.Routes[0], TimeLeft: time.Second}, nil, false)
 		}
 		for range 2 {
 			c := ask(0)
--- a/internal/system/proxy/pick/mixes_test.go
+++ b/internal/system/proxy/pick/prompt_mixes_test.go
@@ -26,9 +26,9 @@
 
 // scenario lays a mix out so that reading what is not shared takes a fifth of the servers' time.
 func (m mixture) scenario() scenario {
-	sc := scenario{name: m.name, seed: m.seed, length: 14 * time.Second, share: 200 * time.Millisecond, crossRegion: 25 * time.Millisecond,
+	sc := scenario{name: m.name, seed: m.seed, length: 14 * time.Second, shareInterval: 200 * time.Millisecond, crossRegion: 25 * time.Millisecond,
 		regions: map[string]string{}, proxies: map[string]int{}, engines: map[string]int{}, traffic: map[string]float64{},
-		slots: 48, queue: 144, spec: m.spec, keepIdle: 5 * time.Second, prices: prices{regionGB: 15_000, zoneGB: 4_000, readThousand: 0.2, dial: 0.02}}
+		slots: 48, queue: 144, spec: m.spec, idleTimeout: 5 * time.Second, prices: prices{regionGB: 15_000, zoneGB: 4_000, readThousand: 0.2, dial: 0.02}}
 	servers := 0
 	for region, zones := range sorted(m.regions) {
 		for i, n := range zones {
@@ -48,18 +48,17 @@
 		sc.traffic[zone] = (long + short) / float64(len(sc.zones))
 	}
 	sc.kinds = []kind{
-		{name: "long", part: long / (long + short), aim: time.Second, pause: 600 * time.Millisecond, deadline: 6 * time.Second, worth: 2, late: 0.6, priority: 1,
+		{name: "long", part: long / (long + short), latencyTarget: time.Second, eventGapTarget: 600 * time.Millisecond, deadline: 6 * time.Second, value: 2, lateValue: 0.6, priority: 1,
 			chain: []shareSpec{{longShared, 0.5, 18_000, 120, 0.3}}, own: [3]float64{longOwn, 1, 18_000}, out: [3]float64{9, 1.2, 36}, bytesEach: 1, bytes: 60},
-		{name: "short", part: short / (long + short), aim: 800 * time.Millisecond, pause: 600 * time.Millisecond, deadline: 5 * time.Second, worth: 2, late: 0.6,
-			chain: []shareSpec{{100, 0.4, 250, 300, 0.3}}, own: [3]float64{shortOwn, 1, 2000}, out: [3]float64{6, 1.2, 24}, bytesEach: 1, bytes: 60, resume: true},
+		{name: "short", part: short / (long + short), latencyTarget: 800 * time.Millisecond, eventGapTarget: 600 * time.Millisecond, deadline: 5 * time.Second, value: 2, lateValue: 0.6,
+			chain: []shareSpec{{100, 0.4, 250, 300, 0.3}}, own: [3]float64{shortOwn, 1, 2000}, out: [3]float64{6, 1.2, 24}, bytesEach: 1, bytes: 60, resumable: true},
 	}
 	return sc
 }
 
-// TestLanesOfMixes plays mixes from one in ten of the work to nine in ten brought by long prompts, with three kinds of engine
-// and one to three regions of unequal size. The lanes that follow the work are within a few hundredths of the best fixed share,
-// found by trying them.
-func TestLanesOfMixes(t *testing.T) {
+// TestPromptPoolsOfMixes plays mixes from one in ten of the work to nine in ten brought by long prompts, with three kinds of engine and one
+// to three regions of unequal size. Pools that follow the work are within a few hundredths of the best fixed share, found by trying them.
+func TestPromptPoolsOfMixes(t *testing.T) {
 	const nearBest = 0.97
 	mixes := []mixture{
 		{"a tenth long, one region", 0.1, fastReader, map[string][]int{"a": {8, 8}}, 1},
@@ -68,35 +67,45 @@
 		{"nine tenths long, two regions", 0.9, slowReader, map[string][]int{"a": {8}, "b": {8}}, 4},
 	}
 	if *long {
-		for i := range 3 {
-			for _, share := range []float64{0.1, 0.3, 0.5, 0.7, 0.9} {
-				for name, spec := range map[string]engineSpec{"fast": fastReader, "slow": slowReader, "tight": tightCache} {
-					regions := []map[string][]int{{"a": {8, 8}}, {"a": {8, 4}, "b": {4}}, {"a": {8}, "b": {5}, "c": {3}}}[i]
-					mixes = append(mixes, mixture{fmt.Sprintf("%.1f long, %s, %d regions", share, name, i+1), share, spec, regions, uint64(10 + i)})
-				}
-			}
-		}
+		mixes = append(mixes, moreMixes()...)
 	}
 	for _, m := range mixes {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
-			best, at := 0.0, 0.0
-			for _, fixed := range []float64{0.15, 0.4, 0.6, 0.75, 0.9} {
-				sc := m.scenario()
-				sc.fixedLane = fixed
-				if score := play(sc); score > best {
-					best, at = score, fixed
-				}
-			}
+			best, bestShare := m.bestFixedShare()
 			adaptive := play(m.scenario())
-			t.Logf("adaptive %.4f, best fixed share %.2f: %.4f", adaptive, at, best)
+			t.Logf("adaptive %.4f, best fixed share %.2f: %.4f", adaptive, bestShare, best)
 			if adaptive < nearBest*best {
-				t.Errorf("adaptive lanes come to %.4f, the fixed share %.2f to %.4f", adaptive, at, best)
+				t.Errorf("adaptive pools come to %.4f, the fixed share %.2f to %.4f", adaptive, bestShare, best)
 			}
 		})
 	}
 }
 
+// moreMixes are all combinations of shares, engines and regions.
+func moreMixes() (mixes []mixture) {
+	for i, regions := range []map[string][]int{{"a": {8, 8}}, {"a": {8, 4}, "b": {4}}, {"a": {8}, "b": {5}, "c": {3}}} {
+		for _, share := range []float64{0.1, 0.3, 0.5, 0.7, 0.9} {
+			for name, spec := range map[string]engineSpec{"fast": fastReader, "slow": slowReader, "tight": tightCache} {
+				mixes = append(mixes, mixture{fmt.Sprintf("%.1f long, %s, %d regions", share, name, i+1), share, spec, regions, uint64(10 + i)})
+			}
+		}
+	}
+	return mixes
+}
+
+// bestFixedShare is the best score with a fixed share of the pools, and that share.
+func (m mixture) bestFixedShare() (best, share float64) {
+	for _, fixed := range []float64{0.15, 0.4, 0.6, 0.75, 0.9} {
+		sc := m.scenario()
+		sc.fixedPoolShare = fixed
+		if score := play(sc); score > best {
+			best, share = score, fixed
+		}
+	}
+	return best, share
+}
+
 func play(sc scenario) float64 {
 	f := newFleet(sc)
 	f.run()
--- a/internal/system/proxy/pick/sim_test.go
+++ b/internal/system/proxy/pick/sim_test.go
@@ -9,39 +9,40 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/config"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
 )
 
 // fleet is a deployment at play.
 type fleet struct {
 	agenda
 	scenario
-	rng        *rand.Rand
-	cfg        *config.Config
-	servers    []Server
-	engines    map[string]*engine
-	plains     map[string]*plain
-	pickers    []*Picker
-	homes      []string // zones of pickers
-	tallies    map[string]*tally
-	things     map[string][][]PrefixPart
-	reads      map[uint64]int
-	weights    map[shareSpec][]float64
-	reread     int64
-	firstRead  int64
-	rereads    int
-	price      float64
-	dials      int
-	idle       map[[2]string][]Time // when each idle connection of a proxy to a server was last used
-	ownID      uint64
-	unexecuted int
-	chosen     func(picker int, r *Request, tried int, offered bool, c Choice) // told of every choice; nil: nobody
-	tells      func(picker int, loads map[string]Load)                         // told of what a picker shares; nil: nobody
-	windows    [12]struct{ worth, owed float64 }                               // of 3 s each
+	rng         *rand.Rand
+	cfg         *config.Config
+	servers     []Server
+	engines     map[string]*engine
+	plains      map[string]*plain
+	pickers     []*Picker
+	proxyZones  []string // zones of pickers
+	tallies     map[string]*tally
+	sharedParts map[string][][]PrefixPart
+	prefills    map[uint64]int
+	weights     map[shareSpec][]float64
+	reread      int64
+	firstRead   int64
+	rereads     int
+	price       float64
+	dials       int
+	idle        map[[2]string][]Time // when each idle connection of a proxy to a server was last used
+	ownID       uint64
+	unexecuted  int
+	onPick      func(picker int, r *Request, tried int, offered bool, c Result) // told of every choice; nil: nobody
+	onShare     func(picker int, loads map[string]Load)                         // told of what a picker shares; nil: nobody
+	windows     [12]struct{ worth, owed float64 }                               // of 3 s each
 }
 
 func newFleet(sc scenario) *fleet {
 	f := &fleet{scenario: sc, rng: rand.New(rand.NewPCG(sc.seed, 7)), engines: map[string]*engine{}, plains: map[string]*plain{},
-		tallies: map[string]*tally{}, things: map[string][][]PrefixPart{}, reads: map[uint64]int{}, weights: map[shareSpec][]float64{}, ownID: 1 << 32,
+		tallies: map[string]*tally{}, sharedParts: map[string][][]PrefixPart{}, prefills: map[uint64]int{}, weights: map[shareSpec][]float64{}, ownID: 1 << 32,
 		idle: map[[2]string][]Time{}}
 	f.cfg = &config.Config{Services: map[string]*config.Service{
 		"lm":     {Name: "lm", WarmUpRate: 31, Engine: &config.Engine{Slots: sc.slots, CacheTokens: sc.spec.memory, TokensPerEvent: sc.spec.stride}},
@@ -49,8 +50,8 @@
 	}}
 	for i := range sc.kinds {
 		k := &sc.kinds[i]
-		r := &config.Route{Name: k.name, Host: k.name, Prefix: "/", Category: config.Streaming, Timeout: k.deadline, LatencyTarget: k.aim,
-			EventGapTarget: k.pause, Priority: k.priority, MaxTries: 2, Resumable: k.resume, HomeRegions: k.homes, Shares: []config.Share{{Service: "lm", Weight: 1}}}
+		r := &config.Route{Name: k.name, Host: k.name, Prefix: "/", Category: config.Streaming, Timeout: k.deadline, LatencyTarget: k.latencyTarget,
+			EventGapTarget: k.eventGapTarget, Priority: k.priority, MaxTries: 2, Resumable: k.resumable, HomeRegions: k.homeRegions, Shares: []config.Share{{Service: "lm", Weight: 1}}}
 		if k.plain {
 			r.Category, r.Shares = config.Idempotent, []config.Share{{Service: "thumbs", Weight: 1}}
 		}
@@ -63,7 +64,7 @@
 				things = append(things, PrefixPart{ID: f.ownID, Tokens: max(int(drawn(f.rng, sh.mean, sh.spread, sh.most)), 1)})
 			}
 			f.weights[sh] = zipf(sh.things, sh.skew)
-			f.things[k.name] = append(f.things[k.name], things)
+			f.sharedParts[k.name] = append(f.sharedParts[k.name], things)
 		}
 	}
 	speeds := []float64{1, 1, 1.3}
@@ -72,7 +73,7 @@
 			id := fmt.Sprintf("lm-%s-%d", z, i)
 			f.servers = append(f.servers, Server{ID: id, Service: "lm", Address: id, Zone: z, Region: sc.regions[z], Slots: sc.slots})
 			f.engines[id] = &engine{agenda: &f.agenda, spec: sc.spec, speed: speeds[i%3], slots: sc.slots, queue: sc.queue,
-				cache: map[uint64]*list.Element{}, order: list.New(), read: f.read}
+				cache: map[uint64]*list.Element{}, lru: list.New(), onPrefill: f.recordPrefill}
 		}
 		id := "th-" + z
 		f.servers = append(f.servers, Server{ID: id, Service: "thumbs", Address: id, Zone: z, Region: sc.regions[z], Slots: 6})
@@ -82,22 +83,22 @@
 	for _, z := range sc.zones {
 		for i := range sc.proxies[z] {
 			peers = append(peers, fmt.Sprintf("p-%s-%d", z, i))
-			f.homes = append(f.homes, z)
+			f.proxyZones = append(f.proxyZones, z)
 		}
 	}
 	for i, name := range peers {
-		p := New(Settings{Zone: f.homes[i], Region: sc.regions[f.homes[i]], Regions: sc.regions, RetryRatio: 0.2, RetrySlack: 64,
-			WarmUpExcess: 1.5, WarmUpSlack: 5, Seed: uint64(i), CrossRegionLatency: sc.crossRegion})
+		p := New(Settings{Zone: f.proxyZones[i], Region: sc.regions[f.proxyZones[i]], Regions: sc.regions, RetryRatio: 0.2, RetrySlack: 64,
+			WarmUpExcess: 1.5, WarmUpSlack: 5, Seed: uint64(i), CrossRegionLatency: sc.crossRegion,
+			TestingKnobs: TestingKnobs{PromptPoolShare: sc.fixedPoolShare}})
 		p.UpdateClusterState(0, ClusterState{Config: f.cfg, Servers: f.servers, Self: name, Peers: peers})
-		p.fixedLane = sc.fixedLane
-		p.group("lm").keptFor = sc.keepIdle
+		p.group("lm").idleTimeout = sc.idleTimeout
 		f.pickers = append(f.pickers, p)
 	}
 	return f
 }
 
-func (f *fleet) read(key uint64, tokens int) {
-	if f.reads[key]++; f.reads[key] > 1 {
+func (f *fleet) recordPrefill(key uint64, tokens int) {
+	if f.prefills[key]++; f.prefills[key] > 1 {
 		f.reread += int64(tokens)
 		f.rereads++
 	} else {
@@ -105,7 +106,7 @@
 	}
 }
 
-func (f *fleet) tellLoads() {
+func (f *fleet) shareLoads() {
 	sum := map[string]Load{}
 	each := make([]map[string]Load, len(f.pickers))
 	add := func(m map[string]Load, id string, l Load, sign int) {
@@ -118,8 +119,8 @@
 	for i, p := range f.pickers {
 		each[i] = p.Loads()
 		maps.Copy(each[i], p.PromptDemands())
-		if f.tells != nil {
-			f.tells(i, each[i])
+		if f.onShare != nil {
+			f.onShare(i, each[i])
 		}
 		for id, l := range each[i] {
 			add(sum, id, l, 1)
@@ -133,13 +134,13 @@
 		for id, l := range each[i] {
 			add(others, id, l, -1)
 		}
-		f.after(f.crossRegion, func() { p.SetLoads(f.now, others) })
+		f.after(f.crossRegion, func() { p.UpdatePeerLoads(f.now, others) })
 	}
-	f.after(f.share, f.tellLoads)
+	f.after(f.shareInterval, f.shareLoads)
 }
 
 func (f *fleet) run() {
-	f.after(0, f.tellLoads)
+	f.after(0, f.shareLoads)
 	for _, z := range f.zones {
 		for i := range f.kinds {
 			k := &f.kinds[i]
@@ -150,7 +151,7 @@
 	if f.evacuated != "" {
 		f.after(f.evacuateAt, func() {
 			for i, p := range f.pickers {
-				w := p.world
+				w := p.state
 				w.Evacuated = map[string]bool{f.evacuated: true}
 				_ = i
 				p.UpdateClusterState(f.now, w)
@@ -161,7 +162,7 @@
 		f.after(f.downAt, func() {
 			for i, s := range f.servers {
 				if e := f.engines[s.ID]; e != nil && i%6 == 2 {
-					e.fall(f.down)
+					e.fail(f.down)
 					f.after(f.downTo-f.downAt, func() { e.down = "" })
 				}
 			}
@@ -202,7 +203,7 @@
 	if n := len(k.chain); n > 0 {
 		thing := oneOf(rng, f.weights[k.chain[n-1]])
 		for i, sh := range k.chain { // each thing belongs to one of the level before
-			r.Prefix = append(r.Prefix, f.things[k.name][i][thing%sh.things])
+			r.Prefix = append(r.Prefix, f.sharedParts[k.name][i][thing%sh.things])
 		}
 	}
 	f.ownID++
@@ -211,34 +212,45 @@
 		r.TokensIn += x.Tokens
 	}
 	events := max(drawn(rng, k.out[0], k.out[1], k.out[2]), 1)
-	r.TokensOut = int(events * float64(f.spec.stride))
+	r.MaxTokensOut = int(events * float64(f.spec.stride))
 	t := f.tallies[k.name]
 	t.asked++
-	t.owed += k.worth
-	f.windows[min(int(f.now/(3*time.Second)), len(f.windows)-1)].owed += k.worth
-	f.try(zone, k, r, f.now, 1)
+	t.owed += k.value
+	f.windows[min(int(f.now/(3*time.Second)), len(f.windows)-1)].owed += k.value
+	f.try(clientCall{zone: zone, kind: k, request: r, since: f.now, retries: 1})
 }
 
-func (f *fleet) try(zone string, k *kind, r *Request, since Time, retries int) {
+// clientCall is one client's request with what the client does about it.
+type clientCall struct {
+	zone    string
+	kind    *kind
+	request *Request
+	since   Time // when the client first asked
+	retries int  // that the client has left
+}
+
+// try has the client ask one of its zone's proxies.
+func (f *fleet) try(call clientCall) {
 	var near []int
-	for i, z := range f.homes {
-		if z == zone {
+	for i, zone := range f.proxyZones {
+		if zone == call.zone {
 			near = append(near, i)
 		}
 	}
-	i := near[f.rng.IntN(len(near))]
+	proxy := near[f.rng.IntN(len(near))]
 	f.after(time.Millisecond, func() {
-		again := *r
+		again := *call.request
 		again.arrived = 0
-		f.pickers[i].Arrive(f.now, &again)
-		f.place(i, zone, k, &again, since, retries, nil, false)
+		call.request = &again
+		f.pickers[proxy].RecordRequest(f.now, &again)
+		f.attempt(serverCall{clientCall: call, proxy: proxy})
 	})
 }
 
 // connect takes an idle connection, or counts a new one.
 func (f *fleet) connect(connection [2]string) {
 	idle := f.idle[connection]
-	if n := len(idle); n > 0 && f.now-idle[n-1] <= f.keepIdle {
+	if n := len(idle); n > 0 && f.now-idle[n-1] <= f.idleTimeout {
 		f.idle[connection] = idle[:n-1]
 		return
 	}
@@ -246,121 +258,183 @@
 	f.dials++
 }
 
-// patience is how long a proxy waits for a server that says nothing.
-const patience = 1200 * time.Millisecond
+// serverTimeout is how long a proxy waits for a server that says nothing.
+const serverTimeout = 1200 * time.Millisecond
 
-func (f *fleet) place(i int, zone string, k *kind, r *Request, since Time, retries int, tried []string, offered bool) {
-	p, t := f.pickers[i], f.tallies[k.name]
-	r.TimeLeft = k.deadline - (f.now - since)
-	c := p.Choose(f.now, r, tried, offered)
-	if f.chosen != nil {
-		f.chosen(i, r, len(tried), offered, c)
+// serverCall is one attempt of a proxy to have a request answered.
+type serverCall struct {
+	clientCall
+	proxy   int
+	tried   []string // servers of the attempts before
+	offered bool     // one of these may have run
+
+	result     Result
+	oneWay     time.Duration // to the server
+	connection [2]string
+	first      time.Duration // from the client's request to the first event
+}
+
+// attempt has a proxy pick a server and ask it.
+func (f *fleet) attempt(call serverCall) {
+	call.request.TimeLeft = call.kind.deadline - (f.now - call.since)
+	call.result = f.pickers[call.proxy].Pick(f.now, call.request, call.tried, call.offered)
+	if f.onPick != nil {
+		f.onPick(call.proxy, call.request, len(call.tried), call.offered, call.result)
+	}
+	if call.result.Verdict != Send {
+		f.refuse(call)
+		return
 	}
-	if c.Verdict != Send {
-		if retries > 0 && !offered {
-			f.after(c.RetryAfter, func() { f.try(zone, k, r, since, retries-1) })
+	call.oneWay = f.crossNetwork(&call)
+	call.connection = [2]string{f.proxyZones[call.proxy], fmt.Sprint(call.proxy, call.result.Server.ID)}
+	f.connect(call.connection)
+	f.after(call.oneWay, func() {
+		if call.kind.plain {
+			f.callPlain(&call)
 		} else {
-			t.refused++
+			f.callEngine(&call)
 		}
+	})
+}
+
+// refuse has the client come back later, as often as it does.
+func (f *fleet) refuse(call serverCall) {
+	if call.retries == 0 || call.offered {
+		f.tallies[call.kind.name].refused++
 		return
 	}
-	way := 100 * time.Microsecond
-	bytes := float64(r.TokensIn)*k.bytesEach + float64(r.TokensOut)/float64(f.spec.stride)*k.bytes + 300
+	again := call.clientCall
+	again.retries--
+	f.after(call.result.RetryAfter, func() { f.try(again) })
+}
+
+// crossNetwork is how long a request takes to its server, and counts what the way costs.
+func (f *fleet) crossNetwork(call *serverCall) time.Duration {
+	k, r, t := call.kind, call.request, f.tallies[call.kind.name]
+	bytes := float64(r.TokensIn)*k.bytesEach + float64(r.MaxTokensOut)/float64(f.spec.stride)*k.bytes + 300
 	if k.plain {
 		bytes = 1700
 	}
-	switch {
-	case c.Server.Region != f.regions[f.homes[i]]:
-		way = f.crossRegion
+	switch zone := f.proxyZones[call.proxy]; {
+	case call.result.Server.Region != f.regions[zone]:
 		f.price += bytes / 1e9 * f.prices.regionGB
 		t.abroad++
-	case c.Server.Zone != f.homes[i]:
-		way = 900 * time.Microsecond
+		return f.crossRegion
+	case call.result.Server.Zone != zone:
 		f.price += bytes / 1e9 * f.prices.zoneGB
 		t.across++
+		return 900 * time.Microsecond
 	}
-	window := &f.windows[min(int(since/(3*time.Second)), len(f.windows)-1)]
-	connection := [2]string{f.homes[i], fmt.Sprint(i, c.Server.ID)}
-	f.connect(connection)
-	account := func(first, pause time.Duration, served bool) {
-		switch {
-		case !served || f.now-since > k.deadline:
-			t.lost++
-		case first <= k.aim && pause <= k.pause:
-			t.inTime++
-			t.worth += k.worth
-			window.worth += k.worth
-		default:
-			t.late++
-			t.worth += k.late
-			window.worth += k.late
-		}
+	return 100 * time.Microsecond
+}
+
+// account counts how a client's request ended.
+func (f *fleet) account(call *serverCall, first, eventGap time.Duration, served bool) {
+	k, t := call.kind, f.tallies[call.kind.name]
+	window := &f.windows[min(int(call.since/(3*time.Second)), len(f.windows)-1)]
+	switch {
+	case !served || f.now-call.since > k.deadline:
+		t.lost++
+	case first <= k.latencyTarget && eventGap <= k.eventGapTarget:
+		t.inTime++
+		t.value += k.value
+		window.worth += k.value
+	default:
+		t.late++
+		t.value += k.lateValue
+		window.worth += k.lateValue
 	}
-	full := func() {
-		f.unexecuted++
-		f.after(way, func() {
-			p.Done(f.now, c.Ticket, NotExecuted, 0)
-			f.place(i, zone, k, r, since, retries, append(tried, c.Server.ID), offered)
+}
+
+// done ends the proxy's attempt.
+func (f *fleet) done(call *serverCall, outcome Outcome) {
+	f.pickers[call.proxy].Done(f.now, call.result.Ticket, outcome, 0)
+}
+
+// retry has the proxy go on to another server.
+func (f *fleet) retry(call *serverCall, offered bool) {
+	f.attempt(serverCall{clientCall: call.clientCall, proxy: call.proxy, tried: append(call.tried, call.result.Server.ID), offered: offered})
+}
+
+// rejectFull has a server say that it is full.
+func (f *fleet) rejectFull(call *serverCall) {
+	f.unexecuted++
+	f.after(call.oneWay, func() {
+		f.done(call, NotExecuted)
+		f.retry(call, call.offered)
+	})
+}
+
+// callPlain has a server without a model answer.
+func (f *fleet) callPlain(call *serverCall) {
+	work := durationMS(drawn(f.rng, 60, 0.5, 450))
+	accepted := f.plains[call.result.Server.ID].offer(work, func(running, waiting int) {
+		f.after(call.oneWay, func() {
+			f.pickers[call.proxy].ServerLoad(f.now, call.result.Server.ID, running, waiting, 6)
+			f.done(call, Served)
+			f.account(call, f.now-call.since+time.Millisecond, 0, true)
 		})
+	})
+	if !accepted {
+		f.rejectFull(call)
 	}
-	f.after(way, func() {
-		if k.plain {
-			work := span(drawn(f.rng, 60, 0.5, 450))
-			if !f.plains[c.Server.ID].offer(work, func(running, waiting int) {
-				f.after(way, func() {
-					p.ServerLoad(f.now, c.Server.ID, running, waiting, 6)
-					p.Done(f.now, c.Ticket, Served, 0)
-					account(f.now-since+time.Millisecond, 0, true)
-				})
-			}) {
-				full()
-			}
-			return
+}
+
+// callEngine has a model server answer, or fail.
+func (f *fleet) callEngine(call *serverCall) {
+	server := f.engines[call.result.Server.ID]
+	request := f.newJob(call)
+	if server.down == "" && server.offer(request) {
+		return
+	}
+	switch server.down {
+	case "":
+		f.rejectFull(call)
+	case "reset":
+		f.after(call.oneWay, func() {
+			f.done(call, ConnectFailed)
+			f.retry(call, call.offered)
+		})
+	case "dark":
+		f.after(serverTimeout, func() { request.lost(TimedOut) })
+	}
+}
+
+// newJob is a call as a model server sees it.
+func (f *fleet) newJob(call *serverCall) *job {
+	r := call.request
+	request := &job{chain: prefixcache.NewChain(r.Prefix), in: r.TokensIn, out: r.MaxTokensOut, priority: call.result.Priority, deadline: call.since + call.kind.deadline}
+	request.lost = func(outcome Outcome) {
+		f.done(call, outcome)
+		if call.kind.resumable {
+			f.retry(call, true)
+		} else {
+			f.account(call, call.first, 0, false)
 		}
-		var first time.Duration
-		j := &job{chain: chainOf(r), in: r.TokensIn, out: r.TokensOut, priority: c.Priority, deadline: since + k.deadline}
-		j.lost = func(o Outcome) {
-			p.Done(f.now, c.Ticket, o, 0)
-			if k.resume {
-				f.place(i, zone, k, r, since, retries, append(tried, c.Server.ID), true)
-			} else {
-				account(first, 0, false)
+	}
+	request.first = func(running, waiting int) {
+		f.after(call.oneWay, func() { f.firstEvent(call, running, waiting) })
+	}
+	request.done = func(served bool) {
+		f.after(call.oneWay, func() {
+			outcome := Served
+			if !served {
+				outcome = NotExecuted
 			}
-		}
-		j.first = func(running, waiting int) {
-			f.after(way, func() {
-				first = f.now - since + time.Millisecond
-				t.latencies = append(t.latencies, ms(first))
-				p.ServerLoad(f.now, c.Server.ID, running, waiting, f.slots)
-				p.Started(f.now, c.Ticket)
-				p.FirstEvent(f.now, c.Ticket)
-			})
-		}
-		j.done = func(served bool) {
-			f.after(way, func() {
-				o := Served
-				if !served {
-					o = NotExecuted
-				}
-				f.idle[connection] = append(f.idle[connection], f.now)
-				p.Done(f.now, c.Ticket, o, 0)
-				account(first, j.pause, served)
-			})
-		}
-		e := f.engines[c.Server.ID]
-		if e.down == "" && e.offer(j) {
-			return
-		}
-		switch e.down {
-		case "":
-			full()
-		case "reset":
-			f.after(way, func() {
-				p.Done(f.now, c.Ticket, ConnectFailed, 0)
-				f.place(i, zone, k, r, since, retries, append(tried, c.Server.ID), offered)
-			})
-		case "dark":
-			f.after(patience, func() { j.lost(TimedOut) })
-		}
-	})
+			f.idle[call.connection] = append(f.idle[call.connection], f.now)
+			f.done(call, outcome)
+			f.account(call, call.first, request.maxEventGap, served)
+		})
+	}
+	return request
+}
+
+// firstEvent has the proxy learn of an answer's first event.
+func (f *fleet) firstEvent(call *serverCall, running, waiting int) {
+	call.first = f.now - call.since + time.Millisecond
+	t, p := f.tallies[call.kind.name], f.pickers[call.proxy]
+	t.latencies = append(t.latencies, ms(call.first))
+	p.ServerLoad(f.now, call.result.Server.ID, running, waiting, f.slots)
+	p.Started(f.now, call.result.Ticket)
+	p.FirstEvent(f.now, call.result.Ticket)
 }
--- a/internal/system/proxy/proxy.go
+++ b/internal/system/proxy/proxy.go
@@ -102,7 +102,7 @@
 func (p *Proxy) AwaitsServerList() bool { return p.picker.AwaitsServerList() }
 
 // SetLoads replaces the requests that all other proxies together have in flight, by server.
-func (p *Proxy) SetLoads(loads map[string]pick.Load) { p.picker.SetLoads(loads) }
+func (p *Proxy) SetLoads(loads map[string]pick.Load) { p.picker.UpdatePeerLoads(loads) }
 
 // Loads returns the requests that this proxy has in flight, by server, for the other proxies.
 func (p *Proxy) Loads() map[string]pick.Load { return p.picker.Loads() }
--- a/internal/system/proxy/requesthead.go
+++ b/internal/system/proxy/requesthead.go
@@ -97,15 +97,15 @@
 	header := c.request.Header
 	tokensIn, tokensOut := parseTokenCount(header.Get(headerTokenCount))
 	c.pickRequest = pick.Request{
-		Route:     c.route,
-		Model:     header.Get(headerModel),
-		TokensIn:  tokensIn,
-		TokensOut: tokensOut,
-		Prefix:    parsePromptParts(header.Get(headerPromptPrefix)),
-		TimeLeft:  time.Until(c.deadline),
-		Age:       time.Since(c.startedAt),
+		Route:        c.route,
+		Model:        header.Get(headerModel),
+		TokensIn:     tokensIn,
+		MaxTokensOut: tokensOut,
+		Prefix:       parsePromptParts(header.Get(headerPromptPrefix)),
+		TimeLeft:     time.Until(c.deadline),
+		Age:          time.Since(c.startedAt),
 	}
-	c.proxy.picker.Arrive(&c.pickRequest)
+	c.proxy.picker.RecordRequest(&c.pickRequest)
 }
 
 // targetOf returns the request target as it goes to a server, in origin form (RFC 9112, section 3.2.1), and its path. Both are
--- a/internal/system/proxy/upstreamhead.go
+++ b/internal/system/proxy/upstreamhead.go
@@ -15,7 +15,7 @@
 )
 
 // appendHead appends the request as it goes to a server, with a short body, and returns a longer body for a write of its own.
-func (c *clientRequest) appendHead(b []byte, choice pick.Choice) (head, rest []byte) {
+func (c *clientRequest) appendHead(b []byte, choice pick.Result) (head, rest []byte) {
 	b = append(b, c.request.Method...)
 	b = append(b, ' ')
 	b = append(b, c.target...)
