--- /dev/null
+++ b/balance/golden_trace_test.go
@@ -0,0 +1,587 @@
+package balance
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"hash"
+	"math"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"gradeusher.example/gradeusher/balance/hitters"
+	"gradeusher.example/gradeusher/balance/routes"
+	"gradeusher.example/gradeusher/balance/signals"
+)
+
+// goldenFile holds a line for each scenario: its name, seed, number of steps and digest.
+const goldenFile = "testdata/golden_trace.txt"
+
+// goldenTrace digests what a run gives out, in the order in which it does. It takes numbers, ids and fixed tags only, so no name of a
+// Go type, field or constant has a part in it.
+type goldenTrace struct {
+	sum   hash.Hash
+	steps int
+}
+
+// step begins a step of the kind that the tag names.
+func (tr *goldenTrace) step(tag byte, values ...int64) {
+	tr.steps++
+	tr.sum.Write([]byte{tag})
+	tr.num(values...)
+}
+
+func (tr *goldenTrace) num(values ...int64) {
+	for _, v := range values {
+		tr.sum.Write(binary.BigEndian.AppendUint64(nil, uint64(v)))
+	}
+}
+
+func (tr *goldenTrace) float(values ...float64) {
+	for _, v := range values {
+		tr.sum.Write(binary.BigEndian.AppendUint64(nil, math.Float64bits(v)))
+	}
+}
+
+func (tr *goldenTrace) flag(v bool) {
+	if v {
+		tr.num(1)
+	} else {
+		tr.num(0)
+	}
+}
+
+func (tr *goldenTrace) text(s string) {
+	tr.num(int64(len(s)))
+	tr.sum.Write([]byte(s))
+}
+
+// line is the scenario's line in the golden file.
+func (tr *goldenTrace) line(name string, seed uint64) string {
+	return fmt.Sprintf("%s %d %d %s", name, seed, tr.steps, hex.EncodeToString(tr.sum.Sum(nil)))
+}
+
+// tracedActions passes a Balancer's actions on to a host, and traces them.
+type tracedActions struct {
+	Actions
+	tr   *goldenTrace
+	self int64
+}
+
+func (a tracedActions) Send(id RequestID, endpoint string, timeout time.Duration) {
+	a.tr.step('S', a.self, int64(id), int64(timeout))
+	a.tr.text(endpoint)
+	a.Actions.Send(id, endpoint, timeout)
+}
+
+func (a tracedActions) Cancel(id RequestID, attempt int) {
+	a.tr.step('C', a.self, int64(id), int64(attempt))
+	a.Actions.Cancel(id, attempt)
+}
+
+func (a tracedActions) Refuse(id RequestID, after time.Duration) {
+	a.tr.step('R', a.self, int64(id), int64(after))
+	a.Actions.Refuse(id, after)
+}
+
+func (a tracedActions) Fail(id RequestID) {
+	a.tr.step('F', a.self, int64(id))
+	a.Actions.Fail(id)
+}
+
+func (a tracedActions) Timer(after time.Duration, token uint64) {
+	a.tr.step('T', a.self, int64(after), int64(token))
+	a.Actions.Timer(after, token)
+}
+
+func (a tracedActions) Subscribe() {
+	a.tr.step('U', a.self)
+	a.Actions.Subscribe()
+}
+
+func (a tracedActions) Log(text string) {
+	a.tr.step('L', a.self)
+	a.tr.text(text)
+	a.Actions.Log(text)
+}
+
+// kept takes in all that a Balancer has learned, as far as it hands that on.
+func (tr *goldenTrace) kept(k Kept) {
+	tr.step('K', int64(k.Tight), int64(len(k.Groups)), int64(len(k.Endpoints)))
+	tr.float(k.Near, k.Idle, k.Arrived)
+	tr.float(k.Work...)
+	for _, g := range k.Groups {
+		tr.float(g.Took, g.Held)
+	}
+	for _, e := range k.Endpoints {
+		tr.text(e.ID)
+		tr.num(int64(e.Started), int64(e.Cold), int64(e.Out))
+		tr.float(e.Took, e.Held, e.Fresh, e.Faults, e.Due)
+	}
+}
+
+// report takes in what a Balancer says of servers.
+func (tr *goldenTrace) report(r signals.Report) {
+	tr.step('W', int64(r.Level), int64(len(r.Uses)), int64(len(r.Verdicts)))
+	tr.text(r.Room)
+	for _, u := range r.Uses {
+		tr.text(u.Room)
+		tr.num(int64(u.Servers))
+	}
+	for _, v := range r.Verdicts {
+		tr.text(v.Server)
+		tr.text(v.Room)
+		tr.num(v.Start, int64(v.Kind), int64(v.Count), int64(v.Age))
+	}
+}
+
+// hitters takes in a window's report and all clients that are held, and the changed ones.
+func (tr *goldenTrace) hitters(j *hitters.Judge, news hitters.News, changed []hitters.Client) {
+	tr.step('H', int64(news.Origin), news.Start, int64(news.Seq), int64(len(changed)))
+	tr.sum.Write(news.Report.Append(nil))
+	for _, c := range changed {
+		tr.num(int64(c.Key), int64(c.State), int64(c.Since))
+		tr.float(c.Share, c.Above, c.Keep)
+	}
+	for _, c := range j.Clients() {
+		tr.num(int64(c.Key), int64(c.State), int64(c.Since))
+		tr.float(c.Share, c.Above, c.Keep)
+	}
+	tr.num(int64(j.Yielded()))
+}
+
+// goldenScenario is a run that a seed repeats.
+type goldenScenario struct {
+	name string
+	seed uint64
+	run  func(t *testing.T, tr *goldenTrace, seed uint64)
+}
+
+// tracedDay plays a random day of TestRules.
+func tracedDay(t *testing.T, tr *goldenTrace, seed uint64) {
+	t.Helper()
+	playOn(t, seed, 6000, func(c *checker) Actions { return tracedActions{Actions: c, tr: tr} })
+}
+
+// anyOperations drives three Balancers with operations drawn from the seed: all events, lists, rules, members' reports and clients.
+func anyOperations(t *testing.T, tr *goldenTrace, seed uint64) {
+	t.Helper()
+	d := newDriver(t, tr, seed)
+	for range 12_000 {
+		d.now += time.Duration(d.rng.IntN(6)) * time.Millisecond
+		d.self = d.rng.IntN(len(d.sidecars))
+		d.ticks()
+		switch n := d.rng.IntN(400); {
+		case n < 120:
+			d.request()
+		case n < 360:
+			d.attemptEvent()
+		case n < 366:
+			d.changeList()
+		case n == 366:
+			d.takeOut()
+		case n == 367:
+			d.changeRules()
+		case n == 368:
+			d.meet()
+		case n < 372:
+			d.trouble()
+		case n < 374:
+			d.restartSidecar()
+		}
+	}
+}
+
+// driver is a small fleet of sidecars on one list of servers.
+type driver struct {
+	t        *testing.T
+	tr       *goldenTrace
+	rng      *rand.Rand
+	now      Time
+	self     int // the sidecar that the next operation is about
+	ids      RequestID
+	settings []Settings
+	sidecars []*Balancer
+	open     []drivenAttempt
+	nextTick []Time
+	list     []Endpoint
+	failing  map[string]Outcome // servers in trouble, and how they fail
+	rules    []Rule
+	seq      uint64
+}
+
+// drivenAttempt is one that is under way.
+type drivenAttempt struct {
+	self     int
+	id       RequestID
+	attempt  int
+	to       string
+	sent     Time
+	hung     bool // its answer does not come before a time-out
+}
+
+// drivenHost notes the attempts that a sidecar asks for.
+type drivenHost struct {
+	d    *driver
+	self int
+	made map[RequestID]int
+}
+
+func (h *drivenHost) Send(id RequestID, endpoint string, _ time.Duration) {
+	h.d.open = append(h.d.open, drivenAttempt{self: h.self, id: id, attempt: h.made[id], to: endpoint, sent: h.d.now,
+		hung: h.d.rng.IntN(30) == 0})
+	h.made[id]++
+}
+func (*drivenHost) Cancel(RequestID, int)           {}
+func (*drivenHost) Refuse(RequestID, time.Duration) {}
+func (*drivenHost) Fail(RequestID)                  {}
+func (*drivenHost) Timer(time.Duration, uint64)     {}
+func (*drivenHost) Subscribe()                      {}
+func (*drivenHost) Log(string)                      {}
+
+func newDriver(t *testing.T, tr *goldenTrace, seed uint64) *driver {
+	t.Helper()
+	d := &driver{t: t, tr: tr, rng: rand.New(rand.NewPCG(seed, 13)), now: time.Minute, failing: map[string]Outcome{}}
+	for i := range 14 {
+		d.list = append(d.list, Endpoint{ID: fmt.Sprint("s", i), Zone: []string{"x", "x", "y"}[i%3], Kind: []string{"big", "small"}[i%2],
+			Cell: i % 4, Size: []float64{1, 0.5, 2, 0}[i%4]})
+	}
+	for self := range 3 {
+		h := hitters.Defaults()
+		h.Origin = hitters.Key(seed, fmt.Sprint(self))
+		set := settings()
+		set.Seed, set.Self, set.Peers, set.Hitters = seed, self, 3, &h
+		set.Zone = []string{"x", "x", "y"}[self]
+		set.Tenants = []Tenant{{"a", 30}, {"b", 5}}
+		set.CancelAllowed, set.AskDiscovery, set.MustAsk = self != 1, self != 2, 10*time.Second
+		set.Classes = []Class{
+			{Name: "read", Effect: Idempotent, Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 3},
+			{Name: "keyed", Effect: Deduplicated, Scope: Scope(self), DedupeWindow: time.Second, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 2},
+			{Name: "once", Effect: AtMostOnce, Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, LateWorth: 0.5},
+			{Name: "heavy", Effect: Idempotent, Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1},
+		}
+		d.settings = append(d.settings, set)
+		d.sidecars = append(d.sidecars, d.started(self))
+		d.nextTick = append(d.nextTick, d.now+time.Duration(self)*30*time.Millisecond)
+	}
+	return d
+}
+
+// started is a sidecar's new process, that knows the list.
+func (d *driver) started(self int) *Balancer {
+	d.t.Helper()
+	h := &drivenHost{d: d, self: self, made: map[RequestID]int{}}
+	b, err := New(d.settings[self], tracedActions{h, d.tr, int64(self)})
+	if err != nil {
+		d.t.Fatal(err)
+	}
+	b.Endpoints(d.now, ListRemembered, d.list)
+	return b
+}
+
+// ticks has the timers of all sidecars expire that are due, and the sidecars exchange what they say.
+func (d *driver) ticks() {
+	for self, b := range d.sidecars {
+		for ; d.nextTick[self] <= d.now; d.nextTick[self] += tickEvery {
+			b.Timer(d.now, tokenTick)
+			d.tr.kept(b.Keep(d.now))
+			all, avoided := b.Listed(d.now)
+			d.tr.num(int64(all), int64(avoided), int64(b.Level()))
+			d.tr.flag(b.RulesWait())
+			if d.rng.IntN(3) == 0 {
+				d.exchange(self)
+			}
+			if d.rng.IntN(5) == 0 {
+				d.endWindow(self)
+			}
+			if d.rng.IntN(40) == 0 {
+				b.Timer(d.now, tokenAsk)
+			}
+		}
+	}
+}
+
+func (d *driver) exchange(self int) {
+	r := d.sidecars[self].Witness(d.now)
+	d.tr.report(r)
+	d.seq++
+	for other, b := range d.sidecars {
+		if other == self {
+			continue
+		}
+		for _, alias := range []string{"", "-twin", "-third"} { // a witness counts once: as many as make a verdict
+			b.Told(d.now, fmt.Sprint("p", self, alias), 1, d.seq-uint64(d.rng.IntN(2)), time.Duration(d.rng.IntN(300))*time.Millisecond, r)
+		}
+		if d.rng.IntN(50) == 0 {
+			b.Gone(fmt.Sprint("p", self))
+		}
+	}
+}
+
+func (d *driver) endWindow(self int) {
+	news, changed := d.sidecars[self].Hitters().Roll(d.now)
+	d.tr.hitters(d.sidecars[self].Hitters(), news, changed)
+	for other, b := range d.sidecars {
+		if other != self {
+			d.tr.flag(b.Hitters().Tell(d.now, news))
+		}
+	}
+}
+
+func (d *driver) request() {
+	burst := 1
+	if d.rng.IntN(60) == 0 {
+		burst = 40
+	}
+	for range burst {
+		d.ids++
+		r := Request{ID: d.ids, Class: d.rng.IntN(4), Tenant: d.rng.IntN(3) - 1, Within: time.Duration(50+d.rng.IntN(3000)) * time.Millisecond,
+			Coming: d.rng.IntN(8) == 0, Client: uint64(d.rng.IntN(5)) * uint64(d.rng.IntN(2))}
+		d.sidecars[d.self].Request(d.now, r)
+	}
+}
+
+// drivenOutcomes are those that are drawn, the usual ones more often.
+var drivenOutcomes = []Outcome{Served, Served, Served, Served, Served, Served, Served, Served, Served, Served, Served, Served, Served, Served,
+	Errored, Saturated, TimedOut, ConnectFailed, Reset, Cancelled, NotSent}
+
+// attemptEvent has something happen to an attempt that is under way.
+func (d *driver) attemptEvent() {
+	if len(d.open) == 0 {
+		return
+	}
+	i := d.rng.IntN(min(len(d.open), 90))
+	a := &d.open[i]
+	b := d.sidecars[a.self]
+	switch d.rng.IntN(24) {
+	case 0:
+		b.BodyTaken(a.id)
+	case 1, 2:
+		b.BodyEnded(d.now, a.id, time.Duration(200+d.rng.IntN(1000))*time.Millisecond)
+	case 3:
+		b.AnswerStarted(d.now, a.id, a.attempt)
+	case 4:
+		if d.rng.IntN(4) == 0 {
+			b.ClientGone(d.now, a.id)
+		}
+	default:
+		d.end(i)
+	}
+}
+
+func (d *driver) end(i int) {
+	a := d.open[i]
+	outcome, failing := d.failing[a.to]
+	if !failing {
+		outcome = drivenOutcomes[d.rng.IntN(len(drivenOutcomes))]
+	}
+	if a.hung {
+		if d.now-a.sent < 12*time.Second {
+			return
+		}
+		outcome = TimedOut
+	}
+	if outcome == TimedOut && d.now-a.sent < 400*time.Millisecond {
+		return
+	}
+	d.open = slices.Delete(d.open, i, i+1)
+	d.sidecars[a.self].Result(d.now, Result{ID: a.id, Attempt: a.attempt, Endpoint: a.to, Outcome: outcome, Took: d.now - a.sent,
+		Finished: outcome == Served || d.rng.IntN(20) == 0})
+}
+
+func (d *driver) changeList() {
+	e := &d.list[d.rng.IntN(len(d.list))]
+	switch d.rng.IntN(5) {
+	case 0:
+		e.State = Draining
+	case 1:
+		e.State = Removed
+	case 2:
+		e.State, e.Started = Ready, d.now-time.Duration(d.rng.IntN(4000)-500)*time.Millisecond
+	case 3:
+		e.Zone = []string{"x", "y"}[d.rng.IntN(2)]
+	default:
+		e.State = Ready
+	}
+	b := d.sidecars[d.self]
+	switch d.rng.IntN(6) {
+	case 0:
+		b.Endpoints(d.now, ListRefused, nil)
+	case 1:
+		b.Endpoints(d.now, ListChanges, []Endpoint{*e})
+	default:
+		for _, b := range d.sidecars {
+			b.Endpoints(d.now, ListFull, d.list)
+		}
+	}
+}
+
+func (d *driver) takeOut() {
+	var out []string
+	for range d.rng.IntN(3) {
+		out = append(out, fmt.Sprint("s", d.rng.IntN(15)))
+	}
+	d.sidecars[d.self].ByHand(d.now, out)
+	d.tr.flag(d.sidecars[d.self].Knows("s14"))
+}
+
+// changeRules gives a sidecar another table, and traces the steps between the two.
+func (d *driver) changeRules() {
+	var table routes.Table
+	for i := range d.rng.IntN(5) {
+		r := Rule{Name: fmt.Sprint("r", i*7%5), Source: Match{"service": "*"}, Service: Match{"service": "backend"}}
+		if d.rng.IntN(2) == 0 {
+			r.Source = Match{"region": []string{"x", "y", "*"}[d.rng.IntN(3)]}
+		}
+		for j, version := range []string{"big", "small", "none"} {
+			if j == 0 || d.rng.IntN(2) == 0 {
+				r.Destinations = append(r.Destinations, Destination{Weight: float64(1 + d.rng.IntN(9)), Match: Match{"version": version}, PerSize: d.rng.IntN(2) == 0})
+			}
+		}
+		table = append(table, r)
+	}
+	d.rng.Shuffle(len(table), func(i, j int) { table[i], table[j] = table[j], table[i] })
+	steps, err := json.Marshal(routes.Diff(d.rules, table))
+	if err != nil {
+		d.t.Fatal(err)
+	}
+	d.tr.step('D')
+	d.tr.text(string(steps))
+	d.tr.text(table.Hash())
+	d.rules = table
+	applied, why := d.sidecars[d.self].SetRules(d.now, table)
+	d.tr.flag(applied)
+	d.tr.text(why)
+}
+
+// meet tells the sidecars of each other, and sometimes of others that are unlike.
+func (d *driver) meet() {
+	var peers []Peer
+	for i, b := range d.sidecars {
+		peers = append(peers, Peer{d.settings[i].Zone, b.Level()})
+	}
+	if d.rng.IntN(2) == 0 {
+		peers = append(peers, Peer{"", 0}, Peer{"x", 3})
+	}
+	for self, b := range d.sidecars {
+		if d.rng.IntN(10) == 0 {
+			self = -1
+		}
+		b.Members(d.now, self, peers)
+	}
+}
+
+// trouble has a server fail in one way, or recover.
+func (d *driver) trouble() {
+	id := d.list[d.rng.IntN(len(d.list))].ID
+	if _, failing := d.failing[id]; failing {
+		delete(d.failing, id)
+	} else if len(d.failing) < 6 {
+		d.failing[id] = Outcome(1 + d.rng.IntN(5))
+	}
+}
+
+// restartSidecar has a sidecar's next process take up what the last one learned.
+func (d *driver) restartSidecar() {
+	if d.rng.IntN(8) > 0 {
+		return
+	}
+	learned := d.sidecars[d.self].Keep(d.now)
+	d.open = slices.DeleteFunc(d.open, func(a drivenAttempt) bool { return a.self == d.self })
+	d.sidecars[d.self] = d.started(d.self)
+	d.sidecars[d.self].Remember(d.now, learned, time.Duration(d.rng.IntN(3000))*time.Millisecond)
+	d.tr.kept(d.sidecars[d.self].Keep(d.now))
+}
+
+// tracedSilence is a fleet of which a server falls silent, with members that tell each other, some servers cold.
+func tracedSilence(t *testing.T, tr *goldenTrace, seed uint64) {
+	t.Helper()
+	servers := fleet(12)
+	servers[1].Started, servers[5].Started = time.Minute-time.Second, time.Minute
+	f := newColdFleet(t, 10+int(seed), servers, 120)
+	g := &gossip{f: f, said: make([]signals.Report, len(f.sidecars))}
+	for self, b := range f.sidecars {
+		b.act = tracedActions{b.act, tr, int64(self)}
+	}
+	run := func(until Time) {
+		for f.now < until {
+			g.round()
+			f.run(f.now + 200*time.Millisecond)
+			for _, b := range f.sidecars {
+				tr.kept(b.Keep(f.now))
+			}
+		}
+	}
+	run(f.now + 14*time.Second)
+	f.meet()
+	f.bad = "s0003"
+	run(f.now + 4*time.Second)
+	f.silent, f.bad = f.sidecars[0].active[0].ID, ""
+	run(f.now + 8*time.Second)
+	f.silent = ""
+	run(f.now + 6*time.Second)
+}
+
+// goldenScenarios are what is traced.
+func goldenScenarios() []goldenScenario {
+	var all []goldenScenario
+	for seed := range uint64(8) {
+		all = append(all, goldenScenario{"day", seed, tracedDay})
+	}
+	for seed := range uint64(6) {
+		all = append(all, goldenScenario{"any-operations", seed, anyOperations})
+	}
+	for seed := range uint64(2) {
+		all = append(all, goldenScenario{"silence", seed, tracedSilence})
+	}
+	return all
+}
+
+// TestGoldenTrace holds every action, and all that is learned and said, to what they were, step by step. A change that is meant to
+// change what is decided writes the file anew with GRADEUSHER_WRITE_GOLDEN=1 and says so.
+func TestGoldenTrace(t *testing.T) {
+	golden := readGolden(t)
+	var lines []string
+	for _, g := range goldenScenarios() {
+		t.Run(fmt.Sprintf("%s-%d", g.name, g.seed), func(t *testing.T) {
+			tr := &goldenTrace{sum: sha256.New()}
+			g.run(t, tr, g.seed)
+			line := tr.line(g.name, g.seed)
+			lines = append(lines, line)
+			if !writesGolden() && !slices.Contains(golden, line) {
+				t.Errorf("not in %s: %s", goldenFile, line)
+			}
+		})
+	}
+	if writesGolden() {
+		writeGolden(t, lines)
+	}
+}
+
+func writesGolden() bool { return os.Getenv("GRADEUSHER_WRITE_GOLDEN") == "1" }
+
+func readGolden(t *testing.T) []string {
+	t.Helper()
+	b, err := os.ReadFile(goldenFile)
+	if err != nil && !writesGolden() {
+		t.Fatal(err)
+	}
+	return strings.Split(string(b), "\n")
+}
+
+func writeGolden(t *testing.T, lines []string) {
+	t.Helper()
+	if err := os.MkdirAll(filepath.Dir(goldenFile), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(goldenFile, []byte(strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -10,6 +10,12 @@
 
 // play runs a random day in steps of a millisecond and returns the checker with its faults.
 func play(t testing.TB, seed uint64, steps int) *checker {
+	t.Helper()
+	return playOn(t, seed, steps, func(c *checker) Actions { return c })
+}
+
+// playOn is play with a host that may stand between the checker and the Balancer.
+func playOn(t testing.TB, seed uint64, steps int, host func(*checker) Actions) *checker {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 7))
 	flip := func(p float64) bool { return rng.Float64() < p }
@@ -25,7 +31,7 @@
 			DedupeWindow: 300 * time.Millisecond, Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: float64(1 + i)})
 	}
 	c := &checker{set: set, now: time.Minute, requests: map[RequestID]*held{}, servers: map[string]*server{}, timers: map[Time][]uint64{}}
-	b, err := New(set, c)
+	b, err := New(set, host(c))
 	if err != nil {
 		t.Fatal(err)
 	}
