--- a/balance/api.go
+++ b/balance/api.go
@@ -40,14 +40,14 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Name         string
-	Effect       Effect
-	Scope        Scope         // Deduplicated only
-	DedupeWindow time.Duration // Deduplicated only: how long a repeat is dropped, from the first send
-	Aim          time.Duration // an answer within the aim earns the full worth
-	Deadline     time.Duration // the client's patience over all its tries
-	Worth        float64
-	LateWorth    float64 // share of the worth that an answer past the aim still earns
+	Name          string
+	Effect        Effect
+	Scope         Scope         // Deduplicated only
+	DedupeWindow  time.Duration // Deduplicated only: how long a repeat is dropped, from the first send
+	LatencyTarget time.Duration // an answer within the aim earns the full worth
+	Deadline      time.Duration // the client's patience over all its tries
+	Value         float64
+	LateValue     float64 // share of the worth that an answer past the aim still earns
 }
 
 // Tenant describes one tenant. Allowance is the rate, over all sidecars together, up to which its requests
@@ -82,17 +82,17 @@
 	MaxAttempts   int
 	CancelAllowed bool
 
-	AskDiscovery bool          // list changes come only to a subscriber
-	MustAsk      time.Duration // without a call for this long, old listings count as told
+	SubscribeToDiscovery bool          // list changes come only to a subscriber
+	DiscoveryDeadline    time.Duration // without a call for this long, old listings count as told
 
-	ColdTime      time.Duration // a started endpoint is warm after this time
-	StartCapacity float64       // and starts at this share of its capacity
-	FallMultiple  float64       // a cold endpoint sent more than this multiple of what it can do
-	FallTime      time.Duration // for this long falls over
+	WarmUpTime       time.Duration // a started endpoint is warm after this time
+	StartCapacity    float64       // and starts at this share of its capacity
+	OverloadMultiple float64       // a cold endpoint sent more than this multiple of what it can do
+	OverloadTime     time.Duration // for this long falls over
 
-	Bound time.Duration // what members said longer ago counts for nothing; 0: 2 s
+	ReportTTL time.Duration // what members said longer ago counts for nothing; 0: 2 s
 
-	CrossCharge float64 // price of crossing zones, as a share of a request's worth
+	ZoneCrossingCost float64 // price of crossing zones, as a share of a request's worth
 
 	Hitters *hitters.Settings // how clients that ask for much of the fleet's work are found; nil: they are not
 }
@@ -132,12 +132,12 @@
 // Request is a client's request. Within is the time left before the client gives this try up; while the body is still
 // coming that has not begun.
 type Request struct {
-	ID     RequestID
-	Class  int // index into Settings.Classes
-	Tenant int // index into Settings.Tenants, or -1
-	Within time.Duration
-	Coming bool   // the body is still coming, and is sent on as it comes: BodyEnded follows
-	Client uint64 // with Settings.Hitters alone: the key of the client that asks; all that have no name are one
+	ID             RequestID
+	Class          int // index into Settings.Classes
+	Tenant         int // index into Settings.Tenants, or -1
+	TimeLeft       time.Duration
+	BodyIncomplete bool   // the body is still coming, and is sent on as it comes: BodyEnded follows
+	Client         uint64 // with Settings.Hitters alone: the key of the client that asks; all that have no name are one
 }
 
 // Outcome is how an attempt ended.
@@ -161,7 +161,7 @@
 	Attempt  int
 	Endpoint string
 	Outcome  Outcome
-	Took     time.Duration
+	Latency  time.Duration
 	Finished bool // the request has had its final answer
 }
 
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -11,7 +11,7 @@
 	for i := range b.N {
 		h.sent = h.sent[:0]
 		h.now += 10 * time.Millisecond
-		bal.Request(h.now, Request{ID: RequestID(i), Tenant: -1, Within: time.Second})
-		bal.Result(h.now, Result{ID: RequestID(i), Endpoint: h.sent[0].to, Took: time.Millisecond, Finished: true})
+		bal.Request(h.now, Request{ID: RequestID(i), Tenant: -1, TimeLeft: time.Second})
+		bal.Result(h.now, Result{ID: RequestID(i), Endpoint: h.sent[0].to, Latency: time.Millisecond, Finished: true})
 	}
 }
--- a/balance/check.go
+++ b/balance/check.go
@@ -9,8 +9,8 @@
 	"gradeusher.example/gradeusher/balance/routes"
 )
 
-// check says what is wrong with the settings, naming the field.
-func check(set Settings, act Actions) error {
+// checkSettings says what is wrong with the settings, naming the field.
+func checkSettings(set Settings, act Actions) error {
 	switch {
 	case act == nil:
 		return errors.New("no actions")
@@ -35,10 +35,10 @@
 			return fmt.Errorf("tenant %d, %q: %w", i, t.Name, err)
 		}
 	}
-	return errors.Join(checkAmount("FallMultiple", set.FallMultiple), checkAmount("CrossCharge", set.CrossCharge),
-		checkTime("MustAsk", set.MustAsk),
-		checkTime("ColdTime", set.ColdTime),
-		checkTime("FallTime", set.FallTime), checkRules(set.Rules))
+	return errors.Join(checkAmount("FallMultiple", set.OverloadMultiple), checkAmount("CrossCharge", set.ZoneCrossingCost),
+		checkTime("MustAsk", set.DiscoveryDeadline),
+		checkTime("ColdTime", set.WarmUpTime),
+		checkTime("FallTime", set.OverloadTime), checkRules(set.Rules))
 }
 
 // within tells whether x is a number from low to high.
@@ -60,18 +60,18 @@
 
 func checkClass(c Class) error {
 	switch {
-	case c.Aim <= 0:
-		return fmt.Errorf("field Aim: %v is not above 0", c.Aim)
-	case c.Deadline < c.Aim:
-		return fmt.Errorf("field Deadline: %v is before the aim of %v", c.Deadline, c.Aim)
+	case c.LatencyTarget <= 0:
+		return fmt.Errorf("field Aim: %v is not above 0", c.LatencyTarget)
+	case c.Deadline < c.LatencyTarget:
+		return fmt.Errorf("field Deadline: %v is before the aim of %v", c.Deadline, c.LatencyTarget)
 	case c.Effect < Idempotent || c.Effect > AtMostOnce:
 		return fmt.Errorf("field Effect: %d is unknown", c.Effect)
 	case c.Scope < ScopeAll || c.Scope > ScopeCell:
 		return fmt.Errorf("field Scope: %d is unknown", c.Scope)
-	case !within(c.LateWorth, 0, 1):
-		return fmt.Errorf("field LateWorth: %v is no share from 0 to 1", c.LateWorth)
+	case !within(c.LateValue, 0, 1):
+		return fmt.Errorf("field LateWorth: %v is no share from 0 to 1", c.LateValue)
 	}
-	return errors.Join(checkAmount("Worth", c.Worth), checkTime("DedupeWindow", c.DedupeWindow))
+	return errors.Join(checkAmount("Worth", c.Value), checkTime("DedupeWindow", c.DedupeWindow))
 }
 
 // checkRules says what is wrong with a rule table, naming the rule and its field.
--- a/balance/cold_budget_test.go
+++ b/balance/cold_budget_test.go
@@ -18,7 +18,7 @@
 		h.now += 20 * time.Millisecond
 		for range n {
 			id++
-			b.Request(h.now, Request{ID: id, Tenant: -1, Within: 3 * time.Second})
+			b.Request(h.now, Request{ID: id, Tenant: -1, TimeLeft: 3 * time.Second})
 		}
 	}
 	for range 200 {
@@ -26,7 +26,7 @@
 		sent := h.sent
 		h.sent = nil
 		for _, s := range sent {
-			b.Result(h.now+20*time.Millisecond, Result{ID: s.id, Endpoint: s.to, Took: 20 * time.Millisecond, Finished: true})
+			b.Result(h.now+20*time.Millisecond, Result{ID: s.id, Endpoint: s.to, Latency: 20 * time.Millisecond, Finished: true})
 		}
 	}
 	b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "c", Zone: "x", Kind: "big", Size: 1, Started: h.now}})
@@ -46,15 +46,15 @@
 	for i, from := range cold {
 		n := 0
 		for _, at := range cold[i:] {
-			if at-from < set.FallTime {
+			if at-from < set.OverloadTime {
 				n++
 			}
 		}
 		most = max(most, n)
 	}
 	// At the end of the second its share of capacity is a little higher than at the start.
-	share := set.StartCapacity + (1-set.StartCapacity)*1.0/set.ColdTime.Seconds()
-	return most, set.FallMultiple * share * 50 * set.FallTime.Seconds() / float64(peers)
+	share := set.StartCapacity + (1-set.StartCapacity)*1.0/set.WarmUpTime.Seconds()
+	return most, set.OverloadMultiple * share * 50 * set.OverloadTime.Seconds() / float64(peers)
 }
 
 func TestColdBudget(t *testing.T) {
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -64,10 +64,10 @@
 func (f *coldFleet) meet() {
 	var peers []Peer
 	for _, b := range f.sidecars {
-		peers = append(peers, Peer{b.set.Zone, b.Level()})
+		peers = append(peers, Peer{b.settings.Zone, b.TrafficLevel()})
 	}
 	for self, b := range f.sidecars {
-		b.Members(f.now, self, peers)
+		b.SetMembers(f.now, self, peers)
 	}
 }
 
@@ -77,12 +77,12 @@
 		for len(f.answers) > 0 && f.answers[0].at <= f.now {
 			a := f.answers[0]
 			f.answers = f.answers[1:]
-			r := Result{ID: a.send.id, Endpoint: a.send.to, Took: 100 * time.Millisecond, Finished: true}
+			r := Result{ID: a.send.id, Endpoint: a.send.to, Latency: 100 * time.Millisecond, Finished: true}
 			if a.send.to == f.bad {
 				r.Outcome, r.Finished = ConnectFailed, false
 			}
 			if a.hung {
-				r.Outcome, r.Finished, r.Took = TimedOut, false, hangs
+				r.Outcome, r.Finished, r.Latency = TimedOut, false, hangs
 			}
 			if q := f.sidecars[a.self].requests[r.ID]; q != nil { // one attempt after the other
 				r.Attempt = len(q.attempts) - 1
@@ -93,11 +93,11 @@
 		for self, b := range f.sidecars {
 			for ; f.next[self] <= f.now; f.next[self] += f.wait(self) {
 				f.ids++
-				b.Request(f.now, Request{ID: f.ids, Tenant: -1, Within: 3 * time.Second})
+				b.Request(f.now, Request{ID: f.ids, Tenant: -1, TimeLeft: 3 * time.Second})
 				f.take(self)
 			}
-			if (f.now/coldTick+Time(self))%(tickEvery/coldTick) == 0 {
-				b.Timer(f.now, tokenTick)
+			if (f.now/coldTick+Time(self))%(tickInterval/coldTick) == 0 {
+				b.Timer(f.now, tickToken)
 			}
 		}
 	}
@@ -130,11 +130,11 @@
 			continue
 		}
 		j := i
-		for j < len(sent) && sent[j] < first+set.FallTime {
+		for j < len(sent) && sent[j] < first+set.OverloadTime {
 			j++
 		}
-		warm := set.StartCapacity + (1-set.StartCapacity)*min((first-from).Seconds()/set.ColdTime.Seconds(), 1)
-		may := set.FallMultiple * warm * capacity * set.FallTime.Seconds()
+		warm := set.StartCapacity + (1-set.StartCapacity)*min((first-from).Seconds()/set.WarmUpTime.Seconds(), 1)
+		may := set.OverloadMultiple * warm * capacity * set.OverloadTime.Seconds()
 		over = max(over, float64(j-i)/(may+3*math.Sqrt(may)+3))
 	}
 	return over
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -23,8 +23,8 @@
 func Example() {
 	b, err := balance.New(balance.Settings{
 		Seed: 1, Peers: 1, Zone: "north", Service: "orders", MaxAttempts: 2,
-		Classes: []balance.Class{{Name: "read", Effect: balance.Idempotent, Worth: 1,
-			Aim: 200 * time.Millisecond, Deadline: time.Second}},
+		Classes: []balance.Class{{Name: "read", Effect: balance.Idempotent, Value: 1,
+			LatencyTarget: 200 * time.Millisecond, Deadline: time.Second}},
 		Rules: []balance.Rule{{
 			Name: "canary", Source: balance.Match{"service": "*"}, Service: balance.Match{"service": "orders"},
 			Destinations: []balance.Destination{
@@ -42,9 +42,9 @@
 		{ID: "10.0.0.1:80", Zone: "north", Kind: "v1", Size: 1},
 		{ID: "10.0.0.2:80", Zone: "north", Kind: "v2", Size: 1},
 	})
-	b.Request(now, balance.Request{ID: 7, Class: 0, Tenant: -1, Within: time.Second})
+	b.Request(now, balance.Request{ID: 7, Class: 0, Tenant: -1, TimeLeft: time.Second})
 	b.Result(now+50*time.Millisecond, balance.Result{ID: 7, Attempt: 0, Endpoint: "10.0.0.1:80",
-		Outcome: balance.Errored, Took: 50 * time.Millisecond})
+		Outcome: balance.Errored, Latency: 50 * time.Millisecond})
 	// Output:
 	// send 7 to 10.0.0.1:80
 	// refuse 7
--- a/balance/expect_test.go
+++ b/balance/expect_test.go
@@ -12,15 +12,15 @@
 	serve(b, h, 20, 200*time.Millisecond)
 	for i := range RequestID(4) {
 		if to := ask(b, h, i); to == "b" {
-			b.Result(h.now, Result{ID: i, Endpoint: to, Took: 200 * time.Millisecond, Finished: true})
+			b.Result(h.now, Result{ID: i, Endpoint: to, Latency: 200 * time.Millisecond, Finished: true})
 		}
 	}
-	if b.known["a"].inFlight == 0 {
+	if b.byID["a"].inFlight == 0 {
 		t.Fatal("nothing is out at the endpoint")
 	}
-	before := b.expect(b.known["a"], h.now)
+	before := b.expectedLatency(b.byID["a"], h.now)
 	h.now += 600 * time.Millisecond
-	if after := b.expect(b.known["a"], h.now); after < before*1.2 {
+	if after := b.expectedLatency(b.byID["a"], h.now); after < before*1.2 {
 		t.Errorf("a stuck endpoint is expected to answer in %.3f s, %.3f before", after, before)
 	}
 }
@@ -38,11 +38,11 @@
 			took = 50 * time.Millisecond
 		}
 		h.now += took
-		b.Result(h.now, Result{ID: i, Endpoint: to, Took: took, Finished: true})
+		b.Result(h.now, Result{ID: i, Endpoint: to, Latency: took, Finished: true})
 	}
-	unused := b.known["c"]
-	unused.took, unused.held = 0, 0
-	if got := b.expect(unused, h.now); got > 0.15 {
+	unused := b.byID["c"]
+	unused.latencySum, unused.loadSum = 0, 0
+	if got := b.expectedLatency(unused, h.now); got > 0.15 {
 		t.Errorf("an unused endpoint of a quick group is expected to take %.3f s", got)
 	}
 }
@@ -56,18 +56,18 @@
 		ask(b, h, i)
 	}
 	idle := b.endpoints[slices.IndexFunc(b.endpoints, func(e *endpoint) bool { return e.inFlight == 0 })]
-	idle.took, idle.held = 0, 0
-	before := b.expect(idle, h.now)
-	h.now += tickEvery * 5
-	b.Timer(h.now, tokenTick)
-	if after := b.expect(idle, h.now); after < 1.3*before {
+	idle.latencySum, idle.loadSum = 0, 0
+	before := b.expectedLatency(idle, h.now)
+	h.now += tickInterval * 5
+	b.Timer(h.now, tickToken)
+	if after := b.expectedLatency(idle, h.now); after < 1.3*before {
 		t.Errorf("%.4f s are expected of it while its peers owe answers, %.4f before", after, before)
 	}
 }
 
 // TestColdEndpointIsNotJudgedByJammedPeers has all warm endpoints answer too late while a fresh one does not.
 func TestColdEndpointIsNotJudgedByJammedPeers(t *testing.T) {
-	bar := time.Duration(refuseAt * float64(settings().Classes[0].Aim))
+	bar := time.Duration(refusalThreshold * float64(settings().Classes[0].LatencyTarget))
 	for _, tt := range []struct {
 		name string
 		took time.Duration // by the fresh endpoint's answers; 0: it has given none
@@ -80,14 +80,14 @@
 		b, h := start(t, settings(), pair())
 		serve(b, h, 40, 2*bar)
 		b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "c", Zone: "x", Kind: "big", Size: 1, Started: h.now}})
-		fresh := b.known["c"]
+		fresh := b.byID["c"]
 		if n := 20.0; tt.took > 0 {
-			fresh.took, fresh.held, fresh.fresh = n*tt.took.Seconds(), n*(1+unseen), 1
+			fresh.latencySum, fresh.loadSum, fresh.freshness = n*tt.took.Seconds(), n*(1+unseenLoad), 1
 		}
-		if got := b.expect(fresh, h.now); got <= bar.Seconds() != tt.open {
+		if got := b.expectedLatency(fresh, h.now); got <= bar.Seconds() != tt.open {
 			t.Errorf("%s: it is expected to answer in %.2f s, and its peers are full at %.2f s", tt.name, got, bar.Seconds())
 		}
-		if got := b.expect(b.known["a"], h.now); got <= bar.Seconds() {
+		if got := b.expectedLatency(b.byID["a"], h.now); got <= bar.Seconds() {
 			t.Errorf("%s: a jammed warm endpoint is expected to answer in %.2f s", tt.name, got)
 		}
 	}
@@ -102,17 +102,17 @@
 	for i := range RequestID(40) {
 		h.now += 20 * time.Millisecond
 		to := ask(b, h, i+1)
-		r := Result{ID: i + 1, Endpoint: to, Took: took, Finished: true}
+		r := Result{ID: i + 1, Endpoint: to, Latency: took, Finished: true}
 		if to == "s0000" || to == "s0001" {
-			r.Outcome, r.Took = TimedOut, 3*time.Second
+			r.Outcome, r.Latency = TimedOut, 3*time.Second
 		}
 		b.Result(h.now, r)
 	}
-	if got := b.expect(b.known["s0002"], h.now); got > 1.5*took.Seconds() {
+	if got := b.expectedLatency(b.byID["s0002"], h.now); got > 1.5*took.Seconds() {
 		t.Errorf("an endpoint that answers in %v is expected to take %.2f s, since others are silent", took, got)
 	}
 	b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "s0009", Zone: "x", Kind: "big", Size: 1}})
-	if got := b.expect(b.known["s0009"], h.now); got > 1.5*took.Seconds() {
+	if got := b.expectedLatency(b.byID["s0009"], h.now); got > 1.5*took.Seconds() {
 		t.Errorf("an endpoint not used yet is expected to take %.2f s, since others are silent", got)
 	}
 }
--- a/balance/fair_test.go
+++ b/balance/fair_test.go
@@ -20,8 +20,8 @@
 	// play has the heavy client ask ten times as often as others do, and returns what was refused of each.
 	play := func(long time.Duration, full bool) (asked, refused [2]int, all []RequestID) {
 		for end := host.now + long; host.now < end; host.now += 10 * time.Millisecond {
-			if b.tight = 0; full {
-				b.tight = host.now + time.Second
+			if b.sheddingUntil = 0; full {
+				b.sheddingUntil = host.now + time.Second
 			}
 			for n := range 11 {
 				client := heavy
@@ -30,7 +30,7 @@
 				}
 				before := len(host.refused)
 				id++
-				b.Request(host.now, Request{ID: id, Tenant: -1, Within: time.Second, Client: uint64(client)})
+				b.Request(host.now, Request{ID: id, Tenant: -1, TimeLeft: time.Second, Client: uint64(client)})
 				i := min(client-heavy, 1)
 				asked[i]++
 				if len(host.refused) > before {
@@ -47,7 +47,7 @@
 				}
 			}
 			if host.now%h.Window < 10*time.Millisecond {
-				b.Hitters().Roll(host.now)
+				b.HeavyHitters().Roll(host.now)
 			}
 		}
 		return asked, refused, host.refused
@@ -55,7 +55,7 @@
 	if _, refused, _ := play(4*time.Second, false); refused != [2]int{} {
 		t.Errorf("%v refused where there is room", refused)
 	}
-	if held := b.Hitters().Clients(); len(held) != 1 || held[0].Key != heavy || held[0].State != hitters.Heavy {
+	if held := b.HeavyHitters().Clients(); len(held) != 1 || held[0].Key != heavy || held[0].State != hitters.Heavy {
 		t.Fatalf("%+v held", held)
 	}
 	asked, refused, all := play(4*time.Second, true)
--- a/balance/golden_trace_test.go
+++ b/balance/golden_trace_test.go
@@ -113,7 +113,7 @@
 }
 
 // kept takes in all that a Balancer has learned, as far as it hands that on.
-func (tr *goldenTrace) kept(k Kept) {
+func (tr *goldenTrace) kept(k Snapshot) {
 	tr.step('K', int64(k.Tight), int64(len(k.Groups)), int64(len(k.Endpoints)))
 	tr.float(k.Near, k.Idle, k.Arrived)
 	tr.float(k.Work...)
@@ -219,12 +219,12 @@
 
 // drivenAttempt is one that is under way.
 type drivenAttempt struct {
-	self     int
-	id       RequestID
-	attempt  int
-	to       string
-	sent     Time
-	hung     bool // its answer does not come before a time-out
+	self    int
+	id      RequestID
+	attempt int
+	to      string
+	sent    Time
+	hung    bool // its answer does not come before a time-out
 }
 
 // drivenHost notes the attempts that a sidecar asks for.
@@ -260,12 +260,12 @@
 		set.Seed, set.Self, set.Peers, set.Hitters = seed, self, 3, &h
 		set.Zone = []string{"x", "x", "y"}[self]
 		set.Tenants = []Tenant{{"a", 30}, {"b", 5}}
-		set.CancelAllowed, set.AskDiscovery, set.MustAsk = self != 1, self != 2, 10*time.Second
+		set.CancelAllowed, set.SubscribeToDiscovery, set.DiscoveryDeadline = self != 1, self != 2, 10*time.Second
 		set.Classes = []Class{
-			{Name: "read", Effect: Idempotent, Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 3},
-			{Name: "keyed", Effect: Deduplicated, Scope: Scope(self), DedupeWindow: time.Second, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 2},
-			{Name: "once", Effect: AtMostOnce, Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, LateWorth: 0.5},
-			{Name: "heavy", Effect: Idempotent, Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1},
+			{Name: "read", Effect: Idempotent, LatencyTarget: 300 * time.Millisecond, Deadline: time.Second, Value: 3},
+			{Name: "keyed", Effect: Deduplicated, Scope: Scope(self), DedupeWindow: time.Second, LatencyTarget: 500 * time.Millisecond, Deadline: 2 * time.Second, Value: 2},
+			{Name: "once", Effect: AtMostOnce, LatencyTarget: time.Second, Deadline: 3 * time.Second, Value: 1, LateValue: 0.5},
+			{Name: "heavy", Effect: Idempotent, LatencyTarget: 2 * time.Second, Deadline: 5 * time.Second, Value: 1},
 		}
 		d.settings = append(d.settings, set)
 		d.sidecars = append(d.sidecars, d.started(self))
@@ -289,12 +289,12 @@
 // ticks has the timers of all sidecars expire that are due, and the sidecars exchange what they say.
 func (d *driver) ticks() {
 	for self, b := range d.sidecars {
-		for ; d.nextTick[self] <= d.now; d.nextTick[self] += tickEvery {
-			b.Timer(d.now, tokenTick)
-			d.tr.kept(b.Keep(d.now))
-			all, avoided := b.Listed(d.now)
-			d.tr.num(int64(all), int64(avoided), int64(b.Level()))
-			d.tr.flag(b.RulesWait())
+		for ; d.nextTick[self] <= d.now; d.nextTick[self] += tickInterval {
+			b.Timer(d.now, tickToken)
+			d.tr.kept(b.Snapshot(d.now))
+			all, avoided := b.CountListed(d.now)
+			d.tr.num(int64(all), int64(avoided), int64(b.TrafficLevel()))
+			d.tr.flag(b.RulesPending())
 			if d.rng.IntN(3) == 0 {
 				d.exchange(self)
 			}
@@ -302,14 +302,14 @@
 				d.endWindow(self)
 			}
 			if d.rng.IntN(40) == 0 {
-				b.Timer(d.now, tokenAsk)
+				b.Timer(d.now, discoveryToken)
 			}
 		}
 	}
 }
 
 func (d *driver) exchange(self int) {
-	r := d.sidecars[self].Witness(d.now)
+	r := d.sidecars[self].LocalReport(d.now)
 	d.tr.report(r)
 	d.seq++
 	for other, b := range d.sidecars {
@@ -317,20 +317,20 @@
 			continue
 		}
 		for _, alias := range []string{"", "-twin", "-third"} { // a witness counts once: as many as make a verdict
-			b.Told(d.now, fmt.Sprint("p", self, alias), 1, d.seq-uint64(d.rng.IntN(2)), time.Duration(d.rng.IntN(300))*time.Millisecond, r)
+			b.ReceiveReport(d.now, fmt.Sprint("p", self, alias), 1, d.seq-uint64(d.rng.IntN(2)), time.Duration(d.rng.IntN(300))*time.Millisecond, r)
 		}
 		if d.rng.IntN(50) == 0 {
-			b.Gone(fmt.Sprint("p", self))
+			b.RemoveMember(fmt.Sprint("p", self))
 		}
 	}
 }
 
 func (d *driver) endWindow(self int) {
-	news, changed := d.sidecars[self].Hitters().Roll(d.now)
-	d.tr.hitters(d.sidecars[self].Hitters(), news, changed)
+	news, changed := d.sidecars[self].HeavyHitters().Roll(d.now)
+	d.tr.hitters(d.sidecars[self].HeavyHitters(), news, changed)
 	for other, b := range d.sidecars {
 		if other != self {
-			d.tr.flag(b.Hitters().Tell(d.now, news))
+			d.tr.flag(b.HeavyHitters().Tell(d.now, news))
 		}
 	}
 }
@@ -342,8 +342,8 @@
 	}
 	for range burst {
 		d.ids++
-		r := Request{ID: d.ids, Class: d.rng.IntN(4), Tenant: d.rng.IntN(3) - 1, Within: time.Duration(50+d.rng.IntN(3000)) * time.Millisecond,
-			Coming: d.rng.IntN(8) == 0, Client: uint64(d.rng.IntN(5)) * uint64(d.rng.IntN(2))}
+		r := Request{ID: d.ids, Class: d.rng.IntN(4), Tenant: d.rng.IntN(3) - 1, TimeLeft: time.Duration(50+d.rng.IntN(3000)) * time.Millisecond,
+			BodyIncomplete: d.rng.IntN(8) == 0, Client: uint64(d.rng.IntN(5)) * uint64(d.rng.IntN(2))}
 		d.sidecars[d.self].Request(d.now, r)
 	}
 }
@@ -362,14 +362,14 @@
 	b := d.sidecars[a.self]
 	switch d.rng.IntN(24) {
 	case 0:
-		b.BodyTaken(a.id)
+		b.BodyConsumed(a.id)
 	case 1, 2:
-		b.BodyEnded(d.now, a.id, time.Duration(200+d.rng.IntN(1000))*time.Millisecond)
+		b.BodyComplete(d.now, a.id, time.Duration(200+d.rng.IntN(1000))*time.Millisecond)
 	case 3:
 		b.AnswerStarted(d.now, a.id, a.attempt)
 	case 4:
 		if d.rng.IntN(4) == 0 {
-			b.ClientGone(d.now, a.id)
+			b.ClientDisconnected(d.now, a.id)
 		}
 	default:
 		d.end(i)
@@ -392,7 +392,7 @@
 		return
 	}
 	d.open = slices.Delete(d.open, i, i+1)
-	d.sidecars[a.self].Result(d.now, Result{ID: a.id, Attempt: a.attempt, Endpoint: a.to, Outcome: outcome, Took: d.now - a.sent,
+	d.sidecars[a.self].Result(d.now, Result{ID: a.id, Attempt: a.attempt, Endpoint: a.to, Outcome: outcome, Latency: d.now - a.sent,
 		Finished: outcome == Served || d.rng.IntN(20) == 0})
 }
 
@@ -428,7 +428,7 @@
 	for range d.rng.IntN(3) {
 		out = append(out, fmt.Sprint("s", d.rng.IntN(15)))
 	}
-	d.sidecars[d.self].ByHand(d.now, out)
+	d.sidecars[d.self].SetOutOfService(d.now, out)
 	d.tr.flag(d.sidecars[d.self].Knows("s14"))
 }
 
@@ -465,7 +465,7 @@
 func (d *driver) meet() {
 	var peers []Peer
 	for i, b := range d.sidecars {
-		peers = append(peers, Peer{d.settings[i].Zone, b.Level()})
+		peers = append(peers, Peer{d.settings[i].Zone, b.TrafficLevel()})
 	}
 	if d.rng.IntN(2) == 0 {
 		peers = append(peers, Peer{"", 0}, Peer{"x", 3})
@@ -474,7 +474,7 @@
 		if d.rng.IntN(10) == 0 {
 			self = -1
 		}
-		b.Members(d.now, self, peers)
+		b.SetMembers(d.now, self, peers)
 	}
 }
 
@@ -493,11 +493,11 @@
 	if d.rng.IntN(8) > 0 {
 		return
 	}
-	learned := d.sidecars[d.self].Keep(d.now)
+	learned := d.sidecars[d.self].Snapshot(d.now)
 	d.open = slices.DeleteFunc(d.open, func(a drivenAttempt) bool { return a.self == d.self })
 	d.sidecars[d.self] = d.started(d.self)
-	d.sidecars[d.self].Remember(d.now, learned, time.Duration(d.rng.IntN(3000))*time.Millisecond)
-	d.tr.kept(d.sidecars[d.self].Keep(d.now))
+	d.sidecars[d.self].Restore(d.now, learned, time.Duration(d.rng.IntN(3000))*time.Millisecond)
+	d.tr.kept(d.sidecars[d.self].Snapshot(d.now))
 }
 
 // tracedSilence is a fleet of which a server falls silent, with members that tell each other, some servers cold.
@@ -508,14 +508,14 @@
 	f := newColdFleet(t, 10+int(seed), servers, 120)
 	g := &gossip{f: f, said: make([]signals.Report, len(f.sidecars))}
 	for self, b := range f.sidecars {
-		b.act = tracedActions{b.act, tr, int64(self)}
+		b.actions = tracedActions{b.actions, tr, int64(self)}
 	}
 	run := func(until Time) {
 		for f.now < until {
 			g.round()
 			f.run(f.now + 200*time.Millisecond)
 			for _, b := range f.sidecars {
-				tr.kept(b.Keep(f.now))
+				tr.kept(b.Snapshot(f.now))
 			}
 		}
 	}
@@ -523,7 +523,7 @@
 	f.meet()
 	f.bad = "s0003"
 	run(f.now + 4*time.Second)
-	f.silent, f.bad = f.sidecars[0].active[0].ID, ""
+	f.silent, f.bad = f.sidecars[0].inUse[0].ID, ""
 	run(f.now + 8*time.Second)
 	f.silent = ""
 	run(f.now + 6*time.Second)
--- a/balance/hand_test.go
+++ b/balance/hand_test.go
@@ -9,12 +9,12 @@
 func TestOutByHand(t *testing.T) {
 	b, h := start(t, settings(), pair())
 	serve(b, h, 20, 20*time.Millisecond)
-	b.ByHand(h.now, []string{"a", "not listed"})
+	b.SetOutOfService(h.now, []string{"a", "not listed"})
 	again := pair()
 	again[0].Started = h.now
 	for name, change := range map[string]func(){
 		"taken out":    func() {},
-		"taken twice":  func() { b.ByHand(h.now, []string{"a", "not listed"}) },
+		"taken twice":  func() { b.SetOutOfService(h.now, []string{"a", "not listed"}) },
 		"listed again": func() { b.Endpoints(h.now, ListFull, pair()) },
 		"restarted":    func() { b.Endpoints(h.now, ListChanges, again[:1]) },
 		"gone and back": func() {
@@ -30,12 +30,12 @@
 			}
 			h.answer(b, h.now, Served)
 		}
-		if all, avoided := b.Listed(h.now); all != 2 || avoided != 1 {
+		if all, avoided := b.CountListed(h.now); all != 2 || avoided != 1 {
 			t.Errorf("%s: %d listed and %d avoided, want 2 and 1", name, all, avoided)
 		}
 	}
-	b.ByHand(h.now, nil)
-	if _, avoided := b.Listed(h.now); avoided != 0 {
+	b.SetOutOfService(h.now, nil)
+	if _, avoided := b.CountListed(h.now); avoided != 0 {
 		t.Errorf("%d are avoided though none is out", avoided)
 	}
 	for id := range RequestID(200) {
@@ -59,19 +59,19 @@
 		b, h := start(t, settings(), pair())
 		serve(b, h, 20, 20*time.Millisecond)
 		began := h.now
-		b.ByHand(h.now, []string{"a"})
+		b.SetOutOfService(h.now, []string{"a"})
 		if h.now += 4 * time.Second; tt.started != 0 {
 			again := pair()[:1]
 			again[0].Started = began + tt.started
 			b.Endpoints(h.now, ListChanges, again)
 		}
 		if tt.warm {
-			h.now += settings().ColdTime
+			h.now += settings().WarmUpTime
 		}
-		b.ByHand(h.now, nil)
-		e := b.known["a"]
-		if got := e.warm >= 1; got != tt.warm {
-			t.Errorf("%s: warmth %.2f", tt.name, e.warm)
+		b.SetOutOfService(h.now, nil)
+		e := b.byID["a"]
+		if got := e.warmth >= 1; got != tt.warm {
+			t.Errorf("%s: warmth %.2f", tt.name, e.warmth)
 		}
 		got := 0
 		for range 40 {
@@ -89,8 +89,8 @@
 		late[0].Started = began + time.Second
 		h.now = max(h.now, began+time.Second)
 		b.Endpoints(h.now, ListChanges, late)
-		if want := began + time.Second; e.from != want {
-			t.Errorf("%s: cold from %v, want its listed start %v", tt.name, e.from, want)
+		if want := began + time.Second; e.warmUpStart != want {
+			t.Errorf("%s: cold from %v, want its listed start %v", tt.name, e.warmUpStart, want)
 		}
 	}
 }
@@ -102,18 +102,18 @@
 	again := pair()[:1]
 	again[0].Started = h.now + time.Hour
 	b.Endpoints(h.now, ListChanges, again)
-	h.now += settings().ColdTime
-	b.ByHand(h.now, []string{"a"})
+	h.now += settings().WarmUpTime
+	b.SetOutOfService(h.now, []string{"a"})
 	h.now += time.Second
-	b.ByHand(h.now, nil)
-	if e := b.known["a"]; e.warm >= 1 || e.from != h.now {
-		t.Errorf("cold from %v with warmth %.2f, want from %v", e.from, e.warm, h.now)
+	b.SetOutOfService(h.now, nil)
+	if e := b.byID["a"]; e.warmth >= 1 || e.warmUpStart != h.now {
+		t.Errorf("cold from %v with warmth %.2f, want from %v", e.warmUpStart, e.warmth, h.now)
 	}
 }
 
 func TestKnows(t *testing.T) {
 	b, h := start(t, settings(), pair())
-	b.ByHand(h.now, []string{"c"})
+	b.SetOutOfService(h.now, []string{"c"})
 	b.Endpoints(h.now, ListFull, pair()[:1])
 	for id, want := range map[string]bool{"a": true, "b": false, "c": true, "d": false, "": false} {
 		if b.Knows(id) != want {
@@ -127,8 +127,8 @@
 func TestOnlyColdEndpointsAreLeft(t *testing.T) {
 	b, h := start(t, settings(), pair())
 	serve(b, h, 40, 20*time.Millisecond)
-	b.ByHand(h.now, []string{"a"})
-	b.ByHand(h.now, []string{"b"}) // a is back, and cold
+	b.SetOutOfService(h.now, []string{"a"})
+	b.SetOutOfService(h.now, []string{"b"}) // a is back, and cold
 	const n = 100
 	sent := 0
 	for range n {
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -20,7 +20,7 @@
 				outcome = Errored
 				failed++
 			}
-			b.Result(h.now, Result{ID: i, Endpoint: to, Outcome: outcome, Took: time.Millisecond, Finished: outcome == Served})
+			b.Result(h.now, Result{ID: i, Endpoint: to, Outcome: outcome, Latency: time.Millisecond, Finished: outcome == Served})
 		}
 		return failed
 	}
@@ -28,8 +28,8 @@
 		t.Errorf("%d requests went to an endpoint that fails every one, want 1 or 2", failed)
 	}
 	// When its time is over it comes back, and the next fault ejects it at once.
-	h.now += ejectFor + time.Second
-	b.Timer(h.now, tokenTick)
+	h.now += ejectionTime + time.Second
+	b.Timer(h.now, tickToken)
 	if back := play(100, 12, 0); back != 1 {
 		t.Errorf("%d requests after its return, want 1", back)
 	}
@@ -39,12 +39,12 @@
 	// With every endpoint ejected, the fault is taken to be our own, and requests still go out.
 	b, h := start(t, settings(), pair())
 	for _, e := range b.endpoints {
-		e.until = h.now + time.Hour
+		e.ejectedUntil = h.now + time.Hour
 	}
 	if ask(b, h, 1) != "" {
 		t.Error("an ejected endpoint was used before the share was counted")
 	}
-	b.Timer(h.now, tokenTick)
+	b.Timer(h.now, tickToken)
 	if ask(b, h, 2) == "" {
 		t.Error("no endpoint is used though all are ejected")
 	}
@@ -60,7 +60,7 @@
 		if to == first {
 			t.Fatalf("request %d went to an endpoint that has been silent for two aims", i)
 		}
-		b.Result(h.now, Result{ID: i, Endpoint: to, Took: 20 * time.Millisecond, Finished: true})
+		b.Result(h.now, Result{ID: i, Endpoint: to, Latency: 20 * time.Millisecond, Finished: true})
 	}
 }
 
@@ -80,7 +80,7 @@
 	for i := range RequestID(n) {
 		h.now += 10 * time.Millisecond
 		for len(lost) > 0 && h.now-lost[0].at >= 2*time.Second {
-			b.Result(h.now, Result{ID: lost[0].id, Endpoint: lost[0].to, Outcome: TimedOut, Took: 2 * time.Second, Finished: true})
+			b.Result(h.now, Result{ID: lost[0].id, Endpoint: lost[0].to, Outcome: TimedOut, Latency: 2 * time.Second, Finished: true})
 			lost = lost[1:]
 		}
 		to := ask(b, h, i)
@@ -88,7 +88,7 @@
 			lost = append(lost, out{i, h.now, to})
 			continue
 		}
-		b.Result(h.now, Result{ID: i, Endpoint: to, Took: 5 * time.Millisecond, Finished: true})
+		b.Result(h.now, Result{ID: i, Endpoint: to, Latency: 5 * time.Millisecond, Finished: true})
 	}
 	if len(h.refused) > 0 || len(h.logs) > 0 {
 		t.Errorf("%d requests refused, log %v", len(h.refused), h.logs)
@@ -96,8 +96,8 @@
 	if turns["a"] < n*2/5 || turns["b"] < n*2/5 {
 		t.Errorf("turns %v", turns)
 	}
-	if e := b.known["a"]; len(e.flights) != e.inFlight || e.awaited() > e.inFlight {
-		t.Errorf("%d flights, %d in flight, %d awaited", len(e.flights), e.inFlight, e.awaited())
+	if e := b.byID["a"]; len(e.flights) != e.inFlight || e.pendingAnswers() > e.inFlight {
+		t.Errorf("%d flights, %d in flight, %d awaited", len(e.flights), e.inFlight, e.pendingAnswers())
 	}
 }
 
@@ -120,7 +120,7 @@
 				out = append(out, sending{id: i, to: to})
 			}
 			if h.sent = nil; len(out) == 4 {
-				b.Result(h.now, Result{ID: out[0].id, Endpoint: out[0].to, Took: 30 * time.Millisecond, Finished: true})
+				b.Result(h.now, Result{ID: out[0].id, Endpoint: out[0].to, Latency: 30 * time.Millisecond, Finished: true})
 				out = out[1:]
 			}
 		}
@@ -133,7 +133,7 @@
 		if out := h.now - began; h.cancelled != 1 || out < 200*time.Millisecond || out > 500*time.Millisecond {
 			t.Fatalf("called off %d times, the first after %v", h.cancelled, out)
 		}
-		b.Result(h.now, Result{ID: lost, Endpoint: first, Outcome: Cancelled, Took: h.now - began})
+		b.Result(h.now, Result{ID: lost, Endpoint: first, Outcome: Cancelled, Latency: h.now - began})
 		if len(h.sent) != 1 || h.sent[0].id != lost || h.sent[0].to == first {
 			t.Errorf("then %v, not at %s again", h.sent, first)
 		}
@@ -143,12 +143,12 @@
 func TestRestartIsANewStart(t *testing.T) {
 	b, h := start(t, settings(), pair())
 	serve(b, h, 40, 20*time.Millisecond)
-	e := b.known["a"]
-	e.until = h.now + time.Hour
+	e := b.byID["a"]
+	e.ejectedUntil = h.now + time.Hour
 	again := e.Endpoint
 	again.Started = h.now
 	b.Endpoints(h.now, ListChanges, []Endpoint{again})
-	if e.until != 0 || e.held != 0 || e.warm >= 1 {
+	if e.ejectedUntil != 0 || e.loadSum != 0 || e.warmth >= 1 {
 		t.Errorf("a restarted endpoint keeps its past: %+v", e)
 	}
 }
@@ -160,19 +160,19 @@
 		b.Endpoints(h.now, ListFull, list)
 		serve(b, h, 2, time.Millisecond)
 	}
-	if len(b.known) > 2 || len(b.endpoints) != 1 || len(b.requests) != 0 {
-		t.Errorf("%d endpoints and %d requests are still known", len(b.known), len(b.requests))
+	if len(b.byID) > 2 || len(b.endpoints) != 1 || len(b.requests) != 0 {
+		t.Errorf("%d endpoints and %d requests are still known", len(b.byID), len(b.requests))
 	}
 }
 
 func TestDiscoveryCallsBackOff(t *testing.T) {
 	set := settings()
-	set.AskDiscovery, set.MustAsk = true, 10*time.Second
+	set.SubscribeToDiscovery, set.DiscoveryDeadline = true, 10*time.Second
 	b, h := start(t, set, pair())
 	for range 20 {
 		calls := h.subscribed
-		b.Timer(h.now, tokenAsk)
-		b.Timer(h.now, tokenAsk)
+		b.Timer(h.now, discoveryToken)
+		b.Timer(h.now, discoveryToken)
 		if h.subscribed != calls+1 {
 			t.Fatalf("%d calls, want one more than %d: a call is out", h.subscribed, calls)
 		}
@@ -193,7 +193,7 @@
 		set := settings()
 		set.Classes[0].Effect, set.Classes[0].Scope, set.Classes[0].DedupeWindow = Deduplicated, ScopeAll, 5*time.Second
 		b, h := start(t, set, pair())
-		b.Request(h.now, Request{ID: 1, Tenant: -1, Within: 10 * time.Second})
+		b.Request(h.now, Request{ID: 1, Tenant: -1, TimeLeft: 10 * time.Second})
 		h.answer(b, h.now+tt.after, Errored)
 		if len(h.sent) != tt.repeats {
 			t.Errorf("%d repeats after %v, want %d", len(h.sent), tt.after, tt.repeats)
@@ -212,10 +212,10 @@
 	for _, tt := range []struct {
 		after time.Duration
 		want  float64
-	}{{0, settings().StartCapacity}, {settings().ColdTime / 2, (1 + settings().StartCapacity) / 2}, {settings().ColdTime, 1}} {
+	}{{0, settings().StartCapacity}, {settings().WarmUpTime / 2, (1 + settings().StartCapacity) / 2}, {settings().WarmUpTime, 1}} {
 		h.now = told + tt.after
 		b.Endpoints(h.now, ListChanges, fresh)
-		if got := b.warmth(b.known["c"], h.now); got < tt.want-1e-9 || got > tt.want+1e-9 {
+		if got := b.warmthOf(b.byID["c"], h.now); got < tt.want-1e-9 || got > tt.want+1e-9 {
 			t.Errorf("%v after it was told, its warmth is %v, want %v", tt.after, got, tt.want)
 		}
 	}
--- a/balance/host_test.go
+++ b/balance/host_test.go
@@ -43,7 +43,7 @@
 	sent := h.sent
 	h.sent = nil
 	for _, s := range sent {
-		b.Result(now, Result{ID: s.id, Attempt: 0, Endpoint: s.to, Outcome: outcome, Took: 5 * time.Millisecond,
+		b.Result(now, Result{ID: s.id, Attempt: 0, Endpoint: s.to, Outcome: outcome, Latency: 5 * time.Millisecond,
 			Finished: outcome == Served})
 	}
 }
@@ -51,9 +51,9 @@
 // settings are those of a small deployment with one safe class.
 func settings() Settings {
 	return Settings{Seed: 1, Peers: 1, Zone: "x", Zones: []string{"x", "y"}, Kinds: []string{"big", "small"},
-		Service: "backend", MaxAttempts: 3, ColdTime: 10 * time.Second, StartCapacity: 0.3, FallMultiple: 3,
-		FallTime: time.Second, CrossCharge: 0.03,
-		Classes: []Class{{Name: "read", Effect: Idempotent, Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}}}
+		Service: "backend", MaxAttempts: 3, WarmUpTime: 10 * time.Second, StartCapacity: 0.3, OverloadMultiple: 3,
+		OverloadTime: time.Second, ZoneCrossingCost: 0.03,
+		Classes: []Class{{Name: "read", Effect: Idempotent, LatencyTarget: time.Second, Deadline: 3 * time.Second, Value: 1}}}
 }
 
 // start returns a running Balancer that knows list.
@@ -70,7 +70,7 @@
 
 func TestMisuseIsPassedOver(t *testing.T) {
 	b, h := start(t, settings(), []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}})
-	b.Request(h.now, Request{ID: 1, Tenant: -1, Within: time.Second})
+	b.Request(h.now, Request{ID: 1, Tenant: -1, TimeLeft: time.Second})
 	if len(h.sent) != 1 {
 		t.Fatalf("%d attempts for a request, want 1", len(h.sent))
 	}
@@ -78,14 +78,14 @@
 		name string
 		do   func()
 	}{
-		{"duplicate request", func() { b.Request(h.now, Request{ID: 1, Tenant: -1, Within: time.Second}) }},
-		{"unknown class", func() { b.Request(h.now, Request{ID: 2, Class: 9, Tenant: -1, Within: time.Second}) }},
+		{"duplicate request", func() { b.Request(h.now, Request{ID: 1, Tenant: -1, TimeLeft: time.Second}) }},
+		{"unknown class", func() { b.Request(h.now, Request{ID: 2, Class: 9, Tenant: -1, TimeLeft: time.Second}) }},
 		{"result of an unknown request", func() { b.Result(h.now, Result{ID: 7}) }},
 		{"result of an attempt not made", func() { b.Result(h.now, Result{ID: 1, Attempt: 1}) }},
 		{"result of a negative attempt", func() { b.Result(h.now, Result{ID: 1, Attempt: -1}) }},
 		{"answer of an unknown request", func() { b.AnswerStarted(h.now, 7, 0) }},
 		{"answer of an attempt not made", func() { b.AnswerStarted(h.now, 1, 4) }},
-		{"unknown client gone", func() { b.ClientGone(h.now, 7) }},
+		{"unknown client gone", func() { b.ClientDisconnected(h.now, 7) }},
 		{"unknown endpoint removed", func() { b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "z", State: Removed}}) }},
 		{"unknown timer", func() { b.Timer(h.now, 99) }},
 	} {
@@ -95,14 +95,14 @@
 			if len(h.sent) != sent || len(h.timers) != timers || len(h.refused)+len(h.failed)+h.cancelled > 0 {
 				t.Errorf("it led to an action: %+v", h)
 			}
-			if len(b.requests) != 1 || b.known["a"].inFlight != 1 || len(b.endpoints) != 1 {
-				t.Errorf("it changed the state: %d requests, %d in flight", len(b.requests), b.known["a"].inFlight)
+			if len(b.requests) != 1 || b.byID["a"].inFlight != 1 || len(b.endpoints) != 1 {
+				t.Errorf("it changed the state: %d requests, %d in flight", len(b.requests), b.byID["a"].inFlight)
 			}
 		})
 	}
-	b.Result(h.now, Result{ID: 1, Outcome: Served, Took: time.Millisecond, Finished: true})
-	b.Result(h.now, Result{ID: 1, Outcome: Served, Took: time.Millisecond, Finished: true})
-	if e := b.known["a"]; len(b.requests) != 0 || e.inFlight != 0 || len(e.flights) != 0 {
+	b.Result(h.now, Result{ID: 1, Outcome: Served, Latency: time.Millisecond, Finished: true})
+	b.Result(h.now, Result{ID: 1, Outcome: Served, Latency: time.Millisecond, Finished: true})
+	if e := b.byID["a"]; len(b.requests) != 0 || e.inFlight != 0 || len(e.flights) != 0 {
 		t.Errorf("%d requests, %d in flight after the end, told twice", len(b.requests), e.inFlight)
 	}
 }
@@ -112,11 +112,11 @@
 	b, h := start(t, settings(), pair())
 	for i := range RequestID(200) {
 		h.now += time.Duration(i%7-3) * 300 * time.Millisecond
-		b.Request(h.now, Request{ID: i, Tenant: -1, Within: time.Second})
-		b.Timer(h.now, tokenTick)
+		b.Request(h.now, Request{ID: i, Tenant: -1, TimeLeft: time.Second})
+		b.Timer(h.now, tickToken)
 		h.answer(b, h.now-time.Duration(i%3)*time.Second, Served)
 	}
-	if len(b.requests) != 0 || b.known["a"].inFlight+b.known["b"].inFlight != 0 || len(h.failed) != 0 {
+	if len(b.requests) != 0 || b.byID["a"].inFlight+b.byID["b"].inFlight != 0 || len(h.failed) != 0 {
 		t.Errorf("%d requests left, %d failed", len(b.requests), len(h.failed))
 	}
 }
@@ -126,9 +126,9 @@
 	for range n {
 		h.now += 20 * time.Millisecond
 		id := RequestID(h.now)
-		b.Request(h.now, Request{ID: id, Tenant: -1, Within: 3 * time.Second})
+		b.Request(h.now, Request{ID: id, Tenant: -1, TimeLeft: 3 * time.Second})
 		for _, s := range h.sent {
-			b.Result(h.now, Result{ID: s.id, Endpoint: s.to, Took: took, Finished: true})
+			b.Result(h.now, Result{ID: s.id, Endpoint: s.to, Latency: took, Finished: true})
 		}
 		h.sent = nil
 	}
@@ -141,7 +141,7 @@
 // ask sends one request and returns where it went, or "".
 func ask(b *Balancer, h *host, id RequestID) string {
 	before := len(h.sent)
-	b.Request(h.now, Request{ID: id, Tenant: -1, Within: 3 * time.Second})
+	b.Request(h.now, Request{ID: id, Tenant: -1, TimeLeft: 3 * time.Second})
 	if len(h.sent) == before {
 		return ""
 	}
--- a/balance/jam_test.go
+++ b/balance/jam_test.go
@@ -13,7 +13,7 @@
 	for _, gap := range []time.Duration{25 * time.Millisecond, 100 * time.Millisecond} { // much and little traffic
 		set := settings()
 		set.Classes = append(set.Classes, set.Classes[0])
-		set.Classes[1].Worth = 5
+		set.Classes[1].Value = 5
 		var list []Endpoint
 		for i := range 12 {
 			list = append(list, Endpoint{ID: fmt.Sprint("e", i), Zone: "x", Kind: "big", Size: 1})
@@ -32,16 +32,16 @@
 			for len(due) > 0 && due[0].at <= h.now {
 				a := due[0]
 				due = due[1:]
-				b.Result(h.now, Result{ID: a.id, Endpoint: a.to, Took: a.took, Finished: true})
+				b.Result(h.now, Result{ID: a.id, Endpoint: a.to, Latency: a.took, Finished: true})
 			}
-			if since%tickEvery == 0 {
-				b.Timer(h.now, tokenTick)
+			if since%tickInterval == 0 {
+				b.Timer(h.now, tickToken)
 			}
 			if since%gap != 0 {
 				continue
 			}
 			before := len(h.refused)
-			b.Request(h.now, Request{ID: RequestID(h.now), Class: int(since / gap % 2), Tenant: -1, Within: 3 * time.Second})
+			b.Request(h.now, Request{ID: RequestID(h.now), Class: int(since / gap % 2), Tenant: -1, TimeLeft: 3 * time.Second})
 			for _, s := range h.sent {
 				took := quick
 				if jam {
@@ -98,12 +98,12 @@
 		if to == "e0" {
 			outcome = Cancelled // tells nothing
 		}
-		if e := b.known[to]; e.warm < 1 {
+		if e := b.byID[to]; e.warmth < 1 {
 			took = 900 * time.Millisecond
 		}
-		b.Result(h.now, Result{ID: i, Endpoint: to, Outcome: outcome, Took: took, Finished: true})
+		b.Result(h.now, Result{ID: i, Endpoint: to, Outcome: outcome, Latency: took, Finished: true})
 	}
-	cold, warm := b.expect(b.known["e0"], h.now), b.expect(b.known["e5"], h.now)
+	cold, warm := b.expectedLatency(b.byID["e0"], h.now), b.expectedLatency(b.byID["e5"], h.now)
 	if cold < 0.5 || warm > 0.2 {
 		t.Errorf("a cold endpoint that has told nothing is expected to answer in %.2f s, a warm one in %.2f s", cold, warm)
 	}
--- a/balance/keep.go
+++ b/balance/keep.go
@@ -11,48 +11,48 @@
 
 // Bounds of what is handed on.
 const (
-	mostKeptAge = 5 * memory // by then under 1% is left of what answers taught
-	mostKept    = 4096       // endpoints
+	maxSnapshotAge       = 5 * memoryTTL // by then under 1% is left of what answers taught
+	maxSnapshotEndpoints = 4096          // endpoints
 )
 
-// Kept is what a Balancer believes, for the one of the next process. Durations and starts are on the host's clock.
-type Kept struct {
-	Near      float64       `json:"near"`    // weight of other zones
-	Idle      float64       `json:"idle"`    // seconds that a request held takes where the fleet idles
-	Arrived   float64       `json:"arrived"` // fading count of requests
-	Tight     time.Duration `json:"tight"`   // for which lesser classes still give way
-	Work      []float64     `json:"work"`    // mean seconds of answers, by class
-	Groups    []KeptSum     `json:"groups"`  // by the rule's destinations, the last one of all endpoints
-	Endpoints []KeptServer  `json:"endpoints"`
+// Snapshot is what a Balancer believes, for the one of the next process. Durations and starts are on the host's clock.
+type Snapshot struct {
+	Near      float64            `json:"near"`    // weight of other zones
+	Idle      float64            `json:"idle"`    // seconds that a request held takes where the fleet idles
+	Arrived   float64            `json:"arrived"` // fading count of requests
+	Tight     time.Duration      `json:"tight"`   // for which lesser classes still give way
+	Work      []float64          `json:"work"`    // mean seconds of answers, by class
+	Groups    []LatencySum       `json:"groups"`  // by the rule's destinations, the last one of all endpoints
+	Endpoints []EndpointSnapshot `json:"endpoints"`
 }
 
-// KeptSum is a fading sum of answer times in seconds and of the requests held.
-type KeptSum struct {
+// LatencySum is a fading sum of answer times in seconds and of the requests held.
+type LatencySum struct {
 	Took float64 `json:"took"`
 	Held float64 `json:"held"`
 }
 
-// KeptServer is what is believed of an endpoint.
-type KeptServer struct {
+// EndpointSnapshot is what is believed of an endpoint.
+type EndpointSnapshot struct {
 	ID      string `json:"id"`
 	Started Time   `json:"started"` // of the process that it is believed of; 0: long ago
 	Cold    Time   `json:"cold"`    // from when on it counted as cold; 0: it does not
-	KeptSum
+	LatencySum
 	Fresh  float64       `json:"fresh"` // as Held, but what answers have told lately
 	Faults float64       `json:"faults"`
 	Due    float64       `json:"due"` // of its next turn
 	Out    time.Duration `json:"out"` // it stays ejected for so long
 }
 
-// Keep returns what is believed now.
-func (b *Balancer) Keep(now Time) Kept {
-	k := Kept{Near: b.near[1], Idle: b.idle, Arrived: b.arrived, Tight: max(0, b.tight-now), Work: slices.Clone(b.work)}
+// Snapshot returns what is believed now.
+func (b *Balancer) Snapshot(now Time) Snapshot {
+	k := Snapshot{Near: b.zoneWeight[1], Idle: b.idleSeconds, Arrived: b.arrivals, Tight: max(0, b.sheddingUntil-now), Work: slices.Clone(b.meanSeconds)}
 	for _, g := range b.groups {
-		k.Groups = append(k.Groups, KeptSum{g.took, g.held})
+		k.Groups = append(k.Groups, LatencySum{g.latencySum, g.loadSum})
 	}
-	for _, e := range b.endpoints[:min(len(b.endpoints), mostKept)] {
-		s := KeptServer{ID: e.ID, Started: e.Started, Cold: e.from, KeptSum: KeptSum{e.took, e.held}, Fresh: e.fresh, Faults: e.faults, Due: e.due, Out: max(0, e.until-now)}
-		if now-e.from >= b.set.ColdTime {
+	for _, e := range b.endpoints[:min(len(b.endpoints), maxSnapshotEndpoints)] {
+		s := EndpointSnapshot{ID: e.ID, Started: e.Started, Cold: e.warmUpStart, LatencySum: LatencySum{e.latencySum, e.loadSum}, Fresh: e.freshness, Faults: e.failures, Due: e.turnCredit, Out: max(0, e.ejectedUntil-now)}
+		if now-e.warmUpStart >= b.settings.WarmUpTime {
 			s.Cold = 0
 		}
 		if s.Held > 0 || s.Took > 0 || s.Faults > 0 || s.Out > 0 || s.Cold > 0 {
@@ -62,54 +62,54 @@
 	return k
 }
 
-// Remember takes up what was believed some time ago, where nothing newer is believed yet: it is for a Balancer that was told its first
-// list and has sent nothing. What is older than mostKeptAge, negative or no number counts for nothing, and so does what is believed of an
+// Restore takes up what was believed some time ago, where nothing newer is believed yet: it is for a Balancer that was told its first
+// list and has sent nothing. What is older than maxSnapshotAge, negative or no number counts for nothing, and so does what is believed of an
 // endpoint's former process, of one that is not listed, and of groups that are others now.
-func (b *Balancer) Remember(now Time, k Kept, age time.Duration) {
-	if age < 0 || age > mostKeptAge || len(b.requests) > 0 {
+func (b *Balancer) Restore(now Time, k Snapshot, age time.Duration) {
+	if age < 0 || age > maxSnapshotAge || len(b.requests) > 0 {
 		return
 	}
-	if len(k.Work) == len(b.work) && !slices.ContainsFunc(k.Work, func(w float64) bool { return !sound(w, b.aim*100) || w == 0 }) {
-		copy(b.work, k.Work)
-		for i := range b.works {
-			b.works[i].took = k.Work[i] * b.works[i].held
+	if len(k.Work) == len(b.meanSeconds) && !slices.ContainsFunc(k.Work, func(w float64) bool { return !isWithin(w, b.shortestTarget*100) || w == 0 }) {
+		copy(b.meanSeconds, k.Work)
+		for i := range b.classLatency {
+			b.classLatency[i].latencySum = k.Work[i] * b.classLatency[i].loadSum
 		}
 	}
-	if sound(k.Near, 1) {
-		b.near[1] = max(k.Near, leastNear)
+	if isWithin(k.Near, 1) {
+		b.zoneWeight[1] = max(k.Near, minZoneWeight)
 	}
-	if sound(k.Idle, b.aim) {
-		b.idle = k.Idle
+	if isWithin(k.Idle, b.shortestTarget) {
+		b.idleSeconds = k.Idle
 	}
-	if sound(k.Arrived, mostSum) {
-		b.arrived = k.Arrived
+	if isWithin(k.Arrived, maxSum) {
+		b.arrivals = k.Arrived
 	}
-	if sound(k.Tight.Seconds(), memory.Seconds()) {
-		b.tight = now + max(0, k.Tight-age)
+	if isWithin(k.Tight.Seconds(), memoryTTL.Seconds()) {
+		b.sheddingUntil = now + max(0, k.Tight-age)
 	}
-	if len(k.Groups) == len(b.groups) && !slices.ContainsFunc(k.Groups, func(s KeptSum) bool { return !s.sound() }) {
+	if len(k.Groups) == len(b.groups) && !slices.ContainsFunc(k.Groups, func(s LatencySum) bool { return !s.isValid() }) {
 		for i, g := range b.groups {
-			g.took, g.held = k.Groups[i].Took, k.Groups[i].Held
+			g.latencySum, g.loadSum = k.Groups[i].Took, k.Groups[i].Held
 		}
 	}
-	for _, s := range k.Endpoints[:min(len(k.Endpoints), mostKept)] {
-		e := b.known[s.ID]
-		if e == nil || e.Started != s.Started || !s.sound() || !sound(s.Fresh, 1) || !sound(s.Faults, faultBar) || !sound(s.Due, mostSum) || !sound(s.Out.Seconds(), ejectFor.Seconds()) {
+	for _, s := range k.Endpoints[:min(len(k.Endpoints), maxSnapshotEndpoints)] {
+		e := b.byID[s.ID]
+		if e == nil || e.Started != s.Started || !s.isValid() || !isWithin(s.Fresh, 1) || !isWithin(s.Faults, ejectionThreshold) || !isWithin(s.Due, maxSum) || !isWithin(s.Out.Seconds(), ejectionTime.Seconds()) {
 			continue
 		}
-		e.took, e.held, e.fresh, e.faults, e.due = s.Took, s.Held, s.Fresh, s.Faults, s.Due
-		e.from = cmp.Or(min(max(s.Cold, 0), now), e.from)
+		e.latencySum, e.loadSum, e.freshness, e.failures, e.turnCredit = s.Took, s.Held, s.Fresh, s.Faults, s.Due
+		e.warmUpStart = cmp.Or(min(max(s.Cold, 0), now), e.warmUpStart)
 		if s.Out > age {
-			e.until = now + s.Out - age
+			e.ejectedUntil = now + s.Out - age
 		}
 	}
 	b.regroup(now)
-	b.fade(now, age)
-	b.heard = now - age
+	b.decay(now, age)
+	b.lastResultAt = now - age
 }
 
-const mostSum = 1e9
+const maxSum = 1e9
 
-func sound(x, most float64) bool { return x >= 0 && x <= most }
+func isWithin(x, most float64) bool { return x >= 0 && x <= most }
 
-func (s KeptSum) sound() bool { return sound(s.Took, mostSum) && sound(s.Held, mostSum) }
+func (s LatencySum) isValid() bool { return isWithin(s.Took, maxSum) && isWithin(s.Held, maxSum) }
--- a/balance/oncall_test.go
+++ b/balance/oncall_test.go
@@ -16,7 +16,7 @@
 	b, h := start(t, settings(), pair())
 	for i := range RequestID(8) {
 		if to := ask(b, h, i); to != "" {
-			b.Result(h.now, Result{ID: i, Endpoint: to, Outcome: Errored, Took: time.Millisecond, Finished: true})
+			b.Result(h.now, Result{ID: i, Endpoint: to, Outcome: Errored, Latency: time.Millisecond, Finished: true})
 		}
 	}
 	if len(h.logs) == 0 {
--- a/balance/refusal_test.go
+++ b/balance/refusal_test.go
@@ -15,7 +15,7 @@
 		if to == "b" {
 			took = 150 * time.Millisecond
 		}
-		b.Result(h.now, Result{ID: i, Endpoint: to, Took: took, Finished: true})
+		b.Result(h.now, Result{ID: i, Endpoint: to, Latency: took, Finished: true})
 	}
 	turns := map[string]int{}
 	for i := RequestID(1000); i < 1040; i++ {
@@ -24,14 +24,14 @@
 		if i >= 1020 {
 			within = 5 * time.Millisecond
 		}
-		b.Request(h.now, Request{ID: i, Tenant: -1, Within: within})
+		b.Request(h.now, Request{ID: i, Tenant: -1, TimeLeft: within})
 		for _, s := range h.sent {
 			turns[s.to]++
-			b.Result(h.now, Result{ID: i, Endpoint: s.to, Took: 10 * time.Millisecond, Finished: true})
+			b.Result(h.now, Result{ID: i, Endpoint: s.to, Latency: 10 * time.Millisecond, Finished: true})
 		}
 	}
-	if b.tight != 0 {
-		t.Errorf("classes give way until %v, though no endpoint is full", b.tight)
+	if b.sheddingUntil != 0 {
+		t.Errorf("classes give way until %v, though no endpoint is full", b.sheddingUntil)
 	}
 	if turns["a"] != 30 || turns["b"] != 10 || len(h.refused) != 0 {
 		t.Errorf("turns %v, %d refused", turns, len(h.refused))
@@ -39,7 +39,7 @@
 }
 
 func TestRefusingEverythingEnds(t *testing.T) {
-	bar := refuseAt * settings().Classes[0].Aim.Seconds()
+	bar := refusalThreshold * settings().Classes[0].LatencyTarget.Seconds()
 	for _, tt := range []struct {
 		name   string
 		took   float64 // times the bar
@@ -53,11 +53,11 @@
 		b, h := start(t, settings(), pair())
 		serve(b, h, 2, time.Duration(tt.took*bar*float64(time.Second)))
 		at := h.now
-		h.now = at + time.Duration(tt.unused*float64(recent))
+		h.now = at + time.Duration(tt.unused*float64(recentTTL))
 		if to := ask(b, h, 1); to != "" {
 			t.Errorf("%s: sent to %s though no answer in time is expected", tt.name, to)
 		}
-		h.now = at + time.Duration(tt.then*float64(recent))
+		h.now = at + time.Duration(tt.then*float64(recentTTL))
 		if ask(b, h, 2) == "" {
 			t.Errorf("%s: an unused endpoint is not tried, so that nothing can be learnt", tt.name)
 		}
@@ -67,20 +67,20 @@
 func TestLesserClassesGiveWayOnlyWhenAllIsFull(t *testing.T) {
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
-	set.Classes[1].Worth = 3
-	aim := set.Classes[0].Aim
+	set.Classes[1].Value = 3
+	aim := set.Classes[0].LatencyTarget
 	b, h := start(t, set, pair())
-	serve(b, h, 40, time.Duration(float64(aim)*refuseAt*0.8))
-	b.work[1] = b.work[0] // the lesser class has a third of the worth: its bar is at 0.58 of the other's
+	serve(b, h, 40, time.Duration(float64(aim)*refusalThreshold*0.8))
+	b.meanSeconds[1] = b.meanSeconds[0] // the lesser class has a third of the worth: its bar is at 0.58 of the other's
 	if ask(b, h, 1) == "" {
 		t.Fatal("the lesser class is refused though nothing was full")
 	}
-	b.Result(h.now, Result{ID: 1, Endpoint: h.sent[0].to, Took: aim / 2, Finished: true})
-	b.tight = h.now + memory
+	b.Result(h.now, Result{ID: 1, Endpoint: h.sent[0].to, Latency: aim / 2, Finished: true})
+	b.sheddingUntil = h.now + memoryTTL
 	if to := ask(b, h, 2); to != "" {
 		t.Error("the lesser class does not give way")
 	}
-	b.Request(h.now, Request{ID: 3, Class: 1, Tenant: -1, Within: 3 * time.Second})
+	b.Request(h.now, Request{ID: 3, Class: 1, Tenant: -1, TimeLeft: 3 * time.Second})
 	if last := h.sent[len(h.sent)-1]; last.id != 3 {
 		t.Error("the dearer class gives way too")
 	}
@@ -92,7 +92,7 @@
 			t.Fatal("nothing is ever full")
 		}
 	}
-	if h.now >= b.tight {
+	if h.now >= b.sheddingUntil {
 		t.Error("all is full, and it does not count as tight")
 	}
 }
@@ -113,16 +113,16 @@
 		b, h := start(t, settings(), pair())
 		play := func(ticks int, took time.Duration) {
 			for range ticks {
-				b.Timer(h.now, tokenTick)
+				b.Timer(h.now, tickToken)
 				serve(b, h, 5, took)
 			}
 		}
 		play(100, idle)
 		play(tt.ticks, tt.took)
-		b.tight = 0
+		b.sheddingUntil = 0
 		ask(b, h, 1)
-		if full := b.tight != 0; full != tt.full {
-			t.Errorf("%s: full %v, want %v; idle it takes %.3f s, now %.3f s", tt.name, full, tt.full, b.idle, b.fleet.usual())
+		if full := b.sheddingUntil != 0; full != tt.full {
+			t.Errorf("%s: full %v, want %v; idle it takes %.3f s, now %.3f s", tt.name, full, tt.full, b.idleSeconds, b.fleet.secondsPerLoad())
 		}
 	}
 }
@@ -135,12 +135,12 @@
 	for i := range RequestID(200) {
 		class := int(i % 2)
 		took := time.Duration(1+3*class) * 50 * time.Millisecond
-		b.Request(h.now, Request{ID: i, Class: class, Tenant: -1, Within: 3 * time.Second})
+		b.Request(h.now, Request{ID: i, Class: class, Tenant: -1, TimeLeft: 3 * time.Second})
 		to := h.sent[len(h.sent)-1].to
-		b.Result(h.now+took, Result{ID: i, Endpoint: to, Took: took, Finished: true})
+		b.Result(h.now+took, Result{ID: i, Endpoint: to, Latency: took, Finished: true})
 	}
-	light, heavy := b.tightBar(0), b.tightBar(1)
-	if ratio := heavy / light; ratio < 0.45 || ratio > 0.55 || light != refuseAt*b.aim {
+	light, heavy := b.sheddingThreshold(0), b.sheddingThreshold(1)
+	if ratio := heavy / light; ratio < 0.45 || ratio > 0.55 || light != refusalThreshold*b.shortestTarget {
 		t.Errorf("the tight bars are %.3f and %.3f s, want the full bar and half of it", light, heavy)
 	}
 }
@@ -149,21 +149,21 @@
 // is there will have been worked off. Without that they come back at once, all together.
 func TestRefusalSaysWhen(t *testing.T) {
 	b, h := start(t, settings(), []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}})
-	b.Request(h.now, Request{ID: 1, Tenant: -1, Within: time.Second})
+	b.Request(h.now, Request{ID: 1, Tenant: -1, TimeLeft: time.Second})
 	h.answer(b, h.now+200*time.Millisecond, Served)
-	b.Result(h.now, Result{ID: 1, Outcome: Served, Took: 200 * time.Millisecond, Finished: true})
+	b.Result(h.now, Result{ID: 1, Outcome: Served, Latency: 200 * time.Millisecond, Finished: true})
 	for i := RequestID(2); len(h.refused) == 0; i++ {
 		if i > 1000 {
 			t.Fatal("never full")
 		}
-		b.Request(h.now, Request{ID: i, Tenant: -1, Within: time.Second})
+		b.Request(h.now, Request{ID: i, Tenant: -1, TimeLeft: time.Second})
 	}
 	first := h.advice
-	if aim := b.set.Classes[0].Aim; first <= 0 || first > aim {
+	if aim := b.settings.Classes[0].LatencyTarget; first <= 0 || first > aim {
 		t.Errorf("advice to wait %v with an aim of %v", first, aim)
 	}
 	h.refused = nil
-	b.Request(h.now+100*time.Millisecond, Request{ID: 2000, Tenant: -1, Within: 0})
+	b.Request(h.now+100*time.Millisecond, Request{ID: 2000, Tenant: -1, TimeLeft: 0})
 	if len(h.refused) != 1 || h.advice != 0 {
 		t.Errorf("%d refusals of what has no time left, advice to wait %v", len(h.refused), h.advice)
 	}
--- a/balance/reroute_test.go
+++ b/balance/reroute_test.go
@@ -13,7 +13,7 @@
 	for range n {
 		now := h.now + 10*time.Millisecond
 		h.now = now
-		b.Request(now, Request{ID: RequestID(now), Tenant: -1, Within: time.Second})
+		b.Request(now, Request{ID: RequestID(now), Tenant: -1, TimeLeft: time.Second})
 		if len(h.sent) == 1 {
 			order = append(order, h.sent[0].to)
 			h.answer(b, now+time.Millisecond, Served)
@@ -36,7 +36,7 @@
 		members       string
 	}
 	of := func(g *group) kept {
-		k := kept{next: g.next, credit: g.credit, whole: g.whole}
+		k := kept{next: g.nextTurn, credit: g.credit, whole: g.maxReadySize}
 		for _, e := range g.members {
 			k.members += e.ID
 		}
@@ -74,7 +74,7 @@
 	if ok, why := b.SetRules(h.now, canary(math.NaN(), 1)); ok || !strings.Contains(why, "weight NaN") {
 		t.Errorf("a wrong table: %v %s", ok, why)
 	}
-	if ok, _ := b.SetRules(h.now, nil); !ok || b.groups[0].dest.Weight != 80 {
+	if ok, _ := b.SetRules(h.now, nil); !ok || b.groups[0].destination.Weight != 80 {
 		t.Error("an empty table does not stand for the rules of the settings")
 	}
 }
@@ -84,7 +84,7 @@
 	set := settings()
 	set.Rules = canary(1, 1)
 	b, h := start(t, set, []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "x", Kind: "small", Size: 1}})
-	b.Request(h.now, Request{ID: 1, Tenant: -1, Within: time.Second})
+	b.Request(h.now, Request{ID: 1, Tenant: -1, TimeLeft: time.Second})
 	only := canary(1, 0)
 	if ok, why := b.SetRules(h.now, only); !ok {
 		t.Fatal(why)
@@ -110,14 +110,14 @@
 		wait time.Duration
 		want string
 	}{
-		{"nothing happens", func(*Balancer, *host) {}, routeWait, "ac"},
+		{"nothing happens", func(*Balancer, *host) {}, pendingRulesTTL, "ac"},
 		{"a server comes", func(b *Balancer, h *host) {
 			b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "z", Zone: "x", Kind: "none", Size: 1}})
 		}, 100 * time.Millisecond, "z"},
 		{"the old ones go", func(b *Balancer, h *host) {
 			b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "a", State: Draining}})
 		}, 100 * time.Millisecond, "c"},
-		{"other tables come all the time", func(b *Balancer, h *host) {}, routeWait, "ac"},
+		{"other tables come all the time", func(b *Balancer, h *host) {}, pendingRulesTTL, "ac"},
 		{"one comes that can be applied", func(b *Balancer, h *host) {
 			if ok, why := b.SetRules(h.now, none("huge")); !ok {
 				t.Error(why)
@@ -129,7 +129,7 @@
 			set.Rules = canary(1)
 			b, h := start(t, set, list)
 			ok, why := b.SetRules(h.now, none("none"))
-			if ok || !b.RulesWait() || !strings.Contains(why, "no ready endpoint") {
+			if ok || !b.RulesPending() || !strings.Contains(why, "no ready endpoint") {
 				t.Fatalf("applied: %v %s", ok, why)
 			}
 			if got := count(h.played(b, 10)); got["a"] != 10 {
@@ -137,14 +137,14 @@
 			}
 			from := h.now - 100*time.Millisecond
 			c.do(b, h)
-			for i := 0; b.RulesWait(); i++ {
+			for i := 0; b.RulesPending(); i++ {
 				h.now += 100 * time.Millisecond
 				if strings.HasPrefix(c.name, "other") && i%10 == 0 {
 					if ok, _ := b.SetRules(h.now, none(fmt.Sprint("none", i))); ok {
 						break
 					}
 				}
-				b.Timer(h.now, tokenTick)
+				b.Timer(h.now, tickToken)
 			}
 			if took := h.now - from; took < c.wait-time.Second || took > c.wait+time.Second {
 				t.Errorf("it waited %v, want %v", took, c.wait)
--- a/balance/route_test.go
+++ b/balance/route_test.go
@@ -63,7 +63,7 @@
 	var order []string
 	for i := range n {
 		now := h.now + 10*time.Millisecond
-		b.Request(now, Request{ID: RequestID(i), Tenant: -1, Within: time.Second})
+		b.Request(now, Request{ID: RequestID(i), Tenant: -1, TimeLeft: time.Second})
 		if len(h.sent) != 1 {
 			t.Fatalf("request %d: %d sends", i, len(h.sent))
 		}
@@ -130,7 +130,7 @@
 	set.Rules = canary(50, 50)
 	b, _ := start(t, set, list)
 	b.Endpoints(time.Second, ListChanges, []Endpoint{{ID: "b", Zone: "x", Kind: "big", Size: 1, State: Draining}})
-	if w := b.groups[0].weight(b.near); math.Abs(w-25) > 1e-9 {
+	if w := b.groups[0].weight(b.zoneWeight); math.Abs(w-25) > 1e-9 {
 		t.Errorf("a group that lost half of its members weighs %v, want 25", w)
 	}
 }
@@ -150,18 +150,18 @@
 func TestYield(t *testing.T) {
 	b, h := start(t, settings(), []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "x", Kind: "big", Size: 1}})
 	for i := range 4 {
-		b.Request(h.now, Request{ID: RequestID(i), Tenant: -1, Within: time.Second})
+		b.Request(h.now, Request{ID: RequestID(i), Tenant: -1, TimeLeft: time.Second})
 	}
 	// a and b hold two each. Once the one whose turn is next holds more, it yields.
-	due := b.groups[0].members[b.groups[0].next%2]
+	due := b.groups[0].members[b.groups[0].nextTurn%2]
 	other := h.sent[0]
 	for _, s := range h.sent {
 		if s.to != due.ID {
 			other = s
 		}
 	}
-	b.Result(h.now, Result{ID: other.id, Endpoint: other.to, Took: time.Millisecond, Finished: true})
-	b.Request(h.now, Request{ID: 9, Tenant: -1, Within: time.Second})
+	b.Result(h.now, Result{ID: other.id, Endpoint: other.to, Latency: time.Millisecond, Finished: true})
+	b.Request(h.now, Request{ID: 9, Tenant: -1, TimeLeft: time.Second})
 	if got := h.sent[len(h.sent)-1].to; got == due.ID {
 		t.Errorf("the turn went to %s, which holds more than the next", got)
 	}
@@ -177,7 +177,7 @@
 		set := settings()
 		set.Seed, set.Self, set.Peers = seed, int(seed), 20
 		b, h := start(t, set, list)
-		b.Request(h.now, Request{ID: 1, Tenant: -1, Within: time.Second})
+		b.Request(h.now, Request{ID: 1, Tenant: -1, TimeLeft: time.Second})
 		first[h.sent[0].to] = true
 	}
 	if len(first) < 5 {
@@ -192,23 +192,23 @@
 		want  string
 	}{
 		{"no classes", func(s *Settings) { s.Classes = nil }, "field Classes"},
-		{"no aim", func(s *Settings) { s.Classes[0].Aim = 0 }, `class 0, "read": field Aim`},
+		{"no aim", func(s *Settings) { s.Classes[0].LatencyTarget = 0 }, `class 0, "read": field Aim`},
 		{"deadline before the aim", func(s *Settings) { s.Classes[0].Deadline = time.Millisecond }, "field Deadline"},
 		{"unknown effect", func(s *Settings) { s.Classes[0].Effect = 9 }, "field Effect"},
 		{"unknown scope", func(s *Settings) { s.Classes[0].Scope = -1 }, "field Scope"},
-		{"worth is no number", func(s *Settings) { s.Classes[0].Worth = math.NaN() }, "field Worth"},
-		{"late answers worth more", func(s *Settings) { s.Classes[0].LateWorth = 1.5 }, "field LateWorth"},
+		{"worth is no number", func(s *Settings) { s.Classes[0].Value = math.NaN() }, "field Worth"},
+		{"late answers worth more", func(s *Settings) { s.Classes[0].LateValue = 1.5 }, "field LateWorth"},
 		{"negative window", func(s *Settings) { s.Classes[0].DedupeWindow = -1 }, "field DedupeWindow"},
 		{"negative allowance", func(s *Settings) { s.Tenants = []Tenant{{"t", -1}} }, `tenant 0, "t": field Allowance`},
 		{"no peers", func(s *Settings) { s.Peers = 0 }, "field Peers"},
 		{"number beyond its peers", func(s *Settings) { s.Self = 1 }, "field Self: sidecar 1 of 1"},
 		{"no attempts", func(s *Settings) { s.MaxAttempts = 0 }, "field MaxAttempts"},
 		{"cold share above all", func(s *Settings) { s.StartCapacity = 1.1 }, "field StartCapacity"},
-		{"negative multiple", func(s *Settings) { s.FallMultiple = -1 }, "field FallMultiple"},
-		{"endless charge", func(s *Settings) { s.CrossCharge = math.Inf(1) }, "field CrossCharge"},
-		{"negative call time", func(s *Settings) { s.MustAsk = -1 }, "field MustAsk"},
-		{"negative cold time", func(s *Settings) { s.ColdTime = -1 }, "field ColdTime"},
-		{"negative fall time", func(s *Settings) { s.FallTime = -1 }, "field FallTime"},
+		{"negative multiple", func(s *Settings) { s.OverloadMultiple = -1 }, "field FallMultiple"},
+		{"endless charge", func(s *Settings) { s.ZoneCrossingCost = math.Inf(1) }, "field CrossCharge"},
+		{"negative call time", func(s *Settings) { s.DiscoveryDeadline = -1 }, "field MustAsk"},
+		{"negative cold time", func(s *Settings) { s.WarmUpTime = -1 }, "field ColdTime"},
+		{"negative fall time", func(s *Settings) { s.OverloadTime = -1 }, "field FallTime"},
 		{"negative weight", func(s *Settings) { s.Rules = canary(2, -1) },
 			`"canary": field Destinations[1]: weight -1`},
 		{"weight is no number", func(s *Settings) { s.Rules = canary(math.NaN(), 2) },
@@ -241,16 +241,16 @@
 	// The own zone answers in 200 ms, the other one in 50 ms: an eighth of the aim, and more than a cheap crossing.
 	abroad := func(charge float64) float64 {
 		set := settings()
-		set.CrossCharge = charge
+		set.ZoneCrossingCost = charge
 		b, h := start(t, set, []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "y", Kind: "big", Size: 1}})
 		for range 300 {
-			h.now += tickEvery
+			h.now += tickInterval
 			for id, took := range map[string]time.Duration{"a": 200 * time.Millisecond, "b": 50 * time.Millisecond} {
-				b.learn(&attempt{to: b.known[id], held: 2}, Result{Outcome: Served, Took: took}, h.now)
+				b.observeResult(&attempt{endpoint: b.byID[id], load: 2}, Result{Outcome: Served, Latency: took}, h.now)
 			}
-			b.Timer(h.now, tokenTick)
+			b.Timer(h.now, tickToken)
 		}
-		return b.near[1]
+		return b.zoneWeight[1]
 	}
 	if cheap, dear := abroad(0.01), abroad(0.1); cheap < 0.3 || dear > 0.1 {
 		t.Errorf("other zones weigh %.3f with cheap crossings and %.3f with dear ones", cheap, dear)
--- a/balance/rules_host_test.go
+++ b/balance/rules_host_test.go
@@ -111,9 +111,9 @@
 
 // shortestAim is in seconds.
 func (c *checker) shortestAim() float64 {
-	shortest := c.set.Classes[0].Aim
+	shortest := c.set.Classes[0].LatencyTarget
 	for _, class := range c.set.Classes {
-		shortest = min(shortest, class.Aim)
+		shortest = min(shortest, class.LatencyTarget)
 	}
 	return shortest.Seconds()
 }
@@ -133,7 +133,7 @@
 }
 
 func (c *checker) Subscribe() {
-	if !c.set.AskDiscovery {
+	if !c.set.SubscribeToDiscovery {
 		c.fault("subscription where changes are pushed")
 	}
 	c.asked++
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -23,12 +23,12 @@
 	set.Seed, set.Peers, set.Self = seed, 1+rng.IntN(5), 0
 	set.MaxAttempts = 1 + rng.IntN(4)
 	set.CancelAllowed = flip(.5)
-	set.AskDiscovery, set.MustAsk = flip(.7), 10*time.Second
+	set.SubscribeToDiscovery, set.DiscoveryDeadline = flip(.7), 10*time.Second
 	set.Tenants = []Tenant{{"a", 40}, {"b", 20}}
 	set.Classes = nil
 	for i, e := range []Effect{Idempotent, Deduplicated, Deduplicated, Deduplicated, AtMostOnce} {
 		set.Classes = append(set.Classes, Class{Name: fmt.Sprint(i), Effect: e, Scope: Scope((i - 1 + 3) % 3),
-			DedupeWindow: 300 * time.Millisecond, Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: float64(1 + i)})
+			DedupeWindow: 300 * time.Millisecond, LatencyTarget: 200 * time.Millisecond, Deadline: time.Second, Value: float64(1 + i)})
 	}
 	c := &checker{set: set, now: time.Minute, requests: map[RequestID]*held{}, servers: map[string]*server{}, timers: map[Time][]uint64{}}
 	b, err := New(set, host(c))
@@ -118,8 +118,8 @@
 		for range burst {
 			next++
 			r := Request{ID: next, Class: rng.IntN(len(set.Classes)), Tenant: rng.IntN(3) - 1,
-				Within: time.Duration(50+rng.IntN(950)) * time.Millisecond}
-			c.requests[next] = &held{class: &set.Classes[r.Class], deadline: c.now + r.Within}
+				TimeLeft: time.Duration(50+rng.IntN(950)) * time.Millisecond}
+			c.requests[next] = &held{class: &set.Classes[r.Class], deadline: c.now + r.TimeLeft}
 			b.Request(c.now, r)
 			if flip(.02) && !c.requests[next].ended {
 				b.Request(c.now, r) // a mistake of the host's
@@ -149,7 +149,7 @@
 			}
 			if !r.ended && flip(.0005) {
 				r.ended = true
-				b.ClientGone(c.now, id)
+				b.ClientDisconnected(c.now, id)
 			}
 		}
 		due := endings
@@ -166,7 +166,7 @@
 				r.ended = true
 			}
 			b.Result(c.now, Result{ID: e.id, Attempt: e.n, Endpoint: a.to, Outcome: e.how,
-				Took: c.now - a.sent, Finished: r.ended})
+				Latency: c.now - a.sent, Finished: r.ended})
 			if flip(.02) {
 				b.Result(c.now, Result{ID: e.id, Attempt: e.n, Endpoint: a.to, Outcome: e.how}) // told twice
 			}
--- a/balance/shared_test.go
+++ b/balance/shared_test.go
@@ -12,12 +12,12 @@
 func settled(t *testing.T, self, peers, servers int) (*Balancer, *host) {
 	t.Helper()
 	b, h := sidecar(t, self, peers, fleet(servers))
-	if b.Level() != 0 {
-		t.Fatalf("level %d before the traffic is known", b.Level())
+	if b.TrafficLevel() != 0 {
+		t.Fatalf("level %d before the traffic is known", b.TrafficLevel())
 	}
-	for h.now = levelSettle; b.Level() == 0; h.now += levelSettle {
-		b.arrived = 1
-		b.Timer(h.now, tokenTick)
+	for h.now = levelInterval; b.TrafficLevel() == 0; h.now += levelInterval {
+		b.arrivals = 1
+		b.Timer(h.now, tickToken)
 	}
 	return b, h
 }
@@ -36,29 +36,29 @@
 			b, h := settled(t, 0, 1, servers) // all of one number: alone, all use the same
 			all := make([]Peer, peers)
 			for i := range all {
-				all[i] = Peer{b.set.Zone, tt.level * b.Level()}
+				all[i] = Peer{b.settings.Zone, tt.level * b.TrafficLevel()}
 				if tt.other && i%2 == 1 {
-					all[i] = []Peer{{b.set.Zone, b.Level() + 1}, {"elsewhere", b.Level()}}[i/2%2]
+					all[i] = []Peer{{b.settings.Zone, b.TrafficLevel() + 1}, {"elsewhere", b.TrafficLevel()}}[i/2%2]
 				}
 			}
 			if tt.other && self%2 == 1 {
 				continue
 			}
-			before := ids(b.active)
-			b.Members(h.now, self, all)
-			if got, want := b.view(), (turns.View{Place: self, Count: peers}); got != want {
+			before := ids(b.inUse)
+			b.SetMembers(h.now, self, all)
+			if got, want := b.turnPosition(), (turns.View{Place: self, Count: peers}); got != want {
 				t.Fatalf("%s: turns go by %v, want %v", tt.name, got, want)
 			}
-			for _, e := range b.active {
+			for _, e := range b.inUse {
 				users[e.ID]++
 			}
 			for _, wrong := range []int{-1, peers} {
-				b.Members(h.now, self, all)
-				if b.Members(h.now, wrong, all); !slices.Equal(ids(b.active), before) {
-					t.Errorf("%s: number %d of %d, and uses %v; want %v as alone", tt.name, wrong, peers, ids(b.active), before)
+				b.SetMembers(h.now, self, all)
+				if b.SetMembers(h.now, wrong, all); !slices.Equal(ids(b.inUse), before) {
+					t.Errorf("%s: number %d of %d, and uses %v; want %v as alone", tt.name, wrong, peers, ids(b.inUse), before)
 				}
 			}
-			if got, want := b.view(), (turns.View{Place: 0, Count: 1}); got != want {
+			if got, want := b.turnPosition(), (turns.View{Place: 0, Count: 1}); got != want {
 				t.Errorf("%s: turns go by %v, want %v", tt.name, got, want)
 			}
 		}
@@ -77,12 +77,12 @@
 	for self := range peers {
 		b, h := settled(t, self, peers, servers)
 		for _, e := range b.endpoints[:gone] {
-			e.until = h.now + time.Minute
+			e.ejectedUntil = h.now + time.Minute
 		}
-		b.Members(h.now, self, make([]Peer, peers))
+		b.SetMembers(h.now, self, make([]Peer, peers))
 		working := 0
-		for _, e := range b.active {
-			if h.now >= e.until {
+		for _, e := range b.inUse {
+			if h.now >= e.ejectedUntil {
 				users[e.ID]++
 				working++
 			}
@@ -114,7 +114,7 @@
 			f.run(f.now + time.Second)
 			for self, b := range f.sidecars {
 				now := map[string]bool{}
-				for _, id := range ids(b.active) {
+				for _, id := range ids(b.inUse) {
 					if now[id] = true; second > 0 && !used[self][id] {
 						churn[i]++
 					}
--- a/balance/shares_test.go
+++ b/balance/shares_test.go
@@ -15,16 +15,16 @@
 	b, h := start(t, set, pair())
 	rng := rand.New(rand.NewPCG(1, 1))
 	var all [2]float64
-	for range int(20 / tickEvery.Seconds()) {
-		h.now += tickEvery
-		b.Timer(h.now, tokenTick)
-		for owed := rate * tickEvery.Seconds(); rng.Float64() < owed; owed-- {
+	for range int(20 / tickInterval.Seconds()) {
+		h.now += tickInterval
+		b.Timer(h.now, tickToken)
+		for owed := rate * tickInterval.Seconds(); rng.Float64() < owed; owed-- {
 			i := 0
 			if rng.Float64() < second {
 				i = 1
 			}
 			all[i]++
-			if b.overShare(i, h.now) {
+			if b.exceedsAllowance(i, h.now) {
 				over[i]++
 			}
 		}
--- a/balance/silent_test.go
+++ b/balance/silent_test.go
@@ -25,7 +25,7 @@
 	}
 	g.late, g.seq = nil, g.seq+1
 	for self, b := range g.f.sidecars {
-		r := b.Witness(g.f.now)
+		r := b.LocalReport(g.f.now)
 		if len(r.Verdicts)+len(g.said[self].Verdicts) == 0 {
 			continue
 		}
@@ -33,7 +33,7 @@
 		for other, to := range g.f.sidecars {
 			if other != self {
 				seq := g.seq
-				g.late = append(g.late, func() { to.Told(g.f.now, fmt.Sprint(self), 1, seq, 200*time.Millisecond, r) })
+				g.late = append(g.late, func() { to.ReceiveReport(g.f.now, fmt.Sprint(self), 1, seq, 200*time.Millisecond, r) })
 			}
 		}
 	}
@@ -61,10 +61,10 @@
 	}
 	run(f.now + 10*time.Second)
 	from := f.now
-	f.silent = f.sidecars[0].active[0].ID
+	f.silent = f.sidecars[0].inUse[0].ID
 	used := map[int]bool{}
 	for self, b := range f.sidecars {
-		used[self] = b.known[f.silent].held > 0.2
+		used[self] = b.byID[f.silent].loadSum > 0.2
 	}
 	f.by = nil
 	run(from + silence)
--- a/balance/status.go
+++ b/balance/status.go
@@ -17,15 +17,15 @@
 
 // Knows tells whether an endpoint is listed or out by hand.
 func (b *Balancer) Knows(id string) bool {
-	e := b.known[id]
-	return has(b.byHand, id) || e != nil && e.State != Removed
+	e := b.byID[id]
+	return contains(b.outOfService, id) || e != nil && e.State != Removed
 }
 
-// Listed counts the endpoints on the list, and those of them that get nothing now: out by hand, draining, or
+// CountListed counts the endpoints on the list, and those of them that get nothing now: out by hand, draining, or
 // ejected.
-func (b *Balancer) Listed(now Time) (all, avoided int) {
+func (b *Balancer) CountListed(now Time) (all, avoided int) {
 	for _, e := range b.endpoints {
-		if !e.ready() || now < e.until && !b.panicking {
+		if !e.isReady() || now < e.ejectedUntil && !b.inPanic {
 			avoided++
 		}
 	}
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -40,10 +40,10 @@
 	users := map[string]int{}
 	for self := range peers {
 		b, _ := sidecar(t, self, peers, list)
-		if n := len(b.active); n != least {
+		if n := len(b.inUse); n != least {
 			t.Fatalf("an idle sidecar uses %d endpoints, want %d", n, least)
 		}
-		for _, e := range b.active {
+		for _, e := range b.inUse {
 			users[e.ID]++
 		}
 	}
@@ -57,23 +57,23 @@
 
 func TestSubsetGoesWithTraffic(t *testing.T) {
 	b, h := sidecar(t, 3, 10, fleet(200))
-	first := ids(b.active)
+	first := ids(b.inUse)
 	for range 300 { // 30 s of 10 requests a second
-		h.now += tickEvery
-		b.Timer(h.now, tokenTick)
+		h.now += tickInterval
+		b.Timer(h.now, tickToken)
 		serve(b, h, 1, 10*time.Millisecond)
 	}
-	if n, want := len(b.active), 10*memory.Seconds(); float64(n) < want*0.8 || float64(n) > want*1.2 {
+	if n, want := len(b.inUse), 10*memoryTTL.Seconds(); float64(n) < want*0.8 || float64(n) > want*1.2 {
 		t.Errorf("at 10 requests a second %d endpoints are used, want about %.0f", n, want)
 	}
-	if got := ids(b.active); !slices.Equal(got[:len(first)], first) {
+	if got := ids(b.inUse); !slices.Equal(got[:len(first)], first) {
 		t.Errorf("a wider subset begins with %v, the narrow one was %v", got[:len(first)], first)
 	}
 }
 
 func TestSubsetMakesUpForTheEjected(t *testing.T) {
 	b, h := sidecar(t, 3, 10, fleet(200))
-	first := ids(b.active)
+	first := ids(b.inUse)
 	for range 2 {
 		for i := range RequestID(least) {
 			id := RequestID(len(h.logs)*100) + i + RequestID(h.now)
@@ -82,7 +82,7 @@
 				if to == first[0] {
 					outcome = Errored
 				}
-				b.Result(h.now, Result{ID: id, Endpoint: to, Outcome: outcome, Took: time.Millisecond, Finished: true})
+				b.Result(h.now, Result{ID: id, Endpoint: to, Outcome: outcome, Latency: time.Millisecond, Finished: true})
 			}
 			h.now += time.Millisecond
 		}
@@ -90,7 +90,7 @@
 	if len(h.logs) != 1 {
 		t.Fatalf("%d ejections, want 1", len(h.logs))
 	}
-	if n, want := len(b.active), int(math.Ceil(b.arrived))+1; n != want {
+	if n, want := len(b.inUse), int(math.Ceil(b.arrivals))+1; n != want {
 		t.Errorf("%d endpoints are used with one ejected, want %d", n, want)
 	}
 }
@@ -100,9 +100,9 @@
 	moved := 0
 	for self := range 100 {
 		b, h := sidecar(t, self, 100, fleet(servers))
-		before := ids(b.active)
+		before := ids(b.inUse)
 		b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "s0100x", Zone: "x", Kind: "big", Size: 1}})
-		for _, id := range ids(b.active) {
+		for _, id := range ids(b.inUse) {
 			if !slices.Contains(before, id) {
 				moved++
 			}
@@ -127,8 +127,8 @@
 			b.Endpoints(h.now, ListChanges, []Endpoint{fresh})
 			id := RequestID(0)
 			for tick := range seconds * 10 {
-				h.now += tickEvery
-				b.Timer(h.now, tokenTick)
+				h.now += tickInterval
+				b.Timer(h.now, tickToken)
 				for share := 8000 / peers * (self % 2); int(id)*seconds*10 < share*(tick+1); {
 					id++ // half of the sidecars carry all traffic
 					to := ask(b, h, id)
@@ -140,13 +140,13 @@
 						if to == fresh.ID {
 							outcome = Served
 						}
-						b.Result(h.now, Result{ID: id, Endpoint: to, Outcome: outcome, Took: time.Millisecond})
+						b.Result(h.now, Result{ID: id, Endpoint: to, Outcome: outcome, Latency: time.Millisecond})
 					}
 				}
 			}
 		}
 		// The mean endpoint gets one of 20 requests, and each request may be tried three times.
-		warm := settings().StartCapacity + (1-settings().StartCapacity)*seconds/settings().ColdTime.Seconds()
+		warm := settings().StartCapacity + (1-settings().StartCapacity)*seconds/settings().WarmUpTime.Seconds()
 		if most := all / 20 * 3 * warm; cold > most {
 			t.Errorf("%d sidecars sent %.0f of %.0f requests to a cold endpoint, want %.0f at most", peers, cold, all, most)
 		}
@@ -162,7 +162,7 @@
 		for self := range tt.peers {
 			b, h := sidecar(t, self, tt.peers, list)
 			for range 40 { // enough traffic to use every endpoint
-				b.Timer(h.now, tokenTick)
+				b.Timer(h.now, tickToken)
 				serve(b, h, 10, 20*time.Millisecond)
 			}
 			fresh := list[0]
@@ -174,12 +174,12 @@
 				if all++; to == fresh.ID {
 					cold++
 				}
-				b.Result(h.now, Result{ID: 1 + id, Endpoint: to, Took: 20 * time.Millisecond, Finished: true})
+				b.Result(h.now, Result{ID: 1 + id, Endpoint: to, Latency: 20 * time.Millisecond, Finished: true})
 			}
 		}
 		// Half of what it would fall over at, were every endpoint loaded in full and it as cold as can be.
 		share := settings().StartCapacity / (float64(tt.servers-1) + settings().StartCapacity)
-		if want := share * all * settings().FallMultiple / 2; cold < 0.75*want-1 || cold > 1.25*want+1 {
+		if want := share * all * settings().OverloadMultiple / 2; cold < 0.75*want-1 || cold > 1.25*want+1 {
 			t.Errorf("%d sidecars sent %.0f of %.0f requests to a cold endpoint of %d, want about %.1f", tt.peers, cold, all,
 				tt.servers, want)
 		}
@@ -193,21 +193,21 @@
 }
 
 func (a *asking) Timer(after time.Duration, token uint64) {
-	if token == tokenAsk {
+	if token == discoveryToken {
 		a.after = after
 	}
 }
 
 func TestFirstCallsAreSpread(t *testing.T) {
 	set := settings()
-	set.AskDiscovery, set.MustAsk, set.Peers = true, 10*time.Second, 1000
-	seconds := make([]int, set.MustAsk/2/time.Second)
+	set.SubscribeToDiscovery, set.DiscoveryDeadline, set.Peers = true, 10*time.Second, 1000
+	seconds := make([]int, set.DiscoveryDeadline/2/time.Second)
 	for set.Self = range set.Peers {
 		a := &asking{}
 		if _, err := New(set, a); err != nil {
 			t.Fatal(err)
 		}
-		if a.after < 0 || a.after >= set.MustAsk/2 {
+		if a.after < 0 || a.after >= set.DiscoveryDeadline/2 {
 			t.Fatalf("sidecar %d calls after %v, want half of MustAsk at most", set.Self, a.after)
 		}
 		seconds[a.after/time.Second]++
--- a/balance/word_test.go
+++ b/balance/word_test.go
@@ -11,7 +11,7 @@
 // report is what a member says of an endpoint, as one that uses 16 in two zones.
 func report(b *Balancer, e *endpoint, zone string, kind signals.Kind) signals.Report {
 	return signals.Report{Room: zone, Uses: []signals.Use{{Room: e.Zone, Servers: 8}, {Room: "other", Servers: 8}},
-		Verdicts: []signals.Verdict{{Subject: e.subject(), Room: e.Zone, Kind: kind, Count: 2}}}
+		Verdicts: []signals.Verdict{{Subject: e.process(), Room: e.Zone, Kind: kind, Count: 2}}}
 }
 
 // TestMembersWordEjects: what three members call silent gets nothing; it comes back within the bound and the turns after
@@ -20,9 +20,9 @@
 	const peers = 10
 	tell := func(b *Balancer, h *host, e *endpoint, members int, kind signals.Kind) {
 		for i := range members {
-			b.Told(h.now, fmt.Sprint("m", i), 1, uint64(h.now), 0, report(b, e, []string{b.set.Zone, "other"}[i%2], kind))
+			b.ReceiveReport(h.now, fmt.Sprint("m", i), 1, uint64(h.now), 0, report(b, e, []string{b.settings.Zone, "other"}[i%2], kind))
 		}
-		b.Timer(h.now, tokenTick)
+		b.Timer(h.now, tickToken)
 	}
 	for name, tt := range map[string]struct {
 		members int
@@ -41,10 +41,10 @@
 		"nobody says a word": {0, signals.Silent, 0, false, false},
 	} {
 		b, h := sidecar(t, 3, peers, fleet(20))
-		e := b.active[0]
+		e := b.inUse[0]
 		h.now = 10 * time.Second
 		if tt.served > 0 {
-			e.served = h.now - tt.served
+			e.lastServed = h.now - tt.served
 		}
 		said := *e
 		if tt.next {
@@ -57,18 +57,18 @@
 			b.Endpoints(h.now, ListChanges, list)
 		}
 		tell(b, h, &said, tt.members, tt.kind)
-		if got := h.now < e.until; got != tt.avoided {
+		if got := h.now < e.ejectedUntil; got != tt.avoided {
 			t.Errorf("%s: avoided %v, want %v", name, got, tt.avoided)
 		}
-		if v := b.Witness(h.now).Verdicts; len(v) > 0 && (tt.served == 0 || v[0].Kind != signals.Serves) {
+		if v := b.LocalReport(h.now).Verdicts; len(v) > 0 && (tt.served == 0 || v[0].Kind != signals.Serves) {
 			t.Errorf("%s: it says itself what it was only told", name)
 		}
-		last := h.now + 2*time.Second + comeBack + time.Second
+		last := h.now + 2*time.Second + returnSpread + time.Second
 		for h.now < last {
-			h.now += tickEvery
-			b.Timer(h.now, tokenTick)
+			h.now += tickInterval
+			b.Timer(h.now, tickToken)
 		}
-		if h.now < e.until {
+		if h.now < e.ejectedUntil {
 			t.Errorf("%s: still avoided %v after the last word", name, h.now)
 		}
 	}
@@ -80,12 +80,12 @@
 	h.now = 10 * time.Second
 	for n, e := range b.endpoints[:5] {
 		for i := range 3 {
-			b.Told(h.now, fmt.Sprint("m", n, i), 1, 1, 0, report(b, e, []string{b.set.Zone, "other"}[i%2], signals.Silent))
+			b.ReceiveReport(h.now, fmt.Sprint("m", n, i), 1, 1, 0, report(b, e, []string{b.settings.Zone, "other"}[i%2], signals.Silent))
 		}
 	}
-	b.Timer(h.now, tokenTick)
-	b.Timer(h.now+tickEvery, tokenTick)
-	if !b.panicking {
+	b.Timer(h.now, tickToken)
+	b.Timer(h.now+tickInterval, tickToken)
+	if !b.inPanic {
 		t.Error("over half are avoided at others' word")
 	}
 }
@@ -93,45 +93,45 @@
 // TestWitness: a sidecar says what it saw: a server that owes two requests for long, or that it ejected, until that serves.
 func TestWitness(t *testing.T) {
 	b, h := sidecar(t, 0, 10, fleet(20))
-	e := b.active[0]
+	e := b.inUse[0]
 	h.now = 10 * time.Second
-	b.Timer(h.now, tokenTick)
-	if r := b.Witness(h.now); len(r.Verdicts) > 0 || len(r.Uses) == 0 {
+	b.Timer(h.now, tickToken)
+	if r := b.LocalReport(h.now); len(r.Verdicts) > 0 || len(r.Uses) == 0 {
 		t.Fatalf("%+v", r)
 	}
-	e.struck, e.struckAt = signals.Silent, h.now-time.Second
-	r := b.Witness(h.now)
+	e.failureKind, e.failedAt = signals.Silent, h.now-time.Second
+	r := b.LocalReport(h.now)
 	if len(r.Verdicts) != 1 || r.Verdicts[0].Server != e.ID || r.Verdicts[0].Age != time.Second {
 		t.Fatalf("%+v", r)
 	}
-	e.struck = signals.None
+	e.failureKind = signals.None
 	for id := range RequestID(2) {
-		q := &request{Request: Request{ID: 1000 + id}, class: &b.set.Classes[0]}
+		q := &request{Request: Request{ID: 1000 + id}, class: &b.settings.Classes[0]}
 		b.requests[q.ID] = q
-		e.depart(q, h.now)
+		e.addFlight(q, h.now)
 	}
-	late := h.now + time.Duration(early*b.work[0]*float64(time.Second))
-	if r := b.Witness(late - time.Millisecond); len(r.Verdicts) > 0 {
+	late := h.now + time.Duration(overdueMultiple*b.meanSeconds[0]*float64(time.Second))
+	if r := b.LocalReport(late - time.Millisecond); len(r.Verdicts) > 0 {
 		t.Fatalf("too early: %+v", r)
 	}
-	if r := b.Witness(late); len(r.Verdicts) != 1 || r.Verdicts[0].Kind != signals.Silent || r.Verdicts[0].Age != 0 {
+	if r := b.LocalReport(late); len(r.Verdicts) != 1 || r.Verdicts[0].Kind != signals.Silent || r.Verdicts[0].Age != 0 {
 		t.Fatalf("%+v", r)
 	}
 	// Where so many speak that one more adds nothing, it goes on, but does not begin.
 	for i := range 6 {
-		b.Told(late, fmt.Sprint("m", i), 1, 1, 0, report(b, e, []string{b.set.Zone, "other"}[i%2], signals.Silent))
+		b.ReceiveReport(late, fmt.Sprint("m", i), 1, 1, 0, report(b, e, []string{b.settings.Zone, "other"}[i%2], signals.Silent))
 	}
-	b.Timer(late, tokenTick)
-	if r := b.Witness(late); len(r.Verdicts) != 1 {
+	b.Timer(late, tickToken)
+	if r := b.LocalReport(late); len(r.Verdicts) != 1 {
 		t.Fatalf("it fell silent: %+v", r)
 	}
-	e.said = false
-	if r := b.Witness(late); len(r.Verdicts) > 0 {
+	e.reported = false
+	if r := b.LocalReport(late); len(r.Verdicts) > 0 {
 		t.Fatalf("it joins six: %+v", r)
 	}
-	e.served = late
-	b.Timer(late, tokenTick)
-	if r := b.Witness(late); len(r.Verdicts) != 1 || r.Verdicts[0].Kind != signals.Serves {
+	e.lastServed = late
+	b.Timer(late, tickToken)
+	if r := b.LocalReport(late); len(r.Verdicts) != 1 || r.Verdicts[0].Kind != signals.Serves {
 		t.Fatalf("it has answered since, which others should know: %+v", r)
 	}
 }
@@ -141,38 +141,38 @@
 // goes by what it saw.
 func TestFullAndSlowAreTold(t *testing.T) {
 	b, h := sidecar(t, 0, 10, fleet(20))
-	e := b.active[0]
+	e := b.inUse[0]
 	h.now = 10 * time.Second
 	serve(b, h, 200, 20*time.Millisecond)
-	e.turned, e.struckAt = 3, h.now
-	if r := b.Witness(h.now); len(r.Verdicts) != 1 || r.Verdicts[0].Kind != signals.Full || r.Verdicts[0].Count != 3 {
+	e.rejections, e.failedAt = 3, h.now
+	if r := b.LocalReport(h.now); len(r.Verdicts) != 1 || r.Verdicts[0].Kind != signals.Full || r.Verdicts[0].Count != 3 {
 		t.Fatalf("turned away: %+v", r)
 	}
-	e.turned, e.held, e.fresh = 0, 10, 1
-	if e.took = 2 * slowAt * 10 * e.home.usual() / e.able(); b.Witness(h.now).Verdicts[0].Kind != signals.Slow {
-		t.Fatalf("slow: %+v", b.Witness(h.now))
+	e.rejections, e.loadSum, e.freshness = 0, 10, 1
+	if e.latencySum = 2 * slowMultiple * 10 * e.homeGroup.secondsPerLoad() / e.capacity(); b.LocalReport(h.now).Verdicts[0].Kind != signals.Slow {
+		t.Fatalf("slow: %+v", b.LocalReport(h.now))
 	}
-	e.took, e.held, e.served = 0, 0, 0
-	before := b.expect(e, h.now)
+	e.latencySum, e.loadSum, e.lastServed = 0, 0, 0
+	before := b.expectedLatency(e, h.now)
 	tell := func(seq uint64, from, to int, kind signals.Kind, age time.Duration) {
 		for i := from; i < to; i++ {
-			r := report(b, e, []string{b.set.Zone, "other"}[i%2], kind)
+			r := report(b, e, []string{b.settings.Zone, "other"}[i%2], kind)
 			r.Verdicts[0].Age = age
-			b.Told(h.now, fmt.Sprint("m", i), 1, seq, 0, r)
+			b.ReceiveReport(h.now, fmt.Sprint("m", i), 1, seq, 0, r)
 		}
-		b.Timer(h.now, tokenTick)
+		b.Timer(h.now, tickToken)
 	}
 	tell(1, 0, 3, signals.Full, time.Second)
-	if after := b.expect(e, h.now); after < spillAt*b.aim || after > refuseAt*b.aim || h.now < e.until {
+	if after := b.expectedLatency(e, h.now); after < spillThreshold*b.shortestTarget || after > refusalThreshold*b.shortestTarget || h.now < e.ejectedUntil {
 		t.Errorf("expected in %.3f s, before in %.3f s", after, before)
 	}
-	if e.took, e.held, e.fresh = 0.2, 20, 1; b.expect(e, h.now) > spillAt*b.aim {
-		t.Errorf("against what it saw itself, it expects an answer in %.3f s", b.expect(e, h.now))
+	if e.latencySum, e.loadSum, e.freshness = 0.2, 20, 1; b.expectedLatency(e, h.now) > spillThreshold*b.shortestTarget {
+		t.Errorf("against what it saw itself, it expects an answer in %.3f s", b.expectedLatency(e, h.now))
 	}
-	if tell(1, 3, 4, signals.Serves, time.Second/2); !e.worse {
+	if tell(1, 3, 4, signals.Serves, time.Second/2); !e.reportedDegraded {
 		t.Error("the word of one opens it")
 	}
-	if tell(1, 4, 5, signals.Serves, time.Second/2); e.worse {
+	if tell(1, 4, 5, signals.Serves, time.Second/2); e.reportedDegraded {
 		t.Error("it is still taken for full after two were served")
 	}
 }
@@ -185,14 +185,14 @@
 		tries := 0
 		for self := range peers - gone {
 			b, h := sidecar(t, self, peers, fleet(20))
-			b.Members(h.now, self, make([]Peer, peers-gone))
-			e, own := b.active[0], 0
+			b.SetMembers(h.now, self, make([]Peer, peers-gone))
+			e, own := b.inUse[0], 0
 			h.now = 10 * time.Second
-			for end := h.now + seconds*time.Second; h.now < end; h.now += tickEvery {
+			for end := h.now + seconds*time.Second; h.now < end; h.now += tickInterval {
 				for i := range 3 {
-					b.Told(h.now, fmt.Sprint("m", i), 1, uint64(h.now), 0, report(b, e, []string{b.set.Zone, "other"}[i%2], signals.Silent))
+					b.ReceiveReport(h.now, fmt.Sprint("m", i), 1, uint64(h.now), 0, report(b, e, []string{b.settings.Zone, "other"}[i%2], signals.Silent))
 				}
-				b.Timer(h.now, tokenTick)
+				b.Timer(h.now, tickToken)
 				ask(b, h, RequestID(h.now))
 				for _, s := range h.sent {
 					if s.to == e.ID {
@@ -203,7 +203,7 @@
 					}
 				}
 				h.sent = nil
-				b.ClientGone(h.now, RequestID(h.now))
+				b.ClientDisconnected(h.now, RequestID(h.now))
 				b.Result(h.now, Result{ID: RequestID(h.now), Endpoint: e.ID, Outcome: Cancelled})
 			}
 			if own > seconds/5 {
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -89,13 +89,13 @@
 		if !ok {
 			tenant = -1
 		}
-		h.Balancer.Request(now, balance.Request{ID: e.ID, Class: class, Tenant: tenant, Within: e.Within})
+		h.Balancer.Request(now, balance.Request{ID: e.ID, Class: class, Tenant: tenant, TimeLeft: e.Within})
 	case wire.AnswerStarted:
 		h.Balancer.AnswerStarted(now, e.ID, e.Attempt)
 	case wire.Result:
 		h.Balancer.Result(now, e.Result)
 	case wire.ClientGone:
-		h.Balancer.ClientGone(now, e.ID)
+		h.Balancer.ClientDisconnected(now, e.ID)
 	case wire.Timer:
 		h.Balancer.Timer(now, e.Token)
 	}
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -79,7 +79,7 @@
 	t.told = true
 	h.counts.attempts[outcome].Add(1)
 	h.balancer.Result(h.now, balance.Result{ID: c.number, Attempt: n, Endpoint: t.endpoint, Outcome: outcome,
-		Took: cmp.Or(t.began, h.now) - t.sent, Finished: c.over})
+		Latency: cmp.Or(t.began, h.now) - t.sent, Finished: c.over})
 }
 
 // Cancel ends an attempt. Its result comes from its own goroutine.
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -79,13 +79,13 @@
 	h.last++
 	c.number = h.last
 	h.calls[c.number] = c
-	r := balance.Request{ID: c.number, Class: c.class, Tenant: c.tenant, Within: c.wait, Coming: c.rest != nil, Client: c.client}
-	if j := h.balancer.Hitters(); j != nil {
+	r := balance.Request{ID: c.number, Class: c.class, Tenant: c.tenant, TimeLeft: c.wait, BodyIncomplete: c.rest != nil, Client: c.client}
+	if j := h.balancer.HeavyHitters(); j != nil {
 		j.Name(c.client, c.name)
 	}
-	if !r.Coming {
+	if !r.BodyIncomplete {
 		h.arm(c)
-		r.Within = c.deadline.Sub(h.origin) - h.now
+		r.TimeLeft = c.deadline.Sub(h.origin) - h.now
 	}
 	h.balancer.Request(h.now, r)
 }
@@ -110,7 +110,7 @@
 			t.arm(c.deadline)
 		}
 	}
-	h.balancer.BodyEnded(h.now, c.number, c.deadline.Sub(now))
+	h.balancer.BodyComplete(h.now, c.number, c.deadline.Sub(now))
 }
 
 // arm ends an attempt at a time, unless its timer is stopped before.
@@ -146,7 +146,7 @@
 		h.counts.gone.Add(1)
 		c.finish()
 	}
-	h.balancer.ClientGone(h.now, c.number)
+	h.balancer.ClientDisconnected(h.now, c.number)
 	h.forget(c)
 }
 
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -196,14 +196,14 @@
 		return nil, err
 	}
 	if c.Keepers != nil {
-		c.Settings.AskDiscovery = false // they tell without being asked
+		c.Settings.SubscribeToDiscovery = false // they tell without being asked
 		c.Settings.Tags = c.Keepers.Tags
 	}
 	if c.Members, err = file.Members.config(c.Name, getenv("PROXY_MEMBERS")); err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
 	if c.Members != nil {
-		c.Settings.Bound = c.Members.Bound
+		c.Settings.ReportTTL = c.Members.Bound
 	}
 	if c.Hitters, c.Settings.Hitters, err = file.Hitters.config(c.Name); err != nil {
 		return nil, fmt.Errorf("hitters: %w", err)
--- a/internal/sidecar/counts.go
+++ b/internal/sidecar/counts.go
@@ -128,7 +128,7 @@
 // info answers with the figures as they stand.
 func (s *server) info([]string) string {
 	var listed, avoided int
-	if !s.host.ask(func() { listed, avoided = s.host.balancer.Listed(s.host.now) }) {
+	if !s.host.ask(func() { listed, avoided = s.host.balancer.CountListed(s.host.now) }) {
 		return fmt.Sprintf("fail %v\n", errLeaving)
 	}
 	var text strings.Builder
--- a/internal/sidecar/hitters.go
+++ b/internal/sidecar/hitters.go
@@ -99,7 +99,7 @@
 
 // rollHitters ends a window, logs whose state has changed, and tells the members. The loop alone calls it.
 func (h *host) rollHitters() {
-	own, changed := h.balancer.Hitters().Roll(h.now)
+	own, changed := h.balancer.HeavyHitters().Roll(h.now)
 	for _, c := range changed {
 		level := slog.LevelDebug
 		if c.State == hitters.Heavy || c.State == hitters.Cooling {
@@ -125,7 +125,7 @@
 			return
 		}
 		word := hitters.News{Origin: c.Hitters.origin(n.Origin), Start: n.Start, Seq: n.Seq, Age: n.Age, Report: report}
-		h.post(func() { h.balancer.Hitters().Tell(h.now, word) })
+		h.post(func() { h.balancer.HeavyHitters().Tell(h.now, word) })
 	}
 }
 
@@ -134,7 +134,7 @@
 	var held []hitters.Client
 	var yielded uint64
 	if s.config.Hitters == nil || !s.host.ask(func() {
-		judge := s.host.balancer.Hitters()
+		judge := s.host.balancer.HeavyHitters()
 		yielded = judge.Yielded()
 		for _, c := range judge.Clients() {
 			if c.State == hitters.Heavy {
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -67,7 +67,7 @@
 	n := newCounts(c.Settings.Classes)
 	h := &host{log: log, counts: n, origin: time.Now().Add(-originAge), ready: make(chan struct{}), told: make(chan struct{}), wake: make(chan struct{}, 1),
 		upstream:  newUpstream(c.Limits.ConnectTimeout, c.Limits.IdleClose, c.Sockets, n, newBudget(budgetOf(c.MemoryMB))),
-		discovery: newDiscovery(c.Discovery, c.Limits.ConnectTimeout, !c.Settings.AskDiscovery),
+		discovery: newDiscovery(c.Discovery, c.Limits.ConnectTimeout, !c.Settings.SubscribeToDiscovery),
 		handover:  &handover{log: log},
 		calls:     map[balance.RequestID]*call{}, ledger: newLedger(c.Known), ctx: ctx, leave: func() {}}
 	h.discovery.within = cmp.Or(c.agentWithin, agentWithin)
@@ -112,7 +112,7 @@
 	switch {
 	case c.Keepers != nil:
 		return h.keep(ctx, c)
-	case !c.Settings.AskDiscovery:
+	case !c.Settings.SubscribeToDiscovery:
 		// An agent that pushes tells all who listen.
 		h.moves = make(chan string, 1)
 		h.watchers.Add(1)
@@ -151,7 +151,7 @@
 }
 
 // tellOut tells the Balancer which servers staff have taken out. The loop alone calls it.
-func (h *host) tellOut() { h.balancer.ByHand(h.now, h.handover.out()) }
+func (h *host) tellOut() { h.balancer.SetOutOfService(h.now, h.handover.out()) }
 
 // run is the loop. It ends with ctx.
 func (h *host) run(ctx context.Context) {
--- a/internal/sidecar/kept.go
+++ b/internal/sidecar/kept.go
@@ -35,7 +35,7 @@
 type beliefs struct {
 	Saved int64 `json:"saved_ns"`
 	Began int64 `json:"began_ns"` // the process that saved it; 0: one from before this was told
-	balance.Kept
+	balance.Snapshot
 }
 
 // newKept keeps it in a folder, for a sidecar of a name.
@@ -46,7 +46,7 @@
 
 // load is what was left, in times from an origin on, and when. It tells false where there is nothing sound. What is unsound as this process
 // begins is named in the log and set aside; later it is another's to judge.
-func (k *kept) load(origin time.Time) (balance.Kept, time.Time, bool) {
+func (k *kept) load(origin time.Time) (balance.Snapshot, time.Time, bool) {
 	b, err := k.Read()
 	ok := err == nil
 	if k.began == 0 {
@@ -59,14 +59,14 @@
 		k.began = max(time.Now().UnixNano(), b.Began+1)
 	}
 	if !ok {
-		return balance.Kept{}, time.Time{}, false
+		return balance.Snapshot{}, time.Time{}, false
 	}
-	return shifted(b.Kept, -origin.UnixNano()), time.Unix(0, b.Saved), true
+	return shifted(b.Snapshot, -origin.UnixNano()), time.Unix(0, b.Saved), true
 }
 
 // save replaces what was left, unless by a process that began later, or by a later program. Danger: a disk may hold a process up with the
 // lock taken, and the end of this one must not wait for it; so what is left meanwhile is that one's.
-func (k *kept) save(b balance.Kept, origin, now time.Time) error {
+func (k *kept) save(b balance.Snapshot, origin, now time.Time) error {
 	err := sealed.Locked(k.Path, false, func() error {
 		if there, err := k.Read(); errors.Is(err, sealed.ErrLater) || err == nil && there.Began > k.began {
 			return nil
@@ -80,8 +80,8 @@
 }
 
 // shifted has the starts of servers count from elsewhere. Who started long ago still did.
-func shifted(b balance.Kept, by int64) balance.Kept {
-	all := make([]balance.KeptServer, len(b.Endpoints))
+func shifted(b balance.Snapshot, by int64) balance.Snapshot {
+	all := make([]balance.EndpointSnapshot, len(b.Endpoints))
 	for i, e := range b.Endpoints {
 		for _, t := range []*balance.Time{&e.Started, &e.Cold} {
 			if *t != 0 {
@@ -104,7 +104,7 @@
 		// Without the monotonic clock's reading: a wall clock that went back makes what was kept come from the future, which counts for nothing.
 		age := time.Now().Round(0).Sub(saved)
 		h.log.Info("beliefs taken up", "servers", len(b.Endpoints), "age_ms", age.Milliseconds())
-		h.balancer.Remember(h.now, b, age)
+		h.balancer.Restore(h.now, b, age)
 	}
 }
 
@@ -120,11 +120,11 @@
 		case <-stop.Done():
 			last = true
 		}
-		var b balance.Kept
+		var b balance.Snapshot
 		upTo := written
 		if !h.ask(func() {
 			if upTo = h.last; upTo != written {
-				b = h.balancer.Keep(h.now)
+				b = h.balancer.Snapshot(h.now)
 			}
 		}) {
 			return
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -60,7 +60,7 @@
 // generation is the one that the Balancer goes by. The loop alone calls it.
 func (h *host) generation() int64 {
 	r := &h.routing
-	if r.behind && !h.balancer.RulesWait() {
+	if r.behind && !h.balancer.RulesPending() {
 		r.behind = false // what waited is applied by now
 	}
 	if held := r.follower.Figures().Gen; !r.behind && held >= 0 {
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -204,7 +204,7 @@
 	switch {
 	case err == nil && r.ContentLength != 0:
 		c.length = r.ContentLength
-		c.rest = &upload{body: body, taken: func() { s.host.post(func() { s.host.balancer.BodyTaken(c.number) }) },
+		c.rest = &upload{body: body, taken: func() { s.host.post(func() { s.host.balancer.BodyConsumed(c.number) }) },
 			ended: func() {
 				s.counts.open.Add(1)
 				s.host.post(func() { s.host.bodyEnded(c) })
--- a/internal/sidecar/signals.go
+++ b/internal/sidecar/signals.go
@@ -45,7 +45,7 @@
 	for name := range h.company.peers {
 		if !slices.Contains(v.Names, name) {
 			delete(h.company.peers, name)
-			h.balancer.Gone(name)
+			h.balancer.RemoveMember(name)
 		}
 	}
 	h.company.view = v
@@ -73,11 +73,11 @@
 				v.Start = -1 // another process than the one listed here; it counts for how much the witness condemns
 			}
 		}
-		if p := (balance.Peer{Zone: r.Room, Level: r.Level}); c.peers[n.Origin] != p {
+		if p := (balance.Peer{Zone: r.Room, TrafficLevel: r.Level}); c.peers[n.Origin] != p {
 			c.peers[n.Origin] = p
 			c.changed(h.now)
 		}
-		h.balancer.Told(h.now, n.Origin, n.Start, n.Seq, n.Age, r)
+		h.balancer.ReceiveReport(h.now, n.Origin, n.Start, n.Seq, n.Age, r)
 	})
 }
 
@@ -113,15 +113,15 @@
 	c.since = 0
 	h.log.Info("members", "count", c.view.Count, "place", c.view.Place, "epoch", c.view.Epoch)
 	if c.view.Count < 2 {
-		h.balancer.Members(h.now, -1, nil)
+		h.balancer.SetMembers(h.now, -1, nil)
 		return
 	}
 	peers := make([]balance.Peer, len(c.view.Names))
 	for i, name := range c.view.Names {
 		peers[i] = c.peers[name]
 	}
-	peers[c.view.Place] = balance.Peer{Zone: c.said.Room, Level: c.said.Level}
-	h.balancer.Members(h.now, c.view.Place, peers)
+	peers[c.view.Place] = balance.Peer{Zone: c.said.Room, TrafficLevel: c.said.Level}
+	h.balancer.SetMembers(h.now, c.view.Place, peers)
 }
 
 // alike tells whether two reports say the same of the same servers, of kinds from least on.
@@ -139,7 +139,7 @@
 
 // say tells the members what this sidecar saw of servers, and what it is.
 func (h *host) say() {
-	c, r := &h.company, h.balancer.Witness(h.now)
+	c, r := &h.company, h.balancer.LocalReport(h.now)
 	same, grave := alike(r.Verdicts, c.said.Verdicts, signals.None), alike(r.Verdicts, c.said.Verdicts, signals.Refusing)
 	if r.Level != c.said.Level {
 		same, grave = false, false
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -170,7 +170,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Settings.AskDiscovery = true // and so no watch in this test
+	c.Settings.SubscribeToDiscovery = true // and so no watch in this test
 	booted := time.Now().Add(-3 * time.Second)
 	for _, tt := range []struct {
 		boot time.Time
--- a/internal/sidecar/wire/settings.go
+++ b/internal/sidecar/wire/settings.go
@@ -181,10 +181,10 @@
 		Seed: seed, Self: c.integer("ordinal"), Peers: c.integer("peers_total"), Zone: c.values["my_zone"],
 		Zones: c.list("areas"), Kinds: c.list("models"),
 		MaxAttempts: c.integer("limits.try_limit"), CancelAllowed: c.boolean("limits.cancelling"),
-		AskDiscovery: choose(c, "discovery", map[string]bool{"pushed": false, "on_request": true}),
-		MustAsk:      c.duration("rules.must_ask_in_s"), ColdTime: c.duration("rules.cold_s"),
-		StartCapacity: c.float("rules.start_capacity"), FallMultiple: c.float("rules.fall_multiple"),
-		FallTime: c.duration("rules.fall_s"), CrossCharge: c.float("charges.cross_zone"),
+		SubscribeToDiscovery: choose(c, "discovery", map[string]bool{"pushed": false, "on_request": true}),
+		DiscoveryDeadline:    c.duration("rules.must_ask_in_s"), WarmUpTime: c.duration("rules.cold_s"),
+		StartCapacity: c.float("rules.start_capacity"), OverloadMultiple: c.float("rules.fall_multiple"),
+		OverloadTime: c.duration("rules.fall_s"), ZoneCrossingCost: c.float("charges.cross_zone"),
 	}
 	if tiers := c.list("tiers"); c.integer("tier") >= 0 && c.integer("tier") < len(tiers) {
 		s.Service = tiers[c.integer("tier")]
@@ -198,9 +198,9 @@
 				"deduplicated": balance.Deduplicated, "at_most_once": balance.AtMostOnce}),
 			Scope: choose(c, at+"group", map[string]balance.Scope{"": balance.ScopeCell, "-": balance.ScopeCell,
 				"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell}),
-			DedupeWindow: c.duration(at + "window_s"), Aim: c.duration(at + "aim_s"),
-			Deadline: c.duration(at + "deadline_s"), Worth: c.float(at + "credit"),
-			LateWorth: c.float(at + "late_value"),
+			DedupeWindow: c.duration(at + "window_s"), LatencyTarget: c.duration(at + "aim_s"),
+			Deadline: c.duration(at + "deadline_s"), Value: c.float(at + "credit"),
+			LateValue: c.float(at + "late_value"),
 		})
 		names.Class[s.Classes[i].Name] = i
 	}
--- a/internal/sidecar/wire/wire.go
+++ b/internal/sidecar/wire/wire.go
@@ -143,7 +143,7 @@
 	case "RESPONSE":
 		e.Kind = Result
 		e.Result = balance.Result{ID: balance.RequestID(r.number64(1)), Attempt: r.integer(2), Endpoint: r.text(3),
-			Outcome: r.outcome(4), Took: r.duration(5), Finished: r.boolean(6)}
+			Outcome: r.outcome(4), Latency: r.duration(5), Finished: r.boolean(6)}
 	case "CLIENT_LEFT":
 		e.Kind, e.ID = ClientGone, balance.RequestID(r.number64(1))
 	case "DUE":
--- a/internal/sidecar/wire/wire_test.go
+++ b/internal/sidecar/wire/wire_test.go
@@ -54,11 +54,11 @@
 		t.Errorf("time %v, instance %d", events[0].Now, events[1].Instance)
 	}
 	s := events[2].Settings
-	if s.Seed != 7 || s.Self != 1 || s.Peers != 3 || !s.AskDiscovery ||
-		s.ColdTime != 9500*time.Millisecond || len(s.Zones) != 2 || s.Service != "back" || s.Tenants[0].Allowance != 12 {
+	if s.Seed != 7 || s.Self != 1 || s.Peers != 3 || !s.SubscribeToDiscovery ||
+		s.WarmUpTime != 9500*time.Millisecond || len(s.Zones) != 2 || s.Service != "back" || s.Tenants[0].Allowance != 12 {
 		t.Errorf("settings %+v", s)
 	}
-	if c := s.Classes[0]; c.Effect != balance.Deduplicated || c.Scope != balance.ScopeCell || c.Worth != 4 || c.Aim != time.Second/2 {
+	if c := s.Classes[0]; c.Effect != balance.Deduplicated || c.Scope != balance.ScopeCell || c.Value != 4 || c.LatencyTarget != time.Second/2 {
 		t.Errorf("class %+v", c)
 	}
 	list := events[3].Entries
