--- a/balance/fair.go
+++ b/balance/fair.go
@@ -10,7 +10,7 @@
 	if b.hitters == nil {
 		return false
 	}
-	after, yields := b.hitters.Yields(now, now < b.sheddingUntil, q.Client, uint64(q.ID))
+	after, yields := b.hitters.ShouldReject(now, now < b.sheddingUntil, q.Client, uint64(q.ID))
 	if yields {
 		b.actions.Refuse(q.ID, after)
 		b.finish(q)
@@ -27,5 +27,5 @@
 		sum += w
 	}
 	work := min(cmp.Or(q.latency.Seconds(), usual), heavyMultiple*usual) * float64(len(b.meanSeconds)) / sum
-	b.hitters.Count(q.Client, time.Duration(work*float64(time.Second)), q.latency > 0)
+	b.hitters.Observe(q.Client, time.Duration(work*float64(time.Second)), q.latency > 0)
 }
--- a/balance/fair_test.go
+++ b/balance/fair_test.go
@@ -47,7 +47,7 @@
 				}
 			}
 			if host.now%h.Window < 10*time.Millisecond {
-				b.HeavyHitters().Roll(host.now)
+				b.HeavyHitters().EndWindow(host.now)
 			}
 		}
 		return asked, refused, host.refused
--- a/balance/golden_trace_test.go
+++ b/balance/golden_trace_test.go
@@ -129,32 +129,32 @@
 
 // report takes in what a Balancer says of servers.
 func (tr *goldenTrace) report(r signals.Report) {
-	tr.step('W', int64(r.Level), int64(len(r.Uses)), int64(len(r.Verdicts)))
-	tr.text(r.Room)
+	tr.step('W', int64(r.TrafficLevel), int64(len(r.Uses)), int64(len(r.Verdicts)))
+	tr.text(r.Zone)
 	for _, u := range r.Uses {
-		tr.text(u.Room)
+		tr.text(u.Zone)
 		tr.num(int64(u.Servers))
 	}
 	for _, v := range r.Verdicts {
 		tr.text(v.Server)
-		tr.text(v.Room)
+		tr.text(v.Zone)
 		tr.num(v.Start, int64(v.Kind), int64(v.Count), int64(v.Age))
 	}
 }
 
 // hitters takes in a window's report and all clients that are held, and the changed ones.
-func (tr *goldenTrace) hitters(j *hitters.Judge, news hitters.News, changed []hitters.Client) {
+func (tr *goldenTrace) hitters(j *hitters.Detector, news hitters.OriginReport, changed []hitters.Client) {
 	tr.step('H', int64(news.Origin), news.Start, int64(news.Seq), int64(len(changed)))
 	tr.sum.Write(news.Report.Append(nil))
 	for _, c := range changed {
 		tr.num(int64(c.Key), int64(c.State), int64(c.Since))
-		tr.float(c.Share, c.Above, c.Keep)
+		tr.float(c.Share, c.ShareError, c.AdmittedShare)
 	}
 	for _, c := range j.Clients() {
 		tr.num(int64(c.Key), int64(c.State), int64(c.Since))
-		tr.float(c.Share, c.Above, c.Keep)
+		tr.float(c.Share, c.ShareError, c.AdmittedShare)
 	}
-	tr.num(int64(j.Yielded()))
+	tr.num(int64(j.Rejected()))
 }
 
 // goldenScenario is a run that a seed repeats.
@@ -326,11 +326,11 @@
 }
 
 func (d *driver) endWindow(self int) {
-	news, changed := d.sidecars[self].HeavyHitters().Roll(d.now)
+	news, changed := d.sidecars[self].HeavyHitters().EndWindow(d.now)
 	d.tr.hitters(d.sidecars[self].HeavyHitters(), news, changed)
 	for other, b := range d.sidecars {
 		if other != self {
-			d.tr.flag(b.HeavyHitters().Tell(d.now, news))
+			d.tr.flag(b.HeavyHitters().Receive(d.now, news))
 		}
 	}
 }
--- a/balance/hitters/fleet.go
+++ b/balance/hitters/fleet.go
@@ -9,8 +9,8 @@
 
 // Here is what is counted and added up. What it is taken for is decided in judge.go.
 
-// News is a report as it comes from the members, this sidecar included.
-type News struct {
+// OriginReport is a report as it comes from the members, this sidecar included.
+type OriginReport struct {
 	Origin uint64 // Key of its name
 	Start  int64  // of its process: a later process has a higher one
 	Seq    uint64 // rises within a process
@@ -18,76 +18,76 @@
 	Report Report
 }
 
-// word is an origin's latest report.
-type word struct {
+// storedReport is an origin's latest report.
+type storedReport struct {
 	origin uint64
 	start  int64
 	seq    uint64
-	at     Time // when it was made
+	madeAt Time // when it was made
 	Report
 }
 
 // window is what a sidecar counted in a stretch of time.
 type window struct {
 	Summary
-	served   uint64 // of its total
-	requests uint64
-	begun    Time
-	length   time.Duration
+	served    uint64 // of its total
+	requests  uint64
+	startedAt Time
+	length    time.Duration
 }
 
-// Count takes in what a request of a client took, or would have taken, and whether it was served. Danger: if what is
+// Observe takes in what a request of a client took, or would have taken, and whether it was served. Danger: if what is
 // refused did not count, a flood that gives way would pass for gone, and be let in again.
-func (j *Judge) Count(key uint64, work time.Duration, served bool) {
-	us := uint64(min(max(work, 0), mostWork) / time.Microsecond)
-	j.open.Add(key, us)
-	j.open.requests++
+func (j *Detector) Observe(key uint64, work time.Duration, served bool) {
+	us := uint64(min(max(work, 0), maxRequestWork) / time.Microsecond)
+	j.current.Add(key, us)
+	j.current.requests++
 	if served {
-		j.open.served += us
+		j.current.served += us
 	}
 }
 
-// Tell takes in what an origin told, and returns whether it is news: the latest of it, and not older than the bound.
+// Receive takes in what an origin told, and returns whether it is news: the latest of it, and not older than the bound.
 // What others say in this sidecar's name is none.
 //
 // Danger: a word that was dropped for its age must not come back as an older one. It cannot: that is older still.
-func (j *Judge) Tell(now Time, n News) bool {
-	return n.Origin != j.set.Origin && n.Age >= 0 && n.Age <= j.set.Bound && j.keep(now, n)
+func (j *Detector) Receive(now Time, n OriginReport) bool {
+	return n.Origin != j.settings.Origin && n.Age >= 0 && n.Age <= j.settings.ReportTTL && j.store(now, n)
 }
 
-// keep has a word be its origin's, unless it holds a later one.
-func (j *Judge) keep(now Time, n News) bool {
-	i, held := slices.BinarySearchFunc(j.words, n.Origin, func(w *word, o uint64) int { return cmp.Compare(w.origin, o) })
+// store has a word be its origin's, unless it holds a later one.
+func (j *Detector) store(now Time, n OriginReport) bool {
+	i, held := slices.BinarySearchFunc(j.reports, n.Origin, func(w *storedReport, o uint64) int { return cmp.Compare(w.origin, o) })
 	switch {
 	case held:
-		w := j.words[i]
-		if cmp.Or(cmp.Compare(n.Start, w.start), cmp.Compare(n.Seq, w.seq)) <= 0 && now-w.at <= j.set.Bound {
+		w := j.reports[i]
+		if cmp.Or(cmp.Compare(n.Start, w.start), cmp.Compare(n.Seq, w.seq)) <= 0 && now-w.madeAt <= j.settings.ReportTTL {
 			return false
 		}
-	case len(j.words) >= mostOrigins:
+	case len(j.reports) >= maxOrigins:
 		return false
 	default:
-		if len(j.words) == cap(j.words) {
-			j.words = slices.Grow(j.words, 32) // not twice as many: memory is bounded
+		if len(j.reports) == cap(j.reports) {
+			j.reports = slices.Grow(j.reports, 32) // not twice as many: memory is bounded
 		}
-		j.words = slices.Insert(j.words, i, &word{})
+		j.reports = slices.Insert(j.reports, i, &storedReport{})
 	}
-	*j.words[i] = word{origin: n.Origin, start: n.Start, seq: n.Seq, at: now - n.Age, Report: n.Report}
+	*j.reports[i] = storedReport{origin: n.Origin, start: n.Start, seq: n.Seq, madeAt: now - n.Age, Report: n.Report}
 	return true
 }
 
-// endWindow closes the window and takes in the own report over the last ones, which it returns.
-func (j *Judge) endWindow(now Time) News {
-	j.open.length = now - j.open.begun
+// closeWindow closes the window and takes in the own report over the last ones, which it returns.
+func (j *Detector) closeWindow(now Time) OriginReport {
+	j.current.length = now - j.current.startedAt
 	room := j.closed[0].Summary
 	copy(j.closed[:], j.closed[1:])
-	j.closed[windows-1] = j.open
+	j.closed[windows-1] = j.current
 	room.reset()
-	j.open = window{Summary: room, begun: now}
+	j.current = window{Summary: room, startedAt: now}
 	j.seq++
-	own := News{Origin: j.set.Origin, Seq: j.seq, Report: report(j.closed[:], uint16(j.set.High/tellFrom*whole))}
-	j.keep(now, own)
-	j.words = slices.DeleteFunc(j.words, func(w *word) bool { return now-w.at > j.set.Bound })
+	own := OriginReport{Origin: j.settings.Origin, Seq: j.seq, Report: summarize(j.closed[:], uint16(j.settings.HighThreshold/namedFraction*fullShare))}
+	j.store(now, own)
+	j.reports = slices.DeleteFunc(j.reports, func(w *storedReport) bool { return now-w.madeAt > j.settings.ReportTTL })
 	return own
 }
 
@@ -96,15 +96,15 @@
 
 // tally is the work of one client.
 type tally struct {
-	key  uint64
-	sum  uint64
-	most uint64 // of the sum, by the one other origin that tells most of it
+	key          uint64
+	total        uint64
+	largestOther uint64 // of the sum, by the one other origin that tells most of it
 }
 
-// totals returns the largest total that another origin told, and the next of all.
-func (j *Judge) totals() (first, next uint64) {
-	for _, w := range j.words {
-		if w.origin == j.set.Origin {
+// largestTotals returns the largest total that another origin told, and the next of all.
+func (j *Detector) largestTotals() (first, next uint64) {
+	for _, w := range j.reports {
+		if w.origin == j.settings.Origin {
 			next = max(next, w.Total)
 			continue
 		}
@@ -114,18 +114,18 @@
 	return first, next
 }
 
-// sum adds the words up, another origin's total counting for no more than most: over all, and for each client that is
+// sumReports adds the words up, another origin's total counting for no more than most: over all, and for each client that is
 // held or may have more than 1/65 of it. The order of the words plays no part in the sums.
-func (j *Judge) sum(most uint64) (f fleet, clients []tally) {
+func (j *Detector) sumReports(most uint64) (f fleet, clients []tally) {
 	var likely Summary
-	for _, w := range j.words {
-		total := j.weight(w, most)
+	for _, w := range j.reports {
+		total := j.cappedTotal(w, most)
 		f.total += total
-		f.served += total * uint64(w.Served) / whole
-		f.err += total * uint64(w.Err) / whole
+		f.served += total * uint64(w.Served) / fullShare
+		f.err += total * uint64(w.Err) / fullShare
 		f.requests += uint64(w.Requests)
 		for i := range w.Named {
-			likely.put(w.Keys[i], total*uint64(w.Shares[i])/whole)
+			likely.put(w.Keys[i], total*uint64(w.Shares[i])/fullShare)
 		}
 	}
 	keys := likely.keys
@@ -137,11 +137,11 @@
 	slices.Sort(keys)
 	for _, key := range keys {
 		t := tally{key: key}
-		for _, w := range j.words {
+		for _, w := range j.reports {
 			if i := slices.Index(w.Keys[:w.Named], key); i >= 0 {
-				part := j.weight(w, most) * uint64(w.Shares[i]) / whole
-				if t.sum += part; w.origin != j.set.Origin {
-					t.most = max(t.most, part)
+				part := j.cappedTotal(w, most) * uint64(w.Shares[i]) / fullShare
+				if t.total += part; w.origin != j.settings.Origin {
+					t.largestOther = max(t.largestOther, part)
 				}
 			}
 		}
@@ -150,53 +150,53 @@
 	return f, clients
 }
 
-// asked is what all but the clients ask for, and what all do less what gives way while servers are full.
-func (j *Judge) asked(f fleet, clients []tally) (rest, sent float64) {
+// demand is what all but the clients ask for, and what all do less what gives way while servers are full.
+func (j *Detector) demand(f fleet, clients []tally) (rest, sent float64) {
 	rest, sent = float64(f.total), float64(f.total)
 	for _, t := range clients {
-		rest -= float64(t.sum)
-		if c := j.heavy(t.key); c != nil {
-			sent -= float64(t.sum) * (1 - c.Keep)
+		rest -= float64(t.total)
+		if c := j.heavyClient(t.key); c != nil {
+			sent -= float64(t.total) * (1 - c.AdmittedShare)
 		}
 	}
 	return rest, sent
 }
 
-// heavy returns a client that is held for heavy, or nil.
-func (j *Judge) heavy(key uint64) *Client {
+// heavyClient returns a client that is held for heavyClient, or nil.
+func (j *Detector) heavyClient(key uint64) *Client {
 	if i, held := j.find(key); held && j.clients[i].State == Heavy {
 		return j.clients[i]
 	}
 	return nil
 }
 
-func (j *Judge) weight(w *word, most uint64) uint64 {
-	if w.origin == j.set.Origin {
+func (j *Detector) cappedTotal(w *storedReport, most uint64) uint64 {
+	if w.origin == j.settings.Origin {
 		return w.Total
 	}
 	return min(w.Total, most)
 }
 
-// take notes a client's share, of which there may be more than is sure.
-func (c *Client) take(share float64, t tally, f fleet) {
-	c.Share, c.Above = share, float64(t.most+f.err)/math.Max(float64(f.total), 1)
+// setShare notes a client's share, of which there may be more than is sure.
+func (c *Client) setShare(share float64, t tally, f fleet) {
+	c.Share, c.ShareError = share, float64(t.largestOther+f.err)/math.Max(float64(f.total), 1)
 }
 
 // client returns the client that is held by a key, or a quiet one that is not.
-func (j *Judge) client(key uint64) *Client {
+func (j *Detector) client(key uint64) *Client {
 	if i, held := j.find(key); held {
 		return j.clients[i]
 	}
-	return &Client{Key: key, Keep: 1, credit: float64((key^j.set.Origin)%97) / 97}
+	return &Client{Key: key, AdmittedShare: 1, credit: float64((key^j.settings.Origin)%97) / 97}
 }
 
-// hold keeps a client by its new state. Where there is no room, the one that cools longest is let go.
-func (j *Judge) hold(c *Client) {
+// storeClient keeps a client by its new state. Where there is no room, the one that cools longest is let go.
+func (j *Detector) storeClient(c *Client) {
 	i, held := j.find(c.Key)
 	switch {
 	case held && c.State == Quiet:
 		j.clients = slices.Delete(j.clients, i, i+1)
-	case !held && len(j.clients) < mostClients:
+	case !held && len(j.clients) < maxClients:
 		j.clients = slices.Insert(j.clients, i, c)
 	case !held:
 		var oldest *Client
@@ -207,12 +207,12 @@
 		}
 		if oldest != nil {
 			oldest.State = Quiet
-			j.hold(oldest)
-			j.hold(c)
+			j.storeClient(oldest)
+			j.storeClient(c)
 		}
 	}
 }
 
-func (j *Judge) find(key uint64) (int, bool) {
+func (j *Detector) find(key uint64) (int, bool) {
 	return slices.BinarySearchFunc(j.clients, key, func(c *Client, k uint64) int { return cmp.Compare(c.Key, k) })
 }
--- a/balance/hitters/hitters.go
+++ b/balance/hitters/hitters.go
@@ -31,55 +31,55 @@
 
 // The bounds.
 const (
-	counters     = 64   // clients counted in a window: a count is at most 1/65 of the total too low
-	windows      = 2    // that a report covers
-	mostKeys     = 11   // clients named in a report
-	mostOrigins  = 1024 // that are listened to
-	mostClients  = 48   // held in a state other than quiet: as many as can be above the lower bar
-	tellFrom     = 4    // a report names clients whose share of the sidecar's own work is the bar's part of that
-	mostSpeakers = 150  // tell their report in a window
-	mostName     = 24   // bytes of a client's name that are kept for logs
-	whole        = math.MaxUint16
-	mostTotal    = 1 << 44       // microseconds of work a second
-	mostWork     = time.Hour     // of one request
-	leastHigh    = 2. / counters // under it a share could not be told from the error of the counts
-	leastLow     = 1. / mostClients
-	mostPart     = 10 * time.Minute // of any setting
+	maxCounters         = 64   // clients counted in a window: a count is at most 1/65 of the total too low
+	windows             = 2    // that a report covers
+	maxNamed            = 11   // clients named in a report
+	maxOrigins          = 1024 // that are listened to
+	maxClients          = 48   // held in a state other than quiet: as many as can be above the lower bar
+	namedFraction       = 4    // a report names clients whose share of the sidecar's own work is the bar's part of that
+	maxReportsPerWindow = 150  // tell their report in a window
+	maxNameBytes        = 24   // bytes of a client's name that are kept for logs
+	fullShare           = math.MaxUint16
+	maxTotal            = 1 << 44          // microseconds of work a second
+	maxRequestWork      = time.Hour        // of one request
+	minHighThreshold    = 2. / maxCounters // under it a share could not be told from the error of the counts
+	minLowThreshold     = 1. / maxClients
+	maxDuration         = 10 * time.Minute // of any setting
 )
 
 // Settings are what a Judge is told at its start.
 type Settings struct {
-	Origin uint64        // names this sidecar, as Key of its name
-	High   float64       // share of the fleet's work above which a client is suspected
-	Low    float64       // share under which a heavy one cools
-	Window time.Duration // between reports; a report covers two
-	Hold   time.Duration // a suspected client must stay above High: a little less than whole windows, which do not end to the dot
-	Cool   time.Duration // a cooling one is remembered
-	Bound  time.Duration // news that is older counts for nothing
+	Origin        uint64        // names this sidecar, as Key of its name
+	HighThreshold float64       // share of the fleet's work above which a client is suspected
+	LowThreshold  float64       // share under which a heavy one cools
+	Window        time.Duration // between reports; a report covers two
+	SuspicionTime time.Duration // a suspected client must stay above High: a little less than whole windows, which do not end to the dot
+	CoolingTime   time.Duration // a cooling one is remembered
+	ReportTTL     time.Duration // news that is older counts for nothing
 }
 
 // Defaults are the settings of a sidecar that is told none.
 func Defaults() Settings {
-	return Settings{High: 0.04, Low: 0.025, Window: 500 * time.Millisecond, Hold: 400 * time.Millisecond, Cool: 5 * time.Second,
-		Bound: 2 * time.Second}
+	return Settings{HighThreshold: 0.04, LowThreshold: 0.025, Window: 500 * time.Millisecond, SuspicionTime: 400 * time.Millisecond, CoolingTime: 5 * time.Second,
+		ReportTTL: 2 * time.Second}
 }
 
 // check says what is wrong with the settings, naming the field.
 func (s Settings) check() error {
-	if !(s.High >= leastHigh && s.High < 1) {
-		return fmt.Errorf("field High: %v is not from %.3f to under 1", s.High, leastHigh)
+	if !(s.HighThreshold >= minHighThreshold && s.HighThreshold < 1) {
+		return fmt.Errorf("field High: %v is not from %.3f to under 1", s.HighThreshold, minHighThreshold)
 	}
-	if !(s.Low >= leastLow && s.Low <= s.High) {
-		return fmt.Errorf("field Low: %v is not from %.3f to High", s.Low, leastLow)
+	if !(s.LowThreshold >= minLowThreshold && s.LowThreshold <= s.HighThreshold) {
+		return fmt.Errorf("field Low: %v is not from %.3f to High", s.LowThreshold, minLowThreshold)
 	}
 	var all error
 	for _, f := range []struct {
 		name  string
 		value time.Duration
 		least time.Duration
-	}{{"Window", s.Window, 10 * time.Millisecond}, {"Hold", s.Hold, 0}, {"Cool", s.Cool, 0}, {"Bound", s.Bound, s.Window}} {
-		if f.value < f.least || f.value > mostPart {
-			all = errors.Join(all, fmt.Errorf("field %s: %v is not from %v to %v", f.name, f.value, f.least, mostPart))
+	}{{"Window", s.Window, 10 * time.Millisecond}, {"Hold", s.SuspicionTime, 0}, {"Cool", s.CoolingTime, 0}, {"Bound", s.ReportTTL, s.Window}} {
+		if f.value < f.least || f.value > maxDuration {
+			all = errors.Join(all, fmt.Errorf("field %s: %v is not from %v to %v", f.name, f.value, f.least, maxDuration))
 		}
 	}
 	return all
@@ -115,50 +115,50 @@
 
 // Client is one that is, or until now was, in a state other than quiet.
 type Client struct {
-	Key    uint64
-	Name   string  // its name's beginning; "": no request of it came here since it is suspected
-	State  State   // now
-	Since  Time    // when it got there
-	Share  float64 // of the fleet's work, at the least
-	Above  float64 // and at the most this much above that
-	Keep   float64 // share of its requests that are served while servers are full
-	credit float64 // towards the next such request
-	yields bool    // it began to give way, and there is no room for all of it yet
+	Key           uint64
+	Name          string  // its name's beginning; "": no request of it came here since it is suspected
+	State         State   // now
+	Since         Time    // when it got there
+	Share         float64 // of the fleet's work, at the least
+	ShareError    float64 // and at the most this much above that
+	AdmittedShare float64 // share of its requests that are served while servers are full
+	credit        float64 // towards the next such request
+	rejecting     bool    // it began to give way, and there is no room for all of it yet
 }
 
-// Judge holds what the origins told and who is heavy by it. It must not be used by two goroutines at once.
-type Judge struct {
-	set     Settings
-	open    window          // of this sidecar, being counted
-	closed  [windows]window // the last ones
-	seq     uint64          // of the own reports
-	words   []*word         // by origin
-	clients []*Client       // by key
-	yielded uint64          // requests that gave way
-	room    float64         // work that servers do, as far as is known
-	idle    float64         // of which this much is let in besides what is served, as it seems to be left undone
+// Detector holds what the origins told and who is heavy by it. It must not be used by two goroutines at once.
+type Detector struct {
+	settings       Settings
+	current        window          // of this sidecar, being counted
+	closed         [windows]window // the last ones
+	seq            uint64          // of the own reports
+	reports        []*storedReport // by origin
+	clients        []*Client       // by key
+	rejected       uint64          // requests that gave way
+	capacity       float64         // work that servers do, as far as is known
+	unusedCapacity float64         // of which this much is let in besides what is served, as it seems to be left undone
 }
 
 // New returns a Judge, or an error that says what is wrong with the settings. Without settings there is none.
-func New(set *Settings) (*Judge, error) {
+func New(set *Settings) (*Detector, error) {
 	if set == nil {
 		return nil, nil
 	}
 	if err := set.check(); err != nil {
 		return nil, fmt.Errorf("hitters: %w", err)
 	}
-	return &Judge{set: *set}, nil
+	return &Detector{settings: *set}, nil
 }
 
-// Name has a client that is held be known by its name in logs.
-func (j *Judge) Name(key uint64, name string) {
+// SetName has a client that is held be known by its name in logs.
+func (j *Detector) SetName(key uint64, name string) {
 	if i, held := j.find(key); held && j.clients[i].Name == "" {
-		j.clients[i].Name = strings.ToValidUTF8(strings.Clone(name[:min(len(name), mostName)]), "")
+		j.clients[i].Name = strings.ToValidUTF8(strings.Clone(name[:min(len(name), maxNameBytes)]), "")
 	}
 }
 
-// Yielded counts the requests that were to give way.
-func (j *Judge) Yielded() uint64 { return j.yielded }
+// Rejected counts the requests that were to give way.
+func (j *Detector) Rejected() uint64 { return j.rejected }
 
 // Clients returns those that are held, by key. They change at the next Roll.
-func (j *Judge) Clients() []*Client { return j.clients }
+func (j *Detector) Clients() []*Client { return j.clients }
--- a/balance/hitters/judge_test.go
+++ b/balance/hitters/judge_test.go
@@ -12,20 +12,20 @@
 // set is that of the sidecar 1.
 var set = func() Settings {
 	s := Defaults()
-	s.Origin, s.High, s.Low, s.Hold = 1, 0.08, 0.05, 900*time.Millisecond
+	s.Origin, s.HighThreshold, s.LowThreshold, s.SuspicionTime = 1, 0.08, 0.05, 900*time.Millisecond
 	return s
 }()
 
 // says is a report of a client's share, and more clients' after it.
 func says(total uint64, shares ...float64) Report {
-	r := Report{Total: total, Requests: 10_000, Served: whole}
+	r := Report{Total: total, Requests: 10_000, Served: fullShare}
 	for i, s := range shares {
-		r.Keys[i], r.Shares[i], r.Named = uint64(i+1), uint16(s*whole), r.Named+1
+		r.Keys[i], r.Shares[i], r.Named = uint64(i+1), uint16(s*fullShare), r.Named+1
 	}
 	return r
 }
 
-func judge(t interface{ Fatal(...any) }) *Judge {
+func judge(t interface{ Fatal(...any) }) *Detector {
 	j, err := New(&set)
 	if err != nil {
 		t.Fatal(err)
@@ -34,16 +34,16 @@
 }
 
 // state is what a client is held for.
-func state(j *Judge, key uint64) State { return j.client(key).State }
+func state(j *Detector, key uint64) State { return j.client(key).State }
 
 // roll has the origins tell the same at each window, for some time.
-func roll(j *Judge, now *Time, seq *uint64, long time.Duration, words map[uint64]Report) {
+func roll(j *Detector, now *Time, seq *uint64, long time.Duration, words map[uint64]Report) {
 	for end := *now + long; *now < end; *now += set.Window {
 		*seq++
 		for origin, r := range words {
-			j.Tell(*now, News{Origin: origin, Seq: *seq, Report: r})
+			j.Receive(*now, OriginReport{Origin: origin, Seq: *seq, Report: r})
 		}
-		j.Roll(*now)
+		j.EndWindow(*now)
 	}
 }
 
@@ -83,9 +83,9 @@
 // TestNewsInAnyOrder tells drawn news in two orders, with repeats: the same is held. None counts past its bound.
 func TestNewsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		news := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) News {
+		news := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) OriginReport {
 			seq := rapid.Uint64Range(1, 5).Draw(t, "seq")
-			return News{Origin: rapid.Uint64Range(2, 6).Draw(t, "origin"), Start: rapid.Int64Range(1, 3).Draw(t, "start"),
+			return OriginReport{Origin: rapid.Uint64Range(2, 6).Draw(t, "origin"), Start: rapid.Int64Range(1, 3).Draw(t, "start"),
 				Seq: seq, Report: says(1000*seq, 0.1*float64(seq))}
 		}), 1, 30).Draw(t, "news")
 		for i := range news { // the same name is the same word
@@ -93,19 +93,19 @@
 		}
 		x, y := judge(t), judge(t)
 		for _, n := range news {
-			x.Tell(0, n)
+			x.Receive(0, n)
 		}
 		again := rapid.Permutation(append(slices.Clone(news), news...)).Draw(t, "again")
 		for _, n := range again {
-			y.Tell(0, n)
+			y.Receive(0, n)
 		}
-		fx, sx := x.sum(math.MaxInt64)
-		fy, sy := y.sum(math.MaxInt64)
+		fx, sx := x.sumReports(math.MaxInt64)
+		fy, sy := y.sumReports(math.MaxInt64)
 		if fx != fy || !slices.Equal(sx, sy) {
 			t.Fatalf("%+v %+v, in another order %+v %+v", fx, sx, fy, sy)
 		}
-		x.Roll(set.Bound + 1)
-		if f, _ := x.sum(math.MaxInt64); f.total != 0 || x.Tell(0, News{Origin: 9, Age: set.Bound + 1}) {
+		x.EndWindow(set.ReportTTL + 1)
+		if f, _ := x.sumReports(math.MaxInt64); f.total != 0 || x.Receive(0, OriginReport{Origin: 9, Age: set.ReportTTL + 1}) {
 			t.Fatalf("%+v counts after the bound", f)
 		}
 	})
@@ -120,7 +120,7 @@
 			r := says(rapid.Uint64Range(0, 1<<rapid.IntRange(1, 40).Draw(t, "size")).Draw(t, "total"))
 			for i := range rapid.IntRange(0, 4).Draw(t, "named") {
 				share := left * rapid.Float64Range(0.01, 0.9).Draw(t, "share")
-				r.Keys[i], r.Shares[i], r.Named = uint64(i+1), uint16(share*whole), r.Named+1
+				r.Keys[i], r.Shares[i], r.Named = uint64(i+1), uint16(share*fullShare), r.Named+1
 				left -= share
 			}
 			return r
@@ -130,22 +130,22 @@
 		alone := judge(t)
 		for i, r := range honest {
 			words[uint64(i+2)] = r
-			alone.Tell(time.Minute, News{Origin: uint64(i + 2), Report: r})
+			alone.Receive(time.Minute, OriginReport{Origin: uint64(i + 2), Report: r})
 		}
 		j, now, seq := judge(t), time.Minute, uint64(0)
 		roll(j, &now, &seq, 3*time.Second, words)
-		_, next := alone.totals()
+		_, next := alone.largestTotals()
 		for _, c := range j.clients {
 			most := 0.0
-			for _, cap := range []uint64{mostWeight * next, math.MaxInt64} {
-				f, all := alone.sum(cap)
+			for _, cap := range []uint64{maxTotalRatio * next, math.MaxInt64} {
+				f, all := alone.sumReports(cap)
 				for _, t := range all {
 					if t.key == c.Key {
-						most = max(most, float64(t.sum)/float64(f.total))
+						most = max(most, float64(t.total)/float64(f.total))
 					}
 				}
 			}
-			if most < set.High-1e-3 {
+			if most < set.HighThreshold-1e-3 {
 				t.Fatalf("%d is %v, with a share of %v without the liar", c.Key, c.State, most)
 			}
 		}
@@ -158,7 +158,7 @@
 		shares := rapid.SliceOfN(rapid.Float64Range(0.09, 0.3), 1, 3).Draw(t, "shares")
 		served := rapid.Float64Range(0.3, 1).Draw(t, "served")
 		r := says(1_000_000, shares...)
-		r.Served = uint16(served * whole)
+		r.Served = uint16(served * fullShare)
 		j, now, seq := judge(t), time.Minute, uint64(0)
 		words := map[uint64]Report{}
 		for o := range uint64(40) {
@@ -166,38 +166,38 @@
 		}
 		roll(j, &now, &seq, 3*time.Second, words)
 		levels := [2]float64{}
-		for i, factor := range []float64{less, more} {
+		for i, factor := range []float64{backoffFactor, growthFactor} {
 			for used := 0.0; levels[i] < 1 && used <= min(served*factor, 1); levels[i] += 1e-4 {
 				used = 1
 				for _, s := range shares {
 					used -= max(s-levels[i], 0)
 				}
 			}
-			levels[i] = max(levels[i], leastKept*set.Low*served*factor)
+			levels[i] = max(levels[i], minAdmittedFraction*set.LowThreshold*served*factor)
 		}
 		for i, s := range shares {
 			c := j.client(uint64(i + 1))
-			if c.State != Heavy || c.Keep < levels[0]/s-0.01 && c.Keep < 1 || c.Keep > levels[1]/s+0.01 {
-				t.Fatalf("%v keeps %v of %v, want a level of %v", c.State, c.Keep, s, levels)
+			if c.State != Heavy || c.AdmittedShare < levels[0]/s-0.01 && c.AdmittedShare < 1 || c.AdmittedShare > levels[1]/s+0.01 {
+				t.Fatalf("%v keeps %v of %v, want a level of %v", c.State, c.AdmittedShare, s, levels)
 			}
 			kept := 0
 			for id := range uint64(1000) {
-				after, yields := j.Yields(now, true, c.Key, id)
-				if yields != (after >= backAfter && after < 2*backAfter) {
+				after, yields := j.ShouldReject(now, true, c.Key, id)
+				if yields != (after >= minRetryDelay && after < 2*minRetryDelay) {
 					t.Fatalf("gives way %v, back after %v", yields, after)
 				}
 				if !yields {
 					kept++
 				}
 			}
-			if _, yields := j.Yields(now+set.Bound, true, c.Key, 1); yields {
+			if _, yields := j.ShouldReject(now+set.ReportTTL, true, c.Key, 1); yields {
 				t.Fatal("one gives way by news that is too old")
 			}
-			if math.Abs(float64(kept)-1000*c.Keep) > 1 {
-				t.Fatalf("%d of 1000 served, want a share of %v", kept, c.Keep)
+			if math.Abs(float64(kept)-1000*c.AdmittedShare) > 1 {
+				t.Fatalf("%d of 1000 served, want a share of %v", kept, c.AdmittedShare)
 			}
 		}
-		if _, yields := j.Yields(now, true, 77, 1); yields {
+		if _, yields := j.ShouldReject(now, true, 77, 1); yields {
 			t.Fatal("one that is not heavy gives way")
 		}
 	})
@@ -207,7 +207,7 @@
 // in again; where there is room for all of it, they are.
 func TestGivesWayUntilThereIsRoom(t *testing.T) {
 	r := says(1_000_000, 0.3)
-	r.Served = uint16(0.8 * whole)
+	r.Served = uint16(0.8 * fullShare)
 	j, now, seq := judge(t), time.Minute, uint64(0)
 	words := map[uint64]Report{}
 	tell := func(r Report) {
@@ -218,7 +218,7 @@
 	}
 	gives := func(full bool) (n int) {
 		for id := range uint64(100) {
-			if _, yields := j.Yields(now, full, 1, id); yields {
+			if _, yields := j.ShouldReject(now, full, 1, id); yields {
 				n++
 			}
 		}
@@ -234,9 +234,9 @@
 	if n := gives(false); n == 0 {
 		t.Error("all are let in again as soon as those that gave way are missed")
 	}
-	r.Served = whole
+	r.Served = fullShare
 	tell(r)
 	if n := gives(false); n > 0 {
-		t.Errorf("%d of 100 give way though there is room, they keep %v", n, j.client(1).Keep)
+		t.Errorf("%d of 100 give way though there is room, they keep %v", n, j.client(1).AdmittedShare)
 	}
 }
--- a/balance/hitters/model_test.go
+++ b/balance/hitters/model_test.go
@@ -42,7 +42,7 @@
 	late   time.Duration // of the news, at the most
 }
 
-var victim = Report{Requests: 1 << 31, Served: 1, Shares: [mostKeys]uint16{whole}, Named: 1, Keys: [mostKeys]uint64{40}}
+var victim = Report{Requests: 1 << 31, Served: 1, Shares: [maxNamed]uint16{fullShare}, Named: 1, Keys: [maxNamed]uint64{40}}
 
 func lie(total uint64) *Report { r := victim; r.Total = total; return &r }
 
@@ -55,7 +55,7 @@
 	{name: "ten", floods: 10, share: 0.085},
 	{name: "cut", floods: 2, share: 0.2, cut: true},
 	{name: "killed", floods: 2, share: 0.15, killed: 0.3},
-	{name: "huge lie", floods: 1, share: 0.15, lie: lie(mostTotal)},
+	{name: "huge lie", floods: 1, share: 0.15, lie: lie(maxTotal)},
 	{name: "small lie", floods: 1, share: 0.15, lie: lie(1 << 20)},
 	{name: "distinct", floods: 1, share: 0.15, fresh: 0.6},
 	{name: "news", floods: 1, share: 0.2, loss: 0.3, late: time.Second},
@@ -73,15 +73,15 @@
 
 type letter struct {
 	to int
-	News
+	OriginReport
 	sent Time
 }
 
 func (s scenario) run(t *testing.T, seed uint64) (o outcome) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	settings := Defaults()
-	bar := settings.High
-	side := make([]*Judge, sidecars)
+	bar := settings.HighThreshold
+	side := make([]*Detector, sidecars)
 	traffic, popular := make([]float64, sidecars), make([]float64, clients)
 	var sides, all float64
 	for i := range side {
@@ -124,7 +124,7 @@
 	for now := Time(0); now < lasts; now += step {
 		for _, m := range mail[now] {
 			if m.Age = now - m.sent; alive(m.to, now) {
-				side[m.to].Tell(now, m.News)
+				side[m.to].Receive(now, m.OriginReport)
 			}
 		}
 		delete(mail, now)
@@ -138,12 +138,12 @@
 			if s.one && sure[key] || s.cut && i%2 != i%judges%2 {
 				by = side[i]
 			}
-			_, yields := by.Yields(now, now < fullTo, key, rng.Uint64())
+			_, yields := by.ShouldReject(now, now < fullTo, key, rng.Uint64())
 			served := !yields && rng.Float64() < passing
 			if !yields {
 				sent += work
 			}
-			side[i].Count(key, time.Duration(work*float64(time.Second)), served)
+			side[i].Observe(key, time.Duration(work*float64(time.Second)), served)
 			done := 0.0
 			if served {
 				done = work
@@ -182,16 +182,16 @@
 			if (now/step+Time(i))%(settings.Window/step) != 0 || !alive(i, now) {
 				continue
 			}
-			var own News
+			var own OriginReport
 			if i < judges {
-				own, _ = j.Roll(now)
+				own, _ = j.EndWindow(now)
 			} else {
-				own = j.endWindow(now)
+				own = j.closeWindow(now)
 			}
 			if s.lie != nil && i == sidecars-1 {
 				own.Report = *s.lie
 			}
-			if own.Seq%Every(sidecars) != 0 {
+			if own.Seq%ReportInterval(sidecars) != 0 {
 				continue
 			}
 			text := own.Report.Append(nil)
@@ -273,16 +273,16 @@
 }
 
 // full returns a Judge with as much to hold as it can have from some origins, and those words.
-func full(origins int) (*Judge, []News) {
+func full(origins int) (*Detector, []OriginReport) {
 	settings := Defaults()
 	j, _ := New(&settings)
-	words := make([]News, origins)
+	words := make([]OriginReport, origins)
 	for i := range words {
-		r := Report{Total: 1_000_000, Requests: 100, Served: whole, Named: mostKeys}
+		r := Report{Total: 1_000_000, Requests: 100, Served: fullShare, Named: maxNamed}
 		for k := range r.Keys {
-			r.Keys[k], r.Shares[k] = uint64(i%20*mostKeys+k+1), whole/mostKeys
+			r.Keys[k], r.Shares[k] = uint64(i%20*maxNamed+k+1), fullShare/maxNamed
 		}
-		words[i] = News{Origin: uint64(i + 1), Report: r}
+		words[i] = OriginReport{Origin: uint64(i + 1), Report: r}
 	}
 	return j, words
 }
@@ -294,34 +294,34 @@
 	_, words := full(sidecars)
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	var all [n]*Judge
+	var all [n]*Detector
 	for i := range all {
 		all[i] = filled(words)
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	held := (int(after.HeapAlloc) - int(before.HeapAlloc)) / n
-	t.Logf("%d bytes with %d origins and %d clients held", held, len(all[0].words), len(all[0].clients))
-	if held > 64<<10 || len(all[0].clients) != mostClients {
+	t.Logf("%d bytes with %d origins and %d clients held", held, len(all[0].reports), len(all[0].clients))
+	if held > 64<<10 || len(all[0].clients) != maxClients {
 		t.Errorf("%d bytes, with %d clients held", held, len(all[0].clients))
 	}
 	runtime.KeepAlive(all)
 	runtime.KeepAlive(words)
 }
 
-func filled(words []News) *Judge {
+func filled(words []OriginReport) *Detector {
 	j, _ := full(0)
 	for range 3 {
 		for k := range uint64(10_000) {
-			j.Count(k, time.Second, true)
+			j.Observe(k, time.Second, true)
 		}
-		j.endWindow(0)
+		j.closeWindow(0)
 	}
-	for k := range uint64(2 * mostClients) {
-		j.hold(&Client{Key: k, State: Heavy, Name: string(make([]byte, mostName))})
+	for k := range uint64(2 * maxClients) {
+		j.storeClient(&Client{Key: k, State: Heavy, Name: string(make([]byte, maxNameBytes))})
 	}
 	for _, n := range words {
-		j.Tell(0, n)
+		j.Receive(0, n)
 	}
 	return j
 }
@@ -335,18 +335,18 @@
 	}
 	now := Time(0)
 	for b.Loop() {
-		for range time.Second / j.set.Window {
-			now += j.set.Window
+		for range time.Second / j.settings.Window {
+			now += j.settings.Window
 			for i, n := range words {
 				n.Seq, n.Report = uint64(now), Report{}
 				n.Report, _ = ParseReport(texts[i])
-				j.Tell(now, n)
+				j.Receive(now, n)
 			}
 			for k := range uint64(500) {
-				j.Yields(now, true, k, k)
-				j.Count(k+uint64(now), time.Millisecond, true)
+				j.ShouldReject(now, true, k, k)
+				j.Observe(k+uint64(now), time.Millisecond, true)
 			}
-			j.Roll(now)
+			j.EndWindow(now)
 		}
 	}
 }
--- a/balance/hitters/report.go
+++ b/balance/hitters/report.go
@@ -16,26 +16,26 @@
 	Requests uint32 // counted
 	Served   uint16 // share of the total that was served, rounded down
 	Err      uint16 // no client has more than its share and this, rounded up; its share is 0 if it is not named
-	Shares   [mostKeys]uint16
+	Shares   [maxNamed]uint16
 	Named    uint8
-	Keys     [mostKeys]uint64
+	Keys     [maxNamed]uint64
 }
 
 const (
-	layout     = 1   // of a report's bytes. A later one may add bytes behind, which are passed over
-	MostReport = 400 // bytes
+	layoutVersion  = 1   // of a report's bytes. A later one may add bytes behind, which are passed over
+	MaxReportBytes = 400 // bytes
 )
 
-// Every is in how many windows a sidecar tells its report once, among so many members. Danger: what they all tell in a second
+// ReportInterval is in how many windows a sidecar tells its report once, among so many members. Danger: what they all tell in a second
 // would grow with their number, and past some 150 of them it would fill the gossip, so that no news comes in time.
-func Every(members int) uint64 { return uint64(1 + max(members-1, 0)/mostSpeakers) }
+func ReportInterval(members int) uint64 { return uint64(1 + max(members-1, 0)/maxReportsPerWindow) }
 
-var errReport = errors.New("hitters: no report of this layout")
+var errInvalidReport = errors.New("hitters: no report of this layout")
 
 // Append appends the report's bytes: layout, total and requests as varints, served, err, the number of keys, and a
 // key's eight bytes with its share's two each. It is 131 bytes at most.
 func (r *Report) Append(to []byte) []byte {
-	to = append(to, layout)
+	to = append(to, layoutVersion)
 	to = binary.AppendUvarint(to, r.Total)
 	to = binary.AppendUvarint(to, uint64(r.Requests))
 	to = binary.BigEndian.AppendUint16(to, r.Served)
@@ -52,38 +52,38 @@
 // told twice, and totals beyond what any fleet does.
 func ParseReport(from []byte) (Report, error) {
 	var r Report
-	if len(from) > MostReport || len(from) == 0 || from[0] != layout {
-		return r, errReport
+	if len(from) > MaxReportBytes || len(from) == 0 || from[0] != layoutVersion {
+		return r, errInvalidReport
 	}
 	from = from[1:]
 	total, n := binary.Uvarint(from)
-	if n <= 0 || total > mostTotal {
-		return r, errReport
+	if n <= 0 || total > maxTotal {
+		return r, errInvalidReport
 	}
 	from = from[n:]
 	requests, n := binary.Uvarint(from)
 	if n <= 0 || requests > 1<<32-1 || len(from) < n+5 {
-		return r, errReport
+		return r, errInvalidReport
 	}
 	from = from[n:]
 	r = Report{Total: total, Requests: uint32(requests), Served: binary.BigEndian.Uint16(from), Err: binary.BigEndian.Uint16(from[2:]), Named: from[4]}
-	if from = from[5:]; r.Named > mostKeys || len(from) < 10*int(r.Named) {
-		return Report{}, errReport
+	if from = from[5:]; r.Named > maxNamed || len(from) < 10*int(r.Named) {
+		return Report{}, errInvalidReport
 	}
-	sum, last := 0, uint16(whole)
+	sum, last := 0, uint16(fullShare)
 	for i := range int(r.Named) {
 		key, share := binary.BigEndian.Uint64(from[10*i:]), binary.BigEndian.Uint16(from[10*i+8:])
 		sum += int(share)
-		if share == 0 || share > last || sum > whole || slices.Contains(r.Keys[:i], key) {
-			return Report{}, errReport
+		if share == 0 || share > last || sum > fullShare || slices.Contains(r.Keys[:i], key) {
+			return Report{}, errInvalidReport
 		}
 		r.Keys[i], r.Shares[i], last = key, share, share
 	}
 	return r, nil
 }
 
-// report sums the windows up. Clients under least of the total are left out, to keep reports short.
-func report(from []window, least uint16) Report {
+// summarize sums the windows up. Clients under least of the total are left out, to keep reports short.
+func summarize(from []window, least uint16) Report {
 	var all Summary
 	var served, requests uint64
 	var span time.Duration
@@ -97,8 +97,8 @@
 	if total == 0 || span <= 0 {
 		return Report{}
 	}
-	r := Report{Total: min(uint64(float64(total)/span.Seconds()), mostTotal), Requests: uint32(min(requests, 1<<32-1)),
-		Served: share(served, total, false)}
+	r := Report{Total: min(uint64(float64(total)/span.Seconds()), maxTotal), Requests: uint32(min(requests, 1<<32-1)),
+		Served: fractionOf(served, total, false)}
 	order := make([]int, len(all.keys))
 	for i := range order {
 		order[i] = i
@@ -108,8 +108,8 @@
 	})
 	omitted := uint64(0)
 	for _, i := range order {
-		part := share(all.work[i], total, false)
-		if part == 0 || part < least || r.Named == mostKeys {
+		part := fractionOf(all.work[i], total, false)
+		if part == 0 || part < least || r.Named == maxNamed {
 			omitted = all.work[i]
 			break
 		}
@@ -117,13 +117,13 @@
 		r.Named++
 	}
 	// One unit more, as the shares are rounded down.
-	r.Err = uint16(min(int(share(min(all.Err()+omitted, total), total, true))+1, whole))
+	r.Err = uint16(min(int(fractionOf(min(all.Err()+omitted, total), total, true))+1, fullShare))
 	return r
 }
 
-// share is part of total in units of 1/65535.
-func share(part, total uint64, up bool) uint16 {
-	high, low := bits.Mul64(min(part, total), whole)
+// fractionOf is part of total in units of 1/65535.
+func fractionOf(part, total uint64, up bool) uint16 {
+	high, low := bits.Mul64(min(part, total), fullShare)
 	q, rest := bits.Div64(high, low, total)
 	if up && rest > 0 {
 		q++
--- a/balance/hitters/summary.go
+++ b/balance/hitters/summary.go
@@ -51,7 +51,7 @@
 		s.work[i] += work
 		return
 	}
-	if len(s.keys) == counters {
+	if len(s.keys) == maxCounters {
 		least := min(work, slices.Min(s.work))
 		s.err += least
 		work -= least
@@ -66,7 +66,7 @@
 	}
 	if work > 0 {
 		if s.keys == nil {
-			s.keys, s.work = make([]uint64, 0, counters), make([]uint64, 0, counters)
+			s.keys, s.work = make([]uint64, 0, maxCounters), make([]uint64, 0, maxCounters)
 		}
 		s.keys, s.work = append(s.keys, key), append(s.work, work)
 	}
--- a/balance/hitters/summary_test.go
+++ b/balance/hitters/summary_test.go
@@ -32,7 +32,7 @@
 				t.Fatalf("%d has %d, counted as %d with an error of %d", key, work, of, all.Err())
 			}
 		}
-		if all.Total() != total || all.Err()*(counters+1) > total-held || len(all.keys) > counters {
+		if all.Total() != total || all.Err()*(maxCounters+1) > total-held || len(all.keys) > maxCounters {
 			t.Fatalf("a total of %d, %d counted in %d counters: total %d, error %d", total, held, len(all.keys), all.Total(), all.Err())
 		}
 	})
@@ -49,17 +49,17 @@
 	heavy := Key(0, "")
 	allocs := testing.AllocsPerRun(1, func() {
 		for i := range 1_000_000 {
-			if j.Count(uint64(i)*0x9e3779b97f4a7c15, 9*time.Millisecond, true); i%10 == 0 {
-				j.Count(heavy, 10*time.Millisecond, true)
+			if j.Observe(uint64(i)*0x9e3779b97f4a7c15, 9*time.Millisecond, true); i%10 == 0 {
+				j.Observe(heavy, 10*time.Millisecond, true)
 			}
 			if i%1000 == 0 {
 				long[i%len(long)]++
-				j.Count(Key(0, string(long)), 9*time.Millisecond, true)
+				j.Observe(Key(0, string(long)), 9*time.Millisecond, true)
 			}
 		}
 	})
-	own, _ := j.Roll(set.Window)
-	if r := own.Report; r.Named == 0 || r.Keys[0] != heavy || r.Shares[0]+r.Err < whole/11 || r.Err > whole/50 {
+	own, _ := j.EndWindow(set.Window)
+	if r := own.Report; r.Named == 0 || r.Keys[0] != heavy || r.Shares[0]+r.Err < fullShare/11 || r.Err > fullShare/50 {
 		t.Errorf("a tenth of the work is told as %+v", r)
 	}
 	if allocs > 3000 { // the long names
@@ -70,11 +70,11 @@
 // FuzzParseReport reads what strangers send: what is taken must be true to the bounds, and be the same when it is
 // written again.
 func FuzzParseReport(f *testing.F) {
-	good := Report{Total: 1 << 40, Requests: 77, Served: whole, Err: 9, Named: 2, Keys: [mostKeys]uint64{5, 6}, Shares: [mostKeys]uint16{900, 900}}
+	good := Report{Total: 1 << 40, Requests: 77, Served: fullShare, Err: 9, Named: 2, Keys: [maxNamed]uint64{5, 6}, Shares: [maxNamed]uint16{900, 900}}
 	f.Add(good.Append(nil))
 	f.Add((&Report{}).Append(nil))
 	f.Add(append(good.Append(nil), "of a later layout"...))
-	f.Add([]byte{layout, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
+	f.Add([]byte{layoutVersion, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, from []byte) {
 		r, err := ParseReport(from)
 		if err != nil {
@@ -88,7 +88,7 @@
 			sum += int(r.Shares[i])
 		}
 		again, err := ParseReport(r.Append(nil))
-		if err != nil || again != r || sum > whole || r.Total > mostTotal || len(from) > MostReport {
+		if err != nil || again != r || sum > fullShare || r.Total > maxTotal || len(from) > MaxReportBytes {
 			t.Fatalf("%+v is %+v again, %v", r, again, err)
 		}
 	})
--- a/balance/reroute.go
+++ b/balance/reroute.go
@@ -65,7 +65,7 @@
 func (b *Balancer) hasReadyEndpoint(all []Destination) bool {
 	return slices.ContainsFunc(all[:max(1, len(all)-1)], func(d Destination) bool {
 		return d.Weight > 0 && slices.ContainsFunc(b.endpoints, func(e *endpoint) bool {
-			ok, _ := d.Match.Fits(b.tagsOf(e.Endpoint))
+			ok, _ := d.Match.Matches(b.tagsOf(e.Endpoint))
 			return ok && e.isReady()
 		})
 	})
--- a/balance/route.go
+++ b/balance/route.go
@@ -12,7 +12,7 @@
 func (b *Balancer) matchGroups(e Endpoint) (joins []bool) {
 	tags := b.tagsOf(e)
 	for _, g := range b.groups {
-		ok, _ := g.destination.Match.Fits(tags)
+		ok, _ := g.destination.Match.Matches(tags)
 		joins = append(joins, ok)
 	}
 	return joins
@@ -49,14 +49,14 @@
 // all who make up for them would turn to the next; sidecars that know each other go by an order of hashes.
 func (b *Balancer) selectSubset(g *group, share float64, now Time) {
 	n := len(g.ready)
-	first, want := subset.Alone(n, b.settings.Self, share)
+	first, want := subset.ForIndex(n, b.settings.Self, share)
 	if n > 0 && now >= b.levelCheckedAt+levelInterval {
 		known := share * min(b.levelCheckedAt.Seconds(), 1) // at the first list nothing
 		b.trafficLevel, b.levelCheckedAt = subset.Level(known, len(b.endpoints), b.trafficLevel), now
 	}
 	if b.amongAlike.count > 0 {
 		slices.SortFunc(g.ready, func(x, y *endpoint) int { return cmp.Compare(x.orderHash(), y.orderHash()) })
-		first, want = subset.Among(n, b.trafficLevel, b.amongAlike.index, b.amongAlike.count)
+		first, want = subset.ForMember(n, b.trafficLevel, b.amongAlike.index, b.amongAlike.count)
 	}
 	g.members = g.members[:0]
 	for i := 0; i < n && want > 0; i++ {
--- a/balance/routes/apply.go
+++ b/balance/routes/apply.go
@@ -6,37 +6,37 @@
 	"slices"
 )
 
-// place is a rule in a chain, and chain a table that is being changed: a ring that begins and ends at root, the rule "".
-type place struct {
+// ruleNode is a rule in a chain, and chain a table that is being changed: a ring that begins and ends at root, the rule "".
+type ruleNode struct {
 	rule       Rule
-	prev, next *place
+	prev, next *ruleNode
 }
 
-type chain struct {
-	root *place
-	at   map[string]*place
+type ruleList struct {
+	root   *ruleNode
+	byName map[string]*ruleNode
 }
 
-func link(t Table) chain {
-	c := chain{root: &place{}, at: make(map[string]*place, len(t)+1)}
-	c.root.prev, c.root.next, c.at[""] = c.root, c.root, c.root
+func newRuleList(t Table) ruleList {
+	c := ruleList{root: &ruleNode{}, byName: make(map[string]*ruleNode, len(t)+1)}
+	c.root.prev, c.root.next, c.byName[""] = c.root, c.root, c.root
 	for _, r := range t {
-		c.at[r.Name] = &place{rule: r}
-		c.at[r.Name].join(c.root.prev)
+		c.byName[r.Name] = &ruleNode{rule: r}
+		c.byName[r.Name].insertAfter(c.root.prev)
 	}
 	return c
 }
 
-func (p *place) join(after *place) {
+func (p *ruleNode) insertAfter(after *ruleNode) {
 	p.prev, p.next = after, after.next
 	after.next.prev, after.next = p, p
 }
 
-func (p *place) leave() { p.prev.next, p.next.prev = p.next, p.prev }
+func (p *ruleNode) remove() { p.prev.next, p.next.prev = p.next, p.prev }
 
-// do takes one step and returns the one that undoes it. After an error nothing has changed.
-func (c chain) do(op Op) (back Op, err error) {
-	p, after := c.at[op.Name], c.at[op.After]
+// apply takes one step and returns the one that undoes it. After an error nothing has changed.
+func (c ruleList) apply(op Op) (back Op, err error) {
+	p, after := c.byName[op.Name], c.byName[op.After]
 	back = Op{Kind: op.Kind, Name: op.Name, Match: op.Match}
 	switch {
 	case op.Name == "" || p == nil && op.Kind != Add:
@@ -51,22 +51,22 @@
 	switch op.Kind {
 	case Drop:
 		back = Op{Kind: Add, Name: op.Name, After: p.prev.rule.Name, Rule: p.rule}
-		p.leave()
-		delete(c.at, op.Name)
+		p.remove()
+		delete(c.byName, op.Name)
 	case Add:
 		back.Kind = Drop
-		c.at[op.Name] = &place{rule: op.Rule}
-		c.at[op.Name].join(after)
+		c.byName[op.Name] = &ruleNode{rule: op.Rule}
+		c.byName[op.Name].insertAfter(after)
 	case Move:
 		back.After = p.prev.rule.Name
-		p.leave()
-		p.join(after)
+		p.remove()
+		p.insertAfter(after)
 	case Rematch:
 		back.Source, back.Service = p.rule.Source, p.rule.Service
 		p.rule.Source, p.rule.Service = op.Source, op.Service
 	case Set, Unset:
 		all, now := slices.Clone(p.rule.Destinations), Destination{op.Weight, op.Match, op.PerSize} // the old table keeps its own
-		i := find(all, op.Match, 0)
+		i := destinationIndex(all, op.Match, 0)
 		if back.Kind = Unset; i >= 0 {
 			back.Kind, back.Weight, back.PerSize = Set, all[i].Weight, all[i].PerSize
 		}
@@ -87,17 +87,17 @@
 	return back, nil
 }
 
-// run takes all steps, and returns what they lead to and what undoes them, in order.
-func run(t Table, ops []Op) (after Table, undo []Op, err error) {
-	c := link(t)
+// applyAll takes all steps, and returns what they lead to and what undoes them, in order.
+func applyAll(t Table, ops []Op) (after Table, undo []Op, err error) {
+	c := newRuleList(t)
 	for i, op := range ops {
-		back, err := c.do(op)
+		back, err := c.apply(op)
 		if err != nil {
 			return nil, nil, fmt.Errorf("op %d, %.20s %.60q: %w", i, op.Kind, op.Name, err)
 		}
 		undo = append(undo, back)
 	}
-	after = make(Table, 0, len(c.at))
+	after = make(Table, 0, len(c.byName))
 	for p := c.root.next; p != c.root; p = p.next {
 		after = append(after, p.rule)
 	}
@@ -108,7 +108,7 @@
 // Apply is the table that ops lead to. Between them it may be over the bounds; in the end it is one that Check passes, or
 // there is an error that says what does not fit.
 func Apply(t Table, ops []Op) (Table, error) {
-	after, _, err := run(t, ops)
+	after, _, err := applyAll(t, ops)
 	if err != nil {
 		return nil, err
 	}
@@ -120,17 +120,17 @@
 
 // Invert is the ops that lead back from what ops make of a table, or what does not fit.
 func Invert(t Table, ops []Op) ([]Op, error) {
-	_, undo, err := run(t, ops)
+	_, undo, err := applyAll(t, ops)
 	return undo, err
 }
 
-// Join is one list of ops that does what several do, one after the other.
-func Join(steps ...[]Op) []Op { return slices.Concat(steps...) }
+// Concat is one list of ops that does what several do, one after the other.
+func Concat(steps ...[]Op) []Op { return slices.Concat(steps...) }
 
-// find is where the destination of a match stands, likely at a place; below 0: nowhere.
-func find(all []Destination, m Match, likely int) int {
-	if likely < len(all) && all[likely].Match.is(m) {
+// destinationIndex is where the destination of a match stands, likely at a place; below 0: nowhere.
+func destinationIndex(all []Destination, m Match, likely int) int {
+	if likely < len(all) && all[likely].Match.equal(m) {
 		return likely
 	}
-	return slices.IndexFunc(all, func(d Destination) bool { return d.Match.is(m) })
+	return slices.IndexFunc(all, func(d Destination) bool { return d.Match.equal(m) })
 }
--- a/balance/routes/check.go
+++ b/balance/routes/check.go
@@ -9,18 +9,18 @@
 
 // Bounds of a table.
 const (
-	MostRules        = 20_000
-	MostDestinations = 128     // of a rule
-	MostTags         = 16      // of a match
-	MostText         = 128     // bytes of a name, a tag or a value
-	MostBytes        = 4 << 20 // of a table: its texts, and some for each of its parts
+	MaxRules        = 20_000
+	MaxDestinations = 128     // of a rule
+	MaxTags         = 16      // of a match
+	MaxTextBytes    = 128     // bytes of a name, a tag or a value
+	MaxTableBytes   = 4 << 20 // of a table: its texts, and some for each of its parts
 )
 
 // Check says what is wrong with a table, naming the rule and its field: it is over a bound, two rules have one name, two
 // destinations of a rule one match, or CheckRule refuses a rule.
 func (t Table) Check() error {
-	if len(t) > MostRules {
-		return fmt.Errorf("%d rules: %d at most", len(t), MostRules)
+	if len(t) > MaxRules {
+		return fmt.Errorf("%d rules: %d at most", len(t), MaxRules)
 	}
 	names := make(map[string]bool, len(t))
 	for i, r := range t {
@@ -33,14 +33,14 @@
 		}
 		names[r.Name] = true
 	}
-	if n := t.size(); n > MostBytes {
-		return fmt.Errorf("the table takes %d bytes: %d at most", n, MostBytes)
+	if n := t.sizeBytes(); n > MaxTableBytes {
+		return fmt.Errorf("the table takes %d bytes: %d at most", n, MaxTableBytes)
 	}
 	return nil
 }
 
-// size is what MostBytes bounds.
-func (t Table) size() (sum int) {
+// sizeBytes is what MaxTableBytes bounds.
+func (t Table) sizeBytes() (sum int) {
 	match := func(m Match) {
 		for tag, v := range m {
 			sum += len(tag) + len(v) + 2
@@ -70,8 +70,8 @@
 			return fmt.Errorf("field %s: %w", f.field, err)
 		}
 	}
-	if n := len(r.Destinations); n > MostDestinations {
-		return fmt.Errorf("field Destinations: %d, %d at most", n, MostDestinations)
+	if n := len(r.Destinations); n > MaxDestinations {
+		return fmt.Errorf("field Destinations: %d, %d at most", n, MaxDestinations)
 	}
 	seen := make(map[string]bool, len(r.Destinations))
 	for i, d := range r.Destinations {
@@ -90,10 +90,10 @@
 }
 
 func (m Match) check() error {
-	if len(m) > MostTags {
-		return fmt.Errorf("%d tags: %d at most", len(m), MostTags)
+	if len(m) > MaxTags {
+		return fmt.Errorf("%d tags: %d at most", len(m), MaxTags)
 	}
-	var space [MostTags]string
+	var space [MaxTags]string
 	for _, tag := range m.tags(&space) {
 		if err := checkText(tag); err != nil {
 			return fmt.Errorf("a tag: %w", err)
@@ -111,8 +111,8 @@
 	switch {
 	case s == "":
 		return errors.New("it is missing")
-	case len(s) > MostText:
-		return fmt.Errorf("%d bytes: %d at most", len(s), MostText)
+	case len(s) > MaxTextBytes:
+		return fmt.Errorf("%d bytes: %d at most", len(s), MaxTextBytes)
 	case !utf8.ValidString(s):
 		return errors.New("it is no UTF-8") // and would be another one at the next reader
 	}
--- a/balance/routes/diff.go
+++ b/balance/routes/diff.go
@@ -29,7 +29,7 @@
 		ops = append(ops, Op{Kind: Drop, Name: r.Name})
 	}
 	stays := make([]bool, len(to))
-	for _, i := range rising(places) {
+	for _, i := range longestIncreasing(places) {
 		stays[i] = true
 	}
 	// Each rule that does not stay is put right behind its predecessor in the target. Those placed so far are
@@ -49,12 +49,12 @@
 
 // edit is what makes a rule like another of its name.
 func edit(from, to Rule) (ops []Op) {
-	if !from.Source.is(to.Source) || !from.Service.is(to.Service) {
+	if !from.Source.equal(to.Source) || !from.Service.equal(to.Service) {
 		ops = append(ops, Op{Kind: Rematch, Name: to.Name, Source: to.Source, Service: to.Service})
 	}
 	stay := 0
 	for i, d := range to.Destinations {
-		at := find(from.Destinations, d.Match, i)
+		at := destinationIndex(from.Destinations, d.Match, i)
 		if at >= 0 {
 			stay++
 		}
@@ -63,7 +63,7 @@
 		}
 	}
 	for i, d := range from.Destinations {
-		if stay < len(from.Destinations) && find(to.Destinations, d.Match, i) < 0 {
+		if stay < len(from.Destinations) && destinationIndex(to.Destinations, d.Match, i) < 0 {
 			ops = append(ops, Op{Kind: Unset, Name: to.Name, Match: d.Match})
 		}
 	}
--- a/balance/routes/hash.go
+++ b/balance/routes/hash.go
@@ -11,7 +11,7 @@
 )
 
 // tags are the match's tags in order, in a space for most of them.
-func (m Match) tags(space *[MostTags]string) []string {
+func (m Match) tags(space *[MaxTags]string) []string {
 	all := space[:0]
 	for tag := range m {
 		all = append(all, tag)
@@ -25,7 +25,7 @@
 
 func (m Match) encode(b []byte) []byte {
 	b = binary.AppendUvarint(b, uint64(len(m)))
-	var space [MostTags]string
+	var space [MaxTags]string
 	for _, tag := range m.tags(&space) {
 		b = appendText(appendText(b, tag), m[tag])
 	}
--- a/balance/routes/json.go
+++ b/balance/routes/json.go
@@ -7,14 +7,14 @@
 	"math"
 )
 
-// destinationForm is a destination in JSON. A weight that is left out is no weight.
-type destinationForm struct {
+// destinationJSON is a destination in JSON. A weight that is left out is no weight.
+type destinationJSON struct {
 	Match   Match    `json:"match"`
 	Weight  *float64 `json:"weight"`
 	PerSize bool     `json:"per_size"`
 }
 
-func (f destinationForm) destination() Destination {
+func (f destinationJSON) destination() Destination {
 	d := Destination{Weight: math.NaN(), Match: f.Match, PerSize: f.PerSize} // which Check refuses
 	if f.Weight != nil {
 		d.Weight = *f.Weight
@@ -24,12 +24,12 @@
 
 // MarshalJSON implements json.Marshaler.
 func (d Destination) MarshalJSON() ([]byte, error) {
-	return json.Marshal(destinationForm{d.Match, &d.Weight, d.PerSize})
+	return json.Marshal(destinationJSON{d.Match, &d.Weight, d.PerSize})
 }
 
 // UnmarshalJSON implements json.Unmarshaler. Unknown keys, as of later versions, are passed over.
 func (d *Destination) UnmarshalJSON(text []byte) error {
-	var f destinationForm
+	var f destinationJSON
 	if err := json.Unmarshal(text, &f); err != nil {
 		return err
 	}
@@ -41,7 +41,7 @@
 func ParseRules(text []byte) (Table, error) {
 	var all []struct {
 		Rule
-		Destinations []destinationForm `json:"destinations"`
+		Destinations []destinationJSON `json:"destinations"`
 	}
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
@@ -60,8 +60,8 @@
 	return t, nil
 }
 
-// opForm is an op in JSON, with the keys that its kind needs.
-type opForm struct {
+// opJSON is an op in JSON, with the keys that its kind needs.
+type opJSON struct {
 	Kind    Kind     `json:"op"`
 	Name    string   `json:"name"`
 	After   *string  `json:"after,omitempty"`
@@ -75,7 +75,7 @@
 
 // MarshalJSON implements json.Marshaler.
 func (op Op) MarshalJSON() ([]byte, error) {
-	f := opForm{Kind: op.Kind, Name: op.Name, Source: op.Source, Service: op.Service}
+	f := opJSON{Kind: op.Kind, Name: op.Name, Source: op.Source, Service: op.Service}
 	if op.Match == nil {
 		op.Match = Match{}
 	}
@@ -95,7 +95,7 @@
 // UnmarshalJSON implements json.Unmarshaler. Unknown keys, as of later versions, are passed over; a place or a weight that is
 // left out is an error, not a default.
 func (op *Op) UnmarshalJSON(text []byte) error {
-	var f opForm
+	var f opJSON
 	if err := json.Unmarshal(text, &f); err != nil {
 		return err
 	}
--- a/balance/routes/match.go
+++ b/balance/routes/match.go
@@ -1,7 +1,7 @@
 package routes
 
-// Fits tells whether tags satisfy m, and how many of m's values are exact.
-func (m Match) Fits(tags map[string]string) (ok bool, exact int) {
+// Matches tells whether tags satisfy m, and how many of m's values are exact.
+func (m Match) Matches(tags map[string]string) (ok bool, exact int) {
 	for tag, want := range m {
 		have, known := tags[tag]
 		switch {
@@ -20,8 +20,8 @@
 func Best(rules []Rule, client map[string]string, service string) (best *Rule) {
 	highest := -1
 	for i, r := range rules {
-		okSource, exactSource := r.Source.Fits(client)
-		okService, exactService := r.Service.Fits(map[string]string{"service": service})
+		okSource, exactSource := r.Source.Matches(client)
+		okService, exactService := r.Service.Matches(map[string]string{"service": service})
 		rank := (len(r.Source)+len(r.Service))<<8 + exactSource + exactService
 		if okSource && okService && rank >= highest {
 			best, highest = &rules[i], rank
--- a/balance/routes/rising.go
+++ b/balance/routes/rising.go
@@ -5,9 +5,9 @@
 	"sort"
 )
 
-// rising is a longest increasing subsequence of different numbers, by patience sorting (Fredman, "On
+// longestIncreasing is a longest increasing subsequence of different numbers, by patience sorting (Fredman, "On
 // computing the length of longest increasing subsequences", 1975).
-func rising(numbers []int) []int {
+func longestIncreasing(numbers []int) []int {
 	var tops []int // by length: the index of the least number that a rising sequence ends in
 	before := make([]int, len(numbers))
 	for i, n := range numbers {
--- a/balance/routes/routes_test.go
+++ b/balance/routes/routes_test.go
@@ -131,11 +131,11 @@
 // holds tells that ops lead from a to b, and their inverse back, and that a keeps what it was.
 func holds(t interface{ Fatalf(string, ...any) }, a, b Table, ops []Op) {
 	before := a.Hash()
-	got, undo, err := run(a, ops)
+	got, undo, err := applyAll(a, ops)
 	if err != nil || got.Hash() != b.Hash() {
 		t.Fatalf("%v makes %v of %v, want %v: %v", ops, got, a, b, err)
 	}
-	back, _, err := run(got, undo)
+	back, _, err := applyAll(got, undo)
 	if err != nil || back.Hash() != before || a.Hash() != before {
 		t.Fatalf("the inverse of %v makes %v, want %v: %v", ops, back, a, err)
 	}
@@ -172,7 +172,7 @@
 		}
 	}
 	for _, op := range ops { // one that does not fit is passed over
-		if after, _, err := run(t, []Op{op}); err == nil {
+		if after, _, err := applyAll(t, []Op{op}); err == nil {
 			t = after
 		}
 	}
@@ -191,10 +191,10 @@
 		if len(ab) == 0 || float64(Cost(ab)) > 2*share*float64(len(a)) {
 			t.Errorf("a share of %v shaken costs %d", share, Cost(ab))
 		}
-		if got, err := Apply(a, Join(ab, bc)); err != nil || got.Hash() != c.Hash() {
+		if got, err := Apply(a, Concat(ab, bc)); err != nil || got.Hash() != c.Hash() {
 			t.Errorf("joined diffs do not lead there: %v", err)
 		}
-		back, err := Invert(a, Join(ab, bc))
+		back, err := Invert(a, Concat(ab, bc))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -214,7 +214,7 @@
 	for i := range weights {
 		weights[i].Destinations = []Destination{{Weight: 80, Match: weights[i].Destinations[0].Match}, {Weight: 20, Match: weights[i].Destinations[1].Match}}
 	}
-	one, _, err := run(from, []Op{{Kind: Set, Name: "rule-5000", Match: from[0].Destinations[0].Match, Weight: 50}})
+	one, _, err := applyAll(from, []Op{{Kind: Set, Name: "rule-5000", Match: from[0].Destinations[0].Match, Weight: 50}})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -258,7 +258,7 @@
 		"a destination": {{Kind: Unset, Name: "rule-0", Match: Match{"service": "rec-api", "version": "a"}}},
 		"a rule":        {{Kind: Drop, Name: "rule-0"}},
 	} {
-		b, _, err := run(a, ops)
+		b, _, err := applyAll(a, ops)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -270,7 +270,7 @@
 }
 
 func TestCheck(t *testing.T) {
-	many := make([]Destination, MostDestinations+1)
+	many := make([]Destination, MaxDestinations+1)
 	for i := range many {
 		many[i] = Destination{Weight: 1, Match: Match{"version": fmt.Sprint(i)}}
 	}
@@ -298,15 +298,15 @@
 			t.Errorf("got %v, want %s", err, c.want)
 		}
 	}
-	for _, table := range []Table{{}, large(3), large(MostRules / 2)} {
+	for _, table := range []Table{{}, large(3), large(MaxRules / 2)} {
 		if err := table.Check(); err != nil {
 			t.Error(err)
 		}
 	}
-	if err := large(MostRules + 1).Check(); err == nil {
+	if err := large(MaxRules + 1).Check(); err == nil {
 		t.Error("too many rules pass")
 	}
-	fat := large(MostRules)
+	fat := large(MaxRules)
 	for i := range fat {
 		fat[i].Destinations = many[:20]
 	}
@@ -319,14 +319,14 @@
 func TestCut(t *testing.T) {
 	whole := large(200)
 	client := map[string]string{"service": "app-7", "region": "r"}
-	cut := whole.Cut(client, "rec-api")
+	cut := whole.Relevant(client, "rec-api")
 	if len(cut) != 4 || Best(cut, client, "rec-api").Name != Best(whole, client, "rec-api").Name {
 		t.Errorf("cut to %d rules", len(cut))
 	}
-	if n := len(whole.Cut(client, "other")) + len(whole.Cut(map[string]string{"service": "app-7"}, "rec-api")); n != 0 {
+	if n := len(whole.Relevant(client, "other")) + len(whole.Relevant(map[string]string{"service": "app-7"}, "rec-api")); n != 0 {
 		t.Errorf("%d rules are left that match nothing", n)
 	}
-	if len(whole.Cut(nil, "")) != 200 || len(whole.Cut(nil, "rec-api")) != 200 {
+	if len(whole.Relevant(nil, "")) != 200 || len(whole.Relevant(nil, "rec-api")) != 200 {
 		t.Error("a client of any tags loses rules")
 	}
 }
@@ -349,7 +349,7 @@
 		t.Error("an unknown key passes")
 	}
 	rest := large(2)
-	ops := Join(Diff(table, rest), Diff(rest, table), []Op{{Kind: Move, Name: "x", After: "y"}, {Kind: Unset, Name: "x", Match: Match{"a": "b"}},
+	ops := Concat(Diff(table, rest), Diff(rest, table), []Op{{Kind: Move, Name: "x", After: "y"}, {Kind: Unset, Name: "x", Match: Match{"a": "b"}},
 		{Kind: Set, Name: "x", Match: Match{"a": "b"}}, {Kind: Rematch, Name: "x", Source: Match{"a": "b"}, Service: Match{"service": "*"}}})
 	line, err := json.Marshal(ops)
 	if err != nil {
--- a/balance/routes/rule.go
+++ b/balance/routes/rule.go
@@ -13,8 +13,8 @@
 // for the tag "service", which every client and endpoint has.
 type Match map[string]string
 
-// is tells whether two matches are the same. Tables that came one from the other share most of theirs.
-func (m Match) is(other Match) bool {
+// equal tells whether two matches are the same. Tables that came one from the other share most of theirs.
+func (m Match) equal(other Match) bool {
 	return reflect.ValueOf(m).Pointer() == reflect.ValueOf(other).Pointer() || maps.Equal(m, other)
 }
 
@@ -72,13 +72,13 @@
 	return sum
 }
 
-// Cut keeps the rules that can ever decide for a client with these tags that calls this service; nil: any
+// Relevant keeps the rules that can ever decide for a client with these tags that calls this service; nil: any
 // client, "": any service.
-func (t Table) Cut(client map[string]string, service string) Table {
+func (t Table) Relevant(client map[string]string, service string) Table {
 	kept, called := Table{}, map[string]string{"service": service}
 	for _, r := range t {
-		okSource, _ := r.Source.Fits(client)
-		okService, _ := r.Service.Fits(called)
+		okSource, _ := r.Source.Matches(client)
+		okService, _ := r.Service.Matches(called)
 		if (okSource || client == nil) && (okService || service == "") {
 			kept = append(kept, r)
 		}
--- a/balance/shared.go
+++ b/balance/shared.go
@@ -22,13 +22,13 @@
 // defaultReportTTL is Settings.Bound where none is set.
 const defaultReportTTL = 2 * time.Second
 
-func newReports(set Settings) *signals.Book {
-	return signals.NewBook(set.Zone, cmp.Or(set.ReportTTL, defaultReportTTL))
+func newReports(set Settings) *signals.Aggregate {
+	return signals.NewAggregate(set.Zone, cmp.Or(set.ReportTTL, defaultReportTTL))
 }
 
 // failureKinds is what an outcome that ejects a server says of how it fails.
-var failureKinds = map[Outcome]signals.Kind{TimedOut: signals.Silent, Errored: signals.Refusing, ConnectFailed: signals.Refusing,
-	Reset: signals.Refusing}
+var failureKinds = map[Outcome]signals.Kind{TimedOut: signals.Unresponsive, Errored: signals.Failing, ConnectFailed: signals.Failing,
+	Reset: signals.Failing}
 
 // position is a position among some sidecars: at of of, from 0; of is 0 where it is not known.
 type position struct{ index, count int }
@@ -66,11 +66,11 @@
 func (b *Balancer) TrafficLevel() int { return b.trafficLevel }
 
 // turnPosition is this sidecar's place for turns: among the members, or else among its peers as the settings tell.
-func (b *Balancer) turnPosition() turns.View {
+func (b *Balancer) turnPosition() turns.Position {
 	if b.amongAll.count > 0 {
-		return turns.View{Place: b.amongAll.index, Count: b.amongAll.count}
+		return turns.Position{Index: b.amongAll.index, Count: b.amongAll.count}
 	}
-	return turns.View{Place: b.settings.Self, Count: b.settings.Peers}
+	return turns.Position{Index: b.settings.Self, Count: b.settings.Peers}
 }
 
 // orderHash is the endpoint's in the order that members share.
@@ -79,37 +79,37 @@
 // ReceiveReport takes in what a member said of servers, if it is newer than what it said before: number seq of its process that began
 // at start, age ago. The start of a server's process is Endpoint.Started, as this sidecar has it.
 func (b *Balancer) ReceiveReport(now Time, origin string, start int64, seq uint64, age time.Duration, r signals.Report) {
-	b.reports.Told(origin, start, seq, age, r, now)
+	b.reports.Receive(origin, start, seq, age, r, now)
 }
 
 // RemoveMember takes in that a sidecar is no member any more: what it said counts no longer.
-func (b *Balancer) RemoveMember(origin string) { b.reports.Gone(origin) }
+func (b *Balancer) RemoveMember(origin string) { b.reports.Remove(origin) }
 
 // LocalReport is what this sidecar has to say of servers, by what it saw itself.
 func (b *Balancer) LocalReport(now Time) signals.Report {
-	r := signals.Report{Room: b.settings.Zone, Level: b.trafficLevel}
+	r := signals.Report{Zone: b.settings.Zone, TrafficLevel: b.trafficLevel}
 	for _, e := range b.endpoints {
 		if !e.inSubset || !e.isReady() {
 			continue
 		}
-		at := slices.IndexFunc(r.Uses, func(u signals.Use) bool { return u.Room == e.Zone })
+		at := slices.IndexFunc(r.Uses, func(u signals.ZoneUse) bool { return u.Zone == e.Zone })
 		if at < 0 {
 			at = len(r.Uses)
-			r.Uses = append(r.Uses, signals.Use{Room: e.Zone})
+			r.Uses = append(r.Uses, signals.ZoneUse{Zone: e.Zone})
 		}
 		r.Uses[at].Servers++
 		kind, count, when := b.localVerdict(e, now)
 		// Danger: where hundreds see the same, what they say would fill all that members can carry. Those who speak go on:
 		// if all fell silent that hear others, nobody would be left.
-		if e.reported = kind > signals.None && (e.reported || !b.reports.Loud(e.process(), kind)); e.reported {
-			r.Verdicts = append(r.Verdicts, signals.Verdict{Subject: e.process(), Room: e.Zone, Kind: kind,
+		if e.reported = kind > signals.None && (e.reported || !b.reports.WellWitnessed(e.process(), kind)); e.reported {
+			r.Verdicts = append(r.Verdicts, signals.Verdict{Process: e.process(), Zone: e.Zone, Kind: kind,
 				Count: count, Age: now - when})
 		}
 	}
-	return signals.Own(r)
+	return signals.LocalReport(r)
 }
 
 // process is the endpoint's present process, as far as the list tells.
-func (e *endpoint) process() signals.Subject {
-	return signals.Subject{Server: e.ID, Start: int64(e.Started)}
+func (e *endpoint) process() signals.Process {
+	return signals.Process{Server: e.ID, Start: int64(e.Started)}
 }
--- a/balance/shared_test.go
+++ b/balance/shared_test.go
@@ -46,7 +46,7 @@
 			}
 			before := ids(b.inUse)
 			b.SetMembers(h.now, self, all)
-			if got, want := b.turnPosition(), (turns.View{Place: self, Count: peers}); got != want {
+			if got, want := b.turnPosition(), (turns.Position{Index: self, Count: peers}); got != want {
 				t.Fatalf("%s: turns go by %v, want %v", tt.name, got, want)
 			}
 			for _, e := range b.inUse {
@@ -58,7 +58,7 @@
 					t.Errorf("%s: number %d of %d, and uses %v; want %v as alone", tt.name, wrong, peers, ids(b.inUse), before)
 				}
 			}
-			if got, want := b.turnPosition(), (turns.View{Place: 0, Count: 1}); got != want {
+			if got, want := b.turnPosition(), (turns.Position{Index: 0, Count: 1}); got != want {
 				t.Errorf("%s: turns go by %v, want %v", tt.name, got, want)
 			}
 		}
--- a/balance/signals/codec.go
+++ b/balance/signals/codec.go
@@ -12,61 +12,61 @@
 // A report on its way is MessagePack, by the library that memberlist speaks it with, fields by their place: a later version
 // adds fields behind these, which an earlier one passes over.
 
-// Most is the most bytes of an encoded report.
-const Most = 640
+// MaxReportBytes is the most bytes of an encoded report.
+const MaxReportBytes = 640
 
 type wireReport struct {
-	Room     string
+	Zone     string
 	Uses     []wireUse
 	Verdicts []wireVerdict
 	Level    uint
 }
 
 type wireUse struct {
-	Room    string
+	Zone    string
 	Servers uint
 }
 
 type wireVerdict struct {
-	Server string
-	Start  int64
-	Room   uint // index into Uses
-	Kind   uint8
-	Count  uint
-	AgeMS  uint
+	Server    string
+	Start     int64
+	ZoneIndex uint // index into Uses
+	Kind      uint8
+	Count     uint
+	AgeMS     uint
 }
 
-func handle() *codec.MsgpackHandle {
+func msgpackHandle() *codec.MsgpackHandle {
 	h := &codec.MsgpackHandle{}
 	h.StructToArray = true
-	h.MaxInitLen = 4 * mostUses // Danger: a length that a peer says would be allocated before anything of it is read
+	h.MaxInitLen = 4 * maxUses // Danger: a length that a peer says would be allocated before anything of it is read
 	return h
 }
 
 // Encode writes a report in at most Most bytes. The mildest verdicts, and then uses, give way.
 func Encode(r Report) ([]byte, error) {
 	r.Verdicts = slices.SortedFunc(slices.Values(r.Verdicts), func(x, y Verdict) int {
-		return cmp.Or(cmp.Compare(y.Kind%Serves, x.Kind%Serves), cmp.Compare(y.Count, x.Count), cmp.Compare(x.Server, y.Server))
+		return cmp.Or(cmp.Compare(y.Kind%Serving, x.Kind%Serving), cmp.Compare(y.Count, x.Count), cmp.Compare(x.Server, y.Server))
 	})
-	r = sane(r)
-	w := wireReport{Room: r.Room, Level: uint(max(r.Level, 0))}
+	r = sanitized(r)
+	w := wireReport{Zone: r.Zone, Level: uint(max(r.TrafficLevel, 0))}
 	at := map[string]uint{}
 	for i, u := range r.Uses {
-		at[u.Room] = uint(i)
-		w.Uses = append(w.Uses, wireUse{u.Room, uint(u.Servers)})
+		at[u.Zone] = uint(i)
+		w.Uses = append(w.Uses, wireUse{u.Zone, uint(u.Servers)})
 	}
 	for _, v := range r.Verdicts {
-		if i, used := at[v.Room]; used {
+		if i, used := at[v.Zone]; used {
 			w.Verdicts = append(w.Verdicts, wireVerdict{v.Server, v.Start, i, uint8(v.Kind), uint(v.Count), uint(v.Age.Milliseconds())})
 		}
 	}
 	for {
 		var b []byte
-		if err := codec.NewEncoderBytes(&b, handle()).Encode(w); err != nil {
+		if err := codec.NewEncoderBytes(&b, msgpackHandle()).Encode(w); err != nil {
 			return nil, fmt.Errorf("report: %w", err)
 		}
 		switch {
-		case len(b) <= Most:
+		case len(b) <= MaxReportBytes:
 			return b, nil
 		case len(w.Verdicts) > 0:
 			w.Verdicts = w.Verdicts[:len(w.Verdicts)-1]
@@ -81,28 +81,28 @@
 // Decode reads a report. What is beyond the bounds is an error.
 func Decode(b []byte) (r Report, err error) {
 	var w wireReport
-	if len(b) > Most {
-		return r, fmt.Errorf("report: %d bytes are over %d", len(b), Most)
+	if len(b) > MaxReportBytes {
+		return r, fmt.Errorf("report: %d bytes are over %d", len(b), MaxReportBytes)
 	}
-	if err := codec.NewDecoderBytes(b, handle()).Decode(&w); err != nil {
+	if err := codec.NewDecoderBytes(b, msgpackHandle()).Decode(&w); err != nil {
 		return r, fmt.Errorf("report: %w", err)
 	}
-	if len(w.Room) > mostText || len(w.Uses) > mostUses || len(w.Verdicts) > MostVerdicts {
+	if len(w.Zone) > maxTextBytes || len(w.Uses) > maxUses || len(w.Verdicts) > MaxVerdicts {
 		return r, fmt.Errorf("report: over the bounds")
 	}
 	const most = 1 << 30
-	r.Room, r.Level = w.Room, int(min(w.Level, most))
+	r.Zone, r.TrafficLevel = w.Zone, int(min(w.Level, most))
 	for _, u := range w.Uses {
-		if len(u.Room) > mostText {
+		if len(u.Zone) > maxTextBytes {
 			return r, fmt.Errorf("report: over the bounds")
 		}
-		r.Uses = append(r.Uses, Use{u.Room, int(min(u.Servers, most))})
+		r.Uses = append(r.Uses, ZoneUse{u.Zone, int(min(u.Servers, most))})
 	}
 	for _, v := range w.Verdicts {
-		if v.Room >= uint(len(w.Uses)) || len(v.Server) > mostText {
+		if v.ZoneIndex >= uint(len(w.Uses)) || len(v.Server) > maxTextBytes {
 			return r, fmt.Errorf("report: over the bounds")
 		}
-		r.Verdicts = append(r.Verdicts, Verdict{Subject{v.Server, v.Start}, w.Uses[v.Room].Room, Kind(v.Kind), int(min(v.Count, most)),
+		r.Verdicts = append(r.Verdicts, Verdict{Process{v.Server, v.Start}, w.Uses[v.ZoneIndex].Zone, Kind(v.Kind), int(min(v.Count, most)),
 			time.Duration(min(v.AgeMS, most)) * time.Millisecond})
 	}
 	return r, nil
--- a/balance/signals/signals_test.go
+++ b/balance/signals/signals_test.go
@@ -18,9 +18,9 @@
 
 func verdict(t *rapid.T) Verdict {
 	server := rapid.IntRange(0, 2).Draw(t, "server")
-	v := Verdict{Subject{servers[server], 1}, rooms[server], Silent, 2, time.Second}
+	v := Verdict{Process{servers[server], 1}, rooms[server], Unresponsive, 2, time.Second}
 	if rapid.Bool().Draw(t, "odd") {
-		v.Start, v.Room = rapid.Int64Range(1, 2).Draw(t, "start"), rapid.SampledFrom(rooms).Draw(t, "of")
+		v.Start, v.Zone = rapid.Int64Range(1, 2).Draw(t, "start"), rapid.SampledFrom(rooms).Draw(t, "of")
 		v.Kind, v.Count = Kind(rapid.IntRange(0, 5).Draw(t, "kind")), rapid.IntRange(-1, 9).Draw(t, "count")
 		v.Age = time.Duration(rapid.IntRange(-100, 12000).Draw(t, "age")) * time.Millisecond
 	}
@@ -28,7 +28,7 @@
 }
 
 func report(t *rapid.T) Report {
-	r := Report{Room: rapid.SampledFrom(rooms).Draw(t, "room")}
+	r := Report{Zone: rapid.SampledFrom(rooms).Draw(t, "room")}
 	odd := rapid.IntRange(0, 3).Draw(t, "odd uses") == 3
 	for _, room := range rooms {
 		n := 8
@@ -36,7 +36,7 @@
 			n = rapid.IntRange(0, 5).Draw(t, "uses")
 		}
 		if n > 0 {
-			r.Uses = append(r.Uses, Use{room, n})
+			r.Uses = append(r.Uses, ZoneUse{room, n})
 		}
 	}
 	r.Verdicts = rapid.SliceOfN(rapid.Custom(verdict), 1, 4).Draw(t, "verdicts")
@@ -63,16 +63,16 @@
 			}
 		}
 		now := time.Duration(rapid.IntRange(2000, 5000).Draw(t, "now")) * time.Millisecond
-		tell := func(order []said) *Book {
-			b := NewBook(rooms[0], bound)
+		tell := func(order []said) *Aggregate {
+			b := NewAggregate(rooms[0], bound)
 			for _, s := range order {
-				b.Told(s.origin, 1, s.seq, now-s.at, s.r, now)
+				b.Receive(s.origin, 1, s.seq, now-s.at, s.r, now)
 			}
 			return b
 		}
-		judged := tell(all).Judged(now)
+		judged := tell(all).Evaluate(now)
 		again := tell(rapid.Permutation(append(all, all...)).Draw(t, "order"))
-		if got := again.Judged(now); !reflect.DeepEqual(got, judged) {
+		if got := again.Evaluate(now); !reflect.DeepEqual(got, judged) {
 			t.Fatalf("%v, in another order %v", judged, got)
 		}
 		newest := map[string]said{}
@@ -90,13 +90,13 @@
 					continue
 				}
 				for _, v := range s.r.Verdicts {
-					if v.Subject == subject && v.Kind >= kind && v.Kind <= Silent && v.Age+now-s.at <= mostEvidence {
+					if v.Process == subject && v.Kind >= kind && v.Kind <= Unresponsive && v.Age+now-s.at <= evidenceTTL {
 						count++
-						from[s.r.Room] = true
-						if s.r.Room == rooms[0] {
+						from[s.r.Zone] = true
+						if s.r.Zone == rooms[0] {
 							own++
 						}
-						if s.r.Room == v.Room {
+						if s.r.Zone == v.Zone {
 							near++
 						}
 						break
@@ -108,7 +108,7 @@
 			}
 		}
 		// It ends with its witnesses' silence, whatever they said.
-		if late := again.Judged(now + bound + time.Millisecond); len(late) > 0 {
+		if late := again.Evaluate(now + bound + time.Millisecond); len(late) > 0 {
 			t.Fatalf("%v after the bound", late)
 		}
 	})
@@ -118,13 +118,13 @@
 }
 
 // sound is a fleet that says the truth of one silent server, from count members, beside quiet ones.
-func sound(b *Book, count, quiet int) {
+func sound(b *Aggregate, count, quiet int) {
 	for i := range count + quiet {
-		r := Report{Room: rooms[i%2], Uses: []Use{{rooms[0], 8}, {rooms[1], 8}}}
+		r := Report{Zone: rooms[i%2], Uses: []ZoneUse{{rooms[0], 8}, {rooms[1], 8}}}
 		if i < count {
-			r.Verdicts = []Verdict{{Subject{"s1", 1}, rooms[0], Silent, 2, 0}}
+			r.Verdicts = []Verdict{{Process{"s1", 1}, rooms[0], Unresponsive, 2, 0}}
 		}
-		b.Told(fmt.Sprint("m", i), 1, 1, 0, r, 0)
+		b.Receive(fmt.Sprint("m", i), 1, 1, 0, r, 0)
 	}
 }
 
@@ -132,17 +132,17 @@
 func TestOneLiarMovesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count, quiet := rapid.IntRange(0, 4).Draw(t, "witnesses"), rapid.IntRange(0, 20).Draw(t, "quiet")
-		b, without := NewBook(rooms[0], bound), NewBook(rooms[0], bound)
+		b, without := NewAggregate(rooms[0], bound), NewAggregate(rooms[0], bound)
 		sound(b, count, quiet)
 		sound(without, count, quiet)
 		for range rapid.IntRange(1, 8).Draw(t, "lies") {
-			b.Told("liar", rapid.Int64Range(1, 3).Draw(t, "process"), rapid.Uint64Range(1, 9).Draw(t, "seq"),
+			b.Receive("liar", rapid.Int64Range(1, 3).Draw(t, "process"), rapid.Uint64Range(1, 9).Draw(t, "seq"),
 				time.Duration(rapid.IntRange(-5000, 5000).Draw(t, "age"))*time.Millisecond, report(t), 0)
 		}
 		now := time.Duration(rapid.IntRange(0, 2000).Draw(t, "now")) * time.Millisecond
-		judged, truth := b.Judged(now), without.Judged(now)
+		judged, truth := b.Evaluate(now), without.Evaluate(now)
 		for subject, kind := range judged {
-			if subject != (Subject{"s1", 1}) || count < 2 {
+			if subject != (Process{"s1", 1}) || count < 2 {
 				t.Fatalf("%v is judged %v for a lie", subject, kind)
 			}
 		}
@@ -160,13 +160,13 @@
 func TestCutOffWitnessesCondemnNobody(t *testing.T) {
 	down := func(room string, n int) (v []Verdict) {
 		for i := range n {
-			v = append(v, Verdict{Subject{room + servers[i], 1}, room, Silent, 2, 0})
+			v = append(v, Verdict{Process{room + servers[i], 1}, room, Unresponsive, 2, 0})
 		}
 		return v
 	}
-	uses, even := []Use{{rooms[0], 8}, {rooms[1], 3}}, []Use{{rooms[0], 8}, {rooms[1], 8}}
+	uses, even := []ZoneUse{{rooms[0], 8}, {rooms[1], 3}}, []ZoneUse{{rooms[0], 8}, {rooms[1], 8}}
 	for name, c := range map[string]struct {
-		uses     []Use
+		uses     []ZoneUse
 		verdicts []Verdict
 		judged   int
 	}{
@@ -179,31 +179,31 @@
 		"seven of sixteen":   {even, append(down(rooms[0], 3), down(rooms[1], 4)...), 0},
 	} {
 		r := Report{Uses: c.uses, Verdicts: c.verdicts}
-		b := NewBook(rooms[0], bound)
+		b := NewAggregate(rooms[0], bound)
 		for i := range 5 {
-			r.Room = rooms[i%2]
-			b.Told(fmt.Sprint(i), 1, 1, 0, r, 0)
+			r.Zone = rooms[i%2]
+			b.Receive(fmt.Sprint(i), 1, 1, 0, r, 0)
 		}
-		if got := len(b.Judged(0)); got != c.judged {
+		if got := len(b.Evaluate(0)); got != c.judged {
 			t.Errorf("%s: %d are judged", name, got)
 		}
-		if said := Own(r); (len(said.Verdicts) > 0) != (c.judged > 0) {
+		if said := LocalReport(r); (len(said.Verdicts) > 0) != (c.judged > 0) {
 			t.Errorf("%s: it says %v itself", name, said.Verdicts)
 		}
 	}
 	// A room that cannot reach another speaks for itself only.
 	for reader, want := range map[string]int{rooms[1]: 1, rooms[2]: 0} {
-		b := NewBook(reader, bound)
+		b := NewAggregate(reader, bound)
 		for i := range 5 {
-			b.Told(fmt.Sprint(i), 1, 1, 0, Report{Room: rooms[1], Uses: uses, Verdicts: down(rooms[0], 1)}, 0)
+			b.Receive(fmt.Sprint(i), 1, 1, 0, Report{Zone: rooms[1], Uses: uses, Verdicts: down(rooms[0], 1)}, 0)
 		}
-		if got := len(b.Judged(0)); got != want {
+		if got := len(b.Evaluate(0)); got != want {
 			t.Errorf("%s: %d", reader, got)
 		}
 		for i := range 3 {
-			b.Gone(fmt.Sprint(i))
+			b.Remove(fmt.Sprint(i))
 		}
-		if len(b.Judged(0)) > 0 {
+		if len(b.Evaluate(0)) > 0 {
 			t.Error("two are enough")
 		}
 	}
@@ -219,26 +219,26 @@
 		"nobody served": {nil, 1}, "one": {[]time.Duration{0}, 1}, "two": {[]time.Duration{0, time.Second}, 0},
 		"one before": {[]time.Duration{0, 3 * time.Second}, 1},
 	} {
-		b := NewBook(rooms[2], bound)
+		b := NewAggregate(rooms[2], bound)
 		for i := range 3 {
-			b.Told(fmt.Sprint(i), 1, 1, 0, Report{Room: rooms[1], Uses: []Use{{rooms[1], 8}},
-				Verdicts: []Verdict{{Subject{"s1", 1}, rooms[1], Silent, 2, 2 * time.Second}}}, 0)
+			b.Receive(fmt.Sprint(i), 1, 1, 0, Report{Zone: rooms[1], Uses: []ZoneUse{{rooms[1], 8}},
+				Verdicts: []Verdict{{Process{"s1", 1}, rooms[1], Unresponsive, 2, 2 * time.Second}}}, 0)
 		}
 		for i, age := range c.served {
-			b.Told(fmt.Sprint("served", i), 1, 1, 0, Report{Room: rooms[0], Uses: []Use{{rooms[1], 8}},
-				Verdicts: []Verdict{{Subject{"s1", 1}, rooms[1], Serves, 1, age}}}, 0)
+			b.Receive(fmt.Sprint("served", i), 1, 1, 0, Report{Zone: rooms[0], Uses: []ZoneUse{{rooms[1], 8}},
+				Verdicts: []Verdict{{Process{"s1", 1}, rooms[1], Serving, 1, age}}}, 0)
 		}
-		if got := len(b.Judged(0)); got != c.judged {
+		if got := len(b.Evaluate(0)); got != c.judged {
 			t.Errorf("%s: %d judged, want %d", name, got, c.judged)
 		}
-		if fails, serves := b.Heard(Subject{"s1", 1}); fails != 3 || serves != len(c.served) {
+		if fails, serves := b.Witnesses(Process{"s1", 1}); fails != 3 || serves != len(c.served) {
 			t.Errorf("%s: %d said that it fails, %d that it serves", name, fails, serves)
 		}
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	r := Report{Room: "a", Level: 3, Uses: []Use{{"a", 5}, {"b", 1}}, Verdicts: []Verdict{{Subject{"s", 1700000000000}, "b", Slow, 3, 1500 * time.Millisecond}}}
+	r := Report{Zone: "a", TrafficLevel: 3, Uses: []ZoneUse{{"a", 5}, {"b", 1}}, Verdicts: []Verdict{{Process{"s", 1700000000000}, "b", Slow, 3, 1500 * time.Millisecond}}}
 	b, err := Encode(r)
 	if back, again := Decode(b); err != nil || again != nil || !reflect.DeepEqual(back, r) {
 		f.Fatalf("%v %v %+v", err, again, back)
@@ -249,12 +249,12 @@
 		if err != nil {
 			return
 		}
-		book := NewBook("a", bound)
+		book := NewAggregate("a", bound)
 		for i := range 3 {
-			book.Told(fmt.Sprint(i), 1, 1, 0, r, 0)
+			book.Receive(fmt.Sprint(i), 1, 1, 0, r, 0)
 		}
-		book.Judged(0)
-		if e, err := Encode(r); err != nil || len(e) > Most {
+		book.Evaluate(0)
+		if e, err := Encode(r); err != nil || len(e) > MaxReportBytes {
 			t.Fatal(len(e), err)
 		}
 	})
@@ -262,12 +262,12 @@
 
 // What does not fit gives way from the end.
 func TestLongReportsFit(t *testing.T) {
-	r := Report{Room: rooms[0], Uses: []Use{{rooms[0], 50}}}
+	r := Report{Zone: rooms[0], Uses: []ZoneUse{{rooms[0], 50}}}
 	for i := range 40 {
-		r.Verdicts = append(r.Verdicts, Verdict{Subject{fmt.Sprintf("%058d", i), 1700000000000}, rooms[0], Silent, 2, time.Second})
+		r.Verdicts = append(r.Verdicts, Verdict{Process{fmt.Sprintf("%058d", i), 1700000000000}, rooms[0], Unresponsive, 2, time.Second})
 	}
 	b, err := Encode(r)
-	if err != nil || len(b) > Most {
+	if err != nil || len(b) > MaxReportBytes {
 		t.Fatal(len(b), err)
 	}
 	back, err := Decode(b)
--- a/balance/signals/types.go
+++ b/balance/signals/types.go
@@ -25,124 +25,124 @@
 
 // The kinds. One beyond the last comes from a later version, and counts for nothing.
 const (
-	None     Kind = iota
-	Full          // turns requests away
-	Slow          // owes answers for longer than it should
-	Refusing      // answers with errors, or takes no connection
-	Silent        // does not answer
-	Serves        // answers, though others say that it fails
+	None         Kind = iota
+	Overloaded        // turns requests away
+	Slow              // owes answers for longer than it should
+	Failing           // answers with errors, or takes no connection
+	Unresponsive      // does not answer
+	Serving           // answers, though others say that it fails
 )
 
-// Subject is one process of a server. A successor under the same id is another subject.
-type Subject struct {
+// Process is one process of a server. A successor under the same id is another subject.
+type Process struct {
 	Server string
 	Start  int64 // of the process, in any unit that all sidecars share; 0: not known
 }
 
 // Verdict is what one sidecar saw of a server itself. What it was told by others is none.
 type Verdict struct {
-	Subject
-	Room  string        // the server's
+	Process
+	Zone  string        // the server's
 	Kind  Kind          // how it fails
 	Count int           // faults seen
 	Age   time.Duration // since the last of them
 }
 
-// Use is how many servers of a room a sidecar uses.
-type Use struct {
-	Room    string
+// ZoneUse is how many servers of a room a sidecar uses.
+type ZoneUse struct {
+	Zone    string
 	Servers int
 }
 
 // Report is all that a sidecar has to say. Each one stands for itself: a server that it does not name is not condemned.
 type Report struct {
-	Room     string // the sidecar's
-	Level    int    // of its traffic, as the balancer counts it; 0: not known
-	Uses     []Use
-	Verdicts []Verdict
+	Zone         string // the sidecar's
+	TrafficLevel int    // of its traffic, as the balancer counts it; 0: not known
+	Uses         []ZoneUse
+	Verdicts     []Verdict
 }
 
 // The bounds of a report and of a book.
 const (
-	MostVerdicts = 12
-	mostUses     = 16
-	mostOrigins  = 4096
-	mostText     = 64 // bytes of a server's id, or of a room
+	MaxVerdicts  = 12
+	maxUses      = 16
+	maxOrigins   = 4096
+	maxTextBytes = 64 // bytes of a server's id, or of a room
 )
 
-// Book holds what each member last said. The zero value with a Room and Bound is ready.
-type Book struct {
-	Room  string        // the reader's
-	Bound time.Duration // what was said longer ago counts for nothing
-	said  map[string]statement
-	loud  map[Subject][2]int // how many condemned it, and how many it served, when last judged
+// Aggregate holds what each member last said. The zero value with a Room and Bound is ready.
+type Aggregate struct {
+	Zone       string        // the reader's
+	TTL        time.Duration // what was said longer ago counts for nothing
+	statements map[string]statement
+	counts     map[Process][2]int // how many condemned it, and how many it served, when last judged
 }
 
-// NewBook returns a book for a reader in a room.
-func NewBook(room string, bound time.Duration) *Book {
-	return &Book{Room: room, Bound: bound, said: map[string]statement{}}
+// NewAggregate returns a book for a reader in a room.
+func NewAggregate(room string, bound time.Duration) *Aggregate {
+	return &Aggregate{Zone: room, TTL: bound, statements: map[string]statement{}}
 }
 
-// Empty tells whether there is nothing to judge by.
-func (b *Book) Empty() bool { return len(b.said) == 0 }
+// IsEmpty tells whether there is nothing to judge by.
+func (b *Aggregate) IsEmpty() bool { return len(b.statements) == 0 }
 
 // statement is what an origin last said, and when.
 type statement struct {
 	Report
-	start int64
-	seq   uint64
-	at    time.Duration
+	start  int64
+	seq    uint64
+	madeAt time.Duration
 }
 
-// Told takes in what an origin said, if it is newer than what it said before. Age is how old that was at now.
-func (b *Book) Told(origin string, start int64, seq uint64, age time.Duration, r Report, now time.Duration) {
-	said, known := b.said[origin]
+// Receive takes in what an origin said, if it is newer than what it said before. Age is how old that was at now.
+func (b *Aggregate) Receive(origin string, start int64, seq uint64, age time.Duration, r Report, now time.Duration) {
+	said, known := b.statements[origin]
 	switch order := cmp.Or(cmp.Compare(start, said.start), cmp.Compare(seq, said.seq)); {
-	case known && order < 0 || !known && len(b.said) >= mostOrigins: // heard already, or over the bound
+	case known && order < 0 || !known && len(b.statements) >= maxOrigins: // heard already, or over the bound
 	case known && order == 0:
 		// Danger: a copy that seems younger than another would have it live longer.
-		said.at = min(said.at, now-age)
-		b.said[origin] = said
+		said.madeAt = min(said.madeAt, now-age)
+		b.statements[origin] = said
 	default:
-		b.said[origin] = statement{sane(r), start, seq, now - age}
+		b.statements[origin] = statement{sanitized(r), start, seq, now - age}
 	}
 }
 
-// Loud tells whether twice as many as are needed spoke of a subject as a kind does when it was last judged.
-func (b *Book) Loud(s Subject, kind Kind) bool {
-	if kind == Serves {
-		return b.loud[s][1] >= 2*leastServed
+// WellWitnessed tells whether twice as many as are needed spoke of a subject as a kind does when it was last judged.
+func (b *Aggregate) WellWitnessed(s Process, kind Kind) bool {
+	if kind == Serving {
+		return b.counts[s][1] >= 2*minServed
 	}
-	return b.loud[s][0] >= 2*leastWitnesses
+	return b.counts[s][0] >= 2*minWitnesses
 }
 
-// Heard tells how many condemned a subject, and how many it served, when it was last judged.
-func (b *Book) Heard(s Subject) (fails, serves int) { return b.loud[s][0], b.loud[s][1] }
+// Witnesses tells how many condemned a subject, and how many it served, when it was last judged.
+func (b *Aggregate) Witnesses(s Process) (fails, serves int) { return b.counts[s][0], b.counts[s][1] }
 
-// Gone takes in that an origin is no member any more.
-func (b *Book) Gone(origin string) { delete(b.said, origin) }
+// Remove takes in that an origin is no member any more.
+func (b *Aggregate) Remove(origin string) { delete(b.statements, origin) }
 
 // witness is what one origin says of one subject, and the room it says it from.
 type witness struct {
-	kind  Kind
-	room  string
-	of    string // the server's room
-	count int
-	age   time.Duration
+	kind       Kind
+	zone       string
+	serverZone string // the server's room
+	count      int
+	age        time.Duration
 }
 
-// sane is a report within the bounds, with one verdict on each subject, of known kinds, on rooms that it uses once each.
-func sane(r Report) Report {
+// sanitized is a report within the bounds, with one verdict on each subject, of known kinds, on rooms that it uses once each.
+func sanitized(r Report) Report {
 	var s Report
-	s.Room, s.Level = r.Room[:min(len(r.Room), mostText)], r.Level
-	for _, u := range r.Uses[:min(len(r.Uses), mostUses)] {
-		if !slices.ContainsFunc(s.Uses, func(x Use) bool { return x.Room == u.Room }) {
-			s.Uses = append(s.Uses, Use{u.Room, max(u.Servers, 0)})
+	s.Zone, s.TrafficLevel = r.Zone[:min(len(r.Zone), maxTextBytes)], r.TrafficLevel
+	for _, u := range r.Uses[:min(len(r.Uses), maxUses)] {
+		if !slices.ContainsFunc(s.Uses, func(x ZoneUse) bool { return x.Zone == u.Zone }) {
+			s.Uses = append(s.Uses, ZoneUse{u.Zone, max(u.Servers, 0)})
 		}
 	}
-	for _, v := range r.Verdicts[:min(len(r.Verdicts), MostVerdicts)] {
-		known := v.Kind > None && v.Kind <= Serves && len(v.Server) <= mostText
-		if known && !slices.ContainsFunc(s.Verdicts, func(x Verdict) bool { return x.Subject == v.Subject }) {
+	for _, v := range r.Verdicts[:min(len(r.Verdicts), MaxVerdicts)] {
+		known := v.Kind > None && v.Kind <= Serving && len(v.Server) <= maxTextBytes
+		if known && !slices.ContainsFunc(s.Verdicts, func(x Verdict) bool { return x.Process == v.Process }) {
 			v.Age, v.Count = max(v.Age, 0), max(v.Count, 0)
 			s.Verdicts = append(s.Verdicts, v)
 		}
--- a/balance/state.go
+++ b/balance/state.go
@@ -25,31 +25,31 @@
 	pendingSince         Time                 // since the first of those that waited one after the other
 	requests             map[RequestID]*request
 	tenants              []tenant
-	meanSeconds          []float64       // mean time of the answers in seconds, by class
-	classLatency         []group         // of each class, its answers' seconds and number, fading with each answer of any
-	shortestTarget       float64         // the shortest aim
-	zoneWeight           [2]float64      // weight of the own zone, which is 1, and of the others
-	idleSeconds          float64         // the usual time of the fleet when idle: the least of late
-	capacityInUse        float64         // registered size of the active endpoints for their warmth and zone
-	arrivals             float64         // fading count of requests
-	totalAllowance       float64         // sum of the tenants' allowances
-	regroupedAt          Time            // when the subsets were last taken
-	amongAll, amongAlike position        // among the members, and among those of its zone and level
-	trafficLevel         int             // of its traffic, see Level
-	levelCheckedAt       Time            // when that was last looked at
-	lastResultAt         Time            // when an attempt last ended
-	outOfService         map[string]Time // ids that staff took out, and since when
-	reports              *signals.Book   // of what the members say
-	inPanic              bool            // so much is ejected that the fault is likely ours
+	meanSeconds          []float64          // mean time of the answers in seconds, by class
+	classLatency         []group            // of each class, its answers' seconds and number, fading with each answer of any
+	shortestTarget       float64            // the shortest aim
+	zoneWeight           [2]float64         // weight of the own zone, which is 1, and of the others
+	idleSeconds          float64            // the usual time of the fleet when idle: the least of late
+	capacityInUse        float64            // registered size of the active endpoints for their warmth and zone
+	arrivals             float64            // fading count of requests
+	totalAllowance       float64            // sum of the tenants' allowances
+	regroupedAt          Time               // when the subsets were last taken
+	amongAll, amongAlike position           // among the members, and among those of its zone and level
+	trafficLevel         int                // of its traffic, see Level
+	levelCheckedAt       Time               // when that was last looked at
+	lastResultAt         Time               // when an attempt last ended
+	outOfService         map[string]Time    // ids that staff took out, and since when
+	reports              *signals.Aggregate // of what the members say
+	inPanic              bool               // so much is ejected that the fault is likely ours
 	subscribed           bool
-	sheddingUntil        Time           // until then lesser classes give way
-	discoveryFailures    int            // of discovery calls, in a row
-	hitters              *hitters.Judge // nil: off
+	sheddingUntil        Time              // until then lesser classes give way
+	discoveryFailures    int               // of discovery calls, in a row
+	hitters              *hitters.Detector // nil: off
 }
 
 // HeavyHitters is what is known of clients that ask for much; nil without Settings.HeavyHitters. The host tells it what the
 // other sidecars told, and ends its windows.
-func (b *Balancer) HeavyHitters() *hitters.Judge { return b.hitters }
+func (b *Balancer) HeavyHitters() *hitters.Detector { return b.hitters }
 
 // request is a request that is not over, or has attempts out.
 type request struct {
--- a/balance/subset/model_test.go
+++ b/balance/subset/model_test.go
@@ -41,7 +41,7 @@
 // alone and among are the runs of all sidecars over n servers, by number and by place.
 func alone(list []sidecar, n int) (runs []run) {
 	for i, s := range list {
-		first, length := Alone(n, i, s.traffic/float64(n))
+		first, length := ForIndex(n, i, s.traffic/float64(n))
 		runs = append(runs, run{first, min(length, n)})
 	}
 	return runs
@@ -59,7 +59,7 @@
 	}
 	for _, s := range list {
 		place, _ := slices.BinarySearch(levels[s.level], s.name)
-		first, length := Among(n, s.level, place, len(levels[s.level]))
+		first, length := ForMember(n, s.level, place, len(levels[s.level]))
 		runs = append(runs, run{first, length})
 	}
 	return runs
@@ -195,7 +195,7 @@
 			for at := rng.ExpFloat64(); at < rate; at += rng.ExpFloat64() {
 				arrived++
 			}
-			_, l := Alone(n, 0, arrived/n)
+			_, l := ForIndex(n, 0, arrived/n)
 			lengths += max(l-length, length-l)
 			if length = l; second%12 == 0 {
 				l := Level(arrived/n, n, level)
@@ -222,8 +222,8 @@
 		in := make([]int, n)
 		shortest := n
 		for place := range count {
-			first, length := Among(n, level, place, count)
-			if first < 0 || first >= n || length < min(n, least) || length > n {
+			first, length := ForMember(n, level, place, count)
+			if first < 0 || first >= n || length < min(n, minServers) || length > n {
 				t.Fatalf("run of %d from %d of %d servers", length, first, n)
 			}
 			shortest = min(shortest, length)
@@ -231,7 +231,7 @@
 				in[(first+k)%n]++
 			}
 		}
-		if low, high := slices.Min(in), slices.Max(in); shortest > least && high > low+1 {
+		if low, high := slices.Min(in), slices.Max(in); shortest > minServers && high > low+1 {
 			t.Fatalf("servers are in %d to %d runs of %d and more", low, high, shortest)
 		}
 	})
@@ -239,7 +239,7 @@
 
 // TestNobodyThere: an empty group has an empty run.
 func TestNobodyThere(t *testing.T) {
-	if first, length := Among(0, 3, 0, 0); first != 0 || length != 0 {
+	if first, length := ForMember(0, 3, 0, 0); first != 0 || length != 0 {
 		t.Errorf("run of %d from %d", length, first)
 	}
 }
--- a/balance/turns/turns.go
+++ b/balance/turns/turns.go
@@ -8,28 +8,29 @@
 
 import "time"
 
-// View is a sidecar's place among the members: Place of Count, from 0. Each has an equal part of the circle.
-type View struct{ Place, Count int }
+// Position is a sidecar's place among the members: Place of Count, from 0. Each has an equal part of the
+// circle.
+type Position struct{ Index, Count int }
 
-// Mine tells whether it is this sidecar's turn at what, any number that names it. One with nothing to do in
-// its turn lets it go by: saved turns are taken by all at once. The points of periods in a row are a golden
-// section apart, so that a part of 1/n has a turn within 3n periods.
-func (v View) Mine(what uint64, now, period time.Duration) bool {
+// IsOwner tells whether it is this sidecar's turn at what, any number that names it. One with nothing to do
+// in its turn lets it go by: saved turns are taken by all at once. The points of periods in a row are a
+// golden section apart, so that a part of 1/n has a turn within 3n periods.
+func (v Position) IsOwner(what uint64, now, period time.Duration) bool {
 	const golden = 0x9e3779b97f4a7c15 // of 1<<64
-	point := float64((mix(what)+uint64(now/max(period, 1))*golden)>>11) / (1 << 53)
+	point := float64((splitMix64(what)+uint64(now/max(period, 1))*golden)>>11) / (1 << 53)
 	n := float64(v.Count)
-	return float64(v.Place)/n <= point && point < float64(v.Place+1)/n
+	return float64(v.Index)/n <= point && point < float64(v.Index+1)/n
 }
 
-// Back is how long this sidecar waits, under span, to come back to what was out for all: in turn, from any
-// one.
-func (v View) Back(what uint64, span time.Duration) time.Duration {
+// ReturnDelay is how long this sidecar waits, under span, to come back to what was out for all: in turn, from
+// any one.
+func (v Position) ReturnDelay(what uint64, span time.Duration) time.Duration {
 	n := uint64(max(v.Count, 1))
-	return time.Duration(float64((uint64(v.Place)+mix(what)%n)%n) / float64(n) * float64(span))
+	return time.Duration(float64((uint64(v.Index)+splitMix64(what)%n)%n) / float64(n) * float64(span))
 }
 
-// mix spreads near numbers over all (the finalizer of SplitMix64: Steele, Lea, Flood, OOPSLA 2014).
-func mix(x uint64) uint64 {
+// splitMix64 spreads near numbers over all (the finalizer of SplitMix64: Steele, Lea, Flood, OOPSLA 2014).
+func splitMix64(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
--- a/balance/turns/turns_test.go
+++ b/balance/turns/turns_test.go
@@ -13,7 +13,7 @@
 
 // member is a sidecar of the model with a clock of its own.
 type member struct {
-	View
+	Position
 	ahead time.Duration
 	drift float64 // of its clock, as a share
 }
@@ -22,7 +22,7 @@
 func members(rng *rand.Rand, n int, inStep bool) []member {
 	list := make([]member, n)
 	for i := range list {
-		list[i].Place, list[i].Count = i, n
+		list[i].Index, list[i].Count = i, n
 		if !inStep {
 			list[i].ahead = time.Duration(rng.Int64N(int64(24 * time.Hour)))
 			list[i].drift = (rng.Float64() - 0.5) * 1e-3
@@ -32,7 +32,7 @@
 }
 
 func (m member) holds(what uint64, at time.Duration) bool {
-	return m.Mine(what, at+m.ahead+time.Duration(float64(at)*m.drift), period)
+	return m.IsOwner(what, at+m.ahead+time.Duration(float64(at)*m.drift), period)
 }
 
 // TestOneOwner checks what the package promises: one owner a period where clocks agree, and one on the average
@@ -71,10 +71,10 @@
 func TestNobodyWaitsForever(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 1000).Draw(t, "members")
-		v := View{Place: rapid.IntRange(0, n-1).Draw(t, "place"), Count: n}
+		v := Position{Index: rapid.IntRange(0, n-1).Draw(t, "place"), Count: n}
 		what, from := rapid.Uint64().Draw(t, "what"), rapid.Int64Range(0, 1<<40).Draw(t, "clock")
 		for k := range 3 * n {
-			if v.Mine(what, time.Duration(from)*time.Microsecond+time.Duration(k)*period, period) {
+			if v.IsOwner(what, time.Duration(from)*time.Microsecond+time.Duration(k)*period, period) {
 				return
 			}
 		}
@@ -89,11 +89,11 @@
 		served := 0
 		for k := range periods {
 			for place := range n - 1 { // the last is gone
-				v := View{Place: place, Count: n}
+				v := Position{Index: place, Count: n}
 				if known {
 					v.Count = n - 1
 				}
-				if v.Mine(7, time.Duration(k)*period, period) {
+				if v.IsOwner(7, time.Duration(k)*period, period) {
 					served++
 				}
 			}
@@ -111,7 +111,7 @@
 		const span = 5 * time.Second
 		seen := make([]bool, n)
 		for place := range n {
-			after := View{Place: place, Count: n}.Back(what, span)
+			after := Position{Index: place, Count: n}.ReturnDelay(what, span)
 			if after < 0 || after >= span {
 				t.Fatalf("member %d waits %v, want under %v", place, after, span)
 			}
--- a/balance/word.go
+++ b/balance/word.go
@@ -22,23 +22,23 @@
 // little of it. Who tries next goes by turns, of which each user has one in probeInterval, sooner once one
 // was served.
 func (b *Balancer) applyVerdicts(now Time) {
-	judged, v := b.reports.Judged(now), b.turnPosition()
+	judged, v := b.reports.Evaluate(now), b.turnPosition()
 	for _, e := range b.endpoints {
 		kind, was := judged[e.process()], e.condemnedSince > 0
 		own := e.lastServed > 0 && now-e.lastServed < time.Second
-		e.reportedDegraded = kind > signals.None && kind < signals.Refusing
-		if kind < signals.Refusing || own {
+		e.reportedDegraded = kind > signals.None && kind < signals.Failing
+		if kind < signals.Failing || own {
 			if e.condemnedSince = 0; was && !own {
-				e.ejectedUntil = max(e.ejectedUntil, now+v.Back(e.orderHash(), returnSpread))
+				e.ejectedUntil = max(e.ejectedUntil, now+v.ReturnDelay(e.orderHash(), returnSpread))
 			}
 			continue
 		}
 		e.condemnedSince, e.ejectedUntil = cmp.Or(e.condemnedSince, now), max(e.ejectedUntil, now+2*tickInterval)
 		period := min(max(probeInterval/time.Duration(max(v.Count, 1)), minProbeInterval), maxProbeInterval)
-		if _, serves := b.reports.Heard(e.process()); serves > 0 {
+		if _, serves := b.reports.Witnesses(e.process()); serves > 0 {
 			period = min(period, minProbeInterval) // one has had an answer: another makes it sure
 		}
-		if v.Mine(e.orderHash(), now, period) && now-e.probedAt >= period && e.pendingAnswers() == 0 {
+		if v.IsOwner(e.orderHash(), now, period) && now-e.probedAt >= period && e.pendingAnswers() == 0 {
 			e.probeUntil = now + probeTurnTTL
 		}
 	}
@@ -68,18 +68,18 @@
 			silent++
 		}
 	}
-	switch failing, _ := b.reports.Heard(e.process()); {
+	switch failing, _ := b.reports.Witnesses(e.process()); {
 	case silent > 0:
-		return signals.Silent, silent, now
+		return signals.Unresponsive, silent, now
 	case e.failureKind > signals.None:
 		return e.failureKind, 1 + int(e.failures), e.failedAt
 	case e.rejections > 0:
-		return signals.Full, e.rejections, e.failedAt
+		return signals.Overloaded, e.rejections, e.failedAt
 	case e.loadSum*e.freshness >= priorLoad &&
 		e.latencySum*e.capacity() > slowMultiple*e.loadSum*e.homeGroup.secondsPerLoad():
 		return signals.Slow, 2, e.lastServed
-	case failing > 0 && e.lastServed > e.condemnedSince && now-e.lastServed <= b.reports.Bound:
-		return signals.Serves, 1, e.lastServed
+	case failing > 0 && e.lastServed > e.condemnedSince && now-e.lastServed <= b.reports.TTL:
+		return signals.Serving, 1, e.lastServed
 	}
 	return signals.None, 0, 0
 }
--- a/balance/word_test.go
+++ b/balance/word_test.go
@@ -10,8 +10,8 @@
 
 // report is what a member says of an endpoint, as one that uses 16 in two zones.
 func report(b *Balancer, e *endpoint, zone string, kind signals.Kind) signals.Report {
-	return signals.Report{Room: zone, Uses: []signals.Use{{Room: e.Zone, Servers: 8}, {Room: "other", Servers: 8}},
-		Verdicts: []signals.Verdict{{Subject: e.process(), Room: e.Zone, Kind: kind, Count: 2}}}
+	return signals.Report{Zone: zone, Uses: []signals.ZoneUse{{Zone: e.Zone, Servers: 8}, {Zone: "other", Servers: 8}},
+		Verdicts: []signals.Verdict{{Process: e.process(), Zone: e.Zone, Kind: kind, Count: 2}}}
 }
 
 // TestMembersWordEjects: what three members call silent gets nothing; it comes back within the bound and the turns after
@@ -31,14 +31,14 @@
 		next    bool          // its next process is listed
 		avoided bool
 	}{
-		"three":              {3, signals.Silent, 0, false, true},
-		"two":                {2, signals.Silent, 0, false, false},
-		"refusing":           {3, signals.Refusing, 0, false, true},
+		"three":              {3, signals.Unresponsive, 0, false, true},
+		"two":                {2, signals.Unresponsive, 0, false, false},
+		"refusing":           {3, signals.Failing, 0, false, true},
 		"slow":               {3, signals.Slow, 0, false, false},
-		"served just now":    {3, signals.Silent, time.Second / 2, false, false},
-		"served before":      {3, signals.Silent, 3 * time.Second, false, true},
-		"the next process":   {3, signals.Silent, 0, true, false},
-		"nobody says a word": {0, signals.Silent, 0, false, false},
+		"served just now":    {3, signals.Unresponsive, time.Second / 2, false, false},
+		"served before":      {3, signals.Unresponsive, 3 * time.Second, false, true},
+		"the next process":   {3, signals.Unresponsive, 0, true, false},
+		"nobody says a word": {0, signals.Unresponsive, 0, false, false},
 	} {
 		b, h := sidecar(t, 3, peers, fleet(20))
 		e := b.inUse[0]
@@ -60,7 +60,7 @@
 		if got := h.now < e.ejectedUntil; got != tt.avoided {
 			t.Errorf("%s: avoided %v, want %v", name, got, tt.avoided)
 		}
-		if v := b.LocalReport(h.now).Verdicts; len(v) > 0 && (tt.served == 0 || v[0].Kind != signals.Serves) {
+		if v := b.LocalReport(h.now).Verdicts; len(v) > 0 && (tt.served == 0 || v[0].Kind != signals.Serving) {
 			t.Errorf("%s: it says itself what it was only told", name)
 		}
 		last := h.now + 2*time.Second + returnSpread + time.Second
@@ -80,7 +80,7 @@
 	h.now = 10 * time.Second
 	for n, e := range b.endpoints[:5] {
 		for i := range 3 {
-			b.ReceiveReport(h.now, fmt.Sprint("m", n, i), 1, 1, 0, report(b, e, []string{b.settings.Zone, "other"}[i%2], signals.Silent))
+			b.ReceiveReport(h.now, fmt.Sprint("m", n, i), 1, 1, 0, report(b, e, []string{b.settings.Zone, "other"}[i%2], signals.Unresponsive))
 		}
 	}
 	b.Timer(h.now, tickToken)
@@ -99,7 +99,7 @@
 	if r := b.LocalReport(h.now); len(r.Verdicts) > 0 || len(r.Uses) == 0 {
 		t.Fatalf("%+v", r)
 	}
-	e.failureKind, e.failedAt = signals.Silent, h.now-time.Second
+	e.failureKind, e.failedAt = signals.Unresponsive, h.now-time.Second
 	r := b.LocalReport(h.now)
 	if len(r.Verdicts) != 1 || r.Verdicts[0].Server != e.ID || r.Verdicts[0].Age != time.Second {
 		t.Fatalf("%+v", r)
@@ -114,12 +114,12 @@
 	if r := b.LocalReport(late - time.Millisecond); len(r.Verdicts) > 0 {
 		t.Fatalf("too early: %+v", r)
 	}
-	if r := b.LocalReport(late); len(r.Verdicts) != 1 || r.Verdicts[0].Kind != signals.Silent || r.Verdicts[0].Age != 0 {
+	if r := b.LocalReport(late); len(r.Verdicts) != 1 || r.Verdicts[0].Kind != signals.Unresponsive || r.Verdicts[0].Age != 0 {
 		t.Fatalf("%+v", r)
 	}
 	// Where so many speak that one more adds nothing, it goes on, but does not begin.
 	for i := range 6 {
-		b.ReceiveReport(late, fmt.Sprint("m", i), 1, 1, 0, report(b, e, []string{b.settings.Zone, "other"}[i%2], signals.Silent))
+		b.ReceiveReport(late, fmt.Sprint("m", i), 1, 1, 0, report(b, e, []string{b.settings.Zone, "other"}[i%2], signals.Unresponsive))
 	}
 	b.Timer(late, tickToken)
 	if r := b.LocalReport(late); len(r.Verdicts) != 1 {
@@ -131,7 +131,7 @@
 	}
 	e.lastServed = late
 	b.Timer(late, tickToken)
-	if r := b.LocalReport(late); len(r.Verdicts) != 1 || r.Verdicts[0].Kind != signals.Serves {
+	if r := b.LocalReport(late); len(r.Verdicts) != 1 || r.Verdicts[0].Kind != signals.Serving {
 		t.Fatalf("it has answered since, which others should know: %+v", r)
 	}
 }
@@ -145,7 +145,7 @@
 	h.now = 10 * time.Second
 	serve(b, h, 200, 20*time.Millisecond)
 	e.rejections, e.failedAt = 3, h.now
-	if r := b.LocalReport(h.now); len(r.Verdicts) != 1 || r.Verdicts[0].Kind != signals.Full || r.Verdicts[0].Count != 3 {
+	if r := b.LocalReport(h.now); len(r.Verdicts) != 1 || r.Verdicts[0].Kind != signals.Overloaded || r.Verdicts[0].Count != 3 {
 		t.Fatalf("turned away: %+v", r)
 	}
 	e.rejections, e.loadSum, e.freshness = 0, 10, 1
@@ -162,17 +162,17 @@
 		}
 		b.Timer(h.now, tickToken)
 	}
-	tell(1, 0, 3, signals.Full, time.Second)
+	tell(1, 0, 3, signals.Overloaded, time.Second)
 	if after := b.expectedLatency(e, h.now); after < spillThreshold*b.shortestTarget || after > refusalThreshold*b.shortestTarget || h.now < e.ejectedUntil {
 		t.Errorf("expected in %.3f s, before in %.3f s", after, before)
 	}
 	if e.latencySum, e.loadSum, e.freshness = 0.2, 20, 1; b.expectedLatency(e, h.now) > spillThreshold*b.shortestTarget {
 		t.Errorf("against what it saw itself, it expects an answer in %.3f s", b.expectedLatency(e, h.now))
 	}
-	if tell(1, 3, 4, signals.Serves, time.Second/2); !e.reportedDegraded {
+	if tell(1, 3, 4, signals.Serving, time.Second/2); !e.reportedDegraded {
 		t.Error("the word of one opens it")
 	}
-	if tell(1, 4, 5, signals.Serves, time.Second/2); e.reportedDegraded {
+	if tell(1, 4, 5, signals.Serving, time.Second/2); e.reportedDegraded {
 		t.Error("it is still taken for full after two were served")
 	}
 }
@@ -190,7 +190,7 @@
 			h.now = 10 * time.Second
 			for end := h.now + seconds*time.Second; h.now < end; h.now += tickInterval {
 				for i := range 3 {
-					b.ReceiveReport(h.now, fmt.Sprint("m", i), 1, uint64(h.now), 0, report(b, e, []string{b.settings.Zone, "other"}[i%2], signals.Silent))
+					b.ReceiveReport(h.now, fmt.Sprint("m", i), 1, uint64(h.now), 0, report(b, e, []string{b.settings.Zone, "other"}[i%2], signals.Unresponsive))
 				}
 				b.Timer(h.now, tickToken)
 				ask(b, h, RequestID(h.now))
--- a/internal/lab/check/routes.go
+++ b/internal/lab/check/routes.go
@@ -20,7 +20,7 @@
 
 // routesOf is the hash of what a sidecar needs of a table.
 func routesOf(p *plan.Plan, near int, t routes.Table) string {
-	return t.Cut(map[string]string{"service": p.AppOf(near), "region": p.Sidecars[near].Zone}, "rec-api").Hash()
+	return t.Relevant(map[string]string{"service": p.AppOf(near), "region": p.Sidecars[near].Zone}, "rec-api").Hash()
 }
 
 // routesDue is when each sidecar has to know the last table: the bound after it, and after the last fault.
--- a/internal/lab/plan/hitters.go
+++ b/internal/lab/plan/hitters.go
@@ -44,5 +44,5 @@
 // Bars are the shares that count.
 func (h Hitters) Bars() (high, low float64) {
 	own := hitters.Defaults()
-	return cmp.Or(h.High, own.High), cmp.Or(h.Low, own.Low)
+	return cmp.Or(h.High, own.HighThreshold), cmp.Or(h.Low, own.LowThreshold)
 }
--- a/internal/lab/standin/keeperroutes.go
+++ b/internal/lab/standin/keeperroutes.go
@@ -82,7 +82,7 @@
 		k.mu.Lock()
 		now, changed := k.now, k.changed
 		k.mu.Unlock()
-		t := now.Rules.Cut(tags, q.Get("service"))
+		t := now.Rules.Relevant(tags, q.Get("service"))
 		if h := t.Hash(); h != held && (held == "" || k.flaw != "mute") {
 			held = h
 			line, err := json.Marshal(map[string]any{"gen": now.Gen, "all": true, "hash": h, "cluster": "plain", "rules": t})
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -81,7 +81,7 @@
 	h.calls[c.number] = c
 	r := balance.Request{ID: c.number, Class: c.class, Tenant: c.tenant, TimeLeft: c.wait, BodyIncomplete: c.rest != nil, Client: c.client}
 	if j := h.balancer.HeavyHitters(); j != nil {
-		j.Name(c.client, c.name)
+		j.SetName(c.client, c.name)
 	}
 	if !r.BodyIncomplete {
 		h.arm(c)
--- a/internal/sidecar/client/cache_test.go
+++ b/internal/sidecar/client/cache_test.go
@@ -85,7 +85,7 @@
 		t.Errorf("too long: %t, %v", ok, err)
 	}
 
-	odd := routes.Match{strings.Repeat("\x01", routes.MostText): strings.Repeat("<", routes.MostText)}
+	odd := routes.Match{strings.Repeat("\x01", routes.MaxTextBytes): strings.Repeat("<", routes.MaxTextBytes)}
 	rules := make(routes.Table, 8192) // more than fit
 	for i := range rules {
 		rules[i] = routes.Rule{Name: strconv.Itoa(i), Source: odd, Service: routes.Match{"service": ""}, Destinations: []routes.Destination{{Match: odd, Weight: 1}}}
--- a/internal/sidecar/client/routes.go
+++ b/internal/sidecar/client/routes.go
@@ -94,9 +94,9 @@
 
 var routeKind = sealed.Kind{Magic: "gradeusher-routes", Form: 1, Needs: 1}
 
-// mostCachedRoutes is bytes of a saved route table. JSON takes up to 6 bytes for each that routes.MostBytes counts, as in an
+// mostCachedRoutes is bytes of a saved route table. JSON takes up to 6 bytes for each that routes.MaxTableBytes counts, as in an
 // escape; the rest is for the cut.
-const mostCachedRoutes = 8 * routes.MostBytes
+const mostCachedRoutes = 8 * routes.MaxTableBytes
 
 type cachedRoutes struct {
 	SavedMS int64  `json:"saved_ms"` // Unix time
--- a/internal/sidecar/hitters.go
+++ b/internal/sidecar/hitters.go
@@ -51,13 +51,13 @@
 		if len(v) != 2 {
 			return nil, nil, errors.New("bars: not two shares, the upper and the lower")
 		}
-		set.High, set.Low = v[0], v[1]
+		set.HighThreshold, set.LowThreshold = v[0], v[1]
 	}
 	for _, s := range []struct {
 		name  string
 		given *float64
 		to    *time.Duration
-	}{{"window_s", file.Window, &set.Window}, {"hold_s", file.Hold, &set.Hold}, {"cool_s", file.Cool, &set.Cool}, {"bound_s", file.Bound, &set.Bound}} {
+	}{{"window_s", file.Window, &set.Window}, {"hold_s", file.Hold, &set.SuspicionTime}, {"cool_s", file.Cool, &set.CoolingTime}, {"bound_s", file.Bound, &set.ReportTTL}} {
 		if s.given == nil {
 			continue
 		}
@@ -99,16 +99,16 @@
 
 // rollHitters ends a window, logs whose state has changed, and tells the members. The loop alone calls it.
 func (h *host) rollHitters() {
-	own, changed := h.balancer.HeavyHitters().Roll(h.now)
+	own, changed := h.balancer.HeavyHitters().EndWindow(h.now)
 	for _, c := range changed {
 		level := slog.LevelDebug
 		if c.State == hitters.Heavy || c.State == hitters.Cooling {
 			level = slog.LevelInfo
 		}
 		h.log.Log(h.ctx, level, "client", "state", c.State, "key", fmt.Sprintf("%016x", c.Key), "name", c.Name,
-			"share", fmt.Sprintf("%.3f", c.Share), "above", fmt.Sprintf("%.3f", c.Above), "keep", fmt.Sprintf("%.3f", c.Keep))
+			"share", fmt.Sprintf("%.3f", c.Share), "above", fmt.Sprintf("%.3f", c.ShareError), "keep", fmt.Sprintf("%.3f", c.AdmittedShare))
 	}
-	if h.members == nil || own.Seq%hitters.Every(h.members.View().Count) != 0 {
+	if h.members == nil || own.Seq%hitters.ReportInterval(h.members.View().Count) != 0 {
 		return
 	}
 	if err := h.members.Publish(kindHitters, own.Report.Append(nil)); err != nil {
@@ -124,8 +124,8 @@
 			h.log.Debug("clients", "origin", n.Origin, "err", err)
 			return
 		}
-		word := hitters.News{Origin: c.Hitters.origin(n.Origin), Start: n.Start, Seq: n.Seq, Age: n.Age, Report: report}
-		h.post(func() { h.balancer.HeavyHitters().Tell(h.now, word) })
+		word := hitters.OriginReport{Origin: c.Hitters.origin(n.Origin), Start: n.Start, Seq: n.Seq, Age: n.Age, Report: report}
+		h.post(func() { h.balancer.HeavyHitters().Receive(h.now, word) })
 	}
 }
 
@@ -135,7 +135,7 @@
 	var yielded uint64
 	if s.config.Hitters == nil || !s.host.ask(func() {
 		judge := s.host.balancer.HeavyHitters()
-		yielded = judge.Yielded()
+		yielded = judge.Rejected()
 		for _, c := range judge.Clients() {
 			if c.State == hitters.Heavy {
 				held = append(held, *c)
--- a/internal/sidecar/registry/cuts.go
+++ b/internal/sidecar/registry/cuts.go
@@ -126,7 +126,7 @@
 				e.err = err
 				return
 			}
-			v.table = whole.table.Cut(by.tags, by.service)
+			v.table = whole.table.Relevant(by.tags, by.service)
 		} else {
 			ok := false
 			if c.store.read(func(m *state.Machine) { v.table, ok = m.Routes(gen) }); !ok {
@@ -167,7 +167,7 @@
 	if op.Kind == routes.Add {
 		comes = routes.Table{op.Rule}
 	}
-	return (op.Kind == routes.Add || op.Kind == routes.Rematch) && len(comes.Cut(by.tags, by.service)) > 0 ||
+	return (op.Kind == routes.Add || op.Kind == routes.Rematch) && len(comes.Relevant(by.tags, by.service)) > 0 ||
 		slices.ContainsFunc(held.table, func(r routes.Rule) bool { return r.Name == op.Name })
 }
 
--- a/internal/sidecar/registry/routes.go
+++ b/internal/sidecar/registry/routes.go
@@ -14,7 +14,7 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-const mostTable = 2 * routes.MostBytes // of a table as its writer spells it
+const mostTable = 2 * routes.MaxTableBytes // of a table as its writer spells it
 
 // putCall is the body of a route table.
 type putCall struct {
@@ -93,15 +93,15 @@
 	}
 	a = routesAsked{from: base.from, cluster: base.cluster, watch: base.watch, ages: base.ages, exact: base.exact}
 	service := q.Get("service")
-	if len(service) > routes.MostText || len(q["tag"]) > routes.MostTags {
-		return a, badf("a service has %d bytes at most, and there are %d tags at most", routes.MostText, routes.MostTags)
+	if len(service) > routes.MaxTextBytes || len(q["tag"]) > routes.MaxTags {
+		return a, badf("a service has %d bytes at most, and there are %d tags at most", routes.MaxTextBytes, routes.MaxTags)
 	}
 	tags := map[string]string{}
 	for _, pair := range q["tag"] {
 		tag, value, found := strings.Cut(pair, ":")
 		_, twice := tags[tag]
-		if !found || tag == "" || twice || len(tag) > routes.MostText || len(value) > routes.MostText {
-			return a, badf("tag=%.60q: a tag and its value are needed, with a colon, once and of %d bytes each at most", pair, routes.MostText)
+		if !found || tag == "" || twice || len(tag) > routes.MaxTextBytes || len(value) > routes.MaxTextBytes {
+			return a, badf("tag=%.60q: a tag and its value are needed, with a colon, once and of %d bytes each at most", pair, routes.MaxTextBytes)
 		}
 		tags[tag] = value
 	}
--- a/internal/sidecar/registry/routes_test.go
+++ b/internal/sidecar/registry/routes_test.go
@@ -41,7 +41,7 @@
 	if code, _, _ := call(t, "PUT", at, "/v1/routes", put(rule("a", "*", "*", "1"))); code != 200 {
 		t.Fatal(code)
 	}
-	many := make([]string, routes.MostRules+1)
+	many := make([]string, routes.MaxRules+1)
 	for i := range many {
 		many[i] = `{}`
 	}
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -27,8 +27,8 @@
 	tags := map[string]string{"region": c.Settings.Zone}
 	maps.Copy(tags, c.Settings.Tags)
 	for tag, v := range tags {
-		if len(tags) > routes.MostTags || tag == "" || strings.Contains(tag, ":") || len(tag) > routes.MostText || len(v) > routes.MostText {
-			return fmt.Errorf("keepers: tags: %.60q: at most %d, of %d bytes each and without a colon", tag, routes.MostTags, routes.MostText)
+		if len(tags) > routes.MaxTags || tag == "" || strings.Contains(tag, ":") || len(tag) > routes.MaxTextBytes || len(v) > routes.MaxTextBytes {
+			return fmt.Errorf("keepers: tags: %.60q: at most %d, of %d bytes each and without a colon", tag, routes.MaxTags, routes.MaxTextBytes)
 		}
 	}
 	h.routing.follower, err = client.NewRouteFollower(client.RouteOptions{Keepers: c.Keepers.Addresses, Tags: tags, Service: c.Settings.Service,
--- a/internal/sidecar/signals.go
+++ b/internal/sidecar/signals.go
@@ -73,7 +73,7 @@
 				v.Start = -1 // another process than the one listed here; it counts for how much the witness condemns
 			}
 		}
-		if p := (balance.Peer{Zone: r.Room, TrafficLevel: r.Level}); c.peers[n.Origin] != p {
+		if p := (balance.Peer{Zone: r.Zone, TrafficLevel: r.TrafficLevel}); c.peers[n.Origin] != p {
 			c.peers[n.Origin] = p
 			c.changed(h.now)
 		}
@@ -120,7 +120,7 @@
 	for i, name := range c.view.Names {
 		peers[i] = c.peers[name]
 	}
-	peers[c.view.Place] = balance.Peer{Zone: c.said.Room, TrafficLevel: c.said.Level}
+	peers[c.view.Place] = balance.Peer{Zone: c.said.Zone, TrafficLevel: c.said.TrafficLevel}
 	h.balancer.SetMembers(h.now, c.view.Place, peers)
 }
 
@@ -129,7 +129,7 @@
 	counts := func(v signals.Verdict) bool { return v.Kind >= least }
 	for _, pair := range [2][2][]signals.Verdict{{a, b}, {b, a}} {
 		for _, v := range pair[0] {
-			if counts(v) && !slices.ContainsFunc(pair[1], func(w signals.Verdict) bool { return counts(w) && w.Subject == v.Subject && w.Kind == v.Kind }) {
+			if counts(v) && !slices.ContainsFunc(pair[1], func(w signals.Verdict) bool { return counts(w) && w.Process == v.Process && w.Kind == v.Kind }) {
 				return false
 			}
 		}
@@ -140,8 +140,8 @@
 // say tells the members what this sidecar saw of servers, and what it is.
 func (h *host) say() {
 	c, r := &h.company, h.balancer.LocalReport(h.now)
-	same, grave := alike(r.Verdicts, c.said.Verdicts, signals.None), alike(r.Verdicts, c.said.Verdicts, signals.Refusing)
-	if r.Level != c.said.Level {
+	same, grave := alike(r.Verdicts, c.said.Verdicts, signals.None), alike(r.Verdicts, c.said.Verdicts, signals.Failing)
+	if r.TrafficLevel != c.said.TrafficLevel {
 		same, grave = false, false
 		c.changed(h.now)
 	}
--- a/internal/sidecar/signals_test.go
+++ b/internal/sidecar/signals_test.go
@@ -90,8 +90,8 @@
 	}
 
 	// The liar condemns s-1 again and again, and the one that is cut off fails at all but s-5.
-	lie, err := signals.Encode(signals.Report{Room: "b", Uses: []signals.Use{{Room: "a", Servers: 6}},
-		Verdicts: []signals.Verdict{{Subject: signals.Subject{Server: "s-1"}, Room: "a", Kind: signals.Silent, Count: 99}}})
+	lie, err := signals.Encode(signals.Report{Zone: "b", Uses: []signals.ZoneUse{{Zone: "a", Servers: 6}},
+		Verdicts: []signals.Verdict{{Process: signals.Process{Server: "s-1"}, Zone: "a", Kind: signals.Unresponsive, Count: 99}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,7 +125,7 @@
 			t.Errorf("%+v: %v", n, err)
 		case n.Origin == "cut" && len(r.Verdicts) > 2:
 			t.Errorf("one that is cut off from five of six says so of %d", len(r.Verdicts))
-		case n.Origin == "d" && slices.ContainsFunc(r.Verdicts, func(v signals.Verdict) bool { return v.Kind != signals.Serves }):
+		case n.Origin == "d" && slices.ContainsFunc(r.Verdicts, func(v signals.Verdict) bool { return v.Kind != signals.Serving }):
 			t.Errorf("one that was only told says on: %+v", r)
 		}
 	}
--- a/internal/sidecar/state/routes.go
+++ b/internal/sidecar/state/routes.go
@@ -52,7 +52,7 @@
 	if len(back) == 0 {
 		return r.table, true
 	}
-	t, err := routes.Apply(r.table, routes.Join(back...))
+	t, err := routes.Apply(r.table, routes.Concat(back...))
 	return t, err == nil
 }
 
