--- a/balance/reroute.go
+++ b/balance/rules.go
@@ -8,8 +8,6 @@
 	"gradeusher.example/gradeusher/balance/routes"
 )
 
-const pendingRulesTTL = 30 * time.Second // that a table without a ready endpoint waits for one
-
 // SetRules takes in another route table, whole; an empty one stands for the rules of the settings. Groups of
 // the same tags keep their turns, credit, size and subset; new weights count from the next turn on. It tells
 // why a table is not applied: it is wrong, or its best rule for this client has no ready endpoint while the
@@ -88,3 +86,23 @@
 	}
 	b.fleet = b.groups[last]
 }
+
+// matchGroups tells which groups' tags an endpoint carries.
+func (b *Balancer) matchGroups(e Endpoint) (joins []bool) {
+	tags := b.tagsOf(e)
+	for _, g := range b.groups {
+		ok, _ := g.destination.Match.Matches(tags)
+		joins = append(joins, ok)
+	}
+	return joins
+}
+
+// tagsOf are the tags that an endpoint carries.
+func (b *Balancer) tagsOf(e Endpoint) map[string]string {
+	return map[string]string{"service": b.settings.Service, "region": e.Zone, "version": e.Kind}
+}
+
+// RulesPending tells whether a route table waits for a ready endpoint.
+func (b *Balancer) RulesPending() bool { return b.pendingRules != nil }
+
+const pendingRulesTTL = 30 * time.Second // that a table without a ready endpoint waits for one
--- a/balance/check.go
+++ b/balance/settings.go
@@ -6,9 +6,62 @@
 	"math"
 	"time"
 
+	"gradeusher.example/gradeusher/balance/hitters"
 	"gradeusher.example/gradeusher/balance/routes"
 )
 
+// Settings are what a Balancer is told at its start.
+type Settings struct {
+	Seed    uint64
+	Self    int // the number of this sidecar among its peers, from 0
+	Peers   int // how many sidecars there are, this one included
+	Zone    string
+	Zones   []string
+	Kinds   []string
+	Classes []Class
+	Tenants []Tenant
+
+	Service string            // the service balanced
+	Tags    map[string]string // the client's own tags besides its region: service, version
+	Rules   []Rule            // nil: DefaultRules(Service, Zones, Kinds)
+
+	MaxAttempts   int
+	CancelAllowed bool
+
+	SubscribeToDiscovery bool          // list changes come only to a subscriber
+	DiscoveryDeadline    time.Duration // without a call for this long, old listings count as told
+
+	WarmUpTime       time.Duration // a started endpoint is warm after this time
+	StartCapacity    float64       // and starts at this share of its capacity
+	OverloadMultiple float64       // a cold endpoint sent more than this multiple of what it can do
+	OverloadTime     time.Duration // for this long falls over
+
+	ReportTTL time.Duration // what members said longer ago counts for nothing; 0: 2 s
+
+	ZoneCrossingCost float64 // price of crossing zones, as a share of a request's worth
+
+	Hitters *hitters.Settings // how clients that ask for much of the fleet's work are found; nil: they are not
+}
+
+// Class describes one class of requests.
+type Class struct {
+	Name          string
+	Effect        Effect
+	Scope         Scope         // Deduplicated only
+	DedupeWindow  time.Duration // Deduplicated only: how long a repeat is dropped, from the first send
+	LatencyTarget time.Duration // an answer within the aim earns the full worth
+	Deadline      time.Duration // the client's patience over all its tries
+	Value         float64
+	LateValue     float64 // share of the worth that an answer past the aim still earns
+}
+
+// Tenant describes one tenant. Allowance is the rate, over all sidecars together, up to which its requests
+// have their full worth.
+type Tenant struct {
+	Name      string
+	Allowance float64 // requests a second
+}
+
 // checkSettings says what is wrong with the settings, naming the field.
 func checkSettings(set Settings, act Actions) error {
 	switch {
@@ -83,3 +136,18 @@
 	}
 	return nil
 }
+
+// Here is what is told of a Balancer, and what it starts from where nothing is said. Nothing is decided here.
+
+// DefaultRules is the table used where none is given: a group for each zone and kind, weighted by size.
+func DefaultRules(service string, zones, kinds []string) []Rule {
+	var groups []Destination
+	for _, zone := range zones {
+		for _, kind := range kinds {
+			groups = append(groups, Destination{Weight: 1, PerSize: true,
+				Match: Match{"service": service, "region": zone, "version": kind}})
+		}
+	}
+	return []Rule{{Name: "default", Source: Match{"service": "*"}, Service: Match{"service": service},
+		Destinations: groups}}
+}
--- a/balance/keep.go
+++ b/balance/snapshot.go
@@ -6,15 +6,6 @@
 	"time"
 )
 
-// Here is what a process hands on to the next one. It decides nothing: beliefs are copied, and fade with the time that has passed as
-// they do in life (fade).
-
-// Bounds of what is handed on.
-const (
-	maxSnapshotAge       = 5 * memoryTTL // by then under 1% is left of what answers taught
-	maxSnapshotEndpoints = 4096          // endpoints
-)
-
 // Snapshot is what a Balancer believes, for the one of the next process. Durations and starts are on the host's clock.
 type Snapshot struct {
 	Near      float64            `json:"near"`    // weight of other zones
@@ -108,6 +99,15 @@
 	b.lastResultAt = now - age
 }
 
+// Here is what a process hands on to the next one. It decides nothing: beliefs are copied, and fade with the time that has passed as
+// they do in life (fade).
+
+// Bounds of what is handed on.
+const (
+	maxSnapshotAge       = 5 * memoryTTL // by then under 1% is left of what answers taught
+	maxSnapshotEndpoints = 4096          // endpoints
+)
+
 const maxSum = 1e9
 
 func isWithin(x, most float64) bool { return x >= 0 && x <= most }
--- a/balance/status.go
+++ b/balance/status.go
@@ -1,20 +1,5 @@
 package balance
 
-// Here is what is told of a Balancer, and what it starts from where nothing is said. Nothing is decided here.
-
-// DefaultRules is the table used where none is given: a group for each zone and kind, weighted by size.
-func DefaultRules(service string, zones, kinds []string) []Rule {
-	var groups []Destination
-	for _, zone := range zones {
-		for _, kind := range kinds {
-			groups = append(groups, Destination{Weight: 1, PerSize: true,
-				Match: Match{"service": service, "region": zone, "version": kind}})
-		}
-	}
-	return []Rule{{Name: "default", Source: Match{"service": "*"}, Service: Match{"service": service},
-		Destinations: groups}}
-}
-
 // Knows tells whether an endpoint is listed or out by hand.
 func (b *Balancer) Knows(id string) bool {
 	e := b.byID[id]
