--- a/balance/api.go
+++ b/balance/api.go
@@ -70,10 +70,10 @@
 
 // The kinds of lists.
 const (
-	ListFull       ListKind = iota // complete: an endpoint that is absent is removed
-	ListChanges                    // changed entries only
-	ListRemembered                 // complete, from before a restart: may be stale
-	ListRefused                    // a discovery call failed or the subscription broke; no entries
+	ListFull    ListKind = iota // complete: an endpoint that is absent is removed
+	ListChanges                 // changed entries only
+	ListCached                  // complete, from before a restart: may be stale
+	ListRefused                 // a discovery call failed or the subscription broke; no entries
 )
 
 // Request is a client's request. Within is the time left before the client gives this try up; while the body is still
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -61,7 +61,7 @@
 	act.Timer(time.Duration(b.rng.Float64()*float64(tickInterval)), tickToken)
 	if set.SubscribeToDiscovery {
 		// Danger: all sidecars start at once, and the list service serves few calls at a time.
-		turn := (float64(set.Self) + b.rng.Float64()) / float64(set.Peers)
+		turn := (float64(set.Index) + b.rng.Float64()) / float64(set.PeerCount)
 		act.Timer(time.Duration(turn*float64(max(set.DiscoveryDeadline/2, time.Second))), discoveryToken)
 	}
 	return b, nil
@@ -76,7 +76,7 @@
 		return nil, err
 	}
 	b := &Balancer{settings: set, actions: act, byID: map[string]*endpoint{}, requests: map[RequestID]*request{},
-		rng: rand.New(rand.NewPCG(set.Seed, uint64(set.Self))), tenants: make([]tenant, len(set.Tenants)),
+		rng: rand.New(rand.NewPCG(set.Seed, uint64(set.Index))), tenants: make([]tenant, len(set.Tenants)),
 		zoneWeight: [2]float64{1, minZoneWeight}, reports: newReports(set)}
 	var err error
 	if b.hitters, err = hitters.New(set.Hitters); err != nil {
--- a/balance/cold_budget_test.go
+++ b/balance/cold_budget_test.go
@@ -10,7 +10,7 @@
 func coldSends(t *testing.T, peers int, retries bool) (most int, part float64) {
 	t.Helper()
 	set := settings()
-	set.Peers = peers
+	set.PeerCount = peers
 	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "x", Kind: "big", Size: 1}}
 	b, h := start(t, set, list)
 	id := RequestID(0)
--- a/balance/discovery.go
+++ b/balance/discovery.go
@@ -17,7 +17,7 @@
 		b.discoveryFailures++
 		b.actions.Timer(time.Duration((1+b.rng.Float64())*float64(wait)/2), discoveryToken)
 		return
-	case ListFull, ListRemembered:
+	case ListFull, ListCached:
 		for _, e := range b.endpoints {
 			e.State = Removed
 		}
@@ -32,7 +32,7 @@
 			b.byID[entry.ID] = e
 		}
 		if e.inGroup == nil || e.Zone != entry.Zone || e.Kind != entry.Kind {
-			e.inGroup = b.matchGroups(entry)
+			e.inGroup = b.groupMembership(entry)
 			e.homeGroup = b.groups[slices.Index(e.inGroup, true)]
 		}
 		if e.zoneIndex = 0; entry.Zone != b.settings.Zone {
@@ -58,7 +58,7 @@
 	b.regroup(now)
 	b.decay(now, 0)
 	b.adjustZoneWeight(now)
-	if kind != ListRemembered {
+	if kind != ListCached {
 		b.discoveryFailures = 0
 	}
 }
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -22,7 +22,7 @@
 
 func Example() {
 	b, err := balance.New(balance.Settings{
-		Seed: 1, Peers: 1, Zone: "north", Service: "orders", MaxAttempts: 2,
+		Seed: 1, PeerCount: 1, Zone: "north", Service: "orders", MaxAttempts: 2,
 		Classes: []balance.Class{{Name: "read", Effect: balance.Idempotent, Value: 1,
 			LatencyTarget: 200 * time.Millisecond, Deadline: time.Second}},
 		Rules: []balance.Rule{{
--- a/balance/golden_trace_test.go
+++ b/balance/golden_trace_test.go
@@ -114,16 +114,16 @@
 
 // kept takes in all that a Balancer has learned, as far as it hands that on.
 func (tr *goldenTrace) kept(k Snapshot) {
-	tr.step('K', int64(k.Tight), int64(len(k.Groups)), int64(len(k.Endpoints)))
-	tr.float(k.Near, k.Idle, k.Arrived)
-	tr.float(k.Work...)
+	tr.step('K', int64(k.SheddingFor), int64(len(k.Groups)), int64(len(k.Endpoints)))
+	tr.float(k.ZoneWeight, k.IdleSeconds, k.Arrivals)
+	tr.float(k.MeanSeconds...)
 	for _, g := range k.Groups {
-		tr.float(g.Took, g.Held)
+		tr.float(g.Seconds, g.Load)
 	}
 	for _, e := range k.Endpoints {
 		tr.text(e.ID)
-		tr.num(int64(e.Started), int64(e.Cold), int64(e.Out))
-		tr.float(e.Took, e.Held, e.Fresh, e.Faults, e.Due)
+		tr.num(int64(e.Started), int64(e.WarmUpStart), int64(e.EjectedFor))
+		tr.float(e.Seconds, e.Load, e.Freshness, e.Failures, e.TurnCredit)
 	}
 }
 
@@ -257,7 +257,7 @@
 		h := hitters.Defaults()
 		h.Origin = hitters.Key(seed, fmt.Sprint(self))
 		set := settings()
-		set.Seed, set.Self, set.Peers, set.Hitters = seed, self, 3, &h
+		set.Seed, set.Index, set.PeerCount, set.Hitters = seed, self, 3, &h
 		set.Zone = []string{"x", "x", "y"}[self]
 		set.Tenants = []Tenant{{"a", 30}, {"b", 5}}
 		set.CancelAllowed, set.SubscribeToDiscovery, set.DiscoveryDeadline = self != 1, self != 2, 10*time.Second
@@ -282,7 +282,7 @@
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	b.Endpoints(d.now, ListRemembered, d.list)
+	b.Endpoints(d.now, ListCached, d.list)
 	return b
 }
 
--- a/balance/host_test.go
+++ b/balance/host_test.go
@@ -50,7 +50,7 @@
 
 // settings are those of a small deployment with one safe class.
 func settings() Settings {
-	return Settings{Seed: 1, Peers: 1, Zone: "x", Zones: []string{"x", "y"}, Kinds: []string{"big", "small"},
+	return Settings{Seed: 1, PeerCount: 1, Zone: "x", Zones: []string{"x", "y"}, Kinds: []string{"big", "small"},
 		Service: "backend", MaxAttempts: 3, WarmUpTime: 10 * time.Second, StartCapacity: 0.3, OverloadMultiple: 3,
 		OverloadTime: time.Second, ZoneCrossingCost: 0.03,
 		Classes: []Class{{Name: "read", Effect: Idempotent, LatencyTarget: time.Second, Deadline: 3 * time.Second, Value: 1}}}
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Endpoints(h.now, ListRemembered, list)
+	b.Endpoints(h.now, ListCached, list)
 	return b, h
 }
 
--- a/balance/keep_test.go
+++ b/balance/keep_test.go
@@ -37,8 +37,8 @@
 		}
 	}
 	b, _ := start(t, settings(), list)
-	b.Restore(now, Snapshot{Near: math.NaN(), Idle: -1, Arrived: math.Inf(1), Tight: -1, Work: []float64{math.NaN()}, Groups: []LatencySum{{-1, 0}},
-		Endpoints: []EndpointSnapshot{{ID: "a", LatencySum: LatencySum{math.NaN(), 1}}, {ID: "z"}, {ID: "b", Faults: 1e300}}}, 0)
+	b.Restore(now, Snapshot{ZoneWeight: math.NaN(), IdleSeconds: -1, Arrivals: math.Inf(1), SheddingFor: -1, MeanSeconds: []float64{math.NaN()}, Groups: []LatencySum{{-1, 0}},
+		Endpoints: []EndpointSnapshot{{ID: "a", LatencySum: LatencySum{math.NaN(), 1}}, {ID: "z"}, {ID: "b", Failures: 1e300}}}, 0)
 	if a := b.byID["a"]; a.latencySum != 0 || a.loadSum != 0 || b.arrivals != 0 || !(b.zoneWeight[1] <= 1) || b.byID["b"].failures != 0 {
 		t.Errorf("nonsense is believed: %+v, %+v", a, b)
 	}
--- a/balance/members.go
+++ b/balance/members.go
@@ -47,5 +47,5 @@
 	if b.amongAll.count > 0 {
 		return turns.Position{Index: b.amongAll.index, Count: b.amongAll.count}
 	}
-	return turns.Position{Index: b.settings.Self, Count: b.settings.Peers}
+	return turns.Position{Index: b.settings.Index, Count: b.settings.PeerCount}
 }
--- a/balance/reroute_test.go
+++ b/balance/reroute_test.go
@@ -36,7 +36,7 @@
 		members       string
 	}
 	of := func(g *group) kept {
-		k := kept{next: g.nextTurn, credit: g.credit, whole: g.maxReadySize}
+		k := kept{next: g.nextIndex, credit: g.credit, whole: g.maxReadySize}
 		for _, e := range g.members {
 			k.members += e.ID
 		}
--- a/balance/rotation.go
+++ b/balance/rotation.go
@@ -16,7 +16,7 @@
 	loadSum       float64 // and of the requests held for a unit of size
 	owedSeconds   float64 // seconds for which answers of those have been due, at the last tick
 	maxReadySize  float64 // the largest registered size ever ready in it
-	nextTurn      int     // whose turn it is
+	nextIndex     int     // whose turn it is
 	credit        float64 // of the smooth weighted schedule
 }
 
@@ -30,9 +30,10 @@
 	return g.destination.Weight * size / math.Max(g.maxReadySize, 1e-9)
 }
 
-// nextTurn takes the next nextTurn of the smooth interleaved schedule among the groups with an open member,
-// and in that group the next nextTurn of the rotation. It returns nil if no member of any group is open.
-func (b *Balancer) nextTurn() *endpoint {
+// nextEndpoint takes the next nextEndpoint of the smooth interleaved schedule among the groups with an open
+// member, and in that group the next nextEndpoint of the rotation. It returns nil if no member of any group
+// is open.
+func (b *Balancer) nextEndpoint() *endpoint {
 	var due *group
 	var total float64
 	for _, g := range b.groups {
@@ -49,20 +50,20 @@
 		return nil
 	}
 	due.credit -= total
-	return due.nextMember()
+	return due.nextEndpoint()
 }
 
-// nextMember gives the turn to the first open member from the due one on. If the open member after it has
+// nextEndpoint gives the turn to the first open member from the due one on. If the open member after it has
 // less of this sidecar's requests in flight, the due one yields.
-func (g *group) nextMember() (due *endpoint) {
+func (g *group) nextEndpoint() (due *endpoint) {
 	n, at := len(g.members), 0
 	for i, seen := 0, 0; i < n && seen < 2; i++ {
-		if e := g.members[(g.nextTurn+i)%n]; e.eligible {
+		if e := g.members[(g.nextIndex+i)%n]; e.eligible {
 			if seen++; due == nil || e.inFlight < due.inFlight {
 				due, at = e, i
 			}
 		}
 	}
-	g.nextTurn = (g.nextTurn + at + 1) % n
+	g.nextIndex = (g.nextIndex + at + 1) % n
 	return due
 }
--- a/balance/route_test.go
+++ b/balance/route_test.go
@@ -153,7 +153,7 @@
 		b.Request(h.now, Request{ID: RequestID(i), Tenant: -1, TimeLeft: time.Second})
 	}
 	// a and b hold two each. Once the one whose turn is next holds more, it yields.
-	due := b.groups[0].members[b.groups[0].nextTurn%2]
+	due := b.groups[0].members[b.groups[0].nextIndex%2]
 	other := h.sent[0]
 	for _, s := range h.sent {
 		if s.to != due.ID {
@@ -175,7 +175,7 @@
 	first := map[string]bool{}
 	for seed := range uint64(20) {
 		set := settings()
-		set.Seed, set.Self, set.Peers = seed, int(seed), 20
+		set.Seed, set.Index, set.PeerCount = seed, int(seed), 20
 		b, h := start(t, set, list)
 		b.Request(h.now, Request{ID: 1, Tenant: -1, TimeLeft: time.Second})
 		first[h.sent[0].to] = true
@@ -200,8 +200,8 @@
 		{"late answers worth more", func(s *Settings) { s.Classes[0].LateValue = 1.5 }, "field LateWorth"},
 		{"negative window", func(s *Settings) { s.Classes[0].DedupeWindow = -1 }, "field DedupeWindow"},
 		{"negative allowance", func(s *Settings) { s.Tenants = []Tenant{{"t", -1}} }, `tenant 0, "t": field Allowance`},
-		{"no peers", func(s *Settings) { s.Peers = 0 }, "field Peers"},
-		{"number beyond its peers", func(s *Settings) { s.Self = 1 }, "field Self: sidecar 1 of 1"},
+		{"no peers", func(s *Settings) { s.PeerCount = 0 }, "field Peers"},
+		{"number beyond its peers", func(s *Settings) { s.Index = 1 }, "field Self: sidecar 1 of 1"},
 		{"no attempts", func(s *Settings) { s.MaxAttempts = 0 }, "field MaxAttempts"},
 		{"cold share above all", func(s *Settings) { s.StartCapacity = 1.1 }, "field StartCapacity"},
 		{"negative multiple", func(s *Settings) { s.OverloadMultiple = -1 }, "field FallMultiple"},
--- a/balance/rules.go
+++ b/balance/rules.go
@@ -34,7 +34,7 @@
 	}
 	b.setDestinations(to)
 	for _, e := range b.byID {
-		e.inGroup = b.matchGroups(e.Endpoint)
+		e.inGroup = b.groupMembership(e.Endpoint)
 		e.homeGroup = b.groups[slices.Index(e.inGroup, true)]
 	}
 	b.regroup(now)
@@ -79,7 +79,7 @@
 			return maps.Equal(g.destination.Match, d.Match) && (g == b.fleet) == (i == last)
 		})
 		if at < 0 {
-			at, old = len(old), append(old, &group{nextTurn: b.rng.IntN(1 << 16), credit: b.rng.Float64()})
+			at, old = len(old), append(old, &group{nextIndex: b.rng.IntN(1 << 16), credit: b.rng.Float64()})
 		}
 		old[at].destination = d
 		b.groups, old = append(b.groups, old[at]), slices.Delete(old, at, at+1)
@@ -87,8 +87,8 @@
 	b.fleet = b.groups[last]
 }
 
-// matchGroups tells which groups' tags an endpoint carries.
-func (b *Balancer) matchGroups(e Endpoint) (joins []bool) {
+// groupMembership tells which groups' tags an endpoint carries.
+func (b *Balancer) groupMembership(e Endpoint) (joins []bool) {
 	tags := b.tagsOf(e)
 	for _, g := range b.groups {
 		ok, _ := g.destination.Match.Matches(tags)
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -20,7 +20,7 @@
 	rng := rand.New(rand.NewPCG(seed, 7))
 	flip := func(p float64) bool { return rng.Float64() < p }
 	set := settings()
-	set.Seed, set.Peers, set.Self = seed, 1+rng.IntN(5), 0
+	set.Seed, set.PeerCount, set.Index = seed, 1+rng.IntN(5), 0
 	set.MaxAttempts = 1 + rng.IntN(4)
 	set.CancelAllowed = flip(.5)
 	set.SubscribeToDiscovery, set.DiscoveryDeadline = flip(.7), 10*time.Second
@@ -57,7 +57,7 @@
 		}
 		b.Endpoints(c.now, kind, entries)
 	}
-	tell(ListRemembered, list)
+	tell(ListCached, list)
 	bad := map[string]Outcome{} // servers in trouble, and how they fail
 	type ending struct {
 		at  Time
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -34,7 +34,7 @@
 				e.eligible = excess <= 0 && e.owedSeconds(now) <= bar*float64(e.pendingAnswers())
 			}
 		}
-		if to = b.nextTurn(); to != nil {
+		if to = b.nextEndpoint(); to != nil {
 			return to, 0
 		}
 		// Danger: a class's bar while tight may lie under what an idle server takes; it must not prolong itself.
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -12,14 +12,14 @@
 
 // Settings are what a Balancer is told at its start.
 type Settings struct {
-	Seed    uint64
-	Self    int // the number of this sidecar among its peers, from 0
-	Peers   int // how many sidecars there are, this one included
-	Zone    string
-	Zones   []string
-	Kinds   []string
-	Classes []Class
-	Tenants []Tenant
+	Seed      uint64
+	Index     int // the number of this sidecar among its peers, from 0
+	PeerCount int // how many sidecars there are, this one included
+	Zone      string
+	Zones     []string
+	Kinds     []string
+	Classes   []Class
+	Tenants   []Tenant
 
 	Service string            // the service balanced
 	Tags    map[string]string // the client's own tags besides its region: service, version
@@ -69,13 +69,13 @@
 		return errors.New("no actions")
 	case len(set.Classes) == 0:
 		return errors.New("field Classes: no classes")
-	case set.Peers < 1:
-		return fmt.Errorf("field Peers: %d sidecars", set.Peers)
-	case set.Self < 0 || set.Self >= set.Peers:
-		return fmt.Errorf("field Self: sidecar %d of %d", set.Self, set.Peers)
+	case set.PeerCount < 1:
+		return fmt.Errorf("field Peers: %d sidecars", set.PeerCount)
+	case set.Index < 0 || set.Index >= set.PeerCount:
+		return fmt.Errorf("field Self: sidecar %d of %d", set.Index, set.PeerCount)
 	case set.MaxAttempts < 1:
 		return fmt.Errorf("field MaxAttempts: %d attempts", set.MaxAttempts)
-	case !within(set.StartCapacity, 0, 1):
+	case !isBetween(set.StartCapacity, 0, 1):
 		return fmt.Errorf("field StartCapacity: %v is no share from 0 to 1", set.StartCapacity)
 	}
 	for i, c := range set.Classes {
@@ -94,11 +94,11 @@
 		checkTime("FallTime", set.OverloadTime), checkRules(set.Rules))
 }
 
-// within tells whether x is a number from low to high.
-func within(x, low, high float64) bool { return x >= low && x <= high }
+// isBetween tells whether x is a number from low to high.
+func isBetween(x, low, high float64) bool { return x >= low && x <= high }
 
 func checkAmount(field string, x float64) error {
-	if !within(x, 0, math.MaxFloat64) {
+	if !isBetween(x, 0, math.MaxFloat64) {
 		return fmt.Errorf("field %s: %v is not a number from 0 up", field, x)
 	}
 	return nil
@@ -121,7 +121,7 @@
 		return fmt.Errorf("field Effect: %d is unknown", c.Effect)
 	case c.Scope < ScopeAll || c.Scope > ScopeCell:
 		return fmt.Errorf("field Scope: %d is unknown", c.Scope)
-	case !within(c.LateValue, 0, 1):
+	case !isBetween(c.LateValue, 0, 1):
 		return fmt.Errorf("field LateWorth: %v is no share from 0 to 1", c.LateValue)
 	}
 	return errors.Join(checkAmount("Worth", c.Value), checkTime("DedupeWindow", c.DedupeWindow))
--- a/balance/shares_test.go
+++ b/balance/shares_test.go
@@ -10,7 +10,7 @@
 func overShares(t *testing.T, rate, second float64) (over [2]float64) {
 	t.Helper()
 	set := settings()
-	set.Peers = 1000
+	set.PeerCount = 1000
 	set.Tenants = []Tenant{{"a", 500}, {"b", 500}}
 	b, h := start(t, set, pair())
 	rng := rand.New(rand.NewPCG(1, 1))
--- a/balance/shedding.go
+++ b/balance/shedding.go
@@ -23,7 +23,7 @@
 		return false
 	}
 	t, allowance := &b.tenants[i], b.settings.Tenants[i].Allowance
-	part := math.Max(1/float64(b.settings.Peers),
+	part := math.Max(1/float64(b.settings.PeerCount),
 		b.arrivals/memoryTTL.Seconds()/math.Max(b.totalAllowance, 1e-9))
 	t.tokens = math.Min(t.tokens+allowance*part*(now-t.refilledAt).Seconds(),
 		1+allowance*part*memoryTTL.Seconds())
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -23,7 +23,7 @@
 func sidecar(t *testing.T, self, peers int, list []Endpoint) (*Balancer, *host) {
 	t.Helper()
 	set := settings()
-	set.Self, set.Peers, set.Seed = self, peers, uint64(self)
+	set.Index, set.PeerCount, set.Seed = self, peers, uint64(self)
 	return start(t, set, list)
 }
 
@@ -200,15 +200,15 @@
 
 func TestFirstCallsAreSpread(t *testing.T) {
 	set := settings()
-	set.SubscribeToDiscovery, set.DiscoveryDeadline, set.Peers = true, 10*time.Second, 1000
+	set.SubscribeToDiscovery, set.DiscoveryDeadline, set.PeerCount = true, 10*time.Second, 1000
 	seconds := make([]int, set.DiscoveryDeadline/2/time.Second)
-	for set.Self = range set.Peers {
+	for set.Index = range set.PeerCount {
 		a := &asking{}
 		if _, err := New(set, a); err != nil {
 			t.Fatal(err)
 		}
 		if a.after < 0 || a.after >= set.DiscoveryDeadline/2 {
-			t.Fatalf("sidecar %d calls after %v, want half of MustAsk at most", set.Self, a.after)
+			t.Fatalf("sidecar %d calls after %v, want half of MustAsk at most", set.Index, a.after)
 		}
 		seconds[a.after/time.Second]++
 	}
--- a/balance/subsetting.go
+++ b/balance/subsetting.go
@@ -39,7 +39,7 @@
 // all who make up for them would turn to the next; sidecars that know each other go by an order of hashes.
 func (b *Balancer) selectSubset(g *group, share float64, now Time) {
 	n := len(g.ready)
-	first, want := subset.ForIndex(n, b.settings.Self, share)
+	first, want := subset.ForIndex(n, b.settings.Index, share)
 	if n > 0 && now >= b.levelCheckedAt+levelInterval {
 		known := share * min(b.levelCheckedAt.Seconds(), 1) // at the first list nothing
 		b.trafficLevel, b.levelCheckedAt = subset.Level(known, len(b.endpoints), b.trafficLevel), now
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -80,7 +80,7 @@
 	if c.Beliefs && c.Common != "" {
 		h.kept = newKept(c.Common, c.Name, log)
 	}
-	h.list(balance.ListRemembered, c.Known)
+	h.list(balance.ListCached, c.Known)
 	h.takeUp()
 	if c.Control != "" {
 		// Known before the first request, and before this process says that it is ready.
--- a/internal/sidecar/keepers.go
+++ b/internal/sidecar/keepers.go
@@ -25,7 +25,7 @@
 			kind := balance.ListChanges
 			switch {
 			case u.Remembered:
-				kind = balance.ListRemembered
+				kind = balance.ListCached
 			case u.All:
 				kind = balance.ListFull
 			}
--- a/internal/sidecar/kept.go
+++ b/internal/sidecar/kept.go
@@ -83,7 +83,7 @@
 func shifted(b balance.Snapshot, by int64) balance.Snapshot {
 	all := make([]balance.EndpointSnapshot, len(b.Endpoints))
 	for i, e := range b.Endpoints {
-		for _, t := range []*balance.Time{&e.Started, &e.Cold} {
+		for _, t := range []*balance.Time{&e.Started, &e.WarmUpStart} {
 			if *t != 0 {
 				*t = max(*t+balance.Time(by), 0)
 			}
--- a/internal/sidecar/kept_test.go
+++ b/internal/sidecar/kept_test.go
@@ -20,7 +20,7 @@
 	if _, _, ok := k.load(origin); ok || log.String() != "" {
 		t.Errorf("there is something in no file: %s", log)
 	}
-	b := balance.Snapshot{Near: 0.5, Endpoints: []balance.EndpointSnapshot{{ID: "s-0", Started: 500 * time.Second, LatencySum: balance.LatencySum{Took: 1, Held: 2}}, {ID: "s-1"}}}
+	b := balance.Snapshot{ZoneWeight: 0.5, Endpoints: []balance.EndpointSnapshot{{ID: "s-0", Started: 500 * time.Second, LatencySum: balance.LatencySum{Seconds: 1, Load: 2}}, {ID: "s-1"}}}
 	if err := k.save(b, origin, time.Unix(1600, 5)); err != nil {
 		t.Fatal(err)
 	}
@@ -65,11 +65,11 @@
 	}
 	near := func() float64 {
 		b, _, _ := newKept(dir, "n", log).load(origin)
-		return b.Near
+		return b.ZoneWeight
 	}
 	leave := func(k *kept, near float64) {
 		t.Helper()
-		if err := k.save(balance.Snapshot{Near: near}, origin, time.Now()); err != nil {
+		if err := k.save(balance.Snapshot{ZoneWeight: near}, origin, time.Now()); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -232,7 +232,7 @@
 
 // list hands a list to the connections and to the Balancer, in this order: what it sends next must find its address.
 func (h *host) list(kind balance.ListKind, l List) {
-	l.All = l.All || kind == balance.ListRemembered
+	l.All = l.All || kind == balance.ListCached
 	h.upstream.update(l)
 	entries := make([]balance.Endpoint, 0, len(l.Targets))
 	for _, t := range l.Targets {
@@ -240,12 +240,12 @@
 			Size: t.Size, Started: h.started(t)})
 	}
 	h.balancer.Endpoints(h.now, kind, entries)
-	if kind != balance.ListRemembered && !h.isTold {
+	if kind != balance.ListCached && !h.isTold {
 		h.isTold = true
 		h.takeUp() // again: more servers are known
 		close(h.told)
 	}
-	if !h.isReady && (kind != balance.ListRemembered || len(entries) > 0) {
+	if !h.isReady && (kind != balance.ListCached || len(entries) > 0) {
 		h.isReady = true
 		close(h.ready)
 	}
--- a/internal/sidecar/wire/settings.go
+++ b/internal/sidecar/wire/settings.go
@@ -178,7 +178,7 @@
 		c.need(key)
 	}
 	s := balance.Settings{
-		Seed: seed, Self: c.integer("ordinal"), Peers: c.integer("peers_total"), Zone: c.values["my_zone"],
+		Seed: seed, Index: c.integer("ordinal"), PeerCount: c.integer("peers_total"), Zone: c.values["my_zone"],
 		Zones: c.list("areas"), Kinds: c.list("models"),
 		MaxAttempts: c.integer("limits.try_limit"), CancelAllowed: c.boolean("limits.cancelling"),
 		SubscribeToDiscovery: choose(c, "discovery", map[string]bool{"pushed": false, "on_request": true}),
--- a/internal/sidecar/wire/wire.go
+++ b/internal/sidecar/wire/wire.go
@@ -309,7 +309,7 @@
 	case "changes":
 		e.List = balance.ListChanges
 	case "remembered":
-		e.List = balance.ListRemembered
+		e.List = balance.ListCached
 	case "refused":
 		e.List = balance.ListRefused
 		return
--- a/internal/sidecar/wire/wire_test.go
+++ b/internal/sidecar/wire/wire_test.go
@@ -54,7 +54,7 @@
 		t.Errorf("time %v, instance %d", events[0].Now, events[1].Instance)
 	}
 	s := events[2].Settings
-	if s.Seed != 7 || s.Self != 1 || s.Peers != 3 || !s.SubscribeToDiscovery ||
+	if s.Seed != 7 || s.Index != 1 || s.PeerCount != 3 || !s.SubscribeToDiscovery ||
 		s.WarmUpTime != 9500*time.Millisecond || len(s.Zones) != 2 || s.Service != "back" || s.Tenants[0].Allowance != 12 {
 		t.Errorf("settings %+v", s)
 	}
@@ -62,7 +62,7 @@
 		t.Errorf("class %+v", c)
 	}
 	list := events[3].Entries
-	if events[3].List != balance.ListRemembered || len(list) != 2 || list[0].Size != 1.5 || list[0].Cell != 4 ||
+	if events[3].List != balance.ListCached || len(list) != 2 || list[0].Size != 1.5 || list[0].Cell != 4 ||
 		list[0].Started != 6100*time.Millisecond || list[1].State != balance.Draining || list[1].Size != 1 {
 		t.Errorf("list %+v", list)
 	}
@@ -101,7 +101,7 @@
 
 func TestLongLine(t *testing.T) {
 	events, err := read("FRAME\t1\n" + open + "\tnew.list=" + strings.Repeat("a,b,", 50000) + "\nYOUR_TURN\n")
-	if err != nil || len(events) != 3 || events[1].Settings.Peers != 3 {
+	if err != nil || len(events) != 3 || events[1].Settings.PeerCount != 3 {
 		t.Fatalf("%d events, error %v", len(events), err)
 	}
 }
