--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -10,110 +10,113 @@
 	"gradeusher.example/gradeusher/balance/signals"
 )
 
+// tickInterval is how often estimates decay and endpoints are looked through.
+const tickInterval = 100 * time.Millisecond
+
+// regroupInterval is how often subsets are selected anew where nothing else changes them.
+const regroupInterval = time.Second
+
+// The tokens of timers.
+const (
+	tickToken uint64 = iota
+	discoveryToken
+)
+
 // Balancer makes the decisions of one sidecar.
 type Balancer struct {
-	settings     Settings
-	actions      Actions
-	rng          *rand.Rand
-	endpoints    []*endpoint          // listed, by id
-	byID         map[string]*endpoint // listed, or removed with attempts out
-	inUse        []*endpoint          // members of the subsets
-	groups       []*group             // of the best rule, and a last one of all endpoints
-	fleet        *group               // the last of them
-	warmingUp    group                // what cold endpoints' answers tell
-	destinations []Destination        // of the groups
-	pendingRules []Rule               // a route table that is not applied yet; nil: none is
-	pendingSince Time                 // since the first of those that waited one after the other
-	requests     map[RequestID]*request
-	tenants      []tenant
-	meanSeconds  []float64 // mean time of the answers in seconds, by class
-	// Of each class, its answers' seconds and number, fading with each answer of any.
-	classLatency         []group
-	shortestTarget       float64            // the shortest aim
-	zoneWeight           [2]float64         // weight of the own zone, which is 1, and of the others
-	idleSeconds          float64            // the usual time of the fleet when idle: the least of late
-	capacityInUse        float64            // registered size of the active endpoints for their warmth and zone
-	arrivals             float64            // fading count of requests
-	totalAllowance       float64            // sum of the tenants' allowances
-	regroupedAt          Time               // when the subsets were last taken
-	amongAll, amongAlike position           // among the members, and among those of its zone and level
-	trafficLevel         int                // of its traffic, see Level
-	levelCheckedAt       Time               // when that was last looked at
-	lastResultAt         Time               // when an attempt last ended
-	outOfService         map[string]Time    // ids that staff took out, and since when
-	reports              *signals.Aggregate // of what the members say
-	inPanic              bool               // so much is ejected that the fault is likely ours
-	subscribed           bool
-	sheddingUntil        Time              // until then lesser classes give way
-	discoveryFailures    int               // of discovery calls, in a row
-	hitters              *hitters.Detector // nil: off
-}
+	settings Settings
+	actions  Actions
+	rng      *rand.Rand
 
-const tickToken, discoveryToken uint64 = 0, 1
+	endpoints []*endpoint          // listed, by id
+	byID      map[string]*endpoint // listed, or removed with attempts in flight
+	inUse     []*endpoint          // members of the subsets
+	// capacityInUse is the size of the endpoints in use, for their warmth and the weight of their zone.
+	capacityInUse float64
 
-// New returns a Balancer, or an error that says what is wrong with the settings.
-func New(set Settings, act Actions) (*Balancer, error) {
-	b, err := newBalancer(set, act)
+	groups       []*group      // of the best rule, and a last one of all endpoints
+	fleet        *group        // the last group
+	destinations []Destination // of the groups
+	pendingRules []Rule        // a route table that is not applied yet; nil: none is
+	pendingSince Time          // when the first of the tables came that have been pending without a break
+	regroupedAt  Time          // when the subsets were last selected
+	zoneWeight   [2]float64    // weight of the own zone, which is 1, and of the others, by zoneIndex
+
+	requests map[RequestID]*request
+	arrivals float64 // decaying count of requests
+
+	latencyEstimates
+	shedding
+	inPanic bool // so much is ejected that the fault is likely this sidecar's own
+
+	membership
+	reports      *signals.Aggregate // of the other sidecars
+	outOfService map[string]Time    // ids that operators took out, and since when
+
+	subscribed        bool
+	discoveryFailures int // in a row
+}
+
+// New returns a Balancer, or an error that says what is wrong with the settings: a SettingsError that is
+// wrapped by the class, tenant or rule concerned.
+func New(set Settings, actions Actions) (*Balancer, error) {
+	b, err := newBalancer(set, actions)
 	if err != nil {
 		return nil, fmt.Errorf("balance: %w", err)
 	}
 	b.setDestinations(b.destinationsOf(b.settings.Rules))
-	act.Timer(time.Duration(b.rng.Float64()*float64(tickInterval)), tickToken)
+	actions.Timer(time.Duration(b.rng.Float64()*float64(tickInterval)), tickToken)
 	if set.SubscribeToDiscovery {
-		// Danger: all sidecars start at once, and the list service serves few calls at a time.
-		turn := (float64(set.Index) + b.rng.Float64()) / float64(set.PeerCount)
-		act.Timer(time.Duration(turn*float64(max(set.DiscoveryDeadline/2, time.Second))), discoveryToken)
+		actions.Timer(b.firstDiscoveryDelay(), discoveryToken)
 	}
 	return b, nil
 }
 
-// newBalancer returns a Balancer that has met nobody yet.
-func newBalancer(set Settings, act Actions) (*Balancer, error) {
+// newBalancer returns a Balancer without groups and endpoints.
+func newBalancer(set Settings, actions Actions) (*Balancer, error) {
 	if set.Rules == nil {
 		set.Rules = DefaultRules(set.Service, set.Zones, set.Kinds)
 	}
-	if err := checkSettings(set, act); err != nil {
+	if err := checkSettings(set, actions); err != nil {
 		return nil, err
 	}
-	b := &Balancer{settings: set, actions: act, byID: map[string]*endpoint{}, requests: map[RequestID]*request{},
-		rng: rand.New(rand.NewPCG(set.Seed, uint64(set.Index))), tenants: make([]tenant, len(set.Tenants)),
-		zoneWeight: [2]float64{1, minZoneWeight}, reports: newReports(set)}
-	var err error
-	if b.hitters, err = hitters.New(set.Hitters); err != nil {
+	detector, err := hitters.New(set.Hitters)
+	if err != nil {
 		return nil, err
 	}
-	for _, c := range set.Classes {
-		b.shortestTarget = min(cmp.Or(b.shortestTarget, c.LatencyTarget.Seconds()), c.LatencyTarget.Seconds())
-		b.meanSeconds = append(b.meanSeconds, c.LatencyTarget.Seconds()) // until answers tell
-		b.classLatency = append(b.classLatency, group{
-			latencySum: c.LatencyTarget.Seconds() / classLatencyStep, loadSum: 1 / classLatencyStep})
-	}
-	for _, t := range set.Tenants {
-		b.totalAllowance += t.Allowance
-	}
-	return b, nil
+	return &Balancer{
+		settings:         set,
+		actions:          actions,
+		rng:              rand.New(rand.NewPCG(set.Seed, uint64(set.Index))),
+		byID:             map[string]*endpoint{},
+		requests:         map[RequestID]*request{},
+		zoneWeight:       [2]float64{ownZone: 1, otherZones: minZoneWeight},
+		reports:          signals.NewAggregate(set.Zone, cmp.Or(set.ReportTTL, defaultReportTTL)),
+		latencyEstimates: newLatencyEstimates(set.Classes),
+		shedding:         newShedding(set.Tenants, detector),
+	}, nil
 }
 
-// Timer takes in that a timer is due.
+// Timer handles a timer that expired. Unknown tokens are ignored.
 func (b *Balancer) Timer(now Time, token uint64) {
 	switch token {
 	case discoveryToken:
-		if !b.subscribed {
-			b.subscribed = true
-			b.actions.Subscribe()
-		}
+		b.subscribe()
 	case tickToken:
 		b.actions.Timer(tickInterval, tickToken)
-		b.applyVerdicts(now)
-		b.decay(now, tickInterval)
-		b.adjustZoneWeight(now)
-		if now >= b.regroupedAt+time.Second {
-			b.regroup(now)
-		}
-		if b.RulesPending() {
-			if applied, _ := b.applyPendingRules(now); applied {
-				b.actions.Log("the route table that waited is applied")
-			}
-		}
+		b.tick(now)
+	}
+}
+
+// tick is the housekeeping of each tickInterval.
+func (b *Balancer) tick(now Time) {
+	b.applyVerdicts(now)
+	b.decay(now, tickInterval)
+	b.adjustZoneWeight(now)
+	if now >= b.regroupedAt+regroupInterval {
+		b.regroup(now)
+	}
+	if b.RulesPending() && b.applyPendingRules(now) == nil {
+		b.actions.Log("the route table that waited is applied")
 	}
 }
--- a/balance/body.go
+++ b/balance/body.go
@@ -2,41 +2,34 @@
 
 import "time"
 
-// Here is what is told of bodies and answers that take their time, and of clients. It is taken in, and decides nothing.
-
-// BodyConsumed takes in that part of a body that was still coming has been sent on, and cannot be sent again.
+// BodyConsumed notes that part of a body that is still arriving has been forwarded and not kept: the request cannot be sent
+// again.
 func (b *Balancer) BodyConsumed(id RequestID) {
 	if q := b.requests[id]; q != nil {
 		q.bodyConsumed = true
 	}
 }
 
-// BodyComplete takes in that all of a body has come: now the time left begins, and an answer is owed.
-func (b *Balancer) BodyComplete(now Time, id RequestID, within time.Duration) {
+// BodyComplete handles that all of a body has arrived: from now on the client's time runs, and an answer is due.
+func (b *Balancer) BodyComplete(now Time, id RequestID, timeLeft time.Duration) {
 	q := b.requests[id]
 	if q == nil || !q.BodyIncomplete {
 		return
 	}
-	q.BodyIncomplete, q.deadline = false, now+within
+	q.BodyIncomplete = false
+	q.deadline = now + timeLeft
 	for i := range q.attempts {
 		if a := &q.attempts[i]; !a.done {
 			a.sentAt = now
-			a.flight.noAnswerDue, a.flight.sentAt, a.flight.overtaken = false, now, 0
+			a.flight.restart(now)
 		}
 	}
 }
 
-// AnswerStarted takes in that a streamed answer has begun.
-func (b *Balancer) AnswerStarted(now Time, id RequestID, attempt int) {
-	if q := b.requests[id]; q != nil && attempt >= 0 && attempt < len(q.attempts) && !q.attempts[attempt].done {
-		a := &q.attempts[attempt]
-		a.sentAt, a.flight.noAnswerDue = now, true // no answer is owed for the time it streams
-	}
-}
-
-// ClientDisconnected takes in that the client has left: nothing more is owed or sent.
-func (b *Balancer) ClientDisconnected(now Time, id RequestID) {
-	if q := b.requests[id]; q != nil && !q.finished {
-		b.finish(q)
+// AnswerStarted handles that a streamed answer has begun: no other answer is due while it streams.
+func (b *Balancer) AnswerStarted(now Time, id RequestID, attemptIndex int) {
+	if _, a := b.pendingAttempt(id, attemptIndex); a != nil {
+		a.sentAt = now
+		a.flight.noAnswerDue = true
 	}
 }
--- a/balance/discovery.go
+++ b/balance/discovery.go
@@ -7,58 +7,107 @@
 	"time"
 )
 
-// Endpoints takes in discovery's news. Entries that discovery refused leave the list in hand as it is.
+const (
+	// minDiscoverySpread is the least time over which first calls to discovery are spread, and the longest
+	// backoff.
+	minDiscoverySpread = time.Second
+	// minDiscoveryBackoff is the first backoff after a failure; it doubles maxDiscoveryDoublings times.
+	minDiscoveryBackoff   = time.Second
+	maxDiscoveryDoublings = 3
+	// defaultSize is the size of an endpoint that registered none.
+	defaultSize = 1
+)
+
+// discoverySpread is the time within which all sidecars call discovery once.
+func (b *Balancer) discoverySpread() time.Duration {
+	return max(b.settings.DiscoveryDeadline/2, minDiscoverySpread)
+}
+
+// firstDiscoveryDelay spreads the first calls by the sidecars' index: all start at once, and discovery serves
+// few calls at a time.
+func (b *Balancer) firstDiscoveryDelay() time.Duration {
+	turn := (float64(b.settings.Index) + b.rng.Float64()) / float64(b.settings.PeerCount)
+	return time.Duration(turn * float64(b.discoverySpread()))
+}
+
+// discoveryBackoff is drawn from the half of a time that doubles with each failure: sidecars that call again
+// all together would keep a weak discovery service from ever answering.
+func (b *Balancer) discoveryBackoff() time.Duration {
+	limit := min(minDiscoveryBackoff<<min(b.discoveryFailures, maxDiscoveryDoublings), b.discoverySpread())
+	return time.Duration((1 + b.rng.Float64()) * float64(limit) / 2)
+}
+
+// subscribe asks discovery for changes, unless that was done.
+func (b *Balancer) subscribe() {
+	if !b.subscribed {
+		b.subscribed = true
+		b.actions.Subscribe()
+	}
+}
+
+// Endpoints handles a list of discovery. ListRefused leaves the present list as it is.
 func (b *Balancer) Endpoints(now Time, kind ListKind, list []Endpoint) {
-	switch kind {
-	case ListRefused:
-		// Danger: sidecars that call again at once, all together, keep a weak list service from ever answering.
+	if kind == ListRefused {
 		b.subscribed = false
-		wait := min(time.Second<<min(b.discoveryFailures, 3), max(b.settings.DiscoveryDeadline/2, time.Second))
+		b.actions.Timer(b.discoveryBackoff(), discoveryToken)
 		b.discoveryFailures++
-		b.actions.Timer(time.Duration((1+b.rng.Float64())*float64(wait)/2), discoveryToken)
 		return
-	case ListFull, ListCached:
+	}
+	if kind == ListFull || kind == ListCached {
 		for _, e := range b.endpoints {
 			e.State = Removed
 		}
 	}
 	for _, entry := range list {
-		e := b.byID[entry.ID]
-		if e == nil && entry.State == Removed {
-			continue
-		}
-		if e == nil {
-			e = &endpoint{}
-			b.byID[entry.ID] = e
-		}
-		if e.inGroup == nil || e.Zone != entry.Zone || e.Kind != entry.Kind {
-			e.inGroup = b.groupMembership(entry)
-			e.homeGroup = b.groups[slices.Index(e.inGroup, true)]
-		}
-		if e.zoneIndex = 0; entry.Zone != b.settings.Zone {
-			e.zoneIndex = 1
-		}
-		if entry.Started != e.Started {
-			// A new process, though under the same id. Danger: one whose machine's clock is ahead has started
-			// by now all the same, and would count as cold until this clock has caught up.
-			b.resetEndpoint(e, min(entry.Started, now))
+		b.updateEndpoint(entry, now)
+	}
+	b.relistEndpoints()
+	b.regroup(now)
+	b.decay(now, 0)
+	b.adjustZoneWeight(now)
+	if kind != ListCached {
+		b.discoveryFailures = 0
+	}
+}
+
+// updateEndpoint takes over an entry of the list.
+func (b *Balancer) updateEndpoint(entry Endpoint, now Time) {
+	e := b.byID[entry.ID]
+	if e == nil {
+		if entry.State == Removed {
+			return
 		}
-		e.outOfService = contains(b.outOfService, entry.ID)
-		e.Endpoint, e.Size = entry, cmp.Or(max(entry.Size, 0), 1)
+		e = &endpoint{}
+		b.byID[entry.ID] = e
+	}
+	if e.inGroup == nil || e.Zone != entry.Zone || e.Kind != entry.Kind {
+		b.joinGroups(e, entry)
+	}
+	e.zoneIndex = ownZone
+	if entry.Zone != b.settings.Zone {
+		e.zoneIndex = otherZones
 	}
+	if entry.Started != e.Started {
+		// A new process, though under the same id. One whose machine's clock is ahead has started by now all the
+		// same; it would count as warming up until this clock has caught up.
+		b.resetEndpoint(e, min(entry.Started, now))
+	}
+	_, e.outOfService = b.outOfService[entry.ID]
+	e.Endpoint = entry
+	e.Size = cmp.Or(max(entry.Size, 0), defaultSize)
+}
+
+// relistEndpoints lists the endpoints that are not removed, by id, and forgets removed ones without attempts
+// in flight.
+func (b *Balancer) relistEndpoints() {
 	b.endpoints = b.endpoints[:0]
 	for id, e := range b.byID {
-		if e.State != Removed {
+		switch {
+		case e.State != Removed:
 			b.endpoints = append(b.endpoints, e)
-		} else if e.inFlight == 0 {
+		case e.inFlight == 0:
 			delete(b.byID, id)
 		}
 	}
 	slices.SortFunc(b.endpoints, func(x, y *endpoint) int { return strings.Compare(x.ID, y.ID) })
-	b.regroup(now)
-	b.decay(now, 0)
-	b.adjustZoneWeight(now)
-	if kind != ListCached {
-		b.discoveryFailures = 0
-	}
 }
--- a/balance/golden_trace_test.go
+++ b/balance/golden_trace_test.go
@@ -317,7 +317,7 @@
 			continue
 		}
 		for _, alias := range []string{"", "-twin", "-third"} { // a witness counts once: as many as make a verdict
-			b.ReceiveReport(d.now, fmt.Sprint("p", self, alias), 1, d.seq-uint64(d.rng.IntN(2)), time.Duration(d.rng.IntN(300))*time.Millisecond, r)
+			b.ReceiveReport(d.now, signals.Statement{Origin: fmt.Sprint("p", self, alias), Start: 1, Seq: d.seq - uint64(d.rng.IntN(2)), Age: time.Duration(d.rng.IntN(300)) * time.Millisecond, Report: r})
 		}
 		if d.rng.IntN(50) == 0 {
 			b.RemoveMember(fmt.Sprint("p", self))
@@ -456,9 +456,13 @@
 	d.tr.text(string(steps))
 	d.tr.text(table.Hash())
 	d.rules = table
-	applied, why := d.sidecars[d.self].SetRules(d.now, table)
-	d.tr.flag(applied)
-	d.tr.text(why)
+	err = d.sidecars[d.self].SetRules(d.now, table)
+	d.tr.flag(err == nil)
+	if err == nil {
+		d.tr.text("")
+	} else {
+		d.tr.text(err.Error())
+	}
 }
 
 // meet tells the sidecars of each other, and sometimes of others that are unlike.
--- a/balance/operator.go
+++ b/balance/operator.go
@@ -5,10 +5,8 @@
 	"slices"
 )
 
-// Here is what staff take out of service by hand.
-
-// SetOutOfService takes in the ids of all servers that staff have taken out. They get nothing new, whatever
-// the list says, until another call leaves them out. An id need not be listed.
+// SetOutOfService takes over the ids of all servers that operators have taken out of service. They get
+// nothing new, whatever the list says, until another call leaves them out. An id need not be listed.
 func (b *Balancer) SetOutOfService(now Time, ids []string) {
 	out := make(map[string]Time, len(ids))
 	for _, id := range ids {
@@ -17,19 +15,15 @@
 			out[id] = since
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(b.byID)) { // in one order: turns are drawn
+	for _, id := range slices.Sorted(maps.Keys(b.byID)) { // in one order, as resetEndpoint draws random numbers
 		e := b.byID[id]
-		if since, was := b.outOfService[id]; was && !contains(out, id) && since > e.warmUpStart {
+		_, isOut := out[id]
+		if since, was := b.outOfService[id]; was && !isOut && since > e.warmUpStart {
 			b.resetEndpoint(e, now)
 		}
-		e.outOfService = contains(out, id)
+		e.outOfService = isOut
 	}
 	b.outOfService = out
 	b.regroup(now)
 	b.decay(now, 0)
 }
-
-func contains(ids map[string]Time, id string) bool {
-	_, ok := ids[id]
-	return ok
-}
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -1,42 +1,92 @@
 package balance
 
-import "math"
+import (
+	"math"
+	"time"
+
+	"gradeusher.example/gradeusher/balance/signals"
+)
+
+const (
+	// ejectionThreshold is the count of failures that ejects: two without some successes between them.
+	ejectionThreshold = 1.6
+	// failureDecay is what a success leaves of the count of failures.
+	failureDecay = 0.85
+	// failuresAfterEjection has the next failure after an endpoint's return eject it again.
+	failuresAfterEjection = 1
+	// ejectionTime is how long an ejection lasts.
+	ejectionTime = 5 * time.Second
+	// panicThreshold is the share of the size in use above which ejections are suspended.
+	panicThreshold = 0.5
+)
+
+// failureKinds is what an outcome that may eject an endpoint says of how it fails.
+var failureKinds = map[Outcome]signals.Kind{
+	TimedOut:      signals.Unresponsive,
+	Errored:       signals.Failing,
+	ConnectFailed: signals.Failing,
+	Reset:         signals.Failing,
+}
+
+// outlierState is what an endpoint's results say of whether it works.
+type outlierState struct {
+	failures     float64      // count, decaying with successes
+	ejectedUntil Time         // by this sidecar's results or the verdicts of others
+	lastServed   Time         // when it last answered a request of this sidecar; 0: never
+	failureKind  signals.Kind // how it failed when this sidecar last ejected it, until it serves again
+	failedAt     Time         // when it last failed so or rejected a request
+	rejections   int          // requests that it rejected since it last served this sidecar
+}
 
 // observeResult takes in how an attempt ended.
 func (b *Balancer) observeResult(a *attempt, r Result, now Time) {
-	e := a.endpoint
 	b.lastResultAt = now
-	if r.Outcome == Served || r.Outcome == TimedOut && !a.flight.isLost() {
-		e.latencySum += r.Latency.Seconds()
-		e.loadSum += a.load
-		e.freshness = 1
-	}
-	if r.Outcome == Served { // Danger: what a silent endpoint never answers would make its sound peers seem slow
-		peers := []*group{e.homeGroup, b.fleet}
-		if e.warmth < 1 {
-			peers = []*group{&b.warmingUp}
-		}
-		for _, g := range peers {
-			g.latencySum += r.Latency.Seconds()
-			g.loadSum += a.load / e.capacity()
-		}
-	}
+	b.observeLatency(a, r)
+	e := a.endpoint
 	switch r.Outcome {
-	case Saturated: // its queue is full: as bad as an answer at the aim
-		e.latencySum, e.freshness, e.rejections, e.failedAt = e.latencySum+b.shortestTarget, 1, e.rejections+1, now
+	case Saturated: // its queue is full: as bad as an answer at the latency target
+		e.latencySum += b.shortestTarget
+		e.freshness = 1
+		e.rejections++
+		e.failedAt = now
 	case Served:
-		e.failures, e.lastServed, e.failureKind, e.rejections = e.failures*failureDecay, now, 0, 0
+		e.failures *= failureDecay
+		e.lastServed = now
+		e.failureKind = signals.None
+		e.rejections = 0
 	case Errored, TimedOut, ConnectFailed, Reset:
-		if r.Outcome == TimedOut && a.sentAt > e.lastServed {
-			e.failureKind, e.failedAt = failureKinds[r.Outcome], now
-		}
-		// Danger: an endpoint that fails fast looks idle and draws all requests.
-		if e.failures += math.Pow(failureDecay, float64(a.flight.overtaken)); e.failures >= ejectionThreshold {
-			e.ejectedUntil = now + ejectionTime
-			e.failures = 1 // the next fault after its return ejects it again
-			e.failureKind, e.failedAt = failureKinds[r.Outcome], now
-			b.actions.Log("ejected " + e.ID)
-			b.regroup(now)
+		b.observeFailure(a, r.Outcome, now)
+	}
+}
+
+// observeFailure counts a failure, and ejects the endpoint after too many: one that fails fast looks idle and
+// would draw all requests. A failure counts less the more answers have overtaken it.
+func (b *Balancer) observeFailure(a *attempt, outcome Outcome, now Time) {
+	e := a.endpoint
+	if outcome == TimedOut && a.sentAt > e.lastServed {
+		e.failureKind = failureKinds[outcome]
+		e.failedAt = now
+	}
+	e.failures += math.Pow(failureDecay, float64(a.flight.overtaken))
+	if e.failures < ejectionThreshold {
+		return
+	}
+	e.ejectedUntil = now + ejectionTime
+	e.failures = failuresAfterEjection
+	e.failureKind = failureKinds[outcome]
+	e.failedAt = now
+	b.actions.Log("ejected " + e.ID)
+	b.regroup(now)
+}
+
+// updatePanic suspends ejections where most endpoints seem bad: then the fault is likely this sidecar's own.
+func (b *Balancer) updatePanic(now Time) {
+	var ejected, all float64
+	for _, e := range b.inUse {
+		all += e.Size
+		if e.isEjected(now) {
+			ejected += e.Size
 		}
 	}
+	b.inPanic = ejected > panicThreshold*all
 }
--- a/balance/request.go
+++ b/balance/request.go
@@ -5,15 +5,25 @@
 	"time"
 )
 
-// request is a request that is not over, or has attempts out.
+const (
+	// likelyShare is the share of the time left within which an expected latency mostly comes in time.
+	likelyShare = 0.5
+	// dedupeMargin is how long before the end of a class's window its duplicates are no longer sent: they have
+	// to arrive.
+	dedupeMargin = time.Second / 2
+	// minLatencySeconds is the least that an answer counts for in the mean time of its class.
+	minLatencySeconds = 1e-6
+)
+
+// request is a client's request that is not finished, or has attempts in flight.
 type request struct {
 	Request
 	class           *Class
-	deadline        Time
-	overAllowance   bool          // beyond its tenant's allowance
-	finished        bool          // has its final answer
-	bodyConsumed    bool          // part of its body is gone: it cannot be sent again
-	latency         time.Duration // its answer; 0: it has none
+	deadline        Time          // when the client gives up; see clientDeadline
+	overAllowance   bool          // it exceeds its tenant's allowance
+	finished        bool          // it has its final answer
+	bodyConsumed    bool          // part of its body has been forwarded and not kept: it cannot be sent again
+	latency         time.Duration // of its answer; 0: it has none
 	pendingAttempts int           // attempts without a result
 	attempts        []attempt
 }
@@ -22,101 +32,130 @@
 type attempt struct {
 	endpoint        *endpoint
 	sentAt          Time
-	load            float64 // what the endpoint held, this attempt included
+	load            float64 // of the endpoint when it was sent, this attempt included
 	flight          *flight
 	done            bool
 	mayHaveExecuted bool // done, and may have run
 }
 
-// Request takes in a client's request. One whose class or id cannot be is passed over.
+// clientDeadline is when the client gives up, as far as that is known: the time of a request whose body is
+// still arriving has not begun to run.
+func (q *request) clientDeadline(now Time) Time {
+	if q.BodyIncomplete {
+		return now + q.TimeLeft
+	}
+	return q.deadline
+}
+
+// Request handles a client's request. One with an id that is in use, or an unknown class, is ignored.
 func (b *Balancer) Request(now Time, r Request) {
-	if _, twice := b.requests[r.ID]; twice || r.Class < 0 || r.Class >= len(b.settings.Classes) {
+	_, inUse := b.requests[r.ID]
+	if inUse || r.Class < 0 || r.Class >= len(b.settings.Classes) {
 		return
 	}
-	q := &request{Request: r, class: &b.settings.Classes[r.Class], deadline: now + r.TimeLeft,
-		overAllowance: b.exceedsAllowance(r.Tenant, now)}
+	q := &request{
+		Request:       r,
+		class:         &b.settings.Classes[r.Class],
+		deadline:      now + r.TimeLeft,
+		overAllowance: b.exceedsAllowance(r.Tenant, now),
+	}
 	b.requests[r.ID] = q
 	if !b.shedHeavyClient(q, now) {
 		b.sendOrFinish(q, now)
 	}
 }
 
-// sendOrFinish sends the request's next attempt, or ends the request if none may or should be sent.
+// sendOrFinish sends the request's next attempt, or gives its final answer if none may or should be sent.
 func (b *Balancer) sendOrFinish(q *request, now Time) {
-	var late float64
-	if len(q.attempts) < b.settings.MaxAttempts && !q.bodyConsumed && now < q.clientDeadline(now) {
-		var to *endpoint
-		if to, late = b.pickEndpoint(q, now); to != nil {
-			b.sendAttempt(q, to, now)
+	var excessSeconds float64
+	if b.mayRetry(q, now) {
+		var chosen *endpoint
+		chosen, excessSeconds = b.pickEndpoint(q, now)
+		if chosen != nil {
+			b.sendAttempt(q, chosen, now)
 			return
 		}
 		b.creditWarmingUp()
 	}
 	if b.mayRefuse(q) {
-		b.actions.Refuse(q.ID, time.Duration(min(max(late, 0), b.shortestTarget)*float64(time.Second)))
+		wait := min(max(excessSeconds, 0), b.shortestTarget)
+		b.actions.Refuse(q.ID, time.Duration(wait*float64(time.Second)))
 	} else {
 		b.actions.Fail(q.ID)
 	}
 	b.finish(q)
 }
 
+// mayRetry tells whether the request has an attempt, its body and time left.
+func (b *Balancer) mayRetry(q *request, now Time) bool {
+	return len(q.attempts) < b.settings.MaxAttempts && !q.bodyConsumed && now < q.clientDeadline(now)
+}
+
+// sendAttempt sends the request to an endpoint, and credits those that warm up with their part of a turn.
 func (b *Balancer) sendAttempt(q *request, to *endpoint, now Time) {
-	held := float64(to.pendingAnswers()+1) + unseenLoad
+	load := float64(to.pendingAnswers()+1) + unseenLoad
 	q.pendingAttempts++
-	q.attempts = append(q.attempts, attempt{endpoint: to, sentAt: now, load: held, flight: to.addFlight(q, now)})
-	// The share is of the least that a cold endpoint can do. Most can do more, and get warm by what they are
-	// given, so it is half of what one at the least would fall over at.
-	share := max(b.settings.OverloadMultiple/2, 1) / b.capacityInUse
-	for _, e := range b.inUse {
-		e.turnCredit += share * e.Size * e.warmth * b.zoneWeight[e.zoneIndex]
-	}
-	to.turnCredit = 0
-	var within time.Duration
-	if to.condemnedSince > 0 { // a try: if it fails, time is left for another attempt
-		within = time.Duration(likelyShare * float64(q.clientDeadline(now)-now))
-	}
-	b.actions.Send(q.ID, to.ID, within)
+	q.attempts = append(q.attempts, attempt{endpoint: to, sentAt: now, load: load, flight: to.addFlight(q, now)})
+	b.creditBySend(to)
+	var timeout time.Duration
+	if to.condemnedSince > 0 { // a probe: if it fails, time is left for another attempt
+		timeout = time.Duration(likelyShare * float64(q.clientDeadline(now)-now))
+	}
+	b.actions.Send(q.ID, to.ID, timeout)
 }
 
-// maySendTo tells whether the request may be sent to e. Danger: an effect that happens twice. What may have
-// run is repeated only as its class allows: never, anywhere, or where repeats are dropped, and in good time.
+// maySendTo tells whether the request may be sent to e: to no endpoint twice, and only as its class allows
+// after attempts that may have run.
 func (b *Balancer) maySendTo(q *request, e *endpoint, now Time) bool {
-	c := q.class
 	for i := range q.attempts {
-		switch a := &q.attempts[i]; {
-		case a.endpoint == e:
+		a := &q.attempts[i]
+		if a.endpoint == e {
 			return false
-		case a.done && !a.mayHaveExecuted || c.Effect == Idempotent:
-		case c.Effect == AtMostOnce || now-a.sentAt >= c.DedupeWindow-time.Second/2,
-			c.Scope == ScopeZone && a.endpoint.Zone != e.Zone, c.Scope == ScopeCell && a.endpoint.Cell != e.Cell:
+		}
+		harmless := a.done && !a.mayHaveExecuted || q.class.Effect == Idempotent
+		if !harmless && !q.class.dropsDuplicate(a, e, now) {
 			return false
 		}
 	}
 	return true
 }
 
-// mayRefuse tells whether a refusal, which invites a retry anywhere, is safe.
+// dropsDuplicate tells whether e drops the request as a duplicate of an earlier attempt.
+func (c *Class) dropsDuplicate(earlier *attempt, e *endpoint, now Time) bool {
+	switch {
+	case c.Effect == AtMostOnce:
+		return false
+	case now-earlier.sentAt >= c.DedupeWindow-dedupeMargin:
+		return false
+	case c.Scope == ScopeZone:
+		return earlier.endpoint.Zone == e.Zone
+	case c.Scope == ScopeCell:
+		return earlier.endpoint.Cell == e.Cell
+	}
+	return true
+}
+
+// mayRefuse tells whether a refusal is safe, which invites a retry by any sidecar.
 func (b *Balancer) mayRefuse(q *request) bool {
-	repeats := q.class.Effect == Idempotent || q.class.Effect == Deduplicated && q.class.Scope == ScopeAll
-	return repeats || !slices.ContainsFunc(q.attempts, func(a attempt) bool {
-		return !a.done || a.mayHaveExecuted
-	})
+	if q.class.Effect == Idempotent || q.class.Effect == Deduplicated && q.class.Scope == ScopeAll {
+		return true
+	}
+	return !slices.ContainsFunc(q.attempts, func(a attempt) bool { return !a.done || a.mayHaveExecuted })
 }
 
-// Result takes in how an attempt ended.
+// Result handles the end of an attempt. One that is unknown, or has ended before, is ignored.
 func (b *Balancer) Result(now Time, r Result) {
-	q := b.requests[r.ID]
-	if q == nil || r.Attempt < 0 || r.Attempt >= len(q.attempts) || q.attempts[r.Attempt].done {
+	q, a := b.pendingAttempt(r.ID, r.Attempt)
+	if a == nil {
 		return
 	}
-	a := &q.attempts[r.Attempt]
 	a.done = true
-	a.mayHaveExecuted = r.Outcome != Saturated && r.Outcome != ConnectFailed && r.Outcome != NotSent
+	a.mayHaveExecuted = r.Outcome.mayHaveExecuted()
 	a.endpoint.removeFlight(a.flight, r.Outcome == Served)
 	q.pendingAttempts--
 	if r.Outcome == Served {
 		q.latency = r.Latency
-		b.observeClassLatency(q.Class, max(r.Latency.Seconds(), 1e-6))
+		b.observeClassLatency(q.Class, max(r.Latency.Seconds(), minLatencySeconds))
 	}
 	b.observeResult(a, r, now)
 	b.cancelLost(a.endpoint, now)
@@ -128,26 +167,43 @@
 	}
 }
 
-// clientDeadline is when the client gives up, as far as that is known: while the body is coming its time has
-// not begun.
-func (q *request) clientDeadline(now Time) Time {
-	if q.BodyIncomplete {
-		return now + q.TimeLeft
+// pendingAttempt returns an attempt that has no result yet with its request, or nil.
+func (b *Balancer) pendingAttempt(id RequestID, index int) (*request, *attempt) {
+	q := b.requests[id]
+	if q == nil || index < 0 || index >= len(q.attempts) || q.attempts[index].done {
+		return nil, nil
 	}
-	return q.deadline
+	return q, &q.attempts[index]
 }
 
-// finish marks a request as over, calls off what is still out for it, and forgets it once nothing is.
+// finish marks a request as finished, cancels its attempts in flight, and forgets it once it has none.
 func (b *Balancer) finish(q *request) {
+	if !q.finished {
+		b.cancelAttempts(q)
+		if b.hitters != nil {
+			b.observeClientWork(q)
+		}
+	}
+	q.finished = true
+	if q.pendingAttempts == 0 {
+		delete(b.requests, q.ID)
+	}
+}
+
+func (b *Balancer) cancelAttempts(q *request) {
+	if !b.settings.CancelAllowed {
+		return
+	}
 	for i := range q.attempts {
-		if !q.attempts[i].done && !q.finished && b.settings.CancelAllowed {
+		if !q.attempts[i].done {
 			b.actions.Cancel(q.ID, i)
 		}
 	}
-	if !q.finished && b.hitters != nil {
-		b.observeClientWork(q)
-	}
-	if q.finished = true; q.pendingAttempts == 0 {
-		delete(b.requests, q.ID)
+}
+
+// ClientDisconnected handles that the client has gone: it is owed no answer any more.
+func (b *Balancer) ClientDisconnected(_ Time, id RequestID) {
+	if q := b.requests[id]; q != nil && !q.finished {
+		b.finish(q)
 	}
 }
--- a/balance/reroute_test.go
+++ b/balance/reroute_test.go
@@ -1,6 +1,7 @@
 package balance
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"strings"
@@ -43,23 +44,23 @@
 		return k
 	}
 	before := of(b.groups[0])
-	if ok, why := b.SetRules(h.now, canary(80, 20)); !ok || of(b.groups[0]) != before {
-		t.Errorf("the same table changes something: %v %s, %v after %v", ok, why, of(b.groups[0]), before)
+	if err := b.SetRules(h.now, canary(80, 20)); err != nil || of(b.groups[0]) != before {
+		t.Errorf("the same table changes something: %v, %v after %v", err, of(b.groups[0]), before)
 	}
 	other := canary(80, 20)
 	other[0].Destinations[1].Match = Match{"version": "huge"}
-	if ok, why := b.SetRules(h.now, other); !ok || of(b.groups[0]) != before || len(b.groups) != 3 {
-		t.Errorf("what another group is changes the first: %v %s, %v after %v", ok, why, of(b.groups[0]), before)
+	if err := b.SetRules(h.now, other); err != nil || of(b.groups[0]) != before || len(b.groups) != 3 {
+		t.Errorf("what another group is changes the first: %v, %v after %v", err, of(b.groups[0]), before)
 	}
 	if got := count(h.played(b, 100)); got["c"] != 20 || got["b"] != 0 {
 		t.Errorf("shares %v", got)
 	}
 	// 8000 and 2000 leave credit of thousands, which must not stand against 1 and 1.
-	if ok, _ := b.SetRules(h.now, canary(8000, 2000)); !ok {
+	if err := b.SetRules(h.now, canary(8000, 2000)); err != nil {
 		t.Error("not applied")
 	}
 	h.played(b, 3)
-	if ok, _ := b.SetRules(h.now, canary(1, 1)); !ok {
+	if err := b.SetRules(h.now, canary(1, 1)); err != nil {
 		t.Error("not applied")
 	}
 	if got := count(h.played(b, 20)); got["b"] < 8 || got["b"] > 12 {
@@ -71,10 +72,10 @@
 			t.Errorf("uneven turns %v", order)
 		}
 	}
-	if ok, why := b.SetRules(h.now, canary(math.NaN(), 1)); ok || !strings.Contains(why, "weight NaN") {
-		t.Errorf("a wrong table: %v %s", ok, why)
+	if err := b.SetRules(h.now, canary(math.NaN(), 1)); err == nil || !strings.Contains(err.Error(), "weight NaN") {
+		t.Errorf("a wrong table: %v", err)
 	}
-	if ok, _ := b.SetRules(h.now, nil); !ok || b.groups[0].destination.Weight != 80 {
+	if err := b.SetRules(h.now, nil); err != nil || b.groups[0].destination.Weight != 80 {
 		t.Error("an empty table does not stand for the rules of the settings")
 	}
 }
@@ -86,8 +87,8 @@
 	b, h := start(t, set, []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "x", Kind: "small", Size: 1}})
 	b.Request(h.now, Request{ID: 1, Tenant: -1, TimeLeft: time.Second})
 	only := canary(1, 0)
-	if ok, why := b.SetRules(h.now, only); !ok {
-		t.Fatal(why)
+	if err := b.SetRules(h.now, only); err != nil {
+		t.Fatal(err)
 	}
 	h.answer(b, h.now+time.Millisecond, Served)
 	if got := count(h.played(b, 10)); got["a"] != 10 {
@@ -119,8 +120,8 @@
 		}, 100 * time.Millisecond, "c"},
 		{"other tables come all the time", func(b *Balancer, h *host) {}, pendingRulesTTL, "ac"},
 		{"one comes that can be applied", func(b *Balancer, h *host) {
-			if ok, why := b.SetRules(h.now, none("huge")); !ok {
-				t.Error(why)
+			if err := b.SetRules(h.now, none("huge")); err != nil {
+				t.Error(err)
 			}
 		}, 0, "c"},
 	} {
@@ -128,9 +129,9 @@
 			set := settings()
 			set.Rules = canary(1)
 			b, h := start(t, set, list)
-			ok, why := b.SetRules(h.now, none("none"))
-			if ok || !b.RulesPending() || !strings.Contains(why, "no ready endpoint") {
-				t.Fatalf("applied: %v %s", ok, why)
+			err := b.SetRules(h.now, none("none"))
+			if !errors.Is(err, ErrNoReadyEndpoint) || !b.RulesPending() {
+				t.Fatalf("it does not wait: %v", err)
 			}
 			if got := count(h.played(b, 10)); got["a"] != 10 {
 				t.Errorf("turns %v while it waits", got)
@@ -140,7 +141,7 @@
 			for i := 0; b.RulesPending(); i++ {
 				h.now += 100 * time.Millisecond
 				if strings.HasPrefix(c.name, "other") && i%10 == 0 {
-					if ok, _ := b.SetRules(h.now, none(fmt.Sprint("none", i))); ok {
+					if err := b.SetRules(h.now, none(fmt.Sprint("none", i))); err == nil {
 						break
 					}
 				}
@@ -160,10 +161,10 @@
 	set := settings()
 	set.Rules = none("none")
 	b, h := start(t, set, list)
-	if ok, why := b.SetRules(h.now, none("nowhere")); !ok {
-		t.Errorf("a table without servers waits for one without: %s", why)
+	if err := b.SetRules(h.now, none("nowhere")); err != nil {
+		t.Errorf("a table without servers waits for one without: %v", err)
 	}
-	if ok, why := b.SetRules(h.now, []Rule{{Name: "x", Source: Match{"service": "other"}, Service: Match{"service": "*"}, Destinations: canary(1)[0].Destinations}}); !ok {
-		t.Errorf("a table that has no rule for this client waits: %s", why)
+	if err := b.SetRules(h.now, []Rule{{Name: "x", Source: Match{"service": "other"}, Service: Match{"service": "*"}, Destinations: canary(1)[0].Destinations}}); err != nil {
+		t.Errorf("a table that has no rule for this client waits: %v", err)
 	}
 }
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -2,45 +2,81 @@
 
 import "cmp"
 
-// pickEndpoint lets the schedule choose among the endpoints that are not full, else among those where the
-// request can still hope for an answer in time, the first of them in late seconds. Lesser classes give way
-// only while all are full. Danger: their bar may lie under an idle slow machine: quiet days would lose their
-// even turns.
-func (b *Balancer) pickEndpoint(q *request, now Time) (to *endpoint, late float64) {
-	bar, late := refusalThreshold*b.shortestTarget, b.shortestTarget
-	if now < b.sheddingUntil {
-		bar = b.sheddingThreshold(q.Class)
-	}
-	if q.overAllowance {
-		bar *= overAllowanceShare
-	}
-	// Danger: an answer that comes when the client is gone is work for nothing, and its effect is not known. One
-	// client's hurry prefers quick endpoints, but it refuses nothing and is no reason for others to give way.
-	left := likelyShare * (q.clientDeadline(now) - now).Seconds()
-	if to = b.probeCandidate(q, now); to != nil {
-		return to, 0
+const (
+	// spillThreshold is the share of the shortest latency target above which an endpoint is full.
+	spillThreshold = 0.5
+	// fullThreshold is the multiple of an idle endpoint's time, for its size, below which none is full.
+	fullThreshold = 2.5
+)
+
+// pickEndpoint has the schedule choose among the endpoints that are not full, else among those where the
+// request can still expect an answer in time. It returns nil if there is none, and then by how many seconds
+// the answer would be late.
+//
+// Classes of lower value are shed only while all endpoints are full: their threshold may lie under what an
+// idle slow machine takes, and quiet days would lose their even turns.
+func (b *Balancer) pickEndpoint(q *request, now Time) (chosen *endpoint, excessSeconds float64) {
+	threshold := b.latencyThreshold(q, now)
+	// An answer that comes when the client has gone is work for nothing, and its effect is not known. One
+	// client's haste prefers quick endpoints, but it refuses nothing and is no reason to shed others.
+	likelySeconds := likelyShare * (q.clientDeadline(now) - now).Seconds()
+	if probe := b.probeCandidate(q, now); probe != nil {
+		return probe, 0
 	}
-	for pass := range 2 {
-		for _, e := range b.inUse {
-			limit := bar
-			if pass == 0 { // full above the zones' bar, but not just because its kind is slow
-				limit = min(limit, left, max(spillThreshold*b.shortestTarget,
-					fullThreshold*(1+unseenLoad)*cmp.Or(b.idleSeconds, b.fleet.secondsPerLoad())/e.Size))
-			}
-			e.eligible = e.isReady() && (b.inPanic || now >= e.ejectedUntil) &&
-				b.maySendTo(q, e, now) && b.hasWarmUpTurn(e)
-			if excess := b.expectedLatency(e, now) - limit; e.eligible {
-				late = min(late, excess)
-				e.eligible = excess <= 0 && e.owedSeconds(now) <= bar*float64(e.pendingAnswers())
-			}
+	excessSeconds = b.shortestTarget
+	for _, notFull := range []bool{true, false} {
+		limits := placementLimits{notFull: notFull, threshold: threshold, likelySeconds: likelySeconds}
+		excessSeconds = min(excessSeconds, b.markEligible(q, limits, now))
+		if chosen = b.nextEndpoint(); chosen != nil {
+			return chosen, 0
 		}
-		if to = b.nextEndpoint(); to != nil {
-			return to, 0
+		// The threshold of a class that is shed may lie under what an idle endpoint takes; it must not prolong
+		// itself.
+		if likelySeconds >= threshold && now >= b.sheddingUntil {
+			b.sheddingUntil = now + sheddingTime
+			threshold = min(threshold, b.sheddingThreshold(q.Class))
 		}
-		// Danger: a class's bar while tight may lie under what an idle server takes; it must not prolong itself.
-		if left >= bar && now >= b.sheddingUntil {
-			b.sheddingUntil, bar = now+memoryTTL, min(bar, b.sheddingThreshold(q.Class))
+	}
+	return nil, excessSeconds
+}
+
+// placementLimits say which endpoints a request may be placed at.
+type placementLimits struct {
+	notFull       bool    // at those only that are not full
+	threshold     float64 // expected seconds above which the request is refused
+	likelySeconds float64 // expected seconds within which its answer mostly comes in time
+}
+
+// markEligible marks the endpoints in use at which the request may be placed. It returns by how many seconds
+// the least of those that may get it exceeds its limit, or the shortest target where that is less.
+func (b *Balancer) markEligible(q *request, limits placementLimits, now Time) (excessSeconds float64) {
+	excessSeconds = b.shortestTarget
+	for _, e := range b.inUse {
+		e.eligible = b.mayPlace(q, e, now)
+		excess := b.expectedLatency(e, now) - b.latencyLimit(e, limits)
+		if !e.eligible {
+			continue
 		}
+		excessSeconds = min(excessSeconds, excess)
+		owedLimit := limits.threshold * float64(e.pendingAnswers())
+		e.eligible = excess <= 0 && e.owedSeconds(now) <= owedLimit
+	}
+	return excessSeconds
+}
+
+// mayPlace tells whether the request may be sent to an endpoint, however long that takes.
+func (b *Balancer) mayPlace(q *request, e *endpoint, now Time) bool {
+	return e.isReady() && (b.inPanic || !e.isEjected(now)) && b.maySendTo(q, e, now) && e.hasWarmUpTurn()
+}
+
+// latencyLimit is the expected answer time in seconds up to which an endpoint may get a request. Where only
+// those that are not full may, it is above what crossing zones is worth, but an endpoint is not full just
+// because its kind is slow.
+func (b *Balancer) latencyLimit(e *endpoint, limits placementLimits) float64 {
+	if !limits.notFull {
+		return limits.threshold
 	}
-	return nil, late
+	idle := cmp.Or(b.idleSeconds, b.fleet.secondsPerLoad())
+	full := max(spillThreshold*b.shortestTarget, fullThreshold*(1+unseenLoad)*idle/e.Size)
+	return min(limits.threshold, limits.likelySeconds, full)
 }
--- a/balance/signals/codec.go
+++ b/balance/signals/codec.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"errors"
 	"fmt"
 	"slices"
 	"time"
@@ -9,12 +10,18 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// A report on its way is MessagePack, by the library that memberlist speaks it with, fields by their place: a later version
-// adds fields behind these, which an earlier one passes over.
+// A report is sent as MessagePack, by the library that memberlist uses, fields by their place: a later version adds fields
+// behind these, which an earlier one ignores.
 
-// MaxReportBytes is the most bytes of an encoded report.
+// MaxReportBytes bounds an encoded report.
 const MaxReportBytes = 640
 
+// maxNumber bounds the numbers that are decoded.
+const maxNumber = 1 << 30
+
+// ErrOverBounds says that a report has more or longer parts than any sidecar sends.
+var ErrOverBounds = errors.New("report: over the bounds")
+
 type wireReport struct {
 	Zone     string
 	Uses     []wireUse
@@ -37,73 +44,110 @@
 }
 
 func msgpackHandle() *codec.MsgpackHandle {
-	h := &codec.MsgpackHandle{}
-	h.StructToArray = true
-	h.MaxInitLen = 4 * maxUses // Danger: a length that a peer says would be allocated before anything of it is read
-	return h
+	handle := &codec.MsgpackHandle{}
+	handle.StructToArray = true
+	handle.MaxInitLen = 4 * maxUses // a length that a peer claims would be allocated before anything of it is read
+	return handle
 }
 
-// Encode writes a report in at most Most bytes. The mildest verdicts, and then uses, give way.
+// Encode writes a report in at most MaxReportBytes. The mildest verdicts, and then uses, are left out where it would be longer.
 func Encode(r Report) ([]byte, error) {
-	r.Verdicts = slices.SortedFunc(slices.Values(r.Verdicts), func(x, y Verdict) int {
-		return cmp.Or(cmp.Compare(y.Kind%Serving, x.Kind%Serving), cmp.Compare(y.Count, x.Count), cmp.Compare(x.Server, y.Server))
-	})
-	r = sanitized(r)
-	w := wireReport{Zone: r.Zone, Level: uint(max(r.TrafficLevel, 0))}
-	at := map[string]uint{}
-	for i, u := range r.Uses {
-		at[u.Zone] = uint(i)
-		w.Uses = append(w.Uses, wireUse{u.Zone, uint(u.Servers)})
-	}
-	for _, v := range r.Verdicts {
-		if i, used := at[v.Zone]; used {
-			w.Verdicts = append(w.Verdicts, wireVerdict{v.Server, v.Start, i, uint8(v.Kind), uint(v.Count), uint(v.Age.Milliseconds())})
-		}
-	}
+	wire := toWire(r)
 	for {
-		var b []byte
-		if err := codec.NewEncoderBytes(&b, msgpackHandle()).Encode(w); err != nil {
+		var encoded []byte
+		if err := codec.NewEncoderBytes(&encoded, msgpackHandle()).Encode(wire); err != nil {
 			return nil, fmt.Errorf("report: %w", err)
 		}
 		switch {
-		case len(b) <= MaxReportBytes:
-			return b, nil
-		case len(w.Verdicts) > 0:
-			w.Verdicts = w.Verdicts[:len(w.Verdicts)-1]
-		case len(w.Uses) > 0:
-			w.Uses = w.Uses[:len(w.Uses)-1]
+		case len(encoded) <= MaxReportBytes:
+			return encoded, nil
+		case len(wire.Verdicts) > 0:
+			wire.Verdicts = wire.Verdicts[:len(wire.Verdicts)-1]
+		case len(wire.Uses) > 0:
+			wire.Uses = wire.Uses[:len(wire.Uses)-1]
 		default:
-			return nil, fmt.Errorf("report: %d bytes", len(b))
+			return nil, fmt.Errorf("report: %d bytes are over %d", len(encoded), MaxReportBytes)
+		}
+	}
+}
+
+// toWire is a report's wire form, the worst verdicts first.
+func toWire(r Report) wireReport {
+	r.Verdicts = slices.SortedFunc(slices.Values(r.Verdicts), compareSeverity)
+	r = sanitized(r)
+	wire := wireReport{Zone: r.Zone, Level: uint(max(r.TrafficLevel, 0))}
+	zoneIndex := map[string]uint{}
+	for i, use := range r.Uses {
+		zoneIndex[use.Zone] = uint(i)
+		wire.Uses = append(wire.Uses, wireUse{use.Zone, uint(use.Servers)})
+	}
+	for _, v := range r.Verdicts {
+		index, used := zoneIndex[v.Zone]
+		if !used {
+			continue
 		}
+		wire.Verdicts = append(wire.Verdicts, wireVerdict{
+			Server:    v.Server,
+			Start:     v.Start,
+			ZoneIndex: index,
+			Kind:      uint8(v.Kind),
+			Count:     uint(v.Count),
+			AgeMS:     uint(v.Age.Milliseconds()),
+		})
 	}
+	return wire
+}
+
+// compareSeverity puts the worst verdicts first, and those that a process serves last.
+func compareSeverity(x, y Verdict) int {
+	return cmp.Or(cmp.Compare(y.Kind%Serving, x.Kind%Serving), cmp.Compare(y.Count, x.Count), cmp.Compare(x.Server, y.Server))
 }
 
-// Decode reads a report. What is beyond the bounds is an error.
-func Decode(b []byte) (r Report, err error) {
-	var w wireReport
-	if len(b) > MaxReportBytes {
-		return r, fmt.Errorf("report: %d bytes are over %d", len(b), MaxReportBytes)
+// Decode reads a report. One with parts beyond the bounds is ErrOverBounds.
+func Decode(encoded []byte) (Report, error) {
+	if len(encoded) > MaxReportBytes {
+		return Report{}, fmt.Errorf("report: %d bytes are over %d", len(encoded), MaxReportBytes)
+	}
+	var wire wireReport
+	if err := codec.NewDecoderBytes(encoded, msgpackHandle()).Decode(&wire); err != nil {
+		return Report{}, fmt.Errorf("report: %w", err)
 	}
-	if err := codec.NewDecoderBytes(b, msgpackHandle()).Decode(&w); err != nil {
-		return r, fmt.Errorf("report: %w", err)
+	if !wire.isWithinBounds() {
+		return Report{}, ErrOverBounds
 	}
+	return wire.report(), nil
+}
+
+func (w wireReport) isWithinBounds() bool {
 	if len(w.Zone) > maxTextBytes || len(w.Uses) > maxUses || len(w.Verdicts) > MaxVerdicts {
-		return r, fmt.Errorf("report: over the bounds")
+		return false
 	}
-	const most = 1 << 30
-	r.Zone, r.TrafficLevel = w.Zone, int(min(w.Level, most))
-	for _, u := range w.Uses {
-		if len(u.Zone) > maxTextBytes {
-			return r, fmt.Errorf("report: over the bounds")
+	for _, use := range w.Uses {
+		if len(use.Zone) > maxTextBytes {
+			return false
 		}
-		r.Uses = append(r.Uses, ZoneUse{u.Zone, int(min(u.Servers, most))})
 	}
 	for _, v := range w.Verdicts {
 		if v.ZoneIndex >= uint(len(w.Uses)) || len(v.Server) > maxTextBytes {
-			return r, fmt.Errorf("report: over the bounds")
+			return false
 		}
-		r.Verdicts = append(r.Verdicts, Verdict{Process{v.Server, v.Start}, w.Uses[v.ZoneIndex].Zone, Kind(v.Kind), int(min(v.Count, most)),
-			time.Duration(min(v.AgeMS, most)) * time.Millisecond})
 	}
-	return r, nil
+	return true
+}
+
+func (w wireReport) report() Report {
+	r := Report{Zone: w.Zone, TrafficLevel: int(min(w.Level, maxNumber))}
+	for _, use := range w.Uses {
+		r.Uses = append(r.Uses, ZoneUse{use.Zone, int(min(use.Servers, maxNumber))})
+	}
+	for _, v := range w.Verdicts {
+		r.Verdicts = append(r.Verdicts, Verdict{
+			Process: Process{v.Server, v.Start},
+			Zone:    w.Uses[v.ZoneIndex].Zone,
+			Kind:    Kind(v.Kind),
+			Count:   int(min(v.Count, maxNumber)),
+			Age:     time.Duration(min(v.AgeMS, maxNumber)) * time.Millisecond,
+		})
+	}
+	return r
 }
--- a/balance/signals/signals_test.go
+++ b/balance/signals/signals_test.go
@@ -66,7 +66,7 @@
 		tell := func(order []said) *Aggregate {
 			b := NewAggregate(rooms[0], bound)
 			for _, s := range order {
-				b.Receive(s.origin, 1, s.seq, now-s.at, s.r, now)
+				b.Receive(Statement{Origin: s.origin, Start: 1, Seq: s.seq, Age: now - s.at, Report: s.r}, now)
 			}
 			return b
 		}
@@ -117,6 +117,11 @@
 	}
 }
 
+// first is the first statement of an origin, made now.
+func first(origin string, r Report) Statement {
+	return Statement{Origin: origin, Start: 1, Seq: 1, Report: r}
+}
+
 // sound is a fleet that says the truth of one silent server, from count members, beside quiet ones.
 func sound(b *Aggregate, count, quiet int) {
 	for i := range count + quiet {
@@ -124,7 +129,7 @@
 		if i < count {
 			r.Verdicts = []Verdict{{Process{"s1", 1}, rooms[0], Unresponsive, 2, 0}}
 		}
-		b.Receive(fmt.Sprint("m", i), 1, 1, 0, r, 0)
+		b.Receive(first(fmt.Sprint("m", i), r), 0)
 	}
 }
 
@@ -136,8 +141,13 @@
 		sound(b, count, quiet)
 		sound(without, count, quiet)
 		for range rapid.IntRange(1, 8).Draw(t, "lies") {
-			b.Receive("liar", rapid.Int64Range(1, 3).Draw(t, "process"), rapid.Uint64Range(1, 9).Draw(t, "seq"),
-				time.Duration(rapid.IntRange(-5000, 5000).Draw(t, "age"))*time.Millisecond, report(t), 0)
+			b.Receive(Statement{
+				Origin: "liar",
+				Start:  rapid.Int64Range(1, 3).Draw(t, "process"),
+				Seq:    rapid.Uint64Range(1, 9).Draw(t, "seq"),
+				Age:    time.Duration(rapid.IntRange(-5000, 5000).Draw(t, "age")) * time.Millisecond,
+				Report: report(t),
+			}, 0)
 		}
 		now := time.Duration(rapid.IntRange(0, 2000).Draw(t, "now")) * time.Millisecond
 		judged, truth := b.Evaluate(now), without.Evaluate(now)
@@ -182,7 +192,7 @@
 		b := NewAggregate(rooms[0], bound)
 		for i := range 5 {
 			r.Zone = rooms[i%2]
-			b.Receive(fmt.Sprint(i), 1, 1, 0, r, 0)
+			b.Receive(first(fmt.Sprint(i), r), 0)
 		}
 		if got := len(b.Evaluate(0)); got != c.judged {
 			t.Errorf("%s: %d are judged", name, got)
@@ -195,7 +205,7 @@
 	for reader, want := range map[string]int{rooms[1]: 1, rooms[2]: 0} {
 		b := NewAggregate(reader, bound)
 		for i := range 5 {
-			b.Receive(fmt.Sprint(i), 1, 1, 0, Report{Zone: rooms[1], Uses: uses, Verdicts: down(rooms[0], 1)}, 0)
+			b.Receive(first(fmt.Sprint(i), Report{Zone: rooms[1], Uses: uses, Verdicts: down(rooms[0], 1)}), 0)
 		}
 		if got := len(b.Evaluate(0)); got != want {
 			t.Errorf("%s: %d", reader, got)
@@ -221,18 +231,18 @@
 	} {
 		b := NewAggregate(rooms[2], bound)
 		for i := range 3 {
-			b.Receive(fmt.Sprint(i), 1, 1, 0, Report{Zone: rooms[1], Uses: []ZoneUse{{rooms[1], 8}},
-				Verdicts: []Verdict{{Process{"s1", 1}, rooms[1], Unresponsive, 2, 2 * time.Second}}}, 0)
+			b.Receive(first(fmt.Sprint(i), Report{Zone: rooms[1], Uses: []ZoneUse{{rooms[1], 8}},
+				Verdicts: []Verdict{{Process{"s1", 1}, rooms[1], Unresponsive, 2, 2 * time.Second}}}), 0)
 		}
 		for i, age := range c.served {
-			b.Receive(fmt.Sprint("served", i), 1, 1, 0, Report{Zone: rooms[0], Uses: []ZoneUse{{rooms[1], 8}},
-				Verdicts: []Verdict{{Process{"s1", 1}, rooms[1], Serving, 1, age}}}, 0)
+			b.Receive(first(fmt.Sprint("served", i), Report{Zone: rooms[0], Uses: []ZoneUse{{rooms[1], 8}},
+				Verdicts: []Verdict{{Process{"s1", 1}, rooms[1], Serving, 1, age}}}), 0)
 		}
 		if got := len(b.Evaluate(0)); got != c.judged {
 			t.Errorf("%s: %d judged, want %d", name, got, c.judged)
 		}
-		if fails, serves := b.Witnesses(Process{"s1", 1}); fails != 3 || serves != len(c.served) {
-			t.Errorf("%s: %d said that it fails, %d that it serves", name, fails, serves)
+		if got := b.Witnesses(Process{"s1", 1}); got != (WitnessCount{Condemning: 3, Served: len(c.served)}) {
+			t.Errorf("%s: %+v witnesses", name, got)
 		}
 	}
 }
@@ -251,7 +261,7 @@
 		}
 		book := NewAggregate("a", bound)
 		for i := range 3 {
-			book.Receive(fmt.Sprint(i), 1, 1, 0, r, 0)
+			book.Receive(first(fmt.Sprint(i), r), 0)
 		}
 		book.Evaluate(0)
 		if e, err := Encode(r); err != nil || len(e) > MaxReportBytes {
--- a/balance/signals/types.go
+++ b/balance/signals/types.go
@@ -1,45 +1,58 @@
-// Package signals makes verdicts on servers of what many sidecars say that they saw. It is pure: no clock, no I/O, and the
-// same news gives the same verdicts in whatever order it comes. A Book must not be used by two goroutines at once.
+// Package signals makes verdicts on servers of what many sidecars state that they saw.
 //
-// Promises, whatever order, repeats and losses news comes in:
+// A sidecar with little traffic learns slowly that a server fails, and each learns it by requests that fail. So sidecars tell
+// each other what they saw, and each evaluates what all have stated. One that is wrong, cut off or lying must neither make a
+// verdict nor prevent one.
 //
-//  1. A verdict stands on 3 or more origins that are members, each with what it last said, no older than the bound, on faults
-//     of its own no older than 8 s, 5 in all, at most 2 of each counted; from 2 or more rooms, or all from the reader's own, or
-//     all from the server's, who have the shortest way to it.
-//  2. So one origin, whatever it says, and of whatever rooms, neither makes a verdict that two sound ones would not be part
-//     of, nor takes one away that rests on three others.
-//  3. A witness that condemns over 0.4 of what it uses, or over half of one room, is likely cut off: it counts nowhere.
+// The package is pure: it has no clock and no I/O, and the same statements give the same verdicts in whatever order they come.
+// An Aggregate must not be used by two goroutines at once.
+//
+// # Terms
+//
+//   - A verdict of one sidecar says how one server process fails (its Kind), by what that sidecar saw itself.
+//   - A report is all verdicts of one sidecar at a time. A statement is a report with its origin and age.
+//   - A witness is an origin whose present report has a verdict on a process. It condemns the process, or was served by it.
+//
+// # Invariants
+//
+// They hold whatever the order, duplicates and losses of statements (TestVerdictsHaveWitnesses and TestOneLiarMovesNothing draw them):
+//
+//  1. A verdict rests on 3 or more origins that are members, each with its latest statement, no older than the TTL, on faults
+//     that the origin saw itself no longer than 8 s ago, 5 in all, at most 2 of each counted; from 2 or more zones, or all from
+//     the reader's own, or 3 from the server's, who have the shortest way to it.
+//  2. So one origin, whatever it states, and of whatever zones, neither makes a verdict that two sound ones would not be part
+//     of, nor prevents one that rests on three others.
+//  3. A witness that condemns over 0.4 of what it uses, or over half of one zone, is likely cut off: it counts nowhere.
 //  4. Faults count for nothing that are older than the answers that 2 others had; the word of one takes nothing away.
-//  5. A verdict is over a bound after its witnesses fall silent, 8 s after the last fault that any of them saw, or with the
-//     server's process. No message ends it but what its witnesses themselves say next.
+//  5. A verdict ends a TTL after its witnesses fall silent, 8 s after the last fault that any of them saw, or with the server's
+//     process. No message ends it but what its witnesses themselves state next.
 package signals
 
 import (
-	"cmp"
 	"slices"
 	"time"
 )
 
-// Kind is how a server fails, from the mildest to the worst, or that it does not.
+// Kind is how a server fails, from the mildest to the worst, or that it does not. Its numbers are on the wire.
 type Kind uint8
 
 // The kinds. One beyond the last comes from a later version, and counts for nothing.
 const (
 	None         Kind = iota
-	Overloaded        // turns requests away
+	Overloaded        // rejects requests
 	Slow              // owes answers for longer than it should
-	Failing           // answers with errors, or takes no connection
+	Failing           // answers with errors, or accepts no connection
 	Unresponsive      // does not answer
-	Serving           // answers, though others say that it fails
+	Serving           // answers, though others state that it fails
 )
 
-// Process is one process of a server. A successor under the same id is another subject.
+// Process is one process of a server. Its successor under the same id is another one.
 type Process struct {
 	Server string
-	Start  int64 // of the process, in any unit that all sidecars share; 0: not known
+	Start  int64 // in any unit that all sidecars share; 0: not known
 }
 
-// Verdict is what one sidecar saw of a server itself. What it was told by others is none.
+// Verdict is what one sidecar saw of a server itself. What it learned from others is none.
 type Verdict struct {
 	Process
 	Zone  string        // the server's
@@ -48,104 +61,60 @@
 	Age   time.Duration // since the last of them
 }
 
-// ZoneUse is how many servers of a room a sidecar uses.
+// ZoneUse is how many servers of a zone a sidecar uses.
 type ZoneUse struct {
 	Zone    string
 	Servers int
 }
 
-// Report is all that a sidecar has to say. Each one stands for itself: a server that it does not name is not condemned.
+// Report is all that a sidecar states. Each one stands for itself: a server that it does not name is not condemned.
 type Report struct {
 	Zone         string // the sidecar's
-	TrafficLevel int    // of its traffic, as the balancer counts it; 0: not known
+	TrafficLevel int    // as the balancer counts it; 0: not known
 	Uses         []ZoneUse
 	Verdicts     []Verdict
 }
 
-// The bounds of a report and of a book.
+// Statement is a report as it arrives from a member.
+type Statement struct {
+	Origin string        // the member's name
+	Start  int64         // of its process: a later process has a higher one
+	Seq    uint64        // rises within a process
+	Age    time.Duration // since the report was made
+	Report Report
+}
+
+// The bounds of a report and of an aggregate.
 const (
-	MaxVerdicts  = 12
-	maxUses      = 16
+	MaxVerdicts  = 12 // of a report
+	maxUses      = 16 // of a report
 	maxOrigins   = 4096
-	maxTextBytes = 64 // bytes of a server's id, or of a room
+	maxTextBytes = 64 // of a server's id, or a zone
 )
 
-// Aggregate holds what each member last said. The zero value with a Room and Bound is ready.
-type Aggregate struct {
-	Zone       string        // the reader's
-	TTL        time.Duration // what was said longer ago counts for nothing
-	statements map[string]statement
-	counts     map[Process][2]int // how many condemned it, and how many it served, when last judged
-}
-
-// NewAggregate returns a book for a reader in a room.
-func NewAggregate(room string, bound time.Duration) *Aggregate {
-	return &Aggregate{Zone: room, TTL: bound, statements: map[string]statement{}}
-}
-
-// IsEmpty tells whether there is nothing to judge by.
-func (b *Aggregate) IsEmpty() bool { return len(b.statements) == 0 }
-
-// statement is what an origin last said, and when.
-type statement struct {
-	Report
-	start  int64
-	seq    uint64
-	madeAt time.Duration
-}
-
-// Receive takes in what an origin said, if it is newer than what it said before. Age is how old that was at now.
-func (b *Aggregate) Receive(origin string, start int64, seq uint64, age time.Duration, r Report, now time.Duration) {
-	said, known := b.statements[origin]
-	switch order := cmp.Or(cmp.Compare(start, said.start), cmp.Compare(seq, said.seq)); {
-	case known && order < 0 || !known && len(b.statements) >= maxOrigins: // heard already, or over the bound
-	case known && order == 0:
-		// Danger: a copy that seems younger than another would have it live longer.
-		said.madeAt = min(said.madeAt, now-age)
-		b.statements[origin] = said
-	default:
-		b.statements[origin] = statement{sanitized(r), start, seq, now - age}
+// sanitized is a report within the bounds, with one verdict on each process, of known kinds, and one use of each zone.
+func sanitized(r Report) Report {
+	clean := Report{Zone: r.Zone[:min(len(r.Zone), maxTextBytes)], TrafficLevel: r.TrafficLevel}
+	for _, use := range r.Uses[:min(len(r.Uses), maxUses)] {
+		if !slices.ContainsFunc(clean.Uses, func(u ZoneUse) bool { return u.Zone == use.Zone }) {
+			clean.Uses = append(clean.Uses, ZoneUse{use.Zone, max(use.Servers, 0)})
+		}
 	}
-}
-
-// WellWitnessed tells whether twice as many as are needed spoke of a subject as a kind does when it was last judged.
-func (b *Aggregate) WellWitnessed(s Process, kind Kind) bool {
-	if kind == Serving {
-		return b.counts[s][1] >= 2*minServed
+	for _, verdict := range r.Verdicts[:min(len(r.Verdicts), MaxVerdicts)] {
+		if !verdict.isKnown() || clean.hasVerdictOn(verdict.Process) {
+			continue
+		}
+		verdict.Age = max(verdict.Age, 0)
+		verdict.Count = max(verdict.Count, 0)
+		clean.Verdicts = append(clean.Verdicts, verdict)
 	}
-	return b.counts[s][0] >= 2*minWitnesses
+	return clean
 }
 
-// Witnesses tells how many condemned a subject, and how many it served, when it was last judged.
-func (b *Aggregate) Witnesses(s Process) (fails, serves int) { return b.counts[s][0], b.counts[s][1] }
-
-// Remove takes in that an origin is no member any more.
-func (b *Aggregate) Remove(origin string) { delete(b.statements, origin) }
-
-// witness is what one origin says of one subject, and the room it says it from.
-type witness struct {
-	kind       Kind
-	zone       string
-	serverZone string // the server's room
-	count      int
-	age        time.Duration
+func (v Verdict) isKnown() bool {
+	return v.Kind > None && v.Kind <= Serving && len(v.Server) <= maxTextBytes
 }
 
-// sanitized is a report within the bounds, with one verdict on each subject, of known kinds, on rooms that it uses once each.
-func sanitized(r Report) Report {
-	var s Report
-	s.Zone, s.TrafficLevel = r.Zone[:min(len(r.Zone), maxTextBytes)], r.TrafficLevel
-	for _, u := range r.Uses[:min(len(r.Uses), maxUses)] {
-		if !slices.ContainsFunc(s.Uses, func(x ZoneUse) bool { return x.Zone == u.Zone }) {
-			s.Uses = append(s.Uses, ZoneUse{u.Zone, max(u.Servers, 0)})
-		}
-	}
-	for _, v := range r.Verdicts[:min(len(r.Verdicts), MaxVerdicts)] {
-		known := v.Kind > None && v.Kind <= Serving && len(v.Server) <= maxTextBytes
-		if known && !slices.ContainsFunc(s.Verdicts, func(x Verdict) bool { return x.Process == v.Process }) {
-			v.Age, v.Count = max(v.Age, 0), max(v.Count, 0)
-			s.Verdicts = append(s.Verdicts, v)
-		}
-	}
-	return s
+func (r Report) hasVerdictOn(process Process) bool {
+	return slices.ContainsFunc(r.Verdicts, func(v Verdict) bool { return v.Process == process })
 }
--- a/balance/silent_test.go
+++ b/balance/silent_test.go
@@ -33,7 +33,9 @@
 		for other, to := range g.f.sidecars {
 			if other != self {
 				seq := g.seq
-				g.late = append(g.late, func() { to.ReceiveReport(g.f.now, fmt.Sprint(self), 1, seq, 200*time.Millisecond, r) })
+				g.late = append(g.late, func() {
+					to.ReceiveReport(g.f.now, signals.Statement{Origin: fmt.Sprint(self), Start: 1, Seq: seq, Age: 200 * time.Millisecond, Report: r})
+				})
 			}
 		}
 	}
--- a/balance/snapshot.go
+++ b/balance/snapshot.go
@@ -6,112 +6,169 @@
 	"time"
 )
 
-// Snapshot is what a Balancer believes, for the one of the next process. Durations and starts are on the host's clock.
+// The bounds of snapshots.
+const (
+	maxSnapshotAge       = 5 * memoryTTL // by then under 1% is left of what answers taught
+	maxSnapshotEndpoints = 4096
+	maxRestored          = 1e9 // of sums, counts and credits
+	maxTargets           = 100 // of a class's mean time, in shortest latency targets
+)
+
+// Snapshot is what a Balancer has learned, for the one of the next process. Durations and starts are on the host's clock. It is
+// stored: the names of its keys stay.
 type Snapshot struct {
-	ZoneWeight  float64            `json:"near"`    // weight of other zones
-	IdleSeconds float64            `json:"idle"`    // seconds that a request held takes where the fleet idles
-	Arrivals    float64            `json:"arrived"` // fading count of requests
-	SheddingFor time.Duration      `json:"tight"`   // for which lesser classes still give way
-	MeanSeconds []float64          `json:"work"`    // mean seconds of answers, by class
+	ZoneWeight  float64            `json:"near"`    // of other zones
+	IdleSeconds float64            `json:"idle"`    // of the fleet for each unit of load while it is idle
+	Arrivals    float64            `json:"arrived"` // decaying count of requests
+	SheddingFor time.Duration      `json:"tight"`   // for which classes of lower value are still shed
+	MeanSeconds []float64          `json:"work"`    // of answers, by class
 	Groups      []LatencySum       `json:"groups"`  // by the rule's destinations, the last one of all endpoints
 	Endpoints   []EndpointSnapshot `json:"endpoints"`
 }
 
-// LatencySum is a fading sum of answer times in seconds and of the requests held.
+// LatencySum is a decaying sum of answer times in seconds, and of the load.
 type LatencySum struct {
 	Seconds float64 `json:"took"`
 	Load    float64 `json:"held"`
 }
 
-// EndpointSnapshot is what is believed of an endpoint.
+// EndpointSnapshot is what is known of an endpoint.
 type EndpointSnapshot struct {
 	ID          string `json:"id"`
-	Started     Time   `json:"started"` // of the process that it is believed of; 0: long ago
-	WarmUpStart Time   `json:"cold"`    // from when on it counted as cold; 0: it does not
+	Started     Time   `json:"started"` // of the process that it is known of; 0: long ago
+	WarmUpStart Time   `json:"cold"`    // 0: it is warm
 	LatencySum
-	Freshness  float64       `json:"fresh"` // as Held, but what answers have told lately
+	Freshness  float64       `json:"fresh"` // share of the sums that still counts
 	Failures   float64       `json:"faults"`
-	TurnCredit float64       `json:"due"` // of its next turn
-	EjectedFor time.Duration `json:"out"` // it stays ejected for so long
+	TurnCredit float64       `json:"due"`
+	EjectedFor time.Duration `json:"out"`
 }
 
-// Snapshot returns what is believed now.
+// isEmpty tells whether nothing is known of an endpoint.
+func (s EndpointSnapshot) isEmpty() bool {
+	return !(s.Load > 0 || s.Seconds > 0 || s.Failures > 0 || s.EjectedFor > 0 || s.WarmUpStart > 0)
+}
+
+// isValid tells whether all values are numbers within their bounds.
+func (s EndpointSnapshot) isValid() bool {
+	return s.LatencySum.isValid() && isUpTo(s.Freshness, 1) && isUpTo(s.Failures, ejectionThreshold) &&
+		isUpTo(s.TurnCredit, maxRestored) && isUpTo(s.EjectedFor.Seconds(), ejectionTime.Seconds())
+}
+
+func (s LatencySum) isValid() bool {
+	return isUpTo(s.Seconds, maxRestored) && isUpTo(s.Load, maxRestored)
+}
+
+func (s LatencySum) sums() latencySums { return latencySums{latencySum: s.Seconds, loadSum: s.Load} }
+
+func (s latencySums) snapshot() LatencySum { return LatencySum{Seconds: s.latencySum, Load: s.loadSum} }
+
+// isUpTo tells whether x is a number from 0 to a bound.
+func isUpTo(x, bound float64) bool { return isBetween(x, 0, bound) }
+
+// Snapshot returns what is known now.
 func (b *Balancer) Snapshot(now Time) Snapshot {
-	k := Snapshot{ZoneWeight: b.zoneWeight[1], IdleSeconds: b.idleSeconds, Arrivals: b.arrivals, SheddingFor: max(0, b.sheddingUntil-now), MeanSeconds: slices.Clone(b.meanSeconds)}
+	snapshot := Snapshot{
+		ZoneWeight:  b.zoneWeight[otherZones],
+		IdleSeconds: b.idleSeconds,
+		Arrivals:    b.arrivals,
+		SheddingFor: max(0, b.sheddingUntil-now),
+		MeanSeconds: slices.Clone(b.meanSeconds),
+	}
 	for _, g := range b.groups {
-		k.Groups = append(k.Groups, LatencySum{g.latencySum, g.loadSum})
+		snapshot.Groups = append(snapshot.Groups, g.snapshot())
 	}
 	for _, e := range b.endpoints[:min(len(b.endpoints), maxSnapshotEndpoints)] {
-		s := EndpointSnapshot{ID: e.ID, Started: e.Started, WarmUpStart: e.warmUpStart, LatencySum: LatencySum{e.latencySum, e.loadSum}, Freshness: e.freshness, Failures: e.failures, TurnCredit: e.turnCredit, EjectedFor: max(0, e.ejectedUntil-now)}
-		if now-e.warmUpStart >= b.settings.WarmUpTime {
-			s.WarmUpStart = 0
-		}
-		if s.Load > 0 || s.Seconds > 0 || s.Failures > 0 || s.EjectedFor > 0 || s.WarmUpStart > 0 {
-			k.Endpoints = append(k.Endpoints, s)
+		if s := b.snapshotEndpoint(e, now); !s.isEmpty() {
+			snapshot.Endpoints = append(snapshot.Endpoints, s)
 		}
 	}
-	return k
+	return snapshot
 }
 
-// Restore takes up what was believed some time ago, where nothing newer is believed yet: it is for a Balancer that was told its first
-// list and has sent nothing. What is older than maxSnapshotAge, negative or no number counts for nothing, and so does what is believed of an
-// endpoint's former process, of one that is not listed, and of groups that are others now.
-func (b *Balancer) Restore(now Time, k Snapshot, age time.Duration) {
+func (b *Balancer) snapshotEndpoint(e *endpoint, now Time) EndpointSnapshot {
+	s := EndpointSnapshot{
+		ID:          e.ID,
+		Started:     e.Started,
+		WarmUpStart: e.warmUpStart,
+		LatencySum:  e.snapshot(),
+		Freshness:   e.freshness,
+		Failures:    e.failures,
+		TurnCredit:  e.turnCredit,
+		EjectedFor:  max(0, e.ejectedUntil-now),
+	}
+	if now-e.warmUpStart >= b.settings.WarmUpTime {
+		s.WarmUpStart = 0
+	}
+	return s
+}
+
+// Restore takes over what was known some time ago, where nothing newer is known yet: it is for a Balancer that got its first
+// list and has sent nothing. What is older than maxSnapshotAge, negative or no number counts for nothing, and so does what is
+// known of an endpoint's former process, of one that is not listed, and of groups that are others now. The rest decays by its
+// age as it would have.
+func (b *Balancer) Restore(now Time, snapshot Snapshot, age time.Duration) {
 	if age < 0 || age > maxSnapshotAge || len(b.requests) > 0 {
 		return
 	}
-	if len(k.MeanSeconds) == len(b.meanSeconds) && !slices.ContainsFunc(k.MeanSeconds, func(w float64) bool { return !isUpTo(w, b.shortestTarget*100) || w == 0 }) {
-		copy(b.meanSeconds, k.MeanSeconds)
-		for i := range b.classLatency {
-			b.classLatency[i].latencySum = k.MeanSeconds[i] * b.classLatency[i].loadSum
-		}
+	b.restoreClasses(snapshot.MeanSeconds)
+	b.restoreScalars(snapshot, now, age)
+	b.restoreGroups(snapshot.Groups)
+	for _, s := range snapshot.Endpoints[:min(len(snapshot.Endpoints), maxSnapshotEndpoints)] {
+		b.restoreEndpoint(s, now, age)
 	}
-	if isUpTo(k.ZoneWeight, 1) {
-		b.zoneWeight[1] = max(k.ZoneWeight, minZoneWeight)
+	b.regroup(now)
+	b.decay(now, age)
+	b.lastResultAt = now - age
+}
+
+func (b *Balancer) restoreClasses(meanSeconds []float64) {
+	isInvalid := func(seconds float64) bool { return !isUpTo(seconds, b.shortestTarget*maxTargets) || seconds == 0 }
+	if len(meanSeconds) != len(b.meanSeconds) || slices.ContainsFunc(meanSeconds, isInvalid) {
+		return
 	}
-	if isUpTo(k.IdleSeconds, b.shortestTarget) {
-		b.idleSeconds = k.IdleSeconds
+	copy(b.meanSeconds, meanSeconds)
+	for i := range b.classLatency {
+		b.classLatency[i].latencySum = meanSeconds[i] * b.classLatency[i].loadSum
 	}
-	if isUpTo(k.Arrivals, maxRestored) {
-		b.arrivals = k.Arrivals
+}
+
+func (b *Balancer) restoreScalars(snapshot Snapshot, now Time, age time.Duration) {
+	if isUpTo(snapshot.ZoneWeight, 1) {
+		b.zoneWeight[otherZones] = max(snapshot.ZoneWeight, minZoneWeight)
 	}
-	if isUpTo(k.SheddingFor.Seconds(), memoryTTL.Seconds()) {
-		b.sheddingUntil = now + max(0, k.SheddingFor-age)
+	if isUpTo(snapshot.IdleSeconds, b.shortestTarget) {
+		b.idleSeconds = snapshot.IdleSeconds
 	}
-	if len(k.Groups) == len(b.groups) && !slices.ContainsFunc(k.Groups, func(s LatencySum) bool { return !s.isValid() }) {
-		for i, g := range b.groups {
-			g.latencySum, g.loadSum = k.Groups[i].Seconds, k.Groups[i].Load
-		}
+	if isUpTo(snapshot.Arrivals, maxRestored) {
+		b.arrivals = snapshot.Arrivals
 	}
-	for _, s := range k.Endpoints[:min(len(k.Endpoints), maxSnapshotEndpoints)] {
-		e := b.byID[s.ID]
-		if e == nil || e.Started != s.Started || !s.isValid() || !isUpTo(s.Freshness, 1) || !isUpTo(s.Failures, ejectionThreshold) || !isUpTo(s.TurnCredit, maxRestored) || !isUpTo(s.EjectedFor.Seconds(), ejectionTime.Seconds()) {
-			continue
-		}
-		e.latencySum, e.loadSum, e.freshness, e.failures, e.turnCredit = s.Seconds, s.Load, s.Freshness, s.Failures, s.TurnCredit
-		e.warmUpStart = cmp.Or(min(max(s.WarmUpStart, 0), now), e.warmUpStart)
-		if s.EjectedFor > age {
-			e.ejectedUntil = now + s.EjectedFor - age
-		}
+	if isUpTo(snapshot.SheddingFor.Seconds(), sheddingTime.Seconds()) {
+		b.sheddingUntil = now + max(0, snapshot.SheddingFor-age)
 	}
-	b.regroup(now)
-	b.decay(now, age)
-	b.lastResultAt = now - age
 }
 
-// Here is what a process hands on to the next one. It decides nothing: beliefs are copied, and fade with the time that has passed as
-// they do in life (fade).
-
-// Bounds of what is handed on.
-const (
-	maxSnapshotAge       = 5 * memoryTTL // by then under 1% is left of what answers taught
-	maxSnapshotEndpoints = 4096          // endpoints
-)
-
-const maxRestored = 1e9
-
-func isUpTo(x, most float64) bool { return x >= 0 && x <= most }
+func (b *Balancer) restoreGroups(groups []LatencySum) {
+	isInvalid := func(s LatencySum) bool { return !s.isValid() }
+	if len(groups) != len(b.groups) || slices.ContainsFunc(groups, isInvalid) {
+		return
+	}
+	for i, g := range b.groups {
+		g.latencySums = groups[i].sums()
+	}
+}
 
-func (s LatencySum) isValid() bool {
-	return isUpTo(s.Seconds, maxRestored) && isUpTo(s.Load, maxRestored)
+func (b *Balancer) restoreEndpoint(s EndpointSnapshot, now Time, age time.Duration) {
+	e := b.byID[s.ID]
+	if e == nil || e.Started != s.Started || !s.isValid() {
+		return
+	}
+	e.latencySums = s.sums()
+	e.freshness = s.Freshness
+	e.failures = s.Failures
+	e.turnCredit = s.TurnCredit
+	e.warmUpStart = cmp.Or(min(max(s.WarmUpStart, 0), now), e.warmUpStart)
+	if s.EjectedFor > age {
+		e.ejectedUntil = now + s.EjectedFor - age
+	}
 }
--- a/balance/status.go
+++ b/balance/status.go
@@ -1,16 +1,18 @@
 package balance
 
-// Knows tells whether an endpoint is listed or out by hand.
+// Knows tells whether an endpoint is listed, or taken out of service.
 func (b *Balancer) Knows(id string) bool {
+	if _, isOut := b.outOfService[id]; isOut {
+		return true
+	}
 	e := b.byID[id]
-	return contains(b.outOfService, id) || e != nil && e.State != Removed
+	return e != nil && e.State != Removed
 }
 
-// CountListed counts the endpoints on the list, and those of them that get nothing now: out by hand, draining, or
-// ejected.
-func (b *Balancer) CountListed(now Time) (all, avoided int) {
+// CountListed counts the endpoints on the list, and those of them that get nothing now: out of service, draining, or ejected.
+func (b *Balancer) CountListed(now Time) (listed, avoided int) {
 	for _, e := range b.endpoints {
-		if !e.isReady() || now < e.ejectedUntil && !b.inPanic {
+		if !e.isReady() || e.isEjected(now) && !b.inPanic {
 			avoided++
 		}
 	}
--- a/balance/word_test.go
+++ b/balance/word_test.go
@@ -20,7 +20,7 @@
 	const peers = 10
 	tell := func(b *Balancer, h *host, e *endpoint, members int, kind signals.Kind) {
 		for i := range members {
-			b.ReceiveReport(h.now, fmt.Sprint("m", i), 1, uint64(h.now), 0, report(b, e, []string{b.settings.Zone, "other"}[i%2], kind))
+			b.ReceiveReport(h.now, signals.Statement{Origin: fmt.Sprint("m", i), Start: 1, Seq: uint64(h.now), Report: report(b, e, []string{b.settings.Zone, "other"}[i%2], kind)})
 		}
 		b.Timer(h.now, tickToken)
 	}
@@ -80,7 +80,7 @@
 	h.now = 10 * time.Second
 	for n, e := range b.endpoints[:5] {
 		for i := range 3 {
-			b.ReceiveReport(h.now, fmt.Sprint("m", n, i), 1, 1, 0, report(b, e, []string{b.settings.Zone, "other"}[i%2], signals.Unresponsive))
+			b.ReceiveReport(h.now, signals.Statement{Origin: fmt.Sprint("m", n, i), Start: 1, Seq: 1, Report: report(b, e, []string{b.settings.Zone, "other"}[i%2], signals.Unresponsive)})
 		}
 	}
 	b.Timer(h.now, tickToken)
@@ -119,7 +119,7 @@
 	}
 	// Where so many speak that one more adds nothing, it goes on, but does not begin.
 	for i := range 6 {
-		b.ReceiveReport(late, fmt.Sprint("m", i), 1, 1, 0, report(b, e, []string{b.settings.Zone, "other"}[i%2], signals.Unresponsive))
+		b.ReceiveReport(late, signals.Statement{Origin: fmt.Sprint("m", i), Start: 1, Seq: 1, Report: report(b, e, []string{b.settings.Zone, "other"}[i%2], signals.Unresponsive)})
 	}
 	b.Timer(late, tickToken)
 	if r := b.LocalReport(late); len(r.Verdicts) != 1 {
@@ -158,7 +158,7 @@
 		for i := from; i < to; i++ {
 			r := report(b, e, []string{b.settings.Zone, "other"}[i%2], kind)
 			r.Verdicts[0].Age = age
-			b.ReceiveReport(h.now, fmt.Sprint("m", i), 1, seq, 0, r)
+			b.ReceiveReport(h.now, signals.Statement{Origin: fmt.Sprint("m", i), Start: 1, Seq: seq, Report: r})
 		}
 		b.Timer(h.now, tickToken)
 	}
@@ -190,7 +190,7 @@
 			h.now = 10 * time.Second
 			for end := h.now + seconds*time.Second; h.now < end; h.now += tickInterval {
 				for i := range 3 {
-					b.ReceiveReport(h.now, fmt.Sprint("m", i), 1, uint64(h.now), 0, report(b, e, []string{b.settings.Zone, "other"}[i%2], signals.Unresponsive))
+					b.ReceiveReport(h.now, signals.Statement{Origin: fmt.Sprint("m", i), Start: 1, Seq: uint64(h.now), Report: report(b, e, []string{b.settings.Zone, "other"}[i%2], signals.Unresponsive)})
 				}
 				b.Timer(h.now, tickToken)
 				ask(b, h, RequestID(h.now))
--- a/balance/zones.go
+++ b/balance/zones.go
@@ -1,22 +1,37 @@
 package balance
 
-// adjustZoneWeight moves the weight that other zones get, as a share of the own zone's. Danger: a zone with
-// more traffic than its servers can carry. Elsewhere counts in full once the own zone answers later by what a
-// crossing is worth, at most the zones' bar, and not at all below half of that. It moves slowly, so that
-// turns stay even.
+const (
+	// crossingTargets is how many latency targets a crossing that costs all of a request's value is worth: it is
+	// made where the answer comes sooner by that.
+	crossingTargets = 8.0
+	// minCrossingGain is the least of the same, as a share of the shortest latency target.
+	minCrossingGain = 0.01
+	// minZoneWeight is the least weight of other zones: enough to know them.
+	minZoneWeight = 0.001
+	// zoneWeightStep is the share of its way that a tick moves the weight of other zones.
+	zoneWeightStep = 0.03
+)
+
+// adjustZoneWeight moves the weight of other zones, as a share of the own zone's, so that a zone with more
+// traffic than its servers can carry sends some elsewhere. Other zones count in full once the own one answers
+// later by what a crossing is worth, at most the threshold of full, and not at all below half of that. The
+// weight moves slowly, so that turns stay even.
 func (b *Balancer) adjustZoneWeight(now Time) {
-	var wait, size [2]float64
+	var seconds, size [2]float64
 	for _, e := range b.inUse {
-		if now >= e.ejectedUntil {
-			wait[e.zoneIndex] += b.expectedLatency(e, now) * e.Size
+		if !e.isEjected(now) {
+			seconds[e.zoneIndex] += b.expectedLatency(e, now) * e.Size
 			size[e.zoneIndex] += e.Size
 		}
 	}
-	if size[0] == 0 || size[1] == 0 {
-		b.zoneWeight[1] = 1
+	if size[ownZone] == 0 || size[otherZones] == 0 {
+		b.zoneWeight[otherZones] = 1
 		return
 	}
-	pays := min(max(crossingTargets*b.settings.ZoneCrossingCost, 0.01), spillThreshold) * b.shortestTarget
-	to := min(max(2*(wait[0]/size[0]-wait[1]/size[1])/pays-1, 0), 1)
-	b.zoneWeight[1] = max(b.zoneWeight[1]+(to*to-b.zoneWeight[1])*zoneWeightStep, minZoneWeight)
+	gainShare := min(max(crossingTargets*b.settings.ZoneCrossingCost, minCrossingGain), spillThreshold)
+	worthSeconds := gainShare * b.shortestTarget
+	gainSeconds := seconds[ownZone]/size[ownZone] - seconds[otherZones]/size[otherZones]
+	root := min(max(2*gainSeconds/worthSeconds-1, 0), 1)
+	weight := b.zoneWeight[otherZones]
+	b.zoneWeight[otherZones] = max(weight+(root*root-weight)*zoneWeightStep, minZoneWeight)
 }
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -50,7 +50,11 @@
 
 // route has the Balancer go by a table, if it may.
 func (h *host) route(u client.RouteUpdate) {
-	applied, why := h.balancer.SetRules(h.now, u.Rules)
+	err := h.balancer.SetRules(h.now, u.Rules)
+	applied, why := err == nil, ""
+	if !applied {
+		why = err.Error()
+	}
 	if h.routing.behind = !applied; applied {
 		h.routing.applied = u.Gen
 	}
--- a/internal/sidecar/signals.go
+++ b/internal/sidecar/signals.go
@@ -77,7 +77,7 @@
 			c.peers[n.Origin] = p
 			c.changed(h.now)
 		}
-		h.balancer.ReceiveReport(h.now, n.Origin, n.Start, n.Seq, n.Age, r)
+		h.balancer.ReceiveReport(h.now, signals.Statement{Origin: n.Origin, Start: n.Start, Seq: n.Seq, Age: n.Age, Report: r})
 	})
 }
 
