--- a/balance/api.go
+++ b/balance/api.go
@@ -65,7 +65,7 @@
 	ScopeCell
 )
 
-// Match, Destination and Rule are the parts of a route table.
+// Match is a part of a route table, as are Destination and Rule.
 type (
 	Match       = routes.Match
 	Destination = routes.Destination
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -39,10 +39,10 @@
 }
 
 // observeResult takes in how an attempt ended.
-func (b *Balancer) observeResult(a *attempt, r Result, now Time) {
+func (b *Balancer) observeResult(ended *attempt, r Result, now Time) {
 	b.lastResultAt = now
-	b.observeLatency(a, r)
-	e := a.endpoint
+	b.observeLatency(ended, r)
+	e := ended.endpoint
 	switch r.Outcome {
 	case Saturated: // its queue is full: as bad as an answer at the latency target
 		e.latencySum += b.shortestTarget
@@ -55,27 +55,27 @@
 		e.failureKind = signals.None
 		e.rejections = 0
 	case Errored, TimedOut, ConnectFailed, Reset:
-		b.observeFailure(a, r.Outcome, now)
+		b.observeFailure(ended, r.Outcome, now)
 	}
 }
 
 // observeFailure counts a failure, and ejects the endpoint after too many: one that fails fast looks idle and
 // would draw all requests. A failure counts less the more answers have overtaken it.
-func (b *Balancer) observeFailure(a *attempt, outcome Outcome, now Time) {
-	e := a.endpoint
-	if outcome == TimedOut && a.sentAt > e.lastServed {
-		e.failureKind = failureKinds[outcome]
-		e.failedAt = now
+func (b *Balancer) observeFailure(ended *attempt, outcome Outcome, now Time) {
+	failing := ended.endpoint
+	if outcome == TimedOut && ended.sentAt > failing.lastServed {
+		failing.failureKind = failureKinds[outcome]
+		failing.failedAt = now
 	}
-	e.failures += math.Pow(failureDecay, float64(a.flight.overtaken))
-	if e.failures < ejectionThreshold {
+	failing.failures += math.Pow(failureDecay, float64(ended.flight.overtaken))
+	if failing.failures < ejectionThreshold {
 		return
 	}
-	e.ejectedUntil = now + ejectionTime
-	e.failures = failuresAfterEjection
-	e.failureKind = failureKinds[outcome]
-	e.failedAt = now
-	b.actions.Log("ejected " + e.ID)
+	failing.ejectedUntil = now + ejectionTime
+	failing.failures = failuresAfterEjection
+	failing.failureKind = failureKinds[outcome]
+	failing.failedAt = now
+	b.actions.Log("ejected " + failing.ID)
 	b.regroup(now)
 }
 
--- a/balance/request.go
+++ b/balance/request.go
@@ -66,24 +66,24 @@
 }
 
 // sendOrFinish sends the request's next attempt, or gives its final answer if none may or should be sent.
-func (b *Balancer) sendOrFinish(q *request, now Time) {
+func (b *Balancer) sendOrFinish(req *request, now Time) {
 	var excessSeconds float64
-	if b.mayRetry(q, now) {
+	if b.mayRetry(req, now) {
 		var chosen *endpoint
-		chosen, excessSeconds = b.pickEndpoint(q, now)
+		chosen, excessSeconds = b.pickEndpoint(req, now)
 		if chosen != nil {
-			b.sendAttempt(q, chosen, now)
+			b.sendAttempt(req, chosen, now)
 			return
 		}
 		b.creditWarmingUp()
 	}
-	if b.mayRefuse(q) {
+	if b.mayRefuse(req) {
 		wait := min(max(excessSeconds, 0), b.shortestTarget)
-		b.actions.Refuse(q.ID, time.Duration(wait*float64(time.Second)))
+		b.actions.Refuse(req.ID, time.Duration(wait*float64(time.Second)))
 	} else {
-		b.actions.Fail(q.ID)
+		b.actions.Fail(req.ID)
 	}
-	b.finish(q)
+	b.finish(req)
 }
 
 // mayRetry tells whether the request has an attempt, its body and time left.
@@ -145,25 +145,25 @@
 
 // Result handles the end of an attempt. One that is unknown, or has ended before, is ignored.
 func (b *Balancer) Result(now Time, r Result) {
-	q, a := b.pendingAttempt(r.ID, r.Attempt)
-	if a == nil {
+	req, ended := b.pendingAttempt(r.ID, r.Attempt)
+	if ended == nil {
 		return
 	}
-	a.done = true
-	a.mayHaveExecuted = r.Outcome.mayHaveExecuted()
-	a.endpoint.removeFlight(a.flight, r.Outcome == Served)
-	q.pendingAttempts--
+	ended.done = true
+	ended.mayHaveExecuted = r.Outcome.mayHaveExecuted()
+	ended.endpoint.removeFlight(ended.flight, r.Outcome == Served)
+	req.pendingAttempts--
 	if r.Outcome == Served {
-		q.latency = r.Latency
-		b.observeClassLatency(q.Class, max(r.Latency.Seconds(), minLatencySeconds))
+		req.latency = r.Latency
+		b.observeClassLatency(req.Class, max(r.Latency.Seconds(), minLatencySeconds))
 	}
-	b.observeResult(a, r, now)
-	b.cancelLost(a.endpoint, now)
+	b.observeResult(ended, r, now)
+	b.cancelLost(ended.endpoint, now)
 	switch {
-	case r.Finished || q.finished:
-		b.finish(q)
-	case q.pendingAttempts == 0:
-		b.sendOrFinish(q, now)
+	case r.Finished || req.finished:
+		b.finish(req)
+	case req.pendingAttempts == 0:
+		b.sendOrFinish(req, now)
 	}
 }
 
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -15,18 +15,18 @@
 //
 // Classes of lower value are shed only while all endpoints are full: their threshold may lie under what an
 // idle slow machine takes, and quiet days would lose their even turns.
-func (b *Balancer) pickEndpoint(q *request, now Time) (chosen *endpoint, excessSeconds float64) {
-	threshold := b.latencyThreshold(q, now)
+func (b *Balancer) pickEndpoint(req *request, now Time) (chosen *endpoint, excessSeconds float64) {
+	threshold := b.latencyThreshold(req, now)
 	// An answer that comes when the client has gone is work for nothing, and its effect is not known. One
 	// client's haste prefers quick endpoints, but it refuses nothing and is no reason to shed others.
-	likelySeconds := likelyShare * (q.clientDeadline(now) - now).Seconds()
-	if probe := b.probeCandidate(q, now); probe != nil {
+	likelySeconds := likelyShare * (req.clientDeadline(now) - now).Seconds()
+	if probe := b.probeCandidate(req, now); probe != nil {
 		return probe, 0
 	}
 	excessSeconds = b.shortestTarget
 	for _, notFull := range []bool{true, false} {
 		limits := placementLimits{notFull: notFull, threshold: threshold, likelySeconds: likelySeconds}
-		excessSeconds = min(excessSeconds, b.markEligible(q, limits, now))
+		excessSeconds = min(excessSeconds, b.markEligible(req, limits, now))
 		if chosen = b.nextEndpoint(); chosen != nil {
 			return chosen, 0
 		}
@@ -34,7 +34,7 @@
 		// itself.
 		if likelySeconds >= threshold && now >= b.sheddingUntil {
 			b.sheddingUntil = now + sheddingTime
-			threshold = min(threshold, b.sheddingThreshold(q.Class))
+			threshold = min(threshold, b.sheddingThreshold(req.Class))
 		}
 	}
 	return nil, excessSeconds
@@ -49,10 +49,10 @@
 
 // markEligible marks the endpoints in use at which the request may be placed. It returns by how many seconds
 // the least of those that may get it exceeds its limit, or the shortest target where that is less.
-func (b *Balancer) markEligible(q *request, limits placementLimits, now Time) (excessSeconds float64) {
+func (b *Balancer) markEligible(req *request, limits placementLimits, now Time) (excessSeconds float64) {
 	excessSeconds = b.shortestTarget
 	for _, e := range b.inUse {
-		e.eligible = b.mayPlace(q, e, now)
+		e.eligible = b.mayPlace(req, e, now)
 		excess := b.expectedLatency(e, now) - b.latencyLimit(e, limits)
 		if !e.eligible {
 			continue
--- a/balance/snapshot.go
+++ b/balance/snapshot.go
@@ -158,17 +158,17 @@
 	}
 }
 
-func (b *Balancer) restoreEndpoint(s EndpointSnapshot, now Time, age time.Duration) {
-	e := b.byID[s.ID]
-	if e == nil || e.Started != s.Started || !s.isValid() {
+func (b *Balancer) restoreEndpoint(saved EndpointSnapshot, now Time, age time.Duration) {
+	e := b.byID[saved.ID]
+	if e == nil || e.Started != saved.Started || !saved.isValid() {
 		return
 	}
-	e.latencySums = s.sums()
-	e.freshness = s.Freshness
-	e.failures = s.Failures
-	e.turnCredit = s.TurnCredit
-	e.warmUpStart = cmp.Or(min(max(s.WarmUpStart, 0), now), e.warmUpStart)
-	if s.EjectedFor > age {
-		e.ejectedUntil = now + s.EjectedFor - age
+	e.latencySums = saved.sums()
+	e.freshness = saved.Freshness
+	e.failures = saved.Failures
+	e.turnCredit = saved.TurnCredit
+	e.warmUpStart = cmp.Or(min(max(saved.WarmUpStart, 0), now), e.warmUpStart)
+	if saved.EjectedFor > age {
+		e.ejectedUntil = now + saved.EjectedFor - age
 	}
 }
--- a/balance/subsetting.go
+++ b/balance/subsetting.go
@@ -51,20 +51,20 @@
 // selectSubset selects the part of a group that this sidecar uses, so large that each member gets a request
 // within memoryTTL. Members that are ejected are replaced. As neighbours by name fail together, and all who
 // replace them would turn to the next, sidecars that know each other go by an order of hashes.
-func (b *Balancer) selectSubset(g *group, trafficShare float64, now Time) {
-	count := len(g.ready)
+func (b *Balancer) selectSubset(target *group, trafficShare float64, now Time) {
+	count := len(target.ready)
 	first, wanted := subset.ForIndex(count, b.settings.Index, trafficShare)
 	if count > 0 && now >= b.levelCheckedAt+levelInterval {
 		b.updateTrafficLevel(trafficShare, now)
 	}
 	if b.amongAlike.count > 0 {
-		slices.SortFunc(g.ready, func(x, y *endpoint) int { return cmp.Compare(x.orderHash(), y.orderHash()) })
+		slices.SortFunc(target.ready, func(x, y *endpoint) int { return cmp.Compare(x.orderHash(), y.orderHash()) })
 		first, wanted = subset.ForMember(count, b.trafficLevel, b.amongAlike.index, b.amongAlike.count)
 	}
-	g.members = g.members[:0]
+	target.members = target.members[:0]
 	for i := 0; i < count && wanted > 0; i++ {
-		e := g.ready[(first+i)%count]
-		g.members = append(g.members, e)
+		e := target.ready[(first+i)%count]
+		target.members = append(target.members, e)
 		if !e.isEjected(now) {
 			wanted--
 		}
