--- a/balance/hitters/hitters.go
+++ b/balance/hitters/hitters.go
@@ -1,18 +1,27 @@
-// Package hitters finds, over all sidecars of a fleet, the clients that ask for a large share of the servers' work, and
-// says what each of them gives up while the servers are full.
+// Package hitters finds, over all sidecars of a fleet, the clients that ask for a large share of the servers' work (heavy
+// hitters), and says what each of them gives up while the servers are full.
 //
-// A sidecar counts work by client in bounded memory (Summary) and tells the others, a window at a time, its total and its
-// few largest (Report). A Judge holds the latest of what each origin told, weighs it, and moves clients through the states
-// below. It is a pure state machine: no clock, goroutine, lock or I/O, and the same calls always give the same states.
+// A sidecar counts work by client in bounded memory (Summary) and reports to the others, a window at a time, its total and its
+// few largest clients (Report). A Detector holds the latest report of each origin, sums them up, and moves clients through the
+// states below. It is a pure state machine: it has no clock, goroutine, lock or I/O, and the same calls always give the same
+// states.
 //
-// What it promises:
+// # Terms
 //
-//   - Whatever one origin tells, a client is held for heavy only if its share of the work that the others told reaches
-//     the upper bar; the largest of the others may be taken for no more than four times the next. See fleet.surely.
-//   - A sidecar alone, or cut off, judges by its own part alone, as do all once news is older than the bound.
-//   - One origin's word counts once: its newest replaces its older, in any order, repeated or late.
-//   - A heavy client keeps its fair share by max-min over all clients, and at the worst a tenth of the lower bar's share
-//     of what is served. Others lose nothing to it, and while there is room nobody loses anything.
+//   - An origin is a sidecar as the source of reports. Work is servers' time, in microseconds of any unit that all share.
+//   - The high and low thresholds are shares of the fleet's work, above which a client is suspected and below which a heavy one
+//     cools.
+//   - A rejected request is one that a heavy client is refused so that others are served.
+//
+// # Invariants
+//
+//   - Whatever one origin reports, a client is heavy only if its share of the work that the others reported reaches the high
+//     threshold; the largest total of the others counts for no more than four times the next. See fleet.share. (TestOneLiar
+//     draws such origins.)
+//   - A sidecar alone, or cut off, goes by its own work alone, as do all once reports are older than their TTL.
+//   - One origin counts once: its newest report replaces its older ones, in any order, duplicated or late.
+//   - A heavy client keeps its fair share by max-min over all clients, and at the worst a tenth of the low threshold's share of
+//     what is served. Others lose nothing to it, and while there is capacity nobody loses anything.
 //   - Memory is bounded whatever clients are called: under 64 kB with 300 origins.
 package hitters
 
@@ -20,7 +29,6 @@
 	"errors"
 	"fmt"
 	"math"
-	"strings"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
@@ -29,136 +37,92 @@
 // Time is a reading of the host's monotonic clock, from any origin.
 type Time = time.Duration
 
-// The bounds.
+// The bounds of what is counted, held and reported.
 const (
 	maxCounters         = 64   // clients counted in a window: a count is at most 1/65 of the total too low
 	windows             = 2    // that a report covers
 	maxNamed            = 11   // clients named in a report
-	maxOrigins          = 1024 // that are listened to
-	maxClients          = 48   // held in a state other than quiet: as many as can be above the lower bar
-	namedFraction       = 4    // a report names clients whose share of the sidecar's own work is the bar's part of that
-	maxReportsPerWindow = 150  // tell their report in a window
-	maxNameBytes        = 24   // bytes of a client's name that are kept for logs
+	maxOrigins          = 1024 // whose reports are held
+	maxClients          = 48   // in a state other than quiet: as many as can be above the low threshold
+	namedFraction       = 4    // a report names clients above this fraction of the high threshold, of the sidecar's own work
+	maxReportsPerWindow = 150  // of all sidecars
+	maxNameBytes        = 24   // of a client's name, kept for logs
 	fullShare           = math.MaxUint16
-	maxTotal            = 1 << 44          // microseconds of work a second
-	maxRequestWork      = time.Hour        // of one request
-	minHighThreshold    = 2. / maxCounters // under it a share could not be told from the error of the counts
-	minLowThreshold     = 1. / maxClients
-	maxDuration         = 10 * time.Minute // of any setting
+	maxTotal            = 1 << 44   // microseconds of work a second
+	maxRequestWork      = time.Hour // of one request
+	maxDuration         = 10 * time.Minute
+)
+
+// The bounds of the thresholds.
+const (
+	minHighThreshold = 2. / maxCounters // a lower share could not be told from the error of the counts
+	minLowThreshold  = 1. / maxClients
+	minWindow        = 10 * time.Millisecond
 )
 
-// Settings are what a Judge is told at its start.
+// Settings are what a Detector gets at its start.
 type Settings struct {
 	Origin        uint64        // names this sidecar, as Key of its name
 	HighThreshold float64       // share of the fleet's work above which a client is suspected
-	LowThreshold  float64       // share under which a heavy one cools
+	LowThreshold  float64       // share below which a heavy one cools
 	Window        time.Duration // between reports; a report covers two
-	SuspicionTime time.Duration // a suspected client must stay above High: a little less than whole windows, which do not end to the dot
-	CoolingTime   time.Duration // a cooling one is remembered
-	ReportTTL     time.Duration // news that is older counts for nothing
+	// SuspicionTime is how long a suspected client must stay above HighThreshold: a little less than complete windows, which
+	// do not end on the dot.
+	SuspicionTime time.Duration
+	CoolingTime   time.Duration // for which a cooling client is remembered
+	ReportTTL     time.Duration // reports that are older count for nothing
 }
 
-// Defaults are the settings of a sidecar that is told none.
+// Defaults are the settings of a sidecar that is given none.
 func Defaults() Settings {
-	return Settings{HighThreshold: 0.04, LowThreshold: 0.025, Window: 500 * time.Millisecond, SuspicionTime: 400 * time.Millisecond, CoolingTime: 5 * time.Second,
-		ReportTTL: 2 * time.Second}
-}
-
-// check says what is wrong with the settings, naming the field.
-func (s Settings) check() error {
-	if !(s.HighThreshold >= minHighThreshold && s.HighThreshold < 1) {
-		return fmt.Errorf("field High: %v is not from %.3f to under 1", s.HighThreshold, minHighThreshold)
-	}
-	if !(s.LowThreshold >= minLowThreshold && s.LowThreshold <= s.HighThreshold) {
-		return fmt.Errorf("field Low: %v is not from %.3f to High", s.LowThreshold, minLowThreshold)
-	}
-	var all error
-	for _, f := range []struct {
-		name  string
-		value time.Duration
-		least time.Duration
-	}{{"Window", s.Window, 10 * time.Millisecond}, {"Hold", s.SuspicionTime, 0}, {"Cool", s.CoolingTime, 0}, {"Bound", s.ReportTTL, s.Window}} {
-		if f.value < f.least || f.value > maxDuration {
-			all = errors.Join(all, fmt.Errorf("field %s: %v is not from %v to %v", f.name, f.value, f.least, maxDuration))
-		}
+	return Settings{
+		HighThreshold: 0.04,
+		LowThreshold:  0.025,
+		Window:        500 * time.Millisecond,
+		SuspicionTime: 400 * time.Millisecond,
+		CoolingTime:   5 * time.Second,
+		ReportTTL:     2 * time.Second,
 	}
-	return all
 }
 
-// Key is the 64-bit xxHash of a client's name, or of an origin's, mixed with a salt that the fleet shares. Danger:
-// whoever knows the salt can make a name that falls together with another's; then both count as one.
-func Key(salt uint64, name string) uint64 {
-	var d xxhash.Digest
-	d.ResetWithSeed(salt)
-	_, _ = d.WriteString(name) // never fails
-	return d.Sum64()
+// SettingsError says which field of the settings cannot be used, and why.
+type SettingsError struct {
+	Field   string
+	Problem string
 }
 
-// State is what a client is held for.
-type State uint8
+func (e *SettingsError) Error() string { return "field " + e.Field + ": " + e.Problem }
 
-// The states of a client.
-const (
-	Quiet     State = iota // not held at all
-	Suspected              // above the upper bar, but not for long enough
-	Heavy                  // gives way while servers are full
-	Cooling                // under the lower bar since a while: served as all, and heavy at once when above the upper
-)
-
-// String implements fmt.Stringer.
-func (s State) String() string {
-	if names := [...]string{"quiet", "suspected", "heavy", "cooling"}; int(s) < len(names) {
-		return names[s]
-	}
-	return fmt.Sprintf("State(%d)", uint8(s))
-}
-
-// Client is one that is, or until now was, in a state other than quiet.
-type Client struct {
-	Key           uint64
-	Name          string  // its name's beginning; "": no request of it came here since it is suspected
-	State         State   // now
-	Since         Time    // when it got there
-	Share         float64 // of the fleet's work, at the least
-	ShareError    float64 // and at the most this much above that
-	AdmittedShare float64 // share of its requests that are served while servers are full
-	credit        float64 // towards the next such request
-	rejecting     bool    // it began to give way, and there is no room for all of it yet
-}
-
-// Detector holds what the origins told and who is heavy by it. It must not be used by two goroutines at once.
-type Detector struct {
-	settings       Settings
-	current        window          // of this sidecar, being counted
-	closed         [windows]window // the last ones
-	seq            uint64          // of the own reports
-	reports        []*storedReport // by origin
-	clients        []*Client       // by key
-	rejected       uint64          // requests that gave way
-	capacity       float64         // work that servers do, as far as is known
-	unusedCapacity float64         // of which this much is let in besides what is served, as it seems to be left undone
-}
-
-// New returns a Judge, or an error that says what is wrong with the settings. Without settings there is none.
-func New(set *Settings) (*Detector, error) {
-	if set == nil {
-		return nil, nil
+// check returns what is wrong with the settings, naming the field.
+func (s Settings) check() error {
+	if !(s.HighThreshold >= minHighThreshold && s.HighThreshold < 1) {
+		problem := fmt.Sprintf("%v is not from %.3f to under 1", s.HighThreshold, minHighThreshold)
+		return &SettingsError{Field: "HighThreshold", Problem: problem}
 	}
-	if err := set.check(); err != nil {
-		return nil, fmt.Errorf("hitters: %w", err)
+	if !(s.LowThreshold >= minLowThreshold && s.LowThreshold <= s.HighThreshold) {
+		problem := fmt.Sprintf("%v is not from %.3f to HighThreshold", s.LowThreshold, minLowThreshold)
+		return &SettingsError{Field: "LowThreshold", Problem: problem}
 	}
-	return &Detector{settings: *set}, nil
+	return errors.Join(
+		checkDuration("Window", s.Window, minWindow),
+		checkDuration("SuspicionTime", s.SuspicionTime, 0),
+		checkDuration("CoolingTime", s.CoolingTime, 0),
+		checkDuration("ReportTTL", s.ReportTTL, s.Window),
+	)
 }
 
-// SetName has a client that is held be known by its name in logs.
-func (j *Detector) SetName(key uint64, name string) {
-	if i, held := j.find(key); held && j.clients[i].Name == "" {
-		j.clients[i].Name = strings.ToValidUTF8(strings.Clone(name[:min(len(name), maxNameBytes)]), "")
+func checkDuration(field string, value, low time.Duration) error {
+	if value >= low && value <= maxDuration {
+		return nil
 	}
+	return &SettingsError{Field: field, Problem: fmt.Sprintf("%v is not from %v to %v", value, low, maxDuration)}
 }
 
-// Rejected counts the requests that were to give way.
-func (j *Detector) Rejected() uint64 { return j.rejected }
-
-// Clients returns those that are held, by key. They change at the next Roll.
-func (j *Detector) Clients() []*Client { return j.clients }
+// Key is the 64-bit xxHash of a client's name, or of an origin's, mixed with a salt that the fleet shares. Whoever knows the
+// salt can make a name that collides with another's; then both count as one.
+func Key(salt uint64, name string) uint64 {
+	var digest xxhash.Digest
+	digest.ResetWithSeed(salt)
+	_, _ = digest.WriteString(name) // never fails
+	return digest.Sum64()
+}
--- /dev/null
+++ b/balance/hitters/observations.go
@@ -0,0 +1,193 @@
+package hitters
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+)
+
+// OriginReport is a report as it arrives from a member, or as this sidecar makes it.
+type OriginReport struct {
+	Origin uint64 // Key of its name
+	Start  int64  // of its process: a later process has a higher one
+	Seq    uint64 // rises within a process
+	Age    time.Duration
+	Report Report
+}
+
+// storedReport is an origin's latest report.
+type storedReport struct {
+	origin uint64
+	start  int64
+	seq    uint64
+	madeAt Time
+	Report
+}
+
+// window is what a sidecar counted in a stretch of time.
+type window struct {
+	Summary
+	served    uint64 // work, of its total
+	requests  uint64
+	startedAt Time
+	length    time.Duration
+}
+
+// reportsGrowth is by how many the room for reports grows: not by twice as many, as memory is bounded.
+const reportsGrowth = 32
+
+// Observe counts what a request of a client took, or would have taken, and whether it was served. If what is rejected did not
+// count, a flood would pass for gone while it is rejected, and be admitted again.
+func (d *Detector) Observe(key uint64, work time.Duration, served bool) {
+	microseconds := uint64(min(max(work, 0), maxRequestWork) / time.Microsecond)
+	d.current.Add(key, microseconds)
+	d.current.requests++
+	if served {
+		d.current.served += microseconds
+	}
+}
+
+// Receive takes in a report of another origin, and tells whether it is the latest of it, and not older than the TTL. What others
+// send in this sidecar's name is neither.
+//
+// A report that was dropped for its age cannot return as an older one: that would be older still.
+func (d *Detector) Receive(now Time, r OriginReport) bool {
+	isFresh := r.Age >= 0 && r.Age <= d.settings.ReportTTL
+	return r.Origin != d.settings.Origin && isFresh && d.store(now, r)
+}
+
+// store holds a report for its origin, unless a later one is held that counts.
+func (d *Detector) store(now Time, r OriginReport) bool {
+	i, held := slices.BinarySearchFunc(d.reports, r.Origin, func(s *storedReport, origin uint64) int {
+		return cmp.Compare(s.origin, origin)
+	})
+	switch {
+	case held:
+		if !d.reports[i].isSuperseded(now, r, d.settings.ReportTTL) {
+			return false
+		}
+	case len(d.reports) >= maxOrigins:
+		return false
+	default:
+		if len(d.reports) == cap(d.reports) {
+			d.reports = slices.Grow(d.reports, reportsGrowth)
+		}
+		d.reports = slices.Insert(d.reports, i, &storedReport{})
+	}
+	*d.reports[i] = storedReport{origin: r.Origin, start: r.Start, seq: r.Seq, madeAt: now - r.Age, Report: r.Report}
+	return true
+}
+
+// isSuperseded tells whether a report is newer than the stored one, or that is too old to count.
+func (s *storedReport) isSuperseded(now Time, r OriginReport, ttl time.Duration) bool {
+	order := cmp.Or(cmp.Compare(r.Start, s.start), cmp.Compare(r.Seq, s.seq))
+	return order > 0 || now-s.madeAt > ttl
+}
+
+// closeWindow closes the window, holds the own report over the last ones, and returns it.
+func (d *Detector) closeWindow(now Time) OriginReport {
+	d.current.length = now - d.current.startedAt
+	reused := d.closed[0].Summary
+	copy(d.closed[:], d.closed[1:])
+	d.closed[windows-1] = d.current
+	reused.reset()
+	d.current = window{Summary: reused, startedAt: now}
+	d.seq++
+	minShare := uint16(d.settings.HighThreshold / namedFraction * fullShare)
+	own := OriginReport{Origin: d.settings.Origin, Seq: d.seq, Report: summarize(d.closed[:], minShare)}
+	d.store(now, own)
+	d.reports = slices.DeleteFunc(d.reports, func(s *storedReport) bool { return now-s.madeAt > d.settings.ReportTTL })
+	return own
+}
+
+// fleet is the work of all clients by all reports, in microseconds a second.
+type fleet struct{ total, served, requests, err uint64 }
+
+// tally is the work of one client.
+type tally struct {
+	key          uint64
+	total        uint64
+	largestOther uint64 // of the total, by the one other origin that reports most of it
+}
+
+// largestTotals returns the largest total that another origin reported, and the next of all.
+func (d *Detector) largestTotals() (first, next uint64) {
+	for _, r := range d.reports {
+		if r.origin == d.settings.Origin {
+			next = max(next, r.Total)
+			continue
+		}
+		next = max(next, min(first, r.Total))
+		first = max(first, r.Total)
+	}
+	return first, next
+}
+
+// cappedTotal is what a report's total counts for.
+func (d *Detector) cappedTotal(r *storedReport, maxOther uint64) uint64 {
+	if r.origin == d.settings.Origin {
+		return r.Total
+	}
+	return min(r.Total, maxOther)
+}
+
+// sumReports sums the reports, another origin's total counting for no more than a bound: over all, and for each client that is
+// held or may have more than 1/65 of it. The order of the reports plays no part in the sums.
+func (d *Detector) sumReports(maxOther uint64) (f fleet, tallies []tally) {
+	var candidates Summary
+	for _, r := range d.reports {
+		total := d.cappedTotal(r, maxOther)
+		f.total += total
+		f.served += total * uint64(r.Served) / fullShare
+		f.err += total * uint64(r.Err) / fullShare
+		f.requests += uint64(r.Requests)
+		for i := range r.Named {
+			candidates.put(r.Keys[i], total*uint64(r.Shares[i])/fullShare)
+		}
+	}
+	keys := candidates.keys
+	for _, c := range d.clients {
+		if !slices.Contains(keys, c.Key) {
+			keys = append(keys, c.Key)
+		}
+	}
+	slices.Sort(keys)
+	for _, key := range keys {
+		tallies = append(tallies, d.tallyOf(key, maxOther))
+	}
+	return f, tallies
+}
+
+// tallyOf sums the work of one client.
+func (d *Detector) tallyOf(key, maxOther uint64) tally {
+	t := tally{key: key}
+	for _, r := range d.reports {
+		i := slices.Index(r.Keys[:r.Named], key)
+		if i < 0 {
+			continue
+		}
+		part := d.cappedTotal(r, maxOther) * uint64(r.Shares[i]) / fullShare
+		t.total += part
+		if r.origin != d.settings.Origin {
+			t.largestOther = max(t.largestOther, part)
+		}
+	}
+	return t
+}
+
+// maxMin is the level up to which each client gets what it asks for, so that together they get what is left: the max-min fair
+// share, found by filling up from the least (Bertsekas and Gallager, Data networks, 1992, 6.5.2). It is infinite where all can
+// have all, and below 0 where less than nothing is left. It sorts the tallies by what clients ask for.
+func maxMin(left float64, tallies []tally) float64 {
+	slices.SortFunc(tallies, func(x, y tally) int {
+		return cmp.Or(cmp.Compare(x.total, y.total), cmp.Compare(x.key, y.key))
+	})
+	for i, t := range tallies {
+		if each := left / float64(len(tallies)-i); each < float64(t.total) {
+			return each
+		}
+		left -= float64(t.total)
+	}
+	return math.Inf(1)
+}
--- a/balance/hitters/report.go
+++ b/balance/hitters/report.go
@@ -4,13 +4,14 @@
 	"cmp"
 	"encoding/binary"
 	"errors"
+	"math"
 	"math/bits"
 	"slices"
 	"time"
 )
 
-// Report is what an origin tells of its last windows. Shares are of its total, in units of 1/65535. Memory is bounded by
-// its size, so it holds arrays and not slices.
+// Report is what an origin reports of its last windows. Shares are of its total, in units of 1/65535. Memory is bounded by its
+// size, so it holds arrays and not slices.
 type Report struct {
 	Total    uint64 // work a second, asked for, in microseconds of any unit that all share
 	Requests uint32 // counted
@@ -21,19 +22,26 @@
 	Keys     [maxNamed]uint64
 }
 
+// MaxReportBytes bounds what ParseReport reads.
+const MaxReportBytes = 400
+
+// The form of an encoded report.
 const (
-	layoutVersion  = 1   // of a report's bytes. A later one may add bytes behind, which are passed over
-	MaxReportBytes = 400 // bytes
+	layoutVersion    = 1 // a later layout of the same number may add bytes behind, which are ignored
+	fixedFieldsBytes = 5 // Served, Err and Named
+	keyBytes         = 8
+	clientBytes      = 10 // a key and its share
 )
 
-// ReportInterval is in how many windows a sidecar tells its report once, among so many members. Danger: what they all tell in a second
-// would grow with their number, and past some 150 of them it would fill the gossip, so that no news comes in time.
-func ReportInterval(members int) uint64 { return uint64(1 + max(members-1, 0)/maxReportsPerWindow) }
+// ErrInvalidReport says that bytes are no report of this layout, or one that could not be true.
+var ErrInvalidReport = errors.New("hitters: no report of this layout")
 
-var errInvalidReport = errors.New("hitters: no report of this layout")
+// ReportInterval is in how many windows a sidecar sends its report once, among so many members. What they all send in a second
+// would grow with their number, and past some 150 of them it would fill the gossip, so that no report comes in time.
+func ReportInterval(members int) uint64 { return uint64(1 + max(members-1, 0)/maxReportsPerWindow) }
 
-// Append appends the report's bytes: layout, total and requests as varints, served, err, the number of keys, and a
-// key's eight bytes with its share's two each. It is 131 bytes at most.
+// Append appends the report's bytes: layout, total and requests as varints, served, err, the number of keys, and a key's eight
+// bytes with its share's two each. It is 131 bytes at most.
 func (r *Report) Append(to []byte) []byte {
 	to = append(to, layoutVersion)
 	to = binary.AppendUvarint(to, r.Total)
@@ -48,85 +56,131 @@
 	return to
 }
 
-// ParseReport reads a report's bytes. What it refuses could not be true: shares of more than the whole, out of order, or
-// told twice, and totals beyond what any fleet does.
-func ParseReport(from []byte) (Report, error) {
-	var r Report
-	if len(from) > MaxReportBytes || len(from) == 0 || from[0] != layoutVersion {
-		return r, errInvalidReport
+// ParseReport reads a report's bytes. What it refuses with ErrInvalidReport could not be true: shares of more than the total, out
+// of order, or named twice, and totals beyond what any fleet does.
+func ParseReport(encoded []byte) (Report, error) {
+	if len(encoded) > MaxReportBytes || len(encoded) == 0 || encoded[0] != layoutVersion {
+		return Report{}, ErrInvalidReport
 	}
-	from = from[1:]
-	total, n := binary.Uvarint(from)
-	if n <= 0 || total > maxTotal {
-		return r, errInvalidReport
+	total, rest, ok := cutUvarint(encoded[1:], maxTotal)
+	if !ok {
+		return Report{}, ErrInvalidReport
 	}
-	from = from[n:]
-	requests, n := binary.Uvarint(from)
-	if n <= 0 || requests > 1<<32-1 || len(from) < n+5 {
-		return r, errInvalidReport
+	requests, rest, ok := cutUvarint(rest, math.MaxUint32)
+	if !ok || len(rest) < fixedFieldsBytes {
+		return Report{}, ErrInvalidReport
 	}
-	from = from[n:]
-	r = Report{Total: total, Requests: uint32(requests), Served: binary.BigEndian.Uint16(from), Err: binary.BigEndian.Uint16(from[2:]), Named: from[4]}
-	if from = from[5:]; r.Named > maxNamed || len(from) < 10*int(r.Named) {
-		return Report{}, errInvalidReport
+	r := Report{
+		Total:    total,
+		Requests: uint32(requests),
+		Served:   binary.BigEndian.Uint16(rest),
+		Err:      binary.BigEndian.Uint16(rest[2:]),
+		Named:    rest[4],
 	}
-	sum, last := 0, uint16(fullShare)
+	if !r.parseClients(rest[fixedFieldsBytes:]) {
+		return Report{}, ErrInvalidReport
+	}
+	return r, nil
+}
+
+// cutUvarint reads a number up to a bound, and returns what follows it.
+func cutUvarint(from []byte, bound uint64) (value uint64, rest []byte, ok bool) {
+	value, size := binary.Uvarint(from)
+	if size <= 0 || value > bound {
+		return 0, nil, false
+	}
+	return value, from[size:], true
+}
+
+// parseClients reads the clients that are named, and tells whether they may be true.
+func (r *Report) parseClients(from []byte) bool {
+	if r.Named > maxNamed || len(from) < clientBytes*int(r.Named) {
+		return false
+	}
+	sum, previous := 0, uint16(fullShare)
 	for i := range int(r.Named) {
-		key, share := binary.BigEndian.Uint64(from[10*i:]), binary.BigEndian.Uint16(from[10*i+8:])
+		client := from[clientBytes*i:]
+		key, share := binary.BigEndian.Uint64(client), binary.BigEndian.Uint16(client[keyBytes:])
 		sum += int(share)
-		if share == 0 || share > last || sum > fullShare || slices.Contains(r.Keys[:i], key) {
-			return Report{}, errInvalidReport
+		if share == 0 || share > previous || sum > fullShare || slices.Contains(r.Keys[:i], key) {
+			return false
 		}
-		r.Keys[i], r.Shares[i], last = key, share, share
+		r.Keys[i], r.Shares[i] = key, share
+		previous = share
 	}
-	return r, nil
+	return true
 }
 
-// summarize sums the windows up. Clients under least of the total are left out, to keep reports short.
-func summarize(from []window, least uint16) Report {
-	var all Summary
-	var served, requests uint64
-	var span time.Duration
+// summarize sums windows up. Clients under a share of the total are left out, to keep reports short.
+func summarize(from []window, minShare uint16) Report {
+	var all window
 	for i := range from {
 		all.Merge(&from[i].Summary)
-		served += from[i].served
-		requests += from[i].requests
-		span += from[i].length
+		all.served += from[i].served
+		all.requests += from[i].requests
+		all.length += from[i].length
 	}
 	total := all.Total()
-	if total == 0 || span <= 0 {
+	if total == 0 || all.length <= 0 {
 		return Report{}
 	}
-	r := Report{Total: min(uint64(float64(total)/span.Seconds()), maxTotal), Requests: uint32(min(requests, 1<<32-1)),
-		Served: fractionOf(served, total, false)}
-	order := make([]int, len(all.keys))
+	r := Report{
+		Total:    perSecond(total, all.length),
+		Requests: uint32(min(all.requests, math.MaxUint32)),
+		Served:   fractionOf(all.served, total),
+	}
+	omitted := r.nameClients(&all.Summary, minShare)
+	// One unit more, as the shares are rounded down.
+	r.Err = uint16(min(int(fractionAbove(min(all.Err()+omitted, total), total))+1, fullShare))
+	return r
+}
+
+func perSecond(work uint64, length time.Duration) uint64 {
+	return min(uint64(float64(work)/length.Seconds()), maxTotal)
+}
+
+// nameClients names the largest clients, and returns the work of the largest one that it left out.
+func (r *Report) nameClients(all *Summary, minShare uint16) (omitted uint64) {
+	for _, i := range all.byWork() {
+		share := fractionOf(all.work[i], all.total)
+		if share == 0 || share < minShare || r.Named == maxNamed {
+			return all.work[i]
+		}
+		r.Keys[r.Named], r.Shares[r.Named] = all.keys[i], share
+		r.Named++
+	}
+	return 0
+}
+
+// byWork are the indexes of the counters, the largest first.
+func (s *Summary) byWork() []int {
+	order := make([]int, len(s.keys))
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortFunc(order, func(x, y int) int {
-		return cmp.Or(cmp.Compare(all.work[y], all.work[x]), cmp.Compare(all.keys[x], all.keys[y]))
+		return cmp.Or(cmp.Compare(s.work[y], s.work[x]), cmp.Compare(s.keys[x], s.keys[y]))
 	})
-	omitted := uint64(0)
-	for _, i := range order {
-		part := fractionOf(all.work[i], total, false)
-		if part == 0 || part < least || r.Named == maxNamed {
-			omitted = all.work[i]
-			break
-		}
-		r.Keys[r.Named], r.Shares[r.Named] = all.keys[i], part
-		r.Named++
+	return order
+}
+
+// fractionOf is part of total in units of 1/65535, rounded down.
+func fractionOf(part, total uint64) uint16 {
+	quotient, _ := divide(part, total)
+	return uint16(quotient)
+}
+
+// fractionAbove is the same, rounded up.
+func fractionAbove(part, total uint64) uint16 {
+	quotient, remainder := divide(part, total)
+	if remainder > 0 {
+		quotient++
 	}
-	// One unit more, as the shares are rounded down.
-	r.Err = uint16(min(int(fractionOf(min(all.Err()+omitted, total), total, true))+1, fullShare))
-	return r
+	return uint16(quotient)
 }
 
-// fractionOf is part of total in units of 1/65535.
-func fractionOf(part, total uint64, up bool) uint16 {
+// divide divides fullShare times a part, which may need more than 64 bits.
+func divide(part, total uint64) (quotient, remainder uint64) {
 	high, low := bits.Mul64(min(part, total), fullShare)
-	q, rest := bits.Div64(high, low, total)
-	if up && rest > 0 {
-		q++
-	}
-	return uint16(q)
+	return bits.Div64(high, low, total)
 }
--- a/balance/hitters/summary.go
+++ b/balance/hitters/summary.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// put adds work to a key's counter. Where none is left, the least is taken from all counters and from the work: each
-// unit by which counts get too low uses up one of every counter and one of the work, so counters+1 of the total.
+// put adds work to a key's counter. Where none is left, the least is taken from all counters and from the work: each unit by
+// which counts get too low uses up one of every counter and one of the work, so counters+1 of the total.
 func (s *Summary) put(key, work uint64) {
 	if i := slices.Index(s.keys, key); i >= 0 {
 		s.work[i] += work
@@ -55,22 +55,28 @@
 		least := min(work, slices.Min(s.work))
 		s.err += least
 		work -= least
-		kept := 0
-		for i, w := range s.work {
-			if w > least {
-				s.keys[kept], s.work[kept] = s.keys[i], w-least
-				kept++
-			}
-		}
-		s.keys, s.work = s.keys[:kept], s.work[:kept]
+		s.subtract(least)
+	}
+	if work == 0 {
+		return
 	}
-	if work > 0 {
-		if s.keys == nil {
-			s.keys, s.work = make([]uint64, 0, maxCounters), make([]uint64, 0, maxCounters)
+	if s.keys == nil {
+		s.keys, s.work = make([]uint64, 0, maxCounters), make([]uint64, 0, maxCounters)
+	}
+	s.keys, s.work = append(s.keys, key), append(s.work, work)
+}
+
+// subtract takes work from all counters, and frees those that have no more.
+func (s *Summary) subtract(least uint64) {
+	left := 0
+	for i, work := range s.work {
+		if work > least {
+			s.keys[left], s.work[left] = s.keys[i], work-least
+			left++
 		}
-		s.keys, s.work = append(s.keys, key), append(s.work, work)
 	}
+	s.keys, s.work = s.keys[:left], s.work[:left]
 }
 
-// reset forgets all, and keeps the room.
+// reset forgets all, and keeps the memory.
 func (s *Summary) reset() { *s = Summary{keys: s.keys[:0], work: s.work[:0]} }
