--- a/balance/routes/check.go
+++ b/balance/routes/check.go
@@ -12,81 +12,116 @@
 	MaxRules        = 20_000
 	MaxDestinations = 128     // of a rule
 	MaxTags         = 16      // of a match
-	MaxTextBytes    = 128     // bytes of a name, a tag or a value
+	MaxTextBytes    = 128     // of a name, a tag or a value
 	MaxTableBytes   = 4 << 20 // of a table: its texts, and some for each of its parts
 )
 
-// Check says what is wrong with a table, naming the rule and its field: it is over a bound, two rules have one name, two
+// What each part of a table counts for besides its texts, in bytes.
+const (
+	tagBytes         = 2
+	ruleBytes        = 4
+	destinationBytes = 12
+)
+
+var (
+	errSameName = errors.New("another rule has this name")
+	errNoText   = errors.New("it is missing")
+	errNotUTF8  = errors.New("it is no UTF-8") // and would be another text at the next reader
+)
+
+// FieldError says which field of a rule is wrong, and how.
+type FieldError struct {
+	Field string
+	Err   error
+}
+
+func (e *FieldError) Error() string { return "field " + e.Field + ": " + e.Err.Error() }
+
+// Unwrap returns what is wrong with the field.
+func (e *FieldError) Unwrap() error { return e.Err }
+
+func badField(field, format string, args ...any) error {
+	return &FieldError{Field: field, Err: fmt.Errorf(format, args...)}
+}
+
+func destinationField(i int) string { return fmt.Sprintf("Destinations[%d]", i) }
+
+// Check returns what is wrong with a table, naming the rule and its field: it exceeds a bound, two rules have one name, two
 // destinations of a rule one match, or CheckRule refuses a rule.
 func (t Table) Check() error {
 	if len(t) > MaxRules {
 		return fmt.Errorf("%d rules: %d at most", len(t), MaxRules)
 	}
 	names := make(map[string]bool, len(t))
-	for i, r := range t {
-		err := r.check()
-		if names[r.Name] && err == nil {
-			err = errors.New("another rule has this name")
+	for i, rule := range t {
+		err := rule.check()
+		if err == nil && names[rule.Name] {
+			err = errSameName
 		}
 		if err != nil {
-			return fmt.Errorf("rule %d, %.60q: %w", i, r.Name, err)
+			return fmt.Errorf("rule %d, %.60q: %w", i, rule.Name, err)
 		}
-		names[r.Name] = true
+		names[rule.Name] = true
 	}
-	if n := t.sizeBytes(); n > MaxTableBytes {
-		return fmt.Errorf("the table takes %d bytes: %d at most", n, MaxTableBytes)
+	if size := t.sizeBytes(); size > MaxTableBytes {
+		return fmt.Errorf("the table takes %d bytes: %d at most", size, MaxTableBytes)
 	}
 	return nil
 }
 
 // sizeBytes is what MaxTableBytes bounds.
 func (t Table) sizeBytes() (sum int) {
-	match := func(m Match) {
-		for tag, v := range m {
-			sum += len(tag) + len(v) + 2
+	for _, rule := range t {
+		sum += len(rule.Name) + ruleBytes + rule.Source.sizeBytes() + rule.Service.sizeBytes()
+		for _, destination := range rule.Destinations {
+			sum += destinationBytes + destination.Match.sizeBytes()
 		}
 	}
-	for _, r := range t {
-		sum += len(r.Name) + 4
-		match(r.Source)
-		match(r.Service)
-		for _, d := range r.Destinations {
-			sum += 12
-			match(d.Match)
-		}
+	return sum
+}
+
+func (m Match) sizeBytes() (sum int) {
+	for tag, value := range m {
+		sum += len(tag) + len(value) + tagBytes
 	}
 	return sum
 }
 
 func (r Rule) check() error {
 	if err := checkText(r.Name); err != nil {
-		return fmt.Errorf("field Name: %w", err)
-	}
-	for _, f := range []struct {
-		field string
-		m     Match
-	}{{"Source", r.Source}, {"Service", r.Service}} {
-		if err := f.m.check(); err != nil {
-			return fmt.Errorf("field %s: %w", f.field, err)
-		}
+		return &FieldError{Field: "Name", Err: err}
+	}
+	if err := r.Source.check(); err != nil {
+		return &FieldError{Field: "Source", Err: err}
 	}
-	if n := len(r.Destinations); n > MaxDestinations {
-		return fmt.Errorf("field Destinations: %d, %d at most", n, MaxDestinations)
+	if err := r.Service.check(); err != nil {
+		return &FieldError{Field: "Service", Err: err}
 	}
+	if count := len(r.Destinations); count > MaxDestinations {
+		return badField("Destinations", "%d, %d at most", count, MaxDestinations)
+	}
+	if err := r.checkDestinations(); err != nil {
+		return err
+	}
+	return CheckRule(r)
+}
+
+func (r Rule) checkDestinations() error {
 	seen := make(map[string]bool, len(r.Destinations))
-	for i, d := range r.Destinations {
-		if err := d.Match.check(); err != nil {
-			return fmt.Errorf("field Destinations[%d]: %w", i, err)
+	for i, destination := range r.Destinations {
+		if err := destination.Match.check(); err != nil {
+			return &FieldError{Field: destinationField(i), Err: err}
 		}
-		if len(r.Destinations) > 1 {
-			key := d.Match.key()
-			if seen[key] {
-				return fmt.Errorf("field Destinations[%d]: another one matches the same", i)
-			}
-			seen[key] = true
+		if len(r.Destinations) == 1 {
+			return nil
 		}
+		key := destination.Match.key()
+		if seen[key] {
+			return badField(destinationField(i), "another one matches the same")
+		}
+		seen[key] = true
 	}
-	return CheckRule(r)
+	return nil
 }
 
 func (m Match) check() error {
@@ -94,12 +129,12 @@
 		return fmt.Errorf("%d tags: %d at most", len(m), MaxTags)
 	}
 	var space [MaxTags]string
-	for _, tag := range m.tags(&space) {
+	for _, tag := range m.sortedTags(&space) {
 		if err := checkText(tag); err != nil {
 			return fmt.Errorf("a tag: %w", err)
 		}
-		if v := m[tag]; v != "" {
-			if err := checkText(v); err != nil {
+		if value := m[tag]; value != "" {
+			if err := checkText(value); err != nil {
 				return fmt.Errorf("tag %q: %w", tag, err)
 			}
 		}
@@ -107,41 +142,41 @@
 	return nil
 }
 
-func checkText(s string) error {
+func checkText(text string) error {
 	switch {
-	case s == "":
-		return errors.New("it is missing")
-	case len(s) > MaxTextBytes:
-		return fmt.Errorf("%d bytes: %d at most", len(s), MaxTextBytes)
-	case !utf8.ValidString(s):
-		return errors.New("it is no UTF-8") // and would be another one at the next reader
+	case text == "":
+		return errNoText
+	case len(text) > MaxTextBytes:
+		return fmt.Errorf("%d bytes: %d at most", len(text), MaxTextBytes)
+	case !utf8.ValidString(text):
+		return errNotUTF8
 	}
 	return nil
 }
 
-// CheckRule says what no rule may be, whatever table it is in: it needs tags to match on, and weights from 0 up with a sum
+// CheckRule returns what no rule may be, whatever table it is in: it needs tags to match on, and weights from 0 up with a sum
 // above 0.
 func CheckRule(r Rule) error {
 	if len(r.Source) == 0 {
-		return errors.New("field Source: no tag to match on")
+		return badField("Source", "no tag to match on")
 	}
 	if len(r.Service) == 0 {
-		return errors.New("field Service: no tag to match on")
+		return badField("Service", "no tag to match on")
 	}
 	for tag := range r.Service {
 		if tag != "service" {
-			return fmt.Errorf("field Service: tag %q, only service is allowed", tag)
+			return badField("Service", "tag %q, only service is allowed", tag)
 		}
 	}
 	var sum float64
-	for i, d := range r.Destinations {
-		if !(d.Weight >= 0 && d.Weight <= math.MaxFloat64) {
-			return fmt.Errorf("field Destinations[%d]: weight %v is not a number from 0 up", i, d.Weight)
+	for i, destination := range r.Destinations {
+		if !(destination.Weight >= 0 && destination.Weight <= math.MaxFloat64) {
+			return badField(destinationField(i), "weight %v is not a number from 0 up", destination.Weight)
 		}
-		sum += d.Weight
+		sum += destination.Weight
 	}
 	if !(sum > 0 && sum <= math.MaxFloat64) {
-		return errors.New("field Destinations: the weights have no sum above 0")
+		return badField("Destinations", "the weights have no sum above 0")
 	}
 	return nil
 }
--- a/balance/routes/diff.go
+++ b/balance/routes/diff.go
@@ -11,61 +11,88 @@
 // with e <= d+1: the longest increasing one of their places in the target. Those outside it are moved, and
 // the rest dropped and added again. Rules of one table alone cost 1 to drop, or 1+d to add.
 func Diff(from, to Table) []Op {
-	place := make(map[string]int, len(to))
-	for i, r := range to {
-		place[r.Name] = i
-	}
-	var ops []Op
-	edits, kept := make([][]Op, len(to)), make([]bool, len(to)) // by place in the target
-	var places []int                                            // there, of those kept, in their old order
-	for _, r := range from {
-		i, both := place[r.Name]
-		if both {
-			if e := edit(r, to[i]); len(e) <= len(to[i].Destinations)+1 {
-				edits[i], kept[i], places = e, true, append(places, i)
-				continue
-			}
-		}
-		ops = append(ops, Op{Kind: Drop, Name: r.Name})
-	}
+	d := newDiff(from, to)
 	stays := make([]bool, len(to))
-	for _, i := range longestIncreasing(places) {
+	for _, i := range longestIncreasing(d.kept) {
 		stays[i] = true
 	}
 	// Each rule that does not stay is put right behind its predecessor in the target. Those placed so far are
 	// then in order, and all that stay and come later are behind them; what else stands between is yet to move.
-	after := ""
-	for i, r := range to {
+	ops, after := d.drops, ""
+	for i, rule := range to {
 		switch {
-		case !kept[i]:
-			ops = append(ops, Op{Kind: Add, Name: r.Name, After: after, Rule: r})
+		case !d.isKept[i]:
+			ops = append(ops, Op{Kind: Add, Name: rule.Name, After: after, Rule: rule})
 		case !stays[i]:
-			ops = append(ops, Op{Kind: Move, Name: r.Name, After: after})
+			ops = append(ops, Op{Kind: Move, Name: rule.Name, After: after})
 		}
-		ops, after = append(ops, edits[i]...), r.Name
+		ops = append(ops, d.edits[i]...)
+		after = rule.Name
 	}
 	return ops
 }
 
+// diff says what happens to each rule of two tables, apart from its place.
+type diff struct {
+	drops  []Op   // of rules that go, or that cost less to add anew
+	isKept []bool // by index in the target: the rule is not dropped
+	edits  [][]Op // by index in the target, of kept rules
+	kept   []int  // indexes in the target of the kept rules, in their old order
+}
+
+func newDiff(from, to Table) diff {
+	index := make(map[string]int, len(to))
+	for i, rule := range to {
+		index[rule.Name] = i
+	}
+	d := diff{isKept: make([]bool, len(to)), edits: make([][]Op, len(to))}
+	for _, rule := range from {
+		i, inBoth := index[rule.Name]
+		if inBoth {
+			if ops := edit(rule, to[i]); len(ops) <= len(to[i].Destinations)+1 {
+				d.edits[i] = ops
+				d.isKept[i] = true
+				d.kept = append(d.kept, i)
+				continue
+			}
+		}
+		d.drops = append(d.drops, Op{Kind: Drop, Name: rule.Name})
+	}
+	return d
+}
+
 // edit is what makes a rule like another of its name.
 func edit(from, to Rule) (ops []Op) {
 	if !from.Source.equal(to.Source) || !from.Service.equal(to.Service) {
 		ops = append(ops, Op{Kind: Rematch, Name: to.Name, Source: to.Source, Service: to.Service})
 	}
-	stay := 0
-	for i, d := range to.Destinations {
-		at := destinationIndex(from.Destinations, d.Match, i)
+	inBoth := 0
+	for i, destination := range to.Destinations {
+		at := destinationIndex(from.Destinations, destination.Match, i)
 		if at >= 0 {
-			stay++
+			inBoth++
 		}
-		if at < 0 || from.Destinations[at].Weight != d.Weight || from.Destinations[at].PerSize != d.PerSize {
-			ops = append(ops, Op{Kind: Set, Name: to.Name, Match: d.Match, Weight: d.Weight, PerSize: d.PerSize})
+		if at < 0 || !from.Destinations[at].sameWeight(destination) {
+			ops = append(ops, Op{
+				Kind:    Set,
+				Name:    to.Name,
+				Match:   destination.Match,
+				Weight:  destination.Weight,
+				PerSize: destination.PerSize,
+			})
 		}
 	}
-	for i, d := range from.Destinations {
-		if stay < len(from.Destinations) && destinationIndex(to.Destinations, d.Match, i) < 0 {
-			ops = append(ops, Op{Kind: Unset, Name: to.Name, Match: d.Match})
+	if inBoth >= len(from.Destinations) {
+		return ops
+	}
+	for i, destination := range from.Destinations {
+		if destinationIndex(to.Destinations, destination.Match, i) < 0 {
+			ops = append(ops, Op{Kind: Unset, Name: to.Name, Match: destination.Match})
 		}
 	}
 	return ops
 }
+
+func (d Destination) sameWeight(other Destination) bool {
+	return d.Weight == other.Weight && d.PerSize == other.PerSize
+}
--- a/balance/routes/match.go
+++ b/balance/routes/match.go
@@ -1,12 +1,15 @@
 package routes
 
+// anyValue is the value of a match that all values satisfy.
+const anyValue = "*"
+
 // Matches tells whether tags satisfy m, and how many of m's values are exact.
 func (m Match) Matches(tags map[string]string) (ok bool, exact int) {
-	for tag, want := range m {
-		have, known := tags[tag]
+	for tag, wanted := range m {
+		value, known := tags[tag]
 		switch {
-		case want == "*" && (known || tag == "service"):
-		case known && have == want:
+		case wanted == anyValue && (known || tag == "service"):
+		case known && value == wanted:
 			exact++
 		default:
 			return false, 0
@@ -19,11 +22,12 @@
 // newest wins. It returns nil if none matches.
 func Best(rules []Rule, client map[string]string, service string) (best *Rule) {
 	highest := -1
-	for i, r := range rules {
-		okSource, exactSource := r.Source.Matches(client)
-		okService, exactService := r.Service.Matches(map[string]string{"service": service})
-		rank := (len(r.Source)+len(r.Service))<<8 + exactSource + exactService
-		if okSource && okService && rank >= highest {
+	for i, rule := range rules {
+		sourceMatches, exactSource := rule.Source.Matches(client)
+		serviceMatches, exactService := rule.Service.Matches(map[string]string{"service": service})
+		tags := len(rule.Source) + len(rule.Service)
+		rank := tags<<8 + exactSource + exactService
+		if sourceMatches && serviceMatches && rank >= highest {
 			best, highest = &rules[i], rank
 		}
 	}
--- a/balance/routes/rule.go
+++ b/balance/routes/rule.go
@@ -1,6 +1,12 @@
 // Package routes is the route table: rules from the oldest to the newest, which of them decides for a client, and the least
 // change from one table to another. It is values and decisions, without I/O.
 //
+// # Terms
+//
+//   - A rule applies to the clients whose tags satisfy its Source and to the services that satisfy its Service; it sends their
+//     requests to its weighted destinations. Best says which rule decides where several apply.
+//   - An Op is one step from a table to another; Diff returns those of least cost, and says why they are.
+//
 // A table is never changed in place: what makes another one shares the rules that stay.
 package routes
 
@@ -9,8 +15,8 @@
 	"reflect"
 )
 
-// Match is a set of tags and the values they must have; "*" matches any value, but the tag must be there, except
-// for the tag "service", which every client and endpoint has.
+// Match is a set of tags and the values they must have; "*" matches any value, but the tag must be there, except for the tag
+// "service", which every client and endpoint has.
 type Match map[string]string
 
 // equal tells whether two matches are the same. Tables that came one from the other share most of theirs.
@@ -18,13 +24,13 @@
 	return reflect.ValueOf(m).Pointer() == reflect.ValueOf(other).Pointer() || maps.Equal(m, other)
 }
 
-// Destination is one weighted group of a rule: the ready endpoints that carry all its tags. An endpoint carries
-// the tags "service", "region" (its zone) and "version" (its kind).
+// Destination is one weighted group of a rule: the ready endpoints that carry all its tags. An endpoint carries the tags
+// "service", "region" (its zone) and "version" (its kind).
 type Destination struct {
 	Weight float64
 	Match  Match
-	// PerSize makes Weight the weight of each unit of registered size that is ready in the group, in place of
-	// the weight of the whole group.
+	// PerSize makes Weight the weight of each unit of registered size that is ready in the group, in place of the weight of the
+	// whole group.
 	PerSize bool
 }
 
@@ -72,16 +78,16 @@
 	return sum
 }
 
-// Relevant keeps the rules that can ever decide for a client with these tags that calls this service; nil: any
-// client, "": any service.
+// Relevant has the rules that can ever decide for a client with these tags that calls this service; nil: any client, "": any
+// service.
 func (t Table) Relevant(client map[string]string, service string) Table {
-	kept, called := Table{}, map[string]string{"service": service}
-	for _, r := range t {
-		okSource, _ := r.Source.Matches(client)
-		okService, _ := r.Service.Matches(called)
-		if (okSource || client == nil) && (okService || service == "") {
-			kept = append(kept, r)
+	relevant, called := Table{}, map[string]string{"service": service}
+	for _, rule := range t {
+		sourceMatches, _ := rule.Source.Matches(client)
+		serviceMatches, _ := rule.Service.Matches(called)
+		if (sourceMatches || client == nil) && (serviceMatches || service == "") {
+			relevant = append(relevant, rule)
 		}
 	}
-	return kept
+	return relevant
 }
--- a/balance/turns/turns.go
+++ b/balance/turns/turns.go
@@ -1,32 +1,43 @@
-// Package turns gives each sidecar its turns at what not all should do at once: a try at a suspect server, a
-// probe, the return after an outage. They follow from place and time, and need no message. Each period draws
-// a point on a circle that the members share out; the one whose part has it has the turn. So the next period
-// has another owner, and one that is gone is passed over. Sidecars share no clock: where clocks and views
-// agree a period has one owner, else one on the average, and no member has over one turn a period. A change
-// of the members may lose or double a turn while views differ: no promise may rest on turns alone.
+// Package turns gives each sidecar its turns at what not all should do at once: a probe of a condemned
+// server, or the return after an outage.
+//
+// Turns follow from a sidecar's position and the time, and need no message. Each period draws a point on a
+// circle that the members share out evenly; the one whose part has the point owns the turn. So the next
+// period has another owner, and a member that is gone is passed over.
+//
+// Sidecars share no clock. Where clocks and positions agree, a period has one owner, else one on the average,
+// and no member has more than one turn in a period. A change of the members may lose or double a turn while
+// positions differ: no promise may rest on turns alone.
 package turns
 
 import "time"
 
-// Position is a sidecar's place among the members: Place of Count, from 0. Each has an equal part of the
-// circle.
+// fraction53 is what 53 random bits are divided by to have a number from 0 to under 1.
+const fraction53 = 1 << 53
+
+// goldenSection is 1<<64 divided by the golden ratio.
+const goldenSection = 0x9e3779b97f4a7c15
+
+// Position is a sidecar's place among the members, from 0. Each has an equal part of the circle.
 type Position struct{ Index, Count int }
 
-// IsOwner tells whether it is this sidecar's turn at what, any number that names it. One with nothing to do
-// in its turn lets it go by: saved turns are taken by all at once. The points of periods in a row are a
-// golden section apart, so that a part of 1/n has a turn within 3n periods.
-func (v Position) IsOwner(what uint64, now, period time.Duration) bool {
-	const golden = 0x9e3779b97f4a7c15 // of 1<<64
-	point := float64((splitMix64(what)+uint64(now/max(period, 1))*golden)>>11) / (1 << 53)
-	n := float64(v.Count)
-	return float64(v.Index)/n <= point && point < float64(v.Index+1)/n
+// IsOwner tells whether this sidecar owns the turn of the present period at a subject, which is any number
+// that names it. One with nothing to do in its turn lets it go by: turns that were saved up would be taken by
+// all at once. The points of consecutive periods are a golden section apart, so that each of n members has a
+// turn within 3n periods.
+func (p Position) IsOwner(subject uint64, now, period time.Duration) bool {
+	number := uint64(now / max(period, 1))
+	point := float64((splitMix64(subject)+number*goldenSection)>>11) / fraction53
+	count := float64(p.Count)
+	return float64(p.Index)/count <= point && point < float64(p.Index+1)/count
 }
 
-// ReturnDelay is how long this sidecar waits, under span, to come back to what was out for all: in turn, from
-// any one.
-func (v Position) ReturnDelay(what uint64, span time.Duration) time.Duration {
-	n := uint64(max(v.Count, 1))
-	return time.Duration(float64((uint64(v.Index)+splitMix64(what)%n)%n) / float64(n) * float64(span))
+// ReturnDelay is how long this sidecar waits, less than a spread, until it returns to a subject that was out
+// for all. The sidecars return one after the other, from any one on.
+func (p Position) ReturnDelay(subject uint64, spread time.Duration) time.Duration {
+	count := uint64(max(p.Count, 1))
+	turn := (uint64(p.Index) + splitMix64(subject)%count) % count
+	return time.Duration(float64(turn) / float64(count) * float64(spread))
 }
 
 // splitMix64 spreads near numbers over all (the finalizer of SplitMix64: Steele, Lea, Flood, OOPSLA 2014).
