--- a/balance/shares_test.go
+++ b/balance/allowance_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// overShares counts which of the requests of two equal tenants count as beyond their share in one of a thousand
+// exceedingShares counts which of the requests of two equal tenants count as beyond their share in one of a thousand
 // sidecars that gets rate requests a second for 20 s, of which the second tenant sends the given part.
-func overShares(t *testing.T, rate, second float64) (over [2]float64) {
+func exceedingShares(t *testing.T, rate, second float64) (over [2]float64) {
 	t.Helper()
 	set := settings()
 	set.PeerCount = 1000
@@ -32,7 +32,7 @@
 	return [2]float64{over[0] / max(all[0], 1), over[1] / max(all[1], 1)}
 }
 
-func TestSharesOfManySidecars(t *testing.T) {
+func TestAllowanceOfManySidecars(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
 		rate, second float64
@@ -42,7 +42,7 @@
 		{"a busy sidecar", 10, .5, [2]float64{0, 0}, [2]float64{.35, .35}},
 		{"a tenant that takes the most", 10, .9, [2]float64{0, .2}, [2]float64{0, .6}},
 	} {
-		got := overShares(t, tt.rate, tt.second)
+		got := exceedingShares(t, tt.rate, tt.second)
 		for i := range got {
 			if got[i] < tt.low[i] || got[i] > tt.high[i] {
 				t.Errorf("%s: %.2f of tenant %d is beyond its share, want %.2f to %.2f", tt.name, got[i], i, tt.low[i],
--- a/balance/stream_test.go
+++ b/balance/body_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestBodyTaken has an attempt fail, unseen by its endpoint, before and after part of a body that is not held was sent.
-func TestBodyTaken(t *testing.T) {
+// TestBodyConsumed has an attempt fail, unseen by its endpoint, before and after part of a body that is not held was sent.
+func TestBodyConsumed(t *testing.T) {
 	for _, taken := range []bool{false, true} {
 		b, h := start(t, settings(), pair())
 		b.Request(h.now, Request{ID: 1, Tenant: -1, TimeLeft: time.Second, BodyIncomplete: true})
--- a/balance/golden_trace_test.go
+++ b/balance/golden_trace_test.go
@@ -167,7 +167,7 @@
 // tracedDay plays a random day of TestRules.
 func tracedDay(t *testing.T, tr *goldenTrace, seed uint64) {
 	t.Helper()
-	playOn(t, seed, 6000, func(c *checker) Actions { return tracedActions{Actions: c, tr: tr} })
+	playDayOn(t, seed, 6000, func(c *checker) Actions { return tracedActions{Actions: c, tr: tr} })
 }
 
 // anyOperations drives three Balancers with operations drawn from the seed: all events, lists, rules, members' reports and clients.
@@ -509,8 +509,8 @@
 	t.Helper()
 	servers := fleet(12)
 	servers[1].Started, servers[5].Started = time.Minute-time.Second, time.Minute
-	f := newColdFleet(t, 10+int(seed), servers, 120)
-	g := &gossip{f: f, said: make([]signals.Report, len(f.sidecars))}
+	f := newSimulatedFleet(t, 10+int(seed), servers, 120)
+	g := &reportExchange{fleet: f, reports: make([]signals.Report, len(f.sidecars))}
 	for self, b := range f.sidecars {
 		b.actions = tracedActions{b.actions, tr, int64(self)}
 	}
@@ -524,7 +524,7 @@
 		}
 	}
 	run(f.now + 14*time.Second)
-	f.meet()
+	f.introduce()
 	f.bad = "s0003"
 	run(f.now + 4*time.Second)
 	f.silent, f.bad = f.sidecars[0].inUse[0].ID, ""
--- a/balance/fair_test.go
+++ b/balance/heavyclient_test.go
@@ -8,9 +8,9 @@
 	"gradeusher.example/gradeusher/balance/hitters"
 )
 
-// TestHeavyGivesWay has one client ask for most of the work of a small fleet. While servers are full, it alone is refused,
+// TestHeavyClientIsRejected has one client ask for most of the work of a small fleet. While servers are full, it alone is refused,
 // and told when to come back; while they are not, nobody is.
-func TestHeavyGivesWay(t *testing.T) {
+func TestHeavyClientIsRejected(t *testing.T) {
 	const heavy, light = 7, 8
 	set := settings()
 	h := hitters.Defaults()
--- a/balance/hitters/detector.go
+++ b/balance/hitters/detector.go
@@ -85,9 +85,9 @@
 }
 
 // nextState is the state that a client goes to: up by what is sure, down by what is not even likely.
-func (d *Detector) nextState(c *Client, estimate shareEstimate, now Time) State {
-	isHigh, inState := estimate.sure >= d.settings.HighThreshold, now-c.Since
-	switch c.State {
+func (d *Detector) nextState(client *Client, estimate shareEstimate, now Time) State {
+	isHigh, inState := estimate.sure >= d.settings.HighThreshold, now-client.Since
+	switch client.State {
 	case Quiet:
 		if isHigh {
 			return Suspected
@@ -111,5 +111,5 @@
 			return Quiet
 		}
 	}
-	return c.State
+	return client.State
 }
--- a/balance/hitters/detector_test.go
+++ b/balance/hitters/detector_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestNewsInAnyOrder tells drawn news in two orders, with repeats: the same is held. None counts past its bound.
-func TestNewsInAnyOrder(t *testing.T) {
+// TestReportsInAnyOrder tells drawn news in two orders, with repeats: the same is held. None counts past its bound.
+func TestReportsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		news := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) OriginReport {
 			seq := rapid.Uint64Range(1, 5).Draw(t, "seq")
@@ -203,9 +203,9 @@
 	})
 }
 
-// TestGivesWayUntilThereIsRoom: servers that are full no more because a heavy client gives way are no reason to let all of it
+// TestRejectsUntilThereIsCapacity: servers that are full no more because a heavy client gives way are no reason to let all of it
 // in again; where there is room for all of it, they are.
-func TestGivesWayUntilThereIsRoom(t *testing.T) {
+func TestRejectsUntilThereIsCapacity(t *testing.T) {
 	r := says(1_000_000, 0.3)
 	r.Served = uint16(0.8 * fullShare)
 	j, now, seq := judge(t), time.Minute, uint64(0)
--- a/balance/rules_test.go
+++ b/balance/invariants_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// play runs a random day in steps of a millisecond and returns the checker with its faults.
-func play(t testing.TB, seed uint64, steps int) *checker {
+// playDay runs a random day in steps of a millisecond and returns the checker with its faults.
+func playDay(t testing.TB, seed uint64, steps int) *checker {
 	t.Helper()
-	return playOn(t, seed, steps, func(c *checker) Actions { return c })
+	return playDayOn(t, seed, steps, func(c *checker) Actions { return c })
 }
 
-// playOn is play with a host that may stand between the checker and the Balancer.
-func playOn(t testing.TB, seed uint64, steps int, host func(*checker) Actions) *checker {
+// playDayOn is play with a host that may stand between the checker and the Balancer.
+func playDayOn(t testing.TB, seed uint64, steps int, host func(*checker) Actions) *checker {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 7))
 	flip := func(p float64) bool { return rng.Float64() < p }
@@ -30,7 +30,7 @@
 		set.Classes = append(set.Classes, Class{Name: fmt.Sprint(i), Effect: e, Scope: Scope((i - 1 + 3) % 3),
 			DedupeWindow: 300 * time.Millisecond, LatencyTarget: 200 * time.Millisecond, Deadline: time.Second, Value: float64(1 + i)})
 	}
-	c := &checker{set: set, now: time.Minute, requests: map[RequestID]*held{}, servers: map[string]*server{}, timers: map[Time][]uint64{}}
+	c := &checker{set: set, now: time.Minute, requests: map[RequestID]*modelRequest{}, servers: map[string]*modelServer{}, timers: map[Time][]uint64{}}
 	b, err := New(set, host(c))
 	if err != nil {
 		t.Fatal(err)
@@ -49,7 +49,7 @@
 		for _, e := range entries {
 			s := c.servers[e.ID]
 			if s == nil {
-				s = &server{}
+				s = &modelServer{}
 				c.servers[e.ID] = s
 				c.order = append(c.order, e.ID)
 			}
@@ -119,7 +119,7 @@
 			next++
 			r := Request{ID: next, Class: rng.IntN(len(set.Classes)), Tenant: rng.IntN(3) - 1,
 				TimeLeft: time.Duration(50+rng.IntN(950)) * time.Millisecond}
-			c.requests[next] = &held{class: &set.Classes[r.Class], deadline: c.now + r.TimeLeft}
+			c.requests[next] = &modelRequest{class: &set.Classes[r.Class], deadline: c.now + r.TimeLeft}
 			b.Request(c.now, r)
 			if flip(.02) && !c.requests[next].ended {
 				b.Request(c.now, r) // a mistake of the host's
@@ -173,19 +173,19 @@
 		}
 		for id, r := range c.requests {
 			if !r.ended && c.now > r.deadline+15*time.Millisecond {
-				c.fault("rule 1: no answer for %d", id)
+				c.violation("rule 1: no answer for %d", id)
 				r.ended = true
 			}
 		}
 		for id, r := range c.requests {
-			open := !r.ended || slices.ContainsFunc(r.attempts, func(a try) bool { return !a.done })
+			open := !r.ended || slices.ContainsFunc(r.attempts, func(a modelAttempt) bool { return !a.done })
 			if !open {
 				delete(c.requests, id)
 			}
 		}
 	}
 	if len(b.requests) > len(c.requests) {
-		c.fault("%d requests are still known, %d are open", len(b.requests), len(c.requests))
+		c.violation("%d requests are still known, %d are open", len(b.requests), len(c.requests))
 	}
 	return c
 }
@@ -193,9 +193,9 @@
 func TestRules(t *testing.T) {
 	sends := 0
 	for seed := range uint64(40) {
-		c := play(t, seed, 6000)
+		c := playDay(t, seed, 6000)
 		sends += c.sends
-		for i, f := range c.faults {
+		for i, f := range c.violations {
 			if i == 5 {
 				break
 			}
@@ -209,8 +209,8 @@
 
 func TestSameEventsSameActions(t *testing.T) {
 	for seed := range uint64(5) {
-		a, b := play(t, seed, 3000), play(t, seed, 3000)
-		if !slices.Equal(a.done, b.done) {
+		a, b := playDay(t, seed, 3000), playDay(t, seed, 3000)
+		if !slices.Equal(a.actions, b.actions) {
 			t.Errorf("seed %d: the actions differ", seed)
 		}
 	}
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -109,21 +109,21 @@
 
 // observeLatency takes in the end of an attempt that says how long its endpoint takes.
 func (b *Balancer) observeLatency(a *attempt, r Result) {
-	e := a.endpoint
+	answering := a.endpoint
 	seconds := r.Latency.Seconds()
 	if r.Outcome == Served || r.Outcome == TimedOut && !a.flight.isLost() {
-		e.add(seconds, a.load)
-		e.freshness = 1
+		answering.add(seconds, a.load)
+		answering.freshness = 1
 	}
 	if r.Outcome != Served { // what a silent endpoint never answers would make its sound peers seem slow
 		return
 	}
-	loadPerSize := a.load / e.capacity()
-	if !e.isWarm() {
+	loadPerSize := a.load / answering.capacity()
+	if !answering.isWarm() {
 		b.warmingUp.add(seconds, loadPerSize)
 		return
 	}
-	e.homeGroup.add(seconds, loadPerSize)
+	answering.homeGroup.add(seconds, loadPerSize)
 	b.fleet.add(seconds, loadPerSize)
 }
 
--- a/balance/expect_test.go
+++ b/balance/latency_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestColdEndpointIsNotJudgedByJammedPeers has all warm endpoints answer too late while a fresh one does not.
-func TestColdEndpointIsNotJudgedByJammedPeers(t *testing.T) {
+// TestWarmingUpEndpointIgnoresOverloadedPeers has all warm endpoints answer too late while a fresh one does not.
+func TestWarmingUpEndpointIgnoresOverloadedPeers(t *testing.T) {
 	bar := time.Duration(refusalThreshold * float64(settings().Classes[0].LatencyTarget))
 	for _, tt := range []struct {
 		name string
--- a/balance/shared_test.go
+++ b/balance/members_test.go
@@ -8,8 +8,8 @@
 	"gradeusher.example/gradeusher/balance/turns"
 )
 
-// settled starts a sidecar whose traffic is little and known.
-func settled(t *testing.T, self, peers, servers int) (*Balancer, *host) {
+// settledSidecar starts a sidecar whose traffic is little and known.
+func settledSidecar(t *testing.T, self, peers, servers int) (*Balancer, *host) {
 	t.Helper()
 	b, h := sidecar(t, self, peers, fleet(servers))
 	if b.TrafficLevel() != 0 {
@@ -33,7 +33,7 @@
 	}{{"levels known", 1, false}, {"by number", 0, false}, {"every second unlike", 1, true}} {
 		users := map[string]int{}
 		for self := 0; self < peers; self++ {
-			b, h := settled(t, 0, 1, servers) // all of one number: alone, all use the same
+			b, h := settledSidecar(t, 0, 1, servers) // all of one number: alone, all use the same
 			all := make([]Peer, peers)
 			for i := range all {
 				all[i] = Peer{b.settings.Zone, tt.level * b.TrafficLevel()}
@@ -63,19 +63,19 @@
 			}
 		}
 		for _, e := range fleet(servers) {
-			if n, want := users[e.ID], peers*least/servers; n != want && !tt.other || n > want {
+			if n, want := users[e.ID], peers*minSubset/servers; n != want && !tt.other || n > want {
 				t.Errorf("%s: %s is used by %d sidecars, want %d", tt.name, e.ID, n, want)
 			}
 		}
 	}
 }
 
-// TestMakingUpIsSpread: in the order of hashes, neighbours by name that are all ejected are made up for by many.
-func TestMakingUpIsSpread(t *testing.T) {
+// TestReplacementsAreSpread: in the order of hashes, neighbours by name that are all ejected are made up for by many.
+func TestReplacementsAreSpread(t *testing.T) {
 	const peers, servers, gone = 60, 120, 12
 	users := map[string]int{}
 	for self := range peers {
-		b, h := settled(t, self, peers, servers)
+		b, h := settledSidecar(t, self, peers, servers)
 		for _, e := range b.endpoints[:gone] {
 			e.ejectedUntil = h.now + time.Minute
 		}
@@ -87,12 +87,12 @@
 				working++
 			}
 		}
-		if working != least {
-			t.Fatalf("sidecar %d has %d working endpoints, want %d", self, working, least)
+		if working != minSubset {
+			t.Fatalf("sidecar %d has %d working endpoints, want %d", self, working, minSubset)
 		}
 	}
 	for id, n := range users {
-		if most := 3 * peers * least / (servers - gone); n > most {
+		if most := 3 * peers * minSubset / (servers - gone); n > most {
 			t.Errorf("%s is used by %d sidecars, want %d at most", id, n, most)
 		}
 	}
@@ -104,12 +104,12 @@
 	const sidecars, servers, rate, seconds = 100, 100, 170, 300
 	var most, churn [2]float64
 	for i := range most {
-		f := newColdFleet(t, sidecars, fleet(servers), rate)
+		f := newSimulatedFleet(t, sidecars, fleet(servers), rate)
 		f.run(f.now + 26*time.Second)
 		used := make([]map[string]bool, sidecars)
 		for second := range seconds {
 			if i == 1 {
-				f.meet()
+				f.introduce()
 			}
 			f.run(f.now + time.Second)
 			for self, b := range f.sidecars {
--- a/balance/hand_test.go
+++ b/balance/operator_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestOutByHand takes an endpoint out: it gets nothing new, whatever the list says of it, until it is put back.
-func TestOutByHand(t *testing.T) {
+// TestOutOfService takes an endpoint out: it gets nothing new, whatever the list says of it, until it is put back.
+func TestOutOfService(t *testing.T) {
 	b, h := start(t, settings(), pair())
 	serve(b, h, 20, 20*time.Millisecond)
 	b.SetOutOfService(h.now, []string{"a", "not listed"})
@@ -48,9 +48,9 @@
 	t.Error("an endpoint that was put back is not used")
 }
 
-// TestBackByHandIsCold puts an endpoint back whose restart the list has not told yet: it gets a cold one's turns, from its
+// TestReturnToServiceWarmsUp puts an endpoint back whose restart the list has not told yet: it gets a cold one's turns, from its
 // listed start on once that is known.
-func TestBackByHandIsCold(t *testing.T) {
+func TestReturnToServiceWarmsUp(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
 		started Time // listed while it is out, after the second it was taken out in; 0: not
@@ -95,9 +95,9 @@
 	}
 }
 
-// TestBackByHandWithClockAhead puts an endpoint back whose listed start lies ahead of the sidecar's clock: taken out and put
+// TestReturnToServiceWithClockAhead puts an endpoint back whose listed start lies ahead of the sidecar's clock: taken out and put
 // back after it was told, it may have been restarted in between, and is cold.
-func TestBackByHandWithClockAhead(t *testing.T) {
+func TestReturnToServiceWithClockAhead(t *testing.T) {
 	b, h := start(t, settings(), pair())
 	again := pair()[:1]
 	again[0].Started = h.now + time.Hour
@@ -122,9 +122,9 @@
 	}
 }
 
-// TestOnlyColdEndpointsAreLeft takes out all but an endpoint that is cold: it gets the part of the requests that it could do
+// TestOnlyWarmingUpEndpointsAreLeft takes out all but an endpoint that is cold: it gets the part of the requests that it could do
 // of the whole fleet's, and not all at once.
-func TestOnlyColdEndpointsAreLeft(t *testing.T) {
+func TestOnlyWarmingUpEndpointsAreLeft(t *testing.T) {
 	b, h := start(t, settings(), pair())
 	serve(b, h, 40, 20*time.Millisecond)
 	b.SetOutOfService(h.now, []string{"a"})
--- a/balance/health_test.go
+++ b/balance/outlier_test.go
@@ -183,9 +183,9 @@
 	}
 }
 
-// TestRepeatNeedsTimeToArrive has a keyed request fail near the end of the time for which its repeats are dropped: one
+// TestRetryNeedsTimeToArrive has a keyed request fail near the end of the time for which its repeats are dropped: one
 // that has to connect first would arrive after it and take effect twice.
-func TestRepeatNeedsTimeToArrive(t *testing.T) {
+func TestRetryNeedsTimeToArrive(t *testing.T) {
 	for _, tt := range []struct {
 		after   time.Duration
 		repeats int
--- a/balance/jam_test.go
+++ b/balance/overload_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestBeliefOfAJamEndsWithIt has all endpoints answer late for some seconds, and then at once again: three seconds later
+// TestOverloadEstimateEndsWithIt has all endpoints answer late for some seconds, and then at once again: three seconds later
 // nothing is refused, and all of them get their share.
-func TestBeliefOfAJamEndsWithIt(t *testing.T) {
+func TestOverloadEstimateEndsWithIt(t *testing.T) {
 	const quick, late = 60 * time.Millisecond, 900 * time.Millisecond
 	for _, gap := range []time.Duration{25 * time.Millisecond, 100 * time.Millisecond} { // much and little traffic
 		set := settings()
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestColdEndpointIsJudgedByColdPeers has all cold endpoints but one answer late: that one is believed no quicker, while
+// TestWarmingUpEndpointGoesByItsPeers has all cold endpoints but one answer late: that one is believed no quicker, while
 // warm ones are.
-func TestColdEndpointIsJudgedByColdPeers(t *testing.T) {
+func TestWarmingUpEndpointGoesByItsPeers(t *testing.T) {
 	var list []Endpoint
 	for i := range 8 {
 		list = append(list, Endpoint{ID: fmt.Sprint("e", i), Zone: "x", Kind: "big", Size: 1})
--- a/balance/word_test.go
+++ b/balance/peersignals_test.go
@@ -14,9 +14,9 @@
 		Verdicts: []signals.Verdict{{Process: e.process(), Zone: e.Zone, Kind: kind, Count: 2}}}
 }
 
-// TestMembersWordEjects: what three members call silent gets nothing; it comes back within the bound and the turns after
+// TestVerdictEjects: what three members call silent gets nothing; it comes back within the bound and the turns after
 // they fall silent. Two do not do, nor three for what serves this sidecar, a later process, or half of all.
-func TestMembersWordEjects(t *testing.T) {
+func TestVerdictEjects(t *testing.T) {
 	const peers = 10
 	tell := func(b *Balancer, h *host, e *endpoint, members int, kind signals.Kind) {
 		for i := range members {
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestMembersWordKeepsHalf: members that condemn more than half of all eject nobody, as this is more likely their fault.
-func TestMembersWordKeepsHalf(t *testing.T) {
+// TestVerdictsLeaveHalf: members that condemn more than half of all eject nobody, as this is more likely their fault.
+func TestVerdictsLeaveHalf(t *testing.T) {
 	b, h := sidecar(t, 0, 10, fleet(8))
 	h.now = 10 * time.Second
 	for n, e := range b.endpoints[:5] {
@@ -90,8 +90,8 @@
 	}
 }
 
-// TestWitness: a sidecar says what it saw: a server that owes two requests for long, or that it ejected, until that serves.
-func TestWitness(t *testing.T) {
+// TestLocalReport: a sidecar says what it saw: a server that owes two requests for long, or that it ejected, until that serves.
+func TestLocalReport(t *testing.T) {
 	b, h := sidecar(t, 0, 10, fleet(20))
 	e := b.inUse[0]
 	h.now = 10 * time.Second
@@ -136,10 +136,10 @@
 	}
 }
 
-// TestFullAndSlowAreTold: a sidecar says that a server turned its requests away, or answers far later than its group, and one
+// TestOverloadedAndSlowAreReported: a sidecar says that a server turned its requests away, or answers far later than its group, and one
 // that knows little of the server takes it for worse at the word of three, till two were served since; one that knows it well
 // goes by what it saw.
-func TestFullAndSlowAreTold(t *testing.T) {
+func TestOverloadedAndSlowAreReported(t *testing.T) {
 	b, h := sidecar(t, 0, 10, fleet(20))
 	e := b.inUse[0]
 	h.now = 10 * time.Second
@@ -177,9 +177,9 @@
 	}
 }
 
-// TestTrialsGoByTurns: of many that hear that a server is silent few try it at a time, with requests that may be repeated, and
+// TestProbesGoByTurns: of many that hear that a server is silent few try it at a time, with requests that may be repeated, and
 // the turns of one that is gone pass on.
-func TestTrialsGoByTurns(t *testing.T) {
+func TestProbesGoByTurns(t *testing.T) {
 	const peers, seconds = 100, 60
 	for _, gone := range []int{0, 50} {
 		tries := 0
--- a/balance/route_test.go
+++ b/balance/rotation_test.go
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestYield(t *testing.T) {
+func TestNextYieldsToLessLoaded(t *testing.T) {
 	b, h := start(t, settings(), []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "x", Kind: "big", Size: 1}})
 	for i := range 4 {
 		b.Request(h.now, Request{ID: RequestID(i), Tenant: -1, TimeLeft: time.Second})
--- a/balance/routes/diff.go
+++ b/balance/routes/diff.go
@@ -11,22 +11,22 @@
 // with e <= d+1: the longest increasing one of their places in the target. Those outside it are moved, and
 // the rest dropped and added again. Rules of one table alone cost 1 to drop, or 1+d to add.
 func Diff(from, to Table) []Op {
-	d := newDiff(from, to)
+	changes := newDiff(from, to)
 	stays := make([]bool, len(to))
-	for _, i := range longestIncreasing(d.kept) {
+	for _, i := range longestIncreasing(changes.kept) {
 		stays[i] = true
 	}
 	// Each rule that does not stay is put right behind its predecessor in the target. Those placed so far are
 	// then in order, and all that stay and come later are behind them; what else stands between is yet to move.
-	ops, after := d.drops, ""
+	ops, after := changes.drops, ""
 	for i, rule := range to {
 		switch {
-		case !d.isKept[i]:
+		case !changes.isKept[i]:
 			ops = append(ops, Op{Kind: Add, Name: rule.Name, After: after, Rule: rule})
 		case !stays[i]:
 			ops = append(ops, Op{Kind: Move, Name: rule.Name, After: after})
 		}
-		ops = append(ops, d.edits[i]...)
+		ops = append(ops, changes.edits[i]...)
 		after = rule.Name
 	}
 	return ops
--- a/balance/reroute_test.go
+++ b/balance/rules_apply_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// played sends n requests, each answered at once, and returns the endpoints in the order of their turns.
-func (h *host) played(b *Balancer, n int) (order []string) {
+// playTurns sends n requests, each answered at once, and returns the endpoints in the order of their turns.
+func (h *host) playTurns(b *Balancer, n int) (order []string) {
 	for range n {
 		now := h.now + 10*time.Millisecond
 		h.now = now
@@ -30,7 +30,7 @@
 	set := settings()
 	set.Rules = canary(80, 20)
 	b, h := start(t, set, list)
-	h.played(b, 7)
+	h.playTurns(b, 7)
 	type kept struct {
 		next          int
 		credit, whole float64
@@ -52,21 +52,21 @@
 	if err := b.SetRules(h.now, other); err != nil || of(b.groups[0]) != before || len(b.groups) != 3 {
 		t.Errorf("what another group is changes the first: %v, %v after %v", err, of(b.groups[0]), before)
 	}
-	if got := count(h.played(b, 100)); got["c"] != 20 || got["b"] != 0 {
+	if got := count(h.playTurns(b, 100)); got["c"] != 20 || got["b"] != 0 {
 		t.Errorf("shares %v", got)
 	}
 	// 8000 and 2000 leave credit of thousands, which must not stand against 1 and 1.
 	if err := b.SetRules(h.now, canary(8000, 2000)); err != nil {
 		t.Error("not applied")
 	}
-	h.played(b, 3)
+	h.playTurns(b, 3)
 	if err := b.SetRules(h.now, canary(1, 1)); err != nil {
 		t.Error("not applied")
 	}
-	if got := count(h.played(b, 20)); got["b"] < 8 || got["b"] > 12 {
+	if got := count(h.playTurns(b, 20)); got["b"] < 8 || got["b"] > 12 {
 		t.Errorf("new shares %v, want half", got)
 	}
-	order := h.played(b, 12)
+	order := h.playTurns(b, 12)
 	for i := 6; i < len(order); i++ {
 		if order[i] != order[i-6] {
 			t.Errorf("uneven turns %v", order)
@@ -91,14 +91,14 @@
 		t.Fatal(err)
 	}
 	h.answer(b, h.now+time.Millisecond, Served)
-	if got := count(h.played(b, 10)); got["a"] != 10 {
+	if got := count(h.playTurns(b, 10)); got["a"] != 10 {
 		t.Errorf("turns %v after a weight of 0", got)
 	}
 }
 
-// TestRulesWait has tables whose servers are not there: they wait while the rule that holds has some, the last of them counts,
+// TestPendingRules has tables whose servers are not there: they wait while the rule that holds has some, the last of them counts,
 // and not for ever.
-func TestRulesWait(t *testing.T) {
+func TestPendingRules(t *testing.T) {
 	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "c", Zone: "x", Kind: "huge", Size: 1}}
 	none := func(kind string) []Rule {
 		r := canary(1)
@@ -133,7 +133,7 @@
 			if !errors.Is(err, ErrNoReadyEndpoint) || !b.RulesPending() {
 				t.Fatalf("it does not wait: %v", err)
 			}
-			if got := count(h.played(b, 10)); got["a"] != 10 {
+			if got := count(h.playTurns(b, 10)); got["a"] != 10 {
 				t.Errorf("turns %v while it waits", got)
 			}
 			from := h.now - 100*time.Millisecond
@@ -150,7 +150,7 @@
 			if took := h.now - from; took < c.wait-time.Second || took > c.wait+time.Second {
 				t.Errorf("it waited %v, want %v", took, c.wait)
 			}
-			got := count(h.played(b, 10))
+			got := count(h.playTurns(b, 10))
 			for _, id := range strings.Split(c.want, "") {
 				if got[id] != 10/len(c.want) {
 					t.Errorf("turns %v, want them at %s", got, c.want)
--- a/balance/tight_test.go
+++ b/balance/shedding_end_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// TestTightEndsWithTheJam has endpoints that answer at once after a jam in which the lesser class came to seem heavy: it is
+// TestSheddingEndsWithOverload has endpoints that answer at once after a jam in which the lesser class came to seem heavy: it is
 // refused for no longer than lesser classes give way for, though its answers have not told better yet; and so is one that is
 // worth so little that its bar lies under what an idle server takes.
-func TestTightEndsWithTheJam(t *testing.T) {
+func TestSheddingEndsWithOverload(t *testing.T) {
 	for _, worth := range []float64{1, 1e-4} {
 		known := worth == 1 // what the lesser class takes
 		set := settings()
--- a/balance/refusal_test.go
+++ b/balance/shedding_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestLesserClassesGiveWayOnlyWhenAllIsFull(t *testing.T) {
+func TestLowerClassesAreShedOnlyWhenAllIsFull(t *testing.T) {
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
 	set.Classes[1].Value = 3
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestJamCountsAsFull has all answers slow down alike: what an idle fleet takes says what is full, not the jam itself.
-func TestJamCountsAsFull(t *testing.T) {
+// TestOverloadCountsAsFull has all answers slow down alike: what an idle fleet takes says what is full, not the jam itself.
+func TestOverloadCountsAsFull(t *testing.T) {
 	const idle, jam = 100 * time.Millisecond, 700 * time.Millisecond
 	for _, tt := range []struct {
 		name  string
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestHeavyClassGivesWaySooner(t *testing.T) {
+func TestHeavyClassIsShedSooner(t *testing.T) {
 	// Two classes of one worth; the answers of the second take four times as long, and with them the same worth.
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
--- a/balance/signals/aggregate.go
+++ b/balance/signals/aggregate.go
@@ -37,21 +37,21 @@
 
 // Receive takes in a statement if it is newer than what its origin stated before. One of a new origin is ignored where there
 // are too many.
-func (a *Aggregate) Receive(s Statement, now time.Duration) {
-	madeAt := now - s.Age
-	previous, known := a.statements[s.Origin]
+func (a *Aggregate) Receive(received Statement, now time.Duration) {
+	madeAt := now - received.Age
+	previous, known := a.statements[received.Origin]
 	if !known {
 		if len(a.statements) < maxOrigins {
-			a.store(s, madeAt)
+			a.store(received, madeAt)
 		}
 		return
 	}
-	switch order := cmp.Or(cmp.Compare(s.Start, previous.start), cmp.Compare(s.Seq, previous.seq)); {
+	switch order := cmp.Or(cmp.Compare(received.Start, previous.start), cmp.Compare(received.Seq, previous.seq)); {
 	case order > 0:
-		a.store(s, madeAt)
+		a.store(received, madeAt)
 	case order == 0: // a duplicate that seems younger than the first must not have it live longer
 		previous.madeAt = min(previous.madeAt, madeAt)
-		a.statements[s.Origin] = previous
+		a.statements[received.Origin] = previous
 	}
 }
 
--- a/balance/snapshot.go
+++ b/balance/snapshot.go
@@ -87,7 +87,7 @@
 }
 
 func (b *Balancer) snapshotEndpoint(e *endpoint, now Time) EndpointSnapshot {
-	s := EndpointSnapshot{
+	saved := EndpointSnapshot{
 		ID:          e.ID,
 		Started:     e.Started,
 		WarmUpStart: e.warmUpStart,
@@ -98,9 +98,9 @@
 		EjectedFor:  max(0, e.ejectedUntil-now),
 	}
 	if now-e.warmUpStart >= b.settings.WarmUpTime {
-		s.WarmUpStart = 0
+		saved.WarmUpStart = 0
 	}
-	return s
+	return saved
 }
 
 // Restore takes over what was known some time ago, where nothing newer is known yet: it is for a Balancer that got its first
--- a/balance/keep_test.go
+++ b/balance/snapshot_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestKeptBeliefs hands beliefs on: at once they are what they were, later they have faded as in life, and what is of a former process, too
+// TestRestore hands beliefs on: at once they are what they were, later they have faded as in life, and what is of a former process, too
 // old, or nonsense counts for nothing.
-func TestKeptBeliefs(t *testing.T) {
+func TestRestore(t *testing.T) {
 	list := []Endpoint{{ID: "a", Zone: "a", Kind: "m", Size: 1}, {ID: "b", Zone: "a", Kind: "m", Size: 1}, {ID: "c", Zone: "a", Kind: "m", Size: 1, Started: 50 * time.Second}}
 	old, _ := start(t, settings(), list)
 	now := 100 * time.Second
--- a/balance/subset_test.go
+++ b/balance/subsetting_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// least is how many endpoints of a group an idle sidecar uses.
-const least = 4
+// minSubset is how many endpoints of a group an idle sidecar uses.
+const minSubset = 4
 
 // fleet lists n alike endpoints of one group.
 func fleet(n int) (list []Endpoint) {
@@ -40,14 +40,14 @@
 	users := map[string]int{}
 	for self := range peers {
 		b, _ := sidecar(t, self, peers, list)
-		if n := len(b.inUse); n != least {
-			t.Fatalf("an idle sidecar uses %d endpoints, want %d", n, least)
+		if n := len(b.inUse); n != minSubset {
+			t.Fatalf("an idle sidecar uses %d endpoints, want %d", n, minSubset)
 		}
 		for _, e := range b.inUse {
 			users[e.ID]++
 		}
 	}
-	mean := peers * least / servers
+	mean := peers * minSubset / servers
 	for _, e := range list {
 		if n := users[e.ID]; n < mean-2 || n > mean+2 {
 			t.Errorf("%s is used by %d sidecars, want about %d", e.ID, n, mean)
@@ -71,11 +71,11 @@
 	}
 }
 
-func TestSubsetMakesUpForTheEjected(t *testing.T) {
+func TestSubsetReplacesEjected(t *testing.T) {
 	b, h := sidecar(t, 3, 10, fleet(200))
 	first := ids(b.inUse)
 	for range 2 {
-		for i := range RequestID(least) {
+		for i := range RequestID(minSubset) {
 			id := RequestID(len(h.logs)*100) + i + RequestID(h.now)
 			if to := ask(b, h, id); to != "" {
 				outcome := Served
@@ -113,9 +113,9 @@
 	}
 }
 
-// TestColdEndpointAmongManySidecars guards rule 4: what all sidecars together send to a cold endpoint stays within
+// TestWarmingUpEndpointAmongManySidecars guards rule 4: what all sidecars together send to a cold endpoint stays within
 // its turns, also when each has nowhere else to go, whatever their number, and with none of them knowing it.
-func TestColdEndpointAmongManySidecars(t *testing.T) {
+func TestWarmingUpEndpointAmongManySidecars(t *testing.T) {
 	const seconds = 2
 	for _, peers := range []int{5, 100, 1000} {
 		list := fleet(20)
@@ -153,9 +153,9 @@
 	}
 }
 
-// TestColdEndpointGetsItsShareFromTheStart guards against sidecars that all wait a round before they turn to a cold
+// TestWarmingUpEndpointGetsItsShare guards against sidecars that all wait a round before they turn to a cold
 // endpoint: in a large fleet a round is longer than the endpoint is cold.
-func TestColdEndpointGetsItsShareFromTheStart(t *testing.T) {
+func TestWarmingUpEndpointGetsItsShare(t *testing.T) {
 	for _, tt := range []struct{ peers, servers int }{{3, 9}, {80, 60}} {
 		list := fleet(tt.servers)
 		var cold, all float64
--- a/balance/silent_test.go
+++ b/balance/unresponsive_test.go
@@ -10,45 +10,45 @@
 	"gradeusher.example/gradeusher/balance/signals"
 )
 
-// gossip has each sidecar say what it saw every 200 ms, as long as it has anything to say or has just had, and all the others
+// reportExchange has each sidecar say what it saw every 200 ms, as long as it has anything to say or has just had, and all the others
 // hear it 200 ms later.
-type gossip struct {
-	f    *coldFleet
-	seq  uint64
-	said []signals.Report
-	late []func()
+type reportExchange struct {
+	fleet      *simulatedFleet
+	seq        uint64
+	reports    []signals.Report
+	deliveries []func()
 }
 
-func (g *gossip) round() {
-	for _, tell := range g.late {
+func (g *reportExchange) round() {
+	for _, tell := range g.deliveries {
 		tell()
 	}
-	g.late, g.seq = nil, g.seq+1
-	for self, b := range g.f.sidecars {
-		r := b.LocalReport(g.f.now)
-		if len(r.Verdicts)+len(g.said[self].Verdicts) == 0 {
+	g.deliveries, g.seq = nil, g.seq+1
+	for self, b := range g.fleet.sidecars {
+		r := b.LocalReport(g.fleet.now)
+		if len(r.Verdicts)+len(g.reports[self].Verdicts) == 0 {
 			continue
 		}
-		g.said[self] = r
-		for other, to := range g.f.sidecars {
+		g.reports[self] = r
+		for other, to := range g.fleet.sidecars {
 			if other != self {
 				seq := g.seq
-				g.late = append(g.late, func() {
-					to.ReceiveReport(g.f.now, signals.Statement{Origin: fmt.Sprint(self), Start: 1, Seq: seq, Age: 200 * time.Millisecond, Report: r})
+				g.deliveries = append(g.deliveries, func() {
+					to.ReceiveReport(g.fleet.now, signals.Statement{Origin: fmt.Sprint(self), Start: 1, Seq: seq, Age: 200 * time.Millisecond, Report: r})
 				})
 			}
 		}
 	}
 }
 
-// fallsSilent has a server answer nothing for 8 s, and tells after what time 95% of the sidecars that used it sent there for the
+// playUnresponsive has a server answer nothing for 8 s, and tells after what time 95% of the sidecars that used it sent there for the
 // last time, how many attempts it got meanwhile, and after what time it has at least half of its share again; members know each
 // other.
-func fallsSilent(t *testing.T, sidecars int, members bool) (avoided time.Duration, attempts int, back time.Duration) {
+func playUnresponsive(t *testing.T, sidecars int, members bool) (avoided time.Duration, attempts int, back time.Duration) {
 	const silence = 8 * time.Second
 	servers := fleet(20)
-	f := newColdFleet(t, sidecars, servers, 3*float64(sidecars))
-	g := &gossip{f: f, said: make([]signals.Report, sidecars)}
+	f := newSimulatedFleet(t, sidecars, servers, 3*float64(sidecars))
+	g := &reportExchange{fleet: f, reports: make([]signals.Report, sidecars)}
 	run := func(until Time) {
 		for f.now < until {
 			if members {
@@ -59,7 +59,7 @@
 	}
 	run(f.now + 26*time.Second)
 	if members {
-		f.meet()
+		f.introduce()
 	}
 	run(f.now + 10*time.Second)
 	from := f.now
@@ -97,17 +97,17 @@
 	return at[int(math.Ceil(0.95*float64(len(at))))-1], attempts, back
 }
 
-// TestSilenceIsLearntTogether: a server that falls silent is avoided by the fleet sooner, and with fewer attempts, than sidecars
+// TestFleetAvoidsUnresponsive: a server that falls silent is avoided by the fleet sooner, and with fewer attempts, than sidecars
 // learn it alone, and it is back soon after it answers again. One in 20 tries it within the 8 s, or nobody would know that it is back.
-func TestSilenceIsLearntTogether(t *testing.T) {
+func TestFleetAvoidsUnresponsive(t *testing.T) {
 	for _, tt := range []struct {
 		sidecars int
 		within   time.Duration
 		part     float64 // of the attempts alone
 	}{{20, 2500 * time.Millisecond, 0.3}, {100, 1500 * time.Millisecond, 0.3}, {300, 1500 * time.Millisecond, 0.2}} {
 		n := tt.sidecars
-		alone, lone, _ := fallsSilent(t, n, false)
-		avoided, attempts, back := fallsSilent(t, n, true)
+		alone, lone, _ := playUnresponsive(t, n, false)
+		avoided, attempts, back := playUnresponsive(t, n, true)
 		t.Logf("%d sidecars: 95%% avoid it after %v with %d attempts, alone %v with %d; back after %v", n, avoided, attempts, alone, lone, back)
 		if avoided > tt.within || float64(attempts) > tt.part*float64(lone) || back > 5*time.Second {
 			t.Errorf("%d sidecars: want %v, %.0f attempts and 5 s at most", n, tt.within, tt.part*float64(lone))
--- a/balance/cold_budget_test.go
+++ b/balance/warmup_budget_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// coldSends plays a burst on a fleet of warm endpoints that take 20 ms a request and a freshly started one, and
+// sendsWhileWarmingUp plays a burst on a fleet of warm endpoints that take 20 ms a request and a freshly started one, and
 // returns how many sends the started one gets in each FallTime at most, and how many it may get from this sidecar.
-func coldSends(t *testing.T, peers int, retries bool) (most int, part float64) {
+func sendsWhileWarmingUp(t *testing.T, peers int, retries bool) (most int, part float64) {
 	t.Helper()
 	set := settings()
 	set.PeerCount = peers
@@ -57,10 +57,10 @@
 	return most, set.OverloadMultiple * share * 50 * set.OverloadTime.Seconds() / float64(peers)
 }
 
-func TestColdBudget(t *testing.T) {
+func TestWarmUpBudget(t *testing.T) {
 	for _, peers := range []int{1, 2, 5} {
 		for _, retries := range []bool{false, true} {
-			most, part := coldSends(t, peers, retries)
+			most, part := sendsWhileWarmingUp(t, peers, retries)
 			if float64(most) > max(part, 1) || most == 0 {
 				t.Errorf("%d peers, retries %v: %d sends to the cold endpoint, want 1 to %.1f", peers, retries, most, part)
 			}
--- a/balance/cold_test.go
+++ b/balance/warmup_fleet_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// coldFleet plays sidecars of uneven traffic on servers of which some start cold, and counts what these get.
-type coldFleet struct {
+// simulatedFleet plays sidecars of uneven traffic on servers of which some start cold, and counts what these get.
+type simulatedFleet struct {
 	rng      *rand.Rand
 	now      Time
 	sidecars []*Balancer
@@ -18,30 +18,30 @@
 	rate     []float64 // requests a second
 	next     []Time    // the next request
 	ids      RequestID
-	answers  []coldAnswer // due, in the order of their time
-	bad      string       // refuses connections
-	silent   string       // takes requests, and answers none
+	answers  []pendingAnswer // due, in the order of their time
+	bad      string          // refuses connections
+	silent   string          // takes requests, and answers none
 	sent     map[string][]Time
-	by       []sentBy
+	by       []sentRequest
 }
 
-type sentBy struct {
+type sentRequest struct {
 	self int
 	to   string
 	at   Time
 }
 
-type coldAnswer struct {
+type pendingAnswer struct {
 	at   Time
 	self int
 	send sending
 	hung bool
 }
 
-const coldTick, hangs = 20 * time.Millisecond, 1500 * time.Millisecond
+const simulationTick, hangTime = 20 * time.Millisecond, 1500 * time.Millisecond
 
-func newColdFleet(t *testing.T, sidecars int, servers []Endpoint, rate float64) *coldFleet {
-	f := &coldFleet{rng: rand.New(rand.NewPCG(uint64(sidecars), uint64(len(servers)))), now: time.Minute, sent: map[string][]Time{}}
+func newSimulatedFleet(t *testing.T, sidecars int, servers []Endpoint, rate float64) *simulatedFleet {
+	f := &simulatedFleet{rng: rand.New(rand.NewPCG(uint64(sidecars), uint64(len(servers)))), now: time.Minute, sent: map[string][]Time{}}
 	var sum float64
 	for self := range sidecars {
 		b, h := sidecar(t, self, sidecars, servers)
@@ -51,17 +51,17 @@
 	}
 	for self := range f.rate {
 		f.rate[self] *= rate / sum
-		f.next = append(f.next, f.now+f.wait(self))
+		f.next = append(f.next, f.now+f.nextGap(self))
 	}
 	return f
 }
 
-func (f *coldFleet) wait(self int) Time {
+func (f *simulatedFleet) nextGap(self int) Time {
 	return time.Duration(f.rng.ExpFloat64() / f.rate[self] * float64(time.Second))
 }
 
-// meet tells each sidecar of all.
-func (f *coldFleet) meet() {
+// introduce tells each sidecar of all.
+func (f *simulatedFleet) introduce() {
 	var peers []Peer
 	for _, b := range f.sidecars {
 		peers = append(peers, Peer{b.settings.Zone, b.TrafficLevel()})
@@ -72,8 +72,8 @@
 }
 
 // run plays for some time.
-func (f *coldFleet) run(until Time) {
-	for ; f.now < until; f.now += coldTick {
+func (f *simulatedFleet) run(until Time) {
+	for ; f.now < until; f.now += simulationTick {
 		for len(f.answers) > 0 && f.answers[0].at <= f.now {
 			a := f.answers[0]
 			f.answers = f.answers[1:]
@@ -82,48 +82,48 @@
 				r.Outcome, r.Finished = ConnectFailed, false
 			}
 			if a.hung {
-				r.Outcome, r.Finished, r.Latency = TimedOut, false, hangs
+				r.Outcome, r.Finished, r.Latency = TimedOut, false, hangTime
 			}
 			if q := f.sidecars[a.self].requests[r.ID]; q != nil { // one attempt after the other
 				r.Attempt = len(q.attempts) - 1
 			}
 			f.sidecars[a.self].Result(f.now, r)
-			f.take(a.self)
+			f.collectSends(a.self)
 		}
 		for self, b := range f.sidecars {
-			for ; f.next[self] <= f.now; f.next[self] += f.wait(self) {
+			for ; f.next[self] <= f.now; f.next[self] += f.nextGap(self) {
 				f.ids++
 				b.Request(f.now, Request{ID: f.ids, Tenant: -1, TimeLeft: 3 * time.Second})
-				f.take(self)
+				f.collectSends(self)
 			}
-			if (f.now/coldTick+Time(self))%(tickInterval/coldTick) == 0 {
+			if (f.now/simulationTick+Time(self))%(tickInterval/simulationTick) == 0 {
 				b.Timer(f.now, tickToken)
 			}
 		}
 	}
 }
 
-func (f *coldFleet) take(self int) {
+func (f *simulatedFleet) collectSends(self int) {
 	for _, s := range f.hosts[self].sent {
 		f.sent[s.to] = append(f.sent[s.to], f.now)
-		f.by = append(f.by, sentBy{self, s.to, f.now})
+		f.by = append(f.by, sentRequest{self, s.to, f.now})
 		at := f.now + 100*time.Millisecond
 		if s.to == f.bad {
-			at = f.now + coldTick
+			at = f.now + simulationTick
 		}
 		hung := s.to == f.silent
 		if hung {
-			at = f.now + hangs
+			at = f.now + hangTime
 		}
-		i, _ := slices.BinarySearchFunc(f.answers, at, func(a coldAnswer, t Time) int { return cmp.Compare(a.at, t+1) })
-		f.answers = slices.Insert(f.answers, i, coldAnswer{at, self, s, hung})
+		i, _ := slices.BinarySearchFunc(f.answers, at, func(a pendingAnswer, t Time) int { return cmp.Compare(a.at, t+1) })
+		f.answers = slices.Insert(f.answers, i, pendingAnswer{at, self, s, hung})
 	}
 	f.hosts[self].sent = nil
 }
 
-// worst is the most that a server got within a second from a time on, over what it may: the multiple of what it could do
+// worstExcess is the most that a server got within a second from a time on, over what it may: the multiple of what it could do
 // then, and what chance allows.
-func (f *coldFleet) worst(id string, from Time, capacity float64) (over float64) {
+func (f *simulatedFleet) worstExcess(id string, from Time, capacity float64) (over float64) {
 	set, sent := settings(), f.sent[id]
 	for i, first := range sent {
 		if first < from {
@@ -140,19 +140,19 @@
 	return over
 }
 
-// TestColdBudgetAddsUp guards rule 4 for any number of sidecars of uneven traffic: what all of them send to a cold server
+// TestWarmUpBudgetAddsUp guards rule 4 for any number of sidecars of uneven traffic: what all of them send to a cold server
 // within the time that a fall takes stays within what it may get, whether it comes back alone, after it refused everybody
 // for some seconds, or with all others; and it gets enough of it to be of use.
-func TestColdBudgetAddsUp(t *testing.T) {
+func TestWarmUpBudgetAddsUp(t *testing.T) {
 	const capacity, load = 20, 0.8
 	for _, size := range []struct{ sidecars, servers int }{{1, 20}, {100, 20}, {1000, 50}} {
 		for _, known := range []bool{false, true} {
 			for _, way := range []string{"alone", "refusing", "all"} {
 				list := fleet(size.servers)
-				f := newColdFleet(t, size.sidecars, list, load*capacity*float64(size.servers))
+				f := newSimulatedFleet(t, size.sidecars, list, load*capacity*float64(size.servers))
 				f.run(f.now + 13*time.Second)
 				if known {
-					f.meet()
+					f.introduce()
 				}
 				from := f.now
 				for i := range list {
@@ -173,7 +173,7 @@
 				var over, got float64
 				for _, e := range list {
 					if e.Started != 0 {
-						over = max(over, f.worst(e.ID, from, capacity))
+						over = max(over, f.worstExcess(e.ID, from, capacity))
 					}
 				}
 				for _, at := range f.sent[list[0].ID] {
