--- a/balance/members_test.go
+++ b/balance/members_test.go
@@ -22,52 +22,62 @@
 	return b, h
 }
 
-// TestMembersGiveSubsetsTheirPlaces: sidecars that know their places among those alike use each server equally often, and
-// do what they did alone once they know them no more, or are told what cannot be.
+// TestMembersGiveSubsetsTheirPlaces: sidecars that know their places among those alike use each server equally often, and do
+// what they did alone once they know them no more, or are told what cannot be.
 func TestMembersGiveSubsetsTheirPlaces(t *testing.T) {
 	const peers, servers = 30, 60
 	for _, tt := range []struct {
-		name  string
-		level int  // of the peers; 0: not known
-		other bool // every second peer is unlike
-	}{{"levels known", 1, false}, {"by number", 0, false}, {"every second unlike", 1, true}} {
-		users := map[string]int{}
-		for self := 0; self < peers; self++ {
-			b, h := settledSidecar(t, 0, 1, servers) // all of one number: alone, all use the same
-			all := make([]Peer, peers)
-			for i := range all {
-				all[i] = Peer{b.settings.Zone, tt.level * b.TrafficLevel()}
-				if tt.other && i%2 == 1 {
-					all[i] = []Peer{{b.settings.Zone, b.TrafficLevel() + 1}, {"elsewhere", b.TrafficLevel()}}[i/2%2]
+		name      string
+		level     int  // of the peers; 0: not known
+		odd       bool // every second peer is unlike
+		exactUses bool
+	}{{"levels known", 1, false, true}, {"by number", 0, false, true}, {"every second unlike", 1, true, false}} {
+		t.Run(tt.name, func(t *testing.T) {
+			users := map[string]int{}
+			for self := range peers {
+				if tt.odd && self%2 == 1 {
+					continue
 				}
-			}
-			if tt.other && self%2 == 1 {
-				continue
-			}
-			before := ids(b.inUse)
-			b.SetMembers(h.now, self, all)
-			if got, want := b.turnPosition(), (turns.Position{Index: self, Count: peers}); got != want {
-				t.Fatalf("%s: turns go by %v, want %v", tt.name, got, want)
-			}
-			for _, e := range b.inUse {
-				users[e.ID]++
-			}
-			for _, wrong := range []int{-1, peers} {
-				b.SetMembers(h.now, self, all)
-				if b.SetMembers(h.now, wrong, all); !slices.Equal(ids(b.inUse), before) {
-					t.Errorf("%s: number %d of %d, and uses %v; want %v as alone", tt.name, wrong, peers, ids(b.inUse), before)
+				for _, id := range placeAmong(t, self, peers, servers, tt.level, tt.odd) {
+					users[id]++
 				}
 			}
-			if got, want := b.turnPosition(), (turns.Position{Index: 0, Count: 1}); got != want {
-				t.Errorf("%s: turns go by %v, want %v", tt.name, got, want)
+			for _, e := range fleet(servers) {
+				if n, want := users[e.ID], peers*minSubset/servers; n != want && tt.exactUses || n > want {
+					t.Errorf("%s is used by %d sidecars, want %d", e.ID, n, want)
+				}
 			}
+		})
+	}
+}
+
+// placeAmong returns what a sidecar uses as a member, and checks that it uses what it did alone once it is none.
+func placeAmong(t *testing.T, self, peers, servers, level int, odd bool) []string {
+	t.Helper()
+	b, h := settledSidecar(t, 0, 1, servers) // all of one number: alone, all use the same
+	all := make([]Peer, peers)
+	for i := range all {
+		all[i] = Peer{b.settings.Zone, level * b.TrafficLevel()}
+		if odd && i%2 == 1 {
+			all[i] = []Peer{{b.settings.Zone, b.TrafficLevel() + 1}, {"elsewhere", b.TrafficLevel()}}[i/2%2]
 		}
-		for _, e := range fleet(servers) {
-			if n, want := users[e.ID], peers*minSubset/servers; n != want && !tt.other || n > want {
-				t.Errorf("%s: %s is used by %d sidecars, want %d", tt.name, e.ID, n, want)
-			}
+	}
+	alone := ids(b.inUse)
+	b.SetMembers(h.now, self, all)
+	if got, want := b.turnPosition(), (turns.Position{Index: self, Count: peers}); got != want {
+		t.Fatalf("turns go by %v, want %v", got, want)
+	}
+	used := ids(b.inUse)
+	for _, wrong := range []int{-1, peers} {
+		b.SetMembers(h.now, self, all)
+		if b.SetMembers(h.now, wrong, all); !slices.Equal(ids(b.inUse), alone) {
+			t.Errorf("number %d of %d, and uses %v; want %v as alone", wrong, peers, ids(b.inUse), alone)
 		}
 	}
+	if got, want := b.turnPosition(), (turns.Position{Index: 0, Count: 1}); got != want {
+		t.Errorf("turns go by %v, want %v", got, want)
+	}
+	return used
 }
 
 // TestReplacementsAreSpread: in the order of hashes, neighbours by name that are all ejected are made up for by many.
@@ -98,44 +108,58 @@
 	}
 }
 
-// TestLoadSpreadsAmongMembers measures what servers get from sidecars of uneven traffic, and how steady their subsets are,
-// alone and as members.
+// TestLoadSpreadsAmongMembers measures what servers get from sidecars of uneven traffic, and how steady their subsets are, alone
+// and as members.
 func TestLoadSpreadsAmongMembers(t *testing.T) {
+	mostAlone, churnAlone := measureSpread(t, false)
+	mostMembers, churnMembers := measureSpread(t, true)
+	if churnMembers > churnAlone/4 {
+		t.Errorf("%.1f members come to a subset a minute among members, %.1f alone", churnMembers, churnAlone)
+	}
+	if mostMembers > 1+(mostAlone-1)*0.8 {
+		t.Errorf("the busiest server gets %.2f of the mean among members, %.2f alone", mostMembers, mostAlone)
+	}
+}
+
+// measureSpread returns what the busiest server gets, in means, and how many members come to a subset a minute.
+func measureSpread(t *testing.T, members bool) (most, churn float64) {
+	t.Helper()
 	const sidecars, servers, rate, seconds = 100, 100, 170, 300
-	var most, churn [2]float64
-	for i := range most {
-		f := newSimulatedFleet(t, sidecars, fleet(servers), rate)
-		f.run(f.now + 26*time.Second)
-		used := make([]map[string]bool, sidecars)
-		for second := range seconds {
-			if i == 1 {
-				f.introduce()
-			}
-			f.run(f.now + time.Second)
-			for self, b := range f.sidecars {
-				now := map[string]bool{}
-				for _, id := range ids(b.inUse) {
-					if now[id] = true; second > 0 && !used[self][id] {
-						churn[i]++
-					}
-				}
-				used[self] = now
-			}
+	f := newSimulatedFleet(t, sidecars, fleet(servers), rate)
+	f.run(f.now + 26*time.Second)
+	used := make([]map[string]bool, sidecars)
+	for second := range seconds {
+		if members {
+			f.introduce()
 		}
-		var got []int
-		for _, sent := range f.sent {
-			first, _ := slices.BinarySearch(sent, f.now-(seconds-5)*time.Second)
-			got = append(got, len(sent)-first)
+		f.run(f.now + time.Second)
+		came := f.updateUsed(used)
+		if second > 0 {
+			churn += came
 		}
-		most[i] = float64(slices.Max(got)) / (rate * (seconds - 5) / servers)
-		churn[i] *= 60.0 / (seconds - 1) / sidecars
-		t.Logf("members %v: the busiest server got %.2f of the mean in %d s, %.1f members came to each subset a minute", i == 1, most[i],
-			seconds-5, churn[i])
 	}
-	if churn[1] > churn[0]/4 {
-		t.Errorf("%.1f members come to a subset a minute among members, %.1f alone", churn[1], churn[0])
+	var got []int
+	for _, sent := range f.sent {
+		first, _ := slices.BinarySearch(sent, f.now-(seconds-5)*time.Second)
+		got = append(got, len(sent)-first)
 	}
-	if most[1] > 1+(most[0]-1)*0.8 {
-		t.Errorf("the busiest server gets %.2f of the mean among members, %.2f alone", most[1], most[0])
+	most = float64(slices.Max(got)) / (rate * (seconds - 5) / servers)
+	churn *= 60.0 / (seconds - 1) / sidecars
+	t.Logf("members %v: the busiest server got %.2f of the mean in %d s, %.1f members came to each subset a minute", members, most, seconds-5, churn)
+	return most, churn
+}
+
+// updateUsed notes what each sidecar uses, and counts what it did not use before.
+func (f *simulatedFleet) updateUsed(used []map[string]bool) (came float64) {
+	for self, b := range f.sidecars {
+		now := map[string]bool{}
+		for _, id := range ids(b.inUse) {
+			now[id] = true
+			if !used[self][id] {
+				came++
+			}
+		}
+		used[self] = now
 	}
+	return came
 }
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -1,6 +1,7 @@
 package balance
 
 import (
+	"fmt"
 	"testing"
 	"time"
 )
@@ -101,41 +102,49 @@
 	}
 }
 
-// TestLostAttemptIsSentElsewhere has one answer get lost while the others come: a request that is safe to repeat is
-// called off once it is certain and sent elsewhere, another is left as it is.
+// TestLostAttemptIsSentElsewhere has one answer get lost while the others come: a request that is safe to retry is cancelled once
+// that is certain and sent elsewhere, another is left as it is.
 func TestLostAttemptIsSentElsewhere(t *testing.T) {
+	const lost = 1
 	for _, effect := range []Effect{Idempotent, Deduplicated, AtMostOnce} {
-		set := settings()
-		set.CancelAllowed = true
-		set.Classes[0].Effect, set.Classes[0].DedupeWindow = effect, 5*time.Second
-		b, h := start(t, set, pair())
-		serve(b, h, 100, 20*time.Millisecond)
-		const lost = 1
-		first, began := ask(b, h, lost), h.now
-		h.sent = nil
-		var out []sending // four at once, so that each endpoint holds some
-		for i := RequestID(10); i < 200 && h.cancelled == 0; i++ {
-			h.now += 10 * time.Millisecond
-			if to := ask(b, h, i); to != "" {
-				out = append(out, sending{id: i, to: to})
+		t.Run(fmt.Sprint("effect ", effect), func(t *testing.T) {
+			set := settings()
+			set.CancelAllowed = true
+			set.Classes[0].Effect, set.Classes[0].DedupeWindow = effect, 5*time.Second
+			b, h := start(t, set, pair())
+			serve(b, h, 100, 20*time.Millisecond)
+			first, began := ask(b, h, lost), h.now
+			serveUntilCancel(b, h)
+			if effect != Idempotent {
+				if h.cancelled > 0 {
+					t.Error("cancelled")
+				}
+				return
 			}
-			if h.sent = nil; len(out) == 4 {
-				b.Result(h.now, Result{ID: out[0].id, Endpoint: out[0].to, Latency: 30 * time.Millisecond, Finished: true})
-				out = out[1:]
+			if after := h.now - began; h.cancelled != 1 || after < 200*time.Millisecond || after > 500*time.Millisecond {
+				t.Fatalf("cancelled %d times, the first after %v", h.cancelled, after)
 			}
-		}
-		if effect != Idempotent {
-			if h.cancelled > 0 {
-				t.Errorf("effect %d: called off", effect)
+			b.Result(h.now, Result{ID: lost, Endpoint: first, Outcome: Cancelled, Latency: h.now - began})
+			if len(h.sent) != 1 || h.sent[0].id != lost || h.sent[0].to == first {
+				t.Errorf("then %v, not at %s again", h.sent, first)
 			}
-			continue
-		}
-		if out := h.now - began; h.cancelled != 1 || out < 200*time.Millisecond || out > 500*time.Millisecond {
-			t.Fatalf("called off %d times, the first after %v", h.cancelled, out)
+		})
+	}
+}
+
+// serveUntilCancel serves requests, four at once, so that each endpoint holds some, until an attempt is cancelled.
+func serveUntilCancel(b *Balancer, h *host) {
+	h.sent = nil
+	var pending []sending
+	for i := RequestID(10); i < 200 && h.cancelled == 0; i++ {
+		h.now += 10 * time.Millisecond
+		if to := ask(b, h, i); to != "" {
+			pending = append(pending, sending{id: i, to: to})
 		}
-		b.Result(h.now, Result{ID: lost, Endpoint: first, Outcome: Cancelled, Latency: h.now - began})
-		if len(h.sent) != 1 || h.sent[0].id != lost || h.sent[0].to == first {
-			t.Errorf("then %v, not at %s again", h.sent, first)
+		h.sent = nil
+		if len(pending) == 4 {
+			b.Result(h.now, Result{ID: pending[0].id, Endpoint: pending[0].to, Latency: 30 * time.Millisecond, Finished: true})
+			pending = pending[1:]
 		}
 	}
 }
--- a/balance/overload_test.go
+++ b/balance/overload_test.go
@@ -9,73 +9,114 @@
 // TestOverloadEstimateEndsWithIt has all endpoints answer late for some seconds, and then at once again: three seconds later
 // nothing is refused, and all of them get their share.
 func TestOverloadEstimateEndsWithIt(t *testing.T) {
-	const quick, late = 60 * time.Millisecond, 900 * time.Millisecond
 	for _, gap := range []time.Duration{25 * time.Millisecond, 100 * time.Millisecond} { // much and little traffic
-		set := settings()
-		set.Classes = append(set.Classes, set.Classes[0])
-		set.Classes[1].Value = 5
-		var list []Endpoint
-		for i := range 12 {
-			list = append(list, Endpoint{ID: fmt.Sprint("e", i), Zone: "x", Kind: "big", Size: 1})
-		}
-		b, h := start(t, set, list)
-		began := h.now
-		type answer struct {
-			at, took time.Duration
-			sending
-		}
-		var due []answer
-		refused, got := 0, map[string]int{}
-		for ; h.now < began+16*time.Second; h.now += 5 * time.Millisecond {
-			since := h.now - began
-			jam := since >= 4*time.Second && since < 9*time.Second
-			for len(due) > 0 && due[0].at <= h.now {
-				a := due[0]
-				due = due[1:]
-				b.Result(h.now, Result{ID: a.id, Endpoint: a.to, Latency: a.took, Finished: true})
-			}
-			if since%tickInterval == 0 {
-				b.Timer(h.now, tickToken)
-			}
-			if since%gap != 0 {
-				continue
-			}
-			before := len(h.refused)
-			b.Request(h.now, Request{ID: RequestID(h.now), Class: int(since / gap % 2), Tenant: -1, TimeLeft: 3 * time.Second})
-			for _, s := range h.sent {
-				took := quick
-				if jam {
-					took = late
-				}
-				due = append(due, answer{h.now + took, took, s})
-				if since >= 12*time.Second {
-					got[s.to]++
-				}
-			}
-			if h.sent = nil; since >= 12*time.Second {
-				refused += len(h.refused) - before
+		t.Run(fmt.Sprint("a request in ", gap), func(t *testing.T) {
+			play := newOverloadPlay(t, gap)
+			play.run()
+			if play.refused > 0 {
+				t.Errorf("%d refused from 3 s after the overload on, %d sent", play.refused, play.sent())
 			}
-			if !jam { // the last late answers come after the first quick ones
-				for i := len(due) - 1; i > 0 && due[i].at < due[i-1].at; i-- {
-					due[i], due[i-1] = due[i-1], due[i]
+			for _, e := range play.list {
+				if mean := play.sent() / len(play.list); play.got[e.ID] < mean/2 || play.got[e.ID] > 2*mean+1 {
+					t.Errorf("%s got %d of %d", e.ID, play.got[e.ID], play.sent())
 				}
 			}
+		})
+	}
+}
+
+// The times of an overloadPlay, since its start.
+const (
+	overloadFrom  = 4 * time.Second
+	overloadUntil = 9 * time.Second
+	countedFrom   = 12 * time.Second
+	playUntil     = 16 * time.Second
+)
+
+// overloadPlay is an overload of all endpoints that one sidecar uses.
+type overloadPlay struct {
+	b       *Balancer
+	h       *host
+	list    []Endpoint
+	gap     time.Duration // between requests
+	due     []lateAnswer
+	refused int            // once the overload is over
+	got     map[string]int // by endpoint, likewise
+}
+
+type lateAnswer struct {
+	at, took time.Duration
+	sending
+}
+
+func newOverloadPlay(t *testing.T, gap time.Duration) *overloadPlay {
+	t.Helper()
+	set := settings()
+	set.Classes = append(set.Classes, set.Classes[0])
+	set.Classes[1].Value = 5
+	p := &overloadPlay{gap: gap, got: map[string]int{}}
+	for i := range 12 {
+		p.list = append(p.list, Endpoint{ID: fmt.Sprint("e", i), Zone: "x", Kind: "big", Size: 1})
+	}
+	p.b, p.h = start(t, set, p.list)
+	return p
+}
+
+func (p *overloadPlay) run() {
+	for began := p.h.now; p.h.now < began+playUntil; p.h.now += 5 * time.Millisecond {
+		since := p.h.now - began
+		p.answer()
+		if since%tickInterval == 0 {
+			p.b.Timer(p.h.now, tickToken)
 		}
-		sends := 0
-		for _, n := range got {
-			sends += n
+		if since%p.gap == 0 {
+			p.ask(since)
 		}
-		if refused > 0 {
-			t.Errorf("a request in %v: %d refused from 3 s after the jam on, %d sent", gap, refused, sends)
+	}
+}
+
+func (p *overloadPlay) answer() {
+	for len(p.due) > 0 && p.due[0].at <= p.h.now {
+		answer := p.due[0]
+		p.due = p.due[1:]
+		p.b.Result(p.h.now, Result{ID: answer.id, Endpoint: answer.to, Latency: answer.took, Finished: true})
+	}
+}
+
+func (p *overloadPlay) ask(since time.Duration) {
+	const quick, late = 60 * time.Millisecond, 900 * time.Millisecond
+	overloaded, counted := since >= overloadFrom && since < overloadUntil, since >= countedFrom
+	before := len(p.h.refused)
+	p.b.Request(p.h.now, Request{ID: RequestID(p.h.now), Class: int(since / p.gap % 2), Tenant: -1, TimeLeft: 3 * time.Second})
+	for _, s := range p.h.sent {
+		took := quick
+		if overloaded {
+			took = late
 		}
-		for _, e := range list {
-			if mean := sends / len(list); got[e.ID] < mean/2 || got[e.ID] > 2*mean+1 {
-				t.Errorf("a request in %v: %s got %d of %d", gap, e.ID, got[e.ID], sends)
-			}
+		p.due = append(p.due, lateAnswer{p.h.now + took, took, s})
+		if counted {
+			p.got[s.to]++
+		}
+	}
+	p.h.sent = nil
+	if counted {
+		p.refused += len(p.h.refused) - before
+	}
+	if !overloaded { // the last late answers come after the first quick ones
+		for i := len(p.due) - 1; i > 0 && p.due[i].at < p.due[i-1].at; i-- {
+			p.due[i], p.due[i-1] = p.due[i-1], p.due[i]
 		}
 	}
 }
 
+// sent is how many requests were sent once the overload was over.
+func (p *overloadPlay) sent() (sum int) {
+	for _, n := range p.got {
+		sum += n
+	}
+	return sum
+}
+
 // TestWarmingUpEndpointGoesByItsPeers has all cold endpoints but one answer late: that one is believed no quicker, while
 // warm ones are.
 func TestWarmingUpEndpointGoesByItsPeers(t *testing.T) {
--- a/balance/peersignals_test.go
+++ b/balance/peersignals_test.go
@@ -8,69 +8,75 @@
 	"gradeusher.example/gradeusher/balance/signals"
 )
 
-// report is what a member says of an endpoint, as one that uses 16 in two zones.
-func report(b *Balancer, e *endpoint, zone string, kind signals.Kind) signals.Report {
+// report is what a member states of an endpoint, as one that uses 16 in two zones.
+func report(e *endpoint, zone string, kind signals.Kind) signals.Report {
 	return signals.Report{Zone: zone, Uses: []signals.ZoneUse{{Zone: e.Zone, Servers: 8}, {Zone: "other", Servers: 8}},
 		Verdicts: []signals.Verdict{{Process: e.process(), Zone: e.Zone, Kind: kind, Count: 2}}}
 }
 
-// TestVerdictEjects: what three members call silent gets nothing; it comes back within the bound and the turns after
-// they fall silent. Two do not do, nor three for what serves this sidecar, a later process, or half of all.
+// condemn has members of two zones in turn state that an endpoint fails.
+func condemn(b *Balancer, now Time, e *endpoint, members int, seq uint64, kind signals.Kind) {
+	for i := range members {
+		zone := []string{b.settings.Zone, "other"}[i%2]
+		b.ReceiveReport(now, signals.Statement{Origin: fmt.Sprint("m", i), Start: 1, Seq: seq, Report: report(e, zone, kind)})
+	}
+}
+
+// TestVerdictEjects: what three members call unresponsive gets nothing; it returns within the TTL and the turns after they fall
+// silent. Two do not do, nor three for what serves this sidecar, a later process, or half of all.
 func TestVerdictEjects(t *testing.T) {
+	for _, tt := range []verdictCase{
+		{"three", 3, signals.Unresponsive, 0, false, true},
+		{"two", 2, signals.Unresponsive, 0, false, false},
+		{"failing", 3, signals.Failing, 0, false, true},
+		{"slow", 3, signals.Slow, 0, false, false},
+		{"served just now", 3, signals.Unresponsive, time.Second / 2, false, false},
+		{"served before", 3, signals.Unresponsive, 3 * time.Second, false, true},
+		{"the next process", 3, signals.Unresponsive, 0, true, false},
+		{"no report", 0, signals.Unresponsive, 0, false, false},
+	} {
+		t.Run(tt.name, tt.run)
+	}
+}
+
+type verdictCase struct {
+	name    string
+	members int
+	kind    signals.Kind
+	served  time.Duration // by the server, ago; 0: never
+	next    bool          // its next process is listed
+	avoided bool
+}
+
+func (tt verdictCase) run(t *testing.T) {
 	const peers = 10
-	tell := func(b *Balancer, h *host, e *endpoint, members int, kind signals.Kind) {
-		for i := range members {
-			b.ReceiveReport(h.now, signals.Statement{Origin: fmt.Sprint("m", i), Start: 1, Seq: uint64(h.now), Report: report(b, e, []string{b.settings.Zone, "other"}[i%2], kind)})
-		}
+	b, h := sidecar(t, 3, peers, fleet(20))
+	e := b.inUse[0]
+	h.now = 10 * time.Second
+	if tt.served > 0 {
+		e.lastServed = h.now - tt.served
+	}
+	condemned := *e
+	if tt.next {
+		next := e.Endpoint
+		next.Started = h.now
+		b.Endpoints(h.now, ListChanges, []Endpoint{next})
+	}
+	condemn(b, h.now, &condemned, tt.members, uint64(h.now), tt.kind)
+	b.Timer(h.now, tickToken)
+	if got := h.now < e.ejectedUntil; got != tt.avoided {
+		t.Errorf("avoided %v, want %v", got, tt.avoided)
+	}
+	if v := b.LocalReport(h.now).Verdicts; len(v) > 0 && (tt.served == 0 || v[0].Kind != signals.Serving) {
+		t.Error("it states itself what it only heard")
+	}
+	last := h.now + 2*time.Second + returnSpread + time.Second
+	for h.now < last {
+		h.now += tickInterval
 		b.Timer(h.now, tickToken)
 	}
-	for name, tt := range map[string]struct {
-		members int
-		kind    signals.Kind
-		served  time.Duration // by the server, ago; 0: never
-		next    bool          // its next process is listed
-		avoided bool
-	}{
-		"three":              {3, signals.Unresponsive, 0, false, true},
-		"two":                {2, signals.Unresponsive, 0, false, false},
-		"refusing":           {3, signals.Failing, 0, false, true},
-		"slow":               {3, signals.Slow, 0, false, false},
-		"served just now":    {3, signals.Unresponsive, time.Second / 2, false, false},
-		"served before":      {3, signals.Unresponsive, 3 * time.Second, false, true},
-		"the next process":   {3, signals.Unresponsive, 0, true, false},
-		"nobody says a word": {0, signals.Unresponsive, 0, false, false},
-	} {
-		b, h := sidecar(t, 3, peers, fleet(20))
-		e := b.inUse[0]
-		h.now = 10 * time.Second
-		if tt.served > 0 {
-			e.lastServed = h.now - tt.served
-		}
-		said := *e
-		if tt.next {
-			list := fleet(20)
-			for i := range list {
-				if list[i].ID == e.ID {
-					list[i].Started = h.now
-				}
-			}
-			b.Endpoints(h.now, ListChanges, list)
-		}
-		tell(b, h, &said, tt.members, tt.kind)
-		if got := h.now < e.ejectedUntil; got != tt.avoided {
-			t.Errorf("%s: avoided %v, want %v", name, got, tt.avoided)
-		}
-		if v := b.LocalReport(h.now).Verdicts; len(v) > 0 && (tt.served == 0 || v[0].Kind != signals.Serving) {
-			t.Errorf("%s: it says itself what it was only told", name)
-		}
-		last := h.now + 2*time.Second + returnSpread + time.Second
-		for h.now < last {
-			h.now += tickInterval
-			b.Timer(h.now, tickToken)
-		}
-		if h.now < e.ejectedUntil {
-			t.Errorf("%s: still avoided %v after the last word", name, h.now)
-		}
+	if h.now < e.ejectedUntil {
+		t.Errorf("still avoided %v after the last report", h.now)
 	}
 }
 
@@ -80,7 +86,7 @@
 	h.now = 10 * time.Second
 	for n, e := range b.endpoints[:5] {
 		for i := range 3 {
-			b.ReceiveReport(h.now, signals.Statement{Origin: fmt.Sprint("m", n, i), Start: 1, Seq: 1, Report: report(b, e, []string{b.settings.Zone, "other"}[i%2], signals.Unresponsive)})
+			b.ReceiveReport(h.now, signals.Statement{Origin: fmt.Sprint("m", n, i), Start: 1, Seq: 1, Report: report(e, []string{b.settings.Zone, "other"}[i%2], signals.Unresponsive)})
 		}
 	}
 	b.Timer(h.now, tickToken)
@@ -119,7 +125,7 @@
 	}
 	// Where so many speak that one more adds nothing, it goes on, but does not begin.
 	for i := range 6 {
-		b.ReceiveReport(late, signals.Statement{Origin: fmt.Sprint("m", i), Start: 1, Seq: 1, Report: report(b, e, []string{b.settings.Zone, "other"}[i%2], signals.Unresponsive)})
+		b.ReceiveReport(late, signals.Statement{Origin: fmt.Sprint("m", i), Start: 1, Seq: 1, Report: report(e, []string{b.settings.Zone, "other"}[i%2], signals.Unresponsive)})
 	}
 	b.Timer(late, tickToken)
 	if r := b.LocalReport(late); len(r.Verdicts) != 1 {
@@ -156,7 +162,7 @@
 	before := b.expectedLatency(e, h.now)
 	tell := func(seq uint64, from, to int, kind signals.Kind, age time.Duration) {
 		for i := from; i < to; i++ {
-			r := report(b, e, []string{b.settings.Zone, "other"}[i%2], kind)
+			r := report(e, []string{b.settings.Zone, "other"}[i%2], kind)
 			r.Verdicts[0].Age = age
 			b.ReceiveReport(h.now, signals.Statement{Origin: fmt.Sprint("m", i), Start: 1, Seq: seq, Report: r})
 		}
@@ -177,42 +183,50 @@
 	}
 }
 
-// TestProbesGoByTurns: of many that hear that a server is silent few try it at a time, with requests that may be repeated, and
+// TestProbesGoByTurns: of many that hear that a server is unresponsive few probe it at a time, with requests that may be retried, and
 // the turns of one that is gone pass on.
 func TestProbesGoByTurns(t *testing.T) {
 	const peers, seconds = 100, 60
 	for _, gone := range []int{0, 50} {
-		tries := 0
-		for self := range peers - gone {
-			b, h := sidecar(t, self, peers, fleet(20))
-			b.SetMembers(h.now, self, make([]Peer, peers-gone))
-			e, own := b.inUse[0], 0
-			h.now = 10 * time.Second
-			for end := h.now + seconds*time.Second; h.now < end; h.now += tickInterval {
-				for i := range 3 {
-					b.ReceiveReport(h.now, signals.Statement{Origin: fmt.Sprint("m", i), Start: 1, Seq: uint64(h.now), Report: report(b, e, []string{b.settings.Zone, "other"}[i%2], signals.Unresponsive)})
-				}
-				b.Timer(h.now, tickToken)
-				ask(b, h, RequestID(h.now))
-				for _, s := range h.sent {
-					if s.to == e.ID {
-						own++
-						if s.within != 1500*time.Millisecond {
-							t.Fatalf("a try may take %v of 3 s: no time is left for another attempt", s.within)
-						}
-					}
+		t.Run(fmt.Sprint(gone, " gone"), func(t *testing.T) {
+			probes := 0
+			for self := range peers - gone {
+				own := countProbes(t, self, peers, peers-gone, seconds*time.Second)
+				if own > seconds/5 {
+					t.Errorf("sidecar %d probes %d times in %d s", self, own, seconds)
 				}
-				h.sent = nil
-				b.ClientDisconnected(h.now, RequestID(h.now))
-				b.Result(h.now, Result{ID: RequestID(h.now), Endpoint: e.ID, Outcome: Cancelled})
+				probes += own
 			}
-			if own > seconds/5 {
-				t.Errorf("sidecar %d tries %d times in %d s", self, own, seconds)
+			if probes < 10 || probes > 4*seconds {
+				t.Errorf("%d probes of one server in %d s", probes, seconds)
+			}
+		})
+	}
+}
+
+// countProbes counts the requests that a sidecar sends to an endpoint which three members condemn all the time.
+func countProbes(t *testing.T, self, peers, members int, length time.Duration) (probes int) {
+	t.Helper()
+	b, h := sidecar(t, self, peers, fleet(20))
+	b.SetMembers(h.now, self, make([]Peer, members))
+	condemned := b.inUse[0]
+	h.now = 10 * time.Second
+	for end := h.now + length; h.now < end; h.now += tickInterval {
+		condemn(b, h.now, condemned, 3, uint64(h.now), signals.Unresponsive)
+		b.Timer(h.now, tickToken)
+		ask(b, h, RequestID(h.now))
+		for _, s := range h.sent {
+			if s.to != condemned.ID {
+				continue
+			}
+			probes++
+			if s.within != 1500*time.Millisecond {
+				t.Fatalf("a probe may take %v of 3 s: no time is left for another attempt", s.within)
 			}
-			tries += own
-		}
-		if tries < 10 || tries > 4*seconds {
-			t.Errorf("%d gone: %d tries of one server in %d s", gone, tries, seconds)
 		}
+		h.sent = nil
+		b.ClientDisconnected(h.now, RequestID(h.now))
+		b.Result(h.now, Result{ID: RequestID(h.now), Endpoint: condemned.ID, Outcome: Cancelled})
 	}
+	return probes
 }
--- a/balance/shedding_end_test.go
+++ b/balance/shedding_end_test.go
@@ -6,64 +6,89 @@
 	"time"
 )
 
-// TestSheddingEndsWithOverload has endpoints that answer at once after a jam in which the lesser class came to seem heavy: it is
-// refused for no longer than lesser classes give way for, though its answers have not told better yet; and so is one that is
-// worth so little that its bar lies under what an idle server takes.
+// TestSheddingEndsWithOverload has endpoints that answer at once after an overload in which the lower class came to seem heavy: it
+// is refused for no longer than shedding lasts, though its answers have not shown better yet; and so is one of so little value that
+// its threshold lies under what an idle server takes.
 func TestSheddingEndsWithOverload(t *testing.T) {
-	for _, worth := range []float64{1, 1e-4} {
-		known := worth == 1 // what the lesser class takes
-		set := settings()
-		set.Classes = append(set.Classes, set.Classes[0])
-		set.Classes[0].Value, set.Classes[1].Value = worth, 3
-		var list []Endpoint
-		for i := range 8 {
-			list = append(list, Endpoint{ID: fmt.Sprint("e", i), Zone: "x", Kind: "big", Size: 1})
+	t.Run("a class that seemed heavy", func(t *testing.T) {
+		play := newSheddingPlay(t, 1)
+		if play.b.meanSeconds[0] < 20*play.b.meanSeconds[1] {
+			t.Fatalf("the overload taught %.3f", play.b.meanSeconds)
 		}
-		b, h := start(t, set, list)
-		ids := RequestID(0)
-		play := func(class int, took time.Duration) (refused bool) {
-			ids++
-			b.Request(h.now, Request{ID: ids, Class: class, Tenant: -1, TimeLeft: 3 * time.Second})
-			h.now += 10 * time.Millisecond
-			if len(h.sent) == 0 {
-				return true
-			}
-			b.Result(h.now, Result{ID: ids, Endpoint: h.sent[0].to, Latency: took, Finished: true})
-			h.sent = nil
-			return false
+		for range 400 {
+			play.ask(1, 30*time.Millisecond)
 		}
-		for i := range 400 { // the jam: the lesser class is slow
-			play(i%2, []time.Duration{2 * time.Second, 30 * time.Millisecond}[i%2])
+		if play.b.meanSeconds[0] > 3*play.b.meanSeconds[1] {
+			t.Errorf("after 400 answers of the other class the lower one still seems to take %.3f s, the other %.3f s", play.b.meanSeconds[0], play.b.meanSeconds[1])
 		}
-		if known && b.meanSeconds[0] < 20*b.meanSeconds[1] {
-			t.Fatalf("the jam taught %.3f", b.meanSeconds)
+		refused, late := play.refusedWhileShedding()
+		if late > 0 {
+			t.Errorf("%d refused after classes were shed for %v", late, memoryTTL)
 		}
-		if known {
-			for range 400 {
-				play(1, 30*time.Millisecond)
-			}
-			if b.meanSeconds[0] > 3*b.meanSeconds[1] {
-				t.Errorf("after 400 answers of the other class the lesser one still seems to take %.3f s, the other %.3f s", b.meanSeconds[0], b.meanSeconds[1])
-			}
+		if refused > 0 {
+			t.Errorf("%d refused while classes are shed, though it takes no longer than the other", refused)
 		}
-		began, late, refused := h.now, 0, 0
-		for b.sheddingUntil = h.now + memoryTTL; h.now < began+3*memoryTTL; {
-			if h.now%tickInterval == 0 {
-				b.Timer(h.now, tickToken)
-			}
-			play(1, 30*time.Millisecond)
-			if play(0, 30*time.Millisecond) {
-				refused++
-				if h.now > began+memoryTTL+tickInterval {
-					late++
-				}
-			}
+	})
+	t.Run("a class of little value", func(t *testing.T) {
+		if _, late := newSheddingPlay(t, 1e-4).refusedWhileShedding(); late > 0 {
+			t.Errorf("%d refused after classes were shed for %v", late, memoryTTL)
 		}
-		if late > 0 {
-			t.Errorf("worth %v: %d refused after lesser classes gave way for %v", worth, late, memoryTTL)
+	})
+}
+
+// sheddingPlay is a sidecar with two classes, of which the first is slow in an overload that has just ended.
+type sheddingPlay struct {
+	b   *Balancer
+	h   *host
+	ids RequestID
+}
+
+func newSheddingPlay(t *testing.T, value float64) *sheddingPlay {
+	t.Helper()
+	set := settings()
+	set.Classes = append(set.Classes, set.Classes[0])
+	set.Classes[0].Value, set.Classes[1].Value = value, 3
+	var list []Endpoint
+	for i := range 8 {
+		list = append(list, Endpoint{ID: fmt.Sprint("e", i), Zone: "x", Kind: "big", Size: 1})
+	}
+	p := &sheddingPlay{}
+	p.b, p.h = start(t, set, list)
+	for i := range 400 {
+		p.ask(i%2, []time.Duration{2 * time.Second, 30 * time.Millisecond}[i%2])
+	}
+	return p
+}
+
+// ask plays a request, and tells whether it was refused.
+func (p *sheddingPlay) ask(class int, took time.Duration) (refused bool) {
+	p.ids++
+	p.b.Request(p.h.now, Request{ID: p.ids, Class: class, Tenant: -1, TimeLeft: 3 * time.Second})
+	p.h.now += 10 * time.Millisecond
+	if len(p.h.sent) == 0 {
+		return true
+	}
+	p.b.Result(p.h.now, Result{ID: p.ids, Endpoint: p.h.sent[0].to, Latency: took, Finished: true})
+	p.h.sent = nil
+	return false
+}
+
+// refusedWhileShedding counts the refusals of the first class from a shedding on, and those after it should have ended.
+func (p *sheddingPlay) refusedWhileShedding() (refused, late int) {
+	began := p.h.now
+	p.b.sheddingUntil = began + memoryTTL
+	for p.h.now < began+3*memoryTTL {
+		if p.h.now%tickInterval == 0 {
+			p.b.Timer(p.h.now, tickToken)
+		}
+		p.ask(1, 30*time.Millisecond)
+		if !p.ask(0, 30*time.Millisecond) {
+			continue
 		}
-		if known && refused > 0 {
-			t.Errorf("%d refused while tight, though it takes no longer than the other", refused)
+		refused++
+		if p.h.now > began+memoryTTL+tickInterval {
+			late++
 		}
 	}
+	return refused, late
 }
--- a/balance/subsetting_test.go
+++ b/balance/subsetting_test.go
@@ -113,44 +113,54 @@
 	}
 }
 
-// TestWarmingUpEndpointAmongManySidecars guards rule 4: what all sidecars together send to a cold endpoint stays within
+// TestWarmingUpEndpointAmongManySidecars guards rule 4: what all sidecars together send to an endpoint that warms up stays within
 // its turns, also when each has nowhere else to go, whatever their number, and with none of them knowing it.
 func TestWarmingUpEndpointAmongManySidecars(t *testing.T) {
 	const seconds = 2
 	for _, peers := range []int{5, 100, 1000} {
-		list := fleet(20)
-		var cold, all float64
-		for self := range peers {
-			b, h := sidecar(t, self, peers, list)
-			fresh := list[0]
-			fresh.Started = h.now
-			b.Endpoints(h.now, ListChanges, []Endpoint{fresh})
-			id := RequestID(0)
-			for tick := range seconds * 10 {
-				h.now += tickInterval
-				b.Timer(h.now, tickToken)
-				for share := 8000 / peers * (self % 2); int(id)*seconds*10 < share*(tick+1); {
-					id++ // half of the sidecars carry all traffic
-					to := ask(b, h, id)
-					if all++; to == fresh.ID {
-						cold++
-					}
-					if to != "" { // all others turn requests away at once
-						outcome := Saturated
-						if to == fresh.ID {
-							outcome = Served
-						}
-						b.Result(h.now, Result{ID: id, Endpoint: to, Outcome: outcome, Latency: time.Millisecond})
-					}
-				}
+		t.Run(fmt.Sprint(peers, " sidecars"), func(t *testing.T) {
+			var cold, all float64
+			for self := range peers {
+				share := 8000 / peers * (self % 2) // half of the sidecars carry all traffic
+				fromCold, fromAll := sendsWithOthersSaturated(t, self, peers, share, seconds)
+				cold, all = cold+fromCold, all+fromAll
+			}
+			// The mean endpoint gets one of 20 requests, and each request may be tried three times.
+			warm := settings().StartCapacity + (1-settings().StartCapacity)*seconds/settings().WarmUpTime.Seconds()
+			if most := all / 20 * 3 * warm; cold > most {
+				t.Errorf("%.0f of %.0f requests went to the endpoint that warms up, want %.0f at most", cold, all, most)
+			}
+		})
+	}
+}
+
+// sendsWithOthersSaturated counts the requests that a sidecar sends to an endpoint that warms up while all others reject, and all.
+func sendsWithOthersSaturated(t *testing.T, self, peers, share, seconds int) (cold, all float64) {
+	t.Helper()
+	list := fleet(20)
+	b, h := sidecar(t, self, peers, list)
+	fresh := list[0]
+	fresh.Started = h.now
+	b.Endpoints(h.now, ListChanges, []Endpoint{fresh})
+	id := RequestID(0)
+	for tick := range seconds * 10 {
+		h.now += tickInterval
+		b.Timer(h.now, tickToken)
+		for int(id)*seconds*10 < share*(tick+1) {
+			id++
+			to := ask(b, h, id)
+			all++
+			outcome := Saturated
+			if to == fresh.ID {
+				cold++
+				outcome = Served
+			}
+			if to != "" {
+				b.Result(h.now, Result{ID: id, Endpoint: to, Outcome: outcome, Latency: time.Millisecond})
 			}
-		}
-		// The mean endpoint gets one of 20 requests, and each request may be tried three times.
-		warm := settings().StartCapacity + (1-settings().StartCapacity)*seconds/settings().WarmUpTime.Seconds()
-		if most := all / 20 * 3 * warm; cold > most {
-			t.Errorf("%d sidecars sent %.0f of %.0f requests to a cold endpoint, want %.0f at most", peers, cold, all, most)
 		}
 	}
+	return cold, all
 }
 
 // TestWarmingUpEndpointGetsItsShare guards against sidecars that all wait a round before they turn to a cold
--- a/balance/warmup_budget_test.go
+++ b/balance/warmup_budget_test.go
@@ -6,7 +6,7 @@
 )
 
 // sendsWhileWarmingUp plays a burst on a fleet of warm endpoints that take 20 ms a request and a freshly started one, and
-// returns how many sends the started one gets in each FallTime at most, and how many it may get from this sidecar.
+// returns how many sends the started one gets in each OverloadTime at most, and how many it may get from this sidecar.
 func sendsWhileWarmingUp(t *testing.T, peers int, retries bool) (most int, part float64) {
 	t.Helper()
 	set := settings()
@@ -43,20 +43,26 @@
 		}
 		h.sent = h.sent[:0]
 	}
-	for i, from := range cold {
-		n := 0
-		for _, at := range cold[i:] {
-			if at-from < set.OverloadTime {
-				n++
-			}
-		}
-		most = max(most, n)
-	}
+	most = maxWithin(cold, set.OverloadTime)
 	// At the end of the second its share of capacity is a little higher than at the start.
 	share := set.StartCapacity + (1-set.StartCapacity)*1.0/set.WarmUpTime.Seconds()
 	return most, set.OverloadMultiple * share * 50 * set.OverloadTime.Seconds() / float64(peers)
 }
 
+// maxWithin is the most of the times, which rise, that lie within a length.
+func maxWithin(times []Time, length time.Duration) (most int) {
+	for i, from := range times {
+		count := 0
+		for _, at := range times[i:] {
+			if at-from < length {
+				count++
+			}
+		}
+		most = max(most, count)
+	}
+	return most
+}
+
 func TestWarmUpBudget(t *testing.T) {
 	for _, peers := range []int{1, 2, 5} {
 		for _, retries := range []bool{false, true} {
--- a/balance/warmup_fleet_test.go
+++ b/balance/warmup_fleet_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"fmt"
 	"math"
 	"math/rand/v2"
 	"slices"
@@ -75,20 +76,9 @@
 func (f *simulatedFleet) run(until Time) {
 	for ; f.now < until; f.now += simulationTick {
 		for len(f.answers) > 0 && f.answers[0].at <= f.now {
-			a := f.answers[0]
+			due := f.answers[0]
 			f.answers = f.answers[1:]
-			r := Result{ID: a.send.id, Endpoint: a.send.to, Latency: 100 * time.Millisecond, Finished: true}
-			if a.send.to == f.bad {
-				r.Outcome, r.Finished = ConnectFailed, false
-			}
-			if a.hung {
-				r.Outcome, r.Finished, r.Latency = TimedOut, false, hangTime
-			}
-			if q := f.sidecars[a.self].requests[r.ID]; q != nil { // one attempt after the other
-				r.Attempt = len(q.attempts) - 1
-			}
-			f.sidecars[a.self].Result(f.now, r)
-			f.collectSends(a.self)
+			f.answer(due)
 		}
 		for self, b := range f.sidecars {
 			for ; f.next[self] <= f.now; f.next[self] += f.nextGap(self) {
@@ -103,6 +93,22 @@
 	}
 }
 
+// answer ends an attempt.
+func (f *simulatedFleet) answer(due pendingAnswer) {
+	r := Result{ID: due.send.id, Endpoint: due.send.to, Latency: 100 * time.Millisecond, Finished: true}
+	if due.send.to == f.bad {
+		r.Outcome, r.Finished = ConnectFailed, false
+	}
+	if due.hung {
+		r.Outcome, r.Finished, r.Latency = TimedOut, false, hangTime
+	}
+	if q := f.sidecars[due.self].requests[r.ID]; q != nil { // one attempt after the other
+		r.Attempt = len(q.attempts) - 1
+	}
+	f.sidecars[due.self].Result(f.now, r)
+	f.collectSends(due.self)
+}
+
 func (f *simulatedFleet) collectSends(self int) {
 	for _, s := range f.hosts[self].sent {
 		f.sent[s.to] = append(f.sent[s.to], f.now)
@@ -140,56 +146,63 @@
 	return over
 }
 
-// TestWarmUpBudgetAddsUp guards rule 4 for any number of sidecars of uneven traffic: what all of them send to a cold server
-// within the time that a fall takes stays within what it may get, whether it comes back alone, after it refused everybody
-// for some seconds, or with all others; and it gets enough of it to be of use.
+// TestWarmUpBudgetAddsUp guards rule 4 for any number of sidecars of uneven traffic: what all of them send to an endpoint that
+// warms up, within the time after which it is overloaded, stays within what it may get, whether it returns alone, after it
+// refused everybody for some seconds, or with all others; and it gets enough of it to be of use.
 func TestWarmUpBudgetAddsUp(t *testing.T) {
-	const capacity, load = 20, 0.8
 	for _, size := range []struct{ sidecars, servers int }{{1, 20}, {100, 20}, {1000, 50}} {
 		for _, known := range []bool{false, true} {
 			for _, way := range []string{"alone", "refusing", "all"} {
-				list := fleet(size.servers)
-				f := newSimulatedFleet(t, size.sidecars, list, load*capacity*float64(size.servers))
-				f.run(f.now + 13*time.Second)
-				if known {
-					f.introduce()
-				}
-				from := f.now
-				for i := range list {
-					if list[i].Started = f.now; way != "all" {
-						list[i].Started = 0
-					}
-				}
-				list[0].Started = f.now
-				if way == "refusing" {
-					f.bad = list[0].ID
-				}
-				for _, b := range f.sidecars {
-					b.Endpoints(f.now, ListFull, list)
-				}
-				f.run(f.now + 5*time.Second)
-				f.bad = ""
-				f.run(f.now + 5*time.Second)
-				var over, got float64
-				for _, e := range list {
-					if e.Started != 0 {
-						over = max(over, f.worstExcess(e.ID, from, capacity))
-					}
-				}
-				for _, at := range f.sent[list[0].ID] {
-					if at >= from {
-						got++
-					}
-				}
-				t.Logf("%4d sidecars x %2d servers, members known %5v, cold %-8s: %.2f of what one may get in a second, %4.0f in 10 s",
-					size.sidecars, size.servers, known, way, over, got)
-				if over > 1 {
-					t.Errorf("%d sidecars sent a cold server %.2f of what it may get", size.sidecars, over)
-				}
-				if even := capacity * 10 * (1 + settings().StartCapacity) / 2; way != "refusing" && got < even/2 {
-					t.Errorf("a cold server got %.0f requests in 10 s, and could do %.0f", got, even)
-				}
+				name := fmt.Sprintf("%d sidecars, %d servers, members known %v, %s", size.sidecars, size.servers, known, way)
+				t.Run(name, func(t *testing.T) {
+					checkWarmUpBudget(t, size.sidecars, size.servers, known, way)
+				})
 			}
 		}
 	}
 }
+
+// checkWarmUpBudget has an endpoint return in a way that TestWarmUpBudgetAddsUp names.
+func checkWarmUpBudget(t *testing.T, sidecars, servers int, known bool, way string) {
+	t.Helper()
+	const capacity, load = 20, 0.8
+	list := fleet(servers)
+	f := newSimulatedFleet(t, sidecars, list, load*capacity*float64(servers))
+	f.run(f.now + 13*time.Second)
+	if known {
+		f.introduce()
+	}
+	from := f.now
+	for i := range list {
+		if way == "all" || i == 0 {
+			list[i].Started = f.now
+		}
+	}
+	if way == "refusing" {
+		f.bad = list[0].ID
+	}
+	for _, b := range f.sidecars {
+		b.Endpoints(f.now, ListFull, list)
+	}
+	f.run(f.now + 5*time.Second)
+	f.bad = ""
+	f.run(f.now + 5*time.Second)
+	var over, got float64
+	for _, e := range list {
+		if e.Started != 0 {
+			over = max(over, f.worstExcess(e.ID, from, capacity))
+		}
+	}
+	for _, at := range f.sent[list[0].ID] {
+		if at >= from {
+			got++
+		}
+	}
+	t.Logf("%.2f of what one may get in a second, %4.0f in 10 s", over, got)
+	if over > 1 {
+		t.Errorf("an endpoint that warms up was sent %.2f of what it may get", over)
+	}
+	if even := capacity * 10 * (1 + settings().StartCapacity) / 2; way != "refusing" && got < even/2 {
+		t.Errorf("an endpoint that warms up got %.0f requests in 10 s, and could do %.0f", got, even)
+	}
+}
