--- a/balance/invariants_test.go
+++ b/balance/invariants_test.go
@@ -8,186 +8,252 @@
 	"time"
 )
 
-// playDay runs a random day in steps of a millisecond and returns the checker with its faults.
+// playDay runs a random day in steps of a millisecond and returns the checker with its violations.
 func playDay(t testing.TB, seed uint64, steps int) *checker {
 	t.Helper()
 	return playDayOn(t, seed, steps, func(c *checker) Actions { return c })
 }
 
-// playDayOn is play with a host that may stand between the checker and the Balancer.
+// playDayOn is playDay with a host that may stand between the checker and the Balancer.
 func playDayOn(t testing.TB, seed uint64, steps int, host func(*checker) Actions) *checker {
 	t.Helper()
-	rng := rand.New(rand.NewPCG(seed, 7))
-	flip := func(p float64) bool { return rng.Float64() < p }
+	d := newDay(t, seed, host)
+	for range steps {
+		d.step()
+	}
+	if len(d.b.requests) > len(d.c.requests) {
+		d.c.violation("%d requests are still known, %d are open", len(d.b.requests), len(d.c.requests))
+	}
+	return d.c
+}
+
+// day is one sidecar with drawn requests, lists and failures.
+type day struct {
+	rng     *rand.Rand
+	b       *Balancer
+	c       *checker
+	list    []Endpoint
+	failing map[string]Outcome // servers that fail, and how
+	endings []ending
+	last    RequestID
+}
+
+// ending is how an attempt is going to end, and when.
+type ending struct {
+	at      Time
+	id      RequestID
+	attempt int
+	outcome Outcome
+}
+
+func newDay(t testing.TB, seed uint64, host func(*checker) Actions) *day {
+	t.Helper()
+	d := &day{rng: rand.New(rand.NewPCG(seed, 7)), failing: map[string]Outcome{}}
+	set := d.drawSettings(seed)
+	d.c = &checker{set: set, now: time.Minute, requests: map[RequestID]*modelRequest{}, servers: map[string]*modelServer{}, timers: map[Time][]uint64{}}
+	b, err := New(set, host(d.c))
+	if err != nil {
+		t.Fatal(err)
+	}
+	d.b = b
+	for i := range 1 + d.rng.IntN(8) {
+		d.list = append(d.list, Endpoint{ID: fmt.Sprint("s", i), Zone: set.Zones[d.rng.IntN(2)], Kind: set.Kinds[d.rng.IntN(2)],
+			Cell: d.rng.IntN(2), Size: 1})
+	}
+	d.notify(ListCached, d.list)
+	return d
+}
+
+// flip is true with a probability.
+func (d *day) flip(probability float64) bool { return d.rng.Float64() < probability }
+
+func (d *day) drawSettings(seed uint64) Settings {
 	set := settings()
-	set.Seed, set.PeerCount, set.Index = seed, 1+rng.IntN(5), 0
-	set.MaxAttempts = 1 + rng.IntN(4)
-	set.CancelAllowed = flip(.5)
-	set.SubscribeToDiscovery, set.DiscoveryDeadline = flip(.7), 10*time.Second
+	set.Seed, set.PeerCount, set.Index = seed, 1+d.rng.IntN(5), 0
+	set.MaxAttempts = 1 + d.rng.IntN(4)
+	set.CancelAllowed = d.flip(.5)
+	set.SubscribeToDiscovery, set.DiscoveryDeadline = d.flip(.7), 10*time.Second
 	set.Tenants = []Tenant{{"a", 40}, {"b", 20}}
 	set.Classes = nil
 	for i, e := range []Effect{Idempotent, Deduplicated, Deduplicated, Deduplicated, AtMostOnce} {
 		set.Classes = append(set.Classes, Class{Name: fmt.Sprint(i), Effect: e, Scope: Scope((i - 1 + 3) % 3),
 			DedupeWindow: 300 * time.Millisecond, LatencyTarget: 200 * time.Millisecond, Deadline: time.Second, Value: float64(1 + i)})
 	}
-	c := &checker{set: set, now: time.Minute, requests: map[RequestID]*modelRequest{}, servers: map[string]*modelServer{}, timers: map[Time][]uint64{}}
-	b, err := New(set, host(c))
-	if err != nil {
-		t.Fatal(err)
+	return set
+}
+
+// step plays a millisecond.
+func (d *day) step() {
+	d.c.now += time.Millisecond
+	for _, token := range d.c.timers[d.c.now] {
+		d.b.Timer(d.c.now, token)
 	}
-	var list []Endpoint
-	for i := range 1 + rng.IntN(8) {
-		list = append(list, Endpoint{ID: fmt.Sprint("s", i), Zone: set.Zones[rng.IntN(2)], Kind: set.Kinds[rng.IntN(2)],
-			Cell: rng.IntN(2), Size: 1})
+	delete(d.c.timers, d.c.now)
+	d.answerDiscovery()
+	if d.flip(.01) {
+		d.changeList()
 	}
-	tell := func(kind ListKind, entries []Endpoint) {
-		if kind != ListChanges {
-			for _, s := range c.servers {
-				s.listed = false
-			}
+	if d.flip(.005) {
+		d.changeFailures()
+	}
+	d.ask()
+	d.drawEndings()
+	d.end()
+	d.forget()
+}
+
+// notify tells the Balancer and the checker of a list.
+func (d *day) notify(kind ListKind, entries []Endpoint) {
+	if kind != ListChanges {
+		for _, s := range d.c.servers {
+			s.listed = false
 		}
-		for _, e := range entries {
-			s := c.servers[e.ID]
-			if s == nil {
-				s = &modelServer{}
-				c.servers[e.ID] = s
-				c.order = append(c.order, e.ID)
-			}
-			s.Endpoint, s.listed = e, e.State != Removed
+	}
+	for _, e := range entries {
+		s := d.c.servers[e.ID]
+		if s == nil {
+			s = &modelServer{}
+			d.c.servers[e.ID] = s
+			d.c.order = append(d.c.order, e.ID)
 		}
-		b.Endpoints(c.now, kind, entries)
-	}
-	tell(ListCached, list)
-	bad := map[string]Outcome{} // servers in trouble, and how they fail
-	type ending struct {
-		at  Time
-		id  RequestID
-		n   int
-		how Outcome
-	}
-	var endings []ending
-	var next RequestID
-	for range steps {
-		c.now += time.Millisecond
-		for _, token := range c.timers[c.now] {
-			b.Timer(c.now, token)
+		s.Endpoint, s.listed = e, e.State != Removed
+	}
+	d.b.Endpoints(d.c.now, kind, entries)
+}
+
+func (d *day) answerDiscovery() {
+	for ; d.c.asked > 0; d.c.asked-- {
+		if d.flip(.5) {
+			d.b.Endpoints(d.c.now, ListRefused, nil)
+		} else {
+			d.notify(ListFull, d.list)
 		}
-		delete(c.timers, c.now)
-		for ; c.asked > 0; c.asked-- {
-			if flip(.5) {
-				b.Endpoints(c.now, ListRefused, nil)
-			} else {
-				tell(ListFull, list)
-			}
+	}
+}
+
+func (d *day) changeList() {
+	e := &d.list[d.rng.IntN(len(d.list))]
+	switch d.rng.IntN(4) {
+	case 0:
+		e.State = Draining
+	case 1:
+		e.State, e.Started = Ready, d.c.now-time.Duration(d.rng.IntN(3000))*time.Millisecond
+	case 2:
+		e.State = Removed
+	case 3:
+		e.State = Ready
+	}
+	kind, entries := ListChanges, []Endpoint{*e}
+	if d.flip(.3) {
+		kind = ListFull
+		entries = slices.DeleteFunc(slices.Clone(d.list), func(e Endpoint) bool { return e.State == Removed })
+	}
+	d.notify(kind, entries)
+}
+
+// changeFailures has a server begin or cease to fail.
+func (d *day) changeFailures() {
+	id := d.list[d.rng.IntN(len(d.list))].ID
+	if _, failing := d.failing[id]; failing {
+		delete(d.failing, id)
+	} else {
+		d.failing[id] = Outcome(1 + d.rng.IntN(7))
+	}
+}
+
+// ask sends requests, mostly none, and sometimes many.
+func (d *day) ask() {
+	burst := 0
+	if d.flip(.05) {
+		burst = 1 + d.rng.IntN(3)
+	}
+	if d.flip(.002) {
+		burst = 60
+	}
+	for range burst {
+		d.last++
+		r := Request{ID: d.last, Class: d.rng.IntN(len(d.c.set.Classes)), Tenant: d.rng.IntN(3) - 1,
+			TimeLeft: time.Duration(50+d.rng.IntN(950)) * time.Millisecond}
+		d.c.requests[d.last] = &modelRequest{class: &d.c.set.Classes[r.Class], deadline: d.c.now + r.TimeLeft}
+		d.b.Request(d.c.now, r)
+		if d.flip(.02) && !d.c.requests[d.last].ended {
+			d.b.Request(d.c.now, r) // a mistake of the host's
 		}
-		if flip(.01) { // the list changes
-			i := rng.IntN(len(list))
-			e := &list[i]
-			switch rng.IntN(4) {
-			case 0:
-				e.State = Draining
-			case 1:
-				e.State, e.Started = Ready, c.now-time.Duration(rng.IntN(3000))*time.Millisecond
-			case 2:
-				e.State = Removed
-			case 3:
-				e.State = Ready
-			}
-			kind, entries := ListChanges, []Endpoint{*e}
-			if flip(.3) {
-				kind = ListFull
-				entries = slices.DeleteFunc(slices.Clone(list), func(e Endpoint) bool { return e.State == Removed })
-			}
-			tell(kind, entries)
+	}
+}
+
+// drawEndings draws how the attempts of the latest requests end that are new.
+func (d *day) drawEndings() {
+	for id := max(d.last, 3000) - 2999; id <= d.last; id++ {
+		r := d.c.requests[id]
+		if r == nil || id == 0 {
+			continue
 		}
-		if flip(.005) { // a server falls ill or recovers
-			id := list[rng.IntN(len(list))].ID
-			if _, ill := bad[id]; ill {
-				delete(bad, id)
-			} else {
-				bad[id] = Outcome(1 + rng.IntN(7))
+		for n := range r.attempts {
+			isDrawn := slices.ContainsFunc(d.endings, func(e ending) bool { return e.id == id && e.attempt == n })
+			if !isDrawn && !r.attempts[n].done {
+				d.endings = append(d.endings, d.drawEnding(id, n, r))
 			}
 		}
-		burst := 0
-		if flip(.05) {
-			burst = 1 + rng.IntN(3)
-		}
-		if flip(.002) {
-			burst = 60
+		if !r.ended && d.flip(.0005) {
+			r.ended = true
+			d.b.ClientDisconnected(d.c.now, id)
 		}
-		for range burst {
-			next++
-			r := Request{ID: next, Class: rng.IntN(len(set.Classes)), Tenant: rng.IntN(3) - 1,
-				TimeLeft: time.Duration(50+rng.IntN(950)) * time.Millisecond}
-			c.requests[next] = &modelRequest{class: &set.Classes[r.Class], deadline: c.now + r.TimeLeft}
-			b.Request(c.now, r)
-			if flip(.02) && !c.requests[next].ended {
-				b.Request(c.now, r) // a mistake of the host's
-			}
-		}
-		for id := max(next, 3000) - 2999; id <= next; id++ {
-			r := c.requests[id]
-			if r == nil || id == 0 {
-				continue
-			}
-			for n := range r.attempts {
-				if slices.ContainsFunc(endings, func(e ending) bool { return e.id == id && e.n == n }) || r.attempts[n].done {
-					continue
-				}
-				e := ending{at: c.now + time.Duration(20+rng.IntN(20))*time.Millisecond, id: id, n: n, how: Served}
-				if how, ill := bad[r.attempts[n].to]; ill {
-					e.how = how
-					e.at = c.now + time.Duration(10+rng.IntN(390))*time.Millisecond
-				}
-				if flip(.02) {
-					e.how = Outcome(rng.IntN(8))
-				}
-				if e.how == TimedOut || e.at > r.deadline {
-					e.at, e.how = r.deadline, TimedOut
-				}
-				endings = append(endings, e)
-			}
-			if !r.ended && flip(.0005) {
-				r.ended = true
-				b.ClientDisconnected(c.now, id)
-			}
+	}
+}
+
+func (d *day) drawEnding(id RequestID, attempt int, r *modelRequest) ending {
+	e := ending{at: d.c.now + time.Duration(20+d.rng.IntN(20))*time.Millisecond, id: id, attempt: attempt, outcome: Served}
+	if outcome, failing := d.failing[r.attempts[attempt].to]; failing {
+		e.outcome = outcome
+		e.at = d.c.now + time.Duration(10+d.rng.IntN(390))*time.Millisecond
+	}
+	if d.flip(.02) {
+		e.outcome = Outcome(d.rng.IntN(8))
+	}
+	if e.outcome == TimedOut || e.at > r.deadline {
+		e.at, e.outcome = r.deadline, TimedOut
+	}
+	return e
+}
+
+// end ends the attempts that are due.
+func (d *day) end() {
+	drawn := d.endings
+	d.endings = nil
+	for _, e := range drawn {
+		if e.at > d.c.now {
+			d.endings = append(d.endings, e)
+			continue
 		}
-		due := endings
-		endings = nil
-		for _, e := range due {
-			if e.at > c.now {
-				endings = append(endings, e)
-				continue
-			}
-			r := c.requests[e.id]
-			a := &r.attempts[e.n]
-			a.done, a.ran = true, e.how != Saturated && e.how != ConnectFailed && e.how != NotSent
-			if e.how == Served {
-				r.ended = true
-			}
-			b.Result(c.now, Result{ID: e.id, Attempt: e.n, Endpoint: a.to, Outcome: e.how,
-				Latency: c.now - a.sent, Finished: r.ended})
-			if flip(.02) {
-				b.Result(c.now, Result{ID: e.id, Attempt: e.n, Endpoint: a.to, Outcome: e.how}) // told twice
-			}
+		r := d.c.requests[e.id]
+		a := &r.attempts[e.attempt]
+		a.done, a.ran = true, e.outcome != Saturated && e.outcome != ConnectFailed && e.outcome != NotSent
+		if e.outcome == Served {
+			r.ended = true
 		}
-		for id, r := range c.requests {
-			if !r.ended && c.now > r.deadline+15*time.Millisecond {
-				c.violation("rule 1: no answer for %d", id)
-				r.ended = true
-			}
+		result := Result{ID: e.id, Attempt: e.attempt, Endpoint: a.to, Outcome: e.outcome, Latency: d.c.now - a.sent, Finished: r.ended}
+		d.b.Result(d.c.now, result)
+		if d.flip(.02) { // reported twice
+			d.b.Result(d.c.now, Result{ID: e.id, Attempt: e.attempt, Endpoint: a.to, Outcome: e.outcome})
 		}
-		for id, r := range c.requests {
-			open := !r.ended || slices.ContainsFunc(r.attempts, func(a modelAttempt) bool { return !a.done })
-			if !open {
-				delete(c.requests, id)
-			}
+	}
+}
+
+// forget drops the requests that are over, and finds those that got no answer.
+func (d *day) forget() {
+	for id, r := range d.c.requests {
+		if !r.ended && d.c.now > r.deadline+15*time.Millisecond {
+			d.c.violation("rule 1: no answer for %d", id)
+			r.ended = true
 		}
 	}
-	if len(b.requests) > len(c.requests) {
-		c.violation("%d requests are still known, %d are open", len(b.requests), len(c.requests))
+	for id, r := range d.c.requests {
+		open := !r.ended || slices.ContainsFunc(r.attempts, func(a modelAttempt) bool { return !a.done })
+		if !open {
+			delete(d.c.requests, id)
+		}
 	}
-	return c
 }
 
 func TestRules(t *testing.T) {
--- a/balance/rules_apply_test.go
+++ b/balance/rules_apply_test.go
@@ -96,75 +96,93 @@
 	}
 }
 
-// TestPendingRules has tables whose servers are not there: they wait while the rule that holds has some, the last of them counts,
-// and not for ever.
+// TestPendingRules has tables whose servers are not there: they wait while the rule in force has some, the last of them counts, and
+// not for ever.
 func TestPendingRules(t *testing.T) {
 	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "c", Zone: "x", Kind: "huge", Size: 1}}
-	none := func(kind string) []Rule {
-		r := canary(1)
-		r[0].Destinations[0].Match = Match{"version": kind}
-		return r
-	}
-	for _, c := range []struct {
-		name string
-		do   func(*Balancer, *host)
-		wait time.Duration
-		want string
-	}{
-		{"nothing happens", func(*Balancer, *host) {}, pendingRulesTTL, "ac"},
-		{"a server comes", func(b *Balancer, h *host) {
+	for _, tt := range []pendingCase{
+		{name: "nothing happens", wait: pendingRulesTTL, want: "ac"},
+		{name: "a server comes", wait: 100 * time.Millisecond, want: "z", do: func(t *testing.T, b *Balancer, h *host) {
 			b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "z", Zone: "x", Kind: "none", Size: 1}})
-		}, 100 * time.Millisecond, "z"},
-		{"the old ones go", func(b *Balancer, h *host) {
+		}},
+		{name: "the old ones go", wait: 100 * time.Millisecond, want: "c", do: func(t *testing.T, b *Balancer, h *host) {
 			b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "a", State: Draining}})
-		}, 100 * time.Millisecond, "c"},
-		{"other tables come all the time", func(b *Balancer, h *host) {}, pendingRulesTTL, "ac"},
-		{"one comes that can be applied", func(b *Balancer, h *host) {
-			if err := b.SetRules(h.now, none("huge")); err != nil {
+		}},
+		{name: "other tables come all the time", wait: pendingRulesTTL, want: "ac", others: true},
+		{name: "one comes that can be applied", wait: 0, want: "c", do: func(t *testing.T, b *Balancer, h *host) {
+			if err := b.SetRules(h.now, rulesOf("huge")); err != nil {
 				t.Error(err)
 			}
-		}, 0, "c"},
+		}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			set := settings()
-			set.Rules = canary(1)
-			b, h := start(t, set, list)
-			err := b.SetRules(h.now, none("none"))
-			if !errors.Is(err, ErrNoReadyEndpoint) || !b.RulesPending() {
-				t.Fatalf("it does not wait: %v", err)
-			}
-			if got := count(h.playTurns(b, 10)); got["a"] != 10 {
-				t.Errorf("turns %v while it waits", got)
-			}
-			from := h.now - 100*time.Millisecond
-			c.do(b, h)
-			for i := 0; b.RulesPending(); i++ {
-				h.now += 100 * time.Millisecond
-				if strings.HasPrefix(c.name, "other") && i%10 == 0 {
-					if err := b.SetRules(h.now, none(fmt.Sprint("none", i))); err == nil {
-						break
-					}
-				}
-				b.Timer(h.now, tickToken)
-			}
-			if took := h.now - from; took < c.wait-time.Second || took > c.wait+time.Second {
-				t.Errorf("it waited %v, want %v", took, c.wait)
-			}
-			got := count(h.playTurns(b, 10))
-			for _, id := range strings.Split(c.want, "") {
-				if got[id] != 10/len(c.want) {
-					t.Errorf("turns %v, want them at %s", got, c.want)
-				}
-			}
-		})
-	}
+		t.Run(tt.name, func(t *testing.T) { tt.run(t, list) })
+	}
+	t.Run("nothing serves before", func(t *testing.T) {
+		set := settings()
+		set.Rules = rulesOf("none")
+		b, h := start(t, set, list)
+		if err := b.SetRules(h.now, rulesOf("nowhere")); err != nil {
+			t.Errorf("a table without servers waits for one without: %v", err)
+		}
+		other := []Rule{{Name: "x", Source: Match{"service": "other"}, Service: Match{"service": "*"}, Destinations: canary(1)[0].Destinations}}
+		if err := b.SetRules(h.now, other); err != nil {
+			t.Errorf("a table that has no rule for this client waits: %v", err)
+		}
+	})
+}
+
+// rulesOf is a table of one rule for endpoints of a kind.
+func rulesOf(kind string) []Rule {
+	rules := canary(1)
+	rules[0].Destinations[0].Match = Match{"version": kind}
+	return rules
+}
+
+// pendingCase is what happens while a table waits, how long it does, and where requests go then.
+type pendingCase struct {
+	name   string
+	do     func(*testing.T, *Balancer, *host) // nil: nothing
+	others bool                               // other tables that have to wait come all the time
+	wait   time.Duration
+	want   string
+}
+
+func (tt pendingCase) run(t *testing.T, list []Endpoint) {
 	set := settings()
-	set.Rules = none("none")
+	set.Rules = canary(1)
 	b, h := start(t, set, list)
-	if err := b.SetRules(h.now, none("nowhere")); err != nil {
-		t.Errorf("a table without servers waits for one without: %v", err)
+	err := b.SetRules(h.now, rulesOf("none"))
+	if !errors.Is(err, ErrNoReadyEndpoint) || !b.RulesPending() {
+		t.Fatalf("it does not wait: %v", err)
+	}
+	if got := count(h.playTurns(b, 10)); got["a"] != 10 {
+		t.Errorf("turns %v while it waits", got)
+	}
+	from := h.now - 100*time.Millisecond
+	if tt.do != nil {
+		tt.do(t, b, h)
+	}
+	tt.waitApplied(b, h)
+	if took := h.now - from; took < tt.wait-time.Second || took > tt.wait+time.Second {
+		t.Errorf("it waited %v, want %v", took, tt.wait)
 	}
-	if err := b.SetRules(h.now, []Rule{{Name: "x", Source: Match{"service": "other"}, Service: Match{"service": "*"}, Destinations: canary(1)[0].Destinations}}); err != nil {
-		t.Errorf("a table that has no rule for this client waits: %v", err)
+	got := count(h.playTurns(b, 10))
+	for _, id := range strings.Split(tt.want, "") {
+		if got[id] != 10/len(tt.want) {
+			t.Errorf("turns %v, want them at %s", got, tt.want)
+		}
+	}
+}
+
+// waitApplied plays until no table waits.
+func (tt pendingCase) waitApplied(b *Balancer, h *host) {
+	for i := 0; b.RulesPending(); i++ {
+		h.now += 100 * time.Millisecond
+		if tt.others && i%10 == 0 {
+			if err := b.SetRules(h.now, rulesOf(fmt.Sprint("none", i))); err == nil {
+				return
+			}
+		}
+		b.Timer(h.now, tickToken)
 	}
 }
--- a/balance/turns/turns_test.go
+++ b/balance/turns/turns_test.go
@@ -1,6 +1,7 @@
 package turns
 
 import (
+	"fmt"
 	"math"
 	"math/rand/v2"
 	"testing"
@@ -31,39 +32,48 @@
 	return list
 }
 
-func (m member) holds(what uint64, at time.Duration) bool {
-	return m.IsOwner(what, at+m.ahead+time.Duration(float64(at)*m.drift), period)
+func (m member) owns(subject uint64, at time.Duration) bool {
+	return m.IsOwner(subject, at+m.ahead+time.Duration(float64(at)*m.drift), period)
 }
 
-// TestOneOwner checks what the package promises: one owner a period where clocks agree, and one on the average
-// where they do not, never much more at once.
+// TestOneOwner checks what the package promises: one owner a period where clocks agree, and one on the average where they do not,
+// never much more at once.
 func TestOneOwner(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	for _, n := range []int{1, 2, 10, 100, 1000} {
+	for _, count := range []int{1, 2, 10, 100, 1000} {
 		for _, inStep := range []bool{true, false} {
-			var sum, most, turns int
-			for what := range uint64(20) {
-				list := members(rng, n, inStep)
-				for k := range 100 {
-					at, holders := time.Duration(k)*period+period/2, 0
-					for _, m := range list {
-						if m.holds(what, at) {
-							holders++
-						}
-					}
-					sum, most, turns = sum+holders, max(most, holders), turns+1
+			t.Run(fmt.Sprintf("%d members, clocks agree %v", count, inStep), func(t *testing.T) {
+				sum, most, periods := countOwners(rng, count, inStep)
+				mean := float64(sum) / float64(periods)
+				t.Logf("mean %.3f owners, at most %d", mean, most)
+				if inStep && (sum != periods || most != 1) {
+					t.Errorf("%d owners in %d periods, want one in each", sum, periods)
+				}
+				if math.Abs(mean-1) > 0.1 || most > min(count, 9) {
+					t.Errorf("mean %.3f owners, want 1; at most %d, want %d", mean, most, min(count, 9))
+				}
+			})
+		}
+	}
+}
+
+// countOwners counts the owners of turns over some subjects and periods, in all and at the most at a time.
+func countOwners(rng *rand.Rand, count int, inStep bool) (sum, most, periods int) {
+	for subject := range uint64(20) {
+		list := members(rng, count, inStep)
+		for k := range 100 {
+			owners := 0
+			for _, m := range list {
+				if m.owns(subject, time.Duration(k)*period+period/2) {
+					owners++
 				}
 			}
-			mean := float64(sum) / float64(turns)
-			t.Logf("%4d members, clocks agree %5v: mean %.3f owners, at most %d", n, inStep, mean, most)
-			if inStep && (sum != turns || most != 1) {
-				t.Errorf("%d owners in %d periods, want one in each", sum, turns)
-			}
-			if math.Abs(mean-1) > 0.1 || most > min(n, 9) {
-				t.Errorf("mean %.3f owners, want 1; at most %d, want %d", mean, most, min(n, 9))
-			}
+			sum += owners
+			most = max(most, owners)
+			periods++
 		}
 	}
+	return sum, most, periods
 }
 
 // TestNobodyWaitsForever: a part of 1/n has a turn within 3n periods, wherever its clock stands, and no two of its
@@ -84,28 +94,28 @@
 
 // TestOwnerThatIsGone: while the others still count it, only its own periods are lost; once they do not, none.
 func TestOwnerThatIsGone(t *testing.T) {
-	const n, periods = 10, 1000
+	const members, periods = 10, 1000
 	for _, known := range []bool{false, true} {
 		served := 0
 		for k := range periods {
-			for place := range n - 1 { // the last is gone
-				v := Position{Index: place, Count: n}
+			for place := range members - 1 { // the last is gone
+				v := Position{Index: place, Count: members}
 				if known {
-					v.Count = n - 1
+					v.Count = members - 1
 				}
 				if v.IsOwner(7, time.Duration(k)*period, period) {
 					served++
 				}
 			}
 		}
-		if want := map[bool]int{false: periods - periods/n, true: periods}[known]; served < want-5 || served > want+5 {
+		if want := map[bool]int{false: periods - periods/members, true: periods}[known]; served < want-5 || served > want+5 {
 			t.Errorf("known %v: %d of %d periods have an owner, want %d", known, served, periods, want)
 		}
 	}
 }
 
-// TestComeBackInTurn: an outage that ends for all at once is followed by callers at equal distances.
-func TestComeBackInTurn(t *testing.T) {
+// TestReturnInTurn: an outage that ends for all at once is followed by callers at equal distances.
+func TestReturnInTurn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, what := rapid.IntRange(1, 1000).Draw(t, "members"), rapid.Uint64().Draw(t, "what")
 		const span = 5 * time.Second
