--- a/balance/hitters/detector_test.go
+++ b/balance/hitters/detector_test.go
@@ -136,22 +136,26 @@
 		roll(j, &now, &seq, 3*time.Second, words)
 		_, next := alone.largestTotals()
 		for _, c := range j.clients {
-			most := 0.0
-			for _, cap := range []uint64{maxTotalRatio * next, math.MaxInt64} {
-				f, all := alone.sumReports(cap)
-				for _, t := range all {
-					if t.key == c.Key {
-						most = max(most, float64(t.total)/float64(f.total))
-					}
-				}
-			}
-			if most < set.HighThreshold-1e-3 {
+			if most := mostShare(alone, c.Key, maxTotalRatio*next); most < set.HighThreshold-1e-3 {
 				t.Fatalf("%d is %v, with a share of %v without the liar", c.Key, c.State, most)
 			}
 		}
 	})
 }
 
+// mostShare is the larger of a client's shares with totals capped, and without.
+func mostShare(d *Detector, key, capped uint64) (most float64) {
+	for _, maxOther := range []uint64{capped, math.MaxInt64} {
+		f, all := d.sumReports(maxOther)
+		for _, t := range all {
+			if t.key == key {
+				most = max(most, float64(t.total)/float64(f.total))
+			}
+		}
+	}
+	return most
+}
+
 // TestFairShare holds what heavy clients keep against max-min worked out by trying levels.
 func TestFairShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -165,44 +169,52 @@
 			words[2+o] = r
 		}
 		roll(j, &now, &seq, 3*time.Second, words)
-		levels := [2]float64{}
-		for i, factor := range []float64{backoffFactor, growthFactor} {
-			for used := 0.0; levels[i] < 1 && used <= min(served*factor, 1); levels[i] += 1e-4 {
-				used = 1
-				for _, s := range shares {
-					used -= max(s-levels[i], 0)
-				}
-			}
-			levels[i] = max(levels[i], minAdmittedFraction*set.LowThreshold*served*factor)
-		}
+		low, high := levelByTrial(shares, served*backoffFactor), levelByTrial(shares, served*growthFactor)
 		for i, s := range shares {
 			c := j.client(uint64(i + 1))
-			if c.State != Heavy || c.AdmittedShare < levels[0]/s-0.01 && c.AdmittedShare < 1 || c.AdmittedShare > levels[1]/s+0.01 {
-				t.Fatalf("%v keeps %v of %v, want a level of %v", c.State, c.AdmittedShare, s, levels)
-			}
-			kept := 0
-			for id := range uint64(1000) {
-				after, yields := j.ShouldReject(now, true, c.Key, id)
-				if yields != (after >= minRetryDelay && after < 2*minRetryDelay) {
-					t.Fatalf("gives way %v, back after %v", yields, after)
-				}
-				if !yields {
-					kept++
-				}
-			}
-			if _, yields := j.ShouldReject(now+set.ReportTTL, true, c.Key, 1); yields {
-				t.Fatal("one gives way by news that is too old")
-			}
-			if math.Abs(float64(kept)-1000*c.AdmittedShare) > 1 {
-				t.Fatalf("%d of 1000 served, want a share of %v", kept, c.AdmittedShare)
+			if c.State != Heavy || c.AdmittedShare < low/s-0.01 && c.AdmittedShare < 1 || c.AdmittedShare > high/s+0.01 {
+				t.Fatalf("%v keeps %v of %v, want a level from %v to %v", c.State, c.AdmittedShare, s, low, high)
 			}
+			checkAdmitted(t, j, now, c)
 		}
-		if _, yields := j.ShouldReject(now, true, 77, 1); yields {
-			t.Fatal("one that is not heavy gives way")
+		if _, rejected := j.ShouldReject(now, true, 77, 1); rejected {
+			t.Fatal("one that is not heavy is rejected")
 		}
 	})
 }
 
+// levelByTrial is the level of max-min by which clients of these shares, and others who ask for the rest, use no more than a supply.
+func levelByTrial(shares []float64, supply float64) (level float64) {
+	for used := 0.0; level < 1 && used <= min(supply, 1); level += 1e-4 {
+		used = 1
+		for _, s := range shares {
+			used -= max(s-level, 0)
+		}
+	}
+	return max(level, minAdmittedFraction*set.LowThreshold*supply)
+}
+
+// checkAdmitted holds the requests of a heavy client that are not rejected against its share.
+func checkAdmitted(t *rapid.T, j *Detector, now Time, c *Client) {
+	t.Helper()
+	admitted := 0
+	for id := range uint64(1000) {
+		after, rejected := j.ShouldReject(now, true, c.Key, id)
+		if rejected != (after >= minRetryDelay && after < 2*minRetryDelay) {
+			t.Fatalf("rejected %v, to return after %v", rejected, after)
+		}
+		if !rejected {
+			admitted++
+		}
+	}
+	if _, rejected := j.ShouldReject(now+set.ReportTTL, true, c.Key, 1); rejected {
+		t.Fatal("one is rejected by reports that are too old")
+	}
+	if math.Abs(float64(admitted)-1000*c.AdmittedShare) > 1 {
+		t.Fatalf("%d of 1000 admitted, want a share of %v", admitted, c.AdmittedShare)
+	}
+}
+
 // TestRejectsUntilThereIsCapacity: servers that are full no more because a heavy client gives way are no reason to let all of it
 // in again; where there is room for all of it, they are.
 func TestRejectsUntilThereIsCapacity(t *testing.T) {
--- a/balance/hitters/model_test.go
+++ b/balance/hitters/model_test.go
@@ -61,8 +61,8 @@
 	{name: "news", floods: 1, share: 0.2, loss: 0.3, late: time.Second},
 }
 
-// run plays a scenario. Heavy clients are counted for each sidecar that judges: those over twice the bar, by their rate,
-// that are held for heavy 3 s after their flood began, and those under the bar that ever are.
+// outcome is what a scenario came to. Heavy clients are counted for each sidecar that judges: those over twice the high threshold, by
+// their rate, that are held as heavy 3 s after their flood began, and those under the threshold that ever are.
 type outcome struct {
 	over, held, wrong, right float64
 	delay                    time.Duration // until 95% of them were held
@@ -71,171 +71,271 @@
 	bytes, messages          float64
 }
 
-type letter struct {
+// delivery is a report on its way to a sidecar.
+type delivery struct {
 	to int
 	OriginReport
 	sent Time
 }
 
-func (s scenario) run(t *testing.T, seed uint64) (o outcome) {
-	rng := rand.New(rand.NewPCG(seed, 1))
+// served is work that was asked for, and the part of it that was done.
+type served struct{ asked, done float64 }
+
+func (s *served) add(asked, done float64) {
+	s.asked += asked
+	s.done += done
+}
+
+// simulation plays a scenario.
+type simulation struct {
+	scenario
+	rng        *rand.Rand
+	now        Time
+	high       float64 // threshold
+	window     time.Duration
+	detectors  []*Detector
+	traffic    []float64       // summed up over the sidecars
+	popularity []float64       // summed up over the clients
+	base       float64         // requests a second without floods
+	flood      float64         // requests a second of each flood, of mean work
+	isFlood    map[uint64]bool // by key
+	mail       map[Time][]delivery
+
+	capacity float64 // work that servers do in a step
+	passing  float64 // share of what is sent that servers take in
+	queue    float64 // work that waits there
+	sent     float64 // work, in this step
+	fullTo   Time
+
+	before, sound, flooding served
+	isHeld                  bool
+	outcome                 outcome
+}
+
+// run plays a scenario.
+func (s scenario) run(t *testing.T, seed uint64) outcome {
+	t.Helper()
+	sim := newSimulation(t, s, seed)
+	for ; sim.now < lasts; sim.now += step {
+		sim.deliver()
+		sim.sent = 0
+		sim.askUsual()
+		sim.askFloods()
+		sim.serve()
+		sim.report()
+		sim.countHeld()
+	}
+	return sim.result()
+}
+
+func newSimulation(t *testing.T, s scenario, seed uint64) *simulation {
+	t.Helper()
 	settings := Defaults()
-	bar := settings.HighThreshold
-	side := make([]*Detector, sidecars)
-	traffic, popular := make([]float64, sidecars), make([]float64, clients)
-	var sides, all float64
-	for i := range side {
+	sim := &simulation{
+		scenario: s, rng: rand.New(rand.NewPCG(seed, 1)), high: settings.HighThreshold, window: settings.Window,
+		detectors: make([]*Detector, sidecars), traffic: make([]float64, sidecars), popularity: make([]float64, clients),
+		isFlood: map[uint64]bool{}, mail: map[Time][]delivery{}, passing: 1, fullTo: -1,
+		capacity: room * perSide * sidecars * meanWork * step.Seconds(),
+	}
+	for i := range sim.detectors {
 		settings.Origin = uint64(i + 1)
-		side[i], _ = New(&settings)
-		traffic[i] = math.Exp(0.8 * rng.NormFloat64())
-		sides += traffic[i]
-	}
-	skew := 0.4 + 0.25*rng.Float64()
-	for i := range popular {
-		all += math.Pow(float64(i+1), -skew)
-		popular[i] = all
-	}
-	pick := func(weights []float64) int {
-		x := rng.Float64() * weights[len(weights)-1]
-		for i, w := range weights {
-			if x < w {
-				return i
-			}
+		detector, err := New(&settings)
+		if err != nil {
+			t.Fatal(err)
 		}
-		return 0
+		sim.detectors[i] = detector
+		sim.traffic[i] = math.Exp(0.8 * sim.rng.NormFloat64())
+	}
+	skew, sum := 0.4+0.25*sim.rng.Float64(), 0.0
+	for i := range sim.popularity {
+		sum += math.Pow(float64(i+1), -skew)
+		sim.popularity[i] = sum
 	}
 	for i := 1; i < sidecars; i++ {
-		traffic[i] += traffic[i-1]
+		sim.traffic[i] += sim.traffic[i-1]
 	}
-	base := perSide * sidecars * max(s.load, 1)
-	flood := base * s.share / (1 - s.share*float64(s.floods)) // requests a second, of mean work
-	sure := map[uint64]bool{}
+	sim.base = perSide * sidecars * max(s.load, 1)
+	sim.flood = sim.base * s.share / (1 - s.share*float64(s.floods))
 	for i := range s.floods {
-		sure[uint64(firstBad+i)] = true
-	}
-	alive := func(i int, now Time) bool {
-		return now < floodAt+time.Second || float64(i*7919%sidecars) >= s.killed*sidecars
-	}
-	carries := func(i int) bool { return !s.one || i == 0 }
-	mail := map[Time][]letter{}
-	var soundAsked, soundServed, badAsked, badServed, before, beforeServed, heldAt float64
-	passing, queue, fullTo := 1.0, 0.0, Time(-1) // share of what is sent that servers take in, and what waits there
-	capacity := room * perSide * sidecars * meanWork * step.Seconds()
-	for now := Time(0); now < lasts; now += step {
-		for _, m := range mail[now] {
-			if m.Age = now - m.sent; alive(m.to, now) {
-				side[m.to].Receive(now, m.OriginReport)
-			}
+		sim.isFlood[uint64(firstBad+i)] = true
+	}
+	return sim
+}
+
+// pick draws an index by weights that are summed up.
+func (sim *simulation) pick(weights []float64) int {
+	x := sim.rng.Float64() * weights[len(weights)-1]
+	for i, w := range weights {
+		if x < w {
+			return i
 		}
-		delete(mail, now)
-		sent := 0.0
-		ask := func(i int, key uint64) {
-			if !alive(i, now) {
-				return
-			}
-			work := min(meanWork*rng.ExpFloat64(), 8*meanWork)
-			by := side[i%judges]
-			if s.one && sure[key] || s.cut && i%2 != i%judges%2 {
-				by = side[i]
-			}
-			_, yields := by.ShouldReject(now, now < fullTo, key, rng.Uint64())
-			served := !yields && rng.Float64() < passing
-			if !yields {
-				sent += work
-			}
-			side[i].Observe(key, time.Duration(work*float64(time.Second)), served)
-			done := 0.0
-			if served {
-				done = work
-			}
-			switch {
-			case now < floodAt:
-				before, beforeServed = before+work, beforeServed+done
-			case now >= seenBy && sure[key]:
-				badAsked, badServed = badAsked+work, badServed+done
-			case now >= seenBy:
-				soundAsked, soundServed = soundAsked+work, soundServed+done
-			}
+	}
+	return 0
+}
+
+func (sim *simulation) isAlive(i int) bool {
+	return sim.now < floodAt+time.Second || float64(i*7919%sidecars) >= sim.killed*sidecars
+}
+
+func (sim *simulation) deliver() {
+	for _, d := range sim.mail[sim.now] {
+		d.Age = sim.now - d.sent
+		if sim.isAlive(d.to) {
+			sim.detectors[d.to].Receive(sim.now, d.OriginReport)
 		}
-		for range poisson(rng, base*step.Seconds()) {
-			key := uint64(pick(popular) + 1)
-			if rng.Float64() < s.fresh {
-				key = firstNew + rng.Uint64()>>1
-			}
-			ask(pick(traffic), key)
+	}
+	delete(sim.mail, sim.now)
+}
+
+func (sim *simulation) askUsual() {
+	for range poisson(sim.rng, sim.base*step.Seconds()) {
+		key := uint64(sim.pick(sim.popularity) + 1)
+		if sim.rng.Float64() < sim.fresh {
+			key = firstNew + sim.rng.Uint64()>>1
 		}
-		for f := 0; f < s.floods && now >= floodAt; f++ {
-			for range poisson(rng, flood*step.Seconds()) {
-				i := 0
-				if !s.one {
-					i = rng.IntN(sidecars)
-				}
-				ask(i, uint64(firstBad+f))
+		sim.ask(sim.pick(sim.traffic), key)
+	}
+}
+
+func (sim *simulation) askFloods() {
+	if sim.now < floodAt {
+		return
+	}
+	for f := range sim.floods {
+		for range poisson(sim.rng, sim.flood*step.Seconds()) {
+			i := 0
+			if !sim.one {
+				i = sim.rng.IntN(sidecars)
 			}
+			sim.ask(i, uint64(firstBad+f))
+		}
+	}
+}
+
+// ask plays a request of a client at a sidecar.
+func (sim *simulation) ask(i int, key uint64) {
+	if !sim.isAlive(i) {
+		return
+	}
+	work := min(meanWork*sim.rng.ExpFloat64(), 8*meanWork)
+	_, rejected := sim.judge(i, key).ShouldReject(sim.now, sim.now < sim.fullTo, key, sim.rng.Uint64())
+	isServed := !rejected && sim.rng.Float64() < sim.passing
+	if !rejected {
+		sim.sent += work
+	}
+	sim.detectors[i].Observe(key, time.Duration(work*float64(time.Second)), isServed)
+	done := 0.0
+	if isServed {
+		done = work
+	}
+	switch {
+	case sim.now < floodAt:
+		sim.before.add(work, done)
+	case sim.now >= seenBy && sim.isFlood[key]:
+		sim.flooding.add(work, done)
+	case sim.now >= seenBy:
+		sim.sound.add(work, done)
+	}
+}
+
+// judge is the sidecar by whose verdicts another one acts.
+func (sim *simulation) judge(i int, key uint64) *Detector {
+	if sim.one && sim.isFlood[key] || sim.cut && i%2 != i%judges%2 {
+		return sim.detectors[i]
+	}
+	return sim.detectors[i%judges]
+}
+
+// serve has the servers do a step's work.
+func (sim *simulation) serve() {
+	sim.queue = max(0, sim.queue+sim.sent*sim.passing-sim.capacity)
+	if sim.queue > mostQueue*sim.capacity/2 {
+		sim.fullTo = sim.now + 6*time.Second
+	}
+	sim.passing = min(1, max(0, (mostQueue+1)*sim.capacity-sim.queue)/max(sim.sent, 1e-9))
+}
+
+// report ends the windows that are over, and sends what they say.
+func (sim *simulation) report() {
+	for i, detector := range sim.detectors {
+		if (sim.now/step+Time(i))%(sim.window/step) != 0 || !sim.isAlive(i) {
+			continue
 		}
-		queue = max(0, queue+sent*passing-capacity)
-		if queue > mostQueue*capacity/2 {
-			fullTo = now + 6*time.Second
+		var own OriginReport
+		if i < judges {
+			own, _ = detector.EndWindow(sim.now)
+		} else {
+			own = detector.closeWindow(sim.now)
 		}
-		passing = min(1, max(0, (mostQueue+1)*capacity-queue)/max(sent, 1e-9))
-		for i, j := range side {
-			if (now/step+Time(i))%(settings.Window/step) != 0 || !alive(i, now) {
-				continue
-			}
-			var own OriginReport
-			if i < judges {
-				own, _ = j.EndWindow(now)
-			} else {
-				own = j.closeWindow(now)
-			}
-			if s.lie != nil && i == sidecars-1 {
-				own.Report = *s.lie
-			}
-			if own.Seq%ReportInterval(sidecars) != 0 {
-				continue
-			}
-			text := own.Report.Append(nil)
-			o.bytes, o.messages = o.bytes+float64(len(text)), o.messages+1
-			own.Report, _ = ParseReport(text)
-			for to := range judges {
-				if to != i && rng.Float64() >= max(s.loss, usualLoss) && !(s.cut && to%2 != i%2) {
-					at := now + step*(1+Time(rng.IntN(int(max(s.late, 4*step)/step))))
-					mail[at] = append(mail[at], letter{to, own, now})
-				}
-			}
+		if sim.lie != nil && i == sidecars-1 {
+			own.Report = *sim.lie
+		}
+		if own.Seq%ReportInterval(sidecars) == 0 {
+			sim.send(i, own)
 		}
-		got, want := 0.0, 0.0
-		for i, j := range side[:judges] {
-			if !alive(i, now) || now < floodAt {
+	}
+}
+
+// send has a report arrive at the sidecars that judge, late or not at all.
+func (sim *simulation) send(from int, own OriginReport) {
+	text := own.Report.Append(nil)
+	sim.outcome.bytes += float64(len(text))
+	sim.outcome.messages++
+	own.Report, _ = ParseReport(text)
+	for to := range judges {
+		if to != from && sim.rng.Float64() >= max(sim.loss, usualLoss) && !(sim.cut && to%2 != from%2) {
+			at := sim.now + step*(1+Time(sim.rng.IntN(int(max(sim.late, 4*step)/step))))
+			sim.mail[at] = append(sim.mail[at], delivery{to, own, sim.now})
+		}
+	}
+}
+
+// countHeld counts who is held as heavy, rightly or not.
+func (sim *simulation) countHeld() {
+	got, want := 0.0, 0.0
+	for i, detector := range sim.detectors[:judges] {
+		if !sim.isAlive(i) || sim.now < floodAt {
+			continue
+		}
+		for key := range sim.isFlood {
+			if sim.one && i != 0 || sim.share < 2*sim.high {
 				continue
 			}
-			for key := range sure {
-				if !carries(i) || s.share < 2*bar {
-					continue
-				}
-				if want++; j.client(key).State == Heavy {
-					got++
-				}
-			}
-			for _, c := range j.clients {
-				if c.State == Heavy && sure[c.Key] {
-					o.right++
-				} else if c.State == Heavy {
-					o.wrong++
-				}
+			want++
+			if detector.client(key).State == Heavy {
+				got++
 			}
 		}
-		if heldAt == 0 && want > 0 && got >= 0.95*want {
-			heldAt, o.delay = 1, now-floodAt
-		}
-		if now >= seenBy {
-			o.over, o.held = o.over+want, o.held+got
+		sim.countVerdicts(detector)
+	}
+	if !sim.isHeld && want > 0 && got >= 0.95*want {
+		sim.isHeld = true
+		sim.outcome.delay = sim.now - floodAt
+	}
+	if sim.now >= seenBy {
+		sim.outcome.over += want
+		sim.outcome.held += got
+	}
+}
+
+func (sim *simulation) countVerdicts(detector *Detector) {
+	for _, c := range detector.clients {
+		switch {
+		case c.State != Heavy:
+		case sim.isFlood[c.Key]:
+			sim.outcome.right++
+		default:
+			sim.outcome.wrong++
 		}
 	}
-	if heldAt == 0 {
+}
+
+func (sim *simulation) result() outcome {
+	o := sim.outcome
+	if !sim.isHeld {
 		o.delay = lasts
 	}
-	o.calm, o.flooded, o.kept = beforeServed/before, soundServed/soundAsked, badServed/max(badAsked, 1e-9)
+	o.calm, o.flooded, o.kept = sim.before.done/sim.before.asked, sim.sound.done/sim.sound.asked, sim.flooding.done/max(sim.flooding.asked, 1e-9)
 	o.bytes, o.messages = o.bytes/lasts.Seconds()/sidecars, o.messages/lasts.Seconds()/sidecars
 	return o
 }
@@ -249,14 +349,14 @@
 
 // TestFleet plays each scenario and sums up: precision 0.99, recall 0.95 of clients over twice the bar, within 3 s.
 func TestFleet(t *testing.T) {
-	for _, s := range scenarios {
-		t.Run(s.name, func(t *testing.T) {
+	for _, tt := range scenarios {
+		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			o := s.run(t, 7)
+			o := tt.run(t, 7)
 			precision, recall := o.right/max(o.right+o.wrong, 1), o.held/max(o.over, 1)
 			t.Logf("precision %.4f, recall %.3f, held after %v, sound ones served %.3f before and %.3f after, floods %.3f, %.0f bytes/s in %.1f messages/s told by a sidecar",
 				precision, recall, o.delay, o.calm, o.flooded, o.kept, o.bytes, o.messages)
-			if s.floods == 0 {
+			if tt.floods == 0 {
 				if o.wrong > 0 {
 					t.Errorf("%v times a sound client was held for heavy", o.wrong)
 				}
@@ -265,7 +365,7 @@
 			if precision < 0.99 || recall < 0.95 || o.delay > 3*time.Second || o.over == 0 {
 				t.Errorf("precision %v, recall %v of %v, after %v", precision, recall, o.over, o.delay)
 			}
-			if !s.cut && s.killed == 0 && o.calm-o.flooded > 0.02 {
+			if !tt.cut && tt.killed == 0 && o.calm-o.flooded > 0.02 {
 				t.Errorf("sound clients: %v served, %v in the flood", o.calm, o.flooded)
 			}
 		})
--- a/balance/routes/routes_test.go
+++ b/balance/routes/routes_test.go
@@ -48,58 +48,76 @@
 	return t
 }
 
-// least is the least cost from a table to each other one, by Dijkstra's algorithm over all single ops. It shares nothing with
-// what it is held against.
+// search is Dijkstra's algorithm over all single ops, from one table.
+type search struct {
+	world
+	cost  map[string]int
+	queue [][]string // by cost
+}
+
+// least is the least cost from a table to each other one. It shares nothing with what it is held against.
 func (w world) least(from string) map[string]int {
-	size, variants := 2+w.destinations, w.variants()
-	cost := map[string]int{from: 0}
-	queue := [][]string{{from}} // by cost
-	for c := 0; c < len(queue); c++ {
-		for i := 0; i < len(queue[c]); i++ {
-			s := queue[c][i]
-			if cost[s] != c {
-				continue
+	s := search{world: w, cost: map[string]int{from: 0}, queue: [][]string{{from}}}
+	for cost := 0; cost < len(s.queue); cost++ {
+		for i := 0; i < len(s.queue[cost]); i++ {
+			if table := s.queue[cost][i]; s.cost[table] == cost {
+				s.changeRules(table)
+				s.addRules(table)
 			}
-			reach := func(next string, price int) {
-				if old, known := cost[next]; known && old <= c+price {
-					return
-				}
-				for len(queue) <= c+price {
-					queue = append(queue, nil)
-				}
-				cost[next] = c + price
-				queue[c+price] = append(queue[c+price], next)
+		}
+	}
+	return s.cost
+}
+
+// reach notes that a table is reached from another by an op of a price.
+func (s *search) reach(from, next string, price int) {
+	cost := s.cost[from] + price
+	if old, known := s.cost[next]; known && old <= cost {
+		return
+	}
+	for len(s.queue) <= cost {
+		s.queue = append(s.queue, nil)
+	}
+	s.cost[next] = cost
+	s.queue[cost] = append(s.queue[cost], next)
+}
+
+// changeRules drops, moves and edits each rule.
+func (s *search) changeRules(table string) {
+	size := 2 + s.destinations
+	for at := 0; at < len(table); at += size {
+		rule, rest := table[at:at+size], table[:at]+table[at+size:]
+		s.reach(table, rest, 1)
+		for to := 0; to <= len(rest); to += size {
+			s.reach(table, rest[:to]+rule+rest[to:], 1)
+		}
+		for j := 1; j < size; j++ {
+			values := 3
+			if j == 1 {
+				values = s.sources
 			}
-			for at := 0; at < len(s); at += size {
-				rule, rest := s[at:at+size], s[:at]+s[at+size:]
-				reach(rest, 1)
-				for to := 0; to <= len(rest); to += size {
-					reach(rest[:to]+rule+rest[to:], 1)
-				}
-				for j := 1; j < size; j++ {
-					n := 3
-					if j == 1 {
-						n = w.sources
-					}
-					for x := range n {
-						reach(s[:at+j]+string(rune('0'+x))+s[at+j+1:], 1)
-					}
-				}
+			for x := range values {
+				s.reach(table, table[:at+j]+string(rune('0'+x))+table[at+j+1:], 1)
 			}
-			for n := range w.names {
-				name := string(rune('a' + n))
-				if strings.Contains(s, name) {
-					continue
-				}
-				for _, v := range variants {
-					for at := 0; at <= len(s); at += size {
-						reach(s[:at]+name+v+s[at:], 1+len(v)-1-strings.Count(v[1:], "0"))
-					}
-				}
+		}
+	}
+}
+
+// addRules adds each rule that the table lacks, in each place.
+func (s *search) addRules(table string) {
+	size, variants := 2+s.destinations, s.variants()
+	for n := range s.names {
+		name := string(rune('a' + n))
+		if strings.Contains(table, name) {
+			continue
+		}
+		for _, v := range variants {
+			price := 1 + len(v) - 1 - strings.Count(v[1:], "0")
+			for at := 0; at <= len(table); at += size {
+				s.reach(table, table[:at]+name+v+table[at:], price)
 			}
 		}
 	}
-	return cost
 }
 
 // TestDiffIsLeast holds the diff against all lists of ops, on drawn tables to every other one of their worlds.
--- a/balance/signals/signals_test.go
+++ b/balance/signals/signals_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"reflect"
+	"slices"
 	"testing"
 	"time"
 
@@ -43,71 +44,55 @@
 	return r
 }
 
-// said is one thing that was said, and comes as often and as late as the network likes.
-type said struct {
+// stated is a report of an origin, which arrives as often and as late as the network likes.
+type stated struct {
 	origin string
 	seq    uint64
 	at     time.Duration
 	r      Report
 }
 
-// What origins said gives the same verdicts in any order and with repeats, and each verdict has its witnesses.
+// aggregateOf has a reader receive statements in an order.
+func aggregateOf(order []stated, now time.Duration) *Aggregate {
+	a := NewAggregate(rooms[0], bound)
+	for _, s := range order {
+		a.Receive(Statement{Origin: s.origin, Start: 1, Seq: s.seq, Age: now - s.at, Report: s.r}, now)
+	}
+	return a
+}
+
+func drawStatements(t *rapid.T) (all []stated) {
+	for i := range rapid.IntRange(3, 12).Draw(t, "origins") {
+		for seq := range rapid.IntRange(1, 3).Draw(t, "reports") {
+			at := time.Duration(seq)*time.Second/2 + time.Duration(rapid.IntRange(0, 900).Draw(t, "at"))*time.Millisecond
+			all = append(all, stated{fmt.Sprint("m", i), uint64(seq), at, report(t)})
+		}
+	}
+	return all
+}
+
+// What origins stated gives the same verdicts in any order and with duplicates, and each verdict has its witnesses.
 func TestVerdictsHaveWitnesses(t *testing.T) {
 	seen := 0
 	rapid.Check(t, func(t *rapid.T) {
-		var all []said
-		for i := range rapid.IntRange(3, 12).Draw(t, "origins") {
-			for seq := range rapid.IntRange(1, 3).Draw(t, "reports") {
-				at := time.Duration(seq)*time.Second/2 + time.Duration(rapid.IntRange(0, 900).Draw(t, "at"))*time.Millisecond
-				all = append(all, said{fmt.Sprint("m", i), uint64(seq), at, report(t)})
-			}
-		}
+		all := drawStatements(t)
 		now := time.Duration(rapid.IntRange(2000, 5000).Draw(t, "now")) * time.Millisecond
-		tell := func(order []said) *Aggregate {
-			b := NewAggregate(rooms[0], bound)
-			for _, s := range order {
-				b.Receive(Statement{Origin: s.origin, Start: 1, Seq: s.seq, Age: now - s.at, Report: s.r}, now)
-			}
-			return b
-		}
-		judged := tell(all).Evaluate(now)
-		again := tell(rapid.Permutation(append(all, all...)).Draw(t, "order"))
-		if got := again.Evaluate(now); !reflect.DeepEqual(got, judged) {
-			t.Fatalf("%v, in another order %v", judged, got)
+		verdicts := aggregateOf(all, now).Evaluate(now)
+		again := aggregateOf(rapid.Permutation(append(all, all...)).Draw(t, "order"), now)
+		if got := again.Evaluate(now); !reflect.DeepEqual(got, verdicts) {
+			t.Fatalf("%v, in another order %v", verdicts, got)
 		}
-		newest := map[string]said{}
+		newest := map[string]stated{}
 		for _, s := range all {
 			if s.seq >= newest[s.origin].seq {
 				newest[s.origin] = s
 			}
 		}
-		for subject, kind := range judged {
+		for process, kind := range verdicts {
 			seen++
-			var count, own, near int
-			from := map[string]bool{}
-			for _, s := range newest {
-				if now-s.at > bound {
-					continue
-				}
-				for _, v := range s.r.Verdicts {
-					if v.Process == subject && v.Kind >= kind && v.Kind <= Unresponsive && v.Age+now-s.at <= evidenceTTL {
-						count++
-						from[s.r.Zone] = true
-						if s.r.Zone == rooms[0] {
-							own++
-						}
-						if s.r.Zone == v.Zone {
-							near++
-						}
-						break
-					}
-				}
-			}
-			if count < 3 || len(from) < 2 && own < 3 && near < 3 {
-				t.Fatalf("%v is judged %v by %d witnesses from %v", subject, kind, count, from)
-			}
+			checkWitnesses(t, newest, process, kind, now)
 		}
-		// It ends with its witnesses' silence, whatever they said.
+		// A verdict ends with its witnesses' silence, whatever they stated.
 		if late := again.Evaluate(now + bound + time.Millisecond); len(late) > 0 {
 			t.Fatalf("%v after the bound", late)
 		}
@@ -117,6 +102,32 @@
 	}
 }
 
+// checkWitnesses counts those who state that a process fails so, or worse, in a model of its own.
+func checkWitnesses(t *rapid.T, newest map[string]stated, process Process, kind Kind, now time.Duration) {
+	t.Helper()
+	var count, own, near int
+	from := map[string]bool{}
+	for _, s := range newest {
+		i := slices.IndexFunc(s.r.Verdicts, func(v Verdict) bool {
+			return v.Process == process && v.Kind >= kind && v.Kind <= Unresponsive && v.Age+now-s.at <= evidenceTTL
+		})
+		if now-s.at > bound || i < 0 {
+			continue
+		}
+		count++
+		from[s.r.Zone] = true
+		if s.r.Zone == rooms[0] {
+			own++
+		}
+		if s.r.Zone == s.r.Verdicts[i].Zone {
+			near++
+		}
+	}
+	if count < 3 || len(from) < 2 && own < 3 && near < 3 {
+		t.Fatalf("%v is %v by %d witnesses from %v", process, kind, count, from)
+	}
+}
+
 // first is the first statement of an origin, made now.
 func first(origin string, r Report) Statement {
 	return Statement{Origin: origin, Start: 1, Seq: 1, Report: r}
--- a/balance/subset/model_test.go
+++ b/balance/subset/model_test.go
@@ -122,48 +122,76 @@
 	return ids
 }
 
-// TestFairAndSteady measures runs by place against runs by number. Where under ten runs hold a server, one more or less is
-// a tenth and more. Levels round the length of runs, so there may be up to the root of two more.
+// TestFairAndSteady measures runs by place against runs by number. Where under ten runs hold a server, one more or less is a tenth
+// and more. Levels round the length of runs, so there may be up to the root of two more.
 func TestFairAndSteady(t *testing.T) {
-	const seeds = 4
 	for _, size := range []struct {
 		sidecars, servers int
 		mean              float64
 	}{{10, 10, 4}, {10, 100, 60}, {10, 1000, 400}, {100, 10, 5}, {100, 100, 10}, {100, 100, 40}, {100, 1000, 100}, {300, 33, 10},
 		{300, 66, 30}, {300, 200, 20}, {300, 200, 60}, {1000, 10, 4}, {1000, 100, 4}, {1000, 100, 30}, {1000, 1000, 10}, {1000, 1000, 60}} {
 		for _, uneven := range []bool{false, true} {
-			n := size.servers
-			var a, b, joined, listed [3]float64 // sums over the seeds
-			for seed := range uint64(seeds) {
-				rng := rand.New(rand.NewPCG(seed, 1))
-				list := draw(rng, size.sidecars, size.mean, uneven)
-				ids := byHash(servers(n))
-				old, runs := alone(list, n), among(list, n)
-				most, p99, cover := spread(list, old, n)
-				a[0], a[1], a[2] = a[0]+most/seeds, a[1]+p99/seeds, a[2]+cover/seeds
-				most, p99, cover = spread(list, runs, n)
-				b[0], b[1], b[2] = b[0]+most/seeds, b[1]+p99/seeds, b[2]+cover/seeds
-				more := append(slices.Clone(list), sidecar{name: rng.Float64(), traffic: list[rng.IntN(len(list))].traffic})
-				mean, worst := churn(runs, among(more, n), ids, ids)
-				joined[0], joined[1] = joined[0]+mean/seeds, max(joined[1], worst)
-				mean, worst = churn(runs, among(list, n+1), ids, byHash(append(servers(n), fmt.Sprint("new", seed))))
-				listed[0], listed[1] = listed[0]+mean/seeds, max(listed[1], worst)
-			}
-			t.Logf("%4d x %4d, in the memory %3.0f, uneven %5v: alone %.2f p99 %.2f in %5.1f runs; among %.2f p99 %.2f in %5.1f; moved by a sidecar %.2f (%2.0f), by a server %.2f (%2.0f)",
-				size.sidecars, n, size.mean, uneven, a[0], a[1], a[2], b[0], b[1], b[2], joined[0], joined[1], listed[0], listed[1])
-			if b[2] >= 30 && b[0] > 1.15 || b[2] >= 10 && (b[0] > 1.3 || b[1] > 1.25) {
-				t.Errorf("in %.1f runs the servers get up to %.2f of the mean, at p99 %.2f", b[2], b[0], b[1])
-			}
-			if b[0] > a[0]+0.01 || b[2] > math.Sqrt2*a[2] {
-				t.Errorf("by place the servers get %.2f in %.1f runs, by number %.2f in %.1f", b[0], b[2], a[0], a[2])
-			}
-			if 6*size.sidecars >= n && joined[0] >= 2 || listed[0] >= 2 {
-				t.Errorf("one sidecar more moves %.2f members of a run, one server more %.2f; want under 2", joined[0], listed[0])
-			}
+			t.Run(fmt.Sprintf("%d sidecars, %d servers, %g requests, uneven %v", size.sidecars, size.servers, size.mean, uneven), func(t *testing.T) {
+				m := measure(size.sidecars, size.servers, size.mean, uneven)
+				m.log(t)
+				if b := m.byPlace; b.cover >= 30 && b.most > 1.15 || b.cover >= 10 && (b.most > 1.3 || b.p99 > 1.25) {
+					t.Errorf("in %.1f runs the servers get up to %.2f of the mean, at p99 %.2f", b.cover, b.most, b.p99)
+				}
+				if a, b := m.byNumber, m.byPlace; b.most > a.most+0.01 || b.cover > math.Sqrt2*a.cover {
+					t.Errorf("by place the servers get %.2f in %.1f runs, by number %.2f in %.1f", b.most, b.cover, a.most, a.cover)
+				}
+				if 6*size.sidecars >= size.servers && m.joined.mean >= 2 || m.listed.mean >= 2 {
+					t.Errorf("one sidecar more moves %.2f members of a run, one server more %.2f; want under 2", m.joined.mean, m.listed.mean)
+				}
+			})
 		}
 	}
 }
 
+// spreading is what servers get, in means, and in how many runs one is: the mean over some seeds.
+type spreading struct{ most, p99, cover float64 }
+
+func (s *spreading) add(list []sidecar, runs []run, n int) {
+	most, p99, cover := spread(list, runs, n)
+	s.most, s.p99, s.cover = s.most+most/seeds, s.p99+p99/seeds, s.cover+cover/seeds
+}
+
+// moving is how many members of a run move: the mean over some seeds, and the most.
+type moving struct{ mean, worst float64 }
+
+func (m *moving) add(before, after []run, was, is []string) {
+	mean, worst := churn(before, after, was, is)
+	m.mean, m.worst = m.mean+mean/seeds, max(m.worst, worst)
+}
+
+const seeds = 4
+
+// measurement is what TestFairAndSteady measures of a fleet.
+type measurement struct {
+	byNumber, byPlace spreading
+	joined, listed    moving // by one sidecar more, by one server more
+}
+
+func measure(sidecars, n int, mean float64, uneven bool) (m measurement) {
+	for seed := range uint64(seeds) {
+		rng := rand.New(rand.NewPCG(seed, 1))
+		list := draw(rng, sidecars, mean, uneven)
+		ids := byHash(servers(n))
+		old, runs := alone(list, n), among(list, n)
+		m.byNumber.add(list, old, n)
+		m.byPlace.add(list, runs, n)
+		more := append(slices.Clone(list), sidecar{name: rng.Float64(), traffic: list[rng.IntN(len(list))].traffic})
+		m.joined.add(runs, among(more, n), ids, ids)
+		m.listed.add(runs, among(list, n+1), ids, byHash(append(servers(n), fmt.Sprint("new", seed))))
+	}
+	return m
+}
+
+func (m measurement) log(t *testing.T) {
+	t.Helper()
+	t.Logf("by number %+.2f, by place %+.2f, moved by a sidecar %+.2f, by a server %+.2f", m.byNumber, m.byPlace, m.joined, m.listed)
+}
+
 // TestReleaseMovesItsOwnPart: where a tenth of the servers get new names, which end a sorted list, runs in the order of
 // names shift as a whole; in the order of hashes they lose what is gone.
 func TestReleaseMovesItsOwnPart(t *testing.T) {
