--- /dev/null
+++ b/balance/peersignals_test.go
@@ -0,0 +1,232 @@
+package balance
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"gradeusher.example/gradeusher/balance/signals"
+)
+
+// report is what a member states of an endpoint, as one that uses 16 in two zones.
+func report(e *endpoint, zone string, kind signals.Kind) signals.Report {
+	return signals.Report{Zone: zone, Uses: []signals.ZoneUse{{Zone: e.Zone, Servers: 8}, {Zone: "other", Servers: 8}},
+		Verdicts: []signals.Verdict{{Process: e.process(), Zone: e.Zone, Kind: kind, Count: 2}}}
+}
+
+// condemn has members of two zones in turn state that an endpoint fails.
+func condemn(b *Balancer, now Time, e *endpoint, members int, seq uint64, kind signals.Kind) {
+	for i := range members {
+		zone := []string{b.settings.Zone, "other"}[i%2]
+		b.ReceiveReport(now, signals.Statement{Origin: fmt.Sprint("m", i), Start: 1, Seq: seq, Report: report(e, zone, kind)})
+	}
+}
+
+// TestVerdictEjects: what three members call unresponsive gets nothing; it returns within the TTL and the turns after they fall
+// silent. Two do not do, nor three for what serves this sidecar, a later process, or half of all.
+func TestVerdictEjects(t *testing.T) {
+	for _, tt := range []verdictCase{
+		{"three", 3, signals.Unresponsive, 0, false, true},
+		{"two", 2, signals.Unresponsive, 0, false, false},
+		{"failing", 3, signals.Failing, 0, false, true},
+		{"slow", 3, signals.Slow, 0, false, false},
+		{"served just now", 3, signals.Unresponsive, time.Second / 2, false, false},
+		{"served before", 3, signals.Unresponsive, 3 * time.Second, false, true},
+		{"the next process", 3, signals.Unresponsive, 0, true, false},
+		{"no report", 0, signals.Unresponsive, 0, false, false},
+	} {
+		t.Run(tt.name, tt.run)
+	}
+}
+
+type verdictCase struct {
+	name    string
+	members int
+	kind    signals.Kind
+	served  time.Duration // by the server, ago; 0: never
+	next    bool          // its next process is listed
+	avoided bool
+}
+
+func (tt verdictCase) run(t *testing.T) {
+	const peers = 10
+	b, h := sidecar(t, 3, peers, fleet(20))
+	e := b.inUse[0]
+	h.now = 10 * time.Second
+	if tt.served > 0 {
+		e.lastServed = h.now - tt.served
+	}
+	condemned := *e
+	if tt.next {
+		next := e.Endpoint
+		next.Started = h.now
+		b.Endpoints(h.now, ListChanges, []Endpoint{next})
+	}
+	condemn(b, h.now, &condemned, tt.members, uint64(h.now), tt.kind)
+	b.Timer(h.now, tickToken)
+	if got := h.now < e.ejectedUntil; got != tt.avoided {
+		t.Errorf("avoided %v, want %v", got, tt.avoided)
+	}
+	if v := b.LocalReport(h.now).Verdicts; len(v) > 0 && (tt.served == 0 || v[0].Kind != signals.Serving) {
+		t.Error("it states itself what it only heard")
+	}
+	last := h.now + 2*time.Second + returnSpread + time.Second
+	for h.now < last {
+		h.now += tickInterval
+		b.Timer(h.now, tickToken)
+	}
+	if h.now < e.ejectedUntil {
+		t.Errorf("still avoided %v after the last report", h.now)
+	}
+}
+
+// TestVerdictsLeaveHalf: members that condemn more than half of all eject nobody, as this is more likely their fault.
+func TestVerdictsLeaveHalf(t *testing.T) {
+	b, h := sidecar(t, 0, 10, fleet(8))
+	h.now = 10 * time.Second
+	for n, e := range b.endpoints[:5] {
+		for i := range 3 {
+			b.ReceiveReport(h.now, signals.Statement{Origin: fmt.Sprint("m", n, i), Start: 1, Seq: 1, Report: report(e, []string{b.settings.Zone, "other"}[i%2], signals.Unresponsive)})
+		}
+	}
+	b.Timer(h.now, tickToken)
+	b.Timer(h.now+tickInterval, tickToken)
+	if !b.inPanic {
+		t.Error("over half are avoided at others' word")
+	}
+}
+
+// TestLocalReport: a sidecar says what it saw: a server that owes two requests for long, or that it ejected, until that serves.
+func TestLocalReport(t *testing.T) {
+	b, h := sidecar(t, 0, 10, fleet(20))
+	e := b.inUse[0]
+	h.now = 10 * time.Second
+	b.Timer(h.now, tickToken)
+	if r := b.LocalReport(h.now); len(r.Verdicts) > 0 || len(r.Uses) == 0 {
+		t.Fatalf("%+v", r)
+	}
+	e.failureKind, e.failedAt = signals.Unresponsive, h.now-time.Second
+	r := b.LocalReport(h.now)
+	if len(r.Verdicts) != 1 || r.Verdicts[0].Server != e.ID || r.Verdicts[0].Age != time.Second {
+		t.Fatalf("%+v", r)
+	}
+	e.failureKind = signals.None
+	for id := range RequestID(2) {
+		q := &request{Request: Request{ID: 1000 + id}, class: &b.settings.Classes[0]}
+		b.requests[q.ID] = q
+		e.addFlight(q, h.now)
+	}
+	late := h.now + time.Duration(overdueMultiple*b.meanSeconds[0]*float64(time.Second))
+	if r := b.LocalReport(late - time.Millisecond); len(r.Verdicts) > 0 {
+		t.Fatalf("too early: %+v", r)
+	}
+	if r := b.LocalReport(late); len(r.Verdicts) != 1 || r.Verdicts[0].Kind != signals.Unresponsive || r.Verdicts[0].Age != 0 {
+		t.Fatalf("%+v", r)
+	}
+	// Where so many speak that one more adds nothing, it goes on, but does not begin.
+	for i := range 6 {
+		b.ReceiveReport(late, signals.Statement{Origin: fmt.Sprint("m", i), Start: 1, Seq: 1, Report: report(e, []string{b.settings.Zone, "other"}[i%2], signals.Unresponsive)})
+	}
+	b.Timer(late, tickToken)
+	if r := b.LocalReport(late); len(r.Verdicts) != 1 {
+		t.Fatalf("it fell silent: %+v", r)
+	}
+	e.reported = false
+	if r := b.LocalReport(late); len(r.Verdicts) > 0 {
+		t.Fatalf("it joins six: %+v", r)
+	}
+	e.lastServed = late
+	b.Timer(late, tickToken)
+	if r := b.LocalReport(late); len(r.Verdicts) != 1 || r.Verdicts[0].Kind != signals.Serving {
+		t.Fatalf("it has answered since, which others should know: %+v", r)
+	}
+}
+
+// TestOverloadedAndSlowAreReported: a sidecar says that a server turned its requests away, or answers far later than its group, and one
+// that knows little of the server takes it for worse at the word of three, till two were served since; one that knows it well
+// goes by what it saw.
+func TestOverloadedAndSlowAreReported(t *testing.T) {
+	b, h := sidecar(t, 0, 10, fleet(20))
+	e := b.inUse[0]
+	h.now = 10 * time.Second
+	serve(b, h, 200, 20*time.Millisecond)
+	e.rejections, e.failedAt = 3, h.now
+	if r := b.LocalReport(h.now); len(r.Verdicts) != 1 || r.Verdicts[0].Kind != signals.Overloaded || r.Verdicts[0].Count != 3 {
+		t.Fatalf("turned away: %+v", r)
+	}
+	e.rejections, e.loadSum, e.freshness = 0, 10, 1
+	if e.latencySum = 2 * slowMultiple * 10 * e.homeGroup.secondsPerLoad() / e.capacity(); b.LocalReport(h.now).Verdicts[0].Kind != signals.Slow {
+		t.Fatalf("slow: %+v", b.LocalReport(h.now))
+	}
+	e.latencySum, e.loadSum, e.lastServed = 0, 0, 0
+	before := b.expectedLatency(e, h.now)
+	tell := func(seq uint64, from, to int, kind signals.Kind, age time.Duration) {
+		for i := from; i < to; i++ {
+			r := report(e, []string{b.settings.Zone, "other"}[i%2], kind)
+			r.Verdicts[0].Age = age
+			b.ReceiveReport(h.now, signals.Statement{Origin: fmt.Sprint("m", i), Start: 1, Seq: seq, Report: r})
+		}
+		b.Timer(h.now, tickToken)
+	}
+	tell(1, 0, 3, signals.Overloaded, time.Second)
+	if after := b.expectedLatency(e, h.now); after < spillThreshold*b.shortestTarget || after > refusalThreshold*b.shortestTarget || h.now < e.ejectedUntil {
+		t.Errorf("expected in %.3f s, before in %.3f s", after, before)
+	}
+	if e.latencySum, e.loadSum, e.freshness = 0.2, 20, 1; b.expectedLatency(e, h.now) > spillThreshold*b.shortestTarget {
+		t.Errorf("against what it saw itself, it expects an answer in %.3f s", b.expectedLatency(e, h.now))
+	}
+	if tell(1, 3, 4, signals.Serving, time.Second/2); !e.reportedDegraded {
+		t.Error("the word of one opens it")
+	}
+	if tell(1, 4, 5, signals.Serving, time.Second/2); e.reportedDegraded {
+		t.Error("it is still taken for full after two were served")
+	}
+}
+
+// TestProbesGoByTurns: of many that hear that a server is unresponsive few probe it at a time, with requests that may be retried, and
+// the turns of one that is gone pass on.
+func TestProbesGoByTurns(t *testing.T) {
+	const peers, seconds = 100, 60
+	for _, gone := range []int{0, 50} {
+		t.Run(fmt.Sprint(gone, " gone"), func(t *testing.T) {
+			probes := 0
+			for self := range peers - gone {
+				own := countProbes(t, self, peers, peers-gone, seconds*time.Second)
+				if own > seconds/5 {
+					t.Errorf("sidecar %d probes %d times in %d s", self, own, seconds)
+				}
+				probes += own
+			}
+			if probes < 10 || probes > 4*seconds {
+				t.Errorf("%d probes of one server in %d s", probes, seconds)
+			}
+		})
+	}
+}
+
+// countProbes counts the requests that a sidecar sends to an endpoint which three members condemn all the time.
+func countProbes(t *testing.T, self, peers, members int, length time.Duration) (probes int) {
+	t.Helper()
+	b, h := sidecar(t, self, peers, fleet(20))
+	b.SetMembers(h.now, self, make([]Peer, members))
+	condemned := b.inUse[0]
+	h.now = 10 * time.Second
+	for end := h.now + length; h.now < end; h.now += tickInterval {
+		condemn(b, h.now, condemned, 3, uint64(h.now), signals.Unresponsive)
+		b.Timer(h.now, tickToken)
+		ask(b, h, RequestID(h.now))
+		for _, s := range h.sent {
+			if s.to != condemned.ID {
+				continue
+			}
+			probes++
+			if s.within != 1500*time.Millisecond {
+				t.Fatalf("a probe may take %v of 3 s: no time is left for another attempt", s.within)
+			}
+		}
+		h.sent = nil
+		b.ClientDisconnected(h.now, RequestID(h.now))
+		b.Result(h.now, Result{ID: RequestID(h.now), Endpoint: condemned.ID, Outcome: Cancelled})
+	}
+	return probes
+}
--- a/balance/subset_test.go
+++ b/balance/subsetting_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// least is how many endpoints of a group an idle sidecar uses.
-const least = 4
+// minSubset is how many endpoints of a group an idle sidecar uses.
+const minSubset = 4
 
 // fleet lists n alike endpoints of one group.
 func fleet(n int) (list []Endpoint) {
@@ -23,7 +23,7 @@
 func sidecar(t *testing.T, self, peers int, list []Endpoint) (*Balancer, *host) {
 	t.Helper()
 	set := settings()
-	set.Self, set.Peers, set.Seed = self, peers, uint64(self)
+	set.Index, set.PeerCount, set.Seed = self, peers, uint64(self)
 	return start(t, set, list)
 }
 
@@ -40,14 +40,14 @@
 	users := map[string]int{}
 	for self := range peers {
 		b, _ := sidecar(t, self, peers, list)
-		if n := len(b.active); n != least {
-			t.Fatalf("an idle sidecar uses %d endpoints, want %d", n, least)
+		if n := len(b.inUse); n != minSubset {
+			t.Fatalf("an idle sidecar uses %d endpoints, want %d", n, minSubset)
 		}
-		for _, e := range b.active {
+		for _, e := range b.inUse {
 			users[e.ID]++
 		}
 	}
-	mean := peers * least / servers
+	mean := peers * minSubset / servers
 	for _, e := range list {
 		if n := users[e.ID]; n < mean-2 || n > mean+2 {
 			t.Errorf("%s is used by %d sidecars, want about %d", e.ID, n, mean)
@@ -57,32 +57,32 @@
 
 func TestSubsetGoesWithTraffic(t *testing.T) {
 	b, h := sidecar(t, 3, 10, fleet(200))
-	first := ids(b.active)
+	first := ids(b.inUse)
 	for range 300 { // 30 s of 10 requests a second
-		h.now += tickEvery
-		b.Timer(h.now, tokenTick)
+		h.now += tickInterval
+		b.Timer(h.now, tickToken)
 		serve(b, h, 1, 10*time.Millisecond)
 	}
-	if n, want := len(b.active), 10*memory.Seconds(); float64(n) < want*0.8 || float64(n) > want*1.2 {
+	if n, want := len(b.inUse), 10*memoryTTL.Seconds(); float64(n) < want*0.8 || float64(n) > want*1.2 {
 		t.Errorf("at 10 requests a second %d endpoints are used, want about %.0f", n, want)
 	}
-	if got := ids(b.active); !slices.Equal(got[:len(first)], first) {
+	if got := ids(b.inUse); !slices.Equal(got[:len(first)], first) {
 		t.Errorf("a wider subset begins with %v, the narrow one was %v", got[:len(first)], first)
 	}
 }
 
-func TestSubsetMakesUpForTheEjected(t *testing.T) {
+func TestSubsetReplacesEjected(t *testing.T) {
 	b, h := sidecar(t, 3, 10, fleet(200))
-	first := ids(b.active)
+	first := ids(b.inUse)
 	for range 2 {
-		for i := range RequestID(least) {
+		for i := range RequestID(minSubset) {
 			id := RequestID(len(h.logs)*100) + i + RequestID(h.now)
 			if to := ask(b, h, id); to != "" {
 				outcome := Served
 				if to == first[0] {
 					outcome = Errored
 				}
-				b.Result(h.now, Result{ID: id, Endpoint: to, Outcome: outcome, Took: time.Millisecond, Finished: true})
+				b.Result(h.now, Result{ID: id, Endpoint: to, Outcome: outcome, Latency: time.Millisecond, Finished: true})
 			}
 			h.now += time.Millisecond
 		}
@@ -90,7 +90,7 @@
 	if len(h.logs) != 1 {
 		t.Fatalf("%d ejections, want 1", len(h.logs))
 	}
-	if n, want := len(b.active), int(math.Ceil(b.arrived))+1; n != want {
+	if n, want := len(b.inUse), int(math.Ceil(b.arrivals))+1; n != want {
 		t.Errorf("%d endpoints are used with one ejected, want %d", n, want)
 	}
 }
@@ -100,9 +100,9 @@
 	moved := 0
 	for self := range 100 {
 		b, h := sidecar(t, self, 100, fleet(servers))
-		before := ids(b.active)
+		before := ids(b.inUse)
 		b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "s0100x", Zone: "x", Kind: "big", Size: 1}})
-		for _, id := range ids(b.active) {
+		for _, id := range ids(b.inUse) {
 			if !slices.Contains(before, id) {
 				moved++
 			}
@@ -113,56 +113,66 @@
 	}
 }
 
-// TestColdEndpointAmongManySidecars guards rule 4: what all sidecars together send to a cold endpoint stays within
+// TestWarmingUpEndpointAmongManySidecars guards rule 4: what all sidecars together send to an endpoint that warms up stays within
 // its turns, also when each has nowhere else to go, whatever their number, and with none of them knowing it.
-func TestColdEndpointAmongManySidecars(t *testing.T) {
+func TestWarmingUpEndpointAmongManySidecars(t *testing.T) {
 	const seconds = 2
 	for _, peers := range []int{5, 100, 1000} {
-		list := fleet(20)
-		var cold, all float64
-		for self := range peers {
-			b, h := sidecar(t, self, peers, list)
-			fresh := list[0]
-			fresh.Started = h.now
-			b.Endpoints(h.now, ListChanges, []Endpoint{fresh})
-			id := RequestID(0)
-			for tick := range seconds * 10 {
-				h.now += tickEvery
-				b.Timer(h.now, tokenTick)
-				for share := 8000 / peers * (self % 2); int(id)*seconds*10 < share*(tick+1); {
-					id++ // half of the sidecars carry all traffic
-					to := ask(b, h, id)
-					if all++; to == fresh.ID {
-						cold++
-					}
-					if to != "" { // all others turn requests away at once
-						outcome := Saturated
-						if to == fresh.ID {
-							outcome = Served
-						}
-						b.Result(h.now, Result{ID: id, Endpoint: to, Outcome: outcome, Took: time.Millisecond})
-					}
-				}
+		t.Run(fmt.Sprint(peers, " sidecars"), func(t *testing.T) {
+			var cold, all float64
+			for self := range peers {
+				share := 8000 / peers * (self % 2) // half of the sidecars carry all traffic
+				fromCold, fromAll := sendsWithOthersSaturated(t, self, peers, share, seconds)
+				cold, all = cold+fromCold, all+fromAll
+			}
+			// The mean endpoint gets one of 20 requests, and each request may be tried three times.
+			warm := settings().StartCapacity + (1-settings().StartCapacity)*seconds/settings().WarmUpTime.Seconds()
+			if most := all / 20 * 3 * warm; cold > most {
+				t.Errorf("%.0f of %.0f requests went to the endpoint that warms up, want %.0f at most", cold, all, most)
+			}
+		})
+	}
+}
+
+// sendsWithOthersSaturated counts the requests that a sidecar sends to an endpoint that warms up while all others reject, and all.
+func sendsWithOthersSaturated(t *testing.T, self, peers, share, seconds int) (cold, all float64) {
+	t.Helper()
+	list := fleet(20)
+	b, h := sidecar(t, self, peers, list)
+	fresh := list[0]
+	fresh.Started = h.now
+	b.Endpoints(h.now, ListChanges, []Endpoint{fresh})
+	id := RequestID(0)
+	for tick := range seconds * 10 {
+		h.now += tickInterval
+		b.Timer(h.now, tickToken)
+		for int(id)*seconds*10 < share*(tick+1) {
+			id++
+			to := ask(b, h, id)
+			all++
+			outcome := Saturated
+			if to == fresh.ID {
+				cold++
+				outcome = Served
+			}
+			if to != "" {
+				b.Result(h.now, Result{ID: id, Endpoint: to, Outcome: outcome, Latency: time.Millisecond})
 			}
-		}
-		// The mean endpoint gets one of 20 requests, and each request may be tried three times.
-		warm := settings().StartCapacity + (1-settings().StartCapacity)*seconds/settings().ColdTime.Seconds()
-		if most := all / 20 * 3 * warm; cold > most {
-			t.Errorf("%d sidecars sent %.0f of %.0f requests to a cold endpoint, want %.0f at most", peers, cold, all, most)
 		}
 	}
+	return cold, all
 }
 
-// TestColdEndpointGetsItsShareFromTheStart guards against sidecars that all wait a round before they turn to a cold
+// TestWarmingUpEndpointGetsItsShare guards against sidecars that all wait a round before they turn to a cold
 // endpoint: in a large fleet a round is longer than the endpoint is cold.
-func TestColdEndpointGetsItsShareFromTheStart(t *testing.T) {
+func TestWarmingUpEndpointGetsItsShare(t *testing.T) {
 	for _, tt := range []struct{ peers, servers int }{{3, 9}, {80, 60}} {
 		list := fleet(tt.servers)
 		var cold, all float64
 		for self := range tt.peers {
 			b, h := sidecar(t, self, tt.peers, list)
 			for range 40 { // enough traffic to use every endpoint
-				b.Timer(h.now, tokenTick)
+				b.Timer(h.now, tickToken)
 				serve(b, h, 10, 20*time.Millisecond)
 			}
 			fresh := list[0]
@@ -174,12 +184,12 @@
 				if all++; to == fresh.ID {
 					cold++
 				}
-				b.Result(h.now, Result{ID: 1 + id, Endpoint: to, Took: 20 * time.Millisecond, Finished: true})
+				b.Result(h.now, Result{ID: 1 + id, Endpoint: to, Latency: 20 * time.Millisecond, Finished: true})
 			}
 		}
 		// Half of what it would fall over at, were every endpoint loaded in full and it as cold as can be.
 		share := settings().StartCapacity / (float64(tt.servers-1) + settings().StartCapacity)
-		if want := share * all * settings().FallMultiple / 2; cold < 0.75*want-1 || cold > 1.25*want+1 {
+		if want := share * all * settings().OverloadMultiple / 2; cold < 0.75*want-1 || cold > 1.25*want+1 {
 			t.Errorf("%d sidecars sent %.0f of %.0f requests to a cold endpoint of %d, want about %.1f", tt.peers, cold, all,
 				tt.servers, want)
 		}
@@ -193,22 +203,22 @@
 }
 
 func (a *asking) Timer(after time.Duration, token uint64) {
-	if token == tokenAsk {
+	if token == discoveryToken {
 		a.after = after
 	}
 }
 
 func TestFirstCallsAreSpread(t *testing.T) {
 	set := settings()
-	set.AskDiscovery, set.MustAsk, set.Peers = true, 10*time.Second, 1000
-	seconds := make([]int, set.MustAsk/2/time.Second)
-	for set.Self = range set.Peers {
+	set.SubscribeToDiscovery, set.DiscoveryDeadline, set.PeerCount = true, 10*time.Second, 1000
+	seconds := make([]int, set.DiscoveryDeadline/2/time.Second)
+	for set.Index = range set.PeerCount {
 		a := &asking{}
 		if _, err := New(set, a); err != nil {
 			t.Fatal(err)
 		}
-		if a.after < 0 || a.after >= set.MustAsk/2 {
-			t.Fatalf("sidecar %d calls after %v, want half of MustAsk at most", set.Self, a.after)
+		if a.after < 0 || a.after >= set.DiscoveryDeadline/2 {
+			t.Fatalf("sidecar %d calls after %v, want half of MustAsk at most", set.Index, a.after)
 		}
 		seconds[a.after/time.Second]++
 	}
--- a/balance/cold_budget_test.go
+++ b/balance/warmup_budget_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// coldSends plays a burst on a fleet of warm endpoints that take 20 ms a request and a freshly started one, and
-// returns how many sends the started one gets in each FallTime at most, and how many it may get from this sidecar.
-func coldSends(t *testing.T, peers int, retries bool) (most int, part float64) {
+// sendsWhileWarmingUp plays a burst on a fleet of warm endpoints that take 20 ms a request and a freshly started one, and
+// returns how many sends the started one gets in each OverloadTime at most, and how many it may get from this sidecar.
+func sendsWhileWarmingUp(t *testing.T, peers int, retries bool) (most int, part float64) {
 	t.Helper()
 	set := settings()
-	set.Peers = peers
+	set.PeerCount = peers
 	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "x", Kind: "big", Size: 1}}
 	b, h := start(t, set, list)
 	id := RequestID(0)
@@ -18,7 +18,7 @@
 		h.now += 20 * time.Millisecond
 		for range n {
 			id++
-			b.Request(h.now, Request{ID: id, Tenant: -1, Within: 3 * time.Second})
+			b.Request(h.now, Request{ID: id, Tenant: -1, TimeLeft: 3 * time.Second})
 		}
 	}
 	for range 200 {
@@ -26,7 +26,7 @@
 		sent := h.sent
 		h.sent = nil
 		for _, s := range sent {
-			b.Result(h.now+20*time.Millisecond, Result{ID: s.id, Endpoint: s.to, Took: 20 * time.Millisecond, Finished: true})
+			b.Result(h.now+20*time.Millisecond, Result{ID: s.id, Endpoint: s.to, Latency: 20 * time.Millisecond, Finished: true})
 		}
 	}
 	b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "c", Zone: "x", Kind: "big", Size: 1, Started: h.now}})
@@ -43,24 +43,30 @@
 		}
 		h.sent = h.sent[:0]
 	}
-	for i, from := range cold {
-		n := 0
-		for _, at := range cold[i:] {
-			if at-from < set.FallTime {
-				n++
+	most = maxWithin(cold, set.OverloadTime)
+	// At the end of the second its share of capacity is a little higher than at the start.
+	share := set.StartCapacity + (1-set.StartCapacity)*1.0/set.WarmUpTime.Seconds()
+	return most, set.OverloadMultiple * share * 50 * set.OverloadTime.Seconds() / float64(peers)
+}
+
+// maxWithin is the most of the times, which rise, that lie within a length.
+func maxWithin(times []Time, length time.Duration) (most int) {
+	for i, from := range times {
+		count := 0
+		for _, at := range times[i:] {
+			if at-from < length {
+				count++
 			}
 		}
-		most = max(most, n)
+		most = max(most, count)
 	}
-	// At the end of the second its share of capacity is a little higher than at the start.
-	share := set.StartCapacity + (1-set.StartCapacity)*1.0/set.ColdTime.Seconds()
-	return most, set.FallMultiple * share * 50 * set.FallTime.Seconds() / float64(peers)
+	return most
 }
 
-func TestColdBudget(t *testing.T) {
+func TestWarmUpBudget(t *testing.T) {
 	for _, peers := range []int{1, 2, 5} {
 		for _, retries := range []bool{false, true} {
-			most, part := coldSends(t, peers, retries)
+			most, part := sendsWhileWarmingUp(t, peers, retries)
 			if float64(most) > max(part, 1) || most == 0 {
 				t.Errorf("%d peers, retries %v: %d sends to the cold endpoint, want 1 to %.1f", peers, retries, most, part)
 			}
--- /dev/null
+++ b/balance/warmup_fleet_test.go
@@ -0,0 +1,208 @@
+package balance
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+)
+
+// simulatedFleet plays sidecars of uneven traffic on servers of which some start cold, and counts what these get.
+type simulatedFleet struct {
+	rng      *rand.Rand
+	now      Time
+	sidecars []*Balancer
+	hosts    []*host
+	rate     []float64 // requests a second
+	next     []Time    // the next request
+	ids      RequestID
+	answers  []pendingAnswer // due, in the order of their time
+	bad      string          // refuses connections
+	silent   string          // takes requests, and answers none
+	sent     map[string][]Time
+	by       []sentRequest
+}
+
+type sentRequest struct {
+	self int
+	to   string
+	at   Time
+}
+
+type pendingAnswer struct {
+	at   Time
+	self int
+	send sending
+	hung bool
+}
+
+const simulationTick, hangTime = 20 * time.Millisecond, 1500 * time.Millisecond
+
+func newSimulatedFleet(t *testing.T, sidecars int, servers []Endpoint, rate float64) *simulatedFleet {
+	f := &simulatedFleet{rng: rand.New(rand.NewPCG(uint64(sidecars), uint64(len(servers)))), now: time.Minute, sent: map[string][]Time{}}
+	var sum float64
+	for self := range sidecars {
+		b, h := sidecar(t, self, sidecars, servers)
+		f.sidecars, f.hosts = append(f.sidecars, b), append(f.hosts, h)
+		f.rate = append(f.rate, f.rng.ExpFloat64())
+		sum += f.rate[self]
+	}
+	for self := range f.rate {
+		f.rate[self] *= rate / sum
+		f.next = append(f.next, f.now+f.nextGap(self))
+	}
+	return f
+}
+
+func (f *simulatedFleet) nextGap(self int) Time {
+	return time.Duration(f.rng.ExpFloat64() / f.rate[self] * float64(time.Second))
+}
+
+// introduce tells each sidecar of all.
+func (f *simulatedFleet) introduce() {
+	var peers []Peer
+	for _, b := range f.sidecars {
+		peers = append(peers, Peer{b.settings.Zone, b.TrafficLevel()})
+	}
+	for self, b := range f.sidecars {
+		b.SetMembers(f.now, self, peers)
+	}
+}
+
+// run plays for some time.
+func (f *simulatedFleet) run(until Time) {
+	for ; f.now < until; f.now += simulationTick {
+		for len(f.answers) > 0 && f.answers[0].at <= f.now {
+			due := f.answers[0]
+			f.answers = f.answers[1:]
+			f.answer(due)
+		}
+		for self, b := range f.sidecars {
+			for ; f.next[self] <= f.now; f.next[self] += f.nextGap(self) {
+				f.ids++
+				b.Request(f.now, Request{ID: f.ids, Tenant: -1, TimeLeft: 3 * time.Second})
+				f.collectSends(self)
+			}
+			if (f.now/simulationTick+Time(self))%(tickInterval/simulationTick) == 0 {
+				b.Timer(f.now, tickToken)
+			}
+		}
+	}
+}
+
+// answer ends an attempt.
+func (f *simulatedFleet) answer(due pendingAnswer) {
+	r := Result{ID: due.send.id, Endpoint: due.send.to, Latency: 100 * time.Millisecond, Finished: true}
+	if due.send.to == f.bad {
+		r.Outcome, r.Finished = ConnectFailed, false
+	}
+	if due.hung {
+		r.Outcome, r.Finished, r.Latency = TimedOut, false, hangTime
+	}
+	if q := f.sidecars[due.self].requests[r.ID]; q != nil { // one attempt after the other
+		r.Attempt = len(q.attempts) - 1
+	}
+	f.sidecars[due.self].Result(f.now, r)
+	f.collectSends(due.self)
+}
+
+func (f *simulatedFleet) collectSends(self int) {
+	for _, s := range f.hosts[self].sent {
+		f.sent[s.to] = append(f.sent[s.to], f.now)
+		f.by = append(f.by, sentRequest{self, s.to, f.now})
+		at := f.now + 100*time.Millisecond
+		if s.to == f.bad {
+			at = f.now + simulationTick
+		}
+		hung := s.to == f.silent
+		if hung {
+			at = f.now + hangTime
+		}
+		i, _ := slices.BinarySearchFunc(f.answers, at, func(a pendingAnswer, t Time) int { return cmp.Compare(a.at, t+1) })
+		f.answers = slices.Insert(f.answers, i, pendingAnswer{at, self, s, hung})
+	}
+	f.hosts[self].sent = nil
+}
+
+// worstExcess is the most that a server got within a second from a time on, over what it may: the multiple of what it could do
+// then, and what chance allows.
+func (f *simulatedFleet) worstExcess(id string, from Time, capacity float64) (over float64) {
+	set, sent := settings(), f.sent[id]
+	for i, first := range sent {
+		if first < from {
+			continue
+		}
+		j := i
+		for j < len(sent) && sent[j] < first+set.OverloadTime {
+			j++
+		}
+		warm := set.StartCapacity + (1-set.StartCapacity)*min((first-from).Seconds()/set.WarmUpTime.Seconds(), 1)
+		may := set.OverloadMultiple * warm * capacity * set.OverloadTime.Seconds()
+		over = max(over, float64(j-i)/(may+3*math.Sqrt(may)+3))
+	}
+	return over
+}
+
+// TestWarmUpBudgetAddsUp guards rule 4 for any number of sidecars of uneven traffic: what all of them send to an endpoint that
+// warms up, within the time after which it is overloaded, stays within what it may get, whether it returns alone, after it
+// refused everybody for some seconds, or with all others; and it gets enough of it to be of use.
+func TestWarmUpBudgetAddsUp(t *testing.T) {
+	for _, size := range []struct{ sidecars, servers int }{{1, 20}, {100, 20}, {1000, 50}} {
+		for _, known := range []bool{false, true} {
+			for _, way := range []string{"alone", "refusing", "all"} {
+				name := fmt.Sprintf("%d sidecars, %d servers, members known %v, %s", size.sidecars, size.servers, known, way)
+				t.Run(name, func(t *testing.T) {
+					checkWarmUpBudget(t, size.sidecars, size.servers, known, way)
+				})
+			}
+		}
+	}
+}
+
+// checkWarmUpBudget has an endpoint return in a way that TestWarmUpBudgetAddsUp names.
+func checkWarmUpBudget(t *testing.T, sidecars, servers int, known bool, way string) {
+	t.Helper()
+	const capacity, load = 20, 0.8
+	list := fleet(servers)
+	f := newSimulatedFleet(t, sidecars, list, load*capacity*float64(servers))
+	f.run(f.now + 13*time.Second)
+	if known {
+		f.introduce()
+	}
+	from := f.now
+	for i := range list {
+		if way == "all" || i == 0 {
+			list[i].Started = f.now
+		}
+	}
+	if way == "refusing" {
+		f.bad = list[0].ID
+	}
+	for _, b := range f.sidecars {
+		b.Endpoints(f.now, ListFull, list)
+	}
+	f.run(f.now + 5*time.Second)
+	f.bad = ""
+	f.run(f.now + 5*time.Second)
+	var over, got float64
+	for _, e := range list {
+		if e.Started != 0 {
+			over = max(over, f.worstExcess(e.ID, from, capacity))
+		}
+	}
+	for _, at := range f.sent[list[0].ID] {
+		if at >= from {
+			got++
+		}
+	}
+	t.Logf("%.2f of what one may get in a second, %4.0f in 10 s", over, got)
+	if over > 1 {
+		t.Errorf("an endpoint that warms up was sent %.2f of what it may get", over)
+	}
+	if even := capacity * 10 * (1 + settings().StartCapacity) / 2; way != "refusing" && got < even/2 {
+		t.Errorf("an endpoint that warms up got %.0f requests in 10 s, and could do %.0f", got, even)
+	}
+}
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -27,8 +27,8 @@
 	tags := map[string]string{"region": c.Settings.Zone}
 	maps.Copy(tags, c.Settings.Tags)
 	for tag, v := range tags {
-		if len(tags) > routes.MostTags || tag == "" || strings.Contains(tag, ":") || len(tag) > routes.MostText || len(v) > routes.MostText {
-			return fmt.Errorf("keepers: tags: %.60q: at most %d, of %d bytes each and without a colon", tag, routes.MostTags, routes.MostText)
+		if len(tags) > routes.MaxTags || tag == "" || strings.Contains(tag, ":") || len(tag) > routes.MaxTextBytes || len(v) > routes.MaxTextBytes {
+			return fmt.Errorf("keepers: tags: %.60q: at most %d, of %d bytes each and without a colon", tag, routes.MaxTags, routes.MaxTextBytes)
 		}
 	}
 	h.routing.follower, err = client.NewRouteFollower(client.RouteOptions{Keepers: c.Keepers.Addresses, Tags: tags, Service: c.Settings.Service,
@@ -50,7 +50,11 @@
 
 // route has the Balancer go by a table, if it may.
 func (h *host) route(u client.RouteUpdate) {
-	applied, why := h.balancer.SetRules(h.now, u.Rules)
+	err := h.balancer.SetRules(h.now, u.Rules)
+	applied, why := err == nil, ""
+	if !applied {
+		why = err.Error()
+	}
 	if h.routing.behind = !applied; applied {
 		h.routing.applied = u.Gen
 	}
@@ -60,7 +64,7 @@
 // generation is the one that the Balancer goes by. The loop alone calls it.
 func (h *host) generation() int64 {
 	r := &h.routing
-	if r.behind && !h.balancer.RulesWait() {
+	if r.behind && !h.balancer.RulesPending() {
 		r.behind = false // what waited is applied by now
 	}
 	if held := r.follower.Figures().Gen; !r.behind && held >= 0 {
