--- /dev/null
+++ b/internal/sidecar/state/golden_trace_test.go
@@ -0,0 +1,215 @@
+package state
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/json"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"gradeusher.example/gradeusher/balance/routes"
+	"gradeusher.example/gradeusher/internal/sidecar/list"
+)
+
+const (
+	traceSeeds    = 8
+	traceCommands = 1000 // of one seed
+	traceInterval = 100  // commands between two lines of the trace
+)
+
+// traceDraw draws commands, valid and invalid ones, from a seed.
+type traceDraw struct {
+	rng   *rand.Rand
+	nowMS int64
+}
+
+func (d *traceDraw) one(words ...string) string { return words[d.rng.IntN(len(words))] }
+func (d *traceDraw) chance(percent int) bool    { return d.rng.IntN(100) < percent }
+
+// near is a number, or rarely one beside it.
+func (d *traceDraw) near(n int64) int64 {
+	if d.chance(20) {
+		return n + int64(d.rng.IntN(3)) - 1
+	}
+	return n
+}
+
+func (d *traceDraw) command(m *Machine) Command {
+	switch n := d.rng.IntN(100); {
+	case n < 2:
+		return Command{Op: Found, Cluster: d.one("", "c-1", "c-2")}
+	case n < 6:
+		return Command{Op: Op(d.one(string(Member), string(Unmember))), Keeper: &Keeper{Name: d.one("", "k-1", "k-2", "k-3"), HTTP: d.one("127.0.0.1:80", "[::1]:81", "host")}}
+	case n < 16:
+		return d.routes(m)
+	case n < 45:
+		return d.servers(m)
+	default:
+		return d.duty(m)
+	}
+}
+
+func (d *traceDraw) routes(m *Machine) Command {
+	table := routes.Table{}
+	for _, name := range []string{"a", "b", "c", "d"} {
+		if d.chance(40) {
+			table = append(table, routes.Rule{Name: name, Source: routes.Match{"service": "*"}, Service: routes.Match{"service": "*"},
+				Destinations: []routes.Destination{{Weight: float64(d.rng.IntN(4)), Match: routes.Match{"version": "x"}}}})
+		}
+	}
+	c := Command{Op: Route, Rules: table}
+	if current, ok := m.Routes(m.Generation()); ok && table.Check() == nil && d.chance(50) {
+		base := d.near(m.Generation())
+		c = Command{Op: Route, Base: &base, Ops: routes.Diff(current, table.Canonical())}
+	}
+	if d.chance(20) {
+		expect := d.near(m.Generation())
+		c.Expect = &expect
+	}
+	return c
+}
+
+func (d *traceDraw) servers(m *Machine) Command {
+	uid := d.one("s-1", "s-2", "s-3", "s-4", "s-5")
+	entry, _ := m.Entry(uid)
+	c := Command{Op: Op(d.one(string(Register), string(Register), string(Drain), string(Serve), string(Leave), string(Expire))), UID: uid}
+	switch c.Op {
+	case Register:
+		for range d.rng.IntN(3) {
+			c.Servers = append(c.Servers, list.Registration{Target: list.Target{UID: uid, Endpoint: d.one("10.0.0.1:80", "10.0.0.1:80", "10.0.0.2:80", "x"),
+				Zone: d.one("a", "b"), State: list.Serving, BootMS: d.near(entry.BootMS)}, LeaseMS: int64(d.rng.IntN(2)) * 3000})
+			uid = d.one("s-1", "s-2", "s-3", "s-4", "s-5")
+		}
+	case Expire:
+		c.Ended = []Ended{{uid, d.near(entry.Lease)}}
+	}
+	if d.chance(25) {
+		expect := d.near(entry.Rev)
+		c.Expect = &expect
+	}
+	return c
+}
+
+func (d *traceDraw) duty(m *Machine) Command {
+	name, who := d.one("d-1", "d-2", "d-3", "d-4", "d-5"), d.one("a#1", "a#2", "b#1", "c#1", "e#1")
+	current, _ := m.Duty(name)
+	if current.Holder != nil && d.chance(60) {
+		who = current.Holder.Who
+	}
+	c := DutyCall{Name: name, Who: who, Room: d.one("", "x", "y"), At: d.one("", "x"), Load: int64(d.rng.IntN(4)) - int64(d.rng.IntN(20)/19),
+		TTLMS: 3000 - int64(d.rng.IntN(20)/19)*2900, Epoch: d.near(current.Epoch), To: d.one("", "", "a", "b#1"), Again: d.chance(60), Failed: d.chance(40),
+		Force: d.chance(30), NowMS: d.nowMS}
+	op := Op(d.one(string(Campaign), string(Campaign), string(Campaign), string(Withdraw), string(Release), string(Release), string(Move),
+		string(Checkpoint), string(Forget), string(End), string(Office)))
+	if op == Checkpoint || d.chance(10) {
+		step := d.near(current.StepNo)
+		c.StepNo, c.Step = &step, d.one("half", "done")
+	}
+	switch op {
+	case Forget:
+		c.Idle, c.IdleMS, c.StepNo = []string{d.one("d-1", "d-2", "d-3"), "d-4"}, int64(d.rng.IntN(4))*600, nil
+	case End:
+		c.Office = d.near(m.DutyOffice())
+		c.Ended, c.Silent, c.Due = []EndedOne{{Name: name, Epoch: c.Epoch}}, []EndedOne{{Name: d.one("d-1", "d-2"), Who: who}}, m.Due(d.nowMS)
+	}
+	return Command{Op: op, Duty: &c}
+}
+
+// traceMachine applies the commands of one seed, each as the log encodes it, and digests the commands, their results and the
+// snapshots. One command in fifty goes to a machine that was read from a snapshot, one in two hundred to one of a backup.
+func traceMachine(t *testing.T, seed uint64, out *bytes.Buffer) {
+	t.Helper()
+	draw := &traceDraw{rng: rand.New(rand.NewPCG(seed, 1)), nowMS: 1_000_000}
+	m, digest, refused := New(), sha256.New(), 0
+	backup := again(t, m)
+	for i := 1; i <= traceCommands; i++ {
+		draw.nowMS += int64(draw.rng.IntN(2000))
+		switch n := draw.rng.IntN(200); {
+		case n == 0:
+			m = traceRestore(t, backup, m)
+		case n == 1:
+			backup = again(t, m)
+		case n < 6:
+			m = again(t, m)
+		}
+		text, err := json.Marshal(draw.command(m))
+		if err != nil {
+			t.Fatal(err)
+		}
+		c, err := Decode(text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		r := m.Apply(c)
+		if r.Err != nil {
+			refused++
+		}
+		traceResult(t, digest, text, r)
+		traceSnapshot(t, digest, m)
+		if i%traceInterval == 0 {
+			fmt.Fprintf(out, "seed %d command %d refused %d rev %d gen %d duties %d digest %x\n", seed, i, refused, m.Rev(), m.Generation(), m.DutyRev(), digest.Sum(nil)[:12])
+		}
+	}
+}
+
+func traceRestore(t *testing.T, backup, m *Machine) *Machine {
+	t.Helper()
+	restored := again(t, backup)
+	restored.Raise(m.Rev() + 1)
+	if err := restored.KeepDuties(m); err != nil {
+		t.Fatal(err)
+	}
+	return restored
+}
+
+func traceResult(t *testing.T, digest hash.Hash, command []byte, r Result) {
+	t.Helper()
+	changes, err := json.Marshal(r.Changes)
+	if err != nil {
+		t.Fatal(err)
+	}
+	duty, err := json.Marshal(r.Duty)
+	if err != nil {
+		t.Fatal(err)
+	}
+	refusal, err := json.Marshal(r.Err)
+	if err != nil {
+		t.Fatal(err)
+	}
+	fmt.Fprintf(digest, "%s: %d %s %d %t %t %s %t %s\n", command, r.Rev, changes, r.Gen, r.Routed, r.Moved, duty, r.Dutied, refusal)
+}
+
+func traceSnapshot(t *testing.T, digest hash.Hash, m *Machine) {
+	t.Helper()
+	text, err := m.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	digest.Write(text)
+}
+
+// TestGoldenTrace applies commands that are drawn from seeds, and compares digests of the bytes of commands, results and
+// snapshots with the file. GRADEUSHER_WRITE_GOLDEN=1 writes it anew.
+func TestGoldenTrace(t *testing.T) {
+	var out bytes.Buffer
+	for seed := range uint64(traceSeeds) {
+		traceMachine(t, seed, &out)
+	}
+	path := filepath.Join("testdata", "golden_trace.txt")
+	if os.Getenv("GRADEUSHER_WRITE_GOLDEN") == "1" {
+		if err := os.WriteFile(path, out.Bytes(), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(out.Bytes(), want) {
+		t.Errorf("the trace differs.\ngot:\n%s\nwant:\n%s", out.Bytes(), want)
+	}
+}
