--- a/internal/sidecar/client/cache.go
+++ b/internal/sidecar/client/cache.go
@@ -25,7 +25,7 @@
 
 // mostCached is bytes of a saved list: under 2 KiB for each server that keepers take, with names that JSON escapes, and twice as
 // many servers, as what a list that shrank lacks is held until that is sure.
-const mostCached = 2 * state.MostServers * 2048
+const mostCached = 2 * state.MaxServers * 2048
 
 type cached struct {
 	SavedMS int64     `json:"saved_ms"` // Unix time
--- a/internal/sidecar/client/duties.go
+++ b/internal/sidecar/client/duties.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-// DutyCall is what a call to change a duty says; each looks at the fields that it needs, as state.DutyCall tells.
+// DutyCall is what a call to change a duty says; each looks at the fields that it needs, as state.RoleCall tells.
 type DutyCall struct {
 	Who    string `json:"who,omitempty"` // NAME#RUN
 	Room   string `json:"room,omitempty"`
@@ -29,7 +29,7 @@
 
 // DutyDone is what became of it.
 type DutyDone struct {
-	Duty    state.Duty `json:"duty"`
+	Duty    state.Role `json:"duty"`
 	Cluster string     `json:"cluster"`
 }
 
@@ -37,7 +37,7 @@
 type DutyNews struct {
 	Rev     int64        `json:"rev"`
 	All     bool         `json:"all"`
-	Duties  []state.Duty `json:"duties"`
+	Duties  []state.Role `json:"duties"`
 	Cluster string       `json:"cluster"`
 }
 
--- a/internal/sidecar/registry/admin.go
+++ b/internal/sidecar/registry/admin.go
@@ -16,16 +16,16 @@
 // Status is what a keeper knows of itself and its cluster.
 type Status struct {
 	replica.Status
-	AgeMS    int64          `json:"age_ms"` // how long ago it last knew itself up to date; below 0: not since its start
-	Cluster  string         `json:"cluster"`
-	Rev      int64          `json:"rev"`
-	Oldest   int64          `json:"oldest_rev"` // from which a watch can go on
-	Servers  int            `json:"servers"`
-	Gen      int64          `json:"generation"` // of the route table
-	Watchers int64          `json:"watchers"`
-	Leases   int            `json:"leases"`      // that run, as the leader counts
-	Held     int            `json:"leases_held"` // that have ended and are held back
-	Keepers  []state.Keeper `json:"keepers"`
+	AgeMS    int64        `json:"age_ms"` // how long ago it last knew itself up to date; below 0: not since its start
+	Cluster  string       `json:"cluster"`
+	Rev      int64        `json:"rev"`
+	Oldest   int64        `json:"oldest_rev"` // from which a watch can go on
+	Servers  int          `json:"servers"`
+	Gen      int64        `json:"generation"` // of the route table
+	Watchers int64        `json:"watchers"`
+	Leases   int          `json:"leases"`      // that run, as the leader counts
+	Held     int          `json:"leases_held"` // that have ended and are held back
+	Keepers  []state.Node `json:"keepers"`
 }
 
 func (k *Node) status(w http.ResponseWriter, _ *http.Request) {
@@ -33,7 +33,7 @@
 	s.AgeMS = s.Age.Milliseconds()
 	s.Leases, s.Held = k.lessor.figures()
 	k.store.read(func(m *state.Machine) {
-		s.Cluster, s.Rev, s.Oldest, s.Servers, s.Keepers = m.Cluster(), m.Rev(), m.Oldest(), m.Len(), m.Keepers()
+		s.Cluster, s.Rev, s.Oldest, s.Servers, s.Keepers = m.Cluster(), m.Revision(), m.OldestRevision(), m.Len(), m.Nodes()
 		s.Gen = m.Generation()
 	})
 	reply(w, http.StatusOK, s)
@@ -79,7 +79,7 @@
 	if err := k.replica.Promote(p); err != nil {
 		return err
 	}
-	if _, err := k.propose(r.Context(), state.Command{Op: state.Member, Keeper: &state.Keeper{Name: c.Name, HTTP: c.HTTP}}); err != nil {
+	if _, err := k.propose(r.Context(), state.Command{Op: state.SetNode, Node: &state.Node{Name: c.Name, HTTPAddress: c.HTTP}}); err != nil {
 		return err
 	}
 	k.log.Info("keeper joined", "keeper", c.Name)
@@ -109,7 +109,7 @@
 		k.log.Info("keeper removed", "keeper", name)
 		return k.answerPeers(w) // it no longer leads: its successor notes the rest
 	}
-	if _, err := k.propose(r.Context(), state.Command{Op: state.Unmember, Keeper: &state.Keeper{Name: name}}); err != nil {
+	if _, err := k.propose(r.Context(), state.Command{Op: state.RemoveNode, Node: &state.Node{Name: name}}); err != nil {
 		return err
 	}
 	k.log.Info("keeper removed", "keeper", name)
@@ -164,13 +164,13 @@
 	defer k.restoring.Unlock()
 	floor := time.Now().UnixMicro()
 	k.store.read(func(now *state.Machine) {
-		floor = max(floor, now.Rev()+1, now.Generation()+1)
-		err = m.KeepDuties(now)
+		floor = max(floor, now.Revision()+1, now.Generation()+1)
+		err = m.CarryOverRoles(now)
 	})
 	if err != nil {
 		return err
 	}
-	m.Raise(floor)
+	m.RaiseRevision(floor)
 	text, err := m.Snapshot()
 	if err != nil {
 		return err
@@ -178,7 +178,7 @@
 	if err := k.replica.Restore(text); err != nil {
 		return err
 	}
-	k.log.Warn("restored from a backup", "rev", m.Rev(), "servers", m.Len())
-	reply(w, http.StatusOK, client.Done{Rev: m.Rev(), Cluster: m.Cluster()})
+	k.log.Warn("restored from a backup", "rev", m.Revision(), "servers", m.Len())
+	reply(w, http.StatusOK, client.Done{Rev: m.Revision(), Cluster: m.Cluster()})
 	return nil
 }
--- a/internal/sidecar/registry/cuts.go
+++ b/internal/sidecar/registry/cuts.go
@@ -129,7 +129,7 @@
 			v.table = whole.table.Cut(by.tags, by.service)
 		} else {
 			ok := false
-			if c.store.read(func(m *state.Machine) { v.table, ok = m.Routes(gen) }); !ok {
+			if c.store.read(func(m *state.Machine) { v.table, ok = m.RoutesAt(gen) }); !ok {
 				e.err = errNoGeneration
 				return
 			}
--- a/internal/sidecar/registry/duties.go
+++ b/internal/sidecar/registry/duties.go
@@ -14,19 +14,19 @@
 
 // proposeDuty has a command of duties agreed on, at the time that it is here, and returns the number that the result has. A restore
 // that goes on refuses it.
-func (k *Node) proposeDuty(ctx context.Context, op state.Op, c state.DutyCall) (int64, error) {
+func (k *Node) proposeDuty(ctx context.Context, op state.Op, c state.RoleCall) (int64, error) {
 	r, err := k.proposeDutyWhole(ctx, op, c)
-	return r.Rev, err
+	return r.Revision, err
 }
 
-func (k *Node) proposeDutyWhole(ctx context.Context, op state.Op, c state.DutyCall) (state.Result, error) {
+func (k *Node) proposeDutyWhole(ctx context.Context, op state.Op, c state.RoleCall) (state.Result, error) {
 	// Danger: a duty that is granted while a backup takes the place of the state would be granted again.
 	if !k.restoring.TryRLock() {
 		return state.Result{}, errCrowded
 	}
 	defer k.restoring.RUnlock()
 	c.NowMS = time.Now().UnixMilli()
-	return k.propose(ctx, state.Command{Op: op, Duty: &c})
+	return k.propose(ctx, state.Command{Op: op, Role: &c})
 }
 
 // dutyWrite is a call that changes a duty.
@@ -36,13 +36,13 @@
 		if err := decode(r, &c); err != nil {
 			return err
 		}
-		result, err := k.proposeDutyWhole(r.Context(), op, state.DutyCall{Name: r.PathValue("name"), Who: c.Who, Room: c.Room, At: c.At, Load: c.Load,
-			TTLMS: c.TTLMS, Epoch: c.Epoch, To: c.To, Again: c.Again, Failed: c.Failed, Force: c.Force, Step: c.Step, StepNo: c.StepNo,
-			Idle: c.Idle, IdleMS: c.IdleMS})
+		result, err := k.proposeDutyWhole(r.Context(), op, state.RoleCall{Name: r.PathValue("name"), Process: c.Who, Location: c.Room, RoleLocation: c.At, Load: c.Load,
+			TTLMS: c.TTLMS, Epoch: c.Epoch, Successor: c.To, Rejoin: c.Again, Failed: c.Failed, Force: c.Force, Step: c.Step, StepNo: c.StepNo,
+			IdleRoles: c.Idle, IdleMS: c.IdleMS})
 		if err != nil {
 			return err
 		}
-		a := client.DutyDone{Duty: *result.Duty}
+		a := client.DutyDone{Duty: *result.Role}
 		k.store.read(func(m *state.Machine) { a.Cluster = m.Cluster() })
 		reply(w, http.StatusOK, a)
 		return nil
@@ -57,7 +57,7 @@
 	if err := decode(r, &c); err != nil {
 		return err
 	}
-	if err := state.CheckWho(c.Who); err != nil {
+	if err := state.CheckProcess(c.Who); err != nil {
 		return badf("who: %w", err)
 	}
 	if !k.restoring.TryRLock() {
@@ -69,15 +69,15 @@
 		return err
 	}
 	a := client.DutyRenewal{Holds: []client.HeldDuty{}, Waits: []string{}}
-	var all []state.Duty
-	k.store.read(func(m *state.Machine) { a.Cluster, a.Rev, all = m.Cluster(), m.DutyRev(), m.DutiesOf(c.Who) })
+	var all []state.Role
+	k.store.read(func(m *state.Machine) { a.Cluster, a.Rev, all = m.Cluster(), m.RoleRevision(), m.RolesOf(c.Who) })
 	renewed, ok := k.tenures.renew(time.Now(), c.Who, all)
 	if !ok {
 		return errBehind
 	}
 	for i, d := range all {
-		if d.Is(c.Who) {
-			a.Holds = append(a.Holds, client.HeldDuty{Name: d.Name, Epoch: d.Epoch, TTLMS: d.Holder.TTLMS, Renewed: renewed[i], Asked: d.Asked, To: d.To, Step: d.Step, StepNo: d.StepNo})
+		if d.IsOwner(c.Who) {
+			a.Holds = append(a.Holds, client.HeldDuty{Name: d.Name, Epoch: d.Epoch, TTLMS: d.Owner.TTLMS, Renewed: renewed[i], Asked: d.HandoverRequested, To: d.Successor, Step: d.Step, StepNo: d.StepNo})
 		} else {
 			a.Waits = append(a.Waits, d.Name)
 		}
@@ -98,7 +98,7 @@
 	}
 	a.who, a.name = r.URL.Query().Get("who"), r.URL.Query().Get("name")
 	if a.who != "" {
-		if err := state.CheckWho(a.who); err != nil {
+		if err := state.CheckProcess(a.who); err != nil {
 			return a, badf("who: %w", err)
 		}
 	}
@@ -107,19 +107,19 @@
 
 // dutyNews is what is new for one who knows a revision; told are the names that he was told of, where he asks for a process's.
 func (k *Node) dutyNews(a dutiesAsked, from int64, told map[string]bool) (n client.DutyNews, changed <-chan struct{}) {
-	n = client.DutyNews{All: from < 0, Duties: []state.Duty{}}
+	n = client.DutyNews{All: from < 0, Duties: []state.Role{}}
 	k.store.read(func(m *state.Machine) {
 		changed = k.store.dutied
-		n.Rev, n.Cluster = m.DutyRev(), m.Cluster()
+		n.Rev, n.Cluster = m.RoleRevision(), m.Cluster()
 		switch {
 		case a.who == "":
-			n.Duties = append(n.Duties, m.Duties(from)...)
+			n.Duties = append(n.Duties, m.RolesSince(from)...)
 		default:
-			for _, d := range m.DutiesOf(a.who) {
+			for _, d := range m.RolesOf(a.who) {
 				told[d.Name] = true
 			}
 			for name := range told {
-				if d, ok := m.Duty(name); ok && d.Rev > from {
+				if d, ok := m.Role(name); ok && d.Revision > from {
 					n.Duties = append(n.Duties, d)
 				}
 			}
@@ -131,14 +131,14 @@
 			continue
 		}
 		if a.who != "" { // who else waits is nothing to him
-			own := d.Waits(a.who)
+			own := d.WaitingIndex(a.who)
 			if own >= 0 {
 				d.Waiting = d.Waiting[own : own+1]
 			} else {
 				d.Waiting = nil
 			}
-			d.Failed = nil
-			if own < 0 && !d.Is(a.who) {
+			d.Failures = nil
+			if own < 0 && !d.IsOwner(a.who) {
 				delete(told, d.Name)
 			}
 		}
@@ -184,7 +184,7 @@
 	defer k.dutyWatchers.Add(-1)
 	var rev int64
 	at, err := k.reach(r, a.cluster, func() (ahead bool, changed <-chan struct{}) {
-		k.store.read(func(m *state.Machine) { rev, changed = m.DutyRev(), k.store.dutied })
+		k.store.read(func(m *state.Machine) { rev, changed = m.RoleRevision(), k.store.dutied })
 		return a.from > rev, changed
 	})
 	switch {
--- a/internal/sidecar/registry/duties_test.go
+++ b/internal/sidecar/registry/duties_test.go
@@ -13,8 +13,8 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-func dutyDo(m *state.Machine, op state.Op, c state.DutyCall) {
-	m.Apply(state.Command{Op: op, Duty: &c})
+func dutyDo(m *state.Machine, op state.Op, c state.RoleCall) {
+	m.Apply(state.Command{Op: op, Role: &c})
 }
 
 // TestTenures goes through offices on a clock of the test's: renewed they run on, left they end, an end that is decided is
@@ -22,14 +22,14 @@
 func TestTenures(t *testing.T) {
 	l, m, now := &tenures{}, state.New(), time.Unix(1000, 0)
 	for _, who := range []string{"a#1", "b#1", "c#1"} {
-		dutyDo(m, state.Campaign, state.DutyCall{Name: "d", Who: who, TTLMS: 1000})
+		dutyDo(m, state.Campaign, state.RoleCall{Name: "d", Process: who, TTLMS: 1000})
 	}
 	renew := func(who string) (renewed bool) {
-		all := m.DutiesOf(who)
+		all := m.RolesOf(who)
 		on, ok := l.renew(now, who, all)
 		return ok && on[0]
 	}
-	if _, ok := l.renew(now, "a#1", m.DutiesOf("a#1")); ok || len(l.look(now.Add(time.Hour), m).Ended) > 0 {
+	if _, ok := l.renew(now, "a#1", m.RolesOf("a#1")); ok || len(l.look(now.Add(time.Hour), m).Ended) > 0 {
 		t.Error("it counts leases without leading")
 	}
 	l.take(now, 7)
@@ -41,12 +41,12 @@
 		}
 		renew("b#1")
 		c := l.look(now, m)
-		if len(c.Ended) > 0 || len(c.Silent) > 1 || len(c.Silent) == 1 && c.Silent[0].Who != "c#1" {
+		if len(c.Ended) > 0 || len(c.TimedOut) > 1 || len(c.TimedOut) == 1 && c.TimedOut[0].Process != "c#1" {
 			t.Fatalf("%+v", c)
 		}
-		dutyDo(m, state.End, c)
+		dutyDo(m, state.EndRoleLeases, c)
 	}
-	if d, _ := m.Duty("d"); len(d.Waiting) != 1 {
+	if d, _ := m.Role("d"); len(d.Waiting) != 1 {
 		t.Errorf("%v wait", d.Waiting)
 	}
 	if now = now.Add(1000 * time.Millisecond); len(l.look(now, m).Ended) > 0 {
@@ -56,21 +56,21 @@
 		renew("b#1")
 	}
 	c := l.look(now, m)
-	if len(c.Ended) != 1 || c.Office != 7 || renew("a#1") {
+	if len(c.Ended) != 1 || c.LeaseTerm != 7 || renew("a#1") {
 		t.Errorf("%+v, and a renewal after that", c)
 	}
 	stale := c
-	stale.Office = 6
-	if dutyDo(m, state.End, stale); renew("b#1") {
+	stale.LeaseTerm = 6
+	if dutyDo(m, state.EndRoleLeases, stale); renew("b#1") {
 		t.Error("an end of an earlier office counts")
 	}
-	m.Apply(state.Command{Op: state.Office, Duty: &state.DutyCall{}})
-	c.Office = 1
-	dutyDo(m, state.End, c)
+	m.Apply(state.Command{Op: state.StartLeaseTerm, Role: &state.RoleCall{}})
+	c.LeaseTerm = 1
+	dutyDo(m, state.EndRoleLeases, c)
 	if !renew("b#1") {
 		t.Error("who comes next cannot renew")
 	}
-	dutyDo(m, state.Move, state.DutyCall{Name: "d", Force: true})
+	dutyDo(m, state.Move, state.RoleCall{Name: "d", Force: true})
 	if renew("b#1") || len(l.look(now, m).Ended) > 0 {
 		t.Error("who is barred can renew, or is out at once")
 	}
@@ -181,7 +181,7 @@
 	for len(n.Duties) != 1 || n.Duties[0].Epoch == 1 {
 		n = next()
 	}
-	if d := n.Duties[0]; !d.Is("b#1") || d.Epoch != 2 || d.Step != "three quarters" || d.StepNo != 2 {
+	if d := n.Duties[0]; !d.IsOwner("b#1") || d.Epoch != 2 || d.Step != "three quarters" || d.StepNo != 2 {
 		t.Errorf("%+v", d)
 	}
 }
--- a/internal/sidecar/registry/dutiesbench_test.go
+++ b/internal/sidecar/registry/dutiesbench_test.go
@@ -31,7 +31,7 @@
 			}
 			defer k.Close()
 			for i := range n {
-				if _, err := k.ChangeDuty(ctx, client.Campaign, fmt.Sprint("d", i), client.DutyCall{Who: "a#1", TTLMS: state.MostDutyLease.Milliseconds()}); err != nil {
+				if _, err := k.ChangeDuty(ctx, client.Campaign, fmt.Sprint("d", i), client.DutyCall{Who: "a#1", TTLMS: state.MaxRoleLease.Milliseconds()}); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -62,13 +62,13 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			m, l, now := state.New(), &tenures{}, time.Unix(1000, 0)
 			for i := range n {
-				dutyDo(m, state.Campaign, state.DutyCall{Name: fmt.Sprint("d", i), Who: "a#1", TTLMS: 3000})
+				dutyDo(m, state.Campaign, state.RoleCall{Name: fmt.Sprint("d", i), Process: "a#1", TTLMS: 3000})
 			}
 			for l.take(now, 0); b.Loop(); {
 				if c := l.look(now, m); len(c.Ended) > 0 {
 					b.Fatal(c)
 				}
-				_ = m.Due(0)
+				_ = m.DueRoles(0)
 			}
 		})
 	}
--- a/internal/sidecar/registry/http.go
+++ b/internal/sidecar/registry/http.go
@@ -49,7 +49,7 @@
 	mux.HandleFunc("POST /v1/servers", k.admit("register", k.register))
 	mux.HandleFunc("POST /v1/servers/{uid}/drain", k.admit("drain", k.turn(state.Drain)))
 	mux.HandleFunc("POST /v1/servers/{uid}/serve", k.admit("serve", k.turn(state.Serve)))
-	mux.HandleFunc("DELETE /v1/servers/{uid}", k.admit("leave", k.turn(state.Leave)))
+	mux.HandleFunc("DELETE /v1/servers/{uid}", k.admit("leave", k.turn(state.Deregister)))
 	mux.HandleFunc("POST /v1/renew", k.admit("renew", k.renew))
 	mux.HandleFunc("GET /v1/routes", k.routes)
 	mux.HandleFunc("PUT /v1/routes", k.admit("put-routes", k.putRoutes))
@@ -68,7 +68,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h := w.Header()
 		k.store.read(func(m *state.Machine) {
-			h.Set(HeaderRevision, strconv.FormatInt(m.Rev(), 10))
+			h.Set(HeaderRevision, strconv.FormatInt(m.Revision(), 10))
 			h.Set(HeaderCluster, m.Cluster())
 		})
 		h.Set(HeaderAge, k.age())
@@ -131,7 +131,7 @@
 	most, within := int64(k.config.Limits.BodyKB)<<10, millis(k.config.Limits.ReadMS)
 	switch op {
 	case "restore":
-		most, within = state.MostSnapshot, restoreTimeout
+		most, within = state.MaxSnapshotBytes, restoreTimeout
 	case "put-routes":
 		most = mostTable
 	}
@@ -173,7 +173,7 @@
 	switch {
 	case errors.As(err, &of):
 		word = string(of.Code)
-		code = map[state.Code]int{state.Bad: 400, state.Conflict: 409, state.Unknown: 404, state.Full: 507}[of.Code]
+		code = map[state.Code]int{state.Invalid: 400, state.Conflict: 409, state.NotFound: 404, state.LimitReached: 507}[of.Code]
 	case errors.As(err, &size):
 		code, word, err = http.StatusRequestEntityTooLarge, "bad", fmt.Errorf("a call holds %d bytes at most", size.Limit)
 	case errors.As(err, &bad{}):
@@ -191,10 +191,10 @@
 	k.metrics.done(op, word, 0)
 	p := problem{Code: word, Reason: err.Error(), Leader: k.replica.Leader()}
 	k.store.read(func(m *state.Machine) {
-		p.Rev = m.Rev()
-		for _, known := range m.Keepers() {
+		p.Rev = m.Revision()
+		for _, known := range m.Nodes() {
 			if known.Name == p.Leader {
-				p.At = known.HTTP
+				p.At = known.HTTPAddress
 			}
 		}
 	})
@@ -277,7 +277,7 @@
 	if err != nil {
 		return err
 	}
-	a := client.Done{Rev: result.Rev}
+	a := client.Done{Rev: result.Revision}
 	k.store.read(func(m *state.Machine) { a.Cluster = m.Cluster() })
 	reply(w, http.StatusOK, a)
 	return nil
@@ -294,12 +294,12 @@
 	a := client.Done{}
 	k.store.read(func(m *state.Machine) {
 		e, ok = m.Entry(uid)
-		a.Cluster, a.Rev = m.Cluster(), m.Rev()
+		a.Cluster, a.Rev = m.Cluster(), m.Revision()
 	})
 	if !ok {
-		return &state.Error{Code: state.Unknown, Reason: fmt.Sprintf("no server %.40q", uid)}
+		return &state.Error{Code: state.NotFound, Reason: fmt.Sprintf("no server %.40q", uid)}
 	}
-	a.Rev, a.Server = e.Rev, &client.Entry{Target: e.Target, LeaseMS: e.LeaseMS, Rev: e.Rev, Why: e.Why}
+	a.Rev, a.Server = e.Revision, &client.Entry{Target: e.Target, LeaseMS: e.LeaseMS, Rev: e.Revision, Why: e.Reason}
 	reply(w, http.StatusOK, a)
 	return nil
 }
@@ -342,7 +342,7 @@
 func (k *Node) fresh(uid string, boot int64) (ok bool) {
 	k.store.read(func(m *state.Machine) {
 		e, there := m.Entry(uid)
-		ok = there && e.BootMS == boot && e.LeaseMS != 0 && e.Why != state.LeaseOver && e.Why != state.Restored
+		ok = there && e.BootMS == boot && e.LeaseMS != 0 && e.Reason != state.LeaseExpired && e.Reason != state.Restored
 	})
 	return ok
 }
--- a/internal/sidecar/registry/http_test.go
+++ b/internal/sidecar/registry/http_test.go
@@ -330,13 +330,13 @@
 			t.Fatalf("who does not read is not cut off after %d rounds", i)
 		}
 		var all []string
-		for j := range state.MostBatch {
+		for j := range state.MaxBatch {
 			all = append(all, fmt.Sprintf(`{"uid":"x-%d","endpoint":"10.0.0.1:80","pod_group":%d,"az":%q}`, j, i, strings.Repeat("z", 100)))
 		}
 		if code, p, _ := call(t, "POST", at, "/v1/servers", `{"servers":[`+strings.Join(all, ",")+`]}`); code != 200 {
 			t.Fatal(p)
 		}
-		for range state.MostBatch {
+		for range state.MaxBatch {
 			l := next()
 			if l.Rev != rev+1 {
 				t.Fatalf("revision %d after %d", l.Rev, rev)
--- a/internal/sidecar/registry/keeper.go
+++ b/internal/sidecar/registry/keeper.go
@@ -141,9 +141,9 @@
 	k.store.read(func(m *state.Machine) { cluster = m.Cluster() })
 	var first []state.Command
 	if cluster == "" {
-		first = append(first, state.Command{Op: state.Found, Cluster: hex.EncodeToString(id[:])})
+		first = append(first, state.Command{Op: state.FoundCluster, Cluster: hex.EncodeToString(id[:])})
 	}
-	first = append(first, state.Command{Op: state.Member, Keeper: &state.Keeper{Name: k.config.Name, HTTP: cmp.Or(k.config.AdvertiseHTTP, k.config.HTTP)}})
+	first = append(first, state.Command{Op: state.SetNode, Node: &state.Node{Name: k.config.Name, HTTPAddress: cmp.Or(k.config.AdvertiseHTTP, k.config.HTTP)}})
 	for _, c := range first {
 		for _, err := k.propose(ctx, c); err != nil; _, err = k.propose(ctx, c) {
 			k.log.Warn("leads", "op", c.Op, "err", err)
--- a/internal/sidecar/registry/lessor.go
+++ b/internal/sidecar/registry/lessor.go
@@ -67,14 +67,14 @@
 }
 
 // look takes in the entries as they are and returns the leases that have ended, as many as may end now.
-func (l *lessor) look(now time.Time, entries []state.Entry) []state.Ended {
+func (l *lessor) look(now time.Time, entries []state.Entry) []state.ExpiredLease {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.started == nil {
 		return nil
 	}
 	leased := 0
-	var ended, serving []state.Ended // those that drain already, and those that would be drained
+	var ended, serving []state.ExpiredLease // those that drain already, and those that would be drained
 	here := make(map[string]bool, len(entries))
 	for _, e := range entries {
 		if e.LeaseMS == 0 {
@@ -86,8 +86,8 @@
 		if !known || t.lease != e.Lease {
 			length := time.Duration(e.LeaseMS) * time.Millisecond
 			t = term{lease: e.Lease, boot: e.BootMS, ends: now.Add(length), held: length}
-			switch e.Why {
-			case state.LeaseOver:
+			switch e.Reason {
+			case state.LeaseExpired:
 				t.ends, t.held = now.Add(l.expires.Grace), 0
 			case state.Restored:
 				t.held = 0 // it has to register
@@ -96,10 +96,10 @@
 		}
 		switch {
 		case !now.After(t.ends):
-		case e.State == list.Serving && e.Why != state.Restored:
-			serving = append(serving, state.Ended{UID: e.UID, Lease: t.lease})
+		case e.State == list.Serving && e.Reason != state.Restored:
+			serving = append(serving, state.ExpiredLease{UID: e.UID, Lease: t.lease})
 		default:
-			ended = append(ended, state.Ended{UID: e.UID, Lease: t.lease})
+			ended = append(ended, state.ExpiredLease{UID: e.UID, Lease: t.lease})
 		}
 	}
 	for uid := range l.started {
@@ -111,13 +111,13 @@
 		l.recent = l.recent[1:]
 	}
 	free := max(l.expires.Least, int(l.expires.Share*float64(leased))) - len(l.recent)
-	free = min(max(free, 0), len(serving), state.MostBatch)
+	free = min(max(free, 0), len(serving), state.MaxBatch)
 	l.held = len(serving) - free
 	for range free {
 		l.recent = append(l.recent, now)
 	}
 	ended = append(serving[:free:free], ended...)
-	return ended[:min(len(ended), state.MostBatch)]
+	return ended[:min(len(ended), state.MaxBatch)]
 }
 
 // figures are how many leases run, and how many have ended and are held back.
@@ -142,7 +142,7 @@
 			return
 		case now := <-tick.C:
 			var entries []state.Entry
-			k.store.read(func(m *state.Machine) { entries = m.Leased() })
+			k.store.read(func(m *state.Machine) { entries = m.LeasedEntries() })
 			ended := k.lessor.look(now, entries)
 			if _, n := k.lessor.figures(); n != held {
 				k.log.Warn("leases ended and held back: too many at once", "held", n)
@@ -154,7 +154,7 @@
 			for _, e := range ended {
 				k.log.Info("lease ended", "uid", e.UID)
 			}
-			if _, err := k.propose(ctx, state.Command{Op: state.Expire, Ended: ended}); err != nil && ctx.Err() == nil {
+			if _, err := k.propose(ctx, state.Command{Op: state.ExpireServers, Expired: ended}); err != nil && ctx.Err() == nil {
 				k.log.Warn("leases", "err", err) // they are looked at again
 			}
 		}
--- a/internal/sidecar/registry/lessor_test.go
+++ b/internal/sidecar/registry/lessor_test.go
@@ -22,14 +22,14 @@
 func TestLessor(t *testing.T) {
 	l := &lessor{expires: expiry{Grace: 10 * time.Second, Share: 1, Window: time.Minute}}
 	m, now := leased(2), time.Unix(1000, 0)
-	if got := l.look(now.Add(time.Hour), m.Leased()); got != nil {
+	if got := l.look(now.Add(time.Hour), m.LeasedEntries()); got != nil {
 		t.Errorf("it ends leases without leading: %v", got)
 	}
 	l.take()
 	step := func(after time.Duration, want ...string) {
 		t.Helper()
 		now = now.Add(after)
-		ended := l.look(now, m.Leased())
+		ended := l.look(now, m.LeasedEntries())
 		var got []string
 		for _, e := range ended {
 			got = append(got, e.UID)
@@ -37,7 +37,7 @@
 		if fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Fatalf("at %v ended %v, want %v", now, got, want)
 		}
-		m.Apply(state.Command{Op: state.Expire, Ended: ended})
+		m.Apply(state.Command{Op: state.ExpireServers, Expired: ended})
 	}
 	step(0)
 	step(2500 * time.Millisecond)
@@ -45,7 +45,7 @@
 		t.Error("renewals of what runs, of another process, of nobody")
 	}
 	step(time.Second, "s-01")
-	if e, _ := m.Entry("s-01"); e.State != list.Draining || e.Why != state.LeaseOver {
+	if e, _ := m.Entry("s-01"); e.State != list.Draining || e.Reason != state.LeaseExpired {
 		t.Errorf("a lease ended and left %+v", e)
 	}
 	step(500 * time.Millisecond)
@@ -70,12 +70,12 @@
 	l := &lessor{expires: expiry{Grace: time.Hour, Share: 0.2, Least: 1, Window: 30 * time.Second}}
 	m, now := leased(20), time.Unix(1000, 0)
 	l.take()
-	l.look(now, m.Leased())
+	l.look(now, m.LeasedEntries())
 	drained := 0
 	for i := 1; i <= 29; i++ {
-		ended := l.look(now.Add(4*time.Second+time.Duration(i)*time.Second), m.Leased())
+		ended := l.look(now.Add(4*time.Second+time.Duration(i)*time.Second), m.LeasedEntries())
 		drained += len(ended)
-		m.Apply(state.Command{Op: state.Expire, Ended: ended})
+		m.Apply(state.Command{Op: state.ExpireServers, Expired: ended})
 	}
 	if _, held := l.figures(); drained != 4 || held != 16 {
 		t.Errorf("%d of 20 drained within a window, %d held back", drained, held)
@@ -83,7 +83,7 @@
 	for i := range 20 { // one that renews while it is held back was never gone
 		l.renew(now.Add(33*time.Second), fmt.Sprintf("s-%02d", i), 0)
 	}
-	if ended := l.look(now.Add(35*time.Second), m.Leased()); len(ended) != 0 {
+	if ended := l.look(now.Add(35*time.Second), m.LeasedEntries()); len(ended) != 0 {
 		t.Errorf("%v ended though it was renewed", ended)
 	}
 }
--- a/internal/sidecar/registry/metrics.go
+++ b/internal/sidecar/registry/metrics.go
@@ -44,17 +44,17 @@
 			return v
 		}
 	}
-	gauge("keeper_revision", "Revision of the list.", of(func(s *state.Machine) float64 { return float64(s.Rev()) }))
+	gauge("keeper_revision", "Revision of the list.", of(func(s *state.Machine) float64 { return float64(s.Revision()) }))
 	gauge("keeper_servers", "Servers on the list.", of(func(s *state.Machine) float64 { return float64(s.Len()) }))
 	gauge("keeper_generation", "Generation of the route table.", of(func(s *state.Machine) float64 { return float64(s.Generation()) }))
 	gauge("keeper_route_watchers", "Watches of the route table that are open.", func() float64 { return float64(k.routeWatchers.Load()) })
 	gauge("keeper_duties", "Duties there are.", of(func(s *state.Machine) (n float64) {
-		s.EachDuty(func(*state.Duty) { n++ })
+		s.EachRole(func(*state.Role) { n++ })
 		return n
 	}))
 	gauge("keeper_duties_free", "Duties that nobody holds.", of(func(s *state.Machine) (n float64) {
-		s.EachDuty(func(d *state.Duty) {
-			if d.Holder == nil {
+		s.EachRole(func(d *state.Role) {
+			if d.Owner == nil {
 				n++
 			}
 		})
--- a/internal/sidecar/registry/model_test.go
+++ b/internal/sidecar/registry/model_test.go
@@ -45,7 +45,7 @@
 	now     time.Duration
 	m       *state.Machine
 	l       *tenures
-	late    []state.DutyCall // ends on their way to the log
+	late    []state.RoleCall // ends on their way to the log
 	all     []*modelProcess
 	fence   singleton.Fence
 	highest int64 // epoch that was acted under
@@ -60,9 +60,9 @@
 func (w *modelWorld) clock(p *modelProcess) time.Duration {
 	return time.Duration(float64(w.now) * p.rate)
 }
-func (w *modelWorld) do(op state.Op, c state.DutyCall) state.Result {
+func (w *modelWorld) do(op state.Op, c state.RoleCall) state.Result {
 	c.NowMS = w.now.Milliseconds()
-	return w.m.Apply(state.Command{Op: op, Duty: &c})
+	return w.m.Apply(state.Command{Op: op, Role: &c})
 }
 
 // pass lets time go by; effects land on the way that must.
@@ -88,7 +88,7 @@
 func (w *modelWorld) land(p *modelProcess) {
 	e := p.effects[0]
 	p.effects = p.effects[1:]
-	d, _ := w.m.Duty("d")
+	d, _ := w.m.Role("d")
 	if w.with.bounded && e.epoch != d.Epoch {
 		w.t.Fatalf("two may act: an effect of %s under epoch %d while the duty is given under %d", p.who, e.epoch, d.Epoch)
 	}
@@ -134,7 +134,7 @@
 	case "lose":
 		p.on = 0
 	case "act":
-		d, _ := w.m.Duty("d")
+		d, _ := w.m.Role("d")
 		for e := max(1, d.Epoch-3); e <= d.Epoch; e++ {
 			if o, ok := p.h.Lease(w.clock(p), "d", e); ok {
 				p.effects = append(p.effects, modelEffect{o.Epoch, w.now})
@@ -145,7 +145,7 @@
 			w.land(p)
 		}
 	case "tick":
-		w.do(state.End, w.look())
+		w.do(state.EndRoleLeases, w.look())
 	case "late tick":
 		w.late = append(w.late, w.look())
 	case "apply":
@@ -157,13 +157,13 @@
 			w.end()
 		}
 		w.l = &tenures{}
-		w.l.take(w.at(), w.do(state.Office, state.DutyCall{}).Rev)
+		w.l.take(w.at(), w.do(state.StartLeaseTerm, state.RoleCall{}).Revision)
 	case "campaign":
-		w.do(state.Campaign, state.DutyCall{Name: "d", Who: p.who, TTLMS: modelLease.Milliseconds()})
+		w.do(state.Campaign, state.RoleCall{Name: "d", Process: p.who, TTLMS: modelLease.Milliseconds()})
 	case "release":
-		if d, _ := w.m.Duty("d"); d.Is(p.who) && len(p.effects) == 0 {
+		if d, _ := w.m.Role("d"); d.IsOwner(p.who) && len(p.effects) == 0 {
 			p.h.Release("d", d.Epoch)
-			w.do(state.Release, state.DutyCall{Name: "d", Who: p.who, Epoch: d.Epoch, Again: true})
+			w.do(state.Release, state.RoleCall{Name: "d", Process: p.who, Epoch: d.Epoch, Rejoin: true})
 		}
 	}
 }
@@ -171,12 +171,12 @@
 func (w *modelWorld) send(p *modelProcess) { p.sent, p.on = w.clock(p), 1 }
 
 func (w *modelWorld) reach(p *modelProcess) {
-	all := w.m.DutiesOf(p.who)
+	all := w.m.RolesOf(p.who)
 	renewed, _ := w.l.renew(w.at(), p.who, all)
 	p.on, p.answer = 2, nil
 	for i, d := range all {
-		if d.Is(p.who) {
-			p.answer = append(p.answer, client.HeldDuty{Name: "d", Epoch: d.Epoch, TTLMS: d.Holder.TTLMS, Renewed: renewed[i]})
+		if d.IsOwner(p.who) {
+			p.answer = append(p.answer, client.HeldDuty{Name: "d", Epoch: d.Epoch, TTLMS: d.Owner.TTLMS, Renewed: renewed[i]})
 		}
 	}
 }
@@ -186,9 +186,9 @@
 	p.h.Renewed(p.sent, w.clock(p), p.answer)
 }
 
-func (w *modelWorld) look() state.DutyCall {
+func (w *modelWorld) look() state.RoleCall {
 	c := w.l.look(w.at(), w.m)
-	c.Silent = nil // it is about holders
+	c.TimedOut = nil // it is about holders
 	if !w.with.over {
 		for name, t := range w.l.terms {
 			t.over = false
@@ -203,23 +203,23 @@
 	c := w.late[0]
 	w.late = w.late[1:]
 	if !w.with.office {
-		c.Office = w.m.DutyOffice()
+		c.LeaseTerm = w.m.LeaseTerm()
 	}
-	w.do(state.End, c)
+	w.do(state.EndRoleLeases, c)
 }
 
 func model(with protections) func(*rapid.T) {
 	return func(t *rapid.T) {
 		w := &modelWorld{t: t, with: with, m: state.New(), l: &tenures{}}
 		w.l.take(w.at(), 0)
-		margin := state.DutyMargin
+		margin := state.RoleLeaseMargin
 		if !with.margin {
 			margin = func(time.Duration) time.Duration { return 0 }
 		}
 		for i, rate := range []float64{rapid.SampledFrom([]float64{0.9901, 1, 1.0099}).Draw(t, "rate"), 1} {
 			p := &modelProcess{who: fmt.Sprintf("p%d#1", i), rate: rate, h: singleton.NewLeases(margin)}
 			w.all = append(w.all, p)
-			w.do(state.Campaign, state.DutyCall{Name: "d", Who: p.who, TTLMS: modelLease.Milliseconds()})
+			w.do(state.Campaign, state.RoleCall{Name: "d", Process: p.who, TTLMS: modelLease.Milliseconds()})
 		}
 		for range 60 {
 			w.step()
--- a/internal/sidecar/registry/removed.go
+++ b/internal/sidecar/registry/removed.go
@@ -41,8 +41,8 @@
 func (k *Node) leftOut(ctx context.Context) bool {
 	var others []string
 	k.store.read(func(m *state.Machine) {
-		for _, p := range m.Keepers() {
-			others = append(others, p.HTTP)
+		for _, p := range m.Nodes() {
+			others = append(others, p.HTTPAddress)
 		}
 	})
 	for _, p := range k.config.Peers {
--- a/internal/sidecar/registry/routes.go
+++ b/internal/sidecar/registry/routes.go
@@ -43,12 +43,12 @@
 	if err != nil {
 		return err
 	}
-	if result.Routed {
-		k.log.Info("routes", "gen", result.Gen, "rules", len(table))
+	if result.RoutesChanged {
+		k.log.Info("routes", "gen", result.Generation, "rules", len(table))
 	}
 	reply(w, http.StatusOK, struct {
 		Gen int64 `json:"gen"`
-	}{result.Gen})
+	}{result.Generation})
 	return nil
 }
 
@@ -61,18 +61,18 @@
 		var now routes.Table
 		k.store.read(func(m *state.Machine) {
 			base = m.Generation()
-			now, _ = m.Routes(base) // the last is always known
+			now, _ = m.RoutesAt(base) // the last is always known
 		})
 		ops := routes.Diff(now, table)
 		if len(ops) > len(table) {
 			break // it is as long as the table
 		}
-		result, err := k.propose(ctx, state.Command{Op: state.Route, Base: &base, Ops: ops, Expect: expect})
-		if !result.Moved {
+		result, err := k.propose(ctx, state.Command{Op: state.SetRoutes, Base: &base, Ops: ops, Expect: expect})
+		if !result.BaseMoved {
 			return result, err
 		}
 	}
-	return k.propose(ctx, state.Command{Op: state.Route, Rules: table, Expect: expect})
+	return k.propose(ctx, state.Command{Op: state.SetRoutes, Rules: table, Expect: expect})
 }
 
 // routesAsked is a call for the route table.
--- a/internal/sidecar/registry/store.go
+++ b/internal/sidecar/registry/store.go
@@ -33,7 +33,7 @@
 func (s *store) Apply(text []byte) any {
 	c, err := state.Decode(text)
 	if err != nil {
-		return state.Result{Err: &state.Error{Code: state.Bad, Reason: err.Error()}}
+		return state.Result{Err: &state.Error{Code: state.Invalid, Reason: err.Error()}}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,10 +42,10 @@
 		s.lines = s.encode(s.lines, r.Changes)
 		s.tell()
 	}
-	if r.Routed {
+	if r.RoutesChanged {
 		s.tellRouted()
 	}
-	if r.Dutied {
+	if r.RolesChanged {
 		s.tellDutied()
 	}
 	return r
@@ -53,14 +53,14 @@
 
 func (s *store) encode(lines [][]byte, changes []state.Change) [][]byte {
 	for _, c := range changes {
-		line, err := json.Marshal(list.List{Rev: c.Rev, Targets: []list.Target{c.Target}, Cluster: s.machine.Cluster()})
+		line, err := json.Marshal(list.List{Rev: c.Revision, Targets: []list.Target{c.Target}, Cluster: s.machine.Cluster()})
 		if err != nil {
 			line = nil // nothing of a target that was checked can fail
 		}
 		lines = append(lines, append(line, '\n'))
 	}
-	if len(lines) >= 2*state.MostHistory {
-		lines = slices.Clone(lines[len(lines)-state.MostHistory:])
+	if len(lines) >= 2*state.MaxHistory {
+		lines = slices.Clone(lines[len(lines)-state.MaxHistory:])
 	}
 	return lines
 }
@@ -100,7 +100,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.machine = m
-	changes, _ := m.Since(m.Oldest())
+	changes, _ := m.ChangesSince(m.OldestRevision())
 	s.lines = s.encode(nil, changes)
 	s.tell()
 	s.tellRouted()
@@ -128,7 +128,7 @@
 func (s *store) after(from int64) news {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	n := news{rev: s.machine.Rev(), changed: s.changed}
+	n := news{rev: s.machine.Revision(), changed: s.changed}
 	oldest := n.rev - int64(len(s.lines))
 	switch {
 	case from > n.rev:
@@ -146,14 +146,14 @@
 // all is the whole list as a line, encoded once for a revision.
 func (s *store) all() (line []byte, rev int64, err error) {
 	s.mu.RLock()
-	line, rev = s.whole, s.machine.Rev()
+	line, rev = s.whole, s.machine.Revision()
 	s.mu.RUnlock()
 	if line != nil {
 		return line, rev, nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if rev = s.machine.Rev(); s.whole != nil {
+	if rev = s.machine.Revision(); s.whole != nil {
 		return s.whole, rev, nil
 	}
 	if s.machine.Cluster() == "" {
--- a/internal/sidecar/registry/tenures.go
+++ b/internal/sidecar/registry/tenures.go
@@ -46,7 +46,7 @@
 
 // renew notes that a process renewed, and tells of which of its duties the lease goes on. It tells false where this keeper does
 // not count leases. The duties must be as they were after the call came.
-func (l *tenures) renew(now time.Time, who string, all []state.Duty) (on []bool, ok bool) {
+func (l *tenures) renew(now time.Time, who string, all []state.Role) (on []bool, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.on {
@@ -56,7 +56,7 @@
 	for i := range all {
 		l.heard[who] = now
 		d := &all[i]
-		if !d.Is(who) || d.Barred {
+		if !d.IsOwner(who) || d.RenewalBarred {
 			continue
 		}
 		t, known := l.terms[d.Name]
@@ -70,13 +70,13 @@
 }
 
 // look takes in the duties as they are, and decides which leases have ended and who is silent that waits.
-func (l *tenures) look(now time.Time, m *state.Machine) (c state.DutyCall) {
+func (l *tenures) look(now time.Time, m *state.Machine) (c state.RoleCall) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.on {
 		return c
 	}
-	c.Office = l.office
+	c.LeaseTerm = l.office
 	silence := func(who string) time.Duration {
 		at, known := l.heard[who]
 		if !known {
@@ -86,27 +86,27 @@
 		return now.Sub(at)
 	}
 	here := map[string]bool{}
-	m.EachDuty(func(d *state.Duty) {
+	m.EachRole(func(d *state.Role) {
 		for _, w := range d.Waiting {
-			here[w.Who] = true
-			if 4*silence(w.Who) > 3*millis(int(w.TTLMS)) {
-				c.Silent = append(c.Silent, state.EndedOne{Name: d.Name, Who: w.Who})
+			here[w.Process] = true
+			if 4*silence(w.Process) > 3*millis(int(w.TTLMS)) {
+				c.TimedOut = append(c.TimedOut, state.LeaseRef{Name: d.Name, Process: w.Process})
 			}
 		}
-		if d.Holder == nil {
+		if d.Owner == nil {
 			return
 		}
-		here[d.Holder.Who] = true
+		here[d.Owner.Process] = true
 		t, known := l.terms[d.Name]
-		if !known || t.epoch < d.Epoch || d.Barred && !t.barred {
-			t = tenure{epoch: d.Epoch, since: now, barred: d.Barred, over: known && t.epoch == d.Epoch && t.over}
+		if !known || t.epoch < d.Epoch || d.RenewalBarred && !t.barred {
+			t = tenure{epoch: d.Epoch, since: now, barred: d.RenewalBarred, over: known && t.epoch == d.Epoch && t.over}
 		}
-		past := min(silence(d.Holder.Who), now.Sub(t.since))
+		past := min(silence(d.Owner.Process), now.Sub(t.since))
 		if t.barred { // what it renews are its other duties
 			past = now.Sub(t.since)
 		}
-		if t.over = t.over || past > millis(int(d.Holder.TTLMS)); t.over {
-			c.Ended = append(c.Ended, state.EndedOne{Name: d.Name, Epoch: d.Epoch})
+		if t.over = t.over || past > millis(int(d.Owner.TTLMS)); t.over {
+			c.Ended = append(c.Ended, state.LeaseRef{Name: d.Name, Epoch: d.Epoch})
 		}
 		l.terms[d.Name] = t
 	})
@@ -128,12 +128,12 @@
 	for began, office := false, int64(0); ; {
 		var now int64
 		any := false
-		k.store.read(func(m *state.Machine) { now, any = m.DutyOffice(), m.DutyRev() > 0 })
+		k.store.read(func(m *state.Machine) { now, any = m.LeaseTerm(), m.RoleRevision() > 0 })
 		// Danger: ends that an earlier office decided may still be on their way to the log, also this keeper's own.
 		if !began || now != office {
 			number, err := int64(0), error(nil)
 			if any {
-				number, err = k.proposeDuty(ctx, state.Office, state.DutyCall{})
+				number, err = k.proposeDuty(ctx, state.StartLeaseTerm, state.RoleCall{})
 			}
 			if began = err == nil; began {
 				office = number
@@ -154,22 +154,22 @@
 }
 
 func (k *Node) endTenures(ctx context.Context) {
-	var c state.DutyCall
+	var c state.RoleCall
 	now := time.Now()
 	k.store.read(func(m *state.Machine) {
-		if m.DutyRev() == 0 {
+		if m.RoleRevision() == 0 {
 			return
 		}
 		c = k.tenures.look(now, m)
-		c.Due = m.Due(now.UnixMilli())
+		c.Due = m.DueRoles(now.UnixMilli())
 	})
-	if len(c.Ended)+len(c.Silent)+len(c.Due) == 0 {
+	if len(c.Ended)+len(c.TimedOut)+len(c.Due) == 0 {
 		return
 	}
 	for _, e := range c.Ended {
 		k.log.Info("duty ended", "name", e.Name, "epoch", e.Epoch)
 	}
-	if _, err := k.proposeDuty(ctx, state.End, c); err != nil && ctx.Err() == nil {
+	if _, err := k.proposeDuty(ctx, state.EndRoleLeases, c); err != nil && ctx.Err() == nil {
 		k.log.Warn("duties", "err", err) // they are looked at again
 	}
 }
--- a/internal/sidecar/singleton/holder.go
+++ b/internal/sidecar/singleton/holder.go
@@ -33,10 +33,10 @@
 	over    map[string]int64 // by duty: the highest epoch that is
 }
 
-// NewLeases holds nothing. margin is how long before the end of a lease it stops; nil: state.DutyMargin.
+// NewLeases holds nothing. margin is how long before the end of a lease it stops; nil: state.RoleLeaseMargin.
 func NewLeases(margin func(lease time.Duration) time.Duration) *Leases {
 	if margin == nil {
-		margin = state.DutyMargin
+		margin = state.RoleLeaseMargin
 	}
 	return &Leases{margin: margin, offices: map[string]*Lease{}, over: map[string]int64{}}
 }
--- a/internal/sidecar/singleton/runner.go
+++ b/internal/sidecar/singleton/runner.go
@@ -45,11 +45,11 @@
 	var id [8]byte
 	_, _ = rand.Read(id[:]) // never fails (crypto/rand)
 	r := &Runner{o: o, who: o.Name + "#" + hex.EncodeToString(id[:]), holder: NewLeases(nil), wanted: map[string]*want{}, poke: make(chan struct{}, 1), calls: make(chan struct{}, 1)}
-	if err := state.CheckWho(r.who); err != nil {
+	if err := state.CheckProcess(r.who); err != nil {
 		return nil, err
 	}
-	if o.Lease < state.LeastDutyLease || o.Lease > state.MostDutyLease {
-		return nil, fmt.Errorf("a lease of %v is not within %v to %v", o.Lease, state.LeastDutyLease, state.MostDutyLease)
+	if o.Lease < state.MinRoleLease || o.Lease > state.MaxRoleLease {
+		return nil, fmt.Errorf("a lease of %v is not within %v to %v", o.Lease, state.MinRoleLease, state.MaxRoleLease)
 	}
 	c, err := client.New(o.Registry)
 	if err != nil {
@@ -147,7 +147,7 @@
 			timer.Stop()
 			return
 		}
-		call, cancel := context.WithTimeout(ctx, max(every, state.LeastDutyLease/2))
+		call, cancel := context.WithTimeout(ctx, max(every, state.MinRoleLease/2))
 		sent := Now()
 		a, err := r.client.RenewDuties(call, r.who)
 		cancel()
--- a/internal/sidecar/singleton/sweep.go
+++ b/internal/sidecar/singleton/sweep.go
@@ -42,7 +42,7 @@
 	}
 	var names []string
 	for _, d := range n.Duties {
-		if d.Holder == nil && len(d.Waiting) == 0 && len(names) < mostSwept && time.Since(time.UnixMilli(d.SinceMS)) >= idle {
+		if d.Owner == nil && len(d.Waiting) == 0 && len(names) < mostSwept && time.Since(time.UnixMilli(d.SinceMS)) >= idle {
 			names = append(names, d.Name)
 		}
 	}
--- a/internal/sidecar/singleton/tenure.go
+++ b/internal/sidecar/singleton/tenure.go
@@ -72,7 +72,7 @@
 	if t.lost == 0 {
 		t.lost = now
 	}
-	return now-t.lost > state.DutyMargin(t.runner.o.Lease)
+	return now-t.lost > state.RoleLeaseMargin(t.runner.o.Lease)
 }
 
 func (t *HeldLease) cancel(why error) {
--- a/internal/sidecar/state/golden_trace_test.go
+++ b/internal/sidecar/state/golden_trace_test.go
@@ -21,39 +21,39 @@
 	traceInterval = 100  // commands between two lines of the trace
 )
 
-// traceDraw draws commands, valid and invalid ones, from a seed.
-type traceDraw struct {
+// traceDrawer draws commands, valid and invalid ones, from a seed.
+type traceDrawer struct {
 	rng   *rand.Rand
 	nowMS int64
 }
 
-func (d *traceDraw) one(words ...string) string { return words[d.rng.IntN(len(words))] }
-func (d *traceDraw) chance(percent int) bool    { return d.rng.IntN(100) < percent }
+func (d *traceDrawer) one(words ...string) string { return words[d.rng.IntN(len(words))] }
+func (d *traceDrawer) chance(percent int) bool    { return d.rng.IntN(100) < percent }
 
 // near is a number, or rarely one beside it.
-func (d *traceDraw) near(n int64) int64 {
+func (d *traceDrawer) near(n int64) int64 {
 	if d.chance(20) {
 		return n + int64(d.rng.IntN(3)) - 1
 	}
 	return n
 }
 
-func (d *traceDraw) command(m *Machine) Command {
+func (d *traceDrawer) command(m *Machine) Command {
 	switch n := d.rng.IntN(100); {
 	case n < 2:
-		return Command{Op: Found, Cluster: d.one("", "c-1", "c-2")}
+		return Command{Op: FoundCluster, Cluster: d.one("", "c-1", "c-2")}
 	case n < 6:
-		return Command{Op: Op(d.one(string(Member), string(Unmember))), Keeper: &Keeper{Name: d.one("", "k-1", "k-2", "k-3"), HTTP: d.one("127.0.0.1:80", "[::1]:81", "host")}}
+		return Command{Op: Op(d.one(string(SetNode), string(RemoveNode))), Node: &Node{Name: d.one("", "k-1", "k-2", "k-3"), HTTPAddress: d.one("127.0.0.1:80", "[::1]:81", "host")}}
 	case n < 16:
 		return d.routes(m)
 	case n < 45:
 		return d.servers(m)
 	default:
-		return d.duty(m)
+		return d.role(m)
 	}
 }
 
-func (d *traceDraw) routes(m *Machine) Command {
+func (d *traceDrawer) routes(m *Machine) Command {
 	table := routes.Table{}
 	for _, name := range []string{"a", "b", "c", "d"} {
 		if d.chance(40) {
@@ -61,10 +61,10 @@
 				Destinations: []routes.Destination{{Weight: float64(d.rng.IntN(4)), Match: routes.Match{"version": "x"}}}})
 		}
 	}
-	c := Command{Op: Route, Rules: table}
-	if current, ok := m.Routes(m.Generation()); ok && table.Check() == nil && d.chance(50) {
+	c := Command{Op: SetRoutes, Rules: table}
+	if current, ok := m.RoutesAt(m.Generation()); ok && table.Check() == nil && d.chance(50) {
 		base := d.near(m.Generation())
-		c = Command{Op: Route, Base: &base, Ops: routes.Diff(current, table.Canonical())}
+		c = Command{Op: SetRoutes, Base: &base, Ops: routes.Diff(current, table.Canonical())}
 	}
 	if d.chance(20) {
 		expect := d.near(m.Generation())
@@ -73,10 +73,10 @@
 	return c
 }
 
-func (d *traceDraw) servers(m *Machine) Command {
+func (d *traceDrawer) servers(m *Machine) Command {
 	uid := d.one("s-1", "s-2", "s-3", "s-4", "s-5")
 	entry, _ := m.Entry(uid)
-	c := Command{Op: Op(d.one(string(Register), string(Register), string(Drain), string(Serve), string(Leave), string(Expire))), UID: uid}
+	c := Command{Op: Op(d.one(string(Register), string(Register), string(Drain), string(Serve), string(Deregister), string(ExpireServers))), UID: uid}
 	switch c.Op {
 	case Register:
 		for range d.rng.IntN(3) {
@@ -84,57 +84,57 @@
 				Zone: d.one("a", "b"), State: list.Serving, BootMS: d.near(entry.BootMS)}, LeaseMS: int64(d.rng.IntN(2)) * 3000})
 			uid = d.one("s-1", "s-2", "s-3", "s-4", "s-5")
 		}
-	case Expire:
-		c.Ended = []Ended{{uid, d.near(entry.Lease)}}
+	case ExpireServers:
+		c.Expired = []ExpiredLease{{uid, d.near(entry.Lease)}}
 	}
 	if d.chance(25) {
-		expect := d.near(entry.Rev)
+		expect := d.near(entry.Revision)
 		c.Expect = &expect
 	}
 	return c
 }
 
-func (d *traceDraw) duty(m *Machine) Command {
+func (d *traceDrawer) role(m *Machine) Command {
 	name, who := d.one("d-1", "d-2", "d-3", "d-4", "d-5"), d.one("a#1", "a#2", "b#1", "c#1", "e#1")
-	current, _ := m.Duty(name)
-	if current.Holder != nil && d.chance(60) {
-		who = current.Holder.Who
+	current, _ := m.Role(name)
+	if current.Owner != nil && d.chance(60) {
+		who = current.Owner.Process
 	}
-	c := DutyCall{Name: name, Who: who, Room: d.one("", "x", "y"), At: d.one("", "x"), Load: int64(d.rng.IntN(4)) - int64(d.rng.IntN(20)/19),
-		TTLMS: 3000 - int64(d.rng.IntN(20)/19)*2900, Epoch: d.near(current.Epoch), To: d.one("", "", "a", "b#1"), Again: d.chance(60), Failed: d.chance(40),
+	c := RoleCall{Name: name, Process: who, Location: d.one("", "x", "y"), RoleLocation: d.one("", "x"), Load: int64(d.rng.IntN(4)) - int64(d.rng.IntN(20)/19),
+		TTLMS: 3000 - int64(d.rng.IntN(20)/19)*2900, Epoch: d.near(current.Epoch), Successor: d.one("", "", "a", "b#1"), Rejoin: d.chance(60), Failed: d.chance(40),
 		Force: d.chance(30), NowMS: d.nowMS}
 	op := Op(d.one(string(Campaign), string(Campaign), string(Campaign), string(Withdraw), string(Release), string(Release), string(Move),
-		string(Checkpoint), string(Forget), string(End), string(Office)))
+		string(Checkpoint), string(Forget), string(EndRoleLeases), string(StartLeaseTerm)))
 	if op == Checkpoint || d.chance(10) {
 		step := d.near(current.StepNo)
 		c.StepNo, c.Step = &step, d.one("half", "done")
 	}
 	switch op {
 	case Forget:
-		c.Idle, c.IdleMS, c.StepNo = []string{d.one("d-1", "d-2", "d-3"), "d-4"}, int64(d.rng.IntN(4))*600, nil
-	case End:
-		c.Office = d.near(m.DutyOffice())
-		c.Ended, c.Silent, c.Due = []EndedOne{{Name: name, Epoch: c.Epoch}}, []EndedOne{{Name: d.one("d-1", "d-2"), Who: who}}, m.Due(d.nowMS)
+		c.IdleRoles, c.IdleMS, c.StepNo = []string{d.one("d-1", "d-2", "d-3"), "d-4"}, int64(d.rng.IntN(4))*600, nil
+	case EndRoleLeases:
+		c.LeaseTerm = d.near(m.LeaseTerm())
+		c.Ended, c.TimedOut, c.Due = []LeaseRef{{Name: name, Epoch: c.Epoch}}, []LeaseRef{{Name: d.one("d-1", "d-2"), Process: who}}, m.DueRoles(d.nowMS)
 	}
-	return Command{Op: op, Duty: &c}
+	return Command{Op: op, Role: &c}
 }
 
 // traceMachine applies the commands of one seed, each as the log encodes it, and digests the commands, their results and the
 // snapshots. One command in fifty goes to a machine that was read from a snapshot, one in two hundred to one of a backup.
 func traceMachine(t *testing.T, seed uint64, out *bytes.Buffer) {
 	t.Helper()
-	draw := &traceDraw{rng: rand.New(rand.NewPCG(seed, 1)), nowMS: 1_000_000}
+	draw := &traceDrawer{rng: rand.New(rand.NewPCG(seed, 1)), nowMS: 1_000_000}
 	m, digest, refused := New(), sha256.New(), 0
-	backup := again(t, m)
+	backup := reread(t, m)
 	for i := 1; i <= traceCommands; i++ {
 		draw.nowMS += int64(draw.rng.IntN(2000))
 		switch n := draw.rng.IntN(200); {
 		case n == 0:
 			m = traceRestore(t, backup, m)
 		case n == 1:
-			backup = again(t, m)
+			backup = reread(t, m)
 		case n < 6:
-			m = again(t, m)
+			m = reread(t, m)
 		}
 		text, err := json.Marshal(draw.command(m))
 		if err != nil {
@@ -151,16 +151,16 @@
 		traceResult(t, digest, text, r)
 		traceSnapshot(t, digest, m)
 		if i%traceInterval == 0 {
-			fmt.Fprintf(out, "seed %d command %d refused %d rev %d gen %d duties %d digest %x\n", seed, i, refused, m.Rev(), m.Generation(), m.DutyRev(), digest.Sum(nil)[:12])
+			fmt.Fprintf(out, "seed %d command %d refused %d rev %d gen %d duties %d digest %x\n", seed, i, refused, m.Revision(), m.Generation(), m.RoleRevision(), digest.Sum(nil)[:12])
 		}
 	}
 }
 
 func traceRestore(t *testing.T, backup, m *Machine) *Machine {
 	t.Helper()
-	restored := again(t, backup)
-	restored.Raise(m.Rev() + 1)
-	if err := restored.KeepDuties(m); err != nil {
+	restored := reread(t, backup)
+	restored.RaiseRevision(m.Revision() + 1)
+	if err := restored.CarryOverRoles(m); err != nil {
 		t.Fatal(err)
 	}
 	return restored
@@ -172,7 +172,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	duty, err := json.Marshal(r.Duty)
+	duty, err := json.Marshal(r.Role)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -180,7 +180,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(digest, "%s: %d %s %d %t %t %s %t %s\n", command, r.Rev, changes, r.Gen, r.Routed, r.Moved, duty, r.Dutied, refusal)
+	fmt.Fprintf(digest, "%s: %d %s %d %t %t %s %t %s\n", command, r.Revision, changes, r.Generation, r.RoutesChanged, r.BaseMoved, duty, r.RolesChanged, refusal)
 }
 
 func traceSnapshot(t *testing.T, digest hash.Hash, m *Machine) {
--- a/internal/sidecar/state/registrations.go
+++ b/internal/sidecar/state/registrations.go
@@ -4,18 +4,18 @@
 	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
-// expected holds the revision that a command expects against the entry's.
-func (m *Machine) expected(expect *int64, uid string) *Error {
+// checkExpected holds the revision that a command expects against the entry's.
+func (m *Machine) checkExpected(expect *int64, uid string) *Error {
 	if expect == nil {
 		return nil
 	}
 	rev := int64(0)
 	if e := m.entries[uid]; e != nil {
-		rev = e.Rev
+		rev = e.Revision
 	}
 	switch {
-	case *expect < 0 || *expect > m.rev:
-		return refuse(Bad, "expected revision %d lies ahead: the list is at %d", *expect, m.rev)
+	case *expect < 0 || *expect > m.revision:
+		return refuse(Invalid, "expected revision %d lies ahead: the list is at %d", *expect, m.revision)
 	case *expect != rev:
 		return refuse(Conflict, "%s is at revision %d, not %d", uid, rev, *expect)
 	}
@@ -30,48 +30,48 @@
 		e := m.entries[s.UID]
 		if e != nil && e.BootMS == s.BootMS {
 			state := list.Serving
-			changed := e.State != state || e.Why == Restored
-			if e.Why == Asked {
+			changed := e.State != state || e.Reason == Restored
+			if e.Reason == DrainRequested {
 				state = list.Draining // only a new process, or whoever asked, ends that
 				changed = e.State != state
 			} else {
-				e.Why = ""
+				e.Reason = ""
 			}
 			s.State = e.State
 			changed = changed || e.Target.Changed(s.Target)
 			e.Registration = s
 			if changed {
-				m.change(e, state, &r)
+				m.recordChange(e, state, &r)
 			}
-			m.grant(e)
-			r.Rev = e.Rev
+			m.grantLease(e)
+			r.Revision = e.Revision
 			continue
 		}
 		e = &Entry{Registration: s} // a new server, or a new process under its id
 		m.entries[s.UID] = e
-		m.change(e, list.Serving, &r)
-		m.grant(e)
+		m.recordChange(e, list.Serving, &r)
+		m.grantLease(e)
 	}
 	return r
 }
 
 func (m *Machine) checkRegister(c Command) *Error {
-	if len(c.Servers) == 0 || len(c.Servers) > MostBatch {
-		return refuse(Bad, "%d servers to register: 1 to %d are possible", len(c.Servers), MostBatch)
+	if len(c.Servers) == 0 || len(c.Servers) > MaxBatch {
+		return refuse(Invalid, "%d servers to register: 1 to %d are possible", len(c.Servers), MaxBatch)
 	}
 	if c.Expect != nil && len(c.Servers) != 1 {
-		return refuse(Bad, "an expected revision goes with one server, not %d", len(c.Servers))
+		return refuse(Invalid, "an expected revision goes with one server, not %d", len(c.Servers))
 	}
 	seen, added := map[string]bool{}, 0
 	for _, s := range c.Servers {
 		if err := s.Check(); err != nil {
-			return refuse(Bad, "%v", err)
+			return refuse(Invalid, "%v", err)
 		}
 		if seen[s.UID] {
-			return refuse(Bad, "%s stands twice", s.UID)
+			return refuse(Invalid, "%s stands twice", s.UID)
 		}
 		seen[s.UID] = true
-		if err := m.expected(c.Expect, s.UID); err != nil {
+		if err := m.checkExpected(c.Expect, s.UID); err != nil {
 			return err
 		}
 		e := m.entries[s.UID]
@@ -80,63 +80,63 @@
 			added++
 		case s.BootMS < e.BootMS:
 			return refuse(Conflict, "%s: a process that booted at %d has the id, after this one at %d", s.UID, e.BootMS, s.BootMS)
-		case s.BootMS == e.BootMS && s.Endpoint != e.Endpoint && e.Why != LeaseOver:
+		case s.BootMS == e.BootMS && s.Endpoint != e.Endpoint && e.Reason != LeaseExpired:
 			return refuse(Conflict, "%s: the process at %s has the id", s.UID, e.Endpoint)
 		}
 	}
-	if len(m.entries)+added > MostServers {
-		return refuse(Full, "there are %d servers, %d at most", len(m.entries), MostServers)
+	if len(m.entries)+added > MaxServers {
+		return refuse(LimitReached, "there are %d servers, %d at most", len(m.entries), MaxServers)
 	}
 	return nil
 }
 
-// turn drains, has serve again, or removes one server.
-func (m *Machine) turn(c Command) (r Result) {
+// applyServer drains, has serve again, or removes one server.
+func (m *Machine) applyServer(c Command) (r Result) {
 	if err := list.CheckUID(c.UID); err != nil {
-		r.Err = refuse(Bad, "%v", err)
+		r.Err = refuse(Invalid, "%v", err)
 		return r
 	}
 	e := m.entries[c.UID]
-	if r.Err = m.expected(c.Expect, c.UID); r.Err != nil {
+	if r.Err = m.checkExpected(c.Expect, c.UID); r.Err != nil {
 		return r
 	}
 	if e == nil {
-		r.Err = refuse(Unknown, "no server %q", c.UID)
+		r.Err = refuse(NotFound, "no server %q", c.UID)
 		return r
 	}
-	r.Rev = e.Rev
+	r.Revision = e.Revision
 	switch {
-	case c.Op == Leave:
+	case c.Op == Deregister:
 		delete(m.entries, c.UID)
-		m.change(e, list.Deleted, &r)
+		m.recordChange(e, list.Deleted, &r)
 	case c.Op == Drain:
-		e.Why = Asked
+		e.Reason = DrainRequested
 		if e.State != list.Draining {
-			m.change(e, list.Draining, &r)
+			m.recordChange(e, list.Draining, &r)
 		}
-	case e.Why == LeaseOver:
+	case e.Reason == LeaseExpired:
 		r.Err = refuse(Conflict, "%s drains because its lease has ended: it has to register", c.UID)
 	default:
-		e.Why = ""
+		e.Reason = ""
 		if e.State != list.Serving {
-			m.change(e, list.Serving, &r)
+			m.recordChange(e, list.Serving, &r)
 		}
 	}
 	return r
 }
 
-// expire drains a server whose lease has ended, and removes one that drains already.
-func (m *Machine) expire(ended Ended, r *Result) {
+// expireLease drains a server whose lease has ended, and removes one that drains already.
+func (m *Machine) expireLease(ended ExpiredLease, r *Result) {
 	e := m.entries[ended.UID]
 	if e == nil || e.LeaseMS == 0 || e.Lease != ended.Lease {
 		return
 	}
 	if e.State == list.Serving {
-		e.Why = LeaseOver
-		m.change(e, list.Draining, r)
-		m.grant(e) // what removes it has to have seen it drain
+		e.Reason = LeaseExpired
+		m.recordChange(e, list.Draining, r)
+		m.grantLease(e) // what removes it has to have seen it drain
 		return
 	}
 	delete(m.entries, ended.UID)
-	m.change(e, list.Deleted, r)
+	m.recordChange(e, list.Deleted, r)
 }
--- a/internal/sidecar/state/routes_test.go
+++ b/internal/sidecar/state/routes_test.go
@@ -23,7 +23,7 @@
 	return t
 }
 
-func again(t interface{ Fatal(...any) }, m *Machine) *Machine {
+func reread(t interface{ Fatal(...any) }, m *Machine) *Machine {
 	text, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -48,13 +48,13 @@
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0:
-				m = again(t, m)
+				m = reread(t, m)
 			case 1:
-				backup = again(t, m)
+				backup = reread(t, m)
 			case 2:
 				floor := m.Generation() + 1
-				m = again(t, backup)
-				m.Raise(floor)
+				m = reread(t, backup)
+				m.RaiseRevision(floor)
 				if _, reused := all[m.Generation()]; reused {
 					t.Fatalf("a backup is taken up at generation %d, which was there", m.Generation())
 				}
@@ -62,12 +62,12 @@
 			default:
 				words := rapid.SliceOfN(rapid.SampledFrom([]string{"a1", "a2", "b1", "b2", "c1", "c2", "c0"}), 0, 4).Draw(t, "rules")
 				want := table(words...)
-				c := Command{Op: Route, Rules: want}
+				c := Command{Op: SetRoutes, Rules: want}
 				gen := m.Generation()
 				fits, sound := true, want.Check() == nil
 				if sound && rapid.Bool().Draw(t, "as ops") {
 					base := gen - int64(rapid.IntRange(0, 1).Draw(t, "old base"))
-					c = Command{Op: Route, Base: &base, Ops: routes.Diff(m.routing.table, want.Canonical())}
+					c = Command{Op: SetRoutes, Base: &base, Ops: routes.Diff(m.routing.table, want.Canonical())}
 					fits = base == gen
 				}
 				if rapid.Bool().Draw(t, "expects") {
@@ -76,17 +76,17 @@
 				}
 				r := m.Apply(c)
 				news := fits && sound && want.Hash() != all[gen]
-				if (r.Err == nil) != (fits && sound) || r.Routed != news || m.Generation() != r.Gen || (r.Gen != gen) != news {
+				if (r.Err == nil) != (fits && sound) || r.RoutesChanged != news || m.Generation() != r.Generation || (r.Generation != gen) != news {
 					t.Fatalf("%v at %d: %+v", words, gen, r)
 				}
-				if !fits && r.Err.Code != Conflict || fits && !sound && r.Err.Code != Bad {
+				if !fits && r.Err.Code != Conflict || fits && !sound && r.Err.Code != Invalid {
 					t.Fatalf("%v at %d is refused as %v", words, gen, r.Err)
 				}
 				if news {
-					if _, reused := all[r.Gen]; reused {
-						t.Fatalf("generation %d is made twice", r.Gen)
+					if _, reused := all[r.Generation]; reused {
+						t.Fatalf("generation %d is made twice", r.Generation)
 					}
-					all[r.Gen] = want.Hash()
+					all[r.Generation] = want.Hash()
 					known++
 				}
 			}
@@ -94,7 +94,7 @@
 				t.Fatalf("generations %d to %d are known, want %d of them", m.OldestGeneration(), m.Generation(), known)
 			}
 			for g := m.OldestGeneration() - 1; g <= m.Generation()+1; g++ {
-				got, ok := m.Routes(g)
+				got, ok := m.RoutesAt(g)
 				if ok != (g >= m.OldestGeneration() && g <= m.Generation()) || ok && got.Hash() != all[g] {
 					t.Fatalf("generation %d is %v, %v", g, got, ok)
 				}
@@ -106,28 +106,28 @@
 // TestRoutesHistory makes more generations than are kept, by number and by bytes.
 func TestRoutesHistory(t *testing.T) {
 	m := New()
-	for i := range MostGenerations + 10 {
-		m.Apply(Command{Op: Route, Rules: table(fmt.Sprintf("a%d", 1+i%2))})
+	for i := range MaxGenerations + 10 {
+		m.Apply(Command{Op: SetRoutes, Rules: table(fmt.Sprintf("a%d", 1+i%2))})
 	}
-	if m.Generation() != MostGenerations+10 || m.OldestGeneration() != 10 {
+	if m.Generation() != MaxGenerations+10 || m.OldestGeneration() != 10 {
 		t.Errorf("generations %d to %d are known", m.OldestGeneration(), m.Generation())
 	}
-	if got, ok := m.Routes(10); !ok || len(routes.Diff(got, table("a2"))) != 0 {
+	if got, ok := m.RoutesAt(10); !ok || len(routes.Diff(got, table("a2"))) != 0 {
 		t.Errorf("the oldest is %v, %v", got, ok)
 	}
-	again(t, m)
+	reread(t, m)
 	m, wide := New(), make(routes.Table, 5000)
 	for i := range 40 {
 		for j := range wide {
 			wide[j] = table(fmt.Sprintf("a%d", 1+i%2))[0]
 			wide[j].Name = fmt.Sprint("rule-", j)
 		}
-		if r := m.Apply(Command{Op: Route, Rules: wide}); r.Err != nil {
+		if r := m.Apply(Command{Op: SetRoutes, Rules: wide}); r.Err != nil {
 			t.Fatal(r.Err)
 		}
 	}
-	if n := m.Generation() - m.OldestGeneration(); n < 2 || n > 20 || m.routing.size > MostRouteBytes {
-		t.Errorf("%d steps of %d bytes are kept", n, m.routing.size)
+	if n := m.Generation() - m.OldestGeneration(); n < 2 || n > 20 || m.routing.stepBytes > MaxRouteHistoryBytes {
+		t.Errorf("%d steps of %d bytes are kept", n, m.routing.stepBytes)
 	}
 }
 
@@ -136,7 +136,7 @@
 func TestRoutesForms(t *testing.T) {
 	before := sealed.Kind{Magic: "gradeusher-state", Form: 1, Needs: 1}
 	m := New()
-	m.Apply(Command{Op: Found, Cluster: "c"})
+	m.Apply(Command{Op: FoundCluster, Cluster: "c"})
 	text, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -149,15 +149,15 @@
 	if err != nil || old.Generation() != 0 || old.Cluster() != "c" {
 		t.Errorf("generation %d, %v", old.Generation(), err)
 	}
-	m.Apply(Command{Op: Route, Rules: table("a1", "b2")})
-	m.Apply(Command{Op: Route, Rules: table("b2")})
+	m.Apply(Command{Op: SetRoutes, Rules: table("a1", "b2")})
+	m.Apply(Command{Op: SetRoutes, Rules: table("b2")})
 	if text, err = m.Snapshot(); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := before.Open(text); !errors.Is(err, sealed.ErrUnsound) {
 		t.Errorf("a program that would lose the routes reads them: %v", err)
 	}
-	if body, err = kind.Open(text); err != nil {
+	if body, err = snapshotKind.Open(text); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range [][2]string{{`"gen":2,"rules"`, `"gen":7,"rules"`}, {`"weight":2`, `"weight":-2`}, {`"gen":1,"back"`, `"gen":4,"back"`}} {
@@ -166,7 +166,7 @@
 		if wrong == string(body) {
 			t.Fatalf("no %s in %s", change, body)
 		}
-		if _, err := ReadSnapshot(bytes.NewReader(kind.Seal([]byte(wrong)))); !errors.Is(err, sealed.ErrUnsound) {
+		if _, err := ReadSnapshot(bytes.NewReader(snapshotKind.Seal([]byte(wrong)))); !errors.Is(err, sealed.ErrUnsound) {
 			t.Errorf("%s is read: %v", to, err)
 		}
 	}
--- a/internal/sidecar/state/routesbench_test.go
+++ b/internal/sidecar/state/routesbench_test.go
@@ -21,7 +21,7 @@
 		b.StopTimer()
 		t[0].Destinations[0].Weight = float64(i + 1)
 		base := m.Generation()
-		text, err := json.Marshal(Command{Op: Route, Base: &base, Ops: routes.Diff(m.routing.table, t.Canonical())})
+		text, err := json.Marshal(Command{Op: SetRoutes, Base: &base, Ops: routes.Diff(m.routing.table, t.Canonical())})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -30,7 +30,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if r := m.Apply(c); r.Err != nil || !r.Routed {
+		if r := m.Apply(c); r.Err != nil || !r.RoutesChanged {
 			b.Fatal(r)
 		}
 	}
--- a/internal/sidecar/state/snapshot.go
+++ b/internal/sidecar/state/snapshot.go
@@ -9,36 +9,36 @@
 	"gradeusher.example/gradeusher/internal/sidecar/sealed"
 )
 
-// kind is the form of a snapshot. Needs rises only where an older program would lose what matters: where there are
+// snapshotKind is the form of a snapshot. Needs rises only where an older program would lose what matters: where there are
 // routes, or duties.
-var kind = sealed.Kind{Magic: "gradeusher-state", Form: 3, Needs: 1}
+var snapshotKind = sealed.Kind{Magic: "gradeusher-state", Form: 3, Needs: 1}
 
-// MostSnapshot bounds a snapshot, in bytes. A full state (MostServers, MostHistory, MostRouteBytes, MostDuties, MostCandidacies) takes some 65 MB.
-const MostSnapshot = 256 << 20
+// MaxSnapshotBytes bounds a snapshot, in bytes. A full state (MaxServers, MaxHistory, MaxRouteHistoryBytes, MaxRoles, MaxCandidates) takes some 65 MB.
+const MaxSnapshotBytes = 256 << 20
 
-type snapshot struct {
-	Cluster string   `json:"cluster"`
-	Rev     int64    `json:"rev"`
-	Lease   int64    `json:"lease"`
-	Entries []Entry  `json:"entries"`
-	History []Change `json:"history"`
-	Keepers []Keeper `json:"keepers"`
+type snapshotBody struct {
+	Cluster  string   `json:"cluster"`
+	Revision int64    `json:"rev"`
+	Lease    int64    `json:"lease"`
+	Entries  []Entry  `json:"entries"`
+	History  []Change `json:"history"`
+	Nodes    []Node   `json:"keepers"`
 
-	Routes *routingForm `json:"routes,omitempty"` // form 2
-	Duties *dutiesForm  `json:"duties,omitempty"` // form 3
+	Routes *routeHistorySnapshot `json:"routes,omitempty"` // form 2
+	Roles  *roleTableSnapshot    `json:"duties,omitempty"` // form 3
 }
 
 // Snapshot is the whole state as bytes: a line with the form and a checksum, and JSON.
 func (m *Machine) Snapshot() ([]byte, error) {
-	body, err := json.Marshal(snapshot{m.cluster, m.rev, m.lease, m.Entries(), m.history, m.Keepers(), m.routing.form(), m.duties.form()})
+	body, err := json.Marshal(snapshotBody{m.cluster, m.revision, m.lastLease, m.Entries(), m.history, m.Nodes(), m.routing.snapshot(), m.roles.snapshot()})
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	k := kind
-	if m.routing.gen > 0 {
+	k := snapshotKind
+	if m.routing.generation > 0 {
 		k.Needs = 2
 	}
-	if m.duties.rev > 0 {
+	if m.roles.revision > 0 {
 		k.Needs = 3
 	}
 	return k.Seal(body), nil
@@ -46,60 +46,60 @@
 
 // ReadSnapshot reads what Snapshot wrote. Errors wrap sealed.ErrUnsound, or are the reader's.
 func ReadSnapshot(from io.Reader) (*Machine, error) {
-	text, err := io.ReadAll(io.LimitReader(from, MostSnapshot+1))
+	text, err := io.ReadAll(io.LimitReader(from, MaxSnapshotBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	body, err := kind.Open(text)
+	body, err := snapshotKind.Open(text)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	var s snapshot
+	var s snapshotBody
 	if err := json.Unmarshal(body, &s); err != nil {
 		return nil, fmt.Errorf("%w: %w", sealed.ErrUnsound, err)
 	}
-	if s.Rev < 0 || s.Lease < 0 {
-		return nil, fmt.Errorf("%w: revision %d, lease %d", sealed.ErrUnsound, s.Rev, s.Lease)
+	if s.Revision < 0 || s.Lease < 0 {
+		return nil, fmt.Errorf("%w: revision %d, lease %d", sealed.ErrUnsound, s.Revision, s.Lease)
 	}
 	m := New()
-	m.cluster, m.rev, m.lease, m.history = s.Cluster, s.Rev, s.Lease, s.History
-	if m.routing, err = s.Routes.routing(); err != nil {
+	m.cluster, m.revision, m.lastLease, m.history = s.Cluster, s.Revision, s.Lease, s.History
+	if m.routing, err = s.Routes.restore(); err != nil {
 		return nil, err
 	}
-	if m.duties, err = s.Duties.duties(); err != nil {
+	if m.roles, err = s.Roles.restore(); err != nil {
 		return nil, err
 	}
-	for _, k := range s.Keepers {
-		m.keepers[k.Name] = k
+	for _, k := range s.Nodes {
+		m.nodes[k.Name] = k
 	}
 	for i := range s.Entries {
 		e := s.Entries[i]
 		if err := e.Target.Check(); err != nil {
 			return nil, fmt.Errorf("%w: %w", sealed.ErrUnsound, err)
 		}
-		if m.entries[e.UID] != nil || e.Rev > m.rev || e.Lease > m.lease {
+		if m.entries[e.UID] != nil || e.Revision > m.revision || e.Lease > m.lastLease {
 			return nil, fmt.Errorf("%w: the entry of %s makes no sense", sealed.ErrUnsound, e.UID)
 		}
 		m.entries[e.UID] = &e
 	}
 	for i, c := range m.history {
-		if want := m.rev - int64(len(m.history)) + int64(i) + 1; c.Rev != want || want < 1 {
-			return nil, fmt.Errorf("%w: revision %d stands in the place of %d", sealed.ErrUnsound, c.Rev, want)
+		if want := m.revision - int64(len(m.history)) + int64(i) + 1; c.Revision != want || want < 1 {
+			return nil, fmt.Errorf("%w: revision %d stands in the place of %d", sealed.ErrUnsound, c.Revision, want)
 		}
 	}
 	return m, nil
 }
 
-// Raise lifts the revision of a state that is taken up again from a backup to at least floor, above all that was shown since
+// RaiseRevision lifts the revision of a state that is taken up again from a backup to at least floor, above all that was shown since
 // the backup. The history ends there, so every watch that goes on gets the whole list. Servers with leases are not sure to
 // be there until they register.
-func (m *Machine) Raise(floor int64) {
+func (m *Machine) RaiseRevision(floor int64) {
 	for _, e := range m.entries {
 		if e.LeaseMS != 0 && e.State == list.Serving {
-			e.Why = Restored
+			e.Reason = Restored
 		}
 	}
-	m.rev = max(m.rev+1, floor)
+	m.revision = max(m.revision+1, floor)
 	m.history = nil
-	m.routing.raise(floor)
+	m.routing.raiseGeneration(floor)
 }
--- a/internal/sidecar/state/state.go
+++ b/internal/sidecar/state/state.go
@@ -18,10 +18,10 @@
 
 // Bounds of the state. They are the same at all keepers, or these would differ on what they refuse.
 const (
-	MostServers = 20_000
-	MostHistory = 10_000 // changes that a watch can go on from, at least; historySlack more at most
-	MostBatch   = 512    // servers in one command
-	mostKeepers = 9
+	MaxServers = 20_000
+	MaxHistory = 10_000 // changes that a watch can go on from, at least; historySlack more at most
+	MaxBatch   = 512    // servers in one command
+	maxNodes   = 9
 
 	historySlack = 1024
 )
@@ -31,15 +31,15 @@
 
 // The commands.
 const (
-	Found    Op = "found"    // gives the cluster its id, once
-	Register Op = "register" // servers come, or a process comes again
-	Drain    Op = "drain"    // a server is to get no new work; stays so until its process is replaced or it serves again
-	Serve    Op = "serve"    // ends that
-	Leave    Op = "leave"    // a server goes
-	Expire   Op = "expire"   // leases have ended
-	Member   Op = "member"   // where a keeper answers
-	Unmember Op = "unmember" // a keeper is gone
-	Route    Op = "routes"   // another route table
+	FoundCluster  Op = "found"    // gives the cluster its id, once
+	Register      Op = "register" // servers come, or a process comes again
+	Drain         Op = "drain"    // a server is to get no new work; stays so until its process is replaced or it serves again
+	Serve         Op = "serve"    // ends that
+	Deregister    Op = "leave"    // a server goes
+	ExpireServers Op = "expire"   // leases have ended
+	SetNode       Op = "member"   // where a keeper answers
+	RemoveNode    Op = "unmember" // a keeper is gone
+	SetRoutes     Op = "routes"   // another route table
 )
 
 // Command is one step of the log. Fields that an Op does not name are not looked at, nor are unknown ones.
@@ -48,31 +48,31 @@
 	Servers []list.Registration `json:"servers,omitempty"` // register
 	UID     string              `json:"uid,omitempty"`     // drain, serve, leave
 	Expect  *int64              `json:"expect,omitempty"`  // register of one, drain, serve, leave: the entry's revision must be this; 0: it must not be there. routes: the generation
-	Ended   []Ended             `json:"ended,omitempty"`   // expire
+	Expired []ExpiredLease      `json:"ended,omitempty"`   // expire
 	Cluster string              `json:"cluster,omitempty"` // found
-	Keeper  *Keeper             `json:"keeper,omitempty"`  // member, unmember (its name)
+	Node    *Node               `json:"keeper,omitempty"`  // member, unmember (its name)
 	Rules   routes.Table        `json:"rules,omitempty"`   // routes; none: the empty table, unless there is a base
 	Base    *int64              `json:"base,omitempty"`    // routes: in place of Rules, Ops lead there from this generation
 	Ops     []routes.Op         `json:"ops,omitempty"`     // routes
-	Duty    *DutyCall           `json:"duty,omitempty"`    // of duties
+	Role    *RoleCall           `json:"duty,omitempty"`    // of duties
 }
 
-// Ended names a lease that has ended. One that was granted anew since then is left alone.
-type Ended struct {
+// ExpiredLease names a lease that has ended. One that was granted anew since then is left alone.
+type ExpiredLease struct {
 	UID   string `json:"uid"`
 	Lease int64  `json:"lease"`
 }
 
-// Keeper is where a keeper answers.
-type Keeper struct {
-	Name string `json:"name"`
-	HTTP string `json:"http,omitempty"`
+// Node is where a keeper answers.
+type Node struct {
+	Name        string `json:"name"`
+	HTTPAddress string `json:"http,omitempty"`
 }
 
 // Why a server drains.
 const (
-	Asked     = "asked" // somebody wants it
-	LeaseOver = "lease" // it did not renew
+	DrainRequested = "asked" // somebody wants it
+	LeaseExpired   = "lease" // it did not renew
 
 	// Restored is why a server that serves is not sure to: it is from a backup, and its process has not said anything since.
 	// It has to register again, which is a change, so that everybody learns of it.
@@ -82,15 +82,15 @@
 // Entry is one server of the list.
 type Entry struct {
 	list.Registration
-	Lease int64  `json:"lease"`         // rises with each grant of a lease to anybody: its fencing token
-	Rev   int64  `json:"rev"`           // of its last change
-	Why   string `json:"why,omitempty"` // it drains, or is not sure to be there
+	Lease    int64  `json:"lease"`         // rises with each grant of a lease to anybody: its fencing token
+	Revision int64  `json:"rev"`           // of its last change
+	Reason   string `json:"why,omitempty"` // it drains, or is not sure to be there
 }
 
 // Change is one step of the list.
 type Change struct {
-	Rev    int64       `json:"rev"`
-	Target list.Target `json:"target"`
+	Revision int64       `json:"rev"`
+	Target   list.Target `json:"target"`
 }
 
 // Code says what kind of refusal an Error is.
@@ -98,10 +98,10 @@
 
 // The kinds of refusals.
 const (
-	Bad      Code = "bad"      // it makes no sense
-	Conflict Code = "conflict" // it does not fit what is there
-	Unknown  Code = "unknown"  // it names what is not there
-	Full     Code = "full"     // a bound is reached
+	Invalid      Code = "bad"      // it makes no sense
+	Conflict     Code = "conflict" // it does not fit what is there
+	NotFound     Code = "unknown"  // it names what is not there
+	LimitReached Code = "full"     // a bound is reached
 )
 
 // Error is why a command was refused. Nothing of it was applied.
@@ -118,48 +118,48 @@
 
 // Result is what became of a command.
 type Result struct {
-	Rev     int64    // of the last change to what the command names, or of the list where it names nothing; of an Office its number
-	Changes []Change // what it changed, in order
-	Gen     int64    // of routes: of the table that is there now
-	Routed  bool     // that is a new one
-	Moved   bool     // it was refused because the base is no longer the last generation
-	Duty    *Duty    // of duties: the one named, as it is now
-	Dutied  bool     // a duty may have changed
-	Err     *Error   // it was refused
+	Revision      int64    // of the last change to what the command names, or of the list where it names nothing; of an Office its number
+	Changes       []Change // what it changed, in order
+	Generation    int64    // of routes: of the table that is there now
+	RoutesChanged bool     // that is a new one
+	BaseMoved     bool     // it was refused because the base is no longer the last generation
+	Role          *Role    // of duties: the one named, as it is now
+	RolesChanged  bool     // a duty may have changed
+	Err           *Error   // it was refused
 }
 
 // Machine is the state.
 type Machine struct {
-	cluster string
-	rev     int64
-	lease   int64 // the last that was granted
-	entries map[string]*Entry
-	history []Change // the last is that of rev; empty after a restore
-	keepers map[string]Keeper
-	routing routing
-	duties  duties
+	cluster   string
+	revision  int64
+	lastLease int64 // the last that was granted
+	entries   map[string]*Entry
+	history   []Change // the last is that of rev; empty after a restore
+	nodes     map[string]Node
+	routing   routeHistory
+	roles     roleTable
 }
 
 // New is a state in which nothing has happened.
 func New() *Machine {
-	return &Machine{entries: map[string]*Entry{}, keepers: map[string]Keeper{}, duties: newDuties()}
+	return &Machine{entries: map[string]*Entry{}, nodes: map[string]Node{}, roles: newRoleTable()}
 }
 
 // Cluster is the id of the cluster whose state this is; "": it has none yet.
 func (m *Machine) Cluster() string { return m.cluster }
 
-// Rev is the revision of the list.
-func (m *Machine) Rev() int64 { return m.rev }
+// Revision is the revision of the list.
+func (m *Machine) Revision() int64 { return m.revision }
 
 // Len is the number of servers.
 func (m *Machine) Len() int { return len(m.entries) }
 
-// Oldest is the lowest revision from which Since knows all changes.
-func (m *Machine) Oldest() int64 { return m.rev - int64(len(m.history)) }
+// OldestRevision is the lowest revision from which Since knows all changes.
+func (m *Machine) OldestRevision() int64 { return m.revision - int64(len(m.history)) }
 
-// Keepers are the keepers that said where they answer, by name.
-func (m *Machine) Keepers() []Keeper {
-	all := slices.Collect(maps.Values(m.keepers))
+// Nodes are the keepers that said where they answer, by name.
+func (m *Machine) Nodes() []Node {
+	all := slices.Collect(maps.Values(m.nodes))
 	sort.Slice(all, func(i, j int) bool { return all[i].Name < all[j].Name })
 	return all
 }
@@ -182,8 +182,8 @@
 	return all
 }
 
-// Leased are the servers that have leases, by uid.
-func (m *Machine) Leased() []Entry {
+// LeasedEntries are the servers that have leases, by uid.
+func (m *Machine) LeasedEntries() []Entry {
 	var all []Entry
 	for _, e := range m.entries {
 		if e.LeaseMS != 0 {
@@ -203,13 +203,13 @@
 	return all
 }
 
-// Since is what changed after a revision, in order. It tells false where the history does not reach back so far, or the
+// ChangesSince is what changed after a revision, in order. It tells false where the history does not reach back so far, or the
 // revision lies ahead. The slice must not be changed.
-func (m *Machine) Since(rev int64) ([]Change, bool) {
-	if rev < m.Oldest() || rev > m.rev {
+func (m *Machine) ChangesSince(rev int64) ([]Change, bool) {
+	if rev < m.OldestRevision() || rev > m.revision {
 		return nil, false
 	}
-	return m.history[len(m.history)-int(m.rev-rev):], true
+	return m.history[len(m.history)-int(m.revision-rev):], true
 }
 
 // Decode reads a command as the log holds it.
@@ -225,79 +225,79 @@
 func (m *Machine) Apply(c Command) Result {
 	var r Result
 	switch c.Op {
-	case Found:
-		r.Err = m.found(c.Cluster)
+	case FoundCluster:
+		r.Err = m.foundCluster(c.Cluster)
 	case Register:
 		r = m.register(c)
-	case Drain, Serve, Leave:
-		r = m.turn(c)
-	case Expire:
-		for _, e := range c.Ended {
-			m.expire(e, &r)
+	case Drain, Serve, Deregister:
+		r = m.applyServer(c)
+	case ExpireServers:
+		for _, e := range c.Expired {
+			m.expireLease(e, &r)
 		}
-	case Member, Unmember:
-		r.Err = m.member(c)
-	case Route:
-		r = m.route(c)
-	case Campaign, Withdraw, Release, Move, Checkpoint, Forget, End, Office:
-		call := DutyCall{}
-		if c.Duty != nil {
-			call = *c.Duty
+	case SetNode, RemoveNode:
+		r.Err = m.applyNode(c)
+	case SetRoutes:
+		r = m.setRoutes(c)
+	case Campaign, Withdraw, Release, Move, Checkpoint, Forget, EndRoleLeases, StartLeaseTerm:
+		call := RoleCall{}
+		if c.Role != nil {
+			call = *c.Role
 		}
-		r = m.duty(c.Op, call)
+		r = m.applyRole(c.Op, call)
 	default:
-		r.Err = refuse(Bad, "unknown command %.40q", c.Op)
+		r.Err = refuse(Invalid, "unknown command %.40q", c.Op)
 	}
-	if r.Rev == 0 {
-		r.Rev = m.rev
+	if r.Revision == 0 {
+		r.Revision = m.revision
 	}
 	return r
 }
 
-func (m *Machine) found(id string) *Error {
+func (m *Machine) foundCluster(id string) *Error {
 	switch {
 	case id == "" || len(id) > list.MostName:
-		return refuse(Bad, "a cluster needs an id of at most %d bytes", list.MostName)
+		return refuse(Invalid, "a cluster needs an id of at most %d bytes", list.MostName)
 	case m.cluster == "":
 		m.cluster = id
 	}
 	return nil
 }
 
-func (m *Machine) member(c Command) *Error {
+func (m *Machine) applyNode(c Command) *Error {
 	switch {
-	case c.Keeper == nil || c.Keeper.Name == "" || len(c.Keeper.Name) > list.MostName:
-		return refuse(Bad, "a keeper needs a name")
-	case c.Op == Unmember:
-		delete(m.keepers, c.Keeper.Name)
+	case c.Node == nil || c.Node.Name == "" || len(c.Node.Name) > list.MostName:
+		return refuse(Invalid, "a keeper needs a name")
+	case c.Op == RemoveNode:
+		delete(m.nodes, c.Node.Name)
 		return nil
 	}
-	if err := list.CheckAddress(c.Keeper.HTTP); err != nil {
-		return refuse(Bad, "keeper %s: %v", c.Keeper.Name, err)
+	if err := list.CheckAddress(c.Node.HTTPAddress); err != nil {
+		return refuse(Invalid, "keeper %s: %v", c.Node.Name, err)
 	}
-	if _, known := m.keepers[c.Keeper.Name]; !known && len(m.keepers) >= mostKeepers {
-		return refuse(Full, "there are %d keepers already", len(m.keepers))
+	if _, known := m.nodes[c.Node.Name]; !known && len(m.nodes) >= maxNodes {
+		return refuse(LimitReached, "there are %d keepers already", len(m.nodes))
 	}
-	m.keepers[c.Keeper.Name] = *c.Keeper
+	m.nodes[c.Node.Name] = *c.Node
 	return nil
 }
 
-// change notes that an entry is now what it is.
-func (m *Machine) change(e *Entry, state list.State, r *Result) {
-	m.rev++
-	e.State, e.Rev = state, m.rev
-	c := Change{m.rev, e.Target}
+// recordChange notes that an entry is now what it is.
+func (m *Machine) recordChange(e *Entry, state list.State, r *Result) {
+	m.revision++
+	e.State, e.Revision = state, m.revision
+	c := Change{m.revision, e.Target}
 	m.history = append(m.history, c)
-	if len(m.history) >= MostHistory+historySlack {
+	if len(m.history) >= MaxHistory+historySlack {
 		// A copy, so that whoever reads the old one goes on with it.
-		m.history = slices.Clone(m.history[len(m.history)-MostHistory:])
+		m.history = slices.Clone(m.history[len(m.history)-MaxHistory:])
 	}
-	r.Rev, r.Changes = m.rev, append(r.Changes, c)
+	r.Revision, r.Changes = m.revision, append(r.Changes, c)
 }
 
-// grant gives a server its lease anew. Danger: without a token of its own, an end of the lease that was decided before
+// grantLease gives a server its lease anew. Danger: without a token of its own, an end of the lease that was decided before
 // would undo it.
-func (m *Machine) grant(e *Entry) {
-	m.lease++
-	e.Lease = m.lease
+func (m *Machine) grantLease(e *Entry) {
+	m.lastLease++
+	e.Lease = m.lastLease
 }
--- a/internal/sidecar/state/state_test.go
+++ b/internal/sidecar/state/state_test.go
@@ -19,77 +19,77 @@
 	return list.Registration{Target: list.Target{UID: uid, Endpoint: endpoint, Zone: "a", State: list.Serving, BootMS: boot}, LeaseMS: lease}
 }
 
-// simple is what the machine is held against: every change there ever was, and each server as it was last told.
-type simple struct {
-	all  []Change
-	last map[string]list.Target
-	why  map[string]string
-	rev  map[string]int64
+// referenceModel is what the machine is held against: every change there ever was, and each server as it was last told.
+type referenceModel struct {
+	changes   []Change
+	targets   map[string]list.Target
+	reasons   map[string]string
+	revisions map[string]int64
 }
 
-func (s *simple) tell(t list.Target, state list.State, why string) {
+func (s *referenceModel) recordChange(t list.Target, state list.State, why string) {
 	t.State = state
-	rev := int64(len(s.all) + 1)
-	s.all = append(s.all, Change{rev, t})
-	if s.rev[t.UID] = rev; state == list.Deleted {
-		delete(s.last, t.UID)
-		delete(s.rev, t.UID)
+	rev := int64(len(s.changes) + 1)
+	s.changes = append(s.changes, Change{rev, t})
+	if s.revisions[t.UID] = rev; state == list.Deleted {
+		delete(s.targets, t.UID)
+		delete(s.revisions, t.UID)
 		return
 	}
-	s.last[t.UID], s.why[t.UID] = t, why
+	s.targets[t.UID], s.reasons[t.UID] = t, why
 }
 
-// do is what a command should do, and whether it should be taken.
-func (s *simple) do(c Command) bool {
+// apply is what a command should apply, and whether it should be taken.
+func (s *referenceModel) apply(c Command) bool {
 	if c.Expect != nil {
 		uid := c.UID
 		if c.Op == Register {
 			uid = c.Servers[0].UID
 		}
-		if s.rev[uid] != *c.Expect {
+		if s.revisions[uid] != *c.Expect {
 			return false
 		}
 	}
 	switch c.Op {
 	case Register:
 		r := c.Servers[0]
-		old, known := s.last[r.UID]
+		old, known := s.targets[r.UID]
 		switch {
-		case known && r.BootMS < old.BootMS, known && r.BootMS == old.BootMS && r.Endpoint != old.Endpoint && s.why[r.UID] != LeaseOver:
+		case known && r.BootMS < old.BootMS, known && r.BootMS == old.BootMS && r.Endpoint != old.Endpoint && s.reasons[r.UID] != LeaseExpired:
 			return false
 		case !known || r.BootMS > old.BootMS:
-			s.tell(r.Target, list.Serving, "")
-		case s.why[r.UID] == Asked:
+			s.recordChange(r.Target, list.Serving, "")
+		case s.reasons[r.UID] == DrainRequested:
 			if r.Target.State = list.Draining; old.Changed(r.Target) {
-				s.tell(r.Target, list.Draining, Asked)
+				s.recordChange(r.Target, list.Draining, DrainRequested)
 			}
 		default:
 			if old.Changed(r.Target) {
-				s.tell(r.Target, list.Serving, "")
+				s.recordChange(r.Target, list.Serving, "")
 			}
 		}
 		return true
 	case Drain:
-		old, known := s.last[c.UID]
+		old, known := s.targets[c.UID]
 		if known && old.State == list.Serving {
-			s.tell(old, list.Draining, Asked)
+			s.recordChange(old, list.Draining, DrainRequested)
 		} else if known {
-			s.why[c.UID] = Asked
+			s.reasons[c.UID] = DrainRequested
 		}
 		return known
 	case Serve:
-		old, known := s.last[c.UID]
-		if !known || s.why[c.UID] == LeaseOver && old.State == list.Draining {
+		old, known := s.targets[c.UID]
+		if !known || s.reasons[c.UID] == LeaseExpired && old.State == list.Draining {
 			return false
 		}
 		if old.State == list.Draining {
-			s.tell(old, list.Serving, "")
+			s.recordChange(old, list.Serving, "")
 		}
 		return true
-	case Leave:
-		old, known := s.last[c.UID]
+	case Deregister:
+		old, known := s.targets[c.UID]
 		if known {
-			s.tell(old, list.Deleted, "")
+			s.recordChange(old, list.Deleted, "")
 		}
 		return known
 	}
@@ -101,19 +101,19 @@
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New()
-		s := &simple{last: map[string]list.Target{}, why: map[string]string{}, rev: map[string]int64{}}
+		s := &referenceModel{targets: map[string]list.Target{}, reasons: map[string]string{}, revisions: map[string]int64{}}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			c := Command{Op: rapid.SampledFrom([]Op{Register, Register, Register, Drain, Serve, Leave, Expire}).Draw(t, "op"),
+			c := Command{Op: rapid.SampledFrom([]Op{Register, Register, Register, Drain, Serve, Deregister, ExpireServers}).Draw(t, "op"),
 				UID: rapid.SampledFrom([]string{"s-1", "s-2", "s-3"}).Draw(t, "uid")}
 			switch c.Op {
 			case Register:
 				c.Servers = []list.Registration{server(c.UID, rapid.SampledFrom([]string{"10.0.0.1:80", "10.0.0.2:80"}).Draw(t, "endpoint"),
 					rapid.Int64Range(0, 3).Draw(t, "boot"), rapid.SampledFrom([]int64{0, 2000}).Draw(t, "lease"))}
-			case Expire:
-				c.Ended = []Ended{{c.UID, rapid.Int64Range(0, m.lease+1).Draw(t, "token")}}
+			case ExpireServers:
+				c.Expired = []ExpiredLease{{c.UID, rapid.Int64Range(0, m.lastLease+1).Draw(t, "token")}}
 			}
-			if c.Op != Expire && rapid.Bool().Draw(t, "cas") {
-				n := rapid.Int64Range(0, m.Rev()).Draw(t, "expect")
+			if c.Op != ExpireServers && rapid.Bool().Draw(t, "cas") {
+				n := rapid.Int64Range(0, m.Revision()).Draw(t, "expect")
 				c.Expect = &n
 			}
 			before, err := m.Snapshot()
@@ -126,17 +126,17 @@
 				}
 			}
 			taken := false
-			if c.Op == Expire { // its effect follows from the entry and the token
+			if c.Op == ExpireServers { // its effect follows from the entry and the token
 				e, known := m.Entry(c.UID)
-				if taken = true; known && e.LeaseMS > 0 && e.Lease == c.Ended[0].Lease {
+				if taken = true; known && e.LeaseMS > 0 && e.Lease == c.Expired[0].Lease {
 					if e.State == list.Serving {
-						s.tell(s.last[c.UID], list.Draining, LeaseOver)
+						s.recordChange(s.targets[c.UID], list.Draining, LeaseExpired)
 					} else {
-						s.tell(s.last[c.UID], list.Deleted, "")
+						s.recordChange(s.targets[c.UID], list.Deleted, "")
 					}
 				}
 			} else {
-				taken = s.do(c)
+				taken = s.apply(c)
 			}
 			r := m.Apply(c)
 			if (r.Err == nil) != taken {
@@ -149,20 +149,20 @@
 			if r.Err != nil && !bytes.Equal(before, after) {
 				t.Fatalf("%+v was refused (%v) and changed the state", c, r.Err)
 			}
-			if m.Rev() != int64(len(s.all)) {
-				t.Fatalf("%+v: revision %d after %d changes", c, m.Rev(), len(s.all))
+			if m.Revision() != int64(len(s.changes)) {
+				t.Fatalf("%+v: revision %d after %d changes", c, m.Revision(), len(s.changes))
 			}
-			from := rapid.Int64Range(0, m.Rev()).Draw(t, "from")
-			got, ok := m.Since(from)
-			if want := s.all[from:]; !ok || len(got) != len(want) || len(want) > 0 && !reflect.DeepEqual(got, want) {
+			from := rapid.Int64Range(0, m.Revision()).Draw(t, "from")
+			got, ok := m.ChangesSince(from)
+			if want := s.changes[from:]; !ok || len(got) != len(want) || len(want) > 0 && !reflect.DeepEqual(got, want) {
 				t.Fatalf("since %d: %v, %v, want %v", from, got, ok, want)
 			}
-			if len(s.last) != m.Len() {
-				t.Fatalf("%d servers, want %d", m.Len(), len(s.last))
+			if len(s.targets) != m.Len() {
+				t.Fatalf("%d servers, want %d", m.Len(), len(s.targets))
 			}
-			for uid, want := range s.last {
-				if e, _ := m.Entry(uid); e.Target != want || e.Rev != s.rev[uid] {
-					t.Fatalf("%s is %+v, want %+v at %d", uid, e, want, s.rev[uid])
+			for uid, want := range s.targets {
+				if e, _ := m.Entry(uid); e.Target != want || e.Revision != s.revisions[uid] {
+					t.Fatalf("%s is %+v, want %+v at %d", uid, e, want, s.revisions[uid])
 				}
 			}
 		}
@@ -194,9 +194,9 @@
 		"the process at 10.0.0.1:80":   {Op: Register, Servers: []list.Registration{server("s-1", "10.0.0.3:80", 5, 0)}},
 		"0 servers to register":        {Op: Register},
 		"goes with one server, not 2":  {Op: Register, Expect: &far, Servers: []list.Registration{good, server("s-2", "10.0.0.2:80", 0, 0)}},
-		"a keeper needs a name":        {Op: Member},
-		"a cluster needs an id":        {Op: Found},
-		"keeper k: \"\" is no address": {Op: Member, Keeper: &Keeper{Name: "k"}},
+		"a keeper needs a name":        {Op: SetNode},
+		"a cluster needs an id":        {Op: FoundCluster},
+		"keeper k: \"\" is no address": {Op: SetNode, Node: &Node{Name: "k"}},
 	} {
 		m := New()
 		m.Apply(Command{Op: Register, Servers: []list.Registration{good}})
@@ -215,39 +215,39 @@
 func TestHistory(t *testing.T) {
 	m := New()
 	m.Apply(Command{Op: Register, Servers: []list.Registration{server("s-1", "10.0.0.1:80", 0, 0)}})
-	for range MostHistory + 2*historySlack {
+	for range MaxHistory + 2*historySlack {
 		m.Apply(Command{Op: Drain, UID: "s-1"})
 		m.Apply(Command{Op: Serve, UID: "s-1"})
 	}
-	if n := m.Rev() - m.Oldest(); n < MostHistory || n >= MostHistory+historySlack {
+	if n := m.Revision() - m.OldestRevision(); n < MaxHistory || n >= MaxHistory+historySlack {
 		t.Errorf("%d changes are held", n)
 	}
-	if _, ok := m.Since(m.Oldest() - 1); ok {
+	if _, ok := m.ChangesSince(m.OldestRevision() - 1); ok {
 		t.Error("what is older than the history was told")
 	}
-	if all, ok := m.Since(m.Oldest()); !ok || all[0].Rev != m.Oldest()+1 || all[len(all)-1].Rev != m.Rev() {
+	if all, ok := m.ChangesSince(m.OldestRevision()); !ok || all[0].Revision != m.OldestRevision()+1 || all[len(all)-1].Revision != m.Revision() {
 		t.Error("the history is not whole")
 	}
-	rev := m.Rev()
-	if m.Raise(5); m.Rev() != rev+1 {
-		t.Errorf("a restore led to %d after %d", m.Rev(), rev)
+	rev := m.Revision()
+	if m.RaiseRevision(5); m.Revision() != rev+1 {
+		t.Errorf("a restore led to %d after %d", m.Revision(), rev)
 	}
-	if _, ok := m.Since(rev); ok {
+	if _, ok := m.ChangesSince(rev); ok {
 		t.Error("a watch went on over a restore")
 	}
 }
 
-// TestForms reads snapshots as other versions of the program write them: unknown fields are passed over, a form that needs a
+// TestSnapshotForms reads snapshots as other versions of the program write them: unknown fields are passed over, a form that needs a
 // later reader is refused, and so is every torn one.
-func TestForms(t *testing.T) {
+func TestSnapshotForms(t *testing.T) {
 	m := New()
-	m.Apply(Command{Op: Found, Cluster: "c"})
+	m.Apply(Command{Op: FoundCluster, Cluster: "c"})
 	m.Apply(Command{Op: Register, Servers: []list.Registration{server("s-1", "10.0.0.1:80", 7, 3000)}})
 	text, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	body, err := kind.Open(text)
+	body, err := snapshotKind.Open(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -257,7 +257,7 @@
 	}
 	fields["limits"] = []string{"of a later version"}
 	body, _ = json.Marshal(fields)
-	later := sealed.Kind{Magic: kind.Magic, Form: kind.Form + 1, Needs: kind.Form}
+	later := sealed.Kind{Magic: snapshotKind.Magic, Form: snapshotKind.Form + 1, Needs: snapshotKind.Form}
 	next, err := ReadSnapshot(bytes.NewReader(later.Seal(body)))
 	if err != nil {
 		t.Fatal(err)
@@ -282,19 +282,19 @@
 	m := New()
 	m.Apply(Command{Op: Register, Servers: []list.Registration{server("s-1", "10.0.0.1:80", 7, 3000)}})
 	text, _ := m.Snapshot()
-	body, _ := kind.Open(text)
+	body, _ := snapshotKind.Open(text)
 	f.Add(body)
 	f.Add([]byte(`{"rev":-1,"history":[{"rev":0}]}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		m, err := ReadSnapshot(bytes.NewReader(kind.Seal(body)))
+		m, err := ReadSnapshot(bytes.NewReader(snapshotKind.Seal(body)))
 		if err != nil {
 			return
 		}
-		rev := m.Rev()
-		if r := m.Apply(Command{Op: Register, Servers: []list.Registration{server("fuzz", "10.0.0.9:80", 0, 0)}}); r.Rev < rev {
-			t.Errorf("revision %d after %d", r.Rev, rev)
+		rev := m.Revision()
+		if r := m.Apply(Command{Op: Register, Servers: []list.Registration{server("fuzz", "10.0.0.9:80", 0, 0)}}); r.Revision < rev {
+			t.Errorf("revision %d after %d", r.Revision, rev)
 		}
-		if _, ok := m.Since(m.Oldest()); !ok {
+		if _, ok := m.ChangesSince(m.OldestRevision()); !ok {
 			t.Error("the history cannot be read")
 		}
 		if _, err := m.Snapshot(); err != nil {
@@ -305,7 +305,7 @@
 
 // FuzzCommand applies anything that a log may hold.
 func FuzzCommand(f *testing.F) {
-	for _, c := range []Command{{Op: Register, Servers: []list.Registration{server("s-1", "10.0.0.1:80", 7, 3000)}}, {Op: Expire, Ended: []Ended{{"s-0", 1}}}, {Op: Member}} {
+	for _, c := range []Command{{Op: Register, Servers: []list.Registration{server("s-1", "10.0.0.1:80", 7, 3000)}}, {Op: ExpireServers, Expired: []ExpiredLease{{"s-0", 1}}}, {Op: SetNode}} {
 		text, _ := json.Marshal(c)
 		f.Add(text)
 	}
@@ -316,8 +316,8 @@
 		}
 		m := New()
 		m.Apply(Command{Op: Register, Servers: []list.Registration{server("s-0", "10.0.0.1:80", 7, 3000)}})
-		before := m.Rev()
-		if r := m.Apply(c); r.Err != nil && m.Rev() != before {
+		before := m.Revision()
+		if r := m.Apply(c); r.Err != nil && m.Revision() != before {
 			t.Errorf("%s was refused and changed the state", text)
 		}
 		text, err = m.Snapshot()
