--- a/cmd/gradeusher/duty.go
+++ b/cmd/gradeusher/duty.go
@@ -50,20 +50,20 @@
 	})
 }
 
-func printDuty(s streams, d state.Duty) {
+func printDuty(s streams, d state.Role) {
 	held := "nobody"
-	if h := d.Holder; h != nil {
-		held = fmt.Sprintf("%s since %s, lease %v", h.Who, time.UnixMilli(d.SinceMS).UTC().Format(time.RFC3339), time.Duration(h.TTLMS)*time.Millisecond)
+	if h := d.Owner; h != nil {
+		held = fmt.Sprintf("%s since %s, lease %v", h.Process, time.UnixMilli(d.SinceMS).UTC().Format(time.RFC3339), time.Duration(h.TTLMS)*time.Millisecond)
 	}
-	if d.Asked {
-		held += ", asked to hand over to " + cmp.Or(d.To, "the next")
+	if d.HandoverRequested {
+		held += ", asked to hand over to " + cmp.Or(d.Successor, "the next")
 	}
-	if d.Barred {
+	if d.RenewalBarred {
 		held += ", out at the end of its lease"
 	}
 	fmt.Fprintf(s.out, "%-20s epoch %-4d step %-4d held by %s; %d wait\n", d.Name, d.Epoch, d.StepNo, held, len(d.Waiting))
-	for _, f := range d.Failed {
-		fmt.Fprintf(s.out, "%-20s %s failed %d times, passed over until %s\n", "", f.Name, f.Times, time.UnixMilli(f.UntilMS).UTC().Format(time.RFC3339))
+	for _, f := range d.Failures {
+		fmt.Fprintf(s.out, "%-20s %s failed %d times, passed over until %s\n", "", f.Name, f.Count, time.UnixMilli(f.UntilMS).UTC().Format(time.RFC3339))
 	}
 }
 
@@ -111,8 +111,8 @@
 
 // Run waits and sweeps until interrupted.
 func (c dutySweep) Run(ctx context.Context, s streams) error {
-	if c.Every <= 0 || c.Idle < state.LeastIdle {
-		return fmt.Errorf("%w: --every has to be above 0, and --idle %v at least", errUsage, state.LeastIdle)
+	if c.Every <= 0 || c.Idle < state.MinIdle {
+		return fmt.Errorf("%w: --every has to be above 0, and --idle %v at least", errUsage, state.MinIdle)
 	}
 	log := slog.New(slog.NewTextHandler(s.err, nil))
 	name, err := processName(c.As)
--- a/cmd/gradeusher/duty_test.go
+++ b/cmd/gradeusher/duty_test.go
@@ -123,7 +123,7 @@
 	})
 	all := f.resource.effects()
 	last := all[len(all)-1]
-	if after := last.at.Sub(at); last.epoch != e.epoch || after > testLease-state.DutyMargin(testLease)+100*time.Millisecond {
+	if after := last.at.Sub(at); last.epoch != e.epoch || after > testLease-state.RoleLeaseMargin(testLease)+100*time.Millisecond {
 		t.Errorf("it acts under %d, and %v after the last renewal, with a lease of %v", last.epoch, after, testLease)
 	}
 	f.start(leader)
@@ -143,7 +143,7 @@
 	t.Parallel()
 	k := newKeepers(t, 1, "")
 	k.leader()
-	change := func(turn client.DutyTurn, name, who string, epoch int64) state.Duty {
+	change := func(turn client.DutyTurn, name, who string, epoch int64) state.Role {
 		t.Helper()
 		d, err := k.client.ChangeDuty(k.call(), turn, name, client.DutyCall{Who: who, Epoch: epoch, TTLMS: 300_000})
 		if err != nil {
@@ -180,8 +180,8 @@
 			names := ""
 			for _, d := range n.Duties {
 				names += d.Name + " "
-				if d.Name == singleton.SweepRole && d.Holder != nil {
-					by = state.ProcessName(d.Holder.Who)
+				if d.Name == singleton.SweepRole && d.Owner != nil {
+					by = state.ProcessName(d.Owner.Process)
 				}
 			}
 			return names == "sweep used " && by != ""
@@ -198,7 +198,7 @@
 	leave("older")
 	swept()
 	sweep := change(client.Campaign, singleton.SweepRole, "a#1", 0)
-	_, err := k.client.ChangeDuty(k.call(), client.Forget, singleton.SweepRole, client.DutyCall{Who: sweep.Holder.Who, Epoch: sweep.Epoch - 1, Idle: []string{"used"}, IdleMS: 1000})
+	_, err := k.client.ChangeDuty(k.call(), client.Forget, singleton.SweepRole, client.DutyCall{Who: sweep.Owner.Process, Epoch: sweep.Epoch - 1, Idle: []string{"used"}, IdleMS: 1000})
 	if err == nil || !strings.Contains(err.Error(), "does not hold sweep") {
 		t.Errorf("a sweep under the epoch before: %v", err)
 	}
@@ -235,7 +235,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
 	n, err := k.client.Duties(ctx, "d")
-	if err != nil || len(n.Duties) != 1 || n.Duties[0].Holder != nil || len(n.Duties[0].Waiting) > 0 {
+	if err != nil || len(n.Duties) != 1 || n.Duties[0].Owner != nil || len(n.Duties[0].Waiting) > 0 {
 		t.Errorf("%+v, %v", n, err)
 	}
 	for want, args := range map[string][]string{
--- a/cmd/gradeusher/dutyhold.go
+++ b/cmd/gradeusher/dutyhold.go
@@ -40,7 +40,7 @@
 	if c.Grace == 0 {
 		c.Grace = c.Lease / 4
 	}
-	if most := (c.Lease - state.DutyMargin(c.Lease)) / 2; c.Grace < 0 || c.Grace > most {
+	if most := (c.Lease - state.RoleLeaseMargin(c.Lease)) / 2; c.Grace < 0 || c.Grace > most {
 		return fmt.Errorf("%w: --grace %v is not within 0 to %v, half of what the lease leaves", errUsage, c.Grace, most)
 	}
 	if _, err := exec.LookPath(c.Command[0]); err != nil {
--- a/internal/compat/filled_test.go
+++ b/internal/compat/filled_test.go
@@ -116,7 +116,7 @@
 	document[client.DutyNews](t, "sidecar_duties")
 	document[list.List](t, "sidecar_list")
 	document[state.Entry](t, "sidecar_entry")
-	document[state.Duty](t, "sidecar_duty")
+	document[state.Role](t, "sidecar_duty")
 	document[state.Command](t, "sidecar_command")
 }
 
--- a/internal/compat/sidecardata_test.go
+++ b/internal/compat/sidecardata_test.go
@@ -214,15 +214,15 @@
 			draining++
 		}
 	}
-	leased := m.Leased()
-	wrong := m.Rev() != 9 || m.Len() != 6 || draining != 1 || len(leased) != 1 || leased[0].UID != "leased" || m.Generation() != 1 || m.Cluster() == ""
+	leased := m.LeasedEntries()
+	wrong := m.Revision() != 9 || m.Len() != 6 || draining != 1 || len(leased) != 1 || leased[0].UID != "leased" || m.Generation() != 1 || m.Cluster() == ""
 	if wrong {
-		t.Errorf("revision %d, %d servers, %d draining, leased %v, generation %d, cluster %q", m.Rev(), m.Len(), draining, leased, m.Generation(), m.Cluster())
+		t.Errorf("revision %d, %d servers, %d draining, leased %v, generation %d, cluster %q", m.Revision(), m.Len(), draining, leased, m.Generation(), m.Cluster())
 	}
 	duties := 0
-	m.EachDuty(func(d *state.Duty) {
+	m.EachRole(func(d *state.Role) {
 		duties++
-		if d.Name != "d1" || d.Epoch != 1 || d.Holder == nil || d.Holder.Who != "a#1" || d.Room != "za" {
+		if d.Name != "d1" || d.Epoch != 1 || d.Owner == nil || d.Owner.Process != "a#1" || d.Location != "za" {
 			t.Errorf("duty %+v", d)
 		}
 	})
@@ -247,7 +247,7 @@
 			t.Fatal(err)
 		}
 		m, err := state.ReadSnapshot(bytes.NewReader(text))
-		if err != nil || m.Rev() == 0 || m.Cluster() == "" {
+		if err != nil || m.Revision() == 0 || m.Cluster() == "" {
 			t.Errorf("%s: %v", path, err)
 		}
 		if again, err := m.Snapshot(); err != nil || !bytes.Equal(again, text) {
