--- a/internal/sidecar/registry/http.go
+++ b/internal/sidecar/registry/http.go
@@ -342,7 +342,7 @@
 func (k *Node) fresh(uid string, boot int64) (ok bool) {
 	k.store.read(func(m *state.Machine) {
 		e, there := m.Entry(uid)
-		ok = there && e.BootMS == boot && e.LeaseMS != 0 && e.Reason != state.LeaseExpired && e.Reason != state.Restored
+		ok = there && e.BootMS == boot && e.LeaseMS != 0 && e.Reason != state.LeaseExpired && e.Reason != state.RestoredFromBackup
 	})
 	return ok
 }
--- a/internal/sidecar/registry/lessor.go
+++ b/internal/sidecar/registry/lessor.go
@@ -89,14 +89,14 @@
 			switch e.Reason {
 			case state.LeaseExpired:
 				t.ends, t.held = now.Add(l.expires.Grace), 0
-			case state.Restored:
+			case state.RestoredFromBackup:
 				t.held = 0 // it has to register
 			}
 			l.started[e.UID] = t
 		}
 		switch {
 		case !now.After(t.ends):
-		case e.State == list.Serving && e.Reason != state.Restored:
+		case e.State == list.Serving && e.Reason != state.RestoredFromBackup:
 			serving = append(serving, state.ExpiredLease{UID: e.UID, Lease: t.lease})
 		default:
 			ended = append(ended, state.ExpiredLease{UID: e.UID, Lease: t.lease})
--- a/internal/sidecar/state/rolerules.go
+++ b/internal/sidecar/state/rolerules.go
@@ -7,291 +7,377 @@
 	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
-// applyRole takes a step of duties.
-func (m *Machine) applyRole(op Op, c RoleCall) (r Result) {
-	s := &m.roles
+// apply applies an operation on singleton roles.
+func (t *roleTable) apply(op Op, call RoleCall) Result {
 	switch op {
 	case StartLeaseTerm:
-		s.leaseTerm++
-		r.Revision = s.leaseTerm
-		return r
+		t.leaseTerm++
+		return Result{Revision: t.leaseTerm}
 	case EndRoleLeases:
-		s.endLeases(c)
-		r.RolesChanged = true
-		return r
+		t.endLeases(call)
+		return Result{RolesChanged: true}
 	}
-	if err := list.CheckUID(c.Name); err != nil {
-		r.Err = refuse(Invalid, "name of a duty: %v", err)
-		return r
+	if err := list.CheckUID(call.Name); err != nil {
+		return Result{Err: refuse(Invalid, "name of a duty: %v", err)}
 	}
-	d := s.roles[c.Name]
-	before := s.revision
+	before := t.revision
+	var result Result
+	result.Err = t.applyToRole(op, call)
+	result.RolesChanged = t.revision != before
+	if role := t.byName[call.Name]; role != nil {
+		copied := role.clone()
+		result.Role = &copied
+	}
+	return result
+}
+
+func (t *roleTable) applyToRole(op Op, call RoleCall) *Error {
+	if op != Move { // which an operator calls, not a process
+		if err := CheckProcess(call.Process); err != nil {
+			return refuse(Invalid, "who: %v", err)
+		}
+	}
+	role := t.byName[call.Name]
 	switch {
-	case op != Move && CheckProcess(c.Process) != nil:
-		r.Err = refuse(Invalid, "who: %v", CheckProcess(c.Process))
 	case op == Campaign:
-		d, r.Err = s.campaign(d, c)
-	case d == nil:
-		r.Err = refuse(NotFound, "no duty %q", c.Name)
+		return t.campaign(role, call)
+	case role == nil:
+		return refuse(NotFound, "no duty %q", call.Name)
 	case op == Withdraw:
-		r.Err = s.withdraw(d, c.Process)
+		return t.withdraw(role, call.Process)
 	case op == Move:
-		r.Err = s.move(d, c)
+		return t.move(role, call)
 	default:
-		r.Err = s.applyByOwner(d, op, c)
+		return t.applyByOwner(role, op, call)
 	}
-	r.RolesChanged = s.revision != before
-	if d != nil {
-		told := d.clone()
-		r.Role = &told
-	}
-	return r
 }
 
-func (s *roleTable) campaign(d *Role, c RoleCall) (*Role, *Error) {
-	ttl := time.Duration(c.TTLMS) * time.Millisecond
-	switch {
-	case c.TTLMS > MaxRoleLease.Milliseconds() || c.TTLMS < 0 || ttl > MaxRoleLease:
-		return d, refuse(Invalid, "a lease of %d ms is too long: %d at most", c.TTLMS, MaxRoleLease.Milliseconds())
-	case ttl < MinRoleLease:
-		return d, refuse(Invalid, "a lease of %d ms is too short for the margin of %d ms that drift of clocks needs: %d at least", c.TTLMS,
-			RoleLeaseMargin(ttl).Milliseconds(), MinRoleLease.Milliseconds())
-	case len(c.Location) > list.MostName || len(c.RoleLocation) > list.MostName:
-		return d, refuse(Invalid, "a room has %d bytes at most", list.MostName)
-	case c.Load < 0 || c.Load > maxLoad:
-		return d, refuse(Invalid, "a load of %d is not within 0 to %d", c.Load, maxLoad)
-	case d == nil && len(s.roles) >= MaxRoles:
-		return d, refuse(LimitReached, "there are %d duties, %d at most", len(s.roles), MaxRoles)
-	case d != nil && d.IsOwner(c.Process):
-		return d, nil // the answer to its grant was lost
-	}
-	one := Candidate{c.Process, c.Location, c.Load, c.TTLMS}
-	if d != nil {
-		i := d.WaitingIndex(c.Process)
-		switch {
-		case i >= 0 && d.Waiting[i] == one:
-			return d, nil
-		case i >= 0:
-			s.edit(d, func() { d.Waiting[i] = one })
-			return d, nil
-		case len(d.Waiting) >= MaxCandidatesPerRole || s.waiting >= MaxCandidates:
-			return d, refuse(LimitReached, "%d wait for %s, and %d in all: %d and %d at most", len(d.Waiting), d.Name, s.waiting, MaxCandidatesPerRole, MaxCandidates)
+// campaign makes a process a candidate for a role, which is nil where it does not exist yet. A repeated campaign changes nothing: the
+// answer to the first may have been lost.
+func (t *roleTable) campaign(role *Role, call RoleCall) *Error {
+	if err := checkCampaign(call); err != nil {
+		return err
+	}
+	candidate := Candidate{Process: call.Process, Location: call.Location, Load: call.Load, TTLMS: call.TTLMS}
+	if role == nil {
+		if len(t.byName) >= MaxRoles {
+			return refuse(LimitReached, "there are %d duties, %d at most", len(t.byName), MaxRoles)
 		}
+		role = &Role{Name: call.Name, Location: call.RoleLocation, Epoch: t.forgottenEpoch, SinceMS: call.NowMS}
+		t.byName[call.Name] = role
 	} else {
-		d = &Role{Name: c.Name, Location: c.RoleLocation, Epoch: s.forgottenEpoch, SinceMS: c.NowMS}
-		s.roles[c.Name] = d
+		if role.IsOwner(call.Process) {
+			return nil
+		}
+		if i := role.WaitingIndex(call.Process); i >= 0 {
+			t.updateCandidate(role, i, candidate)
+			return nil
+		}
+		if len(role.Waiting) >= MaxCandidatesPerRole || t.waiting >= MaxCandidates {
+			return refuse(LimitReached, "%d wait for %s, and %d in all: %d and %d at most", len(role.Waiting), role.Name, t.waiting,
+				MaxCandidatesPerRole, MaxCandidates)
+		}
 	}
-	s.edit(d, func() { d.Waiting = append(d.Waiting, one) })
-	if d.Owner == nil {
-		s.grant(d, c.NowMS, "", "")
+	t.edit(role, func() { role.Waiting = append(role.Waiting, candidate) })
+	if role.Owner == nil {
+		t.grant(role, grantOptions{nowMS: call.NowMS})
 	} else {
-		s.rebalance(d, one, c.NowMS)
+		t.rebalance(role, candidate, call.NowMS)
 	}
-	return d, nil
+	return nil
 }
 
-// rebalance asks a holder to hand over to one that came to wait, where that is better placed.
-func (s *roleTable) rebalance(d *Role, c Candidate, nowMS int64) {
-	h := d.Owner
-	if d.HandoverRequested || d.inBackoff(c.Process, nowMS) {
-		return
+func checkCampaign(call RoleCall) *Error {
+	lease, maxLeaseMS := time.Duration(call.TTLMS)*time.Millisecond, MaxRoleLease.Milliseconds()
+	switch {
+	case call.TTLMS > maxLeaseMS || call.TTLMS < 0:
+		return refuse(Invalid, "a lease of %d ms is too long: %d at most", call.TTLMS, maxLeaseMS)
+	case lease < MinRoleLease:
+		return refuse(Invalid, "a lease of %d ms is too short for the margin of %d ms that drift of clocks needs: %d at least", call.TTLMS,
+			RoleLeaseMargin(lease).Milliseconds(), MinRoleLease.Milliseconds())
+	case len(call.Location) > list.MostName || len(call.RoleLocation) > list.MostName:
+		return refuse(Invalid, "a room has %d bytes at most", list.MostName)
+	case call.Load < 0 || call.Load > maxLoad:
+		return refuse(Invalid, "a load of %d is not within 0 to %d", call.Load, maxLoad)
 	}
-	was, is := h.Location == d.Location, c.Location == d.Location
-	if d.Location != "" && was != is {
-		if was {
-			return
-		}
-	} else if s.burden[h.Process]+h.Load < s.burden[c.Process]+c.Load+rebalanceThreshold {
+	return nil
+}
+
+func (t *roleTable) updateCandidate(role *Role, i int, candidate Candidate) {
+	if role.Waiting[i] != candidate {
+		t.edit(role, func() { role.Waiting[i] = candidate })
+	}
+}
+
+// rebalance asks the owner to hand the role over to a new candidate that is the better owner.
+func (t *roleTable) rebalance(role *Role, candidate Candidate, nowMS int64) {
+	if role.HandoverRequested || role.inBackoff(candidate.Process, nowMS) || !t.isBetterOwner(role, candidate) {
 		return
 	}
-	s.edit(d, func() { d.HandoverRequested, d.Successor = true, c.Process })
+	t.edit(role, func() { role.HandoverRequested, role.Successor = true, candidate.Process })
 }
 
-func (s *roleTable) withdraw(d *Role, who string) *Error {
-	i := d.WaitingIndex(who)
+// isBetterOwner tells whether a candidate should replace the owner: first the role's location decides, then the load.
+func (t *roleTable) isBetterOwner(role *Role, candidate Candidate) bool {
+	ownerInPlace, candidateInPlace := role.Owner.Location == role.Location, candidate.Location == role.Location
+	if role.Location != "" && ownerInPlace != candidateInPlace {
+		return candidateInPlace
+	}
+	return t.totalLoad(*role.Owner) >= t.totalLoad(candidate)+rebalanceThreshold
+}
+
+// totalLoad returns what a process carries, in roles.
+func (t *roleTable) totalLoad(candidate Candidate) int64 {
+	return t.burden[candidate.Process] + candidate.Load
+}
+
+// withdraw takes a candidate out. Where the owner was asked to hand over to it, the owner keeps the role.
+func (t *roleTable) withdraw(role *Role, process string) *Error {
+	i := role.WaitingIndex(process)
 	if i < 0 {
-		return refuse(Conflict, "%s does not wait for %s", who, d.Name)
+		return refuse(Conflict, "%s does not wait for %s", process, role.Name)
 	}
-	s.edit(d, func() {
-		d.Waiting = slices.Delete(d.Waiting, i, i+1)
-		if d.Successor == who { // the holder keeps it
-			d.HandoverRequested, d.Successor = false, ""
+	t.edit(role, func() {
+		role.Waiting = slices.Delete(role.Waiting, i, i+1)
+		if role.Successor == process {
+			role.HandoverRequested, role.Successor = false, ""
 		}
 	})
 	return nil
 }
 
-func (s *roleTable) move(d *Role, c RoleCall) *Error {
-	to := ""
-	switch {
-	case d.Owner == nil:
-		return refuse(Conflict, "nobody holds %s", d.Name)
-	case c.Successor != "":
-		i := slices.IndexFunc(d.Waiting, func(w Candidate) bool { return w.Process == c.Successor || ProcessName(w.Process) == c.Successor })
+func (t *roleTable) move(role *Role, call RoleCall) *Error {
+	if role.Owner == nil {
+		return refuse(Conflict, "nobody holds %s", role.Name)
+	}
+	successor := ""
+	if call.Successor != "" {
+		i := role.waitingMatch(call.Successor)
 		if i < 0 {
-			return refuse(Conflict, "%.80q does not wait for %s", c.Successor, d.Name)
+			return refuse(Conflict, "%.80q does not wait for %s", call.Successor, role.Name)
 		}
-		to = d.Waiting[i].Process
+		successor = role.Waiting[i].Process
 	}
-	s.edit(d, func() { d.HandoverRequested, d.Successor, d.RenewalBarred = true, to, d.RenewalBarred || c.Force })
+	t.edit(role, func() {
+		role.HandoverRequested, role.Successor, role.RenewalBarred = true, successor, role.RenewalBarred || call.Force
+	})
 	return nil
 }
 
-// applyByOwner is what only the holder may do.
-func (s *roleTable) applyByOwner(d *Role, op Op, c RoleCall) *Error {
-	switch {
-	case c.Epoch > d.Epoch:
-		return refuse(Invalid, "epoch %d of %s is from the future: it is at %d", c.Epoch, d.Name, d.Epoch)
-	case !d.IsOwner(c.Process) || c.Epoch < d.Epoch:
-		return refuse(Conflict, "%s does not hold %s under epoch %d: it is at %d", c.Process, d.Name, c.Epoch, d.Epoch)
-	case op == Forget && (len(c.IdleRoles) > maxRoleBatch || c.IdleMS < MinIdle.Milliseconds()):
-		return refuse(Invalid, "%d duties idle for %d ms: at most %d, for %d ms at least", len(c.IdleRoles), c.IdleMS, maxRoleBatch, MinIdle.Milliseconds())
-	case len(c.Step) > MaxStepBytes:
-		return refuse(Invalid, "a step has %d bytes at most", MaxStepBytes)
-	case op == Checkpoint && c.StepNo == nil:
-		return refuse(Invalid, "step_no is missing: the number of the step that was read")
-	case c.StepNo != nil && *c.StepNo != d.StepNo:
-		return refuse(Conflict, "%s is at step %d, not %d", d.Name, d.StepNo, *c.StepNo)
+// applyByOwner applies what only the owner may do. A step that the call has is recorded first, whatever the operation.
+func (t *roleTable) applyByOwner(role *Role, op Op, call RoleCall) *Error {
+	if err := checkOwner(role, call); err != nil {
+		return err
 	}
-	if c.StepNo != nil {
-		s.edit(d, func() { d.Step, d.StepNo = c.Step, d.StepNo+1 })
+	if err := checkOwnerCall(role, op, call); err != nil {
+		return err
+	}
+	if call.StepNo != nil {
+		t.edit(role, func() { role.Step, role.StepNo = call.Step, role.StepNo+1 })
 	}
 	switch op {
-	case Checkpoint:
-		return nil
 	case Forget:
-		return s.forget(c)
+		t.forget(call)
+	case Release:
+		t.release(role, call)
 	}
-	h, to := *d.Owner, d.Successor
-	if c.Successor != "" {
-		to = c.Successor
+	return nil
+}
+
+// checkOwner is the check of the fencing token.
+func checkOwner(role *Role, call RoleCall) *Error {
+	switch {
+	case call.Epoch > role.Epoch:
+		return refuse(Invalid, "epoch %d of %s is from the future: it is at %d", call.Epoch, role.Name, role.Epoch)
+	case !role.IsOwner(call.Process) || call.Epoch < role.Epoch:
+		return refuse(Conflict, "%s does not hold %s under epoch %d: it is at %d", call.Process, role.Name, call.Epoch, role.Epoch)
 	}
-	s.endLease(d, c.Failed, c.NowMS)
-	if c.Rejoin {
-		s.edit(d, func() { d.Waiting = append(d.Waiting, h) })
+	return nil
+}
+
+func checkOwnerCall(role *Role, op Op, call RoleCall) *Error {
+	switch {
+	case op == Forget && (len(call.IdleRoles) > maxRoleBatch || call.IdleMS < MinIdle.Milliseconds()):
+		return refuse(Invalid, "%d duties idle for %d ms: at most %d, for %d ms at least", len(call.IdleRoles), call.IdleMS, maxRoleBatch,
+			MinIdle.Milliseconds())
+	case len(call.Step) > MaxStepBytes:
+		return refuse(Invalid, "a step has %d bytes at most", MaxStepBytes)
+	case op == Checkpoint && call.StepNo == nil:
+		return refuse(Invalid, "step_no is missing: the number of the step that was read")
+	case call.StepNo != nil && *call.StepNo != role.StepNo:
+		return refuse(Conflict, "%s is at step %d, not %d", role.Name, role.StepNo, *call.StepNo)
 	}
-	s.grant(d, c.NowMS, to, h.Process)
 	return nil
 }
 
-// forget drops duties out of use, which would fill the table for good. Danger: an epoch must never come twice under a name.
-func (s *roleTable) forget(c RoleCall) *Error {
-	for _, name := range c.IdleRoles {
-		d := s.roles[name]
-		if d == nil || d.Owner != nil || len(d.Waiting) > 0 || c.NowMS-d.SinceMS < c.IdleMS {
+// release ends the owner's lease and grants the role to the successor that the call names, else to the one of a requested handover, else
+// to the best candidate.
+func (t *roleTable) release(role *Role, call RoleCall) {
+	owner, successor := *role.Owner, role.Successor
+	if call.Successor != "" {
+		successor = call.Successor
+	}
+	t.endLease(role, call.Failed, call.NowMS)
+	if call.Rejoin {
+		t.edit(role, func() { role.Waiting = append(role.Waiting, owner) })
+	}
+	t.grant(role, grantOptions{nowMS: call.NowMS, successor: successor, last: owner.Process})
+}
+
+// forget drops roles that are out of use, which would fill the table for good. Their epochs are remembered by the highest one, because
+// an epoch must never come twice under a name.
+func (t *roleTable) forget(call RoleCall) {
+	for _, name := range call.IdleRoles {
+		role := t.byName[name]
+		if role == nil || !role.idle(call) {
 			continue
 		}
-		s.forgottenEpoch = max(s.forgottenEpoch, d.Epoch)
-		delete(s.roles, name)
-		s.revision++
+		t.forgottenEpoch = max(t.forgottenEpoch, role.Epoch)
+		delete(t.byName, name)
+		t.revision++
 	}
-	return nil
 }
 
-// endLease ends an office.
-func (s *roleTable) endLease(d *Role, failed bool, nowMS int64) {
-	name, long := ProcessName(d.Owner.Process), time.Duration(nowMS-d.SinceMS)*time.Millisecond >= failureResetAfter
-	s.edit(d, func() {
-		i := slices.IndexFunc(d.Failures, func(f Failure) bool { return f.Name == name })
-		if i >= 0 && (!failed || long) {
-			d.Failures = slices.Delete(d.Failures, i, i+1)
-			i = -1
+func (r *Role) idle(call RoleCall) bool {
+	return r.Owner == nil && len(r.Waiting) == 0 && call.NowMS-r.SinceMS >= call.IdleMS
+}
+
+// endLease ends the owner's lease, by its release or by time-out, and keeps count of its failures.
+func (t *roleTable) endLease(role *Role, failed bool, nowMS int64) {
+	name := ProcessName(role.Owner.Process)
+	t.edit(role, func() {
+		wasStable := time.Duration(nowMS-role.SinceMS)*time.Millisecond >= failureResetAfter
+		if !failed || wasStable {
+			role.forgetFailures(name)
 		}
 		if failed {
-			if i < 0 {
-				if len(d.Failures) >= maxFailuresPerRole {
-					d.Failures = slices.Delete(d.Failures, 0, 1)
-				}
-				d.Failures = append(d.Failures, Failure{Name: name})
-				i = len(d.Failures) - 1
-			}
-			f := &d.Failures[i]
-			f.Count++
-			f.UntilMS = nowMS + failureBackoff(f.Count).Milliseconds()
+			role.recordFailure(name, nowMS)
 		}
-		d.Owner, d.HandoverRequested, d.Successor, d.RenewalBarred, d.SinceMS = nil, false, "", false, nowMS
+		role.Owner, role.HandoverRequested, role.Successor, role.RenewalBarred, role.SinceMS = nil, false, "", false, nowMS
 	})
 }
 
-// failureBackoff is how long one is passed over that failed so often.
-func failureBackoff(times int) time.Duration {
+func (r *Role) failureIndex(name string) int {
+	return slices.IndexFunc(r.Failures, func(f Failure) bool { return f.Name == name })
+}
+
+func (r *Role) forgetFailures(name string) {
+	if i := r.failureIndex(name); i >= 0 {
+		r.Failures = slices.Delete(r.Failures, i, i+1)
+	}
+}
+
+// recordFailure counts a failure and sets the backoff. Where too many names have failed, the one that came first is forgotten.
+func (r *Role) recordFailure(name string, nowMS int64) {
+	i := r.failureIndex(name)
+	if i < 0 {
+		if len(r.Failures) >= maxFailuresPerRole {
+			r.Failures = slices.Delete(r.Failures, 0, 1)
+		}
+		r.Failures = append(r.Failures, Failure{Name: name})
+		i = len(r.Failures) - 1
+	}
+	failure := &r.Failures[i]
+	failure.Count++
+	failure.UntilMS = nowMS + failureBackoff(failure.Count).Milliseconds()
+}
+
+// failureBackoff returns for how long a process that failed so often is passed over: nothing, 1 s, 2 s, 4 s, up to maxBackoff.
+func failureBackoff(failures int) time.Duration {
 	switch {
-	case times < 2:
+	case failures < 2:
 		return 0
-	case times > 10:
+	case failures > 10: // the shift below would exceed maxBackoff in any case
 		return maxBackoff
 	}
-	return min(maxBackoff, time.Second<<(times-2))
+	return min(maxBackoff, time.Second<<(failures-2))
 }
 
-// inBackoff tells whether a process is passed over. A pause that lies further ahead than any lasts is over: the clock went back.
-func (d *Role) inBackoff(who string, nowMS int64) bool {
-	name := ProcessName(who)
-	for _, f := range d.Failures {
-		if f.Name == name {
-			return f.UntilMS > nowMS && f.UntilMS-nowMS <= maxBackoff.Milliseconds()
-		}
+// inBackoff tells whether a process is passed over. A backoff that ends further ahead than the longest one is void: the clock was set
+// back.
+func (r *Role) inBackoff(process string, nowMS int64) bool {
+	i := r.failureIndex(ProcessName(process))
+	if i < 0 {
+		return false
 	}
-	return false
+	leftMS := r.Failures[i].UntilMS - nowMS
+	return r.Failures[i].UntilMS > nowMS && leftMS <= maxBackoff.Milliseconds()
 }
 
-// nextOwner is who gets a duty, by place in line; below 0: nobody. last had it before, and gets it if nobody else can.
-func (s *roleTable) nextOwner(d *Role, nowMS int64, last string) int {
+// bestCandidate returns the index in Waiting of the candidate that should get the role, or -1. Of those that are not in backoff it is the
+// one that comes first by precedes; of equals the one that has waited longest. The process last, which owned the role before, gets
+// it only where nobody else can.
+func (t *roleTable) bestCandidate(role *Role, nowMS int64, last string) int {
 	best := -1
-	better := func(a, b Candidate) bool {
-		if x, y := a.Process != last, b.Process != last; x != y {
-			return x
-		}
-		if x, y := a.Location == d.Location, b.Location == d.Location; d.Location != "" && x != y {
-			return x
+	for i, candidate := range role.Waiting {
+		if role.inBackoff(candidate.Process, nowMS) {
+			continue
 		}
-		return s.burden[a.Process]+a.Load < s.burden[b.Process]+b.Load
-	}
-	for i, c := range d.Waiting {
-		if !d.inBackoff(c.Process, nowMS) && (best < 0 || better(c, d.Waiting[best])) {
+		if best < 0 || t.precedes(role, candidate, role.Waiting[best], last) {
 			best = i
 		}
 	}
 	return best
 }
 
-// grant gives a free duty to the process named, if it waits, or to the next.
-func (s *roleTable) grant(d *Role, nowMS int64, to, last string) {
+// precedes orders candidates: others before the last owner, those in the role's location before others, then by load.
+func (t *roleTable) precedes(role *Role, a, b Candidate, last string) bool {
+	if aOther, bOther := a.Process != last, b.Process != last; aOther != bOther {
+		return aOther
+	}
+	aInPlace, bInPlace := a.Location == role.Location, b.Location == role.Location
+	if role.Location != "" && aInPlace != bInPlace {
+		return aInPlace
+	}
+	return t.totalLoad(a) < t.totalLoad(b)
+}
+
+// grantOptions says to whom a free role goes.
+type grantOptions struct {
+	nowMS     int64
+	successor string // a name or NAME#RUN that gets the role if it waits; "": the best candidate
+	last      string // the process that owned the role before, if it is passed over
+}
+
+// grant gives a free role to the successor or to the best candidate, under the next epoch.
+func (t *roleTable) grant(role *Role, options grantOptions) {
 	i := -1
-	if to != "" {
-		i = slices.IndexFunc(d.Waiting, func(w Candidate) bool { return w.Process == to || ProcessName(w.Process) == to })
+	if options.successor != "" {
+		i = role.waitingMatch(options.successor)
 	}
 	if i < 0 {
-		i = s.nextOwner(d, nowMS, last)
+		i = t.bestCandidate(role, options.nowMS, options.last)
 	}
 	if i < 0 {
 		return
 	}
-	s.edit(d, func() {
-		c := d.Waiting[i]
-		d.Waiting = slices.Delete(d.Waiting, i, i+1)
-		d.Epoch++
-		d.Owner, d.SinceMS = &c, nowMS
+	t.edit(role, func() {
+		owner := role.Waiting[i]
+		role.Waiting = slices.Delete(role.Waiting, i, i+1)
+		role.Epoch++
+		role.Owner, role.SinceMS = &owner, options.nowMS
 	})
 }
 
-// endLeases takes in what a leader saw: first who is silent, so that none of them gets what falls free.
-func (s *roleTable) endLeases(c RoleCall) {
-	for _, e := range c.TimedOut {
-		if d := s.roles[e.Name]; d != nil && d.WaitingIndex(e.Process) >= 0 {
-			_ = s.withdraw(d, e.Process) // it waits
+// endLeases applies what the leader observed. Candidates that timed out go first, so that none of them gets a role that falls free.
+func (t *roleTable) endLeases(call RoleCall) {
+	for _, ref := range call.TimedOut {
+		if role := t.byName[ref.Name]; role != nil {
+			_ = t.withdraw(role, ref.Process) // refused where it waits no more, which is as well
 		}
 	}
-	for _, e := range c.Ended {
-		if d := s.roles[e.Name]; c.LeaseTerm == s.leaseTerm && d != nil && d.Owner != nil && d.Epoch == e.Epoch {
-			to := d.Successor
-			s.endLease(d, !d.HandoverRequested, c.NowMS)
-			s.grant(d, c.NowMS, to, "")
+	for _, ref := range call.Ended {
+		role := t.byName[ref.Name]
+		if role == nil || role.Owner == nil || role.Epoch != ref.Epoch || call.LeaseTerm != t.leaseTerm {
+			continue
 		}
+		successor := role.Successor
+		t.endLease(role, !role.HandoverRequested, call.NowMS)
+		t.grant(role, grantOptions{nowMS: call.NowMS, successor: successor})
 	}
-	for _, name := range c.Due {
-		if d := s.roles[name]; d != nil && d.Owner == nil {
-			s.grant(d, c.NowMS, "", "")
+	for _, name := range call.Due {
+		if role := t.byName[name]; role != nil && role.Owner == nil {
+			t.grant(role, grantOptions{nowMS: call.NowMS})
 		}
 	}
 }
--- a/internal/sidecar/state/roles.go
+++ b/internal/sidecar/state/roles.go
@@ -10,142 +10,155 @@
 	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
-// Bounds of duties.
+// Bounds of singleton roles. Like those of the list they are part of the state machine.
 const (
 	MaxRoles             = 4096
-	MaxCandidatesPerRole = 256    // that wait for one duty
-	MaxCandidates        = 65_536 // of all duties
-	MaxStepBytes         = 4096   // bytes of what a holder records
+	MaxCandidatesPerRole = 256    // processes that wait for one role
+	MaxCandidates        = 65_536 // processes that wait, summed over all roles
+	MaxStepBytes         = 4096   // of the step that an owner records
 	MinRoleLease         = 500 * time.Millisecond
 	MaxRoleLease         = 5 * time.Minute
-	maxLoad              = 1 << 20
-	maxFailuresPerRole   = 64 // names of which a duty remembers that they failed
-	maxBackoff           = 5 * time.Minute
-	failureResetAfter    = time.Minute // after so long in office earlier failures are forgotten
-	rebalanceThreshold   = 2           // more duties than one that waits
-	restoreGap           = 1 << 20     // epochs that may have been given since a backup
-	clockDriftDivisor    = 100         // clocks differ by one part in so many at most
-	effectMargin         = 100 * time.Millisecond
-	maxRoleBatch         = 1024
+	MinIdle              = time.Second // shortest time without an owner after which a role may be forgotten, with its step and failures
+	maxLoad              = 1 << 20     // of a process, in roles
+	maxFailuresPerRole   = 64          // process names whose failures a role remembers
+	maxRoleBatch         = 1024        // roles in one command
 )
 
-// RoleLeaseMargin is how long before the end of a lease, as counted from before the renewal was sent, its holder stops acting: for
-// clocks whose rates differ by 1 %, and 100 ms between a look at the clock and the effect.
+// What decides who owns a role.
+const (
+	maxBackoff         = 5 * time.Minute
+	failureResetAfter  = time.Minute // an owner that kept its role for so long has its earlier failures forgotten
+	rebalanceThreshold = 2           // an owner with so many more roles than a candidate is asked to hand one over
+	restoreGap         = 1 << 20     // epochs and revisions that may have been given since a backup
+)
+
+// The assumptions about clocks under which a lease has one owner at a time (docs/duties.md, "Promise").
+const (
+	clockDriftDivisor = 100                    // rates of clocks differ by one part in so many at most
+	effectMargin      = 100 * time.Millisecond // longest time from an owner's look at its clock to the effect of what it does
+)
+
+// RoleLeaseMargin returns how long before the end of its lease an owner stops acting. The lease counts from before the renewal was
+// sent; the margin covers clocks whose rates differ by 1 % and 100 ms between a look at the clock and the effect.
 func RoleLeaseMargin(lease time.Duration) time.Duration {
 	return lease/clockDriftDivisor + effectMargin
 }
 
-// The commands of duties. Their fields are in Command.Duty.
+// The operations on singleton roles. Their arguments stand in Command.Role.
 const (
-	Campaign       Op = "duty-campaign"   // a process wants a duty, and gets it if it is free
-	Withdraw       Op = "duty-withdraw"   // it waits no more
-	Release        Op = "duty-release"    // its holder lets go of it
-	Move           Op = "duty-move"       // its holder is asked to
-	Checkpoint     Op = "duty-checkpoint" // its holder records a step
-	Forget         Op = "duty-forget"     // duties that nobody holds, waits for or has had for long are forgotten
-	EndRoleLeases  Op = "duty-end"        // leases have ended, candidates are silent, pauses are over
-	StartLeaseTerm Op = "duty-office"     // another leader counts leases
+	Campaign       Op = "duty-campaign"   // a process becomes a candidate, and the owner if the role is free
+	Withdraw       Op = "duty-withdraw"   // a candidate waits no more
+	Release        Op = "duty-release"    // the owner gives the role up
+	Move           Op = "duty-move"       // an operator asks the owner to give the role up
+	Checkpoint     Op = "duty-checkpoint" // the owner records its step
+	Forget         Op = "duty-forget"     // drops roles without owner or candidates
+	EndRoleLeases  Op = "duty-end"        // reports leases that have ended, candidates that timed out and backoffs that are over
+	StartLeaseTerm Op = "duty-office"     // a new raft leader starts to count leases
 )
 
-// RoleCall is a command of duties. Each Op looks at the fields that name it.
+// RoleCall holds the arguments of an operation on singleton roles. Each operation reads the fields that name it.
 type RoleCall struct {
-	Name         string `json:"name,omitempty"`
-	Process      string `json:"who,omitempty"`     // NAME#RUN of the process: campaign, withdraw, release, checkpoint
-	Location     string `json:"room,omitempty"`    // campaign: of the process
-	RoleLocation string `json:"at,omitempty"`      // campaign: the room where the duty should be held, which the first says
-	Load         int64  `json:"load,omitempty"`    // campaign: what the process carries besides, in duties
-	TTLMS        int64  `json:"ttl_ms,omitempty"`  // campaign: length of the lease that it wants
-	Epoch        int64  `json:"epoch,omitempty"`   // release, checkpoint
-	Successor    string `json:"to,omitempty"`      // release, move: who is next; a name or NAME#RUN
-	Rejoin       bool   `json:"again,omitempty"`   // release: it waits again
-	Failed       bool   `json:"failed,omitempty"`  // release: it could not do the work
-	Force        bool   `json:"force,omitempty"`   // move: it cannot renew any more
-	Step         string `json:"step,omitempty"`    // checkpoint; release, where StepNo is given
-	StepNo       *int64 `json:"step_no,omitempty"` // the number of the step that was read before; it gets the next
-
-	IdleRoles []string `json:"idle,omitempty"`    // forget: these, if they are; Name, Who and Epoch are the office that it is done in
-	IdleMS    int64    `json:"idle_ms,omitempty"` // forget: for how long
-
-	NowMS     int64      `json:"now_ms,omitempty"` // Unix time by the leader's clock, for pauses
-	LeaseTerm int64      `json:"office,omitempty"` // end: what the leases were counted in
-	Ended     []LeaseRef `json:"ended,omitempty"`
-	TimedOut  []LeaseRef `json:"silent,omitempty"`
-	Due       []string   `json:"due,omitempty"`
+	Name         string `json:"name,omitempty"`    // all but EndRoleLeases and StartLeaseTerm: the role
+	Process      string `json:"who,omitempty"`     // Campaign, Withdraw and what only the owner may do: the caller, as NAME#RUN
+	Location     string `json:"room,omitempty"`    // Campaign: the process's location
+	RoleLocation string `json:"at,omitempty"`      // Campaign: the location preferred for the owner; the role's first campaign sets it
+	Load         int64  `json:"load,omitempty"`    // Campaign: the process's other load, in roles
+	TTLMS        int64  `json:"ttl_ms,omitempty"`  // Campaign: length of the lease
+	Epoch        int64  `json:"epoch,omitempty"`   // what only the owner may do: the epoch that it owns the role under
+	Successor    string `json:"to,omitempty"`      // Release, Move: the next owner, as a name or NAME#RUN; "": the best candidate
+	Rejoin       bool   `json:"again,omitempty"`   // Release: the process becomes a candidate again
+	Failed       bool   `json:"failed,omitempty"`  // Release: the process could not do the work
+	Force        bool   `json:"force,omitempty"`   // Move: further renewals are refused
+	Step         string `json:"step,omitempty"`    // Checkpoint, and Release with StepNo: the new step
+	StepNo       *int64 `json:"step_no,omitempty"` // compare-and-set: the number of the step that Step follows; it gets the next number
+
+	IdleRoles []string `json:"idle,omitempty"`    // Forget: the roles, where they are idle; Name, Process and Epoch name the sweeping role
+	IdleMS    int64    `json:"idle_ms,omitempty"` // Forget: how long they must have been idle
+
+	NowMS     int64      `json:"now_ms,omitempty"` // Unix time by the leader's clock, for backoffs
+	LeaseTerm int64      `json:"office,omitempty"` // EndRoleLeases: the term in which the leases were counted
+	Ended     []LeaseRef `json:"ended,omitempty"`  // EndRoleLeases: leases, by epoch
+	TimedOut  []LeaseRef `json:"silent,omitempty"` // EndRoleLeases: candidates, by process
+	Due       []string   `json:"due,omitempty"`    // EndRoleLeases: free roles for which a candidate's backoff is over
 }
 
-// LeaseRef is an office whose lease has ended, or one who waits and is silent.
+// LeaseRef names a lease by its role and epoch, or a candidate by the role and its process.
 type LeaseRef struct {
 	Name    string `json:"name"`
 	Epoch   int64  `json:"epoch,omitempty"`
 	Process string `json:"who,omitempty"`
 }
 
-// Candidate is a process that holds a duty or waits for it.
+// Candidate is a process that owns a role or waits for it.
 type Candidate struct {
 	Process  string `json:"who"`
 	Location string `json:"room,omitempty"`
-	Load     int64  `json:"load,omitempty"`
+	Load     int64  `json:"load,omitempty"` // in roles
 	TTLMS    int64  `json:"ttl_ms"`
 }
 
-// Failure is how often a process of a name failed in office.
+// Failure counts how often processes of a name failed as owners of a role.
 type Failure struct {
 	Name    string `json:"name"`
 	Count   int    `json:"times"`
-	UntilMS int64  `json:"until_ms,omitempty"` // it is passed over; Unix time
+	UntilMS int64  `json:"until_ms,omitempty"` // end of the backoff, Unix time
 }
 
-// Role is one duty.
+// Role is a singleton role: work that one process at a time does under a lease.
 type Role struct {
 	Name              string      `json:"name"`
-	Epoch             int64       `json:"epoch"` // of the last grant
-	Revision          int64       `json:"rev"`   // of its last change
-	Location          string      `json:"room,omitempty"`
-	Owner             *Candidate  `json:"holder,omitempty"`
-	SinceMS           int64       `json:"since_ms,omitempty"` // it was granted, or fell free; Unix time
-	HandoverRequested bool        `json:"asked,omitempty"`    // the holder is to hand it over
-	Successor         string      `json:"to,omitempty"`       // to this process; "": the next in line
-	RenewalBarred     bool        `json:"barred,omitempty"`   // renewals of this office are refused
-	Step              string      `json:"step,omitempty"`
+	Epoch             int64       `json:"epoch"`              // fencing token: rises by one with each owner
+	Revision          int64       `json:"rev"`                // of the role table, at this role's last change
+	Location          string      `json:"room,omitempty"`     // preferred for the owner
+	Owner             *Candidate  `json:"holder,omitempty"`   // nil: the role is free
+	SinceMS           int64       `json:"since_ms,omitempty"` // when it was granted or fell free, Unix time
+	HandoverRequested bool        `json:"asked,omitempty"`    // the owner is asked to release it
+	Successor         string      `json:"to,omitempty"`       // the process that gets it then; "": the best candidate
+	RenewalBarred     bool        `json:"barred,omitempty"`   // renewals of this lease are refused
+	Step              string      `json:"step,omitempty"`     // what the owner recorded last
 	StepNo            int64       `json:"step_no"`
-	Waiting           []Candidate `json:"waiting,omitempty"` // longest first
+	Waiting           []Candidate `json:"waiting,omitempty"` // the longest waiting first
 	Failures          []Failure   `json:"failed,omitempty"`
 }
 
-// IsOwner tells whether a process holds the duty.
-func (d *Role) IsOwner(who string) bool { return d.Owner != nil && d.Owner.Process == who }
+// IsOwner tells whether a process (NAME#RUN) owns the role.
+func (r *Role) IsOwner(process string) bool { return r.Owner != nil && r.Owner.Process == process }
+
+// WaitingIndex returns the index of a process (NAME#RUN) in Waiting, or -1.
+func (r *Role) WaitingIndex(process string) int {
+	return slices.IndexFunc(r.Waiting, func(c Candidate) bool { return c.Process == process })
+}
 
-// WaitingIndex tells where a process stands in line; below 0: it does not.
-func (d *Role) WaitingIndex(who string) int {
-	return slices.IndexFunc(d.Waiting, func(c Candidate) bool { return c.Process == who })
+// waitingMatch returns the index in Waiting of the first candidate that a name or NAME#RUN names, or -1.
+func (r *Role) waitingMatch(nameOrProcess string) int {
+	return slices.IndexFunc(r.Waiting, func(c Candidate) bool {
+		return c.Process == nameOrProcess || ProcessName(c.Process) == nameOrProcess
+	})
 }
 
-func (d *Role) clone() Role {
-	c := *d
-	if d.Owner != nil {
-		h := *d.Owner
-		c.Owner = &h
+func (r *Role) clone() Role {
+	copied := *r
+	if r.Owner != nil {
+		owner := *r.Owner
+		copied.Owner = &owner
 	}
-	c.Waiting, c.Failures = slices.Clone(d.Waiting), slices.Clone(d.Failures)
-	return c
+	copied.Waiting, copied.Failures = slices.Clone(r.Waiting), slices.Clone(r.Failures)
+	return copied
 }
 
-// ProcessName is the name of the process whose run is who.
-func ProcessName(who string) string {
-	name, _, _ := strings.Cut(who, "#")
+// ProcessName returns the name in a NAME#RUN.
+func ProcessName(process string) string {
+	name, _, _ := strings.Cut(process, "#")
 	return name
 }
 
 var runPattern = regexp.MustCompile(`^[A-Za-z0-9]{1,32}$`)
 
-// CheckProcess refuses what is no NAME#RUN.
-func CheckProcess(who string) error {
-	name, r, _ := strings.Cut(who, "#")
-	if list.CheckUID(name) != nil || !runPattern.MatchString(r) {
-		return fmt.Errorf("%.60q is no NAME#RUN, of a name as servers have and up to 32 letters and digits", who)
+// CheckProcess returns an error unless process has the form NAME#RUN, which names one run of a process.
+func CheckProcess(process string) error {
+	name, run, _ := strings.Cut(process, "#")
+	if list.CheckUID(name) != nil || !runPattern.MatchString(run) {
+		return fmt.Errorf("%.60q is no NAME#RUN, of a name as servers have and up to 32 letters and digits", process)
 	}
 	return nil
 }
-
-// MinIdle is the shortest time after which duties may be forgotten. What is lost with one is its step and who failed in it.
-const MinIdle = time.Second
--- a/internal/sidecar/state/roles_test.go
+++ b/internal/sidecar/state/roles_test.go
@@ -20,7 +20,7 @@
 }
 
 func owner(m *Machine, name string) string {
-	if h := m.roles.roles[name].Owner; h != nil {
+	if h := m.roles.byName[name].Owner; h != nil {
 		return h.Process
 	}
 	return ""
@@ -92,7 +92,7 @@
 					!(op == EndRoleLeases && c.LeaseTerm == m.roles.leaseTerm && c.Epoch == old.Epoch):
 					t.Fatalf("%s %+v took %s from %v", op, c, d.Name, held)
 				}
-				if op != Campaign && len(d.Waiting) > 0 && d.Owner == nil && old.Owner != nil && m.roles.nextOwner(m.roles.roles[d.Name], now, "") >= 0 {
+				if op != Campaign && len(d.Waiting) > 0 && d.Owner == nil && old.Owner != nil && m.roles.bestCandidate(m.roles.byName[d.Name], now, "") >= 0 {
 					t.Fatalf("%s is free, and %v wait", d.Name, d.Waiting)
 				}
 			}
@@ -105,7 +105,7 @@
 }
 
 func (m *Machine) epoch(name string) int64 {
-	if d := m.roles.roles[name]; d != nil {
+	if d := m.roles.byName[name]; d != nil {
 		return d.Epoch
 	}
 	return 0
@@ -141,13 +141,13 @@
 	if applyRole(m, Release, RoleCall{Name: "p", Process: "h#1", Epoch: 1}); owner(m, "p") != "b#1" {
 		t.Errorf("%s has it, want who carries least and waits longest", owner(m, "p"))
 	}
-	if far("a#1", "x", 99); m.roles.roles["p"].Successor != "a#1" {
+	if far("a#1", "x", 99); m.roles.byName["p"].Successor != "a#1" {
 		t.Error("who is in the room does not get it")
 	}
 	applyRole(m, Release, RoleCall{Name: "p", Process: "b#1", Epoch: 2})
 	now := int64(0)
 	for i := range 4 { // it fails at once whenever it has it; the first time is free
-		d := m.roles.roles["p"]
+		d := m.roles.byName["p"]
 		if owner(m, "p") != "a#1" {
 			t.Fatalf("failure %d: %s has it", i, owner(m, "p"))
 		}
@@ -270,7 +270,7 @@
 	if err := old.CarryOverRoles(m); err != nil || owner(old, "d") != "b#1" || old.epoch("d") != 2 || old.RoleRevision() <= rev || old.LeaseTerm() != m.LeaseTerm()+1 {
 		t.Errorf("%v: %s holds it under %d", err, owner(old, "d"), old.epoch("d"))
 	}
-	if err := backup.CarryOverRoles(New()); err != nil || owner(backup, "d") != "a#1" || backup.epoch("d") <= 1000 || !backup.roles.roles["d"].RenewalBarred {
+	if err := backup.CarryOverRoles(New()); err != nil || owner(backup, "d") != "a#1" || backup.epoch("d") <= 1000 || !backup.roles.byName["d"].RenewalBarred {
 		t.Errorf("%v: %s holds it under %d", err, owner(backup, "d"), backup.epoch("d"))
 	}
 	reread(t, backup)
--- a/internal/sidecar/state/rolesnapshot.go
+++ b/internal/sidecar/state/rolesnapshot.go
@@ -10,7 +10,7 @@
 	"gradeusher.example/gradeusher/internal/sidecar/sealed"
 )
 
-// roleTableSnapshot is the duties in a snapshot.
+// roleTableSnapshot is the role table in a snapshot.
 type roleTableSnapshot struct {
 	Revision       int64  `json:"rev"`
 	LeaseTerm      int64  `json:"office"`
@@ -18,89 +18,118 @@
 	Roles          []Role `json:"all"`
 }
 
-// snapshot is nil where there never was a duty, so that a keeper of before there were any reads the snapshot.
-func (s *roleTable) snapshot() *roleTableSnapshot {
-	if s.revision == 0 {
+// snapshot returns nil before the first change of a role, so that a version without roles can read the snapshot.
+func (t *roleTable) snapshot() *roleTableSnapshot {
+	if t.revision == 0 {
 		return nil
 	}
-	f := &roleTableSnapshot{s.revision, s.leaseTerm, s.forgottenEpoch, nil}
-	for _, name := range slices.Sorted(maps.Keys(s.roles)) {
-		f.Roles = append(f.Roles, s.roles[name].clone())
+	s := &roleTableSnapshot{Revision: t.revision, LeaseTerm: t.leaseTerm, ForgottenEpoch: t.forgottenEpoch}
+	for _, name := range slices.Sorted(maps.Keys(t.byName)) {
+		s.Roles = append(s.Roles, t.byName[name].clone())
 	}
-	return f
+	return s
 }
 
-// restore reads what form wrote. Errors wrap sealed.ErrUnsound.
-func (f *roleTableSnapshot) restore() (roleTable, error) {
-	s := newRoleTable()
-	if f == nil {
-		return s, nil
+// restore reads what snapshot returned. Errors wrap sealed.ErrUnsound.
+func (s *roleTableSnapshot) restore() (roleTable, error) {
+	table := newRoleTable()
+	if s == nil {
+		return table, nil
 	}
-	s.revision, s.leaseTerm, s.forgottenEpoch = f.Revision, f.LeaseTerm, f.ForgottenEpoch
-	for i := range f.Roles {
-		d := f.Roles[i].clone()
-		if err := d.check(f.Revision); err != nil || s.roles[d.Name] != nil {
-			return s, fmt.Errorf("%w: duty %.40q makes no sense or stands twice: %v", sealed.ErrUnsound, d.Name, err)
+	table.revision, table.leaseTerm, table.forgottenEpoch = s.Revision, s.LeaseTerm, s.ForgottenEpoch
+	for i := range s.Roles {
+		role := s.Roles[i].clone()
+		if err := role.check(s.Revision); err != nil {
+			return table, fmt.Errorf("%w: duty %.40q makes no sense: %w", sealed.ErrUnsound, role.Name, err)
 		}
-		s.roles[d.Name] = &d
-		s.index(&d, 1)
+		if table.byName[role.Name] != nil {
+			return table, fmt.Errorf("%w: duty %.40q stands twice", sealed.ErrUnsound, role.Name)
+		}
+		table.byName[role.Name] = &role
+		table.index(&role)
 	}
-	if f.Revision < 1 || f.LeaseTerm < 0 || f.ForgottenEpoch < 0 || len(f.Roles) > MaxRoles || s.waiting > MaxCandidates {
-		return s, fmt.Errorf("%w: %d duties at revision %d", sealed.ErrUnsound, len(f.Roles), f.Revision)
+	numbersValid := s.Revision >= 1 && s.LeaseTerm >= 0 && s.ForgottenEpoch >= 0
+	if !numbersValid || len(s.Roles) > MaxRoles || table.waiting > MaxCandidates {
+		return table, fmt.Errorf("%w: %d duties at revision %d", sealed.ErrUnsound, len(s.Roles), s.Revision)
 	}
-	return s, nil
+	return table, nil
 }
 
-func (d *Role) check(rev int64) error {
-	if err := list.CheckUID(d.Name); err != nil {
+// check returns an error where the role cannot stand in a table of a revision.
+func (r *Role) check(tableRevision int64) error {
+	if err := list.CheckUID(r.Name); err != nil {
 		return err
 	}
-	if d.Epoch < 0 || d.Revision < 0 || d.Revision > rev || d.StepNo < 0 || len(d.Step) > MaxStepBytes || len(d.Waiting) > MaxCandidatesPerRole || len(d.Failures) > maxFailuresPerRole {
-		return fmt.Errorf("epoch %d, revision %d, step %d of %d bytes, %d wait", d.Epoch, d.Revision, d.StepNo, len(d.Step), len(d.Waiting))
+	numbersValid := r.Epoch >= 0 && r.Revision >= 0 && r.Revision <= tableRevision && r.StepNo >= 0
+	sizesValid := len(r.Step) <= MaxStepBytes && len(r.Waiting) <= MaxCandidatesPerRole && len(r.Failures) <= maxFailuresPerRole
+	if !numbersValid || !sizesValid {
+		return fmt.Errorf("epoch %d, revision %d, step %d of %d bytes, %d wait", r.Epoch, r.Revision, r.StepNo, len(r.Step), len(r.Waiting))
 	}
-	seen := map[string]bool{}
-	all := d.Waiting
-	if d.Owner != nil {
-		all = append(all[:len(all):len(all)], *d.Owner)
+	processes := slices.Clone(r.Waiting)
+	if r.Owner != nil {
+		processes = append(processes, *r.Owner)
 	}
-	for _, c := range all {
-		if ms := c.TTLMS; CheckProcess(c.Process) != nil || seen[c.Process] || ms < MinRoleLease.Milliseconds() || ms > MaxRoleLease.Milliseconds() || c.Load < 0 || c.Load > maxLoad {
-			return fmt.Errorf("%.60q with a lease of %d ms", c.Process, ms)
+	seen := map[string]bool{}
+	for _, candidate := range processes {
+		if !candidate.valid() || seen[candidate.Process] {
+			return fmt.Errorf("%.60q with a lease of %d ms", candidate.Process, candidate.TTLMS)
 		}
-		seen[c.Process] = true
+		seen[candidate.Process] = true
 	}
 	return nil
 }
 
-// CarryOverRoles has a state that is taken up again from a backup go on with the duties as they are. Where none are known, as on
-// keepers that lost all, those of the backup are taken, with epochs above all that can have been given since, and whoever
-// held one then has it for a last lease, so that it ends before another gets it. Errors are none of a sound state.
-func (m *Machine) CarryOverRoles(now *Machine) (err error) {
-	if now.roles.revision > 0 {
-		text, err := json.Marshal(now.roles.snapshot())
+func (c *Candidate) valid() bool {
+	leaseValid := c.TTLMS >= MinRoleLease.Milliseconds() && c.TTLMS <= MaxRoleLease.Milliseconds()
+	return CheckProcess(c.Process) == nil && leaseValid && c.Load >= 0 && c.Load <= maxLoad
+}
+
+// CarryOverRoles has a state restored from a backup go on with the roles of the current state, which are newer. Where the current state
+// has none, as on nodes that lost their data, those of the backup are used, under epochs above all that can have been given
+// since; whoever owned a role at the backup has it for a last lease, so that it ends before another process gets the role.
+// Errors do not occur for a state that Apply and ReadSnapshot made.
+func (m *Machine) CarryOverRoles(current *Machine) error {
+	if current.roles.revision > 0 {
+		roles, err := current.roles.copyViaSnapshot()
 		if err != nil {
-			return fmt.Errorf("duties: %w", err)
-		}
-		var f roleTableSnapshot
-		if err := json.Unmarshal(text, &f); err != nil {
-			return fmt.Errorf("duties: %w", err)
-		}
-		if m.roles, err = f.restore(); err != nil {
 			return err
 		}
+		m.roles = roles
 	} else {
-		for _, d := range m.roles.roles {
-			d.Epoch += restoreGap
-			d.RenewalBarred = d.Owner != nil
-		}
-		m.roles.forgottenEpoch += restoreGap
+		m.roles.raiseEpochs()
 	}
-	if m.roles.revision > 0 { // some may have been told changes that this does not know
-		m.roles.revision += restoreGap
-		m.roles.leaseTerm++
-		for _, d := range m.roles.roles {
-			d.Revision = m.roles.revision
-		}
+	if m.roles.revision > 0 {
+		m.roles.startAfterRestore()
 	}
 	return nil
 }
+
+func (t *roleTable) copyViaSnapshot() (roleTable, error) {
+	text, err := json.Marshal(t.snapshot())
+	if err != nil {
+		return roleTable{}, fmt.Errorf("duties: %w", err)
+	}
+	var snapshot roleTableSnapshot
+	if err := json.Unmarshal(text, &snapshot); err != nil {
+		return roleTable{}, fmt.Errorf("duties: %w", err)
+	}
+	return snapshot.restore()
+}
+
+func (t *roleTable) raiseEpochs() {
+	for _, role := range t.byName {
+		role.Epoch += restoreGap
+		role.RenewalBarred = role.Owner != nil
+	}
+	t.forgottenEpoch += restoreGap
+}
+
+// startAfterRestore marks every role as changed, because watches may have seen changes that the restored state lacks, and starts a
+// lease term, which voids ends of leases decided before.
+func (t *roleTable) startAfterRestore() {
+	t.revision += restoreGap
+	t.leaseTerm++
+	for _, role := range t.byName {
+		role.Revision = t.revision
+	}
+}
--- a/internal/sidecar/state/roletable.go
+++ b/internal/sidecar/state/roletable.go
@@ -5,109 +5,136 @@
 	"slices"
 )
 
-// roleTable is all roleTable.
+// roleTable is all singleton roles, with indexes by process.
 //
-// Invariants: an epoch only rises; a process holds a duty or waits for it, not both, and waits once; by and burden say what
-// the roleTable say.
+// Invariants: an epoch only rises; a process owns a role or waits for it, not both, and waits once; waiting, byProcess and burden
+// are what the roles imply. Owners and candidates change in edit only, which keeps the indexes.
 type roleTable struct {
-	revision, leaseTerm int64
-	forgottenEpoch      int64 // the highest epoch of those that were forgotten: whoever comes again goes on above it
-	roles               map[string]*Role
-	waiting             int
-	byProcess           map[string]map[string]bool // names of the duties that a process holds or waits for
-	burden              map[string]int64           // duties that it holds once every handover that is asked is done
+	revision       int64 // rises with each change of a role
+	leaseTerm      int64 // number of the term in which the current leader counts leases
+	forgottenEpoch int64 // the highest epoch of a forgotten role; new roles begin above it, so that no epoch comes twice
+	byName         map[string]*Role
+	waiting        int                        // candidates of all roles
+	byProcess      map[string]map[string]bool // names of the roles that a process owns or waits for
+	burden         map[string]int64           // roles that a process will own once every requested handover is done
 }
 
 func newRoleTable() roleTable {
-	return roleTable{roles: map[string]*Role{}, byProcess: map[string]map[string]bool{}, burden: map[string]int64{}}
+	return roleTable{byName: map[string]*Role{}, byProcess: map[string]map[string]bool{}, burden: map[string]int64{}}
 }
 
-// index adds a duty to what is known by process, or takes it out.
-func (s *roleTable) index(d *Role, sign int64) {
-	note := func(who string) {
-		if sign < 0 {
-			if delete(s.byProcess[who], d.Name); len(s.byProcess[who]) == 0 {
-				delete(s.byProcess, who)
-			}
-			return
-		}
-		if s.byProcess[who] == nil {
-			s.byProcess[who] = map[string]bool{}
-		}
-		s.byProcess[who][d.Name] = true
+// index adds a role to the indexes.
+func (t *roleTable) index(role *Role) {
+	t.waiting += len(role.Waiting)
+	for _, candidate := range role.Waiting {
+		t.link(candidate.Process, role.Name)
+	}
+	if role.Owner != nil {
+		t.link(role.Owner.Process, role.Name)
+		t.addBurden(role.expectedOwner(), 1)
+	}
+}
+
+// unindex takes a role out of the indexes.
+func (t *roleTable) unindex(role *Role) {
+	t.waiting -= len(role.Waiting)
+	for _, candidate := range role.Waiting {
+		t.unlink(candidate.Process, role.Name)
 	}
-	s.waiting += int(sign) * len(d.Waiting)
-	for _, c := range d.Waiting {
-		note(c.Process)
+	if role.Owner != nil {
+		t.unlink(role.Owner.Process, role.Name)
+		t.addBurden(role.expectedOwner(), -1)
+	}
+}
+
+func (t *roleTable) link(process, role string) {
+	if t.byProcess[process] == nil {
+		t.byProcess[process] = map[string]bool{}
 	}
-	if d.Owner == nil {
-		return
+	t.byProcess[process][role] = true
+}
+
+func (t *roleTable) unlink(process, role string) {
+	delete(t.byProcess[process], role)
+	if len(t.byProcess[process]) == 0 {
+		delete(t.byProcess, process)
 	}
-	note(d.Owner.Process)
-	who := d.Owner.Process
-	if d.HandoverRequested && d.Successor != "" {
-		who = d.Successor
+}
+
+func (t *roleTable) addBurden(process string, roles int64) {
+	t.burden[process] += roles
+	if t.burden[process] == 0 {
+		delete(t.burden, process)
 	}
-	if s.burden[who] += sign; s.burden[who] == 0 {
-		delete(s.burden, who)
+}
+
+// expectedOwner returns the owner after a requested handover, where its successor is known, and the owner otherwise.
+func (r *Role) expectedOwner() string {
+	if r.HandoverRequested && r.Successor != "" {
+		return r.Successor
 	}
+	return r.Owner.Process
 }
 
-// edit changes a duty.
-func (s *roleTable) edit(d *Role, do func()) {
-	s.index(d, -1)
-	do()
-	s.index(d, 1)
-	s.revision++
-	d.Revision = s.revision
+// edit changes a role and gives it the next revision.
+func (t *roleTable) edit(role *Role, change func()) {
+	t.unindex(role)
+	change()
+	t.index(role)
+	t.revision++
+	role.Revision = t.revision
 }
 
-// RoleRevision rises with each change of a duty.
+// RoleRevision returns the revision of the role table, which rises with each change of a role.
 func (m *Machine) RoleRevision() int64 { return m.roles.revision }
 
-// LeaseTerm is the number under which leases are counted.
+// LeaseTerm returns the number of the term in which leases of roles are counted. Ends of leases that an earlier term counted are void.
 func (m *Machine) LeaseTerm() int64 { return m.roles.leaseTerm }
 
-// RolesSince are all duties that changed after a revision, by name.
-func (m *Machine) RolesSince(after int64) []Role {
-	var all []Role
-	for _, name := range slices.Sorted(maps.Keys(m.roles.roles)) {
-		if d := m.roles.roles[name]; d.Revision > after {
-			all = append(all, d.clone())
+// RolesSince returns copies of the roles that changed after a revision, by name.
+func (m *Machine) RolesSince(revision int64) []Role {
+	var roles []Role
+	for _, name := range slices.Sorted(maps.Keys(m.roles.byName)) {
+		if role := m.roles.byName[name]; role.Revision > revision {
+			roles = append(roles, role.clone())
 		}
 	}
-	return all
+	return roles
 }
 
-// RolesOf are the duties that a process holds or waits for, by name.
-func (m *Machine) RolesOf(who string) []Role {
-	all := make([]Role, 0, len(m.roles.byProcess[who]))
-	for _, name := range slices.Sorted(maps.Keys(m.roles.byProcess[who])) {
-		all = append(all, m.roles.roles[name].clone())
+// RolesOf returns copies of the roles that a process (NAME#RUN) owns or waits for, by name.
+func (m *Machine) RolesOf(process string) []Role {
+	roles := make([]Role, 0, len(m.roles.byProcess[process]))
+	for _, name := range slices.Sorted(maps.Keys(m.roles.byProcess[process])) {
+		roles = append(roles, m.roles.byName[name].clone())
 	}
-	return all
+	return roles
 }
 
-// Role is one of a name.
+// Role returns a copy of a role, and whether there is one of the name.
 func (m *Machine) Role(name string) (Role, bool) {
-	d, ok := m.roles.roles[name]
+	role, ok := m.roles.byName[name]
 	if !ok {
 		return Role{}, false
 	}
-	return d.clone(), true
+	return role.clone(), true
 }
 
-// EachRole calls do with each duty, in no order. It must neither be changed nor kept.
-func (m *Machine) EachRole(do func(*Role)) {
-	for _, d := range m.roles.roles {
-		do(d)
+// EachRole calls visit with each role, in no order. The role must neither be changed nor be used after visit returns.
+func (m *Machine) EachRole(visit func(*Role)) {
+	for _, role := range m.roles.byName {
+		visit(role)
 	}
 }
 
-// DueRoles are duties without a holder that one who waits could have at a time, a batch at most.
-func (m *Machine) DueRoles(nowMS int64) (names []string) {
-	for name, d := range m.roles.roles {
-		if d.Owner == nil && len(d.Waiting) > 0 && len(names) < maxRoleBatch && m.roles.nextOwner(d, nowMS, "") >= 0 {
+// DueRoles returns the names of free roles that a candidate could own at a time (Unix ms), one batch at most, by name.
+func (m *Machine) DueRoles(nowMS int64) []string {
+	var names []string
+	for name, role := range m.roles.byName {
+		if len(names) == maxRoleBatch {
+			break
+		}
+		if role.Owner == nil && m.roles.bestCandidate(role, nowMS, "") >= 0 {
 			names = append(names, name)
 		}
 	}
--- a/internal/sidecar/state/routes.go
+++ b/internal/sidecar/state/routes.go
@@ -10,108 +10,134 @@
 
 // Bounds of the route table's history.
 const (
-	MaxGenerations       = 4096    // that a diff can begin from, besides the last
-	MaxRouteHistoryBytes = 8 << 20 // of the steps between them, in JSON
+	MaxGenerations       = 4096    // earlier generations from which a diff can lead to the current one
+	MaxRouteHistoryBytes = 8 << 20 // of the steps between generations, in JSON
 )
 
 // routeStep leads from a generation back to the one before it.
 type routeStep struct {
 	Generation int64       `json:"gen"`
 	Back       []routes.Op `json:"back"`
-	bytes      int
+	bytes      int         // of Back in JSON
 }
 
-// routeHistory is the route table by generations.
+// routeHistory is the current route table and the steps back to earlier generations.
 //
 // Invariants: the generation only rises, by one with each table that differs from the one before; the steps are those of the
-// last generations without a gap, up to the last. Generation 0 is the empty table that nobody has put.
+// latest generations without a gap, up to the current one. Generation 0 is the empty table before the first SetRoutes.
 type routeHistory struct {
 	generation int64
 	table      routes.Table // never changed in place
 	steps      []routeStep
-	stepBytes  int // of the steps, in bytes
+	stepBytes  int // sum over steps
 }
 
-// Generation is the number of the route table.
+// Generation returns the generation of the current route table.
 func (m *Machine) Generation() int64 { return m.routing.generation }
 
-// OldestGeneration is the lowest generation that Routes knows.
-func (m *Machine) OldestGeneration() int64 { return m.routing.generation - int64(len(m.routing.steps)) }
+// OldestGeneration returns the lowest generation that RoutesAt knows.
+func (m *Machine) OldestGeneration() int64 { return m.routing.oldest() }
 
-// RoutesAt is the route table of a generation. It tells false where that is not known: it lies ahead, or too far back. The table
-// must not be changed.
-func (m *Machine) RoutesAt(gen int64) (routes.Table, bool) {
-	r := &m.routing
-	if gen > r.generation || gen < m.OldestGeneration() {
+// RoutesAt returns the route table of a generation. It returns false where the generation lies ahead, or further back than the history
+// reaches. The caller must not change the table.
+func (m *Machine) RoutesAt(generation int64) (routes.Table, bool) { return m.routing.at(generation) }
+
+func (h *routeHistory) oldest() int64 { return h.generation - int64(len(h.steps)) }
+
+func (h *routeHistory) at(generation int64) (routes.Table, bool) {
+	if generation > h.generation || generation < h.oldest() {
 		return nil, false
 	}
 	var back [][]routes.Op
-	for i := len(r.steps) - 1; i >= 0 && r.steps[i].Generation > gen; i-- {
-		back = append(back, r.steps[i].Back)
+	for i := len(h.steps) - 1; i >= 0 && h.steps[i].Generation > generation; i-- {
+		back = append(back, h.steps[i].Back)
 	}
 	if len(back) == 0 {
-		return r.table, true
+		return h.table, true
 	}
-	t, err := routes.Apply(r.table, routes.Join(back...))
-	return t, err == nil
+	table, err := routes.Apply(h.table, routes.Join(back...))
+	return table, err == nil
 }
 
-// setRoutes puts a table in the place of the one that is there. The same makes no new generation.
-func (m *Machine) setRoutes(c Command) (result Result) {
-	r := &m.routing
-	result.Generation = r.generation
-	if c.Expect != nil && *c.Expect != r.generation {
-		result.Err = refuse(Conflict, "the route table is at generation %d, not %d", r.generation, *c.Expect)
+// setRoutes replaces the route table. A table equal to the current one makes no new generation.
+func (m *Machine) setRoutes(command Command) Result {
+	history := &m.routing
+	result := Result{Generation: history.generation}
+	var ops []routes.Op
+	ops, result.BaseMoved, result.Err = history.operations(command)
+	if result.Err != nil || len(ops) == 0 {
 		return result
 	}
-	ops := c.Ops
-	if c.Base == nil {
-		if err := c.Rules.Check(); err != nil {
-			result.Err = refuse(Invalid, "%v", err)
-			return result
-		}
-		ops = routes.Diff(r.table, c.Rules.Canonical())
-	} else if result.BaseMoved = *c.Base != r.generation; result.BaseMoved {
-		result.Err = refuse(Conflict, "the route table is at generation %d, not %d", r.generation, *c.Base)
+	if err := history.advance(ops); err != nil {
+		result.Err = refuse(Invalid, "%v", err)
 		return result
 	}
-	if len(ops) == 0 {
-		return result
+	result.Generation, result.RoutesChanged = history.generation, true
+	return result
+}
+
+// operations returns the operations that lead from the current table to the one of a command, and whether the command was refused
+// because its base is not the current generation.
+func (h *routeHistory) operations(c Command) (ops []routes.Op, baseMoved bool, refusal *Error) {
+	switch {
+	case c.Expect != nil && *c.Expect != h.generation:
+		return nil, false, refuse(Conflict, "the route table is at generation %d, not %d", h.generation, *c.Expect)
+	case c.Base != nil && *c.Base != h.generation:
+		return nil, true, refuse(Conflict, "the route table is at generation %d, not %d", h.generation, *c.Base)
+	case c.Base != nil:
+		return c.Ops, false, nil
 	}
-	// The rules that stay are shared with the table before, which watchers may hold for a while.
-	next, err := routes.Apply(r.table, ops)
+	if err := c.Rules.Check(); err != nil {
+		return nil, false, refuse(Invalid, "%v", err)
+	}
+	return routes.Diff(h.table, c.Rules.Canonical()), false, nil
+}
+
+// advance makes the next generation. Where it fails, nothing changed.
+func (h *routeHistory) advance(ops []routes.Op) error {
+	// Unchanged rules are shared with the table before, which watches may still use.
+	next, err := routes.Apply(h.table, ops)
 	if err != nil {
-		result.Err = refuse(Invalid, "%v", err)
-		return result
+		return err
 	}
-	back, err := routes.Invert(r.table, ops)
-	text, bad := json.Marshal(back)
-	if err != nil || bad != nil { // tables that were checked have diffs that fit; whoever held the old one gets the whole
-		r.steps, r.stepBytes = nil, 0
-	} else {
-		r.steps, r.stepBytes = append(r.steps, routeStep{r.generation + 1, back, len(text)}), r.stepBytes+len(text)
+	h.addStep(ops)
+	h.generation, h.table = h.generation+1, next.Canonical()
+	h.trim()
+	return nil
+}
+
+// addStep records how to get back from the next generation. The operations fit a checked table, so that inverting them does not fail;
+// if it did, the history would begin anew, and every subscriber get the whole table.
+func (h *routeHistory) addStep(ops []routes.Op) {
+	back, err := routes.Invert(h.table, ops)
+	if err != nil {
+		h.steps, h.stepBytes = nil, 0
+		return
 	}
-	r.generation, r.table = r.generation+1, next.Canonical()
-	r.trim()
-	result.Generation, result.RoutesChanged = r.generation, true
-	return result
+	text, err := json.Marshal(back)
+	if err != nil {
+		h.steps, h.stepBytes = nil, 0
+		return
+	}
+	h.steps = append(h.steps, routeStep{h.generation + 1, back, len(text)})
+	h.stepBytes += len(text)
 }
 
-// trim forgets the oldest steps over the bounds.
-func (r *routeHistory) trim() {
-	n := 0
-	for ; len(r.steps)-n > MaxGenerations || r.stepBytes > MaxRouteHistoryBytes; n++ {
-		r.stepBytes -= r.steps[n].bytes
+// trim drops the oldest steps until the history is within its bounds.
+func (h *routeHistory) trim() {
+	dropped := 0
+	for ; len(h.steps)-dropped > MaxGenerations || h.stepBytes > MaxRouteHistoryBytes; dropped++ {
+		h.stepBytes -= h.steps[dropped].bytes
 	}
-	if n > 0 {
-		r.steps = append([]routeStep(nil), r.steps[n:]...)
+	if dropped > 0 {
+		h.steps = append([]routeStep(nil), h.steps[dropped:]...)
 	}
 }
 
-// raiseGeneration lifts the generation of a table that is taken up again from a backup above all that was shown since, as Machine.Raise
-// does the revision. Danger: a generation that two tables had would be taken for the one that a sidecar holds.
-func (r *routeHistory) raiseGeneration(floor int64) {
-	r.generation, r.steps, r.stepBytes = max(r.generation+1, floor), nil, 0
+// raiseGeneration lifts the generation of a table restored from a backup to at least floor, above all that were published since. A
+// generation that two tables had would be taken for the one that a sidecar already has.
+func (h *routeHistory) raiseGeneration(floor int64) {
+	h.generation, h.steps, h.stepBytes = max(h.generation+1, floor), nil, 0
 }
 
 // routeHistorySnapshot is the route table in a snapshot.
@@ -121,37 +147,37 @@
 	Steps      []routeStep  `json:"steps"`
 }
 
-// snapshot is nil where no table was ever put, so that a keeper of before there were any reads the snapshot.
-func (r *routeHistory) snapshot() *routeHistorySnapshot {
-	if r.generation == 0 {
+// snapshot returns nil before the first SetRoutes, so that a version without routes can read the snapshot.
+func (h *routeHistory) snapshot() *routeHistorySnapshot {
+	if h.generation == 0 {
 		return nil
 	}
-	return &routeHistorySnapshot{r.generation, r.table, r.steps}
+	return &routeHistorySnapshot{h.generation, h.table, h.steps}
 }
 
-// restore reads what form wrote. Errors wrap sealed.ErrUnsound.
-func (f *routeHistorySnapshot) restore() (r routeHistory, err error) {
-	if f == nil {
+// restore reads what snapshot returned. Errors wrap sealed.ErrUnsound.
+func (s *routeHistorySnapshot) restore() (routeHistory, error) {
+	if s == nil {
 		return routeHistory{}, nil
 	}
-	if err := f.Rules.Check(); err != nil {
-		return r, fmt.Errorf("%w: routes: %w", sealed.ErrUnsound, err)
+	if err := s.Rules.Check(); err != nil {
+		return routeHistory{}, fmt.Errorf("%w: routes: %w", sealed.ErrUnsound, err)
 	}
-	r = routeHistory{generation: f.Generation, table: f.Rules, steps: f.Steps}
-	for i := range r.steps {
-		s := &r.steps[i]
-		if want := f.Generation - int64(len(f.Steps)) + int64(i) + 1; s.Generation != want || want < 1 {
-			return r, fmt.Errorf("%w: routes: generation %d stands in the place of %d", sealed.ErrUnsound, s.Generation, want)
+	history := routeHistory{generation: s.Generation, table: s.Rules, steps: s.Steps}
+	for i := range history.steps {
+		step := &history.steps[i]
+		if want := history.oldest() + int64(i) + 1; step.Generation != want || want < 1 {
+			return routeHistory{}, fmt.Errorf("%w: routes: generation %d stands in the place of %d", sealed.ErrUnsound, step.Generation, want)
 		}
-		text, err := json.Marshal(s.Back)
+		text, err := json.Marshal(step.Back)
 		if err != nil {
-			return r, fmt.Errorf("%w: routes: %w", sealed.ErrUnsound, err)
+			return routeHistory{}, fmt.Errorf("%w: routes: %w", sealed.ErrUnsound, err)
 		}
-		s.bytes = len(text)
-		r.stepBytes += s.bytes
+		step.bytes = len(text)
+		history.stepBytes += step.bytes
 	}
-	if f.Generation < 1 || len(f.Steps) > MaxGenerations || r.stepBytes > MaxRouteHistoryBytes {
-		return r, fmt.Errorf("%w: routes: generation %d with %d steps of %d bytes", sealed.ErrUnsound, f.Generation, len(f.Steps), r.stepBytes)
+	if s.Generation < 1 || len(s.Steps) > MaxGenerations || history.stepBytes > MaxRouteHistoryBytes {
+		return routeHistory{}, fmt.Errorf("%w: routes: generation %d with %d steps of %d bytes", sealed.ErrUnsound, s.Generation, len(s.Steps), history.stepBytes)
 	}
-	return r, nil
+	return history, nil
 }
--- a/internal/sidecar/state/snapshot.go
+++ b/internal/sidecar/state/snapshot.go
@@ -9,13 +9,22 @@
 	"gradeusher.example/gradeusher/internal/sidecar/sealed"
 )
 
-// snapshotKind is the form of a snapshot. Needs rises only where an older program would lose what matters: where there are
-// routes, or duties.
-var snapshotKind = sealed.Kind{Magic: "gradeusher-state", Form: 3, Needs: 1}
+// The forms of a snapshot. Each added a part that earlier versions pass over.
+const (
+	formServers = 1
+	formRoutes  = 2
+	formRoles   = 3
+)
+
+// snapshotKind is the kind of a snapshot without routes and roles, which the first version can read. Needs rises only where an earlier
+// version would lose what matters: where there are routes or roles.
+var snapshotKind = sealed.Kind{Magic: "gradeusher-state", Form: formRoles, Needs: formServers}
 
-// MaxSnapshotBytes bounds a snapshot, in bytes. A full state (MaxServers, MaxHistory, MaxRouteHistoryBytes, MaxRoles, MaxCandidates) takes some 65 MB.
+// MaxSnapshotBytes bounds a snapshot. A full state (MaxServers, MaxHistory, MaxRouteHistoryBytes, MaxRoles, MaxCandidates) takes some
+// 65 MB.
 const MaxSnapshotBytes = 256 << 20
 
+// snapshotBody is the JSON of a snapshot. Its names are stored data and never change.
 type snapshotBody struct {
 	Cluster  string   `json:"cluster"`
 	Revision int64    `json:"rev"`
@@ -24,27 +33,28 @@
 	History  []Change `json:"history"`
 	Nodes    []Node   `json:"keepers"`
 
-	Routes *routeHistorySnapshot `json:"routes,omitempty"` // form 2
-	Roles  *roleTableSnapshot    `json:"duties,omitempty"` // form 3
+	Routes *routeHistorySnapshot `json:"routes,omitempty"` // from formRoutes on
+	Roles  *roleTableSnapshot    `json:"duties,omitempty"` // from formRoles on
 }
 
-// Snapshot is the whole state as bytes: a line with the form and a checksum, and JSON.
+// Snapshot returns the whole state as a sealed file: a line with the form and a checksum, and JSON. The same state gives the same bytes.
 func (m *Machine) Snapshot() ([]byte, error) {
-	body, err := json.Marshal(snapshotBody{m.cluster, m.revision, m.lastLease, m.Entries(), m.history, m.Nodes(), m.routing.snapshot(), m.roles.snapshot()})
+	body, err := json.Marshal(snapshotBody{Cluster: m.cluster, Revision: m.revision, Lease: m.lastLease, Entries: m.Entries(), History: m.history,
+		Nodes: m.Nodes(), Routes: m.routing.snapshot(), Roles: m.roles.snapshot()})
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	k := snapshotKind
+	kind := snapshotKind
 	if m.routing.generation > 0 {
-		k.Needs = 2
+		kind.Needs = formRoutes
 	}
 	if m.roles.revision > 0 {
-		k.Needs = 3
+		kind.Needs = formRoles
 	}
-	return k.Seal(body), nil
+	return kind.Seal(body), nil
 }
 
-// ReadSnapshot reads what Snapshot wrote. Errors wrap sealed.ErrUnsound, or are the reader's.
+// ReadSnapshot reads what Snapshot returned. Errors wrap sealed.ErrUnsound, or come from the reader.
 func ReadSnapshot(from io.Reader) (*Machine, error) {
 	text, err := io.ReadAll(io.LimitReader(from, MaxSnapshotBytes+1))
 	if err != nil {
@@ -58,45 +68,65 @@
 	if err := json.Unmarshal(body, &s); err != nil {
 		return nil, fmt.Errorf("%w: %w", sealed.ErrUnsound, err)
 	}
+	return s.restore()
+}
+
+// restore makes the state machine. Errors wrap sealed.ErrUnsound.
+func (s *snapshotBody) restore() (*Machine, error) {
 	if s.Revision < 0 || s.Lease < 0 {
 		return nil, fmt.Errorf("%w: revision %d, lease %d", sealed.ErrUnsound, s.Revision, s.Lease)
 	}
 	m := New()
 	m.cluster, m.revision, m.lastLease, m.history = s.Cluster, s.Revision, s.Lease, s.History
+	var err error
 	if m.routing, err = s.Routes.restore(); err != nil {
 		return nil, err
 	}
 	if m.roles, err = s.Roles.restore(); err != nil {
 		return nil, err
 	}
-	for _, k := range s.Nodes {
-		m.nodes[k.Name] = k
+	for _, node := range s.Nodes {
+		m.nodes[node.Name] = node
+	}
+	if err := m.restoreEntries(s.Entries); err != nil {
+		return nil, err
+	}
+	if err := m.checkHistory(); err != nil {
+		return nil, err
 	}
-	for i := range s.Entries {
-		e := s.Entries[i]
-		if err := e.Target.Check(); err != nil {
-			return nil, fmt.Errorf("%w: %w", sealed.ErrUnsound, err)
+	return m, nil
+}
+
+func (m *Machine) restoreEntries(entries []Entry) error {
+	for i := range entries {
+		entry := entries[i]
+		if err := entry.Target.Check(); err != nil {
+			return fmt.Errorf("%w: %w", sealed.ErrUnsound, err)
 		}
-		if m.entries[e.UID] != nil || e.Revision > m.revision || e.Lease > m.lastLease {
-			return nil, fmt.Errorf("%w: the entry of %s makes no sense", sealed.ErrUnsound, e.UID)
+		if m.entries[entry.UID] != nil || entry.Revision > m.revision || entry.Lease > m.lastLease {
+			return fmt.Errorf("%w: the entry of %s makes no sense", sealed.ErrUnsound, entry.UID)
 		}
-		m.entries[e.UID] = &e
+		m.entries[entry.UID] = &entry
 	}
-	for i, c := range m.history {
-		if want := m.revision - int64(len(m.history)) + int64(i) + 1; c.Revision != want || want < 1 {
-			return nil, fmt.Errorf("%w: revision %d stands in the place of %d", sealed.ErrUnsound, c.Revision, want)
+	return nil
+}
+
+// checkHistory returns an error where the history has a gap or does not end with the revision.
+func (m *Machine) checkHistory() error {
+	for i, change := range m.history {
+		if want := m.OldestRevision() + int64(i) + 1; change.Revision != want || want < 1 {
+			return fmt.Errorf("%w: revision %d stands in the place of %d", sealed.ErrUnsound, change.Revision, want)
 		}
 	}
-	return m, nil
+	return nil
 }
 
-// RaiseRevision lifts the revision of a state that is taken up again from a backup to at least floor, above all that was shown since
-// the backup. The history ends there, so every watch that goes on gets the whole list. Servers with leases are not sure to
-// be there until they register.
+// RaiseRevision lifts the revision and the generation of a state restored from a backup to at least floor, above all that were published
+// since. The history ends there, so that every watch that resumes gets the whole list. Servers with leases are marked until they register.
 func (m *Machine) RaiseRevision(floor int64) {
-	for _, e := range m.entries {
-		if e.LeaseMS != 0 && e.State == list.Serving {
-			e.Reason = Restored
+	for _, entry := range m.entries {
+		if entry.LeaseMS != 0 && entry.State == list.Serving {
+			entry.Reason = RestoredFromBackup
 		}
 	}
 	m.revision = max(m.revision+1, floor)
--- a/internal/sidecar/state/state.go
+++ b/internal/sidecar/state/state.go
@@ -1,170 +1,93 @@
-// Package state is the one state machine that all keepers share: commands in, changes out. It has no I/O and no clock, and
-// the same commands in the same order leave the same state to the byte.
+// Package state is the replicated state machine of the registry: the list of servers, the route table, the singleton roles and the
+// addresses of the registry nodes. Every node applies the same commands in the order of the raft log and must come to the same
+// state, byte for byte; so the package does no I/O, reads no clock and never lets the order of a map decide. Times that a decision
+// needs stand in the commands.
 //
-// Invariants: the revision only rises, by one with each change; a server is on the list in one entry; the history holds the
-// last changes without a gap, up to the revision; a refused command changes nothing.
+// Terms: an entry is a server with its lease; the revision counts changes of the list; the history is the list's latest changes,
+// from which a watch resumes; a generation is a version of the route table; a role is work that one process does at a time
+// (docs/duties.md).
+//
+// Invariants: the revision only rises, by one with each change; a server has one entry; the history has no gap and reaches up to the
+// revision; a refused command changes nothing. The types routeHistory and roleTable state those of routes and roles.
 package state
 
 import (
-	"encoding/json"
-	"fmt"
+	"cmp"
 	"maps"
 	"slices"
-	"sort"
 
-	"gradeusher.example/gradeusher/balance/routes"
 	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
-// Bounds of the state. They are the same at all keepers, or these would differ on what they refuse.
+// Bounds of the state. They are part of the state machine: nodes with other bounds would refuse other commands and diverge.
 const (
 	MaxServers = 20_000
-	MaxHistory = 10_000 // changes that a watch can go on from, at least; historySlack more at most
+	MaxHistory = 10_000 // changes from which a watch can surely resume; the history has up to historySlack more
 	MaxBatch   = 512    // servers in one command
 	maxNodes   = 9
 
-	historySlack = 1024
-)
-
-// Op is what a command does.
-type Op string
-
-// The commands.
-const (
-	FoundCluster  Op = "found"    // gives the cluster its id, once
-	Register      Op = "register" // servers come, or a process comes again
-	Drain         Op = "drain"    // a server is to get no new work; stays so until its process is replaced or it serves again
-	Serve         Op = "serve"    // ends that
-	Deregister    Op = "leave"    // a server goes
-	ExpireServers Op = "expire"   // leases have ended
-	SetNode       Op = "member"   // where a keeper answers
-	RemoveNode    Op = "unmember" // a keeper is gone
-	SetRoutes     Op = "routes"   // another route table
+	historySlack = 1024 // changes beyond MaxHistory that may pile up before the history is cut, so that it is copied rarely
 )
 
-// Command is one step of the log. Fields that an Op does not name are not looked at, nor are unknown ones.
-type Command struct {
-	Op      Op                  `json:"op"`
-	Servers []list.Registration `json:"servers,omitempty"` // register
-	UID     string              `json:"uid,omitempty"`     // drain, serve, leave
-	Expect  *int64              `json:"expect,omitempty"`  // register of one, drain, serve, leave: the entry's revision must be this; 0: it must not be there. routes: the generation
-	Expired []ExpiredLease      `json:"ended,omitempty"`   // expire
-	Cluster string              `json:"cluster,omitempty"` // found
-	Node    *Node               `json:"keeper,omitempty"`  // member, unmember (its name)
-	Rules   routes.Table        `json:"rules,omitempty"`   // routes; none: the empty table, unless there is a base
-	Base    *int64              `json:"base,omitempty"`    // routes: in place of Rules, Ops lead there from this generation
-	Ops     []routes.Op         `json:"ops,omitempty"`     // routes
-	Role    *RoleCall           `json:"duty,omitempty"`    // of duties
-}
-
-// ExpiredLease names a lease that has ended. One that was granted anew since then is left alone.
-type ExpiredLease struct {
-	UID   string `json:"uid"`
-	Lease int64  `json:"lease"`
-}
-
-// Node is where a keeper answers.
-type Node struct {
-	Name        string `json:"name"`
-	HTTPAddress string `json:"http,omitempty"`
-}
-
-// Why a server drains.
+// The values of Entry.Reason.
 const (
-	DrainRequested = "asked" // somebody wants it
-	LeaseExpired   = "lease" // it did not renew
+	DrainRequested = "asked" // an operator or the server itself asked that it drain
+	LeaseExpired   = "lease" // it drains because it did not renew its lease
 
-	// Restored is why a server that serves is not sure to: it is from a backup, and its process has not said anything since.
-	// It has to register again, which is a change, so that everybody learns of it.
-	Restored = "restored"
+	// RestoredFromBackup marks a serving server whose process has not registered since the state was restored from a backup. Its
+	// registration is a change, so that every watch learns that it is alive.
+	RestoredFromBackup = "restored"
 )
 
 // Entry is one server of the list.
 type Entry struct {
 	list.Registration
-	Lease    int64  `json:"lease"`         // rises with each grant of a lease to anybody: its fencing token
-	Revision int64  `json:"rev"`           // of its last change
-	Reason   string `json:"why,omitempty"` // it drains, or is not sure to be there
+	Lease    int64  `json:"lease"`         // fencing token: rises with each grant of a lease to any server
+	Revision int64  `json:"rev"`           // that of its last change
+	Reason   string `json:"why,omitempty"` // why it drains, or RestoredFromBackup
 }
 
-// Change is one step of the list.
+// Change is one change of the list.
 type Change struct {
 	Revision int64       `json:"rev"`
 	Target   list.Target `json:"target"`
 }
 
-// Code says what kind of refusal an Error is.
-type Code string
-
-// The kinds of refusals.
-const (
-	Invalid      Code = "bad"      // it makes no sense
-	Conflict     Code = "conflict" // it does not fit what is there
-	NotFound     Code = "unknown"  // it names what is not there
-	LimitReached Code = "full"     // a bound is reached
-)
-
-// Error is why a command was refused. Nothing of it was applied.
-type Error struct {
-	Code   Code   `json:"code"`
-	Reason string `json:"reason"`
-}
-
-func (e *Error) Error() string { return e.Reason }
-
-func refuse(code Code, form string, args ...any) *Error {
-	return &Error{code, fmt.Sprintf(form, args...)}
-}
-
-// Result is what became of a command.
-type Result struct {
-	Revision      int64    // of the last change to what the command names, or of the list where it names nothing; of an Office its number
-	Changes       []Change // what it changed, in order
-	Generation    int64    // of routes: of the table that is there now
-	RoutesChanged bool     // that is a new one
-	BaseMoved     bool     // it was refused because the base is no longer the last generation
-	Role          *Role    // of duties: the one named, as it is now
-	RolesChanged  bool     // a duty may have changed
-	Err           *Error   // it was refused
-}
-
-// Machine is the state.
+// Machine is the state machine. It is not safe for concurrent use.
 type Machine struct {
 	cluster   string
 	revision  int64
-	lastLease int64 // the last that was granted
+	lastLease int64 // the fencing token of the latest grant
 	entries   map[string]*Entry
-	history   []Change // the last is that of rev; empty after a restore
+	history   []Change // ends with the change of revision; empty after a restore
 	nodes     map[string]Node
 	routing   routeHistory
 	roles     roleTable
 }
 
-// New is a state in which nothing has happened.
+// New returns the state before the first command.
 func New() *Machine {
 	return &Machine{entries: map[string]*Entry{}, nodes: map[string]Node{}, roles: newRoleTable()}
 }
 
-// Cluster is the id of the cluster whose state this is; "": it has none yet.
+// Cluster returns the id of the cluster, or "" before FoundCluster.
 func (m *Machine) Cluster() string { return m.cluster }
 
-// Revision is the revision of the list.
+// Revision returns the revision of the list.
 func (m *Machine) Revision() int64 { return m.revision }
 
-// Len is the number of servers.
+// Len returns the number of servers.
 func (m *Machine) Len() int { return len(m.entries) }
 
-// OldestRevision is the lowest revision from which Since knows all changes.
+// OldestRevision returns the lowest revision from which ChangesSince knows all changes.
 func (m *Machine) OldestRevision() int64 { return m.revision - int64(len(m.history)) }
 
-// Nodes are the keepers that said where they answer, by name.
+// Nodes returns the registry nodes that have recorded their address, by name.
 func (m *Machine) Nodes() []Node {
-	all := slices.Collect(maps.Values(m.nodes))
-	sort.Slice(all, func(i, j int) bool { return all[i].Name < all[j].Name })
-	return all
+	return slices.SortedFunc(maps.Values(m.nodes), func(a, b Node) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Entry is a server's entry.
+// Entry returns the entry of a server, and whether there is one.
 func (m *Machine) Entry(uid string) (Entry, bool) {
 	e, ok := m.entries[uid]
 	if !ok {
@@ -173,130 +96,136 @@
 	return *e, true
 }
 
-// Entries are all servers, by uid.
+// Entries returns all entries, by uid.
 func (m *Machine) Entries() []Entry {
-	all := make([]Entry, 0, len(m.entries))
+	entries := make([]Entry, 0, len(m.entries))
 	for _, uid := range slices.Sorted(maps.Keys(m.entries)) {
-		all = append(all, *m.entries[uid])
+		entries = append(entries, *m.entries[uid])
 	}
-	return all
+	return entries
 }
 
-// LeasedEntries are the servers that have leases, by uid.
+// LeasedEntries returns the entries of servers with a lease, by uid.
 func (m *Machine) LeasedEntries() []Entry {
-	var all []Entry
+	var entries []Entry
 	for _, e := range m.entries {
 		if e.LeaseMS != 0 {
-			all = append(all, *e)
+			entries = append(entries, *e)
 		}
 	}
-	sort.Slice(all, func(i, j int) bool { return all[i].UID < all[j].UID })
-	return all
+	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Compare(a.UID, b.UID) })
+	return entries
 }
 
-// Targets is the whole list, by uid.
+// Targets returns the whole list, by uid.
 func (m *Machine) Targets() []list.Target {
-	all := make([]list.Target, 0, len(m.entries))
+	targets := make([]list.Target, 0, len(m.entries))
 	for _, uid := range slices.Sorted(maps.Keys(m.entries)) {
-		all = append(all, m.entries[uid].Target)
+		targets = append(targets, m.entries[uid].Target)
 	}
-	return all
+	return targets
 }
 
-// ChangesSince is what changed after a revision, in order. It tells false where the history does not reach back so far, or the
-// revision lies ahead. The slice must not be changed.
-func (m *Machine) ChangesSince(rev int64) ([]Change, bool) {
-	if rev < m.OldestRevision() || rev > m.revision {
+// ChangesSince returns the changes after a revision, in order. It returns false where the history does not reach back so far or the
+// revision lies ahead. The caller must not change the slice.
+func (m *Machine) ChangesSince(revision int64) ([]Change, bool) {
+	if revision < m.OldestRevision() || revision > m.revision {
 		return nil, false
 	}
-	return m.history[len(m.history)-int(m.revision-rev):], true
+	return m.history[len(m.history)-int(m.revision-revision):], true
 }
 
-// Decode reads a command as the log holds it.
-func Decode(text []byte) (Command, error) {
-	var c Command
-	if err := json.Unmarshal(text, &c); err != nil {
-		return Command{}, fmt.Errorf("command: %w", err)
+// Apply applies a command.
+func (m *Machine) Apply(c Command) Result {
+	result := m.dispatch(c)
+	if result.Revision == 0 {
+		result.Revision = m.revision
 	}
-	return c, nil
+	return result
 }
 
-// Apply takes one step.
-func (m *Machine) Apply(c Command) Result {
-	var r Result
-	switch c.Op {
+func (m *Machine) dispatch(command Command) Result {
+	switch command.Op {
 	case FoundCluster:
-		r.Err = m.foundCluster(c.Cluster)
+		return Result{Err: m.foundCluster(command.Cluster)}
 	case Register:
-		r = m.register(c)
+		return m.register(command)
 	case Drain, Serve, Deregister:
-		r = m.applyServer(c)
+		return m.applyServer(command)
 	case ExpireServers:
-		for _, e := range c.Expired {
-			m.expireLease(e, &r)
-		}
-	case SetNode, RemoveNode:
-		r.Err = m.applyNode(c)
+		return m.expireServers(command.Expired)
+	case SetNode:
+		return Result{Err: m.setNode(command.Node)}
+	case RemoveNode:
+		return Result{Err: m.removeNode(command.Node)}
 	case SetRoutes:
-		r = m.setRoutes(c)
-	case Campaign, Withdraw, Release, Move, Checkpoint, Forget, EndRoleLeases, StartLeaseTerm:
-		call := RoleCall{}
-		if c.Role != nil {
-			call = *c.Role
+		return m.setRoutes(command)
+	case StartLeaseTerm, EndRoleLeases, Campaign, Withdraw, Release, Move, Checkpoint, Forget:
+		var call RoleCall
+		if command.Role != nil {
+			call = *command.Role
 		}
-		r = m.applyRole(c.Op, call)
+		return m.roles.apply(command.Op, call)
 	default:
-		r.Err = refuse(Invalid, "unknown command %.40q", c.Op)
+		return Result{Err: refuse(Invalid, "unknown command %.40q", command.Op)}
 	}
-	if r.Revision == 0 {
-		r.Revision = m.revision
-	}
-	return r
 }
 
+// foundCluster sets the id of the cluster, once: a later command keeps the first id and is no error.
 func (m *Machine) foundCluster(id string) *Error {
-	switch {
-	case id == "" || len(id) > list.MostName:
+	if id == "" || len(id) > list.MostName {
 		return refuse(Invalid, "a cluster needs an id of at most %d bytes", list.MostName)
-	case m.cluster == "":
+	}
+	if m.cluster == "" {
 		m.cluster = id
 	}
 	return nil
 }
 
-func (m *Machine) applyNode(c Command) *Error {
-	switch {
-	case c.Node == nil || c.Node.Name == "" || len(c.Node.Name) > list.MostName:
+func checkNodeName(n *Node) *Error {
+	if n == nil || n.Name == "" || len(n.Name) > list.MostName {
 		return refuse(Invalid, "a keeper needs a name")
-	case c.Op == RemoveNode:
-		delete(m.nodes, c.Node.Name)
-		return nil
 	}
-	if err := list.CheckAddress(c.Node.HTTPAddress); err != nil {
-		return refuse(Invalid, "keeper %s: %v", c.Node.Name, err)
+	return nil
+}
+
+func (m *Machine) setNode(n *Node) *Error {
+	if err := checkNodeName(n); err != nil {
+		return err
+	}
+	if err := list.CheckAddress(n.HTTPAddress); err != nil {
+		return refuse(Invalid, "keeper %s: %v", n.Name, err)
 	}
-	if _, known := m.nodes[c.Node.Name]; !known && len(m.nodes) >= maxNodes {
+	if _, known := m.nodes[n.Name]; !known && len(m.nodes) >= maxNodes {
 		return refuse(LimitReached, "there are %d keepers already", len(m.nodes))
 	}
-	m.nodes[c.Node.Name] = *c.Node
+	m.nodes[n.Name] = *n
+	return nil
+}
+
+func (m *Machine) removeNode(n *Node) *Error {
+	if err := checkNodeName(n); err != nil {
+		return err
+	}
+	delete(m.nodes, n.Name)
 	return nil
 }
 
-// recordChange notes that an entry is now what it is.
-func (m *Machine) recordChange(e *Entry, state list.State, r *Result) {
+// recordChange gives an entry its new state and the next revision, and adds the change to the history and the result.
+func (m *Machine) recordChange(e *Entry, state list.State, result *Result) {
 	m.revision++
 	e.State, e.Revision = state, m.revision
-	c := Change{m.revision, e.Target}
-	m.history = append(m.history, c)
+	change := Change{m.revision, e.Target}
+	m.history = append(m.history, change)
 	if len(m.history) >= MaxHistory+historySlack {
-		// A copy, so that whoever reads the old one goes on with it.
+		// A copy, because readers of ChangesSince may still use the array.
 		m.history = slices.Clone(m.history[len(m.history)-MaxHistory:])
 	}
-	r.Revision, r.Changes = m.revision, append(r.Changes, c)
+	result.Revision, result.Changes = m.revision, append(result.Changes, change)
 }
 
-// grantLease gives a server its lease anew. Danger: without a token of its own, an end of the lease that was decided before
-// would undo it.
+// grantLease gives a server's lease a new fencing token. Without one, an end of the lease that was decided before the renewal and is
+// applied after it would undo the renewal.
 func (m *Machine) grantLease(e *Entry) {
 	m.lastLease++
 	e.Lease = m.lastLease
