--- a/internal/sidecar/registry/config.go
+++ b/internal/sidecar/registry/config.go
@@ -38,20 +38,20 @@
 
 // Limits are what a keeper takes at once. Over one of them it answers 503 with Retry-After.
 type Limits struct {
-	Watchers int `toml:"watchers"`
-	Calls    int `toml:"calls"`        // that are no watches
-	SlowMS   int `toml:"slow_ms"`      // a watcher that does not take what is written to it for so long is cut off
-	BehindMS int `toml:"behind_ms"`    // how long a call waits until this keeper knows a revision that the caller holds
-	BodyKB   int `toml:"body_kb"`      // of a call
-	ReadMS   int `toml:"read_ms"`      // for a call to come whole
-	Starts   int `toml:"starts_per_s"` // watches that begin in a second
+	MaxWatchers          int `toml:"watchers"`
+	MaxCalls             int `toml:"calls"`        // that are no watches
+	SlowWatcherMS        int `toml:"slow_ms"`      // a watcher that does not take what is written to it for so long is cut off
+	CatchUpMS            int `toml:"behind_ms"`    // how long a call waits until this keeper knows a revision that the caller holds
+	MaxBodyKB            int `toml:"body_kb"`      // of a call
+	ReadMS               int `toml:"read_ms"`      // for a call to come whole
+	WatchStartsPerSecond int `toml:"starts_per_s"` // watches that begin in a second
 }
 
 // Leases bound how leases end.
 type Leases struct {
 	GraceMS  int     `toml:"grace_ms"` // a server whose lease has ended drains for so long before it is removed
 	Share    float64 `toml:"share"`    // of the servers with leases, that may end within window_ms
-	Least    int     `toml:"least"`    // that may in any case
+	MinCount int     `toml:"least"`    // that may in any case
 	WindowMS int     `toml:"window_ms"`
 }
 
@@ -66,8 +66,8 @@
 // Defaults is a configuration with all that may be left out.
 func Defaults() Config {
 	return Config{
-		Limits: Limits{Watchers: 6000, Calls: 256, SlowMS: 5000, BehindMS: 2000, BodyKB: 512, ReadMS: 3000, Starts: 2000},
-		Leases: Leases{GraceMS: 10_000, Share: 0.3, Least: 3, WindowMS: 30_000},
+		Limits: Limits{MaxWatchers: 6000, MaxCalls: 256, SlowWatcherMS: 5000, CatchUpMS: 2000, MaxBodyKB: 512, ReadMS: 3000, WatchStartsPerSecond: 2000},
+		Leases: Leases{GraceMS: 10_000, Share: 0.3, MinCount: 3, WindowMS: 30_000},
 		Timing: Timing{HeartbeatMS: 400, SnapshotMS: 20_000, SnapshotAfter: 8192, Trailing: 4096},
 	}
 }
@@ -99,7 +99,7 @@
 	return c, nil
 }
 
-const mostMS = int(time.Hour / time.Millisecond)
+const maxMS = int(time.Hour / time.Millisecond)
 
 func (c *Config) check() error {
 	if err := list.CheckUID(c.Name); err != nil {
@@ -123,12 +123,12 @@
 		key     string
 		v, a, z int
 	}{
-		{"limits.watchers", c.Limits.Watchers, 1, 1 << 20}, {"limits.calls", c.Limits.Calls, 1, 1 << 16},
-		{"limits.slow_ms", c.Limits.SlowMS, 10, mostMS}, {"limits.behind_ms", c.Limits.BehindMS, 0, mostMS},
-		{"limits.body_kb", c.Limits.BodyKB, 1, 1 << 16}, {"limits.read_ms", c.Limits.ReadMS, 10, mostMS},
-		{"limits.starts_per_s", c.Limits.Starts, 1, 1 << 20}, {"leases.grace_ms", c.Leases.GraceMS, 0, mostMS},
-		{"leases.least", c.Leases.Least, 0, 1 << 20}, {"leases.window_ms", c.Leases.WindowMS, 1, mostMS},
-		{"timing.heartbeat_ms", c.Timing.HeartbeatMS, 50, mostMS}, {"timing.snapshot_ms", c.Timing.SnapshotMS, 10, mostMS},
+		{"limits.watchers", c.Limits.MaxWatchers, 1, 1 << 20}, {"limits.calls", c.Limits.MaxCalls, 1, 1 << 16},
+		{"limits.slow_ms", c.Limits.SlowWatcherMS, 10, maxMS}, {"limits.behind_ms", c.Limits.CatchUpMS, 0, maxMS},
+		{"limits.body_kb", c.Limits.MaxBodyKB, 1, 1 << 16}, {"limits.read_ms", c.Limits.ReadMS, 10, maxMS},
+		{"limits.starts_per_s", c.Limits.WatchStartsPerSecond, 1, 1 << 20}, {"leases.grace_ms", c.Leases.GraceMS, 0, maxMS},
+		{"leases.least", c.Leases.MinCount, 0, 1 << 20}, {"leases.window_ms", c.Leases.WindowMS, 1, maxMS},
+		{"timing.heartbeat_ms", c.Timing.HeartbeatMS, 50, maxMS}, {"timing.snapshot_ms", c.Timing.SnapshotMS, 10, maxMS},
 	} {
 		if b.v < b.a || b.v > b.z {
 			return fmt.Errorf("%s: %d is not within %d to %d", b.key, b.v, b.a, b.z)
--- a/internal/sidecar/registry/cuts.go
+++ b/internal/sidecar/registry/cuts.go
@@ -12,14 +12,14 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-// cut says which rules a caller asks for: those that can ever decide for a client with these tags that calls this service.
-type cut struct {
+// routeFilter says which rules a caller asks for: those that can ever decide for a client with these tags that calls this service.
+type routeFilter struct {
 	tags    map[string]string // nil: any client
 	service string            // "": any
 	key     string            // the same for equal cuts, and for no others
 }
 
-func newCut(tags map[string]string, service string) cut {
+func newRouteFilter(tags map[string]string, service string) routeFilter {
 	key := strconv.Quote(service)
 	for _, tag := range slices.Sorted(maps.Keys(tags)) {
 		key += strconv.Quote(tag) + strconv.Quote(tags[tag])
@@ -27,79 +27,79 @@
 	if len(tags) == 0 {
 		tags = nil
 	}
-	return cut{tags, service, key}
+	return routeFilter{tags, service, key}
 }
 
-// view is a generation as one who asks for a cut sees it.
-type view struct {
-	gen   int64
-	table routes.Table
-	hash  string
+// routeView is a generation as one who asks for a cut sees it.
+type routeView struct {
+	generation int64
+	table      routes.Table
+	hash       string
 }
 
-const mostTouched = 256 // ops that are held against a view, before the table is cut anew
+const maxAffectingOps = 256 // ops that are held against a view, before the table is cut anew
 
-// mostCached bounds what cuts hold, in rules of views, of which a full table has 20,000 and each may take 2 kB, and in 100 bytes of text
+// maxViewCacheSize bounds what cuts hold, in rules of views, of which a full table has 20,000 and each may take 2 kB, and in 100 bytes of text
 // and keys.
-const mostCached = 60_000
+const maxViewCacheSize = 60_000
 
-// cuts makes views, and what leads from one to another, once for all who ask. What was made first is forgotten first.
+// viewCache makes views, and what leads from one to another, once for all who ask. What was made first is forgotten first.
 //
 // Generations are never those of two tables, so nothing of it gets old.
-type cuts struct {
-	store *store
-	made  func(kind string) // called for each thing made
-
-	mu    sync.Mutex
-	all   map[cutKey]*cutEntry
-	order []cutKey
-	size  int
+type viewCache struct {
+	store     *store
+	onEncoded func(kind string) // called for each thing made
+
+	mu      sync.Mutex
+	entries map[viewKey]*viewEntry
+	order   []viewKey
+	size    int
 }
 
-type cutKey struct {
+type viewKey struct {
 	from, to int64 // from below 0: the view of to, or the whole of it as text
-	cut      string
+	filter   string
 	text     bool
 }
 
-type cutEntry struct {
-	once  sync.Once
-	view  *view
-	diff  []routes.Op // of whole tables
-	text  []byte
-	err   error
-	sized int
+type viewEntry struct {
+	once sync.Once
+	view *routeView
+	diff []routes.Op // of whole tables
+	text []byte
+	err  error
+	size int
 }
 
-func newCuts(s *store, made func(kind string)) *cuts {
-	return &cuts{store: s, made: made, all: map[cutKey]*cutEntry{}}
+func newViewCache(s *store, made func(kind string)) *viewCache {
+	return &viewCache{store: s, onEncoded: made, entries: map[viewKey]*viewEntry{}}
 }
 
-// get is what a key stands for, made by one of those who ask at once.
-func (c *cuts) get(key cutKey, make func(*cutEntry)) *cutEntry {
+// entry is what a key stands for, made by one of those who ask at once.
+func (c *viewCache) entry(key viewKey, make func(*viewEntry)) *viewEntry {
 	c.mu.Lock()
-	e := c.all[key]
+	e := c.entries[key]
 	if e == nil {
-		e = &cutEntry{}
-		c.all[key], c.order = e, append(c.order, key)
+		e = &viewEntry{}
+		c.entries[key], c.order = e, append(c.order, key)
 	}
 	c.mu.Unlock()
 	e.once.Do(func() {
 		make(e)
-		size := 5 + len(e.diff) + (len(key.cut)+len(e.text))/100
+		size := 5 + len(e.diff) + (len(key.filter)+len(e.text))/100
 		if e.view != nil {
 			size += len(e.view.table)
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.all[key] != e {
+		if c.entries[key] != e {
 			return // it was forgotten meanwhile
 		}
-		e.sized = size
+		e.size = size
 		if c.size += size; e.err != nil {
 			c.forget(key) // what could not be had may be there later
 		}
-		for len(c.order) > 0 && (c.size > mostCached || len(c.order) > len(c.all)) {
+		for len(c.order) > 0 && (c.size > maxViewCacheSize || len(c.order) > len(c.entries)) {
 			c.forget(c.order[0])
 			c.order = c.order[1:]
 		}
@@ -107,21 +107,21 @@
 	return e
 }
 
-func (c *cuts) forget(key cutKey) {
-	if e := c.all[key]; e != nil {
-		c.size -= e.sized
-		delete(c.all, key)
+func (c *viewCache) forget(key viewKey) {
+	if e := c.entries[key]; e != nil {
+		c.size -= e.size
+		delete(c.entries, key)
 	}
 }
 
 var errNoGeneration = fmt.Errorf("that generation is not known")
 
 // view is a generation, cut. It fails where that is not known.
-func (c *cuts) view(gen int64, by cut) (*view, error) {
-	e := c.get(cutKey{from: -1, to: gen, cut: by.key}, func(e *cutEntry) {
-		v := &view{gen: gen}
+func (c *viewCache) view(gen int64, by routeFilter) (*routeView, error) {
+	e := c.entry(viewKey{from: -1, to: gen, filter: by.key}, func(e *viewEntry) {
+		v := &routeView{generation: gen}
 		if by.tags != nil || by.service != "" {
-			whole, err := c.view(gen, newCut(nil, ""))
+			whole, err := c.view(gen, newRouteFilter(nil, ""))
 			if err != nil {
 				e.err = err
 				return
@@ -142,27 +142,27 @@
 
 // next is the view of a later generation for one who holds a view. Where no op between them touches the cut it costs as much as
 // there are ops, whatever the size of the table: most generations then are nothing to most who watch.
-func (c *cuts) next(held *view, gen int64, by cut) (*view, error) {
-	if held == nil || held.gen >= gen || by.tags == nil && by.service == "" {
+func (c *viewCache) next(held *routeView, gen int64, by routeFilter) (*routeView, error) {
+	if held == nil || held.generation >= gen || by.tags == nil && by.service == "" {
 		return c.view(gen, by)
 	}
-	e := c.get(cutKey{from: held.gen, to: gen, cut: newCut(nil, "").key}, func(e *cutEntry) {
-		var from, to *view
-		if from, e.err = c.view(held.gen, newCut(nil, "")); e.err == nil {
-			to, e.err = c.view(gen, newCut(nil, ""))
+	e := c.entry(viewKey{from: held.generation, to: gen, filter: newRouteFilter(nil, "").key}, func(e *viewEntry) {
+		var from, to *routeView
+		if from, e.err = c.view(held.generation, newRouteFilter(nil, "")); e.err == nil {
+			to, e.err = c.view(gen, newRouteFilter(nil, ""))
 		}
 		if e.err == nil {
 			e.diff = routes.Diff(from.table, to.table)
 		}
 	})
-	if e.err != nil || len(e.diff) > mostTouched || slices.ContainsFunc(e.diff, func(op routes.Op) bool { return by.touches(held, op) }) {
+	if e.err != nil || len(e.diff) > maxAffectingOps || slices.ContainsFunc(e.diff, func(op routes.Op) bool { return by.affects(held, op) }) {
 		return c.view(gen, by)
 	}
-	return &view{gen: gen, table: held.table, hash: held.hash}, nil
+	return &routeView{generation: gen, table: held.table, hash: held.hash}, nil
 }
 
-// touches tells whether an op can change a view: it is on a rule of it, or a rule comes that is.
-func (by cut) touches(held *view, op routes.Op) bool {
+// affects tells whether an op can change a view: it is on a rule of it, or a rule comes that is.
+func (by routeFilter) affects(held *routeView, op routes.Op) bool {
 	comes := routes.Table{{Source: op.Source, Service: op.Service}}
 	if op.Kind == routes.Add {
 		comes = routes.Table{op.Rule}
@@ -171,10 +171,10 @@
 		slices.ContainsFunc(held.table, func(r routes.Rule) bool { return r.Name == op.Name })
 }
 
-// rules is a view as JSON.
-func (c *cuts) rules(to *view, by cut) ([]byte, error) {
-	e := c.get(cutKey{from: -1, to: to.gen, cut: by.key, text: true}, func(e *cutEntry) {
-		c.made("whole")
+// encodeRules is a view as JSON.
+func (c *viewCache) encodeRules(to *routeView, by routeFilter) ([]byte, error) {
+	e := c.entry(viewKey{from: -1, to: to.generation, filter: by.key, text: true}, func(e *viewEntry) {
+		c.onEncoded("whole")
 		table := to.table
 		if table == nil {
 			table = routes.Table{}
@@ -184,10 +184,10 @@
 	return e.text, e.err
 }
 
-// ops is what leads from one view to another of the same cut, as JSON.
-func (c *cuts) ops(from, to *view, by cut) ([]byte, error) {
-	e := c.get(cutKey{from: from.gen, to: to.gen, cut: by.key, text: true}, func(e *cutEntry) {
-		c.made("diff")
+// encodeOps is what leads from one view to another of the same cut, as JSON.
+func (c *viewCache) encodeOps(from, to *routeView, by routeFilter) ([]byte, error) {
+	e := c.entry(viewKey{from: from.generation, to: to.generation, filter: by.key, text: true}, func(e *viewEntry) {
+		c.onEncoded("diff")
 		e.text, e.err = json.Marshal(append([]routes.Op{}, routes.Diff(from.table, to.table)...))
 	})
 	return e.text, e.err
--- a/internal/sidecar/registry/duties.go
+++ b/internal/sidecar/registry/duties.go
@@ -12,31 +12,31 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-// proposeDuty has a command of duties agreed on, at the time that it is here, and returns the number that the result has. A restore
+// proposeRoleChange has a command of duties agreed on, at the time that it is here, and returns the number that the result has. A restore
 // that goes on refuses it.
-func (k *Node) proposeDuty(ctx context.Context, op state.Op, c state.RoleCall) (int64, error) {
-	r, err := k.proposeDutyWhole(ctx, op, c)
+func (k *Node) proposeRoleChange(ctx context.Context, op state.Op, c state.RoleCall) (int64, error) {
+	r, err := k.proposeRole(ctx, op, c)
 	return r.Revision, err
 }
 
-func (k *Node) proposeDutyWhole(ctx context.Context, op state.Op, c state.RoleCall) (state.Result, error) {
+func (k *Node) proposeRole(ctx context.Context, op state.Op, c state.RoleCall) (state.Result, error) {
 	// Danger: a duty that is granted while a backup takes the place of the state would be granted again.
 	if !k.restoring.TryRLock() {
-		return state.Result{}, errCrowded
+		return state.Result{}, errTooManyCalls
 	}
 	defer k.restoring.RUnlock()
 	c.NowMS = time.Now().UnixMilli()
 	return k.propose(ctx, state.Command{Op: op, Role: &c})
 }
 
-// dutyWrite is a call that changes a duty.
-func (k *Node) dutyWrite(op state.Op) func(http.ResponseWriter, *http.Request) error {
+// changeRole is a call that changes a duty.
+func (k *Node) changeRole(op state.Op) func(http.ResponseWriter, *http.Request) error {
 	return func(w http.ResponseWriter, r *http.Request) error {
 		var c client.DutyCall
 		if err := decode(r, &c); err != nil {
 			return err
 		}
-		result, err := k.proposeDutyWhole(r.Context(), op, state.RoleCall{Name: r.PathValue("name"), Process: c.Who, Location: c.Room, RoleLocation: c.At, Load: c.Load,
+		result, err := k.proposeRole(r.Context(), op, state.RoleCall{Name: r.PathValue("name"), Process: c.Who, Location: c.Room, RoleLocation: c.At, Load: c.Load,
 			TTLMS: c.TTLMS, Epoch: c.Epoch, Successor: c.To, Rejoin: c.Again, Failed: c.Failed, Force: c.Force, Step: c.Step, StepNo: c.StepNo,
 			IdleRoles: c.Idle, IdleMS: c.IdleMS})
 		if err != nil {
@@ -49,8 +49,8 @@
 	}
 }
 
-// renewDuties begins the leases of all duties of a process anew, and answers all that it holds and waits for.
-func (k *Node) renewDuties(w http.ResponseWriter, r *http.Request) error {
+// renewRoles begins the leases of all duties of a process anew, and answers all that it holds and waits for.
+func (k *Node) renewRoles(w http.ResponseWriter, r *http.Request) error {
 	var c struct {
 		Who string `json:"who"`
 	}
@@ -58,10 +58,10 @@
 		return err
 	}
 	if err := state.CheckProcess(c.Who); err != nil {
-		return badf("who: %w", err)
+		return invalidf("who: %w", err)
 	}
 	if !k.restoring.TryRLock() {
-		return errCrowded
+		return errTooManyCalls
 	}
 	defer k.restoring.RUnlock()
 	// Danger: a leader that was stopped and wakes would say that all is well while another has given the duties away.
@@ -71,7 +71,7 @@
 	a := client.DutyRenewal{Holds: []client.HeldDuty{}, Waits: []string{}}
 	var all []state.Role
 	k.store.read(func(m *state.Machine) { a.Cluster, a.Rev, all = m.Cluster(), m.RoleRevision(), m.RolesOf(c.Who) })
-	renewed, ok := k.tenures.renew(time.Now(), c.Who, all)
+	renewed, ok := k.roleLessor.renew(time.Now(), c.Who, all)
 	if !ok {
 		return errBehind
 	}
@@ -86,36 +86,36 @@
 	return nil
 }
 
-// dutiesAsked is a call for duties.
-type dutiesAsked struct {
-	asked
-	who, name string // only those of a process, or one
+// rolesQuery is a call for duties.
+type rolesQuery struct {
+	listQuery
+	process, name string // only those of a process, or one
 }
 
-func parseDutiesAsked(r *http.Request) (a dutiesAsked, err error) {
-	if a.asked, err = parseAsked(r); err != nil {
+func parseRolesQuery(r *http.Request) (a rolesQuery, err error) {
+	if a.listQuery, err = parseListQuery(r); err != nil {
 		return a, err
 	}
-	a.who, a.name = r.URL.Query().Get("who"), r.URL.Query().Get("name")
-	if a.who != "" {
-		if err := state.CheckProcess(a.who); err != nil {
-			return a, badf("who: %w", err)
+	a.process, a.name = r.URL.Query().Get("who"), r.URL.Query().Get("name")
+	if a.process != "" {
+		if err := state.CheckProcess(a.process); err != nil {
+			return a, invalidf("who: %w", err)
 		}
 	}
 	return a, nil
 }
 
-// dutyNews is what is new for one who knows a revision; told are the names that he was told of, where he asks for a process's.
-func (k *Node) dutyNews(a dutiesAsked, from int64, told map[string]bool) (n client.DutyNews, changed <-chan struct{}) {
+// rolesUpdate is what is new for one who knows a revision; told are the names that he was told of, where he asks for a process's.
+func (k *Node) rolesUpdate(a rolesQuery, from int64, told map[string]bool) (n client.DutyNews, changed <-chan struct{}) {
 	n = client.DutyNews{All: from < 0, Duties: []state.Role{}}
 	k.store.read(func(m *state.Machine) {
-		changed = k.store.dutied
+		changed = k.store.rolesChanged
 		n.Rev, n.Cluster = m.RoleRevision(), m.Cluster()
 		switch {
-		case a.who == "":
+		case a.process == "":
 			n.Duties = append(n.Duties, m.RolesSince(from)...)
 		default:
-			for _, d := range m.RolesOf(a.who) {
+			for _, d := range m.RolesOf(a.process) {
 				told[d.Name] = true
 			}
 			for name := range told {
@@ -130,15 +130,15 @@
 		if a.name != "" && d.Name != a.name {
 			continue
 		}
-		if a.who != "" { // who else waits is nothing to him
-			own := d.WaitingIndex(a.who)
+		if a.process != "" { // who else waits is nothing to him
+			own := d.WaitingIndex(a.process)
 			if own >= 0 {
 				d.Waiting = d.Waiting[own : own+1]
 			} else {
 				d.Waiting = nil
 			}
 			d.Failures = nil
-			if own < 0 && !d.IsOwner(a.who) {
+			if own < 0 && !d.IsOwner(a.process) {
 				delete(told, d.Name)
 			}
 		}
@@ -148,11 +148,11 @@
 	return n, changed
 }
 
-// duties answers duties, or a watch.
-func (k *Node) duties(w http.ResponseWriter, r *http.Request) {
-	a, err := parseDutiesAsked(r)
+// roles answers roles, or a watch.
+func (k *Node) roles(w http.ResponseWriter, r *http.Request) {
+	a, err := parseRolesQuery(r)
 	if err == nil && a.watch {
-		if err = k.watchDuties(w, r, a); err != nil {
+		if err = k.watchRoles(w, r, a); err != nil {
 			k.refuse(w, "watch-duties", err)
 		}
 		return
@@ -166,7 +166,7 @@
 				return err
 			}
 		}
-		n, _ := k.dutyNews(a, a.from, map[string]bool{})
+		n, _ := k.rolesUpdate(a, a.from, map[string]bool{})
 		if n.Cluster == "" {
 			return errNoList
 		}
@@ -175,16 +175,16 @@
 	})(w, r)
 }
 
-// watchDuties writes duties that change, until the caller goes, is too slow, or this keeper ends. Changes that come while a line is
+// watchRoles writes duties that change, until the caller goes, is too slow, or this keeper ends. Changes that come while a line is
 // written make one line.
-func (k *Node) watchDuties(w http.ResponseWriter, r *http.Request, a dutiesAsked) error {
-	if err := k.enter(&k.dutyWatchers); err != nil {
+func (k *Node) watchRoles(w http.ResponseWriter, r *http.Request, a rolesQuery) error {
+	if err := k.admitWatch(&k.roleWatchers); err != nil {
 		return err
 	}
-	defer k.dutyWatchers.Add(-1)
+	defer k.roleWatchers.Add(-1)
 	var rev int64
-	at, err := k.reach(r, a.cluster, func() (ahead bool, changed <-chan struct{}) {
-		k.store.read(func(m *state.Machine) { rev, changed = m.RoleRevision(), k.store.dutied })
+	at, err := k.waitUntilKnown(r, a.cluster, func() (ahead bool, changed <-chan struct{}) {
+		k.store.read(func(m *state.Machine) { rev, changed = m.RoleRevision(), k.store.rolesChanged })
 		return a.from > rev, changed
 	})
 	switch {
@@ -192,17 +192,17 @@
 		return fmt.Errorf("%w: it knows revision %d of duties, not %d", errBehind, rev, a.from)
 	case err != nil:
 		return err
-	case at != reached:
+	case at != positionKnown:
 		a.from = -1
 	}
-	beat := begin(w, a.ages)
+	beat := beginWatch(w, a.withAges)
 	defer beat.Stop()
 	told := map[string]bool{}
 	for from, first := a.from, true; ; first = false {
-		n, changed := k.dutyNews(a, from, told)
+		n, changed := k.rolesUpdate(a, from, told)
 		if first || len(n.Duties) > 0 {
 			line, err := json.Marshal(n)
-			if err != nil || !k.say(w, append(line, '\n')) {
+			if err != nil || !k.writeLines(w, append(line, '\n')) {
 				return nil // its answer has begun: all there is to say is to end it
 			}
 		}
@@ -211,7 +211,7 @@
 		case <-changed:
 			continue
 		case <-beat.C:
-			if !k.say(w, []byte("\n")) {
+			if !k.writeLines(w, []byte("\n")) {
 				return nil
 			}
 		case <-r.Context().Done():
--- a/internal/sidecar/registry/duties_test.go
+++ b/internal/sidecar/registry/duties_test.go
@@ -13,80 +13,80 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-func dutyDo(m *state.Machine, op state.Op, c state.RoleCall) {
+func applyRole(m *state.Machine, op state.Op, c state.RoleCall) {
 	m.Apply(state.Command{Op: op, Role: &c})
 }
 
-// TestTenures goes through offices on a clock of the test's: renewed they run on, left they end, an end that is decided is
+// TestRoleLessor goes through offices on a clock of the test's: renewed they run on, left they end, an end that is decided is
 // not taken back by a renewal, and a candidate that is silent goes before it could be next.
-func TestTenures(t *testing.T) {
-	l, m, now := &tenures{}, state.New(), time.Unix(1000, 0)
+func TestRoleLessor(t *testing.T) {
+	l, m, now := &roleLessor{}, state.New(), time.Unix(1000, 0)
 	for _, who := range []string{"a#1", "b#1", "c#1"} {
-		dutyDo(m, state.Campaign, state.RoleCall{Name: "d", Process: who, TTLMS: 1000})
+		applyRole(m, state.Campaign, state.RoleCall{Name: "d", Process: who, TTLMS: 1000})
 	}
 	renew := func(who string) (renewed bool) {
 		all := m.RolesOf(who)
 		on, ok := l.renew(now, who, all)
 		return ok && on[0]
 	}
-	if _, ok := l.renew(now, "a#1", m.RolesOf("a#1")); ok || len(l.look(now.Add(time.Hour), m).Ended) > 0 {
+	if _, ok := l.renew(now, "a#1", m.RolesOf("a#1")); ok || len(l.evaluate(now.Add(time.Hour), m).Ended) > 0 {
 		t.Error("it counts leases without leading")
 	}
-	l.take(now, 7)
-	l.look(now, m)
+	l.start(now, 7)
+	l.evaluate(now, m)
 	for range 20 { // a and b renew, c is silent
 		now = now.Add(250 * time.Millisecond)
 		if !renew("a#1") {
 			t.Fatal("a renewal is refused")
 		}
 		renew("b#1")
-		c := l.look(now, m)
+		c := l.evaluate(now, m)
 		if len(c.Ended) > 0 || len(c.TimedOut) > 1 || len(c.TimedOut) == 1 && c.TimedOut[0].Process != "c#1" {
 			t.Fatalf("%+v", c)
 		}
-		dutyDo(m, state.EndRoleLeases, c)
+		applyRole(m, state.EndRoleLeases, c)
 	}
 	if d, _ := m.Role("d"); len(d.Waiting) != 1 {
 		t.Errorf("%v wait", d.Waiting)
 	}
-	if now = now.Add(1000 * time.Millisecond); len(l.look(now, m).Ended) > 0 {
+	if now = now.Add(1000 * time.Millisecond); len(l.evaluate(now, m).Ended) > 0 {
 		t.Error("it ends before its whole length")
 	}
 	if now = now.Add(time.Millisecond); true {
 		renew("b#1")
 	}
-	c := l.look(now, m)
+	c := l.evaluate(now, m)
 	if len(c.Ended) != 1 || c.LeaseTerm != 7 || renew("a#1") {
 		t.Errorf("%+v, and a renewal after that", c)
 	}
 	stale := c
 	stale.LeaseTerm = 6
-	if dutyDo(m, state.EndRoleLeases, stale); renew("b#1") {
+	if applyRole(m, state.EndRoleLeases, stale); renew("b#1") {
 		t.Error("an end of an earlier office counts")
 	}
 	m.Apply(state.Command{Op: state.StartLeaseTerm, Role: &state.RoleCall{}})
 	c.LeaseTerm = 1
-	dutyDo(m, state.EndRoleLeases, c)
+	applyRole(m, state.EndRoleLeases, c)
 	if !renew("b#1") {
 		t.Error("who comes next cannot renew")
 	}
-	dutyDo(m, state.Move, state.RoleCall{Name: "d", Force: true})
-	if renew("b#1") || len(l.look(now, m).Ended) > 0 {
+	applyRole(m, state.Move, state.RoleCall{Name: "d", Force: true})
+	if renew("b#1") || len(l.evaluate(now, m).Ended) > 0 {
 		t.Error("who is barred can renew, or is out at once")
 	}
 	now = now.Add(1001 * time.Millisecond)
-	if renew("b#1"); len(l.look(now, m).Ended) != 1 {
+	if renew("b#1"); len(l.evaluate(now, m).Ended) != 1 {
 		t.Error("who is barred stays by renewing others")
 	}
-	l.take(now, 8)
-	l.look(now, m)
-	if now = now.Add(1000 * time.Millisecond); len(l.look(now, m).Ended) > 0 {
+	l.start(now, 8)
+	l.evaluate(now, m)
+	if now = now.Add(1000 * time.Millisecond); len(l.evaluate(now, m).Ended) > 0 {
 		t.Error("a new office gives no whole lease")
 	}
 }
 
-// TestDutyCalls has a duty held over HTTP, watched, moved and released; calls that make no sense are refused and change nothing.
-func TestDutyCalls(t *testing.T) {
+// TestRoleCalls has a duty held over HTTP, watched, moved and released; calls that make no sense are refused and change nothing.
+func TestRoleCalls(t *testing.T) {
 	at := start(t, nil)
 	post := func(path, text string) (int, string) {
 		t.Helper()
@@ -165,7 +165,7 @@
 		t.Fatal(err)
 	}
 	defer k.Close()
-	for end := time.Now().Add(patience); ; {
+	for end := time.Now().Add(waitTimeout); ; {
 		r, err := k.RenewDuties(t.Context(), "a#1")
 		if err == nil && len(r.Holds) == 1 && r.Holds[0].Renewed && r.Holds[0].Epoch == 1 {
 			break
--- a/internal/sidecar/registry/dutiesbench_test.go
+++ b/internal/sidecar/registry/dutiesbench_test.go
@@ -11,9 +11,9 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-// BenchmarkRenewDuties has a process renew all of its duties in one call over HTTP, at a keeper of its own. log/op is how much the log grows
+// BenchmarkRenewRoles has a process renew all of its duties in one call over HTTP, at a keeper of its own. log/op is how much the log grows
 // by a renewal, in entries.
-func BenchmarkRenewDuties(b *testing.B) {
+func BenchmarkRenewRoles(b *testing.B) {
 	for _, n := range []int{1000, 2000, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := Defaults()
@@ -56,16 +56,16 @@
 	}
 }
 
-// BenchmarkTenures has a leader look at leases, which it does 20 times a second.
-func BenchmarkTenures(b *testing.B) {
+// BenchmarkRoleLessor has a leader look at leases, which it does 20 times a second.
+func BenchmarkRoleLessor(b *testing.B) {
 	for _, n := range []int{1000, 2000, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			m, l, now := state.New(), &tenures{}, time.Unix(1000, 0)
+			m, l, now := state.New(), &roleLessor{}, time.Unix(1000, 0)
 			for i := range n {
-				dutyDo(m, state.Campaign, state.RoleCall{Name: fmt.Sprint("d", i), Process: "a#1", TTLMS: 3000})
+				applyRole(m, state.Campaign, state.RoleCall{Name: fmt.Sprint("d", i), Process: "a#1", TTLMS: 3000})
 			}
-			for l.take(now, 0); b.Loop(); {
-				if c := l.look(now, m); len(c.Ended) > 0 {
+			for l.start(now, 0); b.Loop(); {
+				if c := l.evaluate(now, m); len(c.Ended) > 0 {
 					b.Fatal(c)
 				}
 				_ = m.DueRoles(0)
--- a/internal/sidecar/registry/http.go
+++ b/internal/sidecar/registry/http.go
@@ -28,11 +28,11 @@
 
 // problem is why a call was refused.
 type problem struct {
-	Code   string `json:"code"`
-	Reason string `json:"reason"`
-	Leader string `json:"leader,omitempty"`
-	At     string `json:"leader_http,omitempty"` // where the leader answers, as it said itself
-	Rev    int64  `json:"rev"`
+	Code       string `json:"code"`
+	Reason     string `json:"reason"`
+	Leader     string `json:"leader,omitempty"`
+	LeaderHTTP string `json:"leader_http,omitempty"` // where the leader answers, as it said itself
+	Revision   int64  `json:"rev"`
 }
 
 // writeTimeout bounds how long a write waits for agreement. A client's own time-out is longer.
@@ -47,21 +47,21 @@
 	mux.HandleFunc("GET /v1/servers", k.servers)
 	mux.HandleFunc("GET /v1/servers/{uid}", k.admit("get", k.server))
 	mux.HandleFunc("POST /v1/servers", k.admit("register", k.register))
-	mux.HandleFunc("POST /v1/servers/{uid}/drain", k.admit("drain", k.turn(state.Drain)))
-	mux.HandleFunc("POST /v1/servers/{uid}/serve", k.admit("serve", k.turn(state.Serve)))
-	mux.HandleFunc("DELETE /v1/servers/{uid}", k.admit("leave", k.turn(state.Deregister)))
+	mux.HandleFunc("POST /v1/servers/{uid}/drain", k.admit("drain", k.changeServer(state.Drain)))
+	mux.HandleFunc("POST /v1/servers/{uid}/serve", k.admit("serve", k.changeServer(state.Serve)))
+	mux.HandleFunc("DELETE /v1/servers/{uid}", k.admit("leave", k.changeServer(state.Deregister)))
 	mux.HandleFunc("POST /v1/renew", k.admit("renew", k.renew))
 	mux.HandleFunc("GET /v1/routes", k.routes)
 	mux.HandleFunc("PUT /v1/routes", k.admit("put-routes", k.putRoutes))
-	mux.HandleFunc("GET /v1/duties", k.duties)
-	mux.HandleFunc("POST /v1/duties/renew", k.admit("renew-duties", k.renewDuties))
+	mux.HandleFunc("GET /v1/duties", k.roles)
+	mux.HandleFunc("POST /v1/duties/renew", k.admit("renew-duties", k.renewRoles))
 	for op, turn := range map[state.Op]client.DutyTurn{state.Campaign: client.Campaign, state.Withdraw: client.Withdraw, state.Release: client.Release,
 		state.Move: client.Move, state.Checkpoint: client.Checkpoint, state.Forget: client.Forget} {
-		mux.HandleFunc("POST /v1/duties/{name}/"+string(turn), k.admit(string(op), k.dutyWrite(op)))
+		mux.HandleFunc("POST /v1/duties/{name}/"+string(turn), k.admit(string(op), k.changeRole(op)))
 	}
 	mux.HandleFunc("GET /v1/status", k.status) // always answered: it is asked when all else is refused
-	mux.HandleFunc("POST /v1/keepers", k.admit("join", k.addKeeper))
-	mux.HandleFunc("DELETE /v1/keepers/{name}", k.admit("remove", k.removeKeeper))
+	mux.HandleFunc("POST /v1/keepers", k.admit("join", k.addNode))
+	mux.HandleFunc("DELETE /v1/keepers/{name}", k.admit("remove", k.removeNode))
 	mux.HandleFunc("GET /v1/backup", k.admit("backup", k.backup))
 	mux.HandleFunc("POST /v1/restore", k.admit("restore", k.restore))
 	mux.Handle("GET /metrics", k.metrics.handler())
@@ -75,7 +75,7 @@
 		// Each watch sets it anew with each line; on a connection that is kept, the one before would cut this answer off.
 		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerTimeout)) // it goes on without
 		h.Set(HeaderLeader, k.replica.Leader())
-		k.boundBody(w, r)
+		k.limitBodyTime(w, r)
 		mux.ServeHTTP(w, r)
 	})
 }
@@ -94,11 +94,11 @@
 		case k.calls <- struct{}{}:
 			defer func() { <-k.calls }()
 		default:
-			k.refuse(w, op, errCrowded)
+			k.refuse(w, op, errTooManyCalls)
 			return
 		}
 		began := time.Now()
-		if err := k.takeBody(w, r, op); err != nil {
+		if err := k.readBody(w, r, op); err != nil {
 			k.refuse(w, op, err)
 			return
 		}
@@ -109,31 +109,31 @@
 			k.refuse(w, op, err)
 			return
 		}
-		k.metrics.done(op, "ok", time.Since(began))
+		k.metrics.recordCall(op, "ok", time.Since(began))
 	}
 }
 
-// boundBody bounds how long net/http may wait for a body that no handler reads. Danger: it reads the rest of a body before it
+// limitBodyTime bounds how long net/http may wait for a body that no handler reads. Danger: it reads the rest of a body before it
 // writes an answer, without a bound of its own, so a refused call whose body came slowly was never answered.
-func (k *Node) boundBody(w http.ResponseWriter, r *http.Request) {
+func (k *Node) limitBodyTime(w http.ResponseWriter, r *http.Request) {
 	if r.ContentLength == 0 {
 		return
 	}
 	conn := http.NewResponseController(w)
 	// Neither fails on an HTTP/1 connection of net/http; without them the call goes on as before.
-	_ = conn.SetReadDeadline(time.Now().Add(millis(k.config.Limits.ReadMS)))
+	_ = conn.SetReadDeadline(time.Now().Add(milliseconds(k.config.Limits.ReadMS)))
 	_ = conn.EnableFullDuplex() // an answer need not wait for the rest of the body
 }
 
-// takeBody reads a call's body whole, within its bounds. Danger: whoever sends one slowly would hold a place for as long as he
+// readBody reads a call's body whole, within its bounds. Danger: whoever sends one slowly would hold a place for as long as he
 // likes; and a deadline that stays on the connection would cut off the next answer.
-func (k *Node) takeBody(w http.ResponseWriter, r *http.Request, op string) error {
-	most, within := int64(k.config.Limits.BodyKB)<<10, millis(k.config.Limits.ReadMS)
+func (k *Node) readBody(w http.ResponseWriter, r *http.Request, op string) error {
+	most, within := int64(k.config.Limits.MaxBodyKB)<<10, milliseconds(k.config.Limits.ReadMS)
 	switch op {
 	case "restore":
 		most, within = state.MaxSnapshotBytes, restoreTimeout
 	case "put-routes":
-		most = mostTable
+		most = maxTableBytes
 	}
 	conn := http.NewResponseController(w)
 	if err := conn.SetReadDeadline(time.Now().Add(within)); err != nil {
@@ -145,7 +145,7 @@
 	case errors.As(err, &size):
 		return err
 	case err != nil:
-		return badf("body: it did not come whole within %v", within)
+		return invalidf("body: it did not come whole within %v", within)
 	}
 	r.Body = io.NopCloser(bytes.NewReader(text))
 	return conn.SetReadDeadline(time.Time{})
@@ -154,16 +154,16 @@
 const restoreTimeout = 30 * time.Second // for a backup to come whole
 
 var (
-	errCrowded = errors.New("this keeper has as many calls as it takes")
-	errBehind  = errors.New("this keeper is behind")
-	errStart   = errors.New("too many watches begin at once")
-	errPlaces  = errors.New("this keeper has as many watchers as it takes")
+	errTooManyCalls   = errors.New("this keeper has as many calls as it takes")
+	errBehind         = errors.New("this keeper is behind")
+	errTooManyStarts  = errors.New("too many watches begin at once")
+	errTooManyWatches = errors.New("this keeper has as many watchers as it takes")
 )
 
-// bad is a call that makes no sense, whoever is asked.
-type bad struct{ error }
+// invalidError is a call that makes no sense, whoever is asked.
+type invalidError struct{ error }
 
-func badf(form string, args ...any) error { return bad{fmt.Errorf(form, args...)} }
+func invalidf(form string, args ...any) error { return invalidError{fmt.Errorf(form, args...)} }
 
 // refuse answers a call that is not done.
 func (k *Node) refuse(w http.ResponseWriter, op string, err error) {
@@ -176,25 +176,25 @@
 		code = map[state.Code]int{state.Invalid: 400, state.Conflict: 409, state.NotFound: 404, state.LimitReached: 507}[of.Code]
 	case errors.As(err, &size):
 		code, word, err = http.StatusRequestEntityTooLarge, "bad", fmt.Errorf("a call holds %d bytes at most", size.Limit)
-	case errors.As(err, &bad{}):
+	case errors.As(err, &invalidError{}):
 		code, word = http.StatusBadRequest, "bad"
 	case errors.Is(err, replica.ErrNotLeader):
 		code, word, after = http.StatusServiceUnavailable, "not-leader", 200*time.Millisecond
 	case errors.Is(err, replica.ErrUncertain):
 		// Not 503: a client that sends a write again after this may do it twice.
 		code, word = http.StatusGatewayTimeout, "uncertain"
-	case errors.Is(err, errCrowded), errors.Is(err, errPlaces), errors.Is(err, errStart), errors.Is(err, replica.ErrBusy):
+	case errors.Is(err, errTooManyCalls), errors.Is(err, errTooManyWatches), errors.Is(err, errTooManyStarts), errors.Is(err, replica.ErrBusy):
 		code, word, after = http.StatusServiceUnavailable, "busy", time.Second
 	case errors.Is(err, errBehind), errors.Is(err, errNoList):
 		code, word, after = http.StatusServiceUnavailable, "behind", 500*time.Millisecond
 	}
-	k.metrics.done(op, word, 0)
+	k.metrics.recordCall(op, word, 0)
 	p := problem{Code: word, Reason: err.Error(), Leader: k.replica.Leader()}
 	k.store.read(func(m *state.Machine) {
-		p.Rev = m.Revision()
+		p.Revision = m.Revision()
 		for _, known := range m.Nodes() {
 			if known.Name == p.Leader {
-				p.At = known.HTTPAddress
+				p.LeaderHTTP = known.HTTPAddress
 			}
 		}
 	})
@@ -221,22 +221,22 @@
 	d.DisallowUnknownFields()
 	err := d.Decode(v)
 	if err != nil {
-		return badf("body: %w", err)
+		return invalidf("body: %w", err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return badf("body: there is more behind the object")
+		return invalidf("body: there is more behind the object")
 	}
 	return nil
 }
 
-// registerCall is the body of a registration.
-type registerCall struct {
+// registerRequest is the body of a registration.
+type registerRequest struct {
 	Servers []list.Registration `json:"servers"`
 	Expect  *int64              `json:"expect,omitempty"`
 }
 
 func (k *Node) register(w http.ResponseWriter, r *http.Request) error {
-	var c registerCall
+	var c registerRequest
 	if err := decode(r, &c); err != nil {
 		return err
 	}
@@ -245,17 +245,17 @@
 			c.Servers[i].State = list.Serving
 		}
 	}
-	return k.write(w, r, state.Command{Op: state.Register, Servers: c.Servers, Expect: c.Expect})
+	return k.proposeAndReply(w, r, state.Command{Op: state.Register, Servers: c.Servers, Expect: c.Expect})
 }
 
-// expectCall is the body of a write to one server; it may be left out.
-type expectCall struct {
+// expectRequest is the body of a write to one server; it may be left out.
+type expectRequest struct {
 	Expect *int64 `json:"expect,omitempty"`
 }
 
-func (k *Node) turn(op state.Op) func(http.ResponseWriter, *http.Request) error {
+func (k *Node) changeServer(op state.Op) func(http.ResponseWriter, *http.Request) error {
 	return func(w http.ResponseWriter, r *http.Request) error {
-		var c expectCall
+		var c expectRequest
 		if r.ContentLength != 0 {
 			if err := decode(r, &c); err != nil {
 				return err
@@ -264,15 +264,15 @@
 		if v := r.URL.Query().Get("expect"); v != "" {
 			n, err := strconv.ParseInt(v, 10, 64)
 			if err != nil {
-				return badf("expect %.40q is no revision", v)
+				return invalidf("expect %.40q is no revision", v)
 			}
 			c.Expect = &n
 		}
-		return k.write(w, r, state.Command{Op: op, UID: r.PathValue("uid"), Expect: c.Expect})
+		return k.proposeAndReply(w, r, state.Command{Op: op, UID: r.PathValue("uid"), Expect: c.Expect})
 	}
 }
 
-func (k *Node) write(w http.ResponseWriter, r *http.Request, c state.Command) error {
+func (k *Node) proposeAndReply(w http.ResponseWriter, r *http.Request, c state.Command) error {
 	result, err := k.propose(r.Context(), c)
 	if err != nil {
 		return err
@@ -304,33 +304,33 @@
 	return nil
 }
 
-const mostRenewals = 4096
+const maxRenewals = 4096
 
-type renewCall struct {
+type renewRequest struct {
 	Renewals []client.Renewal `json:"renewals"`
 }
 
-// renewed is the answer: who has to register again, as his lease is over or was never there.
-type renewed struct {
+// renewAnswer is the answer: who has to register again, as his lease is over or was never there.
+type renewAnswer struct {
 	Unknown []string `json:"unknown"`
 }
 
 func (k *Node) renew(w http.ResponseWriter, r *http.Request) error {
-	var c renewCall
+	var c renewRequest
 	if err := decode(r, &c); err != nil {
 		return err
 	}
-	if len(c.Renewals) > mostRenewals {
-		return badf("%d renewals, %d at most in a call", len(c.Renewals), mostRenewals)
+	if len(c.Renewals) > maxRenewals {
+		return invalidf("%d renewals, %d at most in a call", len(c.Renewals), maxRenewals)
 	}
 	// Danger: a leader that was stopped and wakes would say that all is well, to be found out of office a moment later.
 	if err := k.replica.Confirm(r.Context()); err != nil {
 		return err
 	}
-	a := renewed{Unknown: []string{}}
+	a := renewAnswer{Unknown: []string{}}
 	now := time.Now()
 	for _, c := range c.Renewals {
-		if !k.lessor.renew(now, c.UID, c.BootMS) && !k.fresh(c.UID, c.BootMS) {
+		if !k.serverLessor.renew(now, c.UID, c.BootMS) && !k.hasFreshLease(c.UID, c.BootMS) {
 			a.Unknown = append(a.Unknown, c.UID)
 		}
 	}
@@ -338,8 +338,8 @@
 	return nil
 }
 
-// fresh tells whether a process's lease runs that the lessor has not looked at yet.
-func (k *Node) fresh(uid string, boot int64) (ok bool) {
+// hasFreshLease tells whether a process's lease runs that the lessor has not looked at yet.
+func (k *Node) hasFreshLease(uid string, boot int64) (ok bool) {
 	k.store.read(func(m *state.Machine) {
 		e, there := m.Entry(uid)
 		ok = there && e.BootMS == boot && e.LeaseMS != 0 && e.Reason != state.LeaseExpired && e.Reason != state.RestoredFromBackup
--- a/internal/sidecar/registry/http_test.go
+++ b/internal/sidecar/registry/http_test.go
@@ -20,7 +20,7 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-const patience = 20 * time.Second // bounds what a test waits for; it is no measure
+const waitTimeout = 20 * time.Second // bounds what a test waits for; it is no measure
 
 // start runs one keeper by itself and returns where it answers.
 func start(t *testing.T, change func(*Config)) string {
@@ -51,7 +51,7 @@
 		ended <- nil
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); ; time.Sleep(5 * time.Millisecond) {
 		if code, _, _ := call(t, "POST", at, "/v1/servers", body("s-1", "10.0.0.1:80", "")); code == 200 {
 			return at
 		}
@@ -83,7 +83,7 @@
 
 // TestBadInput sends calls that make no sense: each is answered with a reason, and the list stays what it was.
 func TestBadInput(t *testing.T) {
-	at := start(t, func(c *Config) { c.Limits.BodyKB = 2 })
+	at := start(t, func(c *Config) { c.Limits.MaxBodyKB = 2 })
 	_, _, before := call(t, "GET", at, "/v1/servers", "")
 	for _, c := range []struct {
 		method, path, text string
@@ -127,7 +127,7 @@
 // watch opens a watch and hands on what it says, line by line, until the test ends.
 func watch(t *testing.T, at, query string) (int, http.Header, func() list.List) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	t.Cleanup(cancel)
 	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+at+"/v1/servers?watch=1"+query, nil)
 	if err != nil {
@@ -195,7 +195,7 @@
 
 // TestAdmission asks for more than a keeper takes: the rest is refused at once, with a time to come again.
 func TestAdmission(t *testing.T) {
-	at := start(t, func(c *Config) { c.Limits.Watchers, c.Limits.Calls, c.Limits.ReadMS = 2, 1, 300 })
+	at := start(t, func(c *Config) { c.Limits.MaxWatchers, c.Limits.MaxCalls, c.Limits.ReadMS = 2, 1, 300 })
 	for range 2 {
 		if code, _, _ := watch(t, at, ""); code != 200 {
 			t.Fatalf("a watch within the limit: %d", code)
@@ -237,7 +237,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(waitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.WriteString(conn, method+" "+path+" HTTP/1.1\r\nHost: k\r\nContent-Length: 100\r\n\r\n{"); err != nil {
@@ -261,7 +261,7 @@
 // came while the other one held the place is refused itself, and is begun again.
 func holdPlace(t *testing.T, at string) slowCall {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); {
 		slow := beginSlowCall(t, at, "POST", "/v1/servers")
 		for begun := time.Now(); time.Since(begun) < 200*time.Millisecond; {
 			if code, _, h := call(t, "GET", at, "/v1/servers", ""); refused(code, h) {
@@ -279,7 +279,7 @@
 // TestSlowBodyOfARefusedCall has calls refused whose bodies do not come: each is answered all the same, and the refusal of a
 // crowded keeper does not wait for the body.
 func TestSlowBodyOfARefusedCall(t *testing.T) {
-	at := start(t, func(c *Config) { c.Limits.Calls, c.Limits.ReadMS = 1, 2000 })
+	at := start(t, func(c *Config) { c.Limits.MaxCalls, c.Limits.ReadMS = 1, 2000 })
 	holder := holdPlace(t, at)
 	if code := beginSlowCall(t, at, "POST", "/v1/servers").status(); code != 503 {
 		t.Errorf("beside the call that holds the only place: %d", code)
@@ -299,7 +299,7 @@
 
 // TestSlowWatcher has a watcher that does not read be cut off, while another goes on.
 func TestSlowWatcher(t *testing.T) {
-	at := start(t, func(c *Config) { c.Limits.SlowMS = 200 })
+	at := start(t, func(c *Config) { c.Limits.SlowWatcherMS = 200 })
 	slow, err := net.Dial("tcp", at)
 	if err != nil {
 		t.Fatal(err)
@@ -325,7 +325,7 @@
 		}
 		return strings.Contains(string(text), "keeper_watchers_cut_total 1")
 	}
-	for end, i := time.Now().Add(patience), 0; !cut(); i++ {
+	for end, i := time.Now().Add(waitTimeout), 0; !cut(); i++ {
 		if time.Now().After(end) {
 			t.Fatalf("who does not read is not cut off after %d rounds", i)
 		}
--- a/internal/sidecar/registry/keeper.go
+++ b/internal/sidecar/registry/keeper.go
@@ -30,40 +30,40 @@
 
 // Node is one keeper process.
 type Node struct {
-	config   Config
-	log      *slog.Logger
-	store    *store
-	replica  *replica.Replica
-	lessor   lessor
-	calls    chan struct{} // a place for each call that is no watch
-	starts   *rate.Limiter
-	watchers atomic.Int64
-	cuts     *cuts
+	config       Config
+	log          *slog.Logger
+	store        *store
+	replica      *replica.Replica
+	serverLessor serverLessor
+	calls        chan struct{} // a place for each call that is no watch
+	watchStarts  *rate.Limiter
+	watchers     atomic.Int64
+	views        *viewCache
 
 	routeWatchers atomic.Int64
-	dutyWatchers  atomic.Int64
-	tenures       tenures
+	roleWatchers  atomic.Int64
+	roleLessor    roleLessor
 	restoring     sync.RWMutex // a backup takes the place of the state; duties are left alone
 	metrics       *metrics
-	member        sync.Mutex // one change of members at a time
+	membership    sync.Mutex // one change of members at a time
 	ending        chan struct{}
 }
 
-func millis(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
+func milliseconds(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
 
 // Run is a keeper until stop is done. ready is called with the address at which it answers.
 func Run(stop context.Context, c Config, log *slog.Logger, ready func(http string)) (err error) {
-	k := &Node{config: c, log: log, store: newStore(), calls: make(chan struct{}, c.Limits.Calls),
-		starts: rate.NewLimiter(rate.Limit(c.Limits.Starts), max(1, c.Limits.Starts/4)), ending: make(chan struct{})}
-	k.lessor.expires = expiry{Grace: millis(c.Leases.GraceMS), Share: c.Leases.Share, Least: c.Leases.Least, Window: millis(c.Leases.WindowMS)}
+	k := &Node{config: c, log: log, store: newStore(), calls: make(chan struct{}, c.Limits.MaxCalls),
+		watchStarts: rate.NewLimiter(rate.Limit(c.Limits.WatchStartsPerSecond), max(1, c.Limits.WatchStartsPerSecond/4)), ending: make(chan struct{})}
+	k.serverLessor.limits = expiryLimits{Grace: milliseconds(c.Leases.GraceMS), Share: c.Leases.Share, MinCount: c.Leases.MinCount, Window: milliseconds(c.Leases.WindowMS)}
 	k.metrics = newMetrics(k)
-	k.cuts = newCuts(k.store, k.metrics.routeMade)
+	k.views = newViewCache(k.store, k.metrics.recordRoutesEncoded)
 	l, err := net.Listen("tcp", c.HTTP)
 	if err != nil {
 		return fmt.Errorf("http: %w", err)
 	}
 	defer l.Close()
-	lost, err := k.examine(stop)
+	lost, err := k.checkStore(stop)
 	if err != nil {
 		return err
 	}
@@ -77,14 +77,14 @@
 		}
 	}
 	k.replica, err = replica.Open(replica.Options{Name: c.Name, Folder: filepath.Join(c.Folder, "raft"), Bind: c.Raft, Advertise: c.AdvertiseRaft, Peers: peers,
-		Timing: replica.Timing{Heartbeat: millis(c.Timing.HeartbeatMS), SnapshotEvery: millis(c.Timing.SnapshotMS),
+		Timing: replica.Timing{Heartbeat: milliseconds(c.Timing.HeartbeatMS), SnapshotEvery: milliseconds(c.Timing.SnapshotMS),
 			SnapshotAfter: c.Timing.SnapshotAfter, Trailing: c.Timing.Trailing},
-		Machine: k.store, Log: log, Led: k.lead})
+		Machine: k.store, Log: log, Led: k.leadCluster})
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, k.replica.Close()) }()
-	web := &http.Server{Handler: k.handler(), ReadHeaderTimeout: millis(c.Limits.ReadMS), IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 16 << 10,
+	web := &http.Server{Handler: k.handler(), ReadHeaderTimeout: milliseconds(c.Limits.ReadMS), IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 16 << 10,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
 	served := make(chan error, 1)
 	go func() { served <- web.Serve(l) }()
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// lead is what a keeper does while it leads.
-func (k *Node) lead(ctx context.Context) {
+// leadCluster is what a keeper does while it leads.
+func (k *Node) leadCluster(ctx context.Context) {
 	k.log.Info("leads", "term", k.replica.Status().Term)
 	defer k.log.Info("leads no more")
 	var id [8]byte
@@ -150,7 +150,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(lookEvery): // too much to do, or out of office in a moment
+			case <-time.After(serverLeaseInterval): // too much to do, or out of office in a moment
 			}
 		}
 	}
@@ -159,9 +159,9 @@
 	duties.Add(1)
 	go func() {
 		defer duties.Done()
-		k.tenure(ctx)
+		k.runRoleLeases(ctx)
 	}()
-	k.lease(ctx)
+	k.runServerLeases(ctx)
 }
 
 // propose has a command agreed on. Errors are replica's, or a *state.Error.
@@ -184,8 +184,8 @@
 	return r, nil
 }
 
-// joinCall is what a keeper that joins says of itself.
-type joinCall struct {
+// joinRequest is what a keeper that joins says of itself.
+type joinRequest struct {
 	Name    string `json:"name"`
 	Raft    string `json:"raft"`
 	HTTP    string `json:"http"`
@@ -193,16 +193,16 @@
 	Lost    bool   `json:"lost,omitempty"` // its store is gone, and its vote must be before it comes again
 }
 
-const joinEvery = 300 * time.Millisecond
+const joinInterval = 300 * time.Millisecond
 
 // join asks the peers to be taken in until one of them, the leader, says that this keeper has its vote.
 func (k *Node) join(ctx context.Context) {
-	tick := time.NewTicker(joinEvery)
+	tick := time.NewTicker(joinInterval)
 	defer tick.Stop()
 	for {
-		code, err := k.ask(ctx, k.replica.Status().Applied, false)
+		code, err := k.askToJoin(ctx, k.replica.Status().Applied, false)
 		if code == http.StatusOK {
-			if err := os.Remove(k.lostMark()); err != nil && !errors.Is(err, os.ErrNotExist) {
+			if err := os.Remove(k.lostMarkerPath()); err != nil && !errors.Is(err, os.ErrNotExist) {
 				k.log.Error("join", "err", err) // the next start joins once more
 			}
 			k.log.Info("joined")
@@ -219,11 +219,11 @@
 	}
 }
 
-// ask asks every peer to take this keeper in, and returns what the one answered that leads; 0: none does.
-func (k *Node) ask(ctx context.Context, applied uint64, lost bool) (int, error) {
+// askToJoin asks every peer to take this keeper in, and returns what the one answered that leads; 0: none does.
+func (k *Node) askToJoin(ctx context.Context, applied uint64, lost bool) (int, error) {
 	client := &http.Client{Timeout: 15 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	defer client.CloseIdleConnections()
-	body, err := json.Marshal(joinCall{k.config.Name, cmp.Or(k.config.AdvertiseRaft, k.config.Raft), cmp.Or(k.config.AdvertiseHTTP, k.config.HTTP), applied, lost})
+	body, err := json.Marshal(joinRequest{k.config.Name, cmp.Or(k.config.AdvertiseRaft, k.config.Raft), cmp.Or(k.config.AdvertiseHTTP, k.config.HTTP), applied, lost})
 	if err != nil {
 		return 0, err
 	}
@@ -255,26 +255,26 @@
 			k.log.Warn("join", "peer", at, "err", said.Reason)
 		}
 		last = fmt.Errorf("%s: %s", at, said.Reason)
-		if said.At != "" && !slices.Contains(others, said.At) && len(others) < mostAsked {
-			others = append(others, said.At) // who leads, though no peer of this one's file
+		if said.LeaderHTTP != "" && !slices.Contains(others, said.LeaderHTTP) && len(others) < maxPeersAsked {
+			others = append(others, said.LeaderHTTP) // who leads, though no peer of this one's file
 		}
 	}
 	return 0, last
 }
 
-const mostAsked = 16
+const maxPeersAsked = 16
 
-// lostMark is the file that tells that this keeper's store was unsound and its vote has to be taken before it has one again.
-func (k *Node) lostMark() string { return filepath.Join(k.config.Folder, "lost") }
+// lostMarkerPath is the file that tells that this keeper's store was unsound and its vote has to be taken before it has one again.
+func (k *Node) lostMarkerPath() string { return filepath.Join(k.config.Folder, "lost") }
 
-// examine looks at the store before it is opened. One that is unsound is set aside, and the others are asked to take this
+// checkStore looks at the store before it is opened. One that is unsound is set aside, and the others are asked to take this
 // keeper's vote, so that it can come as a new one with nothing. It tells whether it has to join.
-func (k *Node) examine(ctx context.Context) (lost bool, err error) {
+func (k *Node) checkStore(ctx context.Context) (lost bool, err error) {
 	if err := os.MkdirAll(k.config.Folder, 0o700); err != nil {
 		return false, fmt.Errorf("folder: %w", err)
 	}
 	folder := filepath.Join(k.config.Folder, "raft")
-	_, err = os.Stat(k.lostMark())
+	_, err = os.Stat(k.lostMarkerPath())
 	marked := err == nil
 	if err = replica.Check(folder); err == nil && !marked {
 		return false, nil
@@ -283,7 +283,7 @@
 		return false, err
 	}
 	if err != nil && !marked {
-		if markErr := sealed.WriteFile(k.lostMark(), []byte(err.Error()+"\n")); markErr != nil {
+		if markErr := sealed.WriteFile(k.lostMarkerPath(), []byte(err.Error()+"\n")); markErr != nil {
 			return false, errors.Join(err, markErr)
 		}
 	}
@@ -296,12 +296,12 @@
 	}
 	if len(k.config.Peers) < 2 && !k.config.Join {
 		return false, fmt.Errorf("%s tells that the store was lost, and there is no other keeper to get it from: remove that file to begin anew, and restore a backup",
-			k.lostMark())
+			k.lostMarkerPath())
 	}
-	tick := time.NewTicker(joinEvery)
+	tick := time.NewTicker(joinInterval)
 	defer tick.Stop()
 	for {
-		code, err := k.ask(ctx, 0, true)
+		code, err := k.askToJoin(ctx, 0, true)
 		if code != 0 {
 			return true, nil
 		}
--- a/internal/sidecar/registry/lessor.go
+++ b/internal/sidecar/registry/lessor.go
@@ -9,68 +9,68 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-// lessor knows, on the leader alone, when leases end. Renewals do not go through the log: they would be most of it. A new
+// serverLessor knows, on the leader alone, when leases end. Renewals do not go through the log: they would be most of it. A new
 // leader gives every lease its whole length again, so a lease may end late by that, but never early. It decides without a
 // clock of its own: times are those of the leader's monotonic clock.
 //
 // Invariant: of the servers with leases, no more than a share is drained for silence within a window, or Least of them; only
 // what drains is removed. Servers of a backup that have said nothing since are not counted: they may be long gone. When far more fall silent at once it is likelier that the keepers were cut off than that the servers are gone.
-type lessor struct {
-	mu      sync.Mutex
-	started map[string]term // nil: this keeper does not lead
-	recent  []time.Time     // when servers were drained lately
-	held    int             // that have ended and are held back
-	expires expiry
+type serverLessor struct {
+	mu           sync.Mutex
+	leases       map[string]serverLease // nil: this keeper does not lead
+	recentDrains []time.Time            // when servers were drained lately
+	pending      int                    // that have ended and are held back
+	limits       expiryLimits
 }
 
-// expiry bounds how leases end.
-type expiry struct {
-	Grace  time.Duration // a server that drains as its lease ended is removed after so long
-	Share  float64       // of those with leases that may be drained within Window
-	Least  int           // that may be within Window however few have leases
-	Window time.Duration
+// expiryLimits bounds how leases end.
+type expiryLimits struct {
+	Grace    time.Duration // a server that drains as its lease ended is removed after so long
+	Share    float64       // of those with leases that may be drained within Window
+	MinCount int           // that may be within Window however few have leases
+	Window   time.Duration
 }
 
-// term is one lease as this leader counts it.
-type term struct {
-	lease int64
-	boot  int64
-	ends  time.Time
-	held  time.Duration
+// serverLease is one lease as this leader counts it.
+type serverLease struct {
+	token  int64
+	bootMS int64
+	ends   time.Time
+	length time.Duration
 }
 
-// take begins an office: all leases begin anew when they are next looked at.
-func (l *lessor) take() {
+// start begins an office: all leases begin anew when they are next looked at.
+func (l *serverLessor) start() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.started, l.recent, l.held = map[string]term{}, nil, 0
+	l.leases, l.recentDrains, l.pending = map[string]serverLease{}, nil, 0
 }
 
-// leave ends it.
-func (l *lessor) leave() {
+// stop ends it.
+func (l *serverLessor) stop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.started, l.held = nil, 0
+	l.leases, l.pending = nil, 0
 }
 
 // renew begins a process's lease anew. It tells false where the process has none that runs.
-func (l *lessor) renew(now time.Time, uid string, boot int64) bool {
+func (l *serverLessor) renew(now time.Time, uid string, boot int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t, ok := l.started[uid]
-	if !ok || t.boot != boot || t.held == 0 {
+	t, ok := l.leases[uid]
+	if !ok || t.bootMS != boot || t.length == 0 {
 		return false
 	}
-	t.ends = now.Add(t.held)
-	l.started[uid] = t
+	t.ends = now.Add(t.length)
+	l.leases[uid] = t
 	return true
 }
 
-// look takes in the entries as they are and returns the leases that have ended, as many as may end now.
-func (l *lessor) look(now time.Time, entries []state.Entry) []state.ExpiredLease {
+// evaluate takes in the entries as they are and returns the leases that have ended, as many as may end now.
+func (l *serverLessor) evaluate(now time.Time, entries []state.Entry) []state.ExpiredLease {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.started == nil {
+	if l.leases == nil {
 		return nil
 	}
 	leased := 0
@@ -82,58 +82,58 @@
 		}
 		leased++
 		here[e.UID] = true
-		t, known := l.started[e.UID]
-		if !known || t.lease != e.Lease {
+		t, known := l.leases[e.UID]
+		if !known || t.token != e.Lease {
 			length := time.Duration(e.LeaseMS) * time.Millisecond
-			t = term{lease: e.Lease, boot: e.BootMS, ends: now.Add(length), held: length}
+			t = serverLease{token: e.Lease, bootMS: e.BootMS, ends: now.Add(length), length: length}
 			switch e.Reason {
 			case state.LeaseExpired:
-				t.ends, t.held = now.Add(l.expires.Grace), 0
+				t.ends, t.length = now.Add(l.limits.Grace), 0
 			case state.RestoredFromBackup:
-				t.held = 0 // it has to register
+				t.length = 0 // it has to register
 			}
-			l.started[e.UID] = t
+			l.leases[e.UID] = t
 		}
 		switch {
 		case !now.After(t.ends):
 		case e.State == list.Serving && e.Reason != state.RestoredFromBackup:
-			serving = append(serving, state.ExpiredLease{UID: e.UID, Lease: t.lease})
+			serving = append(serving, state.ExpiredLease{UID: e.UID, Lease: t.token})
 		default:
-			ended = append(ended, state.ExpiredLease{UID: e.UID, Lease: t.lease})
+			ended = append(ended, state.ExpiredLease{UID: e.UID, Lease: t.token})
 		}
 	}
-	for uid := range l.started {
+	for uid := range l.leases {
 		if !here[uid] {
-			delete(l.started, uid)
+			delete(l.leases, uid)
 		}
 	}
-	for len(l.recent) > 0 && now.Sub(l.recent[0]) > l.expires.Window {
-		l.recent = l.recent[1:]
+	for len(l.recentDrains) > 0 && now.Sub(l.recentDrains[0]) > l.limits.Window {
+		l.recentDrains = l.recentDrains[1:]
 	}
-	free := max(l.expires.Least, int(l.expires.Share*float64(leased))) - len(l.recent)
+	free := max(l.limits.MinCount, int(l.limits.Share*float64(leased))) - len(l.recentDrains)
 	free = min(max(free, 0), len(serving), state.MaxBatch)
-	l.held = len(serving) - free
+	l.pending = len(serving) - free
 	for range free {
-		l.recent = append(l.recent, now)
+		l.recentDrains = append(l.recentDrains, now)
 	}
 	ended = append(serving[:free:free], ended...)
 	return ended[:min(len(ended), state.MaxBatch)]
 }
 
-// figures are how many leases run, and how many have ended and are held back.
-func (l *lessor) figures() (running, held int) {
+// counts are how many leases run, and how many have ended and are held back.
+func (l *serverLessor) counts() (running, held int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.started), l.held
+	return len(l.leases), l.pending
 }
 
-const lookEvery = list.LeastLease / 4
+const serverLeaseInterval = list.LeastLease / 4
 
-// lease ends leases for as long as this keeper leads.
-func (k *Node) lease(ctx context.Context) {
-	k.lessor.take()
-	defer k.lessor.leave()
-	tick := time.NewTicker(lookEvery)
+// runServerLeases ends leases for as long as this keeper leads.
+func (k *Node) runServerLeases(ctx context.Context) {
+	k.serverLessor.start()
+	defer k.serverLessor.stop()
+	tick := time.NewTicker(serverLeaseInterval)
 	defer tick.Stop()
 	held := 0
 	for {
@@ -143,8 +143,8 @@
 		case now := <-tick.C:
 			var entries []state.Entry
 			k.store.read(func(m *state.Machine) { entries = m.LeasedEntries() })
-			ended := k.lessor.look(now, entries)
-			if _, n := k.lessor.figures(); n != held {
+			ended := k.serverLessor.evaluate(now, entries)
+			if _, n := k.serverLessor.counts(); n != held {
 				k.log.Warn("leases ended and held back: too many at once", "held", n)
 				held = n
 			}
--- a/internal/sidecar/registry/lessor_test.go
+++ b/internal/sidecar/registry/lessor_test.go
@@ -20,16 +20,16 @@
 
 // TestLessor goes through a lease: renewed it runs on, left it ends once, drains, and goes after the grace.
 func TestLessor(t *testing.T) {
-	l := &lessor{expires: expiry{Grace: 10 * time.Second, Share: 1, Window: time.Minute}}
+	l := &serverLessor{limits: expiryLimits{Grace: 10 * time.Second, Share: 1, Window: time.Minute}}
 	m, now := leased(2), time.Unix(1000, 0)
-	if got := l.look(now.Add(time.Hour), m.LeasedEntries()); got != nil {
+	if got := l.evaluate(now.Add(time.Hour), m.LeasedEntries()); got != nil {
 		t.Errorf("it ends leases without leading: %v", got)
 	}
-	l.take()
+	l.start()
 	step := func(after time.Duration, want ...string) {
 		t.Helper()
 		now = now.Add(after)
-		ended := l.look(now, m.LeasedEntries())
+		ended := l.evaluate(now, m.LeasedEntries())
 		var got []string
 		for _, e := range ended {
 			got = append(got, e.UID)
@@ -58,8 +58,8 @@
 	if _, ok := m.Entry("s-01"); ok {
 		t.Error("it is still there after the grace")
 	}
-	l.leave()
-	l.take() // another office: all begin anew
+	l.stop()
+	l.start() // another office: all begin anew
 	step(0)
 	step(9 * time.Second)
 	step(2*time.Second, "s-00")
@@ -67,23 +67,23 @@
 
 // TestLessorHolds has all servers fall silent at once: no more than the share goes within a window.
 func TestLessorHolds(t *testing.T) {
-	l := &lessor{expires: expiry{Grace: time.Hour, Share: 0.2, Least: 1, Window: 30 * time.Second}}
+	l := &serverLessor{limits: expiryLimits{Grace: time.Hour, Share: 0.2, MinCount: 1, Window: 30 * time.Second}}
 	m, now := leased(20), time.Unix(1000, 0)
-	l.take()
-	l.look(now, m.LeasedEntries())
+	l.start()
+	l.evaluate(now, m.LeasedEntries())
 	drained := 0
 	for i := 1; i <= 29; i++ {
-		ended := l.look(now.Add(4*time.Second+time.Duration(i)*time.Second), m.LeasedEntries())
+		ended := l.evaluate(now.Add(4*time.Second+time.Duration(i)*time.Second), m.LeasedEntries())
 		drained += len(ended)
 		m.Apply(state.Command{Op: state.ExpireServers, Expired: ended})
 	}
-	if _, held := l.figures(); drained != 4 || held != 16 {
+	if _, held := l.counts(); drained != 4 || held != 16 {
 		t.Errorf("%d of 20 drained within a window, %d held back", drained, held)
 	}
 	for i := range 20 { // one that renews while it is held back was never gone
 		l.renew(now.Add(33*time.Second), fmt.Sprintf("s-%02d", i), 0)
 	}
-	if ended := l.look(now.Add(35*time.Second), m.LeasedEntries()); len(ended) != 0 {
+	if ended := l.evaluate(now.Add(35*time.Second), m.LeasedEntries()); len(ended) != 0 {
 		t.Errorf("%v ended though it was renewed", ended)
 	}
 }
--- a/internal/sidecar/registry/metrics.go
+++ b/internal/sidecar/registry/metrics.go
@@ -13,26 +13,26 @@
 
 // metrics are a keeper's figures.
 type metrics struct {
-	registry *prometheus.Registry
-	calls    *prometheus.CounterVec
-	took     *prometheus.HistogramVec
-	cuts     prometheus.Counter
+	registry     *prometheus.Registry
+	calls        *prometheus.CounterVec
+	durations    *prometheus.HistogramVec
+	slowWatchers prometheus.Counter
 
-	routeLines, routeBytes, routesMade *prometheus.CounterVec // by kind: whole, diff
+	routeLines, routeBytes, routesEncoded *prometheus.CounterVec // by kind: whole, diff
 }
 
 func newMetrics(k *Node) *metrics {
 	m := &metrics{registry: prometheus.NewRegistry(),
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "keeper_calls_total", Help: "Calls by what they wanted and what became of them."},
 			[]string{"op", "outcome"}),
-		took: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "keeper_call_seconds", Help: "How long calls took that were done.",
+		durations: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "keeper_call_seconds", Help: "How long calls took that were done.",
 			Buckets: prometheus.ExponentialBuckets(0.0005, 2, 14)}, []string{"op"}),
-		cuts: prometheus.NewCounter(prometheus.CounterOpts{Name: "keeper_watchers_cut_total", Help: "Watchers cut off because they were too slow."}),
+		slowWatchers: prometheus.NewCounter(prometheus.CounterOpts{Name: "keeper_watchers_cut_total", Help: "Watchers cut off because they were too slow."}),
 
 		routeLines: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "keeper_route_lines_total", Help: "Answers with route tables, and with what leads to them."},
 			[]string{"kind"}),
 		routeBytes: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "keeper_route_bytes_total", Help: "Bytes of those."}, []string{"kind"}),
-		routesMade: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "keeper_routes_made_total", Help: "Those that were made, each for all who ask for the same."},
+		routesEncoded: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "keeper_routes_made_total", Help: "Those that were made, each for all who ask for the same."},
 			[]string{"kind"}),
 	}
 	gauge := func(name, help string, value func() float64) {
@@ -60,10 +60,10 @@
 		})
 		return n
 	}))
-	gauge("keeper_duty_watchers", "Watches of duties that are open.", func() float64 { return float64(k.dutyWatchers.Load()) })
+	gauge("keeper_duty_watchers", "Watches of duties that are open.", func() float64 { return float64(k.roleWatchers.Load()) })
 	gauge("keeper_watchers", "Watches that are open.", func() float64 { return float64(k.watchers.Load()) })
 	gauge("keeper_leases_held", "Leases that have ended and are held back.", func() float64 {
-		_, held := k.lessor.figures()
+		_, held := k.serverLessor.counts()
 		return float64(held)
 	})
 	gauge("keeper_leads", "1 on the leader.", func() float64 {
@@ -79,7 +79,7 @@
 		}
 		return age.Seconds()
 	})
-	m.registry.MustRegister(m.calls, m.took, m.cuts, m.routeLines, m.routeBytes, m.routesMade, collectors.NewGoCollector(),
+	m.registry.MustRegister(m.calls, m.durations, m.slowWatchers, m.routeLines, m.routeBytes, m.routesEncoded, collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return m
 }
@@ -88,25 +88,25 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// done counts a call.
-func (m *metrics) done(op, outcome string, took time.Duration) {
+// recordCall counts a call.
+func (m *metrics) recordCall(op, outcome string, took time.Duration) {
 	m.calls.WithLabelValues(op, outcome).Inc()
 	if outcome == "ok" {
-		m.took.WithLabelValues(op).Observe(took.Seconds())
+		m.durations.WithLabelValues(op).Observe(took.Seconds())
 	}
 }
 
-// routeLine counts an answer with a route table, or with what leads to one.
-func (m *metrics) routeLine(kind string, size int) {
+// recordRoutesAnswer counts an answer with a route table, or with what leads to one.
+func (m *metrics) recordRoutesAnswer(kind string, size int) {
 	m.routeLines.WithLabelValues(kind).Inc()
 	m.routeBytes.WithLabelValues(kind).Add(float64(size))
 }
 
-func (m *metrics) routeMade(kind string) { m.routesMade.WithLabelValues(kind).Inc() }
+func (m *metrics) recordRoutesEncoded(kind string) { m.routesEncoded.WithLabelValues(kind).Inc() }
 
-// cut counts a watcher whose watch ended because he was too slow.
-func (m *metrics) cut(slow bool) {
+// recordWatchEnd counts a watcher whose watch ended because he was too slow.
+func (m *metrics) recordWatchEnd(slow bool) {
 	if slow {
-		m.cuts.Inc()
+		m.slowWatchers.Inc()
 	}
 }
--- a/internal/sidecar/registry/removed.go
+++ b/internal/sidecar/registry/removed.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	removedEvery = time.Second
-	removedAfter = 3 * time.Second // out of touch; then the others are asked
+	removalCheckInterval = time.Second
+	removalCheckTimeout  = 3 * time.Second // out of touch; then the others are asked
 )
 
 // awaitRemoval returns true once this keeper has been taken out of the cluster, false when ctx is done. One that led when it
 // was removed knows; one that followed hears nothing more, and asks the others.
 func (k *Node) awaitRemoval(ctx context.Context) bool {
-	tick := time.NewTicker(removedEvery)
+	tick := time.NewTicker(removalCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -30,15 +30,15 @@
 		if k.replica.Removed() {
 			return true
 		}
-		if age, known := k.replica.Age(); known && age > removedAfter && k.leftOut(ctx) {
+		if age, known := k.replica.Age(); known && age > removalCheckTimeout && k.removedByLeader(ctx) {
 			return true
 		}
 	}
 }
 
-// leftOut tells whether a leader says that this keeper is none of the members. Danger: only a leader's word counts: a keeper
+// removedByLeader tells whether a leader says that this keeper is none of the members. Danger: only a leader's word counts: a keeper
 // that was cut off before this one was added knows nothing of it either.
-func (k *Node) leftOut(ctx context.Context) bool {
+func (k *Node) removedByLeader(ctx context.Context) bool {
 	var others []string
 	k.store.read(func(m *state.Machine) {
 		for _, p := range m.Nodes() {
--- a/internal/sidecar/registry/routes_test.go
+++ b/internal/sidecar/registry/routes_test.go
@@ -64,7 +64,7 @@
 		{"PUT", "", `{"rules":[]`, 400, "bad", "body"},
 		{"PUT", "", `{}`, 400, "bad", "a list of rules"},
 		{"PUT", "", `{"rules":null}`, 400, "bad", "a list of rules"},
-		{"PUT", "", put(strings.Repeat(" ", mostTable)), 413, "bad", "at most"},
+		{"PUT", "", put(strings.Repeat(" ", maxTableBytes)), 413, "bad", "at most"},
 		{"PUT", "", strings.Replace(put(good), "{", `{"expect":0,`, 1), 409, "conflict", "at generation 1, not 0"},
 		{"PUT", "", strings.Replace(put(good), "{", `{"expect":9,`, 1), 409, "conflict", "at generation 1, not 9"},
 		{"GET", "?from=x", "", 400, "bad", "no revision"},
@@ -136,7 +136,7 @@
 
 // TestRoutesWatch has two watchers with different cuts: each is told what changes its own, and only that.
 func TestRoutesWatch(t *testing.T) {
-	at := start(t, func(c *Config) { c.Limits.Watchers = 2 })
+	at := start(t, func(c *Config) { c.Limits.MaxWatchers = 2 })
 	if code, _, _ := call(t, "PUT", at, "/v1/routes", put(rule("a", "s", "p", "1"), rule("b", "s", "q", "1"))); code != 200 {
 		t.Fatal(code)
 	}
--- a/internal/sidecar/registry/store.go
+++ b/internal/sidecar/registry/store.go
@@ -16,17 +16,17 @@
 // store puts the state machine behind a lock, and its changes into lines that all watchers are written: each change is
 // encoded once. It is a replica.Machine.
 type store struct {
-	mu      sync.RWMutex
-	machine *state.Machine
-	lines   [][]byte // of the last changes; the last is that of the revision. Never changed in place: watchers hold parts of it
-	changed chan struct{}
-	routed  chan struct{} // closed when there is another route table
-	dutied  chan struct{} // closed when a duty changes
-	whole   []byte        // the list as it was encoded last; nil: not since the last change
+	mu            sync.RWMutex
+	machine       *state.Machine
+	lines         [][]byte // of the last changes; the last is that of the revision. Never changed in place: watchers hold parts of it
+	listChanged   chan struct{}
+	routesChanged chan struct{} // closed when there is another route table
+	rolesChanged  chan struct{} // closed when a duty changes
+	listLine      []byte        // the list as it was encoded last; nil: not since the last change
 }
 
 func newStore() *store {
-	return &store{machine: state.New(), changed: make(chan struct{}), routed: make(chan struct{}), dutied: make(chan struct{})}
+	return &store{machine: state.New(), listChanged: make(chan struct{}), routesChanged: make(chan struct{}), rolesChanged: make(chan struct{})}
 }
 
 // Apply takes a command of the log. One that cannot be read is refused in the same way everywhere.
@@ -40,13 +40,13 @@
 	r := s.machine.Apply(c)
 	if len(r.Changes) > 0 {
 		s.lines = s.encode(s.lines, r.Changes)
-		s.tell()
+		s.notifyListChanged()
 	}
 	if r.RoutesChanged {
-		s.tellRouted()
+		s.notifyRoutesChanged()
 	}
 	if r.RolesChanged {
-		s.tellDutied()
+		s.notifyRolesChanged()
 	}
 	return r
 }
@@ -65,23 +65,23 @@
 	return lines
 }
 
-// tell wakes all who wait for a change. s.mu is held.
-func (s *store) tell() {
-	s.whole = nil
-	close(s.changed)
-	s.changed = make(chan struct{})
+// notifyListChanged wakes all who wait for a change. s.mu is held.
+func (s *store) notifyListChanged() {
+	s.listLine = nil
+	close(s.listChanged)
+	s.listChanged = make(chan struct{})
 }
 
-// tellRouted wakes all who wait for another route table. s.mu is held.
-func (s *store) tellRouted() {
-	close(s.routed)
-	s.routed = make(chan struct{})
+// notifyRoutesChanged wakes all who wait for another route table. s.mu is held.
+func (s *store) notifyRoutesChanged() {
+	close(s.routesChanged)
+	s.routesChanged = make(chan struct{})
 }
 
-// tellDutied wakes all who wait for a duty that changes. s.mu is held.
-func (s *store) tellDutied() {
-	close(s.dutied)
-	s.dutied = make(chan struct{})
+// notifyRolesChanged wakes all who wait for a duty that changes. s.mu is held.
+func (s *store) notifyRolesChanged() {
+	close(s.rolesChanged)
+	s.rolesChanged = make(chan struct{})
 }
 
 // Snapshot is the whole state.
@@ -102,9 +102,9 @@
 	s.machine = m
 	changes, _ := m.ChangesSince(m.OldestRevision())
 	s.lines = s.encode(nil, changes)
-	s.tell()
-	s.tellRouted()
-	s.tellDutied()
+	s.notifyListChanged()
+	s.notifyRoutesChanged()
+	s.notifyRolesChanged()
 	return nil
 }
 
@@ -115,26 +115,26 @@
 	do(s.machine)
 }
 
-// news is what a watcher that holds a revision is to be written.
-type news struct {
-	lines   [][]byte        // the changes, in order
-	whole   bool            // or the whole list
-	rev     int64           // it then holds
-	ahead   bool            // its revision lies ahead of what is known here
-	changed <-chan struct{} // closed when there is more
+// listUpdate is what a watcher that holds a revision is to be written.
+type listUpdate struct {
+	lines    [][]byte        // the changes, in order
+	complete bool            // or the whole list
+	revision int64           // it then holds
+	ahead    bool            // its revision lies ahead of what is known here
+	changed  <-chan struct{} // closed when there is more
 }
 
-// after tells what is new for one who holds from; below 0: nothing.
-func (s *store) after(from int64) news {
+// updateAfter tells what is new for one who holds from; below 0: nothing.
+func (s *store) updateAfter(from int64) listUpdate {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	n := news{rev: s.machine.Revision(), changed: s.changed}
-	oldest := n.rev - int64(len(s.lines))
+	n := listUpdate{revision: s.machine.Revision(), changed: s.listChanged}
+	oldest := n.revision - int64(len(s.lines))
 	switch {
-	case from > n.rev:
+	case from > n.revision:
 		n.ahead = true
 	case from < oldest || from < 0:
-		n.whole = true
+		n.complete = true
 	default:
 		n.lines = s.lines[from-oldest:]
 	}
@@ -143,18 +143,18 @@
 
 var errNoList = errors.New("no list is known here yet")
 
-// all is the whole list as a line, encoded once for a revision.
-func (s *store) all() (line []byte, rev int64, err error) {
+// completeList is the whole list as a line, encoded once for a revision.
+func (s *store) completeList() (line []byte, rev int64, err error) {
 	s.mu.RLock()
-	line, rev = s.whole, s.machine.Revision()
+	line, rev = s.listLine, s.machine.Revision()
 	s.mu.RUnlock()
 	if line != nil {
 		return line, rev, nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if rev = s.machine.Revision(); s.whole != nil {
-		return s.whole, rev, nil
+	if rev = s.machine.Revision(); s.listLine != nil {
+		return s.listLine, rev, nil
 	}
 	if s.machine.Cluster() == "" {
 		return nil, 0, errNoList
@@ -163,13 +163,13 @@
 	if err != nil {
 		return nil, 0, fmt.Errorf("list: %w", err)
 	}
-	s.whole = append(line, '\n')
-	return s.whole, rev, nil
+	s.listLine = append(line, '\n')
+	return s.listLine, rev, nil
 }
 
-// beat is the line that a watch whose watcher holds a revision says when nothing changes, for those who want to know how old
+// heartbeat is the line that a watch whose watcher holds a revision says when nothing changes, for those who want to know how old
 // the list may be; below 0 ms: that is not known.
-func (s *store) beat(rev int64, age time.Duration) []byte {
+func (s *store) heartbeat(rev int64, age time.Duration) []byte {
 	l := list.List{Rev: rev, Targets: []list.Target{}}
 	s.read(func(m *state.Machine) { l.Cluster = m.Cluster() })
 	if ms := age.Milliseconds(); ms >= 0 {
