--- a/cmd/gradeusher/keeper.go
+++ b/cmd/gradeusher/keeper.go
@@ -154,7 +154,7 @@
 					age = "unknown"
 				}
 				fmt.Fprintf(s.out, "%-21s %-10s %-9s leader %-10s term %-4d revision %-8d age %-9s watchers %-5d servers %-5d leases %d, %d held back\n", address, v.Name,
-					v.Role, cmp.Or(v.Leader, "none"), v.Term, v.Rev, age, v.Watchers, v.Servers, v.Leases, v.Held)
+					v.Role, cmp.Or(v.Leader, "none"), v.Term, v.Revision, age, v.Watchers, v.Servers, v.Leases, v.PendingLeases)
 			}
 		}
 		if !leads {
--- a/cmd/gradeusher/keeper_test.go
+++ b/cmd/gradeusher/keeper_test.go
@@ -130,7 +130,7 @@
 		all, _ := client.Status[registry.Status](k.call(), k.client)
 		n := 0
 		for _, s := range all {
-			if s.Servers == 61 && len(s.Keepers) == 3 && len(s.Peers) == 3 {
+			if s.Servers == 61 && len(s.Nodes) == 3 && len(s.Peers) == 3 {
 				n++
 			}
 		}
