--- a/internal/sidecar/client/cache.go
+++ b/internal/sidecar/client/cache.go
@@ -21,19 +21,19 @@
 	return Cache{filepath.Join(folder, "list-"+name+".cache")}
 }
 
-var cacheKind = sealed.Kind{Magic: "gradeusher-list", Form: 1, Needs: 1}
+var listCacheKind = sealed.Kind{Magic: "gradeusher-list", Form: 1, Needs: 1}
 
-// mostCached is bytes of a saved list: under 2 KiB for each server that keepers take, with names that JSON escapes, and twice as
+// maxCachedListBytes is bytes of a saved list: under 2 KiB for each server that keepers take, with names that JSON escapes, and twice as
 // many servers, as what a list that shrank lacks is held until that is sure.
-const mostCached = 2 * state.MaxServers * 2048
+const maxCachedListBytes = 2 * state.MaxServers * 2048
 
-type cached struct {
+type cachedList struct {
 	SavedMS int64     `json:"saved_ms"` // Unix time
 	List    list.List `json:"list"`
 }
 
-func (c Cache) cell() sealed.Cell[cached] {
-	return sealed.Cell[cached]{Path: c.path, Kind: cacheKind, Most: mostCached, Check: func(v cached) error {
+func (c Cache) cell() sealed.Cell[cachedList] {
+	return sealed.Cell[cachedList]{Path: c.path, Kind: listCacheKind, Most: maxCachedListBytes, Check: func(v cachedList) error {
 		for _, t := range v.List.Targets {
 			if err := t.Check(); err != nil {
 				return err
@@ -48,18 +48,18 @@
 func (c Cache) Load(now time.Time) (l list.List, age time.Duration, ok bool, err error) {
 	v, ok, err := c.cell().Load()
 	if !ok {
-		return l, 0, false, ofCache(err)
+		return l, 0, false, cacheError(err)
 	}
 	return v.List, max(0, now.Sub(time.UnixMilli(v.SavedMS))), true, nil
 }
 
 // Save replaces what was saved.
 func (c Cache) Save(l list.List, now time.Time) error {
-	return ofCache(c.cell().Save(cached{now.UnixMilli(), l}))
+	return cacheError(c.cell().Save(cachedList{now.UnixMilli(), l}))
 }
 
-// ofCache says where an error came from; nil stays nil.
-func ofCache(err error) error {
+// cacheError says where an error came from; nil stays nil.
+func cacheError(err error) error {
 	if err == nil {
 		return nil
 	}
--- a/internal/sidecar/client/cache_test.go
+++ b/internal/sidecar/client/cache_test.go
@@ -25,7 +25,7 @@
 	if _, _, ok, err := c.Load(now); ok || err != nil {
 		t.Errorf("nothing was saved: %v, %v", ok, err)
 	}
-	want := whole(7, 0, 1, 2)
+	want := completeList(7, 0, 1, 2)
 	if err := c.Save(want, now); err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +78,7 @@
 	if got, _, ok, err := c.Load(now); !ok || err != nil || len(got.Targets) != len(l.Targets) {
 		t.Fatalf("%d servers, %t, %v", len(got.Targets), ok, err)
 	}
-	if err := os.Truncate(c.path, mostCached+1); err != nil {
+	if err := os.Truncate(c.path, maxCachedListBytes+1); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, ok, err := c.Load(now); ok || !errors.Is(err, sealed.ErrUnsound) || !strings.HasPrefix(err.Error(), "cache: ") {
@@ -92,7 +92,7 @@
 	}
 	rules = rules[:sort.Search(len(rules), func(n int) bool { return rules[:n+1].Check() != nil })].Canonical()
 	r := NewRouteCache(folder, "n")
-	if err := r.Save(Held{Gen: 1, Hash: rules.Hash(), Rules: rules}, "", now); err != nil {
+	if err := r.Save(RouteState{Generation: 1, Hash: rules.Hash(), Rules: rules}, "", now); err != nil {
 		t.Fatal(err)
 	}
 	if got, _, ok, err := r.Load("", now); !ok || err != nil || len(got.Rules) != len(rules) || len(rules) == 8192 {
--- a/internal/sidecar/client/client.go
+++ b/internal/sidecar/client/client.go
@@ -26,38 +26,38 @@
 // Times of one try at one keeper.
 const (
 	connectTimeout = time.Second
-	tryTimeout     = 2500 * time.Millisecond // longer than a keeper waits for agreement, so that it is the keeper who says what became of it
-	leastPause     = 50 * time.Millisecond
-	mostPause      = 2 * time.Second
-	mostAnswer     = 256 << 20 // bytes; a backup
+	attemptTimeout = 2500 * time.Millisecond // longer than a keeper waits for agreement, so that it is the keeper who says what became of it
+	minBackoff     = 50 * time.Millisecond
+	maxBackoff     = 2 * time.Second
+	maxAnswerBytes = 256 << 20 // bytes; a backup
 )
 
 // ErrUncertain is a write whose outcome is not known: it may have been done, and may yet be.
 var ErrUncertain = errors.New("the outcome is unknown")
 
-// Refused is a call that a keeper understood and did not do. Nothing of it was applied.
-type Refused struct {
-	Status int
-	Code   string `json:"code"`
-	Reason string `json:"reason"`
-	Rev    int64  `json:"rev"`
+// RefusedError is a call that a keeper understood and did not do. Nothing of it was applied.
+type RefusedError struct {
+	Status   int
+	Code     string `json:"code"`
+	Reason   string `json:"reason"`
+	Revision int64  `json:"rev"`
 }
 
-func (e *Refused) Error() string { return e.Reason }
+func (e *RefusedError) Error() string { return e.Reason }
 
 // Client calls keepers. It is safe for concurrent use.
 type Client struct {
-	keepers []string
-	http    *http.Client
-	next    atomic.Int64 // which keeper is asked first: the one that answered last
+	addresses []string
+	http      *http.Client
+	next      atomic.Int64 // which keeper is asked first: the one that answered last
 }
 
 // New is a client of keepers, by address. Errors tell which is none.
 func New(keepers []string) (*Client, error) {
-	if err := checkKeepers(keepers); err != nil {
+	if err := checkAddresses(keepers); err != nil {
 		return nil, err
 	}
-	c := &Client{keepers: keepers, http: &http.Client{
+	c := &Client{addresses: keepers, http: &http.Client{
 		Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: connectTimeout}).DialContext, DisableCompression: true, MaxIdleConnsPerHost: 64,
 			IdleConnTimeout: 30 * time.Second},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
@@ -65,7 +65,7 @@
 	return c, nil
 }
 
-func checkKeepers(keepers []string) error {
+func checkAddresses(keepers []string) error {
 	if len(keepers) == 0 {
 		return errors.New("no keeper is named")
 	}
@@ -83,42 +83,42 @@
 // Close lets go of idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Keepers are the addresses.
-func (c *Client) Keepers() []string { return c.keepers }
+// Addresses are the addresses.
+func (c *Client) Addresses() []string { return c.addresses }
 
-// call is one call, wherever it is answered.
-type call struct {
-	method, path string
-	body         any
-	once         bool // a second time might do something else than the first: not sent again when its outcome is unknown
-	raw          []byte
-	patience     time.Duration // of one try; 0: tryTimeout
+// request is one request, wherever it is answered.
+type request struct {
+	method, path  string
+	body          any
+	notIdempotent bool // a second time might do something else than the first: not sent again when its outcome is unknown
+	rawBody       []byte
+	timeout       time.Duration // of one try; 0: attemptTimeout
 }
 
 // do makes a call until a keeper has done or refused it, or ctx is done. Keepers that are not leaders, are crowded or are
 // gone are passed over, with pauses that grow and are drawn, so that many clients do not come again together.
-func (c *Client) do(ctx context.Context, q call, into any) error {
+func (c *Client) do(ctx context.Context, q request, into any) error {
 	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval, pause.MaxInterval, pause.RandomizationFactor = leastPause, mostPause, 0.5
+	pause.InitialInterval, pause.MaxInterval, pause.RandomizationFactor = minBackoff, maxBackoff, 0.5
 	var last error
 	for n := 0; ; n++ {
 		i := c.next.Load()
-		after, err := c.try(ctx, c.keepers[i%int64(len(c.keepers))], q, into)
-		var refused *Refused
+		after, err := c.attempt(ctx, c.addresses[i%int64(len(c.addresses))], q, into)
+		var refused *RefusedError
 		switch {
 		case err == nil:
 			return nil
 		case errors.As(err, &refused) && refused.Status != http.StatusServiceUnavailable:
 			return err
-		case errors.Is(err, ErrUncertain) && q.once:
+		case errors.Is(err, ErrUncertain) && q.notIdempotent:
 			return err
 		}
 		if ctx.Err() == nil || last == nil {
 			last = err
 		}
-		c.next.CompareAndSwap(i, (i+1)%int64(len(c.keepers)))
+		c.next.CompareAndSwap(i, (i+1)%int64(len(c.addresses)))
 		wait := time.Duration(0)
-		if (n+1)%len(c.keepers) == 0 { // all were asked
+		if (n+1)%len(c.addresses) == 0 { // all were asked
 			wait = max(pause.NextBackOff(), after)
 		}
 		timer := time.NewTimer(wait)
@@ -131,15 +131,15 @@
 	}
 }
 
-// try makes a call at one keeper. after is how long it wants to be left alone.
-func (c *Client) try(ctx context.Context, keeper string, q call, into any) (after time.Duration, err error) {
-	patience := q.patience
+// attempt makes a call at one keeper. after is how long it wants to be left alone.
+func (c *Client) attempt(ctx context.Context, keeper string, q request, into any) (after time.Duration, err error) {
+	patience := q.timeout
 	if patience == 0 {
-		patience = tryTimeout
+		patience = attemptTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
-	body := q.raw
+	body := q.rawBody
 	if q.body != nil {
 		if body, err = json.Marshal(q.body); err != nil {
 			return 0, fmt.Errorf("call: %w", err)
@@ -158,7 +158,7 @@
 		return 0, fmt.Errorf("keeper %s: %w: %w", keeper, ErrUncertain, err)
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, mostAnswer))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return 0, fmt.Errorf("keeper %s: %w: %w", keeper, ErrUncertain, err)
 	}
@@ -174,7 +174,7 @@
 		}
 		return 0, nil
 	}
-	r := &Refused{Status: resp.StatusCode}
+	r := &RefusedError{Status: resp.StatusCode}
 	if err := json.Unmarshal(text, r); err != nil || r.Reason == "" {
 		r.Reason = fmt.Sprintf("status %d", resp.StatusCode)
 	}
@@ -196,16 +196,16 @@
 // Entry is a server with what keepers know of it.
 type Entry struct {
 	list.Target
-	LeaseMS int64  `json:"lease_ms,omitempty"`
-	Rev     int64  `json:"rev"`
-	Why     string `json:"why,omitempty"`
+	LeaseMS  int64  `json:"lease_ms,omitempty"`
+	Revision int64  `json:"rev"`
+	Reason   string `json:"why,omitempty"`
 }
 
-// Done is what became of a write.
-type Done struct {
-	Rev     int64  `json:"rev"` // of the entry
-	Cluster string `json:"cluster"`
-	Server  *Entry `json:"server,omitempty"`
+// Result is what became of a write.
+type Result struct {
+	Revision int64  `json:"rev"` // of the entry
+	Cluster  string `json:"cluster"`
+	Server   *Entry `json:"server,omitempty"`
 }
 
 // List is the whole list. exact: with every write that was acknowledged before the call.
@@ -215,7 +215,7 @@
 		path += "?exact=1"
 	}
 	var text []byte
-	if err := c.do(ctx, call{method: http.MethodGet, path: path}, &text); err != nil {
+	if err := c.do(ctx, request{method: http.MethodGet, path: path}, &text); err != nil {
 		return list.List{}, err
 	}
 	return list.Parse(text)
@@ -223,9 +223,9 @@
 
 // Server is one entry, with every write that was acknowledged before the call. It tells false where there is none.
 func (c *Client) Server(ctx context.Context, uid string) (e Entry, ok bool, err error) {
-	var d Done
-	err = c.do(ctx, call{method: http.MethodGet, path: "/v1/servers/" + url.PathEscape(uid)}, &d)
-	var refused *Refused
+	var d Result
+	err = c.do(ctx, request{method: http.MethodGet, path: "/v1/servers/" + url.PathEscape(uid)}, &d)
+	var refused *RefusedError
 	if errors.As(err, &refused) && refused.Status == http.StatusNotFound {
 		return e, false, nil
 	}
@@ -237,26 +237,26 @@
 
 // Register puts servers on the list, all or none. expect, if not nil, is the revision that the one server's entry must have;
 // 0: it must not be there. Errors are *Refused, ErrUncertain where expect is given, or ctx's with the last cause.
-func (c *Client) Register(ctx context.Context, servers []list.Registration, expect *int64) (d Done, err error) {
-	err = c.do(ctx, call{method: http.MethodPost, path: "/v1/servers", once: expect != nil,
+func (c *Client) Register(ctx context.Context, servers []list.Registration, expect *int64) (d Result, err error) {
+	err = c.do(ctx, request{method: http.MethodPost, path: "/v1/servers", notIdempotent: expect != nil,
 		body: map[string]any{"servers": servers, "expect": expect}}, &d)
 	return d, err
 }
 
-// Turn is what Change does to a server.
-type Turn string
+// Action is what Change does to a server.
+type Action string
 
 // What can be done to a server.
 const (
-	Drain Turn = "drain" // it gets no new work
-	Serve Turn = "serve" // it does again
-	Leave Turn = "leave" // it is gone
+	Drain      Action = "drain" // it gets no new work
+	Serve      Action = "serve" // it does again
+	Deregister Action = "leave" // it is gone
 )
 
 // Change drains a server, has it serve again, or removes it. expect is as with Register.
-func (c *Client) Change(ctx context.Context, turn Turn, uid string, expect *int64) (d Done, err error) {
-	q := call{method: http.MethodPost, path: "/v1/servers/" + url.PathEscape(uid) + "/" + string(turn), once: expect != nil}
-	if turn == Leave {
+func (c *Client) Change(ctx context.Context, turn Action, uid string, expect *int64) (d Result, err error) {
+	q := request{method: http.MethodPost, path: "/v1/servers/" + url.PathEscape(uid) + "/" + string(turn), notIdempotent: expect != nil}
+	if turn == Deregister {
 		q.method, q.path = http.MethodDelete, "/v1/servers/"+url.PathEscape(uid)
 	}
 	if expect != nil {
@@ -277,7 +277,7 @@
 	var a struct {
 		Unknown []string `json:"unknown"`
 	}
-	err = c.do(ctx, call{method: http.MethodPost, path: "/v1/renew", body: map[string]any{"renewals": all}}, &a)
+	err = c.do(ctx, request{method: http.MethodPost, path: "/v1/renew", body: map[string]any{"renewals": all}}, &a)
 	return a.Unknown, err
 }
 
@@ -289,15 +289,15 @@
 		status T
 		err    error
 	}
-	answers := make(chan one, len(c.keepers))
-	for _, k := range c.keepers {
+	answers := make(chan one, len(c.addresses))
+	for _, k := range c.addresses {
 		go func() {
 			o := one{keeper: k}
-			_, o.err = c.try(ctx, k, call{method: http.MethodGet, path: "/v1/status", patience: 2 * time.Second}, &o.status)
+			_, o.err = c.attempt(ctx, k, request{method: http.MethodGet, path: "/v1/status", timeout: 2 * time.Second}, &o.status)
 			answers <- o
 		}()
 	}
-	for range c.keepers {
+	for range c.addresses {
 		o := <-answers
 		if o.err != nil {
 			failed[o.keeper] = o.err
@@ -314,17 +314,17 @@
 	if exact {
 		path += "?exact=1"
 	}
-	err = c.do(ctx, call{method: http.MethodGet, path: path, patience: time.Minute}, &text)
+	err = c.do(ctx, request{method: http.MethodGet, path: path, timeout: time.Minute}, &text)
 	return text, err
 }
 
 // Restore replaces the state of all keepers by a backup.
-func (c *Client) Restore(ctx context.Context, backup []byte) (d Done, err error) {
-	err = c.do(ctx, call{method: http.MethodPost, path: "/v1/restore", raw: backup, once: true, patience: time.Minute}, &d)
+func (c *Client) Restore(ctx context.Context, backup []byte) (d Result, err error) {
+	err = c.do(ctx, request{method: http.MethodPost, path: "/v1/restore", rawBody: backup, notIdempotent: true, timeout: time.Minute}, &d)
 	return d, err
 }
 
-// Remove takes a keeper out of the cluster.
-func (c *Client) Remove(ctx context.Context, name string) error {
-	return c.do(ctx, call{method: http.MethodDelete, path: "/v1/keepers/" + url.PathEscape(name), once: true, patience: 20 * time.Second}, nil)
+// RemoveNode takes a keeper out of the cluster.
+func (c *Client) RemoveNode(ctx context.Context, name string) error {
+	return c.do(ctx, request{method: http.MethodDelete, path: "/v1/keepers/" + url.PathEscape(name), notIdempotent: true, timeout: 20 * time.Second}, nil)
 }
--- a/internal/sidecar/client/follow_test.go
+++ b/internal/sidecar/client/follow_test.go
@@ -66,15 +66,15 @@
 }
 
 // follow follows keepers until the test ends. held tells what the consumer holds, in order.
-func follow(t *testing.T, o Options) (f *Follower, held func() string) {
+func follow(t *testing.T, o Options) (f *Subscriber, held func() string) {
 	t.Helper()
 	var mu sync.Mutex
 	all := map[string]list.Target{}
 	o.Log = slog.New(slog.DiscardHandler)
-	o.Told = func(u Update) {
+	o.OnUpdate = func(u Update) {
 		mu.Lock()
 		defer mu.Unlock()
-		if u.All {
+		if u.Complete {
 			clear(all)
 		}
 		for _, t := range u.Targets {
@@ -83,7 +83,7 @@
 			}
 		}
 	}
-	f, err := NewFollower(o)
+	f, err := NewSubscriber(o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,13 +117,13 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("internal/poll.runtime_pollWait"))
 }
 
-// TestFollowerLeaves has keepers say what cannot be taken: it is left for the next one, from the revision that is held.
-func TestFollowerLeaves(t *testing.T) {
+// TestSubscriberChangesNode has keepers say what cannot be taken: it is left for the next one, from the revision that is held.
+func TestSubscriberChangesNode(t *testing.T) {
 	old := int64(60_000)
-	stale := whole(9, 1, 2)
+	stale := completeList(9, 1, 2)
 	stale.AgeMS = &old
 	for name, bad := range map[string]*scripted{
-		"a revision that goes back": newScripted(t, whole(3, 1)),
+		"a revision that goes back": newScripted(t, completeList(3, 1)),
 		"a keeper out of touch":     newScripted(t, list.List{Rev: 5, Cluster: "c", AgeMS: &old, Targets: []list.Target{}}),
 		"nonsense":                  newScripted(t, list.List{Rev: 6, Cluster: "c", Targets: []list.Target{{UID: "?"}}}),
 		"a refusal":                 {Server: newScripted(t).Server, refuses: 1},
@@ -135,10 +135,10 @@
 				bad.refuses = 1 << 30
 			}
 			cache := NewCache(t.TempDir(), "n")
-			if err := cache.Save(whole(5, 0, 1, 2), time.Now()); err != nil {
+			if err := cache.Save(completeList(5, 0, 1, 2), time.Now()); err != nil {
 				t.Fatal(err)
 			}
-			_, held := follow(t, Options{Keepers: []string{bad.at(), good.at()}, Doubt: DefaultDoubt, Cache: cache})
+			_, held := follow(t, Options{Registry: []string{bad.at(), good.at()}, ShrinkLimits: DefaultShrinkLimits, Cache: cache})
 			eventually(t, "the good keeper's news", func() bool { return held() == "0 1 2 7 " })
 			if q := good.queries()[0]; q != "watch=1&ages=1&from=5&cluster=c" {
 				t.Errorf("asked %s", q)
@@ -151,18 +151,18 @@
 	}
 }
 
-// TestFollowerDoubts shows a list that lost most servers: they are let go only when another keeper's list lacks them too.
-func TestFollowerDoubts(t *testing.T) {
-	shrunk := newScripted(t, whole(9, 0, 1))
+// TestSubscriberShrunkenList shows a list that lost most servers: they are let go only when another keeper's list lacks them too.
+func TestSubscriberShrunkenList(t *testing.T) {
+	shrunk := newScripted(t, completeList(9, 0, 1))
 	other := newScripted(t)
-	other.whole = whole(9, 0, 1, 2, 3)
+	other.whole = completeList(9, 0, 1, 2, 3)
 	cache := NewCache(t.TempDir(), "n")
-	if err := cache.Save(whole(5, 0, 1, 2, 3, 4, 5, 6, 7), time.Now()); err != nil {
+	if err := cache.Save(completeList(5, 0, 1, 2, 3, 4, 5, 6, 7), time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	other.refuses = 1 << 30 // only the first one can be watched
-	f, held := follow(t, Options{Keepers: []string{shrunk.at(), other.at()}, Cache: cache,
-		Doubt: Doubt{Share: 0.3, Least: 1, After: 300 * time.Millisecond, Every: time.Hour}})
+	f, held := follow(t, Options{Registry: []string{shrunk.at(), other.at()}, Cache: cache,
+		ShrinkLimits: ShrinkLimits{MaxShare: 0.3, MinCount: 1, ConfirmAfter: 300 * time.Millisecond, ReleaseInterval: time.Hour}})
 	eventually(t, "a second reading", func() bool { return held() == "0 1 2 3 " })
 	other.mu.Lock()
 	n := other.read
@@ -170,11 +170,11 @@
 	if n != 1 {
 		t.Errorf("the other keeper was read %d times", n)
 	}
-	if err := f.Move([]string{"nowhere"}); err == nil {
+	if err := f.SetAddresses([]string{"nowhere"}); err == nil {
 		t.Error("moved to no address")
 	}
 	next := newScripted(t, list.List{Rev: 10, Cluster: "c", Targets: []list.Target{target(9, list.Serving)}})
-	if err := f.Move([]string{next.at()}); err != nil {
+	if err := f.SetAddresses([]string{next.at()}); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "news after a move", func() bool { return held() == "0 1 2 3 9 " })
--- a/internal/sidecar/client/followduties.go
+++ b/internal/sidecar/client/followduties.go
@@ -12,20 +12,20 @@
 	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
-// FollowDuties watches the duties of a process, "": all, until ctx is done, at one keeper after the other, and tells what changes. A
+// WatchRoles watches the duties of a process, "": all, until ctx is done, at one keeper after the other, and tells what changes. A
 // line may come late, or never while keepers change: whoever holds a duty goes by the answers to his renewals.
-func FollowDuties(ctx context.Context, keepers []string, who string, log *slog.Logger, told func(DutyNews)) error {
-	if err := checkKeepers(keepers); err != nil {
+func WatchRoles(ctx context.Context, keepers []string, who string, log *slog.Logger, told func(RolesUpdate)) error {
+	if err := checkAddresses(keepers); err != nil {
 		return err
 	}
-	r := newRounds("duties", keepers, log)
+	r := newRotation("duties", keepers, log)
 	from, cluster := int64(-1), ""
 	watch := func(ctx context.Context, keeper string) (came bool, after time.Duration, err error) {
 		path := "/v1/duties?watch=1&ages=1&who=" + url.QueryEscape(who)
 		if from >= 0 {
 			path += "&from=" + strconv.FormatInt(from, 10) + "&cluster=" + cluster
 		}
-		lines, end, after, err := r.open(ctx, keeper, path)
+		lines, end, after, err := r.openWatch(ctx, keeper, path)
 		if err != nil {
 			return false, after, err
 		}
@@ -43,11 +43,11 @@
 				if len(l.text) == 0 {
 					continue
 				}
-				var n DutyNews
+				var n RolesUpdate
 				if err := json.Unmarshal(l.text, &n); err != nil {
 					return came, 0, fmt.Errorf("duties: %w", err)
 				}
-				from, cluster = n.Rev, n.Cluster
+				from, cluster = n.Revision, n.Cluster
 				told(n)
 			case <-silent.C:
 				return came, 0, fmt.Errorf("nothing came for %v", list.Silence)
--- a/internal/sidecar/client/hold.go
+++ b/internal/sidecar/client/hold.go
@@ -9,10 +9,10 @@
 	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
-// Hold keeps a registration alive until ctx is done: it renews the lease three times in its length, and registers again where
+// KeepRegistered keeps a registration alive until ctx is done: it renews the lease three times in its length, and registers again where
 // the keepers say that the lease is over. While no keeper answers it goes on asking; the server is then drained when the
 // lease ends, and comes back with the next registration.
-func (c *Client) Hold(ctx context.Context, r list.Registration) {
+func (c *Client) KeepRegistered(ctx context.Context, r list.Registration) {
 	every := time.Duration(r.LeaseMS) * time.Millisecond / 3
 	for {
 		// Drawn, so that servers that came together do not renew together for good.
--- a/internal/sidecar/client/saver.go
+++ b/internal/sidecar/client/saver.go
@@ -2,14 +2,14 @@
 
 import "log/slog"
 
-// saver saves values by a goroutine of its own. Danger: a disk may take any time, in which news must go on.
-type saver[T any] struct {
+// asyncSaver saves values by a goroutine of its own. Danger: a disk may take any time, in which news must go on.
+type asyncSaver[T any] struct {
 	values chan T // the one that waits
 	ended  chan struct{}
 }
 
-func newSaver[T any](what string, log *slog.Logger, save func(T) error) *saver[T] {
-	s := &saver[T]{values: make(chan T, 1), ended: make(chan struct{})}
+func newAsyncSaver[T any](what string, log *slog.Logger, save func(T) error) *asyncSaver[T] {
+	s := &asyncSaver[T]{values: make(chan T, 1), ended: make(chan struct{})}
 	go func() {
 		defer close(s.ended)
 		bad := false
@@ -25,10 +25,10 @@
 }
 
 // put has a value saved, in the place of one that still waits.
-func (s *saver[T]) put(v T) { newest(s.values, v) }
+func (s *asyncSaver[T]) put(v T) { putLatest(s.values, v) }
 
 // close returns once the last value is saved.
-func (s *saver[T]) close() {
+func (s *asyncSaver[T]) close() {
 	close(s.values)
 	<-s.ended
 }
--- a/internal/sidecar/registry/admin.go
+++ b/internal/sidecar/registry/admin.go
@@ -179,6 +179,6 @@
 		return err
 	}
 	k.log.Warn("restored from a backup", "rev", m.Revision(), "servers", m.Len())
-	reply(w, http.StatusOK, client.Done{Rev: m.Revision(), Cluster: m.Cluster()})
+	reply(w, http.StatusOK, client.Result{Revision: m.Revision(), Cluster: m.Cluster()})
 	return nil
 }
--- a/internal/sidecar/registry/http.go
+++ b/internal/sidecar/registry/http.go
@@ -55,7 +55,7 @@
 	mux.HandleFunc("PUT /v1/routes", k.admit("put-routes", k.putRoutes))
 	mux.HandleFunc("GET /v1/duties", k.roles)
 	mux.HandleFunc("POST /v1/duties/renew", k.admit("renew-duties", k.renewRoles))
-	for op, turn := range map[state.Op]client.DutyTurn{state.Campaign: client.Campaign, state.Withdraw: client.Withdraw, state.Release: client.Release,
+	for op, turn := range map[state.Op]client.RoleAction{state.Campaign: client.Campaign, state.Withdraw: client.Withdraw, state.Release: client.Release,
 		state.Move: client.Move, state.Checkpoint: client.Checkpoint, state.Forget: client.Forget} {
 		mux.HandleFunc("POST /v1/duties/{name}/"+string(turn), k.admit(string(op), k.changeRole(op)))
 	}
@@ -277,7 +277,7 @@
 	if err != nil {
 		return err
 	}
-	a := client.Done{Rev: result.Revision}
+	a := client.Result{Revision: result.Revision}
 	k.store.read(func(m *state.Machine) { a.Cluster = m.Cluster() })
 	reply(w, http.StatusOK, a)
 	return nil
@@ -291,15 +291,15 @@
 	uid := r.PathValue("uid")
 	var e state.Entry
 	var ok bool
-	a := client.Done{}
+	a := client.Result{}
 	k.store.read(func(m *state.Machine) {
 		e, ok = m.Entry(uid)
-		a.Cluster, a.Rev = m.Cluster(), m.Revision()
+		a.Cluster, a.Revision = m.Cluster(), m.Revision()
 	})
 	if !ok {
 		return &state.Error{Code: state.NotFound, Reason: fmt.Sprintf("no server %.40q", uid)}
 	}
-	a.Rev, a.Server = e.Revision, &client.Entry{Target: e.Target, LeaseMS: e.LeaseMS, Rev: e.Revision, Why: e.Reason}
+	a.Revision, a.Server = e.Revision, &client.Entry{Target: e.Target, LeaseMS: e.LeaseMS, Revision: e.Revision, Reason: e.Reason}
 	reply(w, http.StatusOK, a)
 	return nil
 }
--- a/internal/sidecar/registry/roles.go
+++ b/internal/sidecar/registry/roles.go
@@ -32,17 +32,17 @@
 // changeRole is a call that changes a duty.
 func (k *Node) changeRole(op state.Op) func(http.ResponseWriter, *http.Request) error {
 	return func(w http.ResponseWriter, r *http.Request) error {
-		var c client.DutyCall
+		var c client.RoleCall
 		if err := decode(r, &c); err != nil {
 			return err
 		}
-		result, err := k.proposeRole(r.Context(), op, state.RoleCall{Name: r.PathValue("name"), Process: c.Who, Location: c.Room, RoleLocation: c.At, Load: c.Load,
-			TTLMS: c.TTLMS, Epoch: c.Epoch, Successor: c.To, Rejoin: c.Again, Failed: c.Failed, Force: c.Force, Step: c.Step, StepNo: c.StepNo,
-			IdleRoles: c.Idle, IdleMS: c.IdleMS})
+		result, err := k.proposeRole(r.Context(), op, state.RoleCall{Name: r.PathValue("name"), Process: c.Process, Location: c.Location, RoleLocation: c.RoleLocation, Load: c.Load,
+			TTLMS: c.TTLMS, Epoch: c.Epoch, Successor: c.Successor, Rejoin: c.Rejoin, Failed: c.Failed, Force: c.Force, Step: c.Step, StepNo: c.StepNo,
+			IdleRoles: c.IdleRoles, IdleMS: c.IdleMS})
 		if err != nil {
 			return err
 		}
-		a := client.DutyDone{Duty: *result.Role}
+		a := client.RoleResult{Role: *result.Role}
 		k.store.read(func(m *state.Machine) { a.Cluster = m.Cluster() })
 		reply(w, http.StatusOK, a)
 		return nil
@@ -68,18 +68,18 @@
 	if err := k.replica.Confirm(r.Context()); err != nil {
 		return err
 	}
-	a := client.DutyRenewal{Holds: []client.HeldDuty{}, Waits: []string{}}
+	a := client.RoleRenewal{Owned: []client.OwnedRole{}, Waiting: []string{}}
 	var all []state.Role
-	k.store.read(func(m *state.Machine) { a.Cluster, a.Rev, all = m.Cluster(), m.RoleRevision(), m.RolesOf(c.Who) })
+	k.store.read(func(m *state.Machine) { a.Cluster, a.Revision, all = m.Cluster(), m.RoleRevision(), m.RolesOf(c.Who) })
 	renewed, ok := k.roleLessor.renew(time.Now(), c.Who, all)
 	if !ok {
 		return errBehind
 	}
 	for i, d := range all {
 		if d.IsOwner(c.Who) {
-			a.Holds = append(a.Holds, client.HeldDuty{Name: d.Name, Epoch: d.Epoch, TTLMS: d.Owner.TTLMS, Renewed: renewed[i], Asked: d.HandoverRequested, To: d.Successor, Step: d.Step, StepNo: d.StepNo})
+			a.Owned = append(a.Owned, client.OwnedRole{Name: d.Name, Epoch: d.Epoch, TTLMS: d.Owner.TTLMS, Renewed: renewed[i], HandoverRequested: d.HandoverRequested, Successor: d.Successor, Step: d.Step, StepNo: d.StepNo})
 		} else {
-			a.Waits = append(a.Waits, d.Name)
+			a.Waiting = append(a.Waiting, d.Name)
 		}
 	}
 	reply(w, http.StatusOK, a)
@@ -106,27 +106,27 @@
 }
 
 // rolesUpdate is what is new for one who knows a revision; told are the names that he was told of, where he asks for a process's.
-func (k *Node) rolesUpdate(a rolesQuery, from int64, told map[string]bool) (n client.DutyNews, changed <-chan struct{}) {
-	n = client.DutyNews{All: from < 0, Duties: []state.Role{}}
+func (k *Node) rolesUpdate(a rolesQuery, from int64, told map[string]bool) (n client.RolesUpdate, changed <-chan struct{}) {
+	n = client.RolesUpdate{Complete: from < 0, Roles: []state.Role{}}
 	k.store.read(func(m *state.Machine) {
 		changed = k.store.rolesChanged
-		n.Rev, n.Cluster = m.RoleRevision(), m.Cluster()
+		n.Revision, n.Cluster = m.RoleRevision(), m.Cluster()
 		switch {
 		case a.process == "":
-			n.Duties = append(n.Duties, m.RolesSince(from)...)
+			n.Roles = append(n.Roles, m.RolesSince(from)...)
 		default:
 			for _, d := range m.RolesOf(a.process) {
 				told[d.Name] = true
 			}
 			for name := range told {
 				if d, ok := m.Role(name); ok && d.Revision > from {
-					n.Duties = append(n.Duties, d)
+					n.Roles = append(n.Roles, d)
 				}
 			}
 		}
 	})
-	kept := n.Duties[:0]
-	for _, d := range n.Duties {
+	kept := n.Roles[:0]
+	for _, d := range n.Roles {
 		if a.name != "" && d.Name != a.name {
 			continue
 		}
@@ -144,7 +144,7 @@
 		}
 		kept = append(kept, d)
 	}
-	n.Duties = kept
+	n.Roles = kept
 	return n, changed
 }
 
@@ -200,13 +200,13 @@
 	told := map[string]bool{}
 	for from, first := a.from, true; ; first = false {
 		n, changed := k.rolesUpdate(a, from, told)
-		if first || len(n.Duties) > 0 {
+		if first || len(n.Roles) > 0 {
 			line, err := json.Marshal(n)
 			if err != nil || !k.writeLines(w, append(line, '\n')) {
 				return nil // its answer has begun: all there is to say is to end it
 			}
 		}
-		from = n.Rev
+		from = n.Revision
 		select {
 		case <-changed:
 			continue
--- a/internal/sidecar/registry/roles_bench_test.go
+++ b/internal/sidecar/registry/roles_bench_test.go
@@ -31,7 +31,7 @@
 			}
 			defer k.Close()
 			for i := range n {
-				if _, err := k.ChangeDuty(ctx, client.Campaign, fmt.Sprint("d", i), client.DutyCall{Who: "a#1", TTLMS: state.MaxRoleLease.Milliseconds()}); err != nil {
+				if _, err := k.ChangeRole(ctx, client.Campaign, fmt.Sprint("d", i), client.RoleCall{Process: "a#1", TTLMS: state.MaxRoleLease.Milliseconds()}); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -47,8 +47,8 @@
 			}
 			before := index()
 			for b.Loop() {
-				if r, err := k.RenewDuties(ctx, "a#1"); err != nil || len(r.Holds) != n || !r.Holds[n-1].Renewed {
-					b.Fatal(len(r.Holds), err)
+				if r, err := k.RenewRoles(ctx, "a#1"); err != nil || len(r.Owned) != n || !r.Owned[n-1].Renewed {
+					b.Fatal(len(r.Owned), err)
 				}
 			}
 			b.ReportMetric(float64(index()-before)/float64(b.N), "log/op")
--- a/internal/sidecar/registry/roles_model_test.go
+++ b/internal/sidecar/registry/roles_model_test.go
@@ -29,7 +29,7 @@
 	leases  *singleton.Leases
 	sent    time.Duration
 	stage   int // 0: no renewal is on its way; 1: to the leader; 2: back
-	answer  []client.HeldDuty
+	answer  []client.OwnedRole
 	effects []modelEffect
 }
 
@@ -176,7 +176,7 @@
 	p.stage, p.answer = 2, nil
 	for i, d := range all {
 		if d.IsOwner(p.name) {
-			p.answer = append(p.answer, client.HeldDuty{Name: "d", Epoch: d.Epoch, TTLMS: d.Owner.TTLMS, Renewed: renewed[i]})
+			p.answer = append(p.answer, client.OwnedRole{Name: "d", Epoch: d.Epoch, TTLMS: d.Owner.TTLMS, Renewed: renewed[i]})
 		}
 	}
 }
--- a/internal/sidecar/registry/roles_test.go
+++ b/internal/sidecar/registry/roles_test.go
@@ -102,7 +102,7 @@
 	}
 	defer resp.Body.Close()
 	lines := bufio.NewScanner(resp.Body)
-	next := func() (n client.DutyNews) {
+	next := func() (n client.RolesUpdate) {
 		t.Helper()
 		for lines.Scan() {
 			if len(lines.Bytes()) > 0 {
@@ -115,12 +115,12 @@
 		t.Fatal("the watch ended")
 		return n
 	}
-	if n := next(); !n.All || len(n.Duties) != 0 {
+	if n := next(); !n.Complete || len(n.Roles) != 0 {
 		t.Errorf("%+v is told to one who has nothing", n)
 	}
 	post("/v1/duties/d/campaign", `{"who":"c#1","ttl_ms":2000}`)
 	post("/v1/duties/d/campaign", `{"who":"b#1","ttl_ms":2000}`)
-	if n := next(); n.All || len(n.Duties) != 1 || len(n.Duties[0].Waiting) != 1 {
+	if n := next(); n.Complete || len(n.Roles) != 1 || len(n.Roles[0].Waiting) != 1 {
 		t.Errorf("%+v", n)
 	}
 	list := func() string {
@@ -166,8 +166,8 @@
 	}
 	defer k.Close()
 	for end := time.Now().Add(waitTimeout); ; {
-		r, err := k.RenewDuties(t.Context(), "a#1")
-		if err == nil && len(r.Holds) == 1 && r.Holds[0].Renewed && r.Holds[0].Epoch == 1 {
+		r, err := k.RenewRoles(t.Context(), "a#1")
+		if err == nil && len(r.Owned) == 1 && r.Owned[0].Renewed && r.Owned[0].Epoch == 1 {
 			break
 		}
 		if time.Now().After(end) {
@@ -178,10 +178,10 @@
 	post("/v1/duties/d/move", `{"to":"b"}`)
 	post("/v1/duties/d/release", `{"who":"a#1","epoch":1,"step":"three quarters","step_no":1}`)
 	n := next()
-	for len(n.Duties) != 1 || n.Duties[0].Epoch == 1 {
+	for len(n.Roles) != 1 || n.Roles[0].Epoch == 1 {
 		n = next()
 	}
-	if d := n.Duties[0]; !d.IsOwner("b#1") || d.Epoch != 2 || d.Step != "three quarters" || d.StepNo != 2 {
+	if d := n.Roles[0]; !d.IsOwner("b#1") || d.Epoch != 2 || d.Step != "three quarters" || d.StepNo != 2 {
 		t.Errorf("%+v", d)
 	}
 }
--- a/internal/sidecar/registry/routes_test.go
+++ b/internal/sidecar/registry/routes_test.go
@@ -21,7 +21,7 @@
 
 func put(rules ...string) string { return `{"rules":[` + strings.Join(rules, ",") + `]}` }
 
-func read(t *testing.T, at, path string) (n client.RouteNews) {
+func read(t *testing.T, at, path string) (n client.RoutesUpdate) {
 	t.Helper()
 	resp, err := http.Get("http://" + at + path)
 	if err != nil {
@@ -80,7 +80,7 @@
 			t.Errorf("%s %.40s %.90s: %d %s %q, want %d %q", c.method, c.path, c.text, code, p.Code, p.Reason, c.code, c.reason)
 		}
 	}
-	if n := read(t, at, "/v1/routes"); n.Gen != 1 || !n.All || len(n.Rules) != 1 {
+	if n := read(t, at, "/v1/routes"); n.Generation != 1 || !n.Complete || len(n.Rules) != 1 {
 		t.Errorf("now at %+v", n)
 	}
 }
@@ -88,7 +88,7 @@
 // TestRoutes puts tables and asks for them as the contract says, whole, from generations and cut.
 func TestRoutes(t *testing.T) {
 	at := start(t, nil)
-	if n := read(t, at, "/v1/routes"); n.Gen != 0 || !n.All || n.Rules == nil {
+	if n := read(t, at, "/v1/routes"); n.Generation != 0 || !n.Complete || n.Rules == nil {
 		t.Errorf("before any table: %+v", n)
 	}
 	gens := func(text string) string {
@@ -128,7 +128,7 @@
 		"?from=2&cluster=other":           {true, 0, 0},
 	} {
 		n := read(t, at, "/v1/routes"+path)
-		if n.Gen != 3 || n.All != want.all || len(n.Ops) != want.ops || len(n.Rules) != want.rules || n.Hash != (routes.Table{}).Hash() {
+		if n.Generation != 3 || n.Complete != want.all || len(n.Ops) != want.ops || len(n.Rules) != want.rules || n.Hash != (routes.Table{}).Hash() {
 			t.Errorf("%s: %+v, want %+v", path, n, want)
 		}
 	}
@@ -140,7 +140,7 @@
 	if code, _, _ := call(t, "PUT", at, "/v1/routes", put(rule("a", "s", "p", "1"), rule("b", "s", "q", "1"))); code != 200 {
 		t.Fatal(code)
 	}
-	watch := func(query string) (next func() client.RouteNews, first func() string) {
+	watch := func(query string) (next func() client.RoutesUpdate, first func() string) {
 		resp, err := http.Get("http://" + at + "/v1/routes?watch=1" + query)
 		if err != nil || resp.StatusCode != 200 {
 			t.Fatal(err, resp.StatusCode)
@@ -154,7 +154,7 @@
 			}
 			return text
 		}
-		return func() (n client.RouteNews) {
+		return func() (n client.RoutesUpdate) {
 			text := "\n"
 			for text == "\n" {
 				text = line()
@@ -166,7 +166,7 @@
 		}, line
 	}
 	p, _ := watch("&tag=service:p&service=s")
-	if n := p(); !n.All || n.Gen != 1 || len(n.Rules) != 1 {
+	if n := p(); !n.Complete || n.Generation != 1 || len(n.Rules) != 1 {
 		t.Errorf("the first line is %+v", n)
 	}
 	q, first := watch("&from=1&tag=service:q")
@@ -183,11 +183,11 @@
 		if weights[0] == "2" && weights[1] == "3" {
 			continue // which is nothing to q
 		}
-		if n := q(); n.All || len(n.Ops) != 1 || fmt.Sprint(n.Ops[0].Weight) != weights[1] {
+		if n := q(); n.Complete || len(n.Ops) != 1 || fmt.Sprint(n.Ops[0].Weight) != weights[1] {
 			t.Errorf("q is told %+v, want the weight %s", n, weights[1])
 		}
 	}
-	if n := p(); n.Gen != 4 || n.From == nil || *n.From != 1 || len(n.Ops) != 1 || n.Ops[0].Name != "a" {
+	if n := p(); n.Generation != 4 || n.From == nil || *n.From != 1 || len(n.Ops) != 1 || n.Ops[0].Name != "a" {
 		t.Errorf("p is told %+v", n)
 	}
 	began := time.Now()
--- a/internal/sidecar/singleton/duty_test.go
+++ b/internal/sidecar/singleton/duty_test.go
@@ -12,8 +12,8 @@
 func TestHolder(t *testing.T) {
 	const ms = time.Millisecond
 	h := NewLeases(nil)
-	held := func(epoch int64, renewed bool) []client.HeldDuty {
-		return []client.HeldDuty{{Name: "d", Epoch: epoch, TTLMS: 1000, Renewed: renewed}}
+	held := func(epoch int64, renewed bool) []client.OwnedRole {
+		return []client.OwnedRole{{Name: "d", Epoch: epoch, TTLMS: 1000, Renewed: renewed}}
 	}
 	may := func(now Instant, epoch int64, want bool) {
 		t.Helper()
--- a/internal/sidecar/singleton/holder.go
+++ b/internal/sidecar/singleton/holder.go
@@ -44,7 +44,7 @@
 // Renewed takes the answer to a renewal that was sent at a time; answers come in the order in which their renewals were sent. It
 // returns the offices that begin, and those that the keepers have this process hold though they are over for it: it has to
 // release them. Danger: the time has to be looked at before the call is sent, also where it is sent again.
-func (h *Leases) Renewed(sent, now Instant, all []client.HeldDuty) (begin []Lease, let []Lease) {
+func (h *Leases) Renewed(sent, now Instant, all []client.OwnedRole) (begin []Lease, let []Lease) {
 	h.Expire(now)
 	here := map[string]bool{}
 	for _, d := range all {
@@ -66,12 +66,12 @@
 			}
 			o = &Lease{Name: d.Name, Epoch: d.Epoch}
 			h.offices[d.Name] = o
-			begin = append(begin, Lease{Name: d.Name, Epoch: d.Epoch, Until: until, HandOver: d.Asked, Step: d.Step, StepNo: d.StepNo})
+			begin = append(begin, Lease{Name: d.Name, Epoch: d.Epoch, Until: until, HandOver: d.HandoverRequested, Step: d.Step, StepNo: d.StepNo})
 		}
 		if d.Renewed {
 			o.Until = max(o.Until, until)
 		}
-		o.HandOver, o.Step, o.StepNo = d.Asked, d.Step, d.StepNo
+		o.HandOver, o.Step, o.StepNo = d.HandoverRequested, d.Step, d.StepNo
 	}
 	for name, o := range h.offices {
 		if !here[name] {
--- a/internal/sidecar/singleton/runner.go
+++ b/internal/sidecar/singleton/runner.go
@@ -113,7 +113,7 @@
 	defer cancel()
 	for name, w := range r.wanted {
 		if !w.missed {
-			_, _ = r.client.ChangeDuty(leave, client.Withdraw, name, client.DutyCall{Who: r.who}) // or it falls out of line by its silence
+			_, _ = r.client.ChangeRole(leave, client.Withdraw, name, client.RoleCall{Process: r.who}) // or it falls out of line by its silence
 		}
 	}
 }
@@ -127,7 +127,7 @@
 
 // follow renews at once where a watch tells of something that this process does not know.
 func (r *Runner) follow(ctx context.Context) {
-	err := client.FollowDuties(ctx, r.o.Registry, r.who, r.o.Log, func(client.DutyNews) { nudge(r.poke) })
+	err := client.WatchRoles(ctx, r.o.Registry, r.who, r.o.Log, func(client.RolesUpdate) { nudge(r.poke) })
 	if err != nil {
 		r.o.Log.Error("duties", "err", err)
 	}
@@ -149,7 +149,7 @@
 		}
 		call, cancel := context.WithTimeout(ctx, max(every, state.MinRoleLease/2))
 		sent := Now()
-		a, err := r.client.RenewDuties(call, r.who)
+		a, err := r.client.RenewRoles(call, r.who)
 		cancel()
 		if err != nil {
 			r.o.Log.Debug("duties", "err", err)
@@ -160,23 +160,23 @@
 }
 
 // take takes the answer to a renewal, begins works, and sees what is missing.
-func (r *Runner) take(ctx context.Context, sent Instant, a client.DutyRenewal) {
+func (r *Runner) take(ctx context.Context, sent Instant, a client.RoleRenewal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	begin, let := r.holder.Renewed(sent, Now(), a.Holds)
+	begin, let := r.holder.Renewed(sent, Now(), a.Owned)
 	known := map[string]bool{}
-	for _, name := range a.Waits {
+	for _, name := range a.Waiting {
 		known[name] = true
 	}
-	for _, d := range a.Holds {
+	for _, d := range a.Owned {
 		known[d.Name] = true
-		if w := r.wanted[d.Name]; w != nil && w.tenure != nil && w.tenure.Epoch == d.Epoch && d.Asked {
+		if w := r.wanted[d.Name]; w != nil && w.tenure != nil && w.tenure.Epoch == d.Epoch && d.HandoverRequested {
 			w.tenure.ask()
 		}
 	}
 	for _, o := range let {
 		if w := r.wanted[o.Name]; w == nil || w.tenure == nil || w.tenure.hangs() { // else it is released when its work has returned
-			q := client.DutyCall{Again: w != nil && !r.ending}
+			q := client.RoleCall{Rejoin: w != nil && !r.ending}
 			r.tasks.Add(1)
 			go func() {
 				defer r.tasks.Done()
@@ -242,7 +242,7 @@
 		slices.SortFunc(all, func(a, b one) int { return mrand.IntN(3) - 1 }) // two who come together share what is free
 		for _, d := range all {
 			call, cancel := context.WithTimeout(ctx, max(r.o.Lease, 3*time.Second))
-			_, err := r.client.ChangeDuty(call, client.Campaign, d.name, client.DutyCall{Who: r.who, Room: r.o.Location, At: d.at, Load: r.o.Load, TTLMS: r.o.Lease.Milliseconds()})
+			_, err := r.client.ChangeRole(call, client.Campaign, d.name, client.RoleCall{Process: r.who, Location: r.o.Location, RoleLocation: d.at, Load: r.o.Load, TTLMS: r.o.Lease.Milliseconds()})
 			cancel()
 			if err != nil && ctx.Err() == nil {
 				r.o.Log.Warn("campaign", "name", d.name, "err", err) // the next renewal shows that it is missing
@@ -269,13 +269,13 @@
 	<-watched
 	final := t.final()
 	ends := err == nil || errors.Is(err, ErrGaveUp)
-	q := client.DutyCall{Again: !ends, Failed: err != nil && !errors.Is(err, ErrHandedOver) && !lost}
+	q := client.RoleCall{Rejoin: !ends, Failed: err != nil && !errors.Is(err, ErrHandedOver) && !lost}
 	if final != nil {
 		q.Step, q.StepNo = *final, &t.StepNo
 	}
 	r.mu.Lock()
 	if r.ending {
-		q.Again = false
+		q.Rejoin = false
 	}
 	r.holder.Release(t.Name, t.Epoch)
 	if ends {
@@ -295,12 +295,12 @@
 }
 
 // release lets go of an office. Where it cannot be said, the office ends with its lease.
-func (r *Runner) release(ctx context.Context, o Lease, q client.DutyCall) {
+func (r *Runner) release(ctx context.Context, o Lease, q client.RoleCall) {
 	call, cancel := context.WithTimeout(ctx, r.o.Lease)
 	defer cancel()
-	q.Who, q.Epoch = r.who, o.Epoch
-	_, err := r.client.ChangeDuty(call, client.Release, o.Name, q)
-	var refused *client.Refused
+	q.Process, q.Epoch = r.who, o.Epoch
+	_, err := r.client.ChangeRole(call, client.Release, o.Name, q)
+	var refused *client.RefusedError
 	if err != nil && !(errors.As(err, &refused) && refused.Status == http.StatusConflict) { // it is not ours any more
 		r.o.Log.Warn("release", "name", o.Name, "epoch", o.Epoch, "err", err)
 	}
--- a/internal/sidecar/singleton/sweep.go
+++ b/internal/sidecar/singleton/sweep.go
@@ -36,12 +36,12 @@
 }
 
 func sweep(ctx context.Context, c *client.Client, t *HeldLease, idle time.Duration, log *slog.Logger) error {
-	n, err := c.Duties(ctx, "")
+	n, err := c.Roles(ctx, "")
 	if err != nil {
 		return err
 	}
 	var names []string
-	for _, d := range n.Duties {
+	for _, d := range n.Roles {
 		if d.Owner == nil && len(d.Waiting) == 0 && len(names) < mostSwept && time.Since(time.UnixMilli(d.SinceMS)) >= idle {
 			names = append(names, d.Name)
 		}
@@ -50,7 +50,7 @@
 		return nil
 	}
 	// The keepers look again whether each is idle.
-	_, err = c.ChangeDuty(ctx, client.Forget, t.Name, client.DutyCall{Who: t.runner.who, Epoch: t.Epoch, Idle: names, IdleMS: idle.Milliseconds()})
+	_, err = c.ChangeRole(ctx, client.Forget, t.Name, client.RoleCall{Process: t.runner.who, Epoch: t.Epoch, IdleRoles: names, IdleMS: idle.Milliseconds()})
 	if err == nil {
 		log.Info("swept", "duties", len(names), "first", names[0])
 	}
--- a/internal/sidecar/singleton/tenure.go
+++ b/internal/sidecar/singleton/tenure.go
@@ -100,7 +100,7 @@
 // after client.ErrUncertain the work should return, as it cannot know what the next reads.
 func (t *HeldLease) Checkpoint(ctx context.Context, step string) error {
 	no := t.StepNo
-	_, err := t.runner.client.ChangeDuty(ctx, client.Checkpoint, t.Name, client.DutyCall{Who: t.runner.who, Epoch: t.Epoch, Step: step, StepNo: &no})
+	_, err := t.runner.client.ChangeRole(ctx, client.Checkpoint, t.Name, client.RoleCall{Process: t.runner.who, Epoch: t.Epoch, Step: step, StepNo: &no})
 	if err == nil {
 		t.StepNo++
 		t.Step = step
