--- a/cmd/gradeusher/duty.go
+++ b/cmd/gradeusher/duty.go
@@ -33,17 +33,17 @@
 // Run prints them, with every change that was acknowledged before.
 func (c dutyList) Run(ctx context.Context, s streams) error {
 	return c.call(ctx, func(ctx context.Context, k *client.Client) error {
-		n, err := k.Duties(ctx, c.Name)
+		n, err := k.Roles(ctx, c.Name)
 		if err != nil {
 			return err
 		}
-		if c.Name != "" && len(n.Duties) == 0 {
+		if c.Name != "" && len(n.Roles) == 0 {
 			return fmt.Errorf("no duty %q", c.Name)
 		}
 		if c.JSON {
 			return json.NewEncoder(s.out).Encode(n)
 		}
-		for _, d := range n.Duties {
+		for _, d := range n.Roles {
 			printDuty(s, d)
 		}
 		return nil
@@ -75,7 +75,7 @@
 
 // Run asks the holder.
 func (c dutyRelease) Run(ctx context.Context, s streams) error {
-	return c.ask(ctx, s, c.Name, client.DutyCall{Force: c.Force})
+	return c.ask(ctx, s, c.Name, client.RoleCall{Force: c.Force})
 }
 
 type dutyMove struct {
@@ -87,15 +87,15 @@
 
 // Run asks the holder.
 func (c dutyMove) Run(ctx context.Context, s streams) error {
-	return c.ask(ctx, s, c.Name, client.DutyCall{To: c.To, Force: c.Force})
+	return c.ask(ctx, s, c.Name, client.RoleCall{Successor: c.To, Force: c.Force})
 }
 
 // ask has a holder asked to hand over, and says what stands then.
-func (f keepersFlag) ask(ctx context.Context, s streams, name string, q client.DutyCall) error {
+func (f keepersFlag) ask(ctx context.Context, s streams, name string, q client.RoleCall) error {
 	return f.call(ctx, func(ctx context.Context, k *client.Client) error {
-		d, err := k.ChangeDuty(ctx, client.Move, name, q)
+		d, err := k.ChangeRole(ctx, client.Move, name, q)
 		if err == nil {
-			printDuty(s, d.Duty)
+			printDuty(s, d.Role)
 		}
 		return err
 	})
--- a/cmd/gradeusher/duty_fleet_test.go
+++ b/cmd/gradeusher/duty_fleet_test.go
@@ -184,14 +184,14 @@
 func (f *dutyFleet) holding() (name string, e effect) {
 	f.t.Helper()
 	eventually(f.t, "holder that acts", func() bool {
-		n, err := f.client.Duties(f.call(), "work")
-		if err != nil || len(n.Duties) != 1 || n.Duties[0].Owner == nil || len(n.Duties[0].Waiting) < 2 {
+		n, err := f.client.Roles(f.call(), "work")
+		if err != nil || len(n.Roles) != 1 || n.Roles[0].Owner == nil || len(n.Roles[0].Waiting) < 2 {
 			return false
 		}
 		var ok bool
 		e, ok = f.resource.last()
-		name = state.ProcessName(n.Duties[0].Owner.Process)
-		return ok && e.epoch == n.Duties[0].Epoch
+		name = state.ProcessName(n.Roles[0].Owner.Process)
+		return ok && e.epoch == n.Roles[0].Epoch
 	})
 	return name, e
 }
--- a/cmd/gradeusher/duty_test.go
+++ b/cmd/gradeusher/duty_test.go
@@ -143,13 +143,13 @@
 	t.Parallel()
 	k := newKeepers(t, 1, "")
 	k.leader()
-	change := func(turn client.DutyTurn, name, who string, epoch int64) state.Role {
+	change := func(turn client.RoleAction, name, who string, epoch int64) state.Role {
 		t.Helper()
-		d, err := k.client.ChangeDuty(k.call(), turn, name, client.DutyCall{Who: who, Epoch: epoch, TTLMS: 300_000})
+		d, err := k.client.ChangeRole(k.call(), turn, name, client.RoleCall{Process: who, Epoch: epoch, TTLMS: 300_000})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return d.Duty
+		return d.Role
 	}
 	leave := func(name string) (epoch int64) {
 		epoch = change(client.Campaign, name, "a#1", 0).Epoch
@@ -173,12 +173,12 @@
 	swept := func() (by string) {
 		t.Helper()
 		eventually(t, "sweep", func() bool {
-			n, err := k.client.Duties(k.call(), "")
+			n, err := k.client.Roles(k.call(), "")
 			if err != nil {
 				return false
 			}
 			names := ""
-			for _, d := range n.Duties {
+			for _, d := range n.Roles {
 				names += d.Name + " "
 				if d.Name == singleton.SweepRole && d.Owner != nil {
 					by = state.ProcessName(d.Owner.Process)
@@ -198,7 +198,7 @@
 	leave("older")
 	swept()
 	sweep := change(client.Campaign, singleton.SweepRole, "a#1", 0)
-	_, err := k.client.ChangeDuty(k.call(), client.Forget, singleton.SweepRole, client.DutyCall{Who: sweep.Owner.Process, Epoch: sweep.Epoch - 1, Idle: []string{"used"}, IdleMS: 1000})
+	_, err := k.client.ChangeRole(k.call(), client.Forget, singleton.SweepRole, client.RoleCall{Process: sweep.Owner.Process, Epoch: sweep.Epoch - 1, IdleRoles: []string{"used"}, IdleMS: 1000})
 	if err == nil || !strings.Contains(err.Error(), "does not hold sweep") {
 		t.Errorf("a sweep under the epoch before: %v", err)
 	}
@@ -234,8 +234,8 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
-	n, err := k.client.Duties(ctx, "d")
-	if err != nil || len(n.Duties) != 1 || n.Duties[0].Owner != nil || len(n.Duties[0].Waiting) > 0 {
+	n, err := k.client.Roles(ctx, "d")
+	if err != nil || len(n.Roles) != 1 || n.Roles[0].Owner != nil || len(n.Roles[0].Waiting) > 0 {
 		t.Errorf("%+v, %v", n, err)
 	}
 	for want, args := range map[string][]string{
@@ -243,7 +243,7 @@
 		"--grace 3s": {"hold", "d", "--grace", "3s", "--", "true"}, "executable file not found": {"hold", "d", "--", "no-such-program"}, `"z" does not wait`: {"move", "full", "z"},
 	} {
 		if args[0] == "move" {
-			if _, err := k.client.ChangeDuty(ctx, client.Campaign, "full", client.DutyCall{Who: "a#1", TTLMS: 300_000}); err != nil {
+			if _, err := k.client.ChangeRole(ctx, client.Campaign, "full", client.RoleCall{Process: "a#1", TTLMS: 300_000}); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/cmd/gradeusher/keeper.go
+++ b/cmd/gradeusher/keeper.go
@@ -106,7 +106,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(s.out, "restored, at revision %d\n", d.Rev)
+		fmt.Fprintf(s.out, "restored, at revision %d\n", d.Revision)
 		return nil
 	})
 }
@@ -118,7 +118,7 @@
 
 // Run removes it.
 func (c keeperRemove) Run(ctx context.Context, s streams) error {
-	return c.call(ctx, func(ctx context.Context, k *client.Client) error { return k.Remove(ctx, c.Name) })
+	return c.call(ctx, func(ctx context.Context, k *client.Client) error { return k.RemoveNode(ctx, c.Name) })
 }
 
 type statusCommand struct {
@@ -143,7 +143,7 @@
 				return err
 			}
 		} else {
-			for _, address := range slices.Sorted(slices.Values(k.Keepers())) {
+			for _, address := range slices.Sorted(slices.Values(k.Addresses())) {
 				v, ok := all[address]
 				if !ok {
 					fmt.Fprintf(s.out, "%-21s no answer: %s\n", address, strings.ReplaceAll(failed[address].Error(), "\n", "; "))
--- a/cmd/gradeusher/keeper_cluster_test.go
+++ b/cmd/gradeusher/keeper_cluster_test.go
@@ -151,7 +151,7 @@
 	if err != nil {
 		k.t.Fatal(err)
 	}
-	return d.Rev
+	return d.Revision
 }
 
 // seen is what a follower was told.
@@ -163,7 +163,7 @@
 func (s *seen) told(u client.Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if u.All {
+	if u.Complete {
 		s.held = map[string]list.Target{}
 	}
 	for _, t := range u.Targets {
--- a/cmd/gradeusher/keeper_test.go
+++ b/cmd/gradeusher/keeper_test.go
@@ -25,7 +25,7 @@
 	t.Parallel()
 	k := newKeepers(t, 3, "")
 	s := &seen{}
-	f, err := client.NewFollower(client.Options{Keepers: k.addresses(), Doubt: client.DefaultDoubt, Log: quiet(), Told: s.told})
+	f, err := client.NewSubscriber(client.Options{Registry: k.addresses(), ShrinkLimits: client.DefaultShrinkLimits, Log: quiet(), OnUpdate: s.told})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/gradeusher/list.go
+++ b/cmd/gradeusher/list.go
@@ -54,7 +54,7 @@
 			if c.JSON {
 				return json.NewEncoder(s.out).Encode(e)
 			}
-			fmt.Fprintf(s.out, "revision %d, lease %d ms, %s\n", e.Rev, e.LeaseMS, e.Why)
+			fmt.Fprintf(s.out, "revision %d, lease %d ms, %s\n", e.Revision, e.LeaseMS, e.Reason)
 			printTargets(s.out, []list.Target{e.Target})
 			return nil
 		}
@@ -83,9 +83,9 @@
 		return fmt.Errorf("%w: --for %v is not within 1ns to 24h", errUsage, c.For)
 	}
 	lines := json.NewEncoder(s.out)
-	f, err := client.NewFollower(client.Options{Keepers: strings.Split(c.Keepers, ","), Doubt: client.DefaultDoubt,
+	f, err := client.NewSubscriber(client.Options{Registry: strings.Split(c.Keepers, ","), ShrinkLimits: client.DefaultShrinkLimits,
 		Log: slog.New(slog.NewTextHandler(s.err, nil)),
-		Told: func(u client.Update) {
+		OnUpdate: func(u client.Update) {
 			if c.JSON {
 				_ = lines.Encode(u) // to a reader that has gone
 				return
@@ -125,7 +125,7 @@
 	err := c.call(ctx, func(ctx context.Context, k *client.Client) error {
 		d, err := k.Register(ctx, []list.Registration{r}, c.Expect)
 		if err == nil {
-			fmt.Fprintf(s.out, "revision %d\n", d.Rev)
+			fmt.Fprintf(s.out, "revision %d\n", d.Revision)
 		}
 		return err
 	})
@@ -142,10 +142,10 @@
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
 	defer k.Close()
-	k.Hold(ctx, r)
+	k.KeepRegistered(ctx, r)
 	leave, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.Within)
 	defer cancel()
-	_, err = k.Change(leave, client.Leave, r.UID, nil)
+	_, err = k.Change(leave, client.Deregister, r.UID, nil)
 	return err
 }
 
@@ -156,7 +156,7 @@
 	Expect string `help:"Only if its entry is at this revision."`
 }
 
-func (c turnCommand) do(ctx context.Context, s streams, turn client.Turn) error {
+func (c turnCommand) do(ctx context.Context, s streams, turn client.Action) error {
 	var expect *int64
 	if c.Expect != "" {
 		n, err := strconv.ParseInt(c.Expect, 10, 64)
@@ -168,7 +168,7 @@
 	return c.call(ctx, func(ctx context.Context, k *client.Client) error {
 		d, err := k.Change(ctx, turn, c.UID, expect)
 		if err == nil {
-			fmt.Fprintf(s.out, "revision %d\n", d.Rev)
+			fmt.Fprintf(s.out, "revision %d\n", d.Revision)
 		}
 		return err
 	})
@@ -187,4 +187,4 @@
 type listLeave struct{ turnCommand }
 
 // Run removes it.
-func (c listLeave) Run(ctx context.Context, s streams) error { return c.do(ctx, s, client.Leave) }
+func (c listLeave) Run(ctx context.Context, s streams) error { return c.do(ctx, s, client.Deregister) }
--- a/cmd/gradeusher/routes_test.go
+++ b/cmd/gradeusher/routes_test.go
@@ -33,13 +33,13 @@
 }
 
 // followRoutes follows until the test ends.
-func followRoutes(t *testing.T, o client.RouteOptions) *client.RouteFollower {
+func followRoutes(t *testing.T, o client.RouteOptions) *client.RouteSubscriber {
 	t.Helper()
 	o.Log = quiet()
-	if o.Told == nil {
-		o.Told = func(client.RouteUpdate) {}
+	if o.OnUpdate == nil {
+		o.OnUpdate = func(client.RouteUpdate) {}
 	}
-	f, err := client.NewRouteFollower(o)
+	f, err := client.NewRouteSubscriber(o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,24 +62,24 @@
 	var mu sync.Mutex
 	var held client.RouteUpdate
 	seen := map[int64]string{} // hashes, by generation
-	f := followRoutes(t, client.RouteOptions{Keepers: k.addresses(), Cache: client.NewRouteCache(t.TempDir(), "n"), Told: func(u client.RouteUpdate) {
+	f := followRoutes(t, client.RouteOptions{Registry: k.addresses(), Cache: client.NewRouteCache(t.TempDir(), "n"), OnUpdate: func(u client.RouteUpdate) {
 		mu.Lock()
 		defer mu.Unlock()
-		if old, known := seen[u.Gen]; known && old != u.Hash {
-			t.Errorf("generation %d is %s after %s", u.Gen, u.Hash, old)
+		if old, known := seen[u.Generation]; known && old != u.Hash {
+			t.Errorf("generation %d is %s after %s", u.Generation, u.Hash, old)
 		}
-		held, seen[u.Gen] = u, u.Hash
+		held, seen[u.Generation] = u, u.Hash
 	}})
 	gen := int64(0)
 	put := func(table routes.Table) {
 		t.Helper()
 		now, err := k.client.PutRoutes(k.call(), table, &gen)
 		for errors.Is(err, client.ErrUncertain) { // it may have been done, or not
-			var n client.RouteNews
+			var n client.RoutesUpdate
 			if n, err = k.client.Routes(k.call(), -1, ""); err == nil && n.Hash != table.Hash() {
-				now, err = k.client.PutRoutes(k.call(), table, &n.Gen)
+				now, err = k.client.PutRoutes(k.call(), table, &n.Generation)
 			} else if err == nil {
-				now = n.Gen
+				now = n.Generation
 			}
 		}
 		if err != nil || now <= gen {
@@ -89,7 +89,7 @@
 		eventually(t, "the table at its follower", func() bool {
 			mu.Lock()
 			defer mu.Unlock()
-			return held.Hash == table.Hash() && held.Gen == gen
+			return held.Hash == table.Hash() && held.Generation == gen
 		})
 	}
 	put(routeTable(20, 100))
@@ -113,7 +113,7 @@
 		k.start(p)
 	}
 	n, err := k.client.Routes(k.call(), gen, "")
-	if err != nil || n.All || n.Gen != gen || len(n.Ops) != 0 {
+	if err != nil || n.Complete || n.Generation != gen || len(n.Ops) != 0 {
 		t.Errorf("after kill -9 of all, generation %d is answered by %+v, %v", gen, n, err)
 	}
 	last := gen
@@ -123,20 +123,20 @@
 	eventually(t, "the backup's table", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return held.Hash == routeTable(20, 100).Hash() && held.Gen > last
+		return held.Hash == routeTable(20, 100).Hash() && held.Generation > last
 	})
 	n, err = k.client.Routes(k.call(), last, "")
-	if err != nil || !n.All || n.Gen <= last {
+	if err != nil || !n.Complete || n.Generation <= last {
 		t.Errorf("who holds generation %d of before the backup is answered by %+v, %v", last, n, err)
 	}
-	gen = n.Gen
+	gen = n.Generation
 	put(routeTable(21, 300))
 	put(routes.Table{})
-	if got := f.Figures(); got.Mismatches != 0 || got.Diffs < 3 || got.Rules != 0 {
+	if got := f.Status(); got.Mismatches != 0 || got.Diffs < 3 || got.Rules != 0 {
 		t.Errorf("figures %+v", got)
 	}
 	old := int64(1)
-	var refused *client.Refused
+	var refused *client.RefusedError
 	if _, err := k.client.PutRoutes(k.call(), routeTable(1, 9), &old); !errors.As(err, &refused) || refused.Status != 409 {
 		t.Errorf("an old generation is expected: %v", err)
 	}
--- a/cmd/gradeusher/routesfleet_test.go
+++ b/cmd/gradeusher/routesfleet_test.go
@@ -21,9 +21,9 @@
 	const clients, rules = 300, 1000
 	for name, cut := range map[string]func(i int) string{
 		"uncut":           func(int) string { return "" },
-		"one-application": func(int) string { return client.RouteCut(map[string]string{"service": "app-0"}, "rec-api") },
+		"one-application": func(int) string { return client.RouteFilter(map[string]string{"service": "app-0"}, "rec-api") },
 		"300-applications": func(i int) string {
-			return client.RouteCut(map[string]string{"service": fmt.Sprint("app-", i)}, "rec-api")
+			return client.RouteFilter(map[string]string{"service": fmt.Sprint("app-", i)}, "rec-api")
 		},
 	} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/compat/sidecardata_test.go
+++ b/internal/compat/sidecardata_test.go
@@ -281,15 +281,15 @@
 	if err := json.Unmarshal([]byte(routeTable), &call); err != nil {
 		t.Fatal(err)
 	}
-	held := client.Held{Cluster: "c0ffee", Gen: 7, Hash: call.Rules.Hash(), Rules: call.Rules}
-	cut := client.RouteCut(map[string]string{"version": "v", "area": "a"}, "back")
+	held := client.RouteState{Cluster: "c0ffee", Generation: 7, Hash: call.Rules.Hash(), Rules: call.Rules}
+	cut := client.RouteFilter(map[string]string{"version": "v", "area": "a"}, "back")
 	dir := t.TempDir()
 	if err := client.NewRouteCache(dir, "n7").Save(held, cut, savedAt); err != nil {
 		t.Fatal(err)
 	}
 	sameFile(t, dir, "routes-n7.cache")
 	got, age, ok, err := client.NewRouteCache(copied(t, "testdata/sealed"), "n7").Load(cut, savedAt.Add(time.Second))
-	if err != nil || !ok || age != time.Second || got.Gen != 7 || got.Rules.Hash() != held.Hash {
+	if err != nil || !ok || age != time.Second || got.Generation != 7 || got.Rules.Hash() != held.Hash {
 		t.Errorf("%+v, %v old, %t, %v", got, age, ok, err)
 	}
 }
--- a/internal/lab/standin/keeper.go
+++ b/internal/lab/standin/keeper.go
@@ -71,7 +71,7 @@
 // change notes an entry's new state. k.mu is held.
 func (k *plainKeeper) change(e client.Entry) {
 	k.changes = append(k.changes, e.Target)
-	e.Rev = int64(len(k.changes))
+	e.Revision = int64(len(k.changes))
 	if k.entries[e.UID] = e; e.State == list.Deleted {
 		delete(k.entries, e.UID)
 	}
@@ -92,7 +92,7 @@
 	defer k.mu.Unlock()
 	rev := int64(0)
 	for _, s := range c.Servers {
-		if c.Expect != nil && *c.Expect != k.entries[s.UID].Rev {
+		if c.Expect != nil && *c.Expect != k.entries[s.UID].Revision {
 			refusePlain(w, 409, "another revision")
 			return
 		}
@@ -103,7 +103,7 @@
 		k.change(client.Entry{Target: s.Target, LeaseMS: s.LeaseMS})
 		rev = int64(len(k.changes))
 	}
-	answerJSON(w, 200, client.Done{Rev: rev, Cluster: "plain"})
+	answerJSON(w, 200, client.Result{Revision: rev, Cluster: "plain"})
 }
 
 func (k *plainKeeper) turn(w http.ResponseWriter, r *http.Request, state list.State) {
@@ -116,7 +116,7 @@
 	}
 	e.State = state
 	k.change(e)
-	answerJSON(w, 200, client.Done{Rev: int64(len(k.changes)), Cluster: "plain"})
+	answerJSON(w, 200, client.Result{Revision: int64(len(k.changes)), Cluster: "plain"})
 }
 
 func (k *plainKeeper) server(w http.ResponseWriter, r *http.Request) {
@@ -127,7 +127,7 @@
 		refusePlain(w, 404, "no such server")
 		return
 	}
-	answerJSON(w, 200, client.Done{Rev: e.Rev, Cluster: "plain", Server: &e})
+	answerJSON(w, 200, client.Result{Revision: e.Revision, Cluster: "plain", Server: &e})
 }
 
 // whole is the list. k.mu is held.
--- a/internal/lab/standin/registrar.go
+++ b/internal/lab/standin/registrar.go
@@ -149,9 +149,9 @@
 	for _, w := range r.due(func(w *wanted) bool { return w.state != list.Serving && w.told != w.state }) {
 		turn := client.Drain
 		if w.state == list.Deleted {
-			turn = client.Leave
+			turn = client.Deregister
 		}
-		var refused *client.Refused
+		var refused *client.RefusedError
 		if _, err := r.client.Change(ctx, turn, w.r.UID, nil); err != nil && !errors.As(err, &refused) {
 			again = true
 			break
--- a/internal/lab/writers.go
+++ b/internal/lab/writers.go
@@ -111,11 +111,11 @@
 	defer cancel()
 	v := ctl.Wrote{Client: i, Key: key, How: "ok", Call: clock.Now()}
 	e, ok, err := c.Server(ctx, keyName(key))
-	v.Return, v.Rev, v.Value = clock.Now(), e.Rev, e.PodGroup
+	v.Return, v.Rev, v.Value = clock.Now(), e.Revision, e.PodGroup
 	if err != nil {
 		v.How = "none" // a read that was not answered did nothing
 	} else if ok {
-		revs[key] = e.Rev
+		revs[key] = e.Revision
 	}
 	w.note(v)
 }
@@ -125,11 +125,11 @@
 	defer cancel()
 	v := ctl.Wrote{Client: i, Key: key, Write: true, Expect: revs[key], Value: int(w.values.Add(1)), How: "ok", Call: clock.Now()}
 	d, err := c.Register(ctx, []list.Registration{w.entry(key, v.Value)}, &v.Expect)
-	v.Return, v.Rev = clock.Now(), d.Rev
-	var refused *client.Refused
+	v.Return, v.Rev = clock.Now(), d.Revision
+	var refused *client.RefusedError
 	switch {
 	case err == nil:
-		revs[key] = d.Rev
+		revs[key] = d.Revision
 	case errors.Is(err, client.ErrUncertain):
 		v.How, revs[key] = "uncertain", 0
 	case errors.As(err, &refused) && refused.Status == 409:
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -44,7 +44,7 @@
 // Keepers is the project's own list service, and how far it is believed.
 type Keepers struct {
 	Addresses []string
-	Doubt     client.Doubt
+	Doubt     client.ShrinkLimits
 	MostAge   time.Duration     // a keeper that was out of touch for longer is left for another
 	Reach     string            // this machine reaches every server at this host, at the port of its endpoint; "": at its endpoint
 	Routes    bool              // they hold the route table too, which goes before the settings' rules
@@ -225,7 +225,7 @@
 			return nil, nil
 		}
 	}
-	k := &Keepers{Addresses: file.Addresses, Doubt: client.DefaultDoubt, MostAge: defaultMostAge, Reach: file.Reach, Routes: file.Routes, Tags: file.Tags}
+	k := &Keepers{Addresses: file.Addresses, Doubt: client.DefaultShrinkLimits, MostAge: defaultMostAge, Reach: file.Reach, Routes: file.Routes, Tags: file.Tags}
 	if environment != "" {
 		k.Addresses = strings.Split(environment, ",")
 	}
@@ -241,12 +241,12 @@
 		return nil, fmt.Errorf("reach: %q is no IP address", k.Reach)
 	}
 	if v := file.DoubtShare; v != nil {
-		if k.Doubt.Share = *v; !(*v >= 0 && *v <= 1) {
+		if k.Doubt.MaxShare = *v; !(*v >= 0 && *v <= 1) {
 			return nil, fmt.Errorf("doubt_share: %v is not within 0 to 1", *v)
 		}
 	}
 	if v := file.DoubtLeast; v != nil {
-		if k.Doubt.Least = *v; *v < 0 {
+		if k.Doubt.MinCount = *v; *v < 0 {
 			return nil, fmt.Errorf("doubt_least: %d is below 0", *v)
 		}
 	}
@@ -254,7 +254,7 @@
 		name  string
 		given *float64
 		to    *time.Duration
-	}{{"doubt_after_s", file.DoubtAfter, &k.Doubt.After}, {"doubt_every_s", file.DoubtEvery, &k.Doubt.Every}, {"most_age_s", file.MostAge, &k.MostAge}} {
+	}{{"doubt_after_s", file.DoubtAfter, &k.Doubt.ConfirmAfter}, {"doubt_every_s", file.DoubtEvery, &k.Doubt.ReleaseInterval}, {"most_age_s", file.MostAge, &k.MostAge}} {
 		if s.given == nil {
 			continue
 		}
--- a/internal/sidecar/keepers.go
+++ b/internal/sidecar/keepers.go
@@ -15,18 +15,18 @@
 func (h *host) keep(ctx context.Context, c *Config) error {
 	k := c.Keepers
 	var err error
-	h.keepers, err = client.NewFollower(client.Options{Keepers: k.Addresses, Doubt: k.Doubt, MostAge: k.MostAge, Log: h.log,
+	h.keepers, err = client.NewSubscriber(client.Options{Registry: k.Addresses, ShrinkLimits: k.Doubt, MaxAge: k.MostAge, Log: h.log,
 		Cache: client.NewCache(c.Common, c.Name),
-		Told: func(u client.Update) {
-			l := List{All: u.All}
+		OnUpdate: func(u client.Update) {
+			l := List{All: u.Complete}
 			for _, t := range u.Targets {
 				l.Targets = append(l.Targets, k.target(t))
 			}
 			kind := balance.ListChanges
 			switch {
-			case u.Remembered:
+			case u.Cached:
 				kind = balance.ListRemembered
-			case u.All:
+			case u.Complete:
 				kind = balance.ListFull
 			}
 			h.post(func() { h.list(kind, l) })
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -12,7 +12,7 @@
 
 // routing is the route table that keepers hold, as this sidecar follows it. The loop alone touches what follows follower.
 type routing struct {
-	follower *client.RouteFollower // nil: this sidecar goes by its own rules
+	follower *client.RouteSubscriber // nil: this sidecar goes by its own rules
 
 	applied int64 // the generation that the Balancer goes by; 0: its own rules
 	behind  bool  // a later one is held, which it does not go by
@@ -31,9 +31,9 @@
 			return fmt.Errorf("keepers: tags: %.60q: at most %d, of %d bytes each and without a colon", tag, routes.MostTags, routes.MostText)
 		}
 	}
-	h.routing.follower, err = client.NewRouteFollower(client.RouteOptions{Keepers: c.Keepers.Addresses, Tags: tags, Service: c.Settings.Service,
-		MostAge: c.Keepers.MostAge, Cache: client.NewRouteCache(c.Common, c.Name), Log: h.log,
-		Told: func(u client.RouteUpdate) { h.post(func() { h.route(u) }) }})
+	h.routing.follower, err = client.NewRouteSubscriber(client.RouteOptions{Registry: c.Keepers.Addresses, Tags: tags, Service: c.Settings.Service,
+		MaxAge: c.Keepers.MostAge, Cache: client.NewRouteCache(c.Common, c.Name), Log: h.log,
+		OnUpdate: func(u client.RouteUpdate) { h.post(func() { h.route(u) }) }})
 	if err != nil {
 		return err
 	}
@@ -44,7 +44,7 @@
 // move has the routes of other keepers followed, which are known to be addresses.
 func (r *routing) move(address string) {
 	if r.follower != nil {
-		_ = r.follower.Move(strings.Split(address, ",")) // as for the list, which says what is wrong
+		_ = r.follower.SetAddresses(strings.Split(address, ",")) // as for the list, which says what is wrong
 	}
 }
 
@@ -52,9 +52,9 @@
 func (h *host) route(u client.RouteUpdate) {
 	applied, why := h.balancer.SetRules(h.now, u.Rules)
 	if h.routing.behind = !applied; applied {
-		h.routing.applied = u.Gen
+		h.routing.applied = u.Generation
 	}
-	h.log.Info("routes", "gen", u.Gen, "rules", len(u.Rules), "hash", u.Hash, "remembered", u.Remembered, "applied", applied, "why", why)
+	h.log.Info("routes", "gen", u.Generation, "rules", len(u.Rules), "hash", u.Hash, "remembered", u.Cached, "applied", applied, "why", why)
 }
 
 // generation is the one that the Balancer goes by. The loop alone calls it.
@@ -63,7 +63,7 @@
 	if r.behind && !h.balancer.RulesWait() {
 		r.behind = false // what waited is applied by now
 	}
-	if held := r.follower.Figures().Gen; !r.behind && held >= 0 {
+	if held := r.follower.Status().Generation; !r.behind && held >= 0 {
 		r.applied = held // also where only the number is new
 	}
 	return r.applied
@@ -75,12 +75,12 @@
 	if h.routing.follower == nil || !h.ask(func() { applied = h.generation() }) {
 		return
 	}
-	n := h.routing.follower.Figures()
-	for _, f := range []figure{{"route_generation", applied}, {"route_generation_held", n.Gen}, {"route_rules", int64(n.Rules)},
+	n := h.routing.follower.Status()
+	for _, f := range []figure{{"route_generation", applied}, {"route_generation_held", n.Generation}, {"route_rules", int64(n.Rules)},
 		{"route_age_ms", max(n.Age.Milliseconds(), -1)}} {
 		fmt.Fprintf(text, "svc.%s:%d|g\n", f.name, f.value)
 	}
-	for _, f := range []figure{{"route_diffs", n.Diffs}, {"route_wholes", n.Whole}, {"route_mismatches", n.Mismatches}} {
+	for _, f := range []figure{{"route_diffs", n.Diffs}, {"route_wholes", n.CompleteTables}, {"route_mismatches", n.Mismatches}} {
 		fmt.Fprintf(text, "svc.%s:%d|c\n", f.name, f.value)
 	}
 }
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -25,7 +25,7 @@
 func (h *host) move(address string) {
 	if h.keepers != nil {
 		h.log.Info("keepers move", "to", address)
-		if err := h.keepers.Move(strings.Split(address, ",")); err != nil {
+		if err := h.keepers.SetAddresses(strings.Split(address, ",")); err != nil {
 			h.log.Error("keepers", "err", err)
 		}
 		h.routing.move(address)
