--- a/internal/sidecar/registry/roles_model_test.go
+++ b/internal/sidecar/registry/roles_model_test.go
@@ -100,7 +100,7 @@
 		return nil
 	}
 	if w.protections.fence {
-		_ = w.fence.Through(e.epoch, act) // refused
+		_ = w.fence.Do(e.epoch, act) // refused
 	} else {
 		_ = act()
 	}
--- a/internal/sidecar/singleton/duty_test.go
+++ b/internal/sidecar/singleton/duty_test.go
@@ -8,8 +8,8 @@
 	"gradeusher.example/gradeusher/internal/sidecar/client"
 )
 
-// TestHolder goes through renewals: a right to act counts from before the sending, ends by itself, and never comes again.
-func TestHolder(t *testing.T) {
+// TestLeases goes through renewals: a right to act counts from before the sending, ends by itself, and never comes again.
+func TestLeases(t *testing.T) {
 	const ms = time.Millisecond
 	h := NewLeases(nil)
 	held := func(epoch int64, renewed bool) []client.OwnedRole {
@@ -65,12 +65,12 @@
 		want  bool
 	}{{3, true}, {3, true}, {5, true}, {4, false}, {5, true}, {0, false}} {
 		done := false
-		err := f.Through(c.epoch, func() error { done = true; return full })
+		err := f.Do(c.epoch, func() error { done = true; return full })
 		if done != c.want || errors.Is(err, full) != c.want {
 			t.Errorf("epoch %d: done %v, %v", c.epoch, done, err)
 		}
 	}
-	if highest, refused := f.Figures(); highest != 5 || refused != 2 {
+	if highest, refused := f.Counts(); highest != 5 || refused != 2 {
 		t.Errorf("%d, and %d refused", highest, refused)
 	}
 }
--- a/internal/sidecar/singleton/fence.go
+++ b/internal/sidecar/singleton/fence.go
@@ -13,9 +13,9 @@
 	refused int64
 }
 
-// Through does an effect under an epoch, or refuses it. While it is done no other goes through. Errors are do's, or say what the
+// Do does an effect under an epoch, or refuses it. While it is done no other goes through. Errors are do's, or say what the
 // epoch is and which has been let through.
-func (f *Fence) Through(epoch int64, do func() error) error {
+func (f *Fence) Do(epoch int64, do func() error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if epoch < f.highest {
@@ -26,8 +26,8 @@
 	return do()
 }
 
-// Figures are the highest epoch that was let through, and how many effects were refused.
-func (f *Fence) Figures() (highest, refused int64) {
+// Counts are the highest epoch that was let through, and how many effects were refused.
+func (f *Fence) Counts() (highest, refused int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.highest, f.refused
--- a/internal/sidecar/singleton/runner.go
+++ b/internal/sidecar/singleton/runner.go
@@ -18,34 +18,34 @@
 
 // Runner holds duties for a process.
 type Runner struct {
-	o      Options
-	who    string
-	client *client.Client
-	poke   chan struct{} // something may have changed: renew now
-	calls  chan struct{} // the wanted duties that miss may have changed
-	tasks  sync.WaitGroup
+	options     Options
+	process     string
+	client      *client.Client
+	renewNow    chan struct{} // something may have changed: renew now
+	campaignNow chan struct{} // the wanted duties that miss may have changed
+	tasks       sync.WaitGroup
 
 	mu     sync.Mutex
-	holder *Leases
-	wanted map[string]*want
+	leases *Leases
+	wanted map[string]*wantedRole
 	ending bool
 }
 
-// want is a duty that this process wants.
-type want struct {
-	at     string
-	work   Work
-	tenure *HeldLease // it is in office, or its work has not returned yet
-	done   chan struct{}
-	missed bool // it neither holds nor waits
+// wantedRole is a duty that this process wants.
+type wantedRole struct {
+	location string
+	work     Work
+	lease    *HeldLease // it is in office, or its work has not returned yet
+	done     chan struct{}
+	absent   bool // it neither holds nor waits
 }
 
 // NewRunner is a process that wants nothing yet.
 func NewRunner(o Options) (*Runner, error) {
 	var id [8]byte
 	_, _ = rand.Read(id[:]) // never fails (crypto/rand)
-	r := &Runner{o: o, who: o.Name + "#" + hex.EncodeToString(id[:]), holder: NewLeases(nil), wanted: map[string]*want{}, poke: make(chan struct{}, 1), calls: make(chan struct{}, 1)}
-	if err := state.CheckProcess(r.who); err != nil {
+	r := &Runner{options: o, process: o.Name + "#" + hex.EncodeToString(id[:]), leases: NewLeases(nil), wanted: map[string]*wantedRole{}, renewNow: make(chan struct{}, 1), campaignNow: make(chan struct{}, 1)}
+	if err := state.CheckProcess(r.process); err != nil {
 		return nil, err
 	}
 	if o.Lease < state.MinRoleLease || o.Lease > state.MaxRoleLease {
@@ -59,15 +59,15 @@
 	return r, nil
 }
 
-// Who is this run of the process.
-func (r *Runner) Who() string { return r.who }
+// Process is this run of the process.
+func (r *Runner) Process() string { return r.process }
 
 // Want has the process wait for a duty and do a work whenever it holds it, from before Run. at is the room where it should be
 // held, which the first says who wants it. done is closed once the work is done for good.
 func (r *Runner) Want(name, at string, work Work) (done <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w := &want{at: at, work: work, done: make(chan struct{}), missed: true}
+	w := &wantedRole{location: at, work: work, done: make(chan struct{}), absent: true}
 	r.wanted[name] = w
 	return w.done
 }
@@ -77,7 +77,7 @@
 func (r *Runner) Run(ctx context.Context, drain time.Duration) {
 	defer r.client.Close()
 	on, stop := context.WithCancel(context.WithoutCancel(ctx))
-	for _, do := range []func(context.Context){r.renew, r.campaign, r.follow} {
+	for _, do := range []func(context.Context){r.runRenewals, r.runCampaigns, r.watch} {
 		r.tasks.Add(1)
 		go func() {
 			defer r.tasks.Done()
@@ -89,9 +89,9 @@
 	r.ending = true
 	var busy []*HeldLease
 	for _, w := range r.wanted {
-		if w.tenure != nil {
-			w.tenure.ask()
-			busy = append(busy, w.tenure)
+		if w.lease != nil {
+			w.lease.requestHandover()
+			busy = append(busy, w.lease)
 		}
 	}
 	r.mu.Unlock()
@@ -99,49 +99,49 @@
 	defer late.Stop()
 	for _, t := range busy {
 		select {
-		case <-t.over:
+		case <-t.released:
 		case <-late.C:
 			for _, t := range busy {
-				t.cancel(ErrLeaseLost)
+				t.cancelWork(ErrLeaseLost)
 			}
-			<-t.over
+			<-t.released
 		}
 	}
 	stop()
 	r.tasks.Wait()
-	leave, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.o.Lease/2)
+	leave, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.options.Lease/2)
 	defer cancel()
 	for name, w := range r.wanted {
-		if !w.missed {
-			_, _ = r.client.ChangeRole(leave, client.Withdraw, name, client.RoleCall{Process: r.who}) // or it falls out of line by its silence
+		if !w.absent {
+			_, _ = r.client.ChangeRole(leave, client.Withdraw, name, client.RoleCall{Process: r.process}) // or it falls out of line by its silence
 		}
 	}
 }
 
-func nudge(c chan struct{}) {
+func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// follow renews at once where a watch tells of something that this process does not know.
-func (r *Runner) follow(ctx context.Context) {
-	err := client.WatchRoles(ctx, r.o.Registry, r.who, r.o.Log, func(client.RolesUpdate) { nudge(r.poke) })
+// watch renews at once where a watch tells of something that this process does not know.
+func (r *Runner) watch(ctx context.Context) {
+	err := client.WatchRoles(ctx, r.options.Registry, r.process, r.options.Log, func(client.RolesUpdate) { signal(r.renewNow) })
 	if err != nil {
-		r.o.Log.Error("duties", "err", err)
+		r.options.Log.Error("duties", "err", err)
 	}
 }
 
-// renew renews four times in a lease, and when it is poked.
-func (r *Runner) renew(ctx context.Context) {
-	every := r.o.Lease / 4
+// runRenewals renews four times in a lease, and when it is poked.
+func (r *Runner) runRenewals(ctx context.Context) {
+	every := r.options.Lease / 4
 	for {
 		// Drawn, so that processes that came together do not renew together for good.
 		timer := time.NewTimer(every*3/4 + mrand.N(every/4+1))
 		select {
 		case <-timer.C:
-		case <-r.poke:
+		case <-r.renewNow:
 			timer.Stop()
 		case <-ctx.Done():
 			timer.Stop()
@@ -149,33 +149,33 @@
 		}
 		call, cancel := context.WithTimeout(ctx, max(every, state.MinRoleLease/2))
 		sent := Now()
-		a, err := r.client.RenewRoles(call, r.who)
+		a, err := r.client.RenewRoles(call, r.process)
 		cancel()
 		if err != nil {
-			r.o.Log.Debug("duties", "err", err)
+			r.options.Log.Debug("duties", "err", err)
 			continue
 		}
-		r.take(ctx, sent, a)
+		r.applyRenewal(ctx, sent, a)
 	}
 }
 
-// take takes the answer to a renewal, begins works, and sees what is missing.
-func (r *Runner) take(ctx context.Context, sent Instant, a client.RoleRenewal) {
+// applyRenewal takes the answer to a renewal, begins works, and sees what is missing.
+func (r *Runner) applyRenewal(ctx context.Context, sent Instant, a client.RoleRenewal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	begin, let := r.holder.Renewed(sent, Now(), a.Owned)
+	begin, let := r.leases.Renewed(sent, Now(), a.Owned)
 	known := map[string]bool{}
 	for _, name := range a.Waiting {
 		known[name] = true
 	}
 	for _, d := range a.Owned {
 		known[d.Name] = true
-		if w := r.wanted[d.Name]; w != nil && w.tenure != nil && w.tenure.Epoch == d.Epoch && d.HandoverRequested {
-			w.tenure.ask()
+		if w := r.wanted[d.Name]; w != nil && w.lease != nil && w.lease.Epoch == d.Epoch && d.HandoverRequested {
+			w.lease.requestHandover()
 		}
 	}
 	for _, o := range let {
-		if w := r.wanted[o.Name]; w == nil || w.tenure == nil || w.tenure.hangs() { // else it is released when its work has returned
+		if w := r.wanted[o.Name]; w == nil || w.lease == nil || w.lease.isStuck() { // else it is released when its work has returned
 			q := client.RoleCall{Rejoin: w != nil && !r.ending}
 			r.tasks.Add(1)
 			go func() {
@@ -186,42 +186,42 @@
 	}
 	for _, o := range begin {
 		w := r.wanted[o.Name]
-		if w == nil || w.tenure != nil || r.ending { // the work of an office that was lost goes on: not beside it
-			r.holder.Release(o.Name, o.Epoch)
-			nudge(r.poke)
+		if w == nil || w.lease != nil || r.ending { // the work of an office that was lost goes on: not beside it
+			r.leases.Release(o.Name, o.Epoch)
+			signal(r.renewNow)
 			continue
 		}
-		t := &HeldLease{Lease: o, runner: r, asked: make(chan struct{}), over: make(chan struct{})}
-		w.tenure = t
-		if o.HandOver {
-			t.ask()
+		t := &HeldLease{Lease: o, runner: r, handover: make(chan struct{}), released: make(chan struct{})}
+		w.lease = t
+		if o.HandoverRequested {
+			t.requestHandover()
 		}
-		r.o.Log.Info("duty held", "name", o.Name, "epoch", o.Epoch)
+		r.options.Log.Info("duty held", "name", o.Name, "epoch", o.Epoch)
 		r.tasks.Add(1)
 		go func() {
 			defer r.tasks.Done()
-			r.serve(ctx, w, t)
+			r.runWork(ctx, w, t)
 		}()
 	}
 	for name, w := range r.wanted {
-		if w.missed = !known[name]; w.missed {
-			nudge(r.calls)
+		if w.absent = !known[name]; w.absent {
+			signal(r.campaignNow)
 		}
 	}
 }
 
-// campaign has this process wait for the duties that it wants and neither holds nor waits for.
-func (r *Runner) campaign(ctx context.Context) {
+// runCampaigns has this process wait for the duties that it wants and neither holds nor waits for.
+func (r *Runner) runCampaigns(ctx context.Context) {
 	first := true
 	for {
 		if !first {
 			select {
-			case <-r.calls:
+			case <-r.campaignNow:
 			case <-ctx.Done():
 				return
 			}
 			// Many may have fallen out of line at once, as when keepers come back.
-			timer := time.NewTimer(mrand.N(r.o.Lease / 8))
+			timer := time.NewTimer(mrand.N(r.options.Lease / 8))
 			select {
 			case <-timer.C:
 			case <-ctx.Done():
@@ -234,40 +234,40 @@
 		var all []one
 		r.mu.Lock()
 		for name, w := range r.wanted {
-			if w.missed && !r.ending && w.tenure == nil {
-				all = append(all, one{name, w.at})
+			if w.absent && !r.ending && w.lease == nil {
+				all = append(all, one{name, w.location})
 			}
 		}
 		r.mu.Unlock()
 		slices.SortFunc(all, func(a, b one) int { return mrand.IntN(3) - 1 }) // two who come together share what is free
 		for _, d := range all {
-			call, cancel := context.WithTimeout(ctx, max(r.o.Lease, 3*time.Second))
-			_, err := r.client.ChangeRole(call, client.Campaign, d.name, client.RoleCall{Process: r.who, Location: r.o.Location, RoleLocation: d.at, Load: r.o.Load, TTLMS: r.o.Lease.Milliseconds()})
+			call, cancel := context.WithTimeout(ctx, max(r.options.Lease, 3*time.Second))
+			_, err := r.client.ChangeRole(call, client.Campaign, d.name, client.RoleCall{Process: r.process, Location: r.options.Location, RoleLocation: d.at, Load: r.options.Load, TTLMS: r.options.Lease.Milliseconds()})
 			cancel()
 			if err != nil && ctx.Err() == nil {
-				r.o.Log.Warn("campaign", "name", d.name, "err", err) // the next renewal shows that it is missing
+				r.options.Log.Warn("campaign", "name", d.name, "err", err) // the next renewal shows that it is missing
 			}
-			nudge(r.poke)
+			signal(r.renewNow)
 		}
 	}
 }
 
-// serve does the work of an office, and releases it.
-func (r *Runner) serve(ctx context.Context, w *want, t *HeldLease) {
+// runWork does the work of an office, and releases it.
+func (r *Runner) runWork(ctx context.Context, w *wantedRole, t *HeldLease) {
 	work, cancel := context.WithCancelCause(ctx)
 	t.mu.Lock()
-	t.stop = cancel
+	t.cancel = cancel
 	t.mu.Unlock()
 	watched := make(chan struct{})
 	go func() {
 		defer close(watched)
-		t.watch(work)
+		t.cancelWhenLost(work)
 	}()
 	err := w.work(work, t)
 	lost := !t.Valid()
 	cancel(ErrLeaseLost)
 	<-watched
-	final := t.final()
+	final := t.finalStepNow()
 	ends := err == nil || errors.Is(err, ErrGaveUp)
 	q := client.RoleCall{Rejoin: !ends, Failed: err != nil && !errors.Is(err, ErrHandedOver) && !lost}
 	if final != nil {
@@ -277,31 +277,31 @@
 	if r.ending {
 		q.Rejoin = false
 	}
-	r.holder.Release(t.Name, t.Epoch)
+	r.leases.Release(t.Name, t.Epoch)
 	if ends {
 		delete(r.wanted, t.Name)
 	}
 	r.mu.Unlock()
-	r.o.Log.Info("duty let go", "name", t.Name, "epoch", t.Epoch, "err", err)
+	r.options.Log.Info("duty let go", "name", t.Name, "epoch", t.Epoch, "err", err)
 	r.release(context.WithoutCancel(ctx), t.Lease, q)
 	r.mu.Lock()
-	w.tenure = nil
+	w.lease = nil
 	r.mu.Unlock()
 	if ends {
 		close(w.done)
 	}
-	close(t.over)
-	nudge(r.poke)
+	close(t.released)
+	signal(r.renewNow)
 }
 
 // release lets go of an office. Where it cannot be said, the office ends with its lease.
 func (r *Runner) release(ctx context.Context, o Lease, q client.RoleCall) {
-	call, cancel := context.WithTimeout(ctx, r.o.Lease)
+	call, cancel := context.WithTimeout(ctx, r.options.Lease)
 	defer cancel()
-	q.Process, q.Epoch = r.who, o.Epoch
+	q.Process, q.Epoch = r.process, o.Epoch
 	_, err := r.client.ChangeRole(call, client.Release, o.Name, q)
 	var refused *client.RefusedError
 	if err != nil && !(errors.As(err, &refused) && refused.Status == http.StatusConflict) { // it is not ours any more
-		r.o.Log.Warn("release", "name", o.Name, "epoch", o.Epoch, "err", err)
+		r.options.Log.Warn("release", "name", o.Name, "epoch", o.Epoch, "err", err)
 	}
 }
--- a/internal/sidecar/singleton/runner_test.go
+++ b/internal/sidecar/singleton/runner_test.go
@@ -20,8 +20,8 @@
 
 const patience = 30 * time.Second // bounds what a test waits for; it is no measure
 
-// startKeeper runs one keeper by itself and returns where it answers.
-func startKeeper(t testing.TB) string {
+// startNode runs one keeper by itself and returns where it answers.
+func startNode(t testing.TB) string {
 	t.Helper()
 	c := registry.Defaults()
 	c.Name, c.Folder, c.HTTP, c.Raft = "k1", t.TempDir(), "127.0.0.1:0", "127.0.0.1:0"
@@ -50,38 +50,38 @@
 	}
 }
 
-// piece is what one duty acts on.
-type piece struct {
-	fence Fence
-	mu    sync.Mutex
-	by    int // who acted last, and when
-	at    time.Time
-	gap   time.Duration // the longest time between two effects of different processes
+// resource is what one duty acts on.
+type resource struct {
+	fence      Fence
+	mu         sync.Mutex
+	by         int // who acted last, and when
+	at         time.Time
+	longestGap time.Duration // the longest time between two effects of different processes
 }
 
-func (p *piece) act(by int, epoch int64) error {
-	return p.fence.Through(epoch, func() error {
+func (p *resource) act(by int, epoch int64) error {
+	return p.fence.Do(epoch, func() error {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		now := time.Now()
 		if p.by != by && !p.at.IsZero() {
-			p.gap = max(p.gap, now.Sub(p.at))
+			p.longestGap = max(p.longestGap, now.Sub(p.at))
 		}
 		p.by, p.at = by, now
 		return nil
 	})
 }
 
-// TestManyCutOff has many processes wait for many duties, and cuts a third of them off from the keepers at once, but not from what they
+// TestManyIsolated has many processes wait for many duties, and cuts a third of them off from the keepers at once, but not from what they
 // act on: those stop by themselves before others begin, so that even the fence has nothing to refuse, and the others share all of it.
-func TestManyCutOff(t *testing.T) {
+func TestManyIsolated(t *testing.T) {
 	const processes, duties, cut, lease = 18, 50, 6, time.Second
-	at := startKeeper(t)
+	at := startNode(t)
 	origin, err := url.Parse("http://" + at)
 	if err != nil {
 		t.Fatal(err)
 	}
-	pieces := make([]piece, duties)
+	pieces := make([]resource, duties)
 	ctx, stop := context.WithCancel(context.Background())
 	var runs sync.WaitGroup
 	var links []*httptest.Server
@@ -153,7 +153,7 @@
 	before := share(0)
 	for n := range pieces {
 		pieces[n].mu.Lock()
-		pieces[n].gap = 0 // of handing over while they came
+		pieces[n].longestGap = 0 // of handing over while they came
 		pieces[n].mu.Unlock()
 	}
 	for _, l := range links[:cut] {
@@ -163,10 +163,10 @@
 	after := share(cut)
 	var gaps []time.Duration
 	for n := range pieces {
-		if _, refused := pieces[n].fence.Figures(); refused > 0 {
+		if _, refused := pieces[n].fence.Counts(); refused > 0 {
 			t.Errorf("d%d: %d effects were left to the fence", n, refused)
 		}
-		if gap := pieces[n].gap; gap > 0 {
+		if gap := pieces[n].longestGap; gap > 0 {
 			gaps = append(gaps, gap)
 		}
 	}
--- a/internal/sidecar/singleton/sweep.go
+++ b/internal/sidecar/singleton/sweep.go
@@ -12,7 +12,7 @@
 // SweepRole is the duty under which duties out of use are forgotten.
 const SweepRole = "sweep"
 
-const mostSwept = 512 // duties in one call
+const maxSweptRoles = 512 // duties in one call
 
 // Sweep is the work of the sweeper: it has keepers forget duties that nobody has held or waited for during idle, looking once in
 // every. The keepers are what it acts on, and take nothing under an epoch of it that is over.
@@ -42,7 +42,7 @@
 	}
 	var names []string
 	for _, d := range n.Roles {
-		if d.Owner == nil && len(d.Waiting) == 0 && len(names) < mostSwept && time.Since(time.UnixMilli(d.SinceMS)) >= idle {
+		if d.Owner == nil && len(d.Waiting) == 0 && len(names) < maxSweptRoles && time.Since(time.UnixMilli(d.SinceMS)) >= idle {
 			names = append(names, d.Name)
 		}
 	}
@@ -50,7 +50,7 @@
 		return nil
 	}
 	// The keepers look again whether each is idle.
-	_, err = c.ChangeRole(ctx, client.Forget, t.Name, client.RoleCall{Process: t.runner.who, Epoch: t.Epoch, IdleRoles: names, IdleMS: idle.Milliseconds()})
+	_, err = c.ChangeRole(ctx, client.Forget, t.Name, client.RoleCall{Process: t.runner.process, Epoch: t.Epoch, IdleRoles: names, IdleMS: idle.Milliseconds()})
 	if err == nil {
 		log.Info("swept", "duties", len(names), "first", names[0])
 	}
--- a/internal/sidecar/singleton/tenure.go
+++ b/internal/sidecar/singleton/tenure.go
@@ -25,23 +25,23 @@
 // HeldLease is an office with its work.
 type HeldLease struct {
 	Lease
-	runner *Runner
-	asked  chan struct{}
-	over   chan struct{} // its work has returned and it is released
-
-	mu    sync.Mutex
-	stop  context.CancelCauseFunc
-	isEnd bool
-	lost  Instant // it was seen that it is
-	step  *string
+	runner   *Runner
+	handover chan struct{}
+	released chan struct{} // its work has returned and it is released
+
+	mu                sync.Mutex
+	cancel            context.CancelCauseFunc
+	handoverRequested bool
+	lostSince         Instant // it was seen that it is
+	finalStep         *string
 }
 
-// Left is how long the office lasts if it is not renewed; 0: it is over.
-func (t *HeldLease) Left() time.Duration {
+// Remaining is how long the office lasts if it is not renewed; 0: it is over.
+func (t *HeldLease) Remaining() time.Duration {
 	t.runner.mu.Lock()
 	defer t.runner.mu.Unlock()
 	now := Now()
-	o, ok := t.runner.holder.Lease(now, t.Name, t.Epoch)
+	o, ok := t.runner.leases.Lease(now, t.Name, t.Epoch)
 	if !ok {
 		return 0
 	}
@@ -49,58 +49,58 @@
 }
 
 // Valid tells whether an effect may begin now, as far as clocks tell. The effect has to carry the epoch all the same.
-func (t *HeldLease) Valid() bool { return t.Left() > 0 }
+func (t *HeldLease) Valid() bool { return t.Remaining() > 0 }
 
 // HandoverRequested is closed when the work should finish its step and return ErrHandedOver.
-func (t *HeldLease) HandoverRequested() <-chan struct{} { return t.asked }
+func (t *HeldLease) HandoverRequested() <-chan struct{} { return t.handover }
 
-func (t *HeldLease) ask() {
+func (t *HeldLease) requestHandover() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.isEnd {
-		t.isEnd = true
-		close(t.asked)
+	if !t.handoverRequested {
+		t.handoverRequested = true
+		close(t.handover)
 	}
 }
 
-// hangs tells that an office was lost for longer than a margin, while its work goes on: it acts no more, or only the fence helps.
+// isStuck tells that an office was lost for longer than a margin, while its work goes on: it acts no more, or only the fence helps.
 // Danger: its process renews other duties, and so this one for good.
-func (t *HeldLease) hangs() bool {
+func (t *HeldLease) isStuck() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := Now()
-	if t.lost == 0 {
-		t.lost = now
+	if t.lostSince == 0 {
+		t.lostSince = now
 	}
-	return now-t.lost > state.RoleLeaseMargin(t.runner.o.Lease)
+	return now-t.lostSince > state.RoleLeaseMargin(t.runner.options.Lease)
 }
 
-func (t *HeldLease) cancel(why error) {
+func (t *HeldLease) cancelWork(why error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.stop != nil {
-		t.stop(why)
+	if t.cancel != nil {
+		t.cancel(why)
 	}
 }
 
-// Final is recorded as the step with the release of the office.
-func (t *HeldLease) Final(step string) {
+// SetFinalStep is recorded as the step with the release of the office.
+func (t *HeldLease) SetFinalStep(step string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.step = &step
+	t.finalStep = &step
 }
 
-func (t *HeldLease) final() *string {
+func (t *HeldLease) finalStepNow() *string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.step
+	return t.finalStep
 }
 
 // Checkpoint records a step, so that whoever comes next begins there. Only the work calls it. Errors are those of client.ChangeDuty;
 // after client.ErrUncertain the work should return, as it cannot know what the next reads.
 func (t *HeldLease) Checkpoint(ctx context.Context, step string) error {
 	no := t.StepNo
-	_, err := t.runner.client.ChangeRole(ctx, client.Checkpoint, t.Name, client.RoleCall{Process: t.runner.who, Epoch: t.Epoch, Step: step, StepNo: &no})
+	_, err := t.runner.client.ChangeRole(ctx, client.Checkpoint, t.Name, client.RoleCall{Process: t.runner.process, Epoch: t.Epoch, Step: step, StepNo: &no})
 	if err == nil {
 		t.StepNo++
 		t.Step = step
@@ -108,12 +108,12 @@
 	return err
 }
 
-// watch ends the work when the office does.
-func (t *HeldLease) watch(work context.Context) {
+// cancelWhenLost ends the work when the office does.
+func (t *HeldLease) cancelWhenLost(work context.Context) {
 	for {
-		left := t.Left()
+		left := t.Remaining()
 		if left <= 0 {
-			t.cancel(ErrLeaseLost)
+			t.cancelWork(ErrLeaseLost)
 			return
 		}
 		timer := time.NewTimer(left)
