--- a/cmd/gradeusher/duty_fleet_test.go
+++ b/cmd/gradeusher/duty_fleet_test.go
@@ -92,7 +92,7 @@
 		if _, err := fmt.Sscan(in.Text(), &e.epoch, &e.pid, &e.guard); err != nil {
 			return
 		}
-		err := a.fence.Through(e.epoch, func() error { return nil })
+		err := a.fence.Do(e.epoch, func() error { return nil })
 		e.at, e.done = time.Now(), err == nil
 		a.mu.Lock()
 		a.all = append(a.all, e)
--- a/cmd/gradeusher/dutyhold.go
+++ b/cmd/gradeusher/dutyhold.go
@@ -96,7 +96,7 @@
 	defer tick.Stop()
 	asked := t.HandoverRequested()
 	for told := false; ; {
-		if left := t.Left(); left > 0 {
+		if left := t.Remaining(); left > 0 {
 			_, _ = fmt.Fprintf(to, "%d\n", int64(singleton.Now()+left)) // a guard that is gone has ended
 		}
 		select {
