--- a/internal/sidecar/registry/config.go
+++ b/internal/sidecar/registry/config.go
@@ -14,56 +14,56 @@
 	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
-// Config is a keeper's configuration, a TOML file.
+// Config is the configuration of a registry node, a TOML file. The keys are the operators' and never change.
 type Config struct {
 	Name          string `toml:"name"`
-	Folder        string `toml:"folder"`         // of its log and snapshots; nobody else's
-	HTTP          string `toml:"http"`           // where clients call
-	Raft          string `toml:"raft"`           // where other keepers call
-	AdvertiseHTTP string `toml:"advertise_http"` // where others reach http, if that is elsewhere
-	AdvertiseRaft string `toml:"advertise_raft"` // where others reach raft, if that is elsewhere
-	Join          bool   `toml:"join"`           // it is added to a cluster that runs: peers are whom it asks
-	Peers         []Peer `toml:"peer"`           // all keepers at the cluster's first start, this one with them
+	Folder        string `toml:"folder"`         // of the log and the snapshots; of this node alone
+	HTTP          string `toml:"http"`           // address at which it serves clients
+	Raft          string `toml:"raft"`           // address at which it serves other nodes
+	AdvertiseHTTP string `toml:"advertise_http"` // address at which others reach HTTP, where that differs
+	AdvertiseRaft string `toml:"advertise_raft"` // address at which others reach Raft, where that differs
+	Join          bool   `toml:"join"`           // it is added to a running cluster: it asks the peers, and is none of them
+	Peers         []Peer `toml:"peer"`           // all nodes at the cluster's first start, including this one
 	Limits        Limits `toml:"limits"`
 	Leases        Leases `toml:"leases"`
 	Timing        Timing `toml:"timing"`
 }
 
-// Peer is a keeper as another one knows it.
+// Peer is a node as another one knows it.
 type Peer struct {
 	Name string `toml:"name"`
 	Raft string `toml:"raft"`
 	HTTP string `toml:"http"`
 }
 
-// Limits are what a keeper takes at once. Over one of them it answers 503 with Retry-After.
+// Limits bound what a node does at a time. A call that would exceed one is refused with 503 and Retry-After.
 type Limits struct {
-	MaxWatchers          int `toml:"watchers"`
-	MaxCalls             int `toml:"calls"`        // that are no watches
-	SlowWatcherMS        int `toml:"slow_ms"`      // a watcher that does not take what is written to it for so long is cut off
-	CatchUpMS            int `toml:"behind_ms"`    // how long a call waits until this keeper knows a revision that the caller holds
-	MaxBodyKB            int `toml:"body_kb"`      // of a call
-	ReadMS               int `toml:"read_ms"`      // for a call to come whole
-	WatchStartsPerSecond int `toml:"starts_per_s"` // watches that begin in a second
+	MaxWatchers          int `toml:"watchers"`  // open watches, each of list, routes and roles
+	MaxCalls             int `toml:"calls"`     // calls in progress that are no watches
+	SlowWatcherMS        int `toml:"slow_ms"`   // a watch is closed where a write to it takes longer
+	CatchUpMS            int `toml:"behind_ms"` // how long a call waits until this node knows the revision that the client has
+	MaxBodyKB            int `toml:"body_kb"`
+	ReadMS               int `toml:"read_ms"` // for the header of a call, and for its body, to arrive
+	WatchStartsPerSecond int `toml:"starts_per_s"`
 }
 
-// Leases bound how leases end.
+// Leases bound how leases of servers end.
 type Leases struct {
-	GraceMS  int     `toml:"grace_ms"` // a server whose lease has ended drains for so long before it is removed
-	Share    float64 `toml:"share"`    // of the servers with leases, that may end within window_ms
-	MinCount int     `toml:"least"`    // that may in any case
+	GraceMS  int     `toml:"grace_ms"` // from the drain of a server whose lease has ended to its removal
+	Share    float64 `toml:"share"`    // part of the servers with leases that may be drained within the window, 0 to 1
+	MinCount int     `toml:"least"`    // servers that may be drained within the window however few there are
 	WindowMS int     `toml:"window_ms"`
 }
 
-// Timing is how quick the agreement is.
+// Timing bounds how quickly raft agrees and how much it stores.
 type Timing struct {
 	HeartbeatMS   int    `toml:"heartbeat_ms"`
-	SnapshotMS    int    `toml:"snapshot_ms"`
-	SnapshotAfter uint64 `toml:"snapshot_after"`
-	Trailing      uint64 `toml:"trailing"`
+	SnapshotMS    int    `toml:"snapshot_ms"`    // shortest interval of snapshots
+	SnapshotAfter uint64 `toml:"snapshot_after"` // commands between snapshots
+	Trailing      uint64 `toml:"trailing"`       // commands that stay in the log behind a snapshot
 }
 
-// Defaults is a configuration with all that may be left out.
+// Defaults returns the values of the keys that may be left out.
 func Defaults() Config {
 	return Config{
 		Limits: Limits{MaxWatchers: 6000, MaxCalls: 256, SlowWatcherMS: 5000, CatchUpMS: 2000, MaxBodyKB: 512, ReadMS: 3000, WatchStartsPerSecond: 2000},
@@ -72,34 +72,34 @@
 	}
 }
 
-// ErrConfig is a configuration that makes no sense.
+// ErrConfig is wrapped by every error of LoadConfig.
 var ErrConfig = errors.New("configuration")
 
-// LoadConfig reads a file. Its errors wrap ErrConfig and are one line.
+// LoadConfig reads and checks a configuration file. Errors wrap ErrConfig and have one line, with the key or the line of the file.
 func LoadConfig(path string) (Config, error) {
-	c := Defaults()
+	config := Defaults()
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return c, fmt.Errorf("%w: %w", ErrConfig, err)
+		return config, fmt.Errorf("%w: %w", ErrConfig, err)
 	}
-	meta, err := toml.Decode(string(text), &c)
-	var where toml.ParseError
+	meta, err := toml.Decode(string(text), &config)
+	var parseErr toml.ParseError
 	switch {
-	case errors.As(err, &where):
-		return c, fmt.Errorf("%w: %s:%d: %s", ErrConfig, path, where.Position.Line, strings.ReplaceAll(where.Message, "\n", " "))
+	case errors.As(err, &parseErr):
+		return config, fmt.Errorf("%w: %s:%d: %s", ErrConfig, path, parseErr.Position.Line, inOneLine(parseErr.Message))
 	case err != nil:
-		return c, fmt.Errorf("%w: %s: %s", ErrConfig, path, strings.ReplaceAll(err.Error(), "\n", " "))
+		return config, fmt.Errorf("%w: %s: %s", ErrConfig, path, inOneLine(err.Error()))
 	}
 	if extra := meta.Undecoded(); len(extra) > 0 {
-		return c, fmt.Errorf("%w: %s: unknown key %q", ErrConfig, path, extra[0])
+		return config, fmt.Errorf("%w: %s: unknown key %q", ErrConfig, path, extra[0])
 	}
-	if err := c.check(); err != nil {
-		return c, fmt.Errorf("%w: %s: %w", ErrConfig, path, err)
+	if err := config.check(); err != nil {
+		return config, fmt.Errorf("%w: %s: %w", ErrConfig, path, err)
 	}
-	return c, nil
+	return config, nil
 }
 
-const maxMS = int(time.Hour / time.Millisecond)
+func inOneLine(text string) string { return strings.ReplaceAll(text, "\n", " ") }
 
 func (c *Config) check() error {
 	if err := list.CheckUID(c.Name); err != nil {
@@ -108,79 +108,127 @@
 	if c.Folder == "" {
 		return errors.New("folder is missing")
 	}
-	for _, a := range []struct {
-		key, address string
-		may          bool
-	}{{"http", c.HTTP, false}, {"raft", c.Raft, false}, {"advertise_http", c.AdvertiseHTTP, true}, {"advertise_raft", c.AdvertiseRaft, true}} {
-		if a.may && a.address == "" {
+	if err := c.checkAddresses(); err != nil {
+		return err
+	}
+	if err := c.checkRanges(); err != nil {
+		return err
+	}
+	if share := c.Leases.Share; math.IsNaN(share) || share < 0 || share > 1 {
+		return fmt.Errorf("leases.share: %v is not within 0 to 1", share)
+	}
+	if c.Timing.SnapshotAfter < 1 || c.Timing.Trailing < 1 {
+		return errors.New("timing: snapshot_after and trailing are 1 at least")
+	}
+	return c.checkPeers()
+}
+
+func (c *Config) checkAddresses() error {
+	for _, key := range []struct {
+		name, address string
+		optional      bool
+	}{
+		{"http", c.HTTP, false},
+		{"raft", c.Raft, false},
+		{"advertise_http", c.AdvertiseHTTP, true},
+		{"advertise_raft", c.AdvertiseRaft, true},
+	} {
+		if key.optional && key.address == "" {
 			continue
 		}
-		if err := list.CheckAddress(a.address); err != nil {
-			return fmt.Errorf("%s: %w", a.key, err)
+		if err := list.CheckAddress(key.address); err != nil {
+			return fmt.Errorf("%s: %w", key.name, err)
 		}
 	}
-	for _, b := range []struct {
-		key     string
-		v, a, z int
+	return nil
+}
+
+const maxMS = int(time.Hour / time.Millisecond)
+
+func (c *Config) checkRanges() error {
+	for _, key := range []struct {
+		name            string
+		value, min, max int
 	}{
-		{"limits.watchers", c.Limits.MaxWatchers, 1, 1 << 20}, {"limits.calls", c.Limits.MaxCalls, 1, 1 << 16},
-		{"limits.slow_ms", c.Limits.SlowWatcherMS, 10, maxMS}, {"limits.behind_ms", c.Limits.CatchUpMS, 0, maxMS},
-		{"limits.body_kb", c.Limits.MaxBodyKB, 1, 1 << 16}, {"limits.read_ms", c.Limits.ReadMS, 10, maxMS},
-		{"limits.starts_per_s", c.Limits.WatchStartsPerSecond, 1, 1 << 20}, {"leases.grace_ms", c.Leases.GraceMS, 0, maxMS},
-		{"leases.least", c.Leases.MinCount, 0, 1 << 20}, {"leases.window_ms", c.Leases.WindowMS, 1, maxMS},
-		{"timing.heartbeat_ms", c.Timing.HeartbeatMS, 50, maxMS}, {"timing.snapshot_ms", c.Timing.SnapshotMS, 10, maxMS},
+		{"limits.watchers", c.Limits.MaxWatchers, 1, 1 << 20},
+		{"limits.calls", c.Limits.MaxCalls, 1, 1 << 16},
+		{"limits.slow_ms", c.Limits.SlowWatcherMS, 10, maxMS},
+		{"limits.behind_ms", c.Limits.CatchUpMS, 0, maxMS},
+		{"limits.body_kb", c.Limits.MaxBodyKB, 1, 1 << 16},
+		{"limits.read_ms", c.Limits.ReadMS, 10, maxMS},
+		{"limits.starts_per_s", c.Limits.WatchStartsPerSecond, 1, 1 << 20},
+		{"leases.grace_ms", c.Leases.GraceMS, 0, maxMS},
+		{"leases.least", c.Leases.MinCount, 0, 1 << 20},
+		{"leases.window_ms", c.Leases.WindowMS, 1, maxMS},
+		{"timing.heartbeat_ms", c.Timing.HeartbeatMS, 50, maxMS},
+		{"timing.snapshot_ms", c.Timing.SnapshotMS, 10, maxMS},
 	} {
-		if b.v < b.a || b.v > b.z {
-			return fmt.Errorf("%s: %d is not within %d to %d", b.key, b.v, b.a, b.z)
+		if key.value < key.min || key.value > key.max {
+			return fmt.Errorf("%s: %d is not within %d to %d", key.name, key.value, key.min, key.max)
 		}
 	}
-	if s := c.Leases.Share; !(s >= 0 && s <= 1) || math.IsNaN(s) {
-		return fmt.Errorf("leases.share: %v is not within 0 to 1", s)
-	}
-	if c.Timing.SnapshotAfter < 1 || c.Timing.Trailing < 1 {
-		return errors.New("timing: snapshot_after and trailing are 1 at least")
-	}
-	return c.checkPeers()
+	return nil
 }
 
 func (c *Config) checkPeers() error {
 	names, addresses := map[string]bool{}, map[string]string{}
-	self := false
-	for _, p := range c.Peers {
-		if err := list.CheckUID(p.Name); err != nil {
+	for _, peer := range c.Peers {
+		if err := list.CheckUID(peer.Name); err != nil {
 			return fmt.Errorf("peer: %w", err)
 		}
-		if names[p.Name] {
-			return fmt.Errorf("peer %s stands twice", p.Name)
+		if names[peer.Name] {
+			return fmt.Errorf("peer %s stands twice", peer.Name)
 		}
-		names[p.Name] = true
-		for _, a := range []string{p.Raft, p.HTTP} {
-			if err := list.CheckAddress(a); err != nil {
-				return fmt.Errorf("peer %s: %w", p.Name, err)
-			}
-			if other, taken := addresses[a]; taken {
-				return fmt.Errorf("peer %s: %s is the address of %s", p.Name, a, other)
-			}
-			addresses[a] = p.Name
+		names[peer.Name] = true
+		if err := peer.checkAddresses(addresses); err != nil {
+			return err
 		}
-		if p.Name == c.Name {
-			self = true
-			if raft, http := cmp.Or(c.AdvertiseRaft, c.Raft), cmp.Or(c.AdvertiseHTTP, c.HTTP); p.Raft != raft || p.HTTP != http {
-				return fmt.Errorf("peer %s is this keeper, and stands at %s and %s, not at %s and %s", p.Name, p.Raft, p.HTTP, raft, http)
+		if peer.Name == c.Name {
+			if err := c.checkSelf(peer); err != nil {
+				return err
 			}
 		}
 	}
-	switch n := len(c.Peers); {
-	case c.Join && self:
+	return c.checkPeerCount(names[c.Name])
+}
+
+// checkAddresses checks a peer's addresses and adds them to those of the peers before it, by which they must not be used.
+func (p Peer) checkAddresses(used map[string]string) error {
+	for _, address := range []string{p.Raft, p.HTTP} {
+		if err := list.CheckAddress(address); err != nil {
+			return fmt.Errorf("peer %s: %w", p.Name, err)
+		}
+		if other, found := used[address]; found {
+			return fmt.Errorf("peer %s: %s is the address of %s", p.Name, address, other)
+		}
+		used[address] = p.Name
+	}
+	return nil
+}
+
+// checkSelf compares the peer that is this node with the node's own addresses.
+func (c *Config) checkSelf(self Peer) error {
+	raft, http := cmp.Or(c.AdvertiseRaft, c.Raft), cmp.Or(c.AdvertiseHTTP, c.HTTP)
+	if self.Raft != raft || self.HTTP != http {
+		return fmt.Errorf("peer %s is this keeper, and stands at %s and %s, not at %s and %s", self.Name, self.Raft, self.HTTP, raft, http)
+	}
+	return nil
+}
+
+const maxPeers = 7
+
+func (c *Config) checkPeerCount(selfIsPeer bool) error {
+	switch count := len(c.Peers); {
+	case c.Join && selfIsPeer:
 		return fmt.Errorf("%s joins: it cannot be among the peers that it asks", c.Name)
-	case c.Join && n == 0:
+	case c.Join && count == 0:
 		return errors.New("a keeper that joins needs a peer to ask")
-	case !c.Join && !self:
+	case !c.Join && !selfIsPeer:
 		return fmt.Errorf("%s is not among the peers", c.Name)
-	case !c.Join && n%2 == 0:
-		return fmt.Errorf("%d peers: a cluster begins with an odd number", n)
-	case n > 7:
-		return fmt.Errorf("%d peers: 7 at most", n)
+	case !c.Join && count%2 == 0:
+		return fmt.Errorf("%d peers: a cluster begins with an odd number", count)
+	case count > maxPeers:
+		return fmt.Errorf("%d peers: %d at most", count, maxPeers)
 	}
 	return nil
 }
--- a/internal/sidecar/registry/metrics.go
+++ b/internal/sidecar/registry/metrics.go
@@ -11,92 +11,113 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-// metrics are a keeper's figures.
+// metrics are a node's Prometheus metrics. Their names and labels are the operators' and never change.
 type metrics struct {
 	registry     *prometheus.Registry
 	calls        *prometheus.CounterVec
 	durations    *prometheus.HistogramVec
 	slowWatchers prometheus.Counter
 
-	routeLines, routeBytes, routesEncoded *prometheus.CounterVec // by kind: whole, diff
+	routeLines, routeBytes, routesEncoded *prometheus.CounterVec // by kind: kindComplete, kindDiff
 }
 
-func newMetrics(k *Node) *metrics {
-	m := &metrics{registry: prometheus.NewRegistry(),
-		calls: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "keeper_calls_total", Help: "Calls by what they wanted and what became of them."},
-			[]string{"op", "outcome"}),
-		durations: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "keeper_call_seconds", Help: "How long calls took that were done.",
-			Buckets: prometheus.ExponentialBuckets(0.0005, 2, 14)}, []string{"op"}),
-		slowWatchers: prometheus.NewCounter(prometheus.CounterOpts{Name: "keeper_watchers_cut_total", Help: "Watchers cut off because they were too slow."}),
-
-		routeLines: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "keeper_route_lines_total", Help: "Answers with route tables, and with what leads to them."},
-			[]string{"kind"}),
-		routeBytes: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "keeper_route_bytes_total", Help: "Bytes of those."}, []string{"kind"}),
-		routesEncoded: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "keeper_routes_made_total", Help: "Those that were made, each for all who ask for the same."},
-			[]string{"kind"}),
+func newMetrics(node *Node) *metrics {
+	built := &metrics{
+		registry: prometheus.NewRegistry(),
+		calls:    counters("keeper_calls_total", "Calls by what they wanted and what became of them.", "op", "outcome"),
+		durations: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+			Name:    "keeper_call_seconds",
+			Help:    "How long calls took that were done.",
+			Buckets: prometheus.ExponentialBuckets(0.0005, 2, 14),
+		}, []string{"op"}),
+		slowWatchers: prometheus.NewCounter(prometheus.CounterOpts{
+			Name: "keeper_watchers_cut_total",
+			Help: "Watchers cut off because they were too slow.",
+		}),
+		routeLines:    counters("keeper_route_lines_total", "Answers with route tables, and with what leads to them.", "kind"),
+		routeBytes:    counters("keeper_route_bytes_total", "Bytes of those.", "kind"),
+		routesEncoded: counters("keeper_routes_made_total", "Those that were made, each for all who ask for the same.", "kind"),
 	}
-	gauge := func(name, help string, value func() float64) {
-		m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
-	}
-	of := func(value func(*state.Machine) float64) func() float64 {
-		return func() (v float64) {
-			k.store.read(func(s *state.Machine) { v = value(s) })
+	built.registerStateGauges(node)
+	built.registerNodeGauges(node)
+	built.registry.MustRegister(built.calls, built.durations, built.slowWatchers, built.routeLines, built.routeBytes, built.routesEncoded, collectors.NewGoCollector(),
+		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+	return built
+}
+
+func counters(name, help string, labels ...string) *prometheus.CounterVec {
+	return prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, labels)
+}
+
+func (m *metrics) registerGauge(name, help string, value func() float64) {
+	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
+}
+
+// registerStateGauges registers the gauges that are read from the state machine.
+func (m *metrics) registerStateGauges(n *Node) {
+	register := func(name, help string, value func(*state.Machine) int64) {
+		m.registerGauge(name, help, func() (v float64) {
+			n.store.read(func(machine *state.Machine) { v = float64(value(machine)) })
 			return v
-		}
-	}
-	gauge("keeper_revision", "Revision of the list.", of(func(s *state.Machine) float64 { return float64(s.Revision()) }))
-	gauge("keeper_servers", "Servers on the list.", of(func(s *state.Machine) float64 { return float64(s.Len()) }))
-	gauge("keeper_generation", "Generation of the route table.", of(func(s *state.Machine) float64 { return float64(s.Generation()) }))
-	gauge("keeper_route_watchers", "Watches of the route table that are open.", func() float64 { return float64(k.routeWatchers.Load()) })
-	gauge("keeper_duties", "Duties there are.", of(func(s *state.Machine) (n float64) {
-		s.EachRole(func(*state.Role) { n++ })
-		return n
-	}))
-	gauge("keeper_duties_free", "Duties that nobody holds.", of(func(s *state.Machine) (n float64) {
-		s.EachRole(func(d *state.Role) {
-			if d.Owner == nil {
-				n++
-			}
 		})
-		return n
-	}))
-	gauge("keeper_duty_watchers", "Watches of duties that are open.", func() float64 { return float64(k.roleWatchers.Load()) })
-	gauge("keeper_watchers", "Watches that are open.", func() float64 { return float64(k.watchers.Load()) })
-	gauge("keeper_leases_held", "Leases that have ended and are held back.", func() float64 {
-		_, held := k.serverLessor.counts()
-		return float64(held)
+	}
+	register("keeper_revision", "Revision of the list.", (*state.Machine).Revision)
+	register("keeper_servers", "Servers on the list.", func(machine *state.Machine) int64 { return int64(machine.Len()) })
+	register("keeper_generation", "Generation of the route table.", (*state.Machine).Generation)
+	register("keeper_duties", "Duties there are.", func(machine *state.Machine) int64 {
+		return countRoles(machine, func(*state.Role) bool { return true })
+	})
+	register("keeper_duties_free", "Duties that nobody holds.", func(machine *state.Machine) int64 {
+		return countRoles(machine, func(role *state.Role) bool { return role.Owner == nil })
+	})
+}
+
+func countRoles(machine *state.Machine, counts func(*state.Role) bool) (count int64) {
+	machine.EachRole(func(role *state.Role) {
+		if counts(role) {
+			count++
+		}
 	})
-	gauge("keeper_leads", "1 on the leader.", func() float64 {
-		if k.replica.Ready() {
+	return count
+}
+
+// registerNodeGauges registers the gauges of the node itself.
+func (m *metrics) registerNodeGauges(node *Node) {
+	m.registerGauge("keeper_watchers", "Watches that are open.", func() float64 { return float64(node.watchers.Load()) })
+	m.registerGauge("keeper_route_watchers", "Watches of the route table that are open.", func() float64 { return float64(node.routeWatchers.Load()) })
+	m.registerGauge("keeper_duty_watchers", "Watches of duties that are open.", func() float64 { return float64(node.roleWatchers.Load()) })
+	m.registerGauge("keeper_leases_held", "Leases that have ended and are held back.", func() float64 {
+		_, pending := node.serverLessor.counts()
+		return float64(pending)
+	})
+	m.registerGauge("keeper_leads", "1 on the leader.", func() float64 {
+		if node.replica.Ready() {
 			return 1
 		}
 		return 0
 	})
-	gauge("keeper_age_seconds", "How long ago this keeper last knew itself up to date; below 0: not since its start.", func() float64 {
-		age, known := k.replica.Age()
+	m.registerGauge("keeper_age_seconds", "How long ago this keeper last knew itself up to date; below 0: not since its start.", func() float64 {
+		age, known := node.replica.Age()
 		if !known {
 			return -1
 		}
 		return age.Seconds()
 	})
-	m.registry.MustRegister(m.calls, m.durations, m.slowWatchers, m.routeLines, m.routeBytes, m.routesEncoded, collectors.NewGoCollector(),
-		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	return m
 }
 
 func (m *metrics) handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// recordCall counts a call.
-func (m *metrics) recordCall(op, outcome string, took time.Duration) {
+// recordCall counts a call by its outcome, outcomeOK or the code of a refusal. The duration counts for calls that were done.
+func (m *metrics) recordCall(op, outcome string, duration time.Duration) {
 	m.calls.WithLabelValues(op, outcome).Inc()
-	if outcome == "ok" {
-		m.durations.WithLabelValues(op).Observe(took.Seconds())
+	if outcome == outcomeOK {
+		m.durations.WithLabelValues(op).Observe(duration.Seconds())
 	}
 }
 
-// recordRoutesAnswer counts an answer with a route table, or with what leads to one.
+// recordRoutesAnswer counts a line with a route table, or with a difference, and its bytes.
 func (m *metrics) recordRoutesAnswer(kind string, size int) {
 	m.routeLines.WithLabelValues(kind).Inc()
 	m.routeBytes.WithLabelValues(kind).Add(float64(size))
@@ -104,7 +125,7 @@
 
 func (m *metrics) recordRoutesEncoded(kind string) { m.routesEncoded.WithLabelValues(kind).Inc() }
 
-// recordWatchEnd counts a watcher whose watch ended because he was too slow.
+// recordWatchEnd counts a watch that was closed because its client was too slow.
 func (m *metrics) recordWatchEnd(slow bool) {
 	if slow {
 		m.slowWatchers.Inc()
--- a/internal/sidecar/registry/node.go
+++ b/internal/sidecar/registry/node.go
@@ -1,22 +1,23 @@
-// Package keeper is a keeper: the list of servers over HTTP/1.1, watches that fan out, admission, and what a leader does
-// besides. What it knows is the replicated state machine's; it keeps nothing of its own but who watches and which leases run.
+// Package registry is the registry node: it serves the list of servers, the route table and the singleton roles over HTTP/1.1, and keeps
+// them the same on all nodes of the cluster by raft.
+//
+// Terms: a node is one process of the cluster; the leader is the node that raft has elected for a term; a watch is a call whose answer
+// goes on, a line of JSON for each change; a server or a role has a lease, which ends unless it is renewed (docs/duties.md has
+// the proof for roles).
+//
+// The state is the replicated state machine of package state. A node has of its own only what can be lost with it: the watches that
+// are open, and, on the leader, the times at which leases end, which are not in the log.
 package registry
 
 import (
-	"bytes"
 	"cmp"
 	"context"
-	"crypto/rand"
-	"encoding/hex"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"log/slog"
 	"net"
 	"net/http"
-	"os"
 	"path/filepath"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -24,292 +25,164 @@
 	"golang.org/x/time/rate"
 
 	"gradeusher.example/gradeusher/internal/sidecar/replica"
-	"gradeusher.example/gradeusher/internal/sidecar/sealed"
-	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-// Node is one keeper process.
+// Node is one registry node.
 type Node struct {
-	config       Config
-	log          *slog.Logger
-	store        *store
-	replica      *replica.Replica
-	serverLessor serverLessor
-	calls        chan struct{} // a place for each call that is no watch
-	watchStarts  *rate.Limiter
-	watchers     atomic.Int64
-	views        *viewCache
-
+	config  Config
+	log     *slog.Logger
+	store   *store
+	replica *replica.Replica
+	metrics *metrics
+	ending  chan struct{} // closed when the node ends: watches end then
+
+	calls         chan struct{} // holds an element for each call in progress that is no watch
+	watchStarts   *rate.Limiter
+	watchers      atomic.Int64 // open watches of the list
 	routeWatchers atomic.Int64
 	roleWatchers  atomic.Int64
-	roleLessor    roleLessor
-	restoring     sync.RWMutex // a backup takes the place of the state; duties are left alone
-	metrics       *metrics
-	membership    sync.Mutex // one change of members at a time
-	ending        chan struct{}
+
+	views        *viewCache
+	serverLessor serverLessor
+	roleLessor   roleLessor
+
+	membership sync.Mutex   // one change of members, or one restore, at a time
+	restoring  sync.RWMutex // held for writing while a backup replaces the state: no role changes then
 }
 
 func milliseconds(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// Run is a keeper until stop is done. ready is called with the address at which it answers.
-func Run(stop context.Context, c Config, log *slog.Logger, ready func(http string)) (err error) {
-	k := &Node{config: c, log: log, store: newStore(), calls: make(chan struct{}, c.Limits.MaxCalls),
-		watchStarts: rate.NewLimiter(rate.Limit(c.Limits.WatchStartsPerSecond), max(1, c.Limits.WatchStartsPerSecond/4)), ending: make(chan struct{})}
-	k.serverLessor.limits = expiryLimits{Grace: milliseconds(c.Leases.GraceMS), Share: c.Leases.Share, MinCount: c.Leases.MinCount, Window: milliseconds(c.Leases.WindowMS)}
-	k.metrics = newMetrics(k)
-	k.views = newViewCache(k.store, k.metrics.recordRoutesEncoded)
-	l, err := net.Listen("tcp", c.HTTP)
+func newNode(config Config, log *slog.Logger) *Node {
+	startsPerSecond := config.Limits.WatchStartsPerSecond
+	node := &Node{
+		config:      config,
+		log:         log,
+		store:       newStore(),
+		ending:      make(chan struct{}),
+		calls:       make(chan struct{}, config.Limits.MaxCalls),
+		watchStarts: rate.NewLimiter(rate.Limit(startsPerSecond), max(1, startsPerSecond/4)),
+	}
+	node.serverLessor.limits = expiryLimits{
+		Grace:    milliseconds(config.Leases.GraceMS),
+		Share:    config.Leases.Share,
+		MinCount: config.Leases.MinCount,
+		Window:   milliseconds(config.Leases.WindowMS),
+	}
+	node.metrics = newMetrics(node)
+	node.views = newViewCache(node.store, node.metrics.recordRoutesEncoded)
+	return node
+}
+
+// httpAddress returns the address at which others reach the node's HTTP server.
+func (n *Node) httpAddress() string { return cmp.Or(n.config.AdvertiseHTTP, n.config.HTTP) }
+
+// raftAddress returns the address at which other nodes reach the node's raft transport.
+func (n *Node) raftAddress() string { return cmp.Or(n.config.AdvertiseRaft, n.config.Raft) }
+
+func (n *Node) raftFolder() string { return filepath.Join(n.config.Folder, "raft") }
+
+// Run is a registry node until ctx is done or the node was removed from the cluster. It calls ready, which may be nil, with the address at
+// which it serves HTTP. Errors are those of listening, of the store and of the replica.
+func Run(ctx context.Context, config Config, log *slog.Logger, ready func(httpAddress string)) error {
+	node := newNode(config, log)
+	// An end that is asked for early is no error of listening.
+	listener, err := (&net.ListenConfig{}).Listen(context.WithoutCancel(ctx), "tcp", config.HTTP)
 	if err != nil {
 		return fmt.Errorf("http: %w", err)
 	}
-	defer l.Close()
-	lost, err := k.checkStore(stop)
+	defer func() { _ = listener.Close() }() // an error says that the HTTP server has closed it
+	lost, err := node.checkStore(ctx)
 	if err != nil {
 		return err
 	}
-	if stop.Err() != nil {
+	if ctx.Err() != nil {
 		return nil
 	}
+	mustJoin := config.Join || lost
+	if err := node.openReplica(mustJoin); err != nil { //nolint:contextcheck // the replica lives until Close, after leadership was handed over
+		return err
+	}
+	err = node.serve(ctx, listener, mustJoin, ready)
+	return errors.Join(err, node.replica.Close())
+}
+
+// openReplica starts raft. A node that must join has no peers until the leader adds it.
+func (n *Node) openReplica(mustJoin bool) error {
 	var peers []replica.Peer
-	if !c.Join && !lost {
-		for _, p := range c.Peers {
-			peers = append(peers, replica.Peer{Name: p.Name, Address: p.Raft})
+	if !mustJoin {
+		for _, peer := range n.config.Peers {
+			peers = append(peers, replica.Peer{Name: peer.Name, Address: peer.Raft})
 		}
 	}
-	k.replica, err = replica.Open(replica.Options{Name: c.Name, Folder: filepath.Join(c.Folder, "raft"), Bind: c.Raft, Advertise: c.AdvertiseRaft, Peers: peers,
-		Timing: replica.Timing{Heartbeat: milliseconds(c.Timing.HeartbeatMS), SnapshotEvery: milliseconds(c.Timing.SnapshotMS),
-			SnapshotAfter: c.Timing.SnapshotAfter, Trailing: c.Timing.Trailing},
-		Machine: k.store, Log: log, Led: k.leadCluster})
-	if err != nil {
-		return err
+	var err error
+	n.replica, err = replica.Open(replica.Options{
+		Name:      n.config.Name,
+		Folder:    n.raftFolder(),
+		Bind:      n.config.Raft,
+		Advertise: n.config.AdvertiseRaft,
+		Peers:     peers,
+		Timing: replica.Timing{
+			Heartbeat:     milliseconds(n.config.Timing.HeartbeatMS),
+			SnapshotEvery: milliseconds(n.config.Timing.SnapshotMS),
+			SnapshotAfter: n.config.Timing.SnapshotAfter,
+			Trailing:      n.config.Timing.Trailing,
+		},
+		Machine: n.store,
+		Log:     n.log,
+		Led:     n.leadCluster,
+	})
+	return err
+}
+
+// serve answers calls until ctx is done, the node was removed or the HTTP server fails. Then it hands leadership over, and ends watches
+// and calls in order.
+func (n *Node) serve(ctx context.Context, listener net.Listener, mustJoin bool, ready func(httpAddress string)) error {
+	server := &http.Server{
+		Handler:           n.handler(),
+		ReadHeaderTimeout: milliseconds(n.config.Limits.ReadMS),
+		IdleTimeout:       2 * time.Minute,
+		MaxHeaderBytes:    16 << 10,
+		ErrorLog:          slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 	}
-	defer func() { err = errors.Join(err, k.replica.Close()) }()
-	web := &http.Server{Handler: k.handler(), ReadHeaderTimeout: milliseconds(c.Limits.ReadMS), IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 16 << 10,
-		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
 	served := make(chan error, 1)
-	go func() { served <- web.Serve(l) }()
-	ctx, cancel := context.WithCancel(stop)
+	go func() { served <- server.Serve(listener) }()
+	taskCtx, cancel := context.WithCancel(ctx)
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
 	defer cancel()
-	if c.Join || lost {
-		tasks.Add(1)
-		go func() {
-			defer tasks.Done()
-			k.join(ctx)
-		}()
+	if mustJoin {
+		tasks.Go(func() { n.join(taskCtx) })
 	}
-	log.Info("serving", "name", c.Name, "http", l.Addr().String())
+	n.log.Info("serving", "name", n.config.Name, "http", listener.Addr().String())
 	if ready != nil {
-		ready(l.Addr().String())
+		ready(listener.Addr().String())
 	}
 	removed := make(chan bool, 1)
-	tasks.Add(1)
-	go func() {
-		defer tasks.Done()
-		removed <- k.awaitRemoval(ctx)
-	}()
+	tasks.Go(func() { removed <- n.awaitRemoval(taskCtx) })
 	select {
 	case err := <-served:
 		return fmt.Errorf("http: %w", err)
-	case <-stop.Done():
+	case <-ctx.Done():
 	case <-removed:
-		if stop.Err() == nil {
-			log.Warn("removed from the cluster")
+		if ctx.Err() == nil {
+			n.log.Warn("removed from the cluster")
 		}
 	}
-	if err := k.replica.StepDown(); err != nil {
-		log.Info("stops", "err", err) // the others elect one, in a while
-	}
-	// Watches end, with the revision that their watchers can go on from elsewhere; calls are finished.
-	close(k.ending)
-	finish, done := context.WithTimeout(context.Background(), time.Second)
-	defer done()
-	if err := web.Shutdown(finish); err != nil {
-		_ = web.Close() // who does not take his answer is cut off
-	}
+	n.shutDown(ctx, server)
 	return nil
 }
 
-// leadCluster is what a keeper does while it leads.
-func (k *Node) leadCluster(ctx context.Context) {
-	k.log.Info("leads", "term", k.replica.Status().Term)
-	defer k.log.Info("leads no more")
-	var id [8]byte
-	_, _ = rand.Read(id[:]) // never fails (crypto/rand)
-	cluster := ""
-	k.store.read(func(m *state.Machine) { cluster = m.Cluster() })
-	var first []state.Command
-	if cluster == "" {
-		first = append(first, state.Command{Op: state.FoundCluster, Cluster: hex.EncodeToString(id[:])})
-	}
-	first = append(first, state.Command{Op: state.SetNode, Node: &state.Node{Name: k.config.Name, HTTPAddress: cmp.Or(k.config.AdvertiseHTTP, k.config.HTTP)}})
-	for _, c := range first {
-		for _, err := k.propose(ctx, c); err != nil; _, err = k.propose(ctx, c) {
-			k.log.Warn("leads", "op", c.Op, "err", err)
-			select {
-			case <-ctx.Done():
-				return
-			case <-time.After(serverLeaseInterval): // too much to do, or out of office in a moment
-			}
-		}
-	}
-	var duties sync.WaitGroup
-	defer duties.Wait()
-	duties.Add(1)
-	go func() {
-		defer duties.Done()
-		k.runRoleLeases(ctx)
-	}()
-	k.runServerLeases(ctx)
-}
-
-// propose has a command agreed on. Errors are replica's, or a *state.Error.
-func (k *Node) propose(ctx context.Context, c state.Command) (state.Result, error) {
-	text, err := json.Marshal(c)
-	if err != nil {
-		return state.Result{}, fmt.Errorf("command: %w", err)
-	}
-	v, err := k.replica.Propose(ctx, text)
-	if err != nil {
-		return state.Result{}, err
-	}
-	r, ok := v.(state.Result)
-	if !ok {
-		return r, fmt.Errorf("command: the machine answered %T", v)
-	}
-	if r.Err != nil {
-		return r, r.Err
-	}
-	return r, nil
-}
-
-// joinRequest is what a keeper that joins says of itself.
-type joinRequest struct {
-	Name    string `json:"name"`
-	Raft    string `json:"raft"`
-	HTTP    string `json:"http"`
-	Applied uint64 `json:"applied_index"`  // how far it has come
-	Lost    bool   `json:"lost,omitempty"` // its store is gone, and its vote must be before it comes again
-}
-
-const joinInterval = 300 * time.Millisecond
-
-// join asks the peers to be taken in until one of them, the leader, says that this keeper has its vote.
-func (k *Node) join(ctx context.Context) {
-	tick := time.NewTicker(joinInterval)
-	defer tick.Stop()
-	for {
-		code, err := k.askToJoin(ctx, k.replica.Status().Applied, false)
-		if code == http.StatusOK {
-			if err := os.Remove(k.lostMarkerPath()); err != nil && !errors.Is(err, os.ErrNotExist) {
-				k.log.Error("join", "err", err) // the next start joins once more
-			}
-			k.log.Info("joined")
-			return
-		}
-		if err != nil {
-			k.log.Debug("join", "err", err)
-		}
-		select {
-		case <-tick.C:
-		case <-ctx.Done():
-			return
-		}
+// shutDown hands leadership over, ends watches with the revision from which their clients resume elsewhere, and lets calls finish.
+func (n *Node) shutDown(ctx context.Context, server *http.Server) {
+	if err := n.replica.StepDown(); err != nil {
+		n.log.Info("stops", "err", err) // the others elect a leader after a time-out
 	}
-}
-
-// askToJoin asks every peer to take this keeper in, and returns what the one answered that leads; 0: none does.
-func (k *Node) askToJoin(ctx context.Context, applied uint64, lost bool) (int, error) {
-	client := &http.Client{Timeout: 15 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	defer client.CloseIdleConnections()
-	body, err := json.Marshal(joinRequest{k.config.Name, cmp.Or(k.config.AdvertiseRaft, k.config.Raft), cmp.Or(k.config.AdvertiseHTTP, k.config.HTTP), applied, lost})
-	if err != nil {
-		return 0, err
-	}
-	var last error
-	var others []string
-	for _, p := range k.config.Peers {
-		if p.Name != k.config.Name {
-			others = append(others, p.HTTP)
-		}
-	}
-	for i := 0; i < len(others); i++ {
-		at := others[i]
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at+"/v1/keepers", bytes.NewReader(body))
-		if err != nil {
-			return 0, err
-		}
-		resp, err := client.Do(req)
-		if err != nil {
-			last = err
-			continue
-		}
-		var said problem
-		_ = json.NewDecoder(resp.Body).Decode(&said) // what cannot be read says nothing
-		resp.Body.Close()
-		switch resp.StatusCode {
-		case http.StatusOK, http.StatusAccepted:
-			return resp.StatusCode, nil
-		case http.StatusConflict:
-			k.log.Warn("join", "peer", at, "err", said.Reason)
-		}
-		last = fmt.Errorf("%s: %s", at, said.Reason)
-		if said.LeaderHTTP != "" && !slices.Contains(others, said.LeaderHTTP) && len(others) < maxPeersAsked {
-			others = append(others, said.LeaderHTTP) // who leads, though no peer of this one's file
-		}
+	close(n.ending)
+	finishCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
+	defer cancel()
+	if err := server.Shutdown(finishCtx); err != nil {
+		_ = server.Close() // clients that do not read their answers lose them
 	}
-	return 0, last
 }
 
-const maxPeersAsked = 16
-
-// lostMarkerPath is the file that tells that this keeper's store was unsound and its vote has to be taken before it has one again.
-func (k *Node) lostMarkerPath() string { return filepath.Join(k.config.Folder, "lost") }
-
-// checkStore looks at the store before it is opened. One that is unsound is set aside, and the others are asked to take this
-// keeper's vote, so that it can come as a new one with nothing. It tells whether it has to join.
-func (k *Node) checkStore(ctx context.Context) (lost bool, err error) {
-	if err := os.MkdirAll(k.config.Folder, 0o700); err != nil {
-		return false, fmt.Errorf("folder: %w", err)
-	}
-	folder := filepath.Join(k.config.Folder, "raft")
-	_, err = os.Stat(k.lostMarkerPath())
-	marked := err == nil
-	if err = replica.Check(folder); err == nil && !marked {
-		return false, nil
-	}
-	if err != nil && !errors.Is(err, replica.ErrUnsound) {
-		return false, err
-	}
-	if err != nil && !marked {
-		if markErr := sealed.WriteFile(k.lostMarkerPath(), []byte(err.Error()+"\n")); markErr != nil {
-			return false, errors.Join(err, markErr)
-		}
-	}
-	if _, there := os.Stat(folder); there == nil {
-		aside, moved := sealed.SetAside(folder)
-		if moved != nil {
-			return false, errors.Join(err, moved)
-		}
-		k.log.Error("the store is set aside", "err", err, "as", aside)
-	}
-	if len(k.config.Peers) < 2 && !k.config.Join {
-		return false, fmt.Errorf("%s tells that the store was lost, and there is no other keeper to get it from: remove that file to begin anew, and restore a backup",
-			k.lostMarkerPath())
-	}
-	tick := time.NewTicker(joinInterval)
-	defer tick.Stop()
-	for {
-		code, err := k.askToJoin(ctx, 0, true)
-		if code != 0 {
-			return true, nil
-		}
-		k.log.Debug("lost", "err", err)
-		select {
-		case <-tick.C:
-		case <-ctx.Done():
-			return true, nil
-		}
-	}
-}
+const shutdownTimeout = time.Second // for calls in progress
--- a/internal/sidecar/registry/removal.go
+++ b/internal/sidecar/registry/removal.go
@@ -1,7 +1,6 @@
 package registry
 
 import (
-	"cmp"
 	"context"
 	"slices"
 	"time"
@@ -13,55 +12,67 @@
 
 const (
 	removalCheckInterval = time.Second
-	removalCheckTimeout  = 3 * time.Second // out of touch; then the others are asked
+	removalCheckTimeout  = 3 * time.Second // without contact to a leader, after which the other nodes are asked
 )
 
-// awaitRemoval returns true once this keeper has been taken out of the cluster, false when ctx is done. One that led when it
-// was removed knows; one that followed hears nothing more, and asks the others.
-func (k *Node) awaitRemoval(ctx context.Context) bool {
-	tick := time.NewTicker(removalCheckInterval)
-	defer tick.Stop()
+// awaitRemoval returns true once this node was removed from the cluster, false when ctx is done. A leader that is removed knows it by itself; a
+// follower receives nothing more, and asks the other nodes.
+func (n *Node) awaitRemoval(ctx context.Context) bool {
+	ticker := time.NewTicker(removalCheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return false
 		}
-		if k.replica.Removed() {
+		if n.replica.Removed() {
 			return true
 		}
-		if age, known := k.replica.Age(); known && age > removalCheckTimeout && k.removedByLeader(ctx) {
+		age, known := n.replica.Age()
+		if known && age > removalCheckTimeout && n.removedByLeader(ctx) {
 			return true
 		}
 	}
 }
 
-// removedByLeader tells whether a leader says that this keeper is none of the members. Danger: only a leader's word counts: a keeper
-// that was cut off before this one was added knows nothing of it either.
-func (k *Node) removedByLeader(ctx context.Context) bool {
-	var others []string
-	k.store.read(func(m *state.Machine) {
-		for _, p := range m.Nodes() {
-			others = append(others, p.HTTPAddress)
-		}
-	})
-	for _, p := range k.config.Peers {
-		others = append(others, p.HTTP)
-	}
-	own := cmp.Or(k.config.AdvertiseHTTP, k.config.HTTP)
-	others = slices.DeleteFunc(others, func(at string) bool { return at == own })
-	slices.Sort(others)
-	c, err := client.New(slices.Compact(others))
+// removedByLeader tells whether a leader has other members than this node. Only a leader's members count: a node that was partitioned off before
+// this one was added does not have it either.
+func (n *Node) removedByLeader(ctx context.Context) bool {
+	c, err := client.New(n.otherAddresses())
 	if err != nil {
-		return false // there are no others
+		return false // there are no other nodes
 	}
 	defer c.Close()
-	all, _ := client.Status[Status](ctx, c) // who does not answer says nothing
-	for _, s := range all {
-		named := slices.ContainsFunc(s.Peers, func(p replica.Peer) bool { return p.Name == k.config.Name })
-		if s.Role == "leader" && s.AgeMS == 0 && len(s.Peers) > 0 && !named {
+	statuses, _ := client.Status[Status](ctx, c) // nodes that do not answer decide nothing
+	for _, status := range statuses {
+		if status.excludes(n.config.Name) {
 			return true
 		}
 	}
 	return false
 }
+
+// otherAddresses returns the HTTP addresses of the other nodes, in the state and in the configuration.
+func (n *Node) otherAddresses() []string {
+	var addresses []string
+	n.store.read(func(m *state.Machine) {
+		for _, node := range m.Nodes() {
+			addresses = append(addresses, node.HTTPAddress)
+		}
+	})
+	for _, peer := range n.config.Peers {
+		addresses = append(addresses, peer.HTTP)
+	}
+	own := n.httpAddress()
+	addresses = slices.DeleteFunc(addresses, func(address string) bool { return address == own })
+	slices.Sort(addresses)
+	return slices.Compact(addresses)
+}
+
+// excludes tells whether a status is that of a leader, in contact with its majority, without a member of a name.
+func (s *Status) excludes(name string) bool {
+	leads := s.Role == "leader" && s.AgeMS == 0
+	isMember := slices.ContainsFunc(s.Peers, func(peer replica.Peer) bool { return peer.Name == name })
+	return leads && len(s.Peers) > 0 && !isMember
+}
--- a/internal/sidecar/registry/rolelessor.go
+++ b/internal/sidecar/registry/rolelessor.go
@@ -8,168 +8,195 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-// roleLessor knows, on the leader alone, when leases of duties end. As with lessor, renewals do not go through the log and times
-// are those of this leader's monotonic clock; a new leader counts everybody as heard when its office began. It has no clock.
+// roleLessor counts, on the leader alone, when leases of roles end. As with serverLessor, renewals are not in the log, and times are those of
+// the leader's monotonic clock, which the callers give; a new leader takes every process as having renewed when it first evaluates it.
 //
-// Invariants: no lease ends before its whole length has passed since the last renewal that was answered was sent; once an
-// end is decided no renewal of that office is answered. Danger: without the second, an end that is on its way to the log would
-// take a duty from one who has just been told that he has it.
+// Invariants: no lease ends before its whole length has passed since the last renewal that was answered was sent; once the end of a lease is
+// decided, no renewal of it is answered. Without the second, an end that is on its way to the log would take a role from a process that was
+// just told that its lease goes on. docs/duties.md has the proof that a role has one owner at a time; TestRoleModel checks it.
 type roleLessor struct {
 	mu           sync.Mutex
 	leading      bool
-	leaseTerm    int64 // its number, which ends that it decides carry
-	startedAt    time.Time
-	lastRenewals map[string]time.Time // processes, when they last renewed
-	leases       map[string]roleLease // by duty
+	leaseTerm    int64                // number of the term, which the ends that are decided in it carry
+	lastRenewals map[string]time.Time // by process
+	leases       map[string]roleLease // by role
 }
 
-// roleLease is one office of a duty.
+// roleLease is the lease of a role under one epoch.
 type roleLease struct {
 	epoch  int64
-	since  time.Time // it is known here, or known to be barred
-	barred bool
-	ended  bool // its end is decided
+	since  time.Time // when this leader first saw it, or saw that renewals of it are barred
+	barred bool      // renewals are refused
+	ended  bool      // its end is decided
 }
 
-// start begins counting.
-func (l *roleLessor) start(now time.Time, office int64) {
+// start begins to count in a lease term.
+func (l *roleLessor) start(leaseTerm int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.leading, l.leaseTerm, l.startedAt, l.lastRenewals, l.leases = true, office, now, map[string]time.Time{}, map[string]roleLease{}
+	l.leading, l.leaseTerm = true, leaseTerm
+	l.lastRenewals, l.leases = map[string]time.Time{}, map[string]roleLease{}
 }
 
+// stop ends counting, as this node does not lead any more.
 func (l *roleLessor) stop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.leading = false
 }
 
-// renew notes that a process renewed, and tells of which of its duties the lease goes on. It tells false where this keeper does
-// not count leases. The duties must be as they were after the call came.
-func (l *roleLessor) renew(now time.Time, who string, all []state.Role) (on []bool, ok bool) {
+// renew records a renewal by a process, and returns for each of its roles whether its lease goes on. It returns false where this node does not
+// count leases. The roles must have been read after the call arrived.
+func (l *roleLessor) renew(now time.Time, process string, roles []state.Role) (renewed []bool, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.leading {
 		return nil, false
 	}
-	on = make([]bool, len(all))
-	for i := range all {
-		l.lastRenewals[who] = now
-		d := &all[i]
-		if !d.IsOwner(who) || d.RenewalBarred {
+	renewed = make([]bool, len(roles))
+	for i := range roles {
+		l.lastRenewals[process] = now
+		role := &roles[i]
+		if !role.IsOwner(process) || role.RenewalBarred {
 			continue
 		}
-		t, known := l.leases[d.Name]
-		if !known || t.epoch < d.Epoch {
-			t = roleLease{epoch: d.Epoch, since: now}
-			l.leases[d.Name] = t
+		lease, known := l.leases[role.Name]
+		if !known || lease.epoch < role.Epoch {
+			lease = roleLease{epoch: role.Epoch, since: now}
+			l.leases[role.Name] = lease
 		}
-		on[i] = t.epoch == d.Epoch && !t.ended && !t.barred
+		renewed[i] = lease.epoch == role.Epoch && !lease.ended && !lease.barred
 	}
-	return on, true
+	return renewed, true
 }
 
-// evaluate takes in the duties as they are, and decides which leases have ended and who is silent that waits.
-func (l *roleLessor) evaluate(now time.Time, m *state.Machine) (c state.RoleCall) {
+// evaluate returns the leases that have ended and the candidates that timed out, as the arguments of state.EndRoleLeases.
+func (l *roleLessor) evaluate(now time.Time, m *state.Machine) state.RoleCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.leading {
-		return c
+		return state.RoleCall{}
 	}
-	c.LeaseTerm = l.leaseTerm
-	silence := func(who string) time.Duration {
-		at, known := l.lastRenewals[who]
-		if !known {
-			at = now
-			l.lastRenewals[who] = now
-		}
-		return now.Sub(at)
-	}
-	here := map[string]bool{}
-	m.EachRole(func(d *state.Role) {
-		for _, w := range d.Waiting {
-			here[w.Process] = true
-			if 4*silence(w.Process) > 3*milliseconds(int(w.TTLMS)) {
-				c.TimedOut = append(c.TimedOut, state.LeaseRef{Name: d.Name, Process: w.Process})
+	call := state.RoleCall{LeaseTerm: l.leaseTerm}
+	seen := map[string]bool{}
+	m.EachRole(func(role *state.Role) {
+		for i := range role.Waiting {
+			candidate := &role.Waiting[i]
+			seen[candidate.Process] = true
+			if l.candidateTimedOut(now, candidate) {
+				call.TimedOut = append(call.TimedOut, state.LeaseRef{Name: role.Name, Process: candidate.Process})
 			}
 		}
-		if d.Owner == nil {
+		if role.Owner == nil {
 			return
 		}
-		here[d.Owner.Process] = true
-		t, known := l.leases[d.Name]
-		if !known || t.epoch < d.Epoch || d.RenewalBarred && !t.barred {
-			t = roleLease{epoch: d.Epoch, since: now, barred: d.RenewalBarred, ended: known && t.epoch == d.Epoch && t.ended}
-		}
-		past := min(silence(d.Owner.Process), now.Sub(t.since))
-		if t.barred { // what it renews are its other duties
-			past = now.Sub(t.since)
+		seen[role.Owner.Process] = true
+		if l.leaseEnded(now, role) {
+			call.Ended = append(call.Ended, state.LeaseRef{Name: role.Name, Epoch: role.Epoch})
 		}
-		if t.ended = t.ended || past > milliseconds(int(d.Owner.TTLMS)); t.ended {
-			c.Ended = append(c.Ended, state.LeaseRef{Name: d.Name, Epoch: d.Epoch})
-		}
-		l.leases[d.Name] = t
 	})
-	for who := range l.lastRenewals {
-		if !here[who] {
-			delete(l.lastRenewals, who)
+	for process := range l.lastRenewals {
+		if !seen[process] {
+			delete(l.lastRenewals, process)
 		}
 	}
-	return c
+	return call
+}
+
+// candidateTimedOut tells whether a candidate has not renewed for three quarters of its lease. It goes before the lease of an owner that stopped at
+// the same time ends, so that the role is granted to a process that lives.
+func (l *roleLessor) candidateTimedOut(now time.Time, candidate *state.Candidate) bool {
+	return 4*l.sinceRenewal(now, candidate.Process) > 3*milliseconds(int(candidate.TTLMS))
 }
 
-const roleLeaseInterval = 50 * time.Millisecond
+// sinceRenewal returns the time since the last renewal of a process, which counts from now where none is known.
+func (l *roleLessor) sinceRenewal(now time.Time, process string) time.Duration {
+	last, known := l.lastRenewals[process]
+	if !known {
+		last = now
+		l.lastRenewals[process] = now
+	}
+	return now.Sub(last)
+}
 
-// runRoleLeases ends leases of duties for as long as this keeper leads.
-func (k *Node) runRoleLeases(ctx context.Context) {
-	defer k.roleLessor.stop()
-	tick := time.NewTicker(roleLeaseInterval)
-	defer tick.Stop()
-	for began, office := false, int64(0); ; {
-		var now int64
-		any := false
-		k.store.read(func(m *state.Machine) { now, any = m.LeaseTerm(), m.RoleRevision() > 0 })
-		// Danger: ends that an earlier office decided may still be on their way to the log, also this keeper's own.
-		if !began || now != office {
-			number, err := int64(0), error(nil)
-			if any {
-				number, err = k.proposeRoleChange(ctx, state.StartLeaseTerm, state.RoleCall{})
-			}
-			if began = err == nil; began {
-				office = number
-				k.roleLessor.start(time.Now(), office)
-			} else if ctx.Err() == nil {
-				k.log.Warn("duties", "err", err) // it is tried again
-			}
+// leaseEnded decides whether the lease of a role's owner has ended. What is decided stays so.
+func (l *roleLessor) leaseEnded(now time.Time, role *state.Role) bool {
+	lease, known := l.leases[role.Name]
+	if !known || lease.epoch < role.Epoch || role.RenewalBarred && !lease.barred {
+		endDecided := known && lease.epoch == role.Epoch && lease.ended
+		lease = roleLease{epoch: role.Epoch, since: now, barred: role.RenewalBarred, ended: endDecided}
+	}
+	elapsed := min(l.sinceRenewal(now, role.Owner.Process), now.Sub(lease.since))
+	if lease.barred { // the process's renewals are of its other roles
+		elapsed = now.Sub(lease.since)
+	}
+	lease.ended = lease.ended || elapsed > milliseconds(int(role.Owner.TTLMS))
+	l.leases[role.Name] = lease
+	return lease.ended
+}
+
+const roleLeaseInterval = 50 * time.Millisecond // between two evaluations
+
+// runRoleLeases ends leases of roles until ctx ends with this node's leadership. It begins a lease term before it counts, since ends that an
+// earlier term decided may still be on their way to the log, also this node's own.
+func (n *Node) runRoleLeases(ctx context.Context) {
+	defer n.roleLessor.stop()
+	ticker := time.NewTicker(roleLeaseInterval)
+	defer ticker.Stop()
+	started, leaseTerm := false, int64(0)
+	for {
+		var currentTerm int64
+		n.store.read(func(m *state.Machine) { currentTerm = m.LeaseTerm() })
+		if !started || currentTerm != leaseTerm {
+			leaseTerm, started = n.startLeaseTerm(ctx)
 		}
-		if began {
-			k.endRoleLeases(ctx)
+		if started {
+			n.endRoleLeases(ctx)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
+		}
+	}
+}
+
+// startLeaseTerm begins a lease term and returns its number, and whether it could begin. Before the first change of a role there is nothing to
+// count, and the term 0 needs no command.
+func (n *Node) startLeaseTerm(ctx context.Context) (leaseTerm int64, started bool) {
+	anyRoles := false
+	n.store.read(func(m *state.Machine) { anyRoles = m.RoleRevision() > 0 })
+	if anyRoles {
+		result, err := n.proposeRole(ctx, state.StartLeaseTerm, state.RoleCall{})
+		if err != nil {
+			if ctx.Err() == nil {
+				n.log.Warn("duties", "err", err) // the next round tries again
+			}
+			return 0, false
 		}
+		leaseTerm = result.Revision
 	}
+	n.roleLessor.start(leaseTerm)
+	return leaseTerm, true
 }
 
-func (k *Node) endRoleLeases(ctx context.Context) {
-	var c state.RoleCall
+func (n *Node) endRoleLeases(ctx context.Context) {
+	var call state.RoleCall
 	now := time.Now()
-	k.store.read(func(m *state.Machine) {
+	n.store.read(func(m *state.Machine) {
 		if m.RoleRevision() == 0 {
 			return
 		}
-		c = k.roleLessor.evaluate(now, m)
-		c.Due = m.DueRoles(now.UnixMilli())
+		call = n.roleLessor.evaluate(now, m)
+		call.Due = m.DueRoles(now.UnixMilli())
 	})
-	if len(c.Ended)+len(c.TimedOut)+len(c.Due) == 0 {
+	if len(call.Ended)+len(call.TimedOut)+len(call.Due) == 0 {
 		return
 	}
-	for _, e := range c.Ended {
-		k.log.Info("duty ended", "name", e.Name, "epoch", e.Epoch)
+	for _, lease := range call.Ended {
+		n.log.Info("duty ended", "name", lease.Name, "epoch", lease.Epoch)
 	}
-	if _, err := k.proposeRoleChange(ctx, state.EndRoleLeases, c); err != nil && ctx.Err() == nil {
-		k.log.Warn("duties", "err", err) // they are looked at again
+	if _, err := n.proposeRole(ctx, state.EndRoleLeases, call); err != nil && ctx.Err() == nil {
+		n.log.Warn("duties", "err", err) // they are evaluated again
 	}
 }
--- a/internal/sidecar/registry/roles_bench_test.go
+++ b/internal/sidecar/registry/roles_bench_test.go
@@ -64,7 +64,7 @@
 			for i := range n {
 				applyRole(m, state.Campaign, state.RoleCall{Name: fmt.Sprint("d", i), Process: "a#1", TTLMS: 3000})
 			}
-			for l.start(now, 0); b.Loop(); {
+			for l.start(0); b.Loop(); {
 				if c := l.evaluate(now, m); len(c.Ended) > 0 {
 					b.Fatal(c)
 				}
--- a/internal/sidecar/registry/roles_model_test.go
+++ b/internal/sidecar/registry/roles_model_test.go
@@ -157,7 +157,7 @@
 			w.applyDelayedEnd()
 		}
 		w.lessor = &roleLessor{}
-		w.lessor.start(w.leaderTime(), w.apply(state.StartLeaseTerm, state.RoleCall{}).Revision)
+		w.lessor.start(w.apply(state.StartLeaseTerm, state.RoleCall{}).Revision)
 	case "campaign":
 		w.apply(state.Campaign, state.RoleCall{Name: "d", Process: p.name, TTLMS: modelLease.Milliseconds()})
 	case "release":
@@ -211,7 +211,7 @@
 func model(with protections) func(*rapid.T) {
 	return func(t *rapid.T) {
 		w := &modelCluster{t: t, protections: with, machine: state.New(), lessor: &roleLessor{}}
-		w.lessor.start(w.leaderTime(), 0)
+		w.lessor.start(0)
 		margin := state.RoleLeaseMargin
 		if !with.margin {
 			margin = func(time.Duration) time.Duration { return 0 }
--- a/internal/sidecar/registry/roles_test.go
+++ b/internal/sidecar/registry/roles_test.go
@@ -32,7 +32,7 @@
 	if _, ok := l.renew(now, "a#1", m.RolesOf("a#1")); ok || len(l.evaluate(now.Add(time.Hour), m).Ended) > 0 {
 		t.Error("it counts leases without leading")
 	}
-	l.start(now, 7)
+	l.start(7)
 	l.evaluate(now, m)
 	for range 20 { // a and b renew, c is silent
 		now = now.Add(250 * time.Millisecond)
@@ -78,7 +78,7 @@
 	if renew("b#1"); len(l.evaluate(now, m).Ended) != 1 {
 		t.Error("who is barred stays by renewing others")
 	}
-	l.start(now, 8)
+	l.start(8)
 	l.evaluate(now, m)
 	if now = now.Add(1000 * time.Millisecond); len(l.evaluate(now, m).Ended) > 0 {
 		t.Error("a new office gives no whole lease")
--- a/internal/sidecar/registry/routes.go
+++ b/internal/sidecar/registry/routes.go
@@ -7,270 +7,324 @@
 	"errors"
 	"fmt"
 	"net/http"
-	"strconv"
+	"net/url"
 	"strings"
 
 	"gradeusher.example/gradeusher/balance/routes"
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-const maxTableBytes = 2 * routes.MostBytes // of a table as its writer spells it
+const (
+	maxTableBytes   = 2 * routes.MostBytes // of the body with a route table, in the spelling of its writer
+	maxDiffAttempts = 4                    // to propose a table as a difference while others change the table, before it is proposed complete
+)
 
-// putRoutesRequest is the body of a route table.
+// putRoutesRequest is the body of PUT /v1/routes.
 type putRoutesRequest struct {
 	Rules  json.RawMessage `json:"rules"`
-	Expect *int64          `json:"expect,omitempty"`
+	Expect *int64          `json:"expect,omitempty"` // the current generation
+}
+
+// putRoutesAnswer is the answer.
+type putRoutesAnswer struct {
+	Generation int64 `json:"gen"`
 }
 
-// putRoutes puts another route table in the place of the one that is there.
-func (k *Node) putRoutes(w http.ResponseWriter, r *http.Request) error {
-	var c putRoutesRequest
-	if err := decode(r, &c); err != nil {
+// putRoutes handles PUT /v1/routes: it replaces the route table.
+func (n *Node) putRoutes(w http.ResponseWriter, r *http.Request) error {
+	var request putRoutesRequest
+	if err := decode(r, &request); err != nil {
 		return err
 	}
-	// Danger: a table that was left out by mistake is no empty one.
-	if !bytes.HasPrefix(bytes.TrimSpace(c.Rules), []byte("[")) {
-		return invalidf("rules: a list of rules is needed; [] is the empty table")
-	}
-	table, err := routes.ParseRules(c.Rules)
-	if err == nil {
-		err = table.Check() // here too: what is no number cannot be written to the log
-	}
+	table, err := parseTable(request.Rules)
 	if err != nil {
-		return invalidf("%w", err)
+		return err
 	}
-	result, err := k.proposeRoutes(r.Context(), table.Canonical(), c.Expect)
+	result, err := n.proposeRoutes(r.Context(), table.Canonical(), request.Expect)
 	if err != nil {
 		return err
 	}
 	if result.RoutesChanged {
-		k.log.Info("routes", "gen", result.Generation, "rules", len(table))
+		n.log.Info("routes", "gen", result.Generation, "rules", len(table))
 	}
-	reply(w, http.StatusOK, struct {
-		Gen int64 `json:"gen"`
-	}{result.Generation})
+	reply(w, http.StatusOK, putRoutesAnswer{result.Generation})
 	return nil
 }
 
-const maxDiffAttempts = 4 // times that others may put a table while one is on its way, before it is sent in whole
+// parseTable reads and checks a route table. A table that is left out is an error and not the empty one, as it likely is a mistake. The check is
+// made before the proposal too, because a weight that is no number cannot be written to the log.
+func parseTable(text json.RawMessage) (routes.Table, error) {
+	if !bytes.HasPrefix(bytes.TrimSpace(text), []byte("[")) {
+		return nil, invalidf("rules: a list of rules is needed; [] is the empty table")
+	}
+	table, err := routes.ParseRules(text)
+	if err != nil {
+		return nil, invalidf("%w", err)
+	}
+	if err := table.Check(); err != nil {
+		return nil, invalidf("%w", err)
+	}
+	return table, nil
+}
 
-// proposeRoutes has a table agreed on, as what leads to it. Danger: whole tables, ten a second, would make a log of gigabytes.
-func (k *Node) proposeRoutes(ctx context.Context, table routes.Table, expect *int64) (state.Result, error) {
+// proposeRoutes proposes a table as the operations that lead to it from the current one: complete tables, ten a second, would make a log of
+// gigabytes.
+func (n *Node) proposeRoutes(ctx context.Context, table routes.Table, expect *int64) (state.Result, error) {
 	for range maxDiffAttempts {
 		var base int64
-		var now routes.Table
-		k.store.read(func(m *state.Machine) {
+		var current routes.Table
+		n.store.read(func(m *state.Machine) {
 			base = m.Generation()
-			now, _ = m.RoutesAt(base) // the last is always known
+			current, _ = m.RoutesAt(base) // the current one is always known
 		})
-		ops := routes.Diff(now, table)
+		ops := routes.Diff(current, table)
 		if len(ops) > len(table) {
-			break // it is as long as the table
+			break // the difference is longer than the table
 		}
-		result, err := k.propose(ctx, state.Command{Op: state.SetRoutes, Base: &base, Ops: ops, Expect: expect})
+		result, err := n.propose(ctx, state.Command{Op: state.SetRoutes, Base: &base, Ops: ops, Expect: expect})
 		if !result.BaseMoved {
 			return result, err
 		}
 	}
-	return k.propose(ctx, state.Command{Op: state.SetRoutes, Rules: table, Expect: expect})
+	return n.propose(ctx, state.Command{Op: state.SetRoutes, Rules: table, Expect: expect})
 }
 
-// routesQuery is a call for the route table.
+// routesQuery is a call for the route table. With ages, heartbeats also name the generation where it has the same rules.
 type routesQuery struct {
-	from     int64  // the generation that the caller holds; below 0: none
-	cluster  string // whose generation that is; "": not said
-	filter   routeFilter
-	watch    bool
-	withAges bool // the caller wants to hear how old the table may be, and its generation's number where it says the same
-	exact    bool // the answer has to hold every table that was acknowledged before
+	watchQuery
+	filter routeFilter
 }
 
-func parseRoutesQuery(r *http.Request) (a routesQuery, err error) {
-	q := r.URL.Query()
-	base, err := parseListQuery(r)
+func parseRoutesQuery(r *http.Request) (routesQuery, error) {
+	base, err := parseWatchQuery(r)
 	if err != nil {
-		return a, err
+		return routesQuery{}, err
 	}
-	a = routesQuery{from: base.from, cluster: base.cluster, watch: base.watch, withAges: base.withAges, exact: base.exact}
-	service := q.Get("service")
-	if len(service) > routes.MostText || len(q["tag"]) > routes.MostTags {
-		return a, invalidf("a service has %d bytes at most, and there are %d tags at most", routes.MostText, routes.MostTags)
+	asked := routesQuery{watchQuery: base}
+	asked.filter, err = parseRouteFilter(r.URL.Query())
+	return asked, err
+}
+
+func parseRouteFilter(values url.Values) (routeFilter, error) {
+	service := values.Get("service")
+	if len(service) > routes.MostText || len(values["tag"]) > routes.MostTags {
+		return routeFilter{}, invalidf("a service has %d bytes at most, and there are %d tags at most", routes.MostText, routes.MostTags)
 	}
 	tags := map[string]string{}
-	for _, pair := range q["tag"] {
+	for _, pair := range values["tag"] {
 		tag, value, found := strings.Cut(pair, ":")
-		_, twice := tags[tag]
-		if !found || tag == "" || twice || len(tag) > routes.MostText || len(value) > routes.MostText {
-			return a, invalidf("tag=%.60q: a tag and its value are needed, with a colon, once and of %d bytes each at most", pair, routes.MostText)
+		_, repeated := tags[tag]
+		tooLong := len(tag) > routes.MostText || len(value) > routes.MostText
+		if !found || tag == "" || repeated || tooLong {
+			return routeFilter{}, invalidf("tag=%.60q: a tag and its value are needed, with a colon, once and of %d bytes each at most", pair, routes.MostText)
 		}
 		tags[tag] = value
 	}
-	a.filter = newRouteFilter(tags, service)
-	return a, nil
+	return newRouteFilter(tags, service), nil
 }
 
-// routes answers the route table, what leads to it, or a watch.
-func (k *Node) routes(w http.ResponseWriter, r *http.Request) {
-	a, err := parseRoutesQuery(r)
-	if err == nil && a.watch {
-		if err = k.watchRoutes(w, r, a); err != nil {
-			k.refuse(w, "watch-routes", err)
-		}
-		return
+// routes handles GET /v1/routes: the route table, what leads to it, or a watch.
+func (n *Node) routes(w http.ResponseWriter, r *http.Request) {
+	asked, err := parseRoutesQuery(r)
+	n.serveQuery(w, r, query{
+		watch: asked.watch, err: err, op: "routes", watchOp: "watch-routes",
+		answer:   func(w http.ResponseWriter, r *http.Request) error { return n.replyRoutes(w, r, asked) },
+		runWatch: func(w http.ResponseWriter, r *http.Request) error { return n.watchRoutes(w, r, asked) },
+	})
+}
+
+func (n *Node) replyRoutes(w http.ResponseWriter, r *http.Request, asked routesQuery) error {
+	clientView, err := n.clientView(r, asked)
+	if err != nil {
+		return err
 	}
-	k.admit("routes", func(w http.ResponseWriter, r *http.Request) error {
-		if err != nil {
-			return err
-		}
-		held, err := k.callerView(r, a)
-		if err != nil {
-			return err
-		}
-		now, _, err := k.currentView(held, a.filter)
-		if err != nil {
-			return err
-		}
-		line, err := k.encodeRoutes(a, a.from, held, now)
-		if err != nil {
-			return err
-		}
-		w.Header().Set("Content-Type", "application/json")
-		w.Header().Set("Content-Length", strconv.Itoa(len(line)))
-		_, _ = w.Write(line) // to a caller who may have gone
-		return nil
-	})(w, r)
+	current, _, err := n.currentView(clientView, asked.filter)
+	if err != nil {
+		return err
+	}
+	line, err := n.encodeRoutes(asked.filter, asked.from, clientView, current)
+	if err != nil {
+		return err
+	}
+	replyBytes(w, "application/json", line)
+	return nil
 }
 
-// currentView is the last generation, cut, for one who holds a view, nil: none, and tells when there is a newer one.
-func (k *Node) currentView(held *routeView, by routeFilter) (v *routeView, changed <-chan struct{}, err error) {
-	for range 3 {
-		var gen int64
+const maxViewAttempts = 3 // to read the current generation while a restore replaces it
+
+// currentView returns the current generation for a client that has a view, nil for none, and a channel that is closed when there is a newer one.
+func (n *Node) currentView(clientView *routeView, filter routeFilter) (view *routeView, changed <-chan struct{}, err error) {
+	for range maxViewAttempts {
+		var generation int64
 		cluster := ""
-		k.store.read(func(m *state.Machine) { gen, cluster, changed = m.Generation(), m.Cluster(), k.store.routesChanged })
+		n.store.read(func(m *state.Machine) {
+			generation, cluster, changed = m.Generation(), m.Cluster(), n.store.routesChanged
+		})
 		if cluster == "" {
 			return nil, nil, errNoList
 		}
-		// It may be replaced meanwhile by one from a backup, which is another generation.
-		if v, err = k.views.next(held, gen, by); err == nil {
-			return v, changed, nil
+		if view, err = n.views.next(clientView, generation, filter); err == nil {
+			return view, changed, nil
 		}
 	}
 	return nil, nil, err
 }
 
-// callerView is what a caller holds, cut; nil: it needs the whole table, as it holds none, or one of another history or too far back.
-// Where this keeper is behind it waits, so that nobody is shown a table that goes back in time.
-func (k *Node) callerView(r *http.Request, a routesQuery) (*routeView, error) {
-	if a.exact {
-		if err := k.replica.Confirm(r.Context()); err != nil {
+// clientView returns the view that a client has, or nil where it needs the complete table: it has none, or one of another history or too far
+// back. Where this node is behind it waits, so that no client is shown an older table than it has.
+func (n *Node) clientView(r *http.Request, asked routesQuery) (*routeView, error) {
+	if asked.exact {
+		if err := n.replica.Confirm(r.Context()); err != nil {
 			return nil, err
 		}
 	}
-	if a.from < 0 {
+	if asked.from < 0 {
 		return nil, nil
 	}
-	var gen int64
-	at, err := k.waitUntilKnown(r, a.cluster, func() (ahead bool, changed <-chan struct{}) {
-		k.store.read(func(m *state.Machine) { gen, changed = m.Generation(), k.store.routesChanged })
-		return a.from > gen, changed
+	var generation int64
+	where, err := n.waitUntilKnown(r, asked.cluster, func() (ahead bool, changed <-chan struct{}) {
+		n.store.read(func(m *state.Machine) { generation, changed = m.Generation(), n.store.routesChanged })
+		return asked.from > generation, changed
 	})
 	switch {
-	case errors.Is(err, errBehind) && a.cluster == "":
-		return nil, nil // whoever does not say whose generation it is gets what there is
+	case errors.Is(err, errBehind) && asked.cluster == "":
+		return nil, nil // a client that does not say whose generation it has gets what there is
 	case errors.Is(err, errBehind):
-		return nil, fmt.Errorf("%w: it knows generation %d, not %d", errBehind, gen, a.from)
+		return nil, fmt.Errorf("%w: it knows generation %d, not %d", errBehind, generation, asked.from)
 	case err != nil:
 		return nil, err
-	case at != positionKnown:
+	case where != positionKnown:
 		return nil, nil
 	}
-	held, err := k.views.view(a.from, a.filter)
+	view, err := n.views.view(asked.from, asked.filter)
 	if errors.Is(err, errNoGeneration) {
 		return nil, nil
 	}
-	return k.checkHistory(held), err
+	return n.inHistory(view), err
 }
 
-// checkHistory is a view from which the history goes on; nil: it does not. Danger: one that is remembered here may be of before a
-// backup was taken up again.
-func (k *Node) checkHistory(held *routeView) *routeView {
-	k.store.read(func(m *state.Machine) {
-		if held != nil && held.generation < m.OldestGeneration() {
-			held = nil
-		}
-	})
-	return held
+// inHistory returns a view if the history reaches back to it, else nil: a view in the cache may be of before a restore.
+func (n *Node) inHistory(view *routeView) *routeView {
+	if view == nil {
+		return nil
+	}
+	var oldest int64
+	n.store.read(func(m *state.Machine) { oldest = m.OldestGeneration() })
+	if view.generation < oldest {
+		return nil
+	}
+	return view
 }
 
-// encodeRoutes is an answer: what leads from what the caller holds, which he knows as generation from, to the generation now; nil:
-// the whole of it.
-func (k *Node) encodeRoutes(a routesQuery, from int64, held, now *routeView) ([]byte, error) {
-	cluster := ""
-	k.store.read(func(m *state.Machine) { cluster = m.Cluster() })
-	kind := "whole"
-	head, body := fmt.Sprintf(`{"gen":%d,"all":true,"hash":%q,"cluster":%q,"rules":`, now.generation, now.hash, cluster), []byte(nil)
+// The kinds of answers with routes, in metrics.
+const (
+	kindComplete = "whole"
+	kindDiff     = "diff"
+)
+
+// encodeRoutes returns the line that leads a client from its view, which it knows as generation from, to the current one; nil for no view: the
+// complete table.
+func (n *Node) encodeRoutes(filter routeFilter, from int64, clientView, current *routeView) ([]byte, error) {
+	cluster := n.store.cluster()
+	var kind, head string
+	var body []byte
 	var err error
-	if held != nil {
-		kind, head = "diff", fmt.Sprintf(`{"gen":%d,"all":false,"from":%d,"hash":%q,"cluster":%q,"ops":`, now.generation, from, now.hash, cluster)
-		body, err = k.views.encodeOps(held, now, a.filter)
+	if clientView == nil {
+		kind = kindComplete
+		head = fmt.Sprintf(`{"gen":%d,"all":true,"hash":%q,"cluster":%q,"rules":`, current.generation, current.hash, cluster)
+		body, err = n.views.encodeRules(current, filter)
 	} else {
-		body, err = k.views.encodeRules(now, a.filter)
+		kind = kindDiff
+		head = fmt.Sprintf(`{"gen":%d,"all":false,"from":%d,"hash":%q,"cluster":%q,"ops":`, current.generation, from, current.hash, cluster)
+		body, err = n.views.encodeOps(clientView, current, filter)
 	}
 	if err != nil {
 		return nil, err
 	}
 	line := make([]byte, 0, len(head)+len(body)+2)
-	line = append(append(append(line, head...), body...), '}', '\n')
-	k.metrics.recordRoutesAnswer(kind, len(line))
+	line = append(line, head...)
+	line = append(line, body...)
+	line = append(line, '}', '\n')
+	n.metrics.recordRoutesAnswer(kind, len(line))
 	return line, nil
 }
 
-// watchRoutes writes a line for each generation that changes what is asked, until the caller goes, is too slow, or this keeper
-// ends. Each names the generation that the watcher then holds, so he can go on from there anywhere. Generations that come
-// while a watcher is being written to lead to one line.
-func (k *Node) watchRoutes(w http.ResponseWriter, r *http.Request, a routesQuery) error {
-	if err := k.admitWatch(&k.routeWatchers); err != nil {
+// watchRoutes writes a line for each generation that changes the client's view, until the client is gone or too slow, or this node ends. Each
+// names the generation that the client has afterwards, with which it can resume at any node. Generations that come while a line is written
+// make one line.
+func (n *Node) watchRoutes(w http.ResponseWriter, r *http.Request, asked routesQuery) error {
+	if err := n.admitWatch(&n.routeWatchers); err != nil {
 		return err
 	}
-	defer k.routeWatchers.Add(-1)
-	held, err := k.callerView(r, a)
+	defer n.routeWatchers.Add(-1)
+	clientView, err := n.clientView(r, asked)
 	if err != nil {
 		return err
 	}
-	now, changed, err := k.currentView(held, a.filter)
+	current, changed, err := n.currentView(clientView, asked.filter)
 	if err != nil {
 		return err
 	}
-	beat := beginWatch(w, a.withAges)
-	defer beat.Stop()
-	line := []byte("\n") // says that the watch is open, also where there is nothing new
-	for from := a.from; ; {
-		if held == nil || held.hash != now.hash {
-			if line, err = k.encodeRoutes(a, from, held, now); err != nil {
-				return nil // its answer has begun: all there is to say is to end it
+	stream := n.beginWatch(w, r, asked.withAges)
+	defer stream.close()
+	watch := &routesWatch{n: n, stream: stream, asked: asked, from: asked.from, clientView: clientView, current: current, changed: changed}
+	watch.run()
+	return nil
+}
+
+// routesWatch is one watch of the route table.
+type routesWatch struct {
+	n          *Node
+	stream     *watchStream
+	asked      routesQuery
+	from       int64           // the generation by which the client knows its view
+	clientView *routeView      // what the client has; nil: it needs the complete table
+	current    *routeView      // the view of the latest generation that was read
+	changed    <-chan struct{} // closed when there is a newer one
+}
+
+func (rw *routesWatch) run() {
+	line := emptyLine // says that the watch is open, also where there is nothing new
+	for {
+		if rw.clientView == nil || rw.clientView.hash != rw.current.hash {
+			var err error
+			if line, err = rw.n.encodeRoutes(rw.asked.filter, rw.from, rw.clientView, rw.current); err != nil {
+				return
 			}
-			from = now.generation
+			rw.from = rw.current.generation
 		}
-		held = now
-		if line != nil && !k.writeLines(w, line) {
-			return nil
+		rw.clientView = rw.current
+		if line != nil && !rw.stream.write(line) {
+			return
 		}
 		line = nil
-		select {
-		case <-changed:
-			if now, changed, err = k.currentView(held, a.filter); err != nil {
-				return nil
-			}
-			held = k.checkHistory(held)
-		case <-beat.C:
-			line = []byte("\n")
-			if age, known := k.replica.Age(); a.withAges && known {
-				line, from = fmt.Appendf(nil, "{\"gen\":%d,\"age_ms\":%d}\n", held.generation, age.Milliseconds()), held.generation
+		switch rw.stream.wait(rw.changed) {
+		case watchEnded:
+			return
+		case watchChanged:
+			if !rw.advance() {
+				return
 			}
-		case <-r.Context().Done():
-			return nil
-		case <-k.ending:
-			return nil
+		case watchHeartbeat:
+			line = rw.heartbeat()
 		}
 	}
 }
+
+// advance reads the latest generation. It returns false where that cannot be had.
+func (rw *routesWatch) advance() bool {
+	var err error
+	rw.current, rw.changed, err = rw.n.currentView(rw.clientView, rw.asked.filter)
+	rw.clientView = rw.n.inHistory(rw.clientView)
+	return err == nil
+}
+
+// heartbeat returns the line of a heartbeat. Where the client wants ages it names the generation that the client has now.
+func (rw *routesWatch) heartbeat() []byte {
+	age, known := rw.n.replica.Age()
+	if !rw.asked.withAges || !known {
+		return emptyLine
+	}
+	rw.from = rw.clientView.generation
+	return fmt.Appendf(nil, "{\"gen\":%d,\"age_ms\":%d}\n", rw.from, age.Milliseconds())
+}
--- a/internal/sidecar/registry/routeviews.go
+++ b/internal/sidecar/registry/routeviews.go
@@ -2,7 +2,7 @@
 
 import (
 	"encoding/json"
-	"fmt"
+	"errors"
 	"maps"
 	"slices"
 	"strconv"
@@ -12,11 +12,11 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-// routeFilter says which rules a caller asks for: those that can ever decide for a client with these tags that calls this service.
+// routeFilter says which rules a client asks for: those that can ever decide for a client with these tags that calls this service.
 type routeFilter struct {
 	tags    map[string]string // nil: any client
 	service string            // "": any
-	key     string            // the same for equal cuts, and for no others
+	key     string            // the same for equal filters only
 }
 
 func newRouteFilter(tags map[string]string, service string) routeFilter {
@@ -30,25 +30,50 @@
 	return routeFilter{tags, service, key}
 }
 
-// routeView is a generation as one who asks for a cut sees it.
+// noFilter passes every rule.
+var noFilter = newRouteFilter(nil, "")
+
+func (f routeFilter) passesAll() bool { return f.tags == nil && f.service == "" }
+
+// affects tells whether an operation can change a view: it is on a rule of the view, or a rule that the filter passes is added or changed.
+func (f routeFilter) affects(current *routeView, op routes.Op) bool {
+	switch op.Kind {
+	case routes.Add:
+		if f.passes(op.Rule) {
+			return true
+		}
+	case routes.Rematch:
+		if f.passes(routes.Rule{Source: op.Source, Service: op.Service}) {
+			return true
+		}
+	}
+	return slices.ContainsFunc(current.table, func(rule routes.Rule) bool { return rule.Name == op.Name })
+}
+
+func (f routeFilter) passes(rule routes.Rule) bool {
+	return len(routes.Table{rule}.Cut(f.tags, f.service)) > 0
+}
+
+// routeView is a generation of the route table as a filter passes it.
 type routeView struct {
 	generation int64
 	table      routes.Table
 	hash       string
 }
 
-const maxAffectingOps = 256 // ops that are held against a view, before the table is cut anew
-
-// maxViewCacheSize bounds what cuts hold, in rules of views, of which a full table has 20,000 and each may take 2 kB, and in 100 bytes of text
-// and keys.
-const maxViewCacheSize = 60_000
+const (
+	// maxAffectingOps bounds the operations that are compared with a view, before the table is filtered anew.
+	maxAffectingOps = 256
+	// maxViewCacheSize bounds a viewCache, in units of a rule of a view or of 100 bytes of text and keys. A complete table has up to 20,000
+	// rules of up to 2 kB.
+	maxViewCacheSize = 60_000
+)
 
-// viewCache makes views, and what leads from one to another, once for all who ask. What was made first is forgotten first.
-//
-// Generations are never those of two tables, so nothing of it gets old.
+// viewCache makes views, and the encoded differences between them, once for all clients that ask. The oldest entries are evicted first. An
+// entry is never stale, because no two tables have the same generation.
 type viewCache struct {
 	store     *store
-	onEncoded func(kind string) // called for each thing made
+	onEncoded func(kind string) // called for each table or difference that is encoded
 
 	mu      sync.Mutex
 	entries map[viewKey]*viewEntry
@@ -56,139 +81,164 @@
 	size    int
 }
 
+// viewKey names what an entry holds.
 type viewKey struct {
-	from, to int64 // from below 0: the view of to, or the whole of it as text
+	from, to int64 // from below 0: the view of to itself, else what leads from one to the other
 	filter   string
-	text     bool
+	text     bool // as JSON
 }
 
 type viewEntry struct {
 	once sync.Once
 	view *routeView
-	diff []routes.Op // of whole tables
+	diff []routes.Op // between complete tables
 	text []byte
 	err  error
 	size int
 }
 
-func newViewCache(s *store, made func(kind string)) *viewCache {
-	return &viewCache{store: s, onEncoded: made, entries: map[viewKey]*viewEntry{}}
+func newViewCache(s *store, onEncoded func(kind string)) *viewCache {
+	return &viewCache{store: s, onEncoded: onEncoded, entries: map[viewKey]*viewEntry{}}
 }
 
-// entry is what a key stands for, made by one of those who ask at once.
-func (c *viewCache) entry(key viewKey, make func(*viewEntry)) *viewEntry {
+// entry returns the entry of a key. Of callers that ask at the same time one builds it, and the others wait.
+func (c *viewCache) entry(key viewKey, build func(*viewEntry)) *viewEntry {
 	c.mu.Lock()
-	e := c.entries[key]
-	if e == nil {
-		e = &viewEntry{}
-		c.entries[key], c.order = e, append(c.order, key)
+	entry := c.entries[key]
+	if entry == nil {
+		entry = &viewEntry{}
+		c.entries[key], c.order = entry, append(c.order, key)
 	}
 	c.mu.Unlock()
-	e.once.Do(func() {
-		make(e)
-		size := 5 + len(e.diff) + (len(key.filter)+len(e.text))/100
-		if e.view != nil {
-			size += len(e.view.table)
-		}
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		if c.entries[key] != e {
-			return // it was forgotten meanwhile
-		}
-		e.size = size
-		if c.size += size; e.err != nil {
-			c.forget(key) // what could not be had may be there later
-		}
-		for len(c.order) > 0 && (c.size > maxViewCacheSize || len(c.order) > len(c.entries)) {
-			c.forget(c.order[0])
-			c.order = c.order[1:]
-		}
+	entry.once.Do(func() {
+		build(entry)
+		c.account(key, entry)
 	})
-	return e
+	return entry
+}
+
+// account adds the size of an entry that was built, and evicts what is too much. An entry with an error is evicted at once, since what cannot be
+// had now may be there later.
+func (c *viewCache) account(key viewKey, entry *viewEntry) {
+	size := 5 + len(entry.diff) + (len(key.filter)+len(entry.text))/100
+	if entry.view != nil {
+		size += len(entry.view.table)
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.entries[key] != entry {
+		return // it was evicted meanwhile
+	}
+	entry.size = size
+	c.size += size
+	if entry.err != nil {
+		c.evict(key)
+	}
+	for len(c.order) > 0 && (c.size > maxViewCacheSize || len(c.order) > len(c.entries)) {
+		c.evict(c.order[0])
+		c.order = c.order[1:]
+	}
 }
 
-func (c *viewCache) forget(key viewKey) {
-	if e := c.entries[key]; e != nil {
-		c.size -= e.size
+// evict drops an entry. The caller holds c.mu.
+func (c *viewCache) evict(key viewKey) {
+	if entry := c.entries[key]; entry != nil {
+		c.size -= entry.size
 		delete(c.entries, key)
 	}
 }
 
-var errNoGeneration = fmt.Errorf("that generation is not known")
-
-// view is a generation, cut. It fails where that is not known.
-func (c *viewCache) view(gen int64, by routeFilter) (*routeView, error) {
-	e := c.entry(viewKey{from: -1, to: gen, filter: by.key}, func(e *viewEntry) {
-		v := &routeView{generation: gen}
-		if by.tags != nil || by.service != "" {
-			whole, err := c.view(gen, newRouteFilter(nil, ""))
-			if err != nil {
-				e.err = err
-				return
-			}
-			v.table = whole.table.Cut(by.tags, by.service)
-		} else {
-			ok := false
-			if c.store.read(func(m *state.Machine) { v.table, ok = m.RoutesAt(gen) }); !ok {
-				e.err = errNoGeneration
-				return
-			}
+var errNoGeneration = errors.New("that generation is not known")
+
+// view returns a generation as a filter passes it, or errNoGeneration.
+func (c *viewCache) view(generation int64, filter routeFilter) (*routeView, error) {
+	entry := c.entry(viewKey{from: -1, to: generation, filter: filter.key}, func(entry *viewEntry) {
+		table, err := c.table(generation, filter)
+		if err != nil {
+			entry.err = err
+			return
 		}
-		v.hash = v.table.Hash()
-		e.view = v
+		entry.view = &routeView{generation: generation, table: table, hash: table.Hash()}
 	})
-	return e.view, e.err
+	return entry.view, entry.err
 }
 
-// next is the view of a later generation for one who holds a view. Where no op between them touches the cut it costs as much as
-// there are ops, whatever the size of the table: most generations then are nothing to most who watch.
-func (c *viewCache) next(held *routeView, gen int64, by routeFilter) (*routeView, error) {
-	if held == nil || held.generation >= gen || by.tags == nil && by.service == "" {
-		return c.view(gen, by)
+func (c *viewCache) table(generation int64, filter routeFilter) (routes.Table, error) {
+	if !filter.passesAll() {
+		complete, err := c.view(generation, noFilter)
+		if err != nil {
+			return nil, err
+		}
+		return complete.table.Cut(filter.tags, filter.service), nil
 	}
-	e := c.entry(viewKey{from: held.generation, to: gen, filter: newRouteFilter(nil, "").key}, func(e *viewEntry) {
-		var from, to *routeView
-		if from, e.err = c.view(held.generation, newRouteFilter(nil, "")); e.err == nil {
-			to, e.err = c.view(gen, newRouteFilter(nil, ""))
+	var table routes.Table
+	found := false
+	c.store.read(func(m *state.Machine) { table, found = m.RoutesAt(generation) })
+	if !found {
+		return nil, errNoGeneration
+	}
+	return table, nil
+}
+
+// next returns the view of a later generation for a client that has one. Where no operation between them affects the view, it costs as much as
+// there are operations, whatever the size of the table: most generations change nothing for most watches.
+func (c *viewCache) next(current *routeView, generation int64, filter routeFilter) (*routeView, error) {
+	if current == nil || current.generation >= generation || filter.passesAll() {
+		return c.view(generation, filter)
+	}
+	ops, err := c.diff(current.generation, generation)
+	affected := slices.ContainsFunc(ops, func(op routes.Op) bool { return filter.affects(current, op) })
+	if err != nil || affected {
+		return c.view(generation, filter)
+	}
+	return &routeView{generation: generation, table: current.table, hash: current.hash}, nil
+}
+
+// errManyOps is returned where there are more than maxAffectingOps.
+var errManyOps = errors.New("too many operations")
+
+// diff returns the operations that lead from one complete table to another.
+func (c *viewCache) diff(from, to int64) ([]routes.Op, error) {
+	entry := c.entry(viewKey{from: from, to: to, filter: noFilter.key}, func(entry *viewEntry) {
+		before, err := c.view(from, noFilter)
+		if err != nil {
+			entry.err = err
+			return
 		}
-		if e.err == nil {
-			e.diff = routes.Diff(from.table, to.table)
+		after, err := c.view(to, noFilter)
+		if err != nil {
+			entry.err = err
+			return
 		}
+		entry.diff = routes.Diff(before.table, after.table)
 	})
-	if e.err != nil || len(e.diff) > maxAffectingOps || slices.ContainsFunc(e.diff, func(op routes.Op) bool { return by.affects(held, op) }) {
-		return c.view(gen, by)
+	if entry.err != nil {
+		return nil, entry.err
 	}
-	return &routeView{generation: gen, table: held.table, hash: held.hash}, nil
-}
-
-// affects tells whether an op can change a view: it is on a rule of it, or a rule comes that is.
-func (by routeFilter) affects(held *routeView, op routes.Op) bool {
-	comes := routes.Table{{Source: op.Source, Service: op.Service}}
-	if op.Kind == routes.Add {
-		comes = routes.Table{op.Rule}
+	if len(entry.diff) > maxAffectingOps {
+		return nil, errManyOps
 	}
-	return (op.Kind == routes.Add || op.Kind == routes.Rematch) && len(comes.Cut(by.tags, by.service)) > 0 ||
-		slices.ContainsFunc(held.table, func(r routes.Rule) bool { return r.Name == op.Name })
+	return entry.diff, nil
 }
 
-// encodeRules is a view as JSON.
-func (c *viewCache) encodeRules(to *routeView, by routeFilter) ([]byte, error) {
-	e := c.entry(viewKey{from: -1, to: to.generation, filter: by.key, text: true}, func(e *viewEntry) {
-		c.onEncoded("whole")
-		table := to.table
+// encodeRules returns a view as JSON.
+func (c *viewCache) encodeRules(view *routeView, filter routeFilter) ([]byte, error) {
+	entry := c.entry(viewKey{from: -1, to: view.generation, filter: filter.key, text: true}, func(entry *viewEntry) {
+		c.onEncoded(kindComplete)
+		table := view.table
 		if table == nil {
 			table = routes.Table{}
 		}
-		e.text, e.err = json.Marshal(table)
+		entry.text, entry.err = json.Marshal(table)
 	})
-	return e.text, e.err
+	return entry.text, entry.err
 }
 
-// encodeOps is what leads from one view to another of the same cut, as JSON.
-func (c *viewCache) encodeOps(from, to *routeView, by routeFilter) ([]byte, error) {
-	e := c.entry(viewKey{from: from.generation, to: to.generation, filter: by.key, text: true}, func(e *viewEntry) {
-		c.onEncoded("diff")
-		e.text, e.err = json.Marshal(append([]routes.Op{}, routes.Diff(from.table, to.table)...))
+// encodeOps returns what leads from one view to another of the same filter, as JSON.
+func (c *viewCache) encodeOps(from, to *routeView, filter routeFilter) ([]byte, error) {
+	entry := c.entry(viewKey{from: from.generation, to: to.generation, filter: filter.key, text: true}, func(entry *viewEntry) {
+		c.onEncoded(kindDiff)
+		entry.text, entry.err = json.Marshal(append([]routes.Op{}, routes.Diff(from.table, to.table)...))
 	})
-	return e.text, e.err
+	return entry.text, entry.err
 }
--- a/internal/sidecar/registry/store.go
+++ b/internal/sidecar/registry/store.go
@@ -13,49 +13,57 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-// store puts the state machine behind a lock, and its changes into lines that all watchers are written: each change is
-// encoded once. It is a replica.Machine.
+// store is the state machine behind a lock, with its changes as the lines that watches write: each change is encoded once for all of
+// them. It implements replica.Machine.
 type store struct {
-	mu            sync.RWMutex
-	machine       *state.Machine
-	lines         [][]byte // of the last changes; the last is that of the revision. Never changed in place: watchers hold parts of it
-	listChanged   chan struct{}
-	routesChanged chan struct{} // closed when there is another route table
-	rolesChanged  chan struct{} // closed when a duty changes
-	listLine      []byte        // the list as it was encoded last; nil: not since the last change
+	mu      sync.RWMutex
+	machine *state.Machine
+	// lines are those of the latest changes, up to the current revision. They are never changed in place: watches use parts of the slice.
+	lines    [][]byte
+	listLine []byte // the complete list; nil: not encoded since the last change
+
+	listChanged   chan struct{} // closed and replaced when the list changes
+	routesChanged chan struct{} // the same for the route table
+	rolesChanged  chan struct{} // the same for the roles
 }
 
 func newStore() *store {
-	return &store{machine: state.New(), listChanged: make(chan struct{}), routesChanged: make(chan struct{}), rolesChanged: make(chan struct{})}
+	return &store{
+		machine:       state.New(),
+		listChanged:   make(chan struct{}),
+		routesChanged: make(chan struct{}),
+		rolesChanged:  make(chan struct{}),
+	}
 }
 
-// Apply takes a command of the log. One that cannot be read is refused in the same way everywhere.
+// Apply implements replica.Machine. It returns a state.Result. A command that cannot be decoded is refused on every node alike.
 func (s *store) Apply(text []byte) any {
-	c, err := state.Decode(text)
+	command, err := state.Decode(text)
 	if err != nil {
 		return state.Result{Err: &state.Error{Code: state.Invalid, Reason: err.Error()}}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.machine.Apply(c)
-	if len(r.Changes) > 0 {
-		s.lines = s.encode(s.lines, r.Changes)
+	result := s.machine.Apply(command)
+	if len(result.Changes) > 0 {
+		s.lines = s.appendLines(s.lines, result.Changes)
 		s.notifyListChanged()
 	}
-	if r.RoutesChanged {
+	if result.RoutesChanged {
 		s.notifyRoutesChanged()
 	}
-	if r.RolesChanged {
+	if result.RolesChanged {
 		s.notifyRolesChanged()
 	}
-	return r
+	return result
 }
 
-func (s *store) encode(lines [][]byte, changes []state.Change) [][]byte {
-	for _, c := range changes {
-		line, err := json.Marshal(list.List{Rev: c.Revision, Targets: []list.Target{c.Target}, Cluster: s.machine.Cluster()})
+// appendLines encodes changes and drops lines that are older than the state's history. The caller holds s.mu.
+func (s *store) appendLines(lines [][]byte, changes []state.Change) [][]byte {
+	for _, change := range changes {
+		line, err := json.Marshal(list.List{Rev: change.Revision, Targets: []list.Target{change.Target}, Cluster: s.machine.Cluster()})
 		if err != nil {
-			line = nil // nothing of a target that was checked can fail
+			line = nil // cannot happen: the target was checked
 		}
 		lines = append(lines, append(line, '\n'))
 	}
@@ -65,119 +73,128 @@
 	return lines
 }
 
-// notifyListChanged wakes all who wait for a change. s.mu is held.
+// notifyListChanged wakes the watches of the list. The caller holds s.mu.
 func (s *store) notifyListChanged() {
 	s.listLine = nil
 	close(s.listChanged)
 	s.listChanged = make(chan struct{})
 }
 
-// notifyRoutesChanged wakes all who wait for another route table. s.mu is held.
+// notifyRoutesChanged wakes the watches of the route table. The caller holds s.mu.
 func (s *store) notifyRoutesChanged() {
 	close(s.routesChanged)
 	s.routesChanged = make(chan struct{})
 }
 
-// notifyRolesChanged wakes all who wait for a duty that changes. s.mu is held.
+// notifyRolesChanged wakes the watches of roles. The caller holds s.mu.
 func (s *store) notifyRolesChanged() {
 	close(s.rolesChanged)
 	s.rolesChanged = make(chan struct{})
 }
 
-// Snapshot is the whole state.
+// Snapshot implements replica.Machine.
 func (s *store) Snapshot() ([]byte, error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.machine.Snapshot()
 }
 
-// Restore takes a state in whole.
+// Restore implements replica.Machine: it replaces the state by that of a snapshot. Where it returns an error, the state is as before.
 func (s *store) Restore(from io.Reader) error {
-	m, err := state.ReadSnapshot(from)
+	machine, err := state.ReadSnapshot(from)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.machine = m
-	changes, _ := m.ChangesSince(m.OldestRevision())
-	s.lines = s.encode(nil, changes)
+	s.machine = machine
+	changes, _ := machine.ChangesSince(machine.OldestRevision()) // which is always known
+	s.lines = s.appendLines(nil, changes)
 	s.notifyListChanged()
 	s.notifyRoutesChanged()
 	s.notifyRolesChanged()
 	return nil
 }
 
-// read calls do with the state as it stands. do must keep nothing of it.
-func (s *store) read(do func(*state.Machine)) {
+// read calls visit with the state, which visit must neither change nor use after it returns.
+func (s *store) read(visit func(*state.Machine)) {
+	s.mu.RLock()
+	defer s.mu.RUnlock()
+	visit(s.machine)
+}
+
+// cluster returns the id of the cluster, or "" before it is founded.
+func (s *store) cluster() string {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	do(s.machine)
+	return s.machine.Cluster()
 }
 
-// listUpdate is what a watcher that holds a revision is to be written.
+// listUpdate is what a watch of the list has to write to a client that has a revision.
 type listUpdate struct {
-	lines    [][]byte        // the changes, in order
-	complete bool            // or the whole list
-	revision int64           // it then holds
-	ahead    bool            // its revision lies ahead of what is known here
+	lines    [][]byte        // the changes since then, in order
+	complete bool            // the complete list is needed instead
+	revision int64           // that the client has afterwards
+	ahead    bool            // the client's revision lies ahead of this node's
 	changed  <-chan struct{} // closed when there is more
 }
 
-// updateAfter tells what is new for one who holds from; below 0: nothing.
+// updateAfter returns the update for a client that has the list of a revision; below 0 it has none.
 func (s *store) updateAfter(from int64) listUpdate {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	n := listUpdate{revision: s.machine.Revision(), changed: s.listChanged}
-	oldest := n.revision - int64(len(s.lines))
+	update := listUpdate{revision: s.machine.Revision(), changed: s.listChanged}
+	oldest := update.revision - int64(len(s.lines))
 	switch {
-	case from > n.revision:
-		n.ahead = true
+	case from > update.revision:
+		update.ahead = true
 	case from < oldest || from < 0:
-		n.complete = true
+		update.complete = true
 	default:
-		n.lines = s.lines[from-oldest:]
+		update.lines = s.lines[from-oldest:]
 	}
-	return n
+	return update
 }
 
+// errNoList is returned before the cluster is founded.
 var errNoList = errors.New("no list is known here yet")
 
-// completeList is the whole list as a line, encoded once for a revision.
-func (s *store) completeList() (line []byte, rev int64, err error) {
+// completeList returns the complete list as a line, which is encoded once for a revision, and the revision.
+func (s *store) completeList() (line []byte, revision int64, err error) {
 	s.mu.RLock()
-	line, rev = s.listLine, s.machine.Revision()
+	line, revision = s.listLine, s.machine.Revision()
 	s.mu.RUnlock()
 	if line != nil {
-		return line, rev, nil
+		return line, revision, nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if rev = s.machine.Revision(); s.listLine != nil {
-		return s.listLine, rev, nil
+	revision = s.machine.Revision()
+	if s.listLine != nil {
+		return s.listLine, revision, nil
 	}
 	if s.machine.Cluster() == "" {
 		return nil, 0, errNoList
 	}
-	line, err = json.Marshal(list.List{Rev: rev, All: true, Targets: s.machine.Targets(), Cluster: s.machine.Cluster()})
+	line, err = json.Marshal(list.List{Rev: revision, All: true, Targets: s.machine.Targets(), Cluster: s.machine.Cluster()})
 	if err != nil {
 		return nil, 0, fmt.Errorf("list: %w", err)
 	}
-	s.listLine = append(line, '\n')
-	return s.listLine, rev, nil
+	line = append(line, '\n')
+	s.listLine = line
+	return line, revision, nil
 }
 
-// heartbeat is the line that a watch whose watcher holds a revision says when nothing changes, for those who want to know how old
-// the list may be; below 0 ms: that is not known.
-func (s *store) heartbeat(rev int64, age time.Duration) []byte {
-	l := list.List{Rev: rev, Targets: []list.Target{}}
-	s.read(func(m *state.Machine) { l.Cluster = m.Cluster() })
-	if ms := age.Milliseconds(); ms >= 0 {
-		l.AgeMS = &ms
+// heartbeat returns the line that a watch writes where nothing changes, with the revision that the client has and the age of the node's
+// state; an age below 0 is not known and left out.
+func (s *store) heartbeat(revision int64, age time.Duration) []byte {
+	update := list.List{Rev: revision, Targets: []list.Target{}, Cluster: s.cluster()}
+	if ageMS := age.Milliseconds(); ageMS >= 0 {
+		update.AgeMS = &ageMS
 	}
-	line, err := json.Marshal(l)
+	line, err := json.Marshal(update)
 	if err != nil {
-		return []byte("\n") // nothing of it can fail
+		return []byte("\n") // cannot happen: there is nothing in it that JSON refuses
 	}
 	return append(line, '\n')
 }
--- a/internal/sidecar/registry/watch.go
+++ b/internal/sidecar/registry/watch.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"net/http"
 	"os"
 	"strconv"
@@ -10,98 +9,90 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/sidecar/list"
-	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-// listQuery is a call for the list.
-type listQuery struct {
-	from     int64  // the revision that the caller holds; below 0: none
-	cluster  string // whose revision that is; "": not said, as by an unchanged sidecar
-	withAges bool   // the caller wants to hear how old the list may be
-	exact    bool   // the answer has to hold every write that was acknowledged before
-	watch    bool
+// watchQuery is what the calls for list, routes and roles have in common.
+type watchQuery struct {
+	from     int64  // the revision or generation that the client has; below 0: none
+	cluster  string // whose revision that is; "": not said, as by sidecars of before
+	withAges bool   // heartbeats are to say how old the node's state may be
+	exact    bool   // the answer must have every write that was acknowledged before
+	watch    bool   // the answer goes on
 }
 
-func parseListQuery(r *http.Request) (listQuery, error) {
-	q := r.URL.Query()
-	a := listQuery{from: -1, cluster: q.Get("cluster"), withAges: q.Get("ages") == "1", exact: q.Get("exact") == "1", watch: q.Get("watch") == "1"}
-	if v := q.Get("watch"); v != "" && v != "1" && v != "0" {
-		return a, invalidf("watch=%.40q is neither 0 nor 1", v)
-	}
-	if v := q.Get("from"); v != "" {
-		n, err := strconv.ParseInt(v, 10, 64)
-		if err != nil || n < 0 {
-			return a, invalidf("from=%.40q is no revision", v)
+func parseWatchQuery(r *http.Request) (watchQuery, error) {
+	values := r.URL.Query()
+	asked := watchQuery{
+		from:     -1,
+		cluster:  values.Get("cluster"),
+		withAges: values.Get("ages") == "1",
+		exact:    values.Get("exact") == "1",
+		watch:    values.Get("watch") == "1",
+	}
+	if text := values.Get("watch"); text != "" && text != "1" && text != "0" {
+		return asked, invalidf("watch=%.40q is neither 0 nor 1", text)
+	}
+	if text := values.Get("from"); text != "" {
+		from, err := strconv.ParseInt(text, 10, 64)
+		if err != nil || from < 0 {
+			return asked, invalidf("from=%.40q is no revision", text)
 		}
-		a.from = n
+		asked.from = from
 	}
-	return a, nil
+	return asked, nil
+}
+
+// query is a call that is answered at once or by a watch.
+type query struct {
+	watch    bool
+	err      error       // why the call is refused; nil: it is valid
+	op       string      // name in metrics where it is answered at once
+	watchOp  string      // name where it is a watch
+	answer   callHandler // answers at once
+	runWatch callHandler // returns an error only where it has written nothing
 }
 
-// servers answers the whole list, or a watch.
-func (k *Node) servers(w http.ResponseWriter, r *http.Request) {
-	a, err := parseListQuery(r)
-	if err == nil && a.watch {
-		err = k.watchServers(w, r, a)
-		if err != nil {
-			k.refuse(w, "watch", err)
+// serveQuery answers a call at once, among the calls in progress, or by a watch.
+func (n *Node) serveQuery(w http.ResponseWriter, r *http.Request, q query) {
+	if q.err == nil && q.watch {
+		if err := q.runWatch(w, r); err != nil {
+			n.refuse(w, q.watchOp, err)
 		}
 		return
 	}
-	k.admit("list", func(w http.ResponseWriter, r *http.Request) error {
-		if err != nil {
-			return err
+	n.admit(q.op, func(w http.ResponseWriter, r *http.Request) error {
+		if q.err != nil {
+			return q.err
 		}
-		return k.replyList(w, r, a)
+		return q.answer(w, r)
 	})(w, r)
 }
 
-// replyList answers the whole replyList.
-func (k *Node) replyList(w http.ResponseWriter, r *http.Request, a listQuery) error {
-	if a.exact {
-		if err := k.replica.Confirm(r.Context()); err != nil {
-			return err
-		}
-	} else if _, err := k.resolveFrom(r, a); err != nil {
-		return err
-	}
-	line, rev, err := k.store.completeList()
-	if err != nil {
-		return err
-	}
-	h := w.Header()
-	h.Set("Content-Type", "application/json")
-	h.Set("Content-Length", strconv.Itoa(len(line)))
-	h.Set(HeaderRevision, strconv.FormatInt(rev, 10))
-	_, _ = w.Write(line) // to a caller who may have gone
-	return nil
-}
-
-// position is where a caller's revision or generation stands to what this keeper knows.
+// position is where a client's revision or generation stands.
 type position int
 
 const (
-	positionKnown   position = iota // this keeper knows it
+	positionKnown   position = iota // this node knows it
 	positionForeign                 // it is another cluster's
-	positionAhead                   // it lies ahead of the last there is
+	positionAhead                   // it lies ahead of the leader's
 )
 
-// waitUntilKnown waits until this keeper knows what a caller holds, so that nobody is shown what goes back. ahead tells whether that lies
-// ahead, and when to look again. The error is errBehind where it could not be known in time, or the call's end.
-func (k *Node) waitUntilKnown(r *http.Request, cluster string, ahead func() (bool, <-chan struct{})) (position, error) {
-	deadline := time.NewTimer(milliseconds(k.config.Limits.CatchUpMS))
+// waitUntilKnown waits until this node knows the revision that a client of a cluster has, so that no client is shown an older state than it has.
+// isAhead tells whether the revision lies ahead of this node's, and returns a channel that is closed when that may change. Errors are
+// errBehind where the node did not catch up in time, or that of the call's context.
+func (n *Node) waitUntilKnown(r *http.Request, cluster string, isAhead func() (bool, <-chan struct{})) (position, error) {
+	deadline := time.NewTimer(milliseconds(n.config.Limits.CatchUpMS))
 	defer deadline.Stop()
 	for {
-		is, changed := ahead()
-		own := ""
-		k.store.read(func(m *state.Machine) { own = m.Cluster() })
+		ahead, changed := isAhead()
+		own := n.store.cluster()
 		switch {
 		case own != "" && cluster != "" && cluster != own:
 			return positionForeign, nil
-		case !is:
+		case !ahead:
 			return positionKnown, nil
 		case own == "":
-		case k.replica.Confirm(r.Context()) == nil:
+		case n.replica.Confirm(r.Context()) == nil:
 			return positionAhead, nil
 		}
 		select {
@@ -114,119 +105,79 @@
 	}
 }
 
-// resolveFrom waits until this keeper knows the revision that a caller holds, and returns from where the caller goes on; below 0:
-// what he holds is no revision of this list, and he needs the whole of it.
-func (k *Node) resolveFrom(r *http.Request, a listQuery) (from int64, err error) {
-	var n listUpdate
-	at, err := k.waitUntilKnown(r, a.cluster, func() (bool, <-chan struct{}) {
-		n = k.store.updateAfter(a.from)
-		return n.ahead, n.changed
-	})
-	switch {
-	case errors.Is(err, errBehind):
-		return 0, fmt.Errorf("%w: it knows revision %d, not %d", errBehind, n.revision, a.from)
-	case err != nil:
-		return 0, err
-	case at == positionAhead && a.cluster != "":
-		return 0, &state.Error{Code: state.Conflict, Reason: fmt.Sprintf("revision %d lies ahead: the list is at %d", a.from, n.revision)}
-	case at != positionKnown: // another cluster's, or an unchanged sidecar's from another list service: the whole list says whose it is (PROTOCOL)
-		return -1, nil
-	}
-	return a.from, nil
-}
-
-// admitWatch takes a place among watchers, which the caller gives back. It refuses where there is none, or too many come at once.
-func (k *Node) admitWatch(watchers *atomic.Int64) error {
-	if !k.watchStarts.Allow() {
+// admitWatch counts a watch among the open ones, from which the caller takes it off. It refuses one too many, or too many starts at a time.
+func (n *Node) admitWatch(watchers *atomic.Int64) error {
+	if !n.watchStarts.Allow() {
 		return errTooManyStarts
 	}
-	if watchers.Add(1) > int64(k.config.Limits.MaxWatchers) {
+	if watchers.Add(1) > int64(n.config.Limits.MaxWatchers) {
 		watchers.Add(-1)
 		return errTooManyWatches
 	}
 	return nil
 }
 
-// beginWatch begins the answer of a watch, and returns when it has to say something though nothing changed.
-func beginWatch(w http.ResponseWriter, ages bool) *time.Ticker {
-	h := w.Header()
-	h.Set("Content-Type", "application/json")
-	h.Set("Cache-Control", "no-store")
+// watchStream writes the answer of a watch. The caller closes it.
+type watchStream struct {
+	n         *Node
+	w         http.ResponseWriter
+	r         *http.Request
+	heartbeat *time.Ticker
+}
+
+// watchEvent is what a watch has to react to.
+type watchEvent int
+
+const (
+	watchEnded     watchEvent = iota // the client is gone, or the node ends
+	watchChanged                     // there may be something new
+	watchHeartbeat                   // nothing changed for an interval
+)
+
+// beginWatch writes the header of a watch's answer. After that the call cannot be refused any more.
+func (n *Node) beginWatch(w http.ResponseWriter, r *http.Request, withAges bool) *watchStream {
+	header := w.Header()
+	header.Set("Content-Type", "application/json")
+	header.Set("Cache-Control", "no-store")
 	w.WriteHeader(http.StatusOK)
-	every := list.Heartbeat * 3 / 4 // so that a slow network brings it in time
-	if ages {
-		every = list.AgeBeat
+	interval := list.Heartbeat * 3 / 4 // so that it arrives in time over a slow network
+	if withAges {
+		interval = list.AgeBeat
 	}
-	return time.NewTicker(every)
+	return &watchStream{n: n, w: w, r: r, heartbeat: time.NewTicker(interval)}
 }
 
-// watchServers writes what changes after a revision until the caller goes, is too slow, or this keeper ends. Every line names the
-// revision that the watcher then holds, so he can go on from there anywhere.
-func (k *Node) watchServers(w http.ResponseWriter, r *http.Request, a listQuery) error {
-	if err := k.admitWatch(&k.watchers); err != nil {
-		return err
-	}
-	defer k.watchers.Add(-1)
-	from, err := k.resolveFrom(r, a)
-	if err != nil {
-		return err
-	}
-	if _, _, err := k.store.completeList(); err != nil {
-		return err
-	}
-	beat := beginWatch(w, a.withAges)
-	defer beat.Stop()
-	for first, ok := true, true; ok; first = false {
-		n := k.store.updateAfter(from)
-		if n.ahead { // the state was replaced by an older one, which only happens with revisions raised; never show it
-			return nil
-		}
-		lines := n.lines
-		from = n.revision
-		if n.complete {
-			var line []byte
-			if line, from, err = k.store.completeList(); err != nil {
-				return nil // its answer has begun: all there is to say is to end it
-			}
-			lines = [][]byte{line}
-		}
-		if first || len(lines) > 0 { // the first says that the watch is open, also where there is nothing new
-			ok = k.writeLines(w, lines...)
-			continue // there may be more by now
-		}
-		select {
-		case <-n.changed:
-		case <-beat.C:
-			line := []byte("\n")
-			if a.withAges {
-				age, known := k.replica.Age()
-				if !known {
-					age = -time.Second
-				}
-				line = k.store.heartbeat(from, age)
-			}
-			ok = k.writeLines(w, line)
-		case <-r.Context().Done():
-			return nil
-		case <-k.ending:
-			return nil
-		}
+func (s *watchStream) close() { s.heartbeat.Stop() }
+
+// wait returns the next event. changed is closed when there is something new.
+func (s *watchStream) wait(changed <-chan struct{}) watchEvent {
+	select {
+	case <-changed:
+		return watchChanged
+	case <-s.heartbeat.C:
+		return watchHeartbeat
+	case <-s.r.Context().Done():
+		return watchEnded
+	case <-s.n.ending:
+		return watchEnded
 	}
-	return nil
 }
 
-// writeLines writes lines to a watcher, each flush within the time that a slow one has. It tells false where the watch is over.
-func (k *Node) writeLines(w http.ResponseWriter, lines ...[]byte) bool {
-	out := http.NewResponseController(w)
-	err := out.SetWriteDeadline(time.Now().Add(milliseconds(k.config.Limits.SlowWatcherMS)))
+// write writes lines within the time that a slow client has, and returns whether the watch goes on.
+func (s *watchStream) write(lines ...[]byte) bool {
+	controller := http.NewResponseController(s.w)
+	err := controller.SetWriteDeadline(time.Now().Add(milliseconds(s.n.config.Limits.SlowWatcherMS)))
 	for i := 0; i < len(lines) && err == nil; i++ {
-		_, err = w.Write(lines[i])
+		_, err = s.w.Write(lines[i])
 	}
 	if err == nil {
-		err = out.Flush()
+		err = controller.Flush()
 	}
 	if err != nil {
-		k.metrics.recordWatchEnd(errors.Is(err, os.ErrDeadlineExceeded))
+		s.n.metrics.recordWatchEnd(errors.Is(err, os.ErrDeadlineExceeded))
 	}
 	return err == nil
 }
+
+// emptyLine says that a watch is open.
+var emptyLine = []byte("\n")
