--- a/internal/sidecar/registry/roles_bench_test.go
+++ b/internal/sidecar/registry/roles_bench_test.go
@@ -11,64 +11,80 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-// BenchmarkRenewRoles has a process renew all of its duties in one call over HTTP, at a keeper of its own. log/op is how much the log grows
-// by a renewal, in entries.
+// startBenchNode runs a node until the benchmark ends, and returns a client of it.
+func startBenchNode(b *testing.B) *client.Client {
+	b.Helper()
+	config := singleNodeConfig(b.TempDir())
+	config.Timing.HeartbeatMS = 400
+	ctx, cancel := context.WithCancel(context.Background())
+	ready, ended := make(chan string, 1), make(chan error, 1)
+	go func() {
+		ended <- Run(ctx, config, slog.New(slog.DiscardHandler), func(address string) { ready <- address })
+	}()
+	b.Cleanup(func() {
+		cancel()
+		if err := <-ended; err != nil {
+			b.Error(err)
+		}
+	})
+	c, err := client.New([]string{<-ready})
+	if err != nil {
+		b.Fatal(err)
+	}
+	b.Cleanup(c.Close)
+	return c
+}
+
+// appliedIndex returns how many entries of the log the node has applied.
+func appliedIndex(b *testing.B, c *client.Client) uint64 {
+	b.Helper()
+	statuses, failed := client.Status[Status](b.Context(), c)
+	if len(failed) > 0 {
+		b.Fatal(failed)
+	}
+	for _, status := range statuses {
+		return status.Applied
+	}
+	return 0
+}
+
+// BenchmarkRenewRoles has a process renew all of its roles in one call over HTTP, at a node of its own. log/op is how much the log grows by a
+// renewal, in entries.
 func BenchmarkRenewRoles(b *testing.B) {
-	for _, n := range []int{1000, 2000, 4000} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			c := Defaults()
-			c.Name, c.Folder, c.HTTP, c.Raft = "k1", b.TempDir(), "127.0.0.1:0", "127.0.0.1:0"
-			c.Peers = []Peer{{"k1", "127.0.0.1:0", "127.0.0.1:1"}}
-			c.AdvertiseHTTP = "127.0.0.1:1"
-			c.Timing.HeartbeatMS = 400
-			ctx, cancel := context.WithCancel(b.Context())
-			ready, ended := make(chan string, 1), make(chan error, 1)
-			go func() { ended <- Run(ctx, c, slog.New(slog.DiscardHandler), func(at string) { ready <- at }) }()
-			defer func() { cancel(); <-ended }()
-			k, err := client.New([]string{<-ready})
-			if err != nil {
-				b.Fatal(err)
-			}
-			defer k.Close()
-			for i := range n {
-				if _, err := k.ChangeRole(ctx, client.Campaign, fmt.Sprint("d", i), client.RoleCall{Process: "a#1", TTLMS: state.MaxRoleLease.Milliseconds()}); err != nil {
+	for _, roles := range []int{1000, 2000, 4000} {
+		b.Run(fmt.Sprint(roles), func(b *testing.B) {
+			registry := startBenchNode(b)
+			call := client.RoleCall{Process: "a#1", TTLMS: state.MaxRoleLease.Milliseconds()}
+			for i := range roles {
+				if _, err := registry.ChangeRole(b.Context(), client.Campaign, fmt.Sprint("d", i), call); err != nil {
 					b.Fatal(err)
 				}
 			}
-			index := func() uint64 {
-				all, failed := client.Status[Status](ctx, k)
-				if len(failed) > 0 {
-					b.Fatal(failed)
-				}
-				for _, s := range all {
-					return s.Applied
-				}
-				return 0
-			}
-			before := index()
+			before := appliedIndex(b, registry)
 			for b.Loop() {
-				if r, err := k.RenewRoles(ctx, "a#1"); err != nil || len(r.Owned) != n || !r.Owned[n-1].Renewed {
-					b.Fatal(len(r.Owned), err)
+				if renewal, err := registry.RenewRoles(b.Context(), "a#1"); err != nil || len(renewal.Owned) != roles || !renewal.Owned[roles-1].Renewed {
+					b.Fatal(len(renewal.Owned), err)
 				}
 			}
-			b.ReportMetric(float64(index()-before)/float64(b.N), "log/op")
+			b.ReportMetric(float64(appliedIndex(b, registry)-before)/float64(b.N), "log/op")
 		})
 	}
 }
 
-// BenchmarkRoleLessor has a leader look at leases, which it does 20 times a second.
+// BenchmarkRoleLessor has a leader evaluate the leases of roles, which it does 20 times a second.
 func BenchmarkRoleLessor(b *testing.B) {
-	for _, n := range []int{1000, 2000, 4000} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			m, l, now := state.New(), &roleLessor{}, time.Unix(1000, 0)
-			for i := range n {
-				applyRole(m, state.Campaign, state.RoleCall{Name: fmt.Sprint("d", i), Process: "a#1", TTLMS: 3000})
+	for _, roles := range []int{1000, 2000, 4000} {
+		b.Run(fmt.Sprint(roles), func(b *testing.B) {
+			machine, lessor, now := state.New(), &roleLessor{}, time.Unix(1000, 0)
+			for i := range roles {
+				applyRole(machine, state.Campaign, state.RoleCall{Name: fmt.Sprint("d", i), Process: "a#1", TTLMS: 3000})
 			}
-			for l.start(0); b.Loop(); {
-				if c := l.evaluate(now, m); len(c.Ended) > 0 {
-					b.Fatal(c)
+			lessor.start(0)
+			for b.Loop() {
+				if call := lessor.evaluate(now, machine); len(call.Ended) > 0 {
+					b.Fatal(call)
 				}
-				_ = m.DueRoles(0)
+				_ = machine.DueRoles(0)
 			}
 		})
 	}
--- a/internal/sidecar/registry/roles_test.go
+++ b/internal/sidecar/registry/roles_test.go
@@ -1,9 +1,6 @@
 package registry
 
 import (
-	"bufio"
-	"encoding/json"
-	"io"
 	"net/http"
 	"strings"
 	"testing"
@@ -13,132 +10,167 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-func applyRole(m *state.Machine, op state.Op, c state.RoleCall) {
-	m.Apply(state.Command{Op: op, Role: &c})
+func applyRole(m *state.Machine, op state.Op, call state.RoleCall) {
+	m.Apply(state.Command{Op: op, Role: &call})
 }
 
-// TestRoleLessor goes through offices on a clock of the test's: renewed they run on, left they end, an end that is decided is
-// not taken back by a renewal, and a candidate that is silent goes before it could be next.
-func TestRoleLessor(t *testing.T) {
-	l, m, now := &roleLessor{}, state.New(), time.Unix(1000, 0)
-	for _, who := range []string{"a#1", "b#1", "c#1"} {
-		applyRole(m, state.Campaign, state.RoleCall{Name: "d", Process: who, TTLMS: 1000})
-	}
-	renew := func(who string) (renewed bool) {
-		all := m.RolesOf(who)
-		on, ok := l.renew(now, who, all)
-		return ok && on[0]
-	}
-	if _, ok := l.renew(now, "a#1", m.RolesOf("a#1")); ok || len(l.evaluate(now.Add(time.Hour), m).Ended) > 0 {
-		t.Error("it counts leases without leading")
-	}
-	l.start(7)
-	l.evaluate(now, m)
-	for range 20 { // a and b renew, c is silent
-		now = now.Add(250 * time.Millisecond)
-		if !renew("a#1") {
-			t.Fatal("a renewal is refused")
+// roleLessorScenario is a roleLessor with its state machine, on a clock of the test's.
+type roleLessorScenario struct {
+	t       *testing.T
+	lessor  *roleLessor
+	machine *state.Machine
+	now     time.Time
+}
+
+// newRoleLessorScenario has a role d with a lease of 1 s, which a#1 owns and b#1 and c#1 wait for.
+func newRoleLessorScenario(t *testing.T) *roleLessorScenario {
+	t.Helper()
+	lt := &roleLessorScenario{t: t, lessor: &roleLessor{}, machine: state.New(), now: time.Unix(1000, 0)}
+	for _, process := range []string{"a#1", "b#1", "c#1"} {
+		applyRole(lt.machine, state.Campaign, state.RoleCall{Name: "d", Process: process, TTLMS: 1000})
+	}
+	return lt
+}
+
+// renew tells whether the lease of a process on its only role is renewed.
+func (lt *roleLessorScenario) renew(process string) bool {
+	renewed, ok := lt.lessor.renew(lt.now, process, lt.machine.RolesOf(process))
+	return ok && renewed[0]
+}
+
+func (lt *roleLessorScenario) evaluate() state.RoleCall { return lt.lessor.evaluate(lt.now, lt.machine) }
+
+func (lt *roleLessorScenario) advance(d time.Duration) { lt.now = lt.now.Add(d) }
+
+// startWithRenewals starts the term 7, in which a and b renew for five seconds, and c does not.
+func (lt *roleLessorScenario) startWithRenewals() {
+	lt.t.Helper()
+	lt.lessor.start(7)
+	lt.evaluate()
+	for range 20 {
+		lt.advance(250 * time.Millisecond)
+		if !lt.renew("a#1") {
+			lt.t.Fatal("a renewal is refused")
 		}
-		renew("b#1")
-		c := l.evaluate(now, m)
-		if len(c.Ended) > 0 || len(c.TimedOut) > 1 || len(c.TimedOut) == 1 && c.TimedOut[0].Process != "c#1" {
-			t.Fatalf("%+v", c)
+		lt.renew("b#1")
+		call := lt.evaluate()
+		if len(call.Ended) > 0 || len(call.TimedOut) > 1 || len(call.TimedOut) == 1 && call.TimedOut[0].Process != "c#1" {
+			lt.t.Fatalf("%+v", call)
 		}
-		applyRole(m, state.EndRoleLeases, c)
+		applyRole(lt.machine, state.EndRoleLeases, call)
 	}
-	if d, _ := m.Role("d"); len(d.Waiting) != 1 {
-		t.Errorf("%v wait", d.Waiting)
+}
+
+// TestRoleLessor goes through lease terms: renewed leases run on, others end, an end that is decided is not taken back by a renewal, and a
+// candidate that times out goes before it could own the role.
+func TestRoleLessor(t *testing.T) {
+	scenario := newRoleLessorScenario(t)
+	if _, ok := scenario.lessor.renew(scenario.now, "a#1", scenario.machine.RolesOf("a#1")); ok || len(scenario.lessor.evaluate(scenario.now.Add(time.Hour), scenario.machine).Ended) > 0 {
+		t.Error("it counts leases without leading")
 	}
-	if now = now.Add(1000 * time.Millisecond); len(l.evaluate(now, m).Ended) > 0 {
-		t.Error("it ends before its whole length")
+	scenario.startWithRenewals()
+	if role, _ := scenario.machine.Role("d"); len(role.Waiting) != 1 {
+		t.Errorf("%v wait", role.Waiting)
 	}
-	if now = now.Add(time.Millisecond); true {
-		renew("b#1")
+	scenario.advance(time.Second)
+	if len(scenario.evaluate().Ended) > 0 {
+		t.Error("it ends before its whole length")
 	}
-	c := l.evaluate(now, m)
-	if len(c.Ended) != 1 || c.LeaseTerm != 7 || renew("a#1") {
-		t.Errorf("%+v, and a renewal after that", c)
+	scenario.advance(time.Millisecond)
+	scenario.renew("b#1")
+	call := scenario.evaluate()
+	if len(call.Ended) != 1 || call.LeaseTerm != 7 || scenario.renew("a#1") {
+		t.Errorf("%+v, and a renewal after that", call)
 	}
-	stale := c
+	stale := call
 	stale.LeaseTerm = 6
-	if applyRole(m, state.EndRoleLeases, stale); renew("b#1") {
-		t.Error("an end of an earlier office counts")
-	}
-	m.Apply(state.Command{Op: state.StartLeaseTerm, Role: &state.RoleCall{}})
-	c.LeaseTerm = 1
-	applyRole(m, state.EndRoleLeases, c)
-	if !renew("b#1") {
-		t.Error("who comes next cannot renew")
-	}
-	applyRole(m, state.Move, state.RoleCall{Name: "d", Force: true})
-	if renew("b#1") || len(l.evaluate(now, m).Ended) > 0 {
-		t.Error("who is barred can renew, or is out at once")
+	applyRole(scenario.machine, state.EndRoleLeases, stale)
+	if scenario.renew("b#1") {
+		t.Error("an end of an earlier term counts")
+	}
+	applyRole(scenario.machine, state.StartLeaseTerm, state.RoleCall{})
+	call.LeaseTerm = 1
+	applyRole(scenario.machine, state.EndRoleLeases, call)
+	if !scenario.renew("b#1") {
+		t.Error("the next owner cannot renew")
+	}
+	scenario.checkBarred()
+	scenario.lessor.start(8)
+	scenario.evaluate()
+	scenario.advance(time.Second)
+	if len(scenario.evaluate().Ended) > 0 {
+		t.Error("a new term does not give a whole lease")
 	}
-	now = now.Add(1001 * time.Millisecond)
-	if renew("b#1"); len(l.evaluate(now, m).Ended) != 1 {
-		t.Error("who is barred stays by renewing others")
-	}
-	l.start(8)
-	l.evaluate(now, m)
-	if now = now.Add(1000 * time.Millisecond); len(l.evaluate(now, m).Ended) > 0 {
-		t.Error("a new office gives no whole lease")
+}
+
+// checkBarred bars renewals of the owner b: its lease runs on, and ends though b renews other roles.
+func (lt *roleLessorScenario) checkBarred() {
+	lt.t.Helper()
+	applyRole(lt.machine, state.Move, state.RoleCall{Name: "d", Force: true})
+	if lt.renew("b#1") || len(lt.evaluate().Ended) > 0 {
+		lt.t.Error("a barred owner can renew, or its lease ends at once")
+	}
+	lt.advance(1001 * time.Millisecond)
+	lt.renew("b#1")
+	if len(lt.evaluate().Ended) != 1 {
+		lt.t.Error("a barred owner stays by renewing others")
 	}
 }
 
-// TestRoleCalls has a duty held over HTTP, watched, moved and released; calls that make no sense are refused and change nothing.
+// TestRoleCalls has a role owned over HTTP, watched, moved and released.
 func TestRoleCalls(t *testing.T) {
-	at := start(t, nil)
-	post := func(path, text string) (int, string) {
-		t.Helper()
-		code, p, _ := call(t, "POST", at, path, text)
-		return code, p.Reason
-	}
-	if code, why := post("/v1/duties/d/campaign", `{"who":"a#1","ttl_ms":2000}`); code != 200 {
-		t.Fatal(code, why)
+	node := startNode(t, nil)
+	node.mustCall(http.MethodPost, "/v1/duties/d/campaign", `{"who":"a#1","ttl_ms":2000}`)
+	watch := node.watch("/v1/duties?watch=1&who=b%231")
+	if update := decodeUpdate[client.RolesUpdate](watch); !update.Complete || len(update.Roles) != 0 {
+		t.Errorf("%+v is published to a process without roles", update)
+	}
+	node.mustCall(http.MethodPost, "/v1/duties/d/campaign", `{"who":"c#1","ttl_ms":2000}`)
+	node.mustCall(http.MethodPost, "/v1/duties/d/campaign", `{"who":"b#1","ttl_ms":2000}`)
+	if update := decodeUpdate[client.RolesUpdate](watch); update.Complete || len(update.Roles) != 1 || len(update.Roles[0].Waiting) != 1 {
+		t.Errorf("%+v", update)
+	}
+	awaitRenewal(t, node)
+	node.mustCall(http.MethodPost, "/v1/duties/d/checkpoint", `{"who":"a#1","epoch":1,"step_no":0,"step":"half"}`)
+	node.mustCall(http.MethodPost, "/v1/duties/d/move", `{"to":"b"}`)
+	node.mustCall(http.MethodPost, "/v1/duties/d/release", `{"who":"a#1","epoch":1,"step":"three quarters","step_no":1}`)
+	update := decodeUpdate[client.RolesUpdate](watch)
+	for len(update.Roles) != 1 || update.Roles[0].Epoch == 1 {
+		update = decodeUpdate[client.RolesUpdate](watch)
+	}
+	if role := update.Roles[0]; !role.IsOwner("b#1") || role.Epoch != 2 || role.Step != "three quarters" || role.StepNo != 2 {
+		t.Errorf("%+v", role)
 	}
-	resp, err := http.Get("http://" + at + "/v1/duties?watch=1&who=b%231")
+}
+
+// awaitRenewal renews the leases of a#1 until that of its only role is renewed.
+func awaitRenewal(t *testing.T, node testNode) {
+	t.Helper()
+	c, err := client.New([]string{node.address})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer resp.Body.Close()
-	lines := bufio.NewScanner(resp.Body)
-	next := func() (n client.RolesUpdate) {
-		t.Helper()
-		for lines.Scan() {
-			if len(lines.Bytes()) > 0 {
-				if err := json.Unmarshal(lines.Bytes(), &n); err != nil {
-					t.Fatal(err)
-				}
-				return n
-			}
-		}
-		t.Fatal("the watch ended")
-		return n
-	}
-	if n := next(); !n.Complete || len(n.Roles) != 0 {
-		t.Errorf("%+v is told to one who has nothing", n)
-	}
-	post("/v1/duties/d/campaign", `{"who":"c#1","ttl_ms":2000}`)
-	post("/v1/duties/d/campaign", `{"who":"b#1","ttl_ms":2000}`)
-	if n := next(); n.Complete || len(n.Roles) != 1 || len(n.Roles[0].Waiting) != 1 {
-		t.Errorf("%+v", n)
-	}
-	list := func() string {
-		t.Helper()
-		resp, err := http.Get("http://" + at + "/v1/duties?exact=1")
-		if err != nil {
-			t.Fatal(err)
+	defer c.Close()
+	for end := time.Now().Add(waitTimeout); ; {
+		renewal, err := c.RenewRoles(t.Context(), "a#1")
+		if err == nil && len(renewal.Owned) == 1 && renewal.Owned[0].Renewed && renewal.Owned[0].Epoch == 1 {
+			return
 		}
-		defer resp.Body.Close()
-		text, err := io.ReadAll(resp.Body)
-		if err != nil {
-			t.Fatal(err)
+		if time.Now().After(end) {
+			t.Fatal(renewal, err)
 		}
-		return string(text)
 	}
-	before := list()
-	for _, c := range []struct {
-		path, text string
+}
+
+// TestRoleCallsRefused makes calls that are refused: each is answered with a reason, and the roles stay as they were.
+func TestRoleCallsRefused(t *testing.T) {
+	node := startNode(t, nil)
+	for _, process := range []string{"a#1", "c#1", "b#1"} {
+		node.mustCall(http.MethodPost, "/v1/duties/d/campaign", `{"who":"`+process+`","ttl_ms":300000}`)
+	}
+	before := string(node.read(http.MethodGet, "/v1/duties?exact=1", ""))
+	for _, test := range []struct {
+		path, body string
 		code       int
 		reason     string
 	}{
@@ -153,35 +185,14 @@
 		{"/v1/duties/e/move", `{}`, 404, "no duty"},
 		{"/v1/duties/renew", `{"who":"a"}`, 400, "is no NAME#RUN"},
 	} {
-		if code, why := post(c.path, c.text); code != c.code || !strings.Contains(why, c.reason) {
-			t.Errorf("%.60s %s: %d %q, want %d %q", c.path, c.text, code, why, c.code, c.reason)
-		}
-	}
-	if after := list(); after != before {
-		t.Errorf("duties went from %s to %s", before, after)
-	}
-	k, err := client.New([]string{at})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer k.Close()
-	for end := time.Now().Add(waitTimeout); ; {
-		r, err := k.RenewRoles(t.Context(), "a#1")
-		if err == nil && len(r.Owned) == 1 && r.Owned[0].Renewed && r.Owned[0].Epoch == 1 {
-			break
-		}
-		if time.Now().After(end) {
-			t.Fatal(r, err)
-		}
-	}
-	post("/v1/duties/d/checkpoint", `{"who":"a#1","epoch":1,"step_no":0,"step":"half"}`)
-	post("/v1/duties/d/move", `{"to":"b"}`)
-	post("/v1/duties/d/release", `{"who":"a#1","epoch":1,"step":"three quarters","step_no":1}`)
-	n := next()
-	for len(n.Roles) != 1 || n.Roles[0].Epoch == 1 {
-		n = next()
+		t.Run(test.reason, func(t *testing.T) {
+			code, answer, _ := node.in(t).call(http.MethodPost, test.path, test.body)
+			if code != test.code || !strings.Contains(answer.Reason, test.reason) {
+				t.Errorf("%.60s %s: %d %q, want %d %q", test.path, test.body, code, answer.Reason, test.code, test.reason)
+			}
+		})
 	}
-	if d := n.Roles[0]; !d.IsOwner("b#1") || d.Epoch != 2 || d.Step != "three quarters" || d.StepNo != 2 {
-		t.Errorf("%+v", d)
+	if after := string(node.read(http.MethodGet, "/v1/duties?exact=1", "")); after != before {
+		t.Errorf("roles went from %s to %s", before, after)
 	}
 }
