--- a/internal/sidecar/registry/roles_test.go
+++ b/internal/sidecar/registry/roles_test.go
@@ -38,7 +38,9 @@
 	return ok && renewed[0]
 }
 
-func (lt *roleLessorScenario) evaluate() state.RoleCall { return lt.lessor.evaluate(lt.now, lt.machine) }
+func (lt *roleLessorScenario) evaluate() state.RoleCall {
+	return lt.lessor.evaluate(lt.now, lt.machine)
+}
 
 func (lt *roleLessorScenario) advance(d time.Duration) { lt.now = lt.now.Add(d) }
 
