--- a/internal/sidecar/registry/roles_model_test.go
+++ b/internal/sidecar/registry/roles_model_test.go
@@ -208,7 +208,7 @@
 func (mc *modelCluster) receiveAnswer(p *modelProcess) {
 	if p.stage == renewalAnswered {
 		p.stage = renewalIdle
-		p.leases.Renewed(p.sent, mc.clock(p), p.answer)
+		p.leases.ApplyRenewal(p.sent, mc.clock(p), p.answer)
 	}
 }
 
@@ -264,7 +264,7 @@
 func (mc *modelCluster) release(p *modelProcess) {
 	role, _ := mc.machine.Role("d")
 	if role.IsOwner(p.name) && len(p.effects) == 0 {
-		p.leases.Release("d", role.Epoch)
+		p.leases.End("d", role.Epoch)
 		mc.apply(state.Release, state.RoleCall{Name: "d", Process: p.name, Epoch: role.Epoch, Rejoin: true})
 	}
 }
--- a/internal/sidecar/singleton/leases_test.go
+++ b/internal/sidecar/singleton/leases_test.go
@@ -21,37 +21,37 @@
 			t.Errorf("at %v it may act under %d: %v", now, epoch, ok)
 		}
 	}
-	if begin, let := h.Renewed(0, 10*ms, held(1, false)); len(begin)+len(let) != 0 {
+	if begin, let := h.ApplyRenewal(0, 10*ms, held(1, false)); len(begin)+len(let) != 0 {
 		t.Errorf("%v begins and %v is to be released, by a lease that is not renewed", begin, let)
 	}
-	if begin, _ := h.Renewed(100*ms, 400*ms, held(1, true)); len(begin) != 1 || begin[0].Until != 990*ms {
+	if begin, _ := h.ApplyRenewal(100*ms, 400*ms, held(1, true)); len(begin) != 1 || begin[0].Until != 990*ms {
 		t.Errorf("%v begins", begin)
 	}
 	may(989*ms, 1, true)
 	may(990*ms, 1, false)
-	h.Renewed(500*ms, 600*ms, held(1, true))
+	h.ApplyRenewal(500*ms, 600*ms, held(1, true))
 	may(1389*ms, 1, true)
-	h.Renewed(700*ms, 800*ms, held(1, false)) // barred: what it has lasts
+	h.ApplyRenewal(700*ms, 800*ms, held(1, false)) // barred: what it has lasts
 	may(1389*ms, 1, true)
 	may(1390*ms, 1, false)
-	if _, let := h.Renewed(1300*ms, 1400*ms, held(1, true)); len(let) != 1 {
+	if _, let := h.ApplyRenewal(1300*ms, 1400*ms, held(1, true)); len(let) != 1 {
 		t.Error("an office that lapsed goes on")
 	}
-	if begin, _ := h.Renewed(1300*ms, 2400*ms, held(2, true)); len(begin) != 0 {
+	if begin, _ := h.ApplyRenewal(1300*ms, 2400*ms, held(2, true)); len(begin) != 0 {
 		t.Error("an office begins by an answer that comes after its end")
 	}
-	h.Renewed(2500*ms, 2510*ms, held(2, true))
+	h.ApplyRenewal(2500*ms, 2510*ms, held(2, true))
 	may(2600*ms, 2, true)
-	if begin, _ := h.Renewed(2600*ms, 2610*ms, held(4, true)); len(begin) != 1 {
+	if begin, _ := h.ApplyRenewal(2600*ms, 2610*ms, held(4, true)); len(begin) != 1 {
 		t.Error("what was lost and given again does not begin")
 	}
 	may(2620*ms, 2, false)
-	h.Renewed(2630*ms, 2640*ms, nil)
+	h.ApplyRenewal(2630*ms, 2640*ms, nil)
 	may(2650*ms, 4, false)
-	h.Renewed(2700*ms, 2710*ms, held(5, true))
-	h.Release("d", 5)
+	h.ApplyRenewal(2700*ms, 2710*ms, held(5, true))
+	h.End("d", 5)
 	may(2720*ms, 5, false)
-	if begin, let := h.Renewed(2690*ms, 2730*ms, held(5, true)); len(begin) != 0 || len(let) != 1 {
+	if begin, let := h.ApplyRenewal(2690*ms, 2730*ms, held(5, true)); len(begin) != 0 || len(let) != 1 {
 		t.Error("what was let go begins again")
 	}
 }
--- a/internal/sidecar/singleton/runner.go
+++ b/internal/sidecar/singleton/runner.go
@@ -5,7 +5,6 @@
 	"crypto/rand"
 	"encoding/hex"
 	"errors"
-	"fmt"
 	mrand "math/rand/v2"
 	"net/http"
 	"slices"
@@ -16,13 +15,18 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-// Runner holds duties for a process.
+const (
+	renewalsPerLease   = 4
+	minCampaignTimeout = 3 * time.Second // of the call with which a process becomes a candidate
+)
+
+// Runner owns roles for a process and runs their works.
 type Runner struct {
 	options     Options
-	process     string
+	process     string // NAME#RUN
 	client      *client.Client
-	renewNow    chan struct{} // something may have changed: renew now
-	campaignNow chan struct{} // the wanted duties that miss may have changed
+	renewNow    chan struct{} // signalled when something may have changed
+	campaignNow chan struct{} // signalled when a wanted role is absent
 	tasks       sync.WaitGroup
 
 	mu     sync.Mutex
@@ -31,93 +35,112 @@
 	ending bool
 }
 
-// wantedRole is a duty that this process wants.
+// wantedRole is a role that this process wants.
 type wantedRole struct {
 	location string
 	work     Work
-	lease    *HeldLease // it is in office, or its work has not returned yet
-	done     chan struct{}
-	absent   bool // it neither holds nor waits
+	lease    *OwnedLease   // the process owns the role, or its work has not returned yet
+	done     chan struct{} // closed when the work is done for good
+	absent   bool          // the process neither owns the role nor waits for it, as far as it knows
 }
 
-// NewRunner is a process that wants nothing yet.
-func NewRunner(o Options) (*Runner, error) {
-	var id [8]byte
-	_, _ = rand.Read(id[:]) // never fails (crypto/rand)
-	r := &Runner{options: o, process: o.Name + "#" + hex.EncodeToString(id[:]), leases: NewLeases(nil), wanted: map[string]*wantedRole{}, renewNow: make(chan struct{}, 1), campaignNow: make(chan struct{}, 1)}
-	if err := state.CheckProcess(r.process); err != nil {
+// NewRunner returns a runner without roles. Errors say which option is invalid.
+func NewRunner(options Options) (*Runner, error) {
+	var run [8]byte
+	_, _ = rand.Read(run[:]) // never fails (crypto/rand)
+	process := options.Name + "#" + hex.EncodeToString(run[:])
+	if err := state.CheckProcess(process); err != nil {
 		return nil, err
 	}
-	if o.Lease < state.MinRoleLease || o.Lease > state.MaxRoleLease {
-		return nil, fmt.Errorf("a lease of %v is not within %v to %v", o.Lease, state.MinRoleLease, state.MaxRoleLease)
+	if err := options.check(); err != nil {
+		return nil, err
 	}
-	c, err := client.New(o.Registry)
+	registry, err := client.New(options.Registry)
 	if err != nil {
 		return nil, err
 	}
-	r.client = c
-	return r, nil
+	return &Runner{
+		options:     options,
+		process:     process,
+		client:      registry,
+		renewNow:    make(chan struct{}, 1),
+		campaignNow: make(chan struct{}, 1),
+		leases:      NewLeases(nil),
+		wanted:      map[string]*wantedRole{},
+	}, nil
 }
 
-// Process is this run of the process.
+// Process returns this run of the process, as NAME#RUN.
 func (r *Runner) Process() string { return r.process }
 
-// Want has the process wait for a duty and do a work whenever it holds it, from before Run. at is the room where it should be
-// held, which the first says who wants it. done is closed once the work is done for good.
-func (r *Runner) Want(name, at string, work Work) (done <-chan struct{}) {
+// Want has the process be a candidate for a role, and do a work whenever it owns the role. It must be called before Run. location is preferred for
+// the owner; the role's first candidate sets it. done is closed once the work is done for good.
+func (r *Runner) Want(name, location string, work Work) (done <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w := &wantedRole{location: at, work: work, done: make(chan struct{}), absent: true}
-	r.wanted[name] = w
-	return w.done
+	wanted := &wantedRole{location: location, work: work, done: make(chan struct{}), absent: true}
+	r.wanted[name] = wanted
+	return wanted.done
 }
 
-// Run holds duties until ctx is done. Then works are asked to finish their steps, which may take up to drain, and what is held is
-// released, and what is waited for is given up.
+// Run owns roles until ctx is done. Then it asks the works to finish their steps, for which they have up to drain, releases the roles and
+// withdraws from those that it waits for.
 func (r *Runner) Run(ctx context.Context, drain time.Duration) {
 	defer r.client.Close()
-	on, stop := context.WithCancel(context.WithoutCancel(ctx))
-	for _, do := range []func(context.Context){r.runRenewals, r.runCampaigns, r.watch} {
-		r.tasks.Add(1)
-		go func() {
-			defer r.tasks.Done()
-			do(on)
-		}()
+	taskCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
+	for _, task := range []func(context.Context){r.runRenewals, r.runCampaigns, r.watch} {
+		r.tasks.Go(func() { task(taskCtx) })
 	}
 	<-ctx.Done()
-	r.mu.Lock()
-	r.ending = true
-	var busy []*HeldLease
-	for _, w := range r.wanted {
-		if w.lease != nil {
-			w.lease.requestHandover()
-			busy = append(busy, w.lease)
-		}
-	}
-	r.mu.Unlock()
-	late := time.NewTimer(drain)
-	defer late.Stop()
-	for _, t := range busy {
+	r.drain(drain)
+	stop()
+	r.tasks.Wait()
+	r.withdraw(context.WithoutCancel(ctx))
+}
+
+// drain requests the handover of all roles, and returns once their works have returned and they are released. Works that take longer than timeout
+// are cancelled.
+func (r *Runner) drain(timeout time.Duration) {
+	owned := r.beginDrain()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	for _, lease := range owned {
 		select {
-		case <-t.released:
-		case <-late.C:
-			for _, t := range busy {
-				t.cancelWork(ErrLeaseLost)
+		case <-lease.released:
+		case <-timer.C:
+			for _, lease := range owned {
+				lease.cancelWork(ErrLeaseLost)
 			}
-			<-t.released
+			<-lease.released
 		}
 	}
-	stop()
-	r.tasks.Wait()
-	leave, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.options.Lease/2)
+}
+
+func (r *Runner) beginDrain() (owned []*OwnedLease) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.ending = true
+	for _, wanted := range r.wanted {
+		if wanted.lease != nil {
+			wanted.lease.requestHandover()
+			owned = append(owned, wanted.lease)
+		}
+	}
+	return owned
+}
+
+// withdraw withdraws from the roles that the process waits for. Where a call fails, the process times out as a candidate.
+func (r *Runner) withdraw(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, r.options.Lease/2)
 	defer cancel()
-	for name, w := range r.wanted {
-		if !w.absent {
-			_, _ = r.client.ChangeRole(leave, client.Withdraw, name, client.RoleCall{Process: r.process}) // or it falls out of line by its silence
+	for name, wanted := range r.wanted {
+		if !wanted.absent {
+			_, _ = r.client.ChangeRole(ctx, client.Withdraw, name, client.RoleCall{Process: r.process})
 		}
 	}
 }
 
+// signal wakes the receiver of a channel of capacity 1.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -125,7 +148,7 @@
 	}
 }
 
-// watch renews at once where a watch tells of something that this process does not know.
+// watch has the leases be renewed at once when a watch says that something changed.
 func (r *Runner) watch(ctx context.Context) {
 	err := client.WatchRoles(ctx, r.options.Registry, r.process, r.options.Log, func(client.RolesUpdate) { signal(r.renewNow) })
 	if err != nil {
@@ -133,12 +156,12 @@
 	}
 }
 
-// runRenewals renews four times in a lease, and when it is poked.
+// runRenewals renews several times in a lease, and when it is signalled.
 func (r *Runner) runRenewals(ctx context.Context) {
-	every := r.options.Lease / 4
+	interval := r.options.Lease / renewalsPerLease
 	for {
-		// Drawn, so that processes that came together do not renew together for good.
-		timer := time.NewTimer(every*3/4 + mrand.N(every/4+1))
+		// Jitter, so that processes that came together do not go on renewing together.
+		timer := time.NewTimer(interval*3/4 + mrand.N(interval/4+1))
 		select {
 		case <-timer.C:
 		case <-r.renewNow:
@@ -147,161 +170,212 @@
 			timer.Stop()
 			return
 		}
-		call, cancel := context.WithTimeout(ctx, max(every, state.MinRoleLease/2))
-		sent := Now()
-		a, err := r.client.RenewRoles(call, r.process)
-		cancel()
-		if err != nil {
-			r.options.Log.Debug("duties", "err", err)
-			continue
-		}
-		r.applyRenewal(ctx, sent, a)
+		r.renewOnce(ctx, max(interval, state.MinRoleLease/2))
+	}
+}
+
+func (r *Runner) renewOnce(ctx context.Context, timeout time.Duration) {
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	sent := Now() // before the call: the lease counts from here
+	renewal, err := r.client.RenewRoles(callCtx, r.process)
+	if err != nil {
+		r.options.Log.Debug("duties", "err", err)
+		return
 	}
+	r.applyRenewal(ctx, sent, renewal)
 }
 
-// applyRenewal takes the answer to a renewal, begins works, and sees what is missing.
-func (r *Runner) applyRenewal(ctx context.Context, sent Instant, a client.RoleRenewal) {
+// applyRenewal applies the answer to a renewal: it starts works, passes on requests for a handover, releases what has ended for this process, and
+// finds out which wanted roles are absent.
+func (r *Runner) applyRenewal(ctx context.Context, sent Instant, renewal client.RoleRenewal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	begin, let := r.leases.Renewed(sent, Now(), a.Owned)
-	known := map[string]bool{}
-	for _, name := range a.Waiting {
-		known[name] = true
+	begin, release := r.leases.ApplyRenewal(sent, Now(), renewal.Owned)
+	for i := range renewal.Owned {
+		r.passHandover(&renewal.Owned[i])
 	}
-	for _, d := range a.Owned {
-		known[d.Name] = true
-		if w := r.wanted[d.Name]; w != nil && w.lease != nil && w.lease.Epoch == d.Epoch && d.HandoverRequested {
-			w.lease.requestHandover()
-		}
+	for _, lease := range release {
+		r.releaseEnded(ctx, lease)
 	}
-	for _, o := range let {
-		if w := r.wanted[o.Name]; w == nil || w.lease == nil || w.lease.isStuck() { // else it is released when its work has returned
-			q := client.RoleCall{Rejoin: w != nil && !r.ending}
-			r.tasks.Add(1)
-			go func() {
-				defer r.tasks.Done()
-				r.release(ctx, o, q)
-			}()
-		}
+	for _, lease := range begin {
+		r.startWork(ctx, lease)
 	}
-	for _, o := range begin {
-		w := r.wanted[o.Name]
-		if w == nil || w.lease != nil || r.ending { // the work of an office that was lost goes on: not beside it
-			r.leases.Release(o.Name, o.Epoch)
-			signal(r.renewNow)
-			continue
-		}
-		t := &HeldLease{Lease: o, runner: r, handover: make(chan struct{}), released: make(chan struct{})}
-		w.lease = t
-		if o.HandoverRequested {
-			t.requestHandover()
-		}
-		r.options.Log.Info("duty held", "name", o.Name, "epoch", o.Epoch)
-		r.tasks.Add(1)
-		go func() {
-			defer r.tasks.Done()
-			r.runWork(ctx, w, t)
-		}()
+	r.findAbsent(renewal)
+}
+
+// passHandover passes a requested handover on to the work. The caller holds r.mu.
+func (r *Runner) passHandover(role *client.OwnedRole) {
+	wanted := r.wanted[role.Name]
+	if wanted == nil || wanted.lease == nil || wanted.lease.Epoch != role.Epoch {
+		return
+	}
+	if role.HandoverRequested {
+		wanted.lease.requestHandover()
+	}
+}
+
+// releaseEnded releases a role whose lease has ended for this process, unless its work still runs, which does so when it returns. The caller holds
+// r.mu.
+func (r *Runner) releaseEnded(ctx context.Context, lease Lease) {
+	wanted := r.wanted[lease.Name]
+	workRuns := wanted != nil && wanted.lease != nil && !wanted.lease.isStuck()
+	if workRuns {
+		return
+	}
+	call := client.RoleCall{Rejoin: wanted != nil && !r.ending}
+	r.tasks.Go(func() { r.release(ctx, lease, call) })
+}
+
+// startWork runs the work of a lease that begins. Where the work of an earlier lease has not returned, the role is released instead: no two works of
+// a role run beside each other. The caller holds r.mu.
+func (r *Runner) startWork(ctx context.Context, lease Lease) {
+	wanted := r.wanted[lease.Name]
+	if wanted == nil || wanted.lease != nil || r.ending {
+		r.leases.End(lease.Name, lease.Epoch)
+		signal(r.renewNow)
+		return
+	}
+	owned := newOwnedLease(r, lease)
+	wanted.lease = owned
+	if lease.HandoverRequested {
+		owned.requestHandover()
 	}
-	for name, w := range r.wanted {
-		if w.absent = !known[name]; w.absent {
+	r.options.Log.Info("duty held", "name", lease.Name, "epoch", lease.Epoch)
+	r.tasks.Go(func() { r.runWork(ctx, wanted, owned) })
+}
+
+// findAbsent marks the wanted roles that the process neither owns nor waits for. The caller holds r.mu.
+func (r *Runner) findAbsent(renewal client.RoleRenewal) {
+	known := map[string]bool{}
+	for _, name := range renewal.Waiting {
+		known[name] = true
+	}
+	for _, role := range renewal.Owned {
+		known[role.Name] = true
+	}
+	for name, wanted := range r.wanted {
+		wanted.absent = !known[name]
+		if wanted.absent {
 			signal(r.campaignNow)
 		}
 	}
 }
 
-// runCampaigns has this process wait for the duties that it wants and neither holds nor waits for.
+// runCampaigns has the process become a candidate for the wanted roles that are absent, at first and whenever it is signalled.
 func (r *Runner) runCampaigns(ctx context.Context) {
-	first := true
+	r.campaignForAbsent(ctx)
 	for {
-		if !first {
-			select {
-			case <-r.campaignNow:
-			case <-ctx.Done():
-				return
-			}
-			// Many may have fallen out of line at once, as when keepers come back.
-			timer := time.NewTimer(mrand.N(r.options.Lease / 8))
-			select {
-			case <-timer.C:
-			case <-ctx.Done():
-				timer.Stop()
-				return
-			}
+		select {
+		case <-r.campaignNow:
+		case <-ctx.Done():
+			return
 		}
-		first = false
-		type one struct{ name, at string }
-		var all []one
-		r.mu.Lock()
-		for name, w := range r.wanted {
-			if w.absent && !r.ending && w.lease == nil {
-				all = append(all, one{name, w.location})
-			}
+		// Many processes may have timed out as candidates at once, as when the registry comes back.
+		timer := time.NewTimer(mrand.N(r.options.Lease / 8))
+		select {
+		case <-timer.C:
+		case <-ctx.Done():
+			timer.Stop()
+			return
 		}
-		r.mu.Unlock()
-		slices.SortFunc(all, func(a, b one) int { return mrand.IntN(3) - 1 }) // two who come together share what is free
-		for _, d := range all {
-			call, cancel := context.WithTimeout(ctx, max(r.options.Lease, 3*time.Second))
-			_, err := r.client.ChangeRole(call, client.Campaign, d.name, client.RoleCall{Process: r.process, Location: r.options.Location, RoleLocation: d.at, Load: r.options.Load, TTLMS: r.options.Lease.Milliseconds()})
-			cancel()
-			if err != nil && ctx.Err() == nil {
-				r.options.Log.Warn("campaign", "name", d.name, "err", err) // the next renewal shows that it is missing
-			}
-			signal(r.renewNow)
+		r.campaignForAbsent(ctx)
+	}
+}
+
+// campaign is a role that the process is to become a candidate for.
+type campaign struct{ name, location string }
+
+func (r *Runner) campaignForAbsent(ctx context.Context) {
+	campaigns := r.absentRoles()
+	// In random order, so that two processes that come together share the roles that are free.
+	slices.SortFunc(campaigns, func(_, _ campaign) int { return mrand.IntN(3) - 1 })
+	for _, c := range campaigns {
+		r.campaign(ctx, c)
+	}
+}
+
+func (r *Runner) absentRoles() (campaigns []campaign) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for name, wanted := range r.wanted {
+		if wanted.absent && !r.ending && wanted.lease == nil {
+			campaigns = append(campaigns, campaign{name, wanted.location})
 		}
 	}
+	return campaigns
 }
 
-// runWork does the work of an office, and releases it.
-func (r *Runner) runWork(ctx context.Context, w *wantedRole, t *HeldLease) {
-	work, cancel := context.WithCancelCause(ctx)
-	t.mu.Lock()
-	t.cancel = cancel
-	t.mu.Unlock()
+func (r *Runner) campaign(ctx context.Context, c campaign) {
+	callCtx, cancel := context.WithTimeout(ctx, max(r.options.Lease, minCampaignTimeout))
+	defer cancel()
+	_, err := r.client.ChangeRole(callCtx, client.Campaign, c.name, client.RoleCall{
+		Process:      r.process,
+		Location:     r.options.Location,
+		RoleLocation: c.location,
+		Load:         r.options.Load,
+		TTLMS:        r.options.Lease.Milliseconds(),
+	})
+	if err != nil && ctx.Err() == nil {
+		r.options.Log.Warn("campaign", "name", c.name, "err", err) // the next renewal shows that the role is absent
+	}
+	signal(r.renewNow)
+}
+
+// runWork runs the work of a lease, and releases the role when it returns.
+func (r *Runner) runWork(ctx context.Context, wanted *wantedRole, lease *OwnedLease) {
+	workCtx, cancel := context.WithCancelCause(ctx)
+	lease.setCancel(cancel)
 	watched := make(chan struct{})
 	go func() {
 		defer close(watched)
-		t.cancelWhenLost(work)
+		lease.cancelWhenLost(workCtx)
 	}()
-	err := w.work(work, t)
-	lost := !t.Valid()
+	err := wanted.work(workCtx, lease)
+	lost := !lease.Valid()
 	cancel(ErrLeaseLost)
 	<-watched
-	final := t.finalStepNow()
-	ends := err == nil || errors.Is(err, ErrGaveUp)
-	q := client.RoleCall{Rejoin: !ends, Failed: err != nil && !errors.Is(err, ErrHandedOver) && !lost}
-	if final != nil {
-		q.Step, q.StepNo = *final, &t.StepNo
-	}
-	r.mu.Lock()
-	if r.ending {
-		q.Rejoin = false
+	doneForGood := err == nil || errors.Is(err, ErrGaveUp)
+	call := client.RoleCall{Failed: err != nil && !errors.Is(err, ErrHandedOver) && !lost}
+	if step := lease.recordedFinalStep(); step != nil {
+		call.Step, call.StepNo = *step, &lease.StepNo
 	}
-	r.leases.Release(t.Name, t.Epoch)
-	if ends {
-		delete(r.wanted, t.Name)
-	}
-	r.mu.Unlock()
-	r.options.Log.Info("duty let go", "name", t.Name, "epoch", t.Epoch, "err", err)
-	r.release(context.WithoutCancel(ctx), t.Lease, q)
+	call.Rejoin = r.endOwned(lease.Lease, doneForGood)
+	r.options.Log.Info("duty let go", "name", lease.Name, "epoch", lease.Epoch, "err", err)
+	r.release(context.WithoutCancel(ctx), lease.Lease, call)
 	r.mu.Lock()
-	w.lease = nil
+	wanted.lease = nil
 	r.mu.Unlock()
-	if ends {
-		close(w.done)
+	if doneForGood {
+		close(wanted.done)
 	}
-	close(t.released)
+	close(lease.released)
 	signal(r.renewNow)
 }
 
-// release lets go of an office. Where it cannot be said, the office ends with its lease.
-func (r *Runner) release(ctx context.Context, o Lease, q client.RoleCall) {
-	call, cancel := context.WithTimeout(ctx, r.options.Lease)
+// endOwned ends a lease whose work has returned, and returns whether the process is to become a candidate again.
+func (r *Runner) endOwned(lease Lease, doneForGood bool) (rejoin bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.leases.End(lease.Name, lease.Epoch)
+	if doneForGood {
+		delete(r.wanted, lease.Name)
+	}
+	return !doneForGood && !r.ending
+}
+
+// release releases a role. Where the call fails, the lease ends by itself.
+func (r *Runner) release(ctx context.Context, lease Lease, call client.RoleCall) {
+	ctx, cancel := context.WithTimeout(ctx, r.options.Lease)
 	defer cancel()
-	q.Process, q.Epoch = r.process, o.Epoch
-	_, err := r.client.ChangeRole(call, client.Release, o.Name, q)
-	var refused *client.RefusedError
-	if err != nil && !(errors.As(err, &refused) && refused.Status == http.StatusConflict) { // it is not ours any more
-		r.options.Log.Warn("release", "name", o.Name, "epoch", o.Epoch, "err", err)
+	call.Process, call.Epoch = r.process, lease.Epoch
+	_, err := r.client.ChangeRole(ctx, client.Release, lease.Name, call)
+	if err != nil && !isConflict(err) { // a conflict says that another process has the role
+		r.options.Log.Warn("release", "name", lease.Name, "epoch", lease.Epoch, "err", err)
 	}
 }
+
+func isConflict(err error) bool {
+	var refused *client.RefusedError
+	return errors.As(err, &refused) && refused.Status == http.StatusConflict
+}
--- a/internal/sidecar/singleton/runner_test.go
+++ b/internal/sidecar/singleton/runner_test.go
@@ -104,7 +104,7 @@
 			t.Fatal(err)
 		}
 		for n := range pieces {
-			r.Want(fmt.Sprint("d", n), "", func(ctx context.Context, tenure *HeldLease) error {
+			r.Want(fmt.Sprint("d", n), "", func(ctx context.Context, tenure *OwnedLease) error {
 				tick := time.NewTicker(5 * time.Millisecond)
 				defer tick.Stop()
 				for {
--- a/internal/sidecar/singleton/sweep.go
+++ b/internal/sidecar/singleton/sweep.go
@@ -7,52 +7,62 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/sidecar/client"
+	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-// SweepRole is the duty under which duties out of use are forgotten.
+// SweepRole is the name of the role whose owner has idle roles forgotten.
 const SweepRole = "sweep"
 
-const maxSweptRoles = 512 // duties in one call
+const maxSweptRoles = 512 // in one call
 
-// Sweep is the work of the sweeper: it has keepers forget duties that nobody has held or waited for during idle, looking once in
-// every. The keepers are what it acts on, and take nothing under an epoch of it that is over.
-func Sweep(c *client.Client, every, idle time.Duration, log *slog.Logger) Work {
-	return func(ctx context.Context, t *HeldLease) error {
-		tick := time.NewTicker(every)
-		defer tick.Stop()
+// Sweep returns the work of the sweeper: once in an interval it has the registry forget roles that had no owner and no candidates for idle. The
+// registry is the resource that it acts on, and refuses an epoch of it that is over.
+func Sweep(registry *client.Client, interval, idle time.Duration, log *slog.Logger) Work {
+	return func(ctx context.Context, lease *OwnedLease) error {
+		ticker := time.NewTicker(interval)
+		defer ticker.Stop()
 		for {
 			select {
-			case <-tick.C:
-			case <-t.HandoverRequested():
+			case <-ticker.C:
+			case <-lease.HandoverRequested():
 				return ErrHandedOver
 			case <-ctx.Done():
 				return ErrHandedOver
 			}
-			if err := sweep(ctx, c, t, idle, log); err != nil {
+			if err := sweepOnce(ctx, registry, lease, idle, log); err != nil {
 				return fmt.Errorf("sweep: %w", err)
 			}
 		}
 	}
 }
 
-func sweep(ctx context.Context, c *client.Client, t *HeldLease, idle time.Duration, log *slog.Logger) error {
-	n, err := c.Roles(ctx, "")
+func sweepOnce(ctx context.Context, registry *client.Client, lease *OwnedLease, idle time.Duration, log *slog.Logger) error {
+	update, err := registry.Roles(ctx, "")
 	if err != nil {
 		return err
 	}
-	var names []string
-	for _, d := range n.Roles {
-		if d.Owner == nil && len(d.Waiting) == 0 && len(names) < maxSweptRoles && time.Since(time.UnixMilli(d.SinceMS)) >= idle {
-			names = append(names, d.Name)
-		}
-	}
+	names := idleRoles(update.Roles, idle)
 	if len(names) == 0 {
 		return nil
 	}
-	// The keepers look again whether each is idle.
-	_, err = c.ChangeRole(ctx, client.Forget, t.Name, client.RoleCall{Process: t.runner.process, Epoch: t.Epoch, IdleRoles: names, IdleMS: idle.Milliseconds()})
-	if err == nil {
-		log.Info("swept", "duties", len(names), "first", names[0])
+	// The registry checks again whether each role is idle.
+	_, err = registry.ChangeRole(ctx, client.Forget, lease.Name,
+		client.RoleCall{Process: lease.runner.process, Epoch: lease.Epoch, IdleRoles: names, IdleMS: idle.Milliseconds()})
+	if err != nil {
+		return err
+	}
+	log.Info("swept", "duties", len(names), "first", names[0])
+	return nil
+}
+
+func idleRoles(roles []state.Role, idle time.Duration) []string {
+	var names []string
+	for i := range roles {
+		role := &roles[i]
+		unused := role.Owner == nil && len(role.Waiting) == 0
+		if unused && time.Since(time.UnixMilli(role.SinceMS)) >= idle && len(names) < maxSweptRoles {
+			names = append(names, role.Name)
+		}
 	}
-	return err
+	return names
 }
