--- a/cmd/gradeusher/dutyhold.go
+++ b/cmd/gradeusher/dutyhold.go
@@ -53,7 +53,7 @@
 	var h holds
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	done := r.Want(c.Name, c.At, func(work context.Context, t *singleton.HeldLease) error { return c.work(work, t, s, &h) })
+	done := r.Want(c.Name, c.At, func(work context.Context, t *singleton.OwnedLease) error { return c.work(work, t, s, &h) })
 	go func() {
 		select {
 		case <-done:
@@ -69,7 +69,7 @@
 }
 
 // work runs the command in an office, under a guard: a process that ends it in time though this one is stopped or killed.
-func (c dutyHold) work(ctx context.Context, t *singleton.HeldLease, s streams, h *holds) error {
+func (c dutyHold) work(ctx context.Context, t *singleton.OwnedLease, s streams, h *holds) error {
 	h.code = exitBroken
 	self, err := os.Executable()
 	if err != nil {
