--- a/internal/sidecar/registry/membership.go
+++ b/internal/sidecar/registry/membership.go
@@ -45,7 +45,7 @@
 	if _, err := n.propose(r.Context(), command); err != nil {
 		return err
 	}
-	n.log.Info("keeper joined", "keeper", request.Name)
+	n.log.Info("node joined", "node", request.Name)
 	return n.replyPeers(w)
 }
 
@@ -67,7 +67,7 @@
 	if err := n.replica.Forget(name); err != nil {
 		return membershipError(err)
 	}
-	n.log.Warn("a keeper lost its store, and its vote", "keeper", name)
+	n.log.Warn("a node lost its store, and its vote", "node", name)
 	reply(w, http.StatusAccepted, problem{Code: "removed", Reason: name + " has no vote: it can join"})
 	return nil
 }
@@ -97,7 +97,7 @@
 			return err
 		}
 	}
-	n.log.Info("keeper removed", "keeper", name)
+	n.log.Info("node removed", "node", name)
 	return n.replyPeers(w)
 }
 
--- a/internal/sidecar/registry/rolelessor.go
+++ b/internal/sidecar/registry/rolelessor.go
@@ -170,7 +170,7 @@
 		result, err := n.proposeRole(ctx, state.StartLeaseTerm, state.RoleCall{})
 		if err != nil {
 			if ctx.Err() == nil {
-				n.log.Warn("duties", "err", err) // the next round tries again
+				n.log.Warn("role leases", "err", err) // the next round tries again
 			}
 			return 0, false
 		}
@@ -194,9 +194,9 @@
 		return
 	}
 	for _, lease := range call.Ended {
-		n.log.Info("duty ended", "name", lease.Name, "epoch", lease.Epoch)
+		n.log.Info("role lease ended", "name", lease.Name, "epoch", lease.Epoch)
 	}
 	if _, err := n.proposeRole(ctx, state.EndRoleLeases, call); err != nil && ctx.Err() == nil {
-		n.log.Warn("duties", "err", err) // they are evaluated again
+		n.log.Warn("role leases", "err", err) // they are evaluated again
 	}
 }
--- a/internal/sidecar/singleton/ownedlease.go
+++ b/internal/sidecar/singleton/ownedlease.go
@@ -23,7 +23,7 @@
 var (
 	ErrHandedOver = errors.New("handed over")
 	ErrGaveUp     = errors.New("given up")
-	ErrLeaseLost  = errors.New("the office is lost")
+	ErrLeaseLost  = errors.New("the lease is lost")
 )
 
 // OwnedLease is a lease of the process, with the work that runs under it.
--- a/internal/sidecar/singleton/runner.go
+++ b/internal/sidecar/singleton/runner.go
@@ -152,7 +152,7 @@
 func (r *Runner) watch(ctx context.Context) {
 	err := client.WatchRoles(ctx, r.options.Registry, r.process, r.options.Log, func(client.RolesUpdate) { signal(r.renewNow) })
 	if err != nil {
-		r.options.Log.Error("duties", "err", err)
+		r.options.Log.Error("watch of roles", "err", err)
 	}
 }
 
@@ -180,7 +180,7 @@
 	sent := Now() // before the call: the lease counts from here
 	renewal, err := r.client.RenewRoles(callCtx, r.process)
 	if err != nil {
-		r.options.Log.Debug("duties", "err", err)
+		r.options.Log.Debug("renewal of roles", "err", err)
 		return
 	}
 	r.applyRenewal(ctx, sent, renewal)
@@ -241,7 +241,7 @@
 	if lease.HandoverRequested {
 		owned.requestHandover()
 	}
-	r.options.Log.Info("duty held", "name", lease.Name, "epoch", lease.Epoch)
+	r.options.Log.Info("role lease begins", "name", lease.Name, "epoch", lease.Epoch)
 	r.tasks.Go(func() { r.runWork(ctx, wanted, owned) })
 }
 
@@ -341,7 +341,7 @@
 		call.Step, call.StepNo = *step, &lease.StepNo
 	}
 	call.Rejoin = r.endOwned(lease.Lease, doneForGood)
-	r.options.Log.Info("duty let go", "name", lease.Name, "epoch", lease.Epoch, "err", err)
+	r.options.Log.Info("role released", "name", lease.Name, "epoch", lease.Epoch, "err", err)
 	r.release(context.WithoutCancel(ctx), lease.Lease, call)
 	r.mu.Lock()
 	wanted.lease = nil
