--- a/cmd/gradeusher/duty.go
+++ b/cmd/gradeusher/duty.go
@@ -33,37 +33,37 @@
 // Run prints them, with every change that was acknowledged before.
 func (c dutyList) Run(ctx context.Context, s streams) error {
 	return c.call(ctx, func(ctx context.Context, k *client.Client) error {
-		n, err := k.Duties(ctx, c.Name)
+		n, err := k.Roles(ctx, c.Name)
 		if err != nil {
 			return err
 		}
-		if c.Name != "" && len(n.Duties) == 0 {
+		if c.Name != "" && len(n.Roles) == 0 {
 			return fmt.Errorf("no duty %q", c.Name)
 		}
 		if c.JSON {
 			return json.NewEncoder(s.out).Encode(n)
 		}
-		for _, d := range n.Duties {
+		for _, d := range n.Roles {
 			printDuty(s, d)
 		}
 		return nil
 	})
 }
 
-func printDuty(s streams, d state.Duty) {
+func printDuty(s streams, d state.Role) {
 	held := "nobody"
-	if h := d.Holder; h != nil {
-		held = fmt.Sprintf("%s since %s, lease %v", h.Who, time.UnixMilli(d.SinceMS).UTC().Format(time.RFC3339), time.Duration(h.TTLMS)*time.Millisecond)
+	if h := d.Owner; h != nil {
+		held = fmt.Sprintf("%s since %s, lease %v", h.Process, time.UnixMilli(d.SinceMS).UTC().Format(time.RFC3339), time.Duration(h.TTLMS)*time.Millisecond)
 	}
-	if d.Asked {
-		held += ", asked to hand over to " + cmp.Or(d.To, "the next")
+	if d.HandoverRequested {
+		held += ", asked to hand over to " + cmp.Or(d.Successor, "the next")
 	}
-	if d.Barred {
+	if d.RenewalBarred {
 		held += ", out at the end of its lease"
 	}
 	fmt.Fprintf(s.out, "%-20s epoch %-4d step %-4d held by %s; %d wait\n", d.Name, d.Epoch, d.StepNo, held, len(d.Waiting))
-	for _, f := range d.Failed {
-		fmt.Fprintf(s.out, "%-20s %s failed %d times, passed over until %s\n", "", f.Name, f.Times, time.UnixMilli(f.UntilMS).UTC().Format(time.RFC3339))
+	for _, f := range d.Failures {
+		fmt.Fprintf(s.out, "%-20s %s failed %d times, passed over until %s\n", "", f.Name, f.Count, time.UnixMilli(f.UntilMS).UTC().Format(time.RFC3339))
 	}
 }
 
@@ -75,7 +75,7 @@
 
 // Run asks the holder.
 func (c dutyRelease) Run(ctx context.Context, s streams) error {
-	return c.ask(ctx, s, c.Name, client.DutyCall{Force: c.Force})
+	return c.ask(ctx, s, c.Name, client.RoleCall{Force: c.Force})
 }
 
 type dutyMove struct {
@@ -87,15 +87,15 @@
 
 // Run asks the holder.
 func (c dutyMove) Run(ctx context.Context, s streams) error {
-	return c.ask(ctx, s, c.Name, client.DutyCall{To: c.To, Force: c.Force})
+	return c.ask(ctx, s, c.Name, client.RoleCall{Successor: c.To, Force: c.Force})
 }
 
 // ask has a holder asked to hand over, and says what stands then.
-func (f keepersFlag) ask(ctx context.Context, s streams, name string, q client.DutyCall) error {
+func (f keepersFlag) ask(ctx context.Context, s streams, name string, q client.RoleCall) error {
 	return f.call(ctx, func(ctx context.Context, k *client.Client) error {
-		d, err := k.ChangeDuty(ctx, client.Move, name, q)
+		d, err := k.ChangeRole(ctx, client.Move, name, q)
 		if err == nil {
-			printDuty(s, d.Duty)
+			printDuty(s, d.Role)
 		}
 		return err
 	})
@@ -111,8 +111,8 @@
 
 // Run waits and sweeps until interrupted.
 func (c dutySweep) Run(ctx context.Context, s streams) error {
-	if c.Every <= 0 || c.Idle < state.LeastIdle {
-		return fmt.Errorf("%w: --every has to be above 0, and --idle %v at least", errUsage, state.LeastIdle)
+	if c.Every <= 0 || c.Idle < state.MinIdle {
+		return fmt.Errorf("%w: --every has to be above 0, and --idle %v at least", errUsage, state.MinIdle)
 	}
 	log := slog.New(slog.NewTextHandler(s.err, nil))
 	name, err := processName(c.As)
--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -22,7 +22,7 @@
 
 const (
 	root       = ".."
-	mostColumn = 110  // characters of a line; a tab counts as one
+	mostColumn = 110 // characters of a line; a tab counts as one
 )
 
 type deployment struct {
