--- a/internal/system/config/config_test.go
+++ b/internal/system/config/config_test.go
@@ -69,7 +69,7 @@
 	fmt.Fprintf(&b, "revision %d\n", c.Revision)
 	for _, r := range c.Routes {
 		fmt.Fprintf(&b, "route %s %s %s category=%d timeout=%v aim=%v gap=%v priority=%d tries=%d", r.Name, r.Host, r.Prefix,
-			r.Category, r.Timeout, r.LatencyTarget, r.EventGapTarget, r.Priority, r.MaxTries)
+			r.Category, r.Timeout, r.LatencyTarget, r.EventGapTarget, r.Priority, r.MaxAttempts)
 		if r.Sticky {
 			b.WriteString(" sticky")
 		}
@@ -89,7 +89,7 @@
 	}
 	for _, name := range c.serviceNames {
 		s := c.Services[name]
-		fmt.Fprintf(&b, "service %s health=%s conns=%d cold=%v at %g/s", s.Name, s.HealthPath, s.MaxConns, s.WarmUpTime, s.WarmUpRate)
+		fmt.Fprintf(&b, "service %s health=%s conns=%d cold=%v at %g/s", s.Name, s.HealthPath, s.MaxConns, s.WarmUpTime, s.WarmUpRequestsPerSecond)
 		if s.Engine != nil {
 			e := s.Engine
 			fmt.Fprintf(&b, " engine={Slots:%d CacheTokens:%d Stride:%d Models:%v}", e.Slots, e.CacheTokens, e.TokensPerEvent, e.Models)
@@ -97,7 +97,7 @@
 		b.WriteByte('\n')
 	}
 	l := c.Limits
-	fmt.Fprintf(&b, "limits {HeaderBytes:%d BodyBytes:%d HeaderTimeout:%v Idle:%v}", l.HeaderBytes, l.BodyBytes, l.HeaderTimeout, l.IdleTimeout)
+	fmt.Fprintf(&b, "limits {HeaderBytes:%d BodyBytes:%d HeaderTimeout:%v Idle:%v}", l.MaxHeaderBytes, l.MaxBodyBytes, l.HeaderTimeout, l.IdleTimeout)
 	return b.String()
 }
 
@@ -239,7 +239,7 @@
 	seen, places := map[string]bool{}, map[[2]string]bool{}
 	for _, r := range c.Routes {
 		place := [2]string{hostKey(r.Host), r.Prefix}
-		if seen[r.Name] || places[place] || r.Name == "" || r.Timeout <= 0 || r.Timeout > maxDuration || r.MaxTries < 1 {
+		if seen[r.Name] || places[place] || r.Name == "" || r.Timeout <= 0 || r.Timeout > maxDuration || r.MaxAttempts < 1 {
 			t.Fatalf("%+v", r)
 		}
 		seen[r.Name], places[place] = true, true
--- a/internal/system/config/parse.go
+++ b/internal/system/config/parse.go
@@ -3,7 +3,7 @@
 import "bytes"
 
 // Limits where the configuration has none.
-var defaultLimits = Limits{HeaderBytes: 16 << 10, BodyBytes: 4 << 20, HeaderTimeout: 3e9, IdleTimeout: 15e9}
+var defaultLimits = Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 4 << 20, HeaderTimeout: 3e9, IdleTimeout: 15e9}
 
 // Parse reads and checks a whole configuration. The result keeps raw, which must not be changed afterwards. Fields that
 // it does not know are passed over. Every error is an ErrInvalid.
--- a/internal/system/config/route.go
+++ b/internal/system/config/route.go
@@ -18,7 +18,7 @@
 		Timeout:        object.durationField("timeout_ms", time.Millisecond, -1),
 		EventGapTarget: object.durationField("gap_aim_ms", time.Millisecond, 0),
 		Priority:       int(object.integerField("priority", math.MaxInt32)),
-		MaxTries:       max(1, int(object.integerField("max_tries", math.MaxInt32))),
+		MaxAttempts:    max(1, int(object.integerField("max_tries", math.MaxInt32))),
 		Sticky:         object.boolField("sticky"), Resumable: object.boolField("resumable"),
 	}
 	route.LatencyTarget = object.durationField("target_latency_ms", time.Millisecond, route.Timeout)
--- a/internal/system/config/service.go
+++ b/internal/system/config/service.go
@@ -14,9 +14,9 @@
 	}
 	service := &Service{
 		Name: name, HealthPath: object.stringField("health_path", false),
-		MaxConns:   int(object.integerField("max_conns", math.MaxInt32)),
-		WarmUpTime: object.durationField("cold_s", time.Second, 0),
-		WarmUpRate: object.nonNegativeNumber("cold_per_s", 0),
+		MaxConns:                int(object.integerField("max_conns", math.MaxInt32)),
+		WarmUpTime:              object.durationField("cold_s", time.Second, 0),
+		WarmUpRequestsPerSecond: object.nonNegativeNumber("cold_per_s", 0),
 	}
 	if e := object.get("engine"); e != nil {
 		if e.Type() != fastjson.TypeObject {
--- a/internal/system/config/types.go
+++ b/internal/system/config/types.go
@@ -29,7 +29,7 @@
 	EventGapTarget     time.Duration // streams: the longest pause between events that is in time; 0: not told
 	Priority           int           // 0 is the highest
 	Shares             []Share       // one at least; in the operator's order
-	MaxTries           int           // servers that one try may be sent to, 1 at least
+	MaxAttempts        int           // servers that one try may be sent to, 1 at least
 	Sticky, Resumable  bool
 	HomeRegions        []string // regions; empty: everywhere
 }
@@ -49,17 +49,17 @@
 
 // Service is one entry of services.
 type Service struct {
-	Name, HealthPath string
-	MaxConns         int           // connections that a server accepts from all callers together
-	WarmUpTime       time.Duration // how long a server started during traffic stays cold
-	WarmUpRate       float64       // requests a second that a cold server bears; 0: no bound
-	Engine           *Engine       // nil: no model servers
+	Name, HealthPath        string
+	MaxConns                int           // connections that a server accepts from all callers together
+	WarmUpTime              time.Duration // how long a server started during traffic stays cold
+	WarmUpRequestsPerSecond float64       // requests a second that a cold server bears; 0: no bound
+	Engine                  *Engine       // nil: no model servers
 }
 
 // Limits bound what a client may send, and how long it may take or remain idle.
 type Limits struct {
-	HeaderBytes, BodyBytes     int64
-	HeaderTimeout, IdleTimeout time.Duration
+	MaxHeaderBytes, MaxBodyBytes int64
+	HeaderTimeout, IdleTimeout   time.Duration
 }
 
 // Config is a whole configuration, checked. It is never changed once made, so it may be shared between goroutines.
--- a/internal/system/process/metrics.go
+++ b/internal/system/process/metrics.go
@@ -28,7 +28,7 @@
 	calls.HandleFunc("GET "+MetricsPath, func(w http.ResponseWriter, _ *http.Request) {
 		metrics.WritePrometheus(w, false)
 	})
-	group.HTTP(ctx, l, calls)
+	group.ServeHTTP(ctx, l, calls)
 	return nil
 }
 
--- a/internal/system/process/process.go
+++ b/internal/system/process/process.go
@@ -94,8 +94,8 @@
 	})
 }
 
-// HTTP serves h at l until ctx is done, with h's ConnContext if it has one; calls that are under way then have a moment to end.
-func (g *Group) HTTP(ctx context.Context, l net.Listener, h http.Handler) {
+// ServeHTTP serves h at l until ctx is done, with h's ConnContext if it has one; calls that are under way then have a moment to end.
+func (g *Group) ServeHTTP(ctx context.Context, l net.Listener, h http.Handler) {
 	const moment = 300 * time.Millisecond
 	server := &http.Server{Handler: h, ReadHeaderTimeout: headWithin, IdleTimeout: idleWithin, MaxHeaderBytes: headBytes,
 		ErrorLog: stdlog.New(io.Discard, "", 0), BaseContext: func(net.Listener) context.Context { return ctx }}
--- a/internal/system/proxy/clientrequest.go
+++ b/internal/system/proxy/clientrequest.go
@@ -78,7 +78,7 @@
 func (c *clientRequest) mayRetry(mayHaveRun bool) bool {
 	knobs := &c.proxy.options.TestingKnobs
 	switch {
-	case len(c.triedServers) >= max(c.route.MaxTries, 1):
+	case len(c.triedServers) >= max(c.route.MaxAttempts, 1):
 		return false
 	case c.headSent:
 		return (c.route.Resumable || knobs.ResumeAnyStream) && c.lastEventID != ""
--- a/internal/system/proxy/exactlyonce_test.go
+++ b/internal/system/proxy/exactlyonce_test.go
@@ -143,10 +143,10 @@
 // startServers starts the scripted servers and returns the cluster state in which a proxy knows them.
 func (w *scenarioRun) startServers() (pick.ClusterState, error) {
 	route := &config.Route{Name: "r", Host: "h.example", Prefix: "/a/", Category: w.Category, Resumable: w.Resumable,
-		Timeout: 8 * time.Second, MaxTries: w.MaxTries, Shares: []config.Share{{Service: "s", Weight: 1}}}
+		Timeout: 8 * time.Second, MaxAttempts: w.MaxTries, Shares: []config.Share{{Service: "s", Weight: 1}}}
 	state := pick.ClusterState{Config: &config.Config{Revision: 1, Routes: []*config.Route{route},
 		Services: map[string]*config.Service{"s": {Name: "s", MaxConns: 100}},
-		Limits:   config.Limits{HeaderBytes: 16 << 10, BodyBytes: 4 << 20}}}
+		Limits:   config.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 4 << 20}}}
 	for i, behaviours := range w.Servers {
 		server, err := w.start(behaviours)
 		if err != nil {
--- a/internal/system/proxy/pick/conformance_test.go
+++ b/internal/system/proxy/pick/conformance_test.go
@@ -210,7 +210,7 @@
 		line := newStateLine(c, words)
 		switch line.words[0] {
 		case "service":
-			b.state.Config.Services[words[1]] = &config.Service{Name: words[1], WarmUpRate: line.number("cold", 0)}
+			b.state.Config.Services[words[1]] = &config.Service{Name: words[1], WarmUpRequestsPerSecond: line.number("cold", 0)}
 		case "route":
 			b.state.Config.Routes = append(b.state.Config.Routes, line.route())
 		case "server":
@@ -261,7 +261,7 @@
 }
 
 func (l *stateLine) route() *config.Route {
-	r := &config.Route{Name: l.words[1], Host: "h", Prefix: l.words[1], MaxTries: int(l.number("tries", 2)), Priority: int(l.number("priority", 0)),
+	r := &config.Route{Name: l.words[1], Host: "h", Prefix: l.words[1], MaxAttempts: int(l.number("tries", 2)), Priority: int(l.number("priority", 0)),
 		Timeout: 10 * time.Second, LatencyTarget: time.Second, Category: config.NonIdempotent}
 	if l.options["repeat"] == "yes" {
 		r.Category = config.Idempotent
--- a/internal/system/proxy/pick/eligibility.go
+++ b/internal/system/proxy/pick/eligibility.go
@@ -45,5 +45,5 @@
 
 // canRetry reports whether the request could be retried at another server after this attempt.
 func (input *pickInput) canRetry() bool {
-	return len(input.tried) == 0 && input.request.Route.MaxTries > 1
+	return len(input.tried) == 0 && input.request.Route.MaxAttempts > 1
 }
--- a/internal/system/proxy/pick/property_test.go
+++ b/internal/system/proxy/pick/property_test.go
@@ -14,7 +14,7 @@
 // drawClusterState draws a deployment of two services and three zones in two regions.
 func drawClusterState(t *rapid.T, age int) ClusterState {
 	w := ClusterState{Self: "p1", Peers: []string{"p1", "p2", "p3"}, Evacuated: map[string]bool{}, Config: &config.Config{Services: map[string]*config.Service{
-		"lm":  {Name: "lm", WarmUpRate: 30, Engine: &config.Engine{Slots: 4, CacheTokens: 50000}},
+		"lm":  {Name: "lm", WarmUpRequestsPerSecond: 30, Engine: &config.Engine{Slots: 4, CacheTokens: 50000}},
 		"app": {Name: "app"},
 	}}}
 	if rapid.Bool().Draw(t, "evacuated") {
@@ -22,7 +22,7 @@
 	}
 	for i := range rapid.IntRange(1, 4).Draw(t, "routes") {
 		r := &config.Route{Name: fmt.Sprint(i), Host: "h", Prefix: fmt.Sprintf("/%d/", i), Timeout: 8 * time.Second, LatencyTarget: time.Second,
-			MaxTries: rapid.IntRange(1, 3).Draw(t, "tries"), Category: config.Category(rapid.IntRange(0, 2).Draw(t, "category")),
+			MaxAttempts: rapid.IntRange(1, 3).Draw(t, "tries"), Category: config.Category(rapid.IntRange(0, 2).Draw(t, "category")),
 			Resumable: rapid.Bool().Draw(t, "resumable")}
 		r.Shares = []config.Share{{Service: "lm", Weight: 1}, {Service: "app", Weight: float64(rapid.IntRange(0, 3).Draw(t, "weight"))}}
 		if rapid.Bool().Draw(t, "bound") {
@@ -154,7 +154,7 @@
 	if request.offered && !route.Idempotent() {
 		run.Fatal("a request may run twice")
 	}
-	if request.arrived >= route.MaxTries {
+	if request.arrived >= route.MaxAttempts {
 		run.Fatal("more tries than max_tries")
 	}
 	listed := slices.IndexFunc(run.state.Servers, func(s Server) bool { return s.ID == result.Server.ID })
@@ -283,8 +283,8 @@
 func newMemberChange(t *rapid.T) *memberChange {
 	run := &memberChange{rate: float64(rapid.IntRange(1, 60).Draw(t, "rate"))}
 	count := rapid.IntRange(1, 30).Draw(t, "proxies")
-	run.config = &config.Config{Services: map[string]*config.Service{"a": {Name: "a", WarmUpRate: run.rate}}}
-	run.config.Routes = []*config.Route{{Host: "h", Prefix: "/", MaxTries: 1, Shares: []config.Share{{Service: "a", Weight: 1}}}}
+	run.config = &config.Config{Services: map[string]*config.Service{"a": {Name: "a", WarmUpRequestsPerSecond: run.rate}}}
+	run.config.Routes = []*config.Route{{Host: "h", Prefix: "/", MaxAttempts: 1, Shares: []config.Share{{Service: "a", Weight: 1}}}}
 	run.before = proxyNames(0, count)
 	run.after = proxyNames(rapid.IntRange(0, count/3).Draw(t, "gone"), count+rapid.IntRange(0, count/3).Draw(t, "new"))
 	for i := range count + count/3 {
@@ -351,7 +351,7 @@
 func newRetryRun(t *rapid.T) *retryRun {
 	peers := proxyNames(0, rapid.IntRange(1, 12).Draw(t, "proxies"))
 	run := &retryRun{slack: float64(rapid.IntRange(0, 64).Draw(t, "slack"))}
-	run.route = &config.Route{Host: "h", Prefix: "/", MaxTries: 9, Shares: []config.Share{{Service: "a", Weight: 1}}, Category: config.Idempotent}
+	run.route = &config.Route{Host: "h", Prefix: "/", MaxAttempts: 9, Shares: []config.Share{{Service: "a", Weight: 1}}, Category: config.Idempotent}
 	cfg := &config.Config{Services: map[string]*config.Service{"a": {Name: "a"}}, Routes: []*config.Route{run.route}}
 	var servers []Server
 	for i := range 8 {
--- a/internal/system/proxy/pick/request.go
+++ b/internal/system/proxy/pick/request.go
@@ -31,7 +31,7 @@
 }
 
 // maxTries is how many attempts of r may reach a server.
-func (r *Request) maxTries() int { return max(r.Route.MaxTries, 1) }
+func (r *Request) maxTries() int { return max(r.Route.MaxAttempts, 1) }
 
 // Outcome is how one attempt at a server ended.
 type Outcome uint8
--- a/internal/system/proxy/pick/warmup_partition_test.go
+++ b/internal/system/proxy/pick/warmup_partition_test.go
@@ -124,7 +124,7 @@
 	before := warmUpRateInvariant.Violations()
 	tell := func(now Time, rate float64) {
 		w := f.state(0, 1, 10*time.Second-now)
-		w.Config = &config.Config{Routes: f.config.Routes, Services: map[string]*config.Service{"a": {Name: "a", WarmUpRate: rate, WarmUpTime: 10 * time.Second}}}
+		w.Config = &config.Config{Routes: f.config.Routes, Services: map[string]*config.Service{"a": {Name: "a", WarmUpRequestsPerSecond: rate, WarmUpTime: 10 * time.Second}}}
 		p.UpdateClusterState(now, w)
 	}
 	tell(0, 3.1)
--- a/internal/system/proxy/pick/warmup_quota.go
+++ b/internal/system/proxy/pick/warmup_quota.go
@@ -73,7 +73,7 @@
 	if service == nil {
 		return false // who becomes a sender once the service is named again waits for the former ones
 	}
-	rate := service.WarmUpRate
+	rate := service.WarmUpRequestsPerSecond
 	if rate <= 0 {
 		return true
 	}
--- a/internal/system/proxy/pick/warmup_state.go
+++ b/internal/system/proxy/pick/warmup_state.go
@@ -47,7 +47,7 @@
 	if s.group == nil || s.group.service == nil {
 		return 0
 	}
-	return s.group.service.WarmUpRate
+	return s.group.service.WarmUpRequestsPerSecond
 }
 
 // duration is how long servers of a service warm up; 0: they never do, as far as is known.
--- a/internal/system/proxy/requesthead.go
+++ b/internal/system/proxy/requesthead.go
@@ -46,7 +46,7 @@
 		p.respond(w, proxied.attemptID, status)
 		return
 	}
-	body := requestBody{memory: p.memory, maxBytes: config.Limits.BodyBytes}
+	body := requestBody{memory: p.memory, maxBytes: config.Limits.MaxBodyBytes}
 	defer body.release()
 	_ = proxied.controller.SetReadDeadline(proxied.deadline)
 	if err := body.read(r); err != nil {
@@ -126,13 +126,13 @@
 func checkHead(limits config.Limits, r *http.Request, route *config.Route, target string) int {
 	attemptIDs := r.Header[headerAttemptID]
 	switch {
-	case limits.HeaderBytes > 0 && headBytes(r) > limits.HeaderBytes:
+	case limits.MaxHeaderBytes > 0 && headBytes(r) > limits.MaxHeaderBytes:
 		return http.StatusRequestHeaderFieldsTooLarge
 	case route == nil || target == "":
 		return http.StatusNotFound
 	case len(attemptIDs) != 1 || attemptIDs[0] == "":
 		return http.StatusBadRequest
-	case limits.BodyBytes > 0 && r.ContentLength > limits.BodyBytes:
+	case limits.MaxBodyBytes > 0 && r.ContentLength > limits.MaxBodyBytes:
 		return http.StatusRequestEntityTooLarge
 	}
 	return 0
--- a/internal/system/proxy/response_test.go
+++ b/internal/system/proxy/response_test.go
@@ -108,7 +108,7 @@
 	t.Run("no more tries", func(t *testing.T) {
 		other := startServer(t, respondWith(200, "x"))
 		proxy := startProxy(t, []*fakeServer{startServer(t, full), other},
-			func(_ *Options, c *config.Config) { c.Routes[0].MaxTries = 1 })
+			func(_ *Options, c *config.Config) { c.Routes[0].MaxAttempts = 1 })
 		if got := proxy.roundTrip(t, "id-1", ""); got.StatusCode != http.StatusServiceUnavailable || len(other.requests) > 0 {
 			t.Errorf("status %d, %d more sends", got.StatusCode, len(other.requests))
 		}
