--- a/internal/system/config/amend.go
+++ b/internal/system/config/amend.go
@@ -108,101 +108,123 @@
 	return n
 }
 
-// appendField appends the value of one top-level appendField.
+// listChange is what an amendment does to one top-level field of the base.
+type listChange struct {
+	field           member
+	upsert, removal *member // nil: none
+}
+
+func (c listChange) isEmpty() bool { return c.upsert == nil && c.removal == nil }
+
+// appendField appends the value of one top-level field.
 func (a *amendment) appendField(out []byte, field member) ([]byte, error) {
-	upsert, removed := findMember(a.upsert, field.key), findMember(a.remove, field.key)
-	switch {
-	case field.key == "revision":
-		if upsert != nil || removed != nil {
+	change := listChange{field: field, upsert: findMember(a.upsert, field.key), removal: findMember(a.remove, field.key)}
+	switch field.key {
+	case "revision":
+		if !change.isEmpty() {
 			return nil, invalid("revision is no list: send it at the top of the amendment")
 		}
 		return append(out, a.revision...), nil
-	case field.key == "limits":
-		if removed != nil {
-			return nil, invalid("limits cannot be removed: send others under upsert")
-		}
-		if upsert == nil {
-			return append(out, field.value...), nil
-		}
-		var err error
-		a.next.Limits, err = a.decoder.limits(upsert.value)
-		return append(out, upsert.value...), err
+	case "limits":
+		return a.appendLimits(out, change)
+	case "routes":
+		return a.appendRoutes(out, change)
+	case "services":
+		return a.appendServices(out, change)
 	}
-	isRoutes, isServices := field.key == "routes", field.key == "services"
-	if upsert == nil && removed == nil {
-		if isRoutes {
-			a.next.Routes = a.base.Routes
-		} else if isServices {
-			a.next.Services, a.next.serviceNames = a.base.Services, a.base.serviceNames
-		}
-		return append(out, field.value...), nil
+	return a.appendUnknownList(out, change)
+}
+
+func (a *amendment) appendLimits(out []byte, change listChange) ([]byte, error) {
+	if change.removal != nil {
+		return nil, invalid("limits cannot be removed: send others under upsert")
+	}
+	if change.upsert == nil {
+		return append(out, change.field.value...), nil
 	}
-	switch {
-	case isRoutes:
-		return a.appendRoutes(out, field, upsert, removed)
-	case isServices:
-		return a.appendServices(out, field, upsert, removed)
+	var err error
+	a.next.Limits, err = a.decoder.limits(change.upsert.value)
+	return append(out, change.upsert.value...), err
+}
+
+func (a *amendment) appendUnknownList(out []byte, change listChange) ([]byte, error) {
+	if change.isEmpty() {
+		return append(out, change.field.value...), nil
 	}
-	l, _, err := a.mergeList(field, upsert, removed, func(raw []byte) (string, error) {
-		_, name, err := a.decoder.namedObject(raw, "member of "+field.key)
+	merged, err := a.mergeList(change, func(raw []byte) (string, error) {
+		_, name, err := a.decoder.namedObject(raw, "member of "+change.field.key)
 		return name, err
 	})
 	if err != nil {
 		return nil, err
 	}
-	return l.appendJSON(out), nil
+	return merged.appendJSON(out), nil
 }
 
-func (a *amendment) appendRoutes(out []byte, field member, upsert, removal *member) ([]byte, error) {
+func (a *amendment) appendRoutes(out []byte, change listChange) ([]byte, error) {
+	if change.isEmpty() {
+		a.next.Routes = a.base.Routes
+		return append(out, change.field.value...), nil
+	}
 	decoded := map[string]*Route{}
-	at := 0
-	merged, removed, err := a.mergeList(field, upsert, removal, func(raw []byte) (string, error) {
-		if at < len(a.base.Routes) {
-			at++
-			return a.base.Routes[at-1].Name, nil
+	index := 0
+	merged, err := a.mergeList(change, func(raw []byte) (string, error) {
+		if index < len(a.base.Routes) { // the base's routes come first, and are decoded already
+			index++
+			return a.base.Routes[index-1].Name, nil
 		}
-		r, err := a.decoder.route(raw)
+		route, err := a.decoder.route(raw)
 		if err != nil {
 			return "", err
 		}
-		decoded[r.Name] = r
-		return r.Name, nil
+		decoded[route.Name] = route
+		return route.Name, nil
 	})
 	if err != nil {
 		return nil, err
 	}
+	a.next.Routes = a.mergeRoutes(merged, decoded)
+	return merged.appendJSON(out), nil
+}
+
+// mergeRoutes returns the routes of the merged list: those decoded from the amendment, otherwise those of the base.
+func (a *amendment) mergeRoutes(merged *namedList, decoded map[string]*Route) []*Route {
 	old := make(map[string]*Route, len(a.base.Routes))
-	for _, r := range a.base.Routes {
-		old[r.Name] = r
+	for _, route := range a.base.Routes {
+		old[route.Name] = route
 	}
-	a.next.Routes = make([]*Route, 0, len(merged.names)-removed)
+	routes := make([]*Route, 0, len(merged.names)-merged.removed)
 	for i, name := range merged.names {
 		if merged.items[i] == nil {
 			continue
 		}
-		r := decoded[name]
-		if r == nil {
-			r = old[name]
+		route := decoded[name]
+		if route == nil {
+			route = old[name]
 		}
-		a.next.Routes = append(a.next.Routes, r)
+		routes = append(routes, route)
 	}
-	return merged.appendJSON(out), nil
+	return routes
 }
 
-func (a *amendment) appendServices(out []byte, field member, upsert, removal *member) ([]byte, error) {
+func (a *amendment) appendServices(out []byte, change listChange) ([]byte, error) {
+	if change.isEmpty() {
+		a.next.Services, a.next.serviceNames = a.base.Services, a.base.serviceNames
+		return append(out, change.field.value...), nil
+	}
 	services := maps.Clone(a.base.Services)
-	at := 0
-	merged, _, err := a.mergeList(field, upsert, removal, func(raw []byte) (string, error) {
-		if at < len(a.base.serviceNames) {
-			at++
-			return a.base.serviceNames[at-1], nil
+	index := 0
+	merged, err := a.mergeList(change, func(raw []byte) (string, error) {
+		if index < len(a.base.serviceNames) { // the base's services come first, and are decoded already
+			index++
+			return a.base.serviceNames[index-1], nil
 		}
-		s, err := a.decoder.service(raw)
+		service, err := a.decoder.service(raw)
 		if err != nil {
 			return "", err
 		}
-		services[s.Name] = s
-		return s.Name, nil
+		services[service.Name] = service
+		return service.Name, nil
 	})
 	if err != nil {
 		return nil, err
@@ -218,62 +240,41 @@
 	return merged.appendJSON(out), nil
 }
 
-// mergeList splits a list of base, and puts the amendment's items in their places. nameOf is called for the items of base in
-// order, then for those of the amendment. An item taken out is nil.
-func (a *amendment) mergeList(f member, up, gone *member, nameOf func([]byte) (string, error)) (*namedList, int, error) {
-	l := &namedList{indexOf: map[string]int{}}
-	add := func(raw []byte) error {
+// mergeList splits a list of base, removes items and puts the amendment's items in their places. nameOf is called for the items
+// of base in order, then for those of the amendment.
+func (a *amendment) mergeList(change listChange, nameOf func([]byte) (string, error)) (*namedList, error) {
+	merged := &namedList{indexOf: map[string]int{}}
+	err := a.decoder.forEachItem(change.field, func(raw []byte) error {
 		name, err := nameOf(raw)
 		if err == nil {
-			l.indexOf[name] = len(l.names)
-			l.names, l.items = append(l.names, name), append(l.items, raw)
+			merged.add(name, raw)
 		}
 		return err
-	}
-	if err := a.decoder.forEachItem(f, add); err != nil {
-		return nil, 0, err
-	}
-	removed := 0
-	if gone != nil {
-		err := a.decoder.forEachItem(*gone, func(raw []byte) error {
+	})
+	if err == nil && change.removal != nil {
+		err = a.decoder.forEachItem(*change.removal, func(raw []byte) error {
 			name, err := unquote(raw)
-			if err != nil {
-				return err
+			if err == nil {
+				merged.remove(name)
 			}
-			if i, ok := l.indexOf[name]; ok && l.items[i] != nil {
-				l.items[i] = nil
-				removed++
-			}
-			return nil
+			return err
 		})
-		if err != nil {
-			return nil, 0, err
-		}
 	}
-	if up == nil {
-		return l, removed, nil
+	if err != nil || change.upsert == nil {
+		return merged, err
 	}
 	sent := map[string]bool{}
-	err := a.decoder.forEachItem(*up, func(raw []byte) error {
+	err = a.decoder.forEachItem(*change.upsert, func(raw []byte) error {
 		name, err := nameOf(raw)
 		if err != nil {
 			return err
 		}
 		if sent[name] {
-			return invalid("upsert of %s has %q twice: leave one", f.key, name)
+			return invalid("upsert of %s has %q twice: leave one", change.field.key, name)
 		}
 		sent[name] = true
-		i, ok := l.indexOf[name]
-		if !ok {
-			l.indexOf[name] = len(l.names)
-			l.names, l.items = append(l.names, name), append(l.items, raw)
-			return nil
-		}
-		if l.items[i] == nil {
-			removed--
-		}
-		l.items[i] = raw
+		merged.upsert(name, raw)
 		return nil
 	})
-	return l, removed, err
+	return merged, err
 }
--- a/internal/system/config/decoder.go
+++ b/internal/system/config/decoder.go
@@ -6,6 +6,9 @@
 	"github.com/valyala/fastjson"
 )
 
+// maxExactInteger is the largest integer up to which a float64 has each.
+const maxExactInteger = 1 << 53
+
 // itemDecoder reads items with one parser, so that memory for the JSON of one item is all that it takes.
 type itemDecoder struct {
 	parser fastjson.Parser
@@ -45,15 +48,17 @@
 	if err != nil || v.Type() != fastjson.TypeNumber {
 		return 0, invalid("revision is no number: send a whole number above 0")
 	}
-	n, err := v.Int64()
-	if err != nil {
-		f := v.GetFloat64()
-		if n = int64(f); float64(n) != f || math.Abs(f) > 1<<53 {
+	number, err := v.Int64()
+	if err != nil { // it may be written as 3.0 or 1e3
+		float := v.GetFloat64()
+		number = int64(float)
+		isExact := float64(number) == float && math.Abs(float) <= maxExactInteger
+		if !isExact {
 			return 0, invalid("revision %s is no whole number: send one above 0", raw)
 		}
 	}
-	if n <= 0 {
-		return 0, invalid("revision %d is not above 0: send a higher one", n)
+	if number <= 0 {
+		return 0, invalid("revision %d is not above 0: send a higher one", number)
 	}
-	return n, nil
+	return number, nil
 }
--- a/internal/system/config/json.go
+++ b/internal/system/config/json.go
@@ -61,49 +61,54 @@
 	return i
 }
 
-// valueEnd returns the index behind the value that begins at i of a valid body.
-func valueEnd(raw []byte, i int) int {
-	if i >= len(raw) {
+// valueEnd returns the index behind the value that begins at start of a valid body.
+func valueEnd(raw []byte, start int) int {
+	if start >= len(raw) {
 		return len(raw)
 	}
-	switch raw[i] {
+	switch raw[start] {
 	case '"':
-		return stringEnd(raw, i)
+		return stringEnd(raw, start)
 	case '{', '[':
-		for depth := 0; i < len(raw); i++ {
-			switch raw[i] {
-			case '"':
-				i = stringEnd(raw, i) - 1
-			case '{', '[':
-				depth++
-			case '}', ']':
-				if depth--; depth == 0 {
-					return i + 1
-				}
+		return compositeEnd(raw, start)
+	}
+	end := start
+	for end < len(raw) && bytes.IndexByte([]byte(",]} \n\t\r"), raw[end]) < 0 {
+		end++
+	}
+	return end
+}
+
+// compositeEnd returns the index behind the object or array that begins at start.
+func compositeEnd(raw []byte, start int) int {
+	depth := 0
+	for i := start; i < len(raw); i++ {
+		switch raw[i] {
+		case '"':
+			i = stringEnd(raw, i) - 1
+		case '{', '[':
+			depth++
+		case '}', ']':
+			if depth--; depth == 0 {
+				return i + 1
 			}
 		}
-		return len(raw)
 	}
-	for i < len(raw) && bytes.IndexByte([]byte(",]} \n\t\r"), raw[i]) < 0 {
-		i++
-	}
-	return i
+	return len(raw)
 }
 
-// forEachElement calls f with each element of raw, a valid array; false where raw is no array.
-func forEachElement(raw []byte, f func(value []byte) error) (bool, error) {
-	i := skipSpace(raw, 0)
-	if i >= len(raw) || raw[i] != '[' {
+// forEachElement calls visit with each element of raw, a valid array; false where raw is no array.
+func forEachElement(raw []byte, visit func(value []byte) error) (bool, error) {
+	position := skipSpace(raw, 0)
+	if position >= len(raw) || raw[position] != '[' {
 		return false, nil
 	}
-	for i = skipSpace(raw, i+1); i < len(raw) && raw[i] != ']'; {
-		end := valueEnd(raw, i)
-		if err := f(raw[i:end]); err != nil {
+	for position = skipSpace(raw, position+1); position < len(raw) && raw[position] != ']'; {
+		end := valueEnd(raw, position)
+		if err := visit(raw[position:end]); err != nil {
 			return true, err
 		}
-		if i = skipSpace(raw, end); i < len(raw) && raw[i] == ',' {
-			i = skipSpace(raw, i+1)
-		}
+		position = skipComma(raw, end)
 	}
 	return true, nil
 }
@@ -118,37 +123,53 @@
 
 // members returns the members of raw, a valid object, in order. A name that comes twice is an error.
 func members(raw []byte, what string) ([]member, error) {
-	i := skipSpace(raw, 0)
-	if i >= len(raw) || raw[i] != '{' {
+	position := skipSpace(raw, 0)
+	if position >= len(raw) || raw[position] != '{' {
 		return nil, invalid("%s is no object: send {...}", what)
 	}
 	var all []member
 	seen := map[string]bool{}
-	for i = skipSpace(raw, i+1); i < len(raw) && raw[i] != '}'; {
-		keyEnd := valueEnd(raw, i)
-		key, err := unquote(raw[i:keyEnd])
+	for position = skipSpace(raw, position+1); position < len(raw) && raw[position] != '}'; {
+		next, end, err := memberAt(raw, position, what)
 		if err != nil {
 			return nil, err
 		}
-		if seen[key] {
-			return nil, invalid("%s has %q twice: leave one", what, key)
-		}
-		seen[key] = true
-		start := skipSpace(raw, keyEnd)
-		start = skipSpace(raw, start+1) // the colon
-		end := valueEnd(raw, start)
-		if start > end {
-			return nil, invalid("%s is cut short: send it whole", what)
-		}
-		value := raw[start:end]
-		all = append(all, member{key: key, rawKey: raw[i:keyEnd], value: value, isNull: string(value) == "null"})
-		if i = skipSpace(raw, end); i < len(raw) && raw[i] == ',' {
-			i = skipSpace(raw, i+1)
+		if seen[next.key] {
+			return nil, invalid("%s has %q twice: leave one", what, next.key)
 		}
+		seen[next.key] = true
+		all = append(all, next)
+		position = skipComma(raw, end)
 	}
 	return all, nil
 }
 
+// memberAt reads the member that begins at position, and returns the index behind it.
+func memberAt(raw []byte, position int, what string) (found member, end int, err error) {
+	keyEnd := valueEnd(raw, position)
+	key, err := unquote(raw[position:keyEnd])
+	if err != nil {
+		return member{}, 0, err
+	}
+	colon := skipSpace(raw, keyEnd)
+	start := skipSpace(raw, colon+1)
+	end = valueEnd(raw, start)
+	if start > end {
+		return member{}, 0, invalid("%s is cut short: send it whole", what)
+	}
+	value := raw[start:end]
+	return member{key: key, rawKey: raw[position:keyEnd], value: value, isNull: string(value) == "null"}, end, nil
+}
+
+// skipComma returns the index of the next element or member behind the one that ends at i.
+func skipComma(raw []byte, i int) int {
+	i = skipSpace(raw, i)
+	if i < len(raw) && raw[i] == ',' {
+		i = skipSpace(raw, i+1)
+	}
+	return i
+}
+
 // unquote returns the text of a valid JSON string.
 func unquote(raw []byte) (string, error) {
 	if len(raw) >= 2 && raw[0] == '"' && bytes.IndexByte(raw, '\\') < 0 {
@@ -161,45 +182,62 @@
 	return string(v.GetStringBytes()), nil
 }
 
-// rejectDuplicateKeys fails where an object inside v has a name twice: which one counts would be anyone's guess.
+// rejectDuplicateKeys fails where an object inside v has a name twice: which of the values counts is not defined (RFC 8259, 4).
 func rejectDuplicateKeys(v *fastjson.Value, what string) error {
 	switch v.Type() {
 	case fastjson.TypeArray:
-		for _, e := range v.GetArray() {
-			if err := rejectDuplicateKeys(e, what); err != nil {
+		for _, element := range v.GetArray() {
+			if err := rejectDuplicateKeys(element, what); err != nil {
 				return err
 			}
 		}
 	case fastjson.TypeObject:
-		o := v.GetObject()
-		var few [24][]byte
-		keys, many := few[:0], map[string]bool(nil)
-		if o.Len() > len(few) {
-			many = make(map[string]bool, o.Len())
-		}
-		var err error
-		o.Visit(func(key []byte, e *fastjson.Value) {
-			if err != nil {
-				return
-			}
-			if many != nil {
-				if many[string(key)] {
-					err = invalid("%s has %q twice: leave one", what, key)
-					return
-				}
-				many[string(key)] = true
-			} else {
-				for _, k := range keys {
-					if bytes.Equal(k, key) {
-						err = invalid("%s has %q twice: leave one", what, key)
-						return
-					}
-				}
-				keys = append(keys, key)
-			}
-			err = rejectDuplicateKeys(e, what)
-		})
-		return err
+		return rejectDuplicateKeysOf(v.GetObject(), what)
 	}
 	return nil
 }
+
+func rejectDuplicateKeysOf(object *fastjson.Object, what string) error {
+	var keys keySet
+	if object.Len() > len(keys.few) {
+		keys.many = make(map[string]bool, object.Len())
+	}
+	var err error
+	object.Visit(func(key []byte, value *fastjson.Value) {
+		if err != nil {
+			return
+		}
+		if !keys.add(key) {
+			err = invalid("%s has %q twice: leave one", what, key)
+			return
+		}
+		err = rejectDuplicateKeys(value, what)
+	})
+	return err
+}
+
+// keySet is a set of an object's names. Most objects have few, which need no map.
+type keySet struct {
+	few   [24][]byte
+	count int             // of few
+	many  map[string]bool // in place of few where it is not nil
+}
+
+// add returns false where key is in the set already.
+func (s *keySet) add(key []byte) bool {
+	if s.many != nil {
+		if s.many[string(key)] {
+			return false
+		}
+		s.many[string(key)] = true
+		return true
+	}
+	for _, known := range s.few[:s.count] {
+		if bytes.Equal(known, key) {
+			return false
+		}
+	}
+	s.few[s.count] = key
+	s.count++
+	return true
+}
--- a/internal/system/config/namedlist.go
+++ b/internal/system/config/namedlist.go
@@ -4,7 +4,34 @@
 type namedList struct {
 	names   []string
 	items   [][]byte
-	indexOf map[string]int // index by name
+	indexOf map[string]int // by name
+	removed int            // number of items that are nil
+}
+
+func (l *namedList) add(name string, raw []byte) {
+	l.indexOf[name] = len(l.names)
+	l.names, l.items = append(l.names, name), append(l.items, raw)
+}
+
+// remove takes out the item called name; its position stays for an item of that name that is upserted later.
+func (l *namedList) remove(name string) {
+	if i, ok := l.indexOf[name]; ok && l.items[i] != nil {
+		l.items[i] = nil
+		l.removed++
+	}
+}
+
+// upsert replaces the item called name at its position, and adds it at the end where there is none.
+func (l *namedList) upsert(name string, raw []byte) {
+	i, ok := l.indexOf[name]
+	if !ok {
+		l.add(name, raw)
+		return
+	}
+	if l.items[i] == nil {
+		l.removed--
+	}
+	l.items[i] = raw
 }
 
 // appendJSON appends the list as JSON.
--- a/internal/system/config/parse.go
+++ b/internal/system/config/parse.go
@@ -1,9 +1,12 @@
 package config
 
-import "bytes"
+import (
+	"bytes"
+	"time"
+)
 
 // Limits where the configuration has none.
-var defaultLimits = Limits{HeaderBytes: 16 << 10, BodyBytes: 4 << 20, HeaderTimeout: 3e9, IdleTimeout: 15e9}
+var defaultLimits = Limits{HeaderBytes: 16 << 10, BodyBytes: 4 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 
 // Parse reads and checks a whole configuration. The result keeps raw, which must not be changed afterwards. Fields that
 // it does not know are passed over. Every error is an ErrInvalid.
@@ -17,46 +20,19 @@
 	}
 	parsed := &Config{Raw: raw, Limits: defaultLimits, Services: map[string]*Service{}}
 	decoder := newDecoder()
-	var sawRevision, sawRoutes, sawServices bool
+	seen := map[string]bool{}
 	for _, field := range fields {
-		switch field.key {
-		case "revision":
-			sawRevision = true
-			parsed.Revision, err = decoder.revision(field.value)
-		case "services":
-			sawServices = true
-			err = decoder.forEachItem(field, func(item []byte) error {
-				s, err := decoder.service(item)
-				if err != nil {
-					return err
-				}
-				return parsed.addService(s)
-			})
-		case "routes":
-			sawRoutes = true
-			parsed.Routes = make([]*Route, 0, bytes.Count(field.value, []byte(`"path_prefix"`)))
-			err = decoder.forEachItem(field, func(item []byte) error {
-				r, err := decoder.route(item)
-				parsed.Routes = append(parsed.Routes, r)
-				return err
-			})
-		case "limits":
-			if !field.isNull {
-				parsed.Limits, err = decoder.limits(field.value)
-			}
-		default:
-			_, err = decoder.parse(field.value, field.key)
-		}
-		if err != nil {
+		seen[field.key] = true
+		if err := parsed.parseField(decoder, field); err != nil {
 			return nil, err
 		}
 	}
 	switch {
-	case !sawRevision:
+	case !seen["revision"]:
 		return nil, invalid("revision is missing: number the configuration")
-	case !sawRoutes:
+	case !seen["routes"]:
 		return nil, invalid("routes are missing: send the whole configuration, or Config.Amend")
-	case !sawServices:
+	case !seen["services"]:
 		return nil, invalid("services are missing: send the whole configuration, or Config.Amend")
 	}
 	if err := parsed.checkReferences(); err != nil {
@@ -65,6 +41,45 @@
 	return parsed, nil
 }
 
+// parseField reads one top-level field.
+func (c *Config) parseField(decoder *itemDecoder, field member) error {
+	var err error
+	switch field.key {
+	case "revision":
+		c.Revision, err = decoder.revision(field.value)
+	case "services":
+		err = c.parseServices(decoder, field)
+	case "routes":
+		err = c.parseRoutes(decoder, field)
+	case "limits":
+		if !field.isNull {
+			c.Limits, err = decoder.limits(field.value)
+		}
+	default:
+		_, err = decoder.parse(field.value, field.key)
+	}
+	return err
+}
+
+func (c *Config) parseServices(decoder *itemDecoder, field member) error {
+	return decoder.forEachItem(field, func(item []byte) error {
+		service, err := decoder.service(item)
+		if err != nil {
+			return err
+		}
+		return c.addService(service)
+	})
+}
+
+func (c *Config) parseRoutes(decoder *itemDecoder, field member) error {
+	c.Routes = make([]*Route, 0, bytes.Count(field.value, []byte(`"path_prefix"`)))
+	return decoder.forEachItem(field, func(item []byte) error {
+		route, err := decoder.route(item)
+		c.Routes = append(c.Routes, route)
+		return err
+	})
+}
+
 func (c *Config) addService(s *Service) error {
 	if c.Services[s.Name] != nil {
 		return invalid("service %q is there twice: leave one", s.Name)
--- a/internal/system/config/route.go
+++ b/internal/system/config/route.go
@@ -14,43 +14,60 @@
 		return nil, err
 	}
 	route := &Route{
-		Name: name, Host: object.stringField("hostname", true), Prefix: object.stringField("path_prefix", true),
-		Timeout:        object.durationField("timeout_ms", time.Millisecond, -1),
+		Name:           name,
+		Host:           object.stringField("hostname", true),
+		Prefix:         object.stringField("path_prefix", true),
+		Timeout:        object.durationField("timeout_ms", time.Millisecond, noDuration),
 		EventGapTarget: object.durationField("gap_aim_ms", time.Millisecond, 0),
 		Priority:       int(object.integerField("priority", math.MaxInt32)),
 		MaxTries:       max(1, int(object.integerField("max_tries", math.MaxInt32))),
-		Sticky:         object.boolField("sticky"), Resumable: object.boolField("resumable"),
+		Sticky:         object.boolField("sticky"),
+		Resumable:      object.boolField("resumable"),
 	}
 	route.LatencyTarget = object.durationField("target_latency_ms", time.Millisecond, route.Timeout)
-	switch c := object.stringField("category", false); c {
+	route.Category = object.readCategory()
+	object.checkRoute(route)
+	object.readShares(route)
+	object.readHomeRegions(route)
+	return route, object.err
+}
+
+// noDuration stands for a duration that is absent.
+const noDuration = time.Duration(-1)
+
+// readCategory reads the category. A route without one is not idempotent, since its requests must not run twice by mistake.
+func (it *objectReader) readCategory() Category {
+	switch category := it.stringField("category", false); category {
 	case "idempotent":
-		route.Category = Idempotent
-	case "non_idempotent", "": // what is not told may not be repeated
-		route.Category = NonIdempotent
+		return Idempotent
+	case "non_idempotent", "":
+		return NonIdempotent
 	case "streaming":
-		route.Category = Streaming
+		return Streaming
 	default:
-		object.fail("category %q is unknown: send idempotent, non_idempotent or streaming", c)
+		it.fail("category %q is unknown: send idempotent, non_idempotent or streaming", category)
+		return Idempotent
 	}
-	if object.err == nil && route.Timeout < 0 {
-		object.fail("timeout_ms is missing: add it")
+}
+
+// checkRoute checks the fields that a route must have.
+func (it *objectReader) checkRoute(route *Route) {
+	if it.err == nil && route.Timeout < 0 {
+		it.fail("timeout_ms is missing: add it")
 	}
 	if route.Timeout == 0 {
-		object.fail("timeout_ms is 0: send a time above 0")
+		it.fail("timeout_ms is 0: send a time above 0")
 	}
 	if !strings.HasPrefix(route.Prefix, "/") || !strings.HasSuffix(route.Prefix, "/") {
-		object.fail("path_prefix %q does not begin and end with a slash: add it", route.Prefix)
+		it.fail("path_prefix %q does not begin and end with a slash: add it", route.Prefix)
 	}
-	if object.err == nil && hostKey(route.Host) == "" {
-		object.fail("hostname %q is empty: fill it", route.Host)
+	if it.err == nil && hostKey(route.Host) == "" {
+		it.fail("hostname %q is empty: fill it", route.Host)
 	}
-	object.readShares(route)
-	object.readHomeRegions(route)
-	return route, object.err
 }
 
-// readShares reads the groups. Shares of one service are added up, at the place of the first.
-func (it *objectReader) readShares(r *Route) {
+// readShares reads the shares, or the one target. Shares of one service are added up, at the position of the first.
+func (it *objectReader) readShares(route *Route) {
 	target, list := it.get("target"), it.get("shares")
 	if list != nil && list.Type() != fastjson.TypeArray {
 		it.fail("shares is no list: send [...]")
@@ -60,27 +77,20 @@
 		if len(list.GetArray()) > 0 {
 			it.fail("has target and shares: leave one")
 		}
-		r.Shares = []Share{{Service: it.stringField("target", true), Weight: 1}}
+		route.Shares = []Share{{Service: it.stringField("target", true), Weight: 1}}
 		return
 	}
-	sum, whole := 0.0, it.value
-	values := list.GetArray()
-	r.Shares = make([]Share, 0, len(values))
-	for _, e := range values {
-		if e.Type() != fastjson.TypeObject {
-			it.fail("a share is no object: send {...}")
+	sum, values := 0.0, list.GetArray()
+	route.Shares = make([]Share, 0, len(values))
+	for _, value := range values {
+		share, ok := it.readShare(value)
+		if !ok {
 			return
 		}
-		it.value = e
-		s := Share{Service: it.stringField("target", true), Weight: it.nonNegativeNumber("share", -1)}
-		it.value = whole
-		if it.err == nil && s.Weight < 0 {
-			it.fail("the share of %q is missing: add it", s.Service)
-		}
-		sum += s.Weight
-		r.addShare(s)
+		sum += share.Weight
+		route.addShare(share)
 	}
-	if len(r.Shares) == 0 {
+	if len(route.Shares) == 0 {
 		it.fail("has neither target nor shares: add one")
 	}
 	if sum <= 0 {
@@ -91,6 +101,22 @@
 	}
 }
 
+// readShare reads one element of shares; false where it is no object.
+func (it *objectReader) readShare(value *fastjson.Value) (Share, bool) {
+	if value.Type() != fastjson.TypeObject {
+		it.fail("a share is no object: send {...}")
+		return Share{}, false
+	}
+	route := it.value
+	it.value = value
+	share := Share{Service: it.stringField("target", true), Weight: it.nonNegativeNumber("share", -1)}
+	it.value = route
+	if it.err == nil && share.Weight < 0 {
+		it.fail("the share of %q is missing: add it", share.Service)
+	}
+	return share, true
+}
+
 func (r *Route) addShare(s Share) {
 	for i := range r.Shares {
 		if r.Shares[i].Service == s.Service {
--- a/internal/system/config/service.go
+++ b/internal/system/config/service.go
@@ -13,35 +13,55 @@
 		return nil, err
 	}
 	service := &Service{
-		Name: name, HealthPath: object.stringField("health_path", false),
+		Name:       name,
+		HealthPath: object.stringField("health_path", false),
 		MaxConns:   int(object.integerField("max_conns", math.MaxInt32)),
 		WarmUpTime: object.durationField("cold_s", time.Second, 0),
 		WarmUpRate: object.nonNegativeNumber("cold_per_s", 0),
 	}
-	if e := object.get("engine"); e != nil {
-		if e.Type() != fastjson.TypeObject {
-			object.fail("engine is no object: send {...}")
-			return nil, object.err
-		}
-		object.value = e
-		service.Engine = &Engine{
-			Slots:          int(object.integerField("slots", math.MaxInt32)),
-			CacheTokens:    object.integerField("cache_tokens", 1<<53),
-			TokensPerEvent: int(object.integerField("stride", math.MaxInt32)),
-		}
-		if m := object.get("models"); m != nil {
-			if m.Type() != fastjson.TypeArray {
-				object.fail("models is no list: send [...]")
-			}
-			for _, x := range m.GetArray() {
-				if x.Type() != fastjson.TypeObject {
-					object.fail("a model is no object: send {...}")
-					break
-				}
-				object.value = x
-				service.Engine.Models = append(service.Engine.Models, object.stringField("name", true))
-			}
+	service.Engine = object.readEngine()
+	if object.err != nil {
+		return nil, object.err
+	}
+	return service, nil
+}
+
+// readEngine reads the engine; nil where there is none.
+func (it *objectReader) readEngine() *Engine {
+	value := it.get("engine")
+	if value == nil {
+		return nil
+	}
+	if value.Type() != fastjson.TypeObject {
+		it.fail("engine is no object: send {...}")
+		return nil
+	}
+	it.value = value
+	return &Engine{
+		Slots:          int(it.integerField("slots", math.MaxInt32)),
+		CacheTokens:    it.integerField("cache_tokens", maxExactInteger),
+		TokensPerEvent: int(it.integerField("stride", math.MaxInt32)),
+		Models:         it.readModels(),
+	}
+}
+
+// readModels reads the names of the models.
+func (it *objectReader) readModels() []string {
+	list := it.get("models")
+	if list == nil {
+		return nil
+	}
+	if list.Type() != fastjson.TypeArray {
+		it.fail("models is no list: send [...]")
+	}
+	var names []string
+	for _, model := range list.GetArray() {
+		if model.Type() != fastjson.TypeObject {
+			it.fail("a model is no object: send {...}")
+			break
 		}
+		it.value = model
+		names = append(names, it.stringField("name", true))
 	}
-	return service, object.err
+	return names
 }
