--- a/internal/system/config/config_test.go
+++ b/internal/system/config/config_test.go
@@ -16,51 +16,60 @@
 )
 
 // TestTables runs the tables in testdata/tables. Commands: replace (the body is the configuration), amend (on top of the
-// last valid one), match host=H path=P, dump, raw. Each prints what comes of it.
+// last valid one), match host=H path=P, dump, raw. Each prints the result.
 func TestTables(t *testing.T) {
 	datadriven.Walk(t, "testdata/tables", func(t *testing.T, path string) {
-		var current *Config
-		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			switch d.Cmd {
-			case "replace", "amend":
-				before := current.describe()
-				next, err := (*Config)(nil), error(nil)
-				if d.Cmd == "replace" {
-					next, err = Parse([]byte(d.Input))
-				} else {
-					next, err = Amend(current, []byte(d.Input))
-				}
-				if current.describe() != before {
-					t.Error("the configuration in place has been changed")
-				}
-				if err != nil {
-					if !errors.Is(err, ErrInvalid) {
-						t.Errorf("not of kind ErrInvalid: %v", err)
-					}
-					return err.Error()
-				}
-				current = next
-				return fmt.Sprintf("revision %d", next.Revision)
-			case "match":
-				var host, path string
-				d.ScanArgs(t, "host", &host)
-				d.ScanArgs(t, "path", &path)
-				if r := current.Match(host, path); r != nil {
-					return r.Name
-				}
-				return "404"
-			case "dump":
-				return current.describe()
-			case "raw":
-				return string(current.Raw)
-			}
-			t.Fatalf("unknown command %q", d.Cmd)
-			return ""
-		})
+		var table tableRun
+		datadriven.RunTest(t, path, table.run)
 	})
 }
 
-// describe tells all that is known of a configuration, in its order.
+// tableRun is the configuration in place while a table runs.
+type tableRun struct{ current *Config }
+
+func (r *tableRun) run(t *testing.T, data *datadriven.TestData) string {
+	t.Helper()
+	switch data.Cmd {
+	case "replace":
+		return r.change(t, func() (*Config, error) { return Parse([]byte(data.Input)) })
+	case "amend":
+		return r.change(t, func() (*Config, error) { return Amend(r.current, []byte(data.Input)) })
+	case "match":
+		var host, path string
+		data.ScanArgs(t, "host", &host)
+		data.ScanArgs(t, "path", &path)
+		if route := r.current.Match(host, path); route != nil {
+			return route.Name
+		}
+		return "404"
+	case "dump":
+		return r.current.describe()
+	case "raw":
+		return string(r.current.Raw)
+	}
+	t.Fatalf("unknown command %q", data.Cmd)
+	return ""
+}
+
+// change replaces the configuration in place by what next returns, and returns the result as text.
+func (r *tableRun) change(t *testing.T, next func() (*Config, error)) string {
+	t.Helper()
+	before := r.current.describe()
+	changed, err := next()
+	if r.current.describe() != before {
+		t.Error("the configuration in place has been changed")
+	}
+	if err != nil {
+		if !errors.Is(err, ErrInvalid) {
+			t.Errorf("not of kind ErrInvalid: %v", err)
+		}
+		return err.Error()
+	}
+	r.current = changed
+	return fmt.Sprintf("revision %d", changed.Revision)
+}
+
+// describe returns all fields of a configuration as text, in its order.
 func (c *Config) describe() string {
 	if c == nil {
 		return "none"
@@ -110,7 +119,7 @@
 	return b
 }
 
-// TestTruncatedOrChangedBytes cuts the example anywhere, and changes every byte: nothing may go wrong but an ErrInvalid.
+// TestTruncatedOrChangedBytes truncates the example anywhere, and changes every byte: the only error may be ErrInvalid.
 func TestTruncatedOrChangedBytes(t *testing.T) {
 	whole := readExample(t, "replace.json")
 	for i := range whole {
@@ -133,6 +142,7 @@
 	}
 }
 
+// TestNestingIsBounded: a body that nests deeper than maxDepth is refused without much stack.
 func TestNestingIsBounded(t *testing.T) {
 	for _, open := range []string{"[", `{"a":`} {
 		body := []byte(`{"revision":1,"routes":[],"services":[],"x":` + strings.Repeat(open, 1<<20))
@@ -195,7 +205,7 @@
 		`"category":"idempotent","timeout_ms":500,"target":"service-1","max_tries":2}]},"remove":{"routes":["route-5"]}}`, revision)
 }
 
-// TestAmendSharesUnchangedRoutes tells that what an amendment does not name is not read or copied again.
+// TestAmendSharesUnchangedRoutes: what an amendment does not name is neither parsed nor copied again.
 func TestAmendSharesUnchangedRoutes(t *testing.T) {
 	base := largeConfig(t, 100)
 	next, err := Amend(base, largeAmendment(9))
@@ -224,25 +234,25 @@
 			return
 		}
 		if !json.Valid(raw) {
-			t.Fatal("what is no JSON was taken")
+			t.Fatal("what is no JSON was accepted")
 		}
 		c.requireValid(t)
 	})
 }
 
-// requireValid checks what every valid configuration keeps to.
+// requireValid checks what holds of every valid configuration.
 func (c *Config) requireValid(t *testing.T) {
 	t.Helper()
 	if c.Revision < 1 || len(c.serviceNames) != len(c.Services) {
 		t.Fatalf("revision %d, %d services", c.Revision, len(c.Services))
 	}
-	seen, places := map[string]bool{}, map[[2]string]bool{}
+	seenNames, seenPrefixes := map[string]bool{}, map[[2]string]bool{}
 	for _, r := range c.Routes {
-		place := [2]string{hostKey(r.Host), r.Prefix}
-		if seen[r.Name] || places[place] || r.Name == "" || r.Timeout <= 0 || r.Timeout > maxDuration || r.MaxTries < 1 {
+		prefix := [2]string{hostKey(r.Host), r.Prefix}
+		if seenNames[r.Name] || seenPrefixes[prefix] || r.Name == "" || r.Timeout <= 0 || r.Timeout > maxDuration || r.MaxTries < 1 {
 			t.Fatalf("%+v", r)
 		}
-		seen[r.Name], places[place] = true, true
+		seenNames[r.Name], seenPrefixes[prefix] = true, true
 		sum := 0.0
 		for _, s := range r.Shares {
 			if sum += s.Weight; s.Weight < 0 || c.Services[s.Service] == nil {
--- a/internal/system/config/model_test.go
+++ b/internal/system/config/model_test.go
@@ -32,13 +32,13 @@
 }
 
 func uniqueByName(all []jsonObject) []jsonObject {
-	var kept []jsonObject
+	var unique []jsonObject
 	for _, o := range all {
-		if !slices.ContainsFunc(kept, func(k jsonObject) bool { return k["name"] == o["name"] }) {
-			kept = append(kept, o)
+		if !slices.ContainsFunc(unique, func(k jsonObject) bool { return k["name"] == o["name"] }) {
+			unique = append(unique, o)
 		}
 	}
-	return kept
+	return unique
 }
 
 // mergedModel is the plain model of an amendment to one list.
@@ -71,43 +71,17 @@
 
 // TestAmendModel compares Amend to Parse of what a plain model merges.
 func TestAmendModel(t *testing.T) {
-	taken := 0
+	accepted := 0
 	rapid.Check(t, func(t *rapid.T) {
-		routes := uniqueByName(rapid.SliceOfN(rapid.Custom(drawRoute), 0, 4).Draw(t, "routes"))
-		services := uniqueByName(rapid.SliceOfN(rapid.Custom(drawService), 0, 3).Draw(t, "services"))
-		whole := jsonObject{"revision": 3, "routes": routes, "services": services, "other": []any{1, "x"}}
-		if routes == nil {
-			whole["routes"] = []any{}
-		}
-		if services == nil {
-			whole["services"] = []any{}
-		}
-		base, err := Parse(mustMarshal(t, whole))
+		model := drawModel(t)
+		base, err := Parse(mustMarshal(t, model.body()))
 		if err != nil {
 			return
 		}
-		upRoutes := uniqueByName(rapid.SliceOfN(rapid.Custom(drawRoute), 0, 3).Draw(t, "upsert routes"))
-		upServices := uniqueByName(rapid.SliceOfN(rapid.Custom(drawService), 0, 2).Draw(t, "upsert services"))
-		names := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "s", "u"}), 0, 2)
-		goneRoutes, goneServices := names.Draw(t, "remove routes"), names.Draw(t, "remove services")
-		change := jsonObject{"revision": 3 + rapid.IntRange(0, 2).Draw(t, "step"), "upsert": jsonObject{}, "remove": jsonObject{}}
-		set := func(group, list string, v any, n int) {
-			if n > 0 {
-				change[group].(jsonObject)[list] = v
-			}
-		}
-		set("upsert", "routes", upRoutes, len(upRoutes))
-		set("upsert", "services", upServices, len(upServices))
-		set("remove", "routes", goneRoutes, len(goneRoutes))
-		set("remove", "services", goneServices, len(goneServices))
-
-		got, err := Amend(base, mustMarshal(t, change))
-
-		whole["revision"] = change["revision"]
-		whole["routes"] = append([]any{}, mergedModel(routes, upRoutes, goneRoutes)...)
-		whole["services"] = append([]any{}, mergedModel(services, upServices, goneServices)...)
-		want, wantErr := Parse(mustMarshal(t, whole))
-		if change["revision"] == 3 {
+		amendment := drawAmendment(t)
+		got, err := Amend(base, mustMarshal(t, amendment.body()))
+		want, wantErr := Parse(mustMarshal(t, model.amended(amendment)))
+		if amendment.revision == model.revision {
 			wantErr = fmt.Errorf("the current revision")
 		}
 		if (err == nil) != (wantErr == nil) {
@@ -116,20 +90,90 @@
 		if err != nil {
 			return
 		}
-		taken++
-		if got.describe() != want.describe() {
-			t.Fatalf("%s\nwant\n%s", got.describe(), want.describe())
-		}
-		var a, b any
-		if json.Unmarshal(got.Raw, &a) != nil || json.Unmarshal(want.Raw, &b) != nil || !reflect.DeepEqual(a, b) {
-			t.Fatalf("%s\nwant\n%s", got.Raw, want.Raw)
-		}
-		if again, err := Parse(got.Raw); err != nil || !reflect.DeepEqual(again, got) {
-			t.Fatalf("read again it differs: %v", err)
-		}
+		accepted++
+		requireSameConfig(t, got, want)
 	})
-	t.Logf("%d amendments were taken", taken)
-	if taken == 0 {
-		t.Error("no amendment was taken")
+	t.Logf("%d amendments were accepted", accepted)
+	if accepted == 0 {
+		t.Error("no amendment was accepted")
+	}
+}
+
+// configModel is a configuration as a plain model has it.
+type configModel struct {
+	revision         int
+	routes, services []jsonObject
+}
+
+func drawModel(t *rapid.T) configModel {
+	return configModel{
+		revision: 3,
+		routes:   uniqueByName(rapid.SliceOfN(rapid.Custom(drawRoute), 0, 4).Draw(t, "routes")),
+		services: uniqueByName(rapid.SliceOfN(rapid.Custom(drawService), 0, 3).Draw(t, "services")),
+	}
+}
+
+func (m configModel) body() jsonObject {
+	return modelBody(m.revision, mergedModel(m.routes, nil, nil), mergedModel(m.services, nil, nil))
+}
+
+// amended returns the body after an amendment.
+func (m configModel) amended(a amendmentModel) jsonObject {
+	return modelBody(a.revision, mergedModel(m.routes, a.routes, a.removedRoutes), mergedModel(m.services, a.services, a.removedServices))
+}
+
+func modelBody(revision int, routes, services []any) jsonObject {
+	return jsonObject{"revision": revision, "routes": append([]any{}, routes...), "services": append([]any{}, services...),
+		"other": []any{1, "x"}}
+}
+
+// amendmentModel is an amendment as a plain model has it.
+type amendmentModel struct {
+	revision                       int
+	routes, services               []jsonObject
+	removedRoutes, removedServices []string
+}
+
+func drawAmendment(t *rapid.T) amendmentModel {
+	names := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "s", "u"}), 0, 2)
+	return amendmentModel{
+		routes:          uniqueByName(rapid.SliceOfN(rapid.Custom(drawRoute), 0, 3).Draw(t, "upsert routes")),
+		services:        uniqueByName(rapid.SliceOfN(rapid.Custom(drawService), 0, 2).Draw(t, "upsert services")),
+		removedRoutes:   names.Draw(t, "remove routes"),
+		removedServices: names.Draw(t, "remove services"),
+		revision:        3 + rapid.IntRange(0, 2).Draw(t, "step"),
+	}
+}
+
+// body leaves empty lists out.
+func (a amendmentModel) body() jsonObject {
+	upsert, remove := jsonObject{}, jsonObject{}
+	if len(a.routes) > 0 {
+		upsert["routes"] = a.routes
+	}
+	if len(a.services) > 0 {
+		upsert["services"] = a.services
+	}
+	if len(a.removedRoutes) > 0 {
+		remove["routes"] = a.removedRoutes
+	}
+	if len(a.removedServices) > 0 {
+		remove["services"] = a.removedServices
+	}
+	return jsonObject{"revision": a.revision, "upsert": upsert, "remove": remove}
+}
+
+// requireSameConfig checks that two configurations are equal, their JSON included, and that the first is read again as it is.
+func requireSameConfig(t *rapid.T, got, want *Config) {
+	t.Helper()
+	if got.describe() != want.describe() {
+		t.Fatalf("%s\nwant\n%s", got.describe(), want.describe())
+	}
+	var gotJSON, wantJSON any
+	if json.Unmarshal(got.Raw, &gotJSON) != nil || json.Unmarshal(want.Raw, &wantJSON) != nil || !reflect.DeepEqual(gotJSON, wantJSON) {
+		t.Fatalf("%s\nwant\n%s", got.Raw, want.Raw)
+	}
+	if again, err := Parse(got.Raw); err != nil || !reflect.DeepEqual(again, got) {
+		t.Fatalf("read again it differs: %v", err)
 	}
 }
