--- a/internal/system/config/amend.go
+++ b/internal/system/config/amend.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Amend merges an amendment into base, which it leaves as it was, and checks the result as a whole. Items replaced stay at
-// their place, new ones follow, fields that are not known are kept. Removing what is not there is no error. What is
-// removed and added under one name is replaced. Every error is an ErrInvalid.
+// Amend merges an amendment into base, which it does not change, and validates the result as a whole. Items that are replaced keep
+// their position, new ones follow, unknown fields stay. Removing an item that is not there is no error. An item that is removed
+// and upserted under one name is replaced. Every error is an ErrInvalid.
 func Amend(base *Config, raw []byte) (*Config, error) {
 	if base == nil {
 		return nil, invalid("there is no configuration to amend: send Config.Replace first")
@@ -45,6 +45,7 @@
 	return merge.merge()
 }
 
+// amendment is an amendment while it is merged into base.
 type amendment struct {
 	base, next     *Config
 	decoder        *itemDecoder
@@ -52,6 +53,7 @@
 	upsert, remove []member
 }
 
+// readGroup returns the lists of upsert or remove.
 func (a *amendment) readGroup(f member) ([]member, error) {
 	if f.isNull {
 		return nil, nil
@@ -59,6 +61,7 @@
 	return members(f.value, f.key)
 }
 
+// findMember returns the member called key; nil where it is absent or null.
 func findMember(all []member, key string) *member {
 	for i := range all {
 		if all[i].key == key && !all[i].isNull {
@@ -68,13 +71,13 @@
 	return nil
 }
 
-// merge writes the top-level fields of base again, those named in the amendment changed.
+// merge writes the top-level fields of base again, with the amendment's changes.
 func (a *amendment) merge() (*Config, error) {
 	fields, err := members(a.base.Raw, "the configuration")
 	if err != nil {
 		return nil, err
 	}
-	// What the amendment names and base lacks comes at the end, in the amendment's order.
+	// Lists that the amendment names and base lacks come at the end, in the amendment's order.
 	for _, group := range [][]member{a.upsert, a.remove} {
 		for _, u := range group {
 			if !u.isNull && !slices.ContainsFunc(fields, func(f member) bool { return f.key == u.key }) {
@@ -100,6 +103,7 @@
 	return a.next, nil
 }
 
+// encodedBytes returns the bytes of an object of these members, at least.
 func encodedBytes(all []member) int {
 	n := 2
 	for _, f := range all {
--- a/internal/system/config/decoder.go
+++ b/internal/system/config/decoder.go
@@ -9,14 +9,15 @@
 // maxExactInteger is the largest integer up to which a float64 has each.
 const maxExactInteger = 1 << 53
 
-// itemDecoder reads items with one parser, so that memory for the JSON of one item is all that it takes.
+// itemDecoder decodes items with one parser, so that the JSON of one item is all that is in memory at a time.
 type itemDecoder struct {
 	parser fastjson.Parser
-	names  map[string]string // each text once, however many items hold it
+	names  map[string]string // one copy of each text, however many items have it
 }
 
 func newDecoder() *itemDecoder { return &itemDecoder{names: map[string]string{}} }
 
+// parse decodes one JSON value without duplicate names. The value is valid until the next call.
 func (d *itemDecoder) parse(raw []byte, what string) (*fastjson.Value, error) {
 	v, err := d.parser.ParseBytes(raw)
 	if err != nil {
@@ -25,6 +26,7 @@
 	return v, rejectDuplicateKeys(v, what)
 }
 
+// intern returns b as a string, shared with equal ones.
 func (d *itemDecoder) intern(b []byte) string {
 	if s, ok := d.names[string(b)]; ok {
 		return s
@@ -34,6 +36,7 @@
 	return s
 }
 
+// forEachItem calls visit with the JSON of each element of a list.
 func (d *itemDecoder) forEachItem(f member, item func([]byte) error) error {
 	ok, err := forEachElement(f.value, item)
 	if !ok {
@@ -42,7 +45,7 @@
 	return err
 }
 
-// revision reads a whole number above 0.
+// revision decodes an integer above 0. It may be written with a fraction or exponent, such as 3.0.
 func (d *itemDecoder) revision(raw []byte) (int64, error) {
 	v, err := d.parser.ParseBytes(raw)
 	if err != nil || v.Type() != fastjson.TypeNumber {
--- a/internal/system/config/json.go
+++ b/internal/system/config/json.go
@@ -10,7 +10,8 @@
 // maxDepth bounds the nesting of a body, so that reading it needs a bounded stack.
 const maxDepth = 64
 
-// validateJSON fails unless raw is one whole JSON value in UTF-8 that nests at most maxDepth deep.
+// validateJSON fails unless raw is one complete JSON value in UTF-8 that nests at most maxDepth deep. It checks the depth first, so
+// that the parser's recursion is bounded.
 func validateJSON(raw []byte) error {
 	depth := 0
 	for i := 0; i < len(raw); i++ {
@@ -54,6 +55,7 @@
 	return len(raw)
 }
 
+// skipSpace returns the index of the first byte from i on that is no white space.
 func skipSpace(raw []byte, i int) int {
 	for i < len(raw) && (raw[i] == ' ' || raw[i] == '\n' || raw[i] == '\t' || raw[i] == '\r') {
 		i++
--- a/internal/system/config/match.go
+++ b/internal/system/config/match.go
@@ -5,13 +5,14 @@
 	"strings"
 )
 
-// hostIndex holds the routes of one host.
+// hostIndex has the routes of one host.
 type hostIndex struct {
 	routes        map[string]*Route
-	prefixLengths []int // of the prefixes, each once, longest first
+	prefixLengths []int // of the prefixes in bytes, each once, longest first
 }
 
-// Match returns the route of host with the longest prefix that begins path, or nil. Case and port of host do not count.
+// Match returns the route of host with the longest prefix of path; nil where there is none. Case and port of host are ignored. It
+// takes one look-up for each length of a prefix of the host.
 func (c *Config) Match(host, path string) *Route {
 	if c == nil {
 		return nil
@@ -42,7 +43,7 @@
 	return strings.ToLower(strings.TrimSuffix(host, "."))
 }
 
-// indexHosts makes the table that Match reads.
+// indexHosts builds the index of Match, and checks that pairs of host and prefix are unique.
 func (c *Config) indexHosts() error {
 	c.hosts = make(map[string]*hostIndex)
 	last, lastKey := "", "" // most routes follow one of the same host
--- a/internal/system/config/namedlist.go
+++ b/internal/system/config/namedlist.go
@@ -1,6 +1,6 @@
 package config
 
-// namedList is one top-level namedList of named items while an amendment is merged into it.
+// namedList is a top-level list of named items while an amendment is merged into it. An item that was removed is nil.
 type namedList struct {
 	names   []string
 	items   [][]byte
@@ -34,7 +34,7 @@
 	l.items[i] = raw
 }
 
-// appendJSON appends the list as JSON.
+// appendJSON appends the items that were not removed, as a JSON array.
 func (l *namedList) appendJSON(out []byte) []byte {
 	out = append(out, '[')
 	first := true
--- a/internal/system/config/object.go
+++ b/internal/system/config/object.go
@@ -8,10 +8,10 @@
 	"github.com/valyala/fastjson"
 )
 
-// maxDuration bounds told times, so that sums of them do not overflow.
+// maxDuration bounds durations, so that sums of them do not overflow.
 const maxDuration = 365 * 24 * time.Hour
 
-// objectReader reads the fields of one object and keeps the first error.
+// objectReader reads the fields of one JSON object and keeps the first error.
 type objectReader struct {
 	decoder *itemDecoder
 	value   *fastjson.Value
@@ -19,7 +19,7 @@
 	err     error
 }
 
-// object reads one object; what names it in messages.
+// object decodes one JSON object; label names it in errors.
 func (d *itemDecoder) object(raw []byte, what string) (*objectReader, error) {
 	v, err := d.parse(raw, what)
 	if err != nil {
@@ -31,7 +31,7 @@
 	return &objectReader{decoder: d, value: v, label: what}, nil
 }
 
-// namedObject is item for those that need a name.
+// namedObject is object for items that must have a name, which it returns.
 func (d *itemDecoder) namedObject(raw []byte, kind string) (*objectReader, string, error) {
 	object, err := d.object(raw, "a "+kind)
 	if err != nil {
@@ -42,13 +42,14 @@
 	return object, name, object.err
 }
 
+// fail records the first error.
 func (it *objectReader) fail(format string, args ...any) {
 	if it.err == nil {
 		it.err = invalid("%s: %s", it.label, fmt.Sprintf(format, args...))
 	}
 }
 
-// get returns a field, nil where it is absent or null.
+// get returns a field; nil where it is absent or null.
 func (it *objectReader) get(key string) *fastjson.Value {
 	v := it.value.Get(key)
 	if v == nil || v.Type() == fastjson.TypeNull {
@@ -57,6 +58,7 @@
 	return v
 }
 
+// stringField returns a text; one that is needed must be there and not be empty.
 func (it *objectReader) stringField(key string, needed bool) string {
 	v := it.get(key)
 	if v == nil {
@@ -76,6 +78,7 @@
 	return it.decoder.intern(b)
 }
 
+// boolField returns a truth value; false where the field is missing.
 func (it *objectReader) boolField(key string) bool {
 	v := it.get(key)
 	if v == nil {
@@ -88,7 +91,7 @@
 	return b
 }
 
-// nonNegativeNumber returns a finite nonNegativeNumber, 0 or more; absent where it is not there.
+// nonNegativeNumber returns a finite number, 0 or more; absent where the field is missing.
 func (it *objectReader) nonNegativeNumber(key string, absent float64) float64 {
 	v := it.get(key)
 	if v == nil {
@@ -106,12 +109,13 @@
 	return f
 }
 
-// integerField returns a number without its fraction, at most most.
-func (it *objectReader) integerField(key string, most int64) int64 {
-	return int64(math.Min(it.nonNegativeNumber(key, 0), float64(most)))
+// integerField returns a number without its fraction, at most maximum.
+func (it *objectReader) integerField(key string, maximum int64) int64 {
+	return int64(math.Min(it.nonNegativeNumber(key, 0), float64(maximum)))
 }
 
-// durationField returns a time of the given unit, absent where there is none. One above 0 stays above 0.
+// durationField returns a duration given as a number of unit, at most maxDuration; absent where the field is missing. One above 0
+// is rounded up to a nanosecond at least.
 func (it *objectReader) durationField(key string, unit, absent time.Duration) time.Duration {
 	f := it.nonNegativeNumber(key, -1)
 	if f < 0 {
--- a/internal/system/config/parse.go
+++ b/internal/system/config/parse.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Limits where the configuration has none.
+// defaultLimits are the limits of a configuration that has none.
 var defaultLimits = Limits{HeaderBytes: 16 << 10, BodyBytes: 4 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 
-// Parse reads and checks a whole configuration. The result keeps raw, which must not be changed afterwards. Fields that
-// it does not know are passed over. Every error is an ErrInvalid.
+// Parse decodes and validates a complete configuration. The result retains raw, which must not be changed afterwards. Unknown
+// fields must be valid JSON and are ignored. Every error is an ErrInvalid.
 func Parse(raw []byte) (*Config, error) {
 	if err := validateJSON(raw); err != nil {
 		return nil, err
@@ -41,7 +41,7 @@
 	return parsed, nil
 }
 
-// parseField reads one top-level field.
+// parseField decodes one top-level field.
 func (c *Config) parseField(decoder *itemDecoder, field member) error {
 	var err error
 	switch field.key {
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// checkReferences checks what concerns several items, and makes the index.
+// checkReferences checks that names are unique and that shares name services, and builds the index of Match.
 func (c *Config) checkReferences() error {
 	names := make(map[string]struct{}, len(c.Routes))
 	for _, r := range c.Routes {
--- a/internal/system/config/types.go
+++ b/internal/system/config/types.go
@@ -1,37 +1,37 @@
-// Package conf is the operator's configuration: its types, its reading and checking with fastjson, and the merge of an
-// amendment. It is pure: no I/O, no clock.
 package config
 
 import "time"
 
-// Category says what a repeat of a route's requests does.
+// Category says whether a request of a route may run more than once, and how it is answered.
 type Category uint8
 
-// The categories of PROTOCOL.md.
+// The categories of a route (PROTOCOL.md).
 const (
 	Idempotent    Category = iota // may run more than once
-	NonIdempotent                 // runs at most once for each try of a client
+	NonIdempotent                 // runs at most once for each attempt of a client
 	Streaming                     // answers with a series of events; NonIdempotent unless the route is Resumable
 )
 
-// Share is one group of a route: the ready servers of Service, which get Weight parts of its requests.
+// Share is the part of a route's requests that goes to the ready servers of a service: Weight of the sum of the route's weights.
 type Share struct {
 	Service string
-	Weight  float64 // 0 or more; those of a route do not add up to 0
+	Weight  float64 // 0 or more and finite; the sum over a route is above 0
 }
 
 // Route is one rule of the configuration. The best match is the route of the request's host with the longest Prefix.
 type Route struct {
-	Name, Host, Prefix string
-	Category           Category
-	Timeout            time.Duration // the longest that the operator wants a request held
-	LatencyTarget      time.Duration // an answer (streams: the first event) within it earns its full worth
-	EventGapTarget     time.Duration // streams: the longest pause between events that is in time; 0: not told
-	Priority           int           // 0 is the highest
-	Shares             []Share       // one at least; in the operator's order
-	MaxTries           int           // servers that one try may be sent to, 1 at least
-	Sticky, Resumable  bool
-	HomeRegions        []string // regions; empty: everywhere
+	Name              string
+	Host              string // as sent; case and port do not count
+	Prefix            string // of the path; begins and ends with a slash
+	Category          Category
+	Timeout           time.Duration // of a request as a whole; above 0
+	LatencyTarget     time.Duration // a response (streams: the first event) within it earns its full value
+	EventGapTarget    time.Duration // streams: the longest gap between events that is in time; 0: none is given
+	Priority          int           // 0 is the highest
+	Shares            []Share       // one at least, in the operator's order
+	MaxTries          int           // servers that one attempt of a client may be sent to, 1 at least
+	Sticky, Resumable bool
+	HomeRegions       []string // by name; empty: all regions
 }
 
 // Idempotent tells whether a request of the route may run more than once.
@@ -39,36 +39,37 @@
 	return r.Category == Idempotent || r.Category == Streaming && r.Resumable
 }
 
-// Engine is what is told of a service's model servers.
+// Engine describes a service's model servers.
 type Engine struct {
-	Slots          int   // requests that run at once
-	CacheTokens    int64 // memory of a server, in tokens
-	TokensPerEvent int   // tokens in one event of a stream
-	Models         []string
+	Slots          int      // requests that run at once
+	CacheTokens    int64    // KV cache of a server
+	TokensPerEvent int      // tokens in one event of a stream
+	Models         []string // names
 }
 
 // Service is one entry of services.
 type Service struct {
 	Name, HealthPath string
-	MaxConns         int           // connections that a server accepts from all callers together
-	WarmUpTime       time.Duration // how long a server started during traffic stays cold
-	WarmUpRate       float64       // requests a second that a cold server bears; 0: no bound
+	MaxConns         int           // that a server accepts from all proxies together; 0: no bound is given
+	WarmUpTime       time.Duration // how long a server that was started during traffic stays cold
+	WarmUpRate       float64       // requests a second that a cold server can take; 0: no bound
 	Engine           *Engine       // nil: no model servers
 }
 
-// Limits bound what a client may send, and how long it may take or remain idle.
+// Limits bound what a client may send, and how long it may take or stay idle. Fields that are absent or 0 have defaults: 16 KiB,
+// 4 MiB, 3 s and 15 s.
 type Limits struct {
 	HeaderBytes, BodyBytes     int64
 	HeaderTimeout, IdleTimeout time.Duration
 }
 
-// Config is a whole configuration, checked. It is never changed once made, so it may be shared between goroutines.
+// Config is a complete and valid configuration. It is immutable, so it may be shared between goroutines.
 type Config struct {
 	Revision int64
 	Routes   []*Route
-	Services map[string]*Service
+	Services map[string]*Service // by name
 	Limits   Limits
-	Raw      []byte // the JSON that Config.Read answers: a replacement as it was sent; an amendment merged into it
+	Raw      []byte // the JSON that Config.Read returns: a replacement as it was sent, with amendments merged into it
 
 	serviceNames []string // in the order of Raw
 	hosts        map[string]*hostIndex
