--- a/internal/system/fields/fields.go
+++ b/internal/system/fields/fields.go
@@ -49,24 +49,30 @@
 
 // Uvarint reads an unsigned integer of variable length.
 func (r *Reader) Uvarint() uint64 {
-	v, n := binary.Uvarint(r.rest)
-	return v * r.advance(n)
+	value, size := binary.Uvarint(r.rest)
+	if !r.skip(size) {
+		return 0
+	}
+	return value
 }
 
 // Varint reads a signed integer of variable length.
 func (r *Reader) Varint() int64 {
-	v, n := binary.Varint(r.rest)
-	return v * int64(r.advance(n))
+	value, size := binary.Varint(r.rest)
+	if !r.skip(size) {
+		return 0
+	}
+	return value
 }
 
-// advance passes over n bytes; it gives 0 where n tells that no integer was there, otherwise 1.
-func (r *Reader) advance(n int) uint64 {
+// skip drops the n bytes of an integer; false where n says that there is none, as binary.Uvarint does by 0 or less.
+func (r *Reader) skip(n int) bool {
 	if r.failed || n <= 0 {
 		r.failed = true
-		return 0
+		return false
 	}
 	r.rest = r.rest[n:]
-	return 1
+	return true
 }
 
 // Bytes reads what AppendBytes has written.
