--- a/internal/system/fields/fields.go
+++ b/internal/system/fields/fields.go
@@ -1,34 +1,38 @@
-// Package fields encodes and decodes the fields of records and snapshots on disk: variable-length integers (encoding/binary), single
-// bytes, and byte strings behind their length.
+// Package fields encodes and decodes the fields of records and snapshots on disk.
+//
+// An encoding is a sequence of single bytes, integers of variable length as of encoding/binary (the base-128 varints of Protocol
+// Buffers), and byte strings behind their length. It has neither tags nor a checksum: the reader must know the order of fields, and
+// the layers above check integrity. Decoding never panics, wraps around or allocates by a length that it has read: a Reader returns
+// parts of its input.
 package fields
 
 import "encoding/binary"
 
-// AppendBytes appends the length of b and b itself.
+// AppendBytes appends the length of b as an unsigned varint, and b itself.
 func AppendBytes[T string | []byte](dst []byte, b T) []byte {
 	return append(binary.AppendUvarint(dst, uint64(len(b))), b...)
 }
 
-// Reader takes fields off the front of an encoding. Once one is missing, or has been found wrong by Fail, it has failed for good
-// and gives zeros.
+// Reader decodes the fields of an encoding in order. Its error is sticky: once a field is missing, or Fail was called, every later
+// read returns zero. Callers may therefore check Failed or Complete once, after a group of fields.
 type Reader struct {
-	rest   []byte
+	rest   []byte // not read yet
 	failed bool
 }
 
-// NewReader reads from b, which must not be changed while what was read is in use.
+// NewReader returns a Reader of b, which must not be changed while byte strings that were read are in use: they share its memory.
 func NewReader(b []byte) Reader { return Reader{rest: b} }
 
-// Fail marks the encoding as wrong.
+// Fail marks the encoding as malformed, for checks that only the caller can make.
 func (r *Reader) Fail() { r.failed = true }
 
-// Failed tells whether a field was missing or wrong.
+// Failed tells whether a field was missing or malformed.
 func (r *Reader) Failed() bool { return r.failed }
 
-// Complete tells whether all fields were there and nothing is left behind them.
+// Complete tells whether all fields were present and nothing follows them.
 func (r *Reader) Complete() bool { return !r.failed && len(r.rest) == 0 }
 
-// Next reads n bytes; nil where there are fewer.
+// Next reads n bytes; it fails and returns nil where fewer are left.
 func (r *Reader) Next(n int) []byte {
 	if r.failed || n < 0 || n > len(r.rest) {
 		r.failed = true
@@ -39,7 +43,7 @@
 	return b
 }
 
-// Byte reads one byte.
+// Byte reads a single byte.
 func (r *Reader) Byte() byte {
 	if b := r.Next(1); b != nil {
 		return b[0]
@@ -47,7 +51,7 @@
 	return 0
 }
 
-// Uvarint reads an unsigned integer of variable length.
+// Uvarint reads an unsigned varint.
 func (r *Reader) Uvarint() uint64 {
 	value, size := binary.Uvarint(r.rest)
 	if !r.skip(size) {
@@ -56,7 +60,7 @@
 	return value
 }
 
-// Varint reads a signed integer of variable length.
+// Varint reads a signed varint (zigzag).
 func (r *Reader) Varint() int64 {
 	value, size := binary.Varint(r.rest)
 	if !r.skip(size) {
@@ -75,12 +79,12 @@
 	return true
 }
 
-// Bytes reads what AppendBytes has written.
+// Bytes reads a byte string as AppendBytes writes it.
 func (r *Reader) Bytes() []byte {
-	n := r.Uvarint()
-	if n > uint64(len(r.rest)) {
+	length := r.Uvarint()
+	if length > uint64(len(r.rest)) { // also where it does not fit an int
 		r.failed = true
 		return nil
 	}
-	return r.Next(int(n))
+	return r.Next(int(length))
 }
--- a/internal/system/fields/fields_test.go
+++ b/internal/system/fields/fields_test.go
@@ -1,37 +1,39 @@
-package fields
+package fields_test
 
 import (
 	"encoding/binary"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"gradeusher.example/gradeusher/internal/system/fields"
 )
 
-// TestReader: what was written is read, and every cut of it fails.
+// TestReader: what was written is read, and every truncation of it fails.
 func TestReader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.SliceOf(rapid.Byte()).Draw(t, "bytes")
 		unsigned, signed, single := rapid.Uint64().Draw(t, "unsigned"), rapid.Int64().Draw(t, "signed"), rapid.Byte().Draw(t, "single")
-		encoding := AppendBytes(binary.AppendVarint(binary.AppendUvarint([]byte{single}, unsigned), signed), text)
-		r := NewReader(encoding)
+		encoding := fields.AppendBytes(binary.AppendVarint(binary.AppendUvarint([]byte{single}, unsigned), signed), text)
+		r := fields.NewReader(encoding)
 		if r.Byte() != single || r.Uvarint() != unsigned || r.Varint() != signed || string(r.Bytes()) != string(text) || !r.Complete() {
 			t.Fatalf("%x is read otherwise than it was written", encoding)
 		}
-		cut := NewReader(encoding[:rapid.IntRange(0, len(encoding)-1).Draw(t, "cut")])
-		cut.Byte()
-		cut.Uvarint()
-		cut.Varint()
-		cut.Bytes()
-		if !cut.Failed() || cut.Complete() || cut.Uvarint() != 0 {
-			t.Fatalf("a cut of %x is read as complete", encoding)
+		truncated := fields.NewReader(encoding[:rapid.IntRange(0, len(encoding)-1).Draw(t, "cut")])
+		truncated.Byte()
+		truncated.Uvarint()
+		truncated.Varint()
+		truncated.Bytes()
+		if !truncated.Failed() || truncated.Complete() || truncated.Uvarint() != 0 {
+			t.Fatalf("a truncation of %x is read as complete", encoding)
 		}
 	})
 }
 
-// TestLengthBeyondTheEnd: a length that is larger than what is left is no allocation and no wrap.
+// TestLengthBeyondTheEnd: a length that is larger than what is left neither allocates nor wraps around.
 func TestLengthBeyondTheEnd(t *testing.T) {
 	for _, length := range []uint64{2, 1 << 31, 1 << 63, 1<<64 - 1} {
-		r := NewReader(append(binary.AppendUvarint(nil, length), 'x'))
+		r := fields.NewReader(append(binary.AppendUvarint(nil, length), 'x'))
 		if b := r.Bytes(); b != nil || !r.Failed() {
 			t.Errorf("length %d gives %q", length, b)
 		}
