--- a/internal/system/settings/settings.go
+++ b/internal/system/settings/settings.go
@@ -102,21 +102,23 @@
 	ControlPlane             // holds the control state, where it has a disk; answers the operator
 )
 
-// The system's own traffic takes the first ports of the range, the same on all machines.
+// The system's own traffic takes the first ports of the range, the same on all machines. These are offsets from the first.
 const (
-	keeperOffset = iota // what keepers and proxies say to keepers
-	proxyOffset         // what proxies say to each other
-	needed
+	controlPlanePortOffset = iota // traffic to control-plane nodes
+	proxyPortOffset               // traffic between proxies
+	portsNeeded
 )
 
+const maxPort = 65535
+
 // HasDisk tells whether the machine has a disk for this process. A keeper without one is an observer: it has no vote.
 func (s *Settings) HasDisk() bool { return s.DataDir != "" }
 
 // ControlPlanePort is where a keeper listens for the system's own traffic.
-func (s *Settings) ControlPlanePort() int { return s.Ports[0] + keeperOffset }
+func (s *Settings) ControlPlanePort() int { return s.Ports[0] + controlPlanePortOffset }
 
 // ProxyPort is where a proxy listens for the system's own traffic, by TCP and UDP.
-func (s *Settings) ProxyPort() int { return s.Ports[0] + proxyOffset }
+func (s *Settings) ProxyPort() int { return s.Ports[0] + proxyPortOffset }
 
 // SeedIPs are the machines of the seed addresses.
 func (s *Settings) SeedIPs() []string {
@@ -161,7 +163,7 @@
 		line, _, _ := strings.Cut(err.Error(), "\n")
 		return nil, errors.Mark(errors.Newf("the settings are no TOML that fits: %s", line), ErrSettings)
 	}
-	if err := s.check(role); err != nil {
+	if err := s.validate(role); err != nil {
 		return nil, errors.Mark(err, ErrSettings)
 	}
 	return s, nil
--- a/internal/system/settings/check.go
+++ b/internal/system/settings/validate.go
@@ -6,8 +6,24 @@
 	"github.com/cockroachdb/errors"
 )
 
-// check refuses settings under which a role could not keep its promises.
-func (s *Settings) check(role Role) error {
+// validate refuses settings with which a role cannot do its work.
+func (s *Settings) validate(role Role) error {
+	for _, check := range []func() error{
+		s.checkLocation,
+		s.checkPorts,
+		s.checkSeeds,
+		s.checkBounds,
+		func() error { return s.checkListenAddresses(role) },
+		s.checkPlatformAddress,
+	} {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (s *Settings) checkLocation() error {
 	switch {
 	case s.Node == "":
 		return errors.New("node_name is empty: give the machine's name")
@@ -16,12 +32,29 @@
 	case s.Zones[s.Zone] != "" && s.Zones[s.Zone] != s.Region:
 		return errors.Newf("zones puts %s in %s and region says %s: make them agree", s.Zone, s.Zones[s.Zone], s.Region)
 	}
-	if at, err := netip.ParseAddr(s.IP); err != nil || !at.Is4() {
+	if address, err := netip.ParseAddr(s.IP); err != nil || !address.Is4() {
 		return errors.Newf("ip %q is no IPv4 address: give the machine's own", s.IP)
 	}
-	if len(s.Ports) != 2 || s.Ports[0] < 1 || s.Ports[1] > 65535 || s.Ports[1]-s.Ports[0]+1 < needed {
-		return errors.Newf("port_range %v does not hold %d ports: give the first and the last", s.Ports, needed)
+	return nil
+}
+
+func (s *Settings) checkPorts() error {
+	if !hasPorts(s.Ports) {
+		return errors.Newf("port_range %v does not hold %d ports: give the first and the last", s.Ports, portsNeeded)
+	}
+	return nil
+}
+
+// hasPorts tells whether a range, its first and last port, has as many ports as the system needs.
+func hasPorts(ports []int) bool {
+	if len(ports) != 2 {
+		return false
 	}
+	first, last := ports[0], ports[1]
+	return first >= 1 && last <= maxPort && last-first+1 >= portsNeeded
+}
+
+func (s *Settings) checkSeeds() error {
 	if len(s.Seeds) == 0 {
 		return errors.New("seed_nodes is empty: name one keeper's control_api address at least")
 	}
@@ -30,31 +63,43 @@
 			return errors.Newf("seed_nodes holds %q, which is no IP:PORT: correct it", seed)
 		}
 	}
-	if err := s.checkFigures(); err != nil {
-		return err
-	}
-	need := map[string]string{"bind.control_api": s.Bind.Control}
+	return nil
+}
+
+// checkListenAddresses checks the addresses that a role serves at. Others may be empty.
+func (s *Settings) checkListenAddresses(role Role) error {
+	needed := []setting{{"bind.control_api", s.Bind.Control}}
 	if role == Proxy {
-		need = map[string]string{"bind.front": s.Bind.Front, "bind.readiness": s.Bind.Readiness,
-			"bind.directory": s.Bind.Directory}
+		needed = []setting{
+			{"bind.front", s.Bind.Front},
+			{"bind.readiness", s.Bind.Readiness},
+			{"bind.directory", s.Bind.Directory},
+		}
 	}
-	for _, name := range []string{"bind.control_api", "bind.front", "bind.readiness", "bind.directory"} {
-		address, is := need[name]
-		if _, err := netip.ParseAddrPort(address); is && err != nil {
-			return errors.Newf("%s is %q, which is no IP:PORT: the role needs it", name, address)
+	for _, address := range needed {
+		if _, err := netip.ParseAddrPort(address.value); err != nil {
+			return errors.Newf("%s is %q, which is no IP:PORT: the role needs it", address.key, address.value)
 		}
 	}
+	return nil
+}
+
+// setting is a key of the file and its value.
+type setting struct{ key, value string }
+
+func (s *Settings) checkPlatformAddress() error {
 	if _, err := netip.ParseAddrPort(s.Cloud.Address); err != nil {
 		return errors.Newf("cloud_api.address is %q, which is no IP:PORT: say where the list of servers is", s.Cloud.Address)
 	}
 	return nil
 }
 
-func (s *Settings) checkFigures() error {
-	for _, f := range []struct {
-		name        string
-		value       float64
-		least, most float64
+// checkBounds refuses figures outside the range in which the system works.
+func (s *Settings) checkBounds() error {
+	for _, figure := range []struct {
+		key              string
+		value            float64
+		minimum, maximum float64
 	}{
 		{"limits.memory_mb", float64(s.Limits.MemoryMB), 16, 1 << 20},
 		{"limits.fd_limit", float64(s.Limits.FDs), 64, 1 << 24},
@@ -72,8 +117,9 @@
 		{"cloud_api.rate_per_s", s.Cloud.Rate, 0.01, 1e6},
 		{"beat_ms", s.HeartbeatMS, 0, 600_000},
 	} {
-		if !(f.value >= f.least && f.value <= f.most) { // NaN fits neither
-			return errors.Newf("%s is %v: give a figure from %v to %v", f.name, f.value, f.least, f.most)
+		isWithin := figure.value >= figure.minimum && figure.value <= figure.maximum // false for NaN
+		if !isWithin {
+			return errors.Newf("%s is %v: give a figure from %v to %v", figure.key, figure.value, figure.minimum, figure.maximum)
 		}
 	}
 	return nil
