--- a/internal/system/settings/settings_test.go
+++ b/internal/system/settings/settings_test.go
@@ -1,4 +1,4 @@
-package settings
+package settings_test
 
 import (
 	"os"
@@ -8,62 +8,71 @@
 
 	"github.com/cockroachdb/datadriven"
 	"github.com/cockroachdb/errors"
+
+	"gradeusher.example/gradeusher/internal/system/settings"
 )
 
-// TestParse replaces one line of a good file at a time. Danger: a process that starts on nonsense and fails later.
+// TestParse replaces lines of a good file, one case at a time. Danger: a process that starts on settings that make no sense and
+// fails later.
 func TestParse(t *testing.T) {
 	good, err := os.ReadFile("testdata/good.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	datadriven.RunTest(t, "testdata/parse", func(t *testing.T, d *datadriven.TestData) string {
-		role := Proxy
-		if d.Cmd == "keeper" {
-			role = ControlPlane
+	datadriven.RunTest(t, "testdata/parse", func(t *testing.T, data *datadriven.TestData) string {
+		role := settings.Proxy
+		if data.Cmd == "keeper" {
+			role = settings.ControlPlane
 		}
-		text := string(good)
-		for _, line := range strings.Split(d.Input, "\n") {
-			if line == "" {
-				continue
-			}
-			old, with, found := strings.Cut(line, " =>")
-			with = strings.TrimSpace(with)
-			if !found || !strings.Contains(text, old) {
-				t.Fatalf("%s: %q is not in the good file", d.Pos, old)
-			}
-			text = strings.Replace(text, old, with, 1)
-		}
-		s, err := Parse([]byte(text), role)
+		parsed, err := settings.Parse([]byte(replaceLines(t, string(good), data)), role)
 		if err != nil {
-			if !errors.Is(err, ErrSettings) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%s: %q is not one line of this package's kind", d.Pos, err)
+			if !errors.Is(err, settings.ErrSettings) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%s: %q is not one line of this package's kind", data.Pos, err)
 			}
 			return err.Error()
 		}
 		disk := ", no disk"
-		if s.HasDisk() {
+		if parsed.HasDisk() {
 			disk = ""
 		}
-		return s.Node + " keeper port " + strconv.Itoa(s.ControlPlanePort()) + " proxy port " + strconv.Itoa(s.ProxyPort()) + " seeds " +
-			strings.Join(s.SeedIPs(), ",") + disk
+		return parsed.Node + " keeper port " + strconv.Itoa(parsed.ControlPlanePort()) + " proxy port " + strconv.Itoa(parsed.ProxyPort()) +
+			" seeds " + strings.Join(parsed.SeedIPs(), ",") + disk
 	})
 }
 
+// replaceLines replaces what each line of data, of the form "old => new", has on its left.
+func replaceLines(t *testing.T, text string, data *datadriven.TestData) string {
+	t.Helper()
+	for _, line := range strings.Split(data.Input, "\n") {
+		if line == "" {
+			continue
+		}
+		old, with, found := strings.Cut(line, " =>")
+		if !found || !strings.Contains(text, old) {
+			t.Fatalf("%s: %q is not in the good file", data.Pos, old)
+		}
+		text = strings.Replace(text, old, strings.TrimSpace(with), 1)
+	}
+	return text
+}
+
+// TestFromEnvironment: without the variable, or the file that it names, the error says so.
 func TestFromEnvironment(t *testing.T) {
-	t.Setenv(PathEnv, "")
-	if _, err := FromEnvironment(Proxy); err == nil || !strings.Contains(err.Error(), PathEnv) {
+	t.Setenv(settings.PathEnv, "")
+	if _, err := settings.FromEnvironment(settings.Proxy); err == nil || !strings.Contains(err.Error(), settings.PathEnv) {
 		t.Errorf("without the variable: %v", err)
 	}
-	t.Setenv(PathEnv, t.TempDir()+"/none")
-	if _, err := FromEnvironment(Proxy); !errors.Is(err, ErrSettings) {
+	t.Setenv(settings.PathEnv, t.TempDir()+"/none")
+	if _, err := settings.FromEnvironment(settings.Proxy); !errors.Is(err, settings.ErrSettings) {
 		t.Errorf("without the file: %v", err)
 	}
-	t.Setenv(PathEnv, "testdata/good.toml")
-	if _, err := FromEnvironment(ControlPlane); err != nil {
+	t.Setenv(settings.PathEnv, "testdata/good.toml")
+	if _, err := settings.FromEnvironment(settings.ControlPlane); err != nil {
 		t.Error(err)
 	}
 }
 
+// FuzzParse: a file that is accepted has a port for the system's own traffic.
 func FuzzParse(f *testing.F) {
 	good, err := os.ReadFile("testdata/good.toml")
 	if err != nil {
@@ -71,7 +80,7 @@
 	}
 	f.Add(string(good))
 	f.Fuzz(func(t *testing.T, text string) {
-		if s, err := Parse([]byte(text), ControlPlane); err == nil && s.ControlPlanePort() < 1 {
+		if parsed, err := settings.Parse([]byte(text), settings.ControlPlane); err == nil && parsed.ControlPlanePort() < 1 {
 			t.Error("accepted without a port")
 		}
 	})
