--- a/internal/system/settings/runtime.go
+++ b/internal/system/settings/runtime.go
@@ -5,11 +5,14 @@
 	"runtime/debug"
 )
 
-// ApplyToRuntime fits Go's runtime to the limits. Memory is priced by its peak, so garbage is collected early: the heap may grow
-// by a third over what lives, and is held under seven tenths of the limit.
+// ApplyToRuntime configures Go's runtime for the limits. Memory is priced by its peak, so garbage is collected early: the heap may
+// grow by growthPercent over what is live, and its soft limit is a part of the process's memory.
 func (l Limits) ApplyToRuntime() {
-	const growth, share = 35, 0.7
-	debug.SetGCPercent(growth)
-	debug.SetMemoryLimit(int64(float64(l.MemoryMB<<20) * share))
+	const (
+		growthPercent = 35
+		heapPart      = 0.7
+	)
+	debug.SetGCPercent(growthPercent)
+	debug.SetMemoryLimit(int64(float64(l.MemoryMB<<20) * heapPart))
 	runtime.GOMAXPROCS(max(int(l.Cores), 1))
 }
--- a/internal/system/settings/settings.go
+++ b/internal/system/settings/settings.go
@@ -1,5 +1,8 @@
-// Package settings reads and checks the settings file of a process of the system (TOML, DEPLOY.md "Settings of a process").
-// Fields that are not known are passed over, as the file may gain new ones.
+// Package settings reads and validates the settings file of a process of the system (TOML; DEPLOY.md, "Settings of a process").
+//
+// The file is the same for all roles, and each role needs only a part of it. A process must not start on settings with which it
+// would fail later or break a rule, so Parse checks the range of each figure and the addresses that the role needs, and its error is
+// one line that names the key and the remedy. Unknown keys are ignored, since the file may gain new ones.
 package settings
 
 import (
@@ -15,10 +18,11 @@
 // PathEnv names the environment variable that holds the path of the settings file.
 const PathEnv = "GRADEUSHER_BOOT"
 
-// ErrSettings marks every error of this package: the file cannot be read, lacks what a role needs or holds nonsense.
+// ErrSettings marks every error of this package: the file cannot be read, lacks what a role needs, or has a value out of range.
+// Test with errors.Is of github.com/cockroachdb/errors.
 var ErrSettings = errors.New("settings")
 
-// Bind holds the addresses that a process is to listen at; empty where it does not serve that.
+// Bind has the addresses, as IP:PORT, that a process listens at; empty where it does not serve that.
 type Bind struct {
 	Front     string `toml:"front"`
 	Readiness string `toml:"readiness"`
@@ -26,24 +30,24 @@
 	Directory string `toml:"directory"`
 }
 
-// Limits are what the machine gives a process.
+// Limits are the resources that the machine gives a process.
 type Limits struct {
 	CPUShare float64 `toml:"cpu_share"` // of a core
 	Cores    float64 `toml:"cores"`
-	MemoryMB int64   `toml:"memory_mb"`
+	MemoryMB int64   `toml:"memory_mb"` // MiB
 	FDs      int     `toml:"fd_limit"`
 	LinkMbps float64 `toml:"link_mbps"`
-	DiskMB   int64   `toml:"disk_mb"` // 0: no disk
+	DiskMB   int64   `toml:"disk_mb"` // MB; 0: no disk
 }
 
-// Tolerance is what the system may lose at once and still keep all rules.
+// Tolerance is what the system may lose at once while all rules still hold.
 type Tolerance struct {
 	Machines int `toml:"machine_losses"`
 	Zones    int `toml:"zones"`
 	Regions  int `toml:"region_losses"`
 }
 
-// Bounds are the figures of the rules in force.
+// Bounds are the figures of the operators' rules. Keys end in their unit: _ms or _s; ratios, excesses and slacks of requests have none.
 type Bounds struct {
 	SeedLag      float64 `toml:"seed_lag_s"`
 	Contact      float64 `toml:"contact_ms"`
@@ -64,14 +68,14 @@
 	TTLMax       float64 `toml:"ttl_max_s"`
 }
 
-// Cloud says where the platform's list of servers is.
+// Cloud is the platform's API that lists the servers.
 type Cloud struct {
 	Address string  `toml:"address"`
-	Rate    float64 `toml:"rate_per_s"` // calls a second that it accepts from all processes together
-	Lag     float64 `toml:"lag_ms"`
+	Rate    float64 `toml:"rate_per_s"` // that it accepts from all processes together
+	Lag     float64 `toml:"lag_ms"`     // of the list behind the servers
 }
 
-// Settings are those of one process.
+// Settings are the settings of one process.
 type Settings struct {
 	Node        string            `toml:"node_name"`
 	Role        string            `toml:"role"`
@@ -79,13 +83,13 @@
 	IP          string            `toml:"ip"`
 	Zone        string            `toml:"zone"`
 	Region      string            `toml:"region"`
-	Ports       []int             `toml:"port_range"` // first and last of those free for the system's own traffic
-	Seeds       []string          `toml:"seed_nodes"` // control_api addresses
-	Bootstrap   bool              `toml:"bootstrap"`
+	Ports       []int             `toml:"port_range"` // first and last port for the system's own traffic
+	Seeds       []string          `toml:"seed_nodes"` // control_api addresses of control-plane nodes
+	Bootstrap   bool              `toml:"bootstrap"`  // this node may form the first view
 	Counted     bool              `toml:"loss_counted"`
-	DataDir     string            `toml:"data_dir"`
-	HeartbeatMS float64           `toml:"beat_ms"`
-	Zones       map[string]string `toml:"zones"` // zone to region
+	DataDir     string            `toml:"data_dir"` // empty: no disk
+	HeartbeatMS float64           `toml:"beat_ms"`  // at most; 0: not given
+	Zones       map[string]string `toml:"zones"`    // region by zone
 	Bind        Bind              `toml:"bind"`
 	Limits      Limits            `toml:"limits"`
 	Tolerance   Tolerance         `toml:"tolerance"`
@@ -93,13 +97,13 @@
 	Cloud       Cloud             `toml:"cloud_api"`
 }
 
-// Role is what a program needs of its settings.
+// Role is the role of a program, which decides what it needs of its settings.
 type Role int
 
-// The roles of the system.
+// The roles of a program.
 const (
-	Proxy        Role = iota // carries requests; answers the directory
-	ControlPlane             // holds the control state, where it has a disk; answers the operator
+	Proxy        Role = iota // carries requests and serves the directory
+	ControlPlane             // replicates or observes the control state and serves the operator
 )
 
 // The system's own traffic takes the first ports of the range, the same on all machines. These are offsets from the first.
@@ -111,16 +115,16 @@
 
 const maxPort = 65535
 
-// HasDisk tells whether the machine has a disk for this process. A keeper without one is an observer: it has no vote.
+// HasDisk tells whether the machine has a disk for this process. A control-plane node without one is an observer: it has no vote.
 func (s *Settings) HasDisk() bool { return s.DataDir != "" }
 
-// ControlPlanePort is where a keeper listens for the system's own traffic.
+// ControlPlanePort returns the port of a control-plane node for the system's own traffic.
 func (s *Settings) ControlPlanePort() int { return s.Ports[0] + controlPlanePortOffset }
 
-// ProxyPort is where a proxy listens for the system's own traffic, by TCP and UDP.
+// ProxyPort returns the TCP and UDP port of a proxy for the system's own traffic.
 func (s *Settings) ProxyPort() int { return s.Ports[0] + proxyPortOffset }
 
-// SeedIPs are the machines of the seed addresses.
+// SeedIPs returns the IP addresses of the seeds, in the order of the file.
 func (s *Settings) SeedIPs() []string {
 	ips := make([]string, 0, len(s.Seeds))
 	for _, seed := range s.Seeds {
@@ -131,13 +135,13 @@
 	return ips
 }
 
-// Milliseconds turns a figure of the file into a duration.
+// Milliseconds converts a figure of the file, in milliseconds, to a duration.
 func Milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Seconds turns a figure of the file into a duration.
+// Seconds converts a figure of the file, in seconds, to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// FromEnvironment reads the file that Variable names.
+// FromEnvironment loads the file that the environment variable PathEnv names. Errors are ErrSettings.
 func FromEnvironment(role Role) (*Settings, error) {
 	path := os.Getenv(PathEnv)
 	if path == "" {
@@ -146,7 +150,7 @@
 	return Load(path, role)
 }
 
-// Load reads and checks a file.
+// Load reads and validates a file. Errors are ErrSettings.
 func Load(path string, role Role) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -156,7 +160,7 @@
 	return Parse(text, role)
 }
 
-// Parse checks the text of a file. The error is one line that names the field and the remedy.
+// Parse decodes and validates the text of a file. The error, an ErrSettings, is one line that names the key and the remedy.
 func Parse(text []byte, role Role) (*Settings, error) {
 	s := &Settings{}
 	if _, err := toml.Decode(string(text), s); err != nil {
