--- a/internal/system/process/compat_test.go
+++ b/internal/system/process/compat_test.go
@@ -9,7 +9,7 @@
 
 // TestCommandNames: deployments name these commands and flags of the proxy and the keeper.
 func TestCommandNames(t *testing.T) {
-	parser, err := kong.New(&commands{})
+	parser, err := kong.New(&commandLine{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/system/process/metrics.go
+++ b/internal/system/process/metrics.go
@@ -17,18 +17,18 @@
 
 // ServeMetrics has group answer for the process's metrics until ctx ends. Without a port it does nothing.
 func (p *Process) ServeMetrics(ctx context.Context, group *Group) error {
-	if p.metrics == 0 {
+	if p.metricsPort == 0 {
 		return nil
 	}
-	l, err := Listen(ctx, net.JoinHostPort(p.Settings.IP, strconv.Itoa(p.metrics)))
+	listener, err := Listen(ctx, net.JoinHostPort(p.Settings.IP, strconv.Itoa(p.metricsPort)))
 	if err != nil {
 		return err
 	}
-	calls := http.NewServeMux()
-	calls.HandleFunc("GET "+MetricsPath, func(w http.ResponseWriter, _ *http.Request) {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET "+MetricsPath, func(w http.ResponseWriter, _ *http.Request) {
 		metrics.WritePrometheus(w, false)
 	})
-	group.HTTP(ctx, l, calls)
+	group.HTTP(ctx, listener, mux)
 	return nil
 }
 
--- a/internal/system/process/program.go
+++ b/internal/system/process/program.go
@@ -23,13 +23,13 @@
 	Settings *settings.Settings
 	Log      log.Interface
 
-	program Program
-	metrics int             // port of /metrics; 0: nowhere
-	term    context.Context // ends with SIGTERM
-	reload  <-chan os.Signal
+	program     Program
+	metricsPort int             // port of /metrics; 0: nowhere
+	terminated  context.Context // ends with SIGTERM
+	reload      <-chan os.Signal
 }
 
-type commands struct {
+type commandLine struct {
 	Run   runCommand   `cmd:"" help:"Run the role until SIGTERM."`
 	Check checkCommand `cmd:"" help:"Check the settings file and say what is wrong in one line."`
 }
@@ -45,18 +45,18 @@
 
 // Main runs a program by its command line and ends the process: with 2 where the command line is wrong, with 1 where the
 // command fails, after one line that says why.
-func Main(p Program) {
-	var c commands
-	parser, err := kong.New(&c, kong.Name(p.Name), kong.Description(p.Description), kong.UsageOnError())
+func Main(program Program) {
+	var commands commandLine
+	parser, err := kong.New(&commands, kong.Name(program.Name), kong.Description(program.Description), kong.UsageOnError())
 	if err != nil {
-		p.fail(1, err)
+		program.fail(1, err)
 	}
 	call, err := parser.Parse(os.Args[1:])
 	if err != nil {
-		p.fail(2, err)
+		program.fail(2, err)
 	}
-	if err := call.Run(p); err != nil {
-		p.fail(1, err)
+	if err := call.Run(program); err != nil {
+		program.fail(1, err)
 	}
 }
 
@@ -82,15 +82,15 @@
 	if err != nil {
 		return err
 	}
-	logger, err := Log(c.LogLevel)
+	logger, err := newLogger(c.LogLevel)
 	if err != nil {
 		return err
 	}
 	settings.Limits.ApplyToRuntime()
 	logViolations(logger, settings.Node)
-	term, reload, stop := Signals(context.Background())
+	term, reload, stop := notifySignals(context.Background())
 	defer stop()
-	return p.Run(&Process{Settings: settings, Log: logger.WithField("node", settings.Node), program: p, metrics: c.Metrics, term: term, reload: reload})
+	return p.Run(&Process{Settings: settings, Log: logger.WithField("node", settings.Node), program: p, metricsPort: c.Metrics, terminated: term, reload: reload})
 }
 
 // Wait returns when the process is to end: by SIGTERM, or as ctx is done. On SIGHUP it reads the settings again; what a
@@ -100,7 +100,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.term.Done():
+		case <-p.terminated.Done():
 			return
 		case <-p.reload:
 			if _, err := settings.FromEnvironment(p.program.Role); err != nil {
