--- a/internal/system/invariant/invariant.go
+++ b/internal/system/invariant/invariant.go
@@ -26,9 +26,9 @@
 }
 
 var (
-	mu       sync.Mutex
-	all      []*Invariant
-	receiver atomic.Pointer[func(Violation)]
+	mu         sync.Mutex
+	registered []*Invariant
+	receiver   atomic.Pointer[func(Violation)]
 )
 
 // New registers an invariant under a name of the form package_statement, which is to be unique. The statement says what must
@@ -38,20 +38,20 @@
 		violations: metrics.GetOrCreateCounter(fmt.Sprintf("gradeusher_invariant_violations_total{invariant=%q}", name))}
 	mu.Lock()
 	defer mu.Unlock()
-	all = append(all, i)
+	registered = append(registered, i)
 	return i
 }
 
 // Check counts a violation unless holds, and returns holds. It may be called from any goroutine.
 func (i *Invariant) Check(holds bool) bool {
 	if !holds {
-		i.violate()
+		i.recordViolation()
 	}
 	return holds
 }
 
-// violate counts a violation. The receiver is told of the first, the second, the fourth and so on, so that a log stays short.
-func (i *Invariant) violate() {
+// recordViolation counts a violation. The receiver is told of the first, the second, the fourth and so on, so that a log stays short.
+func (i *Invariant) recordViolation() {
 	i.violations.Inc()
 	count := i.violations.Get()
 	if notify := receiver.Load(); notify != nil && bits.OnesCount64(count) == 1 {
@@ -69,16 +69,16 @@
 func Violations() map[string]uint64 {
 	mu.Lock()
 	defer mu.Unlock()
-	var out map[string]uint64
-	for _, i := range all {
+	var counts map[string]uint64
+	for _, i := range registered {
 		if n := i.violations.Get(); n > 0 {
-			if out == nil {
-				out = map[string]uint64{}
+			if counts == nil {
+				counts = map[string]uint64{}
 			}
-			out[i.name] = n
+			counts[i.name] = n
 		}
 	}
-	return out
+	return counts
 }
 
 // Notify has f told of violations from now on, in place of an earlier receiver. It is called where the check is made, possibly
--- a/internal/system/invariant/invariant_test.go
+++ b/internal/system/invariant/invariant_test.go
@@ -4,12 +4,12 @@
 
 func TestCheckCountsAndNotifies(t *testing.T) {
 	subject := New("invariant_test_subject", "one is one")
-	var told []uint64
+	var notified []uint64
 	Notify(func(v Violation) {
 		if v.Name != subject.Name() || v.Statement != "one is one" {
 			t.Errorf("notified of %+v", v)
 		}
-		told = append(told, v.Count)
+		notified = append(notified, v.Count)
 	})
 	defer receiver.Store(nil)
 	if !subject.Check(true) || subject.Violations() != 0 || Violations()[subject.Name()] != 0 {
@@ -24,12 +24,12 @@
 		t.Errorf("%d violations, want 9", got)
 	}
 	want := []uint64{1, 2, 4, 8}
-	if len(told) != len(want) {
-		t.Fatalf("notified at %v, want %v", told, want)
+	if len(notified) != len(want) {
+		t.Fatalf("notified at %v, want %v", notified, want)
 	}
 	for i := range want {
-		if told[i] != want[i] {
-			t.Fatalf("notified at %v, want %v", told, want)
+		if notified[i] != want[i] {
+			t.Fatalf("notified at %v, want %v", notified, want)
 		}
 	}
 }
