--- /dev/null
+++ b/internal/system/process/group.go
@@ -0,0 +1,81 @@
+package process
+
+import (
+	"context"
+	"io"
+	stdlog "log"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"github.com/cockroachdb/errors"
+)
+
+// Bounds of the system's own HTTP servers.
+const (
+	readHeaderTimeout = 5 * time.Second
+	idleTimeout       = time.Minute
+	maxHeaderBytes    = 16 << 10
+	shutdownTimeout   = 300 * time.Millisecond // for calls that are under way when the server ends
+)
+
+// Group runs what a process is made of and waits for its end. The zero Group is ready.
+type Group struct {
+	wait sync.WaitGroup
+	mu   sync.Mutex
+	err  error
+	stop context.CancelFunc
+}
+
+// NewGroup returns a group and a context that ends with parent, or when one of the group fails.
+func NewGroup(parent context.Context) (*Group, context.Context) {
+	ctx, cancel := context.WithCancel(parent)
+	return &Group{stop: cancel}, ctx
+}
+
+// Go runs f; its error ends the group's context.
+func (g *Group) Go(run func() error) {
+	g.wait.Go(func() {
+		if err := run(); err != nil {
+			g.mu.Lock()
+			if g.err == nil {
+				g.err = err
+			}
+			g.mu.Unlock()
+			g.stop()
+		}
+	})
+}
+
+// HTTP serves h at l until ctx is done, with h's ConnContext if it has one; calls that are under way then have a moment to end.
+func (g *Group) HTTP(ctx context.Context, listener net.Listener, handler http.Handler) {
+	const moment = 300 * time.Millisecond
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ErrorLog: stdlog.New(io.Discard, "", 0), BaseContext: func(net.Listener) context.Context { return ctx }}
+	if c, ok := handler.(interface {
+		ConnContext(context.Context, net.Conn) context.Context
+	}); ok {
+		server.ConnContext = c.ConnContext
+	}
+	g.Go(func() error {
+		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+			return errors.Mark(errors.Wrapf(err, "no more calls are taken at %s", listener.Addr()), ErrListen)
+		}
+		return nil
+	})
+	g.Go(func() error {
+		<-ctx.Done()
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), moment)
+		defer cancel()
+		_ = server.Shutdown(shutdownCtx)
+		return server.Close()
+	})
+}
+
+// Wait ends when all of the group has ended, and tells the first failure.
+func (g *Group) Wait() error {
+	g.wait.Wait()
+	g.stop()
+	return g.err
+}
--- /dev/null
+++ b/internal/system/process/listen.go
@@ -0,0 +1,36 @@
+package process
+
+import (
+	"context"
+	"net"
+	"syscall"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"golang.org/x/sys/unix"
+)
+
+const (
+	keepAliveInterval = 15 * time.Second
+	// unacknowledgedTimeout ends a connection whose peer has not acknowledged bytes for so long.
+	unacknowledgedTimeout = 5 * time.Second
+)
+
+// ErrListen marks an address that cannot be listened at.
+var ErrListen = errors.New("listen")
+
+// Listen opens a TCP listener whose connections end when their peer vanishes.
+func Listen(ctx context.Context, address string) (net.Listener, error) {
+	config := net.ListenConfig{KeepAlive: 15 * time.Second, Control: func(_, _ string, connection syscall.RawConn) error {
+		var inner error
+		err := connection.Control(func(fd uintptr) {
+			inner = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedTimeout.Milliseconds()))
+		})
+		return errors.CombineErrors(err, inner)
+	}}
+	listener, err := config.Listen(ctx, "tcp4", address)
+	if err != nil {
+		return nil, errors.Mark(errors.Wrapf(err, "cannot listen at %s: check that the address is this machine's and free", address), ErrListen)
+	}
+	return listener, nil
+}
--- a/internal/system/process/process.go
+++ b/internal/system/process/process.go
@@ -1,34 +1,28 @@
-// Package process is what the system's programs share around their parts: logs, signals, HTTP servers of the system's own
-// surfaces, and a group of what runs until the process ends.
 package process
 
 import (
 	"context"
-	"io"
-	stdlog "log"
-	"net"
-	"net/http"
 	"os"
 	"os/signal"
-	"sync"
 	"syscall"
-	"time"
 
 	"github.com/apex/log"
 	"github.com/apex/log/handlers/logfmt"
 	"github.com/cockroachdb/errors"
-	"golang.org/x/sys/unix"
-)
 
-const (
-	unacknowledgedTimeout = 5 * time.Second // bytes that a peer has not acknowledged for so long end their connection
-	readHeaderTimeout     = 5 * time.Second // a caller may take for a head
-	idleTimeout           = time.Minute     // a caller's connection may idle
-	maxHeaderBytes        = 16 << 10
+	"gradeusher.example/gradeusher/internal/system/settings"
 )
 
-// ErrListen marks an address that cannot be listened at.
-var ErrListen = errors.New("listen")
+// Process is one life of a program.
+type Process struct {
+	Settings *settings.Settings
+	Log      log.Interface
+
+	program     Program
+	metricsPort int             // port of /metrics; 0: nowhere
+	terminated  context.Context // ends with SIGTERM
+	reload      <-chan os.Signal
+}
 
 // newLogger writes to standard error, one short line an entry, in logfmt.
 func newLogger(level string) (log.Interface, error) {
@@ -50,78 +44,21 @@
 	}
 }
 
-// Listen opens a TCP listener whose connections end when their peer vanishes.
-func Listen(ctx context.Context, address string) (net.Listener, error) {
-	config := net.ListenConfig{KeepAlive: 15 * time.Second, Control: func(_, _ string, connection syscall.RawConn) error {
-		var inner error
-		err := connection.Control(func(fd uintptr) {
-			inner = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedTimeout.Milliseconds()))
-		})
-		return errors.CombineErrors(err, inner)
-	}}
-	listener, err := config.Listen(ctx, "tcp4", address)
-	if err != nil {
-		return nil, errors.Mark(errors.Wrapf(err, "cannot listen at %s: check that the address is this machine's and free", address), ErrListen)
-	}
-	return listener, nil
-}
-
-// Group runs what a process is made of and waits for its end. The zero Group is ready.
-type Group struct {
-	wait sync.WaitGroup
-	mu   sync.Mutex
-	err  error
-	stop context.CancelFunc
-}
-
-// NewGroup returns a group and a context that ends with parent, or when one of the group fails.
-func NewGroup(parent context.Context) (*Group, context.Context) {
-	ctx, cancel := context.WithCancel(parent)
-	return &Group{stop: cancel}, ctx
-}
-
-// Go runs f; its error ends the group's context.
-func (g *Group) Go(run func() error) {
-	g.wait.Go(func() {
-		if err := run(); err != nil {
-			g.mu.Lock()
-			if g.err == nil {
-				g.err = err
+// Wait returns when the process is to end: by SIGTERM, or as ctx is done. On SIGHUP it reads the settings again; what a
+// process is made of stays for its life, so what changed counts from its next start.
+func (p *Process) Wait(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-p.terminated.Done():
+			return
+		case <-p.reload:
+			if _, err := settings.FromEnvironment(p.program.Role); err != nil {
+				p.Log.WithError(err).Warn(p.program.Name + ": settings not taken over")
+				continue
 			}
-			g.mu.Unlock()
-			g.stop()
+			p.Log.Info(p.program.Name + ": settings read again; what changed counts from the next start")
 		}
-	})
-}
-
-// HTTP serves h at l until ctx is done, with h's ConnContext if it has one; calls that are under way then have a moment to end.
-func (g *Group) HTTP(ctx context.Context, listener net.Listener, handler http.Handler) {
-	const moment = 300 * time.Millisecond
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ErrorLog: stdlog.New(io.Discard, "", 0), BaseContext: func(net.Listener) context.Context { return ctx }}
-	if c, ok := handler.(interface {
-		ConnContext(context.Context, net.Conn) context.Context
-	}); ok {
-		server.ConnContext = c.ConnContext
 	}
-	g.Go(func() error {
-		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			return errors.Mark(errors.Wrapf(err, "no more calls are taken at %s", listener.Addr()), ErrListen)
-		}
-		return nil
-	})
-	g.Go(func() error {
-		<-ctx.Done()
-		shutdownCtx, cancel := context.WithTimeout(context.Background(), moment)
-		defer cancel()
-		_ = server.Shutdown(shutdownCtx)
-		return server.Close()
-	})
-}
-
-// Wait ends when all of the group has ended, and tells the first failure.
-func (g *Group) Wait() error {
-	g.wait.Wait()
-	g.stop()
-	return g.err
 }
--- a/internal/system/process/program.go
+++ b/internal/system/process/program.go
@@ -6,7 +6,6 @@
 	"os"
 
 	"github.com/alecthomas/kong"
-	"github.com/apex/log"
 
 	"gradeusher.example/gradeusher/internal/system/settings"
 )
@@ -18,17 +17,6 @@
 	Run               func(*Process) error
 }
 
-// Process is one life of a program.
-type Process struct {
-	Settings *settings.Settings
-	Log      log.Interface
-
-	program     Program
-	metricsPort int             // port of /metrics; 0: nowhere
-	terminated  context.Context // ends with SIGTERM
-	reload      <-chan os.Signal
-}
-
 type commandLine struct {
 	Run   runCommand   `cmd:"" help:"Run the role until SIGTERM."`
 	Check checkCommand `cmd:"" help:"Check the settings file and say what is wrong in one line."`
@@ -92,22 +80,3 @@
 	defer stop()
 	return p.Run(&Process{Settings: settings, Log: logger.WithField("node", settings.Node), program: p, metricsPort: c.Metrics, terminated: term, reload: reload})
 }
-
-// Wait returns when the process is to end: by SIGTERM, or as ctx is done. On SIGHUP it reads the settings again; what a
-// process is made of stays for its life, so what changed counts from its next start.
-func (p *Process) Wait(ctx context.Context) {
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-p.terminated.Done():
-			return
-		case <-p.reload:
-			if _, err := settings.FromEnvironment(p.program.Role); err != nil {
-				p.Log.WithError(err).Warn(p.program.Name + ": settings not taken over")
-				continue
-			}
-			p.Log.Info(p.program.Name + ": settings read again; what changed counts from the next start")
-		}
-	}
-}
