--- a/internal/system/process/group.go
+++ b/internal/system/process/group.go
@@ -48,31 +48,45 @@
 	})
 }
 
-// HTTP serves h at l until ctx is done, with h's ConnContext if it has one; calls that are under way then have a moment to end.
+// HTTP serves handler at listener until ctx ends, with handler's ConnContext if it has one; calls that are under way then have a
+// moment to end.
 func (g *Group) HTTP(ctx context.Context, listener net.Listener, handler http.Handler) {
-	const moment = 300 * time.Millisecond
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ErrorLog: stdlog.New(io.Discard, "", 0), BaseContext: func(net.Listener) context.Context { return ctx }}
-	if c, ok := handler.(interface {
-		ConnContext(context.Context, net.Conn) context.Context
-	}); ok {
-		server.ConnContext = c.ConnContext
-	}
+	server := newServer(ctx, handler)
 	g.Go(func() error {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			return errors.Mark(errors.Wrapf(err, "no more calls are taken at %s", listener.Addr()), ErrListen)
+			return errors.Mark(errors.Wrapf(err, "no more calls are accepted at %s", listener.Addr()), ErrListen)
 		}
 		return nil
 	})
 	g.Go(func() error {
 		<-ctx.Done()
-		shutdownCtx, cancel := context.WithTimeout(context.Background(), moment)
+		shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 		defer cancel()
 		_ = server.Shutdown(shutdownCtx)
 		return server.Close()
 	})
 }
 
+// connContexter is a handler that adds to the context of each connection, as http.Server.ConnContext does.
+type connContexter interface {
+	ConnContext(context.Context, net.Conn) context.Context
+}
+
+func newServer(ctx context.Context, handler http.Handler) *http.Server {
+	server := &http.Server{
+		Handler:           handler,
+		ReadHeaderTimeout: readHeaderTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          stdlog.New(io.Discard, "", 0),
+		BaseContext:       func(net.Listener) context.Context { return ctx },
+	}
+	if connections, ok := handler.(connContexter); ok {
+		server.ConnContext = connections.ConnContext
+	}
+	return server
+}
+
 // Wait ends when all of the group has ended, and tells the first failure.
 func (g *Group) Wait() error {
 	g.wait.Wait()
--- a/internal/system/process/listen.go
+++ b/internal/system/process/listen.go
@@ -21,16 +21,19 @@
 
 // Listen opens a TCP listener whose connections end when their peer vanishes.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
-	config := net.ListenConfig{KeepAlive: 15 * time.Second, Control: func(_, _ string, connection syscall.RawConn) error {
-		var inner error
-		err := connection.Control(func(fd uintptr) {
-			inner = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedTimeout.Milliseconds()))
-		})
-		return errors.CombineErrors(err, inner)
-	}}
+	config := net.ListenConfig{KeepAlive: keepAliveInterval, Control: setUserTimeout}
 	listener, err := config.Listen(ctx, "tcp4", address)
 	if err != nil {
 		return nil, errors.Mark(errors.Wrapf(err, "cannot listen at %s: check that the address is this machine's and free", address), ErrListen)
 	}
 	return listener, nil
 }
+
+// setUserTimeout sets TCP_USER_TIMEOUT (RFC 5482), which accepted connections inherit.
+func setUserTimeout(_, _ string, connection syscall.RawConn) error {
+	var setting error
+	err := connection.Control(func(fd uintptr) {
+		setting = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedTimeout.Milliseconds()))
+	})
+	return errors.CombineErrors(err, setting)
+}
--- a/internal/system/process/program.go
+++ b/internal/system/process/program.go
@@ -54,19 +54,19 @@
 }
 
 // Run implements the command.
-func (c *checkCommand) Run(p Program) error {
+func (c *checkCommand) Run(program Program) error {
 	var err error
 	if c.File != "" {
-		_, err = settings.Load(c.File, p.Role)
+		_, err = settings.Load(c.File, program.Role)
 	} else {
-		_, err = settings.FromEnvironment(p.Role)
+		_, err = settings.FromEnvironment(program.Role)
 	}
 	return err
 }
 
 // Run implements the command.
-func (c *runCommand) Run(p Program) error {
-	settings, err := settings.FromEnvironment(p.Role)
+func (c *runCommand) Run(program Program) error {
+	settings, err := settings.FromEnvironment(program.Role)
 	if err != nil {
 		return err
 	}
@@ -78,5 +78,5 @@
 	logViolations(logger, settings.Node)
 	term, reload, stop := notifySignals(context.Background())
 	defer stop()
-	return p.Run(&Process{Settings: settings, Log: logger.WithField("node", settings.Node), program: p, metricsPort: c.Metrics, terminated: term, reload: reload})
+	return program.Run(&Process{Settings: settings, Log: logger.WithField("node", settings.Node), program: program, metricsPort: c.Metrics, terminated: term, reload: reload})
 }
