--- a/internal/system/process/group.go
+++ b/internal/system/process/group.go
@@ -20,7 +20,7 @@
 	shutdownTimeout   = 300 * time.Millisecond // for calls that are under way when the server ends
 )
 
-// Group runs what a process is made of and waits for its end. The zero Group is ready.
+// Group owns the goroutines of a process: the first that fails ends all, and Wait returns once all have ended. NewGroup makes one.
 type Group struct {
 	wait sync.WaitGroup
 	mu   sync.Mutex
@@ -28,13 +28,13 @@
 	stop context.CancelFunc
 }
 
-// NewGroup returns a group and a context that ends with parent, or when one of the group fails.
+// NewGroup returns a group and its context, which ends with parent or when a goroutine of the group fails.
 func NewGroup(parent context.Context) (*Group, context.Context) {
 	ctx, cancel := context.WithCancel(parent)
 	return &Group{stop: cancel}, ctx
 }
 
-// Go runs f; its error ends the group's context.
+// Go runs run in a goroutine of the group. An error ends the group's context.
 func (g *Group) Go(run func() error) {
 	g.wait.Go(func() {
 		if err := run(); err != nil {
@@ -48,8 +48,8 @@
 	})
 }
 
-// HTTP serves handler at listener until ctx ends, with handler's ConnContext if it has one; calls that are under way then have a
-// moment to end.
+// HTTP serves handler at listener until ctx ends, with handler's ConnContext if it has one. Calls that are under way then have
+// shutdownTimeout to end. It returns at once; an error of the listener, an ErrListen, ends the group.
 func (g *Group) HTTP(ctx context.Context, listener net.Listener, handler http.Handler) {
 	server := newServer(ctx, handler)
 	g.Go(func() error {
@@ -87,7 +87,7 @@
 	return server
 }
 
-// Wait ends when all of the group has ended, and tells the first failure.
+// Wait returns when all goroutines of the group have ended, with the first error.
 func (g *Group) Wait() error {
 	g.wait.Wait()
 	g.stop()
--- a/internal/system/process/listen.go
+++ b/internal/system/process/listen.go
@@ -16,10 +16,10 @@
 	unacknowledgedTimeout = 5 * time.Second
 )
 
-// ErrListen marks an address that cannot be listened at.
+// ErrListen marks errors of an address that cannot be listened at. Test with errors.Is of github.com/cockroachdb/errors.
 var ErrListen = errors.New("listen")
 
-// Listen opens a TCP listener whose connections end when their peer vanishes.
+// Listen opens an IPv4 TCP listener whose connections end when their peer vanishes. Errors are ErrListen.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAlive: keepAliveInterval, Control: setUserTimeout}
 	listener, err := config.Listen(ctx, "tcp4", address)
--- a/internal/system/process/metrics.go
+++ b/internal/system/process/metrics.go
@@ -12,10 +12,10 @@
 	"gradeusher.example/gradeusher/internal/system/invariant"
 )
 
-// MetricsPath is where a process tells its metrics, in Prometheus' text format, if it was started with a port for them.
+// MetricsPath is the path at which a process serves its metrics, in Prometheus' text format, if it was started with a port for them.
 const MetricsPath = "/metrics"
 
-// ServeMetrics has group answer for the process's metrics until ctx ends. Without a port it does nothing.
+// ServeMetrics serves the process's metrics in group until ctx ends. Without a port it does nothing. Errors are ErrListen.
 func (p *Process) ServeMetrics(ctx context.Context, group *Group) error {
 	if p.metricsPort == 0 {
 		return nil
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// logViolations has violations of invariants logged.
+// logViolations logs violations of invariants.
 func logViolations(logger log.Interface, node string) {
 	invariant.Notify(func(v invariant.Violation) {
 		logger.WithField("node", node).WithField("invariant", v.Name).WithField("count", v.Count).Error("invariant violated: " + v.Statement)
--- a/internal/system/process/process.go
+++ b/internal/system/process/process.go
@@ -13,18 +13,18 @@
 	"gradeusher.example/gradeusher/internal/system/settings"
 )
 
-// Process is one life of a program.
+// Process is a running program: from one start to its end.
 type Process struct {
 	Settings *settings.Settings
 	Log      log.Interface
 
 	program     Program
-	metricsPort int             // port of /metrics; 0: nowhere
-	terminated  context.Context // ends with SIGTERM
-	reload      <-chan os.Signal
+	metricsPort int              // port of /metrics; 0: nowhere
+	terminated  context.Context  // ends with SIGTERM or an interrupt
+	reload      <-chan os.Signal // SIGHUPs
 }
 
-// newLogger writes to standard error, one short line an entry, in logfmt.
+// newLogger returns a logger to standard error, one line an entry, in logfmt.
 func newLogger(level string) (log.Interface, error) {
 	parsed, err := log.ParseLevel(level)
 	if err != nil {
@@ -33,7 +33,8 @@
 	return &log.Logger{Handler: logfmt.New(os.Stderr), Level: parsed}, nil
 }
 
-// notifySignals returns a context that ends with SIGTERM or an interrupt, and a channel that tells of SIGHUPs. Call stop at last.
+// notifySignals returns a context that ends with SIGTERM or an interrupt, and a channel that receives SIGHUPs. The caller must call
+// stop.
 func notifySignals(parent context.Context) (ctx context.Context, reload <-chan os.Signal, stop func()) {
 	ctx, cancel := signal.NotifyContext(parent, syscall.SIGTERM, syscall.SIGINT)
 	hangups := make(chan os.Signal, 1)
@@ -44,8 +45,8 @@
 	}
 }
 
-// Wait returns when the process is to end: by SIGTERM, or as ctx is done. On SIGHUP it reads the settings again; what a
-// process is made of stays for its life, so what changed counts from its next start.
+// Wait returns when the process is to end: by SIGTERM or an interrupt, or when ctx is done. On SIGHUP it validates the settings file
+// again and logs the result; a process does not change its settings while it runs, so changes count from its next start.
 func (p *Process) Wait(ctx context.Context) {
 	for {
 		select {
--- a/internal/system/process/program.go
+++ b/internal/system/process/program.go
@@ -10,13 +10,15 @@
 	"gradeusher.example/gradeusher/internal/system/settings"
 )
 
-// Program is one program of the system: a role, and what runs it.
+// Program describes a program of the system.
 type Program struct {
-	Name, Description string
-	Role              settings.Role
-	Run               func(*Process) error
+	Name        string // in messages
+	Description string // in the help
+	Role        settings.Role
+	Run         func(*Process) error // runs the role until the process is to end
 }
 
+// commandLine is the command line of every program of the system.
 type commandLine struct {
 	Run   runCommand   `cmd:"" help:"Run the role until SIGTERM."`
 	Check checkCommand `cmd:"" help:"Check the settings file and say what is wrong in one line."`
@@ -31,8 +33,8 @@
 	File string `arg:"" optional:"" help:"The settings file; otherwise the one that GRADEUSHER_BOOT names."`
 }
 
-// Main runs a program by its command line and ends the process: with 2 where the command line is wrong, with 1 where the
-// command fails, after one line that says why.
+// Main runs a program by its command line and, where that fails, ends the process: with status 2 where the command line is wrong, with
+// 1 where the command fails, after one line on standard error that says why.
 func Main(program Program) {
 	var commands commandLine
 	parser, err := kong.New(&commands, kong.Name(program.Name), kong.Description(program.Description), kong.UsageOnError())
@@ -48,12 +50,13 @@
 	}
 }
 
+// fail ends the process after one line that says why.
 func (p Program) fail(code int, err error) {
 	fmt.Fprintf(os.Stderr, "%s: %v\n", p.Name, err)
 	os.Exit(code)
 }
 
-// Run implements the command.
+// Run validates a settings file.
 func (c *checkCommand) Run(program Program) error {
 	var err error
 	if c.File != "" {
@@ -64,9 +67,9 @@
 	return err
 }
 
-// Run implements the command.
+// Run runs the program's role.
 func (c *runCommand) Run(program Program) error {
-	settings, err := settings.FromEnvironment(program.Role)
+	loaded, err := settings.FromEnvironment(program.Role)
 	if err != nil {
 		return err
 	}
@@ -74,9 +77,16 @@
 	if err != nil {
 		return err
 	}
-	settings.Limits.ApplyToRuntime()
-	logViolations(logger, settings.Node)
-	term, reload, stop := notifySignals(context.Background())
+	loaded.Limits.ApplyToRuntime()
+	logViolations(logger, loaded.Node)
+	terminated, reload, stop := notifySignals(context.Background())
 	defer stop()
-	return program.Run(&Process{Settings: settings, Log: logger.WithField("node", settings.Node), program: program, metricsPort: c.Metrics, terminated: term, reload: reload})
+	return program.Run(&Process{
+		Settings:    loaded,
+		Log:         logger.WithField("node", loaded.Node),
+		program:     program,
+		metricsPort: c.Metrics,
+		terminated:  terminated,
+		reload:      reload,
+	})
 }
