--- a/internal/system/process/program.go
+++ b/internal/system/process/program.go
@@ -10,6 +10,12 @@
 	"gradeusher.example/gradeusher/internal/system/settings"
 )
 
+// Exit statuses.
+const (
+	exitFailure = 1 // a command failed
+	exitUsage   = 2 // the command line is wrong
+)
+
 // Program describes a program of the system.
 type Program struct {
 	Name        string // in messages
@@ -39,14 +45,14 @@
 	var commands commandLine
 	parser, err := kong.New(&commands, kong.Name(program.Name), kong.Description(program.Description), kong.UsageOnError())
 	if err != nil {
-		program.fail(1, err)
+		program.fail(exitFailure, err)
 	}
 	call, err := parser.Parse(os.Args[1:])
 	if err != nil {
-		program.fail(2, err)
+		program.fail(exitUsage, err)
 	}
 	if err := call.Run(program); err != nil {
-		program.fail(1, err)
+		program.fail(exitFailure, err)
 	}
 }
 
