--- a/internal/system/invariant/invariant.go
+++ b/internal/system/invariant/invariant.go
@@ -1,6 +1,8 @@
-// Package invariant counts, in the running system, how often something did not hold that must always hold. A check costs a
-// branch while it holds. Violations are counted as metrics, listed in the status of a process and logged by whoever asked to be
-// notified; nothing is stopped by one. Tests fail on any violation: see package invarianttest.
+// Package invariant checks at run time that what must always hold does hold.
+//
+// A proof or a test covers the cases that its author thought of. An Invariant is checked in production as well: a violation is
+// counted as a metric, listed in the status of the process and reported to the receiver that Notify has set; it stops nothing. A
+// check costs a branch while it holds. Tests fail on any violation: see package invarianttest.
 package invariant
 
 import (
@@ -12,27 +14,26 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Invariant is one statement that must hold whenever it is checked. Make it once, as a package variable, by New.
+// Invariant is a statement that must hold whenever it is checked. Make it once, by New, as a package variable.
 type Invariant struct {
 	name, statement string
 	violations      *metrics.Counter
 }
 
-// Violation is what Notify's receiver is told.
+// Violation describes a violation to the receiver that Notify has set.
 type Violation struct {
 	Name      string
 	Statement string
-	Count     uint64 // in the life of the process, this one included
+	Count     uint64 // since the start of the process, this one included
 }
 
 var (
-	mu         sync.Mutex
+	mu         sync.Mutex // guards registered
 	registered []*Invariant
 	receiver   atomic.Pointer[func(Violation)]
 )
 
-// New registers an invariant under a name of the form package_statement, which is to be unique. The statement says what must
-// hold, for the log.
+// New registers an invariant under a unique name of the form package_statement. The statement says what must hold, for the log.
 func New(name, statement string) *Invariant {
 	i := &Invariant{name: name, statement: statement,
 		violations: metrics.GetOrCreateCounter(fmt.Sprintf("gradeusher_invariant_violations_total{invariant=%q}", name))}
@@ -42,7 +43,7 @@
 	return i
 }
 
-// Check counts a violation unless holds, and returns holds. It may be called from any goroutine.
+// Check records a violation unless holds is true, and returns holds. It may be called from any goroutine.
 func (i *Invariant) Check(holds bool) bool {
 	if !holds {
 		i.recordViolation()
@@ -50,7 +51,7 @@
 	return holds
 }
 
-// recordViolation counts a violation. The receiver is told of the first, the second, the fourth and so on, so that a log stays short.
+// recordViolation counts a violation. It notifies at counts that are powers of two, so that a log stays short.
 func (i *Invariant) recordViolation() {
 	i.violations.Inc()
 	count := i.violations.Get()
@@ -59,13 +60,13 @@
 	}
 }
 
-// Name is the invariant's.
+// Name returns the invariant's name.
 func (i *Invariant) Name() string { return i.name }
 
-// Violations is how often the invariant was violated in the life of the process.
+// Violations returns the number of violations since the start of the process.
 func (i *Invariant) Violations() uint64 { return i.violations.Get() }
 
-// Violations gives the count of each invariant that was violated, by name; nil where all hold.
+// Violations returns the number of violations of each invariant that was violated, by name; nil where there was none.
 func Violations() map[string]uint64 {
 	mu.Lock()
 	defer mu.Unlock()
@@ -81,6 +82,7 @@
 	return counts
 }
 
-// Notify has f told of violations from now on, in place of an earlier receiver. It is called where the check is made, possibly
-// under locks, so it must return soon and must not check invariants.
-func Notify(f func(Violation)) { receiver.Store(&f) }
+// Notify sets the receiver of violations, in place of an earlier one. It is called by the goroutine that makes the check, possibly
+// under locks, so it must return soon and must not check invariants. It is called for the first violation of an invariant, the
+// second, the fourth and so on.
+func Notify(receive func(Violation)) { receiver.Store(&receive) }
--- a/internal/system/invariant/invariant_test.go
+++ b/internal/system/invariant/invariant_test.go
@@ -1,7 +1,11 @@
 package invariant
 
-import "testing"
+import (
+	"slices"
+	"testing"
+)
 
+// TestCheckCountsAndNotifies: violations are counted, and reported at counts that are powers of two.
 func TestCheckCountsAndNotifies(t *testing.T) {
 	subject := New("invariant_test_subject", "one is one")
 	var notified []uint64
@@ -11,25 +15,20 @@
 		}
 		notified = append(notified, v.Count)
 	})
-	defer receiver.Store(nil)
+	t.Cleanup(func() { receiver.Store(nil) })
 	if !subject.Check(true) || subject.Violations() != 0 || Violations()[subject.Name()] != 0 {
 		t.Fatalf("a check that held was counted: %v", Violations())
 	}
 	for range 9 {
 		if subject.Check(false) {
-			t.Fatal("a check that failed was told to hold")
+			t.Fatal("a check that failed returned true")
 		}
 	}
 	if got := Violations()[subject.Name()]; got != 9 {
 		t.Errorf("%d violations, want 9", got)
 	}
 	want := []uint64{1, 2, 4, 8}
-	if len(notified) != len(want) {
+	if !slices.Equal(notified, want) {
 		t.Fatalf("notified at %v, want %v", notified, want)
 	}
-	for i := range want {
-		if notified[i] != want[i] {
-			t.Fatalf("notified at %v, want %v", notified, want)
-		}
-	}
 }
--- a/internal/system/invariant/invarianttest/invarianttest.go
+++ b/internal/system/invariant/invarianttest/invarianttest.go
@@ -12,11 +12,11 @@
 
 var (
 	mu      sync.Mutex
-	allowed = map[string]uint64{} // violations that controls brought about on purpose, by name
+	allowed = map[string]uint64{} // violations that tests caused on purpose, by name
 )
 
-// Main is the TestMain of a package whose code checks invariants: it runs the tests and fails if any was violated, but for those
-// that Expect has seen. done is called after the tests; nil: nothing.
+// Main is the TestMain of a package whose code checks invariants: it runs the tests and exits with status 1 if there was a violation
+// that Expect has not seen. done, unless nil, is called after tests that passed; its error fails them.
 func Main(m *testing.M, done func() error) {
 	code := m.Run()
 	for name, count := range invariant.Violations() {
@@ -37,12 +37,12 @@
 	os.Exit(code)
 }
 
-// Expect runs a control: f has to violate the invariant, which is then not held against the package. Tests that use it must not
-// run in parallel with others that check the same invariant.
-func Expect(t testing.TB, i *invariant.Invariant, f func()) {
+// Expect runs violate, which must violate the invariant, and allows these violations. Tests that use it must not run in parallel
+// with others that check the same invariant.
+func Expect(t testing.TB, i *invariant.Invariant, violate func()) {
 	t.Helper()
 	before := i.Violations()
-	f()
+	violate()
 	seen := i.Violations() - before
 	if seen == 0 {
 		t.Errorf("the invariant %s was not violated by what must violate it", i.Name())
