--- a/cmd/controlplane/chain.go
+++ b/cmd/controlplane/chain.go
@@ -123,7 +123,7 @@
 	s := k.settings
 	return replication.Options{Addr: s.IP, Zone: s.Zone, Region: s.Region, Port: s.ControlPlanePort(), Seeds: s.SeedIPs(), Bootstrap: s.Bootstrap,
 		MachineLosses: s.Tolerance.Machines, ZoneLosses: s.Tolerance.Zones, RegionLosses: s.Tolerance.Regions,
-		AckTimeout: settings.Milliseconds(s.Bounds.Ack), Log: k.log}
+		AckTimeout: settings.Milliseconds(s.Bounds.AckMS), Log: k.log}
 }
 
 func (k *keeper) join(ctx context.Context, options replication.Options) error {
@@ -139,7 +139,7 @@
 // long as the grace allows: its disk may go with it.
 func (k *keeper) leave() {
 	k.log.Info("keeper: leaving")
-	ctx, cancel := context.WithTimeout(context.Background(), leaveWithin(k.settings.Bounds.Grace))
+	ctx, cancel := context.WithTimeout(context.Background(), leaveWithin(k.settings.Bounds.GraceSeconds))
 	defer cancel()
 	k.chain.Leave(ctx)
 	if ctx.Err() != nil {
--- a/cmd/controlplane/feed.go
+++ b/cmd/controlplane/feed.go
@@ -38,9 +38,9 @@
 func newFeed(s *settings.Settings, logger log.Interface, chain *links) *feed {
 	f := &feed{settings: s, log: logger, chain: chain, fence: ownership.NewAssignment(s.IP), client: platform.NewClient(platform.Options{Address: s.Cloud.Address})}
 	f.hub = distribution.NewServer(distribution.ServerOptions{Source: chain, Self: s.IP, Zone: s.Zone, Region: s.Region,
-		ListLag: settings.Milliseconds(s.Cloud.Lag), Peers: f.peers, Log: logger})
+		ListLag: settings.Milliseconds(s.Cloud.LagMS), Peers: f.peers, Log: logger})
 	f.poller = platform.NewPoller(platform.PollerOptions{Lister: f.client, Ownership: f.duty, Newest: f.newest, OnResult: f.listed,
-		Interval: pollEvery, CallRate: max(s.Cloud.Rate*pollPart, 1), Log: logger})
+		Interval: pollEvery, CallRate: max(s.Cloud.CallsPerSecond*pollPart, 1), Log: logger})
 	return f
 }
 
--- a/cmd/controlplane/run.go
+++ b/cmd/controlplane/run.go
@@ -72,7 +72,7 @@
 		if err != nil {
 			return err
 		}
-		group.HTTP(ctx, l, handler)
+		group.ServeHTTP(ctx, l, handler)
 	}
 	return nil
 }
@@ -89,7 +89,7 @@
 }
 
 func (k *keeper) operatorCalls() http.Handler {
-	options := operatorapi.Options{Chain: k.chain, AckTimeout: settings.Milliseconds(k.settings.Bounds.Ack), Log: k.log,
+	options := operatorapi.Options{Chain: k.chain, AckTimeout: settings.Milliseconds(k.settings.Bounds.AckMS), Log: k.log,
 		Current:     func() *controlstate.State { state, _ := k.chain.Committed(); return state },
 		Stalled:     k.stalls.Stalled,
 		Partitioned: k.chain.Partitioned,
--- a/cmd/proxy/run.go
+++ b/cmd/proxy/run.go
@@ -50,9 +50,9 @@
 	life, end := context.WithCancel(context.Background())
 	defer end()
 	group, ctx := process.NewGroup(life)
-	p.directory = directory.NewDirectory(min(mostTTL, max(settings.Seconds(s.Bounds.TTLMax), time.Second)))
-	p.dataPlane = proxy.New(proxy.Options{Settings: p.pickSettings(), GracePeriod: settings.Seconds(s.Bounds.Grace) - endMargin,
-		LossSlack: settings.Milliseconds(s.Bounds.LossSlack), FDLimit: s.Limits.FDs, MemoryMB: int(s.Limits.MemoryMB), Log: p.log,
+	p.directory = directory.NewDirectory(min(mostTTL, max(settings.Seconds(s.Bounds.TTLMaxSeconds), time.Second)))
+	p.dataPlane = proxy.New(proxy.Options{Settings: p.pickSettings(), GracePeriod: settings.Seconds(s.Bounds.GraceSeconds) - endMargin,
+		LossSlack: settings.Milliseconds(s.Bounds.LossSlackMS), FDLimit: s.Limits.FileDescriptors, MemoryMB: int(s.Limits.MemoryMB), Log: p.log,
 		OnStall: func() { p.follower.Refresh() }})
 	p.follower = distribution.NewSubscriber(distribution.SubscriberOptions{Seeds: s.SeedIPs(), ControlPlanePort: s.ControlPlanePort(),
 		ProxyPort: s.ProxyPort(), Self: distribution.Member{Node: s.Node, Zone: s.Zone, Region: s.Region, IP: s.IP, ClientAddress: s.Bind.Front},
@@ -75,7 +75,7 @@
 		if err != nil {
 			return err
 		}
-		group.HTTP(ctx, l, handler)
+		group.ServeHTTP(ctx, l, handler)
 	}
 	if err := self.ServeMetrics(ctx, group); err != nil {
 		return err
@@ -187,7 +187,7 @@
 	p.log.Info("proxy: leaving")
 	p.leaving.Store(true)
 	p.agent.Leave()
-	grace, cancel := context.WithTimeout(context.Background(), settings.Seconds(p.settings.Bounds.Grace)-endMargin)
+	grace, cancel := context.WithTimeout(context.Background(), settings.Seconds(p.settings.Bounds.GraceSeconds)-endMargin)
 	defer cancel()
 	if err := p.follower.Leave(grace); err != nil {
 		p.log.WithError(err).Warn("proxy: no keeper was told")
@@ -199,7 +199,7 @@
 func (p *server) pickSettings() pick.Settings {
 	s := p.settings
 	return pick.Settings{Zone: s.Zone, Region: s.Region, Regions: s.Zones, RetryRatio: s.Bounds.RetryRatio,
-		RetryWindow: settings.Seconds(s.Bounds.RetryWindowS), RetrySlack: s.Bounds.RetrySlack,
+		RetryWindow: settings.Seconds(s.Bounds.RetryWindowSeconds), RetrySlack: s.Bounds.RetrySlack,
 		WarmUpExcess: s.Bounds.ColdExcess, WarmUpSlack: s.Bounds.ColdSlack, Seed: p.seed()}
 }
 
--- a/internal/system/config/config_test.go
+++ b/internal/system/config/config_test.go
@@ -78,7 +78,7 @@
 	fmt.Fprintf(&b, "revision %d\n", c.Revision)
 	for _, r := range c.Routes {
 		fmt.Fprintf(&b, "route %s %s %s category=%d timeout=%v aim=%v gap=%v priority=%d tries=%d", r.Name, r.Host, r.Prefix,
-			r.Category, r.Timeout, r.LatencyTarget, r.EventGapTarget, r.Priority, r.MaxTries)
+			r.Category, r.Timeout, r.LatencyTarget, r.EventGapTarget, r.Priority, r.MaxAttempts)
 		if r.Sticky {
 			b.WriteString(" sticky")
 		}
@@ -98,7 +98,7 @@
 	}
 	for _, name := range c.serviceNames {
 		s := c.Services[name]
-		fmt.Fprintf(&b, "service %s health=%s conns=%d cold=%v at %g/s", s.Name, s.HealthPath, s.MaxConns, s.WarmUpTime, s.WarmUpRate)
+		fmt.Fprintf(&b, "service %s health=%s conns=%d cold=%v at %g/s", s.Name, s.HealthPath, s.MaxConns, s.WarmUpTime, s.WarmUpRequestsPerSecond)
 		if s.Engine != nil {
 			e := s.Engine
 			fmt.Fprintf(&b, " engine={Slots:%d CacheTokens:%d Stride:%d Models:%v}", e.Slots, e.CacheTokens, e.TokensPerEvent, e.Models)
@@ -106,7 +106,7 @@
 		b.WriteByte('\n')
 	}
 	l := c.Limits
-	fmt.Fprintf(&b, "limits {HeaderBytes:%d BodyBytes:%d HeaderTimeout:%v Idle:%v}", l.HeaderBytes, l.BodyBytes, l.HeaderTimeout, l.IdleTimeout)
+	fmt.Fprintf(&b, "limits {HeaderBytes:%d BodyBytes:%d HeaderTimeout:%v Idle:%v}", l.MaxHeaderBytes, l.MaxBodyBytes, l.HeaderTimeout, l.IdleTimeout)
 	return b.String()
 }
 
@@ -249,7 +249,7 @@
 	seenNames, seenPrefixes := map[string]bool{}, map[[2]string]bool{}
 	for _, r := range c.Routes {
 		prefix := [2]string{hostKey(r.Host), r.Prefix}
-		if seenNames[r.Name] || seenPrefixes[prefix] || r.Name == "" || r.Timeout <= 0 || r.Timeout > maxDuration || r.MaxTries < 1 {
+		if seenNames[r.Name] || seenPrefixes[prefix] || r.Name == "" || r.Timeout <= 0 || r.Timeout > maxDuration || r.MaxAttempts < 1 {
 			t.Fatalf("%+v", r)
 		}
 		seenNames[r.Name], seenPrefixes[prefix] = true, true
--- a/internal/system/config/limits.go
+++ b/internal/system/config/limits.go
@@ -8,15 +8,15 @@
 		return Limits{}, err
 	}
 	limits := Limits{
-		HeaderBytes: object.integerField("max_header_bytes", 1<<40), BodyBytes: object.integerField("max_body_bytes", 1<<40),
+		MaxHeaderBytes: object.integerField("max_header_bytes", 1<<40), MaxBodyBytes: object.integerField("max_body_bytes", 1<<40),
 		HeaderTimeout: object.durationField("header_timeout_ms", time.Millisecond, 0),
 		IdleTimeout:   object.durationField("idle_timeout_ms", time.Millisecond, 0),
 	}
-	if limits.HeaderBytes == 0 {
-		limits.HeaderBytes = defaultLimits.HeaderBytes
+	if limits.MaxHeaderBytes == 0 {
+		limits.MaxHeaderBytes = defaultLimits.MaxHeaderBytes
 	}
-	if limits.BodyBytes == 0 {
-		limits.BodyBytes = defaultLimits.BodyBytes
+	if limits.MaxBodyBytes == 0 {
+		limits.MaxBodyBytes = defaultLimits.MaxBodyBytes
 	}
 	if limits.HeaderTimeout == 0 {
 		limits.HeaderTimeout = defaultLimits.HeaderTimeout
--- a/internal/system/config/parse.go
+++ b/internal/system/config/parse.go
@@ -6,7 +6,7 @@
 )
 
 // defaultLimits are the limits of a configuration that has none.
-var defaultLimits = Limits{HeaderBytes: 16 << 10, BodyBytes: 4 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
+var defaultLimits = Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 4 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 
 // Parse decodes and validates a complete configuration. The result retains raw, which must not be changed afterwards. Unknown
 // fields must be valid JSON and are ignored. Every error is an ErrInvalid.
--- a/internal/system/config/route.go
+++ b/internal/system/config/route.go
@@ -20,7 +20,7 @@
 		Timeout:        object.durationField("timeout_ms", time.Millisecond, noDuration),
 		EventGapTarget: object.durationField("gap_aim_ms", time.Millisecond, 0),
 		Priority:       int(object.integerField("priority", math.MaxInt32)),
-		MaxTries:       max(1, int(object.integerField("max_tries", math.MaxInt32))),
+		MaxAttempts:    max(1, int(object.integerField("max_tries", math.MaxInt32))),
 		Sticky:         object.boolField("sticky"),
 		Resumable:      object.boolField("resumable"),
 	}
--- a/internal/system/config/service.go
+++ b/internal/system/config/service.go
@@ -13,11 +13,11 @@
 		return nil, err
 	}
 	service := &Service{
-		Name:       name,
-		HealthPath: object.stringField("health_path", false),
-		MaxConns:   int(object.integerField("max_conns", math.MaxInt32)),
-		WarmUpTime: object.durationField("cold_s", time.Second, 0),
-		WarmUpRate: object.nonNegativeNumber("cold_per_s", 0),
+		Name:                    name,
+		HealthPath:              object.stringField("health_path", false),
+		MaxConns:                int(object.integerField("max_conns", math.MaxInt32)),
+		WarmUpTime:              object.durationField("cold_s", time.Second, 0),
+		WarmUpRequestsPerSecond: object.nonNegativeNumber("cold_per_s", 0),
 	}
 	service.Engine = object.readEngine()
 	if object.err != nil {
--- a/internal/system/config/types.go
+++ b/internal/system/config/types.go
@@ -29,7 +29,7 @@
 	EventGapTarget    time.Duration // streams: the longest gap between events that is in time; 0: none is given
 	Priority          int           // 0 is the highest
 	Shares            []Share       // one at least, in the operator's order
-	MaxTries          int           // servers that one attempt of a client may be sent to, 1 at least
+	MaxAttempts       int           // servers that one attempt of a client may be sent to, 1 at least
 	Sticky, Resumable bool
 	HomeRegions       []string // by name; empty: all regions
 }
@@ -49,18 +49,18 @@
 
 // Service is one entry of services.
 type Service struct {
-	Name, HealthPath string
-	MaxConns         int           // that a server accepts from all proxies together; 0: no bound is given
-	WarmUpTime       time.Duration // how long a server that was started during traffic stays cold
-	WarmUpRate       float64       // requests a second that a cold server can take; 0: no bound
-	Engine           *Engine       // nil: no model servers
+	Name, HealthPath        string
+	MaxConns                int           // that a server accepts from all proxies together; 0: no bound is given
+	WarmUpTime              time.Duration // how long a server that was started during traffic stays cold
+	WarmUpRequestsPerSecond float64       // requests a second that a cold server can take; 0: no bound
+	Engine                  *Engine       // nil: no model servers
 }
 
 // Limits bound what a client may send, and how long it may take or stay idle. Fields that are absent or 0 have defaults: 16 KiB,
 // 4 MiB, 3 s and 15 s.
 type Limits struct {
-	HeaderBytes, BodyBytes     int64
-	HeaderTimeout, IdleTimeout time.Duration
+	MaxHeaderBytes, MaxBodyBytes int64
+	HeaderTimeout, IdleTimeout   time.Duration
 }
 
 // Config is a complete and valid configuration. It is immutable, so it may be shared between goroutines.
--- a/internal/system/distribution/coldworld_test.go
+++ b/internal/system/distribution/coldworld_test.go
@@ -127,8 +127,8 @@
 	w.mesh.mu.Lock()
 	w.mesh.delay = func(_, _ string) time.Duration { return time.Millisecond + rand.N(50*time.Millisecond) }
 	w.mesh.mu.Unlock()
-	w.config = &config.Config{Services: map[string]*config.Service{"a": {Name: "a", WarmUpRate: coldWorldRate, WarmUpTime: coldWorldFor}}}
-	w.config.Routes = []*config.Route{{Host: "h", Prefix: "/", MaxTries: 1, Shares: []config.Share{{Service: "a", Weight: 1}}}}
+	w.config = &config.Config{Services: map[string]*config.Service{"a": {Name: "a", WarmUpRequestsPerSecond: coldWorldRate, WarmUpTime: coldWorldFor}}}
+	w.config.Routes = []*config.Route{{Host: "h", Prefix: "/", MaxAttempts: 1, Shares: []config.Share{{Service: "a", Weight: 1}}}}
 	w.chain.add(controlstate.Record{Op: controlstate.OpNone})
 	for _, zone := range []string{"za", "zb"} {
 		for range 3 {
--- a/internal/system/process/group.go
+++ b/internal/system/process/group.go
@@ -48,9 +48,9 @@
 	})
 }
 
-// HTTP serves handler at listener until ctx ends, with handler's ConnContext if it has one. Calls that are under way then have
+// ServeHTTP serves handler at listener until ctx ends, with handler's ConnContext if it has one. Calls that are under way then have
 // shutdownTimeout to end. It returns at once; an error of the listener, an ErrListen, ends the group.
-func (g *Group) HTTP(ctx context.Context, listener net.Listener, handler http.Handler) {
+func (g *Group) ServeHTTP(ctx context.Context, listener net.Listener, handler http.Handler) {
 	server := newServer(ctx, handler)
 	g.Go(func() error {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
--- a/internal/system/process/metrics.go
+++ b/internal/system/process/metrics.go
@@ -28,7 +28,7 @@
 	mux.HandleFunc("GET "+MetricsPath, func(w http.ResponseWriter, _ *http.Request) {
 		metrics.WritePrometheus(w, false)
 	})
-	group.HTTP(ctx, listener, mux)
+	group.ServeHTTP(ctx, listener, mux)
 	return nil
 }
 
--- a/internal/system/proxy/answers_test.go
+++ b/internal/system/proxy/answers_test.go
@@ -110,7 +110,7 @@
 	t.Run("no more tries", func(t *testing.T) {
 		other := startServer(t, say(200, "x"))
 		f := startProxy(t, []*fakeServer{startServer(t, full), other},
-			func(_ *Options, c *config.Config) { c.Routes[0].MaxTries = 1 })
+			func(_ *Options, c *config.Config) { c.Routes[0].MaxAttempts = 1 })
 		if got := f.ask(t, "id-1", ""); got.StatusCode != 503 || len(other.came) > 0 {
 			t.Errorf("status %d, %d more sends", got.StatusCode, len(other.came))
 		}
--- a/internal/system/proxy/call.go
+++ b/internal/system/proxy/call.go
@@ -66,7 +66,7 @@
 // mayMove tells whether the request may be sent to one more server, as far as it goes by the request alone.
 func (c *call) mayMove(offered bool) bool {
 	switch {
-	case len(c.tried) >= max(c.route.MaxTries, 1):
+	case len(c.tried) >= max(c.route.MaxAttempts, 1):
 		return false
 	case c.passing:
 		return (c.route.Resumable || c.p.opt.without.resumeRule) && c.lastID != ""
--- a/internal/system/proxy/handler.go
+++ b/internal/system/proxy/handler.go
@@ -51,7 +51,7 @@
 	left = min(left, mostWait)
 	c := &call{p: p, w: w, r: r, rc: rc, conn: conn, id: id, target: target, route: route, began: came,
 		deadline: came.Add(left - min(left/20, mostMargin)), lastID: r.Header.Get(lastEventID)}
-	b := body{room: p.room, most: config.Limits.BodyBytes}
+	b := body{room: p.room, most: config.Limits.MaxBodyBytes}
 	defer b.free()
 	_ = rc.SetReadDeadline(c.deadline)
 	if status := b.read(r); status != 0 {
@@ -87,13 +87,13 @@
 		}
 	}
 	switch {
-	case l.HeaderBytes > 0 && size > l.HeaderBytes:
+	case l.MaxHeaderBytes > 0 && size > l.MaxHeaderBytes:
 		return http.StatusRequestHeaderFieldsTooLarge
 	case route == nil || target == "":
 		return http.StatusNotFound
 	case r.Header.Get(attemptID) == "" || len(r.Header[attemptID]) > 1:
 		return http.StatusBadRequest
-	case l.BodyBytes > 0 && r.ContentLength > l.BodyBytes:
+	case l.MaxBodyBytes > 0 && r.ContentLength > l.MaxBodyBytes:
 		return http.StatusRequestEntityTooLarge
 	}
 	return 0
--- a/internal/system/proxy/helpers_test.go
+++ b/internal/system/proxy/helpers_test.go
@@ -261,11 +261,11 @@
 func startProxy(t *testing.T, servers []*fakeServer, changes ...change) *fixture {
 	t.Helper()
 	route := &config.Route{Name: "r", Host: "h.example", Prefix: "/a/", Category: config.NonIdempotent, Timeout: 8 * time.Second,
-		LatencyTarget: time.Second, EventGapTarget: 500 * time.Millisecond, Priority: 3, MaxTries: 3,
+		LatencyTarget: time.Second, EventGapTarget: 500 * time.Millisecond, Priority: 3, MaxAttempts: 3,
 		Shares: []config.Share{{Service: "s", Weight: 1}}}
 	config := &config.Config{Revision: 1, Routes: []*config.Route{route},
 		Services: map[string]*config.Service{"s": {Name: "s", MaxConns: 100}},
-		Limits:   config.Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}}
+		Limits:   config.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 1 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}}
 	o := Options{Log: &log.Logger{Handler: discard.New()}, GracePeriod: 2 * time.Second}
 	for _, c := range changes {
 		c(&o, config)
--- a/internal/system/proxy/once_test.go
+++ b/internal/system/proxy/once_test.go
@@ -119,10 +119,10 @@
 	w := &world{scenario: s, script: &script{stream: s.Category == config.Streaming, resumable: s.Resumable}, wait: "4000"}
 	defer w.stop()
 	route := &config.Route{Name: "r", Host: "h.example", Prefix: "/a/", Category: s.Category, Resumable: s.Resumable,
-		Timeout: 8 * time.Second, MaxTries: s.MaxTries, Shares: []config.Share{{Service: "s", Weight: 1}}}
+		Timeout: 8 * time.Second, MaxAttempts: s.MaxTries, Shares: []config.Share{{Service: "s", Weight: 1}}}
 	world := pick.ClusterState{Config: &config.Config{Revision: 1, Routes: []*config.Route{route},
 		Services: map[string]*config.Service{"s": {Name: "s", MaxConns: 100}},
-		Limits:   config.Limits{HeaderBytes: 16 << 10, BodyBytes: 4 << 20}}}
+		Limits:   config.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 4 << 20}}}
 	for i, will := range s.Servers {
 		server, err := w.start(will)
 		if err != nil {
--- a/internal/system/proxy/pause_test.go
+++ b/internal/system/proxy/pause_test.go
@@ -13,9 +13,9 @@
 
 // pausedPolicy is a policy of one of twelve proxies that knows two servers, which bear 31 requests a second while they are cold.
 func pausedPolicy() (*policy, *pick.Request, pick.ClusterState) {
-	route := &config.Route{Host: "h", Prefix: "/", MaxTries: 2, Category: config.Idempotent, Shares: []config.Share{{Service: "a", Weight: 1}}}
+	route := &config.Route{Host: "h", Prefix: "/", MaxAttempts: 2, Category: config.Idempotent, Shares: []config.Share{{Service: "a", Weight: 1}}}
 	w := pick.ClusterState{Self: "p00", Config: &config.Config{Routes: []*config.Route{route},
-		Services: map[string]*config.Service{"a": {Name: "a", WarmUpRate: 31, WarmUpTime: 3 * time.Second}}}}
+		Services: map[string]*config.Service{"a": {Name: "a", WarmUpRequestsPerSecond: 31, WarmUpTime: 3 * time.Second}}}}
 	for i := range 12 {
 		w.Peers = append(w.Peers, "p"+string(rune('0'+i/10))+string(rune('0'+i%10)))
 	}
--- a/internal/system/proxy/pick/choose.go
+++ b/internal/system/proxy/pick/choose.go
@@ -24,7 +24,7 @@
 // of these sends may have run. With Send it registers the send: Done has to follow, exactly once.
 func (p *Picker) Choose(now Time, r *Request, tried []string, offered bool) Choice {
 	c := Choice{Priority: min(max(r.Route.Priority, 0), 9)}
-	most := max(r.Route.MaxTries, 1)
+	most := max(r.Route.MaxAttempts, 1)
 	switch {
 	case offered && !r.Route.Idempotent(),
 		r.arrived >= most,
--- a/internal/system/proxy/pick/cold.go
+++ b/internal/system/proxy/pick/cold.go
@@ -39,7 +39,7 @@
 	if s.group == nil || s.group.service == nil {
 		return 0
 	}
-	return s.group.service.WarmUpRate
+	return s.group.service.WarmUpRequestsPerSecond
 }
 
 // allHold tells whether every live proxy is a holder of a cold server of that rate.
@@ -70,7 +70,7 @@
 	if service == nil {
 		return false // who becomes a holder once the service is named again waits for the former ones
 	}
-	rate := service.WarmUpRate
+	rate := service.WarmUpRequestsPerSecond
 	if rate <= 0 {
 		return true
 	}
--- a/internal/system/proxy/pick/coldend_test.go
+++ b/internal/system/proxy/pick/coldend_test.go
@@ -32,8 +32,8 @@
 
 func newColdGroup(early time.Duration) *coldGroup {
 	g := &coldGroup{rng: rand.New(rand.NewPCG(1, 36)), early: early, waiting: map[*Picker][]*wait{}, sent: map[string][]Time{},
-		config: &config.Config{Services: map[string]*config.Service{"a": {Name: "a", WarmUpRate: 31}}}}
-	g.config.Routes = []*config.Route{{Host: "h", Prefix: "/", MaxTries: 1, Shares: []config.Share{{Service: "a", Weight: 1}}}}
+		config: &config.Config{Services: map[string]*config.Service{"a": {Name: "a", WarmUpRequestsPerSecond: 31}}}}
+	g.config.Routes = []*config.Route{{Host: "h", Prefix: "/", MaxAttempts: 1, Shares: []config.Share{{Service: "a", Weight: 1}}}}
 	for i := range 12 {
 		g.peers = append(g.peers, fmt.Sprintf("p%02d", i))
 		g.pickers = append(g.pickers, New(Settings{Zone: "z", Region: "r", WarmUpExcess: 1.5, WarmUpSlack: 5}))
--- a/internal/system/proxy/pick/coldholders_test.go
+++ b/internal/system/proxy/pick/coldholders_test.go
@@ -16,7 +16,7 @@
 		for proxies := 1; proxies <= 60; proxies++ {
 			t.Run(fmt.Sprint(rate, proxies), func(t *testing.T) {
 				f := newColdFleet(proxies)
-				f.config.Services["a"].WarmUpRate = rate
+				f.config.Services["a"].WarmUpRequestsPerSecond = rate
 				for i, p := range f.pickers {
 					p.UpdateClusterState(0, f.world(i, 1, time.Minute))
 				}
--- a/internal/system/proxy/pick/coldshare_test.go
+++ b/internal/system/proxy/pick/coldshare_test.go
@@ -17,8 +17,8 @@
 }
 
 func newColdFleet(proxies int) *coldFleet {
-	f := &coldFleet{config: &config.Config{Services: map[string]*config.Service{"a": {Name: "a", WarmUpRate: 31, WarmUpTime: coldFor}}}}
-	f.config.Routes = []*config.Route{{Host: "h", Prefix: "/", MaxTries: 2, Category: config.Idempotent, Shares: []config.Share{{Service: "a", Weight: 1}}}}
+	f := &coldFleet{config: &config.Config{Services: map[string]*config.Service{"a": {Name: "a", WarmUpRequestsPerSecond: 31, WarmUpTime: coldFor}}}}
+	f.config.Routes = []*config.Route{{Host: "h", Prefix: "/", MaxAttempts: 2, Category: config.Idempotent, Shares: []config.Share{{Service: "a", Weight: 1}}}}
 	for i := range proxies {
 		f.names = append(f.names, fmt.Sprintf("p%02d", i))
 		f.pickers = append(f.pickers, New(Settings{Zone: "z", Region: "r", WarmUpExcess: 1.5, WarmUpSlack: 5, RetryRatio: 0.2,
--- a/internal/system/proxy/pick/coldsplit_test.go
+++ b/internal/system/proxy/pick/coldsplit_test.go
@@ -107,7 +107,7 @@
 	before := coldPaceKept.Violations()
 	tell := func(now Time, rate float64) {
 		w := f.world(0, 1, 10*time.Second-now)
-		w.Config = &config.Config{Routes: f.config.Routes, Services: map[string]*config.Service{"a": {Name: "a", WarmUpRate: rate, WarmUpTime: 10 * time.Second}}}
+		w.Config = &config.Config{Routes: f.config.Routes, Services: map[string]*config.Service{"a": {Name: "a", WarmUpRequestsPerSecond: rate, WarmUpTime: 10 * time.Second}}}
 		p.UpdateClusterState(now, w)
 	}
 	tell(0, 3.1)
--- a/internal/system/proxy/pick/conformance_test.go
+++ b/internal/system/proxy/pick/conformance_test.go
@@ -172,9 +172,9 @@
 		}
 		switch f[0] {
 		case "service":
-			w.Config.Services[f[1]] = &config.Service{Name: f[1], WarmUpRate: num("cold", 0)}
+			w.Config.Services[f[1]] = &config.Service{Name: f[1], WarmUpRequestsPerSecond: num("cold", 0)}
 		case "route":
-			r := &config.Route{Name: f[1], Host: "h", Prefix: f[1], MaxTries: int(num("tries", 2)), Priority: int(num("priority", 0)),
+			r := &config.Route{Name: f[1], Host: "h", Prefix: f[1], MaxAttempts: int(num("tries", 2)), Priority: int(num("priority", 0)),
 				Timeout: 10 * time.Second, LatencyTarget: time.Second, Category: config.NonIdempotent}
 			if opt["repeat"] == "yes" {
 				r.Category = config.Idempotent
--- a/internal/system/proxy/pick/golden_trace_test.go
+++ b/internal/system/proxy/pick/golden_trace_test.go
@@ -255,12 +255,12 @@
 
 func newDriver(tr *trace, seed uint64) *driver {
 	d := &driver{tr: tr, rng: rand.New(rand.NewPCG(seed, 11)), cfg: &config.Config{Services: map[string]*config.Service{
-		"a": {Name: "a", WarmUpRate: 20, Engine: &config.Engine{Slots: 6, CacheTokens: 60_000, TokensPerEvent: 5}}, "b": {Name: "b", WarmUpRate: 5}}}}
+		"a": {Name: "a", WarmUpRequestsPerSecond: 20, Engine: &config.Engine{Slots: 6, CacheTokens: 60_000, TokensPerEvent: 5}}, "b": {Name: "b", WarmUpRequestsPerSecond: 5}}}}
 	both := []config.Share{{Service: "a", Weight: 3}, {Service: "b", Weight: 1}}
 	d.cfg.Routes = []*config.Route{
-		{Host: "h", Prefix: "/", Category: config.Streaming, MaxTries: 3, Timeout: 5 * time.Second, LatencyTarget: time.Second, Shares: both[:1], Resumable: true},
-		{Host: "h", Prefix: "/i", Category: config.Idempotent, MaxTries: 2, Timeout: 2 * time.Second, Shares: both, Priority: 3},
-		{Host: "h", Prefix: "/n", Category: config.Streaming, MaxTries: 4, Timeout: time.Second, Shares: both, HomeRegions: []string{"r"}},
+		{Host: "h", Prefix: "/", Category: config.Streaming, MaxAttempts: 3, Timeout: 5 * time.Second, LatencyTarget: time.Second, Shares: both[:1], Resumable: true},
+		{Host: "h", Prefix: "/i", Category: config.Idempotent, MaxAttempts: 2, Timeout: 2 * time.Second, Shares: both, Priority: 3},
+		{Host: "h", Prefix: "/n", Category: config.Streaming, MaxAttempts: 4, Timeout: time.Second, Shares: both, HomeRegions: []string{"r"}},
 	}
 	for i := range 12 {
 		s := Server{ID: fmt.Sprint("s", i), Service: "a", Address: fmt.Sprint("x", i), Zone: fmt.Sprint("z", i%3), Region: []string{"r", "r", "q"}[i%3], Slots: 6}
--- a/internal/system/proxy/pick/kept_test.go
+++ b/internal/system/proxy/pick/kept_test.go
@@ -11,7 +11,7 @@
 // connections have been without use for longer than the servers keep them, or one that could not be reached.
 func TestKeptConnections(t *testing.T) {
 	const told = 10 * time.Second
-	route := &config.Route{Name: "a", Host: "h", Prefix: "/", Category: config.Streaming, Timeout: 8 * time.Second, LatencyTarget: time.Second, MaxTries: 1,
+	route := &config.Route{Name: "a", Host: "h", Prefix: "/", Category: config.Streaming, Timeout: 8 * time.Second, LatencyTarget: time.Second, MaxAttempts: 1,
 		Shares: []config.Share{{Service: "lm", Weight: 1}}}
 	p := laneWorld(6)
 	send := func(now Time, outcome Outcome) string {
--- a/internal/system/proxy/pick/property_test.go
+++ b/internal/system/proxy/pick/property_test.go
@@ -14,7 +14,7 @@
 // drawWorld draws a deployment of two services and three zones in two regions.
 func drawWorld(t *rapid.T, age int) ClusterState {
 	w := ClusterState{Self: "p1", Peers: []string{"p1", "p2", "p3"}, Evacuated: map[string]bool{}, Config: &config.Config{Services: map[string]*config.Service{
-		"lm":  {Name: "lm", WarmUpRate: 30, Engine: &config.Engine{Slots: 4, CacheTokens: 50000}},
+		"lm":  {Name: "lm", WarmUpRequestsPerSecond: 30, Engine: &config.Engine{Slots: 4, CacheTokens: 50000}},
 		"app": {Name: "app"},
 	}}}
 	if rapid.Bool().Draw(t, "evacuated") {
@@ -22,7 +22,7 @@
 	}
 	for i := range rapid.IntRange(1, 4).Draw(t, "routes") {
 		r := &config.Route{Name: fmt.Sprint(i), Host: "h", Prefix: fmt.Sprintf("/%d/", i), Timeout: 8 * time.Second, LatencyTarget: time.Second,
-			MaxTries: rapid.IntRange(1, 3).Draw(t, "tries"), Category: config.Category(rapid.IntRange(0, 2).Draw(t, "category")),
+			MaxAttempts: rapid.IntRange(1, 3).Draw(t, "tries"), Category: config.Category(rapid.IntRange(0, 2).Draw(t, "category")),
 			Resumable: rapid.Bool().Draw(t, "resumable")}
 		r.Shares = []config.Share{{Service: "lm", Weight: 1}, {Service: "app", Weight: float64(rapid.IntRange(0, 3).Draw(t, "weight"))}}
 		if rapid.Bool().Draw(t, "bound") {
@@ -101,7 +101,7 @@
 					continue
 				case o.offered && !o.r.Route.Idempotent():
 					t.Fatal("a request may run twice")
-				case o.arrived >= o.r.Route.MaxTries:
+				case o.arrived >= o.r.Route.MaxAttempts:
 					t.Fatal("more tries than max_tries")
 				}
 				i := slices.IndexFunc(w.Servers, func(s Server) bool { return s.ID == c.Server.ID })
@@ -203,8 +203,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		rate := float64(rapid.IntRange(1, 60).Draw(t, "rate"))
 		n := rapid.IntRange(1, 30).Draw(t, "proxies")
-		cfg := &config.Config{Services: map[string]*config.Service{"a": {Name: "a", WarmUpRate: rate}}}
-		route := &config.Route{Host: "h", Prefix: "/", MaxTries: 1, Shares: []config.Share{{Service: "a", Weight: 1}}}
+		cfg := &config.Config{Services: map[string]*config.Service{"a": {Name: "a", WarmUpRequestsPerSecond: rate}}}
+		route := &config.Route{Host: "h", Prefix: "/", MaxAttempts: 1, Shares: []config.Share{{Service: "a", Weight: 1}}}
 		cfg.Routes = []*config.Route{route}
 		name := func(i int) string { return fmt.Sprintf("p%02d", i) }
 		view := func(from, to int) (v []string) {
@@ -257,7 +257,7 @@
 		n := rapid.IntRange(1, 12).Draw(t, "proxies")
 		slack := float64(rapid.IntRange(0, 64).Draw(t, "slack"))
 		cfg := &config.Config{Services: map[string]*config.Service{"a": {Name: "a"}}}
-		route := &config.Route{Host: "h", Prefix: "/", MaxTries: 9, Shares: []config.Share{{Service: "a", Weight: 1}}, Category: config.Idempotent}
+		route := &config.Route{Host: "h", Prefix: "/", MaxAttempts: 9, Shares: []config.Share{{Service: "a", Weight: 1}}, Category: config.Idempotent}
 		cfg.Routes = []*config.Route{route}
 		var peers []string
 		var servers []Server
--- a/internal/system/proxy/pick/server.go
+++ b/internal/system/proxy/pick/server.go
@@ -152,7 +152,7 @@
 // mayTry tells whether r may be the one that tries a doubted server. That is best left to a request that can go on to
 // another server; one that can't tries only a server that nobody has tried for long.
 func (s *server) mayTry(now Time, r *Request, tried []string) bool {
-	return len(tried) == 0 && r.Route.MaxTries > 1 || now >= s.outUntil+untriedMost
+	return len(tried) == 0 && r.Route.MaxAttempts > 1 || now >= s.outUntil+untriedMost
 }
 
 func (s *server) suspect() bool { return s.fails > 0 || s.outUntil > 0 }
--- a/internal/system/proxy/pick/sim_test.go
+++ b/internal/system/proxy/pick/sim_test.go
@@ -44,13 +44,13 @@
 		tallies: map[string]*tally{}, things: map[string][][]PrefixPart{}, reads: map[uint64]int{}, weights: map[shareSpec][]float64{}, ownID: 1 << 32,
 		idle: map[[2]string][]Time{}}
 	f.cfg = &config.Config{Services: map[string]*config.Service{
-		"lm":     {Name: "lm", WarmUpRate: 31, Engine: &config.Engine{Slots: sc.slots, CacheTokens: sc.spec.memory, TokensPerEvent: sc.spec.stride}},
+		"lm":     {Name: "lm", WarmUpRequestsPerSecond: 31, Engine: &config.Engine{Slots: sc.slots, CacheTokens: sc.spec.memory, TokensPerEvent: sc.spec.stride}},
 		"thumbs": {Name: "thumbs"},
 	}}
 	for i := range sc.kinds {
 		k := &sc.kinds[i]
 		r := &config.Route{Name: k.name, Host: k.name, Prefix: "/", Category: config.Streaming, Timeout: k.deadline, LatencyTarget: k.aim,
-			EventGapTarget: k.pause, Priority: k.priority, MaxTries: 2, Resumable: k.resume, HomeRegions: k.homes, Shares: []config.Share{{Service: "lm", Weight: 1}}}
+			EventGapTarget: k.pause, Priority: k.priority, MaxAttempts: 2, Resumable: k.resume, HomeRegions: k.homes, Shares: []config.Share{{Service: "lm", Weight: 1}}}
 		if k.plain {
 			r.Category, r.Shares = config.Idempotent, []config.Share{{Service: "thumbs", Weight: 1}}
 		}
--- a/internal/system/proxy/silence_test.go
+++ b/internal/system/proxy/silence_test.go
@@ -27,7 +27,7 @@
 
 func newPiped(changes []change, servers ...deed) *piped {
 	route := &config.Route{Name: "r", Host: "h.example", Prefix: "/a/", Category: config.NonIdempotent, Timeout: 8 * time.Second,
-		LatencyTarget: 800 * time.Millisecond, EventGapTarget: 600 * time.Millisecond, MaxTries: 3}
+		LatencyTarget: 800 * time.Millisecond, EventGapTarget: 600 * time.Millisecond, MaxAttempts: 3}
 	config := &config.Config{Routes: []*config.Route{route}, Services: map[string]*config.Service{"s": {Name: "s", MaxConns: 100}}}
 	o := Options{}
 	for _, c := range changes {
--- a/internal/system/settings/settings.go
+++ b/internal/system/settings/settings.go
@@ -32,12 +32,12 @@
 
 // Limits are the resources that the machine gives a process.
 type Limits struct {
-	CPUShare float64 `toml:"cpu_share"` // of a core
-	Cores    float64 `toml:"cores"`
-	MemoryMB int64   `toml:"memory_mb"` // MiB
-	FDs      int     `toml:"fd_limit"`
-	LinkMbps float64 `toml:"link_mbps"`
-	DiskMB   int64   `toml:"disk_mb"` // MB; 0: no disk
+	CPUShare        float64 `toml:"cpu_share"` // of a core
+	Cores           float64 `toml:"cores"`
+	MemoryMB        int64   `toml:"memory_mb"` // MiB
+	FileDescriptors int     `toml:"fd_limit"`
+	LinkMbps        float64 `toml:"link_mbps"`
+	DiskMB          int64   `toml:"disk_mb"` // MB; 0: no disk
 }
 
 // Tolerance is what the system may lose at once while all rules still hold.
@@ -49,30 +49,30 @@
 
 // Bounds are the figures of the operators' rules. Keys end in their unit: _ms or _s; ratios, excesses and slacks of requests have none.
 type Bounds struct {
-	SeedLag      float64 `toml:"seed_lag_s"`
-	Contact      float64 `toml:"contact_ms"`
-	Ack          float64 `toml:"ack_ms"`
-	CatchUp      float64 `toml:"catch_up_s"`
-	Drain        float64 `toml:"drain_ms"`
-	Grace        float64 `toml:"grace_s"`
-	LossSlack    float64 `toml:"loss_slack_ms"`
-	ConfigApply  float64 `toml:"config_apply_ms"`
-	RevertSlack  float64 `toml:"revert_slack_ms"`
-	RetryRatio   float64 `toml:"retry_ratio"`
-	RetryWindowS float64 `toml:"retry_window_s"`
-	RetrySlack   float64 `toml:"retry_slack"`
-	ColdExcess   float64 `toml:"cold_excess"`
-	ColdSlack    float64 `toml:"cold_slack"`
-	Evacuate     float64 `toml:"evacuate_ms"`
-	Recovery     float64 `toml:"recovery_s"`
-	TTLMax       float64 `toml:"ttl_max_s"`
+	SeedLagSeconds     float64 `toml:"seed_lag_s"`
+	ContactMS          float64 `toml:"contact_ms"`
+	AckMS              float64 `toml:"ack_ms"`
+	CatchUpSeconds     float64 `toml:"catch_up_s"`
+	DrainMS            float64 `toml:"drain_ms"`
+	GraceSeconds       float64 `toml:"grace_s"`
+	LossSlackMS        float64 `toml:"loss_slack_ms"`
+	ConfigApplyMS      float64 `toml:"config_apply_ms"`
+	RevertSlackMS      float64 `toml:"revert_slack_ms"`
+	RetryRatio         float64 `toml:"retry_ratio"`
+	RetryWindowSeconds float64 `toml:"retry_window_s"`
+	RetrySlack         float64 `toml:"retry_slack"`
+	ColdExcess         float64 `toml:"cold_excess"`
+	ColdSlack          float64 `toml:"cold_slack"`
+	EvacuateMS         float64 `toml:"evacuate_ms"`
+	RecoverySeconds    float64 `toml:"recovery_s"`
+	TTLMaxSeconds      float64 `toml:"ttl_max_s"`
 }
 
 // Cloud is the platform's API that lists the servers.
 type Cloud struct {
-	Address string  `toml:"address"`
-	Rate    float64 `toml:"rate_per_s"` // that it accepts from all processes together
-	Lag     float64 `toml:"lag_ms"`     // of the list behind the servers
+	Address        string  `toml:"address"`
+	CallsPerSecond float64 `toml:"rate_per_s"` // that it accepts from all processes together
+	LagMS          float64 `toml:"lag_ms"`     // of the list behind the servers
 }
 
 // Settings are the settings of one process.
--- a/internal/system/settings/validate.go
+++ b/internal/system/settings/validate.go
@@ -102,19 +102,19 @@
 		minimum, maximum float64
 	}{
 		{"limits.memory_mb", float64(s.Limits.MemoryMB), 16, 1 << 20},
-		{"limits.fd_limit", float64(s.Limits.FDs), 64, 1 << 24},
+		{"limits.fd_limit", float64(s.Limits.FileDescriptors), 64, 1 << 24},
 		{"limits.disk_mb", float64(s.Limits.DiskMB), 0, 1 << 30},
 		{"tolerance.machine_losses", float64(s.Tolerance.Machines), 0, 64},
 		{"tolerance.zones", float64(s.Tolerance.Zones), 0, 64},
 		{"tolerance.region_losses", float64(s.Tolerance.Regions), 0, 64},
-		{"bounds.ack_ms", s.Bounds.Ack, 100, 600_000},
-		{"bounds.grace_s", s.Bounds.Grace, 0.1, 3600},
+		{"bounds.ack_ms", s.Bounds.AckMS, 100, 600_000},
+		{"bounds.grace_s", s.Bounds.GraceSeconds, 0.1, 3600},
 		{"bounds.retry_ratio", s.Bounds.RetryRatio, 0, 100},
-		{"bounds.retry_window_s", s.Bounds.RetryWindowS, 0, 3600},
+		{"bounds.retry_window_s", s.Bounds.RetryWindowSeconds, 0, 3600},
 		{"bounds.retry_slack", s.Bounds.RetrySlack, 0, 1e9},
 		{"bounds.cold_excess", s.Bounds.ColdExcess, 0, 1e6},
 		{"bounds.cold_slack", s.Bounds.ColdSlack, 0, 1e9},
-		{"cloud_api.rate_per_s", s.Cloud.Rate, 0.01, 1e6},
+		{"cloud_api.rate_per_s", s.Cloud.CallsPerSecond, 0.01, 1e6},
 		{"beat_ms", s.HeartbeatMS, 0, 600_000},
 	} {
 		isWithin := figure.value >= figure.minimum && figure.value <= figure.maximum // false for NaN
