--- a/internal/system/wal/doc.go
+++ b/internal/system/wal/doc.go
@@ -16,7 +16,7 @@
 //     snapshot that was current, and a nonce. The segments that can be reached through the headers are the segment chain.
 //   - generation: the number of a snapshot or of a version of a piece of metadata. Its upper bits are the number of the newest
 //     segment, so a process's generations are above those of every process before it.
-//   - in doubt: whether a change that failed is on the disk is unknown. The next change resolves it as not done.
+//   - unfinished: of a change that failed it is unknown whether it is on the disk. The next change resolves it as not done.
 //   - claim: the exclusive creation of the next segment's empty file. The segment's number is the fencing token of the process
 //     that made it (Kleppmann, "How to do distributed locking", 2016).
 //   - reserve: a file whose space is given up so that metadata and truncations succeed on a full disk.
@@ -45,8 +45,8 @@
 // (1, 2) Log.appendToSegment writes one record a call at the segment's end and syncs it before it returns. A record's checksum
 // covers the segment's nonce and the record's offset, so that bytes of an earlier use of the block never pass for a record; one
 // sync never covers two records, so only the last can be torn. Snapshots, metadata and the starts of segments go through
-// Log.replaceFile: a new file under a temporary name, sync, rename, sync of the folder. What a failed call leaves in doubt is
-// behind the newest segment's live end, in the next segment's place, or in one snapshot; Log.resolveInDoubt seals or removes each
+// Log.replaceFile: a new file under a temporary name, sync, rename, sync of the folder. What a failed call leaves unfinished is
+// behind the newest segment's live end, in the next segment's place, or in one snapshot; Log.resolveUnfinished seals or removes each
 // durably before another change succeeds. Open syncs the parent folder each time, because the process that made the folder may
 // have ended before its own sync.
 //
@@ -56,7 +56,7 @@
 //
 // (3, 4) After a failed write or sync the file is never written again (Log.abandonActiveSegment): the kernel may have dropped the
 // pages, and a later sync would report success (Rebello et al., "Can Applications Recover from fsync Failures?", USENIX ATC 2020).
-// The next segment's header excludes what is in doubt. Only the last record of the newest segment can have a failed sync behind
+// The next segment's header excludes what is unfinished. Only the last record of the newest segment can have a failed sync behind
 // it, because a later record would be in another segment; Log.takeOwnership therefore writes that record again as the start of a
 // new segment.
 //
--- a/internal/system/wal/files.go
+++ b/internal/system/wal/files.go
@@ -90,7 +90,7 @@
 	return f.Size()
 }
 
-func readWholeFile(f File) ([]byte, error) {
+func readFully(f File) ([]byte, error) {
 	size, err := f.Size()
 	if err != nil {
 		return nil, err
@@ -109,7 +109,7 @@
 		return nil, diskError(err, "open "+name)
 	}
 	defer func() { _ = f.Close() }()
-	b, err := readWholeFile(f)
+	b, err := readFully(f)
 	return b, diskError(err, "read "+name)
 }
 
--- a/internal/system/wal/log.go
+++ b/internal/system/wal/log.go
@@ -71,13 +71,13 @@
 	tail             segmentEnd    // the newest segment and its live end, for the next one's header
 	tailBeforeActive segmentEnd    // tail as it was when activeSegment was made
 	unclaimed        bool          // Load could not create the next segment
-	tailInDoubt      bool          // a record behind tail, or in abandonedSegment, may be on disk
+	tailUnfinished   bool          // a record behind tail, or in abandonedSegment, may be on disk
 
-	snapshotInDoubt  string                     // file of a snapshot whose saving failed after the rename
-	abandonedSegment string                     // file of number nextSegment whose making failed
-	meta             map[string]metaGenerations // by name
-	garbage          []string                   // files to delete
-	hasReserve       bool                       // the reserve is on disk
+	unfinishedSnapshot string                     // file of a snapshot whose saving failed after the rename
+	abandonedSegment   string                     // file of number nextSegment whose making failed
+	meta               map[string]metaGenerations // by name
+	garbage            []string                   // files to delete
+	hasReserve         bool                       // the reserve is on disk
 
 	quarantinedFiles []string // files of the quarantined copy
 	quarantinedBytes int64
@@ -170,18 +170,18 @@
 	return n
 }
 
-// resolveInDoubt makes the log ready for a change: what an earlier failure left in doubt is resolved as not done.
-func (l *Log) resolveInDoubt() error {
+// resolveUnfinished makes the log ready for a change: what an earlier failure left unfinished is resolved as not done.
+func (l *Log) resolveUnfinished() error {
 	if err := l.checkWritable(); err != nil {
 		return err
 	}
-	if err := l.removeSnapshotInDoubt(); err != nil {
+	if err := l.removeUnfinishedSnapshot(); err != nil {
 		return err
 	}
 	if err := l.removeAbandonedSegment(); err != nil { // its header names the snapshot as it was
 		return err
 	}
-	if l.tailInDoubt && !l.options.TestingKnobs.ReuseSegmentAfterFailedSync {
+	if l.tailUnfinished && !l.options.TestingKnobs.ReuseSegmentAfterFailedSync {
 		return l.withReserve(headerSize, func() error { return l.createSegment(nil) })
 	}
 	return nil
@@ -202,7 +202,7 @@
 
 // Append implements Disk. It fails with ErrFull above Options.MaxBytes.
 func (l *Log) Append(entries []Entry) error {
-	if err := l.resolveInDoubt(); err != nil {
+	if err := l.resolveUnfinished(); err != nil {
 		return err
 	}
 	if err := ValidateAppend(l.lastSeq, entries); err != nil || len(entries) == 0 {
@@ -222,7 +222,7 @@
 
 // Truncate implements Disk. It works at Options.MaxBytes and on a full disk, too.
 func (l *Log) Truncate(after uint64) error {
-	if err := l.resolveInDoubt(); err != nil {
+	if err := l.resolveUnfinished(); err != nil {
 		return err
 	}
 	if err := ValidateTruncate(l.snapshotSeq, after); err != nil || after >= l.lastSeq {
--- a/internal/system/wal/segment.go
+++ b/internal/system/wal/segment.go
@@ -60,7 +60,7 @@
 	if l.options.TestingKnobs.ReuseSegmentAfterFailedSync {
 		return
 	}
-	l.tailInDoubt = true
+	l.tailUnfinished = true
 	_ = l.closeSegment()
 	if file.liveBytes > headerSize {
 		return
@@ -115,6 +115,6 @@
 	l.segments = append(l.segments, segmentFile{l.nextSegment, l.tail.offset, l.tail.offset})
 	l.activeSegment, l.activeNonce = f, header.nonce
 	l.nextSegment++
-	l.tailInDoubt = false
+	l.tailUnfinished = false
 	return nil
 }
--- a/internal/system/wal/snapshot.go
+++ b/internal/system/wal/snapshot.go
@@ -9,7 +9,7 @@
 
 // Compact implements Disk. It works at Options.MaxBytes, too. Segments that the snapshot covers are deleted.
 func (l *Log) Compact(snapshot Snapshot) error {
-	if err := l.resolveInDoubt(); err != nil {
+	if err := l.resolveUnfinished(); err != nil {
 		return err
 	}
 	if err := ValidateCompact(l.snapshotSeq, l.lastSeq, snapshot.Seq); err != nil {
@@ -34,7 +34,7 @@
 
 // Install implements Disk.
 func (l *Log) Install(snapshot Snapshot) error {
-	if err := l.resolveInDoubt(); err != nil {
+	if err := l.resolveUnfinished(); err != nil {
 		return err
 	}
 	if err := l.withFreeSpace(len(snapshot.Data), func() error { return l.saveSnapshot(snapshot, l.nextSegment) }); err != nil {
@@ -48,7 +48,7 @@
 
 // saveSnapshot replaces the snapshot, and makes firstSegment the oldest live segment.
 func (l *Log) saveSnapshot(snapshot Snapshot, firstSegment uint64) error {
-	if err := l.resolveInDoubt(); err != nil {
+	if err := l.resolveUnfinished(); err != nil {
 		return err
 	}
 	l.lastGeneration = max(l.lastGeneration, l.tail.number<<generationShift) + 1
@@ -57,8 +57,8 @@
 	renamed, err := l.replaceOwnedFile(name, content)
 	if err != nil {
 		if renamed && !l.superseded {
-			l.snapshotInDoubt = name
-			_ = l.resolveInDoubt()
+			l.unfinishedSnapshot = name
+			_ = l.resolveUnfinished()
 		}
 		return err
 	}
@@ -81,17 +81,17 @@
 	}
 }
 
-// removeSnapshotInDoubt removes, durably, a snapshot whose saving failed after its rename.
-func (l *Log) removeSnapshotInDoubt() error {
-	if l.snapshotInDoubt == "" {
+// removeUnfinishedSnapshot removes, durably, a snapshot whose saving failed after its rename.
+func (l *Log) removeUnfinishedSnapshot() error {
+	if l.unfinishedSnapshot == "" {
 		return nil
 	}
-	if err := l.remove(l.snapshotInDoubt); err != nil {
+	if err := l.remove(l.unfinishedSnapshot); err != nil {
 		return diskError(err, "remove a snapshot that was not finished")
 	}
 	if err := l.syncFolder(); err != nil {
 		return err
 	}
-	l.snapshotInDoubt = ""
+	l.unfinishedSnapshot = ""
 	return nil
 }
