--- a/internal/system/config/amend.go
+++ b/internal/system/config/amend.go
@@ -171,19 +171,18 @@
 		return append(out, change.field.value...), nil
 	}
 	decoded := map[string]*Route{}
-	index := 0
-	merged, err := a.mergeList(change, func(raw []byte) (string, error) {
-		if index < len(a.base.Routes) { // the base's routes come first, and are decoded already
-			index++
-			return a.base.Routes[index-1].Name, nil
-		}
+	baseNames := make([]string, len(a.base.Routes))
+	for i, route := range a.base.Routes {
+		baseNames[i] = route.Name
+	}
+	merged, err := a.mergeList(change, namedAfterBase(baseNames, func(raw []byte) (string, error) {
 		route, err := a.decoder.route(raw)
 		if err != nil {
 			return "", err
 		}
 		decoded[route.Name] = route
 		return route.Name, nil
-	})
+	}))
 	if err != nil {
 		return nil, err
 	}
@@ -217,19 +216,14 @@
 		return append(out, change.field.value...), nil
 	}
 	services := maps.Clone(a.base.Services)
-	index := 0
-	merged, err := a.mergeList(change, func(raw []byte) (string, error) {
-		if index < len(a.base.serviceNames) { // the base's services come first, and are decoded already
-			index++
-			return a.base.serviceNames[index-1], nil
-		}
+	merged, err := a.mergeList(change, namedAfterBase(a.base.serviceNames, func(raw []byte) (string, error) {
 		service, err := a.decoder.service(raw)
 		if err != nil {
 			return "", err
 		}
 		services[service.Name] = service
 		return service.Name, nil
-	})
+	}))
 	if err != nil {
 		return nil, err
 	}
@@ -244,6 +238,19 @@
 	return merged.appendJSON(out), nil
 }
 
+// namedAfterBase returns a function for mergeList: the base's items come first and are decoded already, so that their names are
+// known; decode is called for the items of the amendment.
+func namedAfterBase(baseNames []string, decode func([]byte) (string, error)) func([]byte) (string, error) {
+	return func(raw []byte) (string, error) {
+		if len(baseNames) > 0 {
+			name := baseNames[0]
+			baseNames = baseNames[1:]
+			return name, nil
+		}
+		return decode(raw)
+	}
+}
+
 // mergeList splits a list of base, removes items and puts the amendment's items in their places. nameOf is called for the items
 // of base in order, then for those of the amendment.
 func (a *amendment) mergeList(change listChange, nameOf func([]byte) (string, error)) (*namedList, error) {
