--- a/internal/system/wal/crash_test.go
+++ b/internal/system/wal/crash_test.go
@@ -16,7 +16,7 @@
 // tryAllCases tells whether to try every case instead of a spread of them.
 func tryAllCases() bool { return os.Getenv("WAL_DEEP") != "" }
 
-// histories are scripts that the crash and error tests go through at every call.
+// histories are the scripts of the crash and error tests, which inject a fault at each call.
 var histories = map[string][]step{
 	"grow": {{"meta", 1, 1}, {"append", 1, 0}, {"append", 3, 0}, {"append", 4, 0}, {"append", 5, 0}, {"meta", 1, 2}, {"append", 2, 0}},
 	"truncate": {{"append", 6, 0}, {"append", 6, 0}, {"truncate", 9, 0}, {"append", 2, 1}, {"truncate", 3, 0}, {"append", 9, 2},
@@ -29,17 +29,17 @@
 		{"append", 9, 2}, {"compact", 11, 2}, {"meta", 1, 2}, {"meta", 1, 3}},
 }
 
-// runHistory goes through a script until the machine is gone.
+// runHistory runs a script until the simulated machine crashes.
 func runHistory(steps []step, fault func(int, string) error) (*checkedLog, error) {
 	return runWith(steps, wal.TestingKnobs{}, ignoredSyncs{}, fault)
 }
 
-// runWith is runHistory without some protections.
+// runWith is runHistory with some protections switched off.
 func runWith(steps []step, h wal.TestingKnobs, l ignoredSyncs, fault func(int, string) error) (*checkedLog, error) {
 	fs := newSimFS()
 	fs.fault, fs.knobs, fs.ignored = fault, h, l
 	checked := newCheckedLog(fs)
-	for range 8 { // a load that failed is tried again
+	for range 8 { // a load that failed is retried
 		if checked.open() == nil {
 			break
 		}
@@ -55,6 +55,7 @@
 	return checked, nil
 }
 
+// TestCrashAtEveryCall crashes the machine at each call of each history.
 func TestCrashAtEveryCall(t *testing.T) {
 	for name, steps := range histories {
 		t.Run(name, func(t *testing.T) {
@@ -79,6 +80,7 @@
 	}
 }
 
+// crashAt is a fault that crashes the machine at one call.
 func crashAt(call int) func(int, string) error {
 	return func(n int, _ string) error {
 		if n == call {
--- a/internal/system/wal/crashmodel_test.go
+++ b/internal/system/wal/crashmodel_test.go
@@ -23,15 +23,16 @@
 
 func (s step) String() string { return fmt.Sprintf("%s(%d,%d)", s.method, s.argument, s.history) }
 
-// makeEntry makes what makeEntry seq holds in the b-th history of the log.
-func makeEntry(seq, b uint64) wal.Entry {
-	return wal.Entry{Seq: seq, Data: []byte(fmt.Sprintf("entry %d of %d %s", seq, b, strings.Repeat("x", int(seq*7%40))))}
+// makeEntry returns the entry numbered seq of the given history of the log, so that entries of two histories differ.
+func makeEntry(seq, history uint64) wal.Entry {
+	return wal.Entry{Seq: seq, Data: []byte(fmt.Sprintf("entry %d of %d %s", seq, history, strings.Repeat("x", int(seq*7%40))))}
 }
 
+// run makes the call on disk, whose newest sequence number is last.
 func (s step) run(disk wal.Disk, last uint64) error {
 	snapshot := wal.Snapshot{Seq: s.argument, Data: []byte(fmt.Sprintf("snapshot %d of %d", s.argument, s.history))}
 	switch s.method {
-	case "append": // a entries
+	case "append": // so many entries
 		var all []wal.Entry
 		for i := range s.argument {
 			all = append(all, makeEntry(last+1+i, s.history))
@@ -49,7 +50,7 @@
 	return nil
 }
 
-// view is all that a disk holds, as text.
+// view is the content of a disk, as text.
 type view struct {
 	log  string
 	meta map[string]string
@@ -57,6 +58,7 @@
 
 func (v view) equal(other view) bool { return v.log == other.log && maps.Equal(v.meta, other.meta) }
 
+// loadView loads a disk and returns its content.
 func loadView(d wal.Disk) (view, error) {
 	meta, snapshot, entries, err := d.Load()
 	if err != nil {
@@ -74,8 +76,8 @@
 	return v, nil
 }
 
-// checkedLog is a Log on a simulated disk, beside a model of what it may hold: what was acknowledged, and what calls that
-// failed since may have brought about.
+// checkedLog is a Log on a simulated disk, beside a model of its possible contents: what was acknowledged, and what calls that
+// failed since may have changed.
 type checkedLog struct {
 	fs           *simFS
 	log          *wal.Log
@@ -87,6 +89,7 @@
 
 var nonces atomic.Uint64
 
+// openSim opens the log on a simulated disk, with small segments.
 func openSim(fs *simFS) (*wal.Log, error) {
 	return wal.Open(simFolder, wal.Options{FS: fs, SegmentBytes: 200, MaxBytes: 1 << 20, ReserveBytes: 16, TestingKnobs: fs.knobs,
 		Nonce: func() uint64 { return nonces.Add(1) }})
@@ -119,7 +122,7 @@
 	return err
 }
 
-// runStep runs a step on both and notes what it may have left.
+// runStep runs a step on log and model, and records what a failed one may have left.
 func (s *checkedLog) runStep(next step) error {
 	after := s.model.Clone()
 	modelErr := next.run(after, s.model.LastSeq())
@@ -155,7 +158,7 @@
 	return nil
 }
 
-// checkAllowed checks what a disk holds against the model.
+// checkAllowed checks that the model allows the content of a disk.
 func (s *checkedLog) checkAllowed(v view) error {
 	want, _ := loadView(s.model)
 	if v.log != want.log && !s.possibleLogs[v.log] {
@@ -207,7 +210,7 @@
 	return nil
 }
 
-// checkDurable checks that what was loaded is there after a loss of power.
+// checkDurable checks that what was loaded survives a loss of power.
 func checkDurable(fs *simFS, loaded view, r *rand.Rand) error {
 	var err error
 	fs.powerLosses(1, r, func(lost *simFS) {
@@ -228,6 +231,7 @@
 }
 
 // checkCrashInLoading loads the log of fs with a crash at the given call, and checks the recovery from that.
+// checkCrash checks the recovery after a kill, and after bound losses of power at most.
 func (s *checkedLog) checkCrashInLoading(fs *simFS, call, nested int, r *rand.Rand) error {
 	crashInLoading(fs, call)
 	var err error
@@ -253,7 +257,7 @@
 	return reached
 }
 
-// checkUsable checks that a loaded log takes changes that last.
+// checkUsable checks that a loaded log accepts changes, and that they are durable.
 func checkUsable(fs *simFS, log *wal.Log, loaded view) error {
 	last := log.LastSeq()
 	for i, err := range []error{
@@ -279,12 +283,13 @@
 	return err
 }
 
-func (s *checkedLog) checkCrash(most, nested int, r *rand.Rand) error {
+// checkCrash checks the recovery after a kill, and after bound losses of power at most.
+func (s *checkedLog) checkCrash(bound, nested int, r *rand.Rand) error {
 	s.fs.crashed, s.fs.fault = false, nil
-	// Only a killed process leaves anything for a loss of power inside the next loading to take.
+	// Only a killed process leaves unsynced data that a loss of power during the next loading can take.
 	err := errors.Wrap(s.checkRecovery(s.fs.afterKill(), 8*nested, r), "killed")
 	n := 0
-	s.fs.powerLosses(most, r, func(lost *simFS) {
+	s.fs.powerLosses(bound, r, func(lost *simFS) {
 		if n++; n > 3 && !tryAllCases() {
 			nested = 0
 		}
@@ -295,7 +300,7 @@
 	return err
 }
 
-// restart goes on with a disk as it was left; what it holds is what counts from then on.
+// restart opens a disk as it was left, checks its content, and makes that the model's.
 func (s *checkedLog) restart(fs *simFS) error {
 	log, err := openSim(fs)
 	if err != nil {
--- a/internal/system/wal/log_test.go
+++ b/internal/system/wal/log_test.go
@@ -15,13 +15,13 @@
 	"gradeusher.example/gradeusher/internal/system/wal/waltest"
 )
 
+// TestRealFolder runs the histories in a folder of the operating system, with a new process before each step.
 func TestRealFolder(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "data")
 	for name, steps := range histories {
 		t.Run(name, func(t *testing.T) {
 			model := waltest.NewMem()
 			for i, next := range steps {
-				// A new process before every step.
 				log := openLoaded(t, filepath.Join(folder, name), wal.Options{SegmentBytes: 300})
 				if err := next.run(log, model.LastSeq()); err != nil {
 					t.Fatalf("step %d, %v: %v", i, next, err)
@@ -38,6 +38,7 @@
 	}
 }
 
+// TestMisuse: a Log and the disk in memory refuse the same calls.
 func TestMisuse(t *testing.T) {
 	log, err := wal.Open(t.TempDir(), wal.Options{})
 	if err != nil {
@@ -253,6 +254,7 @@
 	return loadView(log)
 }
 
+// TestMissingSnapshot: a log whose snapshot is gone is damaged.
 func TestMissingSnapshot(t *testing.T) {
 	fs, _ := buildLog(t, 100, []step{{"append", 4, 0}, {"install", 9, 0}, {"append", 1, 0}})
 	names, _ := fs.ReadDir("")
--- a/internal/system/wal/quarantine_test.go
+++ b/internal/system/wal/quarantine_test.go
@@ -13,7 +13,7 @@
 	"gradeusher.example/gradeusher/internal/system/wal/waltest"
 )
 
-// logFiles returns the contents of the logFiles of a log, by name.
+// logFiles returns the contents of the files of a log, by name.
 func logFiles(fs *simFS) map[string]string {
 	all := map[string]string{}
 	for name, n := range fs.visible {
@@ -24,7 +24,7 @@
 	return all
 }
 
-// checkCopy checks that the files are there under their other names, and no others are.
+// checkCopy checks that the quarantined copy has these files, and no others.
 func checkCopy(fs *simFS, want map[string]string) error {
 	for name, content := range want {
 		if n := fs.visible[wal.QuarantinePrefix+name]; n == nil || string(n.content) != content {
--- a/internal/system/wal/simfs_test.go
+++ b/internal/system/wal/simfs_test.go
@@ -12,11 +12,11 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// errCrash is what every call returns once the simulated machine is gone.
-var errCrash = errors.New("the machine is gone")
+// errCrash is what every call returns once the simulated machine has crashed.
+var errCrash = errors.New("the machine has crashed")
 
 // simFS is one folder of a simulated disk. What is not synced may be there, missing or torn after a loss of power, and each
-// name that was made, renamed or removed without a sync of the folder may be kept or lost by itself. After a sync that failed,
+// name that was made, renamed or removed without a sync of the folder survives or is lost by itself. After a sync that failed,
 // no later one makes anything more of that file durable, though it may succeed and reads show all.
 type simFS struct {
 	folder           folderState
@@ -30,7 +30,7 @@
 	ignored          ignoredSyncs
 }
 
-// folderState tells how far the folder itself is there.
+// folderState is the state of the folder itself.
 type folderState int
 
 const (
@@ -52,7 +52,7 @@
 	state syncState
 }
 
-// syncState tells what a sync has done for a fileOp.
+// syncState is what syncs have done for a fileOp.
 type syncState int
 
 const (
@@ -61,7 +61,7 @@
 	syncFailed           // no later sync makes it durable
 )
 
-// dirOp takes the name from away (if any) and gives node the name to (if any).
+// dirOp removes the name from (if any) and gives node the name to (if any).
 type dirOp struct {
 	from, to string
 	node     *inode
@@ -85,7 +85,7 @@
 	return c
 }
 
-// outcomes are what a loss of power may make of an operation; the first is that nothing of it is there.
+// outcomes are what a loss of power may leave of an operation; the first is nothing.
 func (f fileOp) outcomes() [][]fileOp {
 	if f.state == syncDone {
 		return [][]fileOp{{f}}
@@ -304,7 +304,7 @@
 	return err
 }
 
-// recordSync notes what a sync has done.
+// recordSync records the result of a sync.
 func (n *inode) recordSync(done syncState) {
 	if n.failed = n.failed || done == syncFailed; n.failed {
 		done = syncFailed
