--- a/internal/system/wal/crash_test.go
+++ b/internal/system/wal/crash_test.go
@@ -18,15 +18,57 @@
 
 // histories are the scripts of the crash and error tests, which inject a fault at each call.
 var histories = map[string][]step{
-	"grow": {{"meta", 1, 1}, {"append", 1, 0}, {"append", 3, 0}, {"append", 4, 0}, {"append", 5, 0}, {"meta", 1, 2}, {"append", 2, 0}},
-	"truncate": {{"append", 6, 0}, {"append", 6, 0}, {"truncate", 9, 0}, {"append", 2, 1}, {"truncate", 3, 0}, {"append", 9, 2},
-		{"truncate", 0, 0}, {"append", 1, 3}},
-	"compact": {{"append", 4, 0}, {"append", 7, 0}, {"compact", 6, 0}, {"append", 8, 0}, {"meta", 2, 1}, {"compact", 19, 1},
-		{"append", 1, 0}, {"compact", 20, 2}},
-	"install": {{"append", 9, 0}, {"install", 30, 0}, {"append", 2, 1}, {"truncate", 31, 0}, {"install", 12, 2}, {"append", 3, 3},
-		{"meta", 1, 1}, {"install", 12, 4}},
-	"mixed": {{"append", 9, 0}, {"append", 9, 0}, {"truncate", 12, 0}, {"compact", 11, 1}, {"append", 4, 1}, {"truncate", 11, 0},
-		{"append", 9, 2}, {"compact", 11, 2}, {"meta", 1, 2}, {"meta", 1, 3}},
+	"grow": {
+		{saveMeta, 1, 1},
+		{appendEntries, 1, 0},
+		{appendEntries, 3, 0},
+		{appendEntries, 4, 0},
+		{appendEntries, 5, 0},
+		{saveMeta, 1, 2},
+		{appendEntries, 2, 0},
+	},
+	"truncate": {
+		{appendEntries, 6, 0},
+		{appendEntries, 6, 0},
+		{truncateLog, 9, 0},
+		{appendEntries, 2, 1},
+		{truncateLog, 3, 0},
+		{appendEntries, 9, 2},
+		{truncateLog, 0, 0},
+		{appendEntries, 1, 3},
+	},
+	"compact": {
+		{appendEntries, 4, 0},
+		{appendEntries, 7, 0},
+		{compactLog, 6, 0},
+		{appendEntries, 8, 0},
+		{saveMeta, 2, 1},
+		{compactLog, 19, 1},
+		{appendEntries, 1, 0},
+		{compactLog, 20, 2},
+	},
+	"install": {
+		{appendEntries, 9, 0},
+		{installSnapshot, 30, 0},
+		{appendEntries, 2, 1},
+		{truncateLog, 31, 0},
+		{installSnapshot, 12, 2},
+		{appendEntries, 3, 3},
+		{saveMeta, 1, 1},
+		{installSnapshot, 12, 4},
+	},
+	"mixed": {
+		{appendEntries, 9, 0},
+		{appendEntries, 9, 0},
+		{truncateLog, 12, 0},
+		{compactLog, 11, 1},
+		{appendEntries, 4, 1},
+		{truncateLog, 11, 0},
+		{appendEntries, 9, 2},
+		{compactLog, 11, 2},
+		{saveMeta, 1, 2},
+		{saveMeta, 1, 3},
+	},
 }
 
 // runHistory runs a script until the simulated machine crashes.
@@ -195,11 +237,11 @@
 func (s *checkedLog) drawStep(t *rapid.T, r *rand.Rand) step {
 	last := s.model.LastSeq()
 	return rapid.SampledFrom([]step{
-		{"append", rapid.Uint64Range(1, 6).Draw(t, "count"), r.Uint64N(1000)},
-		{"truncate", last - min(last, rapid.Uint64Range(0, 8).Draw(t, "back")), 0},
-		{"compact", last - min(last, rapid.Uint64Range(0, 8).Draw(t, "behind")), r.Uint64N(1000)},
-		{"install", last + rapid.Uint64Range(0, 9).Draw(t, "ahead"), r.Uint64N(1000)},
-		{"meta", rapid.Uint64Range(1, 2).Draw(t, "name"), r.Uint64N(1000)},
+		{appendEntries, rapid.Uint64Range(1, 6).Draw(t, "count"), r.Uint64N(1000)},
+		{truncateLog, last - min(last, rapid.Uint64Range(0, 8).Draw(t, "back")), 0},
+		{compactLog, last - min(last, rapid.Uint64Range(0, 8).Draw(t, "behind")), r.Uint64N(1000)},
+		{installSnapshot, last + rapid.Uint64Range(0, 9).Draw(t, "ahead"), r.Uint64N(1000)},
+		{saveMeta, rapid.Uint64Range(1, 2).Draw(t, "name"), r.Uint64N(1000)},
 	}).Draw(t, "step")
 }
 
--- a/internal/system/wal/crashmodel_test.go
+++ b/internal/system/wal/crashmodel_test.go
@@ -15,9 +15,20 @@
 	"gradeusher.example/gradeusher/internal/system/wal/waltest"
 )
 
-// step is one call on a Disk.
+// diskMethod names a method of wal.Disk that changes something.
+type diskMethod string
+
+const (
+	appendEntries   diskMethod = "append"   // argument: number of entries
+	truncateLog     diskMethod = "truncate" // argument: sequence number
+	compactLog      diskMethod = "compact"  // argument: sequence number of the snapshot
+	installSnapshot diskMethod = "install"  // argument: sequence number of the snapshot
+	saveMeta        diskMethod = "meta"     // argument: number in the name
+)
+
+// step is one call on a wal.Disk. Calls of different histories write different data.
 type step struct {
-	method            string
+	method            diskMethod
 	argument, history uint64
 }
 
@@ -32,19 +43,19 @@
 func (s step) run(disk wal.Disk, last uint64) error {
 	snapshot := wal.Snapshot{Seq: s.argument, Data: []byte(fmt.Sprintf("snapshot %d of %d", s.argument, s.history))}
 	switch s.method {
-	case "append": // so many entries
+	case appendEntries:
 		var all []wal.Entry
 		for i := range s.argument {
 			all = append(all, makeEntry(last+1+i, s.history))
 		}
 		return disk.Append(all)
-	case "truncate":
+	case truncateLog:
 		return disk.Truncate(s.argument)
-	case "compact":
+	case compactLog:
 		return disk.Compact(snapshot)
-	case "install":
+	case installSnapshot:
 		return disk.Install(snapshot)
-	case "meta":
+	case saveMeta:
 		return disk.SaveMeta(fmt.Sprintf("m%d", s.argument), []byte(fmt.Sprintf("meta %d", s.history)))
 	}
 	return nil
@@ -141,12 +152,12 @@
 	switch {
 	case err == nil:
 		s.model = after
-		if next.method == "meta" {
+		if next.method == saveMeta {
 			delete(s.possibleMeta, name)
 		} else {
 			clear(s.possibleLogs)
 		}
-	case next.method == "meta":
+	case next.method == saveMeta:
 		if s.possibleMeta[name] == nil {
 			s.possibleMeta[name] = map[string]bool{}
 		}
--- a/internal/system/wal/log_test.go
+++ b/internal/system/wal/log_test.go
@@ -208,7 +208,15 @@
 
 // TestDamage changes each byte of each file: either the damage is seen, or the last record is gone, as if torn.
 func TestDamage(t *testing.T) {
-	steps := []step{{"meta", 1, 1}, {"append", 4, 0}, {"compact", 2, 0}, {"append", 3, 0}, {"truncate", 5, 0}, {"append", 2, 1}, {"append", 1, 2}}
+	steps := []step{
+		{saveMeta, 1, 1},
+		{appendEntries, 4, 0},
+		{compactLog, 2, 0},
+		{appendEntries, 3, 0},
+		{truncateLog, 5, 0},
+		{appendEntries, 2, 1},
+		{appendEntries, 1, 2},
+	}
 	for _, segmentBytes := range []int64{1, 100, 250, 1 << 20} {
 		t.Run(fmt.Sprintf("segments of %d bytes", segmentBytes), func(t *testing.T) {
 			fs, views := buildLog(t, segmentBytes, steps)
@@ -256,7 +264,7 @@
 
 // TestMissingSnapshot: a log whose snapshot is gone is damaged.
 func TestMissingSnapshot(t *testing.T) {
-	fs, _ := buildLog(t, 100, []step{{"append", 4, 0}, {"install", 9, 0}, {"append", 1, 0}})
+	fs, _ := buildLog(t, 100, []step{{appendEntries, 4, 0}, {installSnapshot, 9, 0}, {appendEntries, 1, 0}})
 	names, _ := fs.ReadDir("")
 	i := slices.IndexFunc(names, func(name string) bool { return strings.HasPrefix(name, "snap-") })
 	if i < 0 {
@@ -272,7 +280,13 @@
 // TestMissingSegment takes out a segment that is not the last, also where the numbers of the rest follow each other.
 func TestMissingSegment(t *testing.T) {
 	for _, segmentBytes := range []int64{1, 60, 200} {
-		fs, _ := buildLog(t, segmentBytes, []step{{"append", 6, 0}, {"truncate", 3, 0}, {"append", 3, 1}, {"append", 5, 2}, {"append", 1, 0}})
+		fs, _ := buildLog(t, segmentBytes, []step{
+			{appendEntries, 6, 0},
+			{truncateLog, 3, 0},
+			{appendEntries, 3, 1},
+			{appendEntries, 5, 2},
+			{appendEntries, 1, 0},
+		})
 		names, _ := fs.ReadDir("")
 		if len(names) < 3 {
 			t.Fatalf("too few segments: %q", names)
@@ -290,11 +304,11 @@
 
 // TestStaleRecord puts a complete record of an earlier log behind the end, as blocks that were used before may.
 func TestStaleRecord(t *testing.T) {
-	old, err := runHistory([]step{{"append", 1, 0}, {"append", 1, 0}}, nil)
+	old, err := runHistory([]step{{appendEntries, 1, 0}, {appendEntries, 1, 0}}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := runHistory([]step{{"append", 1, 0}}, nil)
+	s, err := runHistory([]step{{appendEntries, 1, 0}}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/system/wal/ownership_test.go
+++ b/internal/system/wal/ownership_test.go
@@ -135,7 +135,7 @@
 	if err := log.Quarantine(); !errors.Is(err, wal.ErrMisuse) {
 		t.Errorf("a quarantine: %v", err)
 	}
-	if err := running.runStep(step{"append", 1, 5}); err != nil || len(running.possibleLogs) > 0 {
+	if err := running.runStep(step{appendEntries, 1, 5}); err != nil || len(running.possibleLogs) > 0 {
 		t.Errorf("the process that has the log: %v, %v", err, running.trace[len(running.trace)-1])
 	}
 }
