--- a/internal/system/config/errors.go
+++ b/internal/system/config/errors.go
@@ -1,12 +1,25 @@
 package config
 
-import "github.com/cockroachdb/errors"
+import (
+	"fmt"
 
-// ErrInvalid marks every error of Parse and Amend: the operator has to send something else. The error's text names the fault and
-// the remedy and is the answer to the operator. Test with errors.Is of github.com/cockroachdb/errors, which sees marks.
+	"github.com/cockroachdb/errors"
+)
+
+// ErrInvalid is what every error of Parse and Amend is by errors.Is: the operator has to send something else.
 var ErrInvalid = errors.New("invalid configuration")
 
-// invalid returns an error of kind ErrInvalid.
+// InvalidError says why a body was refused.
+type InvalidError struct {
+	Reason string // the fault and the remedy, in one line; the answer to the operator
+}
+
+// Error returns the reason.
+func (e *InvalidError) Error() string { return e.Reason }
+
+// Is makes an InvalidError an ErrInvalid.
+func (*InvalidError) Is(target error) bool { return target == ErrInvalid }
+
 func invalid(format string, args ...any) error {
-	return errors.Mark(errors.NewWithDepthf(1, format, args...), ErrInvalid)
+	return &InvalidError{Reason: fmt.Sprintf(format, args...)}
 }
