--- a/internal/system/controlstate/state.go
+++ b/internal/system/controlstate/state.go
@@ -1,6 +1,7 @@
 package controlstate
 
 import (
+	"fmt"
 	"sync/atomic"
 
 	"github.com/cockroachdb/errors"
@@ -77,8 +78,8 @@
 		return nil, err
 	}
 	if candidate.Revision <= s.Revision() {
-		return nil, errors.Mark(errors.Newf("revision %d is not above the current %d: send a higher one",
-			candidate.Revision, s.Revision()), config.ErrInvalid)
+		return nil, &config.InvalidError{Reason: fmt.Sprintf("revision %d is not above the current %d: send a higher one",
+			candidate.Revision, s.Revision())}
 	}
 	return candidate, nil
 }
