--- a/internal/system/config/amend.go
+++ b/internal/system/config/amend.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Amend merges an amendment into base, which it leaves as it was, and checks the result as a whole. Items replaced stay at
-// their place, new ones follow, fields that are not known are kept. Removing what is not there is no error. What is
-// removed and added under one name is replaced. Every error is an ErrInvalid.
+// Amend merges an amendment into base, which it does not change, and validates the result as a whole. Items that are replaced keep
+// their position, new ones follow, unknown fields stay. Removing an item that is not there is no error. An item that is removed
+// and upserted under one name is replaced. Every error is an ErrInvalid.
 func Amend(base *Config, raw []byte) (*Config, error) {
 	if base == nil {
 		return nil, invalid("there is no configuration to amend: send Config.Replace first")
@@ -45,6 +45,7 @@
 	return merge.merge()
 }
 
+// amendment is an amendment while it is merged into base.
 type amendment struct {
 	base, next     *Config
 	decoder        *itemDecoder
@@ -52,6 +53,7 @@
 	upsert, remove []member
 }
 
+// readGroup returns the lists of upsert or remove.
 func (a *amendment) readGroup(f member) ([]member, error) {
 	if f.isNull {
 		return nil, nil
@@ -59,6 +61,7 @@
 	return members(f.value, f.key)
 }
 
+// findMember returns the member called key; nil where it is absent or null.
 func findMember(all []member, key string) *member {
 	for i := range all {
 		if all[i].key == key && !all[i].isNull {
@@ -68,13 +71,13 @@
 	return nil
 }
 
-// merge writes the top-level fields of base again, those named in the amendment changed.
+// merge writes the top-level fields of base again, with the amendment's changes.
 func (a *amendment) merge() (*Config, error) {
 	fields, err := members(a.base.Raw, "the configuration")
 	if err != nil {
 		return nil, err
 	}
-	// What the amendment names and base lacks comes at the end, in the amendment's order.
+	// Lists that the amendment names and base lacks come at the end, in the amendment's order.
 	for _, group := range [][]member{a.upsert, a.remove} {
 		for _, u := range group {
 			if !u.isNull && !slices.ContainsFunc(fields, func(f member) bool { return f.key == u.key }) {
@@ -100,6 +103,7 @@
 	return a.next, nil
 }
 
+// encodedBytes returns the bytes of an object of these members, at least.
 func encodedBytes(all []member) int {
 	n := 2
 	for _, f := range all {
@@ -108,102 +112,118 @@
 	return n
 }
 
-// appendField appends the value of one top-level appendField.
+// listChange is what an amendment does to one top-level field of the base.
+type listChange struct {
+	field           member
+	upsert, removal *member // nil: none
+}
+
+func (c listChange) isEmpty() bool { return c.upsert == nil && c.removal == nil }
+
+// appendField appends the value of one top-level field.
 func (a *amendment) appendField(out []byte, field member) ([]byte, error) {
-	upsert, removed := findMember(a.upsert, field.key), findMember(a.remove, field.key)
-	switch {
-	case field.key == "revision":
-		if upsert != nil || removed != nil {
+	change := listChange{field: field, upsert: findMember(a.upsert, field.key), removal: findMember(a.remove, field.key)}
+	switch field.key {
+	case "revision":
+		if !change.isEmpty() {
 			return nil, invalid("revision is no list: send it at the top of the amendment")
 		}
 		return append(out, a.revision...), nil
-	case field.key == "limits":
-		if removed != nil {
-			return nil, invalid("limits cannot be removed: send others under upsert")
-		}
-		if upsert == nil {
-			return append(out, field.value...), nil
-		}
-		var err error
-		a.next.Limits, err = a.decoder.limits(upsert.value)
-		return append(out, upsert.value...), err
+	case "limits":
+		return a.appendLimits(out, change)
+	case "routes":
+		return a.appendRoutes(out, change)
+	case "services":
+		return a.appendServices(out, change)
 	}
-	isRoutes, isServices := field.key == "routes", field.key == "services"
-	if upsert == nil && removed == nil {
-		if isRoutes {
-			a.next.Routes = a.base.Routes
-		} else if isServices {
-			a.next.Services, a.next.serviceNames = a.base.Services, a.base.serviceNames
-		}
-		return append(out, field.value...), nil
+	return a.appendUnknownList(out, change)
+}
+
+func (a *amendment) appendLimits(out []byte, change listChange) ([]byte, error) {
+	if change.removal != nil {
+		return nil, invalid("limits cannot be removed: send others under upsert")
+	}
+	if change.upsert == nil {
+		return append(out, change.field.value...), nil
 	}
-	switch {
-	case isRoutes:
-		return a.appendRoutes(out, field, upsert, removed)
-	case isServices:
-		return a.appendServices(out, field, upsert, removed)
+	var err error
+	a.next.Limits, err = a.decoder.limits(change.upsert.value)
+	return append(out, change.upsert.value...), err
+}
+
+func (a *amendment) appendUnknownList(out []byte, change listChange) ([]byte, error) {
+	if change.isEmpty() {
+		return append(out, change.field.value...), nil
 	}
-	l, _, err := a.mergeList(field, upsert, removed, func(raw []byte) (string, error) {
-		_, name, err := a.decoder.namedObject(raw, "member of "+field.key)
+	merged, err := a.mergeList(change, func(raw []byte) (string, error) {
+		_, name, err := a.decoder.namedObject(raw, "member of "+change.field.key)
 		return name, err
 	})
 	if err != nil {
 		return nil, err
 	}
-	return l.appendJSON(out), nil
+	return merged.appendJSON(out), nil
 }
 
-func (a *amendment) appendRoutes(out []byte, field member, upsert, removal *member) ([]byte, error) {
+func (a *amendment) appendRoutes(out []byte, change listChange) ([]byte, error) {
+	if change.isEmpty() {
+		a.next.Routes = a.base.Routes
+		return append(out, change.field.value...), nil
+	}
 	decoded := map[string]*Route{}
-	at := 0
-	merged, removed, err := a.mergeList(field, upsert, removal, func(raw []byte) (string, error) {
-		if at < len(a.base.Routes) {
-			at++
-			return a.base.Routes[at-1].Name, nil
-		}
-		r, err := a.decoder.route(raw)
+	baseNames := make([]string, len(a.base.Routes))
+	for i, route := range a.base.Routes {
+		baseNames[i] = route.Name
+	}
+	merged, err := a.mergeList(change, namedAfterBase(baseNames, func(raw []byte) (string, error) {
+		route, err := a.decoder.route(raw)
 		if err != nil {
 			return "", err
 		}
-		decoded[r.Name] = r
-		return r.Name, nil
-	})
+		decoded[route.Name] = route
+		return route.Name, nil
+	}))
 	if err != nil {
 		return nil, err
 	}
+	a.next.Routes = a.mergeRoutes(merged, decoded)
+	return merged.appendJSON(out), nil
+}
+
+// mergeRoutes returns the routes of the merged list: those decoded from the amendment, otherwise those of the base.
+func (a *amendment) mergeRoutes(merged *namedList, decoded map[string]*Route) []*Route {
 	old := make(map[string]*Route, len(a.base.Routes))
-	for _, r := range a.base.Routes {
-		old[r.Name] = r
+	for _, route := range a.base.Routes {
+		old[route.Name] = route
 	}
-	a.next.Routes = make([]*Route, 0, len(merged.names)-removed)
+	routes := make([]*Route, 0, len(merged.names)-merged.removed)
 	for i, name := range merged.names {
 		if merged.items[i] == nil {
 			continue
 		}
-		r := decoded[name]
-		if r == nil {
-			r = old[name]
+		route := decoded[name]
+		if route == nil {
+			route = old[name]
 		}
-		a.next.Routes = append(a.next.Routes, r)
+		routes = append(routes, route)
 	}
-	return merged.appendJSON(out), nil
+	return routes
 }
 
-func (a *amendment) appendServices(out []byte, field member, upsert, removal *member) ([]byte, error) {
+func (a *amendment) appendServices(out []byte, change listChange) ([]byte, error) {
+	if change.isEmpty() {
+		a.next.Services, a.next.serviceNames = a.base.Services, a.base.serviceNames
+		return append(out, change.field.value...), nil
+	}
 	services := maps.Clone(a.base.Services)
-	at := 0
-	merged, _, err := a.mergeList(field, upsert, removal, func(raw []byte) (string, error) {
-		if at < len(a.base.serviceNames) {
-			at++
-			return a.base.serviceNames[at-1], nil
-		}
-		s, err := a.decoder.service(raw)
+	merged, err := a.mergeList(change, namedAfterBase(a.base.serviceNames, func(raw []byte) (string, error) {
+		service, err := a.decoder.service(raw)
 		if err != nil {
 			return "", err
 		}
-		services[s.Name] = s
-		return s.Name, nil
-	})
+		services[service.Name] = service
+		return service.Name, nil
+	}))
 	if err != nil {
 		return nil, err
 	}
@@ -218,62 +238,54 @@
 	return merged.appendJSON(out), nil
 }
 
-// mergeList splits a list of base, and puts the amendment's items in their places. nameOf is called for the items of base in
-// order, then for those of the amendment. An item taken out is nil.
-func (a *amendment) mergeList(f member, up, gone *member, nameOf func([]byte) (string, error)) (*namedList, int, error) {
-	l := &namedList{indexOf: map[string]int{}}
-	add := func(raw []byte) error {
+// namedAfterBase returns a function for mergeList: the base's items come first and are decoded already, so that their names are
+// known; decode is called for the items of the amendment.
+func namedAfterBase(baseNames []string, decode func([]byte) (string, error)) func([]byte) (string, error) {
+	return func(raw []byte) (string, error) {
+		if len(baseNames) > 0 {
+			name := baseNames[0]
+			baseNames = baseNames[1:]
+			return name, nil
+		}
+		return decode(raw)
+	}
+}
+
+// mergeList splits a list of base, removes items and puts the amendment's items in their places. nameOf is called for the items
+// of base in order, then for those of the amendment.
+func (a *amendment) mergeList(change listChange, nameOf func([]byte) (string, error)) (*namedList, error) {
+	merged := &namedList{indexOf: map[string]int{}}
+	err := a.decoder.forEachItem(change.field, func(raw []byte) error {
 		name, err := nameOf(raw)
 		if err == nil {
-			l.indexOf[name] = len(l.names)
-			l.names, l.items = append(l.names, name), append(l.items, raw)
+			merged.add(name, raw)
 		}
 		return err
-	}
-	if err := a.decoder.forEachItem(f, add); err != nil {
-		return nil, 0, err
-	}
-	removed := 0
-	if gone != nil {
-		err := a.decoder.forEachItem(*gone, func(raw []byte) error {
+	})
+	if err == nil && change.removal != nil {
+		err = a.decoder.forEachItem(*change.removal, func(raw []byte) error {
 			name, err := unquote(raw)
-			if err != nil {
-				return err
+			if err == nil {
+				merged.remove(name)
 			}
-			if i, ok := l.indexOf[name]; ok && l.items[i] != nil {
-				l.items[i] = nil
-				removed++
-			}
-			return nil
+			return err
 		})
-		if err != nil {
-			return nil, 0, err
-		}
 	}
-	if up == nil {
-		return l, removed, nil
+	if err != nil || change.upsert == nil {
+		return merged, err
 	}
 	sent := map[string]bool{}
-	err := a.decoder.forEachItem(*up, func(raw []byte) error {
+	err = a.decoder.forEachItem(*change.upsert, func(raw []byte) error {
 		name, err := nameOf(raw)
 		if err != nil {
 			return err
 		}
 		if sent[name] {
-			return invalid("upsert of %s has %q twice: leave one", f.key, name)
+			return invalid("upsert of %s has %q twice: leave one", change.field.key, name)
 		}
 		sent[name] = true
-		i, ok := l.indexOf[name]
-		if !ok {
-			l.indexOf[name] = len(l.names)
-			l.names, l.items = append(l.names, name), append(l.items, raw)
-			return nil
-		}
-		if l.items[i] == nil {
-			removed--
-		}
-		l.items[i] = raw
+		merged.upsert(name, raw)
 		return nil
 	})
-	return l, removed, err
+	return merged, err
 }
--- /dev/null
+++ b/internal/system/process/group.go
@@ -0,0 +1,95 @@
+package process
+
+import (
+	"context"
+	"io"
+	stdlog "log"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"github.com/cockroachdb/errors"
+)
+
+// Bounds of the system's own HTTP servers.
+const (
+	readHeaderTimeout = 5 * time.Second
+	idleTimeout       = time.Minute
+	maxHeaderBytes    = 16 << 10
+	shutdownTimeout   = 300 * time.Millisecond // for calls that are under way when the server ends
+)
+
+// Group owns the goroutines of a process: the first that fails ends all, and Wait returns once all have ended. NewGroup makes one.
+type Group struct {
+	wait sync.WaitGroup
+	mu   sync.Mutex
+	err  error
+	stop context.CancelFunc
+}
+
+// NewGroup returns a group and its context, which ends with parent or when a goroutine of the group fails.
+func NewGroup(parent context.Context) (*Group, context.Context) {
+	ctx, cancel := context.WithCancel(parent)
+	return &Group{stop: cancel}, ctx
+}
+
+// Go runs run in a goroutine of the group. An error ends the group's context.
+func (g *Group) Go(run func() error) {
+	g.wait.Go(func() {
+		if err := run(); err != nil {
+			g.mu.Lock()
+			if g.err == nil {
+				g.err = err
+			}
+			g.mu.Unlock()
+			g.stop()
+		}
+	})
+}
+
+// ServeHTTP serves handler at listener until ctx ends, with handler's ConnContext if it has one. Calls that are under way then have
+// shutdownTimeout to end. It returns at once; an error of the listener, an ErrListen, ends the group.
+func (g *Group) ServeHTTP(ctx context.Context, listener net.Listener, handler http.Handler) {
+	server := newServer(ctx, handler)
+	g.Go(func() error {
+		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+			return errors.Mark(errors.Wrapf(err, "no more calls are accepted at %s", listener.Addr()), ErrListen)
+		}
+		return nil
+	})
+	g.Go(func() error {
+		<-ctx.Done()
+		shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
+		defer cancel()
+		_ = server.Shutdown(shutdownCtx)
+		return server.Close()
+	})
+}
+
+// connContexter is a handler that adds to the context of each connection, as http.Server.ConnContext does.
+type connContexter interface {
+	ConnContext(context.Context, net.Conn) context.Context
+}
+
+func newServer(ctx context.Context, handler http.Handler) *http.Server {
+	server := &http.Server{
+		Handler:           handler,
+		ReadHeaderTimeout: readHeaderTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          stdlog.New(io.Discard, "", 0),
+		BaseContext:       func(net.Listener) context.Context { return ctx },
+	}
+	if connections, ok := handler.(connContexter); ok {
+		server.ConnContext = connections.ConnContext
+	}
+	return server
+}
+
+// Wait returns when all goroutines of the group have ended, with the first error.
+func (g *Group) Wait() error {
+	g.wait.Wait()
+	g.stop()
+	return g.err
+}
--- a/internal/system/process/program.go
+++ b/internal/system/process/program.go
@@ -6,30 +6,26 @@
 	"os"
 
 	"github.com/alecthomas/kong"
-	"github.com/apex/log"
 
 	"gradeusher.example/gradeusher/internal/system/settings"
 )
 
-// Program is one program of the system: a role, and what runs it.
-type Program struct {
-	Name, Description string
-	Role              settings.Role
-	Run               func(*Process) error
-}
-
-// Process is one life of a program.
-type Process struct {
-	Settings *settings.Settings
-	Log      log.Interface
+// Exit statuses.
+const (
+	exitFailure = 1 // a command failed
+	exitUsage   = 2 // the command line is wrong
+)
 
-	program Program
-	metrics int             // port of /metrics; 0: nowhere
-	term    context.Context // ends with SIGTERM
-	reload  <-chan os.Signal
+// Program describes a program of the system.
+type Program struct {
+	Name        string // in messages
+	Description string // in the help
+	Role        settings.Role
+	Run         func(*Process) error // runs the role until the process is to end
 }
 
-type commands struct {
+// commandLine is the command line of every program of the system.
+type commandLine struct {
 	Run   runCommand   `cmd:"" help:"Run the role until SIGTERM."`
 	Check checkCommand `cmd:"" help:"Check the settings file and say what is wrong in one line."`
 }
@@ -43,71 +39,60 @@
 	File string `arg:"" optional:"" help:"The settings file; otherwise the one that GRADEUSHER_BOOT names."`
 }
 
-// Main runs a program by its command line and ends the process: with 2 where the command line is wrong, with 1 where the
-// command fails, after one line that says why.
-func Main(p Program) {
-	var c commands
-	parser, err := kong.New(&c, kong.Name(p.Name), kong.Description(p.Description), kong.UsageOnError())
+// Main runs a program by its command line and, where that fails, ends the process: with status 2 where the command line is wrong, with
+// 1 where the command fails, after one line on standard error that says why.
+func Main(program Program) {
+	var commands commandLine
+	parser, err := kong.New(&commands, kong.Name(program.Name), kong.Description(program.Description), kong.UsageOnError())
 	if err != nil {
-		p.fail(1, err)
+		program.fail(exitFailure, err)
 	}
 	call, err := parser.Parse(os.Args[1:])
 	if err != nil {
-		p.fail(2, err)
+		program.fail(exitUsage, err)
 	}
-	if err := call.Run(p); err != nil {
-		p.fail(1, err)
+	if err := call.Run(program); err != nil {
+		program.fail(exitFailure, err)
 	}
 }
 
+// fail ends the process after one line that says why.
 func (p Program) fail(code int, err error) {
 	fmt.Fprintf(os.Stderr, "%s: %v\n", p.Name, err)
 	os.Exit(code)
 }
 
-// Run implements the command.
-func (c *checkCommand) Run(p Program) error {
+// Run validates a settings file.
+func (c *checkCommand) Run(program Program) error {
 	var err error
 	if c.File != "" {
-		_, err = settings.Load(c.File, p.Role)
+		_, err = settings.Load(c.File, program.Role)
 	} else {
-		_, err = settings.FromEnvironment(p.Role)
+		_, err = settings.FromEnvironment(program.Role)
 	}
 	return err
 }
 
-// Run implements the command.
-func (c *runCommand) Run(p Program) error {
-	settings, err := settings.FromEnvironment(p.Role)
+// Run runs the program's role.
+func (c *runCommand) Run(program Program) error {
+	loaded, err := settings.FromEnvironment(program.Role)
 	if err != nil {
 		return err
 	}
-	logger, err := Log(c.LogLevel)
+	logger, err := newLogger(c.LogLevel)
 	if err != nil {
 		return err
 	}
-	settings.Limits.ApplyToRuntime()
-	logViolations(logger, settings.Node)
-	term, reload, stop := Signals(context.Background())
+	loaded.Limits.ApplyToRuntime()
+	logViolations(logger, loaded.Node)
+	terminated, reload, stop := notifySignals(context.Background())
 	defer stop()
-	return p.Run(&Process{Settings: settings, Log: logger.WithField("node", settings.Node), program: p, metrics: c.Metrics, term: term, reload: reload})
-}
-
-// Wait returns when the process is to end: by SIGTERM, or as ctx is done. On SIGHUP it reads the settings again; what a
-// process is made of stays for its life, so what changed counts from its next start.
-func (p *Process) Wait(ctx context.Context) {
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-p.term.Done():
-			return
-		case <-p.reload:
-			if _, err := settings.FromEnvironment(p.program.Role); err != nil {
-				p.Log.WithError(err).Warn(p.program.Name + ": settings not taken over")
-				continue
-			}
-			p.Log.Info(p.program.Name + ": settings read again; what changed counts from the next start")
-		}
-	}
+	return program.Run(&Process{
+		Settings:    loaded,
+		Log:         logger.WithField("node", loaded.Node),
+		program:     program,
+		metricsPort: c.Metrics,
+		terminated:  terminated,
+		reload:      reload,
+	})
 }
