--- a/internal/system/replication/capacity_test.go
+++ b/internal/system/replication/capacity_test.go
@@ -27,9 +27,9 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			members := placed(test.layout)
-			cl := sizedCluster(t, members, test.machines, test.zones, 3)
-			cl.run(10 * time.Second)
-			have := cl.nodes[members[0].Addr].core.Capacity()
+			cluster := sizedCluster(t, members, test.machines, test.zones, 3)
+			cluster.run(10 * time.Second)
+			have := cluster.nodes[members[0].Addr].core.Capacity()
 			if have.ToleranceMet != (test.remedy == "") || !strings.Contains(have.Remedy, test.remedy) || have.Nodes != len(members) {
 				t.Errorf("%+v", have)
 			}
@@ -40,19 +40,19 @@
 // TestCapacityIsLoggedOnceItLasts: a repair is no news, a keeper that stays away is.
 func TestCapacityIsLoggedOnceItLasts(t *testing.T) {
 	members := placed([]int{1, 1, 1})
-	cl := sizedCluster(t, members, 1, 1, 3)
+	cluster := sizedCluster(t, members, 1, 1, 3)
 	handler := memory.New()
 	logger := &log.Logger{Handler: handler, Level: log.InfoLevel}
 	var capacity capacityReporter
-	first := cl.nodes[members[0].Addr]
+	first := cluster.nodes[members[0].Addr]
 	watch := func(d time.Duration) {
-		for end := cl.now + d; cl.now < end; {
-			cl.step()
-			capacity.report(cl.now, first.core, logger)
+		for end := cluster.now + d; cluster.now < end; {
+			cluster.step()
+			capacity.report(cluster.now, first.core, logger)
 		}
 	}
 	watch(12 * time.Second)
-	away := cl.nodes[members[2].Addr]
+	away := cluster.nodes[members[2].Addr]
 	core := away.core
 	away.core = nil
 	watch(2 * time.Second)
--- a/internal/system/replication/client_calls_abandon_test.go
+++ b/internal/system/replication/client_calls_abandon_test.go
@@ -13,21 +13,21 @@
 // sending the change to whoever leads, until a deadline that its caller does not wait for.
 func TestAbandonedCallIsNotResent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, 3)
-		ks := map[string]*Node{}
-		for _, a := range f.seeds {
-			ks[a] = f.start(a, true)
+		group := newFleet(t, 3)
+		nodes := map[string]*Node{}
+		for _, a := range group.seeds {
+			nodes[a] = group.start(a, true)
 		}
 		time.Sleep(3 * time.Second) // of the bubble's clock
-		v := ks[f.seeds[0]].View()
+		v := nodes[group.seeds[0]].View()
 		head, _ := v.Voter(v.Head())
-		at := f.seeds[0]
+		at := group.seeds[0]
 		if head.Addr == at {
-			at = f.seeds[1]
+			at = group.seeds[1]
 		}
-		k := ks[at]
+		k := nodes[at]
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-		f.net.set(head.Addr, nil)
+		group.net.set(head.Addr, nil)
 		go func() {
 			time.Sleep(100 * time.Millisecond)
 			cancel()
@@ -41,8 +41,8 @@
 		if left != 0 {
 			t.Errorf("%d changes are still asked for", left)
 		}
-		for _, a := range f.seeds {
-			ks[a].Stop()
+		for _, a := range group.seeds {
+			nodes[a].Stop()
 		}
 	})
 }
--- a/internal/system/replication/disk_writer_test.go
+++ b/internal/system/replication/disk_writer_test.go
@@ -149,8 +149,8 @@
 // told that two keepers run on one data directory.
 func TestSupersededNodeFails(t *testing.T) {
 	folder := t.TempDir()
-	a := newSingleNode(t, toyMachine{}, folder)
-	a.change(1, 1, 100)
+	single := newSingleNode(t, toyMachine{}, folder)
+	single.change(1, 1, 100)
 	other, err := wal.Open(folder, wal.Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -158,12 +158,12 @@
 	if _, _, _, err := other.Load(); err != nil {
 		t.Fatal(err)
 	}
-	a.core.Submit(a.now, 2, controlstate.Change{Op: controlstate.OpNone, Zone: "late"}, 5*time.Second)
-	a.until(2*time.Second, "the end", func() bool { return a.core.Err() != nil })
-	if err := a.core.Err(); !errors.Is(err, wal.ErrSuperseded) {
+	single.core.Submit(single.now, 2, controlstate.Change{Op: controlstate.OpNone, Zone: "late"}, 5*time.Second)
+	single.until(2*time.Second, "the end", func() bool { return single.core.Err() != nil })
+	if err := single.core.Err(); !errors.Is(err, wal.ErrSuperseded) {
 		t.Error(err)
 	}
-	if d, ok := a.done[2]; ok && d.Outcome == Answered {
+	if d, ok := single.done[2]; ok && d.Outcome == Answered {
 		t.Errorf("the late change was answered: %+v", d)
 	}
 }
--- a/internal/system/replication/downstream_test.go
+++ b/internal/system/replication/downstream_test.go
@@ -47,13 +47,13 @@
 }
 
 // flow asks for a change of so many bytes at addr, 20 times a second, until the clock shows end.
-func (cl *scriptedCluster) flow(addr string, end time.Duration, bytes int, each func()) {
-	for next := cl.now; cl.now < end; {
-		if cl.now >= next {
-			cl.submit(addr, sized(bytes), 2*time.Second)
+func (cluster *scriptedCluster) flow(addr string, end time.Duration, bytes int, each func()) {
+	for next := cluster.now; cluster.now < end; {
+		if cluster.now >= next {
+			cluster.submit(addr, sized(bytes), 2*time.Second)
 			next += 50 * time.Millisecond
 		}
-		cl.step()
+		cluster.step()
 		if each != nil {
 			each()
 		}
@@ -63,17 +63,17 @@
 // TestTheLogInMemoryIsBounded has hundreds of large changes acknowledged. Danger: the records that are kept for those who
 // follow are counted and not weighed, and the process goes over its memory.
 func TestTheLogInMemoryIsBounded(t *testing.T) {
-	cl := newScriptedCluster(t)
-	cl.machine = blobMachine{}
-	formThreeNodes(cl, 1, TestingKnobs{})
+	cluster := newScriptedCluster(t)
+	cluster.machine = blobMachine{}
+	formThreeNodes(cluster, 1, TestingKnobs{})
 	const each = 256 << 10
 	most := 0
-	cl.flow("a", cl.now+20*time.Second, each, func() {
-		for _, n := range cl.nodes {
+	cluster.flow("a", cluster.now+20*time.Second, each, func() {
+		for _, n := range cluster.nodes {
 			most = max(most, inMemory(n.core))
 		}
 	})
-	if seq := cl.nodes["a"].core.chain.commitIndex; seq < 390 {
+	if seq := cluster.nodes["a"].core.chain.commitIndex; seq < 390 {
 		t.Fatalf("%d changes were acknowledged", seq)
 	}
 	t.Logf("at most %.1f MB", float64(most)/(1<<20))
@@ -85,21 +85,21 @@
 // TestTheLogOnDiskIsBounded lets writes take so long that new records wait at the end of each. Danger: the next append
 // always goes before a snapshot, and the log grows until the load ends.
 func TestTheLogOnDiskIsBounded(t *testing.T) {
-	cl := newScriptedCluster(t)
-	cl.machine = blobMachine{}
+	cluster := newScriptedCluster(t)
+	cluster.machine = blobMachine{}
 	for _, a := range []string{"a", "b", "c"} {
-		cl.start(Config{
+		cluster.start(Config{
 			Self: Member{Addr: a, Zone: "zone " + a, Region: "r"}, MachineLosses: 1, Seeds: []string{"a", "b", "c"}, Bootstrap: true,
 			compactRecords: 50, retainedRecords: 20,
 		})
 	}
-	cl.until(5*time.Second, "the first view", func() bool { return cl.complete(3, 3) })
-	cl.run(time.Second)
+	cluster.until(5*time.Second, "the first view", func() bool { return cluster.complete(3, 3) })
+	cluster.run(time.Second)
 	most := 0
 	for range 2000 { // a change each step: a write takes one
-		cl.submit("a", evacuating("x"), 2*time.Second)
-		cl.step()
-		for _, n := range cl.nodes {
+		cluster.submit("a", evacuating("x"), 2*time.Second)
+		cluster.step()
+		for _, n := range cluster.nodes {
 			most = max(most, len(n.disk.p.entries))
 		}
 	}
@@ -112,24 +112,26 @@
 // TestSnapshotInFlightIsNotResent: danger: a large snapshot takes longer than the wait for its receipt, and the link is
 // filled with copies of it.
 func TestSnapshotInFlightIsNotResent(t *testing.T) {
-	cl := newScriptedCluster(t)
-	cl.machine = blobMachine{}
-	formThreeNodes(cl, 1, TestingKnobs{})
-	id := cl.submit("a", sized(4<<20), 2*time.Second)
-	cl.until(2*time.Second, "a large change", func() bool { return cl.answered(id) })
-	cl.flow("a", cl.now+3*time.Second, 300<<10, nil) // 18 MB: the first records are behind a snapshot
-	id = cl.submit("a", sized(4<<20), 2*time.Second)
-	cl.until(2*time.Second, "a large change", func() bool { return cl.answered(id) })
-	cl.slowNetworks["d"] = &slowNetwork{bytesPerSecond: 1 << 20}
+	cluster := newScriptedCluster(t)
+	cluster.machine = blobMachine{}
+	formThreeNodes(cluster, 1, TestingKnobs{})
+	id := cluster.submit("a", sized(4<<20), 2*time.Second)
+	cluster.until(2*time.Second, "a large change", func() bool { return cluster.answered(id) })
+	cluster.flow("a", cluster.now+3*time.Second, 300<<10, nil) // 18 MB: the first records are behind a snapshot
+	id = cluster.submit("a", sized(4<<20), 2*time.Second)
+	cluster.until(2*time.Second, "a large change", func() bool { return cluster.answered(id) })
+	cluster.slowNetworks["d"] = &slowNetwork{bytesPerSecond: 1 << 20}
 	sent := 0
-	cl.filter = func(_, to string, m *replicationpb.Message) bool {
+	cluster.filter = func(_, to string, m *replicationpb.Message) bool {
 		if to == "d" && m.GetInstall() != nil {
 			sent++
 		}
 		return true
 	}
-	cl.start(Config{Self: Member{Addr: "d", Zone: "zone d", Region: "r"}, MachineLosses: 1, Seeds: []string{"a", "b", "c"}})
-	took := cl.until(15*time.Second, "the spare is level", func() bool { return cl.nodes["d"].core.chain.commitIndex == cl.nodes["a"].core.chain.commitIndex })
+	cluster.start(Config{Self: Member{Addr: "d", Zone: "zone d", Region: "r"}, MachineLosses: 1, Seeds: []string{"a", "b", "c"}})
+	took := cluster.until(15*time.Second, "the spare is level", func() bool {
+		return cluster.nodes["d"].core.chain.commitIndex == cluster.nodes["a"].core.chain.commitIndex
+	})
 	t.Logf("level after %v, %d snapshots sent", took, sent)
 	if sent > 2 {
 		t.Errorf("%d snapshots were sent", sent)
@@ -140,24 +142,24 @@
 // of 1 MB/s, while changes go on at 20 a second. Danger: what is under way is sent again and again, and never ends.
 func TestSlowNetworkIsNotFilledWithDuplicates(t *testing.T) {
 	for _, away := range []time.Duration{20 * time.Second, 100 * time.Second} {
-		cl := newScriptedCluster(t)
-		cl.machine = blobMachine{}
-		formThreeNodes(cl, 1, TestingKnobs{})
+		cluster := newScriptedCluster(t)
+		cluster.machine = blobMachine{}
+		formThreeNodes(cluster, 1, TestingKnobs{})
 		spare := Config{Self: Member{Addr: "d", Zone: "zone d", Region: "r"}, MachineLosses: 1, Seeds: []string{"a", "b", "c"}}
-		cl.start(spare)
-		cl.run(time.Second)
-		cl.nodes["d"].core = nil
+		cluster.start(spare)
+		cluster.run(time.Second)
+		cluster.nodes["d"].core = nil
 		const each = 10 << 10
-		cl.flow("a", cl.now+away, each, nil)
-		cl.slowNetworks["d"] = &slowNetwork{bytesPerSecond: 1 << 20}
-		cl.start(spare)
-		began, level := cl.now, time.Duration(0)
-		cl.flow("a", cl.now+15*time.Second, each, func() {
-			if level == 0 && cl.nodes["d"].core.chain.commitIndex+5 >= cl.nodes["a"].core.chain.commitIndex {
-				level = cl.now - began
+		cluster.flow("a", cluster.now+away, each, nil)
+		cluster.slowNetworks["d"] = &slowNetwork{bytesPerSecond: 1 << 20}
+		cluster.start(spare)
+		began, level := cluster.now, time.Duration(0)
+		cluster.flow("a", cluster.now+15*time.Second, each, func() {
+			if level == 0 && cluster.nodes["d"].core.chain.commitIndex+5 >= cluster.nodes["a"].core.chain.commitIndex {
+				level = cluster.now - began
 			}
 		})
-		offered := float64(cl.slowNetworks["d"].sentBytes) / (1 << 20)
+		offered := float64(cluster.slowNetworks["d"].sentBytes) / (1 << 20)
 		t.Logf("away for %v: level after %v, %.1f MB sent in 15 s", away, level, offered)
 		if level == 0 || offered > 15 {
 			t.Errorf("away for %v: level after %v, %.1f MB sent in 15 s through a link of 1 MB/s", away, level, offered)
--- a/internal/system/replication/golden_trace_test.go
+++ b/internal/system/replication/golden_trace_test.go
@@ -64,10 +64,10 @@
 }
 
 // step records one Take of a core: when, whose, what it wants done, and what it holds then.
-func (g *goldenTrace) step(w *clusterSim, m *simNode, out *Outputs) {
+func (g *goldenTrace) step(w *clusterSim, node *simNode, out *Outputs) {
 	g.steps++
 	g.text("step")
-	g.number(uint64(w.now), uint64(m.name), m.incarnation)
+	g.number(uint64(w.now), uint64(node.name), node.incarnation)
 	for _, e := range out.Messages {
 		g.message(e)
 	}
@@ -77,7 +77,7 @@
 	for _, d := range out.Completions {
 		g.done(d)
 	}
-	g.core(m)
+	g.core(node)
 	g.flush()
 }
 
@@ -220,16 +220,16 @@
 }
 
 // playGolden plays a scenario and gives the steps and the digest.
-func playGolden(s goldenScenario, seed uint64) (string, error) {
-	if s.diskNodes == 0 {
-		s.topology, s.faults, s.until = topologyOf(seed), seedFaults(seed), faultsUntil(seed)
+func playGolden(scenario goldenScenario, seed uint64) (string, error) {
+	if scenario.diskNodes == 0 {
+		scenario.topology, scenario.faults, scenario.until = topologyOf(seed), seedFaults(seed), faultsUntil(seed)
 	}
-	w := newClusterSim(seed, s.topology, TestingKnobs{})
-	g := newGoldenTrace(w)
-	for _, f := range s.faults {
+	w := newClusterSim(seed, scenario.topology, TestingKnobs{})
+	golden := newGoldenTrace(w)
+	for _, f := range scenario.faults {
 		w.inject(f)
 	}
-	for i := range s.joiners {
+	for i := range scenario.joiners {
 		w.after(time.Duration(5+3*i)*time.Second, func() {
 			m := w.newNode(fmt.Sprintf("10.0.1.%d", i+1), fmt.Sprintf("y%d", i), "r0")
 			m.seeds = w.seeds
@@ -237,14 +237,14 @@
 		})
 	}
 	w.operate()
-	w.runUntil(s.until)
+	w.runUntil(scenario.until)
 	w.heal()
 	w.expectAck("after the last fault")
 	w.runUntil(w.now + 2*time.Second)
 	if err := w.converge(convergenceBound); err != nil {
 		return "", err
 	}
-	return g.end(w), g.err
+	return golden.end(w), golden.err
 }
 
 // readGolden gives the recorded steps and digest by scenario and seed.
--- a/internal/system/replication/head_election_test.go
+++ b/internal/system/replication/head_election_test.go
@@ -11,18 +11,18 @@
 // way. Nobody hears a any more, and c, which was active in the epoch before, is to lead. While that is agreed, what was
 // under way reaches b. It gives what c lacks of what was acknowledged, empty when it lacks nothing.
 func playUnsealedEpoch(t *testing.T, h TestingKnobs) string {
-	cl := newScriptedCluster(t)
+	cluster := newScriptedCluster(t)
 	for _, a := range []string{"a", "b", "c"} {
-		cl.start(Config{Self: Member{Addr: a, Zone: a, Region: "r"}, Seeds: []string{"a", "b", "c"}, Bootstrap: true, knobs: h})
+		cluster.start(Config{Self: Member{Addr: a, Zone: a, Region: "r"}, Seeds: []string{"a", "b", "c"}, Bootstrap: true, knobs: h})
 	}
-	cl.until(5*time.Second, "the first view", func() bool { return cl.complete(3, 3) })
-	cl.run(time.Second)
-	if cl.replica(0) != "a" || cl.replica(1) != "b" {
-		t.Fatalf("the chain is %v", cl.view())
+	cluster.until(5*time.Second, "the first view", func() bool { return cluster.complete(3, 3) })
+	cluster.run(time.Second)
+	if cluster.replica(0) != "a" || cluster.replica(1) != "b" {
+		t.Fatalf("the chain is %v", cluster.view())
 	}
 	var underWay, accepts []Envelope
 	lost := func(from, to string) bool { return from == "c" || to == "c" }
-	cl.filter = func(from, to string, m *replicationpb.Message) bool {
+	cluster.filter = func(from, to string, m *replicationpb.Message) bool {
 		if lost(from, to) {
 			return false
 		}
@@ -36,23 +36,23 @@
 		}
 		return true
 	}
-	b := cl.nodes["b"].core
-	cl.until(3*time.Second, "a chain of a and b", func() bool { return b.acceptor.view.Epoch == 2 && cl.nodes["a"].core.chain.isHead() })
-	change := cl.submit("a", evacuating("acknowledged"), 20*time.Second)
-	cl.run(300 * time.Millisecond)
+	b := cluster.nodes["b"].core
+	cluster.until(3*time.Second, "a chain of a and b", func() bool { return b.acceptor.view.Epoch == 2 && cluster.nodes["a"].core.chain.isHead() })
+	change := cluster.submit("a", evacuating("acknowledged"), 20*time.Second)
+	cluster.run(300 * time.Millisecond)
 	lost = func(from, _ string) bool { return from == "a" }
 	b.writer.unhealthy, b.writer.unhealthyUntil = true, time.Hour
-	cl.until(5*time.Second, "another view is proposed", func() bool { return len(accepts) > 0 })
+	cluster.until(5*time.Second, "another view is proposed", func() bool { return len(accepts) > 0 })
 	for _, e := range underWay {
-		cl.deliver(e)
+		cluster.deliver(e)
 	}
-	cl.run(100 * time.Millisecond)
+	cluster.run(100 * time.Millisecond)
 	for _, e := range accepts {
-		cl.deliver(e)
+		cluster.deliver(e)
 	}
-	cl.until(5*time.Second, "c leads", func() bool { return cl.nodes["c"].core.chain.isHead() })
-	cl.run(time.Second)
-	if cl.answered(change) && cl.nodes["c"].core.chain.log.end() == 0 {
+	cluster.until(5*time.Second, "c leads", func() bool { return cluster.nodes["c"].core.chain.isHead() })
+	cluster.run(time.Second)
+	if cluster.answered(change) && cluster.nodes["c"].core.chain.log.end() == 0 {
 		return "a change was acknowledged in an epoch that counted as empty, and its successor lacks it"
 	}
 	return ""
--- a/internal/system/replication/late_messages_test.go
+++ b/internal/system/replication/late_messages_test.go
@@ -10,25 +10,25 @@
 // playLateForward holds up a change on its way to the head for 20 s, while nothing else happens to the keepers. Its caller
 // has long been told that there is no clear answer, and a later change was acknowledged. Danger: it undoes the later one.
 func playLateForward(t *testing.T, h TestingKnobs) string {
-	cl := threeNodes(t, 1, h)
-	head, sender := cl.replica(0), cl.replica(2)
-	held := cl.captureForwards(sender, head)
-	first := cl.submit(sender, evacuating("first"), 4*time.Second)
-	cl.until(5*time.Second, "the first change ends", func() bool { return cl.done[first].ID != 0 })
-	if got := cl.done[first].Outcome; got != Unknown || len(*held) == 0 {
+	cluster := threeNodes(t, 1, h)
+	head, sender := cluster.replica(0), cluster.replica(2)
+	held := cluster.captureForwards(sender, head)
+	first := cluster.submit(sender, evacuating("first"), 4*time.Second)
+	cluster.until(5*time.Second, "the first change ends", func() bool { return cluster.done[first].ID != 0 })
+	if got := cluster.done[first].Outcome; got != Unknown || len(*held) == 0 {
 		t.Fatalf("the first change ended with outcome %d, %d messages are held", got, len(*held))
 	}
-	cl.filter = nil
-	second := cl.submit(head, evacuating("second"), 3*time.Second)
-	cl.until(3*time.Second, "the second change", func() bool { return cl.answered(second) })
-	epoch := cl.view().Epoch
-	cl.run(20 * time.Second)
-	cl.deliver((*held)[0])
-	cl.run(200 * time.Millisecond)
-	if cl.view().Epoch != epoch {
+	cluster.filter = nil
+	second := cluster.submit(head, evacuating("second"), 3*time.Second)
+	cluster.until(3*time.Second, "the second change", func() bool { return cluster.answered(second) })
+	epoch := cluster.view().Epoch
+	cluster.run(20 * time.Second)
+	cluster.deliver((*held)[0])
+	cluster.run(200 * time.Millisecond)
+	if cluster.view().Epoch != epoch {
 		t.Fatal("the view has changed: the scenario shows nothing")
 	}
-	if note := cl.nodes[head].core.chain.state.(*toy).note; note != "second" {
+	if note := cluster.nodes[head].core.chain.state.(*toy).note; note != "second" {
 		return "the change " + note + " undoes a later one"
 	}
 	return ""
@@ -36,63 +36,63 @@
 
 // TestForwardedChangeHasDeadline: a change that comes within its time is taken, also one that was under way for a while.
 func TestForwardedChangeHasDeadline(t *testing.T) {
-	cl := threeNodes(t, 1, TestingKnobs{})
-	head, sender := cl.replica(0), cl.replica(2)
+	cluster := threeNodes(t, 1, TestingKnobs{})
+	head, sender := cluster.replica(0), cluster.replica(2)
 	slow := true
 	var held []Envelope
-	cl.filter = func(from, to string, m *replicationpb.Message) bool {
+	cluster.filter = func(from, to string, m *replicationpb.Message) bool {
 		if slow && from == sender && to == head && m.GetForward() != nil {
 			held = append(held, Envelope{Addr: to, Msg: m})
 			return false
 		}
 		return true
 	}
-	id := cl.submit(sender, evacuating("late"), 4*time.Second)
-	cl.run(3500 * time.Millisecond)
+	id := cluster.submit(sender, evacuating("late"), 4*time.Second)
+	cluster.run(3500 * time.Millisecond)
 	slow = false
-	cl.deliver(held[0])
-	cl.until(500*time.Millisecond, "the change that was under way for 3.5 of its 4 s", func() bool { return cl.answered(id) })
+	cluster.deliver(held[0])
+	cluster.until(500*time.Millisecond, "the change that was under way for 3.5 of its 4 s", func() bool { return cluster.answered(id) })
 }
 
 // TestCatchUpOfFormerIncarnationProvesNothing delivers to a keeper outside the chain, right after its restart, what it was fed
 // before. Danger: the answer to a call of its former life passes for one to a call of now, and the past for the newest.
 func TestCatchUpOfFormerIncarnationProvesNothing(t *testing.T) {
-	cl := threeNodes(t, 1, TestingKnobs{})
+	cluster := threeNodes(t, 1, TestingKnobs{})
 	spare := Config{Self: Member{Addr: "d", Zone: "zone d", Region: "r"}, MachineLosses: 1, Seeds: []string{"a", "b", "c"}}
-	cl.start(spare)
+	cluster.start(spare)
 	var old []Envelope
-	cl.filter = func(from, to string, m *replicationpb.Message) bool {
+	cluster.filter = func(from, to string, m *replicationpb.Message) bool {
 		if to == "d" && m.GetAppend() != nil {
 			old = append(old, Envelope{Addr: to, Msg: m})
 		}
 		return true
 	}
-	cl.run(3 * time.Second)
+	cluster.run(3 * time.Second)
 	if len(old) == 0 {
 		t.Fatal("the spare is not fed")
 	}
-	cl.nodes["d"].core = nil
+	cluster.nodes["d"].core = nil
 	fresh := false
-	cl.filter = func(from, to string, m *replicationpb.Message) bool {
+	cluster.filter = func(from, to string, m *replicationpb.Message) bool {
 		return fresh || to != "d" || m.GetAppend() == nil
 	}
-	id := cl.submit("a", evacuating("newer"), time.Second)
-	cl.until(time.Second, "a change", func() bool { return cl.answered(id) })
-	cl.run(2 * time.Second)
-	cl.start(spare)
+	id := cluster.submit("a", evacuating("newer"), time.Second)
+	cluster.until(time.Second, "a change", func() bool { return cluster.answered(id) })
+	cluster.run(2 * time.Second)
+	cluster.start(spare)
 	for range 3 * int(time.Second/clusterStep) {
-		cl.step()
+		cluster.step()
 		for _, e := range old {
-			cl.deliver(e)
+			cluster.deliver(e)
 		}
-		if n := cl.nodes["d"]; n.core.Current(cl.clock(n)) {
-			t.Fatalf("%v after its start the keeper counts as current with %d of 1 records", cl.clock(n), n.core.chain.commitIndex)
+		if n := cluster.nodes["d"]; n.core.Current(cluster.clock(n)) {
+			t.Fatalf("%v after its start the keeper counts as current with %d of 1 records", cluster.clock(n), n.core.chain.commitIndex)
 		}
 	}
 	fresh = true
-	cl.until(2*time.Second, "the spare is current once it is fed", func() bool {
-		n := cl.nodes["d"]
-		return n.core.Current(cl.clock(n)) && n.core.chain.commitIndex == 1
+	cluster.until(2*time.Second, "the spare is current once it is fed", func() bool {
+		n := cluster.nodes["d"]
+		return n.core.Current(cluster.clock(n)) && n.core.chain.commitIndex == 1
 	})
 }
 
@@ -100,23 +100,23 @@
 // Danger: it is taken again.
 func TestLateDuplicateIsRefused(t *testing.T) {
 	play := func(h TestingKnobs) uint64 {
-		cl := newScriptedCluster(t)
-		cl.machine = blobMachine{} // takes everything
-		formThreeNodes(cl, 1, h)
-		head, sender := cl.replica(0), cl.replica(2)
+		cluster := newScriptedCluster(t)
+		cluster.machine = blobMachine{} // takes everything
+		formThreeNodes(cluster, 1, h)
+		head, sender := cluster.replica(0), cluster.replica(2)
 		var double Envelope
-		cl.filter = func(from, to string, m *replicationpb.Message) bool {
+		cluster.filter = func(from, to string, m *replicationpb.Message) bool {
 			if from == sender && to == head && m.GetForward() != nil {
 				double = Envelope{Addr: to, Msg: m}
 			}
 			return true
 		}
-		id := cl.submit(sender, evacuating("once"), 4*time.Second)
-		cl.until(time.Second, "a change", func() bool { return cl.answered(id) })
-		cl.run(20 * time.Second)
-		cl.deliver(double)
-		cl.run(time.Second)
-		return cl.nodes[head].core.chain.commitIndex
+		id := cluster.submit(sender, evacuating("once"), 4*time.Second)
+		cluster.until(time.Second, "a change", func() bool { return cluster.answered(id) })
+		cluster.run(20 * time.Second)
+		cluster.deliver(double)
+		cluster.run(time.Second)
+		return cluster.nodes[head].core.chain.commitIndex
 	}
 	if n := play(TestingKnobs{}); n != 1 {
 		t.Errorf("%d records are committed", n)
--- a/internal/system/replication/leave_test.go
+++ b/internal/system/replication/leave_test.go
@@ -9,9 +9,9 @@
 )
 
 // holders counts the keepers other than addr whose disk holds the records up to seq.
-func (cl *scriptedCluster) holders(seq uint64, addr string) int {
+func (cluster *scriptedCluster) holders(seq uint64, addr string) int {
 	n := 0
-	for a, x := range cl.nodes {
+	for a, x := range cluster.nodes {
 		end := x.disk.p.snap.Seq
 		if k := len(x.disk.p.entries); k > 0 {
 			end = x.disk.p.entries[k-1].Seq
@@ -23,19 +23,19 @@
 	return n
 }
 
-func (cl *scriptedCluster) leave(addr string) {
-	n := cl.nodes[addr]
-	n.core.Leave(cl.clock(n))
-	cl.collect(addr)
+func (cluster *scriptedCluster) leave(addr string) {
+	n := cluster.nodes[addr]
+	n.core.Leave(cluster.clock(n))
+	cluster.collect(addr)
 }
 
 // submitMany has count changes acknowledged, through addr.
-func (cl *scriptedCluster) submitMany(addr string, count int) {
-	cl.t.Helper()
+func (cluster *scriptedCluster) submitMany(addr string, count int) {
+	cluster.t.Helper()
 	for range count {
-		cl.lastCallID++
-		id := cl.submit(addr, evacuating(fmt.Sprint("zone ", cl.lastCallID)), 2*time.Second)
-		cl.until(3*time.Second, "a change", func() bool { return cl.answered(id) })
+		cluster.lastCallID++
+		id := cluster.submit(addr, evacuating(fmt.Sprint("zone ", cluster.lastCallID)), 2*time.Second)
+		cluster.until(3*time.Second, "a change", func() bool { return cluster.answered(id) })
 	}
 }
 
@@ -44,39 +44,39 @@
 func TestLeavingNodeWaitsForEnoughReplicas(t *testing.T) {
 	for leaves := range 2 {
 		t.Run([]string{"head", "tail"}[leaves], func(t *testing.T) {
-			cl := threeNodes(t, 1, TestingKnobs{})
-			away := cl.nodes["c"]
+			cluster := threeNodes(t, 1, TestingKnobs{})
+			away := cluster.nodes["c"]
 			away.core = nil
-			cl.until(3*time.Second, "a chain of two", func() bool { return len(cl.view().Chain) == 2 })
-			cl.run(time.Second)
-			leaver := cl.replica(leaves)
-			cl.submitMany("b", 40)
-			acked := cl.nodes["b"].core.chain.commitIndex
-			cl.leave(leaver)
+			cluster.until(3*time.Second, "a chain of two", func() bool { return len(cluster.view().Chain) == 2 })
+			cluster.run(time.Second)
+			leaver := cluster.replica(leaves)
+			cluster.submitMany("b", 40)
+			acked := cluster.nodes["b"].core.chain.commitIndex
+			cluster.leave(leaver)
 			for range 1000 {
-				cl.step()
-				if cl.nodes[leaver].core.Departed() && cl.holders(acked, leaver) < 2 {
+				cluster.step()
+				if cluster.nodes[leaver].core.Departed() && cluster.holders(acked, leaver) < 2 {
 					t.Fatal("it has left, and what was acknowledged is on a single disk beside its own")
 				}
 			}
-			if cl.nodes[leaver].core.Departed() {
+			if cluster.nodes[leaver].core.Departed() {
 				t.Fatal("it has left, and nobody could take its place")
 			}
 			// Who comes back hears the others, but it takes long to feed it.
-			cl.filter = func(_, to string, m *replicationpb.Message) bool {
+			cluster.filter = func(_, to string, m *replicationpb.Message) bool {
 				return to != "c" || m.GetAppend() == nil && m.GetInstall() == nil
 			}
-			cl.start(away.cfg)
+			cluster.start(away.cfg)
 			for range 600 {
-				cl.step()
-				if cl.nodes[leaver].core.Departed() && cl.holders(acked, leaver) < 2 {
+				cluster.step()
+				if cluster.nodes[leaver].core.Departed() && cluster.holders(acked, leaver) < 2 {
 					t.Fatal("it has left for one that has yet to be fed")
 				}
 			}
-			cl.filter = nil
-			took := cl.until(5*time.Second, "it has left", func() bool {
-				left := cl.nodes[leaver].core.Departed()
-				if left && cl.holders(acked, leaver) < 2 {
+			cluster.filter = nil
+			took := cluster.until(5*time.Second, "it has left", func() bool {
+				left := cluster.nodes[leaver].core.Departed()
+				if left && cluster.holders(acked, leaver) < 2 {
 					t.Fatal("it has left, and what was acknowledged is on a single disk beside its own")
 				}
 				return left
@@ -88,17 +88,17 @@
 
 // TestLeavingNodeHandsOverOnlyReplica: a single link leaves and another keeper is there. Danger: it never hands over.
 func TestLeavingNodeHandsOverOnlyReplica(t *testing.T) {
-	cl := threeNodes(t, 0, TestingKnobs{})
-	cl.nodes["b"].core, cl.nodes["c"].core = nil, nil
-	cl.run(3 * time.Second)
-	cl.start(cl.nodes["b"].cfg)
-	cl.until(5*time.Second, "a chain", func() bool { return len(cl.view().Chain) > 0 })
-	cl.run(2 * time.Second)
-	head := cl.replica(0)
-	cl.submitMany(head, 3)
-	cl.leave(head)
-	cl.until(3*time.Second, "it has left", func() bool { return cl.nodes[head].core.Departed() })
-	if n := cl.holders(3, head); n < 1 {
+	cluster := threeNodes(t, 0, TestingKnobs{})
+	cluster.nodes["b"].core, cluster.nodes["c"].core = nil, nil
+	cluster.run(3 * time.Second)
+	cluster.start(cluster.nodes["b"].cfg)
+	cluster.until(5*time.Second, "a chain", func() bool { return len(cluster.view().Chain) > 0 })
+	cluster.run(2 * time.Second)
+	head := cluster.replica(0)
+	cluster.submitMany(head, 3)
+	cluster.leave(head)
+	cluster.until(3*time.Second, "it has left", func() bool { return cluster.nodes[head].core.Departed() })
+	if n := cluster.holders(3, head); n < 1 {
 		t.Fatalf("%d others hold the changes", n)
 	}
 }
@@ -106,22 +106,22 @@
 // TestLeavingNodeLeadsWhenNobodyElseCan loses the only other copy while a link waits to leave. Danger: the changes are on the
 // leaver's disk alone, nobody else may lead, and it does not any more.
 func TestLeavingNodeLeadsWhenNobodyElseCan(t *testing.T) {
-	cl := threeNodes(t, 1, TestingKnobs{})
-	cl.nodes["c"].core = nil
-	cl.until(3*time.Second, "a chain of two", func() bool { return len(cl.view().Chain) == 2 })
-	cl.run(time.Second)
-	cl.submitMany("b", 5)
-	cl.leave("a")
-	cl.run(100 * time.Millisecond)
-	cl.nodes["b"].core = nil
-	cl.nodes["b"].disk = newMemDisk()
-	cl.start(cl.nodes["c"].cfg)
-	cl.run(2 * time.Second)
-	cfg := cl.nodes["b"].cfg
+	cluster := threeNodes(t, 1, TestingKnobs{})
+	cluster.nodes["c"].core = nil
+	cluster.until(3*time.Second, "a chain of two", func() bool { return len(cluster.view().Chain) == 2 })
+	cluster.run(time.Second)
+	cluster.submitMany("b", 5)
+	cluster.leave("a")
+	cluster.run(100 * time.Millisecond)
+	cluster.nodes["b"].core = nil
+	cluster.nodes["b"].disk = newMemDisk()
+	cluster.start(cluster.nodes["c"].cfg)
+	cluster.run(2 * time.Second)
+	cfg := cluster.nodes["b"].cfg
 	cfg.Bootstrap, cfg.Self.ID = false, "b again"
-	cl.start(cfg)
-	cl.until(8*time.Second, "it has left", func() bool { return cl.nodes["a"].core.Departed() })
-	if n := cl.holders(5, "a"); n < 2 {
+	cluster.start(cfg)
+	cluster.until(8*time.Second, "it has left", func() bool { return cluster.nodes["a"].core.Departed() })
+	if n := cluster.holders(5, "a"); n < 2 {
 		t.Fatalf("%d others hold the changes", n)
 	}
 }
--- a/internal/system/replication/node_observer_test.go
+++ b/internal/system/replication/node_observer_test.go
@@ -16,13 +16,13 @@
 // TestNodeWithoutDisk starts an observer beside three keepers: it needs no disk, and passes calls on.
 func TestNodeWithoutDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, 3)
+		group := newFleet(t, 3)
 		var all []*Node
-		for _, a := range f.seeds {
-			all = append(all, f.start(a, true))
+		for _, a := range group.seeds {
+			all = append(all, group.start(a, true))
 		}
-		opt := Options{Addr: "10.0.0.9", Zone: "z", Region: "r", Port: 1, Seeds: f.seeds, Bootstrap: true, MachineLosses: 1,
-			Transport: f.net, Log: &log.Logger{Handler: discard.New(), Level: log.InfoLevel}}
+		opt := Options{Addr: "10.0.0.9", Zone: "z", Region: "r", Port: 1, Seeds: group.seeds, Bootstrap: true, MachineLosses: 1,
+			Transport: group.net, Log: &log.Logger{Handler: discard.New(), Level: log.InfoLevel}}
 		if _, err := Start(context.Background(), opt); !errors.Is(err, ErrNoDisk) {
 			t.Errorf("a keeper that votes started without a disk: %v", err)
 		}
@@ -31,7 +31,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.net.set(opt.Addr, observer.Handler())
+		group.net.set(opt.Addr, observer.Handler())
 		time.Sleep(3 * time.Second) // of the bubble's clock
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
--- a/internal/system/replication/node_test.go
+++ b/internal/system/replication/node_test.go
@@ -126,58 +126,58 @@
 
 func TestNodesSubmitReadAndReplaceLostDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, 3)
-		ks := map[string]*Node{}
-		for _, a := range f.seeds {
-			ks[a] = f.start(a, true)
+		group := newFleet(t, 3)
+		nodes := map[string]*Node{}
+		for _, a := range group.seeds {
+			nodes[a] = group.start(a, true)
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
-		_, changed := ks["10.0.0.3"].Committed()
-		if a, err := ks["10.0.0.2"].Submit(ctx, evacuate("a")); err != nil || a.Verdict.Kind != controlstate.Accepted {
+		_, changed := nodes["10.0.0.3"].Committed()
+		if a, err := nodes["10.0.0.2"].Submit(ctx, evacuate("a")); err != nil || a.Verdict.Kind != controlstate.Accepted {
 			t.Fatal(a, err)
 		}
 		<-changed
-		for _, a := range f.seeds {
-			s, err := ks[a].Read(ctx)
+		for _, a := range group.seeds {
+			s, err := nodes[a].Read(ctx)
 			if err != nil || !s.Evacuated["a"] {
 				t.Fatal(s, err)
 			}
 		}
 		// The head's disk is lost.
-		lost := string(ks[f.seeds[0]].View().Head())
-		for _, a := range f.seeds {
-			if string(ks[a].Self().ID) == lost {
-				f.stop(a, ks[a])
-				delete(f.disks, a)
-				ks[a] = f.start(a, false)
+		lost := string(nodes[group.seeds[0]].View().Head())
+		for _, a := range group.seeds {
+			if string(nodes[a].Self().ID) == lost {
+				group.stop(a, nodes[a])
+				delete(group.disks, a)
+				nodes[a] = group.start(a, false)
 			}
 		}
 		time.Sleep(4 * time.Second)
-		v := ks[f.seeds[0]].View()
+		v := nodes[group.seeds[0]].View()
 		if len(v.Chain) != 3 || v.chainIndex(ID(lost)) >= 0 {
 			t.Fatalf("after a lost disk: %v", v)
 		}
-		for _, a := range f.seeds {
-			if !ks[a].Current() {
+		for _, a := range group.seeds {
+			if !nodes[a].Current() {
 				t.Errorf("keeper %s is not current", a)
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-			if s, err := ks[a].Read(ctx); err != nil || !s.Evacuated["a"] {
+			if s, err := nodes[a].Read(ctx); err != nil || !s.Evacuated["a"] {
 				t.Error(s, err)
 			}
 			cancel()
 		}
 		// A goodbye takes a keeper out of the chain at once.
 		began := time.Now()
-		ks[f.seeds[1]].Leave(context.Background())
+		nodes[group.seeds[1]].Leave(context.Background())
 		if d := time.Since(began); d > 300*time.Millisecond {
 			t.Errorf("leaving took %v", d)
 		}
-		for _, a := range f.seeds {
-			f.stop(a, ks[a])
+		for _, a := range group.seeds {
+			group.stop(a, nodes[a])
 		}
-		if _, err := ks[f.seeds[0]].Submit(context.Background(), evacuate("b")); !errors.Is(err, ErrStopped) {
+		if _, err := nodes[group.seeds[0]].Submit(context.Background(), evacuate("b")); !errors.Is(err, ErrStopped) {
 			t.Error(err)
 		}
 	})
--- a/internal/system/replication/observer_test.go
+++ b/internal/system/replication/observer_test.go
@@ -17,14 +17,14 @@
 	}
 }
 
-func noObserverInViews(t *testing.T, cl *scriptedCluster) {
+func noObserverInViews(t *testing.T, cluster *scriptedCluster) {
 	t.Helper()
-	for addr, n := range cl.nodes {
+	for addr, n := range cluster.nodes {
 		if n.core == nil {
 			continue
 		}
 		for _, m := range n.core.acceptor.view.Voters {
-			if cl.nodes[m.Addr].cfg.Observer {
+			if cluster.nodes[m.Addr].cfg.Observer {
 				t.Fatalf("%s holds a view in which the observer %s votes", addr, m.Addr)
 			}
 		}
@@ -37,28 +37,28 @@
 	addrs := []string{"k1", "k2", "k3", "k4", "k5"}
 	for observers := range 3 {
 		t.Run(fmt.Sprint(observers), func(t *testing.T) {
-			cl := newScriptedCluster(t)
+			cluster := newScriptedCluster(t)
 			for _, a := range addrs {
-				cl.start(observed(a, addrs[:3], addrs[:observers]))
+				cluster.start(observed(a, addrs[:3], addrs[:observers]))
 			}
-			took := cl.until(5*time.Second, "a view that bears a loss", func() bool {
-				noObserverInViews(t, cl)
-				return cl.complete(3, 3)
+			took := cluster.until(5*time.Second, "a view that bears a loss", func() bool {
+				noObserverInViews(t, cluster)
+				return cluster.complete(3, 3)
 			})
 			t.Logf("complete after %v", took)
 			for _, a := range addrs {
-				id := cl.submit(a, evacuating("zone of "+a), 2*time.Second)
-				cl.until(2*time.Second, "a change through "+a, func() bool { return cl.answered(id) })
-				id = cl.read(a, 2*time.Second)
-				cl.until(2*time.Second, "a read through "+a, func() bool { return cl.answered(id) })
+				id := cluster.submit(a, evacuating("zone of "+a), 2*time.Second)
+				cluster.until(2*time.Second, "a change through "+a, func() bool { return cluster.answered(id) })
+				id = cluster.read(a, 2*time.Second)
+				cluster.until(2*time.Second, "a read through "+a, func() bool { return cluster.answered(id) })
 			}
-			cl.run(time.Second)
+			cluster.run(time.Second)
 			for _, a := range addrs {
-				if n := cl.nodes[a]; !n.core.Current(cl.clock(n)) || n.core.chain.commitIndex != cl.nodes["k4"].core.chain.commitIndex {
-					t.Errorf("%s: current %v, committed %d", a, n.core.Current(cl.clock(n)), n.core.chain.commitIndex)
+				if n := cluster.nodes[a]; !n.core.Current(cluster.clock(n)) || n.core.chain.commitIndex != cluster.nodes["k4"].core.chain.commitIndex {
+					t.Errorf("%s: current %v, committed %d", a, n.core.Current(cluster.clock(n)), n.core.chain.commitIndex)
 				}
 			}
-			noObserverInViews(t, cl)
+			noObserverInViews(t, cluster)
 		})
 	}
 }
@@ -67,44 +67,44 @@
 // nobody forms a view alone, and the two others form one too.
 func TestTimedOutSeedsAreNoObservers(t *testing.T) {
 	seeds := []string{"k1", "k2", "k3"}
-	cl := newScriptedCluster(t)
-	cl.start(observed("k1", seeds, nil))
-	cl.start(observed("k2", seeds, []string{"k2"}))
-	cl.run(10 * time.Second)
-	if v := cl.view(); v.Epoch != 0 {
+	cluster := newScriptedCluster(t)
+	cluster.start(observed("k1", seeds, nil))
+	cluster.start(observed("k2", seeds, []string{"k2"}))
+	cluster.run(10 * time.Second)
+	if v := cluster.view(); v.Epoch != 0 {
 		t.Fatalf("one of two seeds that may vote has formed %v", v)
 	}
-	cl.start(observed("k3", seeds, nil))
-	cl.until(5*time.Second, "a view by both", func() bool { return cl.complete(2, 2) })
+	cluster.start(observed("k3", seeds, nil))
+	cluster.until(5*time.Second, "a view by both", func() bool { return cluster.complete(2, 2) })
 }
 
 // TestAnObserverNeverJoins keeps observers beside a chain that lacks a link. Danger: one without a disk is taken in.
 func TestAnObserverNeverJoins(t *testing.T) {
 	addrs := []string{"k1", "k2", "k3"}
-	cl := newScriptedCluster(t)
+	cluster := newScriptedCluster(t)
 	for _, a := range addrs {
-		cl.start(observed(a, addrs, nil))
+		cluster.start(observed(a, addrs, nil))
 	}
-	cl.until(5*time.Second, "the first view", func() bool { return cl.complete(3, 3) })
+	cluster.until(5*time.Second, "the first view", func() bool { return cluster.complete(3, 3) })
 	for _, a := range []string{"o1", "o2"} {
-		cl.start(observed(a, addrs, []string{a}))
+		cluster.start(observed(a, addrs, []string{a}))
 	}
-	cl.run(2 * time.Second)
-	cl.nodes["k2"].core = nil
-	cl.until(5*time.Second, "a chain of two", func() bool { return len(cl.view().Chain) == 2 })
+	cluster.run(2 * time.Second)
+	cluster.nodes["k2"].core = nil
+	cluster.until(5*time.Second, "a chain of two", func() bool { return len(cluster.view().Chain) == 2 })
 	for range 100 {
-		cl.run(100 * time.Millisecond)
-		noObserverInViews(t, cl)
+		cluster.run(100 * time.Millisecond)
+		noObserverInViews(t, cluster)
 	}
-	id := cl.submit("o1", evacuating("a"), time.Second)
-	cl.until(time.Second, "a change through an observer", func() bool { return cl.answered(id) })
+	id := cluster.submit("o1", evacuating("a"), time.Second)
+	cluster.until(time.Second, "a change through an observer", func() bool { return cluster.answered(id) })
 	// It is told of another head at once, not with its next heartbeat.
-	cl.start(observed("k2", addrs, nil))
-	cl.until(5*time.Second, "three links", func() bool { return cl.complete(3, 3) })
-	head, _ := cl.view().Voter(cl.view().Head())
-	cl.nodes[head.Addr].core = nil
-	id = cl.submit("o2", replacing(0, "b"), 3*time.Second)
-	took := cl.until(3*time.Second, "a change through an observer after the head is gone", func() bool { return cl.answered(id) })
+	cluster.start(observed("k2", addrs, nil))
+	cluster.until(5*time.Second, "three links", func() bool { return cluster.complete(3, 3) })
+	head, _ := cluster.view().Voter(cluster.view().Head())
+	cluster.nodes[head.Addr].core = nil
+	id = cluster.submit("o2", replacing(0, "b"), 3*time.Second)
+	took := cluster.until(3*time.Second, "a change through an observer after the head is gone", func() bool { return cluster.answered(id) })
 	t.Logf("%s was the head; the change took %v", head.Addr, took)
 	if took > 1500*time.Millisecond {
 		t.Errorf("an observer takes %v to find the next head", took)
@@ -115,21 +115,21 @@
 func TestLateNodeKnowsObserversOnly(t *testing.T) {
 	addrs := []string{"k1", "k2", "k3"}
 	observers := []string{"o1", "o2", "o3"}
-	cl := newScriptedCluster(t)
+	cluster := newScriptedCluster(t)
 	for _, a := range addrs {
-		cl.start(observed(a, addrs, nil))
+		cluster.start(observed(a, addrs, nil))
 	}
 	for _, a := range observers {
-		cl.start(observed(a, addrs, observers))
+		cluster.start(observed(a, addrs, observers))
 	}
-	cl.until(5*time.Second, "the first view", func() bool { return cl.complete(3, 3) })
-	cl.run(time.Second)
-	cl.nodes["k3"].core = nil
+	cluster.until(5*time.Second, "the first view", func() bool { return cluster.complete(3, 3) })
+	cluster.run(time.Second)
+	cluster.nodes["k3"].core = nil
 	cfg := observed("k4", observers, nil)
 	cfg.Bootstrap = false
-	cl.start(cfg)
-	took := cl.until(5*time.Second, "the newcomer is a link", func() bool {
-		return cl.complete(3, 3) && slices.Contains(cl.view().Chain, ID("k4"))
+	cluster.start(cfg)
+	took := cluster.until(5*time.Second, "the newcomer is a link", func() bool {
+		return cluster.complete(3, 3) && slices.Contains(cluster.view().Chain, ID("k4"))
 	})
 	t.Logf("a link after %v", took)
 }
@@ -139,15 +139,15 @@
 	members := []string{"k1", "k2", "k3"}
 	observers := []string{"o1", "o2", "o3", "o4", "o5", "o6"}
 	seeds := []string{"k1", "o1", "o2"}
-	cl := newScriptedCluster(t)
+	cluster := newScriptedCluster(t)
 	for _, a := range slices.Concat(members, observers) {
-		cl.start(observed(a, seeds, observers))
+		cluster.start(observed(a, seeds, observers))
 	}
-	cl.until(6*time.Second, "the first view", func() bool { return cl.complete(3, 3) })
-	cl.run(3 * time.Second)
+	cluster.until(6*time.Second, "the first view", func() bool { return cluster.complete(3, 3) })
+	cluster.run(3 * time.Second)
 	isObserver := func(a string) bool { return slices.Contains(observers, a) }
 	count := map[string]int{}
-	cl.filter = func(from, to string, m *replicationpb.Message) bool {
+	cluster.filter = func(from, to string, m *replicationpb.Message) bool {
 		if h := m.GetHeartbeat(); h != nil {
 			count[fmt.Sprint(isObserver(from), isObserver(to))]++
 			for _, e := range h.GetEchoes() {
@@ -159,7 +159,7 @@
 		return true
 	}
 	const seconds = 10
-	cl.run(seconds * time.Second)
+	cluster.run(seconds * time.Second)
 	perPair := func(from, to bool, pairs int) float64 {
 		return float64(count[fmt.Sprint(from, to)]) / seconds / float64(pairs)
 	}
@@ -175,20 +175,20 @@
 func TestAllSeedsAreObservers(t *testing.T) {
 	seeds := []string{"o1", "o2", "o3"}
 	for keepers := 1; keepers <= 4; keepers++ {
-		cl := newScriptedCluster(t)
+		cluster := newScriptedCluster(t)
 		for _, a := range slices.Concat([]string{"k1", "k2", "k3", "k4"}[:keepers], seeds) {
-			cl.start(observed(a, seeds, seeds))
+			cluster.start(observed(a, seeds, seeds))
 		}
-		took := cl.until(8*time.Second, "the first view", func() bool {
-			noObserverInViews(t, cl)
-			return cl.complete(min(keepers, 3), min(keepers, 3))
+		took := cluster.until(8*time.Second, "the first view", func() bool {
+			noObserverInViews(t, cluster)
+			return cluster.complete(min(keepers, 3), min(keepers, 3))
 		})
 		t.Logf("%d keepers: complete after %v", keepers, took)
 		if keepers < 2 {
 			continue
 		}
-		id := cl.submit("o2", evacuating("a"), 2*time.Second)
-		cl.until(2*time.Second, "a change through an observer", func() bool { return cl.answered(id) })
+		id := cluster.submit("o2", evacuating("a"), 2*time.Second)
+		cluster.until(2*time.Second, "a change through an observer", func() bool { return cluster.answered(id) })
 	}
 }
 
@@ -197,28 +197,28 @@
 func TestSeedsWithoutADiskFormOneView(t *testing.T) {
 	seeds := []string{"o1", "o2", "o3"}
 	for round := range 60 {
-		cl := newScriptedCluster(t)
+		cluster := newScriptedCluster(t)
 		for _, a := range slices.Concat([]string{"k1", "k2", "k3", "k4"}, seeds) {
-			cl.start(observed(a, seeds, seeds))
+			cluster.start(observed(a, seeds, seeds))
 		}
 		off := seeds[round%3]
 		cut := time.Duration(round) * 50 * time.Millisecond
-		cl.filter = func(from, to string, _ *replicationpb.Message) bool {
-			if cl.now < cut {
+		cluster.filter = func(from, to string, _ *replicationpb.Message) bool {
+			if cluster.now < cut {
 				return true
 			}
 			return from != off && to != off || from == "k1" || to == "k1"
 		}
-		cl.run(cut)
+		cluster.run(cut)
 		again := observed(seeds[(round+1)%3], seeds, seeds)
 		again.Bootstrap = false // a start that is not the first of all
 		again.Self.ID = "again"
-		cl.start(again)
-		cl.run(6 * time.Second)
-		cl.filter = nil
-		cl.run(4 * time.Second)
+		cluster.start(again)
+		cluster.run(6 * time.Second)
+		cluster.filter = nil
+		cluster.run(4 * time.Second)
 		founders := map[string]bool{}
-		for _, n := range cl.nodes {
+		for _, n := range cluster.nodes {
 			if v := n.core.acceptor.view; v.Epoch > 0 {
 				founders[fmt.Sprint(v.Epoch, v.Chain, v.Voters)] = true
 			}
--- a/internal/system/replication/partition_test.go
+++ b/internal/system/replication/partition_test.go
@@ -20,57 +20,57 @@
 	var longest, longestCurrent time.Duration
 	for name, stops := range directions {
 		for link := range 3 {
-			cl := threeNodes(t, 1, TestingKnobs{})
-			cut := cl.replica(link)
-			other := cl.replica((link + 1) % 3)
+			cluster := threeNodes(t, 1, TestingKnobs{})
+			cut := cluster.replica(link)
+			other := cluster.replica((link + 1) % 3)
 			var late []Envelope
-			cl.filter = func(from, to string, m *replicationpb.Message) bool {
+			cluster.filter = func(from, to string, m *replicationpb.Message) bool {
 				if stops(from, to, cut) {
 					late = append(late, Envelope{Addr: to, Msg: m})
 					return false
 				}
 				return true
 			}
-			n, began, acked := cl.nodes[cut], cl.now, uint64(0)
+			isolated, began, acked := cluster.nodes[cut], cluster.now, uint64(0)
 			var change, read, here uint64
-			for rev := int64(0); cl.now-began < 20*time.Second; cl.step() {
-				if change == 0 || cl.done[change].ID != 0 {
-					if cl.answered(change) {
+			for rev := int64(0); cluster.now-began < 20*time.Second; cluster.step() {
+				if change == 0 || cluster.done[change].ID != 0 {
+					if cluster.answered(change) {
 						rev++
-						acked = cl.done[change].Seq
+						acked = cluster.done[change].Seq
 					}
-					change = cl.submit(other, replacing(rev, string(rune('a'+rev%26))+name), 4*time.Second)
+					change = cluster.submit(other, replacing(rev, string(rune('a'+rev%26))+name), 4*time.Second)
 				}
-				if read == 0 || cl.done[read].ID != 0 {
-					read = cl.read(cut, time.Second)
+				if read == 0 || cluster.done[read].ID != 0 {
+					read = cluster.read(cut, time.Second)
 				}
-				if here == 0 || cl.done[here].ID != 0 {
-					if d := cl.done[here]; d.Outcome == Answered && d.Verdict.Kind != controlstate.Accepted && d.Verdict.Kind != controlstate.Stale {
+				if here == 0 || cluster.done[here].ID != 0 {
+					if d := cluster.done[here]; d.Outcome == Answered && d.Verdict.Kind != controlstate.Accepted && d.Verdict.Kind != controlstate.Stale {
 						t.Fatalf("%s of %s: a change at it ended with %v", name, cut, d.Verdict)
 					}
-					here = cl.submit(cut, replacing(n.core.chain.state.(*toy).rev, "at the cut one"), time.Second)
+					here = cluster.submit(cut, replacing(isolated.core.chain.state.(*toy).rev, "at the cut one"), time.Second)
 				}
-				if cl.now-began < 2*time.Second {
+				if cluster.now-began < 2*time.Second {
 					continue
 				}
-				if d := cl.done[read]; d.Outcome == Answered && d.Seq+1 < acked {
+				if d := cluster.done[read]; d.Outcome == Answered && d.Seq+1 < acked {
 					t.Fatalf("%s of %s: a read gave record %d, %d was acknowledged", name, cut, d.Seq, acked)
 				}
-				if n.core.Current(cl.clock(n)) && n.core.chain.commitIndex+1 < acked {
-					t.Fatalf("%s of %s: it counts as current with record %d of %d", name, cut, n.core.chain.commitIndex, acked)
+				if isolated.core.Current(cluster.clock(isolated)) && isolated.core.chain.commitIndex+1 < acked {
+					t.Fatalf("%s of %s: it counts as current with record %d of %d", name, cut, isolated.core.chain.commitIndex, acked)
 				}
 			}
 			if acked < 20 {
 				t.Fatalf("%s of %s: %d changes were acknowledged at the others", name, cut, acked)
 			}
-			cl.filter = nil
+			cluster.filter = nil
 			for _, e := range late {
-				cl.deliver(e)
+				cluster.deliver(e)
 			}
-			took := cl.until(5*time.Second, name+" of "+cut+": three links", func() bool { return cl.complete(3, 3) })
+			took := cluster.until(5*time.Second, name+" of "+cut+": three links", func() bool { return cluster.complete(3, 3) })
 			longest = max(longest, took)
-			longestCurrent = max(longestCurrent, took+cl.until(5*time.Second, "it is current", func() bool {
-				return n.core.Current(cl.clock(n)) && n.core.chain.commitIndex >= acked
+			longestCurrent = max(longestCurrent, took+cluster.until(5*time.Second, "it is current", func() bool {
+				return isolated.core.Current(cluster.clock(isolated)) && isolated.core.chain.commitIndex >= acked
 			}))
 		}
 	}
--- a/internal/system/replication/paused_test.go
+++ b/internal/system/replication/paused_test.go
@@ -10,20 +10,20 @@
 // TestPausedVoterWaitsBeforeItPlans freezes the voter that would propose first for 20 s. When it wakes, one message waits
 // in its sockets, and nobody else has been heard for 20 s. Danger: it takes the others for gone and cuts them out.
 func TestPausedVoterWaitsBeforeItPlans(t *testing.T) {
-	cl := threeNodes(t, 1, TestingKnobs{})
-	n := cl.nodes["a"]
+	cluster := threeNodes(t, 1, TestingKnobs{})
+	n := cluster.nodes["a"]
 	n.paused = true
 	var waiting []Envelope
-	cl.filter = func(from, to string, m *replicationpb.Message) bool {
+	cluster.filter = func(from, to string, m *replicationpb.Message) bool {
 		if to == "a" && m.GetHeartbeat() != nil {
 			waiting = append(waiting, Envelope{Addr: to, Msg: m})
 		}
 		return to != "a"
 	}
-	cl.run(20 * time.Second)
-	n.paused, cl.filter = false, nil
-	cl.deliver(waiting[len(waiting)-1])
-	if grace := n.core.liveness.graceUntil - cl.clock(n); grace <= 0 {
+	cluster.run(20 * time.Second)
+	n.paused, cluster.filter = false, nil
+	cluster.deliver(waiting[len(waiting)-1])
+	if grace := n.core.liveness.graceUntil - cluster.clock(n); grace <= 0 {
 		t.Errorf("it may plan at once: grace %v", grace)
 	}
 }
--- a/internal/system/replication/placement_test.go
+++ b/internal/system/replication/placement_test.go
@@ -64,15 +64,15 @@
 }
 
 func sizedCluster(t *testing.T, members []Member, machines, zones, seeds int) *scriptedCluster {
-	cl := newScriptedCluster(t)
+	cluster := newScriptedCluster(t)
 	var addrs []string
 	for _, m := range members[:min(seeds, len(members))] {
 		addrs = append(addrs, m.Addr)
 	}
 	for _, m := range members {
-		cl.start(Config{Self: m, MachineLosses: machines, ZoneLosses: zones, Seeds: addrs, Bootstrap: true})
+		cluster.start(Config{Self: m, MachineLosses: machines, ZoneLosses: zones, Seeds: addrs, Bootstrap: true})
 	}
-	return cl
+	return cluster
 }
 
 // TestSizesFollowTheTolerance forms each layout under each tolerance, and holds voters and links against what the best
@@ -84,18 +84,18 @@
 			for zones := range 2 {
 				members := placed(layout)
 				cfg := Config{MachineLosses: machines, ZoneLosses: zones}
-				cl := sizedCluster(t, members, machines, zones, 3)
+				cluster := sizedCluster(t, members, machines, zones, 3)
 				wantVoters := min(len(members), cfg.targetVoters())
 				wantLinks := min(wantVoters, cfg.targetChainLength())
 				if wantLinks < cfg.minChainLength() {
 					// What exists may not acknowledge. It still forms a view of all voters.
-					cl.until(8*time.Second, fmt.Sprint(layout, machines, zones), func() bool { return len(cl.view().Voters) == wantVoters })
+					cluster.until(8*time.Second, fmt.Sprint(layout, machines, zones), func() bool { return len(cluster.view().Voters) == wantVoters })
 					continue
 				}
 				name := fmt.Sprintf("zones %v, losses of %d machines or %d zones", layout, machines, zones)
-				cl.until(8*time.Second, name, func() bool { return cl.complete(wantLinks, wantVoters) })
-				cl.run(3 * time.Second) // voters that work may yet be exchanged
-				v := cl.view()
+				cluster.until(8*time.Second, name, func() bool { return cluster.complete(wantLinks, wantVoters) })
+				cluster.run(3 * time.Second) // voters that work may yet be exchanged
+				v := cluster.view()
 				var links []Member
 				for _, id := range v.Chain {
 					m, _ := v.Voter(id)
@@ -129,26 +129,28 @@
 				losses = append(losses, slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.Zone != fmt.Sprintf("z%d", z) }))
 			}
 			for _, lost := range losses {
-				cl := sizedCluster(t, members, machines, 1, 3)
+				cluster := sizedCluster(t, members, machines, 1, 3)
 				name := fmt.Sprintf("zones %v, losses of %d machines or a zone, without %v", layout, machines, lost)
-				cl.until(8*time.Second, name, func() bool { return cl.complete(min(cfg.targetVoters(), cfg.targetChainLength()), cfg.targetVoters()) })
-				cl.run(3 * time.Second)
-				first := cl.submit(members[0].Addr, replacing(0, "first"), 2*time.Second)
-				cl.until(2*time.Second, name+": the first change", func() bool { return cl.answered(first) })
+				cluster.until(8*time.Second, name, func() bool {
+					return cluster.complete(min(cfg.targetVoters(), cfg.targetChainLength()), cfg.targetVoters())
+				})
+				cluster.run(3 * time.Second)
+				first := cluster.submit(members[0].Addr, replacing(0, "first"), 2*time.Second)
+				cluster.until(2*time.Second, name+": the first change", func() bool { return cluster.answered(first) })
 				if lost == nil {
-					v := cl.view()
+					v := cluster.view()
 					for _, id := range v.Chain[:min(machines, len(v.Chain))] {
 						m, _ := v.Voter(id)
 						lost = append(lost, m)
 					}
 				}
 				for _, m := range lost {
-					cl.nodes[m.Addr].core = nil
+					cluster.nodes[m.Addr].core = nil
 				}
 				at := slices.IndexFunc(members, func(m Member) bool { return !slices.Contains(lost, m) })
-				id := cl.submit(members[at].Addr, replacing(1, "second"), 10*time.Second)
-				longest = max(longest, cl.until(5*time.Second, name+": a change", func() bool { return cl.answered(id) }))
-				if seq := cl.nodes[members[at].Addr].core.chain.commitIndex; seq < 2 {
+				id := cluster.submit(members[at].Addr, replacing(1, "second"), 10*time.Second)
+				longest = max(longest, cluster.until(5*time.Second, name+": a change", func() bool { return cluster.answered(id) }))
+				if seq := cluster.nodes[members[at].Addr].core.chain.commitIndex; seq < 2 {
 					t.Errorf("%s: %d records are left", name, seq)
 				}
 				runs++
@@ -164,16 +166,16 @@
 	members := []Member{
 		{ID: "a1", Addr: "a1", Zone: "a", Region: "r"}, {ID: "a2", Addr: "a2", Zone: "a", Region: "r"}, {ID: "b1", Addr: "b1", Zone: "b", Region: "r"},
 	}
-	cl := sizedCluster(t, members, 1, 1, 3)
-	cl.until(5*time.Second, "the first view", func() bool { return cl.complete(3, 3) })
-	cl.run(time.Second)
-	cl.start(Config{Self: Member{ID: "c1", Addr: "c1", Zone: "c", Region: "r"}, MachineLosses: 1, ZoneLosses: 1, Seeds: []string{"a1"}})
-	took := cl.until(5*time.Second, "one voter a zone", func() bool {
-		if v := cl.view(); len(v.Chain) < 2 || len(v.Voters) != 3 {
+	cluster := sizedCluster(t, members, 1, 1, 3)
+	cluster.until(5*time.Second, "the first view", func() bool { return cluster.complete(3, 3) })
+	cluster.run(time.Second)
+	cluster.start(Config{Self: Member{ID: "c1", Addr: "c1", Zone: "c", Region: "r"}, MachineLosses: 1, ZoneLosses: 1, Seeds: []string{"a1"}})
+	took := cluster.until(5*time.Second, "one voter a zone", func() bool {
+		if v := cluster.view(); len(v.Chain) < 2 || len(v.Voters) != 3 {
 			t.Fatalf("on the way: %v", v)
 		}
 		cfg := Config{MachineLosses: 1, ZoneLosses: 1}
-		return cl.complete(3, 3) && cfg.votersTolerateLosses(cl.view().Voters)
+		return cluster.complete(3, 3) && cfg.votersTolerateLosses(cluster.view().Voters)
 	})
-	t.Logf("after %v: %v", took, cl.view())
+	t.Logf("after %v: %v", took, cluster.view())
 }
--- a/internal/system/replication/reach_test.go
+++ b/internal/system/replication/reach_test.go
@@ -11,17 +11,17 @@
 
 // reachCluster is three links, a spare and an observer.
 func reachCluster(t *testing.T) *scriptedCluster {
-	cl := threeNodes(t, 1, TestingKnobs{})
+	cluster := threeNodes(t, 1, TestingKnobs{})
 	seeds := []string{"a", "b", "c"}
-	cl.start(observed("s", seeds, nil))
-	cl.start(observed("o", seeds, []string{"o"}))
-	cl.run(3 * time.Second)
-	return cl
+	cluster.start(observed("s", seeds, nil))
+	cluster.start(observed("o", seeds, []string{"o"}))
+	cluster.run(3 * time.Second)
+	return cluster
 }
 
-func (cl *scriptedCluster) partition(addr string) bool {
-	n := cl.nodes[addr]
-	return n.core.Partitioned(cl.clock(n))
+func (cluster *scriptedCluster) partition(addr string) bool {
+	n := cluster.nodes[addr]
+	return n.core.Partitioned(cluster.clock(n))
 }
 
 // TestPartitioned cuts each kind of keeper off, both ways or one. Danger: it is not noticed, or lasts on after the cut, or keepers
@@ -34,30 +34,30 @@
 	}
 	for name, stops := range directions {
 		for place := range 5 {
-			cl := reachCluster(t)
-			keepers := []string{cl.replica(0), cl.replica(1), cl.replica(2), "s", "o"}
+			cluster := reachCluster(t)
+			keepers := []string{cluster.replica(0), cluster.replica(1), cluster.replica(2), "s", "o"}
 			cut := keepers[place]
-			cl.filter = func(from, to string, _ *replicationpb.Message) bool { return !stops(from, to, cut) }
-			noticed := cl.until(2500*time.Millisecond, "it is noticed", func() bool { return cl.partition(cut) })
+			cluster.filter = func(from, to string, _ *replicationpb.Message) bool { return !stops(from, to, cut) }
+			noticed := cluster.until(2500*time.Millisecond, "it is noticed", func() bool { return cluster.partition(cut) })
 			if noticed < time.Second {
 				t.Errorf("%s, place %d: cut off after %v, within which a keeper may be silent", name, place, noticed)
 			}
 			for range 100 {
-				id := cl.submit(cut, evacuating("z"), 700*time.Millisecond)
+				id := cluster.submit(cut, evacuating("z"), 700*time.Millisecond)
 				for range 20 {
-					cl.step()
+					cluster.step()
 					for _, other := range keepers {
-						if got := cl.partition(other); got != (other == cut) {
+						if got := cluster.partition(other); got != (other == cut) {
 							t.Fatalf("%s, place %d: cut off %v at %s while %s is cut", name, place, got, other, cut)
 						}
 					}
 				}
-				if cl.answered(id) {
+				if cluster.answered(id) {
 					t.Fatalf("%s, place %d: a change was answered at a keeper that is cut off", name, place)
 				}
 			}
-			cl.filter = nil
-			ended := cl.until(1500*time.Millisecond, "its end is noticed", func() bool { return !cl.partition(cut) })
+			cluster.filter = nil
+			ended := cluster.until(1500*time.Millisecond, "its end is noticed", func() bool { return !cluster.partition(cut) })
 			t.Logf("%s, place %d: noticed after %v, its end after %v", name, place, noticed, ended)
 		}
 	}
@@ -69,54 +69,54 @@
 	const lasts = 20 * time.Second
 	for name, prepare := range map[string]func(*scriptedCluster){
 		"all is well": func(*scriptedCluster) {},
-		"two of three heartbeats are lost": func(cl *scriptedCluster) {
-			cl.filter = func(_, _ string, m *replicationpb.Message) bool {
+		"two of three heartbeats are lost": func(cluster *scriptedCluster) {
+			cluster.filter = func(_, _ string, m *replicationpb.Message) bool {
 				h := m.GetHeartbeat()
 				return h == nil || h.GetReply() || h.GetNumber()%3 == 0
 			}
 		},
-		"no voter but the head is reached": func(cl *scriptedCluster) {
-			head := cl.replica(0)
+		"no voter but the head is reached": func(cluster *scriptedCluster) {
+			head := cluster.replica(0)
 			outside := func(a string) bool { return a == "s" || a == "o" }
-			cl.filter = func(from, to string, _ *replicationpb.Message) bool {
+			cluster.filter = func(from, to string, _ *replicationpb.Message) bool {
 				return !(outside(from) && to != head || outside(to) && from != head)
 			}
 		},
-		"the head is lost, and its repair takes three seconds": func(cl *scriptedCluster) {
-			cl.nodes[cl.replica(0)].core = nil
-			ends := cl.now + 3*time.Second
-			cl.filter = func(_, _ string, m *replicationpb.Message) bool { return m.GetPrepare() == nil || cl.now > ends }
+		"the head is lost, and its repair takes three seconds": func(cluster *scriptedCluster) {
+			cluster.nodes[cluster.replica(0)].core = nil
+			ends := cluster.now + 3*time.Second
+			cluster.filter = func(_, _ string, m *replicationpb.Message) bool { return m.GetPrepare() == nil || cluster.now > ends }
 		},
-		"the head is lost":        func(cl *scriptedCluster) { cl.nodes[cl.replica(0)].core = nil },
-		"the middle is lost":      func(cl *scriptedCluster) { cl.nodes[cl.replica(1)].core = nil },
-		"the tail is lost":        func(cl *scriptedCluster) { cl.nodes[cl.replica(2)].core = nil },
-		"a link stood still":      func(cl *scriptedCluster) { cl.pause(cl.replica(1)) },
-		"the head stood still":    func(cl *scriptedCluster) { cl.pause(cl.replica(0)) },
-		"an observer stood still": func(cl *scriptedCluster) { cl.pause("o") },
-		"an observer starts anew": func(cl *scriptedCluster) { cl.start(observed("o", []string{"a", "b", "c"}, []string{"o"})) },
-		"a spare starts anew":     func(cl *scriptedCluster) { cl.start(observed("s", []string{"a", "b", "c"}, nil)) },
+		"the head is lost":        func(cluster *scriptedCluster) { cluster.nodes[cluster.replica(0)].core = nil },
+		"the middle is lost":      func(cluster *scriptedCluster) { cluster.nodes[cluster.replica(1)].core = nil },
+		"the tail is lost":        func(cluster *scriptedCluster) { cluster.nodes[cluster.replica(2)].core = nil },
+		"a link stood still":      func(cluster *scriptedCluster) { cluster.pause(cluster.replica(1)) },
+		"the head stood still":    func(cluster *scriptedCluster) { cluster.pause(cluster.replica(0)) },
+		"an observer stood still": func(cluster *scriptedCluster) { cluster.pause("o") },
+		"an observer starts anew": func(cluster *scriptedCluster) { cluster.start(observed("o", []string{"a", "b", "c"}, []string{"o"})) },
+		"a spare starts anew":     func(cluster *scriptedCluster) { cluster.start(observed("s", []string{"a", "b", "c"}, nil)) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			cl := reachCluster(t)
-			prepare(cl)
+			cluster := reachCluster(t)
+			prepare(cluster)
 			asked := map[string][]uint64{}
-			for began := cl.now; cl.now-began < lasts; cl.step() {
-				for _, addr := range slices.Sorted(maps.Keys(cl.nodes)) {
-					if cl.nodes[addr].core == nil {
+			for began := cluster.now; cluster.now-began < lasts; cluster.step() {
+				for _, addr := range slices.Sorted(maps.Keys(cluster.nodes)) {
+					if cluster.nodes[addr].core == nil {
 						continue
 					}
-					if cl.partition(addr) {
-						t.Fatalf("%s counts as cut off after %v", addr, cl.now-began)
+					if cluster.partition(addr) {
+						t.Fatalf("%s counts as cut off after %v", addr, cluster.now-began)
 					}
-					if (cl.now-began)%(200*time.Millisecond) == 0 {
-						asked[addr] = append(asked[addr], cl.submit(addr, evacuating("z"), 700*time.Millisecond))
+					if (cluster.now-began)%(200*time.Millisecond) == 0 {
+						asked[addr] = append(asked[addr], cluster.submit(addr, evacuating("z"), 700*time.Millisecond))
 					}
 				}
 			}
 			for addr, ids := range asked {
 				taken := 0
 				for _, id := range ids {
-					if cl.answered(id) {
+					if cluster.answered(id) {
 						taken++
 					}
 				}
@@ -129,29 +129,29 @@
 }
 
 // pause freezes a keeper for ten seconds.
-func (cl *scriptedCluster) pause(addr string) {
-	cl.nodes[addr].paused = true
-	cl.run(10 * time.Second)
-	cl.nodes[addr].paused = false
+func (cluster *scriptedCluster) pause(addr string) {
+	cluster.nodes[addr].paused = true
+	cluster.run(10 * time.Second)
+	cluster.nodes[addr].paused = false
 }
 
 // TestNotPartitionedOverSlowNetwork: danger: keepers 150 ms apart count as cut off between two heartbeats.
 func TestNotPartitionedOverSlowNetwork(t *testing.T) {
-	cl := reachCluster(t)
+	cluster := reachCluster(t)
 	var underWay []arrival
-	cl.filter = func(_, to string, m *replicationpb.Message) bool {
-		underWay = append(underWay, arrival{cl.now + 150*time.Millisecond, Envelope{Addr: to, Msg: m}})
+	cluster.filter = func(_, to string, m *replicationpb.Message) bool {
+		underWay = append(underWay, arrival{cluster.now + 150*time.Millisecond, Envelope{Addr: to, Msg: m}})
 		return false
 	}
-	for began := cl.now; cl.now-began < 20*time.Second; cl.step() {
-		for len(underWay) > 0 && underWay[0].at <= cl.now {
+	for began := cluster.now; cluster.now-began < 20*time.Second; cluster.step() {
+		for len(underWay) > 0 && underWay[0].at <= cluster.now {
 			e := underWay[0].envelope
 			underWay = underWay[1:]
-			cl.deliver(e)
+			cluster.deliver(e)
 		}
-		for addr := range cl.nodes {
-			if cl.partition(addr) {
-				t.Fatalf("%s counts as cut off after %v", addr, cl.now-began)
+		for addr := range cluster.nodes {
+			if cluster.partition(addr) {
+				t.Fatalf("%s counts as cut off after %v", addr, cluster.now-began)
 			}
 		}
 	}
@@ -160,17 +160,17 @@
 // TestPartitionedBeforeAnyView: a keeper that hears nobody and knows of no view is cut off, one that hears another waits.
 func TestPartitionedBeforeAnyView(t *testing.T) {
 	for others := range 2 {
-		cl := newScriptedCluster(t)
+		cluster := newScriptedCluster(t)
 		seeds := []string{"a", "b", "c"}
 		for _, a := range seeds[:1+others] {
 			cfg := observed(a, seeds, nil)
 			cfg.Bootstrap = false
-			cl.start(cfg)
+			cluster.start(cfg)
 		}
-		cl.run(time.Second)
-		early := cl.partition("a")
-		cl.run(9 * time.Second)
-		if late := cl.partition("a"); early || late != (others == 0) {
+		cluster.run(time.Second)
+		early := cluster.partition("a")
+		cluster.run(9 * time.Second)
+		if late := cluster.partition("a"); early || late != (others == 0) {
 			t.Errorf("%d others: cut off %v after 1 s, %v after 10 s", others, early, late)
 		}
 	}
--- a/internal/system/replication/repair_test.go
+++ b/internal/system/replication/repair_test.go
@@ -39,8 +39,8 @@
 		settle(t, w, 6*time.Second)
 		w.after(0, func() { w.client(0) })
 		for round := range 8 {
-			m := w.nodes[w.rng.IntN(len(w.nodes))]
-			if m.removed {
+			lost := w.nodes[w.rng.IntN(len(w.nodes))]
+			if lost.removed {
 				continue
 			}
 			away := time.Duration(w.rng.IntN(3000)) * time.Millisecond
@@ -48,25 +48,25 @@
 			switch round % 4 {
 			case 0:
 				what = "wiped"
-				m.wipe()
+				lost.wipe()
 			case 1:
 				what = "killed"
-				m.kill()
+				lost.kill()
 			case 2:
 				what = "replaced"
-				m.kill()
-				m.removed = true
-				seeds := m.seeds
-				m = w.newNode(m.member.Addr+"9", m.member.Zone, m.member.Region)
-				m.seeds = seeds
+				lost.kill()
+				lost.removed = true
+				seeds := lost.seeds
+				lost = w.newNode(lost.member.Addr+"9", lost.member.Zone, lost.member.Region)
+				lost.seeds = seeds
 			case 3:
 				what = "frozen"
-				m.pause(away)
+				lost.pause(away)
 				w.runUntil(w.now + away)
 			}
 			if what != "frozen" {
 				w.runUntil(w.now + away)
-				m.start()
+				lost.start()
 			}
 			longest[what] = max(longest[what], settle(t, w, catchUp))
 			w.runUntil(w.now + time.Second)
@@ -80,10 +80,10 @@
 func TestChangesWaitOnlyForTheRepair(t *testing.T) {
 	var longest time.Duration
 	for seed := range uint64(30) {
-		s := zoneLossTopologies()[seed%uint64(len(zoneLossTopologies()))]
-		w := newClusterSim(seed, s, TestingKnobs{})
+		layout := zoneLossTopologies()[seed%uint64(len(zoneLossTopologies()))]
+		w := newClusterSim(seed, layout, TestingKnobs{})
 		settle(t, w, 6*time.Second)
-		m := w.nodes[seed%uint64(s.diskNodes)]
+		m := w.nodes[seed%uint64(layout.diskNodes)]
 		switch seed % 5 {
 		case 0:
 			m.kill()
@@ -94,10 +94,10 @@
 		case 3:
 			m.diskStalled = true
 		case 4:
-			other := w.nodes[(seed+1)%uint64(s.diskNodes)]
+			other := w.nodes[(seed+1)%uint64(layout.diskNodes)]
 			w.block(m.member.Addr, other.member.Addr, time.Hour, false)
 		}
-		asker := w.nodes[(seed+2)%uint64(s.diskNodes)]
+		asker := w.nodes[(seed+2)%uint64(layout.diskNodes)]
 		a := &simCall{node: asker, change: controlstate.Change{Op: controlstate.OpReplace, Body: []byte("x")}, ttl: 5 * time.Second}
 		w.clientsDone = true
 		began := w.now
--- a/internal/system/replication/restore_test.go
+++ b/internal/system/replication/restore_test.go
@@ -17,7 +17,7 @@
 // restored is a state of n records, of which the first evacuates the zone mark.
 func restored(t *testing.T, mark string, n int) *controlstate.State {
 	t.Helper()
-	s := controlstate.Empty()
+	state := controlstate.Empty()
 	for i := range n {
 		change := evacuate(mark)
 		switch {
@@ -28,11 +28,11 @@
 			change = controlstate.Change{Op: controlstate.OpReadmit, Zone: "now and then"}
 		}
 		var err error
-		if s, err = s.Apply(change.Record(s.Seq + 1)); err != nil {
+		if state, err = state.Apply(change.Record(state.Seq + 1)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return s
+	return state
 }
 
 // restoredFleet is keepers on real files.
@@ -117,7 +117,7 @@
 // others go on with another log below the same numbers.
 func TestRestoredNodesFormFirstView(t *testing.T) {
 	long, short, other := restored(t, "long", 700), restored(t, "long", 300), restored(t, "other", 500)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		what string
 		on   [3]*controlstate.State // nil: an empty disk
 		want *controlstate.State
@@ -132,34 +132,34 @@
 		{"another system's on the second", [3]*controlstate.State{short, other, nil}, other},
 		{"as long ones of two systems", [3]*controlstate.State{other, restored(t, "third", 500), nil}, other},
 	} {
-		t.Run(c.what, func(t *testing.T) {
+		t.Run(test.what, func(t *testing.T) {
 			folders := map[string]string{}
 			for _, a := range newFleet(t, 3).seeds {
 				folders[a] = t.TempDir()
 			}
 			synctest.Test(t, func(t *testing.T) {
-				f := &restoredFleet{fleet: newFleet(t, 3), folders: folders, nodes: map[string]*Node{}}
-				for i, s := range c.on {
+				group := &restoredFleet{fleet: newFleet(t, 3), folders: folders, nodes: map[string]*Node{}}
+				for i, s := range test.on {
 					if s != nil {
-						f.restore(f.seeds[i], s)
+						group.restore(group.seeds[i], s)
 					}
 				}
-				for _, a := range f.seeds {
-					f.run(a, true)
+				for _, a := range group.seeds {
+					group.run(a, true)
 				}
-				want := f.serves("at first", c.want, "new")
-				if slices.Contains(c.on[:], nil) && len(want.Evacuated) != len(c.want.Evacuated)+1 {
+				want := group.serves("at first", test.want, "new")
+				if slices.Contains(test.on[:], nil) && len(want.Evacuated) != len(test.want.Evacuated)+1 {
 					t.Error(want)
 				}
-				for _, a := range f.seeds {
-					f.stop(a, f.nodes[a])
+				for _, a := range group.seeds {
+					group.stop(a, group.nodes[a])
 				}
-				for _, a := range f.seeds {
-					f.run(a, true)
+				for _, a := range group.seeds {
+					group.run(a, true)
 				}
-				f.serves("after a restart", want, "newer")
-				for _, a := range f.seeds {
-					f.stop(a, f.nodes[a])
+				group.serves("after a restart", want, "newer")
+				for _, a := range group.seeds {
+					group.stop(a, group.nodes[a])
 				}
 			})
 		})
@@ -174,20 +174,20 @@
 		folders[a] = t.TempDir()
 	}
 	synctest.Test(t, func(t *testing.T) {
-		f := &restoredFleet{fleet: newFleet(t, 3), folders: folders, nodes: map[string]*Node{}}
-		f.restore(f.seeds[0], restored(t, "old", 700))
-		f.run(f.seeds[1], true)
-		f.run(f.seeds[2], true)
+		group := &restoredFleet{fleet: newFleet(t, 3), folders: folders, nodes: map[string]*Node{}}
+		group.restore(group.seeds[0], restored(t, "old", 700))
+		group.run(group.seeds[1], true)
+		group.run(group.seeds[2], true)
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
-		if _, err := f.nodes[f.seeds[2]].Submit(ctx, evacuate("x")); err != nil {
+		if _, err := group.nodes[group.seeds[2]].Submit(ctx, evacuate("x")); err != nil {
 			t.Fatal(err)
 		}
-		f.run(f.seeds[0], true)
+		group.run(group.seeds[0], true)
 		time.Sleep(5 * time.Second)
-		f.serves("late", restored(t, "x", 1), "y")
-		for _, a := range f.seeds {
-			f.stop(a, f.nodes[a])
+		group.serves("late", restored(t, "x", 1), "y")
+		for _, a := range group.seeds {
+			group.stop(a, group.nodes[a])
 		}
 	})
 }
@@ -200,27 +200,27 @@
 		t.Fatal(err)
 	}
 	self := Member{ID: "self", Addr: "10.0.0.1"}
-	c, err := NewCore(Config{Self: self, Seeds: []string{"10.0.0.1", "10.0.0.2"}, Bootstrap: true}, controlMachine{}, nil, image, nil)
+	core, err := NewCore(Config{Self: self, Seeds: []string{"10.0.0.1", "10.0.0.2"}, Bootstrap: true}, controlMachine{}, nil, image, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	view := &View{Epoch: 1, Chain: []ID{"other", "self"}, Voters: []Member{{ID: "other", Addr: "10.0.0.2"}, self}}
 	gone := false
 	for range 20 {
-		c.Tick(0)
-		c.adoptView(view)
-		c.flush()
-		op := c.Ready().Disk
+		core.Tick(0)
+		core.adoptView(view)
+		core.flush()
+		op := core.Ready().Disk
 		if op == nil {
 			continue
 		}
 		gone = gone || op.Kind == DiskInstall && op.Snapshot.Seq == 0
-		if op.Kind == DiskSaveMeta && c.View().Epoch > 0 && !gone {
+		if op.Kind == DiskSaveMeta && core.View().Epoch > 0 && !gone {
 			t.Fatal("the view is written while the restored log is there")
 		}
-		c.DiskDone(0, op.Token, nil)
+		core.DiskDone(0, op.Token, nil)
 	}
-	if n, _ := c.Committed(); !gone || c.View().Epoch != 1 || n != 0 {
-		t.Errorf("the log is gone: %v, view %d, record %d", gone, c.View().Epoch, n)
+	if n, _ := core.Committed(); !gone || core.View().Epoch != 1 || n != 0 {
+		t.Errorf("the log is gone: %v, view %d, record %d", gone, core.View().Epoch, n)
 	}
 }
--- a/internal/system/replication/scenarios_test.go
+++ b/internal/system/replication/scenarios_test.go
@@ -47,19 +47,19 @@
 	return formThreeNodes(newScriptedCluster(t), machines, h)
 }
 
-func formThreeNodes(cl *scriptedCluster, machines int, h TestingKnobs) *scriptedCluster {
+func formThreeNodes(cluster *scriptedCluster, machines int, h TestingKnobs) *scriptedCluster {
 	for _, a := range []string{"a", "b", "c"} {
-		cl.start(Config{
+		cluster.start(Config{
 			Self: Member{Addr: a, Zone: "zone " + a, Region: "r"}, MachineLosses: machines, Seeds: []string{"a", "b", "c"}, Bootstrap: true, knobs: h,
 		})
 	}
-	cl.until(5*time.Second, "the first view", func() bool { return cl.complete(3, 3) })
-	cl.run(time.Second)
-	return cl
+	cluster.until(5*time.Second, "the first view", func() bool { return cluster.complete(3, 3) })
+	cluster.run(time.Second)
+	return cluster
 }
 
-func (cl *scriptedCluster) replica(i int) string {
-	v := cl.view()
+func (cluster *scriptedCluster) replica(i int) string {
+	v := cluster.view()
 	m, _ := v.Voter(v.Chain[i])
 	return m.Addr
 }
@@ -71,40 +71,40 @@
 // not told that it is chosen; it is no link of it, since it is about to leave. Then the new chain acknowledges while tail
 // and voter are a majority of the former view. Danger: together they answer a read with the past.
 func playAcceptedView(t *testing.T, h TestingKnobs) string {
-	cl := threeNodes(t, 0, h)
-	voter := cl.replica(1)
-	n := cl.nodes[voter]
-	n.core.Leave(cl.clock(n))
-	cl.until(3*time.Second, "a chain without the leaver", func() bool { return cl.complete(2, 3) })
-	head, tail := cl.replica(0), cl.replica(1)
-	before := cl.view().Epoch
+	cluster := threeNodes(t, 0, h)
+	voter := cluster.replica(1)
+	n := cluster.nodes[voter]
+	n.core.Leave(cluster.clock(n))
+	cluster.until(3*time.Second, "a chain without the leaver", func() bool { return cluster.complete(2, 3) })
+	head, tail := cluster.replica(0), cluster.replica(1)
+	before := cluster.view().Epoch
 	told := false
-	cl.filter = func(from, to string, m *replicationpb.Message) bool {
+	cluster.filter = func(from, to string, m *replicationpb.Message) bool {
 		if between(from, to, head, tail) {
 			return false
 		}
-		if from == head && to == voter && cl.nodes[head].core.acceptor.view.Epoch > before || m.GetChosen() != nil && to == voter {
+		if from == head && to == voter && cluster.nodes[head].core.acceptor.view.Epoch > before || m.GetChosen() != nil && to == voter {
 			told = true
 			return false // not a word of the new view
 		}
 		return true
 	}
-	cl.nodes[tail].core.liveness.graceUntil, cl.nodes[voter].core.liveness.graceUntil = time.Hour, time.Hour // the head proposes
-	cl.until(5*time.Second, "the head goes on alone", func() bool {
-		return cl.nodes[head].core.acceptor.view.Epoch > before && cl.nodes[head].core.chain.isTail()
+	cluster.nodes[tail].core.liveness.graceUntil, cluster.nodes[voter].core.liveness.graceUntil = time.Hour, time.Hour // the head proposes
+	cluster.until(5*time.Second, "the head goes on alone", func() bool {
+		return cluster.nodes[head].core.acceptor.view.Epoch > before && cluster.nodes[head].core.chain.isTail()
 	})
-	id := cl.submit(head, replacing(0, "newer"), time.Second)
-	cl.until(time.Second, "a change in the new view", func() bool { return cl.answered(id) })
-	if !told || cl.nodes[voter].core.acceptor.view.Epoch != before || cl.nodes[tail].core.acceptor.view.Epoch != before {
-		t.Fatalf("it did not come about: told %v, views %v and %v", told, cl.nodes[voter].core.acceptor.view, cl.nodes[tail].core.acceptor.view)
+	id := cluster.submit(head, replacing(0, "newer"), time.Second)
+	cluster.until(time.Second, "a change in the new view", func() bool { return cluster.answered(id) })
+	if !told || cluster.nodes[voter].core.acceptor.view.Epoch != before || cluster.nodes[tail].core.acceptor.view.Epoch != before {
+		t.Fatalf("it did not come about: told %v, views %v and %v", told, cluster.nodes[voter].core.acceptor.view, cluster.nodes[tail].core.acceptor.view)
 	}
-	read, current := cl.read(tail, 2*time.Second), false
-	cl.run(time.Second) // what the voter said before it accepted may be taken for current for that long
+	read, current := cluster.read(tail, 2*time.Second), false
+	cluster.run(time.Second) // what the voter said before it accepted may be taken for current for that long
 	for range 300 {
-		cl.step()
-		current = current || cl.nodes[tail].core.Current(cl.clock(cl.nodes[tail]))
+		cluster.step()
+		current = current || cluster.nodes[tail].core.Current(cluster.clock(cluster.nodes[tail]))
 	}
-	switch stale := cl.answered(read) && cl.done[read].State.(*toy).rev == 0; {
+	switch stale := cluster.answered(read) && cluster.done[read].State.(*toy).rev == 0; {
 	case stale && current:
 		return "a read gave the past, and the past counts as current"
 	case stale:
@@ -119,34 +119,34 @@
 // the head, a second change is acknowledged, the former head leads again, and then the first arrives, still within its
 // time. Danger: it undoes the second.
 func playForwardOfAnEarlierEpoch(t *testing.T, h TestingKnobs) string {
-	cl := threeNodes(t, 0, h)
-	sender := cl.replica(2) // votes on, but is no link any more, so that the two others lead in turn
-	n := cl.nodes[sender]
-	n.core.Leave(cl.clock(n))
-	cl.until(3*time.Second, "a chain of two", func() bool { return cl.complete(2, 3) })
-	head, other := cl.replica(0), cl.replica(1)
-	held := cl.captureForwards(sender, head)
-	first := cl.submit(sender, evacuating("first"), 20*time.Second)
-	cl.run(100 * time.Millisecond)
+	cluster := threeNodes(t, 0, h)
+	sender := cluster.replica(2) // votes on, but is no link any more, so that the two others lead in turn
+	n := cluster.nodes[sender]
+	n.core.Leave(cluster.clock(n))
+	cluster.until(3*time.Second, "a chain of two", func() bool { return cluster.complete(2, 3) })
+	head, other := cluster.replica(0), cluster.replica(1)
+	held := cluster.captureForwards(sender, head)
+	first := cluster.submit(sender, evacuating("first"), 20*time.Second)
+	cluster.run(100 * time.Millisecond)
 	off := head
-	cl.filter = func(from, to string, m *replicationpb.Message) bool { return from != off && to != off }
-	leads := func(addr string) bool { c := cl.nodes[addr].core; return c.chain.isHead() && c.chain.isTail() }
-	cl.until(3*time.Second, "the other leads", func() bool { return leads(other) })
-	cl.until(time.Second, "the first change ends", func() bool { return cl.done[first].ID != 0 })
-	if got := cl.done[first].Outcome; got != Unknown || len(*held) == 0 {
+	cluster.filter = func(from, to string, m *replicationpb.Message) bool { return from != off && to != off }
+	leads := func(addr string) bool { c := cluster.nodes[addr].core; return c.chain.isHead() && c.chain.isTail() }
+	cluster.until(3*time.Second, "the other leads", func() bool { return leads(other) })
+	cluster.until(time.Second, "the first change ends", func() bool { return cluster.done[first].ID != 0 })
+	if got := cluster.done[first].Outcome; got != Unknown || len(*held) == 0 {
 		t.Fatalf("the first change ended with outcome %d, %d messages are held", got, len(*held))
 	}
 	off = ""
-	second := cl.submit(other, evacuating("second"), 3*time.Second)
-	cl.until(3*time.Second, "the second change", func() bool { return cl.answered(second) })
-	cl.until(5*time.Second, "a chain of two", func() bool { return cl.complete(2, 3) })
+	second := cluster.submit(other, evacuating("second"), 3*time.Second)
+	cluster.until(3*time.Second, "the second change", func() bool { return cluster.answered(second) })
+	cluster.until(5*time.Second, "a chain of two", func() bool { return cluster.complete(2, 3) })
 	off = other
-	cl.until(5*time.Second, "the first head leads again", func() bool { return leads(head) })
+	cluster.until(5*time.Second, "the first head leads again", func() bool { return leads(head) })
 	for _, e := range *held {
-		cl.deliver(e)
+		cluster.deliver(e)
 	}
-	cl.run(200 * time.Millisecond)
-	if note := cl.nodes[head].core.chain.state.(*toy).note; note != "second" {
+	cluster.run(200 * time.Millisecond)
+	if note := cluster.nodes[head].core.chain.state.(*toy).note; note != "second" {
 		return "the change " + note + " undoes a later one"
 	}
 	return ""
--- a/internal/system/replication/scripted_cluster_test.go
+++ b/internal/system/replication/scripted_cluster_test.go
@@ -68,54 +68,56 @@
 }
 
 // start starts a keeper at cfg.Self.Addr, on the disk that it left there.
-func (cl *scriptedCluster) start(cfg Config) *scriptedNode {
-	cl.t.Helper()
+func (cluster *scriptedCluster) start(cfg Config) *scriptedNode {
+	cluster.t.Helper()
 	addr := cfg.Self.Addr
-	n := cl.nodes[addr]
-	if n == nil {
-		n = &scriptedNode{disk: newMemDisk()}
-		cl.nodes[addr] = n
+	started := cluster.nodes[addr]
+	if started == nil {
+		started = &scriptedNode{disk: newMemDisk()}
+		cluster.nodes[addr] = started
 	}
-	cl.lastCallID++
-	cfg.Incarnation, cfg.Seed = cl.lastCallID, cl.lastCallID
+	cluster.lastCallID++
+	cfg.Incarnation, cfg.Seed = cluster.lastCallID, cluster.lastCallID
 	if cfg.Self.ID == "" {
 		cfg.Self.ID = ID(addr)
 	}
-	core, err := NewCore(cfg, cl.machine, clone(n.disk.p.meta), n.disk.p.snap, slices.Clone(n.disk.p.entries))
+	core, err := NewCore(cfg, cluster.machine, clone(started.disk.p.meta), started.disk.p.snap, slices.Clone(started.disk.p.entries))
 	if err != nil {
-		cl.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
-	n.core, n.cfg, n.startedAt, n.paused, n.pending = core, cfg, cl.now, false, nil
-	cl.collect(addr)
-	return n
+	started.core, started.cfg, started.startedAt, started.paused, started.pending = core, cfg, cluster.now, false, nil
+	cluster.collect(addr)
+	return started
 }
 
-func (cl *scriptedCluster) clock(n *scriptedNode) time.Duration { return cl.now - n.startedAt }
+func (cluster *scriptedCluster) clock(n *scriptedNode) time.Duration {
+	return cluster.now - n.startedAt
+}
 
 // collect takes what a core wants done.
-func (cl *scriptedCluster) collect(addr string) {
-	n := cl.nodes[addr]
-	out := n.core.Ready()
+func (cluster *scriptedCluster) collect(addr string) {
+	source := cluster.nodes[addr]
+	out := source.core.Ready()
 	for _, e := range out.Messages {
-		if cl.filter == nil || cl.filter(addr, e.Addr, e.Msg) {
-			cl.sent = append(cl.sent, e)
+		if cluster.filter == nil || cluster.filter(addr, e.Addr, e.Msg) {
+			cluster.sent = append(cluster.sent, e)
 		}
 	}
 	if out.Disk != nil {
-		n.pending = append(n.pending, out.Disk)
+		source.pending = append(source.pending, out.Disk)
 	}
 	for _, d := range out.Completions {
-		cl.done[d.ID] = d
+		cluster.done[d.ID] = d
 	}
-	if err := n.core.Err(); err != nil {
-		cl.t.Fatalf("%s stopped: %v", addr, err)
+	if err := source.core.Err(); err != nil {
+		cluster.t.Fatalf("%s stopped: %v", addr, err)
 	}
 }
 
 // captureForwards takes the changes that sender passes on to head off the network from now on, until another filter is set.
-func (cl *scriptedCluster) captureForwards(sender, head string) *[]Envelope {
+func (cluster *scriptedCluster) captureForwards(sender, head string) *[]Envelope {
 	var held []Envelope
-	cl.filter = func(from, to string, m *replicationpb.Message) bool {
+	cluster.filter = func(from, to string, m *replicationpb.Message) bool {
 		if from == sender && to == head && m.GetForward() != nil {
 			held = append(held, Envelope{Addr: to, Msg: m})
 			return false
@@ -126,31 +128,31 @@
 }
 
 // deliver hands a message over at once, whether or not the filter would let it through.
-func (cl *scriptedCluster) deliver(e Envelope) {
-	if n := cl.nodes[e.Addr]; n != nil && n.core != nil && !n.paused {
-		n.core.Receive(cl.clock(n), e.Msg)
-		cl.collect(e.Addr)
+func (cluster *scriptedCluster) deliver(e Envelope) {
+	if n := cluster.nodes[e.Addr]; n != nil && n.core != nil && !n.paused {
+		n.core.Receive(cluster.clock(n), e.Msg)
+		cluster.collect(e.Addr)
 	}
 }
 
-func (cl *scriptedCluster) step() {
-	cl.now += clusterStep
-	sent := cl.sent
-	cl.sent = nil
+func (cluster *scriptedCluster) step() {
+	cluster.now += clusterStep
+	sent := cluster.sent
+	cluster.sent = nil
 	for _, e := range sent {
-		if p := cl.slowNetworks[e.Addr]; p == nil || !p.transmits(cl.now, e) {
-			cl.deliver(e)
+		if p := cluster.slowNetworks[e.Addr]; p == nil || !p.transmits(cluster.now, e) {
+			cluster.deliver(e)
 		}
 	}
-	for _, p := range cl.slowNetworks {
-		for len(p.arrivals) > 0 && p.arrivals[0].at <= cl.now {
+	for _, p := range cluster.slowNetworks {
+		for len(p.arrivals) > 0 && p.arrivals[0].at <= cluster.now {
 			e := p.arrivals[0].envelope
 			p.arrivals = p.arrivals[1:]
-			cl.deliver(e)
+			cluster.deliver(e)
 		}
 	}
-	for _, addr := range slices.Sorted(maps.Keys(cl.nodes)) {
-		n := cl.nodes[addr]
+	for _, addr := range slices.Sorted(maps.Keys(cluster.nodes)) {
+		n := cluster.nodes[addr]
 		if n.core == nil || n.paused {
 			continue
 		}
@@ -158,66 +160,66 @@
 		n.pending = nil
 		for _, op := range ops {
 			n.disk.p.do(op, len(op.Entries))
-			n.core.DiskDone(cl.clock(n), op.Token, nil)
+			n.core.DiskDone(cluster.clock(n), op.Token, nil)
 		}
-		if cl.now%(25*time.Millisecond) == 0 {
-			n.core.Tick(cl.clock(n))
+		if cluster.now%(25*time.Millisecond) == 0 {
+			n.core.Tick(cluster.clock(n))
 		}
-		cl.collect(addr)
+		cluster.collect(addr)
 	}
 }
 
-func (cl *scriptedCluster) run(d time.Duration) {
-	for end := cl.now + d; cl.now < end; {
-		cl.step()
+func (cluster *scriptedCluster) run(d time.Duration) {
+	for end := cluster.now + d; cluster.now < end; {
+		cluster.step()
 	}
 }
 
 // until runs until ok, and fails the test when that takes longer than limit.
-func (cl *scriptedCluster) until(limit time.Duration, what string, ok func() bool) time.Duration {
-	cl.t.Helper()
-	began := cl.now
+func (cluster *scriptedCluster) until(limit time.Duration, what string, ok func() bool) time.Duration {
+	cluster.t.Helper()
+	began := cluster.now
 	for !ok() {
-		if cl.now-began > limit {
-			for _, addr := range slices.Sorted(maps.Keys(cl.nodes)) {
-				if n := cl.nodes[addr]; n.core != nil {
-					cl.t.Logf("%s: view %d %v, active %d, committed %d of %d", addr, n.core.acceptor.view.Epoch, n.core.acceptor.view, n.core.acceptor.durableActive,
+		if cluster.now-began > limit {
+			for _, addr := range slices.Sorted(maps.Keys(cluster.nodes)) {
+				if n := cluster.nodes[addr]; n.core != nil {
+					cluster.t.Logf("%s: view %d %v, active %d, committed %d of %d", addr, n.core.acceptor.view.Epoch, n.core.acceptor.view, n.core.acceptor.durableActive,
 						n.core.chain.commitIndex, n.core.chain.log.end())
 				}
 			}
-			cl.t.Fatalf("not within %v: %s", limit, what)
+			cluster.t.Fatalf("not within %v: %s", limit, what)
 		}
-		cl.step()
+		cluster.step()
 	}
-	return cl.now - began
+	return cluster.now - began
 }
 
 // submit asks for a change at addr and gives the number under which it ends.
-func (cl *scriptedCluster) submit(addr string, ch controlstate.Change, ttl time.Duration) uint64 {
-	cl.lastCallID++
-	n := cl.nodes[addr]
-	n.core.Submit(cl.clock(n), cl.lastCallID, ch, ttl)
-	cl.collect(addr)
-	return cl.lastCallID
+func (cluster *scriptedCluster) submit(addr string, ch controlstate.Change, ttl time.Duration) uint64 {
+	cluster.lastCallID++
+	n := cluster.nodes[addr]
+	n.core.Submit(cluster.clock(n), cluster.lastCallID, ch, ttl)
+	cluster.collect(addr)
+	return cluster.lastCallID
 }
 
-func (cl *scriptedCluster) read(addr string, ttl time.Duration) uint64 {
-	cl.lastCallID++
-	n := cl.nodes[addr]
-	n.core.Read(cl.clock(n), cl.lastCallID, ttl)
-	cl.collect(addr)
-	return cl.lastCallID
+func (cluster *scriptedCluster) read(addr string, ttl time.Duration) uint64 {
+	cluster.lastCallID++
+	n := cluster.nodes[addr]
+	n.core.Read(cluster.clock(n), cluster.lastCallID, ttl)
+	cluster.collect(addr)
+	return cluster.lastCallID
 }
 
-func (cl *scriptedCluster) answered(id uint64) bool {
-	d, ok := cl.done[id]
+func (cluster *scriptedCluster) answered(id uint64) bool {
+	d, ok := cluster.done[id]
 	return ok && d.Outcome == Answered
 }
 
 // view is the newest view that any running core knows.
-func (cl *scriptedCluster) view() *View {
+func (cluster *scriptedCluster) view() *View {
 	newest := &View{}
-	for _, n := range cl.nodes {
+	for _, n := range cluster.nodes {
 		if n.core != nil && n.core.acceptor.view.Epoch > newest.Epoch {
 			newest = n.core.acceptor.view
 		}
@@ -226,19 +228,19 @@
 }
 
 // complete tells whether the newest view has that many links and voters, and all links are active.
-func (cl *scriptedCluster) complete(links, voters int) bool {
-	v := cl.view()
+func (cluster *scriptedCluster) complete(links, voters int) bool {
+	v := cluster.view()
 	if len(v.Chain) != links || len(v.Voters) != voters {
 		return false
 	}
 	for _, m := range v.Voters {
-		if n := cl.nodes[m.Addr]; n == nil || n.core == nil || n.core.acceptor.view.Epoch != v.Epoch || n.core.acceptor.acceptedView != nil {
+		if n := cluster.nodes[m.Addr]; n == nil || n.core == nil || n.core.acceptor.view.Epoch != v.Epoch || n.core.acceptor.acceptedView != nil {
 			return false
 		}
 	}
 	for _, id := range v.Chain {
 		m, _ := v.Voter(id)
-		if n := cl.nodes[m.Addr]; n.core.acceptor.durableActive != v.Epoch {
+		if n := cluster.nodes[m.Addr]; n.core.acceptor.durableActive != v.Epoch {
 			return false
 		}
 	}
--- a/internal/system/replication/second_loss_test.go
+++ b/internal/system/replication/second_loss_test.go
@@ -11,45 +11,45 @@
 
 // five forms a chain of five keepers that bears the loss of two, and has three changes acknowledged.
 func five(t *testing.T) *scriptedCluster {
-	cl := newScriptedCluster(t)
+	cluster := newScriptedCluster(t)
 	var addrs []string
 	for i := range 5 {
 		addrs = append(addrs, fmt.Sprintf("k%d", i))
 	}
 	for i, a := range addrs {
-		cl.start(Config{Self: Member{Addr: a, Zone: fmt.Sprint("zone ", i), Region: "r"}, MachineLosses: 2, Seeds: addrs[:3], Bootstrap: true})
+		cluster.start(Config{Self: Member{Addr: a, Zone: fmt.Sprint("zone ", i), Region: "r"}, MachineLosses: 2, Seeds: addrs[:3], Bootstrap: true})
 	}
-	cl.until(8*time.Second, "the first view", func() bool { return cl.complete(5, 5) })
-	cl.run(500 * time.Millisecond)
+	cluster.until(8*time.Second, "the first view", func() bool { return cluster.complete(5, 5) })
+	cluster.run(500 * time.Millisecond)
 	for i := range 3 {
-		id := cl.submit("k0", replacing(int64(i), fmt.Sprint("c", i)), time.Second)
-		cl.until(time.Second, "a change", func() bool { return cl.answered(id) })
+		id := cluster.submit("k0", replacing(int64(i), fmt.Sprint("c", i)), time.Second)
+		cluster.until(time.Second, "a change", func() bool { return cluster.answered(id) })
 	}
-	return cl
+	return cluster
 }
 
 // again starts a keeper with an empty disk, and so another identity, at addr.
-func (cl *scriptedCluster) again(addr string, cfg Config) {
+func (cluster *scriptedCluster) again(addr string, cfg Config) {
 	cfg.Bootstrap = false
 	cfg.Self.Addr = addr
-	cl.lastCallID++
-	cfg.Self.ID = ID(fmt.Sprint(addr, "#", cl.lastCallID))
-	if n := cl.nodes[addr]; n != nil {
+	cluster.lastCallID++
+	cfg.Self.ID = ID(fmt.Sprint(addr, "#", cluster.lastCallID))
+	if n := cluster.nodes[addr]; n != nil {
 		n.disk = newMemDisk()
 	}
-	cl.start(cfg)
+	cluster.start(cfg)
 }
 
 // heal brings the first machine heal as its kind of loss has it.
-func (cl *scriptedCluster) heal(kind, addr string) {
-	n := cl.nodes[addr]
+func (cluster *scriptedCluster) heal(kind, addr string) {
+	n := cluster.nodes[addr]
 	switch kind {
 	case "killed", "leaving":
-		cl.start(n.cfg)
+		cluster.start(n.cfg)
 	case "wiped":
-		cl.again(addr, n.cfg)
+		cluster.again(addr, n.cfg)
 	case "replaced":
-		cl.again(addr+" new", n.cfg)
+		cluster.again(addr+" new", n.cfg)
 	}
 }
 
@@ -69,40 +69,40 @@
 			for second := range 2 { // the head or the tail of what is then the view
 				for at := time.Duration(0); at < until; at += steps {
 					name := fmt.Sprintf("link %d %s, after %v link %d lost", 2*first, kind, at, second)
-					cl := five(t)
-					lost := cl.replica(2 * first)
+					cluster := five(t)
+					lost := cluster.replica(2 * first)
 					if kind == "leaving" {
-						cl.leave(lost)
-						cl.until(2*time.Second, name+": it has left", func() bool { return cl.nodes[lost].core.Departed() })
+						cluster.leave(lost)
+						cluster.until(2*time.Second, name+": it has left", func() bool { return cluster.nodes[lost].core.Departed() })
 					}
-					cl.nodes[lost].core = nil
+					cluster.nodes[lost].core = nil
 					returned := false
-					for began := cl.now; cl.now-began < at; {
-						if !returned && cl.now-began >= comesBack {
-							cl.heal(kind, lost)
+					for began := cluster.now; cluster.now-began < at; {
+						if !returned && cluster.now-began >= comesBack {
+							cluster.heal(kind, lost)
 							returned = true
 						}
-						cl.step()
+						cluster.step()
 					}
-					lost2 := cl.replica(second * (len(cl.view().Chain) - 1))
-					if n := cl.nodes[lost2]; n.core != nil {
+					lost2 := cluster.replica(second * (len(cluster.view().Chain) - 1))
+					if n := cluster.nodes[lost2]; n.core != nil {
 						n.core, n.disk = nil, newMemDisk()
 					}
 					if !returned {
-						cl.heal(kind, lost)
+						cluster.heal(kind, lost)
 					}
 					at, newest := "", int64(0)
-					for a, n := range cl.nodes {
+					for a, n := range cluster.nodes {
 						if n.core != nil && a != lost && a != lost+" new" {
 							at = a
 						}
 					}
-					id := cl.submit(at, replacing(3, "after"), 5*time.Second)
-					longest = max(longest, cl.until(5*time.Second, name+": a change", func() bool { return cl.answered(id) }))
-					newest = cl.nodes[at].core.chain.state.(*toy).rev
-					read := cl.read(at, 2*time.Second)
-					cl.until(2*time.Second, name+": a read", func() bool { return cl.answered(read) })
-					if rev := cl.done[read].State.(*toy).rev; rev != 4 {
+					id := cluster.submit(at, replacing(3, "after"), 5*time.Second)
+					longest = max(longest, cluster.until(5*time.Second, name+": a change", func() bool { return cluster.answered(id) }))
+					newest = cluster.nodes[at].core.chain.state.(*toy).rev
+					read := cluster.read(at, 2*time.Second)
+					cluster.until(2*time.Second, name+": a read", func() bool { return cluster.answered(read) })
+					if rev := cluster.done[read].State.(*toy).rev; rev != 4 {
 						t.Fatalf("%s: version %d is read back, %d is held", name, rev, newest)
 					}
 					runs++
--- a/internal/system/replication/sim_cluster_test.go
+++ b/internal/system/replication/sim_cluster_test.go
@@ -66,22 +66,22 @@
 	steps, lateMessages, polls, resent, joins, formerIncarnation, probes, zones int
 }
 
-func (s *stats) add(o stats) {
-	s.accepted += o.accepted
-	s.unknown += o.unknown
-	s.refused += o.refused
-	s.already += o.already
-	s.stale += o.stale
-	s.reads += o.reads
-	s.views += o.views
-	s.steps += o.steps
-	s.lateMessages += o.lateMessages
-	s.polls += o.polls
-	s.resent += o.resent
-	s.joins += o.joins
-	s.formerIncarnation += o.formerIncarnation
-	s.probes += o.probes
-	s.zones += o.zones
+func (s *stats) add(other stats) {
+	s.accepted += other.accepted
+	s.unknown += other.unknown
+	s.refused += other.refused
+	s.already += other.already
+	s.stale += other.stale
+	s.reads += other.reads
+	s.views += other.views
+	s.steps += other.steps
+	s.lateMessages += other.lateMessages
+	s.polls += other.polls
+	s.resent += other.resent
+	s.joins += other.joins
+	s.formerIncarnation += other.formerIncarnation
+	s.probes += other.probes
+	s.zones += other.zones
 }
 
 type event struct {
@@ -113,20 +113,20 @@
 // recordDisturbance notes that a fault begins or ends.
 func (w *clusterSim) recordDisturbance() { w.eventAt = w.now }
 
-func newClusterSim(seed uint64, s topology, h TestingKnobs) *clusterSim {
+func newClusterSim(seed uint64, layout topology, knobs TestingKnobs) *clusterSim {
 	w := &clusterSim{
-		rng: rand.New(rand.NewPCG(seed, 1)), topology: s, knobs: h,
+		rng: rand.New(rand.NewPCG(seed, 1)), topology: layout, knobs: knobs,
 		partitioned: map[[2]string]*partitionedPath{}, viewOf: map[uint64]string{},
-		states: []*toy{{}}, acceptedAt: map[string]uint64{}, histories: map[string]*changeHistory{}, lost: s.losses,
+		states: []*toy{{}}, acceptedAt: map[string]uint64{}, histories: map[string]*changeHistory{}, lost: layout.losses,
 		trace: func(string, ...any) {},
 	}
-	for i := range s.diskNodes {
-		m := w.newNode(fmt.Sprintf("10.0.0.%d", i+1), s.zone(i), s.region(i))
+	for i := range layout.diskNodes {
+		m := w.newNode(fmt.Sprintf("10.0.0.%d", i+1), layout.zone(i), layout.region(i))
 		m.bootstrap = true
 		w.seeds = append(w.seeds, m.member.Addr)
 	}
-	for i := range s.observers {
-		m := w.newNode(fmt.Sprintf("10.0.3.%d", i+1), s.zone(i), "r0")
+	for i := range layout.observers {
+		m := w.newNode(fmt.Sprintf("10.0.3.%d", i+1), layout.zone(i), "r0")
 		m.observer, m.bootstrap = true, true
 		if i == 0 {
 			w.seeds = append([]string{m.member.Addr}, w.seeds...)
@@ -135,13 +135,13 @@
 	for _, m := range w.nodes {
 		m.seeds = w.seeds
 	}
-	for i := range s.spares {
-		w.newNode(fmt.Sprintf("10.0.1.%d", i+1), s.zone(i), "r0")
+	for i := range layout.spares {
+		w.newNode(fmt.Sprintf("10.0.1.%d", i+1), layout.zone(i), "r0")
 	}
 	for _, m := range w.nodes {
 		w.after(time.Duration(w.rng.IntN(300))*time.Millisecond, func() { m.start() })
 	}
-	for i := range s.proxies() {
+	for i := range layout.proxies() {
 		w.newProxy(i)
 	}
 	return w
--- a/internal/system/replication/sim_faults_apply_test.go
+++ b/internal/system/replication/sim_faults_apply_test.go
@@ -20,22 +20,22 @@
 		return
 	}
 	w.recordDisturbance()
-	a, b := w.nodes[f.a], w.nodes[f.b]
+	first, second := w.nodes[f.a], w.nodes[f.b]
 	switch f.kind {
 	case faultKill:
-		a.kill()
-		a.restartAfter(f.duration)
+		first.kill()
+		first.restartAfter(f.duration)
 	case faultPowerAll:
 		w.powerAll(f)
 	case faultPause:
-		a.pause(f.duration)
+		first.pause(f.duration)
 	case faultPartitionPair:
-		w.block(a.member.Addr, b.member.Addr, f.duration, f.n&4 != 0)
-		w.block(b.member.Addr, a.member.Addr, f.duration, f.n&4 != 0)
+		w.block(first.member.Addr, second.member.Addr, f.duration, f.n&4 != 0)
+		w.block(second.member.Addr, first.member.Addr, f.duration, f.n&4 != 0)
 	case faultPartitionOneWay:
-		w.block(a.member.Addr, b.member.Addr, f.duration, f.n&4 != 0)
+		w.block(first.member.Addr, second.member.Addr, f.duration, f.n&4 != 0)
 	case faultIsolate:
-		w.isolate(a, f)
+		w.isolate(first, f)
 	case faultSplit:
 		for _, x := range w.nodes {
 			for _, y := range w.nodes {
@@ -51,28 +51,28 @@
 		w.extraDelay = 400 * time.Millisecond
 		w.after(f.duration, func() { w.extraDelay = 0; w.recordDisturbance() })
 	case faultDiskFull:
-		a.diskFull, a.acceptorReserve = true, f.n&1 == 1
-		w.after(f.duration, func() { a.diskFull = false; w.recordDisturbance() })
+		first.diskFull, first.acceptorReserve = true, f.n&1 == 1
+		w.after(f.duration, func() { first.diskFull = false; w.recordDisturbance() })
 	case faultDiskSlow:
-		a.diskDelay = time.Duration(100+f.n%900) * time.Millisecond
-		w.after(f.duration, func() { a.diskDelay = 0; w.recordDisturbance() })
+		first.diskDelay = time.Duration(100+f.n%900) * time.Millisecond
+		w.after(f.duration, func() { first.diskDelay = 0; w.recordDisturbance() })
 	case faultDiskStall:
-		a.diskStalled = true
-		w.after(f.duration, func() { a.diskStalled = false; w.recordDisturbance() })
+		first.diskStalled = true
+		w.after(f.duration, func() { first.diskStalled = false; w.recordDisturbance() })
 	case faultWipe:
-		if w.lose(a) {
-			a.restartAfter(f.duration)
+		if w.lose(first) {
+			first.restartAfter(f.duration)
 		}
 	case faultReplace:
-		w.replace(a, f)
+		w.replace(first, f)
 	case faultLeave:
-		a.leave(f.ackTimeout(), func() {
-			a.kill()
-			a.restartAfter(f.duration)
+		first.leave(f.ackTimeout(), func() {
+			first.kill()
+			first.restartAfter(f.duration)
 		})
 	case faultDisksFullButOne:
 		for _, m := range w.nodes {
-			if m != a {
+			if m != first {
 				m.diskFull, m.acceptorReserve = true, true
 				w.after(f.duration, func() { m.diskFull = false; w.recordDisturbance() })
 			}
@@ -82,12 +82,12 @@
 		w.onAck = append(w.onAck, func() { w.powerAll(f) })
 	case faultWipeAfterAck:
 		w.onAck = append(w.onAck, func() {
-			if w.lose(a) {
-				a.restartAfter(f.duration)
+			if w.lose(first) {
+				first.restartAfter(f.duration)
 			}
 		})
 	default:
-		w.applyGrouped(f, a)
+		w.applyGrouped(f, first)
 	}
 }
 
@@ -141,23 +141,23 @@
 
 // isolate cuts a machine off: all its links or one direction of them, or only those to other keepers, so that operators
 // and proxies still reach it. What it is sent meanwhile is gone, or comes after the cut.
-func (w *clusterSim) isolate(a *simNode, f fault) {
+func (w *clusterSim) isolate(node *simNode, isolation fault) {
 	others := []string{}
 	for _, m := range w.nodes {
 		others = append(others, m.member.Addr)
 	}
-	if f.n&8 != 0 {
+	if isolation.n&8 != 0 {
 		others = append(others, outside)
 		for _, p := range w.proxies {
 			others = append(others, p.addr)
 		}
 	}
 	for _, o := range others {
-		if f.n%3 != 1 {
-			w.block(a.member.Addr, o, f.duration, f.n&4 != 0)
+		if isolation.n%3 != 1 {
+			w.block(node.member.Addr, o, isolation.duration, isolation.n&4 != 0)
 		}
-		if f.n%3 != 2 {
-			w.block(o, a.member.Addr, f.duration, f.n&4 != 0)
+		if isolation.n%3 != 2 {
+			w.block(o, node.member.Addr, isolation.duration, isolation.n&4 != 0)
 		}
 	}
 }
--- a/internal/system/replication/sim_hardening_answers_test.go
+++ b/internal/system/replication/sim_hardening_answers_test.go
@@ -98,23 +98,23 @@
 	if raceDetector {
 		roles = roles[3:]
 	}
-	for _, s := range []topology{{3, 1, 1, 3, 0, 0}, {5, 1, 2, 3, 0, 0}, {4, 1, 1, 2, 1, 0}} {
+	for _, layout := range []topology{{3, 1, 1, 3, 0, 0}, {5, 1, 2, 3, 0, 0}, {4, 1, 1, 2, 1, 0}} {
 		var former, late atomic.Int64
 		inParallel(3*len(roles), func(i int) {
 			seed, role := uint64(1+i%3), roles[i/3]
-			sum, play := &former, func() (int, error) { return playAnswers(seed, s, role, TestingKnobs{}) }
+			sum, play := &former, func() (int, error) { return playAnswers(seed, layout, role, TestingKnobs{}) }
 			if role == "late note" {
-				sum, play = &late, func() (int, error) { return playLateEvacuation(seed, s, TestingKnobs{}) }
+				sum, play = &late, func() (int, error) { return playLateEvacuation(seed, layout, TestingKnobs{}) }
 			}
 			n, err := play()
 			if err != nil {
-				t.Errorf("%v, %s, seed %d: %v", s, role, seed, err)
+				t.Errorf("%v, %s, seed %d: %v", layout, role, seed, err)
 			}
 			sum.Add(int64(n))
 		})
-		t.Logf("%v: %d answers to calls of former lives arrived, %d changes 20 s late", s, former.Load(), late.Load())
+		t.Logf("%v: %d answers to calls of former lives arrived, %d changes 20 s late", layout, former.Load(), late.Load())
 		if former.Load() == 0 || late.Load() == 0 {
-			t.Errorf("%v: it did not come about: %d, %d", s, former.Load(), late.Load())
+			t.Errorf("%v: it did not come about: %d, %d", layout, former.Load(), late.Load())
 		}
 	}
 }
--- a/internal/system/replication/sim_hardening_leave_test.go
+++ b/internal/system/replication/sim_hardening_leave_test.go
@@ -56,29 +56,29 @@
 	if !w.canLoseDisk() {
 		return 0, fmt.Errorf("there is no whole view: %w", w.violation)
 	}
-	a, b, c := w.replica(0), w.replica(1), w.replica(2)
+	head, middle, tail := w.replica(0), w.replica(1), w.replica(2)
 	if seed%2 == 0 {
-		a, b = b, a
+		head, middle = middle, head
 	}
-	b.kill()
-	w.writeUnless(60, 50*time.Millisecond, b)
-	if !w.lose(c) {
+	middle.kill()
+	w.writeUnless(60, 50*time.Millisecond, middle)
+	if !w.lose(tail) {
 		return 0, fmt.Errorf("the second copy cannot be lost: %v", w.violation)
 	}
-	for _, o := range []*simNode{b, c} {
+	for _, o := range []*simNode{middle, tail} {
 		if o.disk.end() >= w.acked {
 			return 0, fmt.Errorf("machine %d holds a copy", o.name)
 		}
 	}
 	began, stayed := w.now, time.Duration(0)
-	b.restartAfter(300 * time.Millisecond)
-	c.restartAfter(600 * time.Millisecond)
+	middle.restartAfter(300 * time.Millisecond)
+	tail.restartAfter(600 * time.Millisecond)
 	w.after(time.Duration(w.rng.IntN(1500))*time.Millisecond, func() {
-		a.leave(patience, func() {
+		head.leave(patience, func() {
 			stayed = w.now - began
-			a.kill()
-			a.removed = true
-			w.successor(a, fault{}).restartAfter(time.Second)
+			head.kill()
+			head.removed = true
+			w.successor(head, fault{}).restartAfter(time.Second)
 		})
 	})
 	w.runUntil(w.now + leavePatience + 2*time.Second)
--- a/internal/system/replication/sim_hardening_outage_test.go
+++ b/internal/system/replication/sim_hardening_outage_test.go
@@ -25,7 +25,7 @@
 		w.partitionNode(m, cutModes[1], time.Hour)
 		return func() { w.rejoin(m) }
 	},
-	"killed, starts with as few others as go on": func(w *clusterSim, m *simNode) func() {
+	"killed, starts with as few others as go on": func(w *clusterSim, node *simNode) func() {
 		m.kill()
 		return func() {
 			with := len(w.newest.Voters)/2 + 1
@@ -83,26 +83,26 @@
 
 // playOutage keeps a member away for n changes at 20 a second. While it comes back changes go on, and the first that sends
 // it a snapshot, or else the first that feeds it, is killed at that moment.
-func playOutage(seed uint64, s topology, role, mode string, n int, h TestingKnobs) *outageRun {
+func playOutage(seed uint64, layout topology, role, mode string, changes int, knobs TestingKnobs) *outageRun {
 	out := &outageRun{}
-	w := newClusterSim(seed, s, h)
+	w := newClusterSim(seed, layout, knobs)
 	w.operate()
 	w.runUntil(5 * time.Second)
 	if w.newest == nil {
 		out.err = fmt.Errorf("there is no view: %w", w.violation)
 		return out
 	}
-	m := cutRoles[role](w)
-	if m == nil {
+	absent := cutRoles[role](w)
+	if absent == nil {
 		out.err = fmt.Errorf("there is no %s", role)
 		return out
 	}
-	held := m.core.chain.commitIndex
-	back := awayModes[mode](w, m)
-	w.writeUnless(n+5, 50*time.Millisecond, m)
+	held := absent.core.chain.commitIndex
+	back := awayModes[mode](w, absent)
+	w.writeUnless(changes+5, 50*time.Millisecond, absent)
 	out.missed = w.acked - held
 	w.onStep = func(name, addr string) {
-		if name == "receive install" && addr == m.member.Addr {
+		if name == "receive install" && addr == absent.member.Addr {
 			out.installs++
 		}
 		for _, o := range w.nodes {
@@ -117,14 +117,14 @@
 			w.apply(fault{kind: faultKill, a: feeder.name, duration: time.Second})
 		}
 	}
-	w.arm(&stepTrigger{name: "send install", remaining: 1, to: m.member.Addr, action: kill})
+	w.arm(&stepTrigger{name: "send install", remaining: 1, to: absent.member.Addr, action: kill})
 	w.after(600*time.Millisecond, func() {
-		w.arm(&stepTrigger{name: "send append", remaining: 2, to: m.member.Addr, action: kill})
+		w.arm(&stepTrigger{name: "send append", remaining: 2, to: absent.member.Addr, action: kill})
 	})
 	back()
 	before := len(w.truth)
-	levelAt := w.watchLevel(m)
-	w.writeUnless(60, 50*time.Millisecond, m)
+	levelAt := w.watchLevel(absent)
+	w.writeUnless(60, 50*time.Millisecond, absent)
 	out.changesMeanwhile = len(w.truth) - before
 	w.runUntil(w.now + 2*levelBound)
 	out.caughtUpAfter = max(0, *levelAt-w.eventAt)
@@ -164,7 +164,7 @@
 		role, mode string
 		seed       uint64
 	}
-	n := envInt("REPLICATION_AWAY", 400)
+	changes := envInt("REPLICATION_AWAY", 400)
 	var jobs []job
 	for i, s := range []topology{{3, 0, 1, 3, 0, 0}, {5, 0, 2, 3, 1, 0}, {4, 1, 1, 2, 0, 0}} {
 		for _, role := range []string{"head", "second", "tail", "outsider"} {
@@ -172,7 +172,7 @@
 				if role == "outsider" && s.spares+s.observers == 0 || (raceDetector || testing.Short()) && (i > 0 || mode != "killed") {
 					continue
 				}
-				if k := len(role) + len(mode); n == 400 && !raceDetector && k%3 != i {
+				if k := len(role) + len(mode); changes == 400 && !raceDetector && k%3 != i {
 					continue // a third of them by default, all with REPLICATION_AWAY
 				}
 				jobs = append(jobs, job{s, role, mode, uint64(i + 1)})
@@ -181,29 +181,29 @@
 	}
 	got := make([]*outageRun, len(jobs))
 	inParallel(len(jobs), func(i int) {
-		got[i] = playOutage(jobs[i].seed, jobs[i].topology, jobs[i].role, jobs[i].mode, n, TestingKnobs{})
+		got[i] = playOutage(jobs[i].seed, jobs[i].topology, jobs[i].role, jobs[i].mode, changes, TestingKnobs{})
 	})
 	var sum outageRun
-	for i, g := range got {
+	for i, run := range got {
 		switch {
-		case g.err != nil:
-			t.Errorf("%v: %v", jobs[i], g.err)
-		case g.missed < uint64(n):
-			t.Errorf("%v: it missed only %d changes", jobs[i], g.missed)
-		case g.caughtUpAfter > levelBound:
-			t.Errorf("%v: level after %v only", jobs[i], g.caughtUpAfter)
-		case g.longest > 100: // snapshots each 20 records, 5 kept behind, and what is under way
-			t.Errorf("%v: a log of %d records", jobs[i], g.longest)
-		case g.changesMeanwhile < 20:
-			t.Errorf("%v: only %d changes were made meanwhile", jobs[i], g.changesMeanwhile)
+		case run.err != nil:
+			t.Errorf("%v: %v", jobs[i], run.err)
+		case run.missed < uint64(changes):
+			t.Errorf("%v: it missed only %d changes", jobs[i], run.missed)
+		case run.caughtUpAfter > levelBound:
+			t.Errorf("%v: level after %v only", jobs[i], run.caughtUpAfter)
+		case run.longest > 100: // snapshots each 20 records, 5 kept behind, and what is under way
+			t.Errorf("%v: a log of %d records", jobs[i], run.longest)
+		case run.changesMeanwhile < 20:
+			t.Errorf("%v: only %d changes were made meanwhile", jobs[i], run.changesMeanwhile)
 		}
-		sum.caughtUpAfter = max(sum.caughtUpAfter, g.caughtUpAfter)
-		sum.longest = max(sum.longest, g.longest)
-		sum.installs += g.installs
-		sum.upstreamLosses += g.upstreamLosses
+		sum.caughtUpAfter = max(sum.caughtUpAfter, run.caughtUpAfter)
+		sum.longest = max(sum.longest, run.longest)
+		sum.installs += run.installs
+		sum.upstreamLosses += run.upstreamLosses
 	}
 	t.Logf("%d plays, away for %d changes: level after at most %v, %d snapshots sent, %d feeders lost meanwhile, logs of at most %d records",
-		len(jobs), n, sum.caughtUpAfter, sum.installs, sum.upstreamLosses, sum.longest)
+		len(jobs), changes, sum.caughtUpAfter, sum.installs, sum.upstreamLosses, sum.longest)
 	if sum.installs == 0 || sum.upstreamLosses == 0 {
 		t.Error("no snapshot was sent, or no feeder was lost")
 	}
--- a/internal/system/replication/sim_hardening_partition_test.go
+++ b/internal/system/replication/sim_hardening_partition_test.go
@@ -54,20 +54,20 @@
 	err           error
 }
 
-func playPartition(seed uint64, s topology, role string, mode partitionMode, h TestingKnobs) *partitionRun {
+func playPartition(seed uint64, s topology, role string, mode partitionMode, knobs TestingKnobs) *partitionRun {
 	const length = 20 * time.Second
 	out := &partitionRun{}
-	w := newClusterSim(seed, s, h)
+	w := newClusterSim(seed, s, knobs)
 	w.operate()
 	w.runUntil(5 * time.Second)
-	m := cutRoles[role](w)
-	if m == nil {
+	node := cutRoles[role](w)
+	if node == nil {
 		out.err = fmt.Errorf("there is no %s", role)
 		return out
 	}
 	began, before := w.now, w.stats.accepted
 	w.onAnswer = func(a *simCall, d Completion) {
-		if a.node == m && a.sent > began && w.now < began+length {
+		if a.node == node && a.sent > began && w.now < began+length {
 			out.asked++
 			if d.Outcome == Answered {
 				out.answered++
@@ -75,18 +75,18 @@
 			}
 		}
 	}
-	w.partitionNode(m, mode, length)
+	w.partitionNode(node, mode, length)
 	// Whoever is cut off is asked all the while; the others are by the operators.
 	for i := range 60 {
 		w.after(time.Duration(i)*length/60, func() {
-			w.ask(&simCall{node: m, read: i%2 == 0, change: w.newChange(100 + i)})
+			w.ask(&simCall{node: node, read: i%2 == 0, change: w.newChange(100 + i)})
 		})
 	}
 	w.runUntil(began + length)
 	out.changes = w.stats.accepted - before
 	ended := w.now
 	w.runWhile(2*backBound, func() bool {
-		return m.core == nil || !m.core.Current(m.clock()) || m.core.chain.commitIndex < w.ackedBefore(ended)
+		return node.core == nil || !node.core.Current(node.clock()) || node.core.chain.commitIndex < w.ackedBefore(ended)
 	})
 	out.rejoinedAfter = w.now - ended
 	w.runUntil(ended + 5*time.Second)
@@ -94,9 +94,9 @@
 	return out
 }
 
-func (w *clusterSim) partitionNode(m *simNode, mode partitionMode, length time.Duration) {
+func (w *clusterSim) partitionNode(node *simNode, mode partitionMode, length time.Duration) {
 	if mode.paused {
-		m.pause(length)
+		node.pause(length)
 		return
 	}
 	others := []string{}
@@ -111,10 +111,10 @@
 	}
 	for _, o := range others {
 		if mode.out {
-			w.block(m.member.Addr, o, length, mode.late)
+			w.block(node.member.Addr, o, length, mode.late)
 		}
 		if mode.in {
-			w.block(o, m.member.Addr, length, mode.late)
+			w.block(o, node.member.Addr, length, mode.late)
 		}
 	}
 }
@@ -145,22 +145,22 @@
 	})
 	var longest time.Duration
 	asked, changes := 0, 0
-	for i, g := range got {
+	for i, run := range got {
 		name := fmt.Sprintf("%v, %s cut off %s", jobs[i].topology, jobs[i].role, jobs[i].mode.name)
 		switch {
-		case g.err != nil:
-			t.Errorf("%s: %v", name, g.err)
-		case g.changes < 20:
-			t.Errorf("%s: only %d changes were acknowledged meanwhile", name, g.changes)
-		case jobs[i].mode.reachable && g.asked < 20:
-			t.Errorf("%s: only %d calls reached it", name, g.asked)
-		case g.answered > 0:
-			t.Errorf("%s: it gave %d clear answers", name, g.answered)
-		case g.rejoinedAfter > backBound:
-			t.Errorf("%s: back after %v only", name, g.rejoinedAfter)
+		case run.err != nil:
+			t.Errorf("%s: %v", name, run.err)
+		case run.changes < 20:
+			t.Errorf("%s: only %d changes were acknowledged meanwhile", name, run.changes)
+		case jobs[i].mode.reachable && run.asked < 20:
+			t.Errorf("%s: only %d calls reached it", name, run.asked)
+		case run.answered > 0:
+			t.Errorf("%s: it gave %d clear answers", name, run.answered)
+		case run.rejoinedAfter > backBound:
+			t.Errorf("%s: back after %v only", name, run.rejoinedAfter)
 		}
-		longest = max(longest, g.rejoinedAfter)
-		asked, changes = asked+g.asked, changes+g.changes
+		longest = max(longest, run.rejoinedAfter)
+		asked, changes = asked+run.asked, changes+run.changes
 	}
 	t.Logf("%d plays: %d changes elsewhere, %d calls ended without a clear answer, back in force after at most %v", len(jobs), changes, asked, longest)
 }
--- a/internal/system/replication/sim_invariants_test.go
+++ b/internal/system/replication/sim_invariants_test.go
@@ -52,80 +52,80 @@
 }
 
 // check holds the machine's view and committed log against those of all others.
-func (w *clusterSim) check(m *simNode) {
-	c := m.core
-	if c == nil || w.violation != nil {
+func (w *clusterSim) check(node *simNode) {
+	core := node.core
+	if core == nil || w.violation != nil {
 		return
 	}
-	if err := c.Err(); err != nil {
-		w.fail(fmt.Errorf("machine %d stopped: %w", m.name, err))
+	if err := core.Err(); err != nil {
+		w.fail(fmt.Errorf("machine %d stopped: %w", node.name, err))
 		return
 	}
-	w.checkView(m, c.View())
-	seq, state := c.Committed()
-	if seq < m.committed {
-		w.fail(fmt.Errorf("machine %d went back from record %d to %d", m.name, m.committed, seq))
+	w.checkView(node, core.View())
+	seq, state := core.Committed()
+	if seq < node.committed {
+		w.fail(fmt.Errorf("machine %d went back from record %d to %d", node.name, node.committed, seq))
 	}
-	for s := m.committed + 1; s <= seq; s++ {
-		if s > c.chain.log.base && s <= c.chain.log.end() {
-			w.checkRecord(m, s)
+	for s := node.committed + 1; s <= seq; s++ {
+		if s > core.chain.log.base && s <= core.chain.log.end() {
+			w.checkRecord(node, s)
 		}
 	}
-	w.checkActive(m)
-	w.checkLeft(m)
-	if seq == m.committed && m.checked == state {
+	w.checkActive(node)
+	w.checkLeft(node)
+	if seq == node.committed && node.checked == state {
 		return
 	}
-	m.committed, m.checked = seq, state
+	node.committed, node.checked = seq, state
 	if seq >= uint64(len(w.states)) {
-		w.fail(fmt.Errorf("machine %d is at record %d, which nobody has committed", m.name, seq))
+		w.fail(fmt.Errorf("machine %d is at record %d, which nobody has committed", node.name, seq))
 	} else if got, want := describe(state.(*toy)), describe(w.states[seq]); got != want {
-		w.fail(fmt.Errorf("machine %d has %q after record %d, others %q", m.name, got, seq, want))
+		w.fail(fmt.Errorf("machine %d has %q after record %d, others %q", node.name, got, seq, want))
 	}
 }
 
-func (w *clusterSim) checkView(m *simNode, v *View) {
-	if v == m.view || v.Epoch == 0 {
+func (w *clusterSim) checkView(node *simNode, view *View) {
+	if view == node.view || view.Epoch == 0 {
 		return
 	}
-	if m.view != nil && v.Epoch < m.view.Epoch {
-		w.fail(fmt.Errorf("machine %d went back from view %d to %d", m.name, m.view.Epoch, v.Epoch))
+	if node.view != nil && view.Epoch < node.view.Epoch {
+		w.fail(fmt.Errorf("machine %d went back from view %d to %d", node.name, node.view.Epoch, view.Epoch))
 	}
-	m.view = v
-	s := fmt.Sprint(v.Chain, v.Voters)
-	if was, ok := w.viewOf[v.Epoch]; ok && was != s {
-		w.fail(fmt.Errorf("two views of epoch %d: %s and %s", v.Epoch, was, s))
+	node.view = view
+	s := fmt.Sprint(view.Chain, view.Voters)
+	if was, ok := w.viewOf[view.Epoch]; ok && was != s {
+		w.fail(fmt.Errorf("two views of epoch %d: %s and %s", view.Epoch, was, s))
 	}
-	if w.viewOf[v.Epoch] == "" {
+	if w.viewOf[view.Epoch] == "" {
 		w.stats.views++
 	}
-	w.viewOf[v.Epoch] = s
-	if w.newest == nil || v.Epoch > w.newest.Epoch {
-		w.newest = v
+	w.viewOf[view.Epoch] = s
+	if w.newest == nil || view.Epoch > w.newest.Epoch {
+		w.newest = view
 	}
 }
 
 // checkRecord holds a committed record against what others have committed under its number.
-func (w *clusterSim) checkRecord(m *simNode, s uint64) {
-	e := m.core.chain.log.at(s)
-	id := fmt.Sprintf("%d %d %d %s %s", e.epoch, e.rec.Op, e.rec.Base, e.rec.Body, e.rec.Zone)
+func (w *clusterSim) checkRecord(node *simNode, seq uint64) {
+	rec := node.core.chain.log.at(seq)
+	id := fmt.Sprintf("%d %d %d %s %s", rec.epoch, rec.rec.Op, rec.rec.Base, rec.rec.Body, rec.rec.Zone)
 	switch {
-	case s <= uint64(len(w.truth)):
-		if w.truth[s-1] != id {
-			w.fail(fmt.Errorf("machine %d has committed record %d as %q, another as %q", m.name, s, id, w.truth[s-1]))
+	case seq <= uint64(len(w.truth)):
+		if w.truth[seq-1] != id {
+			w.fail(fmt.Errorf("machine %d has committed record %d as %q, another as %q", node.name, seq, id, w.truth[seq-1]))
 		}
-	case s == uint64(len(w.truth))+1:
-		next, err := w.states[s-1].Apply(e.rec)
+	case seq == uint64(len(w.truth))+1:
+		next, err := w.states[seq-1].Apply(rec.rec)
 		if err != nil {
-			w.fail(fmt.Errorf("machine %d has committed record %d: %w", m.name, s, err))
+			w.fail(fmt.Errorf("machine %d has committed record %d: %w", node.name, seq, err))
 			return
 		}
 		w.truth = append(w.truth, id)
-		w.epochs = append(w.epochs, m.core.View().Epoch)
+		w.epochs = append(w.epochs, node.core.View().Epoch)
 		w.states = append(w.states, next.(*toy))
-		w.committed(e.rec)
+		w.committed(rec.rec)
 	default:
-		w.fail(fmt.Errorf("machine %d has committed record %d, but none has %d", m.name, s, len(w.truth)+1))
+		w.fail(fmt.Errorf("machine %d has committed record %d, but none has %d", node.name, seq, len(w.truth)+1))
 	}
 }
 
@@ -159,24 +159,24 @@
 }
 
 // ended holds an answer against what is committed.
-func (w *clusterSim) ended(a *simCall, d Completion) {
+func (w *clusterSim) ended(call *simCall, done Completion) {
 	if w.violation != nil {
 		return
 	}
 	if w.onAnswer != nil {
-		w.onAnswer(a, d)
+		w.onAnswer(call, done)
 	}
-	if a.read {
-		w.checkRead(a, d)
+	if call.read {
+		w.checkRead(call, done)
 	} else {
-		w.trace("%v answer to %s at machine %d: outcome %d %v record %d", w.now, keyOf(a.change), a.node.name, d.Outcome, d.Verdict, d.Seq)
-		w.checkAnswer(a, d)
+		w.trace("%v answer to %s at machine %d: outcome %d %v record %d", w.now, keyOf(call.change), call.node.name, done.Outcome, done.Verdict, done.Seq)
+		w.checkAnswer(call, done)
 	}
-	if a.inside != nil {
-		a.inside(d)
+	if call.inside != nil {
+		call.inside(done)
 		return
 	}
-	w.answer(a, d)
+	w.answer(call, done)
 }
 
 // checkRead: a read gives a committed state, with all that was acknowledged or read before it was asked for.
@@ -194,30 +194,30 @@
 }
 
 // checkAnswer holds the answer to a change against what is committed, and notes what it promises.
-func (w *clusterSim) checkAnswer(a *simCall, d Completion) {
-	key := keyOf(a.change)
+func (w *clusterSim) checkAnswer(call *simCall, done Completion) {
+	key := keyOf(call.change)
 	l := w.entryOf(key)
 	taken := w.acceptedAt[key]
 	switch {
-	case d.Outcome == Unknown:
+	case done.Outcome == Unknown:
 		w.stats.unknown++
-	case d.Outcome == Refused:
+	case done.Outcome == Refused:
 		w.stats.refused++
 		l.refused++
-	case d.Verdict.Kind == controlstate.Accepted, d.Verdict.Kind == controlstate.AlreadyApplied:
-		w.checkAcknowledged(a, d, l, taken)
-	case d.Verdict.Kind == controlstate.Stale, d.Verdict.Kind == controlstate.Invalid:
+	case done.Verdict.Kind == controlstate.Accepted, done.Verdict.Kind == controlstate.AlreadyApplied:
+		w.checkAcknowledged(call, done, l, taken)
+	case done.Verdict.Kind == controlstate.Stale, done.Verdict.Kind == controlstate.Invalid:
 		w.stats.stale++
 		l.rejected = true
 		if taken > 0 {
-			w.fail(fmt.Errorf("%s is record %d and was refused when it came again: %v", key, taken, d.Verdict))
+			w.fail(fmt.Errorf("%s is record %d and was refused when it came again: %v", key, taken, done.Verdict))
 		}
-		if d.Verdict.Kind == controlstate.Invalid && !a.fail() {
-			w.fail(fmt.Errorf("%s counts as invalid: %v", key, d.Verdict))
+		if done.Verdict.Kind == controlstate.Invalid && !call.fail() {
+			w.fail(fmt.Errorf("%s counts as invalid: %v", key, done.Verdict))
 		}
-		found := a.fail()
-		for s := a.acked; s <= uint64(len(w.truth)); s++ {
-			found = found || w.states[s].rev != a.change.Base
+		found := call.fail()
+		for s := call.acked; s <= uint64(len(w.truth)); s++ {
+			found = found || w.states[s].rev != call.change.Base
 		}
 		if !found {
 			w.fail(fmt.Errorf("%s was called stale, but its base was the newest version all the time", key))
@@ -227,39 +227,39 @@
 	}
 }
 
-func (w *clusterSim) checkAcknowledged(a *simCall, d Completion, l *changeHistory, taken uint64) {
-	key := keyOf(a.change)
-	already := d.Verdict.Kind == controlstate.AlreadyApplied
+func (w *clusterSim) checkAcknowledged(call *simCall, done Completion, history *changeHistory, taken uint64) {
+	key := keyOf(call.change)
+	already := done.Verdict.Kind == controlstate.AlreadyApplied
 	if already {
 		w.stats.already++
 	} else {
 		w.stats.accepted++
 	}
-	zone := a.change.Op == controlstate.OpEvacuate || a.change.Op == controlstate.OpReadmit
+	zone := call.change.Op == controlstate.OpEvacuate || call.change.Op == controlstate.OpReadmit
 	switch {
-	case a.fail():
+	case call.fail():
 		w.fail(fmt.Errorf("%s was acknowledged", key))
 	case zone && already:
 		// It was in force at some time between the question and the answer.
 		found := false
-		for s := a.acked; s <= uint64(len(w.truth)); s++ {
-			found = found || w.states[s].zones[a.change.Zone].Evacuated == (a.change.Op == controlstate.OpEvacuate)
+		for s := call.acked; s <= uint64(len(w.truth)); s++ {
+			found = found || w.states[s].zones[call.change.Zone].Evacuated == (call.change.Op == controlstate.OpEvacuate)
 		}
 		if !found {
 			w.fail(fmt.Errorf("%s counts as in force, but is not", key))
 		}
-		taken = a.acked
+		taken = call.acked
 	case taken == 0:
 		w.fail(fmt.Errorf("%s was acknowledged but is not committed", key))
-	case !already && d.Seq != taken && !zone:
-		w.fail(fmt.Errorf("%s was acknowledged as record %d but is record %d", key, d.Seq, taken))
-	case !already && d.Seq <= a.first:
-		w.fail(fmt.Errorf("%s was acknowledged as record %d but first asked for after %d was acknowledged", key, d.Seq, a.first))
+	case !already && done.Seq != taken && !zone:
+		w.fail(fmt.Errorf("%s was acknowledged as record %d but is record %d", key, done.Seq, taken))
+	case !already && done.Seq <= call.first:
+		w.fail(fmt.Errorf("%s was acknowledged as record %d but first asked for after %d was acknowledged", key, done.Seq, call.first))
 	}
 	if zone && !already {
-		taken = d.Seq
+		taken = done.Seq
 	}
-	l.acked = true
+	history.acked = true
 	w.acked = max(w.acked, taken)
 	w.acks = append(w.acks, ack{w.now, w.acked})
 	armed := w.onAck
--- a/internal/system/replication/sim_losses_test.go
+++ b/internal/system/replication/sim_losses_test.go
@@ -21,24 +21,24 @@
 }
 
 // replace ends a machine for good and starts another, at a new address and with an empty disk.
-func (w *clusterSim) replace(a *simNode, f fault) {
-	if a.removed || a.observer || !w.canLoseDisk() || len(w.nodes) > 40 {
+func (w *clusterSim) replace(node *simNode, f fault) {
+	if node.removed || node.observer || !w.canLoseDisk() || len(w.nodes) > 40 {
 		return
 	}
 	w.lost++
 	w.lostAt = w.now
-	w.trace("%v REPLACED machine %d", w.now, a.name)
+	w.trace("%v REPLACED machine %d", w.now, node.name)
 	end := func() {
-		if a.removed {
+		if node.removed {
 			return
 		}
-		a.kill()
-		a.removed = true
-		w.successor(a, f).restartAfter(f.duration)
+		node.kill()
+		node.removed = true
+		w.successor(node, f).restartAfter(f.duration)
 	}
-	if f.n&1 == 1 && a.isRunning() && !a.paused {
+	if f.n&1 == 1 && node.isRunning() && !node.paused {
 		w.pending++
-		a.leave(f.ackTimeout(), func() {
+		node.leave(f.ackTimeout(), func() {
 			w.pending--
 			end()
 		})
@@ -74,8 +74,8 @@
 
 // isFullyReplicated tells whether the newest view stands on disks that are all there, as many as it should.
 func (w *clusterSim) isFullyReplicated() bool {
-	v := w.newest
-	if v == nil || len(v.Chain) <= w.losses || len(v.Voters) < 2*w.losses+1 {
+	view := w.newest
+	if view == nil || len(view.Chain) <= w.losses || len(view.Voters) < 2*w.losses+1 {
 		return false
 	}
 	disks := map[ID]acceptorState{}
@@ -84,17 +84,17 @@
 			disks[r.identity.ID] = r
 		}
 	}
-	for _, l := range v.Chain {
-		if r, ok := disks[l]; !ok || r.activeEpoch != v.Epoch || r.view.Epoch != v.Epoch {
+	for _, l := range view.Chain {
+		if r, ok := disks[l]; !ok || r.activeEpoch != view.Epoch || r.view.Epoch != view.Epoch {
 			return false
 		}
 	}
-	if !w.toleratesLosses(v) {
+	if !w.toleratesLosses(view) {
 		return false
 	}
-	for _, m := range v.Voters {
+	for _, m := range view.Voters {
 		// A view that is accepted but not chosen names disks of its own, on which the next one depends.
-		if r, ok := disks[m.ID]; !ok || r.view.Epoch != v.Epoch || r.acceptedView != nil {
+		if r, ok := disks[m.ID]; !ok || r.view.Epoch != view.Epoch || r.acceptedView != nil {
 			return false
 		}
 	}
--- a/internal/system/replication/sim_network_test.go
+++ b/internal/system/replication/sim_network_test.go
@@ -22,7 +22,7 @@
 }
 
 // block cuts one direction of a link.
-func (w *clusterSim) block(from, to string, d time.Duration, late bool) {
+func (w *clusterSim) block(from, to string, length time.Duration, late bool) {
 	if from == to || w.beyond(from) && w.beyond(to) {
 		return
 	}
@@ -35,8 +35,8 @@
 		l = &partitionedPath{late: late}
 		w.partitioned[k] = l
 	}
-	l.until = max(l.until, w.now+d)
-	w.after(d, func() {
+	l.until = max(l.until, w.now+length)
+	w.after(length, func() {
 		if w.partitioned[k] == l && w.now >= l.until {
 			w.healPath(k)
 		}
@@ -70,7 +70,7 @@
 }
 
 // carry brings something from one address to another, unless the link is cut or loses it.
-func (w *clusterSim) carry(from, to string, d time.Duration, do func()) {
+func (w *clusterSim) carry(from, to string, delay time.Duration, do func()) {
 	if l := w.partitioned[[2]string{from, to}]; l != nil {
 		if l.late && len(l.delayed) < maxHeld {
 			l.delayed = append(l.delayed, do)
@@ -80,17 +80,17 @@
 	if w.rng.Float64() < w.loss {
 		return
 	}
-	d += time.Duration(w.rng.ExpFloat64() * float64(d) / 4)
+	delay += time.Duration(w.rng.ExpFloat64() * float64(delay) / 4)
 	if w.extraDelay > 0 && w.rng.IntN(4) == 0 {
-		d += time.Duration(w.rng.Int64N(int64(w.extraDelay)))
+		delay += time.Duration(w.rng.Int64N(int64(w.extraDelay)))
 	}
-	w.after(d, do)
+	w.after(delay, do)
 }
 
-func (w *clusterSim) deliver(from *simNode, e Envelope) {
-	kind := kindOf(e.Msg)
+func (w *clusterSim) deliver(from *simNode, envelope Envelope) {
+	kind := kindOf(envelope.Msg)
 	core := from.core
-	if w.step("send "+kind, from, e.Addr); from.core != core {
+	if w.step("send "+kind, from, envelope.Addr); from.core != core {
 		return
 	}
 	n := 1
@@ -99,10 +99,10 @@
 	}
 	for range n {
 		d := time.Millisecond
-		if to := w.at(e.Addr); to != nil && to.member.Region != from.member.Region {
+		if to := w.at(envelope.Addr); to != nil && to.member.Region != from.member.Region {
 			d = 45 * time.Millisecond
 		}
-		w.carry(from.member.Addr, e.Addr, d, func() { w.arrive(e.Addr, kind, e.Msg) })
+		w.carry(from.member.Addr, envelope.Addr, d, func() { w.arrive(envelope.Addr, kind, envelope.Msg) })
 	}
 }
 
--- a/internal/system/replication/sim_operators_test.go
+++ b/internal/system/replication/sim_operators_test.go
@@ -23,26 +23,26 @@
 }
 
 // ask sends a change or read to a.at. The caller is told an outcome once, Unknown when none came in time.
-func (w *clusterSim) ask(a *simCall) {
-	a.acked, a.sent = max(w.acked, w.newestRead), w.now
-	if a.ttl == 0 {
-		a.ttl = 4 * time.Second
+func (w *clusterSim) ask(call *simCall) {
+	call.acked, call.sent = max(w.acked, w.newestRead), w.now
+	if call.ttl == 0 {
+		call.ttl = 4 * time.Second
 		if w.rng.IntN(3) == 0 {
-			a.ttl = time.Duration(100+w.rng.IntN(1500)) * time.Millisecond
+			call.ttl = time.Duration(100+w.rng.IntN(1500)) * time.Millisecond
 		}
 	}
-	if !a.read && !a.fenced {
-		w.entryOf(keyOf(a.change)).attempts++
+	if !call.read && !call.fenced {
+		w.entryOf(keyOf(call.change)).attempts++
 	}
-	w.trace("%v asks machine %d: read %v, %s", w.now, a.node.name, a.read, keyOf(a.change))
-	m, core := a.node, a.node.core
+	w.trace("%v asks machine %d: read %v, %s", w.now, call.node.name, call.read, keyOf(call.change))
+	m, core := call.node, call.node.core
 	if core == nil {
-		w.after(time.Millisecond, func() { a.close(Completion{Outcome: Unknown}) })
+		w.after(time.Millisecond, func() { call.close(Completion{Outcome: Unknown}) })
 		return
 	}
-	w.after(a.ttl+time.Second, func() { a.close(Completion{Outcome: Unknown}) })
+	w.after(call.ttl+time.Second, func() { call.close(Completion{Outcome: Unknown}) })
 	w.carry(outside, m.member.Addr, time.Millisecond, func() {
-		m.run(core, func() { m.submit(a) })
+		m.run(core, func() { m.submit(call) })
 	})
 }
 
@@ -72,30 +72,30 @@
 
 // submitFenced takes up an order of a zone as control does: the fence is the newest record known when the order came; then
 // the keeper reads, and passes the order on if its caller is still there.
-func (m *simNode) submitFenced(a *simCall) {
+func (m *simNode) submitFenced(call *simCall) {
 	w, core := m.sim, m.core
 	if m.resumedAt > 0 && w.now-m.resumedAt < stallFence {
-		w.answer(a, Completion{Outcome: Refused})
+		w.answer(call, Completion{Outcome: Refused})
 		return
 	}
-	a.change.Base = int64(core.chain.commitIndex)
+	call.change.Base = int64(core.chain.commitIndex)
 	read := &simCall{node: m, read: true, acked: max(w.acked, w.newestRead)}
 	read.inside = func(d Completion) {
 		if d.Outcome != Answered {
-			w.answer(a, Completion{Outcome: Refused})
+			w.answer(call, Completion{Outcome: Refused})
 			return
 		}
 		w.after(0, func() {
 			m.run(core, func() {
-				if a.closed {
+				if call.closed {
 					return // the end of the caller's connection has been read by now
 				}
-				w.entryOf(keyOf(a.change)).attempts++
-				core.Submit(m.clock(), m.number(a), a.change, a.ttl)
+				w.entryOf(keyOf(call.change)).attempts++
+				core.Submit(m.clock(), m.number(call), call.change, call.ttl)
 			})
 		})
 	}
-	core.Read(m.clock(), m.number(read), a.ttl)
+	core.Read(m.clock(), m.number(read), call.ttl)
 }
 
 // answer brings an answer back to the caller, unless it is lost on its way.
@@ -133,13 +133,13 @@
 }
 
 // client asks for one thing after another.
-func (w *clusterSim) client(n int) {
+func (w *clusterSim) client(number int) {
 	if w.violation != nil || w.clientsDone {
 		return
 	}
 	m := w.pickNode()
 	if m == nil {
-		w.after(50*time.Millisecond, func() { w.client(n) })
+		w.after(50*time.Millisecond, func() { w.client(number) })
 		return
 	}
 	w.lastChange++
@@ -152,10 +152,10 @@
 	case k < 10:
 		a.change = controlstate.Change{Op: controlstate.OpReplace, Body: fmt.Appendf(nil, "bad%d", w.lastChange)}
 	default:
-		a.change = w.newChange(n)
+		a.change = w.newChange(number)
 	}
 	w.submitUntilDone(a, 5, func() {
-		w.after(time.Duration(10+w.rng.IntN(250))*time.Millisecond, func() { w.client(n) })
+		w.after(time.Duration(10+w.rng.IntN(250))*time.Millisecond, func() { w.client(number) })
 	})
 }
 
@@ -262,25 +262,25 @@
 }
 
 // zoneOperator sends the order that its zone waits for through one keeper after another until it is acknowledged.
-func (w *clusterSim) zoneOperator(z *evacuationZone) {
+func (w *clusterSim) zoneOperator(zone *evacuationZone) {
 	if w.violation != nil || w.clientsDone {
 		return
 	}
 	m := w.pickNode()
 	if m == nil {
-		w.after(50*time.Millisecond, func() { w.zoneOperator(z) })
+		w.after(50*time.Millisecond, func() { w.zoneOperator(zone) })
 		return
 	}
-	if z.acknowledged {
-		z.acknowledged = false
-		z.wanted = controlstate.OpEvacuate + controlstate.OpReadmit - z.wanted
+	if zone.acknowledged {
+		zone.acknowledged = false
+		zone.wanted = controlstate.OpEvacuate + controlstate.OpReadmit - zone.wanted
 	}
-	a := &simCall{node: m, change: controlstate.Change{Op: z.wanted, Zone: z.name}, fenced: true, ttl: time.Second, first: w.acked}
+	a := &simCall{node: m, change: controlstate.Change{Op: zone.wanted, Zone: zone.name}, fenced: true, ttl: time.Second, first: w.acked}
 	a.onDone = func(d Completion) {
 		if settles(d) {
-			z.acknowledged = true
+			zone.acknowledged = true
 		}
-		w.after(time.Duration(100+w.rng.IntN(900))*time.Millisecond, func() { w.zoneOperator(z) })
+		w.after(time.Duration(100+w.rng.IntN(900))*time.Millisecond, func() { w.zoneOperator(zone) })
 	}
 	w.ask(a)
 }
--- a/internal/system/replication/sim_proxies_test.go
+++ b/internal/system/replication/sim_proxies_test.go
@@ -181,10 +181,10 @@
 }
 
 // answerPoll gives the records after what the proxy holds, or a snapshot where those are gone.
-func (m *simNode) answerPoll(p *poll, current bool) *pollReply {
+func (m *simNode) answerPoll(request *poll, current bool) *pollReply {
 	m.sim.stats.polls++
 	seq, state := m.core.Committed()
-	r := &pollReply{current: current, newest: seq, checked: m.sim.now - p.start}
+	r := &pollReply{current: current, newest: seq, checked: m.sim.now - request.start}
 	v := m.core.View()
 	for _, id := range v.Chain {
 		if member, ok := v.Voter(id); ok {
@@ -194,9 +194,9 @@
 	if !current {
 		return r
 	}
-	records, known := m.core.RecordsAfter(p.seq, maxPollRecords+1)
+	records, known := m.core.RecordsAfter(request.seq, maxPollRecords+1)
 	stock := distribution.Availability{Committed: seq, Known: known && len(records) > 0, Records: len(records)}
-	switch distribution.PlanCatchUp(p.seq, stock, maxPollRecords) {
+	switch distribution.PlanCatchUp(request.seq, stock, maxPollRecords) {
 	case distribution.CatchUpRecords:
 		r.records = records
 	case distribution.CatchUpNewSnapshot:
--- a/internal/system/replication/sim_proxy_checks_test.go
+++ b/internal/system/replication/sim_proxy_checks_test.go
@@ -93,21 +93,21 @@
 // holds which is cut off makes no loss good.
 func (w *clusterSim) knownView() *View {
 	var newest *View
-	for _, m := range w.nodes {
-		if !m.healthy() || newest != nil && m.core.acceptor.view.Epoch <= newest.Epoch {
+	for _, node := range w.nodes {
+		if !node.healthy() || newest != nil && node.core.acceptor.view.Epoch <= newest.Epoch {
 			continue
 		}
 		reached, all := 0, 0
 		for _, o := range w.nodes {
 			if !o.removed {
 				all++
-				if w.connected(m.member.Addr, o.member.Addr) {
+				if w.connected(node.member.Addr, o.member.Addr) {
 					reached++
 				}
 			}
 		}
-		if reached > all/2 && m.core.acceptor.view.Epoch > 0 {
-			newest = m.core.acceptor.view
+		if reached > all/2 && node.core.acceptor.view.Epoch > 0 {
+			newest = node.core.acceptor.view
 		}
 	}
 	return newest
@@ -194,20 +194,20 @@
 }
 
 // disturbProxy restarts, freezes or cuts off a proxy.
-func (w *clusterSim) disturbProxy(f fault) {
-	p := w.proxies[f.n%len(w.proxies)]
-	switch f.n / 2 % 3 {
+func (w *clusterSim) disturbProxy(cause fault) {
+	target := w.proxies[cause.n%len(w.proxies)]
+	switch cause.n / 2 % 3 {
 	case 0:
-		p.stop()
-		w.after(f.duration, p.start)
+		target.stop()
+		w.after(cause.duration, target.start)
 	case 1:
-		p.pause(f.duration)
+		target.pause(cause.duration)
 	case 2:
 		for _, m := range w.nodes {
-			w.block(p.addr, m.member.Addr, f.duration, f.n&8 != 0)
-			w.block(m.member.Addr, p.addr, f.duration, f.n&8 != 0)
+			w.block(target.addr, m.member.Addr, cause.duration, cause.n&8 != 0)
+			w.block(m.member.Addr, target.addr, cause.duration, cause.n&8 != 0)
 		}
-		p.eventAt = w.now
-		w.after(f.duration, func() { p.eventAt = w.now })
+		target.eventAt = w.now
+		w.after(cause.duration, func() { target.eventAt = w.now })
 	}
 }
--- a/internal/system/replication/sim_repair_steps_test.go
+++ b/internal/system/replication/sim_repair_steps_test.go
@@ -186,13 +186,13 @@
 // TestHardeningSecondLossRightAfterARepair loses each link in turn at the very moment when the loss before is made good.
 func TestHardeningSecondLossRightAfterARepair(t *testing.T) {
 	lost := 0
-	for _, i := range incidents {
+	for _, first := range incidents {
 		for place := range 5 {
-			w := i.startIn(uint64(place+1), TestingKnobs{})
-			i.start(w)
+			w := first.startIn(uint64(place+1), TestingKnobs{})
+			first.start(w)
 			w.runUntil(w.now + 1500*time.Millisecond)
 			if !w.runWhile(repairBound, func() bool { return !w.isFullyReplicated() }) {
-				t.Fatalf("%s is not over within %v: %v", i.name, repairBound, w.violation)
+				t.Fatalf("%s is not over within %v: %v", first.name, repairBound, w.violation)
 			}
 			if place >= len(w.newest.Chain) {
 				continue
@@ -200,15 +200,15 @@
 			m, before := w.replica(place), w.acked
 			m.loseFor(w, time.Second)
 			if w.lost != 1 || m.isRunning() {
-				t.Fatalf("%s: link %d was not lost", i.name, place)
+				t.Fatalf("%s: link %d was not lost", first.name, place)
 			}
 			lost++
 			w.runUntil(w.now + 1500*time.Millisecond)
 			if !w.runWhile(repairBound, func() bool { return !w.isFullyReplicated() || w.acked == before }) {
-				t.Fatalf("%s, then link %d: not over within %v: %v", i.name, place, repairBound, w.violation)
+				t.Fatalf("%s, then link %d: not over within %v: %v", first.name, place, repairBound, w.violation)
 			}
 			if err := w.converge(6 * time.Second); err != nil {
-				t.Errorf("%s, then link %d: %v", i.name, place, err)
+				t.Errorf("%s, then link %d: %v", first.name, place, err)
 			}
 		}
 	}
--- a/internal/system/replication/sim_step_triggers_test.go
+++ b/internal/system/replication/sim_step_triggers_test.go
@@ -18,26 +18,26 @@
 // arm waits for the n-th step of a name from now on.
 func (w *clusterSim) arm(s *stepTrigger) { w.triggers = append(w.triggers, s) }
 
-func (w *clusterSim) step(name string, m *simNode, to string) {
+func (w *clusterSim) step(name string, node *simNode, to string) {
 	if w.onStep != nil {
-		w.onStep(name, m.member.Addr)
+		w.onStep(name, node.member.Addr)
 	}
 	for i := 0; i < len(w.triggers); i++ {
-		s := w.triggers[i]
-		if s.name != name || s.node != nil && s.node != m || s.to != "" && s.to != to {
+		trigger := w.triggers[i]
+		if trigger.name != name || trigger.node != nil && trigger.node != node || trigger.to != "" && trigger.to != to {
 			continue
 		}
-		if s.remaining--; s.remaining > 0 {
+		if trigger.remaining--; trigger.remaining > 0 {
 			continue
 		}
 		w.triggers = append(w.triggers[:i:i], w.triggers[i+1:]...)
 		i--
 		w.stats.steps++
-		w.trace("%v STEP %s at machine %d", w.now, name, m.name)
-		if s.before {
-			s.action(m)
+		w.trace("%v STEP %s at machine %d", w.now, name, node.name)
+		if trigger.before {
+			trigger.action(node)
 		} else {
-			w.after(0, func() { s.action(m) })
+			w.after(0, func() { trigger.action(node) })
 		}
 	}
 }
--- a/internal/system/replication/toy_state_test.go
+++ b/internal/system/replication/toy_state_test.go
@@ -54,27 +54,27 @@
 	return fmt.Sprintf("%d %d %s", op, base, body)
 }
 
-func (s *toy) Check(ch controlstate.Change) controlstate.Verdict {
-	if strings.HasPrefix(string(ch.Body), "bad") {
+func (s *toy) Check(change controlstate.Change) controlstate.Verdict {
+	if strings.HasPrefix(string(change.Body), "bad") {
 		return controlstate.Verdict{Kind: controlstate.Invalid, Reason: "bad"}
 	}
-	switch ch.Op {
+	switch change.Op {
 	case controlstate.OpEvacuate, controlstate.OpReadmit:
-		return s.checkZone(ch)
+		return s.checkZone(change)
 	case controlstate.OpReplace, controlstate.OpAmend:
 	default:
 		return controlstate.Verdict{Kind: controlstate.Accepted}
 	}
-	key := registerKey(ch.Op, ch.Base, ch.Body)
+	key := registerKey(change.Op, change.Base, change.Body)
 	for _, t := range s.applied {
 		if t.Key == key && !s.machine.forgetful {
 			return controlstate.Verdict{Kind: controlstate.AlreadyApplied, Seq: t.Seq}
 		}
 	}
 	switch {
-	case ch.Base == s.rev:
+	case change.Base == s.rev:
 		return controlstate.Verdict{Kind: controlstate.Accepted}
-	case ch.Base+1 <= s.rev-int64(len(s.applied)):
+	case change.Base+1 <= s.rev-int64(len(s.applied)):
 		return controlstate.Verdict{Kind: controlstate.Uncertain}
 	}
 	return controlstate.Verdict{Kind: controlstate.Stale}
@@ -93,14 +93,14 @@
 }
 
 func (s *toy) Apply(r controlstate.Record) (State, error) {
-	n := *s
-	n.seq = r.Seq
+	next := *s
+	next.seq = r.Seq
 	if r.Zone != "" {
-		n.note = r.Zone
+		next.note = r.Zone
 	}
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%d %d %d %d %s %s", s.hash, r.Seq, r.Op, r.Base, r.Body, r.Zone)
-	n.hash = h.Sum64()
+	next.hash = h.Sum64()
 	if r.Seq != s.seq+1 {
 		return nil, fmt.Errorf("record %d follows %d", r.Seq, s.seq)
 	}
@@ -109,16 +109,16 @@
 		if r.Base != s.rev {
 			return nil, fmt.Errorf("record %d builds on version %d, current is %d", r.Seq, r.Base, s.rev)
 		}
-		n.rev++
-		n.applied = append(slices.Clone(s.applied[max(0, len(s.applied)-cmp.Or(s.machine.history, toyHistory)+1):]), toyApplied{registerKey(r.Op, r.Base, r.Body), r.Seq})
+		next.rev++
+		next.applied = append(slices.Clone(s.applied[max(0, len(s.applied)-cmp.Or(s.machine.history, toyHistory)+1):]), toyApplied{registerKey(r.Op, r.Base, r.Body), r.Seq})
 	case controlstate.OpEvacuate, controlstate.OpReadmit:
-		n.zones = maps.Clone(s.zones)
-		if n.zones == nil {
-			n.zones = map[string]toyZone{}
+		next.zones = maps.Clone(s.zones)
+		if next.zones == nil {
+			next.zones = map[string]toyZone{}
 		}
-		n.zones[r.Zone] = toyZone{Evacuated: r.Op == controlstate.OpEvacuate, Seq: r.Seq}
+		next.zones[r.Zone] = toyZone{Evacuated: r.Op == controlstate.OpEvacuate, Seq: r.Seq}
 	}
-	return &n, nil
+	return &next, nil
 }
 
 func (s *toy) Encode() []byte {
--- a/internal/system/replication/upstream_catchup_test.go
+++ b/internal/system/replication/upstream_catchup_test.go
@@ -14,43 +14,43 @@
 	var longest time.Duration
 	for _, away := range []time.Duration{20 * time.Second, 100 * time.Second} {
 		for _, lostAfter := range []time.Duration{100 * time.Millisecond, 400 * time.Millisecond, 800 * time.Millisecond, 2 * time.Second} {
-			cl := newScriptedCluster(t)
-			cl.machine = blobMachine{}
+			cluster := newScriptedCluster(t)
+			cluster.machine = blobMachine{}
 			addrs := []string{"k1", "k2", "k3", "k4", "k5"}
 			for i, a := range addrs {
-				cl.start(Config{
+				cluster.start(Config{
 					Self: Member{Addr: a, Zone: "zone " + addrs[i], Region: "r"}, MachineLosses: 2, Seeds: addrs[:3], Bootstrap: true,
 					compactRecords: 300, // the 400 changes are behind a snapshot too
 				})
 			}
-			cl.until(8*time.Second, "the first view", func() bool { return cl.complete(5, 5) })
-			cl.run(time.Second)
-			member := cl.replica(4)
-			head := cl.replica(0)
-			cl.nodes[member].core = nil
-			cl.flow(head, cl.now+away, each, nil)
-			cl.slowNetworks[member] = &slowNetwork{bytesPerSecond: 2 << 20}
-			cl.start(cl.nodes[member].cfg)
-			began, level := cl.now, time.Duration(0)
-			cl.flow(head, cl.now+lostAfter, each, nil)
-			feeder := cl.replica(len(cl.view().Chain) - 1)
+			cluster.until(8*time.Second, "the first view", func() bool { return cluster.complete(5, 5) })
+			cluster.run(time.Second)
+			member := cluster.replica(4)
+			head := cluster.replica(0)
+			cluster.nodes[member].core = nil
+			cluster.flow(head, cluster.now+away, each, nil)
+			cluster.slowNetworks[member] = &slowNetwork{bytesPerSecond: 2 << 20}
+			cluster.start(cluster.nodes[member].cfg)
+			began, level := cluster.now, time.Duration(0)
+			cluster.flow(head, cluster.now+lostAfter, each, nil)
+			feeder := cluster.replica(len(cluster.view().Chain) - 1)
 			if feeder == member {
-				feeder = cl.replica(len(cl.view().Chain) - 2)
+				feeder = cluster.replica(len(cluster.view().Chain) - 2)
 			}
-			cl.nodes[feeder].core = nil
-			cl.flow(head, cl.now+10*time.Second, each, func() {
-				v := cl.view()
-				if level == 0 && slices.Contains(v.Chain, ID(member)) && len(v.Chain) == 4 && cl.nodes[member].core.acceptor.durableActive == v.Epoch {
-					level = cl.now - began
+			cluster.nodes[feeder].core = nil
+			cluster.flow(head, cluster.now+10*time.Second, each, func() {
+				v := cluster.view()
+				if level == 0 && slices.Contains(v.Chain, ID(member)) && len(v.Chain) == 4 && cluster.nodes[member].core.acceptor.durableActive == v.Epoch {
+					level = cluster.now - began
 				}
 			})
 			t.Logf("away for %v, its feeder lost after %v: a link again after %v, %.1f MB sent", away, lostAfter, level,
-				float64(cl.slowNetworks[member].sentBytes)/(1<<20))
+				float64(cluster.slowNetworks[member].sentBytes)/(1<<20))
 			if level == 0 {
 				t.Errorf("away for %v, its feeder lost after %v: it is no link again within 10 s", away, lostAfter)
 			}
 			longest = max(longest, level)
-			if n := inMemory(cl.nodes[member].core); n > compactThresholdBytes+2*minRetainedBytes {
+			if n := inMemory(cluster.nodes[member].core); n > compactThresholdBytes+2*minRetainedBytes {
 				t.Errorf("its log takes %d bytes in memory", n)
 			}
 		}
