--- a/internal/system/replication/sim_hardening_outage_test.go
+++ b/internal/system/replication/sim_hardening_outage_test.go
@@ -25,7 +25,7 @@
 		w.partitionNode(m, cutModes[1], time.Hour)
 		return func() { w.rejoin(m) }
 	},
-	"killed, starts with as few others as go on": func(w *clusterSim, node *simNode) func() {
+	"killed, starts with as few others as go on": func(w *clusterSim, m *simNode) func() {
 		m.kill()
 		return func() {
 			with := len(w.newest.Voters)/2 + 1
