--- a/internal/system/replication/capacity_test.go
+++ b/internal/system/replication/capacity_test.go
@@ -9,7 +9,7 @@
 	"github.com/apex/log/handlers/memory"
 )
 
-// TestCapacitySaysWhatIsMissing: danger: two machines may be lost, three keepers run, and nobody is told until it happens.
+// TestCapacitySaysWhatIsMissing: danger: two nodes may be lost, three nodes run, and nobody is told until it happens.
 func TestCapacitySaysWhatIsMissing(t *testing.T) {
 	for _, test := range []struct {
 		name            string
@@ -37,7 +37,7 @@
 	}
 }
 
-// TestCapacityIsLoggedOnceItLasts: a repair is no news, a keeper that stays away is.
+// TestCapacityIsLoggedOnceItLasts: a repair is no news, a node that stays away is.
 func TestCapacityIsLoggedOnceItLasts(t *testing.T) {
 	members := placed([]int{1, 1, 1})
 	cluster := sizedCluster(t, members, 1, 1, 3)
--- a/internal/system/replication/client_calls_abandon_test.go
+++ b/internal/system/replication/client_calls_abandon_test.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// TestAbandonedCallIsNotResent ends the caller's context while the head is not heard. Danger: the keeper goes on
+// TestAbandonedCallIsNotResent ends the caller's context while the head is not heard. Danger: the node goes on
 // sending the change to whoever leads, until a deadline that its caller does not wait for.
 func TestAbandonedCallIsNotResent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/system/replication/disk_writer_test.go
+++ b/internal/system/replication/disk_writer_test.go
@@ -12,7 +12,7 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// singleNode is one keeper whose chain is itself, on a log in a folder.
+// singleNode is one node whose chain is itself, on a log in a folder.
 type singleNode struct {
 	t    *testing.T
 	core *Core
@@ -113,7 +113,7 @@
 	return largeState{next, h.bytes}, err
 }
 
-// TestFullLogIsCompacted has more under way than the log may hold beside its snapshot. Danger: the log is full of what is
+// TestFullLogIsCompacted has more in flight than the log may hold beside its snapshot. Danger: the log is full of what is
 // committed, each append is refused, and the compaction that would make room waits behind them for good.
 func TestFullLogIsCompacted(t *testing.T) {
 	const size = 15 << 20
@@ -125,8 +125,8 @@
 	}
 }
 
-// TestCompactionAheadOfTheLog is due to compact while what is committed is not all on its own disk yet, as on a keeper that is
-// fed under load. Danger: the log refuses a snapshot beyond its end, and the compaction is tried again for good.
+// TestCompactionAheadOfTheLog is due to compact while what is committed is not all on its own disk yet, as on a node that is
+// caught up under load. Danger: the log refuses a snapshot beyond its end, and the compaction is tried again for good.
 func TestCompactionAheadOfTheLog(t *testing.T) {
 	a := newSingleNode(t, toyMachine{}, t.TempDir())
 	a.change(1, 3, 100)
@@ -145,8 +145,8 @@
 	}
 }
 
-// TestSupersededNodeFails opens the log in another process while the keeper runs. Danger: it tries again for good, and nobody is
-// told that two keepers run on one data directory.
+// TestSupersededNodeFails opens the log in another process while the node runs. Danger: it tries again for good, and nobody is
+// told that two nodes run on one data directory.
 func TestSupersededNodeFails(t *testing.T) {
 	folder := t.TempDir()
 	single := newSingleNode(t, toyMachine{}, folder)
--- a/internal/system/replication/downstream_test.go
+++ b/internal/system/replication/downstream_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// TestSnapshotInFlightIsNotResent: danger: a large snapshot takes longer than the wait for its receipt, and the link is
+// TestSnapshotInFlightIsNotResent: danger: a large snapshot takes longer than the wait for its receipt, and the replica is
 // filled with copies of it.
 func TestSnapshotInFlightIsNotResent(t *testing.T) {
 	cluster := newScriptedCluster(t)
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestSlowNetworkIsNotFilledWithDuplicates brings a keeper that was away for 400 and for 2,000 changes up to date through a link
-// of 1 MB/s, while changes go on at 20 a second. Danger: what is under way is sent again and again, and never ends.
+// TestSlowNetworkIsNotFilledWithDuplicates brings a node that was away for 400 and for 2,000 changes up to date through a network
+// of 1 MB/s, while changes go on at 20 a second. Danger: what is in flight is sent again and again, and never ends.
 func TestSlowNetworkIsNotFilledWithDuplicates(t *testing.T) {
 	for _, away := range []time.Duration{20 * time.Second, 100 * time.Second} {
 		cluster := newScriptedCluster(t)
--- a/internal/system/replication/golden_trace_test.go
+++ b/internal/system/replication/golden_trace_test.go
@@ -17,10 +17,10 @@
 // goldenFile holds a line "scenario seed steps digest" for each play; GRADEUSHER_WRITE_GOLDEN=1 writes it anew.
 const goldenFile = "testdata/golden_trace.txt"
 
-// goldenTrace is the digest of all that goes out of the cores of a world, in the order of the simulation. It takes wire
+// goldenTrace is the digest of all that goes out of the cores of a simulation, in the order of the simulation. It takes wire
 // bytes, numbers and fixed tags, and no name of the code nor text meant for people. Nothing is sorted here: a play runs in one
-// goroutine, on the clock and the random numbers of its world, and the cores put out all in an order of their own. The digests
-// also rest on what the harness draws: a change of the world, of its faults or of the toy state needs them written anew.
+// goroutine, on the clock and the random numbers of its simulation, and the cores put out all in an order of their own. The digests
+// also rest on what the harness draws: a change of the simulation, of its faults or of the toy state needs them written anew.
 type goldenTrace struct {
 	sum   hash.Hash
 	buf   []byte
@@ -125,7 +125,7 @@
 	}
 }
 
-// reply records the answer to a proxy that follows the keepers.
+// reply records the answer to a proxy that follows the nodes.
 func (g *goldenTrace) reply(w *clusterSim, m *simNode, r *pollReply) {
 	g.steps++
 	g.text("reply")
@@ -176,7 +176,7 @@
 	seeds []uint64
 	topology
 	faults  []fault
-	joiners int           // machines that join, each in a zone of its own
+	joiners int           // nodes that join, each in a zone of its own
 	until   time.Duration // the end of the faults
 }
 
@@ -216,7 +216,7 @@
 		{at: 5 * time.Second, kind: faultZone, act: faultWipe, a: 0, duration: 2 * time.Second},
 	}},
 	{name: "rebalance", seeds: []uint64{1}, topology: topology{4, 0, 1, 2, 0, 1}, joiners: 2, until: 14 * time.Second},
-	{name: "random", seeds: []uint64{1, 3, 5, 16, 27, 117, zoneSeeds + 1}}, // 117: links seal an epoch
+	{name: "random", seeds: []uint64{1, 3, 5, 16, 27, 117, zoneSeeds + 1}}, // 117: replicas seal an epoch
 }
 
 // playGolden plays a scenario and gives the steps and the digest.
@@ -254,7 +254,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	t.Cleanup(func() { _ = f.Close() })
 	golden := map[string]string{}
 	for in := bufio.NewScanner(f); in.Scan(); {
 		if parts := strings.SplitN(in.Text(), " ", 3); len(parts) == 3 {
--- a/internal/system/replication/late_messages_test.go
+++ b/internal/system/replication/late_messages_test.go
@@ -7,7 +7,7 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// playLateForward holds up a change on its way to the head for 20 s, while nothing else happens to the keepers. Its caller
+// playLateForward holds up a change on its way to the head for 20 s, while nothing else happens to the nodes. Its caller
 // has long been told that there is no clear answer, and a later change was acknowledged. Danger: it undoes the later one.
 func playLateForward(t *testing.T, h TestingKnobs) string {
 	cluster := threeNodes(t, 1, h)
@@ -34,7 +34,7 @@
 	return ""
 }
 
-// TestForwardedChangeHasDeadline: a change that comes within its time is taken, also one that was under way for a while.
+// TestForwardedChangeHasDeadline: a change that comes within its time is taken, also one that was in flight for a while.
 func TestForwardedChangeHasDeadline(t *testing.T) {
 	cluster := threeNodes(t, 1, TestingKnobs{})
 	head, sender := cluster.replica(0), cluster.replica(2)
@@ -54,14 +54,14 @@
 	cluster.until(500*time.Millisecond, "the change that was under way for 3.5 of its 4 s", func() bool { return cluster.answered(id) })
 }
 
-// TestCatchUpOfFormerIncarnationProvesNothing delivers to a keeper outside the chain, right after its restart, what it was fed
-// before. Danger: the answer to a call of its former life passes for one to a call of now, and the past for the newest.
+// TestCatchUpOfFormerIncarnationProvesNothing delivers to a node outside the chain, right after its restart, what it was caught up
+// before. Danger: the answer to a call of its former incarnation passes for one to a call of now, and the past for the newest.
 func TestCatchUpOfFormerIncarnationProvesNothing(t *testing.T) {
 	cluster := threeNodes(t, 1, TestingKnobs{})
 	spare := Config{Self: Member{Addr: "d", Zone: "zone d", Region: "r"}, MachineLosses: 1, Seeds: []string{"a", "b", "c"}}
 	cluster.start(spare)
 	var old []Envelope
-	cluster.filter = func(from, to string, m *replicationpb.Message) bool {
+	cluster.filter = func(_, to string, m *replicationpb.Message) bool {
 		if to == "d" && m.GetAppend() != nil {
 			old = append(old, Envelope{Addr: to, Msg: m})
 		}
@@ -73,7 +73,7 @@
 	}
 	cluster.nodes["d"].core = nil
 	fresh := false
-	cluster.filter = func(from, to string, m *replicationpb.Message) bool {
+	cluster.filter = func(_, to string, m *replicationpb.Message) bool {
 		return fresh || to != "d" || m.GetAppend() == nil
 	}
 	id := cluster.submit("a", evacuating("newer"), time.Second)
--- a/internal/system/replication/leave_test.go
+++ b/internal/system/replication/leave_test.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// holders counts the keepers other than addr whose disk holds the records up to seq.
+// holders counts the nodes other than addr whose disk holds the records up to seq.
 func (cluster *scriptedCluster) holders(seq uint64, addr string) int {
 	n := 0
 	for a, x := range cluster.nodes {
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestLeavingNodeWaitsForEnoughReplicas has a link leave while another is away. Danger: it goes, and what was acknowledged is
-// left on a single disk, though a machine may be lost at any time.
+// TestLeavingNodeWaitsForEnoughReplicas has a replica leave while another is away. Danger: it goes, and what was acknowledged is
+// left on a single disk, though a node may be lost at any time.
 func TestLeavingNodeWaitsForEnoughReplicas(t *testing.T) {
 	for leaves := range 2 {
 		t.Run([]string{"head", "tail"}[leaves], func(t *testing.T) {
@@ -86,7 +86,7 @@
 	}
 }
 
-// TestLeavingNodeHandsOverOnlyReplica: a single link leaves and another keeper is there. Danger: it never hands over.
+// TestLeavingNodeHandsOverOnlyReplica: a single replica leaves and another node is there. Danger: it never hands over.
 func TestLeavingNodeHandsOverOnlyReplica(t *testing.T) {
 	cluster := threeNodes(t, 0, TestingKnobs{})
 	cluster.nodes["b"].core, cluster.nodes["c"].core = nil, nil
@@ -103,8 +103,8 @@
 	}
 }
 
-// TestLeavingNodeLeadsWhenNobodyElseCan loses the only other copy while a link waits to leave. Danger: the changes are on the
-// leaver's disk alone, nobody else may lead, and it does not any more.
+// TestLeavingNodeLeadsWhenNobodyElseCan loses the only other copy while a replica waits to leave. Danger: the changes are on the
+// leaving node's disk alone, nobody else may lead, and it does not any more.
 func TestLeavingNodeLeadsWhenNobodyElseCan(t *testing.T) {
 	cluster := threeNodes(t, 1, TestingKnobs{})
 	cluster.nodes["c"].core = nil
--- a/internal/system/replication/memory_log_test.go
+++ b/internal/system/replication/memory_log_test.go
@@ -11,7 +11,7 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// reread is e as it comes back from the log on disk or from another keeper.
+// reread is e as it comes back from the log on disk or from another node.
 func reread(t rapid.TB, e *entry) entry {
 	t.Helper()
 	data, err := proto.Marshal(e.pb())
--- a/internal/system/replication/node_observer_test.go
+++ b/internal/system/replication/node_observer_test.go
@@ -13,7 +13,7 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// TestNodeWithoutDisk starts an observer beside three keepers: it needs no disk, and passes calls on.
+// TestNodeWithoutDisk starts an observer beside three nodes: it needs no disk, and passes calls on.
 func TestNodeWithoutDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		group := newFleet(t, 3)
--- a/internal/system/replication/node_test.go
+++ b/internal/system/replication/node_test.go
@@ -168,7 +168,7 @@
 			}
 			cancel()
 		}
-		// A goodbye takes a keeper out of the chain at once.
+		// A goodbye takes a node out of the chain at once.
 		began := time.Now()
 		nodes[group.seeds[1]].Leave(context.Background())
 		if d := time.Since(began); d > 300*time.Millisecond {
--- a/internal/system/replication/observer_test.go
+++ b/internal/system/replication/observer_test.go
@@ -9,7 +9,7 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// observed is a keeper's configuration at addr, one of those without a disk when it is in observers.
+// observed is a node's configuration at addr, one of those without a disk when it is in observers.
 func observed(addr string, seeds, observers []string) Config {
 	return Config{
 		Self: Member{Addr: addr, Zone: "z" + addr[len(addr)-1:], Region: "r"}, MachineLosses: 1, Seeds: seeds, Bootstrap: true,
@@ -31,7 +31,7 @@
 	}
 }
 
-// TestFirstViewWithSeedsThatAreObservers starts five keepers, of which the first three are seeds and 0 to 2 of these have
+// TestFirstViewWithSeedsThatAreObservers starts five nodes, of which the first three are seeds and 0 to 2 of these have
 // no disk. Danger: the seeds with a disk are no majority of the seeds, and no first view is formed.
 func TestFirstViewWithSeedsThatAreObservers(t *testing.T) {
 	addrs := []string{"k1", "k2", "k3", "k4", "k5"}
@@ -78,7 +78,7 @@
 	cluster.until(5*time.Second, "a view by both", func() bool { return cluster.complete(2, 2) })
 }
 
-// TestAnObserverNeverJoins keeps observers beside a chain that lacks a link. Danger: one without a disk is taken in.
+// TestAnObserverNeverJoins keeps observers beside a chain that lacks a replica. Danger: one without a disk is taken in.
 func TestAnObserverNeverJoins(t *testing.T) {
 	addrs := []string{"k1", "k2", "k3"}
 	cluster := newScriptedCluster(t)
@@ -111,7 +111,7 @@
 	}
 }
 
-// TestLateNodeKnowsObserversOnly starts a keeper whose seeds are all observers. Danger: it never learns of the others.
+// TestLateNodeKnowsObserversOnly starts a node whose seeds are all observers. Danger: it never learns of the others.
 func TestLateNodeKnowsObserversOnly(t *testing.T) {
 	addrs := []string{"k1", "k2", "k3"}
 	observers := []string{"o1", "o2", "o3"}
@@ -170,7 +170,7 @@
 	}
 }
 
-// TestAllSeedsAreObservers: no seed has a disk; the keepers that do are formed into the first view by the seeds, at any
+// TestAllSeedsAreObservers: no seed has a disk; the nodes that do are formed into the first view by the seeds, at any
 // number of them. Danger: nobody may form it, and the system never starts.
 func TestAllSeedsAreObservers(t *testing.T) {
 	seeds := []string{"o1", "o2", "o3"}
@@ -192,7 +192,7 @@
 	}
 }
 
-// TestSeedsWithoutADiskFormOneView cuts the three seeds, all observers, from each other in turn while two groups of keepers
+// TestSeedsWithoutADiskFormOneView cuts the three seeds, all observers, from each other in turn while two groups of nodes
 // are there, and restarts one of them. Danger: two first views.
 func TestSeedsWithoutADiskFormOneView(t *testing.T) {
 	seeds := []string{"o1", "o2", "o3"}
--- a/internal/system/replication/partition_test.go
+++ b/internal/system/replication/partition_test.go
@@ -8,9 +8,9 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// TestPartitionOf20Seconds cuts one link of three off for 20 s, both ways or one, with all that was under way delivered late, at
+// TestPartitionOf20Seconds cuts one replica of three off for 20 s, both ways or one, with all that was in flight delivered late, at
 // the end. It is asked for reads and changes all the while, and changes go on at the others. Danger: it gives the past for
-// new, refuses what it cannot judge, or takes long to be a link again.
+// new, refuses what it cannot judge, or takes long to be a replica again.
 func TestPartitionOf20Seconds(t *testing.T) {
 	directions := map[string]func(from, to, cut string) bool{
 		"both ways": func(from, to, cut string) bool { return from == cut || to == cut },
--- a/internal/system/replication/paused_test.go
+++ b/internal/system/replication/paused_test.go
@@ -7,14 +7,14 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// TestPausedVoterWaitsBeforeItPlans freezes the voter that would propose first for 20 s. When it wakes, one message waits
+// TestPausedVoterWaitsBeforeItPlans pauses the voter that would propose first for 20 s. When it wakes, one message waits
 // in its sockets, and nobody else has been heard for 20 s. Danger: it takes the others for gone and cuts them out.
 func TestPausedVoterWaitsBeforeItPlans(t *testing.T) {
 	cluster := threeNodes(t, 1, TestingKnobs{})
 	n := cluster.nodes["a"]
 	n.paused = true
 	var waiting []Envelope
-	cluster.filter = func(from, to string, m *replicationpb.Message) bool {
+	cluster.filter = func(_, to string, m *replicationpb.Message) bool {
 		if to == "a" && m.GetHeartbeat() != nil {
 			waiting = append(waiting, Envelope{Addr: to, Msg: m})
 		}
--- a/internal/system/replication/placement_test.go
+++ b/internal/system/replication/placement_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// sizes are how many keepers stand in each zone.
+// sizes are how many nodes stand in each zone.
 var sizes = [][]int{
 	{1}, {2}, {1, 1}, {3}, {2, 1}, {1, 1, 1}, {2, 2}, {3, 1}, {2, 1, 1}, {1, 1, 1, 1}, {3, 2}, {3, 1, 1}, {2, 2, 1}, {2, 1, 1, 1},
 	{1, 1, 1, 1, 1}, {3, 3}, {2, 2, 2}, {4, 1, 1}, {2, 2, 1, 1}, {3, 2, 2}, {5, 1, 1}, {2, 2, 2, 1}, {4, 4}, {3, 3, 2}, {2, 2, 2, 2},
@@ -26,7 +26,7 @@
 	return out
 }
 
-// placed are the members of a layout; the keepers of a zone do not follow each other in the order of their identities.
+// placed are the members of a layout; the nodes of a zone do not follow each other in the order of their identities.
 func placed(layout []int) []Member {
 	var out []Member
 	for k := 0; len(out) < sum(layout); k++ {
@@ -75,8 +75,8 @@
 	return cluster
 }
 
-// TestSizesFollowTheTolerance forms each layout under each tolerance, and holds voters and links against what the best
-// choice among the keepers would bear. Danger: as many keepers as are needed run, and a loss that is tolerated ends the
+// TestSizesFollowTheTolerance forms each layout under each tolerance, and holds voters and replicas against what the best
+// choice among the nodes would bear. Danger: as many nodes as are needed run, and a loss that is tolerated ends the
 // system, because those who vote stand in the wrong places.
 func TestSizesFollowTheTolerance(t *testing.T) {
 	for _, layout := range layouts() {
@@ -124,7 +124,7 @@
 			if !subsets(members, min(len(members), cfg.targetVoters()), cfg.votersTolerateLosses) {
 				continue
 			}
-			losses := [][]Member{nil} // nil: the first links and then voters
+			losses := [][]Member{nil} // nil: the first replicas and then voters
 			for z := range layout {
 				losses = append(losses, slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.Zone != fmt.Sprintf("z%d", z) }))
 			}
@@ -160,7 +160,7 @@
 	t.Logf("%d losses; the longest wait for a change was %v", runs, longest)
 }
 
-// TestVotersMoveApart: three voters of which two stand in one zone, since the third zone's keeper came late, are
+// TestVotersMoveApart: three voters of which two stand in one zone, since the third zone's node came late, are
 // exchanged, and never below what may acknowledge. Danger: the loss of that zone takes the majority.
 func TestVotersMoveApart(t *testing.T) {
 	members := []Member{
--- a/internal/system/replication/reach_test.go
+++ b/internal/system/replication/reach_test.go
@@ -9,7 +9,7 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// reachCluster is three links, a spare and an observer.
+// reachCluster is three replicas, a spare and an observer.
 func reachCluster(t *testing.T) *scriptedCluster {
 	cluster := threeNodes(t, 1, TestingKnobs{})
 	seeds := []string{"a", "b", "c"}
@@ -24,8 +24,8 @@
 	return n.core.Partitioned(cluster.clock(n))
 }
 
-// TestPartitioned cuts each kind of keeper off, both ways or one. Danger: it is not noticed, or lasts on after the cut, or keepers
-// that the cut does not concern count as cut off too. While it is told, what is asked of the keeper is not answered.
+// TestPartitioned cuts each kind of node off, both ways or one. Danger: it is not noticed, or lasts on after the cut, or nodes
+// that the cut does not concern count as partitioned too. While it is told, what is asked of the node is not answered.
 func TestPartitioned(t *testing.T) {
 	directions := map[string]func(from, to, cut string) bool{
 		"both ways": func(from, to, cut string) bool { return from == cut || to == cut },
@@ -64,7 +64,7 @@
 }
 
 // TestNotPartitionedWhileChangesAreAccepted: danger: a change is refused that the chain would take, since a few heartbeats were lost,
-// the head was lost, the process stood still, or no voter but the head is reached. Changes are asked for at all keepers.
+// the head was lost, the process was paused, or no voter but the head is reached. Changes are asked for at all nodes.
 func TestNotPartitionedWhileChangesAreAccepted(t *testing.T) {
 	const lasts = 20 * time.Second
 	for name, prepare := range map[string]func(*scriptedCluster){
@@ -79,7 +79,7 @@
 			head := cluster.replica(0)
 			outside := func(a string) bool { return a == "s" || a == "o" }
 			cluster.filter = func(from, to string, _ *replicationpb.Message) bool {
-				return !(outside(from) && to != head || outside(to) && from != head)
+				return (!outside(from) || to == head) && (!outside(to) || from == head)
 			}
 		},
 		"the head is lost, and its repair takes three seconds": func(cluster *scriptedCluster) {
@@ -128,14 +128,14 @@
 	}
 }
 
-// pause freezes a keeper for ten seconds.
+// pause pauses a node for ten seconds.
 func (cluster *scriptedCluster) pause(addr string) {
 	cluster.nodes[addr].paused = true
 	cluster.run(10 * time.Second)
 	cluster.nodes[addr].paused = false
 }
 
-// TestNotPartitionedOverSlowNetwork: danger: keepers 150 ms apart count as cut off between two heartbeats.
+// TestNotPartitionedOverSlowNetwork: danger: nodes 150 ms apart count as partitioned between two heartbeats.
 func TestNotPartitionedOverSlowNetwork(t *testing.T) {
 	cluster := reachCluster(t)
 	var underWay []arrival
@@ -157,7 +157,7 @@
 	}
 }
 
-// TestPartitionedBeforeAnyView: a keeper that hears nobody and knows of no view is cut off, one that hears another waits.
+// TestPartitionedBeforeAnyView: a node that hears nobody and knows of no view is partitioned, one that hears another waits.
 func TestPartitionedBeforeAnyView(t *testing.T) {
 	for others := range 2 {
 		cluster := newScriptedCluster(t)
--- a/internal/system/replication/repair_test.go
+++ b/internal/system/replication/repair_test.go
@@ -7,10 +7,10 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// catchUp is how long after its return a machine may still count as lost.
+// catchUp is how long after its return a node may still count as lost.
 const catchUp = 4 * time.Second
 
-// settle runs a world without faults until its view is whole.
+// settle runs a simulation without faults until its view is whole.
 func settle(t *testing.T, w *clusterSim, limit time.Duration) time.Duration {
 	t.Helper()
 	began := w.now
@@ -25,7 +25,7 @@
 	return w.now - began
 }
 
-// TestLostDiskIsRepairedInTime wipes, replaces or restarts one machine after another. Danger: the next one is lost
+// TestLostDiskIsRepairedInTime wipes, replaces or restarts one node after another. Danger: the next one is lost
 // catch_up_s after the return of the one before, and that would be one too many.
 func TestLostDiskIsRepairedInTime(t *testing.T) {
 	longest := map[string]time.Duration{}
@@ -75,8 +75,8 @@
 	t.Logf("whole again after at most %v", longest)
 }
 
-// TestChangesWaitOnlyForTheRepair measures the longest time in which no change is acknowledged when one link goes.
-// Danger: it comes near ack_ms, and an operator's change is refused though only one machine was lost.
+// TestChangesWaitOnlyForTheRepair measures the longest time in which no change is acknowledged when one replica goes.
+// Danger: it comes near ack_ms, and an operator's change is refused though only one node was lost.
 func TestChangesWaitOnlyForTheRepair(t *testing.T) {
 	var longest time.Duration
 	for seed := range uint64(30) {
--- a/internal/system/replication/restart_test.go
+++ b/internal/system/replication/restart_test.go
@@ -12,7 +12,7 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// TestAllNodesRestartFromTheirLogs ends all keepers at the same moment and starts them again on their own files. Danger:
+// TestAllNodesRestartFromTheirLogs ends all nodes at the same moment and starts them again on their own files. Danger:
 // what was acknowledged is on disk, and nobody answers for it.
 func TestAllNodesRestartFromTheirLogs(t *testing.T) {
 	folders := map[string]string{}
--- a/internal/system/replication/restore_test.go
+++ b/internal/system/replication/restore_test.go
@@ -35,7 +35,7 @@
 	return state
 }
 
-// restoredFleet is keepers on real files.
+// restoredFleet is nodes on real files.
 type restoredFleet struct {
 	*fleet
 	folders map[string]string
@@ -80,7 +80,7 @@
 	f.nodes[addr] = k
 }
 
-// serves checks that every keeper holds the records of want, and that a further change comes about on all.
+// serves checks that every node holds the records of want, and that a further change comes about on all.
 func (f *restoredFleet) serves(when string, want *controlstate.State, next string) *controlstate.State {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -113,7 +113,7 @@
 	return after
 }
 
-// TestRestoredNodesFormFirstView restores some of three keepers. Danger: the head is one that holds nothing, and the
+// TestRestoredNodesFormFirstView restores some of three nodes. Danger: the head is one that holds nothing, and the
 // others go on with another log below the same numbers.
 func TestRestoredNodesFormFirstView(t *testing.T) {
 	long, short, other := restored(t, "long", 700), restored(t, "long", 300), restored(t, "other", 500)
--- a/internal/system/replication/scenarios_test.go
+++ b/internal/system/replication/scenarios_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// threeNodes starts keepers a, b and c in a zone each and waits until all are links.
+// threeNodes starts nodes a, b and c in a zone each and waits until all are replicas.
 func threeNodes(t *testing.T, machines int, h TestingKnobs) *scriptedCluster {
 	return formThreeNodes(newScriptedCluster(t), machines, h)
 }
@@ -68,7 +68,7 @@
 func between(from, to, a, b string) bool { return from == a && to == b || from == b && to == a }
 
 // playAcceptedView cuts the tail from the head. The voter between them accepts the next view and is
-// not told that it is chosen; it is no link of it, since it is about to leave. Then the new chain acknowledges while tail
+// not told that it is chosen; it is no replica of it, since it is about to leave. Then the new chain acknowledges while tail
 // and voter are a majority of the former view. Danger: together they answer a read with the past.
 func playAcceptedView(t *testing.T, h TestingKnobs) string {
 	cluster := threeNodes(t, 0, h)
@@ -120,7 +120,7 @@
 // time. Danger: it undoes the second.
 func playForwardOfAnEarlierEpoch(t *testing.T, h TestingKnobs) string {
 	cluster := threeNodes(t, 0, h)
-	sender := cluster.replica(2) // votes on, but is no link any more, so that the two others lead in turn
+	sender := cluster.replica(2) // votes on, but is no replica any more, so that the two others lead in turn
 	n := cluster.nodes[sender]
 	n.core.Leave(cluster.clock(n))
 	cluster.until(3*time.Second, "a chain of two", func() bool { return cluster.complete(2, 3) })
@@ -129,7 +129,7 @@
 	first := cluster.submit(sender, evacuating("first"), 20*time.Second)
 	cluster.run(100 * time.Millisecond)
 	off := head
-	cluster.filter = func(from, to string, m *replicationpb.Message) bool { return from != off && to != off }
+	cluster.filter = func(from, to string, _ *replicationpb.Message) bool { return from != off && to != off }
 	leads := func(addr string) bool { c := cluster.nodes[addr].core; return c.chain.isHead() && c.chain.isTail() }
 	cluster.until(3*time.Second, "the other leads", func() bool { return leads(other) })
 	cluster.until(time.Second, "the first change ends", func() bool { return cluster.done[first].ID != 0 })
--- a/internal/system/replication/scripted_cluster_test.go
+++ b/internal/system/replication/scripted_cluster_test.go
@@ -28,7 +28,7 @@
 	slowNetworks map[string]*slowNetwork // by address: what arrives there through a slow link
 }
 
-// slowNetwork is a slow link to a keeper, on which appends and snapshots wait for each other.
+// slowNetwork is a slow link to a node, on which appends and snapshots wait for each other.
 type slowNetwork struct {
 	bytesPerSecond float64 // bytes a second
 	freeAt         time.Duration
@@ -67,8 +67,8 @@
 	return &scriptedCluster{t: t, nodes: map[string]*scriptedNode{}, done: map[uint64]Completion{}, machine: toyMachine{}, slowNetworks: map[string]*slowNetwork{}}
 }
 
-// start starts a keeper at cfg.Self.Addr, on the disk that it left there.
-func (cluster *scriptedCluster) start(cfg Config) *scriptedNode {
+// start starts a node at cfg.Self.Addr, on the disk that it left there.
+func (cluster *scriptedCluster) start(cfg Config) {
 	cluster.t.Helper()
 	addr := cfg.Self.Addr
 	started := cluster.nodes[addr]
@@ -87,7 +87,6 @@
 	}
 	started.core, started.cfg, started.startedAt, started.paused, started.pending = core, cfg, cluster.now, false, nil
 	cluster.collect(addr)
-	return started
 }
 
 func (cluster *scriptedCluster) clock(n *scriptedNode) time.Duration {
@@ -227,7 +226,7 @@
 	return newest
 }
 
-// complete tells whether the newest view has that many links and voters, and all links are active.
+// complete tells whether the newest view has that many replicas and voters, and all replicas are active.
 func (cluster *scriptedCluster) complete(links, voters int) bool {
 	v := cluster.view()
 	if len(v.Chain) != links || len(v.Voters) != voters {
--- a/internal/system/replication/second_loss_test.go
+++ b/internal/system/replication/second_loss_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// lossKinds are the ways in which the first machine goes.
+// lossKinds are the ways in which the first node goes.
 var lossKinds = []string{"killed", "wiped", "leaving", "replaced"}
 
-// five forms a chain of five keepers that bears the loss of two, and has three changes acknowledged.
+// five forms a chain of five nodes that bears the loss of two, and has three changes acknowledged.
 func five(t *testing.T) *scriptedCluster {
 	cluster := newScriptedCluster(t)
 	var addrs []string
@@ -28,7 +28,7 @@
 	return cluster
 }
 
-// again starts a keeper with an empty disk, and so another identity, at addr.
+// again starts a node with an empty disk, and so another identity, at addr.
 func (cluster *scriptedCluster) again(addr string, cfg Config) {
 	cfg.Bootstrap = false
 	cfg.Self.Addr = addr
@@ -40,7 +40,7 @@
 	cluster.start(cfg)
 }
 
-// heal brings the first machine heal as its kind of loss has it.
+// heal brings the first node back as its kind of loss has it.
 func (cluster *scriptedCluster) heal(kind, addr string) {
 	n := cluster.nodes[addr]
 	switch kind {
@@ -53,7 +53,7 @@
 	}
 }
 
-// TestSecondLossAtEachStepOfRepair loses one machine of five, has it come back 1 s later, and loses a second one, with
+// TestSecondLossAtEachStepOfRepair loses one node of five, has it come back 1 s later, and loses a second one, with
 // its disk, at each step on the way: every REPLICATION_STEP_MS from the first loss until all is well again. A third is not
 // lost. Danger: at some step the system waits for the one that is lost next.
 func TestSecondLossAtEachStepOfRepair(t *testing.T) {
@@ -91,7 +91,7 @@
 					if !returned {
 						cluster.heal(kind, lost)
 					}
-					at, newest := "", int64(0)
+					at := ""
 					for a, n := range cluster.nodes {
 						if n.core != nil && a != lost && a != lost+" new" {
 							at = a
@@ -99,7 +99,7 @@
 					}
 					id := cluster.submit(at, replacing(3, "after"), 5*time.Second)
 					longest = max(longest, cluster.until(5*time.Second, name+": a change", func() bool { return cluster.answered(id) }))
-					newest = cluster.nodes[at].core.chain.state.(*toy).rev
+					newest := cluster.nodes[at].core.chain.state.(*toy).rev
 					read := cluster.read(at, 2*time.Second)
 					cluster.until(2*time.Second, name+": a read", func() bool { return cluster.answered(read) })
 					if rev := cluster.done[read].State.(*toy).rev; rev != 4 {
--- a/internal/system/replication/sim_cluster_test.go
+++ b/internal/system/replication/sim_cluster_test.go
@@ -9,7 +9,7 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// clusterSim is a seeded simulation of keepers, the proxies that follow them and the operators that call them, over a faulty
+// clusterSim is a seeded simulation of nodes, the proxies that follow them and the operators that call them, over a faulty
 // network, faulty disks and a clock of its own.
 type clusterSim struct {
 	rng    *rand.Rand
@@ -27,10 +27,10 @@
 	extraDelay  time.Duration // more delay
 	triggers    []*stepTrigger
 	onAck       []func()                   // armed faults
-	onAnswer    func(*simCall, Completion) // told every answer of a keeper
+	onAnswer    func(*simCall, Completion) // told every answer of a node
 	onStep      func(string, string)       // told every step and the address that takes it
 	onOutput    func(*simNode, *Outputs)   // told all that a core wants done, before any of it is
-	onReply     func(*simNode, *pollReply) // told every answer of a keeper to a proxy
+	onReply     func(*simNode, *pollReply) // told every answer of a node to a proxy
 	eventAt     time.Duration              // of the last fault's begin or end
 
 	truth      []string // committed records, agreed by all
@@ -51,7 +51,7 @@
 
 	lost        int           // disks lost since all was well
 	lostAt      time.Duration // when the last one was
-	pending     int           // machines that are about to be replaced
+	pending     int           // nodes that are about to be replaced
 	violation   error
 	clientsDone bool
 	ackDelay    time.Duration // the last fault, a change was acknowledged
--- a/internal/system/replication/sim_faults_apply_test.go
+++ b/internal/system/replication/sim_faults_apply_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// applyGrouped applies the faults that strike several machines, or later ones.
+// applyGrouped applies the faults that strike several nodes, or later ones.
 func (w *clusterSim) applyGrouped(f fault, a *simNode) {
 	act := f
 	act.kind = f.act
@@ -139,7 +139,7 @@
 	}
 }
 
-// isolate cuts a machine off: all its links or one direction of them, or only those to other keepers, so that operators
+// isolate cuts a node off: all its replicas or one direction of them, or only those to other nodes, so that operators
 // and proxies still reach it. What it is sent meanwhile is gone, or comes after the cut.
 func (w *clusterSim) isolate(node *simNode, isolation fault) {
 	others := []string{}
@@ -162,7 +162,7 @@
 	}
 }
 
-// ackTimeout is how long a leaver waits: half of them hardly do, as if they were killed soon after.
+// ackTimeout is how long a leaving node waits: half of them hardly do, as if they were killed soon after.
 func (f fault) ackTimeout() time.Duration {
 	if f.n&2 != 0 {
 		return 200 * time.Millisecond
@@ -172,7 +172,7 @@
 
 func (m *simNode) restartAfter(d time.Duration) { m.sim.after(d, m.start) }
 
-// powerAll takes the power from all machines; some lose their disks, as many as may.
+// powerAll takes the power from all nodes; some lose their disks, as many as may.
 func (w *clusterSim) powerAll(f fault) {
 	for _, m := range w.nodes {
 		m.kill()
--- a/internal/system/replication/sim_faults_test.go
+++ b/internal/system/replication/sim_faults_test.go
@@ -27,12 +27,12 @@
 	faultPowerAfterAck
 	faultWipeAfterAck
 	faultDisksFullButOne
-	faultZone         // all machines of a zone suffer the act
-	faultGroup        // some machines suffer the act at once
+	faultZone         // all nodes of a zone suffer the act
+	faultGroup        // some nodes suffer the act at once
 	faultStep         // the act comes at the n-th step of a name
-	faultReplaceTwice // a machine, and soon its successor
-	faultJoin         // a machine more
-	faultProxy        // a proxy restarts, freezes or is cut off
+	faultReplaceTwice // a node, and soon its successor
+	faultJoin         // a node more
+	faultProxy        // a proxy restarts, pauses or is partitioned
 	faultKinds
 )
 
@@ -40,13 +40,13 @@
 	"slow disk", "stalled disk", "wipe", "replace", "leave", "power all after ack", "wipe after ack",
 	"full disks but one, which is wiped after ack", "zone", "group", "step", "replace twice", "join", "proxy"}
 
-// acts are the faults that may strike several machines at once, or at a step.
+// acts are the faults that may strike several nodes at once, or at a step.
 var acts = [...]faultKind{faultKill, faultPause, faultIsolate, faultWipe, faultPowerAll, faultReplace, faultLeave, faultDiskStall}
 
 type fault struct {
 	at       time.Duration
 	kind     faultKind
-	a, b     int // machines
+	a, b     int // nodes
 	duration time.Duration
 	n        int
 	act      faultKind // of a zone, group or step
@@ -99,7 +99,7 @@
 	return out
 }
 
-// longOutage is a machine that is cut off or away for 20 s and more.
+// longOutage is a node that is partitioned or away for 20 s and more.
 func longOutage(rng *rand.Rand, machines int, until time.Duration) fault {
 	kinds := [...]faultKind{faultIsolate, faultIsolate, faultPartitionPair, faultPause, faultKill, faultSplit}
 	dur := 20*time.Second + time.Duration(rng.IntN(4000))*time.Millisecond
--- a/internal/system/replication/sim_hardening_answers_test.go
+++ b/internal/system/replication/sim_hardening_answers_test.go
@@ -10,7 +10,7 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// fromFormerIncarnation tells whether a message answers a call of a former life of its addressee.
+// fromFormerIncarnation tells whether a message answers a call of a former incarnation of its addressee.
 func fromFormerIncarnation(m *replicationpb.Message, life uint64) bool {
 	switch b := m.GetBody().(type) {
 	case *replicationpb.Message_Answer:
@@ -23,7 +23,7 @@
 	return false
 }
 
-// playAnswers has a machine restart while answers to it lie on the way, so that they meet calls of its next life that have
+// playAnswers has a node restart while answers to it lie on the way, so that they meet calls of its next life that have
 // the same numbers. It gives how many such answers arrived.
 func playAnswers(seed uint64, s topology, role string, h TestingKnobs) (int, error) {
 	w := newClusterSim(seed, s, h)
@@ -48,7 +48,7 @@
 	return w.stats.formerIncarnation, err
 }
 
-// askMixed asks a machine for reads, changes and notes, twelve at once.
+// askMixed asks a node for reads, changes and notes, twelve at once.
 func (w *clusterSim) askMixed(m *simNode, n int) {
 	for i := range 12 {
 		a := &simCall{node: m, first: w.acked, ttl: 3 * time.Second}
@@ -65,7 +65,7 @@
 	}
 }
 
-// playLateEvacuation has a call that may not be repeated reach the head, and its repetition by the sending keeper lie on the way
+// playLateEvacuation has a call that may not be repeated reach the head, and its repetition by the sending node lie on the way
 // for 20 s. It gives how many repetitions arrived.
 func playLateEvacuation(seed uint64, s topology, knobs TestingKnobs) (int, error) {
 	w := newClusterSim(seed, s, knobs)
--- a/internal/system/replication/sim_hardening_leave_test.go
+++ b/internal/system/replication/sim_hardening_leave_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// playLeavingNode has a machine leave for good that holds the only copy of what was acknowledged: one other was away meanwhile,
-// the third has just lost its disk. It gives how long the leaver stayed.
+// playLeavingNode has a node leave for good that holds the only copy of what was acknowledged: one other was away meanwhile,
+// the third has just lost its disk. It gives how long the leaving node stayed.
 func playLeavingNode(seed uint64, patience time.Duration) (time.Duration, error) {
 	w := newClusterSim(seed, topology{3, 0, 1, 3, 0, 0}, TestingKnobs{})
 	w.operate()
@@ -63,7 +63,7 @@
 	middle.kill()
 	w.writeUnless(60, 50*time.Millisecond, middle)
 	if !w.lose(tail) {
-		return 0, fmt.Errorf("the second copy cannot be lost: %v", w.violation)
+		return 0, fmt.Errorf("the second copy cannot be lost: %w", w.violation)
 	}
 	for _, o := range []*simNode{middle, tail} {
 		if o.disk.end() >= w.acked {
@@ -119,7 +119,7 @@
 	t.Logf("control, the leaver goes at once: seed %d: %v", seed, err)
 }
 
-// TestLeavingNodeDoesNotCountTimedOutReplicas: what a link said of itself long ago does not tell that its disk is still there.
+// TestLeavingNodeDoesNotCountTimedOutReplicas: what a replica said of itself long ago does not tell that its disk is still there.
 func TestLeavingNodeDoesNotCountTimedOutReplicas(t *testing.T) {
 	v := &View{Epoch: 3, Chain: []ID{"a", "b"}, Voters: []Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
 	c := newCore(Config{MachineLosses: 1, Self: Member{ID: "c"}}, toyMachine{})
--- a/internal/system/replication/sim_hardening_operators_test.go
+++ b/internal/system/replication/sim_hardening_operators_test.go
@@ -10,18 +10,18 @@
 
 // raceRun is what came about when two operators raced under one version.
 type raceRun struct {
-	inFlight    int // calls under way at once
+	inFlight    int // calls in flight at once
 	answered    int // tries of the race that got a clear answer
 	lostAnswers int // answers that were lost
-	kills       int // keepers killed between the commit and the answer
+	kills       int // nodes killed between the commit and the answer
 	changes     int // taken between the race and the repeats
-	snapshots   int // machines whose log no longer holds the race
+	snapshots   int // nodes whose log no longer holds the race
 	retries     map[string][]string
 	err         error
 }
 
-// playRace sends two different changes of one version through every keeper at once, eight calls in all and more, loses
-// answers, kills keepers between commit and answer, and sends both again after hundreds of changes and a start of all.
+// playRace sends two different changes of one version through every node at once, eight calls in all and more, loses
+// answers, kills nodes between commit and answer, and sends both again after hundreds of changes and a start of all.
 func playRace(seed uint64, s topology, between, history int, h TestingKnobs, forgetful bool) *raceRun {
 	out := &raceRun{retries: map[string][]string{}}
 	w := newClusterSim(seed, s, h)
@@ -33,7 +33,7 @@
 	changes := []controlstate.Change{race, race}
 	changes[1].Body = fmt.Appendf(nil, "%s of the other", race.Body)
 
-	// Every second answer is lost, and two keepers die when they have just written the record and nobody knows.
+	// Every second answer is lost, and two nodes die when they have just written the record and nobody knows.
 	w.onAnswer = func(a *simCall, d Completion) {
 		if a.read || string(a.change.Body) != string(changes[0].Body) && string(a.change.Body) != string(changes[1].Body) {
 			return
@@ -96,12 +96,12 @@
 	return out
 }
 
-// write has changes made one after another, through any keeper that runs, with a pause between them.
+// write has changes made one after another, through any node that runs, with a pause between them.
 func (w *clusterSim) write(n int, pause time.Duration) {
 	w.writeUnless(n, pause, nil)
 }
 
-// writeUnless is write, but never through the machine not.
+// writeUnless is write, but never through the node not.
 func (w *clusterSim) writeUnless(n int, pause time.Duration, not *simNode) {
 	end := int64(n) + w.states[len(w.states)-1].rev
 	next := w.now
--- a/internal/system/replication/sim_hardening_outage_test.go
+++ b/internal/system/replication/sim_hardening_outage_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// levelBound is within what a member that was away for hundreds of changes is level, after the last trouble.
+// levelBound is within what a member that was away for hundreds of changes is level, after the last fault.
 const levelBound = 5 * time.Second
 
 // awayModes are the ways to be away.
@@ -57,7 +57,7 @@
 	},
 }
 
-// rejoin ends all cuts of a machine's links.
+// rejoin ends all cuts of a node's replicas.
 func (w *clusterSim) rejoin(m *simNode) {
 	var ends [][2]string
 	for k := range w.partitioned {
@@ -74,9 +74,9 @@
 type outageRun struct {
 	missed           uint64
 	installs         int // snapshots that it was sent after its return
-	upstreamLosses   int // lost while they fed it
+	upstreamLosses   int // lost while they caught up it
 	caughtUpAfter    time.Duration
-	longest          int // records in the longest log of any machine
+	longest          int // records in the longest log of any node
 	changesMeanwhile int // changes made while it caught up
 	err              error
 }
@@ -156,7 +156,7 @@
 }
 
 // TestHardeningOutageOfHundredsOfChanges: a member that missed hundreds of changes is level within levelBound after the last
-// trouble, though changes go on and its feeder is lost; logs stay bounded. REPLICATION_AWAY=2000 for the deep run, 401 for all plays of the usual length.
+// fault, though changes go on and its feeder is lost; logs stay bounded. REPLICATION_AWAY=2000 for the deep run, 401 for all plays of the usual length.
 // Danger: it leads or feeds proxies with what it held before, or never catches up.
 func TestHardeningOutageOfHundredsOfChanges(t *testing.T) {
 	type job struct {
@@ -192,7 +192,7 @@
 			t.Errorf("%v: it missed only %d changes", jobs[i], run.missed)
 		case run.caughtUpAfter > levelBound:
 			t.Errorf("%v: level after %v only", jobs[i], run.caughtUpAfter)
-		case run.longest > 100: // snapshots each 20 records, 5 kept behind, and what is under way
+		case run.longest > 100: // snapshots each 20 records, 5 kept behind, and what is in flight
 			t.Errorf("%v: a log of %d records", jobs[i], run.longest)
 		case run.changesMeanwhile < 20:
 			t.Errorf("%v: only %d changes were made meanwhile", jobs[i], run.changesMeanwhile)
--- a/internal/system/replication/sim_hardening_partition_test.go
+++ b/internal/system/replication/sim_hardening_partition_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// backBound is within what a machine that was cut off holds all again and counts as current.
+// backBound is within what a node that was partitioned holds all again and counts as current.
 const backBound = 3 * time.Second
 
-// partitionMode is how a machine is cut off.
+// partitionMode is how a node is partitioned.
 type partitionMode struct {
 	name      string
 	out, in   bool // the directions that are cut
 	late      bool // what was sent meanwhile comes after the cut
 	reachable bool // operators and proxies still reach it
-	paused    bool // instead of a cut, the process stands still
+	paused    bool // instead of a cut, the process is paused
 }
 
 var cutModes = []partitionMode{
@@ -30,12 +30,12 @@
 	{name: "frozen", paused: true},
 }
 
-// cutRoles are the machines that are cut off, as they stand when the cut begins.
+// cutRoles are the nodes that are partitioned, as they stand when the cut begins.
 var cutRoles = map[string]func(*clusterSim) *simNode{
 	"head":   func(w *clusterSim) *simNode { return w.replica(0) },
 	"second": func(w *clusterSim) *simNode { return w.replica(1) },
 	"tail":   func(w *clusterSim) *simNode { return w.replica(-1) },
-	"outsider": func(w *clusterSim) *simNode { // no link: a spare or an observer
+	"outsider": func(w *clusterSim) *simNode { // no replica: a spare or an observer
 		for _, m := range w.nodes {
 			if m.isRunning() && w.newest.chainIndex(m.core.self.ID) < 0 {
 				return m
@@ -45,7 +45,7 @@
 	},
 }
 
-// partitionRun cuts a machine off for 20 s while operators go on everywhere, and checks what it answers meanwhile.
+// partitionRun cuts a node off for 20 s while operators go on everywhere, and checks what it answers meanwhile.
 type partitionRun struct {
 	asked         int // calls that reached it during the cut
 	answered      int // of these, those that it answered with a clear answer
@@ -76,7 +76,7 @@
 		}
 	}
 	w.partitionNode(node, mode, length)
-	// Whoever is cut off is asked all the while; the others are by the operators.
+	// Whoever is partitioned is asked all the while; the others are by the operators.
 	for i := range 60 {
 		w.after(time.Duration(i)*length/60, func() {
 			w.ask(&simCall{node: node, read: i%2 == 0, change: w.newChange(100 + i)})
@@ -119,7 +119,7 @@
 	}
 }
 
-// TestHardeningPartitionOfTwentySeconds cuts each kind of machine off in each way. Danger: it answers operators or proxies by
+// TestHardeningPartitionOfTwentySeconds cuts each kind of node off in each way. Danger: it answers operators or proxies by
 // what it held, refuses what it cannot know, or is not back in force soon after.
 func TestHardeningPartitionOfTwentySeconds(t *testing.T) {
 	type job struct {
--- a/internal/system/replication/sim_invariants_test.go
+++ b/internal/system/replication/sim_invariants_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// dump shows what every machine knows.
+// dump shows what every node knows.
 func (w *clusterSim) dump() {
 	w.trace("truth %d, acked %d, lost %d, whole %v", len(w.truth), w.acked, w.lost, w.isFullyReplicated())
 	for _, m := range w.nodes {
@@ -51,7 +51,7 @@
 	return v.Epoch
 }
 
-// check holds the machine's view and committed log against those of all others.
+// check holds the node's view and committed log against those of all others.
 func (w *clusterSim) check(node *simNode) {
 	core := node.core
 	if core == nil || w.violation != nil {
@@ -129,7 +129,7 @@
 	}
 }
 
-// checkActive holds what an active link has on disk against what was acknowledged up to its epoch.
+// checkActive holds what an active replica has on disk against what was acknowledged up to its epoch.
 func (w *clusterSim) checkActive(m *simNode) {
 	c := m.core
 	if c.acceptor.durableActive == 0 || c.acceptor.activeEpoch == 0 {
@@ -147,7 +147,7 @@
 	seq uint64
 }
 
-// checkCurrent holds a keeper that would pass on what it has as new against what was acknowledged long before.
+// checkCurrent holds a node that would pass on what it has as new against what was acknowledged long before.
 func (w *clusterSim) checkCurrent(m *simNode) {
 	c := m.core
 	if c == nil || w.violation != nil || !c.Current(m.clock()) {
--- a/internal/system/replication/sim_losses_test.go
+++ b/internal/system/replication/sim_losses_test.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// lose empties the disk of a machine, when the number of disks that may be lost allows it.
+// lose empties the disk of a node, when the number of disks that may be lost allows it.
 func (w *clusterSim) lose(m *simNode) bool {
 	if m.removed || m.observer || !w.canLoseDisk() {
 		return false
@@ -20,7 +20,7 @@
 	return true
 }
 
-// replace ends a machine for good and starts another, at a new address and with an empty disk.
+// replace ends a node for good and starts another, at a new address and with an empty disk.
 func (w *clusterSim) replace(node *simNode, f fault) {
 	if node.removed || node.observer || !w.canLoseDisk() || len(w.nodes) > 40 {
 		return
@@ -47,7 +47,7 @@
 	end()
 }
 
-// successor makes a machine in the place of a.
+// successor makes a node in the place of a.
 func (w *clusterSim) successor(a *simNode, f fault) *simNode {
 	m := w.newNode(fmt.Sprintf("10.0.2.%d", len(w.nodes)), a.member.Zone, a.member.Region)
 	m.seeds = nil // the operator's list as it is now, three of them
@@ -59,7 +59,7 @@
 	return m
 }
 
-// durableState is what the machine's disk says of it.
+// durableState is what the node's disk says of it.
 func (m *simNode) durableState() (acceptorState, bool) {
 	data, ok := m.disk.meta[metaAcceptor]
 	if !ok || m.removed {
@@ -101,7 +101,7 @@
 	return true
 }
 
-// toleratesLosses tells whether enough voters and a link are left whatever zones are lost of those that may be.
+// toleratesLosses tells whether enough voters and a replica are left whatever zones are lost of those that may be.
 func (w *clusterSim) toleratesLosses(v *View) bool {
 	c := Config{MachineLosses: w.losses, ZoneLosses: w.zoneLosses}
 	var links []Member
--- a/internal/system/replication/sim_network_test.go
+++ b/internal/system/replication/sim_network_test.go
@@ -8,20 +8,20 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// outside is the address of everyone who is neither keeper nor proxy: operators and their clients.
+// outside is the address of everyone who is neither node nor proxy: operators and their clients.
 const outside = "outside"
 
-// maxHeld is how many messages a cut link holds back, as the buffers of its connections do.
+// maxHeld is how many messages a partitioned path holds back, as the buffers of its connections do.
 const maxHeld = 200
 
-// partitionedPath is one direction of a link that carries nothing.
+// partitionedPath is one direction between two addresses, which carries nothing.
 type partitionedPath struct {
 	until   time.Duration
 	late    bool // what is sent meanwhile arrives after the cut
 	delayed []func()
 }
 
-// block cuts one direction of a link.
+// block partitions one direction between two addresses.
 func (w *clusterSim) block(from, to string, length time.Duration, late bool) {
 	if from == to || w.beyond(from) && w.beyond(to) {
 		return
@@ -43,7 +43,7 @@
 	})
 }
 
-// beyond tells whether the address is no keeper's.
+// beyond tells whether the address is no node's.
 func (w *clusterSim) beyond(addr string) bool {
 	return addr == outside || strings.HasPrefix(addr, proxyPrefix)
 }
@@ -69,7 +69,7 @@
 	return w.partitioned[[2]string{a, b}] == nil && w.partitioned[[2]string{b, a}] == nil
 }
 
-// carry brings something from one address to another, unless the link is cut or loses it.
+// carry brings something from one address to another, unless the replica is cut or loses it.
 func (w *clusterSim) carry(from, to string, delay time.Duration, do func()) {
 	if l := w.partitioned[[2]string{from, to}]; l != nil {
 		if l.late && len(l.delayed) < maxHeld {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// messageKinds are the names of the messages between keepers, by the type of their body.
+// messageKinds are the names of the messages between nodes, by the type of their body.
 var messageKinds = func() map[reflect.Type]string {
 	kinds := map[reflect.Type]string{}
 	fields := (&replicationpb.Message{}).ProtoReflect().Descriptor().Oneofs().ByName("body").Fields()
--- a/internal/system/replication/sim_node_test.go
+++ b/internal/system/replication/sim_node_test.go
@@ -9,7 +9,7 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// simNode is one keeper's simNode.
+// simNode is one node: its process, its disk and its place.
 type simNode struct {
 	sim             *clusterSim
 	name            int
@@ -26,7 +26,7 @@
 	paused          bool
 	resumedAt       time.Duration // 0: never
 	inbox           []func()
-	lastCallID      uint64              // of the calls to this life, as Keeper numbers them
+	lastCallID      uint64              // of the calls to this life, as Node numbers them
 	calls           map[uint64]*simCall // not yet ended
 	bootstrap       bool                // may form the first view
 	observer        bool                // an observer: it has no disk
@@ -100,7 +100,7 @@
 	m.sim.after(25*time.Millisecond+time.Duration(m.sim.rng.IntN(5))*time.Millisecond, func() { m.tick(core) })
 }
 
-// run has the process do something when it is not frozen.
+// run has the process do something when it is not paused.
 func (m *simNode) run(core *Core, do func()) {
 	if m.core != core || core == nil {
 		return
@@ -143,7 +143,7 @@
 	}
 }
 
-// kill ends the process; with it goes what is not on disk. A write under way may or may not have come about.
+// kill ends the process; with it goes what is not on disk. A write in flight may or may not have come about.
 func (m *simNode) kill() {
 	if m.core == nil {
 		return
--- a/internal/system/replication/sim_operators_test.go
+++ b/internal/system/replication/sim_operators_test.go
@@ -7,18 +7,18 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// simCall is a change or read that goes to one machine, and what was known when it was simCall for.
+// simCall is a change or read that goes to one node, and what was known when it was asked for.
 type simCall struct {
 	node   *simNode
 	read   bool
 	change controlstate.Change
-	fenced bool          // the keeper that takes it up fills in the fence: the newest record that it knows
+	fenced bool          // the node that takes it up fills in the fence: the newest record that it knows
 	ttl    time.Duration // 0: drawn
 	sent   time.Duration
 	acked  uint64 // newest record acknowledged or read when this try was sent
 	first  uint64 // and when the first try was
 	onDone func(Completion)
-	inside func(Completion) // instead: the keeper's own read, on behalf of a call
+	inside func(Completion) // instead: the node's own read, on behalf of a call
 	closed bool             // the caller has an answer, or has given up
 }
 
@@ -46,7 +46,7 @@
 	})
 }
 
-// submit takes up a call at the keeper. Its time to live begins here, however long it lay in a socket.
+// submit takes up a call at the node. Its time to live begins here, however long it lay in a socket.
 func (m *simNode) submit(a *simCall) {
 	if a.fenced {
 		m.submitFenced(a)
@@ -60,7 +60,7 @@
 	m.core.Submit(m.clock(), id, a.change, a.ttl)
 }
 
-// number files a call under a number of its own, as Keeper does in each life anew.
+// number files a call under a number of its own, as Node does in each life anew.
 func (m *simNode) number(a *simCall) uint64 {
 	m.lastCallID++
 	m.calls[m.lastCallID] = a
@@ -71,7 +71,7 @@
 const stallFence = time.Second
 
 // submitFenced takes up an order of a zone as control does: the fence is the newest record known when the order came; then
-// the keeper reads, and passes the order on if its caller is still there.
+// the node reads, and passes the order on if its caller is still there.
 func (m *simNode) submitFenced(call *simCall) {
 	w, core := m.sim, m.core
 	if m.resumedAt > 0 && w.now-m.resumedAt < stallFence {
@@ -122,7 +122,7 @@
 	return d.Outcome == Answered && d.Verdict.Kind != controlstate.Uncertain && d.Verdict.Kind != controlstate.Superseded
 }
 
-// pickNode draws a machine that runs; it may be frozen or cut off.
+// pickNode draws a node that runs; it may be paused or partitioned.
 func (w *clusterSim) pickNode() *simNode {
 	for range 8 {
 		if m := w.nodes[w.rng.IntN(len(w.nodes))]; m.isRunning() {
@@ -160,7 +160,7 @@
 }
 
 // newChange draws a change of the register. What an operator knows is at best as new as the last answer, and may be what
-// a keeper has not yet confirmed.
+// a node has not yet confirmed.
 func (w *clusterSim) newChange(n int) controlstate.Change {
 	base := w.states[len(w.states)-1].rev
 	if w.rng.IntN(5) == 0 {
@@ -189,7 +189,7 @@
 	w.ask(a)
 }
 
-// resubmit asks as before, through whichever machine runs then.
+// resubmit asks as before, through whichever node runs then.
 func (w *clusterSim) resubmit(a *simCall, tries int, done func()) {
 	if w.clientsDone {
 		return
@@ -203,7 +203,7 @@
 	})
 }
 
-// operator sends up to eight orders at once: one or several changes of the same version, each through several keepers.
+// operator sends up to eight orders at once: one or several changes of the same version, each through several nodes.
 func (w *clusterSim) operator(n int) {
 	if w.violation != nil || w.clientsDone {
 		return
@@ -261,7 +261,7 @@
 	return nil
 }
 
-// zoneOperator sends the order that its zone waits for through one keeper after another until it is acknowledged.
+// zoneOperator sends the order that its zone waits for through one node after another until it is acknowledged.
 func (w *clusterSim) zoneOperator(zone *evacuationZone) {
 	if w.violation != nil || w.clientsDone {
 		return
--- a/internal/system/replication/sim_proxies_test.go
+++ b/internal/system/replication/sim_proxies_test.go
@@ -15,14 +15,14 @@
 const (
 	proxyPrefix       = "10.1."
 	longPollTimeout   = time.Second
-	pollTimeoutMargin = 400 * time.Millisecond // beyond the hold, until another keeper is taken
+	pollTimeoutMargin = 400 * time.Millisecond // beyond the hold, until another node is taken
 	seekTimeout       = 1200 * time.Millisecond
 	seekStagger       = 50 * time.Millisecond
 	avoidTime         = 2 * time.Second
 	maxPollRecords    = 64 // in one answer
 )
 
-// proxy is a process that follows the keepers, as distribution.Subscriber does.
+// proxy is a process that follows the nodes, as distribution.Subscriber does.
 type proxy struct {
 	w           *clusterSim
 	name        string
@@ -35,24 +35,24 @@
 
 	seq        uint64
 	state      *toy
-	knownNodes []string // keepers
+	knownNodes []string // nodes
 	failed     map[string]time.Duration
 	freshAt    time.Duration // when it was certainly so that nothing newer had been acknowledged; negative: never
 	calls      uint64
-	inFlight   map[uint64]func(*pollReply) // calls under way
+	inFlight   map[uint64]func(*pollReply) // calls in flight
 }
 
-// poll is a proxy's call that a keeper holds.
+// poll is a proxy's call that a node holds.
 type poll struct {
 	seq          uint64
 	start, until time.Duration
 	reply        func(*pollReply)
 }
 
-// pollReply is a keeper's answer; nil stands for silence.
+// pollReply is a node's answer; nil stands for silence.
 type pollReply struct {
 	current  bool
-	newest   uint64        // that the keeper knows to be committed
+	newest   uint64        // that the node knows to be committed
 	checked  time.Duration // how long it waited before it asked whether it is current
 	records  []controlstate.Record
 	snapshot []byte
@@ -85,7 +85,7 @@
 	p.eventAt = p.w.now
 }
 
-// run has the process of a life do something, when it is not frozen.
+// run has the process of a life do something, when it is not paused.
 func (p *proxy) run(life int, do func()) {
 	switch {
 	case p.incarnation != life || !p.running:
@@ -119,7 +119,7 @@
 	}
 }
 
-// call polls a keeper; done is told the answer, or nil when the keeper is silent.
+// call polls a node; done is told the answer, or nil when the node is silent.
 func (p *proxy) call(keeper string, hold, patience time.Duration, done func(*pollReply)) {
 	w := p.w
 	p.calls++
@@ -153,7 +153,7 @@
 	})
 }
 
-// serve answers a poll as Hub.Follow does: at once where the keeper is not current or has something newer, otherwise when
+// serve answers a poll as Hub.Follow does: at once where the node is not current or has something newer, otherwise when
 // that comes about, at the latest when the hold ends.
 func (m *simNode) serve(p *poll) {
 	core := m.core
@@ -249,7 +249,7 @@
 	return !offer.Expired()
 }
 
-// findNode tries the keepers, those that just failed last, until one that is current has answered.
+// findNode tries the nodes, those that just failed last, until one that is current has answered.
 func (p *proxy) findNode() {
 	list := p.rankNodes()
 	settled, open := false, len(list)
@@ -278,7 +278,7 @@
 	}
 }
 
-// rankNodes gives the keepers to try. The seeds stay known, in case all others are gone.
+// rankNodes gives the nodes to try. The seeds stay known, in case all others are gone.
 func (p *proxy) rankNodes() []string {
 	list := slices.Clone(p.knownNodes)
 	for _, s := range p.w.seeds {
@@ -296,7 +296,7 @@
 	return ok && p.w.now-at < avoidTime
 }
 
-// follow polls one keeper until it is silent or not current.
+// follow polls one node until it is silent or not current.
 func (p *proxy) follow(keeper string) {
 	p.call(keeper, longPollTimeout, pollTimeoutMargin, func(r *pollReply) {
 		if r == nil || !r.current {
--- a/internal/system/replication/sim_proxy_checks_test.go
+++ b/internal/system/replication/sim_proxy_checks_test.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	currentBound = time.Second // what a keeper that is current may lack, see checkCurrent
+	currentBound = time.Second // what a node that is current may lack, see checkCurrent
 
 	// freshBound is how old what a proxy holds may be while it counts as fresh.
 	freshBound = distribution.FreshnessTTL + currentBound
-	// contact is how long a proxy and the keepers must have been undisturbed for the proxy to count as in touch.
+	// contact is how long a proxy and the nodes must have been undisturbed for the proxy to count as in touch.
 	contact = 5 * time.Second
 	// touchBound is within what a proxy in touch holds what was acknowledged.
 	touchBound = 3 * time.Second
@@ -43,7 +43,7 @@
 	p.w.after(100*time.Millisecond, func() { p.watch(life) })
 }
 
-// isFresh tells whether a keeper's word that there is nothing newer still counts.
+// isFresh tells whether a node's word that there is nothing newer still counts.
 func (p *proxy) isFresh() bool {
 	return p.freshAt >= 0 && p.w.now-p.freshAt <= distribution.FreshnessTTL
 }
@@ -75,7 +75,7 @@
 	return w.acks[i-1].seq
 }
 
-// hasContact: the proxy and the keepers have been undisturbed for long, and it reaches all that are well connected.
+// hasContact: the proxy and the nodes have been undisturbed for long, and it reaches all that are well connected.
 func (p *proxy) hasContact() bool {
 	w := p.w
 	if w.now-p.eventAt < contact || !w.stable() {
@@ -89,8 +89,8 @@
 	return true
 }
 
-// knownView is the newest view that a healthy machine holds which reaches most of the others. One that only a machine
-// holds which is cut off makes no loss good.
+// knownView is the newest view that a healthy node holds which reaches most of the others. One that only a node
+// holds which is partitioned makes no loss good.
 func (w *clusterSim) knownView() *View {
 	var newest *View
 	for _, node := range w.nodes {
@@ -113,7 +113,7 @@
 	return newest
 }
 
-// core lists the healthy machines that reach a majority of the voters both ways.
+// core lists the healthy nodes that reach a majority of the voters both ways.
 func (w *clusterSim) core() []*simNode {
 	var out []*simNode
 	view := w.knownView()
@@ -126,7 +126,7 @@
 		}
 		n := 0
 		for _, v := range view.Voters {
-			if o := w.at(v.Addr); o != nil && o.healthy() && w.connected(m.member.Addr, v.Addr) && ID(o.core.self.ID) == v.ID {
+			if o := w.at(v.Addr); o != nil && o.healthy() && w.connected(m.member.Addr, v.Addr) && o.core.self.ID == v.ID {
 				n++
 			}
 		}
@@ -137,7 +137,7 @@
 	return out
 }
 
-// stable tells whether nothing has disturbed the keepers of late and no more are in trouble than may be lost.
+// stable tells whether nothing has disturbed the nodes of late and no more are in fault than may be lost.
 func (w *clusterSim) stable() bool {
 	view := w.knownView()
 	if w.now-w.eventAt < contact || w.loss > 0 || w.extraDelay > 0 || view == nil {
@@ -164,10 +164,10 @@
 	return missing <= w.losses && len(well) > w.losses
 }
 
-// progressBound is within what a change is acknowledged that comes to a keeper while the keepers are stable.
+// progressBound is within what a change is acknowledged that comes to a node while the nodes are stable.
 const progressBound = 4 * time.Second
 
-// watchProgress asks for a change through a keeper of the core, again and again while the keepers are stable: it must be
+// watchProgress asks for a change through a node of the core, again and again while the nodes are stable: it must be
 // acknowledged, unless something disturbs them meanwhile.
 func (w *clusterSim) watchProgress() {
 	if w.violation != nil || w.clientsDone {
@@ -193,7 +193,7 @@
 	w.ask(a)
 }
 
-// disturbProxy restarts, freezes or cuts off a proxy.
+// disturbProxy restarts, pauses or cuts off a proxy.
 func (w *clusterSim) disturbProxy(cause fault) {
 	target := w.proxies[cause.n%len(w.proxies)]
 	switch cause.n / 2 % 3 {
--- a/internal/system/replication/sim_repair_steps_test.go
+++ b/internal/system/replication/sim_repair_steps_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// firstLoss is something that the keepers repair, or a planned change of who they are.
+// firstLoss is something that the nodes repair, or a planned change of who they are.
 type firstLoss struct {
 	name  string
 	shape topology
 	start func(*clusterSim)
 }
 
-// incidents are those whose every step meets a second trouble. In the first four a second disk may be lost on the way, in
+// incidents are those whose every step meets a second fault. In the first four a second disk may be lost on the way, in
 // the others only after the repair.
 var incidents = []firstLoss{
 	{"a lost head", topology{5, 0, 2, 3, 0, 0}, func(w *clusterSim) { w.replica(0).loseFor(w, time.Second) }},
@@ -31,10 +31,10 @@
 	{"a start of all", topology{3, 0, 1, 3, 0, 0}, func(w *clusterSim) { w.powerAll(fault{}) }},
 }
 
-// secondTroubles strike at a step of an incident.
+// secondTroubles strike at a step of a first loss.
 var secondTroubles = []faultKind{faultKill, faultPause, faultIsolate, faultWipe, faultPowerAll}
 
-// replica is the machine of a replica, counted from the end when i is negative.
+// replica is the node of a replica, counted from the end when i is negative.
 func (w *clusterSim) replica(i int) *simNode {
 	v := w.newest
 	if i < 0 {
@@ -44,14 +44,14 @@
 	return w.at(m.Addr)
 }
 
-// loseFor empties the disk of a machine, which is away for a while.
+// loseFor empties the disk of a node, which is away for a while.
 func (m *simNode) loseFor(w *clusterSim, away time.Duration) {
 	if w.lose(m) {
 		m.restartAfter(away)
 	}
 }
 
-// startIn runs an incident's world up to where it begins, with clients at work.
+// startIn runs a first loss's simulation up to where it begins, with clients at work.
 func (i firstLoss) startIn(seed uint64, h TestingKnobs) *clusterSim {
 	w := newClusterSim(seed, i.shape, h)
 	w.operate()
@@ -60,11 +60,11 @@
 }
 
 const (
-	repairBound = 4 * time.Second // catchUp: an incident alone is over by then
-	maxNth      = 3               // of the same step of an incident
+	repairBound = 4 * time.Second // catchUp: a first loss alone is over by then
+	maxNth      = 3               // of the same step of a first loss
 )
 
-// steps lists what happens between the beginning of an incident and its end: each step and how often it is taken.
+// steps lists what happens between the beginning of a first loss and its end: each step and how often it is taken.
 func (i firstLoss) steps(seed uint64) (map[string]int, error) {
 	w := i.startIn(seed, TestingKnobs{})
 	count := map[string]int{}
@@ -78,7 +78,7 @@
 	return count, w.violation
 }
 
-// repairTrial is a second trouble at a step of an incident.
+// repairTrial is a second fault at a step of a first loss.
 type repairTrial struct {
 	first  firstLoss
 	step   string
@@ -91,7 +91,7 @@
 	return fmt.Sprintf("%s, %s at %q number %d, before %v", t.first.name, faultNames[t.second], t.step, t.nth, t.before)
 }
 
-// play runs a trial and tells whether the trouble came about.
+// play runs a trial and tells whether the fault came about.
 func (t repairTrial) play(seed uint64, h TestingKnobs) (bool, error) {
 	w := t.first.startIn(seed, h)
 	struck := false
@@ -130,7 +130,7 @@
 	return out
 }
 
-// TestHardeningSecondLossAtEachStepOfARepair brings about a second trouble at the steps of repairs, replacements, joinings
+// TestHardeningSecondLossAtEachStepOfARepair brings about a second fault at the steps of repairs, replacements, joinings
 // and leavings: a message of a kind goes out or comes in, a write begins or has come about. REPLICATION_STRIDE=1 plays all.
 // Danger: what was acknowledged is gone, or nothing is acknowledged any more.
 func TestHardeningSecondLossAtEachStepOfARepair(t *testing.T) {
@@ -183,7 +183,7 @@
 	}
 }
 
-// TestHardeningSecondLossRightAfterARepair loses each link in turn at the very moment when the loss before is made good.
+// TestHardeningSecondLossRightAfterARepair loses each replica in turn at the very moment when the loss before is made good.
 func TestHardeningSecondLossRightAfterARepair(t *testing.T) {
 	lost := 0
 	for _, first := range incidents {
--- a/internal/system/replication/sim_seeds_test.go
+++ b/internal/system/replication/sim_seeds_test.go
@@ -19,7 +19,7 @@
 	faultsEnd        = 20 * time.Second
 	longFaultsEnd    = 45 * time.Second // of the seeds with cuts of 20 s and more
 	ackBound         = 10 * time.Second // after the last fault, until a change is acknowledged
-	convergenceBound = 16 * time.Second // after the last fault, until all machines and proxies are level
+	convergenceBound = 16 * time.Second // after the last fault, until all nodes and proxies are level
 )
 
 // faultsUntil is when the faults of a seed end: one in five has long ones.
@@ -52,7 +52,7 @@
 	return w, w.converge(end + convergenceBound - w.now)
 }
 
-// converge has clients ask for nothing more, lets the keepers run on for d, and checks that all of them hold the same then. It
+// converge has clients ask for nothing more, lets the nodes run on for d, and checks that all of them hold the same then. It
 // returns what was broken, then or before.
 func (w *clusterSim) converge(d time.Duration) error {
 	w.clientsDone = true
@@ -91,7 +91,7 @@
 	}
 }
 
-// sortedLinks puts links in an order that is the same in each run.
+// sortedLinks puts replicas in an order that is the same in each run.
 func sortedLinks(links [][2]string) [][2]string {
 	slices.SortFunc(links, func(a, b [2]string) int { return cmp.Or(cmp.Compare(a[0], b[0]), cmp.Compare(a[1], b[1])) })
 	return links
@@ -193,7 +193,7 @@
 // inParallel does n things, several at once.
 func inParallel(n int, do func(i int)) {
 	var next atomic.Int64
-	defer debug.SetGCPercent(debug.SetGCPercent(400)) // the worlds are small, and there are many
+	defer debug.SetGCPercent(debug.SetGCPercent(400)) // the simulations are small, and there are many
 	var wg sync.WaitGroup
 	for range envInt("REPLICATION_WORKERS", 4) {
 		wg.Go(func() {
--- a/internal/system/replication/sim_topology_test.go
+++ b/internal/system/replication/sim_topology_test.go
@@ -7,7 +7,7 @@
 	diskNodes, spares int
 	losses            int // disks that may be lost at once
 	zones             int
-	observers         int // keepers without a disk, some of them seeds
+	observers         int // nodes without a disk, some of them seeds
 	zoneLosses        int // zones that may be lost at once, with all their disks
 }
 
--- a/internal/system/replication/testing_knobs_test.go
+++ b/internal/system/replication/testing_knobs_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// controls take one protection out each; the harness must then find something broken. The seed is where it did last, so
+// controls take one protection out each; the harness must then find a violation. The seed is where it did last, so
 // that the search is short: bring it up to date when a change of the core makes this slow.
 var controls = map[string]struct {
 	knobs TestingKnobs
--- a/internal/system/replication/toy_state_test.go
+++ b/internal/system/replication/toy_state_test.go
@@ -15,7 +15,7 @@
 // toyHistory is how many changes a toy remembers; controlstate.MaxHistory is 4,096.
 const toyHistory = 24
 
-// toy is a small state machine under the contract of controlstate.State: a register with versions (OpReplace, OpAmend) that
+// toy is a small state node under the contract of controlstate.State: a register with versions (OpReplace, OpAmend) that
 // knows its last changes again, zones whose changes carry a fence (OpEvacuate, OpReadmit), and notes that nothing protects
 // from coming about twice but the core (OpNone).
 type toy struct {
@@ -99,7 +99,7 @@
 		next.note = r.Zone
 	}
 	h := fnv.New64a()
-	fmt.Fprintf(h, "%d %d %d %d %s %s", s.hash, r.Seq, r.Op, r.Base, r.Body, r.Zone)
+	_, _ = fmt.Fprintf(h, "%d %d %d %d %s %s", s.hash, r.Seq, r.Op, r.Base, r.Body, r.Zone)
 	next.hash = h.Sum64()
 	if r.Seq != s.seq+1 {
 		return nil, fmt.Errorf("record %d follows %d", r.Seq, s.seq)
--- a/internal/system/replication/upstream_catchup_test.go
+++ b/internal/system/replication/upstream_catchup_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestCatchUpWhileUpstreamIsLost brings back a member that was away for 400 and for 2,000 changes, as a former link and
-// as a spare, through a link of 2 MB/s, while changes go on at 20 a second; the tail, which feeds it, ends at each of some
-// moments on the way. Danger: it starts anew for ever, or is never a link again.
+// TestCatchUpWhileUpstreamIsLost brings back a member that was away for 400 and for 2,000 changes, as a former replica and
+// as a spare, through a replica of 2 MB/s, while changes go on at 20 a second; the tail, which feeds it, ends at each of some
+// moments on the way. Danger: it starts anew for ever, or is never a replica again.
 func TestCatchUpWhileUpstreamIsLost(t *testing.T) {
 	const each = 10 << 10
 	var longest time.Duration
