--- a/internal/system/replication/leave_test.go
+++ b/internal/system/replication/leave_test.go
@@ -42,50 +42,52 @@
 // TestLeavingNodeWaitsForEnoughReplicas has a replica leave while another is away. Danger: it goes, and what was acknowledged is
 // left on a single disk, though a node may be lost at any time.
 func TestLeavingNodeWaitsForEnoughReplicas(t *testing.T) {
-	for leaves := range 2 {
-		t.Run([]string{"head", "tail"}[leaves], func(t *testing.T) {
-			cluster := threeNodes(t, 1, TestingKnobs{})
-			away := cluster.nodes["c"]
-			away.core = nil
-			cluster.until(3*time.Second, "a chain of two", func() bool { return len(cluster.view().Chain) == 2 })
-			cluster.run(time.Second)
-			leaver := cluster.replica(leaves)
-			cluster.submitMany("b", 40)
-			acked := cluster.nodes["b"].core.chain.commitIndex
-			cluster.leave(leaver)
-			for range 1000 {
-				cluster.step()
-				if cluster.nodes[leaver].core.Departed() && cluster.holders(acked, leaver) < 2 {
-					t.Fatal("it has left, and what was acknowledged is on a single disk beside its own")
-				}
-			}
-			if cluster.nodes[leaver].core.Departed() {
-				t.Fatal("it has left, and nobody could take its place")
-			}
-			// Who comes back hears the others, but it takes long to feed it.
-			cluster.filter = func(_, to string, m *replicationpb.Message) bool {
-				return to != "c" || m.GetAppend() == nil && m.GetInstall() == nil
-			}
-			cluster.start(away.cfg)
-			for range 600 {
-				cluster.step()
-				if cluster.nodes[leaver].core.Departed() && cluster.holders(acked, leaver) < 2 {
-					t.Fatal("it has left for one that has yet to be fed")
-				}
-			}
-			cluster.filter = nil
-			took := cluster.until(5*time.Second, "it has left", func() bool {
-				left := cluster.nodes[leaver].core.Departed()
-				if left && cluster.holders(acked, leaver) < 2 {
-					t.Fatal("it has left, and what was acknowledged is on a single disk beside its own")
-				}
-				return left
-			})
-			t.Logf("it left %v after the other was fed", took)
-		})
+	for index, name := range []string{"head", "tail"} {
+		t.Run(name, func(t *testing.T) { playLeaveWhileAnotherIsAway(t, index) })
 	}
 }
 
+func playLeaveWhileAnotherIsAway(t *testing.T, index int) {
+	t.Helper()
+	cluster := threeNodes(t, 1, TestingKnobs{})
+	away := cluster.nodes["c"]
+	away.core = nil
+	cluster.until(3*time.Second, "a chain of two", func() bool { return len(cluster.view().Chain) == 2 })
+	cluster.run(time.Second)
+	leaver := cluster.replica(index)
+	cluster.submitMany("b", 40)
+	acked := cluster.nodes["b"].core.chain.commitIndex
+	hasLeft := func(danger string) bool {
+		left := cluster.nodes[leaver].core.Departed()
+		if left && cluster.holders(acked, leaver) < 2 {
+			t.Fatal(danger)
+		}
+		return left
+	}
+	cluster.leave(leaver)
+	for range 1000 {
+		cluster.step()
+		hasLeft("it has left, and what was acknowledged is on a single disk beside its own")
+	}
+	if cluster.nodes[leaver].core.Departed() {
+		t.Fatal("it has left, and nobody could take its place")
+	}
+	// Who comes back hears the others, but it takes long to catch up.
+	cluster.filter = func(_, to string, m *replicationpb.Message) bool {
+		return to != "c" || m.GetAppend() == nil && m.GetInstall() == nil
+	}
+	cluster.start(away.cfg)
+	for range 600 {
+		cluster.step()
+		hasLeft("it has left for one that has yet to catch up")
+	}
+	cluster.filter = nil
+	took := cluster.until(5*time.Second, "it has left", func() bool {
+		return hasLeft("it has left, and what was acknowledged is on a single disk beside its own")
+	})
+	t.Logf("it left %v after the other had caught up", took)
+}
+
 // TestLeavingNodeHandsOverOnlyReplica: a single replica leaves and another node is there. Danger: it never hands over.
 func TestLeavingNodeHandsOverOnlyReplica(t *testing.T) {
 	cluster := threeNodes(t, 0, TestingKnobs{})
--- a/internal/system/replication/partition_test.go
+++ b/internal/system/replication/partition_test.go
@@ -8,71 +8,112 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// TestPartitionOf20Seconds cuts one replica of three off for 20 s, both ways or one, with all that was in flight delivered late, at
+// partitionDirections tell which messages are lost while a node is partitioned.
+var partitionDirections = map[string]func(from, to, cut string) bool{
+	"both ways": func(from, to, cut string) bool { return from == cut || to == cut },
+	"from it":   func(from, _, cut string) bool { return from == cut },
+	"to it":     func(_, to, cut string) bool { return to == cut },
+}
+
+// TestPartitionOf20Seconds partitions one replica of three for 20 s, both ways or one, with all that was in flight delivered late, at
 // the end. It is asked for reads and changes all the while, and changes go on at the others. Danger: it gives the past for
-// new, refuses what it cannot judge, or takes long to be a replica again.
+// new, refuses what it cannot decide, or takes long to be a replica again.
 func TestPartitionOf20Seconds(t *testing.T) {
-	directions := map[string]func(from, to, cut string) bool{
-		"both ways": func(from, to, cut string) bool { return from == cut || to == cut },
-		"from it":   func(from, _, cut string) bool { return from == cut },
-		"to it":     func(_, to, cut string) bool { return to == cut },
-	}
 	var longest, longestCurrent time.Duration
-	for name, stops := range directions {
-		for link := range 3 {
-			cluster := threeNodes(t, 1, TestingKnobs{})
-			cut := cluster.replica(link)
-			other := cluster.replica((link + 1) % 3)
-			var late []Envelope
-			cluster.filter = func(from, to string, m *replicationpb.Message) bool {
-				if stops(from, to, cut) {
-					late = append(late, Envelope{Addr: to, Msg: m})
-					return false
-				}
-				return true
-			}
-			isolated, began, acked := cluster.nodes[cut], cluster.now, uint64(0)
-			var change, read, here uint64
-			for rev := int64(0); cluster.now-began < 20*time.Second; cluster.step() {
-				if change == 0 || cluster.done[change].ID != 0 {
-					if cluster.answered(change) {
-						rev++
-						acked = cluster.done[change].Seq
-					}
-					change = cluster.submit(other, replacing(rev, string(rune('a'+rev%26))+name), 4*time.Second)
-				}
-				if read == 0 || cluster.done[read].ID != 0 {
-					read = cluster.read(cut, time.Second)
-				}
-				if here == 0 || cluster.done[here].ID != 0 {
-					if d := cluster.done[here]; d.Outcome == Answered && d.Verdict.Kind != controlstate.Accepted && d.Verdict.Kind != controlstate.Stale {
-						t.Fatalf("%s of %s: a change at it ended with %v", name, cut, d.Verdict)
-					}
-					here = cluster.submit(cut, replacing(isolated.core.chain.state.(*toy).rev, "at the cut one"), time.Second)
-				}
-				if cluster.now-began < 2*time.Second {
-					continue
-				}
-				if d := cluster.done[read]; d.Outcome == Answered && d.Seq+1 < acked {
-					t.Fatalf("%s of %s: a read gave record %d, %d was acknowledged", name, cut, d.Seq, acked)
-				}
-				if isolated.core.Current(cluster.clock(isolated)) && isolated.core.chain.commitIndex+1 < acked {
-					t.Fatalf("%s of %s: it counts as current with record %d of %d", name, cut, isolated.core.chain.commitIndex, acked)
-				}
-			}
-			if acked < 20 {
-				t.Fatalf("%s of %s: %d changes were acknowledged at the others", name, cut, acked)
-			}
-			cluster.filter = nil
-			for _, e := range late {
-				cluster.deliver(e)
-			}
-			took := cluster.until(5*time.Second, name+" of "+cut+": three links", func() bool { return cluster.complete(3, 3) })
-			longest = max(longest, took)
-			longestCurrent = max(longestCurrent, took+cluster.until(5*time.Second, "it is current", func() bool {
-				return isolated.core.Current(cluster.clock(isolated)) && isolated.core.chain.commitIndex >= acked
-			}))
+	for name, stops := range partitionDirections {
+		for index := range 3 {
+			run := &replicaPartition{t: t, cluster: threeNodes(t, 1, TestingKnobs{}), direction: name}
+			rejoined, current := run.play(index, stops)
+			longest, longestCurrent = max(longest, rejoined), max(longestCurrent, current)
+		}
+	}
+	t.Logf("a replica again after %v at most, current after %v at most", longest, longestCurrent)
+}
+
+// replicaPartition is a run in which one of three replicas is partitioned.
+type replicaPartition struct {
+	t         *testing.T
+	cluster   *scriptedCluster
+	direction string
+	cut       string // address of the replica
+	other     string // where changes go on
+	began     time.Duration
+	acked     uint64 // newest record acknowledged at the others
+
+	change, read, here uint64 // calls in progress: at the other, and a read and a change at the partitioned replica
+	rev                int64
+}
+
+// play gives how long after the partition there are three replicas again, and how long until the one is current.
+func (p *replicaPartition) play(index int, stops func(from, to, cut string) bool) (rejoined, current time.Duration) {
+	p.t.Helper()
+	p.cut, p.other = p.cluster.replica(index), p.cluster.replica((index+1)%3)
+	var late []Envelope
+	p.cluster.filter = func(from, to string, m *replicationpb.Message) bool {
+		if stops(from, to, p.cut) {
+			late = append(late, Envelope{Addr: to, Msg: m})
+			return false
 		}
+		return true
+	}
+	for p.began = p.cluster.now; p.cluster.now-p.began < 20*time.Second; p.cluster.step() {
+		p.callOthers()
+		p.callPartitioned()
+		p.check()
+	}
+	if p.acked < 20 {
+		p.t.Fatalf("%s of %s: %d changes were acknowledged at the others", p.direction, p.cut, p.acked)
+	}
+	p.cluster.filter = nil
+	for _, e := range late {
+		p.cluster.deliver(e)
+	}
+	rejoined = p.cluster.until(5*time.Second, p.direction+" of "+p.cut+": three replicas", func() bool { return p.cluster.complete(3, 3) })
+	current = rejoined + p.cluster.until(5*time.Second, "it is current", func() bool {
+		node := p.cluster.nodes[p.cut]
+		return node.core.Current(p.cluster.clock(node)) && node.core.chain.commitIndex >= p.acked
+	})
+	return rejoined, current
+}
+
+// ended tells whether a call is over, or none was made.
+func (p *replicaPartition) ended(id uint64) bool { return id == 0 || p.cluster.done[id].ID != 0 }
+
+func (p *replicaPartition) callOthers() {
+	if !p.ended(p.change) {
+		return
+	}
+	if p.cluster.answered(p.change) {
+		p.rev++
+		p.acked = p.cluster.done[p.change].Seq
+	}
+	p.change = p.cluster.submit(p.other, replacing(p.rev, string(rune('a'+p.rev%26))+p.direction), 4*time.Second)
+}
+
+func (p *replicaPartition) callPartitioned() {
+	if p.ended(p.read) {
+		p.read = p.cluster.read(p.cut, time.Second)
+	}
+	if !p.ended(p.here) {
+		return
+	}
+	d := p.cluster.done[p.here]
+	if d.Outcome == Answered && d.Verdict.Kind != controlstate.Accepted && d.Verdict.Kind != controlstate.Stale {
+		p.t.Fatalf("%s of %s: a change at it ended with %v", p.direction, p.cut, d.Verdict)
+	}
+	p.here = p.cluster.submit(p.cut, replacing(p.cluster.nodes[p.cut].core.chain.state.(*toy).rev, "at the cut one"), time.Second)
+}
+
+// check holds what the partitioned replica gives against what was acknowledged, from 2 s after the beginning.
+func (p *replicaPartition) check() {
+	if p.cluster.now-p.began < 2*time.Second {
+		return
+	}
+	if d := p.cluster.done[p.read]; d.Outcome == Answered && d.Seq+1 < p.acked {
+		p.t.Fatalf("%s of %s: a read gave record %d, %d was acknowledged", p.direction, p.cut, d.Seq, p.acked)
+	}
+	node := p.cluster.nodes[p.cut]
+	if node.core.Current(p.cluster.clock(node)) && node.core.chain.commitIndex+1 < p.acked {
+		p.t.Fatalf("%s of %s: it counts as current with record %d of %d", p.direction, p.cut, node.core.chain.commitIndex, p.acked)
 	}
-	t.Logf("a link again after %v at most, current after %v at most", longest, longestCurrent)
 }
--- a/internal/system/replication/reach_test.go
+++ b/internal/system/replication/reach_test.go
@@ -1,6 +1,7 @@
 package replication
 
 import (
+	"fmt"
 	"maps"
 	"slices"
 	"testing"
@@ -24,37 +25,21 @@
 	return n.core.Partitioned(cluster.clock(n))
 }
 
-// TestPartitioned cuts each kind of node off, both ways or one. Danger: it is not noticed, or lasts on after the cut, or nodes
-// that the cut does not concern count as partitioned too. While it is told, what is asked of the node is not answered.
+// TestPartitioned partitions each kind of node, both ways or one. Danger: it is not noticed, or lasts on after the partition, or nodes
+// that it does not concern count as partitioned too. While it is told, what is asked of the node is not answered.
 func TestPartitioned(t *testing.T) {
-	directions := map[string]func(from, to, cut string) bool{
-		"both ways": func(from, to, cut string) bool { return from == cut || to == cut },
-		"from it":   func(from, _, cut string) bool { return from == cut },
-		"to it":     func(_, to, cut string) bool { return to == cut },
-	}
-	for name, stops := range directions {
+	for name, stops := range partitionDirections {
 		for place := range 5 {
 			cluster := reachCluster(t)
-			keepers := []string{cluster.replica(0), cluster.replica(1), cluster.replica(2), "s", "o"}
-			cut := keepers[place]
+			nodes := []string{cluster.replica(0), cluster.replica(1), cluster.replica(2), "s", "o"}
+			cut := nodes[place]
 			cluster.filter = func(from, to string, _ *replicationpb.Message) bool { return !stops(from, to, cut) }
 			noticed := cluster.until(2500*time.Millisecond, "it is noticed", func() bool { return cluster.partition(cut) })
 			if noticed < time.Second {
-				t.Errorf("%s, place %d: cut off after %v, within which a keeper may be silent", name, place, noticed)
+				t.Errorf("%s, place %d: partitioned after %v, within which a node may be silent", name, place, noticed)
 			}
 			for range 100 {
-				id := cluster.submit(cut, evacuating("z"), 700*time.Millisecond)
-				for range 20 {
-					cluster.step()
-					for _, other := range keepers {
-						if got := cluster.partition(other); got != (other == cut) {
-							t.Fatalf("%s, place %d: cut off %v at %s while %s is cut", name, place, got, other, cut)
-						}
-					}
-				}
-				if cluster.answered(id) {
-					t.Fatalf("%s, place %d: a change was answered at a keeper that is cut off", name, place)
-				}
+				cluster.checkPartitioned(fmt.Sprintf("%s, place %d", name, place), nodes, cut)
 			}
 			cluster.filter = nil
 			ended := cluster.until(1500*time.Millisecond, "its end is noticed", func() bool { return !cluster.partition(cut) })
@@ -63,6 +48,24 @@
 	}
 }
 
+// checkPartitioned asks the partitioned node for a change, which must not be answered within 20 steps, and checks at each that it alone of
+// the nodes counts as partitioned.
+func (cluster *scriptedCluster) checkPartitioned(name string, nodes []string, cut string) {
+	cluster.t.Helper()
+	id := cluster.submit(cut, evacuating("z"), 700*time.Millisecond)
+	for range 20 {
+		cluster.step()
+		for _, other := range nodes {
+			if got := cluster.partition(other); got != (other == cut) {
+				cluster.t.Fatalf("%s: partitioned %v at %s while %s is cut", name, got, other, cut)
+			}
+		}
+	}
+	if cluster.answered(id) {
+		cluster.t.Fatalf("%s: a change was answered at a node that is partitioned", name)
+	}
+}
+
 // TestNotPartitionedWhileChangesAreAccepted: danger: a change is refused that the chain would take, since a few heartbeats were lost,
 // the head was lost, the process was paused, or no voter but the head is reached. Changes are asked for at all nodes.
 func TestNotPartitionedWhileChangesAreAccepted(t *testing.T) {
@@ -99,35 +102,37 @@
 		t.Run(name, func(t *testing.T) {
 			cluster := reachCluster(t)
 			prepare(cluster)
-			asked := map[string][]uint64{}
-			for began := cluster.now; cluster.now-began < lasts; cluster.step() {
-				for _, addr := range slices.Sorted(maps.Keys(cluster.nodes)) {
-					if cluster.nodes[addr].core == nil {
-						continue
-					}
-					if cluster.partition(addr) {
-						t.Fatalf("%s counts as cut off after %v", addr, cluster.now-began)
-					}
-					if (cluster.now-began)%(200*time.Millisecond) == 0 {
-						asked[addr] = append(asked[addr], cluster.submit(addr, evacuating("z"), 700*time.Millisecond))
-					}
-				}
-			}
-			for addr, ids := range asked {
-				taken := 0
-				for _, id := range ids {
-					if cluster.answered(id) {
-						taken++
-					}
-				}
-				if taken < len(ids)*3/4 {
-					t.Errorf("%s: %d of %d changes were answered", addr, taken, len(ids))
+			calls := cluster.callAllFor(lasts)
+			for addr, ids := range calls {
+				answered := len(slices.DeleteFunc(slices.Clone(ids), func(id uint64) bool { return !cluster.answered(id) }))
+				if answered < len(ids)*3/4 {
+					t.Errorf("%s: %d of %d changes were answered", addr, answered, len(ids))
 				}
 			}
 		})
 	}
 }
 
+// callAllFor asks every node that runs for a change each 200 ms, and checks that none counts as partitioned. It gives the calls by address.
+func (cluster *scriptedCluster) callAllFor(length time.Duration) map[string][]uint64 {
+	cluster.t.Helper()
+	calls := map[string][]uint64{}
+	for began := cluster.now; cluster.now-began < length; cluster.step() {
+		for _, addr := range slices.Sorted(maps.Keys(cluster.nodes)) {
+			if cluster.nodes[addr].core == nil {
+				continue
+			}
+			if cluster.partition(addr) {
+				cluster.t.Fatalf("%s counts as partitioned after %v", addr, cluster.now-began)
+			}
+			if (cluster.now-began)%(200*time.Millisecond) == 0 {
+				calls[addr] = append(calls[addr], cluster.submit(addr, evacuating("z"), 700*time.Millisecond))
+			}
+		}
+	}
+	return calls
+}
+
 // pause pauses a node for ten seconds.
 func (cluster *scriptedCluster) pause(addr string) {
 	cluster.nodes[addr].paused = true
--- a/internal/system/replication/second_loss_test.go
+++ b/internal/system/replication/second_loss_test.go
@@ -53,11 +53,19 @@
 	}
 }
 
+// secondLoss is a run in which one node of five is lost and comes back, and another is lost for good meanwhile.
+type secondLoss struct {
+	kind   string        // of the first loss
+	first  int           // 0: the head, 1: the middle, 2: the tail
+	second int           // 0: the head, 1: the tail of what is then the view
+	at     time.Duration // of the second loss, after the first
+}
+
 // TestSecondLossAtEachStepOfRepair loses one node of five, has it come back 1 s later, and loses a second one, with
 // its disk, at each step on the way: every REPLICATION_STEP_MS from the first loss until all is well again. A third is not
 // lost. Danger: at some step the system waits for the one that is lost next.
 func TestSecondLossAtEachStepOfRepair(t *testing.T) {
-	const until, comesBack = 3 * time.Second, time.Second
+	const until = 3 * time.Second
 	steps := time.Duration(envInt("REPLICATION_STEP_MS", 150)) * time.Millisecond
 	if raceDetector {
 		steps *= 4
@@ -65,50 +73,63 @@
 	var longest time.Duration
 	runs := 0
 	for _, kind := range lossKinds {
-		for first := range 3 { // head, middle, tail
-			for second := range 2 { // the head or the tail of what is then the view
-				for at := time.Duration(0); at < until; at += steps {
-					name := fmt.Sprintf("link %d %s, after %v link %d lost", 2*first, kind, at, second)
-					cluster := five(t)
-					lost := cluster.replica(2 * first)
-					if kind == "leaving" {
-						cluster.leave(lost)
-						cluster.until(2*time.Second, name+": it has left", func() bool { return cluster.nodes[lost].core.Departed() })
-					}
-					cluster.nodes[lost].core = nil
-					returned := false
-					for began := cluster.now; cluster.now-began < at; {
-						if !returned && cluster.now-began >= comesBack {
-							cluster.heal(kind, lost)
-							returned = true
-						}
-						cluster.step()
-					}
-					lost2 := cluster.replica(second * (len(cluster.view().Chain) - 1))
-					if n := cluster.nodes[lost2]; n.core != nil {
-						n.core, n.disk = nil, newMemDisk()
-					}
-					if !returned {
-						cluster.heal(kind, lost)
-					}
-					at := ""
-					for a, n := range cluster.nodes {
-						if n.core != nil && a != lost && a != lost+" new" {
-							at = a
-						}
-					}
-					id := cluster.submit(at, replacing(3, "after"), 5*time.Second)
-					longest = max(longest, cluster.until(5*time.Second, name+": a change", func() bool { return cluster.answered(id) }))
-					newest := cluster.nodes[at].core.chain.state.(*toy).rev
-					read := cluster.read(at, 2*time.Second)
-					cluster.until(2*time.Second, name+": a read", func() bool { return cluster.answered(read) })
-					if rev := cluster.done[read].State.(*toy).rev; rev != 4 {
-						t.Fatalf("%s: version %d is read back, %d is held", name, rev, newest)
-					}
-					runs++
-				}
+		for place := range 3 * 2 {
+			for at := time.Duration(0); at < until; at += steps {
+				longest = max(longest, secondLoss{kind: kind, first: place / 2, second: place % 2, at: at}.play(t))
+				runs++
 			}
 		}
 	}
 	t.Logf("%d courses; a change waited %v at most", runs, longest)
 }
+
+// play gives how long a change waits after the second loss.
+func (l secondLoss) play(t *testing.T) time.Duration {
+	t.Helper()
+	const comesBack = time.Second
+	name := fmt.Sprintf("replica %d %s, after %v replica %d lost", 2*l.first, l.kind, l.at, l.second)
+	cluster := five(t)
+	lost := cluster.replica(2 * l.first)
+	if l.kind == "leaving" {
+		cluster.leave(lost)
+		cluster.until(2*time.Second, name+": it has left", func() bool { return cluster.nodes[lost].core.Departed() })
+	}
+	cluster.nodes[lost].core = nil
+	returned := false
+	for began := cluster.now; cluster.now-began < l.at; {
+		if !returned && cluster.now-began >= comesBack {
+			cluster.heal(l.kind, lost)
+			returned = true
+		}
+		cluster.step()
+	}
+	lost2 := cluster.replica(l.second * (len(cluster.view().Chain) - 1))
+	if n := cluster.nodes[lost2]; n.core != nil {
+		n.core, n.disk = nil, newMemDisk()
+	}
+	if !returned {
+		cluster.heal(l.kind, lost)
+	}
+	return cluster.changeAndReadBack(name, lost)
+}
+
+// changeAndReadBack asks a node that runs, other than the one that was lost, for a fourth change, and reads it back. It gives how long the
+// change waits.
+func (cluster *scriptedCluster) changeAndReadBack(name, lost string) time.Duration {
+	cluster.t.Helper()
+	at := ""
+	for addr, n := range cluster.nodes {
+		if n.core != nil && addr != lost && addr != lost+" new" {
+			at = addr
+		}
+	}
+	id := cluster.submit(at, replacing(3, "after"), 5*time.Second)
+	took := cluster.until(5*time.Second, name+": a change", func() bool { return cluster.answered(id) })
+	newest := cluster.nodes[at].core.chain.state.(*toy).rev
+	read := cluster.read(at, 2*time.Second)
+	cluster.until(2*time.Second, name+": a read", func() bool { return cluster.answered(read) })
+	if rev := cluster.done[read].State.(*toy).rev; rev != 4 {
+		cluster.t.Fatalf("%s: version %d is read back, %d is held", name, rev, newest)
+	}
+	return took
+}
