--- a/internal/system/replication/capacity_test.go
+++ b/internal/system/replication/capacity_test.go
@@ -27,7 +27,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			members := placed(test.layout)
-			cluster := sizedCluster(t, members, test.machines, test.zones, 3)
+			cluster := sizedCluster(t, members, test.machines, test.zones)
 			cluster.run(10 * time.Second)
 			have := cluster.nodes[members[0].Addr].core.Capacity()
 			if have.ToleranceMet != (test.remedy == "") || !strings.Contains(have.Remedy, test.remedy) || have.Nodes != len(members) {
@@ -40,7 +40,7 @@
 // TestCapacityIsLoggedOnceItLasts: a repair is no news, a node that stays away is.
 func TestCapacityIsLoggedOnceItLasts(t *testing.T) {
 	members := placed([]int{1, 1, 1})
-	cluster := sizedCluster(t, members, 1, 1, 3)
+	cluster := sizedCluster(t, members, 1, 1)
 	handler := memory.New()
 	logger := &log.Logger{Handler: handler, Level: log.InfoLevel}
 	var capacity capacityReporter
--- a/internal/system/replication/client_calls_abandon_test.go
+++ b/internal/system/replication/client_calls_abandon_test.go
@@ -13,7 +13,7 @@
 // sending the change to whoever leads, until a deadline that its caller does not wait for.
 func TestAbandonedCallIsNotResent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		group := newFleet(t, 3)
+		group := newFleet(t)
 		nodes := map[string]*Node{}
 		for _, a := range group.seeds {
 			nodes[a] = group.start(a, true)
--- a/internal/system/replication/node_observer_test.go
+++ b/internal/system/replication/node_observer_test.go
@@ -16,7 +16,7 @@
 // TestNodeWithoutDisk starts an observer beside three nodes: it needs no disk, and passes calls on.
 func TestNodeWithoutDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		group := newFleet(t, 3)
+		group := newFleet(t)
 		var all []*Node
 		for _, a := range group.seeds {
 			all = append(all, group.start(a, true))
--- a/internal/system/replication/node_test.go
+++ b/internal/system/replication/node_test.go
@@ -91,9 +91,10 @@
 	seeds []string
 }
 
-func newFleet(t *testing.T, n int) *fleet {
+// newFleet is three nodes that have yet to be started.
+func newFleet(t *testing.T) *fleet {
 	f := &fleet{t: t, net: &memNetwork{hosts: map[string]http.Handler{}}, disks: map[string]*memDisk{}}
-	for i := range n {
+	for i := range 3 {
 		f.seeds = append(f.seeds, fmt.Sprintf("10.0.0.%d", i+1))
 	}
 	return f
@@ -126,7 +127,7 @@
 
 func TestNodesSubmitReadAndReplaceLostDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		group := newFleet(t, 3)
+		group := newFleet(t)
 		nodes := map[string]*Node{}
 		for _, a := range group.seeds {
 			nodes[a] = group.start(a, true)
@@ -185,7 +186,7 @@
 
 func TestLoneNodeReportsNotApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, 3)
+		f := newFleet(t)
 		k := f.start(f.seeds[0], true)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
--- a/internal/system/replication/placement_test.go
+++ b/internal/system/replication/placement_test.go
@@ -63,10 +63,11 @@
 	return choose(0, nil)
 }
 
-func sizedCluster(t *testing.T, members []Member, machines, zones, seeds int) *scriptedCluster {
+// sizedCluster starts the members, of which the first three are the seeds.
+func sizedCluster(t *testing.T, members []Member, machines, zones int) *scriptedCluster {
 	cluster := newScriptedCluster(t)
 	var addrs []string
-	for _, m := range members[:min(seeds, len(members))] {
+	for _, m := range members[:min(3, len(members))] {
 		addrs = append(addrs, m.Addr)
 	}
 	for _, m := range members {
@@ -76,43 +77,44 @@
 }
 
 // TestSizesFollowTheTolerance forms each layout under each tolerance, and holds voters and replicas against what the best
-// choice among the nodes would bear. Danger: as many nodes as are needed run, and a loss that is tolerated ends the
+// choice among the nodes would tolerate. Danger: as many nodes as are needed run, and a loss that is tolerated ends the
 // system, because those who vote stand in the wrong places.
 func TestSizesFollowTheTolerance(t *testing.T) {
 	for _, layout := range layouts() {
 		for machines := range 5 {
 			for zones := range 2 {
-				members := placed(layout)
-				cfg := Config{MachineLosses: machines, ZoneLosses: zones}
-				cluster := sizedCluster(t, members, machines, zones, 3)
-				wantVoters := min(len(members), cfg.targetVoters())
-				wantLinks := min(wantVoters, cfg.targetChainLength())
-				if wantLinks < cfg.minChainLength() {
-					// What exists may not acknowledge. It still forms a view of all voters.
-					cluster.until(8*time.Second, fmt.Sprint(layout, machines, zones), func() bool { return len(cluster.view().Voters) == wantVoters })
-					continue
-				}
-				name := fmt.Sprintf("zones %v, losses of %d machines or %d zones", layout, machines, zones)
-				cluster.until(8*time.Second, name, func() bool { return cluster.complete(wantLinks, wantVoters) })
-				cluster.run(3 * time.Second) // voters that work may yet be exchanged
-				v := cluster.view()
-				var links []Member
-				for _, id := range v.Chain {
-					m, _ := v.Voter(id)
-					links = append(links, m)
-				}
-				if can := subsets(members, wantVoters, cfg.votersTolerateLosses); can != cfg.votersTolerateLosses(v.Voters) {
-					t.Errorf("%s: bearable %v, but the voters are %v", name, can, v)
-				}
-				if can := subsets(v.Voters, wantLinks, cfg.chainToleratesLosses); can != cfg.chainToleratesLosses(links) {
-					t.Errorf("%s: bearable %v, but the links are %v", name, can, v)
-				}
+				checkSizes(t, layout, machines, zones)
 			}
 		}
 	}
 }
 
-// TestToleratedLossIsSurvived takes from each layout that can bear it what may be lost at once, the head first, with the
+// checkSizes forms a view of the layout that is to tolerate the loss of so many machines or zones.
+func checkSizes(t *testing.T, layout []int, machines, zones int) {
+	t.Helper()
+	members := placed(layout)
+	cfg := Config{MachineLosses: machines, ZoneLosses: zones}
+	cluster := sizedCluster(t, members, machines, zones)
+	wantVoters := min(len(members), cfg.targetVoters())
+	wantReplicas := min(wantVoters, cfg.targetChainLength())
+	if wantReplicas < cfg.minChainLength() {
+		// What exists may not acknowledge. It still forms a view of all voters.
+		cluster.until(8*time.Second, fmt.Sprint(layout, machines, zones), func() bool { return len(cluster.view().Voters) == wantVoters })
+		return
+	}
+	name := fmt.Sprintf("zones %v, losses of %d machines or %d zones", layout, machines, zones)
+	cluster.until(8*time.Second, name, func() bool { return cluster.complete(wantReplicas, wantVoters) })
+	cluster.run(3 * time.Second) // voters that work may yet be exchanged
+	v := cluster.view()
+	if can := subsets(members, wantVoters, cfg.votersTolerateLosses); can != cfg.votersTolerateLosses(v.Voters) {
+		t.Errorf("%s: tolerable %v, but the voters are %v", name, can, v)
+	}
+	if can := subsets(v.Voters, wantReplicas, cfg.chainToleratesLosses); can != cfg.chainToleratesLosses(v.chainMembers()) {
+		t.Errorf("%s: tolerable %v, but the replicas are %v", name, can, v)
+	}
+}
+
+// TestToleratedLossIsSurvived takes from each layout that can tolerate it what may be lost at once, the head first, with the
 // disks, and asks for a change.
 func TestToleratedLossIsSurvived(t *testing.T) {
 	var longest time.Duration
@@ -129,30 +131,8 @@
 				losses = append(losses, slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.Zone != fmt.Sprintf("z%d", z) }))
 			}
 			for _, lost := range losses {
-				cluster := sizedCluster(t, members, machines, 1, 3)
 				name := fmt.Sprintf("zones %v, losses of %d machines or a zone, without %v", layout, machines, lost)
-				cluster.until(8*time.Second, name, func() bool {
-					return cluster.complete(min(cfg.targetVoters(), cfg.targetChainLength()), cfg.targetVoters())
-				})
-				cluster.run(3 * time.Second)
-				first := cluster.submit(members[0].Addr, replacing(0, "first"), 2*time.Second)
-				cluster.until(2*time.Second, name+": the first change", func() bool { return cluster.answered(first) })
-				if lost == nil {
-					v := cluster.view()
-					for _, id := range v.Chain[:min(machines, len(v.Chain))] {
-						m, _ := v.Voter(id)
-						lost = append(lost, m)
-					}
-				}
-				for _, m := range lost {
-					cluster.nodes[m.Addr].core = nil
-				}
-				at := slices.IndexFunc(members, func(m Member) bool { return !slices.Contains(lost, m) })
-				id := cluster.submit(members[at].Addr, replacing(1, "second"), 10*time.Second)
-				longest = max(longest, cluster.until(5*time.Second, name+": a change", func() bool { return cluster.answered(id) }))
-				if seq := cluster.nodes[members[at].Addr].core.chain.commitIndex; seq < 2 {
-					t.Errorf("%s: %d records are left", name, seq)
-				}
+				longest = max(longest, playToleratedLoss(t, name, members, lost, machines))
 				runs++
 			}
 		}
@@ -160,13 +140,40 @@
 	t.Logf("%d losses; the longest wait for a change was %v", runs, longest)
 }
 
+// playToleratedLoss loses the members, or the first replicas of the chain where there are none, and gives how long a change then waits.
+func playToleratedLoss(t *testing.T, name string, members, lost []Member, machines int) time.Duration {
+	t.Helper()
+	cfg := Config{MachineLosses: machines, ZoneLosses: 1}
+	cluster := sizedCluster(t, members, machines, 1)
+	cluster.until(8*time.Second, name, func() bool {
+		return cluster.complete(min(cfg.targetVoters(), cfg.targetChainLength()), cfg.targetVoters())
+	})
+	cluster.run(3 * time.Second)
+	first := cluster.submit(members[0].Addr, replacing(0, "first"), 2*time.Second)
+	cluster.until(2*time.Second, name+": the first change", func() bool { return cluster.answered(first) })
+	if lost == nil {
+		replicas := cluster.view().chainMembers()
+		lost = replicas[:min(machines, len(replicas))]
+	}
+	for _, m := range lost {
+		cluster.nodes[m.Addr].core = nil
+	}
+	at := slices.IndexFunc(members, func(m Member) bool { return !slices.Contains(lost, m) })
+	id := cluster.submit(members[at].Addr, replacing(1, "second"), 10*time.Second)
+	took := cluster.until(5*time.Second, name+": a change", func() bool { return cluster.answered(id) })
+	if seq := cluster.nodes[members[at].Addr].core.chain.commitIndex; seq < 2 {
+		t.Errorf("%s: %d records are left", name, seq)
+	}
+	return took
+}
+
 // TestVotersMoveApart: three voters of which two stand in one zone, since the third zone's node came late, are
 // exchanged, and never below what may acknowledge. Danger: the loss of that zone takes the majority.
 func TestVotersMoveApart(t *testing.T) {
 	members := []Member{
 		{ID: "a1", Addr: "a1", Zone: "a", Region: "r"}, {ID: "a2", Addr: "a2", Zone: "a", Region: "r"}, {ID: "b1", Addr: "b1", Zone: "b", Region: "r"},
 	}
-	cluster := sizedCluster(t, members, 1, 1, 3)
+	cluster := sizedCluster(t, members, 1, 1)
 	cluster.until(5*time.Second, "the first view", func() bool { return cluster.complete(3, 3) })
 	cluster.run(time.Second)
 	cluster.start(Config{Self: Member{ID: "c1", Addr: "c1", Zone: "c", Region: "r"}, MachineLosses: 1, ZoneLosses: 1, Seeds: []string{"a1"}})
--- a/internal/system/replication/restart_test.go
+++ b/internal/system/replication/restart_test.go
@@ -17,7 +17,7 @@
 func TestAllNodesRestartFromTheirLogs(t *testing.T) {
 	folders := map[string]string{}
 	synctest.Test(t, func(t *testing.T) {
-		group := newFleet(t, 3)
+		group := newFleet(t)
 		for _, a := range group.seeds {
 			folders[a] = t.TempDir()
 		}
--- a/internal/system/replication/restore_test.go
+++ b/internal/system/replication/restore_test.go
@@ -69,9 +69,9 @@
 	}
 }
 
-func (f *restoredFleet) run(addr string, bootstrap bool) {
+func (f *restoredFleet) run(addr string) {
 	f.t.Helper()
-	k, err := Start(context.Background(), Options{Addr: addr, Zone: "z", Region: "r", Port: 1, Seeds: f.seeds, Bootstrap: bootstrap,
+	k, err := Start(context.Background(), Options{Addr: addr, Zone: "z", Region: "r", Port: 1, Seeds: f.seeds, Bootstrap: true,
 		MachineLosses: 1, Disk: f.disk(addr), Transport: f.net, Log: &log.Logger{Handler: discard.New(), Level: log.InfoLevel}})
 	if err != nil {
 		f.t.Fatal(err)
@@ -134,18 +134,18 @@
 	} {
 		t.Run(test.what, func(t *testing.T) {
 			folders := map[string]string{}
-			for _, a := range newFleet(t, 3).seeds {
+			for _, a := range newFleet(t).seeds {
 				folders[a] = t.TempDir()
 			}
 			synctest.Test(t, func(t *testing.T) {
-				group := &restoredFleet{fleet: newFleet(t, 3), folders: folders, nodes: map[string]*Node{}}
+				group := &restoredFleet{fleet: newFleet(t), folders: folders, nodes: map[string]*Node{}}
 				for i, s := range test.on {
 					if s != nil {
 						group.restore(group.seeds[i], s)
 					}
 				}
 				for _, a := range group.seeds {
-					group.run(a, true)
+					group.run(a)
 				}
 				want := group.serves("at first", test.want, "new")
 				if slices.Contains(test.on[:], nil) && len(want.Evacuated) != len(test.want.Evacuated)+1 {
@@ -155,7 +155,7 @@
 					group.stop(a, group.nodes[a])
 				}
 				for _, a := range group.seeds {
-					group.run(a, true)
+					group.run(a)
 				}
 				group.serves("after a restart", want, "newer")
 				for _, a := range group.seeds {
@@ -170,20 +170,20 @@
 // is longer, is taken for the chain's.
 func TestRestoredNodeThatStartsLate(t *testing.T) {
 	folders := map[string]string{}
-	for _, a := range newFleet(t, 3).seeds {
+	for _, a := range newFleet(t).seeds {
 		folders[a] = t.TempDir()
 	}
 	synctest.Test(t, func(t *testing.T) {
-		group := &restoredFleet{fleet: newFleet(t, 3), folders: folders, nodes: map[string]*Node{}}
+		group := &restoredFleet{fleet: newFleet(t), folders: folders, nodes: map[string]*Node{}}
 		group.restore(group.seeds[0], restored(t, "old", 700))
-		group.run(group.seeds[1], true)
-		group.run(group.seeds[2], true)
+		group.run(group.seeds[1])
+		group.run(group.seeds[2])
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		if _, err := group.nodes[group.seeds[2]].Submit(ctx, evacuate("x")); err != nil {
 			t.Fatal(err)
 		}
-		group.run(group.seeds[0], true)
+		group.run(group.seeds[0])
 		time.Sleep(5 * time.Second)
 		group.serves("late", restored(t, "x", 1), "y")
 		for _, a := range group.seeds {
--- a/internal/system/replication/sim_faults_apply_test.go
+++ b/internal/system/replication/sim_faults_apply_test.go
@@ -37,13 +37,7 @@
 	case faultIsolate:
 		w.isolate(first, f)
 	case faultSplit:
-		for _, x := range w.nodes {
-			for _, y := range w.nodes {
-				if f.n>>x.name&1 != f.n>>y.name&1 {
-					w.block(x.member.Addr, y.member.Addr, f.duration, f.n&4 != 0)
-				}
-			}
-		}
+		w.split(f)
 	case faultLoss:
 		w.loss = 0.3
 		w.after(f.duration, func() { w.loss = 0; w.recordDisturbance() })
@@ -71,13 +65,7 @@
 			first.restartAfter(f.duration)
 		})
 	case faultDisksFullButOne:
-		for _, m := range w.nodes {
-			if m != first {
-				m.diskFull, m.acceptorReserve = true, true
-				w.after(f.duration, func() { m.diskFull = false; w.recordDisturbance() })
-			}
-		}
-		w.after(f.duration/2, func() { w.apply(fault{kind: faultWipeAfterAck, a: f.a, duration: f.duration}) })
+		w.fillDisksButOne(f, first)
 	case faultPowerAfterAck:
 		w.onAck = append(w.onAck, func() { w.powerAll(f) })
 	case faultWipeAfterAck:
@@ -100,19 +88,9 @@
 		if w.loseZoneDisks(a.member.Zone, f) {
 			return
 		}
-		for _, m := range slices.Clone(w.nodes) {
-			if m.member.Zone == a.member.Zone && !m.removed {
-				act.a = m.name
-				w.apply(act)
-			}
-		}
+		w.applyToAll(act, func(m *simNode) bool { return m.member.Zone == a.member.Zone })
 	case faultGroup:
-		for _, m := range slices.Clone(w.nodes) {
-			if (f.n>>(m.name%16)&1 == 1 || m == a) && !m.removed {
-				act.a = m.name
-				w.apply(act)
-			}
-		}
+		w.applyToAll(act, func(m *simNode) bool { return f.n>>(m.name%16)&1 == 1 || m == a })
 	case faultStep:
 		w.arm(&stepTrigger{name: f.step, remaining: 1 + f.n%8, before: f.before, action: func(m *simNode) {
 			if !m.removed {
@@ -121,14 +99,7 @@
 			}
 		}})
 	case faultReplaceTwice:
-		w.replace(a, f)
-		next := f
-		w.after(f.duration+time.Duration(f.n%4000)*time.Millisecond, func() {
-			if m := w.nodes[len(w.nodes)-1]; !m.removed && !w.faultsOver {
-				next.n >>= 1
-				w.replace(m, next)
-			}
-		})
+		w.replaceTwice(a, f)
 	case faultJoin:
 		if len(w.nodes) < w.machines()+3 {
 			w.stats.joins++
@@ -139,6 +110,50 @@
 	}
 }
 
+// applyToAll applies a fault to each node that is chosen.
+func (w *clusterSim) applyToAll(act fault, chosen func(*simNode) bool) {
+	for _, m := range slices.Clone(w.nodes) {
+		if chosen(m) && !m.removed {
+			act.a = m.name
+			w.apply(act)
+		}
+	}
+}
+
+// split partitions the nodes into two sides, by the bits of the fault.
+func (w *clusterSim) split(f fault) {
+	for _, x := range w.nodes {
+		for _, y := range w.nodes {
+			if f.n>>x.name&1 != f.n>>y.name&1 {
+				w.block(x.member.Addr, y.member.Addr, f.duration, f.n&4 != 0)
+			}
+		}
+	}
+}
+
+// fillDisksButOne fills all disks but that of one node, which is lost after the next acknowledgement.
+func (w *clusterSim) fillDisksButOne(f fault, one *simNode) {
+	for _, m := range w.nodes {
+		if m != one {
+			m.diskFull, m.acceptorReserve = true, true
+			w.after(f.duration, func() { m.diskFull = false; w.recordDisturbance() })
+		}
+	}
+	w.after(f.duration/2, func() { w.apply(fault{kind: faultWipeAfterAck, a: f.a, duration: f.duration}) })
+}
+
+// replaceTwice replaces a node, and soon its replacement.
+func (w *clusterSim) replaceTwice(node *simNode, f fault) {
+	w.replace(node, f)
+	next := f
+	w.after(f.duration+time.Duration(f.n%4000)*time.Millisecond, func() {
+		if m := w.nodes[len(w.nodes)-1]; !m.removed && !w.faultsOver {
+			next.n >>= 1
+			w.replace(m, next)
+		}
+	})
+}
+
 // isolate cuts a node off: all its replicas or one direction of them, or only those to other nodes, so that operators
 // and proxies still reach it. What it is sent meanwhile is gone, or comes after the cut.
 func (w *clusterSim) isolate(node *simNode, isolation fault) {
--- a/internal/system/replication/sim_hardening_operators_test.go
+++ b/internal/system/replication/sim_hardening_operators_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -33,25 +34,12 @@
 	changes := []controlstate.Change{race, race}
 	changes[1].Body = fmt.Appendf(nil, "%s of the other", race.Body)
 
-	// Every second answer is lost, and two nodes die when they have just written the record and nobody knows.
-	w.onAnswer = func(a *simCall, d Completion) {
-		if a.read || string(a.change.Body) != string(changes[0].Body) && string(a.change.Body) != string(changes[1].Body) {
-			return
-		}
-		if settles(d) {
-			out.answered++
-		}
-		if w.rng.IntN(2) == 0 && a.node.isRunning() && !a.closed {
-			out.lostAnswers++
-			a.closed = true // the caller hears nothing and asks again
-			again := &simCall{node: w.pickNode(), change: a.change, first: a.first}
-			w.after(300*time.Millisecond, func() {
-				if again.node != nil {
-					w.ask(again)
-				}
-			})
+	w.onAnswer = func(call *simCall, done Completion) {
+		if !call.read && slices.ContainsFunc(changes, func(c controlstate.Change) bool { return string(c.Body) == string(call.change.Body) }) {
+			out.answerRace(w, call, done)
 		}
 	}
+	// Two nodes die when they have just written the record and nobody knows.
 	for range 2 {
 		w.arm(&stepTrigger{name: "wrote append", remaining: 1 + w.rng.IntN(s.diskNodes), before: true, action: func(m *simNode) {
 			out.kills++
@@ -96,6 +84,24 @@
 	return out
 }
 
+// answerRace loses every second answer of the race.
+func (got *raceRun) answerRace(w *clusterSim, call *simCall, done Completion) {
+	if settles(done) {
+		got.answered++
+	}
+	if w.rng.IntN(2) != 0 || !call.node.isRunning() || call.closed {
+		return
+	}
+	got.lostAnswers++
+	call.closed = true // the caller hears nothing and asks again
+	again := &simCall{node: w.pickNode(), change: call.change, first: call.first}
+	w.after(300*time.Millisecond, func() {
+		if again.node != nil {
+			w.ask(again)
+		}
+	})
+}
+
 // write has changes made one after another, through any node that runs, with a pause between them.
 func (w *clusterSim) write(n int, pause time.Duration) {
 	w.writeUnless(n, pause, nil)
@@ -123,31 +129,16 @@
 // TestHardeningTwoOperatorsOneNumber: exactly one of two changes of one version is confirmed, and what was taken is never
 // refused, also after hundreds of changes, snapshots and a start of all.
 func TestHardeningTwoOperatorsOneNumber(t *testing.T) {
-	for i, s := range []topology{{3, 0, 1, 3, 0, 0}, {5, 1, 2, 3, 0, 0}, {4, 0, 1, 2, 1, 0}, {1, 0, 0, 1, 0, 0}} {
+	for i, layout := range []topology{{3, 0, 1, 3, 0, 0}, {5, 1, 2, 3, 0, 0}, {4, 0, 1, 2, 1, 0}, {1, 0, 0, 1, 0, 0}} {
 		for j, between := range []int{10, 300, 300} {
 			if raceDetector && i+j > 0 {
 				continue
 			}
 			history := []int{toyHistory, toyHistory, 500}[j]
 			for seed := range uint64(envInt("REPLICATION_RACES", 2)) {
-				got := playRace(seed+1, s, between, history, TestingKnobs{}, false)
-				name := fmt.Sprintf("%v, %d changes between, %d known again, seed %d", s, between, history, seed+1)
-				switch {
-				case got.err != nil:
-					t.Errorf("%s: %v", name, got.err)
-				case got.inFlight < 8 || got.answered < 4 || got.lostAnswers == 0 || got.kills == 0 || got.changes < between:
-					t.Errorf("%s: it did not come about: %+v", name, got)
-				case between > 100 && got.snapshots == 0:
-					t.Errorf("%s: no snapshot was taken over the race", name)
-				case len(got.retries["taken"]) == 0 || len(got.retries["lost"]) == 0:
-					t.Errorf("%s: the repeats were %v", name, got.retries)
-				}
-				for _, r := range got.retries["taken"] {
-					known, unclear := "outcome 1 kind 1", "outcome 1 kind 4"
-					if history > between && r != known || history <= between && r != unclear {
-						t.Errorf("%s: what was taken got %s when it came again", name, r)
-					}
-				}
+				got := playRace(seed+1, layout, between, history, TestingKnobs{}, false)
+				name := fmt.Sprintf("%v, %d changes between, %d known again, seed %d", layout, between, history, seed+1)
+				got.check(t, name, between, history)
 				if seed == 0 {
 					t.Logf("%s: %d calls at once, %d clear answers, %d lost, %d kills, then %v", name, got.inFlight, got.answered, got.lostAnswers, got.kills, got.retries)
 				}
@@ -156,6 +147,27 @@
 	}
 }
 
+// check holds a race against what must come of it, with so many changes between race and retries, and so many remembered.
+func (got *raceRun) check(t *testing.T, name string, between, history int) {
+	t.Helper()
+	switch {
+	case got.err != nil:
+		t.Errorf("%s: %v", name, got.err)
+	case got.inFlight < 8 || got.answered < 4 || got.lostAnswers == 0 || got.kills == 0 || got.changes < between:
+		t.Errorf("%s: it did not come about: %+v", name, got)
+	case between > 100 && got.snapshots == 0:
+		t.Errorf("%s: no snapshot was taken over the race", name)
+	case len(got.retries["taken"]) == 0 || len(got.retries["lost"]) == 0:
+		t.Errorf("%s: the repeats were %v", name, got.retries)
+	}
+	for _, r := range got.retries["taken"] {
+		known, unclear := "outcome 1 kind 1", "outcome 1 kind 4"
+		if history > between && r != known || history <= between && r != unclear {
+			t.Errorf("%s: what was taken got %s when it came again", name, r)
+		}
+	}
+}
+
 // TestHardeningTwoOperatorsControls takes the protections out; some seed must then break.
 func TestHardeningTwoOperatorsControls(t *testing.T) {
 	for name, c := range map[string]struct {
--- a/internal/system/replication/sim_hardening_outage_test.go
+++ b/internal/system/replication/sim_hardening_outage_test.go
@@ -155,47 +155,63 @@
 	return &at
 }
 
-// TestHardeningOutageOfHundredsOfChanges: a member that missed hundreds of changes is level within levelBound after the last
-// fault, though changes go on and its feeder is lost; logs stay bounded. REPLICATION_AWAY=2000 for the deep run, 401 for all plays of the usual length.
-// Danger: it leads or feeds proxies with what it held before, or never catches up.
-func TestHardeningOutageOfHundredsOfChanges(t *testing.T) {
-	type job struct {
-		topology
-		role, mode string
-		seed       uint64
-	}
-	changes := envInt("REPLICATION_AWAY", 400)
-	var jobs []job
-	for i, s := range []topology{{3, 0, 1, 3, 0, 0}, {5, 0, 2, 3, 1, 0}, {4, 1, 1, 2, 0, 0}} {
+// outageJob is one play of an outage.
+type outageJob struct {
+	topology
+	role, mode string
+	seed       uint64
+}
+
+// outageJobs lists the plays: a third of them by default, all with REPLICATION_AWAY.
+func outageJobs(changes int) []outageJob {
+	var jobs []outageJob
+	for i, layout := range []topology{{3, 0, 1, 3, 0, 0}, {5, 0, 2, 3, 1, 0}, {4, 1, 1, 2, 0, 0}} {
 		for _, role := range []string{"head", "second", "tail", "outsider"} {
 			for _, mode := range slices.Sorted(maps.Keys(awayModes)) {
-				if role == "outsider" && s.spares+s.observers == 0 || (raceDetector || testing.Short()) && (i > 0 || mode != "killed") {
+				if role == "outsider" && layout.spares+layout.observers == 0 || (raceDetector || testing.Short()) && (i > 0 || mode != "killed") {
 					continue
 				}
 				if k := len(role) + len(mode); changes == 400 && !raceDetector && k%3 != i {
-					continue // a third of them by default, all with REPLICATION_AWAY
+					continue
 				}
-				jobs = append(jobs, job{s, role, mode, uint64(i + 1)})
+				jobs = append(jobs, outageJob{layout, role, mode, uint64(i + 1)})
 			}
 		}
 	}
+	return jobs
+}
+
+// check tells what is wrong with an outage of so many changes, empty for nothing.
+func (run *outageRun) check(changes int) string {
+	switch {
+	case run.err != nil:
+		return run.err.Error()
+	case run.missed < uint64(changes):
+		return fmt.Sprintf("it missed only %d changes", run.missed)
+	case run.caughtUpAfter > levelBound:
+		return fmt.Sprintf("caught up after %v only", run.caughtUpAfter)
+	case run.longest > 100: // snapshots each 20 records, 5 kept behind, and what is in flight
+		return fmt.Sprintf("a log of %d records", run.longest)
+	case run.changesMeanwhile < 20:
+		return fmt.Sprintf("only %d changes were made meanwhile", run.changesMeanwhile)
+	}
+	return ""
+}
+
+// TestHardeningOutageOfHundredsOfChanges: a member that missed hundreds of changes is level within levelBound after the last
+// fault, though changes go on and its feeder is lost; logs stay bounded. REPLICATION_AWAY=2000 for the deep run, 401 for all plays of the usual length.
+// Danger: it leads or feeds proxies with what it held before, or never catches up.
+func TestHardeningOutageOfHundredsOfChanges(t *testing.T) {
+	changes := envInt("REPLICATION_AWAY", 400)
+	jobs := outageJobs(changes)
 	got := make([]*outageRun, len(jobs))
 	inParallel(len(jobs), func(i int) {
 		got[i] = playOutage(jobs[i].seed, jobs[i].topology, jobs[i].role, jobs[i].mode, changes, TestingKnobs{})
 	})
 	var sum outageRun
 	for i, run := range got {
-		switch {
-		case run.err != nil:
-			t.Errorf("%v: %v", jobs[i], run.err)
-		case run.missed < uint64(changes):
-			t.Errorf("%v: it missed only %d changes", jobs[i], run.missed)
-		case run.caughtUpAfter > levelBound:
-			t.Errorf("%v: level after %v only", jobs[i], run.caughtUpAfter)
-		case run.longest > 100: // snapshots each 20 records, 5 kept behind, and what is in flight
-			t.Errorf("%v: a log of %d records", jobs[i], run.longest)
-		case run.changesMeanwhile < 20:
-			t.Errorf("%v: only %d changes were made meanwhile", jobs[i], run.changesMeanwhile)
+		if problem := run.check(changes); problem != "" {
+			t.Errorf("%v: %s", jobs[i], problem)
 		}
 		sum.caughtUpAfter = max(sum.caughtUpAfter, run.caughtUpAfter)
 		sum.longest = max(sum.longest, run.longest)
--- a/internal/system/replication/sim_proxies_test.go
+++ b/internal/system/replication/sim_proxies_test.go
@@ -251,31 +251,40 @@
 
 // findNode tries the nodes, those that just failed last, until one that is current has answered.
 func (p *proxy) findNode() {
-	list := p.rankNodes()
-	settled, open := false, len(list)
-	for i, keeper := range list {
-		p.after(time.Duration(i)*seekStagger, func() {
-			if settled {
-				return
-			}
-			p.call(keeper, 0, seekTimeout, func(r *pollReply) {
-				if open--; settled {
-					return
-				}
-				if r != nil && r.current {
-					settled = true
-					p.follow(keeper)
-					return
-				}
-				if r == nil {
-					p.failed[keeper] = p.w.now
-				}
-				if open == 0 {
-					p.after(20*time.Millisecond+time.Duration(p.w.rng.IntN(180))*time.Millisecond, p.findNode)
-				}
-			})
-		})
+	nodes := p.rankNodes()
+	search := &nodeSearch{proxy: p, open: len(nodes)}
+	for i, node := range nodes {
+		p.after(time.Duration(i)*seekStagger, func() { search.try(node) })
+	}
+}
+
+// nodeSearch is a proxy's search for a node to follow.
+type nodeSearch struct {
+	*proxy
+	found bool
+	open  int // nodes that have neither answered nor failed
+}
+
+func (s *nodeSearch) try(node string) {
+	if s.found {
+		return
 	}
+	s.call(node, 0, seekTimeout, func(r *pollReply) {
+		if s.open--; s.found {
+			return
+		}
+		if r != nil && r.current {
+			s.found = true
+			s.follow(node)
+			return
+		}
+		if r == nil {
+			s.failed[node] = s.w.now
+		}
+		if s.open == 0 {
+			s.after(20*time.Millisecond+time.Duration(s.w.rng.IntN(180))*time.Millisecond, s.findNode)
+		}
+	})
 }
 
 // rankNodes gives the nodes to try. The seeds stay known, in case all others are gone.
@@ -291,19 +300,19 @@
 	return list
 }
 
-func (p *proxy) isAvoided(keeper string) bool {
-	at, ok := p.failed[keeper]
+func (p *proxy) isAvoided(node string) bool {
+	at, ok := p.failed[node]
 	return ok && p.w.now-at < avoidTime
 }
 
 // follow polls one node until it is silent or not current.
-func (p *proxy) follow(keeper string) {
-	p.call(keeper, longPollTimeout, pollTimeoutMargin, func(r *pollReply) {
+func (p *proxy) follow(node string) {
+	p.call(node, longPollTimeout, pollTimeoutMargin, func(r *pollReply) {
 		if r == nil || !r.current {
-			p.failed[keeper] = p.w.now
+			p.failed[node] = p.w.now
 			p.findNode()
 			return
 		}
-		p.follow(keeper)
+		p.follow(node)
 	})
 }
