--- a/internal/system/replication/node_test.go
+++ b/internal/system/replication/node_test.go
@@ -145,30 +145,8 @@
 				t.Fatal(s, err)
 			}
 		}
-		// The head's disk is lost.
-		lost := string(nodes[group.seeds[0]].View().Head())
-		for _, a := range group.seeds {
-			if string(nodes[a].Self().ID) == lost {
-				group.stop(a, nodes[a])
-				delete(group.disks, a)
-				nodes[a] = group.start(a, false)
-			}
-		}
-		time.Sleep(4 * time.Second)
-		v := nodes[group.seeds[0]].View()
-		if len(v.Chain) != 3 || v.chainIndex(ID(lost)) >= 0 {
-			t.Fatalf("after a lost disk: %v", v)
-		}
-		for _, a := range group.seeds {
-			if !nodes[a].Current() {
-				t.Errorf("keeper %s is not current", a)
-			}
-			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-			if s, err := nodes[a].Read(ctx); err != nil || !s.Evacuated["a"] {
-				t.Error(s, err)
-			}
-			cancel()
-		}
+		group.replaceHeadsDisk(nodes)
+		group.checkEvacuated(nodes, "a")
 		// A goodbye takes a node out of the chain at once.
 		began := time.Now()
 		nodes[group.seeds[1]].Leave(context.Background())
@@ -184,6 +162,39 @@
 	})
 }
 
+// replaceHeadsDisk restarts the head on an empty disk, and checks that another identity takes its place.
+func (f *fleet) replaceHeadsDisk(nodes map[string]*Node) {
+	f.t.Helper()
+	lost := string(nodes[f.seeds[0]].View().Head())
+	for _, a := range f.seeds {
+		if string(nodes[a].Self().ID) == lost {
+			f.stop(a, nodes[a])
+			delete(f.disks, a)
+			nodes[a] = f.start(a, false)
+		}
+	}
+	time.Sleep(4 * time.Second)
+	v := nodes[f.seeds[0]].View()
+	if len(v.Chain) != 3 || v.chainIndex(ID(lost)) >= 0 {
+		f.t.Fatalf("after a lost disk: %v", v)
+	}
+}
+
+// checkEvacuated checks that all nodes are current and that the zone is evacuated.
+func (f *fleet) checkEvacuated(nodes map[string]*Node, zone string) {
+	f.t.Helper()
+	for _, a := range f.seeds {
+		if !nodes[a].Current() {
+			f.t.Errorf("node %s is not current", a)
+		}
+		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+		if s, err := nodes[a].Read(ctx); err != nil || !s.Evacuated[zone] {
+			f.t.Error(s, err)
+		}
+		cancel()
+	}
+}
+
 func TestLoneNodeReportsNotApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t)
--- a/internal/system/replication/restart_test.go
+++ b/internal/system/replication/restart_test.go
@@ -17,60 +17,79 @@
 func TestAllNodesRestartFromTheirLogs(t *testing.T) {
 	folders := map[string]string{}
 	synctest.Test(t, func(t *testing.T) {
-		group := newFleet(t)
-		for _, a := range group.seeds {
+		fleet := &restartedFleet{fleet: newFleet(t), folders: folders, nodes: map[string]*Node{}}
+		for _, a := range fleet.seeds {
 			folders[a] = t.TempDir()
 		}
-		start := func(addr string, bootstrap bool) *Node {
-			disk, err := wal.Open(folders[addr], wal.Options{})
-			if err != nil {
-				t.Fatal(err)
-			}
-			k, err := Start(context.Background(), Options{Addr: addr, Zone: "z", Region: "r", Port: 1, Seeds: group.seeds,
-				Bootstrap: bootstrap, MachineLosses: 1, Disk: disk, Transport: group.net,
-				Log: &log.Logger{Handler: discard.New(), Level: log.InfoLevel}})
-			if err != nil {
-				t.Fatal(err)
-			}
-			group.net.set(addr, k.Handler())
-			return k
-		}
-		zones := []string{"a", "b", "c", "d"}
-		for round, zone := range zones {
-			nodes := map[string]*Node{}
-			for _, a := range group.seeds {
-				nodes[a] = start(a, round == 0)
+		for round, zone := range []string{"a", "b", "c", "d"} {
+			for _, a := range fleet.seeds {
+				fleet.nodes[a] = fleet.start(a, round == 0)
 			}
 			if round > 0 { // after a start of all, what is on disk is committed anew before any call
-				time.Sleep(250 * time.Millisecond)
-				for _, a := range group.seeds {
-					if s, _ := nodes[a].Committed(); len(s.Evacuated) != round {
-						t.Errorf("round %d: %s knows of %d changes after 250 ms: links ask too seldom to be fed", round, a, len(s.Evacuated))
-					}
-				}
+				fleet.checkCommitted(round)
 			}
 			if round == 2 { // one is away for long enough that the others go on without it
-				away := group.seeds[round%3]
-				group.stop(away, nodes[away])
+				away := fleet.seeds[round%3]
+				fleet.stop(away, fleet.nodes[away])
 				time.Sleep(3 * time.Second)
-				nodes[away] = start(away, false)
+				fleet.nodes[away] = fleet.start(away, false)
 				time.Sleep(3 * time.Second)
 			}
-			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-			if s, err := nodes[group.seeds[round%3]].Read(ctx); err != nil || len(s.Evacuated) != round {
-				t.Fatalf("round %d: before anything new: %v %v", round, s, err)
-			}
-			if _, err := nodes[group.seeds[round%3]].Submit(ctx, evacuate(zone)); err != nil {
-				t.Fatalf("round %d: %v", round, err)
-			}
-			s, err := nodes[group.seeds[(round+1)%3]].Read(ctx)
-			cancel()
-			if err != nil || len(s.Evacuated) != round+1 {
-				t.Fatalf("round %d: %v %v", round, s, err)
-			}
-			for _, a := range group.seeds {
-				group.stop(a, nodes[a])
+			fleet.evacuateOneMore(round, zone)
+			for _, a := range fleet.seeds {
+				fleet.stop(a, fleet.nodes[a])
 			}
 		}
 	})
 }
+
+// restartedFleet is nodes on logs of their own, which are started again and again.
+type restartedFleet struct {
+	*fleet
+	folders map[string]string
+	nodes   map[string]*Node
+}
+
+func (f *restartedFleet) start(addr string, bootstrap bool) *Node {
+	f.t.Helper()
+	disk, err := wal.Open(f.folders[addr], wal.Options{})
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	node, err := Start(context.Background(), Options{Addr: addr, Zone: "z", Region: "r", Port: 1, Seeds: f.seeds,
+		Bootstrap: bootstrap, MachineLosses: 1, Disk: disk, Transport: f.net,
+		Log: &log.Logger{Handler: discard.New(), Level: log.InfoLevel}})
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	f.net.set(addr, node.Handler())
+	return node
+}
+
+// checkCommitted checks that all nodes soon know so many evacuations to be committed.
+func (f *restartedFleet) checkCommitted(evacuations int) {
+	f.t.Helper()
+	time.Sleep(250 * time.Millisecond)
+	for _, a := range f.seeds {
+		if s, _ := f.nodes[a].Committed(); len(s.Evacuated) != evacuations {
+			f.t.Errorf("round %d: %s knows of %d changes after 250 ms: replicas ask too seldom to catch up", evacuations, a, len(s.Evacuated))
+		}
+	}
+}
+
+// evacuateOneMore reads the evacuations of the rounds before at one node, adds one, and reads it at another.
+func (f *restartedFleet) evacuateOneMore(round int, zone string) {
+	f.t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+	defer cancel()
+	if s, err := f.nodes[f.seeds[round%3]].Read(ctx); err != nil || len(s.Evacuated) != round {
+		f.t.Fatalf("round %d: before anything new: %v %v", round, s, err)
+	}
+	if _, err := f.nodes[f.seeds[round%3]].Submit(ctx, evacuate(zone)); err != nil {
+		f.t.Fatalf("round %d: %v", round, err)
+	}
+	s, err := f.nodes[f.seeds[(round+1)%3]].Read(ctx)
+	if err != nil || len(s.Evacuated) != round+1 {
+		f.t.Fatalf("round %d: %v %v", round, s, err)
+	}
+}
--- a/internal/system/replication/restore_test.go
+++ b/internal/system/replication/restore_test.go
@@ -80,6 +80,19 @@
 	f.nodes[addr] = k
 }
 
+func (f *restoredFleet) runAll() {
+	f.t.Helper()
+	for _, a := range f.seeds {
+		f.run(a)
+	}
+}
+
+func (f *restoredFleet) stopAll() {
+	for _, a := range f.seeds {
+		f.stop(a, f.nodes[a])
+	}
+}
+
 // serves checks that every node holds the records of want, and that a further change comes about on all.
 func (f *restoredFleet) serves(when string, want *controlstate.State, next string) *controlstate.State {
 	f.t.Helper()
@@ -144,23 +157,15 @@
 						group.restore(group.seeds[i], s)
 					}
 				}
-				for _, a := range group.seeds {
-					group.run(a)
-				}
+				group.runAll()
 				want := group.serves("at first", test.want, "new")
 				if slices.Contains(test.on[:], nil) && len(want.Evacuated) != len(test.want.Evacuated)+1 {
 					t.Error(want)
 				}
-				for _, a := range group.seeds {
-					group.stop(a, group.nodes[a])
-				}
-				for _, a := range group.seeds {
-					group.run(a)
-				}
+				group.stopAll()
+				group.runAll()
 				group.serves("after a restart", want, "newer")
-				for _, a := range group.seeds {
-					group.stop(a, group.nodes[a])
-				}
+				group.stopAll()
 			})
 		})
 	}
--- a/internal/system/replication/sim_faults_apply_test.go
+++ b/internal/system/replication/sim_faults_apply_test.go
@@ -15,98 +15,116 @@
 	})
 }
 
-func (w *clusterSim) apply(f fault) {
+// apply has a fault come about now.
+func (w *clusterSim) apply(cause fault) {
 	if w.faultsOver {
 		return
 	}
 	w.recordDisturbance()
-	first, second := w.nodes[f.a], w.nodes[f.b]
-	switch f.kind {
+	first, second := w.nodes[cause.a], w.nodes[cause.b]
+	switch cause.kind {
 	case faultKill:
 		first.kill()
-		first.restartAfter(f.duration)
+		first.restartAfter(cause.duration)
 	case faultPowerAll:
-		w.powerAll(f)
+		w.powerAll(cause)
 	case faultPause:
-		first.pause(f.duration)
-	case faultPartitionPair:
-		w.block(first.member.Addr, second.member.Addr, f.duration, f.n&4 != 0)
-		w.block(second.member.Addr, first.member.Addr, f.duration, f.n&4 != 0)
-	case faultPartitionOneWay:
-		w.block(first.member.Addr, second.member.Addr, f.duration, f.n&4 != 0)
-	case faultIsolate:
-		w.isolate(first, f)
-	case faultSplit:
-		w.split(f)
-	case faultLoss:
-		w.loss = 0.3
-		w.after(f.duration, func() { w.loss = 0; w.recordDisturbance() })
-	case faultDelay:
-		w.extraDelay = 400 * time.Millisecond
-		w.after(f.duration, func() { w.extraDelay = 0; w.recordDisturbance() })
-	case faultDiskFull:
-		first.diskFull, first.acceptorReserve = true, f.n&1 == 1
-		w.after(f.duration, func() { first.diskFull = false; w.recordDisturbance() })
-	case faultDiskSlow:
-		first.diskDelay = time.Duration(100+f.n%900) * time.Millisecond
-		w.after(f.duration, func() { first.diskDelay = 0; w.recordDisturbance() })
-	case faultDiskStall:
-		first.diskStalled = true
-		w.after(f.duration, func() { first.diskStalled = false; w.recordDisturbance() })
+		first.pause(cause.duration)
+	case faultPartitionPair, faultPartitionOneWay, faultIsolate, faultSplit, faultLoss, faultDelay:
+		w.applyToNetwork(cause, first, second)
+	case faultDiskFull, faultDiskSlow, faultDiskStall, faultDisksFullButOne:
+		w.applyToDisk(cause, first)
 	case faultWipe:
 		if w.lose(first) {
-			first.restartAfter(f.duration)
+			first.restartAfter(cause.duration)
 		}
 	case faultReplace:
-		w.replace(first, f)
+		w.replace(first, cause)
 	case faultLeave:
-		first.leave(f.ackTimeout(), func() {
+		first.leave(cause.ackTimeout(), func() {
 			first.kill()
-			first.restartAfter(f.duration)
+			first.restartAfter(cause.duration)
 		})
-	case faultDisksFullButOne:
-		w.fillDisksButOne(f, first)
 	case faultPowerAfterAck:
-		w.onAck = append(w.onAck, func() { w.powerAll(f) })
+		w.onAck = append(w.onAck, func() { w.powerAll(cause) })
 	case faultWipeAfterAck:
 		w.onAck = append(w.onAck, func() {
 			if w.lose(first) {
-				first.restartAfter(f.duration)
+				first.restartAfter(cause.duration)
 			}
 		})
 	default:
-		w.applyGrouped(f, first)
+		w.applyGrouped(cause, first)
+	}
+}
+
+// applyToNetwork applies partitions, losses and delays of messages.
+func (w *clusterSim) applyToNetwork(cause fault, first, second *simNode) {
+	late := cause.n&4 != 0
+	switch cause.kind {
+	case faultPartitionPair:
+		w.block(first.member.Addr, second.member.Addr, cause.duration, late)
+		w.block(second.member.Addr, first.member.Addr, cause.duration, late)
+	case faultPartitionOneWay:
+		w.block(first.member.Addr, second.member.Addr, cause.duration, late)
+	case faultIsolate:
+		w.isolate(first, cause)
+	case faultSplit:
+		w.split(cause)
+	case faultLoss:
+		w.loss = 0.3
+		w.after(cause.duration, func() { w.loss = 0; w.recordDisturbance() })
+	case faultDelay:
+		w.extraDelay = 400 * time.Millisecond
+		w.after(cause.duration, func() { w.extraDelay = 0; w.recordDisturbance() })
+	}
+}
+
+// applyToDisk applies disks that are full, slow or do not answer.
+func (w *clusterSim) applyToDisk(cause fault, node *simNode) {
+	switch cause.kind {
+	case faultDiskFull:
+		node.diskFull, node.acceptorReserve = true, cause.n&1 == 1
+		w.after(cause.duration, func() { node.diskFull = false; w.recordDisturbance() })
+	case faultDiskSlow:
+		node.diskDelay = time.Duration(100+cause.n%900) * time.Millisecond
+		w.after(cause.duration, func() { node.diskDelay = 0; w.recordDisturbance() })
+	case faultDiskStall:
+		node.diskStalled = true
+		w.after(cause.duration, func() { node.diskStalled = false; w.recordDisturbance() })
+	case faultDisksFullButOne:
+		w.fillDisksButOne(cause, node)
 	}
 }
 
 // applyGrouped applies the faults that strike several nodes, or later ones.
-func (w *clusterSim) applyGrouped(f fault, a *simNode) {
-	act := f
-	act.kind = f.act
-	switch f.kind {
+func (w *clusterSim) applyGrouped(cause fault, node *simNode) {
+	act := cause
+	act.kind = cause.act
+	switch cause.kind {
 	case faultZone:
-		if w.loseZoneDisks(a.member.Zone, f) {
+		if w.loseZoneDisks(node.member.Zone, cause) {
 			return
 		}
-		w.applyToAll(act, func(m *simNode) bool { return m.member.Zone == a.member.Zone })
+		w.applyToAll(act, func(m *simNode) bool { return m.member.Zone == node.member.Zone })
 	case faultGroup:
-		w.applyToAll(act, func(m *simNode) bool { return f.n>>(m.name%16)&1 == 1 || m == a })
+		w.applyToAll(act, func(m *simNode) bool { return cause.n>>(m.name%16)&1 == 1 || m == node })
 	case faultStep:
-		w.arm(&stepTrigger{name: f.step, remaining: 1 + f.n%8, before: f.before, action: func(m *simNode) {
+		w.arm(&stepTrigger{name: cause.step, remaining: 1 + cause.n%8, before: cause.before, action: func(m *simNode) {
 			if !m.removed {
 				act.a = m.name
 				w.apply(act)
 			}
 		}})
 	case faultReplaceTwice:
-		w.replaceTwice(a, f)
+		w.replaceTwice(node, cause)
 	case faultJoin:
 		if len(w.nodes) < w.machines()+3 {
 			w.stats.joins++
-			w.successor(a, f).start()
+			w.successor(node, cause).start()
 		}
 	case faultProxy:
-		w.disturbProxy(f)
+		w.disturbProxy(cause)
 	}
 }
 
--- a/internal/system/replication/sim_hardening_operators_test.go
+++ b/internal/system/replication/sim_hardening_operators_test.go
@@ -23,9 +23,9 @@
 
 // playRace sends two different changes of one version through every node at once, eight calls in all and more, loses
 // answers, kills nodes between commit and answer, and sends both again after hundreds of changes and a start of all.
-func playRace(seed uint64, s topology, between, history int, h TestingKnobs, forgetful bool) *raceRun {
+func playRace(seed uint64, layout topology, between, history int, knobs TestingKnobs, forgetful bool) *raceRun {
 	out := &raceRun{retries: map[string][]string{}}
-	w := newClusterSim(seed, s, h)
+	w := newClusterSim(seed, layout, knobs)
 	w.machine = toyMachine{forgetful: forgetful, history: history}
 	w.runUntil(4 * time.Second)
 	w.write(3, 50*time.Millisecond)
@@ -41,12 +41,12 @@
 	}
 	// Two nodes die when they have just written the record and nobody knows.
 	for range 2 {
-		w.arm(&stepTrigger{name: "wrote append", remaining: 1 + w.rng.IntN(s.diskNodes), before: true, action: func(m *simNode) {
+		w.arm(&stepTrigger{name: "wrote append", remaining: 1 + w.rng.IntN(layout.diskNodes), before: true, action: func(m *simNode) {
 			out.kills++
 			w.apply(fault{kind: faultKill, a: m.name, duration: time.Second})
 		}})
 	}
-	for range max(1, 8/s.diskNodes+1) {
+	for range max(1, 8/layout.diskNodes+1) {
 		for _, m := range w.nodes {
 			for _, ch := range changes {
 				w.submitUntilDone(&simCall{node: m, change: ch, first: w.acked}, 5, func() {})
@@ -66,16 +66,7 @@
 			out.snapshots++
 		}
 	}
-	for i, ch := range changes {
-		for _, m := range w.nodes {
-			a := &simCall{node: m, change: ch, ttl: 4 * time.Second}
-			name := []string{"lost", "taken"}[min(1, int(w.acceptedAt[keyOf(ch)]))]
-			a.onDone = func(d Completion) {
-				out.retries[name] = append(out.retries[name], fmt.Sprintf("outcome %d kind %d", d.Outcome, d.Verdict.Kind))
-			}
-			w.after(time.Duration(i)*20*time.Millisecond, func() { w.ask(a) })
-		}
-	}
+	out.retry(w, changes)
 	w.runUntil(w.now + 6*time.Second)
 	if w.violation == nil {
 		w.checkConverged()
@@ -84,6 +75,20 @@
 	return out
 }
 
+// retry sends the changes of the race again through every node.
+func (got *raceRun) retry(w *clusterSim, changes []controlstate.Change) {
+	for i, change := range changes {
+		for _, m := range w.nodes {
+			call := &simCall{node: m, change: change, ttl: 4 * time.Second}
+			name := []string{"lost", "taken"}[min(1, int(w.acceptedAt[keyOf(change)]))]
+			call.onDone = func(done Completion) {
+				got.retries[name] = append(got.retries[name], fmt.Sprintf("outcome %d kind %d", done.Outcome, done.Verdict.Kind))
+			}
+			w.after(time.Duration(i)*20*time.Millisecond, func() { w.ask(call) })
+		}
+	}
+}
+
 // answerRace loses every second answer of the race.
 func (got *raceRun) answerRace(w *clusterSim, call *simCall, done Completion) {
 	if settles(done) {
--- a/internal/system/replication/sim_hardening_outage_test.go
+++ b/internal/system/replication/sim_hardening_outage_test.go
@@ -25,12 +25,12 @@
 		w.partitionNode(m, cutModes[1], time.Hour)
 		return func() { w.rejoin(m) }
 	},
-	"killed, starts with as few others as go on": func(w *clusterSim, m *simNode) func() {
-		m.kill()
+	"killed, starts with as few others as go on": func(w *clusterSim, node *simNode) func() {
+		node.kill()
 		return func() {
 			with := len(w.newest.Voters)/2 + 1
 			for i, o := range w.nodes {
-				if o == m {
+				if o == node {
 					continue
 				}
 				o.kill()
@@ -41,7 +41,7 @@
 					o.restartAfter(3 * time.Second)
 				}
 			}
-			m.start()
+			node.start()
 		}
 	},
 	"killed, starts with all others": func(w *clusterSim, m *simNode) func() {
--- a/internal/system/replication/sim_losses_test.go
+++ b/internal/system/replication/sim_losses_test.go
@@ -21,7 +21,7 @@
 }
 
 // replace ends a node for good and starts another, at a new address and with an empty disk.
-func (w *clusterSim) replace(node *simNode, f fault) {
+func (w *clusterSim) replace(node *simNode, cause fault) {
 	if node.removed || node.observer || !w.canLoseDisk() || len(w.nodes) > 40 {
 		return
 	}
@@ -34,11 +34,11 @@
 		}
 		node.kill()
 		node.removed = true
-		w.successor(node, f).restartAfter(f.duration)
+		w.successor(node, cause).restartAfter(cause.duration)
 	}
-	if f.n&1 == 1 && node.isRunning() && !node.paused {
+	if cause.n&1 == 1 && node.isRunning() && !node.paused {
 		w.pending++
-		node.leave(f.ackTimeout(), func() {
+		node.leave(cause.ackTimeout(), func() {
 			w.pending--
 			end()
 		})
--- a/internal/system/replication/sim_network_test.go
+++ b/internal/system/replication/sim_network_test.go
@@ -70,10 +70,10 @@
 }
 
 // carry brings something from one address to another, unless the replica is cut or loses it.
-func (w *clusterSim) carry(from, to string, delay time.Duration, do func()) {
+func (w *clusterSim) carry(from, to string, delay time.Duration, onArrival func()) {
 	if l := w.partitioned[[2]string{from, to}]; l != nil {
 		if l.late && len(l.delayed) < maxHeld {
-			l.delayed = append(l.delayed, do)
+			l.delayed = append(l.delayed, onArrival)
 		}
 		return
 	}
@@ -84,7 +84,7 @@
 	if w.extraDelay > 0 && w.rng.IntN(4) == 0 {
 		delay += time.Duration(w.rng.Int64N(int64(w.extraDelay)))
 	}
-	w.after(delay, do)
+	w.after(delay, onArrival)
 }
 
 func (w *clusterSim) deliver(from *simNode, envelope Envelope) {
