--- a/internal/system/replication/change_decider.go
+++ b/internal/system/replication/change_decider.go
@@ -83,7 +83,7 @@
 
 // canAppend tells whether a record appended now is likely to be committed, and there is capacity for it.
 func (cd *changeDecider) canAppend() bool {
-	isFit := !cd.writer.unhealthy && !cd.liveness.leaving
+	isFit := !cd.writer.unhealthy && !cd.liveness.draining
 	return isFit && len(cd.pending) < maxPendingCalls && len(cd.acceptor.view.Chain) >= cd.cfg.minChainLength()
 }
 
--- a/internal/system/replication/core.go
+++ b/internal/system/replication/core.go
@@ -129,7 +129,7 @@
 // done.
 func (c *Core) Leave(now time.Duration) {
 	c.advance(now)
-	c.liveness.leaving = true
+	c.liveness.draining = true
 	c.liveness.sendHeartbeats()
 	c.flush()
 }
--- a/internal/system/replication/disk_writer_test.go
+++ b/internal/system/replication/disk_writer_test.go
@@ -125,9 +125,9 @@
 	}
 }
 
-// TestCompactionAheadOfTheLog is due to compact while what is committed is not all on its own disk yet, as on a node that is
+// TestCompactionBeyondTheLog is due to compact while what is committed is not all on its own disk yet, as on a node that is
 // caught up under load. Danger: the log refuses a snapshot beyond its end, and the compaction is tried again for good.
-func TestCompactionAheadOfTheLog(t *testing.T) {
+func TestCompactionBeyondTheLog(t *testing.T) {
 	a := newSingleNode(t, toyMachine{}, t.TempDir())
 	a.change(1, 3, 100)
 	c := a.core
--- a/internal/system/replication/late_messages_test.go
+++ b/internal/system/replication/late_messages_test.go
@@ -28,7 +28,7 @@
 	if cluster.view().Epoch != epoch {
 		t.Fatal("the view has changed: the scenario shows nothing")
 	}
-	if note := cluster.nodes[head].core.chain.state.(*toy).note; note != "second" {
+	if note := cluster.nodes[head].core.chain.state.(*toy).lastZone; note != "second" {
 		return "the change " + note + " undoes a later one"
 	}
 	return ""
--- a/internal/system/replication/leave_test.go
+++ b/internal/system/replication/leave_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestLeavingNodeWaitsForEnoughReplicas has a replica leave while another is away. Danger: it goes, and what was acknowledged is
+// TestDrainingNodeWaitsForEnoughReplicas has a replica leave while another is away. Danger: it goes, and what was acknowledged is
 // left on a single disk, though a node may be lost at any time.
-func TestLeavingNodeWaitsForEnoughReplicas(t *testing.T) {
+func TestDrainingNodeWaitsForEnoughReplicas(t *testing.T) {
 	for index, name := range []string{"head", "tail"} {
 		t.Run(name, func(t *testing.T) { playLeaveWhileAnotherIsAway(t, index) })
 	}
@@ -88,8 +88,8 @@
 	t.Logf("it left %v after the other had caught up", took)
 }
 
-// TestLeavingNodeHandsOverOnlyReplica: a single replica leaves and another node is there. Danger: it never hands over.
-func TestLeavingNodeHandsOverOnlyReplica(t *testing.T) {
+// TestDrainingNodeHandsOverOnlyReplica: a single replica leaves and another node is there. Danger: it never hands over.
+func TestDrainingNodeHandsOverOnlyReplica(t *testing.T) {
 	cluster := threeNodes(t, 0, TestingKnobs{})
 	cluster.nodes["b"].core, cluster.nodes["c"].core = nil, nil
 	cluster.run(3 * time.Second)
@@ -105,9 +105,9 @@
 	}
 }
 
-// TestLeavingNodeLeadsWhenNobodyElseCan loses the only other copy while a replica waits to leave. Danger: the changes are on the
+// TestDrainingNodeLeadsWhenNobodyElseCan loses the only other copy while a replica waits to leave. Danger: the changes are on the
 // leaving node's disk alone, nobody else may lead, and it does not any more.
-func TestLeavingNodeLeadsWhenNobodyElseCan(t *testing.T) {
+func TestDrainingNodeLeadsWhenNobodyElseCan(t *testing.T) {
 	cluster := threeNodes(t, 1, TestingKnobs{})
 	cluster.nodes["c"].core = nil
 	cluster.until(3*time.Second, "a chain of two", func() bool { return len(cluster.view().Chain) == 2 })
--- a/internal/system/replication/liveness.go
+++ b/internal/system/replication/liveness.go
@@ -27,7 +27,7 @@
 	lastHeartbeatAt time.Duration
 	graceUntil      time.Duration // until then nobody is suspected
 	chainReachedAt  time.Duration // when the chain was last reachable; not before graceUntil
-	leaving         bool          // this node is about to leave
+	draining        bool          // this node is about to leave
 
 	acceptor *acceptor
 	writer   *diskWriter
@@ -77,7 +77,7 @@
 	heartbeat := &replicationpb.Heartbeat{
 		Member: memberPB(lv.self), Number: lv.heartbeatNumber, Life: lv.cfg.Incarnation,
 		Epoch: lv.acceptor.durableEpoch, Active: lv.acceptor.durableActive, Sealed: lv.acceptor.durableSealed,
-		Committed: lv.chain.commitIndex, DiskBad: lv.writer.unhealthy, Leaving: lv.leaving, Bootstrap: lv.cfg.Bootstrap,
+		Committed: lv.chain.commitIndex, DiskBad: lv.writer.unhealthy, Leaving: lv.draining, Bootstrap: lv.cfg.Bootstrap,
 		Stuck: string(lv.chain.stalledSuccessor()), Observer: lv.cfg.Observer, Echoes: echoes,
 	}
 	if lv.acceptor.acceptedView != nil {
@@ -225,7 +225,7 @@
 // isEligible tells whether id is fit to become a chain replica: it is healthy and not about to leave.
 func (lv *liveness) isEligible(id ID) bool {
 	if id == lv.self.ID {
-		return lv.isHealthy(id) && !lv.leaving
+		return lv.isHealthy(id) && !lv.draining
 	}
 	return lv.isHealthy(id) && !lv.peers[id].heartbeat.GetLeaving()
 }
--- a/internal/system/replication/placement_test.go
+++ b/internal/system/replication/placement_test.go
@@ -167,9 +167,9 @@
 	return took
 }
 
-// TestVotersMoveApart: three voters of which two stand in one zone, since the third zone's node came late, are
+// TestVotersAreRebalanced: three voters of which two stand in one zone, since the third zone's node came late, are
 // exchanged, and never below what may acknowledge. Danger: the loss of that zone takes the majority.
-func TestVotersMoveApart(t *testing.T) {
+func TestVotersAreRebalanced(t *testing.T) {
 	members := []Member{
 		{ID: "a1", Addr: "a1", Zone: "a", Region: "r"}, {ID: "a2", Addr: "a2", Zone: "a", Region: "r"}, {ID: "b1", Addr: "b1", Zone: "b", Region: "r"},
 	}
--- a/internal/system/replication/repair_test.go
+++ b/internal/system/replication/repair_test.go
@@ -10,8 +10,8 @@
 // catchUp is how long after its return a node may still count as lost.
 const catchUp = 4 * time.Second
 
-// settle runs a simulation without faults until its view is whole.
-func settle(t *testing.T, w *clusterSim, limit time.Duration) time.Duration {
+// awaitRepair runs a simulation without faults until its view is whole.
+func awaitRepair(t *testing.T, w *clusterSim, limit time.Duration) time.Duration {
 	t.Helper()
 	began := w.now
 	for !w.isFullyReplicated() || len(w.newest.Chain) < min(defaultChainLength, len(w.newest.Voters)) {
@@ -36,7 +36,7 @@
 	for seed := range seeds {
 		s := zoneLossTopologies()[seed%uint64(len(zoneLossTopologies()))]
 		w := newClusterSim(seed, s, TestingKnobs{})
-		settle(t, w, 6*time.Second)
+		awaitRepair(t, w, 6*time.Second)
 		w.after(0, func() { w.client(0) })
 		for round := range 8 {
 			lost := w.nodes[w.rng.IntN(len(w.nodes))]
@@ -68,7 +68,7 @@
 				w.runUntil(w.now + away)
 				lost.start()
 			}
-			longest[what] = max(longest[what], settle(t, w, catchUp))
+			longest[what] = max(longest[what], awaitRepair(t, w, catchUp))
 			w.runUntil(w.now + time.Second)
 		}
 	}
@@ -82,7 +82,7 @@
 	for seed := range uint64(30) {
 		layout := zoneLossTopologies()[seed%uint64(len(zoneLossTopologies()))]
 		w := newClusterSim(seed, layout, TestingKnobs{})
-		settle(t, w, 6*time.Second)
+		awaitRepair(t, w, 6*time.Second)
 		m := w.nodes[seed%uint64(layout.diskNodes)]
 		switch seed % 5 {
 		case 0:
--- a/internal/system/replication/scenarios_test.go
+++ b/internal/system/replication/scenarios_test.go
@@ -146,7 +146,7 @@
 		cluster.deliver(e)
 	}
 	cluster.run(200 * time.Millisecond)
-	if note := cluster.nodes[head].core.chain.state.(*toy).note; note != "second" {
+	if note := cluster.nodes[head].core.chain.state.(*toy).lastZone; note != "second" {
 		return "the change " + note + " undoes a later one"
 	}
 	return ""
--- a/internal/system/replication/sim_hardening_answers_test.go
+++ b/internal/system/replication/sim_hardening_answers_test.go
@@ -30,7 +30,7 @@
 	w.operate()
 	w.runUntil(4 * time.Second)
 	for round := range 6 {
-		m := cutRoles[role](w)
+		m := nodeRoles[role](w)
 		if m == nil {
 			return 0, fmt.Errorf("there is no %s: %w", role, w.violation)
 		}
@@ -71,7 +71,7 @@
 	w := newClusterSim(seed, s, knobs)
 	w.runUntil(4 * time.Second)
 	w.write(5, 50*time.Millisecond)
-	m, head := cutRoles["outsider"](w), w.replica(0)
+	m, head := nodeRoles["outsider"](w), w.replica(0)
 	w.block(head.member.Addr, m.member.Addr, 20*time.Second, false)
 	w.askMixed(m, 0)
 	w.runUntil(w.now + 100*time.Millisecond)
--- a/internal/system/replication/sim_hardening_leave_test.go
+++ b/internal/system/replication/sim_hardening_leave_test.go
@@ -33,7 +33,7 @@
 // checkLeft: who has left goes without anything being lost, since enough others hold all that was acknowledged.
 func (w *clusterSim) checkLeft(m *simNode) {
 	c := m.core
-	if c == nil || !c.liveness.leaving || m.observer || w.now-w.lostAt < 3*time.Second || !c.Departed() || c.acceptor.view.Epoch == 0 {
+	if c == nil || !c.liveness.draining || m.observer || w.now-w.lostAt < 3*time.Second || !c.Departed() || c.acceptor.view.Epoch == 0 {
 		return
 	}
 	holders := 0
@@ -47,9 +47,9 @@
 	}
 }
 
-// playLeavingNode has a node leave for good that holds the only copy of what was acknowledged: one other was away meanwhile,
+// playDrainingNode has a node leave for good that holds the only copy of what was acknowledged: one other was away meanwhile,
 // the third has just lost its disk. It gives how long the leaving node stayed.
-func playLeavingNode(seed uint64, patience time.Duration) (time.Duration, error) {
+func playDrainingNode(seed uint64, patience time.Duration) (time.Duration, error) {
 	w := newClusterSim(seed, topology{3, 0, 1, 3, 0, 0}, TestingKnobs{})
 	w.operate()
 	w.runUntil(4 * time.Second)
@@ -87,16 +87,16 @@
 	return stayed, err
 }
 
-// TestHardeningLeavingNodeWithOnlyReplica: it goes when enough others hold what it holds, and not before. The control goes at
+// TestHardeningDrainingNodeWithOnlyReplica: it goes when enough others hold what it holds, and not before. The control goes at
 // once.
-func TestHardeningLeavingNodeWithOnlyReplica(t *testing.T) {
+func TestHardeningDrainingNodeWithOnlyReplica(t *testing.T) {
 	var longest time.Duration
 	n := 40
 	if raceDetector {
 		n = 6
 	}
 	stays, errs := make([]time.Duration, n), make([]error, n)
-	inParallel(n, func(i int) { stays[i], errs[i] = playLeavingNode(uint64(i+1), leavePatience) })
+	inParallel(n, func(i int) { stays[i], errs[i] = playDrainingNode(uint64(i+1), leavePatience) })
 	for i, err := range errs {
 		if err != nil {
 			t.Errorf("seed %d: %v", i+1, err)
@@ -111,7 +111,7 @@
 	seed := uint64(0)
 	for err == nil && seed < 40 {
 		seed++
-		_, err = playLeavingNode(seed, 0)
+		_, err = playDrainingNode(seed, 0)
 	}
 	if err == nil {
 		t.Error("nothing broke where the leaver went at once")
@@ -119,8 +119,8 @@
 	t.Logf("control, the leaver goes at once: seed %d: %v", seed, err)
 }
 
-// TestLeavingNodeDoesNotCountTimedOutReplicas: what a replica said of itself long ago does not tell that its disk is still there.
-func TestLeavingNodeDoesNotCountTimedOutReplicas(t *testing.T) {
+// TestDrainingNodeDoesNotCountTimedOutReplicas: what a replica said of itself long ago does not tell that its disk is still there.
+func TestDrainingNodeDoesNotCountTimedOutReplicas(t *testing.T) {
 	v := &View{Epoch: 3, Chain: []ID{"a", "b"}, Voters: []Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
 	c := newCore(Config{MachineLosses: 1, Self: Member{ID: "c"}}, toyMachine{})
 	c.acceptor.view = v
--- a/internal/system/replication/sim_hardening_operators_test.go
+++ b/internal/system/replication/sim_hardening_operators_test.go
@@ -91,7 +91,7 @@
 
 // answerRace loses every second answer of the race.
 func (got *raceRun) answerRace(w *clusterSim, call *simCall, done Completion) {
-	if settles(done) {
+	if isConclusive(done) {
 		got.answered++
 	}
 	if w.rng.IntN(2) != 0 || !call.node.isRunning() || call.closed {
--- a/internal/system/replication/sim_hardening_outage_test.go
+++ b/internal/system/replication/sim_hardening_outage_test.go
@@ -18,11 +18,11 @@
 		return m.start
 	},
 	"cut off": func(w *clusterSim, m *simNode) func() {
-		w.partitionNode(m, cutModes[0], time.Hour)
+		w.partitionNode(m, partitionModes[0], time.Hour)
 		return func() { w.rejoin(m) }
 	},
 	"cut off, messages late": func(w *clusterSim, m *simNode) func() {
-		w.partitionNode(m, cutModes[1], time.Hour)
+		w.partitionNode(m, partitionModes[1], time.Hour)
 		return func() { w.rejoin(m) }
 	},
 	"killed, starts with as few others as go on": func(w *clusterSim, node *simNode) func() {
@@ -65,7 +65,7 @@
 			ends = append(ends, k)
 		}
 	}
-	for _, k := range sortedLinks(ends) {
+	for _, k := range sortedPaths(ends) {
 		w.healPath(k)
 	}
 }
@@ -92,7 +92,7 @@
 		out.err = fmt.Errorf("there is no view: %w", w.violation)
 		return out
 	}
-	absent := cutRoles[role](w)
+	absent := nodeRoles[role](w)
 	if absent == nil {
 		out.err = fmt.Errorf("there is no %s", role)
 		return out
--- a/internal/system/replication/sim_hardening_partition_test.go
+++ b/internal/system/replication/sim_hardening_partition_test.go
@@ -20,7 +20,7 @@
 	paused    bool // instead of a cut, the process is paused
 }
 
-var cutModes = []partitionMode{
+var partitionModes = []partitionMode{
 	{name: "silent", out: true, in: true},
 	{name: "delivered late", out: true, in: true, late: true},
 	{name: "only outwards", out: true, late: true},
@@ -30,8 +30,8 @@
 	{name: "frozen", paused: true},
 }
 
-// cutRoles are the nodes that are partitioned, as they stand when the cut begins.
-var cutRoles = map[string]func(*clusterSim) *simNode{
+// nodeRoles are the nodes that are partitioned, as they stand when the cut begins.
+var nodeRoles = map[string]func(*clusterSim) *simNode{
 	"head":   func(w *clusterSim) *simNode { return w.replica(0) },
 	"second": func(w *clusterSim) *simNode { return w.replica(1) },
 	"tail":   func(w *clusterSim) *simNode { return w.replica(-1) },
@@ -60,7 +60,7 @@
 	w := newClusterSim(seed, s, knobs)
 	w.operate()
 	w.runUntil(5 * time.Second)
-	node := cutRoles[role](w)
+	node := nodeRoles[role](w)
 	if node == nil {
 		out.err = fmt.Errorf("there is no %s", role)
 		return out
@@ -130,8 +130,8 @@
 	}
 	var jobs []job
 	for i, s := range []topology{{3, 1, 1, 3, 0, 0}, {5, 0, 2, 3, 1, 0}} {
-		for _, role := range slices.Sorted(maps.Keys(cutRoles)) {
-			for j, mode := range cutModes {
+		for _, role := range slices.Sorted(maps.Keys(nodeRoles)) {
+			for j, mode := range partitionModes {
 				if (raceDetector || testing.Short()) && j%3 != i {
 					continue
 				}
@@ -167,7 +167,7 @@
 
 // TestHardeningPartitionControls takes the protections out; the same plays must then break.
 func TestHardeningPartitionControls(t *testing.T) {
-	keepersOnly := cutModes[4]
+	keepersOnly := partitionModes[4]
 	for name, c := range map[string]struct {
 		role string
 		mode partitionMode
--- a/internal/system/replication/sim_network_test.go
+++ b/internal/system/replication/sim_network_test.go
@@ -11,8 +11,8 @@
 // outside is the address of everyone who is neither node nor proxy: operators and their clients.
 const outside = "outside"
 
-// maxHeld is how many messages a partitioned path holds back, as the buffers of its connections do.
-const maxHeld = 200
+// maxDelayedMessages is how many messages a partitioned path holds back, as the buffers of its connections do.
+const maxDelayedMessages = 200
 
 // partitionedPath is one direction between two addresses, which carries nothing.
 type partitionedPath struct {
@@ -72,7 +72,7 @@
 // carry brings something from one address to another, unless the replica is cut or loses it.
 func (w *clusterSim) carry(from, to string, delay time.Duration, onArrival func()) {
 	if l := w.partitioned[[2]string{from, to}]; l != nil {
-		if l.late && len(l.delayed) < maxHeld {
+		if l.late && len(l.delayed) < maxDelayedMessages {
 			l.delayed = append(l.delayed, onArrival)
 		}
 		return
--- a/internal/system/replication/sim_operators_test.go
+++ b/internal/system/replication/sim_operators_test.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// settles tells whether an answer settles what became of a change.
-func settles(d Completion) bool {
+// isConclusive tells whether an answer isConclusive what became of a change.
+func isConclusive(d Completion) bool {
 	return d.Outcome == Answered && d.Verdict.Kind != controlstate.Uncertain && d.Verdict.Kind != controlstate.Superseded
 }
 
@@ -177,7 +177,7 @@
 // submitUntilDone asks, and asks again elsewhere as long as the answer is not clear and tries are left.
 func (w *clusterSim) submitUntilDone(a *simCall, tries int, done func()) {
 	a.onDone = func(d Completion) {
-		if !a.read && a.change.Op != controlstate.OpNone && !settles(d) && tries > 1 {
+		if !a.read && a.change.Op != controlstate.OpNone && !isConclusive(d) && tries > 1 {
 			w.resubmit(a, tries-1, done)
 			return
 		}
@@ -277,7 +277,7 @@
 	}
 	a := &simCall{node: m, change: controlstate.Change{Op: zone.wanted, Zone: zone.name}, fenced: true, ttl: time.Second, first: w.acked}
 	a.onDone = func(d Completion) {
-		if settles(d) {
+		if isConclusive(d) {
 			zone.acknowledged = true
 		}
 		w.after(time.Duration(100+w.rng.IntN(900))*time.Millisecond, func() { w.zoneOperator(zone) })
--- a/internal/system/replication/sim_repair_steps_test.go
+++ b/internal/system/replication/sim_repair_steps_test.go
@@ -31,8 +31,8 @@
 	{"a start of all", topology{3, 0, 1, 3, 0, 0}, func(w *clusterSim) { w.powerAll(fault{}) }},
 }
 
-// secondTroubles strike at a step of a first loss.
-var secondTroubles = []faultKind{faultKill, faultPause, faultIsolate, faultWipe, faultPowerAll}
+// secondFaults strike at a step of a first loss.
+var secondFaults = []faultKind{faultKill, faultPause, faultIsolate, faultWipe, faultPowerAll}
 
 // replica is the node of a replica, counted from the end when i is negative.
 func (w *clusterSim) replica(i int) *simNode {
@@ -121,7 +121,7 @@
 		}
 		for _, name := range slices.Sorted(maps.Keys(steps)) {
 			for nth := 1; nth <= min(maxNth, steps[name]); nth++ {
-				for _, trouble := range secondTroubles {
+				for _, trouble := range secondFaults {
 					out = append(out, repairTrial{i, name, nth, true, trouble}, repairTrial{i, name, nth, false, trouble})
 				}
 			}
--- a/internal/system/replication/sim_seeds_test.go
+++ b/internal/system/replication/sim_seeds_test.go
@@ -76,7 +76,7 @@
 func (w *clusterSim) heal() {
 	w.trace("%v HEAL", w.now)
 	w.faultsOver, w.onAck, w.triggers = true, nil, nil
-	for _, k := range sortedLinks(slices.Collect(maps.Keys(w.partitioned))) {
+	for _, k := range sortedPaths(slices.Collect(maps.Keys(w.partitioned))) {
 		w.healPath(k)
 	}
 	w.loss, w.extraDelay = 0, 0
@@ -91,8 +91,8 @@
 	}
 }
 
-// sortedLinks puts replicas in an order that is the same in each run.
-func sortedLinks(links [][2]string) [][2]string {
+// sortedPaths puts replicas in an order that is the same in each run.
+func sortedPaths(links [][2]string) [][2]string {
 	slices.SortFunc(links, func(a, b [2]string) int { return cmp.Or(cmp.Compare(a[0], b[0]), cmp.Compare(a[1], b[1])) })
 	return links
 }
--- a/internal/system/replication/toy_state_test.go
+++ b/internal/system/replication/toy_state_test.go
@@ -19,24 +19,24 @@
 // knows its last changes again, zones whose changes carry a fence (OpEvacuate, OpReadmit), and notes that nothing protects
 // from coming about twice but the core (OpNone).
 type toy struct {
-	seq     uint64
-	rev     int64
-	hash    uint64 // of all records
-	applied []toyApplied
-	zones   map[string]toyZone
-	note    string // the last zone named
+	seq      uint64
+	rev      int64
+	hash     uint64 // of all records
+	applied  []toyApplied
+	zones    map[string]toyZone
+	lastZone string // the last zone named
 
 	machine toyMachine
 }
 
 // toyImage is an encoded toy. The keys are fixed, so that the encoding does not depend on the names of the fields.
 type toyImage struct {
-	Seq   uint64             `json:"Seq"`
-	Rev   int64              `json:"Rev"`
-	Hash  uint64             `json:"Hash"`
-	Taken []toyApplied       `json:"Taken"`
-	Zones map[string]toyZone `json:"Zones"`
-	Note  string             `json:"Note"`
+	Seq      uint64             `json:"Seq"`
+	Rev      int64              `json:"Rev"`
+	Hash     uint64             `json:"Hash"`
+	Taken    []toyApplied       `json:"Taken"`
+	Zones    map[string]toyZone `json:"Zones"`
+	LastZone string             `json:"Note"`
 }
 
 type toyApplied struct {
@@ -96,7 +96,7 @@
 	next := *s
 	next.seq = r.Seq
 	if r.Zone != "" {
-		next.note = r.Zone
+		next.lastZone = r.Zone
 	}
 	h := fnv.New64a()
 	_, _ = fmt.Fprintf(h, "%d %d %d %d %s %s", s.hash, r.Seq, r.Op, r.Base, r.Body, r.Zone)
@@ -122,7 +122,7 @@
 }
 
 func (s *toy) Encode() []byte {
-	data, _ := json.Marshal(toyImage{s.seq, s.rev, s.hash, s.applied, s.zones, s.note})
+	data, _ := json.Marshal(toyImage{s.seq, s.rev, s.hash, s.applied, s.zones, s.lastZone})
 	return data
 }
 
@@ -138,7 +138,7 @@
 	if err := json.Unmarshal(data, &im); err != nil {
 		return nil, err
 	}
-	return &toy{seq: im.Seq, rev: im.Rev, hash: im.Hash, applied: im.Taken, zones: im.Zones, note: im.Note, machine: m}, nil
+	return &toy{seq: im.Seq, rev: im.Rev, hash: im.Hash, applied: im.Taken, zones: im.Zones, lastZone: im.LastZone, machine: m}, nil
 }
 
 // describe tells states apart.
