--- /dev/null
+++ b/balance/rules_apply_test.go
@@ -0,0 +1,188 @@
+package balance
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"strings"
+	"testing"
+	"time"
+)
+
+// playTurns sends n requests, each answered at once, and returns the endpoints in the order of their turns.
+func (h *host) playTurns(b *Balancer, n int) (order []string) {
+	for range n {
+		now := h.now + 10*time.Millisecond
+		h.now = now
+		b.Request(now, Request{ID: RequestID(now), Tenant: -1, TimeLeft: time.Second})
+		if len(h.sent) == 1 {
+			order = append(order, h.sent[0].to)
+			h.answer(b, now+time.Millisecond, Served)
+		}
+	}
+	return order
+}
+
+// TestSetRules changes a weight, then the other group: what is not named goes on as if nothing had happened.
+func TestSetRules(t *testing.T) {
+	list := []Endpoint{{ID: "a1", Zone: "x", Kind: "big", Size: 1}, {ID: "a2", Zone: "x", Kind: "big", Size: 1}, {ID: "a3", Zone: "x", Kind: "big", Size: 1},
+		{ID: "b", Zone: "x", Kind: "small", Size: 1}, {ID: "c", Zone: "x", Kind: "huge", Size: 1}}
+	set := settings()
+	set.Rules = canary(80, 20)
+	b, h := start(t, set, list)
+	h.playTurns(b, 7)
+	type kept struct {
+		next          int
+		credit, whole float64
+		members       string
+	}
+	of := func(g *group) kept {
+		k := kept{next: g.nextIndex, credit: g.credit, whole: g.maxReadySize}
+		for _, e := range g.members {
+			k.members += e.ID
+		}
+		return k
+	}
+	before := of(b.groups[0])
+	if err := b.SetRules(h.now, canary(80, 20)); err != nil || of(b.groups[0]) != before {
+		t.Errorf("the same table changes something: %v, %v after %v", err, of(b.groups[0]), before)
+	}
+	other := canary(80, 20)
+	other[0].Destinations[1].Match = Match{"version": "huge"}
+	if err := b.SetRules(h.now, other); err != nil || of(b.groups[0]) != before || len(b.groups) != 3 {
+		t.Errorf("what another group is changes the first: %v, %v after %v", err, of(b.groups[0]), before)
+	}
+	if got := count(h.playTurns(b, 100)); got["c"] != 20 || got["b"] != 0 {
+		t.Errorf("shares %v", got)
+	}
+	// 8000 and 2000 leave credit of thousands, which must not stand against 1 and 1.
+	if err := b.SetRules(h.now, canary(8000, 2000)); err != nil {
+		t.Error("not applied")
+	}
+	h.playTurns(b, 3)
+	if err := b.SetRules(h.now, canary(1, 1)); err != nil {
+		t.Error("not applied")
+	}
+	if got := count(h.playTurns(b, 20)); got["b"] < 8 || got["b"] > 12 {
+		t.Errorf("new shares %v, want half", got)
+	}
+	order := h.playTurns(b, 12)
+	for i := 6; i < len(order); i++ {
+		if order[i] != order[i-6] {
+			t.Errorf("uneven turns %v", order)
+		}
+	}
+	if err := b.SetRules(h.now, canary(math.NaN(), 1)); err == nil || !strings.Contains(err.Error(), "weight NaN") {
+		t.Errorf("a wrong table: %v", err)
+	}
+	if err := b.SetRules(h.now, nil); err != nil || b.groups[0].destination.Weight != 80 {
+		t.Error("an empty table does not stand for the rules of the settings")
+	}
+}
+
+// TestSetRulesBetween sets a table while a request is out: it ends as it would have.
+func TestSetRulesBetween(t *testing.T) {
+	set := settings()
+	set.Rules = canary(1, 1)
+	b, h := start(t, set, []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "x", Kind: "small", Size: 1}})
+	b.Request(h.now, Request{ID: 1, Tenant: -1, TimeLeft: time.Second})
+	only := canary(1, 0)
+	if err := b.SetRules(h.now, only); err != nil {
+		t.Fatal(err)
+	}
+	h.answer(b, h.now+time.Millisecond, Served)
+	if got := count(h.playTurns(b, 10)); got["a"] != 10 {
+		t.Errorf("turns %v after a weight of 0", got)
+	}
+}
+
+// TestPendingRules has tables whose servers are not there: they wait while the rule in force has some, the last of them counts, and
+// not for ever.
+func TestPendingRules(t *testing.T) {
+	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "c", Zone: "x", Kind: "huge", Size: 1}}
+	for _, tt := range []pendingCase{
+		{name: "nothing happens", wait: pendingRulesTTL, want: "ac"},
+		{name: "a server comes", wait: 100 * time.Millisecond, want: "z", do: func(t *testing.T, b *Balancer, h *host) {
+			b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "z", Zone: "x", Kind: "none", Size: 1}})
+		}},
+		{name: "the old ones go", wait: 100 * time.Millisecond, want: "c", do: func(t *testing.T, b *Balancer, h *host) {
+			b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "a", State: Draining}})
+		}},
+		{name: "other tables come all the time", wait: pendingRulesTTL, want: "ac", others: true},
+		{name: "one comes that can be applied", wait: 0, want: "c", do: func(t *testing.T, b *Balancer, h *host) {
+			if err := b.SetRules(h.now, rulesOf("huge")); err != nil {
+				t.Error(err)
+			}
+		}},
+	} {
+		t.Run(tt.name, func(t *testing.T) { tt.run(t, list) })
+	}
+	t.Run("nothing serves before", func(t *testing.T) {
+		set := settings()
+		set.Rules = rulesOf("none")
+		b, h := start(t, set, list)
+		if err := b.SetRules(h.now, rulesOf("nowhere")); err != nil {
+			t.Errorf("a table without servers waits for one without: %v", err)
+		}
+		other := []Rule{{Name: "x", Source: Match{"service": "other"}, Service: Match{"service": "*"}, Destinations: canary(1)[0].Destinations}}
+		if err := b.SetRules(h.now, other); err != nil {
+			t.Errorf("a table that has no rule for this client waits: %v", err)
+		}
+	})
+}
+
+// rulesOf is a table of one rule for endpoints of a kind.
+func rulesOf(kind string) []Rule {
+	rules := canary(1)
+	rules[0].Destinations[0].Match = Match{"version": kind}
+	return rules
+}
+
+// pendingCase is what happens while a table waits, how long it does, and where requests go then.
+type pendingCase struct {
+	name   string
+	do     func(*testing.T, *Balancer, *host) // nil: nothing
+	others bool                               // other tables that have to wait come all the time
+	wait   time.Duration
+	want   string
+}
+
+func (tt pendingCase) run(t *testing.T, list []Endpoint) {
+	set := settings()
+	set.Rules = canary(1)
+	b, h := start(t, set, list)
+	err := b.SetRules(h.now, rulesOf("none"))
+	if !errors.Is(err, ErrNoReadyEndpoint) || !b.RulesPending() {
+		t.Fatalf("it does not wait: %v", err)
+	}
+	if got := count(h.playTurns(b, 10)); got["a"] != 10 {
+		t.Errorf("turns %v while it waits", got)
+	}
+	from := h.now - 100*time.Millisecond
+	if tt.do != nil {
+		tt.do(t, b, h)
+	}
+	tt.waitApplied(b, h)
+	if took := h.now - from; took < tt.wait-time.Second || took > tt.wait+time.Second {
+		t.Errorf("it waited %v, want %v", took, tt.wait)
+	}
+	got := count(h.playTurns(b, 10))
+	for _, id := range strings.Split(tt.want, "") {
+		if got[id] != 10/len(tt.want) {
+			t.Errorf("turns %v, want them at %s", got, tt.want)
+		}
+	}
+}
+
+// waitApplied plays until no table waits.
+func (tt pendingCase) waitApplied(b *Balancer, h *host) {
+	for i := 0; b.RulesPending(); i++ {
+		h.now += 100 * time.Millisecond
+		if tt.others && i%10 == 0 {
+			if err := b.SetRules(h.now, rulesOf(fmt.Sprint("none", i))); err == nil {
+				return
+			}
+		}
+		b.Timer(h.now, tickToken)
+	}
+}
--- a/cmd/gradeusher/dutyhold.go
+++ b/cmd/gradeusher/dutyhold.go
@@ -40,7 +40,7 @@
 	if c.Grace == 0 {
 		c.Grace = c.Lease / 4
 	}
-	if most := (c.Lease - state.DutyMargin(c.Lease)) / 2; c.Grace < 0 || c.Grace > most {
+	if most := (c.Lease - state.RoleLeaseMargin(c.Lease)) / 2; c.Grace < 0 || c.Grace > most {
 		return fmt.Errorf("%w: --grace %v is not within 0 to %v, half of what the lease leaves", errUsage, c.Grace, most)
 	}
 	if _, err := exec.LookPath(c.Command[0]); err != nil {
@@ -53,7 +53,7 @@
 	var h holds
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	done := r.Want(c.Name, c.At, func(work context.Context, t *singleton.HeldLease) error { return c.work(work, t, s, &h) })
+	done := r.Want(c.Name, c.At, func(work context.Context, t *singleton.OwnedLease) error { return c.work(work, t, s, &h) })
 	go func() {
 		select {
 		case <-done:
@@ -69,7 +69,7 @@
 }
 
 // work runs the command in an office, under a guard: a process that ends it in time though this one is stopped or killed.
-func (c dutyHold) work(ctx context.Context, t *singleton.HeldLease, s streams, h *holds) error {
+func (c dutyHold) work(ctx context.Context, t *singleton.OwnedLease, s streams, h *holds) error {
 	h.code = exitBroken
 	self, err := os.Executable()
 	if err != nil {
@@ -96,7 +96,7 @@
 	defer tick.Stop()
 	asked := t.HandoverRequested()
 	for told := false; ; {
-		if left := t.Left(); left > 0 {
+		if left := t.Remaining(); left > 0 {
 			_, _ = fmt.Fprintf(to, "%d\n", int64(singleton.Now()+left)) // a guard that is gone has ended
 		}
 		select {
--- a/cmd/gradeusher/keeper_test.go
+++ b/cmd/gradeusher/keeper_test.go
@@ -25,7 +25,7 @@
 	t.Parallel()
 	k := newKeepers(t, 3, "")
 	s := &seen{}
-	f, err := client.NewFollower(client.Options{Keepers: k.addresses(), Doubt: client.DefaultDoubt, Log: quiet(), Told: s.told})
+	f, err := client.NewSubscriber(client.Options{Registry: k.addresses(), ShrinkLimits: client.DefaultShrinkLimits, Log: quiet(), OnUpdate: s.told})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,7 +130,7 @@
 		all, _ := client.Status[registry.Status](k.call(), k.client)
 		n := 0
 		for _, s := range all {
-			if s.Servers == 61 && len(s.Keepers) == 3 && len(s.Peers) == 3 {
+			if s.Servers == 61 && len(s.Nodes) == 3 && len(s.Peers) == 3 {
 				n++
 			}
 		}
--- a/internal/compat/filled_test.go
+++ b/internal/compat/filled_test.go
@@ -112,11 +112,11 @@
 	document[admin.NodeStatus](t, "keeper_status")
 	document[routes.Table](t, "route_table")
 	document[registry.Status](t, "sidecar_status")
-	document[client.RouteNews](t, "sidecar_routes")
-	document[client.DutyNews](t, "sidecar_duties")
+	document[client.RoutesUpdate](t, "sidecar_routes")
+	document[client.RolesUpdate](t, "sidecar_duties")
 	document[list.List](t, "sidecar_list")
 	document[state.Entry](t, "sidecar_entry")
-	document[state.Duty](t, "sidecar_duty")
+	document[state.Role](t, "sidecar_duty")
 	document[state.Command](t, "sidecar_command")
 }
 
--- a/internal/compat/sidecardata_test.go
+++ b/internal/compat/sidecardata_test.go
@@ -214,15 +214,15 @@
 			draining++
 		}
 	}
-	leased := m.Leased()
-	wrong := m.Rev() != 9 || m.Len() != 6 || draining != 1 || len(leased) != 1 || leased[0].UID != "leased" || m.Generation() != 1 || m.Cluster() == ""
+	leased := m.LeasedEntries()
+	wrong := m.Revision() != 9 || m.Len() != 6 || draining != 1 || len(leased) != 1 || leased[0].UID != "leased" || m.Generation() != 1 || m.Cluster() == ""
 	if wrong {
-		t.Errorf("revision %d, %d servers, %d draining, leased %v, generation %d, cluster %q", m.Rev(), m.Len(), draining, leased, m.Generation(), m.Cluster())
+		t.Errorf("revision %d, %d servers, %d draining, leased %v, generation %d, cluster %q", m.Revision(), m.Len(), draining, leased, m.Generation(), m.Cluster())
 	}
 	duties := 0
-	m.EachDuty(func(d *state.Duty) {
+	m.EachRole(func(d *state.Role) {
 		duties++
-		if d.Name != "d1" || d.Epoch != 1 || d.Holder == nil || d.Holder.Who != "a#1" || d.Room != "za" {
+		if d.Name != "d1" || d.Epoch != 1 || d.Owner == nil || d.Owner.Process != "a#1" || d.Location != "za" {
 			t.Errorf("duty %+v", d)
 		}
 	})
@@ -247,7 +247,7 @@
 			t.Fatal(err)
 		}
 		m, err := state.ReadSnapshot(bytes.NewReader(text))
-		if err != nil || m.Rev() == 0 || m.Cluster() == "" {
+		if err != nil || m.Revision() == 0 || m.Cluster() == "" {
 			t.Errorf("%s: %v", path, err)
 		}
 		if again, err := m.Snapshot(); err != nil || !bytes.Equal(again, text) {
@@ -281,15 +281,15 @@
 	if err := json.Unmarshal([]byte(routeTable), &call); err != nil {
 		t.Fatal(err)
 	}
-	held := client.Held{Cluster: "c0ffee", Gen: 7, Hash: call.Rules.Hash(), Rules: call.Rules}
-	cut := client.RouteCut(map[string]string{"version": "v", "area": "a"}, "back")
+	held := client.RouteState{Cluster: "c0ffee", Generation: 7, Hash: call.Rules.Hash(), Rules: call.Rules}
+	cut := client.RouteFilter(map[string]string{"version": "v", "area": "a"}, "back")
 	dir := t.TempDir()
 	if err := client.NewRouteCache(dir, "n7").Save(held, cut, savedAt); err != nil {
 		t.Fatal(err)
 	}
 	sameFile(t, dir, "routes-n7.cache")
 	got, age, ok, err := client.NewRouteCache(copied(t, "testdata/sealed"), "n7").Load(cut, savedAt.Add(time.Second))
-	if err != nil || !ok || age != time.Second || got.Gen != 7 || got.Rules.Hash() != held.Hash {
+	if err != nil || !ok || age != time.Second || got.Generation != 7 || got.Rules.Hash() != held.Hash {
 		t.Errorf("%+v, %v old, %t, %v", got, age, ok, err)
 	}
 }
--- a/internal/sidecar/client/cache_test.go
+++ b/internal/sidecar/client/listcache_test.go
@@ -25,7 +25,7 @@
 	if _, _, ok, err := c.Load(now); ok || err != nil {
 		t.Errorf("nothing was saved: %v, %v", ok, err)
 	}
-	want := whole(7, 0, 1, 2)
+	want := completeList(7, 0, 1, 2)
 	if err := c.Save(want, now); err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 func TestCacheBounds(t *testing.T) {
 	now, folder, wide := time.UnixMilli(1_700_000_000_000), t.TempDir(), strings.Repeat("<", list.MostName)
 	c, l, size := NewCache(folder, "n"), list.List{Rev: 1, All: true}, 2.2250738585072014e-308
-	for i := range 2 * state.MostServers {
+	for i := range 2 * state.MaxServers {
 		l.Targets = append(l.Targets, list.Target{UID: fmt.Sprintf("%0*d", list.MostName, i), Endpoint: "[2001:db8:1111:2222:3333:4444:5555:6666]:65535", Zone: wide, Model: wide,
 			PodGroup: 1 << 30, State: list.Draining, Capacity: &size, BootMS: 1 << 44})
 	}
@@ -78,21 +78,21 @@
 	if got, _, ok, err := c.Load(now); !ok || err != nil || len(got.Targets) != len(l.Targets) {
 		t.Fatalf("%d servers, %t, %v", len(got.Targets), ok, err)
 	}
-	if err := os.Truncate(c.path, mostCached+1); err != nil {
+	if err := os.Truncate(c.path, maxCachedListBytes+1); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, ok, err := c.Load(now); ok || !errors.Is(err, sealed.ErrUnsound) || !strings.HasPrefix(err.Error(), "cache: ") {
 		t.Errorf("too long: %t, %v", ok, err)
 	}
 
-	odd := routes.Match{strings.Repeat("\x01", routes.MostText): strings.Repeat("<", routes.MostText)}
+	odd := routes.Match{strings.Repeat("\x01", routes.MaxTextBytes): strings.Repeat("<", routes.MaxTextBytes)}
 	rules := make(routes.Table, 8192) // more than fit
 	for i := range rules {
 		rules[i] = routes.Rule{Name: strconv.Itoa(i), Source: odd, Service: routes.Match{"service": ""}, Destinations: []routes.Destination{{Match: odd, Weight: 1}}}
 	}
 	rules = rules[:sort.Search(len(rules), func(n int) bool { return rules[:n+1].Check() != nil })].Canonical()
 	r := NewRouteCache(folder, "n")
-	if err := r.Save(Held{Gen: 1, Hash: rules.Hash(), Rules: rules}, "", now); err != nil {
+	if err := r.Save(RouteState{Generation: 1, Hash: rules.Hash(), Rules: rules}, "", now); err != nil {
 		t.Fatal(err)
 	}
 	if got, _, ok, err := r.Load("", now); !ok || err != nil || len(got.Rules) != len(rules) || len(rules) == 8192 {
--- /dev/null
+++ b/internal/system/controlstate/errors.go
@@ -0,0 +1,21 @@
+package controlstate
+
+import "github.com/cockroachdb/errors"
+
+// Kinds of errors of Apply and Decode. Test for them with errors.Is of github.com/cockroachdb/errors: they are attached as marks.
+var (
+	// ErrOutOfOrder reports a record that is not the next one. Send those between, or a snapshot.
+	ErrOutOfOrder = errors.New("record out of order")
+	// ErrRefused reports a record that does not fit the state, so it cannot have been checked on this state.
+	ErrRefused = errors.New("record refused")
+	// ErrCorrupt reports bytes that are not a complete encoding of a state. Fetch them again.
+	ErrCorrupt = errors.New("corrupt encoding")
+)
+
+func refusedError(r Record, why string) error {
+	return errors.Mark(errors.Newf("record %d cannot be applied: %s; fetch a snapshot from another replica", r.Seq, why), ErrRefused)
+}
+
+func corruptError() error {
+	return errors.Mark(errors.New("bytes that are not a complete state: fetch it again"), ErrCorrupt)
+}
--- a/internal/system/controlstate/state_test.go
+++ b/internal/system/controlstate/state_test.go
@@ -17,19 +17,19 @@
 	"pgregory.net/rapid"
 )
 
-// body makes a whole configuration; mark tells those of one revision apart.
-func body(revision int64, mark string) []byte {
+// configBody makes a complete configuration; mark tells those of one revision apart.
+func configBody(revision int64, mark string) []byte {
 	return fmt.Appendf(nil, `{"revision":%d,"routes":[{"name":"r","hostname":"h","path_prefix":"/","timeout_ms":1,"target":"s"}],`+
 		`"services":[{"name":"s"}],"mark":%q}`, revision, mark)
 }
 
-func amendment(revision int64, mark string) []byte {
+func amendmentBody(revision int64, mark string) []byte {
 	return fmt.Appendf(nil, `{"revision":%d,"upsert":{"routes":[{"name":%q,"hostname":"h","path_prefix":"/%s/","timeout_ms":1,"target":"s"}]}}`,
 		revision, mark, mark)
 }
 
-// accept takes a change that has to be accepted.
-func accept(t testing.TB, s *State, c Change) *State {
+// requireAccepted takes a change that has to be accepted.
+func requireAccepted(t testing.TB, s *State, c Change) *State {
 	t.Helper()
 	v := s.Check(c)
 	if v.Kind != Accepted || v.Seq != s.Seq+1 || v.Reason != "" {
@@ -44,50 +44,50 @@
 
 func TestExamples(t *testing.T) {
 	read := func(name string) []byte {
-		b, err := os.ReadFile("../conf/testdata/" + name)
+		b, err := os.ReadFile("../config/testdata/" + name)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return b
 	}
-	s := accept(t, Empty(), Change{Op: OpReplace, Body: read("replace.json")})
-	s = accept(t, s, Change{Op: OpAmend, Base: 7, Body: read("amend.json")})
-	if s.Seq != 2 || s.Revision() != 9 || s.Config.Match("ficu95.example:80", "/lohu930/2f") == nil {
-		t.Errorf("%+v", s)
+	state := requireAccepted(t, Empty(), Change{Op: OpReplace, Body: read("replace.json")})
+	state = requireAccepted(t, state, Change{Op: OpAmend, Base: 7, Body: read("amend.json")})
+	if state.Seq != 2 || state.Revision() != 9 || state.Config.Match("ficu95.example:80", "/lohu930/2f") == nil {
+		t.Errorf("%+v", state)
 	}
 }
 
 func TestCheck(t *testing.T) {
-	s := accept(t, Empty(), Change{Op: OpReplace, Body: body(5, "a")})               // record 1
-	s = accept(t, s, Change{Op: OpEvacuate, Zone: "z"})                              // record 2
-	s = accept(t, s, Change{Op: OpAmend, Base: 5, Body: amendment(8, "b")})          // record 3
-	s = accept(t, s, Change{Op: OpNone})                                             // record 4
-	s = accept(t, s, Change{Op: OpReplace, Base: 8, Body: body(9, "c")})             // record 5
-	s = accept(t, s, Change{Op: OpEvacuate, Zone: strings.Repeat("y", 255)})         // record 6
-	s = accept(t, s, Change{Op: OpReadmit, Base: 6, Zone: strings.Repeat("y", 255)}) // record 7
-	for _, c := range []struct {
-		what string
-		c    Change
-		kind Kind
-		seq  uint64
+	state := requireAccepted(t, Empty(), Change{Op: OpReplace, Body: configBody(5, "a")})             // record 1
+	state = requireAccepted(t, state, Change{Op: OpEvacuate, Zone: "z"})                              // record 2
+	state = requireAccepted(t, state, Change{Op: OpAmend, Base: 5, Body: amendmentBody(8, "b")})      // record 3
+	state = requireAccepted(t, state, Change{Op: OpNone})                                             // record 4
+	state = requireAccepted(t, state, Change{Op: OpReplace, Base: 8, Body: configBody(9, "c")})       // record 5
+	state = requireAccepted(t, state, Change{Op: OpEvacuate, Zone: strings.Repeat("y", 255)})         // record 6
+	state = requireAccepted(t, state, Change{Op: OpReadmit, Base: 6, Zone: strings.Repeat("y", 255)}) // record 7
+	for _, test := range []struct {
+		name   string
+		change Change
+		kind   Kind
+		seq    uint64
 	}{
-		{"the next", Change{Op: OpReplace, Base: 9, Body: body(10, "")}, Accepted, 8},
-		{"in uneven steps", Change{Op: OpReplace, Base: 9, Body: body(1<<40, "")}, Accepted, 8},
-		{"sent again", Change{Op: OpReplace, Base: 8, Body: body(9, "c")}, AlreadyApplied, 5},
-		{"an older one sent again", Change{Op: OpReplace, Base: 0, Body: body(5, "a")}, AlreadyApplied, 1},
-		{"an older amendment sent again", Change{Op: OpAmend, Base: 5, Body: amendment(8, "b")}, AlreadyApplied, 3},
-		{"sent again on another base", Change{Op: OpReplace, Base: 7, Body: body(9, "c")}, Stale, 5},
-		{"sent again as another operation", Change{Op: OpAmend, Base: 0, Body: body(5, "a")}, Stale, 5},
-		{"another of the same number", Change{Op: OpReplace, Base: 8, Body: body(9, "d")}, Stale, 5},
-		{"on no version", Change{Op: OpReplace, Base: 0, Body: body(10, "")}, Stale, 5},
-		{"on a version to come", Change{Op: OpReplace, Base: 12, Body: body(13, "")}, Stale, 5},
+		{"the next", Change{Op: OpReplace, Base: 9, Body: configBody(10, "")}, Accepted, 8},
+		{"in uneven steps", Change{Op: OpReplace, Base: 9, Body: configBody(1<<40, "")}, Accepted, 8},
+		{"sent again", Change{Op: OpReplace, Base: 8, Body: configBody(9, "c")}, AlreadyApplied, 5},
+		{"an older one sent again", Change{Op: OpReplace, Base: 0, Body: configBody(5, "a")}, AlreadyApplied, 1},
+		{"an older amendment sent again", Change{Op: OpAmend, Base: 5, Body: amendmentBody(8, "b")}, AlreadyApplied, 3},
+		{"sent again on another base", Change{Op: OpReplace, Base: 7, Body: configBody(9, "c")}, Stale, 5},
+		{"sent again as another operation", Change{Op: OpAmend, Base: 0, Body: configBody(5, "a")}, Stale, 5},
+		{"another of the same number", Change{Op: OpReplace, Base: 8, Body: configBody(9, "d")}, Stale, 5},
+		{"on no version", Change{Op: OpReplace, Base: 0, Body: configBody(10, "")}, Stale, 5},
+		{"on a version to come", Change{Op: OpReplace, Base: 12, Body: configBody(13, "")}, Stale, 5},
 		{"stale and invalid", Change{Op: OpReplace, Base: 8, Body: []byte("{")}, Stale, 5},
-		{"the current number", Change{Op: OpReplace, Base: 9, Body: body(9, "e")}, Invalid, 5},
-		{"a lower number", Change{Op: OpReplace, Base: 9, Body: body(8, "")}, Invalid, 5},
-		{"an amendment with the current number", Change{Op: OpAmend, Base: 9, Body: amendment(9, "b")}, Invalid, 5},
-		{"not whole", Change{Op: OpReplace, Base: 9, Body: []byte("{")}, Invalid, 5},
+		{"the current number", Change{Op: OpReplace, Base: 9, Body: configBody(9, "e")}, Invalid, 5},
+		{"a lower number", Change{Op: OpReplace, Base: 9, Body: configBody(8, "")}, Invalid, 5},
+		{"an amendment with the current number", Change{Op: OpAmend, Base: 9, Body: amendmentBody(9, "b")}, Invalid, 5},
+		{"not complete", Change{Op: OpReplace, Base: 9, Body: []byte("{")}, Invalid, 5},
 		{"an evacuation", Change{Op: OpEvacuate, Zone: "x"}, Accepted, 8},
-		{"an evacuation taken meanwhile", Change{Op: OpEvacuate, Base: 1, Zone: "z"}, AlreadyApplied, 7},
+		{"an evacuation applied meanwhile", Change{Op: OpEvacuate, Base: 1, Zone: "z"}, AlreadyApplied, 7},
 		{"an evacuation in force", Change{Op: OpEvacuate, Base: 2, Zone: "z"}, Accepted, 8},
 		{"the end of one", Change{Op: OpReadmit, Base: 2, Zone: "z"}, Accepted, 8},
 		{"the end of one, from before it", Change{Op: OpReadmit, Base: 1, Zone: "z"}, Superseded, 7},
@@ -99,182 +99,239 @@
 		{"a name too long", Change{Op: OpEvacuate, Zone: strings.Repeat("y", 256)}, Invalid, 0},
 		{"an unknown operation", Change{Op: 99}, Invalid, 0},
 	} {
-		if v := s.Check(c.c); v.Kind != c.kind || v.Seq != c.seq || (v.Reason == "") != (c.kind == Accepted) {
-			t.Errorf("%s: %+v", c.what, v)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			if v := state.Check(test.change); v.Kind != test.kind || v.Seq != test.seq || (v.Reason == "") != (test.kind == Accepted) {
+				t.Errorf("%+v", v)
+			}
+		})
 	}
 	first := Empty()
-	if v := first.Check(Change{Op: OpAmend, Body: amendment(1, "a")}); v.Kind != Invalid {
+	if v := first.Check(Change{Op: OpAmend, Body: amendmentBody(1, "a")}); v.Kind != Invalid {
 		t.Errorf("amendment of nothing: %+v", v)
 	}
-	if v := first.Check(Change{Op: OpReplace, Base: 3, Body: body(5, "")}); v.Kind != Stale || v.Seq != 0 {
+	if v := first.Check(Change{Op: OpReplace, Base: 3, Body: configBody(5, "")}); v.Kind != Stale || v.Seq != 0 {
 		t.Errorf("first one on a version: %+v", v)
 	}
 }
 
-func TestApplyRefuses(t *testing.T) {
-	s := accept(t, Empty(), Change{Op: OpReplace, Body: body(5, "a")})
-	for _, c := range []struct {
-		r    Record
-		want error
+func TestApplyRejects(t *testing.T) {
+	state := requireAccepted(t, Empty(), Change{Op: OpReplace, Body: configBody(5, "a")})
+	for _, test := range []struct {
+		record Record
+		want   error
 	}{
 		{Record{Seq: 1, Op: OpNone}, ErrOutOfOrder},
 		{Record{Seq: 3, Op: OpNone}, ErrOutOfOrder},
-		{Record{Seq: 2, Op: OpReplace, Base: 4, Body: body(6, "")}, ErrRefused},
-		{Record{Seq: 2, Op: OpReplace, Base: 5, Body: body(5, "")}, ErrRefused},
+		{Record{Seq: 2, Op: OpReplace, Base: 4, Body: configBody(6, "")}, ErrRefused},
+		{Record{Seq: 2, Op: OpReplace, Base: 5, Body: configBody(5, "")}, ErrRefused},
 		{Record{Seq: 2, Op: OpAmend, Base: 5, Body: []byte("{")}, ErrRefused},
 		{Record{Seq: 2, Op: OpEvacuate}, ErrRefused},
 		{Record{Seq: 2, Op: 77}, ErrRefused},
 	} {
-		if _, err := s.Apply(c.r); !errors.Is(err, c.want) {
-			t.Errorf("%+v: %v", c.r, err)
+		if _, err := state.Apply(test.record); !errors.Is(err, test.want) {
+			t.Errorf("%+v: %v", test.record, err)
 		}
 	}
 }
 
-// TestParsedOnce tells that Apply takes over what Check has read, and only that.
-func TestParsedOnce(t *testing.T) {
-	s := accept(t, Empty(), Change{Op: OpReplace, Body: body(5, "a")})
-	c := Change{Op: OpReplace, Base: 5, Body: body(6, "b")}
+// TestApplyReusesCheckedConfig tells that Apply takes over what Check has read, and only that.
+func TestApplyReusesCheckedConfig(t *testing.T) {
+	s := requireAccepted(t, Empty(), Change{Op: OpReplace, Body: configBody(5, "a")})
+	c := Change{Op: OpReplace, Base: 5, Body: configBody(6, "b")}
 	s.Check(c)
 	s.Check(Change{Op: OpReplace, Base: 5, Body: []byte("{")})
-	checked := s.parsed.Load().config
+	checked := s.lastChecked.Load().config
 	if next, err := s.Apply(c.Record(2)); err != nil || next.Config != checked {
 		t.Errorf("%v", err)
 	}
-	other := Change{Op: OpReplace, Base: 5, Body: body(7, "c")}
+	other := Change{Op: OpReplace, Base: 5, Body: configBody(7, "c")}
 	if next, err := s.Apply(other.Record(2)); err != nil || next.Revision() != 7 {
 		t.Errorf("%v", err)
 	}
 }
 
-// TestShared uses one state from several goroutines.
-func TestShared(t *testing.T) {
-	s := accept(t, Empty(), Change{Op: OpReplace, Body: body(5, "a")})
+// TestConcurrentUse uses one state from several goroutines.
+func TestConcurrentUse(t *testing.T) {
+	state := requireAccepted(t, Empty(), Change{Op: OpReplace, Body: configBody(5, "a")})
 	var wg sync.WaitGroup
 	for i := range int64(8) {
 		wg.Go(func() {
-			c := Change{Op: OpReplace, Base: 5, Body: body(6+i, "")}
+			c := Change{Op: OpReplace, Base: 5, Body: configBody(6+i, "")}
 			for range 50 {
-				if v := s.Check(c); v.Kind != Accepted {
+				if v := state.Check(c); v.Kind != Accepted {
 					t.Errorf("%+v", v)
 				}
-				next, err := s.Apply(c.Record(2))
+				next, err := state.Apply(c.Record(2))
 				if err != nil || next.Revision() != 6+i {
 					t.Errorf("%v", err)
 				}
-				_ = s.Encode()
+				_ = state.Encode()
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// TestOperators lets two operators send changes, and checks every verdict against a plain model; a follower that sees only
-// the records, and one that takes snapshots, hold the same state.
-func TestOperators(t *testing.T) {
+// TestConcurrentOperatorsModel lets two operators send changes, and checks every verdict against a plain model; a follower that
+// sees only the records, and one that restores snapshots, have the same state.
+func TestConcurrentOperatorsModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		head, follower, restored := Empty(), Empty(), Empty()
-		type sent struct {
-			c     Change
-			taken bool
-		}
-		var history []sent
-		zones, changed := map[string]bool{}, map[string]uint64{}
-		var revision int64
-		var encoded [][]byte
-		var states []*State
+		model := newOperatorsModel()
+		replicas := newReplicas()
 		for range rapid.IntRange(1, 30).Draw(t, "changes") {
-			base := revision - rapid.Int64Range(0, 1).Draw(t, "back")*rapid.Int64Range(0, 1).Draw(t, "back more")
-			number := revision + rapid.Int64Range(-1, 3).Draw(t, "step")
-			known := rapid.Int64Range(0, int64(head.Seq))
-			var c Change
-			switch rapid.IntRange(0, 5).Draw(t, "kind") {
-			case 0, 1:
-				c = Change{Op: OpReplace, Base: base, Body: body(number, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "mark"))}
-			case 2:
-				c = Change{Op: OpAmend, Base: base, Body: amendment(number, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"))}
-			case 3:
-				if len(history) > 0 {
-					c = rapid.SampledFrom(history).Draw(t, "again").c
-					break
-				}
-				fallthrough
-			case 4:
-				c = Change{Op: OpEvacuate, Base: known.Draw(t, "known"), Zone: rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "zone")}
-			case 5:
-				c = Change{Op: OpReadmit, Base: known.Draw(t, "known"), Zone: rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "zone")}
-			}
-			isConfig := c.Op == OpReplace || c.Op == OpAmend
-			var want Kind
-			switch {
-			case isConfig && slices.ContainsFunc(history, func(s sent) bool { return s.taken && reflect.DeepEqual(s.c, c) }):
-				want = AlreadyApplied
-			case isConfig && c.Base != revision:
-				want = Stale
-			case isConfig:
-				var now int64
-				if _, err := fmt.Sscanf(string(c.Body), `{"revision":%d`, &now); err != nil {
-					t.Fatal(err)
-				}
-				if want = Invalid; now > max(0, revision) && (c.Op == OpReplace || revision > 0) {
-					want, revision = Accepted, now
-				}
-			case c.Zone == "":
-				want = Invalid
-			case changed[c.Zone] > uint64(c.Base) && zones[c.Zone] == (c.Op == OpEvacuate):
-				want = AlreadyApplied
-			case changed[c.Zone] > uint64(c.Base):
-				want = Superseded
-			default:
-				zones[c.Zone], changed[c.Zone] = c.Op == OpEvacuate, head.Seq+1
-			}
-			got := head.Check(c)
+			change := model.drawChange(t, replicas.head.Seq)
+			want := model.verdict(t, change, replicas.head.Seq)
+			got := replicas.head.Check(change)
 			if got.Kind != want {
-				t.Fatalf("%+v: got %+v, want %d", c, got, want)
+				t.Fatalf("%+v: got %+v, want %d", change, got, want)
 			}
-			history = append(history, sent{c, want == Accepted && isConfig})
 			if want != Accepted {
 				continue
 			}
-			r := c.Record(got.Seq)
-			var err error
-			for _, s := range []**State{&head, &follower, &restored} {
-				if *s, err = (*s).Apply(r); err != nil {
-					t.Fatal(err)
-				}
-			}
-			encoded, states = append(encoded, head.Encode()), append(states, head)
-			if restored, err = Decode(restored.Encode()); err != nil {
-				t.Fatal(err)
-			}
-			for _, s := range []*State{follower, restored} {
-				if !bytes.Equal(s.Encode(), head.Encode()) {
-					t.Fatal("a follower differs")
-				}
-			}
-			if head.Revision() != revision {
-				t.Fatalf("version %d, want %d", head.Revision(), revision)
-			}
-		}
-		for i, s := range states {
-			if !bytes.Equal(s.Encode(), encoded[i]) {
-				t.Fatalf("state %d has been changed", s.Seq)
+			replicas.apply(t, change.Record(got.Seq))
+			if replicas.head.Revision() != model.revision {
+				t.Fatalf("version %d, want %d", replicas.head.Revision(), model.revision)
 			}
 		}
+		replicas.checkOldStates(t)
 	})
 }
 
-func TestDecodeRefuses(t *testing.T) {
-	s := accept(t, Empty(), Change{Op: OpReplace, Body: body(5, "a")})
-	whole := accept(t, s, Change{Op: OpEvacuate, Zone: "z"}).Encode()
-	for i := range whole {
-		other := slices.Clone(whole)
+// sentChange is a change that an operator has sent.
+type sentChange struct {
+	change  Change
+	applied bool // to the configuration
+}
+
+// operatorsModel is a plain model of the state, with all that was sent.
+type operatorsModel struct {
+	sent      []sentChange
+	evacuated map[string]bool
+	changed   map[string]uint64 // number of the record that last changed a zone
+	revision  int64
+}
+
+func newOperatorsModel() *operatorsModel {
+	return &operatorsModel{evacuated: map[string]bool{}, changed: map[string]uint64{}}
+}
+
+// drawChange draws a change on the current or an older version, or one that was sent before.
+func (m *operatorsModel) drawChange(t *rapid.T, newest uint64) Change {
+	base := m.revision - rapid.Int64Range(0, 1).Draw(t, "back")*rapid.Int64Range(0, 1).Draw(t, "back more")
+	number := m.revision + rapid.Int64Range(-1, 3).Draw(t, "step")
+	zoneChange := func(op Op) Change {
+		return Change{Op: op, Base: rapid.Int64Range(0, int64(newest)).Draw(t, "known"),
+			Zone: rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "zone")}
+	}
+	switch rapid.IntRange(0, 5).Draw(t, "kind") {
+	case 0, 1:
+		return Change{Op: OpReplace, Base: base, Body: configBody(number, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "mark"))}
+	case 2:
+		return Change{Op: OpAmend, Base: base, Body: amendmentBody(number, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"))}
+	case 3:
+		if len(m.sent) > 0 {
+			return rapid.SampledFrom(m.sent).Draw(t, "again").change
+		}
+	case 5:
+		return zoneChange(OpReadmit)
+	}
+	return zoneChange(OpEvacuate)
+}
+
+// verdict returns the verdict that a change must get, and applies it to the model where it is accepted.
+func (m *operatorsModel) verdict(t *rapid.T, change Change, newest uint64) Kind {
+	isConfig := change.Op == OpReplace || change.Op == OpAmend
+	var want Kind
+	if isConfig {
+		want = m.configVerdict(t, change)
+	} else {
+		want = m.zoneVerdict(change, newest)
+	}
+	m.sent = append(m.sent, sentChange{change, want == Accepted && isConfig})
+	return want
+}
+
+func (m *operatorsModel) configVerdict(t *rapid.T, change Change) Kind {
+	wasApplied := func(s sentChange) bool { return s.applied && reflect.DeepEqual(s.change, change) }
+	if slices.ContainsFunc(m.sent, wasApplied) {
+		return AlreadyApplied
+	}
+	if change.Base != m.revision {
+		return Stale
+	}
+	var revision int64
+	if _, err := fmt.Sscanf(string(change.Body), `{"revision":%d`, &revision); err != nil {
+		t.Fatal(err)
+	}
+	amendsNothing := change.Op == OpAmend && m.revision == 0
+	if revision <= max(0, m.revision) || amendsNothing {
+		return Invalid
+	}
+	m.revision = revision
+	return Accepted
+}
+
+func (m *operatorsModel) zoneVerdict(change Change, newest uint64) Kind {
+	isLate := m.changed[change.Zone] > uint64(change.Base)
+	inForce := m.evacuated[change.Zone] == (change.Op == OpEvacuate)
+	switch {
+	case change.Zone == "":
+		return Invalid
+	case isLate && inForce:
+		return AlreadyApplied
+	case isLate:
+		return Superseded
+	}
+	m.evacuated[change.Zone], m.changed[change.Zone] = change.Op == OpEvacuate, newest+1
+	return Accepted
+}
+
+// replicas are a head, a follower, and one that restores a snapshot after each record.
+type replicas struct {
+	head, follower, restored *State
+	states                   []*State // of the head, after each record
+	encoded                  [][]byte // of states, when they were made
+}
+
+func newReplicas() *replicas { return &replicas{head: Empty(), follower: Empty(), restored: Empty()} }
+
+func (r *replicas) apply(t *rapid.T, record Record) {
+	var err error
+	for _, replica := range []**State{&r.head, &r.follower, &r.restored} {
+		if *replica, err = (*replica).Apply(record); err != nil {
+			t.Fatal(err)
+		}
+	}
+	r.encoded, r.states = append(r.encoded, r.head.Encode()), append(r.states, r.head)
+	if r.restored, err = Decode(r.restored.Encode()); err != nil {
+		t.Fatal(err)
+	}
+	for _, replica := range []*State{r.follower, r.restored} {
+		if !bytes.Equal(replica.Encode(), r.head.Encode()) {
+			t.Fatal("a follower differs")
+		}
+	}
+}
+
+// checkOldStates checks that no state was changed after it was made.
+func (r *replicas) checkOldStates(t *rapid.T) {
+	for i, state := range r.states {
+		if !bytes.Equal(state.Encode(), r.encoded[i]) {
+			t.Fatalf("state %d has been changed", state.Seq)
+		}
+	}
+}
+
+func TestDecodeRejectsDamage(t *testing.T) {
+	s := requireAccepted(t, Empty(), Change{Op: OpReplace, Body: configBody(5, "a")})
+	encoded := requireAccepted(t, s, Change{Op: OpEvacuate, Zone: "z"}).Encode()
+	for i := range encoded {
+		other := slices.Clone(encoded)
 		other[i] ^= 4
 		if _, err := Decode(other); !errors.Is(err, ErrCorrupt) {
 			t.Fatalf("byte %d changed: %v", i, err)
 		}
-		if _, err := Decode(whole[:i]); !errors.Is(err, ErrCorrupt) {
+		if _, err := Decode(encoded[:i]); !errors.Is(err, ErrCorrupt) {
 			t.Fatalf("cut at %d: %v", i, err)
 		}
 	}
@@ -282,12 +339,12 @@
 
 // FuzzDecode: whatever stands before a sound digest is refused as corrupt, or is a state whose encoding is read as the same state.
 func FuzzDecode(f *testing.F) {
-	s := accept(f, Empty(), Change{Op: OpReplace, Body: body(5, "a")})
-	s = accept(f, s, Change{Op: OpEvacuate, Zone: "z"})
-	s = accept(f, s, Change{Op: OpAmend, Base: 5, Body: amendment(1<<40, "b")})
+	s := requireAccepted(f, Empty(), Change{Op: OpReplace, Body: configBody(5, "a")})
+	s = requireAccepted(f, s, Change{Op: OpEvacuate, Zone: "z"})
+	s = requireAccepted(f, s, Change{Op: OpAmend, Base: 5, Body: amendmentBody(1<<40, "b")})
 	for _, s := range []*State{Empty(), s, s.WithoutHistory()} {
-		whole := s.Encode()
-		f.Add(whole[:len(whole)-8])
+		encodedSeed := s.Encode()
+		f.Add(encodedSeed[:len(encodedSeed)-8])
 	}
 	f.Add(binary.AppendUvarint([]byte{legacyStateFormat}, 1<<60))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -301,7 +358,7 @@
 		encoded := s.Encode()
 		again, err := Decode(encoded)
 		if err != nil || !bytes.Equal(again.Encode(), encoded) || again.Seq != s.Seq || again.Revision() != s.Revision() ||
-			!maps.Equal(again.Evacuated, s.Evacuated) || !reflect.DeepEqual(again.history, s.history) || !reflect.DeepEqual(again.zones, s.zones) {
+			!maps.Equal(again.Evacuated, s.Evacuated) || !reflect.DeepEqual(again.history, s.history) || !reflect.DeepEqual(again.zoneChanges, s.zoneChanges) {
 			t.Fatalf("%+v became %+v: %v", s, again, err)
 		}
 	})
--- /dev/null
+++ b/internal/system/distribution/commit_log_test.go
@@ -0,0 +1,107 @@
+package distribution
+
+import (
+	"testing"
+	"time"
+
+	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+)
+
+// TestCommitLog: what was certainly committed at a moment, by notes that come from time to time.
+func TestCommitLog(t *testing.T) {
+	var commits commitLog
+	begin := time.Now()
+	at := begin.Add
+	if got := commits.committedBefore(begin); got != 0 {
+		t.Errorf("%d before any", got)
+	}
+	commits.observe(at(time.Second), 3)
+	commits.observe(at(2*time.Second), 3)
+	commits.observe(at(3*time.Second), 5)
+	for when, want := range map[time.Duration]uint64{0: 0, time.Second: 3, 2500 * time.Millisecond: 3, 3 * time.Second: 5, time.Hour: 5} {
+		if got := commits.committedBefore(at(when)); got != want {
+			t.Errorf("at %v: %d, want %d", when, got, want)
+		}
+	}
+	for i := range 10 * maxCommitMarks {
+		commits.observe(at(time.Duration(4+i)*time.Second), uint64(6+i))
+	}
+	if len(commits.marks) != maxCommitMarks || commits.committedBefore(at(3*time.Second)) != 0 {
+		t.Errorf("%d notes; at 3 s %d", len(commits.marks), commits.committedBefore(at(3*time.Second)))
+	}
+	if got := commits.committedBefore(at(time.Hour)); got != uint64(5+10*maxCommitMarks) {
+		t.Errorf("at last %d", got)
+	}
+}
+
+// TestReadingReportsCoveredRecord: a keeper's reading covers the records that it knew lag before it asked, and proxies hear which.
+func TestReadingReportsCoveredRecord(t *testing.T) {
+	const lag = 800 * time.Millisecond
+	server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: newChain(), addresses: []string{"k"}}, Self: "k", Log: quiet(), ListLag: lag})
+	begin := time.Now().Add(-10 * time.Second)
+	server.commits.observe(begin, 4)
+	server.commits.observe(begin.Add(time.Second), 5)
+	subscriber := NewSubscriber(SubscriberOptions{Log: quiet()})
+	for _, read := range []struct {
+		asked  time.Duration
+		covers uint64
+	}{{lag - 1, 0}, {lag, 4}, {time.Second + lag - 1, 4}, {time.Second + lag, 5}} {
+		asked := begin.Add(read.asked)
+		if err := server.PutList(1, 1, []pick.Server{{ID: "s"}}, softstate.TimeBounds{Earliest: asked, Latest: asked.Add(time.Millisecond)}); err != nil {
+			t.Fatal(err)
+		}
+		if got := server.table.ListCoversSeq(); got != read.covers {
+			t.Errorf("asked at %v: covers %d, want %d", read.asked, got, read.covers)
+		}
+		told := softstate.EncodeEntries(time.Now(), []*softstate.StoredEntry{server.table.Get(softstate.ListKey)})
+		subscriber.soft.applyEntries(time.Now(), softstate.Age{}, &distributionpb.FollowReply{Entries: told})
+		if got := subscriber.Current().ListCoversSeq; got != read.covers {
+			t.Errorf("asked at %v: a proxy hears %d, want %d", read.asked, got, read.covers)
+		}
+	}
+}
+
+// TestRefreshNotifiesOfNextContact: the owner is told of a current keeper's answer to a call from after Refresh, also if it holds
+// nothing new, and of none before.
+func TestRefreshNotifiesOfNextContact(t *testing.T) {
+	subscriber := NewSubscriber(SubscriberOptions{Log: quiet()})
+	told := func() bool {
+		select {
+		case <-subscriber.updatePending:
+			return true
+		default:
+			return false
+		}
+	}
+	answer := func(asked time.Time, current bool) {
+		subscriber.handleReply(asked, time.Now(), &distributionpb.FollowRequest{}, &distributionpb.FollowReply{Current: current, Soft: &distributionpb.Cursor{}})
+	}
+	answer(time.Now(), true)
+	told() // what is held may be served from now on
+	answer(time.Now(), true)
+	if told() {
+		t.Error("told of an answer that holds nothing new and is not awaited")
+	}
+	before := time.Now()
+	subscriber.Refresh()
+	select {
+	case <-subscriber.callRequested:
+	default:
+		t.Error("no keeper is asked at once")
+	}
+	answer(before, true)
+	answer(time.Now(), false)
+	if told() {
+		t.Error("told of a word from before, or of a keeper that is not current")
+	}
+	answer(time.Now(), true)
+	if !told() {
+		t.Error("not told of the word that is awaited")
+	}
+	answer(time.Now(), true)
+	if told() {
+		t.Error("told again")
+	}
+}
--- /dev/null
+++ b/internal/system/distribution/fleet_faults_test.go
@@ -0,0 +1,290 @@
+package distribution
+
+import (
+	"context"
+	"fmt"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+)
+
+// within fails the test unless ok comes true before d is over.
+func within(t *testing.T, d time.Duration, what string, ok func() bool) {
+	t.Helper()
+	start := time.Now()
+	for !ok() {
+		if time.Since(start) > d {
+			t.Fatalf("not within %v: %s", d, what)
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+}
+
+func (fl *testFleet) isolate(host string, cut bool) {
+	for _, k := range fl.names {
+		fl.mesh.setPartitioned(host, k, cut)
+		fl.mesh.setPartitioned(k, host, cut)
+	}
+}
+
+func (p *testProxy) sees(node string) bool {
+	for _, member := range p.update().Members {
+		if member.Node == node && !member.Draining {
+			return true
+		}
+	}
+	return false
+}
+
+func TestProxiesStayMembersWhileTheirNodeIsKilled(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		fleet := newFleet("k1:1", "k2:1", "k3:1")
+		defer fleet.stop()
+		for i := range 9 {
+			fleet.startProxy(fmt.Sprint("p", i), nil)
+		}
+		time.Sleep(6 * time.Second)
+		fleet.killServer("k1:1")
+		for range 1000 {
+			time.Sleep(10 * time.Millisecond)
+			for n, proxy := range fleet.proxies {
+				if got := len(proxy.update().Members); got != 9 {
+					t.Fatalf("%s knows %d members", n, got)
+				}
+			}
+		}
+	})
+}
+
+func TestTimedOutProxyIsDownUntilItCallsAgain(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		fleet := newFleet("k1:1", "k2:1", "k3:1")
+		defer fleet.stop()
+		proxyA, proxyB := fleet.startProxy("a", nil), fleet.startProxy("b", nil)
+		within(t, time.Second, "a sees b", func() bool { return proxyA.sees("b") && proxyB.sees("a") })
+		time.Sleep(5 * time.Second)
+		fleet.isolate("b", true)
+		within(t, 3*time.Second, "b is down", func() bool { return !proxyA.sees("b") })
+		if proxyB.subscriber.Current().Fresh {
+			t.Error("b takes itself for fresh")
+		}
+		fleet.isolate("b", false)
+		within(t, 2*time.Second, "b is back", func() bool { return proxyA.sees("b") && proxyB.subscriber.Current().Fresh })
+		fleet.killProxy("b")
+		within(t, 3*time.Second, "b is down again", func() bool { return !proxyA.sees("b") })
+		time.Sleep(65 * time.Second)
+		if got := len(fleet.servers["k1:1"].Members()); got != 1 {
+			t.Errorf("%d members are kept", got)
+		}
+		fleet.startProxy("b", nil)
+		within(t, time.Second, "b is back in another life", func() bool { return proxyA.sees("b") })
+	})
+}
+
+func TestDrainingIsPublishedAtOnce(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		fleet := newFleet("k1:1", "k2:1", "k3:1")
+		defer fleet.stop()
+		proxyA, proxyB := fleet.startProxy("a", nil), fleet.startProxy("b", nil)
+		within(t, time.Second, "a sees b", func() bool { return proxyA.sees("b") })
+		start := time.Now()
+		if err := proxyB.subscriber.Leave(t.Context()); err != nil {
+			t.Fatal(err)
+		}
+		within(t, 150*time.Millisecond-time.Since(start), "b leaves", func() bool { return !proxyA.sees("b") })
+		fleet.isolate("a", true)
+		start = time.Now()
+		if err := proxyA.subscriber.Leave(t.Context()); err == nil || time.Since(start) > leaveTimeout {
+			t.Errorf("cut off: %v after %v", err, time.Since(start))
+		}
+	})
+}
+
+func TestAcknowledgementWaitsForConnectedProxiesOnly(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		fleet := newFleet("k1:1", "k2:1", "k3:1")
+		defer fleet.stop()
+		for i := range 6 {
+			fleet.startProxy(fmt.Sprint("p", i), nil)
+		}
+		time.Sleep(6 * time.Second)
+		fleet.isolate("p3", true)
+		seq := fleet.chain.add(none())
+		for name, server := range fleet.servers {
+			ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
+			if server.WaitAcknowledged(ctx, seq) == nil {
+				t.Errorf("%s: acknowledged while p3, not yet known to be cut off, may hold the former", name)
+			}
+			cancel()
+		}
+		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
+		defer cancel()
+		if err := fleet.servers["k1:1"].WaitAcknowledged(ctx, seq); err != nil {
+			t.Error(err)
+		}
+	})
+}
+
+func TestLoadsOfOthersArePublishedAndExpire(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		fleet := newFleet("k1:1", "k2:1", "k3:1")
+		defer fleet.stop()
+		type told struct {
+			own    chan map[string]pick.Load
+			others chan map[string]pick.Load
+		}
+		proxies := map[string]*told{}
+		for i, n := range []string{"a", "b", "c"} {
+			x := &told{make(chan map[string]pick.Load, 1), make(chan map[string]pick.Load, 1)}
+			x.own <- nil
+			x.others <- nil
+			proxies[n] = x
+			fleet.startProxy(n, func(options *SubscriberOptions) {
+				options.Self.Zone = "zone-" + fleet.names[i]
+				options.Loads = func() map[string]pick.Load { l := <-x.own; x.own <- l; return l }
+				options.OnLoads = func(l map[string]pick.Load) { <-x.others; x.others <- l }
+			})
+		}
+		set := func(n string, l map[string]pick.Load) { <-proxies[n].own; proxies[n].own <- l }
+		others := func(n, server string) pick.Load {
+			l := <-proxies[n].others
+			proxies[n].others <- l
+			return l[server]
+		}
+		time.Sleep(6 * time.Second)
+		set("a", map[string]pick.Load{"s": {Requests: 3, Prefill: 128, Tokens: 512}})
+		set("b", map[string]pick.Load{"s": {Requests: 5}, "r": {Requests: 1}})
+		within(t, 500*time.Millisecond, "all are told", func() bool {
+			return others("c", "s") == pick.Load{Requests: 8, Prefill: 128, Tokens: 512} && others("c", "r").Requests == 1 &&
+				others("a", "s").Requests == 5 && others("b", "s") == pick.Load{Requests: 3, Prefill: 128, Tokens: 512}
+		})
+		for range 300 {
+			time.Sleep(10 * time.Millisecond)
+			if others("a", "s").Requests != 5 || others("c", "s").Requests != 8 {
+				t.Fatalf("told %+v and %+v", others("a", "s"), others("c", "s"))
+			}
+		}
+		set("a", map[string]pick.Load{"s": {Requests: 1}})
+		within(t, 500*time.Millisecond, "less", func() bool { return others("c", "s").Requests == 6 && others("b", "s").Requests == 1 })
+		fleet.killProxy("b")
+		within(t, 2*time.Second, "a load is forgotten", func() bool { return others("c", "s").Requests == 1 && others("a", "s").Requests == 0 })
+		set("a", nil)
+		within(t, 500*time.Millisecond, "nothing", func() bool { return others("c", "s") == pick.Load{} })
+	})
+}
+
+func TestSubscriberLeavesNodeThatIsNotCurrent(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		fleet := newFleet("k1:1", "k2:1", "k3:1")
+		defer fleet.stop()
+		for i := range 6 {
+			fleet.startProxy(fmt.Sprint("p", i), nil)
+		}
+		time.Sleep(2 * time.Second)
+		fleet.sources["k1:1"].setStale(true)
+		fleet.sources["k2:1"].setStale(true)
+		seq := fleet.chain.add(none())
+		within(t, 2500*time.Millisecond, "all hold the newest", func() bool {
+			for _, proxy := range fleet.proxies {
+				if proxy.subscriber.Current().State.Seq != seq {
+					return false
+				}
+			}
+			return true
+		})
+		// Without any that is current the soft state still flows.
+		fleet.sources["k3:1"].setStale(true)
+		fleet.chain.add(none())
+		time.Sleep(4 * time.Second)
+		if err := fleet.servers["k2:1"].PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(softstate.Age{})); err != nil {
+			t.Fatal(err)
+		}
+		within(t, 2*time.Second, "all hold the server", func() bool {
+			for _, proxy := range fleet.proxies {
+				if update := proxy.subscriber.Current(); update.State.Seq != seq || update.Fresh || len(update.Servers) != 1 || len(update.Members) != 6 {
+					return false
+				}
+			}
+			return true
+		})
+	})
+}
+
+func TestServersOutliveRestartOfAllNodes(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		fleet := newFleet("k1:1", "k2:1", "k3:1")
+		defer fleet.stop()
+		proxy := fleet.startProxy("p", nil)
+		time.Sleep(4 * time.Second)
+		list := []pick.Server{{ID: "s"}, {ID: "r"}}
+		if err := fleet.servers["k2:1"].PutList(1, 1000, list, madeAgo(softstate.Age{})); err != nil {
+			t.Fatal(err)
+		}
+		within(t, time.Second, "two servers", func() bool { return len(proxy.update().Servers) == 2 })
+		for _, k := range fleet.names {
+			fleet.killServer(k)
+		}
+		time.Sleep(time.Second)
+		for _, k := range fleet.names {
+			fleet.startServer(k)
+		}
+		for range 100 {
+			time.Sleep(10 * time.Millisecond)
+			if len(proxy.subscriber.Current().Servers) != 2 {
+				t.Fatal("a server was forgotten")
+			}
+		}
+		// The poller counts from the start again; s is gone.
+		if err := fleet.servers["k1:1"].PutList(1, 1, list[1:], madeAgo(softstate.Age{})); err != nil {
+			t.Fatal(err)
+		}
+		within(t, 5*time.Second, "one server", func() bool { return len(proxy.update().Servers) == 1 })
+	})
+}
+
+func TestNeighboursServeWhereNoNodeIsReached(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		fleet := newFleet("k1:1", "k2:1", "k3:1")
+		defer fleet.stop()
+		fleet.startProxy("a", nil)
+		seq := fleet.chain.add(controlstate.Record{Op: controlstate.OpEvacuate, Zone: "z"})
+		time.Sleep(4 * time.Second)
+		if err := fleet.servers["k1:1"].PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(softstate.Age{})); err != nil {
+			t.Fatal(err)
+		}
+		time.Sleep(time.Second)
+		for _, k := range fleet.names {
+			fleet.killServer(k)
+		}
+		proxyB := fleet.startProxy("b", func(options *SubscriberOptions) { options.Seeds = append([]string{"a:2"}, options.Seeds...) })
+		within(t, 2*time.Second, "b holds what a holds", func() bool {
+			update := proxyB.update()
+			return update.State != nil && update.State.Seq == seq && update.State.Evacuated["z"] && len(update.Servers) == 1 && !update.Fresh
+		})
+		fleet.startServer("k3:1")
+		within(t, 2*time.Second, "b is fresh", func() bool { return proxyB.update().Fresh })
+	})
+}
+
+func TestNearestNodeIsChosenAndChosenAgain(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		fleet := newFleet("k1:1", "k2:1", "k3:1")
+		defer fleet.stop()
+		proxy := fleet.startProxy("p", func(options *SubscriberOptions) { options.Self.Zone = "zone-k2:1" })
+		follows := func() string {
+			proxy.subscriber.mu.Lock()
+			defer proxy.subscriber.mu.Unlock()
+			return proxy.subscriber.nodes.serving
+		}
+		within(t, 3*time.Second, "the nearest", func() bool { return follows() == "k2:1" })
+		fleet.killServer("k2:1")
+		within(t, time.Second, "another", func() bool { f := follows(); return f != "" && f != "k2:1" })
+		time.Sleep(time.Second)
+		fleet.startServer("k2:1")
+		within(t, 11*time.Second, "the nearest again", func() bool { return follows() == "k2:1" })
+	})
+}
--- /dev/null
+++ b/internal/system/distribution/membership_partition_test.go
@@ -0,0 +1,121 @@
+package distribution
+
+import (
+	"fmt"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
+	"slices"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// census notes the fewest members that any of some followers was told of.
+type census struct {
+	mu    sync.Mutex
+	least int
+	on    bool
+}
+
+func (c *census) observe(update Update) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.on {
+		c.least = min(c.least, len(update.Members))
+	}
+}
+
+func (c *census) begin(n int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.on, c.least = true, n
+}
+
+func (c *census) fewest() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.least
+}
+
+const censusMembers = 9
+
+func newCensusFleet(knobs TestingKnobs) (*testFleet, *census) {
+	fleet := newFleetWithKnobs(knobs, "k1:1", "k2:1", "k3:1")
+	memberCensus := &census{}
+	for i := range censusMembers {
+		fleet.startProxy(fmt.Sprint("p", i), func(options *SubscriberOptions) {
+			options.Self.Zone = "zone-" + fleet.names[i%len(fleet.names)]
+			options.OnUpdate = memberCensus.observe
+		})
+	}
+	return fleet, memberCensus
+}
+
+// fewestAfterPartition cuts a keeper off from the others for 20 s, and gives the fewest members that a proxy was told of in the
+// 10 s after that.
+func fewestAfterPartition(t *testing.T, knobs TestingKnobs) int {
+	t.Helper()
+	fleet, memberCensus := newCensusFleet(knobs)
+	defer fleet.stop()
+	time.Sleep(8 * time.Second)
+	for _, k := range []string{"k2:1", "k3:1"} {
+		fleet.mesh.setPartitioned("k1:1", k, true)
+		fleet.mesh.setPartitioned(k, "k1:1", true)
+	}
+	fleet.sources["k1:1"].setStale(true)
+	memberCensus.begin(censusMembers)
+	time.Sleep(20 * time.Second)
+	if memberCensus.fewest() != censusMembers {
+		t.Errorf("during the cut a proxy was told of %d members", memberCensus.fewest())
+	}
+	if !slices.ContainsFunc(fleet.servers["k1:1"].Members(), func(member softstate.Member) bool { return member.Down }) {
+		t.Error("the run brought nothing about: the keeper that is cut off marked nobody down")
+	}
+	fleet.mesh.mu.Lock()
+	clear(fleet.mesh.partitioned)
+	fleet.mesh.mu.Unlock()
+	fleet.sources["k1:1"].setStale(false)
+	time.Sleep(10 * time.Second)
+	return memberCensus.fewest()
+}
+
+// TestNodeBackFromPartitionMarksNobodyDown: a keeper that was cut off from the others for 20 s has marked down what it no longer
+// heard of. Danger: back again, it spreads that, and for a moment every proxy counts itself the only one.
+func TestNodeBackFromPartitionMarksNobodyDown(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		if n := fewestAfterPartition(t, TestingKnobs{}); n != censusMembers {
+			t.Errorf("a proxy was told of %d members", n)
+		}
+	})
+	synctest.Test(t, func(t *testing.T) {
+		if fewestAfterPartition(t, TestingKnobs{AcceptDownVerdicts: true}) == censusMembers {
+			t.Error("control: nothing was lost where every mark is believed")
+		}
+	})
+}
+
+// TestNodesWithoutContactToEachOther: two keepers that both hear the third, but not each other, leave each other's proxies
+// alone. Danger: they mark them down again and again.
+func TestNodesWithoutContactToEachOther(t *testing.T) {
+	run := func(t *testing.T, knobs TestingKnobs) int {
+		t.Helper()
+		fleet, memberCensus := newCensusFleet(knobs)
+		defer fleet.stop()
+		time.Sleep(8 * time.Second)
+		fleet.mesh.setPartitioned("k1:1", "k2:1", true)
+		fleet.mesh.setPartitioned("k2:1", "k1:1", true)
+		memberCensus.begin(censusMembers)
+		time.Sleep(20 * time.Second)
+		return memberCensus.fewest()
+	}
+	synctest.Test(t, func(t *testing.T) {
+		if n := run(t, TestingKnobs{}); n != censusMembers {
+			t.Errorf("a proxy was told of %d members", n)
+		}
+	})
+	synctest.Test(t, func(t *testing.T) {
+		if run(t, TestingKnobs{OwnContactsOnly: true}) == censusMembers {
+			t.Error("control: nothing was lost where a keeper goes by its own ears")
+		}
+	})
+}
--- /dev/null
+++ b/internal/system/distribution/older_list_resync_test.go
@@ -0,0 +1,114 @@
+package distribution
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+)
+
+// pollByHand has a follower take in what a hub would answer it now.
+func pollByHand(subscriber *Subscriber, server *Server) {
+	req := subscriber.buildRequest(nil, false)
+	server.mu.Lock()
+	since := uint64(0)
+	if req.GetSoft().GetBoot() == server.bootID {
+		since = req.GetSoft().GetNumber()
+	}
+	items, full := server.table.ChangesSince(since)
+	reply := &distributionpb.FollowReply{Full: full, Complete: server.complete, Current: true, Entries: softstate.EncodeEntries(time.Now(), items),
+		Soft: &distributionpb.Cursor{Boot: server.bootID, Number: server.table.LastNumber}}
+	server.mu.Unlock()
+	subscriber.handleReply(time.Now(), time.Now(), req, reply)
+}
+
+// TestSkippedListIsSentAgain: a proxy moves to a keeper whose newest reading came by a slow share, so that its age lies between 0 and 2.6 s. It
+// is newer than the one that is held, but looks older by more than the tolerance, and is not taken. The keeper's next readings change
+// nothing there. Danger: what the first one said (a server drains, or is cold) is never told.
+func TestSkippedListIsSentAgain(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		serverA, serverB := newIdleServer(), newIdleServer()
+		serverA.markComplete()
+		serverB.markComplete()
+		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+		put := func(server *Server, version uint64, age softstate.Age, s pick.Server) {
+			t.Helper()
+			if err := server.PutList(1, version, []pick.Server{s}, madeAgo(age)); err != nil {
+				t.Fatal(err)
+			}
+		}
+		put(serverA, 10, softstate.Age{}, pick.Server{ID: "x"})
+		pollByHand(subscriber, serverA)
+		time.Sleep(200 * time.Millisecond)
+		put(serverB, 11, softstate.Age{Max: 2600 * time.Millisecond}, pick.Server{ID: "x", Draining: true})
+		pollByHand(subscriber, serverB)
+		for version := range uint64(20) {
+			time.Sleep(500 * time.Millisecond)
+			put(serverB, 12+version, softstate.Age{}, pick.Server{ID: "x", Draining: true})
+			pollByHand(subscriber, serverB)
+		}
+		update := subscriber.Current()
+		if len(update.Servers) != 1 || !update.Servers[0].Draining {
+			t.Errorf("10 s after the keeper's list said that x drains: %+v, with a list that is %v old", update.Servers, update.ListAge)
+		}
+	})
+}
+
+// TestNewerReadingOfLowerVersionIsApplied: a proxy holds the list as the holder of the duty read it last, in version 100. It moves to a keeper that
+// has not heard of the last 2.4 s of that, and goes on with its own list. That keeper steps in and reads the list under the same fence, in
+// version 97; then the chain is repaired, and it reads under the next fence. Danger: what the first reading said is of a lower version than
+// what the proxy holds, and is not written again, as the keeper holds it.
+func TestNewerReadingOfLowerVersionIsApplied(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		serverA, serverB := newIdleServer(), newIdleServer()
+		serverA.markComplete()
+		serverB.markComplete()
+		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+		put := func(server *Server, fence, version uint64, s pick.Server) {
+			t.Helper()
+			if err := server.PutList(fence, version, []pick.Server{s}, madeAgo(softstate.Age{Max: 20 * time.Millisecond})); err != nil {
+				t.Fatal(err)
+			}
+		}
+		put(serverB, 1, 95, pick.Server{ID: "x"})
+		time.Sleep(2400 * time.Millisecond)
+		put(serverA, 1, 100, pick.Server{ID: "x", WarmUpMax: 3 * time.Second}) // it has turned cold anew
+		pollByHand(subscriber, serverA)
+		time.Sleep(100 * time.Millisecond)
+		pollByHand(subscriber, serverB) // an older list: not taken
+		time.Sleep(400 * time.Millisecond)
+		put(serverB, 1, 96, pick.Server{ID: "x", Draining: true})
+		pollByHand(subscriber, serverB)
+		for version := range uint64(20) {
+			time.Sleep(500 * time.Millisecond)
+			put(serverB, 2, 1+version, pick.Server{ID: "x", Draining: true})
+			pollByHand(subscriber, serverB)
+		}
+		update := subscriber.Current()
+		if len(update.Servers) != 1 || !update.Servers[0].Draining {
+			t.Errorf("10 s after the keeper's list said that x drains: %+v, with a list that is %v old", update.Servers, update.ListAge)
+		}
+	})
+}
+
+// TestDelayedReadingEndsNoWarmUp: a poller stands still for 2.3 s while the platform's answer lies in its socket; meanwhile another
+// one steps in under the same fence, and reads that a server has turned cold. Which of the two was made later can't be told by their
+// ages. Danger: the server is called warm, and what has been listed since vanishes.
+func TestDelayedReadingEndsNoWarmUp(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		server := newIdleServer()
+		asked := time.Now()
+		time.Sleep(2200 * time.Millisecond)
+		if err := server.PutList(1, 8, []pick.Server{{ID: "a", WarmUpMax: 3 * time.Second}}, madeAgo(softstate.Age{Max: 20 * time.Millisecond})); err != nil {
+			t.Fatal(err)
+		}
+		time.Sleep(100 * time.Millisecond)
+		_ = server.PutList(1, 7, []pick.Server{{ID: "a"}}, softstate.TimeBounds{Earliest: asked, Latest: time.Now()})
+		if got, _, _ := server.List(); len(got) != 1 || got[0].WarmUpMax < 2900*time.Millisecond {
+			t.Errorf("holds %+v", got)
+		}
+	})
+}
--- /dev/null
+++ b/internal/system/distribution/server_state.go
@@ -0,0 +1,115 @@
+package distribution
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/system/distribution/catchup"
+	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
+)
+
+// snapshotTTL is how long a snapshot is sent to subscribers that need one though there is a newer state: encoding a large
+// configuration for each of many changes a second would take the node's time from the chain.
+const snapshotTTL = 250 * time.Millisecond
+
+// snapshotCache is the newest encoded snapshot, which all subscribers share. The zero value is ready.
+type snapshotCache struct {
+	mu       sync.Mutex // held while one is made: whoever needs one waits for it
+	seq      uint64     // 0: there is none
+	count    int        // made so far
+	madeAt   time.Time
+	encoded  []byte
+	deflated bool
+}
+
+// make replaces the snapshot by one of the state. The caller holds mu.
+func (c *snapshotCache) make(state *controlstate.State) {
+	c.encoded, c.deflated = rpc.Compress(state.WithoutHistory().Encode()) // subscribers evaluate no changes
+	c.seq, c.madeAt, c.count = state.Seq, time.Now(), c.count+1
+}
+
+// probeReply says how this node stands, to a proxy that looks for one.
+func (s *Server) probeReply(start time.Time) *distributionpb.FollowReply {
+	reply := &distributionpb.FollowReply{CheckedMs: uint64(time.Since(start) / time.Millisecond), Current: s.isCurrent()}
+	if state, _ := s.options.Source.Committed(); state != nil {
+		reply.Newest = state.Seq
+	}
+	return reply
+}
+
+// addControlState adds what comes after a number of the control state. It must not be called with mu held: a large state
+// takes long to encode.
+//
+// Where too many bytes wait to be read by others, it adds nothing but the newest number: the proxy asks again.
+func (s *Server) addControlState(ctx context.Context, reply *distributionpb.FollowReply, after uint64) {
+	state, _ := s.options.Source.Committed()
+	if state == nil {
+		return
+	}
+	reply.Newest = state.Seq
+	records, available := s.availability(after, state.Seq)
+	switch catchup.PlanReply(after, available, s.limits.MaxRecordsPerReply) {
+	case catchup.None:
+	case catchup.Records:
+		s.addRecords(reply, records)
+	case catchup.CachedSnapshot, catchup.NewSnapshot:
+		s.addSnapshot(reply, after, state)
+	}
+	if size := stateBytes(reply); size > uncountedReplyBytes && !s.replyBudget.reserve(ctx, size) {
+		reply.Snapshot, reply.Records = nil, nil
+	}
+}
+
+// stateBytes is the size of a reply's snapshot and of the bodies of its records.
+func stateBytes(reply *distributionpb.FollowReply) int {
+	size := len(reply.GetSnapshot())
+	for _, r := range reply.GetRecords() {
+		size += len(r.GetBody())
+	}
+	return size
+}
+
+// availability gives the records between two numbers, and what they come to.
+func (s *Server) availability(after, committed uint64) ([]controlstate.Record, catchup.Availability) {
+	available := catchup.Availability{Committed: committed}
+	if after >= committed {
+		return nil, available
+	}
+	records, known := s.options.Source.RecordsAfter(after, s.limits.MaxRecordsPerReply+1)
+	for _, r := range records {
+		available.Bytes += len(r.Body)
+	}
+	available.Known, available.Records = known && len(records) > 0, len(records)
+	return records, available
+}
+
+func (s *Server) addRecords(reply *distributionpb.FollowReply, records []controlstate.Record) {
+	for _, r := range records {
+		reply.Records = append(reply.Records, s.records.encode(r))
+		reply.Newest = max(reply.Newest, r.Seq)
+	}
+}
+
+// addSnapshot adds the cached snapshot if that helps, or a new one, and the records after it as far as they fit.
+func (s *Server) addSnapshot(reply *distributionpb.FollowReply, after uint64, state *controlstate.State) {
+	cache := &s.snapshot
+	cache.mu.Lock()
+	defer cache.mu.Unlock()
+	records, available := s.availability(cache.seq, state.Seq)
+	recordsFit := available.Known && available.Records <= s.limits.MaxRecordsPerReply && available.Bytes <= catchup.MaxReplyBytes
+	fit := cache.seq == state.Seq || recordsFit
+	available.CachedSnapshot = cache.seq
+	available.CachedSnapshotUsable = cache.seq > 0 && (fit || time.Since(cache.madeAt) < snapshotTTL)
+	available.Known = false
+	if catchup.PlanReply(after, available, s.limits.MaxRecordsPerReply) == catchup.NewSnapshot {
+		cache.make(state)
+		records, fit = nil, false
+	}
+	reply.Snapshot, reply.SnapshotDeflated = cache.encoded, cache.deflated
+	if fit {
+		s.addRecords(reply, records)
+	}
+}
--- /dev/null
+++ b/internal/system/distribution/server_sync_test.go
@@ -0,0 +1,143 @@
+package distribution
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+)
+
+// newNamedServer is a hub that shares with nobody by itself.
+func newNamedServer(name string) *Server {
+	return NewServer(ServerOptions{Source: &fakeSource{fakeChain: newChain(), addresses: []string{"a", "b"}}, Self: name, Log: quiet()})
+}
+
+// manualSync passes shares from one hub to another by hand.
+type manualSync struct {
+	from, to *Server
+	progress syncProgress
+}
+
+// send composes a share, waits as if it lay in a buffer, hands it over, and takes the answer in.
+func (s *manualSync) send(tb testing.TB, held time.Duration) *distributionpb.ShareReply {
+	tb.Helper()
+	return s.sendOver(tb, transit{out: held})
+}
+
+// sendOver sends a share over a link that delays it and its answer.
+func (s *manualSync) sendOver(tb testing.TB, l transit) *distributionpb.ShareReply {
+	tb.Helper()
+	req, number := s.from.buildShareRequest(&s.progress)
+	time.Sleep(l.out)
+	reply, err := s.to.Share(tb.Context(), req)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	time.Sleep(l.back)
+	s.progress.handleReply(time.Now(), req, number, reply)
+	return reply
+}
+
+func listAge(server *Server) time.Duration {
+	_, _, age := server.ListVersion()
+	return age.Round(100 * time.Millisecond)
+}
+
+// TestTimeInBuffersCountsAsAge: what a message states is as old as it was when it was sent, and the time in transit. A message that
+// was delayed for long, or whose sending cannot be dated, is sent anew.
+func TestTimeInBuffersCountsAsAge(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		manual := &manualSync{from: newNamedServer("a"), to: newNamedServer("b")}
+		manual.putList(t, 1, exactAge(time.Second), pick.Server{ID: "s"})
+		time.Sleep(time.Second) // the list is 2 s old
+		if !manual.send(t, 0).GetLate() || listAge(manual.to) < time.Hour {
+			t.Error("taken though nothing tells when it was sent")
+		}
+		manual.checkSend(t, "at once", 0, false, 2*time.Second)
+		manual.putList(t, 2, softstate.Age{}, pick.Server{ID: "s"}, pick.Server{ID: "r"})
+		manual.checkSend(t, "after a second in transit", time.Second, false, time.Second)
+		manual.putList(t, 3, softstate.Age{})
+		manual.checkSend(t, "after 20 s in transit", 20*time.Second, true, 21*time.Second)
+		manual.checkSend(t, "sent anew", 0, false, 20*time.Second)
+		if servers, _, _ := manual.to.List(); len(servers) != 0 {
+			t.Errorf("has %d servers", len(servers))
+		}
+	})
+}
+
+// putList has the sender read a list.
+func (s *manualSync) putList(tb testing.TB, version uint64, age softstate.Age, servers ...pick.Server) {
+	tb.Helper()
+	if err := s.from.PutList(1, version, servers, madeAgo(age)); err != nil {
+		tb.Fatal(err)
+	}
+}
+
+// checkSend sends a message that is delayed, and checks whether it is refused as late and how old the receiver's list is then.
+func (s *manualSync) checkSend(tb testing.TB, name string, delay time.Duration, wantLate bool, wantAge time.Duration) {
+	tb.Helper()
+	if s.send(tb, delay).GetLate() != wantLate || listAge(s.to) != wantAge {
+		tb.Errorf("%s: the list is %v old", name, listAge(s.to))
+	}
+}
+
+// TestTimeInBuffersControl: judged by its arrival, a share that lay in a buffer for 20 s makes an old list a new one.
+func TestTimeInBuffersControl(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		manual := &manualSync{from: newNamedServer("a"), to: newNamedServer("b")}
+		manual.to.options.Knobs.DateByArrival = true
+		if err := manual.from.PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(softstate.Age{})); err != nil {
+			t.Fatal(err)
+		}
+		if manual.send(t, 20*time.Second); listAge(manual.to) != 0 {
+			t.Errorf("control: the list is known to be %v old", listAge(manual.to))
+		}
+	})
+}
+
+// TestShareToAnotherIncarnation: a keeper that was started anew does not take what was dated by its former life's clock.
+func TestShareToAnotherIncarnation(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		manual := &manualSync{from: newNamedServer("a"), to: newNamedServer("b")}
+		time.Sleep(time.Minute)
+		manual.send(t, 0)
+		manual.send(t, 0)
+		manual.to = newNamedServer("b")
+		if !manual.send(t, 0).GetLate() {
+			t.Error("taken though its time is of a former life")
+		}
+		if manual.send(t, 0).GetLate() {
+			t.Error("not taken though its time is of this life")
+		}
+	})
+}
+
+// TestListOfOldFenceIsSuperseded: a keeper that was cut off for 20 s and went on to read the list under the fence of its view
+// does not bring that back over the list of the view that followed, however high its versions are.
+func TestListOfOldFenceIsSuperseded(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		cutOff, next := newNamedServer("a"), newNamedServer("b")
+		for version := uint64(1); version <= 40; version++ {
+			time.Sleep(500 * time.Millisecond)
+			if err := cutOff.PutList(3, 900+version, []pick.Server{{ID: "s"}}, madeAgo(softstate.Age{})); err != nil {
+				t.Fatal(err)
+			}
+			if err := next.PutList(4, version, []pick.Server{{ID: "s", Draining: true}, {ID: "r"}}, madeAgo(softstate.Age{})); err != nil {
+				t.Fatal(err)
+			}
+		}
+		for _, manual := range []*manualSync{{from: cutOff, to: next}, {from: next, to: cutOff}} {
+			manual.send(t, 0)
+			manual.send(t, 0)
+			if got, _, _ := manual.to.List(); len(got) != 2 || !got[1].Draining {
+				t.Errorf("%s holds %+v", manual.to.options.Self, got)
+			}
+		}
+		if cutOff.PutList(3, 2000, nil, madeAgo(softstate.Age{})) == nil {
+			t.Error("a reading under the old fence is taken still")
+		}
+	})
+}
--- /dev/null
+++ b/internal/system/distribution/subscriber_call.go
@@ -0,0 +1,183 @@
+package distribution
+
+import (
+	"context"
+	"time"
+
+	"gradeusher.example/gradeusher/internal/system/distribution/catchup"
+	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+)
+
+const (
+	// replyIdleTimeout is how long beyond the wait of a poll nothing may arrive, until another node is followed.
+	replyIdleTimeout = 400 * time.Millisecond
+	// probeTimeout bounds one probe while several are made at once.
+	probeTimeout = 1200 * time.Millisecond
+	// maxCheckedDelay bounds how long a node may say that it waited before it looked whether it is current.
+	maxCheckedDelay = time.Minute
+)
+
+// callOptions say how long a call may take, and what it asks for.
+type callOptions struct {
+	wait        time.Duration // how long the node may wait for something new
+	maxPause    time.Duration // beyond that until the reply begins, and then between parts of it
+	acceptStale bool          // soft state of a node that is not current is wanted as well
+}
+
+// callResult is what a reply says of a node.
+type callResult struct {
+	current       bool // it is current, so it serves the control state
+	serves        bool // it serves anything
+	stateAdvanced bool // the reply brought something new of the control state
+	stillBehind   bool // though the node has something newer, the reply did not bring this proxy further
+}
+
+// call polls a node once and takes in what it replies.
+func (s *Subscriber) call(ctx context.Context, node string, options callOptions) (callResult, error) {
+	var loads map[string]pick.Load
+	if s.options.Loads != nil {
+		loads = s.options.Loads()
+	}
+	req := s.buildRequest(loads, options.acceptStale)
+	wait := options.wait
+	if len(loads) > 0 {
+		// Without changes of others, its own load is to be reported at the node's interval.
+		wait = min(wait, s.loadReportWait())
+	}
+	req.WaitMs = uint64(wait / time.Millisecond)
+	ctx, cancel := rpc.WithIdleTimeout(ctx, wait+options.maxPause, options.maxPause)
+	defer cancel()
+	sentAt := time.Now()
+	reply, err := s.sendPoll(ctx, node, req)
+	if err != nil {
+		return callResult{}, err
+	}
+	switch {
+	case reply.GetSoft() != nil:
+	case len(reply.GetKeepers()) > 0:
+		s.learnNodes(reply.GetKeepers())
+		return callResult{}, errReferred
+	default:
+		return callResult{}, nil // a node that is not current and says nothing else
+	}
+	return s.handleReply(sentAt, time.Now(), req, reply), nil
+}
+
+// sendPoll sends a request to a node, and gives the reply to this very one.
+func (s *Subscriber) sendPoll(ctx context.Context, node string, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
+	req.Call = s.callIDs.Next()
+	client := distributionpb.NewDistributionProtobufClient(baseURL(node, s.options.ControlPlanePort), s.client)
+	reply, err := client.Follow(ctx, req)
+	if err != nil {
+		return nil, err
+	}
+	if err := rpc.CheckReply(req.GetCall(), reply.GetCall()); err != nil && !s.options.Knobs.AcceptAnyReply {
+		s.client.CloseIdleConnections()
+		return nil, err
+	}
+	return reply, nil
+}
+
+// probeNode asks a node whether it is current, and nothing else: several are asked at once, and one only is to send its state.
+func (s *Subscriber) probeNode(ctx context.Context, node string) (current bool, err error) {
+	ctx, cancel := rpc.WithIdleTimeout(ctx, probeTimeout, replyIdleTimeout)
+	defer cancel()
+	s.mu.Lock()
+	req := &distributionpb.FollowRequest{Member: s.announced.self.ToProto(), Seq: s.control.state.Seq, Probe: true}
+	s.mu.Unlock()
+	sentAt := time.Now()
+	reply, err := s.sendPoll(ctx, node, req)
+	if err != nil {
+		return false, err
+	}
+	if len(reply.GetKeepers()) > 0 {
+		s.learnNodes(reply.GetKeepers())
+		return false, errReferred
+	}
+	offer := offerFromReply(reply, time.Since(checkedAt(sentAt, reply)))
+	return offer.Current && !offer.Expired(), nil
+}
+
+// checkedAt is when a node looked whether it is current, at the earliest: it waited so long after the request came, and that came
+// after it was sent.
+func checkedAt(sentAt time.Time, reply *distributionpb.FollowReply) time.Time {
+	return sentAt.Add(softstate.BoundedMilliseconds(reply.GetCheckedMs(), maxCheckedDelay))
+}
+
+func (s *Subscriber) loadReportWait() time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.loads.maxWait()
+}
+
+// buildRequest says what this proxy has.
+func (s *Subscriber) buildRequest(loads map[string]pick.Load, acceptStale bool) *distributionpb.FollowRequest {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := time.Now()
+	req := &distributionpb.FollowRequest{
+		Seq: s.control.position().Ask(), AcceptStale: acceptStale, Keepers: s.nodes.digest, Soft: s.soft.cursor.ToProto(),
+	}
+	s.loads.addTo(now, req, loads)
+	s.announced.addTo(req)
+	return req
+}
+
+// handleReply takes in a node's reply to a request that was sent at a moment.
+func (s *Subscriber) handleReply(sentAt, now time.Time, req *distributionpb.FollowRequest, reply *distributionpb.FollowReply) callResult {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	checked := checkedAt(sentAt, reply)
+	if s.options.Knobs.DateByArrival {
+		checked = now
+	}
+	offer := offerFromReply(reply, now.Sub(checked))
+	s.announced.acknowledge(req)
+	advanced := s.control.apply(s.options.Log, offer, reply)
+	if advanced {
+		signal(s.updatePending)
+	}
+	if offer.Expired() {
+		return callResult{serves: true, stateAdvanced: advanced}
+	}
+	s.freshness.lastContact = now
+	if offer.Current && s.freshness.observeCurrent(checked) {
+		signal(s.updatePending)
+	}
+	s.applySoftState(now, checked, req, reply)
+	if s.control.position().ProvesFreshness(offer) && s.freshness.observeFresh(checked) {
+		signal(s.updatePending) // what this proxy has may be served from now on
+	}
+	return callResult{current: offer.Current, serves: true, stateAdvanced: advanced, stillBehind: isBehind(s.control.position(), offer) && !advanced}
+}
+
+// isBehind tells whether a node has something newer.
+func isBehind(position catchup.Position, offer catchup.Offer) bool {
+	return offer.Newest > position.Seq
+}
+
+// applySoftState takes in all of a reply but the control state. The reply was made between a moment and now, so ages add up over all
+// hops. The caller holds mu.
+func (s *Subscriber) applySoftState(now, earliest time.Time, req *distributionpb.FollowRequest, reply *distributionpb.FollowReply) {
+	delay := softstate.AgeUpTo(now.Sub(earliest))
+	changed := s.soft.merge(now, delay, req, reply)
+	if s.loads.handleReply(earliest, reply) {
+		signal(s.loadsPending)
+	}
+	if len(reply.GetKeepers()) > 0 {
+		s.nodes.replace(reply.GetKeepers(), reply.GetKeepersDigest())
+	}
+	if changed {
+		signal(s.updatePending)
+	}
+}
+
+// learnNodes adds the nodes that an observer names. Those known already stay as they are: one that serves knows better.
+func (s *Subscriber) learnNodes(named []*distributionpb.Keeper) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.nodes.add(named)
+}
--- a/internal/system/distribution/forgetful_test.go
+++ b/internal/system/distribution/subscriber_history_test.go
@@ -6,32 +6,33 @@
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
 // Keepers remember thousands of changes to know them again. Proxies judge no changes: neither the snapshots that they are
 // sent nor what they make of records grows with the number of changes.
-func TestFollowersHoldNoHistory(t *testing.T) {
-	c := newChain()
-	h := NewServer(ServerOptions{Source: &source{chain: c, keepers: []string{"k"}}, Self: "k", Log: quiet()})
-	f := NewSubscriber(SubscriberOptions{Self: Member{Node: "p"}, Log: quiet()})
+func TestSubscribersKeepNoHistory(t *testing.T) {
+	chain := newChain()
+	server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: chain, addresses: []string{"k"}}, Self: "k", Log: quiet()})
+	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
 	for i := range int64(200) {
 		body := fmt.Appendf(nil, `{"revision":%d,"routes":[],"services":[]}`, i+1)
-		seq := c.add(controlstate.Record{Op: controlstate.OpReplace, Base: i, Body: body})
-		next, err := applyRecord(f.state, &distributionpb.Record{Seq: seq, Op: uint32(controlstate.OpReplace), Base: i, Body: body})
+		seq := chain.add(controlstate.Record{Op: controlstate.OpReplace, Base: i, Body: body})
+		next, err := applyRecord(subscriber.control.state, &distributionpb.Record{Seq: seq, Op: uint32(controlstate.OpReplace), Base: i, Body: body})
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.state = next
+		subscriber.control.state = next
 	}
-	state, _ := h.opt.Source.Committed()
+	state, _ := server.options.Source.Committed()
 	reply := &distributionpb.FollowReply{}
-	h.addSnapshot(reply, 0, state)
-	snapshot, err := readSnapshot(reply.GetSnapshot(), reply.GetSnapshotDeflated())
+	server.addSnapshot(reply, 0, state)
+	snapshot, err := decodeSnapshot(reply.GetSnapshot(), reply.GetSnapshotDeflated())
 	if err != nil {
 		t.Fatal(err)
 	}
 	const most = 128 // bytes
-	for what, s := range map[string]*controlstate.State{"a snapshot": snapshot, "records": f.state} {
+	for what, s := range map[string]*controlstate.State{"a snapshot": snapshot, "records": subscriber.control.state} {
 		if s.Seq != 200 || s.Revision() != 200 || len(s.Encode()) > most {
 			t.Errorf("from %s: record %d, version %d, %d bytes", what, s.Seq, s.Revision(), len(s.Encode()))
 		}
--- /dev/null
+++ b/internal/system/distribution/subscriber_late_reply_test.go
@@ -0,0 +1,77 @@
+package distribution
+
+import (
+	"testing"
+	"time"
+
+	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+)
+
+// lateReply has a follower ask a current keeper that reads the list as empty, hands it the answer after a wait, and gives
+// what it holds then.
+func lateReply(tb testing.TB, wait time.Duration, knobs TestingKnobs) (update Update, seq uint64) {
+	tb.Helper()
+	chain := newChain()
+	server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: chain, addresses: []string{"k"}}, Self: "k", Log: quiet()})
+	server.markComplete()
+	chain.add(controlstate.Record{Op: controlstate.OpEvacuate, Zone: "z"})
+	if err := server.PutList(1, 1, []pick.Server{{ID: "old"}}, madeAgo(softstate.Age{})); err != nil {
+		tb.Fatal(err)
+	}
+	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet(), Knobs: knobs})
+	asked := time.Now()
+	req := subscriber.buildRequest(nil, false)
+	reply, err := server.Follow(tb.Context(), req)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	got := subscriber.handleReply(asked.Add(-wait), time.Now(), req, reply)
+	if got.current != subscriber.Current().Fresh {
+		tb.Errorf("the keeper counts as current: %v, the state as fresh: %v", got.current, subscriber.Current().Fresh)
+	}
+	return subscriber.Current(), subscriber.control.state.Seq
+}
+
+// TestLateReplyProvesNoFreshness: an answer that lay in a buffer for 20 s, or whose reader was stopped, brings records, which
+// are numbered, but neither the word that nothing is newer, nor servers. Danger: a proxy that was cut off counts as fresh.
+func TestLateReplyProvesNoFreshness(t *testing.T) {
+	if update, _ := lateReply(t, 0, TestingKnobs{}); !update.Fresh || update.State.Seq != 1 || len(update.Servers) != 1 {
+		t.Errorf("in time: fresh %v, %d, %d servers", update.Fresh, update.State.Seq, len(update.Servers))
+	}
+	if update, seq := lateReply(t, 20*time.Second, TestingKnobs{}); update.Fresh || seq != 1 || len(update.Servers) != 0 {
+		t.Errorf("late: fresh %v, %d, %d servers", update.Fresh, seq, len(update.Servers))
+	}
+	if update, _ := lateReply(t, 20*time.Second, TestingKnobs{DateByArrival: true}); !update.Fresh {
+		t.Error("control: judged by its arrival it is not taken for new either")
+	}
+}
+
+// TestStartWaitsForFreshReply: a proxy that starts holds what a late answer brought, and serves it once a prompt one has said
+// that there is nothing newer.
+func TestStartWaitsForFreshReply(t *testing.T) {
+	if update, seq := lateReply(t, 20*time.Second, TestingKnobs{}); update.State.Seq != 0 || seq != 1 {
+		t.Errorf("serves %d, holds %d", update.State.Seq, seq)
+	}
+	if update, _ := lateReply(t, 20*time.Second, TestingKnobs{ServeLateState: true}); update.State.Seq != 1 {
+		t.Error("control: a late state is not served either")
+	}
+	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+	subscriber.control.state = &controlstate.State{Seq: 7}
+	subscriber.handleReply(time.Now(), time.Now(), subscriber.buildRequest(nil, false), &distributionpb.FollowReply{Current: true, Newest: 7})
+	if got := subscriber.Current().State.Seq; got != 7 {
+		t.Errorf("serves %d after a prompt word", got)
+	}
+}
+
+// TestWaitAtTheServerIsNoAge: a poll that a keeper held for long is answered with a word of now.
+func TestWaitAtTheServerIsNoAge(t *testing.T) {
+	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+	asked := time.Now().Add(-3 * time.Second)
+	subscriber.handleReply(asked, time.Now(), subscriber.buildRequest(nil, false), &distributionpb.FollowReply{Current: true, CheckedMs: 2900})
+	if !subscriber.Current().Fresh {
+		t.Error("held for 2.9 s, and 100 ms under way: not fresh")
+	}
+}
--- /dev/null
+++ b/internal/system/distribution/subscriber_nodes.go
@@ -0,0 +1,218 @@
+package distribution
+
+import (
+	"net"
+	"sort"
+	"strconv"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/cockroachdb/errors"
+
+	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
+)
+
+const (
+	// failurePenalty is how long a node that just failed comes last.
+	failurePenalty = 2 * time.Second
+	// returnInterval is how long after a failure a nearer node is tried again.
+	returnInterval = 5 * time.Second
+)
+
+// errReferred marks a call to a node that serves no proxies and has named those that do.
+var errReferred = errors.New("distribution: this node serves no proxies; the ones that it names are tried")
+
+// distance ranks control-plane nodes by how near they are.
+type distance int
+
+const (
+	sameZone distance = iota
+	sameRegion
+	otherRegion
+	onlySeed // a machine that may be no control-plane node
+)
+
+// controlPlaneNode is a control-plane node known, or a seed that may be one.
+type controlPlaneNode struct {
+	address, zone, region string
+	seed, inView          bool // named in the settings; named by a node or a neighbour
+	tried                 bool // a call has ended since the start, whatever came of it
+	failedAt              time.Time
+}
+
+// failedWithin tells whether the node has failed within the duration before now.
+func (n *controlPlaneNode) failedWithin(now time.Time, d time.Duration) bool {
+	return !n.failedAt.IsZero() && now.Sub(n.failedAt) < d
+}
+
+// nodeSet is the control-plane nodes that a subscriber knows, and the one that it follows. The subscriber's mu guards it.
+type nodeSet struct {
+	self      softstate.Member
+	byAddress map[string]*controlPlaneNode
+	digest    uint64 // of the nodes, as the node followed computes it; 0: none has named them yet
+	serving   string // the node that is followed; empty: none
+}
+
+func newNodeSet(self softstate.Member, seeds []string) nodeSet {
+	set := nodeSet{self: self, byAddress: map[string]*controlPlaneNode{}}
+	for _, seed := range seeds {
+		set.byAddress[seed] = &controlPlaneNode{address: seed, seed: true}
+	}
+	return set
+}
+
+// replace makes the nodes named the ones known, beside the seeds.
+func (s *nodeSet) replace(named []*distributionpb.Keeper, digest uint64) {
+	for address, node := range s.byAddress {
+		if node.inView = false; !node.seed {
+			delete(s.byAddress, address)
+		}
+	}
+	for _, each := range named[:min(len(named), maxPeers)] {
+		node := s.byAddress[each.GetAddress()]
+		if node == nil {
+			node = &controlPlaneNode{address: each.GetAddress()}
+			s.byAddress[node.address] = node
+		}
+		node.zone, node.region, node.inView = each.GetZone(), each.GetRegion(), true
+	}
+	s.digest = digest
+}
+
+// add adds the nodes that an observer or a neighbour names. Those of the view stay as they are.
+func (s *nodeSet) add(named []*distributionpb.Keeper) {
+	for _, each := range named[:min(len(named), maxPeers)] {
+		known := s.byAddress[each.GetAddress()]
+		if known != nil && known.inView || known == nil && len(s.byAddress) >= 2*maxPeers {
+			continue
+		}
+		node := &controlPlaneNode{address: each.GetAddress(), zone: each.GetZone(), region: each.GetRegion(), inView: true}
+		if known != nil {
+			node.seed, node.tried = known.seed, known.tried
+		}
+		s.byAddress[node.address] = node
+	}
+}
+
+// view gives the nodes that were named, as messages.
+func (s *nodeSet) view() []*distributionpb.Keeper {
+	var out []*distributionpb.Keeper
+	for _, node := range s.byAddress {
+		if node.inView {
+			out = append(out, &distributionpb.Keeper{Address: node.address, Zone: node.zone, Region: node.region})
+		}
+	}
+	return out
+}
+
+// distance ranks a node: those of the view before mere seeds, then the nearer.
+func (s *nodeSet) distance(node *controlPlaneNode) distance {
+	switch {
+	case !node.inView:
+		return onlySeed
+	case node.zone != "" && node.zone == s.self.Zone:
+		return sameZone
+	case node.region != "" && node.region == s.self.Region:
+		return sameRegion
+	}
+	return otherRegion
+}
+
+// candidate is a node with what ranks it.
+type candidate struct {
+	address  string
+	failed   bool
+	distance distance
+	weight   uint64 // by rendezvous hashing
+}
+
+// before tells whether a node is to be tried before another.
+func (c candidate) before(other candidate) bool {
+	switch {
+	case c.failed != other.failed:
+		return other.failed
+	case c.distance != other.distance:
+		return c.distance < other.distance
+	case c.weight != other.weight:
+		return c.weight > other.weight
+	}
+	return c.address < other.address
+}
+
+// ranked gives the nodes to try, best first: near before far, and among equals by rendezvous hashing (Thaler, Ravishankar 1998), so
+// that the proxies spread evenly. Those that just failed come last.
+func (s *nodeSet) ranked(now time.Time) []string {
+	candidates := make([]candidate, 0, len(s.byAddress))
+	for _, node := range s.byAddress {
+		candidates = append(candidates, candidate{address: node.address, failed: node.failedWithin(now, failurePenalty),
+			distance: s.distance(node), weight: xxhash.Sum64String(s.self.Node + "\x00" + node.address)})
+	}
+	sort.Slice(candidates, func(i, j int) bool { return candidates[i].before(candidates[j]) })
+	out := make([]string, len(candidates))
+	for i, each := range candidates {
+		out[i] = each.address
+	}
+	return out
+}
+
+// nearer gives a node that is nearer than the one followed and has not failed lately; "": there is none.
+func (s *nodeSet) nearer(now time.Time, current string) string {
+	ranked := s.ranked(now)
+	if len(ranked) == 0 || ranked[0] == current {
+		return ""
+	}
+	best, followed := s.byAddress[ranked[0]], s.byAddress[current]
+	if best == nil || followed == nil || s.distance(best) >= s.distance(followed) || best.failedWithin(now, returnInterval) {
+		return ""
+	}
+	return ranked[0]
+}
+
+// allTried tells whether every node that is known has had its chance since the start.
+func (s *nodeSet) allTried() bool {
+	for _, node := range s.byAddress {
+		if !node.tried {
+			return false
+		}
+	}
+	return true
+}
+
+// baseURL is where a process is called: at its own port where the address has one.
+func baseURL(address string, port int) string {
+	if _, _, err := net.SplitHostPort(address); err == nil {
+		return "http://" + address
+	}
+	return "http://" + net.JoinHostPort(address, strconv.Itoa(port))
+}
+
+func (s *Subscriber) nearerNode(now time.Time, current string) string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.nodes.nearer(now, current)
+}
+
+// recordFailure records that a call to a node failed.
+func (s *Subscriber) recordFailure(now time.Time, address string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if node := s.nodes.byAddress[address]; node != nil {
+		node.failedAt = now
+	}
+}
+
+// recordAttempt records that a node has had its chance since the start.
+func (s *Subscriber) recordAttempt(address string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if node := s.nodes.byAddress[address]; node != nil {
+		node.tried = true
+	}
+}
+
+func (s *Subscriber) setServingNode(address string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.nodes.serving = address
+}
--- /dev/null
+++ b/internal/system/distribution/subscriber_state.go
@@ -0,0 +1,103 @@
+package distribution
+
+import (
+	"time"
+
+	"github.com/apex/log"
+	"github.com/cockroachdb/errors"
+
+	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/system/distribution/catchup"
+	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
+	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
+)
+
+// stateReplica is a proxy's replica of the control state. The subscriber's mu guards it.
+type stateReplica struct {
+	state         *controlstate.State
+	resync        bool // a record did not apply: ask for a snapshot
+	fromNeighbour bool // the state is a neighbour's, since no node could be reached
+}
+
+func newStateReplica() stateReplica {
+	return stateReplica{state: controlstate.Empty().WithoutHistory()}
+}
+
+// position is how far this replica is.
+func (r *stateReplica) position() catchup.Position {
+	return catchup.Position{Seq: r.state.Seq, Resync: r.resync}
+}
+
+// set replaces the state. It never goes back.
+func (r *stateReplica) set(next *controlstate.State) {
+	stateNeverGoesBack.Check(next.Seq >= r.state.Seq)
+	r.state = next
+}
+
+// offerFromReply reads what a reply says of the control state; the snapshot's number is known once that has been decoded.
+func offerFromReply(reply *distributionpb.FollowReply, age time.Duration) catchup.Offer {
+	offer := catchup.Offer{Current: reply.GetCurrent(), Newest: reply.GetNewest(), Age: age}
+	if records := reply.GetRecords(); len(records) > 0 {
+		offer.First, offer.Last = records[0].GetSeq(), records[len(records)-1].GetSeq()
+	}
+	return offer
+}
+
+// apply takes what is newer of a snapshot and of records, so that a proxy never goes back, and tells whether that brought it further.
+func (r *stateReplica) apply(logger log.Interface, offer catchup.Offer, reply *distributionpb.FollowReply) (advanced bool) {
+	before := r.state.Seq
+	var snapshot *controlstate.State
+	if encoded := reply.GetSnapshot(); len(encoded) > 0 {
+		var err error
+		if snapshot, err = decodeSnapshot(encoded, reply.GetSnapshotDeflated()); err != nil {
+			logger.WithError(err).Warn("distribution: a snapshot of the control state cannot be decoded")
+			return false
+		}
+		offer.Snapshot = snapshot.Seq
+	}
+	step := r.position().Plan(offer)
+	if step.Snapshot {
+		r.set(snapshot)
+	}
+	if snapshot != nil {
+		r.resync = false
+	}
+	if step.First > 0 {
+		r.applyRecords(logger, step.First, reply.GetRecords())
+	}
+	return r.state.Seq != before
+}
+
+// applyRecords applies the records from a number on, up to the first that does not apply.
+func (r *stateReplica) applyRecords(logger log.Interface, first uint64, records []*distributionpb.Record) {
+	for _, record := range records {
+		if record.GetSeq() < first {
+			continue
+		}
+		next, err := applyRecord(r.state, record)
+		if err != nil {
+			logger.WithError(err).WithField("seq", record.GetSeq()).Warn("distribution: a record does not apply; asking for a snapshot")
+			r.resync = true
+			return
+		}
+		r.set(next)
+	}
+}
+
+func decodeSnapshot(encoded []byte, deflated bool) (*controlstate.State, error) {
+	expanded, err := rpc.Expand(encoded, deflated)
+	if err != nil {
+		return nil, err
+	}
+	state, err := controlstate.Decode(expanded)
+	return state, errors.Wrap(err, "distribution: a snapshot cannot be read: run the same version on control-plane nodes and proxies")
+}
+
+func applyRecord(state *controlstate.State, record *distributionpb.Record) (*controlstate.State, error) {
+	body, err := rpc.Expand(record.GetBody(), record.GetDeflated())
+	if err != nil {
+		return nil, err
+	}
+	return state.Apply(controlstate.Record{Seq: record.GetSeq(), Op: controlstate.Op(record.GetOp()), Base: record.GetBase(), Body: body,
+		Zone: record.GetZone()})
+}
--- /dev/null
+++ b/internal/system/distribution/warmup_fleet_test.go
@@ -0,0 +1,372 @@
+package distribution
+
+import (
+	"cmp"
+	"context"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"os"
+	"slices"
+	"strconv"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gradeusher.example/gradeusher/internal/system/config"
+	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+)
+
+const (
+	warmUpListLag    = 800 * time.Millisecond // of the platform's list
+	warmUpDuration   = 3 * time.Second
+	warmUpRate       = 31.0
+	warmUpBound      = warmUpRate*1.5 + 5
+	drainTimeout     = 4 * time.Second
+	faultPeriodSteps = 150 // one in so many steps of 25 ms brings each kind of trouble
+)
+
+// warmingServer is a server as it truly is.
+type warmingServer struct {
+	zone      string
+	coldUntil time.Time
+	draining  time.Time // since; zero: serves
+}
+
+// shownList is the list from a moment on.
+type shownList struct {
+	at      time.Time
+	servers map[string]warmingServer
+}
+
+// warmUpFleet is keepers that poll the platform, proxies with pickers, and servers that turn cold: with a new id, or under theirs 2.4 s before their
+// zone is taken back. Machines are cut off, killed and started meanwhile.
+type warmUpFleet struct {
+	*testFleet
+	t             *testing.T
+	rng           *rand.Rand
+	config        *config.Config
+	proxyNames    []string
+	pickers       map[string]*fleetPicker
+	polls         map[string]context.CancelFunc
+	isolatedUntil map[string]time.Time
+	evacuated     map[string]uint64 // the record that evacuated a zone last
+	begin         time.Time
+	hideWarmUps   bool // pickers hear nothing of cold servers: a control
+	missing       int  // of 100 entries are not in a reading
+	worst         int
+	lastFault     map[string]time.Time // when a proxy, or a keeper (""), was last cut off, joined, killed or started
+	maxLateness   time.Duration        // by which requests came at most after a server was shown as draining, and after troubles of their way
+	faultCounts   map[string]int
+
+	mu          sync.Mutex
+	epoch       uint64
+	owner       string
+	seen        map[string]uint64 // epochs that keepers know
+	trueServers map[string]warmingServer
+	listHistory []shownList
+	ids         int
+	sent        map[string][]sentToCold // to cold servers, within the last second
+	eventLog    []string
+	worstSecond string // what the worst second was made of
+}
+
+// sentToCold is a request to a server that was cold, and whether its proxy took that for cold.
+type sentToCold struct {
+	at   time.Time
+	node string
+	cold bool
+}
+
+// fleetPicker is a proxy's picker, told as cmd/proxy does it.
+type fleetPicker struct {
+	mu         sync.Mutex
+	start      time.Time
+	picker     *pick.Picker
+	serves     bool
+	subscriber *Subscriber
+
+	changes map[string]uint64 // the records that changed zones last, as far as it has heard
+}
+
+func (p *fleetPicker) update(w *warmUpFleet, node string, update Update) {
+	var live []string
+	for _, member := range update.Members {
+		if !member.Draining && !member.Down {
+			live = append(live, member.Node)
+		}
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	world := pick.ClusterState{Evacuated: update.State.Evacuated, Servers: update.Servers, ListCoversSeq: update.ListCoversSeq, ContactAge: update.ContactAge, Age: time.Since(update.AsOf),
+		ZoneChanges: map[string]uint64{"za": update.State.ZoneChangeSeq("za"), "zb": update.State.ZoneChangeSeq("zb")},
+		Self:        node, Peers: live, DownCount: update.DownCount, MembershipIncomplete: update.MembershipIncomplete, Stale: update.Stale}
+	if update.State.Seq > 0 {
+		world.Config, p.serves, p.changes = w.config, true, world.ZoneChanges
+	}
+	if w.hideWarmUps {
+		world.ZoneChanges = nil
+		world.Servers = slices.Clone(world.Servers)
+		for i := range world.Servers {
+			world.Servers[i].WarmUpMax = 0
+		}
+	}
+	p.picker.UpdateClusterState(time.Since(p.start), world)
+	if p.subscriber != nil {
+		p.subscriber.NotifyListUpdates(p.picker.AwaitsServerList())
+	}
+}
+
+func newWarmUpFleet(t *testing.T, rng *rand.Rand, proxies int, change func(*warmUpFleet)) *warmUpFleet {
+	t.Helper()
+	w := &warmUpFleet{testFleet: newFleet("k1:1", "k2:1", "k3:1"), t: t, rng: rng, pickers: map[string]*fleetPicker{}, polls: map[string]context.CancelFunc{},
+		isolatedUntil: map[string]time.Time{}, evacuated: map[string]uint64{}, lastFault: map[string]time.Time{}, faultCounts: map[string]int{}, epoch: 1, owner: "k1:1", seen: map[string]uint64{}, trueServers: map[string]warmingServer{}, sent: map[string][]sentToCold{}}
+	change(w)
+	w.mesh.mu.Lock()
+	w.mesh.delay = func(_, _ string) time.Duration { return time.Millisecond + rand.N(50*time.Millisecond) }
+	w.mesh.mu.Unlock()
+	w.config = &config.Config{Services: map[string]*config.Service{"a": {Name: "a", WarmUpRate: warmUpRate, WarmUpTime: warmUpDuration}}}
+	w.config.Routes = []*config.Route{{Host: "h", Prefix: "/", MaxTries: 1, Shares: []config.Share{{Service: "a", Weight: 1}}}}
+	w.chain.add(controlstate.Record{Op: controlstate.OpNone})
+	for _, zone := range []string{"za", "zb"} {
+		for range 3 {
+			w.ids++
+			w.trueServers[fmt.Sprint("s", w.ids)] = warmingServer{zone: zone}
+		}
+	}
+	w.publishList()
+	for _, k := range w.names {
+		w.poll(k)
+	}
+	for i := range proxies {
+		node := fmt.Sprintf("p%02d", i)
+		w.proxyNames = append(w.proxyNames, node)
+		w.startPickingProxy(node)
+	}
+	return w
+}
+
+func (w *warmUpFleet) startPickingProxy(node string) {
+	p := &fleetPicker{start: time.Now(), picker: pick.New(pick.Settings{Zone: "za", Region: "r", WarmUpExcess: 1.5, WarmUpSlack: 5})}
+	w.pickers[node] = p
+	started := w.startProxy(node, func(options *SubscriberOptions) { options.OnUpdate = func(update Update) { p.update(w, node, update) } })
+	p.mu.Lock()
+	p.subscriber = started.subscriber
+	p.mu.Unlock()
+}
+
+// elect moves the duty to a keeper that is current, in the next epoch.
+func (w *warmUpFleet) elect() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if s := w.sources[w.owner]; w.servers[w.owner] != nil && s.Current() {
+		return
+	}
+	for _, k := range w.names {
+		if w.servers[k] != nil && w.sources[k].Current() {
+			w.epoch++
+			w.owner = k
+			w.log("epoch ", w.epoch, ": ", k)
+			return
+		}
+	}
+}
+
+// change changes the servers of a zone. The caller is alone.
+func (w *warmUpFleet) change(zone string, f func(id string, s warmingServer) (string, warmingServer)) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, id := range slices.Sorted(maps.Keys(w.trueServers)) {
+		s := w.trueServers[id]
+		if s.zone != zone {
+			continue
+		}
+		delete(w.trueServers, id)
+		to, v := f(id, s)
+		if to != "" {
+			w.trueServers[to] = v
+		}
+	}
+	w.publishList()
+}
+
+func (w *warmUpFleet) replaceServer(_ string, s warmingServer) (string, warmingServer) {
+	w.ids++
+	return fmt.Sprint("s", w.ids), warmingServer{zone: s.zone, coldUntil: time.Now().Add(warmUpDuration)}
+}
+
+// evacuation is how far the evacuation of a zone, and what goes with it, has come.
+type evacuation struct {
+	zone  string
+	phase int
+	next  time.Duration // when the next phase begins, since the run began
+}
+
+// run plays a day of some seconds.
+func (w *warmUpFleet) run(seconds int) {
+	const step = 25 * time.Millisecond
+	w.begin = time.Now()
+	current := evacuation{zone: "za", next: 8 * time.Second}
+	var electAt time.Time
+	for at := time.Duration(0); at < time.Duration(seconds)*time.Second; at = time.Since(w.begin) {
+		if at > 6*time.Second {
+			w.fault()
+		}
+		if time.Since(electAt) > 1200*time.Millisecond {
+			w.elect()
+			electAt = time.Now()
+		}
+		if at >= current.next {
+			w.advance(&current, at)
+		}
+		w.serve()
+		time.Sleep(step)
+	}
+}
+
+// advance plays the next phase of an evacuation.
+func (w *warmUpFleet) advance(current *evacuation, at time.Duration) {
+	other := map[string]string{"za": "zb", "zb": "za"}[current.zone]
+	pause := func(n int) time.Duration { return time.Duration(w.rng.IntN(n)) * time.Millisecond }
+	switch current.phase {
+	case 0:
+		w.evacuated[current.zone] = w.chain.add(controlstate.Record{Op: controlstate.OpEvacuate, Zone: current.zone})
+		w.log("evacuated ", current.zone)
+		current.next, current.phase = at+time.Second+pause(3000), 1
+	case 1: // the other zone goes down and comes back cold, or one of its servers drains
+		w.disturb(other)
+		current.next, current.phase = at+pause(2000), 2
+	case 2: // cold again, under the old ids
+		w.log("cold under its ids ", current.zone)
+		w.change(current.zone, func(id string, server warmingServer) (string, warmingServer) {
+			server.coldUntil = time.Now().Add(warmUpDuration)
+			return id, server
+		})
+		current.next, current.phase = at+pause(2400), 3
+	case 3:
+		w.chain.add(controlstate.Record{Op: controlstate.OpReadmit, Zone: current.zone})
+		w.faultCounts["taken back"]++
+		w.log("taken back ", current.zone)
+		current.next, current.phase = at+4*time.Second, 4
+	case 4: // draining ones have ended
+		w.change(other, func(id string, server warmingServer) (string, warmingServer) {
+			if !server.draining.IsZero() {
+				return w.replaceServer(id, server)
+			}
+			return id, server
+		})
+		current.zone = other
+		current.next, current.phase = at+time.Duration(3000+w.rng.IntN(2000))*time.Millisecond, 0
+	}
+}
+
+// disturb has a zone come back cold with new ids, or one of its servers drain.
+func (w *warmUpFleet) disturb(zone string) {
+	if w.rng.IntN(2) == 0 {
+		w.change(zone, w.replaceServer)
+		w.faultCounts["zone anew"]++
+		w.log("anew with new ids ", zone)
+		return
+	}
+	first := true
+	w.change(zone, func(id string, server warmingServer) (string, warmingServer) {
+		if first && server.draining.IsZero() {
+			server.draining = time.Now()
+			first = false
+			w.faultCounts["draining"]++
+		}
+		return id, server
+	})
+}
+
+// disagreements ends all troubles, and tells of proxies that then hold other servers than the keeper whose duty the list is.
+func (w *warmUpFleet) disagreements() (differ []string) {
+	for host := range w.isolatedUntil {
+		delete(w.isolatedUntil, host)
+		w.setPartitions(host, false)
+	}
+	for _, s := range w.sources {
+		s.setStale(false)
+	}
+	for range 10 {
+		w.elect()
+		time.Sleep(time.Second)
+	}
+	told := func(list []pick.Server) string {
+		out := ""
+		for _, s := range list {
+			out += fmt.Sprint(s.ID, " ", s.Draining, " ")
+		}
+		return out
+	}
+	held, _, _ := w.servers[w.owner].List()
+	for _, node := range w.proxyNames {
+		if update := w.pickers[node].subscriber.Current(); told(update.Servers) != told(held) {
+			differ = append(differ, fmt.Sprint(node, ": ", told(update.Servers), "of ", told(held)))
+		}
+	}
+	return differ
+}
+
+// stopAll stops all.
+func (w *warmUpFleet) stopAll() {
+	for _, stop := range w.polls {
+		stop()
+	}
+	time.Sleep(3 * time.Second)
+	w.stop()
+}
+
+// runWarmUpFleet plays 60 s of a seed, and tells of proxies that hold other servers than their keeper some seconds after the last trouble.
+func runWarmUpFleet(t *testing.T, seed uint64, proxies int, change func(*warmUpFleet)) (w *warmUpFleet, differ []string) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		w = newWarmUpFleet(t, rand.New(rand.NewPCG(seed, uint64(proxies))), proxies, change)
+		defer w.stopAll()
+		w.run(60)
+		w.mu.Lock()
+		w.missing = 0
+		w.mu.Unlock()
+		differ = w.disagreements()
+	})
+	return w, differ
+}
+
+// TestWarmUpFleet: keepers and proxies are cut off, killed and started anew while zones are evacuated and taken back cold, go down and come
+// back cold, and servers drain; in half of the plays one in ten entries is missing from each reading of the list. No cold server
+// gets more in a second than its bound. COLD_WORLD_SEEDS sets how many seeds run.
+func TestWarmUpFleet(t *testing.T) {
+	seeds, err := strconv.Atoi(cmp.Or(os.Getenv("COLD_WORLD_SEEDS"), "1"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	came, worst := map[string]int{}, 0
+	for play := range 4 * seeds {
+		seed, proxies, missing := uint64(play/4), 12+8*(play%2), 10*(play/2%2)
+		name := fmt.Sprintf("seed %d, %d proxies, %d of 100 entries missing", seed, proxies, missing)
+		w, differ := runWarmUpFleet(t, seed, proxies, func(w *warmUpFleet) { w.missing = missing })
+		for what, n := range w.faultCounts {
+			came[what] += n
+		}
+		worst = max(worst, w.worst)
+		if float64(w.worst) > warmUpBound {
+			t.Errorf("%s: %d requests in a second at a cold server, of %v\n%s", name, w.worst, warmUpBound, w.worstSecond)
+		}
+		if len(differ) > 0 {
+			t.Errorf("%s: 10 s after all troubles hold other servers than their keeper: %v\n%v", name, differ, w.eventLog)
+		}
+		if w.maxLateness > drainTimeout {
+			t.Errorf("%s: a request came %v after the list showed its server as draining\n%v", name, w.maxLateness, w.eventLog)
+		}
+	}
+	t.Logf("%d seeds: at most %d in a second; brought about %v", seeds, worst, came)
+}
+
+// TestWarmUpFleetControl: pickers that hear nothing of cold servers flood them, and that is seen.
+func TestWarmUpFleetControl(t *testing.T) {
+	if w, _ := runWarmUpFleet(t, 1, 12, func(w *warmUpFleet) { w.hideWarmUps = true }); float64(w.worst) <= warmUpBound {
+		t.Errorf("%d requests in a second at a cold server, of %v", w.worst, warmUpBound)
+	}
+}
--- /dev/null
+++ b/internal/system/failuredetector/simulation_test.go
@@ -0,0 +1,370 @@
+package failuredetector
+
+import (
+	"container/heap"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"slices"
+	"strconv"
+	"testing"
+	"time"
+)
+
+// simulation runs the detectors of many nodes over a faulty network, on a clock of its own. A table stands for the agreed
+// membership list: verdicts reach it late, its changes reach the nodes late, and a live process that it has as down refutes that.
+type simulation struct {
+	t           testing.TB
+	rng         *rand.Rand
+	now         Time
+	queue       events
+	eventCount  int
+	nodes       map[string]*simNode
+	names       []string
+	loss        float64
+	interRegion bool // delays as between regions
+	partitioned map[networkPath]bool
+	options     Options
+
+	onOutput func(*simNode, *Output) // told all that a detector wants done, before any of it is
+
+	members       map[string]*memberRecord
+	calmSince     Time // since when no fault that excuses a verdict has been there
+	wrongVerdicts []string
+	verdicts      map[string]map[string]Time // node/incarnation → who → when it was called down
+	disconnected  int                        // verdicts of nodes that were not connected
+}
+
+// networkPath is the path from one node to another, in one direction.
+type networkPath struct{ from, to string }
+
+// memberRecord is an entry of the membership list.
+type memberRecord struct {
+	incarnation uint64
+	down        bool
+	since       Time
+}
+
+// simNode is one process of a node.
+type simNode struct {
+	name        string
+	incarnation uint64
+	detector    *Detector
+	alive       bool
+	frozen      bool
+	lastFault   Time // the end of its last freeze, start or isolation
+	inbox       []func()
+	resumed     int
+}
+
+// event is something that happens at a time; order decides between events of one time.
+type event struct {
+	at    Time
+	order int
+	run   func()
+}
+
+// events is a heap, the earliest event first.
+type events []event
+
+func (e events) Len() int { return len(e) }
+func (e events) Less(a, b int) bool {
+	return e[a].at < e[b].at || e[a].at == e[b].at && e[a].order < e[b].order
+}
+func (e events) Swap(a, b int) { e[a], e[b] = e[b], e[a] }
+func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *events) Pop() any {
+	old := *e
+	x := old[len(old)-1]
+	*e = old[:len(old)-1]
+	return x
+}
+
+func newSimulation(t testing.TB, seed uint64, count int, options Options) *simulation {
+	sim := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*simNode{}, partitioned: map[networkPath]bool{},
+		members: map[string]*memberRecord{}, verdicts: map[string]map[string]Time{}, options: options}
+	for i := range count {
+		name := fmt.Sprintf("10.0.%d.%d", i/4, i%4+1)
+		sim.names = append(sim.names, name)
+		sim.start(name)
+	}
+	return sim
+}
+
+func (sim *simulation) schedule(d Time, run func()) {
+	sim.eventCount++
+	heap.Push(&sim.queue, event{sim.now + d, sim.eventCount, run})
+}
+
+// run advances the simulation by a span.
+func (sim *simulation) run(span Time) {
+	until := sim.now + span
+	for len(sim.queue) > 0 && sim.queue[0].at <= until {
+		e := heap.Pop(&sim.queue).(event)
+		sim.now = e.at
+		e.run()
+	}
+	sim.now = until
+}
+
+func (sim *simulation) start(name string) {
+	options := sim.options
+	options.Self, options.Incarnation = name, sim.rng.Uint64()
+	node := &simNode{name: name, incarnation: options.Incarnation, detector: NewDetector(options), alive: true, lastFault: sim.now}
+	sim.nodes[name] = node
+	sim.publishMembers(node)
+	var tick func()
+	tick = func() {
+		if !node.alive {
+			return
+		}
+		if !node.frozen {
+			node.detector.Tick(sim.now)
+			sim.processReady(node)
+		}
+		sim.schedule(options.withDefaults().HeartbeatInterval/4, tick)
+	}
+	sim.schedule(Time(sim.rng.Int64N(int64(400*time.Millisecond))), tick)
+	sim.schedule(sim.membershipDelay(), func() { sim.register(node) })
+}
+
+// register has a process enter itself into the membership list, where it is missing or down there.
+func (sim *simulation) register(n *simNode) {
+	if !n.alive || n.frozen {
+		return
+	}
+	if r := sim.members[n.name]; r == nil || r.incarnation != n.incarnation || r.down {
+		sim.members[n.name] = &memberRecord{incarnation: n.incarnation, since: sim.now}
+		sim.broadcast()
+	}
+}
+
+func (sim *simulation) membershipDelay() Time {
+	return time.Duration(20+sim.rng.IntN(200)) * time.Millisecond
+}
+
+func (sim *simulation) liveMembers() []Member {
+	var members []Member
+	for _, name := range sim.names {
+		if r := sim.members[name]; r != nil && !r.down {
+			members = append(members, Member{Node: name, Incarnation: r.incarnation})
+		}
+	}
+	return members
+}
+
+func (sim *simulation) broadcast() {
+	for _, name := range sim.names {
+		if n := sim.nodes[name]; n != nil {
+			sim.schedule(sim.membershipDelay(), func() { sim.publishMembers(n) })
+		}
+	}
+}
+
+// publishMembers gives a node the present membership list; where the node finds itself down, it registers again.
+func (sim *simulation) publishMembers(n *simNode) {
+	if sim.nodes[n.name] != n {
+		return
+	}
+	sim.deliver(n, func() { n.detector.SetMembers(sim.now, sim.liveMembers()) })
+	if r := sim.members[n.name]; r != nil && r.down {
+		sim.schedule(sim.membershipDelay(), func() { sim.register(n) })
+	}
+}
+
+// deliver gives an input to a process, which handles it once it runs.
+func (sim *simulation) deliver(n *simNode, run func()) {
+	switch {
+	case !n.alive:
+	case n.frozen:
+		if len(n.inbox) < 200 {
+			n.inbox = append(n.inbox, run)
+		}
+	default:
+		run()
+		sim.processReady(n)
+	}
+}
+
+func (sim *simulation) networkDelay() Time {
+	if sim.interRegion {
+		return time.Duration(20+sim.rng.IntN(45)) * time.Millisecond
+	}
+	return time.Duration(300+sim.rng.IntN(1000)) * time.Microsecond
+}
+
+func (sim *simulation) dropsPacket() bool { return sim.rng.Float64() < sim.loss }
+
+// dropsAnyOf reports whether one of n packets is lost.
+func (sim *simulation) dropsAnyOf(n int) bool {
+	lost := false
+	for range n {
+		lost = sim.dropsPacket() || lost
+	}
+	return lost
+}
+
+// processReady does what a detector wants done.
+func (sim *simulation) processReady(sender *simNode) {
+	out := sender.detector.Ready()
+	if sim.onOutput != nil {
+		sim.onOutput(sender, &out)
+	}
+	if out.Resumed {
+		sender.resumed++
+	}
+	for _, e := range out.Send {
+		m, err := Decode(e.Message.Append(nil))
+		if err != nil {
+			sim.t.Fatalf("%+v: %v", e.Message, err)
+		}
+		if sim.partitioned[networkPath{sender.name, e.To}] || sim.dropsPacket() {
+			continue
+		}
+		sim.schedule(sim.networkDelay(), func() {
+			if to := sim.nodes[e.To]; to != nil {
+				sim.deliver(to, func() { to.detector.Receive(sim.now, m) })
+			}
+		})
+	}
+	for _, node := range out.Probe {
+		sim.probe(sender, node)
+	}
+	for _, v := range out.Verdicts {
+		sim.verdict(sender, v)
+	}
+}
+
+// probe models a fresh TCP connection: a lost first packet costs more time than there is, a later one some of it.
+func (sim *simulation) probe(prober *simNode, node string) {
+	timeout := sim.options.withDefaults().ProbeTimeout
+	took, asked := 4*sim.networkDelay(), sim.now
+	if sim.dropsAnyOf(2) {
+		took = timeout
+	}
+	if sim.dropsAnyOf(2) {
+		took += 250 * time.Millisecond
+	}
+	sim.schedule(min(took, timeout), func() {
+		to := sim.nodes[node]
+		ok := took < timeout && sim.connects(prober.name, node) && to != nil && to.alive && !to.frozen
+		if !ok && (to == nil || to.alive) && took < timeout {
+			// Nothing refuses the connection, so only time ends it.
+			sim.schedule(timeout-took, func() { sim.deliver(prober, func() { prober.detector.ProbeResult(sim.now, asked, node, 0, false) }) })
+			return
+		}
+		var incarnation uint64
+		if prober.frozen {
+			ok = false // its own time-out comes first when it resumes
+		}
+		if ok {
+			incarnation = to.incarnation
+		}
+		sim.deliver(prober, func() { prober.detector.ProbeResult(sim.now, asked, node, incarnation, ok) })
+	})
+}
+
+// connects reports whether packets pass between two nodes in both directions.
+func (sim *simulation) connects(a, b string) bool {
+	return !sim.partitioned[networkPath{a, b}] && !sim.partitioned[networkPath{b, a}]
+}
+
+// verdict applies a verdict of a watcher: late, and only where it names the process in the membership list.
+func (sim *simulation) verdict(watcher *simNode, verdict Verdict) {
+	if verdict.Down {
+		sim.recordVerdict(watcher, verdict)
+	}
+	sim.schedule(sim.membershipDelay(), func() {
+		if r := sim.members[verdict.Node]; verdict.Down && r != nil && r.incarnation == verdict.Incarnation && !r.down {
+			r.down, r.since = true, sim.now
+			sim.broadcast()
+		}
+	})
+}
+
+// recordVerdict records the first verdict of a watcher on a process, and whether it is wrong.
+func (sim *simulation) recordVerdict(watcher *simNode, verdict Verdict) {
+	if !watcher.detector.Connected(sim.now) {
+		sim.disconnected++
+	}
+	key := fmt.Sprint(verdict.Node, "/", verdict.Incarnation)
+	if sim.verdicts[key] == nil {
+		sim.verdicts[key] = map[string]Time{}
+	}
+	if _, ok := sim.verdicts[key][watcher.name]; !ok {
+		sim.verdicts[key][watcher.name] = sim.now
+	}
+	if sim.isReachable(sim.nodes[verdict.Node], verdict.Incarnation) {
+		sim.wrongVerdicts = append(sim.wrongVerdicts, fmt.Sprintf("%v: %s called %s down", sim.now, watcher.name, verdict.Node))
+	}
+}
+
+// isReachable reports whether a process runs and has had no fault for so long that no verdict on it is excused.
+func (sim *simulation) isReachable(n *simNode, incarnation uint64) bool {
+	runs := n.alive && !n.frozen && n.incarnation == incarnation
+	return runs && sim.now-max(n.lastFault, sim.calmSince) > sim.options.withDefaults().SuspectTimeout
+}
+
+func (sim *simulation) kill(name string) { sim.nodes[name].alive = false }
+
+func (sim *simulation) freeze(name string) { sim.nodes[name].frozen = true }
+
+func (sim *simulation) thaw(name string) {
+	n := sim.nodes[name]
+	n.frozen, n.lastFault = false, sim.now
+	// Which of the process's threads runs first is open: that of its timers, or one that reads.
+	inbox := append(slices.Clone(n.inbox), func() { n.detector.Tick(sim.now) })
+	n.inbox = nil
+	sim.rng.Shuffle(len(inbox), func(a, b int) { inbox[a], inbox[b] = inbox[b], inbox[a] })
+	for _, run := range inbox {
+		sim.deliver(n, run)
+	}
+	sim.schedule(sim.membershipDelay(), func() { sim.publishMembers(n) })
+}
+
+func (sim *simulation) setPartitioned(a, b string, on bool) {
+	if on {
+		sim.partitioned[networkPath{a, b}] = true
+	} else {
+		delete(sim.partitioned, networkPath{a, b})
+	}
+}
+
+// checkCalm checks what must hold once faults have ended and some time has passed: everybody that lives is counted
+// live, and nobody else.
+func (sim *simulation) checkCalm() {
+	sim.t.Helper()
+	for _, name := range sim.names {
+		n, r := sim.nodes[name], sim.members[name]
+		switch {
+		case n.alive && (r.down || r.incarnation != n.incarnation):
+			sim.t.Errorf("%s lives and is counted down since %v", name, r.since)
+		case !n.alive && !r.down:
+			sim.t.Errorf("%s is dead and is counted live", name)
+		}
+	}
+	for _, wrong := range sim.wrongVerdicts {
+		sim.t.Errorf("wrong: %s", wrong)
+	}
+	if sim.disconnected > 0 {
+		sim.t.Errorf("%d verdicts of nodes that were not connected", sim.disconnected)
+	}
+}
+
+// seeds is how many seeds a test runs: FAILUREDETECTOR_SEEDS, or a few.
+func seeds() uint64 {
+	if n, err := strconv.ParseUint(os.Getenv("FAILUREDETECTOR_SEEDS"), 10, 32); err == nil {
+		return n
+	}
+	return 6
+}
+
+func (sim *simulation) randomNode() string { return sim.names[sim.rng.IntN(len(sim.names))] }
+
+// watchersOf names those that watched a node while all were live.
+func (sim *simulation) watchersOf(name string) []string { return Watchers(name, sim.names, 3) }
+
+func sortStrings(list []string) []string {
+	slices.Sort(list)
+	return list
+}
--- /dev/null
+++ b/internal/system/failuredetector/stale_test.go
@@ -0,0 +1,89 @@
+package failuredetector
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// tickUntilIndirectPing has a detector of node a watch b, gives it one sign of life of b, and ticks until it sends an indirect ping
+// about b. It returns the time, the ping and its recipient.
+func tickUntilIndirectPing(t *testing.T, d *Detector) (now Time, ask Envelope) {
+	t.Helper()
+	d.SetMembers(0, []Member{{Node: "a", Incarnation: 1}, {Node: "b", Incarnation: 2}, {Node: "c", Incarnation: 3}})
+	d.Receive(0, Message{Kind: Heartbeat, From: "b", Incarnation: 2})
+	for now = 0; now < 5*time.Second; now += 100 * time.Millisecond {
+		d.Tick(now)
+		out := d.Ready()
+		if i := slices.IndexFunc(out.Send, func(e Envelope) bool { return e.Message.Kind == IndirectPing && e.Message.Node == "b" }); i >= 0 {
+			return now, out.Send[i]
+		}
+	}
+	t.Fatal("asks nobody though b is silent")
+	return 0, Envelope{}
+}
+
+// replyAfter gives a detector the reply to an indirect ping after a wait in which it ticks, and returns whether the reply counts
+// as contact with b, and whether the detector is connected.
+func replyAfter(t *testing.T, wait time.Duration, anyAnswer bool) (heard, connected bool) {
+	t.Helper()
+	d := NewDetector(Options{Self: "a", Incarnation: 1, knobs: TestingKnobs{AcceptStaleReplies: anyAnswer}})
+	now, ask := tickUntilIndirectPing(t, d)
+	for end := now + wait; now < end; now += 100 * time.Millisecond {
+		d.Tick(now)
+	}
+	before := d.watched["b"].lastContact
+	d.Receive(now, Message{Kind: IndirectAck, From: "c", Incarnation: 3, Nonce: ask.Message.Nonce, Node: "b", NodeIncarnation: 2})
+	return d.watched["b"].lastContact > before, d.Connected(now)
+}
+
+// TestStaleRepliesAreIgnored: a reply that comes 20 s after its ping is neither contact with a node nor makes this one connected,
+// though this process was not paused. Danger: when a partition heals, old replies arrive, and a dead node stays live.
+func TestStaleRepliesAreIgnored(t *testing.T) {
+	if heard, connected := replyAfter(t, 100*time.Millisecond, false); !heard || !connected {
+		t.Errorf("in time: heard %v, connected %v", heard, connected)
+	}
+	if heard, connected := replyAfter(t, 20*time.Second, false); heard || connected {
+		t.Errorf("late: heard %v, connected %v", heard, connected)
+	}
+	if heard, connected := replyAfter(t, 20*time.Second, true); !heard || !connected {
+		t.Errorf("control: heard %v, connected %v", heard, connected)
+	}
+}
+
+// TestReplyToFormerIncarnationIsIgnored: a reply to a ping of the former process at this address is none to this one.
+func TestReplyToFormerIncarnationIsIgnored(t *testing.T) {
+	_, ask := tickUntilIndirectPing(t, NewDetector(Options{Self: "a", Incarnation: 1}))
+	next := NewDetector(Options{Self: "a", Incarnation: 9})
+	now, _ := tickUntilIndirectPing(t, next)
+	next.Receive(now, Message{Kind: IndirectNack, From: "c", Incarnation: 3, Nonce: ask.Message.Nonce, Node: "b", NodeIncarnation: 2})
+	if next.Connected(now) || next.watched["b"].nacks["c"] {
+		t.Error("the answer counts")
+	}
+}
+
+// TestIndirectAckIsDatedByItsPing: a reply counts from when its ping was sent, since it may have been under way since.
+func TestIndirectAckIsDatedByItsPing(t *testing.T) {
+	d := NewDetector(Options{Self: "a", Incarnation: 1})
+	now, ask := tickUntilIndirectPing(t, d)
+	d.Receive(now+300*time.Millisecond, Message{Kind: IndirectAck, From: "c", Incarnation: 3, Nonce: ask.Message.Nonce, Node: "b",
+		NodeIncarnation: 2, Age: 200 * time.Millisecond})
+	if got := d.watched["b"].lastContact; got != now-200*time.Millisecond {
+		t.Errorf("heard at %v, asked at %v", got, now)
+	}
+}
+
+// TestStaleProbeResultIsIgnored: a response over the second path that was read long after its request says nothing about now.
+func TestStaleProbeResultIsIgnored(t *testing.T) {
+	for _, late := range []time.Duration{100 * time.Millisecond, 20 * time.Second} {
+		d := NewDetector(Options{Self: "a", Incarnation: 1})
+		now, _ := tickUntilIndirectPing(t, d)
+		for asked := now; now < asked+late; now += 100 * time.Millisecond {
+			d.Tick(now)
+		}
+		d.ProbeResult(now, now-late, "b", 2, true)
+		if got, want := d.watched["b"].lastContact > 0, late < time.Second; got != want {
+			t.Errorf("after %v: heard %v", late, got)
+		}
+	}
+}
--- a/internal/system/operatorapi/body.go
+++ b/internal/system/operatorapi/body.go
@@ -10,55 +10,53 @@
 	"github.com/cockroachdb/errors"
 )
 
-// bodyStep is how much more a body whose length is not told may hold at a time, in bytes.
-const bodyStep = 64 << 10
+// bodyChunkBytes is what a body of unknown length reserves at a time.
+const bodyChunkBytes = 64 << 10
 
-// errBodies: the bodies of all calls together are too large.
-var errBodies = errors.New("this keeper holds too many bodies: send the change again, or to another keeper")
+// errTooManyBodies says that the bodies of all requests together exceed maxTotalBodyBytes.
+var errTooManyBodies = errors.New("the bodies of the requests at this node take too much memory: send the change again, or to another node")
 
-// readBody reads a body within the bounds of size and time. Call release when it is not needed any more, also after an
-// error. Errors are errBodies, a *http.MaxBytesError or those of the connection.
-func (a *api) readBody(w http.ResponseWriter, r *http.Request) (body []byte, release func(), err error) {
-	rc := http.NewResponseController(w)
-	// Writers that know no deadlines (those of tests) are bounded by whoever made them.
-	if rc.SetReadDeadline(time.Now().Add(bodyTimeout)) == nil {
-		defer func() { _ = rc.SetReadDeadline(time.Time{}) }()
+// readBody reads a body within the bounds of size and time. The caller releases the reservation once it no longer needs the
+// body, also after an error. Errors are errTooManyBodies, a *http.MaxBytesError or those of the connection.
+func (a *api) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *reservation, error) {
+	defer setReadTimeout(w, bodyTimeout)()
+	reserved := &reservation{budget: &a.bodyBudget}
+	limited := http.MaxBytesReader(w, r.Body, maxBodyBytes)
+	if r.ContentLength < 0 {
+		body, err := readChunks(limited, reserved)
+		return body, reserved, err
 	}
-	var reserved int64
-	release = func() { a.bodies.release(reserved) }
-	reserve := func(n int64) bool {
-		if !a.bodies.reserve(n) {
-			return false
-		}
-		reserved += n
-		return true
+	if !reserved.tryGrow(r.ContentLength) {
+		return nil, reserved, errTooManyBodies
 	}
-	in := http.MaxBytesReader(w, r.Body, maxBody)
-	if r.ContentLength >= 0 {
-		if !reserve(r.ContentLength) {
-			return nil, release, errBodies
-		}
-		body = make([]byte, r.ContentLength)
-		_, err = io.ReadFull(in, body)
-		return body, release, err
+	body := make([]byte, r.ContentLength)
+	_, err := io.ReadFull(limited, body)
+	return body, reserved, err
+}
+
+// setReadTimeout bounds the time for reading a request's body, until the returned function takes the bound away. Writers
+// that support no deadlines (those of tests) are bounded by whoever made them.
+func setReadTimeout(w http.ResponseWriter, timeout time.Duration) (cancel func()) {
+	controller := http.NewResponseController(w)
+	if controller.SetReadDeadline(time.Now().Add(timeout)) != nil {
+		return func() {}
 	}
-	body, err = readSteps(in, reserve)
-	return body, release, err
+	return func() { _ = controller.SetReadDeadline(time.Time{}) }
 }
 
-// readSteps reads to the end, and reserves room before it takes more.
-func readSteps(in io.Reader, reserve func(int64) bool) ([]byte, error) {
+// readChunks reads a body of unknown length to its end, and reserves capacity before it reads more.
+func readChunks(in io.Reader, reserved *reservation) ([]byte, error) {
 	var body []byte
 	for {
-		if !reserve(bodyStep) {
-			return nil, errBodies
+		if !reserved.tryGrow(bodyChunkBytes) {
+			return nil, errTooManyBodies
 		}
-		body = slices.Grow(body, bodyStep)
-		for end := len(body) + bodyStep; len(body) < end; {
+		body = slices.Grow(body, bodyChunkBytes)
+		for end := len(body) + bodyChunkBytes; len(body) < end; {
 			n, err := in.Read(body[len(body):end])
 			body = body[:len(body)+n]
 			if errors.Is(err, io.EOF) {
-				return slices.Clone(body), nil // it is kept: without the room that was not needed
+				return slices.Clone(body), nil // the state keeps it: without the capacity that was not needed
 			}
 			if err != nil {
 				return nil, err
@@ -67,24 +65,41 @@
 	}
 }
 
-// budget bounds the bytes that all calls hold together.
-type budget struct {
-	mu   sync.Mutex
-	left int64
+// reservation is the part of a byteBudget that one request has taken.
+type reservation struct {
+	budget *byteBudget
+	bytes  int64
+}
+
+// tryGrow reserves more bytes, and reports whether the budget had them.
+func (r *reservation) tryGrow(bytes int64) bool {
+	if !r.budget.tryReserve(bytes) {
+		return false
+	}
+	r.bytes += bytes
+	return true
+}
+
+func (r *reservation) release() { r.budget.release(r.bytes) }
+
+// byteBudget bounds the memory of all bodies together. It may be used by several goroutines at once.
+type byteBudget struct {
+	mu        sync.Mutex
+	available int64
 }
 
-func (b *budget) reserve(n int64) bool {
+func (b *byteBudget) tryReserve(n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if n > b.left {
+	if n > b.available {
 		return false
 	}
-	b.left -= n
+	b.available -= n
 	return true
 }
 
-func (b *budget) release(n int64) {
+func (b *byteBudget) release(n int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left += n
+	b.available += n
 }
--- a/internal/system/operatorapi/change.go
+++ b/internal/system/operatorapi/change.go
@@ -1,72 +1,107 @@
 package operatorapi
 
 import (
+	"cmp"
+	"context"
 	"net/http"
-	"strconv"
-	"strings"
+	"time"
 
+	"github.com/apex/log"
 	"github.com/cockroachdb/errors"
-	"github.com/valyala/fastjson"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-func header(w http.ResponseWriter, length int) {
-	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set("Content-Length", strconv.Itoa(length))
-	w.Header().Set("Cache-Control", "no-store")
+// Reasons of error responses where the verdict has none. Each names the remedy.
+const (
+	reasonStale          = "another version is current: read it and build on that"
+	reasonInvalid        = "the change is invalid: check it against the operator's API"
+	reasonUncertain      = "whether the change was applied long ago cannot be told: read the configuration and compare"
+	reasonSuperseded     = "the zone was changed while this call was under way: send it again if it is still wanted"
+	reasonNotDurable     = "the change could not be made durable in time and may or may not come about: send it again as it was"
+	reasonUnknownVerdict = "this node does not know the verdict on the change: send it again as it was, to another node"
+)
+
+// changeRequest is one request for a change.
+type changeRequest struct {
+	change     controlstate.Change
+	receivedAt time.Time // when its head was read and, of a configuration, the whole body
+	respondBy  time.Time
+	success    func() any // makes the JSON of the response once the change is acknowledged
 }
 
-// config takes a whole configuration or an amendment.
-func (a *api) config(op controlstate.Op) http.HandlerFunc {
-	return func(w http.ResponseWriter, r *http.Request) {
-		base, err := baseVersion(r.Header)
-		if err != nil {
-			refuse(w, http.StatusBadRequest, err.Error())
-			return
-		}
-		if r.ContentLength > maxBody {
-			tooLarge(w)
-			return
-		}
-		body, release, err := a.readBody(w, r)
-		defer release()
-		var large *http.MaxBytesError
-		switch {
-		case errors.Is(err, errBodies):
-			w.Header().Set("Connection", "close")
-			unavailable(w, errBodies.Error())
-			return
-		case errors.As(err, &large):
-			tooLarge(w)
-			return
-		case err != nil:
-			// No 4xx: what the network cut short is to be sent again, and some callers give up at the third 4xx of any kind.
-			w.Header().Set("Connection", "close")
-			unavailable(w, "the body did not come whole in time: send the change again")
-			return
-		}
-		a.submit(w, r, controlstate.Change{Op: op, Base: base, Body: body}, func() {
-			answer(w, http.StatusOK, map[string]any{"revision": fastjson.GetInt(body, "revision")})
-		})
+// rejectIfPartitioned answers a change at once where this node has no way to the chain, so that the caller need not wait for a
+// time-out. It reports whether it did.
+func (a *api) rejectIfPartitioned(w http.ResponseWriter, change controlstate.Change) bool {
+	if a.options.Partitioned == nil || !a.options.Partitioned() {
+		return false
 	}
+	a.logEntry(change).Info("control: order not taken, this keeper has no way to the chain")
+	writeUnavailable(w, errPartitioned.Error())
+	return true
 }
 
-func tooLarge(w http.ResponseWriter) {
-	w.Header().Set("Connection", "close")
-	refuse(w, http.StatusRequestEntityTooLarge,
-		"the body has more than "+strconv.Itoa(maxBody)+" bytes: send the change in parts with POST /Config.Amend")
+// respondToChange writes the response for the outcome of a submitted change. It writes a 4xx only on a verdict, which a
+// majority has confirmed.
+func (a *api) respondToChange(w http.ResponseWriter, r *http.Request, request changeRequest, verdict controlstate.Verdict, err error) {
+	entry := a.logEntry(request.change)
+	if errors.Is(err, errCallerGone) {
+		entry.Info("control: order dropped, its caller has gone or waits too long")
+		writeUnavailable(w, errCallerGone.Error())
+		return
+	}
+	if err != nil {
+		entry.WithError(err).Warn("control: change not acknowledged, it may or may not come about")
+		writeUnavailable(w, reasonNotDurable)
+		return
+	}
+	switch verdict.Kind {
+	case controlstate.Accepted, controlstate.AlreadyApplied:
+		a.waitDelivered(r.Context(), request, verdict.Seq)
+		entry.WithFields(log.Fields{"seq": verdict.Seq, "ms": time.Since(request.receivedAt).Milliseconds()}).Info("control: change acknowledged")
+		writeJSON(w, http.StatusOK, request.success())
+	case controlstate.Stale:
+		body := a.staleBody(verdict)
+		entry.Info("control: change refused, another version is current")
+		writeJSON(w, http.StatusPreconditionFailed, body)
+	case controlstate.Invalid:
+		entry.WithField("reason", verdict.Reason).Info("control: change refused, it is invalid")
+		writeError(w, http.StatusBadRequest, cmp.Or(verdict.Reason, reasonInvalid))
+	case controlstate.Uncertain:
+		entry.WithField("reason", verdict.Reason).Warn("control: change left without a clear answer")
+		writeUnavailable(w, cmp.Or(verdict.Reason, reasonUncertain))
+	case controlstate.Superseded:
+		entry.Info("control: change came too late, its zone was changed since")
+		writeUnavailable(w, cmp.Or(verdict.Reason, reasonSuperseded))
+	default:
+		entry.WithField("verdict", verdict.Kind).Error("control: unknown verdict")
+		writeUnavailable(w, reasonUnknownVerdict)
+	}
 }
 
-// baseVersion reads the version that a change builds on.
-func baseVersion(h http.Header) (int64, error) {
-	values := h.Values("X-Base-Version")
-	if len(values) != 1 {
-		return 0, errors.New("X-Base-Version is missing or told twice: send the version that the change builds on, 0 for the first")
+// waitDelivered waits until the connected proxies have the record numbered seq, within the bounds of the call.
+func (a *api) waitDelivered(ctx context.Context, request changeRequest, seq uint64) {
+	if a.options.WaitDelivered == nil {
+		return
 	}
-	base, err := strconv.ParseInt(strings.TrimSpace(values[0]), 10, 64)
-	if err != nil || base < 0 {
-		return 0, errors.New("X-Base-Version is not a number of 0 or more: send the version that the change builds on")
+	timeout := min(deliveryTimeout, a.options.AckTimeout/8, time.Until(request.respondBy))
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	a.options.WaitDelivered(ctx, seq)
+}
+
+// staleBody is the body of a 412. It names the current revision only where this node's state contains the record on which the
+// verdict rests: a state that lags behind it would name a revision of the past.
+func (a *api) staleBody(verdict controlstate.Verdict) map[string]any {
+	body := map[string]any{"error": cmp.Or(verdict.Reason, reasonStale)}
+	state := a.committedState()
+	if state != nil && state.Config != nil && state.Seq >= verdict.Seq {
+		body["revision"] = state.Config.Revision
 	}
-	return base, nil
+	return body
+}
+
+// logEntry begins a log line about a change.
+func (a *api) logEntry(change controlstate.Change) *log.Entry {
+	return a.options.Log.WithFields(log.Fields{"op": change.Op, "base": change.Base, "zone": change.Zone})
 }
--- a/internal/system/operatorapi/evacuation.go
+++ b/internal/system/operatorapi/evacuation.go
@@ -13,100 +13,115 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// The bounds of an evacuation order.
+// The bounds of a request for an evacuation.
 const (
-	maxZone      = 128                    // bytes of a zone's name
-	maxIgnored   = 64 << 10               // bytes of a body, which these orders do not need
-	ignoreWithin = 200 * time.Millisecond // for such a body to come
+	maxZoneNameBytes      = 128                    // longer names are rejected
+	maxDiscardedBodyBytes = 64 << 10               // of a body, which these requests do not need
+	discardBodyTimeout    = 200 * time.Millisecond // for such a body to arrive
 )
 
-// Kinds of errors of orders that are not passed on. They have not come about and will not.
+// Reasons why a request is not submitted: it has not taken effect and never will.
 var (
-	errStalled = errors.New("this keeper stood still, and the order may have waited since before that: send it again")
-	errCutOff  = errors.New("this keeper does not reach the chain and has not passed this order on: send it again as it was, to another keeper")
-	errGone    = errors.New("the caller has gone, or waits too long: send the order again if it is still wanted")
+	errStalled     = errors.New("this node was stalled, and the request may have waited since before that: send it again")
+	errPartitioned = errors.New("this node does not reach the chain and has not forwarded the change: send it again as it was, to another node")
+	errCallerGone  = errors.New("the caller has gone, or has waited too long: send the request again if it is still wanted")
 )
 
-// evacuation takes the order to send nothing more to a zone, or its withdrawal.
-func (a *api) evacuation(op controlstate.Op) http.HandlerFunc {
+// handleEvacuation serves POST /Evacuation.Start, after which no request is sent to a zone, and /Evacuation.Finish, which ends
+// that.
+func (a *api) handleEvacuation(op controlstate.Op) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		// First of all: whatever delays the order from here on, it is fenced by what was known now.
-		arrived, fence := time.Now(), a.known()
+		// These come first: whatever delays the request from here on, it is fenced by what was known on arrival.
+		receivedAt, fence := time.Now(), a.committedState()
 		zone := mux.Vars(r)["zone"]
-		if len(zone) > maxZone {
-			refuse(w, http.StatusBadRequest, "the zone's name is too long: "+strconv.Itoa(maxZone)+" bytes are the most")
+		if len(zone) > maxZoneNameBytes {
+			writeError(w, http.StatusBadRequest, "the zone's name is too long: "+strconv.Itoa(maxZoneNameBytes)+" bytes are the most")
 			return
 		}
-		if a.o.Stalled != nil && a.o.Stalled() && !a.o.hooks.ignoreStalls {
-			w.Header().Set("Connection", "close")
-			unavailable(w, errStalled.Error())
+		if a.stalled() {
+			closeConnection(w)
+			writeUnavailable(w, errStalled.Error())
 			return
 		}
-		var large *http.MaxBytesError
-		if err := ignoreBody(w, r); errors.As(err, &large) {
-			w.Header().Set("Connection", "close")
-			refuse(w, http.StatusRequestEntityTooLarge, "the body is too large: send the order without one")
-			return
-		} else if err != nil {
-			w.Header().Set("Connection", "close")
-			unavailable(w, "the body did not come whole in time: send the order again, without a body")
+		if err := discardBody(w, r); err != nil {
+			writeDiscardError(w, err)
 			return
 		}
 		change := controlstate.Change{Op: op, Zone: zone}
-		if a.answerCutOff(w, change) {
+		if a.rejectIfPartitioned(w, change) {
 			return
 		}
-		o := order{change: change, arrived: arrived, answerBy: arrived.Add(answerWithin)}
-		verdict, err := a.submitFenced(r.Context(), &o, fence)
-		a.conclude(w, r, o, verdict, err, func() { answer(w, http.StatusOK, struct{}{}) })
+		request := changeRequest{change: change, receivedAt: receivedAt, respondBy: receivedAt.Add(responseTimeout),
+			success: func() any { return struct{}{} }}
+		verdict, err := a.submitWithFence(r.Context(), &request, fence)
+		a.respondToChange(w, r, request, verdict, err)
 	}
 }
 
-// ignoreBody reads a body that nothing is done with. Until it is read, net/http does not watch whether the caller is there.
-func ignoreBody(w http.ResponseWriter, r *http.Request) error {
+// stalled reports whether a request that is read now may have waited in a socket while the process was stalled.
+func (a *api) stalled() bool {
+	return a.options.Stalled != nil && a.options.Stalled() && !a.options.knobs.AcceptAfterStalls
+}
+
+// discardBody reads a body to its end. Before that net/http does not notice that the caller has closed the connection.
+func discardBody(w http.ResponseWriter, r *http.Request) error {
 	if r.ContentLength == 0 || r.Body == nil {
 		return nil
 	}
-	rc := http.NewResponseController(w)
-	if rc.SetReadDeadline(time.Now().Add(ignoreWithin)) == nil {
-		defer func() { _ = rc.SetReadDeadline(time.Time{}) }()
-	}
-	_, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxIgnored))
+	defer setReadTimeout(w, discardBodyTimeout)()
+	_, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxDiscardedBodyBytes))
 	return err
 }
 
-// submitFenced brings an evacuation order to the chain with its fence, the number of the newest committed record that was
-// known as the order came. First a majority is asked, and where the order may have been held up, the end of its connection
-// is waited for: then a caller that hung up before the order's bytes arrived is known to have gone, and the order is dropped. An order that is superseded is not tried
-// again with a newer fence: its caller, if it still waits, sends it again.
-func (a *api) submitFenced(caller context.Context, o *order, fence *controlstate.State) (controlstate.Verdict, error) {
-	ctx, cancel := context.WithDeadline(caller, o.arrived.Add(chainWait))
+// writeDiscardError writes the response to an evacuation whose body did not come to its end.
+func writeDiscardError(w http.ResponseWriter, err error) {
+	closeConnection(w)
+	if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
+		writeError(w, http.StatusRequestEntityTooLarge, "the body is too large: send the order without one")
+		return
+	}
+	writeUnavailable(w, "the body did not arrive completely in time: send the order again, without a body")
+}
+
+// submitWithFence submits an evacuation with its fence, the number of the newest committed record that was known on arrival.
+//
+// Before that it makes a linearizable read and, where the request may have been delayed, waits for the end of its connection:
+// a caller that hung up before its bytes arrived is then known to have gone, and the request is dropped. A request that turns
+// out to be superseded is not retried with a newer fence, since its caller may have gone unnoticed; a caller that still waits
+// retries by itself.
+func (a *api) submitWithFence(caller context.Context, request *changeRequest, fence *controlstate.State) (controlstate.Verdict, error) {
+	ctx, cancel := context.WithDeadline(caller, request.receivedAt.Add(chainTimeout))
 	defer cancel()
-	if heldUp(ctx, o.arrived) && !a.o.hooks.ignoreWaits {
-		awaitEnd(ctx)
+	if mayHaveBeenDelayed(ctx, request.receivedAt) && !a.options.knobs.SkipConnectionEndWait {
+		awaitConnectionEnd(ctx)
 	}
-	confirmed, err := a.o.Chain.Read(ctx)
+	confirmed, err := a.options.Chain.Read(ctx)
 	if err != nil {
 		return controlstate.Verdict{}, err
 	}
-	// The clock is asked as well: after a stall its timers may not have run yet. So is the caller's context, as the one made of it
-	// ends a moment later.
-	if deadline, _ := ctx.Deadline(); (caller.Err() != nil || !time.Now().Before(deadline)) && !a.o.hooks.ignoreCallers {
-		return controlstate.Verdict{}, errGone
+	if callerGone(caller, ctx) && !a.options.knobs.SubmitForGoneCallers {
+		return controlstate.Verdict{}, errCallerGone
 	}
-	if fence == nil || a.o.hooks.lateFence {
+	if fence == nil || a.options.knobs.FenceByConfirmedState {
 		fence = confirmed
 	}
 	if fence != nil {
-		o.change.Base = int64(fence.Seq)
+		request.change.Base = int64(fence.Seq)
 	}
-	return a.o.Chain.Submit(ctx, o.change)
+	return a.options.Chain.Submit(ctx, request.change)
+}
+
+// callerGone reports whether the caller has hung up, or the deadline of its request has passed. The clock decides beside ctx, as
+// the timer of ctx may not have fired yet after a stall; and so does the caller's context, as ctx, its child, ends a moment later.
+func callerGone(caller, ctx context.Context) bool {
+	deadline, _ := ctx.Deadline()
+	return caller.Err() != nil || !time.Now().Before(deadline)
 }
 
-// known is the committed state at hand, nil where there is none.
-func (a *api) known() *controlstate.State {
-	if a.o.Current == nil {
+// committedState returns the newest committed state of this node, nil where there is none.
+func (a *api) committedState() *controlstate.State {
+	if a.options.CommittedState == nil {
 		return nil
 	}
-	return a.o.Current()
+	return a.options.CommittedState()
 }
--- a/internal/system/operatorapi/model_client_test.go
+++ b/internal/system/operatorapi/model_client_test.go
@@ -12,27 +12,27 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-const callerPatience = time.Second
+const callerTimeout = time.Second
 
-// modelOrder is what an operator wants, and what it got.
-type modelOrder struct {
+// modelChange is what an operator wants, and what it got.
+type modelChange struct {
 	change   controlstate.Change
 	revision int64
-	again    bool // was sent and settled before
+	resent   bool // was sent and settled before
 
-	called, answered time.Duration // answered: when it was settled or given up
-	status           int           // 0: no clear answer
-	body             string
-	tries            []modelTry
+	startedAt, endedAt time.Duration // endedAt: when it was resolved or given up
+	status             int           // 0: no clear answer
+	body               string
+	attempts           []modelAttempt
 }
 
-// modelTry is one sending of an order.
-type modelTry struct {
-	called, ended time.Duration
-	acknowledged  bool
+// modelAttempt is one attempt of a change.
+type modelAttempt struct {
+	startedAt, endedAt time.Duration
+	acknowledged       bool
 }
 
-func (o *modelOrder) path() string {
+func (o *modelChange) path() string {
 	switch o.change.Op {
 	case controlstate.OpReplace:
 		return "/Config.Replace"
@@ -44,8 +44,8 @@
 	return "/Evacuation.Finish/" + o.change.Zone
 }
 
-func (o *modelOrder) request() *http.Request {
-	r := httptest.NewRequest(http.MethodPost, o.path(), strings.NewReader(string(o.change.Body)))
+func (o *modelChange) request(ctx context.Context) *http.Request {
+	r := httptest.NewRequestWithContext(ctx, http.MethodPost, o.path(), strings.NewReader(string(o.change.Body)))
 	if o.change.Zone == "" {
 		r.Header.Set("X-Base-Version", strconv.FormatInt(o.change.Base, 10))
 	} else {
@@ -54,98 +54,103 @@
 	return r
 }
 
-// call sends one request to a keeper, and waits for its answer for a second; nil: none came.
-func (w *modelWorld) call(k *modelKeeper, r *http.Request) *httptest.ResponseRecorder {
-	hungUp, hangUp := context.WithCancel(context.Background())
+// sendRequest sends one request to a node, and waits for its response for a second; nil: none arrived.
+func (w *modelCluster) sendRequest(node *modelNode, r *http.Request) *httptest.ResponseRecorder {
+	caller, hangUp := context.WithCancel(r.Context())
 	defer hangUp()
-	answers := make(chan *httptest.ResponseRecorder, 1)
-	life := k.lifeNow()
-	w.running.Go(func() { w.deliver(k, life, r, hungUp, answers) })
-	patience := callerPatience
-	if w.chance(12, "caller's connection reset") {
-		patience = w.between(time.Millisecond, 30*time.Millisecond)
+	responses := make(chan *httptest.ResponseRecorder, 1)
+	incarnation := node.currentIncarnation()
+	w.pending.Go(func() { w.deliverRequest(incarnation, caller, node, r, responses) })
+	timeout := callerTimeout
+	if w.happens(12, "caller's connection reset") {
+		timeout = w.randomDuration(time.Millisecond, 30*time.Millisecond)
 	}
 	select {
-	case a := <-answers:
-		return a
-	case <-time.After(patience):
+	case response := <-responses:
+		return response
+	case <-time.After(timeout):
 		return nil
 	}
 }
 
-// deliver brings a request to a keeper, perhaps late, and its answer back. The end of the caller's connection follows its
-// bytes within a round trip of up to 200 ms; while the keeper stands still, or where its connection was reset, it may be lost.
-func (w *modelWorld) deliver(k *modelKeeper, life context.Context, r *http.Request, hungUp context.Context, answers chan<- *httptest.ResponseRecorder) {
-	if w.chance(30, "request lost") {
+// deliverRequest brings a request to a node, perhaps late, and its response back. The end of the caller's connection follows its
+// bytes within a round trip of up to 200 ms; while the node is frozen, or where its connection was reset, it may be lost.
+// The context incarnation ends with the node's process, caller with the caller's connection.
+func (w *modelCluster) deliverRequest(incarnation, caller context.Context, node *modelNode, r *http.Request,
+	responses chan<- *httptest.ResponseRecorder,
+) {
+	if w.happens(30, "request lost") {
 		return
 	}
-	began := time.Now()
-	time.Sleep(w.between(200*time.Microsecond, 2*time.Millisecond))
-	held := w.chance(12, "request held up")
-	if held {
-		time.Sleep(w.between(time.Second, 22*time.Second))
+	acceptedAt := time.Now()
+	time.Sleep(w.randomDuration(200*time.Microsecond, 2*time.Millisecond))
+	delayed := w.happens(12, "request delayed")
+	if delayed {
+		time.Sleep(w.randomDuration(time.Second, 22*time.Second))
 	}
-	waiting := time.Now()
-	k.thawed()
-	stood := time.Since(waiting) > 0
-	if life.Err() != nil {
+	arrivedAt := time.Now()
+	node.waitWhileFrozen()
+	stalled := time.Since(arrivedAt) > 0
+	if incarnation.Err() != nil {
 		return // of a process that is gone, and its sockets with it
 	}
-	if stood {
-		w.count("request waited through a freeze")
-		time.Sleep(w.between(0, 100*time.Millisecond))
+	if stalled {
+		w.recordEvent("request waited through a freeze")
+		time.Sleep(w.randomDuration(0, 100*time.Millisecond))
 	}
-	ctx, cancel := context.WithCancel(context.WithValue(life, connectionKey{}, &connection{began: began}))
+	ctx, cancel := context.WithCancel(context.WithValue(incarnation, connectionKey{}, &connection{acceptedAt: acceptedAt}))
 	defer cancel()
-	endMayBeLost := stood || !held
-	if !endMayBeLost || !w.chance(2, "end of a connection lost") {
-		stop := context.AfterFunc(hungUp, func() { time.AfterFunc(w.between(0, 200*time.Millisecond), cancel) })
+	endMayBeLost := stalled || !delayed
+	if !endMayBeLost || !w.happens(2, "end of a connection lost") {
+		stop := context.AfterFunc(caller, func() { time.AfterFunc(w.randomDuration(0, 200*time.Millisecond), cancel) })
 		defer stop()
 	}
-	answer := httptest.NewRecorder()
-	k.handler.ServeHTTP(answer, r.WithContext(ctx))
-	if life.Err() != nil || w.chance(20, "answer lost") {
+	response := httptest.NewRecorder()
+	node.handler.ServeHTTP(response, r.WithContext(ctx))
+	if incarnation.Err() != nil || w.happens(20, "response lost") {
 		return
 	}
-	time.Sleep(w.between(200*time.Microsecond, 2*time.Millisecond))
-	answers <- answer
+	time.Sleep(w.randomDuration(200*time.Microsecond, 2*time.Millisecond))
+	responses <- response
 }
 
-// settle sends an order until it gets a clear answer or its operator gives up.
-func (w *modelWorld) settle(o *modelOrder) {
-	const giveUp = 6 * time.Second
-	o.called = w.since()
-	once := o.change.Zone != "" && w.chance(6, "order given up after one try")
-	pause := 20 * time.Millisecond
-	for w.since()-o.called < giveUp {
-		try := modelTry{called: w.since()}
-		a := w.call(w.keepers[w.between(0, time.Duration(len(w.keepers)))], o.request())
-		try.ended, try.acknowledged = w.since(), a != nil && a.Code == http.StatusOK
-		o.tries = append(o.tries, try)
-		if a != nil && a.Code != http.StatusServiceUnavailable {
-			o.status, o.body = a.Code, a.Body.String()
+// sendUntilResolved sends a change until it gets a clear response or its operator gives up.
+func (w *modelCluster) sendUntilResolved(change *modelChange) {
+	const giveUpAfter = 6 * time.Second
+	change.startedAt = w.elapsed()
+	once := change.change.Zone != "" && w.happens(6, "change given up after one attempt")
+	backoff := 20 * time.Millisecond
+	for w.elapsed()-change.startedAt < giveUpAfter {
+		attempt := modelAttempt{startedAt: w.elapsed()}
+		node := w.nodes[w.randomDuration(0, time.Duration(len(w.nodes)))]
+		response := w.sendRequest(node, change.request(context.Background()))
+		attempt.endedAt = w.elapsed()
+		attempt.acknowledged = response != nil && response.Code == http.StatusOK
+		change.attempts = append(change.attempts, attempt)
+		if response != nil && response.Code != http.StatusServiceUnavailable {
+			change.status, change.body = response.Code, response.Body.String()
 			break
 		}
 		if once {
 			break
 		}
-		time.Sleep(pause)
-		pause = min(2*pause, 400*time.Millisecond)
+		time.Sleep(backoff)
+		backoff = min(2*backoff, 400*time.Millisecond)
 	}
-	o.answered = w.since()
+	change.endedAt = w.elapsed()
 }
 
-// configOperator sends changes of the configuration on the version that it believes to be current, whole ones and
-// amendments, its own and those that others send as well, and at times an order that was settled long before.
-func (w *modelWorld) configOperator(number, orders int, old []*modelOrder, done func(*modelOrder)) {
-	var mine []*modelOrder
+// runConfigOperator sends changes of the configuration on the version that it believes to be current, whole ones and
+// amendments, its own and those that others send as well, and at times a change that was resolved long before.
+func (w *modelCluster) runConfigOperator(number, orders int, old []*modelChange, done func(*modelChange)) {
+	var mine []*modelChange
 	for range orders {
-		time.Sleep(w.between(0, 300*time.Millisecond))
-		if len(mine)+len(old) > 0 && w.chance(4, "order sent again after it was settled") {
-			all := append(append([]*modelOrder(nil), old...), mine...)
-			was := all[w.between(0, time.Duration(len(all)))]
-			o := &modelOrder{change: was.change, revision: was.revision, again: true}
-			w.settle(o)
+		time.Sleep(w.randomDuration(0, 300*time.Millisecond))
+		if len(mine)+len(old) > 0 && w.happens(4, "order sent again after it was settled") {
+			all := append(append([]*modelChange(nil), old...), mine...)
+			was := all[w.randomDuration(0, time.Duration(len(all)))]
+			o := &modelChange{change: was.change, revision: was.revision, resent: true}
+			w.sendUntilResolved(o)
 			done(o)
 			continue
 		}
@@ -153,16 +158,16 @@
 		base := w.state.Revision()
 		w.mu.Unlock()
 		mark := fmt.Sprint("operator-", number)
-		if w.chance(3, "order that others send as well") {
+		if w.happens(3, "order that others send as well") {
 			mark = "shared"
 		}
-		o := &modelOrder{revision: base + 1 + int64(w.between(0, 2))}
+		o := &modelChange{revision: base + 1 + int64(w.randomDuration(0, 2))}
 		o.change = controlstate.Change{Op: controlstate.OpReplace, Base: base, Body: modelConfig(base, o.revision, mark)}
-		if base > 0 && w.chance(3, "amendment") {
+		if base > 0 && w.happens(3, "amendment") {
 			o.change.Op = controlstate.OpAmend
 			o.change.Body = fmt.Appendf(nil, `{"revision":%d,"built_on":%d,"upsert":{"services":[{"name":%q}]}}`, o.revision, base, mark)
 		}
-		w.settle(o)
+		w.sendUntilResolved(o)
 		done(o)
 		mine = append(mine, o)
 	}
@@ -172,15 +177,15 @@
 	return fmt.Appendf(nil, `{"revision":%d,"built_on":%d,"routes":[],"services":[{"name":%q}]}`, revision, base, mark)
 }
 
-// zoneOperator evacuates a zone and takes it back, again and again.
-func (w *modelWorld) zoneOperator(zone string, orders int, done func(*modelOrder)) {
+// runZoneOperator evacuates a zone and takes it back, again and again.
+func (w *modelCluster) runZoneOperator(zone string, orders int, done func(*modelChange)) {
 	op := controlstate.OpEvacuate
 	for range orders {
-		time.Sleep(w.between(0, 200*time.Millisecond))
-		o := &modelOrder{change: controlstate.Change{Op: op, Zone: zone}}
-		w.settle(o)
+		time.Sleep(w.randomDuration(0, 200*time.Millisecond))
+		o := &modelChange{change: controlstate.Change{Op: op, Zone: zone}}
+		w.sendUntilResolved(o)
 		done(o)
-		if op = controlstate.OpEvacuate; w.between(0, 2) == 0 {
+		if op = controlstate.OpEvacuate; w.randomDuration(0, 2) == 0 {
 			op = controlstate.OpReadmit
 		}
 	}
--- a/internal/system/proxy/headers_test.go
+++ b/internal/system/proxy/eventreader_test.go
@@ -4,59 +4,14 @@
 	"bytes"
 	"errors"
 	"io"
-	"net/http"
-	"reflect"
 	"strings"
 	"testing"
 	"testing/iotest"
-	"time"
-
-	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-func TestPromptParts(t *testing.T) {
-	for text, want := range map[string][]pick.PrefixPart{
-		"":                  nil,
-		"5c1e07a2:800":      {{ID: 0x5c1e07a2, Tokens: 800}},
-		"ff:6, 1a:4":        {{ID: 0xff, Tokens: 6}, {ID: 0x1a, Tokens: 4}},
-		"ff:6,zz:4,1a:4":    {{ID: 0xff, Tokens: 6}},
-		"ff:6,1a":           {{ID: 0xff, Tokens: 6}},
-		"ffffffffffffffff:": {{ID: 1<<64 - 1}},
-		"1:-5":              {{ID: 1}},
-	} {
-		if got := promptParts(text); len(got) != len(want) || len(want) > 0 && !reflect.DeepEqual(got, want) {
-			t.Errorf("%q: %v, want %v", text, got, want)
-		}
-	}
-	if n := len(promptParts(strings.Repeat("1:1,", 1000))); n != mostParts {
-		t.Errorf("%d parts", n)
-	}
-}
-
-func TestHints(t *testing.T) {
-	h := http.Header{"X-Server-Load": {"3, 1,8"}, "X-Cold-Ms": {"1500"}, "Retry-After": {"0.35"}, "Keep-Alive": {"max=4, timeout=7"}}
-	if got, want := hintsOf(h, true), (hints{true, 3, 1, 8, true, 1500 * time.Millisecond, true, 7 * time.Second}); got != want {
-		t.Errorf("%+v, want %+v", got, want)
-	}
-	if got := hintsOf(http.Header{"X-Server-Load": {"3,1"}, "X-Cold-Ms": {"-1"}}, false); got != (hints{}) {
-		t.Errorf("%+v", got)
-	}
-	if d := retryAfter(h.Get("Retry-After")); d != 350*time.Millisecond {
-		t.Error(d)
-	}
-	for _, text := range []string{"", "-1", "NaN", "Inf", "1e9", "soon"} {
-		if d := retryAfter(text); d != 0 {
-			t.Errorf("%q: %v", text, d)
-		}
-	}
-	if d := keepAlive(h); d != 7*time.Second {
-		t.Error(d)
-	}
-}
-
-// TestEvents reads streams in pieces of each size.
-func TestEvents(t *testing.T) {
-	for _, tt := range []struct {
+// TestEventReader reads streams in pieces of each size.
+func TestEventReader(t *testing.T) {
+	for _, test := range []struct {
 		name, text, after string
 		want, last        string
 		err               error
@@ -65,19 +20,19 @@
 		{"other line ends", "id:1\r\ndata: a\r\n\r\nid:02\r\n\r\n", "", "id:1\r\ndata: a\r\n\r\nid:02\r\n\r\n", "02", io.EOF},
 		{"versions first", "versions: 3\nid: 1\n\n", "", "versions: 3\nid: 1\n\n", "1", io.EOF},
 		{"an end without an empty line", "id: 1\n\ndata: b", "", "id: 1\n\ndata: b", "1", io.EOF},
-		{"the same id", "id: 1\n\nid: 1\n\n", "", "id: 1\n\n", "1", errOrder},
-		{"a lower id", "id: 10\n\nid: 9\n\nid: 11\n\n", "", "id: 10\n\n", "10", errOrder},
+		{"the same id", "id: 1\n\nid: 1\n\n", "", "id: 1\n\n", "1", errEventOrder},
+		{"a lower id", "id: 10\n\nid: 9\n\nid: 11\n\n", "", "id: 10\n\n", "10", errEventOrder},
 		{"after another run", "id: 4\n\nid: 5\n\n", "3", "id: 4\n\nid: 5\n\n", "5", io.EOF},
-		{"before another run's end", "id: 3\n\nid: 4\n\n", "3", "", "3", errOrder},
+		{"before another run's end", "id: 3\n\nid: 4\n\n", "3", "", "3", errEventOrder},
 		{"ids that are no numbers", "id: b\n\nid: a\n\n", "", "id: b\n\nid: a\n\n", "a", io.EOF},
 		{"nothing", "", "", "", "", io.EOF},
-		{"an event that never ends", strings.Repeat("data: x\n", mostEvent/8+1), "", "", "", errEventSize},
+		{"an event that never ends", strings.Repeat("data: x\n", maxEventBytes/8+1), "", "", "", errEventTooLong},
 	} {
 		for name, wrap := range map[string]func(io.Reader) io.Reader{"bytes": iotest.OneByteReader, "halves": iotest.HalfReader,
 			"at once": func(r io.Reader) io.Reader { return r }, "with the end": iotest.DataErrReader} {
-			ev := &events{from: wrap(strings.NewReader(tt.text))}
-			if tt.after != "" {
-				ev.after(tt.after)
+			ev := &eventReader{source: wrap(strings.NewReader(test.text))}
+			if test.after != "" {
+				ev.resumeAfter(test.after)
 			}
 			var got bytes.Buffer
 			var err error
@@ -86,8 +41,8 @@
 				whole, err = ev.next()
 				got.Write(whole)
 			}
-			if got.String() != tt.want || !errors.Is(err, tt.err) || ev.lastID != tt.last {
-				t.Errorf("%s in %s: %q, last %q, error %v", tt.name, name, got.String(), ev.lastID, err)
+			if got.String() != test.want || !errors.Is(err, test.err) || ev.lastEventID != test.last {
+				t.Errorf("%s in %s: %q, last %q, error %v", test.name, name, got.String(), ev.lastEventID, err)
 			}
 		}
 	}
@@ -104,7 +59,7 @@
 			if cut {
 				r = io.MultiReader(r, iotest.ErrReader(io.ErrUnexpectedEOF))
 			}
-			ev := &events{from: r}
+			ev := &eventReader{source: r}
 			var got strings.Builder
 			for {
 				whole, err := ev.next()
@@ -130,3 +85,17 @@
 		}
 	})
 }
+
+// TestEventWithTwoIDs has a stream broken by an event of which the first id rises and the last does not: the next server is
+// asked for what follows the last event that was passed on, so that none is lost.
+func TestEventWithTwoIDs(t *testing.T) {
+	text := "id: 1\ndata: d1\n\nid: 2\nid: 1\ndata: d2\n\n"
+	ev := &eventReader{source: strings.NewReader(text), buf: make([]byte, 0, eventBufferBytes)}
+	whole, err := ev.next()
+	if string(whole) != "id: 1\ndata: d1\n\n" || err != nil || ev.lastEventID != "1" {
+		t.Fatalf("%q, error %v, last id %q", whole, err, ev.lastEventID)
+	}
+	if whole, err := ev.next(); err == nil || err == io.EOF || ev.lastEventID != "1" {
+		t.Errorf("%q, error %v, last id %q", whole, err, ev.lastEventID)
+	}
+}
--- /dev/null
+++ b/internal/system/proxy/eventrelay.go
@@ -0,0 +1,51 @@
+package proxy
+
+import (
+	"errors"
+	"io"
+)
+
+// relayEvents passes on the events of a stream as they come. A truncated stream may be resumed at another server: the next
+// attempt asks for the events after the last one that went to the client.
+func (c *clientRequest) relayEvents(attempt *upstreamAttempt) attemptResult {
+	buffer, recycle := getBuffer(eventBufferBytes)
+	defer recycle()
+	reader := &eventReader{source: attempt.response.Body, buf: buffer}
+	if c.route.Resumable {
+		reader.resumeAfter(c.lastEventID)
+	}
+	if c.headSent {
+		c.proxy.counters.Resumed.Add(1)
+	}
+	for isFirst := true; ; isFirst = false {
+		events, err := reader.next()
+		if errors.Is(err, io.EOF) {
+			if !c.headSent {
+				c.sendHead(attempt.response.StatusCode, attempt.response.Header, attempt.response.ContentLength)
+			}
+			return c.finishRelay(attempt)
+		}
+		if err != nil {
+			return c.handleFailure(attempt, err)
+		}
+		if isFirst {
+			c.beginEvents(attempt)
+		}
+		if err := c.writeToClient(events); err != nil {
+			return c.handleRelayFailure(attempt, err)
+		}
+		c.lastEventID = reader.resumableID()
+		if isFirst {
+			c.watchForSilence(attempt, max(silenceTargetFactor*c.route.EventGapTarget, c.proxy.options.TestingKnobs.MinEventSilenceTimeout))
+		}
+	}
+}
+
+// beginEvents reports a stream's first event to the picker and passes on the head, if this stream does not resume another.
+func (c *clientRequest) beginEvents(attempt *upstreamAttempt) {
+	c.proxy.picker.FirstEvent(attempt.choice.Ticket)
+	if !c.headSent {
+		// Danger: a stream that is resumed at another server need not come to the length that the first one announced.
+		c.sendHead(attempt.response.StatusCode, attempt.response.Header, unknownLength)
+	}
+}
--- /dev/null
+++ b/internal/system/proxy/knobs_test.go
@@ -0,0 +1,163 @@
+package proxy
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"gradeusher.example/gradeusher/internal/system/config"
+	"gradeusher.example/gradeusher/internal/system/invariant/invarianttest"
+)
+
+// TestExactlyOnceControls takes out one protection at a time: a scenario then breaks what TestExactlyOnce holds, and does not
+// with the protection in place.
+func TestExactlyOnceControls(t *testing.T) {
+	with := func(change func(*behaviour)) []behaviour {
+		b := soundBehaviour
+		change(&b)
+		return []behaviour{b}
+	}
+	cutStream := with(func(b *behaviour) { b.Framing, b.PermilleSent, b.After = "chunked", 850, halfCloseAfter })
+	for _, test := range []struct {
+		name     string
+		without  TestingKnobs
+		category config.Category
+		first    []behaviour
+		breaks   string
+	}{
+		{"the id that an answer echoes", TestingKnobs{SkipAttemptIDCheck: true}, config.NonIdempotent,
+			with(func(b *behaviour) { b.Echo = otherID }), "bears another id"},
+		{"the seal of a success", TestingKnobs{SkipSealCheck: true}, config.NonIdempotent,
+			with(func(b *behaviour) { b.Unsealed = true }), "no server gave this answer"},
+		{"interim answers", TestingKnobs{PassInterimResponses: true}, config.NonIdempotent,
+			with(func(b *behaviour) { b.Interims = 1 }), "bears another id"},
+		{"at most one run", TestingKnobs{RetryNonIdempotent: true}, config.NonIdempotent,
+			with(func(b *behaviour) { b.PermilleSent, b.After = 0, resetAfter }), "sent again though it may have run"},
+		{"promises", TestingKnobs{PassUnfoundedPromises: true}, config.NonIdempotent,
+			with(func(b *behaviour) { b.Status = http.StatusTooManyRequests }), "promised that it has not"},
+		{"the end of an answer", TestingKnobs{AcceptUnframed: true}, config.NonIdempotent,
+			with(func(b *behaviour) { b.Framing, b.PermilleSent, b.After = "none", 950, halfCloseAfter }), "looks whole"},
+		{"streams that may not be resumed", TestingKnobs{ResumeAnyStream: true}, config.Streaming, cutStream, "sent again though it may have run"},
+		{"a broken answer ends its connection", TestingKnobs{KeepTruncatedConns: true}, config.Streaming, cutStream, "looks whole"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			s := testScenario{Category: test.category, MaxTries: 2, Servers: [][]behaviour{test.first, nil},
+				Steps: []clientStep{{Manner: "plain", Method: http.MethodPost}}}
+			if err := playScenario(s, TestingKnobs{}); err != nil {
+				t.Errorf("with it: %v", err)
+			}
+			without := func() {
+				if err := playScenario(s, test.without); err == nil || !strings.Contains(err.Error(), test.breaks) {
+					t.Errorf("without it: %v, want %q", err, test.breaks)
+				}
+			}
+			if test.without.RetryNonIdempotent || test.without.ResumeAnyStream {
+				invarianttest.Expect(t, nonIdempotentOnce, without)
+			} else {
+				without()
+			}
+		})
+	}
+}
+
+// TestClosedWhileIdle has a server close a connection that idles, and a request that may run once come when that is known:
+// it is not lost on that connection. With the look at idle connections taken out it is.
+func TestClosedWhileIdle(t *testing.T) {
+	for _, without := range []TestingKnobs{{}, {SkipIdleInspection: true}} {
+		server := startServer(t, respondWith(200, "x"))
+		proxy := startProxy(t, []*fakeServer{server}, func(o *Options, _ *config.Config) { o.TestingKnobs = without })
+		c := proxy.dial(t)
+		c.sendRequest("id-1", "").readResponse()
+		_ = receive(t, server.requests, "request").conn.(*net.TCPConn).CloseWrite()
+		proxy.awaitIdleClosed(t)
+		want := 200
+		if without.SkipIdleInspection {
+			want = 502
+		}
+		if got := c.sendRequest("id-2", "").readResponse(); got.StatusCode != want {
+			t.Errorf("without %+v: status %d, want %d", without, got.StatusCode, want)
+		}
+	}
+}
+
+// awaitIdleClosed waits until the end of the one idle connection has come.
+func (f *testProxy) awaitIdleClosed(t *testing.T) {
+	t.Helper()
+	f.pools.mu.Lock()
+	defer f.pools.mu.Unlock()
+	for _, p := range f.pools.pools {
+		for _, c := range p.idle {
+			raw, err := c.tcp.SyscallConn()
+			if err != nil {
+				t.Fatal(err)
+			}
+			err = raw.Control(func(fd uintptr) {
+				wait := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+				if n, err := unix.Poll(wait, int(testTimeout.Milliseconds())); n != 1 {
+					t.Errorf("no end of the idle connection: %v", err)
+				}
+			})
+			if err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+}
+
+// limitedConn is a connection that takes only so many bytes, and breaks then.
+type limitedConn struct {
+	net.Conn
+	capacity int
+}
+
+func (c *limitedConn) Write(p []byte) (int, error) {
+	if len(p) <= c.capacity {
+		c.capacity -= len(p)
+		return c.Conn.Write(p)
+	}
+	n := 0
+	if c.capacity > 0 {
+		n, _ = c.Conn.Write(p[:c.capacity])
+	}
+	_ = c.Conn.Close()
+	return n, unix.EPIPE
+}
+
+// TestPartlyWritten has a connection break while a request that may run once is written on it: it goes to another server only
+// if not a byte of it was written. With that rule taken out it is sent twice.
+func TestPartlyWritten(t *testing.T) {
+	for _, test := range []struct {
+		room    int
+		without TestingKnobs
+		want    int
+		sends   int64
+	}{
+		{0, TestingKnobs{}, 200, 1},
+		{1, TestingKnobs{}, 502, 1},
+		{60, TestingKnobs{}, 502, 1},
+		{1, TestingKnobs{RetryPartlyWritten: true}, 200, 1},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			piped := newPipedProxy([]configure{withCategory(config.NonIdempotent), func(o *Options, _ *config.Config) { o.TestingKnobs = test.without }},
+				respondWith(200, "first"), respondWith(200, "second"))
+			open := piped.pools.connect
+			piped.pools.connect = func(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
+				c, err := open(ctx, address, within)
+				if address == "at-0" && err == nil {
+					c = &limitedConn{c, test.room}
+				}
+				return c, err
+			}
+			w, _ := piped.roundTrip(t.Context())
+			if w.Code != test.want || piped.counters.Sends.Load() != test.sends {
+				t.Errorf("room for %d bytes, %+v: status %d, %d sends", test.room, test.without, w.Code, piped.counters.Sends.Load())
+			}
+		})
+	}
+}
--- a/internal/system/proxy/pick/kept_test.go
+++ b/internal/system/proxy/pick/idle_conns_test.go
@@ -7,16 +7,16 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// TestKeptConnections: of model servers that cost the same, those get requests to which a connection is kept; nobody prefers one whose
+// TestIdleConnections: of model servers that cost the same, those get requests to which a connection is kept; nobody prefers one whose
 // connections have been without use for longer than the servers keep them, or one that could not be reached.
-func TestKeptConnections(t *testing.T) {
+func TestIdleConnections(t *testing.T) {
 	const told = 10 * time.Second
 	route := &config.Route{Name: "a", Host: "h", Prefix: "/", Category: config.Streaming, Timeout: 8 * time.Second, LatencyTarget: time.Second, MaxTries: 1,
 		Shares: []config.Share{{Service: "lm", Weight: 1}}}
-	p := laneWorld(6)
+	p := newPoolPicker(6)
 	send := func(now Time, outcome Outcome) string {
 		t.Helper()
-		c := p.Choose(now, &Request{Route: route, TokensIn: 100, TokensOut: 20, TimeLeft: 8 * time.Second}, nil, false)
+		c := p.Pick(now, &Request{Route: route, TokensIn: 100, MaxTokensOut: 20, TimeLeft: 8 * time.Second}, nil, false)
 		if c.Verdict != Send {
 			t.Fatalf("verdict %d", c.Verdict)
 		}
@@ -35,7 +35,7 @@
 	if second == first {
 		t.Error("the rotation stays at a server whose connections have been without use for too long")
 	}
-	if p.servers[second].kept.any(idle, told) {
+	if p.servers[second].idle.usable(idle, told) {
 		t.Error("a connection to a server that was not reached counts as kept")
 	}
 }
--- a/internal/system/proxy/pick/invariants_test.go
+++ b/internal/system/proxy/pick/invariants_test.go
@@ -5,90 +5,92 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/invariant/invarianttest"
+
+	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
 )
 
-// TestColdPaceKeptControl: a proxy that saves up more than one request is seen.
-func TestColdPaceKeptControl(t *testing.T) {
-	f := newColdFleet(12)
+// TestWarmUpRateInvariantControl: a proxy that saves up more than one request is seen.
+func TestWarmUpRateInvariantControl(t *testing.T) {
+	f := newWarmUpFleet(12)
 	f.pickers = f.pickers[:1]
 	p := f.pickers[0]
-	p.UpdateClusterState(0, f.world(0, 1, time.Minute))
-	f.press(0, 5*time.Second, 10*time.Millisecond, nil)
-	invarianttest.Expect(t, coldPaceKept, func() {
-		f.press(5*time.Second, 5100*time.Millisecond, 10*time.Millisecond, func(Time) { p.servers["s0"].token = 2 })
+	p.UpdateClusterState(0, f.state(0, 1, time.Minute))
+	f.sendAll(0, 5*time.Second, 10*time.Millisecond, nil)
+	invarianttest.Expect(t, warmUpRateInvariant, func() {
+		f.sendAll(5*time.Second, 5100*time.Millisecond, 10*time.Millisecond, func(Time) { p.servers["s0"].warmUp.bucket.tokens = 2 })
 	})
 }
 
-// TestColdEndKeptControl: a word of the cold state that ends 80 ms early is seen with the next reading, and another cold state
+// TestWarmUpEndInvariantControl: a word of the cold state that ends 80 ms early is seen with the next reading, and another cold state
 // that begins after the first request is not taken for it.
-func TestColdEndKeptControl(t *testing.T) {
+func TestWarmUpEndInvariantControl(t *testing.T) {
 	play := func(cold, later time.Duration) {
-		f := newColdFleet(1)
-		f.pickers[0].UpdateClusterState(0, f.world(0, 1, cold))
-		f.press(0, cold+40*time.Millisecond, 10*time.Millisecond, nil)
-		w := f.world(0, 1, later)
+		f := newWarmUpFleet(1)
+		f.pickers[0].UpdateClusterState(0, f.state(0, 1, cold))
+		f.sendAll(0, cold+40*time.Millisecond, 10*time.Millisecond, nil)
+		w := f.state(0, 1, later)
 		w.Servers[0].WarmUpMin = later
 		f.pickers[0].UpdateClusterState(cold+40*time.Millisecond, w)
 	}
-	invarianttest.Expect(t, coldEndKept, func() { play(coldFor-80*time.Millisecond, 40*time.Millisecond) })
-	before := coldEndKept.Violations()
-	play(coldFor, coldFor-20*time.Millisecond)
-	if coldEndKept.Violations() != before {
+	invarianttest.Expect(t, warmUpEndInvariant, func() { play(warmUpDuration-80*time.Millisecond, 40*time.Millisecond) })
+	before := warmUpEndInvariant.Violations()
+	play(warmUpDuration, warmUpDuration-20*time.Millisecond)
+	if warmUpEndInvariant.Violations() != before {
 		t.Error("a cold state that began after the first request counts as the one before")
 	}
 }
 
-// TestSendsAllowedControl: a request to a server in an evacuated zone is seen.
-func TestSendsAllowedControl(t *testing.T) {
-	f := newColdFleet(1)
+// TestEligibilityInvariantControl: a request to a server in an evacuated zone is seen.
+func TestEligibilityInvariantControl(t *testing.T) {
+	f := newWarmUpFleet(1)
 	p := f.pickers[0]
-	p.UpdateClusterState(0, f.world(0, 1, 0))
-	invarianttest.Expect(t, sendsAllowed, func() {
-		p.world.Evacuated = map[string]bool{"z": true}
+	p.UpdateClusterState(0, f.state(0, 1, 0))
+	invarianttest.Expect(t, eligibilityInvariant, func() {
+		p.state.Evacuated = map[string]bool{"z": true}
 		r := &Request{Route: f.config.Routes[0], TimeLeft: time.Second}
-		p.Done(0, p.send(0, Choice{}, r, p.servers["s0"], cost{}, &chain{}).Ticket, Served, 0)
+		p.Done(0, p.send(&pickInput{request: r, prompt: &prefixcache.Chain{}}, Result{}, p.servers["s0"], cost{}).Ticket, Served, 0)
 	})
 }
 
-// TestZoneTakenBackIsNoViolation: a server was cold and got its first request as a warm one; its zone is evacuated, and taken back
+// TestEvacuationEndIsNoViolation: a server was cold and got its first request as a warm one; its zone is evacuated, and taken back
 // after the server has turned cold anew. The guess that paces it until the list can tell says nothing of that request.
-func TestZoneTakenBackIsNoViolation(t *testing.T) {
+func TestEvacuationEndIsNoViolation(t *testing.T) {
 	const back = 12 * time.Second
-	f := newColdFleet(1)
+	f := newWarmUpFleet(1)
 	p := f.pickers[0]
-	before := coldEndKept.Violations()
-	p.UpdateClusterState(0, f.world(0, 1, coldFor))
-	f.press(0, coldFor+100*time.Millisecond, 10*time.Millisecond, nil)
-	w := f.world(0, 1, 0)
+	before := warmUpEndInvariant.Violations()
+	p.UpdateClusterState(0, f.state(0, 1, warmUpDuration))
+	f.sendAll(0, warmUpDuration+100*time.Millisecond, 10*time.Millisecond, nil)
+	w := f.state(0, 1, 0)
 	w.Evacuated = map[string]bool{"z": true}
 	p.UpdateClusterState(5*time.Second, w)
 	w.Evacuated, w.ZoneChanges, w.ListCoversSeq = nil, map[string]uint64{"z": 7}, 6
 	p.UpdateClusterState(back, w)
-	if !p.servers["s0"].unproven {
+	if !p.servers["s0"].warmUp.awaitsNewerList {
 		t.Error("not paced though the list cannot tell")
 	}
-	w = f.world(0, 1, 1700*time.Millisecond)
+	w = f.state(0, 1, 1700*time.Millisecond)
 	w.ZoneChanges, w.ListCoversSeq = map[string]uint64{"z": 7}, 7
 	w.Servers[0].WarmUpMin = time.Second
 	p.UpdateClusterState(back+500*time.Millisecond, w)
-	if coldEndKept.Violations() != before {
+	if warmUpEndInvariant.Violations() != before {
 		t.Error("counted as a fault")
 	}
 }
 
-// TestColdAgainBeforeItsEndIsNoViolation: 500 ms before its cold state ends a server turns cold anew, which the list shows 900 ms
+// TestWarmUpAgainBeforeItsEndIsNoViolation: 500 ms before its cold state ends a server turns cold anew, which the list shows 900 ms
 // later. No proxy can know it when the first state ends.
-func TestColdAgainBeforeItsEndIsNoViolation(t *testing.T) {
-	const again, told = coldFor - 500*time.Millisecond, coldFor + 400*time.Millisecond
-	f := newColdFleet(1)
+func TestWarmUpAgainBeforeItsEndIsNoViolation(t *testing.T) {
+	const again, told = warmUpDuration - 500*time.Millisecond, warmUpDuration + 400*time.Millisecond
+	f := newWarmUpFleet(1)
 	p := f.pickers[0]
-	before := coldEndKept.Violations()
-	p.UpdateClusterState(0, f.world(0, 1, coldFor))
-	f.press(0, told, 10*time.Millisecond, nil)
-	w := f.world(0, 1, again+coldFor-told)
+	before := warmUpEndInvariant.Violations()
+	p.UpdateClusterState(0, f.state(0, 1, warmUpDuration))
+	f.sendAll(0, told, 10*time.Millisecond, nil)
+	w := f.state(0, 1, again+warmUpDuration-told)
 	w.Servers[0].WarmUpMin = w.Servers[0].WarmUpMax
 	p.UpdateClusterState(told, w)
-	if coldEndKept.Violations() != before {
+	if warmUpEndInvariant.Violations() != before {
 		t.Error("counted as a fault")
 	}
 }
@@ -96,32 +98,32 @@
 // TestUpdateThatComesLateIsNoViolation: a server's cold state ends at 3 s; an update made at 2.9 s, which tells the remaining 100 ms
 // rightly, is used at 3.2 s, after the first request that took the server for warm.
 func TestUpdateThatComesLateIsNoViolation(t *testing.T) {
-	f := newColdFleet(1)
+	f := newWarmUpFleet(1)
 	p := f.pickers[0]
-	before := coldEndKept.Violations()
-	p.UpdateClusterState(0, f.world(0, 1, coldFor))
-	f.press(0, coldFor+200*time.Millisecond, 10*time.Millisecond, nil)
-	w := f.world(0, 1, 100*time.Millisecond)
+	before := warmUpEndInvariant.Violations()
+	p.UpdateClusterState(0, f.state(0, 1, warmUpDuration))
+	f.sendAll(0, warmUpDuration+200*time.Millisecond, 10*time.Millisecond, nil)
+	w := f.state(0, 1, 100*time.Millisecond)
 	w.Servers[0].WarmUpMin, w.Age = w.Servers[0].WarmUpMax, 300*time.Millisecond
-	p.UpdateClusterState(coldFor+200*time.Millisecond, w)
-	if coldEndKept.Violations() != before || p.servers["s0"].cold(coldFor+200*time.Millisecond) {
+	p.UpdateClusterState(warmUpDuration+200*time.Millisecond, w)
+	if warmUpEndInvariant.Violations() != before || p.servers["s0"].warmingUp(warmUpDuration+200*time.Millisecond) {
 		t.Error("counted as a fault, or cold once more")
 	}
 }
 
-// TestStallIsNoColdState: a server that was paced as cold after a stall only, and turns cold later, was never taken for one whose cold
+// TestStallIsNoWarmUp: a server that was paced as cold after a stall only, and turns cold later, was never taken for one whose cold
 // state is over.
-func TestStallIsNoColdState(t *testing.T) {
+func TestStallIsNoWarmUp(t *testing.T) {
 	const woke = 10 * time.Second
 	p, f := stalledPicker(woke)
-	before := coldEndKept.Violations()
-	p.UpdateClusterState(woke+50*time.Millisecond, f.world(0, 1, 0))
+	before := warmUpEndInvariant.Violations()
+	p.UpdateClusterState(woke+50*time.Millisecond, f.state(0, 1, 0))
 	f.pickers = f.pickers[:1]
-	f.press(woke+50*time.Millisecond, woke+100*time.Millisecond, 10*time.Millisecond, nil)
-	w := f.world(0, 1, 2900*time.Millisecond)
+	f.sendAll(woke+50*time.Millisecond, woke+100*time.Millisecond, 10*time.Millisecond, nil)
+	w := f.state(0, 1, 2900*time.Millisecond)
 	w.Servers[0].WarmUpMin = w.Servers[0].WarmUpMax
 	p.UpdateClusterState(woke+100*time.Millisecond, w)
-	if coldEndKept.Violations() != before || len(f.sent) == 0 {
+	if warmUpEndInvariant.Violations() != before || len(f.sent) == 0 {
 		t.Errorf("counted as a fault, with %d requests", len(f.sent))
 	}
 }
--- a/internal/system/proxy/pick/picker.go
+++ b/internal/system/proxy/pick/picker.go
@@ -1,326 +1,93 @@
 package pick
 
 import (
-	"slices"
-	"time"
-
-	"github.com/cespare/xxhash/v2"
-
 	"gradeusher.example/gradeusher/internal/system/config"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick/rotation"
 )
 
-// Settings are what a Picker is made with. They never change in its life.
-type Settings struct {
-	Zone, Region string            // of this proxy
-	Regions      map[string]string // zone to region, for servers whose Region is empty
-
-	RetryRatio  float64       // repeats for each request that all proxies together may make; 0: none
-	RetryWindow time.Duration // the span in which they are counted; default 10 s
-	RetrySlack  float64       // repeats that all proxies together may make beside the ratio
+// ownRegion is the index of this proxy's region.
+const ownRegion = 0
 
-	WarmUpExcess, WarmUpSlack float64 // the bound on a cold server in any second is its rate × ColdExcess + ColdSlack
+// Picker decides for one proxy. It is not safe for concurrent use: the caller locks. The zero value is not usable; make it with New.
+type Picker struct {
+	settings  Settings
+	state     ClusterState
+	hasState  bool // UpdateClusterState was called
+	startedAt Time // when it was called first
+	fleet     fleetView
+	network   network
+	regions   regionTable
+
+	servers     map[string]*server // by id
+	groups      map[string]*group  // by service
+	rotations   rotation.Table
+	attempts    attemptTable
+	prefixes    *prefixcache.Index
+	prefillRate prefillRate
+	warmUps     warmUpPacer
+	peerLoadsAt Time // of the last UpdatePeerLoads
+	stats       Stats
 
-	Seed               uint64        // of the rotation's starting points
-	CrossRegionLatency time.Duration // one way to another region; default 40 ms
-	CrossZoneLatency   time.Duration // one way to another zone of the region; default 1 ms
-	PrefillRate        float64       // prompt tokens that a model server reads in a millisecond, before it is learned; default 50
-	StepTime           time.Duration // one decoding step of a model server; default 6 ms
+	scratch scratch
 }
 
-// Picker decides for one proxy. It is not safe for concurrent use: the caller locks. The zero value is not usable.
-type Picker struct {
-	set         Settings
-	world       ClusterState
-	started     Time
-	known       bool // SetWorld was called
-	servers     map[string]*server
-	groups      map[string]*group // by service
-	rotations   map[*config.Route]*rotation
-	regions     map[string]int // small numbers for regions; 0 is this proxy's own
-	names       []string       // of the regions, by number
-	sends       map[uint64]*send
-	free        *send // sends to be used again
-	ticket      uint64
-	costs       []cost // scratch, one for each server of the group that is looked at
-	prompt      chain  // scratch, of the request that is looked at
-	weigher     weigher
-	peers       peerCount
-	peersAt     Time // when the live proxies last changed
-	zoneChanges zoneChanges
-	staleSince  Time // when it last became Stale
-	resumed     Time // when this proxy was last Stale, Partial or stalled
-	stalled     bool // it stood still, and has not heard from a keeper since
-	stalledAt   Time // the end of its last stall
-	othersAt    Time // of the last SetLoads
-	beliefs     beliefs
-	rate        rateEstimate
-	stats       Stats
-	fixedLane   float64 // of tests: lanes have this share whatever is observed; 0: by the work
+// scratch is memory that each call uses anew.
+type scratch struct {
+	costs     []cost // of the servers of the group that is looked at
+	prompt    prefixcache.Chain
+	input     pickInput
+	costModel costModel
+	lookup    prefixcache.Lookup
 }
 
 // Stats count what a Picker has done since it was made. They only rise.
 type Stats struct {
-	WarmUpStarts uint64 // servers that turned cold or may have, as far as this proxy knows
-	WarmUpSends  uint64 // requests chosen for a server that this proxy took for cold
-	WarmUpEnds   uint64 // first requests chosen for such a server once this proxy took it for warm
+	WarmUpStarts uint64 // servers that began to warm up or may have, as far as this proxy knows
+	WarmUpSends  uint64 // requests chosen for a server that warmed up, as far as this proxy knew
+	WarmUpEnds   uint64 // first requests chosen for such a server as a warm one
 }
 
-// Stats gives the counts as they are now.
+// Stats are the counts as they are now.
 func (p *Picker) Stats() Stats { return p.stats }
 
-// New makes a Picker that knows no world yet: it refuses all until SetWorld.
-func New(s Settings) *Picker {
-	if s.RetryWindow <= 0 {
-		s.RetryWindow = 10 * time.Second
-	}
-	if s.CrossRegionLatency <= 0 {
-		s.CrossRegionLatency = 40 * time.Millisecond
-	}
-	if s.CrossZoneLatency <= 0 {
-		s.CrossZoneLatency = time.Millisecond
-	}
-	if s.PrefillRate <= 0 {
-		s.PrefillRate = 50
-	}
-	if s.StepTime <= 0 {
-		s.StepTime = 6 * time.Millisecond
-	}
-	return &Picker{
-		set:         s,
+// New makes a Picker that knows no cluster state yet: it rejects all requests until UpdateClusterState.
+func New(settings Settings) *Picker {
+	settings.setDefaults()
+	p := &Picker{
+		settings:    settings,
+		network:     network{settings.Zone, settings.CrossRegionLatency, settings.CrossZoneLatency},
+		regions:     newRegionTable(settings.Region),
 		servers:     map[string]*server{},
-		zoneChanges: zoneChanges{},
 		groups:      map[string]*group{},
-		rotations:   map[*config.Route]*rotation{},
-		regions:     map[string]int{s.Region: 0},
-		names:       []string{s.Region},
-		sends:       map[uint64]*send{},
-		beliefs:     newBeliefs(),
-		rate:        rateEstimate{value: s.PrefillRate},
-	}
-}
-
-// UpdateClusterState replaces what is known of configuration, servers, zones and proxies. Servers whose id stays keep what was
-// learned of them.
-func (p *Picker) UpdateClusterState(now Time, w ClusterState) {
-	if !p.known {
-		p.known, p.started = true, now
-	}
-	reconfigured := p.world.Config != w.Config
-	if !slices.Equal(p.world.Peers, w.Peers) || p.world.MembershipIncomplete != w.MembershipIncomplete {
-		p.peersAt = now
-	}
-	before := p.world
-	p.world = w
-	p.zoneChanges.note(now, w.ZoneChanges)
-	p.peers.set(now, len(w.Peers)+w.DownCount)
-	if w.Stale && !before.Stale {
-		p.staleSince = now
-	}
-	heard := p.stalled && p.heardSince(now, p.stalledAt)
-	if heard {
-		p.stalled = false
-	}
-	if before.Stale && !w.Stale || before.MembershipIncomplete && !w.MembershipIncomplete || heard {
-		p.resumed = now
-	}
-
-	listed := make(map[string]*server, len(w.Servers))
-	for _, g := range p.groups {
-		g.servers, g.service = g.servers[:0], nil
-	}
-	for i := range w.Servers {
-		told := &w.Servers[i]
-		if listed[told.ID] != nil {
-			continue // an id that is listed twice is one server
-		}
-		s := p.servers[told.ID]
-		if s == nil || s.Service != told.Service || s.Address != told.Address {
-			if s != nil {
-				p.beliefs.drop(s)
-			}
-			s = &server{speed: 1, hash: xxhash.Sum64String(told.ID)}
-		}
-		p.list(now, s, *told)
-		listed[told.ID] = s
-	}
-	for id, s := range p.servers {
-		if listed[id] != s {
-			p.beliefs.drop(s)
-		}
-	}
-	p.servers = listed
-	if w.Config != nil {
-		for name, sv := range w.Config.Services {
-			p.group(name).service = sv
-		}
-	}
-	for name, g := range p.groups {
-		p.lay(now, g)
-		if len(g.servers) == 0 && (w.Config == nil || w.Config.Services[name] == nil) {
-			delete(p.groups, name)
-		}
-	}
-	if reconfigured {
-		p.reroute()
-	}
-}
-
-// list takes what the platform's list tells of one server.
-func (p *Picker) list(now Time, s *server, told Server) {
-	if told.Region == "" {
-		told.Region = p.set.Regions[told.Zone]
-	}
-	s.Server = told
-	s.WarmUpMax = max(0, s.WarmUpMax-p.world.Age)
-	s.WarmUpMin = max(0, s.WarmUpMin-p.world.Age)
-	s.region = p.regionNumber(told.Region)
-	p.listCold(now, s)
-	if s.gone && now-s.goneAt > goneTime {
-		s.gone = false
-	}
-	held := s.holder
-	s.holder = p.holderOf(s)
-	switch {
-	case !s.listed:
-		s.holderSince = p.peersAt // its holders are those that these peers name, once all know them
-	case !held:
-		s.holderSince = now
-	}
-	s.listed = true
-	g := p.group(told.Service)
-	s.group = g
-	g.servers = append(g.servers, s)
-}
-
-// regionNumber gives a small number to a region, stable for the Picker's life.
-func (p *Picker) regionNumber(name string) int {
-	n, ok := p.regions[name]
-	if !ok {
-		n = len(p.regions)
-		p.regions[name] = n
-		p.names = append(p.names, name)
-	}
-	return n
-}
-
-func (p *Picker) group(service string) *group {
-	g := p.groups[service]
-	if g == nil {
-		g = &group{name: service, cursor: int(mix(p.set.Seed^xxhash.Sum64String(service)) % 1024), serviceTime: 60, room: roomMost,
-			keptFor: DefaultIdleTimeout}
-		g.budget.window = p.set.RetryWindow
-		p.groups[service] = g
-	}
-	return g
-}
-
-// SetLoads replaces what all other proxies together have outstanding, by server id, and their demands by key.
-func (p *Picker) SetLoads(now Time, loads map[string]Load) {
-	p.othersAt = now
-	for id, s := range p.servers {
-		s.others = loads[id]
-		long := longPrompt * p.set.PrefillRate
-		if n := float64(s.others.Prefill); n >= long && n >= float64(s.others.Requests)*long/4 {
-			s.group.longAt, s.group.longSeen = now, true
-		}
-	}
-	for name, g := range p.groups {
-		if g.service == nil || g.service.Engine == nil {
-			continue
-		}
-		g.othersDemand = loads[demandKey(name)]
-		p.lay(now, g)
+		attempts:    attemptTable{byTicket: map[uint64]*attempt{}},
+		prefixes:    prefixcache.NewIndex(),
+		prefillRate: prefillRate{tokensPerMS: settings.PrefillRate},
 	}
-}
-
-// Loads tells what this proxy has outstanding, by server id, to be shared with the other proxies. The map is the caller's.
-func (p *Picker) Loads() map[string]Load {
-	m := make(map[string]Load, len(p.servers))
-	for id, s := range p.servers {
-		if s.own != (Load{}) {
-			m[id] = s.own
-		}
-	}
-	return m
-}
-
-// PromptDemands tells the prompt tokens that this proxy had read of late for long prompts (Prefill) and for short ones (Tokens), by
-// keys that no server's id equals. They are shared with the loads, and come back summed in SetLoads. The map is the caller's.
-func (p *Picker) PromptDemands() map[string]Load {
-	m := map[string]Load{}
-	for name, g := range p.groups {
-		if l := (Load{Prefill: int64(g.demand.long), Tokens: int64(g.demand.short)}); l != (Load{}) {
-			m[demandKey(name)] = l
-		}
-	}
-	return m
+	p.warmUps = warmUpPacer{settings: &p.settings, state: &p.state, fleet: &p.fleet, stats: &p.stats, zoneChanges: zoneChanges{}}
+	return p
 }
 
 // Route finds the rule for a request: of the host's routes the one with the longest prefix of the path; nil: none.
 func (p *Picker) Route(host, path string) *config.Route {
-	if p.world.Config == nil {
+	if p.state.Config == nil {
 		return nil
 	}
-	return p.world.Config.Match(host, path)
+	return p.state.Config.Match(host, path)
 }
 
-// Arrive counts a client's request for its services' budget of repeats. Call it once for each request that was read.
-func (p *Picker) Arrive(now Time, r *Request) {
+// RecordRequest counts a client's request for its services' retry budgets. Call it once for each request that was read.
+func (p *Picker) RecordRequest(now Time, r *Request) {
 	total := 0.0
-	for _, s := range r.Route.Shares {
-		total += s.Weight
+	for _, share := range r.Route.Shares {
+		total += share.Weight
 	}
 	if total <= 0 {
 		return
 	}
-	for _, s := range r.Route.Shares {
-		if s.Weight > 0 {
-			p.group(s.Service).budget.request(now, s.Weight/total)
+	for _, share := range r.Route.Shares {
+		if share.Weight > 0 {
+			p.group(share.Service).budget.RecordRequest(now, share.Weight/total)
 		}
 	}
 }
-
-// hashOf is the rendezvous weight of a peer for a key.
-func hashOf(key uint64, peer string) uint64 { return mix(key ^ xxhash.Sum64String(peer)) }
-
-// mix is the finalizer of splitmix64: it spreads the bits of x.
-func mix(x uint64) uint64 {
-	x ^= x >> 30
-	x *= 0xbf58476d1ce4e5b9
-	x ^= x >> 27
-	x *= 0x94d049bb133111eb
-	return x ^ x>>31
-}
-
-// peerCount holds the highest number of proxies of the last while: when some seem to be gone, they may be cut off and
-// still use their part, so the others' parts do not grow at once.
-type peerCount struct {
-	now, high int
-	highAt    Time
-}
-
-// peerMemory is how long a proxy that is no longer listed still counts for the parts of the others.
-const peerMemory = 30 * time.Second
-
-func (c *peerCount) set(now Time, n int) {
-	if c.now >= c.high {
-		c.highAt = now // the highest number held until now
-	}
-	c.now = max(n, 1)
-	if c.now >= c.high || now-c.highAt > peerMemory {
-		c.high, c.highAt = c.now, now
-	}
-}
-
-// count is the number of proxies that parts are cut for.
-func (c *peerCount) count() int { return max(c.high, 1) }
-
-// sortedIDs lists the known servers, for output that does not change from call to call.
-func (p *Picker) sortedIDs() []string {
-	ids := make([]string, 0, len(p.servers))
-	for id := range p.servers {
-		ids = append(ids, id)
-	}
-	slices.Sort(ids)
-	return ids
-}
