--- /dev/null
+++ b/internal/system/proxy/pick/warmup_partition_test.go
@@ -0,0 +1,206 @@
+package pick
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"gradeusher.example/gradeusher/internal/system/config"
+)
+
+// TestReturningSendersWait: holders of a cold server were given up, stopped as they were stale, and hear from a keeper again.
+// Those in their places go on until they have heard of it.
+func TestReturningSendersWait(t *testing.T) {
+	for _, count := range []int{6, 9, 17} {
+		for _, hear := range []time.Duration{100 * time.Millisecond, 300 * time.Millisecond, time.Second, 1600 * time.Millisecond} {
+			for _, idle := range []bool{false, true} {
+				t.Run(fmt.Sprint(count, hear, idle), func(t *testing.T) {
+					run := newReturnRun(count, hear)
+					run.play(idle)
+					run.fleet.checkBound(t)
+				})
+			}
+		}
+	}
+}
+
+// returnRun is a fleet some of whose senders are given up, and come back.
+type returnRun struct {
+	fleet *warmUpFleet
+	lost  map[int]bool  // senders that are given up
+	left  []string      // the other proxies
+	hear  time.Duration // from when the lost ones are in contact again until the others learn of it
+}
+
+const returnGivenUp, returnStale, returnBack = 2 * time.Second, 3600 * time.Millisecond, 8 * time.Second
+
+func newReturnRun(count int, hear time.Duration) *returnRun {
+	run := &returnRun{fleet: newWarmUpFleet(60), hear: hear}
+	run.lost, run.left = run.fleet.splitSenders(count)
+	return run
+}
+
+// play runs the load from the start, or, with idle, from when the lost ones come back.
+func (run *returnRun) play(idle bool) {
+	loadFrom := Time(0)
+	if idle {
+		for now := Time(0); now < returnBack; now += 10 * time.Millisecond {
+			run.updateStates(now)
+		}
+		loadFrom = returnBack
+	}
+	run.fleet.sendAll(loadFrom, returnBack+3*time.Second, 10*time.Millisecond, run.updateStates)
+}
+
+func (run *returnRun) updateStates(now Time) {
+	for i, p := range run.fleet.pickers {
+		state := run.fleet.state(i, 1, time.Minute-now)
+		switch lost := run.lost[i]; {
+		case now == returnGivenUp && !lost:
+			state.Peers = run.left
+		case now == returnStale && lost:
+			state.Stale = true
+		case now == returnBack && lost:
+		case now == returnBack+run.hear && !lost:
+		default:
+			continue
+		}
+		p.UpdateClusterState(now, state)
+	}
+}
+
+// TestPartitionedFleetKeepsTheRate: the keepers' net is cut for over 30 s. On both sides proxies hear of the list, as either side reads
+// it, and reach the servers; then one starts cold.
+func TestPartitionedFleetKeepsTheRate(t *testing.T) {
+	for _, minority := range []int{1, 3, 6, 8, 9, 11} {
+		t.Run(fmt.Sprint(minority), func(t *testing.T) {
+			f := newWarmUpFleet(12)
+			world := func(i, servers int, cold time.Duration) ClusterState {
+				w := f.state(i, servers, cold)
+				if i < minority {
+					w.Peers, w.Stale = f.names[:minority], true
+				} else {
+					w.Peers = f.names[minority:]
+				}
+				return w
+			}
+			for i, p := range f.pickers {
+				p.UpdateClusterState(0, f.state(i, 0, 0))
+				p.UpdateClusterState(time.Second, world(i, 0, 0))
+			}
+			const starts = 40 * time.Second
+			for i, p := range f.pickers {
+				p.UpdateClusterState(starts, world(i, 1, warmUpDuration))
+			}
+			f.sendAll(starts, starts+warmUpDuration, 10*time.Millisecond, nil)
+			f.checkBound(t)
+		})
+	}
+}
+
+// TestUnseenWarmUpIsNoViolation: a server turns cold anew 200 ms before the first request goes to it as to a warm one, which no reading
+// can show by then (PROTOCOL: it may become cold again at any moment). The state before had ended 1.8 s earlier.
+func TestUnseenWarmUpIsNoViolation(t *testing.T) {
+	const again, request, told = 4800 * time.Millisecond, 5 * time.Second, 5600 * time.Millisecond
+	f := newWarmUpFleet(1)
+	p := f.pickers[0]
+	before := warmUpEndInvariant.Violations()
+	p.UpdateClusterState(0, f.state(0, 1, warmUpDuration))
+	f.sendAll(0, warmUpDuration, 10*time.Millisecond, nil)
+	f.sendAll(request, request+10*time.Millisecond, 10*time.Millisecond, nil)
+	w := f.state(0, 1, again+warmUpDuration-told)
+	w.Servers[0].WarmUpMin = w.Servers[0].WarmUpMax
+	p.UpdateClusterState(told, w)
+	if warmUpEndInvariant.Violations() != before {
+		t.Error("counted as a fault")
+	}
+}
+
+// TestRateChangedForAMomentIsNoViolation: the configuration names a higher cold_per_s for a moment and is put back, while requests went
+// elsewhere; what was saved up under it is no more than one request.
+func TestRateChangedForAMomentIsNoViolation(t *testing.T) {
+	f := newWarmUpFleet(1)
+	p := f.pickers[0]
+	before := warmUpRateInvariant.Violations()
+	tell := func(now Time, rate float64) {
+		w := f.state(0, 1, 10*time.Second-now)
+		w.Config = &config.Config{Routes: f.config.Routes, Services: map[string]*config.Service{"a": {Name: "a", WarmUpRate: rate, WarmUpTime: 10 * time.Second}}}
+		p.UpdateClusterState(now, w)
+	}
+	tell(0, 3.1)
+	f.sendAll(0, 2910*time.Millisecond, 10*time.Millisecond, nil) // the last goes at 2.9 s
+	n := f.sent[len(f.sent)-1]
+	tell(n+10*time.Millisecond, 310)
+	p.eligibility(&pickInput{now: n + 20*time.Millisecond}, p.servers["s0"]) // it is looked at, and the request goes to another
+	tell(n+30*time.Millisecond, 3.1)
+	f.sendAll(n+40*time.Millisecond, n+2*time.Second, 10*time.Millisecond, nil)
+	if warmUpRateInvariant.Violations() != before {
+		t.Error("counted as a fault")
+	}
+}
+
+// TestCompleteMembershipWaits: proxies that knew a server while partial learn their peers at different times.
+func TestCompleteMembershipWaits(t *testing.T) {
+	for _, hear := range []time.Duration{300 * time.Millisecond, time.Second, 1600 * time.Millisecond} {
+		for _, back := range []int{6, 9, 17} {
+			t.Run(fmt.Sprint(hear, back), func(t *testing.T) { testCompleteMembershipWaits(t, hear, back) })
+		}
+	}
+}
+
+// testCompleteMembershipWaits has back senders start anew at 0 without the control plane, and reach it at ends; the others learn of it later.
+func testCompleteMembershipWaits(t *testing.T, hear time.Duration, back int) {
+	const ends = 4 * time.Second
+	fleet := newWarmUpFleet(60)
+	lost, left := fleet.splitSenders(back)
+	for i, p := range fleet.pickers {
+		state := fleet.state(i, 1, time.Minute)
+		if lost[i] {
+			fleet.pickers[i] = New(p.settings)
+			state.MembershipIncomplete, state.Stale = true, true
+			fleet.pickers[i].UpdateClusterState(0, state)
+			continue
+		}
+		state.Peers = left
+		p.UpdateClusterState(0, state)
+	}
+	fleet.sendAll(ends, ends+3*time.Second, 10*time.Millisecond, func(now Time) {
+		for i, p := range fleet.pickers {
+			if now == ends && lost[i] || now == ends+hear && !lost[i] {
+				p.UpdateClusterState(now, fleet.state(i, 1, time.Minute))
+			}
+		}
+	})
+	fleet.checkBound(t)
+}
+
+// TestStaleMinorityOfSeventeenSends: a fleet of more than 17 is split for some seconds, until either side has marked the other down. The
+// smaller one is stale, and hears of a new server from its own keeper.
+func TestStaleMinorityOfSeventeenSends(t *testing.T) {
+	for _, c := range []struct{ all, minority int }{{93, 15}, {93, 17}, {93, 20}, {30, 14}, {24, 8}, {20, 5}} {
+		t.Run(fmt.Sprint(c), func(t *testing.T) {
+			f := newWarmUpFleet(c.all)
+			for i, p := range f.pickers {
+				p.UpdateClusterState(0, f.state(i, 0, 0))
+			}
+			world := func(i, servers int, cold time.Duration) ClusterState {
+				w := f.state(i, servers, cold)
+				if i < c.minority {
+					w.Peers, w.Stale = f.names[:c.minority], true
+				} else {
+					w.Peers = f.names[c.minority:]
+				}
+				return w
+			}
+			const split, starts = 5 * time.Second, 10 * time.Second
+			for i, p := range f.pickers {
+				p.UpdateClusterState(split, world(i, 0, 0))
+			}
+			for i, p := range f.pickers {
+				p.UpdateClusterState(starts, world(i, 1, warmUpDuration))
+			}
+			f.sendAll(starts+800*time.Millisecond, starts+warmUpDuration, 10*time.Millisecond, nil)
+			f.checkBound(t)
+		})
+	}
+}
--- /dev/null
+++ b/internal/system/proxy/pick/warmup_quota_test.go
@@ -0,0 +1,170 @@
+package pick
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"gradeusher.example/gradeusher/internal/system/config"
+)
+
+// warmUpFleet is proxies that press upon servers with all they may. Its servers are of one service, named s0, s1, ...
+type warmUpFleet struct {
+	config  *config.Config
+	names   []string
+	pickers []*Picker
+	sent    []Time // to s0
+}
+
+func newWarmUpFleet(proxies int) *warmUpFleet {
+	f := &warmUpFleet{config: &config.Config{Services: map[string]*config.Service{"a": {Name: "a", WarmUpRate: 31, WarmUpTime: warmUpDuration}}}}
+	f.config.Routes = []*config.Route{{Host: "h", Prefix: "/", MaxTries: 2, Category: config.Idempotent, Shares: []config.Share{{Service: "a", Weight: 1}}}}
+	for i := range proxies {
+		f.names = append(f.names, fmt.Sprintf("p%02d", i))
+		f.pickers = append(f.pickers, New(Settings{Zone: "z", Region: "r", WarmUpExcess: 1.5, WarmUpSlack: 5, RetryRatio: 0.2,
+			RetrySlack: 64}))
+	}
+	return f
+}
+
+// state is what proxy i knows of servers that stay cold for that long.
+func (f *warmUpFleet) state(i int, servers int, cold time.Duration) ClusterState {
+	w := ClusterState{Config: f.config, Self: f.names[i], Peers: f.names}
+	for s := range servers {
+		w.Servers = append(w.Servers, Server{ID: fmt.Sprint("s", s), Service: "a", Zone: "z", Slots: 1000, WarmUpMax: cold})
+	}
+	return w
+}
+
+// sendAll has every proxy ask for a server again and again, and calls each before every step.
+func (f *warmUpFleet) sendAll(from, to, step time.Duration, each func(now Time)) {
+	for now := from; now < to; now += step {
+		if each != nil {
+			each(now)
+		}
+		for _, p := range f.pickers {
+			c := p.Pick(now, &Request{Route: f.config.Routes[0], TimeLeft: time.Second}, nil, false)
+			if c.Verdict != Send {
+				continue
+			}
+			if c.Server.ID == "s0" {
+				f.sent = append(f.sent, now)
+			}
+			p.Done(now, c.Ticket, Served, 0)
+		}
+	}
+}
+
+// splitSenders has all proxies know a cold server, and names some that hold it, by number, and all the others.
+func (f *warmUpFleet) splitSenders(count int) (lost map[int]bool, left []string) {
+	lost = map[int]bool{}
+	for i, p := range f.pickers {
+		p.UpdateClusterState(0, f.state(i, 1, time.Minute))
+		if p.servers["s0"].warmUp.isSender && len(lost) < count {
+			lost[i] = true
+		} else {
+			left = append(left, f.names[i])
+		}
+	}
+	return lost, left
+}
+
+func (f *warmUpFleet) checkBound(t *testing.T) {
+	t.Helper()
+	if most := maxInASecond(f.sent); float64(most) > maxWarmUpRequests {
+		t.Errorf("%d requests in a second, of %v", most, maxWarmUpRequests)
+	}
+}
+
+// TestQuietTimeKeepsQuotasSmall: nothing changes for 31 s, then 9 of 12 proxies lose the keepers, but not the server. Danger: the
+// others' parts grow at once though the 9 go on.
+func TestQuietTimeKeepsQuotasSmall(t *testing.T) {
+	f := newWarmUpFleet(12)
+	for i, p := range f.pickers {
+		p.UpdateClusterState(0, f.state(i, 1, time.Minute))
+	}
+	for i, p := range f.pickers[:3] {
+		w := f.state(i, 1, 29*time.Second)
+		w.Peers = f.names[:3]
+		p.UpdateClusterState(31*time.Second, w)
+	}
+	f.sendAll(31*time.Second, 34*time.Second, 10*time.Millisecond, nil)
+	f.checkBound(t)
+}
+
+// TestIncompleteMembershipSendsNothing: all processes start anew, and each half of them knows only itself as the keepers' tables are not
+// whole yet. Danger: either half takes the whole pace, and each proxy a part of the repeats that is too large.
+func TestIncompleteMembershipSendsNothing(t *testing.T) {
+	f := newWarmUpFleet(12)
+	for i, p := range f.pickers {
+		w := f.state(i, 1, time.Minute)
+		w.Peers, w.MembershipIncomplete = f.names[i/6*6:i/6*6+6], true
+		p.UpdateClusterState(0, w)
+		if got := p.retrySlack(); got > 0 {
+			t.Errorf("%v repeats beside the ratio, of a number that is not known", got)
+		}
+	}
+	f.sendAll(0, 4*time.Second, 10*time.Millisecond, nil)
+	if len(f.sent) > 0 {
+		t.Errorf("%d requests to a cold server whose holders are not known", len(f.sent))
+	}
+	for i, p := range f.pickers {
+		p.UpdateClusterState(4*time.Second, f.state(i, 1, time.Minute))
+	}
+	f.sendAll(4*time.Second, 8*time.Second, 10*time.Millisecond, nil)
+	f.checkBound(t)
+	if len(f.sent) == 0 {
+		t.Error("nothing went to a cold server whose holders are known")
+	}
+}
+
+// TestReplacedSendersStop: of 60 proxies some that hold a cold server are given up by the others, which take their places, while
+// they live on. They stop once they are stale.
+func TestReplacedSendersStop(t *testing.T) {
+	const givenUp, stale = 2 * time.Second, 1600 * time.Millisecond
+	for _, count := range []int{3, 4, 6, 9, 17} {
+		t.Run(fmt.Sprint(count), func(t *testing.T) {
+			f := newWarmUpFleet(60)
+			lost, left := f.splitSenders(count)
+			f.sendAll(0, 8*time.Second, 10*time.Millisecond, func(now Time) {
+				for i, p := range f.pickers {
+					w := f.state(i, 1, time.Minute-now)
+					switch {
+					case now == givenUp && !lost[i]:
+						w.Peers = left
+						p.UpdateClusterState(now, w)
+					case now == givenUp+stale && lost[i]:
+						w.Stale = true
+						p.UpdateClusterState(now, w)
+					}
+				}
+			})
+			f.checkBound(t)
+		})
+	}
+}
+
+// TestNewServerHasSendersAtOnce: where the proxies have long known each other, a server that starts cold gets its pace from the
+// beginning; a proxy that has just come waits.
+func TestNewServerHasSendersAtOnce(t *testing.T) {
+	f := newWarmUpFleet(12)
+	for i, p := range f.pickers {
+		p.UpdateClusterState(0, f.state(i, 0, 0))
+	}
+	const starts = 10 * time.Second
+	for i, p := range f.pickers {
+		p.UpdateClusterState(starts, f.state(i, 1, warmUpDuration))
+	}
+	f.sendAll(starts, starts+time.Second, 10*time.Millisecond, nil)
+	f.checkBound(t)
+	if len(f.sent) < 20 {
+		t.Errorf("%d requests in the first second, of a pace of 26", len(f.sent))
+	}
+	late := newWarmUpFleet(12)
+	late.pickers = late.pickers[:1]
+	late.pickers[0].UpdateClusterState(starts, late.state(0, 1, warmUpDuration))
+	late.sendAll(starts, starts+newSenderDelay-10*time.Millisecond, 10*time.Millisecond, nil)
+	if len(late.sent) > 0 {
+		t.Errorf("%d requests of a proxy that has just come", len(late.sent))
+	}
+}
--- /dev/null
+++ b/internal/system/proxy/pools.go
@@ -0,0 +1,314 @@
+package proxy
+
+import (
+	"bufio"
+	"context"
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"gradeusher.example/gradeusher/internal/framing"
+	"gradeusher.example/gradeusher/internal/system/config"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+)
+
+const (
+	sameRegionDialTimeout  = 250 * time.Millisecond
+	crossRegionDialTimeout = 600 * time.Millisecond
+	// minIdleTimeout is the least time for which connections to servers may be idle.
+	minIdleTimeout = 250 * time.Millisecond
+	// minIdleConns is the least bound of idle connections to a server, whatever the number of proxies.
+	minIdleConns = 4
+	// sweepInterval is how often connections are looked for that have been idle for too long.
+	sweepInterval = 2 * time.Second
+	// maxHeadBytes bounds the heads of requests and responses; net/http reads a little more than maxRequestHeadBytes.
+	maxHeadBytes      = maxRequestHeadBytes + 8<<10
+	readerBufferBytes = 4 << 10
+)
+
+var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readerBufferBytes) }}
+
+// connectFunc opens a connection to an address within a timeout.
+type connectFunc func(ctx context.Context, address string, timeout time.Duration) (net.Conn, error)
+
+// upstreamPools owns the connections to servers, in a pool for each incarnation of a server. It is safe for concurrent use.
+type upstreamPools struct {
+	start              time.Time // moments are durations after it
+	connect            connectFunc
+	sameRegionTimeout  time.Duration // of a dial within the proxy's region
+	crossRegionTimeout time.Duration // of a dial to another region
+	region             string        // the proxy's own
+	regionOfZone       map[string]string
+	counters           *Counters
+	knobs              TestingKnobs
+
+	mu           sync.Mutex
+	pools        map[string]*serverPool   // by server id
+	idleTimeouts map[string]time.Duration // by service: for how long its servers keep idle connections, halved
+	maxIdleConns map[string]int           // by service: of one server
+	sweepTimer   *time.Timer              // nil: no connection is idle
+}
+
+// serverPool is the connections to one incarnation of a server.
+type serverPool struct {
+	id, service, address string
+	crossRegion          bool
+	lastContact          atomic.Int64 // when bytes last came from the server; nanoseconds after upstreamPools.start
+
+	// Under the lock of upstreamPools.
+	removed bool          // the server is no longer listed
+	idle    []*serverConn // the most recently used last
+}
+
+// serverConn is a connection to a server. One attempt owns it, or its pool.
+type serverConn struct {
+	*framing.ServerConn
+	tcp           *net.TCPConn  // nil where a test connects by a pipe
+	fresh         bool          // no response has come on it
+	lastAttemptID string        // of the request that was answered last on it
+	idleSince     time.Duration // after upstreamPools.start
+}
+
+func newUpstreamPools(settings pick.Settings, counters *Counters) *upstreamPools {
+	return &upstreamPools{
+		start:              time.Now(),
+		connect:            dialTCP,
+		sameRegionTimeout:  sameRegionDialTimeout,
+		crossRegionTimeout: crossRegionDialTimeout,
+		region:             settings.Region,
+		regionOfZone:       settings.Regions,
+		counters:           counters,
+		pools:              map[string]*serverPool{},
+		idleTimeouts:       map[string]time.Duration{},
+		maxIdleConns:       map[string]int{},
+	}
+}
+
+// now is the monotonic time since start.
+func (u *upstreamPools) now() time.Duration { return time.Since(u.start) }
+
+// applyUpdate replaces the servers and the configuration. Danger: idle connections to a server that is gone swallow the next
+// requests, so the pools of servers that are no longer listed, or have moved, are removed.
+func (u *upstreamPools) applyUpdate(state pick.ClusterState) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.removeUnlisted(state.Servers)
+	if state.Config != nil {
+		u.applyConfig(state.Config, max(len(state.Peers), 1))
+	}
+}
+
+// removeUnlisted removes the pools of servers that are not listed with their address. The caller holds the lock.
+func (u *upstreamPools) removeUnlisted(servers []pick.Server) {
+	addresses := make(map[string]string, len(servers))
+	for _, server := range servers {
+		addresses[server.ID] = server.Address
+	}
+	for id, pool := range u.pools {
+		if address, listed := addresses[id]; !listed || address != pool.address {
+			u.removePool(pool)
+		}
+	}
+}
+
+// applyConfig divides the services' connections among the proxies. The caller holds the lock.
+func (u *upstreamPools) applyConfig(config *config.Config, proxies int) {
+	for name := range u.idleTimeouts {
+		if config.Services[name] == nil {
+			delete(u.idleTimeouts, name)
+		}
+	}
+	clear(u.maxIdleConns)
+	for name, service := range config.Services {
+		u.maxIdleConns[name] = max(service.MaxConns/proxies, minIdleConns)
+	}
+}
+
+// removePool forgets a pool. Connections that are in use end with their attempts. The caller holds the lock.
+func (u *upstreamPools) removePool(pool *serverPool) {
+	pool.removed = true
+	pool.closeIdle()
+	delete(u.pools, pool.id)
+}
+
+// closeIdle closes the idle connections. The caller holds the lock.
+func (p *serverPool) closeIdle() {
+	for _, conn := range p.idle {
+		_ = conn.Close()
+	}
+	p.idle = nil
+}
+
+// poolOf returns the pool of a server.
+func (u *upstreamPools) poolOf(server pick.Server) *serverPool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if pool := u.pools[server.ID]; pool != nil {
+		return pool
+	}
+	region := server.Region
+	if region == "" {
+		region = u.regionOfZone[server.Zone]
+	}
+	pool := &serverPool{id: server.ID, service: server.Service, address: server.Address, crossRegion: region != u.region}
+	u.pools[server.ID] = pool
+	return pool
+}
+
+// idleTimeout is for how long connections to servers of a service may be idle. The caller holds the lock.
+func (u *upstreamPools) idleTimeout(service string) time.Duration {
+	if timeout := u.idleTimeouts[service]; timeout > 0 {
+		return timeout
+	}
+	return pick.DefaultIdleTimeout
+}
+
+// observeIdleTimeout records for how long servers of a service keep idle connections, as one announced or showed. Only
+// shorter times than those before count.
+func (u *upstreamPools) observeIdleTimeout(service string, kept time.Duration) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.idleTimeouts[service] = max(min(pick.IdleTimeout(kept), u.idleTimeout(service)), minIdleTimeout)
+}
+
+// takeIdle returns an idle connection that looks sound, or nil, and for how long a connection had been idle that its server
+// was found to have closed; 0: none. Danger: a surplus response to a request of the same id could not be told from the
+// response, so a connection that answered that id last is not used.
+func (u *upstreamPools) takeIdle(pool *serverPool, attemptID string) (conn *serverConn, staleAge time.Duration) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	now, maxAge := u.now(), u.idleTimeout(pool.service)
+	for len(pool.idle) > 0 {
+		conn := pool.popIdle()
+		age := now - conn.idleSince
+		if age > maxAge { // and so are all the others
+			_ = conn.Close()
+			pool.closeIdle()
+			break
+		}
+		if conn.lastAttemptID == attemptID {
+			_ = conn.Close()
+			continue
+		}
+		condition := u.inspect(conn)
+		if condition == idleSound {
+			return conn, staleAge
+		}
+		if condition == idleClosed {
+			staleAge = age
+		}
+		_ = conn.Close()
+	}
+	return nil, staleAge
+}
+
+// popIdle takes the connection that was used most recently. The caller holds the lock.
+func (p *serverPool) popIdle() *serverConn {
+	last := len(p.idle) - 1
+	conn := p.idle[last]
+	p.idle[last], p.idle = nil, p.idle[:last]
+	return conn
+}
+
+// inspect looks whether an idle connection may be used, and counts those that may not.
+func (u *upstreamPools) inspect(conn *serverConn) idleCondition {
+	if u.knobs.SkipIdleInspection {
+		return idleSound
+	}
+	condition := inspectIdle(conn.tcp)
+	switch condition {
+	case idleSurplus:
+		u.counters.Surplus.Add(1)
+	case idleClosed:
+		u.counters.Stale.Add(1)
+	}
+	return condition
+}
+
+// putIdle gives a connection back on which the response to a request with that id has come completely.
+func (u *upstreamPools) putIdle(pool *serverPool, conn *serverConn, attemptID string) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	maxIdle := max(u.maxIdleConns[pool.service], minIdleConns)
+	if pool.removed || len(pool.idle) >= maxIdle {
+		_ = conn.Close()
+		return
+	}
+	conn.fresh, conn.idleSince, conn.lastAttemptID = false, u.now(), attemptID
+	pool.idle = append(pool.idle, conn)
+	if u.sweepTimer == nil {
+		u.sweepTimer = time.AfterFunc(sweepInterval, u.sweepIdle)
+	}
+}
+
+// sweepIdle closes connections that have been idle for too long, and comes again while any is idle.
+func (u *upstreamPools) sweepIdle() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	remaining, now := 0, u.now()
+	for _, pool := range u.pools {
+		pool.closeIdleBefore(now - u.idleTimeout(pool.service))
+		remaining += len(pool.idle)
+	}
+	u.sweepTimer = nil
+	if remaining > 0 {
+		u.sweepTimer = time.AfterFunc(sweepInterval, u.sweepIdle)
+	}
+}
+
+// closeIdleBefore closes the connections that have been idle since before a moment. The caller holds the lock.
+func (p *serverPool) closeIdleBefore(moment time.Duration) {
+	expired := 0
+	for expired < len(p.idle) && p.idle[expired].idleSince < moment {
+		_ = p.idle[expired].Close()
+		expired++
+	}
+	p.idle = append(p.idle[:0], p.idle[expired:]...)
+}
+
+// closeIdleUnlessContacted closes the idle connections of a server of which nothing has come since a moment. Danger: when a
+// machine vanishes, its idle connections stay open and swallow requests that may then never be sent again. A new connection
+// fails before anything is sent.
+func (u *upstreamPools) closeIdleUnlessContacted(pool *serverPool, since time.Duration) {
+	if time.Duration(pool.lastContact.Load()) >= since {
+		return
+	}
+	u.closeIdle(pool)
+}
+
+// closeIdle closes the idle connections of a server.
+func (u *upstreamPools) closeIdle(pool *serverPool) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	pool.closeIdle()
+}
+
+// close closes all idle connections, and those that come back later.
+func (u *upstreamPools) close() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	for _, pool := range u.pools {
+		u.removePool(pool)
+	}
+	if u.sweepTimer != nil {
+		u.sweepTimer.Stop()
+		u.sweepTimer = nil
+	}
+}
+
+// dial opens a connection to a server before a deadline.
+func (u *upstreamPools) dial(ctx context.Context, pool *serverPool, deadline time.Time) (*serverConn, error) {
+	timeout := u.sameRegionTimeout
+	if pool.crossRegion {
+		timeout = u.crossRegionTimeout
+	}
+	u.counters.Dials.Add(1)
+	conn, err := u.connect(ctx, pool.address, min(timeout, time.Until(deadline)))
+	if err != nil {
+		u.counters.DialFailures.Add(1)
+		return nil, err
+	}
+	tcp, _ := conn.(*net.TCPConn)
+	return &serverConn{ServerConn: framing.NewServerConn(conn, maxHeadBytes), tcp: tcp, fresh: true}, nil
+}
--- a/internal/system/wal/crashmodel_test.go
+++ b/internal/system/wal/crashmodel_test.go
@@ -1,4 +1,4 @@
-package wal
+package wal_test
 
 import (
 	"fmt"
@@ -7,40 +7,44 @@
 	"slices"
 	"strings"
 	"sync/atomic"
+	"testing"
 
 	"github.com/cockroachdb/errors"
+
+	"gradeusher.example/gradeusher/internal/system/wal"
+	"gradeusher.example/gradeusher/internal/system/wal/waltest"
 )
 
 // step is one call on a Disk.
 type step struct {
-	what string
-	a, b uint64
+	method            string
+	argument, history uint64
 }
 
-func (s step) String() string { return fmt.Sprintf("%s(%d,%d)", s.what, s.a, s.b) }
+func (s step) String() string { return fmt.Sprintf("%s(%d,%d)", s.method, s.argument, s.history) }
 
-// entry makes what entry seq holds in the b-th history of the log.
-func entry(seq, b uint64) Entry {
-	return Entry{Seq: seq, Data: []byte(fmt.Sprintf("entry %d of %d %s", seq, b, strings.Repeat("x", int(seq*7%40))))}
+// makeEntry makes what makeEntry seq holds in the b-th history of the log.
+func makeEntry(seq, b uint64) wal.Entry {
+	return wal.Entry{Seq: seq, Data: []byte(fmt.Sprintf("entry %d of %d %s", seq, b, strings.Repeat("x", int(seq*7%40))))}
 }
 
-func (s step) run(d Disk, last uint64) error {
-	snapshot := Snapshot{Seq: s.a, Data: []byte(fmt.Sprintf("snapshot %d of %d", s.a, s.b))}
-	switch s.what {
+func (s step) run(disk wal.Disk, last uint64) error {
+	snapshot := wal.Snapshot{Seq: s.argument, Data: []byte(fmt.Sprintf("snapshot %d of %d", s.argument, s.history))}
+	switch s.method {
 	case "append": // a entries
-		var all []Entry
-		for i := range s.a {
-			all = append(all, entry(last+1+i, s.b))
+		var all []wal.Entry
+		for i := range s.argument {
+			all = append(all, makeEntry(last+1+i, s.history))
 		}
-		return d.Append(all)
+		return disk.Append(all)
 	case "truncate":
-		return d.Truncate(s.a)
+		return disk.Truncate(s.argument)
 	case "compact":
-		return d.Compact(snapshot)
+		return disk.Compact(snapshot)
 	case "install":
-		return d.Install(snapshot)
+		return disk.Install(snapshot)
 	case "meta":
-		return d.SaveMeta(fmt.Sprintf("m%d", s.a), []byte(fmt.Sprintf("meta %d", s.b)))
+		return disk.SaveMeta(fmt.Sprintf("m%d", s.argument), []byte(fmt.Sprintf("meta %d", s.history)))
 	}
 	return nil
 }
@@ -51,7 +55,9 @@
 	meta map[string]string
 }
 
-func look(d Disk) (view, error) {
+func (v view) equal(other view) bool { return v.log == other.log && maps.Equal(v.meta, other.meta) }
+
+func loadView(d wal.Disk) (view, error) {
 	meta, snapshot, entries, err := d.Load()
 	if err != nil {
 		return view{}, err
@@ -68,33 +74,43 @@
 	return v, nil
 }
 
-func (m *Mem) clone() *Mem {
-	return &Mem{meta: maps.Clone(m.meta), snapshot: m.snapshot, entries: slices.Clone(m.entries)}
-}
-
-// subject is a Log on a simulated disk, beside a model of what it may hold: what was acknowledged, and what calls that
+// checkedLog is a Log on a simulated disk, beside a model of what it may hold: what was acknowledged, and what calls that
 // failed since may have brought about.
-type subject struct {
-	fs        *simFS
-	log       *Log
-	model     *Mem
-	maybe     map[string]bool            // logs
-	maybeMeta map[string]map[string]bool // by name
-	trace     []string
+type checkedLog struct {
+	fs           *simFS
+	log          *wal.Log
+	model        *waltest.Mem
+	possibleLogs map[string]bool            // logs
+	possibleMeta map[string]map[string]bool // by name
+	trace        []string
 }
 
 var nonces atomic.Uint64
 
-func openSim(fs *simFS) (*Log, error) {
-	return Open(simFolder, Options{FS: fs, SegmentBytes: 200, MaxBytes: 1 << 20, ReserveBytes: 16, hooks: fs.hooks,
+func openSim(fs *simFS) (*wal.Log, error) {
+	return wal.Open(simFolder, wal.Options{FS: fs, SegmentBytes: 200, MaxBytes: 1 << 20, ReserveBytes: 16, TestingKnobs: fs.knobs,
 		Nonce: func() uint64 { return nonces.Add(1) }})
 }
 
-func newSubject(fs *simFS) *subject {
-	return &subject{fs: fs, model: NewMem(), maybe: map[string]bool{}, maybeMeta: map[string]map[string]bool{}}
+// openLoaded opens a log and loads it.
+func openLoaded(t *testing.T, folder string, options wal.Options) *wal.Log {
+	t.Helper()
+	log, err := wal.Open(folder, options)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = log.Close() })
+	if _, _, _, err := log.Load(); err != nil {
+		t.Fatal(err)
+	}
+	return log
+}
+
+func newCheckedLog(fs *simFS) *checkedLog {
+	return &checkedLog{fs: fs, model: waltest.NewMem(), possibleLogs: map[string]bool{}, possibleMeta: map[string]map[string]bool{}}
 }
 
-func (s *subject) open() error {
+func (s *checkedLog) open() error {
 	log, err := openSim(s.fs)
 	if err == nil {
 		s.log = log
@@ -103,47 +119,47 @@
 	return err
 }
 
-// do runs a step on both and notes what it may have left.
-func (s *subject) do(st step) error {
-	after := s.model.clone()
-	modelErr := st.run(after, s.model.last())
-	err := st.run(s.log, s.model.last())
-	s.trace = append(s.trace, fmt.Sprintf("%v=%v", st, err))
+// runStep runs a step on both and notes what it may have left.
+func (s *checkedLog) runStep(next step) error {
+	after := s.model.Clone()
+	modelErr := next.run(after, s.model.LastSeq())
+	err := next.run(s.log, s.model.LastSeq())
+	s.trace = append(s.trace, fmt.Sprintf("%v=%v", next, err))
 	if modelErr != nil {
 		if err == nil {
-			return errors.Newf("%v: the model refuses it: %v", st, modelErr)
+			return errors.Newf("%v: the model refuses it: %v", next, modelErr)
 		}
 		return nil
 	}
-	if errors.Is(err, ErrMisuse) {
-		return errors.Newf("%v: %v, where the model takes it", st, err)
+	if errors.Is(err, wal.ErrMisuse) {
+		return errors.Newf("%v: %v, where the model takes it", next, err)
 	}
-	name := fmt.Sprintf("m%d", st.a)
+	name := fmt.Sprintf("m%d", next.argument)
 	switch {
 	case err == nil:
 		s.model = after
-		if st.what == "meta" {
-			delete(s.maybeMeta, name)
+		if next.method == "meta" {
+			delete(s.possibleMeta, name)
 		} else {
-			clear(s.maybe)
+			clear(s.possibleLogs)
 		}
-	case st.what == "meta":
-		if s.maybeMeta[name] == nil {
-			s.maybeMeta[name] = map[string]bool{}
+	case next.method == "meta":
+		if s.possibleMeta[name] == nil {
+			s.possibleMeta[name] = map[string]bool{}
 		}
-		s.maybeMeta[name][string(after.meta[name])] = true
+		s.possibleMeta[name][string(after.Meta(name))] = true
 	default:
-		v, _ := look(after)
-		s.maybe[v.log] = true
+		v, _ := loadView(after)
+		s.possibleLogs[v.log] = true
 	}
 	return nil
 }
 
-// allows checks what a disk holds against the model.
-func (s *subject) allows(v view) error {
-	want, _ := look(s.model)
-	if v.log != want.log && !s.maybe[v.log] {
-		return errors.Newf("log %q, want %q or one of %q", v.log, want.log, slices.Sorted(maps.Keys(s.maybe)))
+// checkAllowed checks what a disk holds against the model.
+func (s *checkedLog) checkAllowed(v view) error {
+	want, _ := loadView(s.model)
+	if v.log != want.log && !s.possibleLogs[v.log] {
+		return errors.Newf("log %q, want %q or one of %q", v.log, want.log, slices.Sorted(maps.Keys(s.possibleLogs)))
 	}
 	for name := range want.meta {
 		if _, ok := v.meta[name]; !ok {
@@ -151,78 +167,97 @@
 		}
 	}
 	for name, got := range v.meta {
-		if w, ok := want.meta[name]; (!ok || got != w) && !s.maybeMeta[name][got] {
+		if w, ok := want.meta[name]; (!ok || got != w) && !s.possibleMeta[name][got] {
 			return errors.Newf("%s is %q, want %q", name, got, w)
 		}
 	}
 	return nil
 }
 
-// recovers opens a disk left by a crash, and checks that what it holds is allowed, lasts, and can be gone on with. nested
-// tells how many losses of power inside the loading are tried at each of its calls.
-func (s *subject) recovers(fs *simFS, nested int, r *rand.Rand) error {
-	before := fs.killed()
+// checkRecovery opens a disk left by a crash, and checks that its content is allowed, durable, and can be changed further. nested
+// is the number of losses of power that are tried at each call of the loading.
+func (s *checkedLog) checkRecovery(fs *simFS, nested int, r *rand.Rand) error {
+	before := fs.afterKill()
 	log, err := openSim(fs)
 	if err != nil {
 		return err
 	}
-	v, err := look(log)
+	loaded, err := loadView(log)
 	if err != nil {
 		return err
 	}
-	if err := s.allows(v); err != nil {
+	if err := s.checkAllowed(loaded); err != nil {
 		return err
 	}
-	loading := fs.calls
+	callsOfLoading := fs.calls
+	if err := checkDurable(fs, loaded, r); err != nil {
+		return err
+	}
+	if err := checkUsable(fs, log, loaded); err != nil {
+		return err
+	}
+	if nested == 0 {
+		return nil
+	}
+	for call := 1; call <= callsOfLoading; call++ {
+		if err := s.checkCrashInLoading(before.afterKill(), call, nested, r); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkDurable checks that what was loaded is there after a loss of power.
+func checkDurable(fs *simFS, loaded view, r *rand.Rand) error {
+	var err error
 	fs.powerLosses(1, r, func(lost *simFS) {
 		if err != nil {
 			return
 		}
-		var again *Log
+		var again *wal.Log
 		again, err = openSim(lost)
-		var w view
+		var found view
 		if err == nil {
-			w, err = look(again)
+			found, err = loadView(again)
 		}
-		if err == nil && (w.log != v.log || !maps.Equal(w.meta, v.meta)) {
-			err = errors.Newf("what was loaded does not last: %v became %v", v, w)
+		if err == nil && !found.equal(loaded) {
+			err = errors.Newf("what was loaded is not durable: %v became %v", loaded, found)
 		}
 	})
-	if err != nil {
-		return err
-	}
-	if err := goOn(fs, log, v); err != nil {
-		return err
-	}
-	for call := 1; call <= loading && nested > 0; call++ {
-		inside := before.killed()
-		inside.fault = func(n int, _ string) error {
-			if n == call {
-				return errCrash
-			}
-			return nil
-		}
-		if log, err := openSim(inside); err == nil {
-			_, _, _, _ = log.Load()
-		}
-		inside.gone, inside.fault = false, nil
-		inside.powerLosses(nested, r, func(lost *simFS) {
-			if err == nil {
-				err = errors.Wrapf(s.recovers(lost, 0, r), "after a crash at call %d of loading", call)
-			}
-		})
+	return err
+}
+
+// checkCrashInLoading loads the log of fs with a crash at the given call, and checks the recovery from that.
+func (s *checkedLog) checkCrashInLoading(fs *simFS, call, nested int, r *rand.Rand) error {
+	crashInLoading(fs, call)
+	var err error
+	fs.powerLosses(nested, r, func(lost *simFS) {
 		if err == nil {
-			err = errors.Wrapf(s.recovers(inside.killed(), 0, r), "killed at call %d of loading", call)
+			err = errors.Wrapf(s.checkRecovery(lost, 0, r), "after a crash at call %d of loading", call)
 		}
+	})
+	if err == nil {
+		err = errors.Wrapf(s.checkRecovery(fs.afterKill(), 0, r), "killed at call %d of loading", call)
 	}
 	return err
 }
 
-// goOn checks that a loaded log takes changes that last.
-func goOn(fs *simFS, log *Log, v view) error {
-	last := log.last
+// crashInLoading loads the log of fs with a crash at the given call, and tells whether that call was reached.
+func crashInLoading(fs *simFS, call int) (reached bool) {
+	fs.fault = crashAt(call)
+	if log, err := openSim(fs); err == nil {
+		_, _, _, _ = log.Load()
+	}
+	reached = fs.crashed
+	fs.crashed, fs.fault = false, nil
+	return reached
+}
+
+// checkUsable checks that a loaded log takes changes that last.
+func checkUsable(fs *simFS, log *wal.Log, loaded view) error {
+	last := log.LastSeq()
 	for i, err := range []error{
-		log.Append([]Entry{{Seq: last + 1, Data: []byte("new")}, {Seq: last + 2, Data: []byte("dropped")}}),
+		log.Append([]wal.Entry{{Seq: last + 1, Data: []byte("new")}, {Seq: last + 2, Data: []byte("dropped")}}),
 		log.Truncate(last + 1),
 		log.SaveMeta("after", []byte("new")),
 	} {
@@ -233,42 +268,42 @@
 	var got view
 	var err error
 	fs.powerLosses(1, nil, func(lost *simFS) {
-		var again *Log
+		var again *wal.Log
 		if again, err = openSim(lost); err == nil {
-			got, err = look(again)
+			got, err = loadView(again)
 		}
 	})
-	if err == nil && (got.log != fmt.Sprintf("%s|%d:new", v.log, last+1) || got.meta["after"] != "new") {
-		err = errors.Newf("gone on with %v, found %v", v, got)
+	if err == nil && (got.log != fmt.Sprintf("%s|%d:new", loaded.log, last+1) || got.meta["after"] != "new") {
+		err = errors.Newf("changed %v further, found %v", loaded, got)
 	}
 	return err
 }
 
-func (s *subject) checkCrash(most, nested int, r *rand.Rand) error {
-	s.fs.gone, s.fs.fault = false, nil
+func (s *checkedLog) checkCrash(most, nested int, r *rand.Rand) error {
+	s.fs.crashed, s.fs.fault = false, nil
 	// Only a killed process leaves anything for a loss of power inside the next loading to take.
-	err := errors.Wrap(s.recovers(s.fs.killed(), 8*nested, r), "killed")
+	err := errors.Wrap(s.checkRecovery(s.fs.afterKill(), 8*nested, r), "killed")
 	n := 0
 	s.fs.powerLosses(most, r, func(lost *simFS) {
-		if n++; n > 3 && !deep() {
+		if n++; n > 3 && !tryAllCases() {
 			nested = 0
 		}
 		if err == nil {
-			err = errors.Wrap(s.recovers(lost, nested, r), "power lost")
+			err = errors.Wrap(s.checkRecovery(lost, nested, r), "power lost")
 		}
 	})
 	return err
 }
 
 // restart goes on with a disk as it was left; what it holds is what counts from then on.
-func (s *subject) restart(fs *simFS) error {
+func (s *checkedLog) restart(fs *simFS) error {
 	log, err := openSim(fs)
 	if err != nil {
 		return err
 	}
-	v, err := look(log)
+	v, err := loadView(log)
 	if err == nil {
-		err = s.allows(v)
+		err = s.checkAllowed(v)
 	}
 	if err != nil {
 		return errors.Wrap(err, "restart")
@@ -277,9 +312,9 @@
 	if err != nil {
 		return err
 	}
-	n := newSubject(fs)
-	n.log, n.trace = log, append(s.trace, "restart")
-	n.model = &Mem{meta: meta, snapshot: snapshot, entries: entries}
+	n := newCheckedLog(fs)
+	n.log, n.trace = log, append(slices.Clone(s.trace), "restart")
+	n.model = waltest.NewMemWith(meta, snapshot, entries)
 	*s = *n
 	return nil
 }
--- /dev/null
+++ b/internal/system/wal/knobs_test.go
@@ -0,0 +1,76 @@
+package wal_test
+
+import (
+	"math/rand/v2"
+	"testing"
+
+	"gradeusher.example/gradeusher/internal/system/wal"
+)
+
+// ignoredSyncs are syncs of a simulated disk that do nothing.
+type ignoredSyncs struct{ files, folder, parentFolder bool }
+
+// findFault runs the histories with the protections of knobs switched off, or with syncs that do nothing, through crashes, and
+// through one failing call before each. It returns the first fault that it finds.
+func findFault(knobs wal.TestingKnobs, ignored ignoredSyncs) error {
+	r := rand.New(rand.NewPCG(8, 9))
+	for _, name := range []string{"grow", "truncate", "compact", "install", "mixed"} {
+		for _, gap := range []int{0, 1, 7} { // calls between one that fails and the crash; 0: none fails
+			if err := crashEverywhere(histories[name], knobs, ignored, gap, r); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// crashEverywhere runs a history with a crash at each call, gap calls after one that fails.
+func crashEverywhere(steps []step, knobs wal.TestingKnobs, ignored ignoredSyncs, gap int, r *rand.Rand) error {
+	for crash := 1 + gap; ; crash++ {
+		run, err := runWith(steps, knobs, ignored, func(call int, _ string) error {
+			switch call {
+			case crash:
+				return errCrash
+			case crash - gap:
+				return errNoSpace
+			}
+			return nil
+		})
+		if err != nil {
+			return err
+		}
+		reached := run.fs.crashed
+		if err := run.checkCrash(16, 0, r); err != nil {
+			return err
+		}
+		if !reached {
+			return nil
+		}
+	}
+}
+
+// TestTestingKnobs takes each protection out. Danger: a test of crashes that finds nothing because it looks at nothing.
+func TestTestingKnobs(t *testing.T) {
+	if err := findFault(wal.TestingKnobs{}, ignoredSyncs{}); err != nil {
+		t.Fatal(err)
+	}
+	for name, c := range map[string]struct {
+		hooks wal.TestingKnobs
+		lies  ignoredSyncs
+	}{
+		"no sync of files":                         {lies: ignoredSyncs{files: true}},
+		"no sync of the folder":                    {lies: ignoredSyncs{folder: true}},
+		"no sync of the folder above":              {lies: ignoredSyncs{parentFolder: true}},
+		"no checksum of records":                   {hooks: wal.TestingKnobs{SkipRecordChecksums: true}},
+		"on in the same file after a failed sync":  {hooks: wal.TestingKnobs{ReuseSegmentAfterFailedSync: true}},
+		"the newest segment is believed in a load": {hooks: wal.TestingKnobs{TrustNewestSegment: true}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			err := findFault(c.hooks, c.lies)
+			if err == nil {
+				t.Error("the control shows nothing")
+			}
+			t.Log(err)
+		})
+	}
+}
--- a/internal/system/wal/load.go
+++ b/internal/system/wal/load.go
@@ -1,262 +1,220 @@
 package wal
 
-import (
-	"encoding/binary"
-	"io"
-	"slices"
-	"strconv"
-	"strings"
+import "slices"
 
-	"github.com/cockroachdb/errors"
-)
+// newestSegmentTail is the end of the newest segment as Load found it. The zero value: there is no segment.
+type newestSegmentTail struct {
+	segmentEnd            // behind its last record
+	previous   segmentEnd // as its header names it
+	lastRecord []byte     // nil: the segment has no record
+	firstSeq   uint64     // of the first entry of lastRecord
+}
 
-// generationShift: the upper part of a generation is the number of the newest segment when it was made. Each process begins
-// with a segment of its own, so its generations are higher than those of any process that had the log before it.
-const generationShift = 24
+// loadSegments replays the live segments and returns the entries above the snapshot.
+func (l *Log) loadSegments(numbers []uint64) ([]Entry, newestSegmentTail, error) {
+	chain, err := l.segmentChain(numbers)
+	if err != nil {
+		return nil, newestSegmentTail{}, err
+	}
+	state := replayState{}
+	newest := newestSegmentTail{}
+	for i, header := range chain {
+		end := endUnknown
+		if i+1 < len(chain) {
+			end = chain[i+1].previous.offset
+		}
+		if newest, err = l.loadSegment(header, end, &state); err != nil {
+			return nil, newestSegmentTail{}, err
+		}
+	}
+	entries, err := state.entriesAbove(l.snapshotSeq)
+	if err != nil {
+		return nil, newestSegmentTail{}, err
+	}
+	l.lastSeq = max(l.snapshotSeq, state.lastSeq())
+	l.batches = batchesAbove(state.batches, l.snapshotSeq)
+	return entries, newest, nil
+}
 
-const (
-	reserveName     = "reserve"
-	putAsideName    = "putting-aside" // while it is there, the log's files are to be renamed
-	damagedPrefix   = "damaged-"
-	temporarySuffix = ".tmp"
-)
+// segmentChain returns the headers of the live segments, oldest first: the newest that is not empty, its predecessor by its
+// header, and so on down to l.firstSegment. The files of other segments are garbage.
+func (l *Log) segmentChain(numbers []uint64) ([]segmentHeader, error) {
+	var chain []segmentHeader
+	wanted := uint64(0) // the segment that the last header names; 0: any
+	for index, number := range slices.Backward(numbers) {
+		isOutside := number < l.firstSegment || wanted > 0 && number > wanted
+		if isOutside {
+			l.garbage = append(l.garbage, segmentName(number))
+			continue
+		}
+		if wanted > 0 && number < wanted {
+			break
+		}
+		header, size, err := l.readSegmentHeader(number)
+		if err != nil {
+			return nil, err
+		}
+		if size == 0 && wanted == 0 { // its creation was interrupted
+			l.garbage = append(l.garbage, segmentName(number))
+			continue
+		}
+		chain, wanted = append(chain, header), header.previous.number
+		if wanted < l.firstSegment {
+			wanted = 0
+			l.garbage = appendSegmentNames(l.garbage, numbers[:index])
+			break
+		}
+	}
+	if wanted > 0 {
+		return nil, damagedError("segment %d is missing", wanted)
+	}
+	slices.Reverse(chain)
+	return chain, nil
+}
+
+func appendSegmentNames(names []string, numbers []uint64) []string {
+	for _, n := range numbers {
+		names = append(names, segmentName(n))
+	}
+	return names
+}
 
-// folderList is what the names in the folder tell.
-type folderList struct {
-	segments, snapshots []uint64            // ascending
-	meta                map[string][]uint64 // generations, ascending
-	temporary           []string
-	damaged             []string // files of the copy that was put aside
-	reserve             bool
-	putAside            bool // putting aside is under way
+// readSegmentHeader returns the header and the size of the file. An empty file has no header.
+func (l *Log) readSegmentHeader(number uint64) (segmentHeader, int64, error) {
+	name := segmentName(number)
+	f, err := l.options.FS.Open(l.path(name))
+	if err != nil {
+		return segmentHeader{}, 0, diskError(err, "open "+name)
+	}
+	defer func() { _ = f.Close() }()
+	size, err := f.Size()
+	if err != nil || size == 0 {
+		return segmentHeader{}, 0, diskError(err, "read "+name)
+	}
+	b := make([]byte, min(size, headerSize))
+	if _, err := f.ReadAt(b, 0); err != nil {
+		return segmentHeader{}, 0, diskError(err, "read "+name)
+	}
+	h, ok := decodeSegmentHeader(b, number)
+	if !ok {
+		return segmentHeader{}, 0, damagedError("segment %d has no whole header", number)
+	}
+	return h, size, nil
 }
 
-func listFolder(names []string) folderList {
-	f := folderList{meta: map[string][]uint64{}}
-	for _, name := range names {
-		kind, rest, _ := strings.Cut(name, "-")
-		switch {
-		case strings.HasSuffix(name, temporarySuffix):
-			f.temporary = append(f.temporary, name)
-		case name == reserveName:
-			f.reserve = true
-		case name == putAsideName:
-			f.putAside = true
-		case strings.HasPrefix(name, damagedPrefix):
-			f.damaged = append(f.damaged, name)
-		case kind == "log":
-			if n, ok := parseNumber(rest); ok {
-				f.segments = append(f.segments, n)
-			}
-		case kind == "snap":
-			if n, ok := parseNumber(rest); ok {
-				f.snapshots = append(f.snapshots, n)
-			}
-		case kind == "meta":
-			key, number, _ := strings.Cut(rest, "-")
-			if n, ok := parseNumber(number); ok && checkName(key) == nil {
-				f.meta[key] = append(f.meta[key], n)
-			}
+// endUnknown stands for the end of the newest segment, which no later header gives.
+const endUnknown = int64(-1)
+
+// loadSegment replays one segment up to end. The newest segment, whose end is unknown, ends with its last whole record.
+func (l *Log) loadSegment(header segmentHeader, end int64, state *replayState) (newestSegmentTail, error) {
+	content, err := l.readFile(segmentName(header.number))
+	if err != nil {
+		return newestSegmentTail{}, err
+	}
+	size := int64(len(content))
+	isNewest := end == endUnknown
+	if !isNewest {
+		if end > size || end < headerSize {
+			return newestSegmentTail{}, damagedError("segment %d has %d bytes, and %d count", header.number, size, end)
 		}
+		content = content[:end]
 	}
-	slices.Sort(f.segments)
-	slices.Sort(f.snapshots)
-	for _, all := range f.meta {
-		slices.Sort(all)
+	scanner := recordScanner{content: content, nonce: header.nonce, skipChecksums: l.options.TestingKnobs.SkipRecordChecksums}
+	tail, err := scanner.replay(header, state)
+	if err != nil {
+		return newestSegmentTail{}, err
+	}
+	hasRest := tail.offset < int64(len(content))
+	if hasRest && (!isNewest || scanner.hasRecordAfter(tail.offset)) {
+		return newestSegmentTail{}, damagedError("segment %d is damaged at %d", header.number, tail.offset)
 	}
-	return f
+	l.segments = append(l.segments, segmentFile{header.number, tail.offset, size})
+	return tail, nil
 }
 
-func parseNumber(s string) (uint64, bool) {
-	n, err := strconv.ParseUint(s, 16, 64)
-	return n, err == nil && len(s) == 16
+// replay applies the records of a segment to state, up to the first that is torn or damaged.
+func (s recordScanner) replay(header segmentHeader, state *replayState) (newestSegmentTail, error) {
+	tail := newestSegmentTail{segmentEnd: segmentEnd{header.number, headerSize}, previous: header.previous}
+	for tail.offset < int64(len(s.content)) {
+		record := s.record(tail.offset)
+		if record == nil {
+			break
+		}
+		firstSeq, ok := state.applyRecord(record[recordHeaderSize:], header.number)
+		if !ok {
+			return newestSegmentTail{}, damagedError("segment %d has a record at %d that does not follow", header.number, tail.offset)
+		}
+		tail.lastRecord, tail.firstSeq = record, firstSeq
+		tail.offset += int64(len(record))
+	}
+	return tail, nil
 }
 
-// Load implements Disk. A torn end is dropped; what is returned is durable. It may be called again, and must be where a
-// call has failed that it cannot recover from by itself. Another process that still has the log open can acknowledge nothing
-// more.
+// Load implements Disk. A torn end is dropped; what it returns is durable. It may be called again, which reads the disk anew.
+// Another process that still has the log open can acknowledge nothing from here on.
 func (l *Log) Load() (map[string][]byte, Snapshot, []Entry, error) {
 	meta, snapshot, entries, err := l.load()
 	if err != nil {
 		_ = l.closeSegment()
 		return nil, Snapshot{}, nil, err
 	}
-	if l.o.ReadOnly {
+	if l.options.ReadOnly {
 		return meta, snapshot, entries, nil
 	}
 	l.loaded = true
 	l.deleteGarbage()
-	l.reserve()
+	l.createReserve()
 	return meta, snapshot, entries, nil
 }
 
 func (l *Log) load() (map[string][]byte, Snapshot, []Entry, error) {
 	_ = l.closeSegment()
-	*l = Log{folder: l.folder, o: l.o, meta: map[string]metaFile{}}
-	list, err := l.prepare()
+	*l = Log{folder: l.folder, options: l.options, meta: map[string]metaGenerations{}}
+	listing, err := l.prepareFolder()
 	if err != nil {
 		return nil, Snapshot{}, nil, err
 	}
-	meta, err := l.loadMeta(list.meta)
+	meta, err := l.loadMeta(listing.meta)
 	if err != nil {
 		return nil, Snapshot{}, nil, err
 	}
-	snapshot, err := l.loadSnapshot(list)
+	snapshot, err := l.loadSnapshot(listing)
 	if err != nil {
 		return nil, Snapshot{}, nil, err
 	}
-	entries, newest, err := l.loadSegments(list.segments)
+	entries, newest, err := l.loadSegments(listing.segments)
 	if err != nil {
 		return nil, Snapshot{}, nil, err
 	}
-	if list.reserve {
-		size, err := l.size(reserveName)
-		l.reserved = err == nil && size >= l.o.ReserveBytes
+	if listing.hasReserve {
+		size, err := l.fileSize(reserveName)
+		l.hasReserve = err == nil && size >= l.options.ReserveBytes
 	}
-	if l.o.ReadOnly {
+	if l.options.ReadOnly {
 		return meta, snapshot, entries, nil
 	}
-	if err := l.takeOver(newest); err != nil {
+	if err := l.takeOwnership(newest); err != nil {
 		return nil, Snapshot{}, nil, err
 	}
 	return meta, snapshot, entries, nil
 }
 
-// prepare lists the folder once nothing in it can change any more: the next segment's file is there.
-func (l *Log) prepare() (folderList, error) {
-	list, err := l.list()
-	if err != nil {
-		return list, err
-	}
-	if l.o.ReadOnly {
-		if list.putAside {
-			err = damaged("a damaged log is being put aside")
-		}
-		return list, err
-	}
-	if list.putAside {
-		if err := l.finishPutAside(); err != nil {
-			return list, err
-		}
-		if list, err = l.list(); err != nil {
-			return list, err
-		}
-	}
-	if len(list.damaged) > 0 { // its mark is gone for good before anything new could be taken for a part of it
-		if err := l.o.FS.SyncDir(l.folder); err != nil {
-			return list, diskError(err, "sync the log's folder")
-		}
-	}
-	for _, name := range list.temporary {
-		if l.remove(name) != nil {
-			l.garbage = append(l.garbage, name)
-		}
-	}
-	l.countDamaged(list.damaged)
-	if l.number, err = l.nextNumber(list); err != nil {
-		return list, err
-	}
-	if l.fence() != nil { // the disk is full or refuses; what is there can still be read
-		l.unfenced, l.superseded = true, false
-	}
-	again, err := l.list()
-	for i, n := range again.segments {
-		if n == l.number {
-			again.segments = again.segments[:i]
-			break
-		}
-	}
-	return again, err
-}
-
-func (l *Log) list() (folderList, error) {
-	names, err := l.o.FS.ReadDir(l.folder)
-	return listFolder(names), diskError(err, "read the log's folder")
-}
-
-// nextNumber returns the number of a segment that follows all that were made: each snapshot names one, too.
-func (l *Log) nextNumber(list folderList) (uint64, error) {
-	next := uint64(1)
-	if n := len(list.segments); n > 0 {
-		next = list.segments[n-1] + 1
-	}
-	if n := len(list.snapshots); n > 0 {
-		first, err := l.peekFirst(list.snapshots[n-1])
-		if err != nil {
-			return 0, err
-		}
-		next = max(next, first)
-	}
-	return next, nil
-}
-
-// peekFirst reads the number of the oldest segment that counts out of a snapshot's file, without a check of the whole; 0: there
-// is none.
-func (l *Log) peekFirst(generation uint64) (uint64, error) {
-	name := snapshotName(generation)
-	f, err := l.o.FS.Open(l.path(name))
-	if err != nil {
-		return 0, diskError(err, "open "+name)
-	}
-	defer func() { _ = f.Close() }()
-	var b [snapshotFirstAt + 8]byte
-	switch _, err := f.ReadAt(b[:], 0); {
-	case errors.Is(err, io.EOF): // it is damaged, as loadSnapshot will find
-		return 0, nil
-	case err != nil:
-		return 0, diskError(err, "read "+name)
-	}
-	return binary.LittleEndian.Uint64(b[snapshotFirstAt:]), nil
-}
-
-func (l *Log) size(name string) (int64, error) {
-	f, err := l.o.FS.Open(l.path(name))
-	if err != nil {
-		return 0, err
-	}
-	defer func() { _ = f.Close() }()
-	return f.Size()
-}
-
-func readAll(f File) ([]byte, error) {
-	size, err := f.Size()
-	if err != nil {
-		return nil, err
-	}
-	b := make([]byte, size)
-	n, err := f.ReadAt(b, 0)
-	if errors.Is(err, io.EOF) {
-		err = nil
-	}
-	return b[:n], err
-}
-
-func (l *Log) read(name string) ([]byte, error) {
-	f, err := l.o.FS.Open(l.path(name))
-	if err != nil {
-		return nil, diskError(err, "open "+name)
-	}
-	defer func() { _ = f.Close() }()
-	b, err := readAll(f)
-	return b, diskError(err, "read "+name)
-}
-
 // loadMeta reads the newest generation of each piece of metadata. A file has its name only once it is synced, so the
-// newest one is whole, and to take an older one would be to forget a promise.
+// newest one is complete, and to return an older one would be to forget a promise.
 func (l *Log) loadMeta(all map[string][]uint64) (map[string][]byte, error) {
 	meta := make(map[string][]byte, len(all))
 	for name, generations := range all {
 		newest := generations[len(generations)-1]
-		b, err := l.read(metaName(name, newest))
+		content, err := l.readFile(metaName(name, newest))
 		if err != nil {
 			return nil, err
 		}
-		fields, data, ok := decodeFile(b, metaMagic, 1)
+		fields, data, ok := decodeFile(content, metaMagic, 1)
 		if !ok || fields[0] != newest {
-			return nil, damaged("metadata %q is not what was written", name)
+			return nil, damagedError("metadata %q is not what was written", name)
 		}
 		meta[name] = data
-		l.meta[name] = metaFile{saved: newest, tried: max(newest, l.number<<generationShift)}
+		l.meta[name] = metaGenerations{savedGeneration: newest, triedGeneration: max(newest, l.nextSegment<<generationShift)}
 		for _, old := range generations[:len(generations)-1] {
 			l.garbage = append(l.garbage, metaName(name, old))
 		}
@@ -264,62 +222,66 @@
 	return meta, nil
 }
 
-// loadSnapshot reads the newest snapshot, and leaves the number of the oldest segment that counts in l.first.
-func (l *Log) loadSnapshot(list folderList) (Snapshot, error) {
-	l.first = 1
-	newest, err := l.newestHeader(list.segments)
+// loadSnapshot reads the newest snapshot, and sets l.firstSegment to the oldest live segment.
+func (l *Log) loadSnapshot(listing folderListing) (Snapshot, error) {
+	l.firstSegment = 1
+	newest, err := l.newestHeader(listing.segments)
 	if err != nil {
 		return Snapshot{}, err
 	}
-	for i := len(list.snapshots) - 1; i >= 0; i-- {
-		generation := list.snapshots[i]
-		l.generation = max(l.generation, generation)
-		// One that an earlier process finished after the newest segment was begun by another does not count.
-		late := generation != newest.generation && generation < newest.number<<generationShift
-		if l.snapGeneration > 0 || late {
-			l.garbage = append(l.garbage, snapshotName(generation))
-			continue
-		}
-		l.snapGeneration = generation
-	}
-	if l.snapGeneration == 0 {
+	l.chooseSnapshot(listing.snapshots, newest)
+	if l.snapshotGeneration == 0 {
 		if newest.generation > 0 {
-			return Snapshot{}, damaged("snapshot %d is missing", newest.generation)
+			return Snapshot{}, damagedError("snapshot %d is missing", newest.generation)
 		}
 		return Snapshot{}, nil
 	}
-	snapshot, fields, err := l.readSnapshot(l.snapGeneration)
+	snapshot, info, err := l.readSnapshot(l.snapshotGeneration)
 	if err != nil {
 		return Snapshot{}, err
 	}
-	l.snapshot, l.first, l.snapBytes = snapshot.Seq, fields.first, fields.bytes
+	l.snapshotSeq, l.firstSegment, l.snapshotBytes = snapshot.Seq, info.firstSegment, info.fileBytes
 	return snapshot, nil
 }
 
+// chooseSnapshot sets l.snapshotGeneration to the newest valid snapshot; the others are garbage. One that a superseded process
+// finished after the newest segment had been begun is not valid.
+func (l *Log) chooseSnapshot(generations []uint64, newest segmentHeader) {
+	for _, generation := range slices.Backward(generations) {
+		l.lastGeneration = max(l.lastGeneration, generation)
+		late := generation != newest.generation && generation < newest.number<<generationShift
+		if l.snapshotGeneration > 0 || late {
+			l.garbage = append(l.garbage, snapshotName(generation))
+			continue
+		}
+		l.snapshotGeneration = generation
+	}
+}
+
 // newestHeader returns the header of the newest segment that is not empty; the zero one where there is none.
-func (l *Log) newestHeader(numbers []uint64) (header, error) {
+func (l *Log) newestHeader(numbers []uint64) (segmentHeader, error) {
 	for _, n := range slices.Backward(numbers) {
-		if h, size, err := l.readSegmentHeader(n); err != nil || size > 0 {
-			return h, err
+		if header, size, err := l.readSegmentHeader(n); err != nil || size > 0 {
+			return header, err
 		}
 	}
-	return header{}, nil
+	return segmentHeader{}, nil
 }
 
-// snapshotFields are what a snapshot's file holds beside the snapshot.
-type snapshotFields struct {
-	first uint64 // oldest segment that counts
-	bytes int64  // size of the file
+// snapshotFileInfo is what a snapshot's file says beside the snapshot.
+type snapshotFileInfo struct {
+	firstSegment uint64 // oldest live segment
+	fileBytes    int64  // size of the file
 }
 
-func (l *Log) readSnapshot(generation uint64) (Snapshot, snapshotFields, error) {
-	b, err := l.read(snapshotName(generation))
+func (l *Log) readSnapshot(generation uint64) (Snapshot, snapshotFileInfo, error) {
+	content, err := l.readFile(snapshotName(generation))
 	if err != nil {
-		return Snapshot{}, snapshotFields{}, err
+		return Snapshot{}, snapshotFileInfo{}, err
 	}
-	fields, data, ok := decodeFile(b, snapshotMagic, 3)
+	fields, data, ok := decodeFile(content, snapshotMagic, 3)
 	if !ok || fields[0] != generation {
-		return Snapshot{}, snapshotFields{}, damaged("snapshot %d is not what was written", generation)
+		return Snapshot{}, snapshotFileInfo{}, damagedError("snapshot %d is not what was written", generation)
 	}
-	return Snapshot{Seq: fields[1], Data: data}, snapshotFields{fields[2], int64(len(b))}, nil
+	return Snapshot{Seq: fields[1], Data: data}, snapshotFileInfo{fields[2], int64(len(content))}, nil
 }
--- a/internal/system/wal/log.go
+++ b/internal/system/wal/log.go
@@ -19,86 +19,115 @@
 
 // Options configure a Log. Zero values mean the defaults.
 type Options struct {
-	FS           FS            // default: the operating system's
-	MaxBytes     int64         // of segments and snapshot, above which Append fails with ErrFull; default 40 MiB
-	DiskBytes    int64         // of all files, above which the copy of a damaged log is dropped; default 60 MB
-	SegmentBytes int64         // a segment that is larger is ended; default 2 MiB
-	ReserveBytes int64         // kept for metadata and truncations on a full disk; default 64 KiB, below 0: none
-	Nonce        func() uint64 // default: random
-	ReadOnly     bool          // nothing is changed, and no other process loses the log; what Load returns need not last
-
-	hooks hooks
+	FS FS // default: the operating system's
+
+	// MaxBytes bounds segments and snapshot: Append fails with ErrFull where they would exceed it. Default 40 MiB.
+	MaxBytes int64
+	// DiskBytes bounds all files: above it the quarantined copy is dropped. Default 60 MB.
+	DiskBytes int64
+	// SegmentBytes is the size from which a segment is ended. Default 2 MiB.
+	SegmentBytes int64
+	// ReserveBytes are reserved for metadata and truncations on a full disk. Default 64 KiB; negative: none.
+	ReserveBytes int64
+
+	// Nonce draws the nonce of a segment. Default: 64 random bits.
+	Nonce func() uint64
+	// ReadOnly opens the log for inspection: nothing is changed, no process loses the log, and what Load returns need not be
+	// durable.
+	ReadOnly bool
+
+	TestingKnobs TestingKnobs // zero in production
 }
 
-// hooks take protections out, for the tests that show what each is for.
-type hooks struct {
-	trustRecords bool // records are taken without a look at their checksums
-	sameSegment  bool // after a failed sync the log goes on in the same file
-	trustNewest  bool // Load syncs the newest segment and believes that
-	noFence      bool // no look for another process that has opened the log
-	looseMark    bool // a log is put aside though its mark may not last
+// TestingKnobs switch protections off, for the tests that show that each is needed.
+type TestingKnobs struct {
+	SkipRecordChecksums         bool // records are accepted without verifying their checksums
+	ReuseSegmentAfterFailedSync bool // after a failed sync the same file is written on
+	TrustNewestSegment          bool // Load syncs the newest segment in place of rewriting its last record
+	SkipOwnershipCheck          bool // another process that has opened the log is not noticed
+	SkipQuarantineMarkerSync    bool // files are renamed before the quarantine's marker is durable
 }
 
-// Log is a Disk in one folder: segments of records, each written at the end and synced; a snapshot below them; metadata.
-// Snapshots, metadata and the starts of segments are files written under a temporary name, synced, renamed and made durable by
-// a sync of the folder. A truncation is a record of its own, so the log only ever grows at its end, and a crash leaves a prefix
-// of what was done. After a write or sync that failed, the file is not written again: the log goes on in a new segment, whose
-// header tells how much of the former counts.
-//
-// A process that loads the log makes the next segment first, so that another one that still has the log open finds it there
-// before it acknowledges anything more. Errors are of kind ErrFull, ErrDamaged, ErrSuperseded and ErrMisuse, or the file
-// system's. A Log is used by one goroutine at a time.
+// Log is a Disk in one folder. The package comment describes how it stays durable. A Log is used by one goroutine at a time.
 type Log struct {
 	folder     string
-	o          Options
+	options    Options
 	loaded     bool
-	superseded bool // another process has the log
-
-	snapshot   uint64 // its number; 0: none
-	first      uint64 // number of the oldest segment that counts
-	generation uint64 // of the newest snapshot tried
-	snapBytes  int64
-
-	snapGeneration uint64 // 0: there is no snapshot
-
-	batches  []batch // live entries, oldest first
-	last     uint64
-	segments []segment // on disk, oldest first
-	active   File      // the newest of segments; nil: it is ended, or there is none
-	nonce    uint64    // of active
-	number   uint64    // of the next segment
-	tail     link      // the newest segment made and its end, for the next one's header
-	before   link      // tail as it was when active was made
-	unfenced bool      // Load could not make the next segment
-	unsure   bool      // a record behind the end of tail, or in leftover, may be on disk
-
-	stray    string              // a snapshot that may or may not be there
-	leftover string              // a segment of the next number that did not come about
-	meta     map[string]metaFile // by name
-	garbage  []string            // files that count no more
-	reserved bool                // the reserve is on disk
-
-	damaged      []string // files of the copy that was put aside
-	damagedBytes int64
+	superseded bool // another process has opened the log
+
+	snapshotSeq    uint64 // 0: there is no snapshot
+	firstSegment   uint64 // number of the oldest live segment
+	lastGeneration uint64 // of the newest snapshot whose saving was begun
+	snapshotBytes  int64
+
+	snapshotGeneration uint64 // 0: there is no snapshot
+
+	batches          []batch // live entries, oldest first
+	lastSeq          uint64
+	segments         []segmentFile // on disk, oldest first
+	activeSegment    File          // the newest of segments; nil: the next record begins another
+	activeNonce      uint64        // of activeSegment
+	nextSegment      uint64        // its number
+	tail             segmentEnd    // the newest segment and its live end, for the next one's header
+	tailBeforeActive segmentEnd    // tail as it was when activeSegment was made
+	unclaimed        bool          // Load could not create the next segment
+	tailInDoubt      bool          // a record behind tail, or in abandonedSegment, may be on disk
+
+	snapshotInDoubt  string                     // file of a snapshot whose saving failed after the rename
+	abandonedSegment string                     // file of number nextSegment whose making failed
+	meta             map[string]metaGenerations // by name
+	garbage          []string                   // files to delete
+	hasReserve       bool                       // the reserve is on disk
+
+	quarantinedFiles []string // files of the quarantined copy
+	quarantinedBytes int64
 }
 
-// batch is what one record appended, as far as it is live.
-type batch struct{ first, last, segment uint64 }
+// batch is the entries that one record appended, as far as they are live.
+type batch struct{ firstSeq, lastSeq, segment uint64 }
 
-// segment is a file of the log.
-type segment struct {
-	number uint64
-	end    int64 // bytes that count
-	size   int64 // bytes that the file may have
+// segmentFile is a segment and the disk space it takes.
+type segmentFile struct {
+	number    uint64
+	liveBytes int64 // up to the last live record
+	fileBytes int64 // upper bound of the file's size
 }
 
-// metaFile holds generations of one piece of metadata.
-type metaFile struct{ saved, tried uint64 }
+// metaGenerations are generations of one piece of metadata.
+type metaGenerations struct {
+	savedGeneration uint64 // the current one; 0: none
+	triedGeneration uint64 // the newest that may be on disk
+}
 
 var _ Disk = (*Log)(nil)
 
-// Open returns the log in folder, which is made if it is not there. Load must come first.
-func Open(folder string, o Options) (*Log, error) {
+// Open returns the log in folder, which is made where it is missing. Load must be the first call on it.
+func Open(folder string, options Options) (*Log, error) {
+	l := &Log{folder: folder, options: options.withDefaults()}
+	if options.ReadOnly {
+		return l, nil
+	}
+	if err := l.ensureFolder(); err != nil {
+		return nil, err
+	}
+	return l, nil
+}
+
+// ensureFolder makes the log's folder where it is missing, and its name durable.
+func (l *Log) ensureFolder() error {
+	fs := l.options.FS
+	if _, err := fs.ReadDir(l.folder); errors.Is(err, os.ErrNotExist) {
+		if err := fs.MkdirAll(l.folder); err != nil {
+			return diskError(err, "make the log's folder")
+		}
+	} else if err != nil {
+		return diskError(err, "read the log's folder")
+	}
+	// Also where the folder was there: the process that made it may have ended before this sync.
+	return diskError(fs.SyncDir(filepath.Dir(l.folder)), "sync the folder above the log")
+}
+
+func (o Options) withDefaults() Options {
 	if o.FS == nil {
 		o.FS = osFS{}
 	}
@@ -117,21 +146,7 @@
 	if o.Nonce == nil {
 		o.Nonce = randomNonce
 	}
-	if o.ReadOnly {
-		return &Log{folder: folder, o: o}, nil
-	}
-	if _, err := o.FS.ReadDir(folder); errors.Is(err, os.ErrNotExist) {
-		if err := o.FS.MkdirAll(folder); err != nil {
-			return nil, diskError(err, "make the log's folder")
-		}
-	} else if err != nil {
-		return nil, diskError(err, "read the log's folder")
-	}
-	// Also where the folder was there: the process that made it may have ended before this sync.
-	if err := o.FS.SyncDir(filepath.Dir(folder)); err != nil {
-		return nil, diskError(err, "sync the folder above the log")
-	}
-	return &Log{folder: folder, o: o}, nil
+	return o
 }
 
 func randomNonce() uint64 {
@@ -140,110 +155,83 @@
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-// Close ends the use of the log. Nothing needs to be written for it.
+// Close ends the use of the log. Nothing is written.
 func (l *Log) Close() error {
 	l.loaded = false
 	return l.closeSegment()
 }
 
-// Size returns what segments and snapshot take, which MaxBytes bounds.
+// Size returns the bytes of segments and snapshot, which Options.MaxBytes bounds.
 func (l *Log) Size() int64 {
-	n := l.snapBytes
+	n := l.snapshotBytes
 	for _, s := range l.segments {
-		n += s.size
+		n += s.fileBytes
 	}
 	return n
 }
 
-func (l *Log) path(name string) string { return filepath.Join(l.folder, name) }
-
-// settle makes the log ready for a change: what an earlier failure left undecided is decided as not done.
-func (l *Log) settle() error {
-	if err := l.usable(); err != nil {
+// resolveInDoubt makes the log ready for a change: what an earlier failure left in doubt is resolved as not done.
+func (l *Log) resolveInDoubt() error {
+	if err := l.checkWritable(); err != nil {
 		return err
 	}
-	if l.stray != "" {
-		if err := l.remove(l.stray); err != nil {
-			return diskError(err, "remove a snapshot that was not finished")
-		}
-		if err := l.o.FS.SyncDir(l.folder); err != nil {
-			return diskError(err, "sync the log's folder")
-		}
-		l.stray = ""
+	if err := l.removeSnapshotInDoubt(); err != nil {
+		return err
 	}
-	if err := l.removeLeftover(); err != nil { // its header names the snapshot as it was
+	if err := l.removeAbandonedSegment(); err != nil { // its header names the snapshot as it was
 		return err
 	}
-	if l.unsure && !l.o.hooks.sameSegment {
+	if l.tailInDoubt && !l.options.TestingKnobs.ReuseSegmentAfterFailedSync {
 		return l.withReserve(headerSize, func() error { return l.createSegment(nil) })
 	}
 	return nil
 }
 
-func (l *Log) usable() error {
+// checkWritable tells why the log accepts no change; nil where it does.
+func (l *Log) checkWritable() error {
 	switch {
 	case l.superseded:
-		return superseded()
-	case l.o.ReadOnly:
-		return misuse("the log is read only: open it without that to change it")
+		return supersededError()
+	case l.options.ReadOnly:
+		return misuseError("the log is read only: open it without that to change it")
 	case !l.loaded:
-		return misuse("the log is not loaded: call Load first")
+		return misuseError("the log is not loaded: call Load first")
 	}
 	return nil
 }
 
-// remove deletes a file that may be missing.
-func (l *Log) remove(name string) error {
-	err := l.o.FS.Remove(l.path(name))
-	if errors.Is(err, os.ErrNotExist) {
-		return nil
-	}
-	return err
-}
-
-// Append implements Disk. Entries that come in one call are all there after a crash or none is.
+// Append implements Disk. It fails with ErrFull above Options.MaxBytes.
 func (l *Log) Append(entries []Entry) error {
-	if err := l.settle(); err != nil {
+	if err := l.resolveInDoubt(); err != nil {
 		return err
 	}
-	if err := follows(l.last, entries); err != nil || len(entries) == 0 {
+	if err := ValidateAppend(l.lastSeq, entries); err != nil || len(entries) == 0 {
 		return err
 	}
-	record := appendRecord(entries)
-	if l.Size()+int64(len(record)) > l.o.MaxBytes {
-		return errors.Mark(errors.Newf("the log would be larger than %d bytes: compact it", l.o.MaxBytes), ErrFull)
+	record := newAppendRecord(entries)
+	if l.Size()+int64(len(record)) > l.options.MaxBytes {
+		return errors.Mark(errors.Newf("the log would be larger than %d bytes: compact it", l.options.MaxBytes), ErrFull)
 	}
-	if err := l.withRoom(len(record), func() error { return l.write(record) }); err != nil {
+	if err := l.withFreeSpace(len(record), func() error { return l.appendToSegment(record) }); err != nil {
 		return err
 	}
-	l.last = entries[len(entries)-1].Seq
-	l.batches = append(l.batches, batch{entries[0].Seq, l.last, l.tail.number})
+	l.lastSeq = entries[len(entries)-1].Seq
+	l.batches = append(l.batches, batch{entries[0].Seq, l.lastSeq, l.tail.number})
 	return nil
 }
 
-// Truncate implements Disk. It works at MaxBytes, too.
+// Truncate implements Disk. It works at Options.MaxBytes and on a full disk, too.
 func (l *Log) Truncate(after uint64) error {
-	if err := l.settle(); err != nil {
+	if err := l.resolveInDoubt(); err != nil {
 		return err
 	}
-	if err := mayCut(l.snapshot, after); err != nil || after >= l.last {
+	if err := ValidateTruncate(l.snapshotSeq, after); err != nil || after >= l.lastSeq {
 		return err
 	}
-	record := truncateRecord(after)
-	if err := l.withReserve(len(record), func() error { return l.write(record) }); err != nil {
+	record := newTruncateRecord(after)
+	if err := l.withReserve(len(record), func() error { return l.appendToSegment(record) }); err != nil {
 		return err
 	}
-	l.batches, l.last = cut(l.batches, after), after
+	l.batches, l.lastSeq = truncateBatches(l.batches, after), after
 	return nil
 }
-
-// cut drops what follows after.
-func cut(batches []batch, after uint64) []batch {
-	for len(batches) > 0 && batches[len(batches)-1].first > after {
-		batches = batches[:len(batches)-1]
-	}
-	if n := len(batches); n > 0 && batches[n-1].last > after {
-		batches[n-1].last = after
-	}
-	return batches
-}
--- a/internal/system/wal/log_test.go
+++ b/internal/system/wal/log_test.go
@@ -1,48 +1,37 @@
-package wal
+package wal_test
 
 import (
 	"bytes"
 	"fmt"
+	"maps"
 	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
 
 	"github.com/cockroachdb/errors"
-)
 
-// onDisk opens a log in a real folder.
-func onDisk(t *testing.T, folder string, o Options) (*Log, view) {
-	t.Helper()
-	log, err := Open(folder, o)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = log.Close() })
-	v, err := look(log)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return log, v
-}
+	"gradeusher.example/gradeusher/internal/system/wal"
+	"gradeusher.example/gradeusher/internal/system/wal/waltest"
+)
 
 func TestRealFolder(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "data")
 	for name, steps := range histories {
 		t.Run(name, func(t *testing.T) {
-			model := NewMem()
-			for i, st := range steps {
+			model := waltest.NewMem()
+			for i, next := range steps {
 				// A new process before every step.
-				log, _ := onDisk(t, filepath.Join(folder, name), Options{SegmentBytes: 300})
-				if err := st.run(log, model.last()); err != nil {
-					t.Fatalf("step %d, %v: %v", i, st, err)
+				log := openLoaded(t, filepath.Join(folder, name), wal.Options{SegmentBytes: 300})
+				if err := next.run(log, model.LastSeq()); err != nil {
+					t.Fatalf("step %d, %v: %v", i, next, err)
 				}
-				if err := st.run(model, model.last()); err != nil {
+				if err := next.run(model, model.LastSeq()); err != nil {
 					t.Fatal(err)
 				}
-				got, err := look(log)
-				if want, _ := look(model); err != nil || got.log != want.log || fmt.Sprint(got.meta) != fmt.Sprint(want.meta) {
-					t.Fatalf("step %d, %v: got %v, want %v, %v", i, st, got, want, err)
+				got, err := loadView(log)
+				if want, _ := loadView(model); err != nil || got.log != want.log || fmt.Sprint(got.meta) != fmt.Sprint(want.meta) {
+					t.Fatalf("step %d, %v: got %v, want %v, %v", i, next, got, want, err)
 				}
 			}
 		})
@@ -50,142 +39,167 @@
 }
 
 func TestMisuse(t *testing.T) {
-	log, err := Open(t.TempDir(), Options{})
+	log, err := wal.Open(t.TempDir(), wal.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := log.Append([]Entry{{Seq: 1}}); !errors.Is(err, ErrMisuse) {
+	if err := log.Append([]wal.Entry{{Seq: 1}}); !errors.Is(err, wal.ErrMisuse) {
 		t.Errorf("append before load: %v", err)
 	}
-	if err := log.SaveMeta("x", nil); !errors.Is(err, ErrMisuse) {
+	if err := log.SaveMeta("x", nil); !errors.Is(err, wal.ErrMisuse) {
 		t.Errorf("metadata before load: %v", err)
 	}
-	for _, d := range []Disk{log, NewMem()} {
-		if _, _, _, err := d.Load(); err != nil {
+	for _, disk := range []wal.Disk{log, waltest.NewMem()} {
+		if _, _, _, err := disk.Load(); err != nil {
 			t.Fatal(err)
 		}
-		if err := d.Append([]Entry{{Seq: 1}, {Seq: 2}}); err != nil {
+		if err := disk.Append([]wal.Entry{{Seq: 1}, {Seq: 2}}); err != nil {
 			t.Fatal(err)
 		}
-		if err := d.Compact(Snapshot{Seq: 1}); err != nil {
+		if err := disk.Compact(wal.Snapshot{Seq: 1}); err != nil {
 			t.Fatal(err)
 		}
 		for what, err := range map[string]error{
-			"gap":             d.Append([]Entry{{Seq: 4}}),
-			"gap inside":      d.Append([]Entry{{Seq: 3}, {Seq: 5}}),
-			"twice":           d.Append([]Entry{{Seq: 2}}),
-			"cut too far":     d.Truncate(0),
-			"compact ahead":   d.Compact(Snapshot{Seq: 3}),
-			"compact back":    d.Compact(Snapshot{Seq: 0}),
-			"no name":         d.SaveMeta("", nil),
-			"a path":          d.SaveMeta("../x", nil),
-			"a name too long": d.SaveMeta(strings.Repeat("x", 65), nil),
+			"gap":             disk.Append([]wal.Entry{{Seq: 4}}),
+			"gap inside":      disk.Append([]wal.Entry{{Seq: 3}, {Seq: 5}}),
+			"twice":           disk.Append([]wal.Entry{{Seq: 2}}),
+			"cut too far":     disk.Truncate(0),
+			"compact ahead":   disk.Compact(wal.Snapshot{Seq: 3}),
+			"compact back":    disk.Compact(wal.Snapshot{Seq: 0}),
+			"no name":         disk.SaveMeta("", nil),
+			"a path":          disk.SaveMeta("../x", nil),
+			"a name too long": disk.SaveMeta(strings.Repeat("x", 65), nil),
 		} {
-			if !errors.Is(err, ErrMisuse) {
-				t.Errorf("%T, %s: %v", d, what, err)
+			if !errors.Is(err, wal.ErrMisuse) {
+				t.Errorf("%T, %s: %v", disk, what, err)
 			}
 		}
-		if err := d.Append([]Entry{{Seq: 3}}); err != nil {
-			t.Errorf("%T: %v", d, err)
+		if err := disk.Append([]wal.Entry{{Seq: 3}}); err != nil {
+			t.Errorf("%T: %v", disk, err)
 		}
 	}
 }
 
-// TestFull fills a disk: promises and cuts still work, a compaction makes room again.
+// TestFull fills a disk: metadata and truncations still succeed, and a compaction frees space.
 func TestFull(t *testing.T) {
-	for name, o := range map[string]Options{
-		"limit of its own": {MaxBytes: 9000, SegmentBytes: 1000, ReserveBytes: 600},
-		"disk":             {SegmentBytes: 1000, ReserveBytes: 600},
-	} {
-		t.Run(name, func(t *testing.T) {
-			fs := newSimFS()
-			fs.capacity = 10000
-			o.FS = fs
-			log, err := Open(simFolder, o)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if _, _, _, err := log.Load(); err != nil {
-				t.Fatal(err)
-			}
-			model, data := NewMem(), bytes.Repeat([]byte("x"), 90)
-			both := func(do func(Disk) error) error {
-				err := do(log)
-				if err == nil {
-					err = do(model)
-				}
-				return err
-			}
-			appendOne := func(d Disk) error { return d.Append([]Entry{{Seq: model.last() + 1, Data: data}}) }
-			for err = nil; err == nil; {
-				err = both(appendOne)
-			}
-			if !errors.Is(err, ErrFull) || model.last() < 50 {
-				t.Fatalf("after %d: %v", model.last(), err)
-			}
-			for i := range 40 {
-				if err := both(func(d Disk) error { return d.SaveMeta("promise", fmt.Appendf(nil, "%d", i)) }); err != nil {
-					t.Fatalf("promise %d: %v", i, err)
-				}
-			}
-			last := model.last()
-			if err := both(func(d Disk) error { return d.Truncate(last - 1) }); err != nil {
-				t.Fatal(err)
-			}
-			same(t, log, model)
-			if name == "disk" { // others have taken it all
-				fs.capacity = fs.used()
-				if err := log.Compact(Snapshot{Seq: last - 3, Data: data}); !errors.Is(err, ErrFull) {
-					t.Fatal(err)
-				}
-				same(t, log, model)
-				fs.capacity += 1000
-			}
-			if err := both(func(d Disk) error { return d.Compact(Snapshot{Seq: last - 3, Data: []byte("s")}) }); err != nil {
-				t.Fatal(err)
-			}
-			for range 40 {
-				if err := both(appendOne); err != nil {
-					t.Fatal(err)
-				}
-			}
-			if !log.reserved {
-				t.Error("the reserve was not taken again")
-			}
-			if n := log.Size(); n > 8000 {
-				t.Errorf("%d bytes are used", n)
-			}
-			same(t, log, model)
-		})
+	t.Run("bound of the log", func(t *testing.T) {
+		full := newFullLog(t, wal.Options{MaxBytes: 9000, SegmentBytes: 1000, ReserveBytes: 600})
+		full.changeWhileFull()
+		full.compactAndGoOn()
+	})
+	t.Run("disk", func(t *testing.T) {
+		full := newFullLog(t, wal.Options{SegmentBytes: 1000, ReserveBytes: 600})
+		full.changeWhileFull()
+		full.compactWithoutSpace()
+		full.compactAndGoOn()
+	})
+}
+
+// fullLog is a log that has been filled up, beside a model of it.
+type fullLog struct {
+	t     *testing.T
+	fs    *simFS
+	log   *wal.Log
+	model *waltest.Mem
+	data  []byte // of an entry
+}
+
+func newFullLog(t *testing.T, options wal.Options) *fullLog {
+	t.Helper()
+	fs := newSimFS()
+	fs.capacity = 10000
+	options.FS = fs
+	full := &fullLog{t: t, fs: fs, log: openLoaded(t, simFolder, options), model: waltest.NewMem(), data: bytes.Repeat([]byte("x"), 90)}
+	var err error
+	for err == nil {
+		err = full.appendOne()
+	}
+	if !errors.Is(err, wal.ErrFull) || full.model.LastSeq() < 50 {
+		t.Fatalf("after %d: %v", full.model.LastSeq(), err)
+	}
+	return full
+}
+
+// both applies a change to the log and, where it succeeds, to the model.
+func (f *fullLog) both(change func(wal.Disk) error) error {
+	err := change(f.log)
+	if err == nil {
+		err = change(f.model)
+	}
+	return err
+}
+
+func (f *fullLog) appendOne() error {
+	return f.both(func(disk wal.Disk) error {
+		return disk.Append([]wal.Entry{{Seq: f.model.LastSeq() + 1, Data: f.data}})
+	})
+}
+
+func (f *fullLog) changeWhileFull() {
+	f.t.Helper()
+	for i := range 40 {
+		if err := f.both(func(disk wal.Disk) error { return disk.SaveMeta("promise", fmt.Appendf(nil, "%d", i)) }); err != nil {
+			f.t.Fatalf("metadata %d: %v", i, err)
+		}
+	}
+	last := f.model.LastSeq()
+	if err := f.both(func(disk wal.Disk) error { return disk.Truncate(last - 1) }); err != nil {
+		f.t.Fatal(err)
+	}
+	requireSame(f.t, f.log, f.model)
+}
+
+// compactWithoutSpace compacts while others use all of the disk, and frees 1,000 bytes.
+func (f *fullLog) compactWithoutSpace() {
+	f.t.Helper()
+	f.fs.capacity = f.fs.usedBytes()
+	if err := f.log.Compact(wal.Snapshot{Seq: f.model.LastSeq() - 2, Data: f.data}); !errors.Is(err, wal.ErrFull) {
+		f.t.Fatal(err)
+	}
+	requireSame(f.t, f.log, f.model)
+	f.fs.capacity += 1000
+}
+
+func (f *fullLog) compactAndGoOn() {
+	f.t.Helper()
+	seq := f.model.LastSeq() - 2
+	if err := f.both(func(disk wal.Disk) error { return disk.Compact(wal.Snapshot{Seq: seq, Data: []byte("s")}) }); err != nil {
+		f.t.Fatal(err)
+	}
+	for range 40 {
+		if err := f.appendOne(); err != nil {
+			f.t.Fatal(err)
+		}
+	}
+	if !f.log.HasReserve() {
+		f.t.Error("the reserve was not created again")
+	}
+	if n := f.log.Size(); n > 8000 {
+		f.t.Errorf("%d bytes are used", n)
 	}
+	requireSame(f.t, f.log, f.model)
 }
 
-func same(t *testing.T, a, b Disk) {
+func requireSame(t *testing.T, a, b wal.Disk) {
 	t.Helper()
-	va, err := look(a)
-	vb, _ := look(b)
+	va, err := loadView(a)
+	vb, _ := loadView(b)
 	if err != nil || va.log != vb.log || fmt.Sprint(va.meta) != fmt.Sprint(vb.meta) {
 		t.Fatalf("%v\n%v\n%v", va, vb, err)
 	}
 }
 
-// build makes a log with segments of the given size on a simulated disk, and returns what it held after each step.
-func build(t *testing.T, segmentBytes int64, steps []step) (*simFS, []view) {
+// buildLog makes a log with segments of the given size on a simulated disk, and returns what it held after each step.
+func buildLog(t *testing.T, segmentBytes int64, steps []step) (*simFS, []view) {
 	t.Helper()
-	fs, model := newSimFS(), NewMem()
-	log, err := Open(simFolder, Options{FS: fs, SegmentBytes: segmentBytes, ReserveBytes: -1})
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, _, _, err := log.Load(); err != nil {
-		t.Fatal(err)
-	}
+	fs, model := newSimFS(), waltest.NewMem()
+	log := openLoaded(t, simFolder, wal.Options{FS: fs, SegmentBytes: segmentBytes, ReserveBytes: -1})
 	var views []view
-	for _, st := range steps {
-		if err := errors.CombineErrors(st.run(log, model.last()), st.run(model, model.last())); err != nil {
+	for _, next := range steps {
+		if err := errors.CombineErrors(next.run(log, model.LastSeq()), next.run(model, model.LastSeq())); err != nil {
 			t.Fatal(err)
 		}
-		v, _ := look(model)
+		v, _ := loadView(model)
 		views = append(views, v)
 	}
 	return fs, views
@@ -195,51 +209,60 @@
 func TestDamage(t *testing.T) {
 	steps := []step{{"meta", 1, 1}, {"append", 4, 0}, {"compact", 2, 0}, {"append", 3, 0}, {"truncate", 5, 0}, {"append", 2, 1}, {"append", 1, 2}}
 	for _, segmentBytes := range []int64{1, 100, 250, 1 << 20} {
-		fs, views := build(t, segmentBytes, steps)
-		whole, withoutLast := views[len(views)-1], views[len(views)-2]
-		seen, torn, other := 0, 0, 0
-		for name, n := range fs.names {
-			for i := range n.content {
-				changed := fs.killed()
-				changed.names[name].content = slices.Clone(n.content)
-				changed.names[name].content[i] ^= 0x10
-				log, err := openSim(changed)
-				if err != nil {
-					t.Fatal(err)
-				}
-				v, err := look(log)
-				switch {
-				case errors.Is(err, ErrDamaged):
-					seen++
-				case err != nil:
-					t.Fatalf("%s, byte %d: %v", name, i, err)
-				case fmt.Sprint(v.meta) != fmt.Sprint(whole.meta):
-					t.Fatalf("%s, byte %d: %v", name, i, v.meta)
-				case v.log == withoutLast.log:
-					torn++
-				case v.log == whole.log:
-					other++
-				default:
-					t.Fatalf("%s, byte %d: %q", name, i, v.log)
+		t.Run(fmt.Sprintf("segments of %d bytes", segmentBytes), func(t *testing.T) {
+			fs, views := buildLog(t, segmentBytes, steps)
+			complete, withoutLast := views[len(views)-1], views[len(views)-2]
+			seen, torn, unseen := 0, 0, 0
+			for name, node := range fs.visible {
+				for index := range node.content {
+					found, err := loadWithDamage(t, fs, name, index)
+					switch {
+					case errors.Is(err, wal.ErrDamaged):
+						seen++
+					case err != nil:
+						t.Fatalf("%s, byte %d: %v", name, index, err)
+					case !maps.Equal(found.meta, complete.meta):
+						t.Fatalf("%s, byte %d: %v", name, index, found.meta)
+					case found.log == withoutLast.log:
+						torn++
+					case found.log == complete.log:
+						unseen++
+					default:
+						t.Fatalf("%s, byte %d: %q", name, index, found.log)
+					}
 				}
 			}
-		}
-		if seen < 200 || torn < recordHeaderSize || torn > 80 || other > 0 {
-			t.Errorf("segments of %d: seen %d times, taken for torn %d, passed over %d", segmentBytes, seen, torn, other)
-		}
+			if seen < 200 || torn < wal.RecordHeaderSize || torn > 80 || unseen > 0 {
+				t.Errorf("seen %d times, taken for torn %d, passed over %d", seen, torn, unseen)
+			}
+		})
+	}
+}
+
+// loadWithDamage loads a log of which one bit has changed.
+func loadWithDamage(t *testing.T, fs *simFS, name string, index int) (view, error) {
+	t.Helper()
+	changed := fs.afterKill()
+	node := changed.visible[name]
+	node.content = slices.Clone(node.content)
+	node.content[index] ^= 0x10
+	log, err := openSim(changed)
+	if err != nil {
+		t.Fatal(err)
 	}
+	return loadView(log)
 }
 
 func TestMissingSnapshot(t *testing.T) {
-	fs, _ := build(t, 100, []step{{"append", 4, 0}, {"install", 9, 0}, {"append", 1, 0}})
+	fs, _ := buildLog(t, 100, []step{{"append", 4, 0}, {"install", 9, 0}, {"append", 1, 0}})
 	names, _ := fs.ReadDir("")
 	i := slices.IndexFunc(names, func(name string) bool { return strings.HasPrefix(name, "snap-") })
 	if i < 0 {
 		t.Fatal("no snapshot was written")
 	}
-	delete(fs.names, names[i])
+	delete(fs.visible, names[i])
 	log, _ := openSim(fs)
-	if v, err := look(log); !errors.Is(err, ErrDamaged) {
+	if v, err := loadView(log); !errors.Is(err, wal.ErrDamaged) {
 		t.Errorf("%v, %v", v, err)
 	}
 }
@@ -247,23 +270,23 @@
 // TestMissingSegment takes out a segment that is not the last, also where the numbers of the rest follow each other.
 func TestMissingSegment(t *testing.T) {
 	for _, segmentBytes := range []int64{1, 60, 200} {
-		fs, _ := build(t, segmentBytes, []step{{"append", 6, 0}, {"truncate", 3, 0}, {"append", 3, 1}, {"append", 5, 2}, {"append", 1, 0}})
+		fs, _ := buildLog(t, segmentBytes, []step{{"append", 6, 0}, {"truncate", 3, 0}, {"append", 3, 1}, {"append", 5, 2}, {"append", 1, 0}})
 		names, _ := fs.ReadDir("")
 		if len(names) < 3 {
 			t.Fatalf("too few segments: %q", names)
 		}
 		for _, name := range names[:len(names)-1] {
-			changed := fs.killed()
-			delete(changed.names, name)
+			changed := fs.afterKill()
+			delete(changed.visible, name)
 			log, _ := openSim(changed)
-			if v, err := look(log); !errors.Is(err, ErrDamaged) {
+			if v, err := loadView(log); !errors.Is(err, wal.ErrDamaged) {
 				t.Errorf("segments of %d, without %s: %v, %v", segmentBytes, name, v, err)
 			}
 		}
 	}
 }
 
-// TestStaleRecord puts a whole record of an earlier log behind the end, as blocks that were used before may.
+// TestStaleRecord puts a complete record of an earlier log behind the end, as blocks that were used before may.
 func TestStaleRecord(t *testing.T) {
 	old, err := runHistory([]step{{"append", 1, 0}, {"append", 1, 0}}, nil)
 	if err != nil {
@@ -273,21 +296,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	name := segmentName(1)
-	n := s.fs.names[name]
-	n.content = append(slices.Clone(n.content), old.fs.names[name].content[len(n.content):]...)
-	if v, err := look(s.log); err != nil || s.allows(v) != nil {
+	name := wal.SegmentName(1)
+	n := s.fs.visible[name]
+	n.content = append(slices.Clone(n.content), old.fs.visible[name].content[len(n.content):]...)
+	if v, err := loadView(s.log); err != nil || s.checkAllowed(v) != nil {
 		t.Errorf("%v, %v", v, err)
 	}
 	// The same record once more, in the same segment.
-	n.content = append(slices.Clone(n.content), n.content[headerSize:]...)
-	if v, err := look(s.log); err != nil || s.allows(v) != nil {
+	n.content = append(slices.Clone(n.content), n.content[wal.HeaderSize:]...)
+	if v, err := loadView(s.log); err != nil || s.checkAllowed(v) != nil {
 		t.Errorf("%v, %v", v, err)
 	}
 }
 
 func BenchmarkAppend(b *testing.B) {
-	log, err := Open(b.TempDir(), Options{MaxBytes: 1 << 40})
+	log, err := wal.Open(b.TempDir(), wal.Options{MaxBytes: 1 << 40})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -296,7 +319,7 @@
 	}
 	data := make([]byte, 1000)
 	for i := uint64(1); b.Loop(); i++ {
-		if err := log.Append([]Entry{{Seq: i, Data: data}}); err != nil {
+		if err := log.Append([]wal.Entry{{Seq: i, Data: data}}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- /dev/null
+++ b/internal/system/wal/meta.go
@@ -0,0 +1,41 @@
+package wal
+
+import "fmt"
+
+func metaName(name string, generation uint64) string {
+	return fmt.Sprintf("meta-%s-%016x", name, generation)
+}
+
+// SaveMeta implements Disk. Names have 1 to 64 bytes of a to z, 0 to 9 and _. It works at Options.MaxBytes, too.
+func (l *Log) SaveMeta(name string, data []byte) error {
+	if err := l.checkWritable(); err != nil {
+		return err
+	}
+	if err := ValidateMetaName(name); err != nil {
+		return err
+	}
+	generations := l.meta[name]
+	err := l.withReserve(len(data), func() error {
+		generations.triedGeneration++ // never reused: a failed one may be on disk
+		return l.writeMeta(name, generations.triedGeneration, data)
+	})
+	if err == nil {
+		if generations.savedGeneration > 0 {
+			l.garbage = append(l.garbage, metaName(name, generations.savedGeneration))
+		}
+		generations.savedGeneration = generations.triedGeneration
+	}
+	l.meta[name] = generations
+	l.deleteGarbage()
+	return err
+}
+
+// writeMeta writes one generation of the metadata called name; one that failed is garbage.
+func (l *Log) writeMeta(name string, generation uint64, data []byte) error {
+	file := metaName(name, generation)
+	_, err := l.replaceOwnedFile(file, encodeFile(metaMagic, []uint64{generation}, data))
+	if err != nil {
+		l.garbage = append(l.garbage, file)
+	}
+	return err
+}
