--- a/internal/system/replication/acceptor.go
+++ b/internal/system/replication/acceptor.go
@@ -55,7 +55,7 @@
 
 // acceptor is this node's vote in the agreement on views. The view of epoch e+1 is the value of a single-decree Paxos among the
 // voters of e (Lamport 2001). The acceptor answers only after its promise or acceptance is on disk, so that a restart forgets neither.
-// It also knows which of its epochs are on disk, which is all that this node may tell of itself.
+// It also knows which of its epochs are on disk, which is all that its heartbeats may say of it.
 type acceptor struct {
 	*environment
 	acceptorState
--- a/internal/system/replication/downstream_test.go
+++ b/internal/system/replication/downstream_test.go
@@ -162,7 +162,7 @@
 		offered := float64(cluster.slowNetworks["d"].sentBytes) / (1 << 20)
 		t.Logf("away for %v: level after %v, %.1f MB sent in 15 s", away, level, offered)
 		if level == 0 || offered > 15 {
-			t.Errorf("away for %v: level after %v, %.1f MB sent in 15 s through a link of 1 MB/s", away, level, offered)
+			t.Errorf("away for %v: level after %v, %.1f MB sent in 15 s through a network of 1 MB/s", away, level, offered)
 		}
 	}
 }
--- a/internal/system/replication/head_election.go
+++ b/internal/system/replication/head_election.go
@@ -13,13 +13,13 @@
 
 // durableEpochs is what a node has on disk about the epochs in which it was a chain replica.
 type durableEpochs struct {
-	known  bool   // the node has told
+	known  bool   // a heartbeat of the node has said so
 	active uint64 // newest epoch in which it was active
 	sealed uint64 // epoch in which it will never be active
 	epoch  uint64 // of its view
 }
 
-// isInactiveIn tells whether the node was not active in the epoch when it last told.
+// isInactiveIn tells whether the node was not active in the epoch by its newest heartbeat.
 func (e durableEpochs) isInactiveIn(epoch uint64) bool { return e.known && e.active < epoch }
 
 // cannotActivateIn tells whether a node that was not active in the epoch never will be: it is in a later one, or has sealed it.
@@ -27,7 +27,7 @@
 	return e.epoch > epoch || e.sealed == epoch
 }
 
-// durableEpochsOf gives what the node last told. The numbers may have changed since, but only upwards.
+// durableEpochsOf gives what the newest heartbeat of a node says. The numbers may have changed since, but only upwards.
 func (lv *liveness) durableEpochsOf(id ID) durableEpochs {
 	if id == lv.self.ID {
 		return durableEpochs{known: true, active: lv.acceptor.durableActive, sealed: lv.acceptor.durableSealed, epoch: lv.acceptor.durableEpoch}
@@ -42,7 +42,7 @@
 type sealing bool
 
 const (
-	asSealed       sealing = false // as they have told
+	asSealed       sealing = false // by their heartbeats
 	assumingSealed sealing = true  // those that are alive count as sealed, since they can be asked to
 )
 
@@ -76,11 +76,11 @@
 // more may have acknowledged.
 func (pl *planner) cannotHaveAcknowledged(epoch uint64, candidate ID, seals sealing) bool {
 	return slices.ContainsFunc(pl.acceptor.view.chainOf(epoch), func(id ID) bool {
-		told := pl.liveness.durableEpochsOf(id)
-		if !told.isInactiveIn(epoch) {
+		reported := pl.liveness.durableEpochsOf(id)
+		if !reported.isInactiveIn(epoch) {
 			return false // it may be active
 		}
-		return id == candidate || told.cannotActivateIn(epoch) || pl.cfg.knobs.PresumeUnacknowledged ||
+		return id == candidate || reported.cannotActivateIn(epoch) || pl.cfg.knobs.PresumeUnacknowledged ||
 			seals == assumingSealed && pl.canBeAskedToSeal(id, epoch)
 	})
 }
--- a/internal/system/replication/late_messages_test.go
+++ b/internal/system/replication/late_messages_test.go
@@ -69,7 +69,7 @@
 	}
 	cluster.run(3 * time.Second)
 	if len(old) == 0 {
-		t.Fatal("the spare is not fed")
+		t.Fatal("the spare does not catch up")
 	}
 	cluster.nodes["d"].core = nil
 	fresh := false
@@ -86,7 +86,7 @@
 			cluster.deliver(e)
 		}
 		if n := cluster.nodes["d"]; n.core.Current(cluster.clock(n)) {
-			t.Fatalf("%v after its start the keeper counts as current with %d of 1 records", cluster.clock(n), n.core.chain.commitIndex)
+			t.Fatalf("%v after its start the node counts as current with %d of 1 records", cluster.clock(n), n.core.chain.commitIndex)
 		}
 	}
 	fresh = true
--- a/internal/system/replication/node_observer_test.go
+++ b/internal/system/replication/node_observer_test.go
@@ -24,7 +24,7 @@
 		opt := Options{Addr: "10.0.0.9", Zone: "z", Region: "r", Port: 1, Seeds: group.seeds, Bootstrap: true, MachineLosses: 1,
 			Transport: group.net, Log: &log.Logger{Handler: discard.New(), Level: log.InfoLevel}}
 		if _, err := Start(context.Background(), opt); !errors.Is(err, ErrNoDisk) {
-			t.Errorf("a keeper that votes started without a disk: %v", err)
+			t.Errorf("a node that votes started without a disk: %v", err)
 		}
 		opt.Observer = true
 		observer, err := Start(context.Background(), opt)
--- a/internal/system/replication/node_test.go
+++ b/internal/system/replication/node_test.go
@@ -205,7 +205,7 @@
 			t.Error(err)
 		}
 		if k.Current() {
-			t.Error("a lone keeper counts as current")
+			t.Error("a lone node counts as current")
 		}
 		f.stop(f.seeds[0], k)
 	})
--- a/internal/system/replication/observer_test.go
+++ b/internal/system/replication/observer_test.go
@@ -131,7 +131,7 @@
 	took := cluster.until(5*time.Second, "the newcomer is a link", func() bool {
 		return cluster.complete(3, 3) && slices.Contains(cluster.view().Chain, ID("k4"))
 	})
-	t.Logf("a link after %v", took)
+	t.Logf("a replica after %v", took)
 }
 
 // TestObserversAreCheap counts the heartbeats that three members and six observers exchange.
@@ -183,7 +183,7 @@
 			noObserverInViews(t, cluster)
 			return cluster.complete(min(keepers, 3), min(keepers, 3))
 		})
-		t.Logf("%d keepers: complete after %v", keepers, took)
+		t.Logf("%d nodes: complete after %v", keepers, took)
 		if keepers < 2 {
 			continue
 		}
--- a/internal/system/replication/reach_test.go
+++ b/internal/system/replication/reach_test.go
@@ -156,7 +156,7 @@
 		}
 		for addr := range cluster.nodes {
 			if cluster.partition(addr) {
-				t.Fatalf("%s counts as cut off after %v", addr, cluster.now-began)
+				t.Fatalf("%s counts as partitioned after %v", addr, cluster.now-began)
 			}
 		}
 	}
@@ -176,7 +176,7 @@
 		early := cluster.partition("a")
 		cluster.run(9 * time.Second)
 		if late := cluster.partition("a"); early || late != (others == 0) {
-			t.Errorf("%d others: cut off %v after 1 s, %v after 10 s", others, early, late)
+			t.Errorf("%d others: partitioned %v after 1 s, %v after 10 s", others, early, late)
 		}
 	}
 }
--- a/internal/system/replication/restore.go
+++ b/internal/system/replication/restore.go
@@ -22,19 +22,20 @@
 // RecoverState gives the state after all records that a node's disk holds. The last of them may never have been
 // acknowledged.
 func RecoverState(snap wal.Snapshot, entries []wal.Entry) (*controlstate.State, error) {
-	c, err := NewCore(Config{}, controlMachine{}, nil, snap, entries)
+	core, err := NewCore(Config{}, controlMachine{}, nil, snap, entries)
 	if err != nil {
 		return nil, err
 	}
-	s := c.chain.state
-	for seq := c.chain.commitIndex + 1; seq <= c.chain.log.end(); seq++ {
-		if s, err = s.Apply(c.chain.log.at(seq).rec); err != nil {
+	chain := core.chain
+	state := chain.state
+	for seq := chain.commitIndex + 1; seq <= chain.log.end(); seq++ {
+		if state, err = state.Apply(chain.log.at(seq).rec); err != nil {
 			return nil, applyError(err, seq)
 		}
 	}
-	recovered, ok := s.(controlState)
+	recovered, ok := state.(controlState)
 	if !ok {
-		return nil, errors.AssertionFailedf("replication: a state of type %T: report it", s)
+		return nil, errors.AssertionFailedf("replication: a state of type %T: report it", state)
 	}
 	return recovered.State, nil
 }
--- a/internal/system/replication/sim_hardening_leave_test.go
+++ b/internal/system/replication/sim_hardening_leave_test.go
@@ -43,7 +43,7 @@
 		}
 	}
 	if holders <= w.losses {
-		w.fail(fmt.Errorf("machine %d has left, but only %d others hold all %d acknowledged records", m.name, holders, w.acked))
+		w.fail(fmt.Errorf("node %d has left, but only %d others hold all %d acknowledged records", m.name, holders, w.acked))
 	}
 }
 
@@ -67,7 +67,7 @@
 	}
 	for _, o := range []*simNode{middle, tail} {
 		if o.disk.end() >= w.acked {
-			return 0, fmt.Errorf("machine %d holds a copy", o.name)
+			return 0, fmt.Errorf("node %d holds a copy", o.name)
 		}
 	}
 	began, stayed := w.now, time.Duration(0)
@@ -128,11 +128,11 @@
 		c.liveness.peers[id] = &peer{member: Member{ID: id}, heartbeat: &replicationpb.Heartbeat{Epoch: 3, Active: 3}}
 	}
 	if !c.Departed() {
-		t.Error("two links that are alive hold all, and the leaver does not go")
+		t.Error("two replicas that are alive hold all, and the leaver does not go")
 	}
 	c.now = 20 * time.Second
 	c.liveness.peers["a"].lastContactAt, c.liveness.peers["a"].echoedAt = c.now, c.now
 	if c.Departed() {
-		t.Error("one of two links is silent, and the leaver goes")
+		t.Error("one of two replicas is silent, and the leaver goes")
 	}
 }
--- a/internal/system/replication/sim_hardening_outage_test.go
+++ b/internal/system/replication/sim_hardening_outage_test.go
@@ -218,10 +218,10 @@
 		sum.installs += run.installs
 		sum.upstreamLosses += run.upstreamLosses
 	}
-	t.Logf("%d plays, away for %d changes: level after at most %v, %d snapshots sent, %d feeders lost meanwhile, logs of at most %d records",
+	t.Logf("%d plays, away for %d changes: level after at most %v, %d snapshots sent, %d upstream losses meanwhile, logs of at most %d records",
 		len(jobs), changes, sum.caughtUpAfter, sum.installs, sum.upstreamLosses, sum.longest)
 	if sum.installs == 0 || sum.upstreamLosses == 0 {
-		t.Error("no snapshot was sent, or no feeder was lost")
+		t.Error("no snapshot was sent, or no upstream was lost")
 	}
 }
 
--- a/internal/system/replication/sim_invariants_test.go
+++ b/internal/system/replication/sim_invariants_test.go
@@ -58,13 +58,13 @@
 		return
 	}
 	if err := core.Err(); err != nil {
-		w.fail(fmt.Errorf("machine %d stopped: %w", node.name, err))
+		w.fail(fmt.Errorf("node %d stopped: %w", node.name, err))
 		return
 	}
 	w.checkView(node, core.View())
 	seq, state := core.Committed()
 	if seq < node.committed {
-		w.fail(fmt.Errorf("machine %d went back from record %d to %d", node.name, node.committed, seq))
+		w.fail(fmt.Errorf("node %d went back from record %d to %d", node.name, node.committed, seq))
 	}
 	for s := node.committed + 1; s <= seq; s++ {
 		if s > core.chain.log.base && s <= core.chain.log.end() {
@@ -78,9 +78,9 @@
 	}
 	node.committed, node.checked = seq, state
 	if seq >= uint64(len(w.states)) {
-		w.fail(fmt.Errorf("machine %d is at record %d, which nobody has committed", node.name, seq))
+		w.fail(fmt.Errorf("node %d is at record %d, which nobody has committed", node.name, seq))
 	} else if got, want := describe(state.(*toy)), describe(w.states[seq]); got != want {
-		w.fail(fmt.Errorf("machine %d has %q after record %d, others %q", node.name, got, seq, want))
+		w.fail(fmt.Errorf("node %d has %q after record %d, others %q", node.name, got, seq, want))
 	}
 }
 
@@ -89,7 +89,7 @@
 		return
 	}
 	if node.view != nil && view.Epoch < node.view.Epoch {
-		w.fail(fmt.Errorf("machine %d went back from view %d to %d", node.name, node.view.Epoch, view.Epoch))
+		w.fail(fmt.Errorf("node %d went back from view %d to %d", node.name, node.view.Epoch, view.Epoch))
 	}
 	node.view = view
 	s := fmt.Sprint(view.Chain, view.Voters)
@@ -112,12 +112,12 @@
 	switch {
 	case seq <= uint64(len(w.truth)):
 		if w.truth[seq-1] != id {
-			w.fail(fmt.Errorf("machine %d has committed record %d as %q, another as %q", node.name, seq, id, w.truth[seq-1]))
+			w.fail(fmt.Errorf("node %d has committed record %d as %q, another as %q", node.name, seq, id, w.truth[seq-1]))
 		}
 	case seq == uint64(len(w.truth))+1:
 		next, err := w.states[seq-1].Apply(rec.rec)
 		if err != nil {
-			w.fail(fmt.Errorf("machine %d has committed record %d: %w", node.name, seq, err))
+			w.fail(fmt.Errorf("node %d has committed record %d: %w", node.name, seq, err))
 			return
 		}
 		w.truth = append(w.truth, id)
@@ -125,7 +125,7 @@
 		w.states = append(w.states, next.(*toy))
 		w.committed(rec.rec)
 	default:
-		w.fail(fmt.Errorf("machine %d has committed record %d, but none has %d", node.name, seq, len(w.truth)+1))
+		w.fail(fmt.Errorf("node %d has committed record %d, but none has %d", node.name, seq, len(w.truth)+1))
 	}
 }
 
@@ -137,7 +137,7 @@
 	}
 	i := sort.Search(len(w.epochs), func(i int) bool { return w.epochs[i] > c.acceptor.durableActive })
 	if end := m.disk.end(); end < uint64(i) {
-		w.fail(fmt.Errorf("machine %d was active in epoch %d, which has acknowledged %d records, but holds %d", m.name, c.acceptor.durableActive, i, end))
+		w.fail(fmt.Errorf("node %d was active in epoch %d, which has acknowledged %d records, but holds %d", m.name, c.acceptor.durableActive, i, end))
 	}
 }
 
@@ -154,7 +154,7 @@
 		return
 	}
 	if seq := w.ackedBefore(w.now - currentBound); c.chain.commitIndex < seq {
-		w.fail(fmt.Errorf("machine %d counts as current with record %d, but %d was acknowledged over %v ago", m.name, c.chain.commitIndex, seq, currentBound))
+		w.fail(fmt.Errorf("node %d counts as current with record %d, but %d was acknowledged over %v ago", m.name, c.chain.commitIndex, seq, currentBound))
 	}
 }
 
@@ -186,7 +186,7 @@
 	}
 	w.stats.reads++
 	if d.Seq < a.acked {
-		w.fail(fmt.Errorf("a read at machine %d gave record %d, but %d had been acknowledged or read", a.node.name, d.Seq, a.acked))
+		w.fail(fmt.Errorf("a read at node %d gave record %d, but %d had been acknowledged or read", a.node.name, d.Seq, a.acked))
 	} else if d.Seq > uint64(len(w.truth)) || describe(d.State.(*toy)) != describe(w.states[d.Seq]) {
 		w.fail(fmt.Errorf("a read gave %q at record %d", describe(d.State.(*toy)), d.Seq))
 	}
--- a/internal/system/replication/sim_node_test.go
+++ b/internal/system/replication/sim_node_test.go
@@ -67,7 +67,7 @@
 		knobs: w.knobs, compactRecords: 20, retainedRecords: 5,
 	}, w.machine, clone(m.disk.meta), m.disk.snap, slices.Clone(m.disk.entries))
 	if err != nil {
-		w.fail(fmt.Errorf("machine %d does not start: %w", m.name, err))
+		w.fail(fmt.Errorf("node %d does not start: %w", m.name, err))
 		return
 	}
 	m.core, m.startedAt = core, w.now
--- a/internal/system/replication/sim_proxy_checks_test.go
+++ b/internal/system/replication/sim_proxy_checks_test.go
@@ -30,7 +30,7 @@
 	case p.seq >= uint64(len(w.states)):
 		w.fail(fmt.Errorf("proxy %s holds record %d, but only %d are committed", p.name, p.seq, len(w.truth)))
 	case describe(p.state) != describe(w.states[p.seq]):
-		w.fail(fmt.Errorf("proxy %s holds %q after record %d, keepers %q", p.name, describe(p.state), p.seq, describe(w.states[p.seq])))
+		w.fail(fmt.Errorf("proxy %s holds %q after record %d, nodes %q", p.name, describe(p.state), p.seq, describe(w.states[p.seq])))
 	}
 }
 
@@ -187,7 +187,7 @@
 	a := &simCall{node: m, change: controlstate.Change{Op: controlstate.OpNone, Zone: fmt.Sprintf("p%d", w.lastChange)}, first: w.acked, ttl: progressBound}
 	a.onDone = func(d Completion) {
 		if d.Outcome != Answered && w.eventAt == event && w.connected(outside, m.member.Addr) {
-			w.fail(fmt.Errorf("the keepers are stable, and a change that machine %d got %v ago is not acknowledged", m.name, w.now-began))
+			w.fail(fmt.Errorf("the nodes are stable, and a change that node %d got %v ago is not acknowledged", m.name, w.now-began))
 		}
 	}
 	w.ask(a)
--- a/internal/system/replication/sim_repair_steps_test.go
+++ b/internal/system/replication/sim_repair_steps_test.go
@@ -200,15 +200,15 @@
 			m, before := w.replica(place), w.acked
 			m.loseFor(w, time.Second)
 			if w.lost != 1 || m.isRunning() {
-				t.Fatalf("%s: link %d was not lost", first.name, place)
+				t.Fatalf("%s: replica %d was not lost", first.name, place)
 			}
 			lost++
 			w.runUntil(w.now + 1500*time.Millisecond)
 			if !w.runWhile(repairBound, func() bool { return !w.isFullyReplicated() || w.acked == before }) {
-				t.Fatalf("%s, then link %d: not over within %v: %v", first.name, place, repairBound, w.violation)
+				t.Fatalf("%s, then replica %d: not over within %v: %v", first.name, place, repairBound, w.violation)
 			}
 			if err := w.converge(6 * time.Second); err != nil {
-				t.Errorf("%s, then link %d: %v", first.name, place, err)
+				t.Errorf("%s, then replica %d: %v", first.name, place, err)
 			}
 		}
 	}
--- a/internal/system/replication/sim_seeds_test.go
+++ b/internal/system/replication/sim_seeds_test.go
@@ -107,10 +107,10 @@
 	}
 	for _, m := range w.nodes {
 		if m.isRunning() && !m.core.Current(m.clock()) {
-			w.fail(fmt.Errorf("machine %d is not current", m.name))
+			w.fail(fmt.Errorf("node %d is not current", m.name))
 		}
 		if m.isRunning() && m.core.chain.commitIndex != uint64(len(w.truth)) {
-			w.fail(fmt.Errorf("machine %d has %d of %d records", m.name, m.core.chain.commitIndex, len(w.truth)))
+			w.fail(fmt.Errorf("node %d has %d of %d records", m.name, m.core.chain.commitIndex, len(w.truth)))
 		}
 	}
 	for _, p := range w.proxies {
--- a/internal/system/replication/upstream_catchup_test.go
+++ b/internal/system/replication/upstream_catchup_test.go
@@ -44,10 +44,10 @@
 					level = cluster.now - began
 				}
 			})
-			t.Logf("away for %v, its feeder lost after %v: a link again after %v, %.1f MB sent", away, lostAfter, level,
+			t.Logf("away for %v, its upstream lost after %v: a replica again after %v, %.1f MB sent", away, lostAfter, level,
 				float64(cluster.slowNetworks[member].sentBytes)/(1<<20))
 			if level == 0 {
-				t.Errorf("away for %v, its feeder lost after %v: it is no link again within 10 s", away, lostAfter)
+				t.Errorf("away for %v, its upstream lost after %v: it is no replica again within 10 s", away, lostAfter)
 			}
 			longest = max(longest, level)
 			if n := inMemory(cluster.nodes[member].core); n > compactThresholdBytes+2*minRetainedBytes {
@@ -55,5 +55,5 @@
 			}
 		}
 	}
-	t.Logf("a link again after %v at most", longest)
+	t.Logf("a replica again after %v at most", longest)
 }
