--- a/internal/system/replication/restore.go
+++ b/internal/system/replication/restore.go
@@ -1,8 +1,6 @@
 package replication
 
 import (
-	"slices"
-
 	"github.com/cockroachdb/errors"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
@@ -40,24 +38,6 @@
 	return recovered.State, nil
 }
 
-// longestLogs lists those of the members with the longest log: before the first view, what was restored.
-func (pl *planner) longestLogs(members []Member) []Member {
-	logEnd := func(m Member) uint64 {
-		if m.ID == pl.self.ID {
-			return pl.chain.commitIndex
-		}
-		if p := pl.liveness.peers[m.ID]; p != nil {
-			return p.heartbeat.GetCommitted()
-		}
-		return 0
-	}
-	var longest uint64
-	for _, m := range members {
-		longest = max(longest, logEnd(m))
-	}
-	return slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return logEnd(m) < longest })
-}
-
 // discardRestoredLog empties the log of a node whose first view is v, unless it leads there, and tells whether v has to wait for that.
 // What was restored here is no part of the chain's log, which may have begun with something else, or with nothing; records are
 // compared by number and epoch only, and below a snapshot not at all. The log is empty on disk before the view is there, so that no
