--- a/internal/system/replication/golden_trace_test.go
+++ b/internal/system/replication/golden_trace_test.go
@@ -17,10 +17,10 @@
 // goldenFile holds a line "scenario seed steps digest" for each play; GRADEUSHER_WRITE_GOLDEN=1 writes it anew.
 const goldenFile = "testdata/golden_trace.txt"
 
-// goldenTrace is the digest of all that goes out of the cores of a world, in the order of the simulation. It takes wire
+// goldenTrace is the digest of all that goes out of the cores of a simulation, in the order of the simulation. It takes wire
 // bytes, numbers and fixed tags, and no name of the code nor text meant for people. Nothing is sorted here: a play runs in one
-// goroutine, on the clock and the random numbers of its world, and the cores put out all in an order of their own. The digests
-// also rest on what the harness draws: a change of the world, of its faults or of the toy state needs them written anew.
+// goroutine, on the clock and the random numbers of its simulation, and the cores put out all in an order of their own. The digests
+// also rest on what the harness draws: a change of the simulation, of its faults or of the toy state needs them written anew.
 type goldenTrace struct {
 	sum   hash.Hash
 	buf   []byte
@@ -64,10 +64,10 @@
 }
 
 // step records one Take of a core: when, whose, what it wants done, and what it holds then.
-func (g *goldenTrace) step(w *clusterSim, m *simNode, out *Outputs) {
+func (g *goldenTrace) step(w *clusterSim, node *simNode, out *Outputs) {
 	g.steps++
 	g.text("step")
-	g.number(uint64(w.now), uint64(m.name), m.incarnation)
+	g.number(uint64(w.now), uint64(node.name), node.incarnation)
 	for _, e := range out.Messages {
 		g.message(e)
 	}
@@ -77,7 +77,7 @@
 	for _, d := range out.Completions {
 		g.done(d)
 	}
-	g.core(m)
+	g.core(node)
 	g.flush()
 }
 
@@ -125,7 +125,7 @@
 	}
 }
 
-// reply records the answer to a proxy that follows the keepers.
+// reply records the answer to a proxy that follows the nodes.
 func (g *goldenTrace) reply(w *clusterSim, m *simNode, r *pollReply) {
 	g.steps++
 	g.text("reply")
@@ -176,7 +176,7 @@
 	seeds []uint64
 	topology
 	faults  []fault
-	joiners int           // machines that join, each in a zone of its own
+	joiners int           // nodes that join, each in a zone of its own
 	until   time.Duration // the end of the faults
 }
 
@@ -216,20 +216,20 @@
 		{at: 5 * time.Second, kind: faultZone, act: faultWipe, a: 0, duration: 2 * time.Second},
 	}},
 	{name: "rebalance", seeds: []uint64{1}, topology: topology{4, 0, 1, 2, 0, 1}, joiners: 2, until: 14 * time.Second},
-	{name: "random", seeds: []uint64{1, 3, 5, 16, 27, 117, zoneSeeds + 1}}, // 117: links seal an epoch
+	{name: "random", seeds: []uint64{1, 3, 5, 16, 27, 117, zoneSeeds + 1}}, // 117: replicas seal an epoch
 }
 
 // playGolden plays a scenario and gives the steps and the digest.
-func playGolden(s goldenScenario, seed uint64) (string, error) {
-	if s.diskNodes == 0 {
-		s.topology, s.faults, s.until = topologyOf(seed), seedFaults(seed), faultsUntil(seed)
+func playGolden(scenario goldenScenario, seed uint64) (string, error) {
+	if scenario.diskNodes == 0 {
+		scenario.topology, scenario.faults, scenario.until = topologyOf(seed), seedFaults(seed), faultsUntil(seed)
 	}
-	w := newClusterSim(seed, s.topology, TestingKnobs{})
-	g := newGoldenTrace(w)
-	for _, f := range s.faults {
+	w := newClusterSim(seed, scenario.topology, TestingKnobs{})
+	golden := newGoldenTrace(w)
+	for _, f := range scenario.faults {
 		w.inject(f)
 	}
-	for i := range s.joiners {
+	for i := range scenario.joiners {
 		w.after(time.Duration(5+3*i)*time.Second, func() {
 			m := w.newNode(fmt.Sprintf("10.0.1.%d", i+1), fmt.Sprintf("y%d", i), "r0")
 			m.seeds = w.seeds
@@ -237,14 +237,14 @@
 		})
 	}
 	w.operate()
-	w.runUntil(s.until)
+	w.runUntil(scenario.until)
 	w.heal()
 	w.expectAck("after the last fault")
 	w.runUntil(w.now + 2*time.Second)
 	if err := w.converge(convergenceBound); err != nil {
 		return "", err
 	}
-	return g.end(w), g.err
+	return golden.end(w), golden.err
 }
 
 // readGolden gives the recorded steps and digest by scenario and seed.
@@ -254,7 +254,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	t.Cleanup(func() { _ = f.Close() })
 	golden := map[string]string{}
 	for in := bufio.NewScanner(f); in.Scan(); {
 		if parts := strings.SplitN(in.Text(), " ", 3); len(parts) == 3 {
--- a/internal/system/replication/node_test.go
+++ b/internal/system/replication/node_test.go
@@ -91,9 +91,10 @@
 	seeds []string
 }
 
-func newFleet(t *testing.T, n int) *fleet {
+// newFleet is three nodes that have yet to be started.
+func newFleet(t *testing.T) *fleet {
 	f := &fleet{t: t, net: &memNetwork{hosts: map[string]http.Handler{}}, disks: map[string]*memDisk{}}
-	for i := range n {
+	for i := range 3 {
 		f.seeds = append(f.seeds, fmt.Sprintf("10.0.0.%d", i+1))
 	}
 	return f
@@ -126,66 +127,77 @@
 
 func TestNodesSubmitReadAndReplaceLostDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, 3)
-		ks := map[string]*Node{}
-		for _, a := range f.seeds {
-			ks[a] = f.start(a, true)
+		group := newFleet(t)
+		nodes := map[string]*Node{}
+		for _, a := range group.seeds {
+			nodes[a] = group.start(a, true)
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
-		_, changed := ks["10.0.0.3"].Committed()
-		if a, err := ks["10.0.0.2"].Submit(ctx, evacuate("a")); err != nil || a.Verdict.Kind != controlstate.Accepted {
+		_, changed := nodes["10.0.0.3"].Committed()
+		if a, err := nodes["10.0.0.2"].Submit(ctx, evacuate("a")); err != nil || a.Verdict.Kind != controlstate.Accepted {
 			t.Fatal(a, err)
 		}
 		<-changed
-		for _, a := range f.seeds {
-			s, err := ks[a].Read(ctx)
+		for _, a := range group.seeds {
+			s, err := nodes[a].Read(ctx)
 			if err != nil || !s.Evacuated["a"] {
 				t.Fatal(s, err)
 			}
 		}
-		// The head's disk is lost.
-		lost := string(ks[f.seeds[0]].View().Head())
-		for _, a := range f.seeds {
-			if string(ks[a].Self().ID) == lost {
-				f.stop(a, ks[a])
-				delete(f.disks, a)
-				ks[a] = f.start(a, false)
-			}
-		}
-		time.Sleep(4 * time.Second)
-		v := ks[f.seeds[0]].View()
-		if len(v.Chain) != 3 || v.chainIndex(ID(lost)) >= 0 {
-			t.Fatalf("after a lost disk: %v", v)
-		}
-		for _, a := range f.seeds {
-			if !ks[a].Current() {
-				t.Errorf("keeper %s is not current", a)
-			}
-			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-			if s, err := ks[a].Read(ctx); err != nil || !s.Evacuated["a"] {
-				t.Error(s, err)
-			}
-			cancel()
-		}
-		// A goodbye takes a keeper out of the chain at once.
+		group.replaceHeadsDisk(nodes)
+		group.checkEvacuated(nodes, "a")
+		// A goodbye takes a node out of the chain at once.
 		began := time.Now()
-		ks[f.seeds[1]].Leave(context.Background())
+		nodes[group.seeds[1]].Leave(context.Background())
 		if d := time.Since(began); d > 300*time.Millisecond {
 			t.Errorf("leaving took %v", d)
 		}
-		for _, a := range f.seeds {
-			f.stop(a, ks[a])
+		for _, a := range group.seeds {
+			group.stop(a, nodes[a])
 		}
-		if _, err := ks[f.seeds[0]].Submit(context.Background(), evacuate("b")); !errors.Is(err, ErrStopped) {
+		if _, err := nodes[group.seeds[0]].Submit(context.Background(), evacuate("b")); !errors.Is(err, ErrStopped) {
 			t.Error(err)
 		}
 	})
 }
 
+// replaceHeadsDisk restarts the head on an empty disk, and checks that another identity takes its place.
+func (f *fleet) replaceHeadsDisk(nodes map[string]*Node) {
+	f.t.Helper()
+	lost := string(nodes[f.seeds[0]].View().Head())
+	for _, a := range f.seeds {
+		if string(nodes[a].Self().ID) == lost {
+			f.stop(a, nodes[a])
+			delete(f.disks, a)
+			nodes[a] = f.start(a, false)
+		}
+	}
+	time.Sleep(4 * time.Second)
+	v := nodes[f.seeds[0]].View()
+	if len(v.Chain) != 3 || v.chainIndex(ID(lost)) >= 0 {
+		f.t.Fatalf("after a lost disk: %v", v)
+	}
+}
+
+// checkEvacuated checks that all nodes are current and that the zone is evacuated.
+func (f *fleet) checkEvacuated(nodes map[string]*Node, zone string) {
+	f.t.Helper()
+	for _, a := range f.seeds {
+		if !nodes[a].Current() {
+			f.t.Errorf("node %s is not current", a)
+		}
+		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+		if s, err := nodes[a].Read(ctx); err != nil || !s.Evacuated[zone] {
+			f.t.Error(s, err)
+		}
+		cancel()
+	}
+}
+
 func TestLoneNodeReportsNotApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, 3)
+		f := newFleet(t)
 		k := f.start(f.seeds[0], true)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -193,7 +205,7 @@
 			t.Error(err)
 		}
 		if k.Current() {
-			t.Error("a lone keeper counts as current")
+			t.Error("a lone node counts as current")
 		}
 		f.stop(f.seeds[0], k)
 	})
--- a/internal/system/replication/repair_test.go
+++ b/internal/system/replication/repair_test.go
@@ -7,11 +7,11 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// catchUp is how long after its return a machine may still count as lost.
+// catchUp is how long after its return a node may still count as lost.
 const catchUp = 4 * time.Second
 
-// settle runs a world without faults until its view is whole.
-func settle(t *testing.T, w *clusterSim, limit time.Duration) time.Duration {
+// awaitRepair runs a simulation without faults until its view is whole.
+func awaitRepair(t *testing.T, w *clusterSim, limit time.Duration) time.Duration {
 	t.Helper()
 	began := w.now
 	for !w.isFullyReplicated() || len(w.newest.Chain) < min(defaultChainLength, len(w.newest.Voters)) {
@@ -25,7 +25,7 @@
 	return w.now - began
 }
 
-// TestLostDiskIsRepairedInTime wipes, replaces or restarts one machine after another. Danger: the next one is lost
+// TestLostDiskIsRepairedInTime wipes, replaces or restarts one node after another. Danger: the next one is lost
 // catch_up_s after the return of the one before, and that would be one too many.
 func TestLostDiskIsRepairedInTime(t *testing.T) {
 	longest := map[string]time.Duration{}
@@ -36,11 +36,11 @@
 	for seed := range seeds {
 		s := zoneLossTopologies()[seed%uint64(len(zoneLossTopologies()))]
 		w := newClusterSim(seed, s, TestingKnobs{})
-		settle(t, w, 6*time.Second)
+		awaitRepair(t, w, 6*time.Second)
 		w.after(0, func() { w.client(0) })
 		for round := range 8 {
-			m := w.nodes[w.rng.IntN(len(w.nodes))]
-			if m.removed {
+			lost := w.nodes[w.rng.IntN(len(w.nodes))]
+			if lost.removed {
 				continue
 			}
 			away := time.Duration(w.rng.IntN(3000)) * time.Millisecond
@@ -48,42 +48,42 @@
 			switch round % 4 {
 			case 0:
 				what = "wiped"
-				m.wipe()
+				lost.wipe()
 			case 1:
 				what = "killed"
-				m.kill()
+				lost.kill()
 			case 2:
 				what = "replaced"
-				m.kill()
-				m.removed = true
-				seeds := m.seeds
-				m = w.newNode(m.member.Addr+"9", m.member.Zone, m.member.Region)
-				m.seeds = seeds
+				lost.kill()
+				lost.removed = true
+				seeds := lost.seeds
+				lost = w.newNode(lost.member.Addr+"9", lost.member.Zone, lost.member.Region)
+				lost.seeds = seeds
 			case 3:
 				what = "frozen"
-				m.pause(away)
+				lost.pause(away)
 				w.runUntil(w.now + away)
 			}
 			if what != "frozen" {
 				w.runUntil(w.now + away)
-				m.start()
+				lost.start()
 			}
-			longest[what] = max(longest[what], settle(t, w, catchUp))
+			longest[what] = max(longest[what], awaitRepair(t, w, catchUp))
 			w.runUntil(w.now + time.Second)
 		}
 	}
 	t.Logf("whole again after at most %v", longest)
 }
 
-// TestChangesWaitOnlyForTheRepair measures the longest time in which no change is acknowledged when one link goes.
-// Danger: it comes near ack_ms, and an operator's change is refused though only one machine was lost.
+// TestChangesWaitOnlyForTheRepair measures the longest time in which no change is acknowledged when one replica goes.
+// Danger: it comes near ack_ms, and an operator's change is refused though only one node was lost.
 func TestChangesWaitOnlyForTheRepair(t *testing.T) {
 	var longest time.Duration
 	for seed := range uint64(30) {
-		s := zoneLossTopologies()[seed%uint64(len(zoneLossTopologies()))]
-		w := newClusterSim(seed, s, TestingKnobs{})
-		settle(t, w, 6*time.Second)
-		m := w.nodes[seed%uint64(s.diskNodes)]
+		layout := zoneLossTopologies()[seed%uint64(len(zoneLossTopologies()))]
+		w := newClusterSim(seed, layout, TestingKnobs{})
+		awaitRepair(t, w, 6*time.Second)
+		m := w.nodes[seed%uint64(layout.diskNodes)]
 		switch seed % 5 {
 		case 0:
 			m.kill()
@@ -94,10 +94,10 @@
 		case 3:
 			m.diskStalled = true
 		case 4:
-			other := w.nodes[(seed+1)%uint64(s.diskNodes)]
+			other := w.nodes[(seed+1)%uint64(layout.diskNodes)]
 			w.block(m.member.Addr, other.member.Addr, time.Hour, false)
 		}
-		asker := w.nodes[(seed+2)%uint64(s.diskNodes)]
+		asker := w.nodes[(seed+2)%uint64(layout.diskNodes)]
 		a := &simCall{node: asker, change: controlstate.Change{Op: controlstate.OpReplace, Body: []byte("x")}, ttl: 5 * time.Second}
 		w.clientsDone = true
 		began := w.now
--- a/internal/system/replication/restore.go
+++ b/internal/system/replication/restore.go
@@ -1,8 +1,6 @@
 package replication
 
 import (
-	"slices"
-
 	"github.com/cockroachdb/errors"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
@@ -22,41 +20,24 @@
 // RecoverState gives the state after all records that a node's disk holds. The last of them may never have been
 // acknowledged.
 func RecoverState(snap wal.Snapshot, entries []wal.Entry) (*controlstate.State, error) {
-	c, err := NewCore(Config{}, controlMachine{}, nil, snap, entries)
+	core, err := NewCore(Config{}, controlMachine{}, nil, snap, entries)
 	if err != nil {
 		return nil, err
 	}
-	s := c.chain.state
-	for seq := c.chain.commitIndex + 1; seq <= c.chain.log.end(); seq++ {
-		if s, err = s.Apply(c.chain.log.at(seq).rec); err != nil {
+	chain := core.chain
+	state := chain.state
+	for seq := chain.commitIndex + 1; seq <= chain.log.end(); seq++ {
+		if state, err = state.Apply(chain.log.at(seq).rec); err != nil {
 			return nil, applyError(err, seq)
 		}
 	}
-	recovered, ok := s.(controlState)
+	recovered, ok := state.(controlState)
 	if !ok {
-		return nil, errors.AssertionFailedf("replication: a state of type %T: report it", s)
+		return nil, errors.AssertionFailedf("replication: a state of type %T: report it", state)
 	}
 	return recovered.State, nil
 }
 
-// longestLogs lists those of the members with the longest log: before the first view, what was restored.
-func (pl *planner) longestLogs(members []Member) []Member {
-	logEnd := func(m Member) uint64 {
-		if m.ID == pl.self.ID {
-			return pl.chain.commitIndex
-		}
-		if p := pl.liveness.peers[m.ID]; p != nil {
-			return p.heartbeat.GetCommitted()
-		}
-		return 0
-	}
-	var longest uint64
-	for _, m := range members {
-		longest = max(longest, logEnd(m))
-	}
-	return slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return logEnd(m) < longest })
-}
-
 // discardRestoredLog empties the log of a node whose first view is v, unless it leads there, and tells whether v has to wait for that.
 // What was restored here is no part of the chain's log, which may have begun with something else, or with nothing; records are
 // compared by number and epoch only, and below a snapshot not at all. The log is empty on disk before the view is there, so that no
--- a/internal/system/replication/sim_faults_apply_test.go
+++ b/internal/system/replication/sim_faults_apply_test.go
@@ -15,154 +15,187 @@
 	})
 }
 
-func (w *clusterSim) apply(f fault) {
+// apply has a fault come about now.
+func (w *clusterSim) apply(cause fault) {
 	if w.faultsOver {
 		return
 	}
 	w.recordDisturbance()
-	a, b := w.nodes[f.a], w.nodes[f.b]
-	switch f.kind {
+	first, second := w.nodes[cause.a], w.nodes[cause.b]
+	switch cause.kind {
 	case faultKill:
-		a.kill()
-		a.restartAfter(f.duration)
+		first.kill()
+		first.restartAfter(cause.duration)
 	case faultPowerAll:
-		w.powerAll(f)
+		w.powerAll(cause)
 	case faultPause:
-		a.pause(f.duration)
+		first.pause(cause.duration)
+	case faultPartitionPair, faultPartitionOneWay, faultIsolate, faultSplit, faultLoss, faultDelay:
+		w.applyToNetwork(cause, first, second)
+	case faultDiskFull, faultDiskSlow, faultDiskStall, faultDisksFullButOne:
+		w.applyToDisk(cause, first)
+	case faultWipe:
+		if w.lose(first) {
+			first.restartAfter(cause.duration)
+		}
+	case faultReplace:
+		w.replace(first, cause)
+	case faultLeave:
+		first.leave(cause.ackTimeout(), func() {
+			first.kill()
+			first.restartAfter(cause.duration)
+		})
+	case faultPowerAfterAck:
+		w.onAck = append(w.onAck, func() { w.powerAll(cause) })
+	case faultWipeAfterAck:
+		w.onAck = append(w.onAck, func() {
+			if w.lose(first) {
+				first.restartAfter(cause.duration)
+			}
+		})
+	default:
+		w.applyGrouped(cause, first)
+	}
+}
+
+// applyToNetwork applies partitions, losses and delays of messages.
+func (w *clusterSim) applyToNetwork(cause fault, first, second *simNode) {
+	late := cause.n&4 != 0
+	switch cause.kind {
 	case faultPartitionPair:
-		w.block(a.member.Addr, b.member.Addr, f.duration, f.n&4 != 0)
-		w.block(b.member.Addr, a.member.Addr, f.duration, f.n&4 != 0)
+		w.block(first.member.Addr, second.member.Addr, cause.duration, late)
+		w.block(second.member.Addr, first.member.Addr, cause.duration, late)
 	case faultPartitionOneWay:
-		w.block(a.member.Addr, b.member.Addr, f.duration, f.n&4 != 0)
+		w.block(first.member.Addr, second.member.Addr, cause.duration, late)
 	case faultIsolate:
-		w.isolate(a, f)
+		w.isolate(first, cause)
 	case faultSplit:
-		for _, x := range w.nodes {
-			for _, y := range w.nodes {
-				if f.n>>x.name&1 != f.n>>y.name&1 {
-					w.block(x.member.Addr, y.member.Addr, f.duration, f.n&4 != 0)
-				}
-			}
-		}
+		w.split(cause)
 	case faultLoss:
 		w.loss = 0.3
-		w.after(f.duration, func() { w.loss = 0; w.recordDisturbance() })
+		w.after(cause.duration, func() { w.loss = 0; w.recordDisturbance() })
 	case faultDelay:
 		w.extraDelay = 400 * time.Millisecond
-		w.after(f.duration, func() { w.extraDelay = 0; w.recordDisturbance() })
+		w.after(cause.duration, func() { w.extraDelay = 0; w.recordDisturbance() })
+	}
+}
+
+// applyToDisk applies disks that are full, slow or do not answer.
+func (w *clusterSim) applyToDisk(cause fault, node *simNode) {
+	switch cause.kind {
 	case faultDiskFull:
-		a.diskFull, a.acceptorReserve = true, f.n&1 == 1
-		w.after(f.duration, func() { a.diskFull = false; w.recordDisturbance() })
+		node.diskFull, node.acceptorReserve = true, cause.n&1 == 1
+		w.after(cause.duration, func() { node.diskFull = false; w.recordDisturbance() })
 	case faultDiskSlow:
-		a.diskDelay = time.Duration(100+f.n%900) * time.Millisecond
-		w.after(f.duration, func() { a.diskDelay = 0; w.recordDisturbance() })
+		node.diskDelay = time.Duration(100+cause.n%900) * time.Millisecond
+		w.after(cause.duration, func() { node.diskDelay = 0; w.recordDisturbance() })
 	case faultDiskStall:
-		a.diskStalled = true
-		w.after(f.duration, func() { a.diskStalled = false; w.recordDisturbance() })
-	case faultWipe:
-		if w.lose(a) {
-			a.restartAfter(f.duration)
-		}
-	case faultReplace:
-		w.replace(a, f)
-	case faultLeave:
-		a.leave(f.ackTimeout(), func() {
-			a.kill()
-			a.restartAfter(f.duration)
-		})
+		node.diskStalled = true
+		w.after(cause.duration, func() { node.diskStalled = false; w.recordDisturbance() })
 	case faultDisksFullButOne:
-		for _, m := range w.nodes {
-			if m != a {
-				m.diskFull, m.acceptorReserve = true, true
-				w.after(f.duration, func() { m.diskFull = false; w.recordDisturbance() })
-			}
-		}
-		w.after(f.duration/2, func() { w.apply(fault{kind: faultWipeAfterAck, a: f.a, duration: f.duration}) })
-	case faultPowerAfterAck:
-		w.onAck = append(w.onAck, func() { w.powerAll(f) })
-	case faultWipeAfterAck:
-		w.onAck = append(w.onAck, func() {
-			if w.lose(a) {
-				a.restartAfter(f.duration)
-			}
-		})
-	default:
-		w.applyGrouped(f, a)
+		w.fillDisksButOne(cause, node)
 	}
 }
 
-// applyGrouped applies the faults that strike several machines, or later ones.
-func (w *clusterSim) applyGrouped(f fault, a *simNode) {
-	act := f
-	act.kind = f.act
-	switch f.kind {
+// applyGrouped applies the faults that strike several nodes, or later ones.
+func (w *clusterSim) applyGrouped(cause fault, node *simNode) {
+	act := cause
+	act.kind = cause.act
+	switch cause.kind {
 	case faultZone:
-		if w.loseZoneDisks(a.member.Zone, f) {
+		if w.loseZoneDisks(node.member.Zone, cause) {
 			return
 		}
-		for _, m := range slices.Clone(w.nodes) {
-			if m.member.Zone == a.member.Zone && !m.removed {
-				act.a = m.name
-				w.apply(act)
-			}
-		}
+		w.applyToAll(act, func(m *simNode) bool { return m.member.Zone == node.member.Zone })
 	case faultGroup:
-		for _, m := range slices.Clone(w.nodes) {
-			if (f.n>>(m.name%16)&1 == 1 || m == a) && !m.removed {
-				act.a = m.name
-				w.apply(act)
-			}
-		}
+		w.applyToAll(act, func(m *simNode) bool { return cause.n>>(m.name%16)&1 == 1 || m == node })
 	case faultStep:
-		w.arm(&stepTrigger{name: f.step, remaining: 1 + f.n%8, before: f.before, action: func(m *simNode) {
+		w.arm(&stepTrigger{name: cause.step, remaining: 1 + cause.n%8, before: cause.before, action: func(m *simNode) {
 			if !m.removed {
 				act.a = m.name
 				w.apply(act)
 			}
 		}})
 	case faultReplaceTwice:
-		w.replace(a, f)
-		next := f
-		w.after(f.duration+time.Duration(f.n%4000)*time.Millisecond, func() {
-			if m := w.nodes[len(w.nodes)-1]; !m.removed && !w.faultsOver {
-				next.n >>= 1
-				w.replace(m, next)
-			}
-		})
+		w.replaceTwice(node, cause)
 	case faultJoin:
 		if len(w.nodes) < w.machines()+3 {
 			w.stats.joins++
-			w.successor(a, f).start()
+			w.successor(node, cause).start()
 		}
 	case faultProxy:
-		w.disturbProxy(f)
+		w.disturbProxy(cause)
+	}
+}
+
+// applyToAll applies a fault to each node that is chosen.
+func (w *clusterSim) applyToAll(act fault, chosen func(*simNode) bool) {
+	for _, m := range slices.Clone(w.nodes) {
+		if chosen(m) && !m.removed {
+			act.a = m.name
+			w.apply(act)
+		}
+	}
+}
+
+// split partitions the nodes into two sides, by the bits of the fault.
+func (w *clusterSim) split(f fault) {
+	for _, x := range w.nodes {
+		for _, y := range w.nodes {
+			if f.n>>x.name&1 != f.n>>y.name&1 {
+				w.block(x.member.Addr, y.member.Addr, f.duration, f.n&4 != 0)
+			}
+		}
 	}
 }
 
-// isolate cuts a machine off: all its links or one direction of them, or only those to other keepers, so that operators
+// fillDisksButOne fills all disks but that of one node, which is lost after the next acknowledgement.
+func (w *clusterSim) fillDisksButOne(f fault, one *simNode) {
+	for _, m := range w.nodes {
+		if m != one {
+			m.diskFull, m.acceptorReserve = true, true
+			w.after(f.duration, func() { m.diskFull = false; w.recordDisturbance() })
+		}
+	}
+	w.after(f.duration/2, func() { w.apply(fault{kind: faultWipeAfterAck, a: f.a, duration: f.duration}) })
+}
+
+// replaceTwice replaces a node, and soon its replacement.
+func (w *clusterSim) replaceTwice(node *simNode, f fault) {
+	w.replace(node, f)
+	next := f
+	w.after(f.duration+time.Duration(f.n%4000)*time.Millisecond, func() {
+		if m := w.nodes[len(w.nodes)-1]; !m.removed && !w.faultsOver {
+			next.n >>= 1
+			w.replace(m, next)
+		}
+	})
+}
+
+// isolate cuts a node off: all its replicas or one direction of them, or only those to other nodes, so that operators
 // and proxies still reach it. What it is sent meanwhile is gone, or comes after the cut.
-func (w *clusterSim) isolate(a *simNode, f fault) {
+func (w *clusterSim) isolate(node *simNode, isolation fault) {
 	others := []string{}
 	for _, m := range w.nodes {
 		others = append(others, m.member.Addr)
 	}
-	if f.n&8 != 0 {
+	if isolation.n&8 != 0 {
 		others = append(others, outside)
 		for _, p := range w.proxies {
 			others = append(others, p.addr)
 		}
 	}
 	for _, o := range others {
-		if f.n%3 != 1 {
-			w.block(a.member.Addr, o, f.duration, f.n&4 != 0)
+		if isolation.n%3 != 1 {
+			w.block(node.member.Addr, o, isolation.duration, isolation.n&4 != 0)
 		}
-		if f.n%3 != 2 {
-			w.block(o, a.member.Addr, f.duration, f.n&4 != 0)
+		if isolation.n%3 != 2 {
+			w.block(o, node.member.Addr, isolation.duration, isolation.n&4 != 0)
 		}
 	}
 }
 
-// ackTimeout is how long a leaver waits: half of them hardly do, as if they were killed soon after.
+// ackTimeout is how long a leaving node waits: half of them hardly do, as if they were killed soon after.
 func (f fault) ackTimeout() time.Duration {
 	if f.n&2 != 0 {
 		return 200 * time.Millisecond
@@ -172,7 +205,7 @@
 
 func (m *simNode) restartAfter(d time.Duration) { m.sim.after(d, m.start) }
 
-// powerAll takes the power from all machines; some lose their disks, as many as may.
+// powerAll takes the power from all nodes; some lose their disks, as many as may.
 func (w *clusterSim) powerAll(f fault) {
 	for _, m := range w.nodes {
 		m.kill()
--- a/internal/system/replication/sim_hardening_answers_test.go
+++ b/internal/system/replication/sim_hardening_answers_test.go
@@ -10,7 +10,7 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// fromFormerIncarnation tells whether a message answers a call of a former life of its addressee.
+// fromFormerIncarnation tells whether a message answers a call of a former incarnation of its addressee.
 func fromFormerIncarnation(m *replicationpb.Message, life uint64) bool {
 	switch b := m.GetBody().(type) {
 	case *replicationpb.Message_Answer:
@@ -23,14 +23,14 @@
 	return false
 }
 
-// playAnswers has a machine restart while answers to it lie on the way, so that they meet calls of its next life that have
+// playAnswers has a node restart while answers to it lie on the way, so that they meet calls of its next life that have
 // the same numbers. It gives how many such answers arrived.
 func playAnswers(seed uint64, s topology, role string, h TestingKnobs) (int, error) {
 	w := newClusterSim(seed, s, h)
 	w.operate()
 	w.runUntil(4 * time.Second)
 	for round := range 6 {
-		m := cutRoles[role](w)
+		m := nodeRoles[role](w)
 		if m == nil {
 			return 0, fmt.Errorf("there is no %s: %w", role, w.violation)
 		}
@@ -48,7 +48,7 @@
 	return w.stats.formerIncarnation, err
 }
 
-// askMixed asks a machine for reads, changes and notes, twelve at once.
+// askMixed asks a node for reads, changes and notes, twelve at once.
 func (w *clusterSim) askMixed(m *simNode, n int) {
 	for i := range 12 {
 		a := &simCall{node: m, first: w.acked, ttl: 3 * time.Second}
@@ -65,13 +65,13 @@
 	}
 }
 
-// playLateEvacuation has a call that may not be repeated reach the head, and its repetition by the sending keeper lie on the way
+// playLateEvacuation has a call that may not be repeated reach the head, and its repetition by the sending node lie on the way
 // for 20 s. It gives how many repetitions arrived.
 func playLateEvacuation(seed uint64, s topology, knobs TestingKnobs) (int, error) {
 	w := newClusterSim(seed, s, knobs)
 	w.runUntil(4 * time.Second)
 	w.write(5, 50*time.Millisecond)
-	m, head := cutRoles["outsider"](w), w.replica(0)
+	m, head := nodeRoles["outsider"](w), w.replica(0)
 	w.block(head.member.Addr, m.member.Addr, 20*time.Second, false)
 	w.askMixed(m, 0)
 	w.runUntil(w.now + 100*time.Millisecond)
@@ -98,23 +98,23 @@
 	if raceDetector {
 		roles = roles[3:]
 	}
-	for _, s := range []topology{{3, 1, 1, 3, 0, 0}, {5, 1, 2, 3, 0, 0}, {4, 1, 1, 2, 1, 0}} {
+	for _, layout := range []topology{{3, 1, 1, 3, 0, 0}, {5, 1, 2, 3, 0, 0}, {4, 1, 1, 2, 1, 0}} {
 		var former, late atomic.Int64
 		inParallel(3*len(roles), func(i int) {
 			seed, role := uint64(1+i%3), roles[i/3]
-			sum, play := &former, func() (int, error) { return playAnswers(seed, s, role, TestingKnobs{}) }
+			sum, play := &former, func() (int, error) { return playAnswers(seed, layout, role, TestingKnobs{}) }
 			if role == "late note" {
-				sum, play = &late, func() (int, error) { return playLateEvacuation(seed, s, TestingKnobs{}) }
+				sum, play = &late, func() (int, error) { return playLateEvacuation(seed, layout, TestingKnobs{}) }
 			}
 			n, err := play()
 			if err != nil {
-				t.Errorf("%v, %s, seed %d: %v", s, role, seed, err)
+				t.Errorf("%v, %s, seed %d: %v", layout, role, seed, err)
 			}
 			sum.Add(int64(n))
 		})
-		t.Logf("%v: %d answers to calls of former lives arrived, %d changes 20 s late", s, former.Load(), late.Load())
+		t.Logf("%v: %d answers to calls of former lives arrived, %d changes 20 s late", layout, former.Load(), late.Load())
 		if former.Load() == 0 || late.Load() == 0 {
-			t.Errorf("%v: it did not come about: %d, %d", s, former.Load(), late.Load())
+			t.Errorf("%v: it did not come about: %d, %d", layout, former.Load(), late.Load())
 		}
 	}
 }
--- a/internal/system/replication/sim_hardening_leave_test.go
+++ b/internal/system/replication/sim_hardening_leave_test.go
@@ -33,7 +33,7 @@
 // checkLeft: who has left goes without anything being lost, since enough others hold all that was acknowledged.
 func (w *clusterSim) checkLeft(m *simNode) {
 	c := m.core
-	if c == nil || !c.liveness.leaving || m.observer || w.now-w.lostAt < 3*time.Second || !c.Departed() || c.acceptor.view.Epoch == 0 {
+	if c == nil || !c.liveness.draining || m.observer || w.now-w.lostAt < 3*time.Second || !c.Departed() || c.acceptor.view.Epoch == 0 {
 		return
 	}
 	holders := 0
@@ -43,42 +43,42 @@
 		}
 	}
 	if holders <= w.losses {
-		w.fail(fmt.Errorf("machine %d has left, but only %d others hold all %d acknowledged records", m.name, holders, w.acked))
+		w.fail(fmt.Errorf("node %d has left, but only %d others hold all %d acknowledged records", m.name, holders, w.acked))
 	}
 }
 
-// playLeavingNode has a machine leave for good that holds the only copy of what was acknowledged: one other was away meanwhile,
-// the third has just lost its disk. It gives how long the leaver stayed.
-func playLeavingNode(seed uint64, patience time.Duration) (time.Duration, error) {
+// playDrainingNode has a node leave for good that holds the only copy of what was acknowledged: one other was away meanwhile,
+// the third has just lost its disk. It gives how long the leaving node stayed.
+func playDrainingNode(seed uint64, patience time.Duration) (time.Duration, error) {
 	w := newClusterSim(seed, topology{3, 0, 1, 3, 0, 0}, TestingKnobs{})
 	w.operate()
 	w.runUntil(4 * time.Second)
 	if !w.canLoseDisk() {
 		return 0, fmt.Errorf("there is no whole view: %w", w.violation)
 	}
-	a, b, c := w.replica(0), w.replica(1), w.replica(2)
+	head, middle, tail := w.replica(0), w.replica(1), w.replica(2)
 	if seed%2 == 0 {
-		a, b = b, a
+		head, middle = middle, head
 	}
-	b.kill()
-	w.writeUnless(60, 50*time.Millisecond, b)
-	if !w.lose(c) {
-		return 0, fmt.Errorf("the second copy cannot be lost: %v", w.violation)
+	middle.kill()
+	w.writeUnless(60, 50*time.Millisecond, middle)
+	if !w.lose(tail) {
+		return 0, fmt.Errorf("the second copy cannot be lost: %w", w.violation)
 	}
-	for _, o := range []*simNode{b, c} {
+	for _, o := range []*simNode{middle, tail} {
 		if o.disk.end() >= w.acked {
-			return 0, fmt.Errorf("machine %d holds a copy", o.name)
+			return 0, fmt.Errorf("node %d holds a copy", o.name)
 		}
 	}
 	began, stayed := w.now, time.Duration(0)
-	b.restartAfter(300 * time.Millisecond)
-	c.restartAfter(600 * time.Millisecond)
+	middle.restartAfter(300 * time.Millisecond)
+	tail.restartAfter(600 * time.Millisecond)
 	w.after(time.Duration(w.rng.IntN(1500))*time.Millisecond, func() {
-		a.leave(patience, func() {
+		head.leave(patience, func() {
 			stayed = w.now - began
-			a.kill()
-			a.removed = true
-			w.successor(a, fault{}).restartAfter(time.Second)
+			head.kill()
+			head.removed = true
+			w.successor(head, fault{}).restartAfter(time.Second)
 		})
 	})
 	w.runUntil(w.now + leavePatience + 2*time.Second)
@@ -87,16 +87,16 @@
 	return stayed, err
 }
 
-// TestHardeningLeavingNodeWithOnlyReplica: it goes when enough others hold what it holds, and not before. The control goes at
+// TestHardeningDrainingNodeWithOnlyReplica: it goes when enough others hold what it holds, and not before. The control goes at
 // once.
-func TestHardeningLeavingNodeWithOnlyReplica(t *testing.T) {
+func TestHardeningDrainingNodeWithOnlyReplica(t *testing.T) {
 	var longest time.Duration
 	n := 40
 	if raceDetector {
 		n = 6
 	}
 	stays, errs := make([]time.Duration, n), make([]error, n)
-	inParallel(n, func(i int) { stays[i], errs[i] = playLeavingNode(uint64(i+1), leavePatience) })
+	inParallel(n, func(i int) { stays[i], errs[i] = playDrainingNode(uint64(i+1), leavePatience) })
 	for i, err := range errs {
 		if err != nil {
 			t.Errorf("seed %d: %v", i+1, err)
@@ -111,7 +111,7 @@
 	seed := uint64(0)
 	for err == nil && seed < 40 {
 		seed++
-		_, err = playLeavingNode(seed, 0)
+		_, err = playDrainingNode(seed, 0)
 	}
 	if err == nil {
 		t.Error("nothing broke where the leaver went at once")
@@ -119,8 +119,8 @@
 	t.Logf("control, the leaver goes at once: seed %d: %v", seed, err)
 }
 
-// TestLeavingNodeDoesNotCountTimedOutReplicas: what a link said of itself long ago does not tell that its disk is still there.
-func TestLeavingNodeDoesNotCountTimedOutReplicas(t *testing.T) {
+// TestDrainingNodeDoesNotCountTimedOutReplicas: what a replica said of itself long ago does not tell that its disk is still there.
+func TestDrainingNodeDoesNotCountTimedOutReplicas(t *testing.T) {
 	v := &View{Epoch: 3, Chain: []ID{"a", "b"}, Voters: []Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
 	c := newCore(Config{MachineLosses: 1, Self: Member{ID: "c"}}, toyMachine{})
 	c.acceptor.view = v
@@ -128,11 +128,11 @@
 		c.liveness.peers[id] = &peer{member: Member{ID: id}, heartbeat: &replicationpb.Heartbeat{Epoch: 3, Active: 3}}
 	}
 	if !c.Departed() {
-		t.Error("two links that are alive hold all, and the leaver does not go")
+		t.Error("two replicas that are alive hold all, and the leaver does not go")
 	}
 	c.now = 20 * time.Second
 	c.liveness.peers["a"].lastContactAt, c.liveness.peers["a"].echoedAt = c.now, c.now
 	if c.Departed() {
-		t.Error("one of two links is silent, and the leaver goes")
+		t.Error("one of two replicas is silent, and the leaver goes")
 	}
 }
--- a/internal/system/replication/sim_hardening_operators_test.go
+++ b/internal/system/replication/sim_hardening_operators_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -10,21 +11,21 @@
 
 // raceRun is what came about when two operators raced under one version.
 type raceRun struct {
-	inFlight    int // calls under way at once
+	inFlight    int // calls in flight at once
 	answered    int // tries of the race that got a clear answer
 	lostAnswers int // answers that were lost
-	kills       int // keepers killed between the commit and the answer
+	kills       int // nodes killed between the commit and the answer
 	changes     int // taken between the race and the repeats
-	snapshots   int // machines whose log no longer holds the race
+	snapshots   int // nodes whose log no longer holds the race
 	retries     map[string][]string
 	err         error
 }
 
-// playRace sends two different changes of one version through every keeper at once, eight calls in all and more, loses
-// answers, kills keepers between commit and answer, and sends both again after hundreds of changes and a start of all.
-func playRace(seed uint64, s topology, between, history int, h TestingKnobs, forgetful bool) *raceRun {
+// playRace sends two different changes of one version through every node at once, eight calls in all and more, loses
+// answers, kills nodes between commit and answer, and sends both again after hundreds of changes and a start of all.
+func playRace(seed uint64, layout topology, between, history int, knobs TestingKnobs, forgetful bool) *raceRun {
 	out := &raceRun{retries: map[string][]string{}}
-	w := newClusterSim(seed, s, h)
+	w := newClusterSim(seed, layout, knobs)
 	w.machine = toyMachine{forgetful: forgetful, history: history}
 	w.runUntil(4 * time.Second)
 	w.write(3, 50*time.Millisecond)
@@ -33,32 +34,19 @@
 	changes := []controlstate.Change{race, race}
 	changes[1].Body = fmt.Appendf(nil, "%s of the other", race.Body)
 
-	// Every second answer is lost, and two keepers die when they have just written the record and nobody knows.
-	w.onAnswer = func(a *simCall, d Completion) {
-		if a.read || string(a.change.Body) != string(changes[0].Body) && string(a.change.Body) != string(changes[1].Body) {
-			return
-		}
-		if settles(d) {
-			out.answered++
-		}
-		if w.rng.IntN(2) == 0 && a.node.isRunning() && !a.closed {
-			out.lostAnswers++
-			a.closed = true // the caller hears nothing and asks again
-			again := &simCall{node: w.pickNode(), change: a.change, first: a.first}
-			w.after(300*time.Millisecond, func() {
-				if again.node != nil {
-					w.ask(again)
-				}
-			})
+	w.onAnswer = func(call *simCall, done Completion) {
+		if !call.read && slices.ContainsFunc(changes, func(c controlstate.Change) bool { return string(c.Body) == string(call.change.Body) }) {
+			out.answerRace(w, call, done)
 		}
 	}
+	// Two nodes die when they have just written the record and nobody knows.
 	for range 2 {
-		w.arm(&stepTrigger{name: "wrote append", remaining: 1 + w.rng.IntN(s.diskNodes), before: true, action: func(m *simNode) {
+		w.arm(&stepTrigger{name: "wrote append", remaining: 1 + w.rng.IntN(layout.diskNodes), before: true, action: func(m *simNode) {
 			out.kills++
 			w.apply(fault{kind: faultKill, a: m.name, duration: time.Second})
 		}})
 	}
-	for range max(1, 8/s.diskNodes+1) {
+	for range max(1, 8/layout.diskNodes+1) {
 		for _, m := range w.nodes {
 			for _, ch := range changes {
 				w.submitUntilDone(&simCall{node: m, change: ch, first: w.acked}, 5, func() {})
@@ -78,16 +66,7 @@
 			out.snapshots++
 		}
 	}
-	for i, ch := range changes {
-		for _, m := range w.nodes {
-			a := &simCall{node: m, change: ch, ttl: 4 * time.Second}
-			name := []string{"lost", "taken"}[min(1, int(w.acceptedAt[keyOf(ch)]))]
-			a.onDone = func(d Completion) {
-				out.retries[name] = append(out.retries[name], fmt.Sprintf("outcome %d kind %d", d.Outcome, d.Verdict.Kind))
-			}
-			w.after(time.Duration(i)*20*time.Millisecond, func() { w.ask(a) })
-		}
-	}
+	out.retry(w, changes)
 	w.runUntil(w.now + 6*time.Second)
 	if w.violation == nil {
 		w.checkConverged()
@@ -96,12 +75,44 @@
 	return out
 }
 
-// write has changes made one after another, through any keeper that runs, with a pause between them.
+// retry sends the changes of the race again through every node.
+func (got *raceRun) retry(w *clusterSim, changes []controlstate.Change) {
+	for i, change := range changes {
+		for _, m := range w.nodes {
+			call := &simCall{node: m, change: change, ttl: 4 * time.Second}
+			name := []string{"lost", "taken"}[min(1, int(w.acceptedAt[keyOf(change)]))]
+			call.onDone = func(done Completion) {
+				got.retries[name] = append(got.retries[name], fmt.Sprintf("outcome %d kind %d", done.Outcome, done.Verdict.Kind))
+			}
+			w.after(time.Duration(i)*20*time.Millisecond, func() { w.ask(call) })
+		}
+	}
+}
+
+// answerRace loses every second answer of the race.
+func (got *raceRun) answerRace(w *clusterSim, call *simCall, done Completion) {
+	if isConclusive(done) {
+		got.answered++
+	}
+	if w.rng.IntN(2) != 0 || !call.node.isRunning() || call.closed {
+		return
+	}
+	got.lostAnswers++
+	call.closed = true // the caller hears nothing and asks again
+	again := &simCall{node: w.pickNode(), change: call.change, first: call.first}
+	w.after(300*time.Millisecond, func() {
+		if again.node != nil {
+			w.ask(again)
+		}
+	})
+}
+
+// write has changes made one after another, through any node that runs, with a pause between them.
 func (w *clusterSim) write(n int, pause time.Duration) {
 	w.writeUnless(n, pause, nil)
 }
 
-// writeUnless is write, but never through the machine not.
+// writeUnless is write, but never through the node not.
 func (w *clusterSim) writeUnless(n int, pause time.Duration, not *simNode) {
 	end := int64(n) + w.states[len(w.states)-1].rev
 	next := w.now
@@ -123,31 +134,16 @@
 // TestHardeningTwoOperatorsOneNumber: exactly one of two changes of one version is confirmed, and what was taken is never
 // refused, also after hundreds of changes, snapshots and a start of all.
 func TestHardeningTwoOperatorsOneNumber(t *testing.T) {
-	for i, s := range []topology{{3, 0, 1, 3, 0, 0}, {5, 1, 2, 3, 0, 0}, {4, 0, 1, 2, 1, 0}, {1, 0, 0, 1, 0, 0}} {
+	for i, layout := range []topology{{3, 0, 1, 3, 0, 0}, {5, 1, 2, 3, 0, 0}, {4, 0, 1, 2, 1, 0}, {1, 0, 0, 1, 0, 0}} {
 		for j, between := range []int{10, 300, 300} {
 			if raceDetector && i+j > 0 {
 				continue
 			}
 			history := []int{toyHistory, toyHistory, 500}[j]
 			for seed := range uint64(envInt("REPLICATION_RACES", 2)) {
-				got := playRace(seed+1, s, between, history, TestingKnobs{}, false)
-				name := fmt.Sprintf("%v, %d changes between, %d known again, seed %d", s, between, history, seed+1)
-				switch {
-				case got.err != nil:
-					t.Errorf("%s: %v", name, got.err)
-				case got.inFlight < 8 || got.answered < 4 || got.lostAnswers == 0 || got.kills == 0 || got.changes < between:
-					t.Errorf("%s: it did not come about: %+v", name, got)
-				case between > 100 && got.snapshots == 0:
-					t.Errorf("%s: no snapshot was taken over the race", name)
-				case len(got.retries["taken"]) == 0 || len(got.retries["lost"]) == 0:
-					t.Errorf("%s: the repeats were %v", name, got.retries)
-				}
-				for _, r := range got.retries["taken"] {
-					known, unclear := "outcome 1 kind 1", "outcome 1 kind 4"
-					if history > between && r != known || history <= between && r != unclear {
-						t.Errorf("%s: what was taken got %s when it came again", name, r)
-					}
-				}
+				got := playRace(seed+1, layout, between, history, TestingKnobs{}, false)
+				name := fmt.Sprintf("%v, %d changes between, %d known again, seed %d", layout, between, history, seed+1)
+				got.check(t, name, between, history)
 				if seed == 0 {
 					t.Logf("%s: %d calls at once, %d clear answers, %d lost, %d kills, then %v", name, got.inFlight, got.answered, got.lostAnswers, got.kills, got.retries)
 				}
@@ -156,6 +152,27 @@
 	}
 }
 
+// check holds a race against what must come of it, with so many changes between race and retries, and so many remembered.
+func (got *raceRun) check(t *testing.T, name string, between, history int) {
+	t.Helper()
+	switch {
+	case got.err != nil:
+		t.Errorf("%s: %v", name, got.err)
+	case got.inFlight < 8 || got.answered < 4 || got.lostAnswers == 0 || got.kills == 0 || got.changes < between:
+		t.Errorf("%s: it did not come about: %+v", name, got)
+	case between > 100 && got.snapshots == 0:
+		t.Errorf("%s: no snapshot was taken over the race", name)
+	case len(got.retries["taken"]) == 0 || len(got.retries["lost"]) == 0:
+		t.Errorf("%s: the repeats were %v", name, got.retries)
+	}
+	for _, r := range got.retries["taken"] {
+		known, unclear := "outcome 1 kind 1", "outcome 1 kind 4"
+		if history > between && r != known || history <= between && r != unclear {
+			t.Errorf("%s: what was taken got %s when it came again", name, r)
+		}
+	}
+}
+
 // TestHardeningTwoOperatorsControls takes the protections out; some seed must then break.
 func TestHardeningTwoOperatorsControls(t *testing.T) {
 	for name, c := range map[string]struct {
--- a/internal/system/replication/sim_hardening_outage_test.go
+++ b/internal/system/replication/sim_hardening_outage_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// levelBound is within what a member that was away for hundreds of changes is level, after the last trouble.
+// levelBound is within what a member that was away for hundreds of changes is level, after the last fault.
 const levelBound = 5 * time.Second
 
 // awayModes are the ways to be away.
@@ -18,19 +18,19 @@
 		return m.start
 	},
 	"cut off": func(w *clusterSim, m *simNode) func() {
-		w.partitionNode(m, cutModes[0], time.Hour)
+		w.partitionNode(m, partitionModes[0], time.Hour)
 		return func() { w.rejoin(m) }
 	},
 	"cut off, messages late": func(w *clusterSim, m *simNode) func() {
-		w.partitionNode(m, cutModes[1], time.Hour)
+		w.partitionNode(m, partitionModes[1], time.Hour)
 		return func() { w.rejoin(m) }
 	},
-	"killed, starts with as few others as go on": func(w *clusterSim, m *simNode) func() {
-		m.kill()
+	"killed, starts with as few others as go on": func(w *clusterSim, node *simNode) func() {
+		node.kill()
 		return func() {
 			with := len(w.newest.Voters)/2 + 1
 			for i, o := range w.nodes {
-				if o == m {
+				if o == node {
 					continue
 				}
 				o.kill()
@@ -41,7 +41,7 @@
 					o.restartAfter(3 * time.Second)
 				}
 			}
-			m.start()
+			node.start()
 		}
 	},
 	"killed, starts with all others": func(w *clusterSim, m *simNode) func() {
@@ -57,7 +57,7 @@
 	},
 }
 
-// rejoin ends all cuts of a machine's links.
+// rejoin ends all cuts of a node's replicas.
 func (w *clusterSim) rejoin(m *simNode) {
 	var ends [][2]string
 	for k := range w.partitioned {
@@ -65,7 +65,7 @@
 			ends = append(ends, k)
 		}
 	}
-	for _, k := range sortedLinks(ends) {
+	for _, k := range sortedPaths(ends) {
 		w.healPath(k)
 	}
 }
@@ -74,35 +74,35 @@
 type outageRun struct {
 	missed           uint64
 	installs         int // snapshots that it was sent after its return
-	upstreamLosses   int // lost while they fed it
+	upstreamLosses   int // lost while they caught up it
 	caughtUpAfter    time.Duration
-	longest          int // records in the longest log of any machine
+	longest          int // records in the longest log of any node
 	changesMeanwhile int // changes made while it caught up
 	err              error
 }
 
 // playOutage keeps a member away for n changes at 20 a second. While it comes back changes go on, and the first that sends
 // it a snapshot, or else the first that feeds it, is killed at that moment.
-func playOutage(seed uint64, s topology, role, mode string, n int, h TestingKnobs) *outageRun {
+func playOutage(seed uint64, layout topology, role, mode string, changes int, knobs TestingKnobs) *outageRun {
 	out := &outageRun{}
-	w := newClusterSim(seed, s, h)
+	w := newClusterSim(seed, layout, knobs)
 	w.operate()
 	w.runUntil(5 * time.Second)
 	if w.newest == nil {
 		out.err = fmt.Errorf("there is no view: %w", w.violation)
 		return out
 	}
-	m := cutRoles[role](w)
-	if m == nil {
+	absent := nodeRoles[role](w)
+	if absent == nil {
 		out.err = fmt.Errorf("there is no %s", role)
 		return out
 	}
-	held := m.core.chain.commitIndex
-	back := awayModes[mode](w, m)
-	w.writeUnless(n+5, 50*time.Millisecond, m)
+	held := absent.core.chain.commitIndex
+	back := awayModes[mode](w, absent)
+	w.writeUnless(changes+5, 50*time.Millisecond, absent)
 	out.missed = w.acked - held
 	w.onStep = func(name, addr string) {
-		if name == "receive install" && addr == m.member.Addr {
+		if name == "receive install" && addr == absent.member.Addr {
 			out.installs++
 		}
 		for _, o := range w.nodes {
@@ -117,14 +117,14 @@
 			w.apply(fault{kind: faultKill, a: feeder.name, duration: time.Second})
 		}
 	}
-	w.arm(&stepTrigger{name: "send install", remaining: 1, to: m.member.Addr, action: kill})
+	w.arm(&stepTrigger{name: "send install", remaining: 1, to: absent.member.Addr, action: kill})
 	w.after(600*time.Millisecond, func() {
-		w.arm(&stepTrigger{name: "send append", remaining: 2, to: m.member.Addr, action: kill})
+		w.arm(&stepTrigger{name: "send append", remaining: 2, to: absent.member.Addr, action: kill})
 	})
 	back()
 	before := len(w.truth)
-	levelAt := w.watchLevel(m)
-	w.writeUnless(60, 50*time.Millisecond, m)
+	levelAt := w.watchLevel(absent)
+	w.writeUnless(60, 50*time.Millisecond, absent)
 	out.changesMeanwhile = len(w.truth) - before
 	w.runUntil(w.now + 2*levelBound)
 	out.caughtUpAfter = max(0, *levelAt-w.eventAt)
@@ -155,57 +155,73 @@
 	return &at
 }
 
-// TestHardeningOutageOfHundredsOfChanges: a member that missed hundreds of changes is level within levelBound after the last
-// trouble, though changes go on and its feeder is lost; logs stay bounded. REPLICATION_AWAY=2000 for the deep run, 401 for all plays of the usual length.
-// Danger: it leads or feeds proxies with what it held before, or never catches up.
-func TestHardeningOutageOfHundredsOfChanges(t *testing.T) {
-	type job struct {
-		topology
-		role, mode string
-		seed       uint64
-	}
-	n := envInt("REPLICATION_AWAY", 400)
-	var jobs []job
-	for i, s := range []topology{{3, 0, 1, 3, 0, 0}, {5, 0, 2, 3, 1, 0}, {4, 1, 1, 2, 0, 0}} {
+// outageJob is one play of an outage.
+type outageJob struct {
+	topology
+	role, mode string
+	seed       uint64
+}
+
+// outageJobs lists the plays: a third of them by default, all with REPLICATION_AWAY.
+func outageJobs(changes int) []outageJob {
+	var jobs []outageJob
+	for i, layout := range []topology{{3, 0, 1, 3, 0, 0}, {5, 0, 2, 3, 1, 0}, {4, 1, 1, 2, 0, 0}} {
 		for _, role := range []string{"head", "second", "tail", "outsider"} {
 			for _, mode := range slices.Sorted(maps.Keys(awayModes)) {
-				if role == "outsider" && s.spares+s.observers == 0 || (raceDetector || testing.Short()) && (i > 0 || mode != "killed") {
+				if role == "outsider" && layout.spares+layout.observers == 0 || (raceDetector || testing.Short()) && (i > 0 || mode != "killed") {
 					continue
 				}
-				if k := len(role) + len(mode); n == 400 && !raceDetector && k%3 != i {
-					continue // a third of them by default, all with REPLICATION_AWAY
+				if k := len(role) + len(mode); changes == 400 && !raceDetector && k%3 != i {
+					continue
 				}
-				jobs = append(jobs, job{s, role, mode, uint64(i + 1)})
+				jobs = append(jobs, outageJob{layout, role, mode, uint64(i + 1)})
 			}
 		}
 	}
+	return jobs
+}
+
+// check tells what is wrong with an outage of so many changes, empty for nothing.
+func (run *outageRun) check(changes int) string {
+	switch {
+	case run.err != nil:
+		return run.err.Error()
+	case run.missed < uint64(changes):
+		return fmt.Sprintf("it missed only %d changes", run.missed)
+	case run.caughtUpAfter > levelBound:
+		return fmt.Sprintf("caught up after %v only", run.caughtUpAfter)
+	case run.longest > 100: // snapshots each 20 records, 5 kept behind, and what is in flight
+		return fmt.Sprintf("a log of %d records", run.longest)
+	case run.changesMeanwhile < 20:
+		return fmt.Sprintf("only %d changes were made meanwhile", run.changesMeanwhile)
+	}
+	return ""
+}
+
+// TestHardeningOutageOfHundredsOfChanges: a member that missed hundreds of changes is level within levelBound after the last
+// fault, though changes go on and its feeder is lost; logs stay bounded. REPLICATION_AWAY=2000 for the deep run, 401 for all plays of the usual length.
+// Danger: it leads or feeds proxies with what it held before, or never catches up.
+func TestHardeningOutageOfHundredsOfChanges(t *testing.T) {
+	changes := envInt("REPLICATION_AWAY", 400)
+	jobs := outageJobs(changes)
 	got := make([]*outageRun, len(jobs))
 	inParallel(len(jobs), func(i int) {
-		got[i] = playOutage(jobs[i].seed, jobs[i].topology, jobs[i].role, jobs[i].mode, n, TestingKnobs{})
+		got[i] = playOutage(jobs[i].seed, jobs[i].topology, jobs[i].role, jobs[i].mode, changes, TestingKnobs{})
 	})
 	var sum outageRun
-	for i, g := range got {
-		switch {
-		case g.err != nil:
-			t.Errorf("%v: %v", jobs[i], g.err)
-		case g.missed < uint64(n):
-			t.Errorf("%v: it missed only %d changes", jobs[i], g.missed)
-		case g.caughtUpAfter > levelBound:
-			t.Errorf("%v: level after %v only", jobs[i], g.caughtUpAfter)
-		case g.longest > 100: // snapshots each 20 records, 5 kept behind, and what is under way
-			t.Errorf("%v: a log of %d records", jobs[i], g.longest)
-		case g.changesMeanwhile < 20:
-			t.Errorf("%v: only %d changes were made meanwhile", jobs[i], g.changesMeanwhile)
+	for i, run := range got {
+		if problem := run.check(changes); problem != "" {
+			t.Errorf("%v: %s", jobs[i], problem)
 		}
-		sum.caughtUpAfter = max(sum.caughtUpAfter, g.caughtUpAfter)
-		sum.longest = max(sum.longest, g.longest)
-		sum.installs += g.installs
-		sum.upstreamLosses += g.upstreamLosses
+		sum.caughtUpAfter = max(sum.caughtUpAfter, run.caughtUpAfter)
+		sum.longest = max(sum.longest, run.longest)
+		sum.installs += run.installs
+		sum.upstreamLosses += run.upstreamLosses
 	}
-	t.Logf("%d plays, away for %d changes: level after at most %v, %d snapshots sent, %d feeders lost meanwhile, logs of at most %d records",
-		len(jobs), n, sum.caughtUpAfter, sum.installs, sum.upstreamLosses, sum.longest)
+	t.Logf("%d plays, away for %d changes: level after at most %v, %d snapshots sent, %d upstream losses meanwhile, logs of at most %d records",
+		len(jobs), changes, sum.caughtUpAfter, sum.installs, sum.upstreamLosses, sum.longest)
 	if sum.installs == 0 || sum.upstreamLosses == 0 {
-		t.Error("no snapshot was sent, or no feeder was lost")
+		t.Error("no snapshot was sent, or no upstream was lost")
 	}
 }
 
--- a/internal/system/replication/sim_losses_test.go
+++ b/internal/system/replication/sim_losses_test.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// lose empties the disk of a machine, when the number of disks that may be lost allows it.
+// lose empties the disk of a node, when the number of disks that may be lost allows it.
 func (w *clusterSim) lose(m *simNode) bool {
 	if m.removed || m.observer || !w.canLoseDisk() {
 		return false
@@ -20,25 +20,25 @@
 	return true
 }
 
-// replace ends a machine for good and starts another, at a new address and with an empty disk.
-func (w *clusterSim) replace(a *simNode, f fault) {
-	if a.removed || a.observer || !w.canLoseDisk() || len(w.nodes) > 40 {
+// replace ends a node for good and starts another, at a new address and with an empty disk.
+func (w *clusterSim) replace(node *simNode, cause fault) {
+	if node.removed || node.observer || !w.canLoseDisk() || len(w.nodes) > 40 {
 		return
 	}
 	w.lost++
 	w.lostAt = w.now
-	w.trace("%v REPLACED machine %d", w.now, a.name)
+	w.trace("%v REPLACED machine %d", w.now, node.name)
 	end := func() {
-		if a.removed {
+		if node.removed {
 			return
 		}
-		a.kill()
-		a.removed = true
-		w.successor(a, f).restartAfter(f.duration)
+		node.kill()
+		node.removed = true
+		w.successor(node, cause).restartAfter(cause.duration)
 	}
-	if f.n&1 == 1 && a.isRunning() && !a.paused {
+	if cause.n&1 == 1 && node.isRunning() && !node.paused {
 		w.pending++
-		a.leave(f.ackTimeout(), func() {
+		node.leave(cause.ackTimeout(), func() {
 			w.pending--
 			end()
 		})
@@ -47,7 +47,7 @@
 	end()
 }
 
-// successor makes a machine in the place of a.
+// successor makes a node in the place of a.
 func (w *clusterSim) successor(a *simNode, f fault) *simNode {
 	m := w.newNode(fmt.Sprintf("10.0.2.%d", len(w.nodes)), a.member.Zone, a.member.Region)
 	m.seeds = nil // the operator's list as it is now, three of them
@@ -59,7 +59,7 @@
 	return m
 }
 
-// durableState is what the machine's disk says of it.
+// durableState is what the node's disk says of it.
 func (m *simNode) durableState() (acceptorState, bool) {
 	data, ok := m.disk.meta[metaAcceptor]
 	if !ok || m.removed {
@@ -74,8 +74,8 @@
 
 // isFullyReplicated tells whether the newest view stands on disks that are all there, as many as it should.
 func (w *clusterSim) isFullyReplicated() bool {
-	v := w.newest
-	if v == nil || len(v.Chain) <= w.losses || len(v.Voters) < 2*w.losses+1 {
+	view := w.newest
+	if view == nil || len(view.Chain) <= w.losses || len(view.Voters) < 2*w.losses+1 {
 		return false
 	}
 	disks := map[ID]acceptorState{}
@@ -84,24 +84,24 @@
 			disks[r.identity.ID] = r
 		}
 	}
-	for _, l := range v.Chain {
-		if r, ok := disks[l]; !ok || r.activeEpoch != v.Epoch || r.view.Epoch != v.Epoch {
+	for _, l := range view.Chain {
+		if r, ok := disks[l]; !ok || r.activeEpoch != view.Epoch || r.view.Epoch != view.Epoch {
 			return false
 		}
 	}
-	if !w.toleratesLosses(v) {
+	if !w.toleratesLosses(view) {
 		return false
 	}
-	for _, m := range v.Voters {
+	for _, m := range view.Voters {
 		// A view that is accepted but not chosen names disks of its own, on which the next one depends.
-		if r, ok := disks[m.ID]; !ok || r.view.Epoch != v.Epoch || r.acceptedView != nil {
+		if r, ok := disks[m.ID]; !ok || r.view.Epoch != view.Epoch || r.acceptedView != nil {
 			return false
 		}
 	}
 	return true
 }
 
-// toleratesLosses tells whether enough voters and a link are left whatever zones are lost of those that may be.
+// toleratesLosses tells whether enough voters and a replica are left whatever zones are lost of those that may be.
 func (w *clusterSim) toleratesLosses(v *View) bool {
 	c := Config{MachineLosses: w.losses, ZoneLosses: w.zoneLosses}
 	var links []Member
--- a/internal/system/replication/sim_network_test.go
+++ b/internal/system/replication/sim_network_test.go
@@ -8,21 +8,21 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// outside is the address of everyone who is neither keeper nor proxy: operators and their clients.
+// outside is the address of everyone who is neither node nor proxy: operators and their clients.
 const outside = "outside"
 
-// maxHeld is how many messages a cut link holds back, as the buffers of its connections do.
-const maxHeld = 200
+// maxDelayedMessages is how many messages a partitioned path holds back, as the buffers of its connections do.
+const maxDelayedMessages = 200
 
-// partitionedPath is one direction of a link that carries nothing.
+// partitionedPath is one direction between two addresses, which carries nothing.
 type partitionedPath struct {
 	until   time.Duration
 	late    bool // what is sent meanwhile arrives after the cut
 	delayed []func()
 }
 
-// block cuts one direction of a link.
-func (w *clusterSim) block(from, to string, d time.Duration, late bool) {
+// block partitions one direction between two addresses.
+func (w *clusterSim) block(from, to string, length time.Duration, late bool) {
 	if from == to || w.beyond(from) && w.beyond(to) {
 		return
 	}
@@ -35,15 +35,15 @@
 		l = &partitionedPath{late: late}
 		w.partitioned[k] = l
 	}
-	l.until = max(l.until, w.now+d)
-	w.after(d, func() {
+	l.until = max(l.until, w.now+length)
+	w.after(length, func() {
 		if w.partitioned[k] == l && w.now >= l.until {
 			w.healPath(k)
 		}
 	})
 }
 
-// beyond tells whether the address is no keeper's.
+// beyond tells whether the address is no node's.
 func (w *clusterSim) beyond(addr string) bool {
 	return addr == outside || strings.HasPrefix(addr, proxyPrefix)
 }
@@ -69,28 +69,28 @@
 	return w.partitioned[[2]string{a, b}] == nil && w.partitioned[[2]string{b, a}] == nil
 }
 
-// carry brings something from one address to another, unless the link is cut or loses it.
-func (w *clusterSim) carry(from, to string, d time.Duration, do func()) {
+// carry brings something from one address to another, unless the replica is cut or loses it.
+func (w *clusterSim) carry(from, to string, delay time.Duration, onArrival func()) {
 	if l := w.partitioned[[2]string{from, to}]; l != nil {
-		if l.late && len(l.delayed) < maxHeld {
-			l.delayed = append(l.delayed, do)
+		if l.late && len(l.delayed) < maxDelayedMessages {
+			l.delayed = append(l.delayed, onArrival)
 		}
 		return
 	}
 	if w.rng.Float64() < w.loss {
 		return
 	}
-	d += time.Duration(w.rng.ExpFloat64() * float64(d) / 4)
+	delay += time.Duration(w.rng.ExpFloat64() * float64(delay) / 4)
 	if w.extraDelay > 0 && w.rng.IntN(4) == 0 {
-		d += time.Duration(w.rng.Int64N(int64(w.extraDelay)))
+		delay += time.Duration(w.rng.Int64N(int64(w.extraDelay)))
 	}
-	w.after(d, do)
+	w.after(delay, onArrival)
 }
 
-func (w *clusterSim) deliver(from *simNode, e Envelope) {
-	kind := kindOf(e.Msg)
+func (w *clusterSim) deliver(from *simNode, envelope Envelope) {
+	kind := kindOf(envelope.Msg)
 	core := from.core
-	if w.step("send "+kind, from, e.Addr); from.core != core {
+	if w.step("send "+kind, from, envelope.Addr); from.core != core {
 		return
 	}
 	n := 1
@@ -99,10 +99,10 @@
 	}
 	for range n {
 		d := time.Millisecond
-		if to := w.at(e.Addr); to != nil && to.member.Region != from.member.Region {
+		if to := w.at(envelope.Addr); to != nil && to.member.Region != from.member.Region {
 			d = 45 * time.Millisecond
 		}
-		w.carry(from.member.Addr, e.Addr, d, func() { w.arrive(e.Addr, kind, e.Msg) })
+		w.carry(from.member.Addr, envelope.Addr, d, func() { w.arrive(envelope.Addr, kind, envelope.Msg) })
 	}
 }
 
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// messageKinds are the names of the messages between keepers, by the type of their body.
+// messageKinds are the names of the messages between nodes, by the type of their body.
 var messageKinds = func() map[reflect.Type]string {
 	kinds := map[reflect.Type]string{}
 	fields := (&replicationpb.Message{}).ProtoReflect().Descriptor().Oneofs().ByName("body").Fields()
--- a/internal/system/replication/sim_operators_test.go
+++ b/internal/system/replication/sim_operators_test.go
@@ -7,46 +7,46 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// simCall is a change or read that goes to one machine, and what was known when it was simCall for.
+// simCall is a change or read that goes to one node, and what was known when it was asked for.
 type simCall struct {
 	node   *simNode
 	read   bool
 	change controlstate.Change
-	fenced bool          // the keeper that takes it up fills in the fence: the newest record that it knows
+	fenced bool          // the node that takes it up fills in the fence: the newest record that it knows
 	ttl    time.Duration // 0: drawn
 	sent   time.Duration
 	acked  uint64 // newest record acknowledged or read when this try was sent
 	first  uint64 // and when the first try was
 	onDone func(Completion)
-	inside func(Completion) // instead: the keeper's own read, on behalf of a call
+	inside func(Completion) // instead: the node's own read, on behalf of a call
 	closed bool             // the caller has an answer, or has given up
 }
 
 // ask sends a change or read to a.at. The caller is told an outcome once, Unknown when none came in time.
-func (w *clusterSim) ask(a *simCall) {
-	a.acked, a.sent = max(w.acked, w.newestRead), w.now
-	if a.ttl == 0 {
-		a.ttl = 4 * time.Second
+func (w *clusterSim) ask(call *simCall) {
+	call.acked, call.sent = max(w.acked, w.newestRead), w.now
+	if call.ttl == 0 {
+		call.ttl = 4 * time.Second
 		if w.rng.IntN(3) == 0 {
-			a.ttl = time.Duration(100+w.rng.IntN(1500)) * time.Millisecond
+			call.ttl = time.Duration(100+w.rng.IntN(1500)) * time.Millisecond
 		}
 	}
-	if !a.read && !a.fenced {
-		w.entryOf(keyOf(a.change)).attempts++
+	if !call.read && !call.fenced {
+		w.entryOf(keyOf(call.change)).attempts++
 	}
-	w.trace("%v asks machine %d: read %v, %s", w.now, a.node.name, a.read, keyOf(a.change))
-	m, core := a.node, a.node.core
+	w.trace("%v asks machine %d: read %v, %s", w.now, call.node.name, call.read, keyOf(call.change))
+	m, core := call.node, call.node.core
 	if core == nil {
-		w.after(time.Millisecond, func() { a.close(Completion{Outcome: Unknown}) })
+		w.after(time.Millisecond, func() { call.close(Completion{Outcome: Unknown}) })
 		return
 	}
-	w.after(a.ttl+time.Second, func() { a.close(Completion{Outcome: Unknown}) })
+	w.after(call.ttl+time.Second, func() { call.close(Completion{Outcome: Unknown}) })
 	w.carry(outside, m.member.Addr, time.Millisecond, func() {
-		m.run(core, func() { m.submit(a) })
+		m.run(core, func() { m.submit(call) })
 	})
 }
 
-// submit takes up a call at the keeper. Its time to live begins here, however long it lay in a socket.
+// submit takes up a call at the node. Its time to live begins here, however long it lay in a socket.
 func (m *simNode) submit(a *simCall) {
 	if a.fenced {
 		m.submitFenced(a)
@@ -60,7 +60,7 @@
 	m.core.Submit(m.clock(), id, a.change, a.ttl)
 }
 
-// number files a call under a number of its own, as Keeper does in each life anew.
+// number files a call under a number of its own, as Node does in each life anew.
 func (m *simNode) number(a *simCall) uint64 {
 	m.lastCallID++
 	m.calls[m.lastCallID] = a
@@ -71,31 +71,31 @@
 const stallFence = time.Second
 
 // submitFenced takes up an order of a zone as control does: the fence is the newest record known when the order came; then
-// the keeper reads, and passes the order on if its caller is still there.
-func (m *simNode) submitFenced(a *simCall) {
+// the node reads, and passes the order on if its caller is still there.
+func (m *simNode) submitFenced(call *simCall) {
 	w, core := m.sim, m.core
 	if m.resumedAt > 0 && w.now-m.resumedAt < stallFence {
-		w.answer(a, Completion{Outcome: Refused})
+		w.answer(call, Completion{Outcome: Refused})
 		return
 	}
-	a.change.Base = int64(core.chain.commitIndex)
+	call.change.Base = int64(core.chain.commitIndex)
 	read := &simCall{node: m, read: true, acked: max(w.acked, w.newestRead)}
 	read.inside = func(d Completion) {
 		if d.Outcome != Answered {
-			w.answer(a, Completion{Outcome: Refused})
+			w.answer(call, Completion{Outcome: Refused})
 			return
 		}
 		w.after(0, func() {
 			m.run(core, func() {
-				if a.closed {
+				if call.closed {
 					return // the end of the caller's connection has been read by now
 				}
-				w.entryOf(keyOf(a.change)).attempts++
-				core.Submit(m.clock(), m.number(a), a.change, a.ttl)
+				w.entryOf(keyOf(call.change)).attempts++
+				core.Submit(m.clock(), m.number(call), call.change, call.ttl)
 			})
 		})
 	}
-	core.Read(m.clock(), m.number(read), a.ttl)
+	core.Read(m.clock(), m.number(read), call.ttl)
 }
 
 // answer brings an answer back to the caller, unless it is lost on its way.
@@ -117,12 +117,12 @@
 	}
 }
 
-// settles tells whether an answer settles what became of a change.
-func settles(d Completion) bool {
+// isConclusive tells whether an answer isConclusive what became of a change.
+func isConclusive(d Completion) bool {
 	return d.Outcome == Answered && d.Verdict.Kind != controlstate.Uncertain && d.Verdict.Kind != controlstate.Superseded
 }
 
-// pickNode draws a machine that runs; it may be frozen or cut off.
+// pickNode draws a node that runs; it may be paused or partitioned.
 func (w *clusterSim) pickNode() *simNode {
 	for range 8 {
 		if m := w.nodes[w.rng.IntN(len(w.nodes))]; m.isRunning() {
@@ -133,13 +133,13 @@
 }
 
 // client asks for one thing after another.
-func (w *clusterSim) client(n int) {
+func (w *clusterSim) client(number int) {
 	if w.violation != nil || w.clientsDone {
 		return
 	}
 	m := w.pickNode()
 	if m == nil {
-		w.after(50*time.Millisecond, func() { w.client(n) })
+		w.after(50*time.Millisecond, func() { w.client(number) })
 		return
 	}
 	w.lastChange++
@@ -152,15 +152,15 @@
 	case k < 10:
 		a.change = controlstate.Change{Op: controlstate.OpReplace, Body: fmt.Appendf(nil, "bad%d", w.lastChange)}
 	default:
-		a.change = w.newChange(n)
+		a.change = w.newChange(number)
 	}
 	w.submitUntilDone(a, 5, func() {
-		w.after(time.Duration(10+w.rng.IntN(250))*time.Millisecond, func() { w.client(n) })
+		w.after(time.Duration(10+w.rng.IntN(250))*time.Millisecond, func() { w.client(number) })
 	})
 }
 
 // newChange draws a change of the register. What an operator knows is at best as new as the last answer, and may be what
-// a keeper has not yet confirmed.
+// a node has not yet confirmed.
 func (w *clusterSim) newChange(n int) controlstate.Change {
 	base := w.states[len(w.states)-1].rev
 	if w.rng.IntN(5) == 0 {
@@ -177,7 +177,7 @@
 // submitUntilDone asks, and asks again elsewhere as long as the answer is not clear and tries are left.
 func (w *clusterSim) submitUntilDone(a *simCall, tries int, done func()) {
 	a.onDone = func(d Completion) {
-		if !a.read && a.change.Op != controlstate.OpNone && !settles(d) && tries > 1 {
+		if !a.read && a.change.Op != controlstate.OpNone && !isConclusive(d) && tries > 1 {
 			w.resubmit(a, tries-1, done)
 			return
 		}
@@ -189,7 +189,7 @@
 	w.ask(a)
 }
 
-// resubmit asks as before, through whichever machine runs then.
+// resubmit asks as before, through whichever node runs then.
 func (w *clusterSim) resubmit(a *simCall, tries int, done func()) {
 	if w.clientsDone {
 		return
@@ -203,7 +203,7 @@
 	})
 }
 
-// operator sends up to eight orders at once: one or several changes of the same version, each through several keepers.
+// operator sends up to eight orders at once: one or several changes of the same version, each through several nodes.
 func (w *clusterSim) operator(n int) {
 	if w.violation != nil || w.clientsDone {
 		return
@@ -261,26 +261,26 @@
 	return nil
 }
 
-// zoneOperator sends the order that its zone waits for through one keeper after another until it is acknowledged.
-func (w *clusterSim) zoneOperator(z *evacuationZone) {
+// zoneOperator sends the order that its zone waits for through one node after another until it is acknowledged.
+func (w *clusterSim) zoneOperator(zone *evacuationZone) {
 	if w.violation != nil || w.clientsDone {
 		return
 	}
 	m := w.pickNode()
 	if m == nil {
-		w.after(50*time.Millisecond, func() { w.zoneOperator(z) })
+		w.after(50*time.Millisecond, func() { w.zoneOperator(zone) })
 		return
 	}
-	if z.acknowledged {
-		z.acknowledged = false
-		z.wanted = controlstate.OpEvacuate + controlstate.OpReadmit - z.wanted
+	if zone.acknowledged {
+		zone.acknowledged = false
+		zone.wanted = controlstate.OpEvacuate + controlstate.OpReadmit - zone.wanted
 	}
-	a := &simCall{node: m, change: controlstate.Change{Op: z.wanted, Zone: z.name}, fenced: true, ttl: time.Second, first: w.acked}
+	a := &simCall{node: m, change: controlstate.Change{Op: zone.wanted, Zone: zone.name}, fenced: true, ttl: time.Second, first: w.acked}
 	a.onDone = func(d Completion) {
-		if settles(d) {
-			z.acknowledged = true
+		if isConclusive(d) {
+			zone.acknowledged = true
 		}
-		w.after(time.Duration(100+w.rng.IntN(900))*time.Millisecond, func() { w.zoneOperator(z) })
+		w.after(time.Duration(100+w.rng.IntN(900))*time.Millisecond, func() { w.zoneOperator(zone) })
 	}
 	w.ask(a)
 }
--- a/internal/system/replication/sim_proxies_test.go
+++ b/internal/system/replication/sim_proxies_test.go
@@ -15,14 +15,14 @@
 const (
 	proxyPrefix       = "10.1."
 	longPollTimeout   = time.Second
-	pollTimeoutMargin = 400 * time.Millisecond // beyond the hold, until another keeper is taken
+	pollTimeoutMargin = 400 * time.Millisecond // beyond the hold, until another node is taken
 	seekTimeout       = 1200 * time.Millisecond
 	seekStagger       = 50 * time.Millisecond
 	avoidTime         = 2 * time.Second
 	maxPollRecords    = 64 // in one answer
 )
 
-// proxy is a process that follows the keepers, as distribution.Subscriber does.
+// proxy is a process that follows the nodes, as distribution.Subscriber does.
 type proxy struct {
 	w           *clusterSim
 	name        string
@@ -35,24 +35,24 @@
 
 	seq        uint64
 	state      *toy
-	knownNodes []string // keepers
+	knownNodes []string // nodes
 	failed     map[string]time.Duration
 	freshAt    time.Duration // when it was certainly so that nothing newer had been acknowledged; negative: never
 	calls      uint64
-	inFlight   map[uint64]func(*pollReply) // calls under way
+	inFlight   map[uint64]func(*pollReply) // calls in flight
 }
 
-// poll is a proxy's call that a keeper holds.
+// poll is a proxy's call that a node holds.
 type poll struct {
 	seq          uint64
 	start, until time.Duration
 	reply        func(*pollReply)
 }
 
-// pollReply is a keeper's answer; nil stands for silence.
+// pollReply is a node's answer; nil stands for silence.
 type pollReply struct {
 	current  bool
-	newest   uint64        // that the keeper knows to be committed
+	newest   uint64        // that the node knows to be committed
 	checked  time.Duration // how long it waited before it asked whether it is current
 	records  []controlstate.Record
 	snapshot []byte
@@ -85,7 +85,7 @@
 	p.eventAt = p.w.now
 }
 
-// run has the process of a life do something, when it is not frozen.
+// run has the process of a life do something, when it is not paused.
 func (p *proxy) run(life int, do func()) {
 	switch {
 	case p.incarnation != life || !p.running:
@@ -119,7 +119,7 @@
 	}
 }
 
-// call polls a keeper; done is told the answer, or nil when the keeper is silent.
+// call polls a node; done is told the answer, or nil when the node is silent.
 func (p *proxy) call(keeper string, hold, patience time.Duration, done func(*pollReply)) {
 	w := p.w
 	p.calls++
@@ -153,7 +153,7 @@
 	})
 }
 
-// serve answers a poll as Hub.Follow does: at once where the keeper is not current or has something newer, otherwise when
+// serve answers a poll as Hub.Follow does: at once where the node is not current or has something newer, otherwise when
 // that comes about, at the latest when the hold ends.
 func (m *simNode) serve(p *poll) {
 	core := m.core
@@ -181,10 +181,10 @@
 }
 
 // answerPoll gives the records after what the proxy holds, or a snapshot where those are gone.
-func (m *simNode) answerPoll(p *poll, current bool) *pollReply {
+func (m *simNode) answerPoll(request *poll, current bool) *pollReply {
 	m.sim.stats.polls++
 	seq, state := m.core.Committed()
-	r := &pollReply{current: current, newest: seq, checked: m.sim.now - p.start}
+	r := &pollReply{current: current, newest: seq, checked: m.sim.now - request.start}
 	v := m.core.View()
 	for _, id := range v.Chain {
 		if member, ok := v.Voter(id); ok {
@@ -194,9 +194,9 @@
 	if !current {
 		return r
 	}
-	records, known := m.core.RecordsAfter(p.seq, maxPollRecords+1)
+	records, known := m.core.RecordsAfter(request.seq, maxPollRecords+1)
 	stock := catchup.Availability{Committed: seq, Known: known && len(records) > 0, Records: len(records)}
-	switch catchup.PlanReply(p.seq, stock, maxPollRecords) {
+	switch catchup.PlanReply(request.seq, stock, maxPollRecords) {
 	case catchup.Records:
 		r.records = records
 	case catchup.NewSnapshot:
@@ -249,36 +249,45 @@
 	return !offer.Expired()
 }
 
-// findNode tries the keepers, those that just failed last, until one that is current has answered.
+// findNode tries the nodes, those that just failed last, until one that is current has answered.
 func (p *proxy) findNode() {
-	list := p.rankNodes()
-	settled, open := false, len(list)
-	for i, keeper := range list {
-		p.after(time.Duration(i)*seekStagger, func() {
-			if settled {
-				return
-			}
-			p.call(keeper, 0, seekTimeout, func(r *pollReply) {
-				if open--; settled {
-					return
-				}
-				if r != nil && r.current {
-					settled = true
-					p.follow(keeper)
-					return
-				}
-				if r == nil {
-					p.failed[keeper] = p.w.now
-				}
-				if open == 0 {
-					p.after(20*time.Millisecond+time.Duration(p.w.rng.IntN(180))*time.Millisecond, p.findNode)
-				}
-			})
-		})
+	nodes := p.rankNodes()
+	search := &nodeSearch{proxy: p, open: len(nodes)}
+	for i, node := range nodes {
+		p.after(time.Duration(i)*seekStagger, func() { search.try(node) })
+	}
+}
+
+// nodeSearch is a proxy's search for a node to follow.
+type nodeSearch struct {
+	*proxy
+	found bool
+	open  int // nodes that have neither answered nor failed
+}
+
+func (s *nodeSearch) try(node string) {
+	if s.found {
+		return
 	}
+	s.call(node, 0, seekTimeout, func(r *pollReply) {
+		if s.open--; s.found {
+			return
+		}
+		if r != nil && r.current {
+			s.found = true
+			s.follow(node)
+			return
+		}
+		if r == nil {
+			s.failed[node] = s.w.now
+		}
+		if s.open == 0 {
+			s.after(20*time.Millisecond+time.Duration(s.w.rng.IntN(180))*time.Millisecond, s.findNode)
+		}
+	})
 }
 
-// rankNodes gives the keepers to try. The seeds stay known, in case all others are gone.
+// rankNodes gives the nodes to try. The seeds stay known, in case all others are gone.
 func (p *proxy) rankNodes() []string {
 	list := slices.Clone(p.knownNodes)
 	for _, s := range p.w.seeds {
@@ -291,19 +300,19 @@
 	return list
 }
 
-func (p *proxy) isAvoided(keeper string) bool {
-	at, ok := p.failed[keeper]
+func (p *proxy) isAvoided(node string) bool {
+	at, ok := p.failed[node]
 	return ok && p.w.now-at < avoidTime
 }
 
-// follow polls one keeper until it is silent or not current.
-func (p *proxy) follow(keeper string) {
-	p.call(keeper, longPollTimeout, pollTimeoutMargin, func(r *pollReply) {
+// follow polls one node until it is silent or not current.
+func (p *proxy) follow(node string) {
+	p.call(node, longPollTimeout, pollTimeoutMargin, func(r *pollReply) {
 		if r == nil || !r.current {
-			p.failed[keeper] = p.w.now
+			p.failed[node] = p.w.now
 			p.findNode()
 			return
 		}
-		p.follow(keeper)
+		p.follow(node)
 	})
 }
--- a/internal/system/replication/sim_proxy_checks_test.go
+++ b/internal/system/replication/sim_proxy_checks_test.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	currentBound = time.Second // what a keeper that is current may lack, see checkCurrent
+	currentBound = time.Second // what a node that is current may lack, see checkCurrent
 
 	// freshBound is how old what a proxy holds may be while it counts as fresh.
 	freshBound = catchup.FreshnessTTL + currentBound
-	// contact is how long a proxy and the keepers must have been undisturbed for the proxy to count as in touch.
+	// contact is how long a proxy and the nodes must have been undisturbed for the proxy to count as in touch.
 	contact = 5 * time.Second
 	// touchBound is within what a proxy in touch holds what was acknowledged.
 	touchBound = 3 * time.Second
@@ -30,7 +30,7 @@
 	case p.seq >= uint64(len(w.states)):
 		w.fail(fmt.Errorf("proxy %s holds record %d, but only %d are committed", p.name, p.seq, len(w.truth)))
 	case describe(p.state) != describe(w.states[p.seq]):
-		w.fail(fmt.Errorf("proxy %s holds %q after record %d, keepers %q", p.name, describe(p.state), p.seq, describe(w.states[p.seq])))
+		w.fail(fmt.Errorf("proxy %s holds %q after record %d, nodes %q", p.name, describe(p.state), p.seq, describe(w.states[p.seq])))
 	}
 }
 
@@ -43,7 +43,7 @@
 	p.w.after(100*time.Millisecond, func() { p.watch(life) })
 }
 
-// isFresh tells whether a keeper's word that there is nothing newer still counts.
+// isFresh tells whether a node's word that there is nothing newer still counts.
 func (p *proxy) isFresh() bool {
 	return p.freshAt >= 0 && p.w.now-p.freshAt <= catchup.FreshnessTTL
 }
@@ -75,7 +75,7 @@
 	return w.acks[i-1].seq
 }
 
-// hasContact: the proxy and the keepers have been undisturbed for long, and it reaches all that are well connected.
+// hasContact: the proxy and the nodes have been undisturbed for long, and it reaches all that are well connected.
 func (p *proxy) hasContact() bool {
 	w := p.w
 	if w.now-p.eventAt < contact || !w.stable() {
@@ -89,31 +89,31 @@
 	return true
 }
 
-// knownView is the newest view that a healthy machine holds which reaches most of the others. One that only a machine
-// holds which is cut off makes no loss good.
+// knownView is the newest view that a healthy node holds which reaches most of the others. One that only a node
+// holds which is partitioned makes no loss good.
 func (w *clusterSim) knownView() *View {
 	var newest *View
-	for _, m := range w.nodes {
-		if !m.healthy() || newest != nil && m.core.acceptor.view.Epoch <= newest.Epoch {
+	for _, node := range w.nodes {
+		if !node.healthy() || newest != nil && node.core.acceptor.view.Epoch <= newest.Epoch {
 			continue
 		}
 		reached, all := 0, 0
 		for _, o := range w.nodes {
 			if !o.removed {
 				all++
-				if w.connected(m.member.Addr, o.member.Addr) {
+				if w.connected(node.member.Addr, o.member.Addr) {
 					reached++
 				}
 			}
 		}
-		if reached > all/2 && m.core.acceptor.view.Epoch > 0 {
-			newest = m.core.acceptor.view
+		if reached > all/2 && node.core.acceptor.view.Epoch > 0 {
+			newest = node.core.acceptor.view
 		}
 	}
 	return newest
 }
 
-// core lists the healthy machines that reach a majority of the voters both ways.
+// core lists the healthy nodes that reach a majority of the voters both ways.
 func (w *clusterSim) core() []*simNode {
 	var out []*simNode
 	view := w.knownView()
@@ -126,7 +126,7 @@
 		}
 		n := 0
 		for _, v := range view.Voters {
-			if o := w.at(v.Addr); o != nil && o.healthy() && w.connected(m.member.Addr, v.Addr) && ID(o.core.self.ID) == v.ID {
+			if o := w.at(v.Addr); o != nil && o.healthy() && w.connected(m.member.Addr, v.Addr) && o.core.self.ID == v.ID {
 				n++
 			}
 		}
@@ -137,7 +137,7 @@
 	return out
 }
 
-// stable tells whether nothing has disturbed the keepers of late and no more are in trouble than may be lost.
+// stable tells whether nothing has disturbed the nodes of late and no more are in fault than may be lost.
 func (w *clusterSim) stable() bool {
 	view := w.knownView()
 	if w.now-w.eventAt < contact || w.loss > 0 || w.extraDelay > 0 || view == nil {
@@ -164,10 +164,10 @@
 	return missing <= w.losses && len(well) > w.losses
 }
 
-// progressBound is within what a change is acknowledged that comes to a keeper while the keepers are stable.
+// progressBound is within what a change is acknowledged that comes to a node while the nodes are stable.
 const progressBound = 4 * time.Second
 
-// watchProgress asks for a change through a keeper of the core, again and again while the keepers are stable: it must be
+// watchProgress asks for a change through a node of the core, again and again while the nodes are stable: it must be
 // acknowledged, unless something disturbs them meanwhile.
 func (w *clusterSim) watchProgress() {
 	if w.violation != nil || w.clientsDone {
@@ -187,27 +187,27 @@
 	a := &simCall{node: m, change: controlstate.Change{Op: controlstate.OpNone, Zone: fmt.Sprintf("p%d", w.lastChange)}, first: w.acked, ttl: progressBound}
 	a.onDone = func(d Completion) {
 		if d.Outcome != Answered && w.eventAt == event && w.connected(outside, m.member.Addr) {
-			w.fail(fmt.Errorf("the keepers are stable, and a change that machine %d got %v ago is not acknowledged", m.name, w.now-began))
+			w.fail(fmt.Errorf("the nodes are stable, and a change that node %d got %v ago is not acknowledged", m.name, w.now-began))
 		}
 	}
 	w.ask(a)
 }
 
-// disturbProxy restarts, freezes or cuts off a proxy.
-func (w *clusterSim) disturbProxy(f fault) {
-	p := w.proxies[f.n%len(w.proxies)]
-	switch f.n / 2 % 3 {
+// disturbProxy restarts, pauses or cuts off a proxy.
+func (w *clusterSim) disturbProxy(cause fault) {
+	target := w.proxies[cause.n%len(w.proxies)]
+	switch cause.n / 2 % 3 {
 	case 0:
-		p.stop()
-		w.after(f.duration, p.start)
+		target.stop()
+		w.after(cause.duration, target.start)
 	case 1:
-		p.pause(f.duration)
+		target.pause(cause.duration)
 	case 2:
 		for _, m := range w.nodes {
-			w.block(p.addr, m.member.Addr, f.duration, f.n&8 != 0)
-			w.block(m.member.Addr, p.addr, f.duration, f.n&8 != 0)
+			w.block(target.addr, m.member.Addr, cause.duration, cause.n&8 != 0)
+			w.block(m.member.Addr, target.addr, cause.duration, cause.n&8 != 0)
 		}
-		p.eventAt = w.now
-		w.after(f.duration, func() { p.eventAt = w.now })
+		target.eventAt = w.now
+		w.after(cause.duration, func() { target.eventAt = w.now })
 	}
 }
