--- a/internal/system/distribution/commit_log_test.go
+++ b/internal/system/distribution/commit_log_test.go
@@ -9,7 +9,7 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestCommitLog: what was certainly committed at a moment, by notes that come from time to time.
+// TestCommitLog: what was certainly committed at a moment, by marks that come from time to time.
 func TestCommitLog(t *testing.T) {
 	var commits commitLog
 	begin := time.Now()
@@ -29,14 +29,14 @@
 		commits.observe(at(time.Duration(4+i)*time.Second), uint64(6+i))
 	}
 	if len(commits.marks) != maxCommitMarks || commits.committedBefore(at(3*time.Second)) != 0 {
-		t.Errorf("%d notes; at 3 s %d", len(commits.marks), commits.committedBefore(at(3*time.Second)))
+		t.Errorf("%d marks; at 3 s %d", len(commits.marks), commits.committedBefore(at(3*time.Second)))
 	}
 	if got := commits.committedBefore(at(time.Hour)); got != uint64(5+10*maxCommitMarks) {
 		t.Errorf("at last %d", got)
 	}
 }
 
-// TestReadingReportsCoveredRecord: a keeper's reading covers the records that it knew lag before it asked, and proxies hear which.
+// TestReadingReportsCoveredRecord: a node's reading covers the records that it knew lag before it asked, and proxies learn which.
 func TestReadingReportsCoveredRecord(t *testing.T) {
 	const lag = 800 * time.Millisecond
 	server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: newChain(), addresses: []string{"k"}}, Self: "k", Log: quiet(), ListLag: lag})
@@ -58,12 +58,12 @@
 		told := softstate.EncodeEntries(time.Now(), []*softstate.StoredEntry{server.table.Get(softstate.ListKey)})
 		subscriber.soft.applyEntries(time.Now(), softstate.Age{}, &distributionpb.FollowReply{Entries: told})
 		if got := subscriber.Current().ListCoversSeq; got != read.covers {
-			t.Errorf("asked at %v: a proxy hears %d, want %d", read.asked, got, read.covers)
+			t.Errorf("asked at %v: a proxy gets %d, want %d", read.asked, got, read.covers)
 		}
 	}
 }
 
-// TestRefreshNotifiesOfNextContact: the owner is told of a current keeper's answer to a call from after Refresh, also if it holds
+// TestRefreshNotifiesOfNextContact: the owner is notified of a current node's reply to a call from after Refresh, also if it has
 // nothing new, and of none before.
 func TestRefreshNotifiesOfNextContact(t *testing.T) {
 	subscriber := NewSubscriber(SubscriberOptions{Log: quiet()})
@@ -79,29 +79,29 @@
 		subscriber.handleReply(asked, time.Now(), &distributionpb.FollowRequest{}, &distributionpb.FollowReply{Current: current, Soft: &distributionpb.Cursor{}})
 	}
 	answer(time.Now(), true)
-	told() // what is held may be served from now on
+	told() // what is stored may be served from now on
 	answer(time.Now(), true)
 	if told() {
-		t.Error("told of an answer that holds nothing new and is not awaited")
+		t.Error("notified of a reply that brings nothing new and is not awaited")
 	}
 	before := time.Now()
 	subscriber.Refresh()
 	select {
 	case <-subscriber.callRequested:
 	default:
-		t.Error("no keeper is asked at once")
+		t.Error("no node is asked at once")
 	}
 	answer(before, true)
 	answer(time.Now(), false)
 	if told() {
-		t.Error("told of a word from before, or of a keeper that is not current")
+		t.Error("notified of a contact from before, or of a node that is not current")
 	}
 	answer(time.Now(), true)
 	if !told() {
-		t.Error("not told of the word that is awaited")
+		t.Error("not notified of the contact that is awaited")
 	}
 	answer(time.Now(), true)
 	if told() {
-		t.Error("told again")
+		t.Error("notified again")
 	}
 }
--- a/internal/system/distribution/compression_test.go
+++ b/internal/system/distribution/compression_test.go
@@ -10,7 +10,7 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 )
 
-// TestCompression: 1,800 routes that are much alike go out in under a tenth of their bytes, compressed once for all followers.
+// TestCompression: 1,800 routes that are much alike go out in under a tenth of their bytes, compressed once for all subscribers.
 // Danger: on links of 10 Mbit/s a large configuration reached proxies over 3 s after it was acknowledged.
 func TestCompression(t *testing.T) {
 	var body bytes.Buffer
@@ -21,7 +21,7 @@
 	r := controlstate.Record{Seq: 3, Op: controlstate.OpAmend, Body: body.Bytes()}
 	w := cache.encode(r)
 	if again := cache.encode(r); again != w {
-		t.Error("compressed for each follower anew")
+		t.Error("compressed for each subscriber again")
 	}
 	if len(w.GetBody())*10 > body.Len() {
 		t.Errorf("%d bytes of %d", len(w.GetBody()), body.Len())
--- a/internal/system/distribution/fleet_catchup_test.go
+++ b/internal/system/distribution/fleet_catchup_test.go
@@ -18,9 +18,9 @@
 	return controlstate.Record{Op: controlstate.OpReadmit, Zone: "z"}
 }
 
-// runAbsence starts a proxy on a configuration of some bytes, cuts it off while n changes are acknowledged, brings the one
-// keeper that is current back without its older records, and goes on with 20 changes a second. It gives how long after
-// the end of the cut the proxy was level, and the bytes that went over the wires until then.
+// runAbsence starts a proxy on a configuration of some bytes, isolates it while n changes are acknowledged, brings the one
+// node that is current back without its older records, and goes on with 20 changes a second. It gives how long after
+// the end of the partition the proxy was up to date, and the bytes that were transmitted until then.
 func runAbsence(t *testing.T, changes, size int, lose bool) (took time.Duration, bytes int64) {
 	t.Helper()
 	fleet := newFleet("k1:1", "k2:1", "k3:1")
@@ -59,7 +59,7 @@
 			break
 		}
 		if time.Since(start) > 20*time.Second {
-			t.Fatalf("holds %d of %d after %v", proxy.subscriber.Current().State.Seq, fleet.chain.seq(), time.Since(start))
+			t.Fatalf("has %d of %d after %v", proxy.subscriber.Current().State.Seq, fleet.chain.seq(), time.Since(start))
 		}
 	}
 	fleet.mesh.mu.Lock()
@@ -67,22 +67,22 @@
 	return time.Since(start), fleet.mesh.bytes
 }
 
-// TestProxyAwayForHundredsOfChanges: a proxy that was away for 400 and for 2,000 changes comes level within 3 s through a
-// keeper that has just come back and knows no older records, while changes go on at 20 a second, by one snapshot; also
-// where the keeper that feeds it is lost midway.
+// TestProxyAwayForHundredsOfChanges: a proxy that was away for 400 and for 2,000 changes comes up to date within 3 s through a
+// node that has just come back and knows no older records, while changes go on at 20 a second, by one snapshot; also
+// where the node that serves it is lost midway.
 func TestProxyAwayForHundredsOfChanges(t *testing.T) {
 	for _, n := range []int{400, 2000} {
 		for _, size := range []int{1 << 10, 600 << 10} {
 			for _, lose := range []bool{false, true} {
 				synctest.Test(t, func(t *testing.T) {
 					took, bytes := runAbsence(t, n, size, lose)
-					t.Logf("%d changes, %d bytes, keeper lost: %v: level after %v, %d bytes", n, size, lose, took, bytes)
+					t.Logf("%d changes, %d bytes, node lost: %v: up to date after %v, %d bytes", n, size, lose, took, bytes)
 					most := int64(size) + 256<<10
 					if lose {
 						most += int64(size)
 					}
 					if took > 3*time.Second || bytes > most {
-						t.Errorf("%d changes of a state of %d bytes, keeper lost: %v: level after %v and %d bytes", n, size, lose, took, bytes)
+						t.Errorf("%d changes of a state of %d bytes, node lost: %v: up to date after %v and %d bytes", n, size, lose, took, bytes)
 					}
 				})
 			}
@@ -90,7 +90,7 @@
 	}
 }
 
-// TestWholeFleetStartsAtOnce: 410 proxies that start at one keeper are all fed within 5 s, and its state is encoded and
+// TestWholeFleetStartsAtOnce: 410 proxies that start at one node are all served within 5 s, and its state is encoded and
 // compressed once for all of them.
 func TestWholeFleetStartsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -101,7 +101,7 @@
 		for i := range proxies {
 			fleet.startProxy(fmt.Sprint("p", i), nil)
 		}
-		within(t, 5*time.Second, "all are fed", func() bool {
+		within(t, 5*time.Second, "all are served", func() bool {
 			for _, proxy := range fleet.proxies {
 				if update := proxy.update(); update.State == nil || update.State.Seq != seq {
 					return false
--- a/internal/system/distribution/fleet_faults_test.go
+++ b/internal/system/distribution/fleet_faults_test.go
@@ -81,7 +81,7 @@
 			t.Errorf("%d members are kept", got)
 		}
 		fleet.startProxy("b", nil)
-		within(t, time.Second, "b is back in another life", func() bool { return proxyA.sees("b") })
+		within(t, time.Second, "b is back in another incarnation", func() bool { return proxyA.sees("b") })
 	})
 }
 
@@ -99,7 +99,7 @@
 		fleet.isolate("a", true)
 		start = time.Now()
 		if err := proxyA.subscriber.Leave(t.Context()); err == nil || time.Since(start) > leaveTimeout {
-			t.Errorf("cut off: %v after %v", err, time.Since(start))
+			t.Errorf("isolated: %v after %v", err, time.Since(start))
 		}
 	})
 }
@@ -117,7 +117,7 @@
 		for name, server := range fleet.servers {
 			ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 			if server.WaitAcknowledged(ctx, seq) == nil {
-				t.Errorf("%s: acknowledged while p3, not yet known to be cut off, may hold the former", name)
+				t.Errorf("%s: acknowledged while p3, not yet known to be isolated, may have the former", name)
 			}
 			cancel()
 		}
@@ -158,14 +158,14 @@
 		time.Sleep(6 * time.Second)
 		set("a", map[string]pick.Load{"s": {Requests: 3, Prefill: 128, Tokens: 512}})
 		set("b", map[string]pick.Load{"s": {Requests: 5}, "r": {Requests: 1}})
-		within(t, 500*time.Millisecond, "all are told", func() bool {
+		within(t, 500*time.Millisecond, "all are notified", func() bool {
 			return others("c", "s") == pick.Load{Requests: 8, Prefill: 128, Tokens: 512} && others("c", "r").Requests == 1 &&
 				others("a", "s").Requests == 5 && others("b", "s") == pick.Load{Requests: 3, Prefill: 128, Tokens: 512}
 		})
 		for range 300 {
 			time.Sleep(10 * time.Millisecond)
 			if others("a", "s").Requests != 5 || others("c", "s").Requests != 8 {
-				t.Fatalf("told %+v and %+v", others("a", "s"), others("c", "s"))
+				t.Fatalf("got %+v and %+v", others("a", "s"), others("c", "s"))
 			}
 		}
 		set("a", map[string]pick.Load{"s": {Requests: 1}})
@@ -188,7 +188,7 @@
 		fleet.sources["k1:1"].setStale(true)
 		fleet.sources["k2:1"].setStale(true)
 		seq := fleet.chain.add(none())
-		within(t, 2500*time.Millisecond, "all hold the newest", func() bool {
+		within(t, 2500*time.Millisecond, "all have the newest", func() bool {
 			for _, proxy := range fleet.proxies {
 				if proxy.subscriber.Current().State.Seq != seq {
 					return false
@@ -203,7 +203,7 @@
 		if err := fleet.servers["k2:1"].PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(softstate.Age{})); err != nil {
 			t.Fatal(err)
 		}
-		within(t, 2*time.Second, "all hold the server", func() bool {
+		within(t, 2*time.Second, "all have the server", func() bool {
 			for _, proxy := range fleet.proxies {
 				if update := proxy.subscriber.Current(); update.State.Seq != seq || update.Fresh || len(update.Servers) != 1 || len(update.Members) != 6 {
 					return false
@@ -261,7 +261,7 @@
 			fleet.killServer(k)
 		}
 		proxyB := fleet.startProxy("b", func(options *SubscriberOptions) { options.Seeds = append([]string{"a:2"}, options.Seeds...) })
-		within(t, 2*time.Second, "b holds what a holds", func() bool {
+		within(t, 2*time.Second, "b has what a has", func() bool {
 			update := proxyB.update()
 			return update.State != nil && update.State.Seq == seq && update.State.Evacuated["z"] && len(update.Servers) == 1 && !update.Fresh
 		})
--- a/internal/system/distribution/fleet_test.go
+++ b/internal/system/distribution/fleet_test.go
@@ -32,7 +32,7 @@
 		time.Sleep(400 * time.Millisecond)
 		update := proxy.update()
 		if update.State == nil || update.State.Seq != 1 || !update.Fresh || !update.HasList || len(update.Servers) != 1 || len(update.Members) != 1 {
-			t.Fatalf("holds %+v", update)
+			t.Fatalf("has %+v", update)
 		}
 		if c := update.Servers[0].WarmUpMax; c > 2900*time.Millisecond || c < 2000*time.Millisecond {
 			t.Errorf("cold for %v more", c)
@@ -60,7 +60,7 @@
 		}
 		for n, proxy := range fleet.proxies {
 			if got := proxy.subscriber.Current().State.Seq; got != seq {
-				t.Errorf("%s holds %d", n, got)
+				t.Errorf("%s has %d", n, got)
 			}
 			if got := len(proxy.subscriber.Current().Members); got != 12 {
 				t.Errorf("%s knows %d members", n, got)
--- a/internal/system/distribution/golden_trace_test.go
+++ b/internal/system/distribution/golden_trace_test.go
@@ -27,7 +27,7 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// goldenFile holds a line for each scenario: its name, seed, number of steps and digest.
+// goldenFile has a line for each scenario: its name, seed, number of steps and digest.
 const goldenFile = "testdata/golden_trace.txt"
 
 // trace digests what a run gives out, in the order in which it does. It takes numbers and bytes only, so no name of a type,
@@ -64,7 +64,7 @@
 	tr.sum.Write(b)
 }
 
-// transferred takes in a message as it goes out, and gives the copy that arrives.
+// transferred takes in a message as it goes out, and gives the message that arrives.
 func transferred[M proto.Message](tr *trace, tag byte, m, into M) M {
 	b := softstate.Marshal(m)
 	tr.step(tag)
@@ -80,7 +80,7 @@
 	return fmt.Sprintf("%s %d %d %s", name, seed, tr.steps, hex.EncodeToString(tr.sum.Sum(nil)))
 }
 
-// exchange is hubs and followers whose calls the test makes itself, one after the other and in the order of the seed: with the
+// exchange is servers and subscribers whose calls the test makes itself, one after the other and in the order of the seed: with the
 // goroutines of Run, the order within one moment of the bubble's clock is the scheduler's.
 type exchange struct {
 	tr          *trace
@@ -88,7 +88,7 @@
 	chain       *fakeChain
 	sources     []*fakeSource
 	servers     []*Server
-	bootIDs     []uint64 // of hubs, as the test gave them
+	bootIDs     []uint64 // of servers, as the test gave them
 	progress    map[[2]int]*syncProgress
 	subscribers []*Subscriber
 	loads       []map[string]pick.Load
@@ -96,7 +96,7 @@
 	lists       uint64
 }
 
-// pendingReply is an answer that is under way.
+// pendingReply is a reply that is in transit.
 type pendingReply struct {
 	subscriber int
 	sentAt     time.Time
@@ -127,7 +127,7 @@
 	return created
 }
 
-// startSubscriber starts a process anew in the place of a follower.
+// startSubscriber starts a process again in the place of a subscriber.
 func (x *exchange) startSubscriber(i int) {
 	node := fmt.Sprint("p", i)
 	subscriber := NewSubscriber(SubscriberOptions{Seeds: exchangeNodes, ControlPlanePort: 1, ProxyPort: 2, Log: quiet(),
@@ -147,7 +147,7 @@
 	}
 }
 
-// redrawBootID gives a hub a boot of the seed where it has drawn one itself.
+// redrawBootID gives a server a boot of the seed where it has drawn one itself.
 func (x *exchange) redrawBootID(i int) {
 	if server := x.servers[i]; server.bootID != x.bootIDs[i] {
 		server.bootID = x.rng.Uint64() | 1
@@ -179,7 +179,7 @@
 	}
 }
 
-// poll sends a poll to a hub; the answer arrives later.
+// poll sends a poll to a server; the reply arrives later.
 func (x *exchange) poll(which, to int) {
 	subscriber := x.subscribers[which]
 	asked := time.Now()
@@ -196,7 +196,7 @@
 	x.replies = append(x.replies, pendingReply{which, asked, req, transferred(x.tr, 'A', reply, &distributionpb.FollowReply{})})
 }
 
-// deliver has one of the answers under way deliver, or loses it.
+// deliver has one of the replies in transit arrive, or loses it.
 func (x *exchange) deliver() {
 	if len(x.replies) == 0 {
 		return
@@ -215,7 +215,7 @@
 	x.traceUpdate(subscriber)
 }
 
-// traceUpdate takes in what a follower holds.
+// traceUpdate takes in what a subscriber has.
 func (x *exchange) traceUpdate(subscriber *Subscriber) {
 	update := subscriber.Current()
 	x.tr.num(int64(update.State.Seq), int64(update.ListAge), int64(update.ListCoversSeq), int64(update.ContactAge), int64(update.DownCount))
@@ -235,7 +235,7 @@
 	}
 }
 
-// synchronise has a hub synchronise with another.
+// synchronise has a server synchronise with another.
 func (x *exchange) synchronise(from, to int) {
 	if from == to {
 		return
@@ -244,7 +244,7 @@
 	if x.progress[way] == nil {
 		x.progress[way] = &syncProgress{}
 	}
-	for range 2 { // once more where the first told nothing but the clock
+	for range 2 { // once more where the first stated nothing but the clock
 		req, number := x.servers[from].buildShareRequest(x.progress[way])
 		req.Call = x.servers[from].callIDs.Next()
 		got := transferred(x.tr, 'S', req, &distributionpb.ShareRequest{})
@@ -287,7 +287,7 @@
 	x.tr.flags(err != nil)
 }
 
-// changeLoad changes what a follower has outstanding.
+// changeLoad changes what a subscriber has outstanding.
 func (x *exchange) changeLoad(i int) {
 	x.loads[i] = maps.Clone(x.loads[i])
 	id := exchangeServers[x.rng.IntN(len(exchangeServers))]
@@ -326,7 +326,7 @@
 	}
 }
 
-// writeHint writes or deletes a writeHint at a hub.
+// writeHint writes or deletes a writeHint at a server.
 func (x *exchange) writeHint() {
 	server := x.servers[x.rng.IntN(len(x.servers))]
 	key, version := softstate.HintPrefix+fmt.Sprint(x.rng.IntN(3)), uint64(x.rng.IntN(50))
@@ -340,7 +340,7 @@
 	x.tr.flags(err != nil)
 }
 
-// traceTables takes in what the hubs hold in the end.
+// traceTables takes in what the servers have in the end.
 func (x *exchange) traceTables() {
 	for _, server := range x.servers {
 		x.tr.step('F')
@@ -352,7 +352,7 @@
 	}
 }
 
-// tracePlans takes in how hubs feed, and what followers take, over numbers drawn from the seed.
+// tracePlans takes in how servers reply, and what subscribers take, over numbers drawn from the seed.
 func tracePlans(tr *trace, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 17))
 	tags := map[catchup.Method]byte{catchup.None: 'N', catchup.Records: 'R', catchup.CachedSnapshot: 'K', catchup.NewSnapshot: 'S'}
@@ -375,8 +375,8 @@
 	x.traceTables()
 }
 
-// TestGoldenTrace holds every message, and what followers hold after each, to what they were, step by step. A change that is meant
-// to change them writes the file anew with GRADEUSHER_WRITE_GOLDEN=1 and says so.
+// TestGoldenTrace compares every message, and what subscribers have after each, with what they were, step by step. A change that is meant
+// to change them writes the file again with GRADEUSHER_WRITE_GOLDEN=1 and says so.
 func TestGoldenTrace(t *testing.T) {
 	golden := readGolden(t)
 	var lines []string
--- a/internal/system/distribution/invariants_test.go
+++ b/internal/system/distribution/invariants_test.go
@@ -7,7 +7,7 @@
 	"gradeusher.example/gradeusher/internal/system/invariant/invarianttest"
 )
 
-// TestStateNeverGoesBackControl: a state that is older than the one held is seen.
+// TestStateNeverGoesBackControl: a state that is older than the one stored is noticed.
 func TestStateNeverGoesBackControl(t *testing.T) {
 	subscriber := NewSubscriber(SubscriberOptions{Log: quiet()})
 	newer := controlstate.Empty()
--- a/internal/system/distribution/late_delivery_controls_norace_test.go
+++ b/internal/system/distribution/late_delivery_controls_norace_test.go
@@ -13,15 +13,15 @@
 // TestSeededPartitionsControls: with a protection taken out some seed breaks what must hold.
 func TestSeededPartitionsControls(t *testing.T) {
 	for name, c := range map[string]struct {
-		hub     TestingKnobs
+		servers TestingKnobs
 		proxies TestingKnobs
 	}{
-		"shares count from their arrival": {hub: TestingKnobs{DateByArrival: true}},
+		"messages of peers are dated by their arrival": {servers: TestingKnobs{DateByArrival: true}},
 	} {
 		found := false
 		for seed := uint64(0); seed < 20 && !found; seed++ {
 			synctest.Test(t, func(t *testing.T) {
-				_, broken := runLateFleet(t, seed, c.hub, c.proxies)
+				_, broken := runLateFleet(t, seed, c.servers, c.proxies)
 				found = len(broken) > 0
 				if found {
 					t.Logf("%s: seed %d: %v", name, seed, broken)
--- a/internal/system/distribution/late_delivery_test.go
+++ b/internal/system/distribution/late_delivery_test.go
@@ -15,7 +15,7 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// lateFleet is a fleet whose machines are cut off for 20 s, so that what they sent comes afterwards, with what must hold of
+// lateFleet is a fleet whose machines are isolated for 20 s, so that what they sent comes afterwards, with what must hold of
 // it at every moment.
 type lateFleet struct {
 	*testFleet
@@ -24,17 +24,17 @@
 	ackedAt       []time.Time          // when each change was acknowledged, by number less one
 	readAt        map[uint64]time.Time // when each version of the list was read
 	version       uint64               // of the list
-	isolatedUntil map[string]time.Time // ends of cuts, by machine
+	isolatedUntil map[string]time.Time // ends of partitions, by machine
 	faults        map[string]int       // what came about
 	violations    map[string]int       // what did not hold
-	shownReadAt   map[string]time.Time // when the newest list that a proxy held was read
+	shownReadAt   map[string]time.Time // when the newest list that a proxy stored was read
 }
 
-// Bounds of what must hold: a word of a current keeper counts for FreshnessTTL; sources here are never current beyond that; and
+// Bounds of what must hold: a contact of a current node counts for FreshnessTTL; sources here are never current beyond that; and
 // two clocks are read a moment apart.
 const freshnessMargin = 50 * time.Millisecond
 
-// lateFleetSteps is how many steps a run has: at about 200 ms each, room for some cuts one after the other.
+// lateFleetSteps is how many steps a run has: at about 200 ms each, room for some partitions one after the other.
 const lateFleetSteps = 300
 
 func newLateFleet(t *testing.T, rng *rand.Rand, hub TestingKnobs, proxies TestingKnobs) *lateFleet {
@@ -63,7 +63,7 @@
 	return out
 }
 
-// isolateFor holds back all that a machine sends and gets for 20 s, or only what comes from or goes to the keepers.
+// isolateFor holds back all that a machine sends and gets for 20 s, or only what comes from or goes to the nodes.
 func (w *lateFleet) isolateFor(host string, keepersOnly bool) {
 	w.isolatedUntil[host] = time.Now().Add(20 * time.Second)
 	for _, o := range w.others(host) {
@@ -76,7 +76,7 @@
 	if s := w.sources[host]; s != nil {
 		s.setStale(true)
 	}
-	w.faults["cut"]++
+	w.faults["isolated"]++
 }
 
 func (w *lateFleet) heal(host string) {
@@ -115,7 +115,7 @@
 	case 5, 6:
 		w.version++
 		w.readAt[w.version] = time.Now()
-		// A keeper that is cut off goes on to read the list.
+		// A node that is isolated goes on to read the list.
 		if w.servers[w.names[w.rng.IntN(3)]].PutList(1, w.version, []pick.Server{{ID: fmt.Sprint("s", w.version)}}, madeAgo(softstate.Age{})) != nil {
 			w.faults["refused list"]++
 		}
@@ -123,7 +123,7 @@
 	time.Sleep(time.Duration(w.rng.IntN(400)) * time.Millisecond)
 }
 
-// check looks at what every proxy holds.
+// check looks at what every proxy has.
 func (w *lateFleet) check() {
 	now := time.Now()
 	for proxyNode, proxy := range w.proxies {
@@ -144,7 +144,7 @@
 				w.shownReadAt[proxyNode] = w.readAt[held.Version]
 			}
 			if age := now.Sub(w.readAt[held.Version]); held.AgeAt(now).Max < age-freshnessMargin && !w.readAt[held.Version].IsZero() {
-				w.violations["a list is told to be younger than it is"]++
+				w.violations["a list counts as younger than it is"]++
 			}
 		}
 		proxy.subscriber.mu.Unlock()
@@ -175,9 +175,9 @@
 	return w.faults, w.violations
 }
 
-// TestSeededPartitionsWithLateDelivery: keepers and proxies are cut off for 20 s, wholly or from the keepers alone, and what was
-// under way comes afterwards. At no moment does a proxy go back, count as fresh on a state that was overtaken over 1.6 s
-// ago, go back to a list that was read over 2 s before, or take one for younger than it is; 6 s after the last fault all are level. DISTRIBUTION_SEEDS sets how many seeds
+// TestSeededPartitionsWithLateDelivery: nodes and proxies are isolated for 20 s, wholly or from the nodes alone, and what was
+// in transit comes afterwards. At no moment does a proxy go back, count as fresh on a state that was overtaken over 1.6 s
+// ago, go back to a list that was read over 2 s before, or take one for younger than it is; 6 s after the last fault all are up to date. DISTRIBUTION_SEEDS sets how many seeds
 // run.
 func TestSeededPartitionsWithLateDelivery(t *testing.T) {
 	seeds, err := strconv.ParseUint(cmp.Or(os.Getenv("DISTRIBUTION_SEEDS"), "5"), 10, 64)
@@ -197,7 +197,7 @@
 		})
 	}
 	t.Logf("%d seeds brought about %v", seeds, came)
-	if came["cut"] < int(seeds) || came["healed"] < int(seeds) {
+	if came["isolated"] < int(seeds) || came["healed"] < int(seeds) {
 		t.Errorf("the runs bring little about: %v", came)
 	}
 }
--- a/internal/system/distribution/loopback_test.go
+++ b/internal/system/distribution/loopback_test.go
@@ -116,9 +116,9 @@
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
 }
 
-// BenchmarkServerWithSubscribers runs a keeper and 100 followers in one process over loopback, each with load on 40 of
+// BenchmarkServerWithSubscribers runs a node and 100 subscribers in one process over loopback, each with load on 40 of
 // 400 servers that changes all the time, and a changed server each 100 ms. It reports what both ends together spend a
-// follower, and the bytes of their connections without TCP's own.
+// subscriber, and the bytes of their connections without TCP's own.
 func BenchmarkServerWithSubscribers(b *testing.B) {
 	for _, pace := range []time.Duration{100 * time.Millisecond, 300 * time.Millisecond} {
 		for _, busy := range []bool{false, true} {
@@ -151,7 +151,7 @@
 	return out
 }
 
-// caughtUp tells whether all subscribers are fresh and know each other.
+// caughtUp says whether all subscribers are fresh and know each other.
 func (f *benchmarkFleet) caughtUp() bool {
 	for _, subscriber := range f.subscribers {
 		if update := subscriber.Current(); !update.Fresh || len(update.Members) != benchmarkSubscribers {
--- a/internal/system/distribution/membership_incomplete_test.go
+++ b/internal/system/distribution/membership_incomplete_test.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
-// TestUpdateReportsIncompleteMembership: a proxy is told that its members may be part of all until a table that misses none has
+// TestUpdateReportsIncompleteMembership: a proxy is notified that its members may be part of all until a table that misses none has
 // come, and that others may have given it up where they call it down.
 func TestUpdateReportsIncompleteMembership(t *testing.T) {
 	now := time.Now()
@@ -18,7 +18,7 @@
 	}
 	subscriber.soft.applyEntries(now, softstate.Age{}, &distributionpb.FollowReply{Full: true})
 	if update := subscriber.currentUpdate(now); !update.MembershipIncomplete {
-		t.Error("a keeper that has just started knows all proxies")
+		t.Error("a node that has just started knows all proxies")
 	}
 	if !subscriber.soft.applyEntries(now, softstate.Age{}, &distributionpb.FollowReply{Full: true, Complete: true}) {
 		t.Error("that the members are whole is no change")
--- a/internal/system/distribution/membership_partition_test.go
+++ b/internal/system/distribution/membership_partition_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// census notes the fewest members that any of some followers was told of.
+// census records the fewest members that any of some subscribers was notified of.
 type census struct {
 	mu    sync.Mutex
 	least int
@@ -51,7 +51,7 @@
 	return fleet, memberCensus
 }
 
-// fewestAfterPartition cuts a keeper off from the others for 20 s, and gives the fewest members that a proxy was told of in the
+// fewestAfterPartition isolates a node from the others for 20 s, and gives the fewest members that a proxy was notified of in the
 // 10 s after that.
 func fewestAfterPartition(t *testing.T, knobs TestingKnobs) int {
 	t.Helper()
@@ -66,10 +66,10 @@
 	memberCensus.begin(censusMembers)
 	time.Sleep(20 * time.Second)
 	if memberCensus.fewest() != censusMembers {
-		t.Errorf("during the cut a proxy was told of %d members", memberCensus.fewest())
+		t.Errorf("during the partition a proxy was notified of %d members", memberCensus.fewest())
 	}
 	if !slices.ContainsFunc(fleet.servers["k1:1"].Members(), func(member softstate.Member) bool { return member.Down }) {
-		t.Error("the run brought nothing about: the keeper that is cut off marked nobody down")
+		t.Error("the run brought nothing about: the node that is isolated marked nobody down")
 	}
 	fleet.mesh.mu.Lock()
 	clear(fleet.mesh.partitioned)
@@ -79,12 +79,12 @@
 	return memberCensus.fewest()
 }
 
-// TestNodeBackFromPartitionMarksNobodyDown: a keeper that was cut off from the others for 20 s has marked down what it no longer
-// heard of. Danger: back again, it spreads that, and for a moment every proxy counts itself the only one.
+// TestNodeBackFromPartitionMarksNobodyDown: a node that was isolated from the others for 20 s has marked down what it no longer
+// had contact to. Danger: back again, it spreads that, and for a moment every proxy counts itself the only one.
 func TestNodeBackFromPartitionMarksNobodyDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		if n := fewestAfterPartition(t, TestingKnobs{}); n != censusMembers {
-			t.Errorf("a proxy was told of %d members", n)
+			t.Errorf("a proxy was notified of %d members", n)
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
@@ -94,7 +94,7 @@
 	})
 }
 
-// TestNodesWithoutContactToEachOther: two keepers that both hear the third, but not each other, leave each other's proxies
+// TestNodesWithoutContactToEachOther: two nodes that both have contact to the third, but not to each other, leave each other's proxies
 // alone. Danger: they mark them down again and again.
 func TestNodesWithoutContactToEachOther(t *testing.T) {
 	run := func(t *testing.T, knobs TestingKnobs) int {
@@ -110,12 +110,12 @@
 	}
 	synctest.Test(t, func(t *testing.T) {
 		if n := run(t, TestingKnobs{}); n != censusMembers {
-			t.Errorf("a proxy was told of %d members", n)
+			t.Errorf("a proxy was notified of %d members", n)
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
 		if run(t, TestingKnobs{OwnContactsOnly: true}) == censusMembers {
-			t.Error("control: nothing was lost where a keeper goes by its own ears")
+			t.Error("control: nothing was lost where a node goes by its own contacts")
 		}
 	})
 }
--- a/internal/system/distribution/mismatched_reply_test.go
+++ b/internal/system/distribution/mismatched_reply_test.go
@@ -20,7 +20,7 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
-// A scriptedPeer takes polls and answers each as its script says, on as many connections as come.
+// A scriptedPeer takes polls and replies to each as its script says, on as many connections as come.
 type scriptedPeer struct {
 	mu     sync.Mutex
 	seen   map[uint32]int // how often each call came
@@ -36,7 +36,7 @@
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/protobuf\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// serve answers the requests of a connection until an act ends it.
+// serve replies to the requests of a connection until an act ends it.
 func (p *scriptedPeer) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
@@ -60,7 +60,7 @@
 	}
 }
 
-// perform does one act with the answer to the request and to another one, and tells whether the connection goes on.
+// perform does one act with the reply to the request and to another one, and says whether the connection goes on.
 func perform(conn net.Conn, reader io.Reader, act string, answer, other []byte) bool {
 	tcp, _ := conn.(*net.TCPConn)
 	switch act {
@@ -93,7 +93,7 @@
 	return false
 }
 
-// newScriptedSubscriber is a follower of a scripted peer on loopback.
+// newScriptedSubscriber is a subscriber of a scripted peer on loopback.
 func newScriptedSubscriber(t *testing.T, script func(uint32) string) (subscriber *Subscriber, scripted *scriptedPeer, address string) {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -121,7 +121,7 @@
 }
 
 // TestReplyReachesItsCallAlone: whatever a peer does, on fresh connections and on ones that are used again, in any order: a
-// poll that succeeds brings the answer to that very poll, and none is sent a second time.
+// poll that succeeds brings the reply to that very poll, and none is sent a second time.
 func TestReplyReachesItsCallAlone(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 5))
 	counts := map[string]int{}
@@ -139,7 +139,7 @@
 		if err == nil {
 			good++
 			if reply.GetNewest() != uint64(req.GetCall()) {
-				t.Errorf("call %d got the answer of %d", req.GetCall(), reply.GetNewest())
+				t.Errorf("call %d got the reply of %d", req.GetCall(), reply.GetNewest())
 			}
 		}
 	}
@@ -160,7 +160,7 @@
 	}
 }
 
-// TestMismatchedReplyControl: without the names of calls, the answer to another call is taken.
+// TestMismatchedReplyControl: without the names of calls, the reply to another call is taken.
 func TestMismatchedReplyControl(t *testing.T) {
 	subscriber, _, address := newScriptedSubscriber(t, func(uint32) string { return "another's answer" })
 	for _, knob := range []bool{false, true} {
@@ -173,20 +173,20 @@
 	}
 }
 
-// TestSurplusReplyShiftsNothing: after a peer that answered twice, the next poll does not take the surplus answer.
+// TestSurplusReplyShiftsNothing: after a peer that answered twice, the next poll does not take the surplus reply.
 func TestSurplusReplyShiftsNothing(t *testing.T) {
 	subscriber, _, address := newScriptedSubscriber(t, func(uint32) string { return "twice in one packet" })
 	for range 200 {
 		req := &distributionpb.FollowRequest{}
 		ctx, cancel := rpc.WithIdleTimeout(t.Context(), time.Second, time.Second)
 		if reply, err := subscriber.sendPoll(ctx, address, req); err == nil && reply.GetNewest() != uint64(req.GetCall()) {
-			t.Fatalf("call %d got the answer of %d", req.GetCall(), reply.GetNewest())
+			t.Fatalf("call %d got the reply of %d", req.GetCall(), reply.GetNewest())
 		}
 		cancel()
 	}
 }
 
-// TestRetriedCallsChangeNothing: a poll or a share that comes twice leaves a keeper as it was after the first.
+// TestRetriedCallsChangeNothing: a poll or a share that comes twice leaves a node as it was after the first.
 func TestRetriedCallsChangeNothing(t *testing.T) {
 	server := newIdleServer()
 	server.markComplete()
@@ -218,7 +218,7 @@
 	}
 }
 
-// tableContents gives all that a table holds, deletions included.
+// tableContents gives all that a table has, deletions included.
 func tableContents(table *softstate.Table) map[string]string {
 	out := map[string]string{}
 	for key, entry := range table.All() {
--- a/internal/system/distribution/older_list_resync_test.go
+++ b/internal/system/distribution/older_list_resync_test.go
@@ -10,7 +10,7 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// pollByHand has a follower take in what a hub would answer it now.
+// pollByHand has a subscriber take in what a server would send it now.
 func pollByHand(subscriber *Subscriber, server *Server) {
 	req := subscriber.buildRequest(nil, false)
 	server.mu.Lock()
@@ -25,9 +25,9 @@
 	subscriber.handleReply(time.Now(), time.Now(), req, reply)
 }
 
-// TestSkippedListIsSentAgain: a proxy moves to a keeper whose newest reading came by a slow share, so that its age lies between 0 and 2.6 s. It
-// is newer than the one that is held, but looks older by more than the tolerance, and is not taken. The keeper's next readings change
-// nothing there. Danger: what the first one said (a server drains, or is cold) is never told.
+// TestSkippedListIsSentAgain: a proxy moves to a node whose newest reading came by a slow share, so that its age lies between 0 and 2.6 s. It
+// is newer than the one that is stored, but looks older by more than the tolerance, and is not taken. The node's next readings change
+// nothing there. Danger: what the first one said (a server drains, or is cold) is never stated.
 func TestSkippedListIsSentAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		serverA, serverB := newIdleServer(), newIdleServer()
@@ -52,15 +52,15 @@
 		}
 		update := subscriber.Current()
 		if len(update.Servers) != 1 || !update.Servers[0].Draining {
-			t.Errorf("10 s after the keeper's list said that x drains: %+v, with a list that is %v old", update.Servers, update.ListAge)
+			t.Errorf("10 s after the node's list said that x drains: %+v, with a list that is %v old", update.Servers, update.ListAge)
 		}
 	})
 }
 
-// TestNewerReadingOfLowerVersionIsApplied: a proxy holds the list as the holder of the duty read it last, in version 100. It moves to a keeper that
-// has not heard of the last 2.4 s of that, and goes on with its own list. That keeper steps in and reads the list under the same fence, in
+// TestNewerReadingOfLowerVersionIsApplied: a proxy has the list as the holder of the lease read it last, in version 100. It moves to a node that
+// has not learned of the last 2.4 s of that, and goes on with its own list. That node steps in and reads the list under the same fence, in
 // version 97; then the chain is repaired, and it reads under the next fence. Danger: what the first reading said is of a lower version than
-// what the proxy holds, and is not written again, as the keeper holds it.
+// what the proxy has, and is not written again, as the node has it.
 func TestNewerReadingOfLowerVersionIsApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		serverA, serverB := newIdleServer(), newIdleServer()
@@ -89,12 +89,12 @@
 		}
 		update := subscriber.Current()
 		if len(update.Servers) != 1 || !update.Servers[0].Draining {
-			t.Errorf("10 s after the keeper's list said that x drains: %+v, with a list that is %v old", update.Servers, update.ListAge)
+			t.Errorf("10 s after the node's list said that x drains: %+v, with a list that is %v old", update.Servers, update.ListAge)
 		}
 	})
 }
 
-// TestDelayedReadingEndsNoWarmUp: a poller stands still for 2.3 s while the platform's answer lies in its socket; meanwhile another
+// TestDelayedReadingEndsNoWarmUp: a poller is paused for 2.3 s while the platform's reply lies in its socket; meanwhile another
 // one steps in under the same fence, and reads that a server has turned cold. Which of the two was made later can't be told by their
 // ages. Danger: the server is called warm, and what has been listed since vanishes.
 func TestDelayedReadingEndsNoWarmUp(t *testing.T) {
@@ -108,7 +108,7 @@
 		time.Sleep(100 * time.Millisecond)
 		_ = server.PutList(1, 7, []pick.Server{{ID: "a"}}, softstate.TimeBounds{Earliest: asked, Latest: time.Now()})
 		if got, _, _ := server.List(); len(got) != 1 || got[0].WarmUpMax < 2900*time.Millisecond {
-			t.Errorf("holds %+v", got)
+			t.Errorf("has %+v", got)
 		}
 	})
 }
--- a/internal/system/distribution/older_list_test.go
+++ b/internal/system/distribution/older_list_test.go
@@ -11,7 +11,7 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// reading is a keeper's whole table after it read the list.
+// reading is a node's complete table after it read the list.
 func completeTable(tb testing.TB, age time.Duration, version uint64, servers ...pick.Server) *distributionpb.FollowReply {
 	tb.Helper()
 	server := newIdleServer()
@@ -24,8 +24,8 @@
 		Soft: &distributionpb.Cursor{Boot: server.bootID, Number: server.table.LastNumber}}
 }
 
-// moveToRejoinedNode has a follower that knows a server as draining move to a keeper whose table is 20 s old, and
-// gives what it holds then.
+// moveToRejoinedNode has a subscriber that knows a server as draining move to a node whose table is 20 s old, and
+// gives what it has then.
 func moveToRejoinedNode(tb testing.TB, knobs TestingKnobs) []pick.Server {
 	tb.Helper()
 	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet(), Knobs: knobs})
@@ -34,29 +34,29 @@
 	return subscriber.Current().Servers
 }
 
-// TestRejoinedNodeBringsNoOldList: a keeper that was cut off or stopped for 20 s may be current again before the
-// others have told it what the list has become. Danger: requests go to servers that have been draining for 20 s.
+// TestRejoinedNodeBringsNoOldList: a node that was isolated or stopped for 20 s may be current again before the
+// others have sent it what the list has become. Danger: requests go to servers that have been draining for 20 s.
 func TestRejoinedNodeBringsNoOldList(t *testing.T) {
 	got := moveToRejoinedNode(t, TestingKnobs{})
 	if len(got) != 2 || got[0].ID != "a" || !got[0].Draining || got[1].ID != "new" {
-		t.Errorf("holds %+v", got)
+		t.Errorf("has %+v", got)
 	}
 	if got := moveToRejoinedNode(t, TestingKnobs{ReplaceAlways: true}); len(got) == 2 && got[0].Draining {
-		t.Error("control: nothing was lost where each whole table takes the place of what is held")
+		t.Error("control: nothing was lost where each complete table takes the place of what is stored")
 	}
 }
 
-// TestNodesThatRestartVersionsAreAccepted: after a restart of all keepers versions begin anew, so the younger reading counts.
+// TestNodesThatRestartVersionsAreAccepted: after a restart of all nodes versions begin again, so the younger reading counts.
 func TestNodesThatRestartVersionsAreAccepted(t *testing.T) {
 	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
 	subscriber.handleReply(time.Now(), time.Now(), subscriber.buildRequest(nil, false), completeTable(t, 20*time.Second, 990, pick.Server{ID: "a"}))
 	subscriber.handleReply(time.Now(), time.Now(), subscriber.buildRequest(nil, false), completeTable(t, 0, 1, pick.Server{ID: "b"}))
 	if got := subscriber.Current().Servers; len(got) != 1 || got[0].ID != "b" {
-		t.Errorf("holds %+v", got)
+		t.Errorf("has %+v", got)
 	}
 }
 
-// TestEarlierReadingOfTheList: of two pollers under one fence the one that is slow, or stood still, ends last. Danger: what
+// TestEarlierReadingOfTheList: of two pollers under one fence the one that is slow, or was paused, ends last. Danger: what
 // it read before brings back servers that have gone and calls cold ones warm.
 func TestEarlierReadingOfTheList(t *testing.T) {
 	server := newIdleServer()
@@ -68,15 +68,15 @@
 		t.Errorf("a reading 900 ms older: %v", err)
 	}
 	if got, _, _ := server.List(); len(got) != 1 || got[0].WarmUpMax < 2900*time.Millisecond {
-		t.Errorf("holds %+v", got)
+		t.Errorf("has %+v", got)
 	}
 	if err := server.PutList(2, 1, []pick.Server{{ID: "a", Service: "x"}}, madeAgo(softstate.Age{Min: 900 * time.Millisecond, Max: time.Second})); err != nil {
 		t.Errorf("under a higher fence: %v", err)
 	}
 }
 
-// TestMoveToNodeWithOlderList: a proxy that moves to a keeper whose list is certainly older, if only by a second, goes on
-// with its own until that keeper has heard of it.
+// TestMoveToNodeWithOlderList: a proxy that moves to a node whose list is certainly older, if only by a second, goes on
+// with its own until that node has learned of it.
 func TestMoveToNodeWithOlderList(t *testing.T) {
 	now := time.Now()
 	subscriber := NewSubscriber(SubscriberOptions{Log: quiet()})
--- a/internal/system/distribution/referral_test.go
+++ b/internal/system/distribution/referral_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestProxyWhoseSeedsAreAllObservers starts a follower that is told of observers only. Danger: they answer that they feed
-// nothing, and it never learns of a keeper.
+// TestProxyWhoseSeedsAreAllObservers starts a subscriber that is notified of observers only. Danger: they reply that they serve
+// nothing, and it never learns of a node.
 func TestProxyWhoseSeedsAreAllObservers(t *testing.T) {
 	chain := newChain()
 	src := &fakeSource{fakeChain: chain}
@@ -39,11 +39,11 @@
 	select {
 	case <-fresh:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the proxy holds nothing")
+		t.Fatal("the proxy has nothing")
 	}
 }
 
-// TestReferralKeepsKnownNodes: an observer may be behind. Danger: a keeper that has gone is taken for one of the
+// TestReferralKeepsKnownNodes: an observer may be behind. Danger: a node that has gone is taken for one of the
 // view, or one that is of the view is forgotten.
 func TestReferralKeepsKnownNodes(t *testing.T) {
 	subscriber := NewSubscriber(SubscriberOptions{Seeds: []string{"10.0.0.1", "10.0.0.9"}, Self: softstate.Member{Node: "p"}, Log: quiet()})
@@ -62,6 +62,6 @@
 		}
 	}
 	if len(subscriber.nodes.byAddress) != len(want) {
-		t.Errorf("%d keepers are known, want %d", len(subscriber.nodes.byAddress), len(want))
+		t.Errorf("%d nodes are known, want %d", len(subscriber.nodes.byAddress), len(want))
 	}
 }
--- a/internal/system/distribution/reply_budget_test.go
+++ b/internal/system/distribution/reply_budget_test.go
@@ -15,8 +15,8 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
-// TestPendingRepliesAreBounded: callers that take nothing of a large answer hold so many of them in a keeper's memory as its
-// bound allows, and others are told to ask again instead; small answers go out all the same.
+// TestPendingRepliesAreBounded: callers that take nothing of a large reply have so many of them in a node's memory as its
+// bound allows, and others are asked to call again instead; small replies go out all the same.
 func TestPendingRepliesAreBounded(t *testing.T) {
 	chain := newChain()
 	server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: chain, addresses: []string{"k"}}, Self: "k", Log: quiet(), Limits: ServerLimits{MaxPendingReplyBytes: 1500 << 10}})
@@ -37,7 +37,7 @@
 	}
 	three()
 	if level, four := ask("d", 1); level.GetSoft() == nil {
-		t.Error("a small answer waits")
+		t.Error("a small reply waits")
 	} else {
 		four()
 	}
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestCallerThatDoesNotReadBlocksNobody: a proxy that takes no byte of a large answer is given up after a bound, and what
-// it held of the keeper's memory is free again; other proxies are fed meanwhile.
+// TestCallerThatDoesNotReadBlocksNobody: a proxy that takes no byte of a large reply is given up after a bound, and what
+// it took of the node's memory is free again; other proxies are served meanwhile.
 func TestCallerThatDoesNotReadBlocksNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		chain := newChain()
@@ -81,7 +81,7 @@
 		held := server.replyBudget.reservedBytes
 		server.replyBudget.mu.Unlock()
 		if held < 2<<20 {
-			t.Errorf("the run brought nothing about: %d bytes are held", held)
+			t.Errorf("the run brought nothing about: %d bytes are reserved", held)
 		}
 		other := call("other")
 		defer func() { _ = other.Close() }()
@@ -94,7 +94,7 @@
 		server.replyBudget.mu.Lock()
 		defer server.replyBudget.mu.Unlock()
 		if server.replyBudget.reservedBytes != 0 {
-			t.Errorf("%d bytes are held after %v", server.replyBudget.reservedBytes, rpc.ReplyWriteTimeout)
+			t.Errorf("%d bytes are reserved after %v", server.replyBudget.reservedBytes, rpc.ReplyWriteTimeout)
 		}
 	})
 }
--- a/internal/system/distribution/server_list_fence_test.go
+++ b/internal/system/distribution/server_list_fence_test.go
@@ -9,9 +9,9 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestHigherFenceWithAnOlderReading: the duty has moved on, and the first reading under the new fence was made a little before the
-// last one under the former. Keepers take it in; then the second reading under the new fence says the same. Danger: a proxy skips
-// the first, moves its cursor past it, and never hears of what it said.
+// TestHigherFenceWithAnOlderReading: the lease has moved on, and the first reading under the new fence was made a little before the
+// last one under the former. Nodes take it in; then the second reading under the new fence says the same. Danger: a proxy skips
+// the first, moves its cursor past it, and never learns of what it said.
 func TestHigherFenceWithAnOlderReading(t *testing.T) {
 	server := newIdleServer()
 	server.markComplete()
@@ -44,6 +44,6 @@
 	}
 	held, _, _ := server.List()
 	if got := subscriber.Current().Servers; len(got) != 1 || got[0].Draining != held[0].Draining {
-		t.Errorf("the proxy holds %+v, the keeper %+v", got, held)
+		t.Errorf("the proxy has %+v, the node %+v", got, held)
 	}
 }
--- a/internal/system/distribution/server_new_fence_test.go
+++ b/internal/system/distribution/server_new_fence_test.go
@@ -10,9 +10,9 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestNewFenceWritesAllEntriesOnce: a keeper that is lost had told only one of the others of its last reading. The keeper that reads the list under the
-// next fence holds another state of a server, and none of a server that came with that reading. Danger: what it reads does not
-// differ from what it holds, so it writes nothing, and the other one keeps the lost keeper's word for good.
+// TestNewFenceWritesAllEntriesOnce: a node that is lost had sent only one of the others of its last reading. The node that reads the list under the
+// next fence has another state of a server, and none of a server that came with that reading. Danger: what it reads does not
+// differ from what it has, so it writes nothing, and the other one keeps the lost node's statement for good.
 func TestNewFenceWritesAllEntriesOnce(t *testing.T) {
 	reader, other := newIdleServer(), NewServer(ServerOptions{Source: &fakeSource{fakeChain: newChain(), addresses: []string{"a", "c"}}, Self: "c", Log: quiet()})
 	reader.markComplete()
@@ -34,7 +34,7 @@
 	}
 	got, _, _ := other.List()
 	if len(got) != 1 || got[0].ID != "x" || !got[0].Draining {
-		t.Errorf("under the new fence it holds %+v", got)
+		t.Errorf("under the new fence it has %+v", got)
 	}
 	before := reader.table.LastNumber
 	put(reader, 2, 2, pick.Server{ID: "x", Draining: true})
--- a/internal/system/distribution/server_rejoin_test.go
+++ b/internal/system/distribution/server_rejoin_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestNodeBackFromPartitionSynchronisesFirst: for 2 s after it is current again, a keeper that was cut off or stood still leaves
-// followers to others. One that heard the others all the while feeds at once, and so does one that starts.
+// TestNodeBackFromPartitionSynchronisesFirst: for 2 s after it is current again, a node that was isolated or was paused leaves
+// subscribers to others. One that had contact to the others all the while serves at once, and so does one that starts.
 func TestNodeBackFromPartitionSynchronisesFirst(t *testing.T) {
 	for _, test := range []struct {
 		name            string
--- a/internal/system/distribution/server_sync_test.go
+++ b/internal/system/distribution/server_sync_test.go
@@ -10,24 +10,24 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// newNamedServer is a hub that shares with nobody by itself.
+// newNamedServer is a server that synchronises with nobody by itself.
 func newNamedServer(name string) *Server {
 	return NewServer(ServerOptions{Source: &fakeSource{fakeChain: newChain(), addresses: []string{"a", "b"}}, Self: name, Log: quiet()})
 }
 
-// manualSync passes shares from one hub to another by hand.
+// manualSync passes synchronisations from one server to another by hand.
 type manualSync struct {
 	from, to *Server
 	progress syncProgress
 }
 
-// send composes a share, waits as if it lay in a buffer, hands it over, and takes the answer in.
+// send composes a share, waits as if it lay in a buffer, hands it over, and takes the reply in.
 func (s *manualSync) send(tb testing.TB, held time.Duration) *distributionpb.ShareReply {
 	tb.Helper()
 	return s.sendOver(tb, transit{out: held})
 }
 
-// sendOver sends a share over a link that delays it and its answer.
+// sendOver sends a share over a link that delays it and its reply.
 func (s *manualSync) sendOver(tb testing.TB, l transit) *distributionpb.ShareReply {
 	tb.Helper()
 	req, number := s.from.buildShareRequest(&s.progress)
@@ -47,14 +47,14 @@
 }
 
 // TestTimeInBuffersCountsAsAge: what a message states is as old as it was when it was sent, and the time in transit. A message that
-// was delayed for long, or whose sending cannot be dated, is sent anew.
+// was delayed for long, or whose sending cannot be dated, is sent again.
 func TestTimeInBuffersCountsAsAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		manual := &manualSync{from: newNamedServer("a"), to: newNamedServer("b")}
 		manual.putList(t, 1, exactAge(time.Second), pick.Server{ID: "s"})
 		time.Sleep(time.Second) // the list is 2 s old
 		if !manual.send(t, 0).GetLate() || listAge(manual.to) < time.Hour {
-			t.Error("taken though nothing tells when it was sent")
+			t.Error("taken though nothing says when it was sent")
 		}
 		manual.checkSend(t, "at once", 0, false, 2*time.Second)
 		manual.putList(t, 2, softstate.Age{}, pick.Server{ID: "s"}, pick.Server{ID: "r"})
@@ -98,7 +98,7 @@
 	})
 }
 
-// TestShareToAnotherIncarnation: a keeper that was started anew does not take what was dated by its former life's clock.
+// TestShareToAnotherIncarnation: a node that was started again does not take what was dated by its former incarnation's clock.
 func TestShareToAnotherIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		manual := &manualSync{from: newNamedServer("a"), to: newNamedServer("b")}
@@ -107,15 +107,15 @@
 		manual.send(t, 0)
 		manual.to = newNamedServer("b")
 		if !manual.send(t, 0).GetLate() {
-			t.Error("taken though its time is of a former life")
+			t.Error("taken though its time is of a former incarnation")
 		}
 		if manual.send(t, 0).GetLate() {
-			t.Error("not taken though its time is of this life")
+			t.Error("not taken though its time is of this incarnation")
 		}
 	})
 }
 
-// TestListOfOldFenceIsSuperseded: a keeper that was cut off for 20 s and went on to read the list under the fence of its view
+// TestListOfOldFenceIsSuperseded: a node that was isolated for 20 s and went on to read the list under the fence of its view
 // does not bring that back over the list of the view that followed, however high its versions are.
 func TestListOfOldFenceIsSuperseded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -133,7 +133,7 @@
 			manual.send(t, 0)
 			manual.send(t, 0)
 			if got, _, _ := manual.to.List(); len(got) != 2 || !got[1].Draining {
-				t.Errorf("%s holds %+v", manual.to.options.Self, got)
+				t.Errorf("%s has %+v", manual.to.options.Self, got)
 			}
 		}
 		if cutOff.PutList(3, 2000, nil, madeAgo(softstate.Age{})) == nil {
--- a/internal/system/distribution/server_test.go
+++ b/internal/system/distribution/server_test.go
@@ -36,23 +36,23 @@
 	put(1, 4, 0, 1)
 	list[1].Draining = true
 	put(1, 5, 0, 1)
-	put(2, 1, 0, 1) // another poller takes over: others may hold more of what the former one told than it knows of
+	put(2, 1, 0, 1) // another poller takes over: others may have more of what the former one stated than it knows of
 	put(2, 2, 0, 0)
 	list = list[1:]
 	put(2, 3, 0, 1)
 	if err := server.PutList(1, 99, nil, madeAgo(softstate.Age{})); !errors.Is(err, ErrStale) {
-		t.Errorf("a poller that lost its duty: %v", err)
+		t.Errorf("a poller that lost its lease: %v", err)
 	}
 	got, age, ok := server.List()
 	if !ok || age > time.Minute || len(got) != 1 || !got[0].Draining {
-		t.Errorf("holds %+v, %v, %v", got, age, ok)
+		t.Errorf("has %+v, %v, %v", got, age, ok)
 	}
 	list = nil
-	put(2, 0, 0, 1) // it started anew
+	put(2, 0, 0, 1) // it started again
 	list = []pick.Server{{ID: "a"}}
 	put(2, 1, 0, 1) // the same server is back
 	if got, _, _ := server.List(); len(got) != 1 {
-		t.Errorf("holds %+v", got)
+		t.Errorf("has %+v", got)
 	}
 }
 
@@ -71,7 +71,7 @@
 	}
 }
 
-// A keeper that stood still must not take the silence of all for theirs.
+// A node that was paused must not take its own pause for a time-out of all others.
 func TestPausedNodeMarksNobodyDown(t *testing.T) {
 	server := newIdleServer()
 	now := time.Now()
@@ -87,7 +87,7 @@
 		server.tick(now.Add(20*time.Second + time.Duration(i)*100*time.Millisecond))
 	}
 	if !down() {
-		t.Error("not down though silent")
+		t.Error("not down though timed out")
 	}
 	server.endCall(server.beginCall(member, &distributionpb.FollowRequest{Member: member.ToProto()}))
 	if down() {
@@ -110,15 +110,15 @@
 	}
 	server.sessions.byNode["p"].lastCall = now.Add(-time.Second)
 	if say(4) {
-		t.Error("a verdict on another life counts")
+		t.Error("a verdict on another incarnation counts")
 	}
 	if !say(5) {
-		t.Error("a verdict on a silent proxy does not count")
+		t.Error("a verdict on a timed out proxy does not count")
 	}
 }
 
-// TestEndedConnectionMarksDown: a process that ends takes its held call with it, and is down soon; one that calls again, as
-// after a reset, stays. Danger: clients are sent to proxies that are gone for as long as silence takes to tell.
+// TestEndedConnectionMarksDown: a process that ends takes its waiting call with it, and is down soon; one that calls again, as
+// after a reset, stays. Danger: clients are sent to proxies that are gone for as long as a time-out takes to tell.
 func TestEndedConnectionMarksDown(t *testing.T) {
 	server := newIdleServer()
 	now := time.Now()
@@ -149,7 +149,7 @@
 	}
 	server.endCall(server.beginCall(softstate.Member{Node: "ended", Incarnation: 8, Revision: 1}, &distributionpb.FollowRequest{}))
 	if down("ended") {
-		t.Error("its next life is still down")
+		t.Error("its next incarnation is still down")
 	}
 }
 
--- a/internal/system/distribution/slow_link_test.go
+++ b/internal/system/distribution/slow_link_test.go
@@ -34,7 +34,7 @@
 	return controlstate.Record{Op: controlstate.OpReplace, Base: 0, Body: b.Bytes()}
 }
 
-// slowTransport is a network whose answers come at some bytes each 100 ms.
+// slowTransport is a network whose replies come at some bytes each 100 ms.
 type slowTransport struct {
 	next           http.RoundTripper
 	bytesPerSecond int
@@ -78,7 +78,7 @@
 	}
 }
 
-// TestNodeThatStallsMidReplyIsLeft: an answer whose bytes stop is given up as soon as one that does not begin.
+// TestNodeThatStallsMidReplyIsLeft: a reply whose bytes stop is given up as soon as one that does not begin.
 func TestNodeThatStallsMidReplyIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1", "k2:1")
@@ -92,7 +92,7 @@
 	})
 }
 
-// stallingTransport is a network in which a host's large answers stop after 64 KB.
+// stallingTransport is a network in which a host's large replies stop after 64 KB.
 type stallingTransport struct {
 	next http.RoundTripper
 	host string
@@ -122,7 +122,7 @@
 	return n, err
 }
 
-// TestOneNodeAloneSendsItsState: a proxy that starts looks at several keepers, and takes the state from one.
+// TestOneNodeAloneSendsItsState: a proxy that starts looks at several nodes, and takes the state from one.
 func TestOneNodeAloneSendsItsState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1", "k2:1", "k3:1")
@@ -143,7 +143,7 @@
 	})
 }
 
-// TestNodeThatFailsPollsIsRetriedWithBackoff: one that says that it is current, but whose answers cannot be had, is left
+// TestNodeThatFailsPollsIsRetriedWithBackoff: one that says that it is current, but whose replies cannot be had, is left
 // in peace between the tries.
 func TestNodeThatFailsPollsIsRetriedWithBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -160,7 +160,7 @@
 	})
 }
 
-// refusingTransport is a network through which no answer of more than 4 KB comes.
+// refusingTransport is a network through which no reply of more than 4 KB comes.
 type refusingTransport struct{ next http.RoundTripper }
 
 func (r refusingTransport) RoundTrip(req *http.Request) (*http.Response, error) {
--- a/internal/system/distribution/subscriber_delta_test.go
+++ b/internal/system/distribution/subscriber_delta_test.go
@@ -9,8 +9,8 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestDeltaOfAnotherTableBringsNoList: while a proxy awaits a keeper's answer it takes another one's whole table, in which a server is not yet
-// called cold. The first keeper's answer then brings its newest reading, but not the server, which the proxy had been told of before.
+// TestDeltaOfAnotherTableBringsNoList: while a proxy awaits a node's reply it takes another one's complete table, in which a server is not yet
+// called cold. The first node's reply then brings its newest reading, but not the server, which the proxy had received before.
 // Danger: the server looks warm by the newest reading.
 func TestDeltaOfAnotherTableBringsNoList(t *testing.T) {
 	first, second := newIdleServer(), newIdleServer()
@@ -27,7 +27,7 @@
 	pollByHand(subscriber, first)
 	asked := time.Now()
 	req := subscriber.buildRequest(nil, false)
-	put(second, 4, softstate.Age{Max: time.Second}, 0) // it can't be told which of both readings is the later one
+	put(second, 4, softstate.Age{Max: time.Second}, 0) // it is not known which of both readings is the later one
 	pollByHand(subscriber, second)
 	put(first, 6, exactAge(0), 2700*time.Millisecond)
 	first.mu.Lock()
@@ -37,7 +37,7 @@
 	subscriber.handleReply(asked, time.Now(), req, late)
 	update := subscriber.Current()
 	if len(update.Servers) != 1 {
-		t.Fatalf("holds %+v", update.Servers)
+		t.Fatalf("has %+v", update.Servers)
 	}
 	if warm := update.Servers[0].WarmUpMax == 0; warm && update.ListAge < 500*time.Millisecond {
 		t.Errorf("the server is warm by a list that is %v old", update.ListAge)
--- a/internal/system/distribution/subscriber_history_test.go
+++ b/internal/system/distribution/subscriber_history_test.go
@@ -9,7 +9,7 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
-// Keepers remember thousands of changes to know them again. Proxies judge no changes: neither the snapshots that they are
+// Nodes remember thousands of changes to know them again. Proxies judge no changes: neither the snapshots that they are
 // sent nor what they make of records grows with the number of changes.
 func TestSubscribersKeepNoHistory(t *testing.T) {
 	chain := newChain()
@@ -38,6 +38,6 @@
 		}
 	}
 	if len(state.Encode()) < 16*200 {
-		t.Errorf("the keeper's state has %d bytes: it remembers nothing", len(state.Encode()))
+		t.Errorf("the node's state has %d bytes: it remembers nothing", len(state.Encode()))
 	}
 }
--- a/internal/system/distribution/subscriber_late_reply_test.go
+++ b/internal/system/distribution/subscriber_late_reply_test.go
@@ -10,8 +10,8 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// lateReply has a follower ask a current keeper that reads the list as empty, hands it the answer after a wait, and gives
-// what it holds then.
+// lateReply has a subscriber ask a current node that reads the list as empty, hands it the reply after a wait, and gives
+// what it has then.
 func lateReply(tb testing.TB, wait time.Duration, knobs TestingKnobs) (update Update, seq uint64) {
 	tb.Helper()
 	chain := newChain()
@@ -30,13 +30,13 @@
 	}
 	got := subscriber.handleReply(asked.Add(-wait), time.Now(), req, reply)
 	if got.current != subscriber.Current().Fresh {
-		tb.Errorf("the keeper counts as current: %v, the state as fresh: %v", got.current, subscriber.Current().Fresh)
+		tb.Errorf("the node counts as current: %v, the state as fresh: %v", got.current, subscriber.Current().Fresh)
 	}
 	return subscriber.Current(), subscriber.control.state.Seq
 }
 
-// TestLateReplyProvesNoFreshness: an answer that lay in a buffer for 20 s, or whose reader was stopped, brings records, which
-// are numbered, but neither the word that nothing is newer, nor servers. Danger: a proxy that was cut off counts as fresh.
+// TestLateReplyProvesNoFreshness: a reply that lay in a buffer for 20 s, or whose reader was stopped, brings records, which
+// are numbered, but neither the proof that nothing is newer, nor servers. Danger: a proxy that was isolated counts as fresh.
 func TestLateReplyProvesNoFreshness(t *testing.T) {
 	if update, _ := lateReply(t, 0, TestingKnobs{}); !update.Fresh || update.State.Seq != 1 || len(update.Servers) != 1 {
 		t.Errorf("in time: fresh %v, %d, %d servers", update.Fresh, update.State.Seq, len(update.Servers))
@@ -49,11 +49,11 @@
 	}
 }
 
-// TestStartWaitsForFreshReply: a proxy that starts holds what a late answer brought, and serves it once a prompt one has said
+// TestStartWaitsForFreshReply: a proxy that starts has what a late reply brought, and serves it once a prompt one has said
 // that there is nothing newer.
 func TestStartWaitsForFreshReply(t *testing.T) {
 	if update, seq := lateReply(t, 20*time.Second, TestingKnobs{}); update.State.Seq != 0 || seq != 1 {
-		t.Errorf("serves %d, holds %d", update.State.Seq, seq)
+		t.Errorf("serves %d, has %d", update.State.Seq, seq)
 	}
 	if update, _ := lateReply(t, 20*time.Second, TestingKnobs{ServeLateState: true}); update.State.Seq != 1 {
 		t.Error("control: a late state is not served either")
@@ -62,16 +62,16 @@
 	subscriber.control.state = &controlstate.State{Seq: 7}
 	subscriber.handleReply(time.Now(), time.Now(), subscriber.buildRequest(nil, false), &distributionpb.FollowReply{Current: true, Newest: 7})
 	if got := subscriber.Current().State.Seq; got != 7 {
-		t.Errorf("serves %d after a prompt word", got)
+		t.Errorf("serves %d after a prompt reply", got)
 	}
 }
 
-// TestWaitAtTheServerIsNoAge: a poll that a keeper held for long is answered with a word of now.
+// TestWaitAtTheServerIsNoAge: a poll that waited at a node for long is replied to with a proof of now.
 func TestWaitAtTheServerIsNoAge(t *testing.T) {
 	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
 	asked := time.Now().Add(-3 * time.Second)
 	subscriber.handleReply(asked, time.Now(), subscriber.buildRequest(nil, false), &distributionpb.FollowReply{Current: true, CheckedMs: 2900})
 	if !subscriber.Current().Fresh {
-		t.Error("held for 2.9 s, and 100 ms under way: not fresh")
+		t.Error("waited for 2.9 s, and 100 ms in transit: not fresh")
 	}
 }
--- a/internal/system/distribution/subscriber_list_updates_test.go
+++ b/internal/system/distribution/subscriber_list_updates_test.go
@@ -8,21 +8,21 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
-// TestListUpdateNotifiesOwner: a reading of the list that changes nothing is told at once where it is awaited, and only there.
+// TestListUpdateNotifiesOwner: a reading of the list that changes nothing is notified at once where it is awaited, and only there.
 func TestListUpdateNotifiesOwner(t *testing.T) {
 	subscriber := NewSubscriber(SubscriberOptions{Log: quiet()})
 	read := func(version uint64) bool {
 		return subscriber.soft.applyEntries(time.Now(), softstate.Age{}, &distributionpb.FollowReply{Entries: []*distributionpb.Entry{{Key: softstate.ListKey, Fence: 1, Version: version}}})
 	}
 	if read(1) {
-		t.Error("told though nothing changed")
+		t.Error("notified though nothing changed")
 	}
 	subscriber.NotifyListUpdates(true)
 	if !read(2) {
-		t.Error("not told though it is awaited")
+		t.Error("not notified though it is awaited")
 	}
 	subscriber.NotifyListUpdates(false)
 	if read(3) {
-		t.Error("told though it is awaited no more")
+		t.Error("notified though it is awaited no more")
 	}
 }
--- a/internal/system/distribution/subscriber_neighbours_test.go
+++ b/internal/system/distribution/subscriber_neighbours_test.go
@@ -9,7 +9,7 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestStaleProxyLearnsOfEvacuationsFromNeighbours: a proxy loses all keepers, though not the other proxies. A zone is evacuated, and one of its
+// TestStaleProxyLearnsOfEvacuationsFromNeighbours: a proxy loses all nodes, though not the other proxies. A zone is evacuated, and one of its
 // servers turns cold. Danger: it goes on to send there.
 func TestStaleProxyLearnsOfEvacuationsFromNeighbours(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -34,14 +34,14 @@
 		put(2, pick.Server{ID: "s", Zone: "z", WarmUpMax: 20 * time.Second})
 		time.Sleep(2 * time.Second)
 		if update := other.update(); !update.State.Evacuated["z"] || update.Stale {
-			t.Fatalf("the other one holds %+v", update.State.Evacuated)
+			t.Fatalf("the other one has %+v", update.State.Evacuated)
 		}
 		update := cut.update()
 		if !update.State.Evacuated["z"] || len(update.Servers) != 1 || update.Servers[0].WarmUpMax < 17*time.Second {
-			t.Errorf("2 s after it holds zones %v and %+v", update.State.Evacuated, update.Servers)
+			t.Errorf("2 s after it has zones %v and %+v", update.State.Evacuated, update.Servers)
 		}
 		if !update.Stale {
-			t.Error("a neighbour's word counts as a keeper's")
+			t.Error("a neighbour's statement counts as a node's")
 		}
 	})
 }
--- a/internal/system/distribution/subscriber_stale_test.go
+++ b/internal/system/distribution/subscriber_stale_test.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestBehindIsNotStale: a proxy that hears from a current keeper, but does not yet hold all of the control state (a large configuration on
+// TestBehindIsNotStale: a proxy that has contact to a current node, but does not yet have all of the control state (a large configuration on
 // a thin link), has not been given up by anybody.
 func TestBehindIsNotStale(t *testing.T) {
 	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
@@ -17,6 +17,6 @@
 	reply.Newest = 5
 	subscriber.handleReply(now, now, subscriber.buildRequest(nil, false), reply)
 	if update := subscriber.Current(); update.Stale {
-		t.Errorf("stale, though a current keeper has just been heard: %+v", update)
+		t.Errorf("stale, though a current node has just replied: %+v", update)
 	}
 }
--- a/internal/system/distribution/subscriber_start_test.go
+++ b/internal/system/distribution/subscriber_start_test.go
@@ -10,7 +10,7 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// firstState notes the first state with a record that a follower's owner is given.
+// firstState records the first state with a record that a subscriber's owner is given.
 type firstState struct {
 	mu  sync.Mutex
 	seq uint64
@@ -31,7 +31,7 @@
 	return f.seq, f.at
 }
 
-// newOldNeighbour makes a fleet of one keeper, and a proxy that holds change 1 and is cut off before change 2 is acknowledged.
+// newOldNeighbour makes a fleet of one node, and a proxy that has change 1 and is isolated before change 2 is acknowledged.
 func newOldNeighbour() *testFleet {
 	fleet := newFleet("k1:1")
 	fleet.startProxy("old", nil)
@@ -49,7 +49,7 @@
 	defer fleet.stop()
 	for _, s := range seeds {
 		if s != "k1:1" && s != "old:2" {
-			fleet.mesh.setPartitioned(node, s, true) // silent, as a machine that is cut off
+			fleet.mesh.setPartitioned(node, s, true) // no reply comes, as from a machine that is isolated
 		}
 	}
 	var first firstState
@@ -62,8 +62,8 @@
 	return seq, at.Sub(start)
 }
 
-// TestStartPrefersAnyNodeToNeighbour: a proxy that starts with eight seeds that are cut off, one keeper, and a neighbour
-// that holds an old state serves what the keeper holds, whichever it tries last.
+// TestStartPrefersAnyNodeToNeighbour: a proxy that starts with eight seeds that are isolated, one node, and a neighbour
+// that has an old state serves what the node has, whichever it tries last.
 func TestStartPrefersAnyNodeToNeighbour(t *testing.T) {
 	seeds := []string{"old:2", "k1:1"}
 	for i := range 8 {
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestStartProbesNodesThatNeighbourNames: a proxy whose seeds name no keeper learns of one from an old neighbour, and asks it
-// before it serves what that neighbour holds.
+// TestStartProbesNodesThatNeighbourNames: a proxy whose seeds name no node learns of one from an old neighbour, and asks it
+// before it serves what that neighbour has.
 func TestStartProbesNodesThatNeighbourNames(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		if seq, took := startBesideNeighbour(t, "p", TestingKnobs{}, "old:2", "dead:1"); seq != 2 || took > 4*time.Second {
@@ -88,12 +88,12 @@
 	})
 	synctest.Test(t, func(t *testing.T) {
 		if seq, _ := startBesideNeighbour(t, "p", TestingKnobs{NeighbourAtOnce: true}, "old:2", "dead:1"); seq == 2 {
-			t.Error("control: the keeper's state came first though the neighbour was believed at once")
+			t.Error("control: the node's state came first though the neighbour was trusted at once")
 		}
 	})
 }
 
-// TestStartWithoutNodeServesNeighboursState: where no keeper can be reached at all, an old state is better than none.
+// TestStartWithoutNodeServesNeighboursState: where no node can be reached at all, an old state is better than none.
 func TestStartWithoutNodeServesNeighboursState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newOldNeighbour()
--- a/internal/system/distribution/testfleet_test.go
+++ b/internal/system/distribution/testfleet_test.go
@@ -19,7 +19,7 @@
 
 func quiet() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.DebugLevel} }
 
-// mesh is an in-process network of hosts, with delay, silent cuts of one direction, and hosts that are gone.
+// mesh is an in-process network of hosts, with delay, partitions of one direction that lose messages without notice, and hosts that are gone.
 type mesh struct {
 	mu          sync.Mutex
 	hosts       map[string]http.Handler
@@ -52,7 +52,7 @@
 	m.partitioned[[2]string{from, to}] = cut
 }
 
-// holdBack keeps back the messages of one direction, as a cut does over which a connection lives on, or hands them over.
+// holdBack keeps back the messages of one direction, as a partition does over which a connection lives on, or hands them over.
 func (m *mesh) holdBack(from, to string, on bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -186,7 +186,7 @@
 	return uint64(len(c.records))
 }
 
-// fakeSource is one keeper's sight of the chain.
+// fakeSource is one node's sight of the chain.
 type fakeSource struct {
 	*fakeChain
 	addresses []string
@@ -230,12 +230,12 @@
 
 func (s *fakeSource) Addresses() []string { return s.addresses }
 
-// testFleet is some hubs and followers on a mesh.
+// testFleet is some servers and subscribers on a mesh.
 type testFleet struct {
 	knobs      TestingKnobs
 	mesh       *mesh
 	chain      *fakeChain
-	names      []string // of keepers
+	names      []string // of nodes
 	sources    map[string]*fakeSource
 	servers    map[string]*Server
 	stopServer map[string]context.CancelFunc
@@ -254,7 +254,7 @@
 
 func newFleet(keepers ...string) *testFleet { return newFleetWithKnobs(TestingKnobs{}, keepers...) }
 
-// newFleetWithKnobs is a fleet whose hubs lack a protection.
+// newFleetWithKnobs is a fleet whose servers lack a protection.
 func newFleetWithKnobs(knobs TestingKnobs, keepers ...string) *testFleet {
 	fleet := &testFleet{knobs: knobs, mesh: newMesh(), chain: newChain(), names: keepers, sources: map[string]*fakeSource{}, servers: map[string]*Server{},
 		stopServer: map[string]context.CancelFunc{}, proxies: map[string]*testProxy{}}
--- a/internal/system/distribution/warmup_bounds_test.go
+++ b/internal/system/distribution/warmup_bounds_test.go
@@ -10,9 +10,9 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestExtendedWarmUpEndsLate: a server that is cold becomes cold again ("at any moment"), so that its cold state ends a
+// TestExtendedWarmUpEndsLate: a server that is cold becomes cold again ("at any moment"), so that its warm-up ends a
 // little later. Each reading is right by itself. Danger: coversCold takes the second for another reading of the first state, as
-// their spans overlap, and the held end stays before the true one.
+// their spans overlap, and the stored end stays before the true one.
 func TestExtendedWarmUpEndsLate(t *testing.T) {
 	const ms = time.Millisecond //nolint:varnamelen // the unit of the table below
 	for name, test := range map[string]struct {
@@ -39,7 +39,7 @@
 					p.check()
 				}
 				if len(p.early) > 0 {
-					t.Errorf("the cold state ends early by %v", p.early)
+					t.Errorf("the warm-up ends early by %v", p.early)
 				}
 			})
 		})
@@ -51,7 +51,7 @@
 func TestCarriedEntriesKeepTheirTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
-		empty := newIdleServer() // a keeper that has started anew, warm, with no list yet
+		empty := newIdleServer() // a node that has started again, warm, with no list yet
 		empty.markComplete()
 		items, full := empty.table.ChangesSince(0)
 		reply := &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: softstate.EncodeEntries(time.Now(), items),
@@ -64,17 +64,17 @@
 		subscriber.handleReply(read, read, req, reply)
 		got := subscriber.Current().Servers
 		if len(got) != 1 {
-			t.Fatalf("holds %+v", got)
+			t.Fatalf("has %+v", got)
 		}
 		if early := time.Until(end) - got[0].WarmUpMax; early > 0 {
-			t.Errorf("the cold state ends early by %v", early)
+			t.Errorf("the warm-up ends early by %v", early)
 		}
 	})
 }
 
 // TestOldWarmUpIsOver: a process from before least_age_ms passes on an entry that was made 20 s ago, when the server was
-// cold for 3 s more. Danger: whoever takes it in holds a server for cold that has been warm for 17 s: after each change of
-// keepers, all servers that have ever been told as cold.
+// cold for 3 s more. Danger: whoever merges it takes a server for cold that has been warm for 17 s: after each change of
+// nodes, all servers that have ever been cold.
 func TestOldWarmUpIsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newIdleServer()
@@ -93,20 +93,20 @@
 			Soft: &distributionpb.Cursor{Boot: server.bootID, Number: server.table.LastNumber}})
 		for _, s := range subscriber.Current().Servers {
 			if s.WarmUpMax > 0 {
-				t.Errorf("cold for %v more, 17 s after the cold state's end", s.WarmUpMax)
+				t.Errorf("cold for %v more, 17 s after the warm-up's end", s.WarmUpMax)
 			}
 		}
 	})
 }
 
-// TestSecondReplicaNarrowsTheAge: the first copy of an entry came by a slow way, the second by a fast one. Both bounds of both hold,
-// so the cold state need not end later than by the better of the two.
+// TestSecondReplicaNarrowsTheAge: the first replica of an entry came by a slow way, the second by a fast one. Both bounds of both hold,
+// so the warm-up need not end later than by the better of the two.
 func TestSecondReplicaNarrowsTheAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newWarmUpPath(t, transit{})
 		p.server.warmUpEnd = time.Now().Add(4 * time.Second)
 		p.read(transit{})
-		p.synchronise(transit{out: 1400 * time.Millisecond}) // a slow share to the other keeper
+		p.synchronise(transit{out: 1400 * time.Millisecond}) // a slow share to the other node
 		p.poll("other:1", transit{})
 		p.poll("reader:1", transit{})
 		p.poll("reader:1", transit{})
@@ -114,12 +114,12 @@
 		late := p.stored()["proxy"].WarmUpMax - time.Until(p.server.warmUpEnd)
 		t.Logf("late by %v, early %v", late, p.early)
 		if late > 300*time.Millisecond {
-			t.Errorf("the cold state ends %v late at a proxy that has a fast word of it", late)
+			t.Errorf("the warm-up ends %v late at a proxy that has a fast message of it", late)
 		}
 	})
 }
 
-// TestListAgeHoldsOverAPause: the process stops between the platform's answer and taking it in. Danger: the list and a notice of
+// TestListAgeHoldsOverAPause: the process stops between the platform's reply and taking it in. Danger: the list and a notice of
 // withdrawal count as younger than they are by the time of the stop.
 func TestListAgeHoldsOverAPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -133,7 +133,7 @@
 		}
 		got, listed, _ := server.List()
 		if late := got[0].Remaining - time.Until(withdrawn); late > 0 || listed < stop {
-			t.Errorf("the notice ends late by %v; the list, read %v ago, is told to be %v old", late, stop, listed)
+			t.Errorf("the notice ends late by %v; the list, read %v ago, counts as %v old", late, stop, listed)
 		}
 	})
 }
@@ -163,7 +163,7 @@
 }
 
 // readWarmUp has a server read a warm-up that ends at a moment, over a way that is slow each second time, and waits until the next reading
-// is due. It tells whether the server was taken for warm before and for cold then, and by how much its warm-up ends late.
+// is due. It says whether the server was taken for warm before and for cold then, and by how much its warm-up ends late.
 func readWarmUp(t *testing.T, server *Server, version uint64, end time.Time) (flapped bool, late time.Duration) {
 	t.Helper()
 	asked := time.Now()
--- a/internal/system/distribution/warmup_fleet_faults_test.go
+++ b/internal/system/distribution/warmup_fleet_faults_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// isolateFor cuts a machine off the others for a while; what was under way is lost.
+// isolateFor partitions a machine off the others for a while; what was in transit is lost.
 func (w *warmUpFleet) isolateFor(host string, d time.Duration) {
 	w.isolatedUntil[host] = time.Now().Add(d)
 	w.log("cut ", host, " for ", d)
@@ -14,7 +14,7 @@
 	if s := w.sources[host]; s != nil {
 		s.setStale(true)
 	}
-	w.faultCounts["cut"]++
+	w.faultCounts["isolated"]++
 }
 
 func (w *warmUpFleet) setPartitions(host string, cut bool) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// recordFault remembers a trouble.
+// recordFault remembers a fault.
 func (w *warmUpFleet) recordFault(host string) {
 	if w.sources[host] != nil {
 		host = ""
@@ -103,7 +103,7 @@
 	w.killServer(name)
 	w.startServer(name)
 	w.poll(name)
-	w.faultCounts["keeper anew"]++
+	w.faultCounts["node again"]++
 	w.log("anew ", name)
 }
 
@@ -111,7 +111,7 @@
 	w.recordFault(node)
 	w.killProxy(node)
 	w.startPickingProxy(node)
-	w.faultCounts["proxy anew"]++
+	w.faultCounts["proxy again"]++
 	w.log("anew ", node)
 }
 
--- a/internal/system/distribution/warmup_fleet_serve_test.go
+++ b/internal/system/distribution/warmup_fleet_serve_test.go
@@ -19,7 +19,7 @@
 	w.listHistory = append(w.listHistory, shownList{time.Now(), maps.Clone(w.trueServers)})
 }
 
-// List implements platform.Lister, for one keeper.
+// List implements platform.Lister, for one node.
 type fleetLister struct {
 	fleet *warmUpFleet
 	calls uint64
@@ -59,7 +59,7 @@
 	return list, nil
 }
 
-// poll has a keeper poll the platform.
+// poll has a node poll the platform.
 func (w *warmUpFleet) poll(node string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	w.polls[node] = cancel
@@ -115,7 +115,7 @@
 	if time.Now().Before(server.coldUntil) {
 		if picker.changes[server.zone] < w.evacuated[server.zone] {
 			// Such a proxy goes on at its part of the load: see the postmortem of FAILBACK, what is left.
-			w.faultCounts["cold sends by proxies that have not heard of the evacuation"]++
+			w.faultCounts["cold sends by proxies that have not learned of the evacuation"]++
 			return
 		}
 		asCold := picker.picker.Stats().WarmUpSends > sendsBefore
@@ -165,7 +165,7 @@
 	return out + "\n" + fmt.Sprint(w.eventLog[max(0, len(w.eventLog)-45):])
 }
 
-// log notes what happens.
+// log records what happens.
 func (w *warmUpFleet) log(what ...any) {
 	w.eventLog = append(w.eventLog, fmt.Sprint(time.Since(w.begin).Round(time.Millisecond), " ", fmt.Sprint(what...)))
 }
--- a/internal/system/distribution/warmup_fleet_test.go
+++ b/internal/system/distribution/warmup_fleet_test.go
@@ -25,7 +25,7 @@
 	warmUpRate       = 31.0
 	warmUpBound      = warmUpRate*1.5 + 5
 	drainTimeout     = 4 * time.Second
-	faultPeriodSteps = 150 // one in so many steps of 25 ms brings each kind of trouble
+	faultPeriodSteps = 150 // one in so many steps of 25 ms brings each kind of fault
 )
 
 // warmingServer is a server as it truly is.
@@ -41,8 +41,8 @@
 	servers map[string]warmingServer
 }
 
-// warmUpFleet is keepers that poll the platform, proxies with pickers, and servers that turn cold: with a new id, or under theirs 2.4 s before their
-// zone is taken back. Machines are cut off, killed and started meanwhile.
+// warmUpFleet is nodes that poll the platform, proxies with pickers, and servers that turn cold: with a new id, or under theirs 2.4 s before their
+// zone is taken back. Machines are isolated, killed and started meanwhile.
 type warmUpFleet struct {
 	*testFleet
 	t             *testing.T
@@ -54,17 +54,17 @@
 	isolatedUntil map[string]time.Time
 	evacuated     map[string]uint64 // the record that evacuated a zone last
 	begin         time.Time
-	hideWarmUps   bool // pickers hear nothing of cold servers: a control
+	hideWarmUps   bool // pickers learn nothing of cold servers: a control
 	missing       int  // of 100 entries are not in a reading
 	worst         int
-	lastFault     map[string]time.Time // when a proxy, or a keeper (""), was last cut off, joined, killed or started
-	maxLateness   time.Duration        // by which requests came at most after a server was shown as draining, and after troubles of their way
+	lastFault     map[string]time.Time // when a proxy, or a node (""), was last isolated, joined, killed or started
+	maxLateness   time.Duration        // by which requests came at most after a server was shown as draining, and after faults of their way
 	faultCounts   map[string]int
 
 	mu          sync.Mutex
 	epoch       uint64
 	owner       string
-	seen        map[string]uint64 // epochs that keepers know
+	seen        map[string]uint64 // epochs that nodes know
 	trueServers map[string]warmingServer
 	listHistory []shownList
 	ids         int
@@ -80,7 +80,7 @@
 	cold bool
 }
 
-// fleetPicker is a proxy's picker, told as cmd/proxy does it.
+// fleetPicker is a proxy's picker, notified as cmd/proxy does it.
 type fleetPicker struct {
 	mu         sync.Mutex
 	start      time.Time
@@ -88,7 +88,7 @@
 	serves     bool
 	subscriber *Subscriber
 
-	changes map[string]uint64 // the records that changed zones last, as far as it has heard
+	changes map[string]uint64 // the records that changed zones last, as far as it knows
 }
 
 func (p *fleetPicker) update(w *warmUpFleet, node string, update Update) {
@@ -157,7 +157,7 @@
 	p.mu.Unlock()
 }
 
-// elect moves the duty to a keeper that is current, in the next epoch.
+// elect moves the lease to a node that is current, in the next epoch.
 func (w *warmUpFleet) elect() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -266,7 +266,7 @@
 func (w *warmUpFleet) disturb(zone string) {
 	if w.rng.IntN(2) == 0 {
 		w.change(zone, w.replaceServer)
-		w.faultCounts["zone anew"]++
+		w.faultCounts["zone again"]++
 		w.log("anew with new ids ", zone)
 		return
 	}
@@ -281,7 +281,7 @@
 	})
 }
 
-// disagreements ends all troubles, and tells of proxies that then hold other servers than the keeper whose duty the list is.
+// disagreements ends all faults, and names proxies that then have other servers than the node that has the lease of the list.
 func (w *warmUpFleet) disagreements() (differ []string) {
 	for host := range w.isolatedUntil {
 		delete(w.isolatedUntil, host)
@@ -319,7 +319,7 @@
 	w.stop()
 }
 
-// runWarmUpFleet plays 60 s of a seed, and tells of proxies that hold other servers than their keeper some seconds after the last trouble.
+// runWarmUpFleet plays 60 s of a seed, and names proxies that have other servers than their node some seconds after the last fault.
 func runWarmUpFleet(t *testing.T, seed uint64, proxies int, change func(*warmUpFleet)) (w *warmUpFleet, differ []string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -334,7 +334,7 @@
 	return w, differ
 }
 
-// TestWarmUpFleet: keepers and proxies are cut off, killed and started anew while zones are evacuated and taken back cold, go down and come
+// TestWarmUpFleet: nodes and proxies are isolated, killed and started again while zones are evacuated and taken back cold, go down and come
 // back cold, and servers drain; in half of the plays one in ten entries is missing from each reading of the list. No cold server
 // gets more in a second than its bound. COLD_WORLD_SEEDS sets how many seeds run.
 func TestWarmUpFleet(t *testing.T) {
@@ -355,7 +355,7 @@
 			t.Errorf("%s: %d requests in a second at a cold server, of %v\n%s", name, w.worst, warmUpBound, w.worstSecond)
 		}
 		if len(differ) > 0 {
-			t.Errorf("%s: 10 s after all troubles hold other servers than their keeper: %v\n%v", name, differ, w.eventLog)
+			t.Errorf("%s: 10 s after all faults have other servers than their node: %v\n%v", name, differ, w.eventLog)
 		}
 		if w.maxLateness > drainTimeout {
 			t.Errorf("%s: a request came %v after the list showed its server as draining\n%v", name, w.maxLateness, w.eventLog)
@@ -364,7 +364,7 @@
 	t.Logf("%d seeds: at most %d in a second; brought about %v", seeds, worst, came)
 }
 
-// TestWarmUpFleetControl: pickers that hear nothing of cold servers flood them, and that is seen.
+// TestWarmUpFleetControl: pickers that learn nothing of cold servers flood them, and that is seen.
 func TestWarmUpFleetControl(t *testing.T) {
 	if w, _ := runWarmUpFleet(t, 1, 12, func(w *warmUpFleet) { w.hideWarmUps = true }); float64(w.worst) <= warmUpBound {
 		t.Errorf("%d requests in a second at a cold server, of %v", w.worst, warmUpBound)
--- a/internal/system/distribution/warmup_path_test.go
+++ b/internal/system/distribution/warmup_path_test.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// transit is how long a message is under way to another process, and the answer to it.
+// transit is how long a message is in transit to another process, and the reply to it.
 type transit struct{ out, back time.Duration }
 
 // trueServer is when the times of a server really end.
@@ -17,7 +17,7 @@
 	withdrawnAt time.Time // zero: no notice was given
 }
 
-// statedAt is what the platform answers at a moment.
+// statedAt is what the platform replies at a moment.
 func (s trueServer) statedAt(now time.Time) pick.Server {
 	told := pick.Server{ID: "s", Service: "a", WarmUpMax: max(0, s.warmUpEnd.Sub(now))}
 	if !s.withdrawnAt.IsZero() {
@@ -26,7 +26,7 @@
 	return told
 }
 
-// warmUpPath is the way of the platform's list to proxies: one keeper reads it, another has it by shares, a proxy polls
+// warmUpPath is the way of the platform's list to proxies: one node reads it, another has it by synchronisations, a proxy polls
 // either, and a neighbour of that proxy asks it. Each step is made by hand, with a delay there and back.
 type warmUpPath struct {
 	t           *testing.T
@@ -37,7 +37,7 @@
 	version     uint64
 	sync        manualSync
 	subscribers map[string]*Subscriber
-	early       map[string]time.Duration // by how much at the most a follower's cold end came before the true one
+	early       map[string]time.Duration // by how much at the most a subscriber's cold end came before the true one
 }
 
 // newWarmUpPath makes the processes. The reader has last shared over a link with these delays, so it knows the other's clock
@@ -52,7 +52,7 @@
 	path.mesh.host("other:1", path.sync.to.Handler())
 	for _, node := range []string{"proxy", "neighbour"} {
 		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: node}, Log: quiet(), Transport: meshTransport{path.mesh, node},
-			Knobs: TestingKnobs{NeighbourAtOnce: true}}) // the neighbour hears of keepers, and isn't to try them first
+			Knobs: TestingKnobs{NeighbourAtOnce: true}}) // the neighbour learns of nodes, and isn't to try them first
 		path.subscribers[node] = subscriber
 		path.mesh.host(node+":2", subscriber.Handler())
 	}
@@ -62,7 +62,7 @@
 	return path
 }
 
-// putReading has a hub take in a reading of the list that was asked for at asked, and came just now.
+// putReading has a server take in a reading of the list that was asked for at asked, and came just now.
 func putReading(tb testing.TB, server *Server, version uint64, asked time.Time, servers ...pick.Server) {
 	tb.Helper()
 	if err := server.PutList(1, version, servers, madeAgo(softstate.AgeUpTo(time.Since(asked)))); err != nil {
@@ -81,13 +81,13 @@
 	putReading(p.t, p.reader, p.version, asked, told)
 }
 
-// synchronise has the reader synchronise with the other keeper.
+// synchronise has the reader synchronise with the other node.
 func (p *warmUpPath) synchronise(l transit) {
 	p.t.Helper()
 	p.sync.sendOver(p.t, l)
 }
 
-// poll has the proxy poll a keeper.
+// poll has the proxy poll a node.
 func (p *warmUpPath) poll(keeper string, l transit) {
 	p.t.Helper()
 	p.connect("proxy", keeper, l)
@@ -106,7 +106,7 @@
 	p.transits[[2]string{from, to}], p.transits[[2]string{to, from}] = l.out, l.back
 }
 
-// stored gives the server as each follower that has heard of it holds it.
+// stored gives the server as each subscriber that has learned of it has it.
 func (p *warmUpPath) stored() map[string]pick.Server {
 	out := map[string]pick.Server{}
 	for node, subscriber := range p.subscribers {
@@ -117,7 +117,7 @@
 	return out
 }
 
-// check notes the followers whose word of the cold state ends before that state does.
+// check records the subscribers whose statement of the warm-up ends before that state does.
 func (p *warmUpPath) check() {
 	left := time.Until(p.server.warmUpEnd)
 	for node, s := range p.stored() {
--- a/internal/system/distribution/warmup_times_test.go
+++ b/internal/system/distribution/warmup_times_test.go
@@ -9,11 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-// maxListLag is how long after the true end proxies may hold a server for cold here: more than all legs of a case together.
+// maxListLag is how long after the true end proxies may take a server for cold here: more than all legs of a case together.
 const maxListLag = time.Second
 
-// TestWarmUpNeverEndsEarly: however long the list was under way, and on whichever part of the way, no proxy takes a server for
-// warm before it is. Danger: all proxies flood it with what waited for it, and it falls over (FAILBACK). Nor does one hold
+// TestWarmUpNeverEndsEarly: however long the list was in transit, and on whichever part of the way, no proxy takes a server for
+// warm before it is. Danger: all proxies flood it with what waited for it, and it falls over (FAILBACK). Nor does one take
 // it for cold much longer.
 func TestWarmUpNeverEndsEarly(t *testing.T) {
 	const ms = time.Millisecond //nolint:varnamelen // the unit of the table below
@@ -49,7 +49,7 @@
 					}
 				}
 				if len(path.early) > 0 {
-					t.Errorf("the cold state ends early by %v", path.early)
+					t.Errorf("the warm-up ends early by %v", path.early)
 				}
 				if held := path.stored(); len(held) != 2 || held["proxy"].WarmUpMax > 0 || held["neighbour"].WarmUpMax > 0 {
 					t.Errorf("%v after the true end: %+v", maxListLag, held)
@@ -59,7 +59,7 @@
 	}
 }
 
-// TestLaterReadingCorrectsWarmUpEnd: a reading by which a server stays cold for a little longer than was held counts, however
+// TestLaterReadingCorrectsWarmUpEnd: a reading by which a server stays cold for a little longer than was stored counts, however
 // small the difference is.
 func TestLaterReadingCorrectsWarmUpEnd(t *testing.T) {
 	for _, more := range []time.Duration{time.Millisecond, 35 * time.Millisecond, 80 * time.Millisecond, 399 * time.Millisecond, 401 * time.Millisecond} {
@@ -74,7 +74,7 @@
 					p.queryNeighbour(transit{})
 					p.check()
 					if len(p.early) > 0 {
-						t.Fatalf("the cold state ends early by %v", p.early)
+						t.Fatalf("the warm-up ends early by %v", p.early)
 					}
 					time.Sleep(time.Second)
 					p.server.warmUpEnd = p.server.warmUpEnd.Add(more)
@@ -99,11 +99,11 @@
 		node: rapid.SampledFrom([]string{"reader:1", "other:1"}).Draw(t, "keeper"), transit: transit{out: way("out"), back: way("back")}}
 }
 
-// TestTimesErrOnTheSafeSide: in any order of readings, shares, polls and questions, with any delays, no proxy takes a server
+// TestTimesErrOnTheSafeSide: in any order of readings, synchronisations, polls and questions, with any delays, no proxy takes a server
 // for warm before it is, and none counts on a server that is withdrawn for longer than it has left.
 func TestTimesErrOnTheSafeSide(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		// Shrinking lets the cold state be short, and no notice come.
+		// Shrinking lets the warm-up be short, and no notice come.
 		cold := time.Duration(rapid.IntRange(1, 4000).Draw(rt, "cold")) * time.Millisecond
 		notice := time.Duration(rapid.IntRange(0, 4000).Draw(rt, "notice")) * time.Millisecond
 		steps := rapid.SliceOfN(rapid.Custom(drawPathStep), 1, 30).Draw(rt, "steps")
@@ -116,7 +116,7 @@
 }
 
 // playSteps makes steps on a list's way, of a server that is cold for a time and, unless notice is 0, withdrawn after it. It
-// tells what a proxy then holds that it must not.
+// says what a proxy then has that it must not.
 func playSteps(t *testing.T, cold, notice time.Duration, steps []pathStep) (wrong string) {
 	t.Helper()
 	p := newWarmUpPath(t, steps[0].transit)
@@ -149,7 +149,7 @@
 	}
 }
 
-// wrong tells which of the times that followers hold errs on the wrong side. A notice counts down to a millisecond, as 0
+// wrong says which of the times that subscribers have errs on the wrong side. A notice counts down to a millisecond, as 0
 // means that none came.
 func (p *warmUpPath) wrong() string {
 	if p.check(); len(p.early) > 0 {
