--- a/internal/system/replication/sim_proxies_test.go
+++ b/internal/system/replication/sim_proxies_test.go
@@ -10,8 +10,8 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/catchup"
 )
 
-// The figures of distribution.Subscriber and Hub, which this file models: see follower_keepers.go and hub_follow.go there.
-// What a hub answers and what a follower makes of it are decided by distribution's own functions.
+// The figures of distribution.Subscriber and Server, which this file models: see subscriber_poll.go and server_follow.go there.
+// What a server replies and what a subscriber makes of it are decided by distribution/catchup's own functions.
 const (
 	proxyPrefix = "10.1."
 	pollHold    = time.Second
