--- a/internal/system/distribution/commit_log_test.go
+++ b/internal/system/distribution/commit_log_test.go
@@ -55,8 +55,8 @@
 		if got := server.table.ListCoversSeq(); got != read.covers {
 			t.Errorf("asked at %v: covers %d, want %d", read.asked, got, read.covers)
 		}
-		told := softstate.EncodeEntries(time.Now(), []*softstate.StoredEntry{server.table.Get(softstate.ListKey)})
-		subscriber.soft.applyEntries(time.Now(), softstate.Age{}, &distributionpb.FollowReply{Entries: told})
+		entries := softstate.EncodeEntries(time.Now(), []*softstate.StoredEntry{server.table.Get(softstate.ListKey)})
+		subscriber.soft.applyEntries(time.Now(), softstate.Age{}, &distributionpb.FollowReply{Entries: entries})
 		if got := subscriber.Current().ListCoversSeq; got != read.covers {
 			t.Errorf("asked at %v: a proxy gets %d, want %d", read.asked, got, read.covers)
 		}
@@ -67,7 +67,7 @@
 // nothing new, and of none before.
 func TestRefreshNotifiesOfNextContact(t *testing.T) {
 	subscriber := NewSubscriber(SubscriberOptions{Log: quiet()})
-	told := func() bool {
+	wasNotified := func() bool {
 		select {
 		case <-subscriber.updatePending:
 			return true
@@ -75,13 +75,13 @@
 			return false
 		}
 	}
-	answer := func(asked time.Time, current bool) {
+	reply := func(asked time.Time, current bool) {
 		subscriber.handleReply(asked, time.Now(), &distributionpb.FollowRequest{}, &distributionpb.FollowReply{Current: current, Soft: &distributionpb.Cursor{}})
 	}
-	answer(time.Now(), true)
-	told() // what is stored may be served from now on
-	answer(time.Now(), true)
-	if told() {
+	reply(time.Now(), true)
+	wasNotified() // what is stored may be served from now on
+	reply(time.Now(), true)
+	if wasNotified() {
 		t.Error("notified of a reply that brings nothing new and is not awaited")
 	}
 	before := time.Now()
@@ -91,17 +91,17 @@
 	default:
 		t.Error("no node is asked at once")
 	}
-	answer(before, true)
-	answer(time.Now(), false)
-	if told() {
+	reply(before, true)
+	reply(time.Now(), false)
+	if wasNotified() {
 		t.Error("notified of a contact from before, or of a node that is not current")
 	}
-	answer(time.Now(), true)
-	if !told() {
+	reply(time.Now(), true)
+	if !wasNotified() {
 		t.Error("not notified of the contact that is awaited")
 	}
-	answer(time.Now(), true)
-	if told() {
+	reply(time.Now(), true)
+	if wasNotified() {
 		t.Error("notified again")
 	}
 }
--- a/internal/system/distribution/late_delivery_controls_norace_test.go
+++ b/internal/system/distribution/late_delivery_controls_norace_test.go
@@ -21,10 +21,10 @@
 		found := false
 		for seed := uint64(0); seed < 20 && !found; seed++ {
 			synctest.Test(t, func(t *testing.T) {
-				_, broken := runLateFleet(t, seed, c.servers, c.proxies)
-				found = len(broken) > 0
+				_, violations := runLateFleet(t, seed, c.servers, c.proxies)
+				found = len(violations) > 0
 				if found {
-					t.Logf("%s: seed %d: %v", name, seed, broken)
+					t.Logf("%s: seed %d: %v", name, seed, violations)
 				}
 			})
 		}
--- a/internal/system/distribution/late_delivery_test.go
+++ b/internal/system/distribution/late_delivery_test.go
@@ -37,9 +37,9 @@
 // lateFleetSteps is how many steps a run has: at about 200 ms each, room for some partitions one after the other.
 const lateFleetSteps = 300
 
-func newLateFleet(t *testing.T, rng *rand.Rand, hub TestingKnobs, proxies TestingKnobs) *lateFleet {
+func newLateFleet(t *testing.T, rng *rand.Rand, servers TestingKnobs, proxies TestingKnobs) *lateFleet {
 	t.Helper()
-	w := &lateFleet{testFleet: newFleetWithKnobs(hub, "k1:1", "k2:1", "k3:1"), t: t, rng: rng, readAt: map[uint64]time.Time{},
+	w := &lateFleet{testFleet: newFleetWithKnobs(servers, "k1:1", "k2:1", "k3:1"), t: t, rng: rng, readAt: map[uint64]time.Time{},
 		isolatedUntil: map[string]time.Time{}, faults: map[string]int{}, violations: map[string]int{}, shownReadAt: map[string]time.Time{}}
 	for i := range 6 {
 		w.startProxy(fmt.Sprint("p", i), func(options *SubscriberOptions) { options.Knobs = proxies })
@@ -64,10 +64,10 @@
 }
 
 // isolateFor holds back all that a machine sends and gets for 20 s, or only what comes from or goes to the nodes.
-func (w *lateFleet) isolateFor(host string, keepersOnly bool) {
+func (w *lateFleet) isolateFor(host string, nodesOnly bool) {
 	w.isolatedUntil[host] = time.Now().Add(20 * time.Second)
 	for _, o := range w.others(host) {
-		if _, proxy := w.proxies[o]; proxy && keepersOnly {
+		if _, proxy := w.proxies[o]; proxy && nodesOnly {
 			continue
 		}
 		w.mesh.holdBack(host, o, true)
@@ -152,9 +152,9 @@
 }
 
 // runLateFleet plays a seed and gives what came about and what did not hold.
-func runLateFleet(t *testing.T, seed uint64, hub TestingKnobs, proxies TestingKnobs) (faults, broken map[string]int) {
+func runLateFleet(t *testing.T, seed uint64, servers TestingKnobs, proxies TestingKnobs) (faults, broken map[string]int) {
 	t.Helper()
-	w := newLateFleet(t, rand.New(rand.NewPCG(seed, 11)), hub, proxies)
+	w := newLateFleet(t, rand.New(rand.NewPCG(seed, 11)), servers, proxies)
 	defer w.stop()
 	time.Sleep(4 * time.Second)
 	for range lateFleetSteps {
@@ -187,12 +187,12 @@
 	came := map[string]int{}
 	for seed := range seeds {
 		synctest.Test(t, func(t *testing.T) {
-			faults, broken := runLateFleet(t, seed, TestingKnobs{}, TestingKnobs{})
+			faults, violations := runLateFleet(t, seed, TestingKnobs{}, TestingKnobs{})
 			for what, n := range faults {
 				came[what] += n
 			}
-			if len(broken) > 0 {
-				t.Errorf("seed %d: %v", seed, broken)
+			if len(violations) > 0 {
+				t.Errorf("seed %d: %v", seed, violations)
 			}
 		})
 	}
--- a/internal/system/distribution/testfleet_test.go
+++ b/internal/system/distribution/testfleet_test.go
@@ -252,14 +252,14 @@
 	wentBack   bool // it went back
 }
 
-func newFleet(keepers ...string) *testFleet { return newFleetWithKnobs(TestingKnobs{}, keepers...) }
+func newFleet(nodes ...string) *testFleet { return newFleetWithKnobs(TestingKnobs{}, nodes...) }
 
 // newFleetWithKnobs is a fleet whose servers lack a protection.
-func newFleetWithKnobs(knobs TestingKnobs, keepers ...string) *testFleet {
-	fleet := &testFleet{knobs: knobs, mesh: newMesh(), chain: newChain(), names: keepers, sources: map[string]*fakeSource{}, servers: map[string]*Server{},
+func newFleetWithKnobs(knobs TestingKnobs, nodes ...string) *testFleet {
+	fleet := &testFleet{knobs: knobs, mesh: newMesh(), chain: newChain(), names: nodes, sources: map[string]*fakeSource{}, servers: map[string]*Server{},
 		stopServer: map[string]context.CancelFunc{}, proxies: map[string]*testProxy{}}
-	for _, k := range keepers {
-		fleet.sources[k] = &fakeSource{fakeChain: fleet.chain, addresses: keepers}
+	for _, k := range nodes {
+		fleet.sources[k] = &fakeSource{fakeChain: fleet.chain, addresses: nodes}
 		fleet.startServer(k)
 	}
 	return fleet
--- a/internal/system/distribution/warmup_fleet_test.go
+++ b/internal/system/distribution/warmup_fleet_test.go
@@ -294,17 +294,17 @@
 		w.elect()
 		time.Sleep(time.Second)
 	}
-	told := func(list []pick.Server) string {
+	describe := func(list []pick.Server) string {
 		out := ""
 		for _, s := range list {
 			out += fmt.Sprint(s.ID, " ", s.Draining, " ")
 		}
 		return out
 	}
-	held, _, _ := w.servers[w.owner].List()
+	listed, _, _ := w.servers[w.owner].List()
 	for _, node := range w.proxyNames {
-		if update := w.pickers[node].subscriber.Current(); told(update.Servers) != told(held) {
-			differ = append(differ, fmt.Sprint(node, ": ", told(update.Servers), "of ", told(held)))
+		if update := w.pickers[node].subscriber.Current(); describe(update.Servers) != describe(listed) {
+			differ = append(differ, fmt.Sprint(node, ": ", describe(update.Servers), "of ", describe(listed)))
 		}
 	}
 	return differ
--- a/internal/system/distribution/warmup_path_test.go
+++ b/internal/system/distribution/warmup_path_test.go
@@ -19,11 +19,11 @@
 
 // statedAt is what the platform replies at a moment.
 func (s trueServer) statedAt(now time.Time) pick.Server {
-	told := pick.Server{ID: "s", Service: "a", WarmUpMax: max(0, s.warmUpEnd.Sub(now))}
+	server := pick.Server{ID: "s", Service: "a", WarmUpMax: max(0, s.warmUpEnd.Sub(now))}
 	if !s.withdrawnAt.IsZero() {
-		told.Remaining = max(time.Millisecond, s.withdrawnAt.Sub(now))
+		server.Remaining = max(time.Millisecond, s.withdrawnAt.Sub(now))
 	}
-	return told
+	return server
 }
 
 // warmUpPath is the way of the platform's list to proxies: one node reads it, another has it by synchronisations, a proxy polls
@@ -75,10 +75,10 @@
 	p.t.Helper()
 	asked := time.Now()
 	time.Sleep(l.out)
-	told := p.server.statedAt(time.Now())
+	stated := p.server.statedAt(time.Now())
 	time.Sleep(l.back)
 	p.version++
-	putReading(p.t, p.reader, p.version, asked, told)
+	putReading(p.t, p.reader, p.version, asked, stated)
 }
 
 // synchronise has the reader synchronise with the other node.
@@ -88,10 +88,10 @@
 }
 
 // poll has the proxy poll a node.
-func (p *warmUpPath) poll(keeper string, l transit) {
+func (p *warmUpPath) poll(node string, l transit) {
 	p.t.Helper()
-	p.connect("proxy", keeper, l)
-	if _, err := p.subscribers["proxy"].call(p.t.Context(), keeper, callOptions{maxPause: time.Second}); err != nil {
+	p.connect("proxy", node, l)
+	if _, err := p.subscribers["proxy"].call(p.t.Context(), node, callOptions{maxPause: time.Second}); err != nil {
 		p.t.Fatal(err)
 	}
 }
