--- a/internal/system/distribution/commit_log_test.go
+++ b/internal/system/distribution/commit_log_test.go
@@ -39,11 +39,11 @@
 // TestReadingReportsCoveredRecord: a node's reading covers the records that it knew lag before it asked, and proxies learn which.
 func TestReadingReportsCoveredRecord(t *testing.T) {
 	const lag = 800 * time.Millisecond
-	server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: newChain(), addresses: []string{"k"}}, Self: "k", Log: quiet(), ListLag: lag})
+	server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: newChain(), addresses: []string{"k"}}, Self: "k", Log: discardLogger(), ListLag: lag})
 	begin := time.Now().Add(-10 * time.Second)
 	server.commits.observe(begin, 4)
 	server.commits.observe(begin.Add(time.Second), 5)
-	subscriber := NewSubscriber(SubscriberOptions{Log: quiet()})
+	subscriber := NewSubscriber(SubscriberOptions{Log: discardLogger()})
 	for _, read := range []struct {
 		asked  time.Duration
 		covers uint64
@@ -66,7 +66,7 @@
 // TestRefreshNotifiesOfNextContact: the owner is notified of a current node's reply to a call from after Refresh, also if it has
 // nothing new, and of none before.
 func TestRefreshNotifiesOfNextContact(t *testing.T) {
-	subscriber := NewSubscriber(SubscriberOptions{Log: quiet()})
+	subscriber := NewSubscriber(SubscriberOptions{Log: discardLogger()})
 	wasNotified := func() bool {
 		select {
 		case <-subscriber.updatePending:
--- a/internal/system/distribution/fleet_catchup_test.go
+++ b/internal/system/distribution/fleet_catchup_test.go
@@ -10,8 +10,8 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// zoneChange is the n-th of small changes that each fit the state before.
-func zoneChange(n int) controlstate.Record {
+// zoneChangeRecord is the n-th of small changes that each fit the state before.
+func zoneChangeRecord(n int) controlstate.Record {
 	if n%2 == 0 {
 		return controlstate.Record{Op: controlstate.OpEvacuate, Zone: "z"}
 	}
@@ -25,12 +25,12 @@
 	t.Helper()
 	fleet := newFleet("k1:1", "k2:1", "k3:1")
 	defer fleet.stop()
-	fleet.chain.add(largeConfig(t, size, rand.NewChaCha8([32]byte{7})))
+	fleet.chain.add(largeConfigRecord(t, size, rand.NewChaCha8([32]byte{7})))
 	proxy := fleet.startProxy("p", nil)
-	within(t, 5*time.Second, "it starts", func() bool { return proxy.update().State != nil && proxy.update().State.Seq == 1 })
+	eventually(t, 5*time.Second, "it starts", func() bool { return proxy.update().State != nil && proxy.update().State.Seq == 1 })
 	fleet.isolate("p", true)
 	for i := range changes {
-		fleet.chain.add(zoneChange(i))
+		fleet.chain.add(zoneChangeRecord(i))
 	}
 	time.Sleep(20 * time.Second)
 	fleet.sources["k2:1"].setStale(true)
@@ -46,7 +46,7 @@
 	fleet.isolate("p", false)
 	start := time.Now()
 	for i := changes; ; i++ {
-		fleet.chain.add(zoneChange(i))
+		fleet.chain.add(zoneChangeRecord(i))
 		time.Sleep(45 * time.Millisecond)
 		if lose && i == changes+2 {
 			feeder := "k3:1"
@@ -97,11 +97,11 @@
 		const proxies = 410
 		fleet := newFleet("k1:1")
 		defer fleet.stop()
-		seq := fleet.chain.add(largeConfig(t, 100<<10, rand.NewChaCha8([32]byte{8})))
+		seq := fleet.chain.add(largeConfigRecord(t, 100<<10, rand.NewChaCha8([32]byte{8})))
 		for i := range proxies {
 			fleet.startProxy(fmt.Sprint("p", i), nil)
 		}
-		within(t, 5*time.Second, "all are served", func() bool {
+		eventually(t, 5*time.Second, "all are served", func() bool {
 			for _, proxy := range fleet.proxies {
 				if update := proxy.update(); update.State == nil || update.State.Seq != seq {
 					return false
--- a/internal/system/distribution/fleet_faults_test.go
+++ b/internal/system/distribution/fleet_faults_test.go
@@ -12,8 +12,8 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// within fails the test unless ok comes true before d is over.
-func within(t *testing.T, d time.Duration, what string, ok func() bool) {
+// eventually fails the test unless ok comes true before d is over.
+func eventually(t *testing.T, d time.Duration, what string, ok func() bool) {
 	t.Helper()
 	start := time.Now()
 	for !ok() {
@@ -65,23 +65,23 @@
 		fleet := newFleet("k1:1", "k2:1", "k3:1")
 		defer fleet.stop()
 		proxyA, proxyB := fleet.startProxy("a", nil), fleet.startProxy("b", nil)
-		within(t, time.Second, "a sees b", func() bool { return proxyA.sees("b") && proxyB.sees("a") })
+		eventually(t, time.Second, "a sees b", func() bool { return proxyA.sees("b") && proxyB.sees("a") })
 		time.Sleep(5 * time.Second)
 		fleet.isolate("b", true)
-		within(t, 3*time.Second, "b is down", func() bool { return !proxyA.sees("b") })
+		eventually(t, 3*time.Second, "b is down", func() bool { return !proxyA.sees("b") })
 		if proxyB.subscriber.Current().Fresh {
 			t.Error("b takes itself for fresh")
 		}
 		fleet.isolate("b", false)
-		within(t, 2*time.Second, "b is back", func() bool { return proxyA.sees("b") && proxyB.subscriber.Current().Fresh })
+		eventually(t, 2*time.Second, "b is back", func() bool { return proxyA.sees("b") && proxyB.subscriber.Current().Fresh })
 		fleet.killProxy("b")
-		within(t, 3*time.Second, "b is down again", func() bool { return !proxyA.sees("b") })
+		eventually(t, 3*time.Second, "b is down again", func() bool { return !proxyA.sees("b") })
 		time.Sleep(65 * time.Second)
 		if got := len(fleet.servers["k1:1"].Members()); got != 1 {
 			t.Errorf("%d members are kept", got)
 		}
 		fleet.startProxy("b", nil)
-		within(t, time.Second, "b is back in another incarnation", func() bool { return proxyA.sees("b") })
+		eventually(t, time.Second, "b is back in another incarnation", func() bool { return proxyA.sees("b") })
 	})
 }
 
@@ -90,12 +90,12 @@
 		fleet := newFleet("k1:1", "k2:1", "k3:1")
 		defer fleet.stop()
 		proxyA, proxyB := fleet.startProxy("a", nil), fleet.startProxy("b", nil)
-		within(t, time.Second, "a sees b", func() bool { return proxyA.sees("b") })
+		eventually(t, time.Second, "a sees b", func() bool { return proxyA.sees("b") })
 		start := time.Now()
 		if err := proxyB.subscriber.Leave(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		within(t, 150*time.Millisecond-time.Since(start), "b leaves", func() bool { return !proxyA.sees("b") })
+		eventually(t, 150*time.Millisecond-time.Since(start), "b leaves", func() bool { return !proxyA.sees("b") })
 		fleet.isolate("a", true)
 		start = time.Now()
 		if err := proxyA.subscriber.Leave(t.Context()); err == nil || time.Since(start) > leaveTimeout {
@@ -113,7 +113,7 @@
 		}
 		time.Sleep(6 * time.Second)
 		fleet.isolate("p3", true)
-		seq := fleet.chain.add(none())
+		seq := fleet.chain.add(noOpRecord())
 		for name, server := range fleet.servers {
 			ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 			if server.WaitAcknowledged(ctx, seq) == nil {
@@ -158,7 +158,7 @@
 		time.Sleep(6 * time.Second)
 		set("a", map[string]pick.Load{"s": {Requests: 3, Prefill: 128, Tokens: 512}})
 		set("b", map[string]pick.Load{"s": {Requests: 5}, "r": {Requests: 1}})
-		within(t, 500*time.Millisecond, "all are notified", func() bool {
+		eventually(t, 500*time.Millisecond, "all are notified", func() bool {
 			return others("c", "s") == pick.Load{Requests: 8, Prefill: 128, Tokens: 512} && others("c", "r").Requests == 1 &&
 				others("a", "s").Requests == 5 && others("b", "s") == pick.Load{Requests: 3, Prefill: 128, Tokens: 512}
 		})
@@ -169,11 +169,11 @@
 			}
 		}
 		set("a", map[string]pick.Load{"s": {Requests: 1}})
-		within(t, 500*time.Millisecond, "less", func() bool { return others("c", "s").Requests == 6 && others("b", "s").Requests == 1 })
+		eventually(t, 500*time.Millisecond, "less", func() bool { return others("c", "s").Requests == 6 && others("b", "s").Requests == 1 })
 		fleet.killProxy("b")
-		within(t, 2*time.Second, "a load is forgotten", func() bool { return others("c", "s").Requests == 1 && others("a", "s").Requests == 0 })
+		eventually(t, 2*time.Second, "a load is forgotten", func() bool { return others("c", "s").Requests == 1 && others("a", "s").Requests == 0 })
 		set("a", nil)
-		within(t, 500*time.Millisecond, "nothing", func() bool { return others("c", "s") == pick.Load{} })
+		eventually(t, 500*time.Millisecond, "nothing", func() bool { return others("c", "s") == pick.Load{} })
 	})
 }
 
@@ -187,8 +187,8 @@
 		time.Sleep(2 * time.Second)
 		fleet.sources["k1:1"].setStale(true)
 		fleet.sources["k2:1"].setStale(true)
-		seq := fleet.chain.add(none())
-		within(t, 2500*time.Millisecond, "all have the newest", func() bool {
+		seq := fleet.chain.add(noOpRecord())
+		eventually(t, 2500*time.Millisecond, "all have the newest", func() bool {
 			for _, proxy := range fleet.proxies {
 				if proxy.subscriber.Current().State.Seq != seq {
 					return false
@@ -198,12 +198,10 @@
 		})
 		// Without any that is current the soft state still flows.
 		fleet.sources["k3:1"].setStale(true)
-		fleet.chain.add(none())
+		fleet.chain.add(noOpRecord())
 		time.Sleep(4 * time.Second)
-		if err := fleet.servers["k2:1"].PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(softstate.Age{})); err != nil {
-			t.Fatal(err)
-		}
-		within(t, 2*time.Second, "all have the server", func() bool {
+		putList(t, fleet.servers["k2:1"], 1, 1, []pick.Server{{ID: "s"}}, softstate.Age{})
+		eventually(t, 2*time.Second, "all have the server", func() bool {
 			for _, proxy := range fleet.proxies {
 				if update := proxy.subscriber.Current(); update.State.Seq != seq || update.Fresh || len(update.Servers) != 1 || len(update.Members) != 6 {
 					return false
@@ -221,10 +219,8 @@
 		proxy := fleet.startProxy("p", nil)
 		time.Sleep(4 * time.Second)
 		list := []pick.Server{{ID: "s"}, {ID: "r"}}
-		if err := fleet.servers["k2:1"].PutList(1, 1000, list, madeAgo(softstate.Age{})); err != nil {
-			t.Fatal(err)
-		}
-		within(t, time.Second, "two servers", func() bool { return len(proxy.update().Servers) == 2 })
+		putList(t, fleet.servers["k2:1"], 1, 1000, list, softstate.Age{})
+		eventually(t, time.Second, "two servers", func() bool { return len(proxy.update().Servers) == 2 })
 		for _, k := range fleet.names {
 			fleet.killServer(k)
 		}
@@ -239,10 +235,8 @@
 			}
 		}
 		// The poller counts from the start again; s is gone.
-		if err := fleet.servers["k1:1"].PutList(1, 1, list[1:], madeAgo(softstate.Age{})); err != nil {
-			t.Fatal(err)
-		}
-		within(t, 5*time.Second, "one server", func() bool { return len(proxy.update().Servers) == 1 })
+		putList(t, fleet.servers["k1:1"], 1, 1, list[1:], softstate.Age{})
+		eventually(t, 5*time.Second, "one server", func() bool { return len(proxy.update().Servers) == 1 })
 	})
 }
 
@@ -253,20 +247,18 @@
 		fleet.startProxy("a", nil)
 		seq := fleet.chain.add(controlstate.Record{Op: controlstate.OpEvacuate, Zone: "z"})
 		time.Sleep(4 * time.Second)
-		if err := fleet.servers["k1:1"].PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(softstate.Age{})); err != nil {
-			t.Fatal(err)
-		}
+		putList(t, fleet.servers["k1:1"], 1, 1, []pick.Server{{ID: "s"}}, softstate.Age{})
 		time.Sleep(time.Second)
 		for _, k := range fleet.names {
 			fleet.killServer(k)
 		}
 		proxyB := fleet.startProxy("b", func(options *SubscriberOptions) { options.Seeds = append([]string{"a:2"}, options.Seeds...) })
-		within(t, 2*time.Second, "b has what a has", func() bool {
+		eventually(t, 2*time.Second, "b has what a has", func() bool {
 			update := proxyB.update()
 			return update.State != nil && update.State.Seq == seq && update.State.Evacuated["z"] && len(update.Servers) == 1 && !update.Fresh
 		})
 		fleet.startServer("k3:1")
-		within(t, 2*time.Second, "b is fresh", func() bool { return proxyB.update().Fresh })
+		eventually(t, 2*time.Second, "b is fresh", func() bool { return proxyB.update().Fresh })
 	})
 }
 
@@ -280,11 +272,11 @@
 			defer proxy.subscriber.mu.Unlock()
 			return proxy.subscriber.nodes.serving
 		}
-		within(t, 3*time.Second, "the nearest", func() bool { return follows() == "k2:1" })
+		eventually(t, 3*time.Second, "the nearest", func() bool { return follows() == "k2:1" })
 		fleet.killServer("k2:1")
-		within(t, time.Second, "another", func() bool { f := follows(); return f != "" && f != "k2:1" })
+		eventually(t, time.Second, "another", func() bool { f := follows(); return f != "" && f != "k2:1" })
 		time.Sleep(time.Second)
 		fleet.startServer("k2:1")
-		within(t, 11*time.Second, "the nearest again", func() bool { return follows() == "k2:1" })
+		eventually(t, 11*time.Second, "the nearest again", func() bool { return follows() == "k2:1" })
 	})
 }
--- a/internal/system/distribution/fleet_test.go
+++ b/internal/system/distribution/fleet_test.go
@@ -15,17 +15,15 @@
 
 func newReader(b []byte) *bytes.Reader { return bytes.NewReader(b) }
 
-func none() controlstate.Record { return controlstate.Record{Op: controlstate.OpNone} }
+func noOpRecord() controlstate.Record { return controlstate.Record{Op: controlstate.OpNone} }
 
 func TestProxyIsCaughtUpWithinHalfASecondOfItsStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1", "k2:1", "k3:1")
 		defer fleet.stop()
 		time.Sleep(time.Second)
-		fleet.chain.add(none())
-		if err := fleet.servers["k1:1"].PutList(1, 1, []pick.Server{{ID: "s1", Service: "a", WarmUpMax: 3 * time.Second}}, madeAgo(softstate.Age{})); err != nil {
-			t.Fatal(err)
-		}
+		fleet.chain.add(noOpRecord())
+		putList(t, fleet.servers["k1:1"], 1, 1, []pick.Server{{ID: "s1", Service: "a", WarmUpMax: 3 * time.Second}}, softstate.Age{})
 		time.Sleep(200 * time.Millisecond)
 		fleet.mesh.host("k2:1", nil) // a dead seed does not hold it up
 		proxy := fleet.startProxy("p1", nil)
@@ -49,7 +47,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		start := time.Now()
-		seq := fleet.chain.add(none())
+		seq := fleet.chain.add(noOpRecord())
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
 		if err := fleet.servers["k2:1"].WaitAcknowledged(ctx, seq); err != nil {
--- a/internal/system/distribution/golden_trace_test.go
+++ b/internal/system/distribution/golden_trace_test.go
@@ -114,7 +114,7 @@
 	for _, k := range exchangeNodes {
 		s := &fakeSource{fakeChain: created.chain, addresses: exchangeNodes}
 		created.sources = append(created.sources, s)
-		server := NewServer(ServerOptions{Source: s, Self: k, Zone: "z" + k[:2], Region: "r", ListLag: 100 * time.Millisecond, Log: quiet()})
+		server := NewServer(ServerOptions{Source: s, Self: k, Zone: "z" + k[:2], Region: "r", ListLag: 100 * time.Millisecond, Log: discardLogger()})
 		created.assignIndexes(server.loads.local)
 		created.assignIndexes(server.loads.total)
 		created.servers, created.bootIDs = append(created.servers, server), append(created.bootIDs, 0)
@@ -130,7 +130,7 @@
 // startSubscriber starts a process again in the place of a subscriber.
 func (x *exchange) startSubscriber(i int) {
 	node := fmt.Sprint("p", i)
-	subscriber := NewSubscriber(SubscriberOptions{Seeds: exchangeNodes, ControlPlanePort: 1, ProxyPort: 2, Log: quiet(),
+	subscriber := NewSubscriber(SubscriberOptions{Seeds: exchangeNodes, ControlPlanePort: 1, ProxyPort: 2, Log: discardLogger(),
 		Self: softstate.Member{Node: node, Incarnation: x.rng.Uint64() | 1, Zone: "zk1", Region: "r", IP: node + ":2"}})
 	x.assignIndexes(subscriber.loads.own)
 	x.subscribers[i], x.loads[i] = subscriber, map[string]pick.Load{}
@@ -282,7 +282,7 @@
 		servers = append(servers, s)
 	}
 	spent := time.Duration(x.rng.IntN(300)) * time.Millisecond
-	err := x.servers[x.rng.IntN(len(x.servers))].PutList(1+x.lists/40, x.lists, servers, madeAgo(softstate.Age{Min: spent / 2, Max: spent}))
+	err := x.servers[x.rng.IntN(len(x.servers))].PutList(1+x.lists/40, x.lists, servers, boundsOf(softstate.Age{Min: spent / 2, Max: spent}))
 	x.tr.step('P')
 	x.tr.flags(err != nil)
 }
@@ -304,7 +304,7 @@
 	zone := []string{"za", "zb"}[x.rng.IntN(2)]
 	switch x.rng.IntN(11) {
 	case 0, 1:
-		x.chain.add(none())
+		x.chain.add(noOpRecord())
 	case 2:
 		x.chain.add(controlstate.Record{Op: controlstate.OpEvacuate, Zone: zone})
 	case 3:
--- a/internal/system/distribution/invariants_test.go
+++ b/internal/system/distribution/invariants_test.go
@@ -9,7 +9,7 @@
 
 // TestStateNeverGoesBackControl: a state that is older than the one stored is noticed.
 func TestStateNeverGoesBackControl(t *testing.T) {
-	subscriber := NewSubscriber(SubscriberOptions{Log: quiet()})
+	subscriber := NewSubscriber(SubscriberOptions{Log: discardLogger()})
 	newer := controlstate.Empty()
 	newer.Seq = 5
 	subscriber.control.set(newer)
--- a/internal/system/distribution/late_delivery_test.go
+++ b/internal/system/distribution/late_delivery_test.go
@@ -110,13 +110,13 @@
 			w.isolateFor(p, false)
 		}
 	case 2, 3, 4:
-		w.chain.add(none())
+		w.chain.add(noOpRecord())
 		w.ackedAt = append(w.ackedAt, time.Now())
 	case 5, 6:
 		w.version++
 		w.readAt[w.version] = time.Now()
 		// A node that is isolated goes on to read the list.
-		if w.servers[w.names[w.rng.IntN(3)]].PutList(1, w.version, []pick.Server{{ID: fmt.Sprint("s", w.version)}}, madeAgo(softstate.Age{})) != nil {
+		if w.servers[w.names[w.rng.IntN(3)]].PutList(1, w.version, []pick.Server{{ID: fmt.Sprint("s", w.version)}}, boundsOf(softstate.Age{})) != nil {
 			w.faults["refused list"]++
 		}
 	}
--- a/internal/system/distribution/loopback_test.go
+++ b/internal/system/distribution/loopback_test.go
@@ -68,7 +68,7 @@
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	chain := newChain()
 	src := &fakeSource{fakeChain: chain}
-	server := NewServer(ServerOptions{Source: src, Self: "k", Log: quiet()})
+	server := NewServer(ServerOptions{Source: src, Self: "k", Log: discardLogger()})
 	address, _ := serve(t, server.Handler())
 	src.addresses = []string{address}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -79,7 +79,7 @@
 	updates := make(chan Update, 1)
 	transport := rpc.NewTransport()
 	defer transport.CloseIdleConnections()
-	subscriber := NewSubscriber(SubscriberOptions{Seeds: []string{address}, Self: softstate.Member{Node: "p"}, Log: quiet(), Transport: transport,
+	subscriber := NewSubscriber(SubscriberOptions{Seeds: []string{address}, Self: softstate.Member{Node: "p"}, Log: discardLogger(), Transport: transport,
 		OnUpdate: func(update Update) {
 			select {
 			case <-updates:
@@ -88,7 +88,7 @@
 			updates <- update
 		}})
 	wg.Go(func() { subscriber.Run(ctx) })
-	seq := chain.add(none())
+	seq := chain.add(noOpRecord())
 	limit := time.After(5 * time.Second)
 	for {
 		select {
@@ -164,15 +164,13 @@
 // putList has the server read the list.
 func (f *benchmarkFleet) putList(b *testing.B, version uint64) {
 	b.Helper()
-	if err := f.server.PutList(1, version, f.list, madeAgo(softstate.Age{})); err != nil {
-		b.Fatal(err)
-	}
+	putList(b, f.server, 1, version, f.list, softstate.Age{})
 }
 
 func benchmarkServer(b *testing.B, pace time.Duration, busy bool) {
 	b.Helper()
 	source := &fakeSource{fakeChain: newChain()}
-	fleet := &benchmarkFleet{server: NewServer(ServerOptions{Source: source, Self: "k", Log: quiet(),
+	fleet := &benchmarkFleet{server: NewServer(ServerOptions{Source: source, Self: "k", Log: discardLogger(),
 		Limits: ServerLimits{LoadReportInterval: pace, TableCompleteAfter: time.Millisecond}})}
 	address, bytes := serve(b, fleet.server.Handler())
 	source.addresses = []string{address}
@@ -182,12 +180,12 @@
 	for i := range benchmarkServers {
 		fleet.list = append(fleet.list, pick.Server{ID: fmt.Sprintf("i-%08x", i*7919), Service: "a", Address: "10.0.0.1:8080", Zone: "z", Slots: 64})
 	}
-	source.add(none())
+	source.add(noOpRecord())
 	fleet.putList(b, 1)
 	transport := rpc.NewTransport()
 	transport.MaxIdleConns, transport.MaxIdleConnsPerHost = 0, 2*benchmarkSubscribers
 	for n := range benchmarkSubscribers {
-		options := SubscriberOptions{Seeds: []string{address}, Self: softstate.Member{Node: fmt.Sprint("p", n), Ready: true}, Log: quiet(),
+		options := SubscriberOptions{Seeds: []string{address}, Self: softstate.Member{Node: fmt.Sprint("p", n), Ready: true}, Log: discardLogger(),
 			Transport: transport, Loads: func() map[string]pick.Load { return nil }}
 		if busy {
 			options.Loads = func() map[string]pick.Load { return fleet.loadsOf(n) }
--- a/internal/system/distribution/membership_incomplete_test.go
+++ b/internal/system/distribution/membership_incomplete_test.go
@@ -12,7 +12,7 @@
 // come, and that others may have given it up where they call it down.
 func TestUpdateReportsIncompleteMembership(t *testing.T) {
 	now := time.Now()
-	subscriber := NewSubscriber(SubscriberOptions{Log: quiet(), Self: softstate.Member{Node: "p", Incarnation: 4}})
+	subscriber := NewSubscriber(SubscriberOptions{Log: discardLogger(), Self: softstate.Member{Node: "p", Incarnation: 4}})
 	if update := subscriber.currentUpdate(now); !update.MembershipIncomplete || !update.Stale {
 		t.Errorf("at the start: %+v", update)
 	}
--- a/internal/system/distribution/mismatched_reply_test.go
+++ b/internal/system/distribution/mismatched_reply_test.go
@@ -117,7 +117,7 @@
 		transport.CloseIdleConnections()
 		wg.Wait()
 	})
-	return NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet(), Transport: transport}), scripted, listener.Addr().String()
+	return NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger(), Transport: transport}), scripted, listener.Addr().String()
 }
 
 // TestReplyReachesItsCallAlone: whatever a peer does, on fresh connections and on ones that are used again, in any order: a
--- a/internal/system/distribution/older_list_resync_test.go
+++ b/internal/system/distribution/older_list_resync_test.go
@@ -10,8 +10,8 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// pollByHand has a subscriber take in what a server would send it now.
-func pollByHand(subscriber *Subscriber, server *Server) {
+// pollManually has a subscriber take in what a server would send it now.
+func pollManually(subscriber *Subscriber, server *Server) {
 	req := subscriber.buildRequest(nil, false)
 	server.mu.Lock()
 	since := uint64(0)
@@ -33,22 +33,20 @@
 		serverA, serverB := newIdleServer(), newIdleServer()
 		serverA.markComplete()
 		serverB.markComplete()
-		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger()})
 		put := func(server *Server, version uint64, age softstate.Age, s pick.Server) {
 			t.Helper()
-			if err := server.PutList(1, version, []pick.Server{s}, madeAgo(age)); err != nil {
-				t.Fatal(err)
-			}
+			putList(t, server, 1, version, []pick.Server{s}, age)
 		}
 		put(serverA, 10, softstate.Age{}, pick.Server{ID: "x"})
-		pollByHand(subscriber, serverA)
+		pollManually(subscriber, serverA)
 		time.Sleep(200 * time.Millisecond)
 		put(serverB, 11, softstate.Age{Max: 2600 * time.Millisecond}, pick.Server{ID: "x", Draining: true})
-		pollByHand(subscriber, serverB)
+		pollManually(subscriber, serverB)
 		for version := range uint64(20) {
 			time.Sleep(500 * time.Millisecond)
 			put(serverB, 12+version, softstate.Age{}, pick.Server{ID: "x", Draining: true})
-			pollByHand(subscriber, serverB)
+			pollManually(subscriber, serverB)
 		}
 		update := subscriber.Current()
 		if len(update.Servers) != 1 || !update.Servers[0].Draining {
@@ -66,26 +64,24 @@
 		serverA, serverB := newIdleServer(), newIdleServer()
 		serverA.markComplete()
 		serverB.markComplete()
-		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger()})
 		put := func(server *Server, fence, version uint64, s pick.Server) {
 			t.Helper()
-			if err := server.PutList(fence, version, []pick.Server{s}, madeAgo(softstate.Age{Max: 20 * time.Millisecond})); err != nil {
-				t.Fatal(err)
-			}
+			putList(t, server, fence, version, []pick.Server{s}, softstate.Age{Max: 20 * time.Millisecond})
 		}
 		put(serverB, 1, 95, pick.Server{ID: "x"})
 		time.Sleep(2400 * time.Millisecond)
 		put(serverA, 1, 100, pick.Server{ID: "x", WarmUpMax: 3 * time.Second}) // it has turned cold anew
-		pollByHand(subscriber, serverA)
+		pollManually(subscriber, serverA)
 		time.Sleep(100 * time.Millisecond)
-		pollByHand(subscriber, serverB) // an older list: not taken
+		pollManually(subscriber, serverB) // an older list: not taken
 		time.Sleep(400 * time.Millisecond)
 		put(serverB, 1, 96, pick.Server{ID: "x", Draining: true})
-		pollByHand(subscriber, serverB)
+		pollManually(subscriber, serverB)
 		for version := range uint64(20) {
 			time.Sleep(500 * time.Millisecond)
 			put(serverB, 2, 1+version, pick.Server{ID: "x", Draining: true})
-			pollByHand(subscriber, serverB)
+			pollManually(subscriber, serverB)
 		}
 		update := subscriber.Current()
 		if len(update.Servers) != 1 || !update.Servers[0].Draining {
@@ -102,9 +98,7 @@
 		server := newIdleServer()
 		asked := time.Now()
 		time.Sleep(2200 * time.Millisecond)
-		if err := server.PutList(1, 8, []pick.Server{{ID: "a", WarmUpMax: 3 * time.Second}}, madeAgo(softstate.Age{Max: 20 * time.Millisecond})); err != nil {
-			t.Fatal(err)
-		}
+		putList(t, server, 1, 8, []pick.Server{{ID: "a", WarmUpMax: 3 * time.Second}}, softstate.Age{Max: 20 * time.Millisecond})
 		time.Sleep(100 * time.Millisecond)
 		_ = server.PutList(1, 7, []pick.Server{{ID: "a"}}, softstate.TimeBounds{Earliest: asked, Latest: time.Now()})
 		if got, _, _ := server.List(); len(got) != 1 || got[0].WarmUpMax < 2900*time.Millisecond {
--- a/internal/system/distribution/older_list_test.go
+++ b/internal/system/distribution/older_list_test.go
@@ -16,9 +16,7 @@
 	tb.Helper()
 	server := newIdleServer()
 	server.markComplete()
-	if err := server.PutList(1, version, servers, madeAgo(exactAge(age))); err != nil {
-		tb.Fatal(err)
-	}
+	putList(tb, server, 1, version, servers, exactAge(age))
 	items, full := server.table.ChangesSince(0)
 	return &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: softstate.EncodeEntries(time.Now(), items),
 		Soft: &distributionpb.Cursor{Boot: server.bootID, Number: server.table.LastNumber}}
@@ -28,7 +26,7 @@
 // gives what it has then.
 func moveToRejoinedNode(tb testing.TB, knobs TestingKnobs) []pick.Server {
 	tb.Helper()
-	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet(), Knobs: knobs})
+	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger(), Knobs: knobs})
 	subscriber.handleReply(time.Now(), time.Now(), subscriber.buildRequest(nil, false), completeTable(tb, 0, 990, pick.Server{ID: "a", Draining: true}, pick.Server{ID: "new"}))
 	subscriber.handleReply(time.Now(), time.Now(), subscriber.buildRequest(nil, false), completeTable(tb, 20*time.Second, 950, pick.Server{ID: "a"}, pick.Server{ID: "gone"}))
 	return subscriber.Current().Servers
@@ -48,7 +46,7 @@
 
 // TestNodesThatRestartVersionsAreAccepted: after a restart of all nodes versions begin again, so the younger reading counts.
 func TestNodesThatRestartVersionsAreAccepted(t *testing.T) {
-	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger()})
 	subscriber.handleReply(time.Now(), time.Now(), subscriber.buildRequest(nil, false), completeTable(t, 20*time.Second, 990, pick.Server{ID: "a"}))
 	subscriber.handleReply(time.Now(), time.Now(), subscriber.buildRequest(nil, false), completeTable(t, 0, 1, pick.Server{ID: "b"}))
 	if got := subscriber.Current().Servers; len(got) != 1 || got[0].ID != "b" {
@@ -61,16 +59,14 @@
 func TestEarlierReadingOfTheList(t *testing.T) {
 	server := newIdleServer()
 	cold := []pick.Server{{ID: "a", Service: "x", WarmUpMax: 3 * time.Second}}
-	if err := server.PutList(1, 7, cold, madeAgo(softstate.Age{})); err != nil {
-		t.Fatal(err)
-	}
-	if err := server.PutList(1, 7, []pick.Server{{ID: "a", Service: "x"}}, madeAgo(softstate.Age{Min: 900 * time.Millisecond, Max: time.Second})); !errors.Is(err, ErrStale) {
+	putList(t, server, 1, 7, cold, softstate.Age{})
+	if err := server.PutList(1, 7, []pick.Server{{ID: "a", Service: "x"}}, boundsOf(softstate.Age{Min: 900 * time.Millisecond, Max: time.Second})); !errors.Is(err, ErrStale) {
 		t.Errorf("a reading 900 ms older: %v", err)
 	}
 	if got, _, _ := server.List(); len(got) != 1 || got[0].WarmUpMax < 2900*time.Millisecond {
 		t.Errorf("has %+v", got)
 	}
-	if err := server.PutList(2, 1, []pick.Server{{ID: "a", Service: "x"}}, madeAgo(softstate.Age{Min: 900 * time.Millisecond, Max: time.Second})); err != nil {
+	if err := server.PutList(2, 1, []pick.Server{{ID: "a", Service: "x"}}, boundsOf(softstate.Age{Min: 900 * time.Millisecond, Max: time.Second})); err != nil {
 		t.Errorf("under a higher fence: %v", err)
 	}
 }
@@ -79,7 +75,7 @@
 // with its own until that node has learned of it.
 func TestMoveToNodeWithOlderList(t *testing.T) {
 	now := time.Now()
-	subscriber := NewSubscriber(SubscriberOptions{Log: quiet()})
+	subscriber := NewSubscriber(SubscriberOptions{Log: discardLogger()})
 	reply := func(cold time.Duration, version, least, most uint64) *distributionpb.FollowReply {
 		return &distributionpb.FollowReply{Full: true, Complete: true, Entries: []*distributionpb.Entry{
 			{Key: softstate.ListKey, Fence: 1, Version: version, AgeMs: most, LeastAgeMs: &least},
--- a/internal/system/distribution/random_faults_test.go
+++ b/internal/system/distribution/random_faults_test.go
@@ -98,7 +98,7 @@
 
 // change adds a record, and lets the older ones be compacted now and then.
 func (f *faultRun) change() {
-	f.chain.add(none())
+	f.chain.add(noOpRecord())
 	if f.rng.IntN(4) == 0 {
 		f.chain.mu.Lock()
 		defer f.chain.mu.Unlock()
@@ -139,7 +139,7 @@
 		f.list = f.list[1:]
 	}
 	if f.servers[node] != nil {
-		_ = f.servers[node].PutList(1, f.version, f.list, madeAgo(softstate.Age{}))
+		_ = f.servers[node].PutList(1, f.version, f.list, boundsOf(softstate.Age{}))
 	}
 }
 
@@ -157,11 +157,9 @@
 // checkAgreement has a last change and a last list go out, and checks that all proxies get both.
 func (f *faultRun) checkAgreement() {
 	t := f.t
-	seq := f.chain.add(none())
+	seq := f.chain.add(noOpRecord())
 	time.Sleep(9 * time.Second)
-	if err := f.servers["k1:1"].PutList(1, f.version+1, f.list, madeAgo(softstate.Age{})); err != nil {
-		t.Fatal(err)
-	}
+	putList(t, f.servers["k1:1"], 1, f.version+1, f.list, softstate.Age{})
 	time.Sleep(500 * time.Millisecond)
 	defer f.logMembersOnFailure()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -169,7 +167,7 @@
 	if err := f.servers["k1:1"].WaitAcknowledged(ctx, seq); err != nil {
 		t.Error(err)
 	}
-	within(t, 2*time.Second, "each proxy is followed once", func() bool {
+	eventually(t, 2*time.Second, "each proxy is followed once", func() bool {
 		followed := 0
 		for _, server := range f.servers {
 			followed += len(server.Subscribers())
--- a/internal/system/distribution/referral_test.go
+++ b/internal/system/distribution/referral_test.go
@@ -14,7 +14,7 @@
 func TestProxyWhoseSeedsAreAllObservers(t *testing.T) {
 	chain := newChain()
 	src := &fakeSource{fakeChain: chain}
-	server := NewServer(ServerOptions{Source: src, Self: "k", Log: quiet()})
+	server := NewServer(ServerOptions{Source: src, Self: "k", Log: discardLogger()})
 	keeper, _ := serve(t, server.Handler())
 	src.addresses = []string{keeper}
 	observer := Referral{Servers: func() []ServerLocation { return []ServerLocation{{Address: keeper, Zone: "za", Region: "r"}} }}
@@ -28,8 +28,8 @@
 	fresh := make(chan struct{}, 1)
 	transport := rpc.NewTransport()
 	defer transport.CloseIdleConnections()
-	seq := chain.add(none())
-	subscriber := NewSubscriber(SubscriberOptions{Seeds: []string{first, second}, Self: softstate.Member{Node: "p"}, Log: quiet(), Transport: transport,
+	seq := chain.add(noOpRecord())
+	subscriber := NewSubscriber(SubscriberOptions{Seeds: []string{first, second}, Self: softstate.Member{Node: "p"}, Log: discardLogger(), Transport: transport,
 		OnUpdate: func(update Update) {
 			if update.Fresh && update.State.Seq == seq {
 				signal(fresh)
@@ -46,7 +46,7 @@
 // TestReferralKeepsKnownNodes: an observer may be behind. Danger: a node that has gone is taken for one of the
 // view, or one that is of the view is forgotten.
 func TestReferralKeepsKnownNodes(t *testing.T) {
-	subscriber := NewSubscriber(SubscriberOptions{Seeds: []string{"10.0.0.1", "10.0.0.9"}, Self: softstate.Member{Node: "p"}, Log: quiet()})
+	subscriber := NewSubscriber(SubscriberOptions{Seeds: []string{"10.0.0.1", "10.0.0.9"}, Self: softstate.Member{Node: "p"}, Log: discardLogger()})
 	subscriber.mu.Lock()
 	subscriber.nodes.replace(encodeLocations(ServerLocation{"10.0.0.2", "zb", "r"}, ServerLocation{"10.0.0.9", "zc", "r"}), 0)
 	subscriber.mu.Unlock()
--- a/internal/system/distribution/reply_budget_test.go
+++ b/internal/system/distribution/reply_budget_test.go
@@ -19,8 +19,8 @@
 // bound allows, and others are asked to call again instead; small replies go out all the same.
 func TestPendingRepliesAreBounded(t *testing.T) {
 	chain := newChain()
-	server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: chain, addresses: []string{"k"}}, Self: "k", Log: quiet(), Limits: ServerLimits{MaxPendingReplyBytes: 1500 << 10}})
-	chain.add(largeConfig(t, 1<<20, rand.NewChaCha8([32]byte{5})))
+	server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: chain, addresses: []string{"k"}}, Self: "k", Log: discardLogger(), Limits: ServerLimits{MaxPendingReplyBytes: 1500 << 10}})
+	chain.add(largeConfigRecord(t, 1<<20, rand.NewChaCha8([32]byte{5})))
 	ask := func(node string, held uint64) (*distributionpb.FollowReply, func()) {
 		ctx, release := withReservation(t.Context())
 		reply, err := server.Follow(ctx, &distributionpb.FollowRequest{Member: softstate.Member{Node: node, Incarnation: 1}.ToProto(), Seq: held})
@@ -58,8 +58,8 @@
 func TestCallerThatDoesNotReadBlocksNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		chain := newChain()
-		server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: chain, addresses: []string{"k"}}, Self: "k", Log: quiet()})
-		chain.add(largeConfig(t, 4<<20, rand.NewChaCha8([32]byte{6})))
+		server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: chain, addresses: []string{"k"}}, Self: "k", Log: discardLogger()})
+		chain.add(largeConfigRecord(t, 4<<20, rand.NewChaCha8([32]byte{6})))
 		ends := make(chan net.Conn)
 		srv := &http.Server{Handler: server.Handler()}
 		go func() { _ = srv.Serve(pipes{ends}) }()
--- a/internal/system/distribution/server_list_fence_test.go
+++ b/internal/system/distribution/server_list_fence_test.go
@@ -15,7 +15,7 @@
 func TestHigherFenceWithAnOlderReading(t *testing.T) {
 	server := newIdleServer()
 	server.markComplete()
-	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger()})
 	poll := func() {
 		req := subscriber.buildRequest(nil, false)
 		items, full := server.table.ChangesSince(func() uint64 {
@@ -30,9 +30,7 @@
 	}
 	put := func(fence, version uint64, draining bool, ago time.Duration) {
 		t.Helper()
-		if err := server.PutList(fence, version, []pick.Server{{ID: "a", Service: "x", Draining: draining}}, madeAgo(exactAge(ago))); err != nil {
-			t.Fatal(err)
-		}
+		putList(t, server, fence, version, []pick.Server{{ID: "a", Service: "x", Draining: draining}}, exactAge(ago))
 	}
 	put(1, 7, false, 0) // it shows what was up to lag_ms before
 	poll()
--- a/internal/system/distribution/server_new_fence_test.go
+++ b/internal/system/distribution/server_new_fence_test.go
@@ -14,14 +14,12 @@
 // next fence has another state of a server, and none of a server that came with that reading. Danger: what it reads does not
 // differ from what it has, so it writes nothing, and the other one keeps the lost node's statement for good.
 func TestNewFenceWritesAllEntriesOnce(t *testing.T) {
-	reader, other := newIdleServer(), NewServer(ServerOptions{Source: &fakeSource{fakeChain: newChain(), addresses: []string{"a", "c"}}, Self: "c", Log: quiet()})
+	reader, other := newIdleServer(), NewServer(ServerOptions{Source: &fakeSource{fakeChain: newChain(), addresses: []string{"a", "c"}}, Self: "c", Log: discardLogger()})
 	reader.markComplete()
 	other.markComplete()
 	put := func(server *Server, fence, version uint64, servers ...pick.Server) {
 		t.Helper()
-		if err := server.PutList(fence, version, servers, madeAgo(softstate.Age{Max: 20 * time.Millisecond})); err != nil {
-			t.Fatal(err)
-		}
+		putList(t, server, fence, version, servers, softstate.Age{Max: 20 * time.Millisecond})
 	}
 	put(other, 1, 100, pick.Server{ID: "x"}, pick.Server{ID: "gone"}) // as the lost keeper told it
 	put(reader, 1, 96, pick.Server{ID: "x", Draining: true})
--- a/internal/system/distribution/server_sync_test.go
+++ b/internal/system/distribution/server_sync_test.go
@@ -12,7 +12,7 @@
 
 // newNamedServer is a server that synchronises with nobody by itself.
 func newNamedServer(name string) *Server {
-	return NewServer(ServerOptions{Source: &fakeSource{fakeChain: newChain(), addresses: []string{"a", "b"}}, Self: name, Log: quiet()})
+	return NewServer(ServerOptions{Source: &fakeSource{fakeChain: newChain(), addresses: []string{"a", "b"}}, Self: name, Log: discardLogger()})
 }
 
 // manualSync passes synchronisations from one server to another by hand.
@@ -71,9 +71,7 @@
 // putList has the sender read a list.
 func (s *manualSync) putList(tb testing.TB, version uint64, age softstate.Age, servers ...pick.Server) {
 	tb.Helper()
-	if err := s.from.PutList(1, version, servers, madeAgo(age)); err != nil {
-		tb.Fatal(err)
-	}
+	putList(tb, s.from, 1, version, servers, age)
 }
 
 // checkSend sends a message that is delayed, and checks whether it is refused as late and how old the receiver's list is then.
@@ -89,9 +87,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		manual := &manualSync{from: newNamedServer("a"), to: newNamedServer("b")}
 		manual.to.options.Knobs.DateByArrival = true
-		if err := manual.from.PutList(1, 1, []pick.Server{{ID: "s"}}, madeAgo(softstate.Age{})); err != nil {
-			t.Fatal(err)
-		}
+		putList(t, manual.from, 1, 1, []pick.Server{{ID: "s"}}, softstate.Age{})
 		if manual.send(t, 20*time.Second); listAge(manual.to) != 0 {
 			t.Errorf("control: the list is known to be %v old", listAge(manual.to))
 		}
@@ -122,12 +118,8 @@
 		cutOff, next := newNamedServer("a"), newNamedServer("b")
 		for version := uint64(1); version <= 40; version++ {
 			time.Sleep(500 * time.Millisecond)
-			if err := cutOff.PutList(3, 900+version, []pick.Server{{ID: "s"}}, madeAgo(softstate.Age{})); err != nil {
-				t.Fatal(err)
-			}
-			if err := next.PutList(4, version, []pick.Server{{ID: "s", Draining: true}, {ID: "r"}}, madeAgo(softstate.Age{})); err != nil {
-				t.Fatal(err)
-			}
+			putList(t, cutOff, 3, 900+version, []pick.Server{{ID: "s"}}, softstate.Age{})
+			putList(t, next, 4, version, []pick.Server{{ID: "s", Draining: true}, {ID: "r"}}, softstate.Age{})
 		}
 		for _, manual := range []*manualSync{{from: cutOff, to: next}, {from: next, to: cutOff}} {
 			manual.send(t, 0)
@@ -136,7 +128,7 @@
 				t.Errorf("%s has %+v", manual.to.options.Self, got)
 			}
 		}
-		if cutOff.PutList(3, 2000, nil, madeAgo(softstate.Age{})) == nil {
+		if cutOff.PutList(3, 2000, nil, boundsOf(softstate.Age{})) == nil {
 			t.Error("a reading under the old fence is taken still")
 		}
 	})
--- a/internal/system/distribution/server_test.go
+++ b/internal/system/distribution/server_test.go
@@ -12,7 +12,7 @@
 )
 
 func newIdleServer() *Server {
-	return NewServer(ServerOptions{Source: &fakeSource{fakeChain: newChain(), addresses: []string{"k"}}, Self: "k", Log: quiet()})
+	return NewServer(ServerOptions{Source: &fakeSource{fakeChain: newChain(), addresses: []string{"k"}}, Self: "k", Log: discardLogger()})
 }
 
 func TestListWritesOnlyWhatDiffers(t *testing.T) {
@@ -21,9 +21,7 @@
 	put := func(fence, version uint64, age time.Duration, want uint64) {
 		t.Helper()
 		before := server.table.LastUrgent
-		if err := server.PutList(fence, version, list, madeAgo(exactAge(age))); err != nil {
-			t.Fatal(err)
-		}
+		putList(t, server, fence, version, list, exactAge(age))
 		if server.table.LastUrgent-before > 0 != (want > 0) {
 			t.Errorf("%d urgent changes", server.table.LastUrgent-before)
 		}
@@ -40,7 +38,7 @@
 	put(2, 2, 0, 0)
 	list = list[1:]
 	put(2, 3, 0, 1)
-	if err := server.PutList(1, 99, nil, madeAgo(softstate.Age{})); !errors.Is(err, ErrStale) {
+	if err := server.PutList(1, 99, nil, boundsOf(softstate.Age{})); !errors.Is(err, ErrStale) {
 		t.Errorf("a poller that lost its lease: %v", err)
 	}
 	got, age, ok := server.List()
@@ -153,8 +151,16 @@
 	}
 }
 
-// madeAgo is when something was made that is so old now.
-func madeAgo(age softstate.Age) softstate.TimeBounds { return age.MadeBetween(time.Now()) }
+// putList has a server take in a reading of the list that has an age now.
+func putList(tb testing.TB, server *Server, fence, version uint64, servers []pick.Server, age softstate.Age) {
+	tb.Helper()
+	if err := server.PutList(fence, version, servers, boundsOf(age)); err != nil {
+		tb.Fatal(err)
+	}
+}
+
+// boundsOf is when something was made that is so old now.
+func boundsOf(age softstate.Age) softstate.TimeBounds { return age.MadeBetween(time.Now()) }
 
 // exactAge is the age of what is known to be d old.
 func exactAge(d time.Duration) softstate.Age { return softstate.Age{Min: d, Max: d} }
--- a/internal/system/distribution/slow_link_test.go
+++ b/internal/system/distribution/slow_link_test.go
@@ -15,8 +15,8 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// largeConfig is a change to a whole configuration with a service's worth of routes, of about the given number of bytes.
-func largeConfig(tb testing.TB, size int, random *rand.ChaCha8) controlstate.Record {
+// largeConfigRecord is a change to a whole configuration with a service's worth of routes, of about the given number of bytes.
+func largeConfigRecord(tb testing.TB, size int, random *rand.ChaCha8) controlstate.Record {
 	tb.Helper()
 	var b bytes.Buffer
 	b.WriteString(`{"revision":1,"services":[{"name":"s"}],"routes":[`)
@@ -69,10 +69,10 @@
 		synctest.Test(t, func(t *testing.T) {
 			fleet := newFleet("k1:1")
 			defer fleet.stop()
-			fleet.chain.add(largeConfig(t, c.size, rand.NewChaCha8([32]byte{1})))
+			fleet.chain.add(largeConfigRecord(t, c.size, rand.NewChaCha8([32]byte{1})))
 			start := time.Now()
 			proxy := fleet.startProxy("p", func(options *SubscriberOptions) { options.Transport = slowTransport{options.Transport, c.rate} })
-			within(t, 10*time.Second, fmt.Sprint(c.size, " bytes arrive"), func() bool { return proxy.update().State != nil && proxy.update().State.Seq == 1 })
+			eventually(t, 10*time.Second, fmt.Sprint(c.size, " bytes arrive"), func() bool { return proxy.update().State != nil && proxy.update().State.Seq == 1 })
 			t.Logf("%d bytes after %v", c.size, time.Since(start))
 		})
 	}
@@ -87,8 +87,8 @@
 			options.Self.Zone, options.Transport = "zone-k1:1", stallingTransport{options.Transport, "k1:1"}
 		})
 		time.Sleep(3 * time.Second)
-		seq := fleet.chain.add(largeConfig(t, 256<<10, rand.NewChaCha8([32]byte{2})))
-		within(t, 2*time.Second, "the change arrives", func() bool { return proxy.update().State.Seq == seq })
+		seq := fleet.chain.add(largeConfigRecord(t, 256<<10, rand.NewChaCha8([32]byte{2})))
+		eventually(t, 2*time.Second, "the change arrives", func() bool { return proxy.update().State.Seq == seq })
 	})
 }
 
@@ -127,13 +127,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1", "k2:1", "k3:1")
 		defer fleet.stop()
-		fleet.chain.add(largeConfig(t, 600<<10, rand.NewChaCha8([32]byte{3})))
+		fleet.chain.add(largeConfigRecord(t, 600<<10, rand.NewChaCha8([32]byte{3})))
 		time.Sleep(5 * time.Second)
 		fleet.mesh.mu.Lock()
 		before := fleet.mesh.bytes
 		fleet.mesh.mu.Unlock()
 		proxy := fleet.startProxy("p", nil)
-		within(t, 400*time.Millisecond, "it starts", func() bool { return proxy.update().State != nil && proxy.update().State.Seq == 1 })
+		eventually(t, 400*time.Millisecond, "it starts", func() bool { return proxy.update().State != nil && proxy.update().State.Seq == 1 })
 		time.Sleep(time.Second)
 		fleet.mesh.mu.Lock()
 		defer fleet.mesh.mu.Unlock()
@@ -149,7 +149,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1")
 		defer fleet.stop()
-		fleet.chain.add(largeConfig(t, 600<<10, rand.NewChaCha8([32]byte{4})))
+		fleet.chain.add(largeConfigRecord(t, 600<<10, rand.NewChaCha8([32]byte{4})))
 		fleet.startProxy("p", func(options *SubscriberOptions) { options.Transport = refusingTransport{options.Transport} })
 		time.Sleep(10 * time.Second)
 		fleet.mesh.mu.Lock()
--- a/internal/system/distribution/subscriber_delta_test.go
+++ b/internal/system/distribution/subscriber_delta_test.go
@@ -18,17 +18,15 @@
 	second.markComplete()
 	put := func(server *Server, version uint64, age softstate.Age, cold time.Duration) {
 		t.Helper()
-		if err := server.PutList(1, version, []pick.Server{{ID: "s", WarmUpMax: cold}}, madeAgo(age)); err != nil {
-			t.Fatal(err)
-		}
+		putList(t, server, 1, version, []pick.Server{{ID: "s", WarmUpMax: cold}}, age)
 	}
-	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger()})
 	put(first, 5, exactAge(300*time.Millisecond), 3*time.Second)
-	pollByHand(subscriber, first)
+	pollManually(subscriber, first)
 	asked := time.Now()
 	req := subscriber.buildRequest(nil, false)
 	put(second, 4, softstate.Age{Max: time.Second}, 0) // it is not known which of both readings is the later one
-	pollByHand(subscriber, second)
+	pollManually(subscriber, second)
 	put(first, 6, exactAge(0), 2700*time.Millisecond)
 	first.mu.Lock()
 	items, _ := first.table.ChangesSince(req.GetSoft().GetNumber())
--- a/internal/system/distribution/subscriber_history_test.go
+++ b/internal/system/distribution/subscriber_history_test.go
@@ -13,8 +13,8 @@
 // sent nor what they make of records grows with the number of changes.
 func TestSubscribersKeepNoHistory(t *testing.T) {
 	chain := newChain()
-	server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: chain, addresses: []string{"k"}}, Self: "k", Log: quiet()})
-	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+	server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: chain, addresses: []string{"k"}}, Self: "k", Log: discardLogger()})
+	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger()})
 	for i := range int64(200) {
 		body := fmt.Appendf(nil, `{"revision":%d,"routes":[],"services":[]}`, i+1)
 		seq := chain.add(controlstate.Record{Op: controlstate.OpReplace, Base: i, Body: body})
--- a/internal/system/distribution/subscriber_late_reply_test.go
+++ b/internal/system/distribution/subscriber_late_reply_test.go
@@ -15,13 +15,11 @@
 func lateReply(tb testing.TB, wait time.Duration, knobs TestingKnobs) (update Update, seq uint64) {
 	tb.Helper()
 	chain := newChain()
-	server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: chain, addresses: []string{"k"}}, Self: "k", Log: quiet()})
+	server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: chain, addresses: []string{"k"}}, Self: "k", Log: discardLogger()})
 	server.markComplete()
 	chain.add(controlstate.Record{Op: controlstate.OpEvacuate, Zone: "z"})
-	if err := server.PutList(1, 1, []pick.Server{{ID: "old"}}, madeAgo(softstate.Age{})); err != nil {
-		tb.Fatal(err)
-	}
-	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet(), Knobs: knobs})
+	putList(tb, server, 1, 1, []pick.Server{{ID: "old"}}, softstate.Age{})
+	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger(), Knobs: knobs})
 	asked := time.Now()
 	req := subscriber.buildRequest(nil, false)
 	reply, err := server.Follow(tb.Context(), req)
@@ -58,7 +56,7 @@
 	if update, _ := lateReply(t, 20*time.Second, TestingKnobs{ServeLateState: true}); update.State.Seq != 1 {
 		t.Error("control: a late state is not served either")
 	}
-	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger()})
 	subscriber.control.state = &controlstate.State{Seq: 7}
 	subscriber.handleReply(time.Now(), time.Now(), subscriber.buildRequest(nil, false), &distributionpb.FollowReply{Current: true, Newest: 7})
 	if got := subscriber.Current().State.Seq; got != 7 {
@@ -68,7 +66,7 @@
 
 // TestWaitAtTheServerIsNoAge: a poll that waited at a node for long is replied to with a proof of now.
 func TestWaitAtTheServerIsNoAge(t *testing.T) {
-	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger()})
 	asked := time.Now().Add(-3 * time.Second)
 	subscriber.handleReply(asked, time.Now(), subscriber.buildRequest(nil, false), &distributionpb.FollowReply{Current: true, CheckedMs: 2900})
 	if !subscriber.Current().Fresh {
--- a/internal/system/distribution/subscriber_list_updates_test.go
+++ b/internal/system/distribution/subscriber_list_updates_test.go
@@ -10,7 +10,7 @@
 
 // TestListUpdateNotifiesOwner: a reading of the list that changes nothing is notified at once where it is awaited, and only there.
 func TestListUpdateNotifiesOwner(t *testing.T) {
-	subscriber := NewSubscriber(SubscriberOptions{Log: quiet()})
+	subscriber := NewSubscriber(SubscriberOptions{Log: discardLogger()})
 	read := func(version uint64) bool {
 		return subscriber.soft.applyEntries(time.Now(), softstate.Age{}, &distributionpb.FollowReply{Entries: []*distributionpb.Entry{{Key: softstate.ListKey, Fence: 1, Version: version}}})
 	}
--- a/internal/system/distribution/subscriber_neighbours_test.go
+++ b/internal/system/distribution/subscriber_neighbours_test.go
@@ -18,9 +18,7 @@
 		cut, other := fleet.startProxy("cut", nil), fleet.startProxy("other", nil)
 		put := func(version uint64, s pick.Server) {
 			t.Helper()
-			if err := fleet.servers["k1:1"].PutList(1, version, []pick.Server{s}, madeAgo(exactAge(0))); err != nil {
-				t.Fatal(err)
-			}
+			putList(t, fleet.servers["k1:1"], 1, version, []pick.Server{s}, exactAge(0))
 		}
 		fleet.chain.add(controlstate.Record{Op: controlstate.OpNone})
 		put(1, pick.Server{ID: "s", Zone: "z"})
--- a/internal/system/distribution/subscriber_stale_test.go
+++ b/internal/system/distribution/subscriber_stale_test.go
@@ -11,7 +11,7 @@
 // TestBehindIsNotStale: a proxy that has contact to a current node, but does not yet have all of the control state (a large configuration on
 // a thin link), has not been given up by anybody.
 func TestBehindIsNotStale(t *testing.T) {
-	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger()})
 	now := time.Now()
 	reply := completeTable(t, 0, 1, pick.Server{ID: "a"})
 	reply.Newest = 5
--- a/internal/system/distribution/testfleet_test.go
+++ b/internal/system/distribution/testfleet_test.go
@@ -17,7 +17,7 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
-func quiet() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.DebugLevel} }
+func discardLogger() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.DebugLevel} }
 
 // mesh is an in-process network of hosts, with delay, partitions of one direction that lose messages without notice, and hosts that are gone.
 type mesh struct {
@@ -267,7 +267,7 @@
 
 func (fl *testFleet) startServer(name string) {
 	ctx, cancel := context.WithCancel(context.Background())
-	server := NewServer(ServerOptions{Source: fl.sources[name], Self: name, Zone: "zone-" + name, Region: "r", ListLag: warmUpListLag, Log: quiet(),
+	server := NewServer(ServerOptions{Source: fl.sources[name], Self: name, Zone: "zone-" + name, Region: "r", ListLag: warmUpListLag, Log: discardLogger(),
 		Knobs: fl.knobs, Transport: meshTransport{fl.mesh, name}, Peers: func() []string {
 			var out []string
 			for _, k := range fl.names {
@@ -291,7 +291,7 @@
 func (fl *testFleet) startProxy(node string, change func(*SubscriberOptions)) *testProxy {
 	ctx, cancel := context.WithCancel(context.Background())
 	proxy := &testProxy{stop: cancel}
-	opt := SubscriberOptions{Seeds: fl.names, ControlPlanePort: 1, ProxyPort: 2, Log: quiet(), Transport: meshTransport{fl.mesh, node},
+	opt := SubscriberOptions{Seeds: fl.names, ControlPlanePort: 1, ProxyPort: 2, Log: discardLogger(), Transport: meshTransport{fl.mesh, node},
 		Self: softstate.Member{Node: node, Zone: "zone-" + fl.names[rand.IntN(len(fl.names))], Region: "r", IP: node + ":2"},
 		OnUpdate: func(update Update) {
 			proxy.mu.Lock()
--- a/internal/system/distribution/warmup_bounds_test.go
+++ b/internal/system/distribution/warmup_bounds_test.go
@@ -50,7 +50,7 @@
 // lock, while another reply came. Danger: what is kept of the newer table is dated back to the older clock.
 func TestCarriedEntriesKeepTheirTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger()})
 		empty := newIdleServer() // a node that has started again, warm, with no list yet
 		empty.markComplete()
 		items, full := empty.table.ChangesSince(0)
@@ -79,16 +79,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		server := newIdleServer()
 		server.markComplete()
-		if err := server.PutList(1, 1, []pick.Server{{ID: "s", WarmUpMax: 3 * time.Second}}, madeAgo(softstate.Age{})); err != nil {
-			t.Fatal(err)
-		}
+		putList(t, server, 1, 1, []pick.Server{{ID: "s", WarmUpMax: 3 * time.Second}}, softstate.Age{})
 		time.Sleep(20 * time.Second)
 		items, full := server.table.ChangesSince(0)
 		w := softstate.EncodeEntries(time.Now(), items)
 		for _, e := range w {
 			e.LeastAgeMs = nil
 		}
-		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger()})
 		subscriber.handleReply(time.Now(), time.Now(), subscriber.buildRequest(nil, false), &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: w,
 			Soft: &distributionpb.Cursor{Boot: server.bootID, Number: server.table.LastNumber}})
 		for _, s := range subscriber.Current().Servers {
@@ -125,7 +123,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const stop = 300 * time.Millisecond
 		server := newIdleServer()
-		read := madeAgo(softstate.Age{Max: 50 * time.Millisecond})
+		read := boundsOf(softstate.Age{Max: 50 * time.Millisecond})
 		withdrawn := read.Earliest.Add(3 * time.Second)
 		time.Sleep(stop)
 		if err := server.PutList(1, 1, []pick.Server{{ID: "s", Remaining: 3 * time.Second}}, read); err != nil {
@@ -179,9 +177,7 @@
 		stated.WarmUpMax += time.Millisecond
 	}
 	before, _, _ := server.List()
-	if err := server.PutList(1, version, []pick.Server{stated}, madeAgo(softstate.AgeUpTo(time.Since(asked)))); err != nil {
-		t.Fatal(err)
-	}
+	putList(t, server, 1, version, []pick.Server{stated}, softstate.AgeUpTo(time.Since(asked)))
 	after, _, _ := server.List()
 	flapped = len(before) > 0 && before[0].WarmUpMax == 0 && after[0].WarmUpMax > 0
 	late = after[0].WarmUpMax - max(0, time.Until(end))
--- a/internal/system/distribution/warmup_fleet_serve_test.go
+++ b/internal/system/distribution/warmup_fleet_serve_test.go
@@ -64,7 +64,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	w.polls[node] = cancel
 	server := w.servers[node]
-	poller := platform.NewPoller(platform.PollerOptions{Lister: &fleetLister{fleet: w}, Newest: server.ListVersion, Log: quiet(),
+	poller := platform.NewPoller(platform.PollerOptions{Lister: &fleetLister{fleet: w}, Newest: server.ListVersion, Log: discardLogger(),
 		Ownership: func() (uint64, bool) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
--- a/internal/system/distribution/warmup_path_test.go
+++ b/internal/system/distribution/warmup_path_test.go
@@ -51,7 +51,7 @@
 	path.mesh.host("reader:1", path.reader.Handler())
 	path.mesh.host("other:1", path.sync.to.Handler())
 	for _, node := range []string{"proxy", "neighbour"} {
-		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: node}, Log: quiet(), Transport: meshTransport{path.mesh, node},
+		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: node}, Log: discardLogger(), Transport: meshTransport{path.mesh, node},
 			Knobs: TestingKnobs{NeighbourAtOnce: true}}) // the neighbour learns of nodes, and isn't to try them first
 		path.subscribers[node] = subscriber
 		path.mesh.host(node+":2", subscriber.Handler())
@@ -65,9 +65,7 @@
 // putReading has a server take in a reading of the list that was asked for at asked, and came just now.
 func putReading(tb testing.TB, server *Server, version uint64, asked time.Time, servers ...pick.Server) {
 	tb.Helper()
-	if err := server.PutList(1, version, servers, madeAgo(softstate.AgeUpTo(time.Since(asked)))); err != nil {
-		tb.Fatal(err)
-	}
+	putList(tb, server, 1, version, servers, softstate.AgeUpTo(time.Since(asked)))
 }
 
 // read has the reader ask the platform.
