--- a/internal/system/distribution/catchup/catchup_test.go
+++ b/internal/system/distribution/catchup/catchup_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestPlanCatchUp(t *testing.T) {
+func TestPlanReply(t *testing.T) {
 	const maxRecords = 64
 	for _, test := range []struct {
 		name      string
