--- a/internal/system/distribution/loadreport/vector.go
+++ b/internal/system/distribution/loadreport/vector.go
@@ -18,6 +18,16 @@
 	tokensUnit  = 256 // tokens in one unit on the wire
 )
 
+const (
+	// materialPrefill and materialTokens are the changes in tokens up to which a load counts as the same, unless it begins or ends.
+	materialPrefill = 256
+	materialTokens  = 1024
+	// maxLoad bounds a load in tokens, so that rounding does not overflow.
+	maxLoad = 1 << 40
+	// slotSlack is how many indexes beyond two for each load a vector may have until it begins anew.
+	slotSlack = 1024
+)
+
 // minorChangeDelay is how long a change that is not material may wait to be published.
 const minorChangeDelay = time.Second
 
@@ -54,7 +64,7 @@
 
 // Publish makes loads, by server id, the vector's and tells whether that made a change. Loads are rounded up to units.
 func (v *Vector) Publish(now time.Time, loads map[string]pick.Load) bool {
-	if len(v.slots) > 2*len(loads)+1024 {
+	if len(v.slots) > 2*len(loads)+slotSlack {
 		// Most indexes are of servers long gone.
 		*v = *NewVector(v.exact)
 	}
@@ -133,13 +143,14 @@
 
 // roundUpToUnits rounds a load up to complete units.
 func roundUpToUnits(load pick.Load) pick.Load {
-	up := func(n, unit int64) int64 { return (max(0, min(n, 1<<40)) + unit - 1) / unit * unit }
+	up := func(n, unit int64) int64 { return (max(0, min(n, maxLoad)) + unit - 1) / unit * unit }
 	return pick.Load{Requests: max(0, load.Requests), Prefill: up(load.Prefill, prefillUnit), Tokens: up(load.Tokens, tokensUnit)}
 }
 
 // isMaterial tells whether a load differs by so much that it is to be published at once.
 func isMaterial(old, now pick.Load) bool {
-	return differs(int64(old.Requests), int64(now.Requests), 0) || differs(old.Prefill, now.Prefill, 256) || differs(old.Tokens, now.Tokens, 1024)
+	return differs(int64(old.Requests), int64(now.Requests), 0) || differs(old.Prefill, now.Prefill, materialPrefill) ||
+		differs(old.Tokens, now.Tokens, materialTokens)
 }
 
 // differs tells whether two numbers are apart by more than an eighth and more than atLeast, or just one of them is 0.
--- a/internal/system/distribution/server_peers.go
+++ b/internal/system/distribution/server_peers.go
@@ -15,6 +15,8 @@
 	orphanTimeout = 2500 * time.Millisecond
 	// maxPeers bounds the control-plane nodes remembered.
 	maxPeers = 64
+	// maxPeerSubscribers bounds how many subscribers a peer may state.
+	maxPeerSubscribers = 1 << 16
 )
 
 // peer is another control-plane node.
@@ -125,7 +127,7 @@
 func (s *peerSet) subscribers() int {
 	count := 0
 	for _, p := range s.byAddress {
-		count += int(min(p.subscriberCount, 1<<16))
+		count += int(min(p.subscriberCount, maxPeerSubscribers))
 	}
 	return count
 }
--- a/internal/system/distribution/server_state.go
+++ b/internal/system/distribution/server_state.go
@@ -25,8 +25,8 @@
 	deflated bool
 }
 
-// make replaces the snapshot by one of the state. The caller holds mu.
-func (c *snapshotCache) make(state *controlstate.State) {
+// replace replaces the snapshot by one of the state. The caller holds mu.
+func (c *snapshotCache) replace(state *controlstate.State) {
 	c.encoded, c.deflated = rpc.Compress(state.WithoutHistory().Encode()) // subscribers evaluate no changes
 	c.seq, c.madeAt, c.count = state.Seq, time.Now(), c.count+1
 }
@@ -105,7 +105,7 @@
 	available.CachedSnapshotUsable = cache.seq > 0 && (fit || time.Since(cache.madeAt) < snapshotTTL)
 	available.Known = false
 	if catchup.PlanReply(after, available, s.limits.MaxRecordsPerReply) == catchup.NewSnapshot {
-		cache.make(state)
+		cache.replace(state)
 		records, fit = nil, false
 	}
 	reply.Snapshot, reply.SnapshotDeflated = cache.encoded, cache.deflated
--- a/internal/system/distribution/softstate/table.go
+++ b/internal/system/distribution/softstate/table.go
@@ -12,6 +12,8 @@
 	// tombstoneTTL is how long deletions are remembered: much longer than any node goes without contact to another while both serve
 	// proxies.
 	tombstoneTTL = 60 * time.Second
+	// compactionSlack is how many changes beyond two for each entry the log may have until it is compacted.
+	compactionSlack = 1024
 	// hintTTL is how long a hint counts.
 	hintTTL = 30 * time.Second
 )
@@ -68,7 +70,7 @@
 	t.entries[e.Key] = stored
 	t.updateSorted(e.Key, former, stored)
 	t.log = append(t.log, change{t.LastNumber, e.Key})
-	if len(t.log) > 2*len(t.entries)+1024 {
+	if len(t.log) > 2*len(t.entries)+compactionSlack {
 		t.compact()
 	}
 	return true
--- a/internal/system/distribution/subscriber_soft_state.go
+++ b/internal/system/distribution/subscriber_soft_state.go
@@ -15,7 +15,7 @@
 // softReplica is a proxy's replica of the soft state. The subscriber's mu guards it.
 type softReplica struct {
 	table              *softstate.Table
-	cursor             softstate.Cursor // in the table of the node that was last heard
+	cursor             softstate.Cursor // in the table of the node that replied last
 	unconfirmed        map[string]bool  // keys of the list that no node has sent since all lost their tables
 	membershipComplete bool             // a table that lacks no live proxy has been merged
 	skippedOldList     bool             // a list was not merged, as it looked older than the stored one: a complete table is to be sent again
