--- a/internal/system/distribution/referral_test.go
+++ b/internal/system/distribution/referral_test.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// TestProxyWhoseSeedsAreAllObservers starts a follower that is told of observers only. Danger: they answer that they feed
-// nothing, and it never learns of a keeper.
+// TestProxyWhoseSeedsAreAllObservers starts a subscriber that is notified of observers only. Danger: they reply that they serve
+// nothing, and it never learns of a node.
 func TestProxyWhoseSeedsAreAllObservers(t *testing.T) {
 	chain := newChain()
 	src := &fakeSource{fakeChain: chain}
-	server := NewServer(ServerOptions{Source: src, Self: "k", Log: quiet()})
+	server := NewServer(ServerOptions{Source: src, Self: "k", Log: discardLogger()})
 	keeper, _ := serve(t, server.Handler())
 	src.addresses = []string{keeper}
 	observer := Referral{Servers: func() []ServerLocation { return []ServerLocation{{Address: keeper, Zone: "za", Region: "r"}} }}
@@ -28,8 +28,8 @@
 	fresh := make(chan struct{}, 1)
 	transport := rpc.NewTransport()
 	defer transport.CloseIdleConnections()
-	seq := chain.add(none())
-	subscriber := NewSubscriber(SubscriberOptions{Seeds: []string{first, second}, Self: softstate.Member{Node: "p"}, Log: quiet(), Transport: transport,
+	seq := chain.add(noOpRecord())
+	subscriber := NewSubscriber(SubscriberOptions{Seeds: []string{first, second}, Self: softstate.Member{Node: "p"}, Log: discardLogger(), Transport: transport,
 		OnUpdate: func(update Update) {
 			if update.Fresh && update.State.Seq == seq {
 				signal(fresh)
@@ -39,14 +39,14 @@
 	select {
 	case <-fresh:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the proxy holds nothing")
+		t.Fatal("the proxy has nothing")
 	}
 }
 
-// TestReferralKeepsKnownNodes: an observer may be behind. Danger: a keeper that has gone is taken for one of the
+// TestReferralKeepsKnownNodes: an observer may be behind. Danger: a node that has gone is taken for one of the
 // view, or one that is of the view is forgotten.
 func TestReferralKeepsKnownNodes(t *testing.T) {
-	subscriber := NewSubscriber(SubscriberOptions{Seeds: []string{"10.0.0.1", "10.0.0.9"}, Self: softstate.Member{Node: "p"}, Log: quiet()})
+	subscriber := NewSubscriber(SubscriberOptions{Seeds: []string{"10.0.0.1", "10.0.0.9"}, Self: softstate.Member{Node: "p"}, Log: discardLogger()})
 	subscriber.mu.Lock()
 	subscriber.nodes.replace(encodeLocations(ServerLocation{"10.0.0.2", "zb", "r"}, ServerLocation{"10.0.0.9", "zc", "r"}), 0)
 	subscriber.mu.Unlock()
@@ -62,6 +62,6 @@
 		}
 	}
 	if len(subscriber.nodes.byAddress) != len(want) {
-		t.Errorf("%d keepers are known, want %d", len(subscriber.nodes.byAddress), len(want))
+		t.Errorf("%d nodes are known, want %d", len(subscriber.nodes.byAddress), len(want))
 	}
 }
--- a/internal/system/distribution/subscriber_history_test.go
+++ b/internal/system/distribution/subscriber_history_test.go
@@ -9,12 +9,12 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
-// Keepers remember thousands of changes to know them again. Proxies judge no changes: neither the snapshots that they are
+// Nodes remember thousands of changes to know them again. Proxies judge no changes: neither the snapshots that they are
 // sent nor what they make of records grows with the number of changes.
 func TestSubscribersKeepNoHistory(t *testing.T) {
 	chain := newChain()
-	server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: chain, addresses: []string{"k"}}, Self: "k", Log: quiet()})
-	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: quiet()})
+	server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: chain, addresses: []string{"k"}}, Self: "k", Log: discardLogger()})
+	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger()})
 	for i := range int64(200) {
 		body := fmt.Appendf(nil, `{"revision":%d,"routes":[],"services":[]}`, i+1)
 		seq := chain.add(controlstate.Record{Op: controlstate.OpReplace, Base: i, Body: body})
@@ -38,6 +38,6 @@
 		}
 	}
 	if len(state.Encode()) < 16*200 {
-		t.Errorf("the keeper's state has %d bytes: it remembers nothing", len(state.Encode()))
+		t.Errorf("the node's state has %d bytes: it remembers nothing", len(state.Encode()))
 	}
 }
--- a/internal/system/distribution/testfleet_test.go
+++ b/internal/system/distribution/testfleet_test.go
@@ -17,9 +17,9 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
-func quiet() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.DebugLevel} }
+func discardLogger() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.DebugLevel} }
 
-// mesh is an in-process network of hosts, with delay, silent cuts of one direction, and hosts that are gone.
+// mesh is an in-process network of hosts, with delay, partitions of one direction that lose messages without notice, and hosts that are gone.
 type mesh struct {
 	mu          sync.Mutex
 	hosts       map[string]http.Handler
@@ -52,7 +52,7 @@
 	m.partitioned[[2]string{from, to}] = cut
 }
 
-// holdBack keeps back the messages of one direction, as a cut does over which a connection lives on, or hands them over.
+// holdBack keeps back the messages of one direction, as a partition does over which a connection lives on, or hands them over.
 func (m *mesh) holdBack(from, to string, on bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -186,7 +186,7 @@
 	return uint64(len(c.records))
 }
 
-// fakeSource is one keeper's sight of the chain.
+// fakeSource is one node's sight of the chain.
 type fakeSource struct {
 	*fakeChain
 	addresses []string
@@ -230,12 +230,12 @@
 
 func (s *fakeSource) Addresses() []string { return s.addresses }
 
-// testFleet is some hubs and followers on a mesh.
+// testFleet is some servers and subscribers on a mesh.
 type testFleet struct {
 	knobs      TestingKnobs
 	mesh       *mesh
 	chain      *fakeChain
-	names      []string // of keepers
+	names      []string // of nodes
 	sources    map[string]*fakeSource
 	servers    map[string]*Server
 	stopServer map[string]context.CancelFunc
@@ -252,14 +252,14 @@
 	wentBack   bool // it went back
 }
 
-func newFleet(keepers ...string) *testFleet { return newFleetWithKnobs(TestingKnobs{}, keepers...) }
+func newFleet(nodes ...string) *testFleet { return newFleetWithKnobs(TestingKnobs{}, nodes...) }
 
-// newFleetWithKnobs is a fleet whose hubs lack a protection.
-func newFleetWithKnobs(knobs TestingKnobs, keepers ...string) *testFleet {
-	fleet := &testFleet{knobs: knobs, mesh: newMesh(), chain: newChain(), names: keepers, sources: map[string]*fakeSource{}, servers: map[string]*Server{},
+// newFleetWithKnobs is a fleet whose servers lack a protection.
+func newFleetWithKnobs(knobs TestingKnobs, nodes ...string) *testFleet {
+	fleet := &testFleet{knobs: knobs, mesh: newMesh(), chain: newChain(), names: nodes, sources: map[string]*fakeSource{}, servers: map[string]*Server{},
 		stopServer: map[string]context.CancelFunc{}, proxies: map[string]*testProxy{}}
-	for _, k := range keepers {
-		fleet.sources[k] = &fakeSource{fakeChain: fleet.chain, addresses: keepers}
+	for _, k := range nodes {
+		fleet.sources[k] = &fakeSource{fakeChain: fleet.chain, addresses: nodes}
 		fleet.startServer(k)
 	}
 	return fleet
@@ -267,7 +267,7 @@
 
 func (fl *testFleet) startServer(name string) {
 	ctx, cancel := context.WithCancel(context.Background())
-	server := NewServer(ServerOptions{Source: fl.sources[name], Self: name, Zone: "zone-" + name, Region: "r", ListLag: warmUpListLag, Log: quiet(),
+	server := NewServer(ServerOptions{Source: fl.sources[name], Self: name, Zone: "zone-" + name, Region: "r", ListLag: warmUpListLag, Log: discardLogger(),
 		Knobs: fl.knobs, Transport: meshTransport{fl.mesh, name}, Peers: func() []string {
 			var out []string
 			for _, k := range fl.names {
@@ -291,7 +291,7 @@
 func (fl *testFleet) startProxy(node string, change func(*SubscriberOptions)) *testProxy {
 	ctx, cancel := context.WithCancel(context.Background())
 	proxy := &testProxy{stop: cancel}
-	opt := SubscriberOptions{Seeds: fl.names, ControlPlanePort: 1, ProxyPort: 2, Log: quiet(), Transport: meshTransport{fl.mesh, node},
+	opt := SubscriberOptions{Seeds: fl.names, ControlPlanePort: 1, ProxyPort: 2, Log: discardLogger(), Transport: meshTransport{fl.mesh, node},
 		Self: softstate.Member{Node: node, Zone: "zone-" + fl.names[rand.IntN(len(fl.names))], Region: "r", IP: node + ":2"},
 		OnUpdate: func(update Update) {
 			proxy.mu.Lock()
