--- a/internal/system/admin/client.go
+++ b/internal/system/admin/client.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	maxStatus   = 8 << 20         // bytes of a status
-	maxBackup   = 64 << 20        // bytes of a backup
-	statusWait  = 2 * time.Second // for one answer
-	backupWait  = 30 * time.Second
-	pathStatus  = "/status"
-	pathBackup  = "/backup"
-	errorExcept = 300 // bytes of a refusal that are shown
+	maxStatusBytes      = 8 << 20         // bytes of a status
+	maxBackupBytes      = 64 << 20        // bytes of a backup
+	statusTimeout       = 2 * time.Second // for one answer
+	backupTimeout       = 30 * time.Second
+	statusPath          = "/status"
+	backupPath          = "/backup"
+	maxQuotedErrorBytes = 300 // bytes of a refusal that are shown
 )
 
 // Client asks keepers and proxies. The zero Client is ready. It may be used by several goroutines.
@@ -28,62 +28,62 @@
 
 // NodeStatus asks the keeper with the control address for its status. Errors are marked ErrUnreachable.
 func (c *Client) NodeStatus(ctx context.Context, address string) (*NodeStatus, error) {
-	s := &NodeStatus{}
-	return s, c.status(ctx, address, s, &s.Version)
+	status := &NodeStatus{}
+	return status, c.fetchStatus(ctx, address, status, &status.Version)
 }
 
 // ProxyStatus asks the proxy with the inner address for its status. Errors are marked ErrUnreachable.
 func (c *Client) ProxyStatus(ctx context.Context, address string) (*ProxyStatus, error) {
-	s := &ProxyStatus{}
-	return s, c.status(ctx, address, s, &s.Version)
+	status := &ProxyStatus{}
+	return status, c.fetchStatus(ctx, address, status, &status.Version)
 }
 
-func (c *Client) status(ctx context.Context, address string, into any, version *int) error {
-	ctx, cancel := context.WithTimeout(ctx, statusWait)
+func (c *Client) fetchStatus(ctx context.Context, address string, into any, version *int) error {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	data, err := c.get(ctx, address, pathStatus, maxStatus)
+	data, err := c.get(ctx, address, statusPath, maxStatusBytes)
 	if err != nil {
 		return err
 	}
 	if err := json.Unmarshal(data, into); err != nil {
-		return unreached(err, "%s answers no status: check that the address is the control address of a keeper, or the inner one of a proxy", address)
+		return unreachableError(err, "%s answers no status: check that the address is the control address of a keeper, or the inner one of a proxy", address)
 	}
 	if *version > Version {
-		return unreached(nil, "%s answers a status of version %d, known here are those up to %d: run a newer gradeusher", address, *version, Version)
+		return unreachableError(nil, "%s answers a status of version %d, known here are those up to %d: run a newer gradeusher", address, *version, Version)
 	}
 	return nil
 }
 
 // get fetches at most that many bytes.
-func (c *Client) get(ctx context.Context, address, path string, most int64) ([]byte, error) {
+func (c *Client) get(ctx context.Context, address, path string, maxBytes int64) ([]byte, error) {
 	if _, _, err := net.SplitHostPort(address); err != nil {
-		return nil, unreached(err, "%q is no address: give IP:PORT", address)
+		return nil, unreachableError(err, "%q is no address: give IP:PORT", address)
 	}
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
-		return nil, unreached(err, "%q is no address: give IP:PORT", address)
+		return nil, unreachableError(err, "%q is no address: give IP:PORT", address)
 	}
 	client := http.Client{Transport: c.Transport, CheckRedirect: func(*http.Request, []*http.Request) error {
 		return http.ErrUseLastResponse // another process's answer is not that of the one asked
 	}}
-	answer, err := client.Do(r)
+	response, err := client.Do(request)
 	if err != nil {
-		return nil, unreached(err, "%s does not answer: check that it runs and can be reached from here", address)
+		return nil, unreachableError(err, "%s does not answer: check that it runs and can be reached from here", address)
 	}
-	defer func() { _ = answer.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(answer.Body, most+1))
+	defer func() { _ = response.Body.Close() }()
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxBytes+1))
 	switch {
 	case err != nil:
-		return nil, unreached(err, "the answer of %s broke off: ask again", address)
-	case answer.StatusCode != http.StatusOK:
-		return nil, unreached(nil, "%s answers %s to %s: %s", address, answer.Status, path, data[:min(len(data), errorExcept)])
-	case int64(len(data)) > most:
-		return nil, unreached(nil, "the answer of %s is longer than %d bytes: check that the address is right", address, most)
+		return nil, unreachableError(err, "the answer of %s broke off: ask again", address)
+	case response.StatusCode != http.StatusOK:
+		return nil, unreachableError(nil, "%s answers %s to %s: %s", address, response.Status, path, data[:min(len(data), maxQuotedErrorBytes)])
+	case int64(len(data)) > maxBytes:
+		return nil, unreachableError(nil, "the answer of %s is longer than %d bytes: check that the address is right", address, maxBytes)
 	}
 	return data, nil
 }
 
-func unreached(err error, format string, args ...any) error {
+func unreachableError(err error, format string, args ...any) error {
 	if err == nil {
 		return errors.Mark(errors.Newf(format, args...), ErrUnreachable)
 	}
--- a/internal/system/admin/fleet.go
+++ b/internal/system/admin/fleet.go
@@ -47,19 +47,19 @@
 // Fleet asks the keepers with the control addresses, and those others of the view that they name, at the port of the first
 // address. Who does not answer is told in Fleet.Keepers. It fails only when none answers, marked ErrUnreachable.
 func (c *Client) Fleet(ctx context.Context, addresses []string) (*Fleet, error) {
-	answers := c.ask(ctx, addresses)
-	if more := others(answers); len(more) > 0 {
-		answers = append(answers, c.ask(ctx, more)...)
+	answers := c.askNodes(ctx, addresses)
+	if more := unaskedVoters(answers); len(more) > 0 {
+		answers = append(answers, c.askNodes(ctx, more)...)
 	}
 	slices.SortFunc(answers, func(a, b NodeAnswer) int { return cmp.Compare(a.Address, b.Address) })
-	f := merge(answers)
+	fleet := mergeAnswers(answers)
 	if !slices.ContainsFunc(answers, func(a NodeAnswer) bool { return a.Status != nil }) {
-		return f, unreached(nil, "no keeper answers; the first says: %s", answers[0].Error)
+		return fleet, unreachableError(nil, "no keeper answers; the first says: %s", answers[0].Error)
 	}
-	return f, nil
+	return fleet, nil
 }
 
-func (c *Client) ask(ctx context.Context, addresses []string) []NodeAnswer {
+func (c *Client) askNodes(ctx context.Context, addresses []string) []NodeAnswer {
 	answers := make([]NodeAnswer, len(addresses))
 	var wg sync.WaitGroup
 	for i, address := range addresses {
@@ -77,8 +77,8 @@
 	return answers
 }
 
-// others are the control addresses of the view's voters that were not asked.
-func others(answers []NodeAnswer) []string {
+// unaskedVoters are the control addresses of the view's voters that were not asked.
+func unaskedVoters(answers []NodeAnswer) []string {
 	if len(answers) == 0 {
 		return nil
 	}
@@ -89,7 +89,7 @@
 	}
 	_, port, _ := net.SplitHostPort(answers[0].Address)
 	var more []string
-	for _, v := range merge(answers).Voters {
+	for _, v := range mergeAnswers(answers).Voters {
 		if !asked[v.Address] {
 			asked[v.Address] = true
 			more = append(more, net.JoinHostPort(v.Address, port))
@@ -98,58 +98,58 @@
 	return more
 }
 
-func merge(answers []NodeAnswer) *Fleet {
-	f := &Fleet{Version: Version, Chain: []string{}, Voters: []Voter{}, Evacuated: []string{}, Nodes: answers, Proxies: []Subscriber{},
+func mergeAnswers(answers []NodeAnswer) *Fleet {
+	fleet := &Fleet{Version: Version, Chain: []string{}, Voters: []Voter{}, Evacuated: []string{}, Nodes: answers, Proxies: []Subscriber{},
 		Roles: []SingletonRole{}, Unseen: []string{}}
-	follows := map[string]Subscriber{}
+	subscribers := map[string]Subscriber{}
 	live := map[string]bool{}
-	viewed, held := false, false
-	var duty SingletonRole
+	hasEpoch, hasRecord := false, false
+	var listRole SingletonRole
 	for _, a := range answers {
-		s := a.Status
-		if s == nil {
+		status := a.Status
+		if status == nil {
 			continue
 		}
-		if !viewed || s.Epoch > f.Epoch {
-			viewed = true
-			f.Epoch, f.Chain, f.Voters = s.Epoch, s.Chain, s.Voters
-			duty = SingletonRole{Name: "list", Holder: s.ListOwner}
+		if !hasEpoch || status.Epoch > fleet.Epoch {
+			hasEpoch = true
+			fleet.Epoch, fleet.Chain, fleet.Voters = status.Epoch, status.Chain, status.Voters
+			listRole = SingletonRole{Name: "list", Holder: status.ListOwner}
 		}
-		if !held || s.Number > f.Number {
-			held = true
-			f.Number, f.Revision, f.Evacuated = s.Number, s.Revision, slices.Sorted(slices.Values(s.Evacuated))
+		if !hasRecord || status.Number > fleet.Number {
+			hasRecord = true
+			fleet.Number, fleet.Revision, fleet.Evacuated = status.Number, status.Revision, slices.Sorted(slices.Values(status.Evacuated))
 		}
-		for _, p := range s.Proxies {
+		for _, p := range status.Proxies {
 			// A proxy that has moved may still be on its former keeper's list.
-			if old, ok := follows[p.Node]; !ok || p.SinceLastCallMS < old.SinceLastCallMS || p.SinceLastCallMS == old.SinceLastCallMS && p.Acknowledged > old.Acknowledged {
-				follows[p.Node] = Subscriber{ProxyProgress: p, Server: s.Node}
+			if old, ok := subscribers[p.Node]; !ok || p.SinceLastCallMS < old.SinceLastCallMS || p.SinceLastCallMS == old.SinceLastCallMS && p.Acknowledged > old.Acknowledged {
+				subscribers[p.Node] = Subscriber{ProxyProgress: p, Server: status.Node}
 			}
 		}
-		if s.Current {
-			for _, m := range s.Members {
+		if status.Current {
+			for _, m := range status.Members {
 				live[m] = true
 			}
 		}
 	}
-	f.Capacity = capacity(answers, f.Epoch)
-	if viewed {
-		f.Roles = append(f.Roles, duty)
+	fleet.Capacity = chooseCapacity(answers, fleet.Epoch)
+	if hasEpoch {
+		fleet.Roles = append(fleet.Roles, listRole)
 	}
-	for node, p := range follows {
-		f.Proxies = append(f.Proxies, p)
+	for node, p := range subscribers {
+		fleet.Proxies = append(fleet.Proxies, p)
 		delete(live, node)
 	}
-	slices.SortFunc(f.Proxies, func(a, b Subscriber) int { return cmp.Compare(a.Node, b.Node) })
+	slices.SortFunc(fleet.Proxies, func(a, b Subscriber) int { return cmp.Compare(a.Node, b.Node) })
 	for node := range live {
-		f.Unseen = append(f.Unseen, node)
+		fleet.Unseen = append(fleet.Unseen, node)
 	}
-	slices.Sort(f.Unseen)
-	return f
+	slices.Sort(fleet.Unseen)
+	return fleet
 }
 
-// capacity is the first that a current keeper of the epoch tells, one with a disk before observers: it hears the others
+// chooseCapacity is the first that a current keeper of the epoch tells, one with a disk before observers: it hears the others
 // more often.
-func capacity(answers []NodeAnswer, epoch uint64) *Capacity {
+func chooseCapacity(answers []NodeAnswer, epoch uint64) *Capacity {
 	var observed *Capacity
 	for _, a := range answers {
 		switch s := a.Status; {
--- a/internal/system/admin/handler.go
+++ b/internal/system/admin/handler.go
@@ -11,21 +11,21 @@
 
 // ProxyHandler answers GET /status with what status gives, as JSON: a ProxyStatus. Mount it on the inner address.
 func ProxyHandler(status func() any) http.Handler {
-	return reading(func(w http.ResponseWriter, _ *http.Request) {
+	return allowOnlyReads(func(w http.ResponseWriter, _ *http.Request) {
 		data, err := json.Marshal(status())
 		if err != nil {
 			http.Error(w, "the status cannot be written as JSON: report it", http.StatusInternalServerError)
 			return
 		}
-		write(w, "application/json", data)
+		writeBody(w, "application/json", data)
 	})
 }
 
 // BackupHandler answers GET /backup with the encoding of the state that read gives, which has to hold all that was
 // acknowledged before the call. Mount it on a keeper's control address.
 func BackupHandler(read func(ctx context.Context) (*controlstate.State, error)) http.Handler {
-	return reading(func(w http.ResponseWriter, r *http.Request) {
-		ctx, cancel := context.WithTimeout(r.Context(), statusWait)
+	return allowOnlyReads(func(w http.ResponseWriter, r *http.Request) {
+		ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
 		defer cancel()
 		s, err := read(ctx)
 		if err != nil || s == nil {
@@ -33,12 +33,12 @@
 			http.Error(w, "the newest state could not be confirmed in time: ask again, or another keeper", http.StatusServiceUnavailable)
 			return
 		}
-		write(w, "application/octet-stream", s.Encode())
+		writeBody(w, "application/octet-stream", s.Encode())
 	})
 }
 
-// reading lets only reads through.
-func reading(next http.HandlerFunc) http.Handler {
+// allowOnlyReads lets only reads through.
+func allowOnlyReads(next http.HandlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodGet && r.Method != http.MethodHead {
 			w.Header().Set("Allow", "GET, HEAD")
@@ -49,7 +49,7 @@
 	})
 }
 
-func write(w http.ResponseWriter, kind string, data []byte) {
+func writeBody(w http.ResponseWriter, kind string, data []byte) {
 	w.Header().Set("Content-Type", kind)
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	w.Header().Set("Cache-Control", "no-store")
--- a/internal/system/admin/status_test.go
+++ b/internal/system/admin/status_test.go
@@ -30,11 +30,11 @@
 	return w.Result(), nil
 }
 
-// keeperAt answers like a keeper.
-func keeperAt(s NodeStatus) http.Handler {
-	return reading(func(w http.ResponseWriter, r *http.Request) {
+// nodeHandler answers like a keeper.
+func nodeHandler(s NodeStatus) http.Handler {
+	return allowOnlyReads(func(w http.ResponseWriter, r *http.Request) {
 		data, _ := json.Marshal(s)
-		write(w, "application/json", data)
+		writeBody(w, "application/json", data)
 	})
 }
 
@@ -54,66 +54,66 @@
 	}
 }
 
-func netOf(all map[string]NodeStatus) *network {
+func networkOf(all map[string]NodeStatus) *network {
 	n := &network{hosts: map[string]http.Handler{}}
 	for host, s := range all {
-		n.hosts[host] = keeperAt(s)
+		n.hosts[host] = nodeHandler(s)
 	}
 	return n
 }
 
-func TestFleetFindsTheOthers(t *testing.T) {
-	c := Client{Transport: netOf(fleetOf())}
-	f, err := c.Fleet(context.Background(), []string{"10.0.0.1:8166"})
+func TestFleetAsksAllVoters(t *testing.T) {
+	c := Client{Transport: networkOf(fleetOf())}
+	fleet, err := c.Fleet(context.Background(), []string{"10.0.0.1:8166"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Epoch != 4 || !slices.Equal(f.Chain, []string{"10.0.0.2", "10.0.0.1"}) || f.Number != 9 || f.Revision != 7 ||
-		!slices.Equal(f.Evacuated, []string{"x", "y"}) || !f.Current() {
-		t.Errorf("%+v", f)
+	if fleet.Epoch != 4 || !slices.Equal(fleet.Chain, []string{"10.0.0.2", "10.0.0.1"}) || fleet.Number != 9 || fleet.Revision != 7 ||
+		!slices.Equal(fleet.Evacuated, []string{"x", "y"}) || !fleet.Current() {
+		t.Errorf("%+v", fleet)
 	}
-	var keepers []string
-	for _, a := range f.Nodes {
-		keepers = append(keepers, a.Address+" "+a.Status.Node)
+	var nodes []string
+	for _, a := range fleet.Nodes {
+		nodes = append(nodes, a.Address+" "+a.Status.Node)
 	}
-	if got := strings.Join(keepers, ", "); got != "10.0.0.1:8166 one, 10.0.0.2:8166 two, 10.0.0.3:8166 three" {
+	if got := strings.Join(nodes, ", "); got != "10.0.0.1:8166 one, 10.0.0.2:8166 two, 10.0.0.3:8166 three" {
 		t.Error(got)
 	}
 	want := []Subscriber{{ProxyProgress{"a", 9, 0}, "one"}, {ProxyProgress{"b", 9, 0}, "two"}, {ProxyProgress{"c", 8, 10}, "two"}}
-	if !slices.Equal(f.Proxies, want) || !slices.Equal(f.Unseen, []string{"d"}) || !slices.Equal(f.Roles, []SingletonRole{{"list", "10.0.0.2"}}) {
-		t.Errorf("%+v %v %v", f.Proxies, f.Unseen, f.Roles)
+	if !slices.Equal(fleet.Proxies, want) || !slices.Equal(fleet.Unseen, []string{"d"}) || !slices.Equal(fleet.Roles, []SingletonRole{{"list", "10.0.0.2"}}) {
+		t.Errorf("%+v %v %v", fleet.Proxies, fleet.Unseen, fleet.Roles)
 	}
 }
 
 // TestFleetCapacity: one keeper's word counts: of the newest epoch, current, and with a disk before observers.
 func TestFleetCapacity(t *testing.T) {
-	told := func(epoch uint64, current, observer bool, voters int) NodeAnswer {
+	answerWith := func(epoch uint64, current, observer bool, voters int) NodeAnswer {
 		return NodeAnswer{Status: &NodeStatus{Epoch: epoch, Current: current, Observer: observer, Capacity: &Capacity{Voters: voters}}}
 	}
 	old := NodeAnswer{Status: &NodeStatus{Epoch: 4, Current: true}}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		answers []NodeAnswer
 		voters  int // 0: no capacity
 	}{
 		{[]NodeAnswer{{}, old}, 0},
-		{[]NodeAnswer{told(4, false, false, 1)}, 0},
-		{[]NodeAnswer{told(3, true, false, 1), told(4, true, true, 2)}, 2},
-		{[]NodeAnswer{told(4, true, true, 1), old, told(4, true, false, 2)}, 2},
+		{[]NodeAnswer{answerWith(4, false, false, 1)}, 0},
+		{[]NodeAnswer{answerWith(3, true, false, 1), answerWith(4, true, true, 2)}, 2},
+		{[]NodeAnswer{answerWith(4, true, true, 1), old, answerWith(4, true, false, 2)}, 2},
 	} {
 		have := 0
-		if f := merge(c.answers); f.Capacity != nil {
+		if f := mergeAnswers(test.answers); f.Capacity != nil {
 			have = f.Capacity.Voters
 		}
-		if have != c.voters {
-			t.Errorf("%d voters, want %d", have, c.voters)
+		if have != test.voters {
+			t.Errorf("%d voters, want %d", have, test.voters)
 		}
 	}
 }
 
-func TestFleetTellsWhoIsSilent(t *testing.T) {
+func TestFleetNamesUnreachableNodes(t *testing.T) {
 	all := fleetOf()
 	delete(all, "10.0.0.2")
-	c := Client{Transport: netOf(all)}
+	c := Client{Transport: networkOf(all)}
 	f, err := c.Fleet(context.Background(), []string{"10.0.0.3:1", "10.0.0.1:1"})
 	if err != nil {
 		t.Fatal(err)
@@ -126,13 +126,13 @@
 	}
 }
 
-func TestAnswersThatAreNoStatus(t *testing.T) {
+func TestMalformedStatus(t *testing.T) {
 	n := &network{hosts: map[string]http.Handler{
 		"text":  http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("hello")) }),
 		"503":   http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "later", http.StatusServiceUnavailable) }),
-		"newer": keeperAt(NodeStatus{Version: Version + 1}),
+		"newer": nodeHandler(NodeStatus{Version: Version + 1}),
 		"long": http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			_, _ = w.Write(make([]byte, maxStatus+1))
+			_, _ = w.Write(make([]byte, maxStatusBytes+1))
 		}),
 	}}
 	c := Client{Transport: n}
@@ -158,40 +158,40 @@
 }
 
 func TestMissing(t *testing.T) {
-	whole := fleetOf()
-	three := whole["10.0.0.3"]
+	complete := fleetOf()
+	three := complete["10.0.0.3"]
 	three.Number, three.Revision = 9, 7
-	whole["10.0.0.3"] = three
-	two := whole["10.0.0.2"]
+	complete["10.0.0.3"] = three
+	two := complete["10.0.0.2"]
 	two.Proxies = []ProxyProgress{{"b", 9, 0}, {"c", 9, 0}, {"d", 9, 0}}
-	whole["10.0.0.2"] = two
-	look := func(all map[string]NodeStatus, ch Change) string {
-		f, err := (&Client{Transport: netOf(all)}).Fleet(context.Background(), []string{"10.0.0.1:1"})
+	complete["10.0.0.2"] = two
+	missingIn := func(all map[string]NodeStatus, ch Change) string {
+		f, err := (&Client{Transport: networkOf(all)}).Fleet(context.Background(), []string{"10.0.0.1:1"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return strings.Join((&waiter{change: ch}).missing(f), "; ")
+		return strings.Join((&changeTracker{change: ch}).missing(f), "; ")
 	}
-	partly := fleetOf()
-	lost := fleetOf()
-	delete(lost, "10.0.0.3")
+	incomplete := fleetOf()
+	unreachable := fleetOf()
+	delete(unreachable, "10.0.0.3")
 	old := map[string]NodeStatus{"10.0.0.1": {Node: "one", Number: 9, Revision: 7}}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		all    map[string]NodeStatus
 		change Change
 		want   string
 	}{
-		{whole, Change{Number: 9}, ""},
-		{whole, Change{Revision: 7}, ""},
-		{whole, Change{Revision: 3}, ""},
-		{whole, Change{Revision: 8}, "revision 8 at any keeper"},
-		{partly, Change{Number: 8}, "proxy d, which follows no keeper that answers"},
-		{partly, Change{Revision: 7}, "keeper three, at record 8; proxy c, at record 8; proxy d, which follows no keeper that answers"},
-		{lost, Change{Number: 8}, "an answer of keeper 10.0.0.3:1; proxy d, which follows no keeper that answers"},
+		{complete, Change{Number: 9}, ""},
+		{complete, Change{Revision: 7}, ""},
+		{complete, Change{Revision: 3}, ""},
+		{complete, Change{Revision: 8}, "revision 8 at any keeper"},
+		{incomplete, Change{Number: 8}, "proxy d, which follows no keeper that answers"},
+		{incomplete, Change{Revision: 7}, "keeper three, at record 8; proxy c, at record 8; proxy d, which follows no keeper that answers"},
+		{unreachable, Change{Number: 8}, "an answer of keeper 10.0.0.3:1; proxy d, which follows no keeper that answers"},
 		{old, Change{Number: 9}, "a current keeper"},
 	} {
-		if got := look(c.all, c.change); got != c.want {
-			t.Errorf("%v: %q, want %q", c.change, got, c.want)
+		if got := missingIn(test.all, test.change); got != test.want {
+			t.Errorf("%v: %q, want %q", test.change, got, test.want)
 		}
 	}
 }
@@ -203,7 +203,7 @@
 		var acknowledged, number atomic.Uint64
 		number.Store(5)
 		n := &network{hosts: map[string]http.Handler{"10.0.0.1": http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			keeperAt(NodeStatus{Node: "one", Current: true, Number: number.Load(), Revision: 7,
+			nodeHandler(NodeStatus{Node: "one", Current: true, Number: number.Load(), Revision: 7,
 				Proxies: []ProxyProgress{{Node: "a", Acknowledged: acknowledged.Load()}}}).ServeHTTP(w, r)
 		})}}
 		c := Client{Transport: n}
@@ -239,30 +239,30 @@
 	server := httptest.NewServer(mux)
 	defer server.Close()
 	address := server.Listener.Addr().String()
-	var c Client
-	p, err := c.ProxyStatus(context.Background(), address)
-	if err != nil || p.Node != "p" {
-		t.Fatal(p, err)
+	var client Client
+	proxy, err := client.ProxyStatus(context.Background(), address)
+	if err != nil || proxy.Node != "p" {
+		t.Fatal(proxy, err)
 	}
-	if all, one, none := p.Lines(""), p.Lines("s-1"), p.Lines("s"); len(all) != 2 || !slices.Equal(one, []string{"s-1 a zone: fit"}) || none != nil {
+	if all, one, none := proxy.Lines(""), proxy.Lines("s-1"), proxy.Lines("s"); len(all) != 2 || !slices.Equal(one, []string{"s-1 a zone: fit"}) || none != nil {
 		t.Error(all, one, none)
 	}
-	if s, err := c.Backup(context.Background(), address); err != nil || !slices.Equal(s.Encode(), state.Encode()) {
+	if s, err := client.Backup(context.Background(), address); err != nil || !slices.Equal(s.Encode(), state.Encode()) {
 		t.Error(s, err)
 	}
 	for _, path := range []string{"/status", "/backup"} {
-		r, err := http.Post(server.URL+path, "", nil)
+		response, err := http.Post(server.URL+path, "", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = r.Body.Close()
-		if r.StatusCode != http.StatusMethodNotAllowed {
-			t.Errorf("POST %s: %s", path, r.Status)
+		_ = response.Body.Close()
+		if response.StatusCode != http.StatusMethodNotAllowed {
+			t.Errorf("POST %s: %s", path, response.Status)
 		}
 	}
 }
 
-func TestBackupNeedsAConfirmedRead(t *testing.T) {
+func TestBackupNeedsALinearizableRead(t *testing.T) {
 	h := BackupHandler(func(context.Context) (*controlstate.State, error) { return nil, errors.New("no majority") })
 	c := Client{Transport: &network{hosts: map[string]http.Handler{"k": h}}}
 	if _, err := c.Backup(context.Background(), "k:1"); !errors.Is(err, ErrUnreachable) || !strings.Contains(err.Error(), "503") {
@@ -278,8 +278,8 @@
 
 // TestClientFollowsNoRedirect has the asked address name another: its answer is not taken for that of the address asked.
 func TestClientFollowsNoRedirect(t *testing.T) {
-	all := netOf(fleetOf())
-	all.hosts["10.0.0.9"] = http.RedirectHandler("http://10.0.0.1:1"+pathStatus, http.StatusTemporaryRedirect)
+	all := networkOf(fleetOf())
+	all.hosts["10.0.0.9"] = http.RedirectHandler("http://10.0.0.1:1"+statusPath, http.StatusTemporaryRedirect)
 	c := Client{Transport: all}
 	if s, err := c.NodeStatus(context.Background(), "10.0.0.9:1"); !errors.Is(err, ErrUnreachable) || s.Node != "" {
 		t.Errorf("node %q, error %v", s.Node, err)
--- a/internal/system/admin/wait.go
+++ b/internal/system/admin/wait.go
@@ -39,21 +39,21 @@
 	return fmt.Sprintf("record %d", c.Number)
 }
 
-// waiter finds out whether a change is in force.
-type waiter struct {
+// changeTracker finds out whether a change is in force.
+type changeTracker struct {
 	change Change
 	number uint64 // of a record up to which the change is in force; 0: not known yet
 }
 
 // missing lists what does not hold the change, or may not; empty: it is in force at all keepers of the view and all live
 // proxies.
-func (w *waiter) missing(f *Fleet) []string {
+func (w *changeTracker) missing(fleet *Fleet) []string {
 	if w.number == 0 {
 		w.number = w.change.Number
 	}
 	if w.number == 0 {
 		// Revisions only rise, so the change is among the records of any keeper at this revision or a later one.
-		for _, a := range f.Nodes {
+		for _, a := range fleet.Nodes {
 			if s := a.Status; s != nil && s.Revision >= w.change.Revision && (w.number == 0 || s.Number < w.number) {
 				w.number = s.Number
 			}
@@ -63,10 +63,10 @@
 		}
 	}
 	var out []string
-	if !f.Current() {
+	if !fleet.Current() {
 		out = append(out, "a current keeper")
 	}
-	for _, a := range f.Nodes {
+	for _, a := range fleet.Nodes {
 		switch {
 		case a.Status == nil:
 			out = append(out, "an answer of keeper "+a.Address)
@@ -74,45 +74,45 @@
 			out = append(out, fmt.Sprintf("keeper %s, at record %d", a.Status.Node, a.Status.Number))
 		}
 	}
-	for _, p := range f.Proxies {
+	for _, p := range fleet.Proxies {
 		if p.Acknowledged < w.number {
 			out = append(out, fmt.Sprintf("proxy %s, at record %d", p.Node, p.Acknowledged))
 		}
 	}
-	for _, node := range f.Unseen {
+	for _, node := range fleet.Unseen {
 		out = append(out, "proxy "+node+", which follows no keeper that answers")
 	}
 	return out
 }
 
-// waitEvery is the time between two looks.
-const waitEvery = 200 * time.Millisecond
+// pollInterval is the time between two looks.
+const pollInterval = 200 * time.Millisecond
 
 // Wait looks until the change is in force at all keepers of the view and at all live proxies, and gives the last look. When
 // ctx ends first, the error says what is missing, marked ErrNotApplied.
 func (c *Client) Wait(ctx context.Context, addresses []string, change Change) (*Fleet, error) {
-	w := waiter{change: change}
+	tracker := changeTracker{change: change}
 	missing := []string{"an answer of any keeper"}
 	var last *Fleet
 	for {
-		if f, err := c.Fleet(ctx, addresses); err == nil {
-			last = f
-			if missing = w.missing(f); len(missing) == 0 {
-				return f, nil
+		if fleet, err := c.Fleet(ctx, addresses); err == nil {
+			last = fleet
+			if missing = tracker.missing(fleet); len(missing) == 0 {
+				return fleet, nil
 			}
 		}
-		timer := time.NewTimer(waitEvery)
+		timer := time.NewTimer(pollInterval)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
-			return last, errors.Mark(errors.Newf("%s is not in force everywhere; missing: %s", change, few(missing)), ErrNotApplied)
+			return last, errors.Mark(errors.Newf("%s is not in force everywhere; missing: %s", change, joinFirst(missing)), ErrNotApplied)
 		case <-timer.C:
 		}
 	}
 }
 
-// few joins the first ones.
-func few(all []string) string {
+// joinFirst joins the first ones.
+func joinFirst(all []string) string {
 	const most = 8
 	if len(all) <= most {
 		return strings.Join(all, "; ")
