--- a/cmd/controlplane/status.go
+++ b/cmd/controlplane/status.go
@@ -12,7 +12,7 @@
 	view := k.chain.View()
 	state, _ := k.chain.Committed()
 	out := admin.NodeStatus{Version: admin.Version, Node: k.settings.Node, Observer: !k.settings.HasDisk(), Current: k.chain.Current(),
-		Capacity: capacity(k.chain.Capacity()), Epoch: view.Epoch, Number: state.Seq, Revision: state.Revision(), Evacuated: admin.Zones(state), ListAgeMS: -1,
+		Capacity: capacity(k.chain.Capacity()), Epoch: view.Epoch, Number: state.Seq, Revision: state.Revision(), Evacuated: admin.EvacuatedZones(state), ListAgeMS: -1,
 		Proxies: []admin.ProxyProgress{}, Violations: invariant.Violations()}
 	_, out.Chain = k.chain.Live()
 	out.ListOwner = ownership.Owner(listDuty, out.Chain)
@@ -26,7 +26,7 @@
 }
 
 func capacity(c replication.Capacity) *admin.Capacity {
-	return &admin.Capacity{ToleranceMet: c.ToleranceMet, Nodes: c.Nodes, Observers: c.Observers, Voters: c.Voters, SilentVoters: c.SilentVoters,
+	return &admin.Capacity{ToleranceMet: c.ToleranceMet, Nodes: c.Nodes, Observers: c.Observers, Voters: c.Voters, VotersTimedOut: c.SilentVoters,
 		VotersDesired: c.VotersDesired, ChainReplicas: c.ChainReplicas, ChainReplicasRequired: c.ChainReplicasRequired, Remedy: c.Remedy}
 }
 
--- a/cmd/proxy/run.go
+++ b/cmd/proxy/run.go
@@ -214,7 +214,7 @@
 func (p *server) status() any {
 	held := p.follower.Current()
 	out := admin.ProxyStatus{Version: admin.Version, Node: p.settings.Node, Ready: p.dataPlane.Ready() && p.ready(), Fresh: held.Fresh,
-		Number: held.State.Seq, Revision: held.State.Revision(), Evacuated: admin.Zones(held.State), Servers: len(held.Servers),
+		Number: held.State.Seq, Revision: held.State.Revision(), Evacuated: admin.EvacuatedZones(held.State), Servers: len(held.Servers),
 		ListAgeMS: -1, Choice: p.dataPlane.Describe(), Violations: invariant.Violations()}
 	if held.HasList {
 		out.ListAgeMS = held.ListAge.Milliseconds()
--- a/internal/system/admin/fleet.go
+++ b/internal/system/admin/fleet.go
@@ -41,7 +41,7 @@
 // SingletonRole is a piece of work that one keeper has at a time.
 type SingletonRole struct {
 	Name   string `json:"name"`
-	Holder string `json:"holder"` // IP; empty: none
+	Owner string `json:"holder"` // IP; empty: none
 }
 
 // Fleet asks the keepers with the control addresses, and those others of the view that they name, at the port of the first
@@ -113,7 +113,7 @@
 		if !hasEpoch || status.Epoch > fleet.Epoch {
 			hasEpoch = true
 			fleet.Epoch, fleet.Chain, fleet.Voters = status.Epoch, status.Chain, status.Voters
-			listRole = SingletonRole{Name: "list", Holder: status.ListOwner}
+			listRole = SingletonRole{Name: "list", Owner: status.ListOwner}
 		}
 		if !hasRecord || status.Number > fleet.Number {
 			hasRecord = true
--- a/internal/system/admin/status.go
+++ b/internal/system/admin/status.go
@@ -39,7 +39,7 @@
 	Nodes                 int    `json:"keepers"`       // with a disk, heard from lately
 	Observers             int    `json:"observers"`     // without a disk, heard from lately
 	Voters                int    `json:"voters"`        // of the view
-	SilentVoters          int    `json:"silent"`        // of those, not heard from lately
+	VotersTimedOut          int    `json:"silent"`        // of those, not heard from lately
 	VotersDesired         int    `json:"voters_wanted"` // for the tolerance
 	ChainReplicas         int    `json:"links"`         // of the view
 	ChainReplicasRequired int    `json:"links_needed"`  // fewer take no change
@@ -104,7 +104,7 @@
 	return out
 }
 
-// Zones are the evacuated zones of a state, by name.
-func Zones(s *controlstate.State) []string {
+// EvacuatedZones are the evacuated zones of a state, by name.
+func EvacuatedZones(s *controlstate.State) []string {
 	return slices.Sorted(maps.Keys(s.Evacuated))
 }
