--- a/cmd/gradeusher/staff_backup.go
+++ b/cmd/gradeusher/staff_backup.go
@@ -61,5 +61,5 @@
 }
 
 func describe(w io.Writer, s *controlstate.State) {
-	fmt.Fprintf(w, "record %d, revision %d, evacuated zones: %s\n", s.Seq, s.Revision(), orNone(admin.Zones(s)))
+	fmt.Fprintf(w, "record %d, revision %d, evacuated zones: %s\n", s.Seq, s.Revision(), orNone(admin.EvacuatedZones(s)))
 }
--- a/cmd/gradeusher/staff_status.go
+++ b/cmd/gradeusher/staff_status.go
@@ -76,7 +76,7 @@
 	fmt.Fprintf(w, "record %d, revision %d, evacuated zones: %s\n", f.Number, f.Revision, orNone(f.Evacuated))
 	printCapacity(w, f.Capacity)
 	for _, d := range f.Roles {
-		fmt.Fprintf(w, "duty %s: %s\n", d.Name, orNone([]string{d.Holder}))
+		fmt.Fprintf(w, "duty %s: %s\n", d.Name, orNone([]string{d.Owner}))
 	}
 	for _, v := range f.Voters {
 		place := "outside the chain"
@@ -106,7 +106,7 @@
 		return
 	}
 	fmt.Fprintf(w, "tolerance: %s, %d of %d voters (%d silent), %d links (%d needed), %d observers\n",
-		either(have.ToleranceMet, "borne", "NOT borne"), have.Voters, have.VotersDesired, have.SilentVoters, have.ChainReplicas, have.ChainReplicasRequired, have.Observers)
+		either(have.ToleranceMet, "borne", "NOT borne"), have.Voters, have.VotersDesired, have.VotersTimedOut, have.ChainReplicas, have.ChainReplicasRequired, have.Observers)
 }
 
 func printKeeper(w io.Writer, a admin.NodeAnswer) {
--- a/cmd/gradeusher/staff_test.go
+++ b/cmd/gradeusher/staff_test.go
@@ -80,7 +80,7 @@
 func TestSystemStatusTellsOfTheTolerance(t *testing.T) {
 	t.Parallel()
 	const remedy = "3 keepers with a disk vote and 5 are needed: run keepers on 2 more machines with a disk, or lower [tolerance]"
-	short := admin.Capacity{Nodes: 3, Observers: 2, Voters: 3, VotersDesired: 5, SilentVoters: 1, ChainReplicas: 3, ChainReplicasRequired: 3, Remedy: remedy}
+	short := admin.Capacity{Nodes: 3, Observers: 2, Voters: 3, VotersDesired: 5, VotersTimedOut: 1, ChainReplicas: 3, ChainReplicasRequired: 3, Remedy: remedy}
 	whole := admin.Capacity{ToleranceMet: true, Nodes: 5, Voters: 5, VotersDesired: 5, ChainReplicas: 5, ChainReplicasRequired: 3}
 	for _, c := range []struct {
 		status    admin.NodeStatus
--- a/internal/compat/keeperdata_test.go
+++ b/internal/compat/keeperdata_test.go
@@ -170,7 +170,7 @@
 // holds compares a control state with what the fixture's writer left.
 func holds(t *testing.T, s *controlstate.State, seq uint64, revision int64, routes int, evacuated ...string) {
 	t.Helper()
-	zones := admin.Zones(s)
+	zones := admin.EvacuatedZones(s)
 	if s.Seq != seq || s.Revision() != revision || len(s.Config.Routes) != routes || len(s.Config.Services) != 1 ||
 		!slices.Equal(zones, evacuated) {
 		t.Errorf("record %d, revision %d, %d routes, %d services, evacuated %q; want %d, %d, %d, 1, %q", s.Seq, s.Revision(),
