--- a/internal/system/admin/backup.go
+++ b/internal/system/admin/backup.go
@@ -10,8 +10,8 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// Backup fetches the control state from the keeper with the control address, as it is after all that was acknowledged before
-// the call. Errors are marked ErrUnreachable or ErrFormat.
+// Backup fetches the control state from the node with the control address. It contains all changes that were acknowledged before the
+// call. Errors are marked ErrUnreachable or ErrFormat.
 func (c *Client) Backup(ctx context.Context, address string) (*controlstate.State, error) {
 	ctx, cancel := context.WithTimeout(ctx, backupTimeout)
 	defer cancel()
@@ -22,9 +22,8 @@
 	return decodeState(data, "the answer of "+address)
 }
 
-// WriteBackup puts a backup into a file, which is there whole and synced, or not at all. A file that is there is not
-// replaced.
-func WriteBackup(file string, data []byte) (err error) {
+// WriteBackup writes a backup to a file, which is then complete and synced, or does not exist. It does not replace a file.
+func WriteBackup(file string, data []byte) error {
 	if _, err := os.Lstat(file); err == nil {
 		return errors.Newf("%s is there already: name another file", file)
 	}
@@ -33,19 +32,8 @@
 	if err != nil {
 		return errors.Wrapf(err, "no file can be made in %s: name a folder that can be written", directory)
 	}
-	defer func() {
-		if err != nil {
-			_ = temporary.Close()
-		}
-		_ = os.Remove(temporary.Name())
-	}()
-	_, err = temporary.Write(data)
-	if err == nil {
-		err = temporary.Sync()
-	}
-	if err == nil {
-		err = temporary.Close()
-	}
+	defer func() { _ = os.Remove(temporary.Name()) }()
+	err = writeSynced(temporary, data)
 	if err == nil {
 		err = os.Link(temporary.Name(), file) // unlike a rename, it replaces nothing
 	}
@@ -55,15 +43,25 @@
 	return errors.Wrapf(err, "%s cannot be written: check the room and the rights there", file)
 }
 
+// writeSynced writes data to a new file, syncs and closes it.
+func writeSynced(file *os.File, data []byte) error {
+	_, err := file.Write(data)
+	if err == nil {
+		err = file.Sync()
+	}
+	return errors.CombineErrors(err, file.Close())
+}
+
+// syncDirectory makes the entries of a directory durable.
 func syncDirectory(directory string) error {
-	directoryFile, err := os.Open(directory)
+	opened, err := os.Open(directory)
 	if err != nil {
 		return err
 	}
-	return errors.CombineErrors(directoryFile.Sync(), directoryFile.Close())
+	return errors.CombineErrors(opened.Sync(), opened.Close())
 }
 
-// ReadBackup reads a file that WriteBackup made. Errors of its content are marked ErrFormat.
+// ReadBackup reads a file that WriteBackup wrote. Errors of its content are marked ErrFormat.
 func ReadBackup(file string) (*controlstate.State, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -72,10 +70,11 @@
 	return decodeState(data, file)
 }
 
-func decodeState(data []byte, what string) (*controlstate.State, error) {
+// decodeState decodes a backup; source says where it is from. Errors are marked ErrFormat.
+func decodeState(data []byte, source string) (*controlstate.State, error) {
 	s, err := controlstate.Decode(data)
 	if err != nil {
-		return nil, errors.Mark(errors.Wrapf(err, "%s is no backup of a control state", what), ErrFormat)
+		return nil, errors.Mark(errors.Wrapf(err, "%s is no backup of a control state", source), ErrFormat)
 	}
 	return s, nil
 }
--- a/internal/system/admin/client.go
+++ b/internal/system/admin/client.go
@@ -11,33 +11,35 @@
 	"github.com/cockroachdb/errors"
 )
 
+// The bounds of requests to nodes and proxies.
 const (
-	maxStatusBytes      = 8 << 20         // bytes of a status
-	maxBackupBytes      = 64 << 20        // bytes of a backup
-	statusTimeout       = 2 * time.Second // for one answer
+	maxStatusBytes      = 8 << 20
+	maxBackupBytes      = 64 << 20
+	statusTimeout       = 2 * time.Second // of one response
 	backupTimeout       = 30 * time.Second
 	statusPath          = "/status"
 	backupPath          = "/backup"
-	maxQuotedErrorBytes = 300 // bytes of a refusal that are shown
+	maxQuotedErrorBytes = 300 // of an error response, in an error
 )
 
-// Client asks keepers and proxies. The zero Client is ready. It may be used by several goroutines.
+// Client sends requests to control-plane nodes and proxies. The zero Client is ready. It may be used by several goroutines at once.
 type Client struct {
 	Transport http.RoundTripper // nil: http.DefaultTransport
 }
 
-// NodeStatus asks the keeper with the control address for its status. Errors are marked ErrUnreachable.
+// NodeStatus fetches the status of the node with the control address. Errors are marked ErrUnreachable.
 func (c *Client) NodeStatus(ctx context.Context, address string) (*NodeStatus, error) {
 	status := &NodeStatus{}
 	return status, c.fetchStatus(ctx, address, status, &status.Version)
 }
 
-// ProxyStatus asks the proxy with the inner address for its status. Errors are marked ErrUnreachable.
+// ProxyStatus fetches the status of the proxy with the internal address. Errors are marked ErrUnreachable.
 func (c *Client) ProxyStatus(ctx context.Context, address string) (*ProxyStatus, error) {
 	status := &ProxyStatus{}
 	return status, c.fetchStatus(ctx, address, status, &status.Version)
 }
 
+// fetchStatus decodes a status into a document, whose version it then checks.
 func (c *Client) fetchStatus(ctx context.Context, address string, into any, version *int) error {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -54,7 +56,7 @@
 	return nil
 }
 
-// get fetches at most that many bytes.
+// get fetches a document of at most maxBytes. Errors are marked ErrUnreachable.
 func (c *Client) get(ctx context.Context, address, path string, maxBytes int64) ([]byte, error) {
 	if _, _, err := net.SplitHostPort(address); err != nil {
 		return nil, unreachableError(err, "%q is no address: give IP:PORT", address)
@@ -64,7 +66,7 @@
 		return nil, unreachableError(err, "%q is no address: give IP:PORT", address)
 	}
 	client := http.Client{Transport: c.Transport, CheckRedirect: func(*http.Request, []*http.Request) error {
-		return http.ErrUseLastResponse // another process's answer is not that of the one asked
+		return http.ErrUseLastResponse // a redirect would yield the response of another process
 	}}
 	response, err := client.Do(request)
 	if err != nil {
@@ -83,6 +85,7 @@
 	return data, nil
 }
 
+// unreachableError marks an error, or a new one where err is nil, as ErrUnreachable.
 func unreachableError(err error, format string, args ...any) error {
 	if err == nil {
 		return errors.Mark(errors.Newf(format, args...), ErrUnreachable)
--- a/internal/system/admin/fleet.go
+++ b/internal/system/admin/fleet.go
@@ -9,43 +9,43 @@
 	"sync"
 )
 
-// Fleet is what the keepers that were asked say, put together.
+// Fleet combines what the nodes of the control plane answered.
 type Fleet struct {
 	Version   int             `json:"version"`
-	Epoch     uint64          `json:"epoch"` // newest that a keeper tells
+	Epoch     uint64          `json:"epoch"` // the newest of all answers
 	Chain     []string        `json:"chain"` // of that epoch
 	Voters    []Voter         `json:"voters"`
-	Capacity  *Capacity       `json:"capacity,omitempty"` // as a current keeper of that epoch sees it; nil: none tells
-	Number    uint64          `json:"number"`             // newest committed record that a keeper tells
+	Capacity  *Capacity       `json:"capacity,omitempty"` // as a current node of that epoch sees it; nil: no such node answered
+	Number    uint64          `json:"number"`             // the newest committed record of all answers
 	Revision  int64           `json:"revision"`           // after it
 	Evacuated []string        `json:"evacuated"`
 	Nodes     []NodeAnswer    `json:"keepers"` // by address
 	Proxies   []Subscriber    `json:"proxies"` // by name
 	Roles     []SingletonRole `json:"duties"`
-	Unseen    []string        `json:"unseen"` // live proxies that follow none of the keepers that answered, by name
+	Unseen    []string        `json:"unseen"` // live proxies that subscribe to none of the nodes that answered, by name
 }
 
-// NodeAnswer is what one keeper said, or why it did not.
+// NodeAnswer is the status of one node, or why there is none.
 type NodeAnswer struct {
 	Address string      `json:"address"` // control address
 	Status  *NodeStatus `json:"status,omitempty"`
 	Error   string      `json:"error,omitempty"`
 }
 
-// Subscriber is a proxy, with the keeper that it follows.
+// Subscriber is a proxy with the node to which it subscribes.
 type Subscriber struct {
 	ProxyProgress
 	Server string `json:"keeper"` // node
 }
 
-// SingletonRole is a piece of work that one keeper has at a time.
+// SingletonRole is work that one node of the control plane does at a time.
 type SingletonRole struct {
-	Name   string `json:"name"`
+	Name  string `json:"name"`
 	Owner string `json:"holder"` // IP; empty: none
 }
 
-// Fleet asks the keepers with the control addresses, and those others of the view that they name, at the port of the first
-// address. Who does not answer is told in Fleet.Keepers. It fails only when none answers, marked ErrUnreachable.
+// Fleet fetches the statuses of the nodes with the control addresses, and of the other voters that these name, at the port of the
+// first address. Fleet.Nodes says which did not answer. It fails only where none did, with an error marked ErrUnreachable.
 func (c *Client) Fleet(ctx context.Context, addresses []string) (*Fleet, error) {
 	answers := c.askNodes(ctx, addresses)
 	if more := unaskedVoters(answers); len(more) > 0 {
@@ -59,6 +59,7 @@
 	return fleet, nil
 }
 
+// askNodes fetches the statuses of several nodes at once.
 func (c *Client) askNodes(ctx context.Context, addresses []string) []NodeAnswer {
 	answers := make([]NodeAnswer, len(addresses))
 	var wg sync.WaitGroup
@@ -77,7 +78,7 @@
 	return answers
 }
 
-// unaskedVoters are the control addresses of the view's voters that were not asked.
+// unaskedVoters returns the control addresses of the voters of the view that were not asked.
 func unaskedVoters(answers []NodeAnswer) []string {
 	if len(answers) == 0 {
 		return nil
@@ -98,30 +99,35 @@
 	return more
 }
 
+// mergeAnswers combines what the nodes answered: the view of the newest epoch, the newest committed record, and each proxy once.
 func mergeAnswers(answers []NodeAnswer) *Fleet {
 	fleet := &Fleet{Version: Version, Chain: []string{}, Voters: []Voter{}, Evacuated: []string{}, Nodes: answers, Proxies: []Subscriber{},
 		Roles: []SingletonRole{}, Unseen: []string{}}
-	subscribers := map[string]Subscriber{}
-	live := map[string]bool{}
-	hasEpoch, hasRecord := false, false
-	var listRole SingletonRole
+	var statuses []*NodeStatus
 	for _, a := range answers {
-		status := a.Status
-		if status == nil {
-			continue
-		}
-		if !hasEpoch || status.Epoch > fleet.Epoch {
-			hasEpoch = true
-			fleet.Epoch, fleet.Chain, fleet.Voters = status.Epoch, status.Chain, status.Voters
-			listRole = SingletonRole{Name: "list", Owner: status.ListOwner}
-		}
-		if !hasRecord || status.Number > fleet.Number {
-			hasRecord = true
-			fleet.Number, fleet.Revision, fleet.Evacuated = status.Number, status.Revision, slices.Sorted(slices.Values(status.Evacuated))
+		if a.Status != nil {
+			statuses = append(statuses, a.Status)
 		}
+	}
+	if len(statuses) == 0 {
+		return fleet
+	}
+	newest := slices.MaxFunc(statuses, func(a, b *NodeStatus) int { return cmp.Compare(a.Epoch, b.Epoch) })
+	fleet.Epoch, fleet.Chain, fleet.Voters = newest.Epoch, newest.Chain, newest.Voters
+	fleet.Roles = append(fleet.Roles, SingletonRole{Name: "list", Owner: newest.ListOwner})
+	fleet.Capacity = chooseCapacity(statuses, newest.Epoch)
+	latest := slices.MaxFunc(statuses, func(a, b *NodeStatus) int { return cmp.Compare(a.Number, b.Number) })
+	fleet.Number, fleet.Revision, fleet.Evacuated = latest.Number, latest.Revision, slices.Sorted(slices.Values(latest.Evacuated))
+	fleet.setProxies(statuses)
+	return fleet
+}
+
+// setProxies sets the proxies that subscribe to one of the nodes, and the live ones that subscribe to none, both by name.
+func (f *Fleet) setProxies(statuses []*NodeStatus) {
+	subscribers, live := map[string]Subscriber{}, map[string]bool{}
+	for _, status := range statuses {
 		for _, p := range status.Proxies {
-			// A proxy that has moved may still be on its former keeper's list.
-			if old, ok := subscribers[p.Node]; !ok || p.SinceLastCallMS < old.SinceLastCallMS || p.SinceLastCallMS == old.SinceLastCallMS && p.Acknowledged > old.Acknowledged {
+			if known, ok := subscribers[p.Node]; !ok || p.isNewerThan(known.ProxyProgress) {
 				subscribers[p.Node] = Subscriber{ProxyProgress: p, Server: status.Node}
 			}
 		}
@@ -131,29 +137,33 @@
 			}
 		}
 	}
-	fleet.Capacity = chooseCapacity(answers, fleet.Epoch)
-	if hasEpoch {
-		fleet.Roles = append(fleet.Roles, listRole)
-	}
 	for node, p := range subscribers {
-		fleet.Proxies = append(fleet.Proxies, p)
+		f.Proxies = append(f.Proxies, p)
 		delete(live, node)
 	}
-	slices.SortFunc(fleet.Proxies, func(a, b Subscriber) int { return cmp.Compare(a.Node, b.Node) })
+	slices.SortFunc(f.Proxies, func(a, b Subscriber) int { return cmp.Compare(a.Node, b.Node) })
 	for node := range live {
-		fleet.Unseen = append(fleet.Unseen, node)
+		f.Unseen = append(f.Unseen, node)
 	}
-	slices.Sort(fleet.Unseen)
-	return fleet
+	slices.Sort(f.Unseen)
+}
+
+// isNewerThan reports whether one node's knowledge of a proxy is newer than another's: a proxy that has moved may still be listed by
+// the node to which it subscribed before.
+func (p ProxyProgress) isNewerThan(other ProxyProgress) bool {
+	if p.SinceLastCallMS != other.SinceLastCallMS {
+		return p.SinceLastCallMS < other.SinceLastCallMS
+	}
+	return p.Acknowledged > other.Acknowledged
 }
 
-// chooseCapacity is the first that a current keeper of the epoch tells, one with a disk before observers: it hears the others
-// more often.
-func chooseCapacity(answers []NodeAnswer, epoch uint64) *Capacity {
+// chooseCapacity returns the first capacity of a current node of the epoch, that of a node with a disk before those of observers,
+// which have contact with the others less often. It is nil where no such node knows it.
+func chooseCapacity(statuses []*NodeStatus, epoch uint64) *Capacity {
 	var observed *Capacity
-	for _, a := range answers {
-		switch s := a.Status; {
-		case s == nil || !s.Current || s.Epoch != epoch || s.Capacity == nil:
+	for _, s := range statuses {
+		switch {
+		case !s.Current || s.Epoch != epoch || s.Capacity == nil:
 		case !s.Observer:
 			return s.Capacity
 		case observed == nil:
@@ -163,7 +173,7 @@
 	return observed
 }
 
-// Current tells whether a keeper that answered is current: the system takes changes there.
+// Current reports whether a node that answered is current: the system takes changes there.
 func (f *Fleet) Current() bool {
 	return slices.ContainsFunc(f.Nodes, func(a NodeAnswer) bool { return a.Status != nil && a.Status.Current })
 }
--- a/internal/system/admin/handler.go
+++ b/internal/system/admin/handler.go
@@ -9,7 +9,7 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// ProxyHandler answers GET /status with what status gives, as JSON: a ProxyStatus. Mount it on the inner address.
+// ProxyHandler serves GET /status with the JSON of what status returns, a ProxyStatus. It belongs on the internal address.
 func ProxyHandler(status func() any) http.Handler {
 	return allowOnlyReads(func(w http.ResponseWriter, _ *http.Request) {
 		data, err := json.Marshal(status())
@@ -21,8 +21,8 @@
 	})
 }
 
-// BackupHandler answers GET /backup with the encoding of the state that read gives, which has to hold all that was
-// acknowledged before the call. Mount it on a keeper's control address.
+// BackupHandler serves GET /backup with the encoding of the state that read returns, which must contain all changes that were
+// acknowledged before the call. It belongs on a node's control address.
 func BackupHandler(read func(ctx context.Context) (*controlstate.State, error)) http.Handler {
 	return allowOnlyReads(func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
@@ -37,7 +37,7 @@
 	})
 }
 
-// allowOnlyReads lets only reads through.
+// allowOnlyReads rejects requests other than GET and HEAD.
 func allowOnlyReads(next http.HandlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodGet && r.Method != http.MethodHead {
@@ -49,6 +49,7 @@
 	})
 }
 
+// writeBody writes a complete response of a media type.
 func writeBody(w http.ResponseWriter, kind string, data []byte) {
 	w.Header().Set("Content-Type", kind)
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
--- a/internal/system/admin/status.go
+++ b/internal/system/admin/status.go
@@ -1,5 +1,11 @@
-// Package staff is the operators' tooling for the system: status queries over all keepers and proxies, waiting for a change
-// to be in force, and backup and restore of the control state.
+// Package admin is the tooling of the engineers who run the system: the status of all control-plane nodes and proxies, waiting
+// until a change is in force, and backups of the control state (restored by package restore).
+//
+// The problem: no single process knows the state of the system for certain. Every answer is the view of one node, perhaps of an old
+// epoch, and a node or proxy that does not answer may still run. So Fleet asks all voters that any node names, takes the view of
+// the newest epoch and the newest committed record, and lists who did not answer; Wait counts those as lacking the change.
+//
+// The documents are JSON for scripts too: names of fields stay, and keep the words of the operators' pages (keeper, duty, silent).
 package admin
 
 import (
@@ -12,54 +18,54 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// Version is that of the status documents here. Readers pass over fields that they do not know; a change that would mislead
-// them raises it.
+// Version is the version of the status documents. Readers ignore fields that they do not know; a change that would mislead them
+// raises the version.
 const Version = 1
 
-// Kinds of errors.
+// The kinds of errors, for errors.Is.
 var (
-	// ErrUnreachable marks what did not answer, or not with what was asked for.
+	// ErrUnreachable marks requests without a response, or without a usable one.
 	ErrUnreachable = errors.New("not reached")
-	// ErrNotApplied marks a change that was not in force everywhere when the time was up.
+	// ErrNotApplied marks a change that was not in force everywhere within the time.
 	ErrNotApplied = errors.New("not in force everywhere")
-	// ErrFormat marks bytes that are no backup, or one of a version unknown here.
+	// ErrFormat marks bytes that are not a backup, or one of an unknown version.
 	ErrFormat = errors.New("not a backup")
 )
 
-// Voter is a keeper of the view.
+// Voter is a control-plane node with a vote in the view.
 type Voter struct {
 	Address string `json:"address"` // IP
 	Zone    string `json:"zone"`
 	Region  string `json:"region"`
 }
 
-// Capacity compares the keepers that exist with those that the deployment's tolerance needs, as one keeper sees them.
+// Capacity compares the nodes that exist with those that the deployment's fault tolerance needs, as one node sees them.
 type Capacity struct {
-	ToleranceMet          bool   `json:"bears"`         // a majority of the voters and a link are left after any loss that is tolerated
-	Nodes                 int    `json:"keepers"`       // with a disk, heard from lately
-	Observers             int    `json:"observers"`     // without a disk, heard from lately
+	ToleranceMet          bool   `json:"bears"`         // after any tolerated loss a majority of the voters and a chain replica remain
+	Nodes                 int    `json:"keepers"`       // with a disk and recent contact
+	Observers             int    `json:"observers"`     // without a disk, with recent contact
 	Voters                int    `json:"voters"`        // of the view
-	VotersTimedOut          int    `json:"silent"`        // of those, not heard from lately
+	VotersTimedOut        int    `json:"silent"`        // of those, without recent contact
 	VotersDesired         int    `json:"voters_wanted"` // for the tolerance
 	ChainReplicas         int    `json:"links"`         // of the view
-	ChainReplicasRequired int    `json:"links_needed"`  // fewer take no change
+	ChainReplicasRequired int    `json:"links_needed"`  // below it no change is accepted
 	Remedy                string `json:"remedy"`        // what is missing and what to do, in one line; empty: nothing
 }
 
-// ProxyProgress is a proxy as the keeper that it follows sees it.
+// ProxyProgress is a proxy as the node to which it subscribes sees it.
 type ProxyProgress struct {
 	Node            string `json:"node"`
-	Acknowledged    uint64 `json:"acknowledged"` // newest number that it holds
-	SinceLastCallMS int64  `json:"silent_ms"`    // since its last call; 0: one is held
+	Acknowledged    uint64 `json:"acknowledged"` // the newest record that it has
+	SinceLastCallMS int64  `json:"silent_ms"`    // since its last long poll ended; 0: one is open
 }
 
-// NodeStatus is what a keeper answers to GET /status on its control address.
+// NodeStatus is the response of a node to GET /status on its control address.
 type NodeStatus struct {
 	Version   int             `json:"version"` // 0: before there were versions, the same as 1
 	Node      string          `json:"node"`
-	Observer  bool            `json:"observer"`           // its machine has no disk: it has no vote, and passes calls on
-	Current   bool            `json:"current"`            // a majority has lately confirmed its epoch, and it is in the chain or fed by it
-	Capacity  *Capacity       `json:"capacity,omitempty"` // nil: of a keeper that does not tell it
+	Observer  bool            `json:"observer"`           // without a disk: it has no vote, and forwards calls
+	Current   bool            `json:"current"`            // a majority has confirmed its epoch lately, and it is in the chain or caught up by it
+	Capacity  *Capacity       `json:"capacity,omitempty"` // nil: not known to the node
 	Epoch     uint64          `json:"epoch"`
 	Chain     []string        `json:"chain"` // IPs, the head first
 	Voters    []Voter         `json:"voters"`
@@ -67,32 +73,32 @@
 	Revision  int64           `json:"revision"` // of the configuration; 0: none
 	Evacuated []string        `json:"evacuated"`
 	Servers   int             `json:"servers"`
-	ListAgeMS int64           `json:"list_age_ms"` // of the platform's list; -1: none has come
-	ListOwner string          `json:"list_duty"`   // IP of the keeper that reads the platform's list
-	Proxies   []ProxyProgress `json:"proxies"`     // those that follow this keeper
-	Members   []string        `json:"members"`     // names of the live proxies, whichever keeper they follow
+	ListAgeMS int64           `json:"list_age_ms"` // of the platform's server list; -1: none was received
+	ListOwner string          `json:"list_duty"`   // IP of the node that reads the platform's server list
+	Proxies   []ProxyProgress `json:"proxies"`     // those that subscribe to this node
+	Members   []string        `json:"members"`     // names of the live proxies, whichever node they subscribe to
 
 	Violations map[string]uint64 `json:"violations,omitempty"` // of invariants, by name; empty: all hold
 }
 
-// ProxyStatus is what a proxy answers to GET /status on its inner address.
+// ProxyStatus is the response of a proxy to GET /status on its internal address.
 type ProxyStatus struct {
 	Version   int      `json:"version"`
 	Node      string   `json:"node"`
 	Ready     bool     `json:"ready"`
-	Fresh     bool     `json:"fresh"` // a current keeper has just told that there is nothing newer
+	Fresh     bool     `json:"fresh"` // a current node has just confirmed that nothing newer is committed
 	Number    uint64   `json:"number"`
 	Revision  int64    `json:"revision"`
 	Evacuated []string `json:"evacuated"`
 	Members   []string `json:"members"`
 	Servers   int      `json:"servers"`
-	ListAgeMS int64    `json:"list_age_ms"` // -1: none has come
+	ListAgeMS int64    `json:"list_age_ms"` // -1: none was received
 	Choice    string   `json:"choice"`      // proxy.Proxy.Describe: a line a server, its id first
 
 	Violations map[string]uint64 `json:"violations,omitempty"` // of invariants, by name; empty: all hold
 }
 
-// Lines are those of Choice, or the ones about the server with the id.
+// Lines returns the lines of Choice, or those about the server with the id.
 func (p *ProxyStatus) Lines(id string) []string {
 	var out []string
 	for line := range strings.Lines(p.Choice) {
@@ -104,7 +110,7 @@
 	return out
 }
 
-// EvacuatedZones are the evacuated zones of a state, by name.
+// EvacuatedZones returns the evacuated zones of a state, by name.
 func EvacuatedZones(s *controlstate.State) []string {
 	return slices.Sorted(maps.Keys(s.Evacuated))
 }
--- a/internal/system/admin/wait.go
+++ b/internal/system/admin/wait.go
@@ -10,13 +10,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Change names a change: by the number of its record, or by the revision of the configuration that it made.
+// Change identifies a change by the number of its record, or by the revision of the configuration that it made.
 type Change struct {
 	Number   uint64
-	Revision int64 // above 0: Number does not count
+	Revision int64 // above 0: Number is ignored
 }
 
-// ParseChange reads "number:812", "revision:9", or a bare number of a record.
+// ParseChange parses "number:812", "revision:9", or a bare number of a record.
 func ParseChange(text string) (Change, error) {
 	kind, value, found := strings.Cut(text, ":")
 	if !found {
@@ -32,6 +32,7 @@
 	return Change{Number: n}, nil
 }
 
+// String names the change as ParseChange's messages do.
 func (c Change) String() string {
 	if c.Revision > 0 {
 		return fmt.Sprintf("revision %d", c.Revision)
@@ -42,54 +43,61 @@
 // changeTracker finds out whether a change is in force.
 type changeTracker struct {
 	change Change
-	number uint64 // of a record up to which the change is in force; 0: not known yet
+	number uint64 // of a record that contains the change, or of one after it; 0: not known yet
 }
 
-// missing lists what does not hold the change, or may not; empty: it is in force at all keepers of the view and all live
-// proxies.
-func (w *changeTracker) missing(fleet *Fleet) []string {
-	if w.number == 0 {
-		w.number = w.change.Number
+// missing lists the nodes and proxies that lack the change, or may lack it. It is empty where the change is in force at all nodes of
+// the view and all live proxies.
+func (c *changeTracker) missing(fleet *Fleet) []string {
+	if c.number == 0 {
+		c.number = c.findRecord(fleet)
 	}
-	if w.number == 0 {
-		// Revisions only rise, so the change is among the records of any keeper at this revision or a later one.
-		for _, a := range fleet.Nodes {
-			if s := a.Status; s != nil && s.Revision >= w.change.Revision && (w.number == 0 || s.Number < w.number) {
-				w.number = s.Number
-			}
-		}
-		if w.number == 0 {
-			return []string{w.change.String() + " at any keeper"}
-		}
+	if c.number == 0 {
+		return []string{c.change.String() + " at any keeper"}
 	}
-	var out []string
+	var missing []string
 	if !fleet.Current() {
-		out = append(out, "a current keeper")
+		missing = append(missing, "a current keeper")
 	}
 	for _, a := range fleet.Nodes {
 		switch {
 		case a.Status == nil:
-			out = append(out, "an answer of keeper "+a.Address)
-		case a.Status.Number < w.number:
-			out = append(out, fmt.Sprintf("keeper %s, at record %d", a.Status.Node, a.Status.Number))
+			missing = append(missing, "an answer of keeper "+a.Address)
+		case a.Status.Number < c.number:
+			missing = append(missing, fmt.Sprintf("keeper %s, at record %d", a.Status.Node, a.Status.Number))
 		}
 	}
 	for _, p := range fleet.Proxies {
-		if p.Acknowledged < w.number {
-			out = append(out, fmt.Sprintf("proxy %s, at record %d", p.Node, p.Acknowledged))
+		if p.Acknowledged < c.number {
+			missing = append(missing, fmt.Sprintf("proxy %s, at record %d", p.Node, p.Acknowledged))
 		}
 	}
 	for _, node := range fleet.Unseen {
-		out = append(out, "proxy "+node+", which follows no keeper that answers")
+		missing = append(missing, "proxy "+node+", which follows no keeper that answers")
+	}
+	return missing
+}
+
+// findRecord returns the number of a record with the change or after it, 0 where no node has one. Revisions only rise, so that the
+// change is among the records of any node with its revision or a later one.
+func (c *changeTracker) findRecord(fleet *Fleet) uint64 {
+	if c.change.Number > 0 {
+		return c.change.Number
+	}
+	var number uint64
+	for _, a := range fleet.Nodes {
+		if s := a.Status; s != nil && s.Revision >= c.change.Revision && (number == 0 || s.Number < number) {
+			number = s.Number
+		}
 	}
-	return out
+	return number
 }
 
-// pollInterval is the time between two looks.
+// pollInterval is the time between two polls of the nodes.
 const pollInterval = 200 * time.Millisecond
 
-// Wait looks until the change is in force at all keepers of the view and at all live proxies, and gives the last look. When
-// ctx ends first, the error says what is missing, marked ErrNotApplied.
+// Wait polls until the change is in force at all nodes of the view and at all live proxies, and returns the last poll. Where ctx ends
+// first, the error says what is missing, marked ErrNotApplied.
 func (c *Client) Wait(ctx context.Context, addresses []string, change Change) (*Fleet, error) {
 	tracker := changeTracker{change: change}
 	missing := []string{"an answer of any keeper"}
@@ -111,11 +119,11 @@
 	}
 }
 
-// joinFirst joins the first ones.
+// joinFirst joins the first items and says how many there are besides.
 func joinFirst(all []string) string {
-	const most = 8
-	if len(all) <= most {
+	const maxItems = 8
+	if len(all) <= maxItems {
 		return strings.Join(all, "; ")
 	}
-	return fmt.Sprintf("%s; and %d more", strings.Join(all[:most], "; "), len(all)-most)
+	return fmt.Sprintf("%s; and %d more", strings.Join(all[:maxItems], "; "), len(all)-maxItems)
 }
