--- a/internal/system/admin/restore/restore.go
+++ b/internal/system/admin/restore/restore.go
@@ -1,5 +1,8 @@
-// Package restore moves the control state between backups and the data directories of keepers that are not running. It is
-// apart from the other tooling so that proxies do without the chain's code.
+// Package restore moves the control state between backups and the data directories of control-plane nodes that do not run. It is
+// apart from package admin so that proxies, which import that, are built without the code of the chain.
+//
+// The problem: after the loss of all nodes a new system must begin with a state that was backed up, and no node may begin with
+// another one. Into therefore writes only into empty data directories, and the same backup has to go to all nodes.
 package restore
 
 import (
@@ -13,35 +16,24 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// ErrNotEmpty marks a data directory that holds something.
+// ErrNotEmpty marks a data directory that has entries.
 var ErrNotEmpty = errors.New("data directory not empty")
 
-// controlFolder is where a keeper has its log in its data directory.
-const controlFolder = "control"
+// logDirectory is the directory of the log within the data directory of a node.
+const logDirectory = "control"
 
-// Into lays a state into the empty data directory of a keeper that has not started yet, as the log's snapshot. The
-// keepers of a new system that are started on it with bootstrap = true begin with this state. Lay the same backup on all of
-// them. Errors are marked ErrNotEmpty, or of the disk.
-func Into(dataDir string, s *controlstate.State) (err error) {
-	image, err := replication.RestoredSnapshot(s)
+// Into writes a state into the empty data directory of a node that has not started yet, as the snapshot of its log. The nodes of a new
+// system that start on it with bootstrap = true begin with this state. Use the same backup for all of them. Errors are marked
+// ErrNotEmpty, or are those of the disk.
+func Into(dataDir string, state *controlstate.State) (err error) {
+	image, err := replication.RestoredSnapshot(state)
 	if err != nil {
 		return err
 	}
-	held, err := os.ReadDir(dataDir)
-	switch {
-	case errors.Is(err, os.ErrNotExist):
-		if err := os.MkdirAll(dataDir, 0o700); err != nil {
-			return errors.Wrapf(err, "the data directory %s cannot be made", dataDir)
-		}
-	case err != nil:
-		return errors.Wrapf(err, "the data directory %s cannot be read", dataDir)
-	}
-	for _, e := range held {
-		if e.Name() != "lost+found" {
-			return errors.Mark(errors.Newf("%s holds %s: restore into the empty data directory of a keeper that is not running", dataDir, e.Name()), ErrNotEmpty)
-		}
+	if err := prepareEmpty(dataDir); err != nil {
+		return err
 	}
-	log, err := wal.Open(filepath.Join(dataDir, controlFolder), wal.Options{})
+	log, err := wal.Open(filepath.Join(dataDir, logDirectory), wal.Options{})
 	if err != nil {
 		return errors.Wrapf(err, "the log in %s cannot be opened", dataDir)
 	}
@@ -52,14 +44,31 @@
 	return errors.Wrapf(log.Install(image), "the state cannot be laid into %s: empty it before the next try", dataDir)
 }
 
-// From reads the state out of the data directory of a keeper, for when no keeper answers any more, and changes nothing there. Its
-// last records may never have been acknowledged, and others may have acknowledged more.
-func From(dataDir string) (s *controlstate.State, err error) {
-	folder := filepath.Join(dataDir, controlFolder)
-	if _, err := os.Stat(folder); err != nil {
+// prepareEmpty creates a data directory, or checks that it is empty; the lost+found of a file system does not count.
+func prepareEmpty(dataDir string) error {
+	entries, err := os.ReadDir(dataDir)
+	switch {
+	case errors.Is(err, os.ErrNotExist):
+		return errors.Wrapf(os.MkdirAll(dataDir, 0o700), "the data directory %s cannot be made", dataDir)
+	case err != nil:
+		return errors.Wrapf(err, "the data directory %s cannot be read", dataDir)
+	}
+	for _, e := range entries {
+		if e.Name() != "lost+found" {
+			return errors.Mark(errors.Newf("%s holds %s: restore into the empty data directory of a keeper that is not running", dataDir, e.Name()), ErrNotEmpty)
+		}
+	}
+	return nil
+}
+
+// From reads the state from the data directory of a node, for when no node runs any more, and changes nothing there. Its last records
+// may never have been acknowledged, and other nodes may have acknowledged more.
+func From(dataDir string) (state *controlstate.State, err error) {
+	directory := filepath.Join(dataDir, logDirectory)
+	if _, err := os.Stat(directory); err != nil {
 		return nil, errors.Wrapf(err, "%s is no data directory of a keeper: name its data_dir", dataDir)
 	}
-	log, err := wal.Open(folder, wal.Options{ReadOnly: true})
+	log, err := wal.Open(directory, wal.Options{ReadOnly: true})
 	if err != nil {
 		return nil, errors.Wrapf(err, "the log in %s cannot be opened", dataDir)
 	}
--- a/internal/system/admin/restore/restore_test.go
+++ b/internal/system/admin/restore/restore_test.go
@@ -23,19 +23,19 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// network takes requests straight to the handlers of the machine that they are for.
-type network struct {
+// memoryNetwork takes requests straight to the handlers of the machine that they are for.
+type memoryNetwork struct {
 	mu    sync.Mutex
 	hosts map[string]http.Handler
 }
 
-func (n *network) set(host string, h http.Handler) {
+func (n *memoryNetwork) set(host string, h http.Handler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.hosts[host] = h
 }
 
-func (n *network) RoundTrip(r *http.Request) (*http.Response, error) {
+func (n *memoryNetwork) RoundTrip(r *http.Request) (*http.Response, error) {
 	n.mu.Lock()
 	h := n.hosts[r.URL.Hostname()]
 	n.mu.Unlock()
@@ -47,27 +47,27 @@
 	return w.Result(), nil
 }
 
-// system is three keepers that talk in memory and write to real folders.
-type system struct {
+// testSystem is three nodes that talk in memory and write to real folders.
+type testSystem struct {
 	t       *testing.T
-	net     *network
+	network *memoryNetwork
 	dirs    map[string]string
-	keepers map[string]*replication.Node
+	nodes   map[string]*replication.Node
 	apis    map[string]http.Handler
 }
 
 var machines = []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
 
-func newSystem(t *testing.T, root string) *system {
-	s := &system{t: t, net: &network{hosts: map[string]http.Handler{}}, dirs: map[string]string{},
-		keepers: map[string]*replication.Node{}, apis: map[string]http.Handler{}}
+func newSystem(t *testing.T, root string) *testSystem {
+	s := &testSystem{t: t, network: &memoryNetwork{hosts: map[string]http.Handler{}}, dirs: map[string]string{},
+		nodes: map[string]*replication.Node{}, apis: map[string]http.Handler{}}
 	for _, m := range machines {
 		s.dirs[m] = filepath.Join(root, m)
 	}
 	return s
 }
 
-// submitter fits a keeper to the operator's API, as cmd/controlplane does.
+// submitter fits a node to the operator's API, as cmd/controlplane does.
 type submitter struct{ *replication.Node }
 
 func (s submitter) Submit(ctx context.Context, c controlstate.Change) (controlstate.Verdict, error) {
@@ -76,53 +76,53 @@
 	return a.Verdict, err
 }
 
-func (s *system) start(m string) {
+func (s *testSystem) start(addr string) {
 	s.t.Helper()
-	quiet := &log.Logger{Handler: discard.New(), Level: log.InfoLevel}
-	disk, err := wal.Open(filepath.Join(s.dirs[m], "control"), wal.Options{})
+	discardLog := &log.Logger{Handler: discard.New(), Level: log.InfoLevel}
+	disk, err := wal.Open(filepath.Join(s.dirs[addr], "control"), wal.Options{})
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	k, err := replication.Start(context.Background(), replication.Options{Addr: m, Zone: "zone of " + m, Region: "r", Port: 1, Seeds: machines,
-		Bootstrap: true, MachineLosses: 1, Disk: disk, Transport: s.net, Log: quiet})
+	node, err := replication.Start(context.Background(), replication.Options{Addr: addr, Zone: "zone of " + addr, Region: "r", Port: 1, Seeds: machines,
+		Bootstrap: true, MachineLosses: 1, Disk: disk, Transport: s.network, Log: discardLog})
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.keepers[m] = k
-	s.net.set(m, k.Handler())
-	calls := http.NewServeMux()
-	calls.Handle("/", operatorapi.Handler(operatorapi.Options{Chain: submitter{k}, Log: quiet}))
-	calls.Handle("/backup", admin.BackupHandler(k.Read))
-	s.apis[m] = calls
+	s.nodes[addr] = node
+	s.network.set(addr, node.Handler())
+	mux := http.NewServeMux()
+	mux.Handle("/", operatorapi.Handler(operatorapi.Options{Chain: submitter{node}, Log: discardLog}))
+	mux.Handle("/backup", admin.BackupHandler(node.Read))
+	s.apis[addr] = mux
 }
 
-func (s *system) stop() {
-	for m, k := range s.keepers {
-		s.net.set(m, nil)
-		k.Stop()
+func (s *testSystem) stop() {
+	for addr, node := range s.nodes {
+		s.network.set(addr, nil)
+		node.Stop()
 	}
 }
 
 // call asks the operator's API of a machine until it answers something else than 503.
-func (s *system) call(m, method, path, base string, body []byte) *httptest.ResponseRecorder {
+func (s *testSystem) call(addr, method, path, base string, body []byte) *httptest.ResponseRecorder {
 	s.t.Helper()
 	for range 20 {
-		r := httptest.NewRequest(method, "http://"+m+path, bytes.NewReader(body))
+		r := httptest.NewRequestWithContext(s.t.Context(), method, "http://"+addr+path, bytes.NewReader(body))
 		if base != "" {
 			r.Header.Set("X-Base-Version", base)
 		}
 		w := httptest.NewRecorder()
-		s.apis[m].ServeHTTP(w, r)
+		s.apis[addr].ServeHTTP(w, r)
 		if w.Code != http.StatusServiceUnavailable {
 			return w
 		}
 		time.Sleep(200 * time.Millisecond) // of the bubble's clock
 	}
-	s.t.Fatalf("%s %s of %s: no answer", method, path, m)
+	s.t.Fatalf("%s %s of %s: no answer", method, path, addr)
 	return nil
 }
 
-func example(t *testing.T, name string) []byte {
+func readExample(t *testing.T, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile("../../config/testdata/" + name)
 	if err != nil {
@@ -131,86 +131,101 @@
 	return data
 }
 
-// filled runs a system, gives it a configuration and an evacuated zone, and returns the backup and what Config.Read says.
-func filled(t *testing.T, root string) (backup, config []byte) {
+// fillSystem runs a system, gives it a configuration and an evacuated zone, and returns the backup and what Config.Read says.
+func fillSystem(t *testing.T, root string) (backup, config []byte) {
 	t.Helper()
-	s := newSystem(t, root)
-	for _, m := range machines {
-		s.start(m)
+	system := newSystem(t, root)
+	for _, addr := range machines {
+		system.start(addr)
 	}
-	defer s.stop()
-	for _, c := range []struct {
+	defer system.stop()
+	for _, request := range []struct {
 		path, base string
 		body       []byte
 	}{
-		{"/Config.Replace", "0", example(t, "replace.json")},
-		{"/Config.Amend", "7", example(t, "amend.json")},
+		{"/Config.Replace", "0", readExample(t, "replace.json")},
+		{"/Config.Amend", "7", readExample(t, "amend.json")},
 		{"/Evacuation.Start/away", "", nil},
 	} {
-		if w := s.call(machines[0], http.MethodPost, c.path, c.base, c.body); w.Code != http.StatusOK {
-			t.Fatalf("%s: %d %s", c.path, w.Code, w.Body)
+		if w := system.call(machines[0], http.MethodPost, request.path, request.base, request.body); w.Code != http.StatusOK {
+			t.Fatalf("%s: %d %s", request.path, w.Code, w.Body)
 		}
 	}
-	config = s.call(machines[1], http.MethodGet, "/Config.Read", "", nil).Body.Bytes()
-	w := s.call(machines[2], http.MethodGet, "/backup", "", nil)
+	config = system.call(machines[1], http.MethodGet, "/Config.Read", "", nil).Body.Bytes()
+	w := system.call(machines[2], http.MethodGet, "/backup", "", nil)
 	if w.Code != http.StatusOK {
 		t.Fatal(w.Code, w.Body)
 	}
 	return w.Body.Bytes(), config
 }
 
-// TestRestoreIntoAnEmptySystem lays a backup on the disks of three new keepers. Danger: the system is lost, and what staff
-// have kept of it cannot be brought back.
+// TestRestoreIntoAnEmptySystem writes a backup to the disks of three new nodes. Danger: the system is lost, and a backup of it cannot be
+// brought back.
 func TestRestoreIntoAnEmptySystem(t *testing.T) {
 	first, second := t.TempDir(), t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		backup, config := filled(t, first)
+		backup, config := fillSystem(t, first)
 		state, err := controlstate.Decode(backup)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := newSystem(t, second)
-		for _, m := range machines {
-			if err := Into(s.dirs[m], state); err != nil {
+		system := newSystem(t, second)
+		for _, addr := range machines {
+			if err := Into(system.dirs[addr], state); err != nil {
 				t.Fatal(err)
 			}
-			s.start(m)
-		}
-		for _, m := range machines {
-			if w := s.call(m, http.MethodGet, "/Config.Read", "", nil); w.Code != http.StatusOK || !bytes.Equal(w.Body.Bytes(), config) {
-				t.Errorf("%s answers %d, %s", m, w.Code, w.Body)
-			}
-			held, _ := s.keepers[m].Committed()
-			if !held.Evacuated["away"] || held.Seq != state.Seq {
-				t.Errorf("%s holds record %d, evacuated %v", m, held.Seq, held.Evacuated)
-			}
+			system.start(addr)
 		}
-		// What was taken before the backup is known again, and what is new goes on from there.
-		if w := s.call(machines[1], http.MethodPost, "/Config.Amend", "7", example(t, "amend.json")); w.Code != http.StatusOK {
+		system.checkConfig("restored", config)
+		system.checkCommitted("restored", state.Seq, true)
+		// What was accepted before the backup is known again, and what is new continues from there.
+		if w := system.call(machines[1], http.MethodPost, "/Config.Amend", "7", readExample(t, "amend.json")); w.Code != http.StatusOK {
 			t.Errorf("the last change, sent again: %d %s", w.Code, w.Body)
 		}
-		if w := s.call(machines[2], http.MethodPost, "/Evacuation.Finish/away", "", nil); w.Code != http.StatusOK {
+		if w := system.call(machines[2], http.MethodPost, "/Evacuation.Finish/away", "", nil); w.Code != http.StatusOK {
 			t.Errorf("a new change: %d %s", w.Code, w.Body)
 		}
-		s.stop()
-		for _, m := range machines { // on their own disks
-			if held, err := From(s.dirs[m]); err != nil || held.Seq != state.Seq+1 || held.Revision() != state.Revision() || len(held.Evacuated) > 0 {
-				t.Errorf("on the disk of %s: %+v %v", m, held, err)
-			}
-			s.start(m)
+		system.stop()
+		for _, addr := range machines {
+			system.checkDisk(addr, state)
+			system.start(addr)
 		}
-		for _, m := range machines {
-			if w := s.call(m, http.MethodGet, "/Config.Read", "", nil); !bytes.Equal(w.Body.Bytes(), config) {
-				t.Errorf("after a restart %s answers %d, %s", m, w.Code, w.Body)
-			}
-			if held, _ := s.keepers[m].Committed(); held.Seq != state.Seq+1 || len(held.Evacuated) > 0 {
-				t.Errorf("after a restart %s holds record %d, evacuated %v", m, held.Seq, held.Evacuated)
-			}
-		}
-		s.stop()
+		system.checkConfig("after a restart", config)
+		system.checkCommitted("after a restart", state.Seq+1, false)
+		system.stop()
 	})
 }
 
+// checkConfig checks the configuration that all nodes answer.
+func (s *testSystem) checkConfig(when string, config []byte) {
+	s.t.Helper()
+	for _, addr := range machines {
+		if w := s.call(addr, http.MethodGet, "/Config.Read", "", nil); w.Code != http.StatusOK || !bytes.Equal(w.Body.Bytes(), config) {
+			s.t.Errorf("%s: %s answers %d, %s", when, addr, w.Code, w.Body)
+		}
+	}
+}
+
+// checkCommitted checks the newest record of all nodes, and whether the zone is evacuated after it, and no other.
+func (s *testSystem) checkCommitted(when string, seq uint64, evacuated bool) {
+	s.t.Helper()
+	for _, addr := range machines {
+		state, _ := s.nodes[addr].Committed()
+		if state.Seq != seq || state.Evacuated["away"] != evacuated || !evacuated && len(state.Evacuated) > 0 {
+			s.t.Errorf("%s: %s has record %d, evacuated %v", when, addr, state.Seq, state.Evacuated)
+		}
+	}
+}
+
+// checkDisk checks that the disk of a stopped node has one record after a state, with which no zone is evacuated.
+func (s *testSystem) checkDisk(addr string, before *controlstate.State) {
+	s.t.Helper()
+	state, err := From(s.dirs[addr])
+	if err != nil || state.Seq != before.Seq+1 || state.Revision() != before.Revision() || len(state.Evacuated) > 0 {
+		s.t.Errorf("on the disk of %s: %+v %v", addr, state, err)
+	}
+}
+
 func TestRestoreRefuses(t *testing.T) {
 	state, err := controlstate.Empty().Apply(controlstate.Change{Op: controlstate.OpEvacuate, Zone: "z"}.Record(1))
 	if err != nil {
--- a/internal/system/admin/status_test.go
+++ b/internal/system/admin/status_test.go
@@ -30,15 +30,15 @@
 	return w.Result(), nil
 }
 
-// nodeHandler answers like a keeper.
+// nodeHandler answers like a node.
 func nodeHandler(s NodeStatus) http.Handler {
-	return allowOnlyReads(func(w http.ResponseWriter, r *http.Request) {
+	return allowOnlyReads(func(w http.ResponseWriter, _ *http.Request) {
 		data, _ := json.Marshal(s)
 		writeBody(w, "application/json", data)
 	})
 }
 
-// fleetOf is three keepers: the third is behind and outside the chain; b has moved from the first to the second; d follows
+// fleetOf is three nodes: the third is behind and outside the chain; b has moved from the first to the second; d follows
 // none.
 func fleetOf() map[string]NodeStatus {
 	voters := []Voter{{"10.0.0.1", "za", "r"}, {"10.0.0.2", "zb", "r"}, {"10.0.0.3", "zc", "r"}}
@@ -85,7 +85,7 @@
 	}
 }
 
-// TestFleetCapacity: one keeper's word counts: of the newest epoch, current, and with a disk before observers.
+// TestFleetCapacity: one node's word counts: of the newest epoch, current, and with a disk before observers.
 func TestFleetCapacity(t *testing.T) {
 	answerWith := func(epoch uint64, current, observer bool, voters int) NodeAnswer {
 		return NodeAnswer{Status: &NodeStatus{Epoch: epoch, Current: current, Observer: observer, Capacity: &Capacity{Voters: voters}}}
@@ -206,7 +206,7 @@
 			nodeHandler(NodeStatus{Node: "one", Current: true, Number: number.Load(), Revision: 7,
 				Proxies: []ProxyProgress{{Node: "a", Acknowledged: acknowledged.Load()}}}).ServeHTTP(w, r)
 		})}}
-		c := Client{Transport: n}
+		client := Client{Transport: n}
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		go func() {
@@ -216,11 +216,11 @@
 			acknowledged.Store(5)
 		}()
 		began := time.Now()
-		f, err := c.Wait(ctx, []string{"10.0.0.1:1"}, Change{Revision: 7})
+		f, err := client.Wait(ctx, []string{"10.0.0.1:1"}, Change{Revision: 7})
 		if err != nil || f.Number != 6 || time.Since(began) > 3*time.Second {
 			t.Errorf("%+v %v after %v", f, err, time.Since(began))
 		}
-		_, err = c.Wait(ctx, []string{"10.0.0.1:1"}, Change{Number: 6})
+		_, err = client.Wait(ctx, []string{"10.0.0.1:1"}, Change{Number: 6})
 		if !errors.Is(err, ErrNotApplied) || !strings.Contains(err.Error(), "proxy a, at record 5") {
 			t.Error(err)
 		}
@@ -251,7 +251,11 @@
 		t.Error(s, err)
 	}
 	for _, path := range []string{"/status", "/backup"} {
-		response, err := http.Post(server.URL+path, "", nil)
+		request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, server.URL+path, nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		response, err := http.DefaultClient.Do(request)
 		if err != nil {
 			t.Fatal(err)
 		}
