--- a/cmd/controlplane/feed.go
+++ b/cmd/controlplane/feed.go
@@ -40,7 +40,7 @@
 	f.hub = distribution.NewServer(distribution.ServerOptions{Source: chain, Self: s.IP, Zone: s.Zone, Region: s.Region,
 		ListLag: settings.Milliseconds(s.Cloud.Lag), Peers: f.peers, Log: logger})
 	f.poller = platform.NewPoller(platform.PollerOptions{Lister: f.client, Ownership: f.duty, Newest: f.newest, OnResult: f.listed,
-		Interval: pollEvery, CallRate: max(s.Cloud.Rate*pollPart, 1), Log: logger})
+		Interval: pollEvery, MaxCallsPerSecond: max(s.Cloud.Rate*pollPart, 1), Log: logger})
 	return f
 }
 
@@ -88,7 +88,7 @@
 			Remaining: i.Remaining, WarmUpMax: roundedUp(i.WarmUpLeft)})
 	}
 	f.logCold(r)
-	if err := f.hub.PutList(r.Fence, r.Version, servers, distribution.TimeBounds{Earliest: r.Asked, Latest: r.Answered}); err != nil {
+	if err := f.hub.PutList(r.Fence, r.Version, servers, distribution.TimeBounds{Earliest: r.RequestedAt, Latest: r.ReceivedAt}); err != nil {
 		f.log.WithError(err).Info("keeper: a reading of the list came too late")
 	}
 }
@@ -103,7 +103,7 @@
 		cold[i.ID] = true
 		if !f.cold[i.ID] {
 			f.log.WithField("server", i.ID).WithField("cold_ms", i.WarmUpLeft.Milliseconds()).
-				WithField("reading_ms", r.Answered.Sub(r.Asked).Milliseconds()).Info("keeper: the list calls a server cold")
+				WithField("reading_ms", r.ReceivedAt.Sub(r.RequestedAt).Milliseconds()).Info("keeper: the list calls a server cold")
 		}
 	}
 	f.cold = cold
--- a/internal/system/platform/client.go
+++ b/internal/system/platform/client.go
@@ -52,9 +52,9 @@
 
 // The bounds of a list.
 const (
-	maxBody  = 8 << 20  // bytes of one page
-	maxHead  = 64 << 10 // bytes of an answer's head
-	maxPages = 100
+	maxPageBytes   = 8 << 20  // bytes of one page
+	maxHeaderBytes = 64 << 10 // bytes of an answer's head
+	maxPages       = 100
 )
 
 // Options are those of a Client.
@@ -65,43 +65,43 @@
 
 // Client reads the platform's list. It may be used by many goroutines.
 type Client struct {
-	base    string
+	listURL string
 	timeout time.Duration
-	http    *http.Client
+	client  *http.Client
 	calls   atomic.Uint64
 }
 
 // NewClient makes a client that connects when it is first asked.
-func NewClient(o Options) *Client {
-	if o.Timeout <= 0 {
-		o.Timeout = time.Second
+func NewClient(options Options) *Client {
+	if options.Timeout <= 0 {
+		options.Timeout = time.Second
 	}
-	dialer := net.Dialer{Timeout: 500 * time.Millisecond, Control: userTimeout}
+	dialer := net.Dialer{Timeout: 500 * time.Millisecond, Control: setUserTimeout}
 	return &Client{
-		base:    "http://" + strings.TrimSuffix(strings.TrimPrefix(o.Address, "http://"), "/") + "/instances",
-		timeout: o.Timeout,
-		http: &http.Client{
+		listURL: "http://" + strings.TrimSuffix(strings.TrimPrefix(options.Address, "http://"), "/") + "/instances",
+		timeout: options.Timeout,
+		client: &http.Client{
 			Transport: &http.Transport{
 				DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 					conn, err := dialer.DialContext(ctx, network, address)
 					if err != nil {
 						return nil, err
 					}
-					return framing.NewServerConn(conn, maxHead), nil // no surplus answer becomes that of the next call
+					return framing.NewServerConn(conn, maxHeaderBytes), nil // no surplus answer becomes that of the next call
 				},
 				DisableCompression:     true,
 				MaxIdleConns:           2,
 				MaxIdleConnsPerHost:    2,
 				IdleConnTimeout:        30 * time.Second,
-				MaxResponseHeaderBytes: maxHead,
+				MaxResponseHeaderBytes: maxHeaderBytes,
 			},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
 	}
 }
 
-// userTimeout has the kernel give up a connection whose packets nobody acknowledges, as across a silent cut.
-func userTimeout(_, _ string, c syscall.RawConn) error {
+// setUserTimeout has the kernel give up a connection whose packets nobody acknowledges, as across a silent cut.
+func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	var set error
 	if err := c.Control(func(fd uintptr) {
 		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, 1000)
@@ -115,23 +115,23 @@
 func (c *Client) Calls() uint64 { return c.calls.Load() }
 
 // Close ends the idle connections.
-func (c *Client) Close() { c.http.CloseIdleConnections() }
+func (c *Client) Close() { c.client.CloseIdleConnections() }
 
-// answered is when a page of the list had come, and how many instances had come with it and the pages before.
-type answered struct {
-	at   time.Time
-	upTo int
+// pageArrival is when a page of the list had come, and how many instances had come with it and the pages before.
+type pageArrival struct {
+	at        time.Time
+	instances int
 }
 
-// countDown has all cold states of a list count from when the last page had come.
-func countDown(list []Instance, pages []answered) {
+// ageWarmUps has all cold states of a list count from when the last page had come.
+func ageWarmUps(list []Instance, pages []pageArrival) {
 	last := pages[len(pages)-1].at
 	first := 0
 	for _, page := range pages {
-		for i := first; i < page.upTo; i++ {
+		for i := first; i < page.instances; i++ {
 			list[i].WarmUpLeft = max(0, list[i].WarmUpLeft-last.Sub(page.at))
 		}
-		first = page.upTo
+		first = page.instances
 	}
 }
 
@@ -145,10 +145,10 @@
 		parser fastjson.Parser
 		token  string
 		in     = interner{}
-		pages  []answered
+		pages  []pageArrival
 	)
 	for range maxPages {
-		if err := c.page(ctx, zone, token, &buf); err != nil {
+		if err := c.fetchPage(ctx, zone, token, &buf); err != nil {
 			return nil, err
 		}
 		var (
@@ -159,11 +159,11 @@
 		if list, next, err = parsePage(&parser, buf.Bytes(), in, list); err != nil {
 			return nil, err
 		}
-		pages = append(pages, answered{at: at, upTo: len(list)})
+		pages = append(pages, pageArrival{at: at, instances: len(list)})
 		switch next {
 		case "":
-			countDown(list, pages)
-			return normalize(list), nil
+			ageWarmUps(list, pages)
+			return sortAndDeduplicate(list), nil
 		case token:
 			return nil, errors.Mark(errors.Newf("the platform's page %q names itself as the next: ask again", token), ErrMalformed)
 		}
@@ -172,7 +172,7 @@
 	return nil, errors.Mark(errors.Newf("the platform's list has more than %d pages: poll it by zone", maxPages), ErrMalformed)
 }
 
-func (c *Client) page(ctx context.Context, zone, token string, buf *bytes.Buffer) error {
+func (c *Client) fetchPage(ctx context.Context, zone, token string, page *bytes.Buffer) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	query := url.Values{}
@@ -182,64 +182,64 @@
 	if token != "" {
 		query.Set("page_token", token)
 	}
-	target := c.base
+	target := c.listURL
 	if len(query) > 0 {
 		target += "?" + query.Encode()
 	}
-	resp, reused, err := c.send(ctx, target)
+	response, reused, err := c.sendRequest(ctx, target)
 	if err != nil {
 		// The connection may be one that a cut has silenced, or that the platform has closed: the next call takes a new one.
-		c.http.CloseIdleConnections()
+		c.client.CloseIdleConnections()
 		if reused && ctx.Err() == nil {
-			resp, _, err = c.send(ctx, target)
+			response, _, err = c.sendRequest(ctx, target)
 		}
 	}
 	if err != nil {
-		c.http.CloseIdleConnections()
+		c.client.CloseIdleConnections()
 		return errors.Mark(errors.Wrap(err, "the platform's list was not reached: keep the old list and ask again"), ErrUnreachable)
 	}
-	defer resp.Body.Close()
+	defer response.Body.Close()
 	switch {
-	case resp.StatusCode == http.StatusTooManyRequests:
-		_, _ = io.CopyN(io.Discard, resp.Body, 4<<10)
-		return &RateError{After: retryAfter(resp.Header.Get("Retry-After"))}
-	case resp.StatusCode != http.StatusOK:
-		_, _ = io.CopyN(io.Discard, resp.Body, 4<<10)
-		return errors.Mark(errors.Newf("the platform answered %d: keep the old list and ask again", resp.StatusCode), ErrUnreachable)
+	case response.StatusCode == http.StatusTooManyRequests:
+		_, _ = io.CopyN(io.Discard, response.Body, 4<<10)
+		return &RateError{After: parseRetryAfter(response.Header.Get("Retry-After"))}
+	case response.StatusCode != http.StatusOK:
+		_, _ = io.CopyN(io.Discard, response.Body, 4<<10)
+		return errors.Mark(errors.Newf("the platform answered %d: keep the old list and ask again", response.StatusCode), ErrUnreachable)
 	}
-	buf.Reset()
-	n, err := buf.ReadFrom(io.LimitReader(resp.Body, maxBody+1))
+	page.Reset()
+	n, err := page.ReadFrom(io.LimitReader(response.Body, maxPageBytes+1))
 	switch {
 	case err != nil:
 		return errors.Mark(errors.Wrap(err, "the platform's answer broke off: keep the old list and ask again"), ErrUnreachable)
-	case n > maxBody:
-		return errors.Mark(errors.Newf("a page of the platform's list has more than %d bytes: poll it by zone", maxBody), ErrMalformed)
+	case n > maxPageBytes:
+		return errors.Mark(errors.Newf("a page of the platform's list has more than %d bytes: poll it by zone", maxPageBytes), ErrMalformed)
 	}
 	return nil
 }
 
-// send makes one call and counts it, and tells whether it went out on a connection that was used before.
-func (c *Client) send(ctx context.Context, target string) (resp *http.Response, reused bool, err error) {
+// sendRequest makes one call and counts it, and tells whether it went out on a connection that was used before.
+func (c *Client) sendRequest(ctx context.Context, target string) (response *http.Response, reused bool, err error) {
 	trace := &httptrace.ClientTrace{GotConn: func(got httptrace.GotConnInfo) { reused = got.Reused }}
-	r, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodGet, target, nil)
+	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodGet, target, nil)
 	if err != nil {
 		return nil, false, errors.Wrap(err, "the platform's address is no host:port: check cloud_api.address")
 	}
-	sendOnce(r)
+	preventRetry(request)
 	c.calls.Add(1)
-	resp, err = c.http.Do(r)
-	return resp, reused, err
+	response, err = c.client.Do(request)
+	return response, reused, err
 }
 
-// sendOnce keeps http.Transport from sending a request without a body a second time when a reused connection breaks before
+// preventRetry keeps http.Transport from sending a request without a body a second time when a reused connection breaks before
 // an answer: the call would count twice against the platform's rate, and Calls would not know. The transport repeats no
 // request that has a body and no GetBody, so an empty one is given, and "identity" keeps it from being announced.
-func sendOnce(r *http.Request) {
+func preventRetry(r *http.Request) {
 	r.Body, r.GetBody, r.TransferEncoding = io.NopCloser(strings.NewReader("")), nil, []string{"identity"}
 }
 
-// retryAfter reads seconds, fractions included, and holds them to a minute.
-func retryAfter(value string) time.Duration {
+// parseRetryAfter reads seconds, fractions included, and holds them to a minute.
+func parseRetryAfter(value string) time.Duration {
 	s, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 	if err != nil || !(s > 0) {
 		return 0
--- a/internal/system/platform/client_test.go
+++ b/internal/system/platform/client_test.go
@@ -18,17 +18,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-func serve(t *testing.T, h http.HandlerFunc) *Client {
+func clientOf(t *testing.T, handler http.HandlerFunc) *Client {
 	t.Helper()
-	s := httptest.NewServer(h)
-	t.Cleanup(s.Close)
-	c := NewClient(Options{Address: s.Listener.Addr().String(), Timeout: 300 * time.Millisecond})
-	t.Cleanup(c.Close)
-	return c
+	server := httptest.NewServer(handler)
+	t.Cleanup(server.Close)
+	client := NewClient(Options{Address: server.Listener.Addr().String(), Timeout: 300 * time.Millisecond})
+	t.Cleanup(client.Close)
+	return client
 }
 
 func TestListFollowsPages(t *testing.T) {
-	c := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	client := clientOf(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodGet || r.URL.Path != "/instances" || r.URL.Query().Get("zone") != "fukuoka-a" {
 			t.Errorf("unexpected call %s %s", r.Method, r.URL)
 		}
@@ -41,7 +41,7 @@
 			t.Errorf("unexpected token %q", token)
 		}
 	})
-	list, err := c.List(context.Background(), "fukuoka-a")
+	list, err := client.List(context.Background(), "fukuoka-a")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,16 +55,16 @@
 	if b := list[1]; b.Phase != Draining || b.Remaining != time.Millisecond {
 		t.Errorf("second = %+v", b)
 	}
-	if c.Calls() != 2 {
-		t.Errorf("calls = %d, want 2", c.Calls())
+	if client.Calls() != 2 {
+		t.Errorf("calls = %d, want 2", client.Calls())
 	}
 }
 
 func TestListReadsFields(t *testing.T) {
-	c := serve(t, func(w http.ResponseWriter, _ *http.Request) {
+	client := clientOf(t, func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, `{"instances":[{"target":"a","address":"h:1","zone":"z","revision":"v1","slots":64,"phase":"serving","cold_left_ms":1500.5,"stage":"both","models":[{"name":"m","revision":7,"adapters":["x",{"name":"y"}]}],"id":"i"}],"next_token":null}`)
 	})
-	list, err := c.List(context.Background(), "")
+	list, err := client.List(context.Background(), "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestListFailsWhole(t *testing.T) {
+func TestListIsCompleteOrAnError(t *testing.T) {
 	endless := 0
 	tests := map[string]struct {
 		answer http.HandlerFunc
@@ -117,16 +117,16 @@
 			fmt.Fprint(w, `{"instances":[{"id":"i","target":"a","address":"h:1"}],"next_token":"2"}`)
 		}, ErrUnreachable},
 	}
-	for name, tt := range tests {
+	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			c := serve(t, tt.answer)
-			c.timeout = 2 * time.Second
+			client := clientOf(t, test.answer)
+			client.timeout = 2 * time.Second
 			if name == "silent" {
-				c.timeout = 50 * time.Millisecond
+				client.timeout = 50 * time.Millisecond
 			}
-			list, err := c.List(context.Background(), "")
-			if list != nil || !errors.Is(err, tt.kind) {
-				t.Errorf("List = %v, %v; want none and an error of kind %v", list, err, tt.kind)
+			list, err := client.List(context.Background(), "")
+			if list != nil || !errors.Is(err, test.kind) {
+				t.Errorf("List = %v, %v; want none and an error of kind %v", list, err, test.kind)
 			}
 			if name == "rate" && RetryAfter(err) != 250*time.Millisecond {
 				t.Errorf("RetryAfter = %v", RetryAfter(err))
@@ -148,16 +148,16 @@
 	for value, want := range map[string]time.Duration{
 		"": 0, "x": 0, "-1": 0, "NaN": 0, "0.5": 500 * time.Millisecond, " 2 ": 2 * time.Second, "1e9": time.Minute, "+Inf": time.Minute,
 	} {
-		if got := retryAfter(value); got != want {
+		if got := parseRetryAfter(value); got != want {
 			t.Errorf("retryAfter(%q) = %v, want %v", value, got, want)
 		}
 	}
 }
 
-// TestRepeatIsCounted has the platform break connections: a call on one that it answered on before is made once more, on a
+// TestRetryIsCounted has the platform break connections: a call on one that it answered on before is made once more, on a
 // new one, and both are counted for the rate; one that breaks a new connection is not made again.
-func TestRepeatIsCounted(t *testing.T) {
-	for _, tt := range []struct {
+func TestRetryIsCounted(t *testing.T) {
+	for _, test := range []struct {
 		name   string
 		breaks []int64 // which of the calls that come
 		failed []bool  // of three lists
@@ -167,21 +167,21 @@
 		{"a reused connection, and the next", []int64{2, 3}, []bool{false, true, false}, 4},
 		{"a new connection", []int64{1}, []bool{true, false, false}, 3},
 	} {
-		t.Run(tt.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			var got atomic.Int64
-			c := serve(t, func(w http.ResponseWriter, _ *http.Request) {
-				if slices.Contains(tt.breaks, got.Add(1)) {
+			client := clientOf(t, func(w http.ResponseWriter, _ *http.Request) {
+				if slices.Contains(test.breaks, got.Add(1)) {
 					panic(http.ErrAbortHandler)
 				}
 				fmt.Fprint(w, `{"instances":[],"next_token":null}`)
 			})
-			for n, failed := range tt.failed {
-				if _, err := c.List(context.Background(), ""); (err != nil) != failed || err != nil && !errors.Is(err, ErrUnreachable) {
+			for n, failed := range test.failed {
+				if _, err := client.List(context.Background(), ""); (err != nil) != failed || err != nil && !errors.Is(err, ErrUnreachable) {
 					t.Errorf("list %d: error %v", n, err)
 				}
 			}
-			if uint64(got.Load()) != tt.calls || c.Calls() != tt.calls {
-				t.Errorf("%d calls came, %d were counted, want %d", got.Load(), c.Calls(), tt.calls)
+			if uint64(got.Load()) != test.calls || client.Calls() != test.calls {
+				t.Errorf("%d calls came, %d were counted, want %d", got.Load(), client.Calls(), test.calls)
 			}
 		})
 	}
@@ -189,18 +189,18 @@
 
 // TestSurplusAnswer has the platform send a second answer after each, in the same packet: it is never that of the next call.
 func TestSurplusAnswer(t *testing.T) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	answer := func(id string) string {
+	responseWith := func(id string) string {
 		body := `{"instances":[{"id":"` + id + `","target":"s","address":"10.0.0.1:1","zone":"z","phase":"serving"}],"next_token":null}`
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}
 	var serving sync.WaitGroup
 	serving.Go(func() {
 		for {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -210,16 +210,16 @@
 					if r, err := http.ReadRequest(in); err != nil || r.ContentLength != 0 || len(r.TransferEncoding) > 0 {
 						return
 					}
-					if _, err := io.WriteString(conn, answer("own")+answer("surplus")); err != nil {
+					if _, err := io.WriteString(conn, responseWith("own")+responseWith("surplus")); err != nil {
 						return
 					}
 				}
 			})
 		}
 	})
-	c := NewClient(Options{Address: l.Addr().String()})
+	client := NewClient(Options{Address: listener.Addr().String()})
 	for range 50 {
-		list, err := c.List(context.Background(), "")
+		list, err := client.List(context.Background(), "")
 		switch {
 		case err != nil && !errors.Is(err, ErrUnreachable): // it may meet the connection's end
 			t.Errorf("error %v", err)
@@ -227,7 +227,7 @@
 			t.Errorf("list %+v", list)
 		}
 	}
-	c.Close()
-	_ = l.Close()
+	client.Close()
+	_ = listener.Close()
 	serving.Wait()
 }
--- a/internal/system/platform/instance.go
+++ b/internal/system/platform/instance.go
@@ -45,7 +45,7 @@
 // interner lets the strings that many instances share be one in memory.
 type interner map[string]string
 
-func (in interner) str(b []byte) string {
+func (in interner) intern(b []byte) string {
 	if s, ok := in[string(b)]; ok {
 		return s
 	}
@@ -54,9 +54,9 @@
 	return s
 }
 
-func millis(v *fastjson.Value, name string) time.Duration {
+func getDuration(object *fastjson.Value, name string) time.Duration {
 	const most = 7 * 24 * time.Hour
-	ms := v.GetFloat64(name)
+	ms := object.GetFloat64(name)
 	switch {
 	case !(ms > 0):
 		return 0
@@ -69,24 +69,24 @@
 // parsePage appends the instances of one answer to dst and gives the token of the next page, empty on the last.
 // Unknown fields are passed over, and so are entries without an id, a target or an address: nothing can be sent there.
 func parsePage(p *fastjson.Parser, body []byte, in interner, dst []Instance) ([]Instance, string, error) {
-	v, err := p.ParseBytes(body)
+	document, err := p.ParseBytes(body)
 	if err != nil {
 		return dst, "", errors.Mark(errors.Wrap(err, "the platform's list cannot be read: ask again"), ErrMalformed)
 	}
-	list := v.Get("instances")
+	list := document.Get("instances")
 	if list == nil || list.Type() != fastjson.TypeArray {
 		return dst, "", errors.Mark(errors.New("the platform's answer has no list under instances: check cloud_api.address"), ErrMalformed)
 	}
 	for _, e := range list.GetArray() {
 		i := Instance{
 			ID:         string(e.GetStringBytes("id")),
-			Target:     in.str(e.GetStringBytes("target")),
+			Target:     in.intern(e.GetStringBytes("target")),
 			Address:    string(e.GetStringBytes("address")),
-			Zone:       in.str(e.GetStringBytes("zone")),
+			Zone:       in.intern(e.GetStringBytes("zone")),
 			Slots:      max(0, int(min(e.GetFloat64("slots"), 1<<20))),
-			WarmUpLeft: millis(e, "cold_left_ms"),
-			Revision:   in.str(e.GetStringBytes("revision")),
-			Stage:      in.str(e.GetStringBytes("stage")),
+			WarmUpLeft: getDuration(e, "cold_left_ms"),
+			Revision:   in.intern(e.GetStringBytes("revision")),
+			Stage:      in.intern(e.GetStringBytes("stage")),
 		}
 		if i.ID == "" || i.Target == "" || i.Address == "" {
 			continue
@@ -96,15 +96,15 @@
 		}
 		if r := e.Get("remaining_ms"); r != nil && r.Type() == fastjson.TypeNumber {
 			// 0 means "not told" in Remaining, so what has run out is the shortest time there is.
-			i.Remaining = max(millis(e, "remaining_ms"), time.Millisecond)
+			i.Remaining = max(getDuration(e, "remaining_ms"), time.Millisecond)
 		}
 		for _, m := range e.GetArray("models") {
-			model := Model{Name: in.str(m.GetStringBytes("name")), Revision: int64(m.GetFloat64("revision"))}
+			model := Model{Name: in.intern(m.GetStringBytes("name")), Revision: int64(m.GetFloat64("revision"))}
 			for _, a := range m.GetArray("adapters") {
 				if b, err := a.StringBytes(); err == nil {
-					model.Adapters = append(model.Adapters, in.str(b))
+					model.Adapters = append(model.Adapters, in.intern(b))
 				} else if b := a.GetStringBytes("name"); b != nil {
-					model.Adapters = append(model.Adapters, in.str(b))
+					model.Adapters = append(model.Adapters, in.intern(b))
 				}
 			}
 			i.Models = append(i.Models, model)
@@ -113,7 +113,7 @@
 	}
 	// A token may be of any kind that JSON has; what is not a string is handed back as it was written.
 	var token string
-	if t := v.Get("next_token"); t != nil && t.Type() != fastjson.TypeNull {
+	if t := document.Get("next_token"); t != nil && t.Type() != fastjson.TypeNull {
 		if b, err := t.StringBytes(); err == nil {
 			token = string(b)
 		} else {
@@ -123,9 +123,9 @@
 	return dst, token, nil
 }
 
-// normalize sorts the list by id and drops what is told twice: a list that changes between two pages may repeat an
+// sortAndDeduplicate sorts the list by id and drops what is told twice: a list that changes between two pages may repeat an
 // entry, and the later page is the newer.
-func normalize(list []Instance) []Instance {
+func sortAndDeduplicate(list []Instance) []Instance {
 	slices.SortStableFunc(list, func(a, b Instance) int { return strings.Compare(a.ID, b.ID) })
 	out := list[:0]
 	for _, i := range list {
--- a/internal/system/platform/poller.go
+++ b/internal/system/platform/poller.go
@@ -24,7 +24,7 @@
 
 	// The platform was asked and had answered, with its last page, at these moments of the monotonic clock. Remaining counts
 	// from between them, ColdLeft from when the last page was made.
-	Asked, Answered time.Time
+	RequestedAt, ReceivedAt time.Time
 }
 
 // PollerOptions are those of a Poller.
@@ -37,39 +37,39 @@
 	Newest   func() (fence, version uint64, age time.Duration)
 	OnResult func(Result) // called by Run, one at a time
 
-	Interval   time.Duration // from the start of one poll to that of the next; 0: 500 ms
-	CallRate   float64       // the most calls a second of the holder, pages counted; 0: 4. A tenth of rate_per_s is meant
-	StaleAfter time.Duration // a list older than this is polled by others than the holder as well; 0: 2 s
-	Log        log.Interface
+	Interval          time.Duration // from the start of one poll to that of the next; 0: 500 ms
+	MaxCallsPerSecond float64       // the most calls a second of the holder, pages counted; 0: 4. A tenth of rate_per_s is meant
+	StaleAfter        time.Duration // a list older than this is polled by others than the holder as well; 0: 2 s
+	Log               log.Interface
 }
 
 // Poller reads the list again and again while it holds the duty. One that does not hold it steps in, rarely and at a
 // random moment, when the list in use grows old: so a holder that is cut off from the platform costs freshness for a
 // bound only.
 type Poller struct {
-	o       PollerOptions
-	pace    pace
+	options PollerOptions
+	backoff pollBackoff
 	standby ownership.Standby
 }
 
 // NewPoller makes a poller; Run starts it.
-func NewPoller(o PollerOptions) *Poller {
-	if o.Interval <= 0 {
-		o.Interval = 500 * time.Millisecond
+func NewPoller(options PollerOptions) *Poller {
+	if options.Interval <= 0 {
+		options.Interval = 500 * time.Millisecond
 	}
-	if !(o.CallRate > 0) {
-		o.CallRate = 4
+	if !(options.MaxCallsPerSecond > 0) {
+		options.MaxCallsPerSecond = 4
 	}
-	if o.StaleAfter <= 0 {
-		o.StaleAfter = 2 * time.Second
+	if options.StaleAfter <= 0 {
+		options.StaleAfter = 2 * time.Second
 	}
-	if o.Log == nil {
-		o.Log = log.Log
+	if options.Log == nil {
+		options.Log = log.Log
 	}
 	return &Poller{
-		o:       o,
-		pace:    pace{interval: o.Interval, gap: time.Duration(float64(time.Second) / o.CallRate)},
-		standby: ownership.Standby{Interval: o.Interval, After: o.StaleAfter},
+		options: options,
+		backoff: pollBackoff{interval: options.Interval, perCall: time.Duration(float64(time.Second) / options.MaxCallsPerSecond)},
+		standby: ownership.Standby{Interval: options.Interval, After: options.StaleAfter},
 	}
 }
 
@@ -83,69 +83,69 @@
 			return
 		case <-timer.C:
 		}
-		timer.Reset(p.step(ctx))
+		timer.Reset(p.poll(ctx))
 	}
 }
 
-// step polls once if it should, and gives how long to wait for the next.
-func (p *Poller) step(ctx context.Context) time.Duration {
-	fence, holds := p.o.Ownership()
-	used, version, age := p.o.Newest()
-	if fence < used {
+// poll polls once if it should, and gives how long to wait for the next.
+func (p *Poller) poll(ctx context.Context) time.Duration {
+	fence, owns := p.options.Ownership()
+	newestFence, version, age := p.options.Newest()
+	if fence < newestFence {
 		// Somebody acts under a newer fence: what this one would give is refused anyway.
-		return p.o.Interval
+		return p.options.Interval
 	}
-	act, next := p.standby.Next(holds, age, rand.Float64())
+	act, next := p.standby.Next(owns, age, rand.Float64())
 	if !act {
-		p.pace.failures = 0
+		p.backoff.failures = 0
 		return next
 	}
-	start, before := time.Now(), p.o.Lister.Calls()
-	list, err := p.o.Lister.List(ctx, "")
+	start, callsBefore := time.Now(), p.options.Lister.Calls()
+	list, err := p.options.Lister.List(ctx, "")
 	spent := time.Since(start)
-	wait := max(next, p.pace.after(int(p.o.Lister.Calls()-before), err))
+	wait := max(next, p.backoff.next(int(p.options.Lister.Calls()-callsBefore), err))
 	if err != nil {
 		if ctx.Err() == nil {
-			p.o.Log.WithError(err).Warn("platform: list not read, the old one stays in use")
+			p.options.Log.WithError(err).Warn("platform: list not read, the old one stays in use")
 		}
 		return max(0, wait-spent)
 	}
-	if fence == used {
+	if fence == newestFence {
 		version++
 	} else {
 		version = 1
 	}
-	p.o.OnResult(Result{Fence: fence, Version: version, Instances: list, Asked: start, Answered: start.Add(spent)})
+	p.options.OnResult(Result{Fence: fence, Version: version, Instances: list, RequestedAt: start, ReceivedAt: start.Add(spent)})
 	return max(0, wait-spent)
 }
 
-// pace decides how long to wait from the start of one poll to that of the next. It is pure.
-type pace struct {
+// pollBackoff decides how long to wait from the start of one poll to that of the next. It is pure.
+type pollBackoff struct {
 	interval time.Duration // the shortest wait
-	gap      time.Duration // for each call that a poll took, so that their rate is bounded
+	perCall  time.Duration // for each call that a poll took, so that their rate is bounded
 	failures int           // in a row
 }
 
 // The longest waits after failures in a row.
 const (
-	longestFailed = 2 * time.Second
-	longestRate   = 4 * time.Second
+	maxFailureWait   = 2 * time.Second
+	maxRateLimitWait = 4 * time.Second
 )
 
-func (p *pace) after(calls int, err error) time.Duration {
-	wait := max(p.interval, time.Duration(calls)*p.gap)
+func (p *pollBackoff) next(calls int, err error) time.Duration {
+	wait := max(p.interval, time.Duration(calls)*p.perCall)
 	if err == nil {
 		p.failures = 0
 		return wait
 	}
 	p.failures++
-	longest, shortest := longestFailed, wait
+	maxWait, minWait := maxFailureWait, wait
 	if errors.Is(err, ErrRateLimited) {
-		longest, shortest = longestRate, max(2*wait, RetryAfter(err))
+		maxWait, minWait = maxRateLimitWait, max(2*wait, RetryAfter(err))
 		wait *= 2
 	}
 	for range min(p.failures, 5) - 1 {
 		wait *= 2
 	}
-	return max(min(wait, longest), shortest)
+	return max(min(wait, maxWait), minWait)
 }
--- a/internal/system/platform/poller_test.go
+++ b/internal/system/platform/poller_test.go
@@ -41,25 +41,25 @@
 	f.err = err
 }
 
-// table is the list in use, as all pollers of a test see it.
-type table struct {
+// listTable is the list in use, as all pollers of a test see it.
+type listTable struct {
 	mu             sync.Mutex
 	fence, version uint64
 	at             time.Time
 	taken          int
 }
 
-func (b *table) put(r Result) {
+func (b *listTable) put(r Result) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r.Fence < b.fence || r.Fence == b.fence && r.Version <= b.version {
 		return
 	}
-	b.fence, b.version, b.at = r.Fence, r.Version, r.Asked
+	b.fence, b.version, b.at = r.Fence, r.Version, r.RequestedAt
 	b.taken++
 }
 
-func (b *table) newest() (uint64, uint64, time.Duration) {
+func (b *listTable) newest() (uint64, uint64, time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.at.IsZero() {
@@ -68,47 +68,47 @@
 	return b.fence, b.version, time.Since(b.at)
 }
 
-func quiet() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.InfoLevel} }
+func discardLog() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.InfoLevel} }
 
-// run runs a poller for a span of the bubble's clock.
-func run(o PollerOptions, span time.Duration) {
-	o.Log = quiet()
+// runPoller runs a poller for a span of the bubble's clock.
+func runPoller(o PollerOptions, span time.Duration) {
+	o.Log = discardLog()
 	ctx, cancel := context.WithTimeout(context.Background(), span)
 	defer cancel()
 	NewPoller(o).Run(ctx)
 }
 
-func TestPollerKeepsItsRate(t *testing.T) {
+func TestPollerKeepsItsRateLimit(t *testing.T) {
 	for pages, want := range map[uint64]uint64{1: 21, 4: 4 * 11, 20: 20 * 3} {
 		synctest.Test(t, func(t *testing.T) {
-			list, in := &fakeList{pages: pages}, &table{}
-			run(PollerOptions{Lister: list, Ownership: func() (uint64, bool) { return 3, true }, Newest: in.newest,
-				OnResult: in.put, CallRate: 4}, 10*time.Second+time.Millisecond)
+			list, table := &fakeList{pages: pages}, &listTable{}
+			runPoller(PollerOptions{Lister: list, Ownership: func() (uint64, bool) { return 3, true }, Newest: table.newest,
+				OnResult: table.put, MaxCallsPerSecond: 4}, 10*time.Second+time.Millisecond)
 			if list.calls != want {
 				t.Errorf("%d pages: %d calls in 10 s, want %d", pages, list.calls, want)
 			}
-			if in.fence != 3 || in.version != uint64(in.taken) || in.taken != int(want/pages) {
-				t.Errorf("table = %+v", in)
+			if table.fence != 3 || table.version != uint64(table.taken) || table.taken != int(want/pages) {
+				t.Errorf("table = %+v", table)
 			}
 		})
 	}
 }
 
-func TestPollerGoesOnFromTheNewestVersion(t *testing.T) {
+func TestPollerContinuesFromTheNewestVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		list, in := &fakeList{pages: 1}, &table{fence: 3, version: 40}
-		o := PollerOptions{Lister: list, Ownership: func() (uint64, bool) { return 3, true }, Newest: in.newest, OnResult: in.put}
-		run(o, time.Millisecond)
-		if in.version != 41 || in.taken != 1 {
-			t.Errorf("table = %+v, want version 41", in)
+		list, table := &fakeList{pages: 1}, &listTable{fence: 3, version: 40}
+		o := PollerOptions{Lister: list, Ownership: func() (uint64, bool) { return 3, true }, Newest: table.newest, OnResult: table.put}
+		runPoller(o, time.Millisecond)
+		if table.version != 41 || table.taken != 1 {
+			t.Errorf("table = %+v, want version 41", table)
 		}
 	})
 }
 
 func TestPollerUnderAnOldFence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		list, in := &fakeList{pages: 1}, &table{fence: 4, version: 1}
-		run(PollerOptions{Lister: list, Ownership: func() (uint64, bool) { return 3, true }, Newest: in.newest, OnResult: in.put},
+		list, table := &fakeList{pages: 1}, &listTable{fence: 4, version: 1}
+		runPoller(PollerOptions{Lister: list, Ownership: func() (uint64, bool) { return 3, true }, Newest: table.newest, OnResult: table.put},
 			10*time.Second)
 		if list.calls != 0 {
 			t.Errorf("%d calls under an old fence", list.calls)
@@ -116,24 +116,24 @@
 	})
 }
 
-func TestPollerStepsInForASilentHolder(t *testing.T) {
+func TestStandbyPollsWhenTheListIsStale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		in := &table{fence: 3, at: time.Now()}
+		table := &listTable{fence: 3, at: time.Now()}
 		lists := []*fakeList{{pages: 1}, {pages: 1}}
 		start := time.Now()
 		var wg sync.WaitGroup
 		for _, list := range lists {
 			wg.Go(func() {
-				run(PollerOptions{Lister: list, Ownership: func() (uint64, bool) { return 3, false }, Newest: in.newest,
-					OnResult: in.put}, 20*time.Second)
+				runPoller(PollerOptions{Lister: list, Ownership: func() (uint64, bool) { return 3, false }, Newest: table.newest,
+					OnResult: table.put}, 20*time.Second)
 			})
 		}
 		time.Sleep(3 * time.Second)
-		in.mu.Lock()
-		if in.taken == 0 || in.at.Sub(start) < 2*time.Second {
-			t.Errorf("after 3 s: %d lists taken, the newest of %v", in.taken, in.at.Sub(start))
+		table.mu.Lock()
+		if table.taken == 0 || table.at.Sub(start) < 2*time.Second {
+			t.Errorf("after 3 s: %d lists taken, the newest of %v", table.taken, table.at.Sub(start))
 		}
-		in.mu.Unlock()
+		table.mu.Unlock()
 		wg.Wait()
 		// Both together stay under the rate of a holder: one list every two seconds or so.
 		if calls := lists[0].calls + lists[1].calls; calls < 6 || calls > 16 {
@@ -142,28 +142,28 @@
 	})
 }
 
-func TestPollerKeepsTheOldListThroughErrors(t *testing.T) {
+func TestPollerKeepsTheListThroughErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		list, in := &fakeList{pages: 1}, &table{}
+		list, table := &fakeList{pages: 1}, &listTable{}
 		list.fail(&RateError{After: 3 * time.Second})
 		go func() {
 			time.Sleep(9 * time.Second)
 			list.fail(nil)
 		}()
-		run(PollerOptions{Lister: list, Ownership: func() (uint64, bool) { return 1, true }, Newest: in.newest, OnResult: in.put},
+		runPoller(PollerOptions{Lister: list, Ownership: func() (uint64, bool) { return 1, true }, Newest: table.newest, OnResult: table.put},
 			30*time.Second)
 		// Calls at 0, 3 and 6 s fail, and from 10 s on there are two a second.
-		if in.taken < 40 || in.taken > 41 {
-			t.Errorf("%d lists taken", in.taken)
+		if table.taken < 40 || table.taken > 41 {
+			t.Errorf("%d lists taken", table.taken)
 		}
-		if list.calls != uint64(in.taken)+3 {
-			t.Errorf("%d calls for %d lists", list.calls, in.taken)
+		if list.calls != uint64(table.taken)+3 {
+			t.Errorf("%d calls for %d lists", list.calls, table.taken)
 		}
 	})
 }
 
-func TestPace(t *testing.T) {
-	p := pace{interval: 500 * time.Millisecond, gap: 250 * time.Millisecond}
+func TestPollBackoff(t *testing.T) {
+	backoff := pollBackoff{interval: 500 * time.Millisecond, perCall: 250 * time.Millisecond}
 	reach := errors.Mark(errors.New("cut"), ErrUnreachable)
 	steps := []struct {
 		calls int
@@ -185,7 +185,7 @@
 		{1, nil, 500 * time.Millisecond},
 	}
 	for n, s := range steps {
-		if got := p.after(s.calls, s.err); got != s.want {
+		if got := backoff.next(s.calls, s.err); got != s.want {
 			t.Errorf("step %d: %v, want %v", n, got, s.want)
 		}
 	}
