--- a/internal/system/distribution/coldworld_serve_test.go
+++ b/internal/system/distribution/coldworld_serve_test.go
@@ -77,7 +77,7 @@
 			for _, i := range r.Instances {
 				servers = append(servers, pick.Server{ID: i.ID, Service: i.Target, Address: i.Address, Zone: i.Zone, Slots: i.Slots, Draining: i.Phase == platform.Draining, WarmUpMax: i.WarmUpLeft})
 			}
-			_ = h.PutList(r.Fence, r.Version, servers, TimeBounds{Earliest: r.Asked, Latest: r.Answered})
+			_ = h.PutList(r.Fence, r.Version, servers, TimeBounds{Earliest: r.RequestedAt, Latest: r.ReceivedAt})
 		}})
 	w.wg.Go(func() { p.Run(ctx) })
 }
