--- a/cmd/controlplane/damaged_test.go
+++ b/cmd/controlplane/damaged_test.go
@@ -12,39 +12,39 @@
 	"gradeusher.example/gradeusher/internal/system/settings"
 )
 
-// TestDamagedLogForOneThatBootstraps damages the log of a keeper that is still told to form the first view. Danger: under its
+// TestDamagedLogOfABootstrapNode damages the log of a keeper that is still told to form the first view. Danger: under its
 // new identity it helps to form another first view, beside the one that it has voted for.
-func TestDamagedLogForOneThatBootstraps(t *testing.T) {
+func TestDamagedLogOfABootstrapNode(t *testing.T) {
 	folder := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		s := &settings.Settings{IP: "127.0.0.1", Zone: "z", Region: "r", Ports: []int{1, 9}, Seeds: []string{"127.0.0.1:9"},
+		config := &settings.Settings{IP: "127.0.0.1", Zone: "z", Region: "r", Ports: []int{1, 9}, Seeds: []string{"127.0.0.1:9"},
 			Bootstrap: true, DataDir: folder}
-		start := func() *keeper {
-			k := &keeper{settings: s, log: quietLog()}
-			if err := k.start(context.Background()); err != nil {
+		start := func() *node {
+			n := &node{settings: config, log: discardLog()}
+			if err := n.openChain(context.Background()); err != nil {
 				t.Fatal(err)
 			}
-			return k
+			return n
 		}
-		k := start()
-		if _, err := k.chain.Submit(context.Background(), controlstate.Change{Op: controlstate.OpEvacuate, Zone: "a"}); err != nil {
+		n := start()
+		if _, err := n.chain.Submit(context.Background(), controlstate.Change{Op: controlstate.OpEvacuate, Zone: "a"}); err != nil {
 			t.Fatal(err)
 		}
-		old := k.chain.View().Voters[0].ID
-		k.chain.Stop()
+		old := n.chain.View().Voters[0].ID
+		n.chain.Stop()
 		damage(t, folder)
 
 		start().chain.Stop()
-		k = start() // a life later, and the settings are the same
-		defer func() { k.chain.Stop() }()
+		n = start() // a life later, and the settings are the same
+		defer func() { n.chain.Stop() }()
 		time.Sleep(10 * time.Second) // of the bubble's clock
-		if view := k.chain.View(); view.Epoch > 0 {
+		if view := n.chain.View(); view.Epoch > 0 {
 			t.Errorf("formed %v", view)
 		}
-		if state, _ := k.chain.Committed(); state.Seq > 0 {
+		if state, _ := n.chain.Committed(); state.Seq > 0 {
 			t.Errorf("serves record %d of a damaged log", state.Seq)
 		}
-		if _, ok := k.chain.View().Voter(old); ok {
+		if _, ok := n.chain.View().Voter(old); ok {
 			t.Error("goes on under the old identity")
 		}
 		if copies, _ := filepath.Glob(filepath.Join(folder, "control", "damaged-*")); len(copies) == 0 {
--- a/cmd/controlplane/chain_test.go
+++ b/cmd/controlplane/replica_test.go
@@ -22,28 +22,28 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-func quietLog() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.ErrorLevel} }
+func discardLog() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.ErrorLevel} }
 
-// keeperAt is a keeper that was not started; dataDir may be empty.
-func keeperAt(dataDir string) *keeper {
-	return &keeper{log: quietLog(), settings: &settings.Settings{Node: "n", IP: "127.0.0.1", Zone: "za", Region: "r",
+// newTestNode is a keeper that was not started; dataDir may be empty.
+func newTestNode(dataDir string) *node {
+	return &node{log: discardLog(), settings: &settings.Settings{Node: "n", IP: "127.0.0.1", Zone: "za", Region: "r",
 		Ports: []int{1, 2}, Seeds: []string{"127.0.0.1:3"}, DataDir: dataDir, Bootstrap: true}}
 }
 
-// startOnce starts the keeper's chain, ends it, and gives its identity.
-func startOnce(t *testing.T, dataDir string) replication.ID {
+// startAndStop starts the keeper's chain, ends it, and gives its identity.
+func startAndStop(t *testing.T, dataDir string) replication.ID {
 	t.Helper()
-	k := keeperAt(dataDir)
-	if err := k.start(context.Background()); err != nil {
+	n := newTestNode(dataDir)
+	if err := n.openChain(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	defer k.chain.Stop()
-	return k.chain.Self().ID
+	defer n.chain.Stop()
+	return n.chain.Self().ID
 }
 
-// TestStartsAnewOnAnUnreadableDisk: danger: the process ends at each start, for good, or the disk's content is deleted, or
+// TestUnreadableDiskIsQuarantined: danger: the process ends at each start, for good, or the disk's content is deleted, or
 // served.
-func TestStartsAnewOnAnUnreadableDisk(t *testing.T) {
+func TestUnreadableDiskIsQuarantined(t *testing.T) {
 	for name, spoil := range map[string]func(*wal.Log) error{
 		"register that is none":        func(l *wal.Log) error { return l.SaveMeta("register", []byte("\xff\xff not one")) },
 		"register without identity":    func(l *wal.Log) error { return l.SaveMeta("register", nil) },
@@ -67,17 +67,17 @@
 			if err := disk.Close(); err != nil {
 				t.Fatal(err)
 			}
-			startOnce(t, dir)
-			if kept := filesWith(t, folder, "not one", "\x08\x09"); kept == 0 && name != "register without identity" {
+			startAndStop(t, dir)
+			if kept := countFilesWith(t, folder, "not one", "\x08\x09"); kept == 0 && name != "register without identity" {
 				t.Error("what was on the disk is gone")
 			}
-			startOnce(t, dir)
+			startAndStop(t, dir)
 		})
 	}
 }
 
-// filesWith counts the files of a folder that hold one of the texts.
-func filesWith(t *testing.T, folder string, texts ...string) (n int) {
+// countFilesWith counts the files of a folder that hold one of the texts.
+func countFilesWith(t *testing.T, folder string, texts ...string) (n int) {
 	t.Helper()
 	files, err := os.ReadDir(folder)
 	if err != nil {
@@ -98,42 +98,42 @@
 	return n
 }
 
-// TestAnObserverKeepsNothing: danger: a keeper without a disk takes up an identity that has voted, or writes somewhere.
-func TestAnObserverKeepsNothing(t *testing.T) {
-	k := keeperAt("")
-	if err := k.start(context.Background()); err != nil {
+// TestObserverHasNoState: danger: a keeper without a disk takes up an identity that has voted, or writes somewhere.
+func TestObserverHasNoState(t *testing.T) {
+	n := newTestNode("")
+	if err := n.openChain(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	defer k.chain.Stop()
-	if status, ok := k.status().(admin.NodeStatus); !ok || !status.Observer || status.Current {
+	defer n.chain.Stop()
+	if status, ok := n.status().(admin.NodeStatus); !ok || !status.Observer || status.Current {
 		t.Errorf("its status is %+v", status)
 	}
-	if c := k.chain.Capacity(); c.Observers != 1 || c.Nodes != 0 {
+	if c := n.chain.Capacity(); c.Observers != 1 || c.Nodes != 0 {
 		t.Errorf("it counts itself as %+v", c)
 	}
-	if first, second := k.chain.Self().ID, startOnce(t, ""); first == second {
+	if first, second := n.chain.Self().ID, startAndStop(t, ""); first == second {
 		t.Error("two lives have one identity")
 	}
 }
 
-// TestOrdersWithoutAWayToTheChain: danger: a keeper that has reached no other for seconds holds each order until its deadline,
+// TestPartitionedNodeAnswersAtOnce: danger: a keeper that has reached no other for seconds holds each order until its deadline,
 // and the caller, who hears nothing, sends it to no other keeper.
-func TestOrdersWithoutAWayToTheChain(t *testing.T) {
+func TestPartitionedNodeAnswersAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := keeperAt("")
-		k.stalls = operatorapi.NewStallDetector()
-		if err := k.start(t.Context()); err != nil {
+		n := newTestNode("")
+		n.stalls = operatorapi.NewStallDetector()
+		if err := n.openChain(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		defer k.chain.Stop()
-		go k.stalls.Run(t.Context())
+		defer n.chain.Stop()
+		go n.stalls.Run(t.Context())
 		time.Sleep(5 * time.Second) // of the bubble's clock
 		for _, path := range []string{"/Evacuation.Start/z", "/Evacuation.Finish/z", "/Config.Replace", "/Config.Amend"} {
 			r := httptest.NewRequest(http.MethodPost, path, strings.NewReader("{}"))
 			r.Header.Set("X-Base-Version", "0")
 			w := httptest.NewRecorder()
 			began := time.Now()
-			k.operatorCalls().ServeHTTP(w, r)
+			n.operatorHandler().ServeHTTP(w, r)
 			if took := time.Since(began); w.Code != http.StatusServiceUnavailable || took > 20*time.Millisecond {
 				t.Errorf("%s: status %d after %v, want 503 at once: %s", path, w.Code, took, w.Body)
 			}
@@ -141,10 +141,10 @@
 	})
 }
 
-// TestAnewTakesNoPartInAFirstView: danger: keepers whose logs were put aside form a first view again, with an empty state.
-func TestAnewTakesNoPartInAFirstView(t *testing.T) {
-	options := keeperAt(t.TempDir()).chainOptions()
-	if !options.Bootstrap || anew(options).Bootstrap {
+// TestNoBootstrapAfterQuarantine: danger: keepers whose logs were put aside form a first view again, with an empty state.
+func TestNoBootstrapAfterQuarantine(t *testing.T) {
+	options := newTestNode(t.TempDir()).replicationOptions()
+	if !options.Bootstrap || withoutBootstrap(options).Bootstrap {
 		t.Error("a keeper that begins anew may take part in forming the first view")
 	}
 }
@@ -159,10 +159,10 @@
 	}
 }
 
-// TestLeaveWithin: danger: a keeper that holds the only copy is cut off though there was time, or is killed while it waits.
-func TestLeaveWithin(t *testing.T) {
+// TestLeaveTimeout: danger: a keeper that holds the only copy is cut off though there was time, or is killed while it waits.
+func TestLeaveTimeout(t *testing.T) {
 	for grace, want := range map[float64]time.Duration{0.1: time.Second, 1.5: time.Second, 8: 7300 * time.Millisecond} {
-		if got := leaveWithin(grace); got != want {
+		if got := leaveTimeout(grace); got != want {
 			t.Errorf("grace of %v s: %v, want %v", grace, got, want)
 		}
 	}
--- a/cmd/controlplane/run.go
+++ b/cmd/controlplane/run.go
@@ -19,83 +19,83 @@
 )
 
 const (
-	endMargin        = 700 * time.Millisecond // kept free before the platform's kill
-	leastLeave       = time.Second            // for the others to cut a keeper that goes out of the chain, however short the grace
+	killMargin       = 700 * time.Millisecond // kept free before the platform's kill
+	minLeaveTimeout  = time.Second            // for the others to cut a keeper that goes out of the chain, however short the grace
 	distributionPath = "/twirp/gradeusher.distribution.Distribution/"
 )
 
-// keeper is the process: its parts, and what each tells the others.
-type keeper struct {
-	settings *settings.Settings
-	log      log.Interface
-	chain    *links
-	feed     *feed // nil: an observer
-	stalls   *operatorapi.StallDetector
+// node is the process: its parts, and what each tells the others.
+type node struct {
+	settings    *settings.Settings
+	log         log.Interface
+	chain       *chainReplica
+	distributor *distributor // nil: an observer
+	stalls      *operatorapi.StallDetector
 }
 
 func run(self *process.Process) error {
-	k := &keeper{settings: self.Settings, log: self.Log, stalls: operatorapi.NewStallDetector()}
-	life, end := context.WithCancel(context.Background())
-	defer end()
-	group, ctx := process.NewGroup(life)
-	if err := k.start(ctx); err != nil {
+	n := &node{settings: self.Settings, log: self.Log, stalls: operatorapi.NewStallDetector()}
+	rootCtx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	group, ctx := process.NewGroup(rootCtx)
+	if err := n.openChain(ctx); err != nil {
 		return err
 	}
-	if k.settings.HasDisk() {
-		k.feed = newFeed(k.settings, k.log, k.chain)
+	if n.settings.HasDisk() {
+		n.distributor = newDistributor(n.settings, n.log, n.chain)
 	}
-	group.Go(func() error { k.stalls.Run(ctx); return nil })
-	if err := k.serve(ctx, group); err != nil {
+	group.Go(func() error { n.stalls.Run(ctx); return nil })
+	if err := n.serve(ctx, group); err != nil {
 		return err
 	}
 	if err := self.ServeMetrics(ctx, group); err != nil {
 		return err
 	}
-	if k.feed != nil {
-		k.feed.run(ctx, group)
+	if n.distributor != nil {
+		n.distributor.start(ctx, group)
 	}
-	k.log.WithField("control", k.settings.Bind.Control).Info("keeper: started")
+	n.log.WithField("control", n.settings.Bind.Control).Info("keeper: started")
 	self.Wait(ctx)
-	k.leave()
-	end()
-	defer k.chain.Stop()
+	n.leaveChain()
+	cancel()
+	defer n.chain.Stop()
 	return group.Wait()
 }
 
 // serve answers keepers and proxies at the inner port, and the operator at the control address.
-func (k *keeper) serve(ctx context.Context, group *process.Group) error {
+func (n *node) serve(ctx context.Context, group *process.Group) error {
 	for address, handler := range map[string]http.Handler{
-		net.JoinHostPort(k.settings.IP, strconv.Itoa(k.settings.ControlPlanePort())): k.innerCalls(),
-		k.settings.Bind.Control: k.operatorCalls(),
+		net.JoinHostPort(n.settings.IP, strconv.Itoa(n.settings.ControlPlanePort())): n.internalHandler(),
+		n.settings.Bind.Control: n.operatorHandler(),
 	} {
-		l, err := process.Listen(ctx, address)
+		listener, err := process.Listen(ctx, address)
 		if err != nil {
 			return err
 		}
-		group.HTTP(ctx, l, handler)
+		group.HTTP(ctx, listener, handler)
 	}
 	return nil
 }
 
-func (k *keeper) innerCalls() http.Handler {
-	calls := http.NewServeMux()
-	calls.Handle(replication.PathPrefix, k.chain.Handler())
-	if k.feed != nil {
-		calls.Handle(distributionPath, k.feed.hub.Handler())
+func (n *node) internalHandler() http.Handler {
+	mux := http.NewServeMux()
+	mux.Handle(replication.PathPrefix, n.chain.Handler())
+	if n.distributor != nil {
+		mux.Handle(distributionPath, n.distributor.server.Handler())
 	} else {
-		calls.Handle(distributionPath, distribution.Referral{Servers: k.chain.Places}.Handler())
+		mux.Handle(distributionPath, distribution.Referral{Servers: n.chain.ServerLocations}.Handler())
 	}
-	return calls
+	return mux
 }
 
-func (k *keeper) operatorCalls() http.Handler {
-	options := operatorapi.Options{Chain: k.chain, AckTimeout: settings.Milliseconds(k.settings.Bounds.Ack), Log: k.log,
-		CommittedState: func() *controlstate.State { state, _ := k.chain.Committed(); return state },
-		Stalled:        k.stalls.Stalled,
-		Partitioned:    k.chain.Partitioned,
-		Status:         k.status, Backup: admin.BackupHandler(k.chain.Read)}
-	if k.feed != nil {
-		options.WaitDelivered = k.feed.delivered
+func (n *node) operatorHandler() http.Handler {
+	options := operatorapi.Options{Chain: n.chain, AckTimeout: settings.Milliseconds(n.settings.Bounds.Ack), Log: n.log,
+		CommittedState: func() *controlstate.State { state, _ := n.chain.Committed(); return state },
+		Stalled:        n.stalls.Stalled,
+		Partitioned:    n.chain.Partitioned,
+		Status:         n.status, Backup: admin.BackupHandler(n.chain.Read)}
+	if n.distributor != nil {
+		options.WaitDelivered = n.distributor.waitDelivered
 	}
 	return operatorapi.Handler(options)
 }
