--- a/cmd/controlplane/damaged_test.go
+++ b/cmd/controlplane/damaged_test.go
@@ -12,7 +12,7 @@
 	"gradeusher.example/gradeusher/internal/system/settings"
 )
 
-// TestDamagedLogOfABootstrapNode damages the log of a keeper that is still told to form the first view. Danger: under its
+// TestDamagedLogOfABootstrapNode damages the log of a node that is still told to form the first view. Danger: under its
 // new identity it helps to form another first view, beside the one that it has voted for.
 func TestDamagedLogOfABootstrapNode(t *testing.T) {
 	folder := t.TempDir()
@@ -20,31 +20,31 @@
 		config := &settings.Settings{IP: "127.0.0.1", Zone: "z", Region: "r", Ports: []int{1, 9}, Seeds: []string{"127.0.0.1:9"},
 			Bootstrap: true, DataDir: folder}
 		start := func() *node {
-			n := &node{settings: config, log: discardLog()}
-			if err := n.openChain(context.Background()); err != nil {
+			restarted := &node{settings: config, log: discardLog()}
+			if err := restarted.openChain(context.Background()); err != nil {
 				t.Fatal(err)
 			}
-			return n
+			return restarted
 		}
-		n := start()
-		if _, err := n.chain.Submit(context.Background(), controlstate.Change{Op: controlstate.OpEvacuate, Zone: "a"}); err != nil {
+		restarted := start()
+		if _, err := restarted.chain.Submit(context.Background(), controlstate.Change{Op: controlstate.OpEvacuate, Zone: "a"}); err != nil {
 			t.Fatal(err)
 		}
-		old := n.chain.View().Voters[0].ID
-		n.chain.Stop()
+		old := restarted.chain.View().Voters[0].ID
+		restarted.chain.Stop()
 		damage(t, folder)
 
 		start().chain.Stop()
-		n = start() // a life later, and the settings are the same
-		defer func() { n.chain.Stop() }()
+		restarted = start() // a life later, and the settings are the same
+		defer func() { restarted.chain.Stop() }()
 		time.Sleep(10 * time.Second) // of the bubble's clock
-		if view := n.chain.View(); view.Epoch > 0 {
+		if view := restarted.chain.View(); view.Epoch > 0 {
 			t.Errorf("formed %v", view)
 		}
-		if state, _ := n.chain.Committed(); state.Seq > 0 {
+		if state, _ := restarted.chain.Committed(); state.Seq > 0 {
 			t.Errorf("serves record %d of a damaged log", state.Seq)
 		}
-		if _, ok := n.chain.View().Voter(old); ok {
+		if _, ok := restarted.chain.View().Voter(old); ok {
 			t.Error("goes on under the old identity")
 		}
 		if copies, _ := filepath.Glob(filepath.Join(folder, "control", "damaged-*")); len(copies) == 0 {
--- a/cmd/controlplane/distributor.go
+++ b/cmd/controlplane/distributor.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	pollInterval  = 500 * time.Millisecond // of the platform's list
+	pollInterval  = 500 * time.Millisecond // of the platform's server list
 	pollRateShare = 0.1                    // of the calls that the platform accepts, at most
 	listRole      = "list"
 )
 
-// distributor is what a keeper with a disk does for proxies beside the chain: it feeds those that follow it, and reads the
-// platform's list while that duty lies here. An observer has none.
+// distributor is what a node with a disk does for proxies: it publishes the control state and the server list to those that subscribe
+// to it, and polls the platform's list while it owns that singleton role. An observer has none.
 type distributor struct {
 	settings   *settings.Settings
 	log        log.Interface
@@ -32,19 +32,40 @@
 	assignment *ownership.Assignment
 	client     *platform.Client
 	poller     *platform.Poller
-	warmingUp  map[string]bool // ids of the servers that the last reading called cold; of the poller's goroutine
+	warmingUp  map[string]bool // ids of the servers that the last result had as warming up; used by the poller's goroutine only
 }
 
+// newDistributor returns a distributor; start starts it.
 func newDistributor(config *settings.Settings, logger log.Interface, chain *chainReplica) *distributor {
-	d := &distributor{settings: config, log: logger, chain: chain, assignment: ownership.NewAssignment(config.IP), client: platform.NewClient(platform.Options{Address: config.Cloud.Address})}
-	d.server = distribution.NewServer(distribution.ServerOptions{Source: chain, Self: config.IP, Zone: config.Zone, Region: config.Region,
-		ListLag: settings.Milliseconds(config.Cloud.Lag), Peers: d.peerURLs, Log: logger})
-	d.poller = platform.NewPoller(platform.PollerOptions{Lister: d.client, Ownership: d.ownsListRole, Newest: d.listVersion, OnResult: d.publishList,
-		Interval: pollInterval, MaxCallsPerSecond: max(config.Cloud.Rate*pollRateShare, 1), Log: logger})
-	return d
+	created := &distributor{
+		settings:   config,
+		log:        logger,
+		chain:      chain,
+		assignment: ownership.NewAssignment(config.IP),
+		client:     platform.NewClient(platform.Options{Address: config.Cloud.Address}),
+	}
+	created.server = distribution.NewServer(distribution.ServerOptions{
+		Source:  chain,
+		Self:    config.IP,
+		Zone:    config.Zone,
+		Region:  config.Region,
+		ListLag: settings.Milliseconds(config.Cloud.Lag),
+		Peers:   created.peerURLs,
+		Log:     logger,
+	})
+	created.poller = platform.NewPoller(platform.PollerOptions{
+		Lister:            created.client,
+		Ownership:         created.ownsListRole,
+		Newest:            created.listVersion,
+		OnResult:          created.publishList,
+		Interval:          pollInterval,
+		MaxCallsPerSecond: max(config.Cloud.Rate*pollRateShare, 1),
+		Log:               logger,
+	})
+	return created
 }
 
-// start works until ctx ends.
+// start runs the distributor in goroutines of the group, which end with ctx.
 func (d *distributor) start(ctx context.Context, group *process.Group) {
 	group.Go(func() error { d.server.Run(ctx); return nil })
 	group.Go(func() error {
@@ -54,12 +75,12 @@
 	})
 }
 
-// waitDelivered waits until the connected proxies hold the change numbered seq, or ctx ends.
+// waitDelivered waits until the connected proxies have acknowledged the record numbered seq, or ctx ends.
 func (d *distributor) waitDelivered(ctx context.Context, seq uint64) {
 	_ = d.server.WaitAcknowledged(ctx, seq)
 }
 
-// peerURLs are the base URLs of the other keepers.
+// peerURLs returns the base URLs of the other nodes.
 func (d *distributor) peerURLs() []string {
 	var urls []string
 	for _, address := range d.chain.Addresses() {
@@ -70,18 +91,19 @@
 	return urls
 }
 
-// ownsListRole tells whether this keeper reads the platform's list. The ownsListRole lies with one of the chain's links, under the epoch
-// of their view as its fence.
+// ownsListRole reports whether this node polls the platform's list, and the fencing token under which it does: a replica of the chain
+// owns the role, under the epoch of the view.
 func (d *distributor) ownsListRole() (token uint64, owns bool) {
 	d.assignment.Update(d.chain.ChainAddresses())
 	return d.assignment.Owns(listRole)
 }
 
+// listVersion returns the token, the version and the age of the list in use.
 func (d *distributor) listVersion() (fence, version uint64, age time.Duration) {
 	return d.server.ListVersion()
 }
 
-// publishList takes in a reading of the platform's list.
+// publishList publishes a result of the poller to the proxies.
 func (d *distributor) publishList(r platform.Result) {
 	servers := make([]pick.Server, 0, len(r.Instances))
 	for _, i := range r.Instances {
@@ -95,7 +117,7 @@
 	}
 }
 
-// logWarmUps logs each server that a reading of the list calls cold and the one before did not, and how exact that word is.
+// logWarmUps logs each server that warms up by this result and did not by the one before, and how exact the remaining time is.
 func (d *distributor) logWarmUps(r platform.Result) {
 	warmingUp := map[string]bool{}
 	for _, i := range r.Instances {
@@ -111,7 +133,7 @@
 	d.warmingUp = warmingUp
 }
 
-// maxWarmUp is the longest time that the list may have told as d, in whole milliseconds.
+// maxWarmUp is the longest time that the list may have rounded to d, in whole milliseconds.
 func maxWarmUp(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
--- /dev/null
+++ b/cmd/controlplane/membership.go
@@ -0,0 +1,112 @@
+package main
+
+import (
+	"context"
+	"path/filepath"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"gradeusher.example/gradeusher/internal/system/replication"
+	"gradeusher.example/gradeusher/internal/system/settings"
+	"gradeusher.example/gradeusher/internal/system/wal"
+)
+
+const (
+	killMargin      = 700 * time.Millisecond // kept free before the platform kills the process
+	minLeaveTimeout = time.Second            // for the others to remove this node from the chain, however short the grace period
+)
+
+// openChain joins the chain: as a replica where there is a disk, as an observer otherwise. A damaged log is quarantined.
+func (n *node) openChain(ctx context.Context) error {
+	options := n.replicationOptions()
+	if !n.settings.HasDisk() {
+		n.log.Info("keeper: no disk (data_dir is empty), so this keeper is an observer: it has no vote and passes calls on")
+		options.Observer = true
+		return n.startReplica(ctx, options)
+	}
+	directory := filepath.Join(n.settings.DataDir, "control")
+	disk, err := wal.Open(directory, diskOptions(n.settings.Limits.DiskMB))
+	if err != nil {
+		return errors.Wrapf(err, "the control state in %s cannot be opened", directory)
+	}
+	options.Disk = disk
+	quarantined, err := disk.HasQuarantine() // by an earlier process
+	if err != nil {
+		return errors.Wrapf(err, "the control state in %s cannot be opened", directory)
+	}
+	if quarantined {
+		options = withoutBootstrap(options)
+	}
+	err = n.startReplica(ctx, options)
+	if !errors.Is(err, wal.ErrDamaged) {
+		return err
+	}
+	n.log.WithError(err).Error("keeper: the log is damaged and put aside; this keeper begins anew and takes the state from the others")
+	if err := disk.Quarantine(); err != nil {
+		return errors.Wrapf(err, "the damaged log in %s cannot be put aside: empty the folder", directory)
+	}
+	return n.startReplica(ctx, withoutBootstrap(options))
+}
+
+// withoutBootstrap returns the options for a node whose log was quarantined. The system has run before, so that the node may not take
+// part in forming a first view, whatever the settings say: with others of its kind it would begin with an empty state.
+func withoutBootstrap(options replication.Options) replication.Options {
+	options.Bootstrap = false
+	return options
+}
+
+// diskOptions bounds the log, and all files together with a quarantined log, on a disk that is smaller than those for which the
+// defaults of wal are. What the log leaves free is for a snapshot that is written beside the old one. 0: the size is not known.
+func diskOptions(diskMB int64) wal.Options {
+	const usualMB, logMB, filesMB = 64, 40, 60
+	if diskMB == 0 || diskMB >= usualMB {
+		return wal.Options{}
+	}
+	return wal.Options{MaxBytes: diskMB << 20 * logMB / usualMB, DiskBytes: diskMB * 1e6 * filesMB / usualMB}
+}
+
+// replicationOptions derives the options of replication from the settings.
+func (n *node) replicationOptions() replication.Options {
+	s := n.settings
+	return replication.Options{
+		Addr:          s.IP,
+		Zone:          s.Zone,
+		Region:        s.Region,
+		Port:          s.ControlPlanePort(),
+		Seeds:         s.SeedIPs(),
+		Bootstrap:     s.Bootstrap,
+		MachineLosses: s.Tolerance.Machines,
+		ZoneLosses:    s.Tolerance.Zones,
+		RegionLosses:  s.Tolerance.Regions,
+		AckTimeout:    settings.Milliseconds(s.Bounds.Ack),
+		Log:           n.log,
+	}
+}
+
+// startReplica joins the chain with these options.
+func (n *node) startReplica(ctx context.Context, options replication.Options) error {
+	chain, err := replication.Start(ctx, options)
+	if err != nil {
+		return err
+	}
+	n.chain = &chainReplica{chain}
+	return nil
+}
+
+// leaveChain has the other nodes take over before this one ends. It stays until enough of them have what was acknowledged, as long as
+// the grace period allows: its disk may be lost with it.
+func (n *node) leaveChain() {
+	n.log.Info("keeper: leaving")
+	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout(n.settings.Bounds.Grace))
+	defer cancel()
+	n.chain.Leave(ctx)
+	if ctx.Err() != nil {
+		n.log.Warn("keeper: the grace is up and the others have not taken over; keep this disk until they have")
+	}
+}
+
+// leaveTimeout is how long leaveChain may take within a grace period.
+func leaveTimeout(graceSeconds float64) time.Duration {
+	return max(minLeaveTimeout, settings.Seconds(graceSeconds)-killMargin)
+}
--- a/cmd/controlplane/replica_test.go
+++ b/cmd/controlplane/replica_test.go
@@ -24,13 +24,13 @@
 
 func discardLog() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.ErrorLevel} }
 
-// newTestNode is a keeper that was not started; dataDir may be empty.
+// newTestNode returns a node that was not started; dataDir may be empty.
 func newTestNode(dataDir string) *node {
 	return &node{log: discardLog(), settings: &settings.Settings{Node: "n", IP: "127.0.0.1", Zone: "za", Region: "r",
 		Ports: []int{1, 2}, Seeds: []string{"127.0.0.1:3"}, DataDir: dataDir, Bootstrap: true}}
 }
 
-// startAndStop starts the keeper's chain, ends it, and gives its identity.
+// startAndStop starts a node's chain, stops it, and returns its identity.
 func startAndStop(t *testing.T, dataDir string) replication.ID {
 	t.Helper()
 	n := newTestNode(dataDir)
@@ -98,7 +98,7 @@
 	return n
 }
 
-// TestObserverHasNoState: danger: a keeper without a disk takes up an identity that has voted, or writes somewhere.
+// TestObserverHasNoState: danger: a node without a disk takes an identity that has voted, or writes somewhere.
 func TestObserverHasNoState(t *testing.T) {
 	n := newTestNode("")
 	if err := n.openChain(context.Background()); err != nil {
@@ -116,24 +116,24 @@
 	}
 }
 
-// TestPartitionedNodeAnswersAtOnce: danger: a keeper that has reached no other for seconds holds each order until its deadline,
-// and the caller, who hears nothing, sends it to no other keeper.
+// TestPartitionedNodeAnswersAtOnce: danger: a node that has reached no other for seconds holds each change until its deadline,
+// and the caller, who hears nothing, sends it to no other node.
 func TestPartitionedNodeAnswersAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newTestNode("")
-		n.stalls = operatorapi.NewStallDetector()
-		if err := n.openChain(t.Context()); err != nil {
+		partitioned := newTestNode("")
+		partitioned.stalls = operatorapi.NewStallDetector()
+		if err := partitioned.openChain(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		defer n.chain.Stop()
-		go n.stalls.Run(t.Context())
+		defer partitioned.chain.Stop()
+		go partitioned.stalls.Run(t.Context())
 		time.Sleep(5 * time.Second) // of the bubble's clock
 		for _, path := range []string{"/Evacuation.Start/z", "/Evacuation.Finish/z", "/Config.Replace", "/Config.Amend"} {
-			r := httptest.NewRequest(http.MethodPost, path, strings.NewReader("{}"))
+			r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, path, strings.NewReader("{}"))
 			r.Header.Set("X-Base-Version", "0")
 			w := httptest.NewRecorder()
 			began := time.Now()
-			n.operatorHandler().ServeHTTP(w, r)
+			partitioned.operatorHandler().ServeHTTP(w, r)
 			if took := time.Since(began); w.Code != http.StatusServiceUnavailable || took > 20*time.Millisecond {
 				t.Errorf("%s: status %d after %v, want 503 at once: %s", path, w.Code, took, w.Body)
 			}
@@ -141,7 +141,7 @@
 	})
 }
 
-// TestNoBootstrapAfterQuarantine: danger: keepers whose logs were put aside form a first view again, with an empty state.
+// TestNoBootstrapAfterQuarantine: danger: nodes whose logs were quarantined form a first view again, with an empty state.
 func TestNoBootstrapAfterQuarantine(t *testing.T) {
 	options := newTestNode(t.TempDir()).replicationOptions()
 	if !options.Bootstrap || withoutBootstrap(options).Bootstrap {
@@ -159,7 +159,7 @@
 	}
 }
 
-// TestLeaveTimeout: danger: a keeper that holds the only copy is cut off though there was time, or is killed while it waits.
+// TestLeaveTimeout: danger: a node with the only replica of a record gives up though there was time, or is killed while it waits.
 func TestLeaveTimeout(t *testing.T) {
 	for grace, want := range map[float64]time.Duration{0.1: time.Second, 1.5: time.Second, 8: 7300 * time.Millisecond} {
 		if got := leaveTimeout(grace); got != want {
--- a/cmd/controlplane/run.go
+++ b/cmd/controlplane/run.go
@@ -2,29 +2,15 @@
 
 import (
 	"context"
-	"net"
-	"net/http"
-	"strconv"
-	"time"
 
 	"github.com/apex/log"
 
-	"gradeusher.example/gradeusher/internal/system/admin"
-	"gradeusher.example/gradeusher/internal/system/controlstate"
-	"gradeusher.example/gradeusher/internal/system/distribution"
 	"gradeusher.example/gradeusher/internal/system/operatorapi"
 	"gradeusher.example/gradeusher/internal/system/process"
-	"gradeusher.example/gradeusher/internal/system/replication"
 	"gradeusher.example/gradeusher/internal/system/settings"
 )
 
-const (
-	killMargin       = 700 * time.Millisecond // kept free before the platform's kill
-	minLeaveTimeout  = time.Second            // for the others to cut a keeper that goes out of the chain, however short the grace
-	distributionPath = "/twirp/gradeusher.distribution.Distribution/"
-)
-
-// node is the process: its parts, and what each tells the others.
+// node is the process: its parts, and the links between them.
 type node struct {
 	settings    *settings.Settings
 	log         log.Interface
@@ -33,11 +19,24 @@
 	stalls      *operatorapi.StallDetector
 }
 
+// run runs the node until the process is told to end or one of its parts fails.
 func run(self *process.Process) error {
-	n := &node{settings: self.Settings, log: self.Log, stalls: operatorapi.NewStallDetector()}
 	rootCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	group, ctx := process.NewGroup(rootCtx)
+	n := &node{settings: self.Settings, log: self.Log, stalls: operatorapi.NewStallDetector()}
+	if err := n.start(ctx, self, group); err != nil {
+		return err
+	}
+	self.Wait(ctx)
+	n.leaveChain()
+	cancel()
+	defer n.chain.Stop()
+	return group.Wait()
+}
+
+// start opens the chain and starts what serves and distributes its state. The group owns the goroutines, which end with ctx.
+func (n *node) start(ctx context.Context, self *process.Process, group *process.Group) error {
 	if err := n.openChain(ctx); err != nil {
 		return err
 	}
@@ -55,47 +54,5 @@
 		n.distributor.start(ctx, group)
 	}
 	n.log.WithField("control", n.settings.Bind.Control).Info("keeper: started")
-	self.Wait(ctx)
-	n.leaveChain()
-	cancel()
-	defer n.chain.Stop()
-	return group.Wait()
-}
-
-// serve answers keepers and proxies at the inner port, and the operator at the control address.
-func (n *node) serve(ctx context.Context, group *process.Group) error {
-	for address, handler := range map[string]http.Handler{
-		net.JoinHostPort(n.settings.IP, strconv.Itoa(n.settings.ControlPlanePort())): n.internalHandler(),
-		n.settings.Bind.Control: n.operatorHandler(),
-	} {
-		listener, err := process.Listen(ctx, address)
-		if err != nil {
-			return err
-		}
-		group.HTTP(ctx, listener, handler)
-	}
 	return nil
 }
-
-func (n *node) internalHandler() http.Handler {
-	mux := http.NewServeMux()
-	mux.Handle(replication.PathPrefix, n.chain.Handler())
-	if n.distributor != nil {
-		mux.Handle(distributionPath, n.distributor.server.Handler())
-	} else {
-		mux.Handle(distributionPath, distribution.Referral{Servers: n.chain.ServerLocations}.Handler())
-	}
-	return mux
-}
-
-func (n *node) operatorHandler() http.Handler {
-	options := operatorapi.Options{Chain: n.chain, AckTimeout: settings.Milliseconds(n.settings.Bounds.Ack), Log: n.log,
-		CommittedState: func() *controlstate.State { state, _ := n.chain.Committed(); return state },
-		Stalled:        n.stalls.Stalled,
-		Partitioned:    n.chain.Partitioned,
-		Status:         n.status, Backup: admin.BackupHandler(n.chain.Read)}
-	if n.distributor != nil {
-		options.WaitDelivered = n.distributor.waitDelivered
-	}
-	return operatorapi.Handler(options)
-}
--- a/cmd/controlplane/status.go
+++ b/cmd/controlplane/status.go
@@ -7,13 +7,24 @@
 	"gradeusher.example/gradeusher/internal/system/replication"
 )
 
-// status is what staff see of this keeper.
+// status is the response to GET /status, an admin.NodeStatus.
 func (n *node) status() any {
 	view := n.chain.View()
 	state, _ := n.chain.Committed()
-	out := admin.NodeStatus{Version: admin.Version, Node: n.settings.Node, Observer: !n.settings.HasDisk(), Current: n.chain.Current(),
-		Capacity: capacityStatus(n.chain.Capacity()), Epoch: view.Epoch, Number: state.Seq, Revision: state.Revision(), Evacuated: admin.EvacuatedZones(state), ListAgeMS: -1,
-		Proxies: []admin.ProxyProgress{}, Violations: invariant.Violations()}
+	out := admin.NodeStatus{
+		Version:    admin.Version,
+		Node:       n.settings.Node,
+		Observer:   !n.settings.HasDisk(),
+		Current:    n.chain.Current(),
+		Capacity:   capacityStatus(n.chain.Capacity()),
+		Epoch:      view.Epoch,
+		Number:     state.Seq,
+		Revision:   state.Revision(),
+		Evacuated:  admin.EvacuatedZones(state),
+		ListAgeMS:  -1,
+		Proxies:    []admin.ProxyProgress{},
+		Violations: invariant.Violations(),
+	}
 	_, out.Chain = n.chain.ChainAddresses()
 	out.ListOwner = ownership.Owner(listRole, out.Chain)
 	for _, m := range view.Voters {
@@ -25,12 +36,22 @@
 	return out
 }
 
+// capacityStatus converts a capacity for the status.
 func capacityStatus(c replication.Capacity) *admin.Capacity {
-	return &admin.Capacity{ToleranceMet: c.ToleranceMet, Nodes: c.Nodes, Observers: c.Observers, Voters: c.Voters, VotersTimedOut: c.SilentVoters,
-		VotersDesired: c.VotersDesired, ChainReplicas: c.ChainReplicas, ChainReplicasRequired: c.ChainReplicasRequired, Remedy: c.Remedy}
+	return &admin.Capacity{
+		ToleranceMet:          c.ToleranceMet,
+		Nodes:                 c.Nodes,
+		Observers:             c.Observers,
+		Voters:                c.Voters,
+		VotersTimedOut:        c.SilentVoters,
+		VotersDesired:         c.VotersDesired,
+		ChainReplicas:         c.ChainReplicas,
+		ChainReplicasRequired: c.ChainReplicasRequired,
+		Remedy:                c.Remedy,
+	}
 }
 
-// addStatus adds what a keeper that feeds proxies knows of them and of the platform's list.
+// addStatus adds the proxies that subscribe to this node, the live ones, and the platform's list.
 func (d *distributor) addStatus(out *admin.NodeStatus) {
 	servers, age, listed := d.server.List()
 	out.Servers = len(servers)
