--- a/cmd/proxy/run.go
+++ b/cmd/proxy/run.go
@@ -24,11 +24,11 @@
 )
 
 const (
-	mostTTL     = time.Second            // of the directory's answers: a proxy that ended is asked for as long
-	endMargin   = 700 * time.Millisecond // kept free before the platform's kill
-	beatEvery   = 400 * time.Millisecond // between beats to the proxies that watch this one
-	silenceFor  = 1300 * time.Millisecond
-	probeWithin = 500 * time.Millisecond
+	maxDirectoryTTL   = time.Second            // of the directory's answers: a proxy that ended is asked for as long
+	killMargin        = 700 * time.Millisecond // kept free before the platform's kill
+	heartbeatInterval = 400 * time.Millisecond // between beats to the proxies that watch this one
+	suspectTimeout    = 1300 * time.Millisecond
+	probeTimeout      = 500 * time.Millisecond
 )
 
 // server is the process: its parts, and what each tells the others.
@@ -36,40 +36,40 @@
 	settings   *settings.Settings
 	log        log.Interface
 	dataPlane  *proxy.Proxy
-	follower   *distribution.Subscriber
+	subscriber *distribution.Subscriber
 	agent      *failuredetector.Agent
 	directory  *directory.Directory
-	leaving    atomic.Bool
-	complete   chan struct{} // closed once there is a configuration and a list of servers
-	isComplete bool          // of OnUpdate's goroutine
+	draining   atomic.Bool
+	synced     chan struct{} // closed once there is a configuration and a list of servers
+	isSynced   bool          // of OnUpdate's goroutine
 }
 
 func run(self *process.Process) error {
-	s := self.Settings
-	p := &server{settings: s, log: self.Log, complete: make(chan struct{})}
-	life, end := context.WithCancel(context.Background())
-	defer end()
-	group, ctx := process.NewGroup(life)
-	p.directory = directory.NewDirectory(min(mostTTL, max(settings.Seconds(s.Bounds.TTLMax), time.Second)))
-	p.dataPlane = proxy.New(proxy.Options{Settings: p.pickSettings(), GracePeriod: settings.Seconds(s.Bounds.Grace) - endMargin,
-		LossSlack: settings.Milliseconds(s.Bounds.LossSlack), FDLimit: s.Limits.FDs, MemoryMB: int(s.Limits.MemoryMB), Log: p.log,
-		OnStall: func() { p.follower.Refresh() }})
-	p.follower = distribution.NewSubscriber(distribution.SubscriberOptions{Seeds: s.SeedIPs(), ControlPlanePort: s.ControlPlanePort(),
-		ProxyPort: s.ProxyPort(), Self: distribution.Member{Node: s.Node, Zone: s.Zone, Region: s.Region, IP: s.IP, ClientAddress: s.Bind.Front},
-		Loads: p.dataPlane.Loads, OnUpdate: p.update, OnLoads: p.dataPlane.SetLoads, Log: p.log})
-	p.dataPlane.Publish()
-	inner := net.JoinHostPort(s.IP, strconv.Itoa(s.ProxyPort()))
-	if err := p.watch(ctx, inner); err != nil {
+	config := self.Settings
+	s := &server{settings: config, log: self.Log, synced: make(chan struct{})}
+	rootCtx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	group, ctx := process.NewGroup(rootCtx)
+	s.directory = directory.NewDirectory(min(maxDirectoryTTL, max(settings.Seconds(config.Bounds.TTLMax), time.Second)))
+	s.dataPlane = proxy.New(proxy.Options{Settings: s.pickSettings(), GracePeriod: settings.Seconds(config.Bounds.Grace) - killMargin,
+		LossSlack: settings.Milliseconds(config.Bounds.LossSlack), FDLimit: config.Limits.FDs, MemoryMB: int(config.Limits.MemoryMB), Log: s.log,
+		OnStall: func() { s.subscriber.Refresh() }})
+	s.subscriber = distribution.NewSubscriber(distribution.SubscriberOptions{Seeds: config.SeedIPs(), ControlPlanePort: config.ControlPlanePort(),
+		ProxyPort: config.ProxyPort(), Self: distribution.Member{Node: config.Node, Zone: config.Zone, Region: config.Region, IP: config.IP, ClientAddress: config.Bind.Front},
+		Loads: s.dataPlane.Loads, OnUpdate: s.applyUpdate, OnLoads: s.dataPlane.SetLoads, Log: s.log})
+	s.dataPlane.Publish()
+	internalAddress := net.JoinHostPort(config.IP, strconv.Itoa(config.ProxyPort()))
+	if err := s.openFailureDetector(ctx, internalAddress); err != nil {
 		return err
 	}
-	calls := http.NewServeMux()
-	calls.Handle("/twirp/", p.follower.Handler())
-	calls.Handle(failuredetector.AlivePath, p.agent.Handler())
-	calls.Handle("/status", admin.ProxyHandler(p.status))
+	mux := http.NewServeMux()
+	mux.Handle("/twirp/", s.subscriber.Handler())
+	mux.Handle(failuredetector.AlivePath, s.agent.Handler())
+	mux.Handle("/status", admin.ProxyHandler(s.status))
 	for address, handler := range map[string]http.Handler{
-		inner:            calls,
-		s.Bind.Readiness: directory.Readiness(func() bool { return p.dataPlane.Ready() && p.ready() }),
-		s.Bind.Directory: p.directory.Handler(),
+		internalAddress:       mux,
+		config.Bind.Readiness: directory.Readiness(func() bool { return s.dataPlane.Ready() && s.isReady() }),
+		config.Bind.Directory: s.directory.Handler(),
 	} {
 		l, err := process.Listen(ctx, address)
 		if err != nil {
@@ -80,146 +80,146 @@
 	if err := self.ServeMetrics(ctx, group); err != nil {
 		return err
 	}
-	front, err := process.Listen(ctx, s.Bind.Front)
+	front, err := process.Listen(ctx, config.Bind.Front)
 	if err != nil {
 		return err
 	}
-	group.Go(func() error { p.follower.Run(ctx); return nil })
-	group.Go(func() error { p.agent.Run(ctx); return nil })
-	group.Go(func() error { return p.carry(ctx, front) })
-	p.log.WithField("front", s.Bind.Front).Info("proxy: started")
+	group.Go(func() error { s.subscriber.Run(ctx); return nil })
+	group.Go(func() error { s.agent.Run(ctx); return nil })
+	group.Go(func() error { return s.serveClients(ctx, front) })
+	s.log.WithField("front", config.Bind.Front).Info("proxy: started")
 	self.Wait(ctx)
 	if ctx.Err() == nil {
-		p.leave()
+		s.shutDownGracefully()
 	}
-	end()
+	cancel()
 	return group.Wait()
 }
 
-// watch has proxies that rendezvous hashing names watch each other.
-func (p *server) watch(ctx context.Context, inner string) error {
-	packets, err := new(net.ListenConfig).ListenPacket(ctx, "udp4", inner)
+// openFailureDetector has proxies that rendezvous hashing names openFailureDetector each other.
+func (s *server) openFailureDetector(ctx context.Context, address string) error {
+	packets, err := new(net.ListenConfig).ListenPacket(ctx, "udp4", address)
 	if err != nil {
-		return errors.Mark(errors.Wrapf(err, "cannot listen at %s by UDP: check that the port is free", inner), process.ErrListen)
+		return errors.Mark(errors.Wrapf(err, "cannot listen at %s by UDP: check that the port is free", address), process.ErrListen)
 	}
 	conn, ok := packets.(*net.UDPConn)
 	if !ok {
-		return errors.Newf("%s gave no UDP socket: run on a system that has them", inner)
+		return errors.Newf("%s gave no UDP socket: run on a system that has them", address)
 	}
-	beat := beatEvery
-	if most := settings.Milliseconds(p.settings.HeartbeatMS); most > 0 {
-		beat = min(beat, most)
+	interval := heartbeatInterval
+	if maxInterval := settings.Milliseconds(s.settings.HeartbeatMS); maxInterval > 0 {
+		interval = min(interval, maxInterval)
 	}
-	p.agent = failuredetector.NewAgent(failuredetector.AgentOptions{Conn: conn, Log: p.log,
-		Options: failuredetector.Options{Self: p.settings.Node, Incarnation: p.follower.Incarnation(), HeartbeatInterval: beat, SuspectTimeout: silenceFor, ProbeTimeout: probeWithin},
+	s.agent = failuredetector.NewAgent(failuredetector.AgentOptions{Conn: conn, Log: s.log,
+		Options: failuredetector.Options{Self: s.settings.Node, Incarnation: s.subscriber.Incarnation(), HeartbeatInterval: interval, SuspectTimeout: suspectTimeout, ProbeTimeout: probeTimeout},
 		OnVerdict: func(v failuredetector.Verdict) {
 			if v.Down {
-				p.follower.Report(v.Node, v.Incarnation)
+				s.subscriber.Report(v.Node, v.Incarnation)
 			}
 		}})
 	return nil
 }
 
-// carry takes clients once there is something to serve with. Until then connections wait in the listener's queue: to turn
+// serveClients takes clients once there is something to serve with. Until then connections wait in the listener's queue: to turn
 // them away would cost their clients a try.
-func (p *server) carry(ctx context.Context, front net.Listener) error {
+func (s *server) serveClients(ctx context.Context, front net.Listener) error {
 	select {
-	case <-p.complete:
+	case <-s.synced:
 	case <-ctx.Done():
 		return front.Close()
 	}
-	return p.dataPlane.Serve(ctx, front)
+	return s.dataPlane.Serve(ctx, front)
 }
 
-func (p *server) ready() bool {
+func (s *server) isReady() bool {
 	select {
-	case <-p.complete:
-		return !p.leaving.Load()
+	case <-s.synced:
+		return !s.draining.Load()
 	default:
 		return false
 	}
 }
 
-// update hands on what the follower holds. The follower calls it from one goroutine.
-func (p *server) update(u distribution.Update) {
-	live := make([]string, 0, len(u.Members))
-	watched := make([]failuredetector.Member, 0, len(u.Members))
-	fronts := make([]directory.Endpoint, 0, len(u.Members))
-	for _, m := range u.Members {
+// applyUpdate hands on what the follower holds. The follower calls it from one goroutine.
+func (s *server) applyUpdate(update distribution.Update) {
+	live := make([]string, 0, len(update.Members))
+	watched := make([]failuredetector.Member, 0, len(update.Members))
+	endpoints := make([]directory.Endpoint, 0, len(update.Members))
+	for _, m := range update.Members {
 		if m.Draining || m.Down {
 			continue
 		}
 		live = append(live, m.Node)
 		watched = append(watched, failuredetector.Member{Node: m.Node, Incarnation: m.Incarnation,
-			Address: net.JoinHostPort(m.IP, strconv.Itoa(p.settings.ProxyPort()))})
-		if m.Ready && (m.Node != p.settings.Node || !p.leaving.Load()) {
-			fronts = append(fronts, directory.Endpoint{Address: m.ClientAddress, Zone: m.Zone, Region: m.Region})
+			Address: net.JoinHostPort(m.IP, strconv.Itoa(s.settings.ProxyPort()))})
+		if m.Ready && (m.Node != s.settings.Node || !s.draining.Load()) {
+			endpoints = append(endpoints, directory.Endpoint{Address: m.ClientAddress, Zone: m.Zone, Region: m.Region})
 		}
 	}
-	if configured, listed := u.State.Config != nil, u.HasList; !p.isComplete && (configured || listed) {
-		p.log.WithField("configured", configured).WithField("listed", listed).Info("proxy: learning")
-	}
-	p.dataPlane.UpdateClusterState(u.AsOf, pick.ClusterState{Config: u.State.Config, Evacuated: u.State.Evacuated, ZoneChanges: zoneChanges(u),
-		Servers: u.Servers, ListCoversSeq: u.ListCoversSeq, ContactAge: u.ContactAge,
-		Self: p.settings.Node, Peers: live, DownCount: u.DownCount, MembershipIncomplete: u.MembershipIncomplete, Stale: u.Stale})
-	p.follower.NotifyListUpdates(p.dataPlane.AwaitsServerList())
-	p.directory.SetEndpoints(fronts)
-	p.agent.SetMembers(watched)
-	if !p.isComplete && u.State.Config != nil && u.HasList {
-		p.isComplete = true
-		close(p.complete)
-		p.follower.SetReady(true)
-		p.log.WithField("revision", u.State.Config.Revision).WithField("servers", len(u.Servers)).Info("proxy: ready")
+	if configured, listed := update.State.Config != nil, update.HasList; !s.isSynced && (configured || listed) {
+		s.log.WithField("configured", configured).WithField("listed", listed).Info("proxy: learning")
+	}
+	s.dataPlane.UpdateClusterState(update.AsOf, pick.ClusterState{Config: update.State.Config, Evacuated: update.State.Evacuated, ZoneChanges: zoneChanges(update),
+		Servers: update.Servers, ListCoversSeq: update.ListCoversSeq, ContactAge: update.ContactAge,
+		Self: s.settings.Node, Peers: live, DownCount: update.DownCount, MembershipIncomplete: update.MembershipIncomplete, Stale: update.Stale})
+	s.subscriber.NotifyListUpdates(s.dataPlane.AwaitsServerList())
+	s.directory.SetEndpoints(endpoints)
+	s.agent.SetMembers(watched)
+	if !s.isSynced && update.State.Config != nil && update.HasList {
+		s.isSynced = true
+		close(s.synced)
+		s.subscriber.SetReady(true)
+		s.log.WithField("revision", update.State.Config.Revision).WithField("servers", len(update.Servers)).Info("proxy: ready")
 	}
 }
 
 // zoneChanges tells which record last changed each zone that servers are in.
-func zoneChanges(u distribution.Update) map[string]uint64 {
+func zoneChanges(update distribution.Update) map[string]uint64 {
 	changes := map[string]uint64{}
-	for _, s := range u.Servers {
-		changes[s.Zone] = u.State.ZoneChangeSeq(s.Zone)
+	for _, s := range update.Servers {
+		changes[s.Zone] = update.State.ZoneChangeSeq(s.Zone)
 	}
 	return changes
 }
 
-// leave is the planned end: the directory and readiness turn clients away first, then what is held is finished.
-func (p *server) leave() {
-	p.log.Info("proxy: leaving")
-	p.leaving.Store(true)
-	p.agent.Leave()
-	grace, cancel := context.WithTimeout(context.Background(), settings.Seconds(p.settings.Bounds.Grace)-endMargin)
+// shutDownGracefully is the planned end: the directory and readiness turn clients away first, then what is held is finished.
+func (s *server) shutDownGracefully() {
+	s.log.Info("proxy: leaving")
+	s.draining.Store(true)
+	s.agent.Leave()
+	ctx, cancel := context.WithTimeout(context.Background(), settings.Seconds(s.settings.Bounds.Grace)-killMargin)
 	defer cancel()
-	if err := p.follower.Leave(grace); err != nil {
-		p.log.WithError(err).Warn("proxy: no keeper was told")
+	if err := s.subscriber.Leave(ctx); err != nil {
+		s.log.WithError(err).Warn("proxy: no keeper was told")
 	}
-	p.dataPlane.Drain(grace)
-	p.log.Info("proxy: ended")
+	s.dataPlane.Drain(ctx)
+	s.log.Info("proxy: ended")
 }
 
-func (p *server) pickSettings() pick.Settings {
-	s := p.settings
-	return pick.Settings{Zone: s.Zone, Region: s.Region, Regions: s.Zones, RetryRatio: s.Bounds.RetryRatio,
-		RetryWindow: settings.Seconds(s.Bounds.RetryWindowS), RetrySlack: s.Bounds.RetrySlack,
-		WarmUpExcess: s.Bounds.ColdExcess, WarmUpSlack: s.Bounds.ColdSlack, Seed: p.seed()}
+func (s *server) pickSettings() pick.Settings {
+	config := s.settings
+	return pick.Settings{Zone: config.Zone, Region: config.Region, Regions: config.Zones, RetryRatio: config.Bounds.RetryRatio,
+		RetryWindow: settings.Seconds(config.Bounds.RetryWindowS), RetrySlack: config.Bounds.RetrySlack,
+		WarmUpExcess: config.Bounds.ColdExcess, WarmUpSlack: config.Bounds.ColdSlack, Seed: s.rotationSeed()}
 }
 
-// seed lets proxies begin their rotations at different places.
-func (p *server) seed() uint64 {
+// rotationSeed lets proxies begin their rotations at different places.
+func (s *server) rotationSeed() uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(p.settings.Node)) // never fails
+	_, _ = h.Write([]byte(s.settings.Node)) // never fails
 	return h.Sum64()
 }
 
 // status is what staff see of this proxy.
-func (p *server) status() any {
-	held := p.follower.Current()
-	out := admin.ProxyStatus{Version: admin.Version, Node: p.settings.Node, Ready: p.dataPlane.Ready() && p.ready(), Fresh: held.Fresh,
-		Number: held.State.Seq, Revision: held.State.Revision(), Evacuated: admin.EvacuatedZones(held.State), Servers: len(held.Servers),
-		ListAgeMS: -1, Choice: p.dataPlane.Describe(), Violations: invariant.Violations()}
-	if held.HasList {
-		out.ListAgeMS = held.ListAge.Milliseconds()
-	}
-	for _, m := range held.Members {
+func (s *server) status() any {
+	current := s.subscriber.Current()
+	out := admin.ProxyStatus{Version: admin.Version, Node: s.settings.Node, Ready: s.dataPlane.Ready() && s.isReady(), Fresh: current.Fresh,
+		Number: current.State.Seq, Revision: current.State.Revision(), Evacuated: admin.EvacuatedZones(current.State), Servers: len(current.Servers),
+		ListAgeMS: -1, Choice: s.dataPlane.Describe(), Violations: invariant.Violations()}
+	if current.HasList {
+		out.ListAgeMS = current.ListAge.Milliseconds()
+	}
+	for _, m := range current.Members {
 		out.Members = append(out.Members, m.Node)
 	}
 	return out
--- a/cmd/proxy/update_test.go
+++ b/cmd/proxy/update_test.go
@@ -24,22 +24,22 @@
 // newTestServer is a proxy's parts, without a keeper and without clients.
 func newTestServer(t *testing.T) *server {
 	t.Helper()
-	quiet := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
+	discardLog := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	return &server{settings: &settings.Settings{Node: "p0", Ports: []int{1, 2}}, log: quiet, complete: make(chan struct{}),
-		dataPlane: proxy.New(proxy.Options{Settings: pick.Settings{Zone: "z", Region: "r"}, Log: quiet}),
-		follower:  distribution.NewSubscriber(distribution.SubscriberOptions{Self: distribution.Member{Node: "p0"}, Log: quiet}),
-		directory: directory.NewDirectory(time.Second),
-		agent:     failuredetector.NewAgent(failuredetector.AgentOptions{Conn: conn, Log: quiet, Options: failuredetector.Options{Self: "p0"}}),
+	return &server{settings: &settings.Settings{Node: "p0", Ports: []int{1, 2}}, log: discardLog, synced: make(chan struct{}),
+		dataPlane:  proxy.New(proxy.Options{Settings: pick.Settings{Zone: "z", Region: "r"}, Log: discardLog}),
+		subscriber: distribution.NewSubscriber(distribution.SubscriberOptions{Self: distribution.Member{Node: "p0"}, Log: discardLog}),
+		directory:  directory.NewDirectory(time.Second),
+		agent:      failuredetector.NewAgent(failuredetector.AgentOptions{Conn: conn, Log: discardLog, Options: failuredetector.Options{Self: "p0"}}),
 	}
 }
 
-// applied is what proxies hold after changes in order.
-func applied(t *testing.T, s *controlstate.State, changes ...controlstate.Change) *controlstate.State {
+// applyChanges is what proxies hold after changes in order.
+func applyChanges(t *testing.T, s *controlstate.State, changes ...controlstate.Change) *controlstate.State {
 	t.Helper()
 	for _, c := range changes {
 		c.Base = int64(s.Seq)
@@ -58,35 +58,35 @@
 // TestEvacuationBetweenUpdates: a zone is evacuated and taken back while the proxy hears nothing, and both come to it at once. Danger:
 // neither what it held before nor what it holds now names the zone, though its servers may just have turned cold.
 func TestEvacuationBetweenUpdates(t *testing.T) {
-	p := newTestServer(t)
-	before := applied(t, controlstate.Empty().WithoutHistory(), controlstate.Change{Op: controlstate.OpReplace, Body: []byte(configuration)})
-	after := applied(t, before, controlstate.Change{Op: controlstate.OpEvacuate, Zone: "z"}, controlstate.Change{Op: controlstate.OpReadmit, Zone: "z"})
-	u := distribution.Update{State: before, HasList: true, ListAge: 100 * time.Millisecond, Fresh: true, AsOf: time.Now(),
+	s := newTestServer(t)
+	before := applyChanges(t, controlstate.Empty().WithoutHistory(), controlstate.Change{Op: controlstate.OpReplace, Body: []byte(configuration)})
+	after := applyChanges(t, before, controlstate.Change{Op: controlstate.OpEvacuate, Zone: "z"}, controlstate.Change{Op: controlstate.OpReadmit, Zone: "z"})
+	update := distribution.Update{State: before, HasList: true, ListAge: 100 * time.Millisecond, Fresh: true, AsOf: time.Now(),
 		Members: []distribution.Member{{Node: "p0"}},
 		Servers: []pick.Server{{ID: "s0", Service: "a", Zone: "z", Address: "127.0.0.1:1"}}}
-	p.update(u)
-	if p.dataPlane.AwaitsServerList() {
+	s.applyUpdate(update)
+	if s.dataPlane.AwaitsServerList() {
 		t.Fatal("the zone was never evacuated")
 	}
-	u.State = after
-	p.update(u)
-	if !p.dataPlane.AwaitsServerList() {
+	update.State = after
+	s.applyUpdate(update)
+	if !s.dataPlane.AwaitsServerList() {
 		t.Error("the servers of a zone that was evacuated meanwhile are taken for warm, by a reading from before")
 	}
 }
 
-// TestSnapshotTellsOfEvacuation is the same where the proxy is so far behind that it gets a snapshot.
-func TestSnapshotTellsOfEvacuation(t *testing.T) {
-	p := newTestServer(t)
-	whole := applied(t, controlstate.Empty(), controlstate.Change{Op: controlstate.OpReplace, Body: []byte(configuration)})
-	u := distribution.Update{State: snapshot(t, whole), HasList: true, ListAge: 100 * time.Millisecond, Fresh: true, AsOf: time.Now(),
+// TestEvacuationIsSeenInASnapshot is the same where the proxy is so far behind that it gets a snapshot.
+func TestEvacuationIsSeenInASnapshot(t *testing.T) {
+	s := newTestServer(t)
+	state := applyChanges(t, controlstate.Empty(), controlstate.Change{Op: controlstate.OpReplace, Body: []byte(configuration)})
+	update := distribution.Update{State: snapshot(t, state), HasList: true, ListAge: 100 * time.Millisecond, Fresh: true, AsOf: time.Now(),
 		Members: []distribution.Member{{Node: "p0"}},
 		Servers: []pick.Server{{ID: "s0", Service: "a", Zone: "z", Address: "127.0.0.1:1"}}}
-	p.update(u)
-	whole = applied(t, whole, controlstate.Change{Op: controlstate.OpEvacuate, Zone: "z"}, controlstate.Change{Op: controlstate.OpReadmit, Zone: "z"})
-	u.State = snapshot(t, whole)
-	p.update(u)
-	if !p.dataPlane.AwaitsServerList() {
+	s.applyUpdate(update)
+	state = applyChanges(t, state, controlstate.Change{Op: controlstate.OpEvacuate, Zone: "z"}, controlstate.Change{Op: controlstate.OpReadmit, Zone: "z"})
+	update.State = snapshot(t, state)
+	s.applyUpdate(update)
+	if !s.dataPlane.AwaitsServerList() {
 		t.Error("the servers of a zone that was evacuated meanwhile are taken for warm, by a reading from before")
 	}
 }
