--- /dev/null
+++ b/cmd/proxy/failuredetector.go
@@ -0,0 +1,55 @@
+package main
+
+import (
+	"context"
+	"net"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"gradeusher.example/gradeusher/internal/system/failuredetector"
+	"gradeusher.example/gradeusher/internal/system/process"
+	"gradeusher.example/gradeusher/internal/system/settings"
+)
+
+const (
+	heartbeatInterval = 400 * time.Millisecond // to the proxies that watch this one, at most
+	suspectTimeout    = 1300 * time.Millisecond
+	probeTimeout      = 500 * time.Millisecond
+)
+
+// openFailureDetector listens for datagrams of the other proxies and makes the agent. Its verdicts go to the control plane.
+func (s *server) openFailureDetector(ctx context.Context, address string) error {
+	packets, err := new(net.ListenConfig).ListenPacket(ctx, "udp4", address)
+	if err != nil {
+		return errors.Mark(errors.Wrapf(err, "cannot listen at %s by UDP: check that the port is free", address), process.ErrListen)
+	}
+	conn, ok := packets.(*net.UDPConn)
+	if !ok {
+		return errors.Newf("%s gave no UDP socket: run on a system that has them", address)
+	}
+	interval := heartbeatInterval
+	if maxInterval := settings.Milliseconds(s.settings.HeartbeatMS); maxInterval > 0 {
+		interval = min(interval, maxInterval)
+	}
+	s.agent = failuredetector.NewAgent(failuredetector.AgentOptions{
+		Options: failuredetector.Options{
+			Self:              s.settings.Node,
+			Incarnation:       s.subscriber.Incarnation(),
+			HeartbeatInterval: interval,
+			SuspectTimeout:    suspectTimeout,
+			ProbeTimeout:      probeTimeout,
+		},
+		Conn:      conn,
+		OnVerdict: s.reportVerdict,
+		Log:       s.log,
+	})
+	return nil
+}
+
+// reportVerdict reports to the control plane that a proxy is down. A proxy that is up reports that by itself.
+func (s *server) reportVerdict(verdict failuredetector.Verdict) {
+	if verdict.Down {
+		s.subscriber.Report(verdict.Node, verdict.Incarnation)
+	}
+}
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -1,5 +1,10 @@
-// Command proxy is the proxy of the system: it carries clients' requests to model servers and other servers, and
-// answers the directory. The settings file is named by GRADEUSHER_BOOT.
+// Command proxy is a proxy, the data plane of the system: it forwards clients' requests to model servers and other servers (package
+// proxy), by the configuration and the server list to which it subscribes at a control-plane node (distribution). It serves the
+// directory of proxies and a readiness check to clients and load balancers (directory), and watches other proxies
+// (failuredetector).
+//
+// It accepts clients once it has a configuration and a server list. Told to end, it leaves the directory first and finishes the requests
+// in flight within the grace period. GRADEUSHER_BOOT names the settings file.
 package main
 
 import (
--- /dev/null
+++ b/cmd/proxy/update.go
@@ -0,0 +1,86 @@
+package main
+
+import (
+	"net"
+	"strconv"
+
+	"gradeusher.example/gradeusher/internal/system/directory"
+	"gradeusher.example/gradeusher/internal/system/distribution"
+	"gradeusher.example/gradeusher/internal/system/failuredetector"
+	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+)
+
+// liveMembers are the members of an update that are neither down nor draining, as the parts of the process need them.
+type liveMembers struct {
+	nodes     []string
+	watchable []failuredetector.Member // for the failure detector
+	endpoints []directory.Endpoint     // of those that are ready for clients
+}
+
+// applyUpdate gives an update to the parts of the process. The subscriber calls it from one goroutine.
+func (s *server) applyUpdate(update distribution.Update) {
+	live := s.liveMembers(update.Members)
+	if configured, listed := update.State.Config != nil, update.HasList; !s.isSynced && (configured || listed) {
+		s.log.WithField("configured", configured).WithField("listed", listed).Info("proxy: learning")
+	}
+	s.dataPlane.UpdateClusterState(update.AsOf, pick.ClusterState{
+		Config:               update.State.Config,
+		Evacuated:            update.State.Evacuated,
+		ZoneChanges:          zoneChanges(update),
+		Servers:              update.Servers,
+		ListCoversSeq:        update.ListCoversSeq,
+		ContactAge:           update.ContactAge,
+		Self:                 s.settings.Node,
+		Peers:                live.nodes,
+		DownCount:            update.DownCount,
+		MembershipIncomplete: update.MembershipIncomplete,
+		Stale:                update.Stale,
+	})
+	s.subscriber.NotifyListUpdates(s.dataPlane.AwaitsServerList())
+	s.directory.SetEndpoints(live.endpoints)
+	s.agent.SetMembers(live.watchable)
+	if !s.isSynced && update.State.Config != nil && update.HasList {
+		s.markSynced(update)
+	}
+}
+
+// markSynced lets clients in, once there are a configuration and a list of servers.
+func (s *server) markSynced(update distribution.Update) {
+	s.isSynced = true
+	close(s.synced)
+	s.subscriber.SetReady(true)
+	s.log.WithField("revision", update.State.Config.Revision).WithField("servers", len(update.Servers)).Info("proxy: ready")
+}
+
+// liveMembers selects the live members. This proxy is no endpoint while it drains.
+func (s *server) liveMembers(members []distribution.Member) liveMembers {
+	live := liveMembers{
+		nodes:     make([]string, 0, len(members)),
+		watchable: make([]failuredetector.Member, 0, len(members)),
+		endpoints: make([]directory.Endpoint, 0, len(members)),
+	}
+	for _, m := range members {
+		if m.Draining || m.Down {
+			continue
+		}
+		live.nodes = append(live.nodes, m.Node)
+		live.watchable = append(live.watchable, failuredetector.Member{
+			Node:        m.Node,
+			Incarnation: m.Incarnation,
+			Address:     net.JoinHostPort(m.IP, strconv.Itoa(s.settings.ProxyPort())),
+		})
+		if m.Ready && (m.Node != s.settings.Node || !s.draining.Load()) {
+			live.endpoints = append(live.endpoints, directory.Endpoint{Address: m.ClientAddress, Zone: m.Zone, Region: m.Region})
+		}
+	}
+	return live
+}
+
+// zoneChanges returns the number of the record that last changed each zone with servers.
+func zoneChanges(update distribution.Update) map[string]uint64 {
+	changes := map[string]uint64{}
+	for _, server := range update.Servers {
+		changes[server.Zone] = update.State.ZoneChangeSeq(server.Zone)
+	}
+	return changes
+}
--- a/cmd/proxy/update_test.go
+++ b/cmd/proxy/update_test.go
@@ -21,7 +21,7 @@
 "target_latency_ms":100,"priority":0,"target":"a","max_tries":2}],"services":[{"name":"a","health_path":"/health","max_conns":10,
 "cold_s":3.0,"cold_per_s":31.0}],"limits":{}}`
 
-// newTestServer is a proxy's parts, without a keeper and without clients.
+// newTestServer returns a proxy's parts, without a control plane and without clients.
 func newTestServer(t *testing.T) *server {
 	t.Helper()
 	discardLog := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
@@ -38,7 +38,7 @@
 	}
 }
 
-// applyChanges is what proxies hold after changes in order.
+// applyChanges returns the state after changes, in their order.
 func applyChanges(t *testing.T, s *controlstate.State, changes ...controlstate.Change) *controlstate.State {
 	t.Helper()
 	for _, c := range changes {
@@ -55,8 +55,8 @@
 	return s
 }
 
-// TestEvacuationBetweenUpdates: a zone is evacuated and taken back while the proxy hears nothing, and both come to it at once. Danger:
-// neither what it held before nor what it holds now names the zone, though its servers may just have turned cold.
+// TestEvacuationBetweenUpdates: a zone is evacuated and readmitted while the proxy has no contact, and both reach it at once. Danger:
+// neither the state before nor the one after names the zone, though its servers may just have begun to warm up.
 func TestEvacuationBetweenUpdates(t *testing.T) {
 	s := newTestServer(t)
 	before := applyChanges(t, controlstate.Empty().WithoutHistory(), controlstate.Change{Op: controlstate.OpReplace, Body: []byte(configuration)})
@@ -75,7 +75,7 @@
 	}
 }
 
-// TestEvacuationIsSeenInASnapshot is the same where the proxy is so far behind that it gets a snapshot.
+// TestEvacuationIsSeenInASnapshot is the same where the proxy lags so far that it gets a snapshot.
 func TestEvacuationIsSeenInASnapshot(t *testing.T) {
 	s := newTestServer(t)
 	state := applyChanges(t, controlstate.Empty(), controlstate.Change{Op: controlstate.OpReplace, Body: []byte(configuration)})
@@ -91,7 +91,7 @@
 	}
 }
 
-// snapshot is the state as keepers send it to proxies.
+// snapshot returns a state as control-plane nodes send it to proxies.
 func snapshot(t *testing.T, s *controlstate.State) *controlstate.State {
 	t.Helper()
 	got, err := controlstate.Decode(s.WithoutHistory().Encode())
