--- /dev/null
+++ b/cmd/controlplane/replica.go
@@ -0,0 +1,65 @@
+package main
+
+import (
+	"context"
+
+	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/system/distribution"
+	"gradeusher.example/gradeusher/internal/system/replication"
+)
+
+// chainReplica is this node's replica of the chain, or its observer, as the node's other parts use it.
+type chainReplica struct {
+	*replication.Node
+}
+
+// Submit implements operatorapi.Chain.
+func (c *chainReplica) Submit(ctx context.Context, change controlstate.Change) (controlstate.Verdict, error) {
+	answer, err := c.Node.Submit(ctx, change)
+	verdict := answer.Verdict
+	verdict.Seq = answer.Seq
+	return verdict, err
+}
+
+// ServerLocations returns the voters of the view, those of the chain first and in its order.
+func (c *chainReplica) ServerLocations() []distribution.ServerLocation {
+	view := c.View()
+	locations := make([]distribution.ServerLocation, 0, len(view.Voters))
+	add := func(m replication.Member) {
+		locations = append(locations, distribution.ServerLocation{Address: m.Addr, Zone: m.Zone, Region: m.Region})
+	}
+	inChain := map[replication.ID]bool{}
+	for _, id := range view.Chain {
+		if m, ok := view.Voter(id); ok {
+			inChain[id] = true
+			add(m)
+		}
+	}
+	for _, m := range view.Voters {
+		if !inChain[m.ID] {
+			add(m)
+		}
+	}
+	return locations
+}
+
+// Addresses implements distribution.Source: the addresses of ServerLocations.
+func (c *chainReplica) Addresses() []string {
+	locations := c.ServerLocations()
+	addresses := make([]string, 0, len(locations))
+	for _, p := range locations {
+		addresses = append(addresses, p.Address)
+	}
+	return addresses
+}
+
+// ChainAddresses returns the epoch of the view, and the addresses of the chain's replicas, among which singleton roles are assigned.
+func (c *chainReplica) ChainAddresses() (epoch uint64, addresses []string) {
+	view := c.View()
+	for _, id := range view.Chain {
+		if m, ok := view.Voter(id); ok {
+			addresses = append(addresses, m.Addr)
+		}
+	}
+	return view.Epoch, addresses
+}
--- a/cmd/proxy/run.go
+++ b/cmd/proxy/run.go
@@ -10,14 +10,12 @@
 	"time"
 
 	"github.com/apex/log"
-	"github.com/cockroachdb/errors"
 
 	"gradeusher.example/gradeusher/internal/system/admin"
 	"gradeusher.example/gradeusher/internal/system/directory"
 	"gradeusher.example/gradeusher/internal/system/distribution"
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/failuredetector"
-	"gradeusher.example/gradeusher/internal/system/invariant"
 	"gradeusher.example/gradeusher/internal/system/process"
 	"gradeusher.example/gradeusher/internal/system/proxy"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
@@ -25,203 +23,176 @@
 )
 
 const (
-	mostTTL     = time.Second            // of the directory's answers: a proxy that ended is asked for as long
-	endMargin   = 700 * time.Millisecond // kept free before the platform's kill
-	beatEvery   = 400 * time.Millisecond // between beats to the proxies that watch this one
-	silenceFor  = 1300 * time.Millisecond
-	probeWithin = 500 * time.Millisecond
+	maxDirectoryTTL = time.Second            // of the directory's answers, so that a proxy that ended is named no longer
+	killMargin      = 700 * time.Millisecond // kept free before the platform kills the process
 )
 
-// server is the process: its parts, and what each tells the others.
+// server is the process: its parts, and the links between them.
 type server struct {
 	settings   *settings.Settings
 	log        log.Interface
 	dataPlane  *proxy.Proxy
-	follower   *distribution.Subscriber
+	subscriber *distribution.Subscriber
 	agent      *failuredetector.Agent
 	directory  *directory.Directory
-	leaving    atomic.Bool
-	complete   chan struct{} // closed once there is a configuration and a list of servers
-	isComplete bool          // of OnUpdate's goroutine
+	draining   atomic.Bool
+	synced     chan struct{} // closed once there are a configuration and a list of servers
+	isSynced   bool          // synced is closed; used by applyUpdate only
 }
 
+// run runs the proxy until the process is told to end or one of its parts fails.
 func run(self *process.Process) error {
-	s := self.Settings
-	p := &server{settings: s, log: self.Log, complete: make(chan struct{})}
-	life, end := context.WithCancel(context.Background())
-	defer end()
-	group, ctx := process.NewGroup(life)
-	p.directory = directory.NewDirectory(min(mostTTL, max(settings.Seconds(s.Bounds.TTLMaxSeconds), time.Second)))
-	p.dataPlane = proxy.New(proxy.Options{Settings: p.pickSettings(), GracePeriod: settings.Seconds(s.Bounds.GraceSeconds) - endMargin,
-		LossSlack: settings.Milliseconds(s.Bounds.LossSlackMS), FDLimit: s.Limits.FileDescriptors, MemoryMB: int(s.Limits.MemoryMB), Log: p.log,
-		OnStall: func() { p.follower.Refresh() }})
-	p.follower = distribution.NewSubscriber(distribution.SubscriberOptions{Seeds: s.SeedIPs(), ControlPlanePort: s.ControlPlanePort(),
-		ProxyPort: s.ProxyPort(), Self: softstate.Member{Node: s.Node, Zone: s.Zone, Region: s.Region, IP: s.IP, ClientAddress: s.Bind.Front},
-		Loads: p.dataPlane.Loads, OnUpdate: p.update, OnLoads: p.dataPlane.SetLoads, Log: p.log})
-	p.dataPlane.Publish()
-	inner := net.JoinHostPort(s.IP, strconv.Itoa(s.ProxyPort()))
-	if err := p.watch(ctx, inner); err != nil {
+	rootCtx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	group, ctx := process.NewGroup(rootCtx)
+	s := newServer(self)
+	if err := s.start(ctx, self, group); err != nil {
+		return err
+	}
+	self.Wait(ctx)
+	if ctx.Err() == nil {
+		s.shutDownGracefully()
+	}
+	cancel()
+	return group.Wait()
+}
+
+// newServer makes the parts of the process. start starts them.
+func newServer(self *process.Process) *server {
+	config := self.Settings
+	s := &server{settings: config, log: self.Log, synced: make(chan struct{})}
+	s.directory = directory.NewDirectory(min(maxDirectoryTTL, max(settings.Seconds(config.Bounds.TTLMaxSeconds), time.Second)))
+	s.dataPlane = proxy.New(proxy.Options{
+		Settings:    s.pickSettings(),
+		GracePeriod: s.gracePeriod(),
+		LossSlack:   settings.Milliseconds(config.Bounds.LossSlackMS),
+		FDLimit:     config.Limits.FileDescriptors,
+		MemoryMB:    int(config.Limits.MemoryMB),
+		Log:         s.log,
+		OnStall:     func() { s.subscriber.Refresh() },
+	})
+	s.subscriber = distribution.NewSubscriber(distribution.SubscriberOptions{
+		Seeds:            config.SeedIPs(),
+		ControlPlanePort: config.ControlPlanePort(),
+		ProxyPort:        config.ProxyPort(),
+		Self: softstate.Member{
+			Node:          config.Node,
+			Zone:          config.Zone,
+			Region:        config.Region,
+			IP:            config.IP,
+			ClientAddress: config.Bind.Front,
+		},
+		Loads:    s.dataPlane.Loads,
+		OnUpdate: s.applyUpdate,
+		OnLoads:  s.dataPlane.SetLoads,
+		Log:      s.log,
+	})
+	return s
+}
+
+// start publishes the metrics, listens at all addresses and starts the goroutines. The group owns these; they end with ctx.
+func (s *server) start(ctx context.Context, self *process.Process, group *process.Group) error {
+	s.dataPlane.Publish()
+	internalAddress := net.JoinHostPort(s.settings.IP, strconv.Itoa(s.settings.ProxyPort()))
+	if err := s.openFailureDetector(ctx, internalAddress); err != nil {
 		return err
 	}
-	calls := http.NewServeMux()
-	calls.Handle("/twirp/", p.follower.Handler())
-	calls.Handle(failuredetector.AlivePath, p.agent.Handler())
-	calls.Handle("/status", admin.ProxyHandler(p.status))
 	for address, handler := range map[string]http.Handler{
-		inner:            calls,
-		s.Bind.Readiness: directory.Readiness(func() bool { return p.dataPlane.Ready() && p.ready() }),
-		s.Bind.Directory: p.directory.Handler(),
+		internalAddress:           s.internalHandler(),
+		s.settings.Bind.Readiness: directory.Readiness(s.isReady),
+		s.settings.Bind.Directory: s.directory.Handler(),
 	} {
-		l, err := process.Listen(ctx, address)
+		listener, err := process.Listen(ctx, address)
 		if err != nil {
 			return err
 		}
-		group.ServeHTTP(ctx, l, handler)
+		group.ServeHTTP(ctx, listener, handler)
 	}
 	if err := self.ServeMetrics(ctx, group); err != nil {
 		return err
 	}
-	front, err := process.Listen(ctx, s.Bind.Front)
+	clients, err := process.Listen(ctx, s.settings.Bind.Front)
 	if err != nil {
 		return err
 	}
-	group.Go(func() error { p.follower.Run(ctx); return nil })
-	group.Go(func() error { p.agent.Run(ctx); return nil })
-	group.Go(func() error { return p.carry(ctx, front) })
-	p.log.WithField("front", s.Bind.Front).Info("proxy: started")
-	self.Wait(ctx)
-	if ctx.Err() == nil {
-		p.leave()
-	}
-	end()
-	return group.Wait()
+	group.Go(func() error { s.subscriber.Run(ctx); return nil })
+	group.Go(func() error { s.agent.Run(ctx); return nil })
+	group.Go(func() error { return s.serveClients(ctx, clients) })
+	s.log.WithField("front", s.settings.Bind.Front).Info("proxy: started")
+	return nil
 }
 
-// watch has proxies that rendezvous hashing names watch each other.
-func (p *server) watch(ctx context.Context, inner string) error {
-	packets, err := new(net.ListenConfig).ListenPacket(ctx, "udp4", inner)
-	if err != nil {
-		return errors.Mark(errors.Wrapf(err, "cannot listen at %s by UDP: check that the port is free", inner), process.ErrListen)
-	}
-	conn, ok := packets.(*net.UDPConn)
-	if !ok {
-		return errors.Newf("%s gave no UDP socket: run on a system that has them", inner)
-	}
-	beat := beatEvery
-	if most := settings.Milliseconds(p.settings.HeartbeatMS); most > 0 {
-		beat = min(beat, most)
-	}
-	p.agent = failuredetector.NewAgent(failuredetector.AgentOptions{Conn: conn, Log: p.log,
-		Options: failuredetector.Options{Self: p.settings.Node, Incarnation: p.follower.Incarnation(), HeartbeatInterval: beat, SuspectTimeout: silenceFor, ProbeTimeout: probeWithin},
-		OnVerdict: func(v failuredetector.Verdict) {
-			if v.Down {
-				p.follower.Report(v.Node, v.Incarnation)
-			}
-		}})
-	return nil
+// internalHandler serves the control plane, the other proxies and the engineers.
+func (s *server) internalHandler() http.Handler {
+	mux := http.NewServeMux()
+	mux.Handle("/twirp/", s.subscriber.Handler())
+	mux.Handle(failuredetector.AlivePath, s.agent.Handler())
+	mux.Handle("/status", admin.ProxyHandler(s.status))
+	return mux
 }
 
-// carry takes clients once there is something to serve with. Until then connections wait in the listener's queue: to turn
-// them away would cost their clients a try.
-func (p *server) carry(ctx context.Context, front net.Listener) error {
+// serveClients accepts clients once there is something to serve. Until then connections wait in the listener's backlog: to reject
+// them would cost their clients an attempt.
+func (s *server) serveClients(ctx context.Context, clients net.Listener) error {
 	select {
-	case <-p.complete:
+	case <-s.synced:
 	case <-ctx.Done():
-		return front.Close()
+		return clients.Close()
 	}
-	return p.dataPlane.Serve(ctx, front)
+	return s.dataPlane.Serve(ctx, clients)
 }
 
-func (p *server) ready() bool {
+// isReady reports whether the proxy may get clients.
+func (s *server) isReady() bool {
+	if !s.dataPlane.Ready() {
+		return false
+	}
 	select {
-	case <-p.complete:
-		return !p.leaving.Load()
+	case <-s.synced:
+		return !s.draining.Load()
 	default:
 		return false
 	}
 }
 
-// update hands on what the follower holds. The follower calls it from one goroutine.
-func (p *server) update(u distribution.Update) {
-	live := make([]string, 0, len(u.Members))
-	watched := make([]failuredetector.Member, 0, len(u.Members))
-	fronts := make([]directory.Endpoint, 0, len(u.Members))
-	for _, m := range u.Members {
-		if m.Draining || m.Down {
-			continue
-		}
-		live = append(live, m.Node)
-		watched = append(watched, failuredetector.Member{Node: m.Node, Incarnation: m.Incarnation,
-			Address: net.JoinHostPort(m.IP, strconv.Itoa(p.settings.ProxyPort()))})
-		if m.Ready && (m.Node != p.settings.Node || !p.leaving.Load()) {
-			fronts = append(fronts, directory.Endpoint{Address: m.ClientAddress, Zone: m.Zone, Region: m.Region})
-		}
-	}
-	if configured, listed := u.State.Config != nil, u.HasList; !p.isComplete && (configured || listed) {
-		p.log.WithField("configured", configured).WithField("listed", listed).Info("proxy: learning")
-	}
-	p.dataPlane.UpdateClusterState(u.AsOf, pick.ClusterState{Config: u.State.Config, Evacuated: u.State.Evacuated, ZoneChanges: zoneChanges(u),
-		Servers: u.Servers, ListCoversSeq: u.ListCoversSeq, ContactAge: u.ContactAge,
-		Self: p.settings.Node, Peers: live, DownCount: u.DownCount, MembershipIncomplete: u.MembershipIncomplete, Stale: u.Stale})
-	p.follower.NotifyListUpdates(p.dataPlane.AwaitsServerList())
-	p.directory.SetEndpoints(fronts)
-	p.agent.SetMembers(watched)
-	if !p.isComplete && u.State.Config != nil && u.HasList {
-		p.isComplete = true
-		close(p.complete)
-		p.follower.SetReady(true)
-		p.log.WithField("revision", u.State.Config.Revision).WithField("servers", len(u.Servers)).Info("proxy: ready")
-	}
-}
-
-// zoneChanges tells which record last changed each zone that servers are in.
-func zoneChanges(u distribution.Update) map[string]uint64 {
-	changes := map[string]uint64{}
-	for _, s := range u.Servers {
-		changes[s.Zone] = u.State.ZoneChangeSeq(s.Zone)
-	}
-	return changes
-}
-
-// leave is the planned end: the directory and readiness turn clients away first, then what is held is finished.
-func (p *server) leave() {
-	p.log.Info("proxy: leaving")
-	p.leaving.Store(true)
-	p.agent.Leave()
-	grace, cancel := context.WithTimeout(context.Background(), settings.Seconds(p.settings.Bounds.GraceSeconds)-endMargin)
+// shutDownGracefully has the directory and the readiness check send clients away, then finishes the requests in flight.
+func (s *server) shutDownGracefully() {
+	s.log.Info("proxy: leaving")
+	s.draining.Store(true)
+	s.agent.Leave()
+	ctx, cancel := context.WithTimeout(context.Background(), s.gracePeriod())
 	defer cancel()
-	if err := p.follower.Leave(grace); err != nil {
-		p.log.WithError(err).Warn("proxy: no keeper was told")
+	if err := s.subscriber.Leave(ctx); err != nil {
+		s.log.WithError(err).Warn("proxy: no keeper was told")
 	}
-	p.dataPlane.Drain(grace)
-	p.log.Info("proxy: ended")
+	s.dataPlane.Drain(ctx)
+	s.log.Info("proxy: ended")
 }
 
-func (p *server) pickSettings() pick.Settings {
-	s := p.settings
-	return pick.Settings{Zone: s.Zone, Region: s.Region, Regions: s.Zones, RetryRatio: s.Bounds.RetryRatio,
-		RetryWindow: settings.Seconds(s.Bounds.RetryWindowSeconds), RetrySlack: s.Bounds.RetrySlack,
-		WarmUpExcess: s.Bounds.ColdExcess, WarmUpSlack: s.Bounds.ColdSlack, Seed: p.seed()}
+// gracePeriod is how long requests in flight may take after the process was told to end.
+func (s *server) gracePeriod() time.Duration {
+	return settings.Seconds(s.settings.Bounds.GraceSeconds) - killMargin
 }
 
-// seed lets proxies begin their rotations at different places.
-func (p *server) seed() uint64 {
-	h := fnv.New64a()
-	_, _ = h.Write([]byte(p.settings.Node)) // never fails
-	return h.Sum64()
+// pickSettings derives the picker's settings from those of the deployment.
+func (s *server) pickSettings() pick.Settings {
+	config := s.settings
+	return pick.Settings{
+		Zone:         config.Zone,
+		Region:       config.Region,
+		Regions:      config.Zones,
+		RetryRatio:   config.Bounds.RetryRatio,
+		RetryWindow:  settings.Seconds(config.Bounds.RetryWindowSeconds),
+		RetrySlack:   config.Bounds.RetrySlack,
+		WarmUpExcess: config.Bounds.ColdExcess,
+		WarmUpSlack:  config.Bounds.ColdSlack,
+		Seed:         s.rotationSeed(),
+	}
 }
 
-// status is what staff see of this proxy.
-func (p *server) status() any {
-	held := p.follower.Current()
-	out := admin.ProxyStatus{Version: admin.Version, Node: p.settings.Node, Ready: p.dataPlane.Ready() && p.ready(), Fresh: held.Fresh,
-		Number: held.State.Seq, Revision: held.State.Revision(), Evacuated: admin.Zones(held.State), Servers: len(held.Servers),
-		ListAgeMS: -1, Choice: p.dataPlane.Describe(), Violations: invariant.Violations()}
-	if held.HasList {
-		out.ListAgeMS = held.ListAge.Milliseconds()
-	}
-	for _, m := range held.Members {
-		out.Members = append(out.Members, m.Node)
-	}
-	return out
+// rotationSeed has each proxy begin its rotation over servers at another place.
+func (s *server) rotationSeed() uint64 {
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(s.settings.Node)) // never fails
+	return hash.Sum64()
 }
--- a/internal/system/admin/fleet.go
+++ b/internal/system/admin/fleet.go
@@ -9,57 +9,58 @@
 	"sync"
 )
 
-// Fleet is what the keepers that were asked say, put together.
+// Fleet combines what the nodes of the control plane answered.
 type Fleet struct {
 	Version   int             `json:"version"`
-	Epoch     uint64          `json:"epoch"` // newest that a keeper tells
+	Epoch     uint64          `json:"epoch"` // the newest of all answers
 	Chain     []string        `json:"chain"` // of that epoch
 	Voters    []Voter         `json:"voters"`
-	Capacity  *Capacity       `json:"capacity,omitempty"` // as a current keeper of that epoch sees it; nil: none tells
-	Number    uint64          `json:"number"`             // newest committed record that a keeper tells
+	Capacity  *Capacity       `json:"capacity,omitempty"` // as a current node of that epoch sees it; nil: no such node answered
+	Number    uint64          `json:"number"`             // the newest committed record of all answers
 	Revision  int64           `json:"revision"`           // after it
 	Evacuated []string        `json:"evacuated"`
 	Nodes     []NodeAnswer    `json:"keepers"` // by address
 	Proxies   []Subscriber    `json:"proxies"` // by name
 	Roles     []SingletonRole `json:"duties"`
-	Unseen    []string        `json:"unseen"` // live proxies that follow none of the keepers that answered, by name
+	Unseen    []string        `json:"unseen"` // live proxies that subscribe to none of the nodes that answered, by name
 }
 
-// NodeAnswer is what one keeper said, or why it did not.
+// NodeAnswer is the status of one node, or why there is none.
 type NodeAnswer struct {
 	Address string      `json:"address"` // control address
 	Status  *NodeStatus `json:"status,omitempty"`
 	Error   string      `json:"error,omitempty"`
 }
 
-// Subscriber is a proxy, with the keeper that it follows.
+// Subscriber is a proxy with the node to which it subscribes.
 type Subscriber struct {
 	ProxyProgress
 	Server string `json:"keeper"` // node
 }
 
-// SingletonRole is a piece of work that one keeper has at a time.
+// SingletonRole is work that one node of the control plane does at a time.
 type SingletonRole struct {
-	Name   string `json:"name"`
-	Holder string `json:"holder"` // IP; empty: none
+	Name  string `json:"name"`
+	Owner string `json:"holder"` // IP; empty: none
 }
 
-// Fleet asks the keepers with the control addresses, and those others of the view that they name, at the port of the first
-// address. Who does not answer is told in Fleet.Keepers. It fails only when none answers, marked ErrUnreachable.
+// Fleet fetches the statuses of the nodes with the control addresses, and of the other voters that these name, at the port of the
+// first address. Fleet.Nodes says which did not answer. It fails only where none did, with an error marked ErrUnreachable.
 func (c *Client) Fleet(ctx context.Context, addresses []string) (*Fleet, error) {
-	answers := c.ask(ctx, addresses)
-	if more := others(answers); len(more) > 0 {
-		answers = append(answers, c.ask(ctx, more)...)
+	answers := c.askNodes(ctx, addresses)
+	if more := unaskedVoters(answers); len(more) > 0 {
+		answers = append(answers, c.askNodes(ctx, more)...)
 	}
 	slices.SortFunc(answers, func(a, b NodeAnswer) int { return cmp.Compare(a.Address, b.Address) })
-	f := merge(answers)
+	fleet := mergeAnswers(answers)
 	if !slices.ContainsFunc(answers, func(a NodeAnswer) bool { return a.Status != nil }) {
-		return f, unreached(nil, "no keeper answers; the first says: %s", answers[0].Error)
+		return fleet, unreachableError(nil, "no keeper answers; the first says: %s", answers[0].Error)
 	}
-	return f, nil
+	return fleet, nil
 }
 
-func (c *Client) ask(ctx context.Context, addresses []string) []NodeAnswer {
+// askNodes fetches the statuses of several nodes at once.
+func (c *Client) askNodes(ctx context.Context, addresses []string) []NodeAnswer {
 	answers := make([]NodeAnswer, len(addresses))
 	var wg sync.WaitGroup
 	for i, address := range addresses {
@@ -77,8 +78,8 @@
 	return answers
 }
 
-// others are the control addresses of the view's voters that were not asked.
-func others(answers []NodeAnswer) []string {
+// unaskedVoters returns the control addresses of the voters of the view that were not asked.
+func unaskedVoters(answers []NodeAnswer) []string {
 	if len(answers) == 0 {
 		return nil
 	}
@@ -89,7 +90,7 @@
 	}
 	_, port, _ := net.SplitHostPort(answers[0].Address)
 	var more []string
-	for _, v := range merge(answers).Voters {
+	for _, v := range mergeAnswers(answers).Voters {
 		if !asked[v.Address] {
 			asked[v.Address] = true
 			more = append(more, net.JoinHostPort(v.Address, port))
@@ -98,44 +99,45 @@
 	return more
 }
 
-func merge(answers []NodeAnswer) *Fleet {
-	f := &Fleet{Version: Version, Chain: []string{}, Voters: []Voter{}, Evacuated: []string{}, Nodes: answers, Proxies: []Subscriber{},
+// mergeAnswers combines what the nodes answered: the view of the newest epoch, the newest committed record, and each proxy once.
+func mergeAnswers(answers []NodeAnswer) *Fleet {
+	fleet := &Fleet{Version: Version, Chain: []string{}, Voters: []Voter{}, Evacuated: []string{}, Nodes: answers, Proxies: []Subscriber{},
 		Roles: []SingletonRole{}, Unseen: []string{}}
-	follows := map[string]Subscriber{}
-	live := map[string]bool{}
-	viewed, held := false, false
-	var duty SingletonRole
+	var statuses []*NodeStatus
 	for _, a := range answers {
-		s := a.Status
-		if s == nil {
-			continue
+		if a.Status != nil {
+			statuses = append(statuses, a.Status)
 		}
-		if !viewed || s.Epoch > f.Epoch {
-			viewed = true
-			f.Epoch, f.Chain, f.Voters = s.Epoch, s.Chain, s.Voters
-			duty = SingletonRole{Name: "list", Holder: s.ListOwner}
-		}
-		if !held || s.Number > f.Number {
-			held = true
-			f.Number, f.Revision, f.Evacuated = s.Number, s.Revision, slices.Sorted(slices.Values(s.Evacuated))
-		}
-		for _, p := range s.Proxies {
-			// A proxy that has moved may still be on its former keeper's list.
-			if old, ok := follows[p.Node]; !ok || p.SinceLastCallMS < old.SinceLastCallMS || p.SinceLastCallMS == old.SinceLastCallMS && p.Acknowledged > old.Acknowledged {
-				follows[p.Node] = Subscriber{ProxyProgress: p, Server: s.Node}
+	}
+	if len(statuses) == 0 {
+		return fleet
+	}
+	newest := slices.MaxFunc(statuses, func(a, b *NodeStatus) int { return cmp.Compare(a.Epoch, b.Epoch) })
+	fleet.Epoch, fleet.Chain, fleet.Voters = newest.Epoch, newest.Chain, newest.Voters
+	fleet.Roles = append(fleet.Roles, SingletonRole{Name: "list", Owner: newest.ListOwner})
+	fleet.Capacity = chooseCapacity(statuses, newest.Epoch)
+	latest := slices.MaxFunc(statuses, func(a, b *NodeStatus) int { return cmp.Compare(a.Number, b.Number) })
+	fleet.Number, fleet.Revision, fleet.Evacuated = latest.Number, latest.Revision, slices.Sorted(slices.Values(latest.Evacuated))
+	fleet.setProxies(statuses)
+	return fleet
+}
+
+// setProxies sets the proxies that subscribe to one of the nodes, and the live ones that subscribe to none, both by name.
+func (f *Fleet) setProxies(statuses []*NodeStatus) {
+	subscribers, live := map[string]Subscriber{}, map[string]bool{}
+	for _, status := range statuses {
+		for _, p := range status.Proxies {
+			if known, ok := subscribers[p.Node]; !ok || p.isNewerThan(known.ProxyProgress) {
+				subscribers[p.Node] = Subscriber{ProxyProgress: p, Server: status.Node}
 			}
 		}
-		if s.Current {
-			for _, m := range s.Members {
+		if status.Current {
+			for _, m := range status.Members {
 				live[m] = true
 			}
 		}
 	}
-	f.Capacity = capacity(answers, f.Epoch)
-	if viewed {
-		f.Roles = append(f.Roles, duty)
-	}
-	for node, p := range follows {
+	for node, p := range subscribers {
 		f.Proxies = append(f.Proxies, p)
 		delete(live, node)
 	}
@@ -144,16 +146,24 @@
 		f.Unseen = append(f.Unseen, node)
 	}
 	slices.Sort(f.Unseen)
-	return f
 }
 
-// capacity is the first that a current keeper of the epoch tells, one with a disk before observers: it hears the others
-// more often.
-func capacity(answers []NodeAnswer, epoch uint64) *Capacity {
+// isNewerThan reports whether one node's knowledge of a proxy is newer than another's: a proxy that has moved may still be listed by
+// the node to which it subscribed before.
+func (p ProxyProgress) isNewerThan(other ProxyProgress) bool {
+	if p.SinceLastCallMS != other.SinceLastCallMS {
+		return p.SinceLastCallMS < other.SinceLastCallMS
+	}
+	return p.Acknowledged > other.Acknowledged
+}
+
+// chooseCapacity returns the first capacity of a current node of the epoch, that of a node with a disk before those of observers,
+// which have contact with the others less often. It is nil where no such node knows it.
+func chooseCapacity(statuses []*NodeStatus, epoch uint64) *Capacity {
 	var observed *Capacity
-	for _, a := range answers {
-		switch s := a.Status; {
-		case s == nil || !s.Current || s.Epoch != epoch || s.Capacity == nil:
+	for _, s := range statuses {
+		switch {
+		case !s.Current || s.Epoch != epoch || s.Capacity == nil:
 		case !s.Observer:
 			return s.Capacity
 		case observed == nil:
@@ -163,7 +173,7 @@
 	return observed
 }
 
-// Current tells whether a keeper that answered is current: the system takes changes there.
+// Current reports whether a node that answered is current: the system takes changes there.
 func (f *Fleet) Current() bool {
 	return slices.ContainsFunc(f.Nodes, func(a NodeAnswer) bool { return a.Status != nil && a.Status.Current })
 }
--- a/internal/system/distribution/warmup_fleet_serve_test.go
+++ b/internal/system/distribution/warmup_fleet_serve_test.go
@@ -78,7 +78,7 @@
 			for _, i := range r.Instances {
 				servers = append(servers, pick.Server{ID: i.ID, Service: i.Target, Address: i.Address, Zone: i.Zone, Slots: i.Slots, Draining: i.Phase == platform.Draining, WarmUpMax: i.WarmUpLeft})
 			}
-			_ = server.PutList(r.Fence, r.Version, servers, softstate.TimeBounds{Earliest: r.Asked, Latest: r.Answered})
+			_ = server.PutList(r.Fence, r.Version, servers, softstate.TimeBounds{Earliest: r.RequestedAt, Latest: r.ReceivedAt})
 		}})
 	w.wg.Go(func() { poller.Run(ctx) })
 }
