--- a/internal/framing/boundary_test.go
+++ b/internal/framing/boundary_test.go
@@ -15,7 +15,7 @@
 
 // consumeRequests follows a text as the requests of one connection, in pieces of a size, and returns how many bytes were admitted.
 func consumeRequests(text string, pieceSize int) int {
-	return consumeInPieces(newRequestTracker(1<<10), text, pieceSize, func() {})
+	return consumeFragments(newRequestTracker(1<<10), text, pieceSize, func() {})
 }
 
 // consumeResponses does so for the responses of a server; another one is due after each piece.
@@ -23,11 +23,11 @@
 	tracker := newResponseTracker(1 << 10)
 	tracker.headRequest.Store(headRequest)
 	tracker.responseDue.Store(true)
-	return consumeInPieces(tracker, text, pieceSize, func() { tracker.responseDue.Store(true) })
+	return consumeFragments(tracker, text, pieceSize, func() { tracker.responseDue.Store(true) })
 }
 
-// consumeInPieces returns how many bytes the tracker admits, and calls afterPiece after each complete piece.
-func consumeInPieces(tracker *boundaryTracker, text string, pieceSize int, afterPiece func()) int {
+// consumeFragments returns how many bytes the tracker admits, and calls afterPiece after each complete piece.
+func consumeFragments(tracker *boundaryTracker, text string, pieceSize int, afterPiece func()) int {
 	for offset := 0; offset < len(text); offset += pieceSize {
 		piece := text[offset:min(offset+pieceSize, len(text))]
 		if admitted := tracker.consume([]byte(piece)); admitted < len(piece) {
--- a/internal/system/proxy/attempt.go
+++ b/internal/system/proxy/attempt.go
@@ -14,7 +14,7 @@
 var (
 	errNotSent         = errors.New("not a byte of the request was sent: another server may be asked")
 	errDeadlinePassed  = errors.New("the deadline passed before the response was complete")
-	errServerSilent    = errors.New("the server has been silent for too long: another one is asked")
+	errServerTimedOut  = errors.New("the server has been silent for too long: another one is asked")
 	errInvalidResponse = errors.New("the server sent no valid response to this request: close the connection")
 )
 
@@ -33,9 +33,9 @@
 	sendDeadline time.Time // the request goes out by then or not at all
 	headRequest  bool      // the response has no body whatever its head says
 
-	silenceTimeout time.Duration // how long the server may be silent before abandon is called; 0: until the deadline
-	abandon        func() bool   // reports whether the silent server is given up
-	lastProgress   time.Duration // when bytes last came, or the wait for them began; after pools.start
+	progressTimeout time.Duration // how long the server may be silent before abandon is called; 0: until the deadline
+	abandon         func() bool   // reports whether the silent server is given up
+	lastProgress    time.Duration // when bytes last came, or the wait for them began; after pools.start
 
 	conn         *serverConn // nil: none, or given back
 	reader       *bufio.Reader
@@ -113,7 +113,7 @@
 	a.stopWatching = context.AfterFunc(a.ctx, func() { _ = conn.Close() })
 }
 
-// Read implements io.Reader with the bytes from the server. It fails with errDeadlinePassed, with errServerSilent once the
+// Read implements io.Reader with the bytes from the server. It fails with errDeadlinePassed, with errServerTimedOut once the
 // server has been abandoned, and with the errors of the connection.
 func (a *upstreamAttempt) Read(p []byte) (int, error) {
 	for {
@@ -129,7 +129,7 @@
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return 0, err
 		}
-		if err := a.evaluateSilence(); err != nil {
+		if err := a.evaluateTimeout(); err != nil {
 			return 0, err
 		}
 	}
@@ -137,23 +137,23 @@
 
 // readDeadline is when the next read is to end: at the deadline, or when the server has been silent for too long.
 func (a *upstreamAttempt) readDeadline() time.Time {
-	if a.silenceTimeout == 0 {
+	if a.progressTimeout == 0 {
 		return a.deadline
 	}
-	return earlierOf(a.deadline, a.pools.start.Add(a.lastProgress+a.silenceTimeout))
+	return earlierOf(a.deadline, a.pools.start.Add(a.lastProgress+a.progressTimeout))
 }
 
-// evaluateSilence decides after a read that timed out whether to go on reading. A server that answers others is not silent.
-func (a *upstreamAttempt) evaluateSilence() error {
+// evaluateTimeout decides after a read that timed out whether to go on reading. A server that answers others is not silent.
+func (a *upstreamAttempt) evaluateTimeout() error {
 	now := a.pools.now()
 	lastContact := max(time.Duration(a.pool.lastContact.Load()), a.lastProgress)
 	switch {
 	case !time.Now().Before(a.deadline):
 		return errDeadlinePassed
-	case a.silenceTimeout == 0 || lastContact+a.silenceTimeout > now:
+	case a.progressTimeout == 0 || lastContact+a.progressTimeout > now:
 		a.lastProgress = lastContact
 	case a.abandon != nil && a.abandon():
-		return errServerSilent
+		return errServerTimedOut
 	default:
 		a.lastProgress = now
 	}
--- a/internal/system/proxy/clientrequest.go
+++ b/internal/system/proxy/clientrequest.go
@@ -14,12 +14,12 @@
 const (
 	// maxUnreachedServers bounds the servers that one request finds unreachable before it is given up.
 	maxUnreachedServers = 4
-	// minSilenceTimeout is the least time for which a server may be silent before the head of its response.
-	minSilenceTimeout = 1500 * time.Millisecond
-	// minEventSilenceTimeout is the least time for which a server may be silent within an event stream.
-	minEventSilenceTimeout = time.Second
-	// silenceTargetFactor: a server may be silent for so many times the target of the route.
-	silenceTargetFactor = 2
+	// minResponseTimeout is the least time for which a server may be silent before the head of its response.
+	minResponseTimeout = 1500 * time.Millisecond
+	// minEventGapTimeout is the least time for which a server may be silent within an event stream.
+	minEventGapTimeout = time.Second
+	// timeoutTargetFactor: a server may be silent for so many times the target of the route.
+	timeoutTargetFactor = 2
 )
 
 // clientRequest is one request of a client, from its head to its answer. It makes attempts at one server after another. One
@@ -117,7 +117,7 @@
 		return c.handleNotSent(attempt)
 	}
 	c.countSend(choice)
-	c.watchForSilence(attempt, max(silenceTargetFactor*c.route.LatencyTarget, c.proxy.options.TestingKnobs.MinSilenceTimeout))
+	c.watchProgress(attempt, max(timeoutTargetFactor*c.route.LatencyTarget, c.proxy.options.TestingKnobs.MinResponseTimeout))
 	if err := attempt.readHead(c.request.Method); err != nil {
 		return c.handleFailure(attempt, err)
 	}
@@ -163,13 +163,13 @@
 	}
 }
 
-// watchForSilence has a server abandoned that is silent for longer than the timeout, where the request may be retried.
-func (c *clientRequest) watchForSilence(attempt *upstreamAttempt, timeout time.Duration) {
+// watchProgress has a server abandoned that is silent for longer than the timeout, where the request may be retried.
+func (c *clientRequest) watchProgress(attempt *upstreamAttempt, timeout time.Duration) {
 	if !c.mayRetry(true) {
-		attempt.silenceTimeout = 0
+		attempt.progressTimeout = 0
 		return
 	}
-	attempt.silenceTimeout = timeout
+	attempt.progressTimeout = timeout
 	attempt.abandon = c.chooseReplacement
 }
 
@@ -204,7 +204,7 @@
 	attempt.discard()
 	c.mayHaveRun = true
 	outcome := c.failureOutcome(attempt, err)
-	if outcome == pick.TimedOut && errors.Is(err, errServerSilent) {
+	if outcome == pick.TimedOut && errors.Is(err, errServerTimedOut) {
 		c.proxy.counters.Abandoned.Add(1)
 	}
 	if outcome != pick.Canceled {
@@ -219,10 +219,10 @@
 	switch {
 	case c.clientGone():
 		return pick.Canceled
-	case errors.Is(err, errServerSilent):
+	case errors.Is(err, errServerTimedOut):
 		return pick.TimedOut
 	case errors.Is(err, errDeadlinePassed):
-		if attempt.sinceLastContact() < minSilenceTimeout {
+		if attempt.sinceLastContact() < minResponseTimeout {
 			return pick.Canceled // late, but alive as far as is known
 		}
 		return pick.TimedOut
--- a/internal/system/proxy/eventrelay.go
+++ b/internal/system/proxy/eventrelay.go
@@ -36,7 +36,7 @@
 		}
 		c.lastEventID = reader.resumableID()
 		if isFirst {
-			c.watchForSilence(attempt, max(silenceTargetFactor*c.route.EventGapTarget, c.proxy.options.TestingKnobs.MinEventSilenceTimeout))
+			c.watchProgress(attempt, max(timeoutTargetFactor*c.route.EventGapTarget, c.proxy.options.TestingKnobs.MinEventGapTimeout))
 		}
 	}
 }
--- a/internal/system/proxy/exactlyonce_test.go
+++ b/internal/system/proxy/exactlyonce_test.go
@@ -30,8 +30,8 @@
 	Steps     []clientStep
 }
 
-// shortSilenceTimeout is how long a server may be silent: less than the clients of a scenario with silent servers wait.
-const shortSilenceTimeout = 20 * time.Millisecond
+// shortProgressTimeout is how long a server may be silent: less than the clients of a scenario with silent servers wait.
+const shortProgressTimeout = 20 * time.Millisecond
 
 // clientStep is what a client does, once the clientStep before has ended.
 type clientStep struct {
@@ -94,10 +94,10 @@
 	address    string
 	timeLeftMS string // X-Time-Left-Ms
 
-	mu         sync.Mutex
-	outcomes   []clientOutcome
-	keptConn   net.Conn // kept for many requests
-	keptReader *bufio.Reader
+	mu               sync.Mutex
+	outcomes         []clientOutcome
+	persistentConn   net.Conn // kept for many requests
+	persistentReader *bufio.Reader
 }
 
 // clientOutcome is what a client saw of one request; sends: with how many requests of one id.
@@ -125,7 +125,7 @@
 	if err != nil {
 		return err
 	}
-	knobs.MinSilenceTimeout, knobs.MinEventSilenceTimeout = shortSilenceTimeout, shortSilenceTimeout
+	knobs.MinResponseTimeout, knobs.MinEventGapTimeout = shortProgressTimeout, shortProgressTimeout
 	proxy := newProxy(Options{Log: &log.Logger{Handler: discard.New()}, TestingKnobs: knobs}, newFakePicker(state.Config.Routes[0]))
 	proxy.pools.sameRegionTimeout = testTimeout
 	proxy.UpdateClusterState(time.Now(), state)
@@ -181,7 +181,7 @@
 
 // run goes through the steps.
 func (w *scenarioRun) run() error {
-	defer w.closeKept()
+	defer w.closePersistent()
 	for n, at := range w.Steps {
 		for _, do := range w.takeActions(&w.whileIdle) {
 			do()
@@ -199,22 +199,22 @@
 	return w.checkNoSurplus()
 }
 
-func (w *scenarioRun) closeKept() {
-	if w.keptConn != nil {
-		_ = w.keptConn.Close()
-		w.keptConn = nil
+func (w *scenarioRun) closePersistent() {
+	if w.persistentConn != nil {
+		_ = w.persistentConn.Close()
+		w.persistentConn = nil
 	}
 }
 
 // checkNoSurplus looks whether anything comes on the kept connection where no request waits.
 func (w *scenarioRun) checkNoSurplus() error {
-	if w.keptConn == nil {
+	if w.persistentConn == nil {
 		return nil
 	}
-	if err := w.keptConn.(*net.TCPConn).CloseWrite(); err != nil {
+	if err := w.persistentConn.(*net.TCPConn).CloseWrite(); err != nil {
 		return nil //nolint:nilerr // the proxy has closed the connection, as it may
 	}
-	if rest, _ := io.ReadAll(w.keptReader); len(rest) > 0 {
+	if rest, _ := io.ReadAll(w.persistentReader); len(rest) > 0 {
 		return fmt.Errorf("bytes that no request waits for: %.60q", rest)
 	}
 	return nil
@@ -232,28 +232,28 @@
 func (w *scenarioRun) step(id string, step clientStep) error {
 	switch step.Manner {
 	case "gone", "halfclosed":
-		return w.stepApart(id, step, 1)
+		return w.stepOnOwnConns(id, step, 1)
 	case "twice":
-		return w.stepApart(id, step, 2)
+		return w.stepOnOwnConns(id, step, 2)
 	}
-	if w.keptConn == nil {
+	if w.persistentConn == nil {
 		conn, err := w.dial()
 		if err != nil {
 			return err
 		}
-		w.keptConn, w.keptReader = conn, bufio.NewReader(conn)
+		w.persistentConn, w.persistentReader = conn, bufio.NewReader(conn)
 	}
 	if step.Manner == "pipelined" {
 		w.stepPipelined(id, step)
 		return nil
 	}
-	w.sendHead(w.keptConn, id, step, "Expect: 100-continue\r\n")
-	w.recordResponse(w.keptConn, w.keptReader, id, step.Method, 1)
+	w.sendHead(w.persistentConn, id, step, "Expect: 100-continue\r\n")
+	w.recordResponse(w.persistentConn, w.persistentReader, id, step.Method, 1)
 	return nil
 }
 
-// stepApart sends a request, perhaps more than once at a time, each on a connection of its own.
-func (w *scenarioRun) stepApart(id string, step clientStep, sends int) error {
+// stepOnOwnConns sends a request, perhaps more than once at a time, each on a connection of its own.
+func (w *scenarioRun) stepOnOwnConns(id string, step clientStep, sends int) error {
 	var asking sync.WaitGroup
 	defer asking.Wait()
 	for range sends {
@@ -279,10 +279,10 @@
 // stepPipelined sends two requests on the kept connection before it reads.
 func (w *scenarioRun) stepPipelined(id string, step clientStep) {
 	step.Manner = "plain"
-	w.sendHead(w.keptConn, id+"-0", step, "")
-	w.sendHead(w.keptConn, id+"-1", step, "")
-	if w.recordResponse(w.keptConn, w.keptReader, id+"-0", step.Method, 1) {
-		w.recordResponse(w.keptConn, w.keptReader, id+"-1", step.Method, 1)
+	w.sendHead(w.persistentConn, id+"-0", step, "")
+	w.sendHead(w.persistentConn, id+"-1", step, "")
+	if w.recordResponse(w.persistentConn, w.persistentReader, id+"-0", step.Method, 1) {
+		w.recordResponse(w.persistentConn, w.persistentReader, id+"-1", step.Method, 1)
 	}
 }
 
@@ -309,7 +309,7 @@
 		}
 	case step.Manner == "expect":
 		_, _ = fmt.Fprintf(conn, "%s%sContent-Length: %d\r\n\r\n", text, expect, len(body))
-		if line, err := w.keptReader.Peek(len("HTTP/1.1 100")); err == nil && string(line) == "HTTP/1.1 100" {
+		if line, err := w.persistentReader.Peek(len("HTTP/1.1 100")); err == nil && string(line) == "HTTP/1.1 100" {
 			_, _ = io.WriteString(conn, body)
 		}
 	default:
@@ -326,8 +326,8 @@
 	w.mu.Unlock()
 	if !stays {
 		_ = conn.Close()
-		if conn == w.keptConn {
-			w.keptConn = nil
+		if conn == w.persistentConn {
+			w.persistentConn = nil
 		}
 	}
 	return stays
--- a/internal/system/proxy/knobs.go
+++ b/internal/system/proxy/knobs.go
@@ -29,9 +29,9 @@
 	// ClientWriteTimeout replaces the time after which a client that accepts no bytes is given up; 0: the default.
 	ClientWriteTimeout time.Duration
 	// MinSilenceTimeout replaces the least time for which a server may be silent before its response; 0: the default.
-	MinSilenceTimeout time.Duration
+	MinResponseTimeout time.Duration
 	// MinEventSilenceTimeout replaces the least time for which a server may be silent within an event stream; 0: the default.
-	MinEventSilenceTimeout time.Duration
+	MinEventGapTimeout time.Duration
 }
 
 // withDefaults fills in the durations.
@@ -39,11 +39,11 @@
 	if k.ClientWriteTimeout <= 0 {
 		k.ClientWriteTimeout = clientWriteTimeout
 	}
-	if k.MinSilenceTimeout <= 0 {
-		k.MinSilenceTimeout = minSilenceTimeout
+	if k.MinResponseTimeout <= 0 {
+		k.MinResponseTimeout = minResponseTimeout
 	}
-	if k.MinEventSilenceTimeout <= 0 {
-		k.MinEventSilenceTimeout = minEventSilenceTimeout
+	if k.MinEventGapTimeout <= 0 {
+		k.MinEventGapTimeout = minEventGapTimeout
 	}
 	return k
 }
--- a/internal/system/proxy/response.go
+++ b/internal/system/proxy/response.go
@@ -173,7 +173,7 @@
 
 // relayUnbuffered passes on a response that is too long to be buffered, of which the beginning is.
 func (c *clientRequest) relayUnbuffered(attempt *upstreamAttempt, beginning *bufferedResponse) attemptResult {
-	attempt.silenceTimeout = 0
+	attempt.progressTimeout = 0
 	c.sendHead(beginning.status, beginning.header, attempt.response.ContentLength)
 	err := c.writeToClient(beginning.body)
 	if err == nil {
--- a/internal/system/proxy/silence_test.go
+++ b/internal/system/proxy/servertimeout_test.go
@@ -16,8 +16,8 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestSilentServers has a first server say nothing, or stop saying, on a clock that the test drives.
-func TestSilentServers(t *testing.T) {
+// TestServerTimeouts has a first server say nothing, or stop saying, on a clock that the test drives.
+func TestServerTimeouts(t *testing.T) {
 	first := respondEventsThen(2, neverRespond)
 	for _, test := range []struct {
 		name     string
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestSlowServerIsNotSilent has a server be slow with one request while it answers others: it is not left.
-func TestSlowServerIsNotSilent(t *testing.T) {
+// TestBusyServerDoesNotTimeOut has a server be slow with one request while it answers others: it is not left.
+func TestBusyServerDoesNotTimeOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := func(c net.Conn, r *http.Request, body []byte) bool {
 			if r.Header.Get("X-Slow") != "" {
