--- a/internal/system/proxy/fakeserver_test.go
+++ b/internal/system/proxy/fakeserver_test.go
@@ -119,6 +119,16 @@
 	}
 }
 
+// respondWhenReleased responds to requests with X-Wait once something comes from release, and to others at once.
+func respondWhenReleased(release <-chan bool) serverBehavior {
+	return func(c net.Conn, r *http.Request, body []byte) bool {
+		if r.Header.Get("X-Wait") != "" {
+			<-release
+		}
+		return respondWith(200, "x")(c, r, body)
+	}
+}
+
 // respondRaw answers with a text in which ID stands for the request's id.
 func respondRaw(text string, stays bool) serverBehavior {
 	return func(c net.Conn, r *http.Request, _ []byte) bool {
--- a/internal/system/proxy/knobs.go
+++ b/internal/system/proxy/knobs.go
@@ -28,9 +28,9 @@
 
 	// ClientWriteTimeout replaces the time after which a client that accepts no bytes is given up; 0: the default.
 	ClientWriteTimeout time.Duration
-	// MinSilenceTimeout replaces the least time for which a server may be silent before its response; 0: the default.
+	// MinResponseTimeout replaces the least time for which a server may be silent before its response; 0: the default.
 	MinResponseTimeout time.Duration
-	// MinEventSilenceTimeout replaces the least time for which a server may be silent within an event stream; 0: the default.
+	// MinEventGapTimeout replaces the least time for which a server may be silent within an event stream; 0: the default.
 	MinEventGapTimeout time.Duration
 }
 
--- a/internal/system/proxy/listener_test.go
+++ b/internal/system/proxy/listener_test.go
@@ -41,13 +41,8 @@
 
 // TestConnectionLimit has more connections come than are taken: the one that idles longest gives way.
 func TestConnectionLimit(t *testing.T) {
-	goOn := make(chan bool)
-	server := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		if r.Header.Get("X-Wait") != "" {
-			<-goOn
-		}
-		return respondWith(200, "x")(c, r, body)
-	})
+	release := make(chan bool)
+	server := startServer(t, respondWhenReleased(release))
 	proxy := startProxy(t, []*fakeServer{server}, func(o *Options, _ *config.Config) { o.FDLimit = 1 })
 	var all []*testClient
 	for n := range proxy.clients.maxConns {
@@ -63,7 +58,7 @@
 	if got := proxy.roundTrip(t, "id-2", ""); got.StatusCode != http.StatusOK {
 		t.Errorf("status %d", got.StatusCode)
 	}
-	close(goOn)
+	close(release)
 	for n, c := range all {
 		if n == 3 {
 			if _, err := c.reader.ReadByte(); err != io.EOF {
--- a/internal/system/proxy/pools_test.go
+++ b/internal/system/proxy/pools_test.go
@@ -148,26 +148,23 @@
 
 // TestRemovedServers has a server's id end: idle connections are closed, and those in use are not kept.
 func TestRemovedServers(t *testing.T) {
-	goOn := make(chan bool)
-	server := startServer(t, func(client net.Conn, r *http.Request, body []byte) bool {
-		<-goOn
-		return respondWith(200, "x")(client, r, body)
-	})
+	release := make(chan bool)
+	server := startServer(t, respondWhenReleased(release))
 	proxy := startProxy(t, []*fakeServer{server})
-	client := proxy.dial(t).sendRequest("id-1", "")
+	client := proxy.dial(t).sendRequest("id-1", "", "X-Wait: 1")
 	was := receive(t, server.requests, "request").conn
 	w := *proxy.clusterState.Load()
 	w.Servers = []pick.Server{{ID: "i-new", Service: "s", Address: server.address()}}
 	proxy.UpdateClusterState(time.Now(), w)
-	goOn <- true
+	release <- true
 	if got := client.readResponse(); got.StatusCode != http.StatusOK {
 		t.Errorf("status %d", got.StatusCode)
 	}
-	client.sendRequest("id-2", "")
+	client.sendRequest("id-2", "", "X-Wait: 1")
 	if r := receive(t, server.requests, "request"); r.conn == was || r.Header.Get(headerTargetInstance) != "i-new" {
 		t.Errorf("sent to %q on the former connection: %v", r.Header.Get(headerTargetInstance), r.conn == was)
 	}
-	goOn <- true
+	release <- true
 	client.readResponse()
 }
 
--- a/internal/system/proxy/request_test.go
+++ b/internal/system/proxy/request_test.go
@@ -144,14 +144,11 @@
 
 // TestBodyMemoryLimit has more bytes of bodies come than are held at once: what has no room is refused.
 func TestBodyMemoryLimit(t *testing.T) {
-	goOn := make(chan bool)
-	server := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		<-goOn
-		return respondWith(200, "x")(c, r, body)
-	})
+	release := make(chan bool)
+	server := startServer(t, respondWhenReleased(release))
 	proxy := startProxy(t, []*fakeServer{server}, func(o *Options, _ *config.Config) { o.MemoryMB = 1 })
 	long := strings.Repeat("x", 150<<10)
-	first := proxy.dial(t).sendRequest("id-1", long)
+	first := proxy.dial(t).sendRequest("id-1", long, "X-Wait: 1")
 	receive(t, server.requests, "request")
 	c := proxy.dial(t)
 	go func() {
@@ -160,7 +157,7 @@
 	if got := c.readResponse(); got.StatusCode != http.StatusServiceUnavailable || got.Header.Get("Retry-After") == "" {
 		t.Errorf("status %d", got.StatusCode)
 	}
-	goOn <- true
+	release <- true
 	if got := first.readResponse(); got.StatusCode != http.StatusOK {
 		t.Errorf("status %d", got.StatusCode)
 	}
--- a/internal/system/proxy/shutdown_test.go
+++ b/internal/system/proxy/shutdown_test.go
@@ -18,13 +18,8 @@
 // TestDrain ends a proxy as planned: an idle connection is closed, a request that runs is answered and told that the
 // connection ends, a new one is served at first, and a connection that is refused later gets no request's loss.
 func TestDrain(t *testing.T) {
-	goOn := make(chan bool)
-	server := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		if r.Header.Get("X-Wait") != "" {
-			<-goOn
-		}
-		return respondWith(200, "x")(c, r, body)
-	})
+	release := make(chan bool)
+	server := startServer(t, respondWhenReleased(release))
 	proxy := startProxy(t, []*fakeServer{server}, func(o *Options, _ *config.Config) { o.GracePeriod = 3 * time.Second })
 	idle, busy, open := proxy.dial(t), proxy.dial(t), proxy.dial(t)
 	if got := idle.sendRequest("id-1", "").readResponse(); got.StatusCode != http.StatusOK || got.Close || !proxy.Ready() {
@@ -52,7 +47,7 @@
 	if n, err := idle.reader.ReadByte(); err != io.EOF {
 		t.Errorf("the idle connection: %v, error %v", n, err)
 	}
-	goOn <- true
+	release <- true
 	if got := busy.readResponse(); got.StatusCode != http.StatusOK || !got.Close || got.body != "x" {
 		t.Errorf("status %d, closing %v, body %q", got.StatusCode, got.Close, got.body)
 	}
