--- a/internal/system/proxy/eventreader_test.go
+++ b/internal/system/proxy/eventreader_test.go
@@ -3,13 +3,14 @@
 import (
 	"bytes"
 	"errors"
+	"fmt"
 	"io"
 	"strings"
 	"testing"
 	"testing/iotest"
 )
 
-// TestEventReader reads streams in pieces of each size.
+// TestEventReader reads streams that come in fragments of each size.
 func TestEventReader(t *testing.T) {
 	for _, test := range []struct {
 		name, text, after string
@@ -30,26 +31,28 @@
 	} {
 		for name, wrap := range map[string]func(io.Reader) io.Reader{"bytes": iotest.OneByteReader, "halves": iotest.HalfReader,
 			"at once": func(r io.Reader) io.Reader { return r }, "with the end": iotest.DataErrReader} {
-			ev := &eventReader{source: wrap(strings.NewReader(test.text))}
-			if test.after != "" {
-				ev.resumeAfter(test.after)
-			}
-			var got bytes.Buffer
-			var err error
-			for err == nil {
-				var whole []byte
-				whole, err = ev.next()
-				got.Write(whole)
-			}
-			if got.String() != test.want || !errors.Is(err, test.err) || ev.lastEventID != test.last {
-				t.Errorf("%s in %s: %q, last %q, error %v", test.name, name, got.String(), ev.lastEventID, err)
-			}
+			t.Run(fmt.Sprint(test.name, " in ", name), func(t *testing.T) {
+				reader := &eventReader{source: wrap(strings.NewReader(test.text))}
+				if test.after != "" {
+					reader.resumeAfter(test.after)
+				}
+				var got bytes.Buffer
+				var err error
+				for err == nil {
+					var events []byte
+					events, err = reader.next()
+					got.Write(events)
+				}
+				if got.String() != test.want || !errors.Is(err, test.err) || reader.lastEventID != test.last {
+					t.Errorf("%q, last id %q, error %v", got.String(), reader.lastEventID, err)
+				}
+			})
 		}
 	}
 }
 
-// FuzzEvents reads any stream in pieces: what is given out is the start of it, whole events only but for the stream's end,
-// and the same whatever the pieces.
+// FuzzEvents reads any stream in fragments: what is given out is the start of it, complete events only but for the stream's
+// end, and the same whatever the fragments.
 func FuzzEvents(f *testing.F) {
 	f.Add("id: 1\ndata: a\n\nid: 2\n\n", false)
 	f.Add("\n\n\r\n\nid:1\n\nid:1\n\n", true)
@@ -58,7 +61,7 @@
 		one, oneErr := readAllEvents(t, iotest.OneByteReader(strings.NewReader(text)), truncated)
 		all, allErr := readAllEvents(t, strings.NewReader(text), truncated)
 		if one != all || !errors.Is(oneErr, allErr) {
-			t.Errorf("%q (%v) in pieces, %q (%v) at once", one, oneErr, all, allErr)
+			t.Errorf("%q (%v) in fragments, %q (%v) at once", one, oneErr, all, allErr)
 		}
 		if !strings.HasPrefix(text, all) {
 			t.Errorf("%q of %q", all, text)
@@ -89,16 +92,16 @@
 	}
 }
 
-// TestEventWithTwoIDs has a stream broken by an event of which the first id rises and the last does not: the next server is
-// asked for what follows the last event that was passed on, so that none is lost.
+// TestEventWithTwoIDs reads an event of which the first id rises and the last does not: the stream is resumed after the event
+// before it, so that none is lost.
 func TestEventWithTwoIDs(t *testing.T) {
 	text := "id: 1\ndata: d1\n\nid: 2\nid: 1\ndata: d2\n\n"
-	ev := &eventReader{source: strings.NewReader(text), buf: make([]byte, 0, eventBufferBytes)}
-	whole, err := ev.next()
-	if string(whole) != "id: 1\ndata: d1\n\n" || err != nil || ev.lastEventID != "1" {
-		t.Fatalf("%q, error %v, last id %q", whole, err, ev.lastEventID)
+	reader := &eventReader{source: strings.NewReader(text), buf: make([]byte, 0, eventBufferBytes)}
+	events, err := reader.next()
+	if string(events) != "id: 1\ndata: d1\n\n" || err != nil || reader.lastEventID != "1" {
+		t.Fatalf("%q, error %v, last id %q", events, err, reader.lastEventID)
 	}
-	if whole, err := ev.next(); err == nil || errors.Is(err, io.EOF) || ev.lastEventID != "1" {
-		t.Errorf("%q, error %v, last id %q", whole, err, ev.lastEventID)
+	if events, err := reader.next(); err == nil || errors.Is(err, io.EOF) || reader.lastEventID != "1" {
+		t.Errorf("%q, error %v, last id %q", events, err, reader.lastEventID)
 	}
 }
--- a/internal/system/proxy/headervalues_test.go
+++ b/internal/system/proxy/headervalues_test.go
@@ -10,6 +10,7 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
+// TestPromptParts reads X-Prompt-Prefix.
 func TestPromptParts(t *testing.T) {
 	for text, want := range map[string][]pick.PrefixPart{
 		"":                  nil,
@@ -20,18 +21,22 @@
 		"ffffffffffffffff:": {{ID: 1<<64 - 1}},
 		"1:-5":              {{ID: 1}},
 	} {
-		if got := parsePromptParts(text); len(got) != len(want) || len(want) > 0 && !reflect.DeepEqual(got, want) {
-			t.Errorf("%q: %v, want %v", text, got, want)
-		}
+		t.Run(text, func(t *testing.T) {
+			if got := parsePromptParts(text); len(got) != len(want) || len(want) > 0 && !reflect.DeepEqual(got, want) {
+				t.Errorf("%v, want %v", got, want)
+			}
+		})
 	}
 	if n := len(parsePromptParts(strings.Repeat("1:1,", 1000))); n != maxPromptParts {
 		t.Errorf("%d parts", n)
 	}
 }
 
+// TestServerHints reads what a response says about its server, and how long to wait.
 func TestServerHints(t *testing.T) {
 	header := http.Header{"X-Server-Load": {"3, 1,8"}, "X-Cold-Ms": {"1500"}, "Retry-After": {"0.35"}, "Keep-Alive": {"max=4, timeout=7"}}
-	if got, want := parseServerHints(header, true), (serverHints{true, 3, 1, 8, true, 1500 * time.Millisecond, true, 7 * time.Second}); got != want {
+	if got, want := parseServerHints(header, true), (serverHints{hasLoad: true, running: 3, waiting: 1, slots: 8,
+		warmingUp: true, warmUpLeft: 1500 * time.Millisecond, draining: true, idleTimeout: 7 * time.Second}); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 	if got := parseServerHints(http.Header{"X-Server-Load": {"3,1"}, "X-Cold-Ms": {"-1"}}, false); got != (serverHints{}) {
@@ -41,9 +46,11 @@
 		t.Error(d)
 	}
 	for _, text := range []string{"", "-1", "NaN", "Inf", "1e9", "soon"} {
-		if d := parseRetryAfter(text); d != 0 {
-			t.Errorf("%q: %v", text, d)
-		}
+		t.Run("Retry-After "+text, func(t *testing.T) {
+			if d := parseRetryAfter(text); d != 0 {
+				t.Error(d)
+			}
+		})
 	}
 	if d := parseKeepAlive(header); d != 7*time.Second {
 		t.Error(d)
--- a/internal/system/proxy/knobs_test.go
+++ b/internal/system/proxy/knobs_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"net"
 	"net/http"
 	"strings"
@@ -15,7 +16,7 @@
 	"gradeusher.example/gradeusher/internal/system/invariant/invarianttest"
 )
 
-// TestExactlyOnceControls takes out one protection at a time: a scenario then breaks what TestExactlyOnce holds, and does not
+// TestExactlyOnceControls takes out one protection at a time: a scenario then violates what TestExactlyOnce checks, and does not
 // with the protection in place.
 func TestExactlyOnceControls(t *testing.T) {
 	with := func(change func(*behaviour)) []behaviour {
@@ -67,22 +68,27 @@
 }
 
 // TestClosedWhileIdle has a server close a connection that idles, and a request that may run once come when that is known:
-// it is not lost on that connection. With the look at idle connections taken out it is.
+// it is not lost on that connection. Without the inspection of idle connections it is.
 func TestClosedWhileIdle(t *testing.T) {
-	for _, without := range []TestingKnobs{{}, {SkipIdleInspection: true}} {
-		server := startServer(t, respondWith(200, "x"))
-		proxy := startProxy(t, []*fakeServer{server}, func(o *Options, _ *config.Config) { o.TestingKnobs = without })
-		c := proxy.dial(t)
-		c.sendRequest("id-1", "").readResponse()
-		_ = receive(t, server.requests, "request").conn.(*net.TCPConn).CloseWrite()
-		proxy.awaitIdleClosed(t)
-		want := 200
-		if without.SkipIdleInspection {
-			want = 502
-		}
-		if got := c.sendRequest("id-2", "").readResponse(); got.StatusCode != want {
-			t.Errorf("without %+v: status %d, want %d", without, got.StatusCode, want)
-		}
+	for _, test := range []struct {
+		name    string
+		without TestingKnobs
+		want    int
+	}{
+		{"inspected", TestingKnobs{}, http.StatusOK},
+		{"not inspected", TestingKnobs{SkipIdleInspection: true}, http.StatusBadGateway},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			server := startServer(t, respondWith(200, "x"))
+			proxy := startProxy(t, []*fakeServer{server}, func(o *Options, _ *config.Config) { o.TestingKnobs = test.without })
+			client := proxy.dial(t)
+			client.sendRequest("id-1", "").readResponse()
+			_ = receive(t, server.requests, "request").conn.(*net.TCPConn).CloseWrite()
+			proxy.awaitIdleClosed(t)
+			if got := client.sendRequest("id-2", "").readResponse(); got.StatusCode != test.want {
+				t.Errorf("status %d, want %d", got.StatusCode, test.want)
+			}
+		})
 	}
 }
 
@@ -110,7 +116,7 @@
 	}
 }
 
-// limitedConn is a connection that takes only so many bytes, and breaks then.
+// limitedConn is a connection that accepts only so many bytes, and breaks then.
 type limitedConn struct {
 	net.Conn
 	capacity int
@@ -130,7 +136,7 @@
 }
 
 // TestPartlyWritten has a connection break while a request that may run once is written on it: it goes to another server only
-// if not a byte of it was written. With that rule taken out it is sent twice.
+// if not a byte of it was written. Without that rule it is sent twice.
 func TestPartlyWritten(t *testing.T) {
 	for _, test := range []struct {
 		capacity int
@@ -143,21 +149,23 @@
 		{60, TestingKnobs{}, 502, 1},
 		{1, TestingKnobs{RetryPartlyWritten: true}, 200, 1},
 	} {
-		synctest.Test(t, func(t *testing.T) {
-			piped := newPipedProxy([]configure{withCategory(config.NonIdempotent), func(o *Options, _ *config.Config) { o.TestingKnobs = test.without }},
-				respondWith(200, "first"), respondWith(200, "second"))
-			open := piped.pools.connect
-			piped.pools.connect = func(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
-				c, err := open(ctx, address, within)
-				if address == "at-0" && err == nil {
-					c = &limitedConn{c, test.capacity}
+		t.Run(fmt.Sprintf("%d bytes, retry %v", test.capacity, test.without.RetryPartlyWritten), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				piped := newPipedProxy([]configure{withCategory(config.NonIdempotent), func(o *Options, _ *config.Config) { o.TestingKnobs = test.without }},
+					respondWith(200, "first"), respondWith(200, "second"))
+				open := piped.pools.connect
+				piped.pools.connect = func(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
+					c, err := open(ctx, address, within)
+					if address == "at-0" && err == nil {
+						c = &limitedConn{c, test.capacity}
+					}
+					return c, err
 				}
-				return c, err
-			}
-			w, _ := piped.roundTrip(t.Context())
-			if w.Code != test.want || piped.counters.Sends.Load() != test.sends {
-				t.Errorf("capacity of %d bytes, %+v: status %d, %d sends", test.capacity, test.without, w.Code, piped.counters.Sends.Load())
-			}
+				w, _ := piped.roundTrip(t.Context())
+				if w.Code != test.want || piped.counters.Sends.Load() != test.sends {
+					t.Errorf("status %d, %d attempts", w.Code, piped.counters.Sends.Load())
+				}
+			})
 		})
 	}
 }
--- a/internal/system/proxy/pools_test.go
+++ b/internal/system/proxy/pools_test.go
@@ -14,7 +14,7 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestSurplusResponses has a server send a second answer after each, at once: no request gets it.
+// TestSurplusResponses has a server send a second response after each, at once: no request gets it.
 func TestSurplusResponses(t *testing.T) {
 	server := startServer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
 		oneResponse := func(text string) string {
@@ -39,15 +39,15 @@
 	}
 	asking.Wait()
 	if n := bad.Load(); n > 0 {
-		t.Errorf("%d requests got an answer that was not theirs", n)
+		t.Errorf("%d requests got a response that was not theirs", n)
 	}
 }
 
-// TestLateSurplusResponse has a surplus answer come when the next request is out: it is not that one's answer.
+// TestLateSurplusResponse has a surplus response come when the next request has been sent: it is not that one's.
 func TestLateSurplusResponse(t *testing.T) {
-	n := 0
+	received := 0
 	server := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		if n++; n == 1 {
+		if received++; received == 1 {
 			return respondWith(200, "first")(c, r, body)
 		}
 		_, _ = fmt.Fprint(c, "HTTP/1.1 200 X\r\nX-Attempt-Id: id-1\r\nX-Server-Seal: s\r\nContent-Length: 5\r\n\r\nfirst")
@@ -61,7 +61,7 @@
 	}
 }
 
-// TestDuplicateAttemptID has an id come twice, and a surplus answer to the first request where the second's is due: as the id cannot
+// TestDuplicateAttemptID has an id come twice, and a surplus response to the first request where the second's is due: as the id cannot
 // tell them apart, the second goes out on another connection.
 func TestDuplicateAttemptID(t *testing.T) {
 	var first net.Conn // of the requests, which come one after the other
@@ -83,7 +83,7 @@
 	}
 }
 
-// TestStaleConns has a server close its connection when it has idled: the next request goes out on a new one.
+// TestStaleConns has a server close an idle connection: the next request goes out on a new one.
 func TestStaleConns(t *testing.T) {
 	server := startServer(t, respondWith(200, "x"))
 	proxy := startProxy(t, []*fakeServer{server})
@@ -103,30 +103,33 @@
 	}
 }
 
-// TestNonIdempotentRunsOnce has a server take a request on a connection that it used before, and break it: it is not sent again.
+// TestNonIdempotentRunsOnce has a server break a connection on which it has received a second request: that one is not sent again.
 func TestNonIdempotentRunsOnce(t *testing.T) {
 	for _, body := range []string{"", "body"} {
-		for _, breakConn := range []serverBehavior{resetConn, respondRaw("", false), respondRaw("HTTP/1.1 2", false)} {
-			n := 0
-			server := startServer(t, func(client net.Conn, r *http.Request, body []byte) bool {
-				if n++; n == 1 {
-					return respondWith(200, "x")(client, r, body)
+		for name, breakConn := range map[string]serverBehavior{"reset": resetConn, "close": respondRaw("", false),
+			"half a status line": respondRaw("HTTP/1.1 2", false)} {
+			t.Run(fmt.Sprint(name, " after ", len(body), " bytes"), func(t *testing.T) {
+				received := 0
+				server := startServer(t, func(client net.Conn, r *http.Request, body []byte) bool {
+					if received++; received == 1 {
+						return respondWith(200, "x")(client, r, body)
+					}
+					return breakConn(client, r, body)
+				})
+				other := startServer(t, respondWith(200, "x"))
+				proxy := startProxy(t, []*fakeServer{server, other})
+				client := proxy.dial(t)
+				client.sendRequest("id-1", body).readResponse()
+				if got := client.sendRequest("id-2", body).readResponse(); got.StatusCode != http.StatusBadGateway {
+					t.Errorf("status %d", got.StatusCode)
+				}
+				if len(server.requests) != 2 || len(other.requests) != 0 {
+					t.Errorf("%d and %d requests came", len(server.requests), len(other.requests))
+				}
+				if outcomes := proxy.outcomes(); !slices.Equal(outcomes, []pick.Outcome{pick.Served, pick.ConnectionLost}) {
+					t.Errorf("attempts ended as %v", outcomes)
 				}
-				return breakConn(client, r, body)
 			})
-			other := startServer(t, respondWith(200, "x"))
-			proxy := startProxy(t, []*fakeServer{server, other})
-			client := proxy.dial(t)
-			client.sendRequest("id-1", body).readResponse()
-			if got := client.sendRequest("id-2", body).readResponse(); got.StatusCode != http.StatusBadGateway {
-				t.Errorf("status %d", got.StatusCode)
-			}
-			if len(server.requests) != 2 || len(other.requests) != 0 {
-				t.Errorf("%d and %d requests came", len(server.requests), len(other.requests))
-			}
-			if ends := proxy.outcomes(); !slices.Equal(ends, []pick.Outcome{pick.Served, pick.ConnectionLost}) {
-				t.Errorf("sends ended as %v", ends)
-			}
 		}
 	}
 }
@@ -146,7 +149,7 @@
 	}
 }
 
-// TestRemovedServers has a server's id end: idle connections are closed, and those in use are not kept.
+// TestRemovedServers has a server be replaced at its address: idle connections are closed, and those in use are not used again.
 func TestRemovedServers(t *testing.T) {
 	release := make(chan bool)
 	server := startServer(t, respondWhenReleased(release))
@@ -168,7 +171,7 @@
 	client.readResponse()
 }
 
-// TestPipelined has a client send requests without waiting: answers come in their order.
+// TestPipelined has a client send requests without waiting: responses come in their order.
 func TestPipelined(t *testing.T) {
 	server := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		return respondWith(200, r.Header.Get(headerAttemptID))(c, r, body)
--- a/internal/system/proxy/promises_test.go
+++ b/internal/system/proxy/promises_test.go
@@ -19,15 +19,15 @@
 		for _, category := range []config.Category{config.NonIdempotent, config.Idempotent} {
 			t.Run(fmt.Sprint(status, category), func(t *testing.T) {
 				proxy := startProxy(t, []*fakeServer{startServer(t, respondWith(status, long)), startServer(t, respondWith(200, "second"))}, withCategory(category))
-				want, outcomes := 502, []pick.Outcome{pick.ServerError}
+				want, wantOutcomes := http.StatusBadGateway, []pick.Outcome{pick.ServerError}
 				if category == config.Idempotent {
-					want, outcomes = 200, append(outcomes, pick.Served)
+					want, wantOutcomes = http.StatusOK, append(wantOutcomes, pick.Served)
 				}
 				if got := proxy.roundTrip(t, "id-1", ""); got.StatusCode != want {
 					t.Errorf("status %d, want %d", got.StatusCode, want)
 				}
-				if ends := proxy.outcomes(); !slices.Equal(ends, outcomes) {
-					t.Errorf("sends ended as %v, want %v", ends, outcomes)
+				if outcomes := proxy.outcomes(); !slices.Equal(outcomes, wantOutcomes) {
+					t.Errorf("attempts ended as %v, want %v", outcomes, wantOutcomes)
 				}
 			})
 		}
--- a/internal/system/proxy/response_test.go
+++ b/internal/system/proxy/response_test.go
@@ -138,8 +138,8 @@
 		if got := proxy.roundTrip(t, "id-1", ""); got.StatusCode != http.StatusOK {
 			t.Errorf("status %d", got.StatusCode)
 		}
-		if ends := proxy.outcomes(); !slices.Equal(ends, []pick.Outcome{pick.ConnectFailed, pick.Served}) {
-			t.Errorf("sends ended as %v", ends)
+		if outcomes := proxy.outcomes(); !slices.Equal(outcomes, []pick.Outcome{pick.ConnectFailed, pick.Served}) {
+			t.Errorf("attempts ended as %v", outcomes)
 		}
 	})
 	t.Run("nobody is chosen", func(t *testing.T) {
--- a/internal/system/proxy/servertimeout_test.go
+++ b/internal/system/proxy/servertimeout_test.go
@@ -16,7 +16,7 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestServerTimeouts has a first server say nothing, or stop saying, on a clock that the test drives.
+// TestServerTimeouts has a first server send nothing, or nothing more, on a clock that the test drives.
 func TestServerTimeouts(t *testing.T) {
 	first := respondEventsThen(2, neverRespond)
 	for _, test := range []struct {
@@ -51,14 +51,14 @@
 				piped := newPipedProxy([]configure{test.how}, test.servers...)
 				w, took := piped.roundTrip(t.Context())
 				if w.Code != test.status || w.Body.String() != test.body || took != test.took || !slices.Equal(piped.fake.outcomes, test.outcomes) {
-					t.Errorf("status %d, body %q after %v, sends ended as %v", w.Code, w.Body.String(), took, piped.fake.outcomes)
+					t.Errorf("status %d, body %q after %v, attempts ended as %v", w.Code, w.Body.String(), took, piped.fake.outcomes)
 				}
 			})
 		})
 	}
 }
 
-// TestBusyServerDoesNotTimeOut has a server be slow with one request while it answers others: it is not left.
+// TestBusyServerDoesNotTimeOut has a server be slow with one request while it answers others: it is not abandoned.
 func TestBusyServerDoesNotTimeOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := func(c net.Conn, r *http.Request, body []byte) bool {
@@ -88,12 +88,12 @@
 	})
 }
 
-// TestDeadlines compares what a client waits, what the route allows, and what the server is told.
+// TestDeadlines compares how long a client waits, what the route allows, and what the server gets as its time left.
 func TestDeadlines(t *testing.T) {
 	for _, test := range []struct {
-		says string
-		told time.Duration
-		took time.Duration
+		clientTimeLeft string
+		serverTimeLeft time.Duration
+		took           time.Duration
 	}{
 		{"3000", 2980 * time.Millisecond, 2980 * time.Millisecond},
 		{"100", 95 * time.Millisecond, 95 * time.Millisecond},
@@ -101,40 +101,46 @@
 		{"soon", 7980 * time.Millisecond, 7980 * time.Millisecond},
 		{"-5", 7980 * time.Millisecond, 7980 * time.Millisecond},
 	} {
-		synctest.Test(t, func(t *testing.T) {
-			piped := newPipedProxy(nil, neverRespond)
-			w, took := piped.roundTrip(t.Context(), headerTimeLeft, test.says)
-			r := <-piped.requests
-			if told, _ := parseMilliseconds(r.Header.Get(headerTimeLeft)); w.Code != http.StatusGatewayTimeout || took != test.took || told != test.told {
-				t.Errorf("%s: status %d after %v, told %v", test.says, w.Code, took, told)
-			}
+		t.Run("X-Time-Left-Ms "+test.clientTimeLeft, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				piped := newPipedProxy(nil, neverRespond)
+				w, took := piped.roundTrip(t.Context(), headerTimeLeft, test.clientTimeLeft)
+				r := <-piped.requests
+				timeLeft, _ := parseMilliseconds(r.Header.Get(headerTimeLeft))
+				if w.Code != http.StatusGatewayTimeout || took != test.took || timeLeft != test.serverTimeLeft {
+					t.Errorf("status %d after %v, time left for the server %v", w.Code, took, timeLeft)
+				}
+			})
 		})
 	}
 	synctest.Test(t, func(t *testing.T) {
 		piped := newPipedProxy(nil, neverRespond)
 		if w, took := piped.roundTrip(t.Context(), headerTimeLeft, "0"); w.Code != http.StatusServiceUnavailable || took != 0 || len(piped.requests) > 0 {
-			t.Errorf("status %d after %v, %d sends", w.Code, took, len(piped.requests))
+			t.Errorf("status %d after %v, %d attempts", w.Code, took, len(piped.requests))
 		}
 	})
 }
 
-// TestClientGone has a client go away while a server works: the send ends at once.
+// TestClientGone has a client go away while a server works: the attempt ends at once.
 func TestClientGone(t *testing.T) {
-	for _, do := range []serverBehavior{neverRespond, respondEventsThen(2, neverRespond)} {
-		synctest.Test(t, func(t *testing.T) {
-			piped := newPipedProxy([]configure{withCategory(config.Streaming)}, do, respondWith(200, "x"))
-			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
-			defer cancel()
-			_, took := piped.roundTrip(ctx)
-			if took != time.Second || !slices.Equal(piped.fake.outcomes, []pick.Outcome{pick.Canceled}) || piped.Counters().ClientGone.Load() != 1 {
-				t.Errorf("after %v, sends ended as %v", took, piped.fake.outcomes)
-			}
+	for name, behavior := range map[string]serverBehavior{"before the response": neverRespond,
+		"within a stream": respondEventsThen(2, neverRespond)} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				piped := newPipedProxy([]configure{withCategory(config.Streaming)}, behavior, respondWith(200, "x"))
+				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
+				defer cancel()
+				_, took := piped.roundTrip(ctx)
+				if took != time.Second || !slices.Equal(piped.fake.outcomes, []pick.Outcome{pick.Canceled}) || piped.Counters().ClientGone.Load() != 1 {
+					t.Errorf("after %v, attempts ended as %v", took, piped.fake.outcomes)
+				}
+			})
 		})
 	}
 }
 
-// TestLateResponse has a server answer when the time for it is up: its connection is closed by then, and the next request goes
-// out on another and gets its own answer.
+// TestLateResponse has a server respond after the deadline: its connection is closed by then, and the next request goes out on
+// another and gets its own response.
 func TestLateResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		late := make(chan error, 1)
@@ -160,7 +166,7 @@
 			t.Errorf("status %d", w.Code)
 		}
 		if err := <-late; err == nil || time.Since(began) != 9*time.Second {
-			t.Errorf("the late answer's write ended after %v with %v: its connection was open still", time.Since(began), err)
+			t.Errorf("the late response's write ended after %v with %v: its connection was still open", time.Since(began), err)
 		}
 		if w := ask("id-2"); w.Code != http.StatusOK || w.Body.String() != "own" || piped.counters.Dials.Load() != 2 {
 			t.Errorf("status %d, body %q, %d connections", w.Code, w.Body.String(), piped.counters.Dials.Load())
