--- a/internal/system/proxy/bench_test.go
+++ b/internal/system/proxy/bench_test.go
@@ -14,7 +14,7 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// benchServer answers every request on a connection with the same bytes, and does not look further.
+// benchServer responds to every request on a connection with the same bytes.
 func benchServer(b *testing.B, answer string) *fakeServer {
 	b.Helper()
 	listener := listenLocal(b)
@@ -78,14 +78,17 @@
 	}
 }
 
+// BenchmarkPlain measures a request without a body and a short response.
 func BenchmarkPlain(b *testing.B) {
 	benchmark(b, "Content-Length: 800\r\n\r\n"+strings.Repeat("x", 800), "xxx", "", withCategory(config.Idempotent))
 }
 
+// BenchmarkLongPrompt measures a request whose body does not go out with its head.
 func BenchmarkLongPrompt(b *testing.B) {
 	benchmark(b, "Content-Length: 800\r\n\r\n"+strings.Repeat("x", 800), "xxx", strings.Repeat("y", 34<<10), withCategory(config.Idempotent))
 }
 
+// BenchmarkStream measures an event stream of nine events.
 func BenchmarkStream(b *testing.B) {
 	text := "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for id := range 9 {
@@ -94,7 +97,7 @@
 	benchmark(b, text+"0\r\n\r\n", "0\r\n\r\n", "", withCategory(config.Streaming))
 }
 
-// BenchmarkConnections tells what a client's connection that idles costs in memory.
+// BenchmarkConnections measures the memory of an idle client's connection, in bytes.
 func BenchmarkConnections(b *testing.B) {
 	s := benchServer(b, "HTTP/1.1 200 OK\r\nX-Attempt-Id: id-1\r\nX-Server-Seal: seal\r\nContent-Length: 0\r\n\r\n")
 	f := startProxy(b, []*fakeServer{s})
--- a/internal/system/proxy/eventrelay_test.go
+++ b/internal/system/proxy/eventrelay_test.go
@@ -13,19 +13,19 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestTruncatedStreams cuts a stream in each way: a resumable one goes on at another server within the same answer, any other is
-// broken off so that it does not look complete.
+// TestTruncatedStreams truncates a stream in each way: a resumable one goes on at another server within the same response, any
+// other ends so that it does not look complete.
 func TestTruncatedStreams(t *testing.T) {
 	closeConn := func(net.Conn, *http.Request, []byte) bool { return false }
 	for _, test := range []struct {
 		name      string
 		first     serverBehavior
 		second    serverBehavior
-		resumes   string // the whole body where the stream may be resumed; "": it is broken off
+		resumes   string // the complete body where the stream is resumable; "": it is truncated
 		last      string // Last-Event-Id that the second server gets; "": it is not asked
 		outcomes  []pick.Outcome
-		otherwise string // what comes of a stream that may not be resumed, before it is broken off
-		whole     bool   // it is not broken off
+		otherwise string // the body of a stream that is not resumable
+		complete  bool   // the stream that is not resumable
 	}{
 		{"whole", respondEvents(1, 3, true), nil, streamText(1, 3), "", []pick.Outcome{pick.Served}, streamText(1, 3), true},
 		{"cut", respondEventsThen(3, closeConn), respondEvents(4, 6, true), streamText(1, 6), "3", []pick.Outcome{pick.ConnectionLost, pick.Served}, streamText(1, 3), false},
@@ -57,7 +57,7 @@
 		})
 		t.Run(fmt.Sprint(test.name, false), func(t *testing.T) {
 			checkStream(t, withCategory(config.Streaming), test.first, test.second,
-				expectedStream{test.otherwise, test.whole, "", test.outcomes[:1]})
+				expectedStream{test.otherwise, test.complete, "", test.outcomes[:1]})
 		})
 	}
 }
@@ -104,7 +104,7 @@
 	}
 }
 
-// TestStreamKeepsHead has a stream go on at another server: its head and seal stay those of the first.
+// TestStreamKeepsHead has a stream resumed at other servers: its head and seal are those of the first.
 func TestStreamKeepsHead(t *testing.T) {
 	sealed := func(seal string, from, to int, whole bool) serverBehavior {
 		text := "HTTP/1.1 200 X\r\nX-Attempt-Id: ID\r\nX-Server-Seal: " + seal + "\r\nContent-Type: text/event-stream; charset=utf-8\r\n" +
@@ -128,7 +128,7 @@
 	}
 }
 
-// TestClientResumes has a client take a stream up itself: what it has goes to the server, and ids rise above it.
+// TestClientResumes has a client resume a stream itself: the id of its last event goes to the server, and ids rise above it.
 func TestClientResumes(t *testing.T) {
 	first, second := startServer(t, respondEvents(7, 9, false)), startServer(t, respondEvents(10, 11, true))
 	proxy := startProxy(t, []*fakeServer{first, second}, withResumable)
@@ -141,7 +141,7 @@
 	}
 }
 
-// TestStreamAtOnce has a server send the next event only when the client has the one before.
+// TestStreamAtOnce has a server send an event only once the client has the one before.
 func TestStreamAtOnce(t *testing.T) {
 	next := make(chan bool)
 	s := startServer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
@@ -177,8 +177,8 @@
 	}
 }
 
-// TestHTTP10Client has a client of HTTP/1.0, where the end of the connection is the answer's: a stream that is cut ends with a
-// reset.
+// TestHTTP10Client has a client of HTTP/1.0, where the end of the connection is that of the response: a truncated stream ends
+// with a reset.
 func TestHTTP10Client(t *testing.T) {
 	proxy := startProxy(t, []*fakeServer{startServer(t, respondEvents(1, 2, false))}, withCategory(config.Streaming))
 	c := proxy.dial(t)
@@ -188,14 +188,14 @@
 	}
 }
 
-// TestUnbufferedResponses has answers that are too long to be held.
+// TestUnbufferedResponses has responses that are too long to be buffered.
 func TestUnbufferedResponses(t *testing.T) {
 	long := strings.Repeat("0123456789", 60<<10)
 	ok := "HTTP/1.1 200 X\r\nX-Attempt-Id: ID\r\nX-Server-Seal: s\r\n"
 	length := fmt.Sprintf("Content-Length: %d\r\n\r\n", len(long))
 	for _, test := range []struct {
 		name, text string
-		whole      bool
+		complete   bool
 	}{
 		{"whole", ok + length + long, true},
 		{"cut", ok + length + long[:300<<10], false},
@@ -204,10 +204,10 @@
 		{"cut within a chunk", ok + "Transfer-Encoding: chunked\r\n\r\n" + chunk(long)[:500<<10], false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			s := startServer(t, respondRaw(test.text, test.whole))
+			s := startServer(t, respondRaw(test.text, test.complete))
 			proxy := startProxy(t, []*fakeServer{s}, withCategory(config.Idempotent))
 			got := proxy.roundTrip(t, "id-1", "")
-			if (got.err == nil) != test.whole || test.whole && got.body != long || !strings.HasPrefix(long, got.body) {
+			if (got.err == nil) != test.complete || test.complete && got.body != long || !strings.HasPrefix(long, got.body) {
 				t.Errorf("%d bytes, error %v", len(got.body), got.err)
 			}
 		})
--- a/internal/system/proxy/exactlyonce_check_test.go
+++ b/internal/system/proxy/exactlyonce_check_test.go
@@ -12,7 +12,7 @@
 // checkOutcomes compares what clients and servers saw.
 func (w *scenarioRun) checkOutcomes() error {
 	if len(w.alterations) > 0 {
-		return fmt.Errorf("requests came changed: %v", w.alterations)
+		return fmt.Errorf("requests were altered: %v", w.alterations)
 	}
 	sends := map[string]int{}
 	for _, o := range w.outcomes {
@@ -23,7 +23,7 @@
 	for _, a := range w.arrivals {
 		allowed := max(sends[a.id], 1)
 		if came[a.id]++; came[a.id] > allowed*w.MaxTries {
-			return fmt.Errorf("%s came %d times", a.id, came[a.id])
+			return fmt.Errorf("%s was sent %d times", a.id, came[a.id])
 		}
 		if once && ran[a.id] >= allowed {
 			return fmt.Errorf("%s was sent again though it may have run", a.id)
@@ -49,7 +49,7 @@
 	case outcome.noHead:
 		return nil
 	case promisesNotRun(outcome.status):
-		// Of an id that came twice on a route that repeats, the other request may have run more than once.
+		// Of an id that came twice on an idempotent route, the other request may have run more than once.
 		if ran > 0 && (outcome.sends == 1 || w.nonIdempotent() && ran >= outcome.sends) {
 			return errors.New("it has run, and its client was promised that it has not")
 		}
@@ -57,14 +57,14 @@
 	case outcome.seal == "" && (outcome.status == http.StatusBadGateway || outcome.status == http.StatusGatewayTimeout):
 		return nil
 	case outcome.echo != outcome.id && (isSuccess(outcome.status) || outcome.echo != ""):
-		return errors.New("the answer bears another id")
+		return errors.New("the response bears another id")
 	}
 	for _, a := range w.arrivals {
 		if a.id == outcome.id && a.sent.seal == outcome.seal && a.sent.status == outcome.status {
 			return w.compareBody(outcome, a.sent)
 		}
 	}
-	return errors.New("no server gave this answer")
+	return errors.New("no server sent this response")
 }
 
 // compareBody compares what a client got of a body with what the server sent.
@@ -77,9 +77,9 @@
 	case o.err != nil:
 		return nil //nolint:nilerr // a visibly truncated response may be incomplete
 	case !sent.valid:
-		return errors.New("an answer that is none, or not whole, looks whole")
+		return errors.New("a response that is invalid or truncated looks complete")
 	case sent.body != o.body:
-		return fmt.Errorf("a part of the body %q looks whole", sent.body)
+		return fmt.Errorf("a part of the body %q looks complete", sent.body)
 	}
 	return nil
 }
--- a/internal/system/proxy/exactlyonce_test.go
+++ b/internal/system/proxy/exactlyonce_test.go
@@ -33,14 +33,14 @@
 // shortProgressTimeout is how long a server may be silent: less than the clients of a scenario with silent servers wait.
 const shortProgressTimeout = 20 * time.Millisecond
 
-// clientStep is what a client does, once the clientStep before has ended.
+// clientStep is what a client does, once the step before has ended.
 type clientStep struct {
 	Manner    string // "plain", "pipelined", "gone", "halfclosed", "slow", "expect", "trailers" or "twice"
 	Method    string
 	LargeBody bool // a body that does not go out with the head in one write
 }
 
-// scenarioGenerator draws them. A quarter of all behaviours is sound, so that connections are used again.
+// scenarioGenerator draws scenarios. A quarter of all behaviours is sound, so that connections are used again.
 var scenarioGenerator = rapid.Custom(func(t *rapid.T) testScenario {
 	s := testScenario{Category: rapid.SampledFrom([]config.Category{config.NonIdempotent, config.Idempotent, config.Streaming, config.Streaming}).Draw(t, "category"),
 		MaxTries: rapid.IntRange(1, 3).Draw(t, "tries")}
@@ -56,12 +56,13 @@
 	return s
 })
 
+// behaviourGenerator draws what a server does with one request.
 var behaviourGenerator = rapid.Custom(func(t *rapid.T) behaviour {
 	b := soundBehaviour
 	b.Framing = rapid.SampledFrom([]string{"length", "chunked"}).Draw(t, "framing")
 	rare := func(label string) bool { return rapid.IntRange(0, 5).Draw(t, label) == 5 }
 	switch rapid.IntRange(0, 7).Draw(t, "kind") {
-	case 3: // another answer
+	case 3: // another response
 		b.Status = rapid.SampledFrom([]int{200, 204, 302, 400, 404, 408, 421, 429, 500, 503, 504}).Draw(t, "status")
 		b.NotExecuted = rapid.Bool().Draw(t, "not executed")
 		b.Echo = rapid.SampledFrom([]echoedID{ownID, ownID, otherID, earlierID, noID}).Draw(t, "echo")
@@ -69,25 +70,25 @@
 			b.Framing = "length"
 			b.Status = 201
 		}
-	case 4: // an answer that is none
+	case 4: // an invalid response
 		b.Unsealed, b.Encoded, b.Garbage, b.Early = rare("unsealed"), rare("encoded"), rare("garbage"), rare("early")
 		b.Interims = rapid.IntRange(0, 5).Draw(t, "interims")
 		b.Framing = rapid.SampledFrom([]string{"length", "chunked", "none", "both", "twice"}).Draw(t, "odd framing")
 		if b.Closes = rare("closes"); b.Framing == "none" {
 			b.PermilleSent, b.After = rapid.IntRange(800, 1000).Draw(t, "end"), halfCloseAfter
 		}
-	case 5, 6, 7: // one that is cut, or followed by something
+	case 5, 6, 7: // one that is truncated, or followed by something
 		b.PermilleSent = rapid.SampledFrom([]int{0, 100, 300, 500, 650, 750, 850, 920, 960, 990, 1000}).Draw(t, "cut")
 		b.After = rapid.SampledFrom([]afterSend{stayOpen, halfCloseAfter, resetAfter}).Draw(t, "then")
 		b.Early, b.RepeatsEvent, b.SendsRestLate = rapid.Bool().Draw(t, "early"), rare("repeats"), rapid.Bool().Draw(t, "late")
-	case 2: // what comes between two answers
+	case 2: // what comes between two responses
 		b.Surplus = rapid.SampledFrom([]surplusTiming{noSurplus, samePacket, whileIdle, withNext}).Draw(t, "surplus")
 		b.CloseIdle, b.CloseRace = rapid.Bool().Draw(t, "close idle"), rapid.Bool().Draw(t, "close race")
 	}
 	return b
 })
 
-// scenarioRun is a scenario that is being played.
+// scenarioRun is a scenario in play.
 type scenarioRun struct {
 	testScenario
 	*scriptedServers
@@ -104,7 +105,7 @@
 type clientOutcome struct {
 	id, method string
 	sends      int
-	noHead     bool // no head of an answer came
+	noHead     bool // no head of a response came
 	status     int
 	echo, seal string
 	body       string
@@ -206,7 +207,7 @@
 	}
 }
 
-// checkNoSurplus looks whether anything comes on the kept connection where no request waits.
+// checkNoSurplus checks that nothing comes on the persistent connection where no request waits.
 func (w *scenarioRun) checkNoSurplus() error {
 	if w.persistentConn == nil {
 		return nil
@@ -228,7 +229,7 @@
 	return c, err
 }
 
-// step does what a client does, on the kept connection or on connections of its own.
+// step does what a client does, on the persistent connection or on connections of its own.
 func (w *scenarioRun) step(id string, step clientStep) error {
 	switch step.Manner {
 	case "gone", "halfclosed":
@@ -276,7 +277,7 @@
 	return nil
 }
 
-// stepPipelined sends two requests on the kept connection before it reads.
+// stepPipelined sends two requests on the persistent connection before it reads.
 func (w *scenarioRun) stepPipelined(id string, step clientStep) {
 	step.Manner = "plain"
 	w.sendHead(w.persistentConn, id+"-0", step, "")
@@ -286,7 +287,7 @@
 	}
 }
 
-// sendHead sends a request. Its body begins with its id and method. What the proxy takes no more is not its fault.
+// sendHead sends a request. Its body begins with its id and method. What the proxy accepts no more is not its fault.
 func (w *scenarioRun) sendHead(conn net.Conn, id string, step clientStep, expect string) {
 	body := ""
 	if step.Method == http.MethodPost {
@@ -353,8 +354,8 @@
 }
 
 // TestExactlyOnce plays scenarios of peers that misbehave in all ways and orders, on fresh and reused connections: a request
-// that may run once reaches servers once, each client gets its own answer, whole or visibly broken, no promise is false, and
-// streams lose, repeat and join nothing.
+// that may run once reaches servers once, each client gets its own response, complete or visibly truncated, no promise is false,
+// and streams lose, repeat and join nothing.
 func TestExactlyOnce(t *testing.T) {
 	tally := map[string]int64{}
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/system/proxy/fakepicker_test.go
+++ b/internal/system/proxy/fakepicker_test.go
@@ -10,7 +10,7 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// fakePicker sends to the first server that has not been tried, and records how sends ended.
+// fakePicker chooses the first server that has not been tried, and records how attempts ended.
 type fakePicker struct {
 	clusterState pick.ClusterState
 	route        *config.Route
@@ -19,9 +19,9 @@
 	firstEvents  int
 	lastLoad     string
 	resumedCount int
-	retryAfter   time.Duration // with refusals
-	sendWithin   time.Duration // that sends must go out in
-	refuseAll    bool          // refuse all
+	retryAfter   time.Duration // of refusals
+	sendWithin   time.Duration // of choices
+	refuseAll    bool          // whether every request is refused
 	unreachable  map[string]bool
 	serverOf     map[uint64]string
 }
@@ -44,7 +44,7 @@
 func (t *fakePicker) Stalled(pick.Time)                                   {}
 func (t *fakePicker) AwaitsControlPlane() bool                            { return false }
 func (t *fakePicker) Stats() pick.Stats                                   { return pick.Stats{} }
-func (t *fakePicker) Describe(pick.Time) string                           { return "toy" }
+func (t *fakePicker) Describe(pick.Time) string                           { return "fake" }
 func (t *fakePicker) ServerLoad(_ pick.Time, id string, run, wait, of int) {
 	t.lastLoad = fmt.Sprintf("%s %d,%d,%d", id, run, wait, of)
 }
--- a/internal/system/proxy/fakeserver_test.go
+++ b/internal/system/proxy/fakeserver_test.go
@@ -13,10 +13,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// serverBehavior is what a fake server does with one request; false: it closes the connection.
+// serverBehavior is what a fake server does with one request; false: it closes the connection afterwards.
 type serverBehavior func(c net.Conn, r *http.Request, body []byte) bool
 
-// fakeServer speaks HTTP/1.1 as it is told.
+// fakeServer is a server of HTTP/1.1 with a given behavior.
 type fakeServer struct {
 	listener net.Listener
 	requests chan *receivedRequest
@@ -26,13 +26,14 @@
 	conns []net.Conn
 }
 
-// receivedRequest is a request as it came.
+// receivedRequest is a request as it came to a server.
 type receivedRequest struct {
 	*http.Request
 	body string
 	conn net.Conn
 }
 
+// startServer starts a fake server on a loopback address.
 func startServer(t *testing.T, behavior serverBehavior) *fakeServer {
 	t.Helper()
 	listener := listenLocal(t)
@@ -84,7 +85,7 @@
 
 func (s *fakeServer) address() string { return s.listener.Addr().String() }
 
-// closedAddress is one where nobody listens, and that no other socket gets meanwhile.
+// closedAddress is an address where nobody listens, and that no other socket gets meanwhile.
 func closedAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -102,7 +103,7 @@
 	return fmt.Sprint("127.0.0.1:", at.(*unix.SockaddrInet4).Port)
 }
 
-// head is that of a proper answer to r.
+// head is that of a valid response to r.
 func head(r *http.Request, status int, more ...string) string {
 	text := fmt.Sprintf("HTTP/1.1 %d X\r\nX-Attempt-Id: %s\r\nX-Server-Seal: seal\r\n", status, r.Header.Get(headerAttemptID))
 	for _, m := range more {
@@ -111,7 +112,7 @@
 	return text
 }
 
-// respondWith answers with a status, headers and a body.
+// respondWith responds with a status, headers and a body.
 func respondWith(status int, body string, more ...string) serverBehavior {
 	return func(c net.Conn, r *http.Request, _ []byte) bool {
 		_, _ = fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", head(r, status, more...), len(body), body)
@@ -129,7 +130,7 @@
 	}
 }
 
-// respondRaw answers with a text in which ID stands for the request's id.
+// respondRaw responds with a text in which ID stands for the request's id.
 func respondRaw(text string, stays bool) serverBehavior {
 	return func(c net.Conn, r *http.Request, _ []byte) bool {
 		_, _ = io.WriteString(c, strings.ReplaceAll(text, "ID", r.Header.Get(headerAttemptID)))
@@ -137,20 +138,22 @@
 	}
 }
 
-// resetConn breaks the connection off without a word.
+// resetConn resets the connection.
 func resetConn(c net.Conn, _ *http.Request, _ []byte) bool {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	return false
 }
 
-// neverRespond never answers; it waits for the end of the connection.
+// neverRespond sends nothing and waits for the end of the connection.
 func neverRespond(c net.Conn, _ *http.Request, _ []byte) bool {
 	_, _ = c.Read(make([]byte, 1))
 	return false
 }
 
+// chunk is a text as a chunk of a body.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
+// chunkUnlessEmpty does so but for an empty text, which would end the body.
 func chunkUnlessEmpty(text string) string {
 	if text == "" {
 		return ""
@@ -158,24 +161,24 @@
 	return chunk(text)
 }
 
-// eventChunk is one eventChunk of a stream, as a chunk.
+// eventChunk is one event of a stream, as a chunk.
 func eventChunk(id int) string { return chunk(fmt.Sprintf("id: %d\ndata: d%d\n\n", id, id)) }
 
-// events answers with a stream of events; whole: it ends as complete.
-func respondEvents(from, to int, whole bool) serverBehavior {
+// respondEvents responds with a stream of events, which ends as complete or with the connection.
+func respondEvents(from, to int, complete bool) serverBehavior {
 	return func(c net.Conn, r *http.Request, _ []byte) bool {
 		_, _ = io.WriteString(c, head(r, 200, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")+"\r\n")
 		for id := from; id <= to; id++ {
 			_, _ = io.WriteString(c, eventChunk(id))
 		}
-		if whole {
+		if complete {
 			_, _ = io.WriteString(c, "0\r\n\r\n")
 		}
-		return whole
+		return complete
 	}
 }
 
-// respondEventsThen answers with events and then does something else.
+// respondEventsThen responds with events from the first one on and then does something else.
 func respondEventsThen(to int, then serverBehavior) serverBehavior {
 	return func(c net.Conn, r *http.Request, body []byte) bool {
 		respondEvents(1, to, false)(c, r, body)
@@ -191,7 +194,7 @@
 	}
 }
 
-// streamText is the events as a client is to see them.
+// streamText is the events as a client should get them.
 func streamText(from, to int) string {
 	var b strings.Builder
 	for id := from; id <= to; id++ {
--- a/internal/system/proxy/idletimeout_test.go
+++ b/internal/system/proxy/idletimeout_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// TestIdleTimeouts has connections idle for long: which are used again depends on what servers tell and show.
+// TestIdleTimeouts has connections idle for long: which are used again depends on the time that servers announce.
 func TestIdleTimeouts(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -19,10 +19,10 @@
 		waits []time.Duration
 		dials int64
 	}{
-		{"not told", respondWith(200, "x"), []time.Duration{20 * time.Second, 29 * time.Second}, 1},
-		{"not told, too long", respondWith(200, "x"), []time.Duration{31 * time.Second}, 2},
-		{"told", respondWith(200, "x", "Keep-Alive: timeout=5"), []time.Duration{2 * time.Second, 2400 * time.Millisecond}, 1},
-		{"told, too long", respondWith(200, "x", "Keep-Alive: max=3, timeout=5"), []time.Duration{2600 * time.Millisecond}, 2},
+		{"not announced", respondWith(200, "x"), []time.Duration{20 * time.Second, 29 * time.Second}, 1},
+		{"not announced, too long", respondWith(200, "x"), []time.Duration{31 * time.Second}, 2},
+		{"announced", respondWith(200, "x", "Keep-Alive: timeout=5"), []time.Duration{2 * time.Second, 2400 * time.Millisecond}, 1},
+		{"announced, too long", respondWith(200, "x", "Keep-Alive: max=3, timeout=5"), []time.Duration{2600 * time.Millisecond}, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/system/proxy/knobs_test.go
+++ b/internal/system/proxy/knobs_test.go
@@ -32,20 +32,20 @@
 		first    []behaviour
 		breaks   string
 	}{
-		{"the id that an answer echoes", TestingKnobs{SkipAttemptIDCheck: true}, config.NonIdempotent,
+		{"the echoed id", TestingKnobs{SkipAttemptIDCheck: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.Echo = otherID }), "bears another id"},
 		{"the seal of a success", TestingKnobs{SkipSealCheck: true}, config.NonIdempotent,
-			with(func(b *behaviour) { b.Unsealed = true }), "no server gave this answer"},
+			with(func(b *behaviour) { b.Unsealed = true }), "no server sent this response"},
 		{"interim answers", TestingKnobs{PassInterimResponses: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.Interims = 1 }), "bears another id"},
 		{"at most one run", TestingKnobs{RetryNonIdempotent: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.PermilleSent, b.After = 0, resetAfter }), "sent again though it may have run"},
 		{"promises", TestingKnobs{PassUnfoundedPromises: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.Status = http.StatusTooManyRequests }), "promised that it has not"},
-		{"the end of an answer", TestingKnobs{AcceptUnframed: true}, config.NonIdempotent,
-			with(func(b *behaviour) { b.Framing, b.PermilleSent, b.After = "none", 950, halfCloseAfter }), "looks whole"},
+		{"the end of a response", TestingKnobs{AcceptUnframed: true}, config.NonIdempotent,
+			with(func(b *behaviour) { b.Framing, b.PermilleSent, b.After = "none", 950, halfCloseAfter }), "looks complete"},
 		{"streams that may not be resumed", TestingKnobs{ResumeAnyStream: true}, config.Streaming, cutStream, "sent again though it may have run"},
-		{"a broken answer ends its connection", TestingKnobs{KeepTruncatedConns: true}, config.Streaming, cutStream, "looks whole"},
+		{"a truncated response ends its connection", TestingKnobs{KeepTruncatedConns: true}, config.Streaming, cutStream, "looks complete"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := testScenario{Category: test.category, MaxTries: 2, Servers: [][]behaviour{test.first, nil},
--- a/internal/system/proxy/listener_test.go
+++ b/internal/system/proxy/listener_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestConnectionLimit has more connections come than are taken: the one that idles longest gives way.
+// TestConnectionLimit has more connections come than are accepted at once: the one that has been idle longest is closed.
 func TestConnectionLimit(t *testing.T) {
 	release := make(chan bool)
 	server := startServer(t, respondWhenReleased(release))
@@ -72,7 +72,7 @@
 	}
 }
 
-// TestSlowClient has a client take nothing of a long answer: it holds up only itself, and is given up.
+// TestSlowClient has a client accept nothing of a long response: it delays only itself, and is given up.
 func TestSlowClient(t *testing.T) {
 	long := strings.Repeat("x", 16<<20)
 	server := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
--- a/internal/system/proxy/pools_test.go
+++ b/internal/system/proxy/pools_test.go
@@ -103,19 +103,25 @@
 	}
 }
 
+// respondOnceThen responds to the first request and then does something else.
+func respondOnceThen(then serverBehavior) serverBehavior {
+	received := 0
+	return func(c net.Conn, r *http.Request, body []byte) bool {
+		received++
+		if received == 1 {
+			return respondWith(200, "x")(c, r, body)
+		}
+		return then(c, r, body)
+	}
+}
+
 // TestNonIdempotentRunsOnce has a server break a connection on which it has received a second request: that one is not sent again.
 func TestNonIdempotentRunsOnce(t *testing.T) {
 	for _, body := range []string{"", "body"} {
 		for name, breakConn := range map[string]serverBehavior{"reset": resetConn, "close": respondRaw("", false),
 			"half a status line": respondRaw("HTTP/1.1 2", false)} {
 			t.Run(fmt.Sprint(name, " after ", len(body), " bytes"), func(t *testing.T) {
-				received := 0
-				server := startServer(t, func(client net.Conn, r *http.Request, body []byte) bool {
-					if received++; received == 1 {
-						return respondWith(200, "x")(client, r, body)
-					}
-					return breakConn(client, r, body)
-				})
+				server := startServer(t, respondOnceThen(breakConn))
 				other := startServer(t, respondWith(200, "x"))
 				proxy := startProxy(t, []*fakeServer{server, other})
 				client := proxy.dial(t)
--- a/internal/system/proxy/promises_test.go
+++ b/internal/system/proxy/promises_test.go
@@ -11,8 +11,8 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestUnbufferedPromise has a server answer with a status that promises that the request has not run, without X-Not-Executed, and
-// with a body that is too long to be held: the promise is not passed on, as the server has not given it.
+// TestUnbufferedPromise has a server respond with a status that promises that the request has not run, without X-Not-Executed, and
+// with a body that is too long to be buffered: the promise is not passed on, as the server has not given it.
 func TestUnbufferedPromise(t *testing.T) {
 	long := strings.Repeat("x", maxBufferedBytes+1)
 	for _, status := range []int{408, 429, 503} {
@@ -34,12 +34,12 @@
 	}
 }
 
-// TestSuccessNotExecuted has a server answer with a success that says that the request did not run: as both cannot be true,
+// TestSuccessNotExecuted has a server respond with a success that says that the request did not run: as both cannot be true,
 // neither is believed, and a request that may run once goes nowhere else.
 func TestSuccessNotExecuted(t *testing.T) {
 	second := startServer(t, respondWith(200, "second"))
 	proxy := startProxy(t, []*fakeServer{startServer(t, respondWith(200, "first", "X-Not-Executed: 1")), second})
 	if got := proxy.roundTrip(t, "id-1", ""); got.StatusCode != http.StatusBadGateway || len(second.requests) > 0 {
-		t.Errorf("status %d, %d further sends", got.StatusCode, len(second.requests))
+		t.Errorf("status %d, %d further attempts", got.StatusCode, len(second.requests))
 	}
 }
--- a/internal/system/proxy/request_test.go
+++ b/internal/system/proxy/request_test.go
@@ -12,7 +12,7 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// TestRejectedHeads has requests that go to no server.
+// TestRejectedHeads has requests that go to no server because of their heads.
 func TestRejectedHeads(t *testing.T) {
 	server := startServer(t, respondWith(200, "x"))
 	proxy := startProxy(t, []*fakeServer{server})
@@ -119,7 +119,7 @@
 	}
 }
 
-// TestHeadRequests has a HEAD request answered: its answer has no body, whatever its length says.
+// TestHeadRequests has HEAD requests: their responses have no body, whatever their length says.
 func TestHeadRequests(t *testing.T) {
 	server := startServer(t, func(client net.Conn, r *http.Request, _ []byte) bool {
 		_, _ = fmt.Fprintf(client, "%sContent-Length: 1000\r\n\r\n", head(r, 200))
@@ -142,7 +142,7 @@
 	}
 }
 
-// TestBodyMemoryLimit has more bytes of bodies come than are held at once: what has no room is refused.
+// TestBodyMemoryLimit has more bytes of bodies come than are buffered at once: the request without memory is refused.
 func TestBodyMemoryLimit(t *testing.T) {
 	release := make(chan bool)
 	server := startServer(t, respondWhenReleased(release))
--- a/internal/system/proxy/response_test.go
+++ b/internal/system/proxy/response_test.go
@@ -11,7 +11,7 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestResponses has a first server answer in each way and a second one well: what the client gets, how the sends ended, and
+// TestResponses has a first server respond in each way and a second one well: what the client gets, how the attempts ended, and
 // how often each server was asked, for a request that may run once and for one that may run again.
 func TestResponses(t *testing.T) {
 	const ok = "HTTP/1.1 200 X\r\nX-Attempt-Id: ID\r\nX-Server-Seal: s\r\n"
@@ -100,7 +100,7 @@
 	}
 }
 
-// TestRefusals has all servers refuse, or none be there: the answer promises that the request has not run.
+// TestRefusals has all servers refuse, or none be there: the response promises that the request has not run.
 func TestRefusals(t *testing.T) {
 	full := respondWith(503, "", "X-Not-Executed: 1", "Retry-After: 0.45")
 	t.Run("all are full", func(t *testing.T) {
@@ -126,7 +126,7 @@
 		proxy := startProxy(t, []*fakeServer{startServer(t, full), other},
 			func(_ *Options, c *config.Config) { c.Routes[0].MaxTries = 1 })
 		if got := proxy.roundTrip(t, "id-1", ""); got.StatusCode != http.StatusServiceUnavailable || len(other.requests) > 0 {
-			t.Errorf("status %d, %d more sends", got.StatusCode, len(other.requests))
+			t.Errorf("status %d, %d more attempts", got.StatusCode, len(other.requests))
 		}
 	})
 	t.Run("nobody listens", func(t *testing.T) {
--- a/internal/system/proxy/scriptedservers_test.go
+++ b/internal/system/proxy/scriptedservers_test.go
@@ -22,7 +22,7 @@
 	maxValidInterims = 3 // interim responses that a valid one may follow
 )
 
-// echoedID is what a scripted answer says about the request it belongs to.
+// echoedID is which request a scripted response says it belongs to.
 type echoedID int
 
 const (
@@ -41,14 +41,14 @@
 	resetAfter
 )
 
-// surplusTiming is when a scripted server sends one more answer, with the id of the request before.
+// surplusTiming is when a scripted server sends a surplus response, with the id of the request before.
 type surplusTiming int
 
 const (
 	noSurplus surplusTiming = iota
 	samePacket
-	whileIdle // when the client has its answer, and before its next request
-	withNext  // when the next request has come, and before its answer
+	whileIdle // when the client has its response, and before its next request
+	withNext  // when the next request has come, and before its response
 )
 
 // behaviour is what a scripted server does with one request.
@@ -60,21 +60,21 @@
 	Encoded       bool
 	Framing       string // "length", "chunked", "none", "both" or "twice"
 	Interims      int
-	Garbage       bool // the status line is none
+	Garbage       bool // the status line is invalid
 	Closes        bool // Connection: close
 	RepeatsEvent  bool // a stream begins with the event that the client has
-	Early         bool // it answers before it has read the body
-	PermilleSent  int  // thousandths of the answer that are sent
+	Early         bool // it responds before it has read the body
+	PermilleSent  int  // thousandths of the response that are sent
 	After         afterSend
 	Surplus       surplusTiming
-	SendsRestLate bool // what was cut off is sent when the client has given up or has another answer
-	CloseIdle     bool // closes the connection when the client has its answer, before its next request
+	SendsRestLate bool // the rest is sent when the client has given up or has another response
+	CloseIdle     bool // closes the connection when the client has its response, before its next request
 	CloseRace     bool // closes it while the next request is sent
 }
 
 var soundBehaviour = behaviour{Status: 200, Framing: "length", PermilleSent: 1000}
 
-// leavesWaiting tells whether a client would wait for the rest of the answer in vain.
+// leavesWaiting reports whether a client would wait for the rest of the response in vain.
 func (b behaviour) leavesWaiting() bool { return b.PermilleSent < 1000 && b.After == stayOpen }
 
 func (b behaviour) isRefusal() bool {
@@ -84,18 +84,18 @@
 // arrival is a request that reached a scripted server.
 type arrival struct {
 	id      string
-	refused bool // the server said in a whole head that it did not run it
+	refused bool // the server said in a complete head that it did not run it
 	sent    sentResponse
 }
 
-// sentResponse is an answer as a scripted server sent it.
+// sentResponse is a response as a scripted server sent it.
 type sentResponse struct {
 	status     int
 	seal, body string
 	valid      bool // it may be passed on as it is
 }
 
-// scriptedServers is the scripted servers of one world, and what they saw.
+// scriptedServers is the scripted servers of one scenario, and what they saw.
 type scriptedServers struct {
 	stream, resumable bool
 	serving           sync.WaitGroup
@@ -104,8 +104,8 @@
 	mu           sync.Mutex
 	runs         int
 	arrivals     []arrival
-	alterations  []string // requests that came other than they were sent
-	whileIdle    []func() // to be done when the client has its answer
+	alterations  []string // requests that came otherwise than they were sent
+	whileIdle    []func() // to be done when the client has its response
 	whileSending []func() // to be done while the next request is sent
 }
 
@@ -168,7 +168,7 @@
 	s.serving.Wait()
 }
 
-// takeActions takes out what is to be done between two requests, or while the next one is sent.
+// takeActions removes and returns what is to be done between two requests, or while the next one is sent.
 func (s *scriptedServers) takeActions(from *[]func()) []func() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -239,7 +239,7 @@
 	v.all.whileIdle = append(v.all.whileIdle, func() { _, _ = io.WriteString(c, text) })
 }
 
-// arrangeAfter arranges what happens on a connection behind an answer, and gives what is sent before the next one.
+// arrangeAfter arranges what happens on a connection behind a response, and returns what is sent before the next one.
 func (v *scriptedServer) arrangeAfter(c net.Conn, b behaviour, id string) string {
 	extra := surplusResponse(id)
 	v.all.mu.Lock()
@@ -257,7 +257,7 @@
 	return ""
 }
 
-// checkUnaltered looks whether a request came as it was sent: its body begins with its id and its method.
+// checkUnaltered records a request that did not come as it was sent: its body begins with its id and its method.
 func (v *scriptedServer) checkUnaltered(r *http.Request, body string) {
 	id := r.Header.Get(headerAttemptID)
 	want := id + " " + r.Method
@@ -398,7 +398,7 @@
 	return b.hasHead() && framed && b.Echo == ownID && !b.Unsealed && !b.NotExecuted && !b.Encoded
 }
 
-// eventStream is the text of a stream: one that may be resumed has the same events at each server, any other names its run.
+// eventStream is the text of a stream: a resumable one has the same events at each server, any other names its run.
 func (s *scriptedServers) eventStream(r *http.Request, b behaviour) string {
 	from, _ := strconv.Atoi(r.Header.Get(headerLastEventID))
 	if from++; b.RepeatsEvent && from > 1 {
@@ -434,7 +434,7 @@
 		last, run = id, of
 	}
 	if whole && last != lastEvent {
-		return errors.New("a stream looks whole without its last event")
+		return errors.New("a stream looks complete without its last event")
 	}
 	return nil
 }
--- a/internal/system/proxy/senddeadline_test.go
+++ b/internal/system/proxy/senddeadline_test.go
@@ -13,8 +13,8 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestSendDeadline: a request that is to go out within 200 ms, as its server is cold, goes out to another server if the
-// connection comes later, or comes in time and the process stands still.
+// TestSendDeadline: a request that is to go out within 200 ms, as its server is warming up, goes out to another
+// server if the connection comes later, or comes in time and the process stalls.
 func TestSendDeadline(t *testing.T) {
 	for name, test := range map[string]struct{ within, opens time.Duration }{
 		"in time":                {200 * time.Millisecond, 150 * time.Millisecond},
--- a/internal/system/proxy/shutdown_test.go
+++ b/internal/system/proxy/shutdown_test.go
@@ -15,8 +15,8 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// TestDrain ends a proxy as planned: an idle connection is closed, a request that runs is answered and told that the
-// connection ends, a new one is served at first, and a connection that is refused later gets no request's loss.
+// TestDrain shuts a proxy down gracefully: an idle connection is closed, a request that runs is answered with the announcement
+// that the connection ends, a new one is served at first, and none is accepted afterwards.
 func TestDrain(t *testing.T) {
 	release := make(chan bool)
 	server := startServer(t, respondWhenReleased(release))
@@ -57,11 +57,11 @@
 	}
 	proxy.serveErr <- nil
 	if _, err := new(net.Dialer).DialContext(t.Context(), "tcp4", proxy.address); err == nil {
-		t.Error("connections are taken still")
+		t.Error("connections are still accepted")
 	}
 }
 
-// TestDrainEndsUnanswered ends a proxy whose server does not answer: the end comes within the time given.
+// TestDrainEndsUnanswered shuts down a proxy whose server does not respond: it ends within the grace period.
 func TestDrainEndsUnanswered(t *testing.T) {
 	server := startServer(t, neverRespond)
 	proxy := startProxy(t, []*fakeServer{server}, func(o *Options, _ *config.Config) { o.GracePeriod = 400 * time.Millisecond })
@@ -77,7 +77,7 @@
 	}
 }
 
-// TestDrainBeforeServe has the end come first.
+// TestDrainBeforeServe has Drain called first.
 func TestDrainBeforeServe(t *testing.T) {
 	p := newProxy(Options{Log: &log.Logger{Handler: discard.New()}}, &fakePicker{})
 	p.Drain(context.Background())
--- a/internal/system/proxy/stall_test.go
+++ b/internal/system/proxy/stall_test.go
@@ -11,7 +11,8 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// stalledPicker is a policy of one of twelve proxies that knows two servers, which bear 31 requests a second while they are cold.
+// stalledPicker is the picker of one of twelve proxies that knows two servers, which take 31 requests a second while they are
+// warming up.
 func stalledPicker() (*lockedPicker, *pick.Request, pick.ClusterState) {
 	route := &config.Route{Host: "h", Prefix: "/", MaxTries: 2, Category: config.Idempotent, Shares: []config.Share{{Service: "a", Weight: 1}}}
 	state := pick.ClusterState{Self: "p00", Config: &config.Config{Routes: []*config.Route{route},
@@ -45,8 +46,8 @@
 	return got
 }
 
-// TestWarmUpRateHoldsAfterStall: a process stands still for 5 s and has 100 requests in its sockets when it wakes. Danger: its servers
-// may have turned cold meanwhile, which it can't know before it has heard a keeper.
+// TestWarmUpRateHoldsAfterStall: a process stalls for 5 s and has 100 requests in its sockets afterwards. Danger: its servers may
+// be new and warming up, which it cannot know before an update of the control plane.
 func TestWarmUpRateHoldsAfterStall(t *testing.T) {
 	locked, r, w := stalledPicker()
 	locked.UpdateClusterState(time.Now(), w)
@@ -56,18 +57,18 @@
 	stall(locked)
 	for id, n := range chooseMany(locked, r, 100) {
 		if n > 4 {
-			t.Errorf("%s got %d requests at once, without a word on whether it is cold", id, n)
+			t.Errorf("%s got %d requests at once, without an update that says whether it is warming up", id, n)
 		}
 	}
 }
 
-// TestRequestsAwaitContactAfterStall: after a stall requests wait until a world comes that a keeper told after it; one from before does
-// not count.
+// TestRequestsAwaitContactAfterStall: after a stall requests wait for an update that the control plane sent after it; one from
+// before does not count.
 func TestRequestsAwaitContactAfterStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		locked, r, w := stalledPicker()
-		told := 0
-		locked.onStall = func() { told++ }
+		asked := 0
+		locked.onStall = func() { asked++ }
 		locked.UpdateClusterState(time.Now(), w)
 		stall(locked)
 		woke := time.Now()
@@ -78,7 +79,7 @@
 			for id, n := range chooseMany(locked, r, 100) {
 				got += n
 				if n < 40 {
-					t.Errorf("%s got %d of 100 after the word", id, n)
+					t.Errorf("%s got %d of 100 after the update", id, n)
 				}
 			}
 		})
@@ -88,20 +89,20 @@
 		locked.UpdateClusterState(time.Now(), w)
 		synctest.Wait()
 		if got != 0 {
-			t.Errorf("%d requests went out by a word from before", got)
+			t.Errorf("%d requests went out after an update from before", got)
 		}
 		time.Sleep(20 * time.Millisecond)
 		w.ContactAge = 10 * time.Millisecond
 		locked.UpdateClusterState(time.Now(), w)
 		waiting.Wait()
-		if took := time.Since(woke); took != 40*time.Millisecond || got != 100 || told != 1 {
-			t.Errorf("%d requests after %v; keepers were asked %d times", got, took, told)
+		if took := time.Since(woke); took != 40*time.Millisecond || got != 100 || asked != 1 {
+			t.Errorf("%d requests after %v; the control plane was asked %d times", got, took, asked)
 		}
 	})
 }
 
-// TestContactWaitIsBounded: without a keeper's word they go on after a while, at the pace of cold servers; so do those whose
-// client goes away.
+// TestContactWaitIsBounded: without an update they go on after a while, at the rate of servers that are warming up; so do those
+// whose client goes away.
 func TestContactWaitIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		locked, _, w := stalledPicker()
@@ -143,7 +144,8 @@
 	})
 }
 
-// TestOutdatedStateEndsNoWait: a world is told by durations as of a moment; a keeper's word in it is as old as that when it is used.
+// TestOutdatedStateEndsNoWait: the durations of a cluster state are as of a moment; the last contact in it is as old as that when
+// it is used.
 func TestOutdatedStateEndsNoWait(t *testing.T) {
 	locked, _, w := stalledPicker()
 	locked.UpdateClusterState(time.Now(), w)
@@ -152,10 +154,10 @@
 	w.ContactAge = 0
 	locked.UpdateClusterState(before.Add(-stallTime), w) // made before the stall, used after it
 	if locked.stalls.contact == nil {
-		t.Error("a world from before the stall ends the wait")
+		t.Error("a state from before the stall ends the wait")
 	}
 	locked.UpdateClusterState(time.Now(), w)
 	if locked.stalls.contact != nil {
-		t.Error("a world from after the stall does not")
+		t.Error("a state from after the stall does not")
 	}
 }
--- a/internal/system/proxy/testproxy_test.go
+++ b/internal/system/proxy/testproxy_test.go
@@ -139,7 +139,7 @@
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		c.t.Fatalf("no answer: %v", err)
+		c.t.Fatalf("no response: %v", err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
--- a/internal/system/proxy/transport_test.go
+++ b/internal/system/proxy/transport_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestNoHTTPTransport looks through this package for net/http's client side, which sends some requests a second time by
-// itself: every send to a server is one that call.attempt has counted.
+// itself: every send to a server is one that clientRequest.tryServer has counted.
 func TestNoHTTPTransport(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil || len(files) == 0 {
