--- a/internal/system/proxy/bench_test.go
+++ b/internal/system/proxy/bench_test.go
@@ -17,32 +17,21 @@
 // benchServer responds to every request on a connection with the same bytes.
 func benchServer(b *testing.B, answer string) *fakeServer {
 	b.Helper()
-	listener := listenLocal(b)
-	server := &fakeServer{listener: listener}
 	first, second := []byte(answer), bytes.Replace([]byte(answer), []byte("id-1"), []byte("id-2"), 1)
-	server.wg.Go(func() {
+	server := &fakeServer{connServer: connServer{listener: listenLocal(b)}}
+	server.start(func(conn net.Conn) {
+		reader := bufio.NewReader(conn)
 		for {
-			conn, err := listener.Accept()
+			r, err := http.ReadRequest(reader)
 			if err != nil {
 				return
 			}
-			server.conns = append(server.conns, conn)
-			server.wg.Go(func() {
-				defer func() { _ = conn.Close() }()
-				in := bufio.NewReader(conn)
-				for {
-					r, err := http.ReadRequest(in)
-					if err != nil {
-						return
-					}
-					_, _ = io.Copy(io.Discard, r.Body)
-					if r.Header.Get(headerAttemptID) == "id-2" {
-						_, _ = conn.Write(second)
-					} else {
-						_, _ = conn.Write(first)
-					}
-				}
-			})
+			_, _ = io.Copy(io.Discard, r.Body)
+			if r.Header.Get(headerAttemptID) == "id-2" {
+				_, _ = conn.Write(second)
+			} else {
+				_, _ = conn.Write(first)
+			}
 		}
 	})
 	b.Cleanup(server.stop)
--- a/internal/system/proxy/exactlyonce_test.go
+++ b/internal/system/proxy/exactlyonce_test.go
@@ -149,14 +149,14 @@
 		Services: map[string]*config.Service{"s": {Name: "s", MaxConns: 100}},
 		Limits:   config.Limits{HeaderBytes: 16 << 10, BodyBytes: 4 << 20}}}
 	for i, behaviours := range w.Servers {
-		server, err := w.start(behaviours)
+		server, err := w.startServer(behaviours)
 		if err != nil {
 			return state, err
 		}
 		if slices.ContainsFunc(behaviours, behaviour.leavesWaiting) {
 			w.timeLeftMS = "90"
 		}
-		state.Servers = append(state.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: server.listener.Addr().String()})
+		state.Servers = append(state.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: server.address()})
 	}
 	return state, nil
 }
--- a/internal/system/proxy/fakeserver_test.go
+++ b/internal/system/proxy/fakeserver_test.go
@@ -7,7 +7,6 @@
 	"net"
 	"net/http"
 	"strings"
-	"sync"
 	"testing"
 
 	"golang.org/x/sys/unix"
@@ -18,12 +17,8 @@
 
 // fakeServer is a server of HTTP/1.1 with a given behavior.
 type fakeServer struct {
-	listener net.Listener
+	connServer
 	requests chan *receivedRequest
-	wg       sync.WaitGroup
-
-	mu    sync.Mutex
-	conns []net.Conn
 }
 
 // receivedRequest is a request as it came to a server.
@@ -36,24 +31,13 @@
 // startServer starts a fake server on a loopback address.
 func startServer(t *testing.T, behavior serverBehavior) *fakeServer {
 	t.Helper()
-	listener := listenLocal(t)
-	server := &fakeServer{listener: listener, requests: make(chan *receivedRequest, 4096)}
-	server.wg.Go(func() {
-		for {
-			c, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			server.mu.Lock()
-			server.conns = append(server.conns, c)
-			server.mu.Unlock()
-			server.wg.Go(func() { server.serve(c, behavior) })
-		}
-	})
+	server := &fakeServer{connServer: connServer{listener: listenLocal(t)}, requests: make(chan *receivedRequest, 4096)}
+	server.start(func(conn net.Conn) { server.serve(conn, behavior) })
 	t.Cleanup(server.stop)
 	return server
 }
 
+// serve has the requests of a connection go to a behavior, until that ends it.
 func (s *fakeServer) serve(conn net.Conn, behavior serverBehavior) {
 	defer func() { _ = conn.Close() }()
 	in := bufio.NewReader(conn)
@@ -73,18 +57,6 @@
 	}
 }
 
-func (s *fakeServer) stop() {
-	_ = s.listener.Close()
-	s.mu.Lock()
-	for _, c := range s.conns {
-		_ = c.Close()
-	}
-	s.mu.Unlock()
-	s.wg.Wait()
-}
-
-func (s *fakeServer) address() string { return s.listener.Addr().String() }
-
 // closedAddress is an address where nobody listens, and that no other socket gets meanwhile.
 func closedAddress(t *testing.T) string {
 	t.Helper()
--- a/internal/system/proxy/scriptedservers_test.go
+++ b/internal/system/proxy/scriptedservers_test.go
@@ -98,7 +98,6 @@
 // scriptedServers is the scripted servers of one scenario, and what they saw.
 type scriptedServers struct {
 	stream, resumable bool
-	serving           sync.WaitGroup
 	servers           []*scriptedServer
 
 	mu           sync.Mutex
@@ -109,38 +108,28 @@
 	whileSending []func() // to be done while the next request is sent
 }
 
+// scriptedServer is one of them.
 type scriptedServer struct {
+	connServer
 	all          *scriptedServers
-	listener     net.Listener
 	behaviours   []behaviour // by request; then it behaves well
 	requestCount int
 	previousID   string
-	conns        []net.Conn
 }
 
-func (s *scriptedServers) start(will []behaviour) (*scriptedServer, error) {
+// startServer starts a server that behaves in these ways with the requests that it gets, one after the other.
+func (s *scriptedServers) startServer(behaviours []behaviour) (*scriptedServer, error) {
 	var listen net.ListenConfig
-	if slices.ContainsFunc(will, func(b behaviour) bool { return b.Early && b.After == resetAfter }) {
+	if slices.ContainsFunc(behaviours, func(b behaviour) bool { return b.Early && b.After == resetAfter }) {
 		listen.Control = limitReceiveBuffer
 	}
-	l, err := listen.Listen(context.Background(), "tcp4", "127.0.0.1:0")
+	listener, err := listen.Listen(context.Background(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	server := &scriptedServer{all: s, listener: l, behaviours: will}
+	server := &scriptedServer{connServer: connServer{listener: listener}, all: s, behaviours: behaviours}
+	server.start(server.serve)
 	s.servers = append(s.servers, server)
-	s.serving.Go(func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			s.mu.Lock()
-			server.conns = append(server.conns, c)
-			s.mu.Unlock()
-			s.serving.Go(func() { server.serve(c) })
-		}
-	})
 	return server, nil
 }
 
@@ -154,18 +143,11 @@
 	return err
 }
 
+// stop ends all servers.
 func (s *scriptedServers) stop() {
 	for _, server := range s.servers {
-		_ = server.listener.Close()
-	}
-	s.mu.Lock()
-	for _, server := range s.servers {
-		for _, c := range server.conns {
-			_ = c.Close()
-		}
+		server.stop()
 	}
-	s.mu.Unlock()
-	s.serving.Wait()
 }
 
 // takeActions removes and returns what is to be done between two requests, or while the next one is sent.
@@ -179,7 +161,6 @@
 
 // serve answers the requests on a connection.
 func (v *scriptedServer) serve(conn net.Conn) {
-	defer func() { _ = conn.Close() }()
 	reader, withNext := bufio.NewReader(conn), ""
 	for first := true; ; first = false {
 		r, err := http.ReadRequest(reader)
