--- a/internal/system/proxy/bench_test.go
+++ b/internal/system/proxy/bench_test.go
@@ -14,35 +14,24 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// benchServer answers every request on a connection with the same bytes, and does not look further.
+// benchServer responds to every request on a connection with the same bytes.
 func benchServer(b *testing.B, answer string) *fakeServer {
 	b.Helper()
-	listener := listenLocal(b)
-	server := &fakeServer{listener: listener}
 	first, second := []byte(answer), bytes.Replace([]byte(answer), []byte("id-1"), []byte("id-2"), 1)
-	server.wg.Go(func() {
+	server := &fakeServer{connServer: connServer{listener: listenLocal(b)}}
+	server.start(func(conn net.Conn) {
+		reader := bufio.NewReader(conn)
 		for {
-			conn, err := listener.Accept()
+			r, err := http.ReadRequest(reader)
 			if err != nil {
 				return
 			}
-			server.conns = append(server.conns, conn)
-			server.wg.Go(func() {
-				defer func() { _ = conn.Close() }()
-				in := bufio.NewReader(conn)
-				for {
-					r, err := http.ReadRequest(in)
-					if err != nil {
-						return
-					}
-					_, _ = io.Copy(io.Discard, r.Body)
-					if r.Header.Get(headerAttemptID) == "id-2" {
-						_, _ = conn.Write(second)
-					} else {
-						_, _ = conn.Write(first)
-					}
-				}
-			})
+			_, _ = io.Copy(io.Discard, r.Body)
+			if r.Header.Get(headerAttemptID) == "id-2" {
+				_, _ = conn.Write(second)
+			} else {
+				_, _ = conn.Write(first)
+			}
 		}
 	})
 	b.Cleanup(server.stop)
@@ -78,14 +67,17 @@
 	}
 }
 
+// BenchmarkPlain measures a request without a body and a short response.
 func BenchmarkPlain(b *testing.B) {
 	benchmark(b, "Content-Length: 800\r\n\r\n"+strings.Repeat("x", 800), "xxx", "", withCategory(config.Idempotent))
 }
 
+// BenchmarkLongPrompt measures a request whose body does not go out with its head.
 func BenchmarkLongPrompt(b *testing.B) {
 	benchmark(b, "Content-Length: 800\r\n\r\n"+strings.Repeat("x", 800), "xxx", strings.Repeat("y", 34<<10), withCategory(config.Idempotent))
 }
 
+// BenchmarkStream measures an event stream of nine events.
 func BenchmarkStream(b *testing.B) {
 	text := "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for id := range 9 {
@@ -94,7 +86,7 @@
 	benchmark(b, text+"0\r\n\r\n", "0\r\n\r\n", "", withCategory(config.Streaming))
 }
 
-// BenchmarkConnections tells what a client's connection that idles costs in memory.
+// BenchmarkConnections measures the memory of an idle client's connection, in bytes.
 func BenchmarkConnections(b *testing.B) {
 	s := benchServer(b, "HTTP/1.1 200 OK\r\nX-Attempt-Id: id-1\r\nX-Server-Seal: seal\r\nContent-Length: 0\r\n\r\n")
 	f := startProxy(b, []*fakeServer{s})
--- a/internal/system/proxy/exactlyonce_test.go
+++ b/internal/system/proxy/exactlyonce_test.go
@@ -30,17 +30,17 @@
 	Steps     []clientStep
 }
 
-// shortSilenceTimeout is how long a server may be silent: less than the clients of a scenario with silent servers wait.
-const shortSilenceTimeout = 20 * time.Millisecond
+// shortProgressTimeout is how long a server may be silent: less than the clients of a scenario with silent servers wait.
+const shortProgressTimeout = 20 * time.Millisecond
 
-// clientStep is what a client does, once the clientStep before has ended.
+// clientStep is what a client does, once the step before has ended.
 type clientStep struct {
 	Manner    string // "plain", "pipelined", "gone", "halfclosed", "slow", "expect", "trailers" or "twice"
 	Method    string
 	LargeBody bool // a body that does not go out with the head in one write
 }
 
-// scenarioGenerator draws them. A quarter of all behaviours is sound, so that connections are used again.
+// scenarioGenerator draws scenarios. A quarter of all behaviours is sound, so that connections are used again.
 var scenarioGenerator = rapid.Custom(func(t *rapid.T) testScenario {
 	s := testScenario{Category: rapid.SampledFrom([]config.Category{config.NonIdempotent, config.Idempotent, config.Streaming, config.Streaming}).Draw(t, "category"),
 		MaxTries: rapid.IntRange(1, 3).Draw(t, "tries")}
@@ -56,12 +56,13 @@
 	return s
 })
 
+// behaviourGenerator draws what a server does with one request.
 var behaviourGenerator = rapid.Custom(func(t *rapid.T) behaviour {
 	b := soundBehaviour
 	b.Framing = rapid.SampledFrom([]string{"length", "chunked"}).Draw(t, "framing")
 	rare := func(label string) bool { return rapid.IntRange(0, 5).Draw(t, label) == 5 }
 	switch rapid.IntRange(0, 7).Draw(t, "kind") {
-	case 3: // another answer
+	case 3: // another response
 		b.Status = rapid.SampledFrom([]int{200, 204, 302, 400, 404, 408, 421, 429, 500, 503, 504}).Draw(t, "status")
 		b.NotExecuted = rapid.Bool().Draw(t, "not executed")
 		b.Echo = rapid.SampledFrom([]echoedID{ownID, ownID, otherID, earlierID, noID}).Draw(t, "echo")
@@ -69,42 +70,42 @@
 			b.Framing = "length"
 			b.Status = 201
 		}
-	case 4: // an answer that is none
+	case 4: // an invalid response
 		b.Unsealed, b.Encoded, b.Garbage, b.Early = rare("unsealed"), rare("encoded"), rare("garbage"), rare("early")
 		b.Interims = rapid.IntRange(0, 5).Draw(t, "interims")
 		b.Framing = rapid.SampledFrom([]string{"length", "chunked", "none", "both", "twice"}).Draw(t, "odd framing")
 		if b.Closes = rare("closes"); b.Framing == "none" {
 			b.PermilleSent, b.After = rapid.IntRange(800, 1000).Draw(t, "end"), halfCloseAfter
 		}
-	case 5, 6, 7: // one that is cut, or followed by something
+	case 5, 6, 7: // one that is truncated, or followed by something
 		b.PermilleSent = rapid.SampledFrom([]int{0, 100, 300, 500, 650, 750, 850, 920, 960, 990, 1000}).Draw(t, "cut")
 		b.After = rapid.SampledFrom([]afterSend{stayOpen, halfCloseAfter, resetAfter}).Draw(t, "then")
 		b.Early, b.RepeatsEvent, b.SendsRestLate = rapid.Bool().Draw(t, "early"), rare("repeats"), rapid.Bool().Draw(t, "late")
-	case 2: // what comes between two answers
+	case 2: // what comes between two responses
 		b.Surplus = rapid.SampledFrom([]surplusTiming{noSurplus, samePacket, whileIdle, withNext}).Draw(t, "surplus")
 		b.CloseIdle, b.CloseRace = rapid.Bool().Draw(t, "close idle"), rapid.Bool().Draw(t, "close race")
 	}
 	return b
 })
 
-// scenarioRun is a scenario that is being played.
+// scenarioRun is a scenario in play.
 type scenarioRun struct {
 	testScenario
 	*scriptedServers
 	address    string
 	timeLeftMS string // X-Time-Left-Ms
 
-	mu         sync.Mutex
-	outcomes   []clientOutcome
-	keptConn   net.Conn // kept for many requests
-	keptReader *bufio.Reader
+	mu               sync.Mutex
+	outcomes         []clientOutcome
+	persistentConn   net.Conn // kept for many requests
+	persistentReader *bufio.Reader
 }
 
 // clientOutcome is what a client saw of one request; sends: with how many requests of one id.
 type clientOutcome struct {
 	id, method string
 	sends      int
-	noHead     bool // no head of an answer came
+	noHead     bool // no head of a response came
 	status     int
 	echo, seal string
 	body       string
@@ -125,7 +126,7 @@
 	if err != nil {
 		return err
 	}
-	knobs.MinSilenceTimeout, knobs.MinEventSilenceTimeout = shortSilenceTimeout, shortSilenceTimeout
+	knobs.MinResponseTimeout, knobs.MinEventGapTimeout = shortProgressTimeout, shortProgressTimeout
 	proxy := newProxy(Options{Log: &log.Logger{Handler: discard.New()}, TestingKnobs: knobs}, newFakePicker(state.Config.Routes[0]))
 	proxy.pools.sameRegionTimeout = testTimeout
 	proxy.UpdateClusterState(time.Now(), state)
@@ -148,14 +149,14 @@
 		Services: map[string]*config.Service{"s": {Name: "s", MaxConns: 100}},
 		Limits:   config.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 4 << 20}}}
 	for i, behaviours := range w.Servers {
-		server, err := w.start(behaviours)
+		server, err := w.startServer(behaviours)
 		if err != nil {
 			return state, err
 		}
 		if slices.ContainsFunc(behaviours, behaviour.leavesWaiting) {
 			w.timeLeftMS = "90"
 		}
-		state.Servers = append(state.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: server.listener.Addr().String()})
+		state.Servers = append(state.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: server.address()})
 	}
 	return state, nil
 }
@@ -181,7 +182,7 @@
 
 // run goes through the steps.
 func (w *scenarioRun) run() error {
-	defer w.closeKept()
+	defer w.closePersistent()
 	for n, at := range w.Steps {
 		for _, do := range w.takeActions(&w.whileIdle) {
 			do()
@@ -199,22 +200,22 @@
 	return w.checkNoSurplus()
 }
 
-func (w *scenarioRun) closeKept() {
-	if w.keptConn != nil {
-		_ = w.keptConn.Close()
-		w.keptConn = nil
+func (w *scenarioRun) closePersistent() {
+	if w.persistentConn != nil {
+		_ = w.persistentConn.Close()
+		w.persistentConn = nil
 	}
 }
 
-// checkNoSurplus looks whether anything comes on the kept connection where no request waits.
+// checkNoSurplus checks that nothing comes on the persistent connection where no request waits.
 func (w *scenarioRun) checkNoSurplus() error {
-	if w.keptConn == nil {
+	if w.persistentConn == nil {
 		return nil
 	}
-	if err := w.keptConn.(*net.TCPConn).CloseWrite(); err != nil {
-		return nil // closed by the proxy
+	if err := w.persistentConn.(*net.TCPConn).CloseWrite(); err != nil {
+		return nil //nolint:nilerr // the proxy has closed the connection, as it may
 	}
-	if rest, _ := io.ReadAll(w.keptReader); len(rest) > 0 {
+	if rest, _ := io.ReadAll(w.persistentReader); len(rest) > 0 {
 		return fmt.Errorf("bytes that no request waits for: %.60q", rest)
 	}
 	return nil
@@ -228,59 +229,65 @@
 	return c, err
 }
 
-// step does what a client does, on the kept connection or on one of its own.
+// step does what a client does, on the persistent connection or on connections of its own.
 func (w *scenarioRun) step(id string, step clientStep) error {
 	switch step.Manner {
-	case "gone", "halfclosed", "twice":
-		sends := 1
-		if step.Manner == "twice" {
-			sends = 2
-		}
-		var asking sync.WaitGroup
-		var failed error
-		for range sends {
-			conn, err := w.dial()
-			if err != nil {
-				return err
-			}
-			asking.Go(func() {
-				defer func() { _ = conn.Close() }()
-				w.sendHead(conn, id, step, "")
-				if step.Manner == "gone" {
-					return
-				}
-				if step.Manner == "halfclosed" {
-					_ = conn.(*net.TCPConn).CloseWrite()
-				}
-				w.recordResponse(conn, bufio.NewReader(conn), id, step.Method, sends)
-			})
-		}
-		asking.Wait()
-		return failed
+	case "gone", "halfclosed":
+		return w.stepOnOwnConns(id, step, 1)
+	case "twice":
+		return w.stepOnOwnConns(id, step, 2)
 	}
-	if w.keptConn == nil {
+	if w.persistentConn == nil {
 		conn, err := w.dial()
 		if err != nil {
 			return err
 		}
-		w.keptConn, w.keptReader = conn, bufio.NewReader(conn)
+		w.persistentConn, w.persistentReader = conn, bufio.NewReader(conn)
 	}
 	if step.Manner == "pipelined" {
-		both := step
-		both.Manner = "plain"
-		w.sendHead(w.keptConn, id+"-0", both, "")
-		w.sendHead(w.keptConn, id+"-1", both, "")
-		if w.recordResponse(w.keptConn, w.keptReader, id+"-0", step.Method, 1) {
-			w.recordResponse(w.keptConn, w.keptReader, id+"-1", step.Method, 1)
-		}
+		w.stepPipelined(id, step)
 		return nil
 	}
-	w.sendHead(w.keptConn, id, step, "Expect: 100-continue\r\n")
-	w.recordResponse(w.keptConn, w.keptReader, id, step.Method, 1)
+	w.sendHead(w.persistentConn, id, step, "Expect: 100-continue\r\n")
+	w.recordResponse(w.persistentConn, w.persistentReader, id, step.Method, 1)
 	return nil
 }
 
-// sendHead sends a request. Its body begins with its id and method. What the proxy takes no more is not its fault.
+// stepOnOwnConns sends a request, perhaps more than once at a time, each on a connection of its own.
+func (w *scenarioRun) stepOnOwnConns(id string, step clientStep, sends int) error {
+	var asking sync.WaitGroup
+	defer asking.Wait()
+	for range sends {
+		conn, err := w.dial()
+		if err != nil {
+			return err
+		}
+		asking.Go(func() {
+			defer func() { _ = conn.Close() }()
+			w.sendHead(conn, id, step, "")
+			if step.Manner == "gone" {
+				return
+			}
+			if step.Manner == "halfclosed" {
+				_ = conn.(*net.TCPConn).CloseWrite()
+			}
+			w.recordResponse(conn, bufio.NewReader(conn), id, step.Method, sends)
+		})
+	}
+	return nil
+}
+
+// stepPipelined sends two requests on the persistent connection before it reads.
+func (w *scenarioRun) stepPipelined(id string, step clientStep) {
+	step.Manner = "plain"
+	w.sendHead(w.persistentConn, id+"-0", step, "")
+	w.sendHead(w.persistentConn, id+"-1", step, "")
+	if w.recordResponse(w.persistentConn, w.persistentReader, id+"-0", step.Method, 1) {
+		w.recordResponse(w.persistentConn, w.persistentReader, id+"-1", step.Method, 1)
+	}
+}
+
+// sendHead sends a request. Its body begins with its id and method. What the proxy accepts no more is not its fault.
 func (w *scenarioRun) sendHead(conn net.Conn, id string, step clientStep, expect string) {
 	body := ""
 	if step.Method == http.MethodPost {
@@ -303,7 +310,7 @@
 		}
 	case step.Manner == "expect":
 		_, _ = fmt.Fprintf(conn, "%s%sContent-Length: %d\r\n\r\n", text, expect, len(body))
-		if line, err := w.keptReader.Peek(len("HTTP/1.1 100")); err == nil && string(line) == "HTTP/1.1 100" {
+		if line, err := w.persistentReader.Peek(len("HTTP/1.1 100")); err == nil && string(line) == "HTTP/1.1 100" {
 			_, _ = io.WriteString(conn, body)
 		}
 	default:
@@ -311,39 +318,44 @@
 	}
 }
 
-// recordResponse reads one answer, records it, and tells whether the connection is good for another.
-func (w *scenarioRun) recordResponse(conn net.Conn, in *bufio.Reader, id, method string, sends int) bool {
-	out := clientOutcome{id: id, method: method, sends: sends, noHead: true}
-	stays := false
-	for {
-		resp, err := http.ReadResponse(in, &http.Request{Method: method})
-		if err != nil {
-			break
-		}
-		if resp.StatusCode < http.StatusOK {
-			continue
-		}
-		body, err := io.ReadAll(resp.Body)
-		out.noHead, out.status, out.echo, out.seal = false, resp.StatusCode, resp.Header.Get(headerAttemptID), resp.Header.Get(headerServerSeal)
-		out.body, out.err = string(body), err
-		stays = err == nil && !resp.Close
-		break
-	}
+// recordResponse reads and records one response, and reports whether the connection is good for another.
+func (w *scenarioRun) recordResponse(conn net.Conn, reader *bufio.Reader, id, method string, sends int) bool {
+	outcome, stays := readOutcome(reader, method)
+	outcome.id, outcome.method, outcome.sends = id, method, sends
 	w.mu.Lock()
-	w.outcomes = append(w.outcomes, out)
+	w.outcomes = append(w.outcomes, outcome)
 	w.mu.Unlock()
 	if !stays {
 		_ = conn.Close()
-		if conn == w.keptConn {
-			w.keptConn = nil
+		if conn == w.persistentConn {
+			w.persistentConn = nil
 		}
 	}
 	return stays
 }
 
+// readOutcome reads the final response, and reports whether the connection is good for another.
+func readOutcome(reader *bufio.Reader, method string) (outcome clientOutcome, stays bool) {
+	for {
+		resp, err := http.ReadResponse(reader, &http.Request{Method: method})
+		if err != nil {
+			return clientOutcome{noHead: true}, false
+		}
+		if isInterim := resp.StatusCode < http.StatusOK; isInterim {
+			_ = resp.Body.Close()
+			continue
+		}
+		body, err := io.ReadAll(resp.Body)
+		_ = resp.Body.Close()
+		outcome := clientOutcome{status: resp.StatusCode, echo: resp.Header.Get(headerAttemptID), seal: resp.Header.Get(headerServerSeal),
+			body: string(body), err: err}
+		return outcome, err == nil && !resp.Close
+	}
+}
+
 // TestExactlyOnce plays scenarios of peers that misbehave in all ways and orders, on fresh and reused connections: a request
-// that may run once reaches servers once, each client gets its own answer, whole or visibly broken, no promise is false, and
-// streams lose, repeat and join nothing.
+// that may run once reaches servers once, each client gets its own response, complete or visibly truncated, no promise is false,
+// and streams lose, repeat and join nothing.
 func TestExactlyOnce(t *testing.T) {
 	tally := map[string]int64{}
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/system/proxy/fakeserver_test.go
+++ b/internal/system/proxy/fakeserver_test.go
@@ -7,53 +7,38 @@
 	"net"
 	"net/http"
 	"strings"
-	"sync"
 	"testing"
 
 	"golang.org/x/sys/unix"
 )
 
-// serverBehavior is what a fake server does with one request; false: it closes the connection.
+// serverBehavior is what a fake server does with one request; false: it closes the connection afterwards.
 type serverBehavior func(c net.Conn, r *http.Request, body []byte) bool
 
-// fakeServer speaks HTTP/1.1 as it is told.
+// fakeServer is a server of HTTP/1.1 with a given behavior.
 type fakeServer struct {
-	listener net.Listener
+	connServer
 	requests chan *receivedRequest
-	wg       sync.WaitGroup
-
-	mu    sync.Mutex
-	conns []net.Conn
 }
 
-// receivedRequest is a request as it came.
+// receivedRequest is a request as it came to a server.
 type receivedRequest struct {
 	*http.Request
 	body string
 	conn net.Conn
 }
 
+// startServer starts a fake server on a loopback address.
 func startServer(t *testing.T, behavior serverBehavior) *fakeServer {
 	t.Helper()
-	listener := listenLocal(t)
-	server := &fakeServer{listener: listener, requests: make(chan *receivedRequest, 4096)}
-	server.wg.Go(func() {
-		for {
-			c, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			server.mu.Lock()
-			server.conns = append(server.conns, c)
-			server.mu.Unlock()
-			server.wg.Go(func() { server.serve(c, behavior) })
-		}
-	})
+	server := &fakeServer{connServer: connServer{listener: listenLocal(t)}, requests: make(chan *receivedRequest, 4096)}
+	server.start(func(conn net.Conn) { server.serve(conn, behavior) })
 	t.Cleanup(server.stop)
 	return server
 }
 
-func (s *fakeServer) serve(conn net.Conn, do serverBehavior) {
+// serve has the requests of a connection go to a behavior, until that ends it.
+func (s *fakeServer) serve(conn net.Conn, behavior serverBehavior) {
 	defer func() { _ = conn.Close() }()
 	in := bufio.NewReader(conn)
 	for {
@@ -66,25 +51,13 @@
 			return
 		}
 		s.requests <- &receivedRequest{r, string(body), conn}
-		if !do(conn, r, body) {
+		if !behavior(conn, r, body) {
 			return
 		}
 	}
 }
 
-func (s *fakeServer) stop() {
-	_ = s.listener.Close()
-	s.mu.Lock()
-	for _, c := range s.conns {
-		_ = c.Close()
-	}
-	s.mu.Unlock()
-	s.wg.Wait()
-}
-
-func (s *fakeServer) address() string { return s.listener.Addr().String() }
-
-// closedAddress is one where nobody listens, and that no other socket gets meanwhile.
+// closedAddress is an address where nobody listens, and that no other socket gets meanwhile.
 func closedAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -102,7 +75,7 @@
 	return fmt.Sprint("127.0.0.1:", at.(*unix.SockaddrInet4).Port)
 }
 
-// head is that of a proper answer to r.
+// head is that of a valid response to r.
 func head(r *http.Request, status int, more ...string) string {
 	text := fmt.Sprintf("HTTP/1.1 %d X\r\nX-Attempt-Id: %s\r\nX-Server-Seal: seal\r\n", status, r.Header.Get(headerAttemptID))
 	for _, m := range more {
@@ -111,7 +84,7 @@
 	return text
 }
 
-// respondWith answers with a status, headers and a body.
+// respondWith responds with a status, headers and a body.
 func respondWith(status int, body string, more ...string) serverBehavior {
 	return func(c net.Conn, r *http.Request, _ []byte) bool {
 		_, _ = fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", head(r, status, more...), len(body), body)
@@ -119,7 +92,17 @@
 	}
 }
 
-// respondRaw answers with a text in which ID stands for the request's id.
+// respondWhenReleased responds to requests with X-Wait once something comes from release, and to others at once.
+func respondWhenReleased(release <-chan bool) serverBehavior {
+	return func(c net.Conn, r *http.Request, body []byte) bool {
+		if r.Header.Get("X-Wait") != "" {
+			<-release
+		}
+		return respondWith(200, "x")(c, r, body)
+	}
+}
+
+// respondRaw responds with a text in which ID stands for the request's id.
 func respondRaw(text string, stays bool) serverBehavior {
 	return func(c net.Conn, r *http.Request, _ []byte) bool {
 		_, _ = io.WriteString(c, strings.ReplaceAll(text, "ID", r.Header.Get(headerAttemptID)))
@@ -127,20 +110,22 @@
 	}
 }
 
-// resetConn breaks the connection off without a word.
+// resetConn resets the connection.
 func resetConn(c net.Conn, _ *http.Request, _ []byte) bool {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	return false
 }
 
-// neverRespond never answers; it waits for the end of the connection.
+// neverRespond sends nothing and waits for the end of the connection.
 func neverRespond(c net.Conn, _ *http.Request, _ []byte) bool {
 	_, _ = c.Read(make([]byte, 1))
 	return false
 }
 
+// chunk is a text as a chunk of a body.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
+// chunkUnlessEmpty does so but for an empty text, which would end the body.
 func chunkUnlessEmpty(text string) string {
 	if text == "" {
 		return ""
@@ -148,27 +133,27 @@
 	return chunk(text)
 }
 
-// eventChunk is one eventChunk of a stream, as a chunk.
+// eventChunk is one event of a stream, as a chunk.
 func eventChunk(id int) string { return chunk(fmt.Sprintf("id: %d\ndata: d%d\n\n", id, id)) }
 
-// events answers with a stream of events; whole: it ends as complete.
-func respondEvents(from, to int, whole bool) serverBehavior {
+// respondEvents responds with a stream of events, which ends as complete or with the connection.
+func respondEvents(from, to int, complete bool) serverBehavior {
 	return func(c net.Conn, r *http.Request, _ []byte) bool {
 		_, _ = io.WriteString(c, head(r, 200, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")+"\r\n")
 		for id := from; id <= to; id++ {
 			_, _ = io.WriteString(c, eventChunk(id))
 		}
-		if whole {
+		if complete {
 			_, _ = io.WriteString(c, "0\r\n\r\n")
 		}
-		return whole
+		return complete
 	}
 }
 
-// respondEventsThen answers with events and then does something else.
-func respondEventsThen(from, to int, then serverBehavior) serverBehavior {
+// respondEventsThen responds with events from the first one on and then does something else.
+func respondEventsThen(to int, then serverBehavior) serverBehavior {
 	return func(c net.Conn, r *http.Request, body []byte) bool {
-		respondEvents(from, to, false)(c, r, body)
+		respondEvents(1, to, false)(c, r, body)
 		return then(c, r, body)
 	}
 }
@@ -181,7 +166,7 @@
 	}
 }
 
-// streamText is the events as a client is to see them.
+// streamText is the events as a client should get them.
 func streamText(from, to int) string {
 	var b strings.Builder
 	for id := from; id <= to; id++ {
--- a/internal/system/proxy/shutdown_test.go
+++ b/internal/system/proxy/shutdown_test.go
@@ -15,16 +15,11 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// TestDrain ends a proxy as planned: an idle connection is closed, a request that runs is answered and told that the
-// connection ends, a new one is served at first, and a connection that is refused later gets no request's loss.
+// TestDrain shuts a proxy down gracefully: an idle connection is closed, a request that runs is answered with the announcement
+// that the connection ends, a new one is served at first, and none is accepted afterwards.
 func TestDrain(t *testing.T) {
-	goOn := make(chan bool)
-	server := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		if r.Header.Get("X-Wait") != "" {
-			<-goOn
-		}
-		return respondWith(200, "x")(c, r, body)
-	})
+	release := make(chan bool)
+	server := startServer(t, respondWhenReleased(release))
 	proxy := startProxy(t, []*fakeServer{server}, func(o *Options, _ *config.Config) { o.GracePeriod = 3 * time.Second })
 	idle, busy, open := proxy.dial(t), proxy.dial(t), proxy.dial(t)
 	if got := idle.sendRequest("id-1", "").readResponse(); got.StatusCode != http.StatusOK || got.Close || !proxy.Ready() {
@@ -52,7 +47,7 @@
 	if n, err := idle.reader.ReadByte(); err != io.EOF {
 		t.Errorf("the idle connection: %v, error %v", n, err)
 	}
-	goOn <- true
+	release <- true
 	if got := busy.readResponse(); got.StatusCode != http.StatusOK || !got.Close || got.body != "x" {
 		t.Errorf("status %d, closing %v, body %q", got.StatusCode, got.Close, got.body)
 	}
@@ -62,11 +57,11 @@
 	}
 	proxy.serveErr <- nil
 	if _, err := new(net.Dialer).DialContext(t.Context(), "tcp4", proxy.address); err == nil {
-		t.Error("connections are taken still")
+		t.Error("connections are still accepted")
 	}
 }
 
-// TestDrainEndsUnanswered ends a proxy whose server does not answer: the end comes within the time given.
+// TestDrainEndsUnanswered shuts down a proxy whose server does not respond: it ends within the grace period.
 func TestDrainEndsUnanswered(t *testing.T) {
 	server := startServer(t, neverRespond)
 	proxy := startProxy(t, []*fakeServer{server}, func(o *Options, _ *config.Config) { o.GracePeriod = 400 * time.Millisecond })
@@ -82,7 +77,7 @@
 	}
 }
 
-// TestDrainBeforeServe has the end come first.
+// TestDrainBeforeServe has Drain called first.
 func TestDrainBeforeServe(t *testing.T) {
 	p := newProxy(Options{Log: &log.Logger{Handler: discard.New()}}, &fakePicker{})
 	p.Drain(context.Background())
