--- a/balance/allowance_test.go
+++ b/balance/allowance_test.go
@@ -12,19 +12,19 @@
 	set := settings()
 	set.PeerCount = 1000
 	set.Tenants = []Tenant{{"a", 500}, {"b", 500}}
-	b, h := start(t, set, pair())
+	b, recorder := start(t, set, pair())
 	rng := rand.New(rand.NewPCG(1, 1))
 	var all [2]float64
 	for range int(20 / tickInterval.Seconds()) {
-		h.now += tickInterval
-		b.Timer(h.now, tickToken)
+		recorder.now += tickInterval
+		b.Timer(recorder.now, tickToken)
 		for owed := rate * tickInterval.Seconds(); rng.Float64() < owed; owed-- {
 			i := 0
 			if rng.Float64() < second {
 				i = 1
 			}
 			all[i]++
-			if b.exceedsAllowance(i, h.now) {
+			if b.exceedsAllowance(i, recorder.now) {
 				over[i]++
 			}
 		}
@@ -33,7 +33,7 @@
 }
 
 func TestAllowanceOfManySidecars(t *testing.T) {
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		name         string
 		rate, second float64
 		low, high    [2]float64 // bounds of the shares that count as beyond
@@ -42,11 +42,11 @@
 		{"a busy sidecar", 10, .5, [2]float64{0, 0}, [2]float64{.35, .35}},
 		{"a tenant that takes the most", 10, .9, [2]float64{0, .2}, [2]float64{0, .6}},
 	} {
-		got := exceedingShares(t, tt.rate, tt.second)
+		got := exceedingShares(t, test.rate, test.second)
 		for i := range got {
-			if got[i] < tt.low[i] || got[i] > tt.high[i] {
-				t.Errorf("%s: %.2f of tenant %d is beyond its share, want %.2f to %.2f", tt.name, got[i], i, tt.low[i],
-					tt.high[i])
+			if got[i] < test.low[i] || got[i] > test.high[i] {
+				t.Errorf("%s: %.2f of tenant %d is beyond its share, want %.2f to %.2f", test.name, got[i], i, test.low[i],
+					test.high[i])
 			}
 		}
 	}
--- a/balance/api.go
+++ b/balance/api.go
@@ -65,12 +65,14 @@
 	ScopeCell
 )
 
-// Match is a part of a route table, as are Destination and Rule.
-type (
-	Match       = routes.Match
-	Destination = routes.Destination
-	Rule        = routes.Rule
-)
+// Match is the condition on tags in a rule of a route table.
+type Match = routes.Match
+
+// Destination is a weighted group of endpoints in a rule.
+type Destination = routes.Destination
+
+// Rule is one rule of a route table.
+type Rule = routes.Rule
 
 // State is what discovery says of an endpoint.
 type State int
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -6,12 +6,12 @@
 )
 
 func BenchmarkRequest(b *testing.B) {
-	bal, h := start(b, settings(), pair())
+	bal, recorder := start(b, settings(), pair())
 	b.ReportAllocs()
 	for i := range b.N {
-		h.sent = h.sent[:0]
-		h.now += 10 * time.Millisecond
-		bal.Request(h.now, Request{ID: RequestID(i), Tenant: -1, TimeLeft: time.Second})
-		bal.Result(h.now, Result{ID: RequestID(i), Endpoint: h.sent[0].to, Latency: time.Millisecond, Finished: true})
+		recorder.sent = recorder.sent[:0]
+		recorder.now += 10 * time.Millisecond
+		bal.Request(recorder.now, Request{ID: RequestID(i), Tenant: -1, TimeLeft: time.Second})
+		bal.Result(recorder.now, Result{ID: RequestID(i), Endpoint: recorder.sent[0].to, Latency: time.Millisecond, Finished: true})
 	}
 }
--- a/balance/discovery.go
+++ b/balance/discovery.go
@@ -72,29 +72,29 @@
 
 // updateEndpoint takes over an entry of the list.
 func (b *Balancer) updateEndpoint(entry Endpoint, now Time) {
-	e := b.byID[entry.ID]
-	if e == nil {
+	updated := b.byID[entry.ID]
+	if updated == nil {
 		if entry.State == Removed {
 			return
 		}
-		e = &endpoint{}
-		b.byID[entry.ID] = e
+		updated = &endpoint{}
+		b.byID[entry.ID] = updated
 	}
-	if e.inGroup == nil || e.Zone != entry.Zone || e.Kind != entry.Kind {
-		b.joinGroups(e, entry)
+	if updated.inGroup == nil || updated.Zone != entry.Zone || updated.Kind != entry.Kind {
+		b.joinGroups(updated, entry)
 	}
-	e.zoneIndex = ownZone
+	updated.zoneIndex = ownZone
 	if entry.Zone != b.settings.Zone {
-		e.zoneIndex = otherZones
+		updated.zoneIndex = otherZones
 	}
-	if entry.Started != e.Started {
+	if entry.Started != updated.Started {
 		// A new process, though under the same id. One whose machine's clock is ahead has started by now all the
 		// same; it would count as warming up until this clock has caught up.
-		b.resetEndpoint(e, min(entry.Started, now))
+		b.resetEndpoint(updated, min(entry.Started, now))
 	}
-	_, e.outOfService = b.outOfService[entry.ID]
-	e.Endpoint = entry
-	e.Size = cmp.Or(max(entry.Size, 0), defaultSize)
+	_, updated.outOfService = b.outOfService[entry.ID]
+	updated.Endpoint = entry
+	updated.Size = cmp.Or(max(entry.Size, 0), defaultSize)
 }
 
 // relistEndpoints lists the endpoints that are not removed, by id, and forgets removed ones without attempts
--- a/balance/golden_trace_test.go
+++ b/balance/golden_trace_test.go
@@ -173,28 +173,28 @@
 // anyOperations drives three Balancers with operations drawn from the seed: all events, lists, rules, members' reports and clients.
 func anyOperations(t *testing.T, tr *goldenTrace, seed uint64) {
 	t.Helper()
-	d := newDriver(t, tr, seed)
+	driven := newDriver(t, tr, seed)
 	for range 12_000 {
-		d.now += time.Duration(d.rng.IntN(6)) * time.Millisecond
-		d.self = d.rng.IntN(len(d.sidecars))
-		d.ticks()
-		switch n := d.rng.IntN(400); {
-		case n < 120:
-			d.request()
-		case n < 360:
-			d.attemptEvent()
-		case n < 366:
-			d.changeList()
-		case n == 366:
-			d.takeOut()
-		case n == 367:
-			d.changeRules()
-		case n == 368:
-			d.meet()
-		case n < 372:
-			d.trouble()
-		case n < 374:
-			d.restartSidecar()
+		driven.now += time.Duration(driven.rng.IntN(6)) * time.Millisecond
+		driven.self = driven.rng.IntN(len(driven.sidecars))
+		driven.ticks()
+		switch choice := driven.rng.IntN(400); {
+		case choice < 120:
+			driven.request()
+		case choice < 360:
+			driven.attemptEvent()
+		case choice < 366:
+			driven.changeList()
+		case choice == 366:
+			driven.takeOut()
+		case choice == 367:
+			driven.changeRules()
+		case choice == 368:
+			driven.meet()
+		case choice < 372:
+			driven.trouble()
+		case choice < 374:
+			driven.restartSidecar()
 		}
 	}
 }
@@ -234,10 +234,10 @@
 	made map[RequestID]int
 }
 
-func (h *drivenHost) Send(id RequestID, endpoint string, _ time.Duration) {
-	h.d.open = append(h.d.open, drivenAttempt{self: h.self, id: id, attempt: h.made[id], to: endpoint, sent: h.d.now,
-		hung: h.d.rng.IntN(30) == 0})
-	h.made[id]++
+func (recorder *drivenHost) Send(id RequestID, endpoint string, _ time.Duration) {
+	recorder.d.open = append(recorder.d.open, drivenAttempt{self: recorder.self, id: id, attempt: recorder.made[id], to: endpoint, sent: recorder.d.now,
+		hung: recorder.d.rng.IntN(30) == 0})
+	recorder.made[id]++
 }
 func (*drivenHost) Cancel(RequestID, int)           {}
 func (*drivenHost) Refuse(RequestID, time.Duration) {}
@@ -248,16 +248,16 @@
 
 func newDriver(t *testing.T, tr *goldenTrace, seed uint64) *driver {
 	t.Helper()
-	d := &driver{t: t, tr: tr, rng: rand.New(rand.NewPCG(seed, 13)), now: time.Minute, failing: map[string]Outcome{}}
+	driven := &driver{t: t, tr: tr, rng: rand.New(rand.NewPCG(seed, 13)), now: time.Minute, failing: map[string]Outcome{}}
 	for i := range 14 {
-		d.list = append(d.list, Endpoint{ID: fmt.Sprint("s", i), Zone: []string{"x", "x", "y"}[i%3], Kind: []string{"big", "small"}[i%2],
+		driven.list = append(driven.list, Endpoint{ID: fmt.Sprint("s", i), Zone: []string{"x", "x", "y"}[i%3], Kind: []string{"big", "small"}[i%2],
 			Cell: i % 4, Size: []float64{1, 0.5, 2, 0}[i%4]})
 	}
 	for self := range 3 {
-		h := hitters.Defaults()
-		h.Origin = hitters.Key(seed, fmt.Sprint(self))
+		recorder := hitters.Defaults()
+		recorder.Origin = hitters.Key(seed, fmt.Sprint(self))
 		set := settings()
-		set.Seed, set.Index, set.PeerCount, set.Hitters = seed, self, 3, &h
+		set.Seed, set.Index, set.PeerCount, set.Hitters = seed, self, 3, &recorder
 		set.Zone = []string{"x", "x", "y"}[self]
 		set.Tenants = []Tenant{{"a", 30}, {"b", 5}}
 		set.CancelAllowed, set.SubscribeToDiscovery, set.DiscoveryDeadline = self != 1, self != 2, 10*time.Second
@@ -267,18 +267,18 @@
 			{Name: "once", Effect: AtMostOnce, LatencyTarget: time.Second, Deadline: 3 * time.Second, Value: 1, LateValue: 0.5},
 			{Name: "heavy", Effect: Idempotent, LatencyTarget: 2 * time.Second, Deadline: 5 * time.Second, Value: 1},
 		}
-		d.settings = append(d.settings, set)
-		d.sidecars = append(d.sidecars, d.started(self))
-		d.nextTick = append(d.nextTick, d.now+time.Duration(self)*30*time.Millisecond)
+		driven.settings = append(driven.settings, set)
+		driven.sidecars = append(driven.sidecars, driven.started(self))
+		driven.nextTick = append(driven.nextTick, driven.now+time.Duration(self)*30*time.Millisecond)
 	}
-	return d
+	return driven
 }
 
 // started is a sidecar's new process, that knows the list.
 func (d *driver) started(self int) *Balancer {
 	d.t.Helper()
-	h := &drivenHost{d: d, self: self, made: map[RequestID]int{}}
-	b, err := New(d.settings[self], tracedActions{h, d.tr, int64(self)})
+	recorder := &drivenHost{d: d, self: self, made: map[RequestID]int{}}
+	b, err := New(d.settings[self], tracedActions{recorder, d.tr, int64(self)})
 	if err != nil {
 		d.t.Fatal(err)
 	}
@@ -357,65 +357,65 @@
 	if len(d.open) == 0 {
 		return
 	}
-	i := d.rng.IntN(min(len(d.open), 90))
-	a := &d.open[i]
-	b := d.sidecars[a.self]
+	index := d.rng.IntN(min(len(d.open), 90))
+	subject := &d.open[index]
+	b := d.sidecars[subject.self]
 	switch d.rng.IntN(24) {
 	case 0:
-		b.BodyConsumed(a.id)
+		b.BodyConsumed(subject.id)
 	case 1, 2:
-		b.BodyComplete(d.now, a.id, time.Duration(200+d.rng.IntN(1000))*time.Millisecond)
+		b.BodyComplete(d.now, subject.id, time.Duration(200+d.rng.IntN(1000))*time.Millisecond)
 	case 3:
-		b.AnswerStarted(d.now, a.id, a.attempt)
+		b.AnswerStarted(d.now, subject.id, subject.attempt)
 	case 4:
 		if d.rng.IntN(4) == 0 {
-			b.ClientDisconnected(d.now, a.id)
+			b.ClientDisconnected(d.now, subject.id)
 		}
 	default:
-		d.end(i)
+		d.end(index)
 	}
 }
 
-func (d *driver) end(i int) {
-	a := d.open[i]
-	outcome, failing := d.failing[a.to]
+func (d *driver) end(index int) {
+	ended := d.open[index]
+	outcome, failing := d.failing[ended.to]
 	if !failing {
 		outcome = drivenOutcomes[d.rng.IntN(len(drivenOutcomes))]
 	}
-	if a.hung {
-		if d.now-a.sent < 12*time.Second {
+	if ended.hung {
+		if d.now-ended.sent < 12*time.Second {
 			return
 		}
 		outcome = TimedOut
 	}
-	if outcome == TimedOut && d.now-a.sent < 400*time.Millisecond {
+	if outcome == TimedOut && d.now-ended.sent < 400*time.Millisecond {
 		return
 	}
-	d.open = slices.Delete(d.open, i, i+1)
-	d.sidecars[a.self].Result(d.now, Result{ID: a.id, Attempt: a.attempt, Endpoint: a.to, Outcome: outcome, Latency: d.now - a.sent,
+	d.open = slices.Delete(d.open, index, index+1)
+	d.sidecars[ended.self].Result(d.now, Result{ID: ended.id, Attempt: ended.attempt, Endpoint: ended.to, Outcome: outcome, Latency: d.now - ended.sent,
 		Finished: outcome == Served || d.rng.IntN(20) == 0})
 }
 
 func (d *driver) changeList() {
-	e := &d.list[d.rng.IntN(len(d.list))]
+	changed := &d.list[d.rng.IntN(len(d.list))]
 	switch d.rng.IntN(5) {
 	case 0:
-		e.State = Draining
+		changed.State = Draining
 	case 1:
-		e.State = Removed
+		changed.State = Removed
 	case 2:
-		e.State, e.Started = Ready, d.now-time.Duration(d.rng.IntN(4000)-500)*time.Millisecond
+		changed.State, changed.Started = Ready, d.now-time.Duration(d.rng.IntN(4000)-500)*time.Millisecond
 	case 3:
-		e.Zone = []string{"x", "y"}[d.rng.IntN(2)]
+		changed.Zone = []string{"x", "y"}[d.rng.IntN(2)]
 	default:
-		e.State = Ready
+		changed.State = Ready
 	}
 	b := d.sidecars[d.self]
 	switch d.rng.IntN(6) {
 	case 0:
 		b.Endpoints(d.now, ListRefused, nil)
 	case 1:
-		b.Endpoints(d.now, ListChanges, []Endpoint{*e})
+		b.Endpoints(d.now, ListChanges, []Endpoint{*changed})
 	default:
 		for _, b := range d.sidecars {
 			b.Endpoints(d.now, ListFull, d.list)
@@ -505,32 +505,32 @@
 }
 
 // tracedSilence is a fleet of which a server falls silent, with members that tell each other, some servers cold.
-func tracedSilence(t *testing.T, tr *goldenTrace, seed uint64) {
+func tracedSilence(t *testing.T, trace *goldenTrace, seed uint64) {
 	t.Helper()
 	servers := fleet(12)
 	servers[1].Started, servers[5].Started = time.Minute-time.Second, time.Minute
-	f := newSimulatedFleet(t, 10+int(seed), servers, 120)
-	g := &reportExchange{fleet: f, reports: make([]signals.Report, len(f.sidecars))}
-	for self, b := range f.sidecars {
-		b.actions = tracedActions{b.actions, tr, int64(self)}
+	play := newSimulatedFleet(t, 10+int(seed), servers, 120)
+	g := &reportExchange{fleet: play, reports: make([]signals.Report, len(play.sidecars))}
+	for self, b := range play.sidecars {
+		b.actions = tracedActions{b.actions, trace, int64(self)}
 	}
 	run := func(until Time) {
-		for f.now < until {
+		for play.now < until {
 			g.round()
-			f.run(f.now + 200*time.Millisecond)
-			for _, b := range f.sidecars {
-				tr.kept(b.Snapshot(f.now))
+			play.run(play.now + 200*time.Millisecond)
+			for _, b := range play.sidecars {
+				trace.kept(b.Snapshot(play.now))
 			}
 		}
 	}
-	run(f.now + 14*time.Second)
-	f.introduce()
-	f.bad = "s0003"
-	run(f.now + 4*time.Second)
-	f.silent, f.bad = f.sidecars[0].inUse[0].ID, ""
-	run(f.now + 8*time.Second)
-	f.silent = ""
-	run(f.now + 6*time.Second)
+	run(play.now + 14*time.Second)
+	play.introduce()
+	play.bad = "s0003"
+	run(play.now + 4*time.Second)
+	play.silent, play.bad = play.sidecars[0].inUse[0].ID, ""
+	run(play.now + 8*time.Second)
+	play.silent = ""
+	run(play.now + 6*time.Second)
 }
 
 // goldenScenarios are what is traced.
--- a/balance/heavyclient_test.go
+++ b/balance/heavyclient_test.go
@@ -56,8 +56,8 @@
 	set := settings()
 	defaults := hitters.Defaults()
 	set.Hitters = &defaults
-	b, h := start(t, set, pair())
-	return &heavyPlay{t: t, b: b, h: h, window: defaults.Window}
+	b, recorder := start(t, set, pair())
+	return &heavyPlay{t: t, b: b, h: recorder, window: defaults.Window}
 }
 
 // run plays for some time, and counts what the heavy client and the others asked, and what was refused of each.
--- a/balance/hitters/detector.go
+++ b/balance/hitters/detector.go
@@ -50,7 +50,7 @@
 // clients whose state changed. The host calls it every Settings.Window.
 func (d *Detector) EndWindow(now Time) (own OriginReport, changed []Client) {
 	own = d.closeWindow(now)
-	_, next := d.largestTotals()
+	next := d.secondLargestTotal()
 	// One origin could hide all clients behind a total without bound.
 	f, tallies := d.sumReports(maxTotalRatio * next)
 	for _, t := range tallies {
--- a/balance/hitters/detector_test.go
+++ b/balance/hitters/detector_test.go
@@ -49,7 +49,7 @@
 
 // TestStates leads a client through all states.
 func TestStates(t *testing.T) {
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		name  string
 		loud  time.Duration // it has twice the upper bar
 		share float64       // and then that
@@ -64,7 +64,7 @@
 		{"under both", 2 * time.Second, 0.04, 3 * time.Second, Cooling},
 		{"forgotten", 2 * time.Second, 0.04, 7 * time.Second, Quiet},
 	} {
-		j, now, seq := judge(t), time.Minute, uint64(0)
+		detector, now, seq := judge(t), time.Minute, uint64(0)
 		with := func(share float64) map[uint64]Report {
 			words := map[uint64]Report{}
 			for o := range uint64(50) {
@@ -72,10 +72,10 @@
 			}
 			return words
 		}
-		roll(j, &now, &seq, tt.loud, with(0.16))
-		roll(j, &now, &seq, tt.quiet, with(tt.share))
-		if got := state(j, 1); got != tt.want {
-			t.Errorf("%s: %v, want %v", tt.name, got, tt.want)
+		roll(detector, &now, &seq, test.loud, with(0.16))
+		roll(detector, &now, &seq, test.quiet, with(test.share))
+		if got := state(detector, 1); got != test.want {
+			t.Errorf("%s: %v, want %v", test.name, got, test.want)
 		}
 	}
 }
@@ -91,21 +91,21 @@
 		for i := range news { // the same name is the same word
 			news[i].Report.Total += uint64(news[i].Start)
 		}
-		x, y := judge(t), judge(t)
+		once, shuffled := judge(t), judge(t)
 		for _, n := range news {
-			x.Receive(0, n)
+			once.Receive(0, n)
 		}
 		again := rapid.Permutation(append(slices.Clone(news), news...)).Draw(t, "again")
 		for _, n := range again {
-			y.Receive(0, n)
+			shuffled.Receive(0, n)
 		}
-		fx, sx := x.sumReports(math.MaxInt64)
-		fy, sy := y.sumReports(math.MaxInt64)
+		fx, sx := once.sumReports(math.MaxInt64)
+		fy, sy := shuffled.sumReports(math.MaxInt64)
 		if fx != fy || !slices.Equal(sx, sy) {
 			t.Fatalf("%+v %+v, in another order %+v %+v", fx, sx, fy, sy)
 		}
-		x.EndWindow(set.ReportTTL + 1)
-		if f, _ := x.sumReports(math.MaxInt64); f.total != 0 || x.Receive(0, OriginReport{Origin: 9, Age: set.ReportTTL + 1}) {
+		once.EndWindow(set.ReportTTL + 1)
+		if f, _ := once.sumReports(math.MaxInt64); f.total != 0 || once.Receive(0, OriginReport{Origin: 9, Age: set.ReportTTL + 1}) {
 			t.Fatalf("%+v counts after the bound", f)
 		}
 	})
@@ -132,10 +132,10 @@
 			words[uint64(i+2)] = r
 			alone.Receive(time.Minute, OriginReport{Origin: uint64(i + 2), Report: r})
 		}
-		j, now, seq := judge(t), time.Minute, uint64(0)
-		roll(j, &now, &seq, 3*time.Second, words)
-		_, next := alone.largestTotals()
-		for _, c := range j.clients {
+		detector, now, seq := judge(t), time.Minute, uint64(0)
+		roll(detector, &now, &seq, 3*time.Second, words)
+		next := alone.secondLargestTotal()
+		for _, c := range detector.clients {
 			if most := mostShare(alone, c.Key, maxTotalRatio*next); most < set.HighThreshold-1e-3 {
 				t.Fatalf("%d is %v, with a share of %v without the liar", c.Key, c.State, most)
 			}
@@ -163,21 +163,21 @@
 		served := rapid.Float64Range(0.3, 1).Draw(t, "served")
 		r := says(1_000_000, shares...)
 		r.Served = uint16(served * fullShare)
-		j, now, seq := judge(t), time.Minute, uint64(0)
+		detector, now, seq := judge(t), time.Minute, uint64(0)
 		words := map[uint64]Report{}
 		for o := range uint64(40) {
 			words[2+o] = r
 		}
-		roll(j, &now, &seq, 3*time.Second, words)
+		roll(detector, &now, &seq, 3*time.Second, words)
 		low, high := levelByTrial(shares, served*backoffFactor), levelByTrial(shares, served*growthFactor)
 		for i, s := range shares {
-			c := j.client(uint64(i + 1))
+			c := detector.client(uint64(i + 1))
 			if c.State != Heavy || c.AdmittedShare < low/s-0.01 && c.AdmittedShare < 1 || c.AdmittedShare > high/s+0.01 {
 				t.Fatalf("%v keeps %v of %v, want a level from %v to %v", c.State, c.AdmittedShare, s, low, high)
 			}
-			checkAdmitted(t, j, now, c)
+			checkAdmitted(t, detector, now, c)
 		}
-		if _, rejected := j.ShouldReject(now, true, 77, 1); rejected {
+		if _, rejected := detector.ShouldReject(now, true, 77, 1); rejected {
 			t.Fatal("one that is not heavy is rejected")
 		}
 	})
@@ -195,11 +195,11 @@
 }
 
 // checkAdmitted holds the requests of a heavy client that are not rejected against its share.
-func checkAdmitted(t *rapid.T, j *Detector, now Time, c *Client) {
+func checkAdmitted(t *rapid.T, j *Detector, now Time, client *Client) {
 	t.Helper()
 	admitted := 0
 	for id := range uint64(1000) {
-		after, rejected := j.ShouldReject(now, true, c.Key, id)
+		after, rejected := j.ShouldReject(now, true, client.Key, id)
 		if rejected != (after >= minRetryDelay && after < 2*minRetryDelay) {
 			t.Fatalf("rejected %v, to return after %v", rejected, after)
 		}
@@ -207,11 +207,11 @@
 			admitted++
 		}
 	}
-	if _, rejected := j.ShouldReject(now+set.ReportTTL, true, c.Key, 1); rejected {
+	if _, rejected := j.ShouldReject(now+set.ReportTTL, true, client.Key, 1); rejected {
 		t.Fatal("one is rejected by reports that are too old")
 	}
-	if math.Abs(float64(admitted)-1000*c.AdmittedShare) > 1 {
-		t.Fatalf("%d of 1000 admitted, want a share of %v", admitted, c.AdmittedShare)
+	if math.Abs(float64(admitted)-1000*client.AdmittedShare) > 1 {
+		t.Fatalf("%d of 1000 admitted, want a share of %v", admitted, client.AdmittedShare)
 	}
 }
 
@@ -220,17 +220,17 @@
 func TestRejectsUntilThereIsCapacity(t *testing.T) {
 	r := says(1_000_000, 0.3)
 	r.Served = uint16(0.8 * fullShare)
-	j, now, seq := judge(t), time.Minute, uint64(0)
+	detector, now, seq := judge(t), time.Minute, uint64(0)
 	words := map[uint64]Report{}
 	tell := func(r Report) {
 		for o := range uint64(40) {
 			words[2+o] = r
 		}
-		roll(j, &now, &seq, 3*time.Second, words)
+		roll(detector, &now, &seq, 3*time.Second, words)
 	}
 	gives := func(full bool) (n int) {
 		for id := range uint64(100) {
-			if _, yields := j.ShouldReject(now, full, 1, id); yields {
+			if _, yields := detector.ShouldReject(now, full, 1, id); yields {
 				n++
 			}
 		}
@@ -249,6 +249,6 @@
 	r.Served = fullShare
 	tell(r)
 	if n := gives(false); n > 0 {
-		t.Errorf("%d of 100 give way though there is room, they keep %v", n, j.client(1).AdmittedShare)
+		t.Errorf("%d of 100 give way though there is room, they keep %v", n, detector.client(1).AdmittedShare)
 	}
 }
--- a/balance/hitters/model_test.go
+++ b/balance/hitters/model_test.go
@@ -128,36 +128,36 @@
 	return sim.result()
 }
 
-func newSimulation(t *testing.T, s scenario, seed uint64) *simulation {
+func newSimulation(t *testing.T, played scenario, seed uint64) *simulation {
 	t.Helper()
 	settings := Defaults()
 	sim := &simulation{
-		scenario: s, rng: rand.New(rand.NewPCG(seed, 1)), high: settings.HighThreshold, window: settings.Window,
+		scenario: played, rng: rand.New(rand.NewPCG(seed, 1)), high: settings.HighThreshold, window: settings.Window,
 		detectors: make([]*Detector, sidecars), traffic: make([]float64, sidecars), popularity: make([]float64, clients),
 		isFlood: map[uint64]bool{}, mail: map[Time][]delivery{}, passing: 1, fullTo: -1,
 		capacity: room * perSide * sidecars * meanWork * step.Seconds(),
 	}
-	for i := range sim.detectors {
-		settings.Origin = uint64(i + 1)
+	for index := range sim.detectors {
+		settings.Origin = uint64(index + 1)
 		detector, err := New(&settings)
 		if err != nil {
 			t.Fatal(err)
 		}
-		sim.detectors[i] = detector
-		sim.traffic[i] = math.Exp(0.8 * sim.rng.NormFloat64())
+		sim.detectors[index] = detector
+		sim.traffic[index] = math.Exp(0.8 * sim.rng.NormFloat64())
 	}
 	skew, sum := 0.4+0.25*sim.rng.Float64(), 0.0
-	for i := range sim.popularity {
-		sum += math.Pow(float64(i+1), -skew)
-		sim.popularity[i] = sum
+	for index := range sim.popularity {
+		sum += math.Pow(float64(index+1), -skew)
+		sim.popularity[index] = sum
 	}
-	for i := 1; i < sidecars; i++ {
-		sim.traffic[i] += sim.traffic[i-1]
+	for index := 1; index < sidecars; index++ {
+		sim.traffic[index] += sim.traffic[index-1]
 	}
-	sim.base = perSide * sidecars * max(s.load, 1)
-	sim.flood = sim.base * s.share / (1 - s.share*float64(s.floods))
-	for i := range s.floods {
-		sim.isFlood[uint64(firstBad+i)] = true
+	sim.base = perSide * sidecars * max(played.load, 1)
+	sim.flood = sim.base * played.share / (1 - played.share*float64(played.floods))
+	for index := range played.floods {
+		sim.isFlood[uint64(firstBad+index)] = true
 	}
 	return sim
 }
@@ -283,7 +283,7 @@
 	sim.outcome.messages++
 	own.Report, _ = ParseReport(text)
 	for to := range judges {
-		if to != from && sim.rng.Float64() >= max(sim.loss, usualLoss) && !(sim.cut && to%2 != from%2) {
+		if to != from && sim.rng.Float64() >= max(sim.loss, usualLoss) && (!sim.cut || to%2 == from%2) {
 			at := sim.now + step*(1+Time(sim.rng.IntN(int(max(sim.late, 4*step)/step))))
 			sim.mail[at] = append(sim.mail[at], delivery{to, own, sim.now})
 		}
@@ -349,24 +349,24 @@
 
 // TestFleet plays each scenario and sums up: precision 0.99, recall 0.95 of clients over twice the bar, within 3 s.
 func TestFleet(t *testing.T) {
-	for _, tt := range scenarios {
-		t.Run(tt.name, func(t *testing.T) {
+	for _, test := range scenarios {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			o := tt.run(t, 7)
-			precision, recall := o.right/max(o.right+o.wrong, 1), o.held/max(o.over, 1)
+			got := test.run(t, 7)
+			precision, recall := got.right/max(got.right+got.wrong, 1), got.held/max(got.over, 1)
 			t.Logf("precision %.4f, recall %.3f, held after %v, sound ones served %.3f before and %.3f after, floods %.3f, %.0f bytes/s in %.1f messages/s told by a sidecar",
-				precision, recall, o.delay, o.calm, o.flooded, o.kept, o.bytes, o.messages)
-			if tt.floods == 0 {
-				if o.wrong > 0 {
-					t.Errorf("%v times a sound client was held for heavy", o.wrong)
+				precision, recall, got.delay, got.calm, got.flooded, got.kept, got.bytes, got.messages)
+			if test.floods == 0 {
+				if got.wrong > 0 {
+					t.Errorf("%v times a sound client was held for heavy", got.wrong)
 				}
 				return
 			}
-			if precision < 0.99 || recall < 0.95 || o.delay > 3*time.Second || o.over == 0 {
-				t.Errorf("precision %v, recall %v of %v, after %v", precision, recall, o.over, o.delay)
+			if precision < 0.99 || recall < 0.95 || got.delay > 3*time.Second || got.over == 0 {
+				t.Errorf("precision %v, recall %v of %v, after %v", precision, recall, got.over, got.delay)
 			}
-			if !tt.cut && tt.killed == 0 && o.calm-o.flooded > 0.02 {
-				t.Errorf("sound clients: %v served, %v in the flood", o.calm, o.flooded)
+			if !test.cut && test.killed == 0 && got.calm-got.flooded > 0.02 {
+				t.Errorf("sound clients: %v served, %v in the flood", got.calm, got.flooded)
 			}
 		})
 	}
@@ -375,7 +375,7 @@
 // full returns a Judge with as much to hold as it can have from some origins, and those words.
 func full(origins int) (*Detector, []OriginReport) {
 	settings := Defaults()
-	j, _ := New(&settings)
+	detector, _ := New(&settings)
 	words := make([]OriginReport, origins)
 	for i := range words {
 		r := Report{Total: 1_000_000, Requests: 100, Served: fullShare, Named: maxNamed}
@@ -384,7 +384,7 @@
 		}
 		words[i] = OriginReport{Origin: uint64(i + 1), Report: r}
 	}
-	return j, words
+	return detector, words
 }
 
 // TestMemory holds a Judge with 300 origins, and as many clients as there may be, to 64 kB.
@@ -410,43 +410,43 @@
 }
 
 func filled(words []OriginReport) *Detector {
-	j, _ := full(0)
+	detector, _ := full(0)
 	for range 3 {
 		for k := range uint64(10_000) {
-			j.Observe(k, time.Second, true)
+			detector.Observe(k, time.Second, true)
 		}
-		j.closeWindow(0)
+		detector.closeWindow(0)
 	}
 	for k := range uint64(2 * maxClients) {
-		j.storeClient(&Client{Key: k, State: Heavy, Name: string(make([]byte, maxNameBytes))})
+		detector.storeClient(&Client{Key: k, State: Heavy, Name: string(make([]byte, maxNameBytes))})
 	}
 	for _, n := range words {
-		j.Receive(0, n)
+		detector.Receive(0, n)
 	}
-	return j
+	return detector
 }
 
 // BenchmarkSecond is what a sidecar does in a second, with 300 others and a thousand requests of as many clients.
 func BenchmarkSecond(b *testing.B) {
-	j, words := full(sidecars)
+	detector, words := full(sidecars)
 	texts := make([][]byte, len(words))
 	for i, n := range words {
 		texts[i] = n.Report.Append(nil)
 	}
 	now := Time(0)
 	for b.Loop() {
-		for range time.Second / j.settings.Window {
-			now += j.settings.Window
+		for range time.Second / detector.settings.Window {
+			now += detector.settings.Window
 			for i, n := range words {
 				n.Seq, n.Report = uint64(now), Report{}
 				n.Report, _ = ParseReport(texts[i])
-				j.Receive(now, n)
+				detector.Receive(now, n)
 			}
 			for k := range uint64(500) {
-				j.ShouldReject(now, true, k, k)
-				j.Observe(k+uint64(now), time.Millisecond, true)
+				detector.ShouldReject(now, true, k, k)
+				detector.Observe(k+uint64(now), time.Millisecond, true)
 			}
-			j.EndWindow(now)
+			detector.EndWindow(now)
 		}
 	}
 }
--- a/balance/hitters/observations.go
+++ b/balance/hitters/observations.go
@@ -59,12 +59,12 @@
 
 // store holds a report for its origin, unless a later one is held that counts.
 func (d *Detector) store(now Time, r OriginReport) bool {
-	i, held := slices.BinarySearchFunc(d.reports, r.Origin, func(s *storedReport, origin uint64) int {
+	index, held := slices.BinarySearchFunc(d.reports, r.Origin, func(s *storedReport, origin uint64) int {
 		return cmp.Compare(s.origin, origin)
 	})
 	switch {
 	case held:
-		if !d.reports[i].isSuperseded(now, r, d.settings.ReportTTL) {
+		if !d.reports[index].isSuperseded(now, r, d.settings.ReportTTL) {
 			return false
 		}
 	case len(d.reports) >= maxOrigins:
@@ -73,9 +73,9 @@
 		if len(d.reports) == cap(d.reports) {
 			d.reports = slices.Grow(d.reports, reportsGrowth)
 		}
-		d.reports = slices.Insert(d.reports, i, &storedReport{})
+		d.reports = slices.Insert(d.reports, index, &storedReport{})
 	}
-	*d.reports[i] = storedReport{origin: r.Origin, start: r.Start, seq: r.Seq, madeAt: now - r.Age, Report: r.Report}
+	*d.reports[index] = storedReport{origin: r.Origin, start: r.Start, seq: r.Seq, madeAt: now - r.Age, Report: r.Report}
 	return true
 }
 
@@ -111,17 +111,18 @@
 	largestOther uint64 // of the total, by the one other origin that reports most of it
 }
 
-// largestTotals returns the largest total that another origin reported, and the next of all.
-func (d *Detector) largestTotals() (first, next uint64) {
+// secondLargestTotal is the largest total but for the largest of another origin.
+func (d *Detector) secondLargestTotal() (second uint64) {
+	var largest uint64
 	for _, r := range d.reports {
 		if r.origin == d.settings.Origin {
-			next = max(next, r.Total)
+			second = max(second, r.Total)
 			continue
 		}
-		next = max(next, min(first, r.Total))
-		first = max(first, r.Total)
+		second = max(second, min(largest, r.Total))
+		largest = max(largest, r.Total)
 	}
-	return first, next
+	return second
 }
 
 // cappedTotal is what a report's total counts for.
--- a/balance/hitters/summary_test.go
+++ b/balance/hitters/summary_test.go
@@ -41,7 +41,7 @@
 // TestStrangersKeys floods a sidecar with a million clients, some nameless or with long names, beside one with a tenth
 // of the work: it is named, and memory stays.
 func TestStrangersKeys(t *testing.T) {
-	j, err := New(&set)
+	detector, err := New(&set)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,16 +49,16 @@
 	heavy := Key(0, "")
 	allocs := testing.AllocsPerRun(1, func() {
 		for i := range 1_000_000 {
-			if j.Observe(uint64(i)*0x9e3779b97f4a7c15, 9*time.Millisecond, true); i%10 == 0 {
-				j.Observe(heavy, 10*time.Millisecond, true)
+			if detector.Observe(uint64(i)*0x9e3779b97f4a7c15, 9*time.Millisecond, true); i%10 == 0 {
+				detector.Observe(heavy, 10*time.Millisecond, true)
 			}
 			if i%1000 == 0 {
 				long[i%len(long)]++
-				j.Observe(Key(0, string(long)), 9*time.Millisecond, true)
+				detector.Observe(Key(0, string(long)), 9*time.Millisecond, true)
 			}
 		}
 	})
-	own, _ := j.EndWindow(set.Window)
+	own, _ := detector.EndWindow(set.Window)
 	if r := own.Report; r.Named == 0 || r.Keys[0] != heavy || r.Shares[0]+r.Err < fullShare/11 || r.Err > fullShare/50 {
 		t.Errorf("a tenth of the work is told as %+v", r)
 	}
--- a/balance/invariants_host_test.go
+++ b/balance/invariants_host_test.go
@@ -45,39 +45,39 @@
 func (c *checker) Send(id RequestID, to string, timeout time.Duration) {
 	c.sends++
 	c.actions = append(c.actions, fmt.Sprint("send ", id, to))
-	r, s := c.requests[id], c.servers[to]
-	if r == nil || r.ended {
+	sent, target := c.requests[id], c.servers[to]
+	if sent == nil || sent.ended {
 		c.violation("rule 1: send for request %d, which is over", id)
 		return
 	}
-	if s == nil || !s.listed || s.State != Ready {
+	if target == nil || !target.listed || target.State != Ready {
 		c.violation("rule 3: send to %s, which is not ready", to)
 		return
 	}
 	if timeout < 0 {
 		c.violation("negative timeout")
 	}
-	if len(r.attempts) >= c.set.MaxAttempts {
-		c.violation("attempt %d", len(r.attempts))
+	if len(sent.attempts) >= c.set.MaxAttempts {
+		c.violation("attempt %d", len(sent.attempts))
 	}
-	for _, a := range r.attempts {
+	for _, a := range sent.attempts {
 		if !a.done {
 			c.violation("rule 2: second copy of %d", id)
 		}
-		if a.done && !a.ran || r.class.Effect == Idempotent {
+		if a.done && !a.ran || sent.class.Effect == Idempotent {
 			continue
 		}
 		first := c.servers[a.to]
 		switch {
-		case r.class.Effect == AtMostOnce:
+		case sent.class.Effect == AtMostOnce:
 			c.violation("rule 2: at-most-once request %d again", id)
-		case c.now-a.sent >= r.class.DedupeWindow:
+		case c.now-a.sent >= sent.class.DedupeWindow:
 			c.violation("rule 2: request %d again after its window", id)
-		case r.class.Scope == ScopeZone && first.Zone != s.Zone, r.class.Scope == ScopeCell && first.Cell != s.Cell:
+		case sent.class.Scope == ScopeZone && first.Zone != target.Zone, sent.class.Scope == ScopeCell && first.Cell != target.Cell:
 			c.violation("rule 2: request %d again outside its scope", id)
 		}
 	}
-	r.attempts = append(r.attempts, modelAttempt{to: to, sent: c.now})
+	sent.attempts = append(sent.attempts, modelAttempt{to: to, sent: c.now})
 }
 
 func (c *checker) final(id RequestID) *modelRequest {
--- a/balance/invariants_test.go
+++ b/balance/invariants_test.go
@@ -17,14 +17,14 @@
 // playDayOn is playDay with a host that may stand between the checker and the Balancer.
 func playDayOn(t testing.TB, seed uint64, steps int, host func(*checker) Actions) *checker {
 	t.Helper()
-	d := newDay(t, seed, host)
+	drawn := newDay(t, seed, host)
 	for range steps {
-		d.step()
+		drawn.step()
 	}
-	if len(d.b.requests) > len(d.c.requests) {
-		d.c.violation("%d requests are still known, %d are open", len(d.b.requests), len(d.c.requests))
+	if len(drawn.b.requests) > len(drawn.c.requests) {
+		drawn.c.violation("%d requests are still known, %d are open", len(drawn.b.requests), len(drawn.c.requests))
 	}
-	return d.c
+	return drawn.c
 }
 
 // day is one sidecar with drawn requests, lists and failures.
@@ -48,20 +48,20 @@
 
 func newDay(t testing.TB, seed uint64, host func(*checker) Actions) *day {
 	t.Helper()
-	d := &day{rng: rand.New(rand.NewPCG(seed, 7)), failing: map[string]Outcome{}}
-	set := d.drawSettings(seed)
-	d.c = &checker{set: set, now: time.Minute, requests: map[RequestID]*modelRequest{}, servers: map[string]*modelServer{}, timers: map[Time][]uint64{}}
-	b, err := New(set, host(d.c))
+	drawn := &day{rng: rand.New(rand.NewPCG(seed, 7)), failing: map[string]Outcome{}}
+	set := drawn.drawSettings(seed)
+	drawn.c = &checker{set: set, now: time.Minute, requests: map[RequestID]*modelRequest{}, servers: map[string]*modelServer{}, timers: map[Time][]uint64{}}
+	b, err := New(set, host(drawn.c))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.b = b
-	for i := range 1 + d.rng.IntN(8) {
-		d.list = append(d.list, Endpoint{ID: fmt.Sprint("s", i), Zone: set.Zones[d.rng.IntN(2)], Kind: set.Kinds[d.rng.IntN(2)],
-			Cell: d.rng.IntN(2), Size: 1})
+	drawn.b = b
+	for i := range 1 + drawn.rng.IntN(8) {
+		drawn.list = append(drawn.list, Endpoint{ID: fmt.Sprint("s", i), Zone: set.Zones[drawn.rng.IntN(2)], Kind: set.Kinds[drawn.rng.IntN(2)],
+			Cell: drawn.rng.IntN(2), Size: 1})
 	}
-	d.notify(ListCached, d.list)
-	return d
+	drawn.notify(ListCached, drawn.list)
+	return drawn
 }
 
 // flip is true with a probability.
@@ -221,21 +221,21 @@
 func (d *day) end() {
 	drawn := d.endings
 	d.endings = nil
-	for _, e := range drawn {
-		if e.at > d.c.now {
-			d.endings = append(d.endings, e)
+	for _, next := range drawn {
+		if next.at > d.c.now {
+			d.endings = append(d.endings, next)
 			continue
 		}
-		r := d.c.requests[e.id]
-		a := &r.attempts[e.attempt]
-		a.done, a.ran = true, e.outcome != Saturated && e.outcome != ConnectFailed && e.outcome != NotSent
-		if e.outcome == Served {
+		r := d.c.requests[next.id]
+		a := &r.attempts[next.attempt]
+		a.done, a.ran = true, next.outcome != Saturated && next.outcome != ConnectFailed && next.outcome != NotSent
+		if next.outcome == Served {
 			r.ended = true
 		}
-		result := Result{ID: e.id, Attempt: e.attempt, Endpoint: a.to, Outcome: e.outcome, Latency: d.c.now - a.sent, Finished: r.ended}
+		result := Result{ID: next.id, Attempt: next.attempt, Endpoint: a.to, Outcome: next.outcome, Latency: d.c.now - a.sent, Finished: r.ended}
 		d.b.Result(d.c.now, result)
 		if d.flip(.02) { // reported twice
-			d.b.Result(d.c.now, Result{ID: e.id, Attempt: e.attempt, Endpoint: a.to, Outcome: e.outcome})
+			d.b.Result(d.c.now, Result{ID: next.id, Attempt: next.attempt, Endpoint: a.to, Outcome: next.outcome})
 		}
 	}
 }
--- a/balance/latency_test.go
+++ b/balance/latency_test.go
@@ -8,19 +8,19 @@
 
 func TestSlowedEndpointLosesTurnsBeforeItAnswers(t *testing.T) {
 	// Both endpoints answered in 200 ms each; then "a" is stuck with two requests, for less time than the bar.
-	b, h := start(t, settings(), pair())
-	serve(b, h, 20, 200*time.Millisecond)
+	b, recorder := start(t, settings(), pair())
+	serve(b, recorder, 20, 200*time.Millisecond)
 	for i := range RequestID(4) {
-		if to := ask(b, h, i); to == "b" {
-			b.Result(h.now, Result{ID: i, Endpoint: to, Latency: 200 * time.Millisecond, Finished: true})
+		if to := ask(b, recorder, i); to == "b" {
+			b.Result(recorder.now, Result{ID: i, Endpoint: to, Latency: 200 * time.Millisecond, Finished: true})
 		}
 	}
 	if b.byID["a"].inFlight == 0 {
 		t.Fatal("nothing is out at the endpoint")
 	}
-	before := b.expectedLatency(b.byID["a"], h.now)
-	h.now += 600 * time.Millisecond
-	if after := b.expectedLatency(b.byID["a"], h.now); after < before*1.2 {
+	before := b.expectedLatency(b.byID["a"], recorder.now)
+	recorder.now += 600 * time.Millisecond
+	if after := b.expectedLatency(b.byID["a"], recorder.now); after < before*1.2 {
 		t.Errorf("a stuck endpoint is expected to answer in %.3f s, %.3f before", after, before)
 	}
 }
@@ -30,19 +30,19 @@
 	// never used must not be expected to be slower than the big ones.
 	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 2}, {ID: "b", Zone: "x", Kind: "small", Size: 1},
 		{ID: "c", Zone: "x", Kind: "small", Size: 1}}
-	b, h := start(t, settings(), list)
+	b, recorder := start(t, settings(), list)
 	for i := range RequestID(60) {
-		to := ask(b, h, i)
+		to := ask(b, recorder, i)
 		took := 600 * time.Millisecond
 		if to != "a" || i < 10 {
 			took = 50 * time.Millisecond
 		}
-		h.now += took
-		b.Result(h.now, Result{ID: i, Endpoint: to, Latency: took, Finished: true})
+		recorder.now += took
+		b.Result(recorder.now, Result{ID: i, Endpoint: to, Latency: took, Finished: true})
 	}
 	unused := b.byID["c"]
 	unused.latencySum, unused.loadSum = 0, 0
-	if got := b.expectedLatency(unused, h.now); got > 0.15 {
+	if got := b.expectedLatency(unused, recorder.now); got > 0.15 {
 		t.Errorf("an unused endpoint of a quick group is expected to take %.3f s", got)
 	}
 }
@@ -50,17 +50,17 @@
 func TestGroupIsJudgedByWhatItOwes(t *testing.T) {
 	// Three endpoints of one group, quick so far, hold a request each for half a second: the fourth, idle and never
 	// heard of, is not expected to be quick either.
-	b, h := start(t, settings(), fleet(4))
-	serve(b, h, 40, 20*time.Millisecond)
+	b, recorder := start(t, settings(), fleet(4))
+	serve(b, recorder, 40, 20*time.Millisecond)
 	for i := range RequestID(3) {
-		ask(b, h, i)
+		ask(b, recorder, i)
 	}
 	idle := b.endpoints[slices.IndexFunc(b.endpoints, func(e *endpoint) bool { return e.inFlight == 0 })]
 	idle.latencySum, idle.loadSum = 0, 0
-	before := b.expectedLatency(idle, h.now)
-	h.now += tickInterval * 5
-	b.Timer(h.now, tickToken)
-	if after := b.expectedLatency(idle, h.now); after < 1.3*before {
+	before := b.expectedLatency(idle, recorder.now)
+	recorder.now += tickInterval * 5
+	b.Timer(recorder.now, tickToken)
+	if after := b.expectedLatency(idle, recorder.now); after < 1.3*before {
 		t.Errorf("%.4f s are expected of it while its peers owe answers, %.4f before", after, before)
 	}
 }
@@ -68,7 +68,7 @@
 // TestWarmingUpEndpointIgnoresOverloadedPeers has all warm endpoints answer too late while a fresh one does not.
 func TestWarmingUpEndpointIgnoresOverloadedPeers(t *testing.T) {
 	bar := time.Duration(refusalThreshold * float64(settings().Classes[0].LatencyTarget))
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		name string
 		took time.Duration // by the fresh endpoint's answers; 0: it has given none
 		open bool
@@ -77,18 +77,18 @@
 		{"quick answers of its own", bar / 4, true},
 		{"late answers of its own", 2 * bar, false},
 	} {
-		b, h := start(t, settings(), pair())
-		serve(b, h, 40, 2*bar)
-		b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "c", Zone: "x", Kind: "big", Size: 1, Started: h.now}})
+		b, recorder := start(t, settings(), pair())
+		serve(b, recorder, 40, 2*bar)
+		b.Endpoints(recorder.now, ListChanges, []Endpoint{{ID: "c", Zone: "x", Kind: "big", Size: 1, Started: recorder.now}})
 		fresh := b.byID["c"]
-		if n := 20.0; tt.took > 0 {
-			fresh.latencySum, fresh.loadSum, fresh.freshness = n*tt.took.Seconds(), n*(1+unseenLoad), 1
+		if n := 20.0; test.took > 0 {
+			fresh.latencySum, fresh.loadSum, fresh.freshness = n*test.took.Seconds(), n*(1+unseenLoad), 1
 		}
-		if got := b.expectedLatency(fresh, h.now); got <= bar.Seconds() != tt.open {
-			t.Errorf("%s: it is expected to answer in %.2f s, and its peers are full at %.2f s", tt.name, got, bar.Seconds())
+		if got := b.expectedLatency(fresh, recorder.now); got <= bar.Seconds() != test.open {
+			t.Errorf("%s: it is expected to answer in %.2f s, and its peers are full at %.2f s", test.name, got, bar.Seconds())
 		}
-		if got := b.expectedLatency(b.byID["a"], h.now); got <= bar.Seconds() {
-			t.Errorf("%s: a jammed warm endpoint is expected to answer in %.2f s", tt.name, got)
+		if got := b.expectedLatency(b.byID["a"], recorder.now); got <= bar.Seconds() {
+			t.Errorf("%s: a jammed warm endpoint is expected to answer in %.2f s", test.name, got)
 		}
 	}
 }
@@ -97,22 +97,22 @@
 // how long the others take.
 func TestSilentEndpointsDoNotSlowTheirPeers(t *testing.T) {
 	took := 100 * time.Millisecond
-	b, h := start(t, settings(), fleet(4))
-	serve(b, h, 40, took)
+	b, recorder := start(t, settings(), fleet(4))
+	serve(b, recorder, 40, took)
 	for i := range RequestID(40) {
-		h.now += 20 * time.Millisecond
-		to := ask(b, h, i+1)
+		recorder.now += 20 * time.Millisecond
+		to := ask(b, recorder, i+1)
 		r := Result{ID: i + 1, Endpoint: to, Latency: took, Finished: true}
 		if to == "s0000" || to == "s0001" {
 			r.Outcome, r.Latency = TimedOut, 3*time.Second
 		}
-		b.Result(h.now, r)
+		b.Result(recorder.now, r)
 	}
-	if got := b.expectedLatency(b.byID["s0002"], h.now); got > 1.5*took.Seconds() {
+	if got := b.expectedLatency(b.byID["s0002"], recorder.now); got > 1.5*took.Seconds() {
 		t.Errorf("an endpoint that answers in %v is expected to take %.2f s, since others are silent", took, got)
 	}
-	b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "s0009", Zone: "x", Kind: "big", Size: 1}})
-	if got := b.expectedLatency(b.byID["s0009"], h.now); got > 1.5*took.Seconds() {
+	b.Endpoints(recorder.now, ListChanges, []Endpoint{{ID: "s0009", Zone: "x", Kind: "big", Size: 1}})
+	if got := b.expectedLatency(b.byID["s0009"], recorder.now); got > 1.5*took.Seconds() {
 		t.Errorf("an endpoint not used yet is expected to take %.2f s, since others are silent", got)
 	}
 }
--- a/balance/log_test.go
+++ b/balance/log_test.go
@@ -13,16 +13,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, h := start(t, settings(), pair())
+	b, recorder := start(t, settings(), pair())
 	for i := range RequestID(8) {
-		if to := ask(b, h, i); to != "" {
-			b.Result(h.now, Result{ID: i, Endpoint: to, Outcome: Errored, Latency: time.Millisecond, Finished: true})
+		if to := ask(b, recorder, i); to != "" {
+			b.Result(recorder.now, Result{ID: i, Endpoint: to, Outcome: Errored, Latency: time.Millisecond, Finished: true})
 		}
 	}
-	if len(h.logs) == 0 {
+	if len(recorder.logs) == 0 {
 		t.Fatal("failing endpoints left no log line")
 	}
-	for _, line := range h.logs {
+	for _, line := range recorder.logs {
 		for _, e := range b.endpoints {
 			line = strings.ReplaceAll(line, " "+e.ID, " 10.0.0.1:8080")
 		}
--- a/balance/members_test.go
+++ b/balance/members_test.go
@@ -11,50 +11,56 @@
 // settledSidecar starts a sidecar whose traffic is little and known.
 func settledSidecar(t *testing.T, self, peers, servers int) (*Balancer, *host) {
 	t.Helper()
-	b, h := sidecar(t, self, peers, fleet(servers))
+	b, recorder := sidecar(t, self, peers, fleet(servers))
 	if b.TrafficLevel() != 0 {
 		t.Fatalf("level %d before the traffic is known", b.TrafficLevel())
 	}
-	for h.now = levelInterval; b.TrafficLevel() == 0; h.now += levelInterval {
+	for recorder.now = levelInterval; b.TrafficLevel() == 0; recorder.now += levelInterval {
 		b.arrivals = 1
-		b.Timer(h.now, tickToken)
+		b.Timer(recorder.now, tickToken)
 	}
-	return b, h
+	return b, recorder
 }
 
 // TestMembersGiveSubsetsTheirPlaces: sidecars that know their places among those alike use each server equally often, and do
 // what they did alone once they know them no more, or are told what cannot be.
 func TestMembersGiveSubsetsTheirPlaces(t *testing.T) {
 	const peers, servers = 30, 60
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		name      string
 		level     int  // of the peers; 0: not known
 		odd       bool // every second peer is unlike
 		exactUses bool
 	}{{"levels known", 1, false, true}, {"by number", 0, false, true}, {"every second unlike", 1, true, false}} {
-		t.Run(tt.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			users := map[string]int{}
 			for self := range peers {
-				if tt.odd && self%2 == 1 {
+				if test.odd && self%2 == 1 {
 					continue
 				}
-				for _, id := range placeAmong(t, self, peers, servers, tt.level, tt.odd) {
+				for _, id := range placeAmong(t, self, peers, servers, test.level, test.odd) {
 					users[id]++
 				}
 			}
-			for _, e := range fleet(servers) {
-				if n, want := users[e.ID], peers*minSubset/servers; n != want && tt.exactUses || n > want {
-					t.Errorf("%s is used by %d sidecars, want %d", e.ID, n, want)
-				}
-			}
+			checkUsers(t, users, fleet(servers), peers*minSubset/servers, test.exactUses)
 		})
 	}
 }
 
+// checkUsers holds how many sidecars use each server against what they should, or may at the most.
+func checkUsers(t *testing.T, users map[string]int, list []Endpoint, want int, exact bool) {
+	t.Helper()
+	for _, e := range list {
+		if count := users[e.ID]; count > want || exact && count != want {
+			t.Errorf("%s is used by %d sidecars, want %d", e.ID, count, want)
+		}
+	}
+}
+
 // placeAmong returns what a sidecar uses as a member, and checks that it uses what it did alone once it is none.
 func placeAmong(t *testing.T, self, peers, servers, level int, odd bool) []string {
 	t.Helper()
-	b, h := settledSidecar(t, 0, 1, servers) // all of one number: alone, all use the same
+	b, recorder := settledSidecar(t, 0, 1, servers) // all of one number: alone, all use the same
 	all := make([]Peer, peers)
 	for i := range all {
 		all[i] = Peer{b.settings.Zone, level * b.TrafficLevel()}
@@ -63,14 +69,14 @@
 		}
 	}
 	alone := ids(b.inUse)
-	b.SetMembers(h.now, self, all)
+	b.SetMembers(recorder.now, self, all)
 	if got, want := b.turnPosition(), (turns.Position{Index: self, Count: peers}); got != want {
 		t.Fatalf("turns go by %v, want %v", got, want)
 	}
 	used := ids(b.inUse)
 	for _, wrong := range []int{-1, peers} {
-		b.SetMembers(h.now, self, all)
-		if b.SetMembers(h.now, wrong, all); !slices.Equal(ids(b.inUse), alone) {
+		b.SetMembers(recorder.now, self, all)
+		if b.SetMembers(recorder.now, wrong, all); !slices.Equal(ids(b.inUse), alone) {
 			t.Errorf("number %d of %d, and uses %v; want %v as alone", wrong, peers, ids(b.inUse), alone)
 		}
 	}
@@ -85,14 +91,14 @@
 	const peers, servers, gone = 60, 120, 12
 	users := map[string]int{}
 	for self := range peers {
-		b, h := settledSidecar(t, self, peers, servers)
+		b, recorder := settledSidecar(t, self, peers, servers)
 		for _, e := range b.endpoints[:gone] {
-			e.ejectedUntil = h.now + time.Minute
+			e.ejectedUntil = recorder.now + time.Minute
 		}
-		b.SetMembers(h.now, self, make([]Peer, peers))
+		b.SetMembers(recorder.now, self, make([]Peer, peers))
 		working := 0
 		for _, e := range b.inUse {
-			if h.now >= e.ejectedUntil {
+			if recorder.now >= e.ejectedUntil {
 				users[e.ID]++
 				working++
 			}
@@ -125,22 +131,22 @@
 func measureSpread(t *testing.T, members bool) (most, churn float64) {
 	t.Helper()
 	const sidecars, servers, rate, seconds = 100, 100, 170, 300
-	f := newSimulatedFleet(t, sidecars, fleet(servers), rate)
-	f.run(f.now + 26*time.Second)
+	play := newSimulatedFleet(t, sidecars, fleet(servers), rate)
+	play.run(play.now + 26*time.Second)
 	used := make([]map[string]bool, sidecars)
 	for second := range seconds {
 		if members {
-			f.introduce()
+			play.introduce()
 		}
-		f.run(f.now + time.Second)
-		came := f.updateUsed(used)
+		play.run(play.now + time.Second)
+		came := play.updateUsed(used)
 		if second > 0 {
 			churn += came
 		}
 	}
 	var got []int
-	for _, sent := range f.sent {
-		first, _ := slices.BinarySearch(sent, f.now-(seconds-5)*time.Second)
+	for _, sent := range play.sent {
+		first, _ := slices.BinarySearch(sent, play.now-(seconds-5)*time.Second)
 		got = append(got, len(sent)-first)
 	}
 	most = float64(slices.Max(got)) / (rate * (seconds - 5) / servers)
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -9,19 +9,19 @@
 func TestFastFailureIsEjected(t *testing.T) {
 	set := settings()
 	set.MaxAttempts = 1
-	b, h := start(t, set, append(pair(), Endpoint{ID: "c", Zone: "x", Kind: "big", Size: 1}))
-	serve(b, h, 60, 20*time.Millisecond)
+	b, recorder := start(t, set, append(pair(), Endpoint{ID: "c", Zone: "x", Kind: "big", Size: 1}))
+	serve(b, recorder, 60, 20*time.Millisecond)
 	// play asks n times, gap apart, and returns how many requests went to a, which fails every one at once.
 	play := func(first, n RequestID, gap time.Duration) (failed int) {
 		for i := first; i < first+n; i++ {
-			h.now += gap
-			to := ask(b, h, i)
+			recorder.now += gap
+			to := ask(b, recorder, i)
 			outcome := Served
 			if to == "a" {
 				outcome = Errored
 				failed++
 			}
-			b.Result(h.now, Result{ID: i, Endpoint: to, Outcome: outcome, Latency: time.Millisecond, Finished: outcome == Served})
+			b.Result(recorder.now, Result{ID: i, Endpoint: to, Outcome: outcome, Latency: time.Millisecond, Finished: outcome == Served})
 		}
 		return failed
 	}
@@ -29,8 +29,8 @@
 		t.Errorf("%d requests went to an endpoint that fails every one, want 1 or 2", failed)
 	}
 	// When its time is over it comes back, and the next fault ejects it at once.
-	h.now += ejectionTime + time.Second
-	b.Timer(h.now, tickToken)
+	recorder.now += ejectionTime + time.Second
+	b.Timer(recorder.now, tickToken)
 	if back := play(100, 12, 0); back != 1 {
 		t.Errorf("%d requests after its return, want 1", back)
 	}
@@ -38,38 +38,38 @@
 
 func TestPanic(t *testing.T) {
 	// With every endpoint ejected, the fault is taken to be our own, and requests still go out.
-	b, h := start(t, settings(), pair())
+	b, recorder := start(t, settings(), pair())
 	for _, e := range b.endpoints {
-		e.ejectedUntil = h.now + time.Hour
+		e.ejectedUntil = recorder.now + time.Hour
 	}
-	if ask(b, h, 1) != "" {
+	if ask(b, recorder, 1) != "" {
 		t.Error("an ejected endpoint was used before the share was counted")
 	}
-	b.Timer(h.now, tickToken)
-	if ask(b, h, 2) == "" {
+	b.Timer(recorder.now, tickToken)
+	if ask(b, recorder, 2) == "" {
 		t.Error("no endpoint is used though all are ejected")
 	}
 }
 
 func TestSilentEndpointGetsNothingMore(t *testing.T) {
-	b, h := start(t, settings(), pair())
-	serve(b, h, 100, 20*time.Millisecond)
-	first := ask(b, h, 1) // never answered
-	h.now += 2 * time.Second
+	b, recorder := start(t, settings(), pair())
+	serve(b, recorder, 100, 20*time.Millisecond)
+	first := ask(b, recorder, 1) // never answered
+	recorder.now += 2 * time.Second
 	for i := RequestID(10); i < 20; i++ {
-		to := ask(b, h, i)
+		to := ask(b, recorder, i)
 		if to == first {
 			t.Fatalf("request %d went to an endpoint that has been silent for two aims", i)
 		}
-		b.Result(h.now, Result{ID: i, Endpoint: to, Latency: 20 * time.Millisecond, Finished: true})
+		b.Result(recorder.now, Result{ID: i, Endpoint: to, Latency: 20 * time.Millisecond, Finished: true})
 	}
 }
 
 // TestLostAnswersCostNoTurns has every fiftieth answer of two sound endpoints get lost. Danger: each would close its
 // endpoint until it times out, and two at once would eject it.
 func TestLostAnswersCostNoTurns(t *testing.T) {
-	b, h := start(t, settings(), pair())
-	serve(b, h, 100, 20*time.Millisecond)
+	b, recorder := start(t, settings(), pair())
+	serve(b, recorder, 100, 20*time.Millisecond)
 	type out struct {
 		id RequestID
 		at Time
@@ -77,24 +77,24 @@
 	}
 	var lost []out
 	turns := map[string]int{}
-	const n = 1000
-	for i := range RequestID(n) {
-		h.now += 10 * time.Millisecond
-		for len(lost) > 0 && h.now-lost[0].at >= 2*time.Second {
-			b.Result(h.now, Result{ID: lost[0].id, Endpoint: lost[0].to, Outcome: TimedOut, Latency: 2 * time.Second, Finished: true})
+	const requests = 1000
+	for i := range RequestID(requests) {
+		recorder.now += 10 * time.Millisecond
+		for len(lost) > 0 && recorder.now-lost[0].at >= 2*time.Second {
+			b.Result(recorder.now, Result{ID: lost[0].id, Endpoint: lost[0].to, Outcome: TimedOut, Latency: 2 * time.Second, Finished: true})
 			lost = lost[1:]
 		}
-		to := ask(b, h, i)
+		to := ask(b, recorder, i)
 		if turns[to]++; i%50 < 2 && to != "" {
-			lost = append(lost, out{i, h.now, to})
+			lost = append(lost, out{i, recorder.now, to})
 			continue
 		}
-		b.Result(h.now, Result{ID: i, Endpoint: to, Latency: 5 * time.Millisecond, Finished: true})
+		b.Result(recorder.now, Result{ID: i, Endpoint: to, Latency: 5 * time.Millisecond, Finished: true})
 	}
-	if len(h.refused) > 0 || len(h.logs) > 0 {
-		t.Errorf("%d requests refused, log %v", len(h.refused), h.logs)
+	if len(recorder.refused) > 0 || len(recorder.logs) > 0 {
+		t.Errorf("%d requests refused, log %v", len(recorder.refused), recorder.logs)
 	}
-	if turns["a"] < n*2/5 || turns["b"] < n*2/5 {
+	if turns["a"] < requests*2/5 || turns["b"] < requests*2/5 {
 		t.Errorf("turns %v", turns)
 	}
 	if e := b.byID["a"]; len(e.flights) != e.inFlight || e.pendingAnswers() > e.inFlight {
@@ -111,63 +111,63 @@
 			set := settings()
 			set.CancelAllowed = true
 			set.Classes[0].Effect, set.Classes[0].DedupeWindow = effect, 5*time.Second
-			b, h := start(t, set, pair())
-			serve(b, h, 100, 20*time.Millisecond)
-			first, began := ask(b, h, lost), h.now
-			serveUntilCancel(b, h)
+			b, recorder := start(t, set, pair())
+			serve(b, recorder, 100, 20*time.Millisecond)
+			first, began := ask(b, recorder, lost), recorder.now
+			serveUntilCancel(b, recorder)
 			if effect != Idempotent {
-				if h.cancelled > 0 {
+				if recorder.cancelled > 0 {
 					t.Error("cancelled")
 				}
 				return
 			}
-			if after := h.now - began; h.cancelled != 1 || after < 200*time.Millisecond || after > 500*time.Millisecond {
-				t.Fatalf("cancelled %d times, the first after %v", h.cancelled, after)
+			if after := recorder.now - began; recorder.cancelled != 1 || after < 200*time.Millisecond || after > 500*time.Millisecond {
+				t.Fatalf("cancelled %d times, the first after %v", recorder.cancelled, after)
 			}
-			b.Result(h.now, Result{ID: lost, Endpoint: first, Outcome: Cancelled, Latency: h.now - began})
-			if len(h.sent) != 1 || h.sent[0].id != lost || h.sent[0].to == first {
-				t.Errorf("then %v, not at %s again", h.sent, first)
+			b.Result(recorder.now, Result{ID: lost, Endpoint: first, Outcome: Cancelled, Latency: recorder.now - began})
+			if len(recorder.sent) != 1 || recorder.sent[0].id != lost || recorder.sent[0].to == first {
+				t.Errorf("then %v, not at %s again", recorder.sent, first)
 			}
 		})
 	}
 }
 
 // serveUntilCancel serves requests, four at once, so that each endpoint holds some, until an attempt is cancelled.
-func serveUntilCancel(b *Balancer, h *host) {
-	h.sent = nil
+func serveUntilCancel(b *Balancer, recorder *host) {
+	recorder.sent = nil
 	var pending []sending
-	for i := RequestID(10); i < 200 && h.cancelled == 0; i++ {
-		h.now += 10 * time.Millisecond
-		if to := ask(b, h, i); to != "" {
+	for i := RequestID(10); i < 200 && recorder.cancelled == 0; i++ {
+		recorder.now += 10 * time.Millisecond
+		if to := ask(b, recorder, i); to != "" {
 			pending = append(pending, sending{id: i, to: to})
 		}
-		h.sent = nil
+		recorder.sent = nil
 		if len(pending) == 4 {
-			b.Result(h.now, Result{ID: pending[0].id, Endpoint: pending[0].to, Latency: 30 * time.Millisecond, Finished: true})
+			b.Result(recorder.now, Result{ID: pending[0].id, Endpoint: pending[0].to, Latency: 30 * time.Millisecond, Finished: true})
 			pending = pending[1:]
 		}
 	}
 }
 
 func TestRestartIsANewStart(t *testing.T) {
-	b, h := start(t, settings(), pair())
-	serve(b, h, 40, 20*time.Millisecond)
+	b, recorder := start(t, settings(), pair())
+	serve(b, recorder, 40, 20*time.Millisecond)
 	e := b.byID["a"]
-	e.ejectedUntil = h.now + time.Hour
+	e.ejectedUntil = recorder.now + time.Hour
 	again := e.Endpoint
-	again.Started = h.now
-	b.Endpoints(h.now, ListChanges, []Endpoint{again})
+	again.Started = recorder.now
+	b.Endpoints(recorder.now, ListChanges, []Endpoint{again})
 	if e.ejectedUntil != 0 || e.loadSum != 0 || e.warmth >= 1 {
 		t.Errorf("a restarted endpoint keeps its past: %+v", e)
 	}
 }
 
 func TestDepartedEndpointsAreForgotten(t *testing.T) {
-	b, h := start(t, settings(), pair())
+	b, recorder := start(t, settings(), pair())
 	for i := range 1000 {
 		list := []Endpoint{{ID: string(rune('c' + i)), Zone: "x", Kind: "big", Size: 1}}
-		b.Endpoints(h.now, ListFull, list)
-		serve(b, h, 2, time.Millisecond)
+		b.Endpoints(recorder.now, ListFull, list)
+		serve(b, recorder, 2, time.Millisecond)
 	}
 	if len(b.byID) > 2 || len(b.endpoints) != 1 || len(b.requests) != 0 {
 		t.Errorf("%d endpoints and %d requests are still known", len(b.byID), len(b.requests))
@@ -177,15 +177,15 @@
 func TestDiscoveryCallsBackOff(t *testing.T) {
 	set := settings()
 	set.SubscribeToDiscovery, set.DiscoveryDeadline = true, 10*time.Second
-	b, h := start(t, set, pair())
+	b, recorder := start(t, set, pair())
 	for range 20 {
-		calls := h.subscribed
-		b.Timer(h.now, discoveryToken)
-		b.Timer(h.now, discoveryToken)
-		if h.subscribed != calls+1 {
-			t.Fatalf("%d calls, want one more than %d: a call is out", h.subscribed, calls)
+		calls := recorder.subscribed
+		b.Timer(recorder.now, discoveryToken)
+		b.Timer(recorder.now, discoveryToken)
+		if recorder.subscribed != calls+1 {
+			t.Fatalf("%d calls, want one more than %d: a call is out", recorder.subscribed, calls)
 		}
-		b.Endpoints(h.now, ListRefused, nil)
+		b.Endpoints(recorder.now, ListRefused, nil)
 	}
 	if len(b.endpoints) != 2 {
 		t.Error("a refused call lost the list in hand")
@@ -195,17 +195,17 @@
 // TestRetryNeedsTimeToArrive has a keyed request fail near the end of the time for which its repeats are dropped: one
 // that has to connect first would arrive after it and take effect twice.
 func TestRetryNeedsTimeToArrive(t *testing.T) {
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		after   time.Duration
 		repeats int
 	}{{4 * time.Second, 1}, {4800 * time.Millisecond, 0}} {
 		set := settings()
 		set.Classes[0].Effect, set.Classes[0].Scope, set.Classes[0].DedupeWindow = Deduplicated, ScopeAll, 5*time.Second
-		b, h := start(t, set, pair())
-		b.Request(h.now, Request{ID: 1, Tenant: -1, TimeLeft: 10 * time.Second})
-		h.answer(b, h.now+tt.after, Errored)
-		if len(h.sent) != tt.repeats {
-			t.Errorf("%d repeats after %v, want %d", len(h.sent), tt.after, tt.repeats)
+		b, recorder := start(t, set, pair())
+		b.Request(recorder.now, Request{ID: 1, Tenant: -1, TimeLeft: 10 * time.Second})
+		recorder.answer(b, recorder.now+test.after, Errored)
+		if len(recorder.sent) != test.repeats {
+			t.Errorf("%d repeats after %v, want %d", len(recorder.sent), test.after, test.repeats)
 		}
 	}
 }
@@ -213,19 +213,19 @@
 // TestClockAhead lists a process that says it will start in an hour: it is taken for cold from now on, and warm after the time
 // that a cold one needs. Said again, it stays the process that it is.
 func TestClockAhead(t *testing.T) {
-	b, h := start(t, settings(), pair())
-	h.now += time.Minute
-	fresh := []Endpoint{{ID: "c", Zone: "x", Kind: "big", Size: 1, Started: h.now + time.Hour}}
-	b.Endpoints(h.now, ListChanges, fresh)
-	told := h.now
-	for _, tt := range []struct {
+	b, recorder := start(t, settings(), pair())
+	recorder.now += time.Minute
+	fresh := []Endpoint{{ID: "c", Zone: "x", Kind: "big", Size: 1, Started: recorder.now + time.Hour}}
+	b.Endpoints(recorder.now, ListChanges, fresh)
+	told := recorder.now
+	for _, test := range []struct {
 		after time.Duration
 		want  float64
 	}{{0, settings().StartCapacity}, {settings().WarmUpTime / 2, (1 + settings().StartCapacity) / 2}, {settings().WarmUpTime, 1}} {
-		h.now = told + tt.after
-		b.Endpoints(h.now, ListChanges, fresh)
-		if got := b.warmthOf(b.byID["c"], h.now); got < tt.want-1e-9 || got > tt.want+1e-9 {
-			t.Errorf("%v after it was told, its warmth is %v, want %v", tt.after, got, tt.want)
+		recorder.now = told + test.after
+		b.Endpoints(recorder.now, ListChanges, fresh)
+		if got := b.warmthOf(b.byID["c"], recorder.now); got < test.want-1e-9 || got > test.want+1e-9 {
+			t.Errorf("%v after it was told, its warmth is %v, want %v", test.after, got, test.want)
 		}
 	}
 }
--- a/balance/overload_test.go
+++ b/balance/overload_test.go
@@ -121,17 +121,17 @@
 // warm ones are.
 func TestWarmingUpEndpointGoesByItsPeers(t *testing.T) {
 	var list []Endpoint
-	for i := range 8 {
-		list = append(list, Endpoint{ID: fmt.Sprint("e", i), Zone: "x", Kind: "big", Size: 1})
+	for index := range 8 {
+		list = append(list, Endpoint{ID: fmt.Sprint("e", index), Zone: "x", Kind: "big", Size: 1})
 	}
-	b, h := start(t, settings(), list)
-	for i := range 4 {
-		list[i].Started = h.now - time.Second
+	b, recorder := start(t, settings(), list)
+	for index := range 4 {
+		list[index].Started = recorder.now - time.Second
 	}
-	b.Endpoints(h.now, ListFull, list)
-	for i := range RequestID(60) {
-		h.now += 20 * time.Millisecond
-		to := ask(b, h, i)
+	b.Endpoints(recorder.now, ListFull, list)
+	for index := range RequestID(60) {
+		recorder.now += 20 * time.Millisecond
+		to := ask(b, recorder, index)
 		if to == "" {
 			continue
 		}
@@ -142,9 +142,9 @@
 		if e := b.byID[to]; e.warmth < 1 {
 			took = 900 * time.Millisecond
 		}
-		b.Result(h.now, Result{ID: i, Endpoint: to, Outcome: outcome, Latency: took, Finished: true})
+		b.Result(recorder.now, Result{ID: index, Endpoint: to, Outcome: outcome, Latency: took, Finished: true})
 	}
-	cold, warm := b.expectedLatency(b.byID["e0"], h.now), b.expectedLatency(b.byID["e5"], h.now)
+	cold, warm := b.expectedLatency(b.byID["e0"], recorder.now), b.expectedLatency(b.byID["e5"], recorder.now)
 	if cold < 0.5 || warm > 0.2 {
 		t.Errorf("a cold endpoint that has told nothing is expected to answer in %.2f s, a warm one in %.2f s", cold, warm)
 	}
--- a/balance/peersignals.go
+++ b/balance/peersignals.go
@@ -56,20 +56,20 @@
 // LocalReport is what this sidecar states of servers, by what it saw itself.
 func (b *Balancer) LocalReport(now Time) signals.Report {
 	report := signals.Report{Zone: b.settings.Zone, TrafficLevel: b.trafficLevel}
-	for _, e := range b.endpoints {
-		if !e.inSubset || !e.isReady() {
+	for _, used := range b.endpoints {
+		if !used.inSubset || !used.isReady() {
 			continue
 		}
-		countUse(&report, e.Zone)
-		seen := b.localVerdict(e, now)
+		countUse(&report, used.Zone)
+		seen := b.localVerdict(used, now)
 		// Where hundreds see the same, their reports would fill all that members can carry. Those that have
 		// reported go on: if all stopped that hear others, nobody would be left.
-		e.reported = seen.kind > signals.None &&
-			(e.reported || !b.reports.WellWitnessed(e.process(), seen.kind))
-		if e.reported {
+		used.reported = seen.kind > signals.None &&
+			(used.reported || !b.reports.WellWitnessed(used.process(), seen.kind))
+		if used.reported {
 			report.Verdicts = append(report.Verdicts, signals.Verdict{
-				Process: e.process(),
-				Zone:    e.Zone,
+				Process: used.process(),
+				Zone:    used.Zone,
 				Kind:    seen.kind,
 				Count:   seen.count,
 				Age:     now - seen.at,
--- a/balance/peersignals_test.go
+++ b/balance/peersignals_test.go
@@ -25,7 +25,7 @@
 // TestVerdictEjects: what three members call unresponsive gets nothing; it returns within the TTL and the turns after they fall
 // silent. Two do not do, nor three for what serves this sidecar, a later process, or half of all.
 func TestVerdictEjects(t *testing.T) {
-	for _, tt := range []verdictCase{
+	for _, test := range []verdictCase{
 		{"three", 3, signals.Unresponsive, 0, false, true},
 		{"two", 2, signals.Unresponsive, 0, false, false},
 		{"failing", 3, signals.Failing, 0, false, true},
@@ -35,7 +35,7 @@
 		{"the next process", 3, signals.Unresponsive, 0, true, false},
 		{"no report", 0, signals.Unresponsive, 0, false, false},
 	} {
-		t.Run(tt.name, tt.run)
+		t.Run(test.name, test.run)
 	}
 }
 
@@ -48,49 +48,49 @@
 	avoided bool
 }
 
-func (tt verdictCase) run(t *testing.T) {
+func (test verdictCase) run(t *testing.T) {
 	const peers = 10
-	b, h := sidecar(t, 3, peers, fleet(20))
-	e := b.inUse[0]
-	h.now = 10 * time.Second
-	if tt.served > 0 {
-		e.lastServed = h.now - tt.served
-	}
-	condemned := *e
-	if tt.next {
-		next := e.Endpoint
-		next.Started = h.now
-		b.Endpoints(h.now, ListChanges, []Endpoint{next})
-	}
-	condemn(b, h.now, &condemned, tt.members, uint64(h.now), tt.kind)
-	b.Timer(h.now, tickToken)
-	if got := h.now < e.ejectedUntil; got != tt.avoided {
-		t.Errorf("avoided %v, want %v", got, tt.avoided)
-	}
-	if v := b.LocalReport(h.now).Verdicts; len(v) > 0 && (tt.served == 0 || v[0].Kind != signals.Serving) {
+	b, recorder := sidecar(t, 3, peers, fleet(20))
+	subject := b.inUse[0]
+	recorder.now = 10 * time.Second
+	if test.served > 0 {
+		subject.lastServed = recorder.now - test.served
+	}
+	condemned := *subject
+	if test.next {
+		next := subject.Endpoint
+		next.Started = recorder.now
+		b.Endpoints(recorder.now, ListChanges, []Endpoint{next})
+	}
+	condemn(b, recorder.now, &condemned, test.members, uint64(recorder.now), test.kind)
+	b.Timer(recorder.now, tickToken)
+	if got := recorder.now < subject.ejectedUntil; got != test.avoided {
+		t.Errorf("avoided %v, want %v", got, test.avoided)
+	}
+	if v := b.LocalReport(recorder.now).Verdicts; len(v) > 0 && (test.served == 0 || v[0].Kind != signals.Serving) {
 		t.Error("it states itself what it only heard")
 	}
-	last := h.now + 2*time.Second + returnSpread + time.Second
-	for h.now < last {
-		h.now += tickInterval
-		b.Timer(h.now, tickToken)
+	last := recorder.now + 2*time.Second + returnSpread + time.Second
+	for recorder.now < last {
+		recorder.now += tickInterval
+		b.Timer(recorder.now, tickToken)
 	}
-	if h.now < e.ejectedUntil {
-		t.Errorf("still avoided %v after the last report", h.now)
+	if recorder.now < subject.ejectedUntil {
+		t.Errorf("still avoided %v after the last report", recorder.now)
 	}
 }
 
 // TestVerdictsLeaveHalf: members that condemn more than half of all eject nobody, as this is more likely their fault.
 func TestVerdictsLeaveHalf(t *testing.T) {
-	b, h := sidecar(t, 0, 10, fleet(8))
-	h.now = 10 * time.Second
+	b, recorder := sidecar(t, 0, 10, fleet(8))
+	recorder.now = 10 * time.Second
 	for n, e := range b.endpoints[:5] {
 		for i := range 3 {
-			b.ReceiveReport(h.now, signals.Statement{Origin: fmt.Sprint("m", n, i), Start: 1, Seq: 1, Report: report(e, []string{b.settings.Zone, "other"}[i%2], signals.Unresponsive)})
+			b.ReceiveReport(recorder.now, signals.Statement{Origin: fmt.Sprint("m", n, i), Start: 1, Seq: 1, Report: report(e, []string{b.settings.Zone, "other"}[i%2], signals.Unresponsive)})
 		}
 	}
-	b.Timer(h.now, tickToken)
-	b.Timer(h.now+tickInterval, tickToken)
+	b.Timer(recorder.now, tickToken)
+	b.Timer(recorder.now+tickInterval, tickToken)
 	if !b.inPanic {
 		t.Error("over half are avoided at others' word")
 	}
@@ -98,25 +98,25 @@
 
 // TestLocalReport: a sidecar says what it saw: a server that owes two requests for long, or that it ejected, until that serves.
 func TestLocalReport(t *testing.T) {
-	b, h := sidecar(t, 0, 10, fleet(20))
-	e := b.inUse[0]
-	h.now = 10 * time.Second
-	b.Timer(h.now, tickToken)
-	if r := b.LocalReport(h.now); len(r.Verdicts) > 0 || len(r.Uses) == 0 {
+	b, recorder := sidecar(t, 0, 10, fleet(20))
+	seen := b.inUse[0]
+	recorder.now = 10 * time.Second
+	b.Timer(recorder.now, tickToken)
+	if r := b.LocalReport(recorder.now); len(r.Verdicts) > 0 || len(r.Uses) == 0 {
 		t.Fatalf("%+v", r)
 	}
-	e.failureKind, e.failedAt = signals.Unresponsive, h.now-time.Second
-	r := b.LocalReport(h.now)
-	if len(r.Verdicts) != 1 || r.Verdicts[0].Server != e.ID || r.Verdicts[0].Age != time.Second {
+	seen.failureKind, seen.failedAt = signals.Unresponsive, recorder.now-time.Second
+	r := b.LocalReport(recorder.now)
+	if len(r.Verdicts) != 1 || r.Verdicts[0].Server != seen.ID || r.Verdicts[0].Age != time.Second {
 		t.Fatalf("%+v", r)
 	}
-	e.failureKind = signals.None
+	seen.failureKind = signals.None
 	for id := range RequestID(2) {
 		q := &request{Request: Request{ID: 1000 + id}, class: &b.settings.Classes[0]}
 		b.requests[q.ID] = q
-		e.addFlight(q, h.now)
+		seen.addFlight(q, recorder.now)
 	}
-	late := h.now + time.Duration(overdueMultiple*b.meanSeconds[0]*float64(time.Second))
+	late := recorder.now + time.Duration(overdueMultiple*b.meanSeconds[0]*float64(time.Second))
 	if r := b.LocalReport(late - time.Millisecond); len(r.Verdicts) > 0 {
 		t.Fatalf("too early: %+v", r)
 	}
@@ -125,17 +125,17 @@
 	}
 	// Where so many speak that one more adds nothing, it goes on, but does not begin.
 	for i := range 6 {
-		b.ReceiveReport(late, signals.Statement{Origin: fmt.Sprint("m", i), Start: 1, Seq: 1, Report: report(e, []string{b.settings.Zone, "other"}[i%2], signals.Unresponsive)})
+		b.ReceiveReport(late, signals.Statement{Origin: fmt.Sprint("m", i), Start: 1, Seq: 1, Report: report(seen, []string{b.settings.Zone, "other"}[i%2], signals.Unresponsive)})
 	}
 	b.Timer(late, tickToken)
 	if r := b.LocalReport(late); len(r.Verdicts) != 1 {
 		t.Fatalf("it fell silent: %+v", r)
 	}
-	e.reported = false
+	seen.reported = false
 	if r := b.LocalReport(late); len(r.Verdicts) > 0 {
 		t.Fatalf("it joins six: %+v", r)
 	}
-	e.lastServed = late
+	seen.lastServed = late
 	b.Timer(late, tickToken)
 	if r := b.LocalReport(late); len(r.Verdicts) != 1 || r.Verdicts[0].Kind != signals.Serving {
 		t.Fatalf("it has answered since, which others should know: %+v", r)
@@ -146,39 +146,39 @@
 // that knows little of the server takes it for worse at the word of three, till two were served since; one that knows it well
 // goes by what it saw.
 func TestOverloadedAndSlowAreReported(t *testing.T) {
-	b, h := sidecar(t, 0, 10, fleet(20))
-	e := b.inUse[0]
-	h.now = 10 * time.Second
-	serve(b, h, 200, 20*time.Millisecond)
-	e.rejections, e.failedAt = 3, h.now
-	if r := b.LocalReport(h.now); len(r.Verdicts) != 1 || r.Verdicts[0].Kind != signals.Overloaded || r.Verdicts[0].Count != 3 {
+	b, recorder := sidecar(t, 0, 10, fleet(20))
+	seen := b.inUse[0]
+	recorder.now = 10 * time.Second
+	serve(b, recorder, 200, 20*time.Millisecond)
+	seen.rejections, seen.failedAt = 3, recorder.now
+	if r := b.LocalReport(recorder.now); len(r.Verdicts) != 1 || r.Verdicts[0].Kind != signals.Overloaded || r.Verdicts[0].Count != 3 {
 		t.Fatalf("turned away: %+v", r)
 	}
-	e.rejections, e.loadSum, e.freshness = 0, 10, 1
-	if e.latencySum = 2 * slowMultiple * 10 * e.homeGroup.secondsPerLoad() / e.capacity(); b.LocalReport(h.now).Verdicts[0].Kind != signals.Slow {
-		t.Fatalf("slow: %+v", b.LocalReport(h.now))
+	seen.rejections, seen.loadSum, seen.freshness = 0, 10, 1
+	if seen.latencySum = 2 * slowMultiple * 10 * seen.homeGroup.secondsPerLoad() / seen.capacity(); b.LocalReport(recorder.now).Verdicts[0].Kind != signals.Slow {
+		t.Fatalf("slow: %+v", b.LocalReport(recorder.now))
 	}
-	e.latencySum, e.loadSum, e.lastServed = 0, 0, 0
-	before := b.expectedLatency(e, h.now)
+	seen.latencySum, seen.loadSum, seen.lastServed = 0, 0, 0
+	before := b.expectedLatency(seen, recorder.now)
 	tell := func(seq uint64, from, to int, kind signals.Kind, age time.Duration) {
 		for i := from; i < to; i++ {
-			r := report(e, []string{b.settings.Zone, "other"}[i%2], kind)
+			r := report(seen, []string{b.settings.Zone, "other"}[i%2], kind)
 			r.Verdicts[0].Age = age
-			b.ReceiveReport(h.now, signals.Statement{Origin: fmt.Sprint("m", i), Start: 1, Seq: seq, Report: r})
+			b.ReceiveReport(recorder.now, signals.Statement{Origin: fmt.Sprint("m", i), Start: 1, Seq: seq, Report: r})
 		}
-		b.Timer(h.now, tickToken)
+		b.Timer(recorder.now, tickToken)
 	}
 	tell(1, 0, 3, signals.Overloaded, time.Second)
-	if after := b.expectedLatency(e, h.now); after < spillThreshold*b.shortestTarget || after > refusalThreshold*b.shortestTarget || h.now < e.ejectedUntil {
+	if after := b.expectedLatency(seen, recorder.now); after < spillThreshold*b.shortestTarget || after > refusalThreshold*b.shortestTarget || recorder.now < seen.ejectedUntil {
 		t.Errorf("expected in %.3f s, before in %.3f s", after, before)
 	}
-	if e.latencySum, e.loadSum, e.freshness = 0.2, 20, 1; b.expectedLatency(e, h.now) > spillThreshold*b.shortestTarget {
-		t.Errorf("against what it saw itself, it expects an answer in %.3f s", b.expectedLatency(e, h.now))
+	if seen.latencySum, seen.loadSum, seen.freshness = 0.2, 20, 1; b.expectedLatency(seen, recorder.now) > spillThreshold*b.shortestTarget {
+		t.Errorf("against what it saw itself, it expects an answer in %.3f s", b.expectedLatency(seen, recorder.now))
 	}
-	if tell(1, 3, 4, signals.Serving, time.Second/2); !e.reportedDegraded {
+	if tell(1, 3, 4, signals.Serving, time.Second/2); !seen.reportedDegraded {
 		t.Error("the word of one opens it")
 	}
-	if tell(1, 4, 5, signals.Serving, time.Second/2); e.reportedDegraded {
+	if tell(1, 4, 5, signals.Serving, time.Second/2); seen.reportedDegraded {
 		t.Error("it is still taken for full after two were served")
 	}
 }
@@ -207,15 +207,15 @@
 // countProbes counts the requests that a sidecar sends to an endpoint which three members condemn all the time.
 func countProbes(t *testing.T, self, peers, members int, length time.Duration) (probes int) {
 	t.Helper()
-	b, h := sidecar(t, self, peers, fleet(20))
-	b.SetMembers(h.now, self, make([]Peer, members))
+	b, recorder := sidecar(t, self, peers, fleet(20))
+	b.SetMembers(recorder.now, self, make([]Peer, members))
 	condemned := b.inUse[0]
-	h.now = 10 * time.Second
-	for end := h.now + length; h.now < end; h.now += tickInterval {
-		condemn(b, h.now, condemned, 3, uint64(h.now), signals.Unresponsive)
-		b.Timer(h.now, tickToken)
-		ask(b, h, RequestID(h.now))
-		for _, s := range h.sent {
+	recorder.now = 10 * time.Second
+	for end := recorder.now + length; recorder.now < end; recorder.now += tickInterval {
+		condemn(b, recorder.now, condemned, 3, uint64(recorder.now), signals.Unresponsive)
+		b.Timer(recorder.now, tickToken)
+		ask(b, recorder, RequestID(recorder.now))
+		for _, s := range recorder.sent {
 			if s.to != condemned.ID {
 				continue
 			}
@@ -224,9 +224,9 @@
 				t.Fatalf("a probe may take %v of 3 s: no time is left for another attempt", s.within)
 			}
 		}
-		h.sent = nil
-		b.ClientDisconnected(h.now, RequestID(h.now))
-		b.Result(h.now, Result{ID: RequestID(h.now), Endpoint: condemned.ID, Outcome: Cancelled})
+		recorder.sent = nil
+		b.ClientDisconnected(recorder.now, RequestID(recorder.now))
+		b.Result(recorder.now, Result{ID: RequestID(recorder.now), Endpoint: condemned.ID, Outcome: Cancelled})
 	}
 	return probes
 }
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -41,14 +41,14 @@
 		{"any service", mobile,
 			[]Rule{{Name: "1", Source: Match{"service": "*"}, Service: Match{"service": "*"}}}, "1"},
 	}
-	for _, tt := range tests {
-		t.Run(tt.name, func(t *testing.T) {
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
 			got := ""
-			if best := routes.Best(tt.rules, tt.client, "backend"); best != nil {
+			if best := routes.Best(test.rules, test.client, "backend"); best != nil {
 				got = best.Name
 			}
-			if got != tt.want {
-				t.Errorf("got rule %q, want %q", got, tt.want)
+			if got != test.want {
+				t.Errorf("got rule %q, want %q", got, test.want)
 			}
 		})
 	}
@@ -59,16 +59,16 @@
 	t.Helper()
 	set := settings()
 	set.Rules = rules
-	b, h := start(t, set, list)
+	b, recorder := start(t, set, list)
 	var order []string
 	for i := range n {
-		now := h.now + 10*time.Millisecond
+		now := recorder.now + 10*time.Millisecond
 		b.Request(now, Request{ID: RequestID(i), Tenant: -1, TimeLeft: time.Second})
-		if len(h.sent) != 1 {
-			t.Fatalf("request %d: %d sends", i, len(h.sent))
+		if len(recorder.sent) != 1 {
+			t.Fatalf("request %d: %d sends", i, len(recorder.sent))
 		}
-		order = append(order, h.sent[0].to)
-		h.answer(b, now+time.Millisecond, Served)
+		order = append(order, recorder.sent[0].to)
+		recorder.answer(b, now+time.Millisecond, Served)
 	}
 	return order
 }
@@ -148,21 +148,21 @@
 }
 
 func TestNextYieldsToLessLoaded(t *testing.T) {
-	b, h := start(t, settings(), []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "x", Kind: "big", Size: 1}})
+	b, recorder := start(t, settings(), []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "x", Kind: "big", Size: 1}})
 	for i := range 4 {
-		b.Request(h.now, Request{ID: RequestID(i), Tenant: -1, TimeLeft: time.Second})
+		b.Request(recorder.now, Request{ID: RequestID(i), Tenant: -1, TimeLeft: time.Second})
 	}
 	// a and b hold two each. Once the one whose turn is next holds more, it yields.
 	due := b.groups[0].members[b.groups[0].nextIndex%2]
-	other := h.sent[0]
-	for _, s := range h.sent {
+	other := recorder.sent[0]
+	for _, s := range recorder.sent {
 		if s.to != due.ID {
 			other = s
 		}
 	}
-	b.Result(h.now, Result{ID: other.id, Endpoint: other.to, Latency: time.Millisecond, Finished: true})
-	b.Request(h.now, Request{ID: 9, Tenant: -1, TimeLeft: time.Second})
-	if got := h.sent[len(h.sent)-1].to; got == due.ID {
+	b.Result(recorder.now, Result{ID: other.id, Endpoint: other.to, Latency: time.Millisecond, Finished: true})
+	b.Request(recorder.now, Request{ID: 9, Tenant: -1, TimeLeft: time.Second})
+	if got := recorder.sent[len(recorder.sent)-1].to; got == due.ID {
 		t.Errorf("the turn went to %s, which holds more than the next", got)
 	}
 }
@@ -176,9 +176,9 @@
 	for seed := range uint64(20) {
 		set := settings()
 		set.Seed, set.Index, set.PeerCount = seed, int(seed), 20
-		b, h := start(t, set, list)
-		b.Request(h.now, Request{ID: 1, Tenant: -1, TimeLeft: time.Second})
-		first[h.sent[0].to] = true
+		b, recorder := start(t, set, list)
+		b.Request(recorder.now, Request{ID: 1, Tenant: -1, TimeLeft: time.Second})
+		first[recorder.sent[0].to] = true
 	}
 	if len(first) < 5 {
 		t.Errorf("20 sidecars began at only %d of 10 endpoints", len(first))
@@ -223,12 +223,12 @@
 			s.Rules[0].Service = Match{"region": "x"}
 		}, `Service: tag "region"`},
 	}
-	for _, tt := range tests {
-		t.Run(tt.name, func(t *testing.T) {
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
 			set := settings()
-			tt.spoil(&set)
-			if _, err := New(set, &host{}); err == nil || !strings.Contains(err.Error(), tt.want) {
-				t.Errorf("error %v, want one that names %q", err, tt.want)
+			test.spoil(&set)
+			if _, err := New(set, &host{}); err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("error %v, want one that names %q", err, test.want)
 			}
 		})
 	}
@@ -242,13 +242,13 @@
 	abroad := func(charge float64) float64 {
 		set := settings()
 		set.ZoneCrossingCost = charge
-		b, h := start(t, set, []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "y", Kind: "big", Size: 1}})
+		b, recorder := start(t, set, []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "y", Kind: "big", Size: 1}})
 		for range 300 {
-			h.now += tickInterval
+			recorder.now += tickInterval
 			for id, took := range map[string]time.Duration{"a": 200 * time.Millisecond, "b": 50 * time.Millisecond} {
-				b.observeResult(&attempt{endpoint: b.byID[id], load: 2}, Result{Outcome: Served, Latency: took}, h.now)
+				b.observeResult(&attempt{endpoint: b.byID[id], load: 2}, Result{Outcome: Served, Latency: took}, recorder.now)
 			}
-			b.Timer(h.now, tickToken)
+			b.Timer(recorder.now, tickToken)
 		}
 		return b.zoneWeight[1]
 	}
--- a/balance/routes/diff.go
+++ b/balance/routes/diff.go
@@ -45,20 +45,20 @@
 	for i, rule := range to {
 		index[rule.Name] = i
 	}
-	d := diff{isKept: make([]bool, len(to)), edits: make([][]Op, len(to))}
+	changes := diff{isKept: make([]bool, len(to)), edits: make([][]Op, len(to))}
 	for _, rule := range from {
 		i, inBoth := index[rule.Name]
 		if inBoth {
 			if ops := edit(rule, to[i]); len(ops) <= len(to[i].Destinations)+1 {
-				d.edits[i] = ops
-				d.isKept[i] = true
-				d.kept = append(d.kept, i)
+				changes.edits[i] = ops
+				changes.isKept[i] = true
+				changes.kept = append(changes.kept, i)
 				continue
 			}
 		}
-		d.drops = append(d.drops, Op{Kind: Drop, Name: rule.Name})
+		changes.drops = append(changes.drops, Op{Kind: Drop, Name: rule.Name})
 	}
-	return d
+	return changes
 }
 
 // edit is what makes a rule like another of its name.
--- a/balance/routes/json.go
+++ b/balance/routes/json.go
@@ -75,47 +75,47 @@
 
 // MarshalJSON implements json.Marshaler.
 func (op Op) MarshalJSON() ([]byte, error) {
-	f := opJSON{Kind: op.Kind, Name: op.Name, Source: op.Source, Service: op.Service}
+	form := opJSON{Kind: op.Kind, Name: op.Name, Source: op.Source, Service: op.Service}
 	if op.Match == nil {
 		op.Match = Match{}
 	}
 	switch op.Kind {
 	case Add:
-		f.After, f.Rule = &op.After, &op.Rule
+		form.After, form.Rule = &op.After, &op.Rule
 	case Move:
-		f.After = &op.After
+		form.After = &op.After
 	case Set:
-		f.Match, f.Weight, f.PerSize = &op.Match, &op.Weight, &op.PerSize
+		form.Match, form.Weight, form.PerSize = &op.Match, &op.Weight, &op.PerSize
 	case Unset:
-		f.Match = &op.Match
+		form.Match = &op.Match
 	}
-	return json.Marshal(f)
+	return json.Marshal(form)
 }
 
 // UnmarshalJSON implements json.Unmarshaler. Unknown keys, as of later versions, are passed over; a place or a weight that is
 // left out is an error, not a default.
 func (op *Op) UnmarshalJSON(text []byte) error {
-	var f opJSON
-	if err := json.Unmarshal(text, &f); err != nil {
+	var form opJSON
+	if err := json.Unmarshal(text, &form); err != nil {
 		return err
 	}
-	*op = Op{Kind: f.Kind, Name: f.Name, Source: f.Source, Service: f.Service}
-	places, destination := f.Kind == Add || f.Kind == Move, f.Kind == Set || f.Kind == Unset
+	*op = Op{Kind: form.Kind, Name: form.Name, Source: form.Source, Service: form.Service}
+	places, destination := form.Kind == Add || form.Kind == Move, form.Kind == Set || form.Kind == Unset
 	switch {
-	case places && f.After == nil, f.Kind == Add && f.Rule == nil, destination && f.Match == nil, f.Kind == Set && f.Weight == nil:
-		return fmt.Errorf("op %.20q on %.60q lacks what it needs", f.Kind, f.Name)
+	case places && form.After == nil, form.Kind == Add && form.Rule == nil, destination && form.Match == nil, form.Kind == Set && form.Weight == nil:
+		return fmt.Errorf("op %.20q on %.60q lacks what it needs", form.Kind, form.Name)
 	}
 	if places {
-		op.After = *f.After
+		op.After = *form.After
 	}
-	if f.Kind == Add {
-		op.Rule = *f.Rule
+	if form.Kind == Add {
+		op.Rule = *form.Rule
 	}
 	if destination {
-		op.Match = *f.Match
+		op.Match = *form.Match
 	}
-	if f.Kind == Set {
-		op.Weight, op.PerSize = *f.Weight, f.PerSize != nil && *f.PerSize
+	if form.Kind == Set {
+		op.Weight, op.PerSize = *form.Weight, form.PerSize != nil && *form.PerSize
 	}
 	return nil
 }
--- a/balance/routes/routes_test.go
+++ b/balance/routes/routes_test.go
@@ -200,23 +200,23 @@
 // TestDiffLarge takes tables of hundreds of rules: right, no dearer than how they were made, joined and turned round.
 func TestDiffLarge(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
-	a := large(400)
+	first := large(400)
 	for _, share := range []float64{0.01, 0.1, 0.5, 1} {
-		b := shaken(r, a, share)
-		c := shaken(r, b, share)
-		ab, bc := Diff(a, b), Diff(b, c)
-		holds(t, a, b, ab)
-		if len(ab) == 0 || float64(Cost(ab)) > 2*share*float64(len(a)) {
+		second := shaken(r, first, share)
+		third := shaken(r, second, share)
+		ab, bc := Diff(first, second), Diff(second, third)
+		holds(t, first, second, ab)
+		if len(ab) == 0 || float64(Cost(ab)) > 2*share*float64(len(first)) {
 			t.Errorf("a share of %v shaken costs %d", share, Cost(ab))
 		}
-		if got, err := Apply(a, Concat(ab, bc)); err != nil || got.Hash() != c.Hash() {
+		if got, err := Apply(first, Concat(ab, bc)); err != nil || got.Hash() != third.Hash() {
 			t.Errorf("joined diffs do not lead there: %v", err)
 		}
-		back, err := Invert(a, Concat(ab, bc))
+		back, err := Invert(first, Concat(ab, bc))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := Apply(c, back); err != nil || got.Hash() != a.Hash() {
+		if got, err := Apply(third, back); err != nil || got.Hash() != first.Hash() {
 			t.Errorf("their inverse does not lead back: %v", err)
 		}
 	}
@@ -261,13 +261,13 @@
 }
 
 func TestHash(t *testing.T) {
-	a := large(3)
-	b := append(Table(nil), a...)
-	b[1].Destinations = []Destination{a[1].Destinations[1], a[1].Destinations[0]}
-	if a.Hash() != b.Hash() || len(Diff(a, b)) != 0 || !reflect.DeepEqual(a.Canonical(), b.Canonical()) {
+	first := large(3)
+	second := append(Table(nil), first...)
+	second[1].Destinations = []Destination{first[1].Destinations[1], first[1].Destinations[0]}
+	if first.Hash() != second.Hash() || len(Diff(first, second)) != 0 || !reflect.DeepEqual(first.Canonical(), second.Canonical()) {
 		t.Error("the order of destinations counts")
 	}
-	seen := map[string]string{a.Hash(): "the table"}
+	seen := map[string]string{first.Hash(): "the table"}
 	for what, ops := range map[string][]Op{
 		"moved":         {{Kind: Move, Name: "rule-0", After: "rule-1"}},
 		"a weight":      {{Kind: Set, Name: "rule-0", Match: Match{"service": "rec-api", "version": "a"}, Weight: 91}},
@@ -276,14 +276,14 @@
 		"a destination": {{Kind: Unset, Name: "rule-0", Match: Match{"service": "rec-api", "version": "a"}}},
 		"a rule":        {{Kind: Drop, Name: "rule-0"}},
 	} {
-		b, _, err := applyAll(a, ops)
+		second, _, err := applyAll(first, ops)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if same := seen[b.Hash()]; same != "" {
+		if same := seen[second.Hash()]; same != "" {
 			t.Errorf("%s hashes as %s", what, same)
 		}
-		seen[b.Hash()] = what
+		seen[second.Hash()] = what
 	}
 }
 
@@ -292,7 +292,7 @@
 	for i := range many {
 		many[i] = Destination{Weight: 1, Match: Match{"version": fmt.Sprint(i)}}
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		want string
 		do   func(*Rule)
 	}{
@@ -311,9 +311,9 @@
 		{"weight +Inf is not", func(r *Rule) { r.Destinations = []Destination{{Weight: math.Inf(1)}} }},
 	} {
 		table := large(3)
-		c.do(&table[2])
-		if err := table.Check(); err == nil || !strings.Contains(err.Error(), c.want) || !strings.HasPrefix(err.Error(), "rule 2, ") {
-			t.Errorf("got %v, want %s", err, c.want)
+		test.do(&table[2])
+		if err := table.Check(); err == nil || !strings.Contains(err.Error(), test.want) || !strings.HasPrefix(err.Error(), "rule 2, ") {
+			t.Errorf("got %v, want %s", err, test.want)
 		}
 	}
 	for _, table := range []Table{{}, large(3), large(MaxRules / 2)} {
--- a/balance/rules_apply_test.go
+++ b/balance/rules_apply_test.go
@@ -10,14 +10,14 @@
 )
 
 // playTurns sends n requests, each answered at once, and returns the endpoints in the order of their turns.
-func (h *host) playTurns(b *Balancer, n int) (order []string) {
+func (recorder *host) playTurns(b *Balancer, n int) (order []string) {
 	for range n {
-		now := h.now + 10*time.Millisecond
-		h.now = now
+		now := recorder.now + 10*time.Millisecond
+		recorder.now = now
 		b.Request(now, Request{ID: RequestID(now), Tenant: -1, TimeLeft: time.Second})
-		if len(h.sent) == 1 {
-			order = append(order, h.sent[0].to)
-			h.answer(b, now+time.Millisecond, Served)
+		if len(recorder.sent) == 1 {
+			order = append(order, recorder.sent[0].to)
+			recorder.answer(b, now+time.Millisecond, Served)
 		}
 	}
 	return order
@@ -29,53 +29,53 @@
 		{ID: "b", Zone: "x", Kind: "small", Size: 1}, {ID: "c", Zone: "x", Kind: "huge", Size: 1}}
 	set := settings()
 	set.Rules = canary(80, 20)
-	b, h := start(t, set, list)
-	h.playTurns(b, 7)
+	b, recorder := start(t, set, list)
+	recorder.playTurns(b, 7)
 	type kept struct {
 		next          int
 		credit, whole float64
 		members       string
 	}
-	of := func(g *group) kept {
+	stateOf := func(g *group) kept {
 		k := kept{next: g.nextIndex, credit: g.credit, whole: g.maxReadySize}
 		for _, e := range g.members {
 			k.members += e.ID
 		}
 		return k
 	}
-	before := of(b.groups[0])
-	if err := b.SetRules(h.now, canary(80, 20)); err != nil || of(b.groups[0]) != before {
-		t.Errorf("the same table changes something: %v, %v after %v", err, of(b.groups[0]), before)
+	before := stateOf(b.groups[0])
+	if err := b.SetRules(recorder.now, canary(80, 20)); err != nil || stateOf(b.groups[0]) != before {
+		t.Errorf("the same table changes something: %v, %v after %v", err, stateOf(b.groups[0]), before)
 	}
 	other := canary(80, 20)
 	other[0].Destinations[1].Match = Match{"version": "huge"}
-	if err := b.SetRules(h.now, other); err != nil || of(b.groups[0]) != before || len(b.groups) != 3 {
-		t.Errorf("what another group is changes the first: %v, %v after %v", err, of(b.groups[0]), before)
+	if err := b.SetRules(recorder.now, other); err != nil || stateOf(b.groups[0]) != before || len(b.groups) != 3 {
+		t.Errorf("what another group is changes the first: %v, %v after %v", err, stateOf(b.groups[0]), before)
 	}
-	if got := count(h.playTurns(b, 100)); got["c"] != 20 || got["b"] != 0 {
+	if got := count(recorder.playTurns(b, 100)); got["c"] != 20 || got["b"] != 0 {
 		t.Errorf("shares %v", got)
 	}
 	// 8000 and 2000 leave credit of thousands, which must not stand against 1 and 1.
-	if err := b.SetRules(h.now, canary(8000, 2000)); err != nil {
+	if err := b.SetRules(recorder.now, canary(8000, 2000)); err != nil {
 		t.Error("not applied")
 	}
-	h.playTurns(b, 3)
-	if err := b.SetRules(h.now, canary(1, 1)); err != nil {
+	recorder.playTurns(b, 3)
+	if err := b.SetRules(recorder.now, canary(1, 1)); err != nil {
 		t.Error("not applied")
 	}
-	if got := count(h.playTurns(b, 20)); got["b"] < 8 || got["b"] > 12 {
+	if got := count(recorder.playTurns(b, 20)); got["b"] < 8 || got["b"] > 12 {
 		t.Errorf("new shares %v, want half", got)
 	}
-	order := h.playTurns(b, 12)
+	order := recorder.playTurns(b, 12)
 	for i := 6; i < len(order); i++ {
 		if order[i] != order[i-6] {
 			t.Errorf("uneven turns %v", order)
 		}
 	}
-	if err := b.SetRules(h.now, canary(math.NaN(), 1)); err == nil || !strings.Contains(err.Error(), "weight NaN") {
+	if err := b.SetRules(recorder.now, canary(math.NaN(), 1)); err == nil || !strings.Contains(err.Error(), "weight NaN") {
 		t.Errorf("a wrong table: %v", err)
 	}
-	if err := b.SetRules(h.now, nil); err != nil || b.groups[0].destination.Weight != 80 {
+	if err := b.SetRules(recorder.now, nil); err != nil || b.groups[0].destination.Weight != 80 {
 		t.Error("an empty table does not stand for the rules of the settings")
 	}
 }
@@ -84,14 +84,14 @@
 func TestSetRulesBetween(t *testing.T) {
 	set := settings()
 	set.Rules = canary(1, 1)
-	b, h := start(t, set, []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "x", Kind: "small", Size: 1}})
-	b.Request(h.now, Request{ID: 1, Tenant: -1, TimeLeft: time.Second})
+	b, recorder := start(t, set, []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "x", Kind: "small", Size: 1}})
+	b.Request(recorder.now, Request{ID: 1, Tenant: -1, TimeLeft: time.Second})
 	only := canary(1, 0)
-	if err := b.SetRules(h.now, only); err != nil {
+	if err := b.SetRules(recorder.now, only); err != nil {
 		t.Fatal(err)
 	}
-	h.answer(b, h.now+time.Millisecond, Served)
-	if got := count(h.playTurns(b, 10)); got["a"] != 10 {
+	recorder.answer(b, recorder.now+time.Millisecond, Served)
+	if got := count(recorder.playTurns(b, 10)); got["a"] != 10 {
 		t.Errorf("turns %v after a weight of 0", got)
 	}
 }
@@ -100,32 +100,32 @@
 // not for ever.
 func TestPendingRules(t *testing.T) {
 	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "c", Zone: "x", Kind: "huge", Size: 1}}
-	for _, tt := range []pendingCase{
+	for _, test := range []pendingCase{
 		{name: "nothing happens", wait: pendingRulesTTL, want: "ac"},
-		{name: "a server comes", wait: 100 * time.Millisecond, want: "z", do: func(t *testing.T, b *Balancer, h *host) {
-			b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "z", Zone: "x", Kind: "none", Size: 1}})
+		{name: "a server comes", wait: 100 * time.Millisecond, want: "z", do: func(_ *testing.T, b *Balancer, recorder *host) {
+			b.Endpoints(recorder.now, ListChanges, []Endpoint{{ID: "z", Zone: "x", Kind: "none", Size: 1}})
 		}},
-		{name: "the old ones go", wait: 100 * time.Millisecond, want: "c", do: func(t *testing.T, b *Balancer, h *host) {
-			b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "a", State: Draining}})
+		{name: "the old ones go", wait: 100 * time.Millisecond, want: "c", do: func(_ *testing.T, b *Balancer, recorder *host) {
+			b.Endpoints(recorder.now, ListChanges, []Endpoint{{ID: "a", State: Draining}})
 		}},
 		{name: "other tables come all the time", wait: pendingRulesTTL, want: "ac", others: true},
-		{name: "one comes that can be applied", wait: 0, want: "c", do: func(t *testing.T, b *Balancer, h *host) {
-			if err := b.SetRules(h.now, rulesOf("huge")); err != nil {
+		{name: "one comes that can be applied", wait: 0, want: "c", do: func(t *testing.T, b *Balancer, recorder *host) {
+			if err := b.SetRules(recorder.now, rulesOf("huge")); err != nil {
 				t.Error(err)
 			}
 		}},
 	} {
-		t.Run(tt.name, func(t *testing.T) { tt.run(t, list) })
+		t.Run(test.name, func(t *testing.T) { test.run(t, list) })
 	}
 	t.Run("nothing serves before", func(t *testing.T) {
 		set := settings()
 		set.Rules = rulesOf("none")
-		b, h := start(t, set, list)
-		if err := b.SetRules(h.now, rulesOf("nowhere")); err != nil {
+		b, recorder := start(t, set, list)
+		if err := b.SetRules(recorder.now, rulesOf("nowhere")); err != nil {
 			t.Errorf("a table without servers waits for one without: %v", err)
 		}
 		other := []Rule{{Name: "x", Source: Match{"service": "other"}, Service: Match{"service": "*"}, Destinations: canary(1)[0].Destinations}}
-		if err := b.SetRules(h.now, other); err != nil {
+		if err := b.SetRules(recorder.now, other); err != nil {
 			t.Errorf("a table that has no rule for this client waits: %v", err)
 		}
 	})
@@ -147,42 +147,42 @@
 	want   string
 }
 
-func (tt pendingCase) run(t *testing.T, list []Endpoint) {
+func (test pendingCase) run(t *testing.T, list []Endpoint) {
 	set := settings()
 	set.Rules = canary(1)
-	b, h := start(t, set, list)
-	err := b.SetRules(h.now, rulesOf("none"))
+	b, recorder := start(t, set, list)
+	err := b.SetRules(recorder.now, rulesOf("none"))
 	if !errors.Is(err, ErrNoReadyEndpoint) || !b.RulesPending() {
 		t.Fatalf("it does not wait: %v", err)
 	}
-	if got := count(h.playTurns(b, 10)); got["a"] != 10 {
+	if got := count(recorder.playTurns(b, 10)); got["a"] != 10 {
 		t.Errorf("turns %v while it waits", got)
 	}
-	from := h.now - 100*time.Millisecond
-	if tt.do != nil {
-		tt.do(t, b, h)
+	from := recorder.now - 100*time.Millisecond
+	if test.do != nil {
+		test.do(t, b, recorder)
 	}
-	tt.waitApplied(b, h)
-	if took := h.now - from; took < tt.wait-time.Second || took > tt.wait+time.Second {
-		t.Errorf("it waited %v, want %v", took, tt.wait)
+	test.waitApplied(b, recorder)
+	if took := recorder.now - from; took < test.wait-time.Second || took > test.wait+time.Second {
+		t.Errorf("it waited %v, want %v", took, test.wait)
 	}
-	got := count(h.playTurns(b, 10))
-	for _, id := range strings.Split(tt.want, "") {
-		if got[id] != 10/len(tt.want) {
-			t.Errorf("turns %v, want them at %s", got, tt.want)
+	got := count(recorder.playTurns(b, 10))
+	for _, id := range strings.Split(test.want, "") {
+		if got[id] != 10/len(test.want) {
+			t.Errorf("turns %v, want them at %s", got, test.want)
 		}
 	}
 }
 
 // waitApplied plays until no table waits.
-func (tt pendingCase) waitApplied(b *Balancer, h *host) {
+func (test pendingCase) waitApplied(b *Balancer, recorder *host) {
 	for i := 0; b.RulesPending(); i++ {
-		h.now += 100 * time.Millisecond
-		if tt.others && i%10 == 0 {
-			if err := b.SetRules(h.now, rulesOf(fmt.Sprint("none", i))); err == nil {
+		recorder.now += 100 * time.Millisecond
+		if test.others && i%10 == 0 {
+			if err := b.SetRules(recorder.now, rulesOf(fmt.Sprint("none", i))); err == nil {
 				return
 			}
 		}
-		b.Timer(h.now, tickToken)
+		b.Timer(recorder.now, tickToken)
 	}
 }
--- a/balance/shedding_test.go
+++ b/balance/shedding_test.go
@@ -8,39 +8,39 @@
 // TestImpatientClient has clients wait for less than an answer takes on a slow endpoint: theirs go to a quick one, and
 // where none is quick enough they take their turns. Others do not give way for it.
 func TestImpatientClient(t *testing.T) {
-	b, h := start(t, settings(), pair())
+	b, recorder := start(t, settings(), pair())
 	for i := range RequestID(200) {
-		h.now += 20 * time.Millisecond
-		to, took := ask(b, h, i), 10*time.Millisecond
+		recorder.now += 20 * time.Millisecond
+		to, took := ask(b, recorder, i), 10*time.Millisecond
 		if to == "b" {
 			took = 150 * time.Millisecond
 		}
-		b.Result(h.now, Result{ID: i, Endpoint: to, Latency: took, Finished: true})
+		b.Result(recorder.now, Result{ID: i, Endpoint: to, Latency: took, Finished: true})
 	}
 	turns := map[string]int{}
 	for i := RequestID(1000); i < 1040; i++ {
-		h.sent = nil
+		recorder.sent = nil
 		within := 100 * time.Millisecond
 		if i >= 1020 {
 			within = 5 * time.Millisecond
 		}
-		b.Request(h.now, Request{ID: i, Tenant: -1, TimeLeft: within})
-		for _, s := range h.sent {
+		b.Request(recorder.now, Request{ID: i, Tenant: -1, TimeLeft: within})
+		for _, s := range recorder.sent {
 			turns[s.to]++
-			b.Result(h.now, Result{ID: i, Endpoint: s.to, Latency: 10 * time.Millisecond, Finished: true})
+			b.Result(recorder.now, Result{ID: i, Endpoint: s.to, Latency: 10 * time.Millisecond, Finished: true})
 		}
 	}
 	if b.sheddingUntil != 0 {
 		t.Errorf("classes give way until %v, though no endpoint is full", b.sheddingUntil)
 	}
-	if turns["a"] != 30 || turns["b"] != 10 || len(h.refused) != 0 {
-		t.Errorf("turns %v, %d refused", turns, len(h.refused))
+	if turns["a"] != 30 || turns["b"] != 10 || len(recorder.refused) != 0 {
+		t.Errorf("turns %v, %d refused", turns, len(recorder.refused))
 	}
 }
 
 func TestRefusingEverythingEnds(t *testing.T) {
 	bar := refusalThreshold * settings().Classes[0].LatencyTarget.Seconds()
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		name   string
 		took   float64 // times the bar
 		unused float64 // of the time in which what all have taught fades, when it must not be tried yet
@@ -50,16 +50,16 @@
 		{"twice too slow", 2, 0.4, 0.6},
 		{"far beyond the aim", 12, 0.85, 1.05},
 	} {
-		b, h := start(t, settings(), pair())
-		serve(b, h, 2, time.Duration(tt.took*bar*float64(time.Second)))
-		at := h.now
-		h.now = at + time.Duration(tt.unused*float64(recentTTL))
-		if to := ask(b, h, 1); to != "" {
-			t.Errorf("%s: sent to %s though no answer in time is expected", tt.name, to)
+		b, recorder := start(t, settings(), pair())
+		serve(b, recorder, 2, time.Duration(test.took*bar*float64(time.Second)))
+		at := recorder.now
+		recorder.now = at + time.Duration(test.unused*float64(recentTTL))
+		if to := ask(b, recorder, 1); to != "" {
+			t.Errorf("%s: sent to %s though no answer in time is expected", test.name, to)
 		}
-		h.now = at + time.Duration(tt.then*float64(recentTTL))
-		if ask(b, h, 2) == "" {
-			t.Errorf("%s: an unused endpoint is not tried, so that nothing can be learnt", tt.name)
+		recorder.now = at + time.Duration(test.then*float64(recentTTL))
+		if ask(b, recorder, 2) == "" {
+			t.Errorf("%s: an unused endpoint is not tried, so that nothing can be learnt", test.name)
 		}
 	}
 }
@@ -69,30 +69,30 @@
 	set.Classes = append(set.Classes, set.Classes[0])
 	set.Classes[1].Value = 3
 	aim := set.Classes[0].LatencyTarget
-	b, h := start(t, set, pair())
-	serve(b, h, 40, time.Duration(float64(aim)*refusalThreshold*0.8))
+	b, recorder := start(t, set, pair())
+	serve(b, recorder, 40, time.Duration(float64(aim)*refusalThreshold*0.8))
 	b.meanSeconds[1] = b.meanSeconds[0] // the lesser class has a third of the worth: its bar is at 0.58 of the other's
-	if ask(b, h, 1) == "" {
+	if ask(b, recorder, 1) == "" {
 		t.Fatal("the lesser class is refused though nothing was full")
 	}
-	b.Result(h.now, Result{ID: 1, Endpoint: h.sent[0].to, Latency: aim / 2, Finished: true})
-	b.sheddingUntil = h.now + memoryTTL
-	if to := ask(b, h, 2); to != "" {
+	b.Result(recorder.now, Result{ID: 1, Endpoint: recorder.sent[0].to, Latency: aim / 2, Finished: true})
+	b.sheddingUntil = recorder.now + memoryTTL
+	if to := ask(b, recorder, 2); to != "" {
 		t.Error("the lesser class does not give way")
 	}
-	b.Request(h.now, Request{ID: 3, Class: 1, Tenant: -1, TimeLeft: 3 * time.Second})
-	if last := h.sent[len(h.sent)-1]; last.id != 3 {
+	b.Request(recorder.now, Request{ID: 3, Class: 1, Tenant: -1, TimeLeft: 3 * time.Second})
+	if last := recorder.sent[len(recorder.sent)-1]; last.id != 3 {
 		t.Error("the dearer class gives way too")
 	}
 	// Requests of the dearer class fill both endpoints, which makes it tight.
-	b, h = start(t, set, pair())
-	serve(b, h, 40, aim/2)
-	for i := RequestID(10); ask(b, h, i) != ""; i++ {
+	b, recorder = start(t, set, pair())
+	serve(b, recorder, 40, aim/2)
+	for i := RequestID(10); ask(b, recorder, i) != ""; i++ {
 		if i > 100 {
 			t.Fatal("nothing is ever full")
 		}
 	}
-	if h.now >= b.sheddingUntil {
+	if recorder.now >= b.sheddingUntil {
 		t.Error("all is full, and it does not count as tight")
 	}
 }
@@ -100,7 +100,7 @@
 // TestOverloadCountsAsFull has all answers slow down alike: what an idle fleet takes says what is full, not the jam itself.
 func TestOverloadCountsAsFull(t *testing.T) {
 	const idle, jam = 100 * time.Millisecond, 700 * time.Millisecond
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		name  string
 		took  time.Duration
 		ticks int // for which answers take that long
@@ -110,19 +110,19 @@
 		{"a jam", jam, 100, true},
 		{"a jam that has long passed for what it takes", jam, 3000, false},
 	} {
-		b, h := start(t, settings(), pair())
+		b, recorder := start(t, settings(), pair())
 		play := func(ticks int, took time.Duration) {
 			for range ticks {
-				b.Timer(h.now, tickToken)
-				serve(b, h, 5, took)
+				b.Timer(recorder.now, tickToken)
+				serve(b, recorder, 5, took)
 			}
 		}
 		play(100, idle)
-		play(tt.ticks, tt.took)
+		play(test.ticks, test.took)
 		b.sheddingUntil = 0
-		ask(b, h, 1)
-		if full := b.sheddingUntil != 0; full != tt.full {
-			t.Errorf("%s: full %v, want %v; idle it takes %.3f s, now %.3f s", tt.name, full, tt.full, b.idleSeconds, b.fleet.secondsPerLoad())
+		ask(b, recorder, 1)
+		if full := b.sheddingUntil != 0; full != test.full {
+			t.Errorf("%s: full %v, want %v; idle it takes %.3f s, now %.3f s", test.name, full, test.full, b.idleSeconds, b.fleet.secondsPerLoad())
 		}
 	}
 }
@@ -131,13 +131,13 @@
 	// Two classes of one worth; the answers of the second take four times as long, and with them the same worth.
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
-	b, h := start(t, set, pair())
+	b, recorder := start(t, set, pair())
 	for i := range RequestID(200) {
 		class := int(i % 2)
 		took := time.Duration(1+3*class) * 50 * time.Millisecond
-		b.Request(h.now, Request{ID: i, Class: class, Tenant: -1, TimeLeft: 3 * time.Second})
-		to := h.sent[len(h.sent)-1].to
-		b.Result(h.now+took, Result{ID: i, Endpoint: to, Latency: took, Finished: true})
+		b.Request(recorder.now, Request{ID: i, Class: class, Tenant: -1, TimeLeft: 3 * time.Second})
+		to := recorder.sent[len(recorder.sent)-1].to
+		b.Result(recorder.now+took, Result{ID: i, Endpoint: to, Latency: took, Finished: true})
 	}
 	light, heavy := b.sheddingThreshold(0), b.sheddingThreshold(1)
 	if ratio := heavy / light; ratio < 0.45 || ratio > 0.55 || light != refusalThreshold*b.shortestTarget {
@@ -148,23 +148,23 @@
 // TestRefusalSaysWhen has clients ask a busy endpoint for more than it can do: each is told to come back when what
 // is there will have been worked off. Without that they come back at once, all together.
 func TestRefusalSaysWhen(t *testing.T) {
-	b, h := start(t, settings(), []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}})
-	b.Request(h.now, Request{ID: 1, Tenant: -1, TimeLeft: time.Second})
-	h.answer(b, h.now+200*time.Millisecond, Served)
-	b.Result(h.now, Result{ID: 1, Outcome: Served, Latency: 200 * time.Millisecond, Finished: true})
-	for i := RequestID(2); len(h.refused) == 0; i++ {
+	b, recorder := start(t, settings(), []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}})
+	b.Request(recorder.now, Request{ID: 1, Tenant: -1, TimeLeft: time.Second})
+	recorder.answer(b, recorder.now+200*time.Millisecond, Served)
+	b.Result(recorder.now, Result{ID: 1, Outcome: Served, Latency: 200 * time.Millisecond, Finished: true})
+	for i := RequestID(2); len(recorder.refused) == 0; i++ {
 		if i > 1000 {
 			t.Fatal("never full")
 		}
-		b.Request(h.now, Request{ID: i, Tenant: -1, TimeLeft: time.Second})
+		b.Request(recorder.now, Request{ID: i, Tenant: -1, TimeLeft: time.Second})
 	}
-	first := h.advice
+	first := recorder.advice
 	if aim := b.settings.Classes[0].LatencyTarget; first <= 0 || first > aim {
 		t.Errorf("advice to wait %v with an aim of %v", first, aim)
 	}
-	h.refused = nil
-	b.Request(h.now+100*time.Millisecond, Request{ID: 2000, Tenant: -1, TimeLeft: 0})
-	if len(h.refused) != 1 || h.advice != 0 {
-		t.Errorf("%d refusals of what has no time left, advice to wait %v", len(h.refused), h.advice)
+	recorder.refused = nil
+	b.Request(recorder.now+100*time.Millisecond, Request{ID: 2000, Tenant: -1, TimeLeft: 0})
+	if len(recorder.refused) != 1 || recorder.advice != 0 {
+		t.Errorf("%d refusals of what has no time left, advice to wait %v", len(recorder.refused), recorder.advice)
 	}
 }
--- a/balance/signals/signals_test.go
+++ b/balance/signals/signals_test.go
@@ -186,7 +186,7 @@
 		return v
 	}
 	uses, even := []ZoneUse{{rooms[0], 8}, {rooms[1], 3}}, []ZoneUse{{rooms[0], 8}, {rooms[1], 8}}
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		uses     []ZoneUse
 		verdicts []Verdict
 		judged   int
@@ -199,16 +199,16 @@
 		"six of sixteen":     {even, append(down(rooms[0], 3), down(rooms[1], 3)...), 6},
 		"seven of sixteen":   {even, append(down(rooms[0], 3), down(rooms[1], 4)...), 0},
 	} {
-		r := Report{Uses: c.uses, Verdicts: c.verdicts}
+		r := Report{Uses: test.uses, Verdicts: test.verdicts}
 		b := NewAggregate(rooms[0], bound)
 		for i := range 5 {
 			r.Zone = rooms[i%2]
 			b.Receive(first(fmt.Sprint(i), r), 0)
 		}
-		if got := len(b.Evaluate(0)); got != c.judged {
+		if got := len(b.Evaluate(0)); got != test.judged {
 			t.Errorf("%s: %d are judged", name, got)
 		}
-		if said := LocalReport(r); (len(said.Verdicts) > 0) != (c.judged > 0) {
+		if said := LocalReport(r); (len(said.Verdicts) > 0) != (test.judged > 0) {
 			t.Errorf("%s: it says %v itself", name, said.Verdicts)
 		}
 	}
@@ -233,7 +233,7 @@
 // What those of a server's own room say counts everywhere. Two that it served later end it, one does not, and no fault that is
 // newer is ended.
 func TestNearWitnessesAndServed(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		served []time.Duration // ago
 		judged int
 	}{
@@ -245,14 +245,14 @@
 			b.Receive(first(fmt.Sprint(i), Report{Zone: rooms[1], Uses: []ZoneUse{{rooms[1], 8}},
 				Verdicts: []Verdict{{Process{"s1", 1}, rooms[1], Unresponsive, 2, 2 * time.Second}}}), 0)
 		}
-		for i, age := range c.served {
+		for i, age := range test.served {
 			b.Receive(first(fmt.Sprint("served", i), Report{Zone: rooms[0], Uses: []ZoneUse{{rooms[1], 8}},
 				Verdicts: []Verdict{{Process{"s1", 1}, rooms[1], Serving, 1, age}}}), 0)
 		}
-		if got := len(b.Evaluate(0)); got != c.judged {
-			t.Errorf("%s: %d judged, want %d", name, got, c.judged)
+		if got := len(b.Evaluate(0)); got != test.judged {
+			t.Errorf("%s: %d judged, want %d", name, got, test.judged)
 		}
-		if got := b.Witnesses(Process{"s1", 1}); got != (WitnessCount{Condemning: 3, Served: len(c.served)}) {
+		if got := b.Witnesses(Process{"s1", 1}); got != (WitnessCount{Condemning: 3, Served: len(test.served)}) {
 			t.Errorf("%s: %+v witnesses", name, got)
 		}
 	}
--- a/balance/subset/model_test.go
+++ b/balance/subset/model_test.go
@@ -134,15 +134,7 @@
 			t.Run(fmt.Sprintf("%d sidecars, %d servers, %g requests, uneven %v", size.sidecars, size.servers, size.mean, uneven), func(t *testing.T) {
 				m := measure(size.sidecars, size.servers, size.mean, uneven)
 				m.log(t)
-				if b := m.byPlace; b.cover >= 30 && b.most > 1.15 || b.cover >= 10 && (b.most > 1.3 || b.p99 > 1.25) {
-					t.Errorf("in %.1f runs the servers get up to %.2f of the mean, at p99 %.2f", b.cover, b.most, b.p99)
-				}
-				if a, b := m.byNumber, m.byPlace; b.most > a.most+0.01 || b.cover > math.Sqrt2*a.cover {
-					t.Errorf("by place the servers get %.2f in %.1f runs, by number %.2f in %.1f", b.most, b.cover, a.most, a.cover)
-				}
-				if 6*size.sidecars >= size.servers && m.joined.mean >= 2 || m.listed.mean >= 2 {
-					t.Errorf("one sidecar more moves %.2f members of a run, one server more %.2f; want under 2", m.joined.mean, m.listed.mean)
-				}
+				m.check(t, size.sidecars, size.servers)
 			})
 		}
 	}
@@ -187,6 +179,20 @@
 	return m
 }
 
+// check holds what was measured against the bounds.
+func (m measurement) check(t *testing.T, sidecars, servers int) {
+	t.Helper()
+	if b := m.byPlace; b.cover >= 30 && b.most > 1.15 || b.cover >= 10 && (b.most > 1.3 || b.p99 > 1.25) {
+		t.Errorf("in %.1f runs the servers get up to %.2f of the mean, at p99 %.2f", b.cover, b.most, b.p99)
+	}
+	if a, b := m.byNumber, m.byPlace; b.most > a.most+0.01 || b.cover > math.Sqrt2*a.cover {
+		t.Errorf("by place the servers get %.2f in %.1f runs, by number %.2f in %.1f", b.most, b.cover, a.most, a.cover)
+	}
+	if 6*sidecars >= servers && m.joined.mean >= 2 || m.listed.mean >= 2 {
+		t.Errorf("one sidecar more moves %.2f members of a run, one server more %.2f; want under 2", m.joined.mean, m.listed.mean)
+	}
+}
+
 func (m measurement) log(t *testing.T) {
 	t.Helper()
 	t.Logf("by number %+.2f, by place %+.2f, moved by a sidecar %+.2f, by a server %+.2f", m.byNumber, m.byPlace, m.joined, m.listed)
--- a/balance/subsetting_test.go
+++ b/balance/subsetting_test.go
@@ -56,12 +56,12 @@
 }
 
 func TestSubsetGoesWithTraffic(t *testing.T) {
-	b, h := sidecar(t, 3, 10, fleet(200))
+	b, recorder := sidecar(t, 3, 10, fleet(200))
 	first := ids(b.inUse)
 	for range 300 { // 30 s of 10 requests a second
-		h.now += tickInterval
-		b.Timer(h.now, tickToken)
-		serve(b, h, 1, 10*time.Millisecond)
+		recorder.now += tickInterval
+		b.Timer(recorder.now, tickToken)
+		serve(b, recorder, 1, 10*time.Millisecond)
 	}
 	if n, want := len(b.inUse), 10*memoryTTL.Seconds(); float64(n) < want*0.8 || float64(n) > want*1.2 {
 		t.Errorf("at 10 requests a second %d endpoints are used, want about %.0f", n, want)
@@ -72,23 +72,23 @@
 }
 
 func TestSubsetReplacesEjected(t *testing.T) {
-	b, h := sidecar(t, 3, 10, fleet(200))
+	b, recorder := sidecar(t, 3, 10, fleet(200))
 	first := ids(b.inUse)
 	for range 2 {
 		for i := range RequestID(minSubset) {
-			id := RequestID(len(h.logs)*100) + i + RequestID(h.now)
-			if to := ask(b, h, id); to != "" {
+			id := RequestID(len(recorder.logs)*100) + i + RequestID(recorder.now)
+			if to := ask(b, recorder, id); to != "" {
 				outcome := Served
 				if to == first[0] {
 					outcome = Errored
 				}
-				b.Result(h.now, Result{ID: id, Endpoint: to, Outcome: outcome, Latency: time.Millisecond, Finished: true})
+				b.Result(recorder.now, Result{ID: id, Endpoint: to, Outcome: outcome, Latency: time.Millisecond, Finished: true})
 			}
-			h.now += time.Millisecond
+			recorder.now += time.Millisecond
 		}
 	}
-	if len(h.logs) != 1 {
-		t.Fatalf("%d ejections, want 1", len(h.logs))
+	if len(recorder.logs) != 1 {
+		t.Fatalf("%d ejections, want 1", len(recorder.logs))
 	}
 	if n, want := len(b.inUse), int(math.Ceil(b.arrivals))+1; n != want {
 		t.Errorf("%d endpoints are used with one ejected, want %d", n, want)
@@ -99,9 +99,9 @@
 	const servers = 200
 	moved := 0
 	for self := range 100 {
-		b, h := sidecar(t, self, 100, fleet(servers))
+		b, recorder := sidecar(t, self, 100, fleet(servers))
 		before := ids(b.inUse)
-		b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "s0100x", Zone: "x", Kind: "big", Size: 1}})
+		b.Endpoints(recorder.now, ListChanges, []Endpoint{{ID: "s0100x", Zone: "x", Kind: "big", Size: 1}})
 		for _, id := range ids(b.inUse) {
 			if !slices.Contains(before, id) {
 				moved++
@@ -138,17 +138,17 @@
 func sendsWithOthersSaturated(t *testing.T, self, peers, share, seconds int) (cold, all float64) {
 	t.Helper()
 	list := fleet(20)
-	b, h := sidecar(t, self, peers, list)
+	b, recorder := sidecar(t, self, peers, list)
 	fresh := list[0]
-	fresh.Started = h.now
-	b.Endpoints(h.now, ListChanges, []Endpoint{fresh})
+	fresh.Started = recorder.now
+	b.Endpoints(recorder.now, ListChanges, []Endpoint{fresh})
 	id := RequestID(0)
 	for tick := range seconds * 10 {
-		h.now += tickInterval
-		b.Timer(h.now, tickToken)
+		recorder.now += tickInterval
+		b.Timer(recorder.now, tickToken)
 		for int(id)*seconds*10 < share*(tick+1) {
 			id++
-			to := ask(b, h, id)
+			to := ask(b, recorder, id)
 			all++
 			outcome := Saturated
 			if to == fresh.ID {
@@ -156,7 +156,7 @@
 				outcome = Served
 			}
 			if to != "" {
-				b.Result(h.now, Result{ID: id, Endpoint: to, Outcome: outcome, Latency: time.Millisecond})
+				b.Result(recorder.now, Result{ID: id, Endpoint: to, Outcome: outcome, Latency: time.Millisecond})
 			}
 		}
 	}
@@ -166,32 +166,32 @@
 // TestWarmingUpEndpointGetsItsShare guards against sidecars that all wait a round before they turn to a cold
 // endpoint: in a large fleet a round is longer than the endpoint is cold.
 func TestWarmingUpEndpointGetsItsShare(t *testing.T) {
-	for _, tt := range []struct{ peers, servers int }{{3, 9}, {80, 60}} {
-		list := fleet(tt.servers)
+	for _, test := range []struct{ peers, servers int }{{3, 9}, {80, 60}} {
+		list := fleet(test.servers)
 		var cold, all float64
-		for self := range tt.peers {
-			b, h := sidecar(t, self, tt.peers, list)
+		for self := range test.peers {
+			b, recorder := sidecar(t, self, test.peers, list)
 			for range 40 { // enough traffic to use every endpoint
-				b.Timer(h.now, tickToken)
-				serve(b, h, 10, 20*time.Millisecond)
+				b.Timer(recorder.now, tickToken)
+				serve(b, recorder, 10, 20*time.Millisecond)
 			}
 			fresh := list[0]
-			fresh.Started = h.now
-			b.Endpoints(h.now, ListChanges, []Endpoint{fresh})
-			for id := range RequestID(2 * tt.servers) {
-				h.now += 10 * time.Millisecond
-				to := ask(b, h, 1+id)
+			fresh.Started = recorder.now
+			b.Endpoints(recorder.now, ListChanges, []Endpoint{fresh})
+			for id := range RequestID(2 * test.servers) {
+				recorder.now += 10 * time.Millisecond
+				to := ask(b, recorder, 1+id)
 				if all++; to == fresh.ID {
 					cold++
 				}
-				b.Result(h.now, Result{ID: 1 + id, Endpoint: to, Latency: 20 * time.Millisecond, Finished: true})
+				b.Result(recorder.now, Result{ID: 1 + id, Endpoint: to, Latency: 20 * time.Millisecond, Finished: true})
 			}
 		}
 		// Half of what it would fall over at, were every endpoint loaded in full and it as cold as can be.
-		share := settings().StartCapacity / (float64(tt.servers-1) + settings().StartCapacity)
+		share := settings().StartCapacity / (float64(test.servers-1) + settings().StartCapacity)
 		if want := share * all * settings().OverloadMultiple / 2; cold < 0.75*want-1 || cold > 1.25*want+1 {
-			t.Errorf("%d sidecars sent %.0f of %.0f requests to a cold endpoint of %d, want about %.1f", tt.peers, cold, all,
-				tt.servers, want)
+			t.Errorf("%d sidecars sent %.0f of %.0f requests to a cold endpoint of %d, want about %.1f", test.peers, cold, all,
+				test.servers, want)
 		}
 	}
 }
--- a/balance/unresponsive_test.go
+++ b/balance/unresponsive_test.go
@@ -47,33 +47,33 @@
 func playUnresponsive(t *testing.T, sidecars int, members bool) (avoided time.Duration, attempts int, back time.Duration) {
 	const silence = 8 * time.Second
 	servers := fleet(20)
-	f := newSimulatedFleet(t, sidecars, servers, 3*float64(sidecars))
-	g := &reportExchange{fleet: f, reports: make([]signals.Report, sidecars)}
+	play := newSimulatedFleet(t, sidecars, servers, 3*float64(sidecars))
+	g := &reportExchange{fleet: play, reports: make([]signals.Report, sidecars)}
 	run := func(until Time) {
-		for f.now < until {
+		for play.now < until {
 			if members {
 				g.round()
 			}
-			f.run(f.now + 200*time.Millisecond)
+			play.run(play.now + 200*time.Millisecond)
 		}
 	}
-	run(f.now + 26*time.Second)
+	run(play.now + 26*time.Second)
 	if members {
-		f.introduce()
+		play.introduce()
 	}
-	run(f.now + 10*time.Second)
-	from := f.now
-	f.silent = f.sidecars[0].inUse[0].ID
+	run(play.now + 10*time.Second)
+	from := play.now
+	play.silent = play.sidecars[0].inUse[0].ID
 	used := map[int]bool{}
-	for self, b := range f.sidecars {
-		used[self] = b.byID[f.silent].loadSum > 0.2
+	for self, b := range play.sidecars {
+		used[self] = b.byID[play.silent].loadSum > 0.2
 	}
-	f.by = nil
+	play.by = nil
 	run(from + silence)
 	at := make([]time.Duration, 0, sidecars)
 	last := map[int]Time{}
-	for _, s := range f.by {
-		if s.to == f.silent {
+	for _, s := range play.by {
+		if s.to == play.silent {
 			attempts++
 			last[s.self] = s.at - from
 		}
@@ -84,13 +84,13 @@
 		}
 	}
 	slices.Sort(at)
-	id := f.silent
-	f.silent = ""
+	id := play.silent
+	play.silent = ""
 	share := 3 * sidecars / len(servers)
 	for back = time.Second; back < 20*time.Second; back += time.Second / 2 {
 		run(from + silence + back)
-		first, _ := slices.BinarySearch(f.sent[id], f.now-time.Second)
-		if len(f.sent[id])-first >= share/2 {
+		first, _ := slices.BinarySearch(play.sent[id], play.now-time.Second)
+		if len(play.sent[id])-first >= share/2 {
 			break
 		}
 	}
@@ -100,17 +100,17 @@
 // TestFleetAvoidsUnresponsive: a server that falls silent is avoided by the fleet sooner, and with fewer attempts, than sidecars
 // learn it alone, and it is back soon after it answers again. One in 20 tries it within the 8 s, or nobody would know that it is back.
 func TestFleetAvoidsUnresponsive(t *testing.T) {
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		sidecars int
 		within   time.Duration
 		part     float64 // of the attempts alone
 	}{{20, 2500 * time.Millisecond, 0.3}, {100, 1500 * time.Millisecond, 0.3}, {300, 1500 * time.Millisecond, 0.2}} {
-		n := tt.sidecars
+		n := test.sidecars
 		alone, lone, _ := playUnresponsive(t, n, false)
 		avoided, attempts, back := playUnresponsive(t, n, true)
 		t.Logf("%d sidecars: 95%% avoid it after %v with %d attempts, alone %v with %d; back after %v", n, avoided, attempts, alone, lone, back)
-		if avoided > tt.within || float64(attempts) > tt.part*float64(lone) || back > 5*time.Second {
-			t.Errorf("%d sidecars: want %v, %.0f attempts and 5 s at most", n, tt.within, tt.part*float64(lone))
+		if avoided > test.within || float64(attempts) > test.part*float64(lone) || back > 5*time.Second {
+			t.Errorf("%d sidecars: want %v, %.0f attempts and 5 s at most", n, test.within, test.part*float64(lone))
 		}
 	}
 }
--- a/balance/warmup_budget_test.go
+++ b/balance/warmup_budget_test.go
@@ -12,36 +12,36 @@
 	set := settings()
 	set.PeerCount = peers
 	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "x", Kind: "big", Size: 1}}
-	b, h := start(t, set, list)
+	b, recorder := start(t, set, list)
 	id := RequestID(0)
 	step := func(n int) {
-		h.now += 20 * time.Millisecond
+		recorder.now += 20 * time.Millisecond
 		for range n {
 			id++
-			b.Request(h.now, Request{ID: id, Tenant: -1, TimeLeft: 3 * time.Second})
+			b.Request(recorder.now, Request{ID: id, Tenant: -1, TimeLeft: 3 * time.Second})
 		}
 	}
 	for range 200 {
 		step(2)
-		sent := h.sent
-		h.sent = nil
+		sent := recorder.sent
+		recorder.sent = nil
 		for _, s := range sent {
-			b.Result(h.now+20*time.Millisecond, Result{ID: s.id, Endpoint: s.to, Latency: 20 * time.Millisecond, Finished: true})
+			b.Result(recorder.now+20*time.Millisecond, Result{ID: s.id, Endpoint: s.to, Latency: 20 * time.Millisecond, Finished: true})
 		}
 	}
-	b.Endpoints(h.now, ListChanges, []Endpoint{{ID: "c", Zone: "x", Kind: "big", Size: 1, Started: h.now}})
+	b.Endpoints(recorder.now, ListChanges, []Endpoint{{ID: "c", Zone: "x", Kind: "big", Size: 1, Started: recorder.now}})
 	var cold []Time
 	for range 50 {
 		step(20)
-		for n := 0; n < len(h.sent); n++ {
-			if h.sent[n].to == "c" {
-				cold = append(cold, h.now)
+		for n := 0; n < len(recorder.sent); n++ {
+			if recorder.sent[n].to == "c" {
+				cold = append(cold, recorder.now)
 				if retries {
-					b.Result(h.now, Result{ID: h.sent[n].id, Endpoint: "c", Outcome: Saturated})
+					b.Result(recorder.now, Result{ID: recorder.sent[n].id, Endpoint: "c", Outcome: Saturated})
 				}
 			}
 		}
-		h.sent = h.sent[:0]
+		recorder.sent = recorder.sent[:0]
 	}
 	most = maxWithin(cold, set.OverloadTime)
 	// At the end of the second its share of capacity is a little higher than at the start.
--- a/balance/warmup_fleet_test.go
+++ b/balance/warmup_fleet_test.go
@@ -45,8 +45,8 @@
 	f := &simulatedFleet{rng: rand.New(rand.NewPCG(uint64(sidecars), uint64(len(servers)))), now: time.Minute, sent: map[string][]Time{}}
 	var sum float64
 	for self := range sidecars {
-		b, h := sidecar(t, self, sidecars, servers)
-		f.sidecars, f.hosts = append(f.sidecars, b), append(f.hosts, h)
+		b, recorder := sidecar(t, self, sidecars, servers)
+		f.sidecars, f.hosts = append(f.sidecars, b), append(f.hosts, recorder)
 		f.rate = append(f.rate, f.rng.ExpFloat64())
 		sum += f.rate[self]
 	}
@@ -167,33 +167,33 @@
 	t.Helper()
 	const capacity, load = 20, 0.8
 	list := fleet(servers)
-	f := newSimulatedFleet(t, sidecars, list, load*capacity*float64(servers))
-	f.run(f.now + 13*time.Second)
+	play := newSimulatedFleet(t, sidecars, list, load*capacity*float64(servers))
+	play.run(play.now + 13*time.Second)
 	if known {
-		f.introduce()
+		play.introduce()
 	}
-	from := f.now
+	from := play.now
 	for i := range list {
 		if way == "all" || i == 0 {
-			list[i].Started = f.now
+			list[i].Started = play.now
 		}
 	}
 	if way == "refusing" {
-		f.bad = list[0].ID
+		play.bad = list[0].ID
 	}
-	for _, b := range f.sidecars {
-		b.Endpoints(f.now, ListFull, list)
+	for _, b := range play.sidecars {
+		b.Endpoints(play.now, ListFull, list)
 	}
-	f.run(f.now + 5*time.Second)
-	f.bad = ""
-	f.run(f.now + 5*time.Second)
+	play.run(play.now + 5*time.Second)
+	play.bad = ""
+	play.run(play.now + 5*time.Second)
 	var over, got float64
 	for _, e := range list {
 		if e.Started != 0 {
-			over = max(over, f.worstExcess(e.ID, from, capacity))
+			over = max(over, play.worstExcess(e.ID, from, capacity))
 		}
 	}
-	for _, at := range f.sent[list[0].ID] {
+	for _, at := range play.sent[list[0].ID] {
 		if at >= from {
 			got++
 		}
