--- a/balance/golden_trace_test.go
+++ b/balance/golden_trace_test.go
@@ -112,8 +112,8 @@
 	a.Actions.Log(text)
 }
 
-// kept takes in all that a Balancer has learned, as far as it hands that on.
-func (tr *goldenTrace) kept(k Snapshot) {
+// snapshot takes in all that a Balancer has learned, as far as it hands that on.
+func (tr *goldenTrace) snapshot(k Snapshot) {
 	tr.step('K', int64(k.SheddingFor), int64(len(k.Groups)), int64(len(k.Endpoints)))
 	tr.float(k.ZoneWeight, k.IdleSeconds, k.Arrivals)
 	tr.float(k.MeanSeconds...)
@@ -192,7 +192,7 @@
 		case choice == 368:
 			driven.meet()
 		case choice < 372:
-			driven.trouble()
+			driven.changeFailures()
 		case choice < 374:
 			driven.restartSidecar()
 		}
@@ -291,7 +291,7 @@
 	for self, b := range d.sidecars {
 		for ; d.nextTick[self] <= d.now; d.nextTick[self] += tickInterval {
 			b.Timer(d.now, tickToken)
-			d.tr.kept(b.Snapshot(d.now))
+			d.tr.snapshot(b.Snapshot(d.now))
 			all, avoided := b.CountListed(d.now)
 			d.tr.num(int64(all), int64(avoided), int64(b.TrafficLevel()))
 			d.tr.flag(b.RulesPending())
@@ -482,8 +482,8 @@
 	}
 }
 
-// trouble has a server fail in one way, or recover.
-func (d *driver) trouble() {
+// changeFailures has a server fail in one way, or recover.
+func (d *driver) changeFailures() {
 	id := d.list[d.rng.IntN(len(d.list))].ID
 	if _, failing := d.failing[id]; failing {
 		delete(d.failing, id)
@@ -501,11 +501,11 @@
 	d.open = slices.DeleteFunc(d.open, func(a drivenAttempt) bool { return a.self == d.self })
 	d.sidecars[d.self] = d.started(d.self)
 	d.sidecars[d.self].Restore(d.now, learned, time.Duration(d.rng.IntN(3000))*time.Millisecond)
-	d.tr.kept(d.sidecars[d.self].Snapshot(d.now))
+	d.tr.snapshot(d.sidecars[d.self].Snapshot(d.now))
 }
 
-// tracedSilence is a fleet of which a server falls silent, with members that tell each other, some servers cold.
-func tracedSilence(t *testing.T, trace *goldenTrace, seed uint64) {
+// tracedUnresponsive is a fleet of which a server falls silent, with members that tell each other, some servers cold.
+func tracedUnresponsive(t *testing.T, trace *goldenTrace, seed uint64) {
 	t.Helper()
 	servers := fleet(12)
 	servers[1].Started, servers[5].Started = time.Minute-time.Second, time.Minute
@@ -519,7 +519,7 @@
 			g.round()
 			play.run(play.now + 200*time.Millisecond)
 			for _, b := range play.sidecars {
-				trace.kept(b.Snapshot(play.now))
+				trace.snapshot(b.Snapshot(play.now))
 			}
 		}
 	}
@@ -527,9 +527,9 @@
 	play.introduce()
 	play.bad = "s0003"
 	run(play.now + 4*time.Second)
-	play.silent, play.bad = play.sidecars[0].inUse[0].ID, ""
+	play.unresponsive, play.bad = play.sidecars[0].inUse[0].ID, ""
 	run(play.now + 8*time.Second)
-	play.silent = ""
+	play.unresponsive = ""
 	run(play.now + 6*time.Second)
 }
 
@@ -543,7 +543,7 @@
 		all = append(all, goldenScenario{"any-operations", seed, anyOperations})
 	}
 	for seed := range uint64(2) {
-		all = append(all, goldenScenario{"silence", seed, tracedSilence})
+		all = append(all, goldenScenario{"silence", seed, tracedUnresponsive})
 	}
 	return all
 }
--- a/balance/hitters/detector.go
+++ b/balance/hitters/detector.go
@@ -70,8 +70,8 @@
 
 // shareEstimate is a client's share of the fleet's work.
 type shareEstimate struct {
-	likely float64
-	sure   float64 // less a margin for chance
+	likely     float64
+	lowerBound float64 // less a margin for chance
 }
 
 // share is a client's share of the fleet's work, less what the other origin reports that reports most of it.
@@ -81,12 +81,12 @@
 func (f fleet) share(t tally) shareEstimate {
 	share := float64(t.total-t.largestOther) / math.Max(float64(f.total), 1)
 	deviation := math.Sqrt(share * (1 - share) / math.Max(float64(f.requests), 1))
-	return shareEstimate{likely: share, sure: share - confidenceDeviations*deviation}
+	return shareEstimate{likely: share, lowerBound: share - confidenceDeviations*deviation}
 }
 
 // nextState is the state that a client goes to: up by what is sure, down by what is not even likely.
 func (d *Detector) nextState(client *Client, estimate shareEstimate, now Time) State {
-	isHigh, inState := estimate.sure >= d.settings.HighThreshold, now-client.Since
+	isHigh, inState := estimate.lowerBound >= d.settings.HighThreshold, now-client.Since
 	switch client.State {
 	case Quiet:
 		if isHigh {
--- a/balance/hitters/detector_test.go
+++ b/balance/hitters/detector_test.go
@@ -136,15 +136,15 @@
 		roll(detector, &now, &seq, 3*time.Second, words)
 		next := alone.secondLargestTotal()
 		for _, c := range detector.clients {
-			if most := mostShare(alone, c.Key, maxTotalRatio*next); most < set.HighThreshold-1e-3 {
+			if most := largestShare(alone, c.Key, maxTotalRatio*next); most < set.HighThreshold-1e-3 {
 				t.Fatalf("%d is %v, with a share of %v without the liar", c.Key, c.State, most)
 			}
 		}
 	})
 }
 
-// mostShare is the larger of a client's shares with totals capped, and without.
-func mostShare(d *Detector, key, capped uint64) (most float64) {
+// largestShare is the larger of a client's shares with totals capped, and without.
+func largestShare(d *Detector, key, capped uint64) (most float64) {
 	for _, maxOther := range []uint64{capped, math.MaxInt64} {
 		f, all := d.sumReports(maxOther)
 		for _, t := range all {
--- a/balance/hitters/model_test.go
+++ b/balance/hitters/model_test.go
@@ -12,34 +12,34 @@
 // same share of all they are sent, and news with delays, losses and repeats. Some sidecars judge; the others tell, and do
 // as one of those says.
 const (
-	sidecars  = 300
-	judges    = 24
-	clients   = 2000
-	step      = 50 * time.Millisecond
-	perSide   = 4.0 // requests a second of a sidecar in the mean, without a flood
-	meanWork  = 0.05
-	floodAt   = 4 * time.Second // the servers are up to the rest
-	seenBy    = floodAt + 3*time.Second
-	lasts     = 16 * time.Second
-	firstBad  = 1 << 20 // the key of the first client that floods
-	firstNew  = 1 << 40 // and of those that never come back
-	room      = 1.05    // capacity over what is asked without a flood
-	usualLoss = 0.13    // of news: of gossip that is full (see Every), as many do not hear of a report
-	mostQueue = 6       // steps' work that waits at servers at the most: half of it, and they count as full, for 6 s
+	sidecars       = 300
+	judges         = 24
+	clients        = 2000
+	step           = 50 * time.Millisecond
+	perSide        = 4.0 // requests a second of a sidecar in the mean, without a flood
+	meanWork       = 0.05
+	floodAt        = 4 * time.Second // the servers are up to the rest
+	seenBy         = floodAt + 3*time.Second
+	lasts          = 16 * time.Second
+	firstBad       = 1 << 20 // the key of the first client that floods
+	firstNew       = 1 << 40 // and of those that never come back
+	capacityFactor = 1.05    // capacity over what is asked without a flood
+	usualLoss      = 0.13    // of news: of gossip that is full (see Every), as many do not hear of a report
+	maxQueueSteps  = 6       // steps' work that waits at servers at the most: half of it, and they count as full, for 6 s
 )
 
 type scenario struct {
-	name   string
-	floods int
-	share  float64       // of a flood, of the fleet's work
-	one    bool          // all of it by the first sidecar
-	cut    bool          // the even ones and the others hear nothing of each other
-	killed float64       // share of the sidecars that end a second into the flood
-	lie    *Report       // of the last sidecar, in place of what it has seen
-	fresh  float64       // share of the requests, without floods, whose clients never come back
-	load   float64       // of the sound ones, over what is usual; 0: 1
-	loss   float64       // of the news
-	late   time.Duration // of the news, at the most
+	name        string
+	floods      int
+	share       float64       // of a flood, of the fleet's work
+	one         bool          // all of it by the first sidecar
+	partitioned bool          // the even ones and the others hear nothing of each other
+	killed      float64       // share of the sidecars that end a second into the flood
+	lie         *Report       // of the last sidecar, in place of what it has seen
+	fresh       float64       // share of the requests, without floods, whose clients never come back
+	load        float64       // of the sound ones, over what is usual; 0: 1
+	loss        float64       // of the news
+	late        time.Duration // of the news, at the most
 }
 
 var victim = Report{Requests: 1 << 31, Served: 1, Shares: [maxNamed]uint16{fullShare}, Named: 1, Keys: [maxNamed]uint64{40}}
@@ -53,7 +53,7 @@
 	{name: "twice the bar", floods: 1, share: 0.085},
 	{name: "one sidecar", floods: 1, share: 0.3, one: true},
 	{name: "ten", floods: 10, share: 0.085},
-	{name: "cut", floods: 2, share: 0.2, cut: true},
+	{name: "cut", floods: 2, share: 0.2, partitioned: true},
 	{name: "killed", floods: 2, share: 0.15, killed: 0.3},
 	{name: "huge lie", floods: 1, share: 0.15, lie: lie(maxTotal)},
 	{name: "small lie", floods: 1, share: 0.15, lie: lie(1 << 20)},
@@ -64,11 +64,11 @@
 // outcome is what a scenario came to. Heavy clients are counted for each sidecar that judges: those over twice the high threshold, by
 // their rate, that are held as heavy 3 s after their flood began, and those under the threshold that ever are.
 type outcome struct {
-	over, held, wrong, right float64
-	delay                    time.Duration // until 95% of them were held
-	calm, flooded            float64       // share of the sound ones' work that was served before, and after 3 s
-	kept                     float64       // of the floods' requests
-	bytes, messages          float64
+	over, detected, wrong, right float64
+	delay                        time.Duration // until 95% of them were held
+	calm, flooded                float64       // share of the sound ones' work that was served before, and after 3 s
+	admitted                     float64       // of the floods' requests
+	bytes, messages              float64
 }
 
 // delivery is a report on its way to a sidecar.
@@ -108,7 +108,7 @@
 	fullTo   Time
 
 	before, sound, flooding served
-	isHeld                  bool
+	isDetected              bool
 	outcome                 outcome
 }
 
@@ -123,7 +123,7 @@
 		sim.askFloods()
 		sim.serve()
 		sim.report()
-		sim.countHeld()
+		sim.countDetected()
 	}
 	return sim.result()
 }
@@ -135,7 +135,7 @@
 		scenario: played, rng: rand.New(rand.NewPCG(seed, 1)), high: settings.HighThreshold, window: settings.Window,
 		detectors: make([]*Detector, sidecars), traffic: make([]float64, sidecars), popularity: make([]float64, clients),
 		isFlood: map[uint64]bool{}, mail: map[Time][]delivery{}, passing: 1, fullTo: -1,
-		capacity: room * perSide * sidecars * meanWork * step.Seconds(),
+		capacity: capacityFactor * perSide * sidecars * meanWork * step.Seconds(),
 	}
 	for index := range sim.detectors {
 		settings.Origin = uint64(index + 1)
@@ -240,7 +240,7 @@
 
 // judge is the sidecar by whose verdicts another one acts.
 func (sim *simulation) judge(i int, key uint64) *Detector {
-	if sim.one && sim.isFlood[key] || sim.cut && i%2 != i%judges%2 {
+	if sim.one && sim.isFlood[key] || sim.partitioned && i%2 != i%judges%2 {
 		return sim.detectors[i]
 	}
 	return sim.detectors[i%judges]
@@ -249,29 +249,29 @@
 // serve has the servers do a step's work.
 func (sim *simulation) serve() {
 	sim.queue = max(0, sim.queue+sim.sent*sim.passing-sim.capacity)
-	if sim.queue > mostQueue*sim.capacity/2 {
+	if sim.queue > maxQueueSteps*sim.capacity/2 {
 		sim.fullTo = sim.now + 6*time.Second
 	}
-	sim.passing = min(1, max(0, (mostQueue+1)*sim.capacity-sim.queue)/max(sim.sent, 1e-9))
+	sim.passing = min(1, max(0, (maxQueueSteps+1)*sim.capacity-sim.queue)/max(sim.sent, 1e-9))
 }
 
 // report ends the windows that are over, and sends what they say.
 func (sim *simulation) report() {
-	for i, detector := range sim.detectors {
-		if (sim.now/step+Time(i))%(sim.window/step) != 0 || !sim.isAlive(i) {
+	for index, detector := range sim.detectors {
+		if (sim.now/step+Time(index))%(sim.window/step) != 0 || !sim.isAlive(index) {
 			continue
 		}
 		var own OriginReport
-		if i < judges {
+		if index < judges {
 			own, _ = detector.EndWindow(sim.now)
 		} else {
 			own = detector.closeWindow(sim.now)
 		}
-		if sim.lie != nil && i == sidecars-1 {
+		if sim.lie != nil && index == sidecars-1 {
 			own.Report = *sim.lie
 		}
 		if own.Seq%ReportInterval(sidecars) == 0 {
-			sim.send(i, own)
+			sim.send(index, own)
 		}
 	}
 }
@@ -283,15 +283,15 @@
 	sim.outcome.messages++
 	own.Report, _ = ParseReport(text)
 	for to := range judges {
-		if to != from && sim.rng.Float64() >= max(sim.loss, usualLoss) && (!sim.cut || to%2 == from%2) {
+		if to != from && sim.rng.Float64() >= max(sim.loss, usualLoss) && (!sim.partitioned || to%2 == from%2) {
 			at := sim.now + step*(1+Time(sim.rng.IntN(int(max(sim.late, 4*step)/step))))
 			sim.mail[at] = append(sim.mail[at], delivery{to, own, sim.now})
 		}
 	}
 }
 
-// countHeld counts who is held as heavy, rightly or not.
-func (sim *simulation) countHeld() {
+// countDetected counts who is held as heavy, rightly or not.
+func (sim *simulation) countDetected() {
 	got, want := 0.0, 0.0
 	for i, detector := range sim.detectors[:judges] {
 		if !sim.isAlive(i) || sim.now < floodAt {
@@ -308,13 +308,13 @@
 		}
 		sim.countVerdicts(detector)
 	}
-	if !sim.isHeld && want > 0 && got >= 0.95*want {
-		sim.isHeld = true
+	if !sim.isDetected && want > 0 && got >= 0.95*want {
+		sim.isDetected = true
 		sim.outcome.delay = sim.now - floodAt
 	}
 	if sim.now >= seenBy {
 		sim.outcome.over += want
-		sim.outcome.held += got
+		sim.outcome.detected += got
 	}
 }
 
@@ -332,10 +332,10 @@
 
 func (sim *simulation) result() outcome {
 	o := sim.outcome
-	if !sim.isHeld {
+	if !sim.isDetected {
 		o.delay = lasts
 	}
-	o.calm, o.flooded, o.kept = sim.before.done/sim.before.asked, sim.sound.done/sim.sound.asked, sim.flooding.done/max(sim.flooding.asked, 1e-9)
+	o.calm, o.flooded, o.admitted = sim.before.done/sim.before.asked, sim.sound.done/sim.sound.asked, sim.flooding.done/max(sim.flooding.asked, 1e-9)
 	o.bytes, o.messages = o.bytes/lasts.Seconds()/sidecars, o.messages/lasts.Seconds()/sidecars
 	return o
 }
@@ -353,9 +353,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			got := test.run(t, 7)
-			precision, recall := got.right/max(got.right+got.wrong, 1), got.held/max(got.over, 1)
+			precision, recall := got.right/max(got.right+got.wrong, 1), got.detected/max(got.over, 1)
 			t.Logf("precision %.4f, recall %.3f, held after %v, sound ones served %.3f before and %.3f after, floods %.3f, %.0f bytes/s in %.1f messages/s told by a sidecar",
-				precision, recall, got.delay, got.calm, got.flooded, got.kept, got.bytes, got.messages)
+				precision, recall, got.delay, got.calm, got.flooded, got.admitted, got.bytes, got.messages)
 			if test.floods == 0 {
 				if got.wrong > 0 {
 					t.Errorf("%v times a sound client was held for heavy", got.wrong)
@@ -365,7 +365,7 @@
 			if precision < 0.99 || recall < 0.95 || got.delay > 3*time.Second || got.over == 0 {
 				t.Errorf("precision %v, recall %v of %v, after %v", precision, recall, got.over, got.delay)
 			}
-			if !test.cut && test.killed == 0 && got.calm-got.flooded > 0.02 {
+			if !test.partitioned && test.killed == 0 && got.calm-got.flooded > 0.02 {
 				t.Errorf("sound clients: %v served, %v in the flood", got.calm, got.flooded)
 			}
 		})
--- a/balance/hitters/report.go
+++ b/balance/hitters/report.go
@@ -62,11 +62,11 @@
 	if len(encoded) > MaxReportBytes || len(encoded) == 0 || encoded[0] != layoutVersion {
 		return Report{}, ErrInvalidReport
 	}
-	total, rest, ok := cutUvarint(encoded[1:], maxTotal)
+	total, rest, ok := parseUvarint(encoded[1:], maxTotal)
 	if !ok {
 		return Report{}, ErrInvalidReport
 	}
-	requests, rest, ok := cutUvarint(rest, math.MaxUint32)
+	requests, rest, ok := parseUvarint(rest, math.MaxUint32)
 	if !ok || len(rest) < fixedFieldsBytes {
 		return Report{}, ErrInvalidReport
 	}
@@ -83,8 +83,8 @@
 	return r, nil
 }
 
-// cutUvarint reads a number up to a bound, and returns what follows it.
-func cutUvarint(from []byte, bound uint64) (value uint64, rest []byte, ok bool) {
+// parseUvarint reads a number up to a bound, and returns what follows it.
+func parseUvarint(from []byte, bound uint64) (value uint64, rest []byte, ok bool) {
 	value, size := binary.Uvarint(from)
 	if size <= 0 || value > bound {
 		return 0, nil, false
--- a/balance/latency_test.go
+++ b/balance/latency_test.go
@@ -93,9 +93,9 @@
 	}
 }
 
-// TestSilentEndpointsDoNotSlowTheirPeers loses some endpoints, as with a zone: what they never answer says nothing of
+// TestUnresponsiveEndpointsDoNotSlowTheirPeers loses some endpoints, as with a zone: what they never answer says nothing of
 // how long the others take.
-func TestSilentEndpointsDoNotSlowTheirPeers(t *testing.T) {
+func TestUnresponsiveEndpointsDoNotSlowTheirPeers(t *testing.T) {
 	took := 100 * time.Millisecond
 	b, recorder := start(t, settings(), fleet(4))
 	serve(b, recorder, 40, took)
--- a/balance/members_test.go
+++ b/balance/members_test.go
@@ -8,8 +8,8 @@
 	"gradeusher.example/gradeusher/balance/turns"
 )
 
-// settledSidecar starts a sidecar whose traffic is little and known.
-func settledSidecar(t *testing.T, self, peers, servers int) (*Balancer, *host) {
+// sidecarOfKnownTraffic starts a sidecar whose traffic is little and known.
+func sidecarOfKnownTraffic(t *testing.T, self, peers, servers int) (*Balancer, *host) {
 	t.Helper()
 	b, recorder := sidecar(t, self, peers, fleet(servers))
 	if b.TrafficLevel() != 0 {
@@ -22,9 +22,9 @@
 	return b, recorder
 }
 
-// TestMembersGiveSubsetsTheirPlaces: sidecars that know their places among those alike use each server equally often, and do
+// TestMembersGiveSubsetPositions: sidecars that know their places among those alike use each server equally often, and do
 // what they did alone once they know them no more, or are told what cannot be.
-func TestMembersGiveSubsetsTheirPlaces(t *testing.T) {
+func TestMembersGiveSubsetPositions(t *testing.T) {
 	const peers, servers = 30, 60
 	for _, test := range []struct {
 		name      string
@@ -38,7 +38,7 @@
 				if test.odd && self%2 == 1 {
 					continue
 				}
-				for _, id := range placeAmong(t, self, peers, servers, test.level, test.odd) {
+				for _, id := range useAsMember(t, self, peers, servers, test.level, test.odd) {
 					users[id]++
 				}
 			}
@@ -57,10 +57,10 @@
 	}
 }
 
-// placeAmong returns what a sidecar uses as a member, and checks that it uses what it did alone once it is none.
-func placeAmong(t *testing.T, self, peers, servers, level int, odd bool) []string {
+// useAsMember returns what a sidecar uses as a member, and checks that it uses what it did alone once it is none.
+func useAsMember(t *testing.T, self, peers, servers, level int, odd bool) []string {
 	t.Helper()
-	b, recorder := settledSidecar(t, 0, 1, servers) // all of one number: alone, all use the same
+	b, recorder := sidecarOfKnownTraffic(t, 0, 1, servers) // all of one number: alone, all use the same
 	all := make([]Peer, peers)
 	for i := range all {
 		all[i] = Peer{b.settings.Zone, level * b.TrafficLevel()}
@@ -91,7 +91,7 @@
 	const peers, servers, gone = 60, 120, 12
 	users := map[string]int{}
 	for self := range peers {
-		b, recorder := settledSidecar(t, self, peers, servers)
+		b, recorder := sidecarOfKnownTraffic(t, self, peers, servers)
 		for _, e := range b.endpoints[:gone] {
 			e.ejectedUntil = recorder.now + time.Minute
 		}
--- a/balance/operator_test.go
+++ b/balance/operator_test.go
@@ -95,9 +95,9 @@
 	}
 }
 
-// TestReturnToServiceWithClockAhead puts an endpoint back whose listed start lies ahead of the sidecar's clock: taken out and put
+// TestReturnToServiceWithStartInTheFuture puts an endpoint back whose listed start lies ahead of the sidecar's clock: taken out and put
 // back after it was told, it may have been restarted in between, and is cold.
-func TestReturnToServiceWithClockAhead(t *testing.T) {
+func TestReturnToServiceWithStartInTheFuture(t *testing.T) {
 	b, recorder := start(t, settings(), pair())
 	again := pair()[:1]
 	again[0].Started = recorder.now + time.Hour
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestSilentEndpointGetsNothingMore(t *testing.T) {
+func TestUnresponsiveEndpointGetsNothingMore(t *testing.T) {
 	b, recorder := start(t, settings(), pair())
 	serve(b, recorder, 100, 20*time.Millisecond)
 	first := ask(b, recorder, 1) // never answered
@@ -210,9 +210,9 @@
 	}
 }
 
-// TestClockAhead lists a process that says it will start in an hour: it is taken for cold from now on, and warm after the time
+// TestStartInTheFuture lists a process that says it will start in an hour: it is taken for cold from now on, and warm after the time
 // that a cold one needs. Said again, it stays the process that it is.
-func TestClockAhead(t *testing.T) {
+func TestStartInTheFuture(t *testing.T) {
 	b, recorder := start(t, settings(), pair())
 	recorder.now += time.Minute
 	fresh := []Endpoint{{ID: "c", Zone: "x", Kind: "big", Size: 1, Started: recorder.now + time.Hour}}
--- a/balance/overload_test.go
+++ b/balance/overload_test.go
@@ -117,9 +117,9 @@
 	return sum
 }
 
-// TestWarmingUpEndpointGoesByItsPeers has all cold endpoints but one answer late: that one is believed no quicker, while
+// TestWarmingUpEndpointFollowsItsPeers has all cold endpoints but one answer late: that one is believed no quicker, while
 // warm ones are.
-func TestWarmingUpEndpointGoesByItsPeers(t *testing.T) {
+func TestWarmingUpEndpointFollowsItsPeers(t *testing.T) {
 	var list []Endpoint
 	for index := range 8 {
 		list = append(list, Endpoint{ID: fmt.Sprint("e", index), Zone: "x", Kind: "big", Size: 1})
--- a/balance/routes/diff.go
+++ b/balance/routes/diff.go
@@ -13,7 +13,7 @@
 func Diff(from, to Table) []Op {
 	changes := newDiff(from, to)
 	stays := make([]bool, len(to))
-	for _, i := range longestIncreasing(changes.kept) {
+	for _, i := range longestIncreasing(changes.common) {
 		stays[i] = true
 	}
 	// Each rule that does not stay is put right behind its predecessor in the target. Those placed so far are
@@ -21,7 +21,7 @@
 	ops, after := changes.drops, ""
 	for i, rule := range to {
 		switch {
-		case !changes.isKept[i]:
+		case !changes.inBoth[i]:
 			ops = append(ops, Op{Kind: Add, Name: rule.Name, After: after, Rule: rule})
 		case !stays[i]:
 			ops = append(ops, Op{Kind: Move, Name: rule.Name, After: after})
@@ -35,9 +35,9 @@
 // diff says what happens to each rule of two tables, apart from its place.
 type diff struct {
 	drops  []Op   // of rules that go, or that cost less to add anew
-	isKept []bool // by index in the target: the rule is not dropped
+	inBoth []bool // by index in the target: the rule is not dropped
 	edits  [][]Op // by index in the target, of kept rules
-	kept   []int  // indexes in the target of the kept rules, in their old order
+	common []int  // indexes in the target of the kept rules, in their old order
 }
 
 func newDiff(from, to Table) diff {
@@ -45,14 +45,14 @@
 	for i, rule := range to {
 		index[rule.Name] = i
 	}
-	changes := diff{isKept: make([]bool, len(to)), edits: make([][]Op, len(to))}
+	changes := diff{inBoth: make([]bool, len(to)), edits: make([][]Op, len(to))}
 	for _, rule := range from {
 		i, inBoth := index[rule.Name]
 		if inBoth {
 			if ops := edit(rule, to[i]); len(ops) <= len(to[i].Destinations)+1 {
 				changes.edits[i] = ops
-				changes.isKept[i] = true
-				changes.kept = append(changes.kept, i)
+				changes.inBoth[i] = true
+				changes.common = append(changes.common, i)
 				continue
 			}
 		}
--- a/balance/routes/json.go
+++ b/balance/routes/json.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"math"
 )
@@ -27,7 +28,7 @@
 	return json.Marshal(destinationJSON{d.Match, &d.Weight, d.PerSize})
 }
 
-// UnmarshalJSON implements json.Unmarshaler. Unknown keys, as of later versions, are passed over.
+// UnmarshalJSON implements json.Unmarshaler. Unknown keys, as of later versions, are ignored.
 func (d *Destination) UnmarshalJSON(text []byte) error {
 	var f destinationJSON
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -43,21 +44,21 @@
 		Rule
 		Destinations []destinationJSON `json:"destinations"`
 	}
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&all); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&all); err != nil {
 		return nil, fmt.Errorf("rules: %w", err)
 	}
-	t := make(Table, 0, len(all))
-	for _, f := range all {
-		r := f.Rule
-		r.Destinations = make([]Destination, 0, len(f.Destinations))
-		for _, d := range f.Destinations {
-			r.Destinations = append(r.Destinations, d.destination())
+	table := make(Table, 0, len(all))
+	for _, form := range all {
+		rule := form.Rule
+		rule.Destinations = make([]Destination, 0, len(form.Destinations))
+		for _, destination := range form.Destinations {
+			rule.Destinations = append(rule.Destinations, destination.destination())
 		}
-		t = append(t, r)
+		table = append(table, rule)
 	}
-	return t, nil
+	return table, nil
 }
 
 // opJSON is an op in JSON, with the keys that its kind needs.
@@ -92,30 +93,51 @@
 	return json.Marshal(form)
 }
 
-// UnmarshalJSON implements json.Unmarshaler. Unknown keys, as of later versions, are passed over; a place or a weight that is
-// left out is an error, not a default.
+// ErrIncompleteOp says that an op lacks a key that its kind needs.
+var ErrIncompleteOp = errors.New("lacks what it needs")
+
+// UnmarshalJSON implements json.Unmarshaler. Unknown keys, as of later versions, are ignored; a place or a weight that is left out
+// is ErrIncompleteOp, not a default.
 func (op *Op) UnmarshalJSON(text []byte) error {
 	var form opJSON
 	if err := json.Unmarshal(text, &form); err != nil {
 		return err
 	}
-	*op = Op{Kind: form.Kind, Name: form.Name, Source: form.Source, Service: form.Service}
-	places, destination := form.Kind == Add || form.Kind == Move, form.Kind == Set || form.Kind == Unset
-	switch {
-	case places && form.After == nil, form.Kind == Add && form.Rule == nil, destination && form.Match == nil, form.Kind == Set && form.Weight == nil:
-		return fmt.Errorf("op %.20q on %.60q lacks what it needs", form.Kind, form.Name)
+	if !form.isComplete() {
+		return fmt.Errorf("op %.20q on %.60q %w", form.Kind, form.Name, ErrIncompleteOp)
 	}
-	if places {
+	*op = Op{Kind: form.Kind, Name: form.Name, Source: form.Source, Service: form.Service}
+	if form.hasPlace() {
 		op.After = *form.After
 	}
 	if form.Kind == Add {
 		op.Rule = *form.Rule
 	}
-	if destination {
+	if form.hasDestination() {
 		op.Match = *form.Match
 	}
 	if form.Kind == Set {
-		op.Weight, op.PerSize = *form.Weight, form.PerSize != nil && *form.PerSize
+		op.Weight = *form.Weight
+		op.PerSize = form.PerSize != nil && *form.PerSize
 	}
 	return nil
 }
+
+func (f opJSON) hasPlace() bool { return f.Kind == Add || f.Kind == Move }
+
+func (f opJSON) hasDestination() bool { return f.Kind == Set || f.Kind == Unset }
+
+// isComplete tells whether an op has the keys that its kind needs.
+func (f opJSON) isComplete() bool {
+	switch {
+	case f.hasPlace() && f.After == nil:
+		return false
+	case f.Kind == Add && f.Rule == nil:
+		return false
+	case f.hasDestination() && f.Match == nil:
+		return false
+	case f.Kind == Set && f.Weight == nil:
+		return false
+	}
+	return true
+}
--- a/balance/routes/routes_test.go
+++ b/balance/routes/routes_test.go
@@ -12,12 +12,12 @@
 	"pgregory.net/rapid"
 )
 
-// world is a small set of tables: up to names rules, each one of sources matches, and for each of destinations a weight of 0
+// smallTables is a small set of tables: up to names rules, each one of sources matches, and for each of destinations a weight of 0
 // (it is not there), 1 or 2. A table is written as letters: for each rule its name, its source and its weights.
-type world struct{ names, sources, destinations int }
+type smallTables struct{ names, sources, destinations int }
 
 // variants are all rules but for their names.
-func (w world) variants() []string {
+func (w smallTables) variants() []string {
 	all := []string{""}
 	for i := range 1 + w.destinations {
 		n, next := 3, []string(nil)
@@ -34,7 +34,7 @@
 	return all
 }
 
-func (w world) table(s string) Table {
+func (w smallTables) table(s string) Table {
 	t := Table{}
 	for i := 0; i < len(s); i += 2 + w.destinations {
 		r := Rule{Name: s[i : i+1], Source: Match{"service": s[i+1 : i+2]}, Service: Match{"service": "*"}}
@@ -50,14 +50,14 @@
 
 // search is Dijkstra's algorithm over all single ops, from one table.
 type search struct {
-	world
+	smallTables
 	cost  map[string]int
 	queue [][]string // by cost
 }
 
-// least is the least cost from a table to each other one. It shares nothing with what it is held against.
-func (w world) least(from string) map[string]int {
-	s := search{world: w, cost: map[string]int{from: 0}, queue: [][]string{{from}}}
+// leastCosts is the leastCosts cost from a table to each other one. It shares nothing with what it is held against.
+func (w smallTables) leastCosts(from string) map[string]int {
+	s := search{smallTables: w, cost: map[string]int{from: 0}, queue: [][]string{{from}}}
 	for cost := 0; cost < len(s.queue); cost++ {
 		for i := 0; i < len(s.queue[cost]); i++ {
 			if table := s.queue[cost][i]; s.cost[table] == cost {
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestDiffIsLeast holds the diff against all lists of ops, on drawn tables to every other one of their worlds.
-func TestDiffIsLeast(t *testing.T) {
-	worlds := []world{{5, 1, 0}, {3, 1, 1}, {4, 1, 1}, {2, 2, 2}, {3, 2, 1}}
+// TestDiffIsMinimal holds the diff against all lists of ops, on drawn tables to every other one of their worlds.
+func TestDiffIsMinimal(t *testing.T) {
+	worlds := []smallTables{{5, 1, 0}, {3, 1, 1}, {4, 1, 1}, {2, 2, 2}, {3, 2, 1}}
 	known := map[string]map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		w := rapid.SampledFrom(worlds).Draw(t, "world")
@@ -134,7 +134,7 @@
 		if known[key] != nil {
 			return
 		}
-		known[key] = w.least(from)
+		known[key] = w.leastCosts(from)
 		for to, want := range known[key] {
 			a, b := w.table(from), w.table(to)
 			ops := Diff(a, b)
@@ -333,8 +333,8 @@
 	}
 }
 
-// TestCut shows that a cut table decides as the whole one does, and that a cut follower is led by the diff of cuts.
-func TestCut(t *testing.T) {
+// TestRelevant shows that a cut table decides as the whole one does, and that a cut follower is led by the diff of cuts.
+func TestRelevant(t *testing.T) {
 	whole := large(200)
 	client := map[string]string{"service": "app-7", "region": "r"}
 	cut := whole.Relevant(client, "rec-api")
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -52,7 +52,7 @@
 func (b *Balancer) markEligible(req *request, limits placementLimits, now Time) (excessSeconds float64) {
 	excessSeconds = b.shortestTarget
 	for _, e := range b.inUse {
-		e.eligible = b.mayPlace(req, e, now)
+		e.eligible = b.mayRoute(req, e, now)
 		excess := b.expectedLatency(e, now) - b.latencyLimit(e, limits)
 		if !e.eligible {
 			continue
@@ -64,8 +64,8 @@
 	return excessSeconds
 }
 
-// mayPlace tells whether the request may be sent to an endpoint, however long that takes.
-func (b *Balancer) mayPlace(q *request, e *endpoint, now Time) bool {
+// mayRoute tells whether the request may be sent to an endpoint, however long that takes.
+func (b *Balancer) mayRoute(q *request, e *endpoint, now Time) bool {
 	return e.isReady() && (b.inPanic || !e.isEjected(now)) && b.maySendTo(q, e, now) && e.hasWarmUpTurn()
 }
 
--- a/balance/signals/signals_test.go
+++ b/balance/signals/signals_test.go
@@ -178,7 +178,7 @@
 	})
 }
 
-func TestCutOffWitnessesCondemnNobody(t *testing.T) {
+func TestPartitionedWitnessesCondemnNobody(t *testing.T) {
 	down := func(room string, n int) (v []Verdict) {
 		for i := range n {
 			v = append(v, Verdict{Process{room + servers[i], 1}, room, Unresponsive, 2, 0})
--- a/balance/subset/model_test.go
+++ b/balance/subset/model_test.go
@@ -160,7 +160,7 @@
 
 // measurement is what TestFairAndSteady measures of a fleet.
 type measurement struct {
-	byNumber, byPlace spreading
+	byIndex, byMember spreading
 	joined, listed    moving // by one sidecar more, by one server more
 }
 
@@ -170,8 +170,8 @@
 		list := draw(rng, sidecars, mean, uneven)
 		ids := byHash(servers(n))
 		old, runs := alone(list, n), among(list, n)
-		m.byNumber.add(list, old, n)
-		m.byPlace.add(list, runs, n)
+		m.byIndex.add(list, old, n)
+		m.byMember.add(list, runs, n)
 		more := append(slices.Clone(list), sidecar{name: rng.Float64(), traffic: list[rng.IntN(len(list))].traffic})
 		m.joined.add(runs, among(more, n), ids, ids)
 		m.listed.add(runs, among(list, n+1), ids, byHash(append(servers(n), fmt.Sprint("new", seed))))
@@ -182,10 +182,10 @@
 // check holds what was measured against the bounds.
 func (m measurement) check(t *testing.T, sidecars, servers int) {
 	t.Helper()
-	if b := m.byPlace; b.cover >= 30 && b.most > 1.15 || b.cover >= 10 && (b.most > 1.3 || b.p99 > 1.25) {
+	if b := m.byMember; b.cover >= 30 && b.most > 1.15 || b.cover >= 10 && (b.most > 1.3 || b.p99 > 1.25) {
 		t.Errorf("in %.1f runs the servers get up to %.2f of the mean, at p99 %.2f", b.cover, b.most, b.p99)
 	}
-	if a, b := m.byNumber, m.byPlace; b.most > a.most+0.01 || b.cover > math.Sqrt2*a.cover {
+	if a, b := m.byIndex, m.byMember; b.most > a.most+0.01 || b.cover > math.Sqrt2*a.cover {
 		t.Errorf("by place the servers get %.2f in %.1f runs, by number %.2f in %.1f", b.most, b.cover, a.most, a.cover)
 	}
 	if 6*sidecars >= servers && m.joined.mean >= 2 || m.listed.mean >= 2 {
@@ -195,7 +195,7 @@
 
 func (m measurement) log(t *testing.T) {
 	t.Helper()
-	t.Logf("by number %+.2f, by place %+.2f, moved by a sidecar %+.2f, by a server %+.2f", m.byNumber, m.byPlace, m.joined, m.listed)
+	t.Logf("by number %+.2f, by place %+.2f, moved by a sidecar %+.2f, by a server %+.2f", m.byIndex, m.byMember, m.joined, m.listed)
 }
 
 // TestReleaseMovesItsOwnPart: where a tenth of the servers get new names, which end a sorted list, runs in the order of
--- a/balance/subsetting_test.go
+++ b/balance/subsetting_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestSubsetGoesWithTraffic(t *testing.T) {
+func TestSubsetFollowsTraffic(t *testing.T) {
 	b, recorder := sidecar(t, 3, 10, fleet(200))
 	first := ids(b.inUse)
 	for range 300 { // 30 s of 10 requests a second
--- a/balance/turns/turns_test.go
+++ b/balance/turns/turns_test.go
@@ -15,8 +15,8 @@
 // member is a sidecar of the model with a clock of its own.
 type member struct {
 	Position
-	ahead time.Duration
-	drift float64 // of its clock, as a share
+	clockOffset time.Duration
+	drift       float64 // of its clock, as a share
 }
 
 // members draws n of them.
@@ -25,7 +25,7 @@
 	for i := range list {
 		list[i].Index, list[i].Count = i, n
 		if !inStep {
-			list[i].ahead = time.Duration(rng.Int64N(int64(24 * time.Hour)))
+			list[i].clockOffset = time.Duration(rng.Int64N(int64(24 * time.Hour)))
 			list[i].drift = (rng.Float64() - 0.5) * 1e-3
 		}
 	}
@@ -33,7 +33,7 @@
 }
 
 func (m member) owns(subject uint64, at time.Duration) bool {
-	return m.IsOwner(subject, at+m.ahead+time.Duration(float64(at)*m.drift), period)
+	return m.IsOwner(subject, at+m.clockOffset+time.Duration(float64(at)*m.drift), period)
 }
 
 // TestOneOwner checks what the package promises: one owner a period where clocks agree, and one on the average where they do not,
--- a/balance/unresponsive_test.go
+++ b/balance/unresponsive_test.go
@@ -63,17 +63,17 @@
 	}
 	run(play.now + 10*time.Second)
 	from := play.now
-	play.silent = play.sidecars[0].inUse[0].ID
+	play.unresponsive = play.sidecars[0].inUse[0].ID
 	used := map[int]bool{}
 	for self, b := range play.sidecars {
-		used[self] = b.byID[play.silent].loadSum > 0.2
+		used[self] = b.byID[play.unresponsive].loadSum > 0.2
 	}
 	play.by = nil
 	run(from + silence)
 	at := make([]time.Duration, 0, sidecars)
 	last := map[int]Time{}
 	for _, s := range play.by {
-		if s.to == play.silent {
+		if s.to == play.unresponsive {
 			attempts++
 			last[s.self] = s.at - from
 		}
@@ -84,8 +84,8 @@
 		}
 	}
 	slices.Sort(at)
-	id := play.silent
-	play.silent = ""
+	id := play.unresponsive
+	play.unresponsive = ""
 	share := 3 * sidecars / len(servers)
 	for back = time.Second; back < 20*time.Second; back += time.Second / 2 {
 		run(from + silence + back)
--- a/balance/warmup_fleet_test.go
+++ b/balance/warmup_fleet_test.go
@@ -12,18 +12,18 @@
 
 // simulatedFleet plays sidecars of uneven traffic on servers of which some start cold, and counts what these get.
 type simulatedFleet struct {
-	rng      *rand.Rand
-	now      Time
-	sidecars []*Balancer
-	hosts    []*host
-	rate     []float64 // requests a second
-	next     []Time    // the next request
-	ids      RequestID
-	answers  []pendingAnswer // due, in the order of their time
-	bad      string          // refuses connections
-	silent   string          // takes requests, and answers none
-	sent     map[string][]Time
-	by       []sentRequest
+	rng          *rand.Rand
+	now          Time
+	sidecars     []*Balancer
+	hosts        []*host
+	rate         []float64 // requests a second
+	next         []Time    // the next request
+	ids          RequestID
+	answers      []pendingAnswer // due, in the order of their time
+	bad          string          // refuses connections
+	unresponsive string          // takes requests, and answers none
+	sent         map[string][]Time
+	by           []sentRequest
 }
 
 type sentRequest struct {
@@ -117,7 +117,7 @@
 		if s.to == f.bad {
 			at = f.now + simulationTick
 		}
-		hung := s.to == f.silent
+		hung := s.to == f.unresponsive
 		if hung {
 			at = f.now + hangTime
 		}
