--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -22,7 +22,7 @@
 
 const (
 	root       = ".."
-	mostColumn = 110  // characters of a line; a tab counts as one
+	maxColumns = 110 // characters of a line; a tab counts as one
 )
 
 type deployment struct {
@@ -59,34 +59,34 @@
 			t.Fatal(err)
 		}
 		for i, line := range strings.Split(string(text), "\n") {
-			if n := utf8.RuneCountInString(line); n > mostColumn {
-				t.Errorf("%s:%d has %d characters, %d at most", name, i+1, n, mostColumn)
+			if n := utf8.RuneCountInString(line); n > maxColumns {
+				t.Errorf("%s:%d has %d characters, %d at most", name, i+1, n, maxColumns)
 			}
 		}
 	}
 }
 
 func TestDeployFile(t *testing.T) {
-	d := read(t)
-	for _, line := range []string{d.Build, "echo | { " + d.Sim + "; }"} {
-		cmd := exec.Command("/bin/sh", "-c", line)
+	deployed := read(t)
+	for _, line := range []string{deployed.Build, "echo | { " + deployed.Sim + "; }"} {
+		cmd := exec.CommandContext(t.Context(), "/bin/sh", "-c", line)
 		cmd.Dir = root
 		if out, err := cmd.CombinedOutput(); err != nil {
 			t.Fatalf("%s: %v\n%s", line, err, out)
 		}
 	}
-	for _, name := range d.Node {
+	for _, name := range deployed.Node {
 		if _, err := os.Stat(filepath.Join(root, name)); err != nil {
 			t.Error(err)
 		}
 	}
-	checkLinked(t, d.Run)
-	runSidecar(t, d.Run)
-	refuseSidecar(t, d.Run)
+	checkLinked(t, deployed.Run)
+	runSidecar(t, deployed.Run)
+	refuseSidecar(t, deployed.Run)
 }
 
-// checkLinked reads the program that the run line turns into. Danger: one that is linked statically, or that the shell
-// only starts, gets nothing of a library that is loaded into it.
+// checkLinked reads the program that the run line turns into. One that is linked statically, or that the shell only starts,
+// would get nothing of a library that is loaded into it.
 func checkLinked(t *testing.T, line string) {
 	t.Helper()
 	name, exec := strings.CutPrefix(line, "exec ")
@@ -97,7 +97,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
+	t.Cleanup(func() { _ = file.Close() })
 	if !slices.ContainsFunc(file.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
 		t.Errorf("%s names no interpreter", name)
 	}
@@ -110,9 +110,10 @@
 	}
 }
 
-// refuseSidecar starts the real program with a bad configuration: it must say so in one line and fail. Danger: one that
-// goes on with half its settings, or a fault of several lines that a log splits.
+// refuseSidecar starts the real program with a bad configuration: it must say so in one line and fail. It must not go on with half
+// its settings, and a log would split a fault of several lines.
 func refuseSidecar(t *testing.T, line string) {
+	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
 	bad := strings.Replace(config, `"limits":`, `"rules":{"cold_s":-1,"fall_s":-1},"limits":`, 1)
 	if err := os.WriteFile(file, []byte(bad), 0o600); err != nil {
@@ -128,14 +129,50 @@
 	}
 }
 
-// config is the least that a sidecar is told. Nobody listens where discovery would be.
+// config is the least configuration of a sidecar. Nobody listens where discovery would be.
 const config = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"8c1f30d27a5be964",
 	"known":{"rev":1,"all":true,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:9","az":"a","model":"m","state":"SERVING"}]},
 	"settings":{"ordinal":0,"peers_total":1,"my_zone":"a","areas":["a"],"models":["m"],"discovery":"pushed",
 	"limits":{"try_limit":3},"request_classes":[{"name":"read","effect":"idempotent","aim_s":0.5,"deadline_s":2}]}}`
 
+// servingAddress reads the log up to the line that names the address.
+func servingAddress(lines *bufio.Scanner) (address string) {
+	for address == "" && lines.Scan() {
+		_, address, _ = strings.Cut(lines.Text(), "msg=serving name=n0 address=")
+	}
+	return address
+}
+
+// scanFor reads the log up to a line with a text, and tells whether it came.
+func scanFor(lines *bufio.Scanner, text string) bool {
+	for lines.Scan() {
+		if strings.Contains(lines.Text(), text) {
+			return true
+		}
+	}
+	return false
+}
+
+// checkReady asks a sidecar whether it is ready.
+func checkReady(t *testing.T, address string) {
+	t.Helper()
+	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+address+"/healthz", http.NoBody)
+	if err != nil {
+		t.Fatal(err)
+	}
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = resp.Body.Close() }()
+	if resp.StatusCode != http.StatusOK {
+		t.Errorf("ready with status %d", resp.StatusCode)
+	}
+}
+
 // runSidecar starts the real program, waits until it is ready, and has it end.
 func runSidecar(t *testing.T, line string) {
+	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(file, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
@@ -151,26 +188,12 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	address := ""
 	lines := bufio.NewScanner(log)
-	for address == "" && lines.Scan() {
-		_, address, _ = strings.Cut(lines.Text(), "msg=serving name=n0 address=")
-	}
-	resp, err := http.Get("http://" + address + "/healthz")
-	if err != nil {
-		t.Fatalf("%s: %v", line, err)
-	}
-	if resp.Body.Close(); resp.StatusCode != http.StatusOK {
-		t.Errorf("ready with status %d", resp.StatusCode)
-	}
+	checkReady(t, servingAddress(lines))
 	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	moved := false
-	for !moved && lines.Scan() {
-		moved = strings.Contains(lines.Text(), "discovery moves")
-	}
-	if !moved {
+	if !scanFor(lines, "discovery moves") {
 		t.Error("it does not read its configuration again on SIGHUP")
 	}
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
--- a/deploy/docs_test.go
+++ b/deploy/docs_test.go
@@ -14,8 +14,8 @@
 	testFunc = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz|Benchmark)[A-Z][A-Za-z0-9_]*)\(`)
 )
 
-// TestDocsNameTestsThatExist reads the documents: each test that one names is there. Danger: a page says that a fault is kept away
-// by a test which nobody has written, or which has another name by now.
+// TestDocsNameTestsThatExist reads the documents: each test that one names is there. A page may not say that a fault is kept away by a
+// test which nobody has written, or which has another name by now.
 func TestDocsNameTestsThatExist(t *testing.T) {
 	const root = ".."
 	known := map[string]bool{}
--- a/deploy/packages_test.go
+++ b/deploy/packages_test.go
@@ -13,8 +13,8 @@
 const certificates = "ca-certificates"
 
 // TestPackages asks the compiler where the files are that the external link uses, and dpkg whose they are: each is to be
-// named, and nothing else. Danger: a build in a clean system fails, or succeeds and leaves a program without an entry point,
-// as it does without the C library's start files.
+// named, and nothing else. Else a build in a clean system fails, or succeeds and leaves a program without an entry point, as it
+// does without the C library's start files.
 func TestPackages(t *testing.T) {
 	packages := readSystem(t).Packages
 	if len(packages) == 0 {
@@ -28,7 +28,7 @@
 	}
 	owners := map[string]string{certificates: ""}
 	for _, file := range linkFiles(t) {
-		out, err := exec.Command("dpkg", "-S", file).Output()
+		out, err := exec.CommandContext(t.Context(), "dpkg", "-S", file).Output()
 		owner, _, _ := strings.Cut(string(out), ":")
 		if err != nil || owner == "" {
 			t.Errorf("%s belongs to no package: %v", file, err)
@@ -76,7 +76,7 @@
 
 func ask(t *testing.T, input, program string, args ...string) string {
 	t.Helper()
-	cmd := exec.Command(program, args...)
+	cmd := exec.CommandContext(t.Context(), program, args...)
 	cmd.Stdin = strings.NewReader(input)
 	out, err := cmd.Output()
 	if err != nil {
--- a/deploy/system_test.go
+++ b/deploy/system_test.go
@@ -40,17 +40,17 @@
 }
 
 // TestSystemFile builds as the deploy file says, in a copy of nothing but what the build line makes, and starts each role
-// on bad settings. Danger: a program linked statically gets nothing of a library that is loaded into it; one that starts on
+// on bad settings. A program linked statically would get nothing of a library that is loaded into it; one that starts on
 // nonsense fails later, and a fault of several lines is split by a log.
 func TestSystemFile(t *testing.T) {
-	d := readSystem(t)
-	build := exec.Command("/bin/sh", "-c", d.Build)
+	deployed := readSystem(t)
+	build := exec.CommandContext(t.Context(), "/bin/sh", "-c", deployed.Build)
 	build.Dir = root
 	if out, err := build.CombinedOutput(); err != nil {
-		t.Fatalf("%s: %v\n%s", d.Build, err, out)
+		t.Fatalf("%s: %v\n%s", deployed.Build, err, out)
 	}
 	served := map[string]bool{}
-	for name, role := range d.Roles {
+	for name, role := range deployed.Roles {
 		for _, s := range role.Serves {
 			if served[s] {
 				t.Errorf("two roles serve %s", s)
@@ -63,7 +63,7 @@
 		}
 		checkLinked(t, "exec "+fields[0])
 		for what, boot := range map[string]string{"no variable": "", "no file": "GRADEUSHER_BOOT=/nowhere", "nonsense": "GRADEUSHER_BOOT=" + nonsense(t)} {
-			cmd := exec.Command(filepath.Join(root, fields[0]), fields[1:]...)
+			cmd := exec.CommandContext(t.Context(), filepath.Join(root, fields[0]), fields[1:]...)
 			cmd.Env = []string{"PATH=/usr/bin:/bin", boot}
 			out, err := cmd.CombinedOutput()
 			if err == nil || strings.Count(string(out), "\n") != 1 || !strings.HasPrefix(string(out), filepath.Base(fields[0])+": ") {
@@ -78,7 +78,9 @@
 	}
 }
 
+// nonsense is a settings file that cannot be read.
 func nonsense(t *testing.T) string {
+	t.Helper()
 	file := filepath.Join(t.TempDir(), "local.toml")
 	if err := os.WriteFile(file, []byte("node_name = 3\n"), 0o600); err != nil {
 		t.Fatal(err)
