--- a/internal/compat/settings_test.go
+++ b/internal/compat/settings_test.go
@@ -121,7 +121,7 @@
 	}
 	c.Known.Targets[0].Boot = time.Time{}
 	golden(t, "sidecar_read.txt", []byte(strings.Join(leaves(reflect.ValueOf(c), nil), "\n")+"\n"))
-	if c.Name != "n7" || c.Listen != "127.0.0.1:7101" || c.Discovery != "127.0.0.1:7102" || c.Control != "127.0.0.1:7103" || c.Inherited != 5 {
+	if c.Name != "n7" || c.Listen != "127.0.0.1:7101" || c.Discovery != "127.0.0.1:7102" || c.Control != "127.0.0.1:7103" || c.InheritedFD != 5 {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/sidecar/answer_test.go
+++ b/internal/sidecar/answer_test.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := startLogging(t, c, log, drainTimes{quiet: time.Millisecond, finish: patience})
+	p := startLogging(t, c, log, drainTimes{quietTime: time.Millisecond, finish: patience})
 	const bad = 20
 	for range bad {
 		r := p.request(context.Background(), "read", "50000")
@@ -139,7 +139,7 @@
 		status int
 		header string
 	}{
-		{answer{kind: refused, after: 250 * time.Millisecond}, 503, "0.250"},
+		{answer{kind: refused, retryAfter: 250 * time.Millisecond}, 503, "0.250"},
 		{answer{kind: refused}, 503, ""},
 		{answer{kind: failed}, 502, ""},
 	} {
--- a/internal/sidecar/flow_test.go
+++ b/internal/sidecar/answerstream_test.go
@@ -16,7 +16,7 @@
 )
 
 // long is a text that is not held.
-var long = strings.Repeat("0123456789abcdef", 3*mostBody/16)
+var long = strings.Repeat("0123456789abcdef", 3*maxHeldBytes/16)
 
 // forms are the ways to frame an answer: its head, a piece of its body, its end.
 var forms = map[string]struct {
@@ -71,7 +71,7 @@
 		for _, proto := range []string{"1.0", "1.1"} {
 			t.Run(name+" "+proto, func(t *testing.T) {
 				b := startBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
-					fmt.Fprint(c, "HTTP/1.1 200 X\r\n"+form.head+form.piece(long[:2*mostBody]))
+					fmt.Fprint(c, "HTTP/1.1 200 X\r\n"+form.head+form.piece(long[:2*maxHeldBytes]))
 					return false
 				})
 				p, call := operator(t, configText(startRegistry(t).address, serving(1, b, b), testSettings))
@@ -135,27 +135,27 @@
 
 // TestHeldAnswers has the budget run out: what is short then flows too, and what was booked is given back.
 func TestHeldAnswers(t *testing.T) {
-	room := newBudget(10)
+	room := newByteBudget(10)
 	for _, tt := range []struct {
 		text  string
 		begun bool
 	}{{"0123456789", false}, {"0123456789a", true}} {
-		f := newFlow(int64(len(tt.text)), "", room, func(f *flow) {
+		f := newAnswerStream(int64(len(tt.text)), "", room, func(f *answerStream) {
 			go func() {
 				var text bytes.Buffer
 				nothing := func() error { return nil }
 				if err := f.copy(&text, nothing, nothing); err != nil || text.String() != tt.text {
 					t.Errorf("%q came, error %v", text.String(), err)
 				}
-				f.leave()
+				f.abandon()
 			}()
 		})
 		f.stop = func() {}
-		whole, err := f.fill(strings.NewReader(tt.text))
-		if err != nil || f.begun != tt.begun || !tt.begun && string(whole) != tt.text {
-			t.Errorf("%q: held %q, begun %v, error %v", tt.text, whole, f.begun, err)
+		whole, err := f.receive(strings.NewReader(tt.text))
+		if err != nil || f.started != tt.begun || !tt.begun && string(whole) != tt.text {
+			t.Errorf("%q: held %q, begun %v, error %v", tt.text, whole, f.started, err)
 		}
-		if n := room.held.Load(); n != 0 {
+		if n := room.used.Load(); n != 0 {
 			t.Errorf("%d bytes stay booked", n)
 		}
 	}
@@ -223,9 +223,9 @@
 			if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 100 {
 				t.Fatal(resp, err)
 			}
-			fmt.Fprint(c, form.piece(long[:2*mostBody]))
+			fmt.Fprint(c, form.piece(long[:2*maxHeldBytes]))
 			within(t, first, "first bytes")
-			fmt.Fprint(c, form.piece(long[2*mostBody:])+form.end)
+			fmt.Fprint(c, form.piece(long[2*maxHeldBytes:])+form.end)
 			if got := within(t, whole, "body"); got != long {
 				t.Errorf("%d bytes came of %d", len(got), len(long))
 			}
@@ -248,7 +248,7 @@
 				return
 			}
 			attempts.Add(1)
-			_, _ = io.CopyN(io.Discard, c, 2*mostBody)
+			_, _ = io.CopyN(io.Discard, c, 2*maxHeldBytes)
 			_ = c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 		}
@@ -337,7 +337,7 @@
 	})
 	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
 	r := p.request(context.Background(), "pay", "50000")
-	r.Body, r.ContentLength, r.GetBody = io.NopCloser(io.LimitReader(zeros{}, mostLong+1)), -1, nil
+	r.Body, r.ContentLength, r.GetBody = io.NopCloser(io.LimitReader(zeros{}, maxBodyBytes+1)), -1, nil
 	g := p.do(r)
 	if errors.Is(g.err, context.DeadlineExceeded) || g.err == nil && g.status != 413 || whole.Load() != 0 {
 		t.Errorf("answer %+v, %d servers had it whole", g, whole.Load())
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -16,7 +16,7 @@
 	if c == nil {
 		return
 	}
-	n, t := len(c.attempts), &try{endpoint: endpoint, sent: h.now}
+	n, t := len(c.attempts), &callAttempt{endpoint: endpoint, sentAt: h.now}
 	t.ctx, t.cancel = context.WithCancelCause(h.ctx)
 	ctx := t.ctx
 	if !c.deadline.IsZero() {
@@ -24,17 +24,17 @@
 		if own := h.origin.Add(h.now + timeout); timeout != 0 && own.Before(end) {
 			end = own
 		}
-		t.arm(end)
+		t.startTimer(end)
 		ctx = endsAt{ctx, end}
 	}
-	if c.over {
+	if c.finished {
 		t.cancel(nil) // Danger: an attempt after the final answer would be an effect that nobody knows of.
 	}
 	c.attempts = append(c.attempts, t)
-	c.out++
+	c.inFlight++
 	go func() {
-		r := h.upstream.attempt(ctx, endpoint, &c.message, func(f *flow) {
-			h.post(func() { h.began(ctx, c, n, f) })
+		r := h.upstream.attempt(ctx, endpoint, &c.message, func(f *answerStream) {
+			h.post(func() { h.answerStarted(ctx, c, n, f) })
 		})
 		t.cancel(nil)
 		h.post(func() { h.result(c, n, r) })
@@ -56,30 +56,30 @@
 		t.timer.Stop()
 	}
 	if r.outcome == balance.Served {
-		h.answer(c, answer{kind: served, body: r.body, ctype: r.ctype})
+		h.answer(c, answer{kind: served, body: r.body, contentType: r.contentType})
 	}
 	// Danger: one peer's nonsense, tried again elsewhere, would eject a whole fleet of sound servers. What a server
 	// blames on the request is its final answer, and says nothing of the server.
-	if r.blamed {
-		h.counts.blamed.Add(1)
+	if r.requestRejected {
+		h.counts.requestsRejected.Add(1)
 		h.answer(c, answer{kind: failed})
 		r.outcome = balance.Cancelled
 	}
-	c.out--
-	h.tell(c, n, r.outcome)
+	c.inFlight--
+	h.reportResult(c, n, r.outcome)
 	h.forget(c)
 }
 
-// tell tells the Balancer how an attempt ended. The first outcome counts.
-func (h *host) tell(c *call, n int, outcome balance.Outcome) {
+// reportResult tells the Balancer how an attempt ended. The first outcome counts.
+func (h *host) reportResult(c *call, n int, outcome balance.Outcome) {
 	t := c.attempts[n]
-	if t.told {
+	if t.reported {
 		return
 	}
-	t.told = true
+	t.reported = true
 	h.counts.attempts[outcome].Add(1)
 	h.balancer.Result(h.now, balance.Result{ID: c.number, Attempt: n, Endpoint: t.endpoint, Outcome: outcome,
-		Latency: cmp.Or(t.began, h.now) - t.sent, Finished: c.over})
+		Latency: cmp.Or(t.answerAt, h.now) - t.sentAt, Finished: c.finished})
 }
 
 // Cancel ends an attempt. Its result comes from its own goroutine.
@@ -91,11 +91,11 @@
 
 // Refuse answers that a retry does no harm.
 func (h *host) Refuse(id balance.RequestID, after time.Duration) {
-	h.end(id, answer{kind: refused, after: after})
+	h.finishCall(id, answer{kind: refused, retryAfter: after})
 }
 
 // Fail answers without a promise.
-func (h *host) Fail(id balance.RequestID) { h.end(id, answer{kind: failed}) }
+func (h *host) Fail(id balance.RequestID) { h.finishCall(id, answer{kind: failed}) }
 
 // Timer starts a timer.
 func (h *host) Timer(after time.Duration, token uint64) {
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -24,11 +24,11 @@
 
 // answer is a request's final answer.
 type answer struct {
-	kind  answerKind
-	body  []byte        // served
-	ctype string        // served
-	after time.Duration // refused: when to come back; 0: not said
-	flow  *flow         // served: in place of body, the answer as it comes
+	kind        answerKind
+	body        []byte        // served
+	contentType string        // served
+	retryAfter  time.Duration // refused: when to come back; 0: not said
+	stream      *answerStream // served: in place of body, the answer as it comes
 }
 
 // call is a client's request while the host has it. The loop alone touches what follows answered.
@@ -38,33 +38,33 @@
 	tenant   int
 	client   uint64    // its key, with Hitters
 	name     string    // and its name
-	booked   int       // bytes of the body
+	reserved int       // bytes of the body
 	deadline time.Time // the final answer is due; zero: the body is still coming
 	answered chan answer
 
-	number   balance.RequestID
-	over     bool        // has its final answer
-	due      *time.Timer // finds it overdue; nil: the body is still coming
-	attempts []*try
-	out      int
+	number       balance.RequestID
+	finished     bool        // has its final answer
+	overdueTimer *time.Timer // finds it overdue; nil: the body is still coming
+	attempts     []*callAttempt
+	inFlight     int
 }
 
-// try is an attempt. The loop alone touches it.
-type try struct {
+// callAttempt is an attempt. The loop alone touches it.
+type callAttempt struct {
 	endpoint string
 	ctx      context.Context
 	cancel   context.CancelCauseFunc
 	timer    *time.Timer  // of its end; nil: the body is still coming
-	sent     balance.Time // or when the body had come
-	began    balance.Time // its answer; 0: not
-	told     bool         // the Balancer knows how it ended
+	sentAt   balance.Time // or when the body had come
+	answerAt balance.Time // its answer; 0: not
+	reported bool         // the Balancer knows how it ended
 }
 
 // serve has the Balancer decide on a request and returns its final answer, or false if ctx, the client's connection,
 // ends first.
 func (h *host) serve(ctx context.Context, c *call) (answer, bool) {
 	c.answered = make(chan answer, 1)
-	h.post(func() { h.begin(c) })
+	h.post(func() { h.beginCall(c) })
 	select {
 	case a := <-c.answered:
 		return a, true
@@ -74,68 +74,68 @@
 	}
 }
 
-func (h *host) begin(c *call) {
+func (h *host) beginCall(c *call) {
 	h.counts.requests.Add(1)
-	h.last++
-	c.number = h.last
+	h.lastID++
+	c.number = h.lastID
 	h.calls[c.number] = c
-	r := balance.Request{ID: c.number, Class: c.class, Tenant: c.tenant, TimeLeft: c.wait, BodyIncomplete: c.rest != nil, Client: c.client}
+	r := balance.Request{ID: c.number, Class: c.class, Tenant: c.tenant, TimeLeft: c.timeout, BodyIncomplete: c.rest != nil, Client: c.client}
 	if j := h.balancer.HeavyHitters(); j != nil {
 		j.SetName(c.client, c.name)
 	}
 	if !r.BodyIncomplete {
-		h.arm(c)
+		h.startTimer(c)
 		r.TimeLeft = c.deadline.Sub(h.origin) - h.now
 	}
 	h.balancer.Request(h.now, r)
 }
 
-// arm has a request be abandoned that is without an answer behind its deadline. Danger: one that the Balancer left
+// startTimer has a request be abandoned that is without an answer behind its deadline. Danger: one that the Balancer left
 // without an answer would hang until the client gives up.
-func (h *host) arm(c *call) {
-	c.due = time.AfterFunc(time.Until(c.deadline)+answerMargin/2, func() { h.post(func() { h.abandon(c, true) }) })
+func (h *host) startTimer(c *call) {
+	c.overdueTimer = time.AfterFunc(time.Until(c.deadline)+answerMargin/2, func() { h.post(func() { h.abandon(c, true) }) })
 }
 
-// bodyEnded begins a request's time: its body has come.
-func (h *host) bodyEnded(c *call) {
-	if c.over {
+// bodyComplete begins a request's time: its body has come.
+func (h *host) bodyComplete(c *call) {
+	if c.finished {
 		return
 	}
 	now := h.origin.Add(h.now)
-	c.deadline = h.leaving.by(now.Add(c.wait))
-	h.arm(c)
+	c.deadline = h.shutdown.bound(now.Add(c.timeout))
+	h.startTimer(c)
 	for _, t := range c.attempts {
 		if t.timer == nil {
-			t.sent = h.now
-			t.arm(c.deadline)
+			t.sentAt = h.now
+			t.startTimer(c.deadline)
 		}
 	}
 	h.balancer.BodyComplete(h.now, c.number, c.deadline.Sub(now))
 }
 
-// arm ends an attempt at a time, unless its timer is stopped before.
-func (t *try) arm(end time.Time) {
+// startTimer ends an attempt at a time, unless its timer is stopped before.
+func (t *callAttempt) startTimer(end time.Time) {
 	t.timer = time.AfterFunc(time.Until(end), func() { t.cancel(context.DeadlineExceeded) })
 }
 
-// began takes in that an attempt's answer comes and is to be passed on, which makes it the request's final one.
-func (h *host) began(ctx context.Context, c *call, n int, f *flow) {
-	if c.over || ctx.Err() != nil {
-		f.leave()
+// answerStarted takes in that an attempt's answer comes and is to be passed on, which makes it the request's final one.
+func (h *host) answerStarted(ctx context.Context, c *call, n int, f *answerStream) {
+	if c.finished || ctx.Err() != nil {
+		f.abandon()
 		return
 	}
 	t := c.attempts[n]
 	if t.timer != nil {
 		t.timer.Stop()
 	}
-	t.began = h.now
-	h.answer(c, answer{kind: served, flow: f})
+	t.answerAt = h.now
+	h.answer(c, answer{kind: served, stream: f})
 	h.balancer.AnswerStarted(h.now, c.number, n)
 }
 
 // abandon ends a request that nobody waits for any more, or that is overdue.
 func (h *host) abandon(c *call, overdue bool) {
-	if c.over {
+	if c.finished {
 		return
 	}
 	if overdue {
@@ -160,13 +160,13 @@
 		if errors.Is(context.Cause(t.ctx), context.Canceled) { // called off before, or its result is just being posted
 			outcome = balance.Cancelled
 		}
-		h.tell(c, n, outcome)
+		h.reportResult(c, n, outcome)
 	}
 }
 
 // answer gives a request its final answer. The first counts.
 func (h *host) answer(c *call, a answer) {
-	if c != nil && !c.over {
+	if c != nil && !c.finished {
 		c.finish()
 		c.answered <- a
 	}
@@ -174,20 +174,20 @@
 
 // finish marks a request as over.
 func (c *call) finish() {
-	c.over = true
-	if c.due != nil {
-		c.due.Stop()
+	c.finished = true
+	if c.overdueTimer != nil {
+		c.overdueTimer.Stop()
 	}
 }
 
 // forget lets go of a request that has its answer and has nothing out.
 func (h *host) forget(c *call) {
-	if c.over && c.out == 0 {
+	if c.finished && c.inFlight == 0 {
 		delete(h.calls, c.number)
 	}
 }
 
-func (h *host) end(id balance.RequestID, a answer) {
+func (h *host) finishCall(id balance.RequestID, a answer) {
 	if c := h.calls[id]; c != nil {
 		h.answer(c, a)
 		h.forget(c)
--- a/internal/sidecar/compat_test.go
+++ b/internal/sidecar/compat_test.go
@@ -16,12 +16,12 @@
 // TestBeliefsFile: what a sidecar of an earlier version believed is read by this one, and written in the same form.
 func TestBeliefsFile(t *testing.T) {
 	const file = "../compat/testdata/sealed/beliefs-n7.kept"
-	var b beliefs
+	var b storedSnapshot
 	if err := json.Unmarshal([]byte(beliefsText), &b); err != nil {
 		t.Fatal(err)
 	}
 	dir, quiet := t.TempDir(), slog.New(slog.DiscardHandler)
-	if err := newKept(dir, "n7", quiet).Save(b); err != nil {
+	if err := newSnapshotFile(dir, "n7", quiet).Save(b); err != nil {
 		t.Fatal(err)
 	}
 	got, err := os.ReadFile(filepath.Join(dir, "beliefs-n7.kept"))
@@ -37,7 +37,7 @@
 	if err != nil || !bytes.Equal(got, want) {
 		t.Errorf("written %s, want %s: %v", got, want, err)
 	}
-	read, err := newKept(filepath.Dir(file), "n7", quiet).Read()
+	read, err := newSnapshotFile(filepath.Dir(file), "n7", quiet).Read()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -20,32 +20,32 @@
 
 // Config is what a sidecar is told at its start.
 type Config struct {
-	Name      string
-	Listen    string   // where the application connects
-	Discovery string   // where discovery, or its agent on this machine, listens; "": nowhere, with Keepers
-	Keepers   *Keepers // who hold the list, in place of Discovery; nil: nobody does
-	Members   *Members // how the other sidecars are known; nil: they are not
-	Hitters   *Hitters // clients that ask for much give way; nil: they do not
-	Control   string   // where operators call; "": nowhere
-	Common    string   // a folder that outlives a process; "": none
-	Beliefs   bool     // what is believed of servers is kept there for the next process
-	Inherited int      // descriptor of the listening socket that the platform holds; 0: none
-	Cores     float64
-	MemoryMB  int
-	Sockets   int
-	Known     List // the servers as this sidecar last had them
-	Settings  balance.Settings
-	Names     *wire.Names
-	Limits    wire.Limits
+	Name         string
+	Listen       string    // where the application connects
+	Discovery    string    // where discovery, or its agent on this machine, listens; "": nowhere, with Keepers
+	Registry     *Registry // who hold the list, in place of Discovery; nil: nobody does
+	Members      *Members  // how the other sidecars are known; nil: they are not
+	Hitters      *Hitters  // clients that ask for much give way; nil: they do not
+	Control      string    // where operators call; "": nowhere
+	SharedDir    string    // a folder that outlives a process; "": none
+	KeepSnapshot bool      // what is believed of servers is kept there for the next process
+	InheritedFD  int       // descriptor of the listening socket that the platform holds; 0: none
+	Cores        float64
+	MemoryMB     int
+	Sockets      int
+	Known        List // the servers as this sidecar last had them
+	Settings     balance.Settings
+	Names        *wire.Names
+	Limits       wire.Limits
 
-	agentWithin time.Duration // 0: agentWithin; only tests wait longer
+	agentFirstTimeout time.Duration // 0: agentFirstTimeout; only tests wait longer
 }
 
-// Keepers is the project's own list service, and how far it is believed.
-type Keepers struct {
+// Registry is the project's own list service, and how far it is believed.
+type Registry struct {
 	Addresses []string
-	Doubt     client.Doubt
-	MostAge   time.Duration     // a keeper that was out of touch for longer is left for another
+	Suspicion client.Doubt
+	MaxAge    time.Duration     // a keeper that was out of touch for longer is left for another
 	Reach     string            // this machine reaches every server at this host, at the port of its endpoint; "": at its endpoint
 	Routes    bool              // they hold the route table too, which goes before the settings' rules
 	Tags      map[string]string // of this client, besides its region, for the rules of that
@@ -56,10 +56,10 @@
 	defaultCores          = 1
 	defaultMemoryMB       = 192
 	defaultSockets        = 1024
-	leastSockets          = 64
+	minSockets            = 64
 	defaultConnectTimeout = 250 * time.Millisecond
 	defaultIdleClose      = 15 * time.Second
-	defaultMostAge        = 2500 * time.Millisecond
+	defaultMaxAge         = 2500 * time.Millisecond
 	stderrFD              = 2 // the last descriptor that is never a socket
 )
 
@@ -78,13 +78,13 @@
 	}
 	Known    *json.RawMessage
 	Settings json.RawMessage
-	Keepers  *keepersFile
+	Keepers  *registryFile
 	Members  *membersFile
 	Hitters  *hittersFile
 }
 
-// keepersFile is the form of what the file says of keepers. What is left out is the client's default.
-type keepersFile struct {
+// registryFile is the form of what the file says of keepers. What is left out is the client's default.
+type registryFile struct {
 	Addresses  []string
 	DoubtShare *float64 `json:"doubt_share"`
 	DoubtLeast *int     `json:"doubt_least"`
@@ -130,28 +130,28 @@
 	if err != nil {
 		return "", err
 	}
-	if c.Keepers != nil {
-		return strings.Join(c.Keepers.Addresses, ","), nil
+	if c.Registry != nil {
+		return strings.Join(c.Registry.Addresses, ","), nil
 	}
 	return c.Discovery, nil
 }
 
 func (file *configFile) config(getenv func(string) string) (*Config, error) {
 	c := &Config{
-		Name:      cmp.Or(getenv("PROXY_NAME"), file.Name),
-		Listen:    cmp.Or(getenv("PROXY_LISTEN"), file.Listen),
-		Discovery: cmp.Or(getenv("PROXY_DISCOVERY"), file.Discovery),
-		Common:    getenv("TMPDIR"),
-		Beliefs:   file.Beliefs,
-		Control:   cmp.Or(getenv("PROXY_CONTROL"), file.Control),
-		Cores:     defaultCores, MemoryMB: defaultMemoryMB, Sockets: defaultSockets,
+		Name:         cmp.Or(getenv("PROXY_NAME"), file.Name),
+		Listen:       cmp.Or(getenv("PROXY_LISTEN"), file.Listen),
+		Discovery:    cmp.Or(getenv("PROXY_DISCOVERY"), file.Discovery),
+		SharedDir:    getenv("TMPDIR"),
+		KeepSnapshot: file.Beliefs,
+		Control:      cmp.Or(getenv("PROXY_CONTROL"), file.Control),
+		Cores:        defaultCores, MemoryMB: defaultMemoryMB, Sockets: defaultSockets,
 	}
 	var err error
-	if c.Keepers, err = file.Keepers.config(getenv("PROXY_KEEPERS")); err != nil {
+	if c.Registry, err = file.Keepers.config(getenv("PROXY_KEEPERS")); err != nil {
 		return nil, fmt.Errorf("keepers: %w", err)
 	}
 	for _, a := range []struct{ field, address string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
-		if a.field == "discovery" && a.address == "" && c.Keepers != nil {
+		if a.field == "discovery" && a.address == "" && c.Registry != nil {
 			continue
 		}
 		if err := checkAddress(a.address); err != nil {
@@ -168,7 +168,7 @@
 		if err != nil || fd <= stderrFD {
 			return nil, fmt.Errorf("PROXY_FD: %q is no descriptor above %d", v, stderrFD)
 		}
-		c.Inherited = int(fd)
+		c.InheritedFD = int(fd)
 	}
 	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
@@ -185,8 +185,8 @@
 		}
 	}
 	if v := file.Limits.Sockets; v != nil {
-		if c.Sockets = *v; c.Sockets < leastSockets {
-			return nil, fmt.Errorf("limits.sockets: %d is under %d", c.Sockets, leastSockets)
+		if c.Sockets = *v; c.Sockets < minSockets {
+			return nil, fmt.Errorf("limits.sockets: %d is under %d", c.Sockets, minSockets)
 		}
 	}
 	if len(file.Settings) == 0 {
@@ -195,15 +195,15 @@
 	if c.Settings, c.Names, c.Limits, err = wire.SettingsJSON(seed, file.Settings); err != nil {
 		return nil, err
 	}
-	if c.Keepers != nil {
+	if c.Registry != nil {
 		c.Settings.SubscribeToDiscovery = false // they tell without being asked
-		c.Settings.Tags = c.Keepers.Tags
+		c.Settings.Tags = c.Registry.Tags
 	}
 	if c.Members, err = file.Members.config(c.Name, getenv("PROXY_MEMBERS")); err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
 	if c.Members != nil {
-		c.Settings.ReportTTL = c.Members.Bound
+		c.Settings.ReportTTL = c.Members.ReportTTL
 	}
 	if c.Hitters, c.Settings.Hitters, err = file.Hitters.config(c.Name); err != nil {
 		return nil, fmt.Errorf("hitters: %w", err)
@@ -219,13 +219,13 @@
 }
 
 // config reads what the file says of keepers; environment, if set, names their addresses instead.
-func (file *keepersFile) config(environment string) (*Keepers, error) {
+func (file *registryFile) config(environment string) (*Registry, error) {
 	if file == nil {
-		if file = (&keepersFile{}); environment == "" {
+		if file = (&registryFile{}); environment == "" {
 			return nil, nil
 		}
 	}
-	k := &Keepers{Addresses: file.Addresses, Doubt: client.DefaultDoubt, MostAge: defaultMostAge, Reach: file.Reach, Routes: file.Routes, Tags: file.Tags}
+	k := &Registry{Addresses: file.Addresses, Suspicion: client.DefaultDoubt, MaxAge: defaultMaxAge, Reach: file.Reach, Routes: file.Routes, Tags: file.Tags}
 	if environment != "" {
 		k.Addresses = strings.Split(environment, ",")
 	}
@@ -241,12 +241,12 @@
 		return nil, fmt.Errorf("reach: %q is no IP address", k.Reach)
 	}
 	if v := file.DoubtShare; v != nil {
-		if k.Doubt.Share = *v; !(*v >= 0 && *v <= 1) {
+		if k.Suspicion.Share = *v; !(*v >= 0 && *v <= 1) {
 			return nil, fmt.Errorf("doubt_share: %v is not within 0 to 1", *v)
 		}
 	}
 	if v := file.DoubtLeast; v != nil {
-		if k.Doubt.Least = *v; *v < 0 {
+		if k.Suspicion.Least = *v; *v < 0 {
 			return nil, fmt.Errorf("doubt_least: %d is below 0", *v)
 		}
 	}
@@ -254,18 +254,18 @@
 		name  string
 		given *float64
 		to    *time.Duration
-	}{{"doubt_after_s", file.DoubtAfter, &k.Doubt.After}, {"doubt_every_s", file.DoubtEvery, &k.Doubt.Every}, {"most_age_s", file.MostAge, &k.MostAge}} {
+	}{{"doubt_after_s", file.DoubtAfter, &k.Suspicion.After}, {"doubt_every_s", file.DoubtEvery, &k.Suspicion.Every}, {"most_age_s", file.MostAge, &k.MaxAge}} {
 		if s.given == nil {
 			continue
 		}
-		if *s.to = time.Duration(*s.given * float64(time.Second)); !(*s.given > 0 && *s.given <= mostWait) {
-			return nil, fmt.Errorf("%s: %v is not above 0 and at most %d", s.name, *s.given, mostWait)
+		if *s.to = time.Duration(*s.given * float64(time.Second)); !(*s.given > 0 && *s.given <= maxSeconds) {
+			return nil, fmt.Errorf("%s: %v is not above 0 and at most %d", s.name, *s.given, maxSeconds)
 		}
 	}
 	return k, nil
 }
 
-const mostWait = 3600 // seconds
+const maxSeconds = 3600 // seconds
 
 func checkAddress(address string) error {
 	if address == "" {
--- a/internal/sidecar/crowd_test.go
+++ b/internal/sidecar/connlimiter_test.go
@@ -30,7 +30,7 @@
 }
 
 // age moves what the crowd knows of some connections into the past.
-func (w *crowd) age(by time.Duration, conns ...*closer) {
+func (w *connLimiter) age(by time.Duration, conns ...*closer) {
 	for _, c := range conns {
 		s := w.conns[c]
 		s.since = s.since.Add(-by)
@@ -40,58 +40,58 @@
 
 // TestHoard has a peer take connections that it leaves idle: they go, longest idle first, and no busy one is asked to.
 func TestHoard(t *testing.T) {
-	w := newCrowd(48) // 24 and 28
+	w := newConnLimiter(48) // 24 and 28
 	var idle, busy []*closer
 	for i := range 24 {
 		c := &closer{}
-		w.note(c, http.StateNew)
-		w.note(c, http.StateActive)
+		w.observeState(c, http.StateNew)
+		w.observeState(c, http.StateActive)
 		if i%2 == 0 {
-			w.note(c, http.StateIdle)
+			w.observeState(c, http.StateIdle)
 			idle = append(idle, c)
 		} else {
 			busy = append(busy, c)
 		}
 	}
 	w.age(time.Minute, idle[3])
-	w.age(idleAtLeast+time.Second, idle[4])
+	w.age(minIdleTime+time.Second, idle[4])
 	for i, want := range []*closer{idle[3], idle[4], nil} {
-		if w.full() {
+		if w.isOverloaded() {
 			t.Fatalf("full with %d connections", w.count.Load())
 		}
-		w.note(&closer{}, http.StateNew)
+		w.observeState(&closer{}, http.StateNew)
 		for j, c := range append(idle, busy...) {
 			if c.closed != (c == want || c == idle[3] || i > 0 && c == idle[4]) {
 				t.Errorf("after %d more: connection %d closed: %v", i+1, j, c.closed)
 			}
 		}
 	}
-	if !w.full() {
+	if !w.isOverloaded() {
 		t.Error("not full, though none has idled long")
 	}
 }
 
 // TestNoRoom has connections come of which none has idled: those that sent nothing for long give way, then none is let in.
 func TestNoRoom(t *testing.T) {
-	w := newCrowd(48)
+	w := newConnLimiter(48)
 	silent := &closer{}
-	w.note(silent, http.StateNew)
-	w.age(idleAtLeast, silent)
+	w.observeState(silent, http.StateNew)
+	w.age(minIdleTime, silent)
 	for range 27 {
 		c := &closer{}
-		w.note(c, http.StateNew)
-		w.note(c, http.StateActive)
+		w.observeState(c, http.StateNew)
+		w.observeState(c, http.StateActive)
 	}
 	next, last := &closer{}, &closer{}
-	w.note(next, http.StateNew)
+	w.observeState(next, http.StateNew)
 	if !silent.closed || next.closed {
 		t.Errorf("silent one closed: %v, newcomer: %v", silent.closed, next.closed)
 	}
-	w.note(last, http.StateNew)
+	w.observeState(last, http.StateNew)
 	if !last.closed || w.count.Load() != 28 {
 		t.Errorf("newcomer closed: %v, connections %d", last.closed, w.count.Load())
 	}
-	w.note(last, http.StateClosed) // as its server says later
+	w.observeState(last, http.StateClosed) // as its server says later
 	if w.count.Load() != 28 {
 		t.Errorf("connections %d after a close told twice", w.count.Load())
 	}
@@ -121,7 +121,7 @@
 			ends <- err
 		}()
 	}
-	time.Sleep(idleAtLeast + 100*time.Millisecond)
+	time.Sleep(minIdleTime + 100*time.Millisecond)
 	if g := p.ask("pay"); g.status != 200 || g.closing {
 		t.Errorf("answer %+v", g)
 	}
--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	mostCallers  = 16              // of control at once
-	mostCall     = 512             // bytes of a call's line
-	callWithin   = 3 * time.Second // a call must be there after it connected
-	answerWithin = time.Second     // and an operator waits for the answer
-	mostSurplus  = 64 << 10        // bytes of a line that is too long that are read, so that its answer arrives
+	maxCallers      = 16              // of control at once
+	maxCallBytes    = 512             // bytes of a call's line
+	callTimeout     = 3 * time.Second // a call must be there after it connected
+	answerTimeout   = time.Second     // and an operator waits for the answer
+	maxSurplusBytes = 64 << 10        // bytes of a line that is too long that are read, so that its answer arrives
 )
 
 // control answers operators: one line to a connection, one answer to a line.
@@ -27,23 +27,23 @@
 // Danger: callers that connect and say nothing could shut out the one who has something to say. So they have few places,
 // and whoever has held his longest gives it up to the next.
 type control struct {
-	log  *slog.Logger
-	do   func(call []string) string // answers the words of a line
-	most int
-	wait time.Duration
+	log        *slog.Logger
+	do         func(call []string) string // answers the words of a line
+	maxCallers int
+	timeout    time.Duration
 
-	mu      sync.Mutex
-	callers []net.Conn // in the order of their coming
-	at      sync.WaitGroup
+	mu       sync.Mutex
+	callers  []net.Conn // in the order of their coming
+	handlers sync.WaitGroup
 }
 
 func newControl(log *slog.Logger, do func([]string) string) *control {
-	return &control{log: log, do: do, most: mostCallers, wait: callWithin}
+	return &control{log: log, do: do, maxCallers: maxCallers, timeout: callTimeout}
 }
 
 // serve answers at l until ctx is done, and returns once no caller is left.
 func (c *control) serve(ctx context.Context, l net.Listener) {
-	defer c.at.Wait()
+	defer c.handlers.Wait()
 	defer c.evict(0)
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	defer stop()
@@ -56,20 +56,20 @@
 		default: // as when descriptors are short: that passes
 			c.log.Warn("control", "err", err)
 			select {
-			case <-time.After(leastPause):
+			case <-time.After(minBackoff):
 				continue
 			case <-ctx.Done():
 				return
 			}
 		}
-		c.evict(c.most - 1)
+		c.evict(c.maxCallers - 1)
 		c.mu.Lock()
 		c.callers = append(c.callers, conn)
 		c.mu.Unlock()
-		c.at.Add(1)
+		c.handlers.Add(1)
 		go func() {
-			defer c.at.Done()
-			defer c.gone(conn)
+			defer c.handlers.Done()
+			defer c.removeCaller(conn)
 			defer conn.Close()
 			c.answer(conn)
 		}()
@@ -86,8 +86,8 @@
 	}
 }
 
-// gone takes a caller off the list.
-func (c *control) gone(conn net.Conn) {
+// removeCaller takes a caller off the list.
+func (c *control) removeCaller(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.callers = slices.DeleteFunc(c.callers, func(other net.Conn) bool { return other == conn })
@@ -95,29 +95,29 @@
 
 // answer reads a caller's line and answers it.
 func (c *control) answer(conn net.Conn) {
-	if conn.SetDeadline(time.Now().Add(c.wait)) != nil {
+	if conn.SetDeadline(time.Now().Add(c.timeout)) != nil {
 		return
 	}
-	line, err := bufio.NewReaderSize(io.LimitReader(conn, mostCall+1), mostCall+1).ReadString('\n')
+	line, err := bufio.NewReaderSize(io.LimitReader(conn, maxCallBytes+1), maxCallBytes+1).ReadString('\n')
 	text := "fail the line has no end\n"
 	switch {
-	case len(line) > mostCall:
-		text = fmt.Sprintf("fail the line is longer than %d bytes\n", mostCall)
+	case len(line) > maxCallBytes:
+		text = fmt.Sprintf("fail the line is longer than %d bytes\n", maxCallBytes)
 	case err == nil:
 		text = c.do(strings.Fields(line))
 	}
-	if conn.SetDeadline(time.Now().Add(answerWithin)) != nil {
+	if conn.SetDeadline(time.Now().Add(answerTimeout)) != nil {
 		return
 	}
 	_, _ = io.WriteString(conn, text) // a caller that is gone needs no answer
 	// Danger: closing with something unread resets the connection, and the answer may be lost with it.
-	if tcp, ok := conn.(*net.TCPConn); ok && len(line) > mostCall && tcp.CloseWrite() == nil {
-		_, _ = io.Copy(io.Discard, io.LimitReader(conn, mostSurplus))
+	if tcp, ok := conn.(*net.TCPConn); ok && len(line) > maxCallBytes && tcp.CloseWrite() == nil {
+		_, _ = io.Copy(io.Discard, io.LimitReader(conn, maxSurplusBytes))
 	}
 }
 
-// operate does what the words of an operator's line say, and returns the answer with its line's end.
-func (s *server) operate(call []string) string {
+// handleCall does what the words of an operator's line say, and returns the answer with its line's end.
+func (s *server) handleCall(call []string) string {
 	if len(call) == 0 {
 		return "fail the line is empty\n"
 	}
@@ -143,42 +143,42 @@
 	"INFO":     {0, (*server).info},
 	"LAMEDUCK": {0, (*server).lameduck},
 	"REJOIN":   {0, (*server).rejoin},
-	"DETACH":   {1, func(s *server, call []string) string { return s.byHand(call[1], true) }},
-	"ATTACH":   {1, func(s *server, call []string) string { return s.byHand(call[1], false) }},
+	"DETACH":   {1, func(s *server, call []string) string { return s.setOutOfService(call[1], true) }},
+	"ATTACH":   {1, func(s *server, call []string) string { return s.setOutOfService(call[1], false) }},
 }
 
 // ping tells whether this process is ready to serve.
 func (s *server) ping([]string) string {
-	if err := s.unready(); err != nil {
+	if err := s.notReady(); err != nil {
 		return fmt.Sprintf("fail %v\n", err)
 	}
 	return "ok ready\n"
 }
 
 var (
-	errNoServers = errors.New("no servers are known yet")
-	errDraining  = errors.New("draining until REJOIN")
-	errLeaving   = errors.New("this process is leaving")
+	errNoServers    = errors.New("no servers are known yet")
+	errDraining     = errors.New("draining until REJOIN")
+	errShuttingDown = errors.New("this process is leaving")
 )
 
-// unready says why no new connections are welcome, if so.
-func (s *server) unready() error {
+// notReady says why no new connections are welcome, if so.
+func (s *server) notReady() error {
 	select {
 	case <-s.host.ready:
 	default:
 		return errNoServers
 	}
 	switch {
-	case s.draining.Load():
-		return errLeaving
-	case s.lame.Load() != 0:
+	case s.shuttingDown.Load():
+		return errShuttingDown
+	case s.drainingSince.Load() != 0:
 		return errDraining
 	}
 	return nil
 }
 
-// byHand takes a server out or puts it back. Both may be said again, and change nothing then.
-func (s *server) byHand(id string, out bool) string {
+// setOutOfService takes a server out or puts it back. Both may be said again, and change nothing then.
+func (s *server) setOutOfService(id string, out bool) string {
 	known := false
 	if !s.host.ask(func() { known = s.host.balancer.Knows(id) }) {
 		return "fail shutting down\n"
@@ -188,7 +188,7 @@
 	}
 	s.host.log.Info("by hand", "id", id, "out", out)
 	kept := s.host.handover.set(id, out)
-	if !s.host.ask(s.host.tellOut) {
+	if !s.host.ask(s.host.applyOutOfService) {
 		return "fail shutting down\n"
 	}
 	switch {
--- a/internal/sidecar/control_test.go
+++ b/internal/sidecar/control_test.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := startLogging(t, c, io.Discard, drainTimes{quiet: time.Millisecond, finish: patience})
+	p := startLogging(t, c, io.Discard, drainTimes{quietTime: time.Millisecond, finish: patience})
 	return p, func(line string) string { return dialControl(t, at, line+"\n") }
 }
 
@@ -61,15 +61,15 @@
 func TestControlLines(t *testing.T) {
 	_, call := operator(t, configText(startRegistry(t).address, serving(1, startBackend(t, say(200, "", "ok"))), testSettings))
 	for line, want := range map[string]string{
-		"PING":                                 "ok ",
-		" PING \r":                             "ok ",
-		"PING now":                             "fail ",
-		"":                                     "fail ",
-		"ping":                                 "fail ",
-		"PONG":                                 "fail ",
-		"PING\x00":                             "fail ",
-		strings.Repeat("x", 40000):             "fail ",
-		"PING" + strings.Repeat(" ", mostCall): "fail ",
+		"PING":                     "ok ",
+		" PING \r":                 "ok ",
+		"PING now":                 "fail ",
+		"":                         "fail ",
+		"ping":                     "fail ",
+		"PONG":                     "fail ",
+		"PING\x00":                 "fail ",
+		strings.Repeat("x", 40000): "fail ",
+		"PING" + strings.Repeat(" ", maxCallBytes): "fail ",
 	} {
 		if answer := call(line); !strings.HasPrefix(answer, want) || strings.Count(answer, "\n") != 1 {
 			t.Errorf("%.20q is answered %q, want %q", line, answer, want)
@@ -96,13 +96,13 @@
 func TestIdleCallers(t *testing.T) {
 	l := listen(t)
 	c := newControl(slog.New(slog.DiscardHandler), func(call []string) string { return "ok " + call[0] + "\n" })
-	c.wait = patience
+	c.timeout = patience
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan bool)
 	go func() { c.serve(ctx, l); close(ended) }()
 	defer cancel()
 	var idle []net.Conn
-	for range 3 * mostCallers {
+	for range 3 * maxCallers {
 		conn, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -132,7 +132,7 @@
 func TestCallInTime(t *testing.T) {
 	l := listen(t)
 	c := newControl(slog.New(slog.DiscardHandler), func([]string) string { return "ok\n" })
-	c.wait = 10 * time.Millisecond
+	c.timeout = 10 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go c.serve(ctx, l)
--- a/internal/sidecar/counts.go
+++ b/internal/sidecar/counts.go
@@ -11,19 +11,19 @@
 	"gradeusher.example/gradeusher/balance"
 )
 
-// countsEvery is how often the log says what happened since it last did.
-const countsEvery = 5 * time.Second
+// countsInterval is how often the log says what happened since it last did.
+const countsInterval = 5 * time.Second
 
 // counts is what happened at the sockets since the start.
 type counts struct {
-	open     atomic.Int64 // requests taken and not ended
-	requests atomic.Int64 // handed to the module
-	gone     atomic.Int64 // left by their client
-	busy     atomic.Int64 // of the refused ones, those beyond what may be held
-	improper atomic.Int64 // answered 4xx, or ended for their framing
-	blamed   atomic.Int64 // attempts answered 4xx
-	dials    atomic.Int64 // to servers
-	reused   atomic.Int64 // attempts on a connection that had idled
+	open             atomic.Int64 // requests taken and not ended
+	requests         atomic.Int64 // handed to the module
+	gone             atomic.Int64 // left by their client
+	busy             atomic.Int64 // of the refused ones, those beyond what may be held
+	improper         atomic.Int64 // answered 4xx, or ended for their framing
+	requestsRejected atomic.Int64 // attempts answered 4xx
+	dials            atomic.Int64 // to servers
+	reused           atomic.Int64 // attempts on a connection that had idled
 
 	classes  []classCounts
 	attempts [balance.NotSent + 1]atomic.Int64 // by outcome
@@ -47,8 +47,8 @@
 	return n
 }
 
-// answered counts a request whose answer has been written whole.
-func (n *classCounts) answered(kind answerKind) {
+// countAnswer counts a request whose answer has been written whole.
+func (n *classCounts) countAnswer(kind answerKind) {
 	switch kind {
 	case served:
 		n.fulfilled.Add(1)
@@ -70,14 +70,14 @@
 	}
 }
 
-// figure is one counter by its name in the log.
-type figure struct {
+// metric is one counter by its name in the log.
+type metric struct {
 	name  string
 	value int64
 }
 
-// since reads the counters for the log.
-func (n *counts) since(w *crowd) (figures, attempts []figure) {
+// metrics reads the counters for the log.
+func (n *counts) metrics(w *connLimiter) (figures, attempts []metric) {
 	var fulfilled, throttled, faulted, relayed int64
 	for i := range n.classes {
 		c := &n.classes[i]
@@ -85,17 +85,17 @@
 		faulted, relayed = faulted+c.faulted.Load(), relayed+c.relayed.Load()
 	}
 	for i := range n.attempts {
-		attempts = append(attempts, figure{outcomeNames[i], n.attempts[i].Load()})
+		attempts = append(attempts, metric{outcomeNames[i], n.attempts[i].Load()})
 	}
-	return []figure{{"crowded", w.closed.Load()}, {"requests", n.requests.Load()}, {"fulfilled", fulfilled}, {"throttled", throttled},
+	return []metric{{"crowded", w.closed.Load()}, {"requests", n.requests.Load()}, {"fulfilled", fulfilled}, {"throttled", throttled},
 		{"faulted", faulted}, {"gone", n.gone.Load()}, {"busy", n.busy.Load()}, {"improper", n.improper.Load()},
-		{"blamed", n.blamed.Load()}, {"relayed", relayed}, {"dials", n.dials.Load()}, {"reused", n.reused.Load()}}, attempts
+		{"blamed", n.requestsRejected.Load()}, {"relayed", relayed}, {"dials", n.dials.Load()}, {"reused", n.reused.Load()}}, attempts
 }
 
 // report logs what has happened since the last report, which it gets and returns.
-func (n *counts) report(log *slog.Logger, w *crowd, last [2][]figure) [2][]figure {
-	var now [2][]figure
-	now[0], now[1] = n.since(w)
+func (n *counts) report(log *slog.Logger, w *connLimiter, last [2][]metric) [2][]metric {
+	var now [2][]metric
+	now[0], now[1] = n.metrics(w)
 	var groups [2][]any
 	for i := range now {
 		for j, f := range now[i] {
@@ -110,15 +110,15 @@
 	return now
 }
 
-// keepCounts logs the counts until ctx is done.
-func (s *server) keepCounts(ctx context.Context, log *slog.Logger) {
-	tick := time.NewTicker(countsEvery)
+// logCounts logs the counts until ctx is done.
+func (s *server) logCounts(ctx context.Context, log *slog.Logger) {
+	tick := time.NewTicker(countsInterval)
 	defer tick.Stop()
-	var last [2][]figure
+	var last [2][]metric
 	for {
 		select {
 		case <-tick.C:
-			last = s.counts.report(log, s.crowd, last)
+			last = s.counts.report(log, s.connections, last)
 		case <-ctx.Done():
 			return
 		}
@@ -129,17 +129,17 @@
 func (s *server) info([]string) string {
 	var listed, avoided int
 	if !s.host.ask(func() { listed, avoided = s.host.balancer.CountListed(s.host.now) }) {
-		return fmt.Sprintf("fail %v\n", errLeaving)
+		return fmt.Sprintf("fail %v\n", errShuttingDown)
 	}
 	var text strings.Builder
 	for i := range s.counts.classes {
 		c := &s.counts.classes[i]
-		for _, f := range []figure{{"fulfilled", c.fulfilled.Load()}, {"throttled", c.throttled.Load()},
+		for _, f := range []metric{{"fulfilled", c.fulfilled.Load()}, {"throttled", c.throttled.Load()},
 			{"faulted", c.faulted.Load()}, {"relayed", c.relayed.Load()}} {
 			fmt.Fprintf(&text, "svc.operations.%s.%s:%d|c\n", c.name, f.name, f.value)
 		}
 	}
-	for _, f := range []figure{{"open_requests", s.counts.open.Load()}, {"registry_entries", int64(listed)},
+	for _, f := range []metric{{"open_requests", s.counts.open.Load()}, {"registry_entries", int64(listed)},
 		{"out_of_rotation", int64(avoided)}} {
 		fmt.Fprintf(&text, "svc.%s:%d|g\n", f.name, f.value)
 	}
--- a/internal/sidecar/counts_test.go
+++ b/internal/sidecar/counts_test.go
@@ -20,16 +20,16 @@
 	n.requests.Add(3)
 	n.open.Add(1)
 	n.attempts[balance.TimedOut].Add(2)
-	n.classes[0].answered(served)
-	n.classes[1].answered(served)
-	n.classes[1].answered(refused)
+	n.classes[0].countAnswer(served)
+	n.classes[1].countAnswer(served)
+	n.classes[1].countAnswer(refused)
 	n.connected(true, 40*time.Millisecond)
 	n.connected(false, 20*time.Millisecond)
 	var text bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&text, nil))
-	w := newCrowd(64)
+	w := newConnLimiter(64)
 	w.count.Store(7)
-	last := n.report(log, w, [2][]figure{})
+	last := n.report(log, w, [2][]metric{})
 	for _, want := range []string{"conns=7 open=1 crowded=0 requests=3 fulfilled=2 throttled=1 faulted=0 ", "attempts.timeout=2 ",
 		"reused=1 ", "connect_ms=40\n"} {
 		if !strings.Contains(text.String(), want) {
@@ -37,7 +37,7 @@
 		}
 	}
 	text.Reset()
-	n.classes[0].answered(failed)
+	n.classes[0].countAnswer(failed)
 	n.report(log, w, last)
 	for _, want := range []string{"requests=0 fulfilled=0 throttled=0 faulted=1 ", "attempts.timeout=0 ", "connect_ms=0\n"} {
 		if !strings.Contains(text.String(), want) {
--- a/internal/sidecar/deadline_test.go
+++ b/internal/sidecar/deadline_test.go
@@ -58,13 +58,13 @@
 	h.now = h.clock()
 	return &testCall{t: t, host: h, server: b, call: &call{class: c.Names.Class[class], tenant: -1,
 		answered: make(chan answer, 1), deadline: time.Now().Add(time.Hour),
-		message: message{method: "POST", uri: &url.URL{Path: "/api"}, id: "id-1", key: "k-1", wait: time.Hour}}}
+		message: message{method: "POST", url: &url.URL{Path: "/api"}, id: "id-1", key: "k-1", timeout: time.Hour}}}
 }
 
 // begin has the host take the call in, and the server have its one attempt.
 func (s *testCall) begin() {
 	s.t.Helper()
-	s.host.begin(s.call)
+	s.host.beginCall(s.call)
 	within(s.t, s.server.came, "attempt")
 }
 
@@ -85,7 +85,7 @@
 func (s *testCall) attemptTimedOut() {
 	s.t.Helper()
 	s.attempts[0].cancel(context.DeadlineExceeded)
-	for s.out > 0 {
+	for s.inFlight > 0 {
 		s.takeIn()
 	}
 }
@@ -93,7 +93,7 @@
 // passDeadline moves the time to when the call's timer finds it overdue.
 func (s *testCall) passDeadline() {
 	s.t.Helper()
-	if s.due == nil {
+	if s.overdueTimer == nil {
 		s.t.Fatal("the call has no timer")
 	}
 	s.host.now = s.deadline.Add(answerMargin / 2).Sub(s.host.origin)
@@ -125,7 +125,7 @@
 						t.Fatalf("%d answers after step %d", n, i)
 					}
 				}
-				if a := <-s.answered; a.kind != class.want || a.after != 0 {
+				if a := <-s.answered; a.kind != class.want || a.retryAfter != 0 {
 					t.Errorf("answer %+v, want kind %d at once", a, class.want)
 				}
 				for outcome := range s.host.counts.attempts {
@@ -160,14 +160,14 @@
 	for len(s.attempts) == 0 {
 		s.takeIn()
 	}
-	early := s.due != nil
+	early := s.overdueTimer != nil
 	s.rest.err = io.EOF
 	s.rest.mu.Unlock()
 	if early {
 		t.Fatal("the call's timer was armed before its body had come")
 	}
 	within(t, s.server.came, "attempt")
-	s.host.bodyEnded(s.call)
+	s.host.bodyComplete(s.call)
 	s.passDeadline()
 	s.overdue()
 	if a := within(t, answers, "answer"); a.kind != refused {
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// watchSilence is how long a watch may be silent: discovery writes at least an empty line every 2 s. Danger: a
+	// watchSilenceTimeout is how long a watch may be silent: discovery writes at least an empty line every 2 s. Danger: a
 	// machine that is cut off says nothing, and the old list would be believed for good. What it has to tell counts as
 	// told toldWithin after it fell silent all the same, so a new watch must have had the time to tell it by then.
-	watchSilence = 4500 * time.Millisecond
-	toldWithin   = 6 * time.Second
-	// agentSilence is that of an agent on the own machine. It answers at no cost, so that one that was only late is no loss; and
+	watchSilenceTimeout = 4500 * time.Millisecond
+	toldWithin          = 6 * time.Second
+	// agentSilenceTimeout is that of an agent on the own machine. It answers at no cost, so that one that was only late is no loss; and
 	// a new watch may be silent too, which must leave time for one more.
-	agentSilence = 3500 * time.Millisecond
-	agentWithin  = time.Second
-	mostList     = 4 << 20 // bytes of a list of a watch
+	agentSilenceTimeout = 3500 * time.Millisecond
+	agentFirstTimeout   = time.Second
+	maxListBytes        = 4 << 20 // bytes of a list of a watch
 )
 
 // Target is one server of discovery's list.
@@ -44,9 +44,9 @@
 
 // List is what discovery says at once: all servers, or those that changed.
 type List struct {
-	Rev     int64
-	All     bool
-	Targets []Target
+	Version  int64
+	Complete bool
+	Targets  []Target
 }
 
 // parseList reads discovery's JSON strictly: a list that is wrong in one entry is wrong.
@@ -71,7 +71,7 @@
 	if l.Rev == nil {
 		return List{}, errors.New("list has no rev")
 	}
-	list := List{Rev: *l.Rev, All: l.All}
+	list := List{Version: *l.Rev, Complete: l.All}
 	for i, e := range l.Targets {
 		t := Target{ID: e.UID, Address: e.Endpoint, Zone: e.AZ, Kind: e.Model, Cell: e.PodGroup, Size: 1}
 		switch e.State {
@@ -110,21 +110,21 @@
 
 // discovery is the client of the list of servers.
 type discovery struct {
-	address atomic.Value // string
-	client  *http.Transport
-	silence time.Duration
-	within  time.Duration // an agent that is asked for the whole list has it; twice as long each time that it says nothing
+	address        atomic.Value // string
+	client         *http.Transport
+	silenceTimeout time.Duration
+	firstTimeout   time.Duration // an agent that is asked for the whole list has it; twice as long each time that it says nothing
 }
 
 // newDiscovery is the client of the list at an address; pushed tells whether an agent answers there at once and at no cost.
 func newDiscovery(address string, connect time.Duration, pushed bool) *discovery {
-	d := &discovery{silence: watchSilence, within: agentWithin, client: &http.Transport{
+	d := &discovery{silenceTimeout: watchSilenceTimeout, firstTimeout: agentFirstTimeout, client: &http.Transport{
 		DialContext:        (&net.Dialer{Timeout: max(connect, time.Second)}).DialContext,
 		DisableCompression: true,
 		DisableKeepAlives:  true, // a watch lasts as long as its connection
 	}}
 	if pushed {
-		d.silence = agentSilence
+		d.silenceTimeout = agentSilenceTimeout
 	}
 	d.address.Store(address)
 	return d
@@ -136,7 +136,7 @@
 func (d *discovery) watch(ctx context.Context, from int64, first time.Duration, told func(List)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	first = cmp.Or(first, d.silence)
+	first = cmp.Or(first, d.silenceTimeout)
 	endAfter := func(wait time.Duration) *time.Timer {
 		return time.AfterFunc(wait, func() { cancel(fmt.Errorf("%w: nothing came for %v", errSilent, wait)) })
 	}
@@ -159,10 +159,10 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("watch: status %d", resp.StatusCode)
 	}
-	said := &spoken{from: resp.Body, left: mostList}
-	beat := func() { silent.Reset(d.silence) }
-	if first == d.silence {
-		said.beat = beat // an empty line will do for a sign of life
+	said := &watchReader{from: resp.Body, budget: maxListBytes}
+	beat := func() { silent.Reset(d.silenceTimeout) }
+	if first == d.silenceTimeout {
+		said.onHeartbeat = beat // an empty line will do for a sign of life
 	}
 	lists := json.NewDecoder(said) // a list may be indented, and so have lines of its own
 	for {
@@ -180,31 +180,31 @@
 			return fmt.Errorf("watch: %w: %w", errBadList, err)
 		}
 		silent.Stop()
-		silent = endAfter(d.silence)
-		said.left, said.beat = mostList, beat
+		silent = endAfter(d.silenceTimeout)
+		said.budget, said.onHeartbeat = maxListBytes, beat
 		told(list)
 	}
 }
 
 var errLongList = errors.New("too long")
 
-// spoken reads what a watch says. It calls beat, if any, for each empty line, and bounds what may come up to the end of a list.
+// watchReader reads what a watch says. It calls beat, if any, for each empty line, and bounds what may come up to the end of a list.
 //
 // Danger: a list that begins and never ends is silence too, so what is not empty is no sign of life before the list is whole.
-type spoken struct {
-	from io.Reader
-	left int // bytes
-	beat func()
+type watchReader struct {
+	from        io.Reader
+	budget      int // bytes
+	onHeartbeat func()
 }
 
 // Read implements io.Reader.
-func (s *spoken) Read(p []byte) (int, error) {
-	n, err := s.from.Read(p[:min(len(p), max(s.left, 0)+1)])
-	if s.left -= n; s.left < 0 {
+func (s *watchReader) Read(p []byte) (int, error) {
+	n, err := s.from.Read(p[:min(len(p), max(s.budget, 0)+1)])
+	if s.budget -= n; s.budget < 0 {
 		return 0, errLongList
 	}
-	if n > 0 && s.beat != nil && len(bytes.TrimSpace(p[:n])) == 0 {
-		s.beat()
+	if n > 0 && s.onHeartbeat != nil && len(bytes.TrimSpace(p[:n])) == 0 {
+		s.onHeartbeat()
 	}
 	return n, err
 }
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -91,7 +91,7 @@
 		h.watchers.Wait()
 		time.Sleep(time.Minute) // the agent's own pauses end
 	})
-	if err := h.learn(c); err != nil {
+	if err := h.startFollowing(c); err != nil {
 		t.Fatal(err)
 	}
 	return h
@@ -176,10 +176,10 @@
 			d := newDiscovery("127.0.0.1:9", time.Second, pushed)
 			d.client.DialContext = a.dial
 			begun := time.Now()
-			err := d.watch(t.Context(), noRev, 0, func(List) {})
+			err := d.watch(t.Context(), noVersion, 0, func(List) {})
 			took := time.Since(begun)
 			time.Sleep(time.Minute) // the agent's own pauses end, here and below
-			if took != time.Minute+d.silence || !strings.Contains(fmt.Sprint(err), "nothing came for") {
+			if took != time.Minute+d.silenceTimeout || !strings.Contains(fmt.Sprint(err), "nothing came for") {
 				t.Errorf("ended after %v: %v", took, err)
 			}
 		})
@@ -210,7 +210,7 @@
 			d := newDiscovery("127.0.0.1:9", time.Second, true)
 			d.client.DialContext = (&agent{answers: []func(io.Writer){saying(one[:cut], one[cut:]+two[:cut], two[cut:], "\n", three)}}).dial
 			var got []string
-			err := d.watch(t.Context(), noRev, time.Second, func(l List) { got = append(got, fmt.Sprint(l.Rev, ids(l))) })
+			err := d.watch(t.Context(), noVersion, time.Second, func(l List) { got = append(got, fmt.Sprint(l.Version, ids(l))) })
 			time.Sleep(time.Minute)
 			if s := strings.Join(got, ", "); s != "7s-0, 8s-1, 9s-2" {
 				t.Errorf("cut at %d: %s (%v)", cut, s, err)
@@ -232,7 +232,7 @@
 				}
 			}
 		}}}).dial
-		if err := d.watch(t.Context(), noRev, 0, func(List) {}); err == nil || !strings.Contains(err.Error(), errBadList.Error()) {
+		if err := d.watch(t.Context(), noVersion, 0, func(List) {}); err == nil || !strings.Contains(err.Error(), errBadList.Error()) {
 			t.Errorf("error %v", err)
 		}
 	})
@@ -263,7 +263,7 @@
 				for range 10 { // whenever it comes, between two calls or in one
 					time.Sleep(1730 * time.Millisecond)
 				}
-				h.post(func() { h.move("127.0.0.1:10") })
+				h.post(func() { h.moveTo("127.0.0.1:10") })
 				if took := h.knows("s-1"); took > 4*time.Second-500*time.Millisecond {
 					t.Errorf("told %v after it moved", took)
 				}
@@ -281,7 +281,7 @@
 		time.Sleep(100 * time.Millisecond) // a process that does not wait serves by now
 		w.lines <- listText(42, true, entry("s-0", drained.address, "DRAINING", 0), entry("s-1", kept.address, "SERVING", 0))
 	}()
-	p := startDraining(t, configText(d.address, serving(41, drained), testSettings), drainTimes{agent: patience, quiet: time.Millisecond, finish: patience})
+	p := startDraining(t, configText(d.address, serving(41, drained), testSettings), drainTimes{agent: patience, quietTime: time.Millisecond, finish: patience})
 	for range 10 {
 		if g := p.ask("pay"); g.body != "kept" {
 			t.Fatalf("a request went to a server that the agent said drains: %+v", g)
@@ -293,7 +293,7 @@
 func TestMuteAgent(t *testing.T) {
 	known := startBackend(t, say(200, "", "known"))
 	p := startDraining(t, configText(startRegistry(t).address, serving(41, known), testSettings),
-		drainTimes{agent: 10 * time.Millisecond, quiet: time.Millisecond, finish: patience})
+		drainTimes{agent: 10 * time.Millisecond, quietTime: time.Millisecond, finish: patience})
 	if g := p.ask("pay"); g.body != "known" {
 		t.Errorf("answer %+v", g)
 	}
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-const sweepEvery = 100 * time.Millisecond
+const idleCheckInterval = 100 * time.Millisecond
 
 // lameduck begins the drain that rejoin ends. Both may be said again.
 func (s *server) lameduck([]string) string {
-	s.lame.CompareAndSwap(0, time.Now().UnixNano())
+	s.drainingSince.CompareAndSwap(0, time.Now().UnixNano())
 	s.host.log.Info("lameduck")
 	return "ok draining\n"
 }
 
 // rejoin ends the drain.
 func (s *server) rejoin([]string) string {
-	s.lame.Store(0)
+	s.drainingSince.Store(0)
 	s.host.log.Info("rejoin")
-	if s.draining.Load() {
-		return fmt.Sprintf("fail %v\n", errLeaving)
+	if s.shuttingDown.Load() {
+		return fmt.Sprintf("fail %v\n", errShuttingDown)
 	}
 	return "ok serving\n"
 }
 
-// sweep ends clients' connections that idle once the drain has gone on for some time, until ctx is done. Danger: 4 s after
+// closeIdleWhileDraining ends clients' connections that idle once the drain has gone on for some time, until ctx is done. Danger: 4 s after
 // its begin none may be left without a request, or with one of the last 2 s.
-func (s *server) sweep(ctx context.Context, after time.Duration) {
-	tick := time.NewTicker(sweepEvery)
+func (s *server) closeIdleWhileDraining(ctx context.Context, after time.Duration) {
+	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case now := <-tick.C:
-			if since := s.lame.Load(); since != 0 && now.UnixNano()-since > after.Nanoseconds() {
-				s.crowd.closeIdle(now)
+			if since := s.drainingSince.Load(); since != 0 && now.UnixNano()-since > after.Nanoseconds() {
+				s.connections.closeIdle(now)
 			}
 		case <-ctx.Done():
 			return
@@ -43,9 +43,9 @@
 	}
 }
 
-// part asks the client to close its connection behind the answer in hand, if this process is to be left.
-func (s *server) part(w http.ResponseWriter) {
-	if s.draining.Load() || s.lame.Load() != 0 || s.crowd.full() {
+// askToClose asks the client to close its connection behind the answer in hand, if this process is to be left.
+func (s *server) askToClose(w http.ResponseWriter) {
+	if s.shuttingDown.Load() || s.drainingSince.Load() != 0 || s.connections.isOverloaded() {
 		w.Header().Set("Connection", "close")
 	}
 }
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -98,8 +98,8 @@
 // TestRejoinWhileLeaving says REJOIN to a process that SIGTERM has sent away: that stays so.
 func TestRejoinWhileLeaving(t *testing.T) {
 	s := &server{host: &host{log: slog.New(slog.DiscardHandler)}}
-	s.draining.Store(true)
-	if answer := s.operate([]string{"REJOIN"}); !strings.HasPrefix(answer, "fail ") {
+	s.shuttingDown.Store(true)
+	if answer := s.handleCall([]string{"REJOIN"}); !strings.HasPrefix(answer, "fail ") {
 		t.Errorf("answer %q", answer)
 	}
 }
@@ -114,7 +114,7 @@
 		return say(200, "", "ok")(c, r, body)
 	})
 	p := startDraining(t, configText(startRegistry(t).address, serving(1, b), testSettings),
-		drainTimes{accept: 4 * time.Second, quiet: 10 * time.Millisecond, closeIdle: 2 * time.Second, finish: patience})
+		drainTimes{accept: 4 * time.Second, quietTime: 10 * time.Millisecond, closeIdle: 2 * time.Second, finish: patience})
 	slow := make(chan gotten, 1)
 	go func() { slow <- p.do(p.request(context.Background(), "book", "50000")) }()
 	within(t, b.came, "attempt")
@@ -166,7 +166,7 @@
 // TestBacklog has connections wait unaccepted when the accepting ends: none may be reset.
 func TestBacklog(t *testing.T) {
 	inner := listen(t).(*net.TCPListener)
-	l := &drainListener{TCPListener: inner, quiet: time.Second}
+	l := &drainListener{TCPListener: inner, quietTime: time.Second}
 	const n = 3
 	for range n {
 		c, err := net.Dial("tcp", inner.Addr().String())
--- a/internal/sidecar/drainlistener.go
+++ b/internal/sidecar/drainlistener.go
@@ -17,23 +17,23 @@
 // drainListener goes on accepting for some time after it is told to stop.
 type drainListener struct {
 	*net.TCPListener
-	quiet    time.Duration
-	rounds   int           // of looking for connections left waiting; 0: not yet
-	taken    bool          // one in this round
-	improper *atomic.Int64 // counts connections ended for their framing
+	quietTime   time.Duration
+	drainRounds int           // of looking for connections left waiting; 0: not yet
+	accepted    bool          // one in this round
+	improper    *atomic.Int64 // counts connections ended for their framing
 }
 
-// mostRounds bounds how long connections that keep coming hold the end up.
-const mostRounds = 8
+// maxDrainRounds bounds how long connections that keep coming hold the end up.
+const maxDrainRounds = 8
 
 // drain has Accept go on for some time, and end once no connection is left waiting.
 func (l *drainListener) drain(atLeast time.Duration) error {
 	return l.SetDeadline(time.Now().Add(atLeast))
 }
 
-// leave has Accept end at once.
-func (l *drainListener) leave() error {
-	l.rounds = mostRounds
+// stopNow has Accept end at once.
+func (l *drainListener) stopNow() error {
+	l.drainRounds = maxDrainRounds
 	return l.SetDeadline(time.Now())
 }
 
@@ -60,17 +60,17 @@
 	for {
 		c, err := l.AcceptTCP()
 		if err == nil {
-			l.taken = true
-			return framing.NewClientConn(c, mostHead, l.improper), nil
+			l.accepted = true
+			return framing.NewClientConn(c, maxHeadBytes, l.improper), nil
 		}
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil, err
 		}
-		if l.rounds > 0 && !l.taken || l.rounds == mostRounds {
+		if l.drainRounds > 0 && !l.accepted || l.drainRounds == maxDrainRounds {
 			return nil, net.ErrClosed
 		}
-		l.rounds, l.taken = l.rounds+1, false
-		if err := l.SetDeadline(time.Now().Add(l.quiet)); err != nil {
+		l.drainRounds, l.accepted = l.drainRounds+1, false
+		if err := l.SetDeadline(time.Now().Add(l.quietTime)); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	followEvery  = 100 * time.Millisecond // so often a process looks whether another has changed the file
-	mostHandover = 1 << 20                // bytes of the file
+	followInterval   = 100 * time.Millisecond // so often a process looks whether another has changed the file
+	maxHandoverBytes = 1 << 20                // bytes of the file
 )
 
 // handover keeps what outlives a process: the ids of the servers that staff have taken out. Processes that stand beside
@@ -28,14 +28,14 @@
 	path string // "": there is no common folder, and all is lost with the process
 	log  *slog.Logger
 
-	mu   sync.Mutex
-	ids  []string
-	seen os.FileInfo // the file that ids are from; nil: none
-	bad  string      // what was last wrong with it
+	mu        sync.Mutex
+	ids       []string
+	seen      os.FileInfo // the file that ids are from; nil: none
+	lastError string      // what was last wrong with it
 }
 
-// handedOver is the file's form.
-type handedOver struct {
+// handoverJSON is the file's form.
+type handoverJSON struct {
 	Out []string `json:"out"`
 }
 
@@ -44,13 +44,13 @@
 	f := &handover{log: log}
 	if dir != "" {
 		f.path = filepath.Join(dir, "gradeusher-"+url.PathEscape(name)+".json")
-		f.look()
+		f.reload()
 	}
 	return f
 }
 
-// look takes in the file if it is another than the one seen, and tells whether it was.
-func (f *handover) look() bool {
+// reload takes in the file if it is another than the one seen, and tells whether it was.
+func (f *handover) reload() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	info, err := os.Stat(f.path)
@@ -63,22 +63,22 @@
 	ids, read := f.read()
 	f.seen = info
 	if err = errors.Join(err, read); err != nil {
-		if f.bad != err.Error() { // said once, not ten times a second
-			f.bad = err.Error()
+		if f.lastError != err.Error() { // said once, not ten times a second
+			f.lastError = err.Error()
 			f.log.Warn("handover", "err", err)
 		}
 		return false
 	}
-	f.ids, f.bad = ids, ""
+	f.ids, f.lastError = ids, ""
 	return true
 }
 
 func (f *handover) read() ([]string, error) {
-	text, err := sealed.ReadFile(f.path, mostHandover)
+	text, err := sealed.ReadFile(f.path, maxHandoverBytes)
 	if err != nil {
 		return nil, err
 	}
-	var told handedOver
+	var told handoverJSON
 	if err := json.Unmarshal(text, &told); err != nil {
 		return nil, fmt.Errorf("%s: %w", f.path, err)
 	}
@@ -114,7 +114,7 @@
 			ids = now
 		}
 		f.ids = change(ids)
-		text, err := json.Marshal(handedOver{Out: f.ids})
+		text, err := json.Marshal(handoverJSON{Out: f.ids})
 		if err == nil {
 			err = sealed.WriteFile(f.path, append(text, '\n'))
 		}
@@ -127,12 +127,12 @@
 
 // follow calls changed each time that another process has changed the file, until ctx is done.
 func (f *handover) follow(ctx context.Context, changed func()) {
-	tick := time.NewTicker(followEvery)
+	tick := time.NewTicker(followInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			if f.look() {
+			if f.reload() {
 				changed()
 			}
 		case <-ctx.Done():
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -95,11 +95,11 @@
 	if other := newHandover(dir, "n1", log).out(); len(other) != 0 {
 		t.Errorf("another sidecar has %d of them", len(other))
 	}
-	if f.look() {
+	if f.reload() {
 		t.Error("an unchanged file passes for a changed one")
 	}
 	text := &logText{}
-	for _, bad := range []string{"", "{", `{"out":[1]}`, strings.Repeat(" ", mostHandover+1)} {
+	for _, bad := range []string{"", "{", `{"out":[1]}`, strings.Repeat(" ", maxHandoverBytes+1)} {
 		if err := os.WriteFile(f.path, []byte(bad), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -111,7 +111,7 @@
 		t.Errorf("the log says so %d times:\n%s", n, text)
 	}
 	for range 3 {
-		f.look()
+		f.reload()
 	}
 	if n := len(f.out()); n != 20 {
 		t.Errorf("a file that cannot be read changes what is known: %d ids", n)
@@ -131,7 +131,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := startLogging(t, c, io.Discard, drainTimes{quiet: time.Millisecond, finish: patience})
+	p := startLogging(t, c, io.Discard, drainTimes{quietTime: time.Millisecond, finish: patience})
 	if answer := dialControl(t, at, "DETACH s-0\n"); !strings.HasPrefix(answer, "fail ") {
 		t.Errorf("answer %q", answer)
 	}
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -257,7 +257,7 @@
 
 func start(t *testing.T, config string) *program {
 	t.Helper()
-	return startDraining(t, config, drainTimes{quiet: time.Millisecond, finish: patience})
+	return startDraining(t, config, drainTimes{quietTime: time.Millisecond, finish: patience})
 }
 
 func startDraining(t *testing.T, config string, times drainTimes) *program {
@@ -272,7 +272,7 @@
 // startLogging starts a sidecar whose log also goes to text.
 func startLogging(t *testing.T, c *Config, text io.Writer, times drainTimes) *program {
 	t.Helper()
-	c.agentWithin = patience
+	c.agentFirstTimeout = patience
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &program{t: t, stop: cancel, ended: make(chan error, 1), client: &http.Client{Transport: &http.Transport{}},
 		reload: make(chan os.Signal)}
--- a/internal/sidecar/hitters.go
+++ b/internal/sidecar/hitters.go
@@ -61,8 +61,8 @@
 		if s.given == nil {
 			continue
 		}
-		if *s.to = time.Duration(*s.given * float64(time.Second)); !(*s.given >= 0 && *s.given <= mostWait) {
-			return nil, nil, fmt.Errorf("%s: %v is not from 0 to %d", s.name, *s.given, mostWait)
+		if *s.to = time.Duration(*s.given * float64(time.Second)); !(*s.given >= 0 && *s.given <= maxSeconds) {
+			return nil, nil, fmt.Errorf("%s: %v is not from 0 to %d", s.name, *s.given, maxSeconds)
 		}
 	}
 	if _, err := hitters.New(&set); err != nil {
@@ -83,22 +83,22 @@
 	return hitters.Key(h.Salt, name), name
 }
 
-// judgeClients ends the windows of the Balancer's Judge until ctx is done.
-func (h *host) judgeClients(ctx context.Context, window time.Duration) {
+// endHittersWindows ends the windows of the Balancer's Judge until ctx is done.
+func (h *host) endHittersWindows(ctx context.Context, window time.Duration) {
 	tick := time.NewTicker(window)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			h.post(h.rollHitters)
+			h.post(h.endHittersWindow)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// rollHitters ends a window, logs whose state has changed, and tells the members. The loop alone calls it.
-func (h *host) rollHitters() {
+// endHittersWindow ends a window, logs whose state has changed, and tells the members. The loop alone calls it.
+func (h *host) endHittersWindow() {
 	own, changed := h.balancer.HeavyHitters().EndWindow(h.now)
 	for _, c := range changed {
 		level := slog.LevelDebug
@@ -116,8 +116,8 @@
 	}
 }
 
-// hittersTold takes in the reports of other sidecars. What cannot be read is passed over.
-func (h *host) hittersTold(c *Config) func(members.News) {
+// receiveHitters takes in the reports of other sidecars. What cannot be read is passed over.
+func (h *host) receiveHitters(c *Config) func(members.News) {
 	return func(n members.News) {
 		report, err := hitters.ParseReport(n.Payload)
 		if err != nil {
--- a/internal/sidecar/hitters_test.go
+++ b/internal/sidecar/hitters_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	var log logText
-	p := startLogging(t, c, &log, drainTimes{quiet: time.Millisecond, finish: patience})
+	p := startLogging(t, c, &log, drainTimes{quietTime: time.Millisecond, finish: patience})
 	key := fmt.Sprintf("svc.heavy_clients.%016x:", hitters.Key(hitters.Key(0, ""), "loud"))
 	for end, n := time.Now().Add(patience), 0; ; n++ {
 		r := p.request(context.Background(), "read", "50000")
@@ -60,10 +60,10 @@
 		{`{"header":""}`, "header"},
 		{`{"header":"a: b"}`, "header"},
 		{`{"bars":[0.1]}`, "bars"},
-		{`{"bars":[0.1,0.2]}`, "Low"},
-		{`{"bars":[0.001,0.001]}`, "High"},
+		{`{"bars":[0.1,0.2]}`, "LowThreshold"},
+		{`{"bars":[0.001,0.001]}`, "HighThreshold"},
 		{`{"window_s":0}`, "Window"},
-		{`{"window_s":3}`, "Bound"},
+		{`{"window_s":3}`, "ReportTTL"},
 		{`{"hold_s":-1}`, "hold_s"},
 		{`{"cool_s":1e99}`, "cool_s"},
 	} {
@@ -94,7 +94,7 @@
 		}
 		return c
 	}
-	times := drainTimes{quiet: time.Millisecond, finish: patience}
+	times := drainTimes{quietTime: time.Millisecond, finish: patience}
 	var first logText
 	loud := []*program{startLogging(t, config("n1", ""), &first, times)}
 	at := ""
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -24,14 +24,14 @@
 	origin    time.Time
 	upstream  *upstream
 	discovery *discovery
-	keepers   *client.Follower // of the list, in place of discovery; nil: there are none
+	registry  *client.Follower // of the list, in place of discovery; nil: there are none
 	routing   routing
 	handover  *handover
-	kept      *kept // nil: a process leaves nothing to the next one
-	leaving   leaving
+	snapshots *snapshotFile // nil: a process leaves nothing to the next one
+	shutdown  shutdownClock
 	members   *members.Members // nil: none are known
 	ready     chan struct{}    // closed once servers are known
-	told      chan struct{}    // closed once a list came: what is known is not from before this process
+	listed    chan struct{}    // closed once a list came: what is known is not from before this process
 
 	moves    chan string    // addresses to which an agent that pushes moves
 	watchers sync.WaitGroup // of discovery
@@ -41,19 +41,19 @@
 	wake  chan struct{}
 
 	// Of the loop.
-	ctx      context.Context
-	balancer *balance.Balancer
-	now      balance.Time
-	last     balance.RequestID
-	calls    map[balance.RequestID]*call
-	isReady  bool
-	isTold   bool
-	company  company
-	watching bool               // a watch that the Balancer asked for is open, or will be after a move
-	leave    context.CancelFunc // ends it
-	moveTo   string             // where the next one is opened; "": where it was
-
-	ledger *ledger // of the watch that is open, and of the loop between two
+	ctx         context.Context
+	balancer    *balance.Balancer
+	now         balance.Time
+	lastID      balance.RequestID
+	calls       map[balance.RequestID]*call
+	isReady     bool
+	isListed    bool
+	fleet       fleetState
+	watching    bool               // a watch that the Balancer asked for is open, or will be after a move
+	closeWatch  context.CancelFunc // ends it
+	nextAddress string             // where the next one is opened; "": where it was
+
+	table *serverTable // of the watch that is open, and of the loop between two
 }
 
 // event is what happened at a time.
@@ -65,53 +65,53 @@
 // newHost returns a host whose attempts and watches end with ctx. It starts nothing.
 func newHost(ctx context.Context, c *Config, log *slog.Logger) (*host, error) {
 	n := newCounts(c.Settings.Classes)
-	h := &host{log: log, counts: n, origin: time.Now().Add(-originAge), ready: make(chan struct{}), told: make(chan struct{}), wake: make(chan struct{}, 1),
-		upstream:  newUpstream(c.Limits.ConnectTimeout, c.Limits.IdleClose, c.Sockets, n, newBudget(budgetOf(c.MemoryMB))),
+	h := &host{log: log, counts: n, origin: time.Now().Add(-originAge), ready: make(chan struct{}), listed: make(chan struct{}), wake: make(chan struct{}, 1),
+		upstream:  newUpstream(c.Limits.ConnectTimeout, c.Limits.IdleClose, c.Sockets, n, newByteBudget(budgetOf(c.MemoryMB))),
 		discovery: newDiscovery(c.Discovery, c.Limits.ConnectTimeout, !c.Settings.SubscribeToDiscovery),
 		handover:  &handover{log: log},
-		calls:     map[balance.RequestID]*call{}, ledger: newLedger(c.Known), ctx: ctx, leave: func() {}}
-	h.discovery.within = cmp.Or(c.agentWithin, agentWithin)
-	h.leaving.init(c.Settings.Classes)
+		calls:     map[balance.RequestID]*call{}, table: newServerTable(c.Known), ctx: ctx, closeWatch: func() {}}
+	h.discovery.firstTimeout = cmp.Or(c.agentFirstTimeout, agentFirstTimeout)
+	h.shutdown.init(c.Settings.Classes)
 	h.now = h.clock()
 	var err error
 	if h.balancer, err = balance.New(c.Settings, h); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if c.Beliefs && c.Common != "" {
-		h.kept = newKept(c.Common, c.Name, log)
+	if c.KeepSnapshot && c.SharedDir != "" {
+		h.snapshots = newSnapshotFile(c.SharedDir, c.Name, log)
 	}
-	h.list(balance.ListCached, c.Known)
-	h.takeUp()
+	h.applyList(balance.ListCached, c.Known)
+	h.restoreSnapshot()
 	if c.Control != "" {
 		// Known before the first request, and before this process says that it is ready.
-		if h.handover = newHandover(c.Common, c.Name, log); len(h.handover.ids) > 0 {
-			h.tellOut()
+		if h.handover = newHandover(c.SharedDir, c.Name, log); len(h.handover.ids) > 0 {
+			h.applyOutOfService()
 		}
 	}
 	return h, nil
 }
 
-// learn has the host hear of members and follow what they, keepers and agents tell, until its context is done.
-func (h *host) learn(c *Config) error {
+// startFollowing has the host hear of members and follow what they, keepers and agents tell, until its context is done.
+func (h *host) startFollowing(c *Config) error {
 	ctx := h.ctx
-	listen := map[uint8]func(members.News){kindSignals: h.signalsTold}
+	listen := map[uint8]func(members.News){kindSignals: h.receiveSignals}
 	if c.Hitters != nil {
-		listen[kindHitters] = h.hittersTold(c)
+		listen[kindHitters] = h.receiveHitters(c)
 	}
 	if c.Members != nil {
-		if err := h.meet(ctx, c, listen); err != nil {
+		if err := h.joinMembers(ctx, c, listen); err != nil {
 			return err
 		}
 	}
 	if c.Hitters != nil {
-		h.watchers.Go(func() { h.judgeClients(ctx, c.Settings.Hitters.Window) })
+		h.watchers.Go(func() { h.endHittersWindows(ctx, c.Settings.Hitters.Window) })
 	}
 	if err := h.followRoutes(ctx, c); err != nil {
 		return err
 	}
 	switch {
-	case c.Keepers != nil:
-		return h.keep(ctx, c)
+	case c.Registry != nil:
+		return h.followRegistry(ctx, c)
 	case !c.Settings.SubscribeToDiscovery:
 		// An agent that pushes tells all who listen.
 		h.moves = make(chan string, 1)
@@ -150,8 +150,8 @@
 	}
 }
 
-// tellOut tells the Balancer which servers staff have taken out. The loop alone calls it.
-func (h *host) tellOut() { h.balancer.SetOutOfService(h.now, h.handover.out()) }
+// applyOutOfService tells the Balancer which servers staff have taken out. The loop alone calls it.
+func (h *host) applyOutOfService() { h.balancer.SetOutOfService(h.now, h.handover.out()) }
 
 // run is the loop. It ends with ctx.
 func (h *host) run(ctx context.Context) {
--- a/internal/sidecar/inherit.go
+++ b/internal/sidecar/inherit.go
@@ -11,8 +11,8 @@
 // openListener returns the socket at which clients connect: the one that the platform holds and all processes inherit, or
 // one of this process's own.
 func openListener(c *Config) (*net.TCPListener, error) {
-	if c.Inherited != 0 {
-		return inherit(c.Inherited)
+	if c.InheritedFD != 0 {
+		return inherit(c.InheritedFD)
 	}
 	return listenTCP(c.Listen)
 }
--- a/internal/sidecar/input_test.go
+++ b/internal/sidecar/input_test.go
@@ -50,9 +50,9 @@
 		{"method", method("read", "DELETE"), 405},
 		{"path", ask("read", func(r *http.Request) { r.URL.Path = "/apis" }), 404},
 		{"health method", ask("read", func(r *http.Request) { r.URL.Path, r.Method = "/healthz", "PUT" }), 405},
-		{"long body", sized(mostLong + 1), 413},
-		{"longest body held", sized(mostBody), 200},
-		{"body that is not held", sized(mostBody + 1), 200},
+		{"long body", sized(maxBodyBytes + 1), 413},
+		{"longest body held", sized(maxHeldBytes), 200},
+		{"body that is not held", sized(maxHeldBytes + 1), 200},
 		{"unknown tenant", with("read", "X-Tenant-Id", "nobody"), 200},
 		{"no tenant", without("pay", "X-Tenant-Id"), 200},
 	} {
--- a/internal/sidecar/signals.go
+++ b/internal/sidecar/memberreports.go
@@ -15,52 +15,52 @@
 
 // How often a sidecar speaks to the members.
 const (
-	lookEvery   = 200 * time.Millisecond // it looks whether there is something to say
-	repeatEach  = 10 * time.Millisecond  // for each member, until it says again what it condemns
-	quietEvery  = 15 * time.Second       // it says its zone and level, for who came since
-	viewSettles = 600 * time.Millisecond // without a change, before places are taken by it
-	viewWaits   = 3 * time.Second        // with changes
+	reportCheckInterval = 200 * time.Millisecond // it looks whether there is something to say
+	repeatPerMember     = 10 * time.Millisecond  // for each member, until it says again what it condemns
+	quietInterval       = 15 * time.Second       // it says its zone and level, for who came since
+	viewSettleTime      = 600 * time.Millisecond // without a change, before places are taken by it
+	maxViewWait         = 3 * time.Second        // with changes
 )
 
-// company is what the loop knows of the members.
-type company struct {
-	view  members.View
-	peers map[string]balance.Peer // by name, as they last said
-	since balance.Time            // of the first change that the Balancer was not told; 0: it knows all
-	last  balance.Time            // change
-	said  signals.Report
-	at    balance.Time // when that was said
-	bound time.Duration
+// fleetState is what the loop knows of the members.
+type fleetState struct {
+	view         members.View
+	peers        map[string]balance.Peer // by name, as they last said
+	pendingSince balance.Time            // of the first change that the Balancer was not told; 0: it knows all
+	lastChange   balance.Time            // change
+	published    signals.Report
+	publishedAt  balance.Time // when that was said
+	reportTTL    time.Duration
 }
 
-func (c *company) changed(now balance.Time) {
-	c.last = now
-	if c.since == 0 {
-		c.since = now
+func (c *fleetState) changed(now balance.Time) {
+	c.lastChange = now
+	if c.pendingSince == 0 {
+		c.pendingSince = now
 	}
 }
 
-// met takes in who is a member. The loop alone calls it, and what follows.
-func (h *host) met(v members.View) {
-	for name := range h.company.peers {
+// updateMembers takes in who is a member. The loop alone calls it, and what follows.
+func (h *host) updateMembers(v members.View) {
+	for name := range h.fleet.peers {
 		if !slices.Contains(v.Names, name) {
-			delete(h.company.peers, name)
+			delete(h.fleet.peers, name)
 			h.balancer.RemoveMember(name)
 		}
 	}
-	h.company.view = v
-	h.company.changed(h.now)
+	h.fleet.view = v
+	h.fleet.changed(h.now)
 }
 
-// signalsTold takes in what a member says of servers. What cannot be read is passed over.
-func (h *host) signalsTold(n members.News) {
+// receiveSignals takes in what a member says of servers. What cannot be read is passed over.
+func (h *host) receiveSignals(n members.News) {
 	r, err := signals.Decode(n.Payload)
 	if err != nil {
 		h.log.Debug("signals", "origin", n.Origin, "err", err)
 		return
 	}
 	h.post(func() {
-		c := &h.company
+		c := &h.fleet
 		if !slices.Contains(c.view.Names, n.Origin) {
 			return
 		}
@@ -89,28 +89,28 @@
 	return boot.UnixMilli()
 }
 
-// speak has the loop look what there is to say until ctx is done.
-func (h *host) speak(ctx context.Context) {
-	tick := time.NewTicker(lookEvery)
+// publishReports has the loop look what there is to say until ctx is done.
+func (h *host) publishReports(ctx context.Context) {
+	tick := time.NewTicker(reportCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			h.post(func() { h.place(); h.say() })
+			h.post(func() { h.updatePositions(); h.publishReport() })
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// place tells the Balancer the places of the members once they rest. Danger: in a fleet that starts each arrival would move
+// updatePositions tells the Balancer the places of the members once they rest. Danger: in a fleet that starts each arrival would move
 // the subsets of all. One that is alone is as one that knows nobody.
-func (h *host) place() {
-	c := &h.company
-	if c.since == 0 || h.now-c.last < viewSettles && h.now-c.since < viewWaits {
+func (h *host) updatePositions() {
+	c := &h.fleet
+	if c.pendingSince == 0 || h.now-c.lastChange < viewSettleTime && h.now-c.pendingSince < maxViewWait {
 		return
 	}
-	c.since = 0
+	c.pendingSince = 0
 	h.log.Info("members", "count", c.view.Count, "place", c.view.Place, "epoch", c.view.Epoch)
 	if c.view.Count < 2 {
 		h.balancer.SetMembers(h.now, -1, nil)
@@ -120,12 +120,12 @@
 	for i, name := range c.view.Names {
 		peers[i] = c.peers[name]
 	}
-	peers[c.view.Place] = balance.Peer{Zone: c.said.Zone, TrafficLevel: c.said.TrafficLevel}
+	peers[c.view.Place] = balance.Peer{Zone: c.published.Zone, TrafficLevel: c.published.TrafficLevel}
 	h.balancer.SetMembers(h.now, c.view.Place, peers)
 }
 
-// alike tells whether two reports say the same of the same servers, of kinds from least on.
-func alike(a, b []signals.Verdict, least signals.Kind) bool {
+// sameVerdicts tells whether two reports say the same of the same servers, of kinds from least on.
+func sameVerdicts(a, b []signals.Verdict, least signals.Kind) bool {
 	counts := func(v signals.Verdict) bool { return v.Kind >= least }
 	for _, pair := range [2][2][]signals.Verdict{{a, b}, {b, a}} {
 		for _, v := range pair[0] {
@@ -137,27 +137,27 @@
 	return true
 }
 
-// say tells the members what this sidecar saw of servers, and what it is.
-func (h *host) say() {
-	c, r := &h.company, h.balancer.LocalReport(h.now)
-	same, grave := alike(r.Verdicts, c.said.Verdicts, signals.None), alike(r.Verdicts, c.said.Verdicts, signals.Failing)
-	if r.TrafficLevel != c.said.TrafficLevel {
+// publishReport tells the members what this sidecar saw of servers, and what it is.
+func (h *host) publishReport() {
+	c, r := &h.fleet, h.balancer.LocalReport(h.now)
+	same, grave := sameVerdicts(r.Verdicts, c.published.Verdicts, signals.None), sameVerdicts(r.Verdicts, c.published.Verdicts, signals.Failing)
+	if r.TrafficLevel != c.published.TrafficLevel {
 		same, grave = false, false
 		c.changed(h.now)
 	}
 	// What it condemns it says again within the bound, the more members there are the less often. Who fails to answer is said
 	// sooner. Danger: in a jam, what is full or slow changes all the time, and each word goes to all members.
-	again, bound := quietEvery, c.bound
-	if len(r.Verdicts)+len(c.said.Verdicts) > 0 {
-		again = min(max(repeatEach*time.Duration(c.view.Count), bound*35/100), bound*70/100)
+	again, bound := quietInterval, c.reportTTL
+	if len(r.Verdicts)+len(c.published.Verdicts) > 0 {
+		again = min(max(repeatPerMember*time.Duration(c.view.Count), bound*35/100), bound*70/100)
 	}
 	if !grave {
 		again /= 2
 	}
-	if (same || len(r.Verdicts)+len(c.said.Verdicts) > 0) && c.at > 0 && h.now-c.at < again {
+	if (same || len(r.Verdicts)+len(c.published.Verdicts) > 0) && c.publishedAt > 0 && h.now-c.publishedAt < again {
 		return
 	}
-	c.said, c.at = r, h.now
+	c.published, c.publishedAt = r, h.now
 	told := r
 	told.Verdicts = slices.Clone(r.Verdicts)
 	for i := range told.Verdicts {
--- a/internal/sidecar/signals_test.go
+++ b/internal/sidecar/memberreports_test.go
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(watcher.Close)
-	times := drainTimes{quiet: time.Millisecond, finish: patience}
+	times := drainTimes{quietTime: time.Millisecond, finish: patience}
 	var controls []string
 	var sidecars []*program
 	begin := func(name, list string) {
--- a/internal/sidecar/members.go
+++ b/internal/sidecar/members.go
@@ -19,7 +19,7 @@
 	Advertise string        // where others reach it; "": at Listen
 	Join      []string      // hosts and ports of any members
 	Reach     string        // this machine reaches every member at this IP address, at the port of its own; "": at its own
-	Bound     time.Duration // news that is older counts for nothing
+	ReportTTL time.Duration // news that is older counts for nothing
 }
 
 // membersFile is the form of what the file says of members.
@@ -44,8 +44,8 @@
 		m.Join = strings.Split(environment, ",")
 	}
 	if v := file.Bound; v != nil {
-		if m.Bound = time.Duration(*v * float64(time.Second)); !(*v > 0 && *v <= mostWait) {
-			return nil, fmt.Errorf("bound_s: %v is not above 0 and at most %d", *v, mostWait)
+		if m.ReportTTL = time.Duration(*v * float64(time.Second)); !(*v > 0 && *v <= maxSeconds) {
+			return nil, fmt.Errorf("bound_s: %v is not above 0 and at most %d", *v, maxSeconds)
 		}
 	}
 	if _, err := members.New(m.options(name)); err != nil {
@@ -55,12 +55,12 @@
 }
 
 func (m *Members) options(name string) members.Options {
-	return members.Options{Name: name, Listen: m.Listen, Advertise: m.Advertise, Join: m.Join, Reach: m.Reach, Bound: m.Bound}
+	return members.Options{Name: name, Listen: m.Listen, Advertise: m.Advertise, Join: m.Join, Reach: m.Reach, Bound: m.ReportTTL}
 }
 
-// meet has the host be a member until ctx is done. listen maps the kinds of news to who takes them in; they are called by
+// joinMembers has the host be a member until ctx is done. listen maps the kinds of news to who takes them in; they are called by
 // one goroutine that is not the loop.
-func (h *host) meet(ctx context.Context, c *Config, listen map[uint8]func(members.News)) error {
+func (h *host) joinMembers(ctx context.Context, c *Config, listen map[uint8]func(members.News)) error {
 	o := c.Members.options(c.Name)
 	o.Log = slog.New(h.log.Handler())
 	o.Told = func(n members.News) {
@@ -68,7 +68,7 @@
 			take(n)
 		}
 	}
-	o.Changed = func(v members.View) { h.post(func() { h.met(v) }) }
+	o.Changed = func(v members.View) { h.post(func() { h.updateMembers(v) }) }
 	m, err := members.New(o)
 	if err == nil {
 		err = m.Start(ctx)
@@ -76,8 +76,8 @@
 	if err != nil {
 		return fmt.Errorf("members: %w", err)
 	}
-	h.members, h.company.peers, h.company.bound = m, map[string]balance.Peer{}, cmp.Or(c.Members.Bound, members.DefaultBound)
-	h.watchers.Go(func() { h.speak(ctx) })
+	h.members, h.fleet.peers, h.fleet.reportTTL = m, map[string]balance.Peer{}, cmp.Or(c.Members.ReportTTL, members.DefaultBound)
+	h.watchers.Go(func() { h.publishReports(ctx) })
 	h.watchers.Go(func() {
 		<-ctx.Done()
 		m.Close()
--- a/internal/sidecar/keepers.go
+++ b/internal/sidecar/registry.go
@@ -10,15 +10,15 @@
 	fleet "gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
-// keep has the loop take in the list that keepers hold, until ctx is done. What a process before this one held goes before
+// followRegistry has the loop take in the list that keepers hold, until ctx is done. What a process before this one held goes before
 // what the configuration knows: it is newer.
-func (h *host) keep(ctx context.Context, c *Config) error {
-	k := c.Keepers
+func (h *host) followRegistry(ctx context.Context, c *Config) error {
+	k := c.Registry
 	var err error
-	h.keepers, err = client.NewFollower(client.Options{Keepers: k.Addresses, Doubt: k.Doubt, MostAge: k.MostAge, Log: h.log,
-		Cache: client.NewCache(c.Common, c.Name),
+	h.registry, err = client.NewFollower(client.Options{Keepers: k.Addresses, Doubt: k.Suspicion, MostAge: k.MaxAge, Log: h.log,
+		Cache: client.NewCache(c.SharedDir, c.Name),
 		Told: func(u client.Update) {
-			l := List{All: u.All}
+			l := List{Complete: u.All}
 			for _, t := range u.Targets {
 				l.Targets = append(l.Targets, k.target(t))
 			}
@@ -29,7 +29,7 @@
 			case u.All:
 				kind = balance.ListFull
 			}
-			h.post(func() { h.list(kind, l) })
+			h.post(func() { h.applyList(kind, l) })
 		}})
 	if err != nil {
 		return err
@@ -37,13 +37,13 @@
 	h.watchers.Add(1)
 	go func() {
 		defer h.watchers.Done()
-		h.keepers.Run(ctx)
+		h.registry.Run(ctx)
 	}()
 	return nil
 }
 
 // target is a server in the sidecar's own form.
-func (k *Keepers) target(t fleet.Target) Target {
+func (k *Registry) target(t fleet.Target) Target {
 	s := Target{ID: t.UID, Address: t.Endpoint, Zone: t.Zone, Kind: t.Model, Cell: t.PodGroup, Size: 1}
 	switch t.State {
 	case fleet.Serving:
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -8,14 +8,14 @@
 	"gradeusher.example/gradeusher/balance"
 )
 
-// fault is the answer to a request that cannot be taken.
-type fault struct {
+// requestError is the answer to a request that cannot be taken.
+type requestError struct {
 	status int
 	text   string
 	allow  string // the method that is allowed
 }
 
-func (f *fault) write(w http.ResponseWriter) {
+func (f *requestError) write(w http.ResponseWriter) {
 	if f.allow != "" {
 		w.Header().Set("Allow", f.allow)
 	}
@@ -26,15 +26,15 @@
 }
 
 // parse reads a request's headers, and how long the client waits.
-func (s *server) parse(r *http.Request) (*call, *fault) {
-	bad := func(text string) (*call, *fault) {
-		return nil, &fault{http.StatusBadRequest, text, ""}
+func (s *server) parse(r *http.Request) (*call, *requestError) {
+	bad := func(text string) (*call, *requestError) {
+		return nil, &requestError{http.StatusBadRequest, text, ""}
 	}
 	if r.Method != http.MethodGet && r.Method != http.MethodPost {
-		return nil, &fault{http.StatusMethodNotAllowed, "method not allowed", "GET, POST"}
+		return nil, &requestError{http.StatusMethodNotAllowed, "method not allowed", "GET, POST"}
 	}
-	c := &call{message: message{method: r.Method, uri: r.URL, id: r.Header.Get("X-Request-ID"),
-		key: r.Header.Get("Idempotency-Key"), ctype: r.Header.Get("Content-Type")}}
+	c := &call{message: message{method: r.Method, url: r.URL, id: r.Header.Get("X-Request-ID"),
+		key: r.Header.Get("Idempotency-Key"), contentType: r.Header.Get("Content-Type")}}
 	if c.id == "" {
 		return bad("X-Request-ID is missing")
 	}
@@ -45,7 +45,7 @@
 	// Danger: a request sent with less care than its class needs could take effect twice.
 	effect := s.config.Settings.Classes[class].Effect
 	if r.Method == http.MethodGet && effect != balance.Idempotent {
-		return nil, &fault{http.StatusMethodNotAllowed, "the class is not safe to repeat", http.MethodPost}
+		return nil, &requestError{http.StatusMethodNotAllowed, "the class is not safe to repeat", http.MethodPost}
 	}
 	// Danger: a server that expects no body behind a GET takes it for the next request.
 	if r.Method == http.MethodGet && r.ContentLength != 0 {
@@ -64,7 +64,7 @@
 		c.tenant = tenant
 	}
 	c.client, c.name = s.config.Hitters.client(r)
-	c.wait = max(time.Duration(ms)*time.Millisecond-answerMargin, 0)
+	c.timeout = max(time.Duration(ms)*time.Millisecond-answerMargin, 0)
 	return c, nil
 }
 
@@ -75,12 +75,12 @@
 	w.Header()["Content-Type"] = nil
 	switch a.kind {
 	case served:
-		if a.ctype != "" {
-			w.Header().Set("Content-Type", a.ctype)
+		if a.contentType != "" {
+			w.Header().Set("Content-Type", a.contentType)
 		}
 	case refused:
-		if a.after > 0 {
-			w.Header().Set("Retry-After", strconv.FormatFloat(a.after.Seconds(), 'f', 3, 64))
+		if a.retryAfter > 0 {
+			w.Header().Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
 		}
 		status, body = http.StatusServiceUnavailable, []byte("refused: a retry is harmless\n")
 	default:
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -14,14 +14,14 @@
 type routing struct {
 	follower *client.RouteFollower // nil: this sidecar goes by its own rules
 
-	applied int64 // the generation that the Balancer goes by; 0: its own rules
-	behind  bool  // a later one is held, which it does not go by
+	applied   int64 // the generation that the Balancer goes by; 0: its own rules
+	isPending bool  // a later one is held, which it does not go by
 }
 
 // followRoutes has the loop take in the route table, cut for this sidecar, until ctx is done. What a process before this one
 // held is taken up before anything else.
 func (h *host) followRoutes(ctx context.Context, c *Config) (err error) {
-	if c.Keepers == nil || !c.Keepers.Routes {
+	if c.Registry == nil || !c.Registry.Routes {
 		return nil
 	}
 	tags := map[string]string{"region": c.Settings.Zone}
@@ -31,9 +31,9 @@
 			return fmt.Errorf("keepers: tags: %.60q: at most %d, of %d bytes each and without a colon", tag, routes.MaxTags, routes.MaxTextBytes)
 		}
 	}
-	h.routing.follower, err = client.NewRouteFollower(client.RouteOptions{Keepers: c.Keepers.Addresses, Tags: tags, Service: c.Settings.Service,
-		MostAge: c.Keepers.MostAge, Cache: client.NewRouteCache(c.Common, c.Name), Log: h.log,
-		Told: func(u client.RouteUpdate) { h.post(func() { h.route(u) }) }})
+	h.routing.follower, err = client.NewRouteFollower(client.RouteOptions{Keepers: c.Registry.Addresses, Tags: tags, Service: c.Settings.Service,
+		MostAge: c.Registry.MaxAge, Cache: client.NewRouteCache(c.SharedDir, c.Name), Log: h.log,
+		Told: func(u client.RouteUpdate) { h.post(func() { h.applyRoutes(u) }) }})
 	if err != nil {
 		return err
 	}
@@ -48,14 +48,14 @@
 	}
 }
 
-// route has the Balancer go by a table, if it may.
-func (h *host) route(u client.RouteUpdate) {
+// applyRoutes has the Balancer go by a table, if it may.
+func (h *host) applyRoutes(u client.RouteUpdate) {
 	err := h.balancer.SetRules(h.now, u.Rules)
 	applied, why := err == nil, ""
 	if !applied {
 		why = err.Error()
 	}
-	if h.routing.behind = !applied; applied {
+	if h.routing.isPending = !applied; applied {
 		h.routing.applied = u.Gen
 	}
 	h.log.Info("routes", "gen", u.Gen, "rules", len(u.Rules), "hash", u.Hash, "remembered", u.Remembered, "applied", applied, "why", why)
@@ -64,10 +64,10 @@
 // generation is the one that the Balancer goes by. The loop alone calls it.
 func (h *host) generation() int64 {
 	r := &h.routing
-	if r.behind && !h.balancer.RulesPending() {
-		r.behind = false // what waited is applied by now
+	if r.isPending && !h.balancer.RulesPending() {
+		r.isPending = false // what waited is applied by now
 	}
-	if held := r.follower.Figures().Gen; !r.behind && held >= 0 {
+	if held := r.follower.Figures().Gen; !r.isPending && held >= 0 {
 		r.applied = held // also where only the number is new
 	}
 	return r.applied
@@ -80,11 +80,11 @@
 		return
 	}
 	n := h.routing.follower.Figures()
-	for _, f := range []figure{{"route_generation", applied}, {"route_generation_held", n.Gen}, {"route_rules", int64(n.Rules)},
+	for _, f := range []metric{{"route_generation", applied}, {"route_generation_held", n.Gen}, {"route_rules", int64(n.Rules)},
 		{"route_age_ms", max(n.Age.Milliseconds(), -1)}} {
 		fmt.Fprintf(text, "svc.%s:%d|g\n", f.name, f.value)
 	}
-	for _, f := range []figure{{"route_diffs", n.Diffs}, {"route_wholes", n.Whole}, {"route_mismatches", n.Mismatches}} {
+	for _, f := range []metric{{"route_diffs", n.Diffs}, {"route_wholes", n.Whole}, {"route_mismatches", n.Mismatches}} {
 		fmt.Fprintf(text, "svc.%s:%d|c\n", f.name, f.value)
 	}
 }
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -13,28 +13,28 @@
 	"time"
 )
 
-const memoryShare = 0.7 // of the limit that the heap may grow to
+const heapShare = 0.7 // of the limit that the heap may grow to
 
 // drainTimes say how a process begins and how a planned restart goes.
 type drainTimes struct {
-	agent     time.Duration // to hear what an agent has, before the first request
-	accept    time.Duration // new connections go on coming for 0.4 s after the restart is announced
-	quiet     time.Duration // and then none may be left waiting
-	closeIdle time.Duration // while a client that was about to use one can still open another
-	lame      time.Duration // as closeIdle, for a drain that staff began
-	finish    time.Duration // after the last connection was taken, before the process is killed
+	agent                  time.Duration // to hear what an agent has, before the first request
+	accept                 time.Duration // new connections go on coming for 0.4 s after the restart is announced
+	quietTime              time.Duration // and then none may be left waiting
+	closeIdle              time.Duration // while a client that was about to use one can still open another
+	closeIdleWhileDraining time.Duration // as closeIdle, for a drain that staff began
+	finish                 time.Duration // after the last connection was taken, before the process is killed
 }
 
 // Run is the sidecar, from its configuration to the end of its last request after stop is done. Each time that reload
 // tells, it reads where discovery is with discoveryAt and moves there.
 func Run(stop context.Context, c *Config, log *slog.Logger, reload <-chan os.Signal, discoveryAt func() (string, error)) error {
-	return run(stop, c, log, reload, discoveryAt, drainTimes{agent: 250 * time.Millisecond, accept: 450 * time.Millisecond, quiet: 25 * time.Millisecond,
-		closeIdle: 300 * time.Millisecond, lame: time.Second, finish: 3 * time.Second})
+	return run(stop, c, log, reload, discoveryAt, drainTimes{agent: 250 * time.Millisecond, accept: 450 * time.Millisecond, quietTime: 25 * time.Millisecond,
+		closeIdle: 300 * time.Millisecond, closeIdleWhileDraining: time.Second, finish: 3 * time.Second})
 }
 
 // setMemory bounds the heap by a part of the memory limit.
 func setMemory(limitMB int, part float64) {
-	debug.SetMemoryLimit(int64(float64(limitMB<<20) * memoryShare * part))
+	debug.SetMemoryLimit(int64(float64(limitMB<<20) * heapShare * part))
 }
 
 func run(stop context.Context, c *Config, log *slog.Logger, reload <-chan os.Signal, discoveryAt func() (string, error), times drainTimes) error {
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	if err := h.learn(c); err != nil {
+	if err := h.startFollowing(c); err != nil {
 		return err
 	}
 	var loop sync.WaitGroup
@@ -77,12 +77,12 @@
 		h.reload(ctx, reload, discoveryAt)
 	}()
 
-	if h.kept != nil {
+	if h.snapshots != nil {
 		left, leave := context.WithCancel(stop)
 		kept := make(chan struct{})
 		go func() {
 			defer close(kept)
-			h.leaveBeliefs(left)
+			h.saveSnapshots(left)
 		}()
 		defer func() { // while the loop runs
 			leave()
@@ -94,21 +94,21 @@
 	loop.Add(1)
 	go func() {
 		defer loop.Done()
-		s.keepCounts(ctx, log)
+		s.logCounts(ctx, log)
 	}()
 	if calls != nil {
 		loop.Add(2)
 		go func() {
 			defer loop.Done()
-			s.sweep(ctx, times.lame)
+			s.closeIdleWhileDraining(ctx, times.closeIdleWhileDraining)
 		}()
 		go func() {
 			defer loop.Done()
-			newControl(log, s.operate).serve(ctx, calls)
+			newControl(log, s.handleCall).serve(ctx, calls)
 		}()
 	}
-	if calls != nil && c.Inherited != 0 { // there may be another process
-		other, err := newBeside(h.handover.path)
+	if calls != nil && c.InheritedFD != 0 { // there may be another process
+		other, err := newSiblingLock(h.handover.path)
 		if err != nil {
 			log.Warn("beside", "err", err) // as if it were alone
 		} else {
@@ -116,18 +116,18 @@
 			go func() {
 				defer loop.Done()
 				defer other.close()
-				other.follow(ctx, s.share)
+				other.follow(ctx, s.shareLimits)
 			}()
 		}
 		loop.Add(1)
 		go func() {
 			defer loop.Done()
-			h.handover.follow(ctx, func() { h.post(h.tellOut) })
+			h.handover.follow(ctx, func() { h.post(h.applyOutOfService) })
 		}()
 	}
-	l := &drainListener{TCPListener: inner, quiet: times.quiet, improper: &s.counts.improper}
+	l := &drainListener{TCPListener: inner, quietTime: times.quietTime, improper: &s.counts.improper}
 	if h.moves != nil {
-		h.hear(stop, times.agent)
+		h.awaitAgent(stop, times.agent)
 	}
 	web := s.httpServer(log)
 	ended := make(chan error, 1)
@@ -139,15 +139,15 @@
 	case <-stop.Done():
 	}
 	log.Info("draining")
-	s.draining.Store(true)
-	s.leaving.begin(time.Now())
+	s.shuttingDown.Store(true)
+	s.shutdown.begin(time.Now())
 	if h.members != nil {
 		h.watchers.Go(h.members.Close) // the process that follows takes its place
 	}
 	idleAt := time.Now().Add(times.closeIdle)
-	if c.Inherited != 0 {
+	if c.InheritedFD != 0 {
 		// What waits in the backlog is for the other process.
-		err = l.leave()
+		err = l.stopNow()
 	} else {
 		// Danger: connections that are waiting when the listener closes are reset, and what they sent is lost. So this
 		// goes on accepting and serving first, and only asks clients to close.
@@ -156,7 +156,7 @@
 	if err != nil {
 		return fmt.Errorf("drain: %w", err)
 	}
-	if err := s.finish(l, ended, idleAt, times); err != nil {
+	if err := s.awaitEnd(l, ended, idleAt, times); err != nil {
 		return err
 	}
 	if err := web.Close(); err != nil {
@@ -166,10 +166,10 @@
 	return nil
 }
 
-// finish returns once the listener has ended and no connection is left or, after some time, no request. Clients'
+// awaitEnd returns once the listener has ended and no connection is left or, after some time, no request. Clients'
 // connections that idle end from idleAt on.
-func (s *server) finish(l *drainListener, listener <-chan error, idleAt time.Time, times drainTimes) error {
-	tick := time.NewTicker(max(times.quiet, time.Millisecond))
+func (s *server) awaitEnd(l *drainListener, listener <-chan error, idleAt time.Time, times drainTimes) error {
+	tick := time.NewTicker(max(times.quietTime, time.Millisecond))
 	defer tick.Stop()
 	var until time.Time // connections without a request are waited for; zero: the listener has not ended
 	for {
@@ -177,14 +177,14 @@
 		case <-listener:
 			listener, until = nil, time.Now().Add(times.finish)
 		case now := <-tick.C:
-			if listener != nil && s.config.Inherited != 0 {
+			if listener != nil && s.config.InheritedFD != 0 {
 				l.interrupt()
 			}
 			if now.After(idleAt) {
-				s.crowd.closeIdle(now)
+				s.connections.closeIdle(now)
 			}
 			// A connection is busy from before its first request is known of until after its last one is answered.
-			if listener == nil && (s.crowd.count.Load() == 0 || now.After(until) && s.active.Load() == 0) {
+			if listener == nil && (s.connections.count.Load() == 0 || now.After(until) && s.active.Load() == 0) {
 				return nil
 			}
 		}
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -18,46 +18,46 @@
 const (
 	// socketsPerCall is how many descriptors a request may take: its client's connection, its attempt's, and one
 	// that is being closed or idles.
-	socketsPerCall = 3
-	spareSockets   = 32              // for the listener, discovery and the runtime, or a share of all where that is more
-	spareShare     = 8               // of the descriptors: what is being closed or idles at servers comes on top
-	idleWithin     = 2 * time.Minute // a client's connection may idle
+	socketsPerCall      = 3
+	spareSockets        = 32              // for the listener, discovery and the runtime, or a share of all where that is more
+	spareSocketsDivisor = 8               // of the descriptors: what is being closed or idles at servers comes on top
+	clientIdleTimeout   = 2 * time.Minute // a client's connection may idle
 )
 
 // server answers the application.
 type server struct {
-	host     *host
-	config   *Config
-	most     atomic.Int64 // requests held at once
-	crowd    *crowd
-	draining atomic.Bool  // for good
-	leaving  *leaving     // when that began
-	lame     atomic.Int64 // since when, in nanoseconds of Unix time, until staff end it; 0: not
-	active   atomic.Int64 // handlers at work
-	held     atomic.Int64 // requests
-	counts   *counts
+	host          *host
+	config        *Config
+	maxPending    atomic.Int64 // requests held at once
+	connections   *connLimiter
+	shuttingDown  atomic.Bool    // for good
+	shutdown      *shutdownClock // when that began
+	drainingSince atomic.Int64   // since when, in nanoseconds of Unix time, until staff end it; 0: not
+	active        atomic.Int64   // handlers at work
+	pending       atomic.Int64   // requests
+	counts        *counts
 }
 
 func newServer(c *Config, h *host) *server {
-	s := &server{host: h, config: c, crowd: newCrowd(c.Sockets), counts: h.counts}
-	s.leaving = &h.leaving
+	s := &server{host: h, config: c, connections: newConnLimiter(c.Sockets), counts: h.counts}
+	s.shutdown = &h.shutdown
 	s.resize(1)
 	return s
 }
 
 // resize keeps to a part of the limits: to all of them, or to half where parts is 2.
 func (s *server) resize(parts int) {
-	most := (s.config.Sockets - max(spareSockets, s.config.Sockets/spareShare)) / parts / socketsPerCall
+	most := (s.config.Sockets - max(spareSockets, s.config.Sockets/spareSocketsDivisor)) / parts / socketsPerCall
 	if held := s.config.Limits.MostHeld; held > 0 {
 		most = min(most, held)
 	}
-	s.most.Store(int64(most))
-	s.crowd.resize(s.config.Sockets, parts > 1)
-	s.host.upstream.room.most.Store(budgetOf(s.config.MemoryMB) / int64(parts))
+	s.maxPending.Store(int64(most))
+	s.connections.resize(s.config.Sockets, parts > 1)
+	s.host.upstream.budget.limit.Store(budgetOf(s.config.MemoryMB) / int64(parts))
 }
 
-// share keeps to half of the limits while another process stands beside this one.
-func (s *server) share(beside bool) {
+// shareLimits keeps to half of the limits while another process stands beside this one.
+func (s *server) shareLimits(beside bool) {
 	parts := 1
 	if beside {
 		parts = 2
@@ -69,8 +69,8 @@
 
 // httpServer returns the HTTP server that serves s.
 func (s *server) httpServer(log *slog.Logger) *http.Server {
-	return &http.Server{Handler: s, ReadHeaderTimeout: headWithin, IdleTimeout: idleWithin, ConnContext: withConn,
-		MaxHeaderBytes: mostHeader, DisableGeneralOptionsHandler: true, ConnState: s.crowd.note,
+	return &http.Server{Handler: s, ReadHeaderTimeout: headTimeout, IdleTimeout: clientIdleTimeout, ConnContext: withConn,
+		MaxHeaderBytes: maxHeaderBytes, DisableGeneralOptionsHandler: true, ConnState: s.connections.observeState,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
 }
 
@@ -78,15 +78,15 @@
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.active.Add(1)
 	defer s.active.Add(-1)
-	s.part(w)
+	s.askToClose(w)
 	conn := http.NewResponseController(w)
 	// Danger: a client that does not read its answer would hold its connection for good.
-	if err := conn.SetWriteDeadline(time.Now().Add(stallFor)); err != nil {
+	if err := conn.SetWriteDeadline(time.Now().Add(stallTimeout)); err != nil {
 		return
 	}
-	var body *paced
+	var body *pacedBody
 	if r.ContentLength != 0 {
-		body = newPaced(conn, r, s.leaving)
+		body = newPacedBody(conn, r, s.shutdown)
 		// An answer need not wait for the body.
 		if err := conn.EnableFullDuplex(); err != nil {
 			return
@@ -106,59 +106,59 @@
 // health answers 200 once servers are known and as long as new connections are welcome.
 func (s *server) health(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
-		(&fault{http.StatusMethodNotAllowed, "method not allowed", "GET, HEAD"}).write(w)
+		(&requestError{http.StatusMethodNotAllowed, "method not allowed", "GET, HEAD"}).write(w)
 		return
 	}
-	if s.unready() != nil {
+	if s.notReady() != nil {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 	}
 }
 
-func (s *server) api(w http.ResponseWriter, r *http.Request, conn *http.ResponseController, body *paced) {
+func (s *server) api(w http.ResponseWriter, r *http.Request, conn *http.ResponseController, body *pacedBody) {
 	c, f := s.parse(r)
-	if f == nil && s.leaving.late(time.Now()) {
-		f = bodyFault(errLate)
+	if f == nil && s.shutdown.isLate(time.Now()) {
+		f = bodyError(errTooLate)
 	}
 	if f == nil {
-		f = s.take(c, r, body)
+		f = s.readBody(c, r, body)
 	}
 	if f != nil {
-		s.turnAway(w, c, f)
+		s.reject(w, c, f)
 		return
 	}
-	defer s.host.upstream.room.give(c.booked)
-	defer s.held.Add(-1)
+	defer s.host.upstream.budget.release(c.reserved)
+	defer s.pending.Add(-1)
 	if c.rest == nil {
 		s.counts.open.Add(1)
 		defer s.counts.open.Add(-1)
 	}
 	a, ok := answer{kind: refused}, true
-	if s.held.Add(1) > s.most.Load() {
+	if s.pending.Add(1) > s.maxPending.Load() {
 		s.counts.busy.Add(1)
 	} else {
 		a, ok = s.host.serve(r.Context(), c)
 	}
 	if c.rest != nil {
 		broken := c.rest.stop()
-		if c.rest.whole() {
+		if c.rest.isComplete() {
 			defer s.counts.open.Add(-1)
 		} else {
 			w.Header().Set("Connection", "close")
 		}
 		if broken != nil {
-			s.turnAway(w, c, bodyFault(broken))
+			s.reject(w, c, bodyError(broken))
 			return
 		}
 	}
 	if !ok {
 		return
 	}
-	s.part(w)                                              // again: it may have begun since
-	err := conn.SetWriteDeadline(time.Now().Add(stallFor)) // from now
+	s.askToClose(w)                                            // again: it may have begun since
+	err := conn.SetWriteDeadline(time.Now().Add(stallTimeout)) // from now
 	switch {
 	case err != nil:
-	case a.flow != nil:
-		err = s.pass(w, r, a.flow, conn)
+	case a.stream != nil:
+		err = s.forwardStream(w, r, a.stream, conn)
 	default:
 		if err = a.write(w); err == nil {
 			err = conn.Flush()
@@ -166,13 +166,13 @@
 	}
 	switch {
 	case err == nil:
-		s.counts.classes[c.class].answered(a.kind)
-	case errors.Is(err, errBroken):
-		s.counts.classes[c.class].answered(failed)
+		s.counts.classes[c.class].countAnswer(a.kind)
+	case errors.Is(err, errIncomplete):
+		s.counts.classes[c.class].countAnswer(failed)
 	default:
 		s.counts.gone.Add(1)
 	}
-	if err != nil && a.flow != nil {
+	if err != nil && a.stream != nil {
 		if conn, ok := r.Context().Value(connKey{}).(*framing.ClientConn); ok && r.ProtoMinor == 0 {
 			_ = conn.SetLinger(0) // where the end of the connection is that of the answer, a reset says that it is not whole
 		}
@@ -180,83 +180,83 @@
 	}
 }
 
-// take reads a body as far as it is held. What is longer is left to come.
-func (s *server) take(c *call, r *http.Request, body *paced) *fault {
-	if r.ContentLength > mostLong {
-		return bodyFault(new(http.MaxBytesError))
+// readBody reads a body as far as it is held. What is longer is left to come.
+func (s *server) readBody(c *call, r *http.Request, body *pacedBody) *requestError {
+	if r.ContentLength > maxBodyBytes {
+		return bodyError(new(http.MaxBytesError))
 	}
 	var err error
 	if r.ContentLength != 0 {
-		piece := pieces.Get().(*[flowPiece]byte)
-		defer pieces.Put(piece)
+		piece := chunks.Get().(*[chunkBytes]byte)
+		defer chunks.Put(piece)
 		for full := false; err == nil && !full; {
 			var n int
-			n, err = body.Read(piece[:min(flowPiece, mostBody-len(c.body))])
-			if s.host.upstream.room.take(n) {
-				c.booked += n
+			n, err = body.Read(piece[:min(chunkBytes, maxHeldBytes-len(c.body))])
+			if s.host.upstream.budget.reserve(n) {
+				c.reserved += n
 			} else {
 				full = true
 			}
 			c.body = append(c.body, piece[:n]...)
-			full = full || len(c.body) == mostBody
+			full = full || len(c.body) == maxHeldBytes
 		}
 	}
 	switch {
 	case err == nil && r.ContentLength != 0:
 		c.length = r.ContentLength
-		c.rest = &upload{body: body, taken: func() { s.host.post(func() { s.host.balancer.BodyConsumed(c.number) }) },
-			ended: func() {
+		c.rest = &upload{body: body, onFirstRead: func() { s.host.post(func() { s.host.balancer.BodyConsumed(c.number) }) },
+			onComplete: func() {
 				s.counts.open.Add(1)
-				s.host.post(func() { s.host.bodyEnded(c) })
+				s.host.post(func() { s.host.bodyComplete(c) })
 			}}
 	case err != nil && err != io.EOF:
-		s.host.upstream.room.give(c.booked)
-		return bodyFault(err)
+		s.host.upstream.budget.release(c.reserved)
+		return bodyError(err)
 	default:
-		c.deadline = s.leaving.by(time.Now().Add(c.wait))
+		c.deadline = s.shutdown.bound(time.Now().Add(c.timeout))
 	}
 	return nil
 }
 
-// turnAway answers a request that is not taken.
-func (s *server) turnAway(w http.ResponseWriter, c *call, f *fault) {
+// reject answers a request that is not taken.
+func (s *server) reject(w http.ResponseWriter, c *call, f *requestError) {
 	if f.status == http.StatusServiceUnavailable {
 		s.counts.busy.Add(1)
-		s.counts.classes[c.class].answered(refused)
+		s.counts.classes[c.class].countAnswer(refused)
 	} else {
 		s.counts.improper.Add(1)
 	}
-	s.part(w)
+	s.askToClose(w)
 	f.write(w)
 }
 
-// bodyFault is the answer to a client whose body has not come whole.
-func bodyFault(err error) *fault {
+// bodyError is the answer to a client whose body has not come whole.
+func bodyError(err error) *requestError {
 	switch long := new(http.MaxBytesError); {
 	case errors.As(err, &long):
-		return &fault{http.StatusRequestEntityTooLarge, "body too large", ""}
-	case errors.Is(err, errLate):
-		return &fault{http.StatusServiceUnavailable, err.Error(), ""}
+		return &requestError{http.StatusRequestEntityTooLarge, "body too large", ""}
+	case errors.Is(err, errTooLate):
+		return &requestError{http.StatusServiceUnavailable, err.Error(), ""}
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return &fault{http.StatusRequestTimeout, "body too slow", ""}
+		return &requestError{http.StatusRequestTimeout, "body too slow", ""}
 	}
-	return &fault{http.StatusBadRequest, "body ended early", ""}
+	return &requestError{http.StatusBadRequest, "body ended early", ""}
 }
 
-// pass passes an answer on as it comes. It fails if the client has not got all of it.
-func (s *server) pass(w http.ResponseWriter, r *http.Request, f *flow, conn *http.ResponseController) error {
-	defer f.leave()
-	stop := context.AfterFunc(r.Context(), f.leave)
+// forwardStream passes an answer on as it comes. It fails if the client has not got all of it.
+func (s *server) forwardStream(w http.ResponseWriter, r *http.Request, f *answerStream, conn *http.ResponseController) error {
+	defer f.abandon()
+	stop := context.AfterFunc(r.Context(), f.abandon)
 	defer stop()
 	// Danger: a guessed type would be another answer than the server's.
 	w.Header()["Content-Type"] = nil
-	if f.ctype != "" {
-		w.Header().Set("Content-Type", f.ctype)
+	if f.contentType != "" {
+		w.Header().Set("Content-Type", f.contentType)
 	}
 	if f.length >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(f.length, 10))
 	}
-	err := f.copy(w, func() error { return conn.SetWriteDeadline(time.Now().Add(stallFor)) }, conn.Flush)
+	err := f.copy(w, func() error { return conn.SetWriteDeadline(time.Now().Add(stallTimeout)) }, conn.Flush)
 	if err != nil {
 		return err
 	}
--- a/internal/sidecar/leaving_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -19,7 +19,7 @@
 	b := startBackend(t, say(200, "", "ok"))
 	settings := strings.ReplaceAll(strings.ReplaceAll(testSettings, `"aim_s":20.0`, `"aim_s":0.5`), `"deadline_s":60.0`, `"deadline_s":0.5`)
 	p := startDraining(t, configText(startRegistry(t).address, serving(1, b), settings),
-		drainTimes{accept: time.Second, quiet: 10 * time.Millisecond, closeIdle: patience, finish: patience})
+		drainTimes{accept: time.Second, quietTime: 10 * time.Millisecond, closeIdle: patience, finish: patience})
 	const head = "X-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\n"
 	begin := func(size int) net.Conn {
 		c, err := net.Dial("tcp", p.address)
@@ -50,7 +50,7 @@
 			t.Errorf("%d bytes: answer %+v, error %v, want %d", size, resp, err, status)
 		}
 	}
-	sizes := []int{1, 100, 2 * mostBody} // in the head, in a body that is held, in one that flows
+	sizes := []int{1, 100, 2 * maxHeldBytes} // in the head, in a body that is held, in one that flows
 	var inTime, late []net.Conn
 	for _, size := range sizes {
 		inTime, late = append(inTime, begin(size)), append(late, begin(size))
@@ -74,21 +74,21 @@
 // TestFinalAnswerBeforeTheKill has a server answer nothing to what came whole while the sidecar leaves: the client has its
 // final answer before the process would be killed, though it would wait for longer.
 func TestFinalAnswerBeforeTheKill(t *testing.T) {
-	l := &leaving{}
+	l := &shutdownClock{}
 	l.init([]balance.Class{{Deadline: time.Second}, {Deadline: time.Hour}})
 	now := time.Now()
-	if end := now.Add(time.Hour); !l.by(end).Equal(end) || l.late(now) {
+	if end := now.Add(time.Hour); !l.bound(end).Equal(end) || l.isLate(now) {
 		t.Error("a process that was not told to leave is in a hurry")
 	}
 	l.begin(now)
-	kill := now.Add(mostPatient + killedAfter)
-	if end := l.by(now.Add(time.Hour)); !end.Before(kill) || end.Before(kill.Add(-time.Second)) {
+	kill := now.Add(maxLongestDeadline + killMargin)
+	if end := l.bound(now.Add(time.Hour)); !end.Before(kill) || end.Before(kill.Add(-time.Second)) {
 		t.Errorf("the last answer is due %v before the kill", kill.Sub(end))
 	}
-	if end := now.Add(time.Second); !l.by(end).Equal(end) {
+	if end := now.Add(time.Second); !l.bound(end).Equal(end) {
 		t.Error("what is due early is moved")
 	}
-	if l.late(now.Add(time.Second)) || !l.late(kill.Add(-beforeEnd)) {
+	if l.isLate(now.Add(time.Second)) || !l.isLate(kill.Add(-finalAnswerMargin)) {
 		t.Error("late at the wrong time")
 	}
 }
--- a/internal/sidecar/beside.go
+++ b/internal/sidecar/sibling.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// beside knows whether another process of this sidecar runs. Each holds a lock on one byte of a file: the one that its pid
+// siblingLock knows whether another process of this sidecar runs. Each holds a lock on one byte of a file: the one that its pid
 // numbers. The kernel lets go of it with the process.
-type beside struct{ file *os.File }
+type siblingLock struct{ file *os.File }
 
-// newBeside takes the lock. path is that of the handover file, "" where there is no common folder.
-func newBeside(path string) (*beside, error) {
+// newSiblingLock takes the lock. path is that of the handover file, "" where there is no common folder.
+func newSiblingLock(path string) (*siblingLock, error) {
 	if path == "" {
 		return nil, errors.New("TMPDIR is not set")
 	}
@@ -28,11 +28,11 @@
 		_ = file.Close()
 		return nil, fmt.Errorf("lock: %w", err)
 	}
-	return &beside{file}, nil
+	return &siblingLock{file}, nil
 }
 
-// other tells whether another process holds a lock.
-func (b *beside) other() (bool, error) {
+// hasSibling tells whether another process holds a lock.
+func (b *siblingLock) hasSibling() (bool, error) {
 	any := syscall.Flock_t{Type: syscall.F_WRLCK, Whence: io.SeekStart}
 	if err := syscall.FcntlFlock(b.file.Fd(), syscall.F_GETLK, &any); err != nil {
 		return false, fmt.Errorf("lock: %w", err)
@@ -41,12 +41,12 @@
 }
 
 // follow calls changed each time that another process has come or gone, until ctx is done.
-func (b *beside) follow(ctx context.Context, changed func(beside bool)) {
-	tick := time.NewTicker(followEvery)
+func (b *siblingLock) follow(ctx context.Context, changed func(beside bool)) {
+	tick := time.NewTicker(followInterval)
 	defer tick.Stop()
 	for was := false; ; {
 		// An error changes nothing: the limits stay as they are.
-		if is, err := b.other(); err == nil && is != was {
+		if is, err := b.hasSibling(); err == nil && is != was {
 			was = is
 			changed(is)
 		}
@@ -58,4 +58,4 @@
 	}
 }
 
-func (b *beside) close() { _ = b.file.Close() }
+func (b *siblingLock) close() { _ = b.file.Close() }
--- a/internal/sidecar/beside_test.go
+++ b/internal/sidecar/sibling_test.go
@@ -10,12 +10,12 @@
 // TestBeside has two processes run beside each other: each knows, also once the other has been killed.
 func TestBeside(t *testing.T) {
 	f := startPlatform(t, configText(startRegistry(t).address, serving(1, startBackend(t, say(200, "", "ok"))), testSettings))
-	b, err := newBeside(filepath.Join(f.dir, "gradeusher-n0.json"))
+	b, err := newSiblingLock(filepath.Join(f.dir, "gradeusher-n0.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer b.close()
-	if is, err := b.other(); is || err != nil {
+	if is, err := b.hasSibling(); is || err != nil {
 		t.Fatalf("another process before there is one: %v, error %v", is, err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -48,16 +48,16 @@
 	}
 	s := newServer(c, h)
 	limits := func() [4]int64 {
-		return [4]int64{s.most.Load(), s.crowd.some.Load(), s.crowd.most.Load(), h.upstream.room.most.Load()}
+		return [4]int64{s.maxPending.Load(), s.connections.idleThreshold.Load(), s.connections.maxConns.Load(), h.upstream.budget.limit.Load()}
 	}
 	whole := limits()
-	s.share(true)
+	s.shareLimits(true)
 	for i, half := range limits() {
 		if 4*half > 3*whole[i] || 3*half < whole[i] {
 			t.Errorf("limit %d: %d beside another, %d alone", i, half, whole[i])
 		}
 	}
-	s.share(false)
+	s.shareLimits(false)
 	if limits() != whole {
 		t.Errorf("limits %v once alone again, %v before", limits(), whole)
 	}
--- a/internal/sidecar/kept.go
+++ b/internal/sidecar/snapshotfile.go
@@ -14,64 +14,64 @@
 )
 
 const (
-	keepEvery   = time.Second // what is believed is written, while requests come
-	mostBeliefs = 4 << 20     // bytes of the file
+	snapshotInterval = time.Second // what is believed is written, while requests come
+	maxSnapshotBytes = 4 << 20     // bytes of the file
 )
 
-var keptKind = sealed.Kind{Magic: "gradeusher-beliefs", Form: 1, Needs: 1}
+var snapshotKind = sealed.Kind{Magic: "gradeusher-beliefs", Form: 1, Needs: 1}
 
-// kept is the file in which a process leaves what it believes of its servers to the next one. Danger: a new process that takes all
+// snapshotFile is the file in which a process leaves what it believes of its servers to the next one. Danger: a new process that takes all
 // servers for idle and sound sends to those that are full or broken until it has learnt better, and a restart makes all
 // sidecars new ones.
 //
 // Both processes of an upgrade write it. The later one's word stands: the earlier one, which ends last, has heard of less since.
-type kept struct {
-	sealed.Cell[beliefs]
-	log   *slog.Logger
-	began int64 // of this process, greater than of those before; 0: nothing was looked up or left yet
+type snapshotFile struct {
+	sealed.Cell[storedSnapshot]
+	log       *slog.Logger
+	startedAt int64 // of this process, greater than of those before; 0: nothing was looked up or left yet
 }
 
-// beliefs is the file's form. Times in it are of the wall clock, in ns of Unix time, as each process's own begins elsewhere; 0: long ago.
-type beliefs struct {
+// storedSnapshot is the file's form. Times in it are of the wall clock, in ns of Unix time, as each process's own begins elsewhere; 0: long ago.
+type storedSnapshot struct {
 	Saved int64 `json:"saved_ns"`
 	Began int64 `json:"began_ns"` // the process that saved it; 0: one from before this was told
 	balance.Snapshot
 }
 
-// newKept keeps it in a folder, for a sidecar of a name.
-func newKept(folder, name string, log *slog.Logger) *kept {
+// newSnapshotFile keeps it in a folder, for a sidecar of a name.
+func newSnapshotFile(folder, name string, log *slog.Logger) *snapshotFile {
 	path := filepath.Join(folder, "beliefs-"+url.PathEscape(name)+".kept")
-	return &kept{Cell: sealed.Cell[beliefs]{Path: path, Kind: keptKind, Most: mostBeliefs}, log: log}
+	return &snapshotFile{Cell: sealed.Cell[storedSnapshot]{Path: path, Kind: snapshotKind, Most: maxSnapshotBytes}, log: log}
 }
 
 // load is what was left, in times from an origin on, and when. It tells false where there is nothing sound. What is unsound as this process
 // begins is named in the log and set aside; later it is another's to judge.
-func (k *kept) load(origin time.Time) (balance.Snapshot, time.Time, bool) {
+func (k *snapshotFile) load(origin time.Time) (balance.Snapshot, time.Time, bool) {
 	b, err := k.Read()
 	ok := err == nil
-	if k.began == 0 {
+	if k.startedAt == 0 {
 		if !ok {
 			if b, ok, err = k.Load(); err != nil {
 				k.log.Warn("beliefs", "err", err)
 			}
 		}
 		// Where the wall clock went back, this process is the later one all the same.
-		k.began = max(time.Now().UnixNano(), b.Began+1)
+		k.startedAt = max(time.Now().UnixNano(), b.Began+1)
 	}
 	if !ok {
 		return balance.Snapshot{}, time.Time{}, false
 	}
-	return shifted(b.Snapshot, -origin.UnixNano()), time.Unix(0, b.Saved), true
+	return shiftStarts(b.Snapshot, -origin.UnixNano()), time.Unix(0, b.Saved), true
 }
 
 // save replaces what was left, unless by a process that began later, or by a later program. Danger: a disk may hold a process up with the
 // lock taken, and the end of this one must not wait for it; so what is left meanwhile is that one's.
-func (k *kept) save(b balance.Snapshot, origin, now time.Time) error {
+func (k *snapshotFile) save(b balance.Snapshot, origin, now time.Time) error {
 	err := sealed.Locked(k.Path, false, func() error {
-		if there, err := k.Read(); errors.Is(err, sealed.ErrLater) || err == nil && there.Began > k.began {
+		if there, err := k.Read(); errors.Is(err, sealed.ErrLater) || err == nil && there.Began > k.startedAt {
 			return nil
 		}
-		return k.Save(beliefs{now.UnixNano(), k.began, shifted(b, origin.UnixNano())})
+		return k.Save(storedSnapshot{now.UnixNano(), k.startedAt, shiftStarts(b, origin.UnixNano())})
 	})
 	if errors.Is(err, syscall.EWOULDBLOCK) {
 		return nil
@@ -79,8 +79,8 @@
 	return err
 }
 
-// shifted has the starts of servers count from elsewhere. Who started long ago still did.
-func shifted(b balance.Snapshot, by int64) balance.Snapshot {
+// shiftStarts has the starts of servers count from elsewhere. Who started long ago still did.
+func shiftStarts(b balance.Snapshot, by int64) balance.Snapshot {
 	all := make([]balance.EndpointSnapshot, len(b.Endpoints))
 	for i, e := range b.Endpoints {
 		for _, t := range []*balance.Time{&e.Started, &e.WarmUpStart} {
@@ -94,13 +94,13 @@
 	return b
 }
 
-// takeUp has the Balancer believe what the process before this one did, as long as no request has come. The loop alone calls it, or nobody
+// restoreSnapshot has the Balancer believe what the process before this one did, as long as no request has come. The loop alone calls it, or nobody
 // else does yet.
-func (h *host) takeUp() {
-	if h.kept == nil || h.last > 0 {
+func (h *host) restoreSnapshot() {
+	if h.snapshots == nil || h.lastID > 0 {
 		return
 	}
-	if b, saved, ok := h.kept.load(h.origin); ok {
+	if b, saved, ok := h.snapshots.load(h.origin); ok {
 		// Without the monotonic clock's reading: a wall clock that went back makes what was kept come from the future, which counts for nothing.
 		age := time.Now().Round(0).Sub(saved)
 		h.log.Info("beliefs taken up", "servers", len(b.Endpoints), "age_ms", age.Milliseconds())
@@ -108,10 +108,10 @@
 	}
 }
 
-// leaveBeliefs writes what is believed, every keepEvery while requests come and once more when stop is done. Danger: a disk may take any
+// saveSnapshots writes what is believed, every snapshotInterval while requests come and once more when stop is done. Danger: a disk may take any
 // time, in which the loop must go on.
-func (h *host) leaveBeliefs(stop context.Context) {
-	tick := time.NewTicker(keepEvery)
+func (h *host) saveSnapshots(stop context.Context) {
+	tick := time.NewTicker(snapshotInterval)
 	defer tick.Stop()
 	bad := false
 	for written, last := balance.RequestID(0), false; !last; {
@@ -123,7 +123,7 @@
 		var b balance.Snapshot
 		upTo := written
 		if !h.ask(func() {
-			if upTo = h.last; upTo != written {
+			if upTo = h.lastID; upTo != written {
 				b = h.balancer.Snapshot(h.now)
 			}
 		}) {
@@ -133,7 +133,7 @@
 			continue
 		}
 		written = upTo
-		err := h.kept.save(b, h.origin, time.Now())
+		err := h.snapshots.save(b, h.origin, time.Now())
 		if err != nil && !bad {
 			h.log.Warn("beliefs", "err", err) // once, until it works again
 		}
--- a/internal/sidecar/kept_test.go
+++ b/internal/sidecar/snapshotfile_test.go
@@ -16,7 +16,7 @@
 // TestKeptFile leaves beliefs to a process whose clock begins elsewhere, and then has the file be unsound in each way.
 func TestKeptFile(t *testing.T) {
 	origin, log := time.Unix(1000, 0), &logText{}
-	k := newKept(t.TempDir(), "n 0", slog.New(slog.NewTextHandler(log, nil)))
+	k := newSnapshotFile(t.TempDir(), "n 0", slog.New(slog.NewTextHandler(log, nil)))
 	if _, _, ok := k.load(origin); ok || log.String() != "" {
 		t.Errorf("there is something in no file: %s", log)
 	}
@@ -38,13 +38,13 @@
 		"changed": strings.Replace(string(sound), "s-0", "s-9", 1),
 		"foreign": "{}",
 		"newer":   strings.Replace(string(sound), " 1 1 ", " 9 9 ", 1),
-		"huge":    strings.Repeat("x", mostBeliefs+1),
+		"huge":    strings.Repeat("x", maxSnapshotBytes+1),
 	} {
 		if err := os.WriteFile(k.Path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		before := len(log.String())
-		k.began = 0 // a process that begins
+		k.startedAt = 0 // a process that begins
 		if _, _, ok := k.load(origin); ok || len(log.String()) == before {
 			t.Errorf("%s: taken, or nothing was said", name)
 		}
@@ -58,23 +58,23 @@
 // beside a program of a later form, and once while another holds the lock: the later one's stand.
 func TestKeptByTwo(t *testing.T) {
 	dir, origin, log := t.TempDir(), time.Unix(1000, 0), slog.New(slog.DiscardHandler)
-	begin := func() *kept {
-		k := newKept(dir, "n", log)
+	begin := func() *snapshotFile {
+		k := newSnapshotFile(dir, "n", log)
 		k.load(origin)
 		return k
 	}
 	near := func() float64 {
-		b, _, _ := newKept(dir, "n", log).load(origin)
+		b, _, _ := newSnapshotFile(dir, "n", log).load(origin)
 		return b.ZoneWeight
 	}
-	leave := func(k *kept, near float64) {
+	leave := func(k *snapshotFile, near float64) {
 		t.Helper()
 		if err := k.save(balance.Snapshot{ZoneWeight: near}, origin, time.Now()); err != nil {
 			t.Fatal(err)
 		}
 	}
 	old := begin()
-	old.began += time.Hour.Nanoseconds() // its clock was ahead
+	old.startedAt += time.Hour.Nanoseconds() // its clock was ahead
 	leave(old, 0.1)
 	young := begin()
 	leave(young, 0.2)
@@ -92,7 +92,7 @@
 	if got := near(); got != 0.3 {
 		t.Errorf("written while another held the lock: %v", got)
 	}
-	later := sealed.Kind{Magic: keptKind.Magic, Form: 9, Needs: 9}.Seal([]byte("{}"))
+	later := sealed.Kind{Magic: snapshotKind.Magic, Form: 9, Needs: 9}.Seal([]byte("{}"))
 	if err := os.WriteFile(young.Path, later, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -117,7 +117,7 @@
 			t.Fatal(err)
 		}
 		log := &logText{}
-		p := startLogging(t, c, log, drainTimes{quiet: time.Millisecond, finish: patience})
+		p := startLogging(t, c, log, drainTimes{quietTime: time.Millisecond, finish: patience})
 		p.ask("read")
 		p.client.CloseIdleConnections()
 		p.stop()
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -213,13 +213,13 @@
 // TestLeaveUnaccepted has a process leave while a connection waits in the backlog: it is left to the other process.
 func TestLeaveUnaccepted(t *testing.T) {
 	inner := listen(t).(*net.TCPListener)
-	l := &drainListener{TCPListener: inner, quiet: patience}
+	l := &drainListener{TCPListener: inner, quietTime: patience}
 	c, err := net.Dial("tcp", inner.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if err := l.leave(); err != nil {
+	if err := l.stopNow(); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := l.Accept(); err == nil {
@@ -240,10 +240,10 @@
 		t.Fatal(err)
 	}
 	defer socket.Close()
-	if c.Inherited, err = syscall.Dup(int(socket.Fd())); err != nil {
+	if c.InheritedFD, err = syscall.Dup(int(socket.Fd())); err != nil {
 		t.Fatal(err)
 	}
-	p := startLogging(t, c, &logText{}, drainTimes{quiet: time.Millisecond, finish: patience})
+	p := startLogging(t, c, &logText{}, drainTimes{quietTime: time.Millisecond, finish: patience})
 	// As os/exec does, which hands descriptors on.
 	if flags, err := unix.FcntlInt(socket.Fd(), unix.F_GETFL, 0); err != nil || flags&unix.O_NONBLOCK != 0 {
 		t.Fatalf("asking for the descriptor has not made the socket block: flags %#x, error %v", flags, err)
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -19,46 +19,46 @@
 )
 
 const (
-	mostBody       = 64 << 10          // bytes of a request's or an answer's body
-	mostHeader     = 16 << 10          // bytes of a request's or an answer's header
-	mostHead       = mostHeader + 4096 // bytes of a head that are looked at: what http.Server reads before it gives up
-	idlePerSockets = 64                // one idle connection to each server for so many descriptors
-	// A machine that vanishes is not back within absence: a connection that idled less has not outlived one.
-	absence     = 50 * time.Millisecond
-	drainWithin = 50 * time.Millisecond // the body must come of an answer that has said all in its header
+	maxHeldBytes   = 64 << 10              // bytes of a request's or an answer's body
+	maxHeaderBytes = 16 << 10              // bytes of a request's or an answer's header
+	maxHeadBytes   = maxHeaderBytes + 4096 // bytes of a head that are looked at: what http.Server reads before it gives up
+	idlePerSockets = 64                    // one idle connection to each server for so many descriptors
+	// A machine that vanishes is not back within minOutage: a connection that idled less has not outlived one.
+	minOutage          = 50 * time.Millisecond
+	answerDrainTimeout = 50 * time.Millisecond // the body must come of an answer that has said all in its header
 )
 
 // message is a client's request as servers get it.
 type message struct {
-	method string
-	uri    *url.URL // path and query
-	id     string
-	key    string // Idempotency-Key, "" for none
-	ctype  string // Content-Type
-	body   []byte
-	rest   *upload       // what follows body, as it comes; nil: nothing
-	length int64         // of both, where there is a rest; -1: not known
-	wait   time.Duration // for the answer, from when all of the body has come
+	method      string
+	url         *url.URL // path and query
+	id          string
+	key         string // Idempotency-Key, "" for none
+	contentType string // Content-Type
+	body        []byte
+	rest        *upload       // what follows body, as it comes; nil: nothing
+	length      int64         // of both, where there is a rest; -1: not known
+	timeout     time.Duration // for the answer, from when all of the body has come
 
 	relayed *atomic.Int64 // counts the attempts written whole; nil: nobody counts
 }
 
 // reply is how an attempt ended. body and ctype are those of a Served one.
 type reply struct {
-	outcome balance.Outcome
-	blamed  bool // the server found fault with the request, not with itself
-	body    []byte
-	ctype   string
+	outcome         balance.Outcome
+	requestRejected bool // the server found fault with the request, not with itself
+	body            []byte
+	contentType     string
 }
 
 // upstream holds the connections to the servers. Each server has a pool of its own, so that it can be dropped alone.
 type upstream struct {
-	connect time.Duration
-	idle    time.Duration
-	maxIdle int
-	absence time.Duration
-	counts  *counts
-	room    *budget
+	connect   time.Duration
+	idle      time.Duration
+	maxIdle   int
+	minOutage time.Duration
+	counts    *counts
+	budget    *byteBudget
 
 	mu      sync.Mutex
 	targets map[string]*target
@@ -71,11 +71,11 @@
 	answered atomic.Int64 // when an answer last came, in nanoseconds of Unix time
 }
 
-func newUpstream(connect, idleClose time.Duration, sockets int, n *counts, room *budget) *upstream {
+func newUpstream(connect, idleClose time.Duration, sockets int, n *counts, room *byteBudget) *upstream {
 	// Danger: a server closes a connection that has idled too long, and what crosses that close is a reset that may
 	// have run. Half the server's time keeps well clear of it.
 	return &upstream{connect: connect, idle: idleClose / 2, maxIdle: max(sockets/idlePerSockets, 2),
-		absence: absence, counts: n, room: room, targets: map[string]*target{}}
+		minOutage: minOutage, counts: n, budget: room, targets: map[string]*target{}}
 }
 
 // update takes in a list: where each server listens now.
@@ -96,7 +96,7 @@
 		}
 	}
 	for id := range u.targets {
-		if list.All && !listed[id] {
+		if list.Complete && !listed[id] {
 			u.drop(id)
 		}
 	}
@@ -127,18 +127,18 @@
 			if err != nil {
 				return nil, err
 			}
-			return framing.NewServerConn(c, mostHead), nil
+			return framing.NewServerConn(c, maxHeadBytes), nil
 		},
 		DisableCompression:     true,
 		MaxIdleConnsPerHost:    u.maxIdle,
 		IdleConnTimeout:        u.idle,
-		MaxResponseHeaderBytes: mostHeader,
+		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
 }
 
 // attempt sends m to a server and waits for the end, until ctx is done. It sends it at most once.
 // An answer that is not held until its end is handed to begin, and the attempt ends with it.
-func (u *upstream) attempt(ctx context.Context, id string, m *message, begin func(*flow)) reply {
+func (u *upstream) attempt(ctx context.Context, id string, m *message, begin func(*answerStream)) reply {
 	u.mu.Lock()
 	to := u.targets[id]
 	u.mu.Unlock()
@@ -155,17 +155,17 @@
 	req = req.WithContext(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			u.counts.connected(info.Reused, time.Since(began))
-			fresh = info.IdleTime < u.absence
+			fresh = info.IdleTime < u.minOutage
 			if conn, _ = info.Conn.(*framing.ServerConn); conn != nil {
 				before, _ = conn.Meter()
 				bound := time.Duration(0)
 				if m.rest != nil { // a long body, which is not held
-					bound = stallFor
+					bound = stallTimeout
 				}
 				conn.BoundWrites(bound)
 			}
 			// Said only now: the wait for a connection is the client's time too.
-			wait := m.wait
+			wait := m.timeout
 			if end, ok := ctx.Deadline(); ok {
 				wait = time.Until(end)
 			}
@@ -192,11 +192,11 @@
 		// Closed first, so that what is counted after it is all that was or will be written.
 		_ = conn.Close()
 		written, short := conn.Meter()
-		ran = resp != nil || written > before && !short && (m.rest == nil || m.rest.whole())
+		ran = resp != nil || written > before && !short && (m.rest == nil || m.rest.isComplete())
 	}
 	var outcome balance.Outcome
 	switch cause := context.Cause(ctx); {
-	case !ran && m.rest != nil && m.rest.failed():
+	case !ran && m.rest != nil && m.rest.hasFailed():
 		outcome = balance.NotSent // the client's fault, not the server's
 	case errors.Is(cause, context.Canceled) && ran:
 		outcome = balance.Cancelled
@@ -228,10 +228,10 @@
 	if m.key != "" {
 		header.Set("Idempotency-Key", m.key)
 	}
-	if m.ctype != "" {
-		header.Set("Content-Type", m.ctype)
+	if m.contentType != "" {
+		header.Set("Content-Type", m.contentType)
 	}
-	to := *m.uri
+	to := *m.url
 	to.Scheme, to.Host = "http", address
 	req := &http.Request{Method: m.method, URL: &to, Host: address, Header: header, Proto: "HTTP/1.1", ProtoMajor: 1,
 		ProtoMinor: 1, Body: io.NopCloser(bytes.NewReader(m.body)), ContentLength: int64(len(m.body))}
@@ -245,31 +245,31 @@
 
 // read takes an answer in, or passes it to begin and returns when it has ended; stop ends the attempt. It fails if a 200
 // does not come whole; other answers have said all in their header.
-func (u *upstream) read(resp *http.Response, begin func(*flow), stop func()) (reply, error) {
+func (u *upstream) read(resp *http.Response, begin func(*answerStream), stop func()) (reply, error) {
 	if resp.StatusCode == http.StatusOK {
-		f := newFlow(resp.ContentLength, resp.Header.Get("Content-Type"), u.room, begin)
+		f := newAnswerStream(resp.ContentLength, resp.Header.Get("Content-Type"), u.budget, begin)
 		f.stop = stop
-		body, err := f.fill(resp.Body)
+		body, err := f.receive(resp.Body)
 		if closed := resp.Body.Close(); err == nil {
 			err = closed
 		}
 		if errors.Is(err, errTooLong) {
 			return reply{outcome: balance.Errored}, nil
 		}
-		return reply{outcome: balance.Served, body: body, ctype: f.ctype}, err
+		return reply{outcome: balance.Served, body: body, contentType: f.contentType}, err
 	}
 	// Danger: a body that never ends, or another protocol's bytes, would keep what the header says from the client.
 	// A short one is worth the wait, as its connection can then be used again.
-	enough := time.AfterFunc(drainWithin, func() { _ = resp.Body.Close() })
+	enough := time.AfterFunc(answerDrainTimeout, func() { _ = resp.Body.Close() })
 	defer enough.Stop()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, mostBody))
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxHeldBytes))
 	_ = resp.Body.Close()
 	switch status := resp.StatusCode; {
 	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Not-Processed") == "1":
 		return reply{outcome: balance.Saturated}, nil
 	case status >= 400 && status < 500 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests:
-		return reply{outcome: balance.Errored, blamed: true}, nil
+		return reply{outcome: balance.Errored, requestRejected: true}, nil
 	}
 	return reply{outcome: balance.Errored}, nil
 }
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -23,19 +23,19 @@
 
 // to is an upstream that knows the backends.
 func to(t *testing.T, backends ...*backend) *upstream {
-	u := newUpstream(patience, patience, defaultSockets, newCounts(nil), newBudget(budgetOf(defaultMemoryMB)))
+	u := newUpstream(patience, patience, defaultSockets, newCounts(nil), newByteBudget(budgetOf(defaultMemoryMB)))
 	u.update(list(t, serving(1, backends...)))
-	t.Cleanup(func() { u.update(List{All: true}) })
+	t.Cleanup(func() { u.update(List{Complete: true}) })
 	return u
 }
 
 func post(key string) *message {
-	return &message{method: http.MethodPost, uri: &url.URL{Path: "/api", RawQuery: "k=a%20b"}, id: "id-1", key: key,
+	return &message{method: http.MethodPost, url: &url.URL{Path: "/api", RawQuery: "k=a%20b"}, id: "id-1", key: key,
 		body: []byte("skip")}
 }
 
 func get() *message {
-	return &message{method: http.MethodGet, uri: &url.URL{Path: "/api"}, id: "id-1"}
+	return &message{method: http.MethodGet, url: &url.URL{Path: "/api"}, id: "id-1"}
 }
 
 func TestOutcomes(t *testing.T) {
@@ -51,7 +51,7 @@
 		{"late", say(504, "X-Not-Processed: 1\r\n", ""), balance.Saturated},
 		{"unavailable, may have run", say(503, "", ""), balance.Errored},
 		{"error that claims not to have run", say(500, "X-Not-Processed: 1\r\n", ""), balance.Errored},
-		{"too long", say(200, "", strings.Repeat("x", mostBody+1)), balance.Errored},
+		{"too long", say(200, "", strings.Repeat("x", maxHeldBytes+1)), balance.Errored},
 		{"reset", hangUp, balance.Reset},
 		{"end", func(net.Conn, *http.Request, []byte) bool { return false }, balance.Reset},
 		{"no HTTP", func(c net.Conn, _ *http.Request, _ []byte) bool { fmt.Fprint(c, "what\r\n\r\n"); return false }, balance.Reset},
@@ -278,8 +278,8 @@
 				return fault(c, r, body)
 			})
 			u := to(t, b)
-			if u.absence = patience; name != "just used" {
-				u.absence = 0
+			if u.minOutage = patience; name != "just used" {
+				u.minOutage = 0
 			}
 			ctx, ended := newEndable(), make(chan reply, 3)
 			ask := func() exchange {
@@ -326,7 +326,7 @@
 			return say(200, "", "")(c, r, body)
 		})
 		u := to(t, b)
-		u.absence = 0
+		u.minOutage = 0
 		ended := make(chan reply, 2)
 		for range 2 {
 			go func() { ended <- u.attempt(context.Background(), "s-0", get(), nil) }()
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -14,18 +14,18 @@
 // Here is how the list of servers comes to the Balancer.
 
 const (
-	// A watch that ended is opened again after leastPause, and after twice as long each time that nothing comes.
-	leastPause = 100 * time.Millisecond
-	mostPause  = time.Second
-	noRev      = -1 // no list is held
+	// A watch that ended is opened again after minBackoff, and after twice as long each time that nothing comes.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = time.Second
+	noVersion  = -1 // no list is held
 )
 
-// move has discovery, or other keepers, asked at another address from now on. The loop alone calls it. Of several that come at once the
+// moveTo has discovery, or other keepers, asked at another address from now on. The loop alone calls it. Of several that come at once the
 // last counts.
-func (h *host) move(address string) {
-	if h.keepers != nil {
+func (h *host) moveTo(address string) {
+	if h.registry != nil {
 		h.log.Info("keepers move", "to", address)
-		if err := h.keepers.Move(strings.Split(address, ",")); err != nil {
+		if err := h.registry.Move(strings.Split(address, ",")); err != nil {
 			h.log.Error("keepers", "err", err)
 		}
 		h.routing.move(address)
@@ -35,11 +35,11 @@
 	if h.moves == nil {
 		// Danger: the Balancer asks again some seconds after a call that failed, and what the new address has to tell counts
 		// as told 4 s from now. So it is asked from here; with a pause, as all sidecars are told to move at once.
-		if h.moveTo = address; !h.watching {
+		if h.nextAddress = address; !h.watching {
 			h.watching = true
-			h.askMoved()
+			h.openWatchAtNext()
 		}
-		h.leave()
+		h.closeWatch()
 		return
 	}
 	select {
@@ -55,24 +55,24 @@
 		return // since a move
 	}
 	h.watching = true
-	h.open()
+	h.openWatch()
 }
 
-// open opens the one watch that there is where the Balancer asks for them. The loop alone calls it.
-func (h *host) open() {
+// openWatch opens the one watch that there is where the Balancer asks for them. The loop alone calls it.
+func (h *host) openWatch() {
 	var ctx context.Context
-	ctx, h.leave = context.WithCancel(h.ctx)
+	ctx, h.closeWatch = context.WithCancel(h.ctx)
 	h.watchers.Add(1)
 	go func() {
 		defer h.watchers.Done()
-		err := h.watch(ctx, h.ledger.from(), 0, func() {})
+		err := h.watch(ctx, h.table.resumeFrom(), 0, func() {})
 		if h.ctx.Err() != nil {
 			return
 		}
 		h.log.Info("discovery", "err", err)
 		h.post(func() {
-			if h.moveTo != "" {
-				h.askMoved()
+			if h.nextAddress != "" {
+				h.openWatchAtNext()
 				return
 			}
 			h.watching = false
@@ -81,51 +81,51 @@
 	}()
 }
 
-// askMoved asks at the address that discovery has moved to. No watch is open.
-func (h *host) askMoved() {
-	time.AfterFunc(jitter(mostPause), func() {
+// openWatchAtNext asks at the address that discovery has moved to. No watch is open.
+func (h *host) openWatchAtNext() {
+	time.AfterFunc(jitter(maxBackoff), func() {
 		h.post(func() {
-			h.discovery.address.Store(h.moveTo)
-			h.moveTo = ""
-			h.ledger.forget()
-			h.open()
+			h.discovery.address.Store(h.nextAddress)
+			h.nextAddress = ""
+			h.table.reset()
+			h.openWatch()
 		})
 	})
 }
 
-var errDoubted = errors.New("the list went back: it is read again")
+var errStaleList = errors.New("the list went back: it is read again")
 
 // watch has the loop take in what a watch tells, until it ends; a list that is doubted ends it when that is to be read again. came is
 // called for each list. Watches come one after the other: the one that is open has the ledger.
 func (h *host) watch(ctx context.Context, from int64, first time.Duration, came func()) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	reread := time.AfterFunc(rereadEvery, func() { cancel(errDoubted) })
+	reread := time.AfterFunc(rereadInterval, func() { cancel(errStaleList) })
 	defer reread.Stop()
-	if !h.ledger.doubts() {
+	if !h.table.isStale() {
 		reread.Stop()
 	}
 	err := h.discovery.watch(ctx, from, first, func(l List) {
-		doubted, rev, now := h.ledger.doubts(), h.ledger.rev, time.Now()
-		l = h.ledger.take(l, now)
-		switch doubts := h.ledger.doubts(); {
+		doubted, rev, now := h.table.isStale(), h.table.highestRev, time.Now()
+		l = h.table.apply(l, now)
+		switch doubts := h.table.isStale(); {
 		case doubts && !doubted:
 			h.log.Warn("list went back: what it lacks is kept until it is read again", "held", rev)
-			reread.Reset(rereadEvery)
+			reread.Reset(rereadInterval)
 		case doubted && !doubts:
-			h.log.Info("list is believed again", "rev", h.ledger.rev, "held", rev)
+			h.log.Info("list is believed again", "rev", h.table.highestRev, "held", rev)
 			reread.Stop()
 		}
 		came()
 		h.post(func() {
 			kind := balance.ListChanges
-			if l.All {
+			if l.Complete {
 				kind = balance.ListFull
 			}
-			h.list(kind, l)
+			h.applyList(kind, l)
 		})
 	})
-	if cause := context.Cause(ctx); errors.Is(cause, errDoubted) {
+	if cause := context.Cause(ctx); errors.Is(cause, errStaleList) {
 		return cause
 	}
 	return err
@@ -142,7 +142,7 @@
 				h.log.Error("reload", "err", err)
 				continue
 			}
-			h.post(func() { h.move(address) })
+			h.post(func() { h.moveTo(address) })
 		case <-ctx.Done():
 			return
 		}
@@ -157,17 +157,17 @@
 // soon. One that breaks off is opened again soon; twice in a list that cannot be read, it asks for the whole one too.
 func (h *host) follow(ctx context.Context, moves <-chan string) {
 	bad := 0
-	whole, first := true, h.discovery.within
-	for pause := leastPause; ; {
-		from := int64(noRev)
+	whole, first := true, h.discovery.firstTimeout
+	for pause := minBackoff; ; {
+		from := int64(noVersion)
 		if !whole {
-			from = h.ledger.from()
+			from = h.table.resumeFrom()
 		}
 		now, leave := context.WithCancel(ctx)
 		ended := make(chan error, 1)
 		go func() {
 			ended <- h.watch(now, from, first, func() {
-				pause, bad, whole, first = leastPause, 0, false, 0
+				pause, bad, whole, first = minBackoff, 0, false, 0
 			})
 		}()
 		var err error
@@ -178,9 +178,9 @@
 			h.log.Info("discovery", "err", err)
 			switch {
 			case errors.Is(err, errSilent) && whole: // it may be slow
-				first = min(2*first, h.discovery.silence)
+				first = min(2*first, h.discovery.silenceTimeout)
 			case errors.Is(err, errSilent):
-				whole, first = true, h.discovery.within
+				whole, first = true, h.discovery.firstTimeout
 			case errors.Is(err, errBadList):
 				if bad++; bad > 1 {
 					whole = true
@@ -190,7 +190,7 @@
 			case address = <-moves:
 			case <-time.After(jitter(pause)):
 				if !errors.Is(err, errSilent) {
-					pause = min(2*pause, mostPause)
+					pause = min(2*pause, maxBackoff)
 				}
 			case <-ctx.Done():
 				return
@@ -205,21 +205,21 @@
 		}
 		if address != "" {
 			h.discovery.address.Store(address)
-			h.ledger.forget()
-			pause, whole, first = leastPause, true, h.discovery.within
+			h.table.reset()
+			pause, whole, first = minBackoff, true, h.discovery.firstTimeout
 		}
 	}
 }
 
-// hear waits until an agent has told what it has, at most for some time, or until stop is done.
+// awaitAgent waits until an agent has told what it has, at most for some time, or until stop is done.
 //
 // Danger: what the agent has counts as told from the first moment, and a new process holds an old list. One that says nothing
 // must not keep requests from servers for long, though: clients connect, and wait.
-func (h *host) hear(stop context.Context, atMost time.Duration) {
+func (h *host) awaitAgent(stop context.Context, atMost time.Duration) {
 	timer := time.NewTimer(atMost)
 	defer timer.Stop()
 	select {
-	case <-h.told:
+	case <-h.listed:
 	case <-timer.C:
 		h.log.Warn("the agent says nothing: serving by the list from before", "waited", atMost)
 	case <-stop.Done():
@@ -230,9 +230,9 @@
 // ask is overbooked, would ask again together, each time.
 func jitter(pause time.Duration) time.Duration { return pause/2 + rand.N(pause/2) }
 
-// list hands a list to the connections and to the Balancer, in this order: what it sends next must find its address.
-func (h *host) list(kind balance.ListKind, l List) {
-	l.All = l.All || kind == balance.ListCached
+// applyList hands a applyList to the connections and to the Balancer, in this order: what it sends next must find its address.
+func (h *host) applyList(kind balance.ListKind, l List) {
+	l.Complete = l.Complete || kind == balance.ListCached
 	h.upstream.update(l)
 	entries := make([]balance.Endpoint, 0, len(l.Targets))
 	for _, t := range l.Targets {
@@ -240,10 +240,10 @@
 			Size: t.Size, Started: h.started(t)})
 	}
 	h.balancer.Endpoints(h.now, kind, entries)
-	if kind != balance.ListCached && !h.isTold {
-		h.isTold = true
-		h.takeUp() // again: more servers are known
-		close(h.told)
+	if kind != balance.ListCached && !h.isListed {
+		h.isListed = true
+		h.restoreSnapshot() // again: more servers are known
+		close(h.listed)
 	}
 	if !h.isReady && (kind != balance.ListCached || len(entries) > 0) {
 		h.isReady = true
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -121,7 +121,7 @@
 
 // TestWatchesAreOpenedAgainApart spreads sidecars whose watches ended together.
 func TestWatchesAreOpenedAgainApart(t *testing.T) {
-	for pause := leastPause; pause <= mostPause; pause *= 2 {
+	for pause := minBackoff; pause <= maxBackoff; pause *= 2 {
 		quarters := [4]int{}
 		for range 1000 {
 			wait := jitter(pause)
@@ -176,7 +176,7 @@
 		boot time.Time
 		cold bool
 	}{{booted, true}, {time.Time{}, false}, {booted.Add(-2 * originAge), false}} {
-		c.Known = List{Rev: 1, All: true, Targets: []Target{{ID: "s-0", Address: "127.0.0.1:9", Zone: "a", Kind: "m", Size: 1, Boot: tt.boot}}}
+		c.Known = List{Version: 1, Complete: true, Targets: []Target{{ID: "s-0", Address: "127.0.0.1:9", Zone: "a", Kind: "m", Size: 1, Boot: tt.boot}}}
 		h, err := newHost(context.Background(), c, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
