--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -1,5 +1,21 @@
-// Package sidecar is the real sidecar: it drives the decision module of package balance over sockets. It decides
-// nothing itself.
+// Package sidecar is the real sidecar: it drives the decision module (package balance) over sockets, and decides nothing itself.
+//
+// # Parts
+//
+//   - server answers the application over HTTP/1.1; each request becomes a call.
+//   - host runs the Balancer. Its loop is the only goroutine that touches the Balancer and the calls; what happens elsewhere is
+//     posted to it, with its time.
+//   - upstream holds the connections to the servers and sends attempts; an answer that is too long to be held is a stream.
+//   - serverTable, discovery and the registry's client bring the list of servers; members and their reports bring what other
+//     sidecars saw; control answers operators.
+//   - process starts and ends all of them.
+//
+// # Invariants
+//
+//   - A request is sent to a server only by an action of the Balancer, and each Send has one result.
+//   - A request gets one final answer, before the client's deadline or as soon as it is overdue.
+//   - What is held of bodies and answers, connections and descriptors is bounded by the configuration.
+//   - A planned restart loses no request: see process, shutdownClock and drainListener.
 package sidecar
 
 import (
@@ -18,40 +34,40 @@
 	"gradeusher.example/gradeusher/internal/sidecar/wire"
 )
 
-// Config is what a sidecar is told at its start.
+// Config is what a sidecar gets at its start.
 type Config struct {
 	Name         string
 	Listen       string    // where the application connects
-	Discovery    string    // where discovery, or its agent on this machine, listens; "": nowhere, with Keepers
-	Registry     *Registry // who hold the list, in place of Discovery; nil: nobody does
+	Discovery    string    // where discovery, or its agent on this machine, listens; "": nowhere, with Registry
+	Registry     *Registry // who has the list, in place of Discovery; nil: nobody does
 	Members      *Members  // how the other sidecars are known; nil: they are not
-	Hitters      *Hitters  // clients that ask for much give way; nil: they do not
+	Hitters      *Hitters  // how heavy clients are told apart; nil: they are not looked for
 	Control      string    // where operators call; "": nowhere
-	SharedDir    string    // a folder that outlives a process; "": none
-	KeepSnapshot bool      // what is believed of servers is kept there for the next process
+	SharedDir    string    // a directory that outlives a process; "": none
+	KeepSnapshot bool      // what was learned of servers is kept there for the next process
 	InheritedFD  int       // descriptor of the listening socket that the platform holds; 0: none
 	Cores        float64
 	MemoryMB     int
-	Sockets      int
+	Sockets      int  // descriptors that the process may have
 	Known        List // the servers as this sidecar last had them
 	Settings     balance.Settings
 	Names        *wire.Names
 	Limits       wire.Limits
 
-	agentFirstTimeout time.Duration // 0: agentFirstTimeout; only tests wait longer
+	agentFirstTimeout time.Duration // 0: the constant of this name; only tests wait longer
 }
 
-// Registry is the project's own list service, and how far it is believed.
+// Registry is the project's own list service, and how far its lists are believed.
 type Registry struct {
 	Addresses []string
 	Suspicion client.Doubt
-	MaxAge    time.Duration     // a keeper that was out of touch for longer is left for another
+	MaxAge    time.Duration     // a node that was out of touch for longer is left for another
 	Reach     string            // this machine reaches every server at this host, at the port of its endpoint; "": at its endpoint
-	Routes    bool              // they hold the route table too, which goes before the settings' rules
-	Tags      map[string]string // of this client, besides its region, for the rules of that
+	Routes    bool              // it has the route table too, which takes precedence over the settings' rules
+	Tags      map[string]string // of this client, besides its region, for the rules of that table
 }
 
-// The limits and settings of a sidecar that is told none.
+// The limits and settings of a sidecar whose configuration gives none.
 const (
 	defaultCores          = 1
 	defaultMemoryMB       = 192
@@ -83,7 +99,7 @@
 	Hitters  *hittersFile
 }
 
-// registryFile is the form of what the file says of keepers. What is left out is the client's default.
+// registryFile is the form of what the file says of the registry. What is left out is the client's default.
 type registryFile struct {
 	Addresses  []string
 	DoubtShare *float64 `json:"doubt_share"`
@@ -96,8 +112,8 @@
 	Tags       map[string]string
 }
 
-// LoadConfig reads the configuration from the file that PROXY_CONFIG names. PROXY_NAME, PROXY_LISTEN and
-// PROXY_DISCOVERY go before what the file says.
+// LoadConfig reads the configuration from the file that PROXY_CONFIG names. PROXY_NAME, PROXY_LISTEN, PROXY_DISCOVERY and
+// PROXY_CONTROL take precedence over what the file says. Errors name the key.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
@@ -118,8 +134,8 @@
 	return c, nil
 }
 
-// DiscoveryAt reads where discovery is, or the keepers are, with commas, from the file that PROXY_CONFIG names, after that was replaced. Danger: the
-// environment still says where discovery was at the start.
+// DiscoveryAt reads where discovery is, or the registry's nodes are, with commas, from the file that PROXY_CONFIG names, after
+// that was replaced. The environment is not asked: it still says where discovery was at the start.
 func DiscoveryAt(getenv func(string) string) (string, error) {
 	c, err := LoadConfig(func(key string) string {
 		if key == "PROXY_DISCOVERY" || key == "PROXY_KEEPERS" {
@@ -136,6 +152,7 @@
 	return c.Discovery, nil
 }
 
+// config checks what the file says, and completes it by the environment and the defaults.
 func (file *configFile) config(getenv func(string) string) (*Config, error) {
 	c := &Config{
 		Name:         cmp.Or(getenv("PROXY_NAME"), file.Name),
@@ -144,132 +161,220 @@
 		SharedDir:    getenv("TMPDIR"),
 		KeepSnapshot: file.Beliefs,
 		Control:      cmp.Or(getenv("PROXY_CONTROL"), file.Control),
-		Cores:        defaultCores, MemoryMB: defaultMemoryMB, Sockets: defaultSockets,
 	}
 	var err error
 	if c.Registry, err = file.Keepers.config(getenv("PROXY_KEEPERS")); err != nil {
 		return nil, fmt.Errorf("keepers: %w", err)
 	}
-	for _, a := range []struct{ field, address string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
-		if a.field == "discovery" && a.address == "" && c.Registry != nil {
-			continue
+	if err := c.checkAddresses(); err != nil {
+		return nil, err
+	}
+	if c.InheritedFD, err = parseFD(getenv("PROXY_FD")); err != nil {
+		return nil, err
+	}
+	seed, err := strconv.ParseUint(file.Seed, 16, 64)
+	if err != nil {
+		return nil, fmt.Errorf("seed: %q is no hexadecimal number of 64 bits", file.Seed)
+	}
+	if err := file.readLimits(c); err != nil {
+		return nil, err
+	}
+	if err := file.readSettings(c, seed); err != nil {
+		return nil, err
+	}
+	if err := file.readFleet(c, getenv("PROXY_MEMBERS")); err != nil {
+		return nil, err
+	}
+	if file.Known != nil {
+		if c.Known, err = parseList(*file.Known); err != nil {
+			return nil, fmt.Errorf("known: %w", err)
 		}
-		if err := checkAddress(a.address); err != nil {
-			return nil, fmt.Errorf("%s: %w", a.field, err)
+	}
+	return c, nil
+}
+
+// checkAddresses checks where the sidecar listens and calls. Discovery may be left out where there is a registry.
+func (c *Config) checkAddresses() error {
+	if err := checkAddress(c.Listen); err != nil {
+		return fmt.Errorf("listen: %w", err)
+	}
+	if c.Discovery != "" || c.Registry == nil {
+		if err := checkAddress(c.Discovery); err != nil {
+			return fmt.Errorf("discovery: %w", err)
 		}
 	}
 	if c.Control != "" {
 		if err := checkAddress(c.Control); err != nil {
-			return nil, fmt.Errorf("control: %w", err)
+			return fmt.Errorf("control: %w", err)
 		}
 	}
-	if v := getenv("PROXY_FD"); v != "" {
-		fd, err := strconv.ParseUint(v, 10, 31)
-		if err != nil || fd <= stderrFD {
-			return nil, fmt.Errorf("PROXY_FD: %q is no descriptor above %d", v, stderrFD)
-		}
-		c.InheritedFD = int(fd)
+	return nil
+}
+
+// parseFD reads the descriptor of an inherited socket; 0: none.
+func parseFD(text string) (int, error) {
+	if text == "" {
+		return 0, nil
 	}
-	seed, err := strconv.ParseUint(file.Seed, 16, 64)
-	if err != nil {
-		return nil, fmt.Errorf("seed: %q is no hexadecimal number of 64 bits", file.Seed)
+	fd, err := strconv.ParseUint(text, 10, 31)
+	if err != nil || fd <= stderrFD {
+		return 0, fmt.Errorf("PROXY_FD: %q is no descriptor above %d", text, stderrFD)
 	}
-	if v := file.Limits.Cores; v != nil {
-		if c.Cores = *v; c.Cores <= 0 {
-			return nil, fmt.Errorf("limits.cores: %v is not above 0", c.Cores)
+	return int(fd), nil
+}
+
+// readLimits takes over the machine's limits.
+func (file *configFile) readLimits(c *Config) error {
+	c.Cores, c.MemoryMB, c.Sockets = defaultCores, defaultMemoryMB, defaultSockets
+	if cores := file.Limits.Cores; cores != nil {
+		if *cores <= 0 {
+			return fmt.Errorf("limits.cores: %v is not above 0", *cores)
 		}
+		c.Cores = *cores
 	}
-	if v := file.Limits.MemoryMB; v != nil {
-		if c.MemoryMB = *v; c.MemoryMB <= 0 {
-			return nil, fmt.Errorf("limits.memory_mb: %d is not above 0", c.MemoryMB)
+	if memory := file.Limits.MemoryMB; memory != nil {
+		if *memory <= 0 {
+			return fmt.Errorf("limits.memory_mb: %d is not above 0", *memory)
 		}
+		c.MemoryMB = *memory
 	}
-	if v := file.Limits.Sockets; v != nil {
-		if c.Sockets = *v; c.Sockets < minSockets {
-			return nil, fmt.Errorf("limits.sockets: %d is under %d", c.Sockets, minSockets)
+	if sockets := file.Limits.Sockets; sockets != nil {
+		if *sockets < minSockets {
+			return fmt.Errorf("limits.sockets: %d is under %d", *sockets, minSockets)
 		}
+		c.Sockets = *sockets
 	}
+	return nil
+}
+
+// readSettings takes over the Balancer's settings.
+func (file *configFile) readSettings(c *Config, seed uint64) error {
 	if len(file.Settings) == 0 {
-		return nil, errors.New("settings: missing")
+		return errors.New("settings: missing")
 	}
+	var err error
 	if c.Settings, c.Names, c.Limits, err = wire.SettingsJSON(seed, file.Settings); err != nil {
-		return nil, err
+		return err
 	}
 	if c.Registry != nil {
-		c.Settings.SubscribeToDiscovery = false // they tell without being asked
+		c.Settings.SubscribeToDiscovery = false // a registry publishes without being asked
 		c.Settings.Tags = c.Registry.Tags
 	}
-	if c.Members, err = file.Members.config(c.Name, getenv("PROXY_MEMBERS")); err != nil {
-		return nil, fmt.Errorf("members: %w", err)
+	c.Limits.ConnectTimeout = cmp.Or(c.Limits.ConnectTimeout, defaultConnectTimeout)
+	c.Limits.IdleClose = cmp.Or(c.Limits.IdleClose, defaultIdleClose)
+	return nil
+}
+
+// readFleet takes over how the other sidecars are known, and what is done about heavy clients.
+func (file *configFile) readFleet(c *Config, join string) error {
+	var err error
+	if c.Members, err = file.Members.config(c.Name, join); err != nil {
+		return fmt.Errorf("members: %w", err)
 	}
 	if c.Members != nil {
 		c.Settings.ReportTTL = c.Members.ReportTTL
 	}
 	if c.Hitters, c.Settings.Hitters, err = file.Hitters.config(c.Name); err != nil {
-		return nil, fmt.Errorf("hitters: %w", err)
+		return fmt.Errorf("hitters: %w", err)
 	}
-	c.Limits.ConnectTimeout = cmp.Or(c.Limits.ConnectTimeout, defaultConnectTimeout)
-	c.Limits.IdleClose = cmp.Or(c.Limits.IdleClose, defaultIdleClose)
-	if file.Known != nil {
-		if c.Known, err = parseList(*file.Known); err != nil {
-			return nil, fmt.Errorf("known: %w", err)
-		}
-	}
-	return c, nil
+	return nil
 }
 
-// config reads what the file says of keepers; environment, if set, names their addresses instead.
+// config checks what the file says of the registry; environment, if set, names its addresses instead.
 func (file *registryFile) config(environment string) (*Registry, error) {
 	if file == nil {
-		if file = (&registryFile{}); environment == "" {
+		if environment == "" {
 			return nil, nil
 		}
+		file = &registryFile{}
+	}
+	r := &Registry{
+		Addresses: file.Addresses,
+		Suspicion: client.DefaultDoubt,
+		MaxAge:    defaultMaxAge,
+		Reach:     file.Reach,
+		Routes:    file.Routes,
+		Tags:      file.Tags,
 	}
-	k := &Registry{Addresses: file.Addresses, Suspicion: client.DefaultDoubt, MaxAge: defaultMaxAge, Reach: file.Reach, Routes: file.Routes, Tags: file.Tags}
 	if environment != "" {
-		k.Addresses = strings.Split(environment, ",")
+		r.Addresses = strings.Split(environment, ",")
 	}
-	if len(k.Addresses) == 0 {
-		return nil, errors.New("none is named")
+	if err := r.checkAddresses(); err != nil {
+		return nil, err
 	}
-	for _, a := range k.Addresses {
-		if err := checkAddress(a); err != nil {
-			return nil, err
-		}
+	if err := file.readSuspicion(r); err != nil {
+		return nil, err
 	}
-	if k.Reach != "" && net.ParseIP(k.Reach) == nil {
-		return nil, fmt.Errorf("reach: %q is no IP address", k.Reach)
+	return r, nil
+}
+
+func (r *Registry) checkAddresses() error {
+	if len(r.Addresses) == 0 {
+		return errors.New("none is named")
 	}
-	if v := file.DoubtShare; v != nil {
-		if k.Suspicion.Share = *v; !(*v >= 0 && *v <= 1) {
-			return nil, fmt.Errorf("doubt_share: %v is not within 0 to 1", *v)
+	for _, address := range r.Addresses {
+		if err := checkAddress(address); err != nil {
+			return err
 		}
 	}
-	if v := file.DoubtLeast; v != nil {
-		if k.Suspicion.Least = *v; *v < 0 {
-			return nil, fmt.Errorf("doubt_least: %d is below 0", *v)
+	if r.Reach != "" && net.ParseIP(r.Reach) == nil {
+		return fmt.Errorf("reach: %q is no IP address", r.Reach)
+	}
+	return nil
+}
+
+// readSuspicion takes over when a list of the registry is not believed.
+func (file *registryFile) readSuspicion(r *Registry) error {
+	if share := file.DoubtShare; share != nil {
+		if !(*share >= 0 && *share <= 1) {
+			return fmt.Errorf("doubt_share: %v is not within 0 to 1", *share)
 		}
+		r.Suspicion.Share = *share
 	}
-	for _, s := range []struct {
-		name  string
-		given *float64
-		to    *time.Duration
-	}{{"doubt_after_s", file.DoubtAfter, &k.Suspicion.After}, {"doubt_every_s", file.DoubtEvery, &k.Suspicion.Every}, {"most_age_s", file.MostAge, &k.MaxAge}} {
-		if s.given == nil {
-			continue
+	if least := file.DoubtLeast; least != nil {
+		if *least < 0 {
+			return fmt.Errorf("doubt_least: %d is below 0", *least)
 		}
-		if *s.to = time.Duration(*s.given * float64(time.Second)); !(*s.given > 0 && *s.given <= maxSeconds) {
-			return nil, fmt.Errorf("%s: %v is not above 0 and at most %d", s.name, *s.given, maxSeconds)
+		r.Suspicion.Least = *least
+	}
+	for _, d := range []struct {
+		name    string
+		seconds *float64
+		to      *time.Duration
+	}{
+		{"doubt_after_s", file.DoubtAfter, &r.Suspicion.After},
+		{"doubt_every_s", file.DoubtEvery, &r.Suspicion.Every},
+		{"most_age_s", file.MostAge, &r.MaxAge},
+	} {
+		if err := readSeconds(d.name, d.seconds, d.to); err != nil {
+			return err
 		}
 	}
-	return k, nil
+	return nil
+}
+
+// maxSeconds bounds the times of the file.
+const maxSeconds = 3600
+
+// readSeconds takes over a time that the file gives in seconds, if it does.
+func readSeconds(name string, seconds *float64, to *time.Duration) error {
+	if seconds == nil {
+		return nil
+	}
+	if !(*seconds > 0 && *seconds <= maxSeconds) {
+		return fmt.Errorf("%s: %v is not above 0 and at most %d", name, *seconds, maxSeconds)
+	}
+	*to = time.Duration(*seconds * float64(time.Second))
+	return nil
 }
 
-const maxSeconds = 3600 // seconds
+// errMissing says that an address was not given.
+var errMissing = errors.New("missing")
 
+// checkAddress returns why an address is no IP address and port.
 func checkAddress(address string) error {
 	if address == "" {
-		return errors.New("missing")
+		return errMissing
 	}
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
