--- a/internal/sidecar/answerstream.go
+++ b/internal/sidecar/answerstream.go
@@ -146,7 +146,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.ended = true
-	if err != io.EOF {
+	if !errors.Is(err, io.EOF) {
 		f.err = err
 	}
 	if !f.started {
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -106,6 +106,8 @@
 var (
 	errBadList = errors.New("bad list")
 	errSilent  = errors.New("silent")
+
+	errWatchEnded = errors.New("ended")
 )
 
 // discovery is the client of the list of servers.
@@ -130,60 +132,86 @@
 	return d
 }
 
-// watch asks for the changes after version from (below 0: for the whole list) and hands each list to told, until the watch
-// ends. The first list has to come within first, or as soon as any other where that is 0. It always returns an error, which
-// says why; one that wraps errSilent: nothing came for too long.
-func (d *discovery) watch(ctx context.Context, from int64, first time.Duration, told func(List)) error {
+// watch asks for the changes after version from (below 0: for the complete list) and hands each list to onList, until the watch
+// ends. The first list has to come within first, or as soon as any other where that is 0. It always returns an error, which says
+// why; one that wraps errSilent: nothing came for too long.
+func (d *discovery) watch(ctx context.Context, from int64, first time.Duration, onList func(List)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	first = cmp.Or(first, d.silenceTimeout)
-	endAfter := func(wait time.Duration) *time.Timer {
-		return time.AfterFunc(wait, func() { cancel(fmt.Errorf("%w: nothing came for %v", errSilent, wait)) })
+	silence := &silenceTimer{cancel: cancel}
+	silence.start(first)
+	defer func() { silence.timer.Stop() }()
+	resp, err := d.request(ctx, from)
+	if err != nil {
+		return fmt.Errorf("watch: %w", err)
+	}
+	defer func() { _ = resp.Body.Close() }()
+	if resp.StatusCode != http.StatusOK {
+		return fmt.Errorf("watch: status %d", resp.StatusCode)
+	}
+	reader := &watchReader{from: resp.Body, budget: maxListBytes}
+	onHeartbeat := func() { silence.timer.Reset(d.silenceTimeout) }
+	if first == d.silenceTimeout {
+		reader.onHeartbeat = onHeartbeat // an empty line will do for a sign of life
 	}
-	silent := endAfter(first)
-	defer func() { silent.Stop() }()
+	lists := json.NewDecoder(reader) // a list may be indented, and so have lines of its own
+	for {
+		list, err := nextList(ctx, lists)
+		if err != nil {
+			return fmt.Errorf("watch: %w", err)
+		}
+		silence.timer.Stop()
+		silence.start(d.silenceTimeout)
+		reader.budget, reader.onHeartbeat = maxListBytes, onHeartbeat
+		onList(list)
+	}
+}
+
+// silenceTimer ends a watch on which nothing comes.
+type silenceTimer struct {
+	cancel context.CancelCauseFunc
+	timer  *time.Timer
+}
 
+func (s *silenceTimer) start(timeout time.Duration) {
+	s.timer = time.AfterFunc(timeout, func() { s.cancel(fmt.Errorf("%w: nothing came for %v", errSilent, timeout)) })
+}
+
+// request opens a watch.
+func (d *discovery) request(ctx context.Context, from int64) (*http.Response, error) {
 	url := fmt.Sprintf("http://%s/v1/servers?watch=1", d.address.Load())
 	if from >= 0 {
 		url += "&from=" + strconv.FormatInt(from, 10)
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
-		return fmt.Errorf("watch: %w", err)
+		return nil, err
 	}
 	resp, err := d.client.RoundTrip(req)
 	if err != nil {
-		return fmt.Errorf("watch: %w", errors.Join(err, context.Cause(ctx)))
-	}
-	defer resp.Body.Close()
-	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("watch: status %d", resp.StatusCode)
+		return nil, errors.Join(err, context.Cause(ctx))
 	}
-	said := &watchReader{from: resp.Body, budget: maxListBytes}
-	beat := func() { silent.Reset(d.silenceTimeout) }
-	if first == d.silenceTimeout {
-		said.onHeartbeat = beat // an empty line will do for a sign of life
+	return resp, nil
+}
+
+// nextList reads the next list of a watch. One that cannot be read is errBadList.
+func nextList(ctx context.Context, lists *json.Decoder) (List, error) {
+	var text json.RawMessage
+	switch err := lists.Decode(&text); {
+	case err == nil:
+	case errors.Is(err, io.EOF):
+		return List{}, errWatchEnded
+	case errors.As(err, new(*json.SyntaxError)), errors.Is(err, errLongList):
+		return List{}, fmt.Errorf("%w: %w", errBadList, err)
+	default:
+		return List{}, errors.Join(err, context.Cause(ctx))
 	}
-	lists := json.NewDecoder(said) // a list may be indented, and so have lines of its own
-	for {
-		var text json.RawMessage
-		switch err := lists.Decode(&text); {
-		case err == io.EOF:
-			return errors.New("watch: ended")
-		case errors.As(err, new(*json.SyntaxError)), errors.Is(err, errLongList):
-			return fmt.Errorf("watch: %w: %w", errBadList, err)
-		case err != nil:
-			return fmt.Errorf("watch: %w", errors.Join(err, context.Cause(ctx)))
-		}
-		list, err := parseList(text)
-		if err != nil {
-			return fmt.Errorf("watch: %w: %w", errBadList, err)
-		}
-		silent.Stop()
-		silent = endAfter(d.silenceTimeout)
-		said.budget, said.onHeartbeat = maxListBytes, beat
-		told(list)
+	list, err := parseList(text)
+	if err != nil {
+		return List{}, fmt.Errorf("%w: %w", errBadList, err)
 	}
+	return list, nil
 }
 
 var errLongList = errors.New("too long")
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -114,16 +114,11 @@
 	}
 }
 
+// api answers a request of the application.
 func (s *server) api(w http.ResponseWriter, r *http.Request, conn *http.ResponseController, body *pacedBody) {
-	c, f := s.parse(r)
-	if f == nil && s.shutdown.isLate(time.Now()) {
-		f = bodyError(errTooLate)
-	}
-	if f == nil {
-		f = s.readBody(c, r, body)
-	}
-	if f != nil {
-		s.reject(w, c, f)
+	c, rejection := s.receive(r, body)
+	if rejection != nil {
+		s.reject(w, c, rejection)
 		return
 	}
 	defer s.host.upstream.budget.release(c.reserved)
@@ -132,12 +127,7 @@
 		s.counts.open.Add(1)
 		defer s.counts.open.Add(-1)
 	}
-	a, ok := answer{kind: refused}, true
-	if s.pending.Add(1) > s.maxPending.Load() {
-		s.counts.busy.Add(1)
-	} else {
-		a, ok = s.host.serve(r.Context(), c)
-	}
+	a, ok := s.decide(r.Context(), c)
 	if c.rest != nil {
 		broken := c.rest.stop()
 		if c.rest.isComplete() {
@@ -153,17 +143,51 @@
 	if !ok {
 		return
 	}
-	s.askToClose(w)                                            // again: it may have begun since
-	err := conn.SetWriteDeadline(time.Now().Add(stallTimeout)) // from now
+	s.askToClose(w) // again: the drain may have begun since
+	err := s.writeAnswer(w, r, conn, a)
+	s.countAnswer(c, a, err)
+	if err != nil && a.stream != nil {
+		breakOff(r)
+	}
+}
+
+// receive reads a request as far as it is held.
+func (s *server) receive(r *http.Request, body *pacedBody) (*call, *requestError) {
+	c, rejection := s.parse(r)
 	switch {
-	case err != nil:
-	case a.stream != nil:
-		err = s.forwardStream(w, r, a.stream, conn)
-	default:
-		if err = a.write(w); err == nil {
-			err = conn.Flush()
-		}
+	case rejection != nil:
+		return c, rejection
+	case s.shutdown.isLate(time.Now()):
+		return c, bodyError(errTooLate)
+	}
+	return c, s.readBody(c, r, body)
+}
+
+// decide has the host decide on a request, unless too many are pending. It tells false where the client has gone.
+func (s *server) decide(ctx context.Context, c *call) (answer, bool) {
+	if s.pending.Add(1) > s.maxPending.Load() {
+		s.counts.busy.Add(1)
+		return answer{kind: refused}, true
+	}
+	return s.host.serve(ctx, c)
+}
+
+// writeAnswer writes the final answer, for which the client has its time from now. It fails if the client has not got all of it.
+func (s *server) writeAnswer(w http.ResponseWriter, r *http.Request, conn *http.ResponseController, a answer) error {
+	if err := conn.SetWriteDeadline(time.Now().Add(stallTimeout)); err != nil {
+		return err
+	}
+	if a.stream != nil {
+		return s.forwardStream(w, r, a.stream, conn)
+	}
+	if err := a.write(w); err != nil {
+		return err
 	}
+	return conn.Flush()
+}
+
+// countAnswer counts a request whose answer was written, or failed with an error.
+func (s *server) countAnswer(c *call, a answer, err error) {
 	switch {
 	case err == nil:
 		s.counts.classes[c.class].countAnswer(a.kind)
@@ -172,52 +196,70 @@
 	default:
 		s.counts.gone.Add(1)
 	}
-	if err != nil && a.stream != nil {
-		if conn, ok := r.Context().Value(connKey{}).(*framing.ClientConn); ok && r.ProtoMinor == 0 {
-			_ = conn.SetLinger(0) // where the end of the connection is that of the answer, a reset says that it is not whole
-		}
-		panic(http.ErrAbortHandler) // the way to have http.Server break an answer off
+}
+
+// breakOff ends a connection within an answer. Where the end of the connection is that of the answer (HTTP/1.0), a reset says that it
+// is not complete.
+func breakOff(r *http.Request) {
+	if conn, ok := r.Context().Value(connKey{}).(*framing.ClientConn); ok && r.ProtoMinor == 0 {
+		_ = conn.SetLinger(0)
 	}
+	panic(http.ErrAbortHandler) // the way to have http.Server break an answer off
 }
 
-// readBody reads a body as far as it is held. What is longer is left to come.
+// readBody reads a body as far as it is held. What is longer is left to arrive.
 func (s *server) readBody(c *call, r *http.Request, body *pacedBody) *requestError {
 	if r.ContentLength > maxBodyBytes {
 		return bodyError(new(http.MaxBytesError))
 	}
-	var err error
-	if r.ContentLength != 0 {
-		piece := chunks.Get().(*[chunkBytes]byte)
-		defer chunks.Put(piece)
-		for full := false; err == nil && !full; {
-			var n int
-			n, err = body.Read(piece[:min(chunkBytes, maxHeldBytes-len(c.body))])
-			if s.host.upstream.budget.reserve(n) {
-				c.reserved += n
-			} else {
-				full = true
-			}
-			c.body = append(c.body, piece[:n]...)
-			full = full || len(c.body) == maxHeldBytes
-		}
+	if r.ContentLength == 0 {
+		c.deadline = s.shutdown.bound(time.Now().Add(c.timeout))
+		return nil
 	}
-	switch {
-	case err == nil && r.ContentLength != 0:
+	switch err := s.holdBody(c, body); {
+	case err == nil:
 		c.length = r.ContentLength
-		c.rest = &upload{body: body, onFirstRead: func() { s.host.post(func() { s.host.balancer.BodyConsumed(c.number) }) },
-			onComplete: func() {
-				s.counts.open.Add(1)
-				s.host.post(func() { s.host.bodyComplete(c) })
-			}}
-	case err != nil && err != io.EOF:
+		c.rest = s.newUpload(c, body)
+	case errors.Is(err, io.EOF):
+		c.deadline = s.shutdown.bound(time.Now().Add(c.timeout))
+	default:
 		s.host.upstream.budget.release(c.reserved)
 		return bodyError(err)
-	default:
-		c.deadline = s.shutdown.bound(time.Now().Add(c.timeout))
 	}
 	return nil
 }
 
+// holdBody reads a body until it ends, with io.EOF or another error, or no more of it may be held.
+func (s *server) holdBody(c *call, body *pacedBody) error {
+	chunk := chunks.Get().(*[chunkBytes]byte)
+	defer chunks.Put(chunk)
+	for {
+		n, err := body.Read(chunk[:min(chunkBytes, maxHeldBytes-len(c.body))])
+		reserved := s.host.upstream.budget.reserve(n)
+		if reserved {
+			c.reserved += n
+		}
+		c.body = append(c.body, chunk[:n]...)
+		if err != nil || !reserved || len(c.body) == maxHeldBytes {
+			return err
+		}
+	}
+}
+
+// newUpload is the rest of a body, which the host hears of as it is read.
+func (s *server) newUpload(c *call, body *pacedBody) *upload {
+	return &upload{
+		body: body,
+		onFirstRead: func() {
+			s.host.post(func() { s.host.balancer.BodyConsumed(c.number) })
+		},
+		onComplete: func() {
+			s.counts.open.Add(1)
+			s.host.post(func() { s.host.bodyComplete(c) })
+		},
+	}
+}
+
 // reject answers a request that is not taken.
 func (s *server) reject(w http.ResponseWriter, c *call, f *requestError) {
 	if f.status == http.StatusServiceUnavailable {
--- a/internal/sidecar/uploadbody.go
+++ b/internal/sidecar/uploadbody.go
@@ -64,7 +64,7 @@
 	if p.shutdown.isLate(time.Now()) {
 		return 0, errTooLate
 	}
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		// The time for the body is over; a later end of the connection means that the client is gone.
 		_ = p.conn.SetReadDeadline(time.Time{})
 	} else if err == nil && p.timeLeft <= 0 {
@@ -115,7 +115,7 @@
 		u.onFirstRead()
 	}
 	n, err := u.body.Read(p)
-	if u.err = err; err == io.EOF {
+	if u.err = err; errors.Is(err, io.EOF) {
 		u.onComplete()
 	}
 	return n, err
@@ -134,7 +134,7 @@
 		u.err = errStopped
 	}
 	_ = u.body.conn.SetReadDeadline(time.Time{})
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		return nil
 	}
 	return err
@@ -144,14 +144,14 @@
 func (u *upload) isComplete() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.err == io.EOF
+	return errors.Is(u.err, io.EOF)
 }
 
 // hasFailed tells whether the client's side hasFailed.
 func (u *upload) hasFailed() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.err != nil && u.err != io.EOF && u.err != errStopped
+	return u.err != nil && !errors.Is(u.err, io.EOF) && !errors.Is(u.err, errStopped)
 }
 
 // connKey is under what a request's context has its client's connection.
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// attempt sends m to a server and waits for the end, until ctx is done. It sends it at most once.
-// An answer that is not held until its end is handed to begin, and the attempt ends with it.
+// attempt sends m to a server and waits for the end, until ctx is done. It sends it at most once. An answer that is not held until
+// its end is handed to begin, and the attempt ends with it.
 func (u *upstream) attempt(ctx context.Context, id string, m *message, begin func(*answerStream)) reply {
 	u.mu.Lock()
 	to := u.targets[id]
@@ -147,39 +147,8 @@
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	var conn *framing.ServerConn
-	var before int64
-	began := time.Now()
-	fresh := true // whether the connection has just been used, or opened
-	req := m.request(to.address)
-	req = req.WithContext(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(info httptrace.GotConnInfo) {
-			u.counts.connected(info.Reused, time.Since(began))
-			fresh = info.IdleTime < u.minOutage
-			if conn, _ = info.Conn.(*framing.ServerConn); conn != nil {
-				before, _ = conn.Meter()
-				bound := time.Duration(0)
-				if m.rest != nil { // a long body, which is not held
-					bound = stallTimeout
-				}
-				conn.BoundWrites(bound)
-			}
-			// Said only now: the wait for a connection is the client's time too.
-			wait := m.timeout
-			if end, ok := ctx.Deadline(); ok {
-				wait = time.Until(end)
-			}
-			if wait != 0 {
-				req.Header.Set("X-Timeout-Ms", strconv.FormatInt(max(wait.Milliseconds(), 1), 10))
-			}
-		},
-		WroteRequest: func(info httptrace.WroteRequestInfo) {
-			if info.Err == nil && m.relayed != nil {
-				m.relayed.Add(1)
-			}
-		},
-	}))
-	resp, err := to.pool.RoundTrip(req)
+	x := &exchange{upstream: u, target: to, message: m, startedAt: time.Now(), isFresh: true}
+	resp, err := x.roundTrip(ctx)
 	if err == nil {
 		var r reply
 		if r, err = u.read(resp, begin, func() { cancel(nil) }); err == nil {
@@ -187,37 +156,113 @@
 			return r
 		}
 	}
-	ran := false // whether it may have
-	if conn != nil {
-		// Closed first, so that what is counted after it is all that was or will be written.
-		_ = conn.Close()
-		written, short := conn.Meter()
-		ran = resp != nil || written > before && !short && (m.rest == nil || m.rest.isComplete())
+	hasAnswer := resp != nil
+	outcome := x.outcome(context.Cause(ctx), x.mayHaveRun(hasAnswer))
+	x.dropIdle(outcome, hasAnswer)
+	return reply{outcome: outcome}
+}
+
+// exchange is one attempt on its connection.
+type exchange struct {
+	upstream  *upstream
+	target    *target
+	message   *message
+	startedAt time.Time
+
+	conn          *framing.ServerConn // nil: there was none
+	writtenBefore int64               // bytes, by earlier attempts on it
+	isFresh       bool                // the connection has just been used, or opened
+}
+
+// roundTrip sends the request and returns the head of its answer.
+func (x *exchange) roundTrip(ctx context.Context) (*http.Response, error) {
+	req := x.message.request(x.target.address)
+	trace := &httptrace.ClientTrace{
+		GotConn: func(info httptrace.GotConnInfo) {
+			x.connected(info)
+			x.setTimeout(ctx, req.Header)
+		},
+		WroteRequest: func(info httptrace.WroteRequestInfo) {
+			if info.Err == nil && x.message.relayed != nil {
+				x.message.relayed.Add(1)
+			}
+		},
 	}
-	var outcome balance.Outcome
-	switch cause := context.Cause(ctx); {
-	case !ran && m.rest != nil && m.rest.hasFailed():
-		outcome = balance.NotSent // the client's fault, not the server's
-	case errors.Is(cause, context.Canceled) && ran:
-		outcome = balance.Cancelled
-	case errors.Is(cause, context.Canceled):
-		outcome = balance.NotSent
-	case !ran:
-		outcome = balance.ConnectFailed
+	return x.target.pool.RoundTrip(req.WithContext(httptrace.WithClientTrace(ctx, trace)))
+}
+
+// connected notes the connection that the attempt has got.
+func (x *exchange) connected(info httptrace.GotConnInfo) {
+	x.upstream.counts.connected(info.Reused, time.Since(x.startedAt))
+	x.isFresh = info.IdleTime < x.upstream.minOutage
+	x.conn, _ = info.Conn.(*framing.ServerConn)
+	if x.conn == nil {
+		return
+	}
+	x.writtenBefore, _ = x.conn.Meter()
+	writeTimeout := time.Duration(0)
+	if x.message.rest != nil { // a long body, which is not held
+		writeTimeout = stallTimeout
+	}
+	x.conn.BoundWrites(writeTimeout)
+}
+
+// setTimeout says how long the client waits. It does so once there is a connection: the wait for one is the client's time too.
+func (x *exchange) setTimeout(ctx context.Context, header http.Header) {
+	timeout := x.message.timeout
+	if end, ok := ctx.Deadline(); ok {
+		timeout = time.Until(end)
+	}
+	if timeout != 0 {
+		header.Set("X-Timeout-Ms", strconv.FormatInt(max(timeout.Milliseconds(), 1), 10))
+	}
+}
+
+// mayHaveRun closes the connection of an attempt that failed, and tells whether the server may have run the request. It is closed
+// first, so that what is counted after it is all that was or will be written.
+func (x *exchange) mayHaveRun(hasAnswer bool) bool {
+	if x.conn == nil {
+		return false
+	}
+	_ = x.conn.Close()
+	written, short := x.conn.Meter()
+	if hasAnswer {
+		return true
+	}
+	bodySent := x.message.rest == nil || x.message.rest.isComplete()
+	return written > x.writtenBefore && !short && bodySent
+}
+
+// outcome is how a failed attempt ended, by what its context ended for, if it did.
+func (x *exchange) outcome(cause error, mayHaveRun bool) balance.Outcome {
+	isCanceled := errors.Is(cause, context.Canceled)
+	switch {
+	case !mayHaveRun && x.message.rest != nil && x.message.rest.hasFailed():
+		return balance.NotSent // the client's fault, not the server's
+	case isCanceled && mayHaveRun:
+		return balance.Cancelled
+	case isCanceled:
+		return balance.NotSent
+	case !mayHaveRun:
+		return balance.ConnectFailed
 	case cause != nil:
-		outcome = balance.TimedOut
-	default:
-		outcome = balance.Reset
+		return balance.TimedOut
 	}
-	broken := outcome == balance.Reset && (fresh || resp != nil)
-	alive := broken || to.answered.Load() > began.UnixNano()
-	if outcome != balance.Cancelled && outcome != balance.NotSent && !alive {
-		// Danger: when a machine vanishes, its idle connections stay open and swallow requests that may then never
-		// be repeated. A new connection fails before anything is sent. But where it is just one connection that
-		// breaks or falls silent, the others are sound, and new ones would cost the server work.
-		to.pool.CloseIdleConnections()
+	return balance.Reset
+}
+
+// dropIdle closes the idle connections to a server that may have vanished: they stay open, and swallow requests that may then never
+// be retried, while a new connection fails before anything is sent. Where just one connection breaks or falls silent, the others
+// are sound, and new ones would cost the server work.
+func (x *exchange) dropIdle(outcome balance.Outcome, hasAnswer bool) {
+	if outcome == balance.Cancelled || outcome == balance.NotSent {
+		return
+	}
+	brokeAlone := outcome == balance.Reset && (x.isFresh || hasAnswer)
+	answeredSince := x.target.answered.Load() > x.startedAt.UnixNano()
+	if !brokeAlone && !answeredSince {
+		x.target.pool.CloseIdleConnections()
 	}
-	return reply{outcome: outcome}
 }
 
 // request makes the HTTP request of one attempt. Danger: http.Transport by itself sends again what it takes for safe
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -149,65 +149,100 @@
 	}
 }
 
-// follow keeps a watch open at an agent that pushes its news and answers at no cost, until ctx is done, and moves it to
-// each address that comes from moves.
+// follow keeps a watch open at an agent that pushes its lists and answers at no cost, until ctx is done, and moves it to each
+// address that comes from moves.
 //
-// Danger: what the agent has counts as told, whether or not anybody listened: at once to a new process, and some seconds later
-// where a watch fell silent or moves. So those ask for the whole list, which it always has an answer to, and leave one that says nothing
-// soon. One that breaks off is opened again soon; twice in a list that cannot be read, it asks for the whole one too.
+// What the agent has counts as published, whether or not anybody listened: at once to a new process, and some seconds later
+// where a watch fell silent or moves. So those ask for the complete list, which the agent always has an answer to, and leave an
+// agent that says nothing soon. A watch that breaks off is opened again soon; twice in a list that cannot be read, it asks for
+// the complete one too.
 func (h *host) follow(ctx context.Context, moves <-chan string) {
-	bad := 0
-	whole, first := true, h.discovery.firstTimeout
-	for pause := minBackoff; ; {
-		from := int64(noVersion)
-		if !whole {
-			from = h.table.resumeFrom()
-		}
-		now, leave := context.WithCancel(ctx)
-		ended := make(chan error, 1)
-		go func() {
-			ended <- h.watch(now, from, first, func() {
-				pause, bad, whole, first = minBackoff, 0, false, 0
-			})
-		}()
-		var err error
-		var address string
-		select {
-		case err = <-ended:
-			leave()
-			h.log.Info("discovery", "err", err)
-			switch {
-			case errors.Is(err, errSilent) && whole: // it may be slow
-				first = min(2*first, h.discovery.silenceTimeout)
-			case errors.Is(err, errSilent):
-				whole, first = true, h.discovery.firstTimeout
-			case errors.Is(err, errBadList):
-				if bad++; bad > 1 {
-					whole = true
-				}
-			}
-			select {
-			case address = <-moves:
-			case <-time.After(jitter(pause)):
-				if !errors.Is(err, errSilent) {
-					pause = min(2*pause, maxBackoff)
-				}
-			case <-ctx.Done():
-				return
-			}
-		case address = <-moves:
-			leave()
-			<-ended
-		case <-ctx.Done():
-			leave()
-			<-ended
+	plan := watchPlan{}
+	plan.restart(h.discovery)
+	for {
+		address, ok := h.watchOnce(ctx, &plan, moves)
+		if !ok {
 			return
 		}
 		if address != "" {
 			h.discovery.address.Store(address)
 			h.table.reset()
-			pause, whole, first = minBackoff, true, h.discovery.firstTimeout
+			plan.restart(h.discovery)
+		}
+	}
+}
+
+// watchPlan is how the next watch at an agent is opened.
+type watchPlan struct {
+	complete     bool          // the complete list is asked for
+	firstTimeout time.Duration // of the first list; 0: as of any other
+	backoff      time.Duration
+	badLists     int // in a row
+}
+
+// restart is for an agent that has not been asked.
+func (p *watchPlan) restart(d *discovery) {
+	p.backoff = minBackoff
+	p.complete = true
+	p.firstTimeout = d.firstTimeout
+}
+
+// listCame is for a watch that works.
+func (p *watchPlan) listCame() { *p = watchPlan{backoff: minBackoff} }
+
+// watchEnded is for a watch that ended with an error.
+func (p *watchPlan) watchEnded(err error, d *discovery) {
+	switch {
+	case errors.Is(err, errSilent) && p.complete: // the agent may be slow
+		p.firstTimeout = min(2*p.firstTimeout, d.silenceTimeout)
+	case errors.Is(err, errSilent):
+		p.complete = true
+		p.firstTimeout = d.firstTimeout
+	case errors.Is(err, errBadList):
+		p.badLists++
+		p.complete = p.complete || p.badLists > 1
+	}
+}
+
+// watchOnce opens a watch and returns once the next one is to be opened: at another address, or at the same where that is "". It
+// tells false once ctx is done.
+func (h *host) watchOnce(ctx context.Context, plan *watchPlan, moves <-chan string) (address string, ok bool) {
+	from := int64(noVersion)
+	if !plan.complete {
+		from = h.table.resumeFrom()
+	}
+	watchCtx, closeWatch := context.WithCancel(ctx)
+	defer closeWatch()
+	first, ended := plan.firstTimeout, make(chan error, 1)
+	go func() { ended <- h.watch(watchCtx, from, first, plan.listCame) }()
+	select {
+	case err := <-ended:
+		closeWatch()
+		h.log.Info("discovery", "err", err)
+		plan.watchEnded(err, h.discovery)
+		return h.awaitNextWatch(ctx, plan, err, moves)
+	case address = <-moves:
+		closeWatch()
+		<-ended
+		return address, true
+	case <-ctx.Done():
+		<-ended
+		return "", false
+	}
+}
+
+// awaitNextWatch waits for the backoff to end, or for another address.
+func (h *host) awaitNextWatch(ctx context.Context, plan *watchPlan, ended error, moves <-chan string) (address string, ok bool) {
+	select {
+	case address = <-moves:
+		return address, true
+	case <-time.After(jitter(plan.backoff)):
+		if !errors.Is(ended, errSilent) {
+			plan.backoff = min(2*plan.backoff, maxBackoff)
 		}
+		return "", true
+	case <-ctx.Done():
+		return "", false
 	}
 }
 
