--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// watchSilence is how long a watch may be silent: discovery writes at least an empty line every 2 s. Danger: a
+	// watchSilenceTimeout is how long a watch may be silent: discovery writes at least an empty line every 2 s. Danger: a
 	// machine that is cut off says nothing, and the old list would be believed for good. What it has to tell counts as
 	// told toldWithin after it fell silent all the same, so a new watch must have had the time to tell it by then.
-	watchSilence = 4500 * time.Millisecond
-	toldWithin   = 6 * time.Second
-	// agentSilence is that of an agent on the own machine. It answers at no cost, so that one that was only late is no loss; and
+	watchSilenceTimeout = 4500 * time.Millisecond
+	toldWithin          = 6 * time.Second
+	// agentSilenceTimeout is that of an agent on the own machine. It answers at no cost, so that one that was only late is no loss; and
 	// a new watch may be silent too, which must leave time for one more.
-	agentSilence = 3500 * time.Millisecond
-	agentWithin  = time.Second
-	mostList     = 4 << 20 // bytes of a list of a watch
+	agentSilenceTimeout = 3500 * time.Millisecond
+	agentFirstTimeout   = time.Second
+	maxListBytes        = 4 << 20 // bytes of a list of a watch
 )
 
 // Target is one server of discovery's list.
@@ -44,9 +44,9 @@
 
 // List is what discovery says at once: all servers, or those that changed.
 type List struct {
-	Rev     int64
-	All     bool
-	Targets []Target
+	Version  int64
+	Complete bool
+	Targets  []Target
 }
 
 // parseList reads discovery's JSON strictly: a list that is wrong in one entry is wrong.
@@ -71,7 +71,7 @@
 	if l.Rev == nil {
 		return List{}, errors.New("list has no rev")
 	}
-	list := List{Rev: *l.Rev, All: l.All}
+	list := List{Version: *l.Rev, Complete: l.All}
 	for i, e := range l.Targets {
 		t := Target{ID: e.UID, Address: e.Endpoint, Zone: e.AZ, Kind: e.Model, Cell: e.PodGroup, Size: 1}
 		switch e.State {
@@ -106,105 +106,133 @@
 var (
 	errBadList = errors.New("bad list")
 	errSilent  = errors.New("silent")
+
+	errWatchEnded = errors.New("ended")
 )
 
 // discovery is the client of the list of servers.
 type discovery struct {
-	address atomic.Value // string
-	client  *http.Transport
-	silence time.Duration
-	within  time.Duration // an agent that is asked for the whole list has it; twice as long each time that it says nothing
+	address        atomic.Value // string
+	client         *http.Transport
+	silenceTimeout time.Duration
+	firstTimeout   time.Duration // an agent that is asked for the whole list has it; twice as long each time that it says nothing
 }
 
 // newDiscovery is the client of the list at an address; pushed tells whether an agent answers there at once and at no cost.
 func newDiscovery(address string, connect time.Duration, pushed bool) *discovery {
-	d := &discovery{silence: watchSilence, within: agentWithin, client: &http.Transport{
+	d := &discovery{silenceTimeout: watchSilenceTimeout, firstTimeout: agentFirstTimeout, client: &http.Transport{
 		DialContext:        (&net.Dialer{Timeout: max(connect, time.Second)}).DialContext,
 		DisableCompression: true,
 		DisableKeepAlives:  true, // a watch lasts as long as its connection
 	}}
 	if pushed {
-		d.silence = agentSilence
+		d.silenceTimeout = agentSilenceTimeout
 	}
 	d.address.Store(address)
 	return d
 }
 
-// watch asks for the changes after version from (below 0: for the whole list) and hands each list to told, until the watch
-// ends. The first list has to come within first, or as soon as any other where that is 0. It always returns an error, which
-// says why; one that wraps errSilent: nothing came for too long.
-func (d *discovery) watch(ctx context.Context, from int64, first time.Duration, told func(List)) error {
+// watch asks for the changes after version from (below 0: for the complete list) and hands each list to onList, until the watch
+// ends. The first list has to come within first, or as soon as any other where that is 0. It always returns an error, which says
+// why; one that wraps errSilent: nothing came for too long.
+func (d *discovery) watch(ctx context.Context, from int64, first time.Duration, onList func(List)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	first = cmp.Or(first, d.silence)
-	endAfter := func(wait time.Duration) *time.Timer {
-		return time.AfterFunc(wait, func() { cancel(fmt.Errorf("%w: nothing came for %v", errSilent, wait)) })
+	first = cmp.Or(first, d.silenceTimeout)
+	silence := &silenceTimer{cancel: cancel}
+	silence.start(first)
+	defer func() { silence.timer.Stop() }()
+	resp, err := d.request(ctx, from)
+	if err != nil {
+		return fmt.Errorf("watch: %w", err)
+	}
+	defer func() { _ = resp.Body.Close() }()
+	if resp.StatusCode != http.StatusOK {
+		return fmt.Errorf("watch: status %d", resp.StatusCode)
+	}
+	reader := &watchReader{from: resp.Body, budget: maxListBytes}
+	onHeartbeat := func() { silence.timer.Reset(d.silenceTimeout) }
+	if first == d.silenceTimeout {
+		reader.onHeartbeat = onHeartbeat // an empty line will do for a sign of life
 	}
-	silent := endAfter(first)
-	defer func() { silent.Stop() }()
+	lists := json.NewDecoder(reader) // a list may be indented, and so have lines of its own
+	for {
+		list, err := nextList(ctx, lists)
+		if err != nil {
+			return fmt.Errorf("watch: %w", err)
+		}
+		silence.timer.Stop()
+		silence.start(d.silenceTimeout)
+		reader.budget, reader.onHeartbeat = maxListBytes, onHeartbeat
+		onList(list)
+	}
+}
+
+// silenceTimer ends a watch on which nothing comes.
+type silenceTimer struct {
+	cancel context.CancelCauseFunc
+	timer  *time.Timer
+}
 
+func (s *silenceTimer) start(timeout time.Duration) {
+	s.timer = time.AfterFunc(timeout, func() { s.cancel(fmt.Errorf("%w: nothing came for %v", errSilent, timeout)) })
+}
+
+// request opens a watch.
+func (d *discovery) request(ctx context.Context, from int64) (*http.Response, error) {
 	url := fmt.Sprintf("http://%s/v1/servers?watch=1", d.address.Load())
 	if from >= 0 {
 		url += "&from=" + strconv.FormatInt(from, 10)
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
-		return fmt.Errorf("watch: %w", err)
+		return nil, err
 	}
 	resp, err := d.client.RoundTrip(req)
 	if err != nil {
-		return fmt.Errorf("watch: %w", errors.Join(err, context.Cause(ctx)))
+		return nil, errors.Join(err, context.Cause(ctx))
 	}
-	defer resp.Body.Close()
-	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("watch: status %d", resp.StatusCode)
-	}
-	said := &spoken{from: resp.Body, left: mostList}
-	beat := func() { silent.Reset(d.silence) }
-	if first == d.silence {
-		said.beat = beat // an empty line will do for a sign of life
+	return resp, nil
+}
+
+// nextList reads the next list of a watch. One that cannot be read is errBadList.
+func nextList(ctx context.Context, lists *json.Decoder) (List, error) {
+	var text json.RawMessage
+	switch err := lists.Decode(&text); {
+	case err == nil:
+	case errors.Is(err, io.EOF):
+		return List{}, errWatchEnded
+	case errors.As(err, new(*json.SyntaxError)), errors.Is(err, errLongList):
+		return List{}, fmt.Errorf("%w: %w", errBadList, err)
+	default:
+		return List{}, errors.Join(err, context.Cause(ctx))
 	}
-	lists := json.NewDecoder(said) // a list may be indented, and so have lines of its own
-	for {
-		var text json.RawMessage
-		switch err := lists.Decode(&text); {
-		case err == io.EOF:
-			return errors.New("watch: ended")
-		case errors.As(err, new(*json.SyntaxError)), errors.Is(err, errLongList):
-			return fmt.Errorf("watch: %w: %w", errBadList, err)
-		case err != nil:
-			return fmt.Errorf("watch: %w", errors.Join(err, context.Cause(ctx)))
-		}
-		list, err := parseList(text)
-		if err != nil {
-			return fmt.Errorf("watch: %w: %w", errBadList, err)
-		}
-		silent.Stop()
-		silent = endAfter(d.silence)
-		said.left, said.beat = mostList, beat
-		told(list)
+	list, err := parseList(text)
+	if err != nil {
+		return List{}, fmt.Errorf("%w: %w", errBadList, err)
 	}
+	return list, nil
 }
 
 var errLongList = errors.New("too long")
 
-// spoken reads what a watch says. It calls beat, if any, for each empty line, and bounds what may come up to the end of a list.
+// watchReader reads what a watch says. It calls beat, if any, for each empty line, and bounds what may come up to the end of a list.
 //
 // Danger: a list that begins and never ends is silence too, so what is not empty is no sign of life before the list is whole.
-type spoken struct {
-	from io.Reader
-	left int // bytes
-	beat func()
+type watchReader struct {
+	from        io.Reader
+	budget      int // bytes
+	onHeartbeat func()
 }
 
 // Read implements io.Reader.
-func (s *spoken) Read(p []byte) (int, error) {
-	n, err := s.from.Read(p[:min(len(p), max(s.left, 0)+1)])
-	if s.left -= n; s.left < 0 {
+func (s *watchReader) Read(p []byte) (int, error) {
+	n, err := s.from.Read(p[:min(len(p), max(s.budget, 0)+1)])
+	if s.budget -= n; s.budget < 0 {
 		return 0, errLongList
 	}
-	if n > 0 && s.beat != nil && len(bytes.TrimSpace(p[:n])) == 0 {
-		s.beat()
+	if n > 0 && s.onHeartbeat != nil && len(bytes.TrimSpace(p[:n])) == 0 {
+		s.onHeartbeat()
 	}
 	return n, err
 }
