--- a/internal/sidecar/client/listcache.go
+++ b/internal/sidecar/client/listcache.go
@@ -10,15 +10,15 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-// Cache keeps the last good list in a file, for the next process.
-type Cache struct{ path string }
+// ListCache keeps the last good list in a file, for the next process.
+type ListCache struct{ path string }
 
-// NewCache keeps it in a folder, for a client of a name. No folder: nothing is kept.
-func NewCache(folder, name string) Cache {
+// NewListCache keeps it in a folder, for a client of a name. No folder: nothing is kept.
+func NewListCache(folder, name string) ListCache {
 	if folder == "" {
-		return Cache{}
+		return ListCache{}
 	}
-	return Cache{filepath.Join(folder, "list-"+name+".cache")}
+	return ListCache{filepath.Join(folder, "list-"+name+".cache")}
 }
 
 var listCacheKind = sealed.Kind{Magic: "gradeusher-list", Form: 1, Needs: 1}
@@ -32,7 +32,7 @@
 	List    list.List `json:"list"`
 }
 
-func (c Cache) cell() sealed.Cell[cachedList] {
+func (c ListCache) cell() sealed.Cell[cachedList] {
 	return sealed.Cell[cachedList]{Path: c.path, Kind: listCacheKind, Most: maxCachedListBytes, Check: func(v cachedList) error {
 		for _, t := range v.List.Targets {
 			if err := t.Check(); err != nil {
@@ -45,7 +45,7 @@
 
 // Load is what was saved last, and how long ago. It tells false where there is nothing; errors tell of what was unsound, which
 // is set aside.
-func (c Cache) Load(now time.Time) (l list.List, age time.Duration, ok bool, err error) {
+func (c ListCache) Load(now time.Time) (l list.List, age time.Duration, ok bool, err error) {
 	v, ok, err := c.cell().Load()
 	if !ok {
 		return l, 0, false, cacheError(err)
@@ -54,7 +54,7 @@
 }
 
 // Save replaces what was saved.
-func (c Cache) Save(l list.List, now time.Time) error {
+func (c ListCache) Save(l list.List, now time.Time) error {
 	return cacheError(c.cell().Save(cachedList{now.UnixMilli(), l}))
 }
 
--- a/internal/sidecar/client/subscriber.go
+++ b/internal/sidecar/client/listsubscriber.go
@@ -12,28 +12,28 @@
 	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
-// Update is what a follower tells.
-type Update struct {
+// ListUpdate is what a follower tells.
+type ListUpdate struct {
 	Complete bool          `json:"all"`        // Targets is all there is; else what changed
 	Cached   bool          `json:"remembered"` // it is what was held before, not what a keeper says now
 	Targets  []list.Target `json:"targets"`
 }
 
-// Options say how a Follower follows.
-type Options struct {
+// ListOptions say how a Follower follows.
+type ListOptions struct {
 	Registry     []string
 	ShrinkLimits ShrinkLimits
-	Cache        Cache
+	Cache        ListCache
 	MaxAge       time.Duration // a keeper that was out of touch for longer is left for another; 0: 2.5 s
 	Log          *slog.Logger
-	OnUpdate     func(Update)  // called by one goroutine
-	SaveInterval time.Duration // the list is saved at most so often; 0: 1 s
+	OnUpdate     func(ListUpdate) // called by one goroutine
+	SaveInterval time.Duration    // the list is saved at most so often; 0: 1 s
 }
 
-// Subscriber keeps a list by watching one keeper after the other.
-type Subscriber struct {
+// ListSubscriber keeps a list by watching one keeper after the other.
+type ListSubscriber struct {
 	rotation
-	o                Options
+	o                ListOptions
 	reader           *Reader
 	saves            *asyncSaver[list.List]
 	confirmations    chan confirmation // the answer to a second reading that was asked for
@@ -54,8 +54,8 @@
 	tendInterval        = 500 * time.Millisecond
 )
 
-// NewSubscriber takes up what the cache holds and tells it at once.
-func NewSubscriber(o Options) (*Subscriber, error) {
+// NewListSubscriber takes up what the cache holds and tells it at once.
+func NewListSubscriber(o ListOptions) (*ListSubscriber, error) {
 	if err := checkAddresses(o.Registry); err != nil {
 		return nil, err
 	}
@@ -65,7 +65,7 @@
 	if o.SaveInterval == 0 {
 		o.SaveInterval = defaultSaveInterval
 	}
-	f := &Subscriber{rotation: newRotation("list", o.Registry, o.Log), o: o, reader: NewReader(o.ShrinkLimits), confirmations: make(chan confirmation, 1)}
+	f := &ListSubscriber{rotation: newRotation("list", o.Registry, o.Log), o: o, reader: NewReader(o.ShrinkLimits), confirmations: make(chan confirmation, 1)}
 	l, age, ok, err := o.Cache.Load(time.Now())
 	if err != nil {
 		o.Log.Warn("list", "err", err)
@@ -74,13 +74,13 @@
 		o.Log.Info("list remembered", "rev", l.Rev, "servers", len(l.Targets), "age_s", int64(age.Seconds()))
 		f.reader.Restore(l)
 		f.lastUpToDate.Store(time.Now().Add(-age).UnixNano())
-		o.OnUpdate(Update{Complete: true, Cached: true, Targets: f.reader.List().Targets})
+		o.OnUpdate(ListUpdate{Complete: true, Cached: true, Targets: f.reader.List().Targets})
 	}
 	return f, nil
 }
 
 // Run follows until ctx is done.
-func (f *Subscriber) Run(ctx context.Context) {
+func (f *ListSubscriber) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	f.saves = newAsyncSaver("list", f.o.Log, func(l list.List) error { return f.o.Cache.Save(l, time.Now()) })
 	defer f.saves.close()
@@ -91,7 +91,7 @@
 }
 
 // waitAndTend passes a time, in which a list that is doubted goes on being looked at.
-func (f *Subscriber) waitAndTend(ctx context.Context, d time.Duration) bool {
+func (f *ListSubscriber) waitAndTend(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	tick := time.NewTicker(tendInterval)
@@ -114,7 +114,7 @@
 }
 
 // watchList follows one keeper until it ends or is no good. came: it said something new.
-func (f *Subscriber) watchList(ctx context.Context, keeper string) (came bool, after time.Duration, err error) {
+func (f *ListSubscriber) watchList(ctx context.Context, keeper string) (came bool, after time.Duration, err error) {
 	path := "/v1/servers?watch=1&ages=1"
 	if f.reader.Revision() >= 0 {
 		path += "&from=" + strconv.FormatInt(f.reader.Revision(), 10) + "&cluster=" + f.reader.Cluster()
@@ -167,7 +167,7 @@
 }
 
 // receive takes what a keeper says and tells what changes by it.
-func (f *Subscriber) receive(l list.List) error {
+func (f *ListSubscriber) receive(l list.List) error {
 	first, missing := f.reader.Revision() < 0, f.reader.Missing()
 	foreign := !first && f.reader.Cluster() != "" && l.Cluster != f.reader.Cluster()
 	rev := f.reader.Revision()
@@ -194,10 +194,10 @@
 	return nil
 }
 
-func (f *Subscriber) publish(changes []list.Target, all bool) {
+func (f *ListSubscriber) publish(changes []list.Target, all bool) {
 	if len(changes) > 0 || all {
 		f.dirty = true
-		f.o.OnUpdate(Update{Complete: all, Targets: changes})
+		f.o.OnUpdate(ListUpdate{Complete: all, Targets: changes})
 	}
 }
 
@@ -208,7 +208,7 @@
 }
 
 // tend does what time brings: a second reading, steps without one, and saving. It never waits: news would.
-func (f *Subscriber) tend(ctx context.Context, now time.Time, watched string) {
+func (f *ListSubscriber) tend(ctx context.Context, now time.Time, watched string) {
 	if !f.confirming && f.reader.NeedsConfirmation(now) && now.Sub(f.lastConfirmation) >= f.o.ShrinkLimits.ConfirmAfter {
 		f.confirming, f.lastConfirmation = true, now
 		keeper, path := f.otherAddress(watched), "/v1/servers?from="+strconv.FormatInt(f.reader.Revision(), 10)+"&cluster="+f.reader.Cluster()
@@ -224,7 +224,7 @@
 }
 
 // confirm takes a second reading.
-func (f *Subscriber) confirm(r confirmation) {
+func (f *ListSubscriber) confirm(r confirmation) {
 	f.confirming = false
 	gone, err := []list.Target(nil), r.err
 	if err == nil {
@@ -236,7 +236,7 @@
 	f.releaseTargets(gone, true)
 }
 
-func (f *Subscriber) releaseTargets(gone []list.Target, confirmed bool) {
+func (f *ListSubscriber) releaseTargets(gone []list.Target, confirmed bool) {
 	if len(gone) > 0 {
 		f.o.Log.Warn("list: servers let go", "servers", len(gone), "confirmed", confirmed, "missing", f.reader.Missing())
 	}
@@ -244,7 +244,7 @@
 }
 
 // otherAddress is a keeper for a second reading: where there is one, another than the one that is watched.
-func (f *Subscriber) otherAddress(watched string) string {
+func (f *ListSubscriber) otherAddress(watched string) string {
 	n := len(f.addresses)
 	for i := range n {
 		if k := f.addresses[(f.next+1+i)%n]; k != watched {
@@ -255,7 +255,7 @@
 }
 
 // readList reads the whole list once from a keeper.
-func (f *Subscriber) readList(ctx context.Context, keeper, path string) (list.List, error) {
+func (f *ListSubscriber) readList(ctx context.Context, keeper, path string) (list.List, error) {
 	ctx, cancel := context.WithTimeout(ctx, confirmationTimeout)
 	defer cancel()
 	body, _, err := f.get(ctx, keeper, path)
@@ -271,7 +271,7 @@
 }
 
 // save hands the list on to be saved if it changed, now or not too often.
-func (f *Subscriber) save(now bool) {
+func (f *ListSubscriber) save(now bool) {
 	if !f.dirty || !now && time.Since(f.saved) < f.o.SaveInterval {
 		return
 	}
--- a/internal/sidecar/client/subscriber_test.go
+++ b/internal/sidecar/client/listsubscriber_test.go
@@ -66,12 +66,12 @@
 }
 
 // follow follows keepers until the test ends. held tells what the consumer holds, in order.
-func follow(t *testing.T, o Options) (f *Subscriber, held func() string) {
+func follow(t *testing.T, o ListOptions) (f *ListSubscriber, held func() string) {
 	t.Helper()
 	var mu sync.Mutex
 	all := map[string]list.Target{}
 	o.Log = slog.New(slog.DiscardHandler)
-	o.OnUpdate = func(u Update) {
+	o.OnUpdate = func(u ListUpdate) {
 		mu.Lock()
 		defer mu.Unlock()
 		if u.Complete {
@@ -83,7 +83,7 @@
 			}
 		}
 	}
-	f, err := NewSubscriber(o)
+	f, err := NewListSubscriber(o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,11 +134,11 @@
 				bad = newScripted(t)
 				bad.refuses = 1 << 30
 			}
-			cache := NewCache(t.TempDir(), "n")
+			cache := NewListCache(t.TempDir(), "n")
 			if err := cache.Save(completeList(5, 0, 1, 2), time.Now()); err != nil {
 				t.Fatal(err)
 			}
-			_, held := follow(t, Options{Registry: []string{bad.at(), good.at()}, ShrinkLimits: DefaultShrinkLimits, Cache: cache})
+			_, held := follow(t, ListOptions{Registry: []string{bad.at(), good.at()}, ShrinkLimits: DefaultShrinkLimits, Cache: cache})
 			eventually(t, "the good keeper's news", func() bool { return held() == "0 1 2 7 " })
 			if q := good.queries()[0]; q != "watch=1&ages=1&from=5&cluster=c" {
 				t.Errorf("asked %s", q)
@@ -156,12 +156,12 @@
 	shrunk := newScripted(t, completeList(9, 0, 1))
 	other := newScripted(t)
 	other.whole = completeList(9, 0, 1, 2, 3)
-	cache := NewCache(t.TempDir(), "n")
+	cache := NewListCache(t.TempDir(), "n")
 	if err := cache.Save(completeList(5, 0, 1, 2, 3, 4, 5, 6, 7), time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	other.refuses = 1 << 30 // only the first one can be watched
-	f, held := follow(t, Options{Registry: []string{shrunk.at(), other.at()}, Cache: cache,
+	f, held := follow(t, ListOptions{Registry: []string{shrunk.at(), other.at()}, Cache: cache,
 		ShrinkLimits: ShrinkLimits{MaxShare: 0.3, MinCount: 1, ConfirmAfter: 300 * time.Millisecond, ReleaseInterval: time.Hour}})
 	eventually(t, "a second reading", func() bool { return held() == "0 1 2 3 " })
 	other.mu.Lock()
--- a/internal/sidecar/client/routes_test.go
+++ b/internal/sidecar/client/routes_test.go
@@ -235,7 +235,7 @@
 					log := slog.New(slog.DiscardHandler)
 					var run func(context.Context)
 					if path == "/v1/servers" {
-						f, err := NewSubscriber(Options{Registry: keepers, ShrinkLimits: ShrinkLimits{MaxShare: 1}, Log: log, OnUpdate: func(u Update) {
+						f, err := NewListSubscriber(ListOptions{Registry: keepers, ShrinkLimits: ShrinkLimits{MaxShare: 1}, Log: log, OnUpdate: func(u ListUpdate) {
 							for _, s := range u.Targets {
 								if s.UID == "s-1" && s.State == list.Serving {
 									told <- time.Since(began)
