--- a/cmd/gradeusher/keeper_cluster_test.go
+++ b/cmd/gradeusher/keeper_cluster_test.go
@@ -160,7 +160,7 @@
 	held map[string]list.Target
 }
 
-func (s *seen) told(u client.Update) {
+func (s *seen) told(u client.ListUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if u.Complete {
--- a/cmd/gradeusher/keeper_test.go
+++ b/cmd/gradeusher/keeper_test.go
@@ -25,7 +25,7 @@
 	t.Parallel()
 	k := newKeepers(t, 3, "")
 	s := &seen{}
-	f, err := client.NewSubscriber(client.Options{Registry: k.addresses(), ShrinkLimits: client.DefaultShrinkLimits, Log: quiet(), OnUpdate: s.told})
+	f, err := client.NewListSubscriber(client.ListOptions{Registry: k.addresses(), ShrinkLimits: client.DefaultShrinkLimits, Log: quiet(), OnUpdate: s.told})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/gradeusher/list.go
+++ b/cmd/gradeusher/list.go
@@ -83,9 +83,9 @@
 		return fmt.Errorf("%w: --for %v is not within 1ns to 24h", errUsage, c.For)
 	}
 	lines := json.NewEncoder(s.out)
-	f, err := client.NewSubscriber(client.Options{Registry: strings.Split(c.Keepers, ","), ShrinkLimits: client.DefaultShrinkLimits,
+	f, err := client.NewListSubscriber(client.ListOptions{Registry: strings.Split(c.Keepers, ","), ShrinkLimits: client.DefaultShrinkLimits,
 		Log: slog.New(slog.NewTextHandler(s.err, nil)),
-		OnUpdate: func(u client.Update) {
+		OnUpdate: func(u client.ListUpdate) {
 			if c.JSON {
 				_ = lines.Encode(u) // to a reader that has gone
 				return
--- a/internal/compat/sidecardata_test.go
+++ b/internal/compat/sidecardata_test.go
@@ -265,11 +265,11 @@
 		{UID: "s-1", Endpoint: "10.0.0.1:80", Zone: "za", Model: "m", PodGroup: 3, State: list.Serving, Capacity: &capacity, BootMS: 45},
 		{UID: "s-2", Endpoint: "10.0.0.2:80", Zone: "zb", Model: "m", State: list.Draining}}}
 	dir := t.TempDir()
-	if err := client.NewCache(dir, "n7").Save(l, savedAt); err != nil {
+	if err := client.NewListCache(dir, "n7").Save(l, savedAt); err != nil {
 		t.Fatal(err)
 	}
 	sameFile(t, dir, "list-n7.cache")
-	got, age, ok, err := client.NewCache(copied(t, "testdata/sealed"), "n7").Load(savedAt.Add(5 * time.Second))
+	got, age, ok, err := client.NewListCache(copied(t, "testdata/sealed"), "n7").Load(savedAt.Add(5 * time.Second))
 	if err != nil || !ok || age != 5*time.Second || got.Rev != 44 || len(got.Targets) != 2 || got.Targets[0].Changed(l.Targets[0]) || got.Targets[1] != l.Targets[1] {
 		t.Errorf("%+v, %v old, %t, %v", got, age, ok, err)
 	}
--- a/internal/lab/standin/watchers.go
+++ b/internal/lab/standin/watchers.go
@@ -19,8 +19,8 @@
 	defer cancel()
 	var all sync.WaitGroup
 	for _, addresses := range of {
-		f, err := client.NewSubscriber(client.Options{Registry: strings.Split(addresses, "/"), ShrinkLimits: client.DefaultShrinkLimits,
-			Log: slog.New(slog.NewTextHandler(log, nil)), OnUpdate: func(client.Update) {}})
+		f, err := client.NewListSubscriber(client.ListOptions{Registry: strings.Split(addresses, "/"), ShrinkLimits: client.DefaultShrinkLimits,
+			Log: slog.New(slog.NewTextHandler(log, nil)), OnUpdate: func(client.ListUpdate) {}})
 		if err != nil {
 			return err
 		}
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -24,7 +24,7 @@
 	origin    time.Time
 	upstream  *upstream
 	discovery *discovery
-	keepers   *client.Subscriber // of the list, in place of discovery; nil: there are none
+	keepers   *client.ListSubscriber // of the list, in place of discovery; nil: there are none
 	routing   routing
 	handover  *handover
 	kept      *kept // nil: a process leaves nothing to the next one
--- a/internal/sidecar/keepers.go
+++ b/internal/sidecar/keepers.go
@@ -15,9 +15,9 @@
 func (h *host) keep(ctx context.Context, c *Config) error {
 	k := c.Keepers
 	var err error
-	h.keepers, err = client.NewSubscriber(client.Options{Registry: k.Addresses, ShrinkLimits: k.Doubt, MaxAge: k.MostAge, Log: h.log,
-		Cache: client.NewCache(c.Common, c.Name),
-		OnUpdate: func(u client.Update) {
+	h.keepers, err = client.NewListSubscriber(client.ListOptions{Registry: k.Addresses, ShrinkLimits: k.Doubt, MaxAge: k.MostAge, Log: h.log,
+		Cache: client.NewListCache(c.Common, c.Name),
+		OnUpdate: func(u client.ListUpdate) {
 			l := List{All: u.Complete}
 			for _, t := range u.Targets {
 				l.Targets = append(l.Targets, k.target(t))
