--- a/internal/sidecar/client/listcache.go
+++ b/internal/sidecar/client/listcache.go
@@ -10,10 +10,10 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-// ListCache keeps the last good list in a file, for the next process.
+// ListCache saves the last good list in a file, for the next process.
 type ListCache struct{ path string }
 
-// NewListCache keeps it in a folder, for a client of a name. No folder: nothing is kept.
+// NewListCache returns the cache of a client of a name in a folder. Without a folder nothing is saved.
 func NewListCache(folder, name string) ListCache {
 	if folder == "" {
 		return ListCache{}
@@ -23,34 +23,37 @@
 
 var listCacheKind = sealed.Kind{Magic: "gradeusher-list", Form: 1, Needs: 1}
 
-// maxCachedListBytes is bytes of a saved list: under 2 KiB for each server that keepers take, with names that JSON escapes, and twice as
-// many servers, as what a list that shrank lacks is held until that is sure.
+// maxCachedListBytes allows under 2 KiB for each server that the registry takes, with names that JSON escapes, and twice as many servers, because
+// a Reader has what a list that shrank lacks until that is confirmed.
 const maxCachedListBytes = 2 * state.MaxServers * 2048
 
+// cachedList is the content of the file. Its JSON names are stored data and never change.
 type cachedList struct {
 	SavedMS int64     `json:"saved_ms"` // Unix time
 	List    list.List `json:"list"`
 }
 
-func (c ListCache) cell() sealed.Cell[cachedList] {
-	return sealed.Cell[cachedList]{Path: c.path, Kind: listCacheKind, Most: maxCachedListBytes, Check: func(v cachedList) error {
-		for _, t := range v.List.Targets {
-			if err := t.Check(); err != nil {
-				return err
-			}
+func (c cachedList) check() error {
+	for _, target := range c.List.Targets {
+		if err := target.Check(); err != nil {
+			return err
 		}
-		return nil
-	}}
+	}
+	return nil
+}
+
+func (c ListCache) cell() sealed.Cell[cachedList] {
+	return sealed.Cell[cachedList]{Path: c.path, Kind: listCacheKind, Most: maxCachedListBytes, Check: cachedList.check}
 }
 
-// Load is what was saved last, and how long ago. It tells false where there is nothing; errors tell of what was unsound, which
-// is set aside.
-func (c ListCache) Load(now time.Time) (l list.List, age time.Duration, ok bool, err error) {
-	v, ok, err := c.cell().Load()
-	if !ok {
-		return l, 0, false, cacheError(err)
+// Load returns the list that was saved last and its age, and whether there is one. An error is that of a corrupt file, which is quarantined, or of
+// one that cannot be read.
+func (c ListCache) Load(now time.Time) (saved list.List, age time.Duration, found bool, err error) {
+	content, found, err := c.cell().Load()
+	if !found {
+		return list.List{}, 0, false, cacheError(err)
 	}
-	return v.List, max(0, now.Sub(time.UnixMilli(v.SavedMS))), true, nil
+	return content.List, max(0, now.Sub(time.UnixMilli(content.SavedMS))), true, nil
 }
 
 // Save replaces what was saved.
@@ -58,7 +61,7 @@
 	return cacheError(c.cell().Save(cachedList{now.UnixMilli(), l}))
 }
 
-// cacheError says where an error came from; nil stays nil.
+// cacheError says that an error is of a cache; nil stays nil.
 func cacheError(err error) error {
 	if err == nil {
 		return nil
--- a/internal/sidecar/client/listsubscriber.go
+++ b/internal/sidecar/client/listsubscriber.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"io"
 	"log/slog"
 	"strconv"
@@ -12,257 +11,234 @@
 	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
-// ListUpdate is what a follower tells.
+// ListUpdate is what changes in a subscriber's list.
 type ListUpdate struct {
 	Complete bool          `json:"all"`        // Targets is all there is; else what changed
-	Cached   bool          `json:"remembered"` // it is what was held before, not what a keeper says now
+	Cached   bool          `json:"remembered"` // it is of the cache; no node has confirmed it yet
 	Targets  []list.Target `json:"targets"`
 }
 
-// ListOptions say how a Follower follows.
+// ListOptions are those of a ListSubscriber.
 type ListOptions struct {
-	Registry     []string
+	Registry     []string // addresses of the nodes
 	ShrinkLimits ShrinkLimits
 	Cache        ListCache
-	MaxAge       time.Duration // a keeper that was out of touch for longer is left for another; 0: 2.5 s
+	MaxAge       time.Duration // a node that was out of touch for longer is left for another; 0: 2.5 s
 	Log          *slog.Logger
 	OnUpdate     func(ListUpdate) // called by one goroutine
-	SaveInterval time.Duration    // the list is saved at most so often; 0: 1 s
+	SaveInterval time.Duration    // shortest time between two saves of the list; 0: 1 s
 }
 
-// ListSubscriber keeps a list by watching one keeper after the other.
+// ListSubscriber keeps a list up to date by watching one node after the other.
 type ListSubscriber struct {
 	rotation
-	o                ListOptions
+	options          ListOptions
 	reader           *Reader
 	saves            *asyncSaver[list.List]
 	confirmations    chan confirmation // the answer to a second reading that was asked for
-	lastConfirmation time.Time         // when it last was
-	confirming       bool
+	lastConfirmation time.Time         // when one was last asked for
+	confirming       bool              // one is on its way
 	tasks            sync.WaitGroup
 	dirty            bool // the list is not saved
 	saved            time.Time
 }
 
-// Times of a Follower's calls.
 const (
-	minWatchBackoff     = 100 * time.Millisecond
-	maxWatchBackoff     = 5 * time.Second // so that a fleet comes back to its keepers over some seconds
-	defaultMaxAge       = 2500 * time.Millisecond
 	defaultSaveInterval = time.Second
 	confirmationTimeout = 3 * time.Second
 	tendInterval        = 500 * time.Millisecond
 )
 
-// NewListSubscriber takes up what the cache holds and tells it at once.
-func NewListSubscriber(o ListOptions) (*ListSubscriber, error) {
-	if err := checkAddresses(o.Registry); err != nil {
+// NewListSubscriber begins with what the cache has, and calls OnUpdate with it at once. The error says which address is invalid.
+func NewListSubscriber(options ListOptions) (*ListSubscriber, error) {
+	if err := checkAddresses(options.Registry); err != nil {
 		return nil, err
 	}
-	if o.MaxAge == 0 {
-		o.MaxAge = defaultMaxAge
+	if options.MaxAge == 0 {
+		options.MaxAge = defaultMaxAge
 	}
-	if o.SaveInterval == 0 {
-		o.SaveInterval = defaultSaveInterval
+	if options.SaveInterval == 0 {
+		options.SaveInterval = defaultSaveInterval
 	}
-	f := &ListSubscriber{rotation: newRotation("list", o.Registry, o.Log), o: o, reader: NewReader(o.ShrinkLimits), confirmations: make(chan confirmation, 1)}
-	l, age, ok, err := o.Cache.Load(time.Now())
+	s := &ListSubscriber{
+		rotation:      newRotation("list", options.Registry, options.Log),
+		options:       options,
+		reader:        NewReader(options.ShrinkLimits),
+		confirmations: make(chan confirmation, 1),
+	}
+	cached, age, found, err := options.Cache.Load(time.Now())
 	if err != nil {
-		o.Log.Warn("list", "err", err)
+		options.Log.Warn("list", "err", err)
 	}
-	if ok {
-		o.Log.Info("list remembered", "rev", l.Rev, "servers", len(l.Targets), "age_s", int64(age.Seconds()))
-		f.reader.Restore(l)
-		f.lastUpToDate.Store(time.Now().Add(-age).UnixNano())
-		o.OnUpdate(ListUpdate{Complete: true, Cached: true, Targets: f.reader.List().Targets})
+	if found {
+		options.Log.Info("list remembered", "rev", cached.Rev, "servers", len(cached.Targets), "age_s", int64(age.Seconds()))
+		s.reader.Restore(cached)
+		s.lastUpToDate.Store(time.Now().Add(-age).UnixNano())
+		options.OnUpdate(ListUpdate{Complete: true, Cached: true, Targets: s.reader.List().Targets})
 	}
-	return f, nil
+	return s, nil
 }
 
-// Run follows until ctx is done.
-func (f *ListSubscriber) Run(ctx context.Context) {
+// Run watches until ctx is done. It may be called once.
+func (s *ListSubscriber) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
-	f.saves = newAsyncSaver("list", f.o.Log, func(l list.List) error { return f.o.Cache.Save(l, time.Now()) })
-	defer f.saves.close()
-	defer f.save(true)
-	defer f.tasks.Wait()
+	s.saves = newAsyncSaver("list", s.options.Log, func(l list.List) error { return s.options.Cache.Save(l, time.Now()) })
+	defer s.saves.close()
+	defer s.saveNow()
+	defer s.tasks.Wait()
 	defer cancel()
-	f.run(ctx, f.watchList, f.waitAndTend)
+	s.run(ctx, s.watchList, s.waitAndTend)
 }
 
-// waitAndTend passes a time, in which a list that is doubted goes on being looked at.
-func (f *ListSubscriber) waitAndTend(ctx context.Context, d time.Duration) bool {
+// waitAndTend waits for a time, or until the addresses change, and tends the list meanwhile. It returns false once ctx is done.
+func (s *ListSubscriber) waitAndTend(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
-	tick := time.NewTicker(tendInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(tendInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-timer.C:
 			return true
-		case keepers := <-f.addressChanges:
-			f.applyAddresses(keepers)
+		case addresses := <-s.addressChanges:
+			s.applyAddresses(addresses)
 			return true
-		case now := <-tick.C:
-			f.tend(ctx, now, "")
-		case r := <-f.confirmations:
-			f.confirm(r)
+		case now := <-ticker.C:
+			s.tend(ctx, now, "")
+		case c := <-s.confirmations:
+			s.confirm(c)
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
-// watchList follows one keeper until it ends or is no good. came: it said something new.
-func (f *ListSubscriber) watchList(ctx context.Context, keeper string) (came bool, after time.Duration, err error) {
+func (s *ListSubscriber) watchList(ctx context.Context, address string) watchResult {
 	path := "/v1/servers?watch=1&ages=1"
-	if f.reader.Revision() >= 0 {
-		path += "&from=" + strconv.FormatInt(f.reader.Revision(), 10) + "&cluster=" + f.reader.Cluster()
+	if s.reader.Revision() >= 0 {
+		path += "&from=" + strconv.FormatInt(s.reader.Revision(), 10) + "&cluster=" + s.reader.Cluster()
+	}
+	ticker := time.NewTicker(tendInterval)
+	defer ticker.Stop()
+	return s.watch(ctx, address, path, watchHandlers{
+		onLine:         s.receiveLine,
+		ticks:          ticker.C,
+		onTick:         func(now time.Time) { s.tend(ctx, now, address) },
+		confirmations:  s.confirmations,
+		onConfirmation: s.confirm,
+	})
+}
+
+// receiveLine returns whether the line has something new of a node that is up to date.
+func (s *ListSubscriber) receiveLine(text []byte) (useful bool, err error) {
+	if len(text) == 0 {
+		s.recordUpToDateNow()
+		return false, nil
 	}
-	lines, end, after, err := f.openWatch(ctx, keeper, path)
+	update, err := list.Parse(text)
 	if err != nil {
-		return false, after, err
+		return false, err
 	}
-	defer end()
-	silent := time.NewTimer(list.Silence)
-	defer silent.Stop()
-	tick := time.NewTicker(tendInterval)
-	defer tick.Stop()
-	for {
-		select {
-		case l := <-lines:
-			if l.err != nil {
-				return came, 0, l.err
-			}
-			silent.Reset(list.Silence)
-			if len(l.text) == 0 {
-				f.lastUpToDate.Store(time.Now().UnixNano())
-				continue
-			}
-			said, err := list.Parse(l.text)
-			if err != nil {
-				return came, 0, err
-			}
-			if err := f.receive(said); err != nil {
-				return came, 0, err
-			}
-			if !f.tooOld(said.AgeMS, f.o.MaxAge) {
-				came = true
-			} else if !f.toleratesAge {
-				return came, 0, fmt.Errorf("%w for %d ms", errNotUpToDate, *said.AgeMS)
-			}
-		case now := <-tick.C:
-			f.tend(ctx, now, keeper)
-		case r := <-f.confirmations:
-			f.confirm(r)
-		case keepers := <-f.addressChanges:
-			f.applyAddresses(keepers)
-			return came, 0, errAddressesChanged
-		case <-silent.C:
-			return came, 0, fmt.Errorf("nothing came for %v", list.Silence)
-		case <-ctx.Done():
-			return came, 0, ctx.Err()
-		}
+	if err := s.receive(update); err != nil {
+		return false, err
 	}
+	return s.checkAge(update.AgeMS, s.options.MaxAge)
 }
 
-// receive takes what a keeper says and tells what changes by it.
-func (f *ListSubscriber) receive(l list.List) error {
-	first, missing := f.reader.Revision() < 0, f.reader.Missing()
-	foreign := !first && f.reader.Cluster() != "" && l.Cluster != f.reader.Cluster()
-	rev := f.reader.Revision()
-	changes, err := f.reader.Receive(l, time.Now())
+// receive applies an update, and passes on what changes by it.
+func (s *ListSubscriber) receive(update list.List) error {
+	revision, cluster, missing := s.reader.Revision(), s.reader.Cluster(), s.reader.Missing()
+	isFirst := revision < 0
+	changes, err := s.reader.Receive(update, time.Now())
 	if err != nil {
 		return err
 	}
-	if foreign {
-		f.o.Log.Warn("list of another cluster", "cluster", l.Cluster, "rev", l.Rev, "before", rev)
-	}
-	if n := f.reader.Missing(); n > missing {
-		f.o.Log.Warn("list shrank: what is missing is kept until a second reading", "missing", n, "rev", l.Rev)
+	if !isFirst && cluster != "" && update.Cluster != cluster {
+		s.options.Log.Warn("list of another cluster", "cluster", update.Cluster, "rev", update.Rev, "before", revision)
 	}
-	at := time.Now()
-	if l.AgeMS != nil {
-		at = at.Add(-time.Duration(*l.AgeMS) * time.Millisecond)
+	if nowMissing := s.reader.Missing(); nowMissing > missing {
+		s.options.Log.Warn("list shrank: what is missing is kept until a second reading", "missing", nowMissing, "rev", update.Rev)
 	}
-	f.recordUpToDate(at)
-	f.publish(changes, first)
-	if f.reader.Revision() != rev {
-		f.dirty = true
-		f.save(false)
+	s.recordUpToDate(update.AgeMS)
+	s.publish(changes, isFirst)
+	if s.reader.Revision() != revision {
+		s.dirty = true
+		s.saveIfDue()
 	}
 	return nil
 }
 
-func (f *ListSubscriber) publish(changes []list.Target, all bool) {
-	if len(changes) > 0 || all {
-		f.dirty = true
-		f.o.OnUpdate(ListUpdate{Complete: all, Targets: changes})
+func (s *ListSubscriber) publish(changes []list.Target, complete bool) {
+	if len(changes) > 0 || complete {
+		s.dirty = true
+		s.options.OnUpdate(ListUpdate{Complete: complete, Targets: changes})
 	}
 }
 
-// confirmation is a second confirmation of the list, or why there is none.
+// confirmation is a second reading of the list, or why there is none.
 type confirmation struct {
 	list list.List
 	err  error
 }
 
-// tend does what time brings: a second reading, steps without one, and saving. It never waits: news would.
-func (f *ListSubscriber) tend(ctx context.Context, now time.Time, watched string) {
-	if !f.confirming && f.reader.NeedsConfirmation(now) && now.Sub(f.lastConfirmation) >= f.o.ShrinkLimits.ConfirmAfter {
-		f.confirming, f.lastConfirmation = true, now
-		keeper, path := f.otherAddress(watched), "/v1/servers?from="+strconv.FormatInt(f.reader.Revision(), 10)+"&cluster="+f.reader.Cluster()
-		f.tasks.Add(1)
-		go func() {
-			defer f.tasks.Done()
-			l, err := f.readList(ctx, keeper, path)
-			f.confirmations <- confirmation{l, err} // there is room for the one that is asked for at a time
-		}()
+// tend does what is due at a time: it asks for a second reading, removes missing servers without one, and saves. It never blocks, since updates would
+// wait. watched is the address of the node that is watched; "": none.
+func (s *ListSubscriber) tend(ctx context.Context, now time.Time, watched string) {
+	mayAsk := !s.confirming && now.Sub(s.lastConfirmation) >= s.options.ShrinkLimits.ConfirmAfter
+	if mayAsk && s.reader.NeedsConfirmation(now) {
+		s.confirming, s.lastConfirmation = true, now
+		address := s.otherAddress(watched)
+		path := "/v1/servers?from=" + strconv.FormatInt(s.reader.Revision(), 10) + "&cluster=" + s.reader.Cluster()
+		s.tasks.Go(func() {
+			second, err := s.readList(ctx, address, path)
+			s.confirmations <- confirmation{second, err} // never blocks: only one is asked for at a time
+		})
 	}
-	f.releaseTargets(f.reader.ReleaseMissing(now), false)
-	f.save(false)
+	s.publishRemoved(s.reader.ReleaseMissing(now), false)
+	s.saveIfDue()
 }
 
-// confirm takes a second reading.
-func (f *ListSubscriber) confirm(r confirmation) {
-	f.confirming = false
-	gone, err := []list.Target(nil), r.err
+// confirm applies a second reading.
+func (s *ListSubscriber) confirm(c confirmation) {
+	s.confirming = false
+	var changes []list.Target
+	err := c.err
 	if err == nil {
-		gone, err = f.reader.Confirm(r.list)
+		changes, err = s.reader.Confirm(c.list)
 	}
 	if err != nil {
-		f.o.Log.Info("list: no second reading", "err", err)
+		s.options.Log.Info("list: no second reading", "err", err)
 	}
-	f.releaseTargets(gone, true)
+	s.publishRemoved(changes, true)
 }
 
-func (f *ListSubscriber) releaseTargets(gone []list.Target, confirmed bool) {
-	if len(gone) > 0 {
-		f.o.Log.Warn("list: servers let go", "servers", len(gone), "confirmed", confirmed, "missing", f.reader.Missing())
+func (s *ListSubscriber) publishRemoved(changes []list.Target, confirmed bool) {
+	if len(changes) > 0 {
+		s.options.Log.Warn("list: servers let go", "servers", len(changes), "confirmed", confirmed, "missing", s.reader.Missing())
 	}
-	f.publish(gone, false)
+	s.publish(changes, false)
 }
 
-// otherAddress is a keeper for a second reading: where there is one, another than the one that is watched.
-func (f *ListSubscriber) otherAddress(watched string) string {
-	n := len(f.addresses)
-	for i := range n {
-		if k := f.addresses[(f.next+1+i)%n]; k != watched {
-			return k
+// otherAddress returns the node for a second reading: where there is one, another than the one that is watched.
+func (s *ListSubscriber) otherAddress(watched string) string {
+	count := len(s.addresses)
+	for i := range count {
+		if address := s.addresses[(s.next+1+i)%count]; address != watched {
+			return address
 		}
 	}
 	return watched
 }
 
-// readList reads the whole list once from a keeper.
-func (f *ListSubscriber) readList(ctx context.Context, keeper, path string) (list.List, error) {
+// readList reads the complete list once from a node.
+func (s *ListSubscriber) readList(ctx context.Context, address, path string) (list.List, error) {
 	ctx, cancel := context.WithTimeout(ctx, confirmationTimeout)
 	defer cancel()
-	body, _, err := f.get(ctx, keeper, path)
+	body, _, err := s.get(ctx, address, path)
 	if err != nil {
 		return list.List{}, err
 	}
-	defer body.Close()
+	defer func() { _ = body.Close() }()
 	text, err := io.ReadAll(io.LimitReader(body, list.MostText))
 	if err != nil {
 		return list.List{}, err
@@ -270,11 +246,17 @@
 	return list.Parse(text)
 }
 
-// save hands the list on to be saved if it changed, now or not too often.
-func (f *ListSubscriber) save(now bool) {
-	if !f.dirty || !now && time.Since(f.saved) < f.o.SaveInterval {
-		return
+// saveIfDue has the list be saved if it changed, and the last save is long enough ago.
+func (s *ListSubscriber) saveIfDue() {
+	if time.Since(s.saved) >= s.options.SaveInterval {
+		s.saveNow()
+	}
+}
+
+// saveNow has the list be saved if it changed.
+func (s *ListSubscriber) saveNow() {
+	if s.dirty {
+		s.saves.put(s.reader.List())
+		s.dirty, s.saved = false, time.Now()
 	}
-	f.saves.put(f.reader.List())
-	f.dirty, f.saved = false, time.Now()
 }
--- a/internal/sidecar/client/rolewatch.go
+++ b/internal/sidecar/client/rolewatch.go
@@ -7,55 +7,46 @@
 	"log/slog"
 	"net/url"
 	"strconv"
-	"time"
-
-	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
-// WatchRoles watches the duties of a process, "": all, until ctx is done, at one keeper after the other, and tells what changes. A
-// line may come late, or never while keepers change: whoever holds a duty goes by the answers to his renewals.
-func WatchRoles(ctx context.Context, keepers []string, who string, log *slog.Logger, told func(RolesUpdate)) error {
-	if err := checkAddresses(keepers); err != nil {
+// WatchRoles watches the roles of a process (NAME#RUN; "": all roles) until ctx is done, at one node after the other, and calls onUpdate with what
+// changes. Updates may come late, or not at all while it goes from node to node: an owner goes by the answers to its renewals. The error says
+// which address is invalid.
+func WatchRoles(ctx context.Context, addresses []string, process string, log *slog.Logger, onUpdate func(RolesUpdate)) error {
+	if err := checkAddresses(addresses); err != nil {
 		return err
 	}
-	r := newRotation("duties", keepers, log)
-	from, cluster := int64(-1), ""
-	watch := func(ctx context.Context, keeper string) (came bool, after time.Duration, err error) {
-		path := "/v1/duties?watch=1&ages=1&who=" + url.QueryEscape(who)
-		if from >= 0 {
-			path += "&from=" + strconv.FormatInt(from, 10) + "&cluster=" + cluster
-		}
-		lines, end, after, err := r.openWatch(ctx, keeper, path)
-		if err != nil {
-			return false, after, err
-		}
-		defer end()
-		silent := time.NewTimer(list.Silence)
-		defer silent.Stop()
-		for {
-			select {
-			case l := <-lines:
-				if l.err != nil {
-					return came, 0, l.err
-				}
-				silent.Reset(list.Silence)
-				came = true
-				if len(l.text) == 0 {
-					continue
-				}
-				var n RolesUpdate
-				if err := json.Unmarshal(l.text, &n); err != nil {
-					return came, 0, fmt.Errorf("duties: %w", err)
-				}
-				from, cluster = n.Revision, n.Cluster
-				told(n)
-			case <-silent.C:
-				return came, 0, fmt.Errorf("nothing came for %v", list.Silence)
-			case <-ctx.Done():
-				return came, 0, ctx.Err()
-			}
-		}
-	}
-	r.run(ctx, watch, r.wait)
+	rotation := newRotation("duties", addresses, log)
+	watch := roleWatch{rotation: &rotation, process: process, onUpdate: onUpdate, revision: -1}
+	rotation.run(ctx, watch.run, rotation.wait)
 	return nil
 }
+
+type roleWatch struct {
+	rotation *rotation
+	process  string
+	onUpdate func(RolesUpdate)
+	revision int64  // of the last update; below 0: none came
+	cluster  string // whose revision that is
+}
+
+func (rw *roleWatch) run(ctx context.Context, address string) watchResult {
+	path := "/v1/duties?watch=1&ages=1&who=" + url.QueryEscape(rw.process)
+	if rw.revision >= 0 {
+		path += "&from=" + strconv.FormatInt(rw.revision, 10) + "&cluster=" + rw.cluster
+	}
+	return rw.rotation.watch(ctx, address, path, watchHandlers{onLine: rw.receive})
+}
+
+func (rw *roleWatch) receive(text []byte) (useful bool, err error) {
+	if len(text) == 0 {
+		return true, nil
+	}
+	var update RolesUpdate
+	if err := json.Unmarshal(text, &update); err != nil {
+		return true, fmt.Errorf("duties: %w", err)
+	}
+	rw.revision, rw.cluster = update.Revision, update.Cluster
+	rw.onUpdate(update)
+	return true, nil
+}
--- a/internal/sidecar/client/rotation.go
+++ b/internal/sidecar/client/rotation.go
@@ -19,26 +19,45 @@
 	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
-// rotation goes from keeper to keeper for a follower: it watches one until that ends or is no good, and then the next.
+const (
+	minWatchBackoff = 100 * time.Millisecond
+	maxWatchBackoff = 5 * time.Second // so that a fleet comes back to its nodes over some seconds
+	maxRefusalBytes = 4096            // of the text of a refusal, for the log
+	defaultMaxAge   = 2500 * time.Millisecond
+	watchTimeout    = list.Silence // without a line, after which a watch is lost; nodes write one every second
+)
+
+// rotation goes from node to node for a subscriber: it watches one until the watch ends or is of no use, and then the next. Its fields are those of
+// the goroutine of run, but for addressChanges and lastUpToDate.
 type rotation struct {
-	what           string // for the log
+	name           string // in log lines
 	log            *slog.Logger
 	addresses      []string
-	next           int           // the keeper that is watched next
-	toleratesAge   bool          // no keeper is in touch: the age is borne
-	addressChanges chan []string // keepers to go on with
-	lastUpToDate   atomic.Int64  // Unix time in ns at which what is held was last known to be up to date; 0: never
+	next           int           // index of the node that is watched next
+	toleratesAge   bool          // no node is up to date: one that is not is watched all the same
+	addressChanges chan []string // addresses to go on with
+	lastUpToDate   atomic.Int64  // Unix time in ns at which the subscriber's copy was last known to be up to date; 0: never
 	http           *http.Transport
 }
 
-func newRotation(what string, keepers []string, log *slog.Logger) rotation {
-	// Each begins at a keeper of its own choice, so that they share the watchers.
-	return rotation{what: what, log: log, addresses: keepers, next: rand.IntN(len(keepers)), addressChanges: make(chan []string, 1),
-		http: &http.Transport{DialContext: (&net.Dialer{Timeout: connectTimeout}).DialContext, DisableCompression: true, DisableKeepAlives: true,
-			ResponseHeaderTimeout: list.Silence}}
+func newRotation(name string, addresses []string, log *slog.Logger) rotation {
+	return rotation{
+		name:      name,
+		log:       log,
+		addresses: addresses,
+		// Each subscriber begins at a random node, so that the nodes share the watches.
+		next:           rand.IntN(len(addresses)),
+		addressChanges: make(chan []string, 1),
+		http: &http.Transport{
+			DialContext:           (&net.Dialer{Timeout: connectTimeout}).DialContext,
+			DisableCompression:    true,
+			DisableKeepAlives:     true,
+			ResponseHeaderTimeout: watchTimeout,
+		},
+	}
 }
 
-// Age is how long ago what is held was last known to be up to date. It tells false where it never was. Any goroutine may ask.
+// Age returns how long ago the subscriber's copy was last known to be up to date, and whether it ever was. It is safe for concurrent use.
 func (r *rotation) Age() (time.Duration, bool) {
 	at := r.lastUpToDate.Load()
 	if at == 0 {
@@ -47,48 +66,40 @@
 	return time.Since(time.Unix(0, at)), true
 }
 
-// recordUpToDate notes that what is held was up to date at a time, unless it is known to have been later.
-func (r *rotation) recordUpToDate(at time.Time) {
+// recordUpToDate records that the copy was up to date an age ago, unless a later time is known.
+func (r *rotation) recordUpToDate(ageMS *int64) {
+	at := time.Now()
+	if ageMS != nil {
+		at = at.Add(-time.Duration(*ageMS) * time.Millisecond)
+	}
 	r.lastUpToDate.Store(max(r.lastUpToDate.Load(), at.UnixNano()))
 }
 
-// SetAddresses has other keepers be followed from now on. Of several moves that come at once the last counts.
-func (r *rotation) SetAddresses(keepers []string) error {
-	if err := checkAddresses(keepers); err != nil {
+// recordUpToDateNow records that the copy is up to date.
+func (r *rotation) recordUpToDateNow() { r.lastUpToDate.Store(time.Now().UnixNano()) }
+
+// SetAddresses has the nodes of these addresses be watched from now on. Where several calls follow each other closely, the last one counts. It is safe
+// for concurrent use. The error says which address is invalid.
+func (r *rotation) SetAddresses(addresses []string) error {
+	if err := checkAddresses(addresses); err != nil {
 		return err
 	}
-	putLatest(r.addressChanges, keepers)
+	putLatest(r.addressChanges, addresses)
 	return nil
 }
 
-// putLatest puts a value in a channel of one, in the place of one that was not taken yet. It never waits.
-func putLatest[T any](c chan T, v T) {
-	for {
-		select {
-		case c <- v:
-			return
-		default:
-		}
-		select {
-		case <-c:
-		default:
-		}
-	}
+func (r *rotation) applyAddresses(addresses []string) {
+	r.addresses, r.next, r.toleratesAge = addresses, rand.IntN(len(addresses)), false
 }
 
-// applyAddresses takes a move.
-func (r *rotation) applyAddresses(keepers []string) {
-	r.addresses, r.next, r.toleratesAge = keepers, rand.IntN(len(keepers)), false
-}
-
-// wait passes a time, or less where other keepers are to be followed. It tells false once ctx is done.
+// wait waits for a time, or until the addresses change. It returns false once ctx is done.
 func (r *rotation) wait(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case keepers := <-r.addressChanges:
-		r.applyAddresses(keepers)
+	case addresses := <-r.addressChanges:
+		r.applyAddresses(addresses)
 	case <-ctx.Done():
 		return false
 	}
@@ -98,47 +109,111 @@
 var (
 	errAddressesChanged = errors.New("other keepers are followed")
 	errNotUpToDate      = errors.New("the keeper is out of touch")
+	errWatchEnded       = errors.New("the watch ended")
 )
 
-// run watches until ctx is done. came: a watch was of use; after: how long its keeper wants to be left alone. wait passes a
-// time, and tells false once ctx is done.
-func (r *rotation) run(ctx context.Context, watch func(ctx context.Context, keeper string) (came bool, after time.Duration, err error),
-	wait func(context.Context, time.Duration) bool) {
+// watchResult is how a watch went.
+type watchResult struct {
+	useful     bool          // it brought something
+	retryAfter time.Duration // how long the node asks not to be called
+	err        error         // why it ended
+}
+
+// run watches node after node until ctx is done. wait waits for a time, and returns false once ctx is done.
+func (r *rotation) run(ctx context.Context, watch func(ctx context.Context, address string) watchResult, wait func(context.Context, time.Duration) bool) {
 	pause := backoff.NewExponentialBackOff()
 	pause.InitialInterval, pause.MaxInterval, pause.RandomizationFactor, pause.Multiplier = minWatchBackoff, maxWatchBackoff, 0.5, 2
 	defer r.http.CloseIdleConnections()
-	for failed := 0; ; {
-		keeper := r.addresses[r.next%len(r.addresses)]
-		came, after, err := watch(ctx, keeper)
+	failures := 0 // watches since the last useful one
+	for {
+		address := r.addresses[r.next%len(r.addresses)]
+		result := watch(ctx, address)
 		if ctx.Err() != nil {
 			return
 		}
-		r.log.Info(r.what, "keeper", keeper, "err", err)
+		r.log.Info(r.name, "keeper", address, "err", result.err)
 		r.next++
-		if came || errors.Is(err, errAddressesChanged) {
+		if result.useful || errors.Is(result.err, errAddressesChanged) {
 			pause.Reset()
-			failed = 0
+			failures = 0
 		}
-		failed++
-		r.toleratesAge = failed >= len(r.addresses)
-		pass := max(pause.NextBackOff(), after)
-		if failed < len(r.addresses) && after == 0 { // others have not been asked
-			pass = rand.N(minWatchBackoff)
+		failures++
+		r.toleratesAge = failures >= len(r.addresses)
+		delay := max(pause.NextBackOff(), result.retryAfter)
+		if !r.toleratesAge && result.retryAfter == 0 { // other nodes have not been tried
+			delay = rand.N(minWatchBackoff)
 		}
-		if !wait(ctx, pass) {
+		if !wait(ctx, delay) {
 			return
 		}
 	}
 }
 
-// tooOld tells that a keeper has been out of touch for longer than a follower bears. nil: it is not said.
-func (r *rotation) tooOld(ageMS *int64, most time.Duration) bool {
-	return ageMS != nil && time.Duration(*ageMS)*time.Millisecond > most
+// checkAge returns whether an answer of an age is of use, and errNotUpToDate where another node should be watched instead. An age of nil is not
+// known, and fine.
+func (r *rotation) checkAge(ageMS *int64, maxAge time.Duration) (useful bool, err error) {
+	if ageMS == nil || time.Duration(*ageMS)*time.Millisecond <= maxAge {
+		return true, nil
+	}
+	if !r.toleratesAge {
+		return false, fmt.Errorf("%w for %d ms", errNotUpToDate, *ageMS)
+	}
+	return false, nil
+}
+
+// watchHandlers say what a subscriber does during a watch.
+type watchHandlers struct {
+	// onLine is called with each line, which is empty where nothing changed. It returns whether the watch was of use, and an error where it is to
+	// end.
+	onLine func(text []byte) (useful bool, err error)
+
+	ticks  <-chan time.Time // nil: none
+	onTick func(now time.Time)
+
+	confirmations  <-chan confirmation // nil: none
+	onConfirmation func(confirmation)
 }
 
-// get makes a call whose answer is read by the caller. after is how long the keeper wants to be left alone.
-func (r *rotation) get(ctx context.Context, keeper, path string) (body io.ReadCloser, after time.Duration, err error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+keeper+path, nil)
+// watch watches a node until the watch ends, writes nothing for watchTimeout, the addresses change or ctx is done.
+func (r *rotation) watch(ctx context.Context, address, path string, handlers watchHandlers) watchResult {
+	lines, end, retryAfter, err := r.openWatch(ctx, address, path)
+	if err != nil {
+		return watchResult{retryAfter: retryAfter, err: err}
+	}
+	defer end()
+	timeout := time.NewTimer(watchTimeout)
+	defer timeout.Stop()
+	useful := false
+	for {
+		select {
+		case l := <-lines:
+			if l.err != nil {
+				return watchResult{useful: useful, err: l.err}
+			}
+			timeout.Reset(watchTimeout)
+			lineUseful, err := handlers.onLine(l.text)
+			useful = useful || lineUseful
+			if err != nil {
+				return watchResult{useful: useful, err: err}
+			}
+		case now := <-handlers.ticks:
+			handlers.onTick(now)
+		case c := <-handlers.confirmations:
+			handlers.onConfirmation(c)
+		case addresses := <-r.addressChanges:
+			r.applyAddresses(addresses)
+			return watchResult{useful: useful, err: errAddressesChanged}
+		case <-timeout.C:
+			return watchResult{useful: useful, err: fmt.Errorf("nothing came for %v", watchTimeout)}
+		case <-ctx.Done():
+			return watchResult{useful: useful, err: ctx.Err()}
+		}
+	}
+}
+
+// get makes a call whose answer the caller reads and closes. retryAfter is how long the node asks not to be called.
+func (r *rotation) get(ctx context.Context, address, path string) (body io.ReadCloser, retryAfter time.Duration, err error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -147,9 +222,9 @@
 		return nil, 0, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		defer resp.Body.Close()
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, 4096)) // what it says is for the log alone
-		return nil, retryAfter(resp.Header), fmt.Errorf("status %d: %s", resp.StatusCode, bytes.TrimSpace(text))
+		defer func() { _ = resp.Body.Close() }()
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxRefusalBytes)) // for the log alone
+		return nil, parseRetryAfter(resp.Header), fmt.Errorf("status %d: %s", resp.StatusCode, bytes.TrimSpace(text))
 	}
 	return resp.Body, 0, nil
 }
@@ -160,37 +235,42 @@
 	err  error
 }
 
-// openWatch opens a watch and returns its lines, the last with an error, and what ends it.
-func (r *rotation) openWatch(ctx context.Context, keeper, path string) (lines <-chan line, end func(), after time.Duration, err error) {
+// openWatch begins a watch. It returns its lines, the last of which has an error, and a function that ends it.
+func (r *rotation) openWatch(ctx context.Context, address, path string) (lines <-chan line, end func(), retryAfter time.Duration, err error) {
 	ctx, cancel := context.WithCancel(ctx)
-	body, after, err := r.get(ctx, keeper, path)
+	body, retryAfter, err := r.get(ctx, address, path)
 	if err != nil {
 		cancel()
-		return nil, nil, after, err
+		return nil, nil, retryAfter, err
 	}
-	all, ended := make(chan line), make(chan struct{})
+	received, ended := make(chan line), make(chan struct{})
 	go func() {
 		defer close(ended)
-		in := bufio.NewScanner(body)
-		in.Buffer(nil, list.MostText)
-		send := func(l line) bool {
-			select {
-			case all <- l:
-				return true
-			case <-ctx.Done():
-				return false
-			}
-		}
-		for in.Scan() {
-			if !send(line{text: bytes.Clone(bytes.TrimSpace(in.Bytes()))}) {
-				return
-			}
-		}
-		send(line{err: errors.Join(errors.New("the watch ended"), in.Err())})
+		readLines(ctx, body, received)
 	}()
-	return all, func() {
+	return received, func() {
 		cancel()
-		body.Close()
+		_ = body.Close()
 		<-ended
 	}, 0, nil
 }
+
+// readLines sends the lines of a watch until it ends or ctx is done.
+func readLines(ctx context.Context, body io.Reader, received chan<- line) {
+	send := func(l line) bool {
+		select {
+		case received <- l:
+			return true
+		case <-ctx.Done():
+			return false
+		}
+	}
+	scanner := bufio.NewScanner(body)
+	scanner.Buffer(nil, list.MostText)
+	for scanner.Scan() {
+		if !send(line{text: bytes.Clone(bytes.TrimSpace(scanner.Bytes()))}) {
+			return
+		}
+	}
+	send(line{err: errors.Join(errWatchEnded, scanner.Err())})
+}
