--- a/internal/sidecar/client/admin.go
+++ b/internal/sidecar/client/admin.go
@@ -14,22 +14,22 @@
 )
 
 // Status asks every node for its own status. It returns the statuses, and the errors of nodes that did not answer, by address.
-func Status[T any](ctx context.Context, c *Client) (statuses map[string]T, failed map[string]error) {
+func Status[T any](ctx context.Context, registry *Client) (statuses map[string]T, failed map[string]error) {
 	type answer struct {
 		address string
 		status  T
 		err     error
 	}
-	answers := make(chan answer, len(c.addresses))
-	for _, address := range c.addresses {
+	answers := make(chan answer, len(registry.addresses))
+	for _, address := range registry.addresses {
 		go func() {
 			a := answer{address: address}
-			_, a.err = c.attempt(ctx, address, request{method: http.MethodGet, path: "/v1/status", timeout: statusTimeout}, &a.status)
+			_, a.err = registry.attempt(ctx, address, request{method: http.MethodGet, path: "/v1/status", timeout: statusTimeout}, &a.status)
 			answers <- a
 		}()
 	}
 	statuses, failed = map[string]T{}, map[string]error{}
-	for range c.addresses {
+	for range registry.addresses {
 		a := <-answers
 		if a.err != nil {
 			failed[a.address] = a.err
--- a/internal/sidecar/client/listsubscriber.go
+++ b/internal/sidecar/client/listsubscriber.go
@@ -60,7 +60,7 @@
 	if options.SaveInterval == 0 {
 		options.SaveInterval = defaultSaveInterval
 	}
-	s := &ListSubscriber{
+	subscriber := &ListSubscriber{
 		rotation:      newRotation("list", options.Registry, options.Log),
 		options:       options,
 		reader:        NewReader(options.ShrinkLimits),
@@ -72,11 +72,11 @@
 	}
 	if found {
 		options.Log.Info("list remembered", "rev", cached.Rev, "servers", len(cached.Targets), "age_s", int64(age.Seconds()))
-		s.reader.Restore(cached)
-		s.lastUpToDate.Store(time.Now().Add(-age).UnixNano())
-		options.OnUpdate(ListUpdate{Complete: true, Cached: true, Targets: s.reader.List().Targets})
+		subscriber.reader.Restore(cached)
+		subscriber.lastUpToDate.Store(time.Now().Add(-age).UnixNano())
+		options.OnUpdate(ListUpdate{Complete: true, Cached: true, Targets: subscriber.reader.List().Targets})
 	}
-	return s, nil
+	return subscriber, nil
 }
 
 // Run watches until ctx is done. It may be called once.
--- a/internal/sidecar/client/routesubscriber.go
+++ b/internal/sidecar/client/routesubscriber.go
@@ -60,22 +60,22 @@
 	if options.MaxAge == 0 {
 		options.MaxAge = defaultMaxAge
 	}
-	s := &RouteSubscriber{
+	subscriber := &RouteSubscriber{
 		rotation: newRotation("routes", options.Registry, options.Log),
 		options:  options,
 		filter:   RouteFilter(options.Tags, options.Service),
 	}
-	cached, age, found, err := options.Cache.Load(s.filter, time.Now())
+	cached, age, found, err := options.Cache.Load(subscriber.filter, time.Now())
 	if err != nil {
 		options.Log.Warn("routes", "err", err)
 	}
-	s.current.Store(&cached)
+	subscriber.current.Store(&cached)
 	if found {
 		options.Log.Info("routes remembered", "gen", cached.Generation, "rules", len(cached.Rules), "age_s", int64(age.Seconds()))
-		s.lastUpToDate.Store(time.Now().Add(-age).UnixNano())
+		subscriber.lastUpToDate.Store(time.Now().Add(-age).UnixNano())
 		options.OnUpdate(RouteUpdate{Cached: true, Generation: cached.Generation, Hash: cached.Hash, Rules: cached.Rules})
 	}
-	return s, nil
+	return subscriber, nil
 }
 
 // Status returns the status of now. It is safe for concurrent use.
