--- a/internal/sidecar/client/cache_test.go
+++ b/internal/sidecar/client/cache_test.go
@@ -94,7 +94,7 @@
 	if err := os.Truncate(cache.path, maxCachedListBytes+1); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, found, err := cache.Load(now); found || !errors.Is(err, sealed.ErrUnsound) || !strings.HasPrefix(err.Error(), "cache: ") {
+	if _, _, found, err := cache.Load(now); found || !errors.Is(err, sealed.ErrCorrupt) || !strings.HasPrefix(err.Error(), "cache: ") {
 		t.Errorf("too long: %t, %v", found, err)
 	}
 }
--- a/internal/sidecar/client/listcache.go
+++ b/internal/sidecar/client/listcache.go
@@ -21,7 +21,7 @@
 	return ListCache{filepath.Join(folder, "list-"+name+".cache")}
 }
 
-var listCacheKind = sealed.Kind{Magic: "gradeusher-list", Form: 1, Needs: 1}
+var listCacheKind = sealed.Kind{Magic: "gradeusher-list", FormatVersion: 1, MinReaderVersion: 1}
 
 // maxCachedListBytes allows under 2 KiB for each server that the registry takes, with names that JSON escapes, and twice as many servers, because
 // a Reader has what a list that shrank lacks until that is confirmed.
@@ -43,7 +43,7 @@
 }
 
 func (c ListCache) cell() sealed.Cell[cachedList] {
-	return sealed.Cell[cachedList]{Path: c.path, Kind: listCacheKind, Most: maxCachedListBytes, Check: cachedList.check}
+	return sealed.Cell[cachedList]{Path: c.path, Kind: listCacheKind, MaxBytes: maxCachedListBytes, Check: cachedList.check}
 }
 
 // Load returns the list that was saved last and its age, and whether there is one. An error is that of a corrupt file, which is quarantined, or of
--- a/internal/sidecar/client/routecache.go
+++ b/internal/sidecar/client/routecache.go
@@ -20,7 +20,7 @@
 	return RouteCache{filepath.Join(folder, "routes-"+name+".cache")}
 }
 
-var routeCacheKind = sealed.Kind{Magic: "gradeusher-routes", Form: 1, Needs: 1}
+var routeCacheKind = sealed.Kind{Magic: "gradeusher-routes", FormatVersion: 1, MinReaderVersion: 1}
 
 // maxCachedRoutesBytes allows the up to 6 bytes that JSON takes for each byte that routes.MostBytes counts, as in an escape; the rest is for the
 // filter.
@@ -41,7 +41,7 @@
 }
 
 func (c RouteCache) cell() sealed.Cell[cachedRoutes] {
-	return sealed.Cell[cachedRoutes]{Path: c.path, Kind: routeCacheKind, Most: maxCachedRoutesBytes, Check: cachedRoutes.check}
+	return sealed.Cell[cachedRoutes]{Path: c.path, Kind: routeCacheKind, MaxBytes: maxCachedRoutesBytes, Check: cachedRoutes.check}
 }
 
 // Load returns what was saved last for a filter and its age, and whether there is something: a table that was filtered for another client lacks
--- a/internal/sidecar/registry/join.go
+++ b/internal/sidecar/registry/join.go
@@ -129,7 +129,7 @@
 	if unsound == nil && !marked {
 		return false, nil
 	}
-	if unsound != nil && !errors.Is(unsound, replica.ErrUnsound) {
+	if unsound != nil && !errors.Is(unsound, replica.ErrCorrupt) {
 		return false, unsound
 	}
 	if err := n.quarantineStore(unsound, marked); err != nil {
@@ -153,7 +153,7 @@
 	if _, err := os.Stat(n.raftFolder()); err != nil {
 		return nil //nolint:nilerr // there is no store to move
 	}
-	aside, err := sealed.SetAside(n.raftFolder())
+	aside, err := sealed.Quarantine(n.raftFolder())
 	if err != nil {
 		return errors.Join(unsound, err)
 	}
--- a/internal/sidecar/registry/membership.go
+++ b/internal/sidecar/registry/membership.go
@@ -64,7 +64,7 @@
 // takeVote removes a node that lost its store. Its old vote must go before it is added again: with an empty store it could elect a leader that
 // lacks acknowledged commands.
 func (n *Node) takeVote(w http.ResponseWriter, name string) error {
-	if err := n.replica.Forget(name); err != nil {
+	if err := n.replica.RemoveIfMember(name); err != nil {
 		return membershipError(err)
 	}
 	n.log.Warn("a node lost its store, and its vote", "node", name)
--- a/internal/sidecar/registry/node.go
+++ b/internal/sidecar/registry/node.go
@@ -127,9 +127,9 @@
 			SnapshotAfter: n.config.Timing.SnapshotAfter,
 			Trailing:      n.config.Timing.Trailing,
 		},
-		Machine: n.store,
-		Log:     n.log,
-		Led:     n.leadCluster,
+		Machine:  n.store,
+		Log:      n.log,
+		OnLeader: n.leadCluster,
 	})
 	return err
 }
--- a/internal/sidecar/replica/membership.go
+++ b/internal/sidecar/replica/membership.go
@@ -42,16 +42,16 @@
 			return fmt.Errorf("%s is the address of member %s", p.Address, old.Name)
 		}
 	}
-	if err := r.raft.AddNonvoter(raft.ServerID(p.Name), raft.ServerAddress(p.Address), 0, changeTimeout).Error(); err != nil {
-		return explain(err)
+	if err := r.raft.AddNonvoter(raft.ServerID(p.Name), raft.ServerAddress(p.Address), 0, membershipTimeout).Error(); err != nil {
+		return translateError(err)
 	}
 	return nil
 }
 
 // Promote gives a member that has caught up its vote.
 func (r *Replica) Promote(p Peer) error {
-	if err := r.raft.AddVoter(raft.ServerID(p.Name), raft.ServerAddress(p.Address), 0, changeTimeout).Error(); err != nil {
-		return explain(err)
+	if err := r.raft.AddVoter(raft.ServerID(p.Name), raft.ServerAddress(p.Address), 0, membershipTimeout).Error(); err != nil {
+		return translateError(err)
 	}
 	return nil
 }
@@ -77,14 +77,14 @@
 	case voters == 0:
 		return fmt.Errorf("%s is the last member", name)
 	}
-	if err := r.raft.RemoveServer(raft.ServerID(name), 0, changeTimeout).Error(); err != nil {
-		return explain(err)
+	if err := r.raft.RemoveServer(raft.ServerID(name), 0, membershipTimeout).Error(); err != nil {
+		return translateError(err)
 	}
 	return nil
 }
 
-// Forget removes a member that comes again with nothing, if it is there.
-func (r *Replica) Forget(name string) error {
+// RemoveIfMember removes a member that comes again with nothing, if it is there.
+func (r *Replica) RemoveIfMember(name string) error {
 	if !r.Ready() {
 		return ErrNotLeader
 	}
--- a/internal/sidecar/replica/pages.go
+++ b/internal/sidecar/replica/pages.go
@@ -13,7 +13,7 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// checkPages looks at all pages of the log. Errors wrap ErrUnsound, or say why it cannot be looked at.
+// checkPages looks at all pages of the log. Errors wrap ErrCorrupt, or say why it cannot be looked at.
 //
 // Danger: the library's own check reads pages as they are, in a goroutine of its own: what it fails on there ends the process,
 // which nobody can recover. So whatever it is going to read is read here before, where a failure is an error.
@@ -21,18 +21,18 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // an offset that leads out of the file
 	defer func() {
 		if v := recover(); v != nil {
-			err = fmt.Errorf("%w: %s: %v", ErrUnsound, path, v)
+			err = fmt.Errorf("%w: %s: %v", ErrCorrupt, path, v)
 		}
 	}()
 	// What lies beyond the end of a file that was cut off cannot be looked at, the list of free pages neither.
-	if err := viewLog(path, false, wholeLog); err != nil {
+	if err := viewLog(path, false, checkLength); err != nil {
 		return err
 	}
 	return viewLog(path, true, func(tx *bbolt.Tx, f *os.File) error {
 		if err := checkHeaders(tx, f); err != nil {
 			return err
 		}
-		if err := tx.ForEach(func(_ []byte, b *bbolt.Bucket) error { return walk(b) }); err != nil {
+		if err := tx.ForEach(func(_ []byte, b *bbolt.Bucket) error { return readBucket(b) }); err != nil {
 			return err
 		}
 		var first error
@@ -60,26 +60,26 @@
 			return f, err
 		}})
 	if err != nil {
-		return cannotOpen(path, err)
+		return openError(path, err)
 	}
 	defer db.Close()
 	if err := db.View(func(tx *bbolt.Tx) error { return look(tx, f) }); err != nil {
-		return fmt.Errorf("%w: %s: %w", ErrUnsound, path, err)
+		return fmt.Errorf("%w: %s: %w", ErrCorrupt, path, err)
 	}
 	return nil
 }
 
-// cannotOpen is what it means that the log could not be opened. Danger: one that another process has is not unsound, and to set it
+// openError is what it means that the log could not be opened. Danger: one that another process has is not unsound, and to set it
 // aside would lose it.
-func cannotOpen(path string, err error) error {
+func openError(path string, err error) error {
 	if errors.Is(err, bolterrors.ErrTimeout) || errors.Is(err, os.ErrPermission) {
 		return fmt.Errorf("log: %w", err)
 	}
-	return fmt.Errorf("%w: %s: %w", ErrUnsound, path, err)
+	return fmt.Errorf("%w: %s: %w", ErrCorrupt, path, err)
 }
 
-// wholeLog tells whether the file holds all pages that are in use.
-func wholeLog(tx *bbolt.Tx, f *os.File) error {
+// checkLength tells whether the file holds all pages that are in use.
+func checkLength(tx *bbolt.Tx, f *os.File) error {
 	info, err := f.Stat()
 	if err != nil {
 		return err
@@ -118,12 +118,12 @@
 	return nil
 }
 
-// walk reads all keys of a bucket and of those in it.
-func walk(b *bbolt.Bucket) error {
+// readBucket reads all keys of a bucket and of those in it.
+func readBucket(b *bbolt.Bucket) error {
 	return b.ForEach(func(k, v []byte) error {
 		if v != nil {
 			return nil
 		}
-		return walk(b.Bucket(k))
+		return readBucket(b.Bucket(k))
 	})
 }
--- a/internal/sidecar/replica/replica.go
+++ b/internal/sidecar/replica/replica.go
@@ -68,7 +68,7 @@
 	Log       *slog.Logger
 	// Led is called, one call after the other, when this replica begins to lead a term, having applied all that was
 	// acknowledged before, with a context that ends when it no longer leads.
-	Led func(context.Context)
+	OnLeader func(context.Context)
 }
 
 // What can become of a proposal. After ErrUncertain the command may or may not have been applied; after the others it was not.
@@ -80,23 +80,23 @@
 
 // Replica is one member of the cluster.
 type Replica struct {
-	options Options
-	raft    *raft.Raft
-	store   *patientStore
-	trans   *raft.NetworkTransport
-	ready   atomic.Bool // it leads and has applied what was acknowledged before
-	leads   chan bool
-	ledEnds context.CancelFunc
-	tasks   sync.WaitGroup
+	options       Options
+	raft          *raft.Raft
+	store         *retryingStore
+	transport     *raft.NetworkTransport
+	ready         atomic.Bool // it leads and has applied what was acknowledged before
+	leadership    chan bool
+	endLeadership context.CancelFunc
+	tasks         sync.WaitGroup
 }
 
 const (
-	snapshotsKept  = 2
-	enqueueTimeout = time.Second
-	changeTimeout  = 10 * time.Second // of a change of members
-	peerTimeout    = 2 * time.Second  // of sending to a peer
-	openTimeout    = time.Second      // for another process to let go of the folder
-	restoreStuck   = 2 * time.Second  // after which a restore is helped on
+	retainedSnapshots    = 2
+	enqueueTimeout       = time.Second
+	membershipTimeout    = 10 * time.Second // of a change of members
+	peerTimeout          = 2 * time.Second  // of sending to a peer
+	openTimeout          = time.Second      // for another process to let go of the folder
+	restoreRetryInterval = 2 * time.Second  // after which a restore is helped on
 )
 
 // Open starts a replica. Close ends it.
@@ -104,8 +104,8 @@
 	if err := os.MkdirAll(o.Folder, 0o700); err != nil {
 		return nil, fmt.Errorf("folder: %w", err)
 	}
-	logger := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Info, DisableTime: true, Output: lines{o.Log}})
-	r = &Replica{options: o, leads: make(chan bool, 16)}
+	logger := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Info, DisableTime: true, Output: logWriter{o.Log}})
+	r = &Replica{options: o, leadership: make(chan bool, 16)}
 	config := raft.DefaultConfig()
 	config.LocalID = raft.ServerID(o.Name)
 	t := o.Timing
@@ -117,15 +117,15 @@
 	config.SnapshotThreshold = cmp.Or(t.SnapshotAfter, DefaultSnapshotAfter)
 	config.TrailingLogs = cmp.Or(t.Trailing, DefaultTrailing)
 	config.Logger = logger
-	config.NotifyCh = r.leads
+	config.NotifyCh = r.leadership
 
 	store, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(o.Folder, logFile), BoltOptions: &bbolt.Options{Timeout: openTimeout}})
 	if err != nil {
 		return nil, fmt.Errorf("log: %w", err)
 	}
-	stable := &patientStore{store, o.Log, make(chan struct{})}
+	stable := &retryingStore{store, o.Log, make(chan struct{})}
 	r.store = stable
-	snapshots, err := raft.NewFileSnapshotStoreWithLogger(o.Folder, snapshotsKept, logger)
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(o.Folder, retainedSnapshots, logger)
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("snapshots: %w", err), store.Close())
 	}
@@ -133,34 +133,34 @@
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("raft: %w", err), store.Close())
 	}
-	r.trans = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: layer, MaxPool: 3, Timeout: peerTimeout, Logger: logger})
+	r.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: layer, MaxPool: 3, Timeout: peerTimeout, Logger: logger})
 	known, err := raft.HasExistingState(store, store, snapshots)
 	if err == nil && !known && len(o.Peers) > 0 {
 		var c raft.Configuration
 		for _, p := range o.Peers {
 			c.Servers = append(c.Servers, raft.Server{ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.Address)})
 		}
-		err = raft.BootstrapCluster(config, store, stable, snapshots, r.trans, c)
+		err = raft.BootstrapCluster(config, store, stable, snapshots, r.transport, c)
 	}
 	if err == nil {
-		r.raft, err = raft.NewRaft(config, fsm{o.Machine}, store, stable, snapshots, r.trans)
+		r.raft, err = raft.NewRaft(config, fsm{o.Machine}, store, stable, snapshots, r.transport)
 	}
 	if err != nil {
-		return nil, errors.Join(fmt.Errorf("raft: %w", err), r.trans.Close(), store.Close())
+		return nil, errors.Join(fmt.Errorf("raft: %w", err), r.transport.Close(), store.Close())
 	}
 	r.tasks.Add(1)
-	go r.follow(r.leads)
+	go r.followLeadership(r.leadership)
 	return r, nil
 }
 
-// follow hears when this replica begins and ceases to lead, until the channel closes.
-func (r *Replica) follow(leads <-chan bool) {
+// followLeadership hears when this replica begins and ceases to lead, until the channel closes.
+func (r *Replica) followLeadership(leads <-chan bool) {
 	defer r.tasks.Done()
 	var office sync.WaitGroup
 	cease := func() {
 		r.ready.Store(false)
-		if r.ledEnds != nil {
-			r.ledEnds()
+		if r.endLeadership != nil {
+			r.endLeadership()
 		}
 		office.Wait()
 	}
@@ -171,7 +171,7 @@
 			continue
 		}
 		var ctx context.Context
-		ctx, r.ledEnds = context.WithCancel(context.Background())
+		ctx, r.endLeadership = context.WithCancel(context.Background())
 		office.Add(1)
 		go func() {
 			defer office.Done()
@@ -180,8 +180,8 @@
 				return
 			}
 			r.ready.Store(true)
-			if r.options.Led != nil {
-				r.options.Led(ctx)
+			if r.options.OnLeader != nil {
+				r.options.OnLeader(ctx)
 			}
 		}()
 	}
@@ -224,9 +224,9 @@
 		r.options.Log.Warn("raft does not end", "within", closeTimeout)
 		return nil
 	}
-	close(r.leads) // raft's goroutines have ended, and tell nothing more
+	close(r.leadership) // raft's goroutines have ended, and tell nothing more
 	r.tasks.Wait()
-	return errors.Join(err, r.trans.Close(), r.store.Close())
+	return errors.Join(err, r.transport.Close(), r.store.Close())
 }
 
 // Ready tells whether this replica leads and has applied all that was acknowledged before its term.
@@ -244,7 +244,7 @@
 	select {
 	case err := <-done:
 		if err != nil {
-			return nil, explain(err)
+			return nil, translateError(err)
 		}
 		return future.Response(), nil
 	case <-ctx.Done():
@@ -252,7 +252,7 @@
 	}
 }
 
-func explain(err error) error {
+func translateError(err error) error {
 	switch {
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress):
 		return ErrNotLeader
--- a/internal/sidecar/replica/snapshot.go
+++ b/internal/sidecar/replica/snapshot.go
@@ -17,26 +17,26 @@
 	}
 	meta := &raft.SnapshotMeta{Version: raft.SnapshotVersionMax, Size: int64(len(snapshot)), Index: r.raft.LastIndex(), Term: r.raft.CurrentTerm()}
 	done := make(chan error, 1)
-	go func() { done <- r.raft.Restore(meta, bytes.NewReader(snapshot), changeTimeout) }()
+	go func() { done <- r.raft.Restore(meta, bytes.NewReader(snapshot), membershipTimeout) }()
 	for {
 		select {
 		case err := <-done:
 			if err != nil {
-				return explain(err)
+				return translateError(err)
 			}
 			return nil
-		case <-time.After(restoreStuck):
+		case <-time.After(restoreRetryInterval):
 			// Danger: a snapshot that the library took at the same time can leave its note of the last one before what was
 			// restored. No log leads on from there, and it sends the others the snapshot over and over. Another one mends that.
-			if err := r.Compact(); err != nil {
+			if err := r.TakeSnapshot(); err != nil {
 				r.options.Log.Info("restore", "err", err)
 			}
 		}
 	}
 }
 
-// Compact takes a snapshot now.
-func (r *Replica) Compact() error {
+// TakeSnapshot takes a snapshot now.
+func (r *Replica) TakeSnapshot() error {
 	if err := r.raft.Snapshot().Error(); err != nil && !errors.Is(err, raft.ErrNothingNewToSnapshot) {
 		return fmt.Errorf("snapshot: %w", err)
 	}
@@ -50,7 +50,7 @@
 
 func (f fsm) Snapshot() (raft.FSMSnapshot, error) {
 	text, err := f.machine.Snapshot()
-	return frozen(text), err
+	return snapshotBytes(text), err
 }
 
 func (f fsm) Restore(from io.ReadCloser) error {
@@ -58,13 +58,13 @@
 	return f.machine.Restore(from)
 }
 
-type frozen []byte
+type snapshotBytes []byte
 
-func (s frozen) Persist(sink raft.SnapshotSink) error {
+func (s snapshotBytes) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s); err != nil {
 		return errors.Join(err, sink.Cancel())
 	}
 	return sink.Close()
 }
 
-func (s frozen) Release() {}
+func (s snapshotBytes) Release() {}
--- a/internal/sidecar/replica/sound.go
+++ b/internal/sidecar/replica/sound.go
@@ -14,13 +14,13 @@
 	"go.etcd.io/bbolt"
 )
 
-// ErrUnsound is a store that is torn or does not fit together. Danger: a replica that went on with what is left of it, or
+// ErrCorrupt is a store that is torn or does not fit together. Danger: a replica that went on with what is left of it, or
 // with an empty one under its old vote, could help to elect a leader that lacks what was acknowledged.
-var ErrUnsound = errors.New("the store is unsound")
+var ErrCorrupt = errors.New("the store is unsound")
 
 const logFile = "log.bolt"
 
-// Check looks at a replica's folder before it is opened. Errors wrap ErrUnsound, or say why it cannot be looked at.
+// Check looks at a replica's folder before it is opened. Errors wrap ErrCorrupt, or say why it cannot be looked at.
 func Check(folder string) (err error) {
 	path := filepath.Join(folder, logFile)
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
@@ -28,7 +28,7 @@
 	}
 	defer func() {
 		if v := recover(); v != nil { // the library reads pages as they are
-			err = fmt.Errorf("%w: %s: %v", ErrUnsound, path, v)
+			err = fmt.Errorf("%w: %s: %v", ErrCorrupt, path, v)
 		}
 	}()
 	if err := checkPages(path); err != nil {
@@ -40,15 +40,15 @@
 	}
 	store, err := raftboltdb.New(raftboltdb.Options{Path: path, BoltOptions: &bbolt.Options{Timeout: openTimeout}})
 	if err != nil {
-		return cannotOpen(path, err)
+		return openError(path, err)
 	}
 	defer store.Close()
 	first, err := store.FirstIndex()
 	if err != nil {
-		return fmt.Errorf("%w: %s: %w", ErrUnsound, path, err)
+		return fmt.Errorf("%w: %s: %w", ErrCorrupt, path, err)
 	}
 	if first > newest+1 {
-		return fmt.Errorf("%w: the log begins at %d, the newest snapshot ends at %d", ErrUnsound, first, newest)
+		return fmt.Errorf("%w: the log begins at %d, the newest snapshot ends at %d", ErrCorrupt, first, newest)
 	}
 	return nil
 }
@@ -63,7 +63,7 @@
 	if err != nil {
 		return 0, fmt.Errorf("snapshots: %w", err)
 	}
-	store, err := raft.NewFileSnapshotStoreWithLogger(folder, snapshotsKept, hclog.NewNullLogger())
+	store, err := raft.NewFileSnapshotStoreWithLogger(folder, retainedSnapshots, hclog.NewNullLogger())
 	if err != nil {
 		return 0, fmt.Errorf("snapshots: %w", err)
 	}
@@ -77,7 +77,7 @@
 			err = errors.Join(err, from.Close())
 		}
 		if err != nil {
-			return 0, fmt.Errorf("%w: snapshot %s: %w", ErrUnsound, d.Name(), err)
+			return 0, fmt.Errorf("%w: snapshot %s: %w", ErrCorrupt, d.Name(), err)
 		}
 		newest = max(newest, meta.Index)
 	}
--- a/internal/sidecar/replica/sound_test.go
+++ b/internal/sidecar/replica/sound_test.go
@@ -32,7 +32,7 @@
 	led := make(chan bool, 1)
 	r, err := Open(Options{Name: "k1", Folder: folder, Bind: "127.0.0.1:0", Peers: []Peer{{Name: "k1", Address: "127.0.0.1:0"}}, Machine: m,
 		Timing: Timing{Heartbeat: 60 * time.Millisecond, Trailing: 1}, Log: slog.New(slog.DiscardHandler),
-		Led: func(ctx context.Context) { led <- true; <-ctx.Done() }})
+		OnLeader: func(ctx context.Context) { led <- true; <-ctx.Done() }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 				t.Fatal(err)
 			}
 		}
-		if err := r.Compact(); err != nil {
+		if err := r.TakeSnapshot(); err != nil {
 			t.Fatal(err)
 		}
 		if err := r.Close(); err != nil {
@@ -84,7 +84,7 @@
 			if err := os.WriteFile(path, text[:part], 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if err := Check(folder); !errors.Is(err, ErrUnsound) {
+			if err := Check(folder); !errors.Is(err, ErrCorrupt) {
 				t.Errorf("%d of %d bytes of %s: %v", part, len(text), filepath.Base(path), err)
 			}
 		}
@@ -95,13 +95,13 @@
 	if err := os.RemoveAll(filepath.Join(folder, "snapshots")); err != nil {
 		t.Fatal(err)
 	}
-	if err := Check(folder); !errors.Is(err, ErrUnsound) {
+	if err := Check(folder); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("a log without the snapshot that it goes on from: %v", err)
 	}
 }
 
-// damaged is a log of real entries, deleted in part, as text; path is where Check looks for it.
-func damaged(t *testing.T) (folder, path string, text []byte) {
+// newLog is a log of real entries, deleted in part, as text; path is where Check looks for it.
+func newLog(t *testing.T) (folder, path string, text []byte) {
 	t.Helper()
 	folder = t.TempDir()
 	path = filepath.Join(folder, logFile)
@@ -129,10 +129,10 @@
 	return folder, path, text
 }
 
-// TestCheckCut cuts a log off at each page and in the midst of each: what is left of what was in use is unsound, and to look at it
+// TestCheckTruncated cuts a log off at each page and in the midst of each: what is left of what was in use is unsound, and to look at it
 // ends no process, though the library maps more than is there.
-func TestCheckCut(t *testing.T) {
-	folder, path, text := damaged(t)
+func TestCheckTruncated(t *testing.T) {
+	folder, path, text := newLog(t)
 	used := inUse(t, path)
 	half := os.Getpagesize() / 2
 	cuts := 0
@@ -141,7 +141,7 @@
 			t.Fatal(err)
 		}
 		switch err := Check(folder); {
-		case size < used && !errors.Is(err, ErrUnsound):
+		case size < used && !errors.Is(err, ErrCorrupt):
 			t.Errorf("%d of %d bytes in use: %v", size, used, err)
 		case size >= used && err != nil:
 			t.Errorf("%d bytes, all of the %d in use: %v", size, used, err)
@@ -155,10 +155,10 @@
 	}
 }
 
-// TestCheckBlank has each page of a log hold nothing, or foreign bytes, as after a write that never came to the disk: that too
+// TestCheckOverwritten has each page of a log hold nothing, or foreign bytes, as after a write that never came to the disk: that too
 // ends no process, and nothing is taken for sound that lacks a page in use.
-func TestCheckBlank(t *testing.T) {
-	folder, path, text := damaged(t)
+func TestCheckOverwritten(t *testing.T) {
+	folder, path, text := newLog(t)
 	page := os.Getpagesize()
 	free := freePages(t, path)
 	for _, fill := range []byte{0, 0xff, 0x01} {
@@ -168,7 +168,7 @@
 			if err := os.WriteFile(path, other, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if err := Check(folder); !errors.Is(err, ErrUnsound) && !free[at/page] {
+			if err := Check(folder); !errors.Is(err, ErrCorrupt) && !free[at/page] {
 				t.Errorf("page %d filled with %#x: %v", at/page, fill, err)
 			}
 			if err := os.WriteFile(path, text, 0o600); err != nil {
@@ -178,11 +178,11 @@
 	}
 }
 
-// TestCheckRead has another process read the log meanwhile, which lets in readers but no writer: that does not make it unsound.
-func TestCheckRead(t *testing.T) {
-	folder, path, _ := damaged(t)
+// TestCheckWhileRead has another process read the log meanwhile, which lets in readers but no writer: that does not make it unsound.
+func TestCheckWhileRead(t *testing.T) {
+	folder, path, _ := newLog(t)
 	view(t, path, func(*bbolt.Tx) error {
-		if err := Check(folder); !errors.Is(err, bolterrors.ErrTimeout) || errors.Is(err, ErrUnsound) {
+		if err := Check(folder); !errors.Is(err, bolterrors.ErrTimeout) || errors.Is(err, ErrCorrupt) {
 			t.Errorf("a log that is being read: %v", err)
 		}
 		return nil
--- a/internal/sidecar/replica/transport.go
+++ b/internal/sidecar/replica/transport.go
@@ -43,10 +43,10 @@
 	return d.Dial("tcp", string(to))
 }
 
-// lines hands what raft logs to the keeper's log.
-type lines struct{ log *slog.Logger }
+// logWriter hands what raft logs to the keeper's log.
+type logWriter struct{ log *slog.Logger }
 
-func (w lines) Write(p []byte) (int, error) {
+func (w logWriter) Write(p []byte) (int, error) {
 	text := strings.TrimSpace(string(p))
 	level, rest, _ := strings.Cut(strings.TrimPrefix(text, "["), "]")
 	switch level {
--- a/internal/sidecar/sealed/cell.go
+++ b/internal/sidecar/sealed/cell.go
@@ -9,16 +9,16 @@
 
 // Cell is a sealed file with one value, as JSON.
 type Cell[T any] struct {
-	Path  string // "": nothing is kept
-	Kind  Kind
-	Most  int64         // bytes of the file that are read, above 0
-	Check func(T) error // whether a value that was read makes sense; nil: each does
+	Path     string // "": nothing is kept
+	Kind     Kind
+	MaxBytes int64         // bytes of the file that are read, above 0
+	Check    func(T) error // whether a value that was read makes sense; nil: each does
 }
 
-// Read is the value. It leaves the file as it is. Errors wrap ErrUnsound where another writer made it, fs.ErrNotExist where there is none,
+// Read is the value. It leaves the file as it is. Errors wrap ErrCorrupt where another writer made it, fs.ErrNotExist where there is none,
 // or are the reader's.
 func (c Cell[T]) Read() (v T, err error) {
-	text, err := ReadFile(c.Path, c.Most)
+	text, err := ReadFile(c.Path, c.MaxBytes)
 	if err != nil {
 		return v, err
 	}
@@ -31,7 +31,7 @@
 	}
 	if err != nil {
 		var none T
-		return none, fmt.Errorf("%w: %w", ErrUnsound, err)
+		return none, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	return v, nil
 }
@@ -47,10 +47,10 @@
 		return v, true, nil
 	case errors.Is(err, fs.ErrNotExist):
 		return v, false, nil
-	case !errors.Is(err, ErrUnsound):
+	case !errors.Is(err, ErrCorrupt):
 		return v, false, err
 	}
-	aside, moved := SetAside(c.Path)
+	aside, moved := Quarantine(c.Path)
 	if moved != nil {
 		return v, false, errors.Join(err, moved)
 	}
--- a/internal/sidecar/sealed/cell_test.go
+++ b/internal/sidecar/sealed/cell_test.go
@@ -12,7 +12,7 @@
 
 // TestCell reads what it saved, and files that are unsound in each way, which it sets aside.
 func TestCell(t *testing.T) {
-	c := sealed.Cell[int]{Path: filepath.Join(t.TempDir(), "cell"), Kind: sealed.Kind{Magic: "number", Form: 2, Needs: 2}, Most: 100,
+	c := sealed.Cell[int]{Path: filepath.Join(t.TempDir(), "cell"), Kind: sealed.Kind{Magic: "number", FormatVersion: 2, MinReaderVersion: 2}, MaxBytes: 100,
 		Check: func(v int) error {
 			if v < 0 {
 				return errors.New("negative")
@@ -32,13 +32,13 @@
 	for name, text := range map[string]string{
 		"torn": sound[:len(sound)-1], "foreign": "7", "changed": strings.Replace(sound, "\n7", "\n8", 1), "empty": "", "long": sound + strings.Repeat(" ", 100),
 		"no number": string(c.Kind.Seal([]byte("x"))), "negative": string(c.Kind.Seal([]byte("-7"))),
-		"later": string(sealed.Kind{Magic: "number", Form: 3, Needs: 3}.Seal([]byte("7"))),
+		"later": string(sealed.Kind{Magic: "number", FormatVersion: 3, MinReaderVersion: 3}.Seal([]byte("7"))),
 	} {
 		if err := os.WriteFile(c.Path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		v, ok, err := c.Load()
-		if v != 0 || ok || !errors.Is(err, sealed.ErrUnsound) || errors.Is(err, sealed.ErrLater) != (name == "later") {
+		if v != 0 || ok || !errors.Is(err, sealed.ErrCorrupt) || errors.Is(err, sealed.ErrNewerFormat) != (name == "later") {
 			t.Errorf("%s: %d, %t, %v", name, v, ok, err)
 		}
 		if aside, err := os.ReadFile(c.Path + ".unsound"); err != nil || string(aside) != text {
--- a/internal/sidecar/sealed/lock.go
+++ b/internal/sidecar/sealed/lock.go
@@ -6,9 +6,9 @@
 	"syscall"
 )
 
-// Locked does something that only one process at a time may do to the file of a path. Where another is at it, it waits, or
+// WithLock does something that only one process at a time may do to the file of a path. Where another is at it, it waits, or
 // fails with syscall.EWOULDBLOCK. The lock is a file beside it, which stays; the kernel lets go of it with the process.
-func Locked(path string, wait bool, do func() error) error {
+func WithLock(path string, wait bool, do func() error) error {
 	lock, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
--- a/internal/sidecar/sealed/sealed.go
+++ b/internal/sidecar/sealed/sealed.go
@@ -15,56 +15,56 @@
 // Kind is what a file holds. A reader of form R reads every file that needs R or less: later writers may add to the body
 // what an earlier reader can pass over.
 type Kind struct {
-	Magic string // a word without spaces
-	Form  int    // that is written, and read
-	Needs int    // the least form that reads what is written
+	Magic            string // a word without spaces
+	FormatVersion    int    // that is written, and read
+	MinReaderVersion int    // the least form that reads what is written
 }
 
-// ErrUnsound is a file that is torn, truncated, foreign, or of a form that this program does not read.
-var ErrUnsound = errors.New("unsound")
+// ErrCorrupt is a file that is torn, truncated, foreign, or of a form that this program does not read.
+var ErrCorrupt = errors.New("unsound")
 
-// ErrLater is an unsound file that a later program can read.
-var ErrLater = fmt.Errorf("%w: of a later form", ErrUnsound)
+// ErrNewerFormat is an unsound file that a later program can read.
+var ErrNewerFormat = fmt.Errorf("%w: of a later form", ErrCorrupt)
 
-const mostHead = 200
+const maxHeaderBytes = 200
 
 // Seal is a body behind a line with its kind, checksum and length.
 func (k Kind) Seal(body []byte) []byte {
-	head := fmt.Sprintf("%s %d %d %016x %d\n", k.Magic, k.Form, k.Needs, xxhash.Sum64(body), len(body))
+	head := fmt.Sprintf("%s %d %d %016x %d\n", k.Magic, k.FormatVersion, k.MinReaderVersion, xxhash.Sum64(body), len(body))
 	return append([]byte(head), body...)
 }
 
-// Open is the body of what Seal made. Errors wrap ErrUnsound.
+// Open is the body of what Seal made. Errors wrap ErrCorrupt.
 func (k Kind) Open(text []byte) ([]byte, error) {
 	head, body, found := bytes.Cut(text, []byte("\n"))
 	var word string
 	var form, needs, size int
 	var sum uint64
-	if len(head) > mostHead {
-		head = head[:mostHead]
+	if len(head) > maxHeaderBytes {
+		head = head[:maxHeaderBytes]
 	}
 	if _, err := fmt.Sscanf(string(head), "%s %d %d %x %d", &word, &form, &needs, &sum, &size); err != nil || !found || word != k.Magic {
-		return nil, fmt.Errorf("%w: it does not begin as a %s", ErrUnsound, k.Magic)
+		return nil, fmt.Errorf("%w: it does not begin as a %s", ErrCorrupt, k.Magic)
 	}
 	switch {
-	case needs > k.Form:
-		return nil, fmt.Errorf("%w: it needs a program that reads form %d, this one reads %d", ErrLater, needs, k.Form)
+	case needs > k.FormatVersion:
+		return nil, fmt.Errorf("%w: it needs a program that reads form %d, this one reads %d", ErrNewerFormat, needs, k.FormatVersion)
 	case len(body) != size:
-		return nil, fmt.Errorf("%w: %d bytes of %d", ErrUnsound, len(body), size)
+		return nil, fmt.Errorf("%w: %d bytes of %d", ErrCorrupt, len(body), size)
 	case xxhash.Sum64(body) != sum:
-		return nil, fmt.Errorf("%w: the checksum differs", ErrUnsound)
+		return nil, fmt.Errorf("%w: the checksum differs", ErrCorrupt)
 	}
 	return body, nil
 }
 
-// ReadFile is a file of at most so many bytes. Danger: a foreign one may have any size. Errors wrap ErrUnsound where it has more.
+// ReadFile is a file of at most so many bytes. Danger: a foreign one may have any size. Errors wrap ErrCorrupt where it has more.
 func ReadFile(path string, most int64) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if info.Size() > most {
-		return nil, fmt.Errorf("%w: %s has %d bytes", ErrUnsound, path, info.Size())
+		return nil, fmt.Errorf("%w: %s has %d bytes", ErrCorrupt, path, info.Size())
 	}
 	return os.ReadFile(path)
 }
@@ -88,9 +88,9 @@
 	return nil
 }
 
-// SetAside renames an unsound file or folder, so that it can be looked at, and returns its new name. One that was set aside
+// Quarantine renames an unsound file or folder, so that it can be looked at, and returns its new name. One that was set aside
 // before is replaced.
-func SetAside(path string) (string, error) {
+func Quarantine(path string) (string, error) {
 	aside := path + ".unsound"
 	if err := os.RemoveAll(aside); err != nil {
 		return "", err
--- a/internal/sidecar/state/roles_test.go
+++ b/internal/sidecar/state/roles_test.go
@@ -179,8 +179,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := sealed.Kind{Magic: snapshotKind.Magic, Form: 2, Needs: 2}
-	if _, err := before.Open(text); !errors.Is(err, sealed.ErrUnsound) {
+	before := sealed.Kind{Magic: snapshotKind.Magic, FormatVersion: 2, MinReaderVersion: 2}
+	if _, err := before.Open(text); !errors.Is(err, sealed.ErrCorrupt) {
 		t.Errorf("a version that would lose the roles reads them: %v", err)
 	}
 	body, err := snapshotKind.Open(text)
@@ -200,7 +200,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := ReadSnapshot(bytes.NewReader(snapshotKind.Seal(replaceOnce(t, body, test.from, test.to))))
-			if (err == nil) != test.valid || err != nil && !errors.Is(err, sealed.ErrUnsound) {
+			if (err == nil) != test.valid || err != nil && !errors.Is(err, sealed.ErrCorrupt) {
 				t.Errorf("%s is read: %v", test.to, err)
 			}
 		})
--- a/internal/sidecar/state/rolesnapshot.go
+++ b/internal/sidecar/state/rolesnapshot.go
@@ -30,7 +30,7 @@
 	return s
 }
 
-// restore reads what snapshot returned. Errors wrap sealed.ErrUnsound.
+// restore reads what snapshot returned. Errors wrap sealed.ErrCorrupt.
 func (s *roleTableSnapshot) restore() (roleTable, error) {
 	table := newRoleTable()
 	if s == nil {
@@ -40,17 +40,17 @@
 	for i := range s.Roles {
 		role := s.Roles[i].clone()
 		if err := role.check(s.Revision); err != nil {
-			return table, fmt.Errorf("%w: duty %.40q makes no sense: %w", sealed.ErrUnsound, role.Name, err)
+			return table, fmt.Errorf("%w: duty %.40q makes no sense: %w", sealed.ErrCorrupt, role.Name, err)
 		}
 		if table.byName[role.Name] != nil {
-			return table, fmt.Errorf("%w: duty %.40q stands twice", sealed.ErrUnsound, role.Name)
+			return table, fmt.Errorf("%w: duty %.40q stands twice", sealed.ErrCorrupt, role.Name)
 		}
 		table.byName[role.Name] = &role
 		table.index(&role)
 	}
 	numbersValid := s.Revision >= 1 && s.LeaseTerm >= 0 && s.ForgottenEpoch >= 0
 	if !numbersValid || len(s.Roles) > MaxRoles || table.waiting > MaxCandidates {
-		return table, fmt.Errorf("%w: %d duties at revision %d", sealed.ErrUnsound, len(s.Roles), s.Revision)
+		return table, fmt.Errorf("%w: %d duties at revision %d", sealed.ErrCorrupt, len(s.Roles), s.Revision)
 	}
 	return table, nil
 }
--- a/internal/sidecar/state/routes.go
+++ b/internal/sidecar/state/routes.go
@@ -155,29 +155,29 @@
 	return &routeHistorySnapshot{h.generation, h.table, h.steps}
 }
 
-// restore reads what snapshot returned. Errors wrap sealed.ErrUnsound.
+// restore reads what snapshot returned. Errors wrap sealed.ErrCorrupt.
 func (s *routeHistorySnapshot) restore() (routeHistory, error) {
 	if s == nil {
 		return routeHistory{}, nil
 	}
 	if err := s.Rules.Check(); err != nil {
-		return routeHistory{}, fmt.Errorf("%w: routes: %w", sealed.ErrUnsound, err)
+		return routeHistory{}, fmt.Errorf("%w: routes: %w", sealed.ErrCorrupt, err)
 	}
 	history := routeHistory{generation: s.Generation, table: s.Rules, steps: s.Steps}
 	for i := range history.steps {
 		step := &history.steps[i]
 		if want := history.oldest() + int64(i) + 1; step.Generation != want || want < 1 {
-			return routeHistory{}, fmt.Errorf("%w: routes: generation %d stands in the place of %d", sealed.ErrUnsound, step.Generation, want)
+			return routeHistory{}, fmt.Errorf("%w: routes: generation %d stands in the place of %d", sealed.ErrCorrupt, step.Generation, want)
 		}
 		text, err := json.Marshal(step.Back)
 		if err != nil {
-			return routeHistory{}, fmt.Errorf("%w: routes: %w", sealed.ErrUnsound, err)
+			return routeHistory{}, fmt.Errorf("%w: routes: %w", sealed.ErrCorrupt, err)
 		}
 		step.bytes = len(text)
 		history.stepBytes += step.bytes
 	}
 	if s.Generation < 1 || len(s.Steps) > MaxGenerations || history.stepBytes > MaxRouteHistoryBytes {
-		return routeHistory{}, fmt.Errorf("%w: routes: generation %d with %d steps of %d bytes", sealed.ErrUnsound, s.Generation, len(s.Steps), history.stepBytes)
+		return routeHistory{}, fmt.Errorf("%w: routes: generation %d with %d steps of %d bytes", sealed.ErrCorrupt, s.Generation, len(s.Steps), history.stepBytes)
 	}
 	return history, nil
 }
--- a/internal/sidecar/state/routes_test.go
+++ b/internal/sidecar/state/routes_test.go
@@ -81,7 +81,7 @@
 // TestRoutesForms reads a snapshot of a version without routes, writes one that such a version reads where there are none, and
 // refuses inconsistent snapshots.
 func TestRoutesForms(t *testing.T) {
-	before := sealed.Kind{Magic: "gradeusher-state", Form: 1, Needs: 1}
+	before := sealed.Kind{Magic: "gradeusher-state", FormatVersion: 1, MinReaderVersion: 1}
 	machine := New()
 	machine.Apply(Command{Op: FoundCluster, Cluster: "c"})
 	text, err := machine.Snapshot()
@@ -101,7 +101,7 @@
 	if text, err = machine.Snapshot(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := before.Open(text); !errors.Is(err, sealed.ErrUnsound) {
+	if _, err := before.Open(text); !errors.Is(err, sealed.ErrCorrupt) {
 		t.Errorf("a version that would lose the routes reads them: %v", err)
 	}
 	if body, err = snapshotKind.Open(text); err != nil {
@@ -113,7 +113,7 @@
 		if wrong == string(body) {
 			t.Fatalf("no %s in %s", change, body)
 		}
-		if _, err := ReadSnapshot(bytes.NewReader(snapshotKind.Seal([]byte(wrong)))); !errors.Is(err, sealed.ErrUnsound) {
+		if _, err := ReadSnapshot(bytes.NewReader(snapshotKind.Seal([]byte(wrong)))); !errors.Is(err, sealed.ErrCorrupt) {
 			t.Errorf("%s is read: %v", to, err)
 		}
 	}
--- a/internal/sidecar/state/snapshot.go
+++ b/internal/sidecar/state/snapshot.go
@@ -18,7 +18,7 @@
 
 // snapshotKind is the kind of a snapshot without routes and roles, which the first version can read. Needs rises only where an earlier
 // version would lose what matters: where there are routes or roles.
-var snapshotKind = sealed.Kind{Magic: "gradeusher-state", Form: formRoles, Needs: formServers}
+var snapshotKind = sealed.Kind{Magic: "gradeusher-state", FormatVersion: formRoles, MinReaderVersion: formServers}
 
 // MaxSnapshotBytes bounds a snapshot. A full state (MaxServers, MaxHistory, MaxRouteHistoryBytes, MaxRoles, MaxCandidates) takes some
 // 65 MB.
@@ -46,15 +46,15 @@
 	}
 	kind := snapshotKind
 	if m.routing.generation > 0 {
-		kind.Needs = formRoutes
+		kind.MinReaderVersion = formRoutes
 	}
 	if m.roles.revision > 0 {
-		kind.Needs = formRoles
+		kind.MinReaderVersion = formRoles
 	}
 	return kind.Seal(body), nil
 }
 
-// ReadSnapshot reads what Snapshot returned. Errors wrap sealed.ErrUnsound, or come from the reader.
+// ReadSnapshot reads what Snapshot returned. Errors wrap sealed.ErrCorrupt, or come from the reader.
 func ReadSnapshot(from io.Reader) (*Machine, error) {
 	text, err := io.ReadAll(io.LimitReader(from, MaxSnapshotBytes+1))
 	if err != nil {
@@ -66,15 +66,15 @@
 	}
 	var s snapshotBody
 	if err := json.Unmarshal(body, &s); err != nil {
-		return nil, fmt.Errorf("%w: %w", sealed.ErrUnsound, err)
+		return nil, fmt.Errorf("%w: %w", sealed.ErrCorrupt, err)
 	}
 	return s.restore()
 }
 
-// restore makes the state machine. Errors wrap sealed.ErrUnsound.
+// restore makes the state machine. Errors wrap sealed.ErrCorrupt.
 func (s *snapshotBody) restore() (*Machine, error) {
 	if s.Revision < 0 || s.Lease < 0 {
-		return nil, fmt.Errorf("%w: revision %d, lease %d", sealed.ErrUnsound, s.Revision, s.Lease)
+		return nil, fmt.Errorf("%w: revision %d, lease %d", sealed.ErrCorrupt, s.Revision, s.Lease)
 	}
 	machine := New()
 	machine.cluster, machine.revision, machine.lastLease, machine.history = s.Cluster, s.Revision, s.Lease, s.History
@@ -101,10 +101,10 @@
 	for i := range entries {
 		entry := entries[i]
 		if err := entry.Target.Check(); err != nil {
-			return fmt.Errorf("%w: %w", sealed.ErrUnsound, err)
+			return fmt.Errorf("%w: %w", sealed.ErrCorrupt, err)
 		}
 		if m.entries[entry.UID] != nil || entry.Revision > m.revision || entry.Lease > m.lastLease {
-			return fmt.Errorf("%w: the entry of %s makes no sense", sealed.ErrUnsound, entry.UID)
+			return fmt.Errorf("%w: the entry of %s makes no sense", sealed.ErrCorrupt, entry.UID)
 		}
 		m.entries[entry.UID] = &entry
 	}
@@ -115,7 +115,7 @@
 func (m *Machine) checkHistory() error {
 	for i, change := range m.history {
 		if want := m.OldestRevision() + int64(i) + 1; change.Revision != want || want < 1 {
-			return fmt.Errorf("%w: revision %d stands in the place of %d", sealed.ErrUnsound, change.Revision, want)
+			return fmt.Errorf("%w: revision %d stands in the place of %d", sealed.ErrCorrupt, change.Revision, want)
 		}
 	}
 	return nil
--- a/internal/sidecar/state/state_test.go
+++ b/internal/sidecar/state/state_test.go
@@ -102,7 +102,7 @@
 	if body, err = json.Marshal(fields); err != nil {
 		t.Fatal(err)
 	}
-	later := sealed.Kind{Magic: snapshotKind.Magic, Form: snapshotKind.Form + 1, Needs: snapshotKind.Form}
+	later := sealed.Kind{Magic: snapshotKind.Magic, FormatVersion: snapshotKind.FormatVersion + 1, MinReaderVersion: snapshotKind.FormatVersion}
 	next, err := ReadSnapshot(bytes.NewReader(later.Seal(body)))
 	if err != nil {
 		t.Fatal(err)
@@ -110,12 +110,12 @@
 	if got := mustSnapshot(t, next); !bytes.Equal(got, text) {
 		t.Errorf("read %s, want %s", got, text)
 	}
-	later.Needs++
-	if _, err := ReadSnapshot(bytes.NewReader(later.Seal(body))); !errors.Is(err, sealed.ErrUnsound) {
+	later.MinReaderVersion++
+	if _, err := ReadSnapshot(bytes.NewReader(later.Seal(body))); !errors.Is(err, sealed.ErrCorrupt) {
 		t.Errorf("a form that needs a later program: %v", err)
 	}
 	for n := range text {
-		if _, err := ReadSnapshot(bytes.NewReader(text[:n])); !errors.Is(err, sealed.ErrUnsound) {
+		if _, err := ReadSnapshot(bytes.NewReader(text[:n])); !errors.Is(err, sealed.ErrCorrupt) {
 			t.Fatalf("%d bytes of %d were read: %v", n, len(text), err)
 		}
 	}
