--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -109,7 +109,7 @@
 		return nil
 	}
 	// Danger: two processes that change the file at once would each undo what the other did.
-	return sealed.Locked(f.path, true, func() error {
+	return sealed.WithLock(f.path, true, func() error {
 		if now, err := f.read(); err == nil {
 			ids = now
 		}
--- a/internal/sidecar/kept.go
+++ b/internal/sidecar/kept.go
@@ -18,7 +18,7 @@
 	mostBeliefs = 4 << 20     // bytes of the file
 )
 
-var keptKind = sealed.Kind{Magic: "gradeusher-beliefs", Form: 1, Needs: 1}
+var keptKind = sealed.Kind{Magic: "gradeusher-beliefs", FormatVersion: 1, MinReaderVersion: 1}
 
 // kept is the file in which a process leaves what it believes of its servers to the next one. Danger: a new process that takes all
 // servers for idle and sound sends to those that are full or broken until it has learnt better, and a restart makes all
@@ -41,7 +41,7 @@
 // newKept keeps it in a folder, for a sidecar of a name.
 func newKept(folder, name string, log *slog.Logger) *kept {
 	path := filepath.Join(folder, "beliefs-"+url.PathEscape(name)+".kept")
-	return &kept{Cell: sealed.Cell[beliefs]{Path: path, Kind: keptKind, Most: mostBeliefs}, log: log}
+	return &kept{Cell: sealed.Cell[beliefs]{Path: path, Kind: keptKind, MaxBytes: mostBeliefs}, log: log}
 }
 
 // load is what was left, in times from an origin on, and when. It tells false where there is nothing sound. What is unsound as this process
@@ -67,8 +67,8 @@
 // save replaces what was left, unless by a process that began later, or by a later program. Danger: a disk may hold a process up with the
 // lock taken, and the end of this one must not wait for it; so what is left meanwhile is that one's.
 func (k *kept) save(b balance.Kept, origin, now time.Time) error {
-	err := sealed.Locked(k.Path, false, func() error {
-		if there, err := k.Read(); errors.Is(err, sealed.ErrLater) || err == nil && there.Began > k.began {
+	err := sealed.WithLock(k.Path, false, func() error {
+		if there, err := k.Read(); errors.Is(err, sealed.ErrNewerFormat) || err == nil && there.Began > k.began {
 			return nil
 		}
 		return k.Save(beliefs{now.UnixNano(), k.began, shifted(b, origin.UnixNano())})
--- a/internal/sidecar/kept_test.go
+++ b/internal/sidecar/kept_test.go
@@ -86,13 +86,13 @@
 	if got := near(); got != 0.3 {
 		t.Errorf("the later process has not replaced its own: %v", got)
 	}
-	if err := sealed.Locked(young.Path, true, func() error { leave(young, 0.4); return nil }); err != nil {
+	if err := sealed.WithLock(young.Path, true, func() error { leave(young, 0.4); return nil }); err != nil {
 		t.Fatal(err)
 	}
 	if got := near(); got != 0.3 {
 		t.Errorf("written while another held the lock: %v", got)
 	}
-	later := sealed.Kind{Magic: keptKind.Magic, Form: 9, Needs: 9}.Seal([]byte("{}"))
+	later := sealed.Kind{Magic: keptKind.Magic, FormatVersion: 9, MinReaderVersion: 9}.Seal([]byte("{}"))
 	if err := os.WriteFile(young.Path, later, 0o600); err != nil {
 		t.Fatal(err)
 	}
