--- a/internal/sidecar/registry/membership.go
+++ b/internal/sidecar/registry/membership.go
@@ -31,7 +31,7 @@
 		return n.takeVote(w, request.Name)
 	}
 	peer := replica.Peer{Name: request.Name, Address: request.Raft}
-	if err := n.replica.Add(r.Context(), peer); err != nil {
+	if err := n.replica.Add(peer); err != nil {
 		return membershipError(err)
 	}
 	if commit := n.replica.Status().Commit; request.Applied+maxCatchUpLag < commit {
--- a/internal/sidecar/replica/check.go
+++ b/internal/sidecar/replica/check.go
@@ -14,23 +14,20 @@
 	"go.etcd.io/bbolt"
 )
 
-// ErrCorrupt is a store that is torn or does not fit together. Danger: a replica that went on with what is left of it, or
-// with an empty one under its old vote, could help to elect a leader that lacks what was acknowledged.
+// ErrCorrupt is wrapped where a store is truncated or inconsistent. A replica that went on with what is left of it, or with an empty one under its
+// old vote, could help to elect a leader that lacks acknowledged commands.
 var ErrCorrupt = errors.New("the store is unsound")
 
 const logFile = "log.bolt"
 
-// Check looks at a replica's folder before it is opened. Errors wrap ErrCorrupt, or say why it cannot be looked at.
+// Check checks the folder of a replica before it is opened. Errors wrap ErrCorrupt, or say why the folder cannot be checked. A folder in which
+// nothing was ever stored is fine.
 func Check(folder string) (err error) {
 	path := filepath.Join(folder, logFile)
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
-		return nil // nothing was ever kept
+		return nil
 	}
-	defer func() {
-		if v := recover(); v != nil { // the library reads pages as they are
-			err = fmt.Errorf("%w: %s: %v", ErrCorrupt, path, v)
-		}
-	}()
+	defer recoverCorrupt(path, &err) // bbolt reads pages without checks
 	if err := checkPages(path); err != nil {
 		return err
 	}
@@ -38,14 +35,9 @@
 	if err != nil {
 		return err
 	}
-	store, err := raftboltdb.New(raftboltdb.Options{Path: path, BoltOptions: &bbolt.Options{Timeout: openTimeout}})
-	if err != nil {
-		return openError(path, err)
-	}
-	defer store.Close()
-	first, err := store.FirstIndex()
+	first, err := firstIndex(path)
 	if err != nil {
-		return fmt.Errorf("%w: %s: %w", ErrCorrupt, path, err)
+		return err
 	}
 	if first > newest+1 {
 		return fmt.Errorf("%w: the log begins at %d, the newest snapshot ends at %d", ErrCorrupt, first, newest)
@@ -53,10 +45,32 @@
 	return nil
 }
 
-// checkSnapshots reads every snapshot against its checksum, and returns the index at which the newest ends; 0: there is none.
+// recoverCorrupt, deferred, makes an error that wraps ErrCorrupt of a panic.
+func recoverCorrupt(path string, err *error) {
+	if v := recover(); v != nil {
+		*err = fmt.Errorf("%w: %s: %v", ErrCorrupt, path, v)
+	}
+}
+
+// firstIndex returns the index of the log's first entry.
+func firstIndex(path string) (uint64, error) {
+	log, err := raftboltdb.New(raftboltdb.Options{Path: path, BoltOptions: &bbolt.Options{Timeout: openTimeout}})
+	if err != nil {
+		return 0, openError(path, err)
+	}
+	defer func() { _ = log.Close() }() // it was only read
+	first, err := log.FirstIndex()
+	if err != nil {
+		return 0, fmt.Errorf("%w: %s: %w", ErrCorrupt, path, err)
+	}
+	return first, nil
+}
+
+const unfinishedSnapshot = ".tmp" // suffix of one whose writing was interrupted
+
+// checkSnapshots compares every snapshot with its checksum, and returns the index at which the newest ends; 0: there is none.
 func checkSnapshots(folder string) (newest uint64, err error) {
-	root := filepath.Join(folder, "snapshots")
-	all, err := os.ReadDir(root)
+	entries, err := os.ReadDir(filepath.Join(folder, "snapshots"))
 	if errors.Is(err, os.ErrNotExist) {
 		return 0, nil
 	}
@@ -67,19 +81,25 @@
 	if err != nil {
 		return 0, fmt.Errorf("snapshots: %w", err)
 	}
-	for _, d := range all {
-		if strings.HasSuffix(d.Name(), ".tmp") {
-			continue // one that was never finished
-		}
-		meta, from, err := store.Open(d.Name())
-		if err == nil {
-			_, err = io.Copy(io.Discard, from)
-			err = errors.Join(err, from.Close())
+	for _, entry := range entries {
+		if strings.HasSuffix(entry.Name(), unfinishedSnapshot) {
+			continue
 		}
+		index, err := checkSnapshot(store, entry.Name())
 		if err != nil {
-			return 0, fmt.Errorf("%w: snapshot %s: %w", ErrCorrupt, d.Name(), err)
+			return 0, fmt.Errorf("%w: snapshot %s: %w", ErrCorrupt, entry.Name(), err)
 		}
-		newest = max(newest, meta.Index)
+		newest = max(newest, index)
 	}
 	return newest, nil
 }
+
+// checkSnapshot reads a snapshot, by which raft compares it with its checksum, and returns the index at which it ends.
+func checkSnapshot(store *raft.FileSnapshotStore, name string) (index uint64, err error) {
+	meta, content, err := store.Open(name)
+	if err != nil {
+		return 0, err
+	}
+	_, err = io.Copy(io.Discard, content)
+	return meta.Index, errors.Join(err, content.Close())
+}
--- a/internal/sidecar/replica/checkpages.go
+++ b/internal/sidecar/replica/checkpages.go
@@ -13,26 +13,22 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// checkPages looks at all pages of the log. Errors wrap ErrCorrupt, or say why it cannot be looked at.
+// checkPages checks all pages of the log. Errors wrap ErrCorrupt, or say why the log cannot be checked.
 //
-// Danger: the library's own check reads pages as they are, in a goroutine of its own: what it fails on there ends the process,
-// which nobody can recover. So whatever it is going to read is read here before, where a failure is an error.
+// The check of bbolt reads pages without checks in a goroutine of its own, where a panic ends the process and cannot be recovered. So everything
+// that it is going to read is read here before, where a panic becomes an error.
 func checkPages(path string) (err error) {
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // an offset that leads out of the file
-	defer func() {
-		if v := recover(); v != nil {
-			err = fmt.Errorf("%w: %s: %v", ErrCorrupt, path, v)
-		}
-	}()
-	// What lies beyond the end of a file that was cut off cannot be looked at, the list of free pages neither.
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // for an offset that leads out of the file
+	defer recoverCorrupt(path, &err)
+	// What lies behind the end of a truncated file cannot be read, which the list of free pages may be.
 	if err := viewLog(path, false, checkLength); err != nil {
 		return err
 	}
-	return viewLog(path, true, func(tx *bbolt.Tx, f *os.File) error {
-		if err := checkHeaders(tx, f); err != nil {
+	return viewLog(path, true, func(tx *bbolt.Tx, file *os.File) error {
+		if err := checkHeaders(tx, file); err != nil {
 			return err
 		}
-		if err := tx.ForEach(func(_ []byte, b *bbolt.Bucket) error { return readBucket(b) }); err != nil {
+		if err := tx.ForEach(func(_ []byte, bucket *bbolt.Bucket) error { return readBucket(bucket) }); err != nil {
 			return err
 		}
 		var first error
@@ -45,32 +41,31 @@
 	})
 }
 
-// viewLog opens the log, with its list of free pages or without, and has look find what is unsound.
-func viewLog(path string, free bool, look func(*bbolt.Tx, *os.File) error) error {
-	var f *os.File
+// viewLog opens the log for reading, with its list of free pages or without, and calls check, whose errors mean that the log is corrupt.
+func viewLog(path string, withFreelist bool, check func(*bbolt.Tx, *os.File) error) error {
+	var file *os.File
 	defer func() {
-		if f != nil { // where the library failed, it has not come to this; else it does nothing more
-			_ = syscall.Flock(int(f.Fd()), syscall.LOCK_UN) // the pages that stay mapped would keep the lock
-			f.Close()
+		if file != nil { // where bbolt failed, it has not closed it; else this does nothing more
+			_ = syscall.Flock(int(file.Fd()), syscall.LOCK_UN) // pages that stay mapped would keep the lock
+			_ = file.Close()
 		}
 	}()
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openTimeout, ReadOnly: true, PreLoadFreelist: free,
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openTimeout, ReadOnly: true, PreLoadFreelist: withFreelist,
 		OpenFile: func(name string, flag int, mode os.FileMode) (_ *os.File, err error) {
-			f, err = os.OpenFile(name, flag, mode)
-			return f, err
+			file, err = os.OpenFile(name, flag, mode)
+			return file, err
 		}})
 	if err != nil {
 		return openError(path, err)
 	}
-	defer db.Close()
-	if err := db.View(func(tx *bbolt.Tx) error { return look(tx, f) }); err != nil {
+	defer func() { _ = db.Close() }() // it was only read
+	if err := db.View(func(tx *bbolt.Tx) error { return check(tx, file) }); err != nil {
 		return fmt.Errorf("%w: %s: %w", ErrCorrupt, path, err)
 	}
 	return nil
 }
 
-// openError is what it means that the log could not be opened. Danger: one that another process has is not unsound, and to set it
-// aside would lose it.
+// openError returns what it means that the log cannot be opened. A log that another process has open is not corrupt, and to quarantine it would lose it.
 func openError(path string, err error) error {
 	if errors.Is(err, bolterrors.ErrTimeout) || errors.Is(err, os.ErrPermission) {
 		return fmt.Errorf("log: %w", err)
@@ -78,9 +73,9 @@
 	return fmt.Errorf("%w: %s: %w", ErrCorrupt, path, err)
 }
 
-// checkLength tells whether the file holds all pages that are in use.
-func checkLength(tx *bbolt.Tx, f *os.File) error {
-	info, err := f.Stat()
+// checkLength returns an error unless the file has all pages that are in use.
+func checkLength(tx *bbolt.Tx, file *os.File) error {
+	info, err := file.Stat()
 	if err != nil {
 		return err
 	}
@@ -90,40 +85,43 @@
 	return nil
 }
 
-// checkHeaders holds each page that is in use against its place: it names itself and its kind, and goes on no further than the log.
-func checkHeaders(tx *bbolt.Tx, f *os.File) error {
-	size := int64(tx.DB().Info().PageSize)
-	pages := int(tx.Size() / size)
-	for i := 0; i < pages; i++ {
-		p, err := tx.Page(i)
+const metaPages = 2 // at the beginning of a bbolt file
+
+// checkHeaders checks the header of each page that is in use: it must have the page's own number and a kind of page, and continue no further than the log.
+func checkHeaders(tx *bbolt.Tx, file *os.File) error {
+	pageSize := int64(tx.DB().Info().PageSize)
+	pageCount := int(tx.Size() / pageSize)
+	for number := 0; number < pageCount; number++ {
+		page, err := tx.Page(number)
 		if err != nil {
 			return err
 		}
-		if p.Type == "free" {
+		if page.Type == "free" {
 			continue
 		}
-		var own [8]byte // the page's number, as the library writes it
-		if _, err := f.ReadAt(own[:], int64(i)*size); err != nil {
+		var header [8]byte // begins with the page's number, in the byte order of the machine
+		if _, err := file.ReadAt(header[:], int64(number)*pageSize); err != nil {
 			return err
 		}
 		kinds := []string{"branch", "leaf", "freelist"}
-		if i < 2 {
+		if number < metaPages {
 			kinds = []string{"meta"}
 		}
-		if n := binary.NativeEndian.Uint64(own[:]); n != uint64(i) || !slices.Contains(kinds, p.Type) || p.OverflowCount >= pages-i {
-			return fmt.Errorf("page %d of %d: number %d, kind %s, %d more", i, pages, n, p.Type, p.OverflowCount)
+		written := binary.NativeEndian.Uint64(header[:])
+		if written != uint64(number) || !slices.Contains(kinds, page.Type) || page.OverflowCount >= pageCount-number {
+			return fmt.Errorf("page %d of %d: number %d, kind %s, %d more", number, pageCount, written, page.Type, page.OverflowCount)
 		}
-		i += p.OverflowCount
+		number += page.OverflowCount
 	}
 	return nil
 }
 
-// readBucket reads all keys of a bucket and of those in it.
-func readBucket(b *bbolt.Bucket) error {
-	return b.ForEach(func(k, v []byte) error {
-		if v != nil {
+// readBucket reads all keys of a bucket and of the buckets in it.
+func readBucket(bucket *bbolt.Bucket) error {
+	return bucket.ForEach(func(key, value []byte) error {
+		if value != nil {
 			return nil
 		}
-		return readBucket(b.Bucket(k))
+		return readBucket(bucket.Bucket(key))
 	})
 }
--- a/internal/sidecar/replica/membership.go
+++ b/internal/sidecar/replica/membership.go
@@ -1,98 +1,99 @@
 package replica
 
 import (
-	"context"
 	"fmt"
 	"slices"
 
 	"github.com/hashicorp/raft"
 )
 
-// Peers are the members of the cluster, as far as this replica knows.
+// Peers returns the members of the cluster, as far as this replica knows.
 func (r *Replica) Peers() ([]Peer, error) {
-	f := r.raft.GetConfiguration()
-	if err := f.Error(); err != nil {
+	future := r.raft.GetConfiguration()
+	if err := future.Error(); err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
-	var all []Peer
-	for _, s := range f.Configuration().Servers {
-		all = append(all, Peer{string(s.ID), string(s.Address), s.Suffrage == raft.Voter})
+	var peers []Peer
+	for _, server := range future.Configuration().Servers {
+		peers = append(peers, Peer{Name: string(server.ID), Address: string(server.Address), Voter: server.Suffrage == raft.Voter})
 	}
-	return all, nil
+	return peers, nil
 }
 
-// Add takes a member in, first without a vote, and with one once it has caught up. Only one change of members goes on at a
-// time; errors wrap ErrNotLeader or say why.
-func (r *Replica) Add(ctx context.Context, p Peer) error {
-	if !r.Ready() {
-		return ErrNotLeader
-	}
-	peers, err := r.Peers()
+// Add adds a member without a vote, which Promote gives once the member has caught up. It does nothing for a voter. Raft makes one change of
+// members at a time. Errors wrap ErrNotLeader or ErrUncertain, or say which member has the name or the address.
+func (r *Replica) Add(peer Peer) error {
+	peers, err := r.peersOfLeader()
 	if err != nil {
 		return err
 	}
-	for _, old := range peers {
+	for _, member := range peers {
+		sameName, sameAddress := member.Name == peer.Name, member.Address == peer.Address
 		switch {
-		case old.Name == p.Name && old.Address == p.Address && old.Voter:
+		case sameName && sameAddress && member.Voter:
 			return nil
-		case old.Name == p.Name && old.Address == p.Address: // an addition that broke off
-		case old.Name == p.Name:
-			return fmt.Errorf("%s is a member at %s: remove it first", p.Name, old.Address)
-		case old.Address == p.Address:
-			return fmt.Errorf("%s is the address of member %s", p.Address, old.Name)
+		case sameName && sameAddress: // an earlier addition that was not completed
+		case sameName:
+			return fmt.Errorf("%s is a member at %s: remove it first", peer.Name, member.Address)
+		case sameAddress:
+			return fmt.Errorf("%s is the address of member %s", peer.Address, member.Name)
 		}
 	}
-	if err := r.raft.AddNonvoter(raft.ServerID(p.Name), raft.ServerAddress(p.Address), 0, membershipTimeout).Error(); err != nil {
-		return translateError(err)
+	return wait(r.raft.AddNonvoter(raft.ServerID(peer.Name), raft.ServerAddress(peer.Address), 0, membershipTimeout))
+}
+
+// peersOfLeader returns the members, or ErrNotLeader.
+func (r *Replica) peersOfLeader() ([]Peer, error) {
+	if !r.Ready() {
+		return nil, ErrNotLeader
 	}
-	return nil
+	return r.Peers()
 }
 
-// Promote gives a member that has caught up its vote.
-func (r *Replica) Promote(p Peer) error {
-	if err := r.raft.AddVoter(raft.ServerID(p.Name), raft.ServerAddress(p.Address), 0, membershipTimeout).Error(); err != nil {
+// wait waits for a change of members.
+func wait(future raft.IndexFuture) error {
+	if err := future.Error(); err != nil {
 		return translateError(err)
 	}
 	return nil
 }
 
-// Remove takes a member out. The last one stays.
+// Promote gives a member that has caught up its vote.
+func (r *Replica) Promote(peer Peer) error {
+	return wait(r.raft.AddVoter(raft.ServerID(peer.Name), raft.ServerAddress(peer.Address), 0, membershipTimeout))
+}
+
+// Remove removes a member. The last voter cannot be removed.
 func (r *Replica) Remove(name string) error {
-	if !r.Ready() {
-		return ErrNotLeader
-	}
-	peers, err := r.Peers()
+	peers, err := r.peersOfLeader()
 	if err != nil {
 		return err
 	}
-	voters, found := 0, false
-	for _, p := range peers {
-		if found = found || p.Name == name; p.Voter && p.Name != name {
-			voters++
+	otherVoters, found := 0, false
+	for _, member := range peers {
+		switch {
+		case member.Name == name:
+			found = true
+		case member.Voter:
+			otherVoters++
 		}
 	}
 	switch {
 	case !found:
 		return fmt.Errorf("no member %q", name)
-	case voters == 0:
+	case otherVoters == 0:
 		return fmt.Errorf("%s is the last member", name)
 	}
-	if err := r.raft.RemoveServer(raft.ServerID(name), 0, membershipTimeout).Error(); err != nil {
-		return translateError(err)
-	}
-	return nil
+	return wait(r.raft.RemoveServer(raft.ServerID(name), 0, membershipTimeout))
 }
 
-// RemoveIfMember removes a member that comes again with nothing, if it is there.
+// RemoveIfMember removes a member that comes again with an empty store, if it is a member.
 func (r *Replica) RemoveIfMember(name string) error {
-	if !r.Ready() {
-		return ErrNotLeader
-	}
-	peers, err := r.Peers()
+	peers, err := r.peersOfLeader()
 	if err != nil {
 		return err
 	}
-	if !slices.ContainsFunc(peers, func(p Peer) bool { return p.Name == name }) {
+	if !slices.ContainsFunc(peers, func(member Peer) bool { return member.Name == name }) {
 		return nil
 	}
 	return r.Remove(name)
--- a/internal/sidecar/replica/retryingstore.go
+++ b/internal/sidecar/replica/retryingstore.go
@@ -7,16 +7,15 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// retryingStore has terms and votes wait for a disk that cannot be written: the library gives the whole process up otherwise.
-// While one waits, this replica neither votes nor leads, and it goes on by itself when the disk has room. A log entry that
-// cannot be written is refused by the library alone.
+// retryingStore writes terms and votes again until the disk takes them, where raft would end the process. While a write waits, this replica neither
+// votes nor leads; it goes on by itself when the disk has room. Log entries that cannot be written are refused by raft itself.
 type retryingStore struct {
 	*raftboltdb.BoltStore
 	log  *slog.Logger
 	stop chan struct{} // closed when the replica ends
 }
 
-const retryInterval = 200 * time.Millisecond // between two tries
+const retryInterval = 200 * time.Millisecond
 
 // Set implements raft.StableStore.
 func (s *retryingStore) Set(key, value []byte) error {
@@ -30,24 +29,26 @@
 	return nil
 }
 
-// retry tries until it works. Danger: when the replica ends, a vote that was not kept must not be given either, so this then
-// never returns; the process is about to end.
-func (s *retryingStore) retry(try func() error) {
-	for n := 0; ; n++ {
-		err := try()
+// retry calls write until it succeeds. When the replica ends before, it never returns: a vote that was not stored must not be given either, and the
+// process is about to end.
+func (s *retryingStore) retry(write func() error) {
+	failed := false
+	for {
+		err := write()
 		if err == nil {
-			if n > 0 {
-				s.log.Info("the disk can be written again")
-			}
-			return
+			break
 		}
-		if n == 0 {
+		if !failed {
 			s.log.Error("the disk cannot be written: this keeper stands aside", "err", err)
 		}
+		failed = true
 		select {
 		case <-time.After(retryInterval):
 		case <-s.stop:
 			select {}
 		}
 	}
+	if failed {
+		s.log.Info("the disk can be written again")
+	}
 }
--- a/internal/sidecar/replica/snapshot.go
+++ b/internal/sidecar/replica/snapshot.go
@@ -10,7 +10,13 @@
 	"github.com/hashicorp/raft"
 )
 
-// Restore replaces the state of all replicas by a snapshot of the machine.
+// restoreRetryInterval is how long a restore may take before another snapshot helps it on.
+const restoreRetryInterval = 2 * time.Second
+
+// Restore replaces the state of all replicas by a snapshot of the machine. Errors wrap ErrNotLeader or ErrUncertain.
+//
+// A snapshot that raft took at the same time can leave its record of the last snapshot before what was restored. No log leads on from there, and the
+// leader sends the other replicas the snapshot over and over; a further snapshot repairs that.
 func (r *Replica) Restore(snapshot []byte) error {
 	if !r.Ready() {
 		return ErrNotLeader
@@ -26,8 +32,6 @@
 			}
 			return nil
 		case <-time.After(restoreRetryInterval):
-			// Danger: a snapshot that the library took at the same time can leave its note of the last one before what was
-			// restored. No log leads on from there, and it sends the others the snapshot over and over. Another one mends that.
 			if err := r.TakeSnapshot(); err != nil {
 				r.options.Log.Info("restore", "err", err)
 			}
@@ -35,7 +39,7 @@
 	}
 }
 
-// TakeSnapshot takes a snapshot now.
+// TakeSnapshot takes a snapshot now, if there is something new.
 func (r *Replica) TakeSnapshot() error {
 	if err := r.raft.Snapshot().Error(); err != nil && !errors.Is(err, raft.ErrNothingNewToSnapshot) {
 		return fmt.Errorf("snapshot: %w", err)
@@ -43,23 +47,28 @@
 	return nil
 }
 
-// fsm leads raft's calls to the machine.
+// fsm makes a raft.FSM of a Machine.
 type fsm struct{ machine Machine }
 
-func (f fsm) Apply(l *raft.Log) any { return f.machine.Apply(l.Data) }
+// Apply implements raft.FSM.
+func (f fsm) Apply(entry *raft.Log) any { return f.machine.Apply(entry.Data) }
 
+// Snapshot implements raft.FSM.
 func (f fsm) Snapshot() (raft.FSMSnapshot, error) {
 	text, err := f.machine.Snapshot()
 	return snapshotBytes(text), err
 }
 
+// Restore implements raft.FSM.
 func (f fsm) Restore(from io.ReadCloser) error {
-	defer from.Close()
+	defer func() { _ = from.Close() }()
 	return f.machine.Restore(from)
 }
 
+// snapshotBytes is a raft.FSMSnapshot.
 type snapshotBytes []byte
 
+// Persist implements raft.FSMSnapshot.
 func (s snapshotBytes) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s); err != nil {
 		return errors.Join(err, sink.Cancel())
@@ -67,4 +76,5 @@
 	return sink.Close()
 }
 
+// Release implements raft.FSMSnapshot.
 func (s snapshotBytes) Release() {}
--- a/internal/sidecar/replica/transport.go
+++ b/internal/sidecar/replica/transport.go
@@ -1,6 +1,7 @@
 package replica
 
 import (
+	"context"
 	"errors"
 	"log/slog"
 	"net"
@@ -10,52 +11,56 @@
 	"github.com/hashicorp/raft"
 )
 
-// layer is raft's sockets. Calls go out from the host that this replica listens at, so that a peer, or a firewall, knows who calls.
-type layer struct {
+// streamLayer is raft's sockets. It dials from the host at which the replica listens, so that a peer, or a firewall, knows who calls.
+type streamLayer struct {
 	net.Listener
-	from      net.IP
+	localIP   net.IP
 	advertise net.Addr
 }
 
-func newLayer(bind, advertise string) (*layer, error) {
-	l, err := net.Listen("tcp", bind)
+// newStreamLayer listens at an address. A port of 0 in the advertised address stands for the port of the listener.
+func newStreamLayer(bind, advertise string) (*streamLayer, error) {
+	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", bind)
 	if err != nil {
 		return nil, err
 	}
-	at, err := net.ResolveTCPAddr("tcp", advertise)
+	advertised, err := net.ResolveTCPAddr("tcp", advertise)
 	if err != nil {
-		return nil, errors.Join(err, l.Close())
+		return nil, errors.Join(err, listener.Close())
 	}
-	own := l.Addr().(*net.TCPAddr)
-	if at.Port == 0 {
-		at.Port = own.Port
+	own := listener.Addr().(*net.TCPAddr)
+	if advertised.Port == 0 {
+		advertised.Port = own.Port
 	}
-	return &layer{l, own.IP, at}, nil
+	return &streamLayer{Listener: listener, localIP: own.IP, advertise: advertised}, nil
 }
 
-func (l *layer) Addr() net.Addr { return l.advertise }
+// Addr implements net.Listener.
+func (l *streamLayer) Addr() net.Addr { return l.advertise }
 
-func (l *layer) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: timeout}
-	if !l.from.IsUnspecified() {
-		d.LocalAddr = &net.TCPAddr{IP: l.from}
+// Dial implements raft.StreamLayer.
+func (l *streamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout}
+	if !l.localIP.IsUnspecified() {
+		dialer.LocalAddr = &net.TCPAddr{IP: l.localIP}
 	}
-	return d.Dial("tcp", string(to))
+	return dialer.DialContext(context.Background(), "tcp", string(address))
 }
 
-// logWriter hands what raft logs to the keeper's log.
+// logWriter writes raft's log lines, "[LEVEL] text", to the node's log. Raft's INFO is the node's Debug.
 type logWriter struct{ log *slog.Logger }
 
-func (w logWriter) Write(p []byte) (int, error) {
-	text := strings.TrimSpace(string(p))
-	level, rest, _ := strings.Cut(strings.TrimPrefix(text, "["), "]")
+// Write implements io.Writer.
+func (w logWriter) Write(line []byte) (int, error) {
+	level, text, _ := strings.Cut(strings.TrimPrefix(strings.TrimSpace(string(line)), "["), "]")
+	text = strings.TrimSpace(text)
 	switch level {
 	case "ERROR":
-		w.log.Error(strings.TrimSpace(rest))
+		w.log.Error(text)
 	case "WARN":
-		w.log.Warn(strings.TrimSpace(rest))
+		w.log.Warn(text)
 	default:
-		w.log.Debug(strings.TrimSpace(rest))
+		w.log.Debug(text)
 	}
-	return len(p), nil
+	return len(line), nil
 }
