--- a/internal/sidecar/sealed/cell.go
+++ b/internal/sidecar/sealed/cell.go
@@ -9,60 +9,63 @@
 
 // Cell is a sealed file with one value, as JSON.
 type Cell[T any] struct {
-	Path     string // "": nothing is kept
+	Path     string // "": nothing is stored
 	Kind     Kind
-	MaxBytes int64         // bytes of the file that are read, above 0
-	Check    func(T) error // whether a value that was read makes sense; nil: each does
+	MaxBytes int64         // of the file, above 0; a longer one is corrupt
+	Check    func(T) error // returns an error for an invalid value; nil: every value is valid
 }
 
-// Read is the value. It leaves the file as it is. Errors wrap ErrCorrupt where another writer made it, fs.ErrNotExist where there is none,
-// or are the reader's.
-func (c Cell[T]) Read() (v T, err error) {
-	text, err := ReadFile(c.Path, c.MaxBytes)
+// Read returns the value, and leaves the file as it is. Errors wrap ErrCorrupt, fs.ErrNotExist where there is no file, or are those of os.
+func (c Cell[T]) Read() (T, error) {
+	var none T
+	content, err := ReadFile(c.Path, c.MaxBytes)
 	if err != nil {
-		return v, err
+		return none, err
 	}
-	body, err := c.Kind.Open(text)
+	body, err := c.Kind.Open(content)
 	if err != nil {
-		return v, err
+		return none, err
 	}
-	if err = json.Unmarshal(body, &v); err == nil && c.Check != nil {
-		err = c.Check(v)
-	}
-	if err != nil {
-		var none T
+	var value T
+	if err := json.Unmarshal(body, &value); err != nil {
 		return none, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
-	return v, nil
+	if c.Check != nil {
+		if err := c.Check(value); err != nil {
+			return none, fmt.Errorf("%w: %w", ErrCorrupt, err)
+		}
+	}
+	return value, nil
 }
 
-// Load is the value as the next process takes it up. It tells false where there is none. Errors tell of a file that was unsound, which
-// is set aside, or that could not be read, which stays.
-func (c Cell[T]) Load() (v T, ok bool, err error) {
+// Load returns the value, and whether there is one, and quarantines a corrupt file. An error is that of such a file, or of one that cannot be read,
+// which stays.
+func (c Cell[T]) Load() (value T, found bool, err error) {
 	if c.Path == "" {
-		return v, false, nil
+		return value, false, nil
 	}
-	switch v, err = c.Read(); {
+	value, err = c.Read()
+	switch {
 	case err == nil:
-		return v, true, nil
+		return value, true, nil
 	case errors.Is(err, fs.ErrNotExist):
-		return v, false, nil
+		return value, false, nil
 	case !errors.Is(err, ErrCorrupt):
-		return v, false, err
+		return value, false, err
 	}
-	aside, moved := Quarantine(c.Path)
-	if moved != nil {
-		return v, false, errors.Join(err, moved)
+	quarantined, renameErr := Quarantine(c.Path)
+	if renameErr != nil {
+		return value, false, errors.Join(err, renameErr)
 	}
-	return v, false, fmt.Errorf("%w; set aside as %s", err, aside)
+	return value, false, fmt.Errorf("%w; set aside as %s", err, quarantined)
 }
 
-// Save replaces the value.
-func (c Cell[T]) Save(v T) error {
+// Save replaces the value atomically.
+func (c Cell[T]) Save(value T) error {
 	if c.Path == "" {
 		return nil
 	}
-	body, err := json.Marshal(v)
+	body, err := json.Marshal(value)
 	if err != nil {
 		return err
 	}
--- a/internal/sidecar/sealed/file.go
+++ b/internal/sidecar/sealed/file.go
@@ -1,5 +1,6 @@
-// Package sealed is files that outlive a process: with a form, a checksum and a length, written whole or not at all. What is
-// torn, foreign or of a later form is told from what is sound, and can be set aside.
+// Package sealed reads and writes files that outlive a process and may be damaged or written by another version of the program. A sealed file is a
+// header line with its kind, format version, checksum (xxhash64) and length, and a body. It is replaced atomically; a file that is
+// truncated, changed, foreign or of a newer format is recognized, and can be quarantined.
 package sealed
 
 import (
@@ -12,88 +13,100 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind is what a file holds. A reader of form R reads every file that needs R or less: later writers may add to the body
-// what an earlier reader can pass over.
+// Kind is what a file holds. A reader of version R reads every file whose MinReaderVersion is R or less: a later version of the program may add to the
+// body what an earlier one can ignore, and raises MinReaderVersion only where the earlier one would lose what matters.
 type Kind struct {
-	Magic            string // a word without spaces
-	FormatVersion    int    // that is written, and read
-	MinReaderVersion int    // the least form that reads what is written
+	Magic            string // a word without spaces, at the beginning of the file
+	FormatVersion    int    // the version that this program writes, and reads
+	MinReaderVersion int    // the lowest version that reads what this program writes
 }
 
-// ErrCorrupt is a file that is torn, truncated, foreign, or of a form that this program does not read.
+// ErrCorrupt is wrapped where a file is truncated, changed, foreign or of a format that this program does not read.
 var ErrCorrupt = errors.New("unsound")
 
-// ErrNewerFormat is an unsound file that a later program can read.
+// ErrNewerFormat is the ErrCorrupt of a file that a later version of the program can read.
 var ErrNewerFormat = fmt.Errorf("%w: of a later form", ErrCorrupt)
 
-const maxHeaderBytes = 200
+const maxHeaderBytes = 200 // that are parsed; a sealed file's header is shorter
 
-// Seal is a body behind a line with its kind, checksum and length.
+// header is the first line of a sealed file.
+type header struct {
+	magic            string
+	formatVersion    int
+	minReaderVersion int
+	checksum         uint64
+	length           int // of the body
+}
+
+func parseHeader(line []byte) (header, error) {
+	line = line[:min(len(line), maxHeaderBytes)]
+	var h header
+	_, err := fmt.Sscanf(string(line), "%s %d %d %x %d", &h.magic, &h.formatVersion, &h.minReaderVersion, &h.checksum, &h.length)
+	return h, err
+}
+
+// Seal returns the content of a file with a body.
 func (k Kind) Seal(body []byte) []byte {
-	head := fmt.Sprintf("%s %d %d %016x %d\n", k.Magic, k.FormatVersion, k.MinReaderVersion, xxhash.Sum64(body), len(body))
-	return append([]byte(head), body...)
+	line := fmt.Sprintf("%s %d %d %016x %d\n", k.Magic, k.FormatVersion, k.MinReaderVersion, xxhash.Sum64(body), len(body))
+	return append([]byte(line), body...)
 }
 
-// Open is the body of what Seal made. Errors wrap ErrCorrupt.
-func (k Kind) Open(text []byte) ([]byte, error) {
-	head, body, found := bytes.Cut(text, []byte("\n"))
-	var word string
-	var form, needs, size int
-	var sum uint64
-	if len(head) > maxHeaderBytes {
-		head = head[:maxHeaderBytes]
-	}
-	if _, err := fmt.Sscanf(string(head), "%s %d %d %x %d", &word, &form, &needs, &sum, &size); err != nil || !found || word != k.Magic {
-		return nil, fmt.Errorf("%w: it does not begin as a %s", ErrCorrupt, k.Magic)
-	}
+// Open returns the body of what Seal returned. Errors wrap ErrCorrupt.
+func (k Kind) Open(content []byte) ([]byte, error) {
+	line, body, found := bytes.Cut(content, []byte("\n"))
+	h, err := parseHeader(line)
 	switch {
-	case needs > k.FormatVersion:
-		return nil, fmt.Errorf("%w: it needs a program that reads form %d, this one reads %d", ErrNewerFormat, needs, k.FormatVersion)
-	case len(body) != size:
-		return nil, fmt.Errorf("%w: %d bytes of %d", ErrCorrupt, len(body), size)
-	case xxhash.Sum64(body) != sum:
+	case err != nil || !found || h.magic != k.Magic:
+		return nil, fmt.Errorf("%w: it does not begin as a %s", ErrCorrupt, k.Magic)
+	case h.minReaderVersion > k.FormatVersion:
+		return nil, fmt.Errorf("%w: it needs a program that reads form %d, this one reads %d", ErrNewerFormat, h.minReaderVersion, k.FormatVersion)
+	case len(body) != h.length:
+		return nil, fmt.Errorf("%w: %d bytes of %d", ErrCorrupt, len(body), h.length)
+	case xxhash.Sum64(body) != h.checksum:
 		return nil, fmt.Errorf("%w: the checksum differs", ErrCorrupt)
 	}
 	return body, nil
 }
 
-// ReadFile is a file of at most so many bytes. Danger: a foreign one may have any size. Errors wrap ErrCorrupt where it has more.
-func ReadFile(path string, most int64) ([]byte, error) {
+// ReadFile reads a file of at most maxBytes, since a foreign one may have any size. Errors wrap ErrCorrupt where it has more, or are those of os.
+func ReadFile(path string, maxBytes int64) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
-	if info.Size() > most {
+	if info.Size() > maxBytes {
 		return nil, fmt.Errorf("%w: %s has %d bytes", ErrCorrupt, path, info.Size())
 	}
 	return os.ReadFile(path)
 }
 
-// WriteFile replaces a file by a whole new one: after a crash there is the old one or the new one.
-func WriteFile(path string, text []byte) error {
-	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".new-*")
+// WriteFile replaces a file atomically: after a crash there is the old one or the new one.
+func WriteFile(path string, content []byte) error {
+	file, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".new-*")
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(text)
+	_, err = file.Write(content)
 	if err == nil {
-		err = f.Sync()
+		err = file.Sync()
 	}
-	if err = errors.Join(err, f.Close()); err == nil {
-		err = os.Rename(f.Name(), path)
+	err = errors.Join(err, file.Close())
+	if err == nil {
+		err = os.Rename(file.Name(), path)
 	}
 	if err != nil {
-		return errors.Join(err, os.Remove(f.Name()))
+		return errors.Join(err, os.Remove(file.Name()))
 	}
 	return nil
 }
 
-// Quarantine renames an unsound file or folder, so that it can be looked at, and returns its new name. One that was set aside
-// before is replaced.
+const quarantineSuffix = ".unsound"
+
+// Quarantine renames a corrupt file or folder, so that it can be examined, and returns its new name. An earlier one of that name is deleted.
 func Quarantine(path string) (string, error) {
-	aside := path + ".unsound"
-	if err := os.RemoveAll(aside); err != nil {
+	quarantined := path + quarantineSuffix
+	if err := os.RemoveAll(quarantined); err != nil {
 		return "", err
 	}
-	return aside, os.Rename(path, aside)
+	return quarantined, os.Rename(path, quarantined)
 }
--- a/internal/sidecar/sealed/lock.go
+++ b/internal/sidecar/sealed/lock.go
@@ -6,20 +6,20 @@
 	"syscall"
 )
 
-// WithLock does something that only one process at a time may do to the file of a path. Where another is at it, it waits, or
-// fails with syscall.EWOULDBLOCK. The lock is a file beside it, which stays; the kernel lets go of it with the process.
-func WithLock(path string, wait bool, do func() error) error {
-	lock, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
+// WithLock calls action while this process has the lock of a path, which one process at a time has. While another has it, WithLock waits, or without
+// wait fails with syscall.EWOULDBLOCK. The lock is a file beside the path's, which stays; the kernel unlocks it when the process ends.
+func WithLock(path string, wait bool, action func() error) error {
+	file, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
 	}
-	defer lock.Close() // which gives the lock up
+	defer func() { _ = file.Close() }() // unlocks it
 	how := syscall.LOCK_EX
 	if !wait {
 		how |= syscall.LOCK_NB
 	}
-	if err := syscall.Flock(int(lock.Fd()), how); err != nil {
+	if err := syscall.Flock(int(file.Fd()), how); err != nil {
 		return fmt.Errorf("lock: %w", err)
 	}
-	return do()
+	return action()
 }
