--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -24,7 +24,7 @@
 	origin    time.Time
 	upstream  *upstream
 	discovery *discovery
-	registry  *client.Subscriber // of the list, in place of discovery; nil: there are none
+	registry  *client.ListSubscriber // of the list, in place of discovery; nil: there are none
 	routing   routing
 	handover  *handover
 	snapshots *snapshotFile // nil: a process leaves nothing to the next one
--- a/internal/sidecar/registry.go
+++ b/internal/sidecar/registry.go
@@ -15,9 +15,9 @@
 func (h *host) followRegistry(ctx context.Context, c *Config) error {
 	k := c.Registry
 	var err error
-	h.registry, err = client.NewSubscriber(client.Options{Registry: k.Addresses, ShrinkLimits: k.Suspicion, MaxAge: k.MaxAge, Log: h.log,
-		Cache: client.NewCache(c.SharedDir, c.Name),
-		OnUpdate: func(u client.Update) {
+	h.registry, err = client.NewListSubscriber(client.ListOptions{Registry: k.Addresses, ShrinkLimits: k.Suspicion, MaxAge: k.MaxAge, Log: h.log,
+		Cache: client.NewListCache(c.SharedDir, c.Name),
+		OnUpdate: func(u client.ListUpdate) {
 			l := List{Complete: u.Complete}
 			for _, t := range u.Targets {
 				l.Targets = append(l.Targets, k.target(t))
--- a/internal/sidecar/registry/membership.go
+++ b/internal/sidecar/registry/membership.go
@@ -31,7 +31,7 @@
 		return n.takeVote(w, request.Name)
 	}
 	peer := replica.Peer{Name: request.Name, Address: request.Raft}
-	if err := n.replica.Add(r.Context(), peer); err != nil {
+	if err := n.replica.Add(peer); err != nil {
 		return membershipError(err)
 	}
 	if commit := n.replica.Status().Commit; request.Applied+maxCatchUpLag < commit {
@@ -64,7 +64,7 @@
 // takeVote removes a node that lost its store. Its old vote must go before it is added again: with an empty store it could elect a leader that
 // lacks acknowledged commands.
 func (n *Node) takeVote(w http.ResponseWriter, name string) error {
-	if err := n.replica.Forget(name); err != nil {
+	if err := n.replica.RemoveIfMember(name); err != nil {
 		return membershipError(err)
 	}
 	n.log.Warn("a node lost its store, and its vote", "node", name)
--- a/internal/sidecar/replica/snapshot.go
+++ b/internal/sidecar/replica/snapshot.go
@@ -10,61 +10,71 @@
 	"github.com/hashicorp/raft"
 )
 
-// Restore replaces the state of all replicas by a snapshot of the machine.
+// restoreRetryInterval is how long a restore may take before another snapshot helps it on.
+const restoreRetryInterval = 2 * time.Second
+
+// Restore replaces the state of all replicas by a snapshot of the machine. Errors wrap ErrNotLeader or ErrUncertain.
+//
+// A snapshot that raft took at the same time can leave its record of the last snapshot before what was restored. No log leads on from there, and the
+// leader sends the other replicas the snapshot over and over; a further snapshot repairs that.
 func (r *Replica) Restore(snapshot []byte) error {
 	if !r.Ready() {
 		return ErrNotLeader
 	}
 	meta := &raft.SnapshotMeta{Version: raft.SnapshotVersionMax, Size: int64(len(snapshot)), Index: r.raft.LastIndex(), Term: r.raft.CurrentTerm()}
 	done := make(chan error, 1)
-	go func() { done <- r.raft.Restore(meta, bytes.NewReader(snapshot), changeTimeout) }()
+	go func() { done <- r.raft.Restore(meta, bytes.NewReader(snapshot), membershipTimeout) }()
 	for {
 		select {
 		case err := <-done:
 			if err != nil {
-				return explain(err)
+				return translateError(err)
 			}
 			return nil
-		case <-time.After(restoreStuck):
-			// Danger: a snapshot that the library took at the same time can leave its note of the last one before what was
-			// restored. No log leads on from there, and it sends the others the snapshot over and over. Another one mends that.
-			if err := r.Compact(); err != nil {
+		case <-time.After(restoreRetryInterval):
+			if err := r.TakeSnapshot(); err != nil {
 				r.options.Log.Info("restore", "err", err)
 			}
 		}
 	}
 }
 
-// Compact takes a snapshot now.
-func (r *Replica) Compact() error {
+// TakeSnapshot takes a snapshot now, if there is something new.
+func (r *Replica) TakeSnapshot() error {
 	if err := r.raft.Snapshot().Error(); err != nil && !errors.Is(err, raft.ErrNothingNewToSnapshot) {
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	return nil
 }
 
-// fsm leads raft's calls to the machine.
+// fsm makes a raft.FSM of a Machine.
 type fsm struct{ machine Machine }
 
-func (f fsm) Apply(l *raft.Log) any { return f.machine.Apply(l.Data) }
+// Apply implements raft.FSM.
+func (f fsm) Apply(entry *raft.Log) any { return f.machine.Apply(entry.Data) }
 
+// Snapshot implements raft.FSM.
 func (f fsm) Snapshot() (raft.FSMSnapshot, error) {
 	text, err := f.machine.Snapshot()
-	return frozen(text), err
+	return snapshotBytes(text), err
 }
 
+// Restore implements raft.FSM.
 func (f fsm) Restore(from io.ReadCloser) error {
-	defer from.Close()
+	defer func() { _ = from.Close() }()
 	return f.machine.Restore(from)
 }
 
-type frozen []byte
+// snapshotBytes is a raft.FSMSnapshot.
+type snapshotBytes []byte
 
-func (s frozen) Persist(sink raft.SnapshotSink) error {
+// Persist implements raft.FSMSnapshot.
+func (s snapshotBytes) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s); err != nil {
 		return errors.Join(err, sink.Cancel())
 	}
 	return sink.Close()
 }
 
-func (s frozen) Release() {}
+// Release implements raft.FSMSnapshot.
+func (s snapshotBytes) Release() {}
