--- a/internal/system/directory/directory.go
+++ b/internal/system/directory/directory.go
@@ -1,8 +1,13 @@
-// Package directory is the directory: it tells clients which proxies to go to (GET /resolve) and the platform whether this
-// one is ready (GET /readiness). PROTOCOL.md "Ingress".
+// Package directory answers clients which proxies to use (GET /resolve), and the platform whether this proxy is ready for clients
+// (GET /readiness). Source: PROTOCOL.md, "Ingress".
+//
+// The problem: clients choose proxies by themselves, so that each is to get proxies close to it, all together are to spread evenly over
+// the proxies, and a proxy that drains is to be named no longer. A response holds for a time to live, for which a client may use a
+// proxy that has ended meanwhile.
 package directory
 
 import (
+	"cmp"
 	"encoding/json"
 	"net/http"
 	"slices"
@@ -16,81 +21,78 @@
 )
 
 const (
-	mostAddresses = 64 // of one answer, by PROTOCOL.md
-	enoughNear    = 2  // ready proxies of a client's zone, or else region, that make farther ones needless
+	maxAddresses = 64 // of one response, by PROTOCOL.md
+	minNearby    = 2  // ready proxies of a client's zone, or else region, with which farther ones are not named
 )
 
-// Endpoint is a ready proxy.
+// Endpoint is a proxy that is ready for clients; Address is host:port.
 type Endpoint struct {
 	Address, Zone, Region string
 }
 
-// Answer is the body of an answer to GET /resolve.
-type Answer struct {
+// Response is the body of a 200 to GET /resolve.
+type Response struct {
 	Addresses []string `json:"addresses"`
 	TTL       float64  `json:"ttl_s"` // seconds
 }
 
-// Nearest names the proxies for a client: those of its zone, or of its region where the zone has fewer than two, or all.
-// Of more than 64 it takes those that rank first by a hash of both, so that different clients spread over all.
-func Nearest(fronts []Endpoint, zone, region, client string) []string {
-	for _, near := range []func(Endpoint) bool{
-		func(f Endpoint) bool { return zone != "" && f.Zone == zone },
-		func(f Endpoint) bool { return region != "" && f.Region == region },
+// Nearest returns the addresses of the proxies for a client: those of its zone, or of its region where the zone has fewer than minNearby,
+// or else all. Of more than maxAddresses it returns those that selectByRank selects.
+func Nearest(endpoints []Endpoint, zone, region, client string) []string {
+	for _, isNear := range []func(Endpoint) bool{
+		func(e Endpoint) bool { return zone != "" && e.Zone == zone },
+		func(e Endpoint) bool { return region != "" && e.Region == region },
 		func(Endpoint) bool { return true },
 	} {
-		var found []string
-		for _, f := range fronts {
-			if near(f) {
-				found = append(found, f.Address)
+		var addresses []string
+		for _, endpoint := range endpoints {
+			if isNear(endpoint) {
+				addresses = append(addresses, endpoint.Address)
 			}
 		}
-		if len(found) >= min(enoughNear, len(fronts)) {
-			return cut(found, client)
+		if len(addresses) >= min(minNearby, len(endpoints)) {
+			return selectByRank(addresses, client)
 		}
 	}
 	return nil
 }
 
-func cut(found []string, client string) []string {
-	slices.SortFunc(found, func(a, b string) int {
-		ranked, other := xxhash.Sum64String(client+a), xxhash.Sum64String(client+b)
-		if ranked != other {
-			if ranked > other {
-				return -1
-			}
-			return 1
-		}
-		return strings.Compare(a, b)
+// selectByRank sorts addresses by a hash of client and address, the highest first, and returns the first maxAddresses. So clients
+// spread evenly over all addresses (rendezvous hashing, as in package ownership), and a client gets the same ones each time.
+func selectByRank(addresses []string, client string) []string {
+	slices.SortFunc(addresses, func(a, b string) int {
+		rankA, rankB := xxhash.Sum64String(client+a), xxhash.Sum64String(client+b)
+		return cmp.Or(cmp.Compare(rankB, rankA), strings.Compare(a, b))
 	})
-	return found[:min(len(found), mostAddresses)]
+	return addresses[:min(len(addresses), maxAddresses)]
 }
 
-// Directory answers GET /resolve from the fronts that it was told last. It may be used by several goroutines.
+// Directory serves GET /resolve from the endpoints that were set last. It may be used by several goroutines at once.
 type Directory struct {
-	ttl    time.Duration
-	fronts atomic.Pointer[[]Endpoint]
+	ttl       time.Duration
+	endpoints atomic.Pointer[[]Endpoint]
 }
 
-// NewDirectory returns a directory whose answers hold for ttl.
+// NewDirectory returns a directory without endpoints, whose responses hold for ttl.
 func NewDirectory(ttl time.Duration) *Directory { return &Directory{ttl: ttl} }
 
-// SetEndpoints replaces the fronts. The slice must not be changed afterwards.
-func (d *Directory) SetEndpoints(fronts []Endpoint) { d.fronts.Store(&fronts) }
+// SetEndpoints replaces the endpoints. The slice must not be changed afterwards.
+func (d *Directory) SetEndpoints(endpoints []Endpoint) { d.endpoints.Store(&endpoints) }
 
-// Handler answers GET /resolve: 200 with addresses; 503 while no ready proxy is known, so that the client asks another.
+// Handler serves GET /resolve: 200 with addresses, or 503 while no endpoint is known, so that the client asks another proxy.
 func (d *Directory) Handler() http.Handler {
-	tree := mux.NewRouter()
-	tree.Methods(http.MethodGet).Path("/resolve").HandlerFunc(d.resolve)
-	return tree
+	router := mux.NewRouter()
+	router.Methods(http.MethodGet).Path("/resolve").HandlerFunc(d.handleResolve)
+	return router
 }
 
-func (d *Directory) resolve(w http.ResponseWriter, r *http.Request) {
+// handleResolve serves GET /resolve. A client is identified by its IP.
+func (d *Directory) handleResolve(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	var addresses []string
-	if fronts := d.fronts.Load(); fronts != nil {
+	if endpoints := d.endpoints.Load(); endpoints != nil {
 		client, _, _ := strings.Cut(r.RemoteAddr, ":")
-		addresses = Nearest(*fronts, query.Get("zone"), query.Get("region"), client)
+		addresses = Nearest(*endpoints, query.Get("zone"), query.Get("region"), client)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if len(addresses) == 0 {
@@ -98,7 +100,7 @@
 		_, _ = w.Write([]byte(`{"error":"no ready proxy is known here yet: ask another"}`))
 		return
 	}
-	body, err := json.Marshal(Answer{Addresses: addresses, TTL: d.ttl.Seconds()})
+	body, err := json.Marshal(Response{Addresses: addresses, TTL: d.ttl.Seconds()})
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
@@ -107,13 +109,13 @@
 	_, _ = w.Write(body)
 }
 
-// Readiness answers GET /readiness: 200 while ready tells true, else 503.
+// Readiness serves GET /readiness: 200 while ready returns true, else 503.
 func Readiness(ready func() bool) http.Handler {
-	tree := mux.NewRouter()
-	tree.Methods(http.MethodGet).Path("/readiness").HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	router := mux.NewRouter()
+	router.Methods(http.MethodGet).Path("/readiness").HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if !ready() {
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 		}
 	})
-	return tree
+	return router
 }
