--- a/cmd/proxy/run.go
+++ b/cmd/proxy/run.go
@@ -59,18 +59,18 @@
 // newServer makes the parts of the process. start starts them.
 func newServer(self *process.Process) *server {
 	config := self.Settings
-	s := &server{settings: config, log: self.Log, synced: make(chan struct{})}
-	s.directory = directory.NewDirectory(min(maxDirectoryTTL, max(settings.Seconds(config.Bounds.TTLMax), time.Second)))
-	s.dataPlane = proxy.New(proxy.Options{
-		Settings:    s.pickSettings(),
-		GracePeriod: s.gracePeriod(),
+	created := &server{settings: config, log: self.Log, synced: make(chan struct{})}
+	created.directory = directory.NewDirectory(min(maxDirectoryTTL, max(settings.Seconds(config.Bounds.TTLMax), time.Second)))
+	created.dataPlane = proxy.New(proxy.Options{
+		Settings:    created.pickSettings(),
+		GracePeriod: created.gracePeriod(),
 		LossSlack:   settings.Milliseconds(config.Bounds.LossSlack),
 		FDLimit:     config.Limits.FDs,
 		MemoryMB:    int(config.Limits.MemoryMB),
-		Log:         s.log,
-		OnStall:     func() { s.subscriber.Refresh() },
+		Log:         created.log,
+		OnStall:     func() { created.subscriber.Refresh() },
 	})
-	s.subscriber = distribution.NewSubscriber(distribution.SubscriberOptions{
+	created.subscriber = distribution.NewSubscriber(distribution.SubscriberOptions{
 		Seeds:            config.SeedIPs(),
 		ControlPlanePort: config.ControlPlanePort(),
 		ProxyPort:        config.ProxyPort(),
@@ -81,12 +81,12 @@
 			IP:            config.IP,
 			ClientAddress: config.Bind.Front,
 		},
-		Loads:    s.dataPlane.Loads,
-		OnUpdate: s.applyUpdate,
-		OnLoads:  s.dataPlane.SetLoads,
-		Log:      s.log,
+		Loads:    created.dataPlane.Loads,
+		OnUpdate: created.applyUpdate,
+		OnLoads:  created.dataPlane.SetLoads,
+		Log:      created.log,
 	})
-	return s
+	return created
 }
 
 // start publishes the metrics, listens at all addresses and starts the goroutines. The group owns these; they end with ctx.
--- a/cmd/proxy/update_test.go
+++ b/cmd/proxy/update_test.go
@@ -39,20 +39,20 @@
 }
 
 // applyChanges returns the state after changes, in their order.
-func applyChanges(t *testing.T, s *controlstate.State, changes ...controlstate.Change) *controlstate.State {
+func applyChanges(t *testing.T, state *controlstate.State, changes ...controlstate.Change) *controlstate.State {
 	t.Helper()
 	for _, c := range changes {
-		c.Base = int64(s.Seq)
+		c.Base = int64(state.Seq)
 		if c.Op == controlstate.OpReplace {
-			c.Base = s.Revision()
+			c.Base = state.Revision()
 		}
-		next, err := s.Apply(c.Record(s.Seq + 1))
+		next, err := state.Apply(c.Record(state.Seq + 1))
 		if err != nil {
 			t.Fatal(err)
 		}
-		s = next
+		state = next
 	}
-	return s
+	return state
 }
 
 // TestEvacuationBetweenUpdates: a zone is evacuated and readmitted while the proxy has no contact, and both reach it at once. Danger:
