--- a/internal/system/failuredetector/detector_test.go
+++ b/internal/system/failuredetector/detector_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// With packet loss and partitions between a few pairs nobody that lives and is reachable is called down.
+// TestNoFalsePositives: with packet loss and partitions between a few pairs nobody that lives and is reachable is called down.
 func TestNoFalsePositives(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		sim := newSimulation(t, seed, 24, Options{})
@@ -105,7 +105,8 @@
 	})
 }
 
-// A verdict must come from every watcher, not only from the first: here the membership list does not change.
+// TestEveryWatcherGivesAVerdict: a verdict must come from every watcher, not only from the first: here the membership list does
+// not change.
 func TestEveryWatcherGivesAVerdict(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		sim := newSimulation(t, seed, 12, Options{})
@@ -217,7 +218,7 @@
 	sim.checkCalm()
 }
 
-// Halves that cannot reach each other call each other down, and none stays down when the partition ends.
+// TestPartitionHeals: halves that cannot reach each other call each other down, and none stays down when the partition ends.
 func TestPartitionHeals(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		sim := newSimulation(t, seed, 12, Options{})
@@ -262,7 +263,7 @@
 	}
 }
 
-// Controls: with a protection taken out, the harness must find what it guards against.
+// TestProtectionsAreNeeded: controls: with a protection taken out, the harness must find what it guards against.
 func TestProtectionsAreNeeded(t *testing.T) {
 	found := func(o Options, faults func(*simulation)) bool {
 		for seed := range uint64(20) {
--- a/internal/system/operatorapi/body_test.go
+++ b/internal/system/operatorapi/body_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// Eight changes may be under way at once, also where their bodies' lengths are not declared.
+// TestEightChunkedChanges: eight changes may be under way at once, also where their bodies' lengths are not declared.
 func TestEightChunkedChanges(t *testing.T) {
 	const orders = 8
 	chain := &rendezvousChain{}
@@ -60,7 +60,8 @@
 	calls.Wait()
 }
 
-// Bodies whose lengths are not declared are bounded all the same, each and all together, and what they held is given back.
+// TestChunkedBodiesAreBounded: bodies whose lengths are not declared are bounded all the same, each and all together, and what
+// they held is given back.
 func TestChunkedBodiesAreBounded(t *testing.T) {
 	bounded := &api{options: Options{Log: discardLog()}, bodyBudget: byteBudget{available: 1 << 20}}
 	read := func(size int64) error {
--- a/internal/system/operatorapi/connection_test.go
+++ b/internal/system/operatorapi/connection_test.go
@@ -11,8 +11,9 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// A change that comes on a connection that was quiet for long may have been delayed by a partition. It waits as long as the end of
-// its connection takes to follow; a call that follows closely on another, or on the connection's begin, does not.
+// TestDelayedRequestWaits: a change that comes on a connection that was quiet for long may have been delayed by a partition. It
+// waits as long as the end of its connection takes to follow; a call that follows closely on another, or on the connection's
+// begin, does not.
 func TestDelayedRequestWaits(t *testing.T) {
 	for name, test := range map[string]struct {
 		quiet   time.Duration // before the change
--- a/internal/system/operatorapi/evacuation_test.go
+++ b/internal/system/operatorapi/evacuation_test.go
@@ -37,7 +37,8 @@
 	return controlstate.Verdict{Kind: controlstate.Accepted, Seq: 1}
 }
 
-// The fence is what was known as the call came, not what a majority told later, and a superseded order gets no newer one.
+// TestEvacuationFence: the fence is what was known as the call came, not what a majority told later, and a superseded order gets
+// no newer one.
 func TestEvacuationFence(t *testing.T) {
 	for name, test := range map[string]struct {
 		superseded, known, late bool
@@ -68,7 +69,7 @@
 	}
 }
 
-// A change whose caller hung up, or that took too long to confirm, is not submitted.
+// TestEvacuationDropped: a change whose caller hung up, or that took too long to confirm, is not submitted.
 func TestEvacuationDropped(t *testing.T) {
 	for name, test := range map[string]struct {
 		read func(cancel func()) // what happens while a majority is asked
@@ -104,8 +105,8 @@
 	}
 }
 
-// Over a real connection: the bytes of a change and the end of its connection come together, as after a partition. net/http
-// tells of it by the request's context, however the change's body is framed.
+// TestEvacuationOfACallerThatHungUp: over a real connection: the bytes of a change and the end of its connection come together,
+// as after a partition. net/http tells of it by the request's context, however the change's body is framed.
 func TestEvacuationOfACallerThatHungUp(t *testing.T) {
 	for name, body := range map[string]string{
 		"no body": "\r\n", "an empty body": "Content-Length: 0\r\n\r\n", "a body": "Content-Length: 2\r\n\r\n{}",
@@ -167,7 +168,7 @@
 	}
 }
 
-// A change that is read after a stall is not taken, and its connection ends.
+// TestEvacuationAfterAStall: a change that is read after a stall is not taken, and its connection ends.
 func TestEvacuationAfterAStall(t *testing.T) {
 	chain := &scriptedChain{submit: accepted, read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil }}
 	stalled := true
@@ -190,7 +191,7 @@
 	}
 }
 
-// Bodies that evacuations need not have are read, within bounds.
+// TestEvacuationWithABody: bodies that evacuations need not have are read, within bounds.
 func TestEvacuationWithABody(t *testing.T) {
 	for name, test := range map[string]struct {
 		body   string
--- a/internal/system/operatorapi/handler_test.go
+++ b/internal/system/operatorapi/handler_test.go
@@ -247,8 +247,8 @@
 	}
 }
 
-// What a node without a way to the chain answers at once it has not submitted; what the call's bytes alone decide is answered
-// as ever, and reads are asked for.
+// TestPartitionedNodeDoesNotForward: what a node without a way to the chain answers at once it has not submitted; what the
+// call's bytes alone decide is answered as ever, and reads are asked for.
 func TestPartitionedNodeDoesNotForward(t *testing.T) {
 	const waits = 700 * time.Millisecond
 	base := []string{"X-Base-Version", "5"}
@@ -298,7 +298,7 @@
 	}
 }
 
-// Over a real connection: an answer before the whole body is read, and HEAD without a body.
+// TestOverLoopback: over a real connection: an answer before the whole body is read, and HEAD without a body.
 func TestOverLoopback(t *testing.T) {
 	state := &controlstate.State{Config: &config.Config{Revision: 5, Raw: []byte(`{"revision":5}`)}}
 	server := httptest.NewServer(Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted}, state: state}, Log: discardLog()}))
--- a/internal/system/operatorapi/model_test.go
+++ b/internal/system/operatorapi/model_test.go
@@ -236,7 +236,7 @@
 	return out
 }
 
-// Each control takes one protection out; the same runs must then find something wrong.
+// TestModelControls: each control takes one protection out; the same runs must then find something wrong.
 func TestModelControls(t *testing.T) {
 	for name, protections := range map[string]struct {
 		api   TestingKnobs
--- a/internal/system/operatorapi/over_chain_test.go
+++ b/internal/system/operatorapi/over_chain_test.go
@@ -10,8 +10,8 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// Over the chain itself: hundreds of changes, each sent to all nodes at once, are each applied once and confirmed to all;
-// sent again later they are confirmed again, also after a restart of all nodes.
+// TestSameOrderOverTheChain: over the chain itself: hundreds of changes, each sent to all nodes at once, are each applied once
+// and confirmed to all; sent again later they are confirmed again, also after a restart of all nodes.
 func TestSameOrderOverTheChain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t)
@@ -46,7 +46,7 @@
 	})
 }
 
-// Over the chain itself: of three changes on one version one is confirmed, the others are refused.
+// TestRaceOverTheChain: over the chain itself: of three changes on one version one is confirmed, the others are refused.
 func TestRaceOverTheChain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t)
@@ -61,9 +61,9 @@
 	})
 }
 
-// A node that is partitioned from the others, and still reached by callers, confirms nothing, refuses nothing that the state
-// decides, and answers no configuration; when the partition ends it is back within two seconds. That holds by the chain alone, and
-// also where the API answers changes at once.
+// TestPartitionedNode: a node that is partitioned from the others, and still reached by callers, confirms nothing, refuses
+// nothing that the state decides, and answers no configuration; when the partition ends it is back within two seconds. That
+// holds by the chain alone, and also where the API answers changes at once.
 func TestPartitionedNode(t *testing.T) {
 	for name, patient := range map[string]bool{"orders are held": true, "orders are answered at once": false} {
 		t.Run(name, func(t *testing.T) { testPartitionedNode(t, patient) })
@@ -95,9 +95,9 @@
 	})
 }
 
-// A node that has been without a way to the chain for two seconds, whatever its place, answers changes at once, so that
-// callers move on to another node. Through the others the change comes into force meanwhile, and soon after the partition through
-// this one again.
+// TestChangesAtAPartitionedNodeAreAnsweredAtOnce: a node that has been without a way to the chain for two seconds, whatever its
+// place, answers changes at once, so that callers move on to another node. Through the others the change comes into force
+// meanwhile, and soon after the partition through this one again.
 func TestChangesAtAPartitionedNodeAreAnsweredAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newCluster(t)
--- a/internal/system/operatorapi/wire_test.go
+++ b/internal/system/operatorapi/wire_test.go
@@ -101,7 +101,7 @@
 	return fmt.Sprintf("POST /Config.Replace HTTP/1.1\r\nHost: k\r\nX-Base-Version: 5\r\nContent-Length: %d\r\n%s\r\n%s", len(body), extra, body)
 }
 
-// Calls that come together in one packet are answered in their order, each with its own answer.
+// TestWirePipelined: calls that come together in one packet are answered in their order, each with its own answer.
 func TestWirePipelined(t *testing.T) {
 	client := dialAPI(t)
 	const calls = 8
@@ -130,7 +130,8 @@
 	}
 }
 
-// What follows a body that is longer than declared is no answer to anything, and ends the connection.
+// TestWireBodyLongerThanDeclared: what follows a body that is longer than declared is no answer to anything, and ends the
+// connection.
 func TestWireBodyLongerThanDeclared(t *testing.T) {
 	c := dialAPI(t)
 	c.send(rawChange(100, "") + "surplus bytes\r\n\r\n")
@@ -145,7 +146,8 @@
 	}
 }
 
-// A body that ends before its declared length, or whose chunks are broken, is no change; nor is it refused for good.
+// TestWireBodyTruncated: a body that ends before its declared length, or whose chunks are broken, is no change; nor is it
+// refused for good.
 func TestWireBodyTruncated(t *testing.T) {
 	for name, framing := range map[string]string{
 		"by its length":  "Content-Length: 100\r\n\r\n{\"revision\":100}",
@@ -163,7 +165,7 @@
 	}
 }
 
-// What is left of a refused body is never taken for a call.
+// TestWireRefusedBodyIsNoCall: what is left of a refused body is never taken for a call.
 func TestWireRefusedBodyIsNoCall(t *testing.T) {
 	const hidden = "POST /Evacuation.Start/z HTTP/1.1\r\nHost: k\r\n\r\n"
 	for name, head := range map[string]string{
@@ -182,7 +184,7 @@
 	}
 }
 
-// A caller that asks first is told to go on, or refused before it sends its body.
+// TestWireExpectContinue: a caller that asks first is told to go on, or refused before it sends its body.
 func TestWireExpectContinue(t *testing.T) {
 	c := dialAPI(t)
 	whole := rawChange(100, "Expect: 100-continue\r\n")
@@ -201,8 +203,8 @@
 	}
 }
 
-// Callers move on after a second of silence: the whole of a call that is not large takes less, however late the chain
-// answers and however slow the proxies are.
+// TestAnswerWithinASecond: callers move on after a second of silence: the whole of a call that is not large takes less, however
+// late the chain answers and however slow the proxies are.
 func TestAnswerWithinASecond(t *testing.T) {
 	for _, target := range []string{"/Config.Replace", "/Evacuation.Start/z"} {
 		synctest.Test(t, func(t *testing.T) {
