--- a/internal/system/operatorapi/evacuation_test.go
+++ b/internal/system/operatorapi/evacuation_test.go
@@ -201,31 +201,33 @@
 		"some": {"{}", 2, 200}, "in chunks": {"{}", -1, 200}, "cut short": {"{}", 9, 503},
 		"too much": {strings.Repeat(" ", maxDiscardedBodyBytes+1), maxDiscardedBodyBytes + 1, 413},
 	} {
-		chain := &scriptedChain{submit: accepted, read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil }}
-		server := httptest.NewServer(Handler(Options{Chain: chain, Log: discardLog()}))
-		conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", server.Listener.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		framing := fmt.Sprintf("Content-Length: %d\r\n\r\n%s", test.length, test.body)
-		if test.length < 0 {
-			framing = fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(test.body), test.body)
-		}
-		if _, err := io.WriteString(conn, "POST /Evacuation.Start/z HTTP/1.1\r\nHost: k\r\n"+framing); err != nil {
-			t.Fatal(err)
-		}
-		if tcp, ok := conn.(*net.TCPConn); ok && test.length > int64(len(test.body)) {
-			_ = tcp.CloseWrite()
-		}
-		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
-		if err != nil {
-			t.Fatalf("%s: %v", name, err)
-		}
-		if resp.StatusCode != test.status {
-			t.Errorf("%s: status %d, want %d", name, resp.StatusCode, test.status)
-		}
-		_ = resp.Body.Close()
-		_ = conn.Close()
-		server.Close()
+		t.Run(name, func(t *testing.T) {
+			chain := &scriptedChain{submit: accepted, read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil }}
+			server := httptest.NewServer(Handler(Options{Chain: chain, Log: discardLog()}))
+			t.Cleanup(server.Close)
+			conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", server.Listener.Addr().String())
+			if err != nil {
+				t.Fatal(err)
+			}
+			t.Cleanup(func() { _ = conn.Close() })
+			framing := fmt.Sprintf("Content-Length: %d\r\n\r\n%s", test.length, test.body)
+			if test.length < 0 {
+				framing = fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(test.body), test.body)
+			}
+			if _, err := io.WriteString(conn, "POST /Evacuation.Start/z HTTP/1.1\r\nHost: k\r\n"+framing); err != nil {
+				t.Fatal(err)
+			}
+			if tcp, ok := conn.(*net.TCPConn); ok && test.length > int64(len(test.body)) {
+				_ = tcp.CloseWrite()
+			}
+			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+			if err != nil {
+				t.Fatal(err)
+			}
+			_ = resp.Body.Close()
+			if resp.StatusCode != test.status {
+				t.Errorf("status %d, want %d", resp.StatusCode, test.status)
+			}
+		})
 	}
 }
--- a/internal/system/operatorapi/handler_test.go
+++ b/internal/system/operatorapi/handler_test.go
@@ -178,14 +178,16 @@
 func TestBodyTooLarge(t *testing.T) {
 	handler := Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted}}, Log: discardLog()})
 	for name, length := range map[string]int64{"with a length": maxBodyBytes + 1, "in chunks": -1} {
-		r := httptest.NewRequestWithContext(t.Context(), "POST", "/Config.Replace", io.LimitReader(zeros{}, maxBodyBytes+1))
-		r.ContentLength = length
-		r.Header.Set("X-Base-Version", "0")
-		w := httptest.NewRecorder()
-		handler.ServeHTTP(w, r)
-		if w.Code != http.StatusRequestEntityTooLarge {
-			t.Errorf("%s: status %d", name, w.Code)
-		}
+		t.Run(name, func(t *testing.T) {
+			r := httptest.NewRequestWithContext(t.Context(), "POST", "/Config.Replace", io.LimitReader(zeros{}, maxBodyBytes+1))
+			r.ContentLength = length
+			r.Header.Set("X-Base-Version", "0")
+			w := httptest.NewRecorder()
+			handler.ServeHTTP(w, r)
+			if w.Code != http.StatusRequestEntityTooLarge {
+				t.Errorf("status %d", w.Code)
+			}
+		})
 	}
 }
 
@@ -286,14 +288,16 @@
 
 func TestDeliveryIsBounded(t *testing.T) {
 	for ack, want := range map[time.Duration]time.Duration{0: 300 * time.Millisecond, time.Second: 125 * time.Millisecond} {
-		synctest.Test(t, func(t *testing.T) {
-			handler := Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted, Seq: 9}}, AckTimeout: ack, Log: discardLog(),
-				WaitDelivered: func(ctx context.Context, _ uint64) { <-ctx.Done() }})
-			start := time.Now()
-			w := serve(t, handler, "POST", "/Evacuation.Start/a", "")
-			if took := time.Since(start); w.Code != 200 || took != want {
-				t.Errorf("status %d after %v, want 200 after %v", w.Code, took, want)
-			}
+		t.Run(ack.String(), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				handler := Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted, Seq: 9}}, AckTimeout: ack, Log: discardLog(),
+					WaitDelivered: func(ctx context.Context, _ uint64) { <-ctx.Done() }})
+				start := time.Now()
+				w := serve(t, handler, "POST", "/Evacuation.Start/a", "")
+				if took := time.Since(start); w.Code != 200 || took != want {
+					t.Errorf("status %d after %v, want 200 after %v", w.Code, took, want)
+				}
+			})
 		})
 	}
 }
--- a/internal/system/operatorapi/stall_detector_test.go
+++ b/internal/system/operatorapi/stall_detector_test.go
@@ -22,25 +22,27 @@
 		"a second later":             {20 * time.Second, stallCooldown + stallCheckInterval, false},
 		"a second after a short one": {stallThreshold + 1, stallCooldown + stallCheckInterval, false},
 	} {
-		detector, now := NewStallDetector(), time.Now()
-		detector.start(now)
-		run := func(span time.Duration) {
-			for end := now.Add(span); now.Before(end); {
-				now = now.Add(stallCheckInterval)
-				detector.observeRunning(now)
+		t.Run(name, func(t *testing.T) {
+			detector, now := NewStallDetector(), time.Now()
+			detector.start(now)
+			run := func(span time.Duration) {
+				for end := now.Add(span); now.Before(end); {
+					now = now.Add(stallCheckInterval)
+					detector.observeRunning(now)
+				}
 			}
-		}
-		run(time.Second)
-		now = now.Add(test.still)
-		run(test.runs)
-		if got := detector.observeRunning(now); got != test.stalled {
-			t.Errorf("%s: %v", name, got)
-		}
-		// A clock that was read before the last note counts as no pause, and no step back.
-		detector.observeRunning(now.Add(-stallCheckInterval))
-		if !detector.lastObserved.Equal(now) {
-			t.Errorf("%s: a late note steps back by %v", name, now.Sub(detector.lastObserved))
-		}
+			run(time.Second)
+			now = now.Add(test.still)
+			run(test.runs)
+			if got := detector.observeRunning(now); got != test.stalled {
+				t.Errorf("stalled = %v, want %v", got, test.stalled)
+			}
+			// A clock that was read before the last observation counts as no pause, and the observation does not move back.
+			detector.observeRunning(now.Add(-stallCheckInterval))
+			if !detector.lastObserved.Equal(now) {
+				t.Errorf("a late observation moves back by %v", now.Sub(detector.lastObserved))
+			}
+		})
 	}
 	if !NewStallDetector().Stalled() {
 		t.Error("a detector that does not run counts as no stall")
--- a/internal/system/operatorapi/wire_test.go
+++ b/internal/system/operatorapi/wire_test.go
@@ -154,14 +154,16 @@
 		"in a chunk":     "Transfer-Encoding: chunked\r\n\r\n40\r\n{\"revision\":100}",
 		"between chunks": "Transfer-Encoding: chunked\r\n\r\n10\r\n{\"revision\":100}\r\n",
 	} {
-		c := dialAPI(t)
-		c.send("POST /Config.Replace HTTP/1.1\r\nHost: k\r\nX-Base-Version: 5\r\n" + framing)
-		if err := c.conn.CloseWrite(); err != nil {
-			t.Fatal(err)
-		}
-		if response := c.readResponse("POST"); response.status != 503 || !response.closes || !c.connectionEnded() || len(c.changes()) != 0 {
-			t.Errorf("%s: status %d, %d changes", name, response.status, len(c.changes()))
-		}
+		t.Run(name, func(t *testing.T) {
+			c := dialAPI(t)
+			c.send("POST /Config.Replace HTTP/1.1\r\nHost: k\r\nX-Base-Version: 5\r\n" + framing)
+			if err := c.conn.CloseWrite(); err != nil {
+				t.Fatal(err)
+			}
+			if response := c.readResponse("POST"); response.status != 503 || !response.closes || !c.connectionEnded() || len(c.changes()) != 0 {
+				t.Errorf("status %d, %d changes", response.status, len(c.changes()))
+			}
+		})
 	}
 }
 
@@ -173,14 +175,16 @@
 		"without a base": fmt.Sprintf("POST /Config.Replace HTTP/1.1\r\nHost: k\r\nContent-Length: %d\r\n\r\n", len(hidden)),
 		"unknown call":   fmt.Sprintf("POST /Config.Drop HTTP/1.1\r\nHost: k\r\nContent-Length: %d\r\n\r\n", len(hidden)),
 	} {
-		c := dialAPI(t)
-		c.send(head + hidden)
-		if err := c.conn.CloseWrite(); err != nil {
-			t.Fatal(err)
-		}
-		if response := c.readResponse("POST"); response.status < 400 || !c.connectionEnded() || len(c.changes()) != 0 {
-			t.Errorf("%s: status %d, %d changes", name, response.status, len(c.changes()))
-		}
+		t.Run(name, func(t *testing.T) {
+			c := dialAPI(t)
+			c.send(head + hidden)
+			if err := c.conn.CloseWrite(); err != nil {
+				t.Fatal(err)
+			}
+			if response := c.readResponse("POST"); response.status < 400 || !c.connectionEnded() || len(c.changes()) != 0 {
+				t.Errorf("status %d, %d changes", response.status, len(c.changes()))
+			}
+		})
 	}
 }
 
@@ -207,18 +211,20 @@
 // late the chain answers and however slow the proxies are.
 func TestAnswerWithinASecond(t *testing.T) {
 	for _, target := range []string{"/Config.Replace", "/Evacuation.Start/z"} {
-		synctest.Test(t, func(t *testing.T) {
-			chain := &scriptedChain{read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil },
-				submit: func(c controlstate.Change) controlstate.Verdict {
-					time.Sleep(chainTimeout - time.Millisecond) // of the bubble's clock
-					return accepted(c)
-				}}
-			handler := Handler(Options{Chain: chain, Log: discardLog(), WaitDelivered: func(ctx context.Context, _ uint64) { <-ctx.Done() }})
-			start := time.Now()
-			w := serve(t, handler, "POST", target, "", "X-Base-Version", "0")
-			if took := time.Since(start); w.Code != 200 || took > responseTimeout {
-				t.Errorf("%s: status %d after %v", target, w.Code, took)
-			}
+		t.Run(target, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				chain := &scriptedChain{read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil },
+					submit: func(c controlstate.Change) controlstate.Verdict {
+						time.Sleep(chainTimeout - time.Millisecond) // of the bubble's clock
+						return accepted(c)
+					}}
+				handler := Handler(Options{Chain: chain, Log: discardLog(), WaitDelivered: func(ctx context.Context, _ uint64) { <-ctx.Done() }})
+				start := time.Now()
+				w := serve(t, handler, "POST", target, "", "X-Base-Version", "0")
+				if took := time.Since(start); w.Code != 200 || took > responseTimeout {
+					t.Errorf("status %d after %v", w.Code, took)
+				}
+			})
 		})
 	}
 }
