--- a/internal/system/failuredetector/message_test.go
+++ b/internal/system/failuredetector/message_test.go
@@ -46,9 +46,11 @@
 		"no name":   func([]byte) []byte { return Message{Kind: Heartbeat}.Append(nil) },
 		"too long":  func(b []byte) []byte { return append(b, make([]byte, MaxDatagramBytes)...) },
 	} {
-		if _, err := Decode(change(append([]byte(nil), good...))); !errors.Is(err, ErrMalformedMessage) {
-			t.Errorf("%s: %v", name, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			if _, err := Decode(change(append([]byte(nil), good...))); !errors.Is(err, ErrMalformedMessage) {
+				t.Errorf("%s: %v", name, err)
+			}
+		})
 	}
 	long := Message{Kind: IndirectPing, From: strings.Repeat("f", 300), Node: strings.Repeat("n", 300)}.Append(nil)
 	if _, err := Decode(long); err != nil || len(long) > MaxDatagramBytes {
--- a/internal/system/failuredetector/stale_test.go
+++ b/internal/system/failuredetector/stale_test.go
@@ -76,14 +76,16 @@
 // TestStaleProbeResultIsIgnored: a response over the second path that was read long after its request says nothing about now.
 func TestStaleProbeResultIsIgnored(t *testing.T) {
 	for _, late := range []time.Duration{100 * time.Millisecond, 20 * time.Second} {
-		d := NewDetector(Options{Self: "a", Incarnation: 1})
-		now, _ := tickUntilIndirectPing(t, d)
-		for asked := now; now < asked+late; now += 100 * time.Millisecond {
-			d.Tick(now)
-		}
-		d.ProbeResult(now, now-late, "b", 2, true)
-		if got, want := d.watched["b"].lastContact > 0, late < time.Second; got != want {
-			t.Errorf("after %v: heard %v", late, got)
-		}
+		t.Run(late.String(), func(t *testing.T) {
+			d := NewDetector(Options{Self: "a", Incarnation: 1})
+			now, _ := tickUntilIndirectPing(t, d)
+			for asked := now; now < asked+late; now += 100 * time.Millisecond {
+				d.Tick(now)
+			}
+			d.ProbeResult(now, now-late, "b", 2, true)
+			if got, want := d.watched["b"].lastContact > 0, late < time.Second; got != want {
+				t.Errorf("after %v: heard %v", late, got)
+			}
+		})
 	}
 }
--- a/internal/system/ownership/ownership_test.go
+++ b/internal/system/ownership/ownership_test.go
@@ -161,7 +161,7 @@
 func TestStandby(t *testing.T) {
 	standby := Standby{Interval: 500 * time.Millisecond, After: 2 * time.Second}
 	tests := []struct {
-		holds  bool
+		owns   bool
 		age    time.Duration
 		random float64
 		act    bool
@@ -175,9 +175,11 @@
 		{false, time.Hour, 0.5, true, 1250 * time.Millisecond},
 	}
 	for _, test := range tests {
-		if act, wait := standby.Next(test.holds, test.age, test.random); act != test.act || wait != test.wait {
-			t.Errorf("Next(%v, %v, %v) = %v, %v; want %v, %v", test.holds, test.age, test.random, act, wait, test.act, test.wait)
-		}
+		t.Run(fmt.Sprint(test.owns, test.age, test.random), func(t *testing.T) {
+			if act, wait := standby.Next(test.owns, test.age, test.random); act != test.act || wait != test.wait {
+				t.Errorf("Next(%v, %v, %v) = %v, %v; want %v, %v", test.owns, test.age, test.random, act, wait, test.act, test.wait)
+			}
+		})
 	}
 }
 
--- a/internal/system/platform/client_test.go
+++ b/internal/system/platform/client_test.go
@@ -149,9 +149,11 @@
 	for value, want := range map[string]time.Duration{
 		"": 0, "x": 0, "-1": 0, "NaN": 0, "0.5": 500 * time.Millisecond, padded: 2 * time.Second, "1e9": time.Minute, "+Inf": time.Minute,
 	} {
-		if got := parseRetryAfter(value); got != want {
-			t.Errorf("retryAfter(%q) = %v, want %v", value, got, want)
-		}
+		t.Run(value, func(t *testing.T) {
+			if got := parseRetryAfter(value); got != want {
+				t.Errorf("retryAfter(%q) = %v, want %v", value, got, want)
+			}
+		})
 	}
 }
 
--- a/internal/system/platform/poller_test.go
+++ b/internal/system/platform/poller_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"sync"
 	"testing"
 	"testing/synctest"
@@ -80,16 +81,18 @@
 
 func TestPollerKeepsItsRateLimit(t *testing.T) {
 	for pages, want := range map[uint64]uint64{1: 21, 4: 4 * 11, 20: 20 * 3} {
-		synctest.Test(t, func(t *testing.T) {
-			list, table := &fakeList{pages: pages}, &listTable{}
-			runPoller(PollerOptions{Lister: list, Ownership: func() (uint64, bool) { return 3, true }, Newest: table.newest,
-				OnResult: table.put, MaxCallsPerSecond: 4}, 10*time.Second+time.Millisecond)
-			if list.calls != want {
-				t.Errorf("%d pages: %d calls in 10 s, want %d", pages, list.calls, want)
-			}
-			if table.fence != 3 || table.version != uint64(table.taken) || table.taken != int(want/pages) {
-				t.Errorf("table = %+v", table)
-			}
+		t.Run(fmt.Sprint(pages, " pages"), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				list, table := &fakeList{pages: pages}, &listTable{}
+				runPoller(PollerOptions{Lister: list, Ownership: func() (uint64, bool) { return 3, true }, Newest: table.newest,
+					OnResult: table.put, MaxCallsPerSecond: 4}, 10*time.Second+time.Millisecond)
+				if list.calls != want {
+					t.Errorf("%d pages: %d calls in 10 s, want %d", pages, list.calls, want)
+				}
+				if table.fence != 3 || table.version != uint64(table.taken) || table.taken != int(want/pages) {
+					t.Errorf("table = %+v", table)
+				}
+			})
 		})
 	}
 }
