--- a/cmd/controlplane/replica_test.go
+++ b/cmd/controlplane/replica_test.go
@@ -145,7 +145,7 @@
 func TestNoBootstrapAfterQuarantine(t *testing.T) {
 	options := newTestNode(t.TempDir()).replicationOptions()
 	if !options.Bootstrap || withoutBootstrap(options).Bootstrap {
-		t.Error("a keeper that begins anew may take part in forming the first view")
+		t.Error("a node without its former log may take part in forming the first view")
 	}
 }
 
