--- a/internal/system/operatorapi/evacuation_test.go
+++ b/internal/system/operatorapi/evacuation_test.go
@@ -37,7 +37,8 @@
 	return controlstate.Verdict{Kind: controlstate.Accepted, Seq: 1}
 }
 
-// The fence is what was known as the call came, not what a majority told later, and a superseded order gets no newer one.
+// TestEvacuationFence: the fence is what was known as the call came, not what a majority told later, and a superseded order gets
+// no newer one.
 func TestEvacuationFence(t *testing.T) {
 	for name, test := range map[string]struct {
 		superseded, known, late bool
@@ -68,7 +69,7 @@
 	}
 }
 
-// A change whose caller hung up, or that took too long to confirm, is not submitted.
+// TestEvacuationDropped: a change whose caller hung up, or that took too long to confirm, is not submitted.
 func TestEvacuationDropped(t *testing.T) {
 	for name, test := range map[string]struct {
 		read func(cancel func()) // what happens while a majority is asked
@@ -104,8 +105,8 @@
 	}
 }
 
-// Over a real connection: the bytes of a change and the end of its connection come together, as after a partition. net/http
-// tells of it by the request's context, however the change's body is framed.
+// TestEvacuationOfACallerThatHungUp: over a real connection: the bytes of a change and the end of its connection come together,
+// as after a partition. net/http tells of it by the request's context, however the change's body is framed.
 func TestEvacuationOfACallerThatHungUp(t *testing.T) {
 	for name, body := range map[string]string{
 		"no body": "\r\n", "an empty body": "Content-Length: 0\r\n\r\n", "a body": "Content-Length: 2\r\n\r\n{}",
@@ -167,7 +168,7 @@
 	}
 }
 
-// A change that is read after a stall is not taken, and its connection ends.
+// TestEvacuationAfterAStall: a change that is read after a stall is not taken, and its connection ends.
 func TestEvacuationAfterAStall(t *testing.T) {
 	chain := &scriptedChain{submit: accepted, read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil }}
 	stalled := true
@@ -190,7 +191,7 @@
 	}
 }
 
-// Bodies that evacuations need not have are read, within bounds.
+// TestEvacuationWithABody: bodies that evacuations need not have are read, within bounds.
 func TestEvacuationWithABody(t *testing.T) {
 	for name, test := range map[string]struct {
 		body   string
@@ -200,31 +201,33 @@
 		"some": {"{}", 2, 200}, "in chunks": {"{}", -1, 200}, "cut short": {"{}", 9, 503},
 		"too much": {strings.Repeat(" ", maxDiscardedBodyBytes+1), maxDiscardedBodyBytes + 1, 413},
 	} {
-		chain := &scriptedChain{submit: accepted, read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil }}
-		server := httptest.NewServer(Handler(Options{Chain: chain, Log: discardLog()}))
-		conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", server.Listener.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		framing := fmt.Sprintf("Content-Length: %d\r\n\r\n%s", test.length, test.body)
-		if test.length < 0 {
-			framing = fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(test.body), test.body)
-		}
-		if _, err := io.WriteString(conn, "POST /Evacuation.Start/z HTTP/1.1\r\nHost: k\r\n"+framing); err != nil {
-			t.Fatal(err)
-		}
-		if tcp, ok := conn.(*net.TCPConn); ok && test.length > int64(len(test.body)) {
-			_ = tcp.CloseWrite()
-		}
-		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
-		if err != nil {
-			t.Fatalf("%s: %v", name, err)
-		}
-		if resp.StatusCode != test.status {
-			t.Errorf("%s: status %d, want %d", name, resp.StatusCode, test.status)
-		}
-		_ = resp.Body.Close()
-		_ = conn.Close()
-		server.Close()
+		t.Run(name, func(t *testing.T) {
+			chain := &scriptedChain{submit: accepted, read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil }}
+			server := httptest.NewServer(Handler(Options{Chain: chain, Log: discardLog()}))
+			t.Cleanup(server.Close)
+			conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", server.Listener.Addr().String())
+			if err != nil {
+				t.Fatal(err)
+			}
+			t.Cleanup(func() { _ = conn.Close() })
+			framing := fmt.Sprintf("Content-Length: %d\r\n\r\n%s", test.length, test.body)
+			if test.length < 0 {
+				framing = fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(test.body), test.body)
+			}
+			if _, err := io.WriteString(conn, "POST /Evacuation.Start/z HTTP/1.1\r\nHost: k\r\n"+framing); err != nil {
+				t.Fatal(err)
+			}
+			if tcp, ok := conn.(*net.TCPConn); ok && test.length > int64(len(test.body)) {
+				_ = tcp.CloseWrite()
+			}
+			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+			if err != nil {
+				t.Fatal(err)
+			}
+			_ = resp.Body.Close()
+			if resp.StatusCode != test.status {
+				t.Errorf("status %d, want %d", resp.StatusCode, test.status)
+			}
+		})
 	}
 }
--- a/internal/system/operatorapi/wire_test.go
+++ b/internal/system/operatorapi/wire_test.go
@@ -101,7 +101,7 @@
 	return fmt.Sprintf("POST /Config.Replace HTTP/1.1\r\nHost: k\r\nX-Base-Version: 5\r\nContent-Length: %d\r\n%s\r\n%s", len(body), extra, body)
 }
 
-// Calls that come together in one packet are answered in their order, each with its own answer.
+// TestWirePipelined: calls that come together in one packet are answered in their order, each with its own answer.
 func TestWirePipelined(t *testing.T) {
 	client := dialAPI(t)
 	const calls = 8
@@ -130,7 +130,8 @@
 	}
 }
 
-// What follows a body that is longer than declared is no answer to anything, and ends the connection.
+// TestWireBodyLongerThanDeclared: what follows a body that is longer than declared is no answer to anything, and ends the
+// connection.
 func TestWireBodyLongerThanDeclared(t *testing.T) {
 	c := dialAPI(t)
 	c.send(rawChange(100, "") + "surplus bytes\r\n\r\n")
@@ -145,25 +146,28 @@
 	}
 }
 
-// A body that ends before its declared length, or whose chunks are broken, is no change; nor is it refused for good.
+// TestWireBodyTruncated: a body that ends before its declared length, or whose chunks are broken, is no change; nor is it
+// refused for good.
 func TestWireBodyTruncated(t *testing.T) {
 	for name, framing := range map[string]string{
 		"by its length":  "Content-Length: 100\r\n\r\n{\"revision\":100}",
 		"in a chunk":     "Transfer-Encoding: chunked\r\n\r\n40\r\n{\"revision\":100}",
 		"between chunks": "Transfer-Encoding: chunked\r\n\r\n10\r\n{\"revision\":100}\r\n",
 	} {
-		c := dialAPI(t)
-		c.send("POST /Config.Replace HTTP/1.1\r\nHost: k\r\nX-Base-Version: 5\r\n" + framing)
-		if err := c.conn.CloseWrite(); err != nil {
-			t.Fatal(err)
-		}
-		if response := c.readResponse("POST"); response.status != 503 || !response.closes || !c.connectionEnded() || len(c.changes()) != 0 {
-			t.Errorf("%s: status %d, %d changes", name, response.status, len(c.changes()))
-		}
+		t.Run(name, func(t *testing.T) {
+			c := dialAPI(t)
+			c.send("POST /Config.Replace HTTP/1.1\r\nHost: k\r\nX-Base-Version: 5\r\n" + framing)
+			if err := c.conn.CloseWrite(); err != nil {
+				t.Fatal(err)
+			}
+			if response := c.readResponse("POST"); response.status != 503 || !response.closes || !c.connectionEnded() || len(c.changes()) != 0 {
+				t.Errorf("status %d, %d changes", response.status, len(c.changes()))
+			}
+		})
 	}
 }
 
-// What is left of a refused body is never taken for a call.
+// TestWireRefusedBodyIsNoCall: what is left of a refused body is never taken for a call.
 func TestWireRefusedBodyIsNoCall(t *testing.T) {
 	const hidden = "POST /Evacuation.Start/z HTTP/1.1\r\nHost: k\r\n\r\n"
 	for name, head := range map[string]string{
@@ -171,18 +175,20 @@
 		"without a base": fmt.Sprintf("POST /Config.Replace HTTP/1.1\r\nHost: k\r\nContent-Length: %d\r\n\r\n", len(hidden)),
 		"unknown call":   fmt.Sprintf("POST /Config.Drop HTTP/1.1\r\nHost: k\r\nContent-Length: %d\r\n\r\n", len(hidden)),
 	} {
-		c := dialAPI(t)
-		c.send(head + hidden)
-		if err := c.conn.CloseWrite(); err != nil {
-			t.Fatal(err)
-		}
-		if response := c.readResponse("POST"); response.status < 400 || !c.connectionEnded() || len(c.changes()) != 0 {
-			t.Errorf("%s: status %d, %d changes", name, response.status, len(c.changes()))
-		}
+		t.Run(name, func(t *testing.T) {
+			c := dialAPI(t)
+			c.send(head + hidden)
+			if err := c.conn.CloseWrite(); err != nil {
+				t.Fatal(err)
+			}
+			if response := c.readResponse("POST"); response.status < 400 || !c.connectionEnded() || len(c.changes()) != 0 {
+				t.Errorf("status %d, %d changes", response.status, len(c.changes()))
+			}
+		})
 	}
 }
 
-// A caller that asks first is told to go on, or refused before it sends its body.
+// TestWireExpectContinue: a caller that asks first is told to go on, or refused before it sends its body.
 func TestWireExpectContinue(t *testing.T) {
 	c := dialAPI(t)
 	whole := rawChange(100, "Expect: 100-continue\r\n")
@@ -201,22 +207,24 @@
 	}
 }
 
-// Callers move on after a second of silence: the whole of a call that is not large takes less, however late the chain
-// answers and however slow the proxies are.
+// TestAnswerWithinASecond: callers move on after a second of silence: the whole of a call that is not large takes less, however
+// late the chain answers and however slow the proxies are.
 func TestAnswerWithinASecond(t *testing.T) {
 	for _, target := range []string{"/Config.Replace", "/Evacuation.Start/z"} {
-		synctest.Test(t, func(t *testing.T) {
-			chain := &scriptedChain{read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil },
-				submit: func(c controlstate.Change) controlstate.Verdict {
-					time.Sleep(chainTimeout - time.Millisecond) // of the bubble's clock
-					return accepted(c)
-				}}
-			handler := Handler(Options{Chain: chain, Log: discardLog(), WaitDelivered: func(ctx context.Context, _ uint64) { <-ctx.Done() }})
-			start := time.Now()
-			w := serve(t, handler, "POST", target, "", "X-Base-Version", "0")
-			if took := time.Since(start); w.Code != 200 || took > responseTimeout {
-				t.Errorf("%s: status %d after %v", target, w.Code, took)
-			}
+		t.Run(target, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				chain := &scriptedChain{read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil },
+					submit: func(c controlstate.Change) controlstate.Verdict {
+						time.Sleep(chainTimeout - time.Millisecond) // of the bubble's clock
+						return accepted(c)
+					}}
+				handler := Handler(Options{Chain: chain, Log: discardLog(), WaitDelivered: func(ctx context.Context, _ uint64) { <-ctx.Done() }})
+				start := time.Now()
+				w := serve(t, handler, "POST", target, "", "X-Base-Version", "0")
+				if took := time.Since(start); w.Code != 200 || took > responseTimeout {
+					t.Errorf("status %d after %v", w.Code, took)
+				}
+			})
 		})
 	}
 }
