--- a/internal/sidecar/client/listsubscriber_test.go
+++ b/internal/sidecar/client/listsubscriber_test.go
@@ -147,17 +147,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	t.Cleanup(startRun(subscriber.Run))
+	return subscriber, consumer
+}
+
+// startRun calls run in a goroutine, and returns a function that ends it and waits for its end.
+func startRun(run func(context.Context)) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		subscriber.Run(ctx)
+		run(ctx)
 	}()
-	t.Cleanup(func() {
+	return func() {
 		cancel()
 		<-ended
-	})
-	return subscriber, consumer
+	}
 }
 
 // cacheWith returns a cache in which a list is saved.
--- a/internal/sidecar/client/routes_test.go
+++ b/internal/sidecar/client/routes_test.go
@@ -1,7 +1,6 @@
 package client
 
 import (
-	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -141,14 +140,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	go func() {
-		defer close(ended)
-		subscriber.Run(ctx)
-	}()
-	defer func() { <-ended }()
-	defer cancel()
+	defer startRun(subscriber.Run)()
 	eventually(t, "the condition", func() bool { return condition(subscriber) })
 	return subscriber.Status()
 }
