--- a/internal/sidecar/registry/join.go
+++ b/internal/sidecar/registry/join.go
@@ -125,14 +125,14 @@
 	}
 	_, err = os.Stat(n.lostMarkerPath())
 	marked := err == nil
-	unsound := replica.Check(n.raftFolder())
-	if unsound == nil && !marked {
+	corruption := replica.Check(n.raftFolder())
+	if corruption == nil && !marked {
 		return false, nil
 	}
-	if unsound != nil && !errors.Is(unsound, replica.ErrCorrupt) {
-		return false, unsound
+	if corruption != nil && !errors.Is(corruption, replica.ErrCorrupt) {
+		return false, corruption
 	}
-	if err := n.quarantineStore(unsound, marked); err != nil {
+	if err := n.quarantineStore(corruption, marked); err != nil {
 		return false, err
 	}
 	if len(n.config.Peers) < 2 && !n.config.Join {
@@ -143,11 +143,11 @@
 	return true, nil
 }
 
-// quarantineStore marks the node as one that lost its store, and moves the store to another name. unsound is nil where only the mark says so.
-func (n *Node) quarantineStore(unsound error, marked bool) error {
-	if unsound != nil && !marked {
-		if err := sealed.WriteFile(n.lostMarkerPath(), []byte(unsound.Error()+"\n")); err != nil {
-			return errors.Join(unsound, err)
+// quarantineStore marks the node as one that lost its store, and moves the store to another name. corruption is nil where only the mark says so.
+func (n *Node) quarantineStore(corruption error, marked bool) error {
+	if corruption != nil && !marked {
+		if err := sealed.WriteFile(n.lostMarkerPath(), []byte(corruption.Error()+"\n")); err != nil {
+			return errors.Join(corruption, err)
 		}
 	}
 	if _, err := os.Stat(n.raftFolder()); err != nil {
@@ -155,9 +155,9 @@
 	}
 	aside, err := sealed.Quarantine(n.raftFolder())
 	if err != nil {
-		return errors.Join(unsound, err)
+		return errors.Join(corruption, err)
 	}
-	n.log.Error("the store is set aside", "err", unsound, "as", aside)
+	n.log.Error("the store is set aside", "err", corruption, "as", aside)
 	return nil
 }
 
