--- a/internal/sidecar/answer_test.go
+++ b/internal/sidecar/answer_test.go
@@ -13,7 +13,7 @@
 // TestEffects has the first attempt of each class end in each way, and sees whether the class is tried again.
 func TestEffects(t *testing.T) {
 	full := say(503, "X-Not-Processed: 1\r\n", "")
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		name     string
 		class    string
 		fault    func(net.Conn, *http.Request, []byte) bool
@@ -30,7 +30,7 @@
 		{"unsafe after a reset", "pay", hangUp, 502, 1},
 		{"unsafe, turned away", "pay", full, 200, 2},
 	} {
-		t.Run(tt.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			faults := make(chan bool, 1)
 			faults <- true
 			came := make(chan string, 10)
@@ -38,15 +38,15 @@
 				came <- r.Header.Get("X-Request-ID") + " " + r.Header.Get("Idempotency-Key") + " " + string(body)
 				select {
 				case <-faults:
-					return tt.fault(c, r, body)
+					return test.fault(c, r, body)
 				default:
 					return say(200, "", "done")(c, r, body)
 				}
 			}
 			p := start(t, configText(startRegistry(t).address, serving(1, startBackend(t, do), startBackend(t, do)), testSettings))
-			g := p.ask(tt.class)
-			if g.status != tt.status || len(came) != tt.attempts {
-				t.Fatalf("status %d after %d attempts, want %d after %d", g.status, len(came), tt.status, tt.attempts)
+			g := p.ask(test.class)
+			if g.status != test.status || len(came) != test.attempts {
+				t.Fatalf("status %d after %d attempts, want %d after %d", g.status, len(came), test.status, test.attempts)
 			}
 			if g.status == 200 && g.body != "done" {
 				t.Errorf("body %q", g.body)
@@ -103,7 +103,7 @@
 // TestNoServer has every server refuse connections: nothing ran, so the refusal comes at once, for every class.
 func TestNoServer(t *testing.T) {
 	l := listen(t)
-	l.Close()
+	_ = l.Close()
 	gone := &backend{address: l.Addr().String()}
 	p := start(t, configText(startRegistry(t).address, serving(1, gone), testSettings))
 	for _, class := range []string{"read", "book", "pay"} {
@@ -134,7 +134,7 @@
 }
 
 func TestRefusalSaysWhen(t *testing.T) {
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		a      answer
 		status int
 		header string
@@ -144,9 +144,9 @@
 		{answer{kind: failed}, 502, ""},
 	} {
 		w := httptest.NewRecorder()
-		tt.a.write(w)
-		if w.Code != tt.status || w.Header().Get("Retry-After") != tt.header {
-			t.Errorf("%+v: status %d, header %v", tt.a, w.Code, w.Header())
+		_ = test.a.write(w)
+		if w.Code != test.status || w.Header().Get("Retry-After") != test.header {
+			t.Errorf("%+v: status %d, header %v", test.a, w.Code, w.Header())
 		}
 	}
 }
--- a/internal/sidecar/answerstream.go
+++ b/internal/sidecar/answerstream.go
@@ -118,14 +118,14 @@
 }
 
 // add takes in the next bytes once there is room for them, or tells that there is none before it flows.
-func (f *answerStream) add(p []byte) bool {
+func (f *answerStream) add(chunk []byte) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.started {
-		if len(f.pending)+len(p) > maxHeldBytes || !f.budget.reserve(len(p)) {
+		if len(f.pending)+len(chunk) > maxHeldBytes || !f.budget.reserve(len(chunk)) {
 			return false
 		}
-		f.reserved += len(p)
+		f.reserved += len(chunk)
 	}
 	if f.started {
 		f.stallTimer.Stop() // the client's time
@@ -135,7 +135,7 @@
 		f.stallTimer.Reset(stallTimeout)
 	}
 	if !f.abandoned {
-		f.pending = append(f.pending, p...)
+		f.pending = append(f.pending, chunk...)
 	}
 	f.moved.Broadcast()
 	return true
--- a/internal/sidecar/answerstream_test.go
+++ b/internal/sidecar/answerstream_test.go
@@ -35,9 +35,9 @@
 		t.Run(name, func(t *testing.T) {
 			gate := make(chan bool)
 			b := startBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
-				fmt.Fprint(c, "HTTP/1.1 103 X\r\n\r\nHTTP/1.1 200 X\r\nContent-Type: video/x\r\n"+form.head+form.piece(long[:100]))
+				_, _ = fmt.Fprint(c, "HTTP/1.1 103 X\r\n\r\nHTTP/1.1 200 X\r\nContent-Type: video/x\r\n"+form.head+form.piece(long[:100]))
 				<-gate
-				fmt.Fprint(c, form.piece(long[100:])+form.end)
+				_, _ = fmt.Fprint(c, form.piece(long[100:])+form.end)
 				return name != "close"
 			})
 			p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
@@ -45,7 +45,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer resp.Body.Close()
+			defer func() { _ = resp.Body.Close() }()
 			first := make([]byte, 100)
 			if _, err := io.ReadFull(resp.Body, first); err != nil {
 				t.Fatal(err)
@@ -71,7 +71,7 @@
 		for _, proto := range []string{"1.0", "1.1"} {
 			t.Run(name+" "+proto, func(t *testing.T) {
 				b := startBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
-					fmt.Fprint(c, "HTTP/1.1 200 X\r\n"+form.head+form.piece(long[:2*maxHeldBytes]))
+					_, _ = fmt.Fprint(c, "HTTP/1.1 200 X\r\n"+form.head+form.piece(long[:2*maxHeldBytes]))
 					return false
 				})
 				p, call := operator(t, configText(startRegistry(t).address, serving(1, b, b), testSettings))
@@ -79,8 +79,8 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				defer c.Close()
-				fmt.Fprintf(c, "GET /api HTTP/%s\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: read\r\nX-Timeout-Ms: 50000\r\n\r\n", proto)
+				defer func() { _ = c.Close() }()
+				_, _ = fmt.Fprintf(c, "GET /api HTTP/%s\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: read\r\nX-Timeout-Ms: 50000\r\n\r\n", proto)
 				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 				if err == nil {
 					_, err = io.Copy(io.Discard, resp.Body)
@@ -107,7 +107,7 @@
 	var written atomic.Int64
 	stuck := make(chan bool)
 	b := startBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
-		fmt.Fprintf(c, "HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n", size)
+		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n", size)
 		piece := make([]byte, 1<<16)
 		for written.Load() < size {
 			if c.SetWriteDeadline(time.Now().Add(time.Second)) != nil {
@@ -126,7 +126,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	within(t, stuck, "end of the writing")
 	if n := written.Load(); n >= size {
 		t.Errorf("%d bytes were taken from the server for a client that reads none", n)
@@ -136,24 +136,24 @@
 // TestHeldAnswers has the budget run out: what is short then flows too, and what was booked is given back.
 func TestHeldAnswers(t *testing.T) {
 	room := newByteBudget(10)
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		text  string
 		begun bool
 	}{{"0123456789", false}, {"0123456789a", true}} {
-		f := newAnswerStream(int64(len(tt.text)), "", room, func(f *answerStream) {
+		f := newAnswerStream(int64(len(test.text)), "", room, func(f *answerStream) {
 			go func() {
 				var text bytes.Buffer
 				nothing := func() error { return nil }
-				if err := f.copy(&text, nothing, nothing); err != nil || text.String() != tt.text {
+				if err := f.copy(&text, nothing, nothing); err != nil || text.String() != test.text {
 					t.Errorf("%q came, error %v", text.String(), err)
 				}
 				f.abandon()
 			}()
 		})
 		f.stop = func() {}
-		whole, err := f.receive(strings.NewReader(tt.text))
-		if err != nil || f.started != tt.begun || !tt.begun && string(whole) != tt.text {
-			t.Errorf("%q: held %q, begun %v, error %v", tt.text, whole, f.started, err)
+		whole, err := f.receive(strings.NewReader(test.text))
+		if err != nil || f.started != test.begun || !test.begun && string(whole) != test.text {
+			t.Errorf("%q: held %q, begun %v, error %v", test.text, whole, f.started, err)
 		}
 		if n := room.used.Load(); n != 0 {
 			t.Errorf("%d bytes stay booked", n)
@@ -165,7 +165,7 @@
 func TestClientLeavesFlow(t *testing.T) {
 	ended := make(chan bool, 1)
 	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		fmt.Fprintf(c, "HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\nbegin", len(long))
+		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\nbegin", len(long))
 		silent(c, r, body)
 		ended <- true
 		return false
@@ -176,7 +176,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	leave()
 	within(t, ended, "end of the attempt")
 }
@@ -195,7 +195,7 @@
 				if err != nil {
 					return
 				}
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				r, err := http.ReadRequest(bufio.NewReader(c))
 				if err != nil {
 					return
@@ -217,15 +217,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 			in := bufio.NewReader(c)
-			fmt.Fprint(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\nExpect: 100-continue\r\n"+form.head)
+			_, _ = fmt.Fprint(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\nExpect: 100-continue\r\n"+form.head)
 			if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 100 {
 				t.Fatal(resp, err)
 			}
-			fmt.Fprint(c, form.piece(long[:2*maxHeldBytes]))
+			_, _ = fmt.Fprint(c, form.piece(long[:2*maxHeldBytes]))
 			within(t, first, "first bytes")
-			fmt.Fprint(c, form.piece(long[2*maxHeldBytes:])+form.end)
+			_, _ = fmt.Fprint(c, form.piece(long[2*maxHeldBytes:])+form.end)
 			if got := within(t, whole, "body"); got != long {
 				t.Errorf("%d bytes came of %d", len(got), len(long))
 			}
@@ -250,7 +250,7 @@
 			attempts.Add(1)
 			_, _ = io.CopyN(io.Discard, c, 2*maxHeldBytes)
 			_ = c.(*net.TCPConn).SetLinger(0)
-			c.Close()
+			_ = c.Close()
 		}
 	}()
 	b := &backend{address: l.Addr().String()}
@@ -259,9 +259,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\nContent-Length: %d\r\n\r\n", 1<<20)
-	fmt.Fprint(c, long)
+	defer func() { _ = c.Close() }()
+	_, _ = fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\nContent-Length: %d\r\n\r\n", 1<<20)
+	_, _ = fmt.Fprint(c, long)
 	go func() {
 		for {
 			if _, err := io.WriteString(c, "more"); err != nil {
@@ -293,8 +293,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		fmt.Fprint(c, head)
+		defer func() { _ = c.Close() }()
+		_, _ = fmt.Fprint(c, head)
 		for range n {
 			if _, err := io.WriteString(c, long[:piece]); err != nil {
 				t.Fatal(err)
@@ -315,9 +315,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		began := time.Now()
-		fmt.Fprint(c, head+long[:6*piece])
+		_, _ = fmt.Fprint(c, head+long[:6*piece])
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if took := time.Since(began); took > mostSilence {
 			t.Errorf("it took %v", took)
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -12,32 +12,32 @@
 
 // Send implements balance.Actions, as do the methods after it. It starts an attempt.
 func (h *host) Send(id balance.RequestID, endpoint string, timeout time.Duration) {
-	c := h.calls[id]
-	if c == nil {
+	ongoing := h.calls[id]
+	if ongoing == nil {
 		return
 	}
-	n, t := len(c.attempts), &callAttempt{endpoint: endpoint, sentAt: h.now}
-	t.ctx, t.cancel = context.WithCancelCause(h.ctx)
-	ctx := t.ctx
-	if !c.deadline.IsZero() {
-		end := c.deadline
+	index, started := len(ongoing.attempts), &callAttempt{endpoint: endpoint, sentAt: h.now}
+	started.ctx, started.cancel = context.WithCancelCause(h.ctx)
+	ctx := started.ctx
+	if !ongoing.deadline.IsZero() {
+		end := ongoing.deadline
 		if own := h.origin.Add(h.now + timeout); timeout != 0 && own.Before(end) {
 			end = own
 		}
-		t.startTimer(end)
+		started.startTimer(end)
 		ctx = endsAt{ctx, end}
 	}
-	if c.finished {
-		t.cancel(nil) // Danger: an attempt after the final answer would be an effect that nobody knows of.
+	if ongoing.finished {
+		started.cancel(nil) // Danger: an attempt after the final answer would be an effect that nobody knows of.
 	}
-	c.attempts = append(c.attempts, t)
-	c.inFlight++
+	ongoing.attempts = append(ongoing.attempts, started)
+	ongoing.inFlight++
 	go func() {
-		r := h.upstream.attempt(ctx, endpoint, &c.message, func(f *answerStream) {
-			h.post(func() { h.answerStarted(ctx, c, n, f) })
+		r := h.upstream.attempt(ctx, endpoint, &ongoing.message, func(f *answerStream) {
+			h.post(func() { h.answerStarted(ctx, ongoing, index, f) })
 		})
-		t.cancel(nil)
-		h.post(func() { h.result(c, n, r) })
+		started.cancel(nil)
+		h.post(func() { h.result(ongoing, index, r) })
 	}()
 }
 
@@ -51,35 +51,35 @@
 func (c endsAt) Deadline() (time.Time, bool) { return c.end, true }
 
 // result takes in how an attempt ended.
-func (h *host) result(c *call, n int, r reply) {
-	if t := c.attempts[n]; t.timer != nil {
+func (h *host) result(ongoing *call, index int, r reply) {
+	if t := ongoing.attempts[index]; t.timer != nil {
 		t.timer.Stop()
 	}
 	if r.outcome == balance.Served {
-		h.answer(c, answer{kind: served, body: r.body, contentType: r.contentType})
+		h.answer(ongoing, answer{kind: served, body: r.body, contentType: r.contentType})
 	}
 	// Danger: one peer's nonsense, tried again elsewhere, would eject a whole fleet of sound servers. What a server
 	// blames on the request is its final answer, and says nothing of the server.
 	if r.requestRejected {
 		h.counts.requestsRejected.Add(1)
-		h.answer(c, answer{kind: failed})
+		h.answer(ongoing, answer{kind: failed})
 		r.outcome = balance.Cancelled
 	}
-	c.inFlight--
-	h.reportResult(c, n, r.outcome)
-	h.forget(c)
+	ongoing.inFlight--
+	h.reportResult(ongoing, index, r.outcome)
+	h.forget(ongoing)
 }
 
 // reportResult tells the Balancer how an attempt ended. The first outcome counts.
-func (h *host) reportResult(c *call, n int, outcome balance.Outcome) {
-	t := c.attempts[n]
+func (h *host) reportResult(ongoing *call, index int, outcome balance.Outcome) {
+	t := ongoing.attempts[index]
 	if t.reported {
 		return
 	}
 	t.reported = true
 	h.counts.attempts[outcome].Add(1)
-	h.balancer.Result(h.now, balance.Result{ID: c.number, Attempt: n, Endpoint: t.endpoint, Outcome: outcome,
-		Latency: cmp.Or(t.answerAt, h.now) - t.sentAt, Finished: c.finished})
+	h.balancer.Result(h.now, balance.Result{ID: ongoing.number, Attempt: index, Endpoint: t.endpoint, Outcome: outcome,
+		Latency: cmp.Or(t.answerAt, h.now) - t.sentAt, Finished: ongoing.finished})
 }
 
 // Cancel ends an attempt. Its result comes from its own goroutine.
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -74,18 +74,18 @@
 	}
 }
 
-func (h *host) beginCall(c *call) {
+func (h *host) beginCall(started *call) {
 	h.counts.requests.Add(1)
 	h.lastID++
-	c.number = h.lastID
-	h.calls[c.number] = c
-	r := balance.Request{ID: c.number, Class: c.class, Tenant: c.tenant, TimeLeft: c.timeout, BodyIncomplete: c.rest != nil, Client: c.client}
+	started.number = h.lastID
+	h.calls[started.number] = started
+	r := balance.Request{ID: started.number, Class: started.class, Tenant: started.tenant, TimeLeft: started.timeout, BodyIncomplete: started.rest != nil, Client: started.client}
 	if j := h.balancer.HeavyHitters(); j != nil {
-		j.SetName(c.client, c.name)
+		j.SetName(started.client, started.name)
 	}
 	if !r.BodyIncomplete {
-		h.startTimer(c)
-		r.TimeLeft = c.deadline.Sub(h.origin) - h.now
+		h.startTimer(started)
+		r.TimeLeft = started.deadline.Sub(h.origin) - h.now
 	}
 	h.balancer.Request(h.now, r)
 }
@@ -97,20 +97,20 @@
 }
 
 // bodyComplete begins a request's time: its body has come.
-func (h *host) bodyComplete(c *call) {
-	if c.finished {
+func (h *host) bodyComplete(ongoing *call) {
+	if ongoing.finished {
 		return
 	}
 	now := h.origin.Add(h.now)
-	c.deadline = h.shutdown.bound(now.Add(c.timeout))
-	h.startTimer(c)
-	for _, t := range c.attempts {
+	ongoing.deadline = h.shutdown.bound(now.Add(ongoing.timeout))
+	h.startTimer(ongoing)
+	for _, t := range ongoing.attempts {
 		if t.timer == nil {
 			t.sentAt = h.now
-			t.startTimer(c.deadline)
+			t.startTimer(ongoing.deadline)
 		}
 	}
-	h.balancer.BodyComplete(h.now, c.number, c.deadline.Sub(now))
+	h.balancer.BodyComplete(h.now, ongoing.number, ongoing.deadline.Sub(now))
 }
 
 // startTimer ends an attempt at a time, unless its timer is stopped before.
@@ -119,48 +119,48 @@
 }
 
 // answerStarted takes in that an attempt's answer comes and is to be passed on, which makes it the request's final one.
-func (h *host) answerStarted(ctx context.Context, c *call, n int, f *answerStream) {
-	if c.finished || ctx.Err() != nil {
+func (h *host) answerStarted(ctx context.Context, ongoing *call, index int, f *answerStream) {
+	if ongoing.finished || ctx.Err() != nil {
 		f.abandon()
 		return
 	}
-	t := c.attempts[n]
+	t := ongoing.attempts[index]
 	if t.timer != nil {
 		t.timer.Stop()
 	}
 	t.answerAt = h.now
-	h.answer(c, answer{kind: served, stream: f})
-	h.balancer.AnswerStarted(h.now, c.number, n)
+	h.answer(ongoing, answer{kind: served, stream: f})
+	h.balancer.AnswerStarted(h.now, ongoing.number, index)
 }
 
 // abandon ends a request that nobody waits for any more, or that is overdue.
-func (h *host) abandon(c *call, overdue bool) {
-	if c.finished {
+func (h *host) abandon(ongoing *call, overdue bool) {
+	if ongoing.finished {
 		return
 	}
 	if overdue {
-		h.log.Warn("request overdue", "class", c.class)
-		h.expire(c)
-		h.answer(c, answer{kind: failed}) // unless the Balancer has answered
+		h.log.Warn("request overdue", "class", ongoing.class)
+		h.expire(ongoing)
+		h.answer(ongoing, answer{kind: failed}) // unless the Balancer has answered
 	} else {
 		h.counts.gone.Add(1)
-		c.finish()
+		ongoing.finish()
 	}
-	h.balancer.ClientDisconnected(h.now, c.number)
-	h.forget(c)
+	h.balancer.ClientDisconnected(h.now, ongoing.number)
+	h.forget(ongoing)
 }
 
 // expire tells the Balancer that the attempts of an overdue request have timed out, without waiting for their results.
 // Danger: an attempt that is ended at the deadline takes time to return. Its timer and the request's race on a busy
 // machine, and the answer must not depend on which of them wins.
-func (h *host) expire(c *call) {
-	for n, t := range c.attempts {
+func (h *host) expire(ongoing *call) {
+	for index, t := range ongoing.attempts {
 		t.cancel(context.DeadlineExceeded)
 		outcome := balance.TimedOut
 		if errors.Is(context.Cause(t.ctx), context.Canceled) { // called off before, or its result is just being posted
 			outcome = balance.Cancelled
 		}
-		h.reportResult(c, n, outcome)
+		h.reportResult(ongoing, index, outcome)
 	}
 }
 
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -154,7 +154,7 @@
 
 // config checks what the file says, and completes it by the environment and the defaults.
 func (file *configFile) config(getenv func(string) string) (*Config, error) {
-	c := &Config{
+	config := &Config{
 		Name:         cmp.Or(getenv("PROXY_NAME"), file.Name),
 		Listen:       cmp.Or(getenv("PROXY_LISTEN"), file.Listen),
 		Discovery:    cmp.Or(getenv("PROXY_DISCOVERY"), file.Discovery),
@@ -163,34 +163,34 @@
 		Control:      cmp.Or(getenv("PROXY_CONTROL"), file.Control),
 	}
 	var err error
-	if c.Registry, err = file.Keepers.config(getenv("PROXY_KEEPERS")); err != nil {
+	if config.Registry, err = file.Keepers.config(getenv("PROXY_KEEPERS")); err != nil {
 		return nil, fmt.Errorf("keepers: %w", err)
 	}
-	if err := c.checkAddresses(); err != nil {
+	if err := config.checkAddresses(); err != nil {
 		return nil, err
 	}
-	if c.InheritedFD, err = parseFD(getenv("PROXY_FD")); err != nil {
+	if config.InheritedFD, err = parseFD(getenv("PROXY_FD")); err != nil {
 		return nil, err
 	}
 	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
 		return nil, fmt.Errorf("seed: %q is no hexadecimal number of 64 bits", file.Seed)
 	}
-	if err := file.readLimits(c); err != nil {
+	if err := file.readLimits(config); err != nil {
 		return nil, err
 	}
-	if err := file.readSettings(c, seed); err != nil {
+	if err := file.readSettings(config, seed); err != nil {
 		return nil, err
 	}
-	if err := file.readFleet(c, getenv("PROXY_MEMBERS")); err != nil {
+	if err := file.readFleet(config, getenv("PROXY_MEMBERS")); err != nil {
 		return nil, err
 	}
 	if file.Known != nil {
-		if c.Known, err = parseList(*file.Known); err != nil {
+		if config.Known, err = parseList(*file.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
-	return c, nil
+	return config, nil
 }
 
 // checkAddresses checks where the sidecar listens and calls. Discovery may be left out where there is a registry.
@@ -224,57 +224,57 @@
 }
 
 // readLimits takes over the machine's limits.
-func (file *configFile) readLimits(c *Config) error {
-	c.Cores, c.MemoryMB, c.Sockets = defaultCores, defaultMemoryMB, defaultSockets
+func (file *configFile) readLimits(config *Config) error {
+	config.Cores, config.MemoryMB, config.Sockets = defaultCores, defaultMemoryMB, defaultSockets
 	if cores := file.Limits.Cores; cores != nil {
 		if *cores <= 0 {
 			return fmt.Errorf("limits.cores: %v is not above 0", *cores)
 		}
-		c.Cores = *cores
+		config.Cores = *cores
 	}
 	if memory := file.Limits.MemoryMB; memory != nil {
 		if *memory <= 0 {
 			return fmt.Errorf("limits.memory_mb: %d is not above 0", *memory)
 		}
-		c.MemoryMB = *memory
+		config.MemoryMB = *memory
 	}
 	if sockets := file.Limits.Sockets; sockets != nil {
 		if *sockets < minSockets {
 			return fmt.Errorf("limits.sockets: %d is under %d", *sockets, minSockets)
 		}
-		c.Sockets = *sockets
+		config.Sockets = *sockets
 	}
 	return nil
 }
 
 // readSettings takes over the Balancer's settings.
-func (file *configFile) readSettings(c *Config, seed uint64) error {
+func (file *configFile) readSettings(config *Config, seed uint64) error {
 	if len(file.Settings) == 0 {
 		return errors.New("settings: missing")
 	}
 	var err error
-	if c.Settings, c.Names, c.Limits, err = wire.SettingsJSON(seed, file.Settings); err != nil {
+	if config.Settings, config.Names, config.Limits, err = wire.SettingsJSON(seed, file.Settings); err != nil {
 		return err
 	}
-	if c.Registry != nil {
-		c.Settings.SubscribeToDiscovery = false // a registry publishes without being asked
-		c.Settings.Tags = c.Registry.Tags
+	if config.Registry != nil {
+		config.Settings.SubscribeToDiscovery = false // a registry publishes without being asked
+		config.Settings.Tags = config.Registry.Tags
 	}
-	c.Limits.ConnectTimeout = cmp.Or(c.Limits.ConnectTimeout, defaultConnectTimeout)
-	c.Limits.IdleClose = cmp.Or(c.Limits.IdleClose, defaultIdleClose)
+	config.Limits.ConnectTimeout = cmp.Or(config.Limits.ConnectTimeout, defaultConnectTimeout)
+	config.Limits.IdleClose = cmp.Or(config.Limits.IdleClose, defaultIdleClose)
 	return nil
 }
 
 // readFleet takes over how the other sidecars are known, and what is done about heavy clients.
-func (file *configFile) readFleet(c *Config, join string) error {
+func (file *configFile) readFleet(config *Config, join string) error {
 	var err error
-	if c.Members, err = file.Members.config(c.Name, join); err != nil {
+	if config.Members, err = file.Members.config(config.Name, join); err != nil {
 		return fmt.Errorf("members: %w", err)
 	}
-	if c.Members != nil {
-		c.Settings.ReportTTL = c.Members.ReportTTL
+	if config.Members != nil {
+		config.Settings.ReportTTL = config.Members.ReportTTL
 	}
-	if c.Hitters, c.Settings.Hitters, err = file.Hitters.config(c.Name); err != nil {
+	if config.Hitters, config.Settings.Hitters, err = file.Hitters.config(config.Name); err != nil {
 		return fmt.Errorf("hitters: %w", err)
 	}
 	return nil
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -36,7 +36,7 @@
 	if k := c.Known; k.Version != 4 || len(k.Targets) != 1 || !k.Targets[0].Boot.Equal(time.UnixMilli(5)) {
 		t.Errorf("known %+v", k)
 	}
-	for _, tt := range []struct{ old, new, want string }{
+	for _, test := range []struct{ old, new, want string }{
 		{`"seed":"8c`, `"seed":"xx`, "seed"},
 		{`"listen":"127.0.0.1:0"`, `"listen":"here"`, "listen"},
 		{`"discovery":"127.0.0.1:9"`, `"discovery":""`, "discovery: missing"},
@@ -51,12 +51,12 @@
 		{`"uid":"s-0"`, `"uid":""`, "known"},
 		{`{"name"`, `{{"name"`, "config.json"},
 	} {
-		text := strings.Replace(good, tt.old, tt.new, 1)
+		text := strings.Replace(good, test.old, test.new, 1)
 		if text == good {
-			t.Errorf("%s is not in the configuration", tt.old)
+			t.Errorf("%s is not in the configuration", test.old)
 		}
-		if _, err := load(t, text); err == nil || !strings.Contains(err.Error(), tt.want) {
-			t.Errorf("%s: error %v, want one with %q", tt.new, err, tt.want)
+		if _, err := load(t, text); err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%s: error %v, want one with %q", test.new, err, test.want)
 		}
 	}
 	if _, err := LoadConfig(func(string) string { return "" }); err == nil {
--- a/internal/sidecar/connlimiter.go
+++ b/internal/sidecar/connlimiter.go
@@ -10,16 +10,17 @@
 	"gradeusher.example/gradeusher/internal/framing"
 )
 
-// minIdleTime is how long a client's connection must have idled before it may be closed to make room.
-const minIdleTime = 2 * time.Second
-
-// shutdownIdleTime is how long it must have idled before it is closed while this process leaves.
-const shutdownIdleTime = 50 * time.Millisecond
+const (
+	// minIdleTime is how long a client's connection must have idled before it may be closed to make room.
+	minIdleTime = 2 * time.Second
+	// shutdownIdleTime is how long it must have idled before it is closed while this process shuts down.
+	shutdownIdleTime = 50 * time.Millisecond
+)
 
-// connLimiter keeps the clients' connections within what the descriptors bear.
+// connLimiter keeps the clients' connections within what the descriptors allow.
 //
-// Danger: a peer that hoards connections takes the descriptors that attempts need, and one that asks all clients to
-// close theirs for it makes the busy ones pay. So those that idle go first, the longest idle before the others.
+// A peer that hoards connections would take the descriptors that attempts need, and if all clients were asked to close theirs for
+// it, the busy ones would pay. So those that idle go first, the longest idle before the others.
 type connLimiter struct {
 	idleThreshold atomic.Int64 // above it, connections that idle are closed and clients are asked to close theirs
 	maxConns      atomic.Int64 // above it, none is let in
@@ -42,9 +43,9 @@
 	return w
 }
 
-// resize sets how many descriptors there are, which another process may share. Danger: half of what one may let in is less
-// than it holds on a busy day, and newcomers would be turned away until the other has left; so the two together may let in
-// somewhat more than one, and what idles goes sooner.
+// resize sets how many descriptors there are, which another process may share. Half of what one may let in is less than it has on
+// a busy day, and newcomers would be rejected until the other has ended; so the two together may let in somewhat more than one,
+// and what idles goes sooner.
 func (w *connLimiter) resize(sockets int, shared bool) {
 	some, most := sockets/2, sockets/2+sockets/12
 	if shared {
@@ -57,35 +58,47 @@
 // isOverloaded tells whether clients should close their connections.
 func (w *connLimiter) isOverloaded() bool { return w.count.Load() > w.idleThreshold.Load() }
 
-// observeState takes in that a connection has changed its state.
-func (w *connLimiter) observeState(c net.Conn, state http.ConnState) {
+// observeState notes that a connection has changed its state, and closes what is too much then.
+func (w *connLimiter) observeState(conn net.Conn, state http.ConnState) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
 	if state == http.StateClosed || state == http.StateHijacked {
-		delete(w.conns, c)
+		delete(w.conns, conn)
 	} else {
-		w.conns[c] = connState{state, now}
+		w.conns[conn] = connState{state, now}
 	}
 	w.count.Store(int64(len(w.conns)))
 	if state != http.StateNew && state != http.StateIdle {
 		return
 	}
-	for int64(len(w.conns)) > w.idleThreshold.Load() && w.closeLongest(http.StateIdle, now.Add(-minIdleTime)) {
+	w.closeExcessIdle(now)
+	if int64(len(w.conns)) <= w.maxConns.Load() {
+		return
+	}
+	if !w.closeLongest(http.StateNew, now.Add(-minIdleTime/2)) && state == http.StateNew {
+		w.close(conn)
 	}
-	if int64(len(w.conns)) > w.maxConns.Load() && !w.closeLongest(http.StateNew, now.Add(-minIdleTime/2)) && state == http.StateNew {
-		w.close(c)
+}
+
+// closeExcessIdle closes connections that have idled, the longest first, until few enough are left.
+func (w *connLimiter) closeExcessIdle(now time.Time) {
+	for int64(len(w.conns)) > w.idleThreshold.Load() {
+		if !w.closeLongest(http.StateIdle, now.Add(-minIdleTime)) {
+			return
+		}
 	}
 }
 
-// closeIdle ends the connections that idle, but for those that have just begun to: a client that was about to use one can
-// still open another. Nor one on which a request has begun to come.
+// closeIdle closes the connections that idle, but for those that have just begun to, whose client may be about to use them, and
+// those on which a request has begun to arrive.
 func (w *connLimiter) closeIdle(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for c, s := range w.conns {
-		if (s.state == http.StateIdle || s.state == http.StateNew) && now.Sub(s.since) > shutdownIdleTime && !hasBegun(c) {
-			w.close(c)
+	for conn, state := range w.conns {
+		isWaiting := state.state == http.StateIdle || state.state == http.StateNew
+		if isWaiting && now.Sub(state.since) > shutdownIdleTime && !hasBegun(conn) {
+			w.close(conn)
 		}
 	}
 }
@@ -100,9 +113,9 @@
 // there was one.
 func (w *connLimiter) closeLongest(state http.ConnState, before time.Time) bool {
 	var found net.Conn
-	for c, s := range w.conns {
+	for conn, s := range w.conns {
 		if s.state == state && s.since.Before(before) {
-			found, before = c, s.since
+			found, before = conn, s.since
 		}
 	}
 	if found != nil {
@@ -111,14 +124,14 @@
 	return found != nil
 }
 
-// close ends a connection that has no request. Danger: a request that has just been read would run, and its answer be
-// lost. So one that idled is only kept from waiting any longer: its server closes it unless there is a request.
-func (w *connLimiter) close(c net.Conn) {
-	idle := w.conns[c].state == http.StateIdle
-	delete(w.conns, c)
+// close ends a connection that has no request. A request that has just been read would run, and its answer be lost; so a connection
+// that idled is only kept from waiting any longer: its server closes it unless there is a request.
+func (w *connLimiter) close(conn net.Conn) {
+	idle := w.conns[conn].state == http.StateIdle
+	delete(w.conns, conn)
 	w.count.Store(int64(len(w.conns)))
 	w.closed.Add(1)
-	if !idle || c.SetReadDeadline(time.Unix(1, 0)) != nil {
-		_ = c.Close() // its server learns of it when it reads
+	if !idle || conn.SetReadDeadline(time.Unix(1, 0)) != nil {
+		_ = conn.Close() // its server learns of it when it reads
 	}
 }
--- a/internal/sidecar/connlimiter_test.go
+++ b/internal/sidecar/connlimiter_test.go
@@ -108,7 +108,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		if _, err := io.WriteString(c, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 			t.Fatal(err)
 		}
@@ -160,7 +160,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 	}
 	for end := time.Now().Add(patience); ; {
 		if g := p.ask("pay"); g.closing {
--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -70,7 +70,7 @@
 		go func() {
 			defer c.handlers.Done()
 			defer c.removeCaller(conn)
-			defer conn.Close()
+			defer func() { _ = conn.Close() }()
 			c.answer(conn)
 		}()
 	}
--- a/internal/sidecar/control_test.go
+++ b/internal/sidecar/control_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	return l.Addr().String()
 }
 
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +107,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer conn.Close()
+		defer func() { _ = conn.Close() }()
 		if _, err := io.WriteString(conn, "PI"); err != nil {
 			t.Fatal(err)
 		}
@@ -148,7 +148,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	for _, env := range []string{"PROXY_CONTROL=here", "PROXY_CONTROL=127.0.0.1", "PROXY_FD=x", "PROXY_FD=-1", "PROXY_FD=1"} {
 		if _, err := load(t, text, env); err == nil {
 			t.Errorf("no error with %s", env)
@@ -167,7 +167,7 @@
 		}
 	}
 	if l, err := inherit(int(file.Fd())); err == nil {
-		l.Close()
+		_ = l.Close()
 		t.Error("a file passes for a listening socket")
 	}
 }
--- a/internal/sidecar/counts.go
+++ b/internal/sidecar/counts.go
@@ -66,7 +66,16 @@
 	if reused {
 		n.reused.Add(1)
 	}
-	for old := n.slowest.Load(); int64(after) > old && !n.slowest.CompareAndSwap(old, int64(after)); old = n.slowest.Load() {
+	raise(&n.slowest, int64(after))
+}
+
+// raise sets a maximum to a value that is above it.
+func raise(maximum *atomic.Int64, value int64) {
+	for {
+		old := maximum.Load()
+		if value <= old || maximum.CompareAndSwap(old, value) {
+			return
+		}
 	}
 }
 
--- a/internal/sidecar/deadline_test.go
+++ b/internal/sidecar/deadline_test.go
@@ -14,13 +14,13 @@
 func TestDeadline(t *testing.T) {
 	b := startBackend(t, silent)
 	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		class  string
 		status int
 	}{{"pay", 502}, {"read", 503}} {
-		g := p.do(p.request(context.Background(), tt.class, "1500"))
-		if g.err != nil || g.status != tt.status {
-			t.Errorf("%s: status %d, error %v, want %d", tt.class, g.status, g.err, tt.status)
+		g := p.do(p.request(context.Background(), test.class, "1500"))
+		if g.err != nil || g.status != test.status {
+			t.Errorf("%s: status %d, error %v, want %d", test.class, g.status, g.err, test.status)
 		}
 		within(t, b.came, "attempt")
 	}
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -51,7 +51,7 @@
 
 // parseList reads discovery's JSON strictly: a list that is wrong in one entry is wrong.
 func parseList(text []byte) (List, error) {
-	var l struct {
+	var form struct {
 		Rev     *int64
 		All     bool
 		Targets []struct {
@@ -65,16 +65,16 @@
 			BootMS   int64    `json:"boot_ms"`
 		}
 	}
-	if err := json.Unmarshal(text, &l); err != nil {
+	if err := json.Unmarshal(text, &form); err != nil {
 		return List{}, fmt.Errorf("list: %w", err)
 	}
-	if l.Rev == nil {
+	if form.Rev == nil {
 		return List{}, errors.New("list has no rev")
 	}
-	list := List{Version: *l.Rev, Complete: l.All}
-	for i, e := range l.Targets {
-		t := Target{ID: e.UID, Address: e.Endpoint, Zone: e.AZ, Kind: e.Model, Cell: e.PodGroup, Size: 1}
-		switch e.State {
+	list := List{Version: *form.Rev, Complete: form.All}
+	for i, item := range form.Targets {
+		t := Target{ID: item.UID, Address: item.Endpoint, Zone: item.AZ, Kind: item.Model, Cell: item.PodGroup, Size: 1}
+		switch item.State {
 		case "SERVING":
 			t.State = balance.Ready
 		case "DRAINING":
@@ -82,21 +82,21 @@
 		case "DELETED":
 			t.State = balance.Removed
 		default:
-			return List{}, fmt.Errorf("target %d, %q: unknown state %q", i, e.UID, e.State)
+			return List{}, fmt.Errorf("target %d, %q: unknown state %q", i, item.UID, item.State)
 		}
 		if t.ID == "" {
 			return List{}, fmt.Errorf("target %d has no uid", i)
 		}
 		if _, _, err := net.SplitHostPort(t.Address); err != nil && t.State != balance.Removed {
-			return List{}, fmt.Errorf("target %d, %q: endpoint: %w", i, e.UID, err)
+			return List{}, fmt.Errorf("target %d, %q: endpoint: %w", i, item.UID, err)
 		}
-		if e.Capacity != nil {
-			if t.Size = *e.Capacity; t.Size < 0 {
-				return List{}, fmt.Errorf("target %d, %q: capacity_hint %v is negative", i, e.UID, t.Size)
+		if item.Capacity != nil {
+			if t.Size = *item.Capacity; t.Size < 0 {
+				return List{}, fmt.Errorf("target %d, %q: capacity_hint %v is negative", i, item.UID, t.Size)
 			}
 		}
-		if e.BootMS > 0 {
-			t.Boot = time.UnixMilli(e.BootMS)
+		if item.BootMS > 0 {
+			t.Boot = time.UnixMilli(item.BootMS)
 		}
 		list.Targets = append(list.Targets, t)
 	}
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -30,7 +30,7 @@
 func (a *agent) dial(context.Context, string, string) (net.Conn, error) {
 	near, far := net.Pipe()
 	go func() {
-		defer far.Close()
+		defer func() { _ = far.Close() }()
 		in := bufio.NewReader(far)
 		r, err := http.ReadRequest(in)
 		if err != nil {
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -29,7 +29,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Body.Close()
+		_ = r.Body.Close()
 		return r.StatusCode
 	}
 	dial := func(text string) net.Conn {
@@ -38,7 +38,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { _ = c.Close() })
 		if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
 			t.Fatal(err)
 		}
@@ -131,7 +131,7 @@
 	if err != nil {
 		t.Fatalf("no new connections while draining: %v", err)
 	}
-	defer fresh.Close()
+	defer func() { _ = fresh.Close() }()
 	if err := p.request(context.Background(), "pay", "50000").Write(fresh); err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 		if err != nil {
 			break
 		}
-		c.Close()
+		_ = c.Close()
 		if time.Now().After(end) {
 			t.Fatal("it never stopped listening")
 		}
@@ -173,7 +173,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 	}
 	if err := l.drain(-time.Second); err != nil { // long over
 		t.Fatal(err)
@@ -183,7 +183,7 @@
 		if err != nil {
 			t.Fatalf("connection %d: %v", i, err)
 		}
-		c.Close()
+		_ = c.Close()
 	}
 	if _, err := l.Accept(); err == nil {
 		t.Error("accepting did not end")
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -21,7 +21,7 @@
 	size := fmt.Sprint(len(inner))
 	chunked := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(inner), inner)
 	ended := "0\r\n\r\n" + inner
-	for _, tt := range []struct{ name, head, body string }{
+	for _, test := range []struct{ name, head, body string }{
 		{"length and chunks", "POST /api HTTP/1.1\r\n" + common + "Content-Length: " + fmt.Sprint(len(ended)) + "\r\nTransfer-Encoding: chunked\r\n\r\n", ended},
 		{"chunks and length", "POST /api HTTP/1.1\r\n" + common + "Transfer-Encoding: chunked\r\nContent-Length: " + fmt.Sprint(len(ended)) + "\r\n\r\n", ended},
 		{"chunks and another length", "POST /api HTTP/1.1\r\n" + common + "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n", chunked},
@@ -49,16 +49,16 @@
 		{"a chunk size that overflows", "POST /api HTTP/1.1\r\n" + common + "Transfer-Encoding: chunked\r\n\r\n", "10000000000000000\r\n" + inner},
 		{"a GET with a body", "GET /api HTTP/1.1\r\n" + strings.Replace(common, "pay", "read", 1) + "Content-Length: " + size + "\r\n\r\n", inner},
 	} {
-		t.Run(tt.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			c, err := net.Dial("tcp", p.address)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 			if err := c.SetDeadline(time.Now().Add(3 * time.Second)); err != nil {
 				t.Fatal(err)
 			}
-			_, _ = io.WriteString(c, tt.head+tt.body)
+			_, _ = io.WriteString(c, test.head+test.body)
 			text, err := io.ReadAll(c)
 			t.Logf("%q %v", text, err)
 			if strings.Contains(string(text), "HTTP/1.1 200") || strings.Contains(string(text), "HTTP/1.0 200") {
@@ -81,13 +81,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
 		t.Fatal(err)
 	}
 	const common = " /api HTTP/1.1\r\nHost: x\r\nX-Timeout-Ms: 50000\r\n"
 	in := bufio.NewReader(c)
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		text, body string
 		closing    bool
 	}{
@@ -99,8 +99,8 @@
 			"01;x=\"y\"\r\na\r\n2\r\nbc\r\n0;z\r\nA: GET / HTTP/1.1\r\n\r\n", "5abc", false},
 		{"GET" + common + "X-Request-ID: 6\r\nX-Priority-Class: read\r\nConnection: close\r\n\r\n", "6", true},
 	} {
-		for i := range len(tt.text) {
-			if _, err := io.WriteString(c, tt.text[i:i+1]); err != nil {
+		for i := range len(test.text) {
+			if _, err := io.WriteString(c, test.text[i:i+1]); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -109,8 +109,8 @@
 			t.Fatal(err)
 		}
 		body, err := io.ReadAll(resp.Body)
-		if err != nil || string(body) != tt.body || resp.Close != tt.closing {
-			t.Errorf("status %d, body %q, closing %v, error %v; want %q, %v", resp.StatusCode, body, resp.Close, err, tt.body, tt.closing)
+		if err != nil || string(body) != test.body || resp.Close != test.closing {
+			t.Errorf("status %d, body %q, closing %v, error %v; want %q, %v", resp.StatusCode, body, resp.Close, err, test.body, test.closing)
 		}
 	}
 }
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -17,12 +17,12 @@
 func TestByHandCalls(t *testing.T) {
 	in, out := startBackend(t, say(200, "", "in")), startBackend(t, say(200, "", "out"))
 	p, call := operator(t, configText(startRegistry(t).address, serving(1, in, out), testSettings))
-	for _, tt := range []struct{ line, want string }{
+	for _, test := range []struct{ line, want string }{
 		{"DETACH", "fail "}, {"DETACH s-9", "fail "}, {"ATTACH s-9", "fail "}, {"DETACH s-1 s-0", "fail "},
 		{"ATTACH s-1", "ok "}, {"DETACH s-1", "ok "}, {"DETACH s-1", "ok "},
 	} {
-		if answer := call(tt.line); !strings.HasPrefix(answer, tt.want) || strings.Count(answer, "\n") != 1 {
-			t.Errorf("%s is answered %q, want %q", tt.line, answer, tt.want)
+		if answer := call(test.line); !strings.HasPrefix(answer, test.want) || strings.Count(answer, "\n") != 1 {
+			t.Errorf("%s is answered %q, want %q", test.line, answer, test.want)
 		}
 	}
 	for range 20 {
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { _ = l.Close() })
 	return l
 }
 
@@ -60,9 +60,9 @@
 			if err != nil {
 				return
 			}
-			t.Cleanup(func() { c.Close() })
+			t.Cleanup(func() { _ = c.Close() })
 			go func() {
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				in := bufio.NewReader(c)
 				for {
 					r, err := http.ReadRequest(in)
@@ -90,7 +90,7 @@
 // say answers with a status, a header line or "", and a body, on a connection that lives on.
 func say(status int, header, body string) func(net.Conn, *http.Request, []byte) bool {
 	return func(c net.Conn, _ *http.Request, _ []byte) bool {
-		fmt.Fprintf(c, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body), header, body)
+		_, _ = fmt.Fprintf(c, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body), header, body)
 		return true
 	}
 }
@@ -133,7 +133,7 @@
 				if !ok {
 					return
 				}
-				fmt.Fprintln(w, line)
+				_, _ = fmt.Fprintln(w, line)
 				_ = http.NewResponseController(w).Flush()
 			case <-q.Context().Done():
 				return
@@ -141,7 +141,7 @@
 		}
 	})}
 	go func() { _ = web.Serve(l) }()
-	t.Cleanup(func() { web.Close() })
+	t.Cleanup(func() { _ = web.Close() })
 	return r
 }
 
@@ -335,7 +335,7 @@
 	if err != nil {
 		return gotten{err: err}
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	return gotten{resp.StatusCode, string(body), resp.Close, err}
 }
--- a/internal/sidecar/hitters.go
+++ b/internal/sidecar/hitters.go
@@ -38,14 +38,14 @@
 	if file == nil {
 		return nil, nil, nil
 	}
-	h, set := &Hitters{Header: "X-Tenant-Id", Salt: hitters.Key(0, file.Salt)}, hitters.Defaults()
-	set.Origin = h.origin(name)
+	parsed, set := &Hitters{Header: "X-Tenant-Id", Salt: hitters.Key(0, file.Salt)}, hitters.Defaults()
+	set.Origin = parsed.origin(name)
 	if v := file.Header; v != nil {
-		other := func(r rune) bool { return !(r == '-' || '0' <= r && r <= '9' || 'a' <= r|0x20 && r|0x20 <= 'z') }
+		other := func(r rune) bool { return r != '-' && (r < '0' || r > '9') && (r|0x20 < 'a' || r|0x20 > 'z') }
 		if *v == "" || strings.ContainsFunc(*v, other) {
 			return nil, nil, fmt.Errorf("header: %.64q is not made of letters, digits and -", *v)
 		}
-		h.Header = http.CanonicalHeaderKey(*v)
+		parsed.Header = http.CanonicalHeaderKey(*v)
 	}
 	if v := file.Bars; v != nil {
 		if len(v) != 2 {
@@ -68,7 +68,7 @@
 	if _, err := hitters.New(&set); err != nil {
 		return nil, nil, err
 	}
-	return h, &set, nil
+	return parsed, &set, nil
 }
 
 // origin is the name of a sidecar in reports.
--- a/internal/sidecar/hitters_test.go
+++ b/internal/sidecar/hitters_test.go
@@ -54,7 +54,7 @@
 }
 
 func TestHittersConfig(t *testing.T) {
-	for _, tt := range []struct{ how, wrong string }{
+	for _, test := range []struct{ how, wrong string }{
 		{`{}`, ""},
 		{`{"header":"X-Api-Key","salt":"s","bars":[0.1,0.05],"window_s":1,"hold_s":0,"cool_s":3,"bound_s":2,"later":1}`, ""},
 		{`{"header":""}`, "header"},
@@ -67,12 +67,12 @@
 		{`{"hold_s":-1}`, "hold_s"},
 		{`{"cool_s":1e99}`, "cool_s"},
 	} {
-		c, err := load(t, withHitters(configText("127.0.0.1:9", "", testSettings), tt.how))
+		c, err := load(t, withHitters(configText("127.0.0.1:9", "", testSettings), test.how))
 		switch {
-		case tt.wrong == "" && (err != nil || c.Hitters == nil || c.Settings.Hitters == nil):
-			t.Errorf("%s: %v", tt.how, err)
-		case tt.wrong != "" && (err == nil || !strings.Contains(err.Error(), "hitters: ") || !strings.Contains(err.Error(), tt.wrong)):
-			t.Errorf("%s: %v, want one that names %s", tt.how, err, tt.wrong)
+		case test.wrong == "" && (err != nil || c.Hitters == nil || c.Settings.Hitters == nil):
+			t.Errorf("%s: %v", test.how, err)
+		case test.wrong != "" && (err == nil || !strings.Contains(err.Error(), "hitters: ") || !strings.Contains(err.Error(), test.wrong)):
+			t.Errorf("%s: %v, want one that names %s", test.how, err, test.wrong)
 		}
 	}
 	if c, err := load(t, configText("127.0.0.1:9", "", testSettings)); err != nil || c.Hitters != nil || c.Settings.Hitters != nil {
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -63,56 +63,56 @@
 }
 
 // newHost returns a host whose attempts and watches end with ctx. It starts nothing.
-func newHost(ctx context.Context, c *Config, log *slog.Logger) (*host, error) {
-	n := newCounts(c.Settings.Classes)
-	h := &host{log: log, counts: n, origin: time.Now().Add(-originAge), ready: make(chan struct{}), listed: make(chan struct{}), wake: make(chan struct{}, 1),
-		upstream:  newUpstream(c.Limits.ConnectTimeout, c.Limits.IdleClose, c.Sockets, n, newByteBudget(budgetOf(c.MemoryMB))),
-		discovery: newDiscovery(c.Discovery, c.Limits.ConnectTimeout, !c.Settings.SubscribeToDiscovery),
+func newHost(ctx context.Context, config *Config, log *slog.Logger) (*host, error) {
+	counted := newCounts(config.Settings.Classes)
+	driver := &host{log: log, counts: counted, origin: time.Now().Add(-originAge), ready: make(chan struct{}), listed: make(chan struct{}), wake: make(chan struct{}, 1),
+		upstream:  newUpstream(config.Limits.ConnectTimeout, config.Limits.IdleClose, config.Sockets, counted, newByteBudget(budgetOf(config.MemoryMB))),
+		discovery: newDiscovery(config.Discovery, config.Limits.ConnectTimeout, !config.Settings.SubscribeToDiscovery),
 		handover:  &handover{log: log},
-		calls:     map[balance.RequestID]*call{}, table: newServerTable(c.Known), ctx: ctx, closeWatch: func() {}}
-	h.discovery.firstTimeout = cmp.Or(c.agentFirstTimeout, agentFirstTimeout)
-	h.shutdown.init(c.Settings.Classes)
-	h.now = h.clock()
+		calls:     map[balance.RequestID]*call{}, table: newServerTable(config.Known), ctx: ctx, closeWatch: func() {}}
+	driver.discovery.firstTimeout = cmp.Or(config.agentFirstTimeout, agentFirstTimeout)
+	driver.shutdown.init(config.Settings.Classes)
+	driver.now = driver.clock()
 	var err error
-	if h.balancer, err = balance.New(c.Settings, h); err != nil {
+	if driver.balancer, err = balance.New(config.Settings, driver); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if c.KeepSnapshot && c.SharedDir != "" {
-		h.snapshots = newSnapshotFile(c.SharedDir, c.Name, log)
+	if config.KeepSnapshot && config.SharedDir != "" {
+		driver.snapshots = newSnapshotFile(config.SharedDir, config.Name, log)
 	}
-	h.applyList(balance.ListCached, c.Known)
-	h.restoreSnapshot()
-	if c.Control != "" {
+	driver.applyList(balance.ListCached, config.Known)
+	driver.restoreSnapshot()
+	if config.Control != "" {
 		// Known before the first request, and before this process says that it is ready.
-		if h.handover = newHandover(c.SharedDir, c.Name, log); len(h.handover.ids) > 0 {
-			h.applyOutOfService()
+		if driver.handover = newHandover(config.SharedDir, config.Name, log); len(driver.handover.ids) > 0 {
+			driver.applyOutOfService()
 		}
 	}
-	return h, nil
+	return driver, nil
 }
 
 // startFollowing has the host hear of members and follow what they, keepers and agents tell, until its context is done.
-func (h *host) startFollowing(c *Config) error {
+func (h *host) startFollowing(config *Config) error {
 	ctx := h.ctx
 	listen := map[uint8]func(members.News){kindSignals: h.receiveSignals}
-	if c.Hitters != nil {
-		listen[kindHitters] = h.receiveHitters(c)
+	if config.Hitters != nil {
+		listen[kindHitters] = h.receiveHitters(config)
 	}
-	if c.Members != nil {
-		if err := h.joinMembers(ctx, c, listen); err != nil {
+	if config.Members != nil {
+		if err := h.joinMembers(ctx, config, listen); err != nil {
 			return err
 		}
 	}
-	if c.Hitters != nil {
-		h.watchers.Go(func() { h.endHittersWindows(ctx, c.Settings.Hitters.Window) })
+	if config.Hitters != nil {
+		h.watchers.Go(func() { h.endHittersWindows(ctx, config.Settings.Hitters.Window) })
 	}
-	if err := h.followRoutes(ctx, c); err != nil {
+	if err := h.followRoutes(ctx, config); err != nil {
 		return err
 	}
 	switch {
-	case c.Registry != nil:
-		return h.followRegistry(ctx, c)
-	case !c.Settings.SubscribeToDiscovery:
+	case config.Registry != nil:
+		return h.followRegistry(ctx, config)
+	case !config.Settings.SubscribeToDiscovery:
 		// An agent that pushes tells all who listen.
 		h.moves = make(chan string, 1)
 		h.watchers.Add(1)
--- a/internal/sidecar/inherit.go
+++ b/internal/sidecar/inherit.go
@@ -8,6 +8,9 @@
 	"syscall"
 )
 
+// errNotListening says that an inherited descriptor is of another kind of socket.
+var errNotListening = errors.New("no listening socket")
+
 // openListener returns the socket at which clients connect: the one that the platform holds and all processes inherit, or
 // one of this process's own.
 func openListener(c *Config) (*net.TCPListener, error) {
@@ -26,21 +29,21 @@
 }
 
 // inherit takes over a listening socket by its descriptor.
-func inherit(fd int) (*net.TCPListener, error) {
-	// Danger: Go takes any TCP socket for a listener, and fails only when it accepts.
-	if on, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil || on == 0 {
-		return nil, fmt.Errorf("PROXY_FD: descriptor %d: %w", fd, errors.Join(err, errors.New("no listening socket")))
+func inherit(descriptor int) (*net.TCPListener, error) {
+	// Go takes any TCP socket for a listener, and fails only when it accepts.
+	if on, err := syscall.GetsockoptInt(descriptor, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil || on == 0 {
+		return nil, fmt.Errorf("PROXY_FD: descriptor %d: %w", descriptor, errors.Join(err, errNotListening))
 	}
-	f := os.NewFile(uintptr(fd), "inherited")
-	defer f.Close() // the listener has a descriptor of its own
-	l, err := net.FileListener(f)
+	file := os.NewFile(uintptr(descriptor), "inherited")
+	defer func() { _ = file.Close() }() // the listener has a descriptor of its own
+	listener, err := net.FileListener(file)
 	if err != nil {
 		return nil, fmt.Errorf("PROXY_FD: %w", err)
 	}
-	tcp, ok := l.(*net.TCPListener)
+	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
-		_ = l.Close()
-		return nil, fmt.Errorf("PROXY_FD: descriptor %d is a socket of %s", fd, l.Addr().Network())
+		_ = listener.Close()
+		return nil, fmt.Errorf("PROXY_FD: descriptor %d is a socket of %s", descriptor, listener.Addr().Network())
 	}
 	return tcp, nil
 }
--- a/internal/sidecar/input_test.go
+++ b/internal/sidecar/input_test.go
@@ -33,7 +33,7 @@
 			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", n))), int64(n)
 		})
 	}
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		name   string
 		r      *http.Request
 		status int
@@ -56,12 +56,12 @@
 		{"unknown tenant", with("read", "X-Tenant-Id", "nobody"), 200},
 		{"no tenant", without("pay", "X-Tenant-Id"), 200},
 	} {
-		t.Run(tt.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			came := b.count()
-			if g := p.do(tt.r); g.err != nil || g.status != tt.status {
-				t.Errorf("status %d, error %v, want %d", g.status, g.err, tt.status)
+			if g := p.do(test.r); g.err != nil || g.status != test.status {
+				t.Errorf("status %d, error %v, want %d", g.status, g.err, test.status)
 			}
-			if sent := b.count() > came; sent != (tt.status == 200) {
+			if sent := b.count() > came; sent != (test.status == 200) {
 				t.Errorf("sent to a server: %v", sent)
 			}
 			if g := p.ask("pay"); g.status != 200 {
@@ -79,8 +79,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	fmt.Fprint(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 300\r\n"+
+	defer func() { _ = c.Close() }()
+	_, _ = fmt.Fprint(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 300\r\n"+
 		"Content-Length: 10\r\n\r\nhalf")
 	if err := c.SetReadDeadline(time.Now().Add(patience)); err != nil {
 		t.Fatal(err)
@@ -111,7 +111,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 			began := time.Now()
 			if err := c.SetReadDeadline(began.Add(patience)); err != nil {
 				t.Fatal(err)
--- a/internal/sidecar/memberreports.go
+++ b/internal/sidecar/memberreports.go
@@ -53,15 +53,15 @@
 }
 
 // receiveSignals takes in what a member says of servers. What cannot be read is passed over.
-func (h *host) receiveSignals(n members.News) {
-	r, err := signals.Decode(n.Payload)
+func (h *host) receiveSignals(news members.News) {
+	r, err := signals.Decode(news.Payload)
 	if err != nil {
-		h.log.Debug("signals", "origin", n.Origin, "err", err)
+		h.log.Debug("signals", "origin", news.Origin, "err", err)
 		return
 	}
 	h.post(func() {
-		c := &h.fleet
-		if !slices.Contains(c.view.Names, n.Origin) {
+		state := &h.fleet
+		if !slices.Contains(state.view.Names, news.Origin) {
 			return
 		}
 		for i := range r.Verdicts {
@@ -73,11 +73,11 @@
 				v.Start = -1 // another process than the one listed here; it counts for how much the witness condemns
 			}
 		}
-		if p := (balance.Peer{Zone: r.Zone, TrafficLevel: r.TrafficLevel}); c.peers[n.Origin] != p {
-			c.peers[n.Origin] = p
-			c.changed(h.now)
+		if p := (balance.Peer{Zone: r.Zone, TrafficLevel: r.TrafficLevel}); state.peers[news.Origin] != p {
+			state.peers[news.Origin] = p
+			state.changed(h.now)
 		}
-		h.balancer.ReceiveReport(h.now, signals.Statement{Origin: n.Origin, Start: n.Start, Seq: n.Seq, Age: n.Age, Report: r})
+		h.balancer.ReceiveReport(h.now, signals.Statement{Origin: news.Origin, Start: news.Start, Seq: news.Seq, Age: news.Age, Report: r})
 	})
 }
 
@@ -106,22 +106,22 @@
 // updatePositions tells the Balancer the places of the members once they rest. Danger: in a fleet that starts each arrival would move
 // the subsets of all. One that is alone is as one that knows nobody.
 func (h *host) updatePositions() {
-	c := &h.fleet
-	if c.pendingSince == 0 || h.now-c.lastChange < viewSettleTime && h.now-c.pendingSince < maxViewWait {
+	state := &h.fleet
+	if state.pendingSince == 0 || h.now-state.lastChange < viewSettleTime && h.now-state.pendingSince < maxViewWait {
 		return
 	}
-	c.pendingSince = 0
-	h.log.Info("members", "count", c.view.Count, "place", c.view.Place, "epoch", c.view.Epoch)
-	if c.view.Count < 2 {
+	state.pendingSince = 0
+	h.log.Info("members", "count", state.view.Count, "place", state.view.Place, "epoch", state.view.Epoch)
+	if state.view.Count < 2 {
 		h.balancer.SetMembers(h.now, -1, nil)
 		return
 	}
-	peers := make([]balance.Peer, len(c.view.Names))
-	for i, name := range c.view.Names {
-		peers[i] = c.peers[name]
+	peers := make([]balance.Peer, len(state.view.Names))
+	for i, name := range state.view.Names {
+		peers[i] = state.peers[name]
 	}
-	peers[c.view.Place] = balance.Peer{Zone: c.published.Zone, TrafficLevel: c.published.TrafficLevel}
-	h.balancer.SetMembers(h.now, c.view.Place, peers)
+	peers[state.view.Place] = balance.Peer{Zone: state.published.Zone, TrafficLevel: state.published.TrafficLevel}
+	h.balancer.SetMembers(h.now, state.view.Place, peers)
 }
 
 // sameVerdicts tells whether two reports say the same of the same servers, of kinds from least on.
@@ -139,27 +139,27 @@
 
 // publishReport tells the members what this sidecar saw of servers, and what it is.
 func (h *host) publishReport() {
-	c, r := &h.fleet, h.balancer.LocalReport(h.now)
-	same, grave := sameVerdicts(r.Verdicts, c.published.Verdicts, signals.None), sameVerdicts(r.Verdicts, c.published.Verdicts, signals.Failing)
-	if r.TrafficLevel != c.published.TrafficLevel {
+	state, report := &h.fleet, h.balancer.LocalReport(h.now)
+	same, grave := sameVerdicts(report.Verdicts, state.published.Verdicts, signals.None), sameVerdicts(report.Verdicts, state.published.Verdicts, signals.Failing)
+	if report.TrafficLevel != state.published.TrafficLevel {
 		same, grave = false, false
-		c.changed(h.now)
+		state.changed(h.now)
 	}
 	// What it condemns it says again within the bound, the more members there are the less often. Who fails to answer is said
 	// sooner. Danger: in a jam, what is full or slow changes all the time, and each word goes to all members.
-	again, bound := quietInterval, c.reportTTL
-	if len(r.Verdicts)+len(c.published.Verdicts) > 0 {
-		again = min(max(repeatPerMember*time.Duration(c.view.Count), bound*35/100), bound*70/100)
+	again, bound := quietInterval, state.reportTTL
+	if len(report.Verdicts)+len(state.published.Verdicts) > 0 {
+		again = min(max(repeatPerMember*time.Duration(state.view.Count), bound*35/100), bound*70/100)
 	}
 	if !grave {
 		again /= 2
 	}
-	if (same || len(r.Verdicts)+len(c.published.Verdicts) > 0) && c.publishedAt > 0 && h.now-c.publishedAt < again {
+	if (same || len(report.Verdicts)+len(state.published.Verdicts) > 0) && state.publishedAt > 0 && h.now-state.publishedAt < again {
 		return
 	}
-	c.published, c.publishedAt = r, h.now
-	told := r
-	told.Verdicts = slices.Clone(r.Verdicts)
+	state.published, state.publishedAt = report, h.now
+	told := report
+	told.Verdicts = slices.Clone(report.Verdicts)
 	for i := range told.Verdicts {
 		boot, _ := h.upstream.boot(told.Verdicts[i].Server)
 		told.Verdicts[i].Start = bootMS(boot)
--- a/internal/sidecar/members.go
+++ b/internal/sidecar/members.go
@@ -60,27 +60,27 @@
 
 // joinMembers has the host be a member until ctx is done. listen maps the kinds of news to who takes them in; they are called by
 // one goroutine that is not the loop.
-func (h *host) joinMembers(ctx context.Context, c *Config, listen map[uint8]func(members.News)) error {
-	o := c.Members.options(c.Name)
-	o.Log = slog.New(h.log.Handler())
-	o.Told = func(n members.News) {
+func (h *host) joinMembers(ctx context.Context, config *Config, listen map[uint8]func(members.News)) error {
+	options := config.Members.options(config.Name)
+	options.Log = slog.New(h.log.Handler())
+	options.Told = func(n members.News) {
 		if take := listen[n.Kind]; take != nil {
 			take(n)
 		}
 	}
-	o.Changed = func(v members.View) { h.post(func() { h.updateMembers(v) }) }
-	m, err := members.New(o)
+	options.Changed = func(v members.View) { h.post(func() { h.updateMembers(v) }) }
+	joined, err := members.New(options)
 	if err == nil {
-		err = m.Start(ctx)
+		err = joined.Start(ctx)
 	}
 	if err != nil {
 		return fmt.Errorf("members: %w", err)
 	}
-	h.members, h.fleet.peers, h.fleet.reportTTL = m, map[string]balance.Peer{}, cmp.Or(c.Members.ReportTTL, members.DefaultBound)
+	h.members, h.fleet.peers, h.fleet.reportTTL = joined, map[string]balance.Peer{}, cmp.Or(config.Members.ReportTTL, members.DefaultBound)
 	h.watchers.Go(func() { h.publishReports(ctx) })
 	h.watchers.Go(func() {
 		<-ctx.Done()
-		m.Close()
+		joined.Close()
 	})
 	return nil
 }
--- a/internal/sidecar/registry.go
+++ b/internal/sidecar/registry.go
@@ -44,23 +44,23 @@
 
 // target is a server in the sidecar's own form.
 func (k *Registry) target(t fleet.Target) Target {
-	s := Target{ID: t.UID, Address: t.Endpoint, Zone: t.Zone, Kind: t.Model, Cell: t.PodGroup, Size: 1}
+	converted := Target{ID: t.UID, Address: t.Endpoint, Zone: t.Zone, Kind: t.Model, Cell: t.PodGroup, Size: 1}
 	switch t.State {
 	case fleet.Serving:
-		s.State = balance.Ready
+		converted.State = balance.Ready
 	case fleet.Draining:
-		s.State = balance.Draining
+		converted.State = balance.Draining
 	default:
-		s.State = balance.Removed
+		converted.State = balance.Removed
 	}
 	if t.Capacity != nil {
-		s.Size = *t.Capacity
+		converted.Size = *t.Capacity
 	}
 	if t.BootMS > 0 {
-		s.Boot = time.UnixMilli(t.BootMS)
+		converted.Boot = time.UnixMilli(t.BootMS)
 	}
 	if _, port, err := net.SplitHostPort(t.Endpoint); err == nil && k.Reach != "" {
-		s.Address = net.JoinHostPort(k.Reach, port)
+		converted.Address = net.JoinHostPort(k.Reach, port)
 	}
-	return s
+	return converted
 }
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -33,9 +33,9 @@
 	if r.Method != http.MethodGet && r.Method != http.MethodPost {
 		return nil, &requestError{http.StatusMethodNotAllowed, "method not allowed", "GET, POST"}
 	}
-	c := &call{message: message{method: r.Method, url: r.URL, id: r.Header.Get("X-Request-ID"),
+	parsed := &call{message: message{method: r.Method, url: r.URL, id: r.Header.Get("X-Request-ID"),
 		key: r.Header.Get("Idempotency-Key"), contentType: r.Header.Get("Content-Type")}}
-	if c.id == "" {
+	if parsed.id == "" {
 		return bad("X-Request-ID is missing")
 	}
 	class, ok := s.config.Names.Class[r.Header.Get("X-Priority-Class")]
@@ -51,7 +51,7 @@
 	if r.Method == http.MethodGet && r.ContentLength != 0 {
 		return bad("a GET has no body")
 	}
-	if c.key == "" && effect == balance.Deduplicated {
+	if parsed.key == "" && effect == balance.Deduplicated {
 		return bad("Idempotency-Key is missing")
 	}
 	// Danger: a number that overflows a duration would be a deadline that is long past.
@@ -59,13 +59,13 @@
 	if err != nil {
 		return bad("X-Timeout-Ms is no number of milliseconds")
 	}
-	c.class, c.tenant, c.relayed = class, -1, &s.counts.classes[class].relayed
+	parsed.class, parsed.tenant, parsed.relayed = class, -1, &s.counts.classes[class].relayed
 	if tenant, ok := s.config.Names.Tenant[r.Header.Get("X-Tenant-Id")]; ok {
-		c.tenant = tenant
+		parsed.tenant = tenant
 	}
-	c.client, c.name = s.config.Hitters.client(r)
-	c.timeout = max(time.Duration(ms)*time.Millisecond-answerMargin, 0)
-	return c, nil
+	parsed.client, parsed.name = s.config.Hitters.client(r)
+	parsed.timeout = max(time.Duration(ms)*time.Millisecond-answerMargin, 0)
+	return parsed, nil
 }
 
 // write writes the final answer, and fails if the client is gone.
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -61,10 +61,10 @@
 	loops     sync.WaitGroup // goroutines that end with the host's context
 }
 
-func run(stop context.Context, c *Config, log *slog.Logger, reload <-chan os.Signal, discoveryAt func() (string, error), times drainTimes) error {
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Cores))))
-	setMemory(c.MemoryMB, 1)
-	listeners, err := openListeners(c)
+func run(stop context.Context, config *Config, log *slog.Logger, reload <-chan os.Signal, discoveryAt func() (string, error), times drainTimes) error {
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(config.Cores))))
+	setMemory(config.MemoryMB, 1)
+	listeners, err := openListeners(config)
 	if err != nil {
 		return err
 	}
@@ -72,24 +72,24 @@
 	// What answers the last requests goes on after stop is done.
 	ctx, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
-	h, err := newHost(ctx, c, log)
+	driver, err := newHost(ctx, config, log)
 	if err != nil {
 		return err
 	}
-	if err := h.startFollowing(c); err != nil {
+	if err := driver.startFollowing(config); err != nil { //nolint:contextcheck // the host has its context
 		return err
 	}
-	p := &process{config: c, log: log, times: times, listeners: listeners, host: h}
-	p.loops.Go(func() { h.run(ctx) })
-	defer h.watchers.Wait()
-	defer p.loops.Wait()
+	started := &process{config: config, log: log, times: times, listeners: listeners, host: driver}
+	started.loops.Go(func() { driver.run(ctx) })
+	defer driver.watchers.Wait()
+	defer started.loops.Wait()
 	defer cancel()
-	p.loops.Go(func() { h.reload(ctx, reload, discoveryAt) })
-	if h.snapshots != nil {
-		defer p.startSnapshots(stop)()
+	started.loops.Go(func() { driver.reload(ctx, reload, discoveryAt) })
+	if driver.snapshots != nil {
+		defer started.startSnapshots(stop)()
 	}
-	p.startServer(ctx)
-	return p.serve(stop)
+	started.startServer(ctx)
+	return started.serve(stop)
 }
 
 // startSnapshots saves snapshots until the returned function is called, which saves the last one. The host's loop has to run
@@ -137,24 +137,24 @@
 
 // serve answers clients until stop is done, and then finishes what they have begun.
 func (p *process) serve(stop context.Context) error {
-	l := &drainListener{TCPListener: p.listeners.clients, quietTime: p.times.quietTime, improper: &p.server.counts.improper}
+	listener := &drainListener{TCPListener: p.listeners.clients, quietTime: p.times.quietTime, improper: &p.server.counts.improper}
 	if p.host.moves != nil {
 		p.host.awaitAgent(stop, p.times.agent)
 	}
 	web := p.server.httpServer(p.log)
 	ended := make(chan error, 1)
-	go func() { ended <- web.Serve(l) }()
-	p.log.Info("serving", "name", p.config.Name, "address", l.Addr().String())
+	go func() { ended <- web.Serve(listener) }()
+	p.log.Info("serving", "name", p.config.Name, "address", listener.Addr().String())
 	select {
 	case err := <-ended:
 		return fmt.Errorf("serve: %w", err)
 	case <-stop.Done():
 	}
-	return p.drain(l, web, ended)
+	return p.drain(listener, web, ended)
 }
 
 // drain is the planned end of a process.
-func (p *process) drain(l *drainListener, web *http.Server, ended <-chan error) error {
+func (p *process) drain(listener *drainListener, web *http.Server, ended <-chan error) error {
 	p.log.Info("draining")
 	p.server.shuttingDown.Store(true)
 	p.server.shutdown.begin(time.Now())
@@ -162,10 +162,10 @@
 		p.host.watchers.Go(p.host.members.Close) // the process that follows takes its place
 	}
 	idleAt := time.Now().Add(p.times.closeIdle)
-	if err := p.stopAccepting(l); err != nil {
+	if err := p.stopAccepting(listener); err != nil {
 		return fmt.Errorf("drain: %w", err)
 	}
-	if err := p.server.awaitEnd(l, ended, idleAt, p.times); err != nil {
+	if err := p.server.awaitEnd(listener, ended, idleAt, p.times); err != nil {
 		return err
 	}
 	if err := web.Close(); err != nil {
@@ -187,17 +187,17 @@
 
 // awaitEnd returns once the listener has ended and no connection is left or, after some time, no request. Clients' connections
 // that idle are closed from idleAt on.
-func (s *server) awaitEnd(l *drainListener, listener <-chan error, idleAt time.Time, times drainTimes) error {
+func (s *server) awaitEnd(accepting *drainListener, listener <-chan error, idleAt time.Time, times drainTimes) error {
 	tick := time.NewTicker(max(times.quietTime, time.Millisecond))
 	defer tick.Stop()
 	var until time.Time // connections without a request are waited for; zero: the listener has not ended
 	for {
 		select {
-		case <-listener:
+		case <-listener: //nolint:errcheck // it ended as it was told to
 			listener, until = nil, time.Now().Add(times.finish)
 		case now := <-tick.C:
 			if listener != nil && s.config.InheritedFD != 0 {
-				l.interrupt()
+				accepting.interrupt()
 			}
 			if now.After(idleAt) {
 				s.connections.closeIdle(now)
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -116,27 +116,27 @@
 
 // api answers a request of the application.
 func (s *server) api(w http.ResponseWriter, r *http.Request, conn *http.ResponseController, body *pacedBody) {
-	c, rejection := s.receive(r, body)
+	received, rejection := s.receive(r, body)
 	if rejection != nil {
-		s.reject(w, c, rejection)
+		s.reject(w, received, rejection)
 		return
 	}
-	defer s.host.upstream.budget.release(c.reserved)
+	defer s.host.upstream.budget.release(received.reserved)
 	defer s.pending.Add(-1)
-	if c.rest == nil {
+	if received.rest == nil {
 		s.counts.open.Add(1)
 		defer s.counts.open.Add(-1)
 	}
-	a, ok := s.decide(r.Context(), c)
-	if c.rest != nil {
-		broken := c.rest.stop()
-		if c.rest.isComplete() {
+	final, ok := s.decide(r.Context(), received)
+	if received.rest != nil {
+		broken := received.rest.stop()
+		if received.rest.isComplete() {
 			defer s.counts.open.Add(-1)
 		} else {
 			w.Header().Set("Connection", "close")
 		}
 		if broken != nil {
-			s.reject(w, c, bodyError(broken))
+			s.reject(w, received, bodyError(broken))
 			return
 		}
 	}
@@ -144,9 +144,9 @@
 		return
 	}
 	s.askToClose(w) // again: the drain may have begun since
-	err := s.writeAnswer(w, r, conn, a)
-	s.countAnswer(c, a, err)
-	if err != nil && a.stream != nil {
+	err := s.writeAnswer(w, r, conn, final)
+	s.countAnswer(received, final, err)
+	if err != nil && final.stream != nil {
 		breakOff(r)
 	}
 }
@@ -208,22 +208,22 @@
 }
 
 // readBody reads a body as far as it is held. What is longer is left to arrive.
-func (s *server) readBody(c *call, r *http.Request, body *pacedBody) *requestError {
+func (s *server) readBody(received *call, r *http.Request, body *pacedBody) *requestError {
 	if r.ContentLength > maxBodyBytes {
 		return bodyError(new(http.MaxBytesError))
 	}
 	if r.ContentLength == 0 {
-		c.deadline = s.shutdown.bound(time.Now().Add(c.timeout))
+		received.deadline = s.shutdown.bound(time.Now().Add(received.timeout))
 		return nil
 	}
-	switch err := s.holdBody(c, body); {
+	switch err := s.holdBody(received, body); {
 	case err == nil:
-		c.length = r.ContentLength
-		c.rest = s.newUpload(c, body)
+		received.length = r.ContentLength
+		received.rest = s.newUpload(received, body)
 	case errors.Is(err, io.EOF):
-		c.deadline = s.shutdown.bound(time.Now().Add(c.timeout))
+		received.deadline = s.shutdown.bound(time.Now().Add(received.timeout))
 	default:
-		s.host.upstream.budget.release(c.reserved)
+		s.host.upstream.budget.release(received.reserved)
 		return bodyError(err)
 	}
 	return nil
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -26,7 +26,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { _ = c.Close() })
 		text := fmt.Sprintf("POST /api HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", head, size, long[:size-1])
 		if size == 1 {
 			text = "POST /api HTTP/1.1\r\nHost: x\r\n"
--- a/internal/sidecar/sibling.go
+++ b/internal/sidecar/sibling.go
@@ -33,11 +33,11 @@
 
 // hasSibling tells whether another process holds a lock.
 func (b *siblingLock) hasSibling() (bool, error) {
-	any := syscall.Flock_t{Type: syscall.F_WRLCK, Whence: io.SeekStart}
-	if err := syscall.FcntlFlock(b.file.Fd(), syscall.F_GETLK, &any); err != nil {
+	held := syscall.Flock_t{Type: syscall.F_WRLCK, Whence: io.SeekStart}
+	if err := syscall.FcntlFlock(b.file.Fd(), syscall.F_GETLK, &held); err != nil {
 		return false, fmt.Errorf("lock: %w", err)
 	}
-	return any.Type != syscall.F_UNLCK, nil
+	return held.Type != syscall.F_UNLCK, nil
 }
 
 // follow calls changed each time that another process has come or gone, until ctx is done.
--- a/internal/sidecar/surplus_test.go
+++ b/internal/sidecar/surplus_test.go
@@ -15,7 +15,7 @@
 // TestSurplusAnswer has a server send two answers to one request: the second must not be taken for the next one's.
 func TestSurplusAnswer(t *testing.T) {
 	b := startBackend(t, func(c net.Conn, r *http.Request, _ []byte) bool {
-		fmt.Fprintf(c, "HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\ngoodHTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\nwrong")
+		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\ngoodHTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\nwrong")
 		return true
 	})
 	u := to(t, b)
@@ -41,7 +41,7 @@
 // TestAnswerFraming has a server answer twice in each way on one connection; where the end of the first is not plain,
 // it is a failure and its connection ends.
 func TestAnswerFraming(t *testing.T) {
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		name, text string
 		outcome    balance.Outcome
 		reused     bool
@@ -53,21 +53,21 @@
 		{"length and chunks", "HTTP/1.1 200 X\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n1\r\no\r\n0\r\n\r\n", balance.Reset, false},
 		{"two lengths", "HTTP/1.1 200 X\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok", balance.Reset, false},
 	} {
-		t.Run(tt.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			conns := make(chan net.Conn, 2)
 			b := startBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 				conns <- c
-				fmt.Fprint(c, tt.text)
+				_, _ = fmt.Fprint(c, test.text)
 				return true
 			})
 			u := to(t, b)
 			for range 2 {
-				if r := u.attempt(context.Background(), "s-0", post(""), nil); r.outcome != tt.outcome {
-					t.Errorf("outcome %d, body %q, want %d", r.outcome, r.body, tt.outcome)
+				if r := u.attempt(context.Background(), "s-0", post(""), nil); r.outcome != test.outcome {
+					t.Errorf("outcome %d, body %q, want %d", r.outcome, r.body, test.outcome)
 				}
 			}
-			if first := <-conns; (first == <-conns) != tt.reused {
-				t.Errorf("the connection was used again: %v", !tt.reused)
+			if first := <-conns; (first == <-conns) != test.reused {
+				t.Errorf("the connection was used again: %v", !test.reused)
 			}
 		})
 	}
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { socket.Close() })
+	t.Cleanup(func() { _ = socket.Close() })
 	dir := t.TempDir()
 	file := filepath.Join(dir, "config.json")
 	if err := os.WriteFile(file, []byte(config), 0o600); err != nil {
@@ -101,7 +101,7 @@
 	})
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 		if c, err := net.Dial("tcp", s.control); err == nil {
-			c.Close()
+			_ = c.Close()
 			if strings.HasPrefix(s.call("PING"), "ok ") {
 				return s
 			}
@@ -135,7 +135,7 @@
 	if err != nil {
 		return false, err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	if body, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 || string(body) != "ok" {
 		return false, fmt.Errorf("status %d, body %q, error %w", resp.StatusCode, body, err)
 	}
@@ -151,7 +151,7 @@
 			f.t.Fatal(err)
 		}
 		_, err = f.ask(c, bufio.NewReader(c))
-		c.Close()
+		_ = c.Close()
 		if err == nil && done() {
 			return
 		}
@@ -195,7 +195,7 @@
 					return
 				}
 				if closing || kept == 0 {
-					c.Close()
+					_ = c.Close()
 					c = nil
 				}
 			}
@@ -218,7 +218,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	if err := l.stopNow(); err != nil {
 		t.Fatal(err)
 	}
@@ -239,7 +239,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer socket.Close()
+	defer func() { _ = socket.Close() }()
 	if c.InheritedFD, err = syscall.Dup(int(socket.Fd())); err != nil {
 		t.Fatal(err)
 	}
@@ -250,7 +250,7 @@
 	}
 	dial := func() {
 		if c, err := net.Dial("tcp", shared.Addr().String()); err == nil {
-			c.Close()
+			_ = c.Close()
 		}
 	}
 	defer dial() // so that nothing waits on, even if it did not leave
@@ -279,7 +279,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { _ = c.Close() })
 		return c
 	}
 	silent, idle, slow := dial(), dial(), dial()
--- a/internal/sidecar/uploadbody.go
+++ b/internal/sidecar/uploadbody.go
@@ -54,11 +54,11 @@
 	if err := p.conn.SetReadDeadline(began.Add(min(p.timeLeft, bodyStallTimeout))); err != nil {
 		return 0, err
 	}
-	n, err := p.body.Read(b)
-	p.timeLeft += time.Duration(n)*time.Second/minBodyBytesPerSecond - time.Since(began)
+	count, err := p.body.Read(b)
+	p.timeLeft += time.Duration(count)*time.Second/minBodyBytesPerSecond - time.Since(began)
 	p.timeLeft = min(p.timeLeft, bodyStallTimeout+time.Second)
 	p.ended = err != nil
-	if p.received += int64(n); p.received > maxBodyBytes {
+	if p.received += int64(count); p.received > maxBodyBytes {
 		return 0, new(http.MaxBytesError)
 	}
 	if p.shutdown.isLate(time.Now()) {
@@ -70,7 +70,7 @@
 	} else if err == nil && p.timeLeft <= 0 {
 		err = os.ErrDeadlineExceeded
 	}
-	return n, err
+	return count, err
 }
 
 // linger reads what is left of a body for a while. Danger: closing with something unread resets the connection, and the
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -54,25 +54,25 @@
 		{"too long", say(200, "", strings.Repeat("x", maxHeldBytes+1)), balance.Errored},
 		{"reset", hangUp, balance.Reset},
 		{"end", func(net.Conn, *http.Request, []byte) bool { return false }, balance.Reset},
-		{"no HTTP", func(c net.Conn, _ *http.Request, _ []byte) bool { fmt.Fprint(c, "what\r\n\r\n"); return false }, balance.Reset},
+		{"no HTTP", func(c net.Conn, _ *http.Request, _ []byte) bool { _, _ = fmt.Fprint(c, "what\r\n\r\n"); return false }, balance.Reset},
 		{"half a body", func(c net.Conn, _ *http.Request, _ []byte) bool {
-			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
+			_, _ = fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
 			return false
 		}, balance.Reset},
 		{"half a chunked body", func(c net.Conn, _ *http.Request, _ []byte) bool {
-			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n")
+			_, _ = fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n")
 			return false
 		}, balance.Reset},
 	}
-	for _, tt := range tests {
-		t.Run(tt.name, func(t *testing.T) {
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
 			for _, m := range []*message{get(), post(""), post("k")} {
-				b := startBackend(t, tt.do)
+				b := startBackend(t, test.do)
 				r := to(t, b).attempt(context.Background(), "s-0", m, nil)
-				if r.outcome != tt.want {
-					t.Errorf("%s with key %q: outcome %d, want %d", m.method, m.key, r.outcome, tt.want)
+				if r.outcome != test.want {
+					t.Errorf("%s with key %q: outcome %d, want %d", m.method, m.key, r.outcome, test.want)
 				}
-				if tt.name == "served" && string(r.body) != "slot" {
+				if test.name == "served" && string(r.body) != "slot" {
 					t.Errorf("body %q", r.body)
 				}
 				if n := b.count(); n != 1 {
@@ -92,7 +92,7 @@
 		"101 X\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n":            balance.Errored,
 	} {
 		b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-			fmt.Fprint(c, "HTTP/1.1 "+text)
+			_, _ = fmt.Fprint(c, "HTTP/1.1 "+text)
 			return silent(c, r, body)
 		})
 		ended := make(chan reply, 1)
@@ -108,11 +108,11 @@
 	u := to(t, b)
 	gone := listen(t)
 	closed := entry("s-1", gone.Addr().String(), "SERVING", 0)
-	gone.Close()
+	_ = gone.Close()
 	u.update(list(t, listText(2, false, closed)))
 	over, cancel := context.WithCancel(context.Background())
 	cancel()
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		name, to string
 		ctx      context.Context
 		want     balance.Outcome
@@ -121,8 +121,8 @@
 		{"unknown server", "s-9", context.Background(), balance.NotSent},
 		{"called off before", "s-0", over, balance.NotSent},
 	} {
-		if r := u.attempt(tt.ctx, tt.to, post(""), nil); r.outcome != tt.want {
-			t.Errorf("%s: outcome %d, want %d", tt.name, r.outcome, tt.want)
+		if r := u.attempt(test.ctx, test.to, post(""), nil); r.outcome != test.want {
+			t.Errorf("%s: outcome %d, want %d", test.name, r.outcome, test.want)
 		}
 	}
 	if n := b.count(); n != 0 {
@@ -258,7 +258,7 @@
 // used again.
 func TestOneBrokenConnection(t *testing.T) {
 	half := func(c net.Conn, _ *http.Request, _ []byte) bool {
-		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
+		_, _ = fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
 		return false
 	}
 	for name, fault := range map[string]func(net.Conn, *http.Request, []byte) bool{"just used": hangUp, "half an answer": half,
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -70,7 +70,7 @@
 			return
 		}
 		h.log.Info("discovery", "err", err)
-		h.post(func() {
+		h.post(func() { //nolint:contextcheck // a watch lasts as long as the host
 			if h.nextAddress != "" {
 				h.openWatchAtNext()
 				return
@@ -105,9 +105,9 @@
 	if !h.table.isStale() {
 		reread.Stop()
 	}
-	err := h.discovery.watch(ctx, from, first, func(l List) {
+	err := h.discovery.watch(ctx, from, first, func(received List) {
 		doubted, rev, now := h.table.isStale(), h.table.highestRev, time.Now()
-		l = h.table.apply(l, now)
+		received = h.table.apply(received, now)
 		switch doubts := h.table.isStale(); {
 		case doubts && !doubted:
 			h.log.Warn("list went back: what it lacks is kept until it is read again", "held", rev)
@@ -119,10 +119,10 @@
 		came()
 		h.post(func() {
 			kind := balance.ListChanges
-			if l.Complete {
+			if received.Complete {
 				kind = balance.ListFull
 			}
-			h.applyList(kind, l)
+			h.applyList(kind, received)
 		})
 	})
 	if cause := context.Cause(ctx); errors.Is(cause, errStaleList) {
@@ -142,7 +142,7 @@
 				h.log.Error("reload", "err", err)
 				continue
 			}
-			h.post(func() { h.moveTo(address) })
+			h.post(func() { h.moveTo(address) }) //nolint:contextcheck // a watch lasts as long as the host
 		case <-ctx.Done():
 			return
 		}
@@ -223,10 +223,10 @@
 		return h.awaitNextWatch(ctx, plan, err, moves)
 	case address = <-moves:
 		closeWatch()
-		<-ended
+		<-ended //nolint:errcheck // it ended as it was told to
 		return address, true
 	case <-ctx.Done():
-		<-ended
+		<-ended //nolint:errcheck // it ended as it was told to
 		return "", false
 	}
 }
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -105,16 +105,16 @@
 	getenv := func(key string) string {
 		return map[string]string{"PROXY_CONFIG": file, "PROXY_DISCOVERY": "127.0.0.1:1"}[key]
 	}
-	for _, tt := range []struct{ text, want string }{
+	for _, test := range []struct{ text, want string }{
 		{configText("127.0.0.1:2", "", testSettings), "127.0.0.1:2"},
 		{configText("nowhere", "", testSettings), ""},
 		{"{", ""},
 	} {
-		if err := os.WriteFile(file, []byte(tt.text), 0o600); err != nil {
+		if err := os.WriteFile(file, []byte(test.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if at, err := DiscoveryAt(getenv); at != tt.want || (err == nil) != (tt.want != "") {
-			t.Errorf("%.30s: %q, error %v", tt.text, at, err)
+		if at, err := DiscoveryAt(getenv); at != test.want || (err == nil) != (test.want != "") {
+			t.Errorf("%.30s: %q, error %v", test.text, at, err)
 		}
 	}
 }
@@ -146,7 +146,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		resp.Body.Close()
+		_ = resp.Body.Close()
 		return resp.StatusCode
 	}
 	if got := health(); got != 503 {
@@ -172,18 +172,18 @@
 	}
 	c.Settings.SubscribeToDiscovery = true // and so no watch in this test
 	booted := time.Now().Add(-3 * time.Second)
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		boot time.Time
 		cold bool
 	}{{booted, true}, {time.Time{}, false}, {booted.Add(-2 * originAge), false}} {
-		c.Known = List{Version: 1, Complete: true, Targets: []Target{{ID: "s-0", Address: "127.0.0.1:9", Zone: "a", Kind: "m", Size: 1, Boot: tt.boot}}}
+		c.Known = List{Version: 1, Complete: true, Targets: []Target{{ID: "s-0", Address: "127.0.0.1:9", Zone: "a", Kind: "m", Size: 1, Boot: test.boot}}}
 		h, err := newHost(context.Background(), c, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
 		started := h.started(c.Known.Targets[0])
-		if age := h.clock() - started; tt.cold && (started <= 0 || age < 3*time.Second || age > 3*time.Second+patience) || !tt.cold && started > 0 {
-			t.Errorf("boot %v: started %v, age %v", tt.boot, started, age)
+		if age := h.clock() - started; test.cold && (started <= 0 || age < 3*time.Second || age > 3*time.Second+patience) || !test.cold && started > 0 {
+			t.Errorf("boot %v: started %v, age %v", test.boot, started, age)
 		}
 	}
 }
