--- a/internal/sidecar/answerstream_test.go
+++ b/internal/sidecar/answerstream_test.go
@@ -55,7 +55,7 @@
 			if err != nil || string(first)+string(rest) != long {
 				t.Errorf("%d bytes came of %d, error %v", len(first)+len(rest), len(long), err)
 			}
-			if resp.StatusCode != 200 || resp.Header.Get("Content-Type") != "video/x" || resp.Close {
+			if resp.StatusCode != http.StatusOK || resp.Header.Get("Content-Type") != "video/x" || resp.Close {
 				t.Errorf("answer %+v", resp)
 			}
 		})
@@ -75,13 +75,13 @@
 					return false
 				})
 				p, call := operator(t, configText(startRegistry(t).address, serving(1, b, b), testSettings))
-				c, err := net.Dial("tcp", p.address)
+				c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
 				if err != nil {
 					t.Fatal(err)
 				}
 				defer func() { _ = c.Close() }()
 				_, _ = fmt.Fprintf(c, "GET /api HTTP/%s\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: read\r\nX-Timeout-Ms: 50000\r\n\r\n", proto)
-				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+				resp, err := http.ReadResponse(bufio.NewReader(c), nil) //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 				if err == nil {
 					_, err = io.Copy(io.Discard, resp.Body)
 				}
@@ -213,14 +213,14 @@
 				say(200, "", "ok")(c, r, nil)
 			}()
 			p := start(t, configText(startRegistry(t).address, serving(1, &backend{address: l.Addr().String()}), testSettings))
-			c, err := net.Dial("tcp", p.address)
+			c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer func() { _ = c.Close() }()
 			in := bufio.NewReader(c)
 			_, _ = fmt.Fprint(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\nExpect: 100-continue\r\n"+form.head)
-			if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 100 {
+			if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != http.StatusContinue { //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 				t.Fatal(resp, err)
 			}
 			_, _ = fmt.Fprint(c, form.piece(long[:2*maxHeldBytes]))
@@ -229,7 +229,7 @@
 			if got := within(t, whole, "body"); got != long {
 				t.Errorf("%d bytes came of %d", len(got), len(long))
 			}
-			if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 200 || resp.Close {
+			if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != http.StatusOK || resp.Close { //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 				t.Errorf("answer %+v, error %v", resp, err)
 			}
 		})
@@ -255,7 +255,7 @@
 	}()
 	b := &backend{address: l.Addr().String()}
 	p := start(t, configText(startRegistry(t).address, serving(1, b, b), testSettings))
-	c, err := net.Dial("tcp", p.address)
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -270,8 +270,8 @@
 			time.Sleep(time.Millisecond)
 		}
 	}()
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-	if err != nil || resp.StatusCode != 503 || !resp.Close {
+	resp, err := http.ReadResponse(bufio.NewReader(c), nil) //nolint:bodyclose // the test closes the connection; to close the body would be to read it
+	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 		t.Errorf("answer %+v, error %v", resp, err)
 	}
 	if n := attempts.Load(); n != 1 {
@@ -289,7 +289,7 @@
 	head := fmt.Sprintf("POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 300\r\nContent-Length: %d\r\n\r\n", n*piece)
 	t.Run("slow", func(t *testing.T) {
 		t.Parallel()
-		c, err := net.Dial("tcp", p.address)
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -301,8 +301,8 @@
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
-		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-		if err != nil || resp.StatusCode != 200 {
+		resp, err := http.ReadResponse(bufio.NewReader(c), nil) //nolint:bodyclose // the test closes the connection; to close the body would be to read it
+		if err != nil || resp.StatusCode != http.StatusOK {
 			t.Fatal(resp, err)
 		}
 		if text, err := io.ReadAll(resp.Body); string(text) != fmt.Sprint(n*piece) {
@@ -311,14 +311,14 @@
 	})
 	t.Run("stopped", func(t *testing.T) {
 		t.Parallel()
-		c, err := net.Dial("tcp", p.address)
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer func() { _ = c.Close() }()
 		began := time.Now()
 		_, _ = fmt.Fprint(c, head+long[:6*piece])
-		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+		resp, err := http.ReadResponse(bufio.NewReader(c), nil) //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 		if took := time.Since(began); took > mostSilence {
 			t.Errorf("it took %v", took)
 		}
--- a/internal/sidecar/connlimiter_test.go
+++ b/internal/sidecar/connlimiter_test.go
@@ -104,7 +104,7 @@
 	p := start(t, config)
 	ends := make(chan error, 40)
 	for range 34 {
-		c, err := net.Dial("tcp", p.address)
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -113,7 +113,7 @@
 			t.Fatal(err)
 		}
 		in := bufio.NewReader(c)
-		if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != http.StatusOK {
+		if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != http.StatusOK { //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 			t.Fatal(resp, err)
 		}
 		go func() {
@@ -126,7 +126,7 @@
 		t.Errorf("answer %+v", g)
 	}
 	for range 3 {
-		if err := within(t, ends, "end of an idle connection"); err != io.EOF {
+		if err := within(t, ends, "end of an idle connection"); err != io.EOF { //nolint:errorlint // the connection's own error, not one that wraps it
 			t.Errorf("an idle connection ended with %v", err)
 		}
 	}
@@ -156,7 +156,7 @@
 		t.Errorf("answer %+v with one connection", g)
 	}
 	for range 32 {
-		c, err := net.Dial("tcp", p.address)
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sidecar/control_test.go
+++ b/internal/sidecar/control_test.go
@@ -17,7 +17,7 @@
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	pid := os.Getpid()
-	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+pid>>16&63, pid>>8&255, 1+pid&127))
+	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+pid>>16&63, pid>>8&255, 1+pid&127))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 // dialControl sends a text to a control address and returns all that comes back.
 func dialControl(t *testing.T, at, text string) string {
 	t.Helper()
-	c, err := net.Dial("tcp", at)
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", at)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,7 +103,7 @@
 	defer cancel()
 	var idle []net.Conn
 	for range 3 * maxCallers {
-		conn, err := net.Dial("tcp", l.Addr().String())
+		conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sidecar/deadline_test.go
+++ b/internal/sidecar/deadline_test.go
@@ -133,7 +133,7 @@
 					if balance.Outcome(outcome) == balance.TimedOut {
 						want = 1
 					}
-					if n := s.host.counts.attempts[outcome].Load(); int64(n) != want {
+					if n := s.host.counts.attempts[outcome].Load(); n != want {
 						t.Errorf("%d attempts with outcome %d, want %d", n, outcome, want)
 					}
 				}
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -25,16 +25,11 @@
 	p, call := operator(t, configText(startRegistry(t).address, serving(1, b), testSettings))
 	health := func() int {
 		t.Helper()
-		r, err := http.Get("http://" + p.address + "/healthz")
-		if err != nil {
-			t.Fatal(err)
-		}
-		_ = r.Body.Close()
-		return r.StatusCode
+		return healthStatus(t, http.DefaultClient, p.address)
 	}
 	dial := func(text string) net.Conn {
 		t.Helper()
-		c, err := net.Dial("tcp", p.address)
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -52,7 +47,7 @@
 	}
 	silent, idle := dial(""), dial("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 	in := bufio.NewReader(idle)
-	if resp, err := http.ReadResponse(in, nil); err != nil || resp.Close {
+	if resp, err := http.ReadResponse(in, nil); err != nil || resp.Close { //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 		t.Fatal(resp, err)
 	}
 	slow := make(chan gotten, 1)
@@ -75,7 +70,7 @@
 	if _, err := in.ReadByte(); err != io.EOF {
 		t.Errorf("an idle connection ended with %v", err)
 	}
-	if _, err := silent.Read(make([]byte, 1)); err != io.EOF {
+	if _, err := silent.Read(make([]byte, 1)); err != io.EOF { //nolint:errorlint // the connection's own error, not one that wraps it
 		t.Errorf("a connection without a request ended with %v", err)
 	}
 	close(gate)
@@ -127,7 +122,7 @@
 		closing = g.closing
 	}
 	time.Sleep(200 * time.Millisecond) // long past the quiet that ends the accepting, well within its time
-	fresh, err := net.Dial("tcp", p.address)
+	fresh, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
 	if err != nil {
 		t.Fatalf("no new connections while draining: %v", err)
 	}
@@ -135,12 +130,12 @@
 	if err := p.request(context.Background(), "pay", "50000").Write(fresh); err != nil {
 		t.Fatal(err)
 	}
-	resp, err := http.ReadResponse(bufio.NewReader(fresh), nil)
-	if err != nil || resp.StatusCode != 200 || !resp.Close {
+	resp, err := http.ReadResponse(bufio.NewReader(fresh), nil) //nolint:bodyclose // the test closes the connection; to close the body would be to read it
+	if err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
 		t.Errorf("answer %+v, error %v on a new connection", resp, err)
 	}
 	for end := time.Now().Add(patience); ; {
-		c, err := net.Dial("tcp", p.address)
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
 		if err != nil {
 			break
 		}
@@ -169,7 +164,7 @@
 	l := &drainListener{TCPListener: inner, quietTime: time.Second}
 	const n = 3
 	for range n {
-		c, err := net.Dial("tcp", inner.Addr().String())
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", inner.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -50,7 +50,7 @@
 		{"a GET with a body", "GET /api HTTP/1.1\r\n" + strings.Replace(common, "pay", "read", 1) + "Content-Length: " + size + "\r\n\r\n", inner},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c, err := net.Dial("tcp", p.address)
+			c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -77,7 +77,7 @@
 		return say(200, "", r.Header.Get("X-Request-ID")+string(body))(c, r, body)
 	})
 	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
-	c, err := net.Dial("tcp", p.address)
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,7 +104,7 @@
 				t.Fatal(err)
 			}
 		}
-		resp, err := http.ReadResponse(in, nil)
+		resp, err := http.ReadResponse(in, nil) //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -40,7 +40,7 @@
 
 func listen(t *testing.T) net.Listener {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -350,3 +350,18 @@
 }
 
 func (b *backend) count() int { return len(b.came) }
+
+// healthStatus asks a sidecar whether it is ready.
+func healthStatus(t *testing.T, client *http.Client, address string) int {
+	t.Helper()
+	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+address+"/healthz", http.NoBody)
+	if err != nil {
+		t.Fatal(err)
+	}
+	resp, err := client.Do(req)
+	if err != nil {
+		t.Fatal(err)
+	}
+	_ = resp.Body.Close()
+	return resp.StatusCode
+}
--- a/internal/sidecar/input_test.go
+++ b/internal/sidecar/input_test.go
@@ -75,7 +75,7 @@
 func TestEndlessBody(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
-	c, err := net.Dial("tcp", p.address)
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +107,7 @@
 		"half a body": head + "Content-Length: 10\r\n\r\nhalf", "half a chunk": head + "Transfer-Encoding: chunked\r\n\r\n9\r\nhalf"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c, err := net.Dial("tcp", p.address)
+			c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -22,7 +22,7 @@
 		drainTimes{accept: time.Second, quietTime: 10 * time.Millisecond, closeIdle: patience, finish: patience})
 	const head = "X-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\n"
 	begin := func(size int) net.Conn {
-		c, err := net.Dial("tcp", p.address)
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -45,7 +45,7 @@
 		if _, err := io.WriteString(c, text); err != nil {
 			t.Fatal(err)
 		}
-		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+		resp, err := http.ReadResponse(bufio.NewReader(c), nil) //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 		if err != nil || resp.StatusCode != status || !resp.Close {
 			t.Errorf("%d bytes: answer %+v, error %v, want %d", size, resp, err, status)
 		}
--- a/internal/sidecar/surplus_test.go
+++ b/internal/sidecar/surplus_test.go
@@ -14,7 +14,7 @@
 
 // TestSurplusAnswer has a server send two answers to one request: the second must not be taken for the next one's.
 func TestSurplusAnswer(t *testing.T) {
-	b := startBackend(t, func(c net.Conn, r *http.Request, _ []byte) bool {
+	b := startBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\ngoodHTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\nwrong")
 		return true
 	})
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -14,6 +14,7 @@
 	"path/filepath"
 	"regexp"
 	"runtime"
+	"slices"
 	"strings"
 	"sync"
 	"syscall"
@@ -78,8 +79,8 @@
 // start starts one more process and waits until it says yes.
 func (f *platform) start() *child {
 	f.t.Helper()
-	s := &child{t: f.t, control: freeAddress(f.t), process: exec.Command(os.Args[0]), ended: make(chan error, 1)}
-	s.process.Env = append(f.env, "PROXY_CONTROL="+s.control)
+	s := &child{t: f.t, control: freeAddress(f.t), process: exec.CommandContext(context.WithoutCancel(f.t.Context()), os.Args[0]), ended: make(chan error, 1)}
+	s.process.Env = append(slices.Clone(f.env), "PROXY_CONTROL="+s.control)
 	s.process.ExtraFiles = []*os.File{f.socket}
 	var text strings.Builder
 	s.process.Stderr = &text
@@ -100,7 +101,7 @@
 		}
 	})
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-		if c, err := net.Dial("tcp", s.control); err == nil {
+		if c, err := (&net.Dialer{}).DialContext(f.t.Context(), "tcp", s.control); err == nil {
 			_ = c.Close()
 			if strings.HasPrefix(s.call("PING"), "ok ") {
 				return s
@@ -136,7 +137,7 @@
 		return false, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	if body, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 || string(body) != "ok" {
+	if body, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != http.StatusOK || string(body) != "ok" {
 		return false, fmt.Errorf("status %d, body %q, error %w", resp.StatusCode, body, err)
 	}
 	return resp.Close, nil
@@ -146,7 +147,7 @@
 func (f *platform) askUntil(done func() bool) {
 	f.t.Helper()
 	for end := time.Now().Add(patience); ; {
-		c, err := net.Dial("tcp", f.address)
+		c, err := (&net.Dialer{}).DialContext(f.t.Context(), "tcp", f.address)
 		if err != nil {
 			f.t.Fatal(err)
 		}
@@ -183,7 +184,7 @@
 				}
 				if c == nil {
 					var err error
-					if c, err = net.Dial("tcp", f.address); err != nil {
+					if c, err = (&net.Dialer{}).DialContext(t.Context(), "tcp", f.address); err != nil {
 						t.Errorf("no connection: %v", err)
 						return
 					}
@@ -214,7 +215,7 @@
 func TestLeaveUnaccepted(t *testing.T) {
 	inner := listen(t).(*net.TCPListener)
 	l := &drainListener{TCPListener: inner, quietTime: patience}
-	c, err := net.Dial("tcp", inner.Addr().String())
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", inner.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -249,7 +250,7 @@
 		t.Fatalf("asking for the descriptor has not made the socket block: flags %#x, error %v", flags, err)
 	}
 	dial := func() {
-		if c, err := net.Dial("tcp", shared.Addr().String()); err == nil {
+		if c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", shared.Addr().String()); err == nil {
 			_ = c.Close()
 		}
 	}
@@ -275,7 +276,7 @@
 	f := startPlatform(t, configText(startRegistry(t).address, serving(1, b), testSettings))
 	s := f.start()
 	dial := func() net.Conn {
-		c, err := net.Dial("tcp", f.address)
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", f.address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -295,14 +296,14 @@
 	left := make(chan bool)
 	go func() { s.leave(); close(left) }()
 	for _, c := range []net.Conn{silent, idle} {
-		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
+		if _, err := c.Read(make([]byte, 1)); err != io.EOF { //nolint:errorlint // the connection's own error, not one that wraps it
 			t.Errorf("an idle connection ended with %v", err)
 		}
 	}
 	if _, err := io.WriteString(slow, "rity-Class: pay\r\nX-Timeout-Ms: 50000\r\nContent-Length: 2\r\n\r\nhi"); err != nil {
 		t.Fatal(err)
 	}
-	if resp, err := http.ReadResponse(bufio.NewReader(slow), nil); err != nil || resp.StatusCode != 200 || !resp.Close {
+	if resp, err := http.ReadResponse(bufio.NewReader(slow), nil); err != nil || resp.StatusCode != http.StatusOK || !resp.Close { //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 		t.Errorf("answer %+v, error %v to a request that had begun", resp, err)
 	}
 	within(t, left, "end")
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -210,7 +210,7 @@
 	defer cancel()
 	to(t, b).attempt(ctx, "s-0", post("k-7"), nil)
 	r := within(t, b.came, "request")
-	if r.Method != "POST" || r.RequestURI != "/api?k=a%20b" || r.Header.Get("X-Request-ID") != "id-1" ||
+	if r.Method != http.MethodPost || r.RequestURI != "/api?k=a%20b" || r.Header.Get("X-Request-ID") != "id-1" ||
 		r.Header.Get("Idempotency-Key") != "k-7" || r.Header.Get("Accept-Encoding") != "" || r.ContentLength != 4 {
 		t.Errorf("got %+v", r)
 	}
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -142,12 +142,7 @@
 	d := startRegistry(t)
 	p := start(t, configText(d.address, "", testSettings))
 	health := func() int {
-		resp, err := p.client.Get("http://" + p.address + "/healthz")
-		if err != nil {
-			t.Fatal(err)
-		}
-		_ = resp.Body.Close()
-		return resp.StatusCode
+		return healthStatus(t, p.client, p.address)
 	}
 	if got := health(); got != 503 {
 		t.Errorf("status %d before any server is known", got)
