--- a/internal/sidecar/answerstream.go
+++ b/internal/sidecar/answerstream.go
@@ -11,8 +11,8 @@
 
 const (
 	chunkBytes   = 16 << 10               // bytes that are read at once of what flows
-	holdTime     = 100 * time.Millisecond // an answer of unknown length is held back for its end, after its head
-	stallTimeout = 10 * time.Second       // a peer that takes or gives nothing for so long is given up
+	holdTime     = 100 * time.Millisecond // an answer of unknown length is held until its end, after its head
+	stallTimeout = 10 * time.Second       // a peer that takes or sends nothing for so long is given up
 )
 
 var (
@@ -49,8 +49,8 @@
 
 func (b *byteBudget) release(n int) { b.used.Add(-int64(n)) }
 
-// answerStream is an answer on its way. Until it begins it is held, so that it can still be given up; then it goes to the client
-// as it comes, and no faster than the client takes it.
+// answerStream is an answer that is being received. Until it starts it is held, so that it can still be dropped; then it goes to
+// the client as it comes, and no faster than the client takes it.
 type answerStream struct {
 	length      int64 // -1: unknown
 	contentType string
@@ -117,7 +117,8 @@
 	}
 }
 
-// add takes in the next bytes once there is room for them, or tells that there is none before it flows.
+// add holds the next bytes, or, once the stream has started, hands them over when the client has taken those before. It reports
+// false if they cannot be held.
 func (f *answerStream) add(chunk []byte) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -141,7 +142,7 @@
 	return true
 }
 
-// end takes in how the server's side ended. If it flows, it waits for the client's side.
+// end notes how the server's side ended. A stream that has started waits for the client's side.
 func (f *answerStream) end(err error) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -8,8 +8,6 @@
 	"gradeusher.example/gradeusher/balance"
 )
 
-// Here is what the Balancer has the host do for a request.
-
 // Send implements balance.Actions, as do the methods after it. It starts an attempt.
 func (h *host) Send(id balance.RequestID, endpoint string, timeout time.Duration) {
 	ongoing := h.calls[id]
@@ -28,7 +26,7 @@
 		ctx = endsAt{ctx, end}
 	}
 	if ongoing.finished {
-		started.cancel(nil) // Danger: an attempt after the final answer would be an effect that nobody knows of.
+		started.cancel(nil) // an attempt after the final answer would be an effect that nobody knows of
 	}
 	ongoing.attempts = append(ongoing.attempts, started)
 	ongoing.inFlight++
@@ -50,7 +48,7 @@
 // Deadline implements context.Context.
 func (c endsAt) Deadline() (time.Time, bool) { return c.end, true }
 
-// result takes in how an attempt ended.
+// result handles the end of an attempt.
 func (h *host) result(ongoing *call, index int, r reply) {
 	if t := ongoing.attempts[index]; t.timer != nil {
 		t.timer.Stop()
@@ -58,8 +56,8 @@
 	if r.outcome == balance.Served {
 		h.answer(ongoing, answer{kind: served, body: r.body, contentType: r.contentType})
 	}
-	// Danger: one peer's nonsense, tried again elsewhere, would eject a whole fleet of sound servers. What a server
-	// blames on the request is its final answer, and says nothing of the server.
+	// What a server rejects because of the request is its final answer, and says nothing of the server: one client's nonsense,
+	// retried at other servers, would eject a whole fleet of sound ones.
 	if r.requestRejected {
 		h.counts.requestsRejected.Add(1)
 		h.answer(ongoing, answer{kind: failed})
@@ -70,7 +68,7 @@
 	h.forget(ongoing)
 }
 
-// reportResult tells the Balancer how an attempt ended. The first outcome counts.
+// reportResult reports how an attempt ended to the Balancer. The first outcome counts.
 func (h *host) reportResult(ongoing *call, index int, outcome balance.Outcome) {
 	t := ongoing.attempts[index]
 	if t.reported {
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -8,8 +8,6 @@
 	"gradeusher.example/gradeusher/balance"
 )
 
-// Here is a request's life between its client and the Balancer, up to its final answer.
-
 // answerMargin is kept free before the client's deadline for the way of the final answer.
 const answerMargin = 5 * time.Millisecond
 
@@ -27,7 +25,7 @@
 	kind        answerKind
 	body        []byte        // served
 	contentType string        // served
-	retryAfter  time.Duration // refused: when to come back; 0: not said
+	retryAfter  time.Duration // refused: the wait before a retry; 0: not said
 	stream      *answerStream // served: in place of body, the answer as it comes
 }
 
@@ -90,8 +88,8 @@
 	h.balancer.Request(h.now, r)
 }
 
-// startTimer has a request be abandoned that is without an answer behind its deadline. Danger: one that the Balancer left
-// without an answer would hang until the client gives up.
+// startTimer abandons a request that has no answer after its deadline. One that the Balancer left without an answer would hang
+// until the client gives up.
 func (h *host) startTimer(c *call) {
 	c.overdueTimer = time.AfterFunc(time.Until(c.deadline)+answerMargin/2, func() { h.post(func() { h.abandon(c, true) }) })
 }
@@ -118,7 +116,7 @@
 	t.timer = time.AfterFunc(time.Until(end), func() { t.cancel(context.DeadlineExceeded) })
 }
 
-// answerStarted takes in that an attempt's answer comes and is to be passed on, which makes it the request's final one.
+// answerStarted handles that an attempt's answer is to be forwarded as it comes, which makes it the request's final one.
 func (h *host) answerStarted(ctx context.Context, ongoing *call, index int, f *answerStream) {
 	if ongoing.finished || ctx.Err() != nil {
 		f.abandon()
@@ -150,9 +148,9 @@
 	h.forget(ongoing)
 }
 
-// expire tells the Balancer that the attempts of an overdue request have timed out, without waiting for their results.
-// Danger: an attempt that is ended at the deadline takes time to return. Its timer and the request's race on a busy
-// machine, and the answer must not depend on which of them wins.
+// expire reports the attempts of an overdue request as timed out, without waiting for their results. An attempt that is ended at
+// the deadline takes time to return; its timer and the request's race on a busy machine, and the answer must not depend on which
+// of them wins.
 func (h *host) expire(ongoing *call) {
 	for index, t := range ongoing.attempts {
 		t.cancel(context.DeadlineExceeded)
--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -24,8 +24,8 @@
 
 // control answers operators: one line to a connection, one answer to a line.
 //
-// Danger: callers that connect and say nothing could shut out the one who has something to say. So they have few places,
-// and whoever has held his longest gives it up to the next.
+// Callers that connect and say nothing could shut out the one who has something to say. So there are few places, and whoever has
+// had one longest gives it up to the next.
 type control struct {
 	log        *slog.Logger
 	do         func(call []string) string // answers the words of a line
@@ -76,7 +76,7 @@
 	}
 }
 
-// evict ends the callers that came first, until no more than some are left. One that said its line is gone at once.
+// evict ends the callers that came first, until no more than some are left.
 func (c *control) evict(most int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,7 +110,7 @@
 		return
 	}
 	_, _ = io.WriteString(conn, text) // a caller that is gone needs no answer
-	// Danger: closing with something unread resets the connection, and the answer may be lost with it.
+	// Closing with something unread resets the connection, and the answer may be lost with it.
 	if tcp, ok := conn.(*net.TCPConn); ok && len(line) > maxCallBytes && tcp.CloseWrite() == nil {
 		_, _ = io.Copy(io.Discard, io.LimitReader(conn, maxSurplusBytes))
 	}
@@ -147,7 +147,7 @@
 	"ATTACH":   {1, func(s *server, call []string) string { return s.setOutOfService(call[1], false) }},
 }
 
-// ping tells whether this process is ready to serve.
+// ping answers whether this process is ready to serve.
 func (s *server) ping([]string) string {
 	if err := s.notReady(); err != nil {
 		return fmt.Sprintf("fail %v\n", err)
@@ -177,7 +177,7 @@
 	return nil
 }
 
-// setOutOfService takes a server out or puts it back. Both may be said again, and change nothing then.
+// setOutOfService takes a server out of service or returns it. Both may be repeated, and change nothing then.
 func (s *server) setOutOfService(id string, out bool) string {
 	known := false
 	if !s.host.ask(func() { known = s.host.balancer.Knows(id) }) {
--- a/internal/sidecar/counts.go
+++ b/internal/sidecar/counts.go
@@ -19,7 +19,7 @@
 	open             atomic.Int64 // requests taken and not ended
 	requests         atomic.Int64 // handed to the module
 	gone             atomic.Int64 // left by their client
-	busy             atomic.Int64 // of the refused ones, those beyond what may be held
+	busy             atomic.Int64 // of the refused ones, those over the limit of pending requests
 	improper         atomic.Int64 // answered 4xx, or ended for their framing
 	requestsRejected atomic.Int64 // attempts answered 4xx
 	dials            atomic.Int64 // to servers
@@ -27,7 +27,7 @@
 
 	classes  []classCounts
 	attempts [balance.NotSent + 1]atomic.Int64 // by outcome
-	slowest  atomic.Int64                      // nanoseconds from an attempt's start until it had a connection, at most, since the log said so
+	slowest  atomic.Int64                      // nanoseconds from an attempt's start until it had a connection, at most, since it was last logged
 }
 
 // classCounts is what became of the requests of a class.
@@ -36,7 +36,7 @@
 	fulfilled atomic.Int64 // answered as a server did
 	throttled atomic.Int64 // refused
 	faulted   atomic.Int64 // failed
-	relayed   atomic.Int64 // attempts written whole
+	relayed   atomic.Int64 // attempts written completely
 }
 
 func newCounts(classes []balance.Class) *counts {
@@ -47,7 +47,7 @@
 	return n
 }
 
-// countAnswer counts a request whose answer has been written whole.
+// countAnswer counts a request whose answer has been written completely.
 func (n *classCounts) countAnswer(kind answerKind) {
 	switch kind {
 	case served:
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	// watchSilenceTimeout is how long a watch may be silent: discovery writes at least an empty line every 2 s. Danger: a
-	// machine that is cut off says nothing, and the old list would be believed for good. What it has to tell counts as
-	// told toldWithin after it fell silent all the same, so a new watch must have had the time to tell it by then.
+	// watchSilenceTimeout is how long a watch may be silent: discovery writes at least an empty line every 2 s. A machine that is
+	// cut off says nothing, and the old list would be believed for good. What discovery has to say counts as published
+	// publishedWithin after it fell silent all the same, so a new watch must have had the time to get it by then.
 	watchSilenceTimeout = 4500 * time.Millisecond
-	toldWithin          = 6 * time.Second
-	// agentSilenceTimeout is that of an agent on the own machine. It answers at no cost, so that one that was only late is no loss; and
-	// a new watch may be silent too, which must leave time for one more.
+	publishedWithin     = 6 * time.Second
+	// agentSilenceTimeout is that of an agent on the own machine. It answers at no cost, so that one that was only late is no loss;
+	// and a new watch may be silent too, which must leave time for one more.
 	agentSilenceTimeout = 3500 * time.Millisecond
 	agentFirstTimeout   = time.Second
 	maxListBytes        = 4 << 20 // bytes of a list of a watch
@@ -115,10 +115,10 @@
 	address        atomic.Value // string
 	client         *http.Transport
 	silenceTimeout time.Duration
-	firstTimeout   time.Duration // an agent that is asked for the whole list has it; twice as long each time that it says nothing
+	firstTimeout   time.Duration // for an agent's complete list; twice as long each time that it says nothing
 }
 
-// newDiscovery is the client of the list at an address; pushed tells whether an agent answers there at once and at no cost.
+// newDiscovery is the client of the list at an address; pushed: an agent answers there at once and at no cost.
 func newDiscovery(address string, connect time.Duration, pushed bool) *discovery {
 	d := &discovery{silenceTimeout: watchSilenceTimeout, firstTimeout: agentFirstTimeout, client: &http.Transport{
 		DialContext:        (&net.Dialer{Timeout: max(connect, time.Second)}).DialContext,
@@ -216,9 +216,9 @@
 
 var errLongList = errors.New("too long")
 
-// watchReader reads what a watch says. It calls beat, if any, for each empty line, and bounds what may come up to the end of a list.
+// watchReader reads a watch. It calls onHeartbeat, if any, for each empty line, and bounds what may come up to the end of a list.
 //
-// Danger: a list that begins and never ends is silence too, so what is not empty is no sign of life before the list is whole.
+// A list that begins and never ends is silence too, so what is not empty is no sign of life before the list is complete.
 type watchReader struct {
 	from        io.Reader
 	budget      int // bytes
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -135,7 +135,7 @@
 				if took := h.knows("s-0"); took > 100*time.Millisecond {
 					t.Errorf("a new process knew the list after %v", took)
 				}
-				if took := h.knows("s-1"); took > toldWithin-500*time.Millisecond {
+				if took := h.knows("s-1"); took > publishedWithin-500*time.Millisecond {
 					t.Errorf("told %v after it fell silent", took)
 				}
 				a.mu.Lock()
@@ -194,7 +194,7 @@
 		begun := time.Now()
 		err := d.watch(t.Context(), 7, 0, func(List) {})
 		// The Balancer asks again a second later at most.
-		if took := time.Since(begun); took > toldWithin-time.Second || took <= 4*time.Second || err == nil {
+		if took := time.Since(begun); took > publishedWithin-time.Second || took <= 4*time.Second || err == nil {
 			t.Errorf("ended after %v: %v", took, err)
 		}
 	})
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -9,7 +9,7 @@
 
 const idleCheckInterval = 100 * time.Millisecond
 
-// lameduck begins the drain that rejoin ends. Both may be said again.
+// lameduck begins the drain that rejoin ends. Both may be repeated.
 func (s *server) lameduck([]string) string {
 	s.drainingSince.CompareAndSwap(0, time.Now().UnixNano())
 	s.host.log.Info("lameduck")
@@ -26,8 +26,8 @@
 	return "ok serving\n"
 }
 
-// closeIdleWhileDraining ends clients' connections that idle once the drain has gone on for some time, until ctx is done. Danger: 4 s after
-// its begin none may be left without a request, or with one of the last 2 s.
+// closeIdleWhileDraining closes clients' connections that idle once the drain has gone on for some time, until ctx is done: 4 s
+// after its begin none may be left without a request, or with one of the last 2 s.
 func (s *server) closeIdleWhileDraining(ctx context.Context, after time.Duration) {
 	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
--- a/internal/sidecar/drainlistener.go
+++ b/internal/sidecar/drainlistener.go
@@ -14,7 +14,7 @@
 	"gradeusher.example/gradeusher/internal/framing"
 )
 
-// drainListener goes on accepting for some time after it is told to stop.
+// drainListener goes on accepting for some time after drain is called.
 type drainListener struct {
 	*net.TCPListener
 	quietTime   time.Duration
@@ -37,11 +37,12 @@
 	return l.SetDeadline(time.Now())
 }
 
-// interrupt ends a wait in the kernel for a connection, so that whoever leaves meets the deadline.
+// interrupt ends a wait in the kernel for a connection, so that the listener meets its deadline.
 //
-// Danger: whether calls at a socket wait is told by what all who inherited it share, not by each one's descriptor. A platform that starts the
-// next process may make it wait meanwhile (as os/exec does with ExtraFiles), and who accepts just then waits where no
-// deadline reaches: told to leave, it would stay until the next client came, and take it. A signal has the system begin the call anew.
+// Whether calls at a socket wait depends on a flag that all who inherited it share, not on each one's descriptor. A platform that
+// starts the next process may make it wait meanwhile (as os/exec does with ExtraFiles), and a process that accepts just then
+// waits where no deadline reaches it: it would stay until the next client came, and take it. A signal has the system begin the
+// call anew.
 func (l *drainListener) interrupt() {
 	if raw, err := l.SyscallConn(); err == nil {
 		_ = raw.Control(func(fd uintptr) { _ = syscall.SetNonblock(int(fd), true) })
@@ -54,8 +55,8 @@
 	}
 }
 
-// Accept implements net.Listener. Danger: a deadline can pass with connections waiting, and closing the listener
-// resets them, so the end comes only after a round in which none was found.
+// Accept implements net.Listener. A deadline can pass with connections waiting, and closing the listener resets them, so the end
+// comes only after a round in which none was found.
 func (l *drainListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.AcceptTCP()
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -22,8 +22,8 @@
 	maxHandoverBytes = 1 << 20                // bytes of the file
 )
 
-// handover keeps what outlives a process: the ids of the servers that staff have taken out. Processes that stand beside
-// each other share it.
+// handover keeps what outlives a process: the ids of the servers that operators have taken out of service. Processes of one
+// sidecar that run at the same time share it.
 type handover struct {
 	path string // "": there is no common folder, and all is lost with the process
 	log  *slog.Logger
@@ -49,7 +49,7 @@
 	return f
 }
 
-// reload takes in the file if it is another than the one seen, and tells whether it was.
+// reload reads the file if it is another than the one seen, and reports whether it was.
 func (f *handover) reload() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -63,7 +63,7 @@
 	ids, read := f.read()
 	f.seen = info
 	if err = errors.Join(err, read); err != nil {
-		if f.lastError != err.Error() { // said once, not ten times a second
+		if f.lastError != err.Error() { // logged once, not ten times a second
 			f.lastError = err.Error()
 			f.log.Warn("handover", "err", err)
 		}
@@ -108,7 +108,7 @@
 	if f.path == "" {
 		return nil
 	}
-	// Danger: two processes that change the file at once would each undo what the other did.
+	// Two processes that change the file at once would each undo what the other did.
 	return sealed.Locked(f.path, true, func() error {
 		if now, err := f.read(); err == nil {
 			ids = now
--- a/internal/sidecar/hitters.go
+++ b/internal/sidecar/hitters.go
@@ -16,7 +16,7 @@
 // kindHitters is the kind of the states, among members, that are reports of package hitters.
 const kindHitters uint8 = 1
 
-// Hitters says by what clients are told apart. How they are judged is in the Balancer's settings.
+// Hitters says how clients are told apart. How heavy ones are found is in the Balancer's settings.
 type Hitters struct {
 	Header string // of a request, in canonical form
 	Salt   uint64 // of the keys: the same in all sidecars, and unknown to clients
@@ -97,7 +97,7 @@
 	}
 }
 
-// endHittersWindow ends a window, logs whose state has changed, and tells the members. The loop alone calls it.
+// endHittersWindow ends a window, logs whose state has changed, and publishes the report to the members. The loop alone calls it.
 func (h *host) endHittersWindow() {
 	own, changed := h.balancer.HeavyHitters().EndWindow(h.now)
 	for _, c := range changed {
@@ -116,7 +116,7 @@
 	}
 }
 
-// receiveHitters takes in the reports of other sidecars. What cannot be read is passed over.
+// receiveHitters receives the reports of other sidecars. What cannot be read is ignored.
 func (h *host) receiveHitters(c *Config) func(members.News) {
 	return func(n members.News) {
 		report, err := hitters.ParseReport(n.Payload)
@@ -129,7 +129,7 @@
 	}
 }
 
-// heavyInfo adds who is held for heavy to the figures, the share in thousandths, where that is looked for.
+// heavyInfo adds the heavy clients to the metrics, their share in thousandths, where they are looked for.
 func (s *server) heavyInfo(text *strings.Builder) {
 	var held []hitters.Client
 	var yielded uint64
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -13,8 +13,8 @@
 	"gradeusher.example/gradeusher/internal/sidecar/members"
 )
 
-// originAge is how far before the program's start the Balancer's clock begins. Danger: it takes a time of 0 or less for long
-// ago; a server that booted just before this program would pass for warm.
+// originAge is how far before the program's start the Balancer's clock begins. The Balancer takes a time of 0 or less for long
+// ago; a server that started just before this program would pass for warm.
 const originAge = 24 * time.Hour
 
 // host runs the Balancer. Its loop is the only goroutine that touches it; everything that happens is posted to it.
@@ -91,7 +91,7 @@
 	return driver, nil
 }
 
-// startFollowing has the host hear of members and follow what they, keepers and agents tell, until its context is done.
+// startFollowing joins the members and follows lists, route tables and reports, until the host's context is done.
 func (h *host) startFollowing(config *Config) error {
 	ctx := h.ctx
 	listen := map[uint8]func(members.News){kindSignals: h.receiveSignals}
@@ -113,7 +113,7 @@
 	case config.Registry != nil:
 		return h.followRegistry(ctx, config)
 	case !config.Settings.SubscribeToDiscovery:
-		// An agent that pushes tells all who listen.
+		// An agent that pushes its lists does so to all who listen.
 		h.moves = make(chan string, 1)
 		h.watchers.Add(1)
 		go func() {
@@ -150,7 +150,7 @@
 	}
 }
 
-// applyOutOfService tells the Balancer which servers staff have taken out. The loop alone calls it.
+// applyOutOfService hands the servers that operators have taken out to the Balancer. The loop alone calls it.
 func (h *host) applyOutOfService() { h.balancer.SetOutOfService(h.now, h.handover.out()) }
 
 // run is the loop. It ends with ctx.
--- a/internal/sidecar/memberreports.go
+++ b/internal/sidecar/memberreports.go
@@ -25,11 +25,11 @@
 // fleetState is what the loop knows of the members.
 type fleetState struct {
 	view         members.View
-	peers        map[string]balance.Peer // by name, as they last said
-	pendingSince balance.Time            // of the first change that the Balancer was not told; 0: it knows all
+	peers        map[string]balance.Peer // by name, as they last reported
+	pendingSince balance.Time            // of the first change that the Balancer does not know; 0: it knows all
 	lastChange   balance.Time            // change
 	published    signals.Report
-	publishedAt  balance.Time // when that was said
+	publishedAt  balance.Time // when that was
 	reportTTL    time.Duration
 }
 
@@ -40,7 +40,7 @@
 	}
 }
 
-// updateMembers takes in who is a member. The loop alone calls it, and what follows.
+// updateMembers notes who is a member. The loop alone calls it, and what follows.
 func (h *host) updateMembers(v members.View) {
 	for name := range h.fleet.peers {
 		if !slices.Contains(v.Names, name) {
@@ -52,7 +52,7 @@
 	h.fleet.changed(h.now)
 }
 
-// receiveSignals takes in what a member says of servers. What cannot be read is passed over.
+// receiveSignals receives what a member states of servers. What cannot be read is ignored.
 func (h *host) receiveSignals(news members.News) {
 	r, err := signals.Decode(news.Payload)
 	if err != nil {
@@ -81,7 +81,7 @@
 	})
 }
 
-// bootMS is a server process's start as sidecars tell each other; 0: not known.
+// bootMS is a server process's start as reports have it; 0: not known.
 func bootMS(boot time.Time) int64 {
 	if boot.IsZero() {
 		return 0
@@ -103,8 +103,8 @@
 	}
 }
 
-// updatePositions tells the Balancer the places of the members once they rest. Danger: in a fleet that starts each arrival would move
-// the subsets of all. One that is alone is as one that knows nobody.
+// updatePositions hands the members' positions to the Balancer once they have settled. In a fleet that starts, each arrival would
+// move the subsets of all. A sidecar that is alone is as one that knows nobody.
 func (h *host) updatePositions() {
 	state := &h.fleet
 	if state.pendingSince == 0 || h.now-state.lastChange < viewSettleTime && h.now-state.pendingSince < maxViewWait {
@@ -124,7 +124,7 @@
 	h.balancer.SetMembers(h.now, state.view.Place, peers)
 }
 
-// sameVerdicts tells whether two reports say the same of the same servers, of kinds from least on.
+// sameVerdicts reports whether two reports condemn the same servers for the same, of kinds from least on.
 func sameVerdicts(a, b []signals.Verdict, least signals.Kind) bool {
 	counts := func(v signals.Verdict) bool { return v.Kind >= least }
 	for _, pair := range [2][2][]signals.Verdict{{a, b}, {b, a}} {
@@ -137,7 +137,7 @@
 	return true
 }
 
-// publishReport tells the members what this sidecar saw of servers, and what it is.
+// publishReport publishes to the members what this sidecar saw of servers, and what it is.
 func (h *host) publishReport() {
 	state, report := &h.fleet, h.balancer.LocalReport(h.now)
 	same, grave := sameVerdicts(report.Verdicts, state.published.Verdicts, signals.None), sameVerdicts(report.Verdicts, state.published.Verdicts, signals.Failing)
@@ -145,8 +145,8 @@
 		same, grave = false, false
 		state.changed(h.now)
 	}
-	// What it condemns it says again within the bound, the more members there are the less often. Who fails to answer is said
-	// sooner. Danger: in a jam, what is full or slow changes all the time, and each word goes to all members.
+	// What it condemns it repeats within the TTL, the more members there are the less often. That a server does not answer is
+	// published sooner: in an overload, what is full or slow changes all the time, and each report goes to all members.
 	again, bound := quietInterval, state.reportTTL
 	if len(report.Verdicts)+len(state.published.Verdicts) > 0 {
 		again = min(max(repeatPerMember*time.Duration(state.view.Count), bound*35/100), bound*70/100)
--- a/internal/sidecar/members.go
+++ b/internal/sidecar/members.go
@@ -19,7 +19,7 @@
 	Advertise string        // where others reach it; "": at Listen
 	Join      []string      // hosts and ports of any members
 	Reach     string        // this machine reaches every member at this IP address, at the port of its own; "": at its own
-	ReportTTL time.Duration // news that is older counts for nothing
+	ReportTTL time.Duration // reports that are older count for nothing
 }
 
 // membersFile is the form of what the file says of members.
@@ -58,8 +58,8 @@
 	return members.Options{Name: name, Listen: m.Listen, Advertise: m.Advertise, Join: m.Join, Reach: m.Reach, Bound: m.ReportTTL}
 }
 
-// joinMembers has the host be a member until ctx is done. listen maps the kinds of news to who takes them in; they are called by
-// one goroutine that is not the loop.
+// joinMembers has the host be a member until ctx is done. listen maps the kinds of messages to their handlers, which are called
+// by one goroutine that is not the loop.
 func (h *host) joinMembers(ctx context.Context, config *Config, listen map[uint8]func(members.News)) error {
 	options := config.Members.options(config.Name)
 	options.Log = slog.New(h.log.Handler())
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// membersInfo adds who is a member to the figures, where that is known.
+// membersInfo adds the members to the metrics, where they are known.
 func (s *server) membersInfo(text *strings.Builder) {
 	if s.host.members != nil {
 		v := s.host.members.View()
--- a/internal/sidecar/registry.go
+++ b/internal/sidecar/registry.go
@@ -10,8 +10,8 @@
 	fleet "gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
-// followRegistry has the loop take in the list that keepers hold, until ctx is done. What a process before this one held goes before
-// what the configuration knows: it is newer.
+// followRegistry has the loop apply the registry's list, until ctx is done. What a process before this one cached takes
+// precedence over what the configuration knows: it is newer.
 func (h *host) followRegistry(ctx context.Context, c *Config) error {
 	k := c.Registry
 	var err error
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -42,19 +42,19 @@
 	if !ok {
 		return bad("X-Priority-Class is missing or unknown")
 	}
-	// Danger: a request sent with less care than its class needs could take effect twice.
+	// A request sent with less care than its class needs could take effect twice.
 	effect := s.config.Settings.Classes[class].Effect
 	if r.Method == http.MethodGet && effect != balance.Idempotent {
 		return nil, &requestError{http.StatusMethodNotAllowed, "the class is not safe to repeat", http.MethodPost}
 	}
-	// Danger: a server that expects no body behind a GET takes it for the next request.
+	// A server that expects no body after a GET takes it for the next request.
 	if r.Method == http.MethodGet && r.ContentLength != 0 {
 		return bad("a GET has no body")
 	}
 	if parsed.key == "" && effect == balance.Deduplicated {
 		return bad("Idempotency-Key is missing")
 	}
-	// Danger: a number that overflows a duration would be a deadline that is long past.
+	// A number that overflows a duration would be a deadline that is long past.
 	ms, err := strconv.ParseUint(r.Header.Get("X-Timeout-Ms"), 10, 31)
 	if err != nil {
 		return bad("X-Timeout-Ms is no number of milliseconds")
@@ -71,7 +71,7 @@
 // write writes the final answer, and fails if the client is gone.
 func (a answer) write(w http.ResponseWriter) error {
 	status, body := http.StatusOK, a.body
-	// Danger: a guessed type or a chunked body would be another answer than the server's.
+	// A guessed type or a chunked body would be another answer than the server's.
 	w.Header()["Content-Type"] = nil
 	switch a.kind {
 	case served:
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -10,16 +10,16 @@
 	"gradeusher.example/gradeusher/internal/sidecar/client"
 )
 
-// routing is the route table that keepers hold, as this sidecar follows it. The loop alone touches what follows follower.
+// routing is the registry's route table, as this sidecar follows it. The loop alone touches what follows follower.
 type routing struct {
 	follower *client.RouteFollower // nil: this sidecar goes by its own rules
 
 	applied   int64 // the generation that the Balancer goes by; 0: its own rules
-	isPending bool  // a later one is held, which it does not go by
+	isPending bool  // a later one is known, which it does not go by
 }
 
-// followRoutes has the loop take in the route table, cut for this sidecar, until ctx is done. What a process before this one
-// held is taken up before anything else.
+// followRoutes has the loop apply the route table, as far as it concerns this sidecar, until ctx is done. What a process before
+// this one cached is applied before anything else.
 func (h *host) followRoutes(ctx context.Context, c *Config) (err error) {
 	if c.Registry == nil || !c.Registry.Routes {
 		return nil
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// move has the routes of other keepers followed, which are known to be addresses.
+// move follows the routes of other nodes, which are known to be addresses.
 func (r *routing) move(address string) {
 	if r.follower != nil {
 		_ = r.follower.Move(strings.Split(address, ",")) // as for the list, which says what is wrong
@@ -73,7 +73,7 @@
 	return r.applied
 }
 
-// routesInfo adds which generation is held, which one the Balancer goes by, and what came of following.
+// routesInfo adds to the metrics which generation is known, which one the Balancer goes by, and what following came to.
 func (s *server) routesInfo(text *strings.Builder) {
 	h, applied := s.host, int64(0)
 	if h.routing.follower == nil || !h.ask(func() { applied = h.generation() }) {
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -28,11 +28,11 @@
 type server struct {
 	host          *host
 	config        *Config
-	maxPending    atomic.Int64 // requests held at once
+	maxPending    atomic.Int64 // bound of pending
 	connections   *connLimiter
 	shuttingDown  atomic.Bool    // for good
 	shutdown      *shutdownClock // when that began
-	drainingSince atomic.Int64   // since when, in nanoseconds of Unix time, until staff end it; 0: not
+	drainingSince atomic.Int64   // since when, in nanoseconds of Unix time, until operators end it; 0: not
 	active        atomic.Int64   // handlers at work
 	pending       atomic.Int64   // requests
 	counts        *counts
@@ -56,7 +56,7 @@
 	s.host.upstream.budget.limit.Store(budgetOf(s.config.MemoryMB) / int64(parts))
 }
 
-// shareLimits keeps to half of the limits while another process stands beside this one.
+// shareLimits keeps to half of the limits while another process of this sidecar runs.
 func (s *server) shareLimits(beside bool) {
 	parts := 1
 	if beside {
@@ -80,7 +80,7 @@
 	defer s.active.Add(-1)
 	s.askToClose(w)
 	conn := http.NewResponseController(w)
-	// Danger: a client that does not read its answer would hold its connection for good.
+	// A client that does not read its answer would hold its connection for good.
 	if err := conn.SetWriteDeadline(time.Now().Add(stallTimeout)); err != nil {
 		return
 	}
@@ -272,7 +272,7 @@
 	f.write(w)
 }
 
-// bodyError is the answer to a client whose body has not come whole.
+// bodyError is the answer to a client whose body has not arrived completely.
 func bodyError(err error) *requestError {
 	switch long := new(http.MaxBytesError); {
 	case errors.As(err, &long):
@@ -290,7 +290,7 @@
 	defer f.abandon()
 	stop := context.AfterFunc(r.Context(), f.abandon)
 	defer stop()
-	// Danger: a guessed type would be another answer than the server's.
+	// A guessed type would be another answer than the server's.
 	w.Header()["Content-Type"] = nil
 	if f.contentType != "" {
 		w.Header().Set("Content-Type", f.contentType)
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -17,13 +17,13 @@
 
 var errTooLate = errors.New("this process ends too soon")
 
-// shutdownClock knows when this process will be killed, once it was told to leave.
+// shutdownClock knows when this process will be killed, once it is to shut down.
 //
-// Danger: a request that is written slowly may come whole when its answer cannot any more, and is lost if it is killed then.
-// One that has a final answer is not, and one that is refused while no server has it whole can be made again at once.
+// A request that is written slowly may be complete when its answer cannot be any more, and is lost if the process is killed then.
+// One that has a final answer is not, and one that is refused while no server has it completely can be retried at once.
 type shutdownClock struct {
 	longestDeadline time.Duration // that a client waits
-	since           atomic.Int64  // nanoseconds of Unix time; 0: not told
+	since           atomic.Int64  // when the shutdown began, in nanoseconds of Unix time; 0: it has not
 }
 
 func (l *shutdownClock) init(classes []balance.Class) {
@@ -47,7 +47,7 @@
 	return end
 }
 
-// isLate tells whether what comes whole now has come too isLate.
+// isLate reports whether a request that is complete now has come too late.
 func (l *shutdownClock) isLate(now time.Time) bool {
 	return l.bound(now.Add(minAnswerTime)).Before(now.Add(minAnswerTime))
 }
--- a/internal/sidecar/snapshotfile.go
+++ b/internal/sidecar/snapshotfile.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	snapshotInterval = time.Second // what is believed is written, while requests come
+	snapshotInterval = time.Second // a snapshot is written, while requests come
 	maxSnapshotBytes = 4 << 20     // bytes of the file
 )
 
 var snapshotKind = sealed.Kind{Magic: "gradeusher-beliefs", Form: 1, Needs: 1}
 
-// snapshotFile is the file in which a process leaves what it believes of its servers to the next one. Danger: a new process that takes all
-// servers for idle and sound sends to those that are full or broken until it has learnt better, and a restart makes all
-// sidecars new ones.
+// snapshotFile is the file in which a process leaves what it learned of its servers to the next one. A new process that takes all
+// servers for idle and sound sends to those that are full or broken until it has learned better, and a restart makes all sidecars
+// new ones.
 //
-// Both processes of an upgrade write it. The later one's word stands: the earlier one, which ends last, has heard of less since.
+// Both processes of an upgrade write it. What the later one wrote stands: the earlier one, which ends last, has seen less since.
 type snapshotFile struct {
 	sealed.Cell[storedSnapshot]
 	log       *slog.Logger
@@ -34,7 +34,7 @@
 // storedSnapshot is the file's form. Times in it are of the wall clock, in ns of Unix time, as each process's own begins elsewhere; 0: long ago.
 type storedSnapshot struct {
 	Saved int64 `json:"saved_ns"`
-	Began int64 `json:"began_ns"` // the process that saved it; 0: one from before this was told
+	Began int64 `json:"began_ns"` // the process that saved it; 0: one from before this was recorded
 	balance.Snapshot
 }
 
@@ -44,8 +44,8 @@
 	return &snapshotFile{Cell: sealed.Cell[storedSnapshot]{Path: path, Kind: snapshotKind, Most: maxSnapshotBytes}, log: log}
 }
 
-// load is what was left, in times from an origin on, and when. It tells false where there is nothing sound. What is unsound as this process
-// begins is named in the log and set aside; later it is another's to judge.
+// load reads what was left, in times from an origin on, and when. It reports false where there is nothing valid. What is invalid
+// as this process begins is named in the log and quarantined; later it is another's to judge.
 func (k *snapshotFile) load(origin time.Time) (balance.Snapshot, time.Time, bool) {
 	b, err := k.Read()
 	ok := err == nil
@@ -64,7 +64,7 @@
 	return shiftStarts(b.Snapshot, -origin.UnixNano()), time.Unix(0, b.Saved), true
 }
 
-// save replaces what was left, unless by a process that began later, or by a later program. Danger: a disk may hold a process up with the
+// save replaces what was left, unless by a process that began later, or by a later program. A disk may hold a process up with the
 // lock taken, and the end of this one must not wait for it; so what is left meanwhile is that one's.
 func (k *snapshotFile) save(b balance.Snapshot, origin, now time.Time) error {
 	err := sealed.Locked(k.Path, false, func() error {
@@ -94,8 +94,8 @@
 	return b
 }
 
-// restoreSnapshot has the Balancer believe what the process before this one did, as long as no request has come. The loop alone calls it, or nobody
-// else does yet.
+// restoreSnapshot has the Balancer take over what the process before this one learned, as long as no request has come. The loop
+// alone calls it, or nobody else does yet.
 func (h *host) restoreSnapshot() {
 	if h.snapshots == nil || h.lastID > 0 {
 		return
@@ -108,8 +108,8 @@
 	}
 }
 
-// saveSnapshots writes what is believed, every snapshotInterval while requests come and once more when stop is done. Danger: a disk may take any
-// time, in which the loop must go on.
+// saveSnapshots writes what was learned, every snapshotInterval while requests come and once more when stop is done. A disk may
+// take any time, in which the loop must go on.
 func (h *host) saveSnapshots(stop context.Context) {
 	tick := time.NewTicker(snapshotInterval)
 	defer tick.Stop()
--- a/internal/sidecar/uploadbody.go
+++ b/internal/sidecar/uploadbody.go
@@ -16,7 +16,7 @@
 const (
 	maxBodyBytes          = 32 << 20                // bytes of a request's body
 	minBodyBytesPerSecond = 48 << 10                // bytes a second that a client must send of one
-	headTimeout           = 2700 * time.Millisecond // a head must be whole, from its connection or its first byte
+	headTimeout           = 2700 * time.Millisecond // for a complete head, from its connection or its first byte
 	minBodyGrace          = 800 * time.Millisecond  // behind the head
 	bodyStallTimeout      = 2600 * time.Millisecond // a client may send nothing of a body
 	lingerTimeout         = 3 * time.Second         // the rest of a body is read behind an answer that does not wait for it
@@ -25,16 +25,16 @@
 
 var errStopped = errors.New("nobody reads it any more")
 
-// pacedBody reads a client's body as long as that makes progress. Danger: a bound on the whole would cut off long bodies that
-// come slowly, and none would let a peer hold its connection for good.
+// pacedBody reads a client's body as long as that makes progress. A bound on all of it would cut off long bodies that come
+// slowly, and none would let a peer hold its connection for good.
 type pacedBody struct {
 	body            io.Reader
 	conn            *http.ResponseController
 	shutdown        *shutdownClock
 	timeLeft        time.Duration // that may still be waited, besides what the next bytes earn
 	received        int64         // bytes that came
-	expectsContinue bool          // the client waits for a word before it sends any
-	ended           bool          // it has come whole, or has failed
+	expectsContinue bool          // the client waits for an interim answer before it sends any
+	ended           bool          // it is complete, or has failed
 }
 
 // newPacedBody begins with what is left of a head's time: a peer that stops half way in a body has not more time than one that
@@ -73,8 +73,8 @@
 	return count, err
 }
 
-// linger reads what is left of a body for a while. Danger: closing with something unread resets the connection, and the
-// answer may be lost with it.
+// linger reads what is left of a body for a while. Closing with something unread resets the connection, and the answer may be
+// lost with it.
 func (p *pacedBody) linger() {
 	if p.ended || p.expectsContinue && p.received == 0 || p.conn.Flush() != nil {
 		return
@@ -140,14 +140,14 @@
 	return err
 }
 
-// isComplete tells whether all of it has been read.
+// isComplete reports whether all of it has been read.
 func (u *upload) isComplete() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return errors.Is(u.err, io.EOF)
 }
 
-// hasFailed tells whether the client's side hasFailed.
+// hasFailed reports whether the client's side failed.
 func (u *upload) hasFailed() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -25,7 +25,7 @@
 	idlePerSockets = 64                    // one idle connection to each server for so many descriptors
 	// A machine that vanishes is not back within minOutage: a connection that idled less has not outlived one.
 	minOutage          = 50 * time.Millisecond
-	answerDrainTimeout = 50 * time.Millisecond // the body must come of an answer that has said all in its header
+	answerDrainTimeout = 50 * time.Millisecond // for the body of an answer that has said all in its header
 )
 
 // message is a client's request as servers get it.
@@ -40,7 +40,7 @@
 	length      int64         // of both, where there is a rest; -1: not known
 	timeout     time.Duration // for the answer, from when all of the body has come
 
-	relayed *atomic.Int64 // counts the attempts written whole; nil: nobody counts
+	relayed *atomic.Int64 // counts the attempts written completely; nil: nobody counts
 }
 
 // reply is how an attempt ended. body and ctype are those of a Served one.
@@ -72,13 +72,13 @@
 }
 
 func newUpstream(connect, idleClose time.Duration, sockets int, n *counts, room *byteBudget) *upstream {
-	// Danger: a server closes a connection that has idled too long, and what crosses that close is a reset that may
-	// have run. Half the server's time keeps well clear of it.
+	// A server closes a connection that has idled too long, and what crosses that close is a reset that may have run. Half the
+	// server's time keeps well clear of it.
 	return &upstream{connect: connect, idle: idleClose / 2, maxIdle: max(sockets/idlePerSockets, 2),
 		minOutage: minOutage, counts: n, budget: room, targets: map[string]*target{}}
 }
 
-// update takes in a list: where each server listens now.
+// update applies a list: where each server listens now.
 func (u *upstream) update(list List) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -86,7 +86,7 @@
 	for _, e := range list.Targets {
 		listed[e.ID] = e.State != balance.Removed
 		old := u.targets[e.ID]
-		// Danger: idle connections to a former process or address swallow the next requests.
+		// Idle connections to a former process or address would swallow the next requests.
 		if old != nil && (!listed[e.ID] || old.address != e.Address || !old.boot.Equal(e.Boot)) {
 			u.drop(e.ID)
 			old = nil
@@ -265,9 +265,9 @@
 	}
 }
 
-// request makes the HTTP request of one attempt. Danger: http.Transport by itself sends again what it takes for safe
-// to repeat, when a reused connection breaks: an attempt nobody ordered. It never does that to a request that has a
-// body and no GetBody, so even an empty body is given as one.
+// request makes the HTTP request of one attempt. http.Transport by itself sends again what it takes for safe to retry, when a
+// reused connection breaks: an attempt nobody ordered. It never does that to a request that has a body and no GetBody, so even an
+// empty body is given as one.
 func (m *message) request(address string) *http.Request {
 	header := http.Header{"X-Request-Id": {m.id}, "User-Agent": nil}
 	if m.key != "" {
@@ -288,8 +288,8 @@
 	return req
 }
 
-// read takes an answer in, or passes it to begin and returns when it has ended; stop ends the attempt. It fails if a 200
-// does not come whole; other answers have said all in their header.
+// read receives an answer, or passes it to begin and returns when it has ended; stop ends the attempt. It fails if a 200 is not
+// complete; other answers have said all in their header.
 func (u *upstream) read(resp *http.Response, begin func(*answerStream), stop func()) (reply, error) {
 	if resp.StatusCode == http.StatusOK {
 		f := newAnswerStream(resp.ContentLength, resp.Header.Get("Content-Type"), u.budget, begin)
@@ -303,8 +303,8 @@
 		}
 		return reply{outcome: balance.Served, body: body, contentType: f.contentType}, err
 	}
-	// Danger: a body that never ends, or another protocol's bytes, would keep what the header says from the client.
-	// A short one is worth the wait, as its connection can then be used again.
+	// A body that never ends, or another protocol's bytes, would keep what the header says from the client. A short one is worth
+	// the wait, as its connection can then be used again.
 	enough := time.AfterFunc(answerDrainTimeout, func() { _ = resp.Body.Close() })
 	defer enough.Stop()
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxHeldBytes))
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -11,17 +11,15 @@
 	"gradeusher.example/gradeusher/balance"
 )
 
-// Here is how the list of servers comes to the Balancer.
-
 const (
 	// A watch that ended is opened again after minBackoff, and after twice as long each time that nothing comes.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = time.Second
-	noVersion  = -1 // no list is held
+	noVersion  = -1 // there is no list
 )
 
-// moveTo has discovery, or other keepers, asked at another address from now on. The loop alone calls it. Of several that come at once the
-// last counts.
+// moveTo has discovery, or the registry, asked at another address from now on. The loop alone calls it. Of several that come at
+// once the last counts.
 func (h *host) moveTo(address string) {
 	if h.registry != nil {
 		h.log.Info("keepers move", "to", address)
@@ -33,8 +31,8 @@
 	}
 	h.log.Info("discovery moves", "to", address)
 	if h.moves == nil {
-		// Danger: the Balancer asks again some seconds after a call that failed, and what the new address has to tell counts
-		// as told 4 s from now. So it is asked from here; with a pause, as all sidecars are told to move at once.
+		// The Balancer asks again some seconds after a call that failed, and what the new address has to say counts as published
+		// 4 s from now. So it is asked from here; with a pause, as all sidecars move at once.
 		if h.nextAddress = address; !h.watching {
 			h.watching = true
 			h.openWatchAtNext()
@@ -49,7 +47,7 @@
 	h.moves <- address
 }
 
-// Subscribe opens a watch, if none is open. The Balancer asks for another only once it was told that the last one ended.
+// Subscribe opens a watch, if none is open. The Balancer asks for another only once it knows that the last one ended.
 func (h *host) Subscribe() {
 	if h.watching {
 		return // since a move
@@ -95,8 +93,8 @@
 
 var errStaleList = errors.New("the list went back: it is read again")
 
-// watch has the loop take in what a watch tells, until it ends; a list that is doubted ends it when that is to be read again. came is
-// called for each list. Watches come one after the other: the one that is open has the ledger.
+// watch has the loop apply the lists of a watch, until it ends; a stale list ends it when that is to be read again. came is
+// called for each list. Watches come one after the other: the one that is open has the table.
 func (h *host) watch(ctx context.Context, from int64, first time.Duration, came func()) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -131,12 +129,12 @@
 	return err
 }
 
-// reload moves to where discovery is each time that told says so, until ctx is done. A configuration that cannot be read
+// reload moves to where discovery is each time that signals delivers, until ctx is done. A configuration that cannot be read
 // changes nothing.
-func (h *host) reload(ctx context.Context, told <-chan os.Signal, discoveryAt func() (string, error)) {
+func (h *host) reload(ctx context.Context, signals <-chan os.Signal, discoveryAt func() (string, error)) {
 	for {
 		select {
-		case <-told:
+		case <-signals:
 			address, err := discoveryAt()
 			if err != nil {
 				h.log.Error("reload", "err", err)
@@ -246,9 +244,9 @@
 	}
 }
 
-// awaitAgent waits until an agent has told what it has, at most for some time, or until stop is done.
+// awaitAgent waits until an agent has sent its list, at most for some time, or until stop is done.
 //
-// Danger: what the agent has counts as told from the first moment, and a new process holds an old list. One that says nothing
+// What the agent has counts as published from the first moment, and a new process has an old list. An agent that says nothing
 // must not keep requests from servers for long, though: clients connect, and wait.
 func (h *host) awaitAgent(stop context.Context, atMost time.Duration) {
 	timer := time.NewTimer(atMost)
@@ -261,8 +259,8 @@
 	}
 }
 
-// jitter is a time from half of the pause up to all of it. Danger: sidecars whose watches end together, as when what they
-// ask is overbooked, would ask again together, each time.
+// jitter is a time from half of the pause up to all of it. Sidecars whose watches end together, as when what they ask is
+// overbooked, would ask again together, each time.
 func jitter(pause time.Duration) time.Duration { return pause/2 + rand.N(pause/2) }
 
 // applyList hands a applyList to the connections and to the Balancer, in this order: what it sends next must find its address.
