--- a/internal/compat/settings_test.go
+++ b/internal/compat/settings_test.go
@@ -115,11 +115,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Known.Targets[0].Boot = c.Known.Targets[0].Boot.UTC()
-	if got := c.Known.Targets[0].Boot.UnixMilli(); got != 45 {
+	c.Known.Targets[0].Started = c.Known.Targets[0].Started.UTC()
+	if got := c.Known.Targets[0].Started.UnixMilli(); got != 45 {
 		t.Errorf("boot at %d", got)
 	}
-	c.Known.Targets[0].Boot = time.Time{}
+	c.Known.Targets[0].Started = time.Time{}
 	golden(t, "sidecar_read.txt", []byte(strings.Join(leaves(reflect.ValueOf(c), nil), "\n")+"\n"))
 	if c.Name != "n7" || c.Listen != "127.0.0.1:7101" || c.Discovery != "127.0.0.1:7102" || c.Control != "127.0.0.1:7103" || c.InheritedFD != 5 {
 		t.Errorf("%+v", c)
--- a/internal/sidecar/answer_test.go
+++ b/internal/sidecar/answer_test.go
@@ -116,7 +116,7 @@
 func TestClientGone(t *testing.T) {
 	closed := make(chan bool, 1)
 	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		silent(c, r, body)
+		neverAnswer(c, r, body)
 		closed <- true
 		return false
 	})
--- a/internal/sidecar/answerstream.go
+++ b/internal/sidecar/answerstream.go
@@ -71,7 +71,7 @@
 
 func newAnswerStream(length int64, ctype string, room *byteBudget, begin func(*answerStream)) *answerStream {
 	f := &answerStream{length: length, contentType: ctype, budget: room, begin: begin}
-	if 0 < length && length <= maxHeldBytes {
+	if 0 < length && length <= maxBufferedBytes {
 		f.pending = make([]byte, 0, length)
 	}
 	f.moved.L = &f.mu
@@ -94,7 +94,7 @@
 // receive takes the answer in, and returns it if it came to its end before it began to flow.
 func (f *answerStream) receive(body io.Reader) (whole []byte, err error) {
 	defer f.releaseBudget()
-	if f.begin != nil && f.length > maxHeldBytes {
+	if f.begin != nil && f.length > maxBufferedBytes {
 		f.start()
 	} else if f.begin != nil && f.length < 0 {
 		hold := time.AfterFunc(holdTime, f.start)
@@ -123,7 +123,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.started {
-		if len(f.pending)+len(chunk) > maxHeldBytes || !f.budget.reserve(len(chunk)) {
+		if len(f.pending)+len(chunk) > maxBufferedBytes || !f.budget.reserve(len(chunk)) {
 			return false
 		}
 		f.reserved += len(chunk)
--- a/internal/sidecar/answerstream_test.go
+++ b/internal/sidecar/answerstream_test.go
@@ -16,7 +16,7 @@
 )
 
 // long is a text that is not held.
-var long = strings.Repeat("0123456789abcdef", 3*maxHeldBytes/16)
+var long = strings.Repeat("0123456789abcdef", 3*maxBufferedBytes/16)
 
 // forms are the ways to frame an answer: its head, a piece of its body, its end.
 var forms = map[string]struct {
@@ -71,7 +71,7 @@
 		for _, proto := range []string{"1.0", "1.1"} {
 			t.Run(name+" "+proto, func(t *testing.T) {
 				b := startBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
-					_, _ = fmt.Fprint(c, "HTTP/1.1 200 X\r\n"+form.head+form.piece(long[:2*maxHeldBytes]))
+					_, _ = fmt.Fprint(c, "HTTP/1.1 200 X\r\n"+form.head+form.piece(long[:2*maxBufferedBytes]))
 					return false
 				})
 				p, call := operator(t, configText(startRegistry(t).address, serving(1, b, b), testSettings))
@@ -133,8 +133,8 @@
 	}
 }
 
-// TestHeldAnswers has the budget run out: what is short then flows too, and what was booked is given back.
-func TestHeldAnswers(t *testing.T) {
+// TestBufferedAnswers has the budget run out: what is short then flows too, and what was booked is given back.
+func TestBufferedAnswers(t *testing.T) {
 	room := newByteBudget(10)
 	for _, test := range []struct {
 		text  string
@@ -166,7 +166,7 @@
 	ended := make(chan bool, 1)
 	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\nbegin", len(long))
-		silent(c, r, body)
+		neverAnswer(c, r, body)
 		ended <- true
 		return false
 	})
@@ -223,9 +223,9 @@
 			if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != http.StatusContinue { //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 				t.Fatal(resp, err)
 			}
-			_, _ = fmt.Fprint(c, form.piece(long[:2*maxHeldBytes]))
+			_, _ = fmt.Fprint(c, form.piece(long[:2*maxBufferedBytes]))
 			within(t, first, "first bytes")
-			_, _ = fmt.Fprint(c, form.piece(long[2*maxHeldBytes:])+form.end)
+			_, _ = fmt.Fprint(c, form.piece(long[2*maxBufferedBytes:])+form.end)
 			if got := within(t, whole, "body"); got != long {
 				t.Errorf("%d bytes came of %d", len(got), len(long))
 			}
@@ -248,7 +248,7 @@
 				return
 			}
 			attempts.Add(1)
-			_, _ = io.CopyN(io.Discard, c, 2*maxHeldBytes)
+			_, _ = io.CopyN(io.Discard, c, 2*maxBufferedBytes)
 			_ = c.(*net.TCPConn).SetLinger(0)
 			_ = c.Close()
 		}
--- a/internal/sidecar/compat_test.go
+++ b/internal/sidecar/compat_test.go
@@ -9,15 +9,15 @@
 	"testing"
 )
 
-const beliefsText = `{"saved_ns":1700000000123000000,"began_ns":1700000000000000001,"near":0.5,"idle":0.25,"arrived":12.5,"tight":7000000000,` +
+const snapshotText = `{"saved_ns":1700000000123000000,"began_ns":1700000000000000001,"near":0.5,"idle":0.25,"arrived":12.5,"tight":7000000000,` +
 	`"work":[0.125,2],"groups":[{"took":1.5,"held":2.5}],"endpoints":[{"id":"s-1","started":1699999990000000000,` +
 	`"cold":1699999995000000000,"took":3.5,"held":4.5,"fresh":5.5,"faults":6.5,"due":7.5,"out":8000000000}]}`
 
-// TestBeliefsFile: what a sidecar of an earlier version believed is read by this one, and written in the same form.
-func TestBeliefsFile(t *testing.T) {
+// TestSnapshotFormat: what a sidecar of an earlier version believed is read by this one, and written in the same form.
+func TestSnapshotFormat(t *testing.T) {
 	const file = "../compat/testdata/sealed/beliefs-n7.kept"
 	var b storedSnapshot
-	if err := json.Unmarshal([]byte(beliefsText), &b); err != nil {
+	if err := json.Unmarshal([]byte(snapshotText), &b); err != nil {
 		t.Fatal(err)
 	}
 	dir, quiet := t.TempDir(), slog.New(slog.DiscardHandler)
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again, err := json.Marshal(read); err != nil || string(again) != beliefsText {
+	if again, err := json.Marshal(read); err != nil || string(again) != snapshotText {
 		t.Errorf("read as %s: %v", again, err)
 	}
 }
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -33,7 +33,7 @@
 		c.Limits.ConnectTimeout != 5*time.Second || c.Limits.MostHeld != 20000 || c.Sockets != 1024 {
 		t.Errorf("configuration %+v", c)
 	}
-	if k := c.Known; k.Version != 4 || len(k.Targets) != 1 || !k.Targets[0].Boot.Equal(time.UnixMilli(5)) {
+	if k := c.Known; k.Version != 4 || len(k.Targets) != 1 || !k.Targets[0].Started.Equal(time.UnixMilli(5)) {
 		t.Errorf("known %+v", k)
 	}
 	for _, test := range []struct{ old, new, want string }{
--- a/internal/sidecar/connlimiter_test.go
+++ b/internal/sidecar/connlimiter_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestHoard has a peer take connections that it leaves idle: they go, longest idle first, and no busy one is asked to.
-func TestHoard(t *testing.T) {
+// TestHoardedConns has a peer take connections that it leaves idle: they go, longest idle first, and no busy one is asked to.
+func TestHoardedConns(t *testing.T) {
 	w := newConnLimiter(48) // 24 and 28
 	var idle, busy []*closer
 	for i := range 24 {
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestNoRoom has connections come of which none has idled: those that sent nothing for long give way, then none is let in.
-func TestNoRoom(t *testing.T) {
+// TestMaxConns has connections come of which none has idled: those that sent nothing for long give way, then none is let in.
+func TestMaxConns(t *testing.T) {
 	w := newConnLimiter(48)
 	silent := &closer{}
 	w.observeState(silent, http.StateNew)
@@ -132,8 +132,8 @@
 	}
 }
 
-func TestMostHeld(t *testing.T) {
-	b := startBackend(t, silent)
+func TestMaxPending(t *testing.T) {
+	b := startBackend(t, neverAnswer)
 	settings := strings.Replace(testSettings, `"most_held":20000`, `"most_held":1`, 1)
 	p := start(t, configText(startRegistry(t).address, serving(1, b), settings))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -147,8 +147,8 @@
 	within(t, ended, "end")
 }
 
-// TestCrowd has clients hold more connections than the descriptors bear: they are asked to close them.
-func TestCrowd(t *testing.T) {
+// TestOverloadAsksToClose has clients hold more connections than the descriptors bear: they are asked to close them.
+func TestOverloadAsksToClose(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	config := strings.Replace(configText(startRegistry(t).address, serving(1, b), testSettings), `"sockets":1024`, `"sockets":64`, 1)
 	p := start(t, config)
--- a/internal/sidecar/counts_test.go
+++ b/internal/sidecar/counts_test.go
@@ -55,7 +55,7 @@
 		case "full":
 			return say(503, "X-Not-Processed: 1\r\n", "")(c, r, body)
 		case "silent":
-			return silent(c, r, body)
+			return neverAnswer(c, r, body)
 		}
 		return say(200, "", "ok")(c, r, body)
 	})
--- a/internal/sidecar/deadline_test.go
+++ b/internal/sidecar/deadline_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestDeadline(t *testing.T) {
-	b := startBackend(t, silent)
+	b := startBackend(t, neverAnswer)
 	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
 	for _, test := range []struct {
 		class  string
@@ -44,7 +44,7 @@
 
 func newTestCall(t *testing.T, class string) *testCall {
 	t.Helper()
-	b := startBackend(t, silent)
+	b := startBackend(t, neverAnswer)
 	c, err := load(t, configText("127.0.0.1:9", serving(1, b), testSettings))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// watchSilenceTimeout is how long a watch may be silent: discovery writes at least an empty line every 2 s. A machine that is
+	// watchTimeout is how long a watch may be silent: discovery writes at least an empty line every 2 s. A machine that is
 	// cut off says nothing, and the old list would be believed for good. What discovery has to say counts as published
 	// publishedWithin after it fell silent all the same, so a new watch must have had the time to get it by then.
-	watchSilenceTimeout = 4500 * time.Millisecond
-	publishedWithin     = 6 * time.Second
-	// agentSilenceTimeout is that of an agent on the own machine. It answers at no cost, so that one that was only late is no loss;
+	watchTimeout    = 4500 * time.Millisecond
+	publishedWithin = 6 * time.Second
+	// agentWatchTimeout is that of an agent on the own machine. It answers at no cost, so that one that was only late is no loss;
 	// and a new watch may be silent too, which must leave time for one more.
-	agentSilenceTimeout = 3500 * time.Millisecond
-	agentFirstTimeout   = time.Second
-	maxListBytes        = 4 << 20 // bytes of a list of a watch
+	agentWatchTimeout = 3500 * time.Millisecond
+	agentFirstTimeout = time.Second
+	maxListBytes      = 4 << 20 // bytes of a list of a watch
 )
 
 // Target is one server of discovery's list.
@@ -39,7 +39,7 @@
 	Cell    int
 	State   balance.State
 	Size    float64
-	Boot    time.Time // when it last started; zero: long ago
+	Started time.Time // when it last started; zero: long ago
 }
 
 // List is what discovery says at once: all servers, or those that changed.
@@ -96,7 +96,7 @@
 			}
 		}
 		if item.BootMS > 0 {
-			t.Boot = time.UnixMilli(item.BootMS)
+			t.Started = time.UnixMilli(item.BootMS)
 		}
 		list.Targets = append(list.Targets, t)
 	}
@@ -104,29 +104,29 @@
 }
 
 var (
-	errBadList = errors.New("bad list")
-	errSilent  = errors.New("silent")
+	errBadList  = errors.New("bad list")
+	errTimedOut = errors.New("silent")
 
 	errWatchEnded = errors.New("ended")
 )
 
 // discovery is the client of the list of servers.
 type discovery struct {
-	address        atomic.Value // string
-	client         *http.Transport
-	silenceTimeout time.Duration
-	firstTimeout   time.Duration // for an agent's complete list; twice as long each time that it says nothing
+	address      atomic.Value // string
+	client       *http.Transport
+	watchTimeout time.Duration
+	firstTimeout time.Duration // for an agent's complete list; twice as long each time that it says nothing
 }
 
 // newDiscovery is the client of the list at an address; pushed: an agent answers there at once and at no cost.
 func newDiscovery(address string, connect time.Duration, pushed bool) *discovery {
-	d := &discovery{silenceTimeout: watchSilenceTimeout, firstTimeout: agentFirstTimeout, client: &http.Transport{
+	d := &discovery{watchTimeout: watchTimeout, firstTimeout: agentFirstTimeout, client: &http.Transport{
 		DialContext:        (&net.Dialer{Timeout: max(connect, time.Second)}).DialContext,
 		DisableCompression: true,
 		DisableKeepAlives:  true, // a watch lasts as long as its connection
 	}}
 	if pushed {
-		d.silenceTimeout = agentSilenceTimeout
+		d.watchTimeout = agentWatchTimeout
 	}
 	d.address.Store(address)
 	return d
@@ -134,12 +134,12 @@
 
 // watch asks for the changes after version from (below 0: for the complete list) and hands each list to onList, until the watch
 // ends. The first list has to come within first, or as soon as any other where that is 0. It always returns an error, which says
-// why; one that wraps errSilent: nothing came for too long.
+// why; one that wraps errTimedOut: nothing came for too long.
 func (d *discovery) watch(ctx context.Context, from int64, first time.Duration, onList func(List)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	first = cmp.Or(first, d.silenceTimeout)
-	silence := &silenceTimer{cancel: cancel}
+	first = cmp.Or(first, d.watchTimeout)
+	silence := &watchTimer{cancel: cancel}
 	silence.start(first)
 	defer func() { silence.timer.Stop() }()
 	resp, err := d.request(ctx, from)
@@ -151,8 +151,8 @@
 		return fmt.Errorf("watch: status %d", resp.StatusCode)
 	}
 	reader := &watchReader{from: resp.Body, budget: maxListBytes}
-	onHeartbeat := func() { silence.timer.Reset(d.silenceTimeout) }
-	if first == d.silenceTimeout {
+	onHeartbeat := func() { silence.timer.Reset(d.watchTimeout) }
+	if first == d.watchTimeout {
 		reader.onHeartbeat = onHeartbeat // an empty line will do for a sign of life
 	}
 	lists := json.NewDecoder(reader) // a list may be indented, and so have lines of its own
@@ -162,20 +162,20 @@
 			return fmt.Errorf("watch: %w", err)
 		}
 		silence.timer.Stop()
-		silence.start(d.silenceTimeout)
+		silence.start(d.watchTimeout)
 		reader.budget, reader.onHeartbeat = maxListBytes, onHeartbeat
 		onList(list)
 	}
 }
 
-// silenceTimer ends a watch on which nothing comes.
-type silenceTimer struct {
+// watchTimer ends a watch on which nothing comes.
+type watchTimer struct {
 	cancel context.CancelCauseFunc
 	timer  *time.Timer
 }
 
-func (s *silenceTimer) start(timeout time.Duration) {
-	s.timer = time.AfterFunc(timeout, func() { s.cancel(fmt.Errorf("%w: nothing came for %v", errSilent, timeout)) })
+func (s *watchTimer) start(timeout time.Duration) {
+	s.timer = time.AfterFunc(timeout, func() { s.cancel(fmt.Errorf("%w: nothing came for %v", errTimedOut, timeout)) })
 }
 
 // request opens a watch.
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-func mute(io.Writer) {}
+func unresponsive(io.Writer) {}
 
 // following is a host that follows an agent, as far as the list goes. It ends with the test's bubble.
 func following(t *testing.T, a *agent, mode string) *host {
@@ -114,18 +114,18 @@
 	return strings.Join(all, " ")
 }
 
-// TestSilentWatch has a watch fall silent, and the new one too, in each way: what they miss is there before it counts as told.
-func TestSilentWatch(t *testing.T) {
+// TestUnresponsiveWatch has a watch fall silent, and the new one too, in each way: what they miss is there before it counts as told.
+func TestUnresponsiveWatch(t *testing.T) {
 	list := listText(7, true, entry("s-0", "127.0.0.1:1", "SERVING", 0))
 	news := listText(8, true, entry("s-1", "127.0.0.1:1", "SERVING", 0))
 	half := news[:len(news)/2]
 	for name, second := range map[string]func(io.Writer){
 		"answers":              saying(news),
-		"no headers":           mute,
+		"no headers":           unresponsive,
 		"no list":              saying(),
 		"half a list":          saying(half),
 		"a list without end":   saying(strings.Repeat(" ", 100), "{", "\n", " ", "\n", " ", "\n"),
-		"heartbeats, no list":  func(out io.Writer) { beats(out) },
+		"heartbeats, no list":  func(out io.Writer) { heartbeats(out) },
 		"a list that is wrong": saying("[]\n"),
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -148,8 +148,8 @@
 	}
 }
 
-// beats is an agent that has no list.
-func beats(out io.Writer) {
+// heartbeats is an agent that has no list.
+func heartbeats(out io.Writer) {
 	saying()(out)
 	chunks := httputil.NewChunkedWriter(out)
 	for {
@@ -179,18 +179,18 @@
 			err := d.watch(t.Context(), noVersion, 0, func(List) {})
 			took := time.Since(begun)
 			time.Sleep(time.Minute) // the agent's own pauses end, here and below
-			if took != time.Minute+d.silenceTimeout || !strings.Contains(fmt.Sprint(err), "nothing came for") {
+			if took != time.Minute+d.watchTimeout || !strings.Contains(fmt.Sprint(err), "nothing came for") {
 				t.Errorf("ended after %v: %v", took, err)
 			}
 		})
 	}
 }
 
-// TestSilentCall has a call for the list wait for good: it is left in time for another, which counts once it was waited for.
-func TestSilentCall(t *testing.T) {
+// TestUnresponsiveCall has a call for the list wait for good: it is left in time for another, which counts once it was waited for.
+func TestUnresponsiveCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDiscovery("127.0.0.1:9", time.Second, false)
-		d.client.DialContext = (&agent{answers: []func(io.Writer){mute}}).dial
+		d.client.DialContext = (&agent{answers: []func(io.Writer){unresponsive}}).dial
 		begun := time.Now()
 		err := d.watch(t.Context(), 7, 0, func(List) {})
 		// The Balancer asks again a second later at most.
@@ -242,7 +242,7 @@
 // before it counts as told, 4 s after the signal.
 func TestMoves(t *testing.T) {
 	news := listText(3, true, entry("s-1", "127.0.0.1:1", "SERVING", 0))
-	for mode, first := range map[string]func(io.Writer){"pushed": mute, "on_request": saying(news)} {
+	for mode, first := range map[string]func(io.Writer){"pushed": unresponsive, "on_request": saying(news)} {
 		t.Run(mode, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				h := following(t, &agent{answers: []func(io.Writer){saying(listText(9, true, entry("s-0", "127.0.0.1:1", "SERVING", 0)))}}, mode)
@@ -289,8 +289,8 @@
 	}
 }
 
-// TestMuteAgent has an agent say nothing to a new process: it serves by what it knows, after a while.
-func TestMuteAgent(t *testing.T) {
+// TestUnresponsiveAgent has an agent say nothing to a new process: it serves by what it knows, after a while.
+func TestUnresponsiveAgent(t *testing.T) {
 	known := startBackend(t, say(200, "", "known"))
 	p := startDraining(t, configText(startRegistry(t).address, serving(41, known), testSettings),
 		drainTimes{agent: 10 * time.Millisecond, quietTime: time.Millisecond, finish: patience})
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// TestRejoinWhileLeaving says REJOIN to a process that SIGTERM has sent away: that stays so.
-func TestRejoinWhileLeaving(t *testing.T) {
+// TestRejoinWhileShuttingDown says REJOIN to a process that SIGTERM has sent away: that stays so.
+func TestRejoinWhileShuttingDown(t *testing.T) {
 	s := &server{host: &host{log: slog.New(slog.DiscardHandler)}}
 	s.shuttingDown.Store(true)
 	if answer := s.handleCall([]string{"REJOIN"}); !strings.HasPrefix(answer, "fail ") {
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// TestByHandCalls takes a server out and puts it back by calls, each said twice.
-func TestByHandCalls(t *testing.T) {
+// TestOutOfServiceCalls takes a server out and puts it back by calls, each said twice.
+func TestOutOfServiceCalls(t *testing.T) {
 	in, out := startBackend(t, say(200, "", "in")), startBackend(t, say(200, "", "out"))
 	p, call := operator(t, configText(startRegistry(t).address, serving(1, in, out), testSettings))
 	for _, test := range []struct{ line, want string }{
@@ -42,9 +42,9 @@
 	}
 }
 
-// TestByHandOutlivesAnUpgrade takes a server out at one process: the next one knows from its start, what is said to either
+// TestOutOfServiceOutlivesUpgrade takes a server out at one process: the next one knows from its start, what is said to either
 // holds for both, and the end of the first changes nothing.
-func TestByHandOutlivesAnUpgrade(t *testing.T) {
+func TestOutOfServiceOutlivesUpgrade(t *testing.T) {
 	in, out, both := startBackend(t, say(200, "", "ok")), startBackend(t, say(200, "", "ok")), startBackend(t, say(200, "", "ok"))
 	f := startPlatform(t, configText(startRegistry(t).address, serving(1, in, out, both), testSettings))
 	first := f.start()
@@ -123,8 +123,8 @@
 	}
 }
 
-// TestUnkeptCall has no common folder: the call holds, and is answered as what it is.
-func TestUnkeptCall(t *testing.T) {
+// TestUnstoredCall has no common folder: the call holds, and is answered as what it is.
+func TestUnstoredCall(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	at := freeAddress(t)
 	c, err := load(t, configText(startRegistry(t).address, serving(1, b), testSettings), "PROXY_CONTROL="+at, "TMPDIR=/nowhere/at/all")
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -101,8 +101,8 @@
 	return false
 }
 
-// silent never answers; the connection lives until the test's end or the other side's.
-func silent(c net.Conn, _ *http.Request, _ []byte) bool {
+// neverAnswer never answers; the connection lives until the test's end or the other side's.
+func neverAnswer(c net.Conn, _ *http.Request, _ []byte) bool {
 	_, _ = io.Copy(io.Discard, c)
 	return false
 }
--- a/internal/sidecar/hitters_test.go
+++ b/internal/sidecar/hitters_test.go
@@ -17,8 +17,8 @@
 	return strings.Replace(config, `"settings":`, fmt.Sprintf(`"hitters":%s,"settings":`, how), 1)
 }
 
-// TestHeavyIsTold floods a sidecar by one client: it is held for heavy by its name, in the log and in INFO, and none else.
-func TestHeavyIsTold(t *testing.T) {
+// TestHeavyIsReported floods a sidecar by one client: it is held for heavy by its name, in the log and in INFO, and none else.
+func TestHeavyIsReported(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	c, err := load(t, withHitters(configText(startRegistry(t).address, serving(1, b), testSettings),
 		`{"header":"x-customer","window_s":0.1,"hold_s":0.1,"bound_s":10}`), "PROXY_CONTROL="+freeAddress(t))
--- a/internal/sidecar/input_test.go
+++ b/internal/sidecar/input_test.go
@@ -51,8 +51,8 @@
 		{"path", ask("read", func(r *http.Request) { r.URL.Path = "/apis" }), 404},
 		{"health method", ask("read", func(r *http.Request) { r.URL.Path, r.Method = "/healthz", "PUT" }), 405},
 		{"long body", sized(maxBodyBytes + 1), 413},
-		{"longest body held", sized(maxHeldBytes), 200},
-		{"body that is not held", sized(maxHeldBytes + 1), 200},
+		{"longest body held", sized(maxBufferedBytes), 200},
+		{"body that is not held", sized(maxBufferedBytes + 1), 200},
 		{"unknown tenant", with("read", "X-Tenant-Id", "nobody"), 200},
 		{"no tenant", without("pay", "X-Tenant-Id"), 200},
 	} {
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestSilentPeers has peers that say nothing, or stop in the middle of a request whose time is long: their connections
+// TestUnresponsivePeers has peers that say nothing, or stop in the middle of a request whose time is long: their connections
 // end within 3 s.
-func TestSilentPeers(t *testing.T) {
+func TestUnresponsivePeers(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
 	const head = "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\n"
--- a/internal/sidecar/memberreports.go
+++ b/internal/sidecar/memberreports.go
@@ -18,7 +18,7 @@
 	reportCheckInterval = 200 * time.Millisecond // it looks whether there is something to say
 	repeatPerMember     = 10 * time.Millisecond  // for each member, until it says again what it condemns
 	quietInterval       = 15 * time.Second       // it says its zone and level, for who came since
-	viewSettleTime      = 600 * time.Millisecond // without a change, before places are taken by it
+	viewStableTime      = 600 * time.Millisecond // without a change, before places are taken by it
 	maxViewWait         = 3 * time.Second        // with changes
 )
 
@@ -66,9 +66,9 @@
 		}
 		for i := range r.Verdicts {
 			v := &r.Verdicts[i]
-			boot, known := h.upstream.boot(v.Server)
-			if known && bootMS(boot) == v.Start {
-				v.Start = int64(h.started(Target{Boot: boot}))
+			boot, known := h.upstream.startOf(v.Server)
+			if known && startMS(boot) == v.Start {
+				v.Start = int64(h.started(Target{Started: boot}))
 			} else {
 				v.Start = -1 // another process than the one listed here; it counts for how much the witness condemns
 			}
@@ -81,8 +81,8 @@
 	})
 }
 
-// bootMS is a server process's start as reports have it; 0: not known.
-func bootMS(boot time.Time) int64 {
+// startMS is a server process's start as reports have it; 0: not known.
+func startMS(boot time.Time) int64 {
 	if boot.IsZero() {
 		return 0
 	}
@@ -107,7 +107,7 @@
 // move the subsets of all. A sidecar that is alone is as one that knows nobody.
 func (h *host) updatePositions() {
 	state := &h.fleet
-	if state.pendingSince == 0 || h.now-state.lastChange < viewSettleTime && h.now-state.pendingSince < maxViewWait {
+	if state.pendingSince == 0 || h.now-state.lastChange < viewStableTime && h.now-state.pendingSince < maxViewWait {
 		return
 	}
 	state.pendingSince = 0
@@ -161,8 +161,8 @@
 	told := report
 	told.Verdicts = slices.Clone(report.Verdicts)
 	for i := range told.Verdicts {
-		boot, _ := h.upstream.boot(told.Verdicts[i].Server)
-		told.Verdicts[i].Start = bootMS(boot)
+		boot, _ := h.upstream.startOf(told.Verdicts[i].Server)
+		told.Verdicts[i].Start = startMS(boot)
 	}
 	text, err := signals.Encode(told)
 	if err == nil {
--- a/internal/sidecar/memberreports_test.go
+++ b/internal/sidecar/memberreports_test.go
@@ -17,17 +17,17 @@
 	"gradeusher.example/gradeusher/internal/sidecar/members"
 )
 
-// TestMembersWordSparesRequests: three sidecars of four learn by failures that a server has fallen silent. The fourth, which
+// TestMemberReportsSpareRequests: three sidecars of four learn by failures that a server has fallen silent. The fourth, which
 // has sent nothing to it, avoids it by their word, and spends no request. A sidecar that is cut off from most servers, and one
 // that lies, condemn nobody.
-func TestMembersWordSparesRequests(t *testing.T) {
+func TestMemberReportsSpareRequests(t *testing.T) {
 	var down atomic.Bool
 	answer := say(200, "", "ok")
 	var backends []*backend
 	for i := range 6 {
 		backends = append(backends, startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 			if i == 0 && down.Load() {
-				return silent(c, r, body)
+				return neverAnswer(c, r, body)
 			}
 			return answer(c, r, body)
 		}))
--- a/internal/sidecar/registry.go
+++ b/internal/sidecar/registry.go
@@ -57,7 +57,7 @@
 		converted.Size = *t.Capacity
 	}
 	if t.BootMS > 0 {
-		converted.Boot = time.UnixMilli(t.BootMS)
+		converted.Started = time.UnixMilli(t.BootMS)
 	}
 	if _, port, err := net.SplitHostPort(t.Endpoint); err == nil && k.Reach != "" {
 		converted.Address = net.JoinHostPort(k.Reach, port)
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -234,13 +234,13 @@
 	chunk := chunks.Get().(*[chunkBytes]byte)
 	defer chunks.Put(chunk)
 	for {
-		n, err := body.Read(chunk[:min(chunkBytes, maxHeldBytes-len(c.body))])
+		n, err := body.Read(chunk[:min(chunkBytes, maxBufferedBytes-len(c.body))])
 		reserved := s.host.upstream.budget.reserve(n)
 		if reserved {
 			c.reserved += n
 		}
 		c.body = append(c.body, chunk[:n]...)
-		if err != nil || !reserved || len(c.body) == maxHeldBytes {
+		if err != nil || !reserved || len(c.body) == maxBufferedBytes {
 			return err
 		}
 	}
--- a/internal/sidecar/servertable.go
+++ b/internal/sidecar/servertable.go
@@ -96,7 +96,7 @@
 	}
 	for _, target := range received.Targets {
 		if target.State == balance.Removed {
-			t.noteRemoved(target)
+			t.markRemoved(target)
 			continue
 		}
 		t.servers[target.ID] = target
@@ -107,17 +107,17 @@
 	}
 	for id, target := range before {
 		if _, still := t.servers[id]; !still {
-			t.noteRemoved(target)
+			t.markRemoved(target)
 		}
 	}
 }
 
-func (t *serverTable) noteRemoved(target Target) {
+func (t *serverTable) markRemoved(target Target) {
 	delete(t.servers, target.ID)
 	if len(t.removed) >= maxRemoved {
 		clear(t.removed) // one that is forgotten may be brought back by a stale list
 	}
-	t.removed[target.ID] = target.Boot
+	t.removed[target.ID] = target.Started
 }
 
 // applyStale is what to take of a stale list: which servers drain or are removed by it, and which are new by it.
@@ -141,9 +141,9 @@
 		own.State = balance.Draining
 		t.drainedByStale[target.ID] = true
 		return own, true
-	case target.State != balance.Ready, isRemoved && !target.Boot.After(boot):
+	case target.State != balance.Ready, isRemoved && !target.Started.After(boot):
 		return Target{}, false
-	case !isHeld || target.Boot.After(own.Boot):
+	case !isHeld || target.Started.After(own.Started):
 		t.servers[target.ID] = target
 		delete(t.removed, target.ID)
 		delete(t.drainedByStale, target.ID)
--- a/internal/sidecar/servertable_test.go
+++ b/internal/sidecar/servertable_test.go
@@ -13,7 +13,7 @@
 func listed(id string, state balance.State, boot int64) Target {
 	t := Target{ID: id, Address: "127.0.0.1:1", State: state, Size: 1}
 	if boot > 0 {
-		t.Boot = time.Unix(boot, 0)
+		t.Started = time.Unix(boot, 0)
 	}
 	return t
 }
@@ -57,7 +57,7 @@
 	mended := List{Version: 2, Complete: true, Targets: []Target{listed("b", balance.Ready, 50), listed("c", balance.Ready, 0)}}
 	take(mended)
 	now = now.Add(staleTimeout - time.Second)
-	if take(mended); states(f) != "map[a:0 b:0 c:0]" || f["b"].Boot.Unix() != 50 {
+	if take(mended); states(f) != "map[a:0 b:0 c:0]" || f["b"].Started.Unix() != 50 {
 		t.Errorf("%v while it is doubted", f)
 	}
 	now = now.Add(time.Second)
@@ -78,8 +78,8 @@
 	return fmt.Sprint(all)
 }
 
-// TestLedger draws lists of any revision, and holds what is told to the invariants.
-func TestLedger(t *testing.T) {
+// TestServerTable draws lists of any revision, and holds what is told to the invariants.
+func TestServerTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, f, now, highest := newServerTable(List{}), followed{}, time.Unix(1000, 0), int64(noVersion)
 		for range rapid.IntRange(1, 20).Draw(t, "lists") {
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -50,7 +50,7 @@
 			t.Errorf("%d bytes: answer %+v, error %v, want %d", size, resp, err, status)
 		}
 	}
-	sizes := []int{1, 100, 2 * maxHeldBytes} // in the head, in a body that is held, in one that flows
+	sizes := []int{1, 100, 2 * maxBufferedBytes} // in the head, in a body that is held, in one that flows
 	var inTime, late []net.Conn
 	for _, size := range sizes {
 		inTime, late = append(inTime, begin(size)), append(late, begin(size))
@@ -71,9 +71,9 @@
 	}
 }
 
-// TestFinalAnswerBeforeTheKill has a server answer nothing to what came whole while the sidecar leaves: the client has its
+// TestFinalAnswerBeforeKill has a server answer nothing to what came whole while the sidecar leaves: the client has its
 // final answer before the process would be killed, though it would wait for longer.
-func TestFinalAnswerBeforeTheKill(t *testing.T) {
+func TestFinalAnswerBeforeKill(t *testing.T) {
 	l := &shutdownClock{}
 	l.init([]balance.Class{{Deadline: time.Second}, {Deadline: time.Hour}})
 	now := time.Now()
--- a/internal/sidecar/sibling_test.go
+++ b/internal/sidecar/sibling_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestBeside has two processes run beside each other: each knows, also once the other has been killed.
-func TestBeside(t *testing.T) {
+// TestSiblingLock has two processes run beside each other: each knows, also once the other has been killed.
+func TestSiblingLock(t *testing.T) {
 	f := startPlatform(t, configText(startRegistry(t).address, serving(1, startBackend(t, say(200, "", "ok"))), testSettings))
 	b, err := newSiblingLock(filepath.Join(f.dir, "gradeusher-n0.json"))
 	if err != nil {
--- a/internal/sidecar/snapshotfile_test.go
+++ b/internal/sidecar/snapshotfile_test.go
@@ -13,8 +13,8 @@
 	"gradeusher.example/gradeusher/internal/sidecar/sealed"
 )
 
-// TestKeptFile leaves beliefs to a process whose clock begins elsewhere, and then has the file be unsound in each way.
-func TestKeptFile(t *testing.T) {
+// TestSnapshotFile leaves beliefs to a process whose clock begins elsewhere, and then has the file be unsound in each way.
+func TestSnapshotFile(t *testing.T) {
 	origin, log := time.Unix(1000, 0), &logText{}
 	k := newSnapshotFile(t.TempDir(), "n 0", slog.New(slog.NewTextHandler(log, nil)))
 	if _, _, ok := k.load(origin); ok || log.String() != "" {
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestKeptByTwo has the earlier process of an upgrade leave its beliefs last, when the wall clock has gone back too, and once
+// TestSnapshotOfTwoProcesses has the earlier process of an upgrade leave its beliefs last, when the wall clock has gone back too, and once
 // beside a program of a later form, and once while another holds the lock: the later one's stand.
-func TestKeptByTwo(t *testing.T) {
+func TestSnapshotOfTwoProcesses(t *testing.T) {
 	dir, origin, log := t.TempDir(), time.Unix(1000, 0), slog.New(slog.DiscardHandler)
 	begin := func() *snapshotFile {
 		k := newSnapshotFile(dir, "n", log)
@@ -107,8 +107,8 @@
 	}
 }
 
-// TestBeliefsOutlive has a process leave its beliefs when it is told to end, and the next one take them up; without being asked for it, none does.
-func TestBeliefsOutlive(t *testing.T) {
+// TestSnapshotOutlivesProcess has a process leave its beliefs when it is told to end, and the next one take them up; without being asked for it, none does.
+func TestSnapshotOutlivesProcess(t *testing.T) {
 	d, dir := startRegistry(t), t.TempDir()
 	server := startBackend(t, say(200, "", "ok"))
 	for i, keep := range []string{"", `"keep_beliefs":true,`, `"keep_beliefs":true,`} {
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -211,8 +211,8 @@
 	clients.Wait()
 }
 
-// TestLeaveUnaccepted has a process leave while a connection waits in the backlog: it is left to the other process.
-func TestLeaveUnaccepted(t *testing.T) {
+// TestShutdownLeavesBacklog has a process leave while a connection waits in the backlog: it is left to the other process.
+func TestShutdownLeavesBacklog(t *testing.T) {
 	inner := listen(t).(*net.TCPListener)
 	l := &drainListener{TCPListener: inner, quietTime: patience}
 	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", inner.Addr().String())
@@ -228,9 +228,9 @@
 	}
 }
 
-// TestLeaveBlocked has a process wait for a connection in the kernel, as the platform has made the shared socket one that blocks,
+// TestShutdownWhileBlocked has a process wait for a connection in the kernel, as the platform has made the shared socket one that blocks,
 // and leave then.
-func TestLeaveBlocked(t *testing.T) {
+func TestShutdownWhileBlocked(t *testing.T) {
 	c, err := load(t, configText(startRegistry(t).address, serving(1, startBackend(t, say(200, "", "ok"))), testSettings))
 	if err != nil {
 		t.Fatal(err)
@@ -269,9 +269,9 @@
 	}
 }
 
-// TestLeavingClosesIdle has connections idle, or wait in the middle of a head, while a process leaves: the one in the
+// TestShutdownClosesIdle has connections idle, or wait in the middle of a head, while a process leaves: the one in the
 // middle is served, the others end.
-func TestLeavingClosesIdle(t *testing.T) {
+func TestShutdownClosesIdle(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	f := startPlatform(t, configText(startRegistry(t).address, serving(1, b), testSettings))
 	s := f.start()
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	maxHeldBytes   = 64 << 10              // bytes of a request's or an answer's body
-	maxHeaderBytes = 16 << 10              // bytes of a request's or an answer's header
-	maxHeadBytes   = maxHeaderBytes + 4096 // bytes of a head that are looked at: what http.Server reads before it gives up
-	idlePerSockets = 64                    // one idle connection to each server for so many descriptors
+	maxBufferedBytes = 64 << 10              // bytes of a request's or an answer's body
+	maxHeaderBytes   = 16 << 10              // bytes of a request's or an answer's header
+	maxHeadBytes     = maxHeaderBytes + 4096 // bytes of a head that are looked at: what http.Server reads before it gives up
+	idlePerSockets   = 64                    // one idle connection to each server for so many descriptors
 	// A machine that vanishes is not back within minOutage: a connection that idled less has not outlived one.
 	minOutage          = 50 * time.Millisecond
 	answerDrainTimeout = 50 * time.Millisecond // for the body of an answer that has said all in its header
@@ -66,7 +66,7 @@
 
 type target struct {
 	address  string
-	boot     time.Time
+	started  time.Time
 	pool     *http.Transport
 	answered atomic.Int64 // when an answer last came, in nanoseconds of Unix time
 }
@@ -87,12 +87,12 @@
 		listed[e.ID] = e.State != balance.Removed
 		old := u.targets[e.ID]
 		// Idle connections to a former process or address would swallow the next requests.
-		if old != nil && (!listed[e.ID] || old.address != e.Address || !old.boot.Equal(e.Boot)) {
+		if old != nil && (!listed[e.ID] || old.address != e.Address || !old.started.Equal(e.Started)) {
 			u.drop(e.ID)
 			old = nil
 		}
 		if old == nil && listed[e.ID] {
-			u.targets[e.ID] = &target{address: e.Address, boot: e.Boot, pool: u.pool()}
+			u.targets[e.ID] = &target{address: e.Address, started: e.Started, pool: u.pool()}
 		}
 	}
 	for id := range u.targets {
@@ -102,12 +102,12 @@
 	}
 }
 
-// boot is when a server's listed process started, zero if that is not known, and whether it is listed.
-func (u *upstream) boot(id string) (time.Time, bool) {
+// startOf is when a server's listed process started, zero if that is not known, and whether it is listed.
+func (u *upstream) startOf(id string) (time.Time, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if t := u.targets[id]; t != nil {
-		return t.boot, true
+		return t.started, true
 	}
 	return time.Time{}, false
 }
@@ -307,7 +307,7 @@
 	// the wait, as its connection can then be used again.
 	enough := time.AfterFunc(answerDrainTimeout, func() { _ = resp.Body.Close() })
 	defer enough.Stop()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxHeldBytes))
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBufferedBytes))
 	_ = resp.Body.Close()
 	switch status := resp.StatusCode; {
 	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) &&
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -51,7 +51,7 @@
 		{"late", say(504, "X-Not-Processed: 1\r\n", ""), balance.Saturated},
 		{"unavailable, may have run", say(503, "", ""), balance.Errored},
 		{"error that claims not to have run", say(500, "X-Not-Processed: 1\r\n", ""), balance.Errored},
-		{"too long", say(200, "", strings.Repeat("x", maxHeldBytes+1)), balance.Errored},
+		{"too long", say(200, "", strings.Repeat("x", maxBufferedBytes+1)), balance.Errored},
 		{"reset", hangUp, balance.Reset},
 		{"end", func(net.Conn, *http.Request, []byte) bool { return false }, balance.Reset},
 		{"no HTTP", func(c net.Conn, _ *http.Request, _ []byte) bool { _, _ = fmt.Fprint(c, "what\r\n\r\n"); return false }, balance.Reset},
@@ -93,7 +93,7 @@
 	} {
 		b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 			_, _ = fmt.Fprint(c, "HTTP/1.1 "+text)
-			return silent(c, r, body)
+			return neverAnswer(c, r, body)
 		})
 		ended := make(chan reply, 1)
 		go func() { ended <- to(t, b).attempt(context.Background(), "s-0", post(""), nil) }()
@@ -104,7 +104,7 @@
 }
 
 func TestNeverRan(t *testing.T) {
-	b := startBackend(t, silent)
+	b := startBackend(t, neverAnswer)
 	u := to(t, b)
 	gone := listen(t)
 	closed := entry("s-1", gone.Addr().String(), "SERVING", 0)
@@ -153,8 +153,8 @@
 	}
 }
 
-func TestSilence(t *testing.T) {
-	b := startBackend(t, silent)
+func TestAnswerTimeout(t *testing.T) {
+	b := startBackend(t, neverAnswer)
 	u := to(t, b)
 	late := newEndable()
 	ended := make(chan reply, 1)
@@ -164,7 +164,7 @@
 	if r := within(t, ended, "end"); r.outcome != balance.TimedOut {
 		t.Errorf("outcome %d, want a time-out", r.outcome)
 	}
-	b = startBackend(t, silent)
+	b = startBackend(t, neverAnswer)
 	u = to(t, b)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { ended <- u.attempt(ctx, "s-0", post(""), nil) }()
@@ -262,7 +262,7 @@
 		return false
 	}
 	for name, fault := range map[string]func(net.Conn, *http.Request, []byte) bool{"just used": hangUp, "half an answer": half,
-		"passed by an answer": silent} {
+		"passed by an answer": neverAnswer} {
 		t.Run(name, func(t *testing.T) {
 			type exchange struct {
 				conn  net.Conn
@@ -319,7 +319,7 @@
 			conns <- c
 			switch <-verdict {
 			case "silent":
-				return silent(c, r, body)
+				return neverAnswer(c, r, body)
 			case "reset":
 				return hangUp(c, r, body)
 			}
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -191,9 +191,9 @@
 // watchEnded is for a watch that ended with an error.
 func (p *watchPlan) watchEnded(err error, d *discovery) {
 	switch {
-	case errors.Is(err, errSilent) && p.complete: // the agent may be slow
-		p.firstTimeout = min(2*p.firstTimeout, d.silenceTimeout)
-	case errors.Is(err, errSilent):
+	case errors.Is(err, errTimedOut) && p.complete: // the agent may be slow
+		p.firstTimeout = min(2*p.firstTimeout, d.watchTimeout)
+	case errors.Is(err, errTimedOut):
 		p.complete = true
 		p.firstTimeout = d.firstTimeout
 	case errors.Is(err, errBadList):
@@ -235,7 +235,7 @@
 	case address = <-moves:
 		return address, true
 	case <-time.After(jitter(plan.backoff)):
-		if !errors.Is(ended, errSilent) {
+		if !errors.Is(ended, errTimedOut) {
 			plan.backoff = min(2*plan.backoff, maxBackoff)
 		}
 		return "", true
@@ -286,8 +286,8 @@
 
 // started is when a server started, in the Balancer's time; 0: long ago.
 func (h *host) started(t Target) balance.Time {
-	if t.Boot.IsZero() {
+	if t.Started.IsZero() {
 		return 0
 	}
-	return max(t.Boot.Sub(h.origin), 0)
+	return max(t.Started.Sub(h.origin), 0)
 }
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestWatchesAreOpenedAgainApart spreads sidecars whose watches ended together.
-func TestWatchesAreOpenedAgainApart(t *testing.T) {
+// TestWatchesReopenApart spreads sidecars whose watches ended together.
+func TestWatchesReopenApart(t *testing.T) {
 	for pause := minBackoff; pause <= maxBackoff; pause *= 2 {
 		quarters := [4]int{}
 		for range 1000 {
@@ -151,7 +151,7 @@
 	if w.query != "watch=1" {
 		t.Errorf("query %q with no list in hand", w.query)
 	}
-	w.lines <- serving(1, startBackend(t, silent))
+	w.lines <- serving(1, startBackend(t, neverAnswer))
 	for end := time.Now().Add(patience); health() != 200; {
 		if time.Now().After(end) {
 			t.Fatal("never ready")
@@ -159,8 +159,8 @@
 	}
 }
 
-// TestColdServer has a sidecar start beside a server that started just before it.
-func TestColdServer(t *testing.T) {
+// TestWarmingUpServer has a sidecar start beside a server that started just before it.
+func TestWarmingUpServer(t *testing.T) {
 	c, err := load(t, configText("127.0.0.1:9", "", testSettings))
 	if err != nil {
 		t.Fatal(err)
@@ -171,7 +171,7 @@
 		boot time.Time
 		cold bool
 	}{{booted, true}, {time.Time{}, false}, {booted.Add(-2 * originAge), false}} {
-		c.Known = List{Version: 1, Complete: true, Targets: []Target{{ID: "s-0", Address: "127.0.0.1:9", Zone: "a", Kind: "m", Size: 1, Boot: test.boot}}}
+		c.Known = List{Version: 1, Complete: true, Targets: []Target{{ID: "s-0", Address: "127.0.0.1:9", Zone: "a", Kind: "m", Size: 1, Started: test.boot}}}
 		h, err := newHost(context.Background(), c, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
