--- a/cmd/adapter/instance.go
+++ b/cmd/adapter/instance.go
@@ -38,7 +38,7 @@
 		i.balancer.AnswerStarted(now, event.ID, event.Attempt)
 	case wire.Result:
 		i.balancer.Result(now, event.Result)
-	case wire.ClientGone:
+	case wire.ClientDisconnected:
 		i.balancer.ClientDisconnected(now, event.ID)
 	case wire.Timer:
 		i.balancer.Timer(now, event.Token)
@@ -56,7 +56,7 @@
 	if !ok {
 		tenant = noTenant
 	}
-	i.balancer.Request(now, balance.Request{ID: event.ID, Class: class, Tenant: tenant, TimeLeft: event.Within})
+	i.balancer.Request(now, balance.Request{ID: event.ID, Class: class, Tenant: tenant, TimeLeft: event.TimeLeft})
 	return nil
 }
 
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -261,7 +261,7 @@
 		config.Settings.Tags = config.Registry.Tags
 	}
 	config.Limits.ConnectTimeout = cmp.Or(config.Limits.ConnectTimeout, defaultConnectTimeout)
-	config.Limits.IdleClose = cmp.Or(config.Limits.IdleClose, defaultIdleClose)
+	config.Limits.IdleTimeout = cmp.Or(config.Limits.IdleTimeout, defaultIdleClose)
 	return nil
 }
 
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -30,7 +30,7 @@
 	if s := c.Settings; c.Name != "n7" || s.Seed != 0x8c1f30d27a5be964 || s.Service != "back" || len(s.Zones) != 2 || s.PeerCount != 1 ||
 		s.Classes[1].Effect != balance.Deduplicated || s.Classes[1].Scope != balance.ScopeAll ||
 		s.Classes[2].LatencyTarget != 20*time.Second || c.Names.Tenant["acme, east"] != 0 || len(c.Names.Tenant) != 1 ||
-		c.Limits.ConnectTimeout != 5*time.Second || c.Limits.MostHeld != 20000 || c.Sockets != 1024 {
+		c.Limits.ConnectTimeout != 5*time.Second || c.Limits.MaxPending != 20000 || c.Sockets != 1024 {
 		t.Errorf("configuration %+v", c)
 	}
 	if k := c.Known; k.Version != 4 || len(k.Targets) != 1 || !k.Targets[0].Started.Equal(time.UnixMilli(5)) {
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -48,7 +48,7 @@
 // resize keeps to a part of the limits: to all of them, or to half where parts is 2.
 func (s *server) resize(parts int) {
 	most := (s.config.Sockets - max(spareSockets, s.config.Sockets/spareSocketsDivisor)) / parts / socketsPerCall
-	if held := s.config.Limits.MostHeld; held > 0 {
+	if held := s.config.Limits.MaxPending; held > 0 {
 		most = min(most, held)
 	}
 	s.maxPending.Store(int64(most))
--- /dev/null
+++ b/internal/sidecar/wire/lists.go
@@ -0,0 +1,109 @@
+package wire
+
+import (
+	"errors"
+	"fmt"
+	"io"
+
+	"gradeusher.example/gradeusher/balance"
+)
+
+// listNumber is the number of one of the reader's lists.
+func (r *Reader) listNumber(i int) int {
+	n := r.integer(i)
+	if n >= len(r.lists) {
+		r.fail(i, "a list from 0 to 15")
+		return 0
+	}
+	return n
+}
+
+// endpoints reads the event of a list that was defined.
+func (r *Reader) endpoints() {
+	event := &r.event
+	event.Entries = nil
+	r.parts = append(r.parts, nil, nil)
+	if len(r.parts) < 5 {
+		r.err = errTooFewParts
+		return
+	}
+	kind, known := listKinds[string(r.parts[2])]
+	if !known {
+		r.fail(2, "a mode")
+		return
+	}
+	event.List = kind
+	if kind != balance.ListRefused {
+		event.Entries = r.lists[r.listNumber(1)]
+	}
+}
+
+var errTooFewParts = errors.New("too few parts")
+
+var listKinds = map[string]balance.ListKind{
+	"all":        balance.ListFull,
+	"changes":    balance.ListChanges,
+	"remembered": balance.ListCached,
+	"refused":    balance.ListRefused,
+}
+
+// defineList reads a list's line and the entries that follow it.
+func (r *Reader) defineList() error {
+	number, rows := r.listNumber(1), r.integer(2)
+	if r.err != nil {
+		return fmt.Errorf("DEFINE_LIST: %w", r.err)
+	}
+	list := r.lists[number][:0]
+	for range rows {
+		line, err := r.readLine()
+		if errors.Is(err, io.EOF) {
+			err = io.ErrUnexpectedEOF // no regular end of input
+		}
+		if err != nil {
+			return fmt.Errorf("list of %d entries ends early: %w", rows, err)
+		}
+		entry, err := r.item(line)
+		if err != nil {
+			return err
+		}
+		list = append(list, entry)
+	}
+	r.lists[number] = list
+	return nil
+}
+
+// item reads an entry of a list.
+func (r *Reader) item(line []byte) (balance.Endpoint, error) {
+	r.split(line)
+	if string(r.parts[0]) != "ITEM" {
+		return balance.Endpoint{}, fmt.Errorf("%q where an entry is due", r.parts[0])
+	}
+	entry := balance.Endpoint{ID: r.text(1), Zone: r.text(2), Kind: r.text(3), Cell: int(r.optional64(4)), Size: 1}
+	if entry.ID == "" {
+		r.fail(1, "a server")
+	}
+	entry.State = r.state(5)
+	if !r.absent(6) {
+		entry.Size = r.float(6)
+	}
+	if !r.absent(7) {
+		entry.Started = r.duration(7)
+	}
+	if r.err != nil {
+		return balance.Endpoint{}, fmt.Errorf("ITEM: %w", r.err)
+	}
+	return entry, nil
+}
+
+func (r *Reader) state(i int) balance.State {
+	switch r.text(i) {
+	case "healthy":
+		return balance.Ready
+	case "cordoned":
+		return balance.Draining
+	case "deregistered":
+		return balance.Removed
+	}
+	r.fail(i, "a state")
+	return balance.Ready
+}
--- a/internal/sidecar/wire/wire.go
+++ b/internal/sidecar/wire/reader.go
@@ -1,4 +1,8 @@
-// Package wire reads and writes the simulator's text wire. It decides nothing.
+// Package wire reads and writes the simulator's text wire, and reads the Balancer's settings from it or from JSON. It decides
+// nothing.
+//
+// The wire is lines of parts with tabs between them. A batch of events begins with the time (FRAME), goes on with events for one
+// instance after the other (SWITCH_TO), and ends with YOUR_TURN; the reply to it is the actions of all instances and END.
 package wire
 
 import (
@@ -28,11 +32,11 @@
 	Request
 	AnswerStarted
 	Result
-	ClientGone
+	ClientDisconnected
 	Timer
 )
 
-// Event is one event. The Reader reuses it; only the fields that its kind has are set.
+// Event is one event. The Reader reuses it; only the fields that its kind has are meaningful.
 type Event struct {
 	Kind     Kind
 	Now      balance.Time
@@ -44,7 +48,7 @@
 	ID       balance.RequestID
 	Class    string
 	Tenant   string
-	Within   time.Duration
+	TimeLeft time.Duration
 	Attempt  int
 	Result   balance.Result
 	Token    uint64
@@ -59,7 +63,7 @@
 	parts  [][]byte
 	lists  [16][]balance.Endpoint
 	intern map[string]string
-	fault  error // of the first malformed field of the line
+	err    error // of the first malformed part of the line
 }
 
 // NewReader returns a Reader of in.
@@ -111,54 +115,83 @@
 // parse reads one line into r.event and tells whether an event is complete.
 func (r *Reader) parse(line []byte) (bool, error) {
 	r.split(line)
-	r.fault = nil
-	e := &r.event
-	done := true
-	switch name := string(r.parts[0]); name {
+	r.err = nil
+	name := string(r.parts[0])
+	switch name {
+	case "DEFINE_LIST":
+		return false, r.defineList()
+	case "STATUS_BACK", "PEER_DATA": // answers to what the module never asks, and what it does not listen to
+		return false, nil
+	}
+	if !r.parseInstanceEvent(name) && !r.parseRequestEvent(name) {
+		return false, fmt.Errorf("unknown message %q", name)
+	}
+	if r.err != nil {
+		return false, fmt.Errorf("%s: %w", r.parts[0], r.err)
+	}
+	return true, nil
+}
+
+// parseInstanceEvent reads the events of batches, instances and lists. It tells whether the line is one.
+func (r *Reader) parseInstanceEvent(name string) bool {
+	event := &r.event
+	switch name {
 	case "FRAME":
-		e.Kind, e.Now = BatchStart, r.duration(1)
+		event.Kind, event.Now = BatchStart, r.duration(1)
 	case "YOUR_TURN":
-		e.Kind = EndOfBatch
+		event.Kind = EndOfBatch
 	case "SWITCH_TO":
-		e.Kind, e.Instance = Instance, r.integer(1)
+		event.Kind, event.Instance = Instance, r.integer(1)
 	case "OPEN_INSTANCE":
-		e.Kind = Open
+		event.Kind = Open
 		seed := r.number64(1)
-		if r.fault == nil {
-			e.Settings, e.Names, r.fault = settings(seed, r.parts[2:])
+		if r.err == nil {
+			event.Settings, event.Names, r.err = settings(seed, r.parts[2:])
 		}
 	case "STOP":
-		e.Kind = Stop
-	case "DEFINE_LIST":
-		return false, r.defineList()
+		event.Kind = Stop
 	case "ENDPOINTS":
-		e.Kind = Endpoints
+		event.Kind = Endpoints
 		r.endpoints()
+	case "DUE":
+		event.Kind, event.Token = Timer, r.number64(1)
+	default:
+		return false
+	}
+	return true
+}
+
+// parseRequestEvent reads the events of requests. It tells whether the line is one.
+func (r *Reader) parseRequestEvent(name string) bool {
+	event := &r.event
+	switch name {
 	case "DEMAND":
-		e.Kind, e.ID = Request, balance.RequestID(r.number64(1))
-		e.Class, e.Tenant = r.text(2), r.text(3)
-		e.Within = r.duration(5)
+		event.Kind, event.ID = Request, r.requestID()
+		event.Class, event.Tenant = r.text(2), r.text(3)
+		event.TimeLeft = r.duration(5)
 	case "ACCEPTED":
-		e.Kind, e.ID, e.Attempt = AnswerStarted, balance.RequestID(r.number64(1)), r.integer(2)
+		event.Kind, event.ID, event.Attempt = AnswerStarted, r.requestID(), r.integer(2)
 	case "RESPONSE":
-		e.Kind = Result
-		e.Result = balance.Result{ID: balance.RequestID(r.number64(1)), Attempt: r.integer(2), Endpoint: r.text(3),
-			Outcome: r.outcome(4), Latency: r.duration(5), Finished: r.boolean(6)}
+		event.Kind = Result
+		event.Result = balance.Result{
+			ID:       r.requestID(),
+			Attempt:  r.integer(2),
+			Endpoint: r.text(3),
+			Outcome:  r.outcome(4),
+			Latency:  r.duration(5),
+			Finished: r.boolean(6),
+		}
 	case "CLIENT_LEFT":
-		e.Kind, e.ID = ClientGone, balance.RequestID(r.number64(1))
-	case "DUE":
-		e.Kind, e.Token = Timer, r.number64(1)
-	case "STATUS_BACK", "PEER_DATA": // answers to what the module never asks, and what it does not listen to
-		return false, nil
+		event.Kind, event.ID = ClientDisconnected, r.requestID()
 	default:
-		return false, fmt.Errorf("unknown message %q", name)
-	}
-	if r.fault != nil {
-		return false, fmt.Errorf("%s: %w", r.parts[0], r.fault)
+		return false
 	}
-	return done, nil
+	return true
 }
 
+// requestID is the first part of the events of requests.
+func (r *Reader) requestID() balance.RequestID { return balance.RequestID(r.number64(1)) }
+
 func (r *Reader) split(line []byte) {
 	r.parts = r.parts[:0]
 	for {
@@ -178,14 +211,14 @@
 }
 
 func (r *Reader) fail(i int, want string) {
-	if r.fault != nil {
+	if r.err != nil {
 		return
 	}
 	if i >= len(r.parts) {
-		r.fault = fmt.Errorf("part %d is missing, want %s", i, want)
+		r.err = fmt.Errorf("part %d is missing, want %s", i, want)
 		return
 	}
-	r.fault = fmt.Errorf("part %d is %q, want %s", i, r.parts[i], want)
+	r.err = fmt.Errorf("part %d is %q, want %s", i, r.parts[i], want)
 }
 
 func (r *Reader) number64(i int) uint64 {
@@ -252,8 +285,8 @@
 	return false
 }
 
-// internMost bounds the strings kept for reuse.
-const internMost = 1 << 16
+// maxInterned bounds the strings kept for reuse.
+const maxInterned = 1 << 16
 
 // text returns part i as a string, "" where absent. Strings are kept, so that the same one costs nothing.
 func (r *Reader) text(i int) string {
@@ -263,7 +296,7 @@
 	if s, ok := r.intern[string(r.parts[i])]; ok {
 		return s
 	}
-	if len(r.intern) >= internMost {
+	if len(r.intern) >= maxInterned {
 		clear(r.intern)
 	}
 	s := string(r.parts[i])
@@ -287,86 +320,6 @@
 	return 0
 }
 
-func (r *Reader) listNumber(i int) int {
-	n := r.integer(i)
-	if n >= len(r.lists) {
-		r.fail(i, "a list from 0 to 15")
-		return 0
-	}
-	return n
-}
-
-func (r *Reader) endpoints() {
-	e := &r.event
-	e.Entries = nil
-	if r.parts = append(r.parts, nil, nil); len(r.parts) < 5 {
-		r.fault = errors.New("too few parts")
-		return
-	}
-	switch string(r.parts[2]) {
-	case "all":
-		e.List = balance.ListFull
-	case "changes":
-		e.List = balance.ListChanges
-	case "remembered":
-		e.List = balance.ListCached
-	case "refused":
-		e.List = balance.ListRefused
-		return
-	default:
-		r.fail(2, "a mode")
-		return
-	}
-	e.Entries = r.lists[r.listNumber(1)]
-}
-
-// defineList reads a list's line and the entries that follow it.
-func (r *Reader) defineList() error {
-	at, rows := r.listNumber(1), r.integer(2)
-	if r.fault != nil {
-		return fmt.Errorf("DEFINE_LIST: %w", r.fault)
-	}
-	list := r.lists[at][:0]
-	for range rows {
-		line, err := r.readLine()
-		if errors.Is(err, io.EOF) {
-			err = io.ErrUnexpectedEOF // no regular end of input
-		}
-		if err != nil {
-			return fmt.Errorf("list of %d entries ends early: %w", rows, err)
-		}
-		r.split(line)
-		if string(r.parts[0]) != "ITEM" {
-			return fmt.Errorf("%q where an entry is due", r.parts[0])
-		}
-		item := balance.Endpoint{ID: r.text(1), Zone: r.text(2), Kind: r.text(3), Cell: int(r.optional64(4)), Size: 1}
-		if item.ID == "" {
-			r.fail(1, "a server")
-		}
-		switch state := r.text(5); state {
-		case "healthy":
-		case "cordoned":
-			item.State = balance.Draining
-		case "deregistered":
-			item.State = balance.Removed
-		default:
-			r.fail(5, "a state")
-		}
-		if !r.absent(6) {
-			item.Size = r.float(6)
-		}
-		if !r.absent(7) {
-			item.Started = r.duration(7)
-		}
-		if r.fault != nil {
-			return fmt.Errorf("ITEM: %w", r.fault)
-		}
-		list = append(list, item)
-	}
-	r.lists[at] = list
-	return nil
-}
-
 func parseUint(s []byte) (n uint64, ok bool) {
 	if len(s) == 0 || len(s) > 20 {
 		return 0, false
--- a/internal/sidecar/wire/settings.go
+++ b/internal/sidecar/wire/settings.go
@@ -18,37 +18,37 @@
 	Tenant map[string]int
 }
 
-// Limits are what the settings tell the host rather than the module.
+// Limits are the settings that concern the host rather than the Balancer.
 type Limits struct {
-	ConnectTimeout time.Duration // a connection not up within it has failed; 0: not told
-	IdleClose      time.Duration // servers close idle connections after it; 0: not told
-	MostHeld       int           // requests held at once; 0: not told
-	MaxRetryAfter  time.Duration // the longest wait that a client honours; 0: not told
+	ConnectTimeout time.Duration // a connection not up within it has failed; 0: not given
+	IdleTimeout    time.Duration // servers close idle connections after it; 0: not given
+	MaxPending     int           // requests pending at once; 0: not given
+	MaxRetryAfter  time.Duration // the longest wait that a client honours; 0: not given
 }
 
-// conf is the settings as values by their paths. The first malformed value is kept in fault.
-type conf struct {
+// settingsReader is the settings as values by their paths. The first malformed value is kept in fault.
+type settingsReader struct {
 	values map[string]string
 	lists  map[string][]string // lists of plain values, where they come unjoined
-	fault  error
+	err    error
 }
 
-func (c *conf) fail(key, want string) {
-	if c.fault == nil {
-		c.fault = fmt.Errorf("setting %s is %q, want %s", key, c.values[key], want)
+func (c *settingsReader) fail(key, want string) {
+	if c.err == nil {
+		c.err = fmt.Errorf("setting %s is %q, want %s", key, c.values[key], want)
 	}
 }
 
-// need fails for a required key that is missing.
-func (c *conf) need(key string) string {
+// required fails for a required key that is missing.
+func (c *settingsReader) required(key string) string {
 	v, ok := c.values[key]
-	if !ok && c.fault == nil {
-		c.fault = fmt.Errorf("setting %s is missing", key)
+	if !ok && c.err == nil {
+		c.err = fmt.Errorf("setting %s is missing", key)
 	}
 	return v
 }
 
-func (c *conf) float(key string) float64 {
+func (c *settingsReader) float(key string) float64 {
 	v, ok := c.values[key]
 	if !ok || v == "-" {
 		return 0
@@ -61,7 +61,7 @@
 	return f
 }
 
-func (c *conf) integer(key string) int {
+func (c *settingsReader) integer(key string) int {
 	f := c.float(key)
 	if f != math.Trunc(f) || math.Abs(f) > math.MaxInt32 {
 		c.fail(key, "a whole number")
@@ -69,9 +69,9 @@
 	return int(f)
 }
 
-func (c *conf) duration(key string) time.Duration { return seconds(c.float(key)) }
+func (c *settingsReader) duration(key string) time.Duration { return seconds(c.float(key)) }
 
-func (c *conf) boolean(key string) bool {
+func (c *settingsReader) boolean(key string) bool {
 	switch c.values[key] {
 	case "true", "1":
 		return true
@@ -82,15 +82,15 @@
 	return false
 }
 
-func (c *conf) list(key string) []string {
+func (c *settingsReader) list(key string) []string {
 	if v := c.values[key]; v != "" && v != "-" {
 		return strings.Split(v, ",")
 	}
 	return c.lists[key]
 }
 
-// choose maps a word to its meaning.
-func choose[T any](c *conf, key string, words map[string]T) T {
+// chooseWord maps a word to its meaning.
+func chooseWord[T any](c *settingsReader, key string, words map[string]T) T {
 	v, ok := words[c.values[key]]
 	if !ok {
 		c.fail(key, "one of the known words")
@@ -98,12 +98,12 @@
 	return v
 }
 
-// mostListed bounds the length of a settings list that a line may claim.
-const mostListed = 4096
+// maxListed bounds the length of a settings list that a line may claim.
+const maxListed = 4096
 
-func (c *conf) count(key string) int {
+func (c *settingsReader) count(key string) int {
 	n := c.integer(key)
-	if n < 0 || n > mostListed {
+	if n < 0 || n > maxListed {
 		c.fail(key, "a small count")
 		return 0
 	}
@@ -112,39 +112,39 @@
 
 // settings reads an instance's settings line. Unknown ones are skipped.
 func settings(seed uint64, pairs [][]byte) (balance.Settings, *Names, error) {
-	c := &conf{values: make(map[string]string, len(pairs))}
+	reader := &settingsReader{values: make(map[string]string, len(pairs))}
 	for _, p := range pairs {
 		if key, value, ok := strings.Cut(string(p), "="); ok {
-			c.values[key] = value
+			reader.values[key] = value
 		} else if len(p) > 0 {
 			return balance.Settings{}, nil, fmt.Errorf("setting %q is no key=value pair", p)
 		}
 	}
-	s, names := c.settings(seed)
-	return s, names, c.fault
+	set, names := reader.settings(seed)
+	return set, names, reader.err
 }
 
 // SettingsJSON reads the same settings from a nested JSON object, by the same paths and words.
 func SettingsJSON(seed uint64, object []byte) (balance.Settings, *Names, Limits, error) {
-	c := &conf{values: map[string]string{}, lists: map[string][]string{}}
-	d := json.NewDecoder(bytes.NewReader(object))
-	d.UseNumber()
+	reader := &settingsReader{values: map[string]string{}, lists: map[string][]string{}}
+	decoder := json.NewDecoder(bytes.NewReader(object))
+	decoder.UseNumber()
 	var tree map[string]any
-	if err := d.Decode(&tree); err != nil {
+	if err := decoder.Decode(&tree); err != nil {
 		return balance.Settings{}, nil, Limits{}, fmt.Errorf("settings: %w", err)
 	}
-	c.flatten("", tree)
-	s, names := c.settings(seed)
-	limits := Limits{ConnectTimeout: c.amount("limits.connect_timeout_s"), IdleClose: c.amount("limits.idle_close_s"),
-		MostHeld: c.integer("limits.most_held"), MaxRetryAfter: c.amount("limits.max_retry_after_s")}
-	if limits.MostHeld < 0 {
-		c.fail("limits.most_held", "a number from 0 up")
+	reader.flatten("", tree)
+	set, names := reader.settings(seed)
+	limits := Limits{ConnectTimeout: reader.positiveDuration("limits.connect_timeout_s"), IdleTimeout: reader.positiveDuration("limits.idle_close_s"),
+		MaxPending: reader.integer("limits.most_held"), MaxRetryAfter: reader.positiveDuration("limits.max_retry_after_s")}
+	if limits.MaxPending < 0 {
+		reader.fail("limits.most_held", "a number from 0 up")
 	}
-	return s, names, limits, c.fault
+	return set, names, limits, reader.err
 }
 
-// amount is a duration that cannot be negative.
-func (c *conf) amount(key string) time.Duration {
+// positiveDuration is a duration that cannot be negative.
+func (c *settingsReader) positiveDuration(key string) time.Duration {
 	d := c.duration(key)
 	if d < 0 {
 		c.fail(key, "a number from 0 up")
@@ -153,62 +153,90 @@
 }
 
 // flatten stores a JSON value under its path, as the text wire spells it.
-func (c *conf) flatten(path string, value any) {
-	switch v := value.(type) {
+func (c *settingsReader) flatten(path string, value any) {
+	switch typed := value.(type) {
 	case map[string]any:
-		for key, inner := range v {
+		for key, inner := range typed {
 			c.flatten(strings.TrimPrefix(path+"."+key, "."), inner)
 		}
 	case []any:
-		c.values[path+".count"] = strconv.Itoa(len(v))
-		for i, inner := range v {
+		c.values[path+".count"] = strconv.Itoa(len(typed))
+		for i, inner := range typed {
 			c.flatten(path+"."+strconv.Itoa(i), inner)
 			// Kept apart rather than joined: a name may hold a comma.
 			c.lists[path] = append(c.lists[path], fmt.Sprint(inner))
 		}
 	case nil: // as if absent
 	default:
-		c.values[path] = fmt.Sprint(v)
+		c.values[path] = fmt.Sprint(typed)
 	}
 }
 
-// settings reads what the module is told.
-func (c *conf) settings(seed uint64) (balance.Settings, *Names) {
+// settings reads the Balancer's settings.
+func (c *settingsReader) settings(seed uint64) (balance.Settings, *Names) {
 	for _, key := range []string{"peers_total", "ordinal", "request_classes.count", "limits.try_limit", "my_zone"} {
-		c.need(key)
-	}
-	s := balance.Settings{
-		Seed: seed, Index: c.integer("ordinal"), PeerCount: c.integer("peers_total"), Zone: c.values["my_zone"],
-		Zones: c.list("areas"), Kinds: c.list("models"),
-		MaxAttempts: c.integer("limits.try_limit"), CancelAllowed: c.boolean("limits.cancelling"),
-		SubscribeToDiscovery: choose(c, "discovery", map[string]bool{"pushed": false, "on_request": true}),
-		DiscoveryDeadline:    c.duration("rules.must_ask_in_s"), WarmUpTime: c.duration("rules.cold_s"),
-		StartCapacity: c.float("rules.start_capacity"), OverloadMultiple: c.float("rules.fall_multiple"),
-		OverloadTime: c.duration("rules.fall_s"), ZoneCrossingCost: c.float("charges.cross_zone"),
-	}
-	if tiers := c.list("tiers"); c.integer("tier") >= 0 && c.integer("tier") < len(tiers) {
-		s.Service = tiers[c.integer("tier")]
+		c.required(key)
+	}
+	set := balance.Settings{
+		Seed:                 seed,
+		Index:                c.integer("ordinal"),
+		PeerCount:            c.integer("peers_total"),
+		Zone:                 c.values["my_zone"],
+		Zones:                c.list("areas"),
+		Kinds:                c.list("models"),
+		MaxAttempts:          c.integer("limits.try_limit"),
+		CancelAllowed:        c.boolean("limits.cancelling"),
+		SubscribeToDiscovery: chooseWord(c, "discovery", map[string]bool{"pushed": false, "on_request": true}),
+		DiscoveryDeadline:    c.duration("rules.must_ask_in_s"),
+		WarmUpTime:           c.duration("rules.cold_s"),
+		StartCapacity:        c.float("rules.start_capacity"),
+		OverloadMultiple:     c.float("rules.fall_multiple"),
+		OverloadTime:         c.duration("rules.fall_s"),
+		ZoneCrossingCost:     c.float("charges.cross_zone"),
+	}
+	tier := c.integer("tier")
+	if tiers := c.list("tiers"); tier >= 0 && tier < len(tiers) {
+		set.Service = tiers[tier]
 	}
 	names := &Names{Class: map[string]int{}, Tenant: map[string]int{}}
 	for i := range c.count("request_classes.count") {
-		at := "request_classes." + strconv.Itoa(i) + "."
-		s.Classes = append(s.Classes, balance.Class{
-			Name: c.need(at + "name"),
-			Effect: choose(c, at+"effect", map[string]balance.Effect{"idempotent": balance.Idempotent,
-				"deduplicated": balance.Deduplicated, "at_most_once": balance.AtMostOnce}),
-			Scope: choose(c, at+"group", map[string]balance.Scope{"": balance.ScopeCell, "-": balance.ScopeCell,
-				"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell}),
-			DedupeWindow: c.duration(at + "window_s"), LatencyTarget: c.duration(at + "aim_s"),
-			Deadline: c.duration(at + "deadline_s"), Value: c.float(at + "credit"),
-			LateValue: c.float(at + "late_value"),
-		})
-		names.Class[s.Classes[i].Name] = i
+		class := c.class("request_classes." + strconv.Itoa(i) + ".")
+		set.Classes = append(set.Classes, class)
+		names.Class[class.Name] = i
 	}
 	for i := range c.count("tenants.count") {
-		at := "tenants." + strconv.Itoa(i) + "."
-		s.Tenants = append(s.Tenants, balance.Tenant{Name: c.need(at + "name"),
-			Allowance: c.float(at + "allowance_per_s")})
-		names.Tenant[s.Tenants[i].Name] = i
+		path := "tenants." + strconv.Itoa(i) + "."
+		tenant := balance.Tenant{Name: c.required(path + "name"), Allowance: c.float(path + "allowance_per_s")}
+		set.Tenants = append(set.Tenants, tenant)
+		names.Tenant[tenant.Name] = i
+	}
+	return set, names
+}
+
+var effects = map[string]balance.Effect{
+	"idempotent":   balance.Idempotent,
+	"deduplicated": balance.Deduplicated,
+	"at_most_once": balance.AtMostOnce,
+}
+
+var scopes = map[string]balance.Scope{
+	"":     balance.ScopeCell,
+	"-":    balance.ScopeCell,
+	"all":  balance.ScopeAll,
+	"zone": balance.ScopeZone,
+	"cell": balance.ScopeCell,
+}
+
+// class reads a class of requests below a path.
+func (c *settingsReader) class(path string) balance.Class {
+	return balance.Class{
+		Name:          c.required(path + "name"),
+		Effect:        chooseWord(c, path+"effect", effects),
+		Scope:         chooseWord(c, path+"group", scopes),
+		DedupeWindow:  c.duration(path + "window_s"),
+		LatencyTarget: c.duration(path + "aim_s"),
+		Deadline:      c.duration(path + "deadline_s"),
+		Value:         c.float(path + "credit"),
+		LateValue:     c.float(path + "late_value"),
 	}
-	return s, names
 }
--- a/internal/sidecar/wire/wire_test.go
+++ b/internal/sidecar/wire/wire_test.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kinds := []Kind{BatchStart, Instance, Open, Endpoints, Request, Result, ClientGone, Timer, Stop, EndOfBatch}
+	kinds := []Kind{BatchStart, Instance, Open, Endpoints, Request, Result, ClientDisconnected, Timer, Stop, EndOfBatch}
 	if len(events) != len(kinds) {
 		t.Fatalf("%d events, want %d", len(events), len(kinds))
 	}
@@ -66,7 +66,7 @@
 		list[0].Started != 6100*time.Millisecond || list[1].State != balance.Draining || list[1].Size != 1 {
 		t.Errorf("list %+v", list)
 	}
-	if e := events[4]; e.ID != 15 || e.Class != "read" || e.Tenant != "acme" || e.Within != 240*time.Millisecond {
+	if e := events[4]; e.ID != 15 || e.Class != "read" || e.Tenant != "acme" || e.TimeLeft != 240*time.Millisecond {
 		t.Errorf("request %+v", e)
 	}
 	r := events[5].Result
--- a/internal/sidecar/wire/writer.go
+++ b/internal/sidecar/wire/writer.go
@@ -13,22 +13,22 @@
 type Writer struct {
 	out      *bufio.Writer
 	line     []byte
-	speaking int // the instance whose actions are being written; -1: none yet
+	instance int // the instance whose actions are being written; -1: none yet
 }
 
 // NewWriter returns a Writer to out.
 func NewWriter(out io.Writer) *Writer {
-	return &Writer{out: bufio.NewWriterSize(out, 1<<16), speaking: -1}
+	return &Writer{out: bufio.NewWriterSize(out, 1<<16), instance: -1}
 }
 
 // begin starts an action's line.
 func (w *Writer) begin(instance int, name string) {
 	w.line = w.line[:0]
-	if instance != w.speaking {
+	if instance != w.instance {
 		w.line = append(w.line, "SPEAKING\t"...)
 		w.line = strconv.AppendInt(w.line, int64(instance), 10)
 		w.line = append(w.line, '\n')
-		w.speaking = instance
+		w.instance = instance
 	}
 	w.line = append(w.line, name...)
 }
@@ -104,6 +104,6 @@
 // End closes and flushes the reply.
 func (w *Writer) End() error {
 	_, _ = w.out.WriteString("END\n")
-	w.speaking = -1
+	w.instance = -1
 	return w.out.Flush()
 }
