--- a/internal/sidecar/answerstream_test.go
+++ b/internal/sidecar/answerstream_test.go
@@ -16,7 +16,7 @@
 )
 
 // long is a text that is not held.
-var long = strings.Repeat("0123456789abcdef", 3*maxHeldBytes/16)
+var long = strings.Repeat("0123456789abcdef", 3*maxBufferedBytes/16)
 
 // forms are the ways to frame an answer: its head, a piece of its body, its end.
 var forms = map[string]struct {
@@ -35,9 +35,9 @@
 		t.Run(name, func(t *testing.T) {
 			gate := make(chan bool)
 			b := startBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
-				fmt.Fprint(c, "HTTP/1.1 103 X\r\n\r\nHTTP/1.1 200 X\r\nContent-Type: video/x\r\n"+form.head+form.piece(long[:100]))
+				_, _ = fmt.Fprint(c, "HTTP/1.1 103 X\r\n\r\nHTTP/1.1 200 X\r\nContent-Type: video/x\r\n"+form.head+form.piece(long[:100]))
 				<-gate
-				fmt.Fprint(c, form.piece(long[100:])+form.end)
+				_, _ = fmt.Fprint(c, form.piece(long[100:])+form.end)
 				return name != "close"
 			})
 			p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
@@ -45,7 +45,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer resp.Body.Close()
+			defer func() { _ = resp.Body.Close() }()
 			first := make([]byte, 100)
 			if _, err := io.ReadFull(resp.Body, first); err != nil {
 				t.Fatal(err)
@@ -55,7 +55,7 @@
 			if err != nil || string(first)+string(rest) != long {
 				t.Errorf("%d bytes came of %d, error %v", len(first)+len(rest), len(long), err)
 			}
-			if resp.StatusCode != 200 || resp.Header.Get("Content-Type") != "video/x" || resp.Close {
+			if resp.StatusCode != http.StatusOK || resp.Header.Get("Content-Type") != "video/x" || resp.Close {
 				t.Errorf("answer %+v", resp)
 			}
 		})
@@ -71,17 +71,17 @@
 		for _, proto := range []string{"1.0", "1.1"} {
 			t.Run(name+" "+proto, func(t *testing.T) {
 				b := startBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
-					fmt.Fprint(c, "HTTP/1.1 200 X\r\n"+form.head+form.piece(long[:2*maxHeldBytes]))
+					_, _ = fmt.Fprint(c, "HTTP/1.1 200 X\r\n"+form.head+form.piece(long[:2*maxBufferedBytes]))
 					return false
 				})
 				p, call := operator(t, configText(startRegistry(t).address, serving(1, b, b), testSettings))
-				c, err := net.Dial("tcp", p.address)
+				c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
 				if err != nil {
 					t.Fatal(err)
 				}
-				defer c.Close()
-				fmt.Fprintf(c, "GET /api HTTP/%s\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: read\r\nX-Timeout-Ms: 50000\r\n\r\n", proto)
-				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+				defer func() { _ = c.Close() }()
+				_, _ = fmt.Fprintf(c, "GET /api HTTP/%s\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: read\r\nX-Timeout-Ms: 50000\r\n\r\n", proto)
+				resp, err := http.ReadResponse(bufio.NewReader(c), nil) //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 				if err == nil {
 					_, err = io.Copy(io.Discard, resp.Body)
 				}
@@ -107,7 +107,7 @@
 	var written atomic.Int64
 	stuck := make(chan bool)
 	b := startBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
-		fmt.Fprintf(c, "HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n", size)
+		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n", size)
 		piece := make([]byte, 1<<16)
 		for written.Load() < size {
 			if c.SetWriteDeadline(time.Now().Add(time.Second)) != nil {
@@ -126,34 +126,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	within(t, stuck, "end of the writing")
 	if n := written.Load(); n >= size {
 		t.Errorf("%d bytes were taken from the server for a client that reads none", n)
 	}
 }
 
-// TestHeldAnswers has the budget run out: what is short then flows too, and what was booked is given back.
-func TestHeldAnswers(t *testing.T) {
+// TestBufferedAnswers has the budget run out: what is short then flows too, and what was booked is given back.
+func TestBufferedAnswers(t *testing.T) {
 	room := newByteBudget(10)
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		text  string
 		begun bool
 	}{{"0123456789", false}, {"0123456789a", true}} {
-		f := newAnswerStream(int64(len(tt.text)), "", room, func(f *answerStream) {
+		f := newAnswerStream(int64(len(test.text)), "", room, func(f *answerStream) {
 			go func() {
 				var text bytes.Buffer
 				nothing := func() error { return nil }
-				if err := f.copy(&text, nothing, nothing); err != nil || text.String() != tt.text {
+				if err := f.copy(&text, nothing, nothing); err != nil || text.String() != test.text {
 					t.Errorf("%q came, error %v", text.String(), err)
 				}
 				f.abandon()
 			}()
 		})
 		f.stop = func() {}
-		whole, err := f.receive(strings.NewReader(tt.text))
-		if err != nil || f.started != tt.begun || !tt.begun && string(whole) != tt.text {
-			t.Errorf("%q: held %q, begun %v, error %v", tt.text, whole, f.started, err)
+		whole, err := f.receive(strings.NewReader(test.text))
+		if err != nil || f.started != test.begun || !test.begun && string(whole) != test.text {
+			t.Errorf("%q: held %q, begun %v, error %v", test.text, whole, f.started, err)
 		}
 		if n := room.used.Load(); n != 0 {
 			t.Errorf("%d bytes stay booked", n)
@@ -165,8 +165,8 @@
 func TestClientLeavesFlow(t *testing.T) {
 	ended := make(chan bool, 1)
 	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		fmt.Fprintf(c, "HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\nbegin", len(long))
-		silent(c, r, body)
+		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\nbegin", len(long))
+		neverAnswer(c, r, body)
 		ended <- true
 		return false
 	})
@@ -176,7 +176,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	leave()
 	within(t, ended, "end of the attempt")
 }
@@ -195,7 +195,7 @@
 				if err != nil {
 					return
 				}
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				r, err := http.ReadRequest(bufio.NewReader(c))
 				if err != nil {
 					return
@@ -213,23 +213,23 @@
 				say(200, "", "ok")(c, r, nil)
 			}()
 			p := start(t, configText(startRegistry(t).address, serving(1, &backend{address: l.Addr().String()}), testSettings))
-			c, err := net.Dial("tcp", p.address)
+			c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 			in := bufio.NewReader(c)
-			fmt.Fprint(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\nExpect: 100-continue\r\n"+form.head)
-			if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 100 {
+			_, _ = fmt.Fprint(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\nExpect: 100-continue\r\n"+form.head)
+			if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != http.StatusContinue { //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 				t.Fatal(resp, err)
 			}
-			fmt.Fprint(c, form.piece(long[:2*maxHeldBytes]))
+			_, _ = fmt.Fprint(c, form.piece(long[:2*maxBufferedBytes]))
 			within(t, first, "first bytes")
-			fmt.Fprint(c, form.piece(long[2*maxHeldBytes:])+form.end)
+			_, _ = fmt.Fprint(c, form.piece(long[2*maxBufferedBytes:])+form.end)
 			if got := within(t, whole, "body"); got != long {
 				t.Errorf("%d bytes came of %d", len(got), len(long))
 			}
-			if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 200 || resp.Close {
+			if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != http.StatusOK || resp.Close { //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 				t.Errorf("answer %+v, error %v", resp, err)
 			}
 		})
@@ -248,20 +248,20 @@
 				return
 			}
 			attempts.Add(1)
-			_, _ = io.CopyN(io.Discard, c, 2*maxHeldBytes)
+			_, _ = io.CopyN(io.Discard, c, 2*maxBufferedBytes)
 			_ = c.(*net.TCPConn).SetLinger(0)
-			c.Close()
+			_ = c.Close()
 		}
 	}()
 	b := &backend{address: l.Addr().String()}
 	p := start(t, configText(startRegistry(t).address, serving(1, b, b), testSettings))
-	c, err := net.Dial("tcp", p.address)
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\nContent-Length: %d\r\n\r\n", 1<<20)
-	fmt.Fprint(c, long)
+	defer func() { _ = c.Close() }()
+	_, _ = fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\nContent-Length: %d\r\n\r\n", 1<<20)
+	_, _ = fmt.Fprint(c, long)
 	go func() {
 		for {
 			if _, err := io.WriteString(c, "more"); err != nil {
@@ -270,8 +270,8 @@
 			time.Sleep(time.Millisecond)
 		}
 	}()
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-	if err != nil || resp.StatusCode != 503 || !resp.Close {
+	resp, err := http.ReadResponse(bufio.NewReader(c), nil) //nolint:bodyclose // the test closes the connection; to close the body would be to read it
+	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 		t.Errorf("answer %+v, error %v", resp, err)
 	}
 	if n := attempts.Load(); n != 1 {
@@ -289,20 +289,20 @@
 	head := fmt.Sprintf("POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 300\r\nContent-Length: %d\r\n\r\n", n*piece)
 	t.Run("slow", func(t *testing.T) {
 		t.Parallel()
-		c, err := net.Dial("tcp", p.address)
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		fmt.Fprint(c, head)
+		defer func() { _ = c.Close() }()
+		_, _ = fmt.Fprint(c, head)
 		for range n {
 			if _, err := io.WriteString(c, long[:piece]); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
-		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-		if err != nil || resp.StatusCode != 200 {
+		resp, err := http.ReadResponse(bufio.NewReader(c), nil) //nolint:bodyclose // the test closes the connection; to close the body would be to read it
+		if err != nil || resp.StatusCode != http.StatusOK {
 			t.Fatal(resp, err)
 		}
 		if text, err := io.ReadAll(resp.Body); string(text) != fmt.Sprint(n*piece) {
@@ -311,14 +311,14 @@
 	})
 	t.Run("stopped", func(t *testing.T) {
 		t.Parallel()
-		c, err := net.Dial("tcp", p.address)
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		began := time.Now()
-		fmt.Fprint(c, head+long[:6*piece])
-		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+		_, _ = fmt.Fprint(c, head+long[:6*piece])
+		resp, err := http.ReadResponse(bufio.NewReader(c), nil) //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 		if took := time.Since(began); took > mostSilence {
 			t.Errorf("it took %v", took)
 		}
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -30,13 +30,13 @@
 	if s := c.Settings; c.Name != "n7" || s.Seed != 0x8c1f30d27a5be964 || s.Service != "back" || len(s.Zones) != 2 || s.PeerCount != 1 ||
 		s.Classes[1].Effect != balance.Deduplicated || s.Classes[1].Scope != balance.ScopeAll ||
 		s.Classes[2].LatencyTarget != 20*time.Second || c.Names.Tenant["acme, east"] != 0 || len(c.Names.Tenant) != 1 ||
-		c.Limits.ConnectTimeout != 5*time.Second || c.Limits.MostHeld != 20000 || c.Sockets != 1024 {
+		c.Limits.ConnectTimeout != 5*time.Second || c.Limits.MaxPending != 20000 || c.Sockets != 1024 {
 		t.Errorf("configuration %+v", c)
 	}
-	if k := c.Known; k.Version != 4 || len(k.Targets) != 1 || !k.Targets[0].Boot.Equal(time.UnixMilli(5)) {
+	if k := c.Known; k.Version != 4 || len(k.Targets) != 1 || !k.Targets[0].Started.Equal(time.UnixMilli(5)) {
 		t.Errorf("known %+v", k)
 	}
-	for _, tt := range []struct{ old, new, want string }{
+	for _, test := range []struct{ old, new, want string }{
 		{`"seed":"8c`, `"seed":"xx`, "seed"},
 		{`"listen":"127.0.0.1:0"`, `"listen":"here"`, "listen"},
 		{`"discovery":"127.0.0.1:9"`, `"discovery":""`, "discovery: missing"},
@@ -51,12 +51,12 @@
 		{`"uid":"s-0"`, `"uid":""`, "known"},
 		{`{"name"`, `{{"name"`, "config.json"},
 	} {
-		text := strings.Replace(good, tt.old, tt.new, 1)
+		text := strings.Replace(good, test.old, test.new, 1)
 		if text == good {
-			t.Errorf("%s is not in the configuration", tt.old)
+			t.Errorf("%s is not in the configuration", test.old)
 		}
-		if _, err := load(t, text); err == nil || !strings.Contains(err.Error(), tt.want) {
-			t.Errorf("%s: error %v, want one with %q", tt.new, err, tt.want)
+		if _, err := load(t, text); err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%s: error %v, want one with %q", test.new, err, test.want)
 		}
 	}
 	if _, err := LoadConfig(func(string) string { return "" }); err == nil {
--- a/internal/sidecar/control_test.go
+++ b/internal/sidecar/control_test.go
@@ -17,11 +17,11 @@
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	pid := os.Getpid()
-	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+pid>>16&63, pid>>8&255, 1+pid&127))
+	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+pid>>16&63, pid>>8&255, 1+pid&127))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	return l.Addr().String()
 }
 
@@ -40,11 +40,11 @@
 // dialControl sends a text to a control address and returns all that comes back.
 func dialControl(t *testing.T, at, text string) string {
 	t.Helper()
-	c, err := net.Dial("tcp", at)
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", at)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
 		t.Fatal(err)
 	}
@@ -103,11 +103,11 @@
 	defer cancel()
 	var idle []net.Conn
 	for range 3 * maxCallers {
-		conn, err := net.Dial("tcp", l.Addr().String())
+		conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer conn.Close()
+		defer func() { _ = conn.Close() }()
 		if _, err := io.WriteString(conn, "PI"); err != nil {
 			t.Fatal(err)
 		}
@@ -148,7 +148,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	for _, env := range []string{"PROXY_CONTROL=here", "PROXY_CONTROL=127.0.0.1", "PROXY_FD=x", "PROXY_FD=-1", "PROXY_FD=1"} {
 		if _, err := load(t, text, env); err == nil {
 			t.Errorf("no error with %s", env)
@@ -167,7 +167,7 @@
 		}
 	}
 	if l, err := inherit(int(file.Fd())); err == nil {
-		l.Close()
+		_ = l.Close()
 		t.Error("a file passes for a listening socket")
 	}
 }
--- a/internal/sidecar/deadline_test.go
+++ b/internal/sidecar/deadline_test.go
@@ -12,15 +12,15 @@
 )
 
 func TestDeadline(t *testing.T) {
-	b := startBackend(t, silent)
+	b := startBackend(t, neverAnswer)
 	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		class  string
 		status int
 	}{{"pay", 502}, {"read", 503}} {
-		g := p.do(p.request(context.Background(), tt.class, "1500"))
-		if g.err != nil || g.status != tt.status {
-			t.Errorf("%s: status %d, error %v, want %d", tt.class, g.status, g.err, tt.status)
+		g := p.do(p.request(context.Background(), test.class, "1500"))
+		if g.err != nil || g.status != test.status {
+			t.Errorf("%s: status %d, error %v, want %d", test.class, g.status, g.err, test.status)
 		}
 		within(t, b.came, "attempt")
 	}
@@ -44,7 +44,7 @@
 
 func newTestCall(t *testing.T, class string) *testCall {
 	t.Helper()
-	b := startBackend(t, silent)
+	b := startBackend(t, neverAnswer)
 	c, err := load(t, configText("127.0.0.1:9", serving(1, b), testSettings))
 	if err != nil {
 		t.Fatal(err)
@@ -133,7 +133,7 @@
 					if balance.Outcome(outcome) == balance.TimedOut {
 						want = 1
 					}
-					if n := s.host.counts.attempts[outcome].Load(); int64(n) != want {
+					if n := s.host.counts.attempts[outcome].Load(); n != want {
 						t.Errorf("%d attempts with outcome %d, want %d", n, outcome, want)
 					}
 				}
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -40,11 +40,11 @@
 
 func listen(t *testing.T) net.Listener {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { _ = l.Close() })
 	return l
 }
 
@@ -60,9 +60,9 @@
 			if err != nil {
 				return
 			}
-			t.Cleanup(func() { c.Close() })
+			t.Cleanup(func() { _ = c.Close() })
 			go func() {
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				in := bufio.NewReader(c)
 				for {
 					r, err := http.ReadRequest(in)
@@ -90,7 +90,7 @@
 // say answers with a status, a header line or "", and a body, on a connection that lives on.
 func say(status int, header, body string) func(net.Conn, *http.Request, []byte) bool {
 	return func(c net.Conn, _ *http.Request, _ []byte) bool {
-		fmt.Fprintf(c, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body), header, body)
+		_, _ = fmt.Fprintf(c, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body), header, body)
 		return true
 	}
 }
@@ -101,8 +101,8 @@
 	return false
 }
 
-// silent never answers; the connection lives until the test's end or the other side's.
-func silent(c net.Conn, _ *http.Request, _ []byte) bool {
+// neverAnswer never answers; the connection lives until the test's end or the other side's.
+func neverAnswer(c net.Conn, _ *http.Request, _ []byte) bool {
 	_, _ = io.Copy(io.Discard, c)
 	return false
 }
@@ -133,7 +133,7 @@
 				if !ok {
 					return
 				}
-				fmt.Fprintln(w, line)
+				_, _ = fmt.Fprintln(w, line)
 				_ = http.NewResponseController(w).Flush()
 			case <-q.Context().Done():
 				return
@@ -141,7 +141,7 @@
 		}
 	})}
 	go func() { _ = web.Serve(l) }()
-	t.Cleanup(func() { web.Close() })
+	t.Cleanup(func() { _ = web.Close() })
 	return r
 }
 
@@ -335,7 +335,7 @@
 	if err != nil {
 		return gotten{err: err}
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	return gotten{resp.StatusCode, string(body), resp.Close, err}
 }
@@ -350,3 +350,18 @@
 }
 
 func (b *backend) count() int { return len(b.came) }
+
+// healthStatus asks a sidecar whether it is ready.
+func healthStatus(t *testing.T, client *http.Client, address string) int {
+	t.Helper()
+	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+address+"/healthz", http.NoBody)
+	if err != nil {
+		t.Fatal(err)
+	}
+	resp, err := client.Do(req)
+	if err != nil {
+		t.Fatal(err)
+	}
+	_ = resp.Body.Close()
+	return resp.StatusCode
+}
--- a/internal/sidecar/hitters_test.go
+++ b/internal/sidecar/hitters_test.go
@@ -17,8 +17,8 @@
 	return strings.Replace(config, `"settings":`, fmt.Sprintf(`"hitters":%s,"settings":`, how), 1)
 }
 
-// TestHeavyIsTold floods a sidecar by one client: it is held for heavy by its name, in the log and in INFO, and none else.
-func TestHeavyIsTold(t *testing.T) {
+// TestHeavyIsReported floods a sidecar by one client: it is held for heavy by its name, in the log and in INFO, and none else.
+func TestHeavyIsReported(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	c, err := load(t, withHitters(configText(startRegistry(t).address, serving(1, b), testSettings),
 		`{"header":"x-customer","window_s":0.1,"hold_s":0.1,"bound_s":10}`), "PROXY_CONTROL="+freeAddress(t))
@@ -54,7 +54,7 @@
 }
 
 func TestHittersConfig(t *testing.T) {
-	for _, tt := range []struct{ how, wrong string }{
+	for _, test := range []struct{ how, wrong string }{
 		{`{}`, ""},
 		{`{"header":"X-Api-Key","salt":"s","bars":[0.1,0.05],"window_s":1,"hold_s":0,"cool_s":3,"bound_s":2,"later":1}`, ""},
 		{`{"header":""}`, "header"},
@@ -67,12 +67,12 @@
 		{`{"hold_s":-1}`, "hold_s"},
 		{`{"cool_s":1e99}`, "cool_s"},
 	} {
-		c, err := load(t, withHitters(configText("127.0.0.1:9", "", testSettings), tt.how))
+		c, err := load(t, withHitters(configText("127.0.0.1:9", "", testSettings), test.how))
 		switch {
-		case tt.wrong == "" && (err != nil || c.Hitters == nil || c.Settings.Hitters == nil):
-			t.Errorf("%s: %v", tt.how, err)
-		case tt.wrong != "" && (err == nil || !strings.Contains(err.Error(), "hitters: ") || !strings.Contains(err.Error(), tt.wrong)):
-			t.Errorf("%s: %v, want one that names %s", tt.how, err, tt.wrong)
+		case test.wrong == "" && (err != nil || c.Hitters == nil || c.Settings.Hitters == nil):
+			t.Errorf("%s: %v", test.how, err)
+		case test.wrong != "" && (err == nil || !strings.Contains(err.Error(), "hitters: ") || !strings.Contains(err.Error(), test.wrong)):
+			t.Errorf("%s: %v, want one that names %s", test.how, err, test.wrong)
 		}
 	}
 	if c, err := load(t, configText("127.0.0.1:9", "", testSettings)); err != nil || c.Hitters != nil || c.Settings.Hitters != nil {
--- a/internal/sidecar/input_test.go
+++ b/internal/sidecar/input_test.go
@@ -33,7 +33,7 @@
 			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", n))), int64(n)
 		})
 	}
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		name   string
 		r      *http.Request
 		status int
@@ -51,17 +51,17 @@
 		{"path", ask("read", func(r *http.Request) { r.URL.Path = "/apis" }), 404},
 		{"health method", ask("read", func(r *http.Request) { r.URL.Path, r.Method = "/healthz", "PUT" }), 405},
 		{"long body", sized(maxBodyBytes + 1), 413},
-		{"longest body held", sized(maxHeldBytes), 200},
-		{"body that is not held", sized(maxHeldBytes + 1), 200},
+		{"longest body held", sized(maxBufferedBytes), 200},
+		{"body that is not held", sized(maxBufferedBytes + 1), 200},
 		{"unknown tenant", with("read", "X-Tenant-Id", "nobody"), 200},
 		{"no tenant", without("pay", "X-Tenant-Id"), 200},
 	} {
-		t.Run(tt.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			came := b.count()
-			if g := p.do(tt.r); g.err != nil || g.status != tt.status {
-				t.Errorf("status %d, error %v, want %d", g.status, g.err, tt.status)
+			if g := p.do(test.r); g.err != nil || g.status != test.status {
+				t.Errorf("status %d, error %v, want %d", g.status, g.err, test.status)
 			}
-			if sent := b.count() > came; sent != (tt.status == 200) {
+			if sent := b.count() > came; sent != (test.status == 200) {
 				t.Errorf("sent to a server: %v", sent)
 			}
 			if g := p.ask("pay"); g.status != 200 {
@@ -75,12 +75,12 @@
 func TestEndlessBody(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
-	c, err := net.Dial("tcp", p.address)
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	fmt.Fprint(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 300\r\n"+
+	defer func() { _ = c.Close() }()
+	_, _ = fmt.Fprint(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 300\r\n"+
 		"Content-Length: 10\r\n\r\nhalf")
 	if err := c.SetReadDeadline(time.Now().Add(patience)); err != nil {
 		t.Fatal(err)
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestSilentPeers has peers that say nothing, or stop in the middle of a request whose time is long: their connections
+// TestUnresponsivePeers has peers that say nothing, or stop in the middle of a request whose time is long: their connections
 // end within 3 s.
-func TestSilentPeers(t *testing.T) {
+func TestUnresponsivePeers(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
 	const head = "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\n"
@@ -107,11 +107,11 @@
 		"half a body": head + "Content-Length: 10\r\n\r\nhalf", "half a chunk": head + "Transfer-Encoding: chunked\r\n\r\n9\r\nhalf"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c, err := net.Dial("tcp", p.address)
+			c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 			began := time.Now()
 			if err := c.SetReadDeadline(began.Add(patience)); err != nil {
 				t.Fatal(err)
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -22,11 +22,11 @@
 		drainTimes{accept: time.Second, quietTime: 10 * time.Millisecond, closeIdle: patience, finish: patience})
 	const head = "X-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\n"
 	begin := func(size int) net.Conn {
-		c, err := net.Dial("tcp", p.address)
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { _ = c.Close() })
 		text := fmt.Sprintf("POST /api HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", head, size, long[:size-1])
 		if size == 1 {
 			text = "POST /api HTTP/1.1\r\nHost: x\r\n"
@@ -45,12 +45,12 @@
 		if _, err := io.WriteString(c, text); err != nil {
 			t.Fatal(err)
 		}
-		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+		resp, err := http.ReadResponse(bufio.NewReader(c), nil) //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 		if err != nil || resp.StatusCode != status || !resp.Close {
 			t.Errorf("%d bytes: answer %+v, error %v, want %d", size, resp, err, status)
 		}
 	}
-	sizes := []int{1, 100, 2 * maxHeldBytes} // in the head, in a body that is held, in one that flows
+	sizes := []int{1, 100, 2 * maxBufferedBytes} // in the head, in a body that is held, in one that flows
 	var inTime, late []net.Conn
 	for _, size := range sizes {
 		inTime, late = append(inTime, begin(size)), append(late, begin(size))
@@ -71,9 +71,9 @@
 	}
 }
 
-// TestFinalAnswerBeforeTheKill has a server answer nothing to what came whole while the sidecar leaves: the client has its
+// TestFinalAnswerBeforeKill has a server answer nothing to what came whole while the sidecar leaves: the client has its
 // final answer before the process would be killed, though it would wait for longer.
-func TestFinalAnswerBeforeTheKill(t *testing.T) {
+func TestFinalAnswerBeforeKill(t *testing.T) {
 	l := &shutdownClock{}
 	l.init([]balance.Class{{Deadline: time.Second}, {Deadline: time.Hour}})
 	now := time.Now()
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -14,6 +14,7 @@
 	"path/filepath"
 	"regexp"
 	"runtime"
+	"slices"
 	"strings"
 	"sync"
 	"syscall"
@@ -57,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { socket.Close() })
+	t.Cleanup(func() { _ = socket.Close() })
 	dir := t.TempDir()
 	file := filepath.Join(dir, "config.json")
 	if err := os.WriteFile(file, []byte(config), 0o600); err != nil {
@@ -78,8 +79,8 @@
 // start starts one more process and waits until it says yes.
 func (f *platform) start() *child {
 	f.t.Helper()
-	s := &child{t: f.t, control: freeAddress(f.t), process: exec.Command(os.Args[0]), ended: make(chan error, 1)}
-	s.process.Env = append(f.env, "PROXY_CONTROL="+s.control)
+	s := &child{t: f.t, control: freeAddress(f.t), process: exec.CommandContext(context.WithoutCancel(f.t.Context()), os.Args[0]), ended: make(chan error, 1)}
+	s.process.Env = append(slices.Clone(f.env), "PROXY_CONTROL="+s.control)
 	s.process.ExtraFiles = []*os.File{f.socket}
 	var text strings.Builder
 	s.process.Stderr = &text
@@ -100,8 +101,8 @@
 		}
 	})
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-		if c, err := net.Dial("tcp", s.control); err == nil {
-			c.Close()
+		if c, err := (&net.Dialer{}).DialContext(f.t.Context(), "tcp", s.control); err == nil {
+			_ = c.Close()
 			if strings.HasPrefix(s.call("PING"), "ok ") {
 				return s
 			}
@@ -135,8 +136,8 @@
 	if err != nil {
 		return false, err
 	}
-	defer resp.Body.Close()
-	if body, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 || string(body) != "ok" {
+	defer func() { _ = resp.Body.Close() }()
+	if body, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != http.StatusOK || string(body) != "ok" {
 		return false, fmt.Errorf("status %d, body %q, error %w", resp.StatusCode, body, err)
 	}
 	return resp.Close, nil
@@ -146,12 +147,12 @@
 func (f *platform) askUntil(done func() bool) {
 	f.t.Helper()
 	for end := time.Now().Add(patience); ; {
-		c, err := net.Dial("tcp", f.address)
+		c, err := (&net.Dialer{}).DialContext(f.t.Context(), "tcp", f.address)
 		if err != nil {
 			f.t.Fatal(err)
 		}
 		_, err = f.ask(c, bufio.NewReader(c))
-		c.Close()
+		_ = c.Close()
 		if err == nil && done() {
 			return
 		}
@@ -183,7 +184,7 @@
 				}
 				if c == nil {
 					var err error
-					if c, err = net.Dial("tcp", f.address); err != nil {
+					if c, err = (&net.Dialer{}).DialContext(t.Context(), "tcp", f.address); err != nil {
 						t.Errorf("no connection: %v", err)
 						return
 					}
@@ -195,7 +196,7 @@
 					return
 				}
 				if closing || kept == 0 {
-					c.Close()
+					_ = c.Close()
 					c = nil
 				}
 			}
@@ -210,15 +211,15 @@
 	clients.Wait()
 }
 
-// TestLeaveUnaccepted has a process leave while a connection waits in the backlog: it is left to the other process.
-func TestLeaveUnaccepted(t *testing.T) {
+// TestShutdownLeavesBacklog has a process leave while a connection waits in the backlog: it is left to the other process.
+func TestShutdownLeavesBacklog(t *testing.T) {
 	inner := listen(t).(*net.TCPListener)
 	l := &drainListener{TCPListener: inner, quietTime: patience}
-	c, err := net.Dial("tcp", inner.Addr().String())
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", inner.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	if err := l.stopNow(); err != nil {
 		t.Fatal(err)
 	}
@@ -227,9 +228,9 @@
 	}
 }
 
-// TestLeaveBlocked has a process wait for a connection in the kernel, as the platform has made the shared socket one that blocks,
+// TestShutdownWhileBlocked has a process wait for a connection in the kernel, as the platform has made the shared socket one that blocks,
 // and leave then.
-func TestLeaveBlocked(t *testing.T) {
+func TestShutdownWhileBlocked(t *testing.T) {
 	c, err := load(t, configText(startRegistry(t).address, serving(1, startBackend(t, say(200, "", "ok"))), testSettings))
 	if err != nil {
 		t.Fatal(err)
@@ -239,7 +240,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer socket.Close()
+	defer func() { _ = socket.Close() }()
 	if c.InheritedFD, err = syscall.Dup(int(socket.Fd())); err != nil {
 		t.Fatal(err)
 	}
@@ -249,8 +250,8 @@
 		t.Fatalf("asking for the descriptor has not made the socket block: flags %#x, error %v", flags, err)
 	}
 	dial := func() {
-		if c, err := net.Dial("tcp", shared.Addr().String()); err == nil {
-			c.Close()
+		if c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", shared.Addr().String()); err == nil {
+			_ = c.Close()
 		}
 	}
 	defer dial() // so that nothing waits on, even if it did not leave
@@ -268,18 +269,18 @@
 	}
 }
 
-// TestLeavingClosesIdle has connections idle, or wait in the middle of a head, while a process leaves: the one in the
+// TestShutdownClosesIdle has connections idle, or wait in the middle of a head, while a process leaves: the one in the
 // middle is served, the others end.
-func TestLeavingClosesIdle(t *testing.T) {
+func TestShutdownClosesIdle(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	f := startPlatform(t, configText(startRegistry(t).address, serving(1, b), testSettings))
 	s := f.start()
 	dial := func() net.Conn {
-		c, err := net.Dial("tcp", f.address)
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", f.address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { _ = c.Close() })
 		return c
 	}
 	silent, idle, slow := dial(), dial(), dial()
@@ -295,14 +296,14 @@
 	left := make(chan bool)
 	go func() { s.leave(); close(left) }()
 	for _, c := range []net.Conn{silent, idle} {
-		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
+		if _, err := c.Read(make([]byte, 1)); err != io.EOF { //nolint:errorlint // the connection's own error, not one that wraps it
 			t.Errorf("an idle connection ended with %v", err)
 		}
 	}
 	if _, err := io.WriteString(slow, "rity-Class: pay\r\nX-Timeout-Ms: 50000\r\nContent-Length: 2\r\n\r\nhi"); err != nil {
 		t.Fatal(err)
 	}
-	if resp, err := http.ReadResponse(bufio.NewReader(slow), nil); err != nil || resp.StatusCode != 200 || !resp.Close {
+	if resp, err := http.ReadResponse(bufio.NewReader(slow), nil); err != nil || resp.StatusCode != http.StatusOK || !resp.Close { //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 		t.Errorf("answer %+v, error %v to a request that had begun", resp, err)
 	}
 	within(t, left, "end")
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -11,17 +11,15 @@
 	"gradeusher.example/gradeusher/balance"
 )
 
-// Here is how the list of servers comes to the Balancer.
-
 const (
 	// A watch that ended is opened again after minBackoff, and after twice as long each time that nothing comes.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = time.Second
-	noVersion  = -1 // no list is held
+	noVersion  = -1 // there is no list
 )
 
-// moveTo has discovery, or other keepers, asked at another address from now on. The loop alone calls it. Of several that come at once the
-// last counts.
+// moveTo has discovery, or the registry, asked at another address from now on. The loop alone calls it. Of several that come at
+// once the last counts.
 func (h *host) moveTo(address string) {
 	if h.registry != nil {
 		h.log.Info("keepers move", "to", address)
@@ -33,8 +31,8 @@
 	}
 	h.log.Info("discovery moves", "to", address)
 	if h.moves == nil {
-		// Danger: the Balancer asks again some seconds after a call that failed, and what the new address has to tell counts
-		// as told 4 s from now. So it is asked from here; with a pause, as all sidecars are told to move at once.
+		// The Balancer asks again some seconds after a call that failed, and what the new address has to say counts as published
+		// 4 s from now. So it is asked from here; with a pause, as all sidecars move at once.
 		if h.nextAddress = address; !h.watching {
 			h.watching = true
 			h.openWatchAtNext()
@@ -49,7 +47,7 @@
 	h.moves <- address
 }
 
-// Subscribe opens a watch, if none is open. The Balancer asks for another only once it was told that the last one ended.
+// Subscribe opens a watch, if none is open. The Balancer asks for another only once it knows that the last one ended.
 func (h *host) Subscribe() {
 	if h.watching {
 		return // since a move
@@ -70,7 +68,7 @@
 			return
 		}
 		h.log.Info("discovery", "err", err)
-		h.post(func() {
+		h.post(func() { //nolint:contextcheck // a watch lasts as long as the host
 			if h.nextAddress != "" {
 				h.openWatchAtNext()
 				return
@@ -95,8 +93,8 @@
 
 var errStaleList = errors.New("the list went back: it is read again")
 
-// watch has the loop take in what a watch tells, until it ends; a list that is doubted ends it when that is to be read again. came is
-// called for each list. Watches come one after the other: the one that is open has the ledger.
+// watch has the loop apply the lists of a watch, until it ends; a stale list ends it when that is to be read again. came is
+// called for each list. Watches come one after the other: the one that is open has the table.
 func (h *host) watch(ctx context.Context, from int64, first time.Duration, came func()) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -105,9 +103,9 @@
 	if !h.table.isStale() {
 		reread.Stop()
 	}
-	err := h.discovery.watch(ctx, from, first, func(l List) {
+	err := h.discovery.watch(ctx, from, first, func(received List) {
 		doubted, rev, now := h.table.isStale(), h.table.highestRev, time.Now()
-		l = h.table.apply(l, now)
+		received = h.table.apply(received, now)
 		switch doubts := h.table.isStale(); {
 		case doubts && !doubted:
 			h.log.Warn("list went back: what it lacks is kept until it is read again", "held", rev)
@@ -119,10 +117,10 @@
 		came()
 		h.post(func() {
 			kind := balance.ListChanges
-			if l.Complete {
+			if received.Complete {
 				kind = balance.ListFull
 			}
-			h.applyList(kind, l)
+			h.applyList(kind, received)
 		})
 	})
 	if cause := context.Cause(ctx); errors.Is(cause, errStaleList) {
@@ -131,18 +129,18 @@
 	return err
 }
 
-// reload moves to where discovery is each time that told says so, until ctx is done. A configuration that cannot be read
+// reload moves to where discovery is each time that signals delivers, until ctx is done. A configuration that cannot be read
 // changes nothing.
-func (h *host) reload(ctx context.Context, told <-chan os.Signal, discoveryAt func() (string, error)) {
+func (h *host) reload(ctx context.Context, signals <-chan os.Signal, discoveryAt func() (string, error)) {
 	for {
 		select {
-		case <-told:
+		case <-signals:
 			address, err := discoveryAt()
 			if err != nil {
 				h.log.Error("reload", "err", err)
 				continue
 			}
-			h.post(func() { h.moveTo(address) })
+			h.post(func() { h.moveTo(address) }) //nolint:contextcheck // a watch lasts as long as the host
 		case <-ctx.Done():
 			return
 		}
@@ -193,9 +191,9 @@
 // watchEnded is for a watch that ended with an error.
 func (p *watchPlan) watchEnded(err error, d *discovery) {
 	switch {
-	case errors.Is(err, errSilent) && p.complete: // the agent may be slow
-		p.firstTimeout = min(2*p.firstTimeout, d.silenceTimeout)
-	case errors.Is(err, errSilent):
+	case errors.Is(err, errTimedOut) && p.complete: // the agent may be slow
+		p.firstTimeout = min(2*p.firstTimeout, d.watchTimeout)
+	case errors.Is(err, errTimedOut):
 		p.complete = true
 		p.firstTimeout = d.firstTimeout
 	case errors.Is(err, errBadList):
@@ -223,10 +221,10 @@
 		return h.awaitNextWatch(ctx, plan, err, moves)
 	case address = <-moves:
 		closeWatch()
-		<-ended
+		<-ended //nolint:errcheck // it ended as it was told to
 		return address, true
 	case <-ctx.Done():
-		<-ended
+		<-ended //nolint:errcheck // it ended as it was told to
 		return "", false
 	}
 }
@@ -237,7 +235,7 @@
 	case address = <-moves:
 		return address, true
 	case <-time.After(jitter(plan.backoff)):
-		if !errors.Is(ended, errSilent) {
+		if !errors.Is(ended, errTimedOut) {
 			plan.backoff = min(2*plan.backoff, maxBackoff)
 		}
 		return "", true
@@ -246,9 +244,9 @@
 	}
 }
 
-// awaitAgent waits until an agent has told what it has, at most for some time, or until stop is done.
+// awaitAgent waits until an agent has sent its list, at most for some time, or until stop is done.
 //
-// Danger: what the agent has counts as told from the first moment, and a new process holds an old list. One that says nothing
+// What the agent has counts as published from the first moment, and a new process has an old list. An agent that says nothing
 // must not keep requests from servers for long, though: clients connect, and wait.
 func (h *host) awaitAgent(stop context.Context, atMost time.Duration) {
 	timer := time.NewTimer(atMost)
@@ -261,8 +259,8 @@
 	}
 }
 
-// jitter is a time from half of the pause up to all of it. Danger: sidecars whose watches end together, as when what they
-// ask is overbooked, would ask again together, each time.
+// jitter is a time from half of the pause up to all of it. Sidecars whose watches end together, as when what they ask is
+// overbooked, would ask again together, each time.
 func jitter(pause time.Duration) time.Duration { return pause/2 + rand.N(pause/2) }
 
 // applyList hands a applyList to the connections and to the Balancer, in this order: what it sends next must find its address.
@@ -288,8 +286,8 @@
 
 // started is when a server started, in the Balancer's time; 0: long ago.
 func (h *host) started(t Target) balance.Time {
-	if t.Boot.IsZero() {
+	if t.Started.IsZero() {
 		return 0
 	}
-	return max(t.Boot.Sub(h.origin), 0)
+	return max(t.Started.Sub(h.origin), 0)
 }
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -105,22 +105,22 @@
 	getenv := func(key string) string {
 		return map[string]string{"PROXY_CONFIG": file, "PROXY_DISCOVERY": "127.0.0.1:1"}[key]
 	}
-	for _, tt := range []struct{ text, want string }{
+	for _, test := range []struct{ text, want string }{
 		{configText("127.0.0.1:2", "", testSettings), "127.0.0.1:2"},
 		{configText("nowhere", "", testSettings), ""},
 		{"{", ""},
 	} {
-		if err := os.WriteFile(file, []byte(tt.text), 0o600); err != nil {
+		if err := os.WriteFile(file, []byte(test.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if at, err := DiscoveryAt(getenv); at != tt.want || (err == nil) != (tt.want != "") {
-			t.Errorf("%.30s: %q, error %v", tt.text, at, err)
+		if at, err := DiscoveryAt(getenv); at != test.want || (err == nil) != (test.want != "") {
+			t.Errorf("%.30s: %q, error %v", test.text, at, err)
 		}
 	}
 }
 
-// TestWatchesAreOpenedAgainApart spreads sidecars whose watches ended together.
-func TestWatchesAreOpenedAgainApart(t *testing.T) {
+// TestWatchesReopenApart spreads sidecars whose watches ended together.
+func TestWatchesReopenApart(t *testing.T) {
 	for pause := minBackoff; pause <= maxBackoff; pause *= 2 {
 		quarters := [4]int{}
 		for range 1000 {
@@ -142,12 +142,7 @@
 	d := startRegistry(t)
 	p := start(t, configText(d.address, "", testSettings))
 	health := func() int {
-		resp, err := p.client.Get("http://" + p.address + "/healthz")
-		if err != nil {
-			t.Fatal(err)
-		}
-		resp.Body.Close()
-		return resp.StatusCode
+		return healthStatus(t, p.client, p.address)
 	}
 	if got := health(); got != 503 {
 		t.Errorf("status %d before any server is known", got)
@@ -156,7 +151,7 @@
 	if w.query != "watch=1" {
 		t.Errorf("query %q with no list in hand", w.query)
 	}
-	w.lines <- serving(1, startBackend(t, silent))
+	w.lines <- serving(1, startBackend(t, neverAnswer))
 	for end := time.Now().Add(patience); health() != 200; {
 		if time.Now().After(end) {
 			t.Fatal("never ready")
@@ -164,26 +159,26 @@
 	}
 }
 
-// TestColdServer has a sidecar start beside a server that started just before it.
-func TestColdServer(t *testing.T) {
+// TestWarmingUpServer has a sidecar start beside a server that started just before it.
+func TestWarmingUpServer(t *testing.T) {
 	c, err := load(t, configText("127.0.0.1:9", "", testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Settings.SubscribeToDiscovery = true // and so no watch in this test
 	booted := time.Now().Add(-3 * time.Second)
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		boot time.Time
 		cold bool
 	}{{booted, true}, {time.Time{}, false}, {booted.Add(-2 * originAge), false}} {
-		c.Known = List{Version: 1, Complete: true, Targets: []Target{{ID: "s-0", Address: "127.0.0.1:9", Zone: "a", Kind: "m", Size: 1, Boot: tt.boot}}}
+		c.Known = List{Version: 1, Complete: true, Targets: []Target{{ID: "s-0", Address: "127.0.0.1:9", Zone: "a", Kind: "m", Size: 1, Started: test.boot}}}
 		h, err := newHost(context.Background(), c, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
 		started := h.started(c.Known.Targets[0])
-		if age := h.clock() - started; tt.cold && (started <= 0 || age < 3*time.Second || age > 3*time.Second+patience) || !tt.cold && started > 0 {
-			t.Errorf("boot %v: started %v, age %v", tt.boot, started, age)
+		if age := h.clock() - started; test.cold && (started <= 0 || age < 3*time.Second || age > 3*time.Second+patience) || !test.cold && started > 0 {
+			t.Errorf("boot %v: started %v, age %v", test.boot, started, age)
 		}
 	}
 }
