--- a/internal/system/operatorapi/handler.go
+++ b/internal/system/operatorapi/handler.go
@@ -8,7 +8,7 @@
 // request is one attempt to submit it; a verdict is what the state machine at the head of the chain decides
 // (controlstate.State.Check); a fence is the number of the newest committed record that a node knew when a request arrived.
 //
-// Invariants (docs/hardening/control.md, C1 to C8, has the argument for each):
+// Invariants (docs/hardening/operatorapi.md, C1 to C8, has the argument for each):
 //
 //   - A 4xx status follows from the bytes of the request alone, or from a verdict that a majority has confirmed. Everything that
 //     one node believes by itself is answered with 503, at which callers go on to another node.
