--- a/internal/sidecar/registry/node.go
+++ b/internal/sidecar/registry/node.go
@@ -2,7 +2,7 @@
 // them the same on all nodes of the cluster by raft.
 //
 // Terms: a node is one process of the cluster; the leader is the node that raft has elected for a term; a watch is a call whose answer
-// goes on, a line of JSON for each change; a server or a role has a lease, which ends unless it is renewed (docs/duties.md has
+// goes on, a line of JSON for each change; a server or a role has a lease, which ends unless it is renewed (docs/singleton-roles.md has
 // the proof for roles).
 //
 // The state is the replicated state machine of package state. A node has of its own only what can be lost with it: the watches that
--- a/internal/sidecar/registry/rolelessor.go
+++ b/internal/sidecar/registry/rolelessor.go
@@ -13,7 +13,7 @@
 //
 // Invariants: no lease ends before its whole length has passed since the last renewal that was answered was sent; once the end of a lease is
 // decided, no renewal of it is answered. Without the second, an end that is on its way to the log would take a role from a process that was
-// just told that its lease goes on. docs/duties.md has the proof that a role has one owner at a time; TestRoleModel checks it.
+// just told that its lease goes on. docs/singleton-roles.md has the proof that a role has one owner at a time; TestRoleModel checks it.
 type roleLessor struct {
 	mu           sync.Mutex
 	leading      bool
--- a/internal/sidecar/singleton/leases.go
+++ b/internal/sidecar/singleton/leases.go
@@ -1,4 +1,4 @@
-// Package singleton is a process that owns singleton roles: work that one process of a fleet does at a time (docs/duties.md). Registry
+// Package singleton is a process that owns singleton roles: work that one process of a fleet does at a time (docs/singleton-roles.md). Registry
 // nodes grant a role under a lease and a rising epoch; the owner renews the lease, stops by its own clock before the lease can have
 // ended for the nodes, and puts the epoch on everything it does.
 //
--- a/internal/sidecar/state/roles.go
+++ b/internal/sidecar/state/roles.go
@@ -32,7 +32,7 @@
 	restoreGap         = 1 << 20     // epochs and revisions that may have been given since a backup
 )
 
-// The assumptions about clocks under which a lease has one owner at a time (docs/duties.md, "Promise").
+// The assumptions about clocks under which a lease has one owner at a time (docs/singleton-roles.md, "Promise").
 const (
 	clockDriftDivisor = 100                    // rates of clocks differ by one part in so many at most
 	effectMargin      = 100 * time.Millisecond // longest time from an owner's look at its clock to the effect of what it does
--- a/internal/sidecar/state/state.go
+++ b/internal/sidecar/state/state.go
@@ -5,7 +5,7 @@
 //
 // Terms: an entry is a server with its lease; the revision counts changes of the list; the history is the list's latest changes,
 // from which a watch resumes; a generation is a version of the route table; a role is work that one process does at a time
-// (docs/duties.md).
+// (docs/singleton-roles.md).
 //
 // Invariants: the revision only rises, by one with each change; a server has one entry; the history has no gap and reaches up to the
 // revision; a refused command changes nothing. The types routeHistory and roleTable state those of routes and roles.
