--- a/cmd/controlplane/distributor.go
+++ b/cmd/controlplane/distributor.go
@@ -114,7 +114,7 @@
 	}
 	d.logWarmUps(r)
 	if err := d.server.PutList(r.Fence, r.Version, servers, softstate.TimeBounds{Earliest: r.RequestedAt, Latest: r.ReceivedAt}); err != nil {
-		d.log.WithError(err).Info("keeper: a reading of the list came too late")
+		d.log.WithError(err).Info("controlplane: a reading of the server list was superseded")
 	}
 }
 
@@ -128,7 +128,7 @@
 		warmingUp[i.ID] = true
 		if !d.warmingUp[i.ID] {
 			d.log.WithField("server", i.ID).WithField("cold_ms", i.WarmUpLeft.Milliseconds()).
-				WithField("reading_ms", r.ReceivedAt.Sub(r.RequestedAt).Milliseconds()).Info("keeper: the list calls a server cold")
+				WithField("reading_ms", r.ReceivedAt.Sub(r.RequestedAt).Milliseconds()).Info("controlplane: the server list calls a server cold")
 		}
 	}
 	d.warmingUp = warmingUp
--- a/cmd/controlplane/membership.go
+++ b/cmd/controlplane/membership.go
@@ -21,7 +21,7 @@
 func (n *node) openChain(ctx context.Context) error {
 	options := n.replicationOptions()
 	if !n.settings.HasDisk() {
-		n.log.Info("keeper: no disk (data_dir is empty), so this keeper is an observer: it has no vote and passes calls on")
+		n.log.Info("controlplane: no disk (data_dir is empty), so this node is an observer: it has no vote and forwards calls")
 		options.Observer = true
 		return n.startReplica(ctx, options)
 	}
@@ -42,7 +42,7 @@
 	if !errors.Is(err, wal.ErrDamaged) {
 		return err
 	}
-	n.log.WithError(err).Error("keeper: the log is damaged and put aside; this keeper begins anew and takes the state from the others")
+	n.log.WithError(err).Error("controlplane: the log is damaged and quarantined; this node starts with a new identity and catches up from the others")
 	if err := disk.Quarantine(); err != nil {
 		return errors.Wrapf(err, "the damaged log in %s cannot be put aside: empty the folder", directory)
 	}
@@ -97,12 +97,12 @@
 // leaveChain has the other nodes take over before this one ends. It stays until enough of them have what was acknowledged, as long as
 // the grace period allows: its disk may be lost with it.
 func (n *node) leaveChain() {
-	n.log.Info("keeper: leaving")
+	n.log.Info("controlplane: draining")
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout(n.settings.Bounds.GraceSeconds))
 	defer cancel()
 	n.chain.Leave(ctx)
 	if ctx.Err() != nil {
-		n.log.Warn("keeper: the grace is up and the others have not taken over; keep this disk until they have")
+		n.log.Warn("controlplane: the grace period is over and the others have not taken over; keep this disk until they have")
 	}
 }
 
--- a/cmd/controlplane/run.go
+++ b/cmd/controlplane/run.go
@@ -53,6 +53,6 @@
 	if n.distributor != nil {
 		n.distributor.start(ctx, group)
 	}
-	n.log.WithField("control", n.settings.Bind.Control).Info("keeper: started")
+	n.log.WithField("control", n.settings.Bind.Control).Info("controlplane: started")
 	return nil
 }
--- a/cmd/proxy/run.go
+++ b/cmd/proxy/run.go
@@ -157,13 +157,13 @@
 
 // shutDownGracefully has the directory and the readiness check send clients away, then finishes the requests in flight.
 func (s *server) shutDownGracefully() {
-	s.log.Info("proxy: leaving")
+	s.log.Info("proxy: shutting down")
 	s.draining.Store(true)
 	s.agent.Leave()
 	ctx, cancel := context.WithTimeout(context.Background(), s.gracePeriod())
 	defer cancel()
 	if err := s.subscriber.Leave(ctx); err != nil {
-		s.log.WithError(err).Warn("proxy: no keeper was told")
+		s.log.WithError(err).Warn("proxy: no control-plane node was notified")
 	}
 	s.dataPlane.Drain(ctx)
 	s.log.Info("proxy: ended")
--- a/cmd/proxy/update.go
+++ b/cmd/proxy/update.go
@@ -22,7 +22,7 @@
 func (s *server) applyUpdate(update distribution.Update) {
 	live := s.liveMembers(update.Members)
 	if configured, listed := update.State.Config != nil, update.HasList; !s.isSynced && (configured || listed) {
-		s.log.WithField("configured", configured).WithField("listed", listed).Info("proxy: learning")
+		s.log.WithField("configured", configured).WithField("listed", listed).Info("proxy: synchronizing")
 	}
 	s.dataPlane.UpdateClusterState(update.AsOf, pick.ClusterState{
 		Config:               update.State.Config,
--- a/internal/system/operatorapi/change.go
+++ b/internal/system/operatorapi/change.go
@@ -36,7 +36,7 @@
 	if a.options.Partitioned == nil || !a.options.Partitioned() {
 		return false
 	}
-	a.logEntry(change).Info("control: order not taken, this keeper has no way to the chain")
+	a.logEntry(change).Info("operatorapi: change not accepted, this node is partitioned from the chain")
 	writeUnavailable(w, errPartitioned.Error())
 	return true
 }
@@ -46,35 +46,35 @@
 func (a *api) respondToChange(w http.ResponseWriter, r *http.Request, request changeRequest, verdict controlstate.Verdict, err error) {
 	entry := a.logEntry(request.change)
 	if errors.Is(err, errCallerGone) {
-		entry.Info("control: order dropped, its caller has gone or waits too long")
+		entry.Info("operatorapi: change dropped, its caller has gone or its deadline has passed")
 		writeUnavailable(w, errCallerGone.Error())
 		return
 	}
 	if err != nil {
-		entry.WithError(err).Warn("control: change not acknowledged, it may or may not come about")
+		entry.WithError(err).Warn("operatorapi: change not acknowledged, its outcome is unknown")
 		writeUnavailable(w, reasonNotDurable)
 		return
 	}
 	switch verdict.Kind {
 	case controlstate.Accepted, controlstate.AlreadyApplied:
 		a.waitDelivered(r.Context(), request, verdict.Seq)
-		entry.WithFields(log.Fields{"seq": verdict.Seq, "ms": time.Since(request.receivedAt).Milliseconds()}).Info("control: change acknowledged")
+		entry.WithFields(log.Fields{"seq": verdict.Seq, "ms": time.Since(request.receivedAt).Milliseconds()}).Info("operatorapi: change acknowledged")
 		writeJSON(w, http.StatusOK, request.success())
 	case controlstate.Stale:
 		body := a.staleBody(verdict)
-		entry.Info("control: change refused, another version is current")
+		entry.Info("operatorapi: change rejected, another version is current")
 		writeJSON(w, http.StatusPreconditionFailed, body)
 	case controlstate.Invalid:
-		entry.WithField("reason", verdict.Reason).Info("control: change refused, it is invalid")
+		entry.WithField("reason", verdict.Reason).Info("operatorapi: change rejected, it is invalid")
 		writeError(w, http.StatusBadRequest, cmp.Or(verdict.Reason, reasonInvalid))
 	case controlstate.Uncertain:
-		entry.WithField("reason", verdict.Reason).Warn("control: change left without a clear answer")
+		entry.WithField("reason", verdict.Reason).Warn("operatorapi: change left without a clear answer")
 		writeUnavailable(w, cmp.Or(verdict.Reason, reasonUncertain))
 	case controlstate.Superseded:
-		entry.Info("control: change came too late, its zone was changed since")
+		entry.Info("operatorapi: change superseded, its zone was changed since")
 		writeUnavailable(w, cmp.Or(verdict.Reason, reasonSuperseded))
 	default:
-		entry.WithField("verdict", verdict.Kind).Error("control: unknown verdict")
+		entry.WithField("verdict", verdict.Kind).Error("operatorapi: unknown verdict")
 		writeUnavailable(w, reasonUnknownVerdict)
 	}
 }
--- a/internal/system/operatorapi/config.go
+++ b/internal/system/operatorapi/config.go
@@ -94,7 +94,7 @@
 	switch {
 	case err != nil:
 		if !errors.Is(err, context.Canceled) {
-			a.options.Log.WithError(err).Warn("control: configuration not read")
+			a.options.Log.WithError(err).Warn("operatorapi: configuration not read")
 		}
 		writeUnavailable(w, "the newest configuration could not be confirmed in time: ask again")
 	case state == nil || state.Config == nil:
--- a/internal/system/proxy/serve.go
+++ b/internal/system/proxy/serve.go
@@ -73,7 +73,7 @@
 		default: // descriptors are short, or the client has gone
 			a.failing = true
 			if !wasFailing {
-				a.clients.proxy.options.Log.WithError(err).Warn("proxy: a connection could not be taken")
+				a.clients.proxy.options.Log.WithError(err).Warn("proxy: a connection could not be accepted")
 			}
 			sleep(ctx, acceptBackoff)
 		}
--- a/internal/system/proxy/shutdown.go
+++ b/internal/system/proxy/shutdown.go
@@ -43,7 +43,7 @@
 		p.options.Log.Info("proxy: drained")
 		return
 	}
-	p.options.Log.WithField("connections", clients.conns.count()).Warn("proxy: the time for draining is up")
+	p.options.Log.WithField("connections", clients.conns.count()).Warn("proxy: the grace period for draining is over")
 	_ = listener.SetDeadline(time.Now())
 	close(clients.drainExpired)
 	<-clients.serveDone
