--- a/internal/system/proxy/pick/conformance_test.go
+++ b/internal/system/proxy/pick/conformance_test.go
@@ -145,24 +145,24 @@
 }
 
 // send picks servers for n requests, which are named from name on; with answer they are ended at once.
-func (b *table) send(c *command) string {
+func (b *table) send(call *command) string {
 	var out []string
-	for i := range c.number("n", 1) {
-		r := &Request{Route: b.route(c.text("path", "/")), TimeLeft: c.duration("left", "5s")}
+	for i := range call.number("n", 1) {
+		r := &Request{Route: b.route(call.text("path", "/")), TimeLeft: call.duration("left", "5s")}
 		if r.Route == nil {
 			return "no route"
 		}
 		b.picker.RecordRequest(b.now, r)
-		name := c.text("name", "x")
-		if c.number("n", 1) > 1 {
+		name := call.text("name", "x")
+		if call.number("n", 1) > 1 {
 			name += strconv.Itoa(i)
 		}
 		b.request[name], b.tried[name] = r, nil
 		out = append(out, b.pick(name, false))
-		if outcome, ok := outcomes[c.text("answer", "")]; ok {
+		if outcome, ok := outcomes[call.text("answer", "")]; ok {
 			b.picker.Done(b.now, b.tickets[name], outcome, 0)
 		}
-		b.now += c.duration("gap", "0s")
+		b.now += call.duration("gap", "0s")
 	}
 	return strings.Join(out, " ")
 }
@@ -204,10 +204,10 @@
 }
 
 // updateState reads a cluster state: lines of service, route, server, evacuated and peers.
-func (b *table) updateState(c *command) string {
+func (b *table) updateState(call *command) string {
 	b.state = ClusterState{Self: "p1", Peers: []string{"p1"}, Evacuated: map[string]bool{}, Config: &config.Config{Services: map[string]*config.Service{}}}
-	for _, words := range c.lines() {
-		line := newStateLine(c, words)
+	for _, words := range call.lines() {
+		line := newStateLine(call, words)
 		switch line.words[0] {
 		case "service":
 			b.state.Config.Services[words[1]] = &config.Service{Name: words[1], WarmUpRate: line.number("cold", 0)}
@@ -220,7 +220,7 @@
 		case "peers":
 			b.state.Peers = words[1:]
 		default:
-			c.data.Fatalf(c.t, "unknown line %s", strings.Join(words, " "))
+			call.data.Fatalf(call.t, "unknown line %s", strings.Join(words, " "))
 		}
 	}
 	b.picker.UpdateClusterState(b.now, b.state)
--- a/internal/system/proxy/pick/days_test.go
+++ b/internal/system/proxy/pick/days_test.go
@@ -32,52 +32,52 @@
 }
 
 func hakata() scenario {
-	sc := aula()
-	sc.name, sc.zones = "hakata", []string{"fa", "ka", "fb"}
-	sc.regions = map[string]string{"fa": "cluj", "fb": "cluj", "ka": "iasi"}
-	sc.proxies = map[string]int{"fa": 5, "ka": 4, "fb": 3}
-	sc.engines = map[string]int{"fa": 3, "ka": 5, "fb": 3}
-	sc.traffic = map[string]float64{"fa": 72.7, "ka": 145, "fb": 72.7}
-	sc.crossRegion = 55 * time.Millisecond
-	sc.slots, sc.queue = 64, 192
-	sc.prices = prices{regionGB: 28000, zoneGB: 6900, readThousand: 0.72, dial: 0.012}
-	sc.spec = engineSpec{step: 4.23, perSlot: 0.000767, rate: 64.2, pairs: 0.647, first: 0.67, memory: 319818, stride: 6}
-	k := sc.kinds
+	deployment := aula()
+	deployment.name, deployment.zones = "hakata", []string{"fa", "ka", "fb"}
+	deployment.regions = map[string]string{"fa": "cluj", "fb": "cluj", "ka": "iasi"}
+	deployment.proxies = map[string]int{"fa": 5, "ka": 4, "fb": 3}
+	deployment.engines = map[string]int{"fa": 3, "ka": 5, "fb": 3}
+	deployment.traffic = map[string]float64{"fa": 72.7, "ka": 145, "fb": 72.7}
+	deployment.crossRegion = 55 * time.Millisecond
+	deployment.slots, deployment.queue = 64, 192
+	deployment.prices = prices{regionGB: 28000, zoneGB: 6900, readThousand: 0.72, dial: 0.012}
+	deployment.spec = engineSpec{step: 4.23, perSlot: 0.000767, rate: 64.2, pairs: 0.647, first: 0.67, memory: 319818, stride: 6}
+	k := deployment.kinds
 	k[0].part, k[0].eventGapTarget, k[0].lateValue, k[0].chain[0].things = 8.47/290, 400*time.Millisecond, 0.2, 32
 	k[0].out = [3]float64{20, 1.4, 79.8}
 	k[1].part, k[1].eventGapTarget, k[1].lateValue, k[1].chain[1].things = 224.0/290, 400*time.Millisecond, 0.3, 1271
 	k[1].out = [3]float64{7.52, 1.4, 30.1}
 	k[2].part, k[2].latencyTarget = 58.1/290, 500*time.Millisecond
-	return sc
+	return deployment
 }
 
 func grown() scenario {
-	sc := aula()
-	sc.name, sc.zones = "aula grown", []string{"ca", "ia", "cb", "ib", "cc", "ic"}
-	sc.regions, sc.proxies, sc.engines, sc.traffic = map[string]string{}, map[string]int{}, map[string]int{}, map[string]float64{}
-	for _, z := range sc.zones {
-		sc.regions[z], sc.engines[z] = "cluj", 17
+	deployment := aula()
+	deployment.name, deployment.zones = "aula grown", []string{"ca", "ia", "cb", "ib", "cc", "ic"}
+	deployment.regions, deployment.proxies, deployment.engines, deployment.traffic = map[string]string{}, map[string]int{}, map[string]int{}, map[string]float64{}
+	for _, z := range deployment.zones {
+		deployment.regions[z], deployment.engines[z] = "cluj", 17
 		if z[0] == 'i' {
-			sc.regions[z], sc.engines[z] = "iasi", 13
+			deployment.regions[z], deployment.engines[z] = "iasi", 13
 		}
-		sc.proxies[z], sc.traffic[z] = 15, 150
+		deployment.proxies[z], deployment.traffic[z] = 15, 150
 	}
-	sc.slots, sc.queue = 12, 24
-	sc.prices = prices{regionGB: 26000, zoneGB: 6500, readThousand: 0.27, dial: 0.012}
-	sc.spec.stride, sc.spec.memory = 7, 312631
-	k := sc.kinds
+	deployment.slots, deployment.queue = 12, 24
+	deployment.prices = prices{regionGB: 26000, zoneGB: 6500, readThousand: 0.27, dial: 0.012}
+	deployment.spec.stride, deployment.spec.memory = 7, 312631
+	k := deployment.kinds
 	k[0].part, k[0].eventGapTarget, k[0].chain[0].things, k[0].bytesEach = 77.6/900, 800*time.Millisecond, 293, 1
 	k[0].out = [3]float64{17.1, 1.4, 68.4}
 	k[1].part, k[1].eventGapTarget, k[1].chain[1].things, k[1].bytesEach, k[1].deadline = 643.0/900, 800*time.Millisecond, 2430, 1, 4*time.Second
 	k[1].out = [3]float64{6.45, 1.4, 25.8}
 	k[2].part = 180.0 / 900
-	sc.length = 24 * time.Second
-	return sc
+	deployment.length = 24 * time.Second
+	return deployment
 }
 
 // maktab is a deployment of three unequal regions, whose long prompts share parts in two levels.
 func maktab() scenario {
-	sc := scenario{
+	deployment := scenario{
 		name: "maktab", seed: 1, length: 34 * time.Second, shareInterval: 200 * time.Millisecond, crossRegion: 20 * time.Millisecond,
 		zones:   []string{"ca", "xa", "sa", "cb", "xb", "sb"},
 		regions: map[string]string{"ca": "cairo", "cb": "cairo", "xa": "alexandria", "xb": "alexandria", "sa": "aswan", "sb": "aswan"},
@@ -97,30 +97,32 @@
 			{name: "seat-lookup", part: 92.7 / 463.7, latencyTarget: 400 * time.Millisecond, eventGapTarget: time.Hour, deadline: 2 * time.Second, value: 1, lateValue: 0.3, priority: 2, plain: true},
 		},
 	}
-	for _, z := range sc.zones {
-		sc.traffic[z] = 77.3
+	for _, z := range deployment.zones {
+		deployment.traffic[z] = 77.3
 	}
-	return sc
+	return deployment
 }
 
 // days are the scenarios of a deployment: a quiet day, an evacuated zone, a burst, both, and servers that end.
-func days(sc scenario) (all []scenario) {
+func days(deployment scenario) (all []scenario) {
 	add := func(name string, change func(*scenario)) {
-		d := sc
-		d.kinds = append([]kind(nil), sc.kinds...)
+		d := deployment
+		d.kinds = append([]kind(nil), deployment.kinds...)
 		d.name += " " + name
 		change(&d)
 		all = append(all, d)
 	}
-	evacuate := func(d *scenario) { d.evacuated, d.evacuateAt = sc.zones[2], sc.length/4 }
+	evacuate := func(d *scenario) { d.evacuated, d.evacuateAt = deployment.zones[2], deployment.length/4 }
 	burst := func(d *scenario) {
-		d.kinds[1].burst, d.kinds[1].burstAt, d.kinds[1].burstTo = 2.5, sc.length*3/10, sc.length*6/10
+		d.kinds[1].burst, d.kinds[1].burstAt, d.kinds[1].burstTo = 2.5, deployment.length*3/10, deployment.length*6/10
 	}
 	add("quiet", func(*scenario) {})
 	add("evacuated", evacuate)
 	add("burst", burst)
-	add("dark", func(d *scenario) { d.down, d.downAt, d.downTo = "dark", sc.length*3/10, sc.length*4/10 })
-	add("reset", func(d *scenario) { d.down, d.downAt, d.downTo = "reset", sc.length*3/10, sc.length*4/10 })
+	add("dark", func(d *scenario) { d.down, d.downAt, d.downTo = "dark", deployment.length*3/10, deployment.length*4/10 })
+	add("reset", func(d *scenario) {
+		d.down, d.downAt, d.downTo = "reset", deployment.length*3/10, deployment.length*4/10
+	})
 	add("burst and evacuated", func(d *scenario) { evacuate(d); burst(d) })
 	return all
 }
@@ -128,46 +130,46 @@
 // TestSimulation plays days of the deployments and holds the shares in time to floors a little under what was measured.
 func TestSimulation(t *testing.T) {
 	if *long {
-		for _, sc := range append(append(days(aula()), days(hakata())...), grown(), maktab()) {
+		for _, deployment := range append(append(days(aula()), days(hakata())...), grown(), maktab()) {
 			mean := 0.0
-			for sc.seed = 1; sc.seed <= 3; sc.seed++ {
-				f := newFleet(sc)
-				f.run()
-				text, score := f.report()
+			for deployment.seed = 1; deployment.seed <= 3; deployment.seed++ {
+				simulated := newSimulation(deployment)
+				simulated.run()
+				text, score := simulated.report()
 				t.Logf("\n%s", text)
 				mean += score / 3
 			}
-			t.Logf("mean %.4f %s", mean, sc.name)
+			t.Logf("mean %.4f %s", mean, deployment.name)
 		}
 		return
 	}
 	floors := []struct{ long, short float64 }{{0.8, 0.99}, {0.8, 0.98}, {0.8, 0.98}, {0.8, 0.96}}
 	quick := aula()
 	quick.length = 20 * time.Second
-	for i, sc := range days(quick)[:len(floors)] {
-		f := newFleet(sc)
-		f.run()
-		text, _ := f.report()
+	for i, deployment := range days(quick)[:len(floors)] {
+		simulated := newSimulation(deployment)
+		simulated.run()
+		text, _ := simulated.report()
 		t.Logf("\n%s", text)
 		for k, floor := range []float64{floors[i].long, floors[i].short, 0.99} {
-			a := f.tallies[sc.kinds[k].name]
+			a := simulated.tallies[deployment.kinds[k].name]
 			if share := float64(a.inTime) / float64(a.asked); share < floor {
-				t.Errorf("%s: %.4f of %s in time, of %.2f", sc.name, share, sc.kinds[k].name, floor)
+				t.Errorf("%s: %.4f of %s in time, of %.2f", deployment.name, share, deployment.kinds[k].name, floor)
 			}
 			if a.lost+a.refused > a.asked/50 {
-				t.Errorf("%s: %d of %d %s not served", sc.name, a.lost+a.refused, a.asked, sc.kinds[k].name)
+				t.Errorf("%s: %d of %d %s not served", deployment.name, a.lost+a.refused, a.asked, deployment.kinds[k].name)
 			}
 		}
-		if f.reread > 2*f.firstRead {
-			t.Errorf("%s: %d tokens of shared parts were read again, %d for the first time", sc.name, f.reread, f.firstRead)
+		if simulated.reread > 2*simulated.firstRead {
+			t.Errorf("%s: %d tokens of shared parts were read again, %d for the first time", deployment.name, simulated.reread, simulated.firstRead)
 		}
 	}
 }
 
 // BenchmarkPick sends a short and a long prompt in turn at the grown deployment's size.
 func BenchmarkPick(b *testing.B) {
-	f := newFleet(grown())
-	p := f.pickers[0]
+	f := newSimulation(grown())
+	picker := f.pickers[0]
 	var parts [64][]PrefixPart
 	for i := range parts {
 		parts[i] = []PrefixPart{{ID: uint64(i % 2), Tokens: 13000 * (i % 2)}, {ID: uint64(100 + i), Tokens: 300}}
@@ -177,9 +179,9 @@
 	for i := 0; b.Loop(); i++ {
 		now += time.Millisecond
 		r := &Request{Route: f.cfg.Routes[1-i%2], TokensIn: 300 + 13000*(i%2), MaxTokensOut: 50, Prefix: parts[i%64], TimeLeft: time.Second}
-		p.RecordRequest(now, r)
-		c := p.Pick(now, r, nil, false)
-		p.FirstEvent(now, c.Ticket)
-		p.Done(now, c.Ticket, Served, 0)
+		picker.RecordRequest(now, r)
+		c := picker.Pick(now, r, nil, false)
+		picker.FirstEvent(now, c.Ticket)
+		picker.Done(now, c.Ticket, Served, 0)
 	}
 }
--- a/internal/system/proxy/pick/evacuation_end_test.go
+++ b/internal/system/proxy/pick/evacuation_end_test.go
@@ -41,31 +41,31 @@
 // that was made late enough to know, and not before; without one, once they must be warm.
 func TestEvacuationEndWithWarmServers(t *testing.T) {
 	const back = 10 * time.Second
-	p, f := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newWarmUpFleet(1)
-	w := f.state(0, 1, 0)
-	w.Evacuated, w.ZoneChanges = map[string]bool{"z": true}, map[string]uint64{"z": 6}
-	p.UpdateClusterState(0, w)
-	w.Evacuated, w.ZoneChanges, w.ListCoversSeq = nil, map[string]uint64{"z": 7}, 5
-	p.UpdateClusterState(back, w)
-	if s := p.servers["s0"]; !s.warmingUp(back) || !p.AwaitsServerList() {
+	picker, fleet := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newWarmUpFleet(1)
+	state := fleet.state(0, 1, 0)
+	state.Evacuated, state.ZoneChanges = map[string]bool{"z": true}, map[string]uint64{"z": 6}
+	picker.UpdateClusterState(0, state)
+	state.Evacuated, state.ZoneChanges, state.ListCoversSeq = nil, map[string]uint64{"z": 7}, 5
+	picker.UpdateClusterState(back, state)
+	if s := picker.servers["s0"]; !s.warmingUp(back) || !picker.AwaitsServerList() {
 		t.Fatal("taken for warm before the list can tell")
 	}
-	w.ListCoversSeq = 6
-	p.UpdateClusterState(back+time.Second, w)
-	if s := p.servers["s0"]; !s.warmingUp(back + time.Second) {
+	state.ListCoversSeq = 6
+	picker.UpdateClusterState(back+time.Second, state)
+	if s := picker.servers["s0"]; !s.warmingUp(back + time.Second) {
 		t.Error("taken for warm by a reading that may be too old")
 	}
-	w.ListCoversSeq = 7
-	p.UpdateClusterState(back+1100*time.Millisecond, w)
-	if s := p.servers["s0"]; s.warmingUp(back+1100*time.Millisecond) || p.AwaitsServerList() {
+	state.ListCoversSeq = 7
+	picker.UpdateClusterState(back+1100*time.Millisecond, state)
+	if s := picker.servers["s0"]; s.warmingUp(back+1100*time.Millisecond) || picker.AwaitsServerList() {
 		t.Error("taken for cold though the list knows better")
 	}
 
-	w.Evacuated, w.ZoneChanges = map[string]bool{"z": true}, map[string]uint64{"z": 8}
-	p.UpdateClusterState(2*back, w)
-	w.Evacuated, w.ZoneChanges = nil, map[string]uint64{"z": 9}
-	p.UpdateClusterState(3*back, w)
-	if s := p.servers["s0"]; !s.warmingUp(3*back+warmUpDuration-1) || s.warmingUp(3*back+warmUpDuration) {
+	state.Evacuated, state.ZoneChanges = map[string]bool{"z": true}, map[string]uint64{"z": 8}
+	picker.UpdateClusterState(2*back, state)
+	state.Evacuated, state.ZoneChanges = nil, map[string]uint64{"z": 9}
+	picker.UpdateClusterState(3*back, state)
+	if s := picker.servers["s0"]; !s.warmingUp(3*back+warmUpDuration-1) || s.warmingUp(3*back+warmUpDuration) {
 		t.Errorf("without a list cold for %v, of %v", s.warmUp.until-3*back, warmUpDuration)
 	}
 }
--- a/internal/system/proxy/pick/golden_trace_test.go
+++ b/internal/system/proxy/pick/golden_trace_test.go
@@ -114,28 +114,28 @@
 }
 
 // tracedFleet plays a scenario of the simulation, with what else is to happen in it.
-func tracedFleet(sc scenario, more func(*fleet)) func(*trace, uint64) {
-	return func(tr *trace, seed uint64) {
-		sc.seed = seed
-		f := newFleet(sc)
-		f.onPick = func(i int, r *Request, tried int, offered bool, c Result) {
-			tr.num(int64(i))
-			tr.choice(f.now, f.pickers[i], r, tried, offered, c)
+func tracedFleet(deployment scenario, more func(*simulation)) func(*trace, uint64) {
+	return func(traced *trace, seed uint64) {
+		deployment.seed = seed
+		played := newSimulation(deployment)
+		played.onPick = func(i int, r *Request, tried int, offered bool, c Result) {
+			traced.num(int64(i))
+			traced.choice(played.now, played.pickers[i], r, tried, offered, c)
 		}
-		f.onShare = func(i int, loads map[string]Load) {
-			tr.num(int64(i))
-			tr.loads(f.now, loads)
+		played.onShare = func(i int, loads map[string]Load) {
+			traced.num(int64(i))
+			traced.loads(played.now, loads)
 		}
 		if more != nil {
-			more(f)
+			more(played)
 		}
-		f.run()
-		tr.tallies(f)
+		played.run()
+		traced.tallies(played)
 	}
 }
 
 // tallies takes in how the requests of each kind ended.
-func (tr *trace) tallies(f *fleet) {
+func (tr *trace) tallies(f *simulation) {
 	for i := range f.kinds {
 		t := f.tallies[f.kinds[i].name]
 		tr.step('T')
@@ -147,13 +147,13 @@
 }
 
 // shortDay is a day of a deployment that lasts for some seconds.
-func shortDay(sc scenario, length time.Duration, day int) scenario {
-	sc.length = length
-	return days(sc)[day]
+func shortDay(deployment scenario, length time.Duration, day int) scenario {
+	deployment.length = length
+	return days(deployment)[day]
 }
 
 // updateEachState changes the worlds of all pickers at a moment.
-func (f *fleet) updateEachState(at Time, change func(i int, w *ClusterState)) {
+func (f *simulation) updateEachState(at Time, change func(i int, w *ClusterState)) {
 	f.after(at, func() {
 		for i, p := range f.pickers {
 			w := p.state
@@ -165,9 +165,9 @@
 }
 
 // warmUpScenario has a zone turn cold, one server in three under its own word alone, others drain or leave, and proxies miss news.
-func warmUpScenario(f *fleet) {
-	zone := f.zones[1]
-	f.updateEachState(time.Second, func(i int, w *ClusterState) {
+func warmUpScenario(played *simulation) {
+	zone := played.zones[1]
+	played.updateEachState(time.Second, func(i int, w *ClusterState) {
 		w.Age = time.Duration(i) * 10 * time.Millisecond
 		for j := range w.Servers {
 			if s := &w.Servers[j]; s.Zone == zone && j%3 != 0 {
@@ -175,43 +175,43 @@
 			}
 		}
 	})
-	f.after(1200*time.Millisecond, func() {
-		for _, p := range f.pickers[:len(f.pickers)/2] {
-			for j, s := range f.servers {
+	played.after(1200*time.Millisecond, func() {
+		for _, p := range played.pickers[:len(played.pickers)/2] {
+			for j, s := range played.servers {
 				switch {
 				case s.Zone == zone && j%3 == 0:
-					p.WarmingUp(f.now, s.ID, 2*time.Second)
+					p.WarmingUp(played.now, s.ID, 2*time.Second)
 				case j%7 == 1:
-					p.ServerDraining(f.now, s.ID)
+					p.ServerDraining(played.now, s.ID)
 				}
 			}
 		}
 	})
-	f.updateEachState(2*time.Second, func(i int, w *ClusterState) {
+	played.updateEachState(2*time.Second, func(i int, w *ClusterState) {
 		w.MembershipIncomplete, w.Stale, w.DownCount = i%4 == 1, i%4 == 2, 1
 		w.Servers[0].Draining, w.Servers[1].Remaining = true, 900*time.Millisecond
-		w.Evacuated, w.ZoneChanges = map[string]bool{f.zones[2]: true}, map[string]uint64{f.zones[2]: 5}
+		w.Evacuated, w.ZoneChanges = map[string]bool{played.zones[2]: true}, map[string]uint64{played.zones[2]: 5}
 	})
-	f.updateEachState(3*time.Second, func(i int, w *ClusterState) {
-		w.MembershipIncomplete, w.Stale, w.Evacuated, w.ZoneChanges = false, false, nil, map[string]uint64{f.zones[2]: 9}
+	played.updateEachState(3*time.Second, func(i int, w *ClusterState) {
+		w.MembershipIncomplete, w.Stale, w.Evacuated, w.ZoneChanges = false, false, nil, map[string]uint64{played.zones[2]: 9}
 		w.ListCoversSeq = uint64(7 + i%3)
 	})
-	f.updateEachState(5*time.Second, func(_ int, w *ClusterState) { w.ListCoversSeq = 9 })
+	played.updateEachState(5*time.Second, func(_ int, w *ClusterState) { w.ListCoversSeq = 9 })
 }
 
 // overloaded is a deployment to which more comes than it can serve.
 func overloaded() scenario {
-	sc := shortDay(aula(), 4*time.Second, 2)
-	sc.queue, sc.slots = 12, 8
-	sc.traffic = map[string]float64{"ca": 150, "ia": 300, "cb": 150}
-	return sc
+	deployment := shortDay(aula(), 4*time.Second, 2)
+	deployment.queue, deployment.slots = 12, 8
+	deployment.traffic = map[string]float64{"ca": 150, "ia": 300, "cb": 150}
+	return deployment
 }
 
 // longPrompts is a mixture in which most of the work is prompts that share prefixes.
 func longPrompts() scenario {
-	sc := mixture{"", 0.75, slowReader, map[string][]int{"a": {8}, "b": {5}, "c": {3}}, 3}.scenario()
-	sc.length = 5 * time.Second
-	return sc
+	deployment := mixture{"", 0.75, slowReader, map[string][]int{"a": {8}, "b": {5}, "c": {3}}, 3}.scenario()
+	deployment.length = 5 * time.Second
+	return deployment
 }
 
 // anyOperations drives one picker with operations drawn from the seed: all outcomes, worlds, hints and loads.
@@ -344,22 +344,22 @@
 	if len(d.open) == 0 {
 		return
 	}
-	i := d.rng.IntN(len(d.open))
-	o := d.open[i]
-	d.open = slices.Delete(d.open, i, i+1)
+	index := d.rng.IntN(len(d.open))
+	request := d.open[index]
+	d.open = slices.Delete(d.open, index, index+1)
 	if d.rng.IntN(4) > 0 {
-		d.p.Started(d.now, o.ticket)
-		d.p.FirstEvent(d.now, o.ticket)
+		d.p.Started(d.now, request.ticket)
+		d.p.FirstEvent(d.now, request.ticket)
 	}
 	out := drivenOutcomes[d.rng.IntN(len(drivenOutcomes))]
-	d.p.Done(d.now, o.ticket, out, time.Duration(d.rng.IntN(600))*time.Millisecond)
+	d.p.Done(d.now, request.ticket, out, time.Duration(d.rng.IntN(600))*time.Millisecond)
 	switch out {
 	case Served, Canceled:
 		return
 	case ConnectionLost, TimedOut, ServerError:
-		o.offered = true
+		request.offered = true
 	}
-	d.choose(o)
+	d.choose(request)
 }
 
 // goldenScenarios are what is traced.
--- a/internal/system/proxy/pick/homes_test.go
+++ b/internal/system/proxy/pick/homes_test.go
@@ -26,7 +26,7 @@
 }
 
 func newHomesRun(t *testing.T, isSeparate bool) *homesRun {
-	f := newFleet(aula())
+	f := newSimulation(aula())
 	run := &homesRun{T: t, first: f.pickers[0], second: f.pickers[1], long: f.cfg.Routes[0], short: f.cfg.Routes[1], isSeparate: isSeparate}
 	run.far = f.pickers[slices.IndexFunc(f.pickers, func(p *Picker) bool { return p.settings.Region != run.first.settings.Region })]
 	if !isSeparate {
--- a/internal/system/proxy/pick/prefixcache/index.go
+++ b/internal/system/proxy/pick/prefixcache/index.go
@@ -65,22 +65,22 @@
 }
 
 // touch makes key the most recently used one of s, with a new entry where there is none.
-func (x *Index) touch(s *Server, key uint64, tokens int) {
+func (x *Index) touch(server *Server, key uint64, tokens int) {
 	for _, e := range x.byKey[key] {
-		if e.server == s {
-			s.unlink(e)
-			s.link(e)
+		if e.server == server {
+			server.unlink(e)
+			server.link(e)
 			return
 		}
 	}
 	if x.count >= MaxEntries {
-		x.evict(s)
+		x.evict(server)
 	}
-	e := &entry{key: key, server: s, tokens: tokens}
+	e := &entry{key: key, server: server, tokens: tokens}
 	x.byKey[key] = append(x.byKey[key], e)
 	x.count++
-	s.tokens += int64(tokens)
-	s.link(e)
+	server.tokens += int64(tokens)
+	server.link(e)
 }
 
 // evict frees one entry: the least recently used one of s, which gets the next entry, or else of any server.
--- a/internal/system/proxy/pick/prompt_mixes_test.go
+++ b/internal/system/proxy/pick/prompt_mixes_test.go
@@ -26,15 +26,15 @@
 
 // scenario lays a mix out so that reading what is not shared takes a fifth of the servers' time.
 func (m mixture) scenario() scenario {
-	sc := scenario{name: m.name, seed: m.seed, length: 14 * time.Second, shareInterval: 200 * time.Millisecond, crossRegion: 25 * time.Millisecond,
+	deployment := scenario{name: m.name, seed: m.seed, length: 14 * time.Second, shareInterval: 200 * time.Millisecond, crossRegion: 25 * time.Millisecond,
 		regions: map[string]string{}, proxies: map[string]int{}, engines: map[string]int{}, traffic: map[string]float64{},
 		slots: 48, queue: 144, spec: m.spec, idleTimeout: 5 * time.Second, prices: prices{regionGB: 15_000, zoneGB: 4_000, readThousand: 0.2, dial: 0.02}}
 	servers := 0
 	for region, zones := range sorted(m.regions) {
 		for i, n := range zones {
 			zone := fmt.Sprint(region, i)
-			sc.zones = append(sc.zones, zone)
-			sc.regions[zone], sc.engines[zone], sc.proxies[zone] = region, n, 4
+			deployment.zones = append(deployment.zones, zone)
+			deployment.regions[zone], deployment.engines[zone], deployment.proxies[zone] = region, n, 4
 			servers += n
 		}
 	}
@@ -44,16 +44,16 @@
 	}
 	perSecond := use * float64(servers) * 1000
 	long, short := m.long*perSecond/work(longOwn, longShared), (1-m.long)*perSecond/work(shortOwn, 100)
-	for _, zone := range sc.zones {
-		sc.traffic[zone] = (long + short) / float64(len(sc.zones))
+	for _, zone := range deployment.zones {
+		deployment.traffic[zone] = (long + short) / float64(len(deployment.zones))
 	}
-	sc.kinds = []kind{
+	deployment.kinds = []kind{
 		{name: "long", part: long / (long + short), latencyTarget: time.Second, eventGapTarget: 600 * time.Millisecond, deadline: 6 * time.Second, value: 2, lateValue: 0.6, priority: 1,
 			chain: []shareSpec{{longShared, 0.5, 18_000, 120, 0.3}}, own: [3]float64{longOwn, 1, 18_000}, out: [3]float64{9, 1.2, 36}, bytesEach: 1, bytes: 60},
 		{name: "short", part: short / (long + short), latencyTarget: 800 * time.Millisecond, eventGapTarget: 600 * time.Millisecond, deadline: 5 * time.Second, value: 2, lateValue: 0.6,
 			chain: []shareSpec{{100, 0.4, 250, 300, 0.3}}, own: [3]float64{shortOwn, 1, 2000}, out: [3]float64{6, 1.2, 24}, bytesEach: 1, bytes: 60, resumable: true},
 	}
-	return sc
+	return deployment
 }
 
 // TestPromptPoolsOfMixes plays mixes from one in ten of the work to nine in ten brought by long prompts, with three kinds of engine and one
@@ -97,17 +97,17 @@
 // bestFixedShare is the best score with a fixed share of the pools, and that share.
 func (m mixture) bestFixedShare() (best, share float64) {
 	for _, fixed := range []float64{0.15, 0.4, 0.6, 0.75, 0.9} {
-		sc := m.scenario()
-		sc.fixedPoolShare = fixed
-		if score := play(sc); score > best {
+		deployment := m.scenario()
+		deployment.fixedPoolShare = fixed
+		if score := play(deployment); score > best {
 			best, share = score, fixed
 		}
 	}
 	return best, share
 }
 
-func play(sc scenario) float64 {
-	f := newFleet(sc)
+func play(deployment scenario) float64 {
+	f := newSimulation(deployment)
 	f.run()
 	_, score := f.report()
 	return score
--- a/internal/system/proxy/pick/prompt_pools_test.go
+++ b/internal/system/proxy/pick/prompt_pools_test.go
@@ -75,7 +75,7 @@
 // TestPromptPoolWithoutPeerDemand has a proxy see its own requests alone, which tell little: it keeps the lane that it has.
 func TestPromptPoolWithoutPeerDemand(t *testing.T) {
 	p := newPoolPicker(20)
-	now := Time(time.Minute)
+	now := time.Minute
 	p.groups["lm"].demand.Add(now, true, 5_000_000)
 	p.assignPromptPools(now, p.groups["lm"])
 	if n := poolSize(p); n != 10 {
@@ -85,23 +85,23 @@
 
 // TestPromptPoolsAgree has two proxies see different requests, each told what the other one read: their lanes are the same.
 func TestPromptPoolsAgree(t *testing.T) {
-	p, q := newPoolPicker(20), newPoolPicker(20)
+	first, second := newPoolPicker(20), newPoolPicker(20)
 	now := Time(0)
 	for range 30 {
 		now += time.Second
-		p.groups["lm"].demand.Add(now, true, 70_000)
-		q.groups["lm"].demand.Add(now, false, 30_000)
+		first.groups["lm"].demand.Add(now, true, 70_000)
+		second.groups["lm"].demand.Add(now, false, 30_000)
 		of := func(x *Picker) map[string]Load { x.groups["lm"].demand.Decay(now); return x.PromptDemands() }
-		ofP, ofQ := of(p), of(q)
-		p.UpdatePeerLoads(now, ofQ)
-		q.UpdatePeerLoads(now, ofP)
-		for id, s := range p.servers {
-			if s.inPromptPool != q.servers[id].inPromptPool {
+		ofP, ofQ := of(first), of(second)
+		first.UpdatePeerLoads(now, ofQ)
+		second.UpdatePeerLoads(now, ofP)
+		for id, s := range first.servers {
+			if s.inPromptPool != second.servers[id].inPromptPool {
 				t.Fatalf("after %v %s is in one proxy's lane alone", now, id)
 			}
 		}
 	}
-	if n := poolSize(p); n != 14 {
+	if n := poolSize(first); n != 14 {
 		t.Errorf("a lane of %d servers for 0.7 of the work", n)
 	}
 }
--- a/internal/system/proxy/pick/promptpool/pool_test.go
+++ b/internal/system/proxy/pick/promptpool/pool_test.go
@@ -17,7 +17,7 @@
 
 // TestAdjust moves a pool of 10 of 20 servers once.
 func TestAdjust(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		now    time.Duration
 		target float64
@@ -29,12 +29,12 @@
 		{"down", time.Minute, 1, 8},
 		{"too soon", minResizeInterval - 1, 18, 10},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			var p Pool
 			p.SetServers(20)
-			p.Adjust(c.now, c.target)
-			if p.Size() != c.want {
-				t.Errorf("size %d, want %d", p.Size(), c.want)
+			p.Adjust(test.now, test.target)
+			if p.Size() != test.want {
+				t.Errorf("size %d, want %d", p.Size(), test.want)
 			}
 		})
 	}
--- a/internal/system/proxy/pick/property_test.go
+++ b/internal/system/proxy/pick/property_test.go
@@ -366,12 +366,12 @@
 }
 
 // retryAll has a proxy send a request as often as it may, and gives the number of retries.
-func (run *retryRun) retryAll(p *Picker, now Time) (retries int) {
+func (run *retryRun) retryAll(picker *Picker, now Time) (retries int) {
 	r := &Request{Route: run.route, TimeLeft: time.Minute}
-	p.RecordRequest(now, r)
+	picker.RecordRequest(now, r)
 	var tried []string
 	for {
-		result := p.Pick(now, r, tried, false)
+		result := picker.Pick(now, r, tried, false)
 		if result.Verdict != Send {
 			return retries
 		}
@@ -379,7 +379,7 @@
 			retries++
 		}
 		tried = append(tried, result.Server.ID)
-		p.Done(now, result.Ticket, ServerError, 0)
+		picker.Done(now, result.Ticket, ServerError, 0)
 	}
 }
 
--- a/internal/system/proxy/pick/reachable_again_test.go
+++ b/internal/system/proxy/pick/reachable_again_test.go
@@ -10,23 +10,23 @@
 // that waits goes there.
 func TestServersReachableAgain(t *testing.T) {
 	const cut, healed, told = 5 * time.Second, 10 * time.Second, 10300 * time.Millisecond
-	f := newWarmUpFleet(12)
-	f.pickers = f.pickers[:5]
-	for i, p := range f.pickers {
-		p.UpdateClusterState(0, f.state(i, 1, 0))
-		w := f.state(i, 1, 0)
+	fleet := newWarmUpFleet(12)
+	fleet.pickers = fleet.pickers[:5]
+	for i, p := range fleet.pickers {
+		p.UpdateClusterState(0, fleet.state(i, 1, 0))
+		w := fleet.state(i, 1, 0)
 		w.Stale = true
 		p.UpdateClusterState(cut, w)
-		c := p.Pick(cut, &Request{Route: f.config.Routes[0], TimeLeft: time.Second}, nil, false)
+		c := p.Pick(cut, &Request{Route: fleet.config.Routes[0], TimeLeft: time.Second}, nil, false)
 		p.Done(cut, c.Ticket, ConnectFailed, 0)
 	}
-	f.sendAll(healed, told, 5*time.Millisecond, nil)
-	f.checkBound(t)
-	if len(f.sent) == 0 {
+	fleet.sendAll(healed, told, 5*time.Millisecond, nil)
+	fleet.checkBound(t)
+	if len(fleet.sent) == 0 {
 		t.Error("nothing was tried")
 	}
-	for i, p := range f.pickers {
-		w := f.state(i, 1, 0)
+	for i, p := range fleet.pickers {
+		w := fleet.state(i, 1, 0)
 		w.ContactAge = told - healed + time.Millisecond
 		p.UpdateClusterState(told, w)
 		if !p.servers["s0"].warmingUp(told) {
--- a/internal/system/proxy/pick/retrybudget/budget_test.go
+++ b/internal/system/proxy/pick/retrybudget/budget_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestAllows(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name              string
 		requests, retries float64
 		ratio, slack      float64
@@ -18,12 +18,12 @@
 		{"ratio alone", 100, 15, 0.2, 0, true},
 		{"ratio alone, used up", 100, 16, 0.2, 0, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			b := New(10 * time.Second)
-			b.RecordRequest(time.Hour, c.requests)
-			b.RecordRetry(time.Hour, c.retries)
-			if got := b.Allows(time.Hour, c.ratio, c.slack); got != c.want {
-				t.Errorf("allowed: %v, want %v", got, c.want)
+			b.RecordRequest(time.Hour, test.requests)
+			b.RecordRetry(time.Hour, test.retries)
+			if got := b.Allows(time.Hour, test.ratio, test.slack); got != test.want {
+				t.Errorf("allowed: %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/system/proxy/pick/sim_parts_test.go
+++ b/internal/system/proxy/pick/sim_parts_test.go
@@ -85,7 +85,7 @@
 }
 
 // report is the outcome in a few lines; score is the worth less the prices, against what is owed.
-func (f *fleet) report() (text string, score float64) {
+func (f *simulation) report() (text string, score float64) {
 	var b strings.Builder
 	worth, owed := 0.0, 0.0
 	for i := range f.kinds {
--- a/internal/system/proxy/pick/sim_test.go
+++ b/internal/system/proxy/pick/sim_test.go
@@ -12,8 +12,8 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
 )
 
-// fleet is a deployment at play.
-type fleet struct {
+// simulation is a deployment at play.
+type simulation struct {
 	agenda
 	scenario
 	rng         *rand.Rand
@@ -40,64 +40,64 @@
 	windows     [12]struct{ worth, owed float64 }                               // of 3 s each
 }
 
-func newFleet(sc scenario) *fleet {
-	f := &fleet{scenario: sc, rng: rand.New(rand.NewPCG(sc.seed, 7)), engines: map[string]*engine{}, plains: map[string]*plain{},
+func newSimulation(deployment scenario) *simulation {
+	built := &simulation{scenario: deployment, rng: rand.New(rand.NewPCG(deployment.seed, 7)), engines: map[string]*engine{}, plains: map[string]*plain{},
 		tallies: map[string]*tally{}, sharedParts: map[string][][]PrefixPart{}, prefills: map[uint64]int{}, weights: map[shareSpec][]float64{}, ownID: 1 << 32,
 		idle: map[[2]string][]Time{}}
-	f.cfg = &config.Config{Services: map[string]*config.Service{
-		"lm":     {Name: "lm", WarmUpRate: 31, Engine: &config.Engine{Slots: sc.slots, CacheTokens: sc.spec.memory, TokensPerEvent: sc.spec.stride}},
+	built.cfg = &config.Config{Services: map[string]*config.Service{
+		"lm":     {Name: "lm", WarmUpRate: 31, Engine: &config.Engine{Slots: deployment.slots, CacheTokens: deployment.spec.memory, TokensPerEvent: deployment.spec.stride}},
 		"thumbs": {Name: "thumbs"},
 	}}
-	for i := range sc.kinds {
-		k := &sc.kinds[i]
-		r := &config.Route{Name: k.name, Host: k.name, Prefix: "/", Category: config.Streaming, Timeout: k.deadline, LatencyTarget: k.latencyTarget,
-			EventGapTarget: k.eventGapTarget, Priority: k.priority, MaxTries: 2, Resumable: k.resumable, HomeRegions: k.homeRegions, Shares: []config.Share{{Service: "lm", Weight: 1}}}
-		if k.plain {
-			r.Category, r.Shares = config.Idempotent, []config.Share{{Service: "thumbs", Weight: 1}}
+	for i := range deployment.kinds {
+		requests := &deployment.kinds[i]
+		route := &config.Route{Name: requests.name, Host: requests.name, Prefix: "/", Category: config.Streaming, Timeout: requests.deadline, LatencyTarget: requests.latencyTarget,
+			EventGapTarget: requests.eventGapTarget, Priority: requests.priority, MaxTries: 2, Resumable: requests.resumable, HomeRegions: requests.homeRegions, Shares: []config.Share{{Service: "lm", Weight: 1}}}
+		if requests.plain {
+			route.Category, route.Shares = config.Idempotent, []config.Share{{Service: "thumbs", Weight: 1}}
 		}
-		f.cfg.Routes = append(f.cfg.Routes, r)
-		f.tallies[k.name] = &tally{}
-		for _, sh := range k.chain {
+		built.cfg.Routes = append(built.cfg.Routes, route)
+		built.tallies[requests.name] = &tally{}
+		for _, sh := range requests.chain {
 			var things []PrefixPart
 			for range sh.things {
-				f.ownID++
-				things = append(things, PrefixPart{ID: f.ownID, Tokens: max(int(drawn(f.rng, sh.mean, sh.spread, sh.most)), 1)})
+				built.ownID++
+				things = append(things, PrefixPart{ID: built.ownID, Tokens: max(int(drawn(built.rng, sh.mean, sh.spread, sh.most)), 1)})
 			}
-			f.weights[sh] = zipf(sh.things, sh.skew)
-			f.sharedParts[k.name] = append(f.sharedParts[k.name], things)
+			built.weights[sh] = zipf(sh.things, sh.skew)
+			built.sharedParts[requests.name] = append(built.sharedParts[requests.name], things)
 		}
 	}
 	speeds := []float64{1, 1, 1.3}
-	for _, z := range sc.zones {
-		for i := range sc.engines[z] {
-			id := fmt.Sprintf("lm-%s-%d", z, i)
-			f.servers = append(f.servers, Server{ID: id, Service: "lm", Address: id, Zone: z, Region: sc.regions[z], Slots: sc.slots})
-			f.engines[id] = &engine{agenda: &f.agenda, spec: sc.spec, speed: speeds[i%3], slots: sc.slots, queue: sc.queue,
-				cache: map[uint64]*list.Element{}, lru: list.New(), onPrefill: f.recordPrefill}
+	for _, zone := range deployment.zones {
+		for i := range deployment.engines[zone] {
+			id := fmt.Sprintf("lm-%s-%d", zone, i)
+			built.servers = append(built.servers, Server{ID: id, Service: "lm", Address: id, Zone: zone, Region: deployment.regions[zone], Slots: deployment.slots})
+			built.engines[id] = &engine{agenda: &built.agenda, spec: deployment.spec, speed: speeds[i%3], slots: deployment.slots, queue: deployment.queue,
+				cache: map[uint64]*list.Element{}, lru: list.New(), onPrefill: built.recordPrefill}
 		}
-		id := "th-" + z
-		f.servers = append(f.servers, Server{ID: id, Service: "thumbs", Address: id, Zone: z, Region: sc.regions[z], Slots: 6})
-		f.plains[id] = &plain{agenda: &f.agenda, slots: 6, queue: 24}
+		id := "th-" + zone
+		built.servers = append(built.servers, Server{ID: id, Service: "thumbs", Address: id, Zone: zone, Region: deployment.regions[zone], Slots: 6})
+		built.plains[id] = &plain{agenda: &built.agenda, slots: 6, queue: 24}
 	}
 	var peers []string
-	for _, z := range sc.zones {
-		for i := range sc.proxies[z] {
-			peers = append(peers, fmt.Sprintf("p-%s-%d", z, i))
-			f.proxyZones = append(f.proxyZones, z)
+	for _, zone := range deployment.zones {
+		for i := range deployment.proxies[zone] {
+			peers = append(peers, fmt.Sprintf("p-%s-%d", zone, i))
+			built.proxyZones = append(built.proxyZones, zone)
 		}
 	}
 	for i, name := range peers {
-		p := New(Settings{Zone: f.proxyZones[i], Region: sc.regions[f.proxyZones[i]], Regions: sc.regions, RetryRatio: 0.2, RetrySlack: 64,
-			WarmUpExcess: 1.5, WarmUpSlack: 5, Seed: uint64(i), CrossRegionLatency: sc.crossRegion,
-			TestingKnobs: TestingKnobs{PromptPoolShare: sc.fixedPoolShare}})
-		p.UpdateClusterState(0, ClusterState{Config: f.cfg, Servers: f.servers, Self: name, Peers: peers})
-		p.group("lm").idleTimeout = sc.idleTimeout
-		f.pickers = append(f.pickers, p)
+		p := New(Settings{Zone: built.proxyZones[i], Region: deployment.regions[built.proxyZones[i]], Regions: deployment.regions, RetryRatio: 0.2, RetrySlack: 64,
+			WarmUpExcess: 1.5, WarmUpSlack: 5, Seed: uint64(i), CrossRegionLatency: deployment.crossRegion,
+			TestingKnobs: TestingKnobs{PromptPoolShare: deployment.fixedPoolShare}})
+		p.UpdateClusterState(0, ClusterState{Config: built.cfg, Servers: built.servers, Self: name, Peers: peers})
+		p.group("lm").idleTimeout = deployment.idleTimeout
+		built.pickers = append(built.pickers, p)
 	}
-	return f
+	return built
 }
 
-func (f *fleet) recordPrefill(key uint64, tokens int) {
+func (f *simulation) recordPrefill(key uint64, tokens int) {
 	if f.prefills[key]++; f.prefills[key] > 1 {
 		f.reread += int64(tokens)
 		f.rereads++
@@ -106,7 +106,7 @@
 	}
 }
 
-func (f *fleet) shareLoads() {
+func (f *simulation) shareLoads() {
 	sum := map[string]Load{}
 	each := make([]map[string]Load, len(f.pickers))
 	add := func(m map[string]Load, id string, l Load, sign int) {
@@ -139,7 +139,7 @@
 	f.after(f.shareInterval, f.shareLoads)
 }
 
-func (f *fleet) run() {
+func (f *simulation) run() {
 	f.after(0, f.shareLoads)
 	for _, z := range f.zones {
 		for i := range f.kinds {
@@ -171,7 +171,7 @@
 	f.agenda.run(f.length + 10*time.Second)
 }
 
-func (f *fleet) arrivals(rng *rand.Rand, zone string, k *kind) {
+func (f *simulation) arrivals(rng *rand.Rand, zone string, requests *kind) {
 	if f.now > f.length {
 		return
 	}
@@ -179,45 +179,45 @@
 	if f.regions[zone] != f.regions[f.zones[0]] {
 		phase = 0.5
 	}
-	rate := f.traffic[zone] * k.part * (1 + 0.4*math.Sin(2*math.Pi*(f.now.Seconds()/26+phase)))
-	if k.burst > 0 && f.now >= k.burstAt && f.now < k.burstTo {
-		rate *= k.burst
+	rate := f.traffic[zone] * requests.part * (1 + 0.4*math.Sin(2*math.Pi*(f.now.Seconds()/26+phase)))
+	if requests.burst > 0 && f.now >= requests.burstAt && f.now < requests.burstTo {
+		rate *= requests.burst
 	}
 	f.after(time.Duration(rng.ExpFloat64()/rate*float64(time.Second)), func() {
 		if f.now <= f.length {
-			f.ask(rng, zone, k)
+			f.ask(rng, zone, requests)
 		}
-		f.arrivals(rng, zone, k)
+		f.arrivals(rng, zone, requests)
 	})
 }
 
 // ask plays one client's request, with one retry.
-func (f *fleet) ask(rng *rand.Rand, zone string, k *kind) {
-	r := &Request{}
+func (f *simulation) ask(rng *rand.Rand, zone string, requests *kind) {
+	request := &Request{}
 	for _, route := range f.cfg.Routes {
-		if route.Name == k.name {
-			r.Route = route
+		if route.Name == requests.name {
+			request.Route = route
 		}
 	}
-	own := int(drawn(rng, k.own[0], k.own[1], k.own[2]))
-	if n := len(k.chain); n > 0 {
-		thing := oneOf(rng, f.weights[k.chain[n-1]])
-		for i, sh := range k.chain { // each thing belongs to one of the level before
-			r.Prefix = append(r.Prefix, f.sharedParts[k.name][i][thing%sh.things])
+	own := int(drawn(rng, requests.own[0], requests.own[1], requests.own[2]))
+	if n := len(requests.chain); n > 0 {
+		thing := oneOf(rng, f.weights[requests.chain[n-1]])
+		for i, sh := range requests.chain { // each thing belongs to one of the level before
+			request.Prefix = append(request.Prefix, f.sharedParts[requests.name][i][thing%sh.things])
 		}
 	}
 	f.ownID++
-	r.Prefix = append(r.Prefix, PrefixPart{ID: f.ownID, Tokens: max(own, 1)})
-	for _, x := range r.Prefix {
-		r.TokensIn += x.Tokens
+	request.Prefix = append(request.Prefix, PrefixPart{ID: f.ownID, Tokens: max(own, 1)})
+	for _, x := range request.Prefix {
+		request.TokensIn += x.Tokens
 	}
-	events := max(drawn(rng, k.out[0], k.out[1], k.out[2]), 1)
-	r.MaxTokensOut = int(events * float64(f.spec.stride))
-	t := f.tallies[k.name]
+	events := max(drawn(rng, requests.out[0], requests.out[1], requests.out[2]), 1)
+	request.MaxTokensOut = int(events * float64(f.spec.stride))
+	t := f.tallies[requests.name]
 	t.asked++
-	t.owed += k.value
-	f.windows[min(int(f.now/(3*time.Second)), len(f.windows)-1)].owed += k.value
-	f.try(clientCall{zone: zone, kind: k, request: r, since: f.now, retries: 1})
+	t.owed += requests.value
+	f.windows[min(int(f.now/(3*time.Second)), len(f.windows)-1)].owed += requests.value
+	f.try(clientCall{zone: zone, kind: requests, request: request, since: f.now, retries: 1})
 }
 
 // clientCall is one client's request with what the client does about it.
@@ -230,7 +230,7 @@
 }
 
 // try has the client ask one of its zone's proxies.
-func (f *fleet) try(call clientCall) {
+func (f *simulation) try(call clientCall) {
 	var near []int
 	for i, zone := range f.proxyZones {
 		if zone == call.zone {
@@ -248,7 +248,7 @@
 }
 
 // connect takes an idle connection, or counts a new one.
-func (f *fleet) connect(connection [2]string) {
+func (f *simulation) connect(connection [2]string) {
 	idle := f.idle[connection]
 	if n := len(idle); n > 0 && f.now-idle[n-1] <= f.idleTimeout {
 		f.idle[connection] = idle[:n-1]
@@ -275,7 +275,7 @@
 }
 
 // attempt has a proxy pick a server and ask it.
-func (f *fleet) attempt(call serverCall) {
+func (f *simulation) attempt(call serverCall) {
 	call.request.TimeLeft = call.kind.deadline - (f.now - call.since)
 	call.result = f.pickers[call.proxy].Pick(f.now, call.request, call.tried, call.offered)
 	if f.onPick != nil {
@@ -298,7 +298,7 @@
 }
 
 // refuse has the client come back later, as often as it does.
-func (f *fleet) refuse(call serverCall) {
+func (f *simulation) refuse(call serverCall) {
 	if call.retries == 0 || call.offered {
 		f.tallies[call.kind.name].refused++
 		return
@@ -309,7 +309,7 @@
 }
 
 // crossNetwork is how long a request takes to its server, and counts what the way costs.
-func (f *fleet) crossNetwork(call *serverCall) time.Duration {
+func (f *simulation) crossNetwork(call *serverCall) time.Duration {
 	k, r, t := call.kind, call.request, f.tallies[call.kind.name]
 	bytes := float64(r.TokensIn)*k.bytesEach + float64(r.MaxTokensOut)/float64(f.spec.stride)*k.bytes + 300
 	if k.plain {
@@ -329,7 +329,7 @@
 }
 
 // account counts how a client's request ended.
-func (f *fleet) account(call *serverCall, first, eventGap time.Duration, served bool) {
+func (f *simulation) account(call *serverCall, first, eventGap time.Duration, served bool) {
 	k, t := call.kind, f.tallies[call.kind.name]
 	window := &f.windows[min(int(call.since/(3*time.Second)), len(f.windows)-1)]
 	switch {
@@ -347,17 +347,17 @@
 }
 
 // done ends the proxy's attempt.
-func (f *fleet) done(call *serverCall, outcome Outcome) {
+func (f *simulation) done(call *serverCall, outcome Outcome) {
 	f.pickers[call.proxy].Done(f.now, call.result.Ticket, outcome, 0)
 }
 
 // retry has the proxy go on to another server.
-func (f *fleet) retry(call *serverCall, offered bool) {
+func (f *simulation) retry(call *serverCall, offered bool) {
 	f.attempt(serverCall{clientCall: call.clientCall, proxy: call.proxy, tried: append(call.tried, call.result.Server.ID), offered: offered})
 }
 
 // rejectFull has a server say that it is full.
-func (f *fleet) rejectFull(call *serverCall) {
+func (f *simulation) rejectFull(call *serverCall) {
 	f.unexecuted++
 	f.after(call.oneWay, func() {
 		f.done(call, NotExecuted)
@@ -366,7 +366,7 @@
 }
 
 // callPlain has a server without a model answer.
-func (f *fleet) callPlain(call *serverCall) {
+func (f *simulation) callPlain(call *serverCall) {
 	work := durationMS(drawn(f.rng, 60, 0.5, 450))
 	accepted := f.plains[call.result.Server.ID].offer(work, func(running, waiting int) {
 		f.after(call.oneWay, func() {
@@ -381,7 +381,7 @@
 }
 
 // callEngine has a model server answer, or fail.
-func (f *fleet) callEngine(call *serverCall) {
+func (f *simulation) callEngine(call *serverCall) {
 	server := f.engines[call.result.Server.ID]
 	request := f.newJob(call)
 	if server.down == "" && server.offer(request) {
@@ -401,7 +401,7 @@
 }
 
 // newJob is a call as a model server sees it.
-func (f *fleet) newJob(call *serverCall) *job {
+func (f *simulation) newJob(call *serverCall) *job {
 	r := call.request
 	request := &job{chain: prefixcache.NewChain(r.Prefix), in: r.TokensIn, out: r.MaxTokensOut, priority: call.result.Priority, deadline: call.since + call.kind.deadline}
 	request.lost = func(outcome Outcome) {
@@ -430,7 +430,7 @@
 }
 
 // firstEvent has the proxy learn of an answer's first event.
-func (f *fleet) firstEvent(call *serverCall, running, waiting int) {
+func (f *simulation) firstEvent(call *serverCall, running, waiting int) {
 	call.first = f.now - call.since + time.Millisecond
 	t, p := f.tallies[call.kind.name], f.pickers[call.proxy]
 	t.latencies = append(t.latencies, ms(call.first))
--- a/internal/system/proxy/pick/warmup_end_test.go
+++ b/internal/system/proxy/pick/warmup_end_test.go
@@ -58,14 +58,14 @@
 }
 
 // serve has a picker send what waits there.
-func (g *waitingFleet) serve(now Time, p *Picker) {
+func (g *waitingFleet) serve(now Time, picker *Picker) {
 	var left []*waitingRequest
-	for _, w := range g.waiting[p] {
+	for _, w := range g.waiting[picker] {
 		if now >= w.until {
 			continue
 		}
 		w.request.TimeLeft = w.until - now
-		c := p.Pick(now, w.request, nil, false)
+		c := picker.Pick(now, w.request, nil, false)
 		if c.Verdict != Send {
 			left = append(left, w)
 			continue
@@ -73,9 +73,9 @@
 		if now < warmUpDuration {
 			g.sent[c.Server.ID] = append(g.sent[c.Server.ID], now)
 		}
-		p.Done(now, c.Ticket, Served, 0)
+		picker.Done(now, c.Ticket, Served, 0)
 	}
-	g.waiting[p] = left
+	g.waiting[picker] = left
 }
 
 // play lets 260 requests a second come until the servers are warm, and gives the most that a cold one got within a second.
--- a/internal/system/proxy/pick/warmup_senders_test.go
+++ b/internal/system/proxy/pick/warmup_senders_test.go
@@ -41,12 +41,12 @@
 // name its service for 2.1 s; those cut off have not heard of that. It is named again before they have stopped.
 func TestServiceConfiguredAgainDelaysSuccessors(t *testing.T) {
 	const without, givenUp, again, stale = time.Second, 3 * time.Second, 3100 * time.Millisecond, 4500 * time.Millisecond
-	f := newWarmUpFleet(60)
-	lost, left := f.splitSenders(17)
-	missing := &config.Config{Routes: f.config.Routes, Services: map[string]*config.Service{}}
-	f.sendAll(0, 8*time.Second, 10*time.Millisecond, func(now Time) {
-		for i, p := range f.pickers {
-			w := f.state(i, 1, time.Minute-now)
+	fleet := newWarmUpFleet(60)
+	lost, left := fleet.splitSenders(17)
+	missing := &config.Config{Routes: fleet.config.Routes, Services: map[string]*config.Service{}}
+	fleet.sendAll(0, 8*time.Second, 10*time.Millisecond, func(now Time) {
+		for i, picker := range fleet.pickers {
+			w := fleet.state(i, 1, time.Minute-now)
 			switch {
 			case now == without && !lost[i]:
 				w.Config = missing
@@ -59,10 +59,10 @@
 			default:
 				continue
 			}
-			p.UpdateClusterState(now, w)
+			picker.UpdateClusterState(now, w)
 		}
 	})
-	f.checkBound(t)
+	fleet.checkBound(t)
 }
 
 // TestBoundAppliesToAWarmingServer: servers are cold while the configuration names no bound for them, and then does. What goes from then on keeps the bound.
@@ -70,21 +70,21 @@
 	for _, proxies := range []int{12, 17, 18, 60} {
 		t.Run(fmt.Sprint(proxies), func(t *testing.T) {
 			const bound = 5 * time.Second
-			f := newWarmUpFleet(proxies)
-			free := &config.Config{Routes: f.config.Routes, Services: map[string]*config.Service{"a": {Name: "a", WarmUpTime: warmUpDuration}}}
-			for i, p := range f.pickers {
-				w := f.state(i, 1, time.Minute)
+			fleet := newWarmUpFleet(proxies)
+			free := &config.Config{Routes: fleet.config.Routes, Services: map[string]*config.Service{"a": {Name: "a", WarmUpTime: warmUpDuration}}}
+			for i, p := range fleet.pickers {
+				w := fleet.state(i, 1, time.Minute)
 				w.Config = free
 				p.UpdateClusterState(0, w)
 			}
-			f.sendAll(bound, bound+3*time.Second, 10*time.Millisecond, func(now Time) {
+			fleet.sendAll(bound, bound+3*time.Second, 10*time.Millisecond, func(now Time) {
 				if now == bound {
-					for i, p := range f.pickers {
-						p.UpdateClusterState(now, f.state(i, 1, time.Minute))
+					for i, p := range fleet.pickers {
+						p.UpdateClusterState(now, fleet.state(i, 1, time.Minute))
 					}
 				}
 			})
-			f.checkBound(t)
+			fleet.checkBound(t)
 		})
 	}
 }
