--- a/internal/sidecar/answer_test.go
+++ b/internal/sidecar/answer_test.go
@@ -76,12 +76,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := startLogging(t, c, log, drainTimes{quietTime: time.Millisecond, finish: patience})
+	prog := startLogging(t, c, log, drainTimes{quietTime: time.Millisecond, finish: patience})
 	const bad = 20
 	for range bad {
-		r := p.request(context.Background(), "read", "50000")
+		r := prog.request(context.Background(), "read", "50000")
 		r.Header.Set("X-Request-ID", "unheard-of")
-		if g := p.do(r); g.err != nil || g.status != 502 {
+		if g := prog.do(r); g.err != nil || g.status != 502 {
 			t.Errorf("status %d, error %v, want 502", g.status, g.err)
 		}
 	}
@@ -95,7 +95,7 @@
 	if strings.Contains(log.String(), "ejected") {
 		t.Errorf("sound servers are ejected:\n%s", log)
 	}
-	if g := p.ask("pay"); g.status != 200 {
+	if g := prog.ask("pay"); g.status != 200 {
 		t.Errorf("the next request: %+v", g)
 	}
 }
--- a/internal/sidecar/answerstream_test.go
+++ b/internal/sidecar/answerstream_test.go
@@ -62,6 +62,42 @@
 	}
 }
 
+// readsAnswer tells whether an answer comes that is complete.
+func readsAnswer(conn net.Conn) bool {
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil {
+		return false
+	}
+	defer func() { _ = resp.Body.Close() }()
+	_, err = io.Copy(io.Discard, resp.Body)
+	return err == nil
+}
+
+// acceptLongBody accepts one connection, and reads the request on it. It reports that the body's beginning has come, and then all
+// of it.
+func acceptLongBody(listener net.Listener, begun chan<- bool, complete chan<- string) {
+	conn, err := listener.Accept()
+	if err != nil {
+		return
+	}
+	defer func() { _ = conn.Close() }()
+	r, err := http.ReadRequest(bufio.NewReader(conn))
+	if err != nil {
+		return
+	}
+	begin := make([]byte, 100)
+	if _, err := io.ReadFull(r.Body, begin); err != nil {
+		return
+	}
+	begun <- true
+	rest, err := io.ReadAll(r.Body)
+	if err != nil {
+		return
+	}
+	complete <- string(begin) + string(rest)
+	say(200, "", "ok")(conn, r, nil)
+}
+
 // TestBrokenAnswer has a long answer break off in each form: the client can tell, and it is not asked for again.
 func TestBrokenAnswer(t *testing.T) {
 	for name, form := range forms {
@@ -75,27 +111,15 @@
 					return false
 				})
 				p, call := operator(t, configText(startRegistry(t).address, serving(1, b, b), testSettings))
-				c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
-				if err != nil {
-					t.Fatal(err)
-				}
-				defer func() { _ = c.Close() }()
-				_, _ = fmt.Fprintf(c, "GET /api HTTP/%s\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: read\r\nX-Timeout-Ms: 50000\r\n\r\n", proto)
-				resp, err := http.ReadResponse(bufio.NewReader(c), nil) //nolint:bodyclose // the test closes the connection; to close the body would be to read it
-				if err == nil {
-					_, err = io.Copy(io.Discard, resp.Body)
-				}
-				if err == nil {
-					t.Error("half an answer seems whole")
+				conn := dial(t, p.address)
+				_, _ = fmt.Fprintf(conn, "GET /api HTTP/%s\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: read\r\nX-Timeout-Ms: 50000\r\n\r\n", proto)
+				if readsAnswer(conn) {
+					t.Error("half an answer seems complete")
 				}
 				if n := b.count(); n != 1 {
 					t.Errorf("%d attempts", n)
 				}
-				for end := time.Now().Add(patience); !strings.Contains(call("INFO"), "read.faulted:1|"); time.Sleep(time.Millisecond) {
-					if time.Now().After(end) {
-						t.Fatalf("it is not counted as failed:\n%s", call("INFO"))
-					}
-				}
+				eventually(t, "counted as failed", func() bool { return strings.Contains(call("INFO"), "read.faulted:1|") })
 			})
 		}
 	}
@@ -140,20 +164,20 @@
 		text  string
 		begun bool
 	}{{"0123456789", false}, {"0123456789a", true}} {
-		f := newAnswerStream(int64(len(test.text)), "", room, func(f *answerStream) {
+		form := newAnswerStream(int64(len(test.text)), "", room, func(form *answerStream) {
 			go func() {
 				var text bytes.Buffer
 				nothing := func() error { return nil }
-				if err := f.copy(&text, nothing, nothing); err != nil || text.String() != test.text {
+				if err := form.copy(&text, nothing, nothing); err != nil || text.String() != test.text {
 					t.Errorf("%q came, error %v", text.String(), err)
 				}
-				f.abandon()
+				form.abandon()
 			}()
 		})
-		f.stop = func() {}
-		whole, err := f.receive(strings.NewReader(test.text))
-		if err != nil || f.started != test.begun || !test.begun && string(whole) != test.text {
-			t.Errorf("%q: held %q, begun %v, error %v", test.text, whole, f.started, err)
+		form.stop = func() {}
+		whole, err := form.receive(strings.NewReader(test.text))
+		if err != nil || form.started != test.begun || !test.begun && string(whole) != test.text {
+			t.Errorf("%q: held %q, begun %v, error %v", test.text, whole, form.started, err)
 		}
 		if n := room.used.Load(); n != 0 {
 			t.Errorf("%d bytes stay booked", n)
@@ -188,44 +212,19 @@
 			continue // a request has no such form
 		}
 		t.Run(name, func(t *testing.T) {
-			l := listen(t)
+			listener := listen(t)
 			first, whole := make(chan bool, 1), make(chan string, 1)
-			go func() {
-				c, err := l.Accept()
-				if err != nil {
-					return
-				}
-				defer func() { _ = c.Close() }()
-				r, err := http.ReadRequest(bufio.NewReader(c))
-				if err != nil {
-					return
-				}
-				begin := make([]byte, 100)
-				if _, err := io.ReadFull(r.Body, begin); err != nil {
-					return
-				}
-				first <- true
-				rest, err := io.ReadAll(r.Body)
-				if err != nil {
-					return
-				}
-				whole <- string(begin) + string(rest)
-				say(200, "", "ok")(c, r, nil)
-			}()
-			p := start(t, configText(startRegistry(t).address, serving(1, &backend{address: l.Addr().String()}), testSettings))
-			c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer func() { _ = c.Close() }()
-			in := bufio.NewReader(c)
-			_, _ = fmt.Fprint(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\nExpect: 100-continue\r\n"+form.head)
+			go acceptLongBody(listener, first, whole)
+			prog := start(t, configText(startRegistry(t).address, serving(1, &backend{address: listener.Addr().String()}), testSettings))
+			conn := dial(t, prog.address)
+			in := bufio.NewReader(conn)
+			_, _ = fmt.Fprint(conn, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\nExpect: 100-continue\r\n"+form.head)
 			if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != http.StatusContinue { //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 				t.Fatal(resp, err)
 			}
-			_, _ = fmt.Fprint(c, form.piece(long[:2*maxBufferedBytes]))
+			_, _ = fmt.Fprint(conn, form.piece(long[:2*maxBufferedBytes]))
 			within(t, first, "first bytes")
-			_, _ = fmt.Fprint(c, form.piece(long[2*maxBufferedBytes:])+form.end)
+			_, _ = fmt.Fprint(conn, form.piece(long[2*maxBufferedBytes:])+form.end)
 			if got := within(t, whole, "body"); got != long {
 				t.Errorf("%d bytes came of %d", len(got), len(long))
 			}
@@ -239,38 +238,38 @@
 // TestUploadBreaks has a server end the connection in the middle of a long body: the rest of it is gone, so there is no
 // second attempt, and since nothing ran it is a refusal, at once and not when the body has come.
 func TestUploadBreaks(t *testing.T) {
-	l := listen(t)
+	listener := listen(t)
 	var attempts atomic.Int64
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			attempts.Add(1)
-			_, _ = io.CopyN(io.Discard, c, 2*maxBufferedBytes)
-			_ = c.(*net.TCPConn).SetLinger(0)
-			_ = c.Close()
+			_, _ = io.CopyN(io.Discard, conn, 2*maxBufferedBytes)
+			_ = conn.(*net.TCPConn).SetLinger(0)
+			_ = conn.Close()
 		}
 	}()
-	b := &backend{address: l.Addr().String()}
+	b := &backend{address: listener.Addr().String()}
 	p := start(t, configText(startRegistry(t).address, serving(1, b, b), testSettings))
-	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
+	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = c.Close() }()
-	_, _ = fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\nContent-Length: %d\r\n\r\n", 1<<20)
-	_, _ = fmt.Fprint(c, long)
+	defer func() { _ = conn.Close() }()
+	_, _ = fmt.Fprintf(conn, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\nContent-Length: %d\r\n\r\n", 1<<20)
+	_, _ = fmt.Fprint(conn, long)
 	go func() {
 		for {
-			if _, err := io.WriteString(c, "more"); err != nil {
+			if _, err := io.WriteString(conn, "more"); err != nil {
 				return
 			}
 			time.Sleep(time.Millisecond)
 		}
 	}()
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil) //nolint:bodyclose // the test closes the connection; to close the body would be to read it
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil) //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 		t.Errorf("answer %+v, error %v", resp, err)
 	}
@@ -284,18 +283,18 @@
 	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		return say(200, "", fmt.Sprint(len(body)))(c, r, body)
 	})
-	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
-	const piece, n = 16 << 10, 16
-	head := fmt.Sprintf("POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 300\r\nContent-Length: %d\r\n\r\n", n*piece)
+	prog := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
+	const piece, pieces = 16 << 10, 16
+	head := fmt.Sprintf("POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 300\r\nContent-Length: %d\r\n\r\n", pieces*piece)
 	t.Run("slow", func(t *testing.T) {
 		t.Parallel()
-		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", prog.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer func() { _ = c.Close() }()
 		_, _ = fmt.Fprint(c, head)
-		for range n {
+		for range pieces {
 			if _, err := io.WriteString(c, long[:piece]); err != nil {
 				t.Fatal(err)
 			}
@@ -305,13 +304,13 @@
 		if err != nil || resp.StatusCode != http.StatusOK {
 			t.Fatal(resp, err)
 		}
-		if text, err := io.ReadAll(resp.Body); string(text) != fmt.Sprint(n*piece) {
+		if text, err := io.ReadAll(resp.Body); string(text) != fmt.Sprint(pieces*piece) {
 			t.Errorf("the server had %s bytes, error %v", text, err)
 		}
 	})
 	t.Run("stopped", func(t *testing.T) {
 		t.Parallel()
-		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", prog.address)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sidecar/connlimiter_test.go
+++ b/internal/sidecar/connlimiter_test.go
@@ -101,10 +101,10 @@
 func TestHoardOnSockets(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	config := strings.Replace(configText(startRegistry(t).address, serving(1, b), testSettings), `"sockets":1024`, `"sockets":64`, 1)
-	p := start(t, config)
+	prog := start(t, config)
 	ends := make(chan error, 40)
 	for range 34 {
-		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", prog.address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -122,7 +122,7 @@
 		}()
 	}
 	time.Sleep(minIdleTime + 100*time.Millisecond)
-	if g := p.ask("pay"); g.status != 200 || g.closing {
+	if g := prog.ask("pay"); g.status != 200 || g.closing {
 		t.Errorf("answer %+v", g)
 	}
 	for range 3 {
--- a/internal/sidecar/control_test.go
+++ b/internal/sidecar/control_test.go
@@ -94,16 +94,16 @@
 // TestIdleCallers has callers take all places at control and say nothing, or half a line: who has something to say is
 // answered, and nobody keeps a place for good.
 func TestIdleCallers(t *testing.T) {
-	l := listen(t)
+	listener := listen(t)
 	c := newControl(slog.New(slog.DiscardHandler), func(call []string) string { return "ok " + call[0] + "\n" })
 	c.timeout = patience
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan bool)
-	go func() { c.serve(ctx, l); close(ended) }()
+	go func() { c.serve(ctx, listener); close(ended) }()
 	defer cancel()
 	var idle []net.Conn
 	for range 3 * maxCallers {
-		conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", l.Addr().String())
+		conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -112,7 +112,7 @@
 			t.Fatal(err)
 		}
 		idle = append(idle, conn)
-		if answer := dialControl(t, l.Addr().String(), "PING\n"); answer != "ok PING\n" {
+		if answer := dialControl(t, listener.Addr().String(), "PING\n"); answer != "ok PING\n" {
 			t.Fatalf("with %d idle callers the answer is %q", len(idle), answer)
 		}
 	}
--- a/internal/sidecar/counts_test.go
+++ b/internal/sidecar/counts_test.go
@@ -16,20 +16,20 @@
 
 // TestCounts has the log say what happened, and only once.
 func TestCounts(t *testing.T) {
-	n := newCounts([]balance.Class{{Name: "read"}, {Name: "pay"}})
-	n.requests.Add(3)
-	n.open.Add(1)
-	n.attempts[balance.TimedOut].Add(2)
-	n.classes[0].countAnswer(served)
-	n.classes[1].countAnswer(served)
-	n.classes[1].countAnswer(refused)
-	n.connected(true, 40*time.Millisecond)
-	n.connected(false, 20*time.Millisecond)
+	counted := newCounts([]balance.Class{{Name: "read"}, {Name: "pay"}})
+	counted.requests.Add(3)
+	counted.open.Add(1)
+	counted.attempts[balance.TimedOut].Add(2)
+	counted.classes[0].countAnswer(served)
+	counted.classes[1].countAnswer(served)
+	counted.classes[1].countAnswer(refused)
+	counted.connected(true, 40*time.Millisecond)
+	counted.connected(false, 20*time.Millisecond)
 	var text bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&text, nil))
 	w := newConnLimiter(64)
 	w.count.Store(7)
-	last := n.report(log, w, [2][]metric{})
+	last := counted.report(log, w, [2][]metric{})
 	for _, want := range []string{"conns=7 open=1 crowded=0 requests=3 fulfilled=2 throttled=1 faulted=0 ", "attempts.timeout=2 ",
 		"reused=1 ", "connect_ms=40\n"} {
 		if !strings.Contains(text.String(), want) {
@@ -37,8 +37,8 @@
 		}
 	}
 	text.Reset()
-	n.classes[0].countAnswer(failed)
-	n.report(log, w, last)
+	counted.classes[0].countAnswer(failed)
+	counted.report(log, w, last)
 	for _, want := range []string{"requests=0 fulfilled=0 throttled=0 faulted=1 ", "attempts.timeout=0 ", "connect_ms=0\n"} {
 		if !strings.Contains(text.String(), want) {
 			t.Errorf("said again: %q lacks %q", text.String(), want)
@@ -61,12 +61,12 @@
 	})
 	gone := startBackend(t, hangUp)
 	list := listText(1, true, entry("s-0", b.address, "SERVING", 0), entry("s-1", gone.address, "DRAINING", 0))
-	p, call := operator(t, configText(startRegistry(t).address, list, testSettings))
+	prog, call := operator(t, configText(startRegistry(t).address, list, testSettings))
 	ask := func(class, id string, status int) {
 		t.Helper()
-		r := p.request(context.Background(), class, "50000")
+		r := prog.request(context.Background(), class, "50000")
 		r.Header.Set("X-Request-ID", id)
-		if g := p.do(r); g.status != status {
+		if g := prog.do(r); g.status != status {
 			t.Fatalf("%s, %s: answer %+v, want %d", class, id, g, status)
 		}
 	}
@@ -78,9 +78,9 @@
 	ctx, leave := context.WithCancel(context.Background())
 	defer leave()
 	go func() {
-		r := p.request(ctx, "book", "50000")
+		r := prog.request(ctx, "book", "50000")
 		r.Header.Set("X-Request-ID", "silent")
-		p.do(r)
+		prog.do(r)
 	}()
 	for range 6 {
 		within(t, b.came, "request")
--- a/internal/sidecar/deadline_test.go
+++ b/internal/sidecar/deadline_test.go
@@ -13,12 +13,12 @@
 
 func TestDeadline(t *testing.T) {
 	b := startBackend(t, neverAnswer)
-	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
+	prog := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
 	for _, test := range []struct {
 		class  string
 		status int
 	}{{"pay", 502}, {"read", 503}} {
-		g := p.do(p.request(context.Background(), test.class, "1500"))
+		g := prog.do(prog.request(context.Background(), test.class, "1500"))
 		if g.err != nil || g.status != test.status {
 			t.Errorf("%s: status %d, error %v, want %d", test.class, g.status, g.err, test.status)
 		}
@@ -28,7 +28,7 @@
 		t.Errorf("%d attempts too many", n)
 	}
 	// What has no time left is not sent at all.
-	if g := p.do(p.request(context.Background(), "pay", "0")); g.status != 503 || b.count() != 0 {
+	if g := prog.do(prog.request(context.Background(), "pay", "0")); g.status != 503 || b.count() != 0 {
 		t.Errorf("status %d, %d attempts", g.status, b.count())
 	}
 }
@@ -102,6 +102,23 @@
 // overdue takes in that the deadline of the call has passed.
 func (s *testCall) overdue() { s.host.abandon(s.call, true) }
 
+// checkOneTimedOut holds that the call had one attempt, which timed out, and is forgotten.
+func (s *testCall) checkOneTimedOut(t *testing.T) {
+	t.Helper()
+	for outcome := range s.host.counts.attempts {
+		want := int64(0)
+		if balance.Outcome(outcome) == balance.TimedOut {
+			want = 1
+		}
+		if n := s.host.counts.attempts[outcome].Load(); n != want {
+			t.Errorf("%d attempts with outcome %d, want %d", n, outcome, want)
+		}
+	}
+	if len(s.host.calls) != 0 {
+		t.Error("the call is not forgotten")
+	}
+}
+
 // TestDeadlineOrder has the result of an attempt that timed out come before the call is found overdue, and after it: the
 // answer is the same, and so is what is counted.
 func TestDeadlineOrder(t *testing.T) {
@@ -116,30 +133,19 @@
 			steps []step
 		}{{"result first", []step{attempt, overdue}}, {"deadline first", []step{overdue, attempt}}} {
 			t.Run(class.name+", "+order.name, func(t *testing.T) {
-				s := newTestCall(t, class.name)
-				s.begin()
-				s.passDeadline()
+				played := newTestCall(t, class.name)
+				played.begin()
+				played.passDeadline()
 				for i, do := range order.steps {
-					do(s)
-					if n := len(s.answered); n != 1 {
+					do(played)
+					if n := len(played.answered); n != 1 {
 						t.Fatalf("%d answers after step %d", n, i)
 					}
 				}
-				if a := <-s.answered; a.kind != class.want || a.retryAfter != 0 {
+				if a := <-played.answered; a.kind != class.want || a.retryAfter != 0 {
 					t.Errorf("answer %+v, want kind %d at once", a, class.want)
 				}
-				for outcome := range s.host.counts.attempts {
-					want := int64(0)
-					if balance.Outcome(outcome) == balance.TimedOut {
-						want = 1
-					}
-					if n := s.host.counts.attempts[outcome].Load(); n != want {
-						t.Errorf("%d attempts with outcome %d, want %d", n, outcome, want)
-					}
-				}
-				if len(s.host.calls) != 0 {
-					t.Error("the call is not forgotten")
-				}
+				played.checkOneTimedOut(t)
 			})
 		}
 	}
@@ -148,30 +154,30 @@
 // TestDeadlineBehindBody has a body come while it is sent on: no timer of the call may be armed before it has come whole,
 // as one that is armed and stopped at once may have fired.
 func TestDeadlineBehindBody(t *testing.T) {
-	s := newTestCall(t, "read")
-	s.deadline = time.Time{}
-	s.rest, s.length = &upload{}, -1
-	s.rest.mu.Lock() // the body is still coming
+	played := newTestCall(t, "read")
+	played.deadline = time.Time{}
+	played.rest, played.length = &upload{}, -1
+	played.rest.mu.Lock() // the body is still coming
 	answers := make(chan answer, 1)
 	go func() {
-		a, _ := s.host.serve(context.Background(), s.call)
+		a, _ := played.host.serve(context.Background(), played.call)
 		answers <- a
 	}()
-	for len(s.attempts) == 0 {
-		s.takeIn()
+	for len(played.attempts) == 0 {
+		played.takeIn()
 	}
-	early := s.overdueTimer != nil
-	s.rest.err = io.EOF
-	s.rest.mu.Unlock()
+	early := played.overdueTimer != nil
+	played.rest.err = io.EOF
+	played.rest.mu.Unlock()
 	if early {
 		t.Fatal("the call's timer was armed before its body had come")
 	}
-	within(t, s.server.came, "attempt")
-	s.host.bodyComplete(s.call)
-	s.passDeadline()
-	s.overdue()
+	within(t, played.server.came, "attempt")
+	played.host.bodyComplete(played.call)
+	played.passDeadline()
+	played.overdue()
 	if a := within(t, answers, "answer"); a.kind != refused {
 		t.Errorf("answer %+v, want a refusal", a)
 	}
-	s.attemptTimedOut()
+	played.attemptTimedOut()
 }
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -72,7 +72,7 @@
 		return List{}, errors.New("list has no rev")
 	}
 	list := List{Version: *form.Rev, Complete: form.All}
-	for i, item := range form.Targets {
+	for index, item := range form.Targets {
 		t := Target{ID: item.UID, Address: item.Endpoint, Zone: item.AZ, Kind: item.Model, Cell: item.PodGroup, Size: 1}
 		switch item.State {
 		case "SERVING":
@@ -82,17 +82,17 @@
 		case "DELETED":
 			t.State = balance.Removed
 		default:
-			return List{}, fmt.Errorf("target %d, %q: unknown state %q", i, item.UID, item.State)
+			return List{}, fmt.Errorf("target %d, %q: unknown state %q", index, item.UID, item.State)
 		}
 		if t.ID == "" {
-			return List{}, fmt.Errorf("target %d has no uid", i)
+			return List{}, fmt.Errorf("target %d has no uid", index)
 		}
 		if _, _, err := net.SplitHostPort(t.Address); err != nil && t.State != balance.Removed {
-			return List{}, fmt.Errorf("target %d, %q: endpoint: %w", i, item.UID, err)
+			return List{}, fmt.Errorf("target %d, %q: endpoint: %w", index, item.UID, err)
 		}
 		if item.Capacity != nil {
 			if t.Size = *item.Capacity; t.Size < 0 {
-				return List{}, fmt.Errorf("target %d, %q: capacity_hint %v is negative", i, item.UID, t.Size)
+				return List{}, fmt.Errorf("target %d, %q: capacity_hint %v is negative", index, item.UID, t.Size)
 			}
 		}
 		if item.BootMS > 0 {
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -70,31 +70,31 @@
 // following is a host that follows an agent, as far as the list goes. It ends with the test's bubble.
 func following(t *testing.T, a *agent, mode string) *host {
 	t.Helper()
-	c, err := load(t, configText("127.0.0.1:9", "", strings.Replace(testSettings, `"discovery":"pushed"`, `"discovery":"`+mode+`"`, 1)))
+	config, err := load(t, configText("127.0.0.1:9", "", strings.Replace(testSettings, `"discovery":"pushed"`, `"discovery":"`+mode+`"`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	h, err := newHost(ctx, c, slog.New(slog.DiscardHandler))
+	driver, err := newHost(ctx, config, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.discovery.client.DialContext = a.dial
+	driver.discovery.client.DialContext = a.dial
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		h.run(ctx)
+		driver.run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
 		<-ended
-		h.watchers.Wait()
+		driver.watchers.Wait()
 		time.Sleep(time.Minute) // the agent's own pauses end
 	})
-	if err := h.startFollowing(c); err != nil {
+	if err := driver.startFollowing(config); err != nil {
 		t.Fatal(err)
 	}
-	return h
+	return driver
 }
 
 // knows waits until a server is known, and returns how long that took; more than a minute: it never was.
@@ -245,26 +245,26 @@
 	for mode, first := range map[string]func(io.Writer){"pushed": unresponsive, "on_request": saying(news)} {
 		t.Run(mode, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				h := following(t, &agent{answers: []func(io.Writer){saying(listText(9, true, entry("s-0", "127.0.0.1:1", "SERVING", 0)))}}, mode)
-				dial := h.discovery.client.DialContext
+				driver := following(t, &agent{answers: []func(io.Writer){saying(listText(9, true, entry("s-0", "127.0.0.1:1", "SERVING", 0)))}}, mode)
+				dial := driver.discovery.client.DialContext
 				next := &agent{answers: []func(io.Writer){first, saying(news)}}
-				h.discovery.client.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
+				driver.discovery.client.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 					switch {
 					case address == "127.0.0.1:10":
 						return next.dial(ctx, network, address)
-					case time.Now().After(h.origin.Add(originAge + 5*time.Second)):
+					case time.Now().After(driver.origin.Add(originAge + 5*time.Second)):
 						return nil, errors.New("refused")
 					}
 					return dial(ctx, network, address)
 				}
-				if took := h.knows("s-0"); took > time.Minute {
+				if took := driver.knows("s-0"); took > time.Minute {
 					t.Fatal("never knew anybody")
 				}
 				for range 10 { // whenever it comes, between two calls or in one
 					time.Sleep(1730 * time.Millisecond)
 				}
-				h.post(func() { h.moveTo("127.0.0.1:10") })
-				if took := h.knows("s-1"); took > 4*time.Second-500*time.Millisecond {
+				driver.post(func() { driver.moveTo("127.0.0.1:10") })
+				if took := driver.knows("s-1"); took > 4*time.Second-500*time.Millisecond {
 					t.Errorf("told %v after it moved", took)
 				}
 			})
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -12,6 +12,29 @@
 	"time"
 )
 
+// dialAndSay connects and sends a text; reads of the connection time out.
+func dialAndSay(t *testing.T, address, text string) net.Conn {
+	t.Helper()
+	conn := dial(t, address)
+	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.WriteString(conn, text); err != nil {
+		t.Fatal(err)
+	}
+	return conn
+}
+
+// callTwice makes an operator's call that may be repeated.
+func callTwice(t *testing.T, call func(string) string, line string) {
+	t.Helper()
+	for range 2 {
+		if answer := call(line); !strings.HasPrefix(answer, "ok ") {
+			t.Errorf("%s is answered %q", line, answer)
+		}
+	}
+}
+
 // TestLameduck has staff drain a sidecar and end the drain: meanwhile health says no, answers ask to close, what idles is
 // closed and what has begun is served.
 func TestLameduck(t *testing.T) {
@@ -22,52 +45,33 @@
 		}
 		return say(200, "", "ok")(c, r, body)
 	})
-	p, call := operator(t, configText(startRegistry(t).address, serving(1, b), testSettings))
+	prog, call := operator(t, configText(startRegistry(t).address, serving(1, b), testSettings))
 	health := func() int {
 		t.Helper()
-		return healthStatus(t, http.DefaultClient, p.address)
-	}
-	dial := func(text string) net.Conn {
-		t.Helper()
-		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { _ = c.Close() })
-		if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
-			t.Fatal(err)
-		}
-		if _, err := io.WriteString(c, text); err != nil {
-			t.Fatal(err)
-		}
-		return c
+		return healthStatus(t, http.DefaultClient, prog.address)
 	}
 	if status := health(); status != 200 {
 		t.Fatalf("health %d at first", status)
 	}
-	silent, idle := dial(""), dial("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
-	in := bufio.NewReader(idle)
-	if resp, err := http.ReadResponse(in, nil); err != nil || resp.Close { //nolint:bodyclose // the test closes the connection; to close the body would be to read it
+	silent, idle := dialAndSay(t, prog.address, ""), dialAndSay(t, prog.address, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+	reader := bufio.NewReader(idle)
+	if resp, err := http.ReadResponse(reader, nil); err != nil || resp.Close { //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 		t.Fatal(resp, err)
 	}
 	slow := make(chan gotten, 1)
-	go func() { slow <- p.do(p.request(context.Background(), "book", "50000")) }()
+	go func() { slow <- prog.do(prog.request(context.Background(), "book", "50000")) }()
 	within(t, b.came, "attempt")
-	for _, line := range []string{"LAMEDUCK", "LAMEDUCK"} {
-		if answer := call(line); !strings.HasPrefix(answer, "ok ") {
-			t.Errorf("%s is answered %q", line, answer)
-		}
-	}
+	callTwice(t, call, "LAMEDUCK")
 	if status := health(); status != 503 {
 		t.Errorf("health %d while drained", status)
 	}
 	if answer := call("PING"); !strings.HasPrefix(answer, "fail ") {
 		t.Errorf("PING is answered %q while drained", answer)
 	}
-	if g := p.ask("pay"); g.status != 200 || !g.closing {
+	if g := prog.ask("pay"); g.status != 200 || !g.closing {
 		t.Errorf("answer %+v while drained", g)
 	}
-	if _, err := in.ReadByte(); err != io.EOF {
+	if _, err := reader.ReadByte(); err != io.EOF {
 		t.Errorf("an idle connection ended with %v", err)
 	}
 	if _, err := silent.Read(make([]byte, 1)); err != io.EOF { //nolint:errorlint // the connection's own error, not one that wraps it
@@ -77,15 +81,11 @@
 	if g := within(t, slow, "answer"); g.status != 200 || g.body != "ok" || !g.closing {
 		t.Errorf("answer %+v to what was taken before", g)
 	}
-	for _, line := range []string{"REJOIN", "REJOIN"} {
-		if answer := call(line); !strings.HasPrefix(answer, "ok ") {
-			t.Errorf("%s is answered %q", line, answer)
-		}
-	}
+	callTwice(t, call, "REJOIN")
 	if answer := call("PING"); !strings.HasPrefix(answer, "ok ") || health() != 200 {
 		t.Errorf("PING is answered %q after the drain", answer)
 	}
-	if g := p.ask("pay"); g.status != 200 || g.closing {
+	if g := prog.ask("pay"); g.status != 200 || g.closing {
 		t.Errorf("answer %+v after the drain", g)
 	}
 }
@@ -108,26 +108,26 @@
 		}
 		return say(200, "", "ok")(c, r, body)
 	})
-	p := startDraining(t, configText(startRegistry(t).address, serving(1, b), testSettings),
+	prog := startDraining(t, configText(startRegistry(t).address, serving(1, b), testSettings),
 		drainTimes{accept: 4 * time.Second, quietTime: 10 * time.Millisecond, closeIdle: 2 * time.Second, finish: patience})
 	slow := make(chan gotten, 1)
-	go func() { slow <- p.do(p.request(context.Background(), "book", "50000")) }()
+	go func() { slow <- prog.do(prog.request(context.Background(), "book", "50000")) }()
 	within(t, b.came, "attempt")
-	p.stop()
+	prog.stop()
 	for closing := false; !closing; {
-		g := p.ask("pay")
+		g := prog.ask("pay")
 		if g.status != 200 {
 			t.Fatalf("answer %+v while draining", g)
 		}
 		closing = g.closing
 	}
 	time.Sleep(200 * time.Millisecond) // long past the quiet that ends the accepting, well within its time
-	fresh, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
+	fresh, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", prog.address)
 	if err != nil {
 		t.Fatalf("no new connections while draining: %v", err)
 	}
 	defer func() { _ = fresh.Close() }()
-	if err := p.request(context.Background(), "pay", "50000").Write(fresh); err != nil {
+	if err := prog.request(context.Background(), "pay", "50000").Write(fresh); err != nil {
 		t.Fatal(err)
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(fresh), nil) //nolint:bodyclose // the test closes the connection; to close the body would be to read it
@@ -135,7 +135,7 @@
 		t.Errorf("answer %+v, error %v on a new connection", resp, err)
 	}
 	for end := time.Now().Add(patience); ; {
-		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", prog.address)
 		if err != nil {
 			break
 		}
@@ -145,7 +145,7 @@
 		}
 	}
 	select {
-	case err := <-p.ended:
+	case err := <-prog.ended:
 		t.Fatalf("it ended with %v and a request out", err)
 	default:
 	}
@@ -153,7 +153,7 @@
 	if g := within(t, slow, "answer"); g.status != 200 || g.body != "ok" {
 		t.Errorf("answer %+v to what was taken", g)
 	}
-	if err := within(t, p.ended, "end"); err != nil {
+	if err := within(t, prog.ended, "end"); err != nil {
 		t.Errorf("it ended with %v", err)
 	}
 }
@@ -161,7 +161,7 @@
 // TestBacklog has connections wait unaccepted when the accepting ends: none may be reset.
 func TestBacklog(t *testing.T) {
 	inner := listen(t).(*net.TCPListener)
-	l := &drainListener{TCPListener: inner, quietTime: time.Second}
+	listener := &drainListener{TCPListener: inner, quietTime: time.Second}
 	const n = 3
 	for range n {
 		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", inner.Addr().String())
@@ -170,17 +170,17 @@
 		}
 		defer func() { _ = c.Close() }()
 	}
-	if err := l.drain(-time.Second); err != nil { // long over
+	if err := listener.drain(-time.Second); err != nil { // long over
 		t.Fatal(err)
 	}
 	for i := range n {
-		c, err := l.Accept()
+		c, err := listener.Accept()
 		if err != nil {
 			t.Fatalf("connection %d: %v", i, err)
 		}
 		_ = c.Close()
 	}
-	if _, err := l.Accept(); err == nil {
+	if _, err := listener.Accept(); err == nil {
 		t.Error("accepting did not end")
 	}
 }
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -15,7 +15,7 @@
 // Neither may reach a server; the peer gets an error or a close.
 func TestAmbiguousFraming(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
-	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
+	prog := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
 	const common = "Host: x\r\nX-Request-ID: outer\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\n"
 	inner := "POST /api HTTP/1.1\r\n" + strings.Replace(common, "outer", "inner", 1) + "Content-Length: 0\r\n\r\n"
 	size := fmt.Sprint(len(inner))
@@ -50,7 +50,7 @@
 		{"a GET with a body", "GET /api HTTP/1.1\r\n" + strings.Replace(common, "pay", "read", 1) + "Content-Length: " + size + "\r\n\r\n", inner},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
+			c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", prog.address)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -73,20 +73,20 @@
 
 // TestPlainFraming has a client send requests whose framing is plain, in pieces of one byte: all are served.
 func TestPlainFraming(t *testing.T) {
-	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		return say(200, "", r.Header.Get("X-Request-ID")+string(body))(c, r, body)
+	b := startBackend(t, func(conn net.Conn, r *http.Request, body []byte) bool {
+		return say(200, "", r.Header.Get("X-Request-ID")+string(body))(conn, r, body)
 	})
 	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
-	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
+	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = c.Close() }()
-	if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+	defer func() { _ = conn.Close() }()
+	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
 		t.Fatal(err)
 	}
 	const common = " /api HTTP/1.1\r\nHost: x\r\nX-Timeout-Ms: 50000\r\n"
-	in := bufio.NewReader(c)
+	reader := bufio.NewReader(conn)
 	for _, test := range []struct {
 		text, body string
 		closing    bool
@@ -100,11 +100,11 @@
 		{"GET" + common + "X-Request-ID: 6\r\nX-Priority-Class: read\r\nConnection: close\r\n\r\n", "6", true},
 	} {
 		for i := range len(test.text) {
-			if _, err := io.WriteString(c, test.text[i:i+1]); err != nil {
+			if _, err := io.WriteString(conn, test.text[i:i+1]); err != nil {
 				t.Fatal(err)
 			}
 		}
-		resp, err := http.ReadResponse(in, nil) //nolint:bodyclose // the test closes the connection; to close the body would be to read it
+		resp, err := http.ReadResponse(reader, nil) //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -16,7 +16,7 @@
 // TestOutOfServiceCalls takes a server out and puts it back by calls, each said twice.
 func TestOutOfServiceCalls(t *testing.T) {
 	in, out := startBackend(t, say(200, "", "in")), startBackend(t, say(200, "", "out"))
-	p, call := operator(t, configText(startRegistry(t).address, serving(1, in, out), testSettings))
+	prog, call := operator(t, configText(startRegistry(t).address, serving(1, in, out), testSettings))
 	for _, test := range []struct{ line, want string }{
 		{"DETACH", "fail "}, {"DETACH s-9", "fail "}, {"ATTACH s-9", "fail "}, {"DETACH s-1 s-0", "fail "},
 		{"ATTACH s-1", "ok "}, {"DETACH s-1", "ok "}, {"DETACH s-1", "ok "},
@@ -26,7 +26,7 @@
 		}
 	}
 	for range 20 {
-		if g := p.ask("pay"); g.body != "in" {
+		if g := prog.ask("pay"); g.body != "in" {
 			t.Fatalf("a request went to the server that is out: %+v", g)
 		}
 	}
@@ -35,7 +35,7 @@
 			t.Errorf("%s is answered %q", line, answer)
 		}
 	}
-	for end := time.Now().Add(patience); p.ask("pay").body != "out"; {
+	for end := time.Now().Add(patience); prog.ask("pay").body != "out"; {
 		if time.Now().After(end) {
 			t.Fatal("a server that was put back is not used")
 		}
@@ -45,9 +45,9 @@
 // TestOutOfServiceOutlivesUpgrade takes a server out at one process: the next one knows from its start, what is said to either
 // holds for both, and the end of the first changes nothing.
 func TestOutOfServiceOutlivesUpgrade(t *testing.T) {
-	in, out, both := startBackend(t, say(200, "", "ok")), startBackend(t, say(200, "", "ok")), startBackend(t, say(200, "", "ok"))
-	f := startPlatform(t, configText(startRegistry(t).address, serving(1, in, out, both), testSettings))
-	first := f.start()
+	reader, out, both := startBackend(t, say(200, "", "ok")), startBackend(t, say(200, "", "ok")), startBackend(t, say(200, "", "ok"))
+	shared := startPlatform(t, configText(startRegistry(t).address, serving(1, reader, out, both), testSettings))
+	first := shared.start()
 	say := func(s *child, line string) {
 		t.Helper()
 		if answer := s.call(line); !strings.HasPrefix(answer, "ok ") {
@@ -55,52 +55,53 @@
 		}
 	}
 	say(first, "DETACH s-1")
-	second := f.start()
+	second := shared.start()
 	say(second, "DETACH s-0")
 	// Each knows of both calls: an id that is out is known, though the list does not name it any more.
 	say(first, "ATTACH s-0")
 	first.leave()
-	f.askUntil(func() bool { return in.count() > 0 })
+	shared.askUntil(func() bool { return reader.count() > 0 })
 	if n := out.count(); n != 0 {
 		t.Errorf("%d requests came to the server that is out", n)
 	}
 	say(second, "ATTACH s-1")
-	third := f.start()
+	third := shared.start()
 	second.leave()
-	f.askUntil(func() bool { return out.count() > 0 })
+	shared.askUntil(func() bool { return out.count() > 0 })
 	third.leave()
 }
 
+// takeOutTen takes ten servers out of service.
+func takeOutTen(t *testing.T, f *handover, process int) {
+	t.Helper()
+	for i := range 10 {
+		if err := f.set(fmt.Sprintf("s-%d-%d", process, i), true); err != nil {
+			t.Error(err)
+		}
+	}
+}
+
 // TestHandoverFile has two processes change the file at once, and finds files that cannot be read.
 func TestHandoverFile(t *testing.T) {
 	dir, log := t.TempDir(), slog.New(slog.DiscardHandler)
 	var changing sync.WaitGroup
 	for process := range 2 {
-		f := newHandover(dir, "n/0", log)
-		changing.Add(1)
-		go func() {
-			defer changing.Done()
-			for i := range 10 {
-				if err := f.set(fmt.Sprintf("s-%d-%d", process, i), true); err != nil {
-					t.Error(err)
-				}
-			}
-		}()
+		changing.Go(func() { takeOutTen(t, newHandover(dir, "n/0", log), process) })
 	}
 	changing.Wait()
-	f := newHandover(dir, "n/0", log)
-	if n := len(f.out()); n != 20 {
+	shared := newHandover(dir, "n/0", log)
+	if n := len(shared.out()); n != 20 {
 		t.Errorf("%d ids, want 20", n)
 	}
 	if other := newHandover(dir, "n1", log).out(); len(other) != 0 {
 		t.Errorf("another sidecar has %d of them", len(other))
 	}
-	if f.reload() {
+	if shared.reload() {
 		t.Error("an unchanged file passes for a changed one")
 	}
 	text := &logText{}
 	for _, bad := range []string{"", "{", `{"out":[1]}`, strings.Repeat(" ", maxHandoverBytes+1)} {
-		if err := os.WriteFile(f.path, []byte(bad), 0o600); err != nil {
+		if err := os.WriteFile(shared.path, []byte(bad), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if ids := newHandover(dir, "n/0", slog.New(slog.NewTextHandler(text, nil))).out(); len(ids) != 0 {
@@ -111,9 +112,9 @@
 		t.Errorf("the log says so %d times:\n%s", n, text)
 	}
 	for range 3 {
-		f.reload()
+		shared.reload()
 	}
-	if n := len(f.out()); n != 20 {
+	if n := len(shared.out()); n != 20 {
 		t.Errorf("a file that cannot be read changes what is known: %d ids", n)
 	}
 	// Where nothing can be written, this process holds to what it was told, and the operator learns the rest.
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -56,37 +56,51 @@
 	b := &backend{address: l.Addr().String(), came: make(chan *http.Request, 1000)}
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
-			t.Cleanup(func() { _ = c.Close() })
-			go func() {
-				defer func() { _ = c.Close() }()
-				in := bufio.NewReader(c)
-				for {
-					r, err := http.ReadRequest(in)
-					if err != nil {
-						return
-					}
-					body, err := io.ReadAll(r.Body)
-					if err != nil {
-						return
-					}
-					select {
-					case b.came <- r:
-					default: // a test that sends so many does not look at each
-					}
-					if !do(c, r, body) {
-						return
-					}
-				}
-			}()
+			t.Cleanup(func() { _ = conn.Close() })
+			go b.serve(conn, do)
 		}
 	}()
 	return b
 }
 
+// serve answers the requests of a connection until answer tells false.
+func (b *backend) serve(conn net.Conn, answer func(net.Conn, *http.Request, []byte) bool) {
+	defer func() { _ = conn.Close() }()
+	reader := bufio.NewReader(conn)
+	for {
+		r, err := http.ReadRequest(reader)
+		if err != nil {
+			return
+		}
+		body, err := io.ReadAll(r.Body)
+		if err != nil {
+			return
+		}
+		select {
+		case b.came <- r:
+		default: // a test that sends so many does not look at each
+		}
+		if !answer(conn, r, body) {
+			return
+		}
+	}
+}
+
+// dial connects to an address until the test ends.
+func dial(t *testing.T, address string) net.Conn {
+	t.Helper()
+	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	return conn
+}
+
 // say answers with a status, a header line or "", and a body, on a connection that lives on.
 func say(status int, header, body string) func(net.Conn, *http.Request, []byte) bool {
 	return func(c net.Conn, _ *http.Request, _ []byte) bool {
@@ -121,8 +135,8 @@
 func startRegistry(t *testing.T) *registry {
 	t.Helper()
 	r := &registry{watches: make(chan watching, 100)}
-	l := listen(t)
-	r.address = l.Addr().String()
+	listener := listen(t)
+	r.address = listener.Addr().String()
 	web := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		me := watching{q.URL.RawQuery, make(chan string, 100)}
 		_ = http.NewResponseController(w).Flush()
@@ -140,7 +154,7 @@
 			}
 		}
 	})}
-	go func() { _ = web.Serve(l) }()
+	go func() { _ = web.Serve(listener) }()
 	t.Cleanup(func() { _ = web.Close() })
 	return r
 }
@@ -274,22 +288,22 @@
 	t.Helper()
 	c.agentFirstTimeout = patience
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &program{t: t, stop: cancel, ended: make(chan error, 1), client: &http.Client{Transport: &http.Transport{}},
+	prog := &program{t: t, stop: cancel, ended: make(chan error, 1), client: &http.Client{Transport: &http.Transport{}},
 		reload: make(chan os.Signal)}
 	log := addressLog{slog.NewTextHandler(text, nil), make(chan string, 1)}
 	var over sync.WaitGroup
 	over.Add(1)
 	go func() {
 		defer over.Done()
-		p.ended <- run(ctx, c, slog.New(log), p.reload, p.discoveryAt, times)
+		prog.ended <- run(ctx, c, slog.New(log), prog.reload, prog.discoveryAt, times)
 	}()
 	t.Cleanup(func() {
-		p.client.CloseIdleConnections()
+		prog.client.CloseIdleConnections()
 		cancel()
 		over.Wait()
 	})
-	p.address = within(t, log.address, "address")
-	return p
+	prog.address = within(t, log.address, "address")
+	return prog
 }
 
 func (p *program) discoveryAt() (string, error) {
--- a/internal/sidecar/hitters_test.go
+++ b/internal/sidecar/hitters_test.go
@@ -20,13 +20,13 @@
 // TestHeavyIsReported floods a sidecar by one client: it is held for heavy by its name, in the log and in INFO, and none else.
 func TestHeavyIsReported(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
-	c, err := load(t, withHitters(configText(startRegistry(t).address, serving(1, b), testSettings),
+	config, err := load(t, withHitters(configText(startRegistry(t).address, serving(1, b), testSettings),
 		`{"header":"x-customer","window_s":0.1,"hold_s":0.1,"bound_s":10}`), "PROXY_CONTROL="+freeAddress(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var log logText
-	p := startLogging(t, c, &log, drainTimes{quietTime: time.Millisecond, finish: patience})
+	p := startLogging(t, config, &log, drainTimes{quietTime: time.Millisecond, finish: patience})
 	key := fmt.Sprintf("svc.heavy_clients.%016x:", hitters.Key(hitters.Key(0, ""), "loud"))
 	for end, n := time.Now().Add(patience), 0; ; n++ {
 		r := p.request(context.Background(), "read", "50000")
@@ -40,7 +40,7 @@
 		if n%10 != 0 {
 			continue
 		}
-		text := dialControl(t, c.Control, "INFO\n")
+		text := dialControl(t, config.Control, "INFO\n")
 		if strings.Contains(text, "svc.heavy_clients:1|g\n"+key) && strings.Contains(text, "svc.gave_way:0|c\n") {
 			break
 		}
@@ -80,20 +80,38 @@
 	}
 }
 
+// startMember starts a member that is no sidecar, until the test ends.
+func startMember(t *testing.T, options members.Options) *members.Members {
+	t.Helper()
+	member, err := members.New(options)
+	if err == nil {
+		err = member.Start(context.WithoutCancel(t.Context()))
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(member.Close)
+	return member
+}
+
+// fleetConfig is the configuration of a sidecar that looks for heavy clients together with others.
+func fleetConfig(t *testing.T, b *backend, name, join string) *Config {
+	t.Helper()
+	text := withHitters(configText(startRegistry(t).address, serving(1, b), testSettings), `{"window_s":0.2,"hold_s":0.2}`)
+	text = strings.Replace(text, `"settings":`, fmt.Sprintf(`"members":{"listen":"127.0.0.1:0","join":[%s]},"settings":`, join), 1)
+	config, err := load(t, text, "PROXY_NAME="+name, "PROXY_CONTROL="+freeAddress(t))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return config
+}
+
 // TestHeavyOverTheFleet floods two of three sidecars by one client, a third of the work of each: the third, which it never
 // calls, holds it for heavy by what they tell. It forgets it when both are gone. A fourth member that tells a lie of another
 // client, and nonsense, changes nothing.
 func TestHeavyOverTheFleet(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
-	config := func(name, join string) *Config {
-		text := withHitters(configText(startRegistry(t).address, serving(1, b), testSettings), `{"window_s":0.2,"hold_s":0.2}`)
-		text = strings.Replace(text, `"settings":`, fmt.Sprintf(`"members":{"listen":"127.0.0.1:0","join":[%s]},"settings":`, join), 1)
-		c, err := load(t, text, "PROXY_NAME="+name, "PROXY_CONTROL="+freeAddress(t))
-		if err != nil {
-			t.Fatal(err)
-		}
-		return c
-	}
+	config := func(name, join string) *Config { return fleetConfig(t, b, name, join) }
 	times := drainTimes{quietTime: time.Millisecond, finish: patience}
 	var first logText
 	loud := []*program{startLogging(t, config("n1", ""), &first, times)}
@@ -104,26 +122,16 @@
 		return there
 	})
 	loud = append(loud, startLogging(t, config("n2", strconv.Quote(at)), io.Discard, times))
-	c := config("n3", strconv.Quote(at))
-	third := startLogging(t, c, io.Discard, times)
-	liar, err := members.New(members.Options{Name: "n4", Listen: "127.0.0.1:0", Join: []string{at}})
-	if err == nil {
-		err = liar.Start(context.Background())
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer liar.Close()
+	observing := config("n3", strconv.Quote(at))
+	third := startLogging(t, observing, io.Discard, times)
+	liar := startMember(t, members.Options{Name: "n4", Listen: "127.0.0.1:0", Join: []string{at}})
 	victim := hitters.Key(hitters.Key(0, ""), "victim")
 	lie := hitters.Report{Total: 1 << 44, Requests: 1 << 31, Named: 1}
 	lie.Keys[0], lie.Shares[0] = victim, 1<<16-1
-	n := 0
+	asked := 0
 	ask := func(p *program, name string) {
-		if n++; n%2 == 0 {
-			if err := liar.Publish(kindHitters, lie.Append(nil)); err != nil {
-				t.Fatal(err)
-			}
-		} else if err := liar.Publish(kindHitters, []byte("nonsense")); err != nil {
+		asked++
+		if err := liar.Publish(kindHitters, [][]byte{lie.Append(nil), []byte("nonsense")}[asked%2]); err != nil {
 			t.Fatal(err)
 		}
 		r := p.request(context.Background(), "read", "50000")
@@ -134,16 +142,16 @@
 	key := fmt.Sprintf("svc.heavy_clients.%016x:", hitters.Key(hitters.Key(0, ""), "loud"))
 	eventually(t, "held for heavy", func() bool {
 		for range 10 {
-			n++
-			ask(third, fmt.Sprintf("still-%d", n))
+			asked++
+			ask(third, fmt.Sprintf("still-%d", asked))
 			for _, p := range loud {
 				ask(p, "loud")
-				ask(p, fmt.Sprintf("calm-%d", n))
-				ask(p, fmt.Sprintf("quiet-%d", n))
+				ask(p, fmt.Sprintf("calm-%d", asked))
+				ask(p, fmt.Sprintf("quiet-%d", asked))
 			}
 		}
 		ask(third, "victim")
-		text := dialControl(t, c.Control, "INFO\n")
+		text := dialControl(t, observing.Control, "INFO\n")
 		if strings.Contains(text, fmt.Sprintf("%016x", victim)) {
 			t.Fatalf("one that only the liar tells of is held for heavy:\n%s", text)
 		}
@@ -153,9 +161,9 @@
 		p.stop()
 	}
 	eventually(t, "let go", func() bool {
-		n++
-		ask(third, fmt.Sprintf("still-%d", n))
-		return strings.Contains(dialControl(t, c.Control, "INFO\n"), "svc.heavy_clients:0|g\n")
+		asked++
+		ask(third, fmt.Sprintf("still-%d", asked))
+		return strings.Contains(dialControl(t, observing.Control, "INFO\n"), "svc.heavy_clients:0|g\n")
 	})
 }
 
--- a/internal/sidecar/input_test.go
+++ b/internal/sidecar/input_test.go
@@ -15,9 +15,9 @@
 
 func TestBadInput(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
-	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
+	prog := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
 	ask := func(class string, change func(*http.Request)) *http.Request {
-		r := p.request(context.Background(), class, "50000")
+		r := prog.request(context.Background(), class, "50000")
 		change(r)
 		return r
 	}
@@ -58,13 +58,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			came := b.count()
-			if g := p.do(test.r); g.err != nil || g.status != test.status {
+			if g := prog.do(test.r); g.err != nil || g.status != test.status {
 				t.Errorf("status %d, error %v, want %d", g.status, g.err, test.status)
 			}
 			if sent := b.count() > came; sent != (test.status == 200) {
 				t.Errorf("sent to a server: %v", sent)
 			}
-			if g := p.ask("pay"); g.status != 200 {
+			if g := prog.ask("pay"); g.status != 200 {
 				t.Errorf("the next request: %+v", g)
 			}
 		})
@@ -74,8 +74,8 @@
 // TestEndlessBody has a client send half a body and no more: its connection ends with its time, and others are served.
 func TestEndlessBody(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
-	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
-	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
+	prog := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", prog.address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 		t.Errorf("%d attempts for half a request", n)
 	}
 	// A connection whose body's time is over still serves what takes longer.
-	if g := p.ask("pay"); g.status != 200 {
+	if g := prog.ask("pay"); g.status != 200 {
 		t.Errorf("answer %+v", g)
 	}
 }
--- a/internal/sidecar/memberreports_test.go
+++ b/internal/sidecar/memberreports_test.go
@@ -17,38 +17,77 @@
 	"gradeusher.example/gradeusher/internal/sidecar/members"
 )
 
-// TestMemberReportsSpareRequests: three sidecars of four learn by failures that a server has fallen silent. The fourth, which
-// has sent nothing to it, avoids it by their word, and spends no request. A sidecar that is cut off from most servers, and one
-// that lies, condemn nobody.
-func TestMemberReportsSpareRequests(t *testing.T) {
-	var down atomic.Bool
+// startSix starts servers of which the first falls silent while it is down.
+func startSix(t *testing.T, down *atomic.Bool) (backends []*backend) {
+	t.Helper()
 	answer := say(200, "", "ok")
-	var backends []*backend
 	for i := range 6 {
-		backends = append(backends, startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		backends = append(backends, startBackend(t, func(conn net.Conn, r *http.Request, body []byte) bool {
 			if i == 0 && down.Load() {
-				return neverAnswer(c, r, body)
+				return neverAnswer(conn, r, body)
 			}
-			return answer(c, r, body)
+			return answer(conn, r, body)
 		}))
 	}
+	return backends
+}
+
+// askEach sends requests one after the other, all of which have to be served.
+func askEach(t *testing.T, count int, ask func(i int) (status int)) {
+	t.Helper()
+	for i := range count {
+		if status := ask(i); status != http.StatusOK {
+			t.Fatalf("request %d has the answer %d", i, status)
+		}
+	}
+}
+
+// cutOffEntries is the list of a sidecar that reaches only the last of six servers.
+func cutOffEntries(t *testing.T, backends []*backend) (entries []string) {
+	t.Helper()
+	for i := range backends {
+		address := freeAddress(t)
+		if i == 5 {
+			address = backends[i].address
+		}
+		entries = append(entries, entry(fmt.Sprintf("s-%d", i), address, "SERVING", 0))
+	}
+	return entries
+}
+
+// checkReport holds that a sidecar that is cut off does not condemn all, and that one that only heard of a fault does not state it.
+func checkReport(t *testing.T, received members.News) {
+	t.Helper()
+	report, err := signals.Decode(received.Payload)
+	condemns := slices.ContainsFunc(report.Verdicts, func(v signals.Verdict) bool { return v.Kind != signals.Serving })
+	switch {
+	case received.Kind != kindSignals || err != nil:
+		t.Errorf("%+v: %v", received, err)
+	case received.Origin == "cut" && len(report.Verdicts) > 2:
+		t.Errorf("one that is cut off from five of six condemns %d", len(report.Verdicts))
+	case received.Origin == "d" && condemns:
+		t.Errorf("one that only heard of it states: %+v", report)
+	}
+}
+
+// TestMemberReportsSpareRequests: three sidecars of four learn by failures that a server has fallen silent. The fourth, which
+// has sent nothing to it, avoids it by their word, and spends no request. A sidecar that is cut off from most servers, and one
+// that lies, condemn nobody.
+func TestMemberReportsSpareRequests(t *testing.T) {
+	var down atomic.Bool
+	backends := startSix(t, &down)
 	heard := make(chan members.News, 4096)
-	watcher, err := members.New(members.Options{Name: "watcher", Listen: "127.0.0.1:0", Told: func(n members.News) {
+	watcher := startMember(t, members.Options{Name: "watcher", Listen: "127.0.0.1:0", Told: func(n members.News) {
 		select {
 		case heard <- n:
 		default: // nobody looks
 		}
 	}})
-	if err == nil {
-		err = watcher.Start(t.Context())
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(watcher.Close)
 	times := drainTimes{quietTime: time.Millisecond, finish: patience}
-	var controls []string
-	var sidecars []*program
+	var (
+		controls []string
+		sidecars []*program
+	)
 	begin := func(name, list string) {
 		text := strings.Replace(configText(startRegistry(t).address, list, testSettings), `"settings":`,
 			fmt.Sprintf(`"members":{"listen":"127.0.0.1:0","join":[%s]},"settings":`, strconv.Quote(watcher.Address())), 1)
@@ -62,16 +101,7 @@
 	for _, name := range []string{"a", "b", "c", "d"} {
 		begin(name, serving(1, backends...))
 	}
-	// One whose way to five of six is cut.
-	var cut []string
-	for i := range backends {
-		at := freeAddress(t)
-		if i == 5 {
-			at = backends[i].address
-		}
-		cut = append(cut, entry(fmt.Sprintf("s-%d", i), at, "SERVING", 0))
-	}
-	begin("cut", listText(1, true, cut...))
+	begin("cut", listText(1, true, cutOffEntries(t, backends)...))
 	figure := func(i int, name string) (n int) {
 		_, after, _ := strings.Cut(dialControl(t, controls[i], "INFO\n"), "svc."+name+":")
 		_, _ = fmt.Sscanf(after, "%d|", &n)
@@ -83,11 +113,7 @@
 	ask := func(i int) int {
 		return sidecars[i].do(sidecars[i].request(context.Background(), "read", "400")).status
 	}
-	for i := range 12 {
-		if ask(i%4) != 200 {
-			t.Fatal("not served while all is well")
-		}
-	}
+	askEach(t, 12, func(i int) int { return ask(i % 4) })
 
 	// The liar condemns s-1 again and again, and the one that is cut off fails at all but s-5.
 	lie, err := signals.Encode(signals.Report{Zone: "b", Uses: []signals.ZoneUse{{Zone: "a", Servers: 6}},
@@ -106,11 +132,7 @@
 		return figure(3, "out_of_rotation") == 1
 	})
 	before := backends[0].count()
-	for range 60 {
-		if status := ask(3); status != 200 {
-			t.Fatalf("answer %d while a server is avoided, of %d", status, figure(3, "out_of_rotation"))
-		}
-	}
+	askEach(t, 60, func(int) int { return ask(3) })
 	if got := backends[0].count() - before; got > 1 { // a try in its turn
 		t.Errorf("%d requests were spent on what the members knew", got)
 	}
@@ -118,16 +140,7 @@
 		t.Errorf("%d are avoided: the word of one alone, or of one cut off, moves somebody", got)
 	}
 	for len(heard) > 0 {
-		n := <-heard
-		r, err := signals.Decode(n.Payload)
-		switch {
-		case n.Kind != kindSignals || err != nil:
-			t.Errorf("%+v: %v", n, err)
-		case n.Origin == "cut" && len(r.Verdicts) > 2:
-			t.Errorf("one that is cut off from five of six says so of %d", len(r.Verdicts))
-		case n.Origin == "d" && slices.ContainsFunc(r.Verdicts, func(v signals.Verdict) bool { return v.Kind != signals.Serving }):
-			t.Errorf("one that was only told says on: %+v", r)
-		}
+		checkReport(t, <-heard)
 	}
 	down.Store(false)
 	eventually(t, "used again", func() bool {
--- a/internal/sidecar/servertable_test.go
+++ b/internal/sidecar/servertable_test.go
@@ -51,22 +51,22 @@
 
 // TestLostCount has a list service begin to count anew: who is new by it is there at once, and it is believed at last, not before.
 func TestLostCount(t *testing.T) {
-	l, f, now := newServerTable(List{}), followed{}, time.Unix(1000, 0)
-	take := func(in List) { f.told(l.apply(in, now)) }
+	l, seen, now := newServerTable(List{}), followed{}, time.Unix(1000, 0)
+	take := func(in List) { seen.told(l.apply(in, now)) }
 	take(List{Version: 40, Complete: true, Targets: []Target{listed("a", balance.Ready, 0), listed("b", balance.Ready, 0)}})
 	mended := List{Version: 2, Complete: true, Targets: []Target{listed("b", balance.Ready, 50), listed("c", balance.Ready, 0)}}
 	take(mended)
 	now = now.Add(staleTimeout - time.Second)
-	if take(mended); states(f) != "map[a:0 b:0 c:0]" || f["b"].Started.Unix() != 50 {
-		t.Errorf("%v while it is doubted", f)
+	if take(mended); states(seen) != "map[a:0 b:0 c:0]" || seen["b"].Started.Unix() != 50 {
+		t.Errorf("%v while it is doubted", seen)
 	}
 	now = now.Add(time.Second)
-	if take(mended); states(f) != "map[b:0 c:0]" || l.resumeFrom() != 2 {
-		t.Errorf("%s from %d when it has to be believed", states(f), l.resumeFrom())
+	if take(mended); states(seen) != "map[b:0 c:0]" || l.resumeFrom() != 2 {
+		t.Errorf("%s from %d when it has to be believed", states(seen), l.resumeFrom())
 	}
 	take(List{Version: 3, Targets: []Target{listed("c", balance.Removed, 0)}})
-	if states(f) != "map[b:0]" {
-		t.Errorf("%s after it goes on", states(f))
+	if states(seen) != "map[b:0]" {
+		t.Errorf("%s after it goes on", states(seen))
 	}
 }
 
@@ -78,51 +78,78 @@
 	return fmt.Sprint(all)
 }
 
-// TestServerTable draws lists of any revision, and holds what is told to the invariants.
+// TestServerTable draws lists of any version, and holds what is published to the invariants.
 func TestServerTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, f, now, highest := newServerTable(List{}), followed{}, time.Unix(1000, 0), int64(noVersion)
+		p := tablePlay{table: newServerTable(List{}), seen: followed{}, now: time.Unix(1000, 0), highest: int64(noVersion)}
 		for range rapid.IntRange(1, 20).Draw(t, "lists") {
-			now = now.Add(time.Duration(rapid.IntRange(0, 8).Draw(t, "s")) * time.Second)
-			in := List{Version: rapid.Int64Range(0, 9).Draw(t, "rev"), Complete: rapid.Bool().Draw(t, "all")}
-			for _, id := range []string{"a", "b", "c", "d"} {
-				if rapid.Bool().Draw(t, id) {
-					in.Targets = append(in.Targets, listed(id, balance.State(rapid.IntRange(0, 2).Draw(t, "state")), rapid.Int64Range(0, 2).Draw(t, "boot")))
-				}
-			}
-			before := followed{}
-			before.told(l.complete())
-			doubted, since := l.isStale(), l.staleSince
-			f.told(l.apply(in, now))
-			for _, e := range in.Targets {
-				if to, known := f[e.ID]; e.State != balance.Ready && known && to.State == balance.Ready {
-					t.Fatalf("%s still gets requests, though it is %d by the list", e.ID, e.State)
-				}
-			}
-			switch {
-			case in.Version >= highest:
-				if l.isStale() || l.highestRev != in.Version {
-					t.Fatalf("a list of %d is doubted by who held %d", in.Version, highest)
-				}
-				whole := followed{}
-				if whole.told(l.complete()); fmt.Sprint(whole) != fmt.Sprint(f) {
-					t.Fatalf("told %v, held %v", f, whole)
-				}
-			case !l.isStale():
-				if !doubted || !in.Complete || now.Sub(since) < staleTimeout {
-					t.Fatalf("a list of %d is believed at once by who held %d", in.Version, highest)
-				}
-			default:
-				for id := range before {
-					if _, still := f[id]; !still {
-						t.Fatalf("%s went by a list that is doubted", id)
-					}
-				}
-				if l.highestRev != highest {
-					t.Fatalf("the revision went from %d to %d", highest, l.highestRev)
-				}
-			}
-			highest = l.highestRev
+			p.now = p.now.Add(time.Duration(rapid.IntRange(0, 8).Draw(t, "s")) * time.Second)
+			p.apply(t, drawList(t))
 		}
 	})
 }
+
+func drawList(t *rapid.T) List {
+	drawn := List{Version: rapid.Int64Range(0, 9).Draw(t, "rev"), Complete: rapid.Bool().Draw(t, "all")}
+	for _, id := range []string{"a", "b", "c", "d"} {
+		if rapid.Bool().Draw(t, id) {
+			drawn.Targets = append(drawn.Targets, listed(id, balance.State(rapid.IntRange(0, 2).Draw(t, "state")), rapid.Int64Range(0, 2).Draw(t, "boot")))
+		}
+	}
+	return drawn
+}
+
+// tablePlay is a table with one who follows it.
+type tablePlay struct {
+	table   *serverTable
+	seen    followed
+	now     time.Time
+	highest int64
+}
+
+// apply has the table take a list, and checks the invariants.
+func (p *tablePlay) apply(t *rapid.T, received List) {
+	before := followed{}
+	before.told(p.table.complete())
+	wasStale, since := p.table.isStale(), p.table.staleSince
+	p.seen.told(p.table.apply(received, p.now))
+	for _, e := range received.Targets {
+		if to, known := p.seen[e.ID]; e.State != balance.Ready && known && to.State == balance.Ready {
+			t.Fatalf("%s still gets requests, though it is %d by the list", e.ID, e.State)
+		}
+	}
+	switch {
+	case received.Version >= p.highest:
+		p.checkBelieved(t, received)
+	case !p.table.isStale():
+		if !wasStale || !received.Complete || p.now.Sub(since) < staleTimeout {
+			t.Fatalf("a list of %d is believed at once by one that held %d", received.Version, p.highest)
+		}
+	default:
+		p.checkStale(t, before)
+	}
+	p.highest = p.table.highestRev
+}
+
+// checkBelieved holds that a list is not taken for stale, and that who follows the table knows what it holds.
+func (p *tablePlay) checkBelieved(t *rapid.T, received List) {
+	if p.table.isStale() || p.table.highestRev != received.Version {
+		t.Fatalf("a list of %d is stale for one that held %d", received.Version, p.highest)
+	}
+	complete := followed{}
+	if complete.told(p.table.complete()); fmt.Sprint(complete) != fmt.Sprint(p.seen) {
+		t.Fatalf("published %v, held %v", p.seen, complete)
+	}
+}
+
+// checkStale holds that nobody goes by a stale list, and that the version stays.
+func (p *tablePlay) checkStale(t *rapid.T, before followed) {
+	for id := range before {
+		if _, still := p.seen[id]; !still {
+			t.Fatalf("%s went by a list that is stale", id)
+		}
+	}
+	if p.table.highestRev != p.highest {
+		t.Fatalf("the revision went from %d to %d", p.highest, p.table.highestRev)
+	}
+}
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -18,11 +18,11 @@
 func TestLateRequests(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	settings := strings.ReplaceAll(strings.ReplaceAll(testSettings, `"aim_s":20.0`, `"aim_s":0.5`), `"deadline_s":60.0`, `"deadline_s":0.5`)
-	p := startDraining(t, configText(startRegistry(t).address, serving(1, b), settings),
+	prog := startDraining(t, configText(startRegistry(t).address, serving(1, b), settings),
 		drainTimes{accept: time.Second, quietTime: 10 * time.Millisecond, closeIdle: patience, finish: patience})
 	const head = "X-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\n"
 	begin := func(size int) net.Conn {
-		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", prog.address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -56,7 +56,7 @@
 		inTime, late = append(inTime, begin(size)), append(late, begin(size))
 	}
 	time.Sleep(50 * time.Millisecond)
-	p.stop()
+	prog.stop()
 	time.Sleep(10 * time.Millisecond) // if it has not heard by then, the test sees less
 	for i, size := range sizes {
 		finish(inTime[i], size, 200)
@@ -74,21 +74,21 @@
 // TestFinalAnswerBeforeKill has a server answer nothing to what came whole while the sidecar leaves: the client has its
 // final answer before the process would be killed, though it would wait for longer.
 func TestFinalAnswerBeforeKill(t *testing.T) {
-	l := &shutdownClock{}
-	l.init([]balance.Class{{Deadline: time.Second}, {Deadline: time.Hour}})
+	clock := &shutdownClock{}
+	clock.init([]balance.Class{{Deadline: time.Second}, {Deadline: time.Hour}})
 	now := time.Now()
-	if end := now.Add(time.Hour); !l.bound(end).Equal(end) || l.isLate(now) {
+	if end := now.Add(time.Hour); !clock.bound(end).Equal(end) || clock.isLate(now) {
 		t.Error("a process that was not told to leave is in a hurry")
 	}
-	l.begin(now)
+	clock.begin(now)
 	kill := now.Add(maxLongestDeadline + killMargin)
-	if end := l.bound(now.Add(time.Hour)); !end.Before(kill) || end.Before(kill.Add(-time.Second)) {
+	if end := clock.bound(now.Add(time.Hour)); !end.Before(kill) || end.Before(kill.Add(-time.Second)) {
 		t.Errorf("the last answer is due %v before the kill", kill.Sub(end))
 	}
-	if end := now.Add(time.Second); !l.bound(end).Equal(end) {
+	if end := now.Add(time.Second); !clock.bound(end).Equal(end) {
 		t.Error("what is due early is moved")
 	}
-	if l.isLate(now.Add(time.Second)) || !l.isLate(kill.Add(-finalAnswerMargin)) {
+	if clock.isLate(now.Add(time.Second)) || !clock.isLate(kill.Add(-finalAnswerMargin)) {
 		t.Error("late at the wrong time")
 	}
 }
--- a/internal/sidecar/sibling_test.go
+++ b/internal/sidecar/sibling_test.go
@@ -9,8 +9,8 @@
 
 // TestSiblingLock has two processes run beside each other: each knows, also once the other has been killed.
 func TestSiblingLock(t *testing.T) {
-	f := startPlatform(t, configText(startRegistry(t).address, serving(1, startBackend(t, say(200, "", "ok"))), testSettings))
-	b, err := newSiblingLock(filepath.Join(f.dir, "gradeusher-n0.json"))
+	path := startPlatform(t, configText(startRegistry(t).address, serving(1, startBackend(t, say(200, "", "ok"))), testSettings))
+	b, err := newSiblingLock(filepath.Join(path.dir, "gradeusher-n0.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,7 +22,7 @@
 	defer cancel()
 	told := make(chan bool, 1)
 	go b.follow(ctx, func(is bool) { told <- is })
-	s := f.start()
+	s := path.start()
 	if !within(t, told, "word of the other process") {
 		t.Error("told that it is gone")
 	}
@@ -42,13 +42,13 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	h, err := newHost(ctx, c, slog.New(slog.DiscardHandler))
+	driver, err := newHost(ctx, c, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := newServer(c, h)
+	s := newServer(c, driver)
 	limits := func() [4]int64 {
-		return [4]int64{s.maxPending.Load(), s.connections.idleThreshold.Load(), s.connections.maxConns.Load(), h.upstream.budget.limit.Load()}
+		return [4]int64{s.maxPending.Load(), s.connections.idleThreshold.Load(), s.connections.maxConns.Load(), driver.upstream.budget.limit.Load()}
 	}
 	whole := limits()
 	s.shareLimits(true)
@@ -62,5 +62,5 @@
 		t.Errorf("limits %v once alone again, %v before", limits(), whole)
 	}
 	cancel()
-	h.watchers.Wait()
+	driver.watchers.Wait()
 }
--- a/internal/sidecar/snapshotfile_test.go
+++ b/internal/sidecar/snapshotfile_test.go
@@ -16,20 +16,20 @@
 // TestSnapshotFile leaves beliefs to a process whose clock begins elsewhere, and then has the file be unsound in each way.
 func TestSnapshotFile(t *testing.T) {
 	origin, log := time.Unix(1000, 0), &logText{}
-	k := newSnapshotFile(t.TempDir(), "n 0", slog.New(slog.NewTextHandler(log, nil)))
-	if _, _, ok := k.load(origin); ok || log.String() != "" {
+	file := newSnapshotFile(t.TempDir(), "n 0", slog.New(slog.NewTextHandler(log, nil)))
+	if _, _, ok := file.load(origin); ok || log.String() != "" {
 		t.Errorf("there is something in no file: %s", log)
 	}
 	b := balance.Snapshot{ZoneWeight: 0.5, Endpoints: []balance.EndpointSnapshot{{ID: "s-0", Started: 500 * time.Second, LatencySum: balance.LatencySum{Seconds: 1, Load: 2}}, {ID: "s-1"}}}
-	if err := k.save(b, origin, time.Unix(1600, 5)); err != nil {
+	if err := file.save(b, origin, time.Unix(1600, 5)); err != nil {
 		t.Fatal(err)
 	}
-	got, at, ok := k.load(origin.Add(100 * time.Second))
+	got, at, ok := file.load(origin.Add(100 * time.Second))
 	b.Endpoints[0].Started = 400 * time.Second
 	if !ok || !at.Equal(time.Unix(1600, 5)) || !reflect.DeepEqual(got, b) {
 		t.Errorf("%v from %v, want %v", got, at, b)
 	}
-	sound, err := os.ReadFile(k.Path)
+	sound, err := os.ReadFile(file.Path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,15 +40,15 @@
 		"newer":   strings.Replace(string(sound), " 1 1 ", " 9 9 ", 1),
 		"huge":    strings.Repeat("x", maxSnapshotBytes+1),
 	} {
-		if err := os.WriteFile(k.Path, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(file.Path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		before := len(log.String())
-		k.startedAt = 0 // a process that begins
-		if _, _, ok := k.load(origin); ok || len(log.String()) == before {
+		file.startedAt = 0 // a process that begins
+		if _, _, ok := file.load(origin); ok || len(log.String()) == before {
 			t.Errorf("%s: taken, or nothing was said", name)
 		}
-		if aside, err := os.ReadFile(k.Path + ".unsound"); err != nil || string(aside) != text {
+		if aside, err := os.ReadFile(file.Path + ".unsound"); err != nil || string(aside) != text {
 			t.Errorf("%s: not set aside: %v", name, err)
 		}
 	}
@@ -111,7 +111,7 @@
 func TestSnapshotOutlivesProcess(t *testing.T) {
 	d, dir := startRegistry(t), t.TempDir()
 	server := startBackend(t, say(200, "", "ok"))
-	for i, keep := range []string{"", `"keep_beliefs":true,`, `"keep_beliefs":true,`} {
+	for index, keep := range []string{"", `"keep_beliefs":true,`, `"keep_beliefs":true,`} {
 		c, err := load(t, strings.Replace(configText(d.address, serving(1, server), testSettings), `"new":1,`, keep, 1), "TMPDIR="+dir)
 		if err != nil {
 			t.Fatal(err)
@@ -125,8 +125,8 @@
 			t.Fatal(err)
 		}
 		files, _ := filepath.Glob(filepath.Join(dir, "beliefs-*.kept"))
-		if taken := strings.Contains(log.String(), `msg="beliefs taken up" servers=1`); taken != (i == 2) || len(files) != min(i, 1) {
-			t.Errorf("process %d: beliefs taken up %t, files %q; log:\n%s", i, taken, files, log)
+		if taken := strings.Contains(log.String(), `msg="beliefs taken up" servers=1`); taken != (index == 2) || len(files) != min(index, 1) {
+			t.Errorf("process %d: beliefs taken up %t, files %q; log:\n%s", index, taken, files, log)
 		}
 	}
 }
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -26,20 +26,24 @@
 
 // TestMain lets a test start this binary as a sidecar.
 func TestMain(m *testing.M) {
-	if os.Getenv("TEST_AS_SIDECAR") != "" {
-		stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM)
-		defer cancel()
-		c, err := LoadConfig(os.Getenv)
-		if err == nil {
-			err = Run(stop, c, slog.New(slog.NewTextHandler(os.Stderr, nil)), nil, nil)
-		}
-		if err != nil {
-			fmt.Fprintln(os.Stderr, err)
-			os.Exit(1)
-		}
-		os.Exit(0)
+	if os.Getenv("TEST_AS_SIDECAR") == "" {
+		os.Exit(m.Run())
 	}
-	os.Exit(m.Run())
+	if err := runAsSidecar(); err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(1)
+	}
+	os.Exit(0)
+}
+
+func runAsSidecar() error {
+	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM)
+	defer cancel()
+	config, err := LoadConfig(os.Getenv)
+	if err != nil {
+		return err
+	}
+	return Run(stop, config, slog.New(slog.NewTextHandler(os.Stderr, nil)), nil, nil)
 }
 
 // platform holds the clients' listening socket, and starts processes that inherit it.
@@ -79,32 +83,32 @@
 // start starts one more process and waits until it says yes.
 func (f *platform) start() *child {
 	f.t.Helper()
-	s := &child{t: f.t, control: freeAddress(f.t), process: exec.CommandContext(context.WithoutCancel(f.t.Context()), os.Args[0]), ended: make(chan error, 1)}
-	s.process.Env = append(slices.Clone(f.env), "PROXY_CONTROL="+s.control)
-	s.process.ExtraFiles = []*os.File{f.socket}
+	started := &child{t: f.t, control: freeAddress(f.t), process: exec.CommandContext(context.WithoutCancel(f.t.Context()), os.Args[0]), ended: make(chan error, 1)}
+	started.process.Env = append(slices.Clone(f.env), "PROXY_CONTROL="+started.control)
+	started.process.ExtraFiles = []*os.File{f.socket}
 	var text strings.Builder
-	s.process.Stderr = &text
-	if err := s.process.Start(); err != nil {
+	started.process.Stderr = &text
+	if err := started.process.Start(); err != nil {
 		f.t.Fatal(err)
 	}
 	var over sync.WaitGroup
 	over.Add(1)
 	go func() {
 		defer over.Done()
-		s.ended <- s.process.Wait()
+		started.ended <- started.process.Wait()
 	}()
 	f.t.Cleanup(func() {
-		_ = s.process.Process.Kill()
+		_ = started.process.Process.Kill()
 		over.Wait()
 		if f.t.Failed() {
 			f.t.Logf("a process said:\n%s", text.String())
 		}
 	})
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-		if c, err := (&net.Dialer{}).DialContext(f.t.Context(), "tcp", s.control); err == nil {
+		if c, err := (&net.Dialer{}).DialContext(f.t.Context(), "tcp", started.control); err == nil {
 			_ = c.Close()
-			if strings.HasPrefix(s.call("PING"), "ok ") {
-				return s
+			if strings.HasPrefix(started.call("PING"), "ok ") {
+				return started
 			}
 		}
 		if time.Now().After(end) {
@@ -162,6 +166,37 @@
 	}
 }
 
+// askOnConnections sends requests until stop is closed, on one connection as long as it is kept or on one each.
+func (f *platform) askOnConnections(t *testing.T, stop <-chan bool, reuse bool) {
+	t.Helper()
+	var conn net.Conn
+	var reader *bufio.Reader
+	for {
+		select {
+		case <-stop:
+			return
+		default:
+		}
+		if conn == nil {
+			var err error
+			if conn, err = (&net.Dialer{}).DialContext(t.Context(), "tcp", f.address); err != nil {
+				t.Errorf("no connection: %v", err)
+				return
+			}
+			reader = bufio.NewReader(conn)
+		}
+		closing, err := f.ask(conn, reader)
+		if err != nil {
+			t.Errorf("a request failed: %v", err)
+			return
+		}
+		if closing || !reuse {
+			_ = conn.Close()
+			conn = nil
+		}
+	}
+}
+
 // TestUpgrade has clients go on asking, on kept connections and on new ones, while one process takes over from another,
 // three times: none is turned away.
 func TestUpgrade(t *testing.T) {
@@ -170,37 +205,8 @@
 	old := f.start()
 	stop := make(chan bool)
 	var clients sync.WaitGroup
-	for kept := range 4 {
-		clients.Add(1)
-		go func() {
-			defer clients.Done()
-			var c net.Conn
-			var in *bufio.Reader
-			for {
-				select {
-				case <-stop:
-					return
-				default:
-				}
-				if c == nil {
-					var err error
-					if c, err = (&net.Dialer{}).DialContext(t.Context(), "tcp", f.address); err != nil {
-						t.Errorf("no connection: %v", err)
-						return
-					}
-					in = bufio.NewReader(c)
-				}
-				closing, err := f.ask(c, in)
-				if err != nil {
-					t.Errorf("a request failed: %v", err)
-					return
-				}
-				if closing || kept == 0 {
-					_ = c.Close()
-					c = nil
-				}
-			}
-		}()
+	for i := range 4 {
+		clients.Go(func() { f.askOnConnections(t, stop, i > 0) })
 	}
 	for range 3 {
 		next := f.start()
@@ -231,7 +237,7 @@
 // TestShutdownWhileBlocked has a process wait for a connection in the kernel, as the platform has made the shared socket one that blocks,
 // and leave then.
 func TestShutdownWhileBlocked(t *testing.T) {
-	c, err := load(t, configText(startRegistry(t).address, serving(1, startBackend(t, say(200, "", "ok"))), testSettings))
+	conn, err := load(t, configText(startRegistry(t).address, serving(1, startBackend(t, say(200, "", "ok"))), testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -241,17 +247,17 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = socket.Close() }()
-	if c.InheritedFD, err = syscall.Dup(int(socket.Fd())); err != nil {
+	if conn.InheritedFD, err = syscall.Dup(int(socket.Fd())); err != nil {
 		t.Fatal(err)
 	}
-	p := startLogging(t, c, &logText{}, drainTimes{quietTime: time.Millisecond, finish: patience})
+	prog := startLogging(t, conn, &logText{}, drainTimes{quietTime: time.Millisecond, finish: patience})
 	// As os/exec does, which hands descriptors on.
 	if flags, err := unix.FcntlInt(socket.Fd(), unix.F_GETFL, 0); err != nil || flags&unix.O_NONBLOCK != 0 {
 		t.Fatalf("asking for the descriptor has not made the socket block: flags %#x, error %v", flags, err)
 	}
 	dial := func() {
-		if c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", shared.Addr().String()); err == nil {
-			_ = c.Close()
+		if conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", shared.Addr().String()); err == nil {
+			_ = conn.Close()
 		}
 	}
 	defer dial() // so that nothing waits on, even if it did not leave
@@ -263,8 +269,8 @@
 			t.Fatal("nobody waits in the kernel")
 		}
 	}
-	p.stop()
-	if err := within(t, p.ended, "end"); err != nil {
+	prog.stop()
+	if err := within(t, prog.ended, "end"); err != nil {
 		t.Error(err)
 	}
 }
@@ -274,7 +280,7 @@
 func TestShutdownClosesIdle(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	f := startPlatform(t, configText(startRegistry(t).address, serving(1, b), testSettings))
-	s := f.start()
+	leaving := f.start()
 	dial := func() net.Conn {
 		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", f.address)
 		if err != nil {
@@ -294,7 +300,7 @@
 	}
 	time.Sleep(100 * time.Millisecond) // it is read by then; if not, the test sees less
 	left := make(chan bool)
-	go func() { s.leave(); close(left) }()
+	go func() { leaving.leave(); close(left) }()
 	for _, c := range []net.Conn{silent, idle} {
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF { //nolint:errorlint // the connection's own error, not one that wraps it
 			t.Errorf("an idle connection ended with %v", err)
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -105,11 +105,11 @@
 
 func TestNeverRan(t *testing.T) {
 	b := startBackend(t, neverAnswer)
-	u := to(t, b)
+	connections := to(t, b)
 	gone := listen(t)
 	closed := entry("s-1", gone.Addr().String(), "SERVING", 0)
 	_ = gone.Close()
-	u.update(list(t, listText(2, false, closed)))
+	connections.update(list(t, listText(2, false, closed)))
 	over, cancel := context.WithCancel(context.Background())
 	cancel()
 	for _, test := range []struct {
@@ -121,7 +121,7 @@
 		{"unknown server", "s-9", context.Background(), balance.NotSent},
 		{"called off before", "s-0", over, balance.NotSent},
 	} {
-		if r := u.attempt(test.ctx, test.to, post(""), nil); r.outcome != test.want {
+		if r := connections.attempt(test.ctx, test.to, post(""), nil); r.outcome != test.want {
 			t.Errorf("%s: outcome %d, want %d", test.name, r.outcome, test.want)
 		}
 	}
@@ -178,7 +178,7 @@
 // TestStaleConnection has a server answer once and then reset the connection on the next request. The transport
 // would send GETs and keyed requests again by itself.
 func TestStaleConnection(t *testing.T) {
-	for _, m := range []*message{get(), post(""), post("k")} {
+	for _, sent := range []*message{get(), post(""), post("k")} {
 		first := true
 		b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 			if first {
@@ -188,14 +188,14 @@
 			return hangUp(c, r, body)
 		})
 		u := to(t, b)
-		if r := u.attempt(context.Background(), "s-0", m, nil); r.outcome != balance.Served {
+		if r := u.attempt(context.Background(), "s-0", sent, nil); r.outcome != balance.Served {
 			t.Fatalf("first outcome %d", r.outcome)
 		}
-		if r := u.attempt(context.Background(), "s-0", m, nil); r.outcome != balance.Reset {
-			t.Errorf("%s with key %q: outcome %d, want a reset", m.method, m.key, r.outcome)
+		if r := u.attempt(context.Background(), "s-0", sent, nil); r.outcome != balance.Reset {
+			t.Errorf("%s with key %q: outcome %d, want a reset", sent.method, sent.key, r.outcome)
 		}
 		if n := b.count(); n != 2 {
-			t.Errorf("%s with key %q: %d requests for two attempts", m.method, m.key, n)
+			t.Errorf("%s with key %q: %d requests for two attempts", sent.method, sent.key, n)
 		}
 	}
 }
@@ -230,27 +230,27 @@
 		conns <- c
 		return say(200, "", "")(c, r, body)
 	})
-	u := to(t, b)
+	connections := to(t, b)
 	ask := func() net.Conn {
-		if r := u.attempt(context.Background(), "s-0", get(), nil); r.outcome != balance.Served {
+		if r := connections.attempt(context.Background(), "s-0", get(), nil); r.outcome != balance.Served {
 			t.Fatalf("outcome %d", r.outcome)
 		}
 		return within(t, conns, "connection")
 	}
 	first := ask()
-	u.update(list(t, listText(2, false, entry("s-0", b.address, "DRAINING", 0))))
+	connections.update(list(t, listText(2, false, entry("s-0", b.address, "DRAINING", 0))))
 	if ask() != first {
 		t.Error("a change of state cost the connection")
 	}
-	u.update(list(t, listText(3, false, entry("s-0", b.address, "SERVING", 1700000000000))))
+	connections.update(list(t, listText(3, false, entry("s-0", b.address, "SERVING", 1700000000000))))
 	if ask() == first {
 		t.Error("a request went to the former process's connection")
 	}
-	u.update(list(t, listText(4, false, entry("s-0", b.address, "DELETED", 0))))
-	if r := u.attempt(context.Background(), "s-0", get(), nil); r.outcome != balance.NotSent {
+	connections.update(list(t, listText(4, false, entry("s-0", b.address, "DELETED", 0))))
+	if r := connections.attempt(context.Background(), "s-0", get(), nil); r.outcome != balance.NotSent {
 		t.Errorf("outcome %d at a removed server", r.outcome)
 	}
-	u.update(list(t, listText(5, false, entry("s-0", b.address, "SERVING", 0))))
+	connections.update(list(t, listText(5, false, entry("s-0", b.address, "SERVING", 0))))
 	ask()
 }
 
@@ -325,11 +325,11 @@
 			}
 			return say(200, "", "")(c, r, body)
 		})
-		u := to(t, b)
-		u.minOutage = 0
+		connections := to(t, b)
+		connections.minOutage = 0
 		ended := make(chan reply, 2)
 		for range 2 {
-			go func() { ended <- u.attempt(context.Background(), "s-0", get(), nil) }()
+			go func() { ended <- connections.attempt(context.Background(), "s-0", get(), nil) }()
 		}
 		old := map[net.Conn]bool{within(t, conns, "connection"): true, within(t, conns, "connection"): true}
 		for range 2 {
@@ -337,7 +337,7 @@
 			within(t, ended, "end")
 		}
 		ctx, want := newEndable(), balance.Reset
-		go func() { ended <- u.attempt(ctx, "s-0", get(), nil) }()
+		go func() { ended <- connections.attempt(ctx, "s-0", get(), nil) }()
 		if c := within(t, conns, "connection"); !old[c] {
 			t.Fatal("the request did not reuse a connection")
 		}
@@ -351,7 +351,7 @@
 		if r := within(t, ended, "end"); r.outcome != want {
 			t.Errorf("outcome %d, want %d", r.outcome, want)
 		}
-		go func() { ended <- u.attempt(context.Background(), "s-0", get(), nil) }()
+		go func() { ended <- connections.attempt(context.Background(), "s-0", get(), nil) }()
 		if c := within(t, conns, "connection"); old[c] {
 			t.Error("a request went to an idle connection of a server that failed")
 		}
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -14,20 +14,20 @@
 // TestWatch follows the list through a drain, a bad line and a break.
 func TestWatch(t *testing.T) {
 	kept, drained := startBackend(t, say(200, "", "kept")), startBackend(t, say(200, "", "drained"))
-	d := startRegistry(t)
-	p := start(t, configText(d.address, serving(41, drained), testSettings))
-	first := within(t, d.watches, "watch")
+	source := startRegistry(t)
+	prog := start(t, configText(source.address, serving(41, drained), testSettings))
+	first := within(t, source.watches, "watch")
 	if first.query != "watch=1" { // what was known may be old
 		t.Errorf("query %q", first.query)
 	}
 	first.lines <- serving(41, drained)
-	if g := p.ask("pay"); g.body != "drained" {
+	if g := prog.ask("pay"); g.body != "drained" {
 		t.Errorf("answer %+v", g)
 	}
 	until := func(want string) {
 		t.Helper()
 		for end := time.Now().Add(patience); ; {
-			g := p.ask("read")
+			g := prog.ask("read")
 			if g.body == want {
 				return
 			}
@@ -40,21 +40,21 @@
 	first.lines <- listText(42, false, entry("s-0", drained.address, "DRAINING", 0), entry("s-1", kept.address, "SERVING", 0))
 	until("kept")
 	for range 20 {
-		if g := p.ask("pay"); g.body != "kept" {
+		if g := prog.ask("pay"); g.body != "kept" {
 			t.Fatalf("a request went to a server that drains: %+v", g)
 		}
 	}
 	first.lines <- `{"rev":43,"targets":[{"uid":"s-1","endpoint":"nowhere","state":"SERVING"}]}`
-	second := within(t, d.watches, "watch after a bad line")
+	second := within(t, source.watches, "watch after a bad line")
 	if second.query != "watch=1&from=42" {
 		t.Errorf("query %q after a bad line", second.query)
 	}
-	if g := p.ask("pay"); g.body != "kept" {
+	if g := prog.ask("pay"); g.body != "kept" {
 		t.Errorf("a bad line cost the list: %+v", g)
 	}
 	close(second.lines)
-	third := within(t, d.watches, "watch after a break")
-	if g := p.ask("pay"); g.body != "kept" {
+	third := within(t, source.watches, "watch after a break")
+	if g := prog.ask("pay"); g.body != "kept" {
 		t.Errorf("a break cost the list: %+v", g)
 	}
 	third.lines <- listText(44, true, entry("s-0", drained.address, "SERVING", 0))
@@ -69,24 +69,24 @@
 			first, second := startBackend(t, say(200, "", "first")), startBackend(t, say(200, "", "second"))
 			d, next := startRegistry(t), startRegistry(t)
 			settings := strings.Replace(testSettings, `"discovery":"pushed"`, `"discovery":"`+mode+`"`, 1)
-			p := start(t, configText(d.address, serving(41, first), settings))
+			prog := start(t, configText(d.address, serving(41, first), settings))
 			within(t, d.watches, "watch")
-			if g := p.ask("pay"); g.body != "first" {
+			if g := prog.ask("pay"); g.body != "first" {
 				t.Errorf("answer %+v", g)
 			}
-			p.discovery.Store("")
-			p.reload <- syscall.SIGHUP
-			p.discovery.Store(next.address)
-			p.reload <- syscall.SIGHUP
+			prog.discovery.Store("")
+			prog.reload <- syscall.SIGHUP
+			prog.discovery.Store(next.address)
+			prog.reload <- syscall.SIGHUP
 			w := within(t, next.watches, "watch at the new address")
 			if w.query != "watch=1" {
 				t.Errorf("query %q at the new address", w.query)
 			}
-			if g := p.ask("pay"); g.body != "first" {
+			if g := prog.ask("pay"); g.body != "first" {
 				t.Errorf("answer %+v before the new address says anything", g)
 			}
 			w.lines <- serving(7, second)
-			for end := time.Now().Add(patience); p.ask("pay").body != "second"; {
+			for end := time.Now().Add(patience); prog.ask("pay").body != "second"; {
 				if time.Now().After(end) {
 					t.Fatal("the list of the new address does not count")
 				}
@@ -161,22 +161,22 @@
 
 // TestWarmingUpServer has a sidecar start beside a server that started just before it.
 func TestWarmingUpServer(t *testing.T) {
-	c, err := load(t, configText("127.0.0.1:9", "", testSettings))
+	config, err := load(t, configText("127.0.0.1:9", "", testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Settings.SubscribeToDiscovery = true // and so no watch in this test
+	config.Settings.SubscribeToDiscovery = true // and so no watch in this test
 	booted := time.Now().Add(-3 * time.Second)
 	for _, test := range []struct {
 		boot time.Time
 		cold bool
 	}{{booted, true}, {time.Time{}, false}, {booted.Add(-2 * originAge), false}} {
-		c.Known = List{Version: 1, Complete: true, Targets: []Target{{ID: "s-0", Address: "127.0.0.1:9", Zone: "a", Kind: "m", Size: 1, Started: test.boot}}}
-		h, err := newHost(context.Background(), c, slog.New(slog.DiscardHandler))
+		config.Known = List{Version: 1, Complete: true, Targets: []Target{{ID: "s-0", Address: "127.0.0.1:9", Zone: "a", Kind: "m", Size: 1, Started: test.boot}}}
+		h, err := newHost(context.Background(), config, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
-		started := h.started(c.Known.Targets[0])
+		started := h.started(config.Known.Targets[0])
 		if age := h.clock() - started; test.cold && (started <= 0 || age < 3*time.Second || age > 3*time.Second+patience) || !test.cold && started > 0 {
 			t.Errorf("boot %v: started %v, age %v", test.boot, started, age)
 		}
