--- a/internal/sidecar/memberreports_test.go
+++ b/internal/sidecar/memberreports_test.go
@@ -17,6 +17,29 @@
 	"gradeusher.example/gradeusher/internal/sidecar/members"
 )
 
+// memberConfig is the configuration of a sidecar that joins a member.
+func memberConfig(t *testing.T, name, list, join string) *Config {
+	t.Helper()
+	text := strings.Replace(configText(startRegistry(t).address, list, testSettings), `"settings":`,
+		fmt.Sprintf(`"members":{"listen":"127.0.0.1:0","join":[%s]},"settings":`, strconv.Quote(join)), 1)
+	config, err := load(t, text, "PROXY_NAME="+name, "PROXY_CONTROL="+freeAddress(t))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return config
+}
+
+// encodeLie is a report that condemns s-1.
+func encodeLie(t *testing.T) []byte {
+	t.Helper()
+	lie, err := signals.Encode(signals.Report{Zone: "b", Uses: []signals.ZoneUse{{Zone: "a", Servers: 6}},
+		Verdicts: []signals.Verdict{{Process: signals.Process{Server: "s-1"}, Zone: "a", Kind: signals.Unresponsive, Count: 99}}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return lie
+}
+
 // startSix starts servers of which the first falls silent while it is down.
 func startSix(t *testing.T, down *atomic.Bool) (backends []*backend) {
 	t.Helper()
@@ -89,12 +112,7 @@
 		sidecars []*program
 	)
 	begin := func(name, list string) {
-		text := strings.Replace(configText(startRegistry(t).address, list, testSettings), `"settings":`,
-			fmt.Sprintf(`"members":{"listen":"127.0.0.1:0","join":[%s]},"settings":`, strconv.Quote(watcher.Address())), 1)
-		c, err := load(t, text, "PROXY_NAME="+name, "PROXY_CONTROL="+freeAddress(t))
-		if err != nil {
-			t.Fatal(err)
-		}
+		c := memberConfig(t, name, list, watcher.Address())
 		controls = append(controls, c.Control)
 		sidecars = append(sidecars, startLogging(t, c, io.Discard, times))
 	}
@@ -114,13 +132,8 @@
 		return sidecars[i].do(sidecars[i].request(context.Background(), "read", "400")).status
 	}
 	askEach(t, 12, func(i int) int { return ask(i % 4) })
-
 	// The liar condemns s-1 again and again, and the one that is cut off fails at all but s-5.
-	lie, err := signals.Encode(signals.Report{Zone: "b", Uses: []signals.ZoneUse{{Zone: "a", Servers: 6}},
-		Verdicts: []signals.Verdict{{Process: signals.Process{Server: "s-1"}, Zone: "a", Kind: signals.Unresponsive, Count: 99}}})
-	if err != nil {
-		t.Fatal(err)
-	}
+	lie := encodeLie(t)
 	down.Store(true)
 	eventually(t, "avoided by its witnesses and by word", func() bool {
 		if err := watcher.Publish(kindSignals, lie); err != nil {
