--- a/cmd/gradeusher/routesfleet_test.go
+++ b/cmd/gradeusher/routesfleet_test.go
@@ -44,7 +44,7 @@
 				go func() {
 					defer close(ended)
 					in := bufio.NewScanner(resp.Body)
-					in.Buffer(nil, list.MostText)
+					in.Buffer(nil, list.MaxListBytes)
 					for in.Scan() {
 						var n struct{ Gen int64 }
 						if len(in.Bytes()) > 0 && json.Unmarshal(in.Bytes(), &n) == nil {
--- a/internal/compat/sidecardata_test.go
+++ b/internal/compat/sidecardata_test.go
@@ -270,7 +270,7 @@
 	}
 	sameFile(t, dir, "list-n7.cache")
 	got, age, ok, err := client.NewCache(copied(t, "testdata/sealed"), "n7").Load(savedAt.Add(5 * time.Second))
-	if err != nil || !ok || age != 5*time.Second || got.Rev != 44 || len(got.Targets) != 2 || got.Targets[0].Changed(l.Targets[0]) || got.Targets[1] != l.Targets[1] {
+	if err != nil || !ok || age != 5*time.Second || got.Rev != 44 || len(got.Targets) != 2 || got.Targets[0].Differs(l.Targets[0]) || got.Targets[1] != l.Targets[1] {
 		t.Errorf("%+v, %v old, %t, %v", got, age, ok, err)
 	}
 }
--- a/internal/lab/standin/keeper.go
+++ b/internal/lab/standin/keeper.go
@@ -163,7 +163,7 @@
 	} else if !write(l) {
 		return
 	}
-	for beat := time.NewTicker(list.Heartbeat); ; {
+	for beat := time.NewTicker(list.HeartbeatInterval); ; {
 		k.mu.Lock()
 		changes, changed := k.changes[from:], k.changed
 		k.mu.Unlock()
--- a/internal/lab/standin/keeperroutes.go
+++ b/internal/lab/standin/keeperroutes.go
@@ -51,7 +51,7 @@
 // set takes a table in the place of the one that is there.
 func (k *plainRoutes) set(w http.ResponseWriter, r *http.Request, next func(t plainTable, gen int64) plainTable) {
 	var t plainTable
-	if err := json.NewDecoder(io.LimitReader(r.Body, list.MostText)).Decode(&t); err != nil {
+	if err := json.NewDecoder(io.LimitReader(r.Body, list.MaxListBytes)).Decode(&t); err != nil {
 		refusePlain(w, 400, err.Error())
 		return
 	}
--- a/internal/lab/standin/relay.go
+++ b/internal/lab/standin/relay.go
@@ -194,7 +194,7 @@
 			return // a refusal says nothing of the list
 		}
 		lines := bufio.NewScanner(resp.Body)
-		lines.Buffer(nil, list.MostText)
+		lines.Buffer(nil, list.MaxListBytes)
 		for lines.Scan() {
 			each(lines.Bytes(), at.Load())
 		}
--- a/internal/sidecar/client/cache_test.go
+++ b/internal/sidecar/client/cache_test.go
@@ -66,10 +66,10 @@
 
 // TestCacheBounds reads back the longest list that is held of keepers and the table that takes most as JSON, and sets a longer file aside.
 func TestCacheBounds(t *testing.T) {
-	now, folder, wide := time.UnixMilli(1_700_000_000_000), t.TempDir(), strings.Repeat("<", list.MostName)
+	now, folder, wide := time.UnixMilli(1_700_000_000_000), t.TempDir(), strings.Repeat("<", list.MaxNameBytes)
 	c, l, size := NewCache(folder, "n"), list.List{Rev: 1, All: true}, 2.2250738585072014e-308
 	for i := range 2 * state.MostServers {
-		l.Targets = append(l.Targets, list.Target{UID: fmt.Sprintf("%0*d", list.MostName, i), Endpoint: "[2001:db8:1111:2222:3333:4444:5555:6666]:65535", Zone: wide, Model: wide,
+		l.Targets = append(l.Targets, list.Target{UID: fmt.Sprintf("%0*d", list.MaxNameBytes, i), Endpoint: "[2001:db8:1111:2222:3333:4444:5555:6666]:65535", Zone: wide, Model: wide,
 			PodGroup: 1 << 30, State: list.Draining, Capacity: &size, BootMS: 1 << 44})
 	}
 	if err := c.Save(l, now); err != nil {
--- a/internal/sidecar/client/follow.go
+++ b/internal/sidecar/client/follow.go
@@ -124,7 +124,7 @@
 		return false, after, err
 	}
 	defer end()
-	silent := time.NewTimer(list.Silence)
+	silent := time.NewTimer(list.WatchTimeout)
 	defer silent.Stop()
 	tick := time.NewTicker(doubtEvery)
 	defer tick.Stop()
@@ -134,7 +134,7 @@
 			if l.err != nil {
 				return came, 0, l.err
 			}
-			silent.Reset(list.Silence)
+			silent.Reset(list.WatchTimeout)
 			if len(l.text) == 0 {
 				f.fresh.Store(time.Now().UnixNano())
 				continue
@@ -159,7 +159,7 @@
 			f.moved(keepers)
 			return came, 0, errMoved
 		case <-silent.C:
-			return came, 0, fmt.Errorf("nothing came for %v", list.Silence)
+			return came, 0, fmt.Errorf("nothing came for %v", list.WatchTimeout)
 		case <-ctx.Done():
 			return came, 0, ctx.Err()
 		}
@@ -263,7 +263,7 @@
 		return list.List{}, err
 	}
 	defer body.Close()
-	text, err := io.ReadAll(io.LimitReader(body, list.MostText))
+	text, err := io.ReadAll(io.LimitReader(body, list.MaxListBytes))
 	if err != nil {
 		return list.List{}, err
 	}
--- a/internal/sidecar/client/followduties.go
+++ b/internal/sidecar/client/followduties.go
@@ -30,7 +30,7 @@
 			return false, after, err
 		}
 		defer end()
-		silent := time.NewTimer(list.Silence)
+		silent := time.NewTimer(list.WatchTimeout)
 		defer silent.Stop()
 		for {
 			select {
@@ -38,7 +38,7 @@
 				if l.err != nil {
 					return came, 0, l.err
 				}
-				silent.Reset(list.Silence)
+				silent.Reset(list.WatchTimeout)
 				came = true
 				if len(l.text) == 0 {
 					continue
@@ -50,7 +50,7 @@
 				from, cluster = n.Rev, n.Cluster
 				told(n)
 			case <-silent.C:
-				return came, 0, fmt.Errorf("nothing came for %v", list.Silence)
+				return came, 0, fmt.Errorf("nothing came for %v", list.WatchTimeout)
 			case <-ctx.Done():
 				return came, 0, ctx.Err()
 			}
--- a/internal/sidecar/client/followroutes.go
+++ b/internal/sidecar/client/followroutes.go
@@ -55,7 +55,7 @@
 }
 
 // routeSilence is how long a watch of routes may say nothing. Its keeper says something every second.
-const routeSilence = list.Silence
+const routeSilence = list.WatchTimeout
 
 // NewRouteFollower takes up what the cache holds and tells it at once.
 func NewRouteFollower(o RouteOptions) (*RouteFollower, error) {
--- a/internal/sidecar/client/reader.go
+++ b/internal/sidecar/client/reader.go
@@ -143,7 +143,7 @@
 			if !known {
 				continue
 			}
-		case known && !old.Changed(t):
+		case known && !old.Differs(t):
 			continue
 		default:
 			r.held[t.UID] = t
--- a/internal/sidecar/client/rounds.go
+++ b/internal/sidecar/client/rounds.go
@@ -35,7 +35,7 @@
 	// Each begins at a keeper of its own choice, so that they share the watchers.
 	return rounds{what: what, log: log, keepers: keepers, next: rand.IntN(len(keepers)), moves: make(chan []string, 1),
 		http: &http.Transport{DialContext: (&net.Dialer{Timeout: connectTimeout}).DialContext, DisableCompression: true, DisableKeepAlives: true,
-			ResponseHeaderTimeout: list.Silence}}
+			ResponseHeaderTimeout: list.WatchTimeout}}
 }
 
 // Age is how long ago what is held was last known to be up to date. It tells false where it never was. Any goroutine may ask.
@@ -170,7 +170,7 @@
 	go func() {
 		defer close(ended)
 		in := bufio.NewScanner(body)
-		in.Buffer(nil, list.MostText)
+		in.Buffer(nil, list.MaxListBytes)
 		send := func(l line) bool {
 			select {
 			case all <- l:
--- a/internal/sidecar/list/list_test.go
+++ b/internal/sidecar/list/list_test.go
@@ -20,7 +20,7 @@
 		t.Errorf("%+v", l)
 	}
 	one := 1.0
-	if same := want; !want.Changed(Target{UID: want.UID}) || want.Changed(same) || (Target{}).Changed(Target{Capacity: &one}) {
+	if same := want; !want.Differs(Target{UID: want.UID}) || want.Differs(same) || (Target{}).Differs(Target{Capacity: &one}) {
 		t.Error("changes are not told from none")
 	}
 	for bad, change := range map[string][2]string{
--- a/internal/sidecar/registry/lessor.go
+++ b/internal/sidecar/registry/lessor.go
@@ -127,7 +127,7 @@
 	return len(l.started), l.held
 }
 
-const lookEvery = list.LeastLease / 4
+const lookEvery = list.MinLease / 4
 
 // lease ends leases for as long as this keeper leads.
 func (k *Node) lease(ctx context.Context) {
--- a/internal/sidecar/registry/watch.go
+++ b/internal/sidecar/registry/watch.go
@@ -153,9 +153,9 @@
 	h.Set("Content-Type", "application/json")
 	h.Set("Cache-Control", "no-store")
 	w.WriteHeader(http.StatusOK)
-	every := list.Heartbeat * 3 / 4 // so that a slow network brings it in time
+	every := list.HeartbeatInterval * 3 / 4 // so that a slow network brings it in time
 	if ages {
-		every = list.AgeBeat
+		every = list.AgeInterval
 	}
 	return time.NewTicker(every)
 }
--- a/internal/sidecar/state/dutyrules.go
+++ b/internal/sidecar/state/dutyrules.go
@@ -56,8 +56,8 @@
 	case ttl < LeastDutyLease:
 		return d, refuse(Bad, "a lease of %d ms is too short for the margin of %d ms that drift of clocks needs: %d at least", c.TTLMS,
 			DutyMargin(ttl).Milliseconds(), LeastDutyLease.Milliseconds())
-	case len(c.Room) > list.MostName || len(c.At) > list.MostName:
-		return d, refuse(Bad, "a room has %d bytes at most", list.MostName)
+	case len(c.Room) > list.MaxNameBytes || len(c.At) > list.MaxNameBytes:
+		return d, refuse(Bad, "a room has %d bytes at most", list.MaxNameBytes)
 	case c.Load < 0 || c.Load > mostLoad:
 		return d, refuse(Bad, "a load of %d is not within 0 to %d", c.Load, mostLoad)
 	case d == nil && len(s.all) >= MostDuties:
--- a/internal/sidecar/state/registrations.go
+++ b/internal/sidecar/state/registrations.go
@@ -38,7 +38,7 @@
 				e.Why = ""
 			}
 			s.State = e.State
-			changed = changed || e.Target.Changed(s.Target)
+			changed = changed || e.Target.Differs(s.Target)
 			e.Registration = s
 			if changed {
 				m.change(e, state, &r)
--- a/internal/sidecar/state/state.go
+++ b/internal/sidecar/state/state.go
@@ -256,8 +256,8 @@
 
 func (m *Machine) found(id string) *Error {
 	switch {
-	case id == "" || len(id) > list.MostName:
-		return refuse(Bad, "a cluster needs an id of at most %d bytes", list.MostName)
+	case id == "" || len(id) > list.MaxNameBytes:
+		return refuse(Bad, "a cluster needs an id of at most %d bytes", list.MaxNameBytes)
 	case m.cluster == "":
 		m.cluster = id
 	}
@@ -266,7 +266,7 @@
 
 func (m *Machine) member(c Command) *Error {
 	switch {
-	case c.Keeper == nil || c.Keeper.Name == "" || len(c.Keeper.Name) > list.MostName:
+	case c.Keeper == nil || c.Keeper.Name == "" || len(c.Keeper.Name) > list.MaxNameBytes:
 		return refuse(Bad, "a keeper needs a name")
 	case c.Op == Unmember:
 		delete(m.keepers, c.Keeper.Name)
--- a/internal/sidecar/state/state_test.go
+++ b/internal/sidecar/state/state_test.go
@@ -60,11 +60,11 @@
 		case !known || r.BootMS > old.BootMS:
 			s.tell(r.Target, list.Serving, "")
 		case s.why[r.UID] == Asked:
-			if r.Target.State = list.Draining; old.Changed(r.Target) {
+			if r.Target.State = list.Draining; old.Differs(r.Target) {
 				s.tell(r.Target, list.Draining, Asked)
 			}
 		default:
-			if old.Changed(r.Target) {
+			if old.Differs(r.Target) {
 				s.tell(r.Target, list.Serving, "")
 			}
 		}
