--- a/internal/lab/standin/liar_test.go
+++ b/internal/lab/standin/liar_test.go
@@ -12,8 +12,8 @@
 
 // TestLiar has a member hear what a liar says while it is told to lie, in the form that sidecars believe.
 func TestLiar(t *testing.T) {
-	heard := make(chan members.News, 100)
-	m, err := members.New(members.Options{Name: "n0", Listen: "127.0.0.1:0", Told: func(n members.News) {
+	heard := make(chan members.Update, 100)
+	m, err := members.New(members.Options{Name: "n0", Listen: "127.0.0.1:0", OnUpdate: func(n members.Update) {
 		select {
 		case heard <- n:
 		default: // enough of it
--- a/internal/sidecar/hitters.go
+++ b/internal/sidecar/hitters.go
@@ -117,8 +117,8 @@
 }
 
 // receiveHitters receives the reports of other sidecars. What cannot be read is ignored.
-func (h *host) receiveHitters(c *Config) func(members.News) {
-	return func(n members.News) {
+func (h *host) receiveHitters(c *Config) func(members.Update) {
+	return func(n members.Update) {
 		report, err := hitters.ParseReport(n.Payload)
 		if err != nil {
 			h.log.Debug("clients", "origin", n.Origin, "err", err)
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -94,7 +94,7 @@
 // startFollowing joins the members and follows lists, route tables and reports, until the host's context is done.
 func (h *host) startFollowing(config *Config) error {
 	ctx := h.ctx
-	listen := map[uint8]func(members.News){kindSignals: h.receiveSignals}
+	listen := map[uint8]func(members.Update){kindSignals: h.receiveSignals}
 	if config.Hitters != nil {
 		listen[kindHitters] = h.receiveHitters(config)
 	}
--- a/internal/sidecar/memberreports.go
+++ b/internal/sidecar/memberreports.go
@@ -53,7 +53,7 @@
 }
 
 // receiveSignals receives what a member states of servers. What cannot be read is ignored.
-func (h *host) receiveSignals(news members.News) {
+func (h *host) receiveSignals(news members.Update) {
 	r, err := signals.Decode(news.Payload)
 	if err != nil {
 		h.log.Debug("signals", "origin", news.Origin, "err", err)
@@ -111,7 +111,7 @@
 		return
 	}
 	state.pendingSince = 0
-	h.log.Info("members", "count", state.view.Count, "place", state.view.Place, "epoch", state.view.Epoch)
+	h.log.Info("members", "count", state.view.Count, "place", state.view.Index, "epoch", state.view.Epoch)
 	if state.view.Count < 2 {
 		h.balancer.SetMembers(h.now, -1, nil)
 		return
@@ -120,8 +120,8 @@
 	for i, name := range state.view.Names {
 		peers[i] = state.peers[name]
 	}
-	peers[state.view.Place] = balance.Peer{Zone: state.published.Zone, TrafficLevel: state.published.TrafficLevel}
-	h.balancer.SetMembers(h.now, state.view.Place, peers)
+	peers[state.view.Index] = balance.Peer{Zone: state.published.Zone, TrafficLevel: state.published.TrafficLevel}
+	h.balancer.SetMembers(h.now, state.view.Index, peers)
 }
 
 // sameVerdicts reports whether two reports condemn the same servers for the same, of kinds from least on.
--- a/internal/sidecar/memberreports_test.go
+++ b/internal/sidecar/memberreports_test.go
@@ -79,7 +79,7 @@
 }
 
 // checkReport holds that a sidecar that is cut off does not condemn all, and that one that only heard of a fault does not state it.
-func checkReport(t *testing.T, received members.News) {
+func checkReport(t *testing.T, received members.Update) {
 	t.Helper()
 	report, err := signals.Decode(received.Payload)
 	condemns := slices.ContainsFunc(report.Verdicts, func(v signals.Verdict) bool { return v.Kind != signals.Serving })
@@ -99,8 +99,8 @@
 func TestMemberReportsSpareRequests(t *testing.T) {
 	var down atomic.Bool
 	backends := startSix(t, &down)
-	heard := make(chan members.News, 4096)
-	watcher := startMember(t, members.Options{Name: "watcher", Listen: "127.0.0.1:0", Told: func(n members.News) {
+	heard := make(chan members.Update, 4096)
+	watcher := startMember(t, members.Options{Name: "watcher", Listen: "127.0.0.1:0", OnUpdate: func(n members.Update) {
 		select {
 		case heard <- n:
 		default: // nobody looks
--- a/internal/sidecar/members.go
+++ b/internal/sidecar/members.go
@@ -55,20 +55,20 @@
 }
 
 func (m *Members) options(name string) members.Options {
-	return members.Options{Name: name, Listen: m.Listen, Advertise: m.Advertise, Join: m.Join, Reach: m.Reach, Bound: m.ReportTTL}
+	return members.Options{Name: name, Listen: m.Listen, Advertise: m.Advertise, Join: m.Join, Reach: m.Reach, TTL: m.ReportTTL}
 }
 
 // joinMembers has the host be a member until ctx is done. listen maps the kinds of messages to their handlers, which are called
 // by one goroutine that is not the loop.
-func (h *host) joinMembers(ctx context.Context, config *Config, listen map[uint8]func(members.News)) error {
+func (h *host) joinMembers(ctx context.Context, config *Config, listen map[uint8]func(members.Update)) error {
 	options := config.Members.options(config.Name)
 	options.Log = slog.New(h.log.Handler())
-	options.Told = func(n members.News) {
+	options.OnUpdate = func(n members.Update) {
 		if take := listen[n.Kind]; take != nil {
 			take(n)
 		}
 	}
-	options.Changed = func(v members.View) { h.post(func() { h.updateMembers(v) }) }
+	options.OnView = func(v members.View) { h.post(func() { h.updateMembers(v) }) }
 	joined, err := members.New(options)
 	if err == nil {
 		err = joined.Start(ctx)
@@ -76,7 +76,7 @@
 	if err != nil {
 		return fmt.Errorf("members: %w", err)
 	}
-	h.members, h.fleet.peers, h.fleet.reportTTL = joined, map[string]balance.Peer{}, cmp.Or(config.Members.ReportTTL, members.DefaultBound)
+	h.members, h.fleet.peers, h.fleet.reportTTL = joined, map[string]balance.Peer{}, cmp.Or(config.Members.ReportTTL, members.DefaultTTL)
 	h.watchers.Go(func() { h.publishReports(ctx) })
 	h.watchers.Go(func() {
 		<-ctx.Done()
@@ -89,9 +89,9 @@
 func (s *server) membersInfo(text *strings.Builder) {
 	if s.host.members != nil {
 		v := s.host.members.View()
-		fmt.Fprintf(text, "svc.members:%d|g\nsvc.members_epoch:%d|g\nsvc.members_place:%d|g\n", v.Count, v.Epoch, v.Place)
+		fmt.Fprintf(text, "svc.members:%d|g\nsvc.members_epoch:%d|g\nsvc.members_place:%d|g\n", v.Count, v.Epoch, v.Index)
 		n := s.host.members.Counts()
 		fmt.Fprintf(text, "svc.members_packets_sent:%d|c\nsvc.members_bytes_sent:%d|c\nsvc.members_bytes_received:%d|c\n", n.PacketsSent, n.BytesSent, n.BytesReceived)
-		fmt.Fprintf(text, "svc.members_news:%d|c\nsvc.members_news_old:%d|c\nsvc.members_news_bad:%d|c\n", n.Told, n.Old, n.Bad+n.Strangers)
+		fmt.Fprintf(text, "svc.members_news:%d|c\nsvc.members_news_old:%d|c\nsvc.members_news_bad:%d|c\n", n.Updates, n.Expired, n.Malformed+n.NonMembers)
 	}
 }
--- a/internal/sidecar/members/compat_test.go
+++ b/internal/sidecar/members/compat_test.go
@@ -8,7 +8,7 @@
 
 // TestFrameBytes: sidecars of several versions read each other's frames during an upgrade.
 func TestFrameBytes(t *testing.T) {
-	f := frame{name: "n7", kind: 3, start: 0x0102030405060708, seq: 300, stamp: 1500 * time.Microsecond, hopped: 1234 * time.Millisecond,
+	f := frame{name: "n7", kind: 3, start: 0x0102030405060708, seq: 300, madeAt: 1500 * time.Microsecond, forwardedAge: 1234 * time.Millisecond,
 		payload: []byte("news")}
 	c := claim{count: 5, hash: 0x0a0b0c0d}
 	for name, v := range map[string]struct {
@@ -19,9 +19,9 @@
 			t.Errorf("%s: %s, want %s", name, got, v.want)
 		}
 	}
-	got, err := decodeNews(f.encode())
-	if err != nil || got.name != f.name || got.kind != f.kind || got.start != f.start || got.seq != f.seq || got.stamp != f.stamp ||
-		got.hopped != f.hopped || string(got.payload) != "news" {
+	got, err := decodeUpdate(f.encode())
+	if err != nil || got.name != f.name || got.kind != f.kind || got.start != f.start || got.seq != f.seq || got.madeAt != f.madeAt ||
+		got.forwardedAge != f.forwardedAge || string(got.payload) != "news" {
 		t.Errorf("%+v %v", got, err)
 	}
 }
--- a/internal/sidecar/members/delegate.go
+++ b/internal/sidecar/members/delegate.go
@@ -39,14 +39,14 @@
 	if b.age == nil {
 		return b.encoded
 	}
-	return aged(b.encoded, b.age())
+	return withAge(b.encoded, b.age())
 }
 
 // Finished implements memberlist.Broadcast.
 func (b *broadcast) Finished() {}
 
-// pass has a frame be passed on. The lock is not held.
-func (m *Members) pass(f frame) {
+// queueFrame has a frame be passed on. The lock is not held.
+func (m *Members) queueFrame(f frame) {
 	b := &broadcast{name: strconv.Itoa(int(f.kind)) + "/" + f.name, encoded: f.encode()}
 	b.age = func() time.Duration {
 		m.mu.Lock()
@@ -56,17 +56,17 @@
 	m.queue.QueueBroadcast(b)
 }
 
-// say has the own claim be passed on, in place of earlier ones.
-func (m *Members) say(c claim) {
-	m.owed = append(m.owed, &broadcast{name: "epoch", encoded: c.encode()})
-	wake(m.worker)
+// queueClaim has the own claim be passed on, in place of earlier ones.
+func (m *Members) queueClaim(c claim) {
+	m.unsent = append(m.unsent, &broadcast{name: "epoch", encoded: c.encode()})
+	wake(m.wakeWorker)
 }
 
 // NodeMeta implements memberlist.Delegate, as do the methods after it.
 func (m *Members) NodeMeta(int) []byte { return nil }
 
 // NotifyMsg takes in a frame.
-func (m *Members) NotifyMsg(b []byte) { m.take(b, true) }
+func (m *Members) NotifyMsg(b []byte) { m.receive(b, true) }
 
 // GetBroadcasts gives frames to send.
 func (m *Members) GetBroadcasts(overhead, limit int) [][]byte {
@@ -78,12 +78,12 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var frames [][]byte
-	for _, c := range m.epochs.all() {
+	for _, c := range m.epochs.storedClaims() {
 		frames = append(frames, c.encode())
 	}
 	now := m.clock()
-	for _, f := range m.states.held {
-		if f.hopped = m.states.age(f, now); f.hopped <= m.o.Bound {
+	for _, f := range m.states.latest {
+		if f.forwardedAge = m.states.age(f, now); f.forwardedAge <= m.options.TTL {
 			frames = append(frames, f.encode())
 		}
 	}
@@ -92,90 +92,90 @@
 
 // MergeRemoteState takes in what a peer holds. What is new to one that joins is old to the others, and is not passed on.
 func (m *Members) MergeRemoteState(b []byte, join bool) {
-	if err := unpack(b, func(f []byte) { m.take(f, !join) }); err != nil {
+	if err := unpack(b, func(f []byte) { m.receive(f, !join) }); err != nil {
 		m.mu.Lock()
-		m.counts.Bad++
+		m.counts.Malformed++
 		m.mu.Unlock()
 	}
 }
 
-// take takes in a frame from a peer, and passes on what is new.
-func (m *Members) take(b []byte, on bool) {
-	if m.exchanged(b) {
+// receive takes in a frame from a peer, and passes on what is new.
+func (m *Members) receive(b []byte, on bool) {
+	if m.receiveExchange(b) {
 		return
 	}
 	if c, err := decodeClaim(b); err == nil {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if m.epochs.hear(c) {
+		if m.epochs.receiveClaim(c) {
 			m.view.Epoch = m.epochs.own.epoch()
-			m.say(c)
+			m.queueClaim(c)
 		}
 		return
 	}
 	if p, err := decodeFarewell(b); err == nil {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if m.leaves(p) && on {
-			m.owed = append(m.owed, &broadcast{name: farewellOf + p.name, encoded: b})
-			wake(m.worker)
+		if m.processLeaves(p) && on {
+			m.unsent = append(m.unsent, &broadcast{name: farewellPrefix + p.name, encoded: b})
+			wake(m.wakeWorker)
 		}
 		return
 	}
-	f, err := decodeNews(b)
+	f, err := decodeUpdate(b)
 	m.mu.Lock()
-	fresh := m.accept(f, err)
-	young := fresh && m.states.age(f, m.clock()) <= youngFor
+	fresh := m.acceptFrame(f, err)
+	young := fresh && m.states.age(f, m.clock()) <= maxGossipAge
 	m.mu.Unlock()
-	if young && on && m.queue.NumQueued() < mostQueued {
-		m.pass(f)
+	if young && on && m.queue.NumQueued() < maxQueued {
+		m.queueFrame(f)
 	}
 }
 
-// leaves takes in the farewell of a process, and tells whether that is new. The lock is held. Danger: memberlist does not say
+// processLeaves takes in the farewell of a process, and tells whether that is new. The lock is held. Danger: memberlist does not say
 // whether one that is gone has left or died, and the place of one that died is not to be kept.
-func (m *Members) leaves(p process) bool {
-	known := m.members[p.name] == p.start && p.name != m.o.Name
+func (m *Members) processLeaves(p process) bool {
+	known := m.members[p.name] == p.start && p.name != m.options.Name
 	for name := range m.lost {
 		if parse(name) == p {
 			known = true
 			delete(m.lost, name)
 		}
 	}
-	if !known || m.left[p.name].start == p.start {
+	if !known || m.leaving[p.name].start == p.start {
 		return false
 	}
-	m.left[p.name] = parting{p.start, time.Now()}
+	m.leaving[p.name] = leavingProcess{p.start, time.Now()}
 	return true
 }
 
-// accept merges a frame and tells whether it is to be told and passed on. The lock is held.
-func (m *Members) accept(f frame, err error) bool {
+// acceptFrame merges a frame and tells whether it is to be told and passed on. The lock is held.
+func (m *Members) acceptFrame(f frame, err error) bool {
 	now := m.clock()
 	switch start, known := m.members[f.name]; {
 	case err != nil:
-		m.counts.Bad++
+		m.counts.Malformed++
 		return false
-	case f.name == m.o.Name: // the own, come back; or of another process of this member, which is not for this one
-		m.counts.Repeats++
+	case f.name == m.options.Name: // the own, come back; or of another process of this member, which is not for this one
+		m.counts.Duplicates++
 		return false
 	case !known || f.start != start:
-		m.counts.Strangers++
+		m.counts.NonMembers++
 		return false
-	case m.states.news(f) && !m.allow(f, now):
-		m.counts.Cut++
+	case m.states.isNewer(f) && !m.spendBudget(f, now):
+		m.counts.RateLimited++
 		return false
 	case !m.states.merge(f, now):
-		m.counts.Repeats++
+		m.counts.Duplicates++
 		return false
-	case m.states.age(f, now) > m.o.Bound:
-		m.counts.Old++
+	case m.states.age(f, now) > m.options.TTL:
+		m.counts.Expired++
 		return false
 	}
-	m.counts.Told++
-	m.lively = now
+	m.counts.Updates++
+	m.lastUpdateAt = now
 	m.pending[stateKey{f.name, f.kind}] = struct{}{}
-	wake(m.worker)
+	wake(m.wakeWorker)
 	return true
 }
 
@@ -183,8 +183,8 @@
 func (m *Members) NotifyJoin(n *memberlist.Node) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.nodes) >= mostMembers {
-		m.counts.Strangers++
+	if len(m.nodes) >= maxMembers {
+		m.counts.NonMembers++
 		return
 	}
 	p := parse(n.Name)
@@ -192,8 +192,8 @@
 	m.nodes[n.Name] = &node{p, net.JoinHostPort(n.Addr.String(), strconv.Itoa(int(n.Port)))}
 	delete(m.lost, n.Name)
 	m.members[p.name] = max(m.members[p.name], p.start)
-	m.stale = true
-	wake(m.worker)
+	m.viewStale = true
+	wake(m.wakeWorker)
 }
 
 // NotifyLeave takes in that a process left, or is taken for dead.
@@ -201,17 +201,17 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	gone := m.nodes[n.Name]
-	if gone == nil || n.Name == m.own {
+	if gone == nil || n.Name == m.ownNode {
 		return
 	}
 	delete(m.nodes, n.Name)
 	m.peers = nil
-	if m.left[gone.name].start != gone.start {
-		m.lose(n.Name, gone)
+	if m.leaving[gone.name].start != gone.start {
+		m.markLost(n.Name, gone)
 	}
-	m.stale = true
-	wake(m.worker)
-	wake(m.joiner)
+	m.viewStale = true
+	wake(m.wakeWorker)
+	wake(m.wakeJoiner)
 }
 
 // NotifyUpdate has nothing to take in: members have no data of their own here.
@@ -230,50 +230,50 @@
 	return process{name, 0}
 }
 
-// work tells of views and news until the member ends. A view changes only settleLeast to settleMost after members did.
+// runWorker tells of views and news until the member ends. A view changes only minViewDelay to maxViewDelay after members did.
 // Danger: all that see a change at once would each call the new set by a count of their own; as it is, most hear of the first
 // one's before.
-func (m *Members) work() {
-	defer m.owned.Done()
+func (m *Members) runWorker() {
+	defer m.goroutines.Done()
 	tick := time.NewTicker(sweepEvery)
 	defer tick.Stop()
 	var settled <-chan time.Time
-	m.o.changed(m.View())
+	m.options.viewChanged(m.View())
 	for {
 		look := false
 		select {
-		case <-m.worker:
+		case <-m.wakeWorker:
 		case <-settled:
 			settled, look = nil, true
 		case <-tick.C:
-			m.sweep()
+			m.dropExpired()
 		case <-m.ctx.Done():
 			return
 		}
-		for _, f := range m.release() {
-			m.pass(f)
+		for _, f := range m.releaseDelayed() {
+			m.queueFrame(f)
 		}
 		t := m.turn(look)
 		if t.stale && settled == nil {
-			settled = time.After(settleLeast + rand.N(settleMost-settleLeast) + settleEach*time.Duration(t.view.Count))
+			settled = time.After(minViewDelay + rand.N(maxViewDelay-minViewDelay) + viewDelayPerMember*time.Duration(t.view.Count))
 		}
 		for _, b := range t.owed {
 			m.queue.QueueBroadcast(b)
 		}
 		if t.changed {
-			m.o.changed(t.view)
+			m.options.viewChanged(t.view)
 		}
-		if m.o.Told != nil {
+		if m.options.OnUpdate != nil {
 			for _, n := range t.news {
-				m.o.Told(n)
+				m.options.OnUpdate(n)
 			}
 		}
 	}
 }
 
-func (o *Options) changed(v View) {
-	if o.Changed != nil {
-		o.Changed(v)
+func (o *Options) viewChanged(v View) {
+	if o.OnView != nil {
+		o.OnView(v)
 	}
 }
 
@@ -281,7 +281,7 @@
 type turn struct {
 	view    View
 	changed bool // and is to be told
-	news    []News
+	news    []Update
 	owed    []*broadcast
 	stale   bool // the view is to be taken again soon
 }
@@ -290,45 +290,45 @@
 func (m *Members) turn(look bool) (t turn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if look && m.stale || len(m.left) > 0 && !m.stale {
-		m.recount()
-		m.stale = false
-		m.states.keep(func(p process) bool { return p.name == m.o.Name || m.members[p.name] == p.start })
-		maps.DeleteFunc(m.budgets, func(name string, _ *budget) bool { return m.members[name] == 0 })
+	if look && m.viewStale || len(m.leaving) > 0 && !m.viewStale {
+		m.updateView()
+		m.viewStale = false
+		m.states.retain(func(p process) bool { return p.name == m.options.Name || m.members[p.name] == p.start })
+		maps.DeleteFunc(m.budgets, func(name string, _ *byteBudget) bool { return m.members[name] == 0 })
 	}
-	t.view, t.changed, t.stale = m.view, m.told != m.view.Epoch, m.stale
-	m.told = m.view.Epoch
-	t.owed, m.owed = m.owed, nil
+	t.view, t.changed, t.stale = m.view, m.notifiedEpoch != m.view.Epoch, m.viewStale
+	m.notifiedEpoch = m.view.Epoch
+	t.owed, m.unsent = m.unsent, nil
 	now := m.clock()
 	for key := range m.pending {
-		f, held := m.states.held[key]
-		if age := m.states.age(f, now); held && age <= m.o.Bound {
-			t.news = append(t.news, News{f.name, f.start, f.seq, f.kind, age, f.payload})
+		f, held := m.states.latest[key]
+		if age := m.states.age(f, now); held && age <= m.options.TTL {
+			t.news = append(t.news, Update{f.name, f.start, f.seq, f.kind, age, f.payload})
 		}
 	}
 	clear(m.pending)
-	slices.SortFunc(t.news, func(x, y News) int { return cmp.Or(strings.Compare(x.Origin, y.Origin), cmp.Compare(x.Kind, y.Kind)) })
+	slices.SortFunc(t.news, func(x, y Update) int { return cmp.Or(strings.Compare(x.Origin, y.Origin), cmp.Compare(x.Kind, y.Kind)) })
 	return t
 }
 
-// sweep lets go of what is over the bound: its number and start are kept until its origin is gone. And it has the own claim be
+// dropExpired lets go of what is over the bound: its number and start are kept until its origin is gone. And it has the own claim be
 // said again now and then: whoever missed a count would else differ until its next exchange, a minute in a large fleet.
-func (m *Members) sweep() {
+func (m *Members) dropExpired() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock()
-	if now >= m.sayAt && len(m.members) > 1 {
-		m.sayAt = now + claimEvery/2 + rand.N(claimEvery)
-		m.say(m.epochs.own)
+	if now >= m.claimAt && len(m.members) > 1 {
+		m.claimAt = now + claimInterval/2 + rand.N(claimInterval)
+		m.queueClaim(m.epochs.own)
 	}
-	for key, f := range m.states.held {
-		if key.name != m.o.Name && f.payload != nil && m.states.age(f, now) > m.o.Bound {
+	for key, f := range m.states.latest {
+		if key.name != m.options.Name && f.payload != nil && m.states.age(f, now) > m.options.TTL {
 			f.payload = nil
-			m.states.held[key] = f
+			m.states.latest[key] = f
 		}
 	}
 	for name, l := range m.lost {
-		if time.Since(l.at) > mourned {
+		if time.Since(l.at) > lostTTL {
 			delete(m.lost, name)
 		}
 	}
--- a/internal/sidecar/members/digest.go
+++ b/internal/sidecar/members/digest.go
@@ -20,11 +20,11 @@
 	wantForm  = 5
 	deltaForm = 6
 
-	packetRoom = 1360 // bytes of a frame of these forms: with the heads of memberlist, UDP and IP it stays under 1,400
-	entrySize  = 3 + 2
-	wantSize   = 3
-	askRoom    = (packetRoom - 1 - 4 - 2 - 9 - MostName) / entrySize // states in an ask
-	mostParts  = 32                                                  // of a question: room for 8,000 states
+	maxFrameBytes = 1360 // bytes of a frame of these forms: with the heads of memberlist, UDP and IP it stays under 1,400
+	entrySize     = 3 + 2
+	wantSize      = 3
+	maxAskEntries = (maxFrameBytes - 1 - 4 - 2 - 9 - MaxNameBytes) / entrySize // states in an ask
+	maxParts      = 32                                                         // of a question: room for 8,000 states
 )
 
 // versions is one of the parts of a question: what the asker holds there, by short name.
@@ -42,8 +42,8 @@
 	names  map[uint32]bool
 }
 
-// id is what short names are made of.
-func (f *frame) id() uint64 {
+// hash is what short names are made of.
+func (f *frame) hash() uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(uint64(f.start) + uint64(f.kind)<<56)
 	_, _ = d.WriteString(f.name) // never fails
@@ -64,20 +64,20 @@
 }
 
 // parts is in how many parts a question about so many states goes.
-func parts(states int) uint8 { return uint8(min(1+states/(askRoom*3/4), mostParts)) }
+func parts(states int) uint8 { return uint8(min(1+states/(maxAskEntries*3/4), maxParts)) }
 
 // ask is a question to any peer, in parts that each fit into a packet: what of the held states is within the bound. enough tells of which
 // origins nothing more is wanted for now.
 func (s *states) ask(who process, salt uint32, now, bound time.Duration, enough func(name string) bool) [][]byte {
-	n := parts(len(s.held))
+	n := parts(len(s.latest))
 	asks := make([][]byte, n)
 	for i := range asks {
-		b := append(make([]byte, 0, packetRoom), askForm, uint8(i), n)
+		b := append(make([]byte, 0, maxFrameBytes), askForm, uint8(i), n)
 		asks[i] = who.append(binary.BigEndian.AppendUint32(b, salt))
 	}
-	for _, f := range s.held {
+	for _, f := range s.latest {
 		b := &asks[f.key%uint64(n)]
-		if len(*b)+entrySize > packetRoom || s.age(f, now) > bound {
+		if len(*b)+entrySize > maxFrameBytes || s.age(f, now) > bound {
 			continue
 		}
 		name := short(f.key, salt)
@@ -89,7 +89,7 @@
 
 // answer compares a part of a question with what is held here: give is what the asker lacks, want is what it has newer.
 func (s *states) answer(q *versions, now, bound time.Duration) (give []frame, want []uint32) {
-	for _, f := range s.held {
+	for _, f := range s.latest {
 		if f.key%uint64(q.parts) != uint64(q.part) {
 			continue
 		}
@@ -119,7 +119,7 @@
 
 // wanted is what is held here of what another wants.
 func (s *states) wanted(w *wants, now, bound time.Duration) (give []frame) {
-	for _, f := range s.held {
+	for _, f := range s.latest {
 		if w.names[short(f.key, w.salt)] && s.age(f, now) <= bound {
 			give = append(give, f)
 		}
@@ -131,13 +131,13 @@
 func (s *states) deltas(give []frame, now time.Duration) (packets [][]byte) {
 	var b []byte
 	for _, f := range give {
-		f.hopped = s.age(f, now)
+		f.forwardedAge = s.age(f, now)
 		size := f.size()
-		if b != nil && len(b)+2+size > packetRoom {
+		if b != nil && len(b)+2+size > maxFrameBytes {
 			packets, b = append(packets, b), nil
 		}
 		if b == nil {
-			b = append(make([]byte, 0, packetRoom), deltaForm)
+			b = append(make([]byte, 0, maxFrameBytes), deltaForm)
 		}
 		at := len(b)
 		b = f.append(append(b, 0, 0))
@@ -156,8 +156,8 @@
 
 // decodeProcess reads what append appended, and returns what is behind it.
 func decodeProcess(b []byte) (p process, rest []byte, err error) {
-	if len(b) < 9 || b[8] == 0 || b[8] > MostName || len(b) < 9+int(b[8]) {
-		return p, nil, errTorn
+	if len(b) < 9 || b[8] == 0 || b[8] > MaxNameBytes || len(b) < 9+int(b[8]) {
+		return p, nil, errMalformed
 	}
 	n := 9 + int(b[8])
 	return process{string(b[9:n]), int64(binary.BigEndian.Uint64(b))}, b[n:], nil
@@ -165,13 +165,13 @@
 
 // decodeAsk reads a part of a question.
 func decodeAsk(b []byte) (*versions, error) {
-	if len(b) < 7 || len(b) > packetRoom || b[0] != askForm || b[1] >= b[2] || b[2] > mostParts {
-		return nil, errTorn
+	if len(b) < 7 || len(b) > maxFrameBytes || b[0] != askForm || b[1] >= b[2] || b[2] > maxParts {
+		return nil, errMalformed
 	}
 	q := &versions{part: b[1], parts: b[2], salt: binary.BigEndian.Uint32(b[3:])}
 	var err error
 	if q.asker, b, err = decodeProcess(b[7:]); err != nil || len(b)%entrySize != 0 {
-		return nil, errTorn
+		return nil, errMalformed
 	}
 	q.held = make(map[uint32]uint16, len(b)/entrySize)
 	for ; len(b) > 0; b = b[entrySize:] {
@@ -183,7 +183,7 @@
 // encodeWants writes wants, as many as fit into a packet.
 func encodeWants(who process, salt uint32, names []uint32) []byte {
 	b := who.append(binary.BigEndian.AppendUint32([]byte{wantForm}, salt))
-	for _, name := range names[:min(len(names), (packetRoom-len(b))/wantSize)] {
+	for _, name := range names[:min(len(names), (maxFrameBytes-len(b))/wantSize)] {
 		b = append(b, byte(name>>16), byte(name>>8), byte(name))
 	}
 	return b
@@ -191,13 +191,13 @@
 
 // decodeWants reads wants.
 func decodeWants(b []byte) (*wants, error) {
-	if len(b) < 5 || len(b) > packetRoom || b[0] != wantForm {
-		return nil, errTorn
+	if len(b) < 5 || len(b) > maxFrameBytes || b[0] != wantForm {
+		return nil, errMalformed
 	}
 	w := &wants{salt: binary.BigEndian.Uint32(b[1:])}
 	var err error
 	if w.wanter, b, err = decodeProcess(b[5:]); err != nil || len(b)%wantSize != 0 {
-		return nil, errTorn
+		return nil, errMalformed
 	}
 	w.names = make(map[uint32]bool, len(b)/wantSize)
 	for ; len(b) > 0; b = b[wantSize:] {
--- a/internal/sidecar/members/epoch.go
+++ b/internal/sidecar/members/epoch.go
@@ -10,7 +10,7 @@
 // epoch is the count over the hash: equal epochs mean equal sets, but for a collision of 32 bits.
 func (c claim) epoch() uint64 { return uint64(c.count)<<32 | uint64(c.hash) }
 
-const mostClaims = 16
+const maxClaims = 16
 
 // epochs is one member's view of the count, in the manner of Lamport's clocks (Time, clocks, and the ordering of events,
 // CACM 1978). A member whose set changes takes the count under which others already know the new set, if that is above its
@@ -24,14 +24,14 @@
 // A member that lies about counts costs calls to others, not agreement: 2 holds by the hash. At the highest count they cease
 // to rise. The zero value is that of a member which knows no set.
 type epochs struct {
-	own    claim
-	most   uint32            // count heard of
-	claims map[uint32]uint32 // the highest count heard of by hash; bounded
-	floor  uint32            // the highest count that gave way
+	own          claim
+	highestCount uint32            // count heard of
+	claims       map[uint32]uint32 // the highest count heard of by hash; bounded
+	droppedCount uint32            // the highest count that gave way
 }
 
-// become takes in the hash of the own set, and tells whether others are to be told of the own claim.
-func (e *epochs) become(hash uint32) (say bool) {
+// adoptSet takes in the hash of the own set, and tells whether others are to be told of the own claim.
+func (e *epochs) adoptSet(hash uint32) (say bool) {
 	if e.own.count > 0 && hash == e.own.hash {
 		return false
 	}
@@ -39,24 +39,24 @@
 		e.own = claim{known, hash}
 		return true
 	}
-	e.most = max(e.most, e.own.count)
-	if e.most < 1<<32-1 {
-		e.most++
+	e.highestCount = max(e.highestCount, e.own.count)
+	if e.highestCount < 1<<32-1 {
+		e.highestCount++
 	}
-	e.own = claim{e.most, hash}
-	e.note(e.own)
+	e.own = claim{e.highestCount, hash}
+	e.storeClaim(e.own)
 	return true
 }
 
-// hear takes in a claim, and tells whether the own epoch rose by it: then it is to be passed on. Danger: where sets change fast,
+// receiveClaim takes in a claim, and tells whether the own epoch rose by it: then it is to be passed on. Danger: where sets change fast,
 // as in a fleet that starts, claims of sets that were nobody's for long would be most of what goes round.
-func (e *epochs) hear(c claim) (rose bool) {
+func (e *epochs) receiveClaim(c claim) (rose bool) {
 	// Danger: a claim that gave way would be new each time that it comes, and go round for ever.
-	if c.count <= e.claims[c.hash] || c.count <= e.floor && c.hash != e.own.hash {
+	if c.count <= e.claims[c.hash] || c.count <= e.droppedCount && c.hash != e.own.hash {
 		return false
 	}
-	e.most = max(e.most, c.count)
-	e.note(c)
+	e.highestCount = max(e.highestCount, c.count)
+	e.storeClaim(c)
 	if c.hash == e.own.hash && c.count > e.own.count {
 		e.own = c
 		return true
@@ -64,13 +64,13 @@
 	return false
 }
 
-// note keeps a claim. The lowest gives way to it: the sets of old are the ones that do not come back.
-func (e *epochs) note(c claim) {
+// storeClaim keeps a claim. The lowest gives way to it: the sets of old are the ones that do not come back.
+func (e *epochs) storeClaim(c claim) {
 	if e.claims == nil {
 		e.claims = map[uint32]uint32{}
 	}
 	e.claims[c.hash] = c.count
-	for len(e.claims) > mostClaims {
+	for len(e.claims) > maxClaims {
 		least := c
 		for hash, count := range e.claims {
 			if k := (claim{count, hash}); k.epoch() < least.epoch() && k != e.own {
@@ -80,13 +80,13 @@
 		if least == e.own {
 			return
 		}
-		e.floor = max(e.floor, least.count)
+		e.droppedCount = max(e.droppedCount, least.count)
 		delete(e.claims, least.hash)
 	}
 }
 
-// all are the claims that are kept.
-func (e *epochs) all() []claim {
+// storedClaims are the claims that are kept.
+func (e *epochs) storedClaims() []claim {
 	var c []claim
 	for hash, count := range maps.All(e.claims) {
 		c = append(c, claim{count, hash})
--- a/internal/sidecar/members/fleet_test.go
+++ b/internal/sidecar/members/fleet_test.go
@@ -34,7 +34,7 @@
 	done chan uint64
 }
 
-func (a *arrivals) told(n News) {
+func (a *arrivals) told(n Update) {
 	if n.Kind != 1 {
 		return
 	}
@@ -55,11 +55,11 @@
 	all := make([]*Members, n)
 	began := time.Now()
 	for i := range all {
-		o := Options{Name: fmt.Sprintf("sidecar-%d", i), Listen: "127.0.0.1:0", Told: a.told}
+		o := Options{Name: fmt.Sprintf("sidecar-%d", i), Listen: "127.0.0.1:0", OnUpdate: a.told}
 		if i > 0 {
 			o.Join = []string{all[0].Address()}
 		}
-		o.Changed = func(v View) {
+		o.OnView = func(v View) {
 			mu.Lock()
 			defer mu.Unlock()
 			counts[i] = v.Count
@@ -165,8 +165,8 @@
 		b.Logf("%d members: epoch %d became %d in quiet", n, epoch, after)
 	}
 	dead := all[n-1]
-	dead.end()
-	dead.owned.Wait()
+	dead.cancel()
+	dead.goroutines.Wait()
 	killed := time.Now()
 	_ = dead.list.Shutdown()
 	dead.mu.Lock()
@@ -197,8 +197,8 @@
 		packets += float64(c.PacketsSent - before[i].PacketsSent)
 		bytes += float64(c.BytesSent - before[i].BytesSent)
 		most = max(most, float64(c.BytesSent-before[i].BytesSent))
-		old += c.Old - before[i].Old
-		waiting = max(waiting, int64(c.Waiting))
+		old += c.Expired - before[i].Expired
+		waiting = max(waiting, int64(c.Queued))
 	}
 	seconds := d.Seconds()
 	n := float64(len(all)) * seconds
--- a/internal/sidecar/members/frame.go
+++ b/internal/sidecar/members/frame.go
@@ -8,98 +8,98 @@
 
 // The bounds of what members tell each other. A frame fits into one UDP packet with room for memberlist's own heads.
 const (
-	MostPayload = 768 // bytes of one state
-	MostKinds   = 8   // kinds of states: 0 to 7
-	MostName    = 96  // bytes of a member's name
-	mostState   = 1 << 19
+	MaxPayloadBytes = 768 // bytes of one state
+	MaxKinds        = 8   // kinds of states: 0 to 7
+	MaxNameBytes    = 96  // bytes of a member's name
+	maxStateBytes   = 1 << 19
 )
 
 // The frames. One of a form that is not known comes from a later version: it is passed over and counted.
 const (
-	newsForm     = 1
+	updateForm   = 1
 	claimForm    = 2
 	farewellForm = 3
 )
 
-var errTorn = errors.New("torn or foreign")
+var errMalformed = errors.New("torn or foreign")
 
 // frame is one state of an origin on its way. The encoding is by encoding/binary and not by a codec that reflects: with 300
 // members a process reads thousands a second, most of them repeats, and only the age in it changes at each hop.
 type frame struct {
-	name    string
-	kind    uint8
-	start   int64         // of the origin's process
-	seq     uint64        // counts up with each state that the process tells, of whatever kind
-	stamp   time.Duration // when it was told, by the clock of the origin's process, from 0 at its start
-	hopped  time.Duration // its age when this copy was sent, as far as those who passed it on held it
-	payload []byte
-	key     uint64   // see id; of a state that is held, as is
-	offset  *float64 // that of its process, see states
+	name         string
+	kind         uint8
+	start        int64         // of the origin's process
+	seq          uint64        // counts up with each state that the process tells, of whatever kind
+	madeAt       time.Duration // when it was told, by the clock of the origin's process, from 0 at its start
+	forwardedAge time.Duration // its age when this copy was sent, as far as those who passed it on held it
+	payload      []byte
+	key          uint64   // see id; of a state that is held, as is
+	offset       *float64 // that of its process, see states
 }
 
 const (
-	ageAt  = 2 // offset of the age in a frame, in milliseconds rounded up
-	headOf = ageAt + 4 + 8
+	ageOffset   = 2 // offset of the age in a frame, in milliseconds rounded up
+	headerBytes = ageOffset + 4 + 8
 )
 
 func (f *frame) encode() []byte { return f.append(make([]byte, 0, f.size())) }
 
 // size is how long its encoding is at most.
 func (f *frame) size() int {
-	return headOf + 2*binary.MaxVarintLen64 + 1 + len(f.name) + 2 + len(f.payload)
+	return headerBytes + 2*binary.MaxVarintLen64 + 1 + len(f.name) + 2 + len(f.payload)
 }
 
 func (f *frame) append(b []byte) []byte {
-	b = append(b, newsForm, f.kind)
-	b = binary.BigEndian.AppendUint32(b, millis(f.hopped))
+	b = append(b, updateForm, f.kind)
+	b = binary.BigEndian.AppendUint32(b, roundUpMS(f.forwardedAge))
 	b = binary.BigEndian.AppendUint64(b, uint64(f.start))
 	b = binary.AppendUvarint(b, f.seq)
-	b = binary.AppendUvarint(b, uint64(f.stamp/time.Microsecond))
+	b = binary.AppendUvarint(b, uint64(f.madeAt/time.Microsecond))
 	b = append(append(b, byte(len(f.name))), f.name...)
 	b = binary.BigEndian.AppendUint16(b, uint16(len(f.payload)))
 	return append(b, f.payload...)
 }
 
-// aged is a copy of an encoded frame that says another age.
-func aged(encoded []byte, age time.Duration) []byte {
+// withAge is a copy of an encoded frame that says another age.
+func withAge(encoded []byte, age time.Duration) []byte {
 	b := append([]byte(nil), encoded...)
-	binary.BigEndian.PutUint32(b[ageAt:], millis(age))
+	binary.BigEndian.PutUint32(b[ageOffset:], roundUpMS(age))
 	return b
 }
 
-// millis rounds up. Danger: rounded down, news would grow younger at each hop.
-func millis(age time.Duration) uint32 {
+// roundUpMS rounds up. Danger: rounded down, news would grow younger at each hop.
+func roundUpMS(age time.Duration) uint32 {
 	return uint32(min(max(0, (age+time.Millisecond-1)/time.Millisecond), 1<<32-1))
 }
 
-// decodeNews reads a frame that encode made. The result shares no memory with b.
-func decodeNews(b []byte) (f frame, err error) {
-	if len(b) < headOf || b[0] != newsForm || b[1] >= MostKinds {
-		return f, errTorn
+// decodeUpdate reads a frame that encode made. The result shares no memory with b.
+func decodeUpdate(b []byte) (f frame, err error) {
+	if len(b) < headerBytes || b[0] != updateForm || b[1] >= MaxKinds {
+		return f, errMalformed
 	}
 	f.kind = b[1]
-	f.hopped = time.Duration(binary.BigEndian.Uint32(b[ageAt:])) * time.Millisecond
-	f.start = int64(binary.BigEndian.Uint64(b[ageAt+4:]))
-	rest := b[headOf:]
+	f.forwardedAge = time.Duration(binary.BigEndian.Uint32(b[ageOffset:])) * time.Millisecond
+	f.start = int64(binary.BigEndian.Uint64(b[ageOffset+4:]))
+	rest := b[headerBytes:]
 	var stamp uint64
 	for _, to := range []*uint64{&f.seq, &stamp} {
 		n := 0
 		if *to, n = binary.Uvarint(rest); n <= 0 {
-			return f, errTorn
+			return f, errMalformed
 		}
 		rest = rest[n:]
 	}
 	if len(rest) < 1 || stamp > uint64(1<<63-1)/uint64(time.Microsecond) || f.start <= 0 {
-		return f, errTorn
+		return f, errMalformed
 	}
-	f.stamp = time.Duration(stamp) * time.Microsecond
+	f.madeAt = time.Duration(stamp) * time.Microsecond
 	n := int(rest[0])
-	if rest = rest[1:]; n == 0 || n > MostName || len(rest) < n+2 {
-		return f, errTorn
+	if rest = rest[1:]; n == 0 || n > MaxNameBytes || len(rest) < n+2 {
+		return f, errMalformed
 	}
 	f.name, rest = string(rest[:n]), rest[n:]
-	if n = int(binary.BigEndian.Uint16(rest)); n > MostPayload || len(rest) != n+2 {
-		return f, errTorn
+	if n = int(binary.BigEndian.Uint16(rest)); n > MaxPayloadBytes || len(rest) != n+2 {
+		return f, errMalformed
 	}
 	f.payload = append([]byte(nil), rest[2:]...)
 	return f, nil
@@ -114,7 +114,7 @@
 
 func decodeClaim(b []byte) (c claim, err error) {
 	if len(b) != claimSize || b[0] != claimForm {
-		return c, errTorn
+		return c, errMalformed
 	}
 	return claim{binary.BigEndian.Uint32(b[1:]), binary.BigEndian.Uint32(b[5:])}, nil
 }
@@ -125,17 +125,17 @@
 }
 
 func decodeFarewell(b []byte) (p process, err error) {
-	if len(b) < 10 || len(b) > 9+MostName || b[0] != farewellForm {
-		return p, errTorn
+	if len(b) < 10 || len(b) > 9+MaxNameBytes || b[0] != farewellForm {
+		return p, errMalformed
 	}
 	return process{string(b[9:]), int64(binary.BigEndian.Uint64(b[1:]))}, nil
 }
 
-// pack puts frames behind each other, up to mostState bytes in all.
+// pack puts frames behind each other, up to maxStateBytes bytes in all.
 func pack(frames [][]byte) []byte {
 	var b []byte
 	for _, f := range frames {
-		if len(b)+2+len(f) > mostState {
+		if len(b)+2+len(f) > maxStateBytes {
 			break
 		}
 		b = append(binary.BigEndian.AppendUint16(b, uint16(len(f))), f...)
@@ -145,12 +145,12 @@
 
 // unpack calls each for the frames that pack put together. What is torn ends it with an error.
 func unpack(b []byte, each func([]byte)) error {
-	if len(b) > mostState {
-		return errTorn
+	if len(b) > maxStateBytes {
+		return errMalformed
 	}
 	for len(b) > 0 {
 		if len(b) < 2 || len(b) < 2+int(binary.BigEndian.Uint16(b)) {
-			return errTorn
+			return errMalformed
 		}
 		n := 2 + int(binary.BigEndian.Uint16(b))
 		each(b[2:n])
--- a/internal/sidecar/members/join.go
+++ b/internal/sidecar/members/join.go
@@ -15,57 +15,57 @@
 // helpers hear nothing, suspicion for suspicionMult * log10(members) intervals, and gossip: at 300 members 0.3 + 0.2 + 1.5 +
 // 0.3 s. Danger: shorter ones take a process for dead that waits for its core, or whose one prober does.
 const (
-	probeEvery     = 200 * time.Millisecond
-	probeTimeout   = 150 * time.Millisecond
-	suspicionMult  = 3 // so one other member has to miss it too; else suspicion lasts six times as long
-	gossipEvery    = 100 * time.Millisecond
-	gossipNodes    = 4
-	retransmitMult = 2 // times log10(members), rounded up: at 300 each passes news on 6 times, and 1 in 400 misses it
-	exchangeEvery  = 5 * time.Second
-	streamTimeout  = time.Second
-	deadGossip     = 30 * time.Second
-	farewell       = 500 * time.Millisecond
-	handover       = time.Second // between an old process's farewell and the new one's arrival, in which the place is kept
-	settleLeast    = 10 * time.Millisecond
-	settleMost     = 80 * time.Millisecond
-	settleEach     = 300 * time.Microsecond // for each member: where many start at once their views would change at each
-	lookAfter      = 3 * time.Second        // that a process is lost: one that is falsely taken for dead comes back by itself
-	retryEach      = 80 * time.Millisecond  // for each member between tries, so that the fleet makes about ten a second
-	sweepEvery     = 250 * time.Millisecond
-	claimEvery     = 2 * time.Second  // about
-	mourned        = 10 * time.Minute // a lost process is looked for
-	mostLost       = 1024
-	label          = "gradeusher/1" // on each packet and stream: others are passed over
+	probeInterval       = 200 * time.Millisecond
+	probeTimeout        = 150 * time.Millisecond
+	suspicionMult       = 3 // so one other member has to miss it too; else suspicion lasts six times as long
+	gossipInterval      = 100 * time.Millisecond
+	gossipNodes         = 4
+	retransmitMult      = 2 // times log10(members), rounded up: at 300 each passes news on 6 times, and 1 in 400 misses it
+	pushPullInterval    = 5 * time.Second
+	streamTimeout       = time.Second
+	gossipToDeadTime    = 30 * time.Second
+	leaveTimeout        = 500 * time.Millisecond
+	handoverTime        = time.Second // between an old process's farewell and the new one's arrival, in which the place is kept
+	minViewDelay        = 10 * time.Millisecond
+	maxViewDelay        = 80 * time.Millisecond
+	viewDelayPerMember  = 300 * time.Microsecond // for each member: where many start at once their views would change at each
+	rejoinDelay         = 3 * time.Second        // that a process is lost: one that is falsely taken for dead comes back by itself
+	retryDelayPerMember = 80 * time.Millisecond  // for each member between tries, so that the fleet makes about ten a second
+	sweepEvery          = 250 * time.Millisecond
+	claimInterval       = 2 * time.Second  // about
+	lostTTL             = 10 * time.Minute // a lost process is looked for
+	mostLost            = 1024
+	label               = "gradeusher/1" // on each packet and stream: others are passed over
 )
 
 var errInUse = errors.New("the address is in use")
 
 // listen opens the sockets and has memberlist run over them.
 func (m *Members) listen() error {
-	host, port, err := split(m.o.Listen)
+	host, port, err := splitAddress(m.options.Listen)
 	if err != nil {
 		return err
 	}
-	logger := slog.NewLogLogger(m.o.Log.Handler(), slog.LevelDebug)
-	t, err := newTransport(host, port, m.o.Reach, m.o.lose)
+	logger := slog.NewLogLogger(m.options.Log.Handler(), slog.LevelDebug)
+	t, err := newTransport(host, port, m.options.Reach, m.options.dropPacket)
 	if errors.Is(err, syscall.EADDRINUSE) {
 		return errors.Join(errInUse, err)
 	} else if err != nil {
 		return err
 	}
 	c := memberlist.DefaultLANConfig()
-	c.Name, c.Transport, c.Logger, c.Label = m.own, t, logger, label
+	c.Name, c.Transport, c.Logger, c.Label = m.ownNode, t, logger, label
 	c.BindAddr, c.BindPort = host, t.port()
 	c.AdvertiseAddr, c.AdvertisePort = host, c.BindPort
-	if m.o.Advertise != "" {
-		if c.AdvertiseAddr, c.AdvertisePort, err = split(m.o.Advertise); err != nil {
+	if m.options.Advertise != "" {
+		if c.AdvertiseAddr, c.AdvertisePort, err = splitAddress(m.options.Advertise); err != nil {
 			return errors.Join(err, t.Shutdown())
 		}
 	}
 	c.Delegate, c.Events = m, m
-	c.ProbeInterval, c.ProbeTimeout, c.SuspicionMult = probeEvery, probeTimeout, suspicionMult
-	c.GossipInterval, c.GossipNodes, c.GossipToTheDeadTime = gossipEvery, gossipNodes, deadGossip
-	c.PushPullInterval, c.TCPTimeout = exchangeEvery, streamTimeout
+	c.ProbeInterval, c.ProbeTimeout, c.SuspicionMult = probeInterval, probeTimeout, suspicionMult
+	c.GossipInterval, c.GossipNodes, c.GossipToTheDeadTime = gossipInterval, gossipNodes, gossipToDeadTime
+	c.PushPullInterval, c.TCPTimeout = pushPullInterval, streamTimeout
 	c.EnableCompression = false // of packets that are small
 	m.mu.Lock()
 	m.net = t
@@ -77,22 +77,22 @@
 	m.mu.Lock()
 	m.list = list
 	m.mu.Unlock()
-	close(m.bound)
-	m.o.Log.Info("members", "listening", m.Address(), "name", m.o.Name)
+	close(m.listening)
+	m.options.Log.Info("members", "listening", m.Address(), "name", m.options.Name)
 	return nil
 }
 
-// lose has a process be looked for. The lock is held.
-func (m *Members) lose(name string, n *node) {
+// markLost has a process be looked for. The lock is held.
+func (m *Members) markLost(name string, n *node) {
 	if len(m.lost) < mostLost {
-		m.lost[name] = loss{n.address, time.Now()}
+		m.lost[name] = lostProcess{n.address, time.Now()}
 	}
 }
 
-// join listens, where that is not done, and joins others, until the member ends. Once nobody is missing it waits until
+// runJoin listens, where that is not done, and joins others, until the member ends. Once nobody is missing it waits until
 // somebody is. Danger: all that lost sight of each other together would try again together; so the pauses are drawn.
-func (m *Members) join(listening bool) {
-	defer m.owned.Done()
+func (m *Members) runJoin(listening bool) {
+	defer m.goroutines.Done()
 	pauses := backoff.NewExponentialBackOff()
 	pauses.InitialInterval, pauses.MaxInterval, pauses.RandomizationFactor = 100*time.Millisecond, 10*time.Second, 0.5
 	for {
@@ -101,7 +101,7 @@
 				listening = true
 				pauses.Reset()
 			} else if !errors.Is(err, errInUse) {
-				m.o.Log.Error("members", "err", err)
+				m.options.Log.Error("members", "err", err)
 				return
 			}
 			pauses.MaxInterval = 200 * time.Millisecond
@@ -109,12 +109,12 @@
 		var woken <-chan struct{}
 		var wait <-chan time.Time
 		if listening {
-			pauses.MaxInterval = max(4*time.Second, retryEach*time.Duration(m.count()))
+			pauses.MaxInterval = max(4*time.Second, retryDelayPerMember*time.Duration(m.count()))
 			if missing, later := m.missing(); len(missing) == 0 {
 				pauses.Reset()
-				woken = m.joiner
+				woken = m.wakeJoiner
 				if later {
-					wait = time.After(lookAfter)
+					wait = time.After(rejoinDelay)
 				}
 			} else if m.tryJoin(missing) {
 				pauses.Reset()
@@ -137,20 +137,20 @@
 func (m *Members) missing() (at []string, later bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	there := map[string]bool{m.Address(): true, m.o.Advertise: true}
+	there := map[string]bool{m.Address(): true, m.options.Advertise: true}
 	for _, n := range m.nodes {
 		there[n.address] = true
 	}
 	for name, l := range m.lost {
 		if parse(name).start < m.members[parse(name).name] || there[l.address] {
 			delete(m.lost, name) // its successor is there
-		} else if time.Since(l.at) >= lookAfter {
+		} else if time.Since(l.at) >= rejoinDelay {
 			at = append(at, l.address)
 		} else {
 			later = true
 		}
 	}
-	for _, a := range m.o.Join {
+	for _, a := range m.options.Join {
 		if !there[a] {
 			at = append(at, a)
 		}
@@ -168,7 +168,7 @@
 	m.counts.Joins++
 	if err != nil {
 		m.counts.JoinsFailed++
-		m.o.Log.Debug("members", "join", err)
+		m.options.Log.Debug("members", "join", err)
 	}
 	return len(m.members) > before
 }
--- a/internal/sidecar/members/members.go
+++ b/internal/sidecar/members/members.go
@@ -30,33 +30,33 @@
 
 // Options say who a member is and whom it joins.
 type Options struct {
-	Name      string        // of the member, the same in each process of it; 1 to MostName bytes
+	Name      string        // of the member, the same in each process of it; 1 to MaxNameBytes bytes
 	Listen    string        // IP address and port, for UDP and TCP; port 0: any
 	Advertise string        // IP address and port where others reach it; "": Listen
 	Join      []string      // hosts and ports of any members; those that are gone are tried again, ever more rarely
 	Reach     string        // every peer is reached at this IP address, at the port of its own; "": at its own
-	Bound     time.Duration // news that is older counts for nothing; 0: 2 s
+	TTL       time.Duration // news that is older counts for nothing; 0: 2 s
 	Log       *slog.Logger  // nil: none
 
 	// Told is called for each piece of news, and Changed for each new view; one call at a time, from one goroutine. A state
 	// that is replaced before its turn is not told. Nil: nobody listens.
-	Told    func(News)
-	Changed func(View)
+	OnUpdate func(Update)
+	OnView   func(View)
 
-	lose func() bool // a packet that is sent is lost, as tests want it; nil: none is
+	dropPacket func() bool // a packet that is sent is lost, as tests want it; nil: none is
 }
 
 // View is who is a member, as one of them sees it.
 type View struct {
 	Epoch uint64 // see epochs
-	Place int    // of this member, in Names
+	Index int    // of this member, in Names
 	Count int    // of members, this one included; at least 1
 	// Names are in the order of a hash of them: neighbours in a list of machines are not neighbours here.
 	Names []string
 }
 
-// News is the newest state of one kind that an origin told.
-type News struct {
+// Update is the newest state of one kind that an origin told.
+type Update struct {
 	Origin  string // a member's name
 	Start   int64  // of its process: a later one replaces an earlier
 	Seq     uint64 // of that process, over all kinds
@@ -65,64 +65,64 @@
 	Payload []byte
 }
 
-// DefaultBound is Options.Bound where none is set.
-const DefaultBound = 2 * time.Second
+// DefaultTTL is Options.Bound where none is set.
+const DefaultTTL = 2 * time.Second
 
 // Counts is what a member did since its start.
 type Counts struct {
 	Traffic
-	Told, Repeats, Old, Bad, Strangers int64 // frames: new ones, known ones, over the bound, not readable, of no member
-	Held                               int64 // own states that had to wait, as this member told too much; see Publish
-	Cut                                int64 // frames not taken in, or states not asked for, as their origin told too much
-	Short                              int64 // packets of exchanges not sent, as this member sent too much, or was asked too much
-	Waiting                            int   // frames to pass on
-	Joins, JoinsFailed                 int64 // attempts to join
+	Updates, Duplicates, Expired, Malformed, NonMembers int64 // frames: new ones, known ones, over the bound, not readable, of no member
+	Delayed                                             int64 // own states that had to wait, as this member told too much; see Publish
+	RateLimited                                         int64 // frames not taken in, or states not asked for, as their origin told too much
+	SendLimited                                         int64 // packets of exchanges not sent, as this member sent too much, or was asked too much
+	Queued                                              int   // frames to pass on
+	Joins, JoinsFailed                                  int64 // attempts to join
 }
 
 const (
-	farewellOf  = "farewell/"
-	mostMembers = 4096
-	separator   = "@" // between a member's name and its process's start, in memberlist's name for the process
+	farewellPrefix = "farewell/"
+	maxMembers     = 4096
+	separator      = "@" // between a member's name and its process's start, in memberlist's name for the process
 )
 
 // Members is one member, from New to Close.
 type Members struct {
-	o     Options
-	start int64 // of this process, nanoseconds of Unix time: only ever compared with those of the same name
-	born  time.Time
-	own   string // in memberlist
+	options   Options
+	start     int64 // of this process, nanoseconds of Unix time: only ever compared with those of the same name
+	startedAt time.Time
+	ownNode   string // in memberlist
 
-	ctx     context.Context
-	end     context.CancelFunc
-	owned   sync.WaitGroup
-	closing sync.Once
-	bound   chan struct{} // closed once it listens
-	worker  chan struct{}
-	joiner  chan struct{}
-	queue   *memberlist.TransmitLimitedQueue
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	closing    sync.Once
+	listening  chan struct{} // closed once it listens
+	wakeWorker chan struct{}
+	wakeJoiner chan struct{}
+	queue      *memberlist.TransmitLimitedQueue
 
-	mu      sync.Mutex // never held while memberlist or its queue is called: they call back under their own locks
-	list    *memberlist.Memberlist
-	net     *transport
-	seq     uint64
-	nodes   map[string]*node   // processes that are there, by memberlist's name
-	members map[string]int64   // members that are there, by the latest start
-	left    map[string]parting // members whose process said that it leaves
-	lost    map[string]loss    // processes that died or fell out of touch
-	states  *states
-	epochs  epochs
-	view    View
-	pending map[stateKey]struct{}
-	stale   bool          // the view
-	told    uint64        // the epoch last told of
-	owed    []*broadcast  // claims and farewells to pass on
-	peers   []peerNode    // processes of others; nil: to be taken from nodes
-	lively  time.Duration // when there was news last
-	budgets map[string]*budget
-	waiting []frame // own states that wait, one a kind
-	asked   chan any
-	sayAt   time.Duration // the own claim again
-	counts  Counts
+	mu            sync.Mutex // never held while memberlist or its queue is called: they call back under their own locks
+	list          *memberlist.Memberlist
+	net           *transport
+	seq           uint64
+	nodes         map[string]*node          // processes that are there, by memberlist's name
+	members       map[string]int64          // members that are there, by the latest start
+	leaving       map[string]leavingProcess // members whose process said that it leaves
+	lost          map[string]lostProcess    // processes that died or fell out of touch
+	states        *states
+	epochs        epochs
+	view          View
+	pending       map[stateKey]struct{}
+	viewStale     bool          // the view
+	notifiedEpoch uint64        // the epoch last told of
+	unsent        []*broadcast  // claims and farewells to pass on
+	peers         []peerNode    // processes of others; nil: to be taken from nodes
+	lastUpdateAt  time.Duration // when there was news last
+	budgets       map[string]*byteBudget
+	delayed       []frame // own states that wait, one a kind
+	questions     chan any
+	claimAt       time.Duration // the own claim again
+	counts        Counts
 }
 
 // node is a process of a member.
@@ -131,28 +131,28 @@
 	address string
 }
 
-// loss is where a process was that is not seen any more, and since when.
-type loss struct {
+// lostProcess is where a process was that is not seen any more, and since when.
+type lostProcess struct {
 	address string
 	at      time.Time
 }
 
-// parting is the process that leaves, and when that was heard.
-type parting struct {
+// leavingProcess is the process that leaves, and when that was heard.
+type leavingProcess struct {
 	start int64
 	at    time.Time
 }
 
 // New checks the options. The member knows nobody until Start.
 func New(o Options) (*Members, error) {
-	if len(o.Name) < 1 || len(o.Name) > MostName {
-		return nil, fmt.Errorf("name: %q has not 1 to %d bytes", o.Name, MostName)
+	if len(o.Name) < 1 || len(o.Name) > MaxNameBytes {
+		return nil, fmt.Errorf("name: %q has not 1 to %d bytes", o.Name, MaxNameBytes)
 	}
 	for _, a := range []struct{ field, address string }{{"listen", o.Listen}, {"advertise", o.Advertise}} {
 		if a.field == "advertise" && a.address == "" {
 			continue
 		}
-		if _, _, err := split(a.address); err != nil {
+		if _, _, err := splitAddress(a.address); err != nil {
 			return nil, fmt.Errorf("%s: %w", a.field, err)
 		}
 	}
@@ -164,30 +164,30 @@
 	if o.Reach != "" && net.ParseIP(o.Reach) == nil {
 		return nil, fmt.Errorf("reach: %q is no IP address", o.Reach)
 	}
-	if o.Bound < 0 {
-		return nil, fmt.Errorf("bound: %v is negative", o.Bound)
+	if o.TTL < 0 {
+		return nil, fmt.Errorf("bound: %v is negative", o.TTL)
 	}
-	if o.Bound == 0 {
-		o.Bound = DefaultBound
+	if o.TTL == 0 {
+		o.TTL = DefaultTTL
 	}
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 	now := time.Now()
-	m := &Members{o: o, start: now.UnixNano(), born: now, bound: make(chan struct{}),
-		worker: make(chan struct{}, 1), joiner: make(chan struct{}, 1),
-		nodes: map[string]*node{}, members: map[string]int64{}, left: map[string]parting{}, lost: map[string]loss{},
-		states: newStates(), pending: map[stateKey]struct{}{}, budgets: map[string]*budget{}, asked: make(chan any, mostAsked)}
-	m.own = process{o.Name, m.start}.node()
+	m := &Members{options: o, start: now.UnixNano(), startedAt: now, listening: make(chan struct{}),
+		wakeWorker: make(chan struct{}, 1), wakeJoiner: make(chan struct{}, 1),
+		nodes: map[string]*node{}, members: map[string]int64{}, leaving: map[string]leavingProcess{}, lost: map[string]lostProcess{},
+		states: newStates(), pending: map[stateKey]struct{}{}, budgets: map[string]*byteBudget{}, questions: make(chan any, maxQuestions)}
+	m.ownNode = process{o.Name, m.start}.node()
 	m.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: retransmitMult, NumNodes: m.count}
-	m.nodes[m.own] = &node{process: process{o.Name, m.start}}
-	m.recount()
-	m.told = m.view.Epoch
+	m.nodes[m.ownNode] = &node{process: process{o.Name, m.start}}
+	m.updateView()
+	m.notifiedEpoch = m.view.Epoch
 	return m, nil
 }
 
-// split is an IP address and port.
-func split(address string) (host string, port int, err error) {
+// splitAddress is an IP address and port.
+func splitAddress(address string) (host string, port int, err error) {
 	host, service, err := net.SplitHostPort(address)
 	if err != nil {
 		return "", 0, err
@@ -202,39 +202,39 @@
 // Start has the member listen and join until Close; from when ctx is done it tells nothing more. Where the address is in use, as by the process that this
 // one follows, it goes on trying; other errors are returned.
 func (m *Members) Start(ctx context.Context) error {
-	m.ctx, m.end = context.WithCancel(ctx)
+	m.ctx, m.cancel = context.WithCancel(ctx)
 	err := m.listen()
 	if err != nil && !errors.Is(err, errInUse) {
-		m.end()
+		m.cancel()
 		return err
 	}
-	m.owned.Add(3)
-	go m.work()
-	go m.exchange()
-	go m.join(err == nil)
+	m.goroutines.Add(3)
+	go m.runWorker()
+	go m.runExchange()
+	go m.runJoin(err == nil)
 	return nil
 }
 
 // Close leaves and ends. The farewell takes half a second at most.
 func (m *Members) Close() {
 	m.closing.Do(func() {
-		if m.end == nil {
+		if m.cancel == nil {
 			return
 		}
-		m.end()
-		m.owned.Wait()
+		m.cancel()
+		m.goroutines.Wait()
 		m.mu.Lock()
 		list := m.list
 		m.mu.Unlock()
 		if list == nil {
 			return
 		}
-		m.queue.QueueBroadcast(&broadcast{name: farewellOf + m.o.Name, encoded: process{m.o.Name, m.start}.encode()})
-		if err := list.Leave(farewell); err != nil {
-			m.o.Log.Debug("members", "leave", err)
+		m.queue.QueueBroadcast(&broadcast{name: farewellPrefix + m.options.Name, encoded: process{m.options.Name, m.start}.encode()})
+		if err := list.Leave(leaveTimeout); err != nil {
+			m.options.Log.Debug("members", "leave", err)
 		}
 		if err := list.Shutdown(); err != nil {
-			m.o.Log.Debug("members", "shutdown", err)
+			m.options.Log.Debug("members", "shutdown", err)
 		}
 	})
 }
@@ -243,23 +243,23 @@
 // A member that tells more than its share (see share: 640 bytes a second at 300 members, heads included) tells its newest
 // later, and what is replaced before its turn not at all.
 func (m *Members) Publish(kind uint8, payload []byte) error {
-	if kind >= MostKinds || len(payload) > MostPayload {
-		return fmt.Errorf("members: kind %d with %d bytes is over the bounds of %d and %d", kind, len(payload), MostKinds-1, MostPayload)
+	if kind >= MaxKinds || len(payload) > MaxPayloadBytes {
+		return fmt.Errorf("members: kind %d with %d bytes is over the bounds of %d and %d", kind, len(payload), MaxKinds-1, MaxPayloadBytes)
 	}
 	m.mu.Lock()
-	f := frame{name: m.o.Name, kind: kind, start: m.start, stamp: m.clock(), payload: payload}
-	if i := slices.IndexFunc(m.waiting, func(w frame) bool { return w.kind == kind }); i >= 0 {
-		m.waiting[i] = f
+	f := frame{name: m.options.Name, kind: kind, start: m.start, madeAt: m.clock(), payload: payload}
+	if i := slices.IndexFunc(m.delayed, func(w frame) bool { return w.kind == kind }); i >= 0 {
+		m.delayed[i] = f
 	} else {
-		m.waiting = append(m.waiting, f)
+		m.delayed = append(m.delayed, f)
 	}
-	now := m.releaseLocked()
-	if len(m.waiting) > 0 {
-		m.counts.Held++
+	now := m.releaseDelayedLocked()
+	if len(m.delayed) > 0 {
+		m.counts.Delayed++
 	}
 	m.mu.Unlock()
 	for _, f := range now {
-		m.pass(f)
+		m.queueFrame(f)
 	}
 	return nil
 }
@@ -280,23 +280,23 @@
 	if m.net != nil {
 		c.Traffic = m.net.traffic()
 	}
-	c.Waiting = waiting
+	c.Queued = waiting
 	return c
 }
 
 // Address is where this member listens; "" until it does.
 func (m *Members) Address() string {
 	select {
-	case <-m.bound:
+	case <-m.listening:
 	default:
 		return ""
 	}
-	host, _, _ := net.SplitHostPort(m.o.Listen)
+	host, _, _ := net.SplitHostPort(m.options.Listen)
 	return net.JoinHostPort(host, strconv.Itoa(m.net.port()))
 }
 
 // clock is the time since this process's start, monotonic.
-func (m *Members) clock() time.Duration { return time.Since(m.born) }
+func (m *Members) clock() time.Duration { return time.Since(m.startedAt) }
 
 func (m *Members) count() int {
 	m.mu.Lock()
@@ -304,8 +304,8 @@
 	return len(m.members)
 }
 
-// recount takes the members and the view from the processes that are there. The lock is held.
-func (m *Members) recount() {
+// updateView takes the members and the view from the processes that are there. The lock is held.
+func (m *Members) updateView() {
 	now := time.Now()
 	clear(m.members)
 	for _, n := range m.nodes {
@@ -316,26 +316,26 @@
 		names = append(names, name)
 	}
 	// Danger: between the farewell of an old process and the arrival of the new one all places would change, twice.
-	for name, p := range m.left {
-		if _, there := m.members[name]; now.Sub(p.at) >= handover {
-			delete(m.left, name)
+	for name, p := range m.leaving {
+		if _, there := m.members[name]; now.Sub(p.at) >= handoverTime {
+			delete(m.leaving, name)
 		} else if !there {
 			names = append(names, name)
 		}
 	}
-	order(names)
+	sortByHash(names)
 	if slices.Equal(names, m.view.Names) {
 		return
 	}
 	hash := xxhash.Sum64String(strings.Join(names, "\x00"))
-	if m.epochs.become(uint32(hash)) {
-		m.say(m.epochs.own)
+	if m.epochs.adoptSet(uint32(hash)) {
+		m.queueClaim(m.epochs.own)
 	}
-	m.view = View{Epoch: m.epochs.own.epoch(), Place: slices.Index(names, m.o.Name), Count: len(names), Names: names}
+	m.view = View{Epoch: m.epochs.own.epoch(), Index: slices.Index(names, m.options.Name), Count: len(names), Names: names}
 }
 
-// order sorts names by their hash.
-func order(names []string) {
+// sortByHash sorts names by their hash.
+func sortByHash(names []string) {
 	slices.SortFunc(names, func(x, y string) int {
 		if a, b := xxhash.Sum64String(x), xxhash.Sum64String(y); a != b {
 			if a < b {
--- a/internal/sidecar/members/members_test.go
+++ b/internal/sidecar/members/members_test.go
@@ -47,14 +47,14 @@
 type peer struct {
 	*Members
 	views chan View
-	news  chan News
+	news  chan Update
 }
 
 func start(t *testing.T, o Options) *peer {
 	t.Helper()
-	p := &peer{views: make(chan View, 4096), news: make(chan News, 4096)}
-	o.Changed = func(v View) { p.views <- v }
-	o.Told = func(n News) {
+	p := &peer{views: make(chan View, 4096), news: make(chan Update, 4096)}
+	o.OnView = func(v View) { p.views <- v }
+	o.OnUpdate = func(n Update) {
 		select {
 		case p.news <- n:
 		default: // nobody looks
@@ -98,7 +98,7 @@
 		for _, p := range peers {
 			v := p.View()
 			for v.Count != count || v.Epoch < epoch {
-				v = await(t, p.views, fmt.Sprintf("%d members at %s", count, p.o.Name), func(v View) bool { return v.Count == count && v.Epoch >= epoch })
+				v = await(t, p.views, fmt.Sprintf("%d members at %s", count, p.options.Name), func(v View) bool { return v.Count == count && v.Epoch >= epoch })
 				v = p.View()
 			}
 			if v.Epoch > epoch {
@@ -119,10 +119,10 @@
 	places := map[int]bool{}
 	for _, p := range []*peer{a, b, c} {
 		v := p.View()
-		if v.Names[v.Place] != p.o.Name || v.Epoch != a.View().Epoch {
+		if v.Names[v.Index] != p.options.Name || v.Epoch != a.View().Epoch {
 			t.Fatalf("%+v", v)
 		}
-		places[v.Place] = true
+		places[v.Index] = true
 	}
 	if len(places) != 3 {
 		t.Fatal(places)
@@ -131,14 +131,14 @@
 		t.Fatal(err)
 	}
 	for _, p := range []*peer{b, c} {
-		n := await(t, p.news, "the word", func(n News) bool { return n.Origin == "a" && string(n.Payload) == "word" })
+		n := await(t, p.news, "the word", func(n Update) bool { return n.Origin == "a" && string(n.Payload) == "word" })
 		if n.Kind != 2 || n.Start != a.start || n.Seq != 1 || n.Age > 2*time.Second {
 			t.Fatalf("%+v", n)
 		}
 	}
 	// One that comes later is told too.
 	d := start(t, Options{Name: "d", Join: []string{c.Address()}})
-	again := time.NewTicker(a.o.Bound / 2) // a word ends with its age
+	again := time.NewTicker(a.options.TTL / 2) // a word ends with its age
 	defer again.Stop()
 	for told := false; !told; {
 		select {
@@ -160,7 +160,7 @@
 		t.Fatal("the epoch did not rise")
 	}
 	settled(t, 3, a, c, d)
-	if a.Publish(MostKinds, nil) == nil || a.Publish(0, make([]byte, MostPayload+1)) == nil {
+	if a.Publish(MaxKinds, nil) == nil || a.Publish(0, make([]byte, MaxPayloadBytes+1)) == nil {
 		t.Fatal("over the bounds")
 	}
 }
@@ -180,14 +180,14 @@
 	if err := next.Publish(0, []byte("new")); err != nil {
 		t.Fatal(err)
 	}
-	await(t, a.news, "the new one's word", func(n News) bool { return n.Start == next.start })
+	await(t, a.news, "the new one's word", func(n Update) bool { return n.Start == next.start })
 	side := start(t, Options{Name: "b", Join: []string{a.Address()}}) // side by side
 	if err := side.Publish(0, []byte("newer")); err != nil {
 		t.Fatal(err)
 	}
-	await(t, a.news, "the newer one's word", func(n News) bool { return n.Start == side.start })
+	await(t, a.news, "the newer one's word", func(n Update) bool { return n.Start == side.start })
 	next.Close()
-	if v := a.View(); v.Count != 2 || v.Names[v.Place] != "a" {
+	if v := a.View(); v.Count != 2 || v.Names[v.Index] != "a" {
 		t.Fatalf("%+v then %+v", before, v)
 	}
 	for len(a.views) > 0 {
@@ -203,7 +203,7 @@
 // Peers advertise an address where nobody listens: only the host at which they are reached leads to them, also for acks.
 func TestReach(t *testing.T) {
 	a := start(t, Options{Name: "a", Listen: "127.0.0.2:0", Reach: "127.0.0.2", Advertise: "127.0.0.9:1"})
-	_, port, _ := split(a.Address())
+	_, port, _ := splitAddress(a.Address())
 	a.Close()
 	at := func(host string, port int) string { return fmt.Sprintf("%s:%d", host, port) }
 	a = start(t, Options{Name: "a", Listen: at("127.0.0.2", port), Advertise: at("127.0.0.9", port), Reach: "127.0.0.2"})
@@ -217,8 +217,8 @@
 		if err := a.Publish(0, []byte{byte(n)}); err != nil {
 			t.Fatal(err)
 		}
-		await(t, b.news, "a number", func(m News) bool { return m.Payload[0] == byte(n) })
-		time.Sleep(probeEvery)
+		await(t, b.news, "a number", func(m Update) bool { return m.Payload[0] == byte(n) })
+		time.Sleep(probeInterval)
 	}
 	for len(b.views) > 0 {
 		if v := <-b.views; v.Count != 2 {
@@ -262,8 +262,8 @@
 	c, _ := startProcess(t, "b", a.Address())
 	startProcess(t, "c", a.Address())
 	var last uint64
-	await(t, a.news, "news of c", func(n News) bool { return n.Origin == "c" })
-	await(t, a.news, "news of b", func(n News) bool { last = n.Seq; return n.Origin == "b" && n.Seq > 5 })
+	await(t, a.news, "news of c", func(n Update) bool { return n.Origin == "c" })
+	await(t, a.news, "news of b", func(n Update) bool { last = n.Seq; return n.Origin == "b" && n.Seq > 5 })
 	stopped := time.Now()
 	if err := c.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
@@ -277,12 +277,12 @@
 			last = max(last, n.Seq)
 		}
 	}
-	time.Sleep(time.Until(stopped.Add(a.o.Bound + time.Second))) // the test is of age
+	time.Sleep(time.Until(stopped.Add(a.options.TTL + time.Second))) // the test is of age
 	if err := c.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	n := await(t, a.news, "news of b again", func(n News) bool { return n.Origin == "b" })
-	if n.Seq <= last || n.Age > a.o.Bound {
+	n := await(t, a.news, "news of b again", func(n Update) bool { return n.Origin == "b" })
+	if n.Seq <= last || n.Age > a.options.TTL {
 		t.Fatalf("%+v after %d", n, last)
 	}
 	await(t, a.views, "that b is back", func(v View) bool { return v.Count == 3 })
@@ -296,7 +296,7 @@
 		"advertise": func(o *Options) { o.Advertise = "a:1" },
 		"join":      func(o *Options) { o.Join = []string{"x"} },
 		"reach":     func(o *Options) { o.Reach = "x" },
-		"bound":     func(o *Options) { o.Bound = -1 },
+		"bound":     func(o *Options) { o.TTL = -1 },
 	} {
 		o := good
 		change(&o)
--- a/internal/sidecar/members/model_test.go
+++ b/internal/sidecar/members/model_test.go
@@ -33,7 +33,7 @@
 			way := time.Duration(rapid.IntRange(0, 5000).Draw(t, "way")) * time.Millisecond
 			held := time.Duration(rapid.IntRange(0, 3000).Draw(t, "held")) * time.Millisecond
 			quickest[p] = min(quickest[p], way)
-			f := frame{name: p.name, start: p.start, kind: uint8(seq % 2), seq: seq, stamp: told + clocks[p], hopped: held, payload: []byte{byte(seq)}}
+			f := frame{name: p.name, start: p.start, kind: uint8(seq % 2), seq: seq, madeAt: told + clocks[p], forwardedAge: held, payload: []byte{byte(seq)}}
 			all = append(all, arrival{f, told + way + held})
 		}
 		merge := func(order []arrival) *states {
@@ -44,15 +44,15 @@
 			return s
 		}
 		once, again := merge(all), merge(rapid.Permutation(append(all, all...)).Draw(t, "order"))
-		if !reflect.DeepEqual(once.held, again.held) || !maps.EqualFunc(once.offsets, again.offsets, func(x, y *float64) bool { return *x == *y }) {
+		if !reflect.DeepEqual(once.latest, again.latest) || !maps.EqualFunc(once.offsets, again.offsets, func(x, y *float64) bool { return *x == *y }) {
 			t.Fatalf("%+v\n%+v", once, again)
 		}
 		now := 20 * time.Second
-		for _, f := range once.held {
+		for _, f := range once.latest {
 			p := process{f.name, f.start}
-			age, truly := once.age(f, now), now-(f.stamp-clocks[p])
-			least := truly - quickest[p] - time.Duration(2*drift*float64(now))
-			if age < least || age > truly+time.Duration(2*drift*float64(now)) {
+			age, truly := once.age(f, now), now-(f.madeAt-clocks[p])
+			least := truly - quickest[p] - time.Duration(2*maxClockDrift*float64(now))
+			if age < least || age > truly+time.Duration(2*maxClockDrift*float64(now)) {
 				t.Fatalf("%+v seems %v old, is %v, quickest way %v", f, age, truly, quickest[p])
 			}
 		}
@@ -77,14 +77,14 @@
 				t.Fatalf("epoch %x stands for %d and %d", e, set, sets[i])
 			}
 			calls[e], last[i] = sets[i], e
-			if len(all[i].claims) > mostClaims {
+			if len(all[i].claims) > maxClaims {
 				t.Fatal("unbounded")
 			}
 		}
 		become := func(i int, set uint32) {
 			changed := set != sets[i]
 			sets[i] = set
-			if all[i].become(set) {
+			if all[i].adoptSet(set) {
 				air = append(air, all[i].own)
 			}
 			look(i, changed)
@@ -98,7 +98,7 @@
 			if rapid.Bool().Draw(t, "change") {
 				become(i, rapid.Uint32Range(1, 64).Draw(t, "set"))
 			} else { // from the air, where it stays: repeats and any order
-				if all[i].hear(air[rapid.IntRange(0, len(air)-1).Draw(t, "claim")]) && rapid.Bool().Draw(t, "kept") {
+				if all[i].receiveClaim(air[rapid.IntRange(0, len(air)-1).Draw(t, "claim")]) && rapid.Bool().Draw(t, "kept") {
 					air = append(air, all[i].own)
 				}
 				look(i, false)
@@ -113,7 +113,7 @@
 			moving = false
 			for i := range all {
 				for _, c := range air {
-					if all[i].hear(c) {
+					if all[i].receiveClaim(c) {
 						moving = true
 						if passed++; passed > members*(len(air)+1) {
 							t.Fatal("claims go round for ever")
@@ -126,8 +126,8 @@
 		for range 2 { // each hears what all hold: the exchange
 			for i := range all {
 				for j := range all {
-					for _, c := range all[j].all() {
-						all[i].hear(c)
+					for _, c := range all[j].storedClaims() {
+						all[i].receiveClaim(c)
 					}
 				}
 				look(i, false)
@@ -147,24 +147,24 @@
 
 // What is read is what was written, and nothing else is read.
 func FuzzFrames(f *testing.F) {
-	seed := frame{name: "a", kind: 1, start: 5, seq: 300, stamp: time.Second, hopped: 1500 * time.Microsecond, payload: []byte("xyz")}
+	seed := frame{name: "a", kind: 1, start: 5, seq: 300, madeAt: time.Second, forwardedAge: 1500 * time.Microsecond, payload: []byte("xyz")}
 	f.Add(seed.encode())
 	f.Add(claim{7, 9}.encode())
 	f.Add(process{"a", 5}.encode())
 	f.Add(pack([][]byte{seed.encode(), claim{7, 9}.encode()}))
-	if old := aged(seed.encode(), 2*time.Second); len(old) != len(seed.encode()) {
+	if old := withAge(seed.encode(), 2*time.Second); len(old) != len(seed.encode()) {
 		f.Fatal("an age changes the length")
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if n, err := decodeNews(b); err == nil {
-			if len(n.payload) > MostPayload || len(n.name) > MostName || n.kind >= MostKinds || n.stamp < 0 {
+		if n, err := decodeUpdate(b); err == nil {
+			if len(n.payload) > MaxPayloadBytes || len(n.name) > MaxNameBytes || n.kind >= MaxKinds || n.madeAt < 0 {
 				t.Fatalf("%+v", n)
 			}
-			again, err := decodeNews(n.encode())
+			again, err := decodeUpdate(n.encode())
 			if err != nil || !reflect.DeepEqual(n, again) {
 				t.Fatalf("%+v then %+v, %v", n, again, err)
 			}
-			if _, err := decodeNews(b[:len(b)-1]); err == nil {
+			if _, err := decodeUpdate(b[:len(b)-1]); err == nil {
 				t.Fatal("a torn one is read")
 			}
 		}
--- a/internal/sidecar/members/news_test.go
+++ b/internal/sidecar/members/news_test.go
@@ -45,8 +45,8 @@
 	for i, wave := 0, 0; i < n; i++ {
 		f.latest[i], f.ages[i] = make([][2]atomic.Int64, n), hdrhistogram.New(1, 60_000, 3)
 		o := Options{Name: fmt.Sprintf("sidecar-%d", i), Listen: "127.0.0.1:0"}
-		o.lose = func() bool { return rand.Uint64N(1000) < f.loss.Load() }
-		o.Told = func(w News) {
+		o.dropPacket = func() bool { return rand.Uint64N(1000) < f.loss.Load() }
+		o.OnUpdate = func(w Update) {
 			told := int64(binary.BigEndian.Uint64(w.Payload))
 			origin, _ := strconv.Atoi(w.Origin[len("sidecar-"):])
 			f.latest[i][origin][w.Kind].Store(told)
@@ -99,8 +99,8 @@
 
 // kill closes a member's sockets without a word.
 func (m *Members) kill() {
-	m.end()
-	m.owned.Wait()
+	m.cancel()
+	m.goroutines.Wait()
 	_ = m.list.Shutdown()
 	m.mu.Lock()
 	m.list = nil // it says no farewell
@@ -142,7 +142,7 @@
 			if time.Since(began) < 3*time.Second {
 				continue
 			}
-			least := time.Now().Add(-DefaultBound).UnixNano()
+			least := time.Now().Add(-DefaultTTL).UnixNano()
 			for i := range n - 1 {
 				if f.all[i].View().Count < n-1 {
 					views++
@@ -168,12 +168,12 @@
 		sum.PacketsSent += c.PacketsSent - before[i].PacketsSent
 		sum.BytesSent += c.BytesSent - before[i].BytesSent
 		most.BytesSent = max(most.BytesSent, c.BytesSent-before[i].BytesSent)
-		sum.Told += c.Told - before[i].Told
-		sum.Repeats += c.Repeats - before[i].Repeats
-		sum.Old += c.Old - before[i].Old
-		sum.Cut += c.Cut
-		sum.Held += c.Held
-		sum.Short += c.Short
+		sum.Updates += c.Updates - before[i].Updates
+		sum.Duplicates += c.Duplicates - before[i].Duplicates
+		sum.Expired += c.Expired - before[i].Expired
+		sum.RateLimited += c.RateLimited
+		sum.Delayed += c.Delayed
+		sum.SendLimited += c.SendLimited
 		under = max(under, f.under[i])
 		h.Merge(f.ages[i]) // the last news may come beside it: of no account
 	}
@@ -185,12 +185,12 @@
 	b.ReportMetric(float64(h.Max()), "max_ms")
 	b.ReportMetric(float64(under.Milliseconds()), "under_ms")
 	b.ReportMetric(1e6*float64(stale)/float64(pairs), "stale_ppm")
-	b.ReportMetric(float64(sum.Told)/each, "told/s")
-	b.ReportMetric(float64(sum.Repeats)/each, "repeats/s")
+	b.ReportMetric(float64(sum.Updates)/each, "told/s")
+	b.ReportMetric(float64(sum.Duplicates)/each, "repeats/s")
 	b.ReportMetric(float64(sum.PacketsSent)/each, "packets/s")
 	b.ReportMetric(float64(sum.BytesSent)/each/1000, "kB/s")
 	b.ReportMetric(float64(most.BytesSent)/seconds/1000, "most_kB/s")
 	b.ReportMetric(100*cpu/each, "cpu%")
 	b.ReportMetric(0, "ns/op")
-	b.Logf("%d members: old %d, cut %d, held %d, short %d, incomplete views %d", n, sum.Old, sum.Cut, sum.Held, sum.Short, views)
+	b.Logf("%d members: old %d, cut %d, held %d, short %d, incomplete views %d", n, sum.Expired, sum.RateLimited, sum.Delayed, sum.SendLimited, views)
 }
--- a/internal/sidecar/members/spread_test.go
+++ b/internal/sidecar/members/spread_test.go
@@ -33,11 +33,11 @@
 		}
 		a.all[fmt.Sprintf("127.0.0.1:%d", i+1)] = m
 		a.list = append(a.list, m)
-		a.asks[i] = rand.N(exchangeFresh)
+		a.asks[i] = rand.N(busyExchangeInterval)
 	}
 	for _, m := range a.list {
 		for i, o := range a.list {
-			m.NotifyJoin(&memberlist.Node{Name: o.own, Addr: net.IPv4(127, 0, 0, 1), Port: uint16(i + 1)})
+			m.NotifyJoin(&memberlist.Node{Name: o.ownNode, Addr: net.IPv4(127, 0, 0, 1), Port: uint16(i + 1)})
 		}
 		m.turn(true)
 	}
@@ -53,26 +53,26 @@
 		}
 		peer := a.all[to]
 		peer.NotifyMsg(b)
-		for len(peer.asked) > 0 {
-			back, answers := peer.reply(<-peer.asked)
+		for len(peer.questions) > 0 {
+			back, answers := peer.answerQuestion(<-peer.questions)
 			a.carry(back, answers)
 		}
 	}
 }
 
-// step has all ask whose time it is, and gossip every gossipEvery.
+// step has all ask whose time it is, and gossip every gossipInterval.
 func (a *air) step(now time.Duration) {
 	for i, m := range a.list {
-		for _, f := range m.release() {
-			m.pass(f)
+		for _, f := range m.releaseDelayed() {
+			m.queueFrame(f)
 		}
 		if now >= a.asks[i] {
-			to, asks, _ := m.question()
+			to, asks, _ := m.nextQuestion()
 			a.carry(to, asks)
-			a.asks[i] = now + exchangeFresh*3/4 + rand.N(exchangeFresh/2)
+			a.asks[i] = now + busyExchangeInterval*3/4 + rand.N(busyExchangeInterval/2)
 		}
 		for range gossipNodes {
-			if (now+time.Duration(i%10)*airStep)%gossipEvery != 0 {
+			if (now+time.Duration(i%10)*airStep)%gossipInterval != 0 {
 				continue
 			}
 			to, whole := rand.IntN(len(a.list)), rand.Float64() >= a.loss
@@ -115,9 +115,9 @@
 					for range 10 {
 						if m := a.list[0]; tt.floods {
 							if tt.rogue {
-								delete(m.budgets, m.o.Name)
+								delete(m.budgets, m.options.Name)
 							}
-							if err := m.Publish(7, append(binary.BigEndian.AppendUint64(nil, uint64(time.Since(began))), make([]byte, MostPayload-8)...)); err != nil {
+							if err := m.Publish(7, append(binary.BigEndian.AppendUint64(nil, uint64(time.Since(began))), make([]byte, MaxPayloadBytes-8)...)); err != nil {
 								t.Fatal(err)
 							}
 						}
@@ -135,7 +135,7 @@
 							} else {
 								flooded++
 							}
-							if age := time.Since(told); w.Age > age+time.Millisecond*20 || w.Age > DefaultBound {
+							if age := time.Since(told); w.Age > age+time.Millisecond*20 || w.Age > DefaultTTL {
 								t.Fatalf("%v old, said to be %v", age, w.Age)
 							}
 						}
@@ -145,25 +145,25 @@
 				missing := 0
 				for i, m := range a.list {
 					c := m.counts
-					sum.Told, sum.Repeats, sum.Cut, sum.Held = sum.Told+c.Told, sum.Repeats+c.Repeats, sum.Cut+c.Cut, sum.Held+c.Held
+					sum.Updates, sum.Duplicates, sum.RateLimited, sum.Delayed = sum.Updates+c.Updates, sum.Duplicates+c.Duplicates, sum.RateLimited+c.RateLimited, sum.Delayed+c.Delayed
 					fresh := 0
 					for _, told := range latest[i] {
-						if time.Since(told) <= DefaultBound {
+						if time.Since(told) <= DefaultTTL {
 							fresh++
 						}
 					}
 					missing += 2*(tt.n-1) - fresh
 				}
 				t.Logf("p50 %d ms, p99 %d ms, most %d ms; told %d, repeats %d, cut %d, held %d; %d of %d hold nothing; %.1f kB/s each",
-					ages.ValueAtQuantile(50), ages.ValueAtQuantile(99), ages.Max(), sum.Told, sum.Repeats, sum.Cut, sum.Held,
+					ages.ValueAtQuantile(50), ages.ValueAtQuantile(99), ages.Max(), sum.Updates, sum.Duplicates, sum.RateLimited, sum.Delayed,
 					missing, 2*tt.n*(tt.n-1), float64(a.bytes)/float64(tt.n)/lasts.Seconds()/1000)
 				if p99 := ages.ValueAtQuantile(99); p99 > 1500 || p99 == 0 || missing*1000 > 2*tt.n*tt.n {
 					t.Errorf("p99 %d ms, %d hold nothing", p99, missing)
 				}
-				if tt.floods && tt.rogue != (sum.Cut > 0) || tt.floods && !tt.rogue && sum.Held == 0 || !tt.floods && sum.Cut+sum.Held > 0 {
-					t.Errorf("cut %d, held %d", sum.Cut, sum.Held)
+				if tt.floods && tt.rogue != (sum.RateLimited > 0) || tt.floods && !tt.rogue && sum.Delayed == 0 || !tt.floods && sum.RateLimited+sum.Delayed > 0 {
+					t.Errorf("cut %d, held %d", sum.RateLimited, sum.Delayed)
 				}
-				if most := (lasts.Seconds() + savedUp) * lenience * share(tt.n) / MostPayload * float64(tt.n-1); float64(flooded) > most {
+				if most := (lasts.Seconds() + burstSeconds) * receiveLenience * originShare(tt.n) / MaxPayloadBytes * float64(tt.n-1); float64(flooded) > most {
 					t.Errorf("%d of the flood taken in, over %.0f", flooded, most)
 				}
 			})
@@ -175,12 +175,12 @@
 func FuzzExchange(f *testing.F) {
 	s := newStates()
 	for i := range 3 {
-		s.merge(frame{name: "b", kind: uint8(i), start: 5, seq: uint64(i + 1), stamp: time.Second, payload: []byte("xyz")}, time.Second)
+		s.merge(frame{name: "b", kind: uint8(i), start: 5, seq: uint64(i + 1), madeAt: time.Second, payload: []byte("xyz")}, time.Second)
 	}
 	never := func(string) bool { return false }
 	f.Add(s.ask(process{"a", 5}, 77, time.Second, time.Hour, never)[0])
 	f.Add(encodeWants(process{"a", 5}, 77, []uint32{1, 1 << 23}))
-	for _, held := range s.held {
+	for _, held := range s.latest {
 		f.Add(s.deltas([]frame{held}, time.Second)[0])
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -191,8 +191,8 @@
 		m.NotifyJoin(&memberlist.Node{Name: process{"b", 5}.node(), Addr: net.IPv4(127, 0, 0, 1), Port: 1})
 		m.NotifyMsg(b)
 		m.MergeRemoteState(b, false)
-		for len(m.asked) > 0 {
-			if to, packets := m.reply(<-m.asked); len(packets) > mostDeltas+1 || to == "" && packets != nil {
+		for len(m.questions) > 0 {
+			if to, packets := m.answerQuestion(<-m.questions); len(packets) > maxDeltas+1 || to == "" && packets != nil {
 				t.Fatalf("%d packets to %q", len(packets), to)
 			}
 		}
@@ -205,10 +205,10 @@
 				t.Fatalf("%+v, then %+v, %v", w, again, err)
 			}
 		}
-		if q, err := decodeAsk(b); err == nil && (len(q.held) > packetRoom/entrySize || q.part >= q.parts) {
+		if q, err := decodeAsk(b); err == nil && (len(q.held) > maxFrameBytes/entrySize || q.part >= q.parts) {
 			t.Fatalf("%+v", q)
 		}
-		for _, held := range m.states.held {
+		for _, held := range m.states.latest {
 			if held.name != "b" || held.start != 5 {
 				t.Fatalf("%+v of no member is held", held)
 			}
--- a/internal/sidecar/members/states.go
+++ b/internal/sidecar/members/states.go
@@ -7,8 +7,8 @@
 
 // Here is what a member holds of what the others told: a join of lattices, so that loss, repeats and order do not matter.
 
-// drift is how far the clocks of two machines may run apart, each second, at most: the kernel slews by 500 ppm at most.
-const drift = 500e-6
+// maxClockDrift is how far the clocks of two machines may run apart, each second, at most: the kernel slews by 500 ppm at most.
+const maxClockDrift = 500e-6
 
 // stateKey is a state's place: each origin has one a kind.
 type stateKey struct {
@@ -33,34 +33,34 @@
 // that process took, and by drift, 0.5 ms a second, at most. Where every copy from the start on was held back alike, that
 // cannot be seen here; memberlist's probes take such a peer for dead.
 type states struct {
-	held    map[stateKey]frame
+	latest  map[stateKey]frame
 	offsets map[process]*float64 // seconds: the least distance, brought back by drift to time 0
 }
 
 func newStates() *states {
-	return &states{held: map[stateKey]frame{}, offsets: map[process]*float64{}}
+	return &states{latest: map[stateKey]frame{}, offsets: map[process]*float64{}}
 }
 
 // merge takes in a copy that came at a time of the own clock. It tells whether its state is newer than the one held.
 func (s *states) merge(f frame, now time.Duration) bool {
 	p := process{f.name, f.start}
-	distance := (now - f.stamp - f.hopped).Seconds() - drift*now.Seconds()
+	distance := (now - f.madeAt - f.forwardedAge).Seconds() - maxClockDrift*now.Seconds()
 	if f.offset = s.offsets[p]; f.offset == nil {
 		f.offset = &distance
 		s.offsets[p] = f.offset
 	}
 	*f.offset = min(*f.offset, distance)
-	if !s.news(f) {
+	if !s.isNewer(f) {
 		return false
 	}
-	f.hopped, f.key = 0, f.id()
-	s.held[stateKey{f.name, f.kind}] = f
+	f.forwardedAge, f.key = 0, f.hash()
+	s.latest[stateKey{f.name, f.kind}] = f
 	return true
 }
 
-// news tells whether a frame's state is newer than the one held.
-func (s *states) news(f frame) bool {
-	old, known := s.held[stateKey{f.name, f.kind}]
+// isNewer tells whether a frame's state is newer than the one held.
+func (s *states) isNewer(f frame) bool {
+	old, known := s.latest[stateKey{f.name, f.kind}]
 	return !known || newer(f, old)
 }
 
@@ -76,20 +76,20 @@
 			return math.MaxInt64
 		}
 	}
-	distance := *least + drift*now.Seconds()
-	return max(0, now-f.stamp-time.Duration(distance*float64(time.Second)))
+	distance := *least + maxClockDrift*now.Seconds()
+	return max(0, now-f.madeAt-time.Duration(distance*float64(time.Second)))
 }
 
-// keep lets go of all processes but those that fit.
-func (s *states) keep(fits func(process) bool) {
+// retain lets go of all processes but those that fit.
+func (s *states) retain(fits func(process) bool) {
 	for p := range s.offsets {
 		if !fits(p) {
 			delete(s.offsets, p)
 		}
 	}
-	for key, f := range s.held {
+	for key, f := range s.latest {
 		if !fits(process{f.name, f.start}) {
-			delete(s.held, key)
+			delete(s.latest, key)
 		}
 	}
 }
--- a/internal/sidecar/members/transport.go
+++ b/internal/sidecar/members/transport.go
@@ -27,7 +27,7 @@
 	packetConn *net.UDPConn
 	listener   *net.TCPListener
 	reach      string      // "": each at its own host
-	lose       func() bool // nil: no packet
+	dropPacket func() bool // nil: no packet
 	ctx        context.Context
 	end        context.CancelFunc
 	readers    sync.WaitGroup
@@ -40,15 +40,15 @@
 var _ memberlist.NodeAwareTransport = (*transport)(nil)
 
 const (
-	mostPacket = 1 << 16
-	inSocket   = 1 << 21 // bytes that wait in the socket for a process that waits for its core; the kernel may give less
-	faultPause = 10 * time.Millisecond
+	maxPacketBytes    = 1 << 16
+	socketBufferBytes = 1 << 21 // bytes that wait in the socket for a process that waits for its core; the kernel may give less
+	errorBackoff      = 10 * time.Millisecond
 )
 
 // newTransport listens at a host and port. Its readers end with Shutdown.
 func newTransport(host string, port int, reach string, lose func() bool) (*transport, error) {
 	const tries = 16 // at port 0: the number that is free for TCP may be taken for UDP
-	t := &transport{reach: reach, lose: lose, packets: make(chan *memberlist.Packet), streams: make(chan net.Conn)}
+	t := &transport{reach: reach, dropPacket: lose, packets: make(chan *memberlist.Packet), streams: make(chan net.Conn)}
 	var err error
 	for range tries {
 		if err = t.listen(net.ParseIP(host), port); err == nil || port != 0 {
@@ -72,7 +72,7 @@
 	if t.packetConn, err = net.ListenUDP("udp", &net.UDPAddr{IP: ip, Port: t.port()}); err != nil {
 		return errors.Join(err, t.listener.Close())
 	}
-	_ = t.packetConn.SetReadBuffer(inSocket) // the default does, but for bursts
+	_ = t.packetConn.SetReadBuffer(socketBufferBytes) // the default does, but for bursts
 	return nil
 }
 
@@ -81,11 +81,11 @@
 
 func (t *transport) readPackets() {
 	defer t.readers.Done()
-	buf := make([]byte, mostPacket)
+	buf := make([]byte, maxPacketBytes)
 	for {
 		n, from, err := t.packetConn.ReadFromUDP(buf)
 		now := time.Now()
-		if !t.goesOn(err) {
+		if !t.continueAfter(err) {
 			return
 		}
 		if err != nil || n == 0 {
@@ -105,7 +105,7 @@
 	defer t.readers.Done()
 	for {
 		c, err := t.listener.Accept()
-		if !t.goesOn(err) {
+		if !t.continueAfter(err) {
 			return
 		}
 		if err != nil {
@@ -121,13 +121,13 @@
 	}
 }
 
-// goesOn waits a moment after a fault, as when descriptors are short, and tells whether it is not the end.
-func (t *transport) goesOn(err error) bool {
+// continueAfter waits a moment after a fault, as when descriptors are short, and tells whether it is not the end.
+func (t *transport) continueAfter(err error) bool {
 	if err == nil {
 		return true
 	}
 	select {
-	case <-time.After(faultPause):
+	case <-time.After(errorBackoff):
 		return true
 	case <-t.ctx.Done():
 		return false
@@ -177,7 +177,7 @@
 	}
 	t.sent.Add(1)
 	t.bytesOut.Add(int64(len(b)))
-	if t.lose != nil && t.lose() {
+	if t.dropPacket != nil && t.dropPacket() {
 		return time.Now(), nil
 	}
 	_, err = t.packetConn.WriteToUDPAddrPort(b, to)
