--- a/internal/sidecar/members/delegate.go
+++ b/internal/sidecar/members/delegate.go
@@ -100,7 +100,7 @@
 }
 
 // receive takes in a frame from a peer, and passes on what is new.
-func (m *Members) receive(b []byte, on bool) {
+func (m *Members) receive(b []byte, mayForward bool) {
 	if m.receiveExchange(b) {
 		return
 	}
@@ -116,7 +116,7 @@
 	if p, err := decodeFarewell(b); err == nil {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if m.processLeaves(p) && on {
+		if m.processLeaves(p) && mayForward {
 			m.unsent = append(m.unsent, &broadcast{name: farewellPrefix + p.name, encoded: b})
 			wake(m.wakeWorker)
 		}
@@ -127,7 +127,7 @@
 	fresh := m.acceptFrame(f, err)
 	young := fresh && m.states.age(f, m.clock()) <= maxGossipAge
 	m.mu.Unlock()
-	if young && on && m.queue.NumQueued() < maxQueued {
+	if young && mayForward && m.queue.NumQueued() < maxQueued {
 		m.queueFrame(f)
 	}
 }
@@ -150,31 +150,31 @@
 }
 
 // acceptFrame merges a frame and tells whether it is to be told and passed on. The lock is held.
-func (m *Members) acceptFrame(f frame, err error) bool {
+func (m *Members) acceptFrame(received frame, err error) bool {
 	now := m.clock()
-	switch start, known := m.members[f.name]; {
+	switch start, known := m.members[received.name]; {
 	case err != nil:
 		m.counts.Malformed++
 		return false
-	case f.name == m.options.Name: // the own, come back; or of another process of this member, which is not for this one
+	case received.name == m.options.Name: // the own, come back; or of another process of this member, which is not for this one
 		m.counts.Duplicates++
 		return false
-	case !known || f.start != start:
+	case !known || received.start != start:
 		m.counts.NonMembers++
 		return false
-	case m.states.isNewer(f) && !m.spendBudget(f, now):
+	case m.states.isNewer(received) && !m.spendBudget(received, now):
 		m.counts.RateLimited++
 		return false
-	case !m.states.merge(f, now):
+	case !m.states.merge(received, now):
 		m.counts.Duplicates++
 		return false
-	case m.states.age(f, now) > m.options.TTL:
+	case m.states.age(received, now) > m.options.TTL:
 		m.counts.Expired++
 		return false
 	}
 	m.counts.Updates++
 	m.lastUpdateAt = now
-	m.pending[stateKey{f.name, f.kind}] = struct{}{}
+	m.pending[stateKey{received.name, received.kind}] = struct{}{}
 	wake(m.wakeWorker)
 	return true
 }
--- a/internal/sidecar/members/digest.go
+++ b/internal/sidecar/members/digest.go
@@ -88,28 +88,28 @@
 }
 
 // answer compares a part of a question with what is held here: give is what the asker lacks, want is what it has newer.
-func (s *states) answer(q *versions, now, bound time.Duration) (give []frame, want []uint32) {
-	for _, f := range s.latest {
-		if f.key%uint64(q.parts) != uint64(q.part) {
+func (s *states) answer(question *versions, now, bound time.Duration) (give []frame, want []uint32) {
+	for _, stored := range s.latest {
+		if stored.key%uint64(question.parts) != uint64(question.part) {
 			continue
 		}
-		name := short(f.key, q.salt)
-		theirs, known := q.held[name]
-		delete(q.held, name)
-		ahead := int16(low(f.seq, false) - theirs&^1)
+		name := short(stored.key, question.salt)
+		theirs, known := question.held[name]
+		delete(question.held, name)
+		ahead := int16(low(stored.seq, false) - theirs&^1)
 		switch {
 		case known && theirs&1 == 1:
-		case s.age(f, now) > bound:
+		case s.age(stored, now) > bound:
 			if known && ahead < 0 {
 				want = append(want, name)
 			}
 		case !known || ahead > 0:
-			give = append(give, f)
+			give = append(give, stored)
 		case ahead < 0:
 			want = append(want, name)
 		}
 	}
-	for name, theirs := range q.held {
+	for name, theirs := range question.held {
 		if theirs&1 == 0 {
 			want = append(want, name)
 		}
--- a/internal/sidecar/members/exchange.go
+++ b/internal/sidecar/members/exchange.go
@@ -101,15 +101,15 @@
 
 // receiveExchange takes in a frame of an exchange, and tells whether it is one. Questions are put by for the exchanger.
 func (m *Members) receiveExchange(b []byte) bool {
-	var q any
+	var question any
 	var err error
 	switch {
 	case len(b) == 0:
 		return false
 	case b[0] == askForm:
-		q, err = decodeAsk(b)
+		question, err = decodeAsk(b)
 	case b[0] == wantForm:
-		q, err = decodeWants(b)
+		question, err = decodeWants(b)
 	case b[0] == deltaForm:
 		err = unpack(b[1:], func(f []byte) {
 			if len(f) > 0 && f[0] == updateForm {
@@ -123,9 +123,9 @@
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		m.counts.Malformed++
-	} else if q != nil {
+	} else if question != nil {
 		select {
-		case m.questions <- q:
+		case m.questions <- question:
 		default:
 			m.countSendLimited()
 		}
--- a/internal/sidecar/members/frame.go
+++ b/internal/sidecar/members/frame.go
@@ -33,7 +33,7 @@
 	madeAt       time.Duration // when it was told, by the clock of the origin's process, from 0 at its start
 	forwardedAge time.Duration // its age when this copy was sent, as far as those who passed it on held it
 	payload      []byte
-	key          uint64   // see id; of a state that is held, as is
+	key          uint64   // see hash; of a state that is held, as is
 	offset       *float64 // that of its process, see states
 }
 
@@ -83,11 +83,12 @@
 	rest := b[headerBytes:]
 	var stamp uint64
 	for _, to := range []*uint64{&f.seq, &stamp} {
-		n := 0
-		if *to, n = binary.Uvarint(rest); n <= 0 {
+		value, size := binary.Uvarint(rest)
+		if size <= 0 {
 			return f, errMalformed
 		}
-		rest = rest[n:]
+		*to = value
+		rest = rest[size:]
 	}
 	if len(rest) < 1 || stamp > uint64(1<<63-1)/uint64(time.Microsecond) || f.start <= 0 {
 		return f, errMalformed
--- a/internal/sidecar/members/join.go
+++ b/internal/sidecar/members/join.go
@@ -53,24 +53,24 @@
 	} else if err != nil {
 		return err
 	}
-	c := memberlist.DefaultLANConfig()
-	c.Name, c.Transport, c.Logger, c.Label = m.ownNode, t, logger, label
-	c.BindAddr, c.BindPort = host, t.port()
-	c.AdvertiseAddr, c.AdvertisePort = host, c.BindPort
+	config := memberlist.DefaultLANConfig()
+	config.Name, config.Transport, config.Logger, config.Label = m.ownNode, t, logger, label
+	config.BindAddr, config.BindPort = host, t.port()
+	config.AdvertiseAddr, config.AdvertisePort = host, config.BindPort
 	if m.options.Advertise != "" {
-		if c.AdvertiseAddr, c.AdvertisePort, err = splitAddress(m.options.Advertise); err != nil {
+		if config.AdvertiseAddr, config.AdvertisePort, err = splitAddress(m.options.Advertise); err != nil {
 			return errors.Join(err, t.Shutdown())
 		}
 	}
-	c.Delegate, c.Events = m, m
-	c.ProbeInterval, c.ProbeTimeout, c.SuspicionMult = probeInterval, probeTimeout, suspicionMult
-	c.GossipInterval, c.GossipNodes, c.GossipToTheDeadTime = gossipInterval, gossipNodes, gossipToDeadTime
-	c.PushPullInterval, c.TCPTimeout = pushPullInterval, streamTimeout
-	c.EnableCompression = false // of packets that are small
+	config.Delegate, config.Events = m, m
+	config.ProbeInterval, config.ProbeTimeout, config.SuspicionMult = probeInterval, probeTimeout, suspicionMult
+	config.GossipInterval, config.GossipNodes, config.GossipToTheDeadTime = gossipInterval, gossipNodes, gossipToDeadTime
+	config.PushPullInterval, config.TCPTimeout = pushPullInterval, streamTimeout
+	config.EnableCompression = false // of packets that are small
 	m.mu.Lock()
 	m.net = t
 	m.mu.Unlock()
-	list, err := memberlist.Create(c)
+	list, err := memberlist.Create(config)
 	if err != nil {
 		return errors.Join(err, t.Shutdown())
 	}
@@ -91,47 +91,60 @@
 
 // runJoin listens, where that is not done, and joins others, until the member ends. Once nobody is missing it waits until
 // somebody is. Danger: all that lost sight of each other together would try again together; so the pauses are drawn.
-func (m *Members) runJoin(listening bool) {
+func (m *Members) runJoin(isListening bool) {
 	defer m.goroutines.Done()
 	pauses := backoff.NewExponentialBackOff()
 	pauses.InitialInterval, pauses.MaxInterval, pauses.RandomizationFactor = 100*time.Millisecond, 10*time.Second, 0.5
 	for {
-		if !listening {
-			if err := m.listen(); err == nil {
-				listening = true
-				pauses.Reset()
-			} else if !errors.Is(err, errInUse) {
+		if !isListening {
+			err := m.listen()
+			if err != nil && !errors.Is(err, errInUse) {
 				m.options.Log.Error("members", "err", err)
 				return
 			}
-			pauses.MaxInterval = 200 * time.Millisecond
-		}
-		var woken <-chan struct{}
-		var wait <-chan time.Time
-		if listening {
-			pauses.MaxInterval = max(4*time.Second, retryDelayPerMember*time.Duration(m.count()))
-			if missing, later := m.missing(); len(missing) == 0 {
-				pauses.Reset()
-				woken = m.wakeJoiner
-				if later {
-					wait = time.After(rejoinDelay)
-				}
-			} else if m.tryJoin(missing) {
+			if err == nil {
+				isListening = true
 				pauses.Reset()
 			}
+			pauses.MaxInterval = 200 * time.Millisecond
 		}
-		if woken == nil { // somebody is missing
-			wait = time.After(pauses.NextBackOff())
-		}
-		select {
-		case <-woken:
-		case <-wait:
-		case <-m.ctx.Done():
+		if !m.joinAndWait(pauses, isListening) {
 			return
 		}
 	}
 }
 
+// joinAndWait joins the members that are missing, and waits until it is to be tried again. It tells false once the member ends.
+func (m *Members) joinAndWait(pauses *backoff.ExponentialBackOff, isListening bool) bool {
+	var woken <-chan struct{}
+	var wait <-chan time.Time
+	if isListening {
+		pauses.MaxInterval = max(4*time.Second, retryDelayPerMember*time.Duration(m.count()))
+		missing, later := m.missing()
+		switch {
+		case len(missing) == 0:
+			pauses.Reset()
+			woken = m.wakeJoiner
+			if later {
+				wait = time.After(rejoinDelay)
+			}
+		case m.tryJoin(missing):
+			pauses.Reset()
+		}
+	}
+	if woken == nil { // somebody is missing
+		wait = time.After(pauses.NextBackOff())
+	}
+	select {
+	case <-woken:
+		return true
+	case <-wait:
+		return true
+	case <-m.ctx.Done():
+		return false
+	}
+}
+
 // missing are addresses of members that may be there but are not seen: of processes that are lost, and those to join at
 // which nobody is known. later tells of some that were lost just now. The host of the latter counts only where no host is reached in place of it.
 func (m *Members) missing() (at []string, later bool) {
@@ -142,11 +155,13 @@
 		there[n.address] = true
 	}
 	for name, l := range m.lost {
-		if parse(name).start < m.members[parse(name).name] || there[l.address] {
-			delete(m.lost, name) // its successor is there
-		} else if time.Since(l.at) >= rejoinDelay {
+		hasSuccessor := parse(name).start < m.members[parse(name).name]
+		switch {
+		case hasSuccessor || there[l.address]:
+			delete(m.lost, name)
+		case time.Since(l.at) >= rejoinDelay:
 			at = append(at, l.address)
-		} else {
+		default:
 			later = true
 		}
 	}
--- a/internal/sidecar/members/members.go
+++ b/internal/sidecar/members/members.go
@@ -1,18 +1,30 @@
-// Package members lets sidecars know each other: who is there, what place each has, and the newest of what each has to say.
-// It carries news and does not judge what it means. Membership and gossip are hashicorp/memberlist's (SWIM with Lifeguard).
+// Package members lets sidecars know each other: who is a member, which index each has, and the newest state of each. It
+// carries updates of these states and does not judge what they mean. Membership and gossip are hashicorp/memberlist's (SWIM with
+// Lifeguard).
 //
-// Promises, with members that tell the truth about themselves:
-//   - A member that dies is out of the others' views within about 2 s, from 20 to 300 members; one that leaves, within
-//     1 s more than its farewell takes, unless its successor is there by then.
-//   - Two members with the same epoch hold the same set, hence the same places. An epoch never goes down.
-//   - News is told newest first for each origin and kind, never older than the bound, and only of members' own processes.
+// # Terms
+//
+//   - A member is a sidecar by its name; its processes follow each other, each with a later start.
+//   - A view is the set of members as one of them sees it, with its epoch. A state is what an origin (a member) published last of
+//     one kind; an update is a state on its way.
+//   - A frame is the encoded form of an update, a claim (of an epoch) or a farewell.
+//
+// # Invariants
+//
+// With members that tell the truth about themselves:
+//
+//   - A member that dies is out of the others' views within about 2 s, from 20 to 300 members; one that leaves, within 1 s more
+//     than its farewell takes, unless its successor is there by then.
+//   - Two members with the same epoch have the same set, hence the same indexes. An epoch never goes down.
+//   - Updates come newest first for each origin and kind, never older than the TTL, and only of members' own processes.
 //   - Old and new process of an upgrade are one member. The old one's farewell does not take the new one out.
 //
-// Not promised: members are not authenticated. Whoever can reach a member's port can join, and say what it likes in the name
-// of another; a forged state of a member is seen, and overruled, by that member only.
+// Members are not authenticated. Whoever can reach a member's port can join, and state what it likes in the name of another; a
+// forged state of a member is seen, and overruled, by that member only.
 package members
 
 import (
+	"cmp"
 	"context"
 	"errors"
 	"fmt"
@@ -144,48 +156,54 @@
 }
 
 // New checks the options. The member knows nobody until Start.
-func New(o Options) (*Members, error) {
-	if len(o.Name) < 1 || len(o.Name) > MaxNameBytes {
-		return nil, fmt.Errorf("name: %q has not 1 to %d bytes", o.Name, MaxNameBytes)
-	}
-	for _, a := range []struct{ field, address string }{{"listen", o.Listen}, {"advertise", o.Advertise}} {
-		if a.field == "advertise" && a.address == "" {
-			continue
-		}
-		if _, _, err := splitAddress(a.address); err != nil {
-			return nil, fmt.Errorf("%s: %w", a.field, err)
-		}
-	}
-	for _, a := range o.Join {
-		if _, _, err := net.SplitHostPort(a); err != nil {
-			return nil, fmt.Errorf("join: %w", err)
-		}
-	}
-	if o.Reach != "" && net.ParseIP(o.Reach) == nil {
-		return nil, fmt.Errorf("reach: %q is no IP address", o.Reach)
-	}
-	if o.TTL < 0 {
-		return nil, fmt.Errorf("bound: %v is negative", o.TTL)
-	}
-	if o.TTL == 0 {
-		o.TTL = DefaultTTL
+func New(options Options) (*Members, error) {
+	if err := options.check(); err != nil {
+		return nil, err
 	}
-	if o.Log == nil {
-		o.Log = slog.New(slog.DiscardHandler)
+	options.TTL = cmp.Or(options.TTL, DefaultTTL)
+	if options.Log == nil {
+		options.Log = slog.New(slog.DiscardHandler)
 	}
 	now := time.Now()
-	m := &Members{options: o, start: now.UnixNano(), startedAt: now, listening: make(chan struct{}),
+	m := &Members{options: options, start: now.UnixNano(), startedAt: now, listening: make(chan struct{}),
 		wakeWorker: make(chan struct{}, 1), wakeJoiner: make(chan struct{}, 1),
 		nodes: map[string]*node{}, members: map[string]int64{}, leaving: map[string]leavingProcess{}, lost: map[string]lostProcess{},
 		states: newStates(), pending: map[stateKey]struct{}{}, budgets: map[string]*byteBudget{}, questions: make(chan any, maxQuestions)}
-	m.ownNode = process{o.Name, m.start}.node()
+	m.ownNode = process{options.Name, m.start}.node()
 	m.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: retransmitMult, NumNodes: m.count}
-	m.nodes[m.ownNode] = &node{process: process{o.Name, m.start}}
+	m.nodes[m.ownNode] = &node{process: process{options.Name, m.start}}
 	m.updateView()
 	m.notifiedEpoch = m.view.Epoch
 	return m, nil
 }
 
+// check returns what is wrong with the options, naming the setting.
+func (o Options) check() error {
+	if len(o.Name) < 1 || len(o.Name) > MaxNameBytes {
+		return fmt.Errorf("name: %q has not 1 to %d bytes", o.Name, MaxNameBytes)
+	}
+	if _, _, err := splitAddress(o.Listen); err != nil {
+		return fmt.Errorf("listen: %w", err)
+	}
+	if o.Advertise != "" {
+		if _, _, err := splitAddress(o.Advertise); err != nil {
+			return fmt.Errorf("advertise: %w", err)
+		}
+	}
+	for _, address := range o.Join {
+		if _, _, err := net.SplitHostPort(address); err != nil {
+			return fmt.Errorf("join: %w", err)
+		}
+	}
+	if o.Reach != "" && net.ParseIP(o.Reach) == nil {
+		return fmt.Errorf("reach: %q is no IP address", o.Reach)
+	}
+	if o.TTL < 0 {
+		return fmt.Errorf("bound: %v is negative", o.TTL)
+	}
+	return nil
+}
+
 // splitAddress is an IP address and port.
 func splitAddress(address string) (host string, port int, err error) {
 	host, service, err := net.SplitHostPort(address)
@@ -240,7 +258,7 @@
 }
 
 // Publish has the payload be this member's state of a kind, in place of the last one. The payload is not to be changed after.
-// A member that tells more than its share (see share: 640 bytes a second at 300 members, heads included) tells its newest
+// A member that tells more than its share (see originShare: 640 bytes a second at 300 members, heads included) tells its newest
 // later, and what is replaced before its turn not at all.
 func (m *Members) Publish(kind uint8, payload []byte) error {
 	if kind >= MaxKinds || len(payload) > MaxPayloadBytes {
