--- a/internal/sidecar/client/listsubscriber.go
+++ b/internal/sidecar/client/listsubscriber.go
@@ -239,7 +239,7 @@
 		return list.List{}, err
 	}
 	defer func() { _ = body.Close() }()
-	text, err := io.ReadAll(io.LimitReader(body, list.MostText))
+	text, err := io.ReadAll(io.LimitReader(body, list.MaxListBytes))
 	if err != nil {
 		return list.List{}, err
 	}
--- a/internal/sidecar/client/reader.go
+++ b/internal/sidecar/client/reader.go
@@ -169,7 +169,7 @@
 		r.deletedBootMS[target.UID] = target.BootMS
 		return known
 	}
-	if known && !old.Changed(target) {
+	if known && !old.Differs(target) {
 		return false
 	}
 	r.targets[target.UID] = target
--- a/internal/sidecar/client/rotation.go
+++ b/internal/sidecar/client/rotation.go
@@ -24,7 +24,7 @@
 	maxWatchBackoff = 5 * time.Second // so that a fleet comes back to its nodes over some seconds
 	maxRefusalBytes = 4096            // of the text of a refusal, for the log
 	defaultMaxAge   = 2500 * time.Millisecond
-	watchTimeout    = list.Silence // without a line, after which a watch is lost; nodes write one every second
+	watchTimeout    = list.WatchTimeout // without a line, after which a watch is lost; nodes write one every second
 )
 
 // rotation goes from node to node for a subscriber: it watches one until the watch ends or is of no use, and then the next. Its fields are those of
@@ -266,7 +266,7 @@
 		}
 	}
 	scanner := bufio.NewScanner(body)
-	scanner.Buffer(nil, list.MostText)
+	scanner.Buffer(nil, list.MaxListBytes)
 	for scanner.Scan() {
 		if !send(line{text: bytes.Clone(bytes.TrimSpace(scanner.Bytes()))}) {
 			return
--- a/internal/sidecar/registry/watch.go
+++ b/internal/sidecar/registry/watch.go
@@ -140,9 +140,9 @@
 	header.Set("Content-Type", "application/json")
 	header.Set("Cache-Control", "no-store")
 	w.WriteHeader(http.StatusOK)
-	interval := list.Heartbeat * 3 / 4 // so that it arrives in time over a slow network
+	interval := list.HeartbeatInterval * 3 / 4 // so that it arrives in time over a slow network
 	if withAges {
-		interval = list.AgeBeat
+		interval = list.AgeInterval
 	}
 	return &watchStream{n: n, w: w, r: r, heartbeat: time.NewTicker(interval)}
 }
--- a/internal/sidecar/state/servers.go
+++ b/internal/sidecar/state/servers.go
@@ -51,7 +51,7 @@
 		entry.Reason = ""
 	}
 	registration.State = entry.State // a registration always says SERVING, which is no difference
-	changed := entry.State != next || wasRestored || entry.Changed(registration.Target)
+	changed := entry.State != next || wasRestored || entry.Differs(registration.Target)
 	entry.Registration = registration
 	if changed {
 		m.recordChange(entry, next, result)
--- a/internal/sidecar/state/state.go
+++ b/internal/sidecar/state/state.go
@@ -173,8 +173,8 @@
 
 // foundCluster sets the id of the cluster, once: a later command keeps the first id and is no error.
 func (m *Machine) foundCluster(id string) *Error {
-	if id == "" || len(id) > list.MostName {
-		return refuse(Invalid, "a cluster needs an id of at most %d bytes", list.MostName)
+	if id == "" || len(id) > list.MaxNameBytes {
+		return refuse(Invalid, "a cluster needs an id of at most %d bytes", list.MaxNameBytes)
 	}
 	if m.cluster == "" {
 		m.cluster = id
@@ -183,7 +183,7 @@
 }
 
 func checkNodeName(n *Node) *Error {
-	if n == nil || n.Name == "" || len(n.Name) > list.MostName {
+	if n == nil || n.Name == "" || len(n.Name) > list.MaxNameBytes {
 		return refuse(Invalid, "a keeper needs a name")
 	}
 	return nil
