--- a/cmd/gradeusher/admin_backup.go
+++ b/cmd/gradeusher/admin_backup.go
@@ -27,7 +27,7 @@
 		return err
 	}
 	fmt.Fprintf(s.out, "%d bytes in %s\n", len(data), c.File)
-	describe(s.out, state)
+	printState(s.out, state)
 	return nil
 }
 
@@ -56,10 +56,10 @@
 		}
 		fmt.Fprintf(s.out, "restored into %s\n", c.To)
 	}
-	describe(s.out, state)
+	printState(s.out, state)
 	return nil
 }
 
-func describe(w io.Writer, s *controlstate.State) {
+func printState(w io.Writer, s *controlstate.State) {
 	fmt.Fprintf(w, "record %d, revision %d, evacuated zones: %s\n", s.Seq, s.Revision(), orNone(admin.EvacuatedZones(s)))
 }
--- a/cmd/gradeusher/admin_status.go
+++ b/cmd/gradeusher/admin_status.go
@@ -25,13 +25,13 @@
 func (c systemStatusCommand) Run(ctx context.Context, s streams) error {
 	var client admin.Client
 	if c.Wait != "" {
-		return c.wait(ctx, s, &client)
+		return c.waitForChange(ctx, s, &client)
 	}
 	f, err := client.Fleet(ctx, c.Keepers)
 	if err != nil {
 		return err
 	}
-	if err := c.print(s.out, f); err != nil {
+	if err := c.printFleet(s.out, f); err != nil {
 		return err
 	}
 	if !f.Current() {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-func (c systemStatusCommand) wait(ctx context.Context, s streams, client *admin.Client) error {
+func (c systemStatusCommand) waitForChange(ctx context.Context, s streams, client *admin.Client) error {
 	change, err := admin.ParseChange(c.Wait)
 	if err != nil {
 		return fmt.Errorf("%w: --wait: %w", errUsage, err)
@@ -55,7 +55,7 @@
 	defer cancel()
 	f, err := client.Wait(ctx, c.Keepers, change)
 	if f != nil && c.JSON {
-		if err := c.print(s.out, f); err != nil {
+		if err := c.printFleet(s.out, f); err != nil {
 			return err
 		}
 	}
@@ -68,7 +68,7 @@
 	return nil
 }
 
-func (c systemStatusCommand) print(w io.Writer, f *admin.Fleet) error {
+func (c systemStatusCommand) printFleet(w io.Writer, f *admin.Fleet) error {
 	if c.JSON {
 		return json.NewEncoder(w).Encode(f)
 	}
@@ -86,7 +86,7 @@
 		fmt.Fprintf(w, "voter %-15s %s, %s: %s\n", v.Address, v.Zone, v.Region, place)
 	}
 	for _, a := range f.Nodes {
-		printKeeper(w, a)
+		printNode(w, a)
 	}
 	for _, p := range f.Proxies {
 		behind := "newest"
@@ -106,16 +106,16 @@
 		return
 	}
 	fmt.Fprintf(w, "tolerance: %s, %d of %d voters (%d silent), %d links (%d needed), %d observers\n",
-		either(have.ToleranceMet, "borne", "NOT borne"), have.Voters, have.VotersDesired, have.VotersTimedOut, have.ChainReplicas, have.ChainReplicasRequired, have.Observers)
+		choose(have.ToleranceMet, "borne", "NOT borne"), have.Voters, have.VotersDesired, have.VotersTimedOut, have.ChainReplicas, have.ChainReplicasRequired, have.Observers)
 }
 
-func printKeeper(w io.Writer, a admin.NodeAnswer) {
+func printNode(w io.Writer, a admin.NodeAnswer) {
 	s := a.Status
 	if s == nil {
 		fmt.Fprintf(w, "keeper %-21s %s\n", a.Address, a.Error)
 		return
 	}
-	at := fmt.Sprintf("%s: %s, view %d, record %d, revision %d", s.Node, either(s.Current, "current", "NOT current"), s.Epoch, s.Number, s.Revision)
+	at := fmt.Sprintf("%s: %s, view %d, record %d, revision %d", s.Node, choose(s.Current, "current", "NOT current"), s.Epoch, s.Number, s.Revision)
 	if s.Observer {
 		fmt.Fprintf(w, "observer %-19s %s, no disk, no vote\n", a.Address, at)
 		return
--- a/cmd/gradeusher/admin_test.go
+++ b/cmd/gradeusher/admin_test.go
@@ -15,14 +15,14 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// staffed is a keeper's control address and a proxy's inner one, at one address.
-func staffed(t *testing.T, current bool) (address string, state *controlstate.State) {
+// newAdminServer is a keeper's control address and a proxy's inner one, at one address.
+func newAdminServer(t *testing.T, current bool) (address string, state *controlstate.State) {
 	t.Helper()
-	return staffedWith(t, admin.NodeStatus{Current: current})
+	return newAdminServerWith(t, admin.NodeStatus{Current: current})
 }
 
-// staffedWith fills in what the status leaves open.
-func staffedWith(t *testing.T, status admin.NodeStatus) (address string, state *controlstate.State) {
+// newAdminServerWith fills in what the status leaves open.
+func newAdminServerWith(t *testing.T, status admin.NodeStatus) (address string, state *controlstate.State) {
 	t.Helper()
 	status.Version, status.Node, status.Epoch, status.Chain = admin.Version, "n", 3, []string{"127.0.0.1"}
 	status.Voters = []admin.Voter{{Address: "127.0.0.1", Zone: "hall", Region: "town"}}
@@ -46,7 +46,7 @@
 	return server.Listener.Addr().String(), state
 }
 
-func runIn(args ...string) (code int, out, said string) {
+func runCommand(args ...string) (code int, out, said string) {
 	var stdout, stderr bytes.Buffer
 	code = run(args, streams{strings.NewReader(""), &stdout, &stderr, func(string) string { return "" }})
 	return code, stdout.String(), stderr.String()
@@ -54,8 +54,8 @@
 
 func TestSystemStatus(t *testing.T) {
 	t.Parallel()
-	address, _ := staffed(t, true)
-	code, out, said := runIn("system", "status", address)
+	address, _ := newAdminServer(t, true)
+	code, out, said := runCommand("system", "status", address)
 	if code != 0 {
 		t.Fatal(code, said)
 	}
@@ -65,13 +65,13 @@
 			t.Errorf("%q is not in:\n%s", want, out)
 		}
 	}
-	code, out, said = runIn("system", "status", "--json", address)
+	code, out, said = runCommand("system", "status", "--json", address)
 	var f admin.Fleet
 	if err := json.Unmarshal([]byte(out), &f); code != 0 || err != nil || f.Epoch != 3 || f.Version != admin.Version {
 		t.Error(code, said, err, f)
 	}
-	stale, _ := staffed(t, false)
-	if code, out, said := runIn("system", "status", stale); code != exitBroken || !strings.Contains(out, "NOT current") {
+	stale, _ := newAdminServer(t, false)
+	if code, out, said := runCommand("system", "status", stale); code != exitFailure || !strings.Contains(out, "NOT current") {
 		t.Error(code, out, said)
 	}
 }
@@ -87,14 +87,14 @@
 		code      int
 		out, said string
 	}{
-		{admin.NodeStatus{Current: true, Capacity: &short}, exitBroken,
+		{admin.NodeStatus{Current: true, Capacity: &short}, exitFailure,
 			"\ntolerance: NOT borne, 3 of 5 voters (1 silent), 3 links (3 needed), 2 observers\n", "[tolerance] names: " + remedy + "\n"},
 		{admin.NodeStatus{Current: true, Capacity: &whole}, 0, "\ntolerance: borne, 5 of 5 voters (0 silent), 5 links (3 needed), 0 observers\n", ""},
-		{admin.NodeStatus{Capacity: &short}, exitBroken, " n: NOT current,", "no keeper is current"},
+		{admin.NodeStatus{Capacity: &short}, exitFailure, " n: NOT current,", "no keeper is current"},
 		{admin.NodeStatus{Current: true, Observer: true, Capacity: &whole}, 0, "\nobserver 127.0.0.1:", ""},
 	} {
-		address, _ := staffedWith(t, c.status)
-		code, out, said := runIn("system", "status", address)
+		address, _ := newAdminServerWith(t, c.status)
+		code, out, said := runCommand("system", "status", address)
 		if code != c.code || !strings.Contains(out, c.out) || !strings.Contains(said, c.said) || (said == "") != (c.said == "") {
 			t.Errorf("%+v: exit %d, %s%s", c.status, code, out, said)
 		}
@@ -103,7 +103,7 @@
 
 func TestSystemStatusWait(t *testing.T) {
 	t.Parallel()
-	address, _ := staffed(t, true)
+	address, _ := newAdminServer(t, true)
 	for _, c := range []struct {
 		change, length string
 		code           int
@@ -111,12 +111,12 @@
 	}{
 		{"number:1", "10s", 0, "record 1 is in force at 1 keepers and 1 proxies"},
 		{"1", "10s", 0, "record 1 is in force"},
-		{"number:2", "50ms", exitBroken, "missing: keeper n, at record 1; proxy edge, at record 1"},
-		{"revision:1", "50ms", exitBroken, "missing: revision 1 at any keeper"},
+		{"number:2", "50ms", exitFailure, "missing: keeper n, at record 1; proxy edge, at record 1"},
+		{"revision:1", "50ms", exitFailure, "missing: revision 1 at any keeper"},
 		{"epoch:1", "1s", exitUsage, "number:N or revision:N"},
 		{"1", "2h", exitUsage, "--for"},
 	} {
-		code, out, said := runIn("system", "status", address, "--wait", c.change, "--for", c.length)
+		code, out, said := runCommand("system", "status", address, "--wait", c.change, "--for", c.length)
 		if code != c.code || !strings.Contains(out+said, c.text) {
 			t.Errorf("%s: exit %d, %s%s", c.change, code, out, said)
 		}
@@ -125,7 +125,7 @@
 
 func TestSystemWhy(t *testing.T) {
 	t.Parallel()
-	address, _ := staffed(t, true)
+	address, _ := newAdminServer(t, true)
 	for _, c := range []struct {
 		args []string
 		code int
@@ -133,9 +133,9 @@
 	}{
 		{nil, 0, "\ns-1 m hall: evacuated\n"},
 		{[]string{"s-1"}, 0, "\ns-1 m hall: evacuated\n"},
-		{[]string{"s-2"}, exitBroken, `server "s-2" is not on the list`},
+		{[]string{"s-2"}, exitFailure, `server "s-2" is not on the list`},
 	} {
-		code, out, said := runIn(append([]string{"system", "why", address}, c.args...)...)
+		code, out, said := runCommand(append([]string{"system", "why", address}, c.args...)...)
 		if code != c.code || !strings.Contains(out+said, c.text) || !strings.Contains(out, "proxy n: ready, ") {
 			t.Errorf("%v: exit %d, %s%s", c.args, code, out, said)
 		}
@@ -144,7 +144,7 @@
 
 func TestSystemBackupAndRestore(t *testing.T) {
 	t.Parallel()
-	address, state := staffed(t, true)
+	address, state := newAdminServer(t, true)
 	file, dir := filepath.Join(t.TempDir(), "backup"), filepath.Join(t.TempDir(), "data")
 	const holds = "record 1, revision 0, evacuated zones: hall\n"
 	for _, c := range []struct {
@@ -153,17 +153,17 @@
 		text string
 	}{
 		{[]string{"backup", file, "--from", address}, 0, holds},
-		{[]string{"backup", file, "--from", address}, exitBroken, "name another file"},
+		{[]string{"backup", file, "--from", address}, exitFailure, "name another file"},
 		{[]string{"restore", file}, 0, holds},
 		{[]string{"restore", file, "--to", dir}, 0, "restored into " + dir + "\n" + holds},
-		{[]string{"restore", file, "--to", dir}, exitBroken, "empty data directory"},
+		{[]string{"restore", file, "--to", dir}, exitFailure, "empty data directory"},
 		{[]string{"backup", file + "2", "--disk", dir}, 0, holds},
-		{[]string{"backup", file + "3", "--disk", file}, exitBroken, "no data directory of a keeper"},
+		{[]string{"backup", file + "3", "--disk", file}, exitFailure, "no data directory of a keeper"},
 		{[]string{"backup", file + "3"}, exitUsage, "--from"},
 		{[]string{"backup", file + "3", "--disk", dir, "--from", address}, exitUsage, "--from"},
-		{[]string{"restore", dir, "--to", dir}, exitBroken, "cannot be read"},
+		{[]string{"restore", dir, "--to", dir}, exitFailure, "cannot be read"},
 	} {
-		if code, out, said := runIn(append([]string{"system"}, c.args...)...); code != c.code || !strings.Contains(out+said, c.text) {
+		if code, out, said := runCommand(append([]string{"system"}, c.args...)...); code != c.code || !strings.Contains(out+said, c.text) {
 			t.Errorf("%v: exit %d, %s%s", c.args, code, out, said)
 		}
 	}
--- a/cmd/gradeusher/admin_why.go
+++ b/cmd/gradeusher/admin_why.go
@@ -25,8 +25,8 @@
 	if c.JSON {
 		return json.NewEncoder(s.out).Encode(p)
 	}
-	fmt.Fprintf(s.out, "proxy %s: %s, %s, record %d, revision %d, evacuated zones: %s\n", p.Node, either(p.Ready, "ready", "NOT ready"),
-		either(p.Fresh, "fresh", "NOT fresh"), p.Number, p.Revision, orNone(p.Evacuated))
+	fmt.Fprintf(s.out, "proxy %s: %s, %s, record %d, revision %d, evacuated zones: %s\n", p.Node, choose(p.Ready, "ready", "NOT ready"),
+		choose(p.Fresh, "fresh", "NOT fresh"), p.Number, p.Revision, orNone(p.Evacuated))
 	if p.ListAgeMS < 0 {
 		fmt.Fprintln(s.out, "no list of servers has come")
 	} else {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-func either(is bool, yes, no string) string {
+func choose(is bool, yes, no string) string {
 	if is {
 		return yes
 	}
--- a/cmd/gradeusher/hitters_test.go
+++ b/cmd/gradeusher/hitters_test.go
@@ -11,7 +11,7 @@
 func TestHeavyClients(t *testing.T) {
 	t.Parallel()
 	c := newCommand(t, "lab", "run", "testdata/hitters.toml", "--json")
-	code := c.ends(t)
+	code := c.waitForExit(t)
 	var r lab.Result
 	if err := json.Unmarshal(c.out.Bytes(), &r); err != nil {
 		t.Fatalf("exit %d, %v: %s", code, err, &c.err)
--- a/cmd/gradeusher/lab.go
+++ b/cmd/gradeusher/lab.go
@@ -13,33 +13,33 @@
 )
 
 type labCommand struct {
-	Run     labRun     `cmd:"" help:"Run one experiment. Exit 0: all held; 1: not; 2: bad file or usage."`
-	List    labList    `cmd:"" help:"List the experiments of a folder, with the sentence that each states."`
-	Compare labCompare `cmd:"" help:"Hold two experiments, or two folders with reports, against each other."`
-	Trace   labTrace   `cmd:"" help:"Show what clients and servers saw of one request."`
+	Run     labRunCommand     `cmd:"" help:"Run one experiment. Exit 0: all held; 1: not; 2: bad file or usage."`
+	List    labListCommand    `cmd:"" help:"List the experiments of a folder, with the sentence that each states."`
+	Compare labCompareCommand `cmd:"" help:"Hold two experiments, or two folders with reports, against each other."`
+	Trace   labTraceCommand   `cmd:"" help:"Show what clients and servers saw of one request."`
 }
 
-type labRun struct {
+type labRunCommand struct {
 	File string `arg:"" help:"The experiment, a TOML file."`
 	Seed uint64 `help:"Draws the fleet, the arrivals and the targets of faults." default:"1"`
 	Out  string `help:"Folder for report.json, report.html and the logs of each process."`
 	JSON bool   `help:"Print the report as JSON." name:"json"`
 }
 
-// selfEnv is what the command is told besides when it starts itself as another process: nothing, but in tests.
-var selfEnv []string
+// childEnv is what the command is told besides when it starts itself as another process: nothing, but in tests.
+var childEnv []string
 
-// experiment runs a file once.
-func experiment(ctx context.Context, file string, seed uint64, out string) (*lab.Result, error) {
+// runExperimentFile runs a file once.
+func runExperimentFile(ctx context.Context, file string, seed uint64, out string) (*lab.Result, error) {
 	f, err := plan.LoadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	return play(ctx, f, seed, lab.Options{Out: out})
+	return runExperiment(ctx, f, seed, lab.Options{Out: out})
 }
 
-// play runs what a file says once.
-func play(ctx context.Context, f *plan.File, seed uint64, o lab.Options) (*lab.Result, error) {
+// runExperiment runs what a file says once.
+func runExperiment(ctx context.Context, f *plan.File, seed uint64, o lab.Options) (*lab.Result, error) {
 	p, err := plan.Make(f, seed)
 	if err != nil {
 		return nil, err
@@ -48,13 +48,13 @@
 	if err != nil {
 		return nil, err
 	}
-	o.Self = lab.Self{Path: path, Env: selfEnv}
+	o.Self = lab.Self{Path: path, Env: childEnv}
 	return lab.Run(ctx, p, o)
 }
 
 // Run runs it.
-func (c labRun) Run(ctx context.Context, s streams) error {
-	r, err := experiment(ctx, c.File, c.Seed, c.Out)
+func (c labRunCommand) Run(ctx context.Context, s streams) error {
+	r, err := runExperimentFile(ctx, c.File, c.Seed, c.Out)
 	if err != nil {
 		return err
 	}
@@ -73,18 +73,18 @@
 		lab.Print(s.out, r)
 	}
 	if len(r.Broken()) > 0 || r.BrokenOff {
-		return errBroken
+		return errReported
 	}
 	return nil
 }
 
-type labList struct {
+type labListCommand struct {
 	Folder string `arg:"" help:"Folder with experiments." default:"lab"`
 	JSON   bool   `help:"Print as JSON." name:"json"`
 }
 
 // Run lists them.
-func (c labList) Run(s streams) error {
+func (c labListCommand) Run(s streams) error {
 	paths, err := filepath.Glob(filepath.Join(c.Folder, "*.toml"))
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
@@ -113,7 +113,7 @@
 	return nil
 }
 
-type labCompare struct {
+type labCompareCommand struct {
 	A      string `arg:"" help:"An experiment file, or a folder with report.json."`
 	B      string `arg:"" help:"Another."`
 	Repeat int    `help:"Runs of each, one after the other in turn, with rising seeds." default:"1"`
@@ -121,18 +121,18 @@
 	JSON   bool   `help:"Print as JSON." name:"json"`
 }
 
-const mostRepeat = 100
+const maxRepeats = 100
 
 // Run compares. Files are run in turn, so that whatever else the machine does falls on both.
-func (c labCompare) Run(ctx context.Context, s streams) error {
-	if c.Repeat < 1 || c.Repeat > mostRepeat {
-		return fmt.Errorf("%w: --repeat %d is not within 1 to %d", errUsage, c.Repeat, mostRepeat)
+func (c labCompareCommand) Run(ctx context.Context, s streams) error {
+	if c.Repeat < 1 || c.Repeat > maxRepeats {
+		return fmt.Errorf("%w: --repeat %d is not within 1 to %d", errUsage, c.Repeat, maxRepeats)
 	}
 	get := func(path string, seed uint64) (*lab.Result, error) {
 		if info, err := os.Stat(path); err == nil && info.IsDir() {
 			return lab.ReadReport(path)
 		}
-		return experiment(ctx, path, seed, "")
+		return runExperimentFile(ctx, path, seed, "")
 	}
 	var a, b []*lab.Result
 	void := 0
@@ -164,19 +164,19 @@
 	lab.PrintCompared(s.out, all)
 	if void > 0 {
 		fmt.Fprintf(s.out, "%d runs are void: the lab was late\n", void)
-		return errBroken
+		return errReported
 	}
 	return nil
 }
 
-type labTrace struct {
+type labTraceCommand struct {
 	Folder string `arg:"" help:"The folder that lab run wrote (--out)."`
 	ID     string `arg:"" help:"The request, as a broken invariant names it."`
 	JSON   bool   `help:"Print as JSON." name:"json"`
 }
 
 // Run shows it.
-func (c labTrace) Run(s streams) error {
+func (c labTraceCommand) Run(s streams) error {
 	all, err := lab.Trace(c.Folder, c.ID)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
--- a/cmd/gradeusher/list.go
+++ b/cmd/gradeusher/list.go
@@ -15,12 +15,12 @@
 )
 
 type listCommands struct {
-	Get      listGet      `cmd:"" help:"Print the list of servers."`
-	Watch    listWatch    `cmd:"" help:"Print what changes, until interrupted or --for."`
-	Register listRegister `cmd:"" help:"Put a server on the list."`
-	Drain    listDrain    `cmd:"" help:"Have a server get no new work."`
-	Serve    listServe    `cmd:"" help:"End a drain."`
-	Leave    listLeave    `cmd:"" help:"Remove a server."`
+	Get      listGetCommand      `cmd:"" help:"Print the list of servers."`
+	Watch    listWatchCommand    `cmd:"" help:"Print what changes, until interrupted or --for."`
+	Register listRegisterCommand `cmd:"" help:"Put a server on the list."`
+	Drain    listDrainCommand    `cmd:"" help:"Have a server get no new work."`
+	Serve    listServeCommand    `cmd:"" help:"End a drain."`
+	Leave    listLeaveCommand    `cmd:"" help:"Remove a server."`
 }
 
 func printTargets(w io.Writer, all []list.Target) {
@@ -33,16 +33,16 @@
 	}
 }
 
-type listGet struct {
-	keepersFlag
+type listGetCommand struct {
+	registryFlags
 	UID   string `arg:"" optional:"" help:"Only this server, with its revision."`
 	Exact bool   `help:"Ask the leader: with every write that was acknowledged before."`
 	JSON  bool   `help:"Print as JSON." name:"json"`
 }
 
 // Run prints it.
-func (c listGet) Run(ctx context.Context, s streams) error {
-	return c.call(ctx, func(ctx context.Context, k *client.Client) error {
+func (c listGetCommand) Run(ctx context.Context, s streams) error {
+	return c.withClient(ctx, func(ctx context.Context, k *client.Client) error {
 		if c.UID != "" {
 			e, ok, err := k.Server(ctx, c.UID)
 			if err != nil {
@@ -71,14 +71,14 @@
 	})
 }
 
-type listWatch struct {
+type listWatchCommand struct {
 	Keepers string        `help:"Addresses of keepers, with commas." env:"GRADEUSHER_KEEPERS" required:""`
 	For     time.Duration `help:"How long; at most a day." default:"24h"`
 	JSON    bool          `help:"Print as JSON, an object a line." name:"json"`
 }
 
 // Run prints changes. The watch goes on at another keeper when one is lost.
-func (c listWatch) Run(ctx context.Context, s streams) error {
+func (c listWatchCommand) Run(ctx context.Context, s streams) error {
 	if c.For <= 0 || c.For > 24*time.Hour {
 		return fmt.Errorf("%w: --for %v is not within 1ns to 24h", errUsage, c.For)
 	}
@@ -101,8 +101,8 @@
 	return nil
 }
 
-type listRegister struct {
-	keepersFlag
+type listRegisterCommand struct {
+	registryFlags
 	UID      string        `arg:"" help:"Id of the server."`
 	Endpoint string        `arg:"" help:"IP address and port."`
 	Zone     string        `help:"Its area (az)."`
@@ -116,13 +116,13 @@
 }
 
 // Run registers it, and stays if asked to.
-func (c listRegister) Run(ctx context.Context, s streams) error {
+func (c listRegisterCommand) Run(ctx context.Context, s streams) error {
 	if c.Hold && c.Lease == 0 {
 		return fmt.Errorf("%w: --hold needs --lease", errUsage)
 	}
 	r := list.Registration{Target: list.Target{UID: c.UID, Endpoint: c.Endpoint, Zone: c.Zone, Model: c.Model, PodGroup: c.PodGroup,
 		State: list.Serving, Capacity: &c.Capacity, BootMS: c.BootMS}, LeaseMS: c.Lease.Milliseconds()}
-	err := c.call(ctx, func(ctx context.Context, k *client.Client) error {
+	err := c.withClient(ctx, func(ctx context.Context, k *client.Client) error {
 		d, err := k.Register(ctx, []list.Registration{r}, c.Expect)
 		if err == nil {
 			fmt.Fprintf(s.out, "revision %d\n", d.Revision)
@@ -132,11 +132,11 @@
 	if err != nil || !c.Hold {
 		return err
 	}
-	return c.hold(ctx, r)
+	return c.keepRegistered(ctx, r)
 }
 
-// hold renews a registration until ctx is done, and takes it back.
-func (c listRegister) hold(ctx context.Context, r list.Registration) error {
+// keepRegistered renews a registration until ctx is done, and takes it back.
+func (c listRegisterCommand) keepRegistered(ctx context.Context, r list.Registration) error {
 	k, err := client.New(strings.Split(c.Keepers, ","))
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
@@ -149,14 +149,14 @@
 	return err
 }
 
-// turnCommand is a change to one server.
-type turnCommand struct {
-	keepersFlag
+// serverChange is a change to one server.
+type serverChange struct {
+	registryFlags
 	UID    string `arg:"" help:"Id of the server."`
 	Expect string `help:"Only if its entry is at this revision."`
 }
 
-func (c turnCommand) do(ctx context.Context, s streams, turn client.Action) error {
+func (c serverChange) apply(ctx context.Context, s streams, turn client.Action) error {
 	var expect *int64
 	if c.Expect != "" {
 		n, err := strconv.ParseInt(c.Expect, 10, 64)
@@ -165,7 +165,7 @@
 		}
 		expect = &n
 	}
-	return c.call(ctx, func(ctx context.Context, k *client.Client) error {
+	return c.withClient(ctx, func(ctx context.Context, k *client.Client) error {
 		d, err := k.Change(ctx, turn, c.UID, expect)
 		if err == nil {
 			fmt.Fprintf(s.out, "revision %d\n", d.Revision)
@@ -174,17 +174,23 @@
 	})
 }
 
-type listDrain struct{ turnCommand }
+type listDrainCommand struct{ serverChange }
 
 // Run drains it.
-func (c listDrain) Run(ctx context.Context, s streams) error { return c.do(ctx, s, client.Drain) }
+func (c listDrainCommand) Run(ctx context.Context, s streams) error {
+	return c.apply(ctx, s, client.Drain)
+}
 
-type listServe struct{ turnCommand }
+type listServeCommand struct{ serverChange }
 
 // Run ends the drain.
-func (c listServe) Run(ctx context.Context, s streams) error { return c.do(ctx, s, client.Serve) }
+func (c listServeCommand) Run(ctx context.Context, s streams) error {
+	return c.apply(ctx, s, client.Serve)
+}
 
-type listLeave struct{ turnCommand }
+type listLeaveCommand struct{ serverChange }
 
 // Run removes it.
-func (c listLeave) Run(ctx context.Context, s streams) error { return c.do(ctx, s, client.Deregister) }
+func (c listLeaveCommand) Run(ctx context.Context, s streams) error {
+	return c.apply(ctx, s, client.Deregister)
+}
--- a/cmd/gradeusher/main.go
+++ b/cmd/gradeusher/main.go
@@ -19,20 +19,20 @@
 
 // Exit codes, on which scripts rely.
 const (
-	exitBroken = 1 // an invariant or bar did not hold, or the work failed
-	exitUsage  = 2 // bad usage or a bad file
+	exitFailure = 1 // an invariant or bar did not hold, or the work failed
+	exitUsage   = 2 // bad usage or a bad file
 )
 
 type commands struct {
-	Up      upCommand      `cmd:"" help:"Start a keeper, stand-in servers, two sidecars and light traffic on this machine, and print figures."`
-	Lab     labCommand     `cmd:"" help:"Run experiments with real processes and faults between them."`
-	Keeper  keeperCommand  `cmd:"" help:"Be a keeper of the list, or look after keepers."`
-	List    listCommands   `cmd:"" help:"Read and change the keepers' list of servers."`
-	Duty    dutyCommands   `cmd:"" help:"See, hold, release and move duties, which one process holds at a time."`
-	Status  statusCommand  `cmd:"" help:"Show what each keeper knows: leader, term, revision, age, watchers."`
-	System  systemCommand  `cmd:"" help:"Start, look at, back up and restore the system of proxies and keepers."`
-	Sidecar sidecarCommand `cmd:"" help:"Be a sidecar, configured as bin/sidecar by PROXY_CONFIG and the other variables."`
-	StandIn standInCommand `cmd:"" name:"stand-in" hidden:"" help:"Be a stand-in process of an experiment."`
+	Up      upCommand             `cmd:"" help:"Start a keeper, stand-in servers, two sidecars and light traffic on this machine, and print figures."`
+	Lab     labCommand            `cmd:"" help:"Run experiments with real processes and faults between them."`
+	Keeper  registryCommand       `cmd:"" help:"Be a keeper of the list, or look after keepers."`
+	List    listCommands          `cmd:"" help:"Read and change the keepers' list of servers."`
+	Duty    roleCommands          `cmd:"" help:"See, hold, release and move duties, which one process holds at a time."`
+	Status  registryStatusCommand `cmd:"" help:"Show what each keeper knows: leader, term, revision, age, watchers."`
+	System  systemCommand         `cmd:"" help:"Start, look at, back up and restore the system of proxies and keepers."`
+	Sidecar sidecarCommand        `cmd:"" help:"Be a sidecar, configured as bin/sidecar by PROXY_CONFIG and the other variables."`
+	StandIn standInCommand        `cmd:"" name:"stand-in" hidden:"" help:"Be a stand-in process of an experiment."`
 }
 
 // streams are where a command reads and writes.
@@ -42,8 +42,8 @@
 	env      func(string) string
 }
 
-// errBroken ends a command with exitBroken after it has said why on its output.
-var errBroken = errors.New("broken")
+// errReported ends a command with exitFailure after it has said why on its output.
+var errReported = errors.New("broken")
 
 func main() { os.Exit(run(os.Args[1:], streams{os.Stdin, os.Stdout, os.Stderr, os.Getenv})) }
 
@@ -68,26 +68,26 @@
 	parsed.BindTo(ctx, (*context.Context)(nil))
 	err = parsed.Run()
 	var bad *plan.Error
-	var code exitCode
+	var code exitCodeError
 	switch {
 	case err == nil:
 		return 0
 	case errors.As(err, &code):
 		return int(code)
-	case errors.Is(err, errBroken):
-		return exitBroken
+	case errors.Is(err, errReported):
+		return exitFailure
 	case errors.As(err, &bad), errors.Is(err, errUsage):
 		return fail(s, err, exitUsage)
 	}
-	return fail(s, err, exitBroken)
+	return fail(s, err, exitFailure)
 }
 
 var errUsage = errors.New("usage")
 
-// exitCode ends a command with a code, after it has said all there is to say.
-type exitCode int
+// exitCodeError ends a command with a code, after it has said all there is to say.
+type exitCodeError int
 
-func (c exitCode) Error() string { return fmt.Sprintf("exit %d", int(c)) }
+func (c exitCodeError) Error() string { return fmt.Sprintf("exit %d", int(c)) }
 
 // fail says what is wrong in one line.
 func fail(s streams, err error, code int) int {
@@ -100,7 +100,7 @@
 // Run is the sidecar to its end.
 func (sidecarCommand) Run(s streams) error {
 	if code := sidecar.Main(s.env, s.err); code != 0 {
-		return exitCode(code)
+		return exitCodeError(code)
 	}
 	return nil
 }
--- a/cmd/gradeusher/main_test.go
+++ b/cmd/gradeusher/main_test.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	childMark = "GRADEUSHER_TEST_CHILD" // in the environment of a process that is to be the command, not the tests
-	ownMark   = "GRADEUSHER_TEST_OWNER" // tells one test's processes from another's
+	childVariable = "GRADEUSHER_TEST_CHILD" // in the environment of a process that is to be the command, not the tests
+	ownerVariable = "GRADEUSHER_TEST_OWNER" // tells one test's processes from another's
 )
 
 func TestMain(m *testing.M) {
-	if os.Getenv(childMark) != "" {
-		selfEnv = []string{childMark + "=1", ownMark + "=" + os.Getenv(ownMark)}
+	if os.Getenv(childVariable) != "" {
+		childEnv = []string{childVariable + "=1", ownerVariable + "=" + os.Getenv(ownerVariable)}
 		main()
 		return
 	}
@@ -49,13 +49,13 @@
 		t.Fatal(err)
 	}
 	c := &command{Cmd: exec.Command(me, args...), tmp: t.TempDir(), owner: fmt.Sprintf("%s-%d", t.Name(), time.Now().UnixNano())}
-	c.Env = append(os.Environ(), childMark+"=1", ownMark+"="+c.owner, "TMPDIR="+c.tmp)
+	c.Env = append(os.Environ(), childVariable+"=1", ownerVariable+"="+c.owner, "TMPDIR="+c.tmp)
 	c.Stdout, c.Stderr = &c.out, &c.err
 	return c
 }
 
-// ends runs the command to its end and returns the exit code. Whatever it was, nothing of it is left behind.
-func (c *command) ends(t *testing.T) int {
+// waitForExit runs the command to its end and returns the exit code. Whatever it was, nothing of it is left behind.
+func (c *command) waitForExit(t *testing.T) int {
 	t.Helper()
 	if c.Process == nil {
 		if err := c.Start(); err != nil {
@@ -86,7 +86,7 @@
 	var found []string
 	for _, path := range paths {
 		text, err := os.ReadFile(path)
-		if err == nil && bytes.Contains(text, []byte(ownMark+"="+owner+"\x00")) { // others end meanwhile
+		if err == nil && bytes.Contains(text, []byte(ownerVariable+"="+owner+"\x00")) { // others end meanwhile
 			found = append(found, filepath.Base(filepath.Dir(path)))
 		}
 	}
@@ -97,7 +97,7 @@
 func TestUp(t *testing.T) {
 	t.Parallel()
 	c := newCommand(t, "up", "--for", "3s")
-	if code := c.ends(t); code != 0 {
+	if code := c.waitForExit(t); code != 0 {
 		t.Fatalf("exit %d: %s%s", code, &c.out, &c.err)
 	}
 	text := c.out.String()
@@ -115,7 +115,7 @@
 	out := t.TempDir() // the second leaves nothing of the first
 	for range 2 {
 		c := newCommand(t, "lab", "run", "testdata/small.toml", "--seed", "5", "--out", out)
-		if code := c.ends(t); code != 0 {
+		if code := c.waitForExit(t); code != 0 {
 			t.Fatalf("exit %d: %s%s", code, &c.out, &c.err)
 		}
 		lines := strings.Split(strings.TrimSpace(c.out.String()), "\n")
@@ -146,7 +146,7 @@
 	}
 	c := newCommand(t, "lab", "trace", out, "0000000500000000", "--json")
 	var trace []lab.Moment
-	if code := c.ends(t); code != 0 || json.Unmarshal(c.out.Bytes(), &trace) != nil || len(trace) < 5 {
+	if code := c.waitForExit(t); code != 0 || json.Unmarshal(c.out.Bytes(), &trace) != nil || len(trace) < 5 {
 		t.Errorf("trace ends with %d: %s%s", code, &c.out, &c.err)
 	}
 	for i, m := range trace {
@@ -176,7 +176,7 @@
 		t.Run(f.Name, func(t *testing.T) {
 			t.Parallel()
 			c := newCommand(t, "lab", "run", path, "--json")
-			if code := c.ends(t); code != exitBroken {
+			if code := c.waitForExit(t); code != exitFailure {
 				t.Fatalf("exit %d: %s%s", code, &c.out, &c.err)
 			}
 			var r lab.Result
@@ -209,7 +209,7 @@
 
 func testFaults(t *testing.T, file string, notSeen []string) {
 	c := newCommand(t, "lab", "run", file, "--json")
-	code := c.ends(t)
+	code := c.waitForExit(t)
 	var r lab.Result
 	if err := json.Unmarshal(c.out.Bytes(), &r); err != nil {
 		t.Fatalf("exit %d, %v: %s", code, err, &c.err)
@@ -284,7 +284,7 @@
 						_, err = said.Read(text)
 					}
 				}()
-				c.ends(t)
+				c.waitForExit(t)
 				return
 			}
 			if err := c.Wait(); err == nil {
@@ -321,7 +321,7 @@
 		{[]string{"lab", "compare", "testdata/small.toml", "testdata/small.toml", "--repeat", "0"}, "--repeat"},
 	} {
 		c := newCommand(t, tt.args...)
-		if code := c.ends(t); code != exitUsage {
+		if code := c.waitForExit(t); code != exitUsage {
 			t.Errorf("%v: exit %d, want %d", tt.args, code, exitUsage)
 		}
 		if text := c.err.String(); strings.Count(text, "\n") != 1 || !strings.Contains(text, tt.says) {
@@ -335,7 +335,7 @@
 	var lines []struct{ File, States string }
 	for _, folder := range []string{"../../lab", "../../lab/more"} {
 		c := newCommand(t, "lab", "list", folder, "--json")
-		if code := c.ends(t); code != 0 {
+		if code := c.waitForExit(t); code != 0 {
 			t.Fatalf("exit %d: %s", code, &c.err)
 		}
 		var some []struct{ File, States string }
--- a/cmd/gradeusher/registry.go
+++ b/cmd/gradeusher/registry.go
@@ -19,21 +19,21 @@
 	"gradeusher.example/gradeusher/internal/sidecar/sealed"
 )
 
-type keeperCommand struct {
-	Run     keeperRun     `cmd:"" default:"withargs" help:"Be a keeper, configured by a TOML file. Exit 2: it makes no sense."`
-	Backup  keeperBackup  `cmd:"" help:"Save the state of the keepers to a file."`
-	Restore keeperRestore `cmd:"" help:"Replace the state of all keepers by that of a backup."`
-	Remove  keeperRemove  `cmd:"" help:"Take a keeper out of the cluster."`
+type registryCommand struct {
+	Run     registryRunCommand     `cmd:"" default:"withargs" help:"Be a keeper, configured by a TOML file. Exit 2: it makes no sense."`
+	Backup  registryBackupCommand  `cmd:"" help:"Save the state of the keepers to a file."`
+	Restore registryRestoreCommand `cmd:"" help:"Replace the state of all keepers by that of a backup."`
+	Remove  registryRemoveCommand  `cmd:"" help:"Take a keeper out of the cluster."`
 }
 
-// keepersFlag names the keepers that a command talks to.
-type keepersFlag struct {
+// registryFlags names the keepers that a command talks to.
+type registryFlags struct {
 	Keepers string        `help:"Addresses of keepers, with commas." env:"GRADEUSHER_KEEPERS" required:""`
 	Within  time.Duration `help:"How long to go on asking." default:"15s"`
 }
 
-// call makes a client and a context that ends in time.
-func (f keepersFlag) call(ctx context.Context, do func(context.Context, *client.Client) error) error {
+// withClient makes a client and a context that ends in time.
+func (f registryFlags) withClient(ctx context.Context, do func(context.Context, *client.Client) error) error {
 	c, err := client.New(strings.Split(f.Keepers, ","))
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
@@ -44,14 +44,14 @@
 	return do(ctx, c)
 }
 
-type keeperRun struct {
+type registryRunCommand struct {
 	Config string `arg:"" help:"TOML file."`
 	Log    string `help:"Form of the log." enum:"text,json" default:"text"`
 	Level  string `help:"Least level of the log." enum:"debug,info,warn,error" default:"info"`
 }
 
 // Run is the keeper until it is told to end.
-func (c keeperRun) Run(ctx context.Context, s streams) error {
+func (c registryRunCommand) Run(ctx context.Context, s streams) error {
 	config, err := registry.LoadConfig(c.Config)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
@@ -69,15 +69,15 @@
 	return registry.Run(ctx, config, slog.New(handler), nil)
 }
 
-type keeperBackup struct {
-	keepersFlag
+type registryBackupCommand struct {
+	registryFlags
 	File string `arg:"" help:"Where to."`
 	Any  bool   `help:"Take what any keeper has, which may be old: for when no majority is left."`
 }
 
 // Run saves it. The file is there whole or not at all.
-func (c keeperBackup) Run(ctx context.Context, s streams) error {
-	return c.call(ctx, func(ctx context.Context, k *client.Client) error {
+func (c registryBackupCommand) Run(ctx context.Context, s streams) error {
+	return c.withClient(ctx, func(ctx context.Context, k *client.Client) error {
 		text, err := k.Backup(ctx, !c.Any)
 		if err != nil {
 			return err
@@ -90,18 +90,18 @@
 	})
 }
 
-type keeperRestore struct {
-	keepersFlag
+type registryRestoreCommand struct {
+	registryFlags
 	File string `arg:"" help:"A file that backup wrote."`
 }
 
 // Run restores it.
-func (c keeperRestore) Run(ctx context.Context, s streams) error {
+func (c registryRestoreCommand) Run(ctx context.Context, s streams) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	return c.call(ctx, func(ctx context.Context, k *client.Client) error {
+	return c.withClient(ctx, func(ctx context.Context, k *client.Client) error {
 		d, err := k.Restore(ctx, text)
 		if err != nil {
 			return err
@@ -111,24 +111,24 @@
 	})
 }
 
-type keeperRemove struct {
-	keepersFlag
+type registryRemoveCommand struct {
+	registryFlags
 	Name string `arg:"" help:"The keeper's name."`
 }
 
 // Run removes it.
-func (c keeperRemove) Run(ctx context.Context, s streams) error {
-	return c.call(ctx, func(ctx context.Context, k *client.Client) error { return k.RemoveNode(ctx, c.Name) })
+func (c registryRemoveCommand) Run(ctx context.Context, s streams) error {
+	return c.withClient(ctx, func(ctx context.Context, k *client.Client) error { return k.RemoveNode(ctx, c.Name) })
 }
 
-type statusCommand struct {
-	keepersFlag
+type registryStatusCommand struct {
+	registryFlags
 	JSON bool `help:"Print as JSON." name:"json"`
 }
 
 // Run prints a line a keeper. It fails where no keeper leads.
-func (c statusCommand) Run(ctx context.Context, s streams) error {
-	return c.call(ctx, func(ctx context.Context, k *client.Client) error {
+func (c registryStatusCommand) Run(ctx context.Context, s streams) error {
+	return c.withClient(ctx, func(ctx context.Context, k *client.Client) error {
 		all, failed := client.Status[registry.Status](ctx, k)
 		leads := false
 		for _, v := range all {
--- a/cmd/gradeusher/registry_cluster_test.go
+++ b/cmd/gradeusher/registry_cluster_test.go
@@ -19,23 +19,23 @@
 	"gradeusher.example/gradeusher/internal/sidecar/registry"
 )
 
-// patience bounds what a test waits for; it is no measure.
-const patience = 30 * time.Second
+// testTimeout bounds what a test waits for; it is no measure.
+const testTimeout = 30 * time.Second
 
-// keeperPlace is where one keeper's processes run, one after the other.
-type keeperPlace struct {
+// registryNode is where one keeper's processes run, one after the other.
+type registryNode struct {
 	name, config, http, raft string
 	run                      *command
 }
 
-// keepers is a cluster of processes.
-type keepers struct {
+// registryCluster is a cluster of processes.
+type registryCluster struct {
 	t      testing.TB
-	places []*keeperPlace
+	nodes  []*registryNode
 	client *client.Client
 }
 
-func place(t testing.TB) string {
+func reserveAddress(t testing.TB) string {
 	t.Helper()
 	p, err := link.Reserve(netip.MustParseAddr("127.0.0.1"))
 	if err != nil {
@@ -45,16 +45,16 @@
 	return p.Addr.String()
 }
 
-// newKeepers starts n keepers. more is added to each configuration.
-func newKeepers(t testing.TB, n int, more string) *keepers {
+// newRegistryCluster starts n keepers. more is added to each configuration.
+func newRegistryCluster(t testing.TB, n int, more string) *registryCluster {
 	t.Helper()
-	k := &keepers{t: t}
+	k := &registryCluster{t: t}
 	peers := ""
 	for i := range n {
-		p := k.place(fmt.Sprintf("k%d", i+1))
+		p := k.addNode(fmt.Sprintf("k%d", i+1))
 		peers += fmt.Sprintf("[[peer]]\nname = %q\nraft = %q\nhttp = %q\n", p.name, p.raft, p.http)
 	}
-	for _, p := range k.places {
+	for _, p := range k.nodes {
 		k.configure(p, more+peers)
 		k.start(p)
 	}
@@ -66,20 +66,20 @@
 	return k
 }
 
-func (k *keepers) place(name string) *keeperPlace {
-	p := &keeperPlace{name: name, http: place(k.t), raft: place(k.t), config: filepath.Join(k.t.TempDir(), name+".toml")}
-	k.places = append(k.places, p)
+func (k *registryCluster) addNode(name string) *registryNode {
+	p := &registryNode{name: name, http: reserveAddress(k.t), raft: reserveAddress(k.t), config: filepath.Join(k.t.TempDir(), name+".toml")}
+	k.nodes = append(k.nodes, p)
 	return p
 }
 
-func (k *keepers) configure(p *keeperPlace, more string) {
+func (k *registryCluster) configure(p *registryNode, more string) {
 	text := fmt.Sprintf("name = %q\nfolder = %q\nhttp = %q\nraft = %q\n%s", p.name, filepath.Join(filepath.Dir(p.config), "data"), p.http, p.raft, more)
 	if err := os.WriteFile(p.config, []byte(text), 0o600); err != nil {
 		k.t.Fatal(err)
 	}
 }
 
-func (k *keepers) start(p *keeperPlace) {
+func (k *registryCluster) start(p *registryNode) {
 	k.t.Helper()
 	p.run = newCommand(k.t, "keeper", p.config)
 	run := p.run
@@ -95,14 +95,14 @@
 	})
 }
 
-func (k *keepers) addresses() (all []string) {
-	for _, p := range k.places {
+func (k *registryCluster) addresses() (all []string) {
+	for _, p := range k.nodes {
 		all = append(all, p.http)
 	}
 	return all
 }
 
-func (k *keepers) kill(p *keeperPlace) {
+func (k *registryCluster) kill(p *registryNode) {
 	k.t.Helper()
 	if err := p.run.Process.Kill(); err != nil {
 		k.t.Fatal(err)
@@ -111,14 +111,14 @@
 }
 
 // leader waits for one.
-func (k *keepers) leader() *keeperPlace {
+func (k *registryCluster) leader() *registryNode {
 	k.t.Helper()
-	var found *keeperPlace
+	var found *registryNode
 	eventually(k.t, "a leader", func() bool {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		all, _ := client.Status[registry.Status](ctx, k.client)
-		for _, p := range k.places {
+		for _, p := range k.nodes {
 			if s, ok := all[p.http]; ok && s.Role == "leader" && s.AgeMS == 0 {
 				found = p
 				return true
@@ -132,54 +132,54 @@
 // eventually asks again until something is so.
 func eventually(t testing.TB, what string, is func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !is(); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !is(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("no %s within %v", what, patience)
+			t.Fatalf("no %s within %v", what, testTimeout)
 		}
 	}
 }
 
-func (k *keepers) call() context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (k *registryCluster) callContext() context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	k.t.Cleanup(cancel)
 	return ctx
 }
 
-func (k *keepers) register(uid, endpoint string) int64 {
+func (k *registryCluster) register(uid, endpoint string) int64 {
 	k.t.Helper()
-	d, err := k.client.Register(k.call(), []list.Registration{{Target: list.Target{UID: uid, Endpoint: endpoint, State: list.Serving}}}, nil)
+	d, err := k.client.Register(k.callContext(), []list.Registration{{Target: list.Target{UID: uid, Endpoint: endpoint, State: list.Serving}}}, nil)
 	if err != nil {
 		k.t.Fatal(err)
 	}
 	return d.Revision
 }
 
-// seen is what a follower was told.
-type seen struct {
-	mu   sync.Mutex
-	held map[string]list.Target
+// observedList is what a follower was told.
+type observedList struct {
+	mu      sync.Mutex
+	servers map[string]list.Target
 }
 
-func (s *seen) told(u client.ListUpdate) {
+func (s *observedList) handleUpdate(u client.ListUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if u.Complete {
-		s.held = map[string]list.Target{}
+		s.servers = map[string]list.Target{}
 	}
 	for _, t := range u.Targets {
-		if s.held[t.UID] = t; t.State == list.Deleted {
-			delete(s.held, t.UID)
+		if s.servers[t.UID] = t; t.State == list.Deleted {
+			delete(s.servers, t.UID)
 		}
 	}
 }
 
-func (s *seen) has(uid string, state list.State) bool {
+func (s *observedList) has(uid string, state list.State) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.held[uid].State == state
+	return s.servers[uid].State == state
 }
 
-func httpServer(t *testing.T, h http.Handler) string {
+func newHTTPServer(t *testing.T, h http.Handler) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -191,4 +191,4 @@
 	return l.Addr().String()
 }
 
-func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
--- a/cmd/gradeusher/registry_test.go
+++ b/cmd/gradeusher/registry_test.go
@@ -23,9 +23,9 @@
 // and a watch sees every change.
 func TestKeepers(t *testing.T) {
 	t.Parallel()
-	k := newKeepers(t, 3, "")
-	s := &seen{}
-	f, err := client.NewListSubscriber(client.ListOptions{Registry: k.addresses(), ShrinkLimits: client.DefaultShrinkLimits, Log: quiet(), OnUpdate: s.told})
+	k := newRegistryCluster(t, 3, "")
+	s := &observedList{}
+	f, err := client.NewListSubscriber(client.ListOptions{Registry: k.addresses(), ShrinkLimits: client.DefaultShrinkLimits, Log: discardLog(), OnUpdate: s.handleUpdate})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,10 +58,10 @@
 				}
 				cancel()
 				// The last write may not have been told to it as agreed on.
-				if l, err := k.client.List(k.call(), false); err != nil || len(l.Targets) < 3 {
+				if l, err := k.client.List(k.callContext(), false); err != nil || len(l.Targets) < 3 {
 					t.Errorf("a minority shows %v, %v", l, err)
 				}
-				for _, q := range k.places {
+				for _, q := range k.nodes {
 					if q.run.ProcessState != nil {
 						k.start(q)
 					}
@@ -69,15 +69,15 @@
 			}
 		}
 	}
-	for _, p := range k.places {
+	for _, p := range k.nodes {
 		if p.run.ProcessState == nil {
 			k.kill(p)
 		}
 	}
-	for _, p := range k.places {
+	for _, p := range k.nodes {
 		k.start(p)
 	}
-	l, err := k.client.List(k.call(), true)
+	l, err := k.client.List(k.callContext(), true)
 	if err != nil || l.Rev < last {
 		t.Fatalf("after kill -9 of all: %v, %v", l, err)
 	}
@@ -86,7 +86,7 @@
 			t.Errorf("s-%d was acknowledged and is lost", i)
 		}
 	}
-	if _, err := k.client.Change(k.call(), client.Drain, "s-0", nil); err != nil {
+	if _, err := k.client.Change(k.callContext(), client.Drain, "s-0", nil); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "news after all keepers were down", func() bool { return s.has("s-0", list.Draining) })
@@ -95,7 +95,7 @@
 // TestKeepersChange adds a keeper, removes one, and restores a backup, as staff would with the command.
 func TestKeepersChange(t *testing.T) {
 	t.Parallel()
-	k := newKeepers(t, 1, "[timing]\nsnapshot_after = 20\nsnapshot_ms = 50\ntrailing = 5\n")
+	k := newRegistryCluster(t, 1, "[timing]\nsnapshot_after = 20\nsnapshot_ms = 50\ntrailing = 5\n")
 	for i := range 60 {
 		k.register(fmt.Sprintf("s-%d", i), "127.0.0.1:9000")
 	}
@@ -103,7 +103,7 @@
 		t.Helper()
 		c := newCommand(t, args...)
 		c.Env = append(c.Env, "GRADEUSHER_KEEPERS="+strings.Join(k.addresses(), ","))
-		if code := c.ends(t); code != want {
+		if code := c.waitForExit(t); code != want {
 			t.Fatalf("%v: exit %d, want %d: %s%s", args, code, want, &c.out, &c.err)
 		}
 		return c.out.String() + c.err.String()
@@ -112,13 +112,13 @@
 	cli(0, "keeper", "backup", backup)
 	old := k.register("late", "127.0.0.1:9001")
 
-	first := k.places[0]
+	first := k.nodes[0]
 	for _, name := range []string{"k2", "k3"} {
-		p := k.place(name)
+		p := k.addNode(name)
 		k.configure(p, fmt.Sprintf("join = true\n[[peer]]\nname = %q\nraft = %q\nhttp = %q\n", first.name, first.raft, first.http))
 		k.start(p)
 		eventually(t, name+"'s vote", func() bool {
-			all, _ := client.Status[registry.Status](k.call(), k.client)
+			all, _ := client.Status[registry.Status](k.callContext(), k.client)
 			return slices.ContainsFunc(all[first.http].Peers, func(p replica.Peer) bool { return p.Name == name && p.Voter })
 		})
 	}
@@ -127,7 +127,7 @@
 		t.Fatal(err)
 	}
 	eventually(t, "three that are up to date", func() bool {
-		all, _ := client.Status[registry.Status](k.call(), k.client)
+		all, _ := client.Status[registry.Status](k.callContext(), k.client)
 		n := 0
 		for _, s := range all {
 			if s.Servers == 61 && len(s.Nodes) == 3 && len(s.Peers) == 3 {
@@ -137,45 +137,45 @@
 		return n == 3
 	})
 	cli(0, "keeper", "remove", "k1") // the leader itself, which then ends
-	if code := first.run.ends(t); code != 0 {
+	if code := first.run.waitForExit(t); code != 0 {
 		t.Errorf("the keeper that was removed ended with %d", code)
 	}
-	k.places = k.places[1:]
+	k.nodes = k.nodes[1:]
 	if k.register("after", "127.0.0.1:9002") <= old {
 		t.Error("the revision went back")
 	}
-	cli(exitBroken, "keeper", "remove", "k9")
-	late := k.place("k4")
-	k.configure(late, fmt.Sprintf("join = true\n[[peer]]\nname = %q\nraft = %q\nhttp = %q\n", k.places[0].name, k.places[0].raft, k.places[0].http))
+	cli(exitFailure, "keeper", "remove", "k9")
+	late := k.addNode("k4")
+	k.configure(late, fmt.Sprintf("join = true\n[[peer]]\nname = %q\nraft = %q\nhttp = %q\n", k.nodes[0].name, k.nodes[0].raft, k.nodes[0].http))
 	k.start(late)
 	if k.client, err = client.New(k.addresses()); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "k4's vote", func() bool {
-		all, _ := client.Status[registry.Status](k.call(), k.client)
+		all, _ := client.Status[registry.Status](k.callContext(), k.client)
 		return slices.ContainsFunc(all[late.http].Peers, func(p replica.Peer) bool { return p.Name == "k4" && p.Voter })
 	})
 	cli(0, "keeper", "remove", "k4") // which follows, and hears no more
-	if code := late.run.ends(t); code != 0 {
+	if code := late.run.waitForExit(t); code != 0 {
 		t.Errorf("the keeper that was removed as it followed ended with %d", code)
 	}
-	k.places = k.places[:2]
+	k.nodes = k.nodes[:2]
 
 	var restored int64
 	if _, err := fmt.Sscanf(cli(0, "keeper", "restore", backup), "restored, at revision %d", &restored); err != nil {
 		t.Fatal(err)
 	}
-	l, err := k.client.List(k.call(), true)
+	l, err := k.client.List(k.callContext(), true)
 	if err != nil || len(l.Targets) != 60 || l.Rev != restored || l.Rev <= old+1 {
 		t.Errorf("restored %d servers at %d, %v; before %d", len(l.Targets), l.Rev, err, old+1)
 	}
 	if err := os.WriteFile(backup, []byte("gradeusher-state 1 1 0 0\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if said := cli(exitBroken, "keeper", "restore", backup); !strings.Contains(said, "unsound") {
+	if said := cli(exitFailure, "keeper", "restore", backup); !strings.Contains(said, "unsound") {
 		t.Errorf("a torn backup: %s", said)
 	}
-	if l, err = k.client.List(k.call(), true); err != nil || len(l.Targets) != 60 {
+	if l, err = k.client.List(k.callContext(), true); err != nil || len(l.Targets) != 60 {
 		t.Errorf("a torn backup changed the list: %d, %v", len(l.Targets), err)
 	}
 	if said := cli(0, "status"); strings.Count(said, "revision") != 2 || !strings.Contains(said, "leader") {
@@ -186,7 +186,7 @@
 // TestLease has a server hold its registration, be stopped past its lease, and come back.
 func TestLease(t *testing.T) {
 	t.Parallel()
-	k := newKeepers(t, 1, "[leases]\ngrace_ms = 60000\n")
+	k := newRegistryCluster(t, 1, "[leases]\ngrace_ms = 60000\n")
 	c := newCommand(t, "list", "register", "s-1", "127.0.0.1:9000", "--lease", "1s", "--hold", "--keepers", strings.Join(k.addresses(), ","))
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
@@ -194,7 +194,7 @@
 	state := func(want list.State) {
 		t.Helper()
 		eventually(t, string(want), func() bool {
-			e, ok, err := k.client.Server(k.call(), "s-1")
+			e, ok, err := k.client.Server(k.callContext(), "s-1")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -213,7 +213,7 @@
 	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if code := c.ends(t); code != 0 {
+	if code := c.waitForExit(t); code != 0 {
 		t.Errorf("exit %d: %s", code, &c.err)
 	}
 	state(list.Deleted)
@@ -223,21 +223,21 @@
 // survives the loss of all keepers and, with them gone, its own restart.
 func TestSidecarOnKeepers(t *testing.T) {
 	t.Parallel()
-	k := newKeepers(t, 1, "")
-	backend := httpServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "done "+r.Header.Get("X-Request-ID")) }))
+	k := newRegistryCluster(t, 1, "")
+	backend := newHTTPServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "done "+r.Header.Get("X-Request-ID")) }))
 	k.register("s-1", backend)
 	for _, unchanged := range []bool{true, false} {
 		t.Run(fmt.Sprintf("unchanged=%v", unchanged), func(t *testing.T) {
 			fields := map[string]any{"keepers": map[string]any{"addresses": k.addresses()}}
 			if unchanged {
-				fields = map[string]any{"discovery": k.places[0].http}
+				fields = map[string]any{"discovery": k.nodes[0].http}
 			}
-			s := newSidecarPlace(t, fields)
-			ask := func() bool { return s.ask() == "done "+fmt.Sprintf("%016x", s.asked) }
+			s := newSidecarProcess(t, fields)
+			ask := func() bool { return s.request() == "done "+fmt.Sprintf("%016x", s.requests) }
 			c := s.start()
 			eventually(t, "readiness", s.ready)
 			if !ask() {
-				t.Errorf("it does not serve: %s", s.said)
+				t.Errorf("it does not serve: %s", s.lastOutcome)
 			}
 			if unchanged {
 				c.Process.Signal(syscall.SIGTERM)
@@ -248,9 +248,9 @@
 				_, err := os.Stat(filepath.Join(s.tmp, "list-n0.cache"))
 				return err == nil
 			})
-			k.kill(k.places[0])
+			k.kill(k.nodes[0])
 			if !ask() {
-				t.Errorf("with no keeper it does not serve: %s", s.said)
+				t.Errorf("with no keeper it does not serve: %s", s.lastOutcome)
 			}
 			if err := c.Process.Kill(); err != nil {
 				t.Fatal(err)
@@ -259,7 +259,7 @@
 			c = s.start()
 			eventually(t, "readiness by the list that was saved", s.ready)
 			if !ask() {
-				t.Errorf("from the list that was saved it does not serve: %s", s.said)
+				t.Errorf("from the list that was saved it does not serve: %s", s.lastOutcome)
 			}
 			_ = c.Process.Kill()
 			_ = c.Wait()
@@ -301,13 +301,13 @@
 // TestKeeperStepsDown ends the leader as an upgrade does: another one leads before it is gone, well under an election's time.
 func TestKeeperStepsDown(t *testing.T) {
 	t.Parallel()
-	k := newKeepers(t, 3, "[timing]\nheartbeat_ms = 10000\n")
+	k := newRegistryCluster(t, 3, "[timing]\nheartbeat_ms = 10000\n")
 	k.register("s-1", "127.0.0.1:9000")
 	p := k.leader()
 	if err := p.run.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if code := p.run.ends(t); code != 0 {
+	if code := p.run.waitForExit(t); code != 0 {
 		t.Errorf("exit %d", code)
 	}
 	began := time.Now()
--- a/cmd/gradeusher/role.go
+++ b/cmd/gradeusher/role.go
@@ -15,24 +15,24 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-type dutyCommands struct {
-	List    dutyList    `cmd:"" help:"Print who holds what, under which epoch, and who waits."`
-	Hold    dutyHold    `cmd:"" help:"Wait for a duty and run a command only while it is held."`
-	Release dutyRelease `cmd:"" help:"Have the holder of a duty hand it to the next in line."`
-	Move    dutyMove    `cmd:"" help:"Have the holder of a duty hand it to a process that waits for it."`
-	Sweep   dutySweep   `cmd:"" help:"Be a candidate for the duty \"sweep\": in office, have keepers forget duties out of use."`
-	Guard   dutyGuard   `cmd:"" hidden:"" help:"Run a command until the time that descriptor 3 tells."`
+type roleCommands struct {
+	List    roleListCommand    `cmd:"" help:"Print who holds what, under which epoch, and who waits."`
+	Hold    roleHoldCommand    `cmd:"" help:"Wait for a duty and run a command only while it is held."`
+	Release roleReleaseCommand `cmd:"" help:"Have the holder of a duty hand it to the next in line."`
+	Move    roleMoveCommand    `cmd:"" help:"Have the holder of a duty hand it to a process that waits for it."`
+	Sweep   roleSweepCommand   `cmd:"" help:"Be a candidate for the duty \"sweep\": in office, have keepers forget duties out of use."`
+	Guard   roleGuardCommand   `cmd:"" hidden:"" help:"Run a command until the time that descriptor 3 tells."`
 }
 
-type dutyList struct {
-	keepersFlag
+type roleListCommand struct {
+	registryFlags
 	Name string `arg:"" optional:"" help:"Only this one."`
 	JSON bool   `help:"Print as JSON." name:"json"`
 }
 
 // Run prints them, with every change that was acknowledged before.
-func (c dutyList) Run(ctx context.Context, s streams) error {
-	return c.call(ctx, func(ctx context.Context, k *client.Client) error {
+func (c roleListCommand) Run(ctx context.Context, s streams) error {
+	return c.withClient(ctx, func(ctx context.Context, k *client.Client) error {
 		n, err := k.Roles(ctx, c.Name)
 		if err != nil {
 			return err
@@ -44,13 +44,13 @@
 			return json.NewEncoder(s.out).Encode(n)
 		}
 		for _, d := range n.Roles {
-			printDuty(s, d)
+			printRole(s, d)
 		}
 		return nil
 	})
 }
 
-func printDuty(s streams, d state.Role) {
+func printRole(s streams, d state.Role) {
 	held := "nobody"
 	if h := d.Owner; h != nil {
 		held = fmt.Sprintf("%s since %s, lease %v", h.Process, time.UnixMilli(d.SinceMS).UTC().Format(time.RFC3339), time.Duration(h.TTLMS)*time.Millisecond)
@@ -67,41 +67,41 @@
 	}
 }
 
-type dutyRelease struct {
-	keepersFlag
+type roleReleaseCommand struct {
+	registryFlags
 	Name  string `arg:"" help:"The duty."`
 	Force bool   `help:"For a holder that does not answer: its renewals are refused, and it is out when its lease ends."`
 }
 
 // Run asks the holder.
-func (c dutyRelease) Run(ctx context.Context, s streams) error {
-	return c.ask(ctx, s, c.Name, client.RoleCall{Force: c.Force})
+func (c roleReleaseCommand) Run(ctx context.Context, s streams) error {
+	return c.requestHandover(ctx, s, c.Name, client.RoleCall{Force: c.Force})
 }
 
-type dutyMove struct {
-	keepersFlag
+type roleMoveCommand struct {
+	registryFlags
 	Name  string `arg:"" help:"The duty."`
 	To    string `arg:"" help:"A process that waits for it: a name, or NAME#RUN."`
 	Force bool   `help:"For a holder that does not answer: its renewals are refused, and it is out when its lease ends."`
 }
 
 // Run asks the holder.
-func (c dutyMove) Run(ctx context.Context, s streams) error {
-	return c.ask(ctx, s, c.Name, client.RoleCall{Successor: c.To, Force: c.Force})
+func (c roleMoveCommand) Run(ctx context.Context, s streams) error {
+	return c.requestHandover(ctx, s, c.Name, client.RoleCall{Successor: c.To, Force: c.Force})
 }
 
-// ask has a holder asked to hand over, and says what stands then.
-func (f keepersFlag) ask(ctx context.Context, s streams, name string, q client.RoleCall) error {
-	return f.call(ctx, func(ctx context.Context, k *client.Client) error {
+// requestHandover has a holder asked to hand over, and says what stands then.
+func (f registryFlags) requestHandover(ctx context.Context, s streams, name string, q client.RoleCall) error {
+	return f.withClient(ctx, func(ctx context.Context, k *client.Client) error {
 		d, err := k.ChangeRole(ctx, client.Move, name, q)
 		if err == nil {
-			printDuty(s, d.Role)
+			printRole(s, d.Role)
 		}
 		return err
 	})
 }
 
-type dutySweep struct {
+type roleSweepCommand struct {
 	Keepers string        `help:"Addresses of keepers, with commas." env:"GRADEUSHER_KEEPERS" required:""`
 	As      string        `help:"Name of this process among those that wait; the host's, if it is not given."`
 	Lease   time.Duration `help:"Length of the lease, 500ms to 5m." default:"5s"`
@@ -110,7 +110,7 @@
 }
 
 // Run waits and sweeps until interrupted.
-func (c dutySweep) Run(ctx context.Context, s streams) error {
+func (c roleSweepCommand) Run(ctx context.Context, s streams) error {
 	if c.Every <= 0 || c.Idle < state.MinIdle {
 		return fmt.Errorf("%w: --every has to be above 0, and --idle %v at least", errUsage, state.MinIdle)
 	}
--- a/cmd/gradeusher/role_fleet_test.go
+++ b/cmd/gradeusher/role_fleet_test.go
@@ -16,17 +16,17 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-// actorMark is the first argument of a process that is to act under a duty, at the address that is the second.
-const actorMark = "test-actor"
+// actorArgument is the first argument of a process that is to act under a duty, at the address that is the second.
+const actorArgument = "test-actor"
 
 func init() {
-	if len(os.Args) == 3 && os.Args[1] == actorMark {
-		act(os.Args[2])
+	if len(os.Args) == 3 && os.Args[1] == actorArgument {
+		runActor(os.Args[2])
 	}
 }
 
-// act has effects on the resource, one after the other, until that refuses one.
-func act(at string) {
+// runActor has effects on the resource, one after the other, until that refuses one.
+func runActor(at string) {
 	c, err := net.Dial("tcp", at)
 	if err != nil {
 		os.Exit(3)
@@ -46,16 +46,16 @@
 	epoch      int64
 	pid, guard int
 	at         time.Time
-	done       bool // the fence let it through
+	allowed    bool // the fence let it through
 }
 
 // resource is what the holder of a duty acts on, behind a fence. It sees who acts when, from outside.
 type resource struct {
-	l      net.Listener
-	fence  singleton.Fence
-	mu     sync.Mutex
-	all    []effect
-	ending sync.WaitGroup
+	listener net.Listener
+	fence    singleton.Fence
+	mu       sync.Mutex
+	received []effect
+	running  sync.WaitGroup
 }
 
 func newResource(t *testing.T) *resource {
@@ -63,29 +63,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &resource{l: l}
-	a.ending.Add(1)
+	a := &resource{listener: l}
+	a.running.Add(1)
 	go func() {
-		defer a.ending.Done()
+		defer a.running.Done()
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			a.ending.Add(1)
+			a.running.Add(1)
 			go a.serve(c)
 		}
 	}()
 	t.Cleanup(func() {
 		l.Close()
-		a.ending.Wait()
+		a.running.Wait()
 	})
 	return a
 }
 
 // serve ends with the actor.
 func (a *resource) serve(c net.Conn) {
-	defer a.ending.Done()
+	defer a.running.Done()
 	defer c.Close()
 	for in := bufio.NewScanner(c); in.Scan(); {
 		var e effect
@@ -93,9 +93,9 @@
 			return
 		}
 		err := a.fence.Do(e.epoch, func() error { return nil })
-		e.at, e.done = time.Now(), err == nil
+		e.at, e.allowed = time.Now(), err == nil
 		a.mu.Lock()
-		a.all = append(a.all, e)
+		a.received = append(a.received, e)
 		a.mu.Unlock()
 		answer := "done\n"
 		if err != nil {
@@ -110,23 +110,23 @@
 func (a *resource) effects() []effect {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return slices.Clone(a.all)
+	return slices.Clone(a.received)
 }
 
-// last is the one that acted last, if it did within the last moment.
-func (a *resource) last() (e effect, ok bool) {
+// lastEffect is the one that acted lastEffect, if it did within the lastEffect moment.
+func (a *resource) lastEffect() (e effect, ok bool) {
 	all := a.effects()
 	if len(all) == 0 {
 		return e, false
 	}
 	e = all[len(all)-1]
-	return e, e.done && time.Since(e.at) < 100*time.Millisecond
+	return e, e.allowed && time.Since(e.at) < 100*time.Millisecond
 }
 
-// next is the first effect under a higher epoch than e's, and the last under that.
-func (a *resource) next(e effect) (first, last effect, ok bool) {
+// firstAfter is the first effect under a higher epoch than e's, and the last under that.
+func (a *resource) firstAfter(e effect) (first, last effect, ok bool) {
 	for _, n := range a.effects() {
-		if n.epoch > e.epoch && n.done {
+		if n.epoch > e.epoch && n.allowed {
 			return n, e, true
 		}
 		if n.epoch == e.epoch {
@@ -138,38 +138,38 @@
 
 const testLease = 1500 * time.Millisecond
 
-// dutyFleet is keepers, processes that hold one duty, and the resource that it acts on.
-type dutyFleet struct {
-	*keepers
-	resource *resource
-	by       map[string]*command
-	n        int
+// roleFleet is keepers, processes that hold one duty, and the resource that it acts on.
+type roleFleet struct {
+	*registryCluster
+	resource   *resource
+	candidates map[string]*command
+	started    int
 }
 
-func newDutyFleet(t *testing.T, holders int) *dutyFleet {
-	f := &dutyFleet{keepers: newKeepers(t, 3, ""), resource: newResource(t), by: map[string]*command{}}
+func newRoleFleet(t *testing.T, holders int) *roleFleet {
+	f := &roleFleet{registryCluster: newRegistryCluster(t, 3, ""), resource: newResource(t), candidates: map[string]*command{}}
 	f.leader()
 	for range holders {
-		f.hold()
+		f.startCandidate()
 	}
 	return f
 }
 
-// hold starts one more process that waits for the duty.
-func (f *dutyFleet) hold() {
+// startCandidate starts one more process that waits for the duty.
+func (f *roleFleet) startCandidate() {
 	f.t.Helper()
-	f.n++
+	f.started++
 	me, err := os.Executable()
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	name := fmt.Sprintf("h%d", f.n)
-	c := newCommand(f.t, "duty", "hold", "work", "--as", name, "--keepers", strings.Join(f.addresses(), ","), "--lease", testLease.String(), "--", me, actorMark, f.resource.l.Addr().String())
+	name := fmt.Sprintf("h%d", f.started)
+	c := newCommand(f.t, "duty", "hold", "work", "--as", name, "--keepers", strings.Join(f.addresses(), ","), "--lease", testLease.String(), "--", me, actorArgument, f.resource.listener.Addr().String())
 	c.Stdin = nil
 	if err := c.Start(); err != nil {
 		f.t.Fatal(err)
 	}
-	f.by[name] = c
+	f.candidates[name] = c
 	f.t.Cleanup(func() {
 		_ = c.Process.Signal(syscall.SIGCONT) // it may have ended, as below
 		_ = c.Process.Kill()
@@ -180,28 +180,28 @@
 	})
 }
 
-// holding is the process that holds the duty, once it acts and another waits.
-func (f *dutyFleet) holding() (name string, e effect) {
+// activeOwner is the process that holds the duty, once it acts and another waits.
+func (f *roleFleet) activeOwner() (name string, e effect) {
 	f.t.Helper()
 	eventually(f.t, "holder that acts", func() bool {
-		n, err := f.client.Roles(f.call(), "work")
+		n, err := f.client.Roles(f.callContext(), "work")
 		if err != nil || len(n.Roles) != 1 || n.Roles[0].Owner == nil || len(n.Roles[0].Waiting) < 2 {
 			return false
 		}
 		var ok bool
-		e, ok = f.resource.last()
+		e, ok = f.resource.lastEffect()
 		name = state.ProcessName(n.Roles[0].Owner.Process)
 		return ok && e.epoch == n.Roles[0].Epoch
 	})
 	return name, e
 }
 
-// handover waits until another acts, and tells how long after a time and after the last effect of the one before that was.
-func (f *dutyFleet) handover(e effect, from time.Time) (after, without time.Duration) {
+// awaitHandover waits until another acts, and tells how long after a time and after the last effect of the one before that was.
+func (f *roleFleet) awaitHandover(e effect, from time.Time) (after, without time.Duration) {
 	f.t.Helper()
 	var first, last effect
 	eventually(f.t, "next that acts", func() (ok bool) {
-		first, last, ok = f.resource.next(e)
+		first, last, ok = f.resource.firstAfter(e)
 		return ok
 	})
 	return first.at.Sub(from), first.at.Sub(last.at)
@@ -215,9 +215,9 @@
 	return fmt.Sprintf("p50 %v, p99 %v of %d", at(0.5), at(0.99), len(all))
 }
 
-const raceSlack = time.Second // tests run beside others, and what a process needs to start is no part of the promise
+const startupAllowance = time.Second // tests run beside others, and what a process needs to start is no part of the promise
 
-func (f *dutyFleet) signal(sig syscall.Signal, pids ...int) {
+func (f *roleFleet) signal(sig syscall.Signal, pids ...int) {
 	f.t.Helper()
 	for _, pid := range pids {
 		if err := syscall.Kill(pid, sig); err != nil {
--- a/cmd/gradeusher/role_guard.go
+++ b/cmd/gradeusher/role_guard.go
@@ -13,25 +13,25 @@
 	"gradeusher.example/gradeusher/internal/sidecar/singleton"
 )
 
-// exitGuarded is how a guard ends that has ended its command.
-const exitGuarded = 124
+// exitTimedOut is how a guard ends that has ended its command.
+const exitTimedOut = 124
 
-// exitOf is the exit code of a process as a shell has it.
-func exitOf(s *os.ProcessState) int {
+// shellExitCode is the exit code of a process as a shell has it.
+func shellExitCode(s *os.ProcessState) int {
 	if w, ok := s.Sys().(syscall.WaitStatus); ok && w.Signaled() {
 		return 128 + int(w.Signal())
 	}
 	return s.ExitCode()
 }
 
-type dutyGuard struct {
+type roleGuardCommand struct {
 	Grace   time.Duration `help:"From TERM to KILL."`
 	Command []string      `arg:"" help:"What to run."`
 }
 
 // Run runs the command once descriptor 3 has told until when, in ns of duty.Now, and ends it before the last time that it told, or
 // when it tells to, or ends. Danger: the command is a group of its own; what leaves that group is not ended.
-func (c dutyGuard) Run(ctx context.Context, s streams) error {
+func (c roleGuardCommand) Run(ctx context.Context, s streams) error {
 	control := os.NewFile(3, "control")
 	if control == nil {
 		return fmt.Errorf("%w: descriptor 3 is missing", errUsage)
@@ -47,7 +47,7 @@
 	first, err := strconv.ParseInt(<-lines, 10, 64)
 	until := time.Duration(first)
 	if err != nil || singleton.Now() >= until-c.Grace {
-		return exitCode(exitGuarded)
+		return exitCodeError(exitTimedOut)
 	}
 	command := exec.Command(c.Command[0], c.Command[1:]...)
 	command.Stdin, command.Stdout, command.Stderr = s.in, s.out, s.err
@@ -81,9 +81,9 @@
 		case <-ended:
 			signal(syscall.SIGKILL) // what it left behind
 			if told {
-				return exitCode(exitGuarded)
+				return exitCodeError(exitTimedOut)
 			}
-			return codeOf(command.ProcessState)
+			return exitLike(command.ProcessState)
 		case <-done:
 			done = nil
 			term()
@@ -113,10 +113,10 @@
 	}
 }
 
-// codeOf ends this process as another did.
-func codeOf(s *os.ProcessState) error {
-	if code := exitOf(s); code != 0 {
-		return exitCode(code)
+// exitLike ends this process as another did.
+func exitLike(s *os.ProcessState) error {
+	if code := shellExitCode(s); code != 0 {
+		return exitCodeError(code)
 	}
 	return nil
 }
--- a/cmd/gradeusher/role_hold.go
+++ b/cmd/gradeusher/role_hold.go
@@ -15,7 +15,7 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-type dutyHold struct {
+type roleHoldCommand struct {
 	Keepers string        `help:"Addresses of keepers, with commas." env:"GRADEUSHER_KEEPERS" required:""`
 	Name    string        `arg:"" help:"The duty."`
 	Command []string      `arg:"" help:"What to run, after --. It gets GRADEUSHER_DUTY, GRADEUSHER_EPOCH and GRADEUSHER_STEP in its environment."`
@@ -28,11 +28,11 @@
 	Once    bool          `help:"End with exit 1 when the duty is lost or handed over; without it, wait for it again."`
 }
 
-// holds is what became of a command.
-type holds struct{ code int }
+// commandOutcome is what became of a command.
+type commandOutcome struct{ code int }
 
 // Run waits, runs the command while the duty is held, and ends with its exit code once it has ended by itself.
-func (c dutyHold) Run(ctx context.Context, s streams) error {
+func (c roleHoldCommand) Run(ctx context.Context, s streams) error {
 	name, err := processName(c.As)
 	if err != nil {
 		return err
@@ -50,10 +50,10 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	var h holds
+	var h commandOutcome
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	done := r.Want(c.Name, c.At, func(work context.Context, t *singleton.OwnedLease) error { return c.work(work, t, s, &h) })
+	done := r.Want(c.Name, c.At, func(work context.Context, t *singleton.OwnedLease) error { return c.runGuarded(work, t, s, &h) })
 	go func() {
 		select {
 		case <-done:
@@ -63,14 +63,14 @@
 	}()
 	r.Run(ctx, 2*c.Grace+time.Second)
 	if h.code != 0 {
-		return exitCode(h.code)
+		return exitCodeError(h.code)
 	}
 	return nil
 }
 
-// work runs the command in an office, under a guard: a process that ends it in time though this one is stopped or killed.
-func (c dutyHold) work(ctx context.Context, t *singleton.OwnedLease, s streams, h *holds) error {
-	h.code = exitBroken
+// runGuarded runs the command in an office, under a guard: a process that ends it in time though this one is stopped or killed.
+func (c roleHoldCommand) runGuarded(ctx context.Context, t *singleton.OwnedLease, s streams, h *commandOutcome) error {
+	h.code = exitFailure
 	self, err := os.Executable()
 	if err != nil {
 		return fmt.Errorf("guard: %w", err)
@@ -82,7 +82,7 @@
 	defer to.Close()
 	guard := exec.CommandContext(ctx, self, append([]string{"duty", "guard", "--grace", c.Grace.String(), "--"}, c.Command...)...)
 	guard.Env = append(os.Environ(), "GRADEUSHER_DUTY="+t.Name, "GRADEUSHER_EPOCH="+strconv.FormatInt(t.Epoch, 10), "GRADEUSHER_STEP="+t.Step)
-	guard.Env = append(guard.Env, selfEnv...)
+	guard.Env = append(guard.Env, childEnv...)
 	guard.Stdin, guard.Stdout, guard.Stderr, guard.ExtraFiles = s.in, s.out, s.err, []*os.File{from}
 	guard.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // whoever stops this one from a terminal does not stop it
 	err = guard.Start()
@@ -101,14 +101,14 @@
 		}
 		select {
 		case <-ended:
-			h.code = exitOf(guard.ProcessState)
+			h.code = shellExitCode(guard.ProcessState)
 			switch {
-			case !told && t.Valid() && ctx.Err() == nil && h.code != exitGuarded && h.code == 0:
+			case !told && t.Valid() && ctx.Err() == nil && h.code != exitTimedOut && h.code == 0:
 				return nil
-			case !told && t.Valid() && ctx.Err() == nil && h.code != exitGuarded:
+			case !told && t.Valid() && ctx.Err() == nil && h.code != exitTimedOut:
 				return fmt.Errorf("%w: exit %d", singleton.ErrGaveUp, h.code)
 			case c.Once:
-				h.code = exitBroken
+				h.code = exitFailure
 				return nil
 			}
 			h.code = 0
--- a/cmd/gradeusher/role_test.go
+++ b/cmd/gradeusher/role_test.go
@@ -25,61 +25,61 @@
 	if v, err := strconv.Atoi(os.Getenv("GRADEUSHER_DUTY_FAULTS")); err == nil {
 		faults = v
 	}
-	f := newDutyFleet(t, 3)
+	f := newRoleFleet(t, 3)
 	var killed, asked, stopped []time.Duration
 	resumed := 0
 	for i := range faults {
-		name, e := f.holding()
+		name, e := f.activeOwner()
 		at := time.Now()
-		if err := f.by[name].Process.Kill(); err != nil {
+		if err := f.candidates[name].Process.Kill(); err != nil {
 			t.Fatal(err)
 		}
-		after, _ := f.handover(e, at)
+		after, _ := f.awaitHandover(e, at)
 		killed = append(killed, after)
-		f.hold()
+		f.startCandidate()
 
-		_, e = f.holding()
+		_, e = f.activeOwner()
 		if err := newCommand(t, "duty", "release", "work", "--keepers", strings.Join(f.addresses(), ",")).Run(); err != nil {
 			t.Fatal(err)
 		}
-		_, without := f.handover(e, at)
+		_, without := f.awaitHandover(e, at)
 		asked = append(asked, without)
 		if i >= 3 {
 			continue // they take long
 		}
 
 		// Only who renews is stopped: its guard ends the command in time.
-		name, e = f.holding()
+		name, e = f.activeOwner()
 		at = time.Now()
-		f.signal(syscall.SIGSTOP, f.by[name].Process.Pid)
-		after, _ = f.handover(e, at)
+		f.signal(syscall.SIGSTOP, f.candidates[name].Process.Pid)
+		after, _ = f.awaitHandover(e, at)
 		stopped = append(stopped, after)
-		f.signal(syscall.SIGCONT, f.by[name].Process.Pid)
+		f.signal(syscall.SIGCONT, f.candidates[name].Process.Pid)
 
 		// All of it is stopped, in the middle of its effects: clocks are of no help when it is resumed, the fence is. It is resumed once another acts.
-		name, e = f.holding()
-		f.signal(syscall.SIGSTOP, f.by[name].Process.Pid, e.guard, e.pid)
-		f.handover(e, at)
+		name, e = f.activeOwner()
+		f.signal(syscall.SIGSTOP, f.candidates[name].Process.Pid, e.guard, e.pid)
+		f.awaitHandover(e, at)
 		f.signal(syscall.SIGCONT, e.pid)
 		eventually(t, "refusal", func() bool {
-			return slices.ContainsFunc(f.resource.effects(), func(n effect) bool { return n.epoch == e.epoch && !n.done })
+			return slices.ContainsFunc(f.resource.effects(), func(n effect) bool { return n.epoch == e.epoch && !n.allowed })
 		})
 		resumed++
-		f.signal(syscall.SIGCONT, e.guard, f.by[name].Process.Pid)
+		f.signal(syscall.SIGCONT, e.guard, f.candidates[name].Process.Pid)
 	}
-	_, before := f.holding()
+	_, before := f.activeOwner()
 	leader := f.leader()
 	f.kill(leader)
 	f.leader()
 	f.start(leader)
-	f.holding()
-	if first, _, ok := f.resource.next(before); ok { // an election takes about as long as this short lease bears
+	f.activeOwner()
+	if first, _, ok := f.resource.firstAfter(before); ok { // an election takes about as long as this short lease bears
 		t.Logf("the duty went from epoch %d to %d with the keepers' leader", before.epoch, first.epoch)
 	}
 	highest, stale, refused := int64(0), 0, 0
 	pids := map[int64]int{}
 	for _, e := range f.resource.effects() {
-		if !e.done {
+		if !e.allowed {
 			refused++
 			continue
 		}
@@ -100,7 +100,7 @@
 	}
 	t.Logf("%d effects under %d epochs, %d of those of stopped processes refused; lease %v; without one who acts after kill -9: %s; after asked: %s; after SIGSTOP of who renews: %s",
 		len(f.resource.effects()), len(pids), refused, testLease, percentiles(killed), percentiles(asked), percentiles(stopped))
-	if most := killed[len(killed)-1]; most > testLease+500*time.Millisecond+raceSlack {
+	if most := killed[len(killed)-1]; most > testLease+500*time.Millisecond+startupAllowance {
 		t.Errorf("%v passed after a kill, with leases of %v", most, testLease)
 	}
 }
@@ -109,16 +109,16 @@
 // another epoch when they are back.
 func TestDutyMajority(t *testing.T) {
 	t.Parallel()
-	f := newDutyFleet(t, 3)
-	_, e := f.holding()
+	f := newRoleFleet(t, 3)
+	_, e := f.activeOwner()
 	leader := f.leader()
-	i := slices.Index(f.places, leader)
-	other := f.places[(i+1)%3]
+	i := slices.Index(f.nodes, leader)
+	other := f.nodes[(i+1)%3]
 	f.kill(leader)
 	at := time.Now() // a renewal that the leader answered was sent before
 	f.kill(other)
 	eventually(t, "end", func() bool {
-		_, acts := f.resource.last()
+		_, acts := f.resource.lastEffect()
 		return !acts
 	})
 	all := f.resource.effects()
@@ -128,11 +128,11 @@
 	}
 	f.start(leader)
 	f.start(other)
-	if _, next := f.holding(); next.epoch <= e.epoch {
+	if _, next := f.activeOwner(); next.epoch <= e.epoch {
 		t.Errorf("epoch %d after %d", next.epoch, e.epoch)
 	}
 	for _, e := range f.resource.effects() {
-		if !e.done {
+		if !e.allowed {
 			t.Errorf("an effect under epoch %d came late", e.epoch)
 		}
 	}
@@ -141,11 +141,11 @@
 // TestDutySweep has duties out of use forgotten by one of two sweepers, also once the first is killed, and others left alone. Epochs go on.
 func TestDutySweep(t *testing.T) {
 	t.Parallel()
-	k := newKeepers(t, 1, "")
+	k := newRegistryCluster(t, 1, "")
 	k.leader()
 	change := func(turn client.RoleAction, name, who string, epoch int64) state.Role {
 		t.Helper()
-		d, err := k.client.ChangeRole(k.call(), turn, name, client.RoleCall{Process: who, Epoch: epoch, TTLMS: 300_000})
+		d, err := k.client.ChangeRole(k.callContext(), turn, name, client.RoleCall{Process: who, Epoch: epoch, TTLMS: 300_000})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -173,7 +173,7 @@
 	swept := func() (by string) {
 		t.Helper()
 		eventually(t, "sweep", func() bool {
-			n, err := k.client.Roles(k.call(), "")
+			n, err := k.client.Roles(k.callContext(), "")
 			if err != nil {
 				return false
 			}
@@ -198,7 +198,7 @@
 	leave("older")
 	swept()
 	sweep := change(client.Campaign, singleton.SweepRole, "a#1", 0)
-	_, err := k.client.ChangeRole(k.call(), client.Forget, singleton.SweepRole, client.RoleCall{Process: sweep.Owner.Process, Epoch: sweep.Epoch - 1, IdleRoles: []string{"used"}, IdleMS: 1000})
+	_, err := k.client.ChangeRole(k.callContext(), client.Forget, singleton.SweepRole, client.RoleCall{Process: sweep.Owner.Process, Epoch: sweep.Epoch - 1, IdleRoles: []string{"used"}, IdleMS: 1000})
 	if err == nil || !strings.Contains(err.Error(), "does not hold sweep") {
 		t.Errorf("a sweep under the epoch before: %v", err)
 	}
@@ -207,7 +207,7 @@
 // TestDutyHold has a command's exit code passed on, its environment told, and one that TERM does not end killed.
 func TestDutyHold(t *testing.T) {
 	t.Parallel()
-	k := newKeepers(t, 1, "")
+	k := newRegistryCluster(t, 1, "")
 	k.leader()
 	out := filepath.Join(t.TempDir(), "said")
 	hold := func(script string, more ...string) *command {
@@ -215,7 +215,7 @@
 		return newCommand(t, append(args, "--", "sh", "-c", script, "x", out)...)
 	}
 	c := hold(`echo "$GRADEUSHER_DUTY $GRADEUSHER_EPOCH" >> "$1"; exit 7`)
-	if code := c.ends(t); code != 7 {
+	if code := c.waitForExit(t); code != 7 {
 		t.Errorf("exit %d: %s", code, &c.err)
 	}
 	c = hold(`trap "" TERM; echo "$GRADEUSHER_DUTY $GRADEUSHER_EPOCH" >> "$1"; while :; do sleep 0.1; done`, "--once")
@@ -229,10 +229,10 @@
 	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if code := c.ends(t); code != 1 {
+	if code := c.waitForExit(t); code != 1 {
 		t.Errorf("exit %d: %s", code, &c.err)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	n, err := k.client.Roles(ctx, "d")
 	if err != nil || len(n.Roles) != 1 || n.Roles[0].Owner != nil || len(n.Roles[0].Waiting) > 0 {
@@ -248,7 +248,7 @@
 			}
 		}
 		c := newCommand(t, append([]string{"duty", args[0], "--keepers", k.addresses()[0]}, args[1:]...)...)
-		code := c.ends(t)
+		code := c.waitForExit(t)
 		said := slices.ContainsFunc(strings.Split(want, "|"), func(w string) bool { return strings.Contains(c.err.String(), w) })
 		if wantCode := map[bool]int{true: 2, false: 1}[args[0] == "hold"]; code != wantCode || !said {
 			t.Errorf("%v: exit %d, %s", args, code, &c.err)
--- a/cmd/gradeusher/routes_fleet_test.go
+++ b/cmd/gradeusher/routes_fleet_test.go
@@ -27,16 +27,16 @@
 		},
 	} {
 		b.Run(name, func(b *testing.B) {
-			k := newKeepers(b, 3, "")
+			k := newRegistryCluster(b, 3, "")
 			table := routeTable(rules, 10_000)
-			gen, err := k.client.PutRoutes(k.call(), table, nil)
+			gen, err := k.client.PutRoutes(k.callContext(), table, nil)
 			if err != nil {
 				b.Fatal(err)
 			}
 			var read atomic.Int64
 			came := make(chan int64, clients)
 			for i := range clients {
-				resp, err := http.Get("http://" + k.places[i%3].http + "/v1/routes?watch=1" + cut(i))
+				resp, err := http.Get("http://" + k.nodes[i%3].http + "/v1/routes?watch=1" + cut(i))
 				if err != nil || resp.StatusCode != http.StatusOK {
 					b.Fatal(err, resp.StatusCode)
 				}
@@ -60,7 +60,7 @@
 					told++
 				}
 			}
-			news, err := k.client.Routes(k.call(), -1, "")
+			news, err := k.client.Routes(k.callContext(), -1, "")
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -84,7 +84,7 @@
 				table[at].Destinations = slices.Clone(table[at].Destinations)
 				table[at].Destinations[0].Weight++
 				began := time.Now()
-				if gen, err = k.client.PutRoutes(k.call(), table, &gen); err != nil {
+				if gen, err = k.client.PutRoutes(k.callContext(), table, &gen); err != nil {
 					b.Fatal(err)
 				}
 				for range want {
--- a/cmd/gradeusher/routes_test.go
+++ b/cmd/gradeusher/routes_test.go
@@ -32,10 +32,10 @@
 	return t
 }
 
-// followRoutes follows until the test ends.
-func followRoutes(t *testing.T, o client.RouteOptions) *client.RouteSubscriber {
+// subscribeRoutes follows until the test ends.
+func subscribeRoutes(t *testing.T, o client.RouteOptions) *client.RouteSubscriber {
 	t.Helper()
-	o.Log = quiet()
+	o.Log = discardLog()
 	if o.OnUpdate == nil {
 		o.OnUpdate = func(client.RouteUpdate) {}
 	}
@@ -58,11 +58,11 @@
 // follows holds the last table each time, and no generation is used again.
 func TestRoutesOnKeepers(t *testing.T) {
 	t.Parallel()
-	k := newKeepers(t, 3, "[timing]\nsnapshot_after = 8\nsnapshot_ms = 50\ntrailing = 2\n")
+	k := newRegistryCluster(t, 3, "[timing]\nsnapshot_after = 8\nsnapshot_ms = 50\ntrailing = 2\n")
 	var mu sync.Mutex
 	var held client.RouteUpdate
 	seen := map[int64]string{} // hashes, by generation
-	f := followRoutes(t, client.RouteOptions{Registry: k.addresses(), Cache: client.NewRouteCache(t.TempDir(), "n"), OnUpdate: func(u client.RouteUpdate) {
+	f := subscribeRoutes(t, client.RouteOptions{Registry: k.addresses(), Cache: client.NewRouteCache(t.TempDir(), "n"), OnUpdate: func(u client.RouteUpdate) {
 		mu.Lock()
 		defer mu.Unlock()
 		if old, known := seen[u.Generation]; known && old != u.Hash {
@@ -73,11 +73,11 @@
 	gen := int64(0)
 	put := func(table routes.Table) {
 		t.Helper()
-		now, err := k.client.PutRoutes(k.call(), table, &gen)
+		now, err := k.client.PutRoutes(k.callContext(), table, &gen)
 		for errors.Is(err, client.ErrUncertain) { // it may have been done, or not
 			var n client.RoutesUpdate
-			if n, err = k.client.Routes(k.call(), -1, ""); err == nil && n.Hash != table.Hash() {
-				now, err = k.client.PutRoutes(k.call(), table, &n.Generation)
+			if n, err = k.client.Routes(k.callContext(), -1, ""); err == nil && n.Hash != table.Hash() {
+				now, err = k.client.PutRoutes(k.callContext(), table, &n.Generation)
 			} else if err == nil {
 				now = n.Generation
 			}
@@ -93,7 +93,7 @@
 		})
 	}
 	put(routeTable(20, 100))
-	backup, err := k.client.Backup(k.call(), true)
+	backup, err := k.client.Backup(k.callContext(), true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,18 +106,18 @@
 			k.start(p)
 		}
 	}
-	for _, p := range k.places {
+	for _, p := range k.nodes {
 		if p.run.ProcessState == nil {
 			k.kill(p)
 		}
 		k.start(p)
 	}
-	n, err := k.client.Routes(k.call(), gen, "")
+	n, err := k.client.Routes(k.callContext(), gen, "")
 	if err != nil || n.Complete || n.Generation != gen || len(n.Ops) != 0 {
 		t.Errorf("after kill -9 of all, generation %d is answered by %+v, %v", gen, n, err)
 	}
 	last := gen
-	if _, err := k.client.Restore(k.call(), backup); err != nil {
+	if _, err := k.client.Restore(k.callContext(), backup); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "the backup's table", func() bool {
@@ -125,7 +125,7 @@
 		defer mu.Unlock()
 		return held.Hash == routeTable(20, 100).Hash() && held.Generation > last
 	})
-	n, err = k.client.Routes(k.call(), last, "")
+	n, err = k.client.Routes(k.callContext(), last, "")
 	if err != nil || !n.Complete || n.Generation <= last {
 		t.Errorf("who holds generation %d of before the backup is answered by %+v, %v", last, n, err)
 	}
@@ -137,7 +137,7 @@
 	}
 	old := int64(1)
 	var refused *client.RefusedError
-	if _, err := k.client.PutRoutes(k.call(), routeTable(1, 9), &old); !errors.As(err, &refused) || refused.Status != 409 {
+	if _, err := k.client.PutRoutes(k.callContext(), routeTable(1, 9), &old); !errors.As(err, &refused) || refused.Status != 409 {
 		t.Errorf("an old generation is expected: %v", err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -151,10 +151,10 @@
 // servers waits for one, and with all keepers gone the next process goes by what the last one held.
 func TestSidecarRoutes(t *testing.T) {
 	t.Parallel()
-	k := newKeepers(t, 1, "")
+	k := newRegistryCluster(t, 1, "")
 	add := func(model string) {
-		at := httpServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, model) }))
-		if _, err := k.client.Register(k.call(), []list.Registration{{Target: list.Target{UID: "s-" + model, Endpoint: at, Zone: "a", Model: model, State: list.Serving}}}, nil); err != nil {
+		at := newHTTPServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, model) }))
+		if _, err := k.client.Register(k.callContext(), []list.Registration{{Target: list.Target{UID: "s-" + model, Endpoint: at, Zone: "a", Model: model, State: list.Serving}}}, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -171,13 +171,13 @@
 	}
 	put := func(table routes.Table) int64 {
 		t.Helper()
-		gen, err := k.client.PutRoutes(k.call(), table, nil)
+		gen, err := k.client.PutRoutes(k.callContext(), table, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return gen
 	}
-	s := newSidecarPlace(t, map[string]any{"keepers": map[string]any{"addresses": k.addresses(), "routes": true, "tags": map[string]string{"service": "portal"}}})
+	s := newSidecarProcess(t, map[string]any{"keepers": map[string]any{"addresses": k.addresses(), "routes": true, "tags": map[string]string{"service": "portal"}}})
 	turns := func(want map[string]int) {
 		t.Helper()
 		got, n := map[string]int{}, 0
@@ -185,40 +185,40 @@
 			n += v
 		}
 		for range n {
-			got[s.ask()]++
+			got[s.request()]++
 		}
 		for model, v := range got { // a slow moment, or the credit of before, moves some
 			if off := v - want[model]; off > 3 || off < -3 || want[model] == 0 {
-				t.Errorf("turns %v, want %v: %s", got, want, s.said)
+				t.Errorf("turns %v, want %v: %s", got, want, s.lastOutcome)
 			}
 		}
 	}
 	c := s.start()
 	eventually(t, "readiness", s.ready)
 	gen := put(share(map[string]float64{"old": 4, "new": 1}))
-	eventually(t, "the first generation", func() bool { return s.info("route_generation") == gen })
+	eventually(t, "the first generation", func() bool { return s.figure("route_generation") == gen })
 	turns(map[string]int{"old": 16, "new": 4})
 	gen = put(share(map[string]float64{"old": 1, "new": 1}))
-	eventually(t, "the second generation", func() bool { return s.info("route_generation") == gen })
+	eventually(t, "the second generation", func() bool { return s.figure("route_generation") == gen })
 	turns(map[string]int{"old": 10, "new": 10})
-	if s.info("route_rules") != 1 || s.info("route_diffs") < 1 || s.info("route_mismatches") != 0 {
-		t.Errorf("%d rules, %d diffs, %d mismatches", s.info("route_rules"), s.info("route_diffs"), s.info("route_mismatches"))
+	if s.figure("route_rules") != 1 || s.figure("route_diffs") < 1 || s.figure("route_mismatches") != 0 {
+		t.Errorf("%d rules, %d diffs, %d mismatches", s.figure("route_rules"), s.figure("route_diffs"), s.figure("route_mismatches"))
 	}
 	next := put(share(map[string]float64{"late": 1}))
-	eventually(t, "the third generation", func() bool { return s.info("route_generation_held") == next })
-	if s.info("route_generation") != gen {
+	eventually(t, "the third generation", func() bool { return s.figure("route_generation_held") == next })
+	if s.figure("route_generation") != gen {
 		t.Error("a table without ready servers is applied")
 	}
 	turns(map[string]int{"old": 10, "new": 10})
 	add("late")
-	eventually(t, "the table that waited", func() bool { return s.info("route_generation") == next })
+	eventually(t, "the table that waited", func() bool { return s.figure("route_generation") == next })
 	turns(map[string]int{"late": 10})
 	eventually(t, "the saved list and routes", func() bool {
 		text, err := os.ReadFile(filepath.Join(s.tmp, "list-n0.cache"))
 		also, alsoErr := os.ReadFile(filepath.Join(s.tmp, "routes-n0.cache"))
 		return err == nil && alsoErr == nil && strings.Contains(string(text), "s-late") && strings.Contains(string(also), "late")
 	})
-	k.kill(k.places[0])
+	k.kill(k.nodes[0])
 	if err := c.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
@@ -226,13 +226,13 @@
 	s.start()
 	eventually(t, "readiness without keepers", s.ready)
 	turns(map[string]int{"late": 10})
-	if s.info("route_generation") != next {
-		t.Errorf("generation %d is remembered, want %d", s.info("route_generation"), next)
+	if s.figure("route_generation") != next {
+		t.Errorf("generation %d is remembered, want %d", s.figure("route_generation"), next)
 	}
-	k.start(k.places[0])
+	k.start(k.nodes[0])
 	gen = put(share(map[string]float64{"old": 1}))
-	eventually(t, "news after the keepers came back", func() bool { return s.info("route_generation") == gen })
-	if s.info("route_wholes") != 0 {
+	eventually(t, "news after the keepers came back", func() bool { return s.figure("route_generation") == gen })
+	if s.figure("route_wholes") != 0 {
 		t.Error("the next process asked for the whole table")
 	}
 	turns(map[string]int{"old": 5})
--- a/cmd/gradeusher/sidecar_test.go
+++ b/cmd/gradeusher/sidecar_test.go
@@ -13,18 +13,18 @@
 	"time"
 )
 
-// sidecarPlace is where processes of the real sidecar run, one after the other.
-type sidecarPlace struct {
+// sidecarProcess is where processes of the real sidecar run, one after the other.
+type sidecarProcess struct {
 	t                            *testing.T
 	tmp, listen, control, config string
-	asked                        int
-	said                         string // what became of the last request
+	requests                     int
+	lastOutcome                  string // what became of the last request
 }
 
-// newSidecarPlace has a configuration with these fields besides the usual.
-func newSidecarPlace(t *testing.T, fields map[string]any) *sidecarPlace {
+// newSidecarProcess has a configuration with these fields besides the usual.
+func newSidecarProcess(t *testing.T, fields map[string]any) *sidecarProcess {
 	t.Helper()
-	s := &sidecarPlace{t: t, tmp: t.TempDir(), listen: place(t), control: place(t), config: filepath.Join(t.TempDir(), "config.json")}
+	s := &sidecarProcess{t: t, tmp: t.TempDir(), listen: reserveAddress(t), control: reserveAddress(t), config: filepath.Join(t.TempDir(), "config.json")}
 	all := map[string]any{"name": "n0", "listen": s.listen, "control": s.control, "seed": "8c1f30d27a5be964", "settings": json.RawMessage(
 		`{"ordinal":0,"peers_total":1,"my_zone":"a","areas":["a"],"models":["m"],"tiers":["rec-api"],"tier":0,"discovery":"pushed","limits":{"try_limit":3},
 		"request_classes":[{"name":"read","effect":"idempotent","aim_s":0.5,"deadline_s":2}]}`)}
@@ -41,7 +41,7 @@
 	return s
 }
 
-func (s *sidecarPlace) start() *command {
+func (s *sidecarProcess) start() *command {
 	c := newCommand(s.t, "sidecar")
 	c.Env = append(c.Env, "PROXY_CONFIG="+s.config, "TMPDIR="+s.tmp)
 	if err := c.Start(); err != nil {
@@ -58,7 +58,7 @@
 }
 
 // ready tells whether it says so: the application sends from then on (PROTOCOL).
-func (s *sidecarPlace) ready() bool {
+func (s *sidecarProcess) ready() bool {
 	resp, err := http.Get("http://" + s.listen + "/healthz")
 	if err != nil {
 		return false
@@ -67,38 +67,38 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// ask sends a request and returns what a server answered; "": none did.
-func (s *sidecarPlace) ask() string {
-	s.asked++
+// request sends a request and returns what a server answered; "": none did.
+func (s *sidecarProcess) request() string {
+	s.requests++
 	req, err := http.NewRequest(http.MethodGet, "http://"+s.listen+"/api", nil)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	for key, v := range map[string]string{"X-Request-ID": fmt.Sprintf("%016x", s.asked), "X-Priority-Class": "read", "X-Timeout-Ms": "2000"} {
+	for key, v := range map[string]string{"X-Request-ID": fmt.Sprintf("%016x", s.requests), "X-Priority-Class": "read", "X-Timeout-Ms": "2000"} {
 		req.Header.Set(key, v)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		s.said = err.Error()
+		s.lastOutcome = err.Error()
 		return ""
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	s.said = fmt.Sprintf("%s %q %v", resp.Status, body, err)
+	s.lastOutcome = fmt.Sprintf("%s %q %v", resp.Status, body, err)
 	if err != nil || resp.StatusCode != 200 {
 		return ""
 	}
 	return string(body)
 }
 
-// info is a figure of the sidecar's own; -1: it says none of this name.
-func (s *sidecarPlace) info(name string) int64 {
+// figure is a figure of the sidecar's own; -1: it says none of this name.
+func (s *sidecarProcess) figure(name string) int64 {
 	conn, err := net.Dial("tcp", s.control)
 	if err != nil {
 		return -1
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintln(conn, "INFO")
 	text, err := io.ReadAll(conn)
 	if err != nil {
--- a/cmd/gradeusher/standin.go
+++ b/cmd/gradeusher/standin.go
@@ -14,20 +14,20 @@
 
 // standInCommand is the processes that a lab starts. Its orders come on standard input.
 type standInCommand struct {
-	Host  hostCommand  `cmd:"" help:"Stand-in servers."`
-	List  listCommand  `cmd:"" help:"The platform's list of servers."`
-	Plain plainCommand `cmd:"" help:"The plainest sidecar, to compare with."`
+	Host  standInHostCommand    `cmd:"" help:"Stand-in servers."`
+	List  standInListCommand    `cmd:"" help:"The platform's list of servers."`
+	Plain standInSidecarCommand `cmd:"" help:"The plainest sidecar, to compare with."`
 
-	Keeper   plainKeeperCommand `cmd:"" help:"A list service that agrees with nobody."`
-	Relay    relayCommand       `cmd:"" help:"The network in front of keepers."`
-	Peers    peersCommand       `cmd:"" help:"The network between sidecars."`
-	Watchers watchersCommand    `cmd:"" help:"Clients that watch the list."`
-	Liar     liarCommand        `cmd:"" help:"A member among sidecars that tells of work that nobody did."`
+	Keeper   standInRegistryCommand `cmd:"" help:"A list service that agrees with nobody."`
+	Relay    standInRelayCommand    `cmd:"" help:"The network in front of keepers."`
+	Peers    standInPeersCommand    `cmd:"" help:"The network between sidecars."`
+	Watchers standInWatchersCommand `cmd:"" help:"Clients that watch the list."`
+	Liar     standInLiarCommand     `cmd:"" help:"A member among sidecars that tells of work that nobody did."`
 
-	Janitor janitorCommand `cmd:"" help:"Removes an experiment's folder when the lab is gone."`
+	Janitor standInJanitorCommand `cmd:"" help:"Removes an experiment's folder when the lab is gone."`
 }
 
-type hostCommand struct {
+type standInHostCommand struct {
 	Groups  int    `help:"Groups of sidecars, each with listeners of its own." default:"1"`
 	Records string `help:"File for what the servers see." required:""`
 
@@ -36,21 +36,21 @@
 }
 
 // Run obeys until standard input ends.
-func (c hostCommand) Run(s streams) error {
+func (c standInHostCommand) Run(s streams) error {
 	return standin.Host(s.in, s.out, c.Groups, c.Records, c.Keepers, c.Lease)
 }
 
-type plainKeeperCommand struct {
+type standInRegistryCommand struct {
 	Address string `help:"Where it answers." required:""`
 	Flaw    string `help:"What it does wrong."`
 }
 
 // Run is the list service until SIGTERM.
-func (c plainKeeperCommand) Run(ctx context.Context) error {
+func (c standInRegistryCommand) Run(ctx context.Context) error {
 	return standin.PlainKeeper(ctx, c.Address, c.Flaw)
 }
 
-type relayCommand struct {
+type standInRelayCommand struct {
 	Sidecars int    `help:"Near ends that are sidecars, the first ones." required:""`
 	Readers  int    `help:"Near ends that may read the list, with the sidecars." required:""`
 	Told     string `help:"File for what sidecars are told." required:""`
@@ -59,18 +59,18 @@
 }
 
 // Run obeys until standard input ends.
-func (c relayCommand) Run(s streams) error {
+func (c standInRelayCommand) Run(s streams) error {
 	return standin.Relay(s.in, s.out, c.Sidecars, c.Readers, c.Told, c.Shown, c.Routes)
 }
 
-type peersCommand struct {
+type standInPeersCommand struct {
 	Gossip string `help:"File for what sidecars say to each other, by the second." required:""`
 }
 
 // Run obeys until standard input ends.
-func (c peersCommand) Run(s streams) error { return standin.Peers(s.in, s.out, c.Gossip) }
+func (c standInPeersCommand) Run(s streams) error { return standin.Peers(s.in, s.out, c.Gossip) }
 
-type liarCommand struct {
+type standInLiarCommand struct {
 	Name      string   `help:"Of the member." required:""`
 	Listen    string   `help:"IP address and port." required:""`
 	Advertise string   `help:"Where others reach it." required:""`
@@ -79,25 +79,27 @@
 }
 
 // Run lies as it is told to until standard input ends.
-func (c liarCommand) Run(s streams) error {
+func (c standInLiarCommand) Run(s streams) error {
 	return standin.Liar(s.in, s.out, members.Options{Name: c.Name, Listen: c.Listen, Advertise: c.Advertise, Reach: c.Reach, Join: c.Join})
 }
 
-type watchersCommand struct {
+type standInWatchersCommand struct {
 	Of []string `help:"The keepers of one client, with slashes."`
 }
 
 // Run watches until standard input ends.
-func (c watchersCommand) Run(s streams) error { return standin.Watchers(s.in, s.out, s.err, c.Of) }
+func (c standInWatchersCommand) Run(s streams) error {
+	return standin.Watchers(s.in, s.out, s.err, c.Of)
+}
 
-type listCommand struct {
+type standInListCommand struct {
 	Groups  string `help:"The group of each sidecar, with commas." required:""`
 	Port    int    `help:"Port to listen at; 0: any that is free." default:"0"`
 	Records string `help:"File for what sidecars are told." required:""`
 }
 
 // Run obeys until standard input ends.
-func (c listCommand) Run(s streams) error {
+func (c standInListCommand) Run(s streams) error {
 	var groups standin.Groups
 	for _, word := range strings.Split(c.Groups, ",") {
 		g, err := strconv.Atoi(word)
@@ -109,18 +111,18 @@
 	return standin.List(s.in, s.out, groups, c.Port, c.Records)
 }
 
-type plainCommand struct {
+type standInSidecarCommand struct {
 	Flaw string `help:"What it does wrong."`
 }
 
 // Run is the sidecar until SIGTERM.
-func (c plainCommand) Run(ctx context.Context, s streams) error {
+func (c standInSidecarCommand) Run(ctx context.Context, s streams) error {
 	return standin.Plain(ctx, s.env, c.Flaw)
 }
 
-type janitorCommand struct {
+type standInJanitorCommand struct {
 	Folder string `arg:"" help:"What to remove."`
 }
 
 // Run waits until standard input ends, and cleans up.
-func (c janitorCommand) Run(s streams) error { return lab.Clean(s.in, c.Folder) }
+func (c standInJanitorCommand) Run(s streams) error { return lab.Clean(s.in, c.Folder) }
--- a/cmd/gradeusher/system_soak.go
+++ b/cmd/gradeusher/system_soak.go
@@ -27,26 +27,26 @@
 }
 
 const (
-	mostSeeds = 10000
-	mostLoad  = 4
-	planDrawn = "drawn"
+	maxSeeds  = 10000
+	maxLoad   = 4
+	drawnPlan = "drawn"
 )
 
 // Run plays the seeds one after the other.
 func (c systemSoakCommand) Run(ctx context.Context, s streams) error {
-	first, last, err := c.seeds()
+	first, last, err := c.seedRange()
 	if err != nil {
 		return err
 	}
 	if c.For < soak.Shortest || c.For > soak.Longest {
 		return fmt.Errorf("%w: --for %v is not within %v to %v", errUsage, c.For, soak.Shortest, soak.Longest)
 	}
-	if !(c.Load > 0 && c.Load <= mostLoad) { // NaN is neither
-		return fmt.Errorf("%w: --load %v is not above 0 and up to %d", errUsage, c.Load, mostLoad)
+	if !(c.Load > 0 && c.Load <= maxLoad) { // NaN is neither
+		return fmt.Errorf("%w: --load %v is not above 0 and up to %d", errUsage, c.Load, maxLoad)
 	}
 	if c.Plans {
 		for seed := first; seed <= last; seed++ {
-			printPlan(s, c.plan(seed, c.scene(seed)))
+			printPlan(s, c.plan(seed, c.scenario(seed)))
 		}
 		return nil
 	}
@@ -58,7 +58,7 @@
 	} else if err := os.MkdirAll(root, 0o700); err != nil {
 		return err
 	}
-	held, err := c.play(ctx, s, root, first, last)
+	held, err := c.playSeeds(ctx, s, root, first, last)
 	switch {
 	case temporary && held && err == nil:
 		return os.RemoveAll(root)
@@ -66,16 +66,16 @@
 		return err
 	case !held:
 		fmt.Fprintf(s.err, "kept %s\n", root)
-		return errBroken
+		return errReported
 	}
 	return nil
 }
 
-// seeds gives the first and the last.
-func (c systemSoakCommand) seeds() (first, last uint64, err error) {
+// seedRange gives the first and the last.
+func (c systemSoakCommand) seedRange() (first, last uint64, err error) {
 	switch {
-	case c.Count < 1 || c.Count > mostSeeds:
-		return 0, 0, fmt.Errorf("%w: --count %d is not within 1 to %d", errUsage, c.Count, mostSeeds)
+	case c.Count < 1 || c.Count > maxSeeds:
+		return 0, 0, fmt.Errorf("%w: --count %d is not within 1 to %d", errUsage, c.Count, maxSeeds)
 	case c.Seeds == "":
 		first = max(c.Seed, 1)
 		return first, first + uint64(c.Count) - 1, nil
@@ -85,16 +85,16 @@
 	from, to, ok := strings.Cut(c.Seeds, "..")
 	first, err1 := strconv.ParseUint(from, 10, 32)
 	last, err2 := strconv.ParseUint(to, 10, 32)
-	if !ok || err1 != nil || err2 != nil || last < first || last-first >= mostSeeds {
-		return 0, 0, fmt.Errorf("%w: --seeds %q is not A..B with at most %d seeds", errUsage, c.Seeds, mostSeeds)
+	if !ok || err1 != nil || err2 != nil || last < first || last-first >= maxSeeds {
+		return 0, 0, fmt.Errorf("%w: --seeds %q is not A..B with at most %d seeds", errUsage, c.Seeds, maxSeeds)
 	}
 	return first, last, nil
 }
 
-// scene is that of a seed, with the traffic asked for.
-func (c systemSoakCommand) scene(seed uint64) *testcluster.Scenario {
+// scenario is that of a seed, with the traffic asked for.
+func (c systemSoakCommand) scenario(seed uint64) *testcluster.Scenario {
 	scene := soak.Scene(seed)
-	if c.fixed() {
+	if c.hasFixedPlan() {
 		scene = soak.WakeScene(seed)
 	}
 	for i := range scene.Kinds {
@@ -103,12 +103,12 @@
 	return scene
 }
 
-// fixed tells whether the schedule is that of a proxy that wakes.
-func (c systemSoakCommand) fixed() bool { return c.Plan != planDrawn }
+// hasFixedPlan tells whether the schedule is that of a proxy that wakes.
+func (c systemSoakCommand) hasFixedPlan() bool { return c.Plan != drawnPlan }
 
 // plan is the schedule of a seed.
 func (c systemSoakCommand) plan(seed uint64, scene *testcluster.Scenario) *soak.Plan {
-	if c.fixed() {
+	if c.hasFixedPlan() {
 		return soak.Wake(seed, soak.Waking(c.Plan), scene)
 	}
 	return soak.Draw(seed, c.For, scene)
@@ -121,8 +121,8 @@
 	}
 }
 
-// play plays the seeds in folders of their own under root, and removes those of seeds that held.
-func (c systemSoakCommand) play(ctx context.Context, s streams, root string, first, last uint64) (held bool, err error) {
+// playSeeds plays the seeds in folders of their own under root, and removes those of seeds that held.
+func (c systemSoakCommand) playSeeds(ctx context.Context, s streams, root string, first, last uint64) (held bool, err error) {
 	proxy, keeper, err := systemPrograms(ctx, root)
 	if err != nil {
 		return false, err
@@ -133,12 +133,12 @@
 		if err := os.MkdirAll(folder, 0o700); err != nil {
 			return false, err
 		}
-		scene := c.scene(seed)
+		scene := c.scenario(seed)
 		r, err := soak.Play(ctx, soak.Options{Proxy: proxy, Keeper: keeper, Folder: folder, Plan: c.plan(seed, scene), Scene: scene})
 		if err != nil {
 			return false, err
 		}
-		if err := c.tell(s, root, r); err != nil {
+		if err := c.report(s, root, r); err != nil {
 			return false, err
 		}
 		if !r.Held() {
@@ -150,8 +150,8 @@
 	return held, ctx.Err()
 }
 
-// tell prints a result and adds it to the results of the folder.
-func (c systemSoakCommand) tell(s streams, root string, r *soak.Result) error {
+// report prints a result and adds it to the results of the folder.
+func (c systemSoakCommand) report(s streams, root string, r *soak.Result) error {
 	line, err := json.Marshal(r)
 	if err != nil {
 		return err
--- a/cmd/gradeusher/system_soak_norace_test.go
+++ b/cmd/gradeusher/system_soak_norace_test.go
@@ -45,7 +45,7 @@
 	return slices.DeleteFunc(results, func(r *soak.Result) bool { return r == nil })
 }
 
-func drawn(seed uint64, scene *testcluster.Scenario) *soak.Plan {
+func drawPlan(seed uint64, scene *testcluster.Scenario) *soak.Plan {
 	return soak.Draw(seed, soak.Shortest, scene)
 }
 
@@ -55,22 +55,22 @@
 func TestSoak(t *testing.T) {
 	t.Run("holds rules", func(t *testing.T) {
 		t.Parallel()
-		soakHoldsRules(t)
+		testSoakKeepsRules(t)
 	})
 	t.Run("sees floods", func(t *testing.T) {
 		t.Parallel()
-		soakSeesFloods(t)
+		testSoakDetectsFloods(t)
 	})
 	t.Run("sees losses", func(t *testing.T) {
 		t.Parallel()
-		soakSeesLosses(t)
+		testSoakDetectsLosses(t)
 	})
 }
 
-func soakHoldsRules(t *testing.T) {
+func testSoakKeepsRules(t *testing.T) {
 	t.Helper()
 	ends := 0 // tries around planned ends; not every seed has one
-	for _, r := range soakSeeds(t, []uint64{1, 2, 3}, func(*testcluster.Scenario) {}, drawn) {
+	for _, r := range soakSeeds(t, []uint64{1, 2, 3}, func(*testcluster.Scenario) {}, drawPlan) {
 		for _, b := range r.Broken {
 			t.Errorf("seed %d: %s", r.Seed, b)
 		}
@@ -89,20 +89,20 @@
 	}
 }
 
-// soakSeesFloods takes a protection away: the operator does not tell that servers bear less while cold.
-func soakSeesFloods(t *testing.T) {
+// testSoakDetectsFloods takes a protection away: the operator does not tell that servers bear less while cold.
+func testSoakDetectsFloods(t *testing.T) {
 	t.Helper()
-	for _, r := range soakSeeds(t, []uint64{4}, func(s *testcluster.Scenario) { s.Config.Services[0].ColdPerSecond = 0 }, drawn) {
+	for _, r := range soakSeeds(t, []uint64{4}, func(s *testcluster.Scenario) { s.Config.Services[0].ColdPerSecond = 0 }, drawPlan) {
 		if r.Flooded == 0 || !slices.ContainsFunc(r.Broken, func(b string) bool { return strings.HasPrefix(b, "FAILBACK: ") }) {
 			t.Errorf("no flood was seen: %v %q", r, r.Broken)
 		}
 	}
 }
 
-const leastGrace = 100 * time.Millisecond // that settings may hold
+const minGrace = 100 * time.Millisecond // that settings may hold
 
-// soakSeesLosses takes another away: proxies have no time for what they have read.
-func soakSeesLosses(t *testing.T) {
+// testSoakDetectsLosses takes another away: proxies have no time for what they have read.
+func testSoakDetectsLosses(t *testing.T) {
 	t.Helper()
 	ends := func(seed uint64, scene *testcluster.Scenario) *soak.Plan {
 		p := &soak.Plan{Seed: seed, For: soak.Shortest}
@@ -111,7 +111,7 @@
 		}
 		return p
 	}
-	for _, r := range soakSeeds(t, []uint64{5}, func(s *testcluster.Scenario) { s.Bounds.Grace = leastGrace }, ends) {
+	for _, r := range soakSeeds(t, []uint64{5}, func(s *testcluster.Scenario) { s.Bounds.Grace = minGrace }, ends) {
 		if !slices.ContainsFunc(r.Broken, func(b string) bool { return strings.HasPrefix(b, "LOST: ") }) {
 			t.Errorf("no loss was seen, of %d: %v %q", r.Looked["LOST"], r, r.Broken)
 		}
--- a/cmd/gradeusher/system_soak_wake_norace_test.go
+++ b/cmd/gradeusher/system_soak_wake_norace_test.go
@@ -9,7 +9,7 @@
 	"gradeusher.example/gradeusher/internal/lab/soak"
 )
 
-const leastWaited = 20 // requests at a paused proxy, else nothing is shown
+const minWaiting = 20 // requests at a paused proxy, else nothing is shown
 
 // TestSoakWake: a proxy that was paused for some seconds does not flood servers that turned cold meanwhile with all that waited, at
 // the usual traffic and at the double, with the keepers in reach and cut off, and with another one beside it.
@@ -19,18 +19,18 @@
 			for _, load := range []float64{1, 2} {
 				t.Run(fmt.Sprint("load ", load), func(t *testing.T) {
 					t.Parallel()
-					soakWakes(t, systemSoakCommand{Plan: string(plan), Load: load})
+					testSoakWake(t, systemSoakCommand{Plan: string(plan), Load: load})
 				})
 			}
 		})
 	}
 }
 
-func soakWakes(t *testing.T, c systemSoakCommand) {
+func testSoakWake(t *testing.T, c systemSoakCommand) {
 	t.Helper()
 	proxy, keeper, folder := buildSystem(t)
 	seed := uint64(c.Load) // so that those side by side have addresses of their own
-	scene := c.scene(seed)
+	scene := c.scenario(seed)
 	r, err := soak.Play(t.Context(), soak.Options{Proxy: proxy, Keeper: keeper, Folder: folder, Plan: c.plan(seed, scene), Scene: scene})
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 	for _, b := range r.Broken {
 		t.Error(b)
 	}
-	if r.Waited < leastWaited || r.Cold == 0 || r.Served < r.Requests/4 {
+	if r.Waited < minWaiting || r.Cold == 0 || r.Served < r.Requests/4 {
 		t.Errorf("too little was seen: %d waited at the proxy, %d servers were sent requests while cold, %d of %d requests were served", r.Waited,
 			r.Cold, r.Served, r.Requests)
 	}
--- a/cmd/gradeusher/system_up.go
+++ b/cmd/gradeusher/system_up.go
@@ -74,7 +74,7 @@
 	}
 	if !report.Good() || stopped != nil {
 		keep = true
-		return errBroken
+		return errReported
 	}
 	return nil
 }
@@ -87,7 +87,7 @@
 		return "", "", err
 	}
 	for _, at := range []string{filepath.Dir(self), "target"} {
-		if built(filepath.Join(at, "proxy")) && built(filepath.Join(at, "controlplane")) {
+		if isProgram(filepath.Join(at, "proxy")) && isProgram(filepath.Join(at, "controlplane")) {
 			if at, err = filepath.Abs(at); err != nil {
 				return "", "", err
 			}
@@ -102,7 +102,7 @@
 	return filepath.Join(folder, "proxy"), filepath.Join(folder, "controlplane"), nil
 }
 
-func built(path string) bool {
+func isProgram(path string) bool {
 	info, err := os.Stat(path)
 	return err == nil && info.Mode().IsRegular() && info.Mode()&0o111 != 0
 }
--- a/cmd/gradeusher/up.go
+++ b/cmd/gradeusher/up.go
@@ -31,7 +31,7 @@
 	}
 	var last lab.Second
 	lines := json.NewEncoder(s.out)
-	r, err := play(ctx, f, c.Seed, lab.Options{
+	r, err := runExperiment(ctx, f, c.Seed, lab.Options{
 		Up: func(f *lab.Fleet) {
 			if c.JSON {
 				_ = lines.Encode(map[string]any{"list": f.ListAddress(), "sidecars": f.Addresses(), "servers": f.ServerLines()}) // to a reader that has gone
@@ -66,7 +66,7 @@
 	}
 	for _, v := range r.Verdicts {
 		if v.Name == "one-answer" && v.Broken > 0 {
-			return errBroken
+			return errReported
 		}
 	}
 	return nil
