--- a/cmd/gradeusher/admin_backup.go
+++ b/cmd/gradeusher/admin_backup.go
@@ -17,7 +17,7 @@
 }
 
 // Run saves the state. The file is there whole or not at all.
-func (c systemBackupCommand) Run(ctx context.Context, s streams) error {
+func (c systemBackupCommand) Run(ctx context.Context, stdio streams) error {
 	state, err := c.read(ctx)
 	if err != nil {
 		return err
@@ -26,8 +26,8 @@
 	if err := admin.WriteBackup(c.File, data); err != nil {
 		return err
 	}
-	fmt.Fprintf(s.out, "%d bytes in %s\n", len(data), c.File)
-	printState(s.out, state)
+	fmt.Fprintf(stdio.out, "%d bytes in %s\n", len(data), c.File)
+	printState(stdio.out, state)
 	return nil
 }
 
@@ -45,7 +45,7 @@
 }
 
 // Run lays the state into the directory.
-func (c systemRestoreCommand) Run(s streams) error {
+func (c systemRestoreCommand) Run(stdio streams) error {
 	state, err := admin.ReadBackup(c.File)
 	if err != nil {
 		return err
@@ -54,9 +54,9 @@
 		if err := restore.Into(c.To, state); err != nil {
 			return err
 		}
-		fmt.Fprintf(s.out, "restored into %s\n", c.To)
+		fmt.Fprintf(stdio.out, "restored into %s\n", c.To)
 	}
-	printState(s.out, state)
+	printState(stdio.out, state)
 	return nil
 }
 
--- a/cmd/gradeusher/admin_status.go
+++ b/cmd/gradeusher/admin_status.go
@@ -22,16 +22,16 @@
 
 // Run prints what keepers and proxies hold. It fails where no keeper is current, and where the keepers do not bear the losses
 // that the deployment's tolerance names.
-func (c systemStatusCommand) Run(ctx context.Context, s streams) error {
+func (c systemStatusCommand) Run(ctx context.Context, stdio streams) error {
 	var client admin.Client
 	if c.Wait != "" {
-		return c.waitForChange(ctx, s, &client)
+		return c.waitForChange(ctx, stdio, &client)
 	}
 	f, err := client.Fleet(ctx, c.Keepers)
 	if err != nil {
 		return err
 	}
-	if err := c.printFleet(s.out, f); err != nil {
+	if err := c.printFleet(stdio.out, f); err != nil {
 		return err
 	}
 	if !f.Current() {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-func (c systemStatusCommand) waitForChange(ctx context.Context, s streams, client *admin.Client) error {
+func (c systemStatusCommand) waitForChange(ctx context.Context, stdio streams, client *admin.Client) error {
 	change, err := admin.ParseChange(c.Wait)
 	if err != nil {
 		return fmt.Errorf("%w: --wait: %w", errUsage, err)
@@ -55,7 +55,7 @@
 	defer cancel()
 	f, err := client.Wait(ctx, c.Keepers, change)
 	if f != nil && c.JSON {
-		if err := c.printFleet(s.out, f); err != nil {
+		if err := c.printFleet(stdio.out, f); err != nil {
 			return err
 		}
 	}
@@ -63,7 +63,7 @@
 		return err
 	}
 	if !c.JSON {
-		fmt.Fprintf(s.out, "%s is in force at %d keepers and %d proxies\n", change, len(f.Nodes), len(f.Proxies))
+		fmt.Fprintf(stdio.out, "%s is in force at %d keepers and %d proxies\n", change, len(f.Nodes), len(f.Proxies))
 	}
 	return nil
 }
--- a/cmd/gradeusher/admin_why.go
+++ b/cmd/gradeusher/admin_why.go
@@ -16,28 +16,28 @@
 }
 
 // Run prints what the proxy's choice rests on. It fails where the proxy does not know the server.
-func (c systemWhyCommand) Run(ctx context.Context, s streams) error {
+func (c systemWhyCommand) Run(ctx context.Context, stdio streams) error {
 	var client admin.Client
 	p, err := client.ProxyStatus(ctx, c.Proxy)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return json.NewEncoder(s.out).Encode(p)
+		return json.NewEncoder(stdio.out).Encode(p)
 	}
-	fmt.Fprintf(s.out, "proxy %s: %s, %s, record %d, revision %d, evacuated zones: %s\n", p.Node, choose(p.Ready, "ready", "NOT ready"),
+	fmt.Fprintf(stdio.out, "proxy %s: %s, %s, record %d, revision %d, evacuated zones: %s\n", p.Node, choose(p.Ready, "ready", "NOT ready"),
 		choose(p.Fresh, "fresh", "NOT fresh"), p.Number, p.Revision, orNone(p.Evacuated))
 	if p.ListAgeMS < 0 {
-		fmt.Fprintln(s.out, "no list of servers has come")
+		fmt.Fprintln(stdio.out, "no list of servers has come")
 	} else {
-		fmt.Fprintf(s.out, "%d servers on a list that is %d ms old\n", p.Servers, p.ListAgeMS)
+		fmt.Fprintf(stdio.out, "%d servers on a list that is %d ms old\n", p.Servers, p.ListAgeMS)
 	}
 	lines := p.Lines(c.Server)
 	if c.Server != "" && len(lines) == 0 {
 		return fmt.Errorf("server %q is not on the list that this proxy holds: compare the id with the platform's", c.Server)
 	}
 	if len(lines) > 0 {
-		fmt.Fprintln(s.out, strings.Join(lines, "\n"))
+		fmt.Fprintln(stdio.out, strings.Join(lines, "\n"))
 	}
 	return nil
 }
--- a/cmd/gradeusher/lab.go
+++ b/cmd/gradeusher/lab.go
@@ -53,7 +53,7 @@
 }
 
 // Run runs it.
-func (c labRunCommand) Run(ctx context.Context, s streams) error {
+func (c labRunCommand) Run(ctx context.Context, stdio streams) error {
 	r, err := runExperimentFile(ctx, c.File, c.Seed, c.Out)
 	if err != nil {
 		return err
@@ -64,13 +64,13 @@
 		}
 	}
 	if c.JSON {
-		d := json.NewEncoder(s.out)
+		d := json.NewEncoder(stdio.out)
 		d.SetIndent("", " ")
 		if err := d.Encode(r); err != nil {
 			return err
 		}
 	} else {
-		lab.Print(s.out, r)
+		lab.Print(stdio.out, r)
 	}
 	if len(r.Broken()) > 0 || r.BrokenOff {
 		return errReported
@@ -84,7 +84,7 @@
 }
 
 // Run lists them.
-func (c labListCommand) Run(s streams) error {
+func (c labListCommand) Run(stdio streams) error {
 	paths, err := filepath.Glob(filepath.Join(c.Folder, "*.toml"))
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
@@ -105,10 +105,10 @@
 		lines = append(lines, line{path, f.States})
 	}
 	if c.JSON {
-		return json.NewEncoder(s.out).Encode(lines)
+		return json.NewEncoder(stdio.out).Encode(lines)
 	}
 	for _, l := range lines {
-		fmt.Fprintf(s.out, "%-24s %s\n", l.File, l.States)
+		fmt.Fprintf(stdio.out, "%-24s %s\n", l.File, l.States)
 	}
 	return nil
 }
@@ -124,7 +124,7 @@
 const maxRepeats = 100
 
 // Run compares. Files are run in turn, so that whatever else the machine does falls on both.
-func (c labCompareCommand) Run(ctx context.Context, s streams) error {
+func (c labCompareCommand) Run(ctx context.Context, stdio streams) error {
 	if c.Repeat < 1 || c.Repeat > maxRepeats {
 		return fmt.Errorf("%w: --repeat %d is not within 1 to %d", errUsage, c.Repeat, maxRepeats)
 	}
@@ -149,7 +149,7 @@
 				void++
 			}
 			if broken := r.Broken(); len(broken) > 0 && !c.JSON {
-				fmt.Fprintf(s.out, "%s, seed %d: broken: %s\n", side.path, r.Seed, strings.Join(broken, ", "))
+				fmt.Fprintf(stdio.out, "%s, seed %d: broken: %s\n", side.path, r.Seed, strings.Join(broken, ", "))
 			}
 			*side.to = append(*side.to, r)
 		}
@@ -159,11 +159,11 @@
 		return err
 	}
 	if c.JSON {
-		return json.NewEncoder(s.out).Encode(all)
+		return json.NewEncoder(stdio.out).Encode(all)
 	}
-	lab.PrintCompared(s.out, all)
+	lab.PrintCompared(stdio.out, all)
 	if void > 0 {
-		fmt.Fprintf(s.out, "%d runs are void: the lab was late\n", void)
+		fmt.Fprintf(stdio.out, "%d runs are void: the lab was late\n", void)
 		return errReported
 	}
 	return nil
@@ -176,14 +176,14 @@
 }
 
 // Run shows it.
-func (c labTraceCommand) Run(s streams) error {
+func (c labTraceCommand) Run(stdio streams) error {
 	all, err := lab.Trace(c.Folder, c.ID)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
 	if c.JSON {
-		return json.NewEncoder(s.out).Encode(all)
+		return json.NewEncoder(stdio.out).Encode(all)
 	}
-	lab.PrintTrace(s.out, all)
+	lab.PrintTrace(stdio.out, all)
 	return nil
 }
--- a/cmd/gradeusher/list.go
+++ b/cmd/gradeusher/list.go
@@ -41,10 +41,10 @@
 }
 
 // Run prints it.
-func (c listGetCommand) Run(ctx context.Context, s streams) error {
-	return c.withClient(ctx, func(ctx context.Context, k *client.Client) error {
+func (c listGetCommand) Run(ctx context.Context, stdio streams) error {
+	return c.withClient(ctx, func(ctx context.Context, nodes *client.Client) error {
 		if c.UID != "" {
-			e, ok, err := k.Server(ctx, c.UID)
+			e, ok, err := nodes.Server(ctx, c.UID)
 			if err != nil {
 				return err
 			}
@@ -52,21 +52,21 @@
 				return fmt.Errorf("no server %q", c.UID)
 			}
 			if c.JSON {
-				return json.NewEncoder(s.out).Encode(e)
+				return json.NewEncoder(stdio.out).Encode(e)
 			}
-			fmt.Fprintf(s.out, "revision %d, lease %d ms, %s\n", e.Revision, e.LeaseMS, e.Reason)
-			printTargets(s.out, []list.Target{e.Target})
+			fmt.Fprintf(stdio.out, "revision %d, lease %d ms, %s\n", e.Revision, e.LeaseMS, e.Reason)
+			printTargets(stdio.out, []list.Target{e.Target})
 			return nil
 		}
-		l, err := k.List(ctx, c.Exact)
+		l, err := nodes.List(ctx, c.Exact)
 		if err != nil {
 			return err
 		}
 		if c.JSON {
-			return json.NewEncoder(s.out).Encode(l)
+			return json.NewEncoder(stdio.out).Encode(l)
 		}
-		fmt.Fprintf(s.out, "revision %d of %s, %d servers\n", l.Rev, l.Cluster, len(l.Targets))
-		printTargets(s.out, l.Targets)
+		fmt.Fprintf(stdio.out, "revision %d of %s, %d servers\n", l.Rev, l.Cluster, len(l.Targets))
+		printTargets(stdio.out, l.Targets)
 		return nil
 	})
 }
@@ -78,19 +78,19 @@
 }
 
 // Run prints changes. The watch goes on at another keeper when one is lost.
-func (c listWatchCommand) Run(ctx context.Context, s streams) error {
+func (c listWatchCommand) Run(ctx context.Context, stdio streams) error {
 	if c.For <= 0 || c.For > 24*time.Hour {
 		return fmt.Errorf("%w: --for %v is not within 1ns to 24h", errUsage, c.For)
 	}
-	lines := json.NewEncoder(s.out)
+	lines := json.NewEncoder(stdio.out)
 	f, err := client.NewListSubscriber(client.ListOptions{Registry: strings.Split(c.Keepers, ","), ShrinkLimits: client.DefaultShrinkLimits,
-		Log: slog.New(slog.NewTextHandler(s.err, nil)),
+		Log: slog.New(slog.NewTextHandler(stdio.err, nil)),
 		OnUpdate: func(u client.ListUpdate) {
 			if c.JSON {
 				_ = lines.Encode(u) // to a reader that has gone
 				return
 			}
-			printTargets(s.out, u.Targets)
+			printTargets(stdio.out, u.Targets)
 		}})
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
@@ -116,16 +116,16 @@
 }
 
 // Run registers it, and stays if asked to.
-func (c listRegisterCommand) Run(ctx context.Context, s streams) error {
+func (c listRegisterCommand) Run(ctx context.Context, stdio streams) error {
 	if c.Hold && c.Lease == 0 {
 		return fmt.Errorf("%w: --hold needs --lease", errUsage)
 	}
 	r := list.Registration{Target: list.Target{UID: c.UID, Endpoint: c.Endpoint, Zone: c.Zone, Model: c.Model, PodGroup: c.PodGroup,
 		State: list.Serving, Capacity: &c.Capacity, BootMS: c.BootMS}, LeaseMS: c.Lease.Milliseconds()}
-	err := c.withClient(ctx, func(ctx context.Context, k *client.Client) error {
-		d, err := k.Register(ctx, []list.Registration{r}, c.Expect)
+	err := c.withClient(ctx, func(ctx context.Context, nodes *client.Client) error {
+		d, err := nodes.Register(ctx, []list.Registration{r}, c.Expect)
 		if err == nil {
-			fmt.Fprintf(s.out, "revision %d\n", d.Revision)
+			fmt.Fprintf(stdio.out, "revision %d\n", d.Revision)
 		}
 		return err
 	})
@@ -137,15 +137,15 @@
 
 // keepRegistered renews a registration until ctx is done, and takes it back.
 func (c listRegisterCommand) keepRegistered(ctx context.Context, r list.Registration) error {
-	k, err := client.New(strings.Split(c.Keepers, ","))
+	nodes, err := client.New(strings.Split(c.Keepers, ","))
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	defer k.Close()
-	k.KeepRegistered(ctx, r)
+	defer nodes.Close()
+	nodes.KeepRegistered(ctx, r)
 	leave, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.Within)
 	defer cancel()
-	_, err = k.Change(leave, client.Deregister, r.UID, nil)
+	_, err = nodes.Change(leave, client.Deregister, r.UID, nil)
 	return err
 }
 
@@ -156,7 +156,7 @@
 	Expect string `help:"Only if its entry is at this revision."`
 }
 
-func (c serverChange) apply(ctx context.Context, s streams, turn client.Action) error {
+func (c serverChange) apply(ctx context.Context, stdio streams, turn client.Action) error {
 	var expect *int64
 	if c.Expect != "" {
 		n, err := strconv.ParseInt(c.Expect, 10, 64)
@@ -165,10 +165,10 @@
 		}
 		expect = &n
 	}
-	return c.withClient(ctx, func(ctx context.Context, k *client.Client) error {
-		d, err := k.Change(ctx, turn, c.UID, expect)
+	return c.withClient(ctx, func(ctx context.Context, nodes *client.Client) error {
+		d, err := nodes.Change(ctx, turn, c.UID, expect)
 		if err == nil {
-			fmt.Fprintf(s.out, "revision %d\n", d.Revision)
+			fmt.Fprintf(stdio.out, "revision %d\n", d.Revision)
 		}
 		return err
 	})
@@ -177,20 +177,20 @@
 type listDrainCommand struct{ serverChange }
 
 // Run drains it.
-func (c listDrainCommand) Run(ctx context.Context, s streams) error {
-	return c.apply(ctx, s, client.Drain)
+func (c listDrainCommand) Run(ctx context.Context, stdio streams) error {
+	return c.apply(ctx, stdio, client.Drain)
 }
 
 type listServeCommand struct{ serverChange }
 
 // Run ends the drain.
-func (c listServeCommand) Run(ctx context.Context, s streams) error {
-	return c.apply(ctx, s, client.Serve)
+func (c listServeCommand) Run(ctx context.Context, stdio streams) error {
+	return c.apply(ctx, stdio, client.Serve)
 }
 
 type listLeaveCommand struct{ serverChange }
 
 // Run removes it.
-func (c listLeaveCommand) Run(ctx context.Context, s streams) error {
-	return c.apply(ctx, s, client.Deregister)
+func (c listLeaveCommand) Run(ctx context.Context, stdio streams) error {
+	return c.apply(ctx, stdio, client.Deregister)
 }
--- a/cmd/gradeusher/main.go
+++ b/cmd/gradeusher/main.go
@@ -48,20 +48,20 @@
 func main() { os.Exit(run(os.Args[1:], streams{os.Stdin, os.Stdout, os.Stderr, os.Getenv})) }
 
 // run is the command with its arguments, to its exit code.
-func run(args []string, s streams) int {
+func run(args []string, stdio streams) int {
 	var c commands
 	exited := -1
-	parser, err := kong.New(&c, kong.Name("gradeusher"), kong.Writers(s.out, s.err), kong.Exit(func(code int) { exited = code }),
-		kong.Description("Sidecars that pass requests to servers, and the fleet around them."), kong.Bind(s))
+	parser, err := kong.New(&c, kong.Name("gradeusher"), kong.Writers(stdio.out, stdio.err), kong.Exit(func(code int) { exited = code }),
+		kong.Description("Sidecars that pass requests to servers, and the fleet around them."), kong.Bind(stdio))
 	if err != nil {
-		return fail(s, err, exitUsage)
+		return fail(stdio, err, exitUsage)
 	}
 	parsed, err := parser.Parse(args)
 	switch {
 	case exited >= 0:
 		return exited // help was asked for
 	case err != nil:
-		return fail(s, err, exitUsage)
+		return fail(stdio, err, exitUsage)
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
@@ -77,9 +77,9 @@
 	case errors.Is(err, errReported):
 		return exitFailure
 	case errors.As(err, &bad), errors.Is(err, errUsage):
-		return fail(s, err, exitUsage)
+		return fail(stdio, err, exitUsage)
 	}
-	return fail(s, err, exitFailure)
+	return fail(stdio, err, exitFailure)
 }
 
 var errUsage = errors.New("usage")
@@ -90,16 +90,16 @@
 func (c exitCodeError) Error() string { return fmt.Sprintf("exit %d", int(c)) }
 
 // fail says what is wrong in one line.
-func fail(s streams, err error, code int) int {
-	fmt.Fprintln(s.err, "gradeusher:", strings.ReplaceAll(err.Error(), "\n", "; "))
+func fail(stdio streams, err error, code int) int {
+	fmt.Fprintln(stdio.err, "gradeusher:", strings.ReplaceAll(err.Error(), "\n", "; "))
 	return code
 }
 
 type sidecarCommand struct{}
 
 // Run is the sidecar to its end.
-func (sidecarCommand) Run(s streams) error {
-	if code := sidecar.Main(s.env, s.err); code != 0 {
+func (sidecarCommand) Run(stdio streams) error {
+	if code := sidecar.Main(stdio.env, stdio.err); code != 0 {
 		return exitCodeError(code)
 	}
 	return nil
--- a/cmd/gradeusher/registry.go
+++ b/cmd/gradeusher/registry.go
@@ -51,7 +51,7 @@
 }
 
 // Run is the keeper until it is told to end.
-func (c registryRunCommand) Run(ctx context.Context, s streams) error {
+func (c registryRunCommand) Run(ctx context.Context, stdio streams) error {
 	config, err := registry.LoadConfig(c.Config)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
@@ -61,9 +61,9 @@
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
 	o := &slog.HandlerOptions{Level: level}
-	var handler slog.Handler = slog.NewTextHandler(s.err, o)
+	var handler slog.Handler = slog.NewTextHandler(stdio.err, o)
 	if c.Log == "json" {
-		handler = slog.NewJSONHandler(s.err, o)
+		handler = slog.NewJSONHandler(stdio.err, o)
 	}
 	signal.Ignore(syscall.SIGXFSZ) // a file that may not grow is a failed write, not the end of the process
 	return registry.Run(ctx, config, slog.New(handler), nil)
@@ -76,16 +76,16 @@
 }
 
 // Run saves it. The file is there whole or not at all.
-func (c registryBackupCommand) Run(ctx context.Context, s streams) error {
-	return c.withClient(ctx, func(ctx context.Context, k *client.Client) error {
-		text, err := k.Backup(ctx, !c.Any)
+func (c registryBackupCommand) Run(ctx context.Context, stdio streams) error {
+	return c.withClient(ctx, func(ctx context.Context, nodes *client.Client) error {
+		text, err := nodes.Backup(ctx, !c.Any)
 		if err != nil {
 			return err
 		}
 		if err := sealed.WriteFile(c.File, text); err != nil {
 			return err
 		}
-		fmt.Fprintf(s.out, "%d bytes in %s\n", len(text), c.File)
+		fmt.Fprintf(stdio.out, "%d bytes in %s\n", len(text), c.File)
 		return nil
 	})
 }
@@ -96,17 +96,17 @@
 }
 
 // Run restores it.
-func (c registryRestoreCommand) Run(ctx context.Context, s streams) error {
+func (c registryRestoreCommand) Run(ctx context.Context, stdio streams) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	return c.withClient(ctx, func(ctx context.Context, k *client.Client) error {
-		d, err := k.Restore(ctx, text)
+	return c.withClient(ctx, func(ctx context.Context, nodes *client.Client) error {
+		d, err := nodes.Restore(ctx, text)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(s.out, "restored, at revision %d\n", d.Revision)
+		fmt.Fprintf(stdio.out, "restored, at revision %d\n", d.Revision)
 		return nil
 	})
 }
@@ -117,8 +117,8 @@
 }
 
 // Run removes it.
-func (c registryRemoveCommand) Run(ctx context.Context, s streams) error {
-	return c.withClient(ctx, func(ctx context.Context, k *client.Client) error { return k.RemoveNode(ctx, c.Name) })
+func (c registryRemoveCommand) Run(ctx context.Context, stdio streams) error {
+	return c.withClient(ctx, func(ctx context.Context, nodes *client.Client) error { return nodes.RemoveNode(ctx, c.Name) })
 }
 
 type registryStatusCommand struct {
@@ -127,7 +127,7 @@
 }
 
 // Run prints a line a keeper. It fails where no keeper leads.
-func (c registryStatusCommand) Run(ctx context.Context, s streams) error {
+func (c registryStatusCommand) Run(ctx context.Context, stdio streams) error {
 	return c.withClient(ctx, func(ctx context.Context, k *client.Client) error {
 		all, failed := client.Status[registry.Status](ctx, k)
 		leads := false
@@ -139,21 +139,21 @@
 			for k, err := range failed {
 				errs[k] = err.Error()
 			}
-			if err := json.NewEncoder(s.out).Encode(map[string]any{"keepers": all, "failed": errs}); err != nil {
+			if err := json.NewEncoder(stdio.out).Encode(map[string]any{"keepers": all, "failed": errs}); err != nil {
 				return err
 			}
 		} else {
 			for _, address := range slices.Sorted(slices.Values(k.Addresses())) {
 				v, ok := all[address]
 				if !ok {
-					fmt.Fprintf(s.out, "%-21s no answer: %s\n", address, strings.ReplaceAll(failed[address].Error(), "\n", "; "))
+					fmt.Fprintf(stdio.out, "%-21s no answer: %s\n", address, strings.ReplaceAll(failed[address].Error(), "\n", "; "))
 					continue
 				}
 				age := fmt.Sprintf("%d ms", v.AgeMS)
 				if v.AgeMS < 0 {
 					age = "unknown"
 				}
-				fmt.Fprintf(s.out, "%-21s %-10s %-9s leader %-10s term %-4d revision %-8d age %-9s watchers %-5d servers %-5d leases %d, %d held back\n", address, v.Name,
+				fmt.Fprintf(stdio.out, "%-21s %-10s %-9s leader %-10s term %-4d revision %-8d age %-9s watchers %-5d servers %-5d leases %d, %d held back\n", address, v.Name,
 					v.Role, cmp.Or(v.Leader, "none"), v.Term, v.Revision, age, v.Watchers, v.Servers, v.Leases, v.PendingLeases)
 			}
 		}
--- a/cmd/gradeusher/role.go
+++ b/cmd/gradeusher/role.go
@@ -31,9 +31,9 @@
 }
 
 // Run prints them, with every change that was acknowledged before.
-func (c roleListCommand) Run(ctx context.Context, s streams) error {
-	return c.withClient(ctx, func(ctx context.Context, k *client.Client) error {
-		n, err := k.Roles(ctx, c.Name)
+func (c roleListCommand) Run(ctx context.Context, stdio streams) error {
+	return c.withClient(ctx, func(ctx context.Context, nodes *client.Client) error {
+		n, err := nodes.Roles(ctx, c.Name)
 		if err != nil {
 			return err
 		}
@@ -41,16 +41,16 @@
 			return fmt.Errorf("no duty %q", c.Name)
 		}
 		if c.JSON {
-			return json.NewEncoder(s.out).Encode(n)
+			return json.NewEncoder(stdio.out).Encode(n)
 		}
 		for _, d := range n.Roles {
-			printRole(s, d)
+			printRole(stdio, d)
 		}
 		return nil
 	})
 }
 
-func printRole(s streams, d state.Role) {
+func printRole(stdio streams, d state.Role) {
 	held := "nobody"
 	if h := d.Owner; h != nil {
 		held = fmt.Sprintf("%s since %s, lease %v", h.Process, time.UnixMilli(d.SinceMS).UTC().Format(time.RFC3339), time.Duration(h.TTLMS)*time.Millisecond)
@@ -61,9 +61,9 @@
 	if d.RenewalBarred {
 		held += ", out at the end of its lease"
 	}
-	fmt.Fprintf(s.out, "%-20s epoch %-4d step %-4d held by %s; %d wait\n", d.Name, d.Epoch, d.StepNo, held, len(d.Waiting))
+	fmt.Fprintf(stdio.out, "%-20s epoch %-4d step %-4d held by %s; %d wait\n", d.Name, d.Epoch, d.StepNo, held, len(d.Waiting))
 	for _, f := range d.Failures {
-		fmt.Fprintf(s.out, "%-20s %s failed %d times, passed over until %s\n", "", f.Name, f.Count, time.UnixMilli(f.UntilMS).UTC().Format(time.RFC3339))
+		fmt.Fprintf(stdio.out, "%-20s %s failed %d times, passed over until %s\n", "", f.Name, f.Count, time.UnixMilli(f.UntilMS).UTC().Format(time.RFC3339))
 	}
 }
 
@@ -74,8 +74,8 @@
 }
 
 // Run asks the holder.
-func (c roleReleaseCommand) Run(ctx context.Context, s streams) error {
-	return c.requestHandover(ctx, s, c.Name, client.RoleCall{Force: c.Force})
+func (c roleReleaseCommand) Run(ctx context.Context, stdio streams) error {
+	return c.requestHandover(ctx, stdio, c.Name, client.RoleCall{Force: c.Force})
 }
 
 type roleMoveCommand struct {
@@ -86,16 +86,16 @@
 }
 
 // Run asks the holder.
-func (c roleMoveCommand) Run(ctx context.Context, s streams) error {
-	return c.requestHandover(ctx, s, c.Name, client.RoleCall{Successor: c.To, Force: c.Force})
+func (c roleMoveCommand) Run(ctx context.Context, stdio streams) error {
+	return c.requestHandover(ctx, stdio, c.Name, client.RoleCall{Successor: c.To, Force: c.Force})
 }
 
 // requestHandover has a holder asked to hand over, and says what stands then.
-func (f registryFlags) requestHandover(ctx context.Context, s streams, name string, q client.RoleCall) error {
-	return f.withClient(ctx, func(ctx context.Context, k *client.Client) error {
-		d, err := k.ChangeRole(ctx, client.Move, name, q)
+func (f registryFlags) requestHandover(ctx context.Context, stdio streams, name string, q client.RoleCall) error {
+	return f.withClient(ctx, func(ctx context.Context, nodes *client.Client) error {
+		d, err := nodes.ChangeRole(ctx, client.Move, name, q)
 		if err == nil {
-			printRole(s, d.Role)
+			printRole(stdio, d.Role)
 		}
 		return err
 	})
@@ -110,26 +110,26 @@
 }
 
 // Run waits and sweeps until interrupted.
-func (c roleSweepCommand) Run(ctx context.Context, s streams) error {
+func (c roleSweepCommand) Run(ctx context.Context, stdio streams) error {
 	if c.Every <= 0 || c.Idle < state.MinIdle {
 		return fmt.Errorf("%w: --every has to be above 0, and --idle %v at least", errUsage, state.MinIdle)
 	}
-	log := slog.New(slog.NewTextHandler(s.err, nil))
+	log := slog.New(slog.NewTextHandler(stdio.err, nil))
 	name, err := processName(c.As)
 	if err != nil {
 		return err
 	}
-	r, err := singleton.NewRunner(singleton.Options{Registry: strings.Split(c.Keepers, ","), Name: name, Lease: c.Lease, Log: log})
+	runner, err := singleton.NewRunner(singleton.Options{Registry: strings.Split(c.Keepers, ","), Name: name, Lease: c.Lease, Log: log})
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	k, err := client.New(strings.Split(c.Keepers, ","))
+	nodes, err := client.New(strings.Split(c.Keepers, ","))
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	defer k.Close()
-	r.Want(singleton.SweepRole, "", singleton.Sweep(k, c.Every, c.Idle, log))
-	r.Run(ctx, c.Lease)
+	defer nodes.Close()
+	runner.Want(singleton.SweepRole, "", singleton.Sweep(nodes, c.Every, c.Idle, log))
+	runner.Run(ctx, c.Lease)
 	return nil
 }
 
--- a/cmd/gradeusher/role_guard.go
+++ b/cmd/gradeusher/role_guard.go
@@ -31,7 +31,7 @@
 
 // Run runs the command once descriptor 3 has told until when, in ns of duty.Now, and ends it before the last time that it told, or
 // when it tells to, or ends. Danger: the command is a group of its own; what leaves that group is not ended.
-func (c roleGuardCommand) Run(ctx context.Context, s streams) error {
+func (c roleGuardCommand) Run(ctx context.Context, stdio streams) error {
 	control := os.NewFile(3, "control")
 	if control == nil {
 		return fmt.Errorf("%w: descriptor 3 is missing", errUsage)
@@ -50,7 +50,7 @@
 		return exitCodeError(exitTimedOut)
 	}
 	command := exec.Command(c.Command[0], c.Command[1:]...)
-	command.Stdin, command.Stdout, command.Stderr = s.in, s.out, s.err
+	command.Stdin, command.Stdout, command.Stderr = stdio.in, stdio.out, stdio.err
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if err := command.Start(); err != nil {
 		return err
--- a/cmd/gradeusher/role_hold.go
+++ b/cmd/gradeusher/role_hold.go
@@ -32,7 +32,7 @@
 type commandOutcome struct{ code int }
 
 // Run waits, runs the command while the duty is held, and ends with its exit code once it has ended by itself.
-func (c roleHoldCommand) Run(ctx context.Context, s streams) error {
+func (c roleHoldCommand) Run(ctx context.Context, stdio streams) error {
 	name, err := processName(c.As)
 	if err != nil {
 		return err
@@ -46,14 +46,14 @@
 	if _, err := exec.LookPath(c.Command[0]); err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	r, err := singleton.NewRunner(singleton.Options{Registry: strings.Split(c.Keepers, ","), Name: name, Location: c.Room, Lease: c.Lease, Load: c.Load, Log: slog.New(slog.NewTextHandler(s.err, nil))})
+	r, err := singleton.NewRunner(singleton.Options{Registry: strings.Split(c.Keepers, ","), Name: name, Location: c.Room, Lease: c.Lease, Load: c.Load, Log: slog.New(slog.NewTextHandler(stdio.err, nil))})
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
 	var h commandOutcome
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	done := r.Want(c.Name, c.At, func(work context.Context, t *singleton.OwnedLease) error { return c.runGuarded(work, t, s, &h) })
+	done := r.Want(c.Name, c.At, func(work context.Context, t *singleton.OwnedLease) error { return c.runGuarded(work, t, stdio, &h) })
 	go func() {
 		select {
 		case <-done:
@@ -69,7 +69,7 @@
 }
 
 // runGuarded runs the command in an office, under a guard: a process that ends it in time though this one is stopped or killed.
-func (c roleHoldCommand) runGuarded(ctx context.Context, t *singleton.OwnedLease, s streams, h *commandOutcome) error {
+func (c roleHoldCommand) runGuarded(ctx context.Context, t *singleton.OwnedLease, stdio streams, h *commandOutcome) error {
 	h.code = exitFailure
 	self, err := os.Executable()
 	if err != nil {
@@ -83,7 +83,7 @@
 	guard := exec.CommandContext(ctx, self, append([]string{"duty", "guard", "--grace", c.Grace.String(), "--"}, c.Command...)...)
 	guard.Env = append(os.Environ(), "GRADEUSHER_DUTY="+t.Name, "GRADEUSHER_EPOCH="+strconv.FormatInt(t.Epoch, 10), "GRADEUSHER_STEP="+t.Step)
 	guard.Env = append(guard.Env, childEnv...)
-	guard.Stdin, guard.Stdout, guard.Stderr, guard.ExtraFiles = s.in, s.out, s.err, []*os.File{from}
+	guard.Stdin, guard.Stdout, guard.Stderr, guard.ExtraFiles = stdio.in, stdio.out, stdio.err, []*os.File{from}
 	guard.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // whoever stops this one from a terminal does not stop it
 	err = guard.Start()
 	from.Close()
--- a/cmd/gradeusher/standin.go
+++ b/cmd/gradeusher/standin.go
@@ -36,8 +36,8 @@
 }
 
 // Run obeys until standard input ends.
-func (c standInHostCommand) Run(s streams) error {
-	return standin.Host(s.in, s.out, c.Groups, c.Records, c.Keepers, c.Lease)
+func (c standInHostCommand) Run(stdio streams) error {
+	return standin.Host(stdio.in, stdio.out, c.Groups, c.Records, c.Keepers, c.Lease)
 }
 
 type standInRegistryCommand struct {
@@ -59,8 +59,8 @@
 }
 
 // Run obeys until standard input ends.
-func (c standInRelayCommand) Run(s streams) error {
-	return standin.Relay(s.in, s.out, c.Sidecars, c.Readers, c.Told, c.Shown, c.Routes)
+func (c standInRelayCommand) Run(stdio streams) error {
+	return standin.Relay(stdio.in, stdio.out, c.Sidecars, c.Readers, c.Told, c.Shown, c.Routes)
 }
 
 type standInPeersCommand struct {
@@ -68,7 +68,9 @@
 }
 
 // Run obeys until standard input ends.
-func (c standInPeersCommand) Run(s streams) error { return standin.Peers(s.in, s.out, c.Gossip) }
+func (c standInPeersCommand) Run(stdio streams) error {
+	return standin.Peers(stdio.in, stdio.out, c.Gossip)
+}
 
 type standInLiarCommand struct {
 	Name      string   `help:"Of the member." required:""`
@@ -79,8 +81,8 @@
 }
 
 // Run lies as it is told to until standard input ends.
-func (c standInLiarCommand) Run(s streams) error {
-	return standin.Liar(s.in, s.out, members.Options{Name: c.Name, Listen: c.Listen, Advertise: c.Advertise, Reach: c.Reach, Join: c.Join})
+func (c standInLiarCommand) Run(stdio streams) error {
+	return standin.Liar(stdio.in, stdio.out, members.Options{Name: c.Name, Listen: c.Listen, Advertise: c.Advertise, Reach: c.Reach, Join: c.Join})
 }
 
 type standInWatchersCommand struct {
@@ -88,8 +90,8 @@
 }
 
 // Run watches until standard input ends.
-func (c standInWatchersCommand) Run(s streams) error {
-	return standin.Watchers(s.in, s.out, s.err, c.Of)
+func (c standInWatchersCommand) Run(stdio streams) error {
+	return standin.Watchers(stdio.in, stdio.out, stdio.err, c.Of)
 }
 
 type standInListCommand struct {
@@ -99,7 +101,7 @@
 }
 
 // Run obeys until standard input ends.
-func (c standInListCommand) Run(s streams) error {
+func (c standInListCommand) Run(stdio streams) error {
 	var groups standin.Groups
 	for _, word := range strings.Split(c.Groups, ",") {
 		g, err := strconv.Atoi(word)
@@ -108,7 +110,7 @@
 		}
 		groups = append(groups, g)
 	}
-	return standin.List(s.in, s.out, groups, c.Port, c.Records)
+	return standin.List(stdio.in, stdio.out, groups, c.Port, c.Records)
 }
 
 type standInSidecarCommand struct {
@@ -116,8 +118,8 @@
 }
 
 // Run is the sidecar until SIGTERM.
-func (c standInSidecarCommand) Run(ctx context.Context, s streams) error {
-	return standin.Plain(ctx, s.env, c.Flaw)
+func (c standInSidecarCommand) Run(ctx context.Context, stdio streams) error {
+	return standin.Plain(ctx, stdio.env, c.Flaw)
 }
 
 type standInJanitorCommand struct {
@@ -125,4 +127,4 @@
 }
 
 // Run waits until standard input ends, and cleans up.
-func (c standInJanitorCommand) Run(s streams) error { return lab.Clean(s.in, c.Folder) }
+func (c standInJanitorCommand) Run(stdio streams) error { return lab.Clean(stdio.in, c.Folder) }
--- a/cmd/gradeusher/system_soak.go
+++ b/cmd/gradeusher/system_soak.go
@@ -33,7 +33,7 @@
 )
 
 // Run plays the seeds one after the other.
-func (c systemSoakCommand) Run(ctx context.Context, s streams) error {
+func (c systemSoakCommand) Run(ctx context.Context, stdio streams) error {
 	first, last, err := c.seedRange()
 	if err != nil {
 		return err
@@ -46,7 +46,7 @@
 	}
 	if c.Plans {
 		for seed := first; seed <= last; seed++ {
-			printPlan(s, c.plan(seed, c.scenario(seed)))
+			printPlan(stdio, c.plan(seed, c.scenario(seed)))
 		}
 		return nil
 	}
@@ -58,14 +58,14 @@
 	} else if err := os.MkdirAll(root, 0o700); err != nil {
 		return err
 	}
-	held, err := c.playSeeds(ctx, s, root, first, last)
+	held, err := c.playSeeds(ctx, stdio, root, first, last)
 	switch {
 	case temporary && held && err == nil:
 		return os.RemoveAll(root)
 	case err != nil:
 		return err
 	case !held:
-		fmt.Fprintf(s.err, "kept %s\n", root)
+		fmt.Fprintf(stdio.err, "kept %s\n", root)
 		return errReported
 	}
 	return nil
@@ -114,15 +114,15 @@
 	return soak.Draw(seed, c.For, scene)
 }
 
-func printPlan(s streams, p *soak.Plan) {
-	fmt.Fprintf(s.out, "seed %d: %v between regions, %d troubles, %d at once\n", p.Seed, p.Delay.Round(time.Millisecond), len(p.Troubles), p.AtOnce())
+func printPlan(stdio streams, p *soak.Plan) {
+	fmt.Fprintf(stdio.out, "seed %d: %v between regions, %d troubles, %d at once\n", p.Seed, p.Delay.Round(time.Millisecond), len(p.Troubles), p.AtOnce())
 	for _, t := range p.Troubles {
-		fmt.Fprintf(s.out, "  %v\n", t)
+		fmt.Fprintf(stdio.out, "  %v\n", t)
 	}
 }
 
 // playSeeds plays the seeds in folders of their own under root, and removes those of seeds that held.
-func (c systemSoakCommand) playSeeds(ctx context.Context, s streams, root string, first, last uint64) (held bool, err error) {
+func (c systemSoakCommand) playSeeds(ctx context.Context, stdio streams, root string, first, last uint64) (held bool, err error) {
 	proxy, keeper, err := systemPrograms(ctx, root)
 	if err != nil {
 		return false, err
@@ -138,7 +138,7 @@
 		if err != nil {
 			return false, err
 		}
-		if err := c.report(s, root, r); err != nil {
+		if err := c.report(stdio, root, r); err != nil {
 			return false, err
 		}
 		if !r.Held() {
@@ -151,17 +151,17 @@
 }
 
 // report prints a result and adds it to the results of the folder.
-func (c systemSoakCommand) report(s streams, root string, r *soak.Result) error {
+func (c systemSoakCommand) report(stdio streams, root string, r *soak.Result) error {
 	line, err := json.Marshal(r)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		fmt.Fprintf(s.out, "%s\n", line)
+		fmt.Fprintf(stdio.out, "%s\n", line)
 	} else {
-		fmt.Fprintln(s.out, r)
+		fmt.Fprintln(stdio.out, r)
 		for _, b := range r.Broken {
-			fmt.Fprintf(s.out, "seed %d: %s\n", r.Seed, b)
+			fmt.Fprintf(stdio.out, "seed %d: %s\n", r.Seed, b)
 		}
 	}
 	f, err := os.OpenFile(filepath.Join(root, "results.jsonl"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
--- a/cmd/gradeusher/system_up.go
+++ b/cmd/gradeusher/system_up.go
@@ -22,7 +22,7 @@
 }
 
 // Run starts everything, prints a line a second, and ends it when the time is over or on an interrupt.
-func (c systemUpCommand) Run(ctx context.Context, s streams) error {
+func (c systemUpCommand) Run(ctx context.Context, stdio streams) error {
 	if c.For < time.Second || c.For > time.Hour {
 		return fmt.Errorf("%w: --for %v is not within 1s to 1h", errUsage, c.For)
 	}
@@ -36,7 +36,7 @@
 	keep := c.Keep
 	defer func() {
 		if keep {
-			fmt.Fprintf(s.out, "kept     %s\n", folder)
+			fmt.Fprintf(stdio.out, "kept     %s\n", folder)
 		} else {
 			_ = os.RemoveAll(folder) // what stays is in the folder for temporary files
 		}
@@ -51,7 +51,7 @@
 		return err
 	}
 	for _, line := range run.Lines() {
-		fmt.Fprintln(s.out, line)
+		fmt.Fprintln(stdio.out, line)
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.For)
 	defer cancel()
@@ -59,7 +59,7 @@
 	say := func(line string) {
 		mu.Lock()
 		defer mu.Unlock()
-		fmt.Fprintln(s.out, line)
+		fmt.Fprintln(stdio.out, line)
 	}
 	var stopped error
 	if c.Tour {
@@ -67,10 +67,10 @@
 	}
 	report := run.Play(ctx, func(n testcluster.Second) { say(n.String()) })
 	for _, line := range report.Lines() {
-		fmt.Fprintln(s.out, line)
+		fmt.Fprintln(stdio.out, line)
 	}
 	if stopped != nil {
-		fmt.Fprintf(s.out, "the tour stopped: %v\n", stopped)
+		fmt.Fprintf(stdio.out, "the tour stopped: %v\n", stopped)
 	}
 	if !report.Good() || stopped != nil {
 		keep = true
--- a/cmd/gradeusher/up.go
+++ b/cmd/gradeusher/up.go
@@ -20,7 +20,7 @@
 }
 
 // Run starts a keeper and the fleet, prints a line a second, and ends it when the time is over or on an interrupt.
-func (c upCommand) Run(ctx context.Context, s streams) error {
+func (c upCommand) Run(ctx context.Context, stdio streams) error {
 	if c.For < time.Second || c.For > time.Hour {
 		return fmt.Errorf("%w: --for %v is not within 1s to 1h", errUsage, c.For)
 	}
@@ -30,19 +30,19 @@
 		return err
 	}
 	var last lab.Second
-	lines := json.NewEncoder(s.out)
+	lines := json.NewEncoder(stdio.out)
 	r, err := runExperiment(ctx, f, c.Seed, lab.Options{
 		Up: func(f *lab.Fleet) {
 			if c.JSON {
 				_ = lines.Encode(map[string]any{"list": f.ListAddress(), "sidecars": f.Addresses(), "servers": f.ServerLines()}) // to a reader that has gone
 				return
 			}
-			fmt.Fprintf(s.out, "list     http://%s/v1/servers\n", f.ListAddress())
+			fmt.Fprintf(stdio.out, "list     http://%s/v1/servers\n", f.ListAddress())
 			for _, line := range f.SidecarLines() {
-				fmt.Fprintf(s.out, "sidecar  %s\n", line)
+				fmt.Fprintf(stdio.out, "sidecar  %s\n", line)
 			}
 			for _, line := range f.ServerLines() {
-				fmt.Fprintf(s.out, "server   %s\n", line)
+				fmt.Fprintf(stdio.out, "server   %s\n", line)
 			}
 		},
 		Tick: func(n lab.Second) {
@@ -50,7 +50,7 @@
 				_ = lines.Encode(n)
 				return
 			}
-			fmt.Fprintf(s.out, "%4.0fs  %4d requests/s  served %d  refused %d  failed %d  open %d\n", n.At.Seconds(), n.Requests-last.Requests,
+			fmt.Fprintf(stdio.out, "%4.0fs  %4d requests/s  served %d  refused %d  failed %d  open %d\n", n.At.Seconds(), n.Requests-last.Requests,
 				n.Served-last.Served, n.Refused-last.Refused, n.Failed-last.Failed, n.Open)
 			last = n
 		}})
@@ -62,7 +62,7 @@
 			return err
 		}
 	} else {
-		lab.Print(s.out, r)
+		lab.Print(stdio.out, r)
 	}
 	for _, v := range r.Verdicts {
 		if v.Name == "one-answer" && v.Broken > 0 {
