--- a/cmd/gradeusher/main.go
+++ b/cmd/gradeusher/main.go
@@ -1,4 +1,12 @@
-// Command gradeusher is what operators use: it starts fleets, runs experiments, and is every process of the product.
+// Package main is the program gradeusher, the command line of operators and of the project's engineers. It starts fleets, runs
+// experiments with real processes, looks after the registry and its singleton roles, and shows, backs up and restores the system of
+// proxies and control-plane nodes.
+//
+// Scripts rely on the names of commands and flags, on environment variables, on the JSON that --json prints and on exit codes. Some of
+// those names are older than the terms of docs/glossary.md: "keeper" stands for a node of the registry or of the control plane, and
+// "duty" for a singleton role. TestCommandNames guards the names.
+//
+// Each command is a struct: its fields are flags and arguments, from which kong parses, and its Run does the work.
 package main
 
 import (
@@ -19,6 +27,7 @@
 
 // Exit codes, on which scripts rely.
 const (
+	exitSuccess = 0
 	exitFailure = 1 // an invariant or bar did not hold, or the work failed
 	exitUsage   = 2 // bad usage or a bad file
 )
@@ -35,69 +44,83 @@
 	StandIn standInCommand        `cmd:"" name:"stand-in" hidden:"" help:"Be a stand-in process of an experiment."`
 }
 
-// streams are where a command reads and writes.
+// streams are where a command reads and writes, and its environment.
 type streams struct {
 	in       io.Reader
 	out, err io.Writer
 	env      func(string) string
 }
 
-// errReported ends a command with exitFailure after it has said why on its output.
-var errReported = errors.New("broken")
+// printf writes to standard output. A reader that has gone ends no command: its work counts, not its output.
+func (s streams) printf(format string, values ...any) { _, _ = fmt.Fprintf(s.out, format, values...) }
+
+// println writes a line to standard output, as printf does.
+func (s streams) println(values ...any) { _, _ = fmt.Fprintln(s.out, values...) }
+
+// Errors that decide the exit code.
+var (
+	// errReported ends a command with exitFailure after it has said why on its output.
+	errReported = errors.New("failed as reported")
+	// errUsage ends a command with exitUsage: arguments or a file make no sense.
+	errUsage = errors.New("usage")
+)
+
+// exitCodeError ends a command with a code, after it has said all there is to say.
+type exitCodeError int
+
+func (c exitCodeError) Error() string { return fmt.Sprintf("exit %d", int(c)) }
 
 func main() { os.Exit(run(os.Args[1:], streams{os.Stdin, os.Stdout, os.Stderr, os.Getenv})) }
 
-// run is the command with its arguments, to its exit code.
+// run runs the command that the arguments name and returns its exit code.
 func run(args []string, stdio streams) int {
-	var c commands
-	exited := -1
-	parser, err := kong.New(&c, kong.Name("gradeusher"), kong.Writers(stdio.out, stdio.err), kong.Exit(func(code int) { exited = code }),
+	var all commands
+	const notExited = -1
+	exited := notExited
+	parser, err := kong.New(&all, kong.Name("gradeusher"), kong.Writers(stdio.out, stdio.err), kong.Exit(func(code int) { exited = code }),
 		kong.Description("Sidecars that pass requests to servers, and the fleet around them."), kong.Bind(stdio))
 	if err != nil {
 		return fail(stdio, err, exitUsage)
 	}
 	parsed, err := parser.Parse(args)
-	switch {
-	case exited >= 0:
+	if exited != notExited {
 		return exited // help was asked for
-	case err != nil:
+	}
+	if err != nil {
 		return fail(stdio, err, exitUsage)
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
 	parsed.BindTo(ctx, (*context.Context)(nil))
-	err = parsed.Run()
-	var bad *plan.Error
+	return exitCodeOf(stdio, parsed.Run())
+}
+
+// exitCodeOf maps the error of a command to the exit code, and prints those that were not reported yet.
+func exitCodeOf(stdio streams, err error) int {
+	var badPlan *plan.Error
 	var code exitCodeError
 	switch {
 	case err == nil:
-		return 0
+		return exitSuccess
 	case errors.As(err, &code):
 		return int(code)
 	case errors.Is(err, errReported):
 		return exitFailure
-	case errors.As(err, &bad), errors.Is(err, errUsage):
+	case errors.As(err, &badPlan), errors.Is(err, errUsage):
 		return fail(stdio, err, exitUsage)
 	}
 	return fail(stdio, err, exitFailure)
 }
 
-var errUsage = errors.New("usage")
-
-// exitCodeError ends a command with a code, after it has said all there is to say.
-type exitCodeError int
-
-func (c exitCodeError) Error() string { return fmt.Sprintf("exit %d", int(c)) }
-
-// fail says what is wrong in one line.
+// fail prints an error in one line and returns the code.
 func fail(stdio streams, err error, code int) int {
-	fmt.Fprintln(stdio.err, "gradeusher:", strings.ReplaceAll(err.Error(), "\n", "; "))
+	_, _ = fmt.Fprintln(stdio.err, "gradeusher:", strings.ReplaceAll(err.Error(), "\n", "; ")) // the code says it too
 	return code
 }
 
 type sidecarCommand struct{}
 
-// Run is the sidecar to its end.
+// Run is the sidecar until SIGTERM.
 func (sidecarCommand) Run(stdio streams) error {
 	if code := sidecar.Main(stdio.env, stdio.err); code != 0 {
 		return exitCodeError(code)
