--- a/cmd/gradeusher/role_hold.go
+++ b/cmd/gradeusher/role_hold.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"io"
 	"log/slog"
 	"os"
 	"os/exec"
@@ -15,6 +16,11 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
+const (
+	defaultGraceDivisor = 4  // of the lease, where no grace is given
+	renewalsPerLease    = 16 // how often a guard is given a new deadline
+)
+
 type roleHoldCommand struct {
 	Keepers string        `help:"Addresses of keepers, with commas." env:"GRADEUSHER_KEEPERS" required:""`
 	Name    string        `arg:"" help:"The duty."`
@@ -28,32 +34,25 @@
 	Once    bool          `help:"End with exit 1 when the duty is lost or handed over; without it, wait for it again."`
 }
 
-// commandOutcome is what became of a command.
+// commandOutcome is the exit code that a command left; 0: this process ends well.
 type commandOutcome struct{ code int }
 
-// Run waits, runs the command while the duty is held, and ends with its exit code once it has ended by itself.
+// Run waits for the role, runs the command while this process owns it, and ends with the command's exit code once that has ended by
+// itself.
 func (c roleHoldCommand) Run(ctx context.Context, stdio streams) error {
-	name, err := processName(c.As)
-	if err != nil {
-		return err
-	}
 	if c.Grace == 0 {
-		c.Grace = c.Lease / 4
-	}
-	if most := (c.Lease - state.RoleLeaseMargin(c.Lease)) / 2; c.Grace < 0 || c.Grace > most {
-		return fmt.Errorf("%w: --grace %v is not within 0 to %v, half of what the lease leaves", errUsage, c.Grace, most)
-	}
-	if _, err := exec.LookPath(c.Command[0]); err != nil {
-		return fmt.Errorf("%w: %w", errUsage, err)
+		c.Grace = c.Lease / defaultGraceDivisor
 	}
-	r, err := singleton.NewRunner(singleton.Options{Registry: strings.Split(c.Keepers, ","), Name: name, Location: c.Room, Lease: c.Lease, Load: c.Load, Log: slog.New(slog.NewTextHandler(stdio.err, nil))})
+	runner, err := c.newRunner(stdio)
 	if err != nil {
-		return fmt.Errorf("%w: %w", errUsage, err)
+		return err
 	}
-	var h commandOutcome
+	var outcome commandOutcome
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	done := r.Want(c.Name, c.At, func(work context.Context, t *singleton.OwnedLease) error { return c.runGuarded(work, t, stdio, &h) })
+	done := runner.Want(c.Name, c.At, func(work context.Context, lease *singleton.OwnedLease) error {
+		return c.runGuarded(work, lease, stdio, &outcome)
+	})
 	go func() {
 		select {
 		case <-done:
@@ -61,62 +60,100 @@
 		case <-ctx.Done():
 		}
 	}()
-	r.Run(ctx, 2*c.Grace+time.Second)
-	if h.code != 0 {
-		return exitCodeError(h.code)
+	runner.Run(ctx, 2*c.Grace+time.Second)
+	if outcome.code != 0 {
+		return exitCodeError(outcome.code)
 	}
 	return nil
 }
 
-// runGuarded runs the command in an office, under a guard: a process that ends it in time though this one is stopped or killed.
-func (c roleHoldCommand) runGuarded(ctx context.Context, t *singleton.OwnedLease, stdio streams, h *commandOutcome) error {
-	h.code = exitFailure
-	self, err := os.Executable()
+// newRunner checks the arguments and makes the runner that campaigns for the role.
+func (c roleHoldCommand) newRunner(stdio streams) (*singleton.Runner, error) {
+	name, err := processName(c.As)
 	if err != nil {
-		return fmt.Errorf("guard: %w", err)
+		return nil, err
 	}
-	from, to, err := os.Pipe()
+	if maxGrace := (c.Lease - state.RoleLeaseMargin(c.Lease)) / 2; c.Grace < 0 || c.Grace > maxGrace {
+		return nil, fmt.Errorf("%w: --grace %v is not within 0 to %v, half of what the lease leaves", errUsage, c.Grace, maxGrace)
+	}
+	if _, err := exec.LookPath(c.Command[0]); err != nil {
+		return nil, fmt.Errorf("%w: %w", errUsage, err)
+	}
+	runner, err := singleton.NewRunner(singleton.Options{Registry: strings.Split(c.Keepers, ","), Name: name, Location: c.Room, Lease: c.Lease,
+		Load: c.Load, Log: slog.New(slog.NewTextHandler(stdio.err, nil))})
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", errUsage, err)
+	}
+	return runner, nil
+}
+
+// runGuarded runs the command during a lease term, under a guard: a process that ends it in time though this one is stopped or killed.
+func (c roleHoldCommand) runGuarded(ctx context.Context, lease *singleton.OwnedLease, stdio streams, outcome *commandOutcome) error {
+	outcome.code = exitFailure
+	guard, control, err := c.startGuard(ctx, lease, stdio)
 	if err != nil {
 		return fmt.Errorf("guard: %w", err)
 	}
-	defer to.Close()
+	defer func() { _ = control.Close() }() // the guard sees its end
+	handedOver := c.extendDeadlines(guard, control, lease)
+	code := shellExitCode(guard.ProcessState)
+	if !handedOver && lease.Valid() && ctx.Err() == nil && code != exitTimedOut {
+		outcome.code = code
+		if code == 0 {
+			return nil
+		}
+		return fmt.Errorf("%w: exit %d", singleton.ErrGaveUp, code)
+	}
+	if c.Once {
+		outcome.code = exitFailure
+		return nil
+	}
+	outcome.code = 0
+	return singleton.ErrHandedOver
+}
+
+// startGuard starts the guard and returns it with the writing end of its control descriptor.
+func (c roleHoldCommand) startGuard(ctx context.Context, lease *singleton.OwnedLease, stdio streams) (*exec.Cmd, *os.File, error) {
+	self, err := os.Executable()
+	if err != nil {
+		return nil, nil, err
+	}
+	from, control, err := os.Pipe()
+	if err != nil {
+		return nil, nil, err
+	}
 	guard := exec.CommandContext(ctx, self, append([]string{"duty", "guard", "--grace", c.Grace.String(), "--"}, c.Command...)...)
-	guard.Env = append(os.Environ(), "GRADEUSHER_DUTY="+t.Name, "GRADEUSHER_EPOCH="+strconv.FormatInt(t.Epoch, 10), "GRADEUSHER_STEP="+t.Step)
+	guard.Env = append(os.Environ(), "GRADEUSHER_DUTY="+lease.Name, "GRADEUSHER_EPOCH="+strconv.FormatInt(lease.Epoch, 10), "GRADEUSHER_STEP="+lease.Step)
 	guard.Env = append(guard.Env, childEnv...)
 	guard.Stdin, guard.Stdout, guard.Stderr, guard.ExtraFiles = stdio.in, stdio.out, stdio.err, []*os.File{from}
-	guard.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // whoever stops this one from a terminal does not stop it
+	guard.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // whoever stops this process from a terminal does not stop the guard
 	err = guard.Start()
-	from.Close()
+	_ = from.Close() // the guard has its own
 	if err != nil {
-		return fmt.Errorf("guard: %w", err)
+		_ = control.Close() // nobody reads it
+		return nil, nil, err
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- guard.Wait() }()
-	tick := time.NewTicker(c.Lease / 16)
-	defer tick.Stop()
-	asked := t.HandoverRequested()
-	for told := false; ; {
-		if left := t.Remaining(); left > 0 {
-			_, _ = fmt.Fprintf(to, "%d\n", int64(singleton.Now()+left)) // a guard that is gone has ended
+	return guard, control, nil
+}
+
+// extendDeadlines gives the guard the end of the lease, as it is renewed, until the guard has exited. It reports whether a handover was
+// requested and passed on.
+func (c roleHoldCommand) extendDeadlines(guard *exec.Cmd, control io.Writer, lease *singleton.OwnedLease) (handedOver bool) {
+	exited := make(chan error, 1)
+	go func() { exited <- guard.Wait() }()
+	ticker := time.NewTicker(c.Lease / renewalsPerLease)
+	defer ticker.Stop()
+	for requested := lease.HandoverRequested(); ; {
+		if remaining := lease.Remaining(); remaining > 0 {
+			_, _ = fmt.Fprintf(control, "%d\n", int64(singleton.Now()+remaining)) // a guard that is gone has ended
 		}
 		select {
-		case <-ended:
-			h.code = shellExitCode(guard.ProcessState)
-			switch {
-			case !told && t.Valid() && ctx.Err() == nil && h.code != exitTimedOut && h.code == 0:
-				return nil
-			case !told && t.Valid() && ctx.Err() == nil && h.code != exitTimedOut:
-				return fmt.Errorf("%w: exit %d", singleton.ErrGaveUp, h.code)
-			case c.Once:
-				h.code = exitFailure
-				return nil
-			}
-			h.code = 0
-			return singleton.ErrHandedOver
-		case <-asked:
-			asked, told = nil, true
-			_, _ = fmt.Fprintln(to, "end")
-		case <-tick.C:
+		case <-exited:
+			return handedOver
+		case <-requested:
+			requested, handedOver = nil, true
+			_, _ = fmt.Fprintln(control, endRequest) // a guard that is gone has ended
+		case <-ticker.C:
 		}
 	}
 }
