--- a/cmd/gradeusher/registry.go
+++ b/cmd/gradeusher/registry.go
@@ -1,15 +1,12 @@
 package main
 
 import (
-	"cmp"
 	"context"
-	"encoding/json"
-	"errors"
 	"fmt"
+	"io"
 	"log/slog"
 	"os"
 	"os/signal"
-	"slices"
 	"strings"
 	"syscall"
 	"time"
@@ -19,6 +16,7 @@
 	"gradeusher.example/gradeusher/internal/sidecar/sealed"
 )
 
+// registryCommand are the commands for nodes of the registry, which operators know as keepers.
 type registryCommand struct {
 	Run     registryRunCommand     `cmd:"" default:"withargs" help:"Be a keeper, configured by a TOML file. Exit 2: it makes no sense."`
 	Backup  registryBackupCommand  `cmd:"" help:"Save the state of the keepers to a file."`
@@ -26,22 +24,22 @@
 	Remove  registryRemoveCommand  `cmd:"" help:"Take a keeper out of the cluster."`
 }
 
-// registryFlags names the keepers that a command talks to.
+// registryFlags name the registry nodes that a command calls.
 type registryFlags struct {
 	Keepers string        `help:"Addresses of keepers, with commas." env:"GRADEUSHER_KEEPERS" required:""`
 	Within  time.Duration `help:"How long to go on asking." default:"15s"`
 }
 
-// withClient makes a client and a context that ends in time.
+// withClient calls do with a client of the registry and a context that ends after Within.
 func (f registryFlags) withClient(ctx context.Context, do func(context.Context, *client.Client) error) error {
-	c, err := client.New(strings.Split(f.Keepers, ","))
+	nodes, err := client.New(strings.Split(f.Keepers, ","))
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	defer c.Close()
+	defer nodes.Close()
 	ctx, cancel := context.WithTimeout(ctx, f.Within)
 	defer cancel()
-	return do(ctx, c)
+	return do(ctx, nodes)
 }
 
 type registryRunCommand struct {
@@ -50,23 +48,30 @@
 	Level  string `help:"Least level of the log." enum:"debug,info,warn,error" default:"info"`
 }
 
-// Run is the keeper until it is told to end.
+// Run is the registry node until SIGTERM or until it is removed from the cluster.
 func (c registryRunCommand) Run(ctx context.Context, stdio streams) error {
 	config, err := registry.LoadConfig(c.Config)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
+	log, err := c.newLog(stdio.err)
+	if err != nil {
+		return err
+	}
+	signal.Ignore(syscall.SIGXFSZ) // a file that may not grow is a failed write, not the end of the process
+	return registry.Run(ctx, config, log, nil)
+}
+
+func (c registryRunCommand) newLog(w io.Writer) (*slog.Logger, error) {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(c.Level)); err != nil {
-		return fmt.Errorf("%w: %w", errUsage, err)
+		return nil, fmt.Errorf("%w: %w", errUsage, err)
 	}
-	o := &slog.HandlerOptions{Level: level}
-	var handler slog.Handler = slog.NewTextHandler(stdio.err, o)
+	options := &slog.HandlerOptions{Level: level}
 	if c.Log == "json" {
-		handler = slog.NewJSONHandler(stdio.err, o)
+		return slog.New(slog.NewJSONHandler(w, options)), nil
 	}
-	signal.Ignore(syscall.SIGXFSZ) // a file that may not grow is a failed write, not the end of the process
-	return registry.Run(ctx, config, slog.New(handler), nil)
+	return slog.New(slog.NewTextHandler(w, options)), nil
 }
 
 type registryBackupCommand struct {
@@ -75,17 +80,17 @@
 	Any  bool   `help:"Take what any keeper has, which may be old: for when no majority is left."`
 }
 
-// Run saves it. The file is there whole or not at all.
+// Run saves the state. The file is complete or not there.
 func (c registryBackupCommand) Run(ctx context.Context, stdio streams) error {
 	return c.withClient(ctx, func(ctx context.Context, nodes *client.Client) error {
-		text, err := nodes.Backup(ctx, !c.Any)
+		backup, err := nodes.Backup(ctx, !c.Any)
 		if err != nil {
 			return err
 		}
-		if err := sealed.WriteFile(c.File, text); err != nil {
+		if err := sealed.WriteFile(c.File, backup); err != nil {
 			return err
 		}
-		fmt.Fprintf(stdio.out, "%d bytes in %s\n", len(text), c.File)
+		stdio.printf("%d bytes in %s\n", len(backup), c.File)
 		return nil
 	})
 }
@@ -95,18 +100,18 @@
 	File string `arg:"" help:"A file that backup wrote."`
 }
 
-// Run restores it.
+// Run replaces the state of all nodes by that of the file.
 func (c registryRestoreCommand) Run(ctx context.Context, stdio streams) error {
-	text, err := os.ReadFile(c.File)
+	backup, err := os.ReadFile(c.File)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
 	return c.withClient(ctx, func(ctx context.Context, nodes *client.Client) error {
-		d, err := nodes.Restore(ctx, text)
+		done, err := nodes.Restore(ctx, backup)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(stdio.out, "restored, at revision %d\n", d.Revision)
+		stdio.printf("restored, at revision %d\n", done.Revision)
 		return nil
 	})
 }
@@ -116,50 +121,7 @@
 	Name string `arg:"" help:"The keeper's name."`
 }
 
-// Run removes it.
-func (c registryRemoveCommand) Run(ctx context.Context, stdio streams) error {
+// Run removes the node from the cluster; the node's process ends by itself.
+func (c registryRemoveCommand) Run(ctx context.Context) error {
 	return c.withClient(ctx, func(ctx context.Context, nodes *client.Client) error { return nodes.RemoveNode(ctx, c.Name) })
 }
-
-type registryStatusCommand struct {
-	registryFlags
-	JSON bool `help:"Print as JSON." name:"json"`
-}
-
-// Run prints a line a keeper. It fails where no keeper leads.
-func (c registryStatusCommand) Run(ctx context.Context, stdio streams) error {
-	return c.withClient(ctx, func(ctx context.Context, k *client.Client) error {
-		all, failed := client.Status[registry.Status](ctx, k)
-		leads := false
-		for _, v := range all {
-			leads = leads || v.Role == "leader"
-		}
-		if c.JSON {
-			errs := map[string]string{}
-			for k, err := range failed {
-				errs[k] = err.Error()
-			}
-			if err := json.NewEncoder(stdio.out).Encode(map[string]any{"keepers": all, "failed": errs}); err != nil {
-				return err
-			}
-		} else {
-			for _, address := range slices.Sorted(slices.Values(k.Addresses())) {
-				v, ok := all[address]
-				if !ok {
-					fmt.Fprintf(stdio.out, "%-21s no answer: %s\n", address, strings.ReplaceAll(failed[address].Error(), "\n", "; "))
-					continue
-				}
-				age := fmt.Sprintf("%d ms", v.AgeMS)
-				if v.AgeMS < 0 {
-					age = "unknown"
-				}
-				fmt.Fprintf(stdio.out, "%-21s %-10s %-9s leader %-10s term %-4d revision %-8d age %-9s watchers %-5d servers %-5d leases %d, %d held back\n", address, v.Name,
-					v.Role, cmp.Or(v.Leader, "none"), v.Term, v.Revision, age, v.Watchers, v.Servers, v.Leases, v.PendingLeases)
-			}
-		}
-		if !leads {
-			return errors.New("no keeper leads")
-		}
-		return nil
-	})
-}
--- a/cmd/gradeusher/role.go
+++ b/cmd/gradeusher/role.go
@@ -15,6 +15,7 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
+// roleCommands are the commands for singleton roles, which operators know as duties.
 type roleCommands struct {
 	List    roleListCommand    `cmd:"" help:"Print who holds what, under which epoch, and who waits."`
 	Hold    roleHoldCommand    `cmd:"" help:"Wait for a duty and run a command only while it is held."`
@@ -30,50 +31,57 @@
 	JSON bool   `help:"Print as JSON." name:"json"`
 }
 
-// Run prints them, with every change that was acknowledged before.
+// Run prints the roles, with every change that was acknowledged before.
 func (c roleListCommand) Run(ctx context.Context, stdio streams) error {
 	return c.withClient(ctx, func(ctx context.Context, nodes *client.Client) error {
-		n, err := nodes.Roles(ctx, c.Name)
+		update, err := nodes.Roles(ctx, c.Name)
 		if err != nil {
 			return err
 		}
-		if c.Name != "" && len(n.Roles) == 0 {
+		if c.Name != "" && len(update.Roles) == 0 {
 			return fmt.Errorf("no duty %q", c.Name)
 		}
 		if c.JSON {
-			return json.NewEncoder(stdio.out).Encode(n)
+			return json.NewEncoder(stdio.out).Encode(update)
 		}
-		for _, d := range n.Roles {
-			printRole(stdio, d)
+		for i := range update.Roles {
+			printRole(stdio, &update.Roles[i])
 		}
 		return nil
 	})
 }
 
-func printRole(stdio streams, d state.Role) {
-	held := "nobody"
-	if h := d.Owner; h != nil {
-		held = fmt.Sprintf("%s since %s, lease %v", h.Process, time.UnixMilli(d.SinceMS).UTC().Format(time.RFC3339), time.Duration(h.TTLMS)*time.Millisecond)
+func printRole(stdio streams, role *state.Role) {
+	stdio.printf("%-20s epoch %-4d step %-4d held by %s; %d wait\n", role.Name, role.Epoch, role.StepNo, describeOwner(role), len(role.Waiting))
+	for _, failure := range role.Failures {
+		stdio.printf("%-20s %s failed %d times, passed over until %s\n", "", failure.Name, failure.Count, formatUnixMS(failure.UntilMS))
 	}
-	if d.HandoverRequested {
-		held += ", asked to hand over to " + cmp.Or(d.Successor, "the next")
+}
+
+// describeOwner says who owns the role, since when, and how the ownership is about to end.
+func describeOwner(role *state.Role) string {
+	text := "nobody"
+	if owner := role.Owner; owner != nil {
+		text = fmt.Sprintf("%s since %s, lease %v", owner.Process, formatUnixMS(role.SinceMS), time.Duration(owner.TTLMS)*time.Millisecond)
 	}
-	if d.RenewalBarred {
-		held += ", out at the end of its lease"
+	if role.HandoverRequested {
+		text += ", asked to hand over to " + cmp.Or(role.Successor, "the next")
 	}
-	fmt.Fprintf(stdio.out, "%-20s epoch %-4d step %-4d held by %s; %d wait\n", d.Name, d.Epoch, d.StepNo, held, len(d.Waiting))
-	for _, f := range d.Failures {
-		fmt.Fprintf(stdio.out, "%-20s %s failed %d times, passed over until %s\n", "", f.Name, f.Count, time.UnixMilli(f.UntilMS).UTC().Format(time.RFC3339))
+	if role.RenewalBarred {
+		text += ", out at the end of its lease"
 	}
+	return text
 }
 
+func formatUnixMS(ms int64) string { return time.UnixMilli(ms).UTC().Format(time.RFC3339) }
+
 type roleReleaseCommand struct {
 	registryFlags
 	Name  string `arg:"" help:"The duty."`
 	Force bool   `help:"For a holder that does not answer: its renewals are refused, and it is out when its lease ends."`
 }
 
-// Run asks the holder.
+// Run requests a handover to the next candidate.
 func (c roleReleaseCommand) Run(ctx context.Context, stdio streams) error {
 	return c.requestHandover(ctx, stdio, c.Name, client.RoleCall{Force: c.Force})
 }
@@ -85,17 +93,17 @@
 	Force bool   `help:"For a holder that does not answer: its renewals are refused, and it is out when its lease ends."`
 }
 
-// Run asks the holder.
+// Run requests a handover to the candidate that was named.
 func (c roleMoveCommand) Run(ctx context.Context, stdio streams) error {
 	return c.requestHandover(ctx, stdio, c.Name, client.RoleCall{Successor: c.To, Force: c.Force})
 }
 
-// requestHandover has a holder asked to hand over, and says what stands then.
-func (f registryFlags) requestHandover(ctx context.Context, stdio streams, name string, q client.RoleCall) error {
+// requestHandover requests that a role's owner hands over, and prints the role as it is then.
+func (f registryFlags) requestHandover(ctx context.Context, stdio streams, name string, call client.RoleCall) error {
 	return f.withClient(ctx, func(ctx context.Context, nodes *client.Client) error {
-		d, err := nodes.ChangeRole(ctx, client.Move, name, q)
+		changed, err := nodes.ChangeRole(ctx, client.Move, name, call)
 		if err == nil {
-			printRole(stdio, d.Role)
+			printRole(stdio, &changed.Role)
 		}
 		return err
 	})
@@ -109,7 +117,7 @@
 	Idle    time.Duration `help:"A duty is out of use that nobody has held or waited for during this; 1s at least." default:"24h"`
 }
 
-// Run waits and sweeps until interrupted.
+// Run campaigns for the role of the sweeper, and sweeps while it owns that, until interrupted.
 func (c roleSweepCommand) Run(ctx context.Context, stdio streams) error {
 	if c.Every <= 0 || c.Idle < state.MinIdle {
 		return fmt.Errorf("%w: --every has to be above 0, and --idle %v at least", errUsage, state.MinIdle)
@@ -119,11 +127,12 @@
 	if err != nil {
 		return err
 	}
-	runner, err := singleton.NewRunner(singleton.Options{Registry: strings.Split(c.Keepers, ","), Name: name, Lease: c.Lease, Log: log})
+	addresses := strings.Split(c.Keepers, ",")
+	runner, err := singleton.NewRunner(singleton.Options{Registry: addresses, Name: name, Lease: c.Lease, Log: log})
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	nodes, err := client.New(strings.Split(c.Keepers, ","))
+	nodes, err := client.New(addresses)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
@@ -133,7 +142,7 @@
 	return nil
 }
 
-// processName is the name that a process was given, or its host's.
+// processName returns the name that a process was given, or its host's.
 func processName(given string) (string, error) {
 	if given != "" {
 		return given, nil
