--- a/cmd/gradeusher/admin_backup.go
+++ b/cmd/gradeusher/admin_backup.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"fmt"
-	"io"
 
 	"gradeusher.example/gradeusher/internal/system/admin"
 	"gradeusher.example/gradeusher/internal/system/admin/restore"
@@ -16,7 +14,7 @@
 	Disk string `help:"Data directory of a stopped keeper, for when no keeper answers any more. What it holds may be old, or not acknowledged." required:"" xor:"source"`
 }
 
-// Run saves the state. The file is there whole or not at all.
+// Run saves the state. The file is complete or not there.
 func (c systemBackupCommand) Run(ctx context.Context, stdio streams) error {
 	state, err := c.read(ctx)
 	if err != nil {
@@ -26,11 +24,12 @@
 	if err := admin.WriteBackup(c.File, data); err != nil {
 		return err
 	}
-	fmt.Fprintf(stdio.out, "%d bytes in %s\n", len(data), c.File)
-	printState(stdio.out, state)
+	stdio.printf("%d bytes in %s\n", len(data), c.File)
+	printState(stdio, state)
 	return nil
 }
 
+// read returns the state of a running node or of a stopped one's disk.
 func (c systemBackupCommand) read(ctx context.Context) (*controlstate.State, error) {
 	if c.Disk != "" {
 		return restore.From(c.Disk)
@@ -44,7 +43,7 @@
 	To   string `help:"Data directory (data_dir) of the keeper, empty. Without it the file is only checked."`
 }
 
-// Run lays the state into the directory.
+// Run checks the backup and, with --to, writes its state into the directory.
 func (c systemRestoreCommand) Run(stdio streams) error {
 	state, err := admin.ReadBackup(c.File)
 	if err != nil {
@@ -54,12 +53,12 @@
 		if err := restore.Into(c.To, state); err != nil {
 			return err
 		}
-		fmt.Fprintf(stdio.out, "restored into %s\n", c.To)
+		stdio.printf("restored into %s\n", c.To)
 	}
-	printState(stdio.out, state)
+	printState(stdio, state)
 	return nil
 }
 
-func printState(w io.Writer, s *controlstate.State) {
-	fmt.Fprintf(w, "record %d, revision %d, evacuated zones: %s\n", s.Seq, s.Revision(), orNone(admin.EvacuatedZones(s)))
+func printState(stdio streams, state *controlstate.State) {
+	stdio.printf("record %d, revision %d, evacuated zones: %s\n", state.Seq, state.Revision(), orNone(admin.EvacuatedZones(state)))
 }
--- a/cmd/gradeusher/admin_status.go
+++ b/cmd/gradeusher/admin_status.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"slices"
 	"strings"
 	"time"
@@ -13,6 +12,9 @@
 	"gradeusher.example/gradeusher/internal/system/admin"
 )
 
+// maxWait bounds how long status waits for a change.
+const maxWait = time.Hour
+
 type systemStatusCommand struct {
 	Keepers []string      `arg:"" help:"Control addresses of keepers (IP:PORT); the others of the view are asked too, at the first one's port."`
 	JSON    bool          `help:"Print as JSON." name:"json"`
@@ -20,25 +22,27 @@
 	For     time.Duration `help:"How long to wait with --wait; at most an hour." default:"10s"`
 }
 
-// Run prints what keepers and proxies hold. It fails where no keeper is current, and where the keepers do not bear the losses
+var errNoneCurrent = errors.New("no keeper is current: changes are not taken, see docs/oncall-system.md")
+
+// Run prints the state of control-plane nodes and proxies. It fails where no node is current, and where the nodes do not bear the losses
 // that the deployment's tolerance names.
 func (c systemStatusCommand) Run(ctx context.Context, stdio streams) error {
 	var client admin.Client
 	if c.Wait != "" {
 		return c.waitForChange(ctx, stdio, &client)
 	}
-	f, err := client.Fleet(ctx, c.Keepers)
+	fleet, err := client.Fleet(ctx, c.Keepers)
 	if err != nil {
 		return err
 	}
-	if err := c.printFleet(stdio.out, f); err != nil {
+	if err := c.printFleet(stdio, fleet); err != nil {
 		return err
 	}
-	if !f.Current() {
-		return errors.New("no keeper is current: changes are not taken, see docs/oncall-system.md")
+	if !fleet.Current() {
+		return errNoneCurrent
 	}
-	if f.Capacity != nil && !f.Capacity.ToleranceMet {
-		return fmt.Errorf("the keepers do not bear the losses that [tolerance] names: %s", f.Capacity.Remedy)
+	if fleet.Capacity != nil && !fleet.Capacity.ToleranceMet {
+		return fmt.Errorf("the keepers do not bear the losses that [tolerance] names: %s", fleet.Capacity.Remedy)
 	}
 	return nil
 }
@@ -48,14 +52,14 @@
 	if err != nil {
 		return fmt.Errorf("%w: --wait: %w", errUsage, err)
 	}
-	if c.For <= 0 || c.For > time.Hour {
+	if c.For <= 0 || c.For > maxWait {
 		return fmt.Errorf("%w: --for %v is not within 1ns to 1h", errUsage, c.For)
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.For)
 	defer cancel()
-	f, err := client.Wait(ctx, c.Keepers, change)
-	if f != nil && c.JSON {
-		if err := c.printFleet(stdio.out, f); err != nil {
+	fleet, err := client.Wait(ctx, c.Keepers, change)
+	if fleet != nil && c.JSON {
+		if err := c.printFleet(stdio, fleet); err != nil {
 			return err
 		}
 	}
@@ -63,73 +67,92 @@
 		return err
 	}
 	if !c.JSON {
-		fmt.Fprintf(stdio.out, "%s is in force at %d keepers and %d proxies\n", change, len(f.Nodes), len(f.Proxies))
+		stdio.printf("%s is in force at %d keepers and %d proxies\n", change, len(fleet.Nodes), len(fleet.Proxies))
 	}
 	return nil
 }
 
-func (c systemStatusCommand) printFleet(w io.Writer, f *admin.Fleet) error {
+func (c systemStatusCommand) printFleet(stdio streams, fleet *admin.Fleet) error {
 	if c.JSON {
-		return json.NewEncoder(w).Encode(f)
-	}
-	fmt.Fprintf(w, "view %d, chain %s\n", f.Epoch, orNone(f.Chain))
-	fmt.Fprintf(w, "record %d, revision %d, evacuated zones: %s\n", f.Number, f.Revision, orNone(f.Evacuated))
-	printCapacity(w, f.Capacity)
-	for _, d := range f.Roles {
-		fmt.Fprintf(w, "duty %s: %s\n", d.Name, orNone([]string{d.Owner}))
-	}
-	for _, v := range f.Voters {
-		place := "outside the chain"
-		if i := slices.Index(f.Chain, v.Address); i >= 0 {
-			place = fmt.Sprintf("link %d of %d", i+1, len(f.Chain))
-		}
-		fmt.Fprintf(w, "voter %-15s %s, %s: %s\n", v.Address, v.Zone, v.Region, place)
+		return json.NewEncoder(stdio.out).Encode(fleet)
+	}
+	stdio.printf("view %d, chain %s\n", fleet.Epoch, orNone(fleet.Chain))
+	stdio.printf("record %d, revision %d, evacuated zones: %s\n", fleet.Number, fleet.Revision, orNone(fleet.Evacuated))
+	printCapacity(stdio, fleet.Capacity)
+	for _, role := range fleet.Roles {
+		stdio.printf("duty %s: %s\n", role.Name, orNone([]string{role.Owner}))
 	}
-	for _, a := range f.Nodes {
-		printNode(w, a)
+	printVoters(stdio, fleet)
+	for _, answer := range fleet.Nodes {
+		printNode(stdio, answer)
 	}
-	for _, p := range f.Proxies {
-		behind := "newest"
-		if p.Acknowledged < f.Number {
-			behind = fmt.Sprintf("%d behind", f.Number-p.Acknowledged)
+	printProxies(stdio, fleet)
+	return nil
+}
+
+func printVoters(stdio streams, fleet *admin.Fleet) {
+	for _, voter := range fleet.Voters {
+		position := "outside the chain"
+		if i := slices.Index(fleet.Chain, voter.Address); i >= 0 {
+			position = fmt.Sprintf("link %d of %d", i+1, len(fleet.Chain))
 		}
-		fmt.Fprintf(w, "proxy %-20s record %d, %s, silent for %d ms, follows %s\n", p.Node, p.Acknowledged, behind, p.SinceLastCallMS, p.Server)
+		stdio.printf("voter %-15s %s, %s: %s\n", voter.Address, voter.Zone, voter.Region, position)
 	}
-	for _, node := range f.Unseen {
-		fmt.Fprintf(w, "proxy %-20s follows no keeper that answers\n", node)
+}
+
+func printProxies(stdio streams, fleet *admin.Fleet) {
+	for _, proxy := range fleet.Proxies {
+		progress := "newest"
+		if proxy.Acknowledged < fleet.Number {
+			progress = fmt.Sprintf("%d behind", fleet.Number-proxy.Acknowledged)
+		}
+		stdio.printf("proxy %-20s record %d, %s, silent for %d ms, follows %s\n", proxy.Node, proxy.Acknowledged, progress, proxy.SinceLastCallMS, proxy.Server)
+	}
+	for _, node := range fleet.Unseen {
+		stdio.printf("proxy %-20s follows no keeper that answers\n", node)
 	}
-	return nil
 }
 
-func printCapacity(w io.Writer, have *admin.Capacity) {
-	if have == nil {
+func printCapacity(stdio streams, capacity *admin.Capacity) {
+	if capacity == nil {
 		return
 	}
-	fmt.Fprintf(w, "tolerance: %s, %d of %d voters (%d silent), %d links (%d needed), %d observers\n",
-		choose(have.ToleranceMet, "borne", "NOT borne"), have.Voters, have.VotersDesired, have.VotersTimedOut, have.ChainReplicas, have.ChainReplicasRequired, have.Observers)
+	stdio.printf("tolerance: %s, %d of %d voters (%d silent), %d links (%d needed), %d observers\n",
+		choose(capacity.ToleranceMet, "borne", "NOT borne"), capacity.Voters, capacity.VotersDesired, capacity.VotersTimedOut, capacity.ChainReplicas,
+		capacity.ChainReplicasRequired, capacity.Observers)
 }
 
-func printNode(w io.Writer, a admin.NodeAnswer) {
-	s := a.Status
-	if s == nil {
-		fmt.Fprintf(w, "keeper %-21s %s\n", a.Address, a.Error)
+func printNode(stdio streams, answer admin.NodeAnswer) {
+	status := answer.Status
+	if status == nil {
+		stdio.printf("keeper %-21s %s\n", answer.Address, answer.Error)
 		return
 	}
-	at := fmt.Sprintf("%s: %s, view %d, record %d, revision %d", s.Node, choose(s.Current, "current", "NOT current"), s.Epoch, s.Number, s.Revision)
-	if s.Observer {
-		fmt.Fprintf(w, "observer %-19s %s, no disk, no vote\n", a.Address, at)
+	state := fmt.Sprintf("%s: %s, view %d, record %d, revision %d", status.Node, choose(status.Current, "current", "NOT current"), status.Epoch,
+		status.Number, status.Revision)
+	if status.Observer {
+		stdio.printf("observer %-19s %s, no disk, no vote\n", answer.Address, state)
 		return
 	}
 	list := "none"
-	if s.ListAgeMS >= 0 {
-		list = fmt.Sprintf("%d ms old", s.ListAgeMS)
+	if status.ListAgeMS >= 0 {
+		list = fmt.Sprintf("%d ms old", status.ListAgeMS)
 	}
-	fmt.Fprintf(w, "keeper %-21s %s, %d servers, list %s, %d proxies\n", a.Address, at, s.Servers, list, len(s.Proxies))
+	stdio.printf("keeper %-21s %s, %d servers, list %s, %d proxies\n", answer.Address, state, status.Servers, list, len(status.Proxies))
 }
 
-func orNone(all []string) string {
-	if text := strings.Join(all, " "); text != "" {
+// orNone joins words with spaces; without any it says so.
+func orNone(words []string) string {
+	if text := strings.Join(words, " "); text != "" {
 		return text
 	}
 	return "none"
 }
+
+// choose returns the word for what is so or not.
+func choose(holds bool, yes, no string) string {
+	if holds {
+		return yes
+	}
+	return no
+}
