--- a/cmd/gradeusher/lab.go
+++ b/cmd/gradeusher/lab.go
@@ -26,21 +26,21 @@
 	JSON bool   `help:"Print the report as JSON." name:"json"`
 }
 
-// childEnv is what the command is told besides when it starts itself as another process: nothing, but in tests.
+// childEnv is added to the environment of each process of this program that the command starts: nothing, but in tests.
 var childEnv []string
 
-// runExperimentFile runs a file once.
-func runExperimentFile(ctx context.Context, file string, seed uint64, out string) (*lab.Result, error) {
-	f, err := plan.LoadFile(file)
+// runExperimentFile runs the experiment of a file once.
+func runExperimentFile(ctx context.Context, path string, seed uint64, out string) (*lab.Result, error) {
+	file, err := plan.LoadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	return runExperiment(ctx, f, seed, lab.Options{Out: out})
+	return runExperiment(ctx, file, seed, lab.Options{Out: out})
 }
 
-// runExperiment runs what a file says once.
-func runExperiment(ctx context.Context, f *plan.File, seed uint64, o lab.Options) (*lab.Result, error) {
-	p, err := plan.Make(f, seed)
+// runExperiment runs an experiment once.
+func runExperiment(ctx context.Context, file *plan.File, seed uint64, options lab.Options) (*lab.Result, error) {
+	drawn, err := plan.Make(file, seed)
 	if err != nil {
 		return nil, err
 	}
@@ -48,69 +48,83 @@
 	if err != nil {
 		return nil, err
 	}
-	o.Self = lab.Self{Path: path, Env: childEnv}
-	return lab.Run(ctx, p, o)
+	options.Self = lab.Self{Path: path, Env: childEnv}
+	return lab.Run(ctx, drawn, options)
 }
 
-// Run runs it.
+// Run runs the experiment, and writes and prints its report. It fails where an invariant is broken.
 func (c labRunCommand) Run(ctx context.Context, stdio streams) error {
-	r, err := runExperimentFile(ctx, c.File, c.Seed, c.Out)
+	result, err := runExperimentFile(ctx, c.File, c.Seed, c.Out)
 	if err != nil {
 		return err
 	}
 	if c.Out != "" {
-		if err := lab.WriteReport(c.Out, r); err != nil {
+		if err := lab.WriteReport(c.Out, result); err != nil {
 			return err
 		}
 	}
-	if c.JSON {
-		d := json.NewEncoder(stdio.out)
-		d.SetIndent("", " ")
-		if err := d.Encode(r); err != nil {
-			return err
-		}
-	} else {
-		lab.Print(stdio.out, r)
+	if err := c.print(stdio, result); err != nil {
+		return err
 	}
-	if len(r.Broken()) > 0 || r.BrokenOff {
+	if len(result.Broken()) > 0 || result.BrokenOff {
 		return errReported
 	}
 	return nil
 }
 
+func (c labRunCommand) print(stdio streams, result *lab.Result) error {
+	if !c.JSON {
+		lab.Print(stdio.out, result)
+		return nil
+	}
+	encoder := json.NewEncoder(stdio.out)
+	encoder.SetIndent("", " ")
+	return encoder.Encode(result)
+}
+
 type labListCommand struct {
 	Folder string `arg:"" help:"Folder with experiments." default:"lab"`
 	JSON   bool   `help:"Print as JSON." name:"json"`
 }
 
-// Run lists them.
+// experimentLine is an experiment of the list.
+type experimentLine struct {
+	File   string `json:"file"`
+	States string `json:"states"`
+}
+
+// Run lists the experiments of a folder.
 func (c labListCommand) Run(stdio streams) error {
+	lines, err := c.load()
+	if err != nil {
+		return err
+	}
+	if c.JSON {
+		return json.NewEncoder(stdio.out).Encode(lines)
+	}
+	for _, line := range lines {
+		stdio.printf("%-24s %s\n", line.File, line.States)
+	}
+	return nil
+}
+
+func (c labListCommand) load() ([]experimentLine, error) {
 	paths, err := filepath.Glob(filepath.Join(c.Folder, "*.toml"))
 	if err != nil {
-		return fmt.Errorf("%w: %w", errUsage, err)
+		return nil, fmt.Errorf("%w: %w", errUsage, err)
 	}
 	if _, err := os.Stat(c.Folder); err != nil {
-		return fmt.Errorf("%w: %w", errUsage, err)
-	}
-	type line struct {
-		File   string `json:"file"`
-		States string `json:"states"`
+		return nil, fmt.Errorf("%w: %w", errUsage, err)
 	}
-	lines := []line{}
+	lines := []experimentLine{} // encoded as an empty list, not as null
 	for _, path := range paths {
-		f, err := plan.LoadFile(path)
+		file, err := plan.LoadFile(path)
 		if err != nil {
-			return err
+			return nil, err
 		}
-		lines = append(lines, line{path, f.States})
-	}
-	if c.JSON {
-		return json.NewEncoder(stdio.out).Encode(lines)
+		lines = append(lines, experimentLine{path, file.States})
 	}
-	for _, l := range lines {
-		fmt.Fprintf(stdio.out, "%-24s %s\n", l.File, l.States)
-	}
-	return nil
+	return lines, nil
 }
 
 type labCompareCommand struct {
@@ -121,52 +135,68 @@
 	JSON   bool   `help:"Print as JSON." name:"json"`
 }
 
+// maxRepeats bounds the runs of each side of a comparison.
 const maxRepeats = 100
 
-// Run compares. Files are run in turn, so that whatever else the machine does falls on both.
+// comparisonRuns are the runs of both sides of a comparison.
+type comparisonRuns struct {
+	a, b []*lab.Result
+	void int // runs in which the lab was late
+}
+
+// Run compares. The sides run alternately, so that whatever else the machine does falls on both.
 func (c labCompareCommand) Run(ctx context.Context, stdio streams) error {
 	if c.Repeat < 1 || c.Repeat > maxRepeats {
 		return fmt.Errorf("%w: --repeat %d is not within 1 to %d", errUsage, c.Repeat, maxRepeats)
 	}
-	get := func(path string, seed uint64) (*lab.Result, error) {
-		if info, err := os.Stat(path); err == nil && info.IsDir() {
-			return lab.ReadReport(path)
-		}
-		return runExperimentFile(ctx, path, seed, "")
+	runs, err := c.runBoth(ctx, stdio)
+	if err != nil {
+		return err
+	}
+	all, err := lab.Compare(runs.a, runs.b)
+	if err != nil {
+		return err
 	}
-	var a, b []*lab.Result
-	void := 0
+	if c.JSON {
+		return json.NewEncoder(stdio.out).Encode(all)
+	}
+	lab.PrintCompared(stdio.out, all)
+	if runs.void > 0 {
+		stdio.printf("%d runs are void: the lab was late\n", runs.void)
+		return errReported
+	}
+	return nil
+}
+
+func (c labCompareCommand) runBoth(ctx context.Context, stdio streams) (runs comparisonRuns, err error) {
 	for i := range c.Repeat {
+		seed := c.Seed + uint64(i)
 		for _, side := range []struct {
 			path string
 			to   *[]*lab.Result
-		}{{c.A, &a}, {c.B, &b}} {
-			r, err := get(side.path, c.Seed+uint64(i))
+		}{{c.A, &runs.a}, {c.B, &runs.b}} {
+			result, err := loadOrRun(ctx, side.path, seed)
 			if err != nil {
-				return err
+				return runs, err
 			}
-			if r.Void {
-				void++
+			if result.Void {
+				runs.void++
 			}
-			if broken := r.Broken(); len(broken) > 0 && !c.JSON {
-				fmt.Fprintf(stdio.out, "%s, seed %d: broken: %s\n", side.path, r.Seed, strings.Join(broken, ", "))
+			if broken := result.Broken(); len(broken) > 0 && !c.JSON {
+				stdio.printf("%s, seed %d: broken: %s\n", side.path, result.Seed, strings.Join(broken, ", "))
 			}
-			*side.to = append(*side.to, r)
+			*side.to = append(*side.to, result)
 		}
 	}
-	all, err := lab.Compare(a, b)
-	if err != nil {
-		return err
-	}
-	if c.JSON {
-		return json.NewEncoder(stdio.out).Encode(all)
-	}
-	lab.PrintCompared(stdio.out, all)
-	if void > 0 {
-		fmt.Fprintf(stdio.out, "%d runs are void: the lab was late\n", void)
-		return errReported
+	return runs, nil
+}
+
+// loadOrRun reads the report of a folder, or runs the experiment of a file.
+func loadOrRun(ctx context.Context, path string, seed uint64) (*lab.Result, error) {
+	if info, err := os.Stat(path); err == nil && info.IsDir() {
+		return lab.ReadReport(path)
 	}
-	return nil
+	return runExperimentFile(ctx, path, seed, "")
 }
 
 type labTraceCommand struct {
@@ -175,7 +205,7 @@
 	JSON   bool   `help:"Print as JSON." name:"json"`
 }
 
-// Run shows it.
+// Run prints what clients and servers recorded of the request.
 func (c labTraceCommand) Run(stdio streams) error {
 	all, err := lab.Trace(c.Folder, c.ID)
 	if err != nil {
