--- a/cmd/gradeusher/system_soak.go
+++ b/cmd/gradeusher/system_soak.go
@@ -28,147 +28,175 @@
 
 const (
 	maxSeeds  = 10000
-	maxLoad   = 4
-	drawnPlan = "drawn"
+	maxLoad   = 4       // times the usual traffic
+	drawnPlan = "drawn" // the plan that is drawn from the seed; all others are fixed
 )
 
-// Run plays the seeds one after the other.
+// seedRange are the seeds that a command plays, both ends included.
+type seedRange struct{ first, last uint64 }
+
+// Run plays the seeds one after the other. It fails where a rule was broken, and keeps what those seeds left.
 func (c systemSoakCommand) Run(ctx context.Context, stdio streams) error {
-	first, last, err := c.seedRange()
+	seeds, err := c.parseSeeds()
 	if err != nil {
 		return err
 	}
-	if c.For < soak.Shortest || c.For > soak.Longest {
-		return fmt.Errorf("%w: --for %v is not within %v to %v", errUsage, c.For, soak.Shortest, soak.Longest)
-	}
-	if !(c.Load > 0 && c.Load <= maxLoad) { // NaN is neither
-		return fmt.Errorf("%w: --load %v is not above 0 and up to %d", errUsage, c.Load, maxLoad)
+	if err := c.validate(); err != nil {
+		return err
 	}
 	if c.Plans {
-		for seed := first; seed <= last; seed++ {
+		for seed := seeds.first; seed <= seeds.last; seed++ {
 			printPlan(stdio, c.plan(seed, c.scenario(seed)))
 		}
 		return nil
 	}
-	root, temporary := c.Out, c.Out == ""
-	if temporary {
-		if root, err = os.MkdirTemp("", "gradeusher-soak-"); err != nil {
-			return err
-		}
-	} else if err := os.MkdirAll(root, 0o700); err != nil {
+	root, err := c.makeRoot()
+	if err != nil {
 		return err
 	}
-	held, err := c.playSeeds(ctx, stdio, root, first, last)
-	switch {
-	case temporary && held && err == nil:
-		return os.RemoveAll(root)
+	passed, err := c.playSeeds(ctx, stdio, root, seeds)
+	switch temporary := c.Out == ""; {
 	case err != nil:
 		return err
-	case !held:
-		fmt.Fprintf(stdio.err, "kept %s\n", root)
+	case temporary && passed:
+		return os.RemoveAll(root)
+	case !passed:
+		_, _ = fmt.Fprintf(stdio.err, "kept %s\n", root) // the exit code says it too
 		return errReported
 	}
 	return nil
 }
 
-// seedRange gives the first and the last.
-func (c systemSoakCommand) seedRange() (first, last uint64, err error) {
+func (c systemSoakCommand) validate() error {
+	if c.For < soak.Shortest || c.For > soak.Longest {
+		return fmt.Errorf("%w: --for %v is not within %v to %v", errUsage, c.For, soak.Shortest, soak.Longest)
+	}
+	if !(c.Load > 0 && c.Load <= maxLoad) { // NaN is neither
+		return fmt.Errorf("%w: --load %v is not above 0 and up to %d", errUsage, c.Load, maxLoad)
+	}
+	return nil
+}
+
+// makeRoot makes the folder below which each seed has its own.
+func (c systemSoakCommand) makeRoot() (string, error) {
+	if c.Out == "" {
+		return os.MkdirTemp("", "gradeusher-soak-")
+	}
+	return c.Out, os.MkdirAll(c.Out, 0o700)
+}
+
+// parseSeeds returns the seeds that the flags name.
+func (c systemSoakCommand) parseSeeds() (seedRange, error) {
 	switch {
 	case c.Count < 1 || c.Count > maxSeeds:
-		return 0, 0, fmt.Errorf("%w: --count %d is not within 1 to %d", errUsage, c.Count, maxSeeds)
+		return seedRange{}, fmt.Errorf("%w: --count %d is not within 1 to %d", errUsage, c.Count, maxSeeds)
 	case c.Seeds == "":
-		first = max(c.Seed, 1)
-		return first, first + uint64(c.Count) - 1, nil
+		first := max(c.Seed, 1)
+		return seedRange{first, first + uint64(c.Count) - 1}, nil
 	case c.Seed != 0 || c.Count != 1:
-		return 0, 0, fmt.Errorf("%w: --seeds %q goes without --seed and --count", errUsage, c.Seeds)
+		return seedRange{}, fmt.Errorf("%w: --seeds %q goes without --seed and --count", errUsage, c.Seeds)
 	}
-	from, to, ok := strings.Cut(c.Seeds, "..")
-	first, err1 := strconv.ParseUint(from, 10, 32)
-	last, err2 := strconv.ParseUint(to, 10, 32)
-	if !ok || err1 != nil || err2 != nil || last < first || last-first >= maxSeeds {
-		return 0, 0, fmt.Errorf("%w: --seeds %q is not A..B with at most %d seeds", errUsage, c.Seeds, maxSeeds)
+	from, to, cut := strings.Cut(c.Seeds, "..")
+	first, firstErr := strconv.ParseUint(from, 10, 32)
+	last, lastErr := strconv.ParseUint(to, 10, 32)
+	parsed := cut && firstErr == nil && lastErr == nil
+	if !parsed || last < first || last-first >= maxSeeds {
+		return seedRange{}, fmt.Errorf("%w: --seeds %q is not A..B with at most %d seeds", errUsage, c.Seeds, maxSeeds)
 	}
-	return first, last, nil
+	return seedRange{first, last}, nil
 }
 
-// scenario is that of a seed, with the traffic asked for.
+// scenario is the deployment of a seed, with the traffic that was asked for.
 func (c systemSoakCommand) scenario(seed uint64) *testcluster.Scenario {
-	scene := soak.Scene(seed)
+	scenario := soak.Scene(seed)
 	if c.hasFixedPlan() {
-		scene = soak.WakeScene(seed)
+		scenario = soak.WakeScene(seed)
 	}
-	for i := range scene.Kinds {
-		scene.Kinds[i].Rate *= c.Load
+	for i := range scenario.Kinds {
+		scenario.Kinds[i].Rate *= c.Load
 	}
-	return scene
+	return scenario
 }
 
-// hasFixedPlan tells whether the schedule is that of a proxy that wakes.
+// hasFixedPlan tells whether the schedule is one of those of proxies that are paused and resumed.
 func (c systemSoakCommand) hasFixedPlan() bool { return c.Plan != drawnPlan }
 
 // plan is the schedule of a seed.
-func (c systemSoakCommand) plan(seed uint64, scene *testcluster.Scenario) *soak.Plan {
+func (c systemSoakCommand) plan(seed uint64, scenario *testcluster.Scenario) *soak.Plan {
 	if c.hasFixedPlan() {
-		return soak.Wake(seed, soak.Waking(c.Plan), scene)
+		return soak.Wake(seed, soak.Waking(c.Plan), scenario)
 	}
-	return soak.Draw(seed, c.For, scene)
+	return soak.Draw(seed, c.For, scenario)
 }
 
-func printPlan(stdio streams, p *soak.Plan) {
-	fmt.Fprintf(stdio.out, "seed %d: %v between regions, %d troubles, %d at once\n", p.Seed, p.Delay.Round(time.Millisecond), len(p.Troubles), p.AtOnce())
-	for _, t := range p.Troubles {
-		fmt.Fprintf(stdio.out, "  %v\n", t)
+func printPlan(stdio streams, schedule *soak.Plan) {
+	stdio.printf("seed %d: %v between regions, %d troubles, %d at once\n", schedule.Seed, schedule.Delay.Round(time.Millisecond),
+		len(schedule.Troubles), schedule.AtOnce())
+	for _, fault := range schedule.Troubles {
+		stdio.printf("  %v\n", fault)
 	}
 }
 
-// playSeeds plays the seeds in folders of their own under root, and removes those of seeds that held.
-func (c systemSoakCommand) playSeeds(ctx context.Context, stdio streams, root string, first, last uint64) (held bool, err error) {
-	proxy, keeper, err := systemPrograms(ctx, root)
+// playSeeds plays the seeds in folders of their own under root, and removes those of seeds that passed.
+func (c systemSoakCommand) playSeeds(ctx context.Context, stdio streams, root string, seeds seedRange) (passed bool, err error) {
+	programs, err := findSystemPrograms(ctx, root)
 	if err != nil {
 		return false, err
 	}
-	held = true
-	for seed := first; seed <= last && ctx.Err() == nil; seed++ {
-		folder := filepath.Join(root, fmt.Sprintf("seed-%d", seed))
-		if err := os.MkdirAll(folder, 0o700); err != nil {
-			return false, err
-		}
-		scene := c.scenario(seed)
-		r, err := soak.Play(ctx, soak.Options{Proxy: proxy, Keeper: keeper, Folder: folder, Plan: c.plan(seed, scene), Scene: scene})
+	passed = true
+	for seed := seeds.first; seed <= seeds.last && ctx.Err() == nil; seed++ {
+		result, err := c.playSeed(ctx, root, programs, seed)
 		if err != nil {
 			return false, err
 		}
-		if err := c.report(stdio, root, r); err != nil {
+		if err := c.report(stdio, root, result); err != nil {
 			return false, err
 		}
-		if !r.Held() {
-			held = false
-		} else if err := os.RemoveAll(folder); err != nil {
+		if !result.Held() {
+			passed = false
+		} else if err := os.RemoveAll(seedFolder(root, seed)); err != nil {
 			return false, err
 		}
 	}
-	return held, ctx.Err()
+	return passed, ctx.Err()
+}
+
+func seedFolder(root string, seed uint64) string {
+	return filepath.Join(root, fmt.Sprintf("seed-%d", seed))
+}
+
+func (c systemSoakCommand) playSeed(ctx context.Context, root string, programs systemPrograms, seed uint64) (*soak.Result, error) {
+	folder := seedFolder(root, seed)
+	if err := os.MkdirAll(folder, 0o700); err != nil {
+		return nil, err
+	}
+	scenario := c.scenario(seed)
+	return soak.Play(ctx, soak.Options{Proxy: programs.proxy, Keeper: programs.controlPlane, Folder: folder, Plan: c.plan(seed, scenario), Scene: scenario})
 }
 
-// report prints a result and adds it to the results of the folder.
-func (c systemSoakCommand) report(stdio streams, root string, r *soak.Result) error {
-	line, err := json.Marshal(r)
+// report prints a result and appends it to the results of the folder.
+func (c systemSoakCommand) report(stdio streams, root string, result *soak.Result) error {
+	line, err := json.Marshal(result)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		fmt.Fprintf(stdio.out, "%s\n", line)
+		stdio.printf("%s\n", line)
 	} else {
-		fmt.Fprintln(stdio.out, r)
-		for _, b := range r.Broken {
-			fmt.Fprintf(stdio.out, "seed %d: %s\n", r.Seed, b)
+		stdio.println(result)
+		for _, broken := range result.Broken {
+			stdio.printf("seed %d: %s\n", result.Seed, broken)
 		}
 	}
-	f, err := os.OpenFile(filepath.Join(root, "results.jsonl"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	return appendLine(filepath.Join(root, "results.jsonl"), line)
+}
+
+func appendLine(path string, line []byte) error {
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	_, err = fmt.Fprintf(f, "%s\n", line)
+	defer func() { _ = file.Close() }() // the write's error counts
+	_, err = fmt.Fprintf(file, "%s\n", line)
 	return err
 }
