--- a/cmd/gradeusher/up.go
+++ b/cmd/gradeusher/up.go
@@ -19,55 +19,69 @@
 	JSON     bool          `help:"Print addresses, figures and the report as JSON, one object a line." name:"json"`
 }
 
-// Run starts a keeper and the fleet, prints a line a second, and ends it when the time is over or on an interrupt.
+// Run starts a registry node and the fleet, prints a line a second, and ends it when the time is over or on an interrupt.
 func (c upCommand) Run(ctx context.Context, stdio streams) error {
-	if c.For < time.Second || c.For > time.Hour {
+	if c.For < minUp || c.For > maxUp {
 		return fmt.Errorf("%w: --for %v is not within 1s to 1h", errUsage, c.For)
 	}
-	f, err := plan.Parse("up.toml", fmt.Appendf(nil, "states = \"every request gets one final answer\"\nseconds = %v\n[fleet]\nservers = %d\nsidecars = %d\n[load]\nrate = %v\n[keepers]\ncount = 1\n",
-		c.For.Seconds(), c.Servers, c.Sidecars, c.Rate))
+	file, err := c.experiment()
 	if err != nil {
 		return err
 	}
-	var last lab.Second
-	lines := json.NewEncoder(stdio.out)
-	r, err := runExperiment(ctx, f, c.Seed, lab.Options{
-		Up: func(f *lab.Fleet) {
-			if c.JSON {
-				_ = lines.Encode(map[string]any{"list": f.ListAddress(), "sidecars": f.Addresses(), "servers": f.ServerLines()}) // to a reader that has gone
-				return
-			}
-			fmt.Fprintf(stdio.out, "list     http://%s/v1/servers\n", f.ListAddress())
-			for _, line := range f.SidecarLines() {
-				fmt.Fprintf(stdio.out, "sidecar  %s\n", line)
-			}
-			for _, line := range f.ServerLines() {
-				fmt.Fprintf(stdio.out, "server   %s\n", line)
-			}
-		},
-		Tick: func(n lab.Second) {
-			if c.JSON {
-				_ = lines.Encode(n)
-				return
-			}
-			fmt.Fprintf(stdio.out, "%4.0fs  %4d requests/s  served %d  refused %d  failed %d  open %d\n", n.At.Seconds(), n.Requests-last.Requests,
-				n.Served-last.Served, n.Refused-last.Refused, n.Failed-last.Failed, n.Open)
-			last = n
-		}})
+	output := &upOutput{stdio: stdio, json: c.JSON, lines: json.NewEncoder(stdio.out)}
+	result, err := runExperiment(ctx, file, c.Seed, lab.Options{Up: output.printFleet, Tick: output.printSecond})
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		if err := lines.Encode(r); err != nil {
+		if err := output.lines.Encode(result); err != nil {
 			return err
 		}
 	} else {
-		lab.Print(stdio.out, r)
+		lab.Print(stdio.out, result)
 	}
-	for _, v := range r.Verdicts {
-		if v.Name == "one-answer" && v.Broken > 0 {
+	for i := range result.Verdicts {
+		if verdict := &result.Verdicts[i]; verdict.Name == "one-answer" && verdict.Broken > 0 {
 			return errReported
 		}
 	}
 	return nil
 }
+
+// experiment is the experiment that the flags describe: a fleet under load, without faults.
+func (c upCommand) experiment() (*plan.File, error) {
+	return plan.Parse("up.toml", fmt.Appendf(nil, "states = \"every request gets one final answer\"\nseconds = %v\n[fleet]\nservers = %d\nsidecars = %d\n[load]\nrate = %v\n[keepers]\ncount = 1\n",
+		c.For.Seconds(), c.Servers, c.Sidecars, c.Rate))
+}
+
+// upOutput prints the fleet and its figures, as text or as JSON objects.
+type upOutput struct {
+	stdio streams
+	json  bool
+	lines *json.Encoder
+	last  lab.Second // the figures of the second before, which counters are compared with
+}
+
+func (o *upOutput) printFleet(fleet *lab.Fleet) {
+	if o.json {
+		_ = o.lines.Encode(map[string]any{"list": fleet.ListAddress(), "sidecars": fleet.Addresses(), "servers": fleet.ServerLines()}) // to a reader that has gone
+		return
+	}
+	o.stdio.printf("list     http://%s/v1/servers\n", fleet.ListAddress())
+	for _, line := range fleet.SidecarLines() {
+		o.stdio.printf("sidecar  %s\n", line)
+	}
+	for _, line := range fleet.ServerLines() {
+		o.stdio.printf("server   %s\n", line)
+	}
+}
+
+func (o *upOutput) printSecond(now lab.Second) {
+	if o.json {
+		_ = o.lines.Encode(now) // to a reader that has gone
+		return
+	}
+	o.stdio.printf("%4.0fs  %4d requests/s  served %d  refused %d  failed %d  open %d\n", now.At.Seconds(), now.Requests-o.last.Requests,
+		now.Served-o.last.Served, now.Refused-o.last.Refused, now.Failed-o.last.Failed, now.Open)
+	o.last = now
+}
