--- a/cmd/gradeusher/standin.go
+++ b/cmd/gradeusher/standin.go
@@ -12,7 +12,7 @@
 	"gradeusher.example/gradeusher/internal/sidecar/members"
 )
 
-// standInCommand is the processes that a lab starts. Its orders come on standard input.
+// standInCommand are the processes that a lab starts. They are controlled by lines on standard input, as package ctl describes.
 type standInCommand struct {
 	Host  standInHostCommand    `cmd:"" help:"Stand-in servers."`
 	List  standInListCommand    `cmd:"" help:"The platform's list of servers."`
@@ -35,7 +35,7 @@
 	Lease   time.Duration `help:"Of their registrations." default:"3s"`
 }
 
-// Run obeys until standard input ends.
+// Run runs stand-in servers until standard input ends.
 func (c standInHostCommand) Run(stdio streams) error {
 	return standin.Host(stdio.in, stdio.out, c.Groups, c.Records, c.Keepers, c.Lease)
 }
@@ -45,7 +45,7 @@
 	Flaw    string `help:"What it does wrong."`
 }
 
-// Run is the list service until SIGTERM.
+// Run serves a list without a consensus protocol until SIGTERM.
 func (c standInRegistryCommand) Run(ctx context.Context) error {
 	return standin.PlainKeeper(ctx, c.Address, c.Flaw)
 }
@@ -58,7 +58,7 @@
 	Routes   string `help:"File for what keepers say of routes." required:""`
 }
 
-// Run obeys until standard input ends.
+// Run relays calls to the registry until standard input ends.
 func (c standInRelayCommand) Run(stdio streams) error {
 	return standin.Relay(stdio.in, stdio.out, c.Sidecars, c.Readers, c.Told, c.Shown, c.Routes)
 }
@@ -67,7 +67,7 @@
 	Gossip string `help:"File for what sidecars say to each other, by the second." required:""`
 }
 
-// Run obeys until standard input ends.
+// Run relays messages between sidecars until standard input ends.
 func (c standInPeersCommand) Run(stdio streams) error {
 	return standin.Peers(stdio.in, stdio.out, c.Gossip)
 }
@@ -80,7 +80,7 @@
 	Join      []string `help:"Members to join."`
 }
 
-// Run lies as it is told to until standard input ends.
+// Run publishes false load, as the control lines ask for, until standard input ends.
 func (c standInLiarCommand) Run(stdio streams) error {
 	return standin.Liar(stdio.in, stdio.out, members.Options{Name: c.Name, Listen: c.Listen, Advertise: c.Advertise, Reach: c.Reach, Join: c.Join})
 }
@@ -89,7 +89,7 @@
 	Of []string `help:"The keepers of one client, with slashes."`
 }
 
-// Run watches until standard input ends.
+// Run runs clients that watch the list until standard input ends.
 func (c standInWatchersCommand) Run(stdio streams) error {
 	return standin.Watchers(stdio.in, stdio.out, stdio.err, c.Of)
 }
@@ -100,24 +100,31 @@
 	Records string `help:"File for what sidecars are told." required:""`
 }
 
-// Run obeys until standard input ends.
+// Run serves the platform's list of servers until standard input ends.
 func (c standInListCommand) Run(stdio streams) error {
-	var groups standin.Groups
-	for _, word := range strings.Split(c.Groups, ",") {
-		g, err := strconv.Atoi(word)
+	groups, err := c.parseGroups()
+	if err != nil {
+		return err
+	}
+	return standin.List(stdio.in, stdio.out, groups, c.Port, c.Records)
+}
+
+func (c standInListCommand) parseGroups() (groups standin.Groups, err error) {
+	for text := range strings.SplitSeq(c.Groups, ",") {
+		group, err := strconv.Atoi(text)
 		if err != nil {
-			return fmt.Errorf("%w: --groups: %w", errUsage, err)
+			return nil, fmt.Errorf("%w: --groups: %w", errUsage, err)
 		}
-		groups = append(groups, g)
+		groups = append(groups, group)
 	}
-	return standin.List(stdio.in, stdio.out, groups, c.Port, c.Records)
+	return groups, nil
 }
 
 type standInSidecarCommand struct {
 	Flaw string `help:"What it does wrong."`
 }
 
-// Run is the sidecar until SIGTERM.
+// Run is the plainest sidecar, to compare with, until SIGTERM.
 func (c standInSidecarCommand) Run(ctx context.Context, stdio streams) error {
 	return standin.Plain(ctx, stdio.env, c.Flaw)
 }
@@ -126,5 +133,5 @@
 	Folder string `arg:"" help:"What to remove."`
 }
 
-// Run waits until standard input ends, and cleans up.
+// Run waits until standard input ends, which is the end of the lab, and removes the folder.
 func (c standInJanitorCommand) Run(stdio streams) error { return lab.Clean(stdio.in, c.Folder) }
