--- a/cmd/gradeusher/lab.go
+++ b/cmd/gradeusher/lab.go
@@ -12,6 +12,7 @@
 	"gradeusher.example/gradeusher/internal/lab/plan"
 )
 
+// labCommand are the commands for experiments with real processes.
 type labCommand struct {
 	Run     labRunCommand     `cmd:"" help:"Run one experiment. Exit 0: all held; 1: not; 2: bad file or usage."`
 	List    labListCommand    `cmd:"" help:"List the experiments of a folder, with the sentence that each states."`
--- a/cmd/gradeusher/main.go
+++ b/cmd/gradeusher/main.go
@@ -32,6 +32,7 @@
 	exitUsage   = 2 // bad usage or a bad file
 )
 
+// commands are the commands of the program; their names and flags are fixed, as the package comment says.
 type commands struct {
 	Up      upCommand             `cmd:"" help:"Start a keeper, stand-in servers, two sidecars and light traffic on this machine, and print figures."`
 	Lab     labCommand            `cmd:"" help:"Run experiments with real processes and faults between them."`
--- a/cmd/gradeusher/system.go
+++ b/cmd/gradeusher/system.go
@@ -1,6 +1,6 @@
 package main
 
-// systemCommand groups what concerns the system of proxies and keepers.
+// systemCommand are the commands for the system of proxies and control-plane nodes.
 type systemCommand struct {
 	Up      systemUpCommand      `cmd:"" help:"Start keepers, proxies, stand-in servers in two regions and light traffic on this machine, and print figures."`
 	Soak    systemSoakCommand    `cmd:"" help:"Play the real processes under random troubles that overlap, seed by seed, and judge what was seen. Exit 1: something broke."`
