--- a/cmd/gradeusher/admin_test.go
+++ b/cmd/gradeusher/admin_test.go
@@ -81,22 +81,22 @@
 	t.Parallel()
 	const remedy = "3 keepers with a disk vote and 5 are needed: run keepers on 2 more machines with a disk, or lower [tolerance]"
 	short := admin.Capacity{Nodes: 3, Observers: 2, Voters: 3, VotersDesired: 5, VotersTimedOut: 1, ChainReplicas: 3, ChainReplicasRequired: 3, Remedy: remedy}
-	whole := admin.Capacity{ToleranceMet: true, Nodes: 5, Voters: 5, VotersDesired: 5, ChainReplicas: 5, ChainReplicasRequired: 3}
-	for _, c := range []struct {
+	complete := admin.Capacity{ToleranceMet: true, Nodes: 5, Voters: 5, VotersDesired: 5, ChainReplicas: 5, ChainReplicasRequired: 3}
+	for _, test := range []struct {
 		status    admin.NodeStatus
 		code      int
 		out, said string
 	}{
 		{admin.NodeStatus{Current: true, Capacity: &short}, exitFailure,
 			"\ntolerance: NOT borne, 3 of 5 voters (1 silent), 3 links (3 needed), 2 observers\n", "[tolerance] names: " + remedy + "\n"},
-		{admin.NodeStatus{Current: true, Capacity: &whole}, 0, "\ntolerance: borne, 5 of 5 voters (0 silent), 5 links (3 needed), 0 observers\n", ""},
+		{admin.NodeStatus{Current: true, Capacity: &complete}, 0, "\ntolerance: borne, 5 of 5 voters (0 silent), 5 links (3 needed), 0 observers\n", ""},
 		{admin.NodeStatus{Capacity: &short}, exitFailure, " n: NOT current,", "no keeper is current"},
-		{admin.NodeStatus{Current: true, Observer: true, Capacity: &whole}, 0, "\nobserver 127.0.0.1:", ""},
+		{admin.NodeStatus{Current: true, Observer: true, Capacity: &complete}, 0, "\nobserver 127.0.0.1:", ""},
 	} {
-		address, _ := newAdminServerWith(t, c.status)
+		address, _ := newAdminServerWith(t, test.status)
 		code, out, said := runCommand("system", "status", address)
-		if code != c.code || !strings.Contains(out, c.out) || !strings.Contains(said, c.said) || (said == "") != (c.said == "") {
-			t.Errorf("%+v: exit %d, %s%s", c.status, code, out, said)
+		if code != test.code || !strings.Contains(out, test.out) || !strings.Contains(said, test.said) || (said == "") != (test.said == "") {
+			t.Errorf("%+v: exit %d, %s%s", test.status, code, out, said)
 		}
 	}
 }
--- a/cmd/gradeusher/compat_test.go
+++ b/cmd/gradeusher/compat_test.go
@@ -10,20 +10,20 @@
 )
 
 // names are the commands below a node with their flags and arguments, a line each.
-func names(n *kong.Node) []string {
-	path := n.FullPath()
+func names(node *kong.Node) []string {
+	path := node.FullPath()
 	all := []string{path}
-	for _, f := range n.Flags {
+	for _, f := range node.Flags {
 		line := path + " --" + f.Name
 		for _, e := range f.Envs {
 			line += " $" + e
 		}
 		all = append(all, line)
 	}
-	for _, p := range n.Positional {
+	for _, p := range node.Positional {
 		all = append(all, path+" <"+p.Name+">")
 	}
-	for _, c := range n.Children {
+	for _, c := range node.Children {
 		all = append(all, names(c)...)
 	}
 	return all
--- a/cmd/gradeusher/main_test.go
+++ b/cmd/gradeusher/main_test.go
@@ -168,12 +168,12 @@
 	}
 	controlled := map[string]bool{}
 	for _, path := range paths {
-		f, err := plan.LoadFile(path)
+		file, err := plan.LoadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		controlled[f.Breaks] = true
-		t.Run(f.Name, func(t *testing.T) {
+		controlled[file.Breaks] = true
+		t.Run(file.Name, func(t *testing.T) {
 			t.Parallel()
 			c := newCommand(t, "lab", "run", path, "--json")
 			if code := c.waitForExit(t); code != exitFailure {
@@ -183,8 +183,8 @@
 			if err := json.Unmarshal(c.out.Bytes(), &r); err != nil {
 				t.Fatal(err)
 			}
-			if broken := r.Broken(); !slices.Contains(broken, f.Breaks) {
-				t.Errorf("broken %v, want %s", broken, f.Breaks)
+			if broken := r.Broken(); !slices.Contains(broken, file.Breaks) {
+				t.Errorf("broken %v, want %s", broken, file.Breaks)
 			}
 		})
 	}
@@ -254,19 +254,19 @@
 		t.Run(sig.String(), func(t *testing.T) {
 			t.Parallel()
 			c := newCommand(t, "up", "--for", "10m")
-			said, told, err := os.Pipe()
+			output, input, err := os.Pipe()
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer said.Close()
-			c.Stdout = told
+			defer output.Close()
+			c.Stdout = input
 			if err := c.Start(); err != nil {
 				t.Fatal(err)
 			}
-			told.Close()
+			input.Close()
 			text := make([]byte, 1<<16)
 			for seen := ""; !strings.Contains(seen, "requests/s"); {
-				n, err := said.Read(text)
+				n, err := output.Read(text)
 				if err != nil {
 					t.Fatalf("%v after %q: %s", err, seen, &c.err)
 				}
@@ -281,7 +281,7 @@
 			if sig != syscall.SIGKILL {
 				go func() { // what it still says must not hold it up
 					for err == nil {
-						_, err = said.Read(text)
+						_, err = output.Read(text)
 					}
 				}()
 				c.waitForExit(t)
@@ -309,7 +309,7 @@
 	if err := os.WriteFile(bad, []byte("states = \"x\"\nsecond = 3\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		args []string
 		says string
 	}{
@@ -320,12 +320,12 @@
 		{[]string{"up", "--for", "3h"}, "--for"},
 		{[]string{"lab", "compare", "testdata/small.toml", "testdata/small.toml", "--repeat", "0"}, "--repeat"},
 	} {
-		c := newCommand(t, tt.args...)
+		c := newCommand(t, test.args...)
 		if code := c.waitForExit(t); code != exitUsage {
-			t.Errorf("%v: exit %d, want %d", tt.args, code, exitUsage)
+			t.Errorf("%v: exit %d, want %d", test.args, code, exitUsage)
 		}
-		if text := c.err.String(); strings.Count(text, "\n") != 1 || !strings.Contains(text, tt.says) {
-			t.Errorf("%v said %q, want one line with %q", tt.args, text, tt.says)
+		if text := c.err.String(); strings.Count(text, "\n") != 1 || !strings.Contains(text, test.says) {
+			t.Errorf("%v said %q, want one line with %q", test.args, text, test.says)
 		}
 	}
 }
--- a/cmd/gradeusher/registry_test.go
+++ b/cmd/gradeusher/registry_test.go
@@ -23,9 +23,9 @@
 // and a watch sees every change.
 func TestKeepers(t *testing.T) {
 	t.Parallel()
-	k := newRegistryCluster(t, 3, "")
-	s := &observedList{}
-	f, err := client.NewListSubscriber(client.ListOptions{Registry: k.addresses(), ShrinkLimits: client.DefaultShrinkLimits, Log: discardLog(), OnUpdate: s.handleUpdate})
+	cluster := newRegistryCluster(t, 3, "")
+	observed := &observedList{}
+	subscriber, err := client.NewListSubscriber(client.ListOptions{Registry: cluster.addresses(), ShrinkLimits: client.DefaultShrinkLimits, Log: discardLog(), OnUpdate: observed.handleUpdate})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,75 +34,75 @@
 	follows.Add(1)
 	go func() {
 		defer follows.Done()
-		f.Run(ctx)
+		subscriber.Run(ctx)
 	}()
 	defer follows.Wait()
 	defer cancel()
 
 	last := int64(0)
 	for i := range 5 {
-		rev := k.register(fmt.Sprintf("s-%d", i), "127.0.0.1:9000")
+		rev := cluster.register(fmt.Sprintf("s-%d", i), "127.0.0.1:9000")
 		if rev <= last {
 			t.Fatalf("revision %d after %d", rev, last)
 		}
 		last = rev
-		eventually(t, "news", func() bool { return s.has(fmt.Sprintf("s-%d", i), list.Serving) })
+		eventually(t, "news", func() bool { return observed.has(fmt.Sprintf("s-%d", i), list.Serving) })
 		if i == 1 || i == 3 {
-			p := k.leader()
-			k.kill(p)
-			defer func() { k.start(p) }()
+			node := cluster.leader()
+			cluster.kill(node)
+			defer func() { cluster.start(node) }()
 			if i == 3 { // of three one is left: nothing can be written, and everything read
 				ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-				if _, err := k.client.Register(ctx, []list.Registration{{Target: list.Target{UID: "s-x", Endpoint: "127.0.0.1:1", State: list.Serving}}}, nil); err == nil {
+				if _, err := cluster.client.Register(ctx, []list.Registration{{Target: list.Target{UID: "s-x", Endpoint: "127.0.0.1:1", State: list.Serving}}}, nil); err == nil {
 					t.Error("a minority took a write")
 				}
 				cancel()
 				// The last write may not have been told to it as agreed on.
-				if l, err := k.client.List(k.callContext(), false); err != nil || len(l.Targets) < 3 {
-					t.Errorf("a minority shows %v, %v", l, err)
+				if servers, err := cluster.client.List(cluster.callContext(), false); err != nil || len(servers.Targets) < 3 {
+					t.Errorf("a minority shows %v, %v", servers, err)
 				}
-				for _, q := range k.nodes {
-					if q.run.ProcessState != nil {
-						k.start(q)
+				for _, down := range cluster.nodes {
+					if down.run.ProcessState != nil {
+						cluster.start(down)
 					}
 				}
 			}
 		}
 	}
-	for _, p := range k.nodes {
-		if p.run.ProcessState == nil {
-			k.kill(p)
+	for _, node := range cluster.nodes {
+		if node.run.ProcessState == nil {
+			cluster.kill(node)
 		}
 	}
-	for _, p := range k.nodes {
-		k.start(p)
+	for _, node := range cluster.nodes {
+		cluster.start(node)
 	}
-	l, err := k.client.List(k.callContext(), true)
-	if err != nil || l.Rev < last {
-		t.Fatalf("after kill -9 of all: %v, %v", l, err)
+	servers, err := cluster.client.List(cluster.callContext(), true)
+	if err != nil || servers.Rev < last {
+		t.Fatalf("after kill -9 of all: %v, %v", servers, err)
 	}
 	for i := range 5 {
-		if !slices.ContainsFunc(l.Targets, func(t list.Target) bool { return t.UID == fmt.Sprintf("s-%d", i) }) {
+		if !slices.ContainsFunc(servers.Targets, func(t list.Target) bool { return t.UID == fmt.Sprintf("s-%d", i) }) {
 			t.Errorf("s-%d was acknowledged and is lost", i)
 		}
 	}
-	if _, err := k.client.Change(k.callContext(), client.Drain, "s-0", nil); err != nil {
+	if _, err := cluster.client.Change(cluster.callContext(), client.Drain, "s-0", nil); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "news after all keepers were down", func() bool { return s.has("s-0", list.Draining) })
+	eventually(t, "news after all keepers were down", func() bool { return observed.has("s-0", list.Draining) })
 }
 
 // TestKeepersChange adds a keeper, removes one, and restores a backup, as staff would with the command.
 func TestKeepersChange(t *testing.T) {
 	t.Parallel()
-	k := newRegistryCluster(t, 1, "[timing]\nsnapshot_after = 20\nsnapshot_ms = 50\ntrailing = 5\n")
+	cluster := newRegistryCluster(t, 1, "[timing]\nsnapshot_after = 20\nsnapshot_ms = 50\ntrailing = 5\n")
 	for i := range 60 {
-		k.register(fmt.Sprintf("s-%d", i), "127.0.0.1:9000")
+		cluster.register(fmt.Sprintf("s-%d", i), "127.0.0.1:9000")
 	}
 	cli := func(want int, args ...string) string {
 		t.Helper()
 		c := newCommand(t, args...)
-		c.Env = append(c.Env, "GRADEUSHER_KEEPERS="+strings.Join(k.addresses(), ","))
+		c.Env = append(c.Env, "GRADEUSHER_KEEPERS="+strings.Join(cluster.addresses(), ","))
 		if code := c.waitForExit(t); code != want {
 			t.Fatalf("%v: exit %d, want %d: %s%s", args, code, want, &c.out, &c.err)
 		}
@@ -110,24 +110,24 @@
 	}
 	backup := filepath.Join(t.TempDir(), "backup")
 	cli(0, "keeper", "backup", backup)
-	old := k.register("late", "127.0.0.1:9001")
+	old := cluster.register("late", "127.0.0.1:9001")
 
-	first := k.nodes[0]
+	first := cluster.nodes[0]
 	for _, name := range []string{"k2", "k3"} {
-		p := k.addNode(name)
-		k.configure(p, fmt.Sprintf("join = true\n[[peer]]\nname = %q\nraft = %q\nhttp = %q\n", first.name, first.raft, first.http))
-		k.start(p)
+		p := cluster.addNode(name)
+		cluster.configure(p, fmt.Sprintf("join = true\n[[peer]]\nname = %q\nraft = %q\nhttp = %q\n", first.name, first.raft, first.http))
+		cluster.start(p)
 		eventually(t, name+"'s vote", func() bool {
-			all, _ := client.Status[registry.Status](k.callContext(), k.client)
+			all, _ := client.Status[registry.Status](cluster.callContext(), cluster.client)
 			return slices.ContainsFunc(all[first.http].Peers, func(p replica.Peer) bool { return p.Name == name && p.Voter })
 		})
 	}
 	var err error
-	if k.client, err = client.New(k.addresses()); err != nil {
+	if cluster.client, err = client.New(cluster.addresses()); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "three that are up to date", func() bool {
-		all, _ := client.Status[registry.Status](k.callContext(), k.client)
+		all, _ := client.Status[registry.Status](cluster.callContext(), cluster.client)
 		n := 0
 		for _, s := range all {
 			if s.Servers == 61 && len(s.Nodes) == 3 && len(s.Peers) == 3 {
@@ -140,131 +140,131 @@
 	if code := first.run.waitForExit(t); code != 0 {
 		t.Errorf("the keeper that was removed ended with %d", code)
 	}
-	k.nodes = k.nodes[1:]
-	if k.register("after", "127.0.0.1:9002") <= old {
+	cluster.nodes = cluster.nodes[1:]
+	if cluster.register("after", "127.0.0.1:9002") <= old {
 		t.Error("the revision went back")
 	}
 	cli(exitFailure, "keeper", "remove", "k9")
-	late := k.addNode("k4")
-	k.configure(late, fmt.Sprintf("join = true\n[[peer]]\nname = %q\nraft = %q\nhttp = %q\n", k.nodes[0].name, k.nodes[0].raft, k.nodes[0].http))
-	k.start(late)
-	if k.client, err = client.New(k.addresses()); err != nil {
+	late := cluster.addNode("k4")
+	cluster.configure(late, fmt.Sprintf("join = true\n[[peer]]\nname = %q\nraft = %q\nhttp = %q\n", cluster.nodes[0].name, cluster.nodes[0].raft, cluster.nodes[0].http))
+	cluster.start(late)
+	if cluster.client, err = client.New(cluster.addresses()); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "k4's vote", func() bool {
-		all, _ := client.Status[registry.Status](k.callContext(), k.client)
+		all, _ := client.Status[registry.Status](cluster.callContext(), cluster.client)
 		return slices.ContainsFunc(all[late.http].Peers, func(p replica.Peer) bool { return p.Name == "k4" && p.Voter })
 	})
 	cli(0, "keeper", "remove", "k4") // which follows, and hears no more
 	if code := late.run.waitForExit(t); code != 0 {
 		t.Errorf("the keeper that was removed as it followed ended with %d", code)
 	}
-	k.nodes = k.nodes[:2]
+	cluster.nodes = cluster.nodes[:2]
 
 	var restored int64
 	if _, err := fmt.Sscanf(cli(0, "keeper", "restore", backup), "restored, at revision %d", &restored); err != nil {
 		t.Fatal(err)
 	}
-	l, err := k.client.List(k.callContext(), true)
-	if err != nil || len(l.Targets) != 60 || l.Rev != restored || l.Rev <= old+1 {
-		t.Errorf("restored %d servers at %d, %v; before %d", len(l.Targets), l.Rev, err, old+1)
+	servers, err := cluster.client.List(cluster.callContext(), true)
+	if err != nil || len(servers.Targets) != 60 || servers.Rev != restored || servers.Rev <= old+1 {
+		t.Errorf("restored %d servers at %d, %v; before %d", len(servers.Targets), servers.Rev, err, old+1)
 	}
 	if err := os.WriteFile(backup, []byte("gradeusher-state 1 1 0 0\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if said := cli(exitFailure, "keeper", "restore", backup); !strings.Contains(said, "unsound") {
-		t.Errorf("a torn backup: %s", said)
+	if output := cli(exitFailure, "keeper", "restore", backup); !strings.Contains(output, "unsound") {
+		t.Errorf("a torn backup: %s", output)
 	}
-	if l, err = k.client.List(k.callContext(), true); err != nil || len(l.Targets) != 60 {
-		t.Errorf("a torn backup changed the list: %d, %v", len(l.Targets), err)
+	if servers, err = cluster.client.List(cluster.callContext(), true); err != nil || len(servers.Targets) != 60 {
+		t.Errorf("a torn backup changed the list: %d, %v", len(servers.Targets), err)
 	}
-	if said := cli(0, "status"); strings.Count(said, "revision") != 2 || !strings.Contains(said, "leader") {
-		t.Errorf("status says %s", said)
+	if output := cli(0, "status"); strings.Count(output, "revision") != 2 || !strings.Contains(output, "leader") {
+		t.Errorf("status says %s", output)
 	}
 }
 
 // TestLease has a server hold its registration, be stopped past its lease, and come back.
 func TestLease(t *testing.T) {
 	t.Parallel()
-	k := newRegistryCluster(t, 1, "[leases]\ngrace_ms = 60000\n")
-	c := newCommand(t, "list", "register", "s-1", "127.0.0.1:9000", "--lease", "1s", "--hold", "--keepers", strings.Join(k.addresses(), ","))
-	if err := c.Start(); err != nil {
+	cluster := newRegistryCluster(t, 1, "[leases]\ngrace_ms = 60000\n")
+	holder := newCommand(t, "list", "register", "s-1", "127.0.0.1:9000", "--lease", "1s", "--hold", "--keepers", strings.Join(cluster.addresses(), ","))
+	if err := holder.Start(); err != nil {
 		t.Fatal(err)
 	}
-	state := func(want list.State) {
+	awaitState := func(want list.State) {
 		t.Helper()
 		eventually(t, string(want), func() bool {
-			e, ok, err := k.client.Server(k.callContext(), "s-1")
+			e, ok, err := cluster.client.Server(cluster.callContext(), "s-1")
 			if err != nil {
 				t.Fatal(err)
 			}
 			return ok && e.State == want || !ok && want == list.Deleted
 		})
 	}
-	state(list.Serving)
-	if err := c.Process.Signal(syscall.SIGSTOP); err != nil {
+	awaitState(list.Serving)
+	if err := holder.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	state(list.Draining)
-	if err := c.Process.Signal(syscall.SIGCONT); err != nil {
+	awaitState(list.Draining)
+	if err := holder.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	state(list.Serving)
-	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
+	awaitState(list.Serving)
+	if err := holder.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if code := c.waitForExit(t); code != 0 {
-		t.Errorf("exit %d: %s", code, &c.err)
+	if code := holder.waitForExit(t); code != 0 {
+		t.Errorf("exit %d: %s", code, &holder.err)
 	}
-	state(list.Deleted)
+	awaitState(list.Deleted)
 }
 
 // TestSidecarOnKeepers runs the real sidecar on keepers: as its list in the platform's form, and with its own client, which
 // survives the loss of all keepers and, with them gone, its own restart.
 func TestSidecarOnKeepers(t *testing.T) {
 	t.Parallel()
-	k := newRegistryCluster(t, 1, "")
+	cluster := newRegistryCluster(t, 1, "")
 	backend := newHTTPServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "done "+r.Header.Get("X-Request-ID")) }))
-	k.register("s-1", backend)
+	cluster.register("s-1", backend)
 	for _, unchanged := range []bool{true, false} {
 		t.Run(fmt.Sprintf("unchanged=%v", unchanged), func(t *testing.T) {
-			fields := map[string]any{"keepers": map[string]any{"addresses": k.addresses()}}
+			fields := map[string]any{"keepers": map[string]any{"addresses": cluster.addresses()}}
 			if unchanged {
-				fields = map[string]any{"discovery": k.nodes[0].http}
+				fields = map[string]any{"discovery": cluster.nodes[0].http}
 			}
-			s := newSidecarProcess(t, fields)
-			ask := func() bool { return s.request() == "done "+fmt.Sprintf("%016x", s.requests) }
-			c := s.start()
-			eventually(t, "readiness", s.ready)
-			if !ask() {
-				t.Errorf("it does not serve: %s", s.lastOutcome)
+			proxy := newSidecarProcess(t, fields)
+			served := func() bool { return proxy.request() == "done "+fmt.Sprintf("%016x", proxy.requests) }
+			process := proxy.start()
+			eventually(t, "readiness", proxy.ready)
+			if !served() {
+				t.Errorf("it does not serve: %s", proxy.lastOutcome)
 			}
 			if unchanged {
-				c.Process.Signal(syscall.SIGTERM)
-				c.Wait()
+				process.Process.Signal(syscall.SIGTERM)
+				process.Wait()
 				return
 			}
 			eventually(t, "saved list", func() bool {
-				_, err := os.Stat(filepath.Join(s.tmp, "list-n0.cache"))
+				_, err := os.Stat(filepath.Join(proxy.tmp, "list-n0.cache"))
 				return err == nil
 			})
-			k.kill(k.nodes[0])
-			if !ask() {
-				t.Errorf("with no keeper it does not serve: %s", s.lastOutcome)
+			cluster.kill(cluster.nodes[0])
+			if !served() {
+				t.Errorf("with no keeper it does not serve: %s", proxy.lastOutcome)
 			}
-			if err := c.Process.Kill(); err != nil {
+			if err := process.Process.Kill(); err != nil {
 				t.Fatal(err)
 			}
-			_ = c.Wait()
-			c = s.start()
-			eventually(t, "readiness by the list that was saved", s.ready)
-			if !ask() {
-				t.Errorf("from the list that was saved it does not serve: %s", s.lastOutcome)
+			_ = process.Wait()
+			process = proxy.start()
+			eventually(t, "readiness by the list that was saved", proxy.ready)
+			if !served() {
+				t.Errorf("from the list that was saved it does not serve: %s", proxy.lastOutcome)
 			}
-			_ = c.Process.Kill()
-			_ = c.Wait()
-			if !strings.Contains(c.err.String(), "list remembered") {
-				t.Errorf("it does not say that it goes by an old list: %s", &c.err)
+			_ = process.Process.Kill()
+			_ = process.Wait()
+			if !strings.Contains(process.err.String(), "list remembered") {
+				t.Errorf("it does not say that it goes by an old list: %s", &process.err)
 			}
 		})
 	}
@@ -301,17 +301,17 @@
 // TestKeeperStepsDown ends the leader as an upgrade does: another one leads before it is gone, well under an election's time.
 func TestKeeperStepsDown(t *testing.T) {
 	t.Parallel()
-	k := newRegistryCluster(t, 3, "[timing]\nheartbeat_ms = 10000\n")
-	k.register("s-1", "127.0.0.1:9000")
-	p := k.leader()
-	if err := p.run.Process.Signal(syscall.SIGTERM); err != nil {
+	cluster := newRegistryCluster(t, 3, "[timing]\nheartbeat_ms = 10000\n")
+	cluster.register("s-1", "127.0.0.1:9000")
+	leader := cluster.leader()
+	if err := leader.run.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if code := p.run.waitForExit(t); code != 0 {
+	if code := leader.run.waitForExit(t); code != 0 {
 		t.Errorf("exit %d", code)
 	}
 	began := time.Now()
-	k.register("s-2", "127.0.0.1:9001")
+	cluster.register("s-2", "127.0.0.1:9001")
 	if took := time.Since(began); took > 5*time.Second {
 		t.Errorf("a write waited %v for a leader; an election takes 10 s", took)
 	}
--- a/cmd/gradeusher/role_fleet_test.go
+++ b/cmd/gradeusher/role_fleet_test.go
@@ -59,35 +59,35 @@
 }
 
 func newResource(t *testing.T) *resource {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &resource{listener: l}
-	a.running.Add(1)
+	target := &resource{listener: listener}
+	target.running.Add(1)
 	go func() {
-		defer a.running.Done()
+		defer target.running.Done()
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			a.running.Add(1)
-			go a.serve(c)
+			target.running.Add(1)
+			go target.serve(c)
 		}
 	}()
 	t.Cleanup(func() {
-		l.Close()
-		a.running.Wait()
+		listener.Close()
+		target.running.Wait()
 	})
-	return a
+	return target
 }
 
 // serve ends with the actor.
-func (a *resource) serve(c net.Conn) {
+func (a *resource) serve(conn net.Conn) {
 	defer a.running.Done()
-	defer c.Close()
-	for in := bufio.NewScanner(c); in.Scan(); {
+	defer conn.Close()
+	for in := bufio.NewScanner(conn); in.Scan(); {
 		var e effect
 		if _, err := fmt.Sscan(in.Text(), &e.epoch, &e.pid, &e.guard); err != nil {
 			return
@@ -101,7 +101,7 @@
 		if err != nil {
 			answer = "refused\n"
 		}
-		if _, err := c.Write([]byte(answer)); err != nil {
+		if _, err := conn.Write([]byte(answer)); err != nil {
 			return
 		}
 	}
--- a/cmd/gradeusher/routes_fleet_test.go
+++ b/cmd/gradeusher/routes_fleet_test.go
@@ -27,16 +27,16 @@
 		},
 	} {
 		b.Run(name, func(b *testing.B) {
-			k := newRegistryCluster(b, 3, "")
+			cluster := newRegistryCluster(b, 3, "")
 			table := routeTable(rules, 10_000)
-			gen, err := k.client.PutRoutes(k.callContext(), table, nil)
+			generation, err := cluster.client.PutRoutes(cluster.callContext(), table, nil)
 			if err != nil {
 				b.Fatal(err)
 			}
 			var read atomic.Int64
 			came := make(chan int64, clients)
 			for i := range clients {
-				resp, err := http.Get("http://" + k.nodes[i%3].http + "/v1/routes?watch=1" + cut(i))
+				resp, err := http.Get("http://" + cluster.nodes[i%3].http + "/v1/routes?watch=1" + cut(i))
 				if err != nil || resp.StatusCode != http.StatusOK {
 					b.Fatal(err, resp.StatusCode)
 				}
@@ -46,57 +46,57 @@
 					in := bufio.NewScanner(resp.Body)
 					in.Buffer(nil, list.MostText)
 					for in.Scan() {
-						var n struct{ Gen int64 }
-						if len(in.Bytes()) > 0 && json.Unmarshal(in.Bytes(), &n) == nil {
+						var changes struct{ Gen int64 }
+						if len(in.Bytes()) > 0 && json.Unmarshal(in.Bytes(), &changes) == nil {
 							read.Add(int64(len(in.Bytes()) + 1))
-							came <- n.Gen
+							came <- changes.Gen
 						}
 					}
 				}()
 				b.Cleanup(func() { resp.Body.Close(); <-ended })
 			}
-			for told := 0; told < clients; { // a keeper that was behind has said an older one first
-				if <-came == gen {
-					told++
+			for current := 0; current < clients; { // a keeper that was behind has said an older one first
+				if <-came == generation {
+					current++
 				}
 			}
-			news, err := k.client.Routes(k.callContext(), -1, "")
+			update, err := cluster.client.Routes(cluster.callContext(), -1, "")
 			if err != nil {
 				b.Fatal(err)
 			}
-			text, err := json.Marshal(news.Rules)
+			text, err := json.Marshal(update.Rules)
 			if err != nil {
 				b.Fatal(err)
 			}
 			read.Store(0)
-			want, n := clients, 0
+			want, changes := clients, 0
 			if name == "300-applications" {
 				want = 1
 			}
 			var took []time.Duration
 			for b.Loop() {
 				table = slices.Clone(table)
-				at := n % clients
+				at := changes % clients
 				if name == "one-application" {
 					at = 0
 				}
-				n++
+				changes++
 				table[at].Destinations = slices.Clone(table[at].Destinations)
 				table[at].Destinations[0].Weight++
 				began := time.Now()
-				if gen, err = k.client.PutRoutes(k.callContext(), table, &gen); err != nil {
+				if generation, err = cluster.client.PutRoutes(cluster.callContext(), table, &generation); err != nil {
 					b.Fatal(err)
 				}
 				for range want {
-					if got := <-came; got != gen {
-						b.Fatalf("generation %d came, not %d", got, gen)
+					if got := <-came; got != generation {
+						b.Fatalf("generation %d came, not %d", got, generation)
 					}
 				}
 				took = append(took, time.Since(began))
 				time.Sleep(20 * time.Millisecond) // so that changes do not come on each other's heels
 			}
 			slices.Sort(took)
-			change := float64(read.Load()) / float64(n)
+			change := float64(read.Load()) / float64(changes)
 			b.ReportMetric(100*change/float64(clients*len(text)), "%ofwhole")
 			b.ReportMetric(change, "B/change")
 			b.ReportMetric(float64(len(text)), "B-table")
--- a/cmd/gradeusher/routes_test.go
+++ b/cmd/gradeusher/routes_test.go
@@ -58,91 +58,91 @@
 // follows holds the last table each time, and no generation is used again.
 func TestRoutesOnKeepers(t *testing.T) {
 	t.Parallel()
-	k := newRegistryCluster(t, 3, "[timing]\nsnapshot_after = 8\nsnapshot_ms = 50\ntrailing = 2\n")
+	cluster := newRegistryCluster(t, 3, "[timing]\nsnapshot_after = 8\nsnapshot_ms = 50\ntrailing = 2\n")
 	var mu sync.Mutex
-	var held client.RouteUpdate
+	var current client.RouteUpdate
 	seen := map[int64]string{} // hashes, by generation
-	f := subscribeRoutes(t, client.RouteOptions{Registry: k.addresses(), Cache: client.NewRouteCache(t.TempDir(), "n"), OnUpdate: func(u client.RouteUpdate) {
+	subscriber := subscribeRoutes(t, client.RouteOptions{Registry: cluster.addresses(), Cache: client.NewRouteCache(t.TempDir(), "n"), OnUpdate: func(u client.RouteUpdate) {
 		mu.Lock()
 		defer mu.Unlock()
 		if old, known := seen[u.Generation]; known && old != u.Hash {
 			t.Errorf("generation %d is %s after %s", u.Generation, u.Hash, old)
 		}
-		held, seen[u.Generation] = u, u.Hash
+		current, seen[u.Generation] = u, u.Hash
 	}})
-	gen := int64(0)
+	generation := int64(0)
 	put := func(table routes.Table) {
 		t.Helper()
-		now, err := k.client.PutRoutes(k.callContext(), table, &gen)
+		now, err := cluster.client.PutRoutes(cluster.callContext(), table, &generation)
 		for errors.Is(err, client.ErrUncertain) { // it may have been done, or not
-			var n client.RoutesUpdate
-			if n, err = k.client.Routes(k.callContext(), -1, ""); err == nil && n.Hash != table.Hash() {
-				now, err = k.client.PutRoutes(k.callContext(), table, &n.Generation)
+			var answer client.RoutesUpdate
+			if answer, err = cluster.client.Routes(cluster.callContext(), -1, ""); err == nil && answer.Hash != table.Hash() {
+				now, err = cluster.client.PutRoutes(cluster.callContext(), table, &answer.Generation)
 			} else if err == nil {
-				now = n.Generation
+				now = answer.Generation
 			}
 		}
-		if err != nil || now <= gen {
-			t.Fatalf("generation %d after %d: %v", now, gen, err)
+		if err != nil || now <= generation {
+			t.Fatalf("generation %d after %d: %v", now, generation, err)
 		}
-		gen = now
+		generation = now
 		eventually(t, "the table at its follower", func() bool {
 			mu.Lock()
 			defer mu.Unlock()
-			return held.Hash == table.Hash() && held.Generation == gen
+			return current.Hash == table.Hash() && current.Generation == generation
 		})
 	}
 	put(routeTable(20, 100))
-	backup, err := k.client.Backup(k.callContext(), true)
+	backup, err := cluster.client.Backup(cluster.callContext(), true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 12 { // over snapshots
 		put(routeTable(20, 101+float64(i)))
 		if i == 3 {
-			p := k.leader()
-			k.kill(p)
+			node := cluster.leader()
+			cluster.kill(node)
 			put(routeTable(20, 200))
-			k.start(p)
+			cluster.start(node)
 		}
 	}
-	for _, p := range k.nodes {
-		if p.run.ProcessState == nil {
-			k.kill(p)
+	for _, node := range cluster.nodes {
+		if node.run.ProcessState == nil {
+			cluster.kill(node)
 		}
-		k.start(p)
+		cluster.start(node)
 	}
-	n, err := k.client.Routes(k.callContext(), gen, "")
-	if err != nil || n.Complete || n.Generation != gen || len(n.Ops) != 0 {
-		t.Errorf("after kill -9 of all, generation %d is answered by %+v, %v", gen, n, err)
+	answer, err := cluster.client.Routes(cluster.callContext(), generation, "")
+	if err != nil || answer.Complete || answer.Generation != generation || len(answer.Ops) != 0 {
+		t.Errorf("after kill -9 of all, generation %d is answered by %+v, %v", generation, answer, err)
 	}
-	last := gen
-	if _, err := k.client.Restore(k.callContext(), backup); err != nil {
+	last := generation
+	if _, err := cluster.client.Restore(cluster.callContext(), backup); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "the backup's table", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return held.Hash == routeTable(20, 100).Hash() && held.Generation > last
+		return current.Hash == routeTable(20, 100).Hash() && current.Generation > last
 	})
-	n, err = k.client.Routes(k.callContext(), last, "")
-	if err != nil || !n.Complete || n.Generation <= last {
-		t.Errorf("who holds generation %d of before the backup is answered by %+v, %v", last, n, err)
+	answer, err = cluster.client.Routes(cluster.callContext(), last, "")
+	if err != nil || !answer.Complete || answer.Generation <= last {
+		t.Errorf("who holds generation %d of before the backup is answered by %+v, %v", last, answer, err)
 	}
-	gen = n.Generation
+	generation = answer.Generation
 	put(routeTable(21, 300))
 	put(routes.Table{})
-	if got := f.Status(); got.Mismatches != 0 || got.Diffs < 3 || got.Rules != 0 {
+	if got := subscriber.Status(); got.Mismatches != 0 || got.Diffs < 3 || got.Rules != 0 {
 		t.Errorf("figures %+v", got)
 	}
 	old := int64(1)
 	var refused *client.RefusedError
-	if _, err := k.client.PutRoutes(k.callContext(), routeTable(1, 9), &old); !errors.As(err, &refused) || refused.Status != 409 {
+	if _, err := cluster.client.PutRoutes(cluster.callContext(), routeTable(1, 9), &old); !errors.As(err, &refused) || refused.Status != 409 {
 		t.Errorf("an old generation is expected: %v", err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	if _, err := k.client.PutRoutes(ctx, routeTable(2, 1), nil); !errors.As(err, &refused) || refused.Status != 400 {
+	if _, err := cluster.client.PutRoutes(ctx, routeTable(2, 1), nil); !errors.As(err, &refused) || refused.Status != 400 {
 		t.Errorf("a weight of 0 and -1: %v", err)
 	}
 }
@@ -151,10 +151,10 @@
 // servers waits for one, and with all keepers gone the next process goes by what the last one held.
 func TestSidecarRoutes(t *testing.T) {
 	t.Parallel()
-	k := newRegistryCluster(t, 1, "")
+	cluster := newRegistryCluster(t, 1, "")
 	add := func(model string) {
 		at := newHTTPServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, model) }))
-		if _, err := k.client.Register(k.callContext(), []list.Registration{{Target: list.Target{UID: "s-" + model, Endpoint: at, Zone: "a", Model: model, State: list.Serving}}}, nil); err != nil {
+		if _, err := cluster.client.Register(cluster.callContext(), []list.Registration{{Target: list.Target{UID: "s-" + model, Endpoint: at, Zone: "a", Model: model, State: list.Serving}}}, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -171,69 +171,69 @@
 	}
 	put := func(table routes.Table) int64 {
 		t.Helper()
-		gen, err := k.client.PutRoutes(k.callContext(), table, nil)
+		generation, err := cluster.client.PutRoutes(cluster.callContext(), table, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return gen
+		return generation
 	}
-	s := newSidecarProcess(t, map[string]any{"keepers": map[string]any{"addresses": k.addresses(), "routes": true, "tags": map[string]string{"service": "portal"}}})
-	turns := func(want map[string]int) {
+	proxy := newSidecarProcess(t, map[string]any{"keepers": map[string]any{"addresses": cluster.addresses(), "routes": true, "tags": map[string]string{"service": "portal"}}})
+	checkShares := func(want map[string]int) {
 		t.Helper()
 		got, n := map[string]int{}, 0
 		for _, v := range want {
 			n += v
 		}
 		for range n {
-			got[s.request()]++
+			got[proxy.request()]++
 		}
 		for model, v := range got { // a slow moment, or the credit of before, moves some
 			if off := v - want[model]; off > 3 || off < -3 || want[model] == 0 {
-				t.Errorf("turns %v, want %v: %s", got, want, s.lastOutcome)
+				t.Errorf("turns %v, want %v: %s", got, want, proxy.lastOutcome)
 			}
 		}
 	}
-	c := s.start()
-	eventually(t, "readiness", s.ready)
-	gen := put(share(map[string]float64{"old": 4, "new": 1}))
-	eventually(t, "the first generation", func() bool { return s.figure("route_generation") == gen })
-	turns(map[string]int{"old": 16, "new": 4})
-	gen = put(share(map[string]float64{"old": 1, "new": 1}))
-	eventually(t, "the second generation", func() bool { return s.figure("route_generation") == gen })
-	turns(map[string]int{"old": 10, "new": 10})
-	if s.figure("route_rules") != 1 || s.figure("route_diffs") < 1 || s.figure("route_mismatches") != 0 {
-		t.Errorf("%d rules, %d diffs, %d mismatches", s.figure("route_rules"), s.figure("route_diffs"), s.figure("route_mismatches"))
+	process := proxy.start()
+	eventually(t, "readiness", proxy.ready)
+	generation := put(share(map[string]float64{"old": 4, "new": 1}))
+	eventually(t, "the first generation", func() bool { return proxy.figure("route_generation") == generation })
+	checkShares(map[string]int{"old": 16, "new": 4})
+	generation = put(share(map[string]float64{"old": 1, "new": 1}))
+	eventually(t, "the second generation", func() bool { return proxy.figure("route_generation") == generation })
+	checkShares(map[string]int{"old": 10, "new": 10})
+	if proxy.figure("route_rules") != 1 || proxy.figure("route_diffs") < 1 || proxy.figure("route_mismatches") != 0 {
+		t.Errorf("%d rules, %d diffs, %d mismatches", proxy.figure("route_rules"), proxy.figure("route_diffs"), proxy.figure("route_mismatches"))
 	}
 	next := put(share(map[string]float64{"late": 1}))
-	eventually(t, "the third generation", func() bool { return s.figure("route_generation_held") == next })
-	if s.figure("route_generation") != gen {
+	eventually(t, "the third generation", func() bool { return proxy.figure("route_generation_held") == next })
+	if proxy.figure("route_generation") != generation {
 		t.Error("a table without ready servers is applied")
 	}
-	turns(map[string]int{"old": 10, "new": 10})
+	checkShares(map[string]int{"old": 10, "new": 10})
 	add("late")
-	eventually(t, "the table that waited", func() bool { return s.figure("route_generation") == next })
-	turns(map[string]int{"late": 10})
+	eventually(t, "the table that waited", func() bool { return proxy.figure("route_generation") == next })
+	checkShares(map[string]int{"late": 10})
 	eventually(t, "the saved list and routes", func() bool {
-		text, err := os.ReadFile(filepath.Join(s.tmp, "list-n0.cache"))
-		also, alsoErr := os.ReadFile(filepath.Join(s.tmp, "routes-n0.cache"))
+		text, err := os.ReadFile(filepath.Join(proxy.tmp, "list-n0.cache"))
+		also, alsoErr := os.ReadFile(filepath.Join(proxy.tmp, "routes-n0.cache"))
 		return err == nil && alsoErr == nil && strings.Contains(string(text), "s-late") && strings.Contains(string(also), "late")
 	})
-	k.kill(k.nodes[0])
-	if err := c.Process.Kill(); err != nil {
+	cluster.kill(cluster.nodes[0])
+	if err := process.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	_ = c.Wait() // a signal ended it
-	s.start()
-	eventually(t, "readiness without keepers", s.ready)
-	turns(map[string]int{"late": 10})
-	if s.figure("route_generation") != next {
-		t.Errorf("generation %d is remembered, want %d", s.figure("route_generation"), next)
-	}
-	k.start(k.nodes[0])
-	gen = put(share(map[string]float64{"old": 1}))
-	eventually(t, "news after the keepers came back", func() bool { return s.figure("route_generation") == gen })
-	if s.figure("route_wholes") != 0 {
+	_ = process.Wait() // a signal ended it
+	proxy.start()
+	eventually(t, "readiness without keepers", proxy.ready)
+	checkShares(map[string]int{"late": 10})
+	if proxy.figure("route_generation") != next {
+		t.Errorf("generation %d is remembered, want %d", proxy.figure("route_generation"), next)
+	}
+	cluster.start(cluster.nodes[0])
+	generation = put(share(map[string]float64{"old": 1}))
+	eventually(t, "news after the keepers came back", func() bool { return proxy.figure("route_generation") == generation })
+	if proxy.figure("route_wholes") != 0 {
 		t.Error("the next process asked for the whole table")
 	}
-	turns(map[string]int{"old": 5})
+	checkShares(map[string]int{"old": 5})
 }
--- a/cmd/gradeusher/sidecar_test.go
+++ b/cmd/gradeusher/sidecar_test.go
@@ -24,8 +24,8 @@
 // newSidecarProcess has a configuration with these fields besides the usual.
 func newSidecarProcess(t *testing.T, fields map[string]any) *sidecarProcess {
 	t.Helper()
-	s := &sidecarProcess{t: t, tmp: t.TempDir(), listen: reserveAddress(t), control: reserveAddress(t), config: filepath.Join(t.TempDir(), "config.json")}
-	all := map[string]any{"name": "n0", "listen": s.listen, "control": s.control, "seed": "8c1f30d27a5be964", "settings": json.RawMessage(
+	proxy := &sidecarProcess{t: t, tmp: t.TempDir(), listen: reserveAddress(t), control: reserveAddress(t), config: filepath.Join(t.TempDir(), "config.json")}
+	all := map[string]any{"name": "n0", "listen": proxy.listen, "control": proxy.control, "seed": "8c1f30d27a5be964", "settings": json.RawMessage(
 		`{"ordinal":0,"peers_total":1,"my_zone":"a","areas":["a"],"models":["m"],"tiers":["rec-api"],"tier":0,"discovery":"pushed","limits":{"try_limit":3},
 		"request_classes":[{"name":"read","effect":"idempotent","aim_s":0.5,"deadline_s":2}]}`)}
 	for key, v := range fields {
@@ -35,10 +35,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(s.config, text, 0o600); err != nil {
+	if err := os.WriteFile(proxy.config, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return proxy
 }
 
 func (s *sidecarProcess) start() *command {
--- a/cmd/gradeusher/system_soak_norace_test.go
+++ b/cmd/gradeusher/system_soak_norace_test.go
@@ -22,7 +22,7 @@
 	proxy, keeper, folder := buildSystem(t)
 	results := make([]*soak.Result, len(seeds))
 	var all sync.WaitGroup
-	for i, seed := range seeds {
+	for index, seed := range seeds {
 		all.Go(func() {
 			own := filepath.Join(folder, fmt.Sprint("seed-", seed))
 			if err := os.Mkdir(own, 0o700); err != nil {
@@ -37,7 +37,7 @@
 				t.Errorf("seed %d: %v", seed, err)
 				return
 			}
-			results[i] = r
+			results[index] = r
 			t.Log(r)
 		})
 	}
