--- a/cmd/gradeusher/admin_test.go
+++ b/cmd/gradeusher/admin_test.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestSystemStatusTellsOfTheTolerance: danger: a deployment that cannot bear what it promises looks well until the loss comes.
-func TestSystemStatusTellsOfTheTolerance(t *testing.T) {
+// TestSystemStatusReportsTolerance: danger: a deployment that cannot bear what it promises looks well until the loss comes.
+func TestSystemStatusReportsTolerance(t *testing.T) {
 	t.Parallel()
 	const remedy = "3 keepers with a disk vote and 5 are needed: run keepers on 2 more machines with a disk, or lower [tolerance]"
 	short := admin.Capacity{Nodes: 3, Observers: 2, Voters: 3, VotersDesired: 5, VotersTimedOut: 1, ChainReplicas: 3, ChainReplicasRequired: 3, Remedy: remedy}
--- a/cmd/gradeusher/registry_test.go
+++ b/cmd/gradeusher/registry_test.go
@@ -19,9 +19,9 @@
 	"gradeusher.example/gradeusher/internal/sidecar/replica"
 )
 
-// TestKeepers has three keepers lose their leader, and then all of them: what was acknowledged is there, the revision goes on,
+// TestRegistryCluster has three keepers lose their leader, and then all of them: what was acknowledged is there, the revision goes on,
 // and a watch sees every change.
-func TestKeepers(t *testing.T) {
+func TestRegistryCluster(t *testing.T) {
 	t.Parallel()
 	cluster := newRegistryCluster(t, 3, "")
 	observed := &observedList{}
@@ -92,8 +92,8 @@
 	eventually(t, "news after all keepers were down", func() bool { return observed.has("s-0", list.Draining) })
 }
 
-// TestKeepersChange adds a keeper, removes one, and restores a backup, as staff would with the command.
-func TestKeepersChange(t *testing.T) {
+// TestRegistryMembershipAndBackup adds a keeper, removes one, and restores a backup, as staff would with the command.
+func TestRegistryMembershipAndBackup(t *testing.T) {
 	t.Parallel()
 	cluster := newRegistryCluster(t, 1, "[timing]\nsnapshot_after = 20\nsnapshot_ms = 50\ntrailing = 5\n")
 	for i := range 60 {
@@ -219,9 +219,9 @@
 	awaitState(list.Deleted)
 }
 
-// TestSidecarOnKeepers runs the real sidecar on keepers: as its list in the platform's form, and with its own client, which
+// TestSidecarOnRegistry runs the real sidecar on keepers: as its list in the platform's form, and with its own client, which
 // survives the loss of all keepers and, with them gone, its own restart.
-func TestSidecarOnKeepers(t *testing.T) {
+func TestSidecarOnRegistry(t *testing.T) {
 	t.Parallel()
 	cluster := newRegistryCluster(t, 1, "")
 	backend := newHTTPServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "done "+r.Header.Get("X-Request-ID")) }))
@@ -270,8 +270,8 @@
 	}
 }
 
-// TestKeeperConfig gives keepers configurations that make no sense: one line that says why, and exit 2.
-func TestKeeperConfig(t *testing.T) {
+// TestRegistryConfig gives keepers configurations that make no sense: one line that says why, and exit 2.
+func TestRegistryConfig(t *testing.T) {
 	t.Parallel()
 	good := "name = \"k1\"\nfolder = \"x\"\nhttp = \"127.0.0.1:1\"\nraft = \"127.0.0.1:2\"\n[[peer]]\nname = \"k1\"\nraft = \"127.0.0.1:2\"\nhttp = \"127.0.0.1:1\"\n"
 	for want, text := range map[string]string{
@@ -298,8 +298,8 @@
 	}
 }
 
-// TestKeeperStepsDown ends the leader as an upgrade does: another one leads before it is gone, well under an election's time.
-func TestKeeperStepsDown(t *testing.T) {
+// TestRegistryLeaderStepsDown ends the leader as an upgrade does: another one leads before it is gone, well under an election's time.
+func TestRegistryLeaderStepsDown(t *testing.T) {
 	t.Parallel()
 	cluster := newRegistryCluster(t, 3, "[timing]\nheartbeat_ms = 10000\n")
 	cluster.register("s-1", "127.0.0.1:9000")
--- a/cmd/gradeusher/role_test.go
+++ b/cmd/gradeusher/role_test.go
@@ -16,10 +16,10 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-// TestDuty has processes hold one duty while they are killed, stopped and asked, and while the keepers' leader is killed. The resource sees
+// TestRole has processes hold one duty while they are killed, stopped and asked, and while the keepers' leader is killed. The resource sees
 // that nothing is done under a stale epoch and that no two act at once, and how long nobody does. GRADEUSHER_DUTY_FAULTS: how many kills, and handovers
 // that are asked.
-func TestDuty(t *testing.T) {
+func TestRole(t *testing.T) {
 	t.Parallel()
 	faults := 3
 	if v, err := strconv.Atoi(os.Getenv("GRADEUSHER_DUTY_FAULTS")); err == nil {
@@ -105,9 +105,9 @@
 	}
 }
 
-// TestDutyMajority has a holder lose the majority of the keepers for longer than its lease: it stops by itself in time, and begins under
+// TestRoleWithoutMajority has a holder lose the majority of the keepers for longer than its lease: it stops by itself in time, and begins under
 // another epoch when they are back.
-func TestDutyMajority(t *testing.T) {
+func TestRoleWithoutMajority(t *testing.T) {
 	t.Parallel()
 	fleet := newRoleFleet(t, 3)
 	_, acting := fleet.activeOwner()
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestDutySweep has duties out of use forgotten by one of two sweepers, also once the first is killed, and others left alone. Epochs go on.
-func TestDutySweep(t *testing.T) {
+// TestRoleSweep has duties out of use forgotten by one of two sweepers, also once the first is killed, and others left alone. Epochs go on.
+func TestRoleSweep(t *testing.T) {
 	t.Parallel()
 	cluster := newRegistryCluster(t, 1, "")
 	cluster.leader()
@@ -204,8 +204,8 @@
 	}
 }
 
-// TestDutyHold has a command's exit code passed on, its environment told, and one that TERM does not end killed.
-func TestDutyHold(t *testing.T) {
+// TestRoleHold has a command's exit code passed on, its environment told, and one that TERM does not end killed.
+func TestRoleHold(t *testing.T) {
 	t.Parallel()
 	cluster := newRegistryCluster(t, 1, "")
 	cluster.leader()
--- a/cmd/gradeusher/routes_test.go
+++ b/cmd/gradeusher/routes_test.go
@@ -54,9 +54,9 @@
 	return f
 }
 
-// TestRoutesOnKeepers puts tables at three keepers that lose their leader, and then all of them, and go back to a backup. Whoever
+// TestRoutesOnRegistry puts tables at three keepers that lose their leader, and then all of them, and go back to a backup. Whoever
 // follows holds the last table each time, and no generation is used again.
-func TestRoutesOnKeepers(t *testing.T) {
+func TestRoutesOnRegistry(t *testing.T) {
 	t.Parallel()
 	cluster := newRegistryCluster(t, 3, "[timing]\nsnapshot_after = 8\nsnapshot_ms = 50\ntrailing = 2\n")
 	var mu sync.Mutex
