--- a/cmd/gradeusher/role_fleet_test.go
+++ b/cmd/gradeusher/role_fleet_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"fmt"
 	"net"
 	"os"
@@ -16,7 +17,7 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-// actorArgument is the first argument of a process that is to act under a duty, at the address that is the second.
+// actorArgument is the first argument of a process that is to act as the owner of a role, on the resource whose address is the second.
 const actorArgument = "test-actor"
 
 func init() {
@@ -25,15 +26,16 @@
 	}
 }
 
-// runActor has effects on the resource, one after the other, until that refuses one.
+// runActor sends effects to the resource, one after the other, until it refuses one.
 func runActor(at string) {
-	c, err := net.Dial("tcp", at)
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(context.Background(), "tcp", at)
 	if err != nil {
 		os.Exit(3)
 	}
-	answers := bufio.NewScanner(c)
+	answers := bufio.NewScanner(conn)
 	for {
-		_, _ = fmt.Fprintf(c, "%s %d %d\n", os.Getenv("GRADEUSHER_EPOCH"), os.Getpid(), os.Getppid())
+		_, _ = fmt.Fprintf(conn, "%s %d %d\n", os.Getenv("GRADEUSHER_EPOCH"), os.Getpid(), os.Getppid())
 		if !answers.Scan() || answers.Text() != "done" {
 			os.Exit(4)
 		}
@@ -41,15 +43,15 @@
 	}
 }
 
-// effect is one that came to the resource.
+// effect is what an actor sent to the resource.
 type effect struct {
 	epoch      int64
 	pid, guard int
 	at         time.Time
-	allowed    bool // the fence let it through
+	allowed    bool // by the fencing token
 }
 
-// resource is what the holder of a duty acts on, behind a fence. It sees who acts when, from outside.
+// resource is what the owner of a role acts on. It checks fencing tokens and records who acts when, from outside.
 type resource struct {
 	listener net.Listener
 	fence    singleton.Fence
@@ -59,7 +61,9 @@
 }
 
 func newResource(t *testing.T) *resource {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Helper()
+	var config net.ListenConfig
+	listener, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,16 +81,16 @@
 		}
 	}()
 	t.Cleanup(func() {
-		listener.Close()
+		_ = listener.Close() // ends the loop above
 		target.running.Wait()
 	})
 	return target
 }
 
-// serve ends with the actor.
+// serve receives the effects of one actor until that ends.
 func (a *resource) serve(conn net.Conn) {
 	defer a.running.Done()
-	defer conn.Close()
+	defer func() { _ = conn.Close() }() // the actor has ended
 	for in := bufio.NewScanner(conn); in.Scan(); {
 		var e effect
 		if _, err := fmt.Sscan(in.Text(), &e.epoch, &e.pid, &e.guard); err != nil {
@@ -123,7 +127,7 @@
 	return e, e.allowed && time.Since(e.at) < 100*time.Millisecond
 }
 
-// firstAfter is the first effect under a higher epoch than e's, and the last under that.
+// firstAfter returns the first effect under a higher epoch than e's, and the last one under e's.
 func (a *resource) firstAfter(e effect) (first, last effect, ok bool) {
 	for _, n := range a.effects() {
 		if n.epoch > e.epoch && n.allowed {
@@ -136,9 +140,10 @@
 	return e, e, false
 }
 
+// testLease is the lease of the processes that campaign for the role.
 const testLease = 1500 * time.Millisecond
 
-// roleFleet is keepers, processes that hold one duty, and the resource that it acts on.
+// roleFleet is a registry, processes that campaign for one role, and the resource that its owner acts on.
 type roleFleet struct {
 	*registryCluster
 	resource   *resource
@@ -155,7 +160,7 @@
 	return f
 }
 
-// startCandidate starts one more process that waits for the duty.
+// startCandidate starts one more process that campaigns for the role.
 func (f *roleFleet) startCandidate() {
 	f.t.Helper()
 	f.started++
@@ -180,7 +185,7 @@
 	})
 }
 
-// activeOwner is the process that holds the duty, once it acts and another waits.
+// activeOwner waits until the owner acts and two others wait, and returns its name and latest effect.
 func (f *roleFleet) activeOwner() (name string, e effect) {
 	f.t.Helper()
 	eventually(f.t, "holder that acts", func() bool {
@@ -196,7 +201,7 @@
 	return name, e
 }
 
-// awaitHandover waits until another acts, and tells how long after a time and after the last effect of the one before that was.
+// awaitHandover waits until another process acts, and returns how long that was after a time and after the last effect of the one before.
 func (f *roleFleet) awaitHandover(e effect, from time.Time) (after, without time.Duration) {
 	f.t.Helper()
 	var first, last effect
@@ -215,7 +220,8 @@
 	return fmt.Sprintf("p50 %v, p99 %v of %d", at(0.5), at(0.99), len(all))
 }
 
-const startupAllowance = time.Second // tests run beside others, and what a process needs to start is no part of the promise
+// startupAllowance is for what a process needs to start, which is no part of the claim: tests run beside others.
+const startupAllowance = time.Second
 
 func (f *roleFleet) signal(sig syscall.Signal, pids ...int) {
 	f.t.Helper()
