--- a/cmd/gradeusher/admin_test.go
+++ b/cmd/gradeusher/admin_test.go
@@ -104,7 +104,7 @@
 func TestSystemStatusWait(t *testing.T) {
 	t.Parallel()
 	address, _ := newAdminServer(t, true)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		change, length string
 		code           int
 		text           string
@@ -116,9 +116,9 @@
 		{"epoch:1", "1s", exitUsage, "number:N or revision:N"},
 		{"1", "2h", exitUsage, "--for"},
 	} {
-		code, out, said := runCommand("system", "status", address, "--wait", c.change, "--for", c.length)
-		if code != c.code || !strings.Contains(out+said, c.text) {
-			t.Errorf("%s: exit %d, %s%s", c.change, code, out, said)
+		code, out, said := runCommand("system", "status", address, "--wait", test.change, "--for", test.length)
+		if code != test.code || !strings.Contains(out+said, test.text) {
+			t.Errorf("%s: exit %d, %s%s", test.change, code, out, said)
 		}
 	}
 }
@@ -126,7 +126,7 @@
 func TestSystemWhy(t *testing.T) {
 	t.Parallel()
 	address, _ := newAdminServer(t, true)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		args []string
 		code int
 		text string
@@ -135,9 +135,9 @@
 		{[]string{"s-1"}, 0, "\ns-1 m hall: evacuated\n"},
 		{[]string{"s-2"}, exitFailure, `server "s-2" is not on the list`},
 	} {
-		code, out, said := runCommand(append([]string{"system", "why", address}, c.args...)...)
-		if code != c.code || !strings.Contains(out+said, c.text) || !strings.Contains(out, "proxy n: ready, ") {
-			t.Errorf("%v: exit %d, %s%s", c.args, code, out, said)
+		code, out, said := runCommand(append([]string{"system", "why", address}, test.args...)...)
+		if code != test.code || !strings.Contains(out+said, test.text) || !strings.Contains(out, "proxy n: ready, ") {
+			t.Errorf("%v: exit %d, %s%s", test.args, code, out, said)
 		}
 	}
 }
@@ -147,7 +147,7 @@
 	address, state := newAdminServer(t, true)
 	file, dir := filepath.Join(t.TempDir(), "backup"), filepath.Join(t.TempDir(), "data")
 	const holds = "record 1, revision 0, evacuated zones: hall\n"
-	for _, c := range []struct {
+	for _, test := range []struct {
 		args []string
 		code int
 		text string
@@ -163,8 +163,8 @@
 		{[]string{"backup", file + "3", "--disk", dir, "--from", address}, exitUsage, "--from"},
 		{[]string{"restore", dir, "--to", dir}, exitFailure, "cannot be read"},
 	} {
-		if code, out, said := runCommand(append([]string{"system"}, c.args...)...); code != c.code || !strings.Contains(out+said, c.text) {
-			t.Errorf("%v: exit %d, %s%s", c.args, code, out, said)
+		if code, out, said := runCommand(append([]string{"system"}, test.args...)...); code != test.code || !strings.Contains(out+said, test.text) {
+			t.Errorf("%v: exit %d, %s%s", test.args, code, out, said)
 		}
 	}
 	if data, err := os.ReadFile(file); err != nil || !bytes.Equal(data, state.Encode()) {
--- a/cmd/gradeusher/role_hold.go
+++ b/cmd/gradeusher/role_hold.go
@@ -139,8 +139,11 @@
 // extendDeadlines gives the guard the end of the lease, as it is renewed, until the guard has exited. It reports whether a handover was
 // requested and passed on.
 func (c roleHoldCommand) extendDeadlines(guard *exec.Cmd, control io.Writer, lease *singleton.OwnedLease) (handedOver bool) {
-	exited := make(chan error, 1)
-	go func() { exited <- guard.Wait() }()
+	exited := make(chan struct{})
+	go func() {
+		defer close(exited)
+		_ = guard.Wait() // its state has the exit code
+	}()
 	ticker := time.NewTicker(c.Lease / renewalsPerLease)
 	defer ticker.Stop()
 	for requested := lease.HandoverRequested(); ; {
--- a/cmd/gradeusher/role_test.go
+++ b/cmd/gradeusher/role_test.go
@@ -180,7 +180,7 @@
 	t.Parallel()
 	cluster := newRegistryCluster(t, 1, "")
 	cluster.leader()
-	cluster.changeRole(client.Campaign, "used", "a#1", 0)
+	cluster.changeRole(client.Campaign, "used", 0)
 	first := cluster.useRole("old")
 	sweepers := map[string]*command{}
 	for _, name := range []string{"s1", "s2"} {
@@ -195,7 +195,7 @@
 	}
 	cluster.useRole("older")
 	cluster.awaitSweep()
-	sweep := cluster.changeRole(client.Campaign, singleton.SweepRole, "a#1", 0)
+	sweep := cluster.changeRole(client.Campaign, singleton.SweepRole, 0)
 	_, err := cluster.client.ChangeRole(cluster.callContext(), client.Forget, singleton.SweepRole,
 		client.RoleCall{Process: sweep.Owner.Process, Epoch: sweep.Epoch - 1, IdleRoles: []string{"used"}, IdleMS: 1000})
 	if err == nil || !strings.Contains(err.Error(), "does not hold sweep") {
@@ -203,9 +203,10 @@
 	}
 }
 
-func (k *registryCluster) changeRole(action client.RoleAction, name, process string, epoch int64) state.Role {
+// changeRole makes a change in the name of the process a#1.
+func (k *registryCluster) changeRole(action client.RoleAction, name string, epoch int64) state.Role {
 	k.t.Helper()
-	changed, err := k.client.ChangeRole(k.callContext(), action, name, client.RoleCall{Process: process, Epoch: epoch, TTLMS: 300_000})
+	changed, err := k.client.ChangeRole(k.callContext(), action, name, client.RoleCall{Process: "a#1", Epoch: epoch, TTLMS: 300_000})
 	if err != nil {
 		k.t.Fatal(err)
 	}
@@ -215,8 +216,8 @@
 // useRole has a process own a role and release it, and returns the epoch.
 func (k *registryCluster) useRole(name string) (epoch int64) {
 	k.t.Helper()
-	epoch = k.changeRole(client.Campaign, name, "a#1", 0).Epoch
-	k.changeRole(client.Release, name, "a#1", epoch)
+	epoch = k.changeRole(client.Campaign, name, 0).Epoch
+	k.changeRole(client.Release, name, epoch)
 	return epoch
 }
 
--- a/cmd/gradeusher/routes_test.go
+++ b/cmd/gradeusher/routes_test.go
@@ -33,77 +33,105 @@
 }
 
 // subscribeRoutes follows until the test ends.
-func subscribeRoutes(t *testing.T, o client.RouteOptions) *client.RouteSubscriber {
+func subscribeRoutes(t *testing.T, options client.RouteOptions) *client.RouteSubscriber {
 	t.Helper()
-	o.Log = discardLog()
-	if o.OnUpdate == nil {
-		o.OnUpdate = func(client.RouteUpdate) {}
+	options.Log = discardLog()
+	if options.OnUpdate == nil {
+		options.OnUpdate = func(client.RouteUpdate) {}
 	}
-	f, err := client.NewRouteSubscriber(o)
+	subscriber, err := client.NewRouteSubscriber(options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithCancel(context.Background())
-	var runs sync.WaitGroup
-	runs.Add(1)
-	go func() {
-		defer runs.Done()
-		f.Run(ctx)
-	}()
-	t.Cleanup(func() { cancel(); runs.Wait() })
-	return f
+	runUntilCleanup(t, subscriber.Run)
+	return subscriber
 }
 
-// TestRoutesOnRegistry puts tables at three keepers that lose their leader, and then all of them, and go back to a backup. Whoever
-// follows holds the last table each time, and no generation is used again.
-func TestRoutesOnRegistry(t *testing.T) {
-	t.Parallel()
-	cluster := newRegistryCluster(t, 3, "[timing]\nsnapshot_after = 8\nsnapshot_ms = 50\ntrailing = 2\n")
-	var mu sync.Mutex
-	var current client.RouteUpdate
-	seen := map[int64]string{} // hashes, by generation
-	subscriber := subscribeRoutes(t, client.RouteOptions{Registry: cluster.addresses(), Cache: client.NewRouteCache(t.TempDir(), "n"), OnUpdate: func(u client.RouteUpdate) {
-		mu.Lock()
-		defer mu.Unlock()
-		if old, known := seen[u.Generation]; known && old != u.Hash {
-			t.Errorf("generation %d is %s after %s", u.Generation, u.Hash, old)
+// observedRoutes is what a subscriber received last, and the hash of each generation.
+type observedRoutes struct {
+	mu      sync.Mutex
+	current client.RouteUpdate
+	hashes  map[int64]string
+}
+
+// newObservedRoutes returns the observer and the function that gets updates, which fails the test where a generation is used again.
+func newObservedRoutes(t *testing.T) (observed *observedRoutes, handle func(client.RouteUpdate)) {
+	t.Helper()
+	observed = &observedRoutes{hashes: map[int64]string{}}
+	return observed, func(update client.RouteUpdate) {
+		observed.mu.Lock()
+		defer observed.mu.Unlock()
+		if old, known := observed.hashes[update.Generation]; known && old != update.Hash {
+			t.Errorf("generation %d is %s after %s", update.Generation, update.Hash, old)
 		}
-		current, seen[u.Generation] = u, u.Hash
-	}})
-	generation := int64(0)
-	put := func(table routes.Table) {
-		t.Helper()
-		now, err := cluster.client.PutRoutes(cluster.callContext(), table, &generation)
-		for errors.Is(err, client.ErrUncertain) { // it may have been done, or not
-			var answer client.RoutesUpdate
-			if answer, err = cluster.client.Routes(cluster.callContext(), -1, ""); err == nil && answer.Hash != table.Hash() {
-				now, err = cluster.client.PutRoutes(cluster.callContext(), table, &answer.Generation)
-			} else if err == nil {
-				now = answer.Generation
-			}
+		observed.current, observed.hashes[update.Generation] = update, update.Hash
+	}
+}
+
+func (o *observedRoutes) last() client.RouteUpdate {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.current
+}
+
+// routeWriter puts tables one after the other, each on condition of the generation before.
+type routeWriter struct {
+	*registryCluster
+	observed   *observedRoutes
+	generation int64
+}
+
+// put puts a table and waits until the subscriber has it.
+func (w *routeWriter) put(table routes.Table) {
+	w.t.Helper()
+	generation, err := w.putOnce(table)
+	if err != nil || generation <= w.generation {
+		w.t.Fatalf("generation %d after %d: %v", generation, w.generation, err)
+	}
+	w.generation = generation
+	eventually(w.t, "the table at its follower", func() bool {
+		current := w.observed.last()
+		return current.Hash == table.Hash() && current.Generation == generation
+	})
+}
+
+// putOnce puts a table and returns its generation. After an answer that leaves it open it looks whether the table is there.
+func (w *routeWriter) putOnce(table routes.Table) (int64, error) {
+	generation, err := w.client.PutRoutes(w.callContext(), table, &w.generation)
+	for errors.Is(err, client.ErrUncertain) {
+		var present client.RoutesUpdate
+		present, err = w.client.Routes(w.callContext(), -1, "")
+		if err != nil {
+			continue
 		}
-		if err != nil || now <= generation {
-			t.Fatalf("generation %d after %d: %v", now, generation, err)
+		if present.Hash == table.Hash() {
+			return present.Generation, nil
 		}
-		generation = now
-		eventually(t, "the table at its follower", func() bool {
-			mu.Lock()
-			defer mu.Unlock()
-			return current.Hash == table.Hash() && current.Generation == generation
-		})
-	}
-	put(routeTable(20, 100))
+		generation, err = w.client.PutRoutes(w.callContext(), table, &present.Generation)
+	}
+	return generation, err
+}
+
+// TestRoutesOnRegistry puts tables at three nodes that lose their leader, and then all of them, and go back to a backup. A subscriber
+// has the last table each time, and no generation is used again.
+func TestRoutesOnRegistry(t *testing.T) {
+	t.Parallel()
+	cluster := newRegistryCluster(t, 3, "[timing]\nsnapshot_after = 8\nsnapshot_ms = 50\ntrailing = 2\n")
+	observed, handle := newObservedRoutes(t)
+	subscriber := subscribeRoutes(t, client.RouteOptions{Registry: cluster.addresses(), Cache: client.NewRouteCache(t.TempDir(), "n"), OnUpdate: handle})
+	writer := &routeWriter{registryCluster: cluster, observed: observed}
+	writer.put(routeTable(20, 100))
 	backup, err := cluster.client.Backup(cluster.callContext(), true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 12 { // over snapshots
-		put(routeTable(20, 101+float64(i)))
+		writer.put(routeTable(20, 101+float64(i)))
 		if i == 3 {
-			node := cluster.leader()
-			cluster.kill(node)
-			put(routeTable(20, 200))
-			cluster.start(node)
+			leader := cluster.leader()
+			cluster.kill(leader)
+			writer.put(routeTable(20, 200))
+			cluster.start(leader)
 		}
 	}
 	for _, node := range cluster.nodes {
@@ -112,37 +140,47 @@
 		}
 		cluster.start(node)
 	}
-	answer, err := cluster.client.Routes(cluster.callContext(), generation, "")
-	if err != nil || answer.Complete || answer.Generation != generation || len(answer.Ops) != 0 {
-		t.Errorf("after kill -9 of all, generation %d is answered by %+v, %v", generation, answer, err)
+	answer, err := cluster.client.Routes(cluster.callContext(), writer.generation, "")
+	if err != nil || answer.Complete || answer.Generation != writer.generation || len(answer.Ops) != 0 {
+		t.Errorf("after kill -9 of all, generation %d is answered by %+v, %v", writer.generation, answer, err)
 	}
-	last := generation
-	if _, err := cluster.client.Restore(cluster.callContext(), backup); err != nil {
-		t.Fatal(err)
-	}
-	eventually(t, "the backup's table", func() bool {
-		mu.Lock()
-		defer mu.Unlock()
-		return current.Hash == routeTable(20, 100).Hash() && current.Generation > last
-	})
-	answer, err = cluster.client.Routes(cluster.callContext(), last, "")
-	if err != nil || !answer.Complete || answer.Generation <= last {
-		t.Errorf("who holds generation %d of before the backup is answered by %+v, %v", last, answer, err)
-	}
-	generation = answer.Generation
-	put(routeTable(21, 300))
-	put(routes.Table{})
+	writer.checkRestoredRoutes(backup)
+	writer.put(routeTable(21, 300))
+	writer.put(routes.Table{})
 	if got := subscriber.Status(); got.Mismatches != 0 || got.Diffs < 3 || got.Rules != 0 {
 		t.Errorf("figures %+v", got)
 	}
+	checkRefusedRoutes(t, cluster)
+}
+
+// checkRestoredRoutes restores a backup with the first table: that gets a new generation, and a subscriber of an older one the whole table.
+func (w *routeWriter) checkRestoredRoutes(backup []byte) {
+	w.t.Helper()
+	if _, err := w.client.Restore(w.callContext(), backup); err != nil {
+		w.t.Fatal(err)
+	}
+	eventually(w.t, "the backup's table", func() bool {
+		current := w.observed.last()
+		return current.Hash == routeTable(20, 100).Hash() && current.Generation > w.generation
+	})
+	answer, err := w.client.Routes(w.callContext(), w.generation, "")
+	if err != nil || !answer.Complete || answer.Generation <= w.generation {
+		w.t.Errorf("who holds generation %d of before the backup is answered by %+v, %v", w.generation, answer, err)
+	}
+	w.generation = answer.Generation
+}
+
+// checkRefusedRoutes has an old generation and weights that are not above 0 refused.
+func checkRefusedRoutes(t *testing.T, cluster *registryCluster) {
+	t.Helper()
 	old := int64(1)
 	var refused *client.RefusedError
-	if _, err := cluster.client.PutRoutes(cluster.callContext(), routeTable(1, 9), &old); !errors.As(err, &refused) || refused.Status != 409 {
+	if _, err := cluster.client.PutRoutes(cluster.callContext(), routeTable(1, 9), &old); !errors.As(err, &refused) || refused.Status != http.StatusConflict {
 		t.Errorf("an old generation is expected: %v", err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	if _, err := cluster.client.PutRoutes(ctx, routeTable(2, 1), nil); !errors.As(err, &refused) || refused.Status != 400 {
+	if _, err := cluster.client.PutRoutes(ctx, routeTable(2, 1), nil); !errors.As(err, &refused) || refused.Status != http.StatusBadRequest {
 		t.Errorf("a weight of 0 and -1: %v", err)
 	}
 }
--- a/cmd/gradeusher/system_soak_test.go
+++ b/cmd/gradeusher/system_soak_test.go
@@ -11,7 +11,7 @@
 
 // TestSystemSoakUsage: what cannot be done is refused before anything starts.
 func TestSystemSoakUsage(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		args []string
 		code int
 	}{
@@ -23,11 +23,11 @@
 		{[]string{"--plans", "--plan", "wake-two", "--seeds", "3..4"}, 0},
 	} {
 		var out, failed bytes.Buffer
-		if code := run(append([]string{"system", "soak"}, c.args...), streams{out: &out, err: &failed}); code != c.code {
-			t.Errorf("%q: exit %d, want %d: %s", c.args, code, c.code, failed.String())
+		if code := run(append([]string{"system", "soak"}, test.args...), streams{out: &out, err: &failed}); code != test.code {
+			t.Errorf("%q: exit %d, want %d: %s", test.args, code, test.code, failed.String())
 		}
-		if c.code == 0 && strings.Count(out.String(), "seed ") != 2 {
-			t.Errorf("%q: %s", c.args, out.String())
+		if test.code == 0 && strings.Count(out.String(), "seed ") != 2 {
+			t.Errorf("%q: %s", test.args, out.String())
 		}
 	}
 	var out bytes.Buffer
--- a/cmd/gradeusher/up_test.go
+++ b/cmd/gradeusher/up_test.go
@@ -31,34 +31,34 @@
 	for _, sig := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM, syscall.SIGKILL} {
 		t.Run(sig.String(), func(t *testing.T) {
 			t.Parallel()
-			c := newCommand(t, "up", "--for", "10m")
-			output := startUp(t, c)
-			if n := len(processes(t, c.owner)); n < 5 {
+			process := newCommand(t, "up", "--for", "10m")
+			output := startUp(t, process)
+			if n := len(processes(t, process.owner)); n < 5 {
 				t.Errorf("%d processes run, want the command, the servers, the list and two sidecars", n)
 			}
-			if err := c.Process.Signal(sig); err != nil {
+			if err := process.Process.Signal(sig); err != nil {
 				t.Fatal(err)
 			}
 			if sig == syscall.SIGKILL {
-				checkGoneAfterKill(t, c)
+				checkGoneAfterKill(t, process)
 				return
 			}
 			go func() { _, _ = io.Copy(io.Discard, output) }() // what it still prints must not block it; until the test closes the output
-			c.waitForExit(t)
+			process.waitForExit(t)
 		})
 	}
 }
 
 // startUp starts the command, waits until traffic flows, and returns the rest of its output.
-func startUp(t *testing.T, c *command) io.Reader {
+func startUp(t *testing.T, process *command) io.Reader {
 	t.Helper()
 	output, input, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = output.Close() }) // it was read as far as it matters
-	c.Stdout = input
-	if err := c.Start(); err != nil {
+	process.Stdout = input
+	if err := process.Start(); err != nil {
 		t.Fatal(err)
 	}
 	_ = input.Close() // the command has its own
@@ -66,7 +66,7 @@
 	for seen := ""; !strings.Contains(seen, "requests/s"); {
 		n, err := output.Read(text)
 		if err != nil {
-			t.Fatalf("%v after %q: %s", err, seen, &c.err)
+			t.Fatalf("%v after %q: %s", err, seen, &process.err)
 		}
 		seen += string(text[:n])
 	}
@@ -74,17 +74,17 @@
 }
 
 // checkGoneAfterKill checks that the janitor ends all processes of a command that was killed, and removes its folder.
-func checkGoneAfterKill(t *testing.T, c *command) {
+func checkGoneAfterKill(t *testing.T, process *command) {
 	t.Helper()
-	if err := c.Wait(); err == nil {
+	if err := process.Wait(); err == nil {
 		t.Error("it ended well")
 	}
-	for until := time.Now().Add(30 * time.Second); len(processes(t, c.owner)) > 0; time.Sleep(10 * time.Millisecond) {
+	for until := time.Now().Add(30 * time.Second); len(processes(t, process.owner)) > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("processes %v outlive the lab", processes(t, c.owner))
+			t.Fatalf("processes %v outlive the lab", processes(t, process.owner))
 		}
 	}
-	if left, err := os.ReadDir(c.tmp); err != nil || len(left) > 0 {
+	if left, err := os.ReadDir(process.tmp); err != nil || len(left) > 0 {
 		t.Errorf("%v left in the temporary folder, %v", left, err)
 	}
 }
