--- a/cmd/gradeusher/registry_cluster_test.go
+++ b/cmd/gradeusher/registry_cluster_test.go
@@ -264,7 +264,7 @@
 }
 
 // newHTTPServer serves until the test ends, at the address that it returns.
-func newHTTPServer(t *testing.T, handler http.Handler) string {
+func newHTTPServer(t testing.TB, handler http.Handler) string {
 	t.Helper()
 	var config net.ListenConfig
 	listener, err := config.Listen(t.Context(), "tcp4", "127.0.0.1:0")
--- a/cmd/gradeusher/routes_test.go
+++ b/cmd/gradeusher/routes_test.go
@@ -185,93 +185,119 @@
 	}
 }
 
-// TestSidecarRoutes runs the real sidecar on keepers that hold its routes: a weight counts at once, a table without ready
-// servers waits for one, and with all keepers gone the next process goes by what the last one held.
+// TestSidecarRoutes runs the real sidecar on a registry that has its routes: a weight counts at once, a table without ready
+// servers waits for one, and with all nodes gone the next process goes by what the last one held.
 func TestSidecarRoutes(t *testing.T) {
 	t.Parallel()
-	cluster := newRegistryCluster(t, 1, "")
-	add := func(model string) {
-		at := newHTTPServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, model) }))
-		if _, err := cluster.client.Register(cluster.callContext(), []list.Registration{{Target: list.Target{UID: "s-" + model, Endpoint: at, Zone: "a", Model: model, State: list.Serving}}}, nil); err != nil {
-			t.Fatal(err)
-		}
-	}
-	add("old")
-	add("new")
-	share := func(weights map[string]float64) routes.Table {
-		r := routes.Rule{Name: "portal", Source: routes.Match{"service": "portal"}, Service: routes.Match{"service": "rec-api"}}
-		for _, model := range slices.Sorted(maps.Keys(weights)) {
-			r.Destinations = append(r.Destinations, routes.Destination{Weight: weights[model], Match: routes.Match{"version": model}})
-		}
-		other := r
-		other.Name, other.Source = "other", routes.Match{"service": "other"}
-		return routes.Table{r, other}
-	}
-	put := func(table routes.Table) int64 {
-		t.Helper()
-		generation, err := cluster.client.PutRoutes(cluster.callContext(), table, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return generation
-	}
-	proxy := newSidecarProcess(t, map[string]any{"keepers": map[string]any{"addresses": cluster.addresses(), "routes": true, "tags": map[string]string{"service": "portal"}}})
-	checkShares := func(want map[string]int) {
-		t.Helper()
-		got, n := map[string]int{}, 0
-		for _, v := range want {
-			n += v
-		}
-		for range n {
-			got[proxy.request()]++
-		}
-		for model, v := range got { // a slow moment, or the credit of before, moves some
-			if off := v - want[model]; off > 3 || off < -3 || want[model] == 0 {
-				t.Errorf("turns %v, want %v: %s", got, want, proxy.lastOutcome)
-			}
-		}
-	}
-	process := proxy.start()
-	eventually(t, "readiness", proxy.ready)
-	generation := put(share(map[string]float64{"old": 4, "new": 1}))
-	eventually(t, "the first generation", func() bool { return proxy.figure("route_generation") == generation })
-	checkShares(map[string]int{"old": 16, "new": 4})
-	generation = put(share(map[string]float64{"old": 1, "new": 1}))
-	eventually(t, "the second generation", func() bool { return proxy.figure("route_generation") == generation })
-	checkShares(map[string]int{"old": 10, "new": 10})
+	fleet := newRoutedFleet(t)
+	fleet.addServer("old")
+	fleet.addServer("new")
+	process := fleet.proxy.start()
+	eventually(t, "readiness", fleet.proxy.ready)
+	fleet.awaitGeneration("the first generation", fleet.put(map[string]float64{"old": 4, "new": 1}))
+	fleet.checkShares(map[string]int{"old": 16, "new": 4})
+	second := fleet.put(map[string]float64{"old": 1, "new": 1})
+	fleet.awaitGeneration("the second generation", second)
+	fleet.checkShares(map[string]int{"old": 10, "new": 10})
+	proxy := fleet.proxy
 	if proxy.figure("route_rules") != 1 || proxy.figure("route_diffs") < 1 || proxy.figure("route_mismatches") != 0 {
 		t.Errorf("%d rules, %d diffs, %d mismatches", proxy.figure("route_rules"), proxy.figure("route_diffs"), proxy.figure("route_mismatches"))
 	}
-	next := put(share(map[string]float64{"late": 1}))
-	eventually(t, "the third generation", func() bool { return proxy.figure("route_generation_held") == next })
-	if proxy.figure("route_generation") != generation {
+	third := fleet.put(map[string]float64{"late": 1})
+	eventually(t, "the third generation", func() bool { return proxy.figure("route_generation_held") == third })
+	if proxy.figure("route_generation") != second {
 		t.Error("a table without ready servers is applied")
 	}
-	checkShares(map[string]int{"old": 10, "new": 10})
-	add("late")
-	eventually(t, "the table that waited", func() bool { return proxy.figure("route_generation") == next })
-	checkShares(map[string]int{"late": 10})
+	fleet.checkShares(map[string]int{"old": 10, "new": 10})
+	fleet.addServer("late")
+	fleet.awaitGeneration("the table that waited", third)
+	fleet.checkShares(map[string]int{"late": 10})
 	eventually(t, "the saved list and routes", func() bool {
-		text, err := os.ReadFile(filepath.Join(proxy.tmp, "list-n0.cache"))
-		also, alsoErr := os.ReadFile(filepath.Join(proxy.tmp, "routes-n0.cache"))
-		return err == nil && alsoErr == nil && strings.Contains(string(text), "s-late") && strings.Contains(string(also), "late")
+		return fileContains(filepath.Join(proxy.tmp, "list-n0.cache"), "s-late") && fileContains(filepath.Join(proxy.tmp, "routes-n0.cache"), "late")
 	})
-	cluster.kill(cluster.nodes[0])
-	if err := process.Process.Kill(); err != nil {
-		t.Fatal(err)
-	}
-	_ = process.Wait() // a signal ended it
+	fleet.kill(fleet.nodes[0])
+	process.kill(t)
 	proxy.start()
 	eventually(t, "readiness without keepers", proxy.ready)
-	checkShares(map[string]int{"late": 10})
-	if proxy.figure("route_generation") != next {
-		t.Errorf("generation %d is remembered, want %d", proxy.figure("route_generation"), next)
+	fleet.checkShares(map[string]int{"late": 10})
+	if proxy.figure("route_generation") != third {
+		t.Errorf("generation %d is remembered, want %d", proxy.figure("route_generation"), third)
 	}
-	cluster.start(cluster.nodes[0])
-	generation = put(share(map[string]float64{"old": 1}))
-	eventually(t, "news after the keepers came back", func() bool { return proxy.figure("route_generation") == generation })
+	fleet.start(fleet.nodes[0])
+	fleet.awaitGeneration("news after the keepers came back", fleet.put(map[string]float64{"old": 1}))
 	if proxy.figure("route_wholes") != 0 {
 		t.Error("the next process asked for the whole table")
 	}
-	checkShares(map[string]int{"old": 5})
+	fleet.checkShares(map[string]int{"old": 5})
+}
+
+func fileContains(path, text string) bool {
+	data, err := os.ReadFile(path)
+	return err == nil && strings.Contains(string(data), text)
+}
+
+// routedFleet is a registry of one node and a sidecar, of the service portal, that follows its routes.
+type routedFleet struct {
+	*registryCluster
+	proxy *sidecarProcess
+}
+
+func newRoutedFleet(t *testing.T) *routedFleet {
+	t.Helper()
+	cluster := newRegistryCluster(t, 1, "")
+	proxy := newSidecarProcess(t, map[string]any{"keepers": map[string]any{"addresses": cluster.addresses(), "routes": true,
+		"tags": map[string]string{"service": "portal"}}})
+	return &routedFleet{registryCluster: cluster, proxy: proxy}
+}
+
+// addServer registers a server of a model, which answers with the model's name.
+func (f *routedFleet) addServer(model string) {
+	f.t.Helper()
+	address := newHTTPServer(f.t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		_, _ = fmt.Fprint(w, model) // a client that has gone has its own error
+	}))
+	server := list.Registration{Target: list.Target{UID: "s-" + model, Endpoint: address, Zone: "a", Model: model, State: list.Serving}}
+	if _, err := f.client.Register(f.callContext(), []list.Registration{server}, nil); err != nil {
+		f.t.Fatal(err)
+	}
+}
+
+// put puts a table with a rule of these weights for the sidecar's service, and one for another, and returns its generation.
+func (f *routedFleet) put(weights map[string]float64) int64 {
+	f.t.Helper()
+	portal := routes.Rule{Name: "portal", Source: routes.Match{"service": "portal"}, Service: routes.Match{"service": "rec-api"}}
+	for _, model := range slices.Sorted(maps.Keys(weights)) {
+		portal.Destinations = append(portal.Destinations, routes.Destination{Weight: weights[model], Match: routes.Match{"version": model}})
+	}
+	other := portal
+	other.Name, other.Source = "other", routes.Match{"service": "other"}
+	generation, err := f.client.PutRoutes(f.callContext(), routes.Table{portal, other}, nil)
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	return generation
+}
+
+func (f *routedFleet) awaitGeneration(what string, generation int64) {
+	f.t.Helper()
+	eventually(f.t, what, func() bool { return f.proxy.figure("route_generation") == generation })
+}
+
+// checkShares sends requests and checks how many of them each model served.
+func (f *routedFleet) checkShares(want map[string]int) {
+	f.t.Helper()
+	const tolerance = 3 // a slow moment, or the credit of before, moves some
+	total := 0
+	for _, count := range want {
+		total += count
+	}
+	got := map[string]int{}
+	for range total {
+		got[f.proxy.request()]++
+	}
+	for model, count := range got {
+		if off := count - want[model]; off > tolerance || off < -tolerance || want[model] == 0 {
+			f.t.Errorf("turns %v, want %v: %s", got, want, f.proxy.lastOutcome)
+		}
+	}
 }
