--- a/cmd/gradeusher/admin_test.go
+++ b/cmd/gradeusher/admin_test.go
@@ -15,13 +15,13 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// newAdminServer is a keeper's control address and a proxy's inner one, at one address.
+// newAdminServer serves the admin API of a control-plane node and of a proxy, at one address.
 func newAdminServer(t *testing.T, current bool) (address string, state *controlstate.State) {
 	t.Helper()
 	return newAdminServerWith(t, admin.NodeStatus{Current: current})
 }
 
-// newAdminServerWith fills in what the status leaves open.
+// newAdminServerWith serves a status, with the fields filled in that it leaves open.
 func newAdminServerWith(t *testing.T, status admin.NodeStatus) (address string, state *controlstate.State) {
 	t.Helper()
 	status.Version, status.Node, status.Epoch, status.Chain = admin.Version, "n", 3, []string{"127.0.0.1"}
@@ -76,7 +76,7 @@
 	}
 }
 
-// TestSystemStatusReportsTolerance: danger: a deployment that cannot bear what it promises looks well until the loss comes.
+// TestSystemStatusReportsTolerance: a deployment that cannot bear the losses that it promises to bear looks healthy until the loss comes.
 func TestSystemStatusReportsTolerance(t *testing.T) {
 	t.Parallel()
 	const remedy = "3 keepers with a disk vote and 5 are needed: run keepers on 2 more machines with a disk, or lower [tolerance]"
--- a/cmd/gradeusher/main_test.go
+++ b/cmd/gradeusher/main_test.go
@@ -39,12 +39,14 @@
 		{[]string{"up", "--for", "3h"}, "--for"},
 		{[]string{"lab", "compare", "testdata/small.toml", "testdata/small.toml", "--repeat", "0"}, "--repeat"},
 	} {
-		c := newCommand(t, test.args...)
-		if code := c.waitForExit(t); code != exitUsage {
-			t.Errorf("%v: exit %d, want %d", test.args, code, exitUsage)
-		}
-		if text := c.err.String(); strings.Count(text, "\n") != 1 || !strings.Contains(text, test.says) {
-			t.Errorf("%v said %q, want one line with %q", test.args, text, test.says)
-		}
+		t.Run(strings.Join(test.args, " "), func(t *testing.T) {
+			c := newCommand(t, test.args...)
+			if code := c.waitForExit(t); code != exitUsage {
+				t.Errorf("exit %d, want %d", code, exitUsage)
+			}
+			if text := c.err.String(); strings.Count(text, "\n") != 1 || !strings.Contains(text, test.says) {
+				t.Errorf("it printed %q, want one line with %q", text, test.says)
+			}
+		})
 	}
 }
--- a/cmd/gradeusher/registry_cluster_test.go
+++ b/cmd/gradeusher/registry_cluster_test.go
@@ -25,7 +25,7 @@
 // testTimeout bounds what a test waits for; it is no measure.
 const testTimeout = 30 * time.Second
 
-// registryNode is where one keeper's processes run, one after the other.
+// registryNode has the files and addresses at which one node's processes run, one after the other.
 type registryNode struct {
 	name, config, http, raft string
 	run                      *command
@@ -48,7 +48,7 @@
 	return p.Addr.String()
 }
 
-// newRegistryCluster starts n keepers. more is added to each configuration.
+// newRegistryCluster starts n nodes. more is added to each configuration.
 func newRegistryCluster(t testing.TB, n int, more string) *registryCluster {
 	t.Helper()
 	k := &registryCluster{t: t}
@@ -86,7 +86,7 @@
 		k.t.Fatal(err)
 	}
 	k.t.Cleanup(func() {
-		_ = run.Process.Kill() // mostly it has ended
+		_ = run.Process.Kill() // it may have ended
 		_ = run.Wait()
 		if k.t.Failed() {
 			k.t.Logf("%s:\n%s", p.name, &run.err)
@@ -194,7 +194,7 @@
 	})
 }
 
-// leader waits for one.
+// leader waits for a leader and returns its node.
 func (k *registryCluster) leader() *registryNode {
 	k.t.Helper()
 	var found *registryNode
@@ -213,7 +213,7 @@
 	return found
 }
 
-// eventually asks again until something is so.
+// eventually polls until something is so.
 func eventually(t testing.TB, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !is(); time.Sleep(20 * time.Millisecond) {
@@ -238,7 +238,7 @@
 	return d.Revision
 }
 
-// observedList is what a follower was told.
+// observedList is the list as a subscriber received it.
 type observedList struct {
 	mu      sync.Mutex
 	servers map[string]list.Target
--- a/cmd/gradeusher/registry_test.go
+++ b/cmd/gradeusher/registry_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// TestRegistryMembershipAndBackup adds a keeper, removes one, and restores a backup, as staff would with the command.
+// TestRegistryMembershipAndBackup adds nodes, removes some, and restores a backup, as operators would with the command.
 func TestRegistryMembershipAndBackup(t *testing.T) {
 	t.Parallel()
 	cluster := newRegistryCluster(t, 1, "[timing]\nsnapshot_after = 20\nsnapshot_ms = 50\ntrailing = 5\n")
@@ -227,7 +227,7 @@
 	})
 }
 
-// TestRegistryConfig gives keepers configurations that make no sense: one line that says why, and exit 2.
+// TestRegistryConfig gives nodes configurations that make no sense: one line that says why, and exit 2.
 func TestRegistryConfig(t *testing.T) {
 	t.Parallel()
 	good := "name = \"k1\"\nfolder = \"x\"\nhttp = \"127.0.0.1:1\"\nraft = \"127.0.0.1:2\"\n[[peer]]\nname = \"k1\"\nraft = \"127.0.0.1:2\"\nhttp = \"127.0.0.1:1\"\n"
@@ -243,15 +243,16 @@
 		"leases.share: 2":           good + "[leases]\nshare = 2.0\n",
 		":6: expected":              strings.Replace(good, "[[peer]]", "[[peer", 1),
 	} {
-		path := filepath.Join(t.TempDir(), "keeper.toml")
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		var out, errs strings.Builder
-		if code := run([]string{"keeper", path}, streams{strings.NewReader(""), &out, &errs, os.Getenv}); code != exitUsage ||
-			!strings.Contains(errs.String(), want) || strings.Count(errs.String(), "\n") != 1 {
-			t.Errorf("exit %d: %q, want 2 and %q", code, errs.String(), want)
-		}
+		t.Run(want, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "keeper.toml")
+			if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			code, _, errs := runCommand("keeper", path)
+			if code != exitUsage || !strings.Contains(errs, want) || strings.Count(errs, "\n") != 1 {
+				t.Errorf("exit %d: %q, want 2 and %q", code, errs, want)
+			}
+		})
 	}
 }
 
--- a/cmd/gradeusher/system_soak_norace_test.go
+++ b/cmd/gradeusher/system_soak_norace_test.go
@@ -51,7 +51,7 @@
 
 // TestSoak is the short form of `gradeusher system soak`, with controls beside it. This process carries all traffic, and the links
 // between the programs that it starts. Built with the race detector it does not keep up on two cores: it goes on seconds late and
-// takes keepers for silent that answer others within milliseconds. So .ci/run plays it alone, built without.
+// takes control-plane nodes for failed that answer others within milliseconds. So .ci/run plays it alone, built without.
 func TestSoak(t *testing.T) {
 	t.Run("holds rules", func(t *testing.T) {
 		t.Parallel()
--- a/cmd/gradeusher/system_soak_wake_norace_test.go
+++ b/cmd/gradeusher/system_soak_wake_norace_test.go
@@ -12,7 +12,7 @@
 const minWaiting = 20 // requests at a paused proxy, else nothing is shown
 
 // TestSoakWake: a proxy that was paused for some seconds does not flood servers that turned cold meanwhile with all that waited, at
-// the usual traffic and at the double, with the keepers in reach and cut off, and with another one beside it.
+// the usual traffic and at the double, with the control plane in reach and cut off, and with another one beside it.
 func TestSoakWake(t *testing.T) {
 	for _, plan := range []soak.Waking{soak.WakeOne, soak.WakeCut, soak.WakeTwo} {
 		t.Run(string(plan), func(t *testing.T) {
--- a/cmd/gradeusher/system_up_test.go
+++ b/cmd/gradeusher/system_up_test.go
@@ -33,7 +33,7 @@
 	return filepath.Join(folder, "proxy"), filepath.Join(folder, "controlplane"), folder
 }
 
-// TestSystemKeepsRulesThroughEnds runs the real programs through the kill of a keeper and the planned end of a proxy,
+// TestSystemKeepsRulesThroughEnds runs the real programs through the kill of a control-plane node and the planned end of a proxy,
 // with changes of the configuration before and after.
 func TestSystemKeepsRulesThroughEnds(t *testing.T) {
 	proxy, keeper, folder := buildSystem(t)
@@ -83,7 +83,7 @@
 	t.Logf("%v: ended\n%s", run.Now().Round(time.Millisecond), strings.Join(report.Lines(), "\n"))
 }
 
-// observes tells whether the keeper at the control address is an observer that knows the configuration and passes reads on.
+// observes tells whether the node at the control address is an observer that knows the configuration and forwards reads.
 func observes(ctx context.Context, address string) error {
 	var client admin.Client
 	s, err := client.NodeStatus(ctx, address)
