--- a/cmd/gradeusher/system_up.go
+++ b/cmd/gradeusher/system_up.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	run, err := testcluster.Up(ctx, testcluster.UpOptions{Proxy: programs.proxy, Keeper: programs.controlPlane, Folder: folder, Rate: c.Rate, Seed: c.Seed})
+	run, err := testcluster.Up(ctx, testcluster.UpOptions{Proxy: programs.proxy, ControlPlane: programs.controlPlane, Folder: folder, Rate: c.Rate, Seed: c.Seed})
 	if err != nil {
 		keep = true
 		return err
@@ -85,7 +85,7 @@
 	}
 	var tourErr error
 	if c.Tour {
-		run.Meanwhile(func() { tourErr = run.Tour(ctx, c.Seed, func(name string) { printLine("trouble: " + name) }) })
+		run.Meanwhile(func() { tourErr = run.FaultTour(ctx, c.Seed, func(name string) { printLine("trouble: " + name) }) })
 	}
 	report := run.Play(ctx, func(second testcluster.Second) { printLine(second.String()) })
 	for _, line := range report.Lines() {
--- a/cmd/gradeusher/system_up_test.go
+++ b/cmd/gradeusher/system_up_test.go
@@ -39,12 +39,12 @@
 	proxy, keeper, folder := buildSystem(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Second)
 	defer cancel()
-	run, err := testcluster.Up(ctx, testcluster.UpOptions{Proxy: proxy, Keeper: keeper, Folder: folder, Rate: 60, Seed: 7})
+	run, err := testcluster.Up(ctx, testcluster.UpOptions{Proxy: proxy, ControlPlane: keeper, Folder: folder, Rate: 60, Seed: 7})
 	if err != nil {
 		t.Fatal(err)
 	}
 	machines := run.Fleet.Machines
-	added := rules.Route{Name: "added", Host: run.Scene.Config.Routes[0].Host, Prefix: "/added/", Category: "idempotent", Timeout: 2000,
+	added := rules.Route{Name: "added", Host: run.Scenario.Config.Routes[0].Host, Prefix: "/added/", Category: "idempotent", Timeout: 2000,
 		Aim: 400, Priority: 2, Target: "thumbs", MaxTries: 1, Homes: []string{}}
 	ended := make(chan error, 1)
 	for _, step := range []struct {
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -60,13 +60,13 @@
 
 // begin notes a trouble of a machine that lasts.
 func (p *player) begin(m testcluster.Machine, keeper bool, kind string) (end func()) {
-	t := rules.Trouble{Kind: kind, At: p.Now()}
+	t := rules.Fault{Kind: kind, At: p.Now()}
 	if keeper {
 		t.Keeper, t.Machine = m.Disk, m.IP
 	} else {
 		t.Proxy = p.Fleet.Front(m)
 	}
-	over := p.Evidence.Begin(t)
+	over := p.Evidence.BeginFault(t)
 	return func() { over(p.Now()) }
 }
 
@@ -84,7 +84,7 @@
 func (p *player) killProxies(ctx context.Context, t Trouble) error {
 	return each(p.machines(t), func(m testcluster.Machine) error {
 		defer p.begin(m, false, "down")()
-		p.watch.ask(ctx, testcluster.ProxyName(m), p.Fleet.Inner(m)) // what it has counted goes with it
+		p.watch.ask(ctx, testcluster.ProxyName(m), p.Fleet.Internal(m)) // what it has counted goes with it
 		if err := p.KillProxy(m); err != nil {
 			return err
 		}
@@ -96,8 +96,8 @@
 // endProxy has a proxy end as planned, and starts it again.
 func (p *player) endProxy(ctx context.Context, t Trouble) error {
 	return each(p.machines(t), func(m testcluster.Machine) error {
-		p.watch.ask(ctx, testcluster.ProxyName(m), p.Fleet.Inner(m))
-		ends, cancel := context.WithTimeout(ctx, p.Scene.Bounds.Grace+endSlack)
+		p.watch.ask(ctx, testcluster.ProxyName(m), p.Fleet.Internal(m))
+		ends, cancel := context.WithTimeout(ctx, p.Scenario.Bounds.Grace+endSlack)
 		defer cancel()
 		if err := p.TerminateProxy(ends, m); err != nil {
 			return err
@@ -231,7 +231,7 @@
 			clock.Sleep(ctx, staggered/time.Duration(len(some)))
 		}
 	}
-	clock.Sleep(ctx, coldFor(p.Scene)+coldMargin)
+	clock.Sleep(ctx, coldFor(p.Scenario)+coldMargin)
 	return nil
 }
 
@@ -267,14 +267,14 @@
 		}
 		clock.Sleep(ctx, chillBefore-t.Chill)
 	case TakeBackAlone:
-		clock.Sleep(ctx, p.Scene.Bounds.Evacuate-time.Since(began))
+		clock.Sleep(ctx, p.Scenario.Bounds.Evacuate-time.Since(began))
 		p.crash(t.Target)
 		clock.Sleep(ctx, t.Down-aloneFor-t.Chill)
 	default:
 		clock.Sleep(ctx, t.Length-t.Chill-time.Since(began))
 	}
 	// All proxies in touch have stopped to send there once that time is over.
-	clock.Sleep(ctx, p.Scene.Bounds.Evacuate-time.Since(acked))
+	clock.Sleep(ctx, p.Scenario.Bounds.Evacuate-time.Since(acked))
 	err = p.takeBack(ctx, zone, t.Chill)
 	if t.Kind != TakeBackAlone {
 		return err
@@ -287,7 +287,7 @@
 func (p *player) takeBack(ctx context.Context, zone string, chill time.Duration) error {
 	if chill > 0 {
 		for _, s := range p.servers(zone) {
-			s.SetWarmingUp(min(chill+coldFor(p.Scene)-coldMargin, 2*s.ColdFor))
+			s.SetWarmingUp(min(chill+coldFor(p.Scenario)-coldMargin, 2*s.WarmUp))
 		}
 	}
 	clock.Sleep(ctx, chill)
@@ -315,13 +315,13 @@
 			continue
 		}
 		s.Drain()
-		clock.Sleep(ctx, p.Scene.Bounds.Drain+time.Second)
+		clock.Sleep(ctx, p.Scenario.Bounds.Drain+time.Second)
 		s.Stop()
-		clock.Sleep(ctx, t.Length-p.Scene.Bounds.Drain-time.Second-s.ColdFor-coldMargin)
+		clock.Sleep(ctx, t.Length-p.Scenario.Bounds.Drain-time.Second-s.WarmUp-coldMargin)
 		if err := s.Start(true); err != nil && !errors.Is(err, testcluster.ErrRunning) {
 			return err
 		}
-		clock.Sleep(ctx, s.ColdFor+coldMargin)
+		clock.Sleep(ctx, s.WarmUp+coldMargin)
 	}
 	return nil
 }
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -37,7 +37,7 @@
 			p.refresh(ctx)
 		}
 		m := p.Fleet.Machines[rng.IntN(len(p.Fleet.Machines))]
-		p.Probe(ctx, p.Fleet.Front(m), p.Scene.Config.Routes[0].Host, fmt.Sprintf("%s%d", addedPrefix, n))
+		p.Probe(ctx, p.Fleet.Front(m), p.Scenario.Config.Routes[0].Host, fmt.Sprintf("%s%d", addedPrefix, n))
 	}
 }
 
@@ -45,7 +45,7 @@
 func (p *player) change(ctx context.Context, n int, rng *rand.Rand) error {
 	ctx, cancel := context.WithTimeout(ctx, orderWithin)
 	defer cancel()
-	now := p.Scene.Config
+	now := p.Scenario.Config
 	revision := now.Revision + 1 + rng.Int64N(5)
 	has := slices.ContainsFunc(now.Routes, func(r rules.Route) bool { return r.Name == addedName })
 	var err error
@@ -62,7 +62,7 @@
 		after.Routes = slices.Clone(now.Routes)
 		after.Routes[n%2].Timeout += rng.IntN(3) - 1
 		if err = p.Operator.Replace(ctx, &after, now.Revision); err == nil {
-			p.Scene.Config = &after
+			p.Scenario.Config = &after
 		}
 	}
 	if err == nil {
@@ -78,7 +78,7 @@
 	ctx, cancel := context.WithTimeout(ctx, orderWithin)
 	defer cancel()
 	if c, err := p.Operator.Read(ctx); err == nil {
-		p.Scene.Config = c
+		p.Scenario.Config = c
 	}
 }
 
--- a/internal/lab/soak/result.go
+++ b/internal/lab/soak/result.go
@@ -51,24 +51,24 @@
 
 // judge puts together what was seen from outside and what processes counted.
 func (p *player) judge(report *testcluster.Report) *Result {
-	f := report.Figures
+	f := report.Stats
 	r := &Result{Seed: p.plan.Seed, Seconds: p.plan.For.Seconds(), DelayMS: float64(p.plan.Delay) / float64(time.Millisecond),
 		Troubles: len(p.plan.Troubles), AtOnce: p.plan.AtOnce(), Requests: f.Requests, Served: f.Served, Refused: f.Refused,
-		Failed: f.Failed + f.Unanswered, Orders: p.orders, Reads: len(p.Evidence.Reads), Waited: p.Evidence.Waited(), InTouch: p.Evidence.InTouch(), Statuses: p.watch.asked, LateMS: p.late.ms(), Broken: p.broken}
-	for _, peak := range p.Evidence.ColdPeaks() {
+		Failed: f.Failed + f.Unanswered, Orders: p.orders, Reads: len(p.Evidence.Reads), Waited: p.Evidence.CountWaiting(), InTouch: p.Evidence.CountInContact(), Statuses: p.watch.asked, LateMS: p.late.ms(), Broken: p.broken}
+	for _, peak := range p.Evidence.WarmUpPeaks() {
 		r.Cold++
-		if peak.Most > r.Peak {
-			r.Peak, r.Bound = peak.Most, peak.Bound
+		if peak.Requests > r.Peak {
+			r.Peak, r.Bound = peak.Requests, peak.Limit
 		}
-		if float64(peak.Most) > peak.Bound {
+		if float64(peak.Requests) > peak.Limit {
 			r.Flooded++
 		}
 	}
 	r.Looked = map[string]int{}
 	for _, v := range report.Verdicts {
-		r.Looked[v.Rule] = v.Looked
-		if v.Broken > 0 {
-			r.Broken = append(r.Broken, fmt.Sprintf("%s: %d times: %s", v.Rule, v.Broken, strings.Join(v.Examples, "; ")))
+		r.Looked[v.Rule] = v.Checked
+		if v.Violations > 0 {
+			r.Broken = append(r.Broken, fmt.Sprintf("%s: %d times: %s", v.Rule, v.Violations, strings.Join(v.Examples, "; ")))
 		}
 	}
 	r.Broken = append(r.Broken, p.watch.lines()...)
@@ -91,18 +91,18 @@
 func (s story) String() string {
 	var text strings.Builder
 	for _, c := range s.e.Changes {
-		fmt.Fprintf(&text, "order %+v %s %v sent %v acked %v status %d\n", c.Config != nil, c.Zone, c.Start, c.Sent, c.Acked, c.Status)
+		fmt.Fprintf(&text, "order %+v %s %v sent %v acked %v status %d\n", c.Config != nil, c.Zone, c.Start, c.Sent, c.AcknowledgedAt, c.Status)
 	}
-	tries := map[string]*rules.Try{}
-	for _, t := range s.e.Tries {
+	tries := map[string]*rules.Attempt{}
+	for _, t := range s.e.Attempts {
 		tries[t.ID] = t
 	}
-	for _, p := range s.e.ColdPeaks() {
-		if float64(p.Most) <= p.Bound {
+	for _, p := range s.e.WarmUpPeaks() {
+		if float64(p.Requests) <= p.Limit {
 			continue
 		}
 		for _, a := range s.e.Arrivals {
-			if a.Server != p.Server || !a.Cold || a.At > p.At || a.At < p.At-2*time.Second {
+			if a.Server != p.Server || !a.WarmingUp || a.At > p.At || a.At < p.At-2*time.Second {
 				continue
 			}
 			by := "unknown"
--- a/internal/lab/soak/result_test.go
+++ b/internal/lab/soak/result_test.go
@@ -29,7 +29,7 @@
 		player func(p *player)
 	}{
 		{name: ""},
-		{name: "TWICE", report: testcluster.Report{Verdicts: []rules.Verdict{{Rule: "MIXED", Looked: 3}, {Rule: "TWICE", Broken: 2, Examples: []string{"it ran"}}}}},
+		{name: "TWICE", report: testcluster.Report{Verdicts: []rules.Verdict{{Rule: "MIXED", Checked: 3}, {Rule: "TWICE", Violations: 2, Examples: []string{"it ran"}}}}},
 		{name: "DIED", report: testcluster.Report{Died: []string{"proxy"}}},
 		{name: "STOP", report: testcluster.Report{Killed: []string{"keeper"}}},
 		{name: "READ", report: testcluster.Report{ReadError: errors.New("nobody answers")}},
@@ -58,9 +58,9 @@
 	p := judged()
 	flood := int(20*p.Evidence.Bounds.ColdExcess+p.Evidence.Bounds.ColdSlack) + 1
 	for i := range flood {
-		p.Evidence.Arrive(&rules.Arrival{At: rules.Time(i + 1), Server: "i-1", Cold: true, Bound: 20, Ran: rules.Never})
+		p.Evidence.RecordArrival(&rules.Arrival{At: rules.Time(i + 1), Server: "i-1", WarmingUp: true, WarmUpLimit: 20, ExecutedAt: rules.Never})
 	}
-	p.Evidence.Arrive(&rules.Arrival{At: 1, Server: "i-2", Cold: true, Bound: 20, Ran: rules.Never})
+	p.Evidence.RecordArrival(&rules.Arrival{At: 1, Server: "i-2", WarmingUp: true, WarmUpLimit: 20, ExecutedAt: rules.Never})
 	if r := p.judge(&testcluster.Report{}); r.Cold != 2 || r.Flooded != 1 || r.Peak != flood || r.Bound != float64(flood-1) {
 		t.Errorf("%+v", r)
 	}
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -60,7 +60,7 @@
 	if scene == nil {
 		scene = Scene(o.Plan.Seed)
 	}
-	run, err := testcluster.Up(ctx, testcluster.UpOptions{Proxy: o.Proxy, Keeper: o.Keeper, Folder: o.Folder, Seed: o.Plan.Seed, Scene: scene,
+	run, err := testcluster.Up(ctx, testcluster.UpOptions{Proxy: o.Proxy, ControlPlane: o.Keeper, Folder: o.Folder, Seed: o.Plan.Seed, Scenario: scene,
 		Links: testcluster.NewLinks(o.Plan.Delay, o.Plan.Jitter)})
 	if err != nil {
 		return nil, err
@@ -136,7 +136,7 @@
 	all := map[string]string{}
 	for _, m := range p.Fleet.Machines {
 		all[testcluster.ControlPlaneName(m)] = p.Fleet.Control(m)
-		all[testcluster.ProxyName(m)] = p.Fleet.Inner(m)
+		all[testcluster.ProxyName(m)] = p.Fleet.Internal(m)
 	}
 	return all
 }
--- a/internal/lab/soak/scenario.go
+++ b/internal/lab/soak/scenario.go
@@ -71,4 +71,4 @@
 }
 
 // coldFor is how long a model server is cold after its start.
-func coldFor(s *testcluster.Scenario) time.Duration { return s.Servers[0].ColdFor }
+func coldFor(s *testcluster.Scenario) time.Duration { return s.Servers[0].WarmUp }
--- a/internal/lab/testcluster/client_conn.go
+++ b/internal/lab/testcluster/client_conn.go
@@ -21,36 +21,36 @@
 )
 
 const (
-	connectWithin = time.Second // PROTOCOL.md: a new connection has a second to come up
-	mostAnswer    = 64 << 20
+	connectTimeout = time.Second // PROTOCOL.md: a new connection has a second to come up
+	maxAnswerBytes = 64 << 20
 )
 
-// conn is a client's connection to a proxy.
-type conn struct {
-	tcp     *net.TCPConn
-	in      *bufio.Reader
-	read    int64  // bytes that came
-	head    []byte // of the answer that comes; nil once it is whole
-	over    bool   // the peer sends no more
-	address string
-	used    bool
-	idleAt  time.Duration
-	idleFor time.Duration // as the proxy told; 0: it did not
+// clientConn is a client's connection to a proxy.
+type clientConn struct {
+	tcp         *net.TCPConn
+	in          *bufio.Reader
+	bytesRead   int64  // bytes that came
+	head        []byte // of the answer that comes; nil once it is whole
+	peerClosed  bool   // the peer sends no more
+	address     string
+	used        bool
+	idleSince   time.Duration
+	idleTimeout time.Duration // as the proxy told; 0: it did not
 }
 
 // Read implements io.Reader for in.
-func (c *conn) Read(p []byte) (int, error) {
+func (c *clientConn) Read(p []byte) (int, error) {
 	n, err := c.tcp.Read(p)
-	c.read += int64(n)
-	c.over = c.over || err == io.EOF
+	c.bytesRead += int64(n)
+	c.peerClosed = c.peerClosed || err == io.EOF
 	if c.head != nil {
 		c.head = append(c.head, p[:n]...)
 	}
 	return n, err
 }
 
-func dial(ctx context.Context, address string) (*conn, error) {
-	d := net.Dialer{Timeout: connectWithin}
+func dial(ctx context.Context, address string) (*clientConn, error) {
+	d := net.Dialer{Timeout: connectTimeout}
 	raw, err := d.DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return nil, err
@@ -60,13 +60,13 @@
 		_ = raw.Close()
 		return nil, net.ErrClosed
 	}
-	c := &conn{tcp: tcp, address: address}
+	c := &clientConn{tcp: tcp, address: address}
 	c.in = bufio.NewReader(c)
 	return c, nil
 }
 
-// waits tells how many bytes wait on an idle connection, and whether it was closed.
-func (c *conn) waits() (bytes int, closed bool) {
+// pendingBytes tells how many bytes wait on an idle connection, and whether it was closed.
+func (c *clientConn) pendingBytes() (bytes int, closed bool) {
 	raw, err := c.tcp.SyscallConn()
 	if err != nil {
 		return 0, true
@@ -88,21 +88,21 @@
 	return bytes + peeked, false
 }
 
-// send is one try as it is written.
-type send struct {
-	try      *rules.Try
-	headers  [][2]string
-	body     string
-	chunked  bool
-	deadline time.Time
-	patience time.Duration // of silence, where a stream is expected; 0: until the deadline
-	first    func()        // is called at the first event, or the answer's head
+// attemptSpec is one try as it is written.
+type attemptSpec struct {
+	attempt        *rules.Attempt
+	headers        [][2]string
+	body           string
+	chunked        bool
+	deadline       time.Time
+	silenceTimeout time.Duration // of silence, where a stream is expected; 0: until the deadline
+	onFirst        func()        // is called at the first event, or the answer's head
 }
 
-// text is the request's bytes.
-func (s *send) text() string {
+// encode is the request's bytes.
+func (s *attemptSpec) encode() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Attempt-Id: %s\r\n", s.try.Method, s.try.Path, s.try.Host, s.try.ID)
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Attempt-Id: %s\r\n", s.attempt.Method, s.attempt.Path, s.attempt.Host, s.attempt.ID)
 	for _, h := range s.headers {
 		fmt.Fprintf(&b, "%s: %s\r\n", h[0], h[1])
 	}
@@ -122,67 +122,67 @@
 }
 
 // exchange sends a try on the connection and reads its answer. It tells whether the connection may be used again.
-func (c *conn) exchange(s *send, now func() time.Duration) (header http.Header, again bool) {
-	t := s.try
-	before := c.read
+func (c *clientConn) exchange(s *attemptSpec, now func() time.Duration) (header http.Header, again bool) {
+	t := s.attempt
+	before := c.bytesRead
 	c.head = make([]byte, 0, 512)
 	t.Sent = now()
 	_ = c.tcp.SetDeadline(s.deadline)
-	_, err := io.WriteString(c.tcp, s.text())
-	t.Whole = now()
+	_, err := io.WriteString(c.tcp, s.encode())
+	t.SentComplete = now()
 	if err != nil {
-		t.Outcome = c.ended(err, 0)
+		t.Outcome = c.classifyEnd(err, 0)
 		return nil, false
 	}
-	if s.patience > 0 {
-		_ = c.tcp.SetReadDeadline(earlier(s.deadline, time.Now().Add(s.patience)))
+	if s.silenceTimeout > 0 {
+		_ = c.tcp.SetReadDeadline(earlier(s.deadline, time.Now().Add(s.silenceTimeout)))
 	}
 	resp, err := http.ReadResponse(c.in, &http.Request{Method: t.Method})
 	if err != nil {
-		if c.over && c.early() {
+		if c.peerClosed && c.isHeadPrefix() {
 			err = io.ErrUnexpectedEOF
 		}
-		t.Outcome = c.ended(err, c.read-before)
+		t.Outcome = c.classifyEnd(err, c.bytesRead-before)
 		return nil, false
 	}
 	c.head = nil
 	_ = c.tcp.SetReadDeadline(s.deadline)
 	t.Status, t.AnswerID, t.Seal = resp.StatusCode, resp.Header.Get("X-Attempt-Id"), resp.Header.Get("X-Server-Seal")
-	if s.first != nil && resp.StatusCode < 300 {
-		s.first()
+	if s.onFirst != nil && resp.StatusCode < 300 {
+		s.onFirst()
 	}
 	if t.Stream = strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream"); t.Stream {
-		err = c.events(resp.Body, s)
+		err = c.readEvents(resp.Body, s)
 	} else {
 		digest := xxhash.New()
-		_, err = io.Copy(digest, io.LimitReader(resp.Body, mostAnswer))
+		_, err = io.Copy(digest, io.LimitReader(resp.Body, maxAnswerBytes))
 		t.Answer = digest.Sum64()
 	}
 	if err != nil {
-		t.Outcome = c.ended(err, c.read-before)
+		t.Outcome = c.classifyEnd(err, c.bytesRead-before)
 		return resp.Header, false
 	}
 	t.Outcome = rules.Answered
 	t.Surplus = c.in.Buffered()
 	c.used = true
-	c.idleFor = keptFor(resp.Header)
+	c.idleTimeout = keepAliveTimeout(resp.Header)
 	return resp.Header, !resp.Close && t.Surplus == 0
 }
 
-// early tells whether what came is the beginning of an answer's head. The reader calls that malformed.
-func (c *conn) early() bool {
+// isHeadPrefix tells whether what came is the beginning of an answer's head. The reader calls that malformed.
+func (c *clientConn) isHeadPrefix() bool {
 	const start = "HTTP/1."
 	n := min(len(start), len(c.head))
 	return string(c.head[:n]) == start[:n] && !bytes.Contains(c.head, []byte("\r\n\r\n"))
 }
 
-// events reads a stream to its end.
-func (c *conn) events(body io.Reader, s *send) error {
+// readEvents reads a stream to its end.
+func (c *clientConn) readEvents(body io.Reader, s *attemptSpec) error {
 	lines := bufio.NewReader(body)
 	id, run := 0, ""
 	for {
-		if s.patience > 0 {
-			_ = c.tcp.SetReadDeadline(earlier(s.deadline, time.Now().Add(s.patience)))
+		if s.silenceTimeout > 0 {
+			_ = c.tcp.SetReadDeadline(earlier(s.deadline, time.Now().Add(s.silenceTimeout)))
 		}
 		line, err := lines.ReadString('\n')
 		if err == io.EOF && line == "" && id == 0 {
@@ -190,7 +190,7 @@
 		}
 		if err != nil {
 			if err == io.EOF { // the body ended amid an event, as if it were whole
-				s.try.Events = append(s.try.Events, rules.Segment{})
+				s.attempt.Events = append(s.attempt.Events, rules.Segment{})
 				return nil
 			}
 			return err
@@ -203,7 +203,7 @@
 			run, _, _ = strings.Cut(text, " ")
 		}
 		if line == "" && id != 0 {
-			s.try.Events = appendEvent(s.try.Events, run, id)
+			s.attempt.Events = appendEvent(s.attempt.Events, run, id)
 			id, run = 0, ""
 		}
 	}
@@ -218,24 +218,24 @@
 	return append(all, rules.Segment{Run: run, First: id, Last: id})
 }
 
-// ended tells what the end of a connection means. A socket that its owner closes with bytes unread, and one that was closed
+// classifyEnd tells what the end of a connection means. A socket that its owner closes with bytes unread, and one that was closed
 // when bytes came, resets; one whose bytes were all read ends in order. Danger: after an orderly end a reset shows in the
 // socket's error only, and reading gives the end.
-func (c *conn) ended(err error, came int64) rules.Outcome {
+func (c *clientConn) classifyEnd(err error, came int64) rules.Outcome {
 	var timeout net.Error
 	switch {
 	case errors.As(err, &timeout) && timeout.Timeout():
-		return rules.GivenUp
-	case came == 0 && (errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || c.reset()):
-		return rules.Unread
+		return rules.TimedOut
+	case came == 0 && (errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || c.wasReset()):
+		return rules.ClosedUnread
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, syscall.ECONNRESET), errors.Is(err, net.ErrClosed):
-		return rules.Cut
+		return rules.Truncated
 	}
-	return rules.Garbage
+	return rules.Malformed
 }
 
-// reset tells whether the peer's machine has reset the connection.
-func (c *conn) reset() bool {
+// wasReset tells whether the peer's machine has wasReset the connection.
+func (c *clientConn) wasReset() bool {
 	raw, err := c.tcp.SyscallConn()
 	if err != nil {
 		return false
@@ -252,7 +252,7 @@
 	return a
 }
 
-func keptFor(h http.Header) time.Duration {
+func keepAliveTimeout(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		if text, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout="); ok {
 			if n, err := strconv.Atoi(text); err == nil {
--- a/internal/lab/testcluster/client_pool.go
+++ b/internal/lab/testcluster/client_pool.go
@@ -19,9 +19,9 @@
 }
 
 const (
-	resolveWithin = time.Second // for each of at most three
-	mostResolves  = 3
-	ownIdle       = 4 * time.Second // clients close connections that idled so long
+	resolveTimeout    = time.Second // for each of at most three
+	maxResolves       = 3
+	clientIdleTimeout = 4 * time.Second // clients close connections that idled so long
 )
 
 // resolver asks directories.
@@ -30,26 +30,26 @@
 	http               *http.Client
 }
 
-// entry is how the clients of one zone come into the system: the directory's answer, and their open connections.
-type entry struct {
+// clientPool is how the clients of one zone come into the system: the directory's answer, and their open connections.
+type clientPool struct {
 	resolver
-	ttlMost     time.Duration
+	maxTTL      time.Duration
 	directories []Directory // nearer ones first
 	now         func() time.Duration
-	surplus     func(address string, bytes int) // bytes came while no request waited
-
-	mu        sync.Mutex
-	rng       *rand.Rand
-	addresses []string
-	failed    map[string]bool // since the last answer
-	idle      []*conn
-	answered  chan struct{} // closed with the first answer
-	resolved  int
-	missed    int // resolves that no directory answered
+	onSurplus   func(address string, bytes int) // bytes came while no request waited
+
+	mu             sync.Mutex
+	rng            *rand.Rand
+	addresses      []string
+	failed         map[string]bool // since the last answer
+	idle           []*clientConn
+	resolvedOnce   chan struct{} // closed with the first answer
+	resolves       int
+	failedResolves int // resolves that no directory answered
 }
 
-// nearer orders directories for a zone.
-func nearer(all []Directory, zone, region string) []Directory {
+// sortByDistance orders directories for a zone.
+func sortByDistance(all []Directory, zone, region string) []Directory {
 	rank := func(d Directory) int {
 		switch {
 		case d.Zone == zone:
@@ -65,7 +65,7 @@
 }
 
 // run resolves again and again until ctx ends.
-func (e *entry) run(ctx context.Context) {
+func (e *clientPool) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -78,24 +78,24 @@
 		if ttl <= 0 {
 			ttl = 200 * time.Millisecond
 		}
-		timer.Reset(min(ttl, e.ttlMost))
+		timer.Reset(min(ttl, e.maxTTL))
 	}
 }
 
 // resolve asks at most three directories; 0: none answered.
-func (e *entry) resolve(ctx context.Context) time.Duration {
-	for _, d := range e.directories[:min(mostResolves, len(e.directories))] {
-		addresses, ttl, err := e.ask(ctx, d.Address)
+func (e *clientPool) resolve(ctx context.Context) time.Duration {
+	for _, d := range e.directories[:min(maxResolves, len(e.directories))] {
+		addresses, ttl, err := e.query(ctx, d.Address)
 		if err != nil {
 			continue
 		}
-		e.take(addresses)
+		e.applyAddresses(addresses)
 		return ttl
 	}
 	e.mu.Lock()
-	e.missed++
-	if len(e.directories) > mostResolves { // later ones get their turn
-		e.directories = append(e.directories[mostResolves:], e.directories[:mostResolves]...)
+	e.failedResolves++
+	if len(e.directories) > maxResolves { // later ones get their turn
+		e.directories = append(e.directories[maxResolves:], e.directories[:maxResolves]...)
 	}
 	e.mu.Unlock()
 	return 0
@@ -103,8 +103,8 @@
 
 var errResolve = errors.New("the directory's answer names no addresses: ask another")
 
-func (e *resolver) ask(ctx context.Context, address string) ([]string, time.Duration, error) {
-	ctx, cancel := context.WithTimeout(ctx, resolveWithin)
+func (e *resolver) query(ctx context.Context, address string) ([]string, time.Duration, error) {
+	ctx, cancel := context.WithTimeout(ctx, resolveTimeout)
 	defer cancel()
 	query := url.Values{"name": {e.host}, "region": {e.region}, "zone": {e.zone}}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/resolve?"+query.Encode(), nil)
@@ -132,66 +132,66 @@
 	return answer.Addresses, time.Duration(answer.TTL * float64(time.Second)), nil
 }
 
-// take goes by a new answer: connections to addresses that it lacks are used no more.
-func (e *entry) take(addresses []string) {
+// applyAddresses goes by a new answer: connections to addresses that it lacks are used no more.
+func (e *clientPool) applyAddresses(addresses []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.resolved == 0 {
-		close(e.answered)
+	if e.resolves == 0 {
+		close(e.resolvedOnce)
 	}
-	e.resolved++
+	e.resolves++
 	e.addresses, e.failed = addresses, map[string]bool{}
-	e.idle = slices.DeleteFunc(e.idle, func(c *conn) bool {
+	e.idle = slices.DeleteFunc(e.idle, func(c *clientConn) bool {
 		gone := !slices.Contains(addresses, c.address)
 		if gone {
-			e.close(c)
+			e.closeConn(c)
 		}
 		return gone
 	})
 }
 
-// close ends an idle connection, and tells of bytes that nobody asked for.
-func (e *entry) close(c *conn) {
-	if bytes, _ := c.waits(); bytes > 0 {
-		e.surplus(c.address, bytes)
+// closeConn ends an idle connection, and tells of bytes that nobody asked for.
+func (e *clientPool) closeConn(c *clientConn) {
+	if bytes, _ := c.pendingBytes(); bytes > 0 {
+		e.onSurplus(c.address, bytes)
 	}
 	_ = c.tcp.Close()
 }
 
-// kept takes an open connection; nil: there is none.
-func (e *entry) kept() *conn {
+// takeIdle takes an open connection; nil: there is none.
+func (e *clientPool) takeIdle() *clientConn {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for len(e.idle) > 0 {
 		c := e.idle[len(e.idle)-1]
 		e.idle = e.idle[:len(e.idle)-1]
-		most := ownIdle
-		if c.idleFor > 0 {
-			most = min(most, c.idleFor-min(c.idleFor/4, 500*time.Millisecond))
+		most := clientIdleTimeout
+		if c.idleTimeout > 0 {
+			most = min(most, c.idleTimeout-min(c.idleTimeout/4, 500*time.Millisecond))
 		}
-		bytes, closed := c.waits()
-		if !closed && bytes == 0 && e.now()-c.idleAt < most {
+		bytes, closed := c.pendingBytes()
+		if !closed && bytes == 0 && e.now()-c.idleSince < most {
 			return c
 		}
-		e.close(c)
+		e.closeConn(c)
 	}
 	return nil
 }
 
-// put keeps a connection for later.
-func (e *entry) put(c *conn) {
+// putIdle keeps a connection for later.
+func (e *clientPool) putIdle(c *clientConn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !slices.Contains(e.addresses, c.address) {
-		e.close(c)
+		e.closeConn(c)
 		return
 	}
-	c.idleAt = e.now()
+	c.idleSince = e.now()
 	e.idle = append(e.idle, c)
 }
 
-// pick draws an address for a new connection from those that have not failed.
-func (e *entry) pick() (string, bool) {
+// pickAddress draws an address for a new connection from those that have not failed.
+func (e *clientPool) pickAddress() (string, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var good []string
@@ -209,18 +209,18 @@
 	return good[e.rng.IntN(len(good))], true
 }
 
-func (e *entry) fail(address string) {
+func (e *clientPool) markFailed(address string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.failed[address] = true
 }
 
-// end closes what is open.
-func (e *entry) end() {
+// closeAll closes what is open.
+func (e *clientPool) closeAll() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, c := range e.idle {
-		e.close(c)
+		e.closeConn(c)
 	}
 	e.idle = nil
 	e.http.CloseIdleConnections()
--- a/internal/lab/testcluster/client_pool_test.go
+++ b/internal/lab/testcluster/client_pool_test.go
@@ -18,7 +18,7 @@
 func TestNearer(t *testing.T) {
 	all := []Directory{{"far", "s-a", "s"}, {"region", "n-b", "n"}, {"zone", "n-a", "n"}, {"far2", "s-a", "s"}}
 	var got []string
-	for _, d := range nearer(all, "n-a", "n") {
+	for _, d := range sortByDistance(all, "n-a", "n") {
 		got = append(got, d.Address)
 	}
 	if want := []string{"zone", "region", "far", "far2"}; !slices.Equal(got, want) {
@@ -63,7 +63,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				d := &directories{bodies: c.bodies}
-				e := &entry{resolver: resolver{"h", "n-a", "n", &http.Client{Transport: d}}, answered: make(chan struct{}),
+				e := &clientPool{resolver: resolver{"h", "n-a", "n", &http.Client{Transport: d}}, resolvedOnce: make(chan struct{}),
 					directories: []Directory{{Address: "d1"}, {Address: "d2"}, {Address: "d3"}, {Address: "d4"}}}
 				start := time.Now()
 				ttl := e.resolve(t.Context())
@@ -79,7 +79,7 @@
 					}
 					return
 				}
-				<-e.answered
+				<-e.resolvedOnce
 			})
 		})
 	}
@@ -87,17 +87,17 @@
 
 // TestPick: addresses that failed are not drawn again before the next answer, unless all have.
 func TestPick(t *testing.T) {
-	e := &entry{rng: rand.New(rand.NewPCG(1, 1)), answered: make(chan struct{})}
-	if _, ok := e.pick(); ok {
+	e := &clientPool{rng: rand.New(rand.NewPCG(1, 1)), resolvedOnce: make(chan struct{})}
+	if _, ok := e.pickAddress(); ok {
 		t.Error("there is an address before any answer")
 	}
-	e.take([]string{"a", "b", "c"})
-	e.fail("a")
-	e.fail("c")
+	e.applyAddresses([]string{"a", "b", "c"})
+	e.markFailed("a")
+	e.markFailed("c")
 	drawn := func() string {
 		seen := map[string]bool{}
 		for range 100 {
-			a, _ := e.pick()
+			a, _ := e.pickAddress()
 			seen[a] = true
 		}
 		return fmt.Sprint(len(seen), seen["b"])
@@ -105,11 +105,11 @@
 	if got := drawn(); got != "1 true" {
 		t.Error(got)
 	}
-	e.fail("b")
+	e.markFailed("b")
 	if got := drawn(); got != "3 true" {
 		t.Error(got)
 	}
-	e.take([]string{"a", "b"})
+	e.applyAddresses([]string{"a", "b"})
 	if got := drawn(); got != "2 true" {
 		t.Error(got)
 	}
@@ -122,15 +122,15 @@
 		peer func(net.Conn)
 		want rules.Outcome
 	}{
-		{"read, then closed", func(c net.Conn) { readHead(c) }, rules.Cut},
-		{"closed unread", func(c net.Conn) { _, _ = c.Read(make([]byte, 1)) }, rules.Unread}, // the rest lies in the socket
+		{"read, then closed", func(c net.Conn) { readHead(c) }, rules.Truncated},
+		{"closed unread", func(c net.Conn) { _, _ = c.Read(make([]byte, 1)) }, rules.ClosedUnread}, // the rest lies in the socket
 		{"cut amid the answer", func(c net.Conn) {
 			readHead(c)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab")
-		}, rules.Cut},
-		{"cut amid the head", func(c net.Conn) { readHead(c); _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nCont") }, rules.Cut},
-		{"a malformed head", func(c net.Conn) { readHead(c); _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nCont\r\n\r\n") }, rules.Garbage},
-		{"no answer", func(c net.Conn) { readHead(c); _, _ = io.WriteString(c, "oops, this is not HTTP\r\n\r\n") }, rules.Garbage},
+		}, rules.Truncated},
+		{"cut amid the head", func(c net.Conn) { readHead(c); _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nCont") }, rules.Truncated},
+		{"a malformed head", func(c net.Conn) { readHead(c); _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nCont\r\n\r\n") }, rules.Malformed},
+		{"no answer", func(c net.Conn) { readHead(c); _, _ = io.WriteString(c, "oops, this is not HTTP\r\n\r\n") }, rules.Malformed},
 		{"answered", func(c net.Conn) {
 			readHead(c)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab")
@@ -155,8 +155,8 @@
 				t.Fatal(err)
 			}
 			defer client.tcp.Close()
-			try := &rules.Try{ID: "one", Method: "POST", Path: "/", Host: "h"}
-			client.exchange(&send{try: try, deadline: time.Now().Add(10 * time.Second)}, func() time.Duration { return 0 })
+			try := &rules.Attempt{ID: "one", Method: "POST", Path: "/", Host: "h"}
+			client.exchange(&attemptSpec{attempt: try, deadline: time.Now().Add(10 * time.Second)}, func() time.Duration { return 0 })
 			if try.Outcome != c.want {
 				t.Errorf("%v, want %v", try.Outcome, c.want)
 			}
--- a/internal/lab/testcluster/engine/cache.go
+++ b/internal/lab/testcluster/engine/cache.go
@@ -2,25 +2,25 @@
 
 import "container/list"
 
-// part is a kept part of prompts.
-type part struct {
+// cachedPart is a kept cachedPart of prompts.
+type cachedPart struct {
 	id     uint64
 	tokens int
 	users  int           // running jobs that use it
 	idle   *list.Element // its place among those without users
 }
 
-// cache keeps parts; those without users give way, the longest unused first.
-type cache struct {
-	parts map[uint64]*part
-	order list.List // of *part without users, the longest unused first
-	held  int64     // tokens of all
-	idle  int64     // tokens of those without users
+// prefixCache keeps parts; those without users give way, the longest unused first.
+type prefixCache struct {
+	parts        map[uint64]*cachedPart
+	order        list.List // of *part without users, the longest unused first
+	cachedTokens int64     // tokens of all
+	idleTokens   int64     // tokens of those without users
 }
 
 // pin takes the kept parts at the start of a prompt into use: a part counts only if all before it are kept.
-func (c *cache) pin(parts []Part) []*part {
-	var pinned []*part
+func (c *prefixCache) pin(parts []PromptPart) []*cachedPart {
+	var pinned []*cachedPart
 	for _, want := range parts {
 		p := c.parts[want.ID]
 		if p == nil || p.tokens != want.Tokens {
@@ -32,57 +32,57 @@
 	return pinned
 }
 
-func (c *cache) use(p *part) {
+func (c *prefixCache) use(p *cachedPart) {
 	if p.users == 0 && p.idle != nil {
 		c.order.Remove(p.idle)
 		p.idle = nil
-		c.idle -= int64(p.tokens)
+		c.idleTokens -= int64(p.tokens)
 	}
 	p.users++
 }
 
 // add keeps a part for one user. Where it is kept already, the user shares it.
-func (c *cache) add(want Part) *part {
+func (c *prefixCache) add(want PromptPart) *cachedPart {
 	p := c.parts[want.ID]
 	if p == nil || p.tokens != want.Tokens {
 		if p != nil && p.users == 0 {
-			c.drop(p)
+			c.evict(p)
 		}
-		p = &part{id: want.ID, tokens: want.Tokens}
+		p = &cachedPart{id: want.ID, tokens: want.Tokens}
 		c.parts[p.id] = p
-		c.held += int64(p.tokens)
+		c.cachedTokens += int64(p.tokens)
 	}
 	c.use(p)
 	return p
 }
 
-func (c *cache) unpin(pinned []*part) {
+func (c *prefixCache) unpin(pinned []*cachedPart) {
 	for i := len(pinned) - 1; i >= 0; i-- { // the end of a prompt is the first to give way
 		p := pinned[i]
 		if p.users--; p.users > 0 {
 			continue
 		}
 		if c.parts[p.id] != p { // another took its name
-			c.held -= int64(p.tokens)
+			c.cachedTokens -= int64(p.tokens)
 			continue
 		}
 		p.idle = c.order.PushBack(p)
-		c.idle += int64(p.tokens)
+		c.idleTokens += int64(p.tokens)
 	}
 }
 
-// shrink drops unused parts until at most most tokens are kept, as far as it can.
-func (c *cache) shrink(most int64) {
-	for c.held > most && c.order.Len() > 0 {
-		c.drop(c.order.Front().Value.(*part))
+// evictTo drops unused parts until at most most tokens are kept, as far as it can.
+func (c *prefixCache) evictTo(most int64) {
+	for c.cachedTokens > most && c.order.Len() > 0 {
+		c.evict(c.order.Front().Value.(*cachedPart))
 	}
 }
 
-func (c *cache) drop(p *part) {
+func (c *prefixCache) evict(p *cachedPart) {
 	c.order.Remove(p.idle)
 	p.idle = nil
-	c.idle -= int64(p.tokens)
-	c.held -= int64(p.tokens)
+	c.idleTokens -= int64(p.tokens)
+	c.cachedTokens -= int64(p.tokens)
 	if c.parts[p.id] == p {
 		delete(c.parts, p.id)
 	}
--- a/internal/lab/testcluster/engine/engine.go
+++ b/internal/lab/testcluster/engine/engine.go
@@ -14,8 +14,8 @@
 // Time is counted from any moment.
 type Time = time.Duration
 
-// Part is one part of a prompt. Requests with the same parts at their start share what was read of them.
-type Part struct {
+// PromptPart is one part of a prompt. Requests with the same parts at their start share what was read of them.
+type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
@@ -23,7 +23,7 @@
 // Spec is what a server is.
 type Spec struct {
 	Slots, Queue int
-	Memory       int64         // tokens, of running requests and cached parts together
+	MemoryTokens int64         // tokens, of running requests and cached parts together
 	Stride       int           // tokens of an event
 	Step         time.Duration // that a step takes at least
 	PerRunning   time.Duration // added for each request that gets a token in it
@@ -33,11 +33,11 @@
 
 // Request is one that came whole.
 type Request struct {
-	Key      uint64 // the caller's, one of its own for each request
-	Parts    []Part
-	Out      int // tokens that its whole answer has
-	Had      int // events of the answer that are there already
-	Priority int // 0 is the most urgent
+	Key            uint64 // the caller's, one of its own for each request
+	Parts          []PromptPart
+	AnswerTokens   int // tokens that its whole answer has
+	ReceivedEvents int // events of the answer that are there already
+	Priority       int // 0 is the most urgent
 }
 
 func (r *Request) prompt() int {
@@ -69,29 +69,29 @@
 // job is a request and what has been done for it.
 type job struct {
 	Request
-	seq     int     // order of arrival
-	pinned  []*part // kept parts that it uses
-	own     int64   // tokens in memory for it alone
-	left    int     // tokens still to be read
-	made    int     // tokens of its answer, those it had included
-	started bool
-	running bool
+	seq          int           // order of arrival
+	pinned       []*cachedPart // kept parts that it uses
+	ownTokens    int64         // tokens in memory for it alone
+	unreadTokens int           // tokens still to be read
+	answerTokens int           // tokens of its answer, those it had included
+	started      bool
+	running      bool
 }
 
 // Engine is the state of one server. It is not safe for concurrent use.
 type Engine struct {
 	Spec
-	now      Time
-	seq      int
-	running  []*job
-	waiting  []*job // by urgency, then arrival
-	cache    cache
-	own      int64 // of all running jobs
-	stepping bool
-	ends     Time // of the step
-	decoding []*job
-	reading  map[*job]int
-	out      []Output
+	now       Time
+	seq       int
+	running   []*job
+	waiting   []*job // by urgency, then arrival
+	cache     prefixCache
+	ownTokens int64 // of all running jobs
+	stepping  bool
+	stepEnds  Time // of the step
+	decoding  []*job
+	reading   map[*job]int
+	out       []Output
 
 	prefilled int64
 	preempted int
@@ -100,17 +100,17 @@
 
 // New is a server that has read nothing yet.
 func New(spec Spec, now Time) *Engine {
-	return &Engine{Spec: spec, now: now, cache: cache{parts: map[uint64]*part{}}}
+	return &Engine{Spec: spec, now: now, cache: prefixCache{parts: map[uint64]*cachedPart{}}}
 }
 
-// Arrive takes a request at now, or tells false: the server is full, or the request larger than its memory.
-func (e *Engine) Arrive(now Time, r Request) bool {
+// Submit takes a request at now, or tells false: the server is full, or the request larger than its memory.
+func (e *Engine) Submit(now Time, r Request) bool {
 	e.advance(now)
-	if len(e.waiting) >= e.Queue && len(e.running) >= e.Slots || int64(r.prompt()+r.Out) > e.Memory {
+	if len(e.waiting) >= e.Queue && len(e.running) >= e.Slots || int64(r.prompt()+r.AnswerTokens) > e.MemoryTokens {
 		return false
 	}
 	e.seq++
-	e.wait(&job{Request: r, seq: e.seq, made: r.Had * e.Stride})
+	e.enqueue(&job{Request: r, seq: e.seq, answerTokens: r.ReceivedEvents * e.Stride})
 	e.admit()
 	e.step()
 	return true
@@ -122,7 +122,7 @@
 	for _, list := range []*[]*job{&e.running, &e.waiting} {
 		if i := slices.IndexFunc(*list, func(j *job) bool { return j.Key == key }); i >= 0 {
 			j := (*list)[i]
-			e.free(j)
+			e.release(j)
 			*list = slices.Delete(*list, i, i+1)
 			e.admit()
 			e.step()
@@ -145,7 +145,7 @@
 	if len(e.out) > 0 {
 		return e.now, true
 	}
-	return e.ends, e.stepping
+	return e.stepEnds, e.stepping
 }
 
 // Load is the requests that run and wait.
@@ -153,7 +153,7 @@
 
 // Memory use in tokens: what cannot give way, and what is kept besides.
 func (e *Engine) memory() (used, idle int64) {
-	return e.own + e.cache.held - e.cache.idle, e.cache.idle
+	return e.ownTokens + e.cache.cachedTokens - e.cache.idleTokens, e.cache.idleTokens
 }
 
 // Figures are totals since the start.
@@ -171,8 +171,8 @@
 }
 
 func (e *Engine) advance(now Time) {
-	for e.stepping && e.ends <= now {
-		e.now = e.ends
+	for e.stepping && e.stepEnds <= now {
+		e.now = e.stepEnds
 		e.finishStep()
 		e.admit()
 		e.step()
@@ -180,8 +180,8 @@
 	e.now = max(e.now, now)
 }
 
-// wait puts a job among those that wait.
-func (e *Engine) wait(j *job) {
+// enqueue puts a job among those that enqueue.
+func (e *Engine) enqueue(j *job) {
 	at, _ := slices.BinarySearchFunc(e.waiting, j, func(a, b *job) int {
 		return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.seq, b.seq))
 	})
@@ -213,25 +213,25 @@
 	for _, p := range j.pinned {
 		kept += p.tokens
 	}
-	j.left = j.prompt() - kept + j.made
-	need := int64(j.left)
+	j.unreadTokens = j.prompt() - kept + j.answerTokens
+	need := int64(j.unreadTokens)
 	used, _ := e.memory()
-	if used+need > e.Memory {
+	if used+need > e.MemoryTokens {
 		e.cache.unpin(j.pinned)
 		j.pinned = nil
 		return false
 	}
-	j.own = need
-	e.own += need
-	e.cache.shrink(e.Memory - e.own)
+	j.ownTokens = need
+	e.ownTokens += need
+	e.cache.evictTo(e.MemoryTokens - e.ownTokens)
 	return true
 }
 
-// free gives back what a job holds.
-func (e *Engine) free(j *job) {
+// release gives back what a job holds.
+func (e *Engine) release(j *job) {
 	e.cache.unpin(j.pinned)
-	e.own -= j.own
-	j.pinned, j.own, j.running = nil, 0, false
+	e.ownTokens -= j.ownTokens
+	j.pinned, j.ownTokens, j.running = nil, 0, false
 }
 
 // victim is the newest of the least urgent.
@@ -246,8 +246,8 @@
 
 // preempt has a job wait again; it is read anew later.
 func (e *Engine) preempt(j *job) {
-	e.free(j)
+	e.release(j)
 	e.running = slices.DeleteFunc(e.running, func(r *job) bool { return r == j })
 	e.preempted++
-	e.wait(j)
+	e.enqueue(j)
 }
--- a/internal/lab/testcluster/engine/engine_test.go
+++ b/internal/lab/testcluster/engine/engine_test.go
@@ -16,7 +16,7 @@
 		var e *Engine
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			if d.Cmd == "server" {
-				s := Spec{Slots: 2, Queue: 2, Memory: 1000, Stride: 2, Step: time.Millisecond, PrefillRate: 100, Chunk: 100}
+				s := Spec{Slots: 2, Queue: 2, MemoryTokens: 1000, Stride: 2, Step: time.Millisecond, PrefillRate: 100, Chunk: 100}
 				for _, a := range d.CmdArgs {
 					switch a.Key {
 					case "slots":
@@ -24,7 +24,7 @@
 					case "queue":
 						d.ScanArgs(t, a.Key, &s.Queue)
 					case "memory":
-						d.ScanArgs(t, a.Key, &s.Memory)
+						d.ScanArgs(t, a.Key, &s.MemoryTokens)
 					case "stride":
 						d.ScanArgs(t, a.Key, &s.Stride)
 					case "chunk":
@@ -43,16 +43,16 @@
 	var out strings.Builder
 	switch d.Cmd {
 	case "arrive":
-		r := Request{Priority: 5, Out: 1}
+		r := Request{Priority: 5, AnswerTokens: 1}
 		var key, out, had, at int
 		d.ScanArgs(t, "key", &key)
 		if d.HasArg("out") {
 			d.ScanArgs(t, "out", &out)
-			r.Out = out
+			r.AnswerTokens = out
 		}
 		if d.HasArg("had") {
 			d.ScanArgs(t, "had", &had)
-			r.Had = had
+			r.ReceivedEvents = had
 		}
 		if d.HasArg("priority") {
 			d.ScanArgs(t, "priority", &r.Priority)
@@ -64,7 +64,7 @@
 		for _, a := range d.CmdArgs {
 			if a.Key == "prompt" {
 				for _, v := range a.Vals {
-					var p Part
+					var p PromptPart
 					if _, err := fmt.Sscanf(v, "%x:%d", &p.ID, &p.Tokens); err != nil {
 						t.Fatalf("%s: %v", d.Pos, err)
 					}
@@ -72,7 +72,7 @@
 				}
 			}
 		}
-		if !e.Arrive(max(e.now, time.Duration(at)*time.Millisecond), r) {
+		if !e.Submit(max(e.now, time.Duration(at)*time.Millisecond), r) {
 			return "full"
 		}
 		return "taken"
@@ -120,7 +120,7 @@
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := Spec{Slots: rapid.IntRange(1, 4).Draw(t, "slots"), Queue: rapid.IntRange(0, 3).Draw(t, "queue"),
-			Memory: rapid.Int64Range(50, 400).Draw(t, "memory"), Stride: rapid.IntRange(1, 5).Draw(t, "stride"), Step: time.Millisecond,
+			MemoryTokens: rapid.Int64Range(50, 400).Draw(t, "memory"), Stride: rapid.IntRange(1, 5).Draw(t, "stride"), Step: time.Millisecond,
 			PerRunning: 10 * time.Microsecond, PrefillRate: 50, Chunk: rapid.IntRange(1, 60).Draw(t, "chunk")}
 		e := New(spec, 0)
 		h := history{T: t, e: e, taken: map[uint64]Request{}, events: map[uint64]int{}, done: map[uint64]bool{}}
@@ -166,15 +166,15 @@
 }
 
 func (h *history) arrive(now Time, key uint64) {
-	r := Request{Key: key, Out: rapid.IntRange(1, 30).Draw(h.T, "out"), Priority: rapid.IntRange(0, 3).Draw(h.T, "priority")}
+	r := Request{Key: key, AnswerTokens: rapid.IntRange(1, 30).Draw(h.T, "out"), Priority: rapid.IntRange(0, 3).Draw(h.T, "priority")}
 	for range rapid.IntRange(1, 3).Draw(h.T, "parts") {
 		id := rapid.Uint64Range(1, 8).Draw(h.T, "part")
-		r.Parts = append(r.Parts, Part{id, int(10 * id)})
+		r.Parts = append(r.Parts, PromptPart{id, int(10 * id)})
 	}
-	r.Had = rapid.IntRange(0, (r.Out-1)/h.e.Stride).Draw(h.T, "had")
-	if h.e.Arrive(now, r) {
+	r.ReceivedEvents = rapid.IntRange(0, (r.AnswerTokens-1)/h.e.Stride).Draw(h.T, "had")
+	if h.e.Submit(now, r) {
 		h.taken[key] = r
-		h.events[key] = r.Had
+		h.events[key] = r.ReceivedEvents
 	}
 }
 
@@ -189,8 +189,8 @@
 			h.Fatalf("%d: event %d follows event %d", o.Key, o.Event, h.events[o.Key])
 		case o.Kind == Event:
 			h.events[o.Key] = o.Event
-		case o.Kind == Done && h.events[o.Key] != Events(r.Out, h.e.Stride):
-			h.Fatalf("%d ended after event %d of %d", o.Key, h.events[o.Key], Events(r.Out, h.e.Stride))
+		case o.Kind == Done && h.events[o.Key] != EventsOf(r.AnswerTokens, h.e.Stride):
+			h.Fatalf("%d ended after event %d of %d", o.Key, h.events[o.Key], EventsOf(r.AnswerTokens, h.e.Stride))
 		case o.Kind == Done:
 			h.done[o.Key] = true
 		}
@@ -202,15 +202,15 @@
 	if len(e.running) > e.Slots {
 		h.Fatalf("%d run in %d slots", len(e.running), e.Slots)
 	}
-	if used, idle := e.memory(); used < 0 || idle < 0 || used+idle > e.Memory {
-		h.Fatalf("%d in use and %d idle of %d tokens", used, idle, e.Memory)
+	if used, idle := e.memory(); used < 0 || idle < 0 || used+idle > e.MemoryTokens {
+		h.Fatalf("%d in use and %d idle of %d tokens", used, idle, e.MemoryTokens)
 	}
 	var own, held, idle int64
 	for _, j := range e.running {
-		own += j.own
+		own += j.ownTokens
 	}
-	counted := map[*part]bool{}
-	count := func(p *part) {
+	counted := map[*cachedPart]bool{}
+	count := func(p *cachedPart) {
 		if !counted[p] {
 			counted[p] = true
 			held += int64(p.tokens)
@@ -227,7 +227,7 @@
 			count(p)
 		}
 	}
-	if own != e.own || held != e.cache.held || idle != e.cache.idle {
-		h.Fatalf("own %d counted as %d, kept %d as %d, idle %d as %d", own, e.own, held, e.cache.held, idle, e.cache.idle)
+	if own != e.ownTokens || held != e.cache.cachedTokens || idle != e.cache.idleTokens {
+		h.Fatalf("own %d counted as %d, kept %d as %d, idle %d as %d", own, e.ownTokens, held, e.cache.cachedTokens, idle, e.cache.idleTokens)
 	}
 }
--- a/internal/lab/testcluster/engine/step.go
+++ b/internal/lab/testcluster/engine/step.go
@@ -14,18 +14,18 @@
 	e.decoding, e.reading = nil, map[*job]int{}
 	budget, read := e.Chunk, 0
 	for _, j := range e.running {
-		if j.left == 0 {
+		if j.unreadTokens == 0 {
 			e.decoding = append(e.decoding, j)
 			continue
 		}
-		if n := min(j.left, budget-read); n > 0 {
+		if n := min(j.unreadTokens, budget-read); n > 0 {
 			e.reading[j] = n
 			read += n
 		}
 	}
 	took := e.Step + time.Duration(len(e.decoding))*e.PerRunning +
 		time.Duration(float64(read)/e.PrefillRate*float64(time.Millisecond))
-	e.ends = e.now + max(took, time.Microsecond)
+	e.stepEnds = e.now + max(took, time.Microsecond)
 }
 
 // finishStep gives out what the step made. Jobs that left meanwhile are passed over.
@@ -35,39 +35,39 @@
 	for _, j := range slices.Clone(e.running) {
 		n, reads := e.reading[j]
 		switch {
-		case reads && j.running && j.left > 0:
+		case reads && j.running && j.unreadTokens > 0:
 			e.prefilled += int64(n)
-			if j.left -= n; j.left == 0 {
-				e.keep(j)
+			if j.unreadTokens -= n; j.unreadTokens == 0 {
+				e.cacheParts(j)
 				gain = append(gain, j)
 			}
-		case j.running && j.left == 0 && slices.Contains(e.decoding, j):
+		case j.running && j.unreadTokens == 0 && slices.Contains(e.decoding, j):
 			gain = append(gain, j)
 		}
 	}
 	for _, j := range gain {
-		if j.running && e.room(j) {
-			e.token(j)
+		if j.running && e.makeRoom(j) {
+			e.addToken(j)
 		}
 	}
 }
 
-// keep has the parts that a job has read be found by others.
-func (e *Engine) keep(j *job) {
+// cacheParts has the parts that a job has read be found by others.
+func (e *Engine) cacheParts(j *job) {
 	for i := len(j.pinned); i < len(j.Parts); i++ {
 		p := e.cache.add(j.Parts[i])
 		j.pinned = append(j.pinned, p)
-		j.own -= int64(j.Parts[i].Tokens)
-		e.own -= int64(j.Parts[i].Tokens)
+		j.ownTokens -= int64(j.Parts[i].Tokens)
+		e.ownTokens -= int64(j.Parts[i].Tokens)
 	}
 }
 
-// room finds memory for one more token of a job; false: the job itself had to give way.
-func (e *Engine) room(j *job) bool {
+// makeRoom finds memory for one more token of a job; false: the job itself had to give way.
+func (e *Engine) makeRoom(j *job) bool {
 	for {
 		used, _ := e.memory()
-		if used+1 <= e.Memory {
-			e.cache.shrink(e.Memory - e.own - 1)
+		if used+1 <= e.MemoryTokens {
+			e.cache.evictTo(e.MemoryTokens - e.ownTokens - 1)
 			return true
 		}
 		v := e.victim()
@@ -78,24 +78,24 @@
 	}
 }
 
-func (e *Engine) token(j *job) {
-	j.made++
-	j.own++
-	e.own++
+func (e *Engine) addToken(j *job) {
+	j.answerTokens++
+	j.ownTokens++
+	e.ownTokens++
 	if !j.started {
 		j.started = true
 		e.out = append(e.out, Output{Key: j.Key, Kind: Started, At: e.now})
 	}
-	if j.made%e.Stride == 0 || j.made >= j.Out {
-		e.out = append(e.out, Output{Key: j.Key, Kind: Event, Event: Events(j.made, e.Stride), At: e.now})
+	if j.answerTokens%e.Stride == 0 || j.answerTokens >= j.AnswerTokens {
+		e.out = append(e.out, Output{Key: j.Key, Kind: Event, Event: EventsOf(j.answerTokens, e.Stride), At: e.now})
 	}
-	if j.made >= j.Out {
+	if j.answerTokens >= j.AnswerTokens {
 		e.out = append(e.out, Output{Key: j.Key, Kind: Done, At: e.now})
-		e.free(j)
+		e.release(j)
 		e.running = slices.DeleteFunc(e.running, func(r *job) bool { return r == j })
 		e.handled++
 	}
 }
 
-// Events is how many events tokens make.
-func Events(tokens, stride int) int { return (tokens + stride - 1) / stride }
+// EventsOf is how many events tokens make.
+func EventsOf(tokens, stride int) int { return (tokens + stride - 1) / stride }
--- a/internal/lab/testcluster/environment.go
+++ b/internal/lab/testcluster/environment.go
@@ -22,17 +22,17 @@
 
 // Options are those of a World.
 type Options struct {
-	Servers     []ServerSpec
-	Kinds       []Kind
-	Zones       map[string]string // zone to region; clients are in all of them
-	Directories []Directory
-	Keepers     []string // control addresses
-	Bounds      rules.Bounds
-	TTLMost     time.Duration // for which clients hold a directory's answer, at most
-	ListLag     time.Duration
-	ListRate    float64 // calls a second
-	Seed        uint64
-	Links       *Links // in front of servers; nil: callers reach them straight
+	Servers          []ServerSpec
+	Kinds            []RequestKind
+	Zones            map[string]string // zone to region; clients are in all of them
+	Directories      []Directory
+	ControlAddresses []string // control addresses
+	Bounds           rules.Bounds
+	MaxTTL           time.Duration // for which clients hold a directory's answer, at most
+	ListLag          time.Duration
+	ListRate         float64 // calls a second
+	Seed             uint64
+	Links            *Links // in front of servers; nil: callers reach them straight
 }
 
 // Environment is all that runs around the system in one run.
@@ -42,40 +42,40 @@
 	Platform *Platform
 	Servers  []*Server
 
-	start   time.Time
-	quiet   *log.Logger
-	figures *figures
-	traffic *Traffic
-	list    *http.Server
-	listAt  string
-	links   *Links
-	cancel  context.CancelFunc
-	ctx     context.Context
-	wait    sync.WaitGroup
-	falls   sync.WaitGroup
+	startedAt       time.Time
+	discardLog      *log.Logger
+	stats           *statsCounter
+	traffic         *Traffic
+	listServer      *http.Server
+	listAddress     string
+	links           *Links
+	cancel          context.CancelFunc
+	ctx             context.Context
+	background      sync.WaitGroup
+	overloadCrashes sync.WaitGroup
 }
 
 const (
-	observeEvery = 50 * time.Millisecond
-	pageSize     = 50
-	crashedIs    = 4 * time.Second
-	fallenFor    = 3 * time.Second
+	observeInterval  = 50 * time.Millisecond
+	pageSize         = 50
+	crashedListedFor = 4 * time.Second
+	overloadDowntime = 3 * time.Second
 )
 
 // New starts servers and the list; clients start with Traffic.
 func New(o Options) (*Environment, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &Environment{Evidence: &rules.Evidence{Bounds: o.Bounds}, start: time.Now(), quiet: log.New(io.Discard, "", 0), figures: &figures{},
+	w := &Environment{Evidence: &rules.Evidence{Bounds: o.Bounds}, startedAt: time.Now(), discardLog: log.New(io.Discard, "", 0), stats: &statsCounter{},
 		ctx: ctx, cancel: cancel, links: o.Links}
 	client := func() *http.Client {
 		return &http.Client{Transport: &http.Transport{DisableCompression: true},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 	}
-	w.Operator = &Operator{Keepers: o.Keepers, evidence: w.Evidence, now: w.Now, http: client()}
-	w.Platform = &Platform{Lag: o.ListLag, Rate: o.ListRate, Page: pageSize, CrashedIs: crashedIs, now: w.Now, evidence: w.Evidence,
+	w.Operator = &Operator{ControlAddresses: o.ControlAddresses, evidence: w.Evidence, now: w.Now, http: client()}
+	w.Platform = &Platform{Lag: o.ListLag, Rate: o.ListRate, Page: pageSize, CrashedListedFor: crashedListedFor, now: w.Now, evidence: w.Evidence,
 		servers: w.instances}
 	for _, spec := range o.Servers {
-		s := &Server{ServerSpec: spec, w: w, goneAt: rules.Never, crashed: rules.Never, leavesAt: rules.Never}
+		s := &Server{ServerSpec: spec, env: w, stoppedAt: rules.Never, crashedAt: rules.Never, withdrawAt: rules.Never}
 		w.Servers = append(w.Servers, s)
 		if err := s.Start(false); err != nil {
 			w.Close()
@@ -87,39 +87,39 @@
 		w.Close()
 		return nil, errors.Wrap(err, "the stand-in list cannot listen")
 	}
-	w.listAt = l.Addr().String()
-	w.list = &http.Server{Handler: w.Platform, ReadHeaderTimeout: 10 * time.Second, ErrorLog: w.quiet}
-	w.wait.Go(func() { _ = w.list.Serve(l) }) // ends with Close
-	w.wait.Go(func() { w.observe(ctx) })
-	w.traffic = &Traffic{Kinds: o.Kinds, w: w, seed: o.Seed, figures: w.figures}
+	w.listAddress = l.Addr().String()
+	w.listServer = &http.Server{Handler: w.Platform, ReadHeaderTimeout: 10 * time.Second, ErrorLog: w.discardLog}
+	w.background.Go(func() { _ = w.listServer.Serve(l) }) // ends with Close
+	w.background.Go(func() { w.observe(ctx) })
+	w.traffic = &Traffic{Kinds: o.Kinds, env: w, seed: o.Seed, stats: w.stats}
 	for _, zone := range slices.Sorted(maps.Keys(o.Zones)) {
 		region := o.Zones[zone]
-		e := &entry{resolver: resolver{o.Kinds[0].Route.Host, zone, region, client()}, ttlMost: o.TTLMost,
-			directories: nearer(o.Directories, zone, region), now: w.Now, rng: rand.New(rand.NewPCG(o.Seed, uint64(len(w.traffic.entries)))), failed: map[string]bool{},
-			answered: make(chan struct{}), surplus: func(address string, bytes int) {
-				w.Evidence.Stray(rules.Stray{Proxy: address, Bytes: bytes, At: w.Now()})
+		e := &clientPool{resolver: resolver{o.Kinds[0].Route.Host, zone, region, client()}, maxTTL: o.MaxTTL,
+			directories: sortByDistance(o.Directories, zone, region), now: w.Now, rng: rand.New(rand.NewPCG(o.Seed, uint64(len(w.traffic.pools)))), failed: map[string]bool{},
+			resolvedOnce: make(chan struct{}), onSurplus: func(address string, bytes int) {
+				w.Evidence.RecordStray(rules.Stray{Proxy: address, Bytes: bytes, At: w.Now()})
 			}}
-		w.traffic.entries = append(w.traffic.entries, e)
+		w.traffic.pools = append(w.traffic.pools, e)
 	}
 	return w, nil
 }
 
 // Now is the time since the start.
-func (w *Environment) Now() time.Duration { return time.Since(w.start) }
+func (w *Environment) Now() time.Duration { return time.Since(w.startedAt) }
 
 // ListAddress is where the platform's list is.
-func (w *Environment) ListAddress() string { return w.listAt }
+func (w *Environment) ListAddress() string { return w.listAddress }
 
 // Traffic has clients send until ctx ends, and returns when every request has ended.
 func (w *Environment) Traffic(ctx context.Context) { w.traffic.run(ctx) }
 
-// Figures gives what clients have seen so far.
-func (w *Environment) Figures() Figures { return w.figures.look() }
+// Stats gives what clients have seen so far.
+func (w *Environment) Stats() Stats { return w.stats.snapshot() }
 
 func (w *Environment) instances() []Instance {
 	var all []Instance
 	for _, s := range w.Servers {
-		if i, ok := s.instance(w.Platform.CrashedIs); ok {
+		if i, ok := s.instance(w.Platform.CrashedListedFor); ok {
 			all = append(all, i)
 		}
 	}
@@ -127,7 +127,7 @@
 }
 
 func (w *Environment) observe(ctx context.Context) {
-	tick := time.NewTicker(observeEvery)
+	tick := time.NewTicker(observeInterval)
 	defer tick.Stop()
 	for {
 		w.Platform.Observe()
@@ -139,11 +139,11 @@
 	}
 }
 
-// fall has a server that was sent too much while cold crash, and start again after a while.
-func (w *Environment) fall(s *Server) {
-	w.falls.Go(func() {
+// crashOverloaded has a server that was sent too much while cold crash, and start again after a while.
+func (w *Environment) crashOverloaded(s *Server) {
+	w.overloadCrashes.Go(func() {
 		s.Crash()
-		timer := time.NewTimer(fallenFor)
+		timer := time.NewTimer(overloadDowntime)
 		defer timer.Stop()
 		select {
 		case <-w.ctx.Done():
@@ -156,14 +156,14 @@
 // Close ends the servers and the list. Traffic must have ended.
 func (w *Environment) Close() {
 	w.cancel()
-	w.falls.Wait()
+	w.overloadCrashes.Wait()
 	for _, s := range w.Servers {
 		s.Crash()
 	}
-	if w.list != nil {
-		_ = w.list.Close()
+	if w.listServer != nil {
+		_ = w.listServer.Close()
 	}
-	w.wait.Wait()
+	w.background.Wait()
 	if w.links != nil {
 		w.links.close()
 	}
--- a/internal/lab/testcluster/fault_tour.go
+++ b/internal/lab/testcluster/fault_tour.go
@@ -11,21 +11,21 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
-// Tour has troubles happen in turn until ctx ends: those under which every request can still get its answer. tell is told
+// FaultTour has troubles happen in turn until ctx ends: those under which every request can still get its answer. tell is told
 // of each before it begins. The error is that of an order of the operator, or of a process that does not start or end.
-func (r *Run) Tour(ctx context.Context, seed uint64, tell func(string)) error {
+func (r *Run) FaultTour(ctx context.Context, seed uint64, tell func(string)) error {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	troubles := []struct {
 		name string
 		do   func(context.Context, *rand.Rand) error
 	}{
-		{"a keeper is killed and started", r.tourKeeper},
-		{"routes come and go", r.tourRoutes},
-		{"a proxy ends and is started", r.tourProxy},
-		{"a server drains and comes back cold", r.tourServer},
-		{"a zone is evacuated and taken back", r.tourZone},
-		{"two operators send at once", r.tourRace},
-		{"an invalid configuration is sent", r.tourInvalid},
+		{"a keeper is killed and started", r.killAndRestartControlPlane},
+		{"routes come and go", r.addAndRemoveRoute},
+		{"a proxy ends and is started", r.terminateAndRestartProxy},
+		{"a server drains and comes back cold", r.drainAndRestartServer},
+		{"a zone is evacuated and taken back", r.evacuateAndReturnZone},
+		{"two operators send at once", r.raceConfigChanges},
+		{"an invalid configuration is sent", r.sendInvalidConfig},
 	}
 	for i := 0; ; i++ {
 		t := troubles[i%len(troubles)]
@@ -36,66 +36,68 @@
 			}
 			return errors.Wrap(err, t.name)
 		}
-		if err := pause(ctx, time.Second); err != nil {
+		if err := sleep(ctx, time.Second); err != nil {
 			return nil
 		}
 	}
 }
 
-// pause waits; the error is that of ctx.
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits; the error is that of ctx.
+func sleep(ctx context.Context, d time.Duration) error {
 	if !clock.Sleep(ctx, d) {
 		return ctx.Err()
 	}
 	return nil
 }
 
-func (r *Run) tourKeeper(ctx context.Context, rng *rand.Rand) error {
+func (r *Run) killAndRestartControlPlane(ctx context.Context, rng *rand.Rand) error {
 	m := r.Fleet.Disks()[rng.IntN(len(r.Fleet.Disks()))]
 	if err := r.KillControlPlane(m); err != nil {
 		return err
 	}
-	if err := pause(ctx, 2*time.Second); err != nil {
+	if err := sleep(ctx, 2*time.Second); err != nil {
 		return err
 	}
 	return r.StartControlPlane(m)
 }
 
-func (r *Run) nextRevision(rng *rand.Rand) int64 { return r.Scene.Config.Revision + 1 + rng.Int64N(5) }
+func (r *Run) nextRevision(rng *rand.Rand) int64 {
+	return r.Scenario.Config.Revision + 1 + rng.Int64N(5)
+}
 
 func addedRoute() rules.Route {
-	return rules.Route{Name: "added", Host: sceneHost, Prefix: "/added/", Category: "idempotent", Timeout: 2000, Aim: 400, Priority: 2,
-		Target: thumbs, MaxTries: 1, Homes: []string{}}
+	return rules.Route{Name: "added", Host: scenarioHost, Prefix: "/added/", Category: "idempotent", Timeout: 2000, Aim: 400, Priority: 2,
+		Target: thumbService, MaxTries: 1, Homes: []string{}}
 }
 
-// probes asks every proxy for a path.
-func (r *Run) probes(ctx context.Context, path string) {
+// probeAll asks every proxy for a path.
+func (r *Run) probeAll(ctx context.Context, path string) {
 	for _, m := range r.Fleet.Machines {
-		r.Probe(ctx, r.Fleet.Front(m), sceneHost, path)
+		r.Probe(ctx, r.Fleet.Front(m), scenarioHost, path)
 	}
 }
 
-func (r *Run) tourRoutes(ctx context.Context, rng *rand.Rand) error {
+func (r *Run) addAndRemoveRoute(ctx context.Context, rng *rand.Rand) error {
 	if err := r.AddRoute(ctx, r.nextRevision(rng), addedRoute()); err != nil {
 		return err
 	}
-	r.probes(ctx, "/added/1")
-	if err := pause(ctx, r.Scene.Bounds.ConfigApply); err != nil {
+	r.probeAll(ctx, "/added/1")
+	if err := sleep(ctx, r.Scenario.Bounds.ConfigApply); err != nil {
 		return err
 	}
-	r.probes(ctx, "/added/2")
+	r.probeAll(ctx, "/added/2")
 	if err := r.RemoveRoute(ctx, r.nextRevision(rng), "added"); err != nil {
 		return err
 	}
-	r.probes(ctx, "/added/3")
-	if err := pause(ctx, r.Scene.Bounds.ConfigApply); err != nil {
+	r.probeAll(ctx, "/added/3")
+	if err := sleep(ctx, r.Scenario.Bounds.ConfigApply); err != nil {
 		return err
 	}
-	r.probes(ctx, "/added/4")
+	r.probeAll(ctx, "/added/4")
 	return nil
 }
 
-func (r *Run) tourProxy(ctx context.Context, rng *rand.Rand) error {
+func (r *Run) terminateAndRestartProxy(ctx context.Context, rng *rand.Rand) error {
 	m := r.Fleet.Machines[rng.IntN(len(r.Fleet.Machines))]
 	if err := r.TerminateProxy(ctx, m); err != nil {
 		return err
@@ -106,39 +108,39 @@
 	return r.AwaitProxies(ctx, len(r.Fleet.Machines))
 }
 
-func (r *Run) tourServer(ctx context.Context, rng *rand.Rand) error {
+func (r *Run) drainAndRestartServer(ctx context.Context, rng *rand.Rand) error {
 	var some []*Server // that need care when they come back
 	for _, s := range r.Servers {
-		if s.ColdPerSecond > 0 {
+		if s.WarmUpPerSecond > 0 {
 			some = append(some, s)
 		}
 	}
 	s := some[rng.IntN(len(some))]
 	s.Drain()
-	if err := pause(ctx, r.Scene.Bounds.Drain+time.Second); err != nil {
+	if err := sleep(ctx, r.Scenario.Bounds.Drain+time.Second); err != nil {
 		return err
 	}
 	s.Stop()
-	if err := pause(ctx, time.Second); err != nil {
+	if err := sleep(ctx, time.Second); err != nil {
 		return err
 	}
 	return s.Start(true)
 }
 
-func (r *Run) tourZone(ctx context.Context, _ *rand.Rand) error {
+func (r *Run) evacuateAndReturnZone(ctx context.Context, _ *rand.Rand) error {
 	if err := r.Operator.Evacuate(ctx, "north-b", true); err != nil {
 		return err
 	}
-	if err := pause(ctx, r.Scene.Bounds.Evacuate+time.Second); err != nil {
+	if err := sleep(ctx, r.Scenario.Bounds.Evacuate+time.Second); err != nil {
 		return err
 	}
 	return r.Operator.Evacuate(ctx, "north-b", false)
 }
 
-// tourRace has two changes be sent on top of one version: one of them is refused.
-func (r *Run) tourRace(ctx context.Context, rng *rand.Rand) error {
-	base, other := r.Scene.Config.Revision, *r.Operator
-	one, two := *r.Scene.Config, *r.Scene.Config
+// raceConfigChanges has two changes be sent on top of one version: one of them is refused.
+func (r *Run) raceConfigChanges(ctx context.Context, rng *rand.Rand) error {
+	base, other := r.Scenario.Config.Revision, *r.Operator
+	one, two := *r.Scenario.Config, *r.Scenario.Config
 	one.Revision = r.nextRevision(rng)
 	two.Revision = one.Revision + 1
 	two.Limits.Idle += 1000
@@ -148,22 +150,22 @@
 	second := other.Replace(ctx, &two, base)
 	switch won := <-first; {
 	case won == nil && errors.Is(second, ErrRefused):
-		r.Scene.Config = &one
+		r.Scenario.Config = &one
 	case second == nil && errors.Is(won, ErrRefused):
-		r.Scene.Config = &two
+		r.Scenario.Config = &two
 	default:
 		return errors.Newf("of two changes on version %d not one was taken and one refused: %v; %v", base, won, second)
 	}
 	return nil
 }
 
-// tourInvalid sends what must be refused: a route to a service that is not there.
-func (r *Run) tourInvalid(ctx context.Context, rng *rand.Rand) error {
-	bad := *r.Scene.Config
+// sendInvalidConfig sends what must be refused: a route to a service that is not there.
+func (r *Run) sendInvalidConfig(ctx context.Context, rng *rand.Rand) error {
+	bad := *r.Scenario.Config
 	bad.Revision = r.nextRevision(rng)
 	bad.Routes = append(bad.Routes[:len(bad.Routes):len(bad.Routes)], addedRoute())
 	bad.Routes[len(bad.Routes)-1].Target = "nobody"
-	if err := r.Operator.ReplaceInvalid(ctx, &bad, r.Scene.Config.Revision); !errors.Is(err, ErrRefused) {
+	if err := r.Operator.ReplaceInvalid(ctx, &bad, r.Scenario.Config.Revision); !errors.Is(err, ErrRefused) {
 		return errors.Newf("an invalid configuration was not refused: %v", err)
 	}
 	return nil
--- a/internal/lab/testcluster/faulty_proxy_test.go
+++ b/internal/lab/testcluster/faulty_proxy_test.go
@@ -101,7 +101,7 @@
 	c := &crooked{client: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
 	c.front = httptest.NewServer(c)
 	c.keeper = httptest.NewServer(http.HandlerFunc(c.operate))
-	quick := &engine.Spec{Slots: 16, Queue: 16, Memory: 100_000, Stride: 5, Step: 500 * time.Microsecond, PrefillRate: 5000, Chunk: 5000}
+	quick := &engine.Spec{Slots: 16, Queue: 16, MemoryTokens: 100_000, Stride: 5, Step: 500 * time.Microsecond, PrefillRate: 5000, Chunk: 5000}
 	for i := range scene.Servers {
 		s := &scene.Servers[i]
 		if s.Address = "127.0.4.2:0"; s.Engine != nil {
@@ -112,23 +112,23 @@
 		scene.Kinds[i].Out = min(scene.Kinds[i].Out, 30)
 	}
 	w, err := New(Options{Servers: scene.Servers, Kinds: scene.Kinds, Zones: map[string]string{"north-a": "north"}, Bounds: scene.Bounds,
-		Directories: []Directory{{Address: c.front.Listener.Addr().String(), Zone: "north-a", Region: "north"}}, TTLMost: time.Second,
-		Keepers: []string{c.keeper.Listener.Addr().String()}, ListRate: 10, Seed: 1})
+		Directories: []Directory{{Address: c.front.Listener.Addr().String(), Zone: "north-a", Region: "north"}}, MaxTTL: time.Second,
+		ControlAddresses: []string{c.keeper.Listener.Addr().String()}, ListRate: 10, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.w = w
 	c.service = func(path string) *Server {
 		if strings.HasPrefix(path, "/thumb/") {
-			return c.server(thumbs, "north")
+			return c.server(thumbService, "north")
 		}
-		return c.server(llm, "north")
+		return c.server(modelService, "north")
 	}
 	if err := w.Operator.Replace(t.Context(), scene.Config, 0); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		w.traffic.wait.Wait()
+		w.traffic.running.Wait()
 		w.Close()
 		c.client.CloseIdleConnections()
 		c.front.Close()
@@ -141,10 +141,10 @@
 func (c *crooked) play(t *testing.T, n int) []string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
-	e := c.w.traffic.entries[0]
-	c.w.traffic.wait.Go(func() { e.run(ctx) })
+	e := c.w.traffic.pools[0]
+	c.w.traffic.running.Go(func() { e.run(ctx) })
 	select {
-	case <-e.answered:
+	case <-e.resolvedOnce:
 	case <-time.After(10 * time.Second):
 		t.Fatal("the directory does not answer")
 	}
@@ -152,20 +152,20 @@
 	var wait sync.WaitGroup
 	for range n {
 		for _, k := range c.w.traffic.Kinds {
-			wait.Go(c.w.traffic.draw(k, e, rng).play)
+			wait.Go(c.w.traffic.newRequest(k, e, rng).run)
 		}
 	}
 	wait.Wait()
 	cancel()
-	c.w.traffic.wait.Wait()
-	e.end()
+	c.w.traffic.running.Wait()
+	e.closeAll()
 	var err error
 	if c.w.Evidence.Read, err = c.w.Operator.Read(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	var names []string
 	for _, v := range rules.Check(c.w.Evidence) {
-		if v.Broken > 0 {
+		if v.Violations > 0 {
 			names = append(names, v.Rule)
 			t.Log(v)
 		}
@@ -229,7 +229,7 @@
 				_, _ = io.WriteString(conn, "HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				return true
 			}
-			c.service = func(string) *Server { return c.server(thumbs, "north") }
+			c.service = func(string) *Server { return c.server(thumbService, "north") }
 			c.w.traffic.Kinds = c.w.traffic.Kinds[2:]
 		}},
 		{"changes a request", "UNASKED", func(_ *testing.T, c *crooked) {
@@ -255,20 +255,20 @@
 			}
 		}},
 		{"sends to another service", "ROUTE CONFIG", func(_ *testing.T, c *crooked) {
-			c.service = func(string) *Server { return c.server(llm, "north") }
+			c.service = func(string) *Server { return c.server(modelService, "north") }
 		}},
 		{"sends abroad", "HOME", func(_ *testing.T, c *crooked) {
 			c.service = func(path string) *Server {
 				if strings.HasPrefix(path, "/thumb/") {
-					return c.server(thumbs, "south")
+					return c.server(thumbService, "south")
 				}
-				return c.server(llm, "south")
+				return c.server(modelService, "south")
 			}
 		}},
 		{"drops an event", "ORDER", func(_ *testing.T, c *crooked) { c.answer = without(func(i, _ int) bool { return i == 1 }) }},
 		{"ends a stream early", "ORDER", func(_ *testing.T, c *crooked) { c.answer = without(func(i, n int) bool { return i == n-1 }) }},
 		{"sends to a draining server", "DRAIN", func(_ *testing.T, c *crooked) {
-			c.server(llm, "north").Drain()
+			c.server(modelService, "north").Drain()
 			c.w.Platform.Observe()
 		}},
 		{"sends to an evacuated zone", "EVAC", func(t *testing.T, c *crooked) {
@@ -277,15 +277,15 @@
 			}
 		}},
 		{"floods a cold server", "FAILBACK", func(t *testing.T, c *crooked) {
-			s := c.server(llm, "north")
+			s := c.server(modelService, "north")
 			s.Stop()
-			s.ColdFor, s.ColdPerSecond, s.ColdFall = time.Hour, 2, 100
+			s.WarmUp, s.WarmUpPerSecond, s.WarmUpCrashFactor = time.Hour, 2, 100
 			if err := s.Start(true); err != nil {
 				t.Error(err)
 			}
 		}},
 		{"cuts at its end", "LOST", func(_ *testing.T, c *crooked) {
-			c.w.Evidence.Trouble(rules.Trouble{Proxy: c.front.Listener.Addr().String(), Kind: "term", At: c.w.Now()})
+			c.w.Evidence.RecordFault(rules.Fault{Proxy: c.front.Listener.Addr().String(), Kind: "term", At: c.w.Now()})
 			c.answer = func(http.ResponseWriter, *http.Response) bool { panic(http.ErrAbortHandler) }
 		}},
 		{"loses the configuration", "CONFIG", func(_ *testing.T, c *crooked) {
--- a/internal/lab/testcluster/fleet.go
+++ b/internal/lab/testcluster/fleet.go
@@ -27,33 +27,33 @@
 
 // Ports are the same on all machines.
 type Ports struct {
-	First, Last                            int // of the system's own traffic
-	Front, Readiness, Control, DirectoryAt int
+	First, Last                          int // of the system's own traffic
+	Front, Readiness, Control, Directory int
 }
 
 const (
-	portsOfSystem = 16
-	portsInAll    = portsOfSystem + 4
-	lowestPort    = 20000 // below those that the kernel gives out
-	highestPort   = 32000
-	portTries     = 200
+	systemPorts     = 16
+	totalPorts      = systemPorts + 4
+	minPort         = 20000 // below those that the kernel gives out
+	maxPort         = 32000
+	maxPortAttempts = 200
 )
 
 // FreePorts finds ports that are free on all machines.
 func FreePorts(machines []Machine) (Ports, error) {
-	for range portTries {
-		first := lowestPort + rand.IntN(highestPort-lowestPort-portsInAll)
-		if free(machines, first) {
-			next := first + portsOfSystem
-			return Ports{First: first, Last: next - 1, Front: next, Readiness: next + 1, Control: next + 2, DirectoryAt: next + 3}, nil
+	for range maxPortAttempts {
+		first := minPort + rand.IntN(maxPort-minPort-totalPorts)
+		if portsFree(machines, first) {
+			next := first + systemPorts
+			return Ports{First: first, Last: next - 1, Front: next, Readiness: next + 1, Control: next + 2, Directory: next + 3}, nil
 		}
 	}
-	return Ports{}, errors.Newf("no %d ports in a row are free on all machines from %d to %d: end other runs", portsInAll, lowestPort, highestPort)
+	return Ports{}, errors.Newf("no %d ports in a row are free on all machines from %d to %d: end other runs", totalPorts, minPort, maxPort)
 }
 
-func free(machines []Machine, first int) bool {
+func portsFree(machines []Machine, first int) bool {
 	for _, m := range machines {
-		for port := first; port < first+portsInAll; port++ {
+		for port := first; port < first+totalPorts; port++ {
 			at := net.JoinHostPort(m.IP, strconv.Itoa(port))
 			l, err := net.Listen("tcp4", at)
 			if err != nil {
@@ -72,20 +72,20 @@
 
 // Fleet is the system's processes: a proxy and a keeper on every machine.
 type Fleet struct {
-	Machines []Machine
-	Ports    Ports
-	Proxy    string // program
-	Keeper   string
-	Folder   string // for settings, disks and logs
-	List     string // address of the platform's list
-	Bounds   rules.Bounds
-	Rate     float64 // calls a second that the list answers
-	Links    *Links  // between processes; nil: they call each other straight
+	Machines     []Machine
+	Ports        Ports
+	Proxy        string // program
+	ControlPlane string
+	Folder       string // for settings, disks and logs
+	ListAddress  string // address of the platform's list
+	Bounds       rules.Bounds
+	Rate         float64 // calls a second that the list answers
+	Links        *Links  // between processes; nil: they call each other straight
 
-	lists   map[string]string // addresses of the list by the process that calls it; List where there is none
-	starter *proc.Starter
-	mu      sync.Mutex
-	running map[string]*proc.Process
+	listAddresses map[string]string // addresses of the list by the process that calls it; List where there is none
+	starter       *proc.Starter
+	mu            sync.Mutex
+	running       map[string]*proc.Process
 }
 
 func (f *Fleet) process(name string) *proc.Process {
@@ -101,13 +101,15 @@
 	return maps.Clone(f.running)
 }
 
-func (f *Fleet) at(m Machine, port int) string { return net.JoinHostPort(m.IP, strconv.Itoa(port)) }
+func (f *Fleet) address(m Machine, port int) string {
+	return net.JoinHostPort(m.IP, strconv.Itoa(port))
+}
 
 // Front is the address at which clients reach a machine.
-func (f *Fleet) Front(m Machine) string { return f.at(m, f.Ports.Front) }
+func (f *Fleet) Front(m Machine) string { return f.address(m, f.Ports.Front) }
 
 // Control is where the operator reaches the keeper of a machine.
-func (f *Fleet) Control(m Machine) string { return f.at(m, f.Ports.Control) }
+func (f *Fleet) Control(m Machine) string { return f.address(m, f.Ports.Control) }
 
 // ControlPlaneAddresses are the control addresses, also of observers.
 func (f *Fleet) ControlPlaneAddresses() []string {
@@ -133,7 +135,7 @@
 func (f *Fleet) Directories() []Directory {
 	var all []Directory
 	for _, m := range f.Machines {
-		all = append(all, Directory{f.at(m, f.Ports.DirectoryAt), m.Zone, m.Region})
+		all = append(all, Directory{f.address(m, f.Ports.Directory), m.Zone, m.Region})
 	}
 	return all
 }
@@ -142,7 +144,7 @@
 func (f *Fleet) Readiness() []string {
 	var all []string
 	for _, m := range f.Machines {
-		all = append(all, f.at(m, f.Ports.Readiness))
+		all = append(all, f.address(m, f.Ports.Readiness))
 	}
 	return all
 }
@@ -172,7 +174,7 @@
 
 // StartControlPlane starts the keeper of a machine.
 func (f *Fleet) StartControlPlane(m Machine, first bool) error {
-	return f.start(m, ControlPlaneName(m), f.Keeper, first, `serves = ["control"]`)
+	return f.start(m, ControlPlaneName(m), f.ControlPlane, first, `serves = ["control"]`)
 }
 
 // StartProxy starts the proxy of a machine.
@@ -254,8 +256,8 @@
 	}
 	b := f.Bounds
 	firstPort, lastPort := f.portsOf(name)
-	list := f.List
-	if at, ok := f.lists[name]; ok {
+	list := f.ListAddress
+	if at, ok := f.listAddresses[name]; ok {
 		list = at
 	}
 	return fmt.Sprintf(`node_name = %q
@@ -319,7 +321,7 @@
 duties = []
 lag_ms = 800
 `, name, strings.SplitN(name, "-", 2)[0], serves, m.IP, m.Zone, m.Region, firstPort, lastPort, strings.Join(seeds, ","), first, m.Disk,
-		disk, strings.Join(zones, "\n"), f.Front(m), f.at(m, f.Ports.Readiness), f.Control(m), f.at(m, f.Ports.DirectoryAt),
+		disk, strings.Join(zones, "\n"), f.Front(m), f.address(m, f.Ports.Readiness), f.Control(m), f.address(m, f.Ports.Directory),
 		b.Contact.Milliseconds(), b.Drain.Milliseconds(), b.Grace.Seconds(), b.LossSlack.Milliseconds(), b.ConfigApply.Milliseconds(),
 		b.RevertSlack.Milliseconds(), b.Stretch.Milliseconds(), b.RetryRatio, b.RetryWindow.Seconds(), b.RetrySlack, b.ColdExcess, b.ColdSlack,
 		b.Evacuate.Milliseconds(), list, f.Rate)
@@ -328,17 +330,17 @@
 // portsOf are the first and the last port that a process has for the system's own traffic.
 func (f *Fleet) portsOf(name string) (first, last int) {
 	if f.Links != nil {
-		for _, e := range f.ends() {
+		for _, e := range f.endpoints() {
 			if e.name == name {
-				return e.first, e.first + portsOfProcess - 1
+				return e.firstPort, e.firstPort + portsPerProcess - 1
 			}
 		}
 	}
 	return f.Ports.First, f.Ports.Last
 }
 
-// Inner is where a machine's proxy answers the system's own calls, and its staff.
-func (f *Fleet) Inner(m Machine) string {
+// Internal is where a machine's proxy answers the system's own calls, and its staff.
+func (f *Fleet) Internal(m Machine) string {
 	first, _ := f.portsOf(ProxyName(m))
-	return f.at(m, first+1)
+	return f.address(m, first+1)
 }
--- a/internal/lab/testcluster/links.go
+++ b/internal/lab/testcluster/links.go
@@ -39,35 +39,35 @@
 
 	senders sync.Map // front addresses of proxies by the ids of the requests that clients sent there
 	mu      sync.Mutex
-	wires   map[Path]*wire
+	active  map[Path]*activeLink
 	next    int
 	closers []func()
 }
 
-// wire is a link with what lies on it now.
-type wire struct {
-	link     *link.Link
-	base     link.State
-	troubles map[int]link.State
+// activeLink is a link with what lies on it now.
+type activeLink struct {
+	link   *link.Link
+	base   link.State
+	faults map[int]link.State
 }
 
 // NewLinks gives links with a delay, one way, between regions.
 func NewLinks(delay, jitter time.Duration) *Links {
-	return &Links{Delay: delay, Jitter: jitter, wires: map[Path]*wire{}}
+	return &Links{Delay: delay, Jitter: jitter, active: map[Path]*activeLink{}}
 }
 
-// at gives the link of a path, with the delay of its length where it is new.
-func (n *Links) at(p Path, far bool) *link.Link {
+// linkFor gives the link of a path, with the delay of its length where it is new.
+func (n *Links) linkFor(p Path, far bool) *link.Link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	w := n.wires[p]
+	w := n.active[p]
 	if w == nil {
-		w = &wire{link: link.New(), troubles: map[int]link.State{}}
+		w = &activeLink{link: link.New(), faults: map[int]link.State{}}
 		if far {
 			w.base = link.State{Delay: n.Delay, Jitter: n.Jitter}
 		}
 		w.link.Set(w.base)
-		n.wires[p] = w
+		n.active[p] = w
 	}
 	return w.link
 }
@@ -78,11 +78,11 @@
 	defer n.mu.Unlock()
 	n.next++
 	id := n.next
-	var some []*wire
-	for p, w := range n.wires {
+	var some []*activeLink
+	for p, w := range n.active {
 		if pick(p) {
-			w.troubles[id] = s
-			w.settle()
+			w.faults[id] = s
+			w.apply()
 			some = append(some, w)
 		}
 	}
@@ -90,16 +90,16 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		for _, w := range some {
-			delete(w.troubles, id)
-			w.settle()
+			delete(w.faults, id)
+			w.apply()
 		}
 	}
 }
 
-// settle gives the link the sum of what lies on it.
-func (w *wire) settle() {
+// apply gives the link the sum of what lies on it.
+func (w *activeLink) apply() {
 	s := w.base
-	for _, t := range w.troubles {
+	for _, t := range w.faults {
 		s.Hold[link.ToFar] = s.Hold[link.ToFar] || t.Hold[link.ToFar]
 		s.Hold[link.ToNear] = s.Hold[link.ToNear] || t.Hold[link.ToNear]
 		s.Delay += t.Delay
@@ -111,19 +111,19 @@
 // endpoint is a process of the fleet as its links see it.
 type endpoint struct {
 	Machine
-	name   string
-	keeper bool
-	first  int // port
+	name         string
+	controlPlane bool
+	firstPort    int // port
 }
 
-const portsOfProcess = 2 // the system's own traffic to keepers, and to proxies
+const portsPerProcess = 2 // the system's own traffic to keepers, and to proxies
 
-// ends are the processes of a fleet, each with ports of its own.
-func (f *Fleet) ends() []endpoint {
+// endpoints are the processes of a fleet, each with ports of its own.
+func (f *Fleet) endpoints() []endpoint {
 	var all []endpoint
 	for _, m := range f.Machines {
 		for _, keeper := range []bool{true, false} {
-			e := endpoint{Machine: m, name: ProxyName(m), keeper: keeper, first: f.Ports.First + portsOfProcess*len(all)}
+			e := endpoint{Machine: m, name: ProxyName(m), controlPlane: keeper, firstPort: f.Ports.First + portsPerProcess*len(all)}
 			if keeper {
 				e.name = ControlPlaneName(m)
 			}
@@ -136,19 +136,19 @@
 // connect puts relays between all processes of a fleet, and between them and the list.
 func (n *Links) connect(f *Fleet, list string) (lists map[string]string, err error) {
 	lists = map[string]string{}
-	for _, from := range f.ends() {
-		if from.first+portsOfProcess-1 > f.Ports.Last {
+	for _, from := range f.endpoints() {
+		if from.firstPort+portsPerProcess-1 > f.Ports.Last {
 			return nil, errors.Newf("the ports up to %d are too few for links between %d machines", f.Ports.Last, len(f.Machines))
 		}
-		if from.keeper {
+		if from.controlPlane {
 			r, err := n.relay(Path{from.name, ListEnd}, net.JoinHostPort(from.IP, "0"), list, true)
 			if err != nil {
 				return nil, err
 			}
 			lists[from.name] = r.listener.Addr().String()
 		}
-		for _, to := range f.ends() {
-			if err := n.join(from, to); err != nil {
+		for _, to := range f.endpoints() {
+			if err := n.connectPair(from, to); err != nil {
 				return nil, err
 			}
 		}
@@ -156,38 +156,38 @@
 	return lists, nil
 }
 
-// join puts relays between two processes: everybody calls keepers, and proxies call each other.
-func (n *Links) join(from, to endpoint) error {
-	if from.name == to.name || from.keeper && !to.keeper {
+// connectPair puts relays between two processes: everybody calls keepers, and proxies call each other.
+func (n *Links) connectPair(from, to endpoint) error {
+	if from.name == to.name || from.controlPlane && !to.controlPlane {
 		return nil
 	}
 	offset := 0
-	if !to.keeper {
+	if !to.controlPlane {
 		offset = 1
 	}
 	p, far := Path{from.name, to.name}, from.Region != to.Region
-	at, on := net.JoinHostPort(to.IP, strconv.Itoa(from.first+offset)), net.JoinHostPort(to.IP, strconv.Itoa(to.first+offset))
-	if _, err := n.relay(p, at, on, far); err != nil || to.keeper {
+	at, on := net.JoinHostPort(to.IP, strconv.Itoa(from.firstPort+offset)), net.JoinHostPort(to.IP, strconv.Itoa(to.firstPort+offset))
+	if _, err := n.relay(p, at, on, far); err != nil || to.controlPlane {
 		return err
 	}
-	packets, err := newPackets(at, on, n.at(p, far))
+	packets, err := newPacketRelay(at, on, n.linkFor(p, far))
 	if err != nil {
 		return errors.Wrapf(err, "no packets can be led on at %s", at)
 	}
-	n.add(packets.close)
+	n.addCloser(packets.close)
 	return nil
 }
 
 func (n *Links) relay(p Path, at, to string, far bool) (*relay, error) {
-	r, err := newRelay(at, to, n.at(p, far))
+	r, err := newRelay(at, to, n.linkFor(p, far))
 	if err != nil {
 		return nil, errors.Wrapf(err, "no connections can be led on at %s", at)
 	}
-	n.add(r.close)
+	n.addCloser(r.close)
 	return r, nil
 }
 
-func (n *Links) add(closer func()) {
+func (n *Links) addCloser(closer func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.closers = append(n.closers, closer)
--- a/internal/lab/testcluster/links_test.go
+++ b/internal/lab/testcluster/links_test.go
@@ -155,7 +155,7 @@
 	}
 	defer to.Close()
 	over := link.New()
-	p, err := newPackets("127.0.0.1:0", to.LocalAddr().String(), over)
+	p, err := newPacketRelay("127.0.0.1:0", to.LocalAddr().String(), over)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -186,7 +186,7 @@
 // TestLinksAddTroubles: what lies on a link is the sum of its length and of all troubles, and goes with each.
 func TestLinksAddTroubles(t *testing.T) {
 	n := NewLinks(30*time.Millisecond, time.Millisecond)
-	near, far := n.at(Path{"a", "b"}, false), n.at(Path{"a", "c"}, true)
+	near, far := n.linkFor(Path{"a", "b"}, false), n.linkFor(Path{"a", "c"}, true)
 	all := func(Path) bool { return true }
 	is := func(what string, l *link.Link, want link.State) {
 		t.Helper()
@@ -223,11 +223,11 @@
 		t.Fatal(err)
 	}
 	machines := len(scene.Machines)
-	if want := machines + machines*(2*machines-1) + machines*(machines-1); len(n.wires) != want || len(lists) != machines {
-		t.Errorf("%d paths, want %d; %d lists", len(n.wires), want, len(lists))
+	if want := machines + machines*(2*machines-1) + machines*(machines-1); len(n.active) != want || len(lists) != machines {
+		t.Errorf("%d paths, want %d; %d lists", len(n.active), want, len(lists))
 	}
 	seen := map[int]bool{}
-	for _, e := range f.ends() {
+	for _, e := range f.endpoints() {
 		if first, last := f.portsOf(e.name); seen[first] || first < ports.First || last > ports.Last || last < first {
 			t.Errorf("%s has ports %d to %d of %+v", e.name, first, last, ports)
 		} else {
--- a/internal/lab/testcluster/list.go
+++ b/internal/lab/testcluster/list.go
@@ -23,37 +23,37 @@
 
 // Instance is an entry of the platform's list.
 type Instance struct {
-	Target   string        `json:"target"`
-	Address  string        `json:"address"`
-	Zone     string        `json:"zone"`
-	Revision string        `json:"revision"`
-	Slots    int           `json:"slots"`
-	Phase    string        `json:"phase"`
-	ColdLeft int64         `json:"cold_left_ms"`
-	Left     *int64        `json:"remaining_ms,omitempty"`
-	Stage    string        `json:"stage,omitempty"`
-	Models   []listedModel `json:"models,omitempty"`
-	ID       string        `json:"id"`
-
-	coldTill time.Duration // from which ColdLeft is told when an answer is made
+	Target       string        `json:"target"`
+	Address      string        `json:"address"`
+	Zone         string        `json:"zone"`
+	Revision     string        `json:"revision"`
+	Slots        int           `json:"slots"`
+	Phase        string        `json:"phase"`
+	WarmUpLeftMS int64         `json:"cold_left_ms"`
+	RemainingMS  *int64        `json:"remaining_ms,omitempty"`
+	Stage        string        `json:"stage,omitempty"`
+	Models       []listedModel `json:"models,omitempty"`
+	ID           string        `json:"id"`
+
+	warmUntil time.Duration // from which ColdLeft is told when an answer is made
 }
 
 // Platform is the stand-in of the platform's list: PROTOCOL.md "Service discovery".
 type Platform struct {
-	Lag       time.Duration // by which what it shows is old
-	Rate      float64       // calls a second that it answers
-	Page      int           // entries of a page
-	CrashedIs time.Duration // how long a crashed server is still shown
+	Lag              time.Duration // by which what it shows is old
+	Rate             float64       // calls a second that it answers
+	Page             int           // entries of a page
+	CrashedListedFor time.Duration // how long a crashed server is still shown
 
 	now      func() time.Duration
 	servers  func() []Instance // as things stand
 	evidence *rules.Evidence
 
-	mu    sync.Mutex
-	past  []snapshot // the first is what is shown
-	calls []time.Duration
-	total int
-	over  int
+	mu            sync.Mutex
+	snapshots     []snapshot // the first is what is shown
+	calls         []time.Duration
+	totalCalls    int
+	rejectedCalls int
 }
 
 type snapshot struct {
@@ -66,18 +66,18 @@
 	now, instances := p.now(), p.servers()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.past = append(p.past, snapshot{now, instances})
-	p.settle(now)
+	p.snapshots = append(p.snapshots, snapshot{now, instances})
+	p.dropStale(now)
 }
 
-// settle drops what is older than what is shown.
-func (p *Platform) settle(now time.Duration) {
-	for len(p.past) > 1 && p.past[1].at <= now-p.Lag {
-		p.past = p.past[1:]
+// dropStale drops what is older than what is shown.
+func (p *Platform) dropStale(now time.Duration) {
+	for len(p.snapshots) > 1 && p.snapshots[1].at <= now-p.Lag {
+		p.snapshots = p.snapshots[1:]
 	}
-	for _, i := range p.past[0].instances {
-		if i.Phase == draining && p.past[0].at <= now-p.Lag {
-			p.evidence.Shown(i.ID, now)
+	for _, i := range p.snapshots[0].instances {
+		if i.Phase == draining && p.snapshots[0].at <= now-p.Lag {
+			p.evidence.RecordDraining(i.ID, now)
 		}
 	}
 }
@@ -96,26 +96,26 @@
 	for p.calls[0] <= now-time.Second {
 		p.calls = p.calls[1:]
 	}
-	p.total++
+	p.totalCalls++
 	if float64(len(p.calls)) > p.Rate {
-		p.over++
+		p.rejectedCalls++
 		p.mu.Unlock()
 		w.Header().Set("Retry-After", "1")
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
-	if len(p.past) == 0 {
+	if len(p.snapshots) == 0 {
 		p.mu.Unlock()
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	p.settle(now)
-	shown := p.past[0].instances
+	p.dropStale(now)
+	shown := p.snapshots[0].instances
 	p.mu.Unlock()
 	page, next := p.page(shown, r.URL.Query().Get("zone"), r.URL.Query().Get("page_token"))
 	page = slices.Clone(page) // what is shown stays
 	for i := range page {
-		page[i].ColdLeft = max(0, page[i].coldTill-now).Milliseconds()
+		page[i].WarmUpLeftMS = max(0, page[i].warmUntil-now).Milliseconds()
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(struct { // to a caller that has gone
@@ -146,28 +146,28 @@
 func (p *Platform) Calls() (total, over int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.total, p.over
+	return p.totalCalls, p.rejectedCalls
 }
 
 // instance is how a server stands; false: it is not listed.
 func (s *Server) instance(crashedIs time.Duration) (Instance, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.w.Now()
+	now := s.env.Now()
 	switch {
-	case s.id == "" || s.goneAt != rules.Never:
+	case s.id == "" || s.stoppedAt != rules.Never:
 		return Instance{}, false
-	case s.crashed != rules.Never && now-s.crashed > crashedIs:
+	case s.crashedAt != rules.Never && now-s.crashedAt > crashedIs:
 		return Instance{}, false
 	}
 	i := Instance{Target: s.Service, Address: s.address, Zone: s.Zone, Revision: "v1", Slots: s.slots(), Phase: "serving",
-		ID: s.id, coldTill: s.coldTill}
+		ID: s.id, warmUntil: s.warmUntil}
 	if s.draining {
 		i.Phase = draining
 	}
-	if s.leavesAt != rules.Never {
-		left := max(0, s.leavesAt-now).Milliseconds()
-		i.Left = &left
+	if s.withdrawAt != rules.Never {
+		left := max(0, s.withdrawAt-now).Milliseconds()
+		i.RemainingMS = &left
 	}
 	if s.Engine != nil {
 		i.Stage, i.Models = "both", models()
--- a/internal/lab/testcluster/list_test.go
+++ b/internal/lab/testcluster/list_test.go
@@ -80,12 +80,12 @@
 		if err := json.Unmarshal(w.Body.Bytes(), &page); err != nil || len(page.Instances) != 1 {
 			t.Fatalf("%s: %v", w.Body.String(), err)
 		}
-		return page.Instances[0].ColdLeft
+		return page.Instances[0].WarmUpLeftMS
 	}
 	p.stand = []Instance{{ID: "i"}}
 	p.Observe()
 	p.at = time.Second
-	p.stand = []Instance{{ID: "i", coldTill: 4 * time.Second}}
+	p.stand = []Instance{{ID: "i", warmUntil: 4 * time.Second}}
 	p.Observe()
 	for _, c := range []struct {
 		at   time.Duration
--- a/internal/lab/testcluster/operator.go
+++ b/internal/lab/testcluster/operator.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	callWithin  = time.Second // of silence, after which the operator moves on
-	firstWait   = 50 * time.Millisecond
-	mostWait    = time.Second
-	mostHops    = 2 // that a call follows 307
-	mostRefused = 3 // other 4xx
+	callTimeout     = time.Second // of silence, after which the operator moves on
+	initialBackoff  = 50 * time.Millisecond
+	maxBackoff      = time.Second
+	maxRedirects    = 2 // that a call follows 307
+	maxClientErrors = 3 // other 4xx
 )
 
 var errAnswerLost = errors.New("the answer was lost on its way")
@@ -29,7 +29,7 @@
 
 // Operator is the stand-in operator: PROTOCOL.md "The operator's API". It makes one call at a time, Status apart.
 type Operator struct {
-	Keepers []string // control addresses, in the order in which they are tried
+	ControlAddresses []string // control addresses, in the order in which they are tried
 	// LoseAnswer tells whether an answer that has come counts as lost on its way; nil: none does.
 	LoseAnswer func() bool
 
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	return o.order(ctx, "/Config.Replace", body, &rules.Change{Config: c, Base: base})
+	return o.submit(ctx, "/Config.Replace", body, &rules.Change{Config: c, Base: base})
 }
 
 // ReplaceInvalid sends a configuration that must be refused.
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	return o.order(ctx, "/Config.Replace", body, &rules.Change{Config: c, Base: base, Invalid: true})
+	return o.submit(ctx, "/Config.Replace", body, &rules.Change{Config: c, Base: base, Invalid: true})
 }
 
 // Amend adds, replaces and removes routes. after is the whole configuration that comes of it.
@@ -64,7 +64,7 @@
 	if err != nil {
 		return err
 	}
-	return o.order(ctx, "/Config.Amend", body, &rules.Change{Config: after, Base: base})
+	return o.submit(ctx, "/Config.Amend", body, &rules.Change{Config: after, Base: base})
 }
 
 // Evacuate asks that a zone's servers get nothing more; start false: it takes that back.
@@ -73,7 +73,7 @@
 	if start {
 		path = "/Evacuation.Start/" + zone
 	}
-	return o.order(ctx, path, nil, &rules.Change{Zone: zone, Start: start})
+	return o.submit(ctx, path, nil, &rules.Change{Zone: zone, Start: start})
 }
 
 // Read gives the newest configuration.
@@ -90,23 +90,23 @@
 	if err := json.Unmarshal(body, c); err != nil {
 		return nil, err
 	}
-	o.evidence.Reading(rules.Reading{Sent: sent, Revision: c.Revision})
+	o.evidence.RecordReading(rules.Reading{Sent: sent, Revision: c.Revision})
 	return c, nil
 }
 
-// order sends a change and records what came of it.
-func (o *Operator) order(ctx context.Context, path string, body []byte, c *rules.Change) error {
-	c.Sent, c.Acked, c.Ended = o.now(), rules.Never, rules.Never
-	o.evidence.Change(c)
+// submit sends a change and records what came of it.
+func (o *Operator) submit(ctx context.Context, path string, body []byte, c *rules.Change) error {
+	c.Sent, c.AcknowledgedAt, c.Ended = o.now(), rules.Never, rules.Never
+	o.evidence.RecordChange(c)
 	base := c.Base
 	if c.Config == nil {
 		base = -1
 	}
 	status, answer, err := o.call(ctx, http.MethodPost, path, body, base)
-	o.evidence.Note(func() {
+	o.evidence.Update(func() {
 		c.Ended, c.Status = o.now(), status
 		if status >= 200 && status < 300 {
-			c.Acked = c.Ended
+			c.AcknowledgedAt = c.Ended
 		}
 	})
 	switch {
@@ -120,10 +120,10 @@
 
 // call asks one keeper after the other, with growing backoff, until there is a clear answer or ctx ends.
 func (o *Operator) call(ctx context.Context, method, path string, body []byte, base int64) (int, []byte, error) {
-	wait, refused := firstWait, 0
+	wait, refused := initialBackoff, 0
 	for {
-		at := o.Keepers[o.next%len(o.Keepers)]
-		status, answer, err := o.once(ctx, method, "http://"+at+path, body, base)
+		at := o.ControlAddresses[o.next%len(o.ControlAddresses)]
+		status, answer, err := o.callOnce(ctx, method, "http://"+at+path, body, base)
 		switch {
 		case err != nil, status >= 500, status == http.StatusRequestTimeout, status == http.StatusTooManyRequests:
 			o.next++
@@ -132,7 +132,7 @@
 		case status == 400, status == 409, status == 412, status == 413, status == 422:
 			return status, answer, nil
 		default:
-			if refused++; refused >= mostRefused {
+			if refused++; refused >= maxClientErrors {
 				return status, answer, nil
 			}
 		}
@@ -143,13 +143,13 @@
 			return 0, nil, errors.Wrapf(ctx.Err(), "no clear answer to %s came in time (last: %d, %v): look at the keepers' logs", path, status, err)
 		case <-timer.C:
 		}
-		wait = min(2*wait, mostWait)
+		wait = min(2*wait, maxBackoff)
 	}
 }
 
-// once makes one call and follows 307 twice.
-func (o *Operator) once(ctx context.Context, method, url string, body []byte, base int64) (int, []byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+// callOnce makes one call and follows 307 twice.
+func (o *Operator) callOnce(ctx context.Context, method, url string, body []byte, base int64) (int, []byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	for hop := 0; ; hop++ {
 		req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
@@ -164,7 +164,7 @@
 		if err != nil {
 			return 0, nil, err
 		}
-		answer, err := io.ReadAll(io.LimitReader(resp.Body, mostBody))
+		answer, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
 		_ = resp.Body.Close()
 		if err != nil {
 			return 0, nil, err
@@ -172,7 +172,7 @@
 		if o.LoseAnswer != nil && o.LoseAnswer() {
 			return 0, nil, errAnswerLost
 		}
-		if resp.StatusCode != http.StatusTemporaryRedirect || hop >= mostHops {
+		if resp.StatusCode != http.StatusTemporaryRedirect || hop >= maxRedirects {
 			return resp.StatusCode, answer, nil
 		}
 		url = resp.Header.Get("Location")
@@ -195,8 +195,8 @@
 // Status is that of the most recent view among the keepers; nil: none answers.
 func (o *Operator) Status(ctx context.Context) *NodeStatus {
 	var best *NodeStatus
-	for _, at := range o.Keepers {
-		status, body, err := o.once(ctx, http.MethodGet, "http://"+at+"/status", nil, -1)
+	for _, at := range o.ControlAddresses {
+		status, body, err := o.callOnce(ctx, http.MethodGet, "http://"+at+"/status", nil, -1)
 		s := &NodeStatus{}
 		if err != nil || status != http.StatusOK || json.Unmarshal(body, s) != nil {
 			continue
--- a/internal/lab/testcluster/operator_test.go
+++ b/internal/lab/testcluster/operator_test.go
@@ -67,7 +67,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				start := time.Now()
 				s := &script{answers: c.answers}
-				o := &Operator{Keepers: []string{"k1", "k2", "k3"}, evidence: &rules.Evidence{}, now: func() time.Duration { return time.Since(start) },
+				o := &Operator{ControlAddresses: []string{"k1", "k2", "k3"}, evidence: &rules.Evidence{}, now: func() time.Duration { return time.Since(start) },
 					http: &http.Client{Transport: s, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 				ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 				defer cancel()
@@ -76,7 +76,7 @@
 					t.Errorf("error: %v", err)
 				}
 				change := o.evidence.Changes[0]
-				if change.Status != c.status || change.Acked != rules.Never != (c.status == 200) || time.Since(start) < c.least {
+				if change.Status != c.status || change.AcknowledgedAt != rules.Never != (c.status == 200) || time.Since(start) < c.least {
 					t.Errorf("%+v after %v", change, time.Since(start))
 				}
 				if len(s.calls) != c.calls || s.calls[0] != "POST k1/Config.Replace base 0" {
@@ -91,7 +91,7 @@
 func TestOperatorLosesAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, lost := &script{answers: []string{"200"}}, 0
-		o := &Operator{Keepers: []string{"k1", "k2"}, evidence: &rules.Evidence{}, now: func() time.Duration { return 0 }, http: &http.Client{Transport: s},
+		o := &Operator{ControlAddresses: []string{"k1", "k2"}, evidence: &rules.Evidence{}, now: func() time.Duration { return 0 }, http: &http.Client{Transport: s},
 			LoseAnswer: func() bool { lost++; return lost < 3 }}
 		if err := o.Replace(t.Context(), &rules.Config{Revision: 3}, 2); err != nil {
 			t.Fatal(err)
@@ -106,7 +106,7 @@
 func TestOperatorReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
-		o := &Operator{Keepers: []string{"k1"}, evidence: &rules.Evidence{}, now: func() time.Duration { return time.Since(start) },
+		o := &Operator{ControlAddresses: []string{"k1"}, evidence: &rules.Evidence{}, now: func() time.Duration { return time.Since(start) },
 			http: &http.Client{Transport: &script{answers: []string{"503", "200"}}}}
 		if _, err := o.Read(t.Context()); err != nil {
 			t.Fatal(err)
@@ -121,7 +121,7 @@
 func TestOperatorMovesOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &script{answers: []string{"503", "503", "503", "200"}}
-		o := &Operator{Keepers: []string{"k1", "k2", "k3"}, evidence: &rules.Evidence{}, now: func() time.Duration { return 0 }, http: &http.Client{Transport: s}}
+		o := &Operator{ControlAddresses: []string{"k1", "k2", "k3"}, evidence: &rules.Evidence{}, now: func() time.Duration { return 0 }, http: &http.Client{Transport: s}}
 		if err := o.Evacuate(t.Context(), "north-a", true); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/testcluster/probe.go
+++ b/internal/lab/testcluster/probe.go
@@ -12,17 +12,17 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
-const probeWithin = 2 * time.Second
+const probeTimeout = 2 * time.Second
 
 // Probe sends one request straight to a proxy, on a connection of its own, to see which configuration is in force there.
-func (w *Environment) Probe(ctx context.Context, proxy, host, path string) *rules.Try {
-	t := &rules.Try{ID: fmt.Sprintf("%016x", rand.Uint64()), Host: host, Method: http.MethodPost, Path: path, Body: xxhash.Sum64String(""),
+func (w *Environment) Probe(ctx context.Context, proxy, host, path string) *rules.Attempt {
+	t := &rules.Attempt{ID: fmt.Sprintf("%016x", rand.Uint64()), Host: host, Method: http.MethodPost, Path: path, Body: xxhash.Sum64String(""),
 		Proxy: proxy, Probe: true, Sent: w.Now()}
 	defer func() {
 		t.Ended = w.Now()
-		w.Evidence.Try(t)
+		w.Evidence.RecordAttempt(t)
 	}()
-	ctx, cancel := context.WithTimeout(ctx, probeWithin)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	c, err := dial(ctx, proxy)
 	if err != nil {
@@ -30,16 +30,16 @@
 		return t
 	}
 	defer c.tcp.Close()
-	w.links.sent(t.ID, proxy)
+	w.links.recordSender(t.ID, proxy)
 	until, _ := ctx.Deadline()
-	c.exchange(&send{try: t, deadline: until, headers: [][2]string{
-		{"X-Time-Left-Ms", fmt.Sprint(probeWithin.Milliseconds())}, {"X-Model", "m"}, {"X-Token-Count", "10,5"},
+	c.exchange(&attemptSpec{attempt: t, deadline: until, headers: [][2]string{
+		{"X-Time-Left-Ms", fmt.Sprint(probeTimeout.Milliseconds())}, {"X-Model", "m"}, {"X-Token-Count", "10,5"},
 		{"X-Prompt-Prefix", t.ID + ":10"}}}, w.Now)
 	return t
 }
 
-// Ready is how many processes answer GET /readiness with 200.
-func (w *Environment) Ready(ctx context.Context, addresses []string) int {
+// CountReady is how many processes answer GET /readiness with 200.
+func (w *Environment) CountReady(ctx context.Context, addresses []string) int {
 	answers := make(chan bool, len(addresses))
 	for _, at := range addresses {
 		go func() {
--- a/internal/lab/testcluster/relay.go
+++ b/internal/lab/testcluster/relay.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	relayDial   = time.Second
-	relayBuffer = 16 << 10
-	mostRelayed = 2048 // connections of one relay at a time; more are reset
-	mostPackets = 1024 // on their way over one relay at a time; more are lost
+	relayDialTimeout  = time.Second
+	relayBufferBytes  = 16 << 10
+	maxRelayedConns   = 2048 // connections of one relay at a time; more are reset
+	maxPendingPackets = 1024 // on their way over one relay at a time; more are lost
 )
 
 // relay leads connections to an address over a link with faults. A call to one that nobody answers comes up and is reset.
@@ -27,15 +27,15 @@
 	to       string
 	link     *link.Link
 	// pick gives the link of a connection by its first bytes; nil: they all have the same.
-	pick func(first []byte) *link.Link
-	open atomic.Int32
-	near sync.Map // link.Conn by the address from which the far end is called
-	wait sync.WaitGroup
-
-	mu     sync.Mutex
-	closed bool
-	silent map[*net.TCPConn]bool // connections on which nothing has come yet, where there is pick
-	picked map[*link.Link]bool
+	pick      func(first []byte) *link.Link
+	open      atomic.Int32
+	nearConns sync.Map // link.Conn by the address from which the far end is called
+	wait      sync.WaitGroup
+
+	mu                 sync.Mutex
+	closed             bool
+	awaitingFirstBytes map[*net.TCPConn]bool // connections on which nothing has come yet, where there is pick
+	picked             map[*link.Link]bool
 }
 
 func newRelay(at, to string, over *link.Link) (*relay, error) {
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &relay{listener: l, to: to, link: over, pick: pick, silent: map[*net.TCPConn]bool{}, picked: map[*link.Link]bool{}}
+	r := &relay{listener: l, to: to, link: over, pick: pick, awaitingFirstBytes: map[*net.TCPConn]bool{}, picked: map[*link.Link]bool{}}
 	r.wait.Go(r.accept)
 	return r, nil
 }
@@ -60,22 +60,22 @@
 			return // the relay was closed
 		}
 		tcp, ok := c.(*net.TCPConn)
-		if !ok || r.open.Load() >= mostRelayed {
+		if !ok || r.open.Load() >= maxRelayedConns {
 			_ = c.Close()
 			continue
 		}
 		r.open.Add(1)
 		r.wait.Go(func() {
 			defer r.open.Add(-1)
-			if over := r.over(tcp); over != nil {
-				r.lead(link.Wrap(tcp, over))
+			if over := r.linkOf(tcp); over != nil {
+				r.forward(link.Wrap(tcp, over))
 			}
 		})
 	}
 }
 
-// over gives the link of a connection, once its first bytes are there where they tell which; nil: it was closed before.
-func (r *relay) over(c *net.TCPConn) *link.Link {
+// linkOf gives the link of a connection, once its first bytes are there where they tell which; nil: it was closed before.
+func (r *relay) linkOf(c *net.TCPConn) *link.Link {
 	if r.pick == nil {
 		return r.link
 	}
@@ -85,13 +85,13 @@
 		_ = c.Close()
 		return nil
 	}
-	r.silent[c] = true
+	r.awaitingFirstBytes[c] = true
 	r.mu.Unlock()
-	first := make([]byte, relayBuffer)
+	first := make([]byte, relayBufferBytes)
 	n := peek(c, first)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.silent, c)
+	delete(r.awaitingFirstBytes, c)
 	if n <= 0 || r.closed {
 		_ = c.Close()
 		return nil
@@ -118,23 +118,23 @@
 	return n
 }
 
-// lead passes bytes both ways until either end is through. Danger: a call that the link holds back must not come up at the
+// forward passes bytes both ways until either end is through. Danger: a call that the link holds back must not come up at the
 // far end before its first bytes have crossed.
-func (r *relay) lead(near *link.Conn) {
+func (r *relay) forward(near *link.Conn) {
 	defer near.Close()
-	first := make([]byte, relayBuffer)
+	first := make([]byte, relayBufferBytes)
 	n, err := near.Read(first)
 	if err != nil {
 		return
 	}
-	c, err := net.DialTimeout("tcp4", r.to, relayDial)
+	c, err := net.DialTimeout("tcp4", r.to, relayDialTimeout)
 	if err != nil {
 		near.Reset()
 		return
 	}
 	defer c.Close()
-	r.near.Store(c.LocalAddr().String(), near)
-	defer r.near.Delete(c.LocalAddr().String())
+	r.nearConns.Store(c.LocalAddr().String(), near)
+	defer r.nearConns.Delete(c.LocalAddr().String())
 	var back sync.WaitGroup
 	back.Go(func() {
 		_, err := io.Copy(struct{ io.Writer }{near}, struct{ io.Reader }{c}) // not by ways that lead past the link
@@ -153,7 +153,7 @@
 
 // sentAgo is how long ago the last bytes that came from an address were sent by the near end; 0: it is not known.
 func (r *relay) sentAgo(far string, now int64) time.Duration {
-	if near, ok := r.near.Load(far); ok {
+	if near, ok := r.nearConns.Load(far); ok {
 		if conn, ok := near.(*link.Conn); ok {
 			return max(0, time.Duration(now-conn.CameAt()))
 		}
@@ -167,7 +167,7 @@
 	r.link.Reset()
 	r.mu.Lock()
 	r.closed = true
-	for c := range r.silent {
+	for c := range r.awaitingFirstBytes {
 		_ = c.Close()
 	}
 	for l := range r.picked {
@@ -177,8 +177,8 @@
 	r.wait.Wait()
 }
 
-// packets leads packets to an address over a link with faults, one way.
-type packets struct {
+// packetRelay leads packetRelay to an address over a link with faults, one way.
+type packetRelay struct {
 	in      net.PacketConn
 	out     net.Conn
 	link    *link.Link
@@ -186,7 +186,7 @@
 	wait    sync.WaitGroup
 }
 
-func newPackets(at, to string, over *link.Link) (*packets, error) {
+func newPacketRelay(at, to string, over *link.Link) (*packetRelay, error) {
 	in, err := new(net.ListenConfig).ListenPacket(context.Background(), "udp4", at)
 	if err != nil {
 		return nil, err
@@ -196,20 +196,20 @@
 		_ = in.Close()
 		return nil, err
 	}
-	p := &packets{in: in, out: out, link: over}
+	p := &packetRelay{in: in, out: out, link: over}
 	p.wait.Go(p.run)
 	return p, nil
 }
 
-func (p *packets) run() {
-	buf := make([]byte, relayBuffer)
+func (p *packetRelay) run() {
+	buf := make([]byte, relayBufferBytes)
 	for {
 		n, _, err := p.in.ReadFrom(buf)
 		if err != nil {
 			return // closed
 		}
 		wait, passes := p.link.Packet()
-		if !passes || p.pending.Load() >= mostPackets {
+		if !passes || p.pending.Load() >= maxPendingPackets {
 			continue
 		}
 		if wait <= 0 {
@@ -227,7 +227,7 @@
 	}
 }
 
-func (p *packets) close() {
+func (p *packetRelay) close() {
 	_ = p.in.Close()
 	p.wait.Wait()
 	_ = p.out.Close()
--- a/internal/lab/testcluster/rules/answers.go
+++ b/internal/lab/testcluster/rules/answers.go
@@ -5,8 +5,8 @@
 // success tells whether a status is 2xx.
 func success(status int) bool { return status >= 200 && status < 300 }
 
-// promise tells whether a status says that the request has not run and never will.
-func promise(status int) bool {
+// promisesNotExecuted tells whether a status says that the request has not run and never will.
+func promisesNotExecuted(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -17,61 +17,61 @@
 // mixed: a success is one server's whole answer to this very request, and nothing comes that was not asked for.
 func mixed(x *index, v *Verdict) {
 	for _, s := range x.Strays {
-		v.broke("%d bytes came from %s while no request waited", s.Bytes, s.Proxy)
+		v.violation("%d bytes came from %s while no request waited", s.Bytes, s.Proxy)
 	}
-	for _, t := range x.Tries {
-		v.Looked++
+	for _, t := range x.Attempts {
+		v.Checked++
 		switch {
-		case t.Outcome == Garbage:
-			v.broke("%s: bytes came that are no answer", t.ID)
+		case t.Outcome == Malformed:
+			v.violation("%s: bytes came that are no answer", t.ID)
 		case t.Surplus > 0:
-			v.broke("%s: %d bytes followed the answer", t.ID, t.Surplus)
+			v.violation("%s: %d bytes followed the answer", t.ID, t.Surplus)
 		case t.Status != 0 && t.AnswerID != "" && t.AnswerID != t.ID:
-			v.broke("%s: got the answer to %s", t.ID, t.AnswerID)
+			v.violation("%s: got the answer to %s", t.ID, t.AnswerID)
 		case t.Outcome == Answered && success(t.Status):
 			mixedSuccess(x, t, v)
 		}
 	}
 }
 
-func mixedSuccess(x *index, t *Try, v *Verdict) {
+func mixedSuccess(x *index, t *Attempt, v *Verdict) {
 	a := x.seals[t.Seal]
 	switch {
 	case t.Seal == "":
-		v.broke("%s: %d without a server's seal", t.ID, t.Status)
+		v.violation("%s: %d without a server's seal", t.ID, t.Status)
 	case a == nil:
-		v.broke("%s: no server gave the seal %s", t.ID, t.Seal)
+		v.violation("%s: no server gave the seal %s", t.ID, t.Seal)
 	case a.ID != t.ID:
-		v.broke("%s: the seal is that of the answer to %s", t.ID, a.ID)
+		v.violation("%s: the seal is that of the answer to %s", t.ID, a.ID)
 	case !t.Stream && !success(a.Status):
-		v.broke("%s: %d where the server answered %d", t.ID, t.Status, a.Status)
+		v.violation("%s: %d where the server answered %d", t.ID, t.Status, a.Status)
 	case !t.Stream && a.Answer != t.Answer:
-		v.broke("%s: the body is not the server's", t.ID)
+		v.violation("%s: the body is not the server's", t.ID)
 	}
 }
 
 // unasked: what reaches a server is what a client sent.
 func unasked(x *index, v *Verdict) {
 	for _, a := range x.Arrivals {
-		v.Looked++
+		v.Checked++
 		t := x.tries[a.ID]
 		switch {
-		case a.Ran == Never:
+		case a.ExecutedAt == Never:
 		case t == nil:
-			v.broke("%s ran %q, which no client sent", a.Server, a.ID)
+			v.violation("%s ran %q, which no client sent", a.Server, a.ID)
 		case a.Method != t.Method || a.Path != t.Path:
-			v.broke("%s: sent as %s %s, came as %s %s", a.ID, t.Method, t.Path, a.Method, a.Path)
+			v.violation("%s: sent as %s %s, came as %s %s", a.ID, t.Method, t.Path, a.Method, a.Path)
 		case a.Body != t.Body:
-			v.broke("%s: came with another body", a.ID)
+			v.violation("%s: came with another body", a.ID)
 		}
 	}
 }
 
-// repeatable tells whether the request of a try may run more than once, by any configuration that may be in force.
-func (x *index) repeatable(t *Try) bool {
+// idempotent tells whether the request of a try may run more than once, by any configuration that may be in force.
+func (x *index) idempotent(t *Attempt) bool {
 	for _, c := range x.Changes {
 		if c.Config != nil && c.Sent <= t.Ended {
-			if r := c.Config.Match(t.Host, t.Path); r != nil && r.Repeatable() {
+			if r := c.Config.Match(t.Host, t.Path); r != nil && r.Idempotent() {
 				return true
 			}
 		}
@@ -79,9 +79,9 @@
 	return false
 }
 
-func ran(all []*Arrival) (n int) {
+func countExecuted(all []*Arrival) (n int) {
 	for _, a := range all {
-		if a.Ran != Never {
+		if a.ExecutedAt != Never {
 			n++
 		}
 	}
@@ -90,57 +90,57 @@
 
 // twice: what cannot be repeated runs once.
 func twice(x *index, v *Verdict) {
-	for _, t := range x.Tries {
-		if x.repeatable(t) {
+	for _, t := range x.Attempts {
+		if x.idempotent(t) {
 			continue
 		}
-		v.Looked++
-		if n := ran(x.runs[t.ID]); n > 1 {
-			v.broke("%s ran %d times", t.ID, n)
+		v.Checked++
+		if n := countExecuted(x.runs[t.ID]); n > 1 {
+			v.violation("%s ran %d times", t.ID, n)
 		}
 	}
 }
 
 // refused: a promise that a request has not run holds.
 func refused(x *index, v *Verdict) {
-	for _, t := range x.Tries {
-		if t.Outcome != Answered || !promise(t.Status) || x.repeatable(t) {
+	for _, t := range x.Attempts {
+		if t.Outcome != Answered || !promisesNotExecuted(t.Status) || x.idempotent(t) {
 			continue
 		}
-		v.Looked++
-		if n := ran(x.runs[t.ID]); n > 0 {
-			v.broke("%s was answered %d and ran", t.ID, t.Status)
+		v.Checked++
+		if n := countExecuted(x.runs[t.ID]); n > 0 {
+			v.violation("%s was answered %d and ran", t.ID, t.Status)
 		}
 	}
 }
 
 const (
-	deniedAtLeast = 5
-	deniedPer     = 500
+	minDenied         = 5
+	attemptsPerDenied = 500
 )
 
 // denied: proper requests are not turned away with a 3xx or 4xx of the system's own.
 func denied(x *index, v *Verdict) {
-	var found []*Try
-	for _, t := range x.Tries {
+	var found []*Attempt
+	for _, t := range x.Attempts {
 		if t.Probe {
 			continue
 		}
-		v.Looked++
-		own := t.Outcome == Answered && t.Seal == "" && t.Status >= 300 && t.Status < 500 && !promise(t.Status)
-		if own && x.inTouch(t.Proxy, t.Ended) && x.allowed(t) {
+		v.Checked++
+		own := t.Outcome == Answered && t.Seal == "" && t.Status >= 300 && t.Status < 500 && !promisesNotExecuted(t.Status)
+		if own && x.inContact(t.Proxy, t.Ended) && x.alwaysRouted(t) {
 			found = append(found, t)
 		}
 	}
-	if len(found) > deniedAtLeast+v.Looked/deniedPer {
+	if len(found) > minDenied+v.Checked/attemptsPerDenied {
 		for _, t := range found {
-			v.broke("%s got a %d at %s", t.ID, t.Status, t.Proxy)
+			v.violation("%s got a %d at %s", t.ID, t.Status, t.Proxy)
 		}
 	}
 }
 
-// allowed tells whether every configuration that may be in force has a route for a try.
-func (x *index) allowed(t *Try) bool {
+// alwaysRouted tells whether every configuration that may be in force has a route for a try.
+func (x *index) alwaysRouted(t *Attempt) bool {
 	some := x.inForce(t.Sent, t.Ended)
 	for _, c := range some {
 		if c.Match(t.Host, t.Path) == nil {
@@ -152,31 +152,31 @@
 
 // order: a stream's pieces are those of one run, or of runs that each go on where the last one ended, and none is missing.
 func order(x *index, v *Verdict) {
-	for _, t := range x.Tries {
+	for _, t := range x.Attempts {
 		if !t.Stream {
 			continue
 		}
-		v.Looked++
+		v.Checked++
 		last := t.From
 		for i, s := range t.Events {
 			a := x.seals[s.Run]
 			switch {
 			case a == nil || a.ID != t.ID:
-				v.broke("%s: piece %d is of no run of this request", t.ID, s.First)
+				v.violation("%s: piece %d is of no run of this request", t.ID, s.First)
 			case s.First != last+1:
-				v.broke("%s: piece %d follows piece %d", t.ID, s.First, last)
-			case i > 0 && s.Run == t.Events[i-1].Run, i > 0 && !x.repeatable(t):
-				v.broke("%s: pieces of two runs", t.ID)
+				v.violation("%s: piece %d follows piece %d", t.ID, s.First, last)
+			case i > 0 && s.Run == t.Events[i-1].Run, i > 0 && !x.idempotent(t):
+				v.violation("%s: pieces of two runs", t.ID)
 			case i > 0 && a.From != last:
-				v.broke("%s: a run that goes on after %d was joined after %d", t.ID, a.From, last)
+				v.violation("%s: a run that goes on after %d was joined after %d", t.ID, a.From, last)
 			}
 			last = s.Last
 		}
 		if t.Outcome != Answered || !success(t.Status) {
 			continue
 		}
-		if a := x.seals[t.Seal]; a != nil && last != a.Final {
-			v.broke("%s: closed as complete after piece %d of %d", t.ID, last, a.Final)
+		if a := x.seals[t.Seal]; a != nil && last != a.LastEvent {
+			v.violation("%s: closed as complete after piece %d of %d", t.ID, last, a.LastEvent)
 		}
 	}
 }
--- a/internal/lab/testcluster/rules/changes.go
+++ b/internal/lab/testcluster/rules/changes.go
@@ -25,14 +25,14 @@
 func (x *index) inForce(from, to Time) []*Config {
 	var settled *Change
 	for _, c := range x.Changes {
-		bound := x.Bounds.ConfigApply + x.stretch(c.Acked, from)
-		if c.Config != nil && c.Acked != Never && c.Acked+bound <= from && (settled == nil || c.Config.Revision > settled.Config.Revision) {
+		bound := x.Bounds.ConfigApply + x.stretch(c.AcknowledgedAt, from)
+		if c.Config != nil && c.AcknowledgedAt != Never && c.AcknowledgedAt+bound <= from && (settled == nil || c.Config.Revision > settled.Config.Revision) {
 			settled = c
 		}
 	}
 	var some []*Config
 	for _, c := range x.Changes {
-		if c.Config == nil || c.Sent > to || c.clearlyRefused() {
+		if c.Config == nil || c.Sent > to || c.wasRefused() {
 			continue
 		}
 		if settled == nil || c.Config.Revision >= settled.Config.Revision {
@@ -42,8 +42,10 @@
 	return some
 }
 
-// clearlyRefused tells whether a change got a clear no.
-func (c *Change) clearlyRefused() bool { return c.Acked == Never && c.Status >= 400 && c.Status < 500 }
+// wasRefused tells whether a change got a clear no.
+func (c *Change) wasRefused() bool {
+	return c.AcknowledgedAt == Never && c.Status >= 400 && c.Status < 500
+}
 
 // config: what was acknowledged comes into force and stays; what was refused or is invalid does not.
 func config(x *index, v *Verdict) {
@@ -53,66 +55,66 @@
 		if c.Config == nil {
 			continue
 		}
-		v.Looked++
-		if c.Acked == Never {
+		v.Checked++
+		if c.AcknowledgedAt == Never {
 			continue
 		}
 		if c.Invalid {
-			v.broke("the invalid version %d was acknowledged", c.Config.Revision)
+			v.violation("the invalid version %d was acknowledged", c.Config.Revision)
 		}
 		if other := bases[c.Base]; other != nil && other.Config.Revision != c.Config.Revision {
-			v.broke("versions %d and %d on top of version %d were both acknowledged", other.Config.Revision, c.Config.Revision, c.Base)
+			v.violation("versions %d and %d on top of version %d were both acknowledged", other.Config.Revision, c.Config.Revision, c.Base)
 		}
 		bases[c.Base] = c
 		if newest == nil || c.Config.Revision > newest.Config.Revision {
 			newest = c
 		}
 	}
-	x.readBack(newest, v)
-	x.readings(v)
-	for _, t := range x.Tries {
-		if x.inTouch(t.Proxy, t.Ended) {
-			x.handled(t, v)
+	x.checkReadBack(newest, v)
+	x.checkReadings(v)
+	for _, t := range x.Attempts {
+		if x.inContact(t.Proxy, t.Ended) {
+			x.checkHandling(t, v)
 		}
 	}
-	x.regress(v)
+	x.checkRegression(v)
 }
 
-// readBack: what is read at the end is the newest that was acknowledged, or a later one without a clear answer.
-func (x *index) readBack(newest *Change, v *Verdict) {
+// checkReadBack: what is read at the end is the newest that was acknowledged, or a later one without a clear answer.
+func (x *index) checkReadBack(newest *Change, v *Verdict) {
 	switch {
 	case newest == nil:
 		return
 	case x.Read == nil:
-		v.broke("the configuration was not read back")
+		v.violation("the configuration was not read back")
 		return
 	case x.Read.Revision < newest.Config.Revision:
-		v.broke("version %d was read back and %d had been acknowledged", x.Read.Revision, newest.Config.Revision)
+		v.violation("version %d was read back and %d had been acknowledged", x.Read.Revision, newest.Config.Revision)
 		return
 	}
 	for _, c := range x.Changes {
-		if c.Config != nil && c.Config.Revision == x.Read.Revision && !c.clearlyRefused() && same(c.Config, x.Read) {
+		if c.Config != nil && c.Config.Revision == x.Read.Revision && !c.wasRefused() && sameConfig(c.Config, x.Read) {
 			return
 		}
 	}
-	v.broke("version %d was read back with what nobody sent under that number", x.Read.Revision)
+	v.violation("version %d was read back with what nobody sent under that number", x.Read.Revision)
 }
 
-// readings: a read shows all that was acknowledged before it was sent.
-func (x *index) readings(v *Verdict) {
+// checkReadings: a read shows all that was acknowledged before it was sent.
+func (x *index) checkReadings(v *Verdict) {
 	for _, r := range x.Reads {
-		v.Looked++
+		v.Checked++
 		for _, c := range x.Changes {
-			if c.Config != nil && c.Acked != Never && c.Acked <= r.Sent && c.Config.Revision > r.Revision {
-				v.broke("a read sent at %v showed version %d, and %d had been acknowledged at %v", r.Sent.Round(time.Millisecond),
-					r.Revision, c.Config.Revision, c.Acked.Round(time.Millisecond))
+			if c.Config != nil && c.AcknowledgedAt != Never && c.AcknowledgedAt <= r.Sent && c.Config.Revision > r.Revision {
+				v.violation("a read sent at %v showed version %d, and %d had been acknowledged at %v", r.Sent.Round(time.Millisecond),
+					r.Revision, c.Config.Revision, c.AcknowledgedAt.Round(time.Millisecond))
 				break
 			}
 		}
 	}
 }
 
-func same(a, b *Config) bool {
+func sameConfig(a, b *Config) bool {
 	one, err := json.Marshal(a)
 	if err != nil {
 		return false
@@ -121,8 +123,8 @@
 	return err == nil && string(one) == string(other)
 }
 
-// handled: a request is treated as some configuration allows that may be in force when it is sent or later.
-func (x *index) handled(t *Try, v *Verdict) {
+// checkHandling: a request is treated as some configuration allows that may be in force when it is sent or later.
+func (x *index) checkHandling(t *Attempt, v *Verdict) {
 	some := x.inForce(t.Sent, t.Ended)
 	if len(some) == 0 {
 		return
@@ -133,11 +135,11 @@
 				return
 			}
 		}
-		v.broke("%s got a 404 at %s, and the route is there", t.ID, t.Proxy)
+		v.violation("%s got a 404 at %s, and the route is there", t.ID, t.Proxy)
 		return
 	}
 	for _, a := range x.runs[t.ID] {
-		if a.Ran == Never {
+		if a.ExecutedAt == Never {
 			continue
 		}
 		allowed := false
@@ -147,47 +149,47 @@
 			}
 		}
 		if !allowed {
-			v.broke("%s ran at %s by way of %s, as only an older version allows", t.ID, a.Service, t.Proxy)
+			v.violation("%s ran at %s by way of %s, as only an older version allows", t.ID, a.Service, t.Proxy)
 		}
 	}
 }
 
 // lost: around a planned end, what a process has read gets a whole answer.
 func lost(x *index, v *Verdict) {
-	for _, trouble := range x.Troubles {
-		if trouble.Kind != Term || trouble.Proxy == "" {
+	for _, trouble := range x.Faults {
+		if trouble.Kind != Terminate || trouble.Proxy == "" {
 			continue
 		}
 		until := trouble.At + x.Bounds.Grace + 1e9
-		for _, t := range x.Tries {
-			if t.Proxy != trouble.Proxy || t.Ended < trouble.At || t.Ended > until || !x.planned(t) {
+		for _, t := range x.Attempts {
+			if t.Proxy != trouble.Proxy || t.Ended < trouble.At || t.Ended > until || !x.plannedOnly(t) {
 				continue
 			}
-			v.Looked++
-			if t.Outcome != Cut || x.brokeOff(t) {
+			v.Checked++
+			if t.Outcome != Truncated || x.abortedByServer(t) {
 				continue
 			}
-			if len(x.runs[t.ID]) > 0 || t.Ended > t.Whole+x.Bounds.LossSlack {
-				v.broke("%s was cut at %s, %v after SIGTERM", t.ID, t.Proxy, t.Ended-trouble.At)
+			if len(x.runs[t.ID]) > 0 || t.Ended > t.SentComplete+x.Bounds.LossSlack {
+				v.violation("%s was cut at %s, %v after SIGTERM", t.ID, t.Proxy, t.Ended-trouble.At)
 			}
 		}
 	}
 }
 
-// planned tells whether nothing unplanned was done to the proxy from some time before a request until its end.
-func (x *index) planned(t *Try) bool {
-	for _, other := range x.Troubles {
-		if other.Proxy == t.Proxy && other.unplanned() && other.At <= t.Ended && other.over() > t.Sent-x.Bounds.Contact {
+// plannedOnly tells whether nothing unplanned was done to the proxy from some time before a request until its end.
+func (x *index) plannedOnly(t *Attempt) bool {
+	for _, other := range x.Faults {
+		if other.Proxy == t.Proxy && other.isUnplanned() && other.At <= t.Ended && other.endedAt() > t.Sent-x.Bounds.Contact {
 			return false
 		}
 	}
 	return true
 }
 
-// brokeOff tells whether a server ended a request itself.
-func (x *index) brokeOff(t *Try) bool {
+// abortedByServer tells whether a server ended a request itself.
+func (x *index) abortedByServer(t *Attempt) bool {
 	for _, a := range x.runs[t.ID] {
-		if a.Broke {
+		if a.Aborted {
 			return true
 		}
 	}
--- a/internal/lab/testcluster/rules/changes_test.go
+++ b/internal/lab/testcluster/rules/changes_test.go
@@ -38,7 +38,7 @@
 	{"a proxy that goes back after a new start", func(s *scene) {
 		s.version(testConfig(5, "post"), 1, 14*second, 15*second, 200)
 		s.serve("/mail/2", "post", 16*second)
-		s.Trouble(Trouble{Proxy: oneProxy, Kind: "start", At: 16500 * 1e6})
+		s.RecordFault(Fault{Proxy: oneProxy, Kind: "start", At: 16500 * 1e6})
 		s.serve("/mail/3", "mailer", 17*second)
 	}, ""},
 	{"another proxy that is behind", func(s *scene) {
@@ -75,52 +75,52 @@
 
 	{"a read that shows an old version", func(s *scene) {
 		s.version(testConfig(5, "post"), 1, 14*second, 15*second, 200)
-		s.Reading(Reading{Sent: 15 * second, Revision: 1})
+		s.RecordReading(Reading{Sent: 15 * second, Revision: 1})
 	}, "CONFIG"},
 	{"a read that was sent before the acknowledgement", func(s *scene) {
 		s.version(testConfig(5, "post"), 1, 14*second, 15*second, 200)
-		s.Reading(Reading{Sent: 15*second - 1, Revision: 1})
-		s.Reading(Reading{Sent: 15 * second, Revision: 5})
+		s.RecordReading(Reading{Sent: 15*second - 1, Revision: 1})
+		s.RecordReading(Reading{Sent: 15 * second, Revision: 5})
 	}, ""},
 
 	{"cut after SIGTERM", func(s *scene) {
-		s.Trouble(Trouble{Proxy: oneProxy, Kind: "term", At: 20 * second})
+		s.RecordFault(Fault{Proxy: oneProxy, Kind: "term", At: 20 * second})
 		t, _ := s.serve("/mail/2", "mailer", 20*second)
-		t.Outcome, t.Status, t.Seal = Cut, 0, ""
+		t.Outcome, t.Status, t.Seal = Truncated, 0, ""
 	}, "LOST"},
 	{"cut after SIGTERM by a proxy that was paused shortly before", func(s *scene) { s.cutAtEnd(17*second, 18*second) }, ""},
 	{"cut after SIGTERM by a proxy that was paused long before", func(s *scene) { s.cutAtEnd(10*second, 15*second) }, "LOST"},
 	{"cut after SIGTERM by a proxy that was in trouble later", func(s *scene) { s.cutAtEnd(21*second, 22*second) }, "LOST"},
 	{"cut after SIGTERM by a proxy that was started shortly before", func(s *scene) {
 		s.cutAtEnd(10*second, 11*second)
-		s.Trouble(Trouble{Proxy: oneProxy, Kind: Start, At: 19 * second})
+		s.RecordFault(Fault{Proxy: oneProxy, Kind: Start, At: 19 * second})
 	}, "LOST"},
 	{"cut after SIGTERM, held for long and never passed on", func(s *scene) {
-		s.Trouble(Trouble{Proxy: oneProxy, Kind: "term", At: 20 * second})
+		s.RecordFault(Fault{Proxy: oneProxy, Kind: "term", At: 20 * second})
 		t, a := s.serve("/mail/2", "mailer", 20*second)
-		t.Outcome, t.Status, t.Seal, t.Ended = Cut, 0, "", 21*second
-		a.ID, a.Ran, a.Seal = "none", Never, ""
+		t.Outcome, t.Status, t.Seal, t.Ended = Truncated, 0, "", 21*second
+		a.ID, a.ExecutedAt, a.Seal = "none", Never, ""
 	}, "LOST"},
 	{"closed unread after SIGTERM", func(s *scene) {
-		s.Trouble(Trouble{Proxy: oneProxy, Kind: "term", At: 20 * second})
+		s.RecordFault(Fault{Proxy: oneProxy, Kind: "term", At: 20 * second})
 		t, a := s.serve("/mail/2", "mailer", 20*second)
-		t.Outcome, t.Status, t.Seal = Unread, 0, ""
-		a.ID, a.Ran, a.Seal = "none", Never, ""
+		t.Outcome, t.Status, t.Seal = ClosedUnread, 0, ""
+		a.ID, a.ExecutedAt, a.Seal = "none", Never, ""
 	}, ""},
 	{"cut without a planned end", func(s *scene) {
 		t, _ := s.serve("/mail/2", "mailer", 20*second)
-		t.Outcome, t.Status, t.Seal = Cut, 0, ""
+		t.Outcome, t.Status, t.Seal = Truncated, 0, ""
 	}, ""},
 	{"cut after SIGTERM where the server broke off", func(s *scene) {
-		s.Trouble(Trouble{Proxy: oneProxy, Kind: "term", At: 20 * second})
+		s.RecordFault(Fault{Proxy: oneProxy, Kind: "term", At: 20 * second})
 		t, a := s.serve("/mail/2", "mailer", 20*second)
-		t.Outcome, t.Status, t.Seal, a.Broke = Cut, 0, "", true
+		t.Outcome, t.Status, t.Seal, a.Aborted = Truncated, 0, "", true
 	}, ""},
 	{"cut after a kill", func(s *scene) {
-		s.Trouble(Trouble{Proxy: oneProxy, Kind: "kill", At: 20 * second})
-		s.Trouble(Trouble{Proxy: oneProxy, Kind: "term", At: 20 * second})
+		s.RecordFault(Fault{Proxy: oneProxy, Kind: "kill", At: 20 * second})
+		s.RecordFault(Fault{Proxy: oneProxy, Kind: "term", At: 20 * second})
 		t, _ := s.serve("/mail/2", "mailer", 20*second)
-		t.Outcome, t.Status, t.Seal = Cut, 0, ""
+		t.Outcome, t.Status, t.Seal = Truncated, 0, ""
 	}, ""},
 }
 
@@ -133,7 +133,7 @@
 func (s *scene) miss(path string, at Time) {
 	t, a := s.serve(path, "thumbs", at)
 	t.Status, t.Seal, t.AnswerID, t.Probe = 404, "", "", true
-	a.ID, a.Ran, a.Seal = "none", Never, ""
+	a.ID, a.ExecutedAt, a.Seal = "none", Never, ""
 }
 
 var rateControls = []control{
@@ -165,7 +165,7 @@
 	{"many over more than a second", func(s *scene) { s.cold(40, second/20) }, ""},
 	{"too many, some of them turned away", func(s *scene) {
 		for _, a := range s.cold(21, second/30)[:5] {
-			a.Rejected, a.Ran = 503, Never
+			a.Rejected, a.ExecutedAt = 503, Never
 		}
 	}, "FAILBACK"},
 	{"too many at once, sent over more than a second", func(s *scene) {
@@ -180,7 +180,7 @@
 	}, "FAILBACK"},
 	{"too many, some of them meant for another", func(s *scene) {
 		for _, a := range s.cold(21, second/30)[:5] {
-			a.Rejected, a.Ran = 421, Never
+			a.Rejected, a.ExecutedAt = 421, Never
 		}
 	}, ""},
 }
@@ -198,7 +198,7 @@
 	var all []*Arrival
 	for i := range n {
 		_, a := s.serve("/mail/9", "mailer", 20*second+gap*Time(i))
-		a.Cold, a.Bound = true, 10
+		a.WarmingUp, a.WarmUpLimit = true, 10
 		all = append(all, a)
 	}
 	return all
@@ -206,8 +206,8 @@
 
 // cutAtEnd adds a request that was cut during a planned end, and a trouble of the proxy.
 func (s *scene) cutAtEnd(from, to Time) {
-	s.Trouble(Trouble{Proxy: oneProxy, Kind: Term, At: 20 * second})
-	s.Begin(Trouble{Proxy: oneProxy, Kind: Pause, At: from})(to)
+	s.RecordFault(Fault{Proxy: oneProxy, Kind: Terminate, At: 20 * second})
+	s.BeginFault(Fault{Proxy: oneProxy, Kind: Pause, At: from})(to)
 	t, _ := s.serve("/mail/2", "mailer", 20*second)
-	t.Outcome, t.Status, t.Seal = Cut, 0, ""
+	t.Outcome, t.Status, t.Seal = Truncated, 0, ""
 }
--- a/internal/lab/testcluster/rules/check.go
+++ b/internal/lab/testcluster/rules/check.go
@@ -7,27 +7,27 @@
 
 // Verdict is what the evidence says of one rule.
 type Verdict struct {
-	Rule     string
-	Looked   int // at so many requests, streams, windows or orders
-	Broken   int
-	Examples []string // of what broke it, a few
+	Rule       string
+	Checked    int // at so many requests, streams, windows or orders
+	Violations int
+	Examples   []string // of what broke it, a few
 }
 
-const mostExamples = 3
+const maxExamples = 3
 
-func (v *Verdict) broke(format string, args ...any) {
-	v.Broken++
-	if len(v.Examples) < mostExamples {
+func (v *Verdict) violation(format string, args ...any) {
+	v.Violations++
+	if len(v.Examples) < maxExamples {
 		v.Examples = append(v.Examples, fmt.Sprintf(format, args...))
 	}
 }
 
 // String is the verdict as a line.
 func (v Verdict) String() string {
-	if v.Broken == 0 {
-		return fmt.Sprintf("%-9s kept, looked at %d", v.Rule, v.Looked)
+	if v.Violations == 0 {
+		return fmt.Sprintf("%-9s kept, looked at %d", v.Rule, v.Checked)
 	}
-	return fmt.Sprintf("%-9s BROKEN %d times, looked at %d: %s", v.Rule, v.Broken, v.Looked, strings.Join(v.Examples, "; "))
+	return fmt.Sprintf("%-9s BROKEN %d times, looked at %d: %s", v.Rule, v.Violations, v.Checked, strings.Join(v.Examples, "; "))
 }
 
 // checks are the rules that can be seen from outside, in the order of RULES.md.
--- a/internal/lab/testcluster/rules/check_test.go
+++ b/internal/lab/testcluster/rules/check_test.go
@@ -34,7 +34,7 @@
 		Evacuate: 5 * second, Grace: 8 * second, LossSlack: second / 5, Stretch: 6 * second, RetryWindow: 10 * second, RetryRatio: 0.2,
 		RetrySlack: 4, ColdExcess: 1.5, ColdSlack: 5}}}
 	c := testConfig(1, "mailer")
-	s.Change(&Change{Config: c, Acked: 0, Status: 200})
+	s.RecordChange(&Change{Config: c, AcknowledgedAt: 0, Status: 200})
 	s.Read = c
 	s.serve("/mail/1", "mailer", 10*second)
 	s.serve("/thumb/1", "thumbs", 11*second)
@@ -44,38 +44,38 @@
 }
 
 // serve adds a request that was answered whole at once.
-func (s *scene) serve(path, service string, at Time) (*Try, *Arrival) {
+func (s *scene) serve(path, service string, at Time) (*Attempt, *Arrival) {
 	s.n++
 	id := fmt.Sprint("id", s.n)
-	t := &Try{ID: id, Request: s.n, Host: host, Method: "POST", Path: path, Body: 7, Region: "north", Zone: "north-a", Proxy: oneProxy,
-		Sent: at, Whole: at, Ended: at + second/10, Outcome: Answered, Status: 200, AnswerID: id, Seal: "seal " + id, Answer: 9}
+	t := &Attempt{ID: id, Request: s.n, Host: host, Method: "POST", Path: path, Body: 7, Region: "north", Zone: "north-a", Proxy: oneProxy,
+		Sent: at, SentComplete: at, Ended: at + second/10, Outcome: Answered, Status: 200, AnswerID: id, Seal: "seal " + id, Answer: 9}
 	a := &Arrival{At: at + second/100, ID: id, Server: "server of " + service, Service: service, Zone: "north-a", Region: "north",
-		Method: "POST", Path: path, Host: host, Body: 7, Ran: at + second/50, Ended: at + second/10, Status: 200, Seal: "seal " + id,
-		Answer: 9, Final: 1, Whole: true}
-	s.Try(t)
-	s.Arrive(a)
+		Method: "POST", Path: path, Host: host, Body: 7, ExecutedAt: at + second/50, Ended: at + second/10, Status: 200, Seal: "seal " + id,
+		Answer: 9, LastEvent: 1, Complete: true}
+	s.RecordAttempt(t)
+	s.RecordArrival(a)
 	return t, a
 }
 
 // stream adds a stream of ten events.
-func (s *scene) stream(path string, at Time) (*Try, *Arrival) {
+func (s *scene) stream(path string, at Time) (*Attempt, *Arrival) {
 	t, a := s.serve(path, "llm", at)
 	t.Stream, t.Answer, t.Events = true, 0, []Segment{{a.Seal, 1, 10}}
-	a.Answer, a.Final, a.Made = 0, 10, 10
+	a.Answer, a.LastEvent, a.SentEvents = 0, 10, 10
 	return t, a
 }
 
 // again adds another arrival of a request.
-func (s *scene) again(t *Try, of Arrival, at Time) *Arrival {
-	of.At, of.Ran, of.Seal, of.Server = at, at, of.Seal+" again", of.Server+" 2"
-	s.Arrive(&of)
+func (s *scene) again(t *Attempt, of Arrival, at Time) *Arrival {
+	of.At, of.ExecutedAt, of.Seal, of.Server = at, at, of.Seal+" again", of.Server+" 2"
+	s.RecordArrival(&of)
 	return &of
 }
 
 // version adds a configuration.
 func (s *scene) version(c *Config, base int64, sent, acked Time, status int) *Change {
-	change := &Change{Config: c, Base: base, Sent: sent, Ended: sent + second/10, Acked: acked, Status: status}
-	s.Change(change)
+	change := &Change{Config: c, Base: base, Sent: sent, Ended: sent + second/10, AcknowledgedAt: acked, Status: status}
+	s.RecordChange(change)
 	if acked != Never {
 		s.Read = c
 	}
@@ -85,7 +85,7 @@
 func brokenRules(e *Evidence) []string {
 	var names []string
 	for _, v := range Check(e) {
-		if v.Broken > 0 {
+		if v.Violations > 0 {
 			names = append(names, v.Rule)
 		}
 	}
@@ -137,12 +137,12 @@
 
 func TestInTouch(t *testing.T) {
 	s := newScene()
-	all := len(s.Tries)
-	if n := s.InTouch(); all == 0 || n != all {
+	all := len(s.Attempts)
+	if n := s.CountInContact(); all == 0 || n != all {
 		t.Errorf("%d of %d without trouble", n, all)
 	}
-	s.Begin(Trouble{Proxy: oneProxy, Kind: "cut"})
-	if n := s.InTouch(); n != 0 {
+	s.BeginFault(Fault{Proxy: oneProxy, Kind: "cut"})
+	if n := s.CountInContact(); n != 0 {
 		t.Errorf("%d of %d through a proxy that is cut off", n, all)
 	}
 }
@@ -158,25 +158,25 @@
 		{oneProxy, 19 * second, 20*second + second/20, 1}, {oneProxy, 19 * second, 19*second + second/2, 0}, {oneProxy, 19 * second, 21 * second, 0},
 		{oneProxy, 20*second + 1, 20*second + second/20, 0}, {"other", 19 * second, 20*second + second/20, 0},
 	} {
-		s.Troubles = nil
-		s.Begin(Trouble{Proxy: c.proxy, Kind: Pause, At: c.from})(c.to)
-		if n := s.Waited(); n != c.waited {
+		s.Faults = nil
+		s.BeginFault(Fault{Proxy: c.proxy, Kind: Pause, At: c.from})(c.to)
+		if n := s.CountWaiting(); n != c.waited {
 			t.Errorf("%+v: %d", c, n)
 		}
-		s.Troubles[0].Kind = "cut"
-		if n := s.Waited(); n != 0 {
+		s.Faults[0].Kind = "cut"
+		if n := s.CountWaiting(); n != 0 {
 			t.Errorf("%d waited at a proxy that was cut off", n)
 		}
 	}
 }
 
 func TestVerdictLine(t *testing.T) {
-	v := Verdict{Rule: "TWICE", Looked: 3}
+	v := Verdict{Rule: "TWICE", Checked: 3}
 	if got := v.String(); got != "TWICE     kept, looked at 3" {
 		t.Error(got)
 	}
 	for range 5 {
-		v.broke("it ran")
+		v.violation("it ran")
 	}
 	if got := v.String(); got != "TWICE     BROKEN 5 times, looked at 3: it ran; it ran; it ran" {
 		t.Error(got)
--- a/internal/lab/testcluster/rules/config.go
+++ b/internal/lab/testcluster/rules/config.go
@@ -69,8 +69,8 @@
 	Idle          int `json:"idle_timeout_ms"`
 }
 
-// Repeatable tells whether a request of the route may run more than once.
-func (r *Route) Repeatable() bool {
+// Idempotent tells whether a request of the route may run more than once.
+func (r *Route) Idempotent() bool {
 	return r.Category == "idempotent" || r.Category == "streaming" && r.Resumable
 }
 
--- a/internal/lab/testcluster/rules/controls_test.go
+++ b/internal/lab/testcluster/rules/controls_test.go
@@ -17,8 +17,8 @@
 	{"a changed answer", func(s *scene) { t, _ := s.serve("/mail/2", "mailer", 20*second); t.Answer++ }, "MIXED"},
 	{"a success where the server failed", func(s *scene) { _, a := s.serve("/mail/2", "mailer", 20*second); a.Status = 500 }, "MIXED"},
 	{"bytes after the answer", func(s *scene) { t, _ := s.serve("/mail/2", "mailer", 20*second); t.Surplus = 3 }, "MIXED"},
-	{"bytes that nobody asked for", func(s *scene) { s.Stray(Stray{Proxy: oneProxy, Bytes: 3}) }, "MIXED"},
-	{"bytes that are no answer", func(s *scene) { t, _ := s.serve("/mail/2", "mailer", 20*second); t.Outcome, t.Status = Garbage, 0 }, "MIXED"},
+	{"bytes that nobody asked for", func(s *scene) { s.RecordStray(Stray{Proxy: oneProxy, Bytes: 3}) }, "MIXED"},
+	{"bytes that are no answer", func(s *scene) { t, _ := s.serve("/mail/2", "mailer", 20*second); t.Outcome, t.Status = Malformed, 0 }, "MIXED"},
 	{"the server's failure passed on", func(s *scene) {
 		t, a := s.serve("/mail/2", "mailer", 20*second)
 		t.Status, a.Status = 500, 500
@@ -38,7 +38,7 @@
 	{"a second server after a refusal", func(s *scene) {
 		t, a := s.serve("/mail/2", "mailer", 20*second)
 		b := s.again(t, *a, 20*second)
-		b.Ran, b.Rejected, b.Seal = Never, 503, ""
+		b.ExecutedAt, b.Rejected, b.Seal = Never, 503, ""
 	}, ""},
 
 	{"a promise that is not kept", func(s *scene) {
@@ -52,7 +52,7 @@
 	{"a promise that is kept", func(s *scene) {
 		t, a := s.serve("/mail/2", "mailer", 20*second)
 		t.Status, t.Seal, t.AnswerID = 503, "", ""
-		a.Ran, a.Rejected, a.Seal = Never, 503, ""
+		a.ExecutedAt, a.Rejected, a.Seal = Never, 503, ""
 	}, ""},
 
 	{"six requests turned away", func(s *scene) { s.deny(6, 400) }, "DENIED"},
@@ -60,7 +60,7 @@
 	{"six with a redirect", func(s *scene) { s.deny(6, 307) }, "DENIED"},
 	{"six with a 429", func(s *scene) { s.deny(6, 429) }, ""},
 	{"six by a proxy that was killed just before", func(s *scene) {
-		s.Trouble(Trouble{Proxy: oneProxy, Kind: "kill", At: 19 * second})
+		s.RecordFault(Fault{Proxy: oneProxy, Kind: "kill", At: 19 * second})
 		s.deny(6, 400)
 	}, ""},
 }
@@ -70,7 +70,7 @@
 	for range n {
 		t, a := s.serve("/mail/2", "mailer", 20*second)
 		t.Status, t.Seal, t.AnswerID = status, "", ""
-		a.ID, a.Ran, a.Seal = "none", Never, ""
+		a.ID, a.ExecutedAt, a.Seal = "none", Never, ""
 	}
 }
 
@@ -88,14 +88,14 @@
 	{"closed without a piece", func(s *scene) { t, _ := s.stream("/chat/2", 20*second); t.Events = nil }, "ORDER"},
 	{"cut before the last piece", func(s *scene) {
 		t, a := s.stream("/chat/2", 20*second)
-		t.Outcome, t.Events = Cut, []Segment{{a.Seal, 1, 9}}
+		t.Outcome, t.Events = Truncated, []Segment{{a.Seal, 1, 9}}
 	}, ""},
 	{"pieces of another request", func(s *scene) { t, _ := s.stream("/chat/2", 20*second); t.Events[0].Run = "seal id3" }, "ORDER"},
 	{"pieces of two runs that may not be joined", func(s *scene) {
 		t, a := s.stream("/chat/2", 20*second)
-		a.Ran, a.Made = Never, 4 // so that only the joining is wrong
+		a.ExecutedAt, a.SentEvents = Never, 4 // so that only the joining is wrong
 		b := s.again(t, *a, 20*second)
-		b.From, b.Ran = 4, 20*second
+		b.From, b.ExecutedAt = 4, 20*second
 		t.Events = []Segment{{a.Seal, 1, 4}, {b.Seal, 5, 10}}
 	}, "ORDER"},
 	{"a run that goes on where the last one was cut", func(s *scene) {
@@ -122,57 +122,57 @@
 
 	{"a draining server after its time", func(s *scene) {
 		s.serve("/mail/2", "mailer", 20*second)
-		s.Shown("server of mailer", 15*second)
+		s.RecordDraining("server of mailer", 15*second)
 	}, "DRAIN"},
 	{"a draining server within its time", func(s *scene) {
 		s.serve("/mail/2", "mailer", 20*second)
-		s.Shown("server of mailer", 17*second)
+		s.RecordDraining("server of mailer", 17*second)
 	}, ""},
 	{"a draining server by way of a proxy in trouble", func(s *scene) {
 		s.serve("/mail/2", "mailer", 20*second)
-		s.Shown("server of mailer", 15*second)
-		s.Trouble(Trouble{Proxy: oneProxy, Kind: "start", At: 18 * second})
+		s.RecordDraining("server of mailer", 15*second)
+		s.RecordFault(Fault{Proxy: oneProxy, Kind: "start", At: 18 * second})
 	}, ""},
 	{"a draining server by way of a proxy whose trouble lasts", func(s *scene) {
 		s.serve("/mail/2", "mailer", 20*second)
-		s.Shown("server of mailer", 15*second)
-		s.Begin(Trouble{Proxy: oneProxy, Kind: "cut", At: 8 * second})
+		s.RecordDraining("server of mailer", 15*second)
+		s.BeginFault(Fault{Proxy: oneProxy, Kind: "cut", At: 8 * second})
 	}, ""},
 	{"a draining server by way of a proxy whose trouble has lasted", func(s *scene) {
 		s.serve("/mail/2", "mailer", 20*second)
-		s.Shown("server of mailer", 15*second)
-		s.Begin(Trouble{Proxy: oneProxy, Kind: "cut", At: 8 * second})(15 * second)
+		s.RecordDraining("server of mailer", 15*second)
+		s.BeginFault(Fault{Proxy: oneProxy, Kind: "cut", At: 8 * second})(15 * second)
 	}, "DRAIN"},
 	{"a draining server that was sent a request in time", func(s *scene) {
 		_, a := s.serve("/mail/2", "mailer", 20*second)
 		a.Sent = 17 * second
-		s.Shown("server of mailer", 15*second)
+		s.RecordDraining("server of mailer", 15*second)
 	}, ""},
 	{"a draining server while one of three keepers is in trouble", func(s *scene) {
 		s.serve("/mail/2", "mailer", 20*second)
-		s.Shown("server of mailer", 15*second)
+		s.RecordDraining("server of mailer", 15*second)
 		s.keepers(1, 18*second, 19*second)
 	}, "DRAIN"},
 	{"a draining server just after most keepers were in trouble", func(s *scene) {
 		s.serve("/mail/2", "mailer", 20*second)
-		s.Shown("server of mailer", 15*second)
+		s.RecordDraining("server of mailer", 15*second)
 		s.keepers(2, 14*second, 17*second)
 	}, ""},
 	{"a draining server long after most keepers were in trouble", func(s *scene) {
 		s.serve("/mail/2", "mailer", 20*second)
-		s.Shown("server of mailer", 15*second)
+		s.RecordDraining("server of mailer", 15*second)
 		s.keepers(2, 14*second, 15*second)
 	}, "DRAIN"},
 	{"another server at the address of one that drained", func(s *scene) {
 		_, a := s.serve("/mail/2", "mailer", 20*second)
-		a.Rejected, a.Ran = 421, Never
-		s.Shown("server of mailer", 15*second)
+		a.Rejected, a.ExecutedAt = 421, Never
+		s.RecordDraining("server of mailer", 15*second)
 	}, ""},
 
 	{"a server abroad", func(s *scene) { _, a := s.serve("/thumb/2", "thumbs", 20*second); a.Region = "south" }, "HOME"},
 	{"a server abroad that refuses", func(s *scene) {
 		_, a := s.serve("/thumb/2", "thumbs", 20*second)
-		a.Region, a.Rejected, a.Ran = "south", 503, Never
+		a.Region, a.Rejected, a.ExecutedAt = "south", 503, Never
 	}, "HOME"},
 	{"a server abroad without homes", func(s *scene) { _, a := s.serve("/mail/2", "mailer", 20*second); a.Region = "south" }, ""},
 
@@ -181,22 +181,22 @@
 	{"an evacuation that was taken back", func(s *scene) { s.evacuate(14*second, 19*second); s.serve("/mail/2", "mailer", 20*second) }, ""},
 	{"an evacuation while a keeper was in trouble", func(s *scene) {
 		s.evacuate(14*second, Never)
-		s.Trouble(Trouble{Keeper: true, Kind: "kill", At: 13 * second})
+		s.RecordFault(Fault{Keeper: true, Kind: "kill", At: 13 * second})
 		s.serve("/mail/2", "mailer", 20*second)
 	}, ""},
 	{"an evacuation long after a keeper's trouble has ended", func(s *scene) {
 		s.evacuate(14*second, Never)
-		s.Begin(Trouble{Keeper: true, Kind: "pause", At: 2 * second})(9 * second)
+		s.BeginFault(Fault{Keeper: true, Kind: "pause", At: 2 * second})(9 * second)
 		s.serve("/mail/2", "mailer", 20*second)
 	}, "EVAC"},
 	{"an evacuation soon after a keeper's trouble has ended", func(s *scene) {
 		s.evacuate(14*second, Never)
-		s.Begin(Trouble{Keeper: true, Kind: "pause", At: 2 * second})(11 * second)
+		s.BeginFault(Fault{Keeper: true, Kind: "pause", At: 2 * second})(11 * second)
 		s.serve("/mail/2", "mailer", 20*second)
 	}, ""},
 	{"an evacuation that was stretched enough", func(s *scene) {
 		s.evacuate(14*second, Never)
-		s.Trouble(Trouble{Keeper: true, Kind: "kill", At: 13 * second})
+		s.RecordFault(Fault{Keeper: true, Kind: "kill", At: 13 * second})
 		s.serve("/mail/2", "mailer", 26*second)
 	}, "EVAC"},
 }
@@ -205,14 +205,14 @@
 func (s *scene) keepers(n int, from, to Time) {
 	s.Core = 3
 	for i := range n {
-		s.Begin(Trouble{Keeper: true, Machine: string(rune('a' + i)), Kind: "down", At: from})(to)
+		s.BeginFault(Fault{Keeper: true, Machine: string(rune('a' + i)), Kind: "down", At: from})(to)
 	}
 }
 
 // evacuate adds an evacuation of the zone of all servers; finish Never: it lasts.
 func (s *scene) evacuate(acked, finish Time) {
-	s.Change(&Change{Zone: "north-a", Start: true, Sent: acked, Acked: acked, Status: 200})
+	s.RecordChange(&Change{Zone: "north-a", Start: true, Sent: acked, AcknowledgedAt: acked, Status: 200})
 	if finish != Never {
-		s.Change(&Change{Zone: "north-a", Sent: finish, Acked: finish, Status: 200})
+		s.RecordChange(&Change{Zone: "north-a", Sent: finish, AcknowledgedAt: finish, Status: 200})
 	}
 }
--- a/internal/lab/testcluster/rules/evidence.go
+++ b/internal/lab/testcluster/rules/evidence.go
@@ -26,13 +26,13 @@
 
 // The ends of a try.
 const (
-	Open      Outcome = iota
-	Answered          // with a whole answer
-	Cut               // the connection ended without a whole answer
-	Unread            // the connection ended and the request had not been read
-	Unreached         // no connection came up
-	GivenUp           // the client waited no longer
-	Garbage           // bytes came that are no answer
+	Pending      Outcome = iota
+	Answered             // with a whole answer
+	Truncated            // the connection ended without a whole answer
+	ClosedUnread         // the connection ended and the request had not been read
+	Unreached            // no connection came up
+	TimedOut             // the client waited no longer
+	Malformed            // bytes came that are no answer
 )
 
 // Segment is a piece of a stream that came without a gap: events First to Last of one run.
@@ -41,8 +41,8 @@
 	First, Last int
 }
 
-// Try is one request of a client as the client saw it.
-type Try struct {
+// Attempt is one request of a client as the client saw it.
+type Attempt struct {
 	ID           string
 	Request      int // tries of one request share it
 	Host         string
@@ -53,17 +53,17 @@
 	From         int    // events that a stream is to go on after
 	Probe        bool   // sent to see which configuration is in force there
 
-	Sent     Time // the first byte
-	Whole    Time // the last byte
-	Ended    Time
-	Outcome  Outcome
-	Status   int
-	AnswerID string
-	Seal     string
-	Answer   uint64 // digest of the body, streams apart
-	Stream   bool
-	Events   []Segment
-	Surplus  int // bytes that followed the answer while no request waited
+	Sent         Time // the first byte
+	SentComplete Time // the last byte
+	Ended        Time
+	Outcome      Outcome
+	Status       int
+	AnswerID     string
+	Seal         string
+	Answer       uint64 // digest of the body, streams apart
+	Stream       bool
+	Events       []Segment
+	Surplus      int // bytes that followed the answer while no request waited
 }
 
 // Arrival is a request that reached a server, as the server saw it.
@@ -78,32 +78,32 @@
 	Host         string
 	Body         uint64
 	From         int
-	Cold         bool
-	Bound        float64 // requests a second that the server bears while cold
+	WarmingUp    bool
+	WarmUpLimit  float64 // requests a second that the server bears while cold
 
-	Ran      Time // Never: it has not run
-	Ended    Time
-	Rejected int // status with which it was turned away; 0: it was taken
-	Status   int // of its answer; 0: none
-	Seal     string
-	Answer   uint64
-	Final    int  // number of its last event
-	Made     int  // events that were sent
-	Whole    bool // the answer was sent whole
-	Broke    bool // the server broke off
+	ExecutedAt Time // Never: it has not run
+	Ended      Time
+	Rejected   int // status with which it was turned away; 0: it was taken
+	Status     int // of its answer; 0: none
+	Seal       string
+	Answer     uint64
+	LastEvent  int  // number of its last event
+	SentEvents int  // events that were sent
+	Complete   bool // the answer was sent whole
+	Aborted    bool // the server broke off
 }
 
 // Change is an order of the operator.
 type Change struct {
-	Config  *Config // what is in force after it; nil: an evacuation
-	Base    int64
-	Zone    string
-	Start   bool // of an evacuation; else its end
-	Sent    Time
-	Ended   Time
-	Acked   Time // Never: it was not acknowledged
-	Status  int  // of the last answer; 0: none
-	Invalid bool // the checker knows that it must be refused
+	Config         *Config // what is in force after it; nil: an evacuation
+	Base           int64
+	Zone           string
+	Start          bool // of an evacuation; else its end
+	Sent           Time
+	Ended          Time
+	AcknowledgedAt Time // Never: it was not acknowledged
+	Status         int  // of the last answer; 0: none
+	Invalid        bool // the checker knows that it must be refused
 }
 
 // Listing is a server that the platform's list showed as draining.
@@ -138,10 +138,10 @@
 // Evidence is all that was seen. Its methods may be called by several goroutines; the checks read it when all is over.
 type Evidence struct {
 	Bounds   Bounds
-	Tries    []*Try
+	Attempts []*Attempt
 	Arrivals []*Arrival
 	Changes  []*Change
-	Troubles []Trouble
+	Faults   []Fault
 	Listings []Listing
 	Strays   []Stray
 	Reads    []Reading
@@ -153,50 +153,50 @@
 	shown map[string]bool
 }
 
-// Try takes in a try that has ended.
-func (e *Evidence) Try(t *Try) {
+// RecordAttempt takes in a try that has ended.
+func (e *Evidence) RecordAttempt(t *Attempt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.Tries = append(e.Tries, t)
+	e.Attempts = append(e.Attempts, t)
 }
 
-// Arrive takes in a request that reached a server. Change it with Note only.
-func (e *Evidence) Arrive(a *Arrival) {
+// RecordArrival takes in a request that reached a server. Change it with Note only.
+func (e *Evidence) RecordArrival(a *Arrival) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Arrivals = append(e.Arrivals, a)
 }
 
-// Note changes what was taken in.
-func (e *Evidence) Note(change func()) {
+// Update changes what was taken in.
+func (e *Evidence) Update(change func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	change()
 }
 
-// Change takes in an order.
-func (e *Evidence) Change(c *Change) {
+// RecordChange takes in an order.
+func (e *Evidence) RecordChange(c *Change) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Changes = append(e.Changes, c)
 }
 
-// Reading takes in what a read of the configuration gave.
-func (e *Evidence) Reading(r Reading) {
+// RecordReading takes in what a read of the configuration gave.
+func (e *Evidence) RecordReading(r Reading) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Reads = append(e.Reads, r)
 }
 
-// Stray takes in bytes that came while no request waited.
-func (e *Evidence) Stray(s Stray) {
+// RecordStray takes in bytes that came while no request waited.
+func (e *Evidence) RecordStray(s Stray) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Strays = append(e.Strays, s)
 }
 
-// Shown takes in that the list shows a server as draining. Only the first time counts.
-func (e *Evidence) Shown(server string, at Time) {
+// RecordDraining takes in that the list shows a server as draining. Only the first time counts.
+func (e *Evidence) RecordDraining(server string, at Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.shown == nil {
@@ -211,16 +211,16 @@
 // index is evidence in the order in which checks look for it.
 type index struct {
 	*Evidence
-	tries map[string]*Try
-	runs  map[string][]*Arrival // by id, in order of arrival
-	seals map[string]*Arrival
-	lost  []span // in which most of the core was in trouble
+	tries      map[string]*Attempt
+	runs       map[string][]*Arrival // by id, in order of arrival
+	seals      map[string]*Arrival
+	coreLosses []span // in which most of the core was in trouble
 }
 
 func (e *Evidence) index() *index {
-	x := &index{Evidence: e, tries: map[string]*Try{}, runs: map[string][]*Arrival{}, seals: map[string]*Arrival{},
-		lost: e.coreLost()}
-	for _, t := range e.Tries {
+	x := &index{Evidence: e, tries: map[string]*Attempt{}, runs: map[string][]*Arrival{}, seals: map[string]*Arrival{},
+		coreLosses: e.coreLosses()}
+	for _, t := range e.Attempts {
 		x.tries[t.ID] = t
 	}
 	slices.SortStableFunc(e.Arrivals, func(a, b *Arrival) int { return cmp.Compare(a.At, b.At) })
@@ -234,31 +234,31 @@
 }
 
 // Unanswered are the last tries of requests that got no final answer.
-func (e *Evidence) Unanswered() []*Try {
-	last := map[int]*Try{}
-	for _, t := range e.Tries {
+func (e *Evidence) Unanswered() []*Attempt {
+	last := map[int]*Attempt{}
+	for _, t := range e.Attempts {
 		if l := last[t.Request]; !t.Probe && (l == nil || t.Sent > l.Sent) {
 			last[t.Request] = t
 		}
 	}
-	var all []*Try
+	var all []*Attempt
 	for _, t := range last {
 		if t.Outcome != Answered {
 			all = append(all, t)
 		}
 	}
-	slices.SortFunc(all, func(a, b *Try) int { return cmp.Compare(a.Sent, b.Sent) })
+	slices.SortFunc(all, func(a, b *Attempt) int { return cmp.Compare(a.Sent, b.Sent) })
 	return all
 }
 
 // String is the try as a line.
-func (t *Try) String() string {
+func (t *Attempt) String() string {
 	return fmt.Sprintf("%s %s at %s, sent %v: %s after %v (status %d, %d segments)", t.ID, t.Path, t.Proxy, t.Sent.Round(time.Millisecond),
 		t.Outcome, (t.Ended - t.Sent).Round(time.Millisecond), t.Status, len(t.Events))
 }
 
-// Story is a try as a line, with what servers saw of it.
-func (e *Evidence) Story(t *Try) string {
+// Describe is a try as a line, with what servers saw of it.
+func (e *Evidence) Describe(t *Attempt) string {
 	text := t.String()
 	for _, a := range e.Arrivals {
 		if a.ID != t.ID {
@@ -268,10 +268,10 @@
 		switch {
 		case a.Rejected != 0:
 			text += fmt.Sprintf(", rejected with %d", a.Rejected)
-		case a.Ran == Never:
+		case a.ExecutedAt == Never:
 			text += ", never ran"
 		default:
-			text += fmt.Sprintf(", ran after %v, %d of %d events", (a.Ran - t.Sent).Round(time.Millisecond), a.Made, a.Final)
+			text += fmt.Sprintf(", ran after %v, %d of %d events", (a.ExecutedAt - t.Sent).Round(time.Millisecond), a.SentEvents, a.LastEvent)
 		}
 	}
 	return text
--- a/internal/lab/testcluster/rules/placement.go
+++ b/internal/lab/testcluster/rules/placement.go
@@ -11,16 +11,16 @@
 // route: a service runs only what some configuration sends there.
 func route(x *index, v *Verdict) {
 	for _, a := range x.Arrivals {
-		if a.Ran == Never {
+		if a.ExecutedAt == Never {
 			continue
 		}
-		v.Looked++
+		v.Checked++
 		t, sends := x.tries[a.ID], false
 		if t == nil {
 			continue // UNASKED
 		}
 		for _, c := range x.Changes {
-			if c.Config == nil || c.Sent > a.Ran {
+			if c.Config == nil || c.Sent > a.ExecutedAt {
 				continue
 			}
 			if r := c.Config.Match(t.Host, t.Path); r != nil && r.sends(a.Service) {
@@ -29,7 +29,7 @@
 			}
 		}
 		if !sends {
-			v.broke("%s %s ran at %s", t.Host, t.Path, a.Service)
+			v.violation("%s %s ran at %s", t.Host, t.Path, a.Service)
 		}
 	}
 }
@@ -56,45 +56,45 @@
 		if !drains || !a.reached() || a.At < at {
 			continue
 		}
-		v.Looked++
-		if sent := a.left(); sent > at+x.Bounds.Drain && x.inTouch(x.sender(a), sent) {
-			v.broke("%s reached %s %v after it was shown as draining", a.ID, a.Server, sent-at)
+		v.Checked++
+		if sent := a.sentAt(); sent > at+x.Bounds.Drain && x.inContact(x.sender(a), sent) {
+			v.violation("%s reached %s %v after it was shown as draining", a.ID, a.Server, sent-at)
 		}
 	}
 }
 
-// left is when an arrival was sent.
-func (a *Arrival) left() Time {
+// sentAt is when an arrival was sent.
+func (a *Arrival) sentAt() Time {
 	if a.Sent > 0 {
 		return a.Sent
 	}
 	return a.At
 }
 
-// ColdPeak is the most requests that a cold server got within one second.
-type ColdPeak struct {
-	Server string
-	Most   int
-	Bound  float64 // that it may get
-	At     Time    // end of that second
+// WarmUpPeak is the most requests that a cold server got within one second.
+type WarmUpPeak struct {
+	Server   string
+	Requests int
+	Limit    float64 // that it may get
+	At       Time    // end of that second
 }
 
-// ColdPeaks gives those of all servers that were sent requests while cold. Requests that were turned away with 421 do not count.
-func (e *Evidence) ColdPeaks() []ColdPeak {
+// WarmUpPeaks gives those of all servers that were sent requests while cold. Requests that were turned away with 421 do not count.
+func (e *Evidence) WarmUpPeaks() []WarmUpPeak {
 	by := map[string][]*Arrival{}
 	for _, a := range e.Arrivals {
-		if a.Cold && a.reached() {
+		if a.WarmingUp && a.reached() {
 			by[a.Server] = append(by[a.Server], a)
 		}
 	}
-	var peaks []ColdPeak
+	var peaks []WarmUpPeak
 	for _, server := range slices.Sorted(maps.Keys(by)) {
 		all := by[server]
 		slices.SortStableFunc(all, func(a, b *Arrival) int { return cmp.Compare(a.At, b.At) })
-		peak := ColdPeak{Server: server}
+		peak := WarmUpPeak{Server: server}
 		for i, last := range all {
-			if n := within(all[:i+1], last.At-time.Second); n > peak.Most {
-				peak.Most, peak.At, peak.Bound = n, last.At, last.Bound*e.Bounds.ColdExcess+e.Bounds.ColdSlack
+			if n := countSentWithin(all[:i+1], last.At-time.Second); n > peak.Requests {
+				peak.Requests, peak.At, peak.Limit = n, last.At, last.WarmUpLimit*e.Bounds.ColdExcess+e.Bounds.ColdSlack
 			}
 		}
 		peaks = append(peaks, peak)
@@ -102,10 +102,10 @@
 	return peaks
 }
 
-// within counts the arrivals, the last of which is the latest, that were sent after a time.
-func within(sorted []*Arrival, after Time) (n int) {
+// countSentWithin counts the arrivals, the last of which is the latest, that were sent after a time.
+func countSentWithin(sorted []*Arrival, after Time) (n int) {
 	for i := len(sorted) - 1; i >= 0 && sorted[i].At > after; i-- {
-		if sorted[i].left() > after {
+		if sorted[i].sentAt() > after {
 			n++
 		}
 	}
@@ -114,11 +114,11 @@
 
 // failback: a cold server gets no more in any second than it bears. Requests count that were sent and arrived within it.
 func failback(x *index, v *Verdict) {
-	for _, p := range x.ColdPeaks() {
-		v.Looked += p.Most
-		if float64(p.Most) > p.Bound {
-			v.broke("%s got %d requests within a second while cold, up to %v; %.1f at most", p.Server, p.Most,
-				p.At.Round(time.Millisecond), p.Bound)
+	for _, p := range x.WarmUpPeaks() {
+		v.Checked += p.Requests
+		if float64(p.Requests) > p.Limit {
+			v.violation("%s got %d requests within a second while cold, up to %v; %.1f at most", p.Server, p.Requests,
+				p.At.Round(time.Millisecond), p.Limit)
 		}
 	}
 }
@@ -136,9 +136,9 @@
 			r := c.Match(t.Host, t.Path)
 			abroad = abroad && r != nil && len(r.Homes) > 0 && !slices.Contains(r.Homes, a.Region)
 		}
-		v.Looked++
+		v.Checked++
 		if abroad {
-			v.broke("%s reached %s in %s", a.ID, a.Server, a.Region)
+			v.violation("%s reached %s in %s", a.ID, a.Server, a.Region)
 		}
 	}
 }
@@ -146,7 +146,7 @@
 // evacuation: some time after a zone's evacuation was acknowledged, and until it is taken back, nothing is sent there.
 func evacuation(x *index, v *Verdict) {
 	for i, c := range x.Changes {
-		if c.Config != nil || !c.Start || c.Acked == Never {
+		if c.Config != nil || !c.Start || c.AcknowledgedAt == Never {
 			continue
 		}
 		until := Time(1<<63 - 1)
@@ -157,14 +157,14 @@
 			}
 		}
 		for _, a := range x.Arrivals {
-			sent := a.left()
-			from := c.Acked + x.Bounds.Evacuate + x.stretch(c.Acked, sent)
-			if a.Zone != c.Zone || a.At <= c.Acked || a.At >= until || !a.reached() {
+			sent := a.sentAt()
+			from := c.AcknowledgedAt + x.Bounds.Evacuate + x.stretch(c.AcknowledgedAt, sent)
+			if a.Zone != c.Zone || a.At <= c.AcknowledgedAt || a.At >= until || !a.reached() {
 				continue
 			}
-			v.Looked++
-			if sent > from && x.inTouch(x.sender(a), sent) {
-				v.broke("%s reached %s in %s %v after its evacuation", a.ID, a.Server, a.Zone, sent-c.Acked)
+			v.Checked++
+			if sent > from && x.inContact(x.sender(a), sent) {
+				v.violation("%s reached %s in %s %v after its evacuation", a.ID, a.Server, a.Zone, sent-c.AcknowledgedAt)
 			}
 		}
 	}
@@ -173,7 +173,7 @@
 // budget: in every window, arrivals past the first of each request stay within a part of the requests.
 func budget(x *index, v *Verdict) {
 	requests := map[string][]Time{} // by service: when its requests were sent
-	for _, t := range x.Tries {
+	for _, t := range x.Attempts {
 		counted := map[string]bool{}
 		for _, c := range x.inForce(t.Sent, t.Ended) {
 			if r := c.Match(t.Host, t.Path); r != nil {
@@ -203,20 +203,20 @@
 			for at-all[from] >= x.Bounds.RetryWindow {
 				from++
 			}
-			v.Looked++
+			v.Checked++
 			n := 0
 			for _, back := range []Time{0, x.Bounds.RetryWindow / 2, x.Bounds.RetryWindow} {
-				n = max(n, between(sent, at-back-x.Bounds.RetryWindow, at-back))
+				n = max(n, countBetween(sent, at-back-x.Bounds.RetryWindow, at-back))
 			}
 			if most := x.Bounds.RetryRatio*float64(n) + x.Bounds.RetrySlack; float64(i-from+1) > most {
-				v.broke("%s got %d repeats up to %v, %.0f at most", service, i-from+1, at, most)
+				v.violation("%s got %d repeats up to %v, %.0f at most", service, i-from+1, at, most)
 			}
 		}
 	}
 }
 
-// between counts the times after from and up to to.
-func between(sorted []Time, from, to Time) int {
+// countBetween counts the times after from and up to to.
+func countBetween(sorted []Time, from, to Time) int {
 	low, _ := slices.BinarySearchFunc(sorted, from, func(t, x Time) int { return cmp.Compare(t, x+1) })
 	high, _ := slices.BinarySearchFunc(sorted, to, func(t, x Time) int { return cmp.Compare(t, x+1) })
 	return max(0, high-low)
--- a/internal/lab/testcluster/rules/regression.go
+++ b/internal/lab/testcluster/rules/regression.go
@@ -9,13 +9,13 @@
 
 // effect is a request as evidence of the configuration that a proxy went by: one from least to most.
 type effect struct {
-	try         *Try
-	at          Time // when it was seen; of a 404: never early enough to bind later ones
-	least, most int64
+	attempt                  *Attempt
+	at                       Time // when it was seen; of a 404: never early enough to bind later ones
+	minRevision, maxRevision int64
 }
 
-// versions gives the lowest and the highest version ever sent under which allowed holds; false: there is none.
-func (x *index) versions(allowed func(*Config) bool) (least, most int64, ok bool) {
+// versionRange gives the lowest and the highest version ever sent under which allowed holds; false: there is none.
+func (x *index) versionRange(allowed func(*Config) bool) (least, most int64, ok bool) {
 	least, most = math.MaxInt64, math.MinInt64
 	for _, c := range x.Changes {
 		if c.Config != nil && allowed(c.Config) {
@@ -25,60 +25,60 @@
 	return least, most, ok
 }
 
-func (x *index) effects(t *Try) []effect {
+func (x *index) effects(t *Attempt) []effect {
 	var all []effect
 	if t.Outcome == Answered && t.Status == http.StatusNotFound && t.Seal == "" {
-		if least, most, ok := x.versions(func(c *Config) bool { return c.Match(t.Host, t.Path) == nil }); ok {
+		if least, most, ok := x.versionRange(func(c *Config) bool { return c.Match(t.Host, t.Path) == nil }); ok {
 			all = append(all, effect{t, math.MaxInt64, least, most})
 		}
 	}
 	for _, a := range x.runs[t.ID] {
-		if a.Ran == Never {
+		if a.ExecutedAt == Never {
 			continue
 		}
-		least, most, ok := x.versions(func(c *Config) bool {
+		least, most, ok := x.versionRange(func(c *Config) bool {
 			r := c.Match(t.Host, t.Path)
 			return r != nil && r.sends(a.Service)
 		})
 		if ok {
-			all = append(all, effect{t, a.Ran, least, most})
+			all = append(all, effect{t, a.ExecutedAt, least, most})
 		}
 	}
 	return all
 }
 
-// regress: within one life of its processes a machine does not go back to an older version.
-func (x *index) regress(v *Verdict) {
+// checkRegression: within one life of its processes a machine does not go back to an older version.
+func (x *index) checkRegression(v *Verdict) {
 	by := map[string][]effect{}
-	for _, t := range x.Tries {
+	for _, t := range x.Attempts {
 		by[t.Proxy] = append(by[t.Proxy], x.effects(t)...)
 	}
 	for proxy, all := range by {
-		slices.SortStableFunc(all, func(a, b effect) int { return cmp.Compare(a.try.Sent, b.try.Sent) })
+		slices.SortStableFunc(all, func(a, b effect) int { return cmp.Compare(a.attempt.Sent, b.attempt.Sent) })
 		seen := slices.Clone(all)
 		slices.SortStableFunc(seen, func(a, b effect) int { return cmp.Compare(a.at, b.at) })
 		next, newest, life := 0, int64(math.MinInt64), Time(0)
 		for _, e := range all {
-			if began := x.life(proxy, e.try.Sent); began > life {
+			if began := x.incarnationStart(proxy, e.attempt.Sent); began > life {
 				newest, life = math.MinInt64, began
 			}
-			for next < len(seen) && seen[next].at < e.try.Sent-x.Bounds.RevertSlack {
+			for next < len(seen) && seen[next].at < e.attempt.Sent-x.Bounds.RevertSlack {
 				if seen[next].at >= life {
-					newest = max(newest, seen[next].least)
+					newest = max(newest, seen[next].minRevision)
 				}
 				next++
 			}
-			if e.most < newest {
-				v.broke("%s went by version %d at most at %s, which had gone by version %d", e.try.ID, e.most, proxy, newest)
+			if e.maxRevision < newest {
+				v.violation("%s went by version %d at most at %s, which had gone by version %d", e.attempt.ID, e.maxRevision, proxy, newest)
 			}
 		}
 	}
 }
 
-// life is when the life of a proxy began that lasts at a time; 0: it was not started during the run.
-func (x *index) life(proxy string, at Time) Time {
+// incarnationStart is when the incarnationStart of a proxy began that lasts at a time; 0: it was not started during the run.
+func (x *index) incarnationStart(proxy string, at Time) Time {
 	var began Time
-	for _, t := range x.Troubles {
+	for _, t := range x.Faults {
 		if t.Proxy == proxy && t.Kind == Start && t.At <= at {
 			began = max(began, t.At)
 		}
--- a/internal/lab/testcluster/scenario.go
+++ b/internal/lab/testcluster/scenario.go
@@ -14,13 +14,13 @@
 	Bounds   rules.Bounds
 	Config   *rules.Config
 	Servers  []ServerSpec
-	Kinds    []Kind
+	Kinds    []RequestKind
 }
 
 const (
-	sceneHost = "assistant.example"
-	llm       = "usher-lm"
-	thumbs    = "thumbs"
+	scenarioHost = "assistant.example"
+	modelService = "usher-lm"
+	thumbService = "thumbs"
 )
 
 // SmallScenario gives it, with rate requests a second in all.
@@ -33,22 +33,22 @@
 		z := zones[min(i, 2)]
 		s.Machines = append(s.Machines, Machine{IP: fmt.Sprintf("127.0.1.%d", i+1), Zone: z.zone, Region: z.region, Disk: i < 3})
 	}
-	spec := &engine.Spec{Slots: 16, Queue: 16, Memory: 100_000, Stride: 5, Step: 5 * time.Millisecond, PerRunning: 50 * time.Microsecond,
+	spec := &engine.Spec{Slots: 16, Queue: 16, MemoryTokens: 100_000, Stride: 5, Step: 5 * time.Millisecond, PerRunning: 50 * time.Microsecond,
 		PrefillRate: 50, Chunk: 512}
 	for i := range 6 {
 		z := zones[i%3]
-		s.Servers = append(s.Servers, ServerSpec{Service: llm, Zone: z.zone, Region: z.region, Address: fmt.Sprintf("127.0.2.%d:0", i+1),
-			HealthPath: "/health", MaxConns: 200, Idle: 15 * time.Second, TellsLoad: true, ColdFor: 3 * time.Second, ColdPerSecond: 20,
-			ColdFall: 4, Engine: spec})
+		s.Servers = append(s.Servers, ServerSpec{Service: modelService, Zone: z.zone, Region: z.region, Address: fmt.Sprintf("127.0.2.%d:0", i+1),
+			HealthPath: "/health", MaxConns: 200, IdleTimeout: 15 * time.Second, ReportsLoad: true, WarmUp: 3 * time.Second, WarmUpPerSecond: 20,
+			WarmUpCrashFactor: 4, Engine: spec})
 	}
 	for i, z := range zones {
-		s.Servers = append(s.Servers, ServerSpec{Service: thumbs, Zone: z.zone, Region: z.region, Address: fmt.Sprintf("127.0.3.%d:0", i+1),
-			HealthPath: "/health", MaxConns: 130, Idle: 15 * time.Second, TellsLoad: true,
+		s.Servers = append(s.Servers, ServerSpec{Service: thumbService, Zone: z.zone, Region: z.region, Address: fmt.Sprintf("127.0.3.%d:0", i+1),
+			HealthPath: "/health", MaxConns: 130, IdleTimeout: 15 * time.Second, ReportsLoad: true,
 			Plain: &PlainSpec{Slots: 6, Queue: 12, Work: 20 * time.Millisecond, Bytes: 800}})
 	}
-	s.Config = sceneConfig(spec)
+	s.Config = scenarioConfig(spec)
 	r := s.Config.Routes
-	s.Kinds = []Kind{
+	s.Kinds = []RequestKind{
 		{Route: &r[0], Rate: 0.1 * rate, Deadline: 8 * time.Second, Retries: 1, Subjects: 8, Shared: 4000, Own: 1000, Out: 120, Bytes: 4000},
 		{Route: &r[1], Rate: 0.6 * rate, Deadline: 5 * time.Second, Retries: 1, Subjects: 30, Shared: 90, Own: 290, Out: 45, Bytes: 1000},
 		{Route: &r[2], Rate: 0.3 * rate, Deadline: 2500 * time.Millisecond, Retries: 1, Bytes: 100},
@@ -56,22 +56,22 @@
 	return s
 }
 
-func sceneConfig(spec *engine.Spec) *rules.Config {
+func scenarioConfig(spec *engine.Spec) *rules.Config {
 	stream := func(name, prefix string, priority, aim, timeout int, resumable bool) rules.Route {
-		return rules.Route{Name: name, Host: sceneHost, Prefix: prefix, Category: "streaming", Timeout: timeout, Aim: aim, Priority: priority,
-			Target: llm, MaxTries: 2, Sticky: true, Resumable: resumable, GapAim: 600, Homes: []string{}}
+		return rules.Route{Name: name, Host: scenarioHost, Prefix: prefix, Category: "streaming", Timeout: timeout, Aim: aim, Priority: priority,
+			Target: modelService, MaxTries: 2, Sticky: true, Resumable: resumable, GapAim: 600, Homes: []string{}}
 	}
 	return &rules.Config{Revision: 1,
 		Routes: []rules.Route{
 			stream("chapter-summary", "/summary/", 1, 1000, 8000, true),
 			stream("clip-question", "/question/", 0, 800, 5000, false),
-			{Name: "thumb-fetch", Host: sceneHost, Prefix: "/thumb/", Category: "idempotent", Timeout: 2500, Aim: 400, Priority: 2,
-				Target: thumbs, MaxTries: 2, Homes: []string{}},
+			{Name: "thumb-fetch", Host: scenarioHost, Prefix: "/thumb/", Category: "idempotent", Timeout: 2500, Aim: 400, Priority: 2,
+				Target: thumbService, MaxTries: 2, Homes: []string{}},
 		},
 		Services: []rules.Service{
-			{Name: llm, HealthPath: "/health", MaxConns: 200, Protocol: "h1", ColdFor: 3, ColdPerSecond: 20, Engine: &rules.Engine{
-				Slots: spec.Slots, CacheTokens: spec.Memory, TokenBytes: 163840, LinkMbps: 1e6, Stride: spec.Stride, Models: []rules.Model{{Name: "m"}}}},
-			{Name: thumbs, HealthPath: "/health", MaxConns: 130, Protocol: "h1"},
+			{Name: modelService, HealthPath: "/health", MaxConns: 200, Protocol: "h1", ColdFor: 3, ColdPerSecond: 20, Engine: &rules.Engine{
+				Slots: spec.Slots, CacheTokens: spec.MemoryTokens, TokenBytes: 163840, LinkMbps: 1e6, Stride: spec.Stride, Models: []rules.Model{{Name: "m"}}}},
+			{Name: thumbService, HealthPath: "/health", MaxConns: 130, Protocol: "h1"},
 		},
 		Limits: rules.Limits{HeaderBytes: 16384, BodyBytes: 4 << 20, HeaderTimeout: 3000, Idle: 15000},
 	}
--- a/internal/lab/testcluster/server.go
+++ b/internal/lab/testcluster/server.go
@@ -24,11 +24,11 @@
 	Address               string // IP:0 picks a port, which stays for its later incarnations
 	HealthPath            string
 	MaxConns              int
-	Idle                  time.Duration // after which it closes a connection
-	TellsLoad             bool
-	ColdFor               time.Duration
-	ColdPerSecond         float64 // requests a second that it bears while cold; 0: any number
-	ColdFall              float64 // times that, from which it falls over
+	IdleTimeout           time.Duration // after which it closes a connection
+	ReportsLoad           bool
+	WarmUp                time.Duration
+	WarmUpPerSecond       float64 // requests a second that it bears while cold; 0: any number
+	WarmUpCrashFactor     float64 // times that, from which it falls over
 	Engine                *engine.Spec
 	Plain                 *PlainSpec // where Engine is nil
 }
@@ -55,19 +55,19 @@
 	Load() (running, waiting int)
 }
 
-// plain is a server without a model as a machine: a request takes a slot for a time.
-type plain struct {
+// plainServer is a server without a model as a machine: a request takes a slot for a time.
+type plainServer struct {
 	*model.Server
 	spec PlainSpec
 }
 
-func newPlain(spec PlainSpec, now time.Duration) *plain {
-	return &plain{spec: spec, Server: model.New(
+func newPlain(spec PlainSpec, now time.Duration) *plainServer {
+	return &plainServer{spec: spec, Server: model.New(
 		model.Spec{Cores: spec.Slots, Speed: 1, Slots: spec.Slots, Queue: spec.Queue}, int64(now), false)}
 }
 
 // Advance implements machine.
-func (p *plain) Advance(now engine.Time) []engine.Output {
+func (p *plainServer) Advance(now engine.Time) []engine.Output {
 	var out []engine.Output
 	for _, d := range p.Server.Advance(int64(now)) {
 		out = append(out, engine.Output{Key: d.Key, Kind: engine.Done, At: engine.Time(d.At)})
@@ -76,16 +76,16 @@
 }
 
 // Next implements machine.
-func (p *plain) Next() (at engine.Time, ok bool) {
+func (p *plainServer) Next() (at engine.Time, ok bool) {
 	next, ok := p.Server.Next()
 	return engine.Time(next), ok
 }
 
 // Cancel implements machine. Work that was begun goes on; such a request counts as run.
-func (p *plain) Cancel(engine.Time, uint64) bool { return true }
+func (p *plainServer) Cancel(engine.Time, uint64) bool { return true }
 
 // Load implements machine.
-func (p *plain) Load() (running, waiting int) {
+func (p *plainServer) Load() (running, waiting int) {
 	held := p.Held()
 	return min(held, p.spec.Slots), max(0, held-p.spec.Slots)
 }
@@ -93,31 +93,31 @@
 // Server is a stand-in server: PROTOCOL.md "Servers".
 type Server struct {
 	ServerSpec
-	w       *Environment
+	env     *Environment
 	address string
 
-	mu       sync.Mutex
-	id       string
-	starts   int
-	work     machine
-	engine   *engine.Engine // nil: no model
-	waiters  map[uint64]chan engine.Output
-	key      uint64
-	coldTill time.Duration
-	recent   []time.Duration // arrivals within the last second
-	draining bool
-	leavesAt time.Duration // of one that is withdrawn at short notice; rules.Never: it is not
-	goneAt   time.Duration // of a server that was drained; rules.Never: it is up
-	losing   float64       // share of the requests whose answer is lost
-	crashed  time.Duration // rules.Never: it is up
-	conns    int
-	reports  []report
-	http     *http.Server
-	end      context.CancelFunc
-	wake     chan struct{}
-	ended    chan struct{}
-	listener net.Listener
-	relay    *relay // in front of the listener; nil: there is none
+	mu             sync.Mutex
+	id             string
+	starts         int
+	machine        machine
+	engine         *engine.Engine // nil: no model
+	waiters        map[uint64]chan engine.Output
+	lastKey        uint64
+	warmUntil      time.Duration
+	recentArrivals []time.Duration // arrivals within the last second
+	draining       bool
+	withdrawAt     time.Duration // of one that is withdrawn at short notice; rules.Never: it is not
+	stoppedAt      time.Duration // of a server that was drained; rules.Never: it is up
+	answerLossRate float64       // share of the requests whose answer is lost
+	crashedAt      time.Duration // rules.Never: it is up
+	openConns      int
+	reports        []report
+	http           *http.Server
+	cancel         context.CancelFunc
+	wake           chan struct{}
+	stopped        chan struct{}
+	listener       net.Listener
+	relay          *relay // in front of the listener; nil: there is none
 }
 
 // ErrRunning marks the start of a server that is up.
@@ -153,30 +153,30 @@
 	}
 	s.starts++
 	s.id = fmt.Sprintf("i-%08x", xxhash.Sum64String(s.address+strconv.Itoa(s.starts))>>32)
-	now := s.w.Now()
+	now := s.env.Now()
 	s.engine = nil
 	if s.Engine != nil {
 		s.engine = engine.New(*s.Engine, now)
-		s.work = s.engine
+		s.machine = s.engine
 	} else {
-		s.work = newPlain(*s.Plain, now)
+		s.machine = newPlain(*s.Plain, now)
 	}
-	s.waiters, s.draining, s.recent, s.conns = map[uint64]chan engine.Output{}, false, nil, 0
-	s.crashed, s.goneAt, s.leavesAt = rules.Never, rules.Never, rules.Never
-	s.coldTill = now
+	s.waiters, s.draining, s.recentArrivals, s.openConns = map[uint64]chan engine.Output{}, false, nil, 0
+	s.crashedAt, s.stoppedAt, s.withdrawAt = rules.Never, rules.Never, rules.Never
+	s.warmUntil = now
 	if cold {
-		s.coldTill = now + s.ColdFor
+		s.warmUntil = now + s.WarmUp
 	}
 	s.reports = nil
 	ctx, end := context.WithCancel(context.Background())
-	s.end, s.wake, s.ended = end, make(chan struct{}, 1), make(chan struct{})
-	incarnation := &incarnation{ServerSpec: s.ServerSpec, s: s, id: s.id, ctx: ctx}
+	s.cancel, s.wake, s.stopped = end, make(chan struct{}, 1), make(chan struct{})
+	incarnation := &incarnation{ServerSpec: s.ServerSpec, server: s, id: s.id, ctx: ctx}
 	incarnation.relay = s.relay
-	s.http = &http.Server{Handler: incarnation, IdleTimeout: s.Idle, ReadHeaderTimeout: 10 * time.Second, ConnState: s.counts,
-		ErrorLog: s.w.quiet, ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
+	s.http = &http.Server{Handler: incarnation, IdleTimeout: s.IdleTimeout, ReadHeaderTimeout: 10 * time.Second, ConnState: s.trackConn,
+		ErrorLog: s.env.discardLog, ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
 	s.listener = l
 	go func(h *http.Server) { _ = h.Serve(l) }(s.http) // ends with Close
-	go s.run(ctx, s.wake, s.ended)
+	go s.run(ctx, s.wake, s.stopped)
 	return nil
 }
 
@@ -190,7 +190,7 @@
 		at = s.address
 	}
 	inner := at
-	if s.w.links != nil {
+	if s.env.links != nil {
 		inner = "127.0.0.1:0"
 	}
 	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp4", inner)
@@ -198,9 +198,9 @@
 		return nil, errors.Wrapf(err, "stand-in server of %s cannot listen at %s: check that it is free", s.Service, inner)
 	}
 	s.address, s.relay = l.Addr().String(), nil
-	if s.w.links != nil {
-		s.relay, err = newPickingRelay(at, l.Addr().String(), s.w.links.at(Path{To: s.Address}, false),
-			func(first []byte) *link.Link { return s.w.links.toServer(s.Address, first) })
+	if s.env.links != nil {
+		s.relay, err = newPickingRelay(at, l.Addr().String(), s.env.links.linkFor(Path{To: s.Address}, false),
+			func(first []byte) *link.Link { return s.env.links.serverLink(s.Address, first) })
 		if err != nil {
 			_ = l.Close()
 			return nil, errors.Wrapf(err, "no relay in front of a stand-in server of %s at %s: check that it is free", s.Service, at)
@@ -210,20 +210,20 @@
 	return l, nil
 }
 
-// counts resets connections beyond the most that are accepted.
-func (s *Server) counts(c net.Conn, state http.ConnState) {
+// trackConn resets connections beyond the most that are accepted.
+func (s *Server) trackConn(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch state {
 	case http.StateNew:
-		if s.conns++; s.conns > s.MaxConns {
+		if s.openConns++; s.openConns > s.MaxConns {
 			if t, ok := c.(*net.TCPConn); ok {
 				_ = t.SetLinger(0)
 			}
 			_ = c.Close()
 		}
 	case http.StateClosed, http.StateHijacked:
-		s.conns--
+		s.openConns--
 	}
 }
 
@@ -235,11 +235,11 @@
 	for {
 		s.mu.Lock()
 		s.deliver()
-		next, ok := s.work.Next()
+		next, ok := s.machine.Next()
 		s.mu.Unlock()
 		wait := time.Hour
 		if ok {
-			wait = max(0, next-s.w.Now())
+			wait = max(0, next-s.env.Now())
 		}
 		timer.Reset(wait)
 		select {
@@ -253,15 +253,15 @@
 
 // deliver hands out what the machine has made by now.
 func (s *Server) deliver() {
-	for _, o := range s.work.Advance(s.w.Now()) {
+	for _, o := range s.machine.Advance(s.env.Now()) {
 		if c := s.waiters[o.Key]; c != nil {
 			c <- o // it has room for all that the request can make
 		}
 	}
 }
 
-// stir has run look again.
-func (s *Server) stir() {
+// wakeRun has run look again.
+func (s *Server) wakeRun() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -279,21 +279,21 @@
 func (s *Server) Withdraw(after time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.draining, s.leavesAt = true, s.w.Now()+after
+	s.draining, s.withdrawAt = true, s.env.Now()+after
 }
 
 // SetWarmingUp has the server be cold for a time from now.
 func (s *Server) SetWarmingUp(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.coldTill = max(s.coldTill, s.w.Now()+d)
+	s.warmUntil = max(s.warmUntil, s.env.Now()+d)
 }
 
 // LoseAnswers has the server run a share of the requests that come from now on, and reset their connections in place of an answer.
 func (s *Server) LoseAnswers(share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.losing = share
+	s.answerLossRate = share
 }
 
 // Reconfigure has the next incarnation at the address be of another kind.
@@ -315,12 +315,12 @@
 		s.mu.Unlock()
 		return
 	}
-	h, l, end, ended, relay := s.http, s.listener, s.end, s.ended, s.relay
+	h, l, end, ended, relay := s.http, s.listener, s.cancel, s.stopped, s.relay
 	s.http = nil
 	if planned {
-		s.goneAt = s.w.Now()
+		s.stoppedAt = s.env.Now()
 	} else {
-		s.crashed = s.w.Now()
+		s.crashedAt = s.env.Now()
 	}
 	s.mu.Unlock()
 	end()
--- a/internal/lab/testcluster/server_links.go
+++ b/internal/lab/testcluster/server_links.go
@@ -12,25 +12,25 @@
 // Proxies reach a server at one address, as it is that of the platform's list, and all from 127.0.0.1. Which of them a connection is
 // of is told by its first request: by its id, which a client has sent to one proxy.
 
-// sent takes in that a client sends a request to a proxy.
-func (n *Links) sent(id, proxy string) {
+// recordSender takes in that a client sends a request to a proxy.
+func (n *Links) recordSender(id, proxy string) {
 	if n != nil {
 		n.senders.Store(id, proxy)
 	}
 }
 
-// reach gives every proxy links of its own to all servers, so that troubles can be laid on them from the start.
-func (n *Links) reach(machines []Machine, servers []ServerSpec) {
+// createServerLinks gives every proxy links of its own to all servers, so that troubles can be laid on them from the start.
+func (n *Links) createServerLinks(machines []Machine, servers []ServerSpec) {
 	for _, s := range servers {
 		for _, m := range machines {
-			n.at(Path{From: ProxyName(m), To: s.Address}, false)
+			n.linkFor(Path{From: ProxyName(m), To: s.Address}, false)
 		}
 	}
 }
 
-// toServer gives the link of a connection to a server by its first bytes. One that is of no proxy's goes over that of the server.
-func (n *Links) toServer(server string, first []byte) *link.Link {
-	return n.at(Path{From: n.sender(first), To: server}, false)
+// serverLink gives the link of a connection to a server by its first bytes. One that is of no proxy's goes over that of the server.
+func (n *Links) serverLink(server string, first []byte) *link.Link {
+	return n.linkFor(Path{From: n.sender(first), To: server}, false)
 }
 
 // sender names the proxy that sends a request; empty: it is not known.
--- a/internal/lab/testcluster/server_links_test.go
+++ b/internal/lab/testcluster/server_links_test.go
@@ -18,9 +18,9 @@
 // TestSender: whose connection to a server it is shows in its first request.
 func TestSender(t *testing.T) {
 	n := NewLinks(0, 0)
-	n.sent("one", "127.0.1.1:80")
-	n.sent("two", "127.0.1.2:80")
-	n.sent("odd", "no address")
+	n.recordSender("one", "127.0.1.1:80")
+	n.recordSender("two", "127.0.1.2:80")
+	n.recordSender("odd", "no address")
 	for _, c := range []struct{ first, proxy string }{
 		{headOf("one"), "proxy-127.0.1.1"}, {headOf("two") + "hello", "proxy-127.0.1.2"}, {headOf("three"), ""}, {headOf("odd"), ""}, {headOf(""), ""},
 		{headOf("one")[:30], ""}, {"GET /health HTTP/1.1\r\nHost: h\r\n\r\n", ""}, {"", ""}, {"\x00\r\n\r\n", ""},
@@ -29,18 +29,18 @@
 			t.Errorf("%q: %q, want %q", c.first, got, c.proxy)
 		}
 	}
-	(*Links)(nil).sent("one", "127.0.1.1:80") // where there are no links
+	(*Links)(nil).recordSender("one", "127.0.1.1:80") // where there are no links
 }
 
 // TestProxyIsCutFromAServer: one proxy's bytes are held back, also on connections that come later, and those of the other go on.
 func TestProxyIsCutFromAServer(t *testing.T) {
 	n := NewLinks(0, 0)
 	machines := []Machine{{IP: "127.0.1.1"}, {IP: "127.0.1.2"}}
-	n.reach(machines, []ServerSpec{{Address: testServer}})
+	n.createServerLinks(machines, []ServerSpec{{Address: testServer}})
 	for _, m := range machines {
-		n.sent(m.IP, m.IP+":80")
+		n.recordSender(m.IP, m.IP+":80")
 	}
-	r, err := newPickingRelay("127.0.0.1:0", echo(t), n.at(Path{To: testServer}, false), func(first []byte) *link.Link { return n.toServer(testServer, first) })
+	r, err := newPickingRelay("127.0.0.1:0", echo(t), n.linkFor(Path{To: testServer}, false), func(first []byte) *link.Link { return n.serverLink(testServer, first) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 // TestSilentConnectionsEnd: a relay that waits for first bytes ends with those connections, and passes over one that says nothing.
 func TestSilentConnectionsEnd(t *testing.T) {
 	n := NewLinks(0, 0)
-	r, err := newPickingRelay("127.0.0.1:0", echo(t), n.at(Path{To: testServer}, false), func(first []byte) *link.Link { return n.toServer(testServer, first) })
+	r, err := newPickingRelay("127.0.0.1:0", echo(t), n.linkFor(Path{To: testServer}, false), func(first []byte) *link.Link { return n.serverLink(testServer, first) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +107,7 @@
 	case <-time.After(testWithin):
 		t.Fatal("the relay waits for connections on which nothing comes")
 	}
-	if len(r.silent) > 0 || r.open.Load() != 0 {
+	if len(r.awaitingFirstBytes) > 0 || r.open.Load() != 0 {
 		t.Errorf("%d connections are left", r.open.Load())
 	}
 }
--- a/internal/lab/testcluster/server_test.go
+++ b/internal/lab/testcluster/server_test.go
@@ -37,7 +37,7 @@
 }
 
 func quickEngine() *engine.Spec {
-	return &engine.Spec{Slots: 1, Queue: 1, Memory: 1000, Stride: 2, Step: 200 * time.Microsecond, PrefillRate: 5000, Chunk: 5000}
+	return &engine.Spec{Slots: 1, Queue: 1, MemoryTokens: 1000, Stride: 2, Step: 200 * time.Microsecond, PrefillRate: 5000, Chunk: 5000}
 }
 
 // call sends a request and gives the answer with its whole body.
@@ -67,14 +67,14 @@
 
 // TestServerConformance: PROTOCOL.md "Servers".
 func TestServerConformance(t *testing.T) {
-	_, s := lone(t, ServerSpec{Service: "llm", Engine: quickEngine(), TellsLoad: true, Idle: 5 * time.Second})
+	_, s := lone(t, ServerSpec{Service: "llm", Engine: quickEngine(), ReportsLoad: true, IdleTimeout: 5 * time.Second})
 	id := s.ID()
 	prompt := []string{"X-Token-Count: 100,20", "X-Prompt-Prefix: a:60,b:40", "X-Time-Left-Ms: 5000"}
 	resp, body, err := call(t, s, "/x/1", append(prompt, "X-Attempt-Id: one")...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	made := engine.Events(Made("a:60,b:40", 20), 2)
+	made := engine.EventsOf(AnswerTokens("a:60,b:40", 20), 2)
 	for i := 1; i <= made; i++ {
 		if !strings.Contains(body, fmt.Sprintf("id: %d\ndata: %s %d ", i, resp.Header.Get("X-Server-Seal"), i)) {
 			t.Errorf("event %d of %d is missing: %q", i, made, body)
@@ -142,7 +142,7 @@
 	}()
 	for running := 0; running == 0; runtime.Gosched() {
 		s.mu.Lock()
-		running, _ = s.work.Load()
+		running, _ = s.machine.Load()
 		s.mu.Unlock()
 	}
 	resp, _, err := call(t, s, "/x/2", "X-Attempt-Id: two", "X-Token-Count: 10,10")
@@ -153,9 +153,9 @@
 	if err := <-taken; err == nil {
 		t.Error("a crash let an answer look whole")
 	}
-	w.Evidence.Note(func() {
+	w.Evidence.Update(func() {
 		for _, a := range w.Evidence.Arrivals {
-			if a.Ran != rules.Never || a.ID == "one" && !a.Broke {
+			if a.ExecutedAt != rules.Never || a.ID == "one" && !a.Aborted {
 				t.Errorf("%+v", a)
 			}
 		}
@@ -176,9 +176,9 @@
 			if resp, _, err := call(t, s, "/x/1", "X-Attempt-Id: two", "X-Token-Count: 10,10"); err != nil || resp.StatusCode != 200 {
 				t.Errorf("%+v, %v", resp, err)
 			}
-			w.Evidence.Note(func() {
+			w.Evidence.Update(func() {
 				for _, a := range w.Evidence.Arrivals {
-					if a.Ran == rules.Never || a.Broke != (a.ID == "one") {
+					if a.ExecutedAt == rules.Never || a.Aborted != (a.ID == "one") {
 						t.Errorf("%+v", a)
 					}
 				}
@@ -220,7 +220,7 @@
 	if err := s.Start(true); err != nil || s.address != address || s.ID() == id {
 		t.Errorf("%v, %s after %s, %s after %s", err, s.address, address, s.ID(), id)
 	}
-	w.Evidence.Note(func() {
+	w.Evidence.Update(func() {
 		if all := w.Evidence.Arrivals; len(all) != 1 || all[0].At-all[0].Sent < slow {
 			t.Errorf("%+v", all)
 		}
@@ -229,13 +229,13 @@
 
 // TestServerLives: a new start is a new incarnation at the old address, and the list shows each as it is.
 func TestServerLives(t *testing.T) {
-	w, s := lone(t, ServerSpec{Service: "llm", Engine: quickEngine(), ColdFor: time.Hour, ColdPerSecond: 2, ColdFall: 3})
+	w, s := lone(t, ServerSpec{Service: "llm", Engine: quickEngine(), WarmUp: time.Hour, WarmUpPerSecond: 2, WarmUpCrashFactor: 3})
 	first, address := s.ID(), s.address
-	if i := w.instances(); len(i) != 1 || i[0].ID != first || i[0].Phase != "serving" || i[0].coldTill > w.Now() {
+	if i := w.instances(); len(i) != 1 || i[0].ID != first || i[0].Phase != "serving" || i[0].warmUntil > w.Now() {
 		t.Errorf("at first: %+v", i)
 	}
 	s.Withdraw(time.Hour)
-	if i := w.instances(); i[0].Phase != draining || i[0].Left == nil || *i[0].Left < 3_000_000 {
+	if i := w.instances(); i[0].Phase != draining || i[0].RemainingMS == nil || *i[0].RemainingMS < 3_000_000 {
 		t.Errorf("withdrawn: %+v", i)
 	}
 	s.Stop()
@@ -248,7 +248,7 @@
 	if err := s.Start(true); err != nil {
 		t.Fatal(err)
 	}
-	if i := w.instances(); len(i) != 1 || i[0].ID == first || i[0].Address != address || i[0].Target != "other" || i[0].coldTill < 50*time.Minute || i[0].Left != nil {
+	if i := w.instances(); len(i) != 1 || i[0].ID == first || i[0].Address != address || i[0].Target != "other" || i[0].warmUntil < 50*time.Minute || i[0].RemainingMS != nil {
 		t.Errorf("started again: %+v", i)
 	}
 	if resp, _, err := call(t, s, "/health"); err != nil || resp.Header.Get("X-Cold-Ms") == "" {
@@ -265,9 +265,9 @@
 	if i := w.instances(); len(i) != 1 {
 		t.Errorf("one that has just crashed is no longer listed: %+v", i)
 	}
-	w.Evidence.Note(func() {
+	w.Evidence.Update(func() {
 		for _, a := range w.Evidence.Arrivals {
-			if !a.Cold || a.Bound != 2 {
+			if !a.WarmingUp || a.WarmUpLimit != 2 {
 				t.Errorf("%+v", a)
 			}
 		}
--- a/internal/lab/testcluster/stats.go
+++ b/internal/lab/testcluster/stats.go
@@ -12,36 +12,36 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
-// Figures are totals of requests since the start, and the first tokens (or answers) since the last look.
-type Figures struct {
+// Stats are totals of requests since the start, and the first tokens (or answers) since the last look.
+type Stats struct {
 	Requests, Served, Refused, Failed, Unanswered, Open int
 
-	Firsts   int           // answers that began since the last look
-	P50, P99 time.Duration // from a client's first try to its first token
+	FirstTokens int           // answers that began since the last look
+	P50, P99    time.Duration // from a client's first try to its first token
 }
 
-// figures counts the clients' requests.
-type figures struct {
-	mu     sync.Mutex
-	now    Figures
-	firsts []time.Duration
-	waits  []wait
+// statsCounter counts the clients' requests.
+type statsCounter struct {
+	mu          sync.Mutex
+	totals      Stats
+	firstTokens []time.Duration
+	waiters     []servedWaiter
 }
 
-// wait is closed once so many requests were served.
-type wait struct {
-	served int
-	over   chan struct{}
+// servedWaiter is closed once so many requests were served.
+type servedWaiter struct {
+	served  int
+	reached chan struct{}
 }
 
 // await returns when n more requests were served.
-func (f *figures) await(ctx context.Context, n int) error {
+func (f *statsCounter) await(ctx context.Context, n int) error {
 	f.mu.Lock()
-	w := wait{f.now.Served + n, make(chan struct{})}
-	f.waits = append(f.waits, w)
+	w := servedWaiter{f.totals.Served + n, make(chan struct{})}
+	f.waiters = append(f.waiters, w)
 	f.mu.Unlock()
 	select {
-	case <-w.over:
+	case <-w.reached:
 		return nil
 	case <-ctx.Done():
 		return errors.Wrapf(ctx.Err(), "%d more requests were not served in time", n)
@@ -49,51 +49,51 @@
 }
 
 // begin counts a request and gives its number.
-func (f *figures) begin() int {
+func (f *statsCounter) begin() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.now.Requests++
-	f.now.Open++
-	return f.now.Requests
+	f.totals.Requests++
+	f.totals.Open++
+	return f.totals.Requests
 }
 
 // end counts how a request ended: by its last try.
-func (f *figures) end(t *rules.Try, first time.Duration) {
+func (f *statsCounter) end(t *rules.Attempt, first time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.now.Open--
+	f.totals.Open--
 	switch {
 	case t.Outcome != rules.Answered:
-		f.now.Unanswered++
+		f.totals.Unanswered++
 	case t.Status < 300:
-		f.now.Served++
-		f.waits = slices.DeleteFunc(f.waits, func(w wait) bool {
-			over := f.now.Served >= w.served
+		f.totals.Served++
+		f.waiters = slices.DeleteFunc(f.waiters, func(w servedWaiter) bool {
+			over := f.totals.Served >= w.served
 			if over {
-				close(w.over)
+				close(w.reached)
 			}
 			return over
 		})
 	case t.Status == http.StatusTooManyRequests, t.Status == http.StatusServiceUnavailable, t.Status == http.StatusRequestTimeout,
 		t.Status == http.StatusMisdirectedRequest:
-		f.now.Refused++
+		f.totals.Refused++
 	default:
-		f.now.Failed++
+		f.totals.Failed++
 	}
 	if first >= 0 {
-		f.firsts = append(f.firsts, first)
+		f.firstTokens = append(f.firstTokens, first)
 	}
 }
 
-// look gives the totals, and the quantiles since the last look.
-func (f *figures) look() Figures {
+// snapshot gives the totals, and the quantiles since the last snapshot.
+func (f *statsCounter) snapshot() Stats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := f.now
-	if out.Firsts = len(f.firsts); out.Firsts > 0 {
-		slices.Sort(f.firsts)
-		out.P50, out.P99 = f.firsts[out.Firsts/2], f.firsts[min(out.Firsts-1, out.Firsts*99/100)]
-		f.firsts = f.firsts[:0]
+	out := f.totals
+	if out.FirstTokens = len(f.firstTokens); out.FirstTokens > 0 {
+		slices.Sort(f.firstTokens)
+		out.P50, out.P99 = f.firstTokens[out.FirstTokens/2], f.firstTokens[min(out.FirstTokens-1, out.FirstTokens*99/100)]
+		f.firstTokens = f.firstTokens[:0]
 	}
 	return out
 }
