--- a/internal/lab/testcluster/traffic.go
+++ b/internal/lab/testcluster/traffic.go
@@ -15,8 +15,8 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
-// Kind is a kind of request that clients send.
-type Kind struct {
+// RequestKind is a kind of request that clients send.
+type RequestKind struct {
 	Route    *rules.Route
 	Rate     float64 // a second, from all zones together
 	Deadline time.Duration
@@ -29,35 +29,35 @@
 
 // Traffic is the stand-in clients: PROTOCOL.md "Ingress" and "Answers".
 type Traffic struct {
-	Kinds   []Kind
-	entries []*entry
-	w       *Environment
+	Kinds   []RequestKind
+	pools   []*clientPool
+	env     *Environment
 	seed    uint64
-	figures *figures
-	wait    sync.WaitGroup
+	stats   *statsCounter
+	running sync.WaitGroup
 }
 
 // run sends requests until ctx ends, and returns once all have ended.
 func (t *Traffic) run(ctx context.Context) {
-	for _, e := range t.entries {
-		t.wait.Go(func() { e.run(ctx) })
+	for _, e := range t.pools {
+		t.running.Go(func() { e.run(ctx) })
 	}
 	for i, k := range t.Kinds {
-		for j, e := range t.entries {
-			rng := rand.New(rand.NewPCG(t.seed, uint64(i*len(t.entries)+j+1)))
-			t.wait.Go(func() { t.send(ctx, k, e, k.Rate/float64(len(t.entries)), rng) })
+		for j, e := range t.pools {
+			rng := rand.New(rand.NewPCG(t.seed, uint64(i*len(t.pools)+j+1)))
+			t.running.Go(func() { t.generate(ctx, k, e, k.Rate/float64(len(t.pools)), rng) })
 		}
 	}
-	t.wait.Wait()
-	for _, e := range t.entries {
-		e.end()
+	t.running.Wait()
+	for _, e := range t.pools {
+		e.closeAll()
 	}
 }
 
-// send has requests of one kind and zone begin at random times.
-func (t *Traffic) send(ctx context.Context, k Kind, e *entry, rate float64, rng *rand.Rand) {
+// generate has requests of one kind and zone begin at random times.
+func (t *Traffic) generate(ctx context.Context, k RequestKind, e *clientPool, rate float64, rng *rand.Rand) {
 	select {
-	case <-e.answered:
+	case <-e.resolvedOnce:
 	case <-ctx.Done():
 		return
 	}
@@ -66,40 +66,40 @@
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	next := t.w.Now()
+	next := t.env.Now()
 	for {
 		next += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
-		timer.Reset(max(0, next-t.w.Now()))
+		timer.Reset(max(0, next-t.env.Now()))
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
 		}
-		r := t.draw(k, e, rng)
-		t.wait.Go(r.play)
+		r := t.newRequest(k, e, rng)
+		t.running.Go(r.run)
 	}
 }
 
 // request is one wish of a client, for which it sends one try or more.
 type request struct {
-	t        *Traffic
-	k        Kind
-	e        *entry
-	number   int
-	rng      *rand.Rand
-	path     string
-	body     string
-	prompt   string
-	tokens   string
-	began    time.Time
-	deadline time.Time
-	had      int // events that have come
-	tries    int
-	firstAt  time.Duration
+	traffic        *Traffic
+	kind           RequestKind
+	pool           *clientPool
+	number         int
+	rng            *rand.Rand
+	path           string
+	body           string
+	prompt         string
+	tokens         string
+	began          time.Time
+	deadline       time.Time
+	receivedEvents int // events that have come
+	attempts       int
+	firstAt        time.Duration
 }
 
-func (t *Traffic) draw(k Kind, e *entry, rng *rand.Rand) *request {
-	r := &request{t: t, k: k, e: e, number: t.figures.begin(), rng: rand.New(rand.NewPCG(rng.Uint64(), 1)), firstAt: -1}
+func (t *Traffic) newRequest(k RequestKind, e *clientPool, rng *rand.Rand) *request {
+	r := &request{traffic: t, kind: k, pool: e, number: t.stats.begin(), rng: rand.New(rand.NewPCG(rng.Uint64(), 1)), firstAt: -1}
 	r.path = k.Route.Prefix + strconv.FormatUint(rng.Uint64()%1000, 16)
 	r.body = strings.Repeat(fmt.Sprintf("request %d ", r.number), 1+k.Bytes/16)
 	if k.Out > 0 {
@@ -112,14 +112,14 @@
 	return r
 }
 
-// play sends tries until there is a final answer.
-func (r *request) play() {
+// run sends tries until there is a final answer.
+func (r *request) run() {
 	r.began = time.Now()
-	r.deadline = r.began.Add(r.k.Deadline)
-	var t *rules.Try
+	r.deadline = r.began.Add(r.kind.Deadline)
+	var t *rules.Attempt
 	for n := 0; ; n++ {
 		var after time.Duration
-		if t, after = r.try(); !r.again(t, n) {
+		if t, after = r.sendAttempt(); !r.shouldRetry(t, n) {
 			break
 		}
 		left := time.Until(r.deadline)
@@ -127,16 +127,16 @@
 			time.Sleep(after)
 		}
 	}
-	r.t.figures.end(t, r.firstAt)
+	r.traffic.stats.end(t, r.firstAt)
 }
 
-// again tells whether the client tries once more.
-func (r *request) again(t *rules.Try, n int) bool {
-	if n >= r.k.Retries || time.Until(r.deadline) < 50*time.Millisecond {
+// shouldRetry tells whether the client tries once more.
+func (r *request) shouldRetry(t *rules.Attempt, n int) bool {
+	if n >= r.kind.Retries || time.Until(r.deadline) < 50*time.Millisecond {
 		return false
 	}
-	resumable := r.k.Route.Resumable && t.Stream
-	repeatable := r.k.Route.Category == "idempotent" || r.k.Route.Resumable
+	resumable := r.kind.Route.Resumable && t.Stream
+	repeatable := r.kind.Route.Category == "idempotent" || r.kind.Route.Resumable
 	switch t.Outcome {
 	case rules.Answered:
 		switch t.Status {
@@ -146,23 +146,23 @@
 			return false
 		}
 		return t.Status >= 300 && repeatable
-	case rules.Unreached, rules.Unread:
+	case rules.Unreached, rules.ClosedUnread:
 		return true
-	case rules.Cut, rules.GivenUp:
+	case rules.Truncated, rules.TimedOut:
 		return repeatable && (resumable || !t.Stream)
 	}
 	return false
 }
 
-// try sends the request once. after is for how long the client is to wait before the next.
-func (r *request) try() (t *rules.Try, after time.Duration) {
-	w := r.t.w
-	r.tries++
-	t = &rules.Try{ID: fmt.Sprintf("%016x", r.rng.Uint64()), Request: r.number, Host: r.k.Route.Host, Method: http.MethodPost,
-		Path: r.path, Body: xxhash.Sum64String(r.body), Zone: r.e.zone, Region: r.e.region, From: r.had, Sent: w.Now()}
+// sendAttempt sends the request once. after is for how long the client is to wait before the next.
+func (r *request) sendAttempt() (t *rules.Attempt, after time.Duration) {
+	w := r.traffic.env
+	r.attempts++
+	t = &rules.Attempt{ID: fmt.Sprintf("%016x", r.rng.Uint64()), Request: r.number, Host: r.kind.Route.Host, Method: http.MethodPost,
+		Path: r.path, Body: xxhash.Sum64String(r.body), Zone: r.pool.zone, Region: r.pool.region, From: r.receivedEvents, Sent: w.Now()}
 	defer func() {
 		t.Ended = w.Now()
-		w.Evidence.Try(t)
+		w.Evidence.RecordAttempt(t)
 	}()
 	c := r.connect(t)
 	if c == nil {
@@ -170,34 +170,34 @@
 		return t, 20 * time.Millisecond
 	}
 	t.Proxy = c.address
-	w.links.sent(t.ID, c.address)
+	w.links.recordSender(t.ID, c.address)
 	left := time.Until(r.deadline)
-	s := &send{try: t, body: r.body, chunked: r.rng.IntN(4) == 0, deadline: r.deadline, headers: [][2]string{
+	s := &attemptSpec{attempt: t, body: r.body, chunked: r.rng.IntN(4) == 0, deadline: r.deadline, headers: [][2]string{
 		{"X-Time-Left-Ms", strconv.FormatInt(max(1, left.Milliseconds()), 10)}},
-		first: func() {
+		onFirst: func() {
 			if r.firstAt < 0 {
 				r.firstAt = time.Since(r.began)
 			}
 		}}
-	if r.k.Route.Category == "streaming" {
-		s.patience = max(2*time.Second, 4*ms(r.k.Route.Aim), 8*ms(r.k.Route.GapAim))
+	if r.kind.Route.Category == "streaming" {
+		s.silenceTimeout = max(2*time.Second, 4*ms(r.kind.Route.Aim), 8*ms(r.kind.Route.GapAim))
 	}
 	if r.prompt != "" {
 		s.headers = append(s.headers, [2]string{"X-Model", "m"}, [2]string{"X-Token-Count", r.tokens}, [2]string{"X-Prompt-Prefix", r.prompt})
 	}
-	if r.had > 0 {
-		s.headers = append(s.headers, [2]string{"Last-Event-Id", strconv.Itoa(r.had)})
+	if r.receivedEvents > 0 {
+		s.headers = append(s.headers, [2]string{"Last-Event-Id", strconv.Itoa(r.receivedEvents)})
 	}
 	header, again := c.exchange(s, w.Now)
 	for _, e := range t.Events {
-		r.had = max(r.had, e.Last)
+		r.receivedEvents = max(r.receivedEvents, e.Last)
 	}
 	if again {
-		r.e.put(c)
+		r.pool.putIdle(c)
 	} else {
 		_ = c.tcp.Close()
 		if t.Outcome != rules.Answered {
-			r.e.fail(c.address)
+			r.pool.markFailed(c.address)
 		}
 	}
 	if seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64); err == nil && seconds > 0 {
@@ -207,13 +207,13 @@
 }
 
 // connect gives an open connection or makes one; nil: none came up. Every fifth request, and every later try, takes a new one.
-func (r *request) connect(t *rules.Try) *conn {
-	if r.rng.IntN(5) > 0 && r.tries == 1 {
-		if c := r.e.kept(); c != nil {
+func (r *request) connect(t *rules.Attempt) *clientConn {
+	if r.rng.IntN(5) > 0 && r.attempts == 1 {
+		if c := r.pool.takeIdle(); c != nil {
 			return c
 		}
 	}
-	address, ok := r.e.pick()
+	address, ok := r.pool.pickAddress()
 	if !ok {
 		return nil
 	}
@@ -222,7 +222,7 @@
 	c, err := dial(ctx, address)
 	if err != nil {
 		t.Proxy = address
-		r.e.fail(address)
+		r.pool.markFailed(address)
 		return nil
 	}
 	return c
--- a/internal/lab/testcluster/up.go
+++ b/internal/lab/testcluster/up.go
@@ -15,40 +15,40 @@
 
 // UpOptions are those of Up.
 type UpOptions struct {
-	Proxy, Keeper string // programs
-	Folder        string // for settings, disks and logs
-	Rate          float64
-	Seed          uint64
-	Scene         *Scenario // nil: the small one, with Rate
-	Links         *Links    // between the parts; nil: they reach each other straight
+	Proxy, ControlPlane string // programs
+	Folder              string // for settings, disks and logs
+	Rate                float64
+	Seed                uint64
+	Scenario            *Scenario // nil: the small one, with Rate
+	Links               *Links    // between the parts; nil: they reach each other straight
 }
 
 // Run is a system of real processes in the small scene.
 type Run struct {
 	*Environment
-	Fleet *Fleet
-	Scene *Scenario
+	Fleet    *Fleet
+	Scenario *Scenario
 
-	traffic context.Context
-	still   context.CancelFunc
-	ended   sync.WaitGroup
-	others  sync.WaitGroup // what goes on meanwhile
+	traffic      context.Context
+	stopTraffic  context.CancelFunc
+	trafficEnded sync.WaitGroup
+	activities   sync.WaitGroup // what goes on meanwhile
 }
 
 const (
-	listRate       = 47 // calls a second
-	ttlMost        = 5 * time.Second
-	upWithin       = 20 * time.Second // until the first configuration is taken and clients are let in
-	pollEvery      = 50 * time.Millisecond
-	statusWithin   = 500 * time.Millisecond
-	mostUnanswered = 5               // that a report names
-	endSlack       = 2 * time.Second // beyond the grace, before SIGKILL
+	listCallsPerSecond  = 47 // calls a second
+	maxTTL              = 5 * time.Second
+	startTimeout        = 20 * time.Second // until the first configuration is taken and clients are let in
+	pollInterval        = 50 * time.Millisecond
+	statusTimeout       = 500 * time.Millisecond
+	maxListedUnanswered = 5               // that a report names
+	stopSlack           = 2 * time.Second // beyond the grace, before SIGKILL
 )
 
 // Up starts everything and waits until the configuration is taken and all proxies serve. Traffic then runs until Play or
 // Finish ends it.
 func Up(ctx context.Context, o UpOptions) (*Run, error) {
-	scene := o.Scene
+	scene := o.Scenario
 	if scene == nil {
 		scene = SmallScenario(o.Rate)
 	}
@@ -56,39 +56,39 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Machines: scene.Machines, Ports: ports, Proxy: o.Proxy, Keeper: o.Keeper, Folder: o.Folder, Bounds: scene.Bounds, Rate: listRate,
+	f := &Fleet{Machines: scene.Machines, Ports: ports, Proxy: o.Proxy, ControlPlane: o.ControlPlane, Folder: o.Folder, Bounds: scene.Bounds, Rate: listCallsPerSecond,
 		Links: o.Links}
-	w, err := New(Options{Servers: scene.Servers, Kinds: scene.Kinds, Zones: f.Zones(), Directories: f.Directories(), Keepers: f.ControlPlaneAddresses(),
-		Bounds: scene.Bounds, TTLMost: ttlMost, ListLag: 800 * time.Millisecond, ListRate: listRate, Seed: o.Seed, Links: o.Links})
+	w, err := New(Options{Servers: scene.Servers, Kinds: scene.Kinds, Zones: f.Zones(), Directories: f.Directories(), ControlAddresses: f.ControlPlaneAddresses(),
+		Bounds: scene.Bounds, MaxTTL: maxTTL, ListLag: 800 * time.Millisecond, ListRate: listCallsPerSecond, Seed: o.Seed, Links: o.Links})
 	if err != nil {
 		return nil, err
 	}
-	f.List = w.ListAddress()
+	f.ListAddress = w.ListAddress()
 	w.Evidence.Core = len(f.Disks())
 	if o.Links != nil {
-		o.Links.reach(scene.Machines, scene.Servers)
-		if f.lists, err = o.Links.connect(f, f.List); err != nil {
+		o.Links.createServerLinks(scene.Machines, scene.Servers)
+		if f.listAddresses, err = o.Links.connect(f, f.ListAddress); err != nil {
 			w.Close()
 			return nil, err
 		}
 	}
-	r := &Run{Environment: w, Fleet: f, Scene: scene}
-	r.traffic, r.still = context.WithCancel(context.WithoutCancel(ctx))
-	if err := r.begin(ctx); err != nil {
+	r := &Run{Environment: w, Fleet: f, Scenario: scene}
+	r.traffic, r.stopTraffic = context.WithCancel(context.WithoutCancel(ctx))
+	if err := r.startFleet(ctx); err != nil {
 		r.stop()
 		return nil, err
 	}
-	r.ended.Go(func() { w.Traffic(r.traffic) })
+	r.trafficEnded.Go(func() { w.Traffic(r.traffic) })
 	return r, nil
 }
 
-func (r *Run) begin(ctx context.Context) error {
+func (r *Run) startFleet(ctx context.Context) error {
 	if err := r.Fleet.Start(); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, upWithin)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	if err := r.Operator.Replace(ctx, r.Scene.Config, 0); err != nil {
+	if err := r.Operator.Replace(ctx, r.Scenario.Config, 0); err != nil {
 		return errors.Wrapf(err, "the first configuration was not taken (logs in %s; ended: %v)", r.Fleet.Folder, r.Fleet.Died())
 	}
 	return r.AwaitProxies(ctx, len(r.Fleet.Machines))
@@ -97,7 +97,7 @@
 // AwaitProxies waits until clients are told of n proxies.
 func (r *Run) AwaitProxies(ctx context.Context, n int) error {
 	return Await(ctx, func(ctx context.Context) error {
-		if live := r.Live(ctx); len(live) != n {
+		if live := r.LiveProxies(ctx); len(live) != n {
 			return errors.Newf("clients were told of %d proxies, not %d (logs in %s; ended: %v)", len(live), n, r.Fleet.Folder, r.Fleet.Died())
 		}
 		return nil
@@ -106,7 +106,7 @@
 
 // Await asks until there is no error; when ctx ends it gives the last one.
 func Await(ctx context.Context, ask func(context.Context) error) error {
-	tick := time.NewTicker(pollEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		err := ask(ctx)
@@ -121,11 +121,11 @@
 	}
 }
 
-// Live is the proxies that clients from anywhere are told of; nil: no directory answers.
-func (r *Run) Live(ctx context.Context) []string {
-	ask := resolver{host: sceneHost, http: r.Operator.http} // no zone and no region
+// LiveProxies is the proxies that clients from anywhere are told of; nil: no directory answers.
+func (r *Run) LiveProxies(ctx context.Context) []string {
+	ask := resolver{host: scenarioHost, http: r.Operator.http} // no zone and no region
 	for _, d := range r.Fleet.Directories() {
-		if addresses, _, err := ask.ask(ctx, d.Address); err == nil {
+		if addresses, _, err := ask.query(ctx, d.Address); err == nil {
 			return addresses
 		}
 	}
@@ -153,14 +153,14 @@
 
 // Second is what stands after a second.
 type Second struct {
-	At       time.Duration
-	Now      Figures
-	Rate     int // requests that began since the last
-	Revision int64
-	Epoch    uint64
-	Chain    []string
-	Live     int // proxies that clients are told of
-	Ready    int // proxies that say so to the platform
+	At           time.Duration
+	Stats        Stats
+	Rate         int // requests that began since the last
+	Revision     int64
+	Epoch        uint64
+	Chain        []string
+	LiveProxies  int // proxies that clients are told of
+	ReadyProxies int // proxies that say so to the platform
 }
 
 // String is the second as one line.
@@ -170,36 +170,36 @@
 		chain = strings.Join(s.Chain, ">")
 	}
 	first := "first p50 -      p99 -     "
-	if s.Now.Firsts > 0 {
-		first = fmt.Sprintf("first p50 %4d ms p99 %4d ms", s.Now.P50.Milliseconds(), s.Now.P99.Milliseconds())
+	if s.Stats.FirstTokens > 0 {
+		first = fmt.Sprintf("first p50 %4d ms p99 %4d ms", s.Stats.P50.Milliseconds(), s.Stats.P99.Milliseconds())
 	}
 	return fmt.Sprintf("%4.0fs  %3d requests/s  served %d  refused %d  failed %d  open %d  %s  revision %d  chain %s (epoch %d)  proxies %d (ready %d)",
-		s.At.Seconds(), s.Rate, s.Now.Served, s.Now.Refused, s.Now.Failed+s.Now.Unanswered, s.Now.Open, first, s.Revision, chain, s.Epoch, s.Live, s.Ready)
+		s.At.Seconds(), s.Rate, s.Stats.Served, s.Stats.Refused, s.Stats.Failed+s.Stats.Unanswered, s.Stats.Open, first, s.Revision, chain, s.Epoch, s.LiveProxies, s.ReadyProxies)
 }
 
 // Meanwhile has do run besides; it must return soon after the context of Play has ended.
-func (r *Run) Meanwhile(do func()) { r.others.Go(do) }
+func (r *Run) Meanwhile(do func()) { r.activities.Go(do) }
 
 // Play runs until ctx ends, tells of every second, ends everything and gives the report.
 func (r *Run) Play(ctx context.Context, tell func(Second)) *Report {
-	start, last := r.Now(), r.Figures()
+	start, last := r.Now(), r.Stats()
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			r.others.Wait()
+			r.activities.Wait()
 			return r.Finish()
 		case <-tick.C:
 		}
-		n := Second{At: r.Now() - start, Now: r.Figures()}
-		n.Rate, last = n.Now.Requests-last.Requests, n.Now
-		asked, cancel := context.WithTimeout(ctx, statusWithin)
+		n := Second{At: r.Now() - start, Stats: r.Stats()}
+		n.Rate, last = n.Stats.Requests-last.Requests, n.Stats
+		asked, cancel := context.WithTimeout(ctx, statusTimeout)
 		if k := r.Operator.Status(asked); k != nil {
 			n.Revision, n.Epoch, n.Chain = k.Revision, k.Epoch, k.Chain
 		}
-		n.Live = len(r.Live(asked))
-		n.Ready = r.Ready(asked, r.Fleet.Readiness())
+		n.LiveProxies = len(r.LiveProxies(asked))
+		n.ReadyProxies = r.CountReady(asked, r.Fleet.Readiness())
 		cancel()
 		if ctx.Err() == nil {
 			tell(n)
@@ -209,16 +209,16 @@
 
 // Finish ends the traffic, reads the configuration back, ends the processes and gives the report.
 func (r *Run) Finish() *Report {
-	r.still()
-	r.ended.Wait()
-	report := &Report{Figures: r.Figures(), Died: r.Fleet.Died()}
-	ctx, cancel := context.WithTimeout(context.Background(), r.Scene.Bounds.Contact)
+	r.stopTraffic()
+	r.trafficEnded.Wait()
+	report := &Report{Stats: r.Stats(), Died: r.Fleet.Died()}
+	ctx, cancel := context.WithTimeout(context.Background(), r.Scenario.Bounds.Contact)
 	defer cancel()
 	r.Evidence.Read, report.ReadError = r.Operator.Read(ctx)
 	r.Evidence.ReadAt = r.Now()
 	report.Killed = r.stop()
 	for _, t := range r.Evidence.Unanswered() {
-		report.Unanswered = append(report.Unanswered, r.Evidence.Story(t))
+		report.Unanswered = append(report.Unanswered, r.Evidence.Describe(t))
 	}
 	report.Verdicts = rules.Check(r.Evidence)
 	report.Calls, report.CallsOver = r.Platform.Calls()
@@ -226,16 +226,16 @@
 }
 
 func (r *Run) stop() []string {
-	r.still()
-	r.ended.Wait()
-	killed := r.Fleet.Stop(r.Scene.Bounds.Grace + endSlack)
+	r.stopTraffic()
+	r.trafficEnded.Wait()
+	killed := r.Fleet.Stop(r.Scenario.Bounds.Grace + stopSlack)
 	r.Environment.Close()
 	return killed
 }
 
 // Report is what a run came to.
 type Report struct {
-	Figures          Figures
+	Stats            Stats
 	Unanswered       []string // requests without a final answer, as lines
 	Verdicts         []rules.Verdict
 	Died, Killed     []string // processes that ended by themselves, and that SIGTERM did not end in time
@@ -246,22 +246,22 @@
 // Good tells whether every request got one final answer and no rule was seen broken.
 func (r *Report) Good() bool {
 	for _, v := range r.Verdicts {
-		if v.Broken > 0 {
+		if v.Violations > 0 {
 			return false
 		}
 	}
-	return r.Figures.Unanswered == 0 && r.Figures.Open == 0 && len(r.Died) == 0 && len(r.Killed) == 0 && r.ReadError == nil
+	return r.Stats.Unanswered == 0 && r.Stats.Open == 0 && len(r.Died) == 0 && len(r.Killed) == 0 && r.ReadError == nil
 }
 
 // Lines tell it.
 func (r *Report) Lines() []string {
-	f := r.Figures
+	f := r.Stats
 	lines := []string{fmt.Sprintf("requests %d: served %d, refused %d, failed %d, without a final answer %d; calls to the list %d, over its rate %d",
 		f.Requests, f.Served, f.Refused, f.Failed, f.Unanswered, r.Calls, r.CallsOver)}
 	for _, v := range r.Verdicts {
 		lines = append(lines, v.String())
 	}
-	for _, t := range r.Unanswered[:min(mostUnanswered, len(r.Unanswered))] {
+	for _, t := range r.Unanswered[:min(maxListedUnanswered, len(r.Unanswered))] {
 		lines = append(lines, "without a final answer: "+t)
 	}
 	if r.ReadError != nil {
