--- a/cmd/gradeusher/system_soak.go
+++ b/cmd/gradeusher/system_soak.go
@@ -68,8 +68,8 @@
 }
 
 func (c systemSoakCommand) validate() error {
-	if c.For < soak.Shortest || c.For > soak.Longest {
-		return fmt.Errorf("%w: --for %v is not within %v to %v", errUsage, c.For, soak.Shortest, soak.Longest)
+	if c.For < soak.MinDuration || c.For > soak.MaxDuration {
+		return fmt.Errorf("%w: --for %v is not within %v to %v", errUsage, c.For, soak.MinDuration, soak.MaxDuration)
 	}
 	if !(c.Load > 0 && c.Load <= maxLoad) { // NaN is neither
 		return fmt.Errorf("%w: --load %v is not above 0 and up to %d", errUsage, c.Load, maxLoad)
@@ -108,9 +108,9 @@
 
 // scenario is the deployment of a seed, with the traffic that was asked for.
 func (c systemSoakCommand) scenario(seed uint64) *testcluster.Scenario {
-	scenario := soak.Scene(seed)
+	scenario := soak.NewScenario(seed)
 	if c.hasFixedPlan() {
-		scenario = soak.WakeScene(seed)
+		scenario = soak.NewWakeScenario(seed)
 	}
 	for i := range scenario.Kinds {
 		scenario.Kinds[i].Rate *= c.Load
@@ -131,8 +131,8 @@
 
 func printPlan(stdio streams, schedule *soak.Plan) {
 	stdio.printf("seed %d: %v between regions, %d troubles, %d at once\n", schedule.Seed, schedule.Delay.Round(time.Millisecond),
-		len(schedule.Troubles), schedule.AtOnce())
-	for _, fault := range schedule.Troubles {
+		len(schedule.Faults), schedule.MaxConcurrent())
+	for _, fault := range schedule.Faults {
 		stdio.printf("  %v\n", fault)
 	}
 }
@@ -152,7 +152,7 @@
 		if err := c.report(stdio, root, result); err != nil {
 			return false, err
 		}
-		if !result.Held() {
+		if !result.Passed() {
 			passed = false
 		} else if err := os.RemoveAll(seedFolder(root, seed)); err != nil {
 			return false, err
@@ -171,7 +171,7 @@
 		return nil, err
 	}
 	scenario := c.scenario(seed)
-	return soak.Play(ctx, soak.Options{Proxy: programs.proxy, Keeper: programs.controlPlane, Folder: folder, Plan: c.plan(seed, scenario), Scene: scenario})
+	return soak.Play(ctx, soak.Options{Proxy: programs.proxy, ControlPlane: programs.controlPlane, Folder: folder, Plan: c.plan(seed, scenario), Scenario: scenario})
 }
 
 // report prints a result and appends it to the results of the folder.
--- a/cmd/gradeusher/system_soak_norace_test.go
+++ b/cmd/gradeusher/system_soak_norace_test.go
@@ -29,9 +29,9 @@
 				t.Error(err)
 				return
 			}
-			scene := soak.Scene(seed)
+			scene := soak.NewScenario(seed)
 			change(scene)
-			r, err := soak.Play(t.Context(), soak.Options{Proxy: proxy, Keeper: keeper, Folder: own, Scene: scene,
+			r, err := soak.Play(t.Context(), soak.Options{Proxy: proxy, ControlPlane: keeper, Folder: own, Scenario: scene,
 				Plan: plan(seed, scene)})
 			if err != nil {
 				t.Errorf("seed %d: %v", seed, err)
@@ -46,7 +46,7 @@
 }
 
 func drawPlan(seed uint64, scene *testcluster.Scenario) *soak.Plan {
-	return soak.Draw(seed, soak.Shortest, scene)
+	return soak.Draw(seed, soak.MinDuration, scene)
 }
 
 // TestSoak is the short form of `gradeusher system soak`, with controls beside it. This process carries all traffic, and the links
@@ -78,11 +78,11 @@
 			t.Errorf("seed %d saw too little: %v", r.Seed, r)
 		}
 		for _, rule := range []string{"MIXED", "TWICE", "REFUSED", "CONFIG", "FAILBACK"} {
-			if r.Looked[rule] == 0 {
+			if r.Checked[rule] == 0 {
 				t.Errorf("seed %d: nothing was seen to judge %s by", r.Seed, rule)
 			}
 		}
-		ends += r.Looked["LOST"]
+		ends += r.Checked["LOST"]
 	}
 	if ends == 0 {
 		t.Error("nothing was seen to judge LOST by")
@@ -105,15 +105,15 @@
 func testSoakDetectsLosses(t *testing.T) {
 	t.Helper()
 	ends := func(seed uint64, scene *testcluster.Scenario) *soak.Plan {
-		p := &soak.Plan{Seed: seed, For: soak.Shortest}
+		p := &soak.Plan{Seed: seed, For: soak.MinDuration}
 		for i, m := range scene.Machines {
-			p.Troubles = append(p.Troubles, soak.Trouble{Kind: soak.EndProxy, Target: m.IP, Start: time.Duration(2+3*i) * time.Second})
+			p.Faults = append(p.Faults, soak.Fault{Kind: soak.TerminateProxy, Target: m.IP, Start: time.Duration(2+3*i) * time.Second})
 		}
 		return p
 	}
 	for _, r := range soakSeeds(t, []uint64{5}, func(s *testcluster.Scenario) { s.Bounds.Grace = minGrace }, ends) {
 		if !slices.ContainsFunc(r.Broken, func(b string) bool { return strings.HasPrefix(b, "LOST: ") }) {
-			t.Errorf("no loss was seen, of %d: %v %q", r.Looked["LOST"], r, r.Broken)
+			t.Errorf("no loss was seen, of %d: %v %q", r.Checked["LOST"], r, r.Broken)
 		}
 	}
 }
--- a/cmd/gradeusher/system_soak_test.go
+++ b/cmd/gradeusher/system_soak_test.go
@@ -31,7 +31,7 @@
 		}
 	}
 	var out bytes.Buffer
-	if err := (systemSoakCommand{Count: 1, For: soak.Longest * 2}).Run(t.Context(), streams{out: &out, err: &out}); !errors.Is(err, errUsage) || out.Len() > 0 {
+	if err := (systemSoakCommand{Count: 1, For: soak.MaxDuration * 2}).Run(t.Context(), streams{out: &out, err: &out}); !errors.Is(err, errUsage) || out.Len() > 0 {
 		t.Errorf("%v, %q", err, out.String())
 	}
 }
--- a/cmd/gradeusher/system_soak_wake_norace_test.go
+++ b/cmd/gradeusher/system_soak_wake_norace_test.go
@@ -31,7 +31,7 @@
 	proxy, keeper, folder := buildSystem(t)
 	seed := uint64(c.Load) // so that those side by side have addresses of their own
 	scene := c.scenario(seed)
-	r, err := soak.Play(t.Context(), soak.Options{Proxy: proxy, Keeper: keeper, Folder: folder, Plan: c.plan(seed, scene), Scene: scene})
+	r, err := soak.Play(t.Context(), soak.Options{Proxy: proxy, ControlPlane: keeper, Folder: folder, Plan: c.plan(seed, scene), Scenario: scene})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/soak/lateness.go
+++ b/internal/lab/soak/lateness.go
@@ -8,20 +8,20 @@
 	"gradeusher.example/gradeusher/internal/lab/clock"
 )
 
-const lateEvery = 10 * time.Millisecond
+const latenessInterval = 10 * time.Millisecond
 
 // lateness is the most by which the lab itself was late to go on after a wait. It carries all traffic, and the links between the
 // system's processes: where it is late by much, so is all that they hear.
-type lateness struct{ most atomic.Int64 }
+type lateness struct{ maxNS atomic.Int64 }
 
 // run measures until ctx ends.
 func (l *lateness) run(ctx context.Context) {
-	for began := time.Now(); clock.Sleep(ctx, lateEvery); began = time.Now() {
-		l.see(time.Since(began) - lateEvery)
+	for began := time.Now(); clock.Sleep(ctx, latenessInterval); began = time.Now() {
+		l.observe(time.Since(began) - latenessInterval)
 	}
 }
 
-// see takes in by how much one wait ended late. One goroutine calls it.
-func (l *lateness) see(d time.Duration) { l.most.Store(max(l.most.Load(), int64(d))) }
+// observe takes in by how much one wait ended late. One goroutine calls it.
+func (l *lateness) observe(d time.Duration) { l.maxNS.Store(max(l.maxNS.Load(), int64(d))) }
 
-func (l *lateness) ms() int64 { return time.Duration(l.most.Load()).Milliseconds() }
+func (l *lateness) milliseconds() int64 { return time.Duration(l.maxNS.Load()).Milliseconds() }
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -15,13 +15,13 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
-// share is a part of 1 that may change at any time.
-type share struct{ bits atomic.Uint64 }
+// probability is a part of 1 that may change at any time.
+type probability struct{ bits atomic.Uint64 }
 
-func (s *share) set(v float64) { s.bits.Store(math.Float64bits(v)) }
+func (s *probability) set(v float64) { s.bits.Store(math.Float64bits(v)) }
 
 // drawn tells whether a draw falls into the share.
-func (s *share) drawn() bool { return rand.Float64() < math.Float64frombits(s.bits.Load()) }
+func (s *probability) drawn() bool { return rand.Float64() < math.Float64frombits(s.bits.Load()) }
 
 const (
 	addedName   = "added"
@@ -29,21 +29,21 @@
 	thumbRoute  = 2 // of the scene's routes
 )
 
-// changes sends changes of the configuration, one a second, and looks at a proxy after each.
-func (p *player) changes(ctx context.Context) {
+// sendChanges sends sendChanges of the configuration, one a second, and looks at a proxy after each.
+func (p *player) sendChanges(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(p.plan.Seed, 37))
-	for n := 0; clock.Sleep(ctx, configEvery); n++ {
-		if err := p.change(ctx, n, rng); err != nil && ctx.Err() == nil {
-			p.refresh(ctx)
+	for n := 0; clock.Sleep(ctx, configInterval); n++ {
+		if err := p.sendChange(ctx, n, rng); err != nil && ctx.Err() == nil {
+			p.refreshConfig(ctx)
 		}
 		m := p.Fleet.Machines[rng.IntN(len(p.Fleet.Machines))]
 		p.Probe(ctx, p.Fleet.Front(m), p.Scenario.Config.Routes[0].Host, fmt.Sprintf("%s%d", addedPrefix, n))
 	}
 }
 
-// change makes the n-th change.
-func (p *player) change(ctx context.Context, n int, rng *rand.Rand) error {
-	ctx, cancel := context.WithTimeout(ctx, orderWithin)
+// sendChange makes the n-th sendChange.
+func (p *player) sendChange(ctx context.Context, n int, rng *rand.Rand) error {
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	now := p.Scenario.Config
 	revision := now.Revision + 1 + rng.Int64N(5)
@@ -73,26 +73,26 @@
 	return err
 }
 
-// refresh goes on from what is in force, after an order without a clear answer.
-func (p *player) refresh(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, orderWithin)
+// refreshConfig goes on from what is in force, after an order without a clear answer.
+func (p *player) refreshConfig(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	if c, err := p.Operator.Read(ctx); err == nil {
 		p.Scenario.Config = c
 	}
 }
 
-// aside gives an operator that makes calls beside the others.
-func (p *player) aside() *testcluster.Operator {
+// separateOperator gives an operator that makes calls beside the others.
+func (p *player) separateOperator() *testcluster.Operator {
 	o := *p.Operator
 	return &o
 }
 
-// reads asks for the configuration again and again; the answers are evidence.
-func (p *player) reads(ctx context.Context) {
-	reader := p.aside()
-	for clock.Sleep(ctx, readEvery) {
-		asked, cancel := context.WithTimeout(ctx, orderWithin)
+// readConfig asks for the configuration again and again; the answers are evidence.
+func (p *player) readConfig(ctx context.Context) {
+	reader := p.separateOperator()
+	for clock.Sleep(ctx, readInterval) {
+		asked, cancel := context.WithTimeout(ctx, orderTimeout)
 		_, err := reader.Read(asked) // none comes while the keepers are down
 		cancel()
 		if err != nil && ctx.Err() != nil {
@@ -101,11 +101,11 @@
 	}
 }
 
-// evacuate sends an evacuation or takes it back, again and again until there is a clear answer or ctx ends.
-func (p *player) evacuate(ctx context.Context, zone string, start bool) error {
-	operator := p.aside()
+// setEvacuated sends an evacuation or takes it back, again and again until there is a clear answer or ctx ends.
+func (p *player) setEvacuated(ctx context.Context, zone string, start bool) error {
+	operator := p.separateOperator()
 	for {
-		asked, cancel := context.WithTimeout(ctx, orderWithin)
+		asked, cancel := context.WithTimeout(ctx, orderTimeout)
 		err := operator.Evacuate(asked, zone, start)
 		cancel()
 		switch {
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -18,63 +18,63 @@
 
 // The kinds of troubles.
 const (
-	KillProxy       Kind = "kill proxy"
-	KillKeeper      Kind = "kill keeper"
-	KillZone        Kind = "kill all proxies of zone"
-	KillKeepers     Kind = "kill all keepers"
-	PauseProxy      Kind = "pause proxy"
-	PauseKeeper     Kind = "pause keeper"
-	CutProxy        Kind = "cut proxy from keepers"
-	CutKeeper       Kind = "cut keeper from all"
-	CutList         Kind = "cut keeper from the list"
-	CutLists        Kind = "cut all keepers from the list"
-	CutServer       Kind = "cut server from proxies"
-	CutFromServers  Kind = "cut proxy from servers"
-	EndProxy        Kind = "end proxy by SIGTERM"
-	SlowProxy       Kind = "slow links of proxy"
-	SlowKeeper      Kind = "slow links of keeper"
-	SlowLists       Kind = "slow links to the list"
-	SlowServer      Kind = "slow links to server"
-	LoseAnswers     Kind = "lose answers of the servers of zone"
-	LoseAcks        Kind = "lose answers to the operator"
-	ColdReturn      Kind = "cold return of zone"
-	Evacuate        Kind = "evacuate zone, cold at its end"
-	ReturnEvacuated Kind = "cold return while the other zone is evacuated:"
-	TakeBackAlone   Kind = "taking a zone back alone, the other one down:"
-	Drain           Kind = "drain server"
+	KillProxy                   Kind = "kill proxy"
+	KillControlPlane            Kind = "kill keeper"
+	KillZone                    Kind = "kill all proxies of zone"
+	KillAllControlPlanes        Kind = "kill all keepers"
+	PauseProxy                  Kind = "pause proxy"
+	PauseControlPlane           Kind = "pause keeper"
+	PartitionProxy              Kind = "cut proxy from keepers"
+	PartitionControlPlane       Kind = "cut keeper from all"
+	PartitionFromList           Kind = "cut keeper from the list"
+	PartitionAllFromList        Kind = "cut all keepers from the list"
+	PartitionServer             Kind = "cut server from proxies"
+	PartitionFromServers        Kind = "cut proxy from servers"
+	TerminateProxy              Kind = "end proxy by SIGTERM"
+	SlowProxy                   Kind = "slow links of proxy"
+	SlowControlPlane            Kind = "slow links of keeper"
+	SlowLists                   Kind = "slow links to the list"
+	SlowServer                  Kind = "slow links to server"
+	LoseAnswers                 Kind = "lose answers of the servers of zone"
+	LoseAcknowledgements        Kind = "lose answers to the operator"
+	RestartZone                 Kind = "cold return of zone"
+	EvacuateZone                Kind = "evacuate zone, cold at its end"
+	RestartZoneDuringEvacuation Kind = "cold return while the other zone is evacuated:"
+	EndEvacuationAlone          Kind = "taking a zone back alone, the other one down:"
+	DrainServer                 Kind = "drain server"
 )
 
-// Way is which bytes a cut holds back.
-type Way int
+// Direction is which bytes a cut holds back.
+type Direction int
 
 // The ways of a cut.
 const (
-	BothWays Way = iota
-	Outward      // what the target sends
-	Inward       // what is sent to it
+	BothDirections Direction = iota
+	Outbound                 // what the target sends
+	Inbound                  // what is sent to it
 )
 
-// Trouble is one that a plan holds. It ends by itself.
-type Trouble struct {
+// Fault is one that a plan holds. It ends by itself.
+type Fault struct {
 	Kind   Kind
 	Target string // IP of a machine, name of a zone, or address of a server; empty: all
 	Other  string // zone that is evacuated meanwhile
 	// Servers are the addresses of those from which a proxy is cut.
-	Servers []string
-	Start   time.Duration
-	Length  time.Duration
-	Down    time.Duration // of servers that return cold, and of a proxy after its planned end
-	Chill   time.Duration // before an evacuation is taken back the zone's servers turn cold
-	Way     Way
-	Delay   time.Duration // of slow links, one way
-	Jitter  time.Duration
-	Share   float64 // of the answers that are lost
+	Servers    []string
+	Start      time.Duration
+	Length     time.Duration
+	Down       time.Duration // of servers that return cold, and of a proxy after its planned end
+	WarmUpLead time.Duration // before an evacuation is taken back the zone's servers turn cold
+	Direction  Direction
+	Delay      time.Duration // of slow links, one way
+	Jitter     time.Duration
+	LossRate   float64 // of the answers that are lost
 }
 
-func (t *Trouble) end() time.Duration { return t.Start + t.Length }
+func (t *Fault) end() time.Duration { return t.Start + t.Length }
 
 // String is the trouble as a line.
-func (t Trouble) String() string {
+func (t Fault) String() string {
 	text := fmt.Sprintf("%6.3f s to %6.3f s  %s %s", t.Start.Seconds(), t.end().Seconds(), t.Kind, t.Target)
 	if t.Other != "" {
 		text += ", evacuated: " + t.Other
@@ -85,80 +85,80 @@
 	if t.Down > 0 {
 		text += fmt.Sprintf(", down %v", t.Down.Round(time.Millisecond))
 	}
-	if t.Chill > 0 {
-		text += fmt.Sprintf(", cold %v before it is taken back", t.Chill.Round(time.Millisecond))
+	if t.WarmUpLead > 0 {
+		text += fmt.Sprintf(", cold %v before it is taken back", t.WarmUpLead.Round(time.Millisecond))
 	}
-	if t.Way != BothWays {
-		text += ", " + [...]string{"", "outward only", "inward only"}[t.Way]
+	if t.Direction != BothDirections {
+		text += ", " + [...]string{"", "outward only", "inward only"}[t.Direction]
 	}
 	if t.Delay > 0 {
 		text += fmt.Sprintf(", %v and up to %v more", t.Delay.Round(time.Millisecond), t.Jitter.Round(time.Millisecond))
 	}
-	if t.Share > 0 {
-		text += fmt.Sprintf(", share %.2f", t.Share)
+	if t.LossRate > 0 {
+		text += fmt.Sprintf(", share %.2f", t.LossRate)
 	}
 	return strings.TrimRight(text, " ")
 }
 
 // Plan is all that a seed draws.
 type Plan struct {
-	Seed     uint64
-	For      time.Duration
-	Delay    time.Duration // between regions, one way
-	Jitter   time.Duration
-	Troubles []Trouble // by start
+	Seed   uint64
+	For    time.Duration
+	Delay  time.Duration // between regions, one way
+	Jitter time.Duration
+	Faults []Fault // by start
 }
 
 // Bounds of plans.
 const (
-	Shortest    = 16 * time.Second
-	Longest     = 10 * time.Minute
-	MostAtOnce  = 3
-	warmUp      = time.Second     // before the first trouble
-	calm        = 2 * time.Second // after the last one
-	meanGap     = 900 * time.Millisecond
-	mostTries   = 40                     // draws for one place in the schedule
-	apart       = 700 * time.Millisecond // between two troubles of one thing, so that the first one has ended
-	evacuateFor = 1500 * time.Millisecond
-	chillBefore = 2 * time.Second // at most, servers turn cold before their zone is taken back
-	chillLeast  = 300 * time.Millisecond
-	aloneFor    = 2 * time.Second // all requests of a region go to a zone that was just taken back
-	coldMargin  = time.Second     // after the cold state has ended
-	endSlack    = 2 * time.Second // beyond the grace, for a process to end
-	mostCutFrom = 4               // servers from which a proxy is cut
+	MinDuration           = 16 * time.Second
+	MaxDuration           = 10 * time.Minute
+	MaxConcurrentFaults   = 3
+	warmUp                = time.Second     // before the first trouble
+	calmPeriod            = 2 * time.Second // after the last one
+	meanGap               = 900 * time.Millisecond
+	maxDraws              = 40                     // draws for one place in the schedule
+	minSeparation         = 700 * time.Millisecond // between two troubles of one thing, so that the first one has ended
+	evacuateFor           = 1500 * time.Millisecond
+	maxWarmUpLead         = 2 * time.Second // at most, servers turn cold before their zone is taken back
+	minWarmUpLead         = 300 * time.Millisecond
+	aloneFor              = 2 * time.Second // all requests of a region go to a zone that was just taken back
+	coldMargin            = time.Second     // after the cold state has ended
+	endSlack              = 2 * time.Second // beyond the grace, for a process to end
+	maxPartitionedServers = 4               // servers from which a proxy is cut
 )
 
 // Draw gives the plan of a seed. The same seed, scene and time give the same plan.
 func Draw(seed uint64, last time.Duration, scene *testcluster.Scenario) *Plan {
-	d := &drawer{rng: rand.New(rand.NewPCG(seed, 36)), scene: scene, until: last - calm}
-	p := &Plan{Seed: seed, For: last, Delay: d.between(20*time.Millisecond, 55*time.Millisecond), Jitter: d.between(0, 5*time.Millisecond)}
-	first := d.returning()
-	first.Start = warmUp + d.between(0, min(3*time.Second, d.until-warmUp-first.Length))
-	p.Troubles = append(p.Troubles, first)
+	d := &drawer{rng: rand.New(rand.NewPCG(seed, 36)), scene: scene, until: last - calmPeriod}
+	p := &Plan{Seed: seed, For: last, Delay: d.drawDuration(20*time.Millisecond, 55*time.Millisecond), Jitter: d.drawDuration(0, 5*time.Millisecond)}
+	first := d.drawZoneRestart()
+	first.Start = warmUp + d.drawDuration(0, min(3*time.Second, d.until-warmUp-first.Length))
+	p.Faults = append(p.Faults, first)
 	for at := warmUp; at < d.until; at += time.Duration(d.rng.ExpFloat64() * float64(meanGap)) {
-		for range mostTries {
+		for range maxDraws {
 			t := d.draw()
 			t.Start = at
-			if d.fits(p.Troubles, t) {
-				p.Troubles = append(p.Troubles, t)
+			if d.fits(p.Faults, t) {
+				p.Faults = append(p.Faults, t)
 				break
 			}
 		}
 	}
-	slices.SortStableFunc(p.Troubles, func(a, b Trouble) int { return cmp.Compare(a.Start, b.Start) })
+	slices.SortStableFunc(p.Faults, func(a, b Fault) int { return cmp.Compare(a.Start, b.Start) })
 	return p
 }
 
-// AtOnce is the most troubles that are under way at one time.
-func (p *Plan) AtOnce() int {
+// MaxConcurrent is the most troubles that are under way at one time.
+func (p *Plan) MaxConcurrent() int {
 	most := 0
-	for i := range p.Troubles {
-		most = max(most, overlapping(p.Troubles, p.Troubles[i].Start))
+	for i := range p.Faults {
+		most = max(most, overlapping(p.Faults, p.Faults[i].Start))
 	}
 	return most
 }
 
-func overlapping(all []Trouble, at time.Duration) (n int) {
+func overlapping(all []Fault, at time.Duration) (n int) {
 	for i := range all {
 		if all[i].Start <= at && at < all[i].end() {
 			n++
@@ -173,20 +173,20 @@
 	until time.Duration
 }
 
-func (d *drawer) between(low, high time.Duration) time.Duration {
+func (d *drawer) drawDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(d.rng.Int64N(int64(high-low)+1))
 }
 
-// fits tells whether a trouble ends in time, is no more than one of MostAtOnce, and touches nothing that another one does.
-func (d *drawer) fits(all []Trouble, t Trouble) bool {
-	if t.end() > d.until || overlapping(all, t.Start) >= MostAtOnce {
+// fits tells whether a trouble ends in time, is no more than one of MaxConcurrentFaults, and touches nothing that another one does.
+func (d *drawer) fits(all []Fault, t Fault) bool {
+	if t.end() > d.until || overlapping(all, t.Start) >= MaxConcurrentFaults {
 		return false
 	}
 	for _, other := range all {
-		if other.end()+apart <= t.Start || t.end()+apart <= other.Start {
+		if other.end()+minSeparation <= t.Start || t.end()+minSeparation <= other.Start {
 			continue
 		}
-		if t.Start <= other.Start && other.Start < t.end() && overlapping(all, other.Start) >= MostAtOnce {
+		if t.Start <= other.Start && other.Start < t.end() && overlapping(all, other.Start) >= MaxConcurrentFaults {
 			return false
 		}
 		mine := d.claims(t)
@@ -198,37 +198,37 @@
 }
 
 // claims is what a trouble needs for itself.
-func (d *drawer) claims(t Trouble) (all []string) {
+func (d *drawer) claims(t Fault) (all []string) {
 	switch t.Kind {
-	case KillProxy, PauseProxy, EndProxy:
+	case KillProxy, PauseProxy, TerminateProxy:
 		return []string{"proxy " + t.Target}
-	case KillKeeper, PauseKeeper:
+	case KillControlPlane, PauseControlPlane:
 		return []string{"keeper " + t.Target}
-	case KillZone, KillKeepers:
+	case KillZone, KillAllControlPlanes:
 		for _, m := range d.scene.Machines {
-			if t.Kind == KillKeepers {
+			if t.Kind == KillAllControlPlanes {
 				all = append(all, "keeper "+m.IP)
 			} else if m.Zone == t.Target {
 				all = append(all, "proxy "+m.IP)
 			}
 		}
-	case CutProxy, SlowProxy, CutKeeper, SlowKeeper:
+	case PartitionProxy, SlowProxy, PartitionControlPlane, SlowControlPlane:
 		return []string{"links of " + t.Target}
-	case CutList, CutLists, SlowLists:
+	case PartitionFromList, PartitionAllFromList, SlowLists:
 		return []string{"list"}
-	case CutFromServers:
+	case PartitionFromServers:
 		for _, s := range t.Servers {
 			all = append(all, "server "+s)
 		}
-	case CutServer, SlowServer, Drain:
+	case PartitionServer, SlowServer, DrainServer:
 		return []string{"server " + t.Target}
 	case LoseAnswers:
 		return []string{"answers of " + t.Target}
-	case LoseAcks:
+	case LoseAcknowledgements:
 		return []string{"answers to the operator"}
-	case Evacuate, ColdReturn, ReturnEvacuated, TakeBackAlone:
+	case EvacuateZone, RestartZone, RestartZoneDuringEvacuation, EndEvacuationAlone:
 		all = append(all, "servers of "+t.Target)
-		if t.Kind != ColdReturn {
+		if t.Kind != RestartZone {
 			all = append(all, "evacuation")
 		}
 		if t.Other != "" {
--- a/internal/lab/soak/plan_test.go
+++ b/internal/lab/soak/plan_test.go
@@ -14,36 +14,36 @@
 // touch what another one touches.
 func TestPlans(t *testing.T) {
 	kinds, cutFrom := map[Kind]int{}, map[int]int{}
-	for _, last := range []time.Duration{Shortest, 30 * time.Second, Longest} {
+	for _, last := range []time.Duration{MinDuration, 30 * time.Second, MaxDuration} {
 		full := 0
 		for seed := range uint64(200) {
-			scene := Scene(seed)
+			scene := NewScenario(seed)
 			p := Draw(seed, last, scene)
-			if !reflect.DeepEqual(p, Draw(seed, last, Scene(seed))) {
+			if !reflect.DeepEqual(p, Draw(seed, last, NewScenario(seed))) {
 				t.Fatalf("seed %d gives two plans", seed)
 			}
 			checkPlan(t, p, scene)
-			if p.AtOnce() == MostAtOnce {
+			if p.MaxConcurrent() == MaxConcurrentFaults {
 				full++
 			}
-			for _, one := range p.Troubles {
+			for _, one := range p.Faults {
 				kinds[one.Kind]++
 				cutFrom[len(one.Servers)]++
 			}
-			if last == Longest && seed > 20 {
+			if last == MaxDuration && seed > 20 {
 				break
 			}
 		}
 		if full == 0 {
-			t.Errorf("no plan of %v has %d troubles at once", last, MostAtOnce)
+			t.Errorf("no plan of %v has %d troubles at once", last, MaxConcurrentFaults)
 		}
 	}
-	for n := 1; n <= mostCutFrom; n++ {
+	for n := 1; n <= maxPartitionedServers; n++ {
 		if cutFrom[n] == 0 {
 			t.Errorf("no proxy is ever cut from %d servers", n)
 		}
 	}
-	for _, o := range odds {
+	for _, o := range kindWeights {
 		if kinds[o.kind] == 0 {
 			t.Errorf("%q never happens", o.kind)
 		}
@@ -53,30 +53,30 @@
 // TestWakePlans: the proxy is paused before the evacuation begins, and goes on while the zone's servers are cold.
 func TestWakePlans(t *testing.T) {
 	for _, form := range []Waking{WakeOne, WakeCut, WakeTwo} {
-		scene := WakeScene(1)
+		scene := NewWakeScenario(1)
 		p, cut := Wake(1, form, scene), form == WakeCut
-		at := map[Kind]Trouble{}
-		for _, one := range p.Troubles {
+		at := map[Kind]Fault{}
+		for _, one := range p.Faults {
 			at[one.Kind] = one
 			if one.end() > p.For {
 				t.Errorf("%v ends too late", one)
 			}
 		}
-		pause, evacuation := at[PauseProxy], at[TakeBackAlone]
+		pause, evacuation := at[PauseProxy], at[EndEvacuationAlone]
 		chilled := evacuation.Start + scene.Bounds.Evacuate
-		if pause.Start >= evacuation.Start || pause.end() < chilled+ackedWithin || pause.end() > chilled+evacuation.Chill {
+		if pause.Start >= evacuation.Start || pause.end() < chilled+ackedWithin || pause.end() > chilled+evacuation.WarmUpLead {
 			t.Errorf("%v, with %v", pause, evacuation)
 		}
 		if wait := scene.Kinds[question].Deadline; wait <= pause.Length {
 			t.Errorf("clients wait %v: %v", wait, pause)
 		}
-		if _, killed := at[KillProxy]; killed == (form == WakeTwo) || len(p.Troubles) != map[Waking]int{WakeOne: 3, WakeCut: 4, WakeTwo: 3}[form] {
-			t.Errorf("%s: %v", form, p.Troubles)
+		if _, killed := at[KillProxy]; killed == (form == WakeTwo) || len(p.Faults) != map[Waking]int{WakeOne: 3, WakeCut: 4, WakeTwo: 3}[form] {
+			t.Errorf("%s: %v", form, p.Faults)
 		}
-		if c, ok := at[CutProxy]; ok != cut || cut && (c.Target != pause.Target || c.Start > pause.end() || c.end() != pause.end()+cutAfter) {
+		if c, ok := at[PartitionProxy]; ok != cut || cut && (c.Target != pause.Target || c.Start > pause.end() || c.end() != pause.end()+cutAfter) {
 			t.Errorf("cut: %v, %v", ok, c)
 		}
-		if n := scene.Servers[0].Engine.Slots; n != wakeSlots || Scene(1).Servers[0].Engine.Slots != slots {
+		if n := scene.Servers[0].Engine.Slots; n != wakeSlots || NewScenario(1).Servers[0].Engine.Slots != slots {
 			t.Errorf("%d slots", n)
 		}
 	}
@@ -90,15 +90,15 @@
 	if p.Delay < 20*time.Millisecond || p.Delay > 55*time.Millisecond {
 		t.Errorf("seed %d: %v between regions", p.Seed, p.Delay)
 	}
-	if !slices.ContainsFunc(p.Troubles, func(one Trouble) bool { return one.Kind == ReturnEvacuated }) {
+	if !slices.ContainsFunc(p.Faults, func(one Fault) bool { return one.Kind == RestartZoneDuringEvacuation }) {
 		t.Errorf("seed %d: the incident is missing", p.Seed)
 	}
-	for i, one := range p.Troubles {
-		if one.Start < warmUp || one.end() > p.For-calm || one.Length <= 0 || overlapping(p.Troubles, one.Start) > MostAtOnce {
+	for i, one := range p.Faults {
+		if one.Start < warmUp || one.end() > p.For-calmPeriod || one.Length <= 0 || overlapping(p.Faults, one.Start) > MaxConcurrentFaults {
 			t.Errorf("seed %d: %v", p.Seed, one)
 		}
-		for _, other := range p.Troubles[i+1:] {
-			if other.Start >= one.end()+apart {
+		for _, other := range p.Faults[i+1:] {
+			if other.Start >= one.end()+minSeparation {
 				continue
 			}
 			for _, c := range d.claims(one) {
@@ -124,12 +124,12 @@
 		servers       []string
 		calls, called []int // of paths
 	}{
-		{CutProxy, ip, nil, []int{0}, []int{1}}, {SlowProxy, ip, nil, []int{0}, []int{1}}, {CutKeeper, ip, nil, []int{3}, []int{4}},
-		{CutList, ip, nil, []int{2}, nil}, {CutLists, "", nil, []int{2, 5}, nil}, {SlowLists, "", nil, []int{2, 5}, nil},
-		{CutServer, server, nil, nil, []int{6, 8, 10}}, {CutFromServers, ip, []string{server}, []int{8}, nil},
-		{CutFromServers, ip, []string{server, "127.0.2.2:0"}, []int{8, 9}, nil}, {CutFromServers, ip, nil, nil, nil},
+		{PartitionProxy, ip, nil, []int{0}, []int{1}}, {SlowProxy, ip, nil, []int{0}, []int{1}}, {PartitionControlPlane, ip, nil, []int{3}, []int{4}},
+		{PartitionFromList, ip, nil, []int{2}, nil}, {PartitionAllFromList, "", nil, []int{2, 5}, nil}, {SlowLists, "", nil, []int{2, 5}, nil},
+		{PartitionServer, server, nil, nil, []int{6, 8, 10}}, {PartitionFromServers, ip, []string{server}, []int{8}, nil},
+		{PartitionFromServers, ip, []string{server, "127.0.2.2:0"}, []int{8, 9}, nil}, {PartitionFromServers, ip, nil, nil, nil},
 	} {
-		calls, called := Trouble{Kind: c.kind, Target: c.target, Servers: c.servers}.paths()
+		calls, called := Fault{Kind: c.kind, Target: c.target, Servers: c.servers}.matchPaths()
 		var got, gotCalled []int
 		for i, p := range paths {
 			if calls(p) {
@@ -144,31 +144,31 @@
 		}
 	}
 	for _, c := range []struct {
-		one     Trouble
+		one     Fault
 		out, in link.State
 	}{
-		{Trouble{Kind: CutProxy}, link.State{Hold: [2]bool{true, true}}, link.State{Hold: [2]bool{true, true}}},
-		{Trouble{Kind: CutProxy, Way: Outward}, link.State{Hold: [2]bool{link.ToFar: true}}, link.State{Hold: [2]bool{link.ToNear: true}}},
-		{Trouble{Kind: CutProxy, Way: Inward}, link.State{Hold: [2]bool{link.ToNear: true}}, link.State{Hold: [2]bool{link.ToFar: true}}},
-		{Trouble{Kind: CutFromServers, Way: Outward}, link.State{Hold: [2]bool{link.ToFar: true}}, link.State{Hold: [2]bool{link.ToNear: true}}},
-		{Trouble{Kind: SlowProxy, Delay: 5, Jitter: 2}, link.State{Delay: 5, Jitter: 2}, link.State{Delay: 5, Jitter: 2}},
+		{Fault{Kind: PartitionProxy}, link.State{Hold: [2]bool{true, true}}, link.State{Hold: [2]bool{true, true}}},
+		{Fault{Kind: PartitionProxy, Direction: Outbound}, link.State{Hold: [2]bool{link.ToFar: true}}, link.State{Hold: [2]bool{link.ToNear: true}}},
+		{Fault{Kind: PartitionProxy, Direction: Inbound}, link.State{Hold: [2]bool{link.ToNear: true}}, link.State{Hold: [2]bool{link.ToFar: true}}},
+		{Fault{Kind: PartitionFromServers, Direction: Outbound}, link.State{Hold: [2]bool{link.ToFar: true}}, link.State{Hold: [2]bool{link.ToNear: true}}},
+		{Fault{Kind: SlowProxy, Delay: 5, Jitter: 2}, link.State{Delay: 5, Jitter: 2}, link.State{Delay: 5, Jitter: 2}},
 	} {
-		if out, in := c.one.states(); out != c.out || in != c.in {
+		if out, in := c.one.linkStates(); out != c.out || in != c.in {
 			t.Errorf("%v: out %+v, in %+v", c.one, out, in)
 		}
 	}
 }
 
 func TestTroubleLine(t *testing.T) {
-	one := Trouble{Kind: ReturnEvacuated, Target: "a", Other: "b", Start: time.Second, Length: 2 * time.Second, Down: time.Second}
+	one := Fault{Kind: RestartZoneDuringEvacuation, Target: "a", Other: "b", Start: time.Second, Length: 2 * time.Second, Down: time.Second}
 	if got, want := one.String(), " 1.000 s to  3.000 s  cold return while the other zone is evacuated: a, evacuated: b, down 1s"; got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
-	one = Trouble{Kind: CutFromServers, Target: "a", Servers: []string{"b", "c"}, Way: Outward, Length: time.Second}
+	one = Fault{Kind: PartitionFromServers, Target: "a", Servers: []string{"b", "c"}, Direction: Outbound, Length: time.Second}
 	if got, want := one.String(), " 0.000 s to  1.000 s  cut proxy from servers a: b, c, outward only"; got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
-	one = Trouble{Kind: CutProxy, Target: "a", Way: Inward, Length: time.Second}
+	one = Fault{Kind: PartitionProxy, Target: "a", Direction: Inbound, Length: time.Second}
 	if got, want := one.String(), " 0.000 s to  1.000 s  cut proxy from keepers a, inward only"; got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
--- a/internal/lab/soak/result_test.go
+++ b/internal/lab/soak/result_test.go
@@ -17,8 +17,8 @@
 
 // judged is a player whose run is over, with nothing broken yet.
 func judged() *player {
-	evidence := &rules.Evidence{Bounds: Scene(1).Bounds}
-	return &player{Run: &testcluster.Run{Environment: &testcluster.Environment{Evidence: evidence}}, plan: &Plan{Seed: 7, For: Shortest}, broken: []string{}}
+	evidence := &rules.Evidence{Bounds: NewScenario(1).Bounds}
+	return &player{Run: &testcluster.Run{Environment: &testcluster.Environment{Evidence: evidence}}, plan: &Plan{Seed: 7, For: MinDuration}, broken: []string{}}
 }
 
 // TestJudgeNamesWhatBroke: each kind of fault ends a seed as broken, under its name. Danger: one that is seen and not told.
@@ -33,18 +33,18 @@
 		{name: "DIED", report: testcluster.Report{Died: []string{"proxy"}}},
 		{name: "STOP", report: testcluster.Report{Killed: []string{"keeper"}}},
 		{name: "READ", report: testcluster.Report{ReadError: errors.New("nobody answers")}},
-		{name: "VIOLATION", player: func(p *player) { p.watch.most = map[string]int64{"pace at proxy": 1} }},
-		{name: "RECOVER", player: func(p *player) { p.fault("RECOVER", "not\nserved") }},
+		{name: "VIOLATION", player: func(p *player) { p.monitor.highest = map[string]int64{"pace at proxy": 1} }},
+		{name: "RECOVER", player: func(p *player) { p.recordFailure("RECOVER", "not\nserved") }},
 	} {
 		p := judged()
 		if c.player != nil {
 			c.player(p)
 		}
-		r := p.judge(&c.report)
-		if r.Held() != (c.name == "") || c.name != "" && (len(r.Broken) != 1 || !strings.HasPrefix(r.Broken[0], c.name+": ") || strings.Contains(r.Broken[0], "\n")) {
+		r := p.evaluate(&c.report)
+		if r.Passed() != (c.name == "") || c.name != "" && (len(r.Broken) != 1 || !strings.HasPrefix(r.Broken[0], c.name+": ") || strings.Contains(r.Broken[0], "\n")) {
 			t.Errorf("%s: %q", c.name, r.Broken)
 		}
-		if word := " held "; strings.Contains(r.String(), word) != r.Held() {
+		if word := " held "; strings.Contains(r.String(), word) != r.Passed() {
 			t.Errorf("%s: %s", c.name, r)
 		}
 		if line, err := json.Marshal(r); err != nil || !strings.Contains(string(line), `"seed":7`) || strings.Contains(string(line), "null") {
@@ -61,10 +61,10 @@
 		p.Evidence.RecordArrival(&rules.Arrival{At: rules.Time(i + 1), Server: "i-1", WarmingUp: true, WarmUpLimit: 20, ExecutedAt: rules.Never})
 	}
 	p.Evidence.RecordArrival(&rules.Arrival{At: 1, Server: "i-2", WarmingUp: true, WarmUpLimit: 20, ExecutedAt: rules.Never})
-	if r := p.judge(&testcluster.Report{}); r.Cold != 2 || r.Flooded != 1 || r.Peak != flood || r.Bound != float64(flood-1) {
+	if r := p.evaluate(&testcluster.Report{}); r.Cold != 2 || r.Flooded != 1 || r.Peak != flood || r.Bound != float64(flood-1) {
 		t.Errorf("%+v", r)
 	}
-	if text := (story{p.Evidence}).String(); strings.Count(text, "i-1 got ") != flood || strings.Contains(text, "i-2") {
+	if text := (floodReport{p.Evidence}).String(); strings.Count(text, "i-1 got ") != flood || strings.Contains(text, "i-2") {
 		t.Errorf("%s", text)
 	}
 }
@@ -78,7 +78,7 @@
 		}
 	}))
 	defer s.Close()
-	w := &watch{client: admin.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
+	w := &invariantMonitor{client: admin.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 	keepers := []string{s.Listener.Addr().String()}
 	for _, c := range []struct {
 		status admin.NodeStatus
@@ -89,19 +89,19 @@
 		{admin.NodeStatus{Current: true}, true},
 	} {
 		status = c.status
-		if err := w.settled(t.Context(), keepers); (err == nil) != c.good {
+		if err := w.checkSettled(t.Context(), keepers); (err == nil) != c.good {
 			t.Errorf("%+v: %v", c.status, err)
 		}
 	}
 	s.Close()
-	if err := w.settled(t.Context(), keepers); err == nil {
+	if err := w.checkSettled(t.Context(), keepers); err == nil {
 		t.Error("no keeper answers, and that is taken for settled")
 	}
 }
 
 // TestDrawn: a share of none is never drawn, and one of all always is.
 func TestDrawn(t *testing.T) {
-	var s share
+	var s probability
 	for _, v := range []float64{0, 1, 0} {
 		s.set(v)
 		if all := slices.Repeat([]bool{v == 1}, 50); !slices.Equal(all, draws(&s, 50)) {
@@ -110,7 +110,7 @@
 	}
 }
 
-func draws(s *share, n int) (all []bool) {
+func draws(s *probability, n int) (all []bool) {
 	for range n {
 		all = append(all, s.drawn())
 	}
--- a/internal/lab/soak/scenario.go
+++ b/internal/lab/soak/scenario.go
@@ -22,9 +22,9 @@
 	step         = 3 * time.Millisecond
 )
 
-// Scene gives the deployment in which a seed is played: the small one, with more servers, more traffic, and a home for the
+// NewScenario gives the deployment in which a seed is played: the small one, with more servers, more traffic, and a home for the
 // most frequent kind of request.
-func Scene(seed uint64) *testcluster.Scenario {
+func NewScenario(seed uint64) *testcluster.Scenario {
 	s := testcluster.SmallScenario(1)
 	subnet := firstSubnet + int(seed%subnets)
 	for i := range s.Machines {
--- a/internal/lab/soak/wake.go
+++ b/internal/lab/soak/wake.go
@@ -25,9 +25,9 @@
 	question  = 1                // that kind's place in the scene's routes and kinds
 )
 
-// WakeScene gives the deployment in which the plans of Wake are played: that of a seed, with patient clients and roomy servers.
-func WakeScene(seed uint64) *testcluster.Scenario {
-	s := Scene(seed)
+// NewWakeScenario gives the deployment in which the plans of Wake are played: that of a seed, with patient clients and roomy servers.
+func NewWakeScenario(seed uint64) *testcluster.Scenario {
+	s := NewScenario(seed)
 	s.Config.Routes[question].GapAim = waitGap
 	s.Config.Routes[question].Timeout = int(waitFor.Milliseconds())
 	s.Kinds[question].Deadline = waitFor
@@ -49,18 +49,18 @@
 // that have waited want one at once. The other proxy of its region is down, unless it is paused too.
 func Wake(seed uint64, form Waking, scene *testcluster.Scenario) *Plan {
 	peer, paused := scene.Machines[0].IP, scene.Machines[1].IP
-	first := Trouble{Kind: KillProxy, Target: peer, Start: peerKilled, Length: peerDown}
+	first := Fault{Kind: KillProxy, Target: peer, Start: peerKilled, Length: peerDown}
 	if form == WakeTwo {
-		first = Trouble{Kind: PauseProxy, Target: peer, Start: pausedAt, Length: pausedFor}
+		first = Fault{Kind: PauseProxy, Target: peer, Start: pausedAt, Length: pausedFor}
 	}
-	p := &Plan{Seed: seed, For: wakeFor, Delay: 20 * time.Millisecond, Troubles: []Trouble{
+	p := &Plan{Seed: seed, For: wakeFor, Delay: 20 * time.Millisecond, Faults: []Fault{
 		first,
 		{Kind: PauseProxy, Target: paused, Start: pausedAt, Length: pausedFor},
-		{Kind: TakeBackAlone, Target: homeZones[0], Other: homeZones[1], Start: evacuatedAt, Chill: wakeChill, Down: wakeChill + aloneFor,
+		{Kind: EndEvacuationAlone, Target: homeZones[0], Other: homeZones[1], Start: evacuatedAt, WarmUpLead: wakeChill, Down: wakeChill + aloneFor,
 			Length: scene.Bounds.Evacuate + wakeChill + aloneFor + coldFor(scene) + coldMargin},
 	}}
 	if form == WakeCut {
-		p.Troubles = append(p.Troubles, Trouble{Kind: CutProxy, Target: paused, Start: pausedAt + pausedFor - cutBefore, Length: cutBefore + cutAfter})
+		p.Faults = append(p.Faults, Fault{Kind: PartitionProxy, Target: paused, Start: pausedAt + pausedFor - cutBefore, Length: cutBefore + cutAfter})
 	}
 	return p
 }
--- a/internal/lab/soak/watch.go
+++ b/internal/lab/soak/watch.go
@@ -17,65 +17,65 @@
 	"gradeusher.example/gradeusher/internal/system/admin"
 )
 
-const mostStatus = 8 << 20
+const maxStatusBytes = 8 << 20
 
-// watch reads what the processes' own invariants have counted. A process that starts again counts from 0.
-type watch struct {
+// invariantMonitor reads what the processes' own invariants have counted. A process that starts again counts from 0.
+type invariantMonitor struct {
 	client admin.Client
 
-	mu    sync.Mutex
-	most  map[string]int64 // highest count seen, by process and invariant
-	asked int
+	mu      sync.Mutex
+	highest map[string]int64 // highest count seen, by process and invariant
+	polls   int
 }
 
 // run looks once in a while until ctx ends.
-func (w *watch) run(ctx context.Context, addresses map[string]string) {
-	for clock.Sleep(ctx, statusEvery) {
-		w.look(ctx, addresses)
+func (w *invariantMonitor) run(ctx context.Context, addresses map[string]string) {
+	for clock.Sleep(ctx, statusInterval) {
+		w.pollAll(ctx, addresses)
 	}
 }
 
-// look asks all processes at once; those that do not answer are passed over.
-func (w *watch) look(ctx context.Context, addresses map[string]string) {
+// pollAll asks all processes at once; those that do not answer are passed over.
+func (w *invariantMonitor) pollAll(ctx context.Context, addresses map[string]string) {
 	var all sync.WaitGroup
 	for name, address := range addresses {
-		all.Go(func() { w.ask(ctx, name, address) })
+		all.Go(func() { w.poll(ctx, name, address) })
 	}
 	all.Wait()
 }
 
-// ask asks one process.
-func (w *watch) ask(ctx context.Context, name, address string) {
+// poll asks one process.
+func (w *invariantMonitor) poll(ctx context.Context, name, address string) {
 	counts, err := violations(ctx, address)
 	if err != nil {
 		return // it is down, or held up
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.asked++
-	if w.most == nil {
-		w.most = map[string]int64{}
+	w.polls++
+	if w.highest == nil {
+		w.highest = map[string]int64{}
 	}
 	for invariant, n := range counts {
 		key := invariant + " at " + name
-		w.most[key] = max(w.most[key], n)
+		w.highest[key] = max(w.highest[key], n)
 	}
 }
 
 // lines are the invariants that were violated.
-func (w *watch) lines() (all []string) {
+func (w *invariantMonitor) lines() (all []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, key := range slices.Sorted(maps.Keys(w.most)) {
-		if w.most[key] > 0 {
-			all = append(all, fmt.Sprintf("VIOLATION: %s, %d times", key, w.most[key]))
+	for _, key := range slices.Sorted(maps.Keys(w.highest)) {
+		if w.highest[key] > 0 {
+			all = append(all, fmt.Sprintf("VIOLATION: %s, %d times", key, w.highest[key]))
 		}
 	}
 	return all
 }
 
-// settled tells whether a keeper is current and holds no evacuation.
-func (w *watch) settled(ctx context.Context, keepers []string) error {
+// checkSettled tells whether a keeper is current and holds no evacuation.
+func (w *invariantMonitor) checkSettled(ctx context.Context, keepers []string) error {
 	f, err := w.client.Fleet(ctx, keepers)
 	switch {
 	case err != nil:
@@ -90,13 +90,13 @@
 
 // violations asks a process for its status, and gives what its invariants have counted by name.
 func violations(ctx context.Context, address string) (map[string]int64, error) {
-	ctx, cancel := context.WithTimeout(ctx, statusWithin)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/status", nil)
 	if err != nil {
 		return nil, err
 	}
-	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: statusWithin + time.Second}
+	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: statusTimeout + time.Second}
 	answer, err := client.Do(r)
 	if err != nil {
 		return nil, err
@@ -105,6 +105,6 @@
 	var status struct {
 		Violations map[string]int64 `json:"violations"`
 	}
-	err = json.NewDecoder(io.LimitReader(answer.Body, mostStatus)).Decode(&status)
+	err = json.NewDecoder(io.LimitReader(answer.Body, maxStatusBytes)).Decode(&status)
 	return status.Violations, err
 }
--- a/internal/lab/soak/watch_test.go
+++ b/internal/lab/soak/watch_test.go
@@ -18,7 +18,7 @@
 		fmt.Fprint(w, answer)
 	}))
 	defer s.Close()
-	w := &watch{}
+	w := &invariantMonitor{}
 	addresses := map[string]string{"proxy-a": s.Listener.Addr().String(), "proxy-b": "127.0.0.1:1"}
 	for _, c := range []struct {
 		answer string
@@ -33,12 +33,12 @@
 		{`not JSON`, []string{"VIOLATION: more than the pace at proxy-a, 1 times", "VIOLATION: warm too early at proxy-a, 3 times"}},
 	} {
 		answer = c.answer
-		w.look(t.Context(), addresses)
+		w.pollAll(t.Context(), addresses)
 		if got := w.lines(); !slices.Equal(got, c.lines) {
 			t.Errorf("after %s: %q", c.answer, got)
 		}
 	}
-	if w.asked != 5 {
-		t.Errorf("%d statuses were read, want 5", w.asked)
+	if w.polls != 5 {
+		t.Errorf("%d statuses were read, want 5", w.polls)
 	}
 }
