--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -42,7 +42,7 @@
 }
 
 // sendChange makes the n-th sendChange.
-func (p *player) sendChange(ctx context.Context, n int, rng *rand.Rand) error {
+func (p *player) sendChange(ctx context.Context, number int, rng *rand.Rand) error {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	now := p.Scenario.Config
@@ -50,17 +50,17 @@
 	has := slices.ContainsFunc(now.Routes, func(r rules.Route) bool { return r.Name == addedName })
 	var err error
 	switch {
-	case n%3 == 0 && !has:
+	case number%3 == 0 && !has:
 		route := now.Routes[thumbRoute]
 		route.Name, route.Prefix = addedName, addedPrefix
 		err = p.AddRoute(ctx, revision, route)
-	case n%3 == 0:
+	case number%3 == 0:
 		err = p.RemoveRoute(ctx, revision, addedName)
 	default:
 		after := *now
 		after.Revision = revision
 		after.Routes = slices.Clone(now.Routes)
-		after.Routes[n%2].Timeout += rng.IntN(3) - 1
+		after.Routes[number%2].Timeout += rng.IntN(3) - 1
 		if err = p.Operator.Replace(ctx, &after, now.Revision); err == nil {
 			p.Scenario.Config = &after
 		}
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -151,11 +151,11 @@
 
 // MaxConcurrent is the most troubles that are under way at one time.
 func (p *Plan) MaxConcurrent() int {
-	most := 0
+	highest := 0
 	for i := range p.Faults {
-		most = max(most, overlapping(p.Faults, p.Faults[i].Start))
+		highest = max(highest, overlapping(p.Faults, p.Faults[i].Start))
 	}
-	return most
+	return highest
 }
 
 func overlapping(all []Fault, at time.Duration) (n int) {
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -55,32 +55,32 @@
 }
 
 // Play runs a plan against real processes and judges it. The error is that of a run that could not be begun.
-func Play(ctx context.Context, o Options) (*Result, error) {
-	scene := o.Scenario
+func Play(ctx context.Context, options Options) (*Result, error) {
+	scene := options.Scenario
 	if scene == nil {
-		scene = NewScenario(o.Plan.Seed)
+		scene = NewScenario(options.Plan.Seed)
 	}
-	run, err := testcluster.Up(ctx, testcluster.UpOptions{Proxy: o.Proxy, ControlPlane: o.ControlPlane, Folder: o.Folder, Seed: o.Plan.Seed, Scenario: scene,
-		Links: testcluster.NewLinks(o.Plan.Delay, o.Plan.Jitter)})
+	run, err := testcluster.Up(ctx, testcluster.UpOptions{Proxy: options.Proxy, ControlPlane: options.ControlPlane, Folder: options.Folder, Seed: options.Plan.Seed, Scenario: scene,
+		Links: testcluster.NewLinks(options.Plan.Delay, options.Plan.Jitter)})
 	if err != nil {
 		return nil, err
 	}
-	p := &player{Run: run, plan: o.Plan, announce: o.Announce, pendingEvacuations: map[string]bool{}, broken: []string{}, evacuating: make(chan struct{}, 1),
+	play := &player{Run: run, plan: options.Plan, announce: options.Announce, pendingEvacuations: map[string]bool{}, broken: []string{}, evacuating: make(chan struct{}, 1),
 		monitor: invariantMonitor{client: admin.Client{Transport: &http.Transport{DisableKeepAlives: true}}}}
-	if p.announce == nil {
-		p.announce = func(string) {}
+	if play.announce == nil {
+		play.announce = func(string) {}
 	}
-	run.Operator.LoseAnswer = p.answerLoss.drawn
-	p.run(ctx)
+	run.Operator.LoseAnswer = play.answerLoss.drawn
+	play.run(ctx)
 	if ctx.Err() == nil {
-		p.checkRecovery(ctx)
+		play.checkRecovery(ctx)
 	}
-	p.monitor.pollAll(ctx, p.addresses())
-	result := p.evaluate(run.Finish())
+	play.monitor.pollAll(ctx, play.addresses())
+	result := play.evaluate(run.Finish())
 	if err := ctx.Err(); err != nil {
-		return nil, errors.Wrapf(err, "seed %d was broken off, and is not judged", o.Plan.Seed)
+		return nil, errors.Wrapf(err, "seed %d was broken off, and is not judged", options.Plan.Seed)
 	}
-	return result, result.saveFailure(o.Folder, o.Plan, floodReport{run.Evidence})
+	return result, result.saveFailure(options.Folder, options.Plan, floodReport{run.Evidence})
 }
 
 // run has all troubles happen, and changes of the configuration and reads beside them.
--- a/internal/lab/testcluster/client_conn.go
+++ b/internal/lab/testcluster/client_conn.go
@@ -122,51 +122,51 @@
 }
 
 // exchange sends a try on the connection and reads its answer. It tells whether the connection may be used again.
-func (c *clientConn) exchange(s *attemptSpec, now func() time.Duration) (header http.Header, again bool) {
-	t := s.attempt
+func (c *clientConn) exchange(spec *attemptSpec, now func() time.Duration) (header http.Header, reusable bool) {
+	attempt := spec.attempt
 	before := c.bytesRead
 	c.head = make([]byte, 0, 512)
-	t.Sent = now()
-	_ = c.tcp.SetDeadline(s.deadline)
-	_, err := io.WriteString(c.tcp, s.encode())
-	t.SentComplete = now()
+	attempt.Sent = now()
+	_ = c.tcp.SetDeadline(spec.deadline)
+	_, err := io.WriteString(c.tcp, spec.encode())
+	attempt.SentComplete = now()
 	if err != nil {
-		t.Outcome = c.classifyEnd(err, 0)
+		attempt.Outcome = c.classifyEnd(err, 0)
 		return nil, false
 	}
-	if s.silenceTimeout > 0 {
-		_ = c.tcp.SetReadDeadline(earlier(s.deadline, time.Now().Add(s.silenceTimeout)))
+	if spec.silenceTimeout > 0 {
+		_ = c.tcp.SetReadDeadline(earlier(spec.deadline, time.Now().Add(spec.silenceTimeout)))
 	}
-	resp, err := http.ReadResponse(c.in, &http.Request{Method: t.Method})
+	resp, err := http.ReadResponse(c.in, &http.Request{Method: attempt.Method})
 	if err != nil {
 		if c.peerClosed && c.isHeadPrefix() {
 			err = io.ErrUnexpectedEOF
 		}
-		t.Outcome = c.classifyEnd(err, c.bytesRead-before)
+		attempt.Outcome = c.classifyEnd(err, c.bytesRead-before)
 		return nil, false
 	}
 	c.head = nil
-	_ = c.tcp.SetReadDeadline(s.deadline)
-	t.Status, t.AnswerID, t.Seal = resp.StatusCode, resp.Header.Get("X-Attempt-Id"), resp.Header.Get("X-Server-Seal")
-	if s.onFirst != nil && resp.StatusCode < 300 {
-		s.onFirst()
+	_ = c.tcp.SetReadDeadline(spec.deadline)
+	attempt.Status, attempt.AnswerID, attempt.Seal = resp.StatusCode, resp.Header.Get("X-Attempt-Id"), resp.Header.Get("X-Server-Seal")
+	if spec.onFirst != nil && resp.StatusCode < 300 {
+		spec.onFirst()
 	}
-	if t.Stream = strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream"); t.Stream {
-		err = c.readEvents(resp.Body, s)
+	if attempt.Stream = strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream"); attempt.Stream {
+		err = c.readEvents(resp.Body, spec)
 	} else {
 		digest := xxhash.New()
 		_, err = io.Copy(digest, io.LimitReader(resp.Body, maxAnswerBytes))
-		t.Answer = digest.Sum64()
+		attempt.Answer = digest.Sum64()
 	}
 	if err != nil {
-		t.Outcome = c.classifyEnd(err, c.bytesRead-before)
+		attempt.Outcome = c.classifyEnd(err, c.bytesRead-before)
 		return resp.Header, false
 	}
-	t.Outcome = rules.Answered
-	t.Surplus = c.in.Buffered()
+	attempt.Outcome = rules.Answered
+	attempt.Surplus = c.in.Buffered()
 	c.used = true
 	c.idleTimeout = keepAliveTimeout(resp.Header)
-	return resp.Header, !resp.Close && t.Surplus == 0
+	return resp.Header, !resp.Close && attempt.Surplus == 0
 }
 
 // isHeadPrefix tells whether what came is the beginning of an answer's head. The reader calls that malformed.
@@ -177,12 +177,12 @@
 }
 
 // readEvents reads a stream to its end.
-func (c *clientConn) readEvents(body io.Reader, s *attemptSpec) error {
+func (c *clientConn) readEvents(body io.Reader, spec *attemptSpec) error {
 	lines := bufio.NewReader(body)
 	id, run := 0, ""
 	for {
-		if s.silenceTimeout > 0 {
-			_ = c.tcp.SetReadDeadline(earlier(s.deadline, time.Now().Add(s.silenceTimeout)))
+		if spec.silenceTimeout > 0 {
+			_ = c.tcp.SetReadDeadline(earlier(spec.deadline, time.Now().Add(spec.silenceTimeout)))
 		}
 		line, err := lines.ReadString('\n')
 		if err == io.EOF && line == "" && id == 0 {
@@ -190,7 +190,7 @@
 		}
 		if err != nil {
 			if err == io.EOF { // the body ended amid an event, as if it were whole
-				s.attempt.Events = append(s.attempt.Events, rules.Segment{})
+				spec.attempt.Events = append(spec.attempt.Events, rules.Segment{})
 				return nil
 			}
 			return err
@@ -203,7 +203,7 @@
 			run, _, _ = strings.Cut(text, " ")
 		}
 		if line == "" && id != 0 {
-			s.attempt.Events = appendEvent(s.attempt.Events, run, id)
+			spec.attempt.Events = appendEvent(spec.attempt.Events, run, id)
 			id, run = 0, ""
 		}
 	}
--- a/internal/lab/testcluster/client_pool.go
+++ b/internal/lab/testcluster/client_pool.go
@@ -165,12 +165,12 @@
 	for len(e.idle) > 0 {
 		c := e.idle[len(e.idle)-1]
 		e.idle = e.idle[:len(e.idle)-1]
-		most := clientIdleTimeout
+		maxIdle := clientIdleTimeout
 		if c.idleTimeout > 0 {
-			most = min(most, c.idleTimeout-min(c.idleTimeout/4, 500*time.Millisecond))
+			maxIdle = min(maxIdle, c.idleTimeout-min(c.idleTimeout/4, 500*time.Millisecond))
 		}
 		bytes, closed := c.pendingBytes()
-		if !closed && bytes == 0 && e.now()-c.idleSince < most {
+		if !closed && bytes == 0 && e.now()-c.idleSince < maxIdle {
 			return c
 		}
 		e.closeConn(c)
--- a/internal/lab/testcluster/engine/engine.go
+++ b/internal/lab/testcluster/engine/engine.go
@@ -207,21 +207,21 @@
 }
 
 // reserve takes memory for what a job must read.
-func (e *Engine) reserve(j *job) bool {
-	j.pinned = e.cache.pin(j.Parts)
+func (e *Engine) reserve(waiting *job) bool {
+	waiting.pinned = e.cache.pin(waiting.Parts)
 	kept := 0
-	for _, p := range j.pinned {
+	for _, p := range waiting.pinned {
 		kept += p.tokens
 	}
-	j.unreadTokens = j.prompt() - kept + j.answerTokens
-	need := int64(j.unreadTokens)
+	waiting.unreadTokens = waiting.prompt() - kept + waiting.answerTokens
+	need := int64(waiting.unreadTokens)
 	used, _ := e.memory()
 	if used+need > e.MemoryTokens {
-		e.cache.unpin(j.pinned)
-		j.pinned = nil
+		e.cache.unpin(waiting.pinned)
+		waiting.pinned = nil
 		return false
 	}
-	j.ownTokens = need
+	waiting.ownTokens = need
 	e.ownTokens += need
 	e.cache.evictTo(e.MemoryTokens - e.ownTokens)
 	return true
--- a/internal/lab/testcluster/engine/step.go
+++ b/internal/lab/testcluster/engine/step.go
@@ -78,21 +78,21 @@
 	}
 }
 
-func (e *Engine) addToken(j *job) {
-	j.answerTokens++
-	j.ownTokens++
+func (e *Engine) addToken(running *job) {
+	running.answerTokens++
+	running.ownTokens++
 	e.ownTokens++
-	if !j.started {
-		j.started = true
-		e.out = append(e.out, Output{Key: j.Key, Kind: Started, At: e.now})
+	if !running.started {
+		running.started = true
+		e.out = append(e.out, Output{Key: running.Key, Kind: Started, At: e.now})
 	}
-	if j.answerTokens%e.Stride == 0 || j.answerTokens >= j.AnswerTokens {
-		e.out = append(e.out, Output{Key: j.Key, Kind: Event, Event: EventsOf(j.answerTokens, e.Stride), At: e.now})
+	if running.answerTokens%e.Stride == 0 || running.answerTokens >= running.AnswerTokens {
+		e.out = append(e.out, Output{Key: running.Key, Kind: Event, Event: EventsOf(running.answerTokens, e.Stride), At: e.now})
 	}
-	if j.answerTokens >= j.AnswerTokens {
-		e.out = append(e.out, Output{Key: j.Key, Kind: Done, At: e.now})
-		e.release(j)
-		e.running = slices.DeleteFunc(e.running, func(r *job) bool { return r == j })
+	if running.answerTokens >= running.AnswerTokens {
+		e.out = append(e.out, Output{Key: running.Key, Kind: Done, At: e.now})
+		e.release(running)
+		e.running = slices.DeleteFunc(e.running, func(r *job) bool { return r == running })
 		e.handled++
 	}
 }
--- a/internal/lab/testcluster/environment.go
+++ b/internal/lab/testcluster/environment.go
@@ -63,45 +63,45 @@
 )
 
 // New starts servers and the list; clients start with Traffic.
-func New(o Options) (*Environment, error) {
+func New(options Options) (*Environment, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &Environment{Evidence: &rules.Evidence{Bounds: o.Bounds}, startedAt: time.Now(), discardLog: log.New(io.Discard, "", 0), stats: &statsCounter{},
-		ctx: ctx, cancel: cancel, links: o.Links}
+	env := &Environment{Evidence: &rules.Evidence{Bounds: options.Bounds}, startedAt: time.Now(), discardLog: log.New(io.Discard, "", 0), stats: &statsCounter{},
+		ctx: ctx, cancel: cancel, links: options.Links}
 	client := func() *http.Client {
 		return &http.Client{Transport: &http.Transport{DisableCompression: true},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 	}
-	w.Operator = &Operator{ControlAddresses: o.ControlAddresses, evidence: w.Evidence, now: w.Now, http: client()}
-	w.Platform = &Platform{Lag: o.ListLag, Rate: o.ListRate, Page: pageSize, CrashedListedFor: crashedListedFor, now: w.Now, evidence: w.Evidence,
-		servers: w.instances}
-	for _, spec := range o.Servers {
-		s := &Server{ServerSpec: spec, env: w, stoppedAt: rules.Never, crashedAt: rules.Never, withdrawAt: rules.Never}
-		w.Servers = append(w.Servers, s)
-		if err := s.Start(false); err != nil {
-			w.Close()
+	env.Operator = &Operator{ControlAddresses: options.ControlAddresses, evidence: env.Evidence, now: env.Now, http: client()}
+	env.Platform = &Platform{Lag: options.ListLag, Rate: options.ListRate, Page: pageSize, CrashedListedFor: crashedListedFor, now: env.Now, evidence: env.Evidence,
+		servers: env.instances}
+	for _, spec := range options.Servers {
+		server := &Server{ServerSpec: spec, env: env, stoppedAt: rules.Never, crashedAt: rules.Never, withdrawAt: rules.Never}
+		env.Servers = append(env.Servers, server)
+		if err := server.Start(false); err != nil {
+			env.Close()
 			return nil, err
 		}
 	}
-	l, err := new(net.ListenConfig).Listen(ctx, "tcp4", "127.0.0.1:0")
+	listener, err := new(net.ListenConfig).Listen(ctx, "tcp4", "127.0.0.1:0")
 	if err != nil {
-		w.Close()
+		env.Close()
 		return nil, errors.Wrap(err, "the stand-in list cannot listen")
 	}
-	w.listAddress = l.Addr().String()
-	w.listServer = &http.Server{Handler: w.Platform, ReadHeaderTimeout: 10 * time.Second, ErrorLog: w.discardLog}
-	w.background.Go(func() { _ = w.listServer.Serve(l) }) // ends with Close
-	w.background.Go(func() { w.observe(ctx) })
-	w.traffic = &Traffic{Kinds: o.Kinds, env: w, seed: o.Seed, stats: w.stats}
-	for _, zone := range slices.Sorted(maps.Keys(o.Zones)) {
-		region := o.Zones[zone]
-		e := &clientPool{resolver: resolver{o.Kinds[0].Route.Host, zone, region, client()}, maxTTL: o.MaxTTL,
-			directories: sortByDistance(o.Directories, zone, region), now: w.Now, rng: rand.New(rand.NewPCG(o.Seed, uint64(len(w.traffic.pools)))), failed: map[string]bool{},
+	env.listAddress = listener.Addr().String()
+	env.listServer = &http.Server{Handler: env.Platform, ReadHeaderTimeout: 10 * time.Second, ErrorLog: env.discardLog}
+	env.background.Go(func() { _ = env.listServer.Serve(listener) }) // ends with Close
+	env.background.Go(func() { env.observe(ctx) })
+	env.traffic = &Traffic{Kinds: options.Kinds, env: env, seed: options.Seed, stats: env.stats}
+	for _, zone := range slices.Sorted(maps.Keys(options.Zones)) {
+		region := options.Zones[zone]
+		pool := &clientPool{resolver: resolver{options.Kinds[0].Route.Host, zone, region, client()}, maxTTL: options.MaxTTL,
+			directories: sortByDistance(options.Directories, zone, region), now: env.Now, rng: rand.New(rand.NewPCG(options.Seed, uint64(len(env.traffic.pools)))), failed: map[string]bool{},
 			resolvedOnce: make(chan struct{}), onSurplus: func(address string, bytes int) {
-				w.Evidence.RecordStray(rules.Stray{Proxy: address, Bytes: bytes, At: w.Now()})
+				env.Evidence.RecordStray(rules.Stray{Proxy: address, Bytes: bytes, At: env.Now()})
 			}}
-		w.traffic.pools = append(w.traffic.pools, e)
+		env.traffic.pools = append(env.traffic.pools, pool)
 	}
-	return w, nil
+	return env, nil
 }
 
 // Now is the time since the start.
--- a/internal/lab/testcluster/exchange.go
+++ b/internal/lab/testcluster/exchange.go
@@ -59,7 +59,7 @@
 func (e *serverExchange) cancel() bool {
 	s := e.incarnation.server
 	s.mu.Lock()
-	started := s.machine.Cancel(s.env.Now(), e.key)
+	started := s.workload.Cancel(s.env.Now(), e.key)
 	s.mu.Unlock()
 	s.wakeRun()
 	if started {
@@ -119,19 +119,19 @@
 	headSent := false
 	flush := http.NewResponseController(e.writer)
 	for {
-		o, ok := e.nextOutput(headSent)
+		output, ok := e.nextOutput(headSent)
 		if !ok {
 			return
 		}
 		switch {
-		case e.loseAnswer && o.Kind == engine.Done:
+		case e.loseAnswer && output.Kind == engine.Done:
 			e.resetConn()
-		case e.loseAnswer && o.Kind == engine.Event:
+		case e.loseAnswer && output.Kind == engine.Event:
 			continue
 		}
-		switch o.Kind {
+		switch output.Kind {
 		case engine.Started:
-			e.recordStart(o.At)
+			e.recordStart(output.At)
 		case engine.Event:
 			if !headSent {
 				headSent = true
@@ -139,9 +139,9 @@
 				e.writer.Header().Set("Versions", "1")
 				e.writeHead(http.StatusOK)
 			}
-			e.incarnation.server.env.Evidence.Update(func() { e.arrival.SentEvents = o.Event })
-			text := fmt.Sprintf("id: %d\ndata: %s %d %x\n\n", o.Event, e.seal, o.Event, e.key*uint64(o.Event))
-			if o.Event == 1 {
+			e.incarnation.server.env.Evidence.Update(func() { e.arrival.SentEvents = output.Event })
+			text := fmt.Sprintf("id: %d\ndata: %s %d %x\n\n", output.Event, e.seal, output.Event, e.key*uint64(output.Event))
+			if output.Event == 1 {
 				text = "versions: 1\n" + text
 			}
 			if _, err := e.writer.Write([]byte(text)); err != nil {
--- a/internal/lab/testcluster/fault_tour.go
+++ b/internal/lab/testcluster/fault_tour.go
@@ -13,9 +13,9 @@
 
 // FaultTour has troubles happen in turn until ctx ends: those under which every request can still get its answer. tell is told
 // of each before it begins. The error is that of an order of the operator, or of a process that does not start or end.
-func (r *Run) FaultTour(ctx context.Context, seed uint64, tell func(string)) error {
+func (r *Run) FaultTour(ctx context.Context, seed uint64, announce func(string)) error {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	troubles := []struct {
+	faults := []struct {
 		name string
 		do   func(context.Context, *rand.Rand) error
 	}{
@@ -28,13 +28,13 @@
 		{"an invalid configuration is sent", r.sendInvalidConfig},
 	}
 	for i := 0; ; i++ {
-		t := troubles[i%len(troubles)]
-		tell(t.name)
-		if err := t.do(ctx, rng); err != nil {
+		fault := faults[i%len(faults)]
+		announce(fault.name)
+		if err := fault.do(ctx, rng); err != nil {
 			if ctx.Err() != nil {
 				return nil
 			}
-			return errors.Wrap(err, t.name)
+			return errors.Wrap(err, fault.name)
 		}
 		if err := sleep(ctx, time.Second); err != nil {
 			return nil
@@ -140,21 +140,21 @@
 // raceConfigChanges has two changes be sent on top of one version: one of them is refused.
 func (r *Run) raceConfigChanges(ctx context.Context, rng *rand.Rand) error {
 	base, other := r.Scenario.Config.Revision, *r.Operator
-	one, two := *r.Scenario.Config, *r.Scenario.Config
-	one.Revision = r.nextRevision(rng)
-	two.Revision = one.Revision + 1
-	two.Limits.Idle += 1000
+	firstConfig, secondConfig := *r.Scenario.Config, *r.Scenario.Config
+	firstConfig.Revision = r.nextRevision(rng)
+	secondConfig.Revision = firstConfig.Revision + 1
+	secondConfig.Limits.Idle += 1000
 	other.next++
 	first := make(chan error, 1)
-	go func() { first <- r.Operator.Replace(ctx, &one, base) }()
-	second := other.Replace(ctx, &two, base)
-	switch won := <-first; {
-	case won == nil && errors.Is(second, ErrRefused):
-		r.Scenario.Config = &one
-	case second == nil && errors.Is(won, ErrRefused):
-		r.Scenario.Config = &two
+	go func() { first <- r.Operator.Replace(ctx, &firstConfig, base) }()
+	secondErr := other.Replace(ctx, &secondConfig, base)
+	switch firstErr := <-first; {
+	case firstErr == nil && errors.Is(secondErr, ErrRefused):
+		r.Scenario.Config = &firstConfig
+	case secondErr == nil && errors.Is(firstErr, ErrRefused):
+		r.Scenario.Config = &secondConfig
 	default:
-		return errors.Newf("of two changes on version %d not one was taken and one refused: %v; %v", base, won, second)
+		return errors.Newf("of two changes on version %d not one was taken and one refused: %v; %v", base, firstErr, secondErr)
 	}
 	return nil
 }
--- a/internal/lab/testcluster/fleet.go
+++ b/internal/lab/testcluster/fleet.go
@@ -254,7 +254,7 @@
 	for zone, region := range f.Zones() {
 		zones = append(zones, fmt.Sprintf("%s = %q", zone, region))
 	}
-	b := f.Bounds
+	bounds := f.Bounds
 	firstPort, lastPort := f.portsOf(name)
 	list := f.ListAddress
 	if at, ok := f.listAddresses[name]; ok {
@@ -322,9 +322,9 @@
 lag_ms = 800
 `, name, strings.SplitN(name, "-", 2)[0], serves, m.IP, m.Zone, m.Region, firstPort, lastPort, strings.Join(seeds, ","), first, m.Disk,
 		disk, strings.Join(zones, "\n"), f.Front(m), f.address(m, f.Ports.Readiness), f.Control(m), f.address(m, f.Ports.Directory),
-		b.Contact.Milliseconds(), b.Drain.Milliseconds(), b.Grace.Seconds(), b.LossSlack.Milliseconds(), b.ConfigApply.Milliseconds(),
-		b.RevertSlack.Milliseconds(), b.Stretch.Milliseconds(), b.RetryRatio, b.RetryWindow.Seconds(), b.RetrySlack, b.ColdExcess, b.ColdSlack,
-		b.Evacuate.Milliseconds(), list, f.Rate)
+		bounds.Contact.Milliseconds(), bounds.Drain.Milliseconds(), bounds.Grace.Seconds(), bounds.LossSlack.Milliseconds(), bounds.ConfigApply.Milliseconds(),
+		bounds.RevertSlack.Milliseconds(), bounds.Stretch.Milliseconds(), bounds.RetryRatio, bounds.RetryWindow.Seconds(), bounds.RetrySlack, bounds.ColdExcess, bounds.ColdSlack,
+		bounds.Evacuate.Milliseconds(), list, f.Rate)
 }
 
 // portsOf are the first and the last port that a process has for the system's own traffic.
--- a/internal/lab/testcluster/incarnation.go
+++ b/internal/lab/testcluster/incarnation.go
@@ -31,96 +31,96 @@
 
 // ServeHTTP implements http.Handler.
 func (i *incarnation) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s := i.server
+	server := i.server
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		panic(http.ErrAbortHandler) // the caller went away amid its request
 	}
-	h := w.Header()
+	header := w.Header()
 	id := r.Header.Get("X-Attempt-Id")
 	if id != "" {
-		h.Set("X-Attempt-Id", id)
+		header.Set("X-Attempt-Id", id)
 	}
 	switch {
 	case r.URL.Path == "/report":
-		s.serveReport(w)
+		server.serveReport(w)
 		return
 	case r.Method == http.MethodGet && r.URL.Path == i.HealthPath && id == "":
-		s.serveHealth(w, i.id)
+		server.serveHealth(w, i.id)
 		return
 	}
-	a := &rules.Arrival{At: s.env.Now(), ID: id, Server: i.id, Service: i.Service, Zone: i.Zone, Region: i.Region, Method: r.Method,
+	arrival := &rules.Arrival{At: server.env.Now(), ID: id, Server: i.id, Service: i.Service, Zone: i.Zone, Region: i.Region, Method: r.Method,
 		Path: r.URL.RequestURI(), Host: r.Host, Body: xxhash.Sum64(body), ExecutedAt: rules.Never, Ended: rules.Never}
-	a.From, _ = strconv.Atoi(r.Header.Get("Last-Event-Id"))
+	arrival.From, _ = strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	if i.relay != nil {
-		a.Sent = max(1, a.At-i.relay.sentAgo(r.RemoteAddr, clock.Now()))
+		arrival.Sent = max(1, arrival.At-i.relay.sentAgo(r.RemoteAddr, clock.Now()))
 	}
 	if target := r.Header.Get("X-Target-Instance"); target != "" && target != i.id {
-		a.Rejected = http.StatusMisdirectedRequest
-		s.env.Evidence.RecordArrival(a)
-		h.Set("X-Instance-Id", i.id)
-		h.Set("X-Not-Executed", "1")
+		arrival.Rejected = http.StatusMisdirectedRequest
+		server.env.Evidence.RecordArrival(arrival)
+		header.Set("X-Instance-Id", i.id)
+		header.Set("X-Not-Executed", "1")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	i.handle(w, r, a)
+	i.handle(w, r, arrival)
 }
 
 // handle has a request run, or turns it away.
-func (i *incarnation) handle(w http.ResponseWriter, r *http.Request, a *rules.Arrival) {
-	s := i.server
-	s.mu.Lock()
-	now := s.env.Now()
-	a.WarmingUp, a.WarmUpLimit = s.WarmUpPerSecond > 0 && now < s.warmUntil, s.WarmUpPerSecond
-	falls := a.WarmingUp && s.overloadsWarmUp(now)
+func (i *incarnation) handle(w http.ResponseWriter, r *http.Request, arrival *rules.Arrival) {
+	server := i.server
+	server.mu.Lock()
+	now := server.env.Now()
+	arrival.WarmingUp, arrival.WarmUpLimit = server.WarmUpPerSecond > 0 && now < server.warmUntil, server.WarmUpPerSecond
+	overloaded := arrival.WarmingUp && server.overloadsWarmUp(now)
 	var key uint64
 	var outputs chan engine.Output
 	job := i.parseJob(r)
 	switch {
-	case falls:
-	case a.ID == "":
-		a.Rejected = http.StatusBadRequest
+	case overloaded:
+	case arrival.ID == "":
+		arrival.Rejected = http.StatusBadRequest
 	default:
-		if key, outputs = s.submit(now, job); outputs == nil {
-			a.Rejected = http.StatusServiceUnavailable
+		if key, outputs = server.submit(now, job); outputs == nil {
+			arrival.Rejected = http.StatusServiceUnavailable
 		}
 	}
-	s.setStateHeaders(w.Header())
-	lost := rand.Float64() < s.answerLossRate
-	s.mu.Unlock()
-	s.env.Evidence.RecordArrival(a)
+	server.setStateHeaders(w.Header())
+	loseAnswer := rand.Float64() < server.answerLossRate
+	server.mu.Unlock()
+	server.env.Evidence.RecordArrival(arrival)
 	switch {
-	case falls:
-		s.env.Evidence.Update(func() { a.Aborted = true })
-		s.env.crashOverloaded(s)
+	case overloaded:
+		server.env.Evidence.Update(func() { arrival.Aborted = true })
+		server.env.crashOverloaded(server)
 		<-i.ctx.Done()
 		panic(http.ErrAbortHandler)
-	case a.Rejected != 0:
-		notExecuted(w, a.Rejected)
+	case arrival.Rejected != 0:
+		notExecuted(w, arrival.Rejected)
 		return
 	}
 	defer func() {
-		s.mu.Lock()
-		delete(s.waiters, key)
-		s.mu.Unlock()
+		server.mu.Lock()
+		delete(server.waiters, key)
+		server.mu.Unlock()
 	}()
-	a.LastEvent = 1
+	arrival.LastEvent = 1
 	if i.Engine != nil {
-		a.LastEvent = engine.EventsOf(job.AnswerTokens, i.Engine.Stride)
+		arrival.LastEvent = engine.EventsOf(job.AnswerTokens, i.Engine.Stride)
 	}
-	seal := fmt.Sprintf("%s.%x.%016x", i.id, key, xxhash.Sum64String(a.ID+i.id))
-	s.env.Evidence.Update(func() { a.Seal = seal })
+	seal := fmt.Sprintf("%s.%x.%016x", i.id, key, xxhash.Sum64String(arrival.ID+i.id))
+	server.env.Evidence.Update(func() { arrival.Seal = seal })
 	late := make(<-chan time.Time)
 	if ms, err := strconv.Atoi(r.Header.Get("X-Time-Left-Ms")); err == nil {
 		t := time.NewTimer(time.Duration(ms) * time.Millisecond)
 		defer t.Stop()
 		late = t.C
 	}
-	e := &serverExchange{incarnation: i, writer: w, request: r, arrival: a, seal: seal, key: key, outputs: outputs, deadline: late, loseAnswer: lost}
+	exchange := &serverExchange{incarnation: i, writer: w, request: r, arrival: arrival, seal: seal, key: key, outputs: outputs, deadline: late, loseAnswer: loseAnswer}
 	if i.Engine != nil {
-		e.serveStream()
+		exchange.serveStream()
 	} else {
-		e.servePlain()
+		exchange.servePlain()
 	}
 }
 
@@ -141,7 +141,7 @@
 	s.deliver()
 	s.waiters[s.lastKey] = outputs
 	ok := false
-	switch m := s.machine.(type) {
+	switch m := s.workload.(type) {
 	case *engine.Engine:
 		ok = m.Submit(now, r)
 	case *plainServer:
@@ -162,11 +162,11 @@
 	}
 	prompt := r.Header.Get("X-Prompt-Prefix")
 	job := engine.Request{Parts: parsePromptParts(prompt), Priority: 5}
-	in, most, _ := strings.Cut(r.Header.Get("X-Token-Count"), ",")
+	in, maxTokens, _ := strings.Cut(r.Header.Get("X-Token-Count"), ",")
 	if n, err := strconv.Atoi(in); err == nil && len(job.Parts) == 0 {
 		job.Parts = []engine.PromptPart{{ID: xxhash.Sum64String(r.Header.Get("X-Attempt-Id")), Tokens: n}}
 	}
-	n, err := strconv.Atoi(most)
+	n, err := strconv.Atoi(maxTokens)
 	if err != nil || n < 1 {
 		n = 1
 	}
@@ -180,8 +180,8 @@
 }
 
 // AnswerTokens is how many tokens an answer to a prompt has, of the most that the request allows: the same at every server.
-func AnswerTokens(prompt string, most int) int {
-	return most/2 + 1 + int(xxhash.Sum64String(prompt)%uint64(most-most/2))
+func AnswerTokens(prompt string, maxTokens int) int {
+	return maxTokens/2 + 1 + int(xxhash.Sum64String(prompt)%uint64(maxTokens-maxTokens/2))
 }
 
 // parsePromptParts reads X-Prompt-Prefix.
@@ -202,7 +202,7 @@
 // setStateHeaders adds what every answer tells of the server.
 func (s *Server) setStateHeaders(h http.Header) {
 	if s.ReportsLoad {
-		run, wait := s.machine.Load()
+		run, wait := s.workload.Load()
 		h.Set("X-Server-Load", fmt.Sprintf("%d,%d,%d", run, wait, s.slots()))
 	}
 	if s.IdleTimeout > 0 {
@@ -224,7 +224,7 @@
 func (s *Server) serveHealth(w http.ResponseWriter, id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	run, wait := s.machine.Load()
+	run, wait := s.workload.Load()
 	s.setStateHeaders(w.Header())
 	w.Header().Set("X-Instance-Id", id)
 	if left := s.warmUntil - s.env.Now(); left > 0 {
--- a/internal/lab/testcluster/links.go
+++ b/internal/lab/testcluster/links.go
@@ -122,9 +122,9 @@
 func (f *Fleet) endpoints() []endpoint {
 	var all []endpoint
 	for _, m := range f.Machines {
-		for _, keeper := range []bool{true, false} {
-			e := endpoint{Machine: m, name: ProxyName(m), controlPlane: keeper, firstPort: f.Ports.First + portsPerProcess*len(all)}
-			if keeper {
+		for _, controlPlane := range []bool{true, false} {
+			e := endpoint{Machine: m, name: ProxyName(m), controlPlane: controlPlane, firstPort: f.Ports.First + portsPerProcess*len(all)}
+			if controlPlane {
 				e.name = ControlPlaneName(m)
 			}
 			all = append(all, e)
@@ -134,21 +134,21 @@
 }
 
 // connect puts relays between all processes of a fleet, and between them and the list.
-func (n *Links) connect(f *Fleet, list string) (lists map[string]string, err error) {
+func (links *Links) connect(fleet *Fleet, list string) (lists map[string]string, err error) {
 	lists = map[string]string{}
-	for _, from := range f.endpoints() {
-		if from.firstPort+portsPerProcess-1 > f.Ports.Last {
-			return nil, errors.Newf("the ports up to %d are too few for links between %d machines", f.Ports.Last, len(f.Machines))
+	for _, from := range fleet.endpoints() {
+		if from.firstPort+portsPerProcess-1 > fleet.Ports.Last {
+			return nil, errors.Newf("the ports up to %d are too few for links between %d machines", fleet.Ports.Last, len(fleet.Machines))
 		}
 		if from.controlPlane {
-			r, err := n.relay(Path{from.name, ListEnd}, net.JoinHostPort(from.IP, "0"), list, true)
+			r, err := links.relay(Path{from.name, ListEnd}, net.JoinHostPort(from.IP, "0"), list, true)
 			if err != nil {
 				return nil, err
 			}
 			lists[from.name] = r.listener.Addr().String()
 		}
-		for _, to := range f.endpoints() {
-			if err := n.connectPair(from, to); err != nil {
+		for _, to := range fleet.endpoints() {
+			if err := links.connectPair(from, to); err != nil {
 				return nil, err
 			}
 		}
--- a/internal/lab/testcluster/operator.go
+++ b/internal/lab/testcluster/operator.go
@@ -95,18 +95,18 @@
 }
 
 // submit sends a change and records what came of it.
-func (o *Operator) submit(ctx context.Context, path string, body []byte, c *rules.Change) error {
-	c.Sent, c.AcknowledgedAt, c.Ended = o.now(), rules.Never, rules.Never
-	o.evidence.RecordChange(c)
-	base := c.Base
-	if c.Config == nil {
+func (o *Operator) submit(ctx context.Context, path string, body []byte, change *rules.Change) error {
+	change.Sent, change.AcknowledgedAt, change.Ended = o.now(), rules.Never, rules.Never
+	o.evidence.RecordChange(change)
+	base := change.Base
+	if change.Config == nil {
 		base = -1
 	}
 	status, answer, err := o.call(ctx, http.MethodPost, path, body, base)
 	o.evidence.Update(func() {
-		c.Ended, c.Status = o.now(), status
+		change.Ended, change.Status = o.now(), status
 		if status >= 200 && status < 300 {
-			c.AcknowledgedAt = c.Ended
+			change.AcknowledgedAt = change.Ended
 		}
 	})
 	switch {
@@ -120,7 +120,7 @@
 
 // call asks one keeper after the other, with growing backoff, until there is a clear answer or ctx ends.
 func (o *Operator) call(ctx context.Context, method, path string, body []byte, base int64) (int, []byte, error) {
-	wait, refused := initialBackoff, 0
+	backoff, clientErrors := initialBackoff, 0
 	for {
 		at := o.ControlAddresses[o.next%len(o.ControlAddresses)]
 		status, answer, err := o.callOnce(ctx, method, "http://"+at+path, body, base)
@@ -132,18 +132,18 @@
 		case status == 400, status == 409, status == 412, status == 413, status == 422:
 			return status, answer, nil
 		default:
-			if refused++; refused >= maxClientErrors {
+			if clientErrors++; clientErrors >= maxClientErrors {
 				return status, answer, nil
 			}
 		}
-		timer := time.NewTimer(wait)
+		timer := time.NewTimer(backoff)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return 0, nil, errors.Wrapf(ctx.Err(), "no clear answer to %s came in time (last: %d, %v): look at the keepers' logs", path, status, err)
 		case <-timer.C:
 		}
-		wait = min(2*wait, maxBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
--- a/internal/lab/testcluster/probe.go
+++ b/internal/lab/testcluster/probe.go
@@ -16,26 +16,26 @@
 
 // Probe sends one request straight to a proxy, on a connection of its own, to see which configuration is in force there.
 func (w *Environment) Probe(ctx context.Context, proxy, host, path string) *rules.Attempt {
-	t := &rules.Attempt{ID: fmt.Sprintf("%016x", rand.Uint64()), Host: host, Method: http.MethodPost, Path: path, Body: xxhash.Sum64String(""),
+	attempt := &rules.Attempt{ID: fmt.Sprintf("%016x", rand.Uint64()), Host: host, Method: http.MethodPost, Path: path, Body: xxhash.Sum64String(""),
 		Proxy: proxy, Probe: true, Sent: w.Now()}
 	defer func() {
-		t.Ended = w.Now()
-		w.Evidence.RecordAttempt(t)
+		attempt.Ended = w.Now()
+		w.Evidence.RecordAttempt(attempt)
 	}()
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	c, err := dial(ctx, proxy)
+	conn, err := dial(ctx, proxy)
 	if err != nil {
-		t.Outcome = rules.Unreached
-		return t
+		attempt.Outcome = rules.Unreached
+		return attempt
 	}
-	defer c.tcp.Close()
-	w.links.recordSender(t.ID, proxy)
+	defer conn.tcp.Close()
+	w.links.recordSender(attempt.ID, proxy)
 	until, _ := ctx.Deadline()
-	c.exchange(&attemptSpec{attempt: t, deadline: until, headers: [][2]string{
+	conn.exchange(&attemptSpec{attempt: attempt, deadline: until, headers: [][2]string{
 		{"X-Time-Left-Ms", fmt.Sprint(probeTimeout.Milliseconds())}, {"X-Model", "m"}, {"X-Token-Count", "10,5"},
-		{"X-Prompt-Prefix", t.ID + ":10"}}}, w.Now)
-	return t
+		{"X-Prompt-Prefix", attempt.ID + ":10"}}}, w.Now)
+	return attempt
 }
 
 // CountReady is how many processes answer GET /readiness with 200.
--- a/internal/lab/testcluster/relay.go
+++ b/internal/lab/testcluster/relay.go
@@ -75,25 +75,25 @@
 }
 
 // linkOf gives the link of a connection, once its first bytes are there where they tell which; nil: it was closed before.
-func (r *relay) linkOf(c *net.TCPConn) *link.Link {
+func (r *relay) linkOf(conn *net.TCPConn) *link.Link {
 	if r.pick == nil {
 		return r.link
 	}
 	r.mu.Lock()
 	if r.closed {
 		r.mu.Unlock()
-		_ = c.Close()
+		_ = conn.Close()
 		return nil
 	}
-	r.awaitingFirstBytes[c] = true
+	r.awaitingFirstBytes[conn] = true
 	r.mu.Unlock()
 	first := make([]byte, relayBufferBytes)
-	n := peek(c, first)
+	n := peek(conn, first)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.awaitingFirstBytes, c)
+	delete(r.awaitingFirstBytes, conn)
 	if n <= 0 || r.closed {
-		_ = c.Close()
+		_ = conn.Close()
 		return nil
 	}
 	over := r.pick(first[:n])
@@ -123,31 +123,31 @@
 func (r *relay) forward(near *link.Conn) {
 	defer near.Close()
 	first := make([]byte, relayBufferBytes)
-	n, err := near.Read(first)
+	count, err := near.Read(first)
 	if err != nil {
 		return
 	}
-	c, err := net.DialTimeout("tcp4", r.to, relayDialTimeout)
+	far, err := net.DialTimeout("tcp4", r.to, relayDialTimeout)
 	if err != nil {
 		near.Reset()
 		return
 	}
-	defer c.Close()
-	r.nearConns.Store(c.LocalAddr().String(), near)
-	defer r.nearConns.Delete(c.LocalAddr().String())
+	defer far.Close()
+	r.nearConns.Store(far.LocalAddr().String(), near)
+	defer r.nearConns.Delete(far.LocalAddr().String())
 	var back sync.WaitGroup
 	back.Go(func() {
-		_, err := io.Copy(struct{ io.Writer }{near}, struct{ io.Reader }{c}) // not by ways that lead past the link
+		_, err := io.Copy(struct{ io.Writer }{near}, struct{ io.Reader }{far}) // not by ways that lead past the link
 		if err != nil && !errors.Is(err, net.ErrClosed) {
 			near.Reset() // as the far end did
 			return
 		}
 		_ = near.Close() // which ends the other way
 	})
-	if _, err := c.Write(first[:n]); err == nil {
-		_, _ = io.Copy(struct{ io.Writer }{c}, struct{ io.Reader }{near}) // the way back tells how it ended
+	if _, err := far.Write(first[:count]); err == nil {
+		_, _ = io.Copy(struct{ io.Writer }{far}, struct{ io.Reader }{near}) // the way back tells how it ended
 	}
-	_ = c.Close() // which ends the way back
+	_ = far.Close() // which ends the way back
 	back.Wait()
 }
 
--- a/internal/lab/testcluster/rules/changes.go
+++ b/internal/lab/testcluster/rules/changes.go
@@ -48,48 +48,48 @@
 }
 
 // config: what was acknowledged comes into force and stays; what was refused or is invalid does not.
-func config(x *index, v *Verdict) {
+func config(idx *index, verdict *Verdict) {
 	bases := map[int64]*Change{}
 	var newest *Change
-	for _, c := range x.Changes {
+	for _, c := range idx.Changes {
 		if c.Config == nil {
 			continue
 		}
-		v.Checked++
+		verdict.Checked++
 		if c.AcknowledgedAt == Never {
 			continue
 		}
 		if c.Invalid {
-			v.violation("the invalid version %d was acknowledged", c.Config.Revision)
+			verdict.violation("the invalid version %d was acknowledged", c.Config.Revision)
 		}
 		if other := bases[c.Base]; other != nil && other.Config.Revision != c.Config.Revision {
-			v.violation("versions %d and %d on top of version %d were both acknowledged", other.Config.Revision, c.Config.Revision, c.Base)
+			verdict.violation("versions %d and %d on top of version %d were both acknowledged", other.Config.Revision, c.Config.Revision, c.Base)
 		}
 		bases[c.Base] = c
 		if newest == nil || c.Config.Revision > newest.Config.Revision {
 			newest = c
 		}
 	}
-	x.checkReadBack(newest, v)
-	x.checkReadings(v)
-	for _, t := range x.Attempts {
-		if x.inContact(t.Proxy, t.Ended) {
-			x.checkHandling(t, v)
+	idx.checkReadBack(newest, verdict)
+	idx.checkReadings(verdict)
+	for _, t := range idx.Attempts {
+		if idx.inContact(t.Proxy, t.Ended) {
+			idx.checkHandling(t, verdict)
 		}
 	}
-	x.checkRegression(v)
+	idx.checkRegression(verdict)
 }
 
 // checkReadBack: what is read at the end is the newest that was acknowledged, or a later one without a clear answer.
-func (x *index) checkReadBack(newest *Change, v *Verdict) {
+func (x *index) checkReadBack(newest *Change, verdict *Verdict) {
 	switch {
 	case newest == nil:
 		return
 	case x.Read == nil:
-		v.violation("the configuration was not read back")
+		verdict.violation("the configuration was not read back")
 		return
 	case x.Read.Revision < newest.Config.Revision:
-		v.violation("version %d was read back and %d had been acknowledged", x.Read.Revision, newest.Config.Revision)
+		verdict.violation("version %d was read back and %d had been acknowledged", x.Read.Revision, newest.Config.Revision)
 		return
 	}
 	for _, c := range x.Changes {
@@ -97,7 +97,7 @@
 			return
 		}
 	}
-	v.violation("version %d was read back with what nobody sent under that number", x.Read.Revision)
+	verdict.violation("version %d was read back with what nobody sent under that number", x.Read.Revision)
 }
 
 // checkReadings: a read shows all that was acknowledged before it was sent.
@@ -124,32 +124,32 @@
 }
 
 // checkHandling: a request is treated as some configuration allows that may be in force when it is sent or later.
-func (x *index) checkHandling(t *Attempt, v *Verdict) {
-	some := x.inForce(t.Sent, t.Ended)
-	if len(some) == 0 {
+func (x *index) checkHandling(attempt *Attempt, verdict *Verdict) {
+	configs := x.inForce(attempt.Sent, attempt.Ended)
+	if len(configs) == 0 {
 		return
 	}
-	if t.Outcome == Answered && t.Status == http.StatusNotFound && t.Seal == "" {
-		for _, c := range some {
-			if c.Match(t.Host, t.Path) == nil {
+	if attempt.Outcome == Answered && attempt.Status == http.StatusNotFound && attempt.Seal == "" {
+		for _, c := range configs {
+			if c.Match(attempt.Host, attempt.Path) == nil {
 				return
 			}
 		}
-		v.violation("%s got a 404 at %s, and the route is there", t.ID, t.Proxy)
+		verdict.violation("%s got a 404 at %s, and the route is there", attempt.ID, attempt.Proxy)
 		return
 	}
-	for _, a := range x.runs[t.ID] {
+	for _, a := range x.runs[attempt.ID] {
 		if a.ExecutedAt == Never {
 			continue
 		}
 		allowed := false
-		for _, c := range some {
-			if r := c.Match(t.Host, t.Path); r != nil && r.sends(a.Service) {
+		for _, c := range configs {
+			if r := c.Match(attempt.Host, attempt.Path); r != nil && r.sends(a.Service) {
 				allowed = true
 			}
 		}
 		if !allowed {
-			v.violation("%s ran at %s by way of %s, as only an older version allows", t.ID, a.Service, t.Proxy)
+			verdict.violation("%s ran at %s by way of %s, as only an older version allows", attempt.ID, a.Service, attempt.Proxy)
 		}
 	}
 }
--- a/internal/lab/testcluster/rules/placement.go
+++ b/internal/lab/testcluster/rules/placement.go
@@ -10,26 +10,26 @@
 
 // route: a service runs only what some configuration sends there.
 func route(x *index, v *Verdict) {
-	for _, a := range x.Arrivals {
-		if a.ExecutedAt == Never {
+	for _, arrival := range x.Arrivals {
+		if arrival.ExecutedAt == Never {
 			continue
 		}
 		v.Checked++
-		t, sends := x.tries[a.ID], false
+		t, sends := x.tries[arrival.ID], false
 		if t == nil {
 			continue // UNASKED
 		}
 		for _, c := range x.Changes {
-			if c.Config == nil || c.Sent > a.ExecutedAt {
+			if c.Config == nil || c.Sent > arrival.ExecutedAt {
 				continue
 			}
-			if r := c.Config.Match(t.Host, t.Path); r != nil && r.sends(a.Service) {
+			if r := c.Config.Match(t.Host, t.Path); r != nil && r.sends(arrival.Service) {
 				sends = true
 				break
 			}
 		}
 		if !sends {
-			v.violation("%s %s ran at %s", t.Host, t.Path, a.Service)
+			v.violation("%s %s ran at %s", t.Host, t.Path, arrival.Service)
 		}
 	}
 }
@@ -156,26 +156,26 @@
 				break
 			}
 		}
-		for _, a := range x.Arrivals {
-			sent := a.sentAt()
+		for _, arrival := range x.Arrivals {
+			sent := arrival.sentAt()
 			from := c.AcknowledgedAt + x.Bounds.Evacuate + x.stretch(c.AcknowledgedAt, sent)
-			if a.Zone != c.Zone || a.At <= c.AcknowledgedAt || a.At >= until || !a.reached() {
+			if arrival.Zone != c.Zone || arrival.At <= c.AcknowledgedAt || arrival.At >= until || !arrival.reached() {
 				continue
 			}
 			v.Checked++
-			if sent > from && x.inContact(x.sender(a), sent) {
-				v.violation("%s reached %s in %s %v after its evacuation", a.ID, a.Server, a.Zone, sent-c.AcknowledgedAt)
+			if sent > from && x.inContact(x.sender(arrival), sent) {
+				v.violation("%s reached %s in %s %v after its evacuation", arrival.ID, arrival.Server, arrival.Zone, sent-c.AcknowledgedAt)
 			}
 		}
 	}
 }
 
 // budget: in every window, arrivals past the first of each request stay within a part of the requests.
-func budget(x *index, v *Verdict) {
+func budget(idx *index, verdict *Verdict) {
 	requests := map[string][]Time{} // by service: when its requests were sent
-	for _, t := range x.Attempts {
+	for _, t := range idx.Attempts {
 		counted := map[string]bool{}
-		for _, c := range x.inForce(t.Sent, t.Ended) {
+		for _, c := range idx.inForce(t.Sent, t.Ended) {
 			if r := c.Match(t.Host, t.Path); r != nil {
 				for _, s := range r.services() {
 					if !counted[s] {
@@ -186,30 +186,30 @@
 			}
 		}
 	}
-	repeats := map[string][]Time{}
+	retries := map[string][]Time{}
 	seen := map[string]bool{}
-	for _, a := range x.Arrivals {
+	for _, a := range idx.Arrivals {
 		if key := a.Service + " " + a.ID; seen[key] {
-			repeats[a.Service] = append(repeats[a.Service], a.At)
+			retries[a.Service] = append(retries[a.Service], a.At)
 		} else {
 			seen[key] = true
 		}
 	}
-	for service, all := range repeats {
+	for service, all := range retries {
 		sent := requests[service]
 		slices.Sort(sent)
 		from := 0
 		for i, at := range all { // the fullest windows end with a repeat
-			for at-all[from] >= x.Bounds.RetryWindow {
+			for at-all[from] >= idx.Bounds.RetryWindow {
 				from++
 			}
-			v.Checked++
-			n := 0
-			for _, back := range []Time{0, x.Bounds.RetryWindow / 2, x.Bounds.RetryWindow} {
-				n = max(n, countBetween(sent, at-back-x.Bounds.RetryWindow, at-back))
+			verdict.Checked++
+			count := 0
+			for _, back := range []Time{0, idx.Bounds.RetryWindow / 2, idx.Bounds.RetryWindow} {
+				count = max(count, countBetween(sent, at-back-idx.Bounds.RetryWindow, at-back))
 			}
-			if most := x.Bounds.RetryRatio*float64(n) + x.Bounds.RetrySlack; float64(i-from+1) > most {
-				v.violation("%s got %d repeats up to %v, %.0f at most", service, i-from+1, at, most)
+			if maxRetries := idx.Bounds.RetryRatio*float64(count) + idx.Bounds.RetrySlack; float64(i-from+1) > maxRetries {
+				verdict.violation("%s got %d repeats up to %v, %.0f at most", service, i-from+1, at, maxRetries)
 			}
 		}
 	}
--- a/internal/lab/testcluster/rules/regression.go
+++ b/internal/lab/testcluster/rules/regression.go
@@ -48,7 +48,7 @@
 }
 
 // checkRegression: within one life of its processes a machine does not go back to an older version.
-func (x *index) checkRegression(v *Verdict) {
+func (x *index) checkRegression(verdict *Verdict) {
 	by := map[string][]effect{}
 	for _, t := range x.Attempts {
 		by[t.Proxy] = append(by[t.Proxy], x.effects(t)...)
@@ -69,7 +69,7 @@
 				next++
 			}
 			if e.maxRevision < newest {
-				v.violation("%s went by version %d at most at %s, which had gone by version %d", e.attempt.ID, e.maxRevision, proxy, newest)
+				verdict.violation("%s went by version %d at most at %s, which had gone by version %d", e.attempt.ID, e.maxRevision, proxy, newest)
 			}
 		}
 	}
--- a/internal/lab/testcluster/scenario.go
+++ b/internal/lab/testcluster/scenario.go
@@ -25,40 +25,40 @@
 
 // SmallScenario gives it, with rate requests a second in all.
 func SmallScenario(rate float64) *Scenario {
-	s := &Scenario{Bounds: rules.Bounds{Contact: 4 * time.Second, Drain: 4 * time.Second, ConfigApply: 3 * time.Second,
+	scenario := &Scenario{Bounds: rules.Bounds{Contact: 4 * time.Second, Drain: 4 * time.Second, ConfigApply: 3 * time.Second,
 		RevertSlack: 250 * time.Millisecond, Evacuate: 5 * time.Second, Grace: 8 * time.Second, LossSlack: 200 * time.Millisecond,
 		Stretch: 6 * time.Second, RetryWindow: 10 * time.Second, RetryRatio: 0.2, RetrySlack: 64, ColdExcess: 1.5, ColdSlack: 5}}
 	zones := []struct{ zone, region string }{{"north-a", "north"}, {"north-b", "north"}, {"south-a", "south"}}
 	for i := range 4 {
-		z := zones[min(i, 2)]
-		s.Machines = append(s.Machines, Machine{IP: fmt.Sprintf("127.0.1.%d", i+1), Zone: z.zone, Region: z.region, Disk: i < 3})
+		place := zones[min(i, 2)]
+		scenario.Machines = append(scenario.Machines, Machine{IP: fmt.Sprintf("127.0.1.%d", i+1), Zone: place.zone, Region: place.region, Disk: i < 3})
 	}
 	spec := &engine.Spec{Slots: 16, Queue: 16, MemoryTokens: 100_000, Stride: 5, Step: 5 * time.Millisecond, PerRunning: 50 * time.Microsecond,
 		PrefillRate: 50, Chunk: 512}
 	for i := range 6 {
-		z := zones[i%3]
-		s.Servers = append(s.Servers, ServerSpec{Service: modelService, Zone: z.zone, Region: z.region, Address: fmt.Sprintf("127.0.2.%d:0", i+1),
+		place := zones[i%3]
+		scenario.Servers = append(scenario.Servers, ServerSpec{Service: modelService, Zone: place.zone, Region: place.region, Address: fmt.Sprintf("127.0.2.%d:0", i+1),
 			HealthPath: "/health", MaxConns: 200, IdleTimeout: 15 * time.Second, ReportsLoad: true, WarmUp: 3 * time.Second, WarmUpPerSecond: 20,
 			WarmUpCrashFactor: 4, Engine: spec})
 	}
-	for i, z := range zones {
-		s.Servers = append(s.Servers, ServerSpec{Service: thumbService, Zone: z.zone, Region: z.region, Address: fmt.Sprintf("127.0.3.%d:0", i+1),
+	for i, place := range zones {
+		scenario.Servers = append(scenario.Servers, ServerSpec{Service: thumbService, Zone: place.zone, Region: place.region, Address: fmt.Sprintf("127.0.3.%d:0", i+1),
 			HealthPath: "/health", MaxConns: 130, IdleTimeout: 15 * time.Second, ReportsLoad: true,
 			Plain: &PlainSpec{Slots: 6, Queue: 12, Work: 20 * time.Millisecond, Bytes: 800}})
 	}
-	s.Config = scenarioConfig(spec)
-	r := s.Config.Routes
-	s.Kinds = []RequestKind{
-		{Route: &r[0], Rate: 0.1 * rate, Deadline: 8 * time.Second, Retries: 1, Subjects: 8, Shared: 4000, Own: 1000, Out: 120, Bytes: 4000},
-		{Route: &r[1], Rate: 0.6 * rate, Deadline: 5 * time.Second, Retries: 1, Subjects: 30, Shared: 90, Own: 290, Out: 45, Bytes: 1000},
-		{Route: &r[2], Rate: 0.3 * rate, Deadline: 2500 * time.Millisecond, Retries: 1, Bytes: 100},
+	scenario.Config = scenarioConfig(spec)
+	routes := scenario.Config.Routes
+	scenario.Kinds = []RequestKind{
+		{Route: &routes[0], Rate: 0.1 * rate, Deadline: 8 * time.Second, Retries: 1, Subjects: 8, Shared: 4000, Own: 1000, Out: 120, Bytes: 4000},
+		{Route: &routes[1], Rate: 0.6 * rate, Deadline: 5 * time.Second, Retries: 1, Subjects: 30, Shared: 90, Own: 290, Out: 45, Bytes: 1000},
+		{Route: &routes[2], Rate: 0.3 * rate, Deadline: 2500 * time.Millisecond, Retries: 1, Bytes: 100},
 	}
-	return s
+	return scenario
 }
 
 func scenarioConfig(spec *engine.Spec) *rules.Config {
-	stream := func(name, prefix string, priority, aim, timeout int, resumable bool) rules.Route {
-		return rules.Route{Name: name, Host: scenarioHost, Prefix: prefix, Category: "streaming", Timeout: timeout, Aim: aim, Priority: priority,
+	stream := func(name, prefix string, priority, latencyTarget, timeout int, resumable bool) rules.Route {
+		return rules.Route{Name: name, Host: scenarioHost, Prefix: prefix, Category: "streaming", Timeout: timeout, Aim: latencyTarget, Priority: priority,
 			Target: modelService, MaxTries: 2, Sticky: true, Resumable: resumable, GapAim: 600, Homes: []string{}}
 	}
 	return &rules.Config{Revision: 1,
--- a/internal/lab/testcluster/server.go
+++ b/internal/lab/testcluster/server.go
@@ -47,8 +47,8 @@
 	return s.Plain.Slots
 }
 
-// machine is what works on requests, in virtual time.
-type machine interface {
+// workload is what works on requests, in virtual time.
+type workload interface {
 	Advance(now engine.Time) []engine.Output
 	Next() (at engine.Time, ok bool)
 	Cancel(now engine.Time, key uint64) (started bool)
@@ -99,7 +99,7 @@
 	mu             sync.Mutex
 	id             string
 	starts         int
-	machine        machine
+	workload       workload
 	engine         *engine.Engine // nil: no model
 	waiters        map[uint64]chan engine.Output
 	lastKey        uint64
@@ -147,7 +147,7 @@
 	if s.http != nil {
 		return errors.Mark(errors.Newf("%s at %s is up", s.Service, s.address), ErrRunning)
 	}
-	l, err := s.listen()
+	listener, err := s.listen()
 	if err != nil {
 		return err
 	}
@@ -157,9 +157,9 @@
 	s.engine = nil
 	if s.Engine != nil {
 		s.engine = engine.New(*s.Engine, now)
-		s.machine = s.engine
+		s.workload = s.engine
 	} else {
-		s.machine = newPlain(*s.Plain, now)
+		s.workload = newPlain(*s.Plain, now)
 	}
 	s.waiters, s.draining, s.recentArrivals, s.openConns = map[uint64]chan engine.Output{}, false, nil, 0
 	s.crashedAt, s.stoppedAt, s.withdrawAt = rules.Never, rules.Never, rules.Never
@@ -174,8 +174,8 @@
 	incarnation.relay = s.relay
 	s.http = &http.Server{Handler: incarnation, IdleTimeout: s.IdleTimeout, ReadHeaderTimeout: 10 * time.Second, ConnState: s.trackConn,
 		ErrorLog: s.env.discardLog, ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
-	s.listener = l
-	go func(h *http.Server) { _ = h.Serve(l) }(s.http) // ends with Close
+	s.listener = listener
+	go func(h *http.Server) { _ = h.Serve(listener) }(s.http) // ends with Close
 	go s.run(ctx, s.wake, s.stopped)
 	return nil
 }
@@ -193,21 +193,21 @@
 	if s.env.links != nil {
 		inner = "127.0.0.1:0"
 	}
-	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp4", inner)
+	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp4", inner)
 	if err != nil {
 		return nil, errors.Wrapf(err, "stand-in server of %s cannot listen at %s: check that it is free", s.Service, inner)
 	}
-	s.address, s.relay = l.Addr().String(), nil
+	s.address, s.relay = listener.Addr().String(), nil
 	if s.env.links != nil {
-		s.relay, err = newPickingRelay(at, l.Addr().String(), s.env.links.linkFor(Path{To: s.Address}, false),
+		s.relay, err = newPickingRelay(at, listener.Addr().String(), s.env.links.linkFor(Path{To: s.Address}, false),
 			func(first []byte) *link.Link { return s.env.links.serverLink(s.Address, first) })
 		if err != nil {
-			_ = l.Close()
+			_ = listener.Close()
 			return nil, errors.Wrapf(err, "no relay in front of a stand-in server of %s at %s: check that it is free", s.Service, at)
 		}
 		s.address = s.relay.listener.Addr().String()
 	}
-	return l, nil
+	return listener, nil
 }
 
 // trackConn resets connections beyond the most that are accepted.
@@ -235,7 +235,7 @@
 	for {
 		s.mu.Lock()
 		s.deliver()
-		next, ok := s.machine.Next()
+		next, ok := s.workload.Next()
 		s.mu.Unlock()
 		wait := time.Hour
 		if ok {
@@ -253,7 +253,7 @@
 
 // deliver hands out what the machine has made by now.
 func (s *Server) deliver() {
-	for _, o := range s.machine.Advance(s.env.Now()) {
+	for _, o := range s.workload.Advance(s.env.Now()) {
 		if c := s.waiters[o.Key]; c != nil {
 			c <- o // it has room for all that the request can make
 		}
--- a/internal/lab/testcluster/server_test.go
+++ b/internal/lab/testcluster/server_test.go
@@ -142,7 +142,7 @@
 	}()
 	for running := 0; running == 0; runtime.Gosched() {
 		s.mu.Lock()
-		running, _ = s.machine.Load()
+		running, _ = s.workload.Load()
 		s.mu.Unlock()
 	}
 	resp, _, err := call(t, s, "/x/2", "X-Attempt-Id: two", "X-Token-Count: 10,10")
--- a/internal/lab/testcluster/traffic.go
+++ b/internal/lab/testcluster/traffic.go
@@ -55,9 +55,9 @@
 }
 
 // generate has requests of one kind and zone begin at random times.
-func (t *Traffic) generate(ctx context.Context, k RequestKind, e *clientPool, rate float64, rng *rand.Rand) {
+func (t *Traffic) generate(ctx context.Context, kind RequestKind, pool *clientPool, rate float64, rng *rand.Rand) {
 	select {
-	case <-e.resolvedOnce:
+	case <-pool.resolvedOnce:
 	case <-ctx.Done():
 		return
 	}
@@ -75,7 +75,7 @@
 			return
 		case <-timer.C:
 		}
-		r := t.newRequest(k, e, rng)
+		r := t.newRequest(kind, pool, rng)
 		t.running.Go(r.run)
 	}
 }
@@ -98,16 +98,16 @@
 	firstAt        time.Duration
 }
 
-func (t *Traffic) newRequest(k RequestKind, e *clientPool, rng *rand.Rand) *request {
-	r := &request{traffic: t, kind: k, pool: e, number: t.stats.begin(), rng: rand.New(rand.NewPCG(rng.Uint64(), 1)), firstAt: -1}
-	r.path = k.Route.Prefix + strconv.FormatUint(rng.Uint64()%1000, 16)
-	r.body = strings.Repeat(fmt.Sprintf("request %d ", r.number), 1+k.Bytes/16)
-	if k.Out > 0 {
-		subject := 1 + rng.IntN(k.Subjects)
-		own := max(1, int(float64(k.Own)*(0.5+rng.Float64())))
-		r.prompt = fmt.Sprintf("%x:%d,%x:%d", xxhash.Sum64String(k.Route.Name+strconv.Itoa(subject))>>16, k.Shared,
+func (t *Traffic) newRequest(kind RequestKind, pool *clientPool, rng *rand.Rand) *request {
+	r := &request{traffic: t, kind: kind, pool: pool, number: t.stats.begin(), rng: rand.New(rand.NewPCG(rng.Uint64(), 1)), firstAt: -1}
+	r.path = kind.Route.Prefix + strconv.FormatUint(rng.Uint64()%1000, 16)
+	r.body = strings.Repeat(fmt.Sprintf("request %d ", r.number), 1+kind.Bytes/16)
+	if kind.Out > 0 {
+		subject := 1 + rng.IntN(kind.Subjects)
+		own := max(1, int(float64(kind.Own)*(0.5+rng.Float64())))
+		r.prompt = fmt.Sprintf("%x:%d,%x:%d", xxhash.Sum64String(kind.Route.Name+strconv.Itoa(subject))>>16, kind.Shared,
 			rng.Uint64()>>16, own)
-		r.tokens = fmt.Sprintf("%d,%d", k.Shared+own, k.Out)
+		r.tokens = fmt.Sprintf("%d,%d", kind.Shared+own, kind.Out)
 	}
 	return r
 }
@@ -116,10 +116,10 @@
 func (r *request) run() {
 	r.began = time.Now()
 	r.deadline = r.began.Add(r.kind.Deadline)
-	var t *rules.Attempt
-	for n := 0; ; n++ {
+	var attempt *rules.Attempt
+	for retries := 0; ; retries++ {
 		var after time.Duration
-		if t, after = r.sendAttempt(); !r.shouldRetry(t, n) {
+		if attempt, after = r.sendAttempt(); !r.shouldRetry(attempt, retries) {
 			break
 		}
 		left := time.Until(r.deadline)
@@ -127,83 +127,83 @@
 			time.Sleep(after)
 		}
 	}
-	r.traffic.stats.end(t, r.firstAt)
+	r.traffic.stats.end(attempt, r.firstAt)
 }
 
 // shouldRetry tells whether the client tries once more.
-func (r *request) shouldRetry(t *rules.Attempt, n int) bool {
-	if n >= r.kind.Retries || time.Until(r.deadline) < 50*time.Millisecond {
+func (r *request) shouldRetry(attempt *rules.Attempt, retries int) bool {
+	if retries >= r.kind.Retries || time.Until(r.deadline) < 50*time.Millisecond {
 		return false
 	}
-	resumable := r.kind.Route.Resumable && t.Stream
+	resumable := r.kind.Route.Resumable && attempt.Stream
 	repeatable := r.kind.Route.Category == "idempotent" || r.kind.Route.Resumable
-	switch t.Outcome {
+	switch attempt.Outcome {
 	case rules.Answered:
-		switch t.Status {
+		switch attempt.Status {
 		case 408, 421, 429, 503:
 			return true
 		case 400, 401, 404, 413, 431:
 			return false
 		}
-		return t.Status >= 300 && repeatable
+		return attempt.Status >= 300 && repeatable
 	case rules.Unreached, rules.ClosedUnread:
 		return true
 	case rules.Truncated, rules.TimedOut:
-		return repeatable && (resumable || !t.Stream)
+		return repeatable && (resumable || !attempt.Stream)
 	}
 	return false
 }
 
 // sendAttempt sends the request once. after is for how long the client is to wait before the next.
-func (r *request) sendAttempt() (t *rules.Attempt, after time.Duration) {
-	w := r.traffic.env
+func (r *request) sendAttempt() (attempt *rules.Attempt, after time.Duration) {
+	env := r.traffic.env
 	r.attempts++
-	t = &rules.Attempt{ID: fmt.Sprintf("%016x", r.rng.Uint64()), Request: r.number, Host: r.kind.Route.Host, Method: http.MethodPost,
-		Path: r.path, Body: xxhash.Sum64String(r.body), Zone: r.pool.zone, Region: r.pool.region, From: r.receivedEvents, Sent: w.Now()}
+	attempt = &rules.Attempt{ID: fmt.Sprintf("%016x", r.rng.Uint64()), Request: r.number, Host: r.kind.Route.Host, Method: http.MethodPost,
+		Path: r.path, Body: xxhash.Sum64String(r.body), Zone: r.pool.zone, Region: r.pool.region, From: r.receivedEvents, Sent: env.Now()}
 	defer func() {
-		t.Ended = w.Now()
-		w.Evidence.RecordAttempt(t)
+		attempt.Ended = env.Now()
+		env.Evidence.RecordAttempt(attempt)
 	}()
-	c := r.connect(t)
-	if c == nil {
-		t.Outcome = rules.Unreached
-		return t, 20 * time.Millisecond
-	}
-	t.Proxy = c.address
-	w.links.recordSender(t.ID, c.address)
-	left := time.Until(r.deadline)
-	s := &attemptSpec{attempt: t, body: r.body, chunked: r.rng.IntN(4) == 0, deadline: r.deadline, headers: [][2]string{
-		{"X-Time-Left-Ms", strconv.FormatInt(max(1, left.Milliseconds()), 10)}},
+	conn := r.connect(attempt)
+	if conn == nil {
+		attempt.Outcome = rules.Unreached
+		return attempt, 20 * time.Millisecond
+	}
+	attempt.Proxy = conn.address
+	env.links.recordSender(attempt.ID, conn.address)
+	remaining := time.Until(r.deadline)
+	spec := &attemptSpec{attempt: attempt, body: r.body, chunked: r.rng.IntN(4) == 0, deadline: r.deadline, headers: [][2]string{
+		{"X-Time-Left-Ms", strconv.FormatInt(max(1, remaining.Milliseconds()), 10)}},
 		onFirst: func() {
 			if r.firstAt < 0 {
 				r.firstAt = time.Since(r.began)
 			}
 		}}
 	if r.kind.Route.Category == "streaming" {
-		s.silenceTimeout = max(2*time.Second, 4*ms(r.kind.Route.Aim), 8*ms(r.kind.Route.GapAim))
+		spec.silenceTimeout = max(2*time.Second, 4*ms(r.kind.Route.Aim), 8*ms(r.kind.Route.GapAim))
 	}
 	if r.prompt != "" {
-		s.headers = append(s.headers, [2]string{"X-Model", "m"}, [2]string{"X-Token-Count", r.tokens}, [2]string{"X-Prompt-Prefix", r.prompt})
+		spec.headers = append(spec.headers, [2]string{"X-Model", "m"}, [2]string{"X-Token-Count", r.tokens}, [2]string{"X-Prompt-Prefix", r.prompt})
 	}
 	if r.receivedEvents > 0 {
-		s.headers = append(s.headers, [2]string{"Last-Event-Id", strconv.Itoa(r.receivedEvents)})
+		spec.headers = append(spec.headers, [2]string{"Last-Event-Id", strconv.Itoa(r.receivedEvents)})
 	}
-	header, again := c.exchange(s, w.Now)
-	for _, e := range t.Events {
+	header, again := conn.exchange(spec, env.Now)
+	for _, e := range attempt.Events {
 		r.receivedEvents = max(r.receivedEvents, e.Last)
 	}
 	if again {
-		r.pool.putIdle(c)
+		r.pool.putIdle(conn)
 	} else {
-		_ = c.tcp.Close()
-		if t.Outcome != rules.Answered {
-			r.pool.markFailed(c.address)
+		_ = conn.tcp.Close()
+		if attempt.Outcome != rules.Answered {
+			r.pool.markFailed(conn.address)
 		}
 	}
 	if seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64); err == nil && seconds > 0 {
 		after = time.Duration(seconds * float64(time.Second))
 	}
-	return t, after
+	return attempt, after
 }
 
 // connect gives an open connection or makes one; nil: none came up. Every fifth request, and every later try, takes a new one.
--- a/internal/lab/testcluster/up.go
+++ b/internal/lab/testcluster/up.go
@@ -47,39 +47,39 @@
 
 // Up starts everything and waits until the configuration is taken and all proxies serve. Traffic then runs until Play or
 // Finish ends it.
-func Up(ctx context.Context, o UpOptions) (*Run, error) {
-	scene := o.Scenario
+func Up(ctx context.Context, options UpOptions) (*Run, error) {
+	scene := options.Scenario
 	if scene == nil {
-		scene = SmallScenario(o.Rate)
+		scene = SmallScenario(options.Rate)
 	}
 	ports, err := FreePorts(scene.Machines)
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Machines: scene.Machines, Ports: ports, Proxy: o.Proxy, ControlPlane: o.ControlPlane, Folder: o.Folder, Bounds: scene.Bounds, Rate: listCallsPerSecond,
-		Links: o.Links}
-	w, err := New(Options{Servers: scene.Servers, Kinds: scene.Kinds, Zones: f.Zones(), Directories: f.Directories(), ControlAddresses: f.ControlPlaneAddresses(),
-		Bounds: scene.Bounds, MaxTTL: maxTTL, ListLag: 800 * time.Millisecond, ListRate: listCallsPerSecond, Seed: o.Seed, Links: o.Links})
+	fleet := &Fleet{Machines: scene.Machines, Ports: ports, Proxy: options.Proxy, ControlPlane: options.ControlPlane, Folder: options.Folder, Bounds: scene.Bounds, Rate: listCallsPerSecond,
+		Links: options.Links}
+	env, err := New(Options{Servers: scene.Servers, Kinds: scene.Kinds, Zones: fleet.Zones(), Directories: fleet.Directories(), ControlAddresses: fleet.ControlPlaneAddresses(),
+		Bounds: scene.Bounds, MaxTTL: maxTTL, ListLag: 800 * time.Millisecond, ListRate: listCallsPerSecond, Seed: options.Seed, Links: options.Links})
 	if err != nil {
 		return nil, err
 	}
-	f.ListAddress = w.ListAddress()
-	w.Evidence.Core = len(f.Disks())
-	if o.Links != nil {
-		o.Links.createServerLinks(scene.Machines, scene.Servers)
-		if f.listAddresses, err = o.Links.connect(f, f.ListAddress); err != nil {
-			w.Close()
+	fleet.ListAddress = env.ListAddress()
+	env.Evidence.Core = len(fleet.Disks())
+	if options.Links != nil {
+		options.Links.createServerLinks(scene.Machines, scene.Servers)
+		if fleet.listAddresses, err = options.Links.connect(fleet, fleet.ListAddress); err != nil {
+			env.Close()
 			return nil, err
 		}
 	}
-	r := &Run{Environment: w, Fleet: f, Scenario: scene}
-	r.traffic, r.stopTraffic = context.WithCancel(context.WithoutCancel(ctx))
-	if err := r.startFleet(ctx); err != nil {
-		r.stop()
+	run := &Run{Environment: env, Fleet: fleet, Scenario: scene}
+	run.traffic, run.stopTraffic = context.WithCancel(context.WithoutCancel(ctx))
+	if err := run.startFleet(ctx); err != nil {
+		run.stop()
 		return nil, err
 	}
-	r.trafficEnded.Go(func() { w.Traffic(r.traffic) })
-	return r, nil
+	run.trafficEnded.Go(func() { env.Traffic(run.traffic) })
+	return run, nil
 }
 
 func (r *Run) startFleet(ctx context.Context) error {
@@ -181,7 +181,7 @@
 func (r *Run) Meanwhile(do func()) { r.activities.Go(do) }
 
 // Play runs until ctx ends, tells of every second, ends everything and gives the report.
-func (r *Run) Play(ctx context.Context, tell func(Second)) *Report {
+func (r *Run) Play(ctx context.Context, announce func(Second)) *Report {
 	start, last := r.Now(), r.Stats()
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -192,17 +192,17 @@
 			return r.Finish()
 		case <-tick.C:
 		}
-		n := Second{At: r.Now() - start, Stats: r.Stats()}
-		n.Rate, last = n.Stats.Requests-last.Requests, n.Stats
-		asked, cancel := context.WithTimeout(ctx, statusTimeout)
-		if k := r.Operator.Status(asked); k != nil {
-			n.Revision, n.Epoch, n.Chain = k.Revision, k.Epoch, k.Chain
+		second := Second{At: r.Now() - start, Stats: r.Stats()}
+		second.Rate, last = second.Stats.Requests-last.Requests, second.Stats
+		statusCtx, cancel := context.WithTimeout(ctx, statusTimeout)
+		if status := r.Operator.Status(statusCtx); status != nil {
+			second.Revision, second.Epoch, second.Chain = status.Revision, status.Epoch, status.Chain
 		}
-		n.LiveProxies = len(r.LiveProxies(asked))
-		n.ReadyProxies = r.CountReady(asked, r.Fleet.Readiness())
+		second.LiveProxies = len(r.LiveProxies(statusCtx))
+		second.ReadyProxies = r.CountReady(statusCtx, r.Fleet.Readiness())
 		cancel()
 		if ctx.Err() == nil {
-			tell(n)
+			announce(second)
 		}
 	}
 }
@@ -277,9 +277,9 @@
 }
 
 // Log gives the last lines of a process's log, for reports of failures.
-func (f *Fleet) Log(m Machine, keeper bool, most int) string {
+func (f *Fleet) Log(m Machine, controlPlane bool, maxLines int) string {
 	name := ProxyName(m)
-	if keeper {
+	if controlPlane {
 		name = ControlPlaneName(m)
 	}
 	text, err := os.ReadFile(f.Folder + "/" + name + ".log")
@@ -287,5 +287,5 @@
 		return err.Error()
 	}
 	lines := strings.Split(strings.TrimRight(string(text), "\n"), "\n")
-	return strings.Join(lines[max(0, len(lines)-most):], "\n")
+	return strings.Join(lines[max(0, len(lines)-maxLines):], "\n")
 }
