--- a/internal/lab/testcluster/client_conn.go
+++ b/internal/lab/testcluster/client_conn.go
@@ -42,7 +42,7 @@
 func (c *clientConn) Read(p []byte) (int, error) {
 	n, err := c.tcp.Read(p)
 	c.bytesRead += int64(n)
-	c.peerClosed = c.peerClosed || err == io.EOF
+	c.peerClosed = c.peerClosed || errors.Is(err, io.EOF)
 	if c.head != nil {
 		c.head = append(c.head, p[:n]...)
 	}
--- a/internal/lab/testcluster/client_pool.go
+++ b/internal/lab/testcluster/client_pool.go
@@ -115,7 +115,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // it was read
 	var answer struct {
 		Addresses []string `json:"addresses"`
 		TTL       float64  `json:"ttl_s"`
--- a/internal/lab/testcluster/environment.go
+++ b/internal/lab/testcluster/environment.go
@@ -1,6 +1,8 @@
-// Package world is a test double of everything around the system: model servers and others, the platform's list, the
-// operator and clients (PROTOCOL.md, DEPLOY.md), in process and on loopback, with checkers of the rules that can be seen
-// from outside.
+// Package testcluster runs the system's real processes among test doubles of everything around them: model servers and others, the
+// platform's list, the operator and clients (PROTOCOL.md, DEPLOY.md), in this process and on loopback addresses.
+//
+// Clients, servers, operator and list record what they saw on their sockets as rules.Evidence; package rules checks it afterwards against
+// the operators' rules. Links lays relays between the processes, on which faults can be injected.
 package testcluster
 
 import (
--- a/internal/lab/testcluster/fault_tour.go
+++ b/internal/lab/testcluster/fault_tour.go
@@ -6,13 +6,12 @@
 	"time"
 
 	"github.com/cockroachdb/errors"
-
 	"gradeusher.example/gradeusher/internal/lab/clock"
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
-// FaultTour has troubles happen in turn until ctx ends: those under which every request can still get its answer. tell is told
-// of each before it begins. The error is that of an order of the operator, or of a process that does not start or end.
+// FaultTour injects faults in turn until ctx ends: those under which every request can still get its answer. announce is called
+// before each. The error is that of an order of the operator, or of a process that does not start or end.
 func (r *Run) FaultTour(ctx context.Context, seed uint64, announce func(string)) error {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	faults := []struct {
@@ -32,11 +31,11 @@
 		announce(fault.name)
 		if err := fault.do(ctx, rng); err != nil {
 			if ctx.Err() != nil {
-				return nil
+				return nil //nolint:nilerr // the tour has ended as planned
 			}
 			return errors.Wrap(err, fault.name)
 		}
-		if err := sleep(ctx, time.Second); err != nil {
+		if !clock.Sleep(ctx, time.Second) {
 			return nil
 		}
 	}
--- a/internal/lab/testcluster/fleet.go
+++ b/internal/lab/testcluster/fleet.go
@@ -1,6 +1,7 @@
 package testcluster
 
 import (
+	"context"
 	"fmt"
 	"maps"
 	"math/rand/v2"
@@ -14,7 +15,6 @@
 	"time"
 
 	"github.com/cockroachdb/errors"
-
 	"gradeusher.example/gradeusher/internal/lab/proc"
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
@@ -51,16 +51,18 @@
 	return Ports{}, errors.Newf("no %d ports in a row are free on all machines from %d to %d: end other runs", totalPorts, minPort, maxPort)
 }
 
+// portsFree tells whether a range of ports is free on all machines, for connections and for packets.
 func portsFree(machines []Machine, first int) bool {
+	var config net.ListenConfig
 	for _, m := range machines {
 		for port := first; port < first+totalPorts; port++ {
 			at := net.JoinHostPort(m.IP, strconv.Itoa(port))
-			l, err := net.Listen("tcp4", at)
+			l, err := config.Listen(context.Background(), "tcp4", at)
 			if err != nil {
 				return false
 			}
 			_ = l.Close()
-			u, err := net.ListenPacket("udp4", at)
+			u, err := config.ListenPacket(context.Background(), "udp4", at)
 			if err != nil {
 				return false
 			}
--- a/internal/lab/testcluster/links.go
+++ b/internal/lab/testcluster/links.go
@@ -134,21 +134,21 @@
 }
 
 // connect puts relays between all processes of a fleet, and between them and the list.
-func (links *Links) connect(fleet *Fleet, list string) (lists map[string]string, err error) {
+func (n *Links) connect(fleet *Fleet, list string) (lists map[string]string, err error) {
 	lists = map[string]string{}
 	for _, from := range fleet.endpoints() {
 		if from.firstPort+portsPerProcess-1 > fleet.Ports.Last {
 			return nil, errors.Newf("the ports up to %d are too few for links between %d machines", fleet.Ports.Last, len(fleet.Machines))
 		}
 		if from.controlPlane {
-			r, err := links.relay(Path{from.name, ListEnd}, net.JoinHostPort(from.IP, "0"), list, true)
+			r, err := n.relay(Path{from.name, ListEnd}, net.JoinHostPort(from.IP, "0"), list, true)
 			if err != nil {
 				return nil, err
 			}
 			lists[from.name] = r.listener.Addr().String()
 		}
 		for _, to := range fleet.endpoints() {
-			if err := links.connectPair(from, to); err != nil {
+			if err := n.connectPair(from, to); err != nil {
 				return nil, err
 			}
 		}
--- a/internal/lab/testcluster/probe.go
+++ b/internal/lab/testcluster/probe.go
@@ -29,7 +29,7 @@
 		attempt.Outcome = rules.Unreached
 		return attempt
 	}
-	defer conn.tcp.Close()
+	defer func() { _ = conn.tcp.Close() }() // the answer has come, or none does
 	w.links.recordSender(attempt.ID, proxy)
 	until, _ := ctx.Deadline()
 	conn.exchange(&attemptSpec{attempt: attempt, deadline: until, headers: [][2]string{
--- a/internal/lab/testcluster/relay.go
+++ b/internal/lab/testcluster/relay.go
@@ -121,18 +121,18 @@
 // forward passes bytes both ways until either end is through. Danger: a call that the link holds back must not come up at the
 // far end before its first bytes have crossed.
 func (r *relay) forward(near *link.Conn) {
-	defer near.Close()
+	defer func() { _ = near.Close() }() // it may be closed already
 	first := make([]byte, relayBufferBytes)
 	count, err := near.Read(first)
 	if err != nil {
 		return
 	}
-	far, err := net.DialTimeout("tcp4", r.to, relayDialTimeout)
+	far, err := (&net.Dialer{Timeout: relayDialTimeout}).DialContext(context.Background(), "tcp4", r.to)
 	if err != nil {
 		near.Reset()
 		return
 	}
-	defer far.Close()
+	defer func() { _ = far.Close() }() // it may be closed already
 	r.nearConns.Store(far.LocalAddr().String(), near)
 	defer r.nearConns.Delete(far.LocalAddr().String())
 	var back sync.WaitGroup
@@ -191,7 +191,7 @@
 	if err != nil {
 		return nil, err
 	}
-	out, err := net.Dial("udp4", to)
+	out, err := new(net.Dialer).DialContext(context.Background(), "udp4", to)
 	if err != nil {
 		_ = in.Close()
 		return nil, err
--- a/internal/lab/testcluster/rules/placement.go
+++ b/internal/lab/testcluster/rules/placement.go
@@ -172,45 +172,69 @@
 
 // budget: in every window, arrivals past the first of each request stay within a part of the requests.
 func budget(idx *index, verdict *Verdict) {
-	requests := map[string][]Time{} // by service: when its requests were sent
-	for _, t := range idx.Attempts {
-		counted := map[string]bool{}
-		for _, c := range idx.inForce(t.Sent, t.Ended) {
-			if r := c.Match(t.Host, t.Path); r != nil {
-				for _, s := range r.services() {
-					if !counted[s] {
-						counted[s] = true
-						requests[s] = append(requests[s], t.Sent)
-					}
-				}
-			}
+	requests := idx.requestsByService()
+	for service, retries := range idx.retriesByService() {
+		sent := requests[service]
+		slices.Sort(sent)
+		idx.checkBudget(service, sent, retries, verdict)
+	}
+}
+
+// requestsByService gives when the requests were sent that may have gone to each service.
+func (x *index) requestsByService() map[string][]Time {
+	requests := map[string][]Time{}
+	for _, attempt := range x.Attempts {
+		for service := range x.servicesOf(attempt) {
+			requests[service] = append(requests[service], attempt.Sent)
+		}
+	}
+	return requests
+}
+
+// servicesOf gives the services to which a configuration that may be in force sends an attempt.
+func (x *index) servicesOf(attempt *Attempt) map[string]bool {
+	services := map[string]bool{}
+	for _, c := range x.inForce(attempt.Sent, attempt.Ended) {
+		matched := c.Match(attempt.Host, attempt.Path)
+		if matched == nil {
+			continue
+		}
+		for _, service := range matched.services() {
+			services[service] = true
 		}
 	}
+	return services
+}
+
+// retriesByService gives when each service was reached by requests that had reached it before.
+func (x *index) retriesByService() map[string][]Time {
 	retries := map[string][]Time{}
 	seen := map[string]bool{}
-	for _, a := range idx.Arrivals {
+	for _, a := range x.Arrivals {
 		if key := a.Service + " " + a.ID; seen[key] {
 			retries[a.Service] = append(retries[a.Service], a.At)
 		} else {
 			seen[key] = true
 		}
 	}
-	for service, all := range retries {
-		sent := requests[service]
-		slices.Sort(sent)
-		from := 0
-		for i, at := range all { // the fullest windows end with a repeat
-			for at-all[from] >= idx.Bounds.RetryWindow {
-				from++
-			}
-			verdict.Checked++
-			count := 0
-			for _, back := range []Time{0, idx.Bounds.RetryWindow / 2, idx.Bounds.RetryWindow} {
-				count = max(count, countBetween(sent, at-back-idx.Bounds.RetryWindow, at-back))
-			}
-			if maxRetries := idx.Bounds.RetryRatio*float64(count) + idx.Bounds.RetrySlack; float64(i-from+1) > maxRetries {
-				verdict.violation("%s got %d repeats up to %v, %.0f at most", service, i-from+1, at, maxRetries)
-			}
+	return retries
+}
+
+// checkBudget checks all windows of one service; both lists are sorted.
+func (x *index) checkBudget(service string, sent, retries []Time, verdict *Verdict) {
+	window := x.Bounds.RetryWindow
+	from := 0
+	for i, at := range retries { // the fullest windows end with a retry
+		for at-retries[from] >= window {
+			from++
+		}
+		verdict.Checked++
+		count := 0
+		for _, back := range []Time{0, window / 2, window} {
+			count = max(count, countBetween(sent, at-back-window, at-back))
+		}
+		if maxRetries := x.Bounds.RetryRatio*float64(count) + x.Bounds.RetrySlack; float64(i-from+1) > maxRetries {
+			verdict.violation("%s got %d repeats up to %v, %.0f at most", service, i-from+1, at, maxRetries)
 		}
 	}
 }
--- /dev/null
+++ b/internal/lab/testcluster/second.go
@@ -0,0 +1,33 @@
+package testcluster
+
+import (
+	"fmt"
+	"strings"
+	"time"
+)
+
+// Second is what stands after a second.
+type Second struct {
+	At           time.Duration
+	Stats        Stats
+	Rate         int // requests that began since the last
+	Revision     int64
+	Epoch        uint64
+	Chain        []string
+	LiveProxies  int // proxies that clients are told of
+	ReadyProxies int // proxies that say so to the platform
+}
+
+// String is the second as one line.
+func (s Second) String() string {
+	chain := "unknown"
+	if len(s.Chain) > 0 {
+		chain = strings.Join(s.Chain, ">")
+	}
+	first := "first p50 -      p99 -     "
+	if s.Stats.FirstTokens > 0 {
+		first = fmt.Sprintf("first p50 %4d ms p99 %4d ms", s.Stats.P50.Milliseconds(), s.Stats.P99.Milliseconds())
+	}
+	return fmt.Sprintf("%4.0fs  %3d requests/s  served %d  refused %d  failed %d  open %d  %s  revision %d  chain %s (epoch %d)  proxies %d (ready %d)",
+		s.At.Seconds(), s.Rate, s.Stats.Served, s.Stats.Refused, s.Stats.Failed+s.Stats.Unanswered, s.Stats.Open, first, s.Revision, chain, s.Epoch, s.LiveProxies, s.ReadyProxies)
+}
--- a/internal/lab/testcluster/up.go
+++ b/internal/lab/testcluster/up.go
@@ -9,7 +9,6 @@
 	"time"
 
 	"github.com/cockroachdb/errors"
-
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
@@ -151,32 +150,6 @@
 	return lines
 }
 
-// Second is what stands after a second.
-type Second struct {
-	At           time.Duration
-	Stats        Stats
-	Rate         int // requests that began since the last
-	Revision     int64
-	Epoch        uint64
-	Chain        []string
-	LiveProxies  int // proxies that clients are told of
-	ReadyProxies int // proxies that say so to the platform
-}
-
-// String is the second as one line.
-func (s Second) String() string {
-	chain := "unknown"
-	if len(s.Chain) > 0 {
-		chain = strings.Join(s.Chain, ">")
-	}
-	first := "first p50 -      p99 -     "
-	if s.Stats.FirstTokens > 0 {
-		first = fmt.Sprintf("first p50 %4d ms p99 %4d ms", s.Stats.P50.Milliseconds(), s.Stats.P99.Milliseconds())
-	}
-	return fmt.Sprintf("%4.0fs  %3d requests/s  served %d  refused %d  failed %d  open %d  %s  revision %d  chain %s (epoch %d)  proxies %d (ready %d)",
-		s.At.Seconds(), s.Rate, s.Stats.Served, s.Stats.Refused, s.Stats.Failed+s.Stats.Unanswered, s.Stats.Open, first, s.Revision, chain, s.Epoch, s.LiveProxies, s.ReadyProxies)
-}
-
 // Meanwhile has do run besides; it must return soon after the context of Play has ended.
 func (r *Run) Meanwhile(do func()) { r.activities.Go(do) }
 
@@ -229,53 +202,10 @@
 	r.stopTraffic()
 	r.trafficEnded.Wait()
 	killed := r.Fleet.Stop(r.Scenario.Bounds.Grace + stopSlack)
-	r.Environment.Close()
+	r.Close()
 	return killed
 }
 
-// Report is what a run came to.
-type Report struct {
-	Stats            Stats
-	Unanswered       []string // requests without a final answer, as lines
-	Verdicts         []rules.Verdict
-	Died, Killed     []string // processes that ended by themselves, and that SIGTERM did not end in time
-	ReadError        error
-	Calls, CallsOver int // of the platform's list
-}
-
-// Good tells whether every request got one final answer and no rule was seen broken.
-func (r *Report) Good() bool {
-	for _, v := range r.Verdicts {
-		if v.Violations > 0 {
-			return false
-		}
-	}
-	return r.Stats.Unanswered == 0 && r.Stats.Open == 0 && len(r.Died) == 0 && len(r.Killed) == 0 && r.ReadError == nil
-}
-
-// Lines tell it.
-func (r *Report) Lines() []string {
-	f := r.Stats
-	lines := []string{fmt.Sprintf("requests %d: served %d, refused %d, failed %d, without a final answer %d; calls to the list %d, over its rate %d",
-		f.Requests, f.Served, f.Refused, f.Failed, f.Unanswered, r.Calls, r.CallsOver)}
-	for _, v := range r.Verdicts {
-		lines = append(lines, v.String())
-	}
-	for _, t := range r.Unanswered[:min(maxListedUnanswered, len(r.Unanswered))] {
-		lines = append(lines, "without a final answer: "+t)
-	}
-	if r.ReadError != nil {
-		lines = append(lines, "the configuration was not read back: "+r.ReadError.Error())
-	}
-	for _, d := range r.Died {
-		lines = append(lines, "ended by itself: "+d)
-	}
-	for _, k := range r.Killed {
-		lines = append(lines, "SIGTERM did not end it in time: "+k)
-	}
-	return lines
-}
-
 // Log gives the last lines of a process's log, for reports of failures.
 func (f *Fleet) Log(m Machine, controlPlane bool, maxLines int) string {
 	name := ProxyName(m)
