--- a/internal/lab/testcluster/fleet.go
+++ b/internal/lab/testcluster/fleet.go
@@ -244,25 +244,8 @@
 	return killed
 }
 
-// settings is the settings file of a process: DEPLOY.md.
-func (f *Fleet) settings(m Machine, name, disk string, first bool, serves string) string {
-	var seeds, zones []string
-	for _, d := range f.Disks() {
-		seeds = append(seeds, strconv.Quote(f.Control(d)))
-	}
-	if !m.Disk {
-		disk = ""
-	}
-	for zone, region := range f.Zones() {
-		zones = append(zones, fmt.Sprintf("%s = %q", zone, region))
-	}
-	bounds := f.Bounds
-	firstPort, lastPort := f.portsOf(name)
-	list := f.ListAddress
-	if at, ok := f.listAddresses[name]; ok {
-		list = at
-	}
-	return fmt.Sprintf(`node_name = %q
+// settingsFormat is the settings file of a process (DEPLOY.md); Fleet.settings fills it in.
+const settingsFormat = `node_name = %q
 role = "%s"
 machine_class = "edge"
 %s
@@ -322,7 +305,27 @@
 rate_per_s = %v
 duties = []
 lag_ms = 800
-`, name, strings.SplitN(name, "-", 2)[0], serves, m.IP, m.Zone, m.Region, firstPort, lastPort, strings.Join(seeds, ","), first, m.Disk,
+`
+
+// settings returns the settings file of a process. first: the process starts on an empty disk.
+func (f *Fleet) settings(m Machine, name, disk string, first bool, serves string) string {
+	var seeds, zones []string
+	for _, d := range f.Disks() {
+		seeds = append(seeds, strconv.Quote(f.Control(d)))
+	}
+	if !m.Disk {
+		disk = ""
+	}
+	for zone, region := range f.Zones() {
+		zones = append(zones, fmt.Sprintf("%s = %q", zone, region))
+	}
+	bounds := f.Bounds
+	firstPort, lastPort := f.portsOf(name)
+	list := f.ListAddress
+	if at, ok := f.listAddresses[name]; ok {
+		list = at
+	}
+	return fmt.Sprintf(settingsFormat, name, strings.SplitN(name, "-", 2)[0], serves, m.IP, m.Zone, m.Region, firstPort, lastPort, strings.Join(seeds, ","), first, m.Disk,
 		disk, strings.Join(zones, "\n"), f.Front(m), f.address(m, f.Ports.Readiness), f.Control(m), f.address(m, f.Ports.Directory),
 		bounds.Contact.Milliseconds(), bounds.Drain.Milliseconds(), bounds.Grace.Seconds(), bounds.LossSlack.Milliseconds(), bounds.ConfigApply.Milliseconds(),
 		bounds.RevertSlack.Milliseconds(), bounds.Stretch.Milliseconds(), bounds.RetryRatio, bounds.RetryWindow.Seconds(), bounds.RetrySlack, bounds.ColdExcess, bounds.ColdSlack,
--- a/internal/lab/testcluster/incarnation.go
+++ b/internal/lab/testcluster/incarnation.go
@@ -66,31 +66,22 @@
 	i.handle(w, r, arrival)
 }
 
-// handle has a request run, or turns it away.
+// admission is what became of a request at its arrival.
+type admission struct {
+	overloaded bool // the server warms up, and crashes of this request
+	loseAnswer bool // the request runs, and its connection is reset in place of an answer
+	key        uint64
+	outputs    chan engine.Output // nil: it was rejected
+}
+
+// handle runs a request, or rejects it.
 func (i *incarnation) handle(w http.ResponseWriter, r *http.Request, arrival *rules.Arrival) {
 	server := i.server
-	server.mu.Lock()
-	now := server.env.Now()
-	arrival.WarmingUp, arrival.WarmUpLimit = server.WarmUpPerSecond > 0 && now < server.warmUntil, server.WarmUpPerSecond
-	overloaded := arrival.WarmingUp && server.overloadsWarmUp(now)
-	var key uint64
-	var outputs chan engine.Output
 	job := i.parseJob(r)
-	switch {
-	case overloaded:
-	case arrival.ID == "":
-		arrival.Rejected = http.StatusBadRequest
-	default:
-		if key, outputs = server.submit(now, job); outputs == nil {
-			arrival.Rejected = http.StatusServiceUnavailable
-		}
-	}
-	server.setStateHeaders(w.Header())
-	loseAnswer := rand.Float64() < server.answerLossRate
-	server.mu.Unlock()
+	admitted := i.admit(w.Header(), job, arrival)
 	server.env.Evidence.RecordArrival(arrival)
 	switch {
-	case overloaded:
+	case admitted.overloaded:
 		server.env.Evidence.Update(func() { arrival.Aborted = true })
 		server.env.crashOverloaded(server)
 		<-i.ctx.Done()
@@ -101,22 +92,19 @@
 	}
 	defer func() {
 		server.mu.Lock()
-		delete(server.waiters, key)
+		delete(server.waiters, admitted.key)
 		server.mu.Unlock()
 	}()
 	arrival.LastEvent = 1
 	if i.Engine != nil {
 		arrival.LastEvent = engine.EventsOf(job.AnswerTokens, i.Engine.Stride)
 	}
-	seal := fmt.Sprintf("%s.%x.%016x", i.id, key, xxhash.Sum64String(arrival.ID+i.id))
+	seal := fmt.Sprintf("%s.%x.%016x", i.id, admitted.key, xxhash.Sum64String(arrival.ID+i.id))
 	server.env.Evidence.Update(func() { arrival.Seal = seal })
-	late := make(<-chan time.Time)
-	if ms, err := strconv.Atoi(r.Header.Get("X-Time-Left-Ms")); err == nil {
-		t := time.NewTimer(time.Duration(ms) * time.Millisecond)
-		defer t.Stop()
-		late = t.C
-	}
-	exchange := &serverExchange{incarnation: i, writer: w, request: r, arrival: arrival, seal: seal, key: key, outputs: outputs, deadline: late, loseAnswer: loseAnswer}
+	deadline, stop := deadlineOf(r.Header)
+	defer stop()
+	exchange := &serverExchange{incarnation: i, writer: w, request: r, arrival: arrival, seal: seal, key: admitted.key, outputs: admitted.outputs,
+		deadline: deadline, loseAnswer: admitted.loseAnswer}
 	if i.Engine != nil {
 		exchange.serveStream()
 	} else {
@@ -124,6 +112,39 @@
 	}
 }
 
+// admit submits a request to the server's workload, unless that cannot take it, and sets what every answer says of the server.
+func (i *incarnation) admit(header http.Header, job engine.Request, arrival *rules.Arrival) (admitted admission) {
+	server := i.server
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	now := server.env.Now()
+	arrival.WarmingUp, arrival.WarmUpLimit = server.WarmUpPerSecond > 0 && now < server.warmUntil, server.WarmUpPerSecond
+	admitted.overloaded = arrival.WarmingUp && server.overloadsWarmUp(now)
+	switch {
+	case admitted.overloaded:
+	case arrival.ID == "":
+		arrival.Rejected = http.StatusBadRequest
+	default:
+		admitted.key, admitted.outputs = server.submit(now, job)
+		if admitted.outputs == nil {
+			arrival.Rejected = http.StatusServiceUnavailable
+		}
+	}
+	server.setStateHeaders(header)
+	admitted.loseAnswer = rand.Float64() < server.answerLossRate
+	return admitted
+}
+
+// deadlineOf returns a channel that a value comes on once the caller's deadline is over; without a deadline none comes.
+func deadlineOf(header http.Header) (deadline <-chan time.Time, stop func()) {
+	ms, err := strconv.Atoi(header.Get("X-Time-Left-Ms"))
+	if err != nil {
+		return make(chan time.Time), func() {}
+	}
+	timer := time.NewTimer(time.Duration(ms) * time.Millisecond)
+	return timer.C, func() { timer.Stop() }
+}
+
 // overloadsWarmUp counts a request that came to a cold server, and tells whether the server falls over.
 func (s *Server) overloadsWarmUp(now time.Duration) bool {
 	s.recentArrivals = append(s.recentArrivals, now)
