--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -17,7 +17,7 @@
 	{LoseAnswers, 4}, {LoseAcknowledgements, 4}, {RestartZone, 14}, {EvacuateZone, 6}, {RestartZoneDuringEvacuation, 8}, {EndEvacuationAlone, 8}, {DrainServer, 3},
 }
 
-// draw gives a trouble that starts at 0.
+// draw gives a fault that starts at 0.
 func (d *drawer) draw() Fault {
 	all := 0
 	for _, o := range kindWeights {
@@ -76,7 +76,7 @@
 	return t
 }
 
-// drawZoneRestart is the incident: one zone of a region is evacuated, and the servers of the other return cold.
+// drawZoneRestart is the incident: one zone of a region is evacuated, and the servers of the other come back and warm up.
 func (d *drawer) drawZoneRestart() Fault {
 	t := d.drawZonePair(RestartZoneDuringEvacuation)
 	t.Down = d.drawDuration(time.Second, 4*time.Second)
@@ -84,7 +84,7 @@
 	return t
 }
 
-// drawZonePair gives a trouble of one zone while the other one of the region is evacuated.
+// drawZonePair gives a fault of one zone while the other one of the region is evacuated.
 func (d *drawer) drawZonePair(kind Kind) Fault {
 	t := Fault{Kind: kind, Target: homeZones[0], Other: homeZones[1], WarmUpLead: d.drawDuration(minWarmUpLead, maxWarmUpLead)}
 	if d.rng.IntN(2) == 0 {
@@ -93,7 +93,7 @@
 	return t
 }
 
-// drawTarget draws what a trouble of a kind is done to.
+// drawTarget draws what a fault of a kind is done to.
 func (d *drawer) drawTarget(kind Kind) string {
 	machines := d.scene.Machines
 	switch kind {
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -14,7 +14,7 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
-// inject has a trouble happen, and returns when it is over.
+// inject injects a fault, and returns when it is over.
 func (p *player) inject(ctx context.Context, t Fault) error {
 	switch t.Kind {
 	case KillProxy, KillZone:
@@ -48,7 +48,7 @@
 	return errors.Newf("unknown trouble %q", t.Kind)
 }
 
-// machines are those that a trouble is done to.
+// machines are those that a fault is done to.
 func (p *player) machines(t Fault) (some []testcluster.Machine) {
 	for _, m := range p.Fleet.Machines {
 		if t.Target == "" || m.IP == t.Target || m.Zone == t.Target {
@@ -58,7 +58,7 @@
 	return some
 }
 
-// beginFault notes a trouble of a machine that lasts.
+// beginFault notes a fault of a machine that lasts.
 func (p *player) beginFault(m testcluster.Machine, keeper bool, kind string) (end func()) {
 	t := rules.Fault{Kind: kind, At: p.Now()}
 	if keeper {
@@ -139,7 +139,7 @@
 	})
 }
 
-// applyToLinks has a trouble lie on links for a time.
+// applyToLinks injects a fault into links for a time.
 func (p *player) applyToLinks(ctx context.Context, t Fault, d time.Duration) {
 	calls, called := t.matchPaths()
 	out, in := t.linkStates()
@@ -235,8 +235,8 @@
 	return nil
 }
 
-// evacuateZone evacuates a zone and takes that back, its servers having turned cold before. Meanwhile those of the other zone may
-// return cold, or still be down at the end. It does nothing where the evacuation before has not ended in time.
+// evacuateZone evacuates a zone and takes that back, its servers having begun to warm up before. Meanwhile those of the other zone may
+// come back and warm up, or still be down at the end. It does nothing where the evacuation before has not ended in time.
 func (p *player) evacuateZone(ctx context.Context, t Fault) error {
 	began, zone := time.Now(), t.Target
 	if t.Other != "" {
@@ -256,7 +256,7 @@
 		return err
 	}
 	if err != nil {
-		t.WarmUpLead = 0 // it may not be in force: nobody could know of servers that turn cold in service
+		t.WarmUpLead = 0 // it may not be in force: nobody could know of servers that begin to warm up in service
 	}
 	acked := time.Now()
 	switch t.Kind {
@@ -283,7 +283,7 @@
 	return errors.Join(err, p.startZone(ctx, t.Target))
 }
 
-// endEvacuation ends an evacuation, after the zone's servers have turned cold for some seconds past that; chill 0: they have not.
+// endEvacuation ends an evacuation, after the zone's servers have begun to warm up for some seconds past that; lead 0: they have not.
 func (p *player) endEvacuation(ctx context.Context, zone string, chill time.Duration) error {
 	if chill > 0 {
 		for _, s := range p.servers(zone) {
--- a/internal/lab/soak/lateness.go
+++ b/internal/lab/soak/lateness.go
@@ -10,7 +10,7 @@
 
 const latenessInterval = 10 * time.Millisecond
 
-// lateness is the most by which the lab itself was late to go on after a wait. It carries all traffic, and the links between the
+// lateness is the maximum by which the lab itself was late to go on after a wait. It carries all traffic, and the links between the
 // system's processes: where it is late by much, so is all that they hear.
 type lateness struct{ maxNS atomic.Int64 }
 
@@ -21,7 +21,7 @@
 	}
 }
 
-// observe takes in by how much one wait ended late. One goroutine calls it.
+// observe records by how much one wait ended late. One goroutine calls it.
 func (l *lateness) observe(d time.Duration) { l.maxNS.Store(max(l.maxNS.Load(), int64(d))) }
 
 func (l *lateness) milliseconds() int64 { return time.Duration(l.maxNS.Load()).Milliseconds() }
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -20,13 +20,13 @@
 
 func (s *probability) set(v float64) { s.bits.Store(math.Float64bits(v)) }
 
-// drawn tells whether a draw falls into the share.
+// drawn reports whether a draw falls into the share.
 func (s *probability) drawn() bool { return rand.Float64() < math.Float64frombits(s.bits.Load()) }
 
 const (
 	addedName   = "added"
 	addedPrefix = "/added/"
-	thumbRoute  = 2 // of the scene's routes
+	thumbRoute  = 2 // of the scenario's routes
 )
 
 // sendChanges sends sendChanges of the configuration, one a second, and looks at a proxy after each.
@@ -93,7 +93,7 @@
 	reader := p.separateOperator()
 	for clock.Sleep(ctx, readInterval) {
 		asked, cancel := context.WithTimeout(ctx, orderTimeout)
-		_, err := reader.Read(asked) // none comes while the keepers are down
+		_, err := reader.Read(asked) // none comes while the control plane is down
 		cancel()
 		if err != nil && ctx.Err() != nil {
 			return
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -1,4 +1,4 @@
-// Package soak plays the system's real processes under random troubles that overlap, and judges what was seen from outside
+// Package soak plays the system's real processes under random faults that overlap, and judges what was seen from outside
 // and what the processes' own invariants counted. A seed draws the whole schedule.
 package soak
 
@@ -13,10 +13,10 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster"
 )
 
-// Kind is what a trouble does.
+// Kind is what a fault does.
 type Kind string
 
-// The kinds of troubles.
+// The kinds of faults.
 const (
 	KillProxy                   Kind = "kill proxy"
 	KillControlPlane            Kind = "kill keeper"
@@ -63,8 +63,8 @@
 	Servers    []string
 	Start      time.Duration
 	Length     time.Duration
-	Down       time.Duration // of servers that return cold, and of a proxy after its planned end
-	WarmUpLead time.Duration // before an evacuation is taken back the zone's servers turn cold
+	Down       time.Duration // of servers that come back and warm up, and of a proxy after its planned end
+	WarmUpLead time.Duration // before an evacuation is taken back the zone's servers begin to warm up
 	Direction  Direction
 	Delay      time.Duration // of slow links, one way
 	Jitter     time.Duration
@@ -73,7 +73,7 @@
 
 func (t *Fault) end() time.Duration { return t.Start + t.Length }
 
-// String is the trouble as a line.
+// String is the fault as a line.
 func (t Fault) String() string {
 	text := fmt.Sprintf("%6.3f s to %6.3f s  %s %s", t.Start.Seconds(), t.end().Seconds(), t.Kind, t.Target)
 	if t.Other != "" {
@@ -114,21 +114,21 @@
 	MinDuration           = 16 * time.Second
 	MaxDuration           = 10 * time.Minute
 	MaxConcurrentFaults   = 3
-	warmUp                = time.Second     // before the first trouble
+	warmUp                = time.Second     // before the first fault
 	calmPeriod            = 2 * time.Second // after the last one
 	meanGap               = 900 * time.Millisecond
 	maxDraws              = 40                     // draws for one place in the schedule
-	minSeparation         = 700 * time.Millisecond // between two troubles of one thing, so that the first one has ended
+	minSeparation         = 700 * time.Millisecond // between two faults of one thing, so that the first one has ended
 	evacuateFor           = 1500 * time.Millisecond
-	maxWarmUpLead         = 2 * time.Second // at most, servers turn cold before their zone is taken back
+	maxWarmUpLead         = 2 * time.Second // at most, servers begin to warm up before their zone is taken back
 	minWarmUpLead         = 300 * time.Millisecond
 	aloneFor              = 2 * time.Second // all requests of a region go to a zone that was just taken back
-	coldMargin            = time.Second     // after the cold state has ended
+	coldMargin            = time.Second     // after the warm-up has ended
 	endSlack              = 2 * time.Second // beyond the grace, for a process to end
 	maxPartitionedServers = 4               // servers from which a proxy is cut
 )
 
-// Draw gives the plan of a seed. The same seed, scene and time give the same plan.
+// Draw gives the plan of a seed. The same seed, scenario and time give the same plan.
 func Draw(seed uint64, last time.Duration, scene *testcluster.Scenario) *Plan {
 	d := &drawer{rng: rand.New(rand.NewPCG(seed, 36)), scene: scene, until: last - calmPeriod}
 	p := &Plan{Seed: seed, For: last, Delay: d.drawDuration(20*time.Millisecond, 55*time.Millisecond), Jitter: d.drawDuration(0, 5*time.Millisecond)}
@@ -149,7 +149,7 @@
 	return p
 }
 
-// MaxConcurrent is the most troubles that are under way at one time.
+// MaxConcurrent is the most faults that are under way at one time.
 func (p *Plan) MaxConcurrent() int {
 	highest := 0
 	for i := range p.Faults {
@@ -177,7 +177,7 @@
 	return low + time.Duration(d.rng.Int64N(int64(high-low)+1))
 }
 
-// fits tells whether a trouble ends in time, is no more than one of MaxConcurrentFaults, and touches nothing that another one does.
+// fits reports whether a fault ends in time, is no more than one of MaxConcurrentFaults, and touches nothing that another one does.
 func (d *drawer) fits(all []Fault, t Fault) bool {
 	if t.end() > d.until || overlapping(all, t.Start) >= MaxConcurrentFaults {
 		return false
@@ -197,7 +197,7 @@
 	return true
 }
 
-// claims is what a trouble needs for itself.
+// claims is what a fault needs for itself.
 func (d *drawer) claims(t Fault) (all []string) {
 	switch t.Kind {
 	case KillProxy, PauseProxy, TerminateProxy:
--- a/internal/lab/soak/plan_test.go
+++ b/internal/lab/soak/plan_test.go
@@ -10,7 +10,7 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster"
 )
 
-// TestPlans: a seed gives one plan; every plan holds the incident, and troubles end by themselves, overlap, and do not
+// TestPlans: a seed gives one plan; every plan holds the incident, and faults end by themselves, overlap, and do not
 // touch what another one touches.
 func TestPlans(t *testing.T) {
 	kinds, cutFrom := map[Kind]int{}, map[int]int{}
--- a/internal/lab/soak/result.go
+++ b/internal/lab/soak/result.go
@@ -15,19 +15,19 @@
 	Seconds       float64  `json:"seconds"`
 	DelayMS       float64  `json:"delay_ms"` // between regions, one way
 	Faults        int      `json:"troubles"`
-	MaxConcurrent int      `json:"at_once"` // most troubles under way at one time
+	MaxConcurrent int      `json:"at_once"` // most faults under way at one time
 	Requests      int      `json:"requests"`
 	Served        int      `json:"served"`
 	Refused       int      `json:"refused"`
 	Failed        int      `json:"failed"` // and those without a final answer
 	Orders        int      `json:"orders"` // changes of the configuration that were acknowledged
 	Reads         int      `json:"reads"`  // of the configuration
-	Cold          int      `json:"cold"`   // servers that were sent requests while cold
+	Cold          int      `json:"cold"`   // servers that were sent requests while they warmed up
 	Peak          int      `json:"peak"`   // most requests that one of them got within a second
 	Bound         float64  `json:"bound"`  // that it may get
 	Flooded       int      `json:"flooded"`
-	Waited        int      `json:"waited"`   // tries of clients that began while their proxy was paused, and were answered once it went on
-	InTouch       int      `json:"in_touch"` // tries of clients by which rules that are bounded in time are judged
+	Waited        int      `json:"waited"`   // attempts of clients that began while their proxy was paused, and were answered once it went on
+	InTouch       int      `json:"in_touch"` // attempts of clients by which rules that are bounded in time are judged
 	Statuses      int      `json:"statuses"` // read from processes
 	LateMS        int64    `json:"late_ms"`  // by which the lab itself was late at most
 	Broken        []string `json:"broken"`
@@ -35,7 +35,7 @@
 	Checked map[string]int `json:"looked"`
 }
 
-// Passed tells whether nothing was broken.
+// Passed reports whether nothing was broken.
 func (r *Result) Passed() bool { return len(r.Broken) == 0 }
 
 // String is the result as one line.
@@ -84,7 +84,7 @@
 	return r
 }
 
-// floodReport tells what cold servers that were flooded got in the second of their peak, and what the operator ordered.
+// floodReport is what flooded servers that warm up got in the second of their peak, and what the operator ordered.
 type floodReport struct{ e *rules.Evidence }
 
 // String tells it line by line.
--- a/internal/lab/soak/result_test.go
+++ b/internal/lab/soak/result_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// TestJudgeTellsFloods: the figures of cold servers are those that FAILBACK goes by.
+// TestJudgeTellsFloods: the figures of servers that warm up are those that FAILBACK goes by.
 func TestJudgeTellsFloods(t *testing.T) {
 	p := judged()
 	flood := int(20*p.Evidence.Bounds.ColdExcess+p.Evidence.Bounds.ColdSlack) + 1
@@ -69,7 +69,7 @@
 	}
 }
 
-// TestSettled: a seed is not over while no keeper is current, or while an evacuation is held that was taken back.
+// TestSettled: a seed is not over while no control-plane node is current, or while an evacuation is held that was taken back.
 func TestSettled(t *testing.T) {
 	var status admin.NodeStatus
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -23,7 +23,7 @@
 	Folder              string // for settings, disks and logs
 	Plan                *Plan
 	Scenario            *testcluster.Scenario // nil: that of the plan's seed
-	Announce            func(string)          // is told of troubles as they begin; nil: nobody is
+	Announce            func(string)          // is called for each fault as it begins; nil: nothing is
 }
 
 const (
@@ -33,7 +33,7 @@
 	statusInterval   = time.Second
 	statusTimeout    = 400 * time.Millisecond
 	recoveryTimeout  = 12 * time.Second
-	recoveryRequests = 40 // requests that must be served after the last trouble
+	recoveryRequests = 40 // requests that must be served after the last fault
 	restartSpread    = 250 * time.Millisecond
 )
 
@@ -48,7 +48,7 @@
 
 	mu     sync.Mutex
 	broken []string // never nil
-	// evacuating is held by the one trouble that may evacuate: an answer that comes late has one last longer than it was drawn.
+	// evacuating is held by the one fault that may evacuate: an answer that comes late has one last longer than it was drawn.
 	evacuating         chan struct{}
 	pendingEvacuations map[string]bool // zones whose evacuation was not clearly taken back
 	orders             int             // acknowledged
@@ -83,7 +83,7 @@
 	return result, result.saveFailure(options.Folder, options.Plan, floodReport{run.Evidence})
 }
 
-// run has all troubles happen, and changes of the configuration and reads beside them.
+// run injects all faults, and changes of the configuration and reads beside them.
 func (p *player) run(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, p.plan.For)
 	defer cancel()
@@ -107,14 +107,14 @@
 	all.Wait()
 }
 
-// recordFailure takes in what broke, by name.
+// recordFailure records what broke, by name.
 func (p *player) recordFailure(name, text string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.broken = append(p.broken, name+": "+strings.ReplaceAll(text, "\n", "; "))
 }
 
-// checkRecovery checks that requests are served again, and that what was acknowledged of evacuations is what the keepers hold.
+// checkRecovery checks that requests are served again, and that what was acknowledged of evacuations is what the control plane has.
 func (p *player) checkRecovery(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
@@ -131,7 +131,7 @@
 	}
 }
 
-// addresses are those at which processes tell their status.
+// addresses are those at which processes serve their status.
 func (p *player) addresses() map[string]string {
 	all := map[string]string{}
 	for _, m := range p.Fleet.Machines {
--- a/internal/lab/soak/scenario.go
+++ b/internal/lab/soak/scenario.go
@@ -70,5 +70,5 @@
 	s.Config.Services[0].Engine.Slots = n
 }
 
-// coldFor is how long a model server is cold after its start.
+// coldFor is how long a model server warms up after its start.
 func coldFor(s *testcluster.Scenario) time.Duration { return s.Servers[0].WarmUp }
--- a/internal/lab/soak/wake.go
+++ b/internal/lab/soak/wake.go
@@ -13,16 +13,16 @@
 	peerDown    = 9 * time.Second
 	pausedAt    = 1500 * time.Millisecond
 	evacuatedAt = pausedAt + 200*time.Millisecond // so that the paused proxy does not know of it
-	// pausedFor ends when the servers of the evacuated zone have just turned cold under their ids, and those of the region's other
-	// zone are down: the evacuation is acknowledged within half a second, and they turn cold a time of Bounds.Evacuate after that.
+	// pausedFor ends when the servers of the evacuated zone have just begun to warm up under their ids, and those of the region's other
+	// zone are down: the evacuation is acknowledged within half a second, and they begin to warm up a time of Bounds.Evacuate after that.
 	pausedFor = 6100 * time.Millisecond
 	wakeChill = 2 * time.Second
 	cutBefore = 500 * time.Millisecond // the proxy goes on
 	cutAfter  = 2 * time.Second
 	waitFor   = 10 * time.Second // that clients of the most frequent kind wait, longer than the pause
 	waitGap   = 1200             // ms; for a stream to begin they wait eight times that
-	wakeSlots = 64               // more than a cold server may get in a second, so that slots do not hold a flood back
-	question  = 1                // that kind's place in the scene's routes and kinds
+	wakeSlots = 64               // more than a server may get while it warms up in a second, so that slots do not hold a flood back
+	question  = 1                // that kind's place in the scenario's routes and kinds
 )
 
 // NewWakeScenario gives the deployment in which the plans of Wake are played: that of a seed, with patient clients and roomy servers.
--- a/internal/lab/soak/watch.go
+++ b/internal/lab/soak/watch.go
@@ -74,7 +74,7 @@
 	return all
 }
 
-// checkSettled tells whether a keeper is current and holds no evacuation.
+// checkSettled reports whether a control-plane node is current and holds no evacuation.
 func (w *invariantMonitor) checkSettled(ctx context.Context, keepers []string) error {
 	f, err := w.client.Fleet(ctx, keepers)
 	switch {
--- a/internal/lab/testcluster/client_conn.go
+++ b/internal/lab/testcluster/client_conn.go
@@ -35,7 +35,7 @@
 	address     string
 	used        bool
 	idleSince   time.Duration
-	idleTimeout time.Duration // as the proxy told; 0: it did not
+	idleTimeout time.Duration // as the proxy said; 0: it did not
 }
 
 // Read implements io.Reader for in.
@@ -65,7 +65,7 @@
 	return c, nil
 }
 
-// pendingBytes tells how many bytes wait on an idle connection, and whether it was closed.
+// pendingBytes reports how many bytes wait on an idle connection, and whether it was closed.
 func (c *clientConn) pendingBytes() (bytes int, closed bool) {
 	raw, err := c.tcp.SyscallConn()
 	if err != nil {
@@ -88,7 +88,7 @@
 	return bytes + peeked, false
 }
 
-// attemptSpec is one try as it is written.
+// attemptSpec is one attempt as it is written.
 type attemptSpec struct {
 	attempt        *rules.Attempt
 	headers        [][2]string
@@ -121,7 +121,7 @@
 	return b.String()
 }
 
-// exchange sends a try on the connection and reads its answer. It tells whether the connection may be used again.
+// exchange sends an attempt on the connection and reads its answer. It reports whether the connection may be used again.
 func (c *clientConn) exchange(spec *attemptSpec, now func() time.Duration) (header http.Header, reusable bool) {
 	attempt := spec.attempt
 	before := c.bytesRead
@@ -169,7 +169,7 @@
 	return resp.Header, !resp.Close && attempt.Surplus == 0
 }
 
-// isHeadPrefix tells whether what came is the beginning of an answer's head. The reader calls that malformed.
+// isHeadPrefix reports whether what came is the beginning of an answer's head. The reader calls that malformed.
 func (c *clientConn) isHeadPrefix() bool {
 	const start = "HTTP/1."
 	n := min(len(start), len(c.head))
@@ -209,7 +209,7 @@
 	}
 }
 
-// appendEvent takes in one event; events of one run that follow each other are one segment.
+// appendEvent records one event; events of one run that follow each other are one segment.
 func appendEvent(all []rules.Segment, run string, id int) []rules.Segment {
 	if n := len(all); n > 0 && all[n-1].Run == run && all[n-1].Last == id-1 {
 		all[n-1].Last = id
@@ -234,7 +234,7 @@
 	return rules.Malformed
 }
 
-// wasReset tells whether the peer's machine has wasReset the connection.
+// wasReset reports whether the peer's machine has reset the connection.
 func (c *clientConn) wasReset() bool {
 	raw, err := c.tcp.SyscallConn()
 	if err != nil {
--- a/internal/lab/testcluster/client_pool_test.go
+++ b/internal/lab/testcluster/client_pool_test.go
@@ -164,7 +164,7 @@
 	}
 }
 
-// readHead takes in a request without a body.
+// readHead reads a request without a body.
 func readHead(c net.Conn) {
 	var text []byte
 	one := make([]byte, 1)
--- a/internal/lab/testcluster/engine/cache.go
+++ b/internal/lab/testcluster/engine/cache.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// evictTo drops unused parts until at most most tokens are kept, as far as it can.
+// evictTo drops unused parts until at most maxTokens tokens are kept, as far as it can.
 func (c *prefixCache) evictTo(maxTokens int64) {
 	for c.cachedTokens > maxTokens && c.order.Len() > 0 {
 		c.evict(c.order.Front().Value.(*cachedPart))
--- a/internal/lab/testcluster/engine/engine.go
+++ b/internal/lab/testcluster/engine/engine.go
@@ -116,7 +116,7 @@
 	return true
 }
 
-// Cancel drops a request, and tells whether it had started.
+// Cancel drops a request, and reports whether it had started.
 func (e *Engine) Cancel(now Time, key uint64) (started bool) {
 	e.advance(now)
 	for _, list := range []*[]*job{&e.running, &e.waiting} {
--- a/internal/lab/testcluster/environment.go
+++ b/internal/lab/testcluster/environment.go
@@ -2,7 +2,7 @@
 // platform's list, the operator and clients (PROTOCOL.md, DEPLOY.md), in this process and on loopback addresses.
 //
 // Clients, servers, operator and list record what they saw on their sockets as rules.Evidence; package rules checks it afterwards against
-// the operators' rules. Links lays relays between the processes, on which faults can be injected.
+// the operators' rules. Links puts relays between the processes, on which faults can be injected.
 package testcluster
 
 import (
@@ -141,7 +141,7 @@
 	}
 }
 
-// crashOverloaded has a server that was sent too much while cold crash, and start again after a while.
+// crashOverloaded has a server that was sent too much during its warm-up crash, and start again after a while.
 func (w *Environment) crashOverloaded(s *Server) {
 	w.overloadCrashes.Go(func() {
 		s.Crash()
--- a/internal/lab/testcluster/exchange.go
+++ b/internal/lab/testcluster/exchange.go
@@ -55,7 +55,7 @@
 	return engine.Output{}, false
 }
 
-// cancel takes the request from the machine, and tells whether it has run.
+// cancel takes the request from the workload, and reports whether it has run.
 func (e *serverExchange) cancel() bool {
 	s := e.incarnation.server
 	s.mu.Lock()
--- a/internal/lab/testcluster/faulty_proxy_test.go
+++ b/internal/lab/testcluster/faulty_proxy_test.go
@@ -19,7 +19,7 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
-// crooked is a proxy, directory and keeper in one that breaks a rule on purpose.
+// faultyProxy is a proxy, directory and control-plane node in one that breaks a rule on purpose.
 type crooked struct {
 	w       *Environment
 	front   *httptest.Server
--- a/internal/lab/testcluster/fleet.go
+++ b/internal/lab/testcluster/fleet.go
@@ -22,7 +22,7 @@
 // Machine is one edge machine of the stand-in deployment: a loopback address.
 type Machine struct {
 	IP, Zone, Region string
-	Disk             bool // its keeper votes; without, that is an observer
+	Disk             bool // its control-plane node votes; without, that is an observer
 }
 
 // Ports are the same on all machines.
@@ -51,7 +51,7 @@
 	return Ports{}, errors.Newf("no %d ports in a row are free on all machines from %d to %d: end other runs", totalPorts, minPort, maxPort)
 }
 
-// portsFree tells whether a range of ports is free on all machines, for connections and for packets.
+// portsFree reports whether a range of ports is free on all machines, for connections and for packets.
 func portsFree(machines []Machine, first int) bool {
 	var config net.ListenConfig
 	for _, m := range machines {
@@ -72,7 +72,7 @@
 	return true
 }
 
-// Fleet is the system's processes: a proxy and a keeper on every machine.
+// Fleet is the system's processes: a proxy and a control-plane node on every machine.
 type Fleet struct {
 	Machines     []Machine
 	Ports        Ports
@@ -110,7 +110,7 @@
 // Front is the address at which clients reach a machine.
 func (f *Fleet) Front(m Machine) string { return f.address(m, f.Ports.Front) }
 
-// Control is where the operator reaches the keeper of a machine.
+// Control is where the operator reaches the control-plane node of a machine.
 func (f *Fleet) Control(m Machine) string { return f.address(m, f.Ports.Control) }
 
 // ControlPlaneAddresses are the control addresses, also of observers.
@@ -122,7 +122,7 @@
 	return all
 }
 
-// Disks are the machines whose keepers vote.
+// Disks are the machines whose control-plane nodes vote.
 func (f *Fleet) Disks() []Machine {
 	var all []Machine
 	for _, m := range f.Machines {
@@ -174,7 +174,7 @@
 	return nil
 }
 
-// StartControlPlane starts the keeper of a machine.
+// StartControlPlane starts the control-plane node of a machine.
 func (f *Fleet) StartControlPlane(m Machine, first bool) error {
 	return f.start(m, ControlPlaneName(m), f.ControlPlane, first, `serves = ["control"]`)
 }
@@ -204,13 +204,13 @@
 	return nil
 }
 
-// ControlPlaneProcess is the keeper of a machine; nil: it was not started.
+// ControlPlaneProcess is the control-plane node of a machine; nil: it was not started.
 func (f *Fleet) ControlPlaneProcess(m Machine) *proc.Process { return f.process(ControlPlaneName(m)) }
 
 // ProxyProcess is the proxy of a machine; nil: it was not started.
 func (f *Fleet) ProxyProcess(m Machine) *proc.Process { return f.process(ProxyName(m)) }
 
-// Died names the processes that ended without being told to, and how.
+// Died names the processes that ended without a signal of the test, and how.
 func (f *Fleet) Died() []string {
 	var all []string
 	for name, p := range f.all() {
@@ -344,7 +344,7 @@
 	return f.Ports.First, f.Ports.Last
 }
 
-// Internal is where a machine's proxy answers the system's own calls, and its staff.
+// Internal is where a machine's proxy answers the system's own calls and those of operators.
 func (f *Fleet) Internal(m Machine) string {
 	first, _ := f.portsOf(ProxyName(m))
 	return f.address(m, first+1)
--- a/internal/lab/testcluster/incarnation.go
+++ b/internal/lab/testcluster/incarnation.go
@@ -145,7 +145,7 @@
 	return timer.C, func() { timer.Stop() }
 }
 
-// overloadsWarmUp counts a request that came to a cold server, and tells whether the server falls over.
+// overloadsWarmUp counts a request that came to a server that warms up, and reports whether the server crashes.
 func (s *Server) overloadsWarmUp(now time.Duration) bool {
 	s.recentArrivals = append(s.recentArrivals, now)
 	for s.recentArrivals[0] <= now-time.Second {
--- a/internal/lab/testcluster/links.go
+++ b/internal/lab/testcluster/links.go
@@ -16,7 +16,7 @@
 // known to be a proxy.
 type Path struct{ From, To string }
 
-// ToServer tells whether a path leads to a server: all other ends are named.
+// ToServer reports whether a path leads to a server: all other ends are named.
 func (p Path) ToServer() bool {
 	_, _, err := net.SplitHostPort(p.To)
 	return err == nil
@@ -25,7 +25,7 @@
 // ListEnd is the platform's list as an end of a path.
 const ListEnd = "list"
 
-// ControlPlaneName names the keeper of a machine.
+// ControlPlaneName names the control-plane node of a machine.
 func ControlPlaneName(m Machine) string { return "keeper-" + m.IP }
 
 // ProxyName names the proxy of a machine.
@@ -72,7 +72,7 @@
 	return w.link
 }
 
-// Inject lays a state on the paths that are picked, besides what lies there already, until heal is called.
+// Inject injects a state into the paths that are picked, in addition to what is injected there already, until heal is called.
 func (n *Links) Inject(pick func(Path) bool, s link.State) (heal func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -116,7 +116,7 @@
 	firstPort    int // port
 }
 
-const portsPerProcess = 2 // the system's own traffic to keepers, and to proxies
+const portsPerProcess = 2 // the system's own traffic to control-plane nodes, and to proxies
 
 // endpoints are the processes of a fleet, each with ports of its own.
 func (f *Fleet) endpoints() []endpoint {
@@ -156,7 +156,7 @@
 	return lists, nil
 }
 
-// connectPair puts relays between two processes: everybody calls keepers, and proxies call each other.
+// connectPair puts relays between two processes: everybody calls control-plane nodes, and proxies call each other.
 func (n *Links) connectPair(from, to endpoint) error {
 	if from.name == to.name || from.controlPlane && !to.controlPlane {
 		return nil
--- a/internal/lab/testcluster/links_test.go
+++ b/internal/lab/testcluster/links_test.go
@@ -183,7 +183,7 @@
 	}
 }
 
-// TestLinksAddTroubles: what lies on a link is the sum of its length and of all troubles, and goes with each.
+// TestLinksAddTroubles: what lies on a link is the sum of its length and of all faults, and goes with each.
 func TestLinksAddTroubles(t *testing.T) {
 	n := NewLinks(30*time.Millisecond, time.Millisecond)
 	near, far := n.linkFor(Path{"a", "b"}, false), n.linkFor(Path{"a", "c"}, true)
@@ -208,7 +208,7 @@
 	is("near, healed", near, link.State{})
 }
 
-// TestLinksHavePathsOfTheirOwn: everybody calls keepers and proxies call each other, each over a link of its own.
+// TestLinksHavePathsOfTheirOwn: everybody calls control-plane nodes and proxies call each other, each over a link of its own.
 func TestLinksHavePathsOfTheirOwn(t *testing.T) {
 	scene := SmallScenario(1)
 	ports, err := FreePorts(scene.Machines)
--- a/internal/lab/testcluster/list.go
+++ b/internal/lab/testcluster/list.go
@@ -61,7 +61,7 @@
 	instances []Instance
 }
 
-// Observe takes in how things stand. It is to be called more often than Lag.
+// Observe records how things stand. It is to be called more often than Lag.
 func (p *Platform) Observe() {
 	now, instances := p.now(), p.servers()
 	p.mu.Lock()
--- a/internal/lab/testcluster/operator.go
+++ b/internal/lab/testcluster/operator.go
@@ -30,7 +30,7 @@
 // Operator is the stand-in operator: PROTOCOL.md "The operator's API". It makes one call at a time, Status apart.
 type Operator struct {
 	ControlAddresses []string // control addresses, in the order in which they are tried
-	// LoseAnswer tells whether an answer that has come counts as lost on its way; nil: none does.
+	// LoseAnswer reports whether an answer that has come counts as lost on its way; nil: none does.
 	LoseAnswer func() bool
 
 	evidence *rules.Evidence
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// call asks one keeper after the other, with growing backoff, until there is a clear answer or ctx ends.
+// call asks one control-plane node after the other, with growing backoff, until there is a clear answer or ctx ends.
 func (o *Operator) call(ctx context.Context, method, path string, body []byte, base int64) (int, []byte, error) {
 	backoff, clientErrors := initialBackoff, 0
 	for {
@@ -179,7 +179,7 @@
 	}
 }
 
-// NodeStatus is what GET /status of a keeper tells staff.
+// NodeStatus is what GET /status of a control-plane node answers operators.
 type NodeStatus struct {
 	Node     string   `json:"node"`
 	Current  bool     `json:"current"`
@@ -192,7 +192,7 @@
 	} `json:"proxies"`
 }
 
-// Status is that of the most recent view among the keepers; nil: none answers.
+// Status is that of the most recent view among the control-plane nodes; nil: none answers.
 func (o *Operator) Status(ctx context.Context) *NodeStatus {
 	var best *NodeStatus
 	for _, at := range o.ControlAddresses {
--- a/internal/lab/testcluster/operator_test.go
+++ b/internal/lab/testcluster/operator_test.go
@@ -117,7 +117,7 @@
 	})
 }
 
-// TestOperatorMovesOn: after a failure it asks another keeper.
+// TestOperatorMovesOn: after a failure it asks another control-plane node.
 func TestOperatorMovesOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &script{answers: []string{"503", "503", "503", "200"}}
--- a/internal/lab/testcluster/process_faults.go
+++ b/internal/lab/testcluster/process_faults.go
@@ -12,7 +12,7 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
-// KillControlPlane kills a machine's keeper and waits for its end.
+// KillControlPlane kills a machine's control-plane node and waits for its end.
 func (r *Run) KillControlPlane(m Machine) error {
 	r.Evidence.RecordFault(rules.Fault{Keeper: true, Kind: "kill", At: r.Now()})
 	return signalAndWait(r.Fleet.ControlPlaneProcess(m), syscall.SIGKILL, nil)
--- a/internal/lab/testcluster/report.go
+++ b/internal/lab/testcluster/report.go
@@ -16,7 +16,7 @@
 	Calls, CallsOver int // of the platform's list
 }
 
-// Good tells whether every request got one final answer and no rule was seen broken.
+// Good reports whether every request got one final answer and no rule was seen broken.
 func (r *Report) Good() bool {
 	for _, v := range r.Verdicts {
 		if v.Violations > 0 {
@@ -26,7 +26,7 @@
 	return r.Stats.Unanswered == 0 && r.Stats.Open == 0 && len(r.Died) == 0 && len(r.Killed) == 0 && r.ReadError == nil
 }
 
-// Lines tell it.
+// Lines returns the report as lines.
 func (r *Report) Lines() []string {
 	f := r.Stats
 	lines := []string{fmt.Sprintf("requests %d: served %d, refused %d, failed %d, without a final answer %d; calls to the list %d, over its rate %d",
--- a/internal/lab/testcluster/rules/answers.go
+++ b/internal/lab/testcluster/rules/answers.go
@@ -2,10 +2,10 @@
 
 import "net/http"
 
-// success tells whether a status is 2xx.
+// success reports whether a status is 2xx.
 func success(status int) bool { return status >= 200 && status < 300 }
 
-// promisesNotExecuted tells whether a status says that the request has not run and never will.
+// promisesNotExecuted reports whether a status says that the request has not run and never will.
 func promisesNotExecuted(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -67,7 +67,7 @@
 	}
 }
 
-// idempotent tells whether the request of a try may run more than once, by any configuration that may be in force.
+// idempotent reports whether the request of an attempt may run more than once, by any configuration that may be in force.
 func (x *index) idempotent(t *Attempt) bool {
 	for _, c := range x.Changes {
 		if c.Config != nil && c.Sent <= t.Ended {
@@ -119,7 +119,7 @@
 	attemptsPerDenied = 500
 )
 
-// denied: proper requests are not turned away with a 3xx or 4xx of the system's own.
+// denied: proper requests are not rejected with a 3xx or 4xx of the system's own.
 func denied(x *index, v *Verdict) {
 	var found []*Attempt
 	for _, t := range x.Attempts {
@@ -139,7 +139,7 @@
 	}
 }
 
-// alwaysRouted tells whether every configuration that may be in force has a route for a try.
+// alwaysRouted reports whether every configuration that may be in force has a route for an attempt.
 func (x *index) alwaysRouted(t *Attempt) bool {
 	some := x.inForce(t.Sent, t.Ended)
 	for _, c := range some {
--- a/internal/lab/testcluster/rules/changes.go
+++ b/internal/lab/testcluster/rules/changes.go
@@ -42,7 +42,7 @@
 	return some
 }
 
-// wasRefused tells whether a change got a clear no.
+// wasRefused reports whether a change got a clear no.
 func (c *Change) wasRefused() bool {
 	return c.AcknowledgedAt == Never && c.Status >= 400 && c.Status < 500
 }
@@ -176,7 +176,7 @@
 	}
 }
 
-// plannedOnly tells whether nothing unplanned was done to the proxy from some time before a request until its end.
+// plannedOnly reports whether nothing unplanned was done to the proxy from some time before a request until its end.
 func (x *index) plannedOnly(t *Attempt) bool {
 	for _, other := range x.Faults {
 		if other.Proxy == t.Proxy && other.isUnplanned() && other.At <= t.Ended && other.endedAt() > t.Sent-x.Bounds.Contact {
@@ -186,7 +186,7 @@
 	return true
 }
 
-// abortedByServer tells whether a server ended a request itself.
+// abortedByServer reports whether a server ended a request itself.
 func (x *index) abortedByServer(t *Attempt) bool {
 	for _, a := range x.runs[t.ID] {
 		if a.Aborted {
--- a/internal/lab/testcluster/rules/changes_test.go
+++ b/internal/lab/testcluster/rules/changes_test.go
@@ -193,7 +193,7 @@
 	}
 }
 
-// cold adds requests to a cold server that bears 10 a second: 20 in any second at most.
+// cold adds requests to a server that warms up that bears 10 a second: 20 in any second at most.
 func (s *scene) cold(n int, gap Time) []*Arrival {
 	var all []*Arrival
 	for i := range n {
@@ -204,7 +204,7 @@
 	return all
 }
 
-// cutAtEnd adds a request that was cut during a planned end, and a trouble of the proxy.
+// cutAtEnd adds a request that was cut during a planned end, and a fault of the proxy.
 func (s *scene) cutAtEnd(from, to Time) {
 	s.RecordFault(Fault{Proxy: oneProxy, Kind: Terminate, At: 20 * second})
 	s.BeginFault(Fault{Proxy: oneProxy, Kind: Pause, At: from})(to)
--- a/internal/lab/testcluster/rules/config.go
+++ b/internal/lab/testcluster/rules/config.go
@@ -34,7 +34,7 @@
 	Weight float64 `json:"share"`
 }
 
-// Service is what is told of a service.
+// Service is what the configuration says of a service.
 type Service struct {
 	Name          string  `json:"name"`
 	HealthPath    string  `json:"health_path"`
@@ -46,7 +46,7 @@
 	Engine        *Engine `json:"engine,omitempty"`
 }
 
-// Engine is what is told of a service's model servers.
+// Engine is what the configuration says of a service's model servers.
 type Engine struct {
 	Slots       int     `json:"slots"`
 	CacheTokens int64   `json:"cache_tokens"`
@@ -69,12 +69,12 @@
 	Idle          int `json:"idle_timeout_ms"`
 }
 
-// Idempotent tells whether a request of the route may run more than once.
+// Idempotent reports whether a request of the route may run more than once.
 func (r *Route) Idempotent() bool {
 	return r.Category == "idempotent" || r.Category == "streaming" && r.Resumable
 }
 
-// sends tells whether the route sends requests to a service.
+// sends reports whether the route sends requests to a service.
 func (r *Route) sends(service string) bool {
 	for _, s := range r.Shares {
 		if s.Target == service && s.Weight > 0 {
--- a/internal/lab/testcluster/rules/controls_test.go
+++ b/internal/lab/testcluster/rules/controls_test.go
@@ -65,7 +65,7 @@
 	}, ""},
 }
 
-// deny adds requests that a proxy turned away itself.
+// deny adds requests that a proxy rejected itself.
 func (s *scene) deny(n, status int) {
 	for range n {
 		t, a := s.serve("/mail/2", "mailer", 20*second)
@@ -201,7 +201,7 @@
 	}, "EVAC"},
 }
 
-// keepers adds a trouble of some of three keepers.
+// controlPlaneFaults adds a fault of some of three control-plane nodes.
 func (s *scene) keepers(n int, from, to Time) {
 	s.Core = 3
 	for i := range n {
--- a/internal/lab/testcluster/rules/evidence.go
+++ b/internal/lab/testcluster/rules/evidence.go
@@ -1,5 +1,5 @@
 // Package rules is a checker of safety properties: it reads what clients, servers, operator and platform saw on their
-// sockets, and tells which rule of RULES.md was broken. It shares no code with the system that it judges.
+// sockets, and reports which rule of RULES.md was broken. It shares no code with the system that it judges.
 package rules
 
 import (
@@ -21,10 +21,10 @@
 	return [...]string{"open", "answered", "cut", "closed unread", "unreached", "given up", "garbage"}[o]
 }
 
-// Outcome is how a try of a client ended.
+// Outcome is how an attempt of a client ended.
 type Outcome int
 
-// The ends of a try.
+// The ends of an attempt.
 const (
 	Pending      Outcome = iota
 	Answered             // with a whole answer
@@ -44,7 +44,7 @@
 // Attempt is one request of a client as the client saw it.
 type Attempt struct {
 	ID           string
-	Request      int // tries of one request share it
+	Request      int // attempts of one request share it
 	Host         string
 	Method, Path string
 	Body         uint64 // digest
@@ -79,11 +79,11 @@
 	Body         uint64
 	From         int
 	WarmingUp    bool
-	WarmUpLimit  float64 // requests a second that the server bears while cold
+	WarmUpLimit  float64 // requests a second that the server bears while it warms up
 
 	ExecutedAt Time // Never: it has not run
 	Ended      Time
-	Rejected   int // status with which it was turned away; 0: it was taken
+	Rejected   int // status with which it was rejected; 0: it was taken
 	Status     int // of its answer; 0: none
 	Seal       string
 	Answer     uint64
@@ -147,20 +147,20 @@
 	Reads    []Reading
 	Read     *Config // what was read back at the end
 	ReadAt   Time
-	Core     int // keepers that vote; 0: it is not known
+	Core     int // control-plane nodes that vote; 0: it is not known
 
 	mu    sync.Mutex
 	shown map[string]bool
 }
 
-// RecordAttempt takes in a try that has ended.
+// RecordAttempt records an attempt that has ended.
 func (e *Evidence) RecordAttempt(t *Attempt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Attempts = append(e.Attempts, t)
 }
 
-// RecordArrival takes in a request that reached a server. Change it with Note only.
+// RecordArrival records a request that reached a server. Change it with Update only.
 func (e *Evidence) RecordArrival(a *Arrival) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -174,28 +174,28 @@
 	change()
 }
 
-// RecordChange takes in an order.
+// RecordChange records an order.
 func (e *Evidence) RecordChange(c *Change) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Changes = append(e.Changes, c)
 }
 
-// RecordReading takes in what a read of the configuration gave.
+// RecordReading records what a read of the configuration gave.
 func (e *Evidence) RecordReading(r Reading) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Reads = append(e.Reads, r)
 }
 
-// RecordStray takes in bytes that came while no request waited.
+// RecordStray records bytes that came while no request waited.
 func (e *Evidence) RecordStray(s Stray) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Strays = append(e.Strays, s)
 }
 
-// RecordDraining takes in that the list shows a server as draining. Only the first time counts.
+// RecordDraining records that the list shows a server as draining. Only the first time counts.
 func (e *Evidence) RecordDraining(server string, at Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -214,7 +214,7 @@
 	tries      map[string]*Attempt
 	runs       map[string][]*Arrival // by id, in order of arrival
 	seals      map[string]*Arrival
-	coreLosses []span // in which most of the core was in trouble
+	coreLosses []span // in which most of the core had a fault
 }
 
 func (e *Evidence) index() *index {
@@ -233,7 +233,7 @@
 	return x
 }
 
-// Unanswered are the last tries of requests that got no final answer.
+// Unanswered are the last attempts of requests that got no final answer.
 func (e *Evidence) Unanswered() []*Attempt {
 	last := map[int]*Attempt{}
 	for _, t := range e.Attempts {
@@ -251,13 +251,13 @@
 	return all
 }
 
-// String is the try as a line.
+// String is the attempt as a line.
 func (t *Attempt) String() string {
 	return fmt.Sprintf("%s %s at %s, sent %v: %s after %v (status %d, %d segments)", t.ID, t.Path, t.Proxy, t.Sent.Round(time.Millisecond),
 		t.Outcome, (t.Ended - t.Sent).Round(time.Millisecond), t.Status, len(t.Events))
 }
 
-// Describe is a try as a line, with what servers saw of it.
+// Describe is an attempt as a line, with what servers saw of it.
 func (e *Evidence) Describe(t *Attempt) string {
 	text := t.String()
 	for _, a := range e.Arrivals {
--- a/internal/lab/testcluster/rules/placement.go
+++ b/internal/lab/testcluster/rules/placement.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// reached tells whether an arrival counts as one: a 421 does not.
+// reached reports whether an arrival counts as one: a 421 does not.
 func (a *Arrival) reached() bool { return a.Rejected != http.StatusMisdirectedRequest }
 
 // sender is the proxy through which an arrival came; empty: unknown.
@@ -71,7 +71,7 @@
 	return a.At
 }
 
-// WarmUpPeak is the most requests that a cold server got within one second.
+// WarmUpPeak is the most requests that a server that warms up got within one second.
 type WarmUpPeak struct {
 	Server   string
 	Requests int
@@ -79,7 +79,7 @@
 	At       Time    // end of that second
 }
 
-// WarmUpPeaks gives those of all servers that were sent requests while cold. Requests that were turned away with 421 do not count.
+// WarmUpPeaks gives those of all servers that were sent requests while they warmed up. Requests that were rejected with 421 do not count.
 func (e *Evidence) WarmUpPeaks() []WarmUpPeak {
 	by := map[string][]*Arrival{}
 	for _, a := range e.Arrivals {
@@ -112,7 +112,7 @@
 	return n
 }
 
-// failback: a cold server gets no more in any second than it bears. Requests count that were sent and arrived within it.
+// failback: a server that warms up gets no more in any second than it bears. Requests count that were sent and arrived within it.
 func failback(x *index, v *Verdict) {
 	for _, p := range x.WarmUpPeaks() {
 		v.Checked += p.Requests
--- a/internal/lab/testcluster/rules/regression.go
+++ b/internal/lab/testcluster/rules/regression.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// effect is a request as evidence of the configuration that a proxy went by: one from least to most.
+// effect is a request as evidence of the configuration that a proxy went by: one from minRevision to maxRevision.
 type effect struct {
 	attempt                  *Attempt
 	at                       Time // when it was seen; of a 404: never early enough to bind later ones
--- a/internal/lab/testcluster/second.go
+++ b/internal/lab/testcluster/second.go
@@ -14,7 +14,7 @@
 	Revision     int64
 	Epoch        uint64
 	Chain        []string
-	LiveProxies  int // proxies that clients are told of
+	LiveProxies  int // proxies that clients know of
 	ReadyProxies int // proxies that say so to the platform
 }
 
--- a/internal/lab/testcluster/server.go
+++ b/internal/lab/testcluster/server.go
@@ -27,8 +27,8 @@
 	IdleTimeout           time.Duration // after which it closes a connection
 	ReportsLoad           bool
 	WarmUp                time.Duration
-	WarmUpPerSecond       float64 // requests a second that it bears while cold; 0: any number
-	WarmUpCrashFactor     float64 // times that, from which it falls over
+	WarmUpPerSecond       float64 // requests a second that it bears while it warms up; 0: any number
+	WarmUpCrashFactor     float64 // times that, from which it crashes
 	Engine                *engine.Spec
 	Plain                 *PlainSpec // where Engine is nil
 }
@@ -47,7 +47,7 @@
 	return s.Plain.Slots
 }
 
-// workload is what works on requests, in virtual time.
+// workload works on requests, in virtual time.
 type workload interface {
 	Advance(now engine.Time) []engine.Output
 	Next() (at engine.Time, ok bool)
@@ -66,7 +66,7 @@
 		model.Spec{Cores: spec.Slots, Speed: 1, Slots: spec.Slots, Queue: spec.Queue}, int64(now), false)}
 }
 
-// Advance implements machine.
+// Advance implements workload.
 func (p *plainServer) Advance(now engine.Time) []engine.Output {
 	var out []engine.Output
 	for _, d := range p.Server.Advance(int64(now)) {
@@ -75,16 +75,16 @@
 	return out
 }
 
-// Next implements machine.
+// Next implements workload.
 func (p *plainServer) Next() (at engine.Time, ok bool) {
 	next, ok := p.Server.Next()
 	return engine.Time(next), ok
 }
 
-// Cancel implements machine. Work that was begun goes on; such a request counts as run.
+// Cancel implements workload. Work that was begun goes on; such a request counts as run.
 func (p *plainServer) Cancel(engine.Time, uint64) bool { return true }
 
-// Load implements machine.
+// Load implements workload.
 func (p *plainServer) Load() (running, waiting int) {
 	held := p.Held()
 	return min(held, p.spec.Slots), max(0, held-p.spec.Slots)
@@ -282,7 +282,7 @@
 	s.draining, s.withdrawAt = true, s.env.Now()+after
 }
 
-// SetWarmingUp has the server be cold for a time from now.
+// SetWarmingUp has the server warm up for a time from now.
 func (s *Server) SetWarmingUp(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/testcluster/server_links.go
+++ b/internal/lab/testcluster/server_links.go
@@ -12,14 +12,14 @@
 // Proxies reach a server at one address, as it is that of the platform's list, and all from 127.0.0.1. Which of them a connection is
 // of is told by its first request: by its id, which a client has sent to one proxy.
 
-// recordSender takes in that a client sends a request to a proxy.
+// recordSender records that a client sends a request to a proxy.
 func (n *Links) recordSender(id, proxy string) {
 	if n != nil {
 		n.senders.Store(id, proxy)
 	}
 }
 
-// createServerLinks gives every proxy links of its own to all servers, so that troubles can be laid on them from the start.
+// createServerLinks gives every proxy links of its own to all servers, so that faults can be injected into them from the start.
 func (n *Links) createServerLinks(machines []Machine, servers []ServerSpec) {
 	for _, s := range servers {
 		for _, m := range machines {
--- a/internal/lab/testcluster/stats.go
+++ b/internal/lab/testcluster/stats.go
@@ -17,7 +17,7 @@
 	Requests, Served, Refused, Failed, Unanswered, Open int
 
 	FirstTokens int           // answers that began since the last look
-	P50, P99    time.Duration // from a client's first try to its first token
+	P50, P99    time.Duration // from a client's first attempt to its first token
 }
 
 // statsCounter counts the clients' requests.
@@ -57,7 +57,7 @@
 	return f.totals.Requests
 }
 
-// end counts how a request ended: by its last try.
+// end counts how a request ended: by its last attempt.
 func (f *statsCounter) end(t *rules.Attempt, first time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/lab/testcluster/traffic.go
+++ b/internal/lab/testcluster/traffic.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// request is one wish of a client, for which it sends one try or more.
+// request is one request of a client, for which it sends one attempt or more.
 type request struct {
 	traffic        *Traffic
 	kind           RequestKind
@@ -112,7 +112,7 @@
 	return r
 }
 
-// run sends tries until there is a final answer.
+// run sends attempts until there is a final answer.
 func (r *request) run() {
 	r.began = time.Now()
 	r.deadline = r.began.Add(r.kind.Deadline)
@@ -130,7 +130,7 @@
 	r.traffic.stats.end(attempt, r.firstAt)
 }
 
-// shouldRetry tells whether the client tries once more.
+// shouldRetry reports whether the client retries.
 func (r *request) shouldRetry(attempt *rules.Attempt, retries int) bool {
 	if retries >= r.kind.Retries || time.Until(r.deadline) < 50*time.Millisecond {
 		return false
@@ -206,7 +206,7 @@
 	return attempt, after
 }
 
-// connect gives an open connection or makes one; nil: none came up. Every fifth request, and every later try, takes a new one.
+// connect gives an open connection or makes one; nil: none could be made. Every fifth request, and every later attempt, takes a new one.
 func (r *request) connect(t *rules.Attempt) *clientConn {
 	if r.rng.IntN(5) > 0 && r.attempts == 1 {
 		if c := r.pool.takeIdle(); c != nil {
--- a/internal/lab/testcluster/up.go
+++ b/internal/lab/testcluster/up.go
@@ -22,7 +22,7 @@
 	Links               *Links    // between the parts; nil: they reach each other straight
 }
 
-// Run is a system of real processes in the small scene.
+// Run is a system of real processes in the small scenario.
 type Run struct {
 	*Environment
 	Fleet    *Fleet
@@ -93,7 +93,7 @@
 	return r.AwaitProxies(ctx, len(r.Fleet.Machines))
 }
 
-// AwaitProxies waits until clients are told of n proxies.
+// AwaitProxies waits until clients know of n proxies.
 func (r *Run) AwaitProxies(ctx context.Context, n int) error {
 	return Await(ctx, func(ctx context.Context) error {
 		if live := r.LiveProxies(ctx); len(live) != n {
@@ -120,7 +120,7 @@
 	}
 }
 
-// LiveProxies is the proxies that clients from anywhere are told of; nil: no directory answers.
+// LiveProxies is the proxies that clients from anywhere know of; nil: no directory answers.
 func (r *Run) LiveProxies(ctx context.Context) []string {
 	ask := resolver{host: scenarioHost, http: r.Operator.http} // no zone and no region
 	for _, d := range r.Fleet.Directories() {
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// Lines tell what runs where.
+// Lines returns what runs where.
 func (r *Run) Lines() []string {
 	lines := []string{"list     http://" + r.ListAddress() + "/instances"}
 	for _, m := range r.Fleet.Machines {
@@ -153,7 +153,7 @@
 // Meanwhile has do run besides; it must return soon after the context of Play has ended.
 func (r *Run) Meanwhile(do func()) { r.activities.Go(do) }
 
-// Play runs until ctx ends, tells of every second, ends everything and gives the report.
+// Play runs until ctx ends, announces every second, ends everything and gives the report.
 func (r *Run) Play(ctx context.Context, announce func(Second)) *Report {
 	start, last := r.Now(), r.Stats()
 	tick := time.NewTicker(time.Second)
