--- a/internal/lab/testcluster/fleet.go
+++ b/internal/lab/testcluster/fleet.go
@@ -1,6 +1,7 @@
 package testcluster
 
 import (
+	"context"
 	"fmt"
 	"maps"
 	"math/rand/v2"
@@ -14,7 +15,6 @@
 	"time"
 
 	"github.com/cockroachdb/errors"
-
 	"gradeusher.example/gradeusher/internal/lab/proc"
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
@@ -22,45 +22,47 @@
 // Machine is one edge machine of the stand-in deployment: a loopback address.
 type Machine struct {
 	IP, Zone, Region string
-	Disk             bool // its keeper votes; without, that is an observer
+	Disk             bool // its control-plane node votes; without, that is an observer
 }
 
 // Ports are the same on all machines.
 type Ports struct {
-	First, Last                            int // of the system's own traffic
-	Front, Readiness, Control, DirectoryAt int
+	First, Last                          int // of the system's own traffic
+	Front, Readiness, Control, Directory int
 }
 
 const (
-	portsOfSystem = 16
-	portsInAll    = portsOfSystem + 4
-	lowestPort    = 20000 // below those that the kernel gives out
-	highestPort   = 32000
-	portTries     = 200
+	systemPorts     = 16
+	totalPorts      = systemPorts + 4
+	minPort         = 20000 // below those that the kernel gives out
+	maxPort         = 32000
+	maxPortAttempts = 200
 )
 
 // FreePorts finds ports that are free on all machines.
 func FreePorts(machines []Machine) (Ports, error) {
-	for range portTries {
-		first := lowestPort + rand.IntN(highestPort-lowestPort-portsInAll)
-		if free(machines, first) {
-			next := first + portsOfSystem
-			return Ports{First: first, Last: next - 1, Front: next, Readiness: next + 1, Control: next + 2, DirectoryAt: next + 3}, nil
+	for range maxPortAttempts {
+		first := minPort + rand.IntN(maxPort-minPort-totalPorts)
+		if portsFree(machines, first) {
+			next := first + systemPorts
+			return Ports{First: first, Last: next - 1, Front: next, Readiness: next + 1, Control: next + 2, Directory: next + 3}, nil
 		}
 	}
-	return Ports{}, errors.Newf("no %d ports in a row are free on all machines from %d to %d: end other runs", portsInAll, lowestPort, highestPort)
+	return Ports{}, errors.Newf("no %d ports in a row are free on all machines from %d to %d: end other runs", totalPorts, minPort, maxPort)
 }
 
-func free(machines []Machine, first int) bool {
+// portsFree reports whether a range of ports is free on all machines, for connections and for packets.
+func portsFree(machines []Machine, first int) bool {
+	var config net.ListenConfig
 	for _, m := range machines {
-		for port := first; port < first+portsInAll; port++ {
+		for port := first; port < first+totalPorts; port++ {
 			at := net.JoinHostPort(m.IP, strconv.Itoa(port))
-			l, err := net.Listen("tcp4", at)
+			l, err := config.Listen(context.Background(), "tcp4", at)
 			if err != nil {
 				return false
 			}
 			_ = l.Close()
-			u, err := net.ListenPacket("udp4", at)
+			u, err := config.ListenPacket(context.Background(), "udp4", at)
 			if err != nil {
 				return false
 			}
@@ -70,22 +72,22 @@
 	return true
 }
 
-// Fleet is the system's processes: a proxy and a keeper on every machine.
+// Fleet is the system's processes: a proxy and a control-plane node on every machine.
 type Fleet struct {
-	Machines []Machine
-	Ports    Ports
-	Proxy    string // program
-	Keeper   string
-	Folder   string // for settings, disks and logs
-	List     string // address of the platform's list
-	Bounds   rules.Bounds
-	Rate     float64 // calls a second that the list answers
-	Links    *Links  // between processes; nil: they call each other straight
+	Machines     []Machine
+	Ports        Ports
+	Proxy        string // program
+	ControlPlane string
+	Folder       string // for settings, disks and logs
+	ListAddress  string // address of the platform's list
+	Bounds       rules.Bounds
+	Rate         float64 // calls a second that the list answers
+	Links        *Links  // between processes; nil: they call each other straight
 
-	lists   map[string]string // addresses of the list by the process that calls it; List where there is none
-	starter *proc.Starter
-	mu      sync.Mutex
-	running map[string]*proc.Process
+	listAddresses map[string]string // addresses of the list by the process that calls it; List where there is none
+	starter       *proc.Starter
+	mu            sync.Mutex
+	running       map[string]*proc.Process
 }
 
 func (f *Fleet) process(name string) *proc.Process {
@@ -101,13 +103,15 @@
 	return maps.Clone(f.running)
 }
 
-func (f *Fleet) at(m Machine, port int) string { return net.JoinHostPort(m.IP, strconv.Itoa(port)) }
+func (f *Fleet) address(m Machine, port int) string {
+	return net.JoinHostPort(m.IP, strconv.Itoa(port))
+}
 
 // Front is the address at which clients reach a machine.
-func (f *Fleet) Front(m Machine) string { return f.at(m, f.Ports.Front) }
+func (f *Fleet) Front(m Machine) string { return f.address(m, f.Ports.Front) }
 
-// Control is where the operator reaches the keeper of a machine.
-func (f *Fleet) Control(m Machine) string { return f.at(m, f.Ports.Control) }
+// Control is where the operator reaches the control-plane node of a machine.
+func (f *Fleet) Control(m Machine) string { return f.address(m, f.Ports.Control) }
 
 // ControlPlaneAddresses are the control addresses, also of observers.
 func (f *Fleet) ControlPlaneAddresses() []string {
@@ -118,7 +122,7 @@
 	return all
 }
 
-// Disks are the machines whose keepers vote.
+// Disks are the machines whose control-plane nodes vote.
 func (f *Fleet) Disks() []Machine {
 	var all []Machine
 	for _, m := range f.Machines {
@@ -133,7 +137,7 @@
 func (f *Fleet) Directories() []Directory {
 	var all []Directory
 	for _, m := range f.Machines {
-		all = append(all, Directory{f.at(m, f.Ports.DirectoryAt), m.Zone, m.Region})
+		all = append(all, Directory{f.address(m, f.Ports.Directory), m.Zone, m.Region})
 	}
 	return all
 }
@@ -142,7 +146,7 @@
 func (f *Fleet) Readiness() []string {
 	var all []string
 	for _, m := range f.Machines {
-		all = append(all, f.at(m, f.Ports.Readiness))
+		all = append(all, f.address(m, f.Ports.Readiness))
 	}
 	return all
 }
@@ -170,9 +174,9 @@
 	return nil
 }
 
-// StartControlPlane starts the keeper of a machine.
+// StartControlPlane starts the control-plane node of a machine.
 func (f *Fleet) StartControlPlane(m Machine, first bool) error {
-	return f.start(m, ControlPlaneName(m), f.Keeper, first, `serves = ["control"]`)
+	return f.start(m, ControlPlaneName(m), f.ControlPlane, first, `serves = ["control"]`)
 }
 
 // StartProxy starts the proxy of a machine.
@@ -200,13 +204,13 @@
 	return nil
 }
 
-// ControlPlaneProcess is the keeper of a machine; nil: it was not started.
+// ControlPlaneProcess is the control-plane node of a machine; nil: it was not started.
 func (f *Fleet) ControlPlaneProcess(m Machine) *proc.Process { return f.process(ControlPlaneName(m)) }
 
 // ProxyProcess is the proxy of a machine; nil: it was not started.
 func (f *Fleet) ProxyProcess(m Machine) *proc.Process { return f.process(ProxyName(m)) }
 
-// Died names the processes that ended without being told to, and how.
+// Died names the processes that ended without a signal of the test, and how.
 func (f *Fleet) Died() []string {
 	var all []string
 	for name, p := range f.all() {
@@ -240,25 +244,8 @@
 	return killed
 }
 
-// settings is the settings file of a process: DEPLOY.md.
-func (f *Fleet) settings(m Machine, name, disk string, first bool, serves string) string {
-	var seeds, zones []string
-	for _, d := range f.Disks() {
-		seeds = append(seeds, strconv.Quote(f.Control(d)))
-	}
-	if !m.Disk {
-		disk = ""
-	}
-	for zone, region := range f.Zones() {
-		zones = append(zones, fmt.Sprintf("%s = %q", zone, region))
-	}
-	b := f.Bounds
-	firstPort, lastPort := f.portsOf(name)
-	list := f.List
-	if at, ok := f.lists[name]; ok {
-		list = at
-	}
-	return fmt.Sprintf(`node_name = %q
+// settingsFormat is the settings file of a process (DEPLOY.md); Fleet.settings fills it in.
+const settingsFormat = `node_name = %q
 role = "%s"
 machine_class = "edge"
 %s
@@ -318,27 +305,47 @@
 rate_per_s = %v
 duties = []
 lag_ms = 800
-`, name, strings.SplitN(name, "-", 2)[0], serves, m.IP, m.Zone, m.Region, firstPort, lastPort, strings.Join(seeds, ","), first, m.Disk,
-		disk, strings.Join(zones, "\n"), f.Front(m), f.at(m, f.Ports.Readiness), f.Control(m), f.at(m, f.Ports.DirectoryAt),
-		b.Contact.Milliseconds(), b.Drain.Milliseconds(), b.Grace.Seconds(), b.LossSlack.Milliseconds(), b.ConfigApply.Milliseconds(),
-		b.RevertSlack.Milliseconds(), b.Stretch.Milliseconds(), b.RetryRatio, b.RetryWindow.Seconds(), b.RetrySlack, b.ColdExcess, b.ColdSlack,
-		b.Evacuate.Milliseconds(), list, f.Rate)
+`
+
+// settings returns the settings file of a process. first: the process starts on an empty disk.
+func (f *Fleet) settings(m Machine, name, disk string, first bool, serves string) string {
+	var seeds, zones []string
+	for _, d := range f.Disks() {
+		seeds = append(seeds, strconv.Quote(f.Control(d)))
+	}
+	if !m.Disk {
+		disk = ""
+	}
+	for zone, region := range f.Zones() {
+		zones = append(zones, fmt.Sprintf("%s = %q", zone, region))
+	}
+	bounds := f.Bounds
+	firstPort, lastPort := f.portsOf(name)
+	list := f.ListAddress
+	if at, ok := f.listAddresses[name]; ok {
+		list = at
+	}
+	return fmt.Sprintf(settingsFormat, name, strings.SplitN(name, "-", 2)[0], serves, m.IP, m.Zone, m.Region, firstPort, lastPort, strings.Join(seeds, ","), first, m.Disk,
+		disk, strings.Join(zones, "\n"), f.Front(m), f.address(m, f.Ports.Readiness), f.Control(m), f.address(m, f.Ports.Directory),
+		bounds.Contact.Milliseconds(), bounds.Drain.Milliseconds(), bounds.Grace.Seconds(), bounds.LossSlack.Milliseconds(), bounds.ConfigApply.Milliseconds(),
+		bounds.RevertSlack.Milliseconds(), bounds.Stretch.Milliseconds(), bounds.RetryRatio, bounds.RetryWindow.Seconds(), bounds.RetrySlack, bounds.ColdExcess, bounds.ColdSlack,
+		bounds.Evacuate.Milliseconds(), list, f.Rate)
 }
 
 // portsOf are the first and the last port that a process has for the system's own traffic.
 func (f *Fleet) portsOf(name string) (first, last int) {
 	if f.Links != nil {
-		for _, e := range f.ends() {
+		for _, e := range f.endpoints() {
 			if e.name == name {
-				return e.first, e.first + portsOfProcess - 1
+				return e.firstPort, e.firstPort + portsPerProcess - 1
 			}
 		}
 	}
 	return f.Ports.First, f.Ports.Last
 }
 
-// Inner is where a machine's proxy answers the system's own calls, and its staff.
-func (f *Fleet) Inner(m Machine) string {
+// Internal is where a machine's proxy answers the system's own calls and those of operators.
+func (f *Fleet) Internal(m Machine) string {
 	first, _ := f.portsOf(ProxyName(m))
-	return f.at(m, first+1)
+	return f.address(m, first+1)
 }
--- /dev/null
+++ b/internal/lab/testcluster/rules/placement.go
@@ -0,0 +1,247 @@
+package rules
+
+import (
+	"cmp"
+	"maps"
+	"net/http"
+	"slices"
+	"time"
+)
+
+// route: a service runs only what some configuration sends there.
+func route(x *index, v *Verdict) {
+	for _, arrival := range x.Arrivals {
+		if arrival.ExecutedAt == Never {
+			continue
+		}
+		v.Checked++
+		t, sends := x.tries[arrival.ID], false
+		if t == nil {
+			continue // UNASKED
+		}
+		for _, c := range x.Changes {
+			if c.Config == nil || c.Sent > arrival.ExecutedAt {
+				continue
+			}
+			if r := c.Config.Match(t.Host, t.Path); r != nil && r.sends(arrival.Service) {
+				sends = true
+				break
+			}
+		}
+		if !sends {
+			v.violation("%s %s ran at %s", t.Host, t.Path, arrival.Service)
+		}
+	}
+}
+
+// reached reports whether an arrival counts as one: a 421 does not.
+func (a *Arrival) reached() bool { return a.Rejected != http.StatusMisdirectedRequest }
+
+// sender is the proxy through which an arrival came; empty: unknown.
+func (x *index) sender(a *Arrival) string {
+	if t := x.tries[a.ID]; t != nil {
+		return t.Proxy
+	}
+	return ""
+}
+
+// drain: some time after the list showed a server as draining, nothing more is sent there.
+func drain(x *index, v *Verdict) {
+	shown := map[string]Time{}
+	for _, l := range x.Listings {
+		shown[l.Server] = l.Shown
+	}
+	for _, a := range x.Arrivals {
+		at, drains := shown[a.Server]
+		if !drains || !a.reached() || a.At < at {
+			continue
+		}
+		v.Checked++
+		if sent := a.sentAt(); sent > at+x.Bounds.Drain && x.inContact(x.sender(a), sent) {
+			v.violation("%s reached %s %v after it was shown as draining", a.ID, a.Server, sent-at)
+		}
+	}
+}
+
+// sentAt is when an arrival was sent.
+func (a *Arrival) sentAt() Time {
+	if a.Sent > 0 {
+		return a.Sent
+	}
+	return a.At
+}
+
+// WarmUpPeak is the most requests that a server that warms up got within one second.
+type WarmUpPeak struct {
+	Server   string
+	Requests int
+	Limit    float64 // that it may get
+	At       Time    // end of that second
+}
+
+// WarmUpPeaks gives those of all servers that were sent requests while they warmed up. Requests that were rejected with 421 do not count.
+func (e *Evidence) WarmUpPeaks() []WarmUpPeak {
+	by := map[string][]*Arrival{}
+	for _, a := range e.Arrivals {
+		if a.WarmingUp && a.reached() {
+			by[a.Server] = append(by[a.Server], a)
+		}
+	}
+	var peaks []WarmUpPeak
+	for _, server := range slices.Sorted(maps.Keys(by)) {
+		all := by[server]
+		slices.SortStableFunc(all, func(a, b *Arrival) int { return cmp.Compare(a.At, b.At) })
+		peak := WarmUpPeak{Server: server}
+		for i, last := range all {
+			if n := countSentWithin(all[:i+1], last.At-time.Second); n > peak.Requests {
+				peak.Requests, peak.At, peak.Limit = n, last.At, last.WarmUpLimit*e.Bounds.ColdExcess+e.Bounds.ColdSlack
+			}
+		}
+		peaks = append(peaks, peak)
+	}
+	return peaks
+}
+
+// countSentWithin counts the arrivals, the last of which is the latest, that were sent after a time.
+func countSentWithin(sorted []*Arrival, after Time) (n int) {
+	for i := len(sorted) - 1; i >= 0 && sorted[i].At > after; i-- {
+		if sorted[i].sentAt() > after {
+			n++
+		}
+	}
+	return n
+}
+
+// failback: a server that warms up gets no more in any second than it bears. Requests count that were sent and arrived within it.
+func failback(x *index, v *Verdict) {
+	for _, p := range x.WarmUpPeaks() {
+		v.Checked += p.Requests
+		if float64(p.Requests) > p.Limit {
+			v.violation("%s got %d requests within a second while cold, up to %v; %.1f at most", p.Server, p.Requests,
+				p.At.Round(time.Millisecond), p.Limit)
+		}
+	}
+}
+
+// home: a request whose route has homes reaches servers there only. All configurations that may be in force must agree.
+func home(x *index, v *Verdict) {
+	for _, a := range x.Arrivals {
+		t := x.tries[a.ID]
+		if t == nil || !a.reached() {
+			continue
+		}
+		some := x.inForce(t.Sent, a.At)
+		abroad := len(some) > 0
+		for _, c := range some {
+			r := c.Match(t.Host, t.Path)
+			abroad = abroad && r != nil && len(r.Homes) > 0 && !slices.Contains(r.Homes, a.Region)
+		}
+		v.Checked++
+		if abroad {
+			v.violation("%s reached %s in %s", a.ID, a.Server, a.Region)
+		}
+	}
+}
+
+// evacuation: some time after a zone's evacuation was acknowledged, and until it is taken back, nothing is sent there.
+func evacuation(x *index, v *Verdict) {
+	for i, c := range x.Changes {
+		if c.Config != nil || !c.Start || c.AcknowledgedAt == Never {
+			continue
+		}
+		until := Time(1<<63 - 1)
+		for _, later := range x.Changes[i+1:] {
+			if later.Config == nil && later.Zone == c.Zone && !later.Start {
+				until = later.Sent
+				break
+			}
+		}
+		for _, arrival := range x.Arrivals {
+			sent := arrival.sentAt()
+			from := c.AcknowledgedAt + x.Bounds.Evacuate + x.stretch(c.AcknowledgedAt, sent)
+			if arrival.Zone != c.Zone || arrival.At <= c.AcknowledgedAt || arrival.At >= until || !arrival.reached() {
+				continue
+			}
+			v.Checked++
+			if sent > from && x.inContact(x.sender(arrival), sent) {
+				v.violation("%s reached %s in %s %v after its evacuation", arrival.ID, arrival.Server, arrival.Zone, sent-c.AcknowledgedAt)
+			}
+		}
+	}
+}
+
+// budget: in every window, arrivals past the first of each request stay within a part of the requests.
+func budget(idx *index, verdict *Verdict) {
+	requests := idx.requestsByService()
+	for service, retries := range idx.retriesByService() {
+		sent := requests[service]
+		slices.Sort(sent)
+		idx.checkBudget(service, sent, retries, verdict)
+	}
+}
+
+// requestsByService gives when the requests were sent that may have gone to each service.
+func (x *index) requestsByService() map[string][]Time {
+	requests := map[string][]Time{}
+	for _, attempt := range x.Attempts {
+		for service := range x.servicesOf(attempt) {
+			requests[service] = append(requests[service], attempt.Sent)
+		}
+	}
+	return requests
+}
+
+// servicesOf gives the services to which a configuration that may be in force sends an attempt.
+func (x *index) servicesOf(attempt *Attempt) map[string]bool {
+	services := map[string]bool{}
+	for _, c := range x.inForce(attempt.Sent, attempt.Ended) {
+		matched := c.Match(attempt.Host, attempt.Path)
+		if matched == nil {
+			continue
+		}
+		for _, service := range matched.services() {
+			services[service] = true
+		}
+	}
+	return services
+}
+
+// retriesByService gives when each service was reached by requests that had reached it before.
+func (x *index) retriesByService() map[string][]Time {
+	retries := map[string][]Time{}
+	seen := map[string]bool{}
+	for _, a := range x.Arrivals {
+		if key := a.Service + " " + a.ID; seen[key] {
+			retries[a.Service] = append(retries[a.Service], a.At)
+		} else {
+			seen[key] = true
+		}
+	}
+	return retries
+}
+
+// checkBudget checks all windows of one service; both lists are sorted.
+func (x *index) checkBudget(service string, sent, retries []Time, verdict *Verdict) {
+	window := x.Bounds.RetryWindow
+	from := 0
+	for i, at := range retries { // the fullest windows end with a retry
+		for at-retries[from] >= window {
+			from++
+		}
+		verdict.Checked++
+		count := 0
+		for _, back := range []Time{0, window / 2, window} {
+			count = max(count, countBetween(sent, at-back-window, at-back))
+		}
+		if maxRetries := x.Bounds.RetryRatio*float64(count) + x.Bounds.RetrySlack; float64(i-from+1) > maxRetries {
+			verdict.violation("%s got %d repeats up to %v, %.0f at most", service, i-from+1, at, maxRetries)
+		}
+	}
+}
+
+// countBetween counts the times after from and up to to.
+func countBetween(sorted []Time, from, to Time) int {
+	low, _ := slices.BinarySearchFunc(sorted, from, func(t, x Time) int { return cmp.Compare(t, x+1) })
+	high, _ := slices.BinarySearchFunc(sorted, to, func(t, x Time) int { return cmp.Compare(t, x+1) })
+	return max(0, high-low)
+}
--- a/internal/lab/testcluster/traffic.go
+++ b/internal/lab/testcluster/traffic.go
@@ -15,8 +15,8 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
-// Kind is a kind of request that clients send.
-type Kind struct {
+// RequestKind is a kind of request that clients send.
+type RequestKind struct {
 	Route    *rules.Route
 	Rate     float64 // a second, from all zones together
 	Deadline time.Duration
@@ -29,35 +29,35 @@
 
 // Traffic is the stand-in clients: PROTOCOL.md "Ingress" and "Answers".
 type Traffic struct {
-	Kinds   []Kind
-	entries []*entry
-	w       *Environment
+	Kinds   []RequestKind
+	pools   []*clientPool
+	env     *Environment
 	seed    uint64
-	figures *figures
-	wait    sync.WaitGroup
+	stats   *statsCounter
+	running sync.WaitGroup
 }
 
 // run sends requests until ctx ends, and returns once all have ended.
 func (t *Traffic) run(ctx context.Context) {
-	for _, e := range t.entries {
-		t.wait.Go(func() { e.run(ctx) })
+	for _, e := range t.pools {
+		t.running.Go(func() { e.run(ctx) })
 	}
 	for i, k := range t.Kinds {
-		for j, e := range t.entries {
-			rng := rand.New(rand.NewPCG(t.seed, uint64(i*len(t.entries)+j+1)))
-			t.wait.Go(func() { t.send(ctx, k, e, k.Rate/float64(len(t.entries)), rng) })
+		for j, e := range t.pools {
+			rng := rand.New(rand.NewPCG(t.seed, uint64(i*len(t.pools)+j+1)))
+			t.running.Go(func() { t.generate(ctx, k, e, k.Rate/float64(len(t.pools)), rng) })
 		}
 	}
-	t.wait.Wait()
-	for _, e := range t.entries {
-		e.end()
+	t.running.Wait()
+	for _, e := range t.pools {
+		e.closeAll()
 	}
 }
 
-// send has requests of one kind and zone begin at random times.
-func (t *Traffic) send(ctx context.Context, k Kind, e *entry, rate float64, rng *rand.Rand) {
+// generate has requests of one kind and zone begin at random times.
+func (t *Traffic) generate(ctx context.Context, kind RequestKind, pool *clientPool, rate float64, rng *rand.Rand) {
 	select {
-	case <-e.answered:
+	case <-pool.resolvedOnce:
 	case <-ctx.Done():
 		return
 	}
@@ -66,60 +66,60 @@
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	next := t.w.Now()
+	next := t.env.Now()
 	for {
 		next += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
-		timer.Reset(max(0, next-t.w.Now()))
+		timer.Reset(max(0, next-t.env.Now()))
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
 		}
-		r := t.draw(k, e, rng)
-		t.wait.Go(r.play)
+		r := t.newRequest(kind, pool, rng)
+		t.running.Go(r.run)
 	}
 }
 
-// request is one wish of a client, for which it sends one try or more.
+// request is one request of a client, for which it sends one attempt or more.
 type request struct {
-	t        *Traffic
-	k        Kind
-	e        *entry
-	number   int
-	rng      *rand.Rand
-	path     string
-	body     string
-	prompt   string
-	tokens   string
-	began    time.Time
-	deadline time.Time
-	had      int // events that have come
-	tries    int
-	firstAt  time.Duration
+	traffic        *Traffic
+	kind           RequestKind
+	pool           *clientPool
+	number         int
+	rng            *rand.Rand
+	path           string
+	body           string
+	prompt         string
+	tokens         string
+	began          time.Time
+	deadline       time.Time
+	receivedEvents int // events that have come
+	attempts       int
+	firstAt        time.Duration
 }
 
-func (t *Traffic) draw(k Kind, e *entry, rng *rand.Rand) *request {
-	r := &request{t: t, k: k, e: e, number: t.figures.begin(), rng: rand.New(rand.NewPCG(rng.Uint64(), 1)), firstAt: -1}
-	r.path = k.Route.Prefix + strconv.FormatUint(rng.Uint64()%1000, 16)
-	r.body = strings.Repeat(fmt.Sprintf("request %d ", r.number), 1+k.Bytes/16)
-	if k.Out > 0 {
-		subject := 1 + rng.IntN(k.Subjects)
-		own := max(1, int(float64(k.Own)*(0.5+rng.Float64())))
-		r.prompt = fmt.Sprintf("%x:%d,%x:%d", xxhash.Sum64String(k.Route.Name+strconv.Itoa(subject))>>16, k.Shared,
+func (t *Traffic) newRequest(kind RequestKind, pool *clientPool, rng *rand.Rand) *request {
+	r := &request{traffic: t, kind: kind, pool: pool, number: t.stats.begin(), rng: rand.New(rand.NewPCG(rng.Uint64(), 1)), firstAt: -1}
+	r.path = kind.Route.Prefix + strconv.FormatUint(rng.Uint64()%1000, 16)
+	r.body = strings.Repeat(fmt.Sprintf("request %d ", r.number), 1+kind.Bytes/16)
+	if kind.Out > 0 {
+		subject := 1 + rng.IntN(kind.Subjects)
+		own := max(1, int(float64(kind.Own)*(0.5+rng.Float64())))
+		r.prompt = fmt.Sprintf("%x:%d,%x:%d", xxhash.Sum64String(kind.Route.Name+strconv.Itoa(subject))>>16, kind.Shared,
 			rng.Uint64()>>16, own)
-		r.tokens = fmt.Sprintf("%d,%d", k.Shared+own, k.Out)
+		r.tokens = fmt.Sprintf("%d,%d", kind.Shared+own, kind.Out)
 	}
 	return r
 }
 
-// play sends tries until there is a final answer.
-func (r *request) play() {
+// run sends attempts until there is a final answer.
+func (r *request) run() {
 	r.began = time.Now()
-	r.deadline = r.began.Add(r.k.Deadline)
-	var t *rules.Try
-	for n := 0; ; n++ {
+	r.deadline = r.began.Add(r.kind.Deadline)
+	var attempt *rules.Attempt
+	for retries := 0; ; retries++ {
 		var after time.Duration
-		if t, after = r.try(); !r.again(t, n) {
+		if attempt, after = r.sendAttempt(); !r.shouldRetry(attempt, retries) {
 			break
 		}
 		left := time.Until(r.deadline)
@@ -127,93 +127,93 @@
 			time.Sleep(after)
 		}
 	}
-	r.t.figures.end(t, r.firstAt)
+	r.traffic.stats.end(attempt, r.firstAt)
 }
 
-// again tells whether the client tries once more.
-func (r *request) again(t *rules.Try, n int) bool {
-	if n >= r.k.Retries || time.Until(r.deadline) < 50*time.Millisecond {
+// shouldRetry reports whether the client retries.
+func (r *request) shouldRetry(attempt *rules.Attempt, retries int) bool {
+	if retries >= r.kind.Retries || time.Until(r.deadline) < 50*time.Millisecond {
 		return false
 	}
-	resumable := r.k.Route.Resumable && t.Stream
-	repeatable := r.k.Route.Category == "idempotent" || r.k.Route.Resumable
-	switch t.Outcome {
+	resumable := r.kind.Route.Resumable && attempt.Stream
+	repeatable := r.kind.Route.Category == "idempotent" || r.kind.Route.Resumable
+	switch attempt.Outcome {
 	case rules.Answered:
-		switch t.Status {
+		switch attempt.Status {
 		case 408, 421, 429, 503:
 			return true
 		case 400, 401, 404, 413, 431:
 			return false
 		}
-		return t.Status >= 300 && repeatable
-	case rules.Unreached, rules.Unread:
+		return attempt.Status >= 300 && repeatable
+	case rules.Unreached, rules.ClosedUnread:
 		return true
-	case rules.Cut, rules.GivenUp:
-		return repeatable && (resumable || !t.Stream)
+	case rules.Truncated, rules.TimedOut:
+		return repeatable && (resumable || !attempt.Stream)
 	}
 	return false
 }
 
-// try sends the request once. after is for how long the client is to wait before the next.
-func (r *request) try() (t *rules.Try, after time.Duration) {
-	w := r.t.w
-	r.tries++
-	t = &rules.Try{ID: fmt.Sprintf("%016x", r.rng.Uint64()), Request: r.number, Host: r.k.Route.Host, Method: http.MethodPost,
-		Path: r.path, Body: xxhash.Sum64String(r.body), Zone: r.e.zone, Region: r.e.region, From: r.had, Sent: w.Now()}
+// sendAttempt sends the request once. after is for how long the client is to wait before the next.
+func (r *request) sendAttempt() (attempt *rules.Attempt, after time.Duration) {
+	env := r.traffic.env
+	r.attempts++
+	attempt = &rules.Attempt{ID: fmt.Sprintf("%016x", r.rng.Uint64()), Request: r.number, Host: r.kind.Route.Host, Method: http.MethodPost,
+		Path: r.path, Body: xxhash.Sum64String(r.body), Zone: r.pool.zone, Region: r.pool.region, From: r.receivedEvents, Sent: env.Now()}
 	defer func() {
-		t.Ended = w.Now()
-		w.Evidence.Try(t)
+		attempt.Ended = env.Now()
+		env.Evidence.RecordAttempt(attempt)
 	}()
-	c := r.connect(t)
-	if c == nil {
-		t.Outcome = rules.Unreached
-		return t, 20 * time.Millisecond
-	}
-	t.Proxy = c.address
-	w.links.sent(t.ID, c.address)
-	left := time.Until(r.deadline)
-	s := &send{try: t, body: r.body, chunked: r.rng.IntN(4) == 0, deadline: r.deadline, headers: [][2]string{
-		{"X-Time-Left-Ms", strconv.FormatInt(max(1, left.Milliseconds()), 10)}},
-		first: func() {
+	conn := r.connect(attempt)
+	if conn == nil {
+		attempt.Outcome = rules.Unreached
+		return attempt, 20 * time.Millisecond
+	}
+	attempt.Proxy = conn.address
+	env.links.recordSender(attempt.ID, conn.address)
+	remaining := time.Until(r.deadline)
+	spec := &attemptSpec{attempt: attempt, body: r.body, chunked: r.rng.IntN(4) == 0, deadline: r.deadline, headers: [][2]string{
+		{"X-Time-Left-Ms", strconv.FormatInt(max(1, remaining.Milliseconds()), 10)}},
+		onFirst: func() {
 			if r.firstAt < 0 {
 				r.firstAt = time.Since(r.began)
 			}
 		}}
-	if r.k.Route.Category == "streaming" {
-		s.patience = max(2*time.Second, 4*ms(r.k.Route.Aim), 8*ms(r.k.Route.GapAim))
+	if r.kind.Route.Category == "streaming" {
+		spec.silenceTimeout = max(2*time.Second, 4*ms(r.kind.Route.Aim), 8*ms(r.kind.Route.GapAim))
 	}
 	if r.prompt != "" {
-		s.headers = append(s.headers, [2]string{"X-Model", "m"}, [2]string{"X-Token-Count", r.tokens}, [2]string{"X-Prompt-Prefix", r.prompt})
+		spec.headers = append(spec.headers, [2]string{"X-Model", "m"}, [2]string{"X-Token-Count", r.tokens}, [2]string{"X-Prompt-Prefix", r.prompt})
 	}
-	if r.had > 0 {
-		s.headers = append(s.headers, [2]string{"Last-Event-Id", strconv.Itoa(r.had)})
+	if r.receivedEvents > 0 {
+		spec.headers = append(spec.headers, [2]string{"Last-Event-Id", strconv.Itoa(r.receivedEvents)})
 	}
-	header, again := c.exchange(s, w.Now)
-	for _, e := range t.Events {
-		r.had = max(r.had, e.Last)
+	header, again := conn.exchange(spec, env.Now)
+	for _, e := range attempt.Events {
+		r.receivedEvents = max(r.receivedEvents, e.Last)
 	}
 	if again {
-		r.e.put(c)
+		r.pool.putIdle(conn)
 	} else {
-		_ = c.tcp.Close()
-		if t.Outcome != rules.Answered {
-			r.e.fail(c.address)
+		_ = conn.tcp.Close()
+		if attempt.Outcome != rules.Answered {
+			r.pool.markFailed(conn.address)
 		}
 	}
 	if seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64); err == nil && seconds > 0 {
 		after = time.Duration(seconds * float64(time.Second))
 	}
-	return t, after
+	return attempt, after
 }
 
-// connect gives an open connection or makes one; nil: none came up. Every fifth request, and every later try, takes a new one.
-func (r *request) connect(t *rules.Try) *conn {
-	if r.rng.IntN(5) > 0 && r.tries == 1 {
-		if c := r.e.kept(); c != nil {
+// connect gives an open connection or makes one; nil: none could be made. Every fifth request, and every later attempt, takes a new one.
+func (r *request) connect(t *rules.Attempt) *clientConn {
+	if r.rng.IntN(5) > 0 && r.attempts == 1 {
+		if c := r.pool.takeIdle(); c != nil {
 			return c
 		}
 	}
-	address, ok := r.e.pick()
+	address, ok := r.pool.pickAddress()
 	if !ok {
 		return nil
 	}
@@ -222,7 +222,7 @@
 	c, err := dial(ctx, address)
 	if err != nil {
 		t.Proxy = address
-		r.e.fail(address)
+		r.pool.markFailed(address)
 		return nil
 	}
 	return c
