--- a/internal/system/operatorapi/body.go
+++ b/internal/system/operatorapi/body.go
@@ -14,7 +14,7 @@
 const bodyChunkBytes = 64 << 10
 
 // errTooManyBodies says that the bodies of all requests together exceed maxTotalBodyBytes.
-var errTooManyBodies = errors.New("the bodies of the requests at this node take too much memory: send the change again, or to another node")
+var errTooManyBodies = errors.New("this keeper holds too many bodies: send the change again, or to another keeper")
 
 // readBody reads a body within the bounds of size and time. The caller releases the reservation once it no longer needs the
 // body, also after an error. Errors are errTooManyBodies, a *http.MaxBytesError or those of the connection.
--- a/internal/system/operatorapi/change.go
+++ b/internal/system/operatorapi/change.go
@@ -19,7 +19,7 @@
 	reasonUncertain      = "whether the change was applied long ago cannot be told: read the configuration and compare"
 	reasonSuperseded     = "the zone was changed while this call was under way: send it again if it is still wanted"
 	reasonNotDurable     = "the change could not be made durable in time and may or may not come about: send it again as it was"
-	reasonUnknownVerdict = "this node does not know the verdict on the change: send it again as it was, to another node"
+	reasonUnknownVerdict = "this keeper does not know the verdict on the change: send it again as it was, to another keeper"
 )
 
 // changeRequest is one request for a change.
--- a/internal/system/operatorapi/config.go
+++ b/internal/system/operatorapi/config.go
@@ -48,7 +48,7 @@
 	default:
 		// Not a 4xx: what the network truncated is to be retried, and some callers give up at the third 4xx of any kind.
 		closeConnection(w)
-		writeUnavailable(w, "the body did not arrive completely in time: send the change again")
+		writeUnavailable(w, "the body did not come whole in time: send the change again")
 	}
 }
 
@@ -56,7 +56,7 @@
 func parseBaseVersion(h http.Header) (int64, error) {
 	values := h.Values("X-Base-Version")
 	if len(values) != 1 {
-		return 0, errors.New("X-Base-Version is missing or repeated: send the version that the change builds on, 0 for the first")
+		return 0, errors.New("X-Base-Version is missing or told twice: send the version that the change builds on, 0 for the first")
 	}
 	base, err := strconv.ParseInt(strings.TrimSpace(values[0]), 10, 64)
 	if err != nil || base < 0 {
@@ -98,7 +98,7 @@
 		}
 		writeUnavailable(w, "the newest configuration could not be confirmed in time: ask again")
 	case state == nil || state.Config == nil:
-		writeUnavailable(w, "no configuration has been submitted yet: send one with POST /Config.Replace")
+		writeUnavailable(w, "no configuration has come yet: send one with POST /Config.Replace")
 	default:
 		setResponseHeaders(w, len(state.Config.Raw))
 		w.WriteHeader(http.StatusOK)
--- a/internal/system/operatorapi/evacuation.go
+++ b/internal/system/operatorapi/evacuation.go
@@ -22,9 +22,9 @@
 
 // Reasons why a request is not submitted: it has not taken effect and never will.
 var (
-	errStalled     = errors.New("this node was stalled, and the request may have waited since before that: send it again")
-	errPartitioned = errors.New("this node does not reach the chain and has not forwarded the change: send it again as it was, to another node")
-	errCallerGone  = errors.New("the caller has gone, or has waited too long: send the request again if it is still wanted")
+	errStalled     = errors.New("this keeper stood still, and the order may have waited since before that: send it again")
+	errPartitioned = errors.New("this keeper does not reach the chain and has not passed this order on: send it again as it was, to another keeper")
+	errCallerGone  = errors.New("the caller has gone, or waits too long: send the order again if it is still wanted")
 )
 
 // handleEvacuation serves POST /Evacuation.Start, after which no request is sent to a zone, and /Evacuation.Finish, which ends
@@ -80,7 +80,7 @@
 		writeError(w, http.StatusRequestEntityTooLarge, "the body is too large: send the order without one")
 		return
 	}
-	writeUnavailable(w, "the body did not arrive completely in time: send the order again, without a body")
+	writeUnavailable(w, "the body did not come whole in time: send the order again, without a body")
 }
 
 // submitWithFence submits an evacuation with its fence, the number of the newest committed record that was known on arrival.
