--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -19,7 +19,7 @@
 type Evidence struct {
 	Plan     *plan.Plan
 	Start    int64 // of the load
-	Tries    []load.Try
+	Tries    []load.Attempt
 	Attempts []ctl.Attempt
 	Told     []ctl.Told
 	Falls    []ctl.News
@@ -183,7 +183,7 @@
 
 // attempts checks no-duplicate and one-at-a-time.
 func (e *Evidence) attempts(f findings, attempts map[string][]ctl.Attempt) {
-	tries := make(map[string]*load.Try, len(e.Tries))
+	tries := make(map[string]*load.Attempt, len(e.Tries))
 	for i := range e.Tries {
 		tries[e.Tries[i].ID] = &e.Tries[i]
 	}
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -22,15 +22,15 @@
 	p := &plan.Plan{File: f, Sidecars: []plan.Sidecar{{Name: "n0"}, {Name: "n1"}}, Arrivals: []plan.Arrival{
 		{At: 0, Class: 0, Work: time.Second}, {At: 100 * time.Millisecond, Class: 1, Work: time.Second},
 		{At: 200 * time.Millisecond, Class: 1, Work: 2 * time.Second}}}
-	try := func(id string, arrival, class int, at, took int64) load.Try {
-		return load.Try{ID: id, Arrival: arrival, Class: class, Due: at, Began: at, Sent: at, Ended: at + took, Timeout: 2 * time.Second, Status: 200,
+	try := func(id string, arrival, class int, at, took int64) load.Attempt {
+		return load.Attempt{ID: id, Arrival: arrival, Class: class, Due: at, Began: at, Sent: at, Ended: at + took, Timeout: 2 * time.Second, Status: 200,
 			By: "s1"}
 	}
 	attempt := func(id, server string, at, took int64, how string) ctl.Attempt {
 		return ctl.Attempt{Server: server, ID: id, First: at, Whole: at, End: at + took, How: how}
 	}
 	return &Evidence{Plan: p, Start: 1000 * ms, Runs: [][]Run{{{From: 1}}, {{From: 1}}}, Peaks: []Peak{{10, 20}, {10, 20}},
-		Tries: []load.Try{try("a", 0, 0, 1000*ms, 300*ms), try("b", 1, 1, 1100*ms, 700*ms), try("c", 2, 1, 1200*ms, 100*ms)},
+		Tries: []load.Attempt{try("a", 0, 0, 1000*ms, 300*ms), try("b", 1, 1, 1100*ms, 700*ms), try("c", 2, 1, 1200*ms, 100*ms)},
 		Attempts: []ctl.Attempt{attempt("a", "s2", 1000*ms, 5*ms, "turned"), attempt("a", "s1", 1006*ms, 290*ms, "served"),
 			attempt("b", "s1", 1100*ms, 600*ms, "served"), attempt("c", "s1", 1200*ms, 90*ms, "served")},
 		Exits: []proc.Exit{{Name: "n0", Wanted: true}},
--- a/internal/lab/check/figures.go
+++ b/internal/lab/check/figures.go
@@ -51,7 +51,7 @@
 	for i := range within {
 		within[i] = newHistogram()
 	}
-	tries := map[int][]*load.Try{}
+	tries := map[int][]*load.Attempt{}
 	conns, lateRefusals := 0, 0
 	for i := range e.Tries {
 		t := &e.Tries[i]
@@ -88,7 +88,7 @@
 			note(latency, t.Ended-e.Start-int64(a.At))
 			note(within[min(int(a.At/time.Second), n-1)], t.Ended-e.Start-int64(a.At))
 		}
-		served := slices.ContainsFunc(all, func(t *load.Try) bool { return t.Status == 200 })
+		served := slices.ContainsFunc(all, func(t *load.Attempt) bool { return t.Status == 200 })
 		switch {
 		case served:
 			answered++
@@ -158,7 +158,7 @@
 }
 
 // Lateness is how late the lab sent, at the 99th percentile.
-func Lateness(tries []load.Try) time.Duration {
+func Lateness(tries []load.Attempt) time.Duration {
 	h := newHistogram()
 	for i := range tries {
 		note(h, tries[i].Began-tries[i].Due)
--- a/internal/lab/check/hitters_test.go
+++ b/internal/lab/check/hitters_test.go
@@ -38,7 +38,7 @@
 				client = flooder
 			}
 			e.Plan.Arrivals = append(e.Plan.Arrivals, plan.Arrival{At: at, Client: client, Sidecar: n % 2, Work: time.Second})
-			try := load.Try{ID: fmt.Sprint(n), Arrival: n, Sidecar: n % 2, Status: 200, Ended: int64(at) + int64(time.Millisecond)}
+			try := load.Attempt{ID: fmt.Sprint(n), Arrival: n, Sidecar: n % 2, Status: 200, Ended: int64(at) + int64(time.Millisecond)}
 			switch {
 			case tt.yield(client, n%2, at) && at < 15*time.Second:
 				try.Status, try.After = 503, 1500*time.Millisecond
@@ -77,7 +77,7 @@
 				}
 				at := time.Duration(s) * time.Second
 				e.Plan.Arrivals = append(e.Plan.Arrivals, plan.Arrival{At: at, Client: client, Work: time.Second})
-				try := load.Try{Arrival: len(e.Plan.Arrivals) - 1, Status: 200, Ended: int64(at) + 1}
+				try := load.Attempt{Arrival: len(e.Plan.Arrivals) - 1, Status: 200, Ended: int64(at) + 1}
 				if client > 1 || s < 8 || s >= 8 && s < 8+refused {
 					try.Status = 503
 				}
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -33,7 +33,7 @@
 	work    string // folder for evidence and the processes' own folders
 	logs    string
 	starter *proc.Starter
-	all     proc.All
+	all     proc.Group
 	hosts   []*child
 	host    map[string]*child // by server
 	specs   map[string]*model.Spec
--- a/internal/lab/janitor.go
+++ b/internal/lab/janitor.go
@@ -15,7 +15,7 @@
 // startJanitor starts the process that removes the work folder when the lab is gone, however it went. leave has it do so now.
 func startJanitor(self Self, work string) (leave func() error, err error) {
 	s := proc.NewStarter()
-	p, err := s.Start(proc.Spec{Name: "janitor", Path: self.Path, Args: []string{"stand-in", "janitor", work}, Log: os.DevNull, Piped: true, Stays: true,
+	p, err := s.Start(proc.Spec{Name: "janitor", Path: self.Path, Args: []string{"stand-in", "janitor", work}, Log: os.DevNull, Piped: true, OutlivesLab: true,
 		Env: append([]string{"TMPDIR=" + os.TempDir()}, self.Env...)})
 	if err != nil {
 		s.Close()
--- a/internal/lab/keepers.go
+++ b/internal/lab/keepers.go
@@ -37,8 +37,8 @@
 	index      int
 	name       string
 	folder     string
-	http, raft *link.Place // where the process listens
-	fronts     [2]int      // ports of the relay: HTTP, raft
+	http, raft *link.PortReservation // where the process listens
+	fronts     [2]int                // ports of the relay: HTTP, raft
 
 	mu   sync.Mutex
 	run  *proc.Process
@@ -270,7 +270,7 @@
 
 func (ks *keepers) leave() {
 	for _, k := range ks.all {
-		for _, p := range []*link.Place{k.http, k.raft} {
+		for _, p := range []*link.PortReservation{k.http, k.raft} {
 			if p != nil {
 				p.Close()
 			}
--- a/internal/lab/link/conn.go
+++ b/internal/lab/link/conn.go
@@ -66,14 +66,14 @@
 	}
 }
 
-// Gone is closed when the near end has hung up, though a held link may not show it yet.
-func (c *Conn) Gone() <-chan struct{} { return c.gone }
+// PeerClosed is closed when the near end has hung up, though a held link may not show it yet.
+func (c *Conn) PeerClosed() <-chan struct{} { return c.gone }
 
-// ClosedAt is when the near end hung up, in ns of the lab's clock; 0: it has not.
-func (c *Conn) ClosedAt() int64 { return c.closed.Load() }
+// PeerClosedAt is when the near end hung up, in ns of the lab's clock; 0: it has not.
+func (c *Conn) PeerClosedAt() int64 { return c.closed.Load() }
 
-// CameAt is when the near end sent the last bytes that Read returned.
-func (c *Conn) CameAt() int64 { return c.in.cameAt() }
+// ReceivedAt is when the near end sent the last bytes that Read returned.
+func (c *Conn) ReceivedAt() int64 { return c.in.cameAt() }
 
 // Read returns what has arrived over the link. The near end's hanging up shows as io.EOF after all it sent.
 func (c *Conn) Read(p []byte) (int, error) { return c.in.get(p, c.link, ToFar, c.dead) }
@@ -109,9 +109,9 @@
 	}
 }
 
-// Flushed waits until all that was written has crossed the link, and tells when that was seen; ok is false where the
+// WaitFlushed waits until all that was written has crossed the link, and tells when that was seen; ok is false where the
 // connection ended before.
-func (c *Conn) Flushed() (at int64, ok bool) {
+func (c *Conn) WaitFlushed() (at int64, ok bool) {
 	if c.out.drained(c.dead, c.gone) {
 		return clock.Now(), true
 	}
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -82,9 +82,9 @@
 	return s.Delay
 }
 
-// Packet draws what becomes of a packet to the far end: how long it takes, or, where passes is false, that it is lost. Packets
+// DrawPacket draws what becomes of a packet to the far end: how long it takes, or, where passes is false, that it is lost. Packets
 // may overtake each other.
-func (l *Link) Packet() (wait time.Duration, passes bool) {
+func (l *Link) DrawPacket() (wait time.Duration, passes bool) {
 	s, _ := l.State()
 	return s.wait(), !s.Hold[ToFar] && (s.Loss <= 0 || rand.Float64() >= s.Loss)
 }
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -67,15 +67,15 @@
 	before := clock.Now()
 	send(t, near, "ask")
 	want(t, far, "ask")
-	if at := far.CameAt(); at < before || at > clock.Now() {
+	if at := far.ReceivedAt(); at < before || at > clock.Now() {
 		t.Errorf("came at %d", at)
 	}
 	send(t, far, "answer")
 	want(t, near, "answer")
 	near.Close()
-	<-far.Gone()
-	if _, err := far.Read(make([]byte, 1)); err != io.EOF || far.ClosedAt() < before {
-		t.Errorf("%v at %d after the near end hung up", err, far.ClosedAt())
+	<-far.PeerClosed()
+	if _, err := far.Read(make([]byte, 1)); err != io.EOF || far.PeerClosedAt() < before {
+		t.Errorf("%v at %d after the near end hung up", err, far.PeerClosedAt())
 	}
 }
 
@@ -114,7 +114,7 @@
 	}
 	l.Set(State{})
 	want(t, near, "late")
-	if _, ok := far.Flushed(); !ok {
+	if _, ok := far.WaitFlushed(); !ok {
 		t.Error("not flushed")
 	}
 }
@@ -132,7 +132,7 @@
 	near, far := pair(t, l, 2)
 	l.Set(State{Hold: [2]bool{true, true}})
 	near.Close()
-	<-far.Gone()
+	<-far.PeerClosed()
 	read := make(chan error)
 	go func() {
 		_, err := far.Read(make([]byte, 1))
@@ -155,7 +155,7 @@
 	near, far := pair(t, l, 0)
 	l.Set(State{Hold: [2]bool{true, true}})
 	near.Close()
-	<-far.Gone()
+	<-far.PeerClosed()
 	ended := make(chan error, 1)
 	go func() {
 		_, err := far.Read(make([]byte, 1))
@@ -257,7 +257,7 @@
 		return err
 	}
 	for range 3 {
-		if err := at.Cut(true); err != nil {
+		if err := at.SetPartitioned(true); err != nil {
 			t.Fatal(err)
 		}
 		for _, i := range []int{3, 251} {
@@ -266,7 +266,7 @@
 				t.Errorf("a call from %d that is cut off: %v", i, err)
 			}
 		}
-		if err := at.Cut(false); err != nil {
+		if err := at.SetPartitioned(false); err != nil {
 			t.Fatal(err)
 		}
 		if err := dial(9); err != nil {
--- a/internal/lab/link/listen.go
+++ b/internal/lab/link/listen.go
@@ -27,15 +27,15 @@
 	return int(b[2])*250 + int(b[3]) - 1
 }
 
-// Place is an address that nobody else is given while it is kept, though nobody may listen there: a call to a process that
+// PortReservation is an address that nobody else is given while it is kept, though nobody may listen there: a call to a process that
 // is gone is refused, and never reaches one that the kernel gave the same port.
-type Place struct {
+type PortReservation struct {
 	fd   int
 	Addr netip.AddrPort
 }
 
 // Reserve takes a free port at an address.
-func Reserve(a netip.Addr) (*Place, error) {
+func Reserve(a netip.Addr) (*PortReservation, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, fmt.Errorf("link: reserve: %w", err)
@@ -53,11 +53,11 @@
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("link: reserve: %w", err), unix.Close(fd))
 	}
-	return &Place{fd, netip.AddrPortFrom(a, uint16(at.(*unix.SockaddrInet4).Port))}, nil
+	return &PortReservation{fd, netip.AddrPortFrom(a, uint16(at.(*unix.SockaddrInet4).Port))}, nil
 }
 
 // Close gives the place up.
-func (p *Place) Close() error { return unix.Close(p.fd) }
+func (p *PortReservation) Close() error { return unix.Close(p.fd) }
 
 // Anywhere is all loopback addresses, as far as a Listener goes.
 var Anywhere = netip.IPv4Unspecified()
@@ -145,11 +145,11 @@
 	}
 }
 
-// Cut has calls never come up, as by a network that carries nothing, or ends that. Connections that are up are not touched;
+// SetPartitioned has calls never come up, as by a network that carries nothing, or ends that. Connections that are up are not touched;
 // Link.Set holds those. The kernel drops the first packet of a call while the queue of those that nobody accepts is full
 // (listen(2)), so the queue is made as short as can be and filled with calls of our own. A call that comes up in the
 // moment before stays silent until the cut ends.
-func (l *Listener) Cut(cut bool) error {
+func (l *Listener) SetPartitioned(cut bool) error {
 	l.mu.Lock()
 	if l.cut == cut {
 		l.mu.Unlock()
--- a/internal/lab/listprocess.go
+++ b/internal/lab/listprocess.go
@@ -17,7 +17,7 @@
 type listProcess struct {
 	fleet  *Fleet
 	groups string
-	place  *link.Place
+	place  *link.PortReservation
 
 	mu    sync.Mutex
 	child *child
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -14,8 +14,8 @@
 	"gradeusher.example/gradeusher/internal/lab/plan"
 )
 
-// Try is one request as a client saw it. Times are ns of the lab's clock; 0: it did not happen.
-type Try struct {
+// Attempt is one request as a client saw it. Times are ns of the lab's clock; 0: it did not happen.
+type Attempt struct {
 	ID      string        `json:"id"`
 	Arrival int           `json:"arrival"` // index in the plan
 	Retry   bool          `json:"retry,omitempty"`
@@ -55,12 +55,12 @@
 
 	pools []*pool
 	mu    sync.Mutex
-	tries []Try
+	tries []Attempt
 }
 
 // Run sends all arrivals from start, in ns of the lab's clock, and returns what clients saw once each has its answer or has
 // given up. When ctx is done it sends no more.
-func (c *Clients) Run(ctx context.Context, start int64) []Try {
+func (c *Clients) Run(ctx context.Context, start int64) []Attempt {
 	for _, a := range c.Addresses {
 		c.pools = append(c.pools, &pool{address: a})
 	}
@@ -120,7 +120,7 @@
 }
 
 // settle counts how a try ended, unless another follows it. It tells whether the request is served.
-func (c *Clients) settle(t Try, more bool) bool {
+func (c *Clients) settle(t Attempt, more bool) bool {
 	c.mu.Lock()
 	c.tries = append(c.tries, t)
 	c.mu.Unlock()
@@ -130,7 +130,7 @@
 	return t.Status == 200
 }
 
-func (c *Clients) count(t Try) {
+func (c *Clients) count(t Attempt) {
 	switch t.Status {
 	case 200:
 		c.Live.Served.Add(1)
@@ -142,9 +142,9 @@
 }
 
 // try sends a request once and waits for its answer.
-func (c *Clients) try(i int, due int64, timeout time.Duration, retry bool) Try {
+func (c *Clients) try(i int, due int64, timeout time.Duration, retry bool) Attempt {
 	a := &c.Plan.Arrivals[i]
-	t := Try{ID: fmt.Sprintf("%08x%08x", uint32(c.Plan.Seed), uint32(i)<<1|uint32(b2i(retry))), Arrival: i, Retry: retry, Sidecar: a.Sidecar,
+	t := Attempt{ID: fmt.Sprintf("%08x%08x", uint32(c.Plan.Seed), uint32(i)<<1|uint32(b2i(retry))), Arrival: i, Retry: retry, Sidecar: a.Sidecar,
 		Class: a.Class, Client: plan.ClientName(a.Client), Due: due, Timeout: timeout, Began: clock.Now()}
 	q := question{id: t.ID, class: c.Plan.File.Classes[a.Class], work: a.Work, timeout: timeout, retry: retry, client: t.Client}
 	deadline := time.Now().Add(timeout + c.Slack + lookOn)
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -16,8 +16,8 @@
 type peers struct {
 	fleet  *Fleet
 	relay  *child
-	places []*link.Place // where each listens; then the liars
-	fronts []int         // ports of the relay, by sidecar
+	places []*link.PortReservation // where each listens; then the liars
+	fronts []int                   // ports of the relay, by sidecar
 
 	mu     sync.Mutex
 	active []*plan.Step // faults of links
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -51,14 +51,14 @@
 
 // Spec is a process to start.
 type Spec struct {
-	Name   string
-	Path   string
-	Args   []string
-	Env    []string // all of it
-	Log    string   // file that standard error is added to
-	Piped  bool     // standard input and output are pipes to the lab
-	Folder string   // its TMPDIR
-	Stays  bool     // it outlives the lab, if only to clean up
+	Name        string
+	Path        string
+	Args        []string
+	Env         []string // all of it
+	Log         string   // file that standard error is added to
+	Piped       bool     // standard input and output are pipes to the lab
+	Folder      string   // its TMPDIR
+	OutlivesLab bool     // it outlives the lab, if only to clean up
 }
 
 // Exit is how a process ended.
@@ -93,7 +93,7 @@
 	p := &Process{Spec: spec, ended: make(chan struct{}), cmd: exec.Command(spec.Path, spec.Args...)}
 	p.cmd.Env, p.cmd.Stderr = spec.Env, log
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	if spec.Stays {
+	if spec.OutlivesLab {
 		p.cmd.SysProcAttr.Pdeathsig = 0
 	}
 	if spec.Piped {
@@ -288,24 +288,24 @@
 	return errors.Join(ReadOnly(probe, false), os.Remove(probe))
 }
 
-// All is the processes that run, so that every one of them can be ended.
-type All struct {
+// Group is the processes that run, so that every one of them can be ended.
+type Group struct {
 	mu    sync.Mutex
 	alive []*Process
 }
 
 // Add takes a process in.
-func (a *All) Add(p *Process) {
+func (a *Group) Add(p *Process) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.alive = append(a.alive, p)
 }
 
 // Kill ends all at once.
-func (a *All) Kill() { a.Each((*Process).Kill) }
+func (a *Group) Kill() { a.Each((*Process).Kill) }
 
 // Each calls do with each process that was started, ended or not.
-func (a *All) Each(do func(*Process)) {
+func (a *Group) Each(do func(*Process)) {
 	a.mu.Lock()
 	all := append([]*Process(nil), a.alive...)
 	a.mu.Unlock()
--- a/internal/lab/sidecars.go
+++ b/internal/lab/sidecars.go
@@ -18,7 +18,7 @@
 // sidecar is one place where a sidecar's processes run, one after the other.
 type sidecar struct {
 	index  int
-	place  *link.Place // its address
+	place  *link.PortReservation // its address
 	folder string
 
 	mu    sync.Mutex
--- a/internal/lab/standin/host.go
+++ b/internal/lab/standin/host.go
@@ -76,8 +76,8 @@
 type machine struct {
 	process *server
 	net     *network
-	places  []*link.Place // kept as long as the experiment lasts, so that nobody gets its ports
-	cuts    sync.Map      // groups whose calls do not come up
+	places  []*link.PortReservation // kept as long as the experiment lasts, so that nobody gets its ports
+	cuts    sync.Map                // groups whose calls do not come up
 }
 
 func (h *host) obey(o ctl.Order, n *ctl.News) error {
@@ -180,7 +180,7 @@
 	}
 	m.process = p
 	m.cuts.Range(func(group, _ any) bool {
-		err = errors.Join(err, p.listeners[group.(int)].Cut(true))
+		err = errors.Join(err, p.listeners[group.(int)].SetPartitioned(true))
 		return true
 	})
 	return err
@@ -202,7 +202,7 @@
 	} else {
 		m.cuts.Delete(group)
 	}
-	if err := m.process.listeners[group].Cut(cut); err != nil && !errors.Is(err, net.ErrClosed) {
+	if err := m.process.listeners[group].SetPartitioned(cut); err != nil && !errors.Is(err, net.ErrClosed) {
 		return err
 	}
 	return nil // where no process is, the next one on the machine is cut off
--- a/internal/lab/standin/list.go
+++ b/internal/lab/standin/list.go
@@ -94,7 +94,7 @@
 	case "link":
 		l.net.change(o)
 		if o.Cut != nil {
-			return l.at.Cut(*o.Cut)
+			return l.at.SetPartitioned(*o.Cut)
 		}
 	case "reset", "forget":
 		l.net.change(o)
@@ -221,7 +221,7 @@
 				due.Stop()
 				return
 			}
-		case <-c.Gone():
+		case <-c.PeerClosed():
 			due.Stop()
 			return
 		case <-l.stop:
@@ -236,7 +236,7 @@
 
 // told notes what a sidecar has been written. It tells false where the connection ended before that was whole.
 func (l *platformList) told(c *link.Conn, near int, entries []ctl.Entry) bool {
-	at, ok := c.Flushed()
+	at, ok := c.WaitFlushed()
 	if !ok {
 		return false
 	}
--- a/internal/lab/standin/peers.go
+++ b/internal/lab/standin/peers.go
@@ -142,7 +142,7 @@
 		if near < 0 {
 			continue // nobody of the experiment
 		}
-		wait, passes := f.net.link(near).Packet()
+		wait, passes := f.net.link(near).DrawPacket()
 		if !passes {
 			continue
 		}
--- a/internal/lab/standin/relay.go
+++ b/internal/lab/standin/relay.go
@@ -206,7 +206,7 @@
 			if _, err := near.Write(buf[:n]); err != nil {
 				break
 			}
-			t, ok := near.Flushed()
+			t, ok := near.WaitFlushed()
 			if !ok {
 				break
 			}
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -151,7 +151,7 @@
 		if !idle.Stop() || err != nil {
 			return
 		}
-		began := c.CameAt()
+		began := c.ReceivedAt()
 		r, err := http.ReadRequest(in)
 		if err != nil {
 			return
@@ -204,8 +204,8 @@
 	if taken {
 		select {
 		case outcome = <-ended:
-		case <-c.Gone(): // the work goes on all the same
-			a.End, a.How = c.ClosedAt(), "left"
+		case <-c.PeerClosed(): // the work goes on all the same
+			a.End, a.How = c.PeerClosedAt(), "left"
 			s.records.Add(a)
 			return false
 		case <-s.stop:
@@ -226,12 +226,12 @@
 		a.How = "turned"
 		ok = s.say(c, http.StatusServiceUnavailable, "X-Not-Processed: 1\r\n", "full\n")
 	}
-	at, flushed := c.Flushed()
+	at, flushed := c.WaitFlushed()
 	switch {
 	case flushed && ok:
 		a.End = at
-	case c.ClosedAt() != 0:
-		a.End = c.ClosedAt()
+	case c.PeerClosedAt() != 0:
+		a.End = c.PeerClosedAt()
 	default: // this end closed it
 		a.End = clock.Now()
 	}
--- a/internal/lab/testcluster/relay.go
+++ b/internal/lab/testcluster/relay.go
@@ -155,7 +155,7 @@
 func (r *relay) sentAgo(far string, now int64) time.Duration {
 	if near, ok := r.near.Load(far); ok {
 		if conn, ok := near.(*link.Conn); ok {
-			return max(0, time.Duration(now-conn.CameAt()))
+			return max(0, time.Duration(now-conn.ReceivedAt()))
 		}
 	}
 	return 0
@@ -208,7 +208,7 @@
 		if err != nil {
 			return // closed
 		}
-		wait, passes := p.link.Packet()
+		wait, passes := p.link.DrawPacket()
 		if !passes || p.pending.Load() >= mostPackets {
 			continue
 		}
--- a/internal/lab/trace.go
+++ b/internal/lab/trace.go
@@ -21,17 +21,17 @@
 // Trace is what clients and servers saw of a request and its retry, from the records in a report's folder. It fails where no
 // client knows the id.
 func Trace(folder, id string) ([]Moment, error) {
-	tries, err := ctl.ReadRecords[load.Try](filepath.Join(folder, "requests.jsonl"))
+	tries, err := ctl.ReadRecords[load.Attempt](filepath.Join(folder, "requests.jsonl"))
 	if err != nil {
 		return nil, err
 	}
-	i := slices.IndexFunc(tries, func(t load.Try) bool { return t.ID == id })
+	i := slices.IndexFunc(tries, func(t load.Attempt) bool { return t.ID == id })
 	if i < 0 {
 		return nil, fmt.Errorf("%s: no request %q", folder, id)
 	}
 	arrival := tries[i].Arrival
-	tries = slices.DeleteFunc(tries, func(t load.Try) bool { return t.Arrival != arrival })
-	slices.SortFunc(tries, func(a, b load.Try) int { return cmp.Compare(a.Due, b.Due) })
+	tries = slices.DeleteFunc(tries, func(t load.Attempt) bool { return t.Arrival != arrival })
+	slices.SortFunc(tries, func(a, b load.Attempt) int { return cmp.Compare(a.Due, b.Due) })
 	var all []Moment
 	add := func(at int64, form string, args ...any) {
 		if at != 0 {
