--- a/internal/lab/check/spread_test.go
+++ b/internal/lab/check/spread_test.go
@@ -58,7 +58,7 @@
 	e.send(7, 0, "b", 20, 10) // a again
 	e.Attempts = append(e.Attempts, ctl.Attempt{Server: "b", First: e.Start + 7*sec, How: "turned", Work: sec})
 	e.send(8, 0, "a", 5, 1000) // too little for a window
-	e.Plan.Steps = []plan.Step{{At: 6 * time.Second, Do: plan.Trouble, Server: "a", Trouble: model.Trouble{Hang: true}},
+	e.Plan.Steps = []plan.Step{{At: 6 * time.Second, Do: plan.Trouble, Server: "a", Trouble: model.Fault{Hang: true}},
 		{At: 7 * time.Second, Do: plan.Trouble, Server: "a"}}
 	f, course := Figures{}, make([]Second, 12)
 	e.spreadFigures(f, course)
@@ -133,7 +133,7 @@
 		e.send(1, near, "a", 1, 1)
 	}
 	hang := func(at int, on bool) {
-		e.Plan.Steps = append(e.Plan.Steps, plan.Step{At: time.Duration(at) * time.Second, Do: plan.Trouble, Server: "a", Trouble: model.Trouble{Hang: on}})
+		e.Plan.Steps = append(e.Plan.Steps, plan.Step{At: time.Duration(at) * time.Second, Do: plan.Trouble, Server: "a", Trouble: model.Fault{Hang: on}})
 	}
 	hang(5, true)
 	hang(15, false)
--- a/internal/lab/ctl/ctl.go
+++ b/internal/lab/ctl/ctl.go
@@ -21,11 +21,11 @@
 	ID int    `json:"id"`
 	Do string `json:"do"`
 
-	UID     string         `json:"uid,omitempty"`   // the server meant
-	Spec    *model.Spec    `json:"spec,omitempty"`  // add
-	Cold    bool           `json:"cold,omitempty"`  // add, revive: started just now
-	Trouble *model.Trouble `json:"wrong,omitempty"` // trouble
-	By      int64          `json:"by,omitempty"`    // clock: ns that the wall clock jumps
+	UID     string       `json:"uid,omitempty"`   // the server meant
+	Spec    *model.Spec  `json:"spec,omitempty"`  // add
+	Cold    bool         `json:"cold,omitempty"`  // add, revive: started just now
+	Trouble *model.Fault `json:"wrong,omitempty"` // trouble
+	By      int64        `json:"by,omitempty"`    // clock: ns that the wall clock jumps
 
 	Nears []int       `json:"nears,omitempty"` // link, reset, forget: the near ends meant; none: all
 	State *link.State `json:"state,omitempty"` // link
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -74,14 +74,14 @@
 
 // Report is a server's load as it was at some moment in the past.
 type Report struct {
-	Held      int
-	Waiting   int
-	ErrorsPer float64 // a second
-	At        int64   // when it was so
+	InFlight        int
+	Waiting         int
+	ErrorsPerSecond float64 // a second
+	At              int64   // when it was so
 }
 
-// Trouble is what is wrong with a server now. The zero value is none.
-type Trouble struct {
+// Fault is what is wrong with a server now. The zero value is none.
+type Fault struct {
 	Slow   float64 `json:"slow"`   // times slower; 0 and 1: not
 	Stolen float64 `json:"stolen"` // share of the machine that another program takes, 0 to 1
 	Hang   bool    `json:"hang"`   // takes work, does none
@@ -99,7 +99,7 @@
 	now      int64
 	boot     int64 // the start that it is cold from
 	cold     bool
-	trouble  Trouble
+	trouble  Fault
 	draining bool
 	fallen   bool
 
@@ -141,8 +141,8 @@
 // Fallen tells whether it was sent too much while cold. It does nothing any more.
 func (s *Server) Fallen() bool { return s.fallen }
 
-// Held is the number of jobs that it holds.
-func (s *Server) Held() int { return len(s.running) + len(s.waiting) }
+// JobCount is the number of jobs that it holds.
+func (s *Server) JobCount() int { return len(s.running) + len(s.waiting) }
 
 // rate is the virtual work a second that each running job is given at s.now.
 func (s *Server) rate() float64 {
@@ -153,14 +153,14 @@
 	if n := len(s.running); n > s.Cores {
 		r *= float64(s.Cores) / float64(n)
 	}
-	if crowd := float64(s.Held())/float64(s.Cores) - s.ThrashAt; crowd > 0 {
+	if crowd := float64(s.JobCount())/float64(s.Cores) - s.ThrashAt; crowd > 0 {
 		r /= 1 + s.Thrash*crowd
 	}
 	return r
 }
 
-// Set changes what is wrong.
-func (s *Server) Set(now int64, t Trouble) {
+// SetFault changes what is wrong.
+func (s *Server) SetFault(now int64, t Fault) {
 	s.advance(now)
 	s.trouble = t
 }
@@ -286,7 +286,7 @@
 		return
 	}
 	since := float64(s.now-s.reported) / 1e9
-	s.reports = append(s.reports, Report{s.Held(), len(s.waiting), float64(s.errors) / since, s.now})
+	s.reports = append(s.reports, Report{s.JobCount(), len(s.waiting), float64(s.errors) / since, s.now})
 	s.reported, s.errors = s.now, 0
 	for len(s.reports) > 1 && s.reports[1].At+int64(s.ReportDelay) <= s.now {
 		s.reports = s.reports[1:]
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -43,14 +43,14 @@
 // TestTrouble has the work under way be slowed, stolen from and hung.
 func TestTrouble(t *testing.T) {
 	for _, tt := range []struct {
-		trouble Trouble
+		trouble Fault
 		ends    float64 // of 0.5 s at full speed, the trouble lasting from 0.1 s on
-	}{{Trouble{Slow: 4}, 0.1 + 4*0.4}, {Trouble{Stolen: 0.5}, 0.1 + 2*0.4}, {Trouble{Hang: true}, 5 + 0.4}} {
+	}{{Fault{Slow: 4}, 0.1 + 4*0.4}, {Fault{Stolen: 0.5}, 0.1 + 2*0.4}, {Fault{Hang: true}, 5 + 0.4}} {
 		s := New(spec(), 0, false)
 		s.Arrive(0, Job{Key: 1, Work: 1})
-		s.Set(second/10, tt.trouble)
+		s.SetFault(second/10, tt.trouble)
 		done := s.Advance(5 * second)
-		s.Set(5*second, Trouble{})
+		s.SetFault(5*second, Fault{})
 		done = append(done, s.Advance(9*second)...)
 		if len(done) != 1 || math.Abs(float64(done[0].At)/1e9-tt.ends) > 0.001 {
 			t.Errorf("%+v: %v, want the end at %v s", tt.trouble, done, tt.ends)
@@ -92,7 +92,7 @@
 	p := spec()
 	p.ReportEvery, p.ReportDelay = time.Second, 300*time.Millisecond
 	s := New(p, 0, false)
-	s.Set(0, Trouble{Hang: true})
+	s.SetFault(0, Fault{Hang: true})
 	for key := range uint64(4) {
 		s.Arrive(0, Job{Key: key, Work: 1})
 	}
@@ -101,7 +101,7 @@
 		t.Error("a report is seen before its delay")
 	}
 	s.Advance(second + second/3)
-	if r, ok := s.Report(); !ok || r.Held != 4 || r.Waiting != 1 || r.At != second {
+	if r, ok := s.Report(); !ok || r.InFlight != 4 || r.Waiting != 1 || r.At != second {
 		t.Errorf("report %+v, %v", r, ok)
 	}
 }
@@ -127,7 +127,7 @@
 		for key := range uint64(rapid.IntRange(1, 60).Draw(t, "jobs")) {
 			now += rapid.Int64Range(0, second/5).Draw(t, "wait")
 			if rapid.IntRange(0, 5).Draw(t, "set") == 0 {
-				s.Set(now, Trouble{Slow: rapid.Float64Range(0, 9).Draw(t, "slow"), Hang: rapid.Bool().Draw(t, "hang")})
+				s.SetFault(now, Fault{Slow: rapid.Float64Range(0, 9).Draw(t, "slow"), Hang: rapid.Bool().Draw(t, "hang")})
 			}
 			if s.Arrive(now, Job{key, rapid.Float64Range(0, 0.5).Draw(t, "work"), now + second/10}) {
 				held[key] = true
@@ -137,7 +137,7 @@
 				t.Fatalf("%d run and %d wait", len(s.running), len(s.waiting))
 			}
 		}
-		s.Set(now, Trouble{})
+		s.SetFault(now, Fault{})
 		now += 600 * second
 		if take(s.Advance(now)); len(held) != 0 {
 			t.Fatalf("%d jobs never ended", len(held))
--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -149,10 +149,10 @@
 	At      time.Duration
 	Fault   int // index in the file
 	Do      string
-	Sidecar int           // or ListIndex
-	Server  string        // uid
-	Trouble model.Trouble // what the server suffers from then on
-	State   string        // tell
+	Sidecar int         // or ListIndex
+	Server  string      // uid
+	Trouble model.Fault // what the server suffers from then on
+	State   string      // tell
 	Mode    string
 	By      time.Duration // clock, late; lie: the work a second
 	Nears   []int         // link faults; none: all. Of peers: the sidecars meant. Lie: the liars meant, from 0
--- a/internal/lab/plan/serversteps.go
+++ b/internal/lab/plan/serversteps.go
@@ -47,19 +47,19 @@
 	if err := d.claim(what, at, end); err != nil {
 		return err
 	}
-	trouble := func(at time.Duration, v model.Trouble) { d.step(Step{At: at, Do: Trouble, Server: uid, Trouble: v}) }
+	trouble := func(at time.Duration, v model.Fault) { d.step(Step{At: at, Do: Trouble, Server: uid, Trouble: v}) }
 	switch t.Do {
 	case "slow":
-		trouble(at, model.Trouble{Slow: t.Size})
-		trouble(end, model.Trouble{})
+		trouble(at, model.Fault{Slow: t.Size})
+		trouble(end, model.Fault{})
 	case "hang":
-		trouble(at, model.Trouble{Hang: true})
-		trouble(end, model.Trouble{})
+		trouble(at, model.Fault{Hang: true})
+		trouble(end, model.Fault{})
 	case "steal":
 		every := cmp.Or(Seconds(t.Every), end-at)
 		for on := at; on < end; on += 2 * every {
-			trouble(on, model.Trouble{Stolen: t.Size})
-			trouble(min(on+every, end), model.Trouble{})
+			trouble(on, model.Fault{Stolen: t.Size})
+			trouble(min(on+every, end), model.Fault{})
 		}
 	case "die":
 		d.step(Step{At: at, Do: Die, Server: uid})
--- a/internal/lab/standin/host.go
+++ b/internal/lab/standin/host.go
@@ -146,7 +146,7 @@
 		if o.Trouble == nil {
 			return errors.New("trouble: none given")
 		}
-		m.process.do(func(now int64) { m.process.model.Set(now, *o.Trouble) })
+		m.process.do(func(now int64) { m.process.model.SetFault(now, *o.Trouble) })
 	case "link":
 		m.net.change(o)
 		if o.Cut != nil {
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -248,7 +248,7 @@
 	s.mu.Unlock()
 	if ok {
 		// The names that the settings give (feedback.names).
-		header += fmt.Sprintf("X-Server-Load: concurrent=%d,depth=%d,err_ps=%.3f\r\n", load.Held, load.Waiting, load.ErrorsPer)
+		header += fmt.Sprintf("X-Server-Load: concurrent=%d,depth=%d,err_ps=%.3f\r\n", load.InFlight, load.Waiting, load.ErrorsPerSecond)
 	}
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s\r\n%s", status, http.StatusText(status), len(body), header, body)
 	return err == nil
--- a/internal/lab/testcluster/server.go
+++ b/internal/lab/testcluster/server.go
@@ -86,7 +86,7 @@
 
 // Load implements machine.
 func (p *plain) Load() (running, waiting int) {
-	held := p.Held()
+	held := p.JobCount()
 	return min(held, p.spec.Slots), max(0, held-p.spec.Slots)
 }
 
