--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -21,19 +21,19 @@
 	Start    int64 // of the load
 	Tries    []load.Attempt
 	Attempts []ctl.Attempt
-	Told     []ctl.Told
-	Falls    []ctl.News
+	Told     []ctl.ListUpdate
+	Falls    []ctl.Event
 	Exits    []proc.Exit
 	Runs     [][]Run // of each sidecar: its processes, in order
 	Peaks    []Peak  // of each sidecar
 	Lateness time.Duration
-	Shown    []ctl.Shown  // what keepers wrote to readers
-	Wrote    []ctl.Wrote  // what the lab's own clients of keepers did
-	Last     Last         // of the keepers
-	Gossip   []ctl.Gossip // what sidecars said to each other, a second each
+	Shown    []ctl.RegistryUpdate // what keepers wrote to readers
+	Wrote    []ctl.RegistryCall   // what the lab's own clients of keepers did
+	Last     Last                 // of the keepers
+	Gossip   []ctl.Gossip         // what sidecars said to each other, a second each
 
-	Routed []Routed     // the route tables that the lab put
-	Routes []ctl.Routes // what keepers wrote of them to sidecars
+	Routed []Routed          // the route tables that the lab put
+	Routes []ctl.RouteUpdate // what keepers wrote of them to sidecars
 
 	Twin *Evidence // of the same seed without its floods; nil: that was not played
 
@@ -171,7 +171,7 @@
 		switch {
 		case t.Status == 0 && !excused:
 			f.add("one-answer", "%s took request %s at %s and gave no answer: %s", name, t.ID, e.when(t.Sent), t.Fault)
-		case t.Status == 200 && !slices.ContainsFunc(attempts[t.ID], func(a ctl.Attempt) bool { return a.How == "served" && a.Server == t.By }):
+		case t.Status == 200 && !slices.ContainsFunc(attempts[t.ID], func(a ctl.Attempt) bool { return a.Outcome == "served" && a.Server == t.By }):
 			f.add("one-answer", "%s served request %s by %q, which no server says", name, t.ID, t.By)
 		case t.Status != 0 && t.Ended > late && !excused:
 			f.add("in-time", "%s answered request %s %v after its time", name, t.ID, time.Duration(t.Ended-t.Sent)-t.Timeout)
@@ -209,8 +209,8 @@
 		for i := 1; i < len(all); i++ {
 			before, a := all[i-1], all[i]
 			f.look("one-at-a-time", 1)
-			if !e.Plan.File.Classes[t.Class].Safe && before.How != "turned" {
-				f.add("no-duplicate", "request %s may have run at %s (%s) and went to %s at %s", id, before.Server, before.How, a.Server, e.when(a.First))
+			if !e.Plan.File.Classes[t.Class].Safe && before.Outcome != "turned" {
+				f.add("no-duplicate", "request %s may have run at %s (%s) and went to %s at %s", id, before.Server, before.Outcome, a.Server, e.when(a.First))
 			}
 			if before.End == 0 || before.End > a.First+slack {
 				f.add("one-at-a-time", "request %s went to %s at %s while its attempt at %s was out", id, a.Server, e.when(a.First), before.Server)
@@ -225,16 +225,16 @@
 		near   int
 		server string
 	}
-	told := map[pair][]ctl.Told{}
+	told := map[pair][]ctl.ListUpdate{}
 	for _, t := range e.Told {
 		p := pair{t.Near, t.UID}
 		told[p] = append(told[p], t)
 	}
 	for p := range told {
-		slices.SortStableFunc(told[p], func(a, b ctl.Told) int { return cmp.Compare(a.At, b.At) })
+		slices.SortStableFunc(told[p], func(a, b ctl.ListUpdate) int { return cmp.Compare(a.At, b.At) })
 	}
 	for _, all := range told {
-		if slices.ContainsFunc(all, func(t ctl.Told) bool { return t.State != "SERVING" }) {
+		if slices.ContainsFunc(all, func(t ctl.ListUpdate) bool { return t.State != "SERVING" }) {
 			f.look("drained", 1)
 		}
 	}
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -27,7 +27,7 @@
 			By: "s1"}
 	}
 	attempt := func(id, server string, at, took int64, how string) ctl.Attempt {
-		return ctl.Attempt{Server: server, ID: id, First: at, Whole: at, End: at + took, How: how}
+		return ctl.Attempt{Server: server, ID: id, First: at, Received: at, End: at + took, Outcome: how}
 	}
 	return &Evidence{Plan: p, Start: 1000 * ms, Runs: [][]Run{{{From: 1}}, {{From: 1}}}, Peaks: []Peak{{10, 20}, {10, 20}},
 		Tries: []load.Attempt{try("a", 0, 0, 1000*ms, 300*ms), try("b", 1, 1, 1100*ms, 700*ms), try("c", 2, 1, 1200*ms, 100*ms)},
@@ -78,34 +78,34 @@
 		{"late", func(e *Evidence) { e.Tries[0].Ended = 3501 * ms }, []string{"in-time"}},
 		{"late within the slack", func(e *Evidence) { e.Tries[0].Ended = 3499 * ms }, nil},
 		{"a submit sent again", func(e *Evidence) {
-			e.Attempts = append(e.Attempts, ctl.Attempt{Server: "s2", ID: "b", First: 1701 * ms, End: 1702 * ms, How: "served"})
+			e.Attempts = append(e.Attempts, ctl.Attempt{Server: "s2", ID: "b", First: 1701 * ms, End: 1702 * ms, Outcome: "served"})
 		}, []string{"no-duplicate"}},
 		{"a submit sent again after it was turned away", func(e *Evidence) {
-			e.Attempts = append(e.Attempts, ctl.Attempt{Server: "s2", ID: "b", First: 1090 * ms, End: 1099 * ms, How: "turned"})
+			e.Attempts = append(e.Attempts, ctl.Attempt{Server: "s2", ID: "b", First: 1090 * ms, End: 1099 * ms, Outcome: "turned"})
 		}, nil},
 		{"an id that no client sent", func(e *Evidence) { e.Attempts[3].ID = "z"; e.Tries = e.Tries[:2] }, []string{"no-duplicate"}},
 		{"a fetch sent four times", func(e *Evidence) {
 			for _, at := range []int64{1400, 1500} {
-				e.Attempts = append(e.Attempts, ctl.Attempt{Server: "s2", ID: "a", First: at * ms, End: at*ms + 1, How: "failed"})
+				e.Attempts = append(e.Attempts, ctl.Attempt{Server: "s2", ID: "a", First: at * ms, End: at*ms + 1, Outcome: "failed"})
 			}
 		}, []string{"no-duplicate"}},
 		{"two at once", func(e *Evidence) { e.Attempts[0].End = 1100 * ms }, []string{"one-at-a-time"}},
 		{"two at once within the slack", func(e *Evidence) { e.Attempts[0].End = 1050 * ms }, nil},
 		{"one that nobody ended", func(e *Evidence) { e.Attempts[0].End = 0 }, []string{"one-at-a-time"}},
-		{"sent to a drained server", func(e *Evidence) { e.Told = []ctl.Told{{UID: "s1", State: "DRAINING", At: 800 * ms}} }, []string{"drained"}},
-		{"sent within the grace", func(e *Evidence) { e.Told = []ctl.Told{{UID: "s1", State: "DRAINING", At: 860 * ms}} }, nil},
+		{"sent to a drained server", func(e *Evidence) { e.Told = []ctl.ListUpdate{{UID: "s1", State: "DRAINING", At: 800 * ms}} }, []string{"drained"}},
+		{"sent within the grace", func(e *Evidence) { e.Told = []ctl.ListUpdate{{UID: "s1", State: "DRAINING", At: 860 * ms}} }, nil},
 		{"deleted after it drained", func(e *Evidence) {
-			e.Told = []ctl.Told{{UID: "s1", State: "DRAINING", At: 800 * ms}, {UID: "s1", State: "DELETED", At: 1000 * ms}}
+			e.Told = []ctl.ListUpdate{{UID: "s1", State: "DRAINING", At: 800 * ms}, {UID: "s1", State: "DELETED", At: 1000 * ms}}
 		}, []string{"drained"}},
-		{"told another sidecar", func(e *Evidence) { e.Told = []ctl.Told{{Near: 1, UID: "s1", State: "DELETED", At: 500 * ms}} }, nil},
+		{"told another sidecar", func(e *Evidence) { e.Told = []ctl.ListUpdate{{Near: 1, UID: "s1", State: "DELETED", At: 500 * ms}} }, nil},
 		{"serving again", func(e *Evidence) {
-			e.Told = []ctl.Told{{UID: "s1", State: "DELETED", At: 500 * ms}, {UID: "s1", State: "SERVING", At: 600 * ms}}
+			e.Told = []ctl.ListUpdate{{UID: "s1", State: "DELETED", At: 500 * ms}, {UID: "s1", State: "SERVING", At: 600 * ms}}
 		}, nil},
 		{"told the process before", func(e *Evidence) {
-			e.Told = []ctl.Told{{UID: "s1", State: "DELETED", At: 500 * ms}}
+			e.Told = []ctl.ListUpdate{{UID: "s1", State: "DELETED", At: 500 * ms}}
 			e.Runs[0] = []Run{{From: 1, Killed: 600 * ms, To: 610 * ms}, {From: 700 * ms}}
 		}, nil},
-		{"a fall", func(e *Evidence) { e.Falls = []ctl.News{{UID: "s1"}} }, []string{"cold"}},
+		{"a fall", func(e *Evidence) { e.Falls = []ctl.Event{{UID: "s1"}} }, []string{"cold"}},
 		{"an end that nobody wanted", func(e *Evidence) { e.Exits[0].Wanted = false }, []string{"no-crash"}},
 		{"a failing end", func(e *Evidence) { e.Exits[0].Code = 2 }, []string{"no-crash"}},
 		{"killed by a fault", func(e *Evidence) { e.Exits[0].Code = -1 }, nil},
@@ -129,7 +129,7 @@
 	if got := seenBy(e); !slices.Equal(got, want) {
 		t.Errorf("held %v, want %v", got, want)
 	}
-	e.Told = []ctl.Told{{UID: "s3", State: "DRAINING", At: 800 * ms}} // nothing goes there
+	e.Told = []ctl.ListUpdate{{UID: "s3", State: "DRAINING", At: 800 * ms}} // nothing goes there
 	e.Attempts[1].Boot = e.Start + 1
 	want = []string{"one-answer", "in-time", "no-duplicate", "one-at-a-time", "drained", "cold", "no-crash", "memory", "descriptors", "lab-on-time"}
 	if got := seenBy(e); !slices.Equal(got, want) {
--- a/internal/lab/check/keepers.go
+++ b/internal/lab/check/keepers.go
@@ -36,7 +36,7 @@
 }
 
 // Behind are the readers that were not told the last revision.
-func Behind(p *plan.Plan, shown []ctl.Shown, last Last) (all []int) {
+func Behind(p *plan.Plan, shown []ctl.RegistryUpdate, last Last) (all []int) {
 	told := map[int]int64{}
 	for _, s := range shown {
 		if s.Cluster == last.Cluster && s.Watch {
@@ -96,7 +96,7 @@
 var register = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{entry{}} },
 	Step: func(state, input, output any) []any {
-		now, w := state.(entry), input.(ctl.Wrote)
+		now, w := state.(entry), input.(ctl.RegistryCall)
 		switch {
 		case !w.Write && now == (entry{}): // what was made before the first operation
 			return []any{entry{w.Rev, w.Value}}
@@ -107,13 +107,13 @@
 		}
 		fits := now.rev == w.Expect || now == (entry{}) || now.rev < 0 && w.Expect > -now.rev
 		switch {
-		case w.How == "conflict" && (now.rev != w.Expect):
+		case w.Outcome == "conflict" && (now.rev != w.Expect):
 			return []any{state}
-		case w.How == "conflict":
+		case w.Outcome == "conflict":
 			return nil
-		case w.How == "uncertain" && fits:
+		case w.Outcome == "uncertain" && fits:
 			return []any{state, entry{-w.Expect, w.Value}}
-		case w.How == "uncertain":
+		case w.Outcome == "uncertain":
 			return []any{state}
 		case fits && w.Rev > w.Expect:
 			return []any{entry{w.Rev, w.Value}}
@@ -129,11 +129,11 @@
 func (e *Evidence) linearizable(f findings) {
 	keys := map[int][]porcupine.Operation{}
 	for _, w := range e.Wrote {
-		if w.How == "none" {
+		if w.Outcome == "none" {
 			continue
 		}
 		end := w.Return
-		if w.How == "uncertain" {
+		if w.Outcome == "uncertain" {
 			end = math.MaxInt64
 		}
 		f.look("linearizable", 1)
@@ -152,7 +152,7 @@
 
 // revisions checks what each watch was shown, in the order in which it came.
 func (e *Evidence) revisions(f findings) {
-	conns := map[int64][]ctl.Shown{}
+	conns := map[int64][]ctl.RegistryUpdate{}
 	for _, s := range e.Shown {
 		if s.Watch {
 			conns[s.Conn] = append(conns[s.Conn], s)
@@ -160,16 +160,16 @@
 	}
 	for conn, all := range conns {
 		f.look("revisions", len(all))
-		slices.SortStableFunc(all, func(a, b ctl.Shown) int { return cmp.Compare(a.At, b.At) })
-		at := all[0].Holds
+		slices.SortStableFunc(all, func(a, b ctl.RegistryUpdate) int { return cmp.Compare(a.At, b.At) })
+		at := all[0].KnownRevision
 		for _, s := range all { // a whole list may come instead of changes, but never from behind
-			where := fmt.Sprintf("connection %d of reader %d to %s at %s", conn, s.Near, s.Keeper, e.when(s.At))
+			where := fmt.Sprintf("connection %d of reader %d to %s at %s", conn, s.Near, s.Node, e.when(s.At))
 			switch {
 			case s.Rev < at:
 				f.add("revisions", "%s: revision %d after %d", where, s.Rev, at)
-			case !s.All && s.N > 0 && s.Rev != at+int64(s.N):
-				f.add("revisions", "%s: %d changes lead from revision %d to %d", where, s.N, at, s.Rev)
-			case !s.All && s.N == 0 && s.Rev != at:
+			case !s.Complete && s.ServerCount > 0 && s.Rev != at+int64(s.ServerCount):
+				f.add("revisions", "%s: %d changes lead from revision %d to %d", where, s.ServerCount, at, s.Rev)
+			case !s.Complete && s.ServerCount == 0 && s.Rev != at:
 				f.add("revisions", "%s: nothing changed from revision %d to %d", where, at, s.Rev)
 			}
 			at = s.Rev
@@ -188,12 +188,12 @@
 	called := map[int64]int64{} // of the revisions that the writers made: when they called
 	for _, w := range e.Wrote {
 		switch {
-		case w.Write && w.How == "ok":
+		case w.Write && w.Outcome == "ok":
 			done++
 			note(took, w.Return-w.Call)
 			ends = append(ends, w.Return)
 			called[w.Rev] = w.Call
-		case w.Write && w.How == "uncertain":
+		case w.Write && w.Outcome == "uncertain":
 			uncertain++
 		}
 	}
@@ -213,9 +213,9 @@
 			seen[s.Conn] = true
 			watches++
 		}
-		if s.All {
+		if s.Complete {
 			whole++
-		} else if s.N > 0 && s.Cluster == e.Last.Cluster {
+		} else if s.ServerCount > 0 && s.Cluster == e.Last.Cluster {
 			last[s.Rev] = max(last[s.Rev], s.At)
 		}
 	}
@@ -224,10 +224,10 @@
 			note(told, at-from)
 		}
 	}
-	slices.SortFunc(e.Wrote, func(a, b ctl.Wrote) int { return cmp.Compare(a.Return, b.Return) })
+	slices.SortFunc(e.Wrote, func(a, b ctl.RegistryCall) int { return cmp.Compare(a.Return, b.Return) })
 	failover := newHistogram()
 	for _, kill := range e.Kills { // to the first write that was called afterwards and acknowledged
-		if i := slices.IndexFunc(e.Wrote, func(w ctl.Wrote) bool { return w.Write && w.How == "ok" && w.Call > kill }); i >= 0 {
+		if i := slices.IndexFunc(e.Wrote, func(w ctl.RegistryCall) bool { return w.Write && w.Outcome == "ok" && w.Call > kill }); i >= 0 {
 			note(failover, e.Wrote[i].Return-kill)
 		}
 	}
--- a/internal/lab/check/keepers_test.go
+++ b/internal/lab/check/keepers_test.go
@@ -18,37 +18,37 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	read := func(at int64, rev int64, value int) ctl.Wrote {
-		return ctl.Wrote{How: "ok", Rev: rev, Value: value, Call: at, Return: at + 5}
+	read := func(at int64, rev int64, value int) ctl.RegistryCall {
+		return ctl.RegistryCall{Outcome: "ok", Rev: rev, Value: value, Call: at, Return: at + 5}
 	}
-	write := func(at, expect, rev int64, value int, how string) ctl.Wrote {
-		return ctl.Wrote{Write: true, How: how, Expect: expect, Rev: rev, Value: value, Call: at, Return: at + 5}
+	write := func(at, expect, rev int64, value int, how string) ctl.RegistryCall {
+		return ctl.RegistryCall{Write: true, Outcome: how, Expect: expect, Rev: rev, Value: value, Call: at, Return: at + 5}
 	}
-	line := func(at, holds, rev int64, all bool, n int) ctl.Shown {
-		return ctl.Shown{Conn: 1, Watch: true, Cluster: "c", Holds: holds, Rev: rev, All: all, N: n, At: at}
+	line := func(at, holds, rev int64, all bool, n int) ctl.RegistryUpdate {
+		return ctl.RegistryUpdate{Conn: 1, Watch: true, Cluster: "c", KnownRevision: holds, Rev: rev, Complete: all, ServerCount: n, At: at}
 	}
-	whole := []ctl.Shown{line(1, -1, 9, true, 4)}
+	whole := []ctl.RegistryUpdate{line(1, -1, 9, true, 4)}
 	for name, tt := range map[string]struct {
-		wrote  []ctl.Wrote
-		shown  []ctl.Shown
+		wrote  []ctl.RegistryCall
+		shown  []ctl.RegistryUpdate
 		last   int64
 		broken string
 	}{
-		"in order":                {[]ctl.Wrote{read(0, 3, 0), write(10, 3, 7, 1, "ok"), read(20, 7, 1)}, whole, 9, ""},
-		"uncertain and done":      {[]ctl.Wrote{read(0, 3, 0), write(10, 3, 0, 1, "uncertain"), read(20, 3, 0), read(30, 8, 1)}, whole, 9, ""},
-		"uncertain and not done":  {[]ctl.Wrote{read(0, 3, 0), write(10, 3, 0, 1, "uncertain"), write(20, 3, 6, 2, "ok"), read(30, 6, 2)}, whole, 9, ""},
-		"conflict":                {[]ctl.Wrote{read(0, 3, 0), write(10, 3, 5, 1, "ok"), write(20, 3, 0, 2, "conflict"), read(30, 5, 1)}, whole, 9, ""},
-		"an answer too old":       {[]ctl.Wrote{read(0, 3, 0), write(10, 3, 7, 1, "ok"), read(20, 3, 0)}, whole, 9, "linearizable"},
-		"a write lost":            {[]ctl.Wrote{read(0, 3, 0), write(10, 3, 7, 1, "ok"), write(20, 3, 8, 2, "ok")}, whole, 9, "linearizable"},
-		"undone after a read":     {[]ctl.Wrote{read(0, 3, 0), write(10, 3, 0, 1, "uncertain"), read(20, 4, 1), read(30, 3, 0)}, whole, 9, "linearizable"},
-		"a conflict with nobody":  {[]ctl.Wrote{read(0, 3, 0), write(10, 3, 0, 2, "conflict"), read(20, 3, 0)}, whole, 9, "linearizable"},
-		"changes":                 {nil, []ctl.Shown{line(1, 5, 6, false, 1), line(2, 5, 6, false, 0), line(3, 5, 9, false, 3)}, 9, ""},
-		"the whole list, resumed": {nil, []ctl.Shown{line(1, 5, 8, true, 1), line(2, 5, 9, false, 1)}, 9, ""},
-		"a gap":                   {nil, []ctl.Shown{line(1, 5, 6, false, 1), line(3, 5, 9, false, 1)}, 9, "revisions"},
-		"a gap at the start":      {nil, []ctl.Shown{line(1, 5, 9, false, 1)}, 9, "revisions"},
-		"a repeat":                {nil, []ctl.Shown{line(1, 8, 9, false, 1), line(3, 8, 9, false, 1)}, 9, "revisions"},
-		"back":                    {nil, []ctl.Shown{line(1, 10, 9, true, 4)}, 9, "revisions"},
-		"not told":                {nil, []ctl.Shown{line(1, -1, 8, true, 4)}, 9, "told-all"},
+		"in order":                {[]ctl.RegistryCall{read(0, 3, 0), write(10, 3, 7, 1, "ok"), read(20, 7, 1)}, whole, 9, ""},
+		"uncertain and done":      {[]ctl.RegistryCall{read(0, 3, 0), write(10, 3, 0, 1, "uncertain"), read(20, 3, 0), read(30, 8, 1)}, whole, 9, ""},
+		"uncertain and not done":  {[]ctl.RegistryCall{read(0, 3, 0), write(10, 3, 0, 1, "uncertain"), write(20, 3, 6, 2, "ok"), read(30, 6, 2)}, whole, 9, ""},
+		"conflict":                {[]ctl.RegistryCall{read(0, 3, 0), write(10, 3, 5, 1, "ok"), write(20, 3, 0, 2, "conflict"), read(30, 5, 1)}, whole, 9, ""},
+		"an answer too old":       {[]ctl.RegistryCall{read(0, 3, 0), write(10, 3, 7, 1, "ok"), read(20, 3, 0)}, whole, 9, "linearizable"},
+		"a write lost":            {[]ctl.RegistryCall{read(0, 3, 0), write(10, 3, 7, 1, "ok"), write(20, 3, 8, 2, "ok")}, whole, 9, "linearizable"},
+		"undone after a read":     {[]ctl.RegistryCall{read(0, 3, 0), write(10, 3, 0, 1, "uncertain"), read(20, 4, 1), read(30, 3, 0)}, whole, 9, "linearizable"},
+		"a conflict with nobody":  {[]ctl.RegistryCall{read(0, 3, 0), write(10, 3, 0, 2, "conflict"), read(20, 3, 0)}, whole, 9, "linearizable"},
+		"changes":                 {nil, []ctl.RegistryUpdate{line(1, 5, 6, false, 1), line(2, 5, 6, false, 0), line(3, 5, 9, false, 3)}, 9, ""},
+		"the whole list, resumed": {nil, []ctl.RegistryUpdate{line(1, 5, 8, true, 1), line(2, 5, 9, false, 1)}, 9, ""},
+		"a gap":                   {nil, []ctl.RegistryUpdate{line(1, 5, 6, false, 1), line(3, 5, 9, false, 1)}, 9, "revisions"},
+		"a gap at the start":      {nil, []ctl.RegistryUpdate{line(1, 5, 9, false, 1)}, 9, "revisions"},
+		"a repeat":                {nil, []ctl.RegistryUpdate{line(1, 8, 9, false, 1), line(3, 8, 9, false, 1)}, 9, "revisions"},
+		"back":                    {nil, []ctl.RegistryUpdate{line(1, 10, 9, true, 4)}, 9, "revisions"},
+		"not told":                {nil, []ctl.RegistryUpdate{line(1, -1, 8, true, 4)}, 9, "told-all"},
 		"nobody leads":            {nil, whole, 0, "told-all"},
 	} {
 		e := &Evidence{Plan: p, Wrote: tt.wrote, Shown: tt.shown, Last: Last{"c", tt.last}, Runs: make([][]Run, 1)}
--- a/internal/lab/check/routes.go
+++ b/internal/lab/check/routes.go
@@ -44,7 +44,7 @@
 	for i, r := range e.Routed {
 		put[r.Gen] = i
 	}
-	said := map[int][]ctl.Routes{}
+	said := map[int][]ctl.RouteUpdate{}
 	for _, s := range e.Routes {
 		said[s.Near] = append(said[s.Near], s)
 	}
@@ -54,20 +54,20 @@
 			continue
 		}
 		all := said[near]
-		slices.SortStableFunc(all, func(a, b ctl.Routes) int { return cmp.Compare(a.At, b.At) })
+		slices.SortStableFunc(all, func(a, b ctl.RouteUpdate) int { return cmp.Compare(a.At, b.At) })
 		name := e.Plan.Sidecars[near].Name
 		held, at, gen := "", int64(0), map[string]int64{}
 		for _, s := range all {
-			if s.Gen < gen[s.Cluster] && s.Cluster != "" {
-				f.add("routes", "%s was told generation %d at %s, after %d", name, s.Gen, e.when(s.At), gen[s.Cluster])
+			if s.Generation < gen[s.Cluster] && s.Cluster != "" {
+				f.add("routes", "%s was told generation %d at %s, after %d", name, s.Generation, e.when(s.At), gen[s.Cluster])
 			}
 			if s.Cluster == "" || s.Hash == "" {
 				continue // it says only that nothing changed
 			}
-			gen[s.Cluster] = s.Gen
+			gen[s.Cluster] = s.Generation
 			f.look("routes", 1)
-			if i, known := put[s.Gen]; known && s.Hash != routesOf(e.Plan, near, e.Routed[i].Table) {
-				f.add("routes", "%s was told another table for generation %d at %s than was put", name, s.Gen, e.when(s.At))
+			if i, known := put[s.Generation]; known && s.Hash != routesOf(e.Plan, near, e.Routed[i].Table) {
+				f.add("routes", "%s was told another table for generation %d at %s than was put", name, s.Generation, e.when(s.At))
 			}
 			if held != s.Hash {
 				held, at = s.Hash, s.At
@@ -114,13 +114,13 @@
 		return
 	}
 	e.astray(f)
-	said := map[int][]ctl.Routes{}
+	said := map[int][]ctl.RouteUpdate{}
 	var sum, wholes, diffs float64
 	for _, s := range e.Routes {
 		switch {
 		case s.Hash == "":
 			continue
-		case s.All:
+		case s.Complete:
 			wholes++
 		default:
 			diffs++
@@ -136,14 +136,14 @@
 			continue
 		}
 		lines := said[near]
-		slices.SortStableFunc(lines, func(a, b ctl.Routes) int { return cmp.Compare(a.At, b.At) })
+		slices.SortStableFunc(lines, func(a, b ctl.RouteUpdate) int { return cmp.Compare(a.At, b.At) })
 		next := 0
 		for i := 1; i < len(e.Routed); i++ {
 			r := e.Routed[i]
 			if routesOf(e.Plan, near, r.Table) == routesOf(e.Plan, near, e.Routed[i-1].Table) {
 				continue
 			}
-			for next < len(lines) && (lines[next].Gen < r.Gen || lines[next].At < r.Call) {
+			for next < len(lines) && (lines[next].Generation < r.Gen || lines[next].At < r.Call) {
 				next++
 			}
 			took := int64(math.MaxInt64)
--- a/internal/lab/check/routes_test.go
+++ b/internal/lab/check/routes_test.go
@@ -30,7 +30,7 @@
 		"told late":         {func(e *Evidence) { e.Routes[3].At += 2000 * ms }, []string{"routes"}, 2030},
 		"another table":     {func(e *Evidence) { e.Routes[2].Hash = "x" }, []string{"routes"}, 0},
 		"one of before":     {func(e *Evidence) { e.Routes = append(e.Routes, e.Routes[0]); e.Routes[4].At = 5000 * ms }, []string{"routes"}, 0},
-		"a beat":            {func(e *Evidence) { e.Routes = append(e.Routes, ctl.Routes{Near: 1, Gen: 3, At: 5000 * ms}) }, nil, 30},
+		"a beat":            {func(e *Evidence) { e.Routes = append(e.Routes, ctl.RouteUpdate{Near: 1, Generation: 3, At: 5000 * ms}) }, nil, 30},
 		"late by a fault":   {func(e *Evidence) { e.Routes[3].At += 2000 * ms; e.Plan.Bands = []plan.Band{{To: 5e9}} }, nil, 2030},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -43,7 +43,7 @@
 			}
 			say := func(near int, gen int64, all bool) {
 				r := e.Routed[gen-1]
-				e.Routes = append(e.Routes, ctl.Routes{Near: near, Gen: gen, All: all, Cluster: "c", Bytes: 100, At: r.Call + 30*ms, Hash: routesOf(e.Plan, near, r.Table)})
+				e.Routes = append(e.Routes, ctl.RouteUpdate{Near: near, Generation: gen, Complete: all, Cluster: "c", Bytes: 100, At: r.Call + 30*ms, Hash: routesOf(e.Plan, near, r.Table)})
 			}
 			say(0, 1, true)
 			say(1, 1, true)
--- a/internal/lab/check/spread.go
+++ b/internal/lab/check/spread.go
@@ -29,7 +29,7 @@
 	counts := make([]int, n)
 	for _, a := range e.Attempts {
 		s := int((a.First - e.Start) / int64(time.Second))
-		if a.First < e.Start || s >= n || a.How == "turned" {
+		if a.First < e.Start || s >= n || a.Outcome == "turned" {
 			continue
 		}
 		if work[s] == nil {
--- a/internal/lab/child.go
+++ b/internal/lab/child.go
@@ -16,26 +16,26 @@
 // child is a stand-in process that obeys orders.
 type child struct {
 	*proc.Process
-	ready ctl.News
+	ready ctl.Event
 	mu    sync.Mutex
 	next  int
-	wait  map[int]chan ctl.News
+	wait  map[int]chan ctl.Event
 	heard chan struct{} // closed when its output ends
 }
 
 // startChild starts a stand-in and waits until it is ready. tell gets the news that no order asked for.
-func startChild(s *proc.Starter, spec proc.Spec, tell func(ctl.News)) (*child, error) {
+func startChild(s *proc.Starter, spec proc.Spec, tell func(ctl.Event)) (*child, error) {
 	spec.Piped = true
 	p, err := s.Start(spec)
 	if err != nil {
 		return nil, err
 	}
-	c := &child{Process: p, wait: map[int]chan ctl.News{}, heard: make(chan struct{})}
-	ready := make(chan ctl.News, 1)
+	c := &child{Process: p, wait: map[int]chan ctl.Event{}, heard: make(chan struct{})}
+	ready := make(chan ctl.Event, 1)
 	go func() {
 		defer close(c.heard)
 		defer p.Out.Close()
-		_ = ctl.Lines(p.Out, func(n ctl.News) error { // a line that cannot be read ends it, which waiters see
+		_ = ctl.Lines(p.Out, func(n ctl.Event) error { // a line that cannot be read ends it, which waiters see
 			switch {
 			case n.ID != 0:
 				c.mu.Lock()
@@ -64,8 +64,8 @@
 }
 
 // order gives an order and waits until it is done.
-func (c *child) order(o ctl.Order) (ctl.News, error) {
-	wait := make(chan ctl.News, 1)
+func (c *child) order(o ctl.Order) (ctl.Event, error) {
+	wait := make(chan ctl.Event, 1)
 	c.mu.Lock()
 	c.next++
 	o.ID = c.next
@@ -76,7 +76,7 @@
 	}
 	c.mu.Unlock()
 	if err != nil {
-		return ctl.News{}, fmt.Errorf("%s: %w", c.Name, err)
+		return ctl.Event{}, fmt.Errorf("%s: %w", c.Name, err)
 	}
 	timer := time.NewTimer(patience)
 	defer timer.Stop()
@@ -87,9 +87,9 @@
 		}
 		return n, nil
 	case <-c.heard:
-		return ctl.News{}, fmt.Errorf("%s: %w", c.Name, errGone)
+		return ctl.Event{}, fmt.Errorf("%s: %w", c.Name, errGone)
 	case <-timer.C:
-		return ctl.News{}, fmt.Errorf("%s: no word within %v", c.Name, patience)
+		return ctl.Event{}, fmt.Errorf("%s: no word within %v", c.Name, patience)
 	}
 }
 
--- a/internal/lab/ctl/ctl.go
+++ b/internal/lab/ctl/ctl.go
@@ -21,16 +21,16 @@
 	ID int    `json:"id"`
 	Do string `json:"do"`
 
-	UID     string       `json:"uid,omitempty"`   // the server meant
-	Spec    *model.Spec  `json:"spec,omitempty"`  // add
-	Cold    bool         `json:"cold,omitempty"`  // add, revive: started just now
-	Trouble *model.Fault `json:"wrong,omitempty"` // trouble
-	By      int64        `json:"by,omitempty"`    // clock: ns that the wall clock jumps
+	UID   string       `json:"uid,omitempty"`   // the server meant
+	Spec  *model.Spec  `json:"spec,omitempty"`  // add
+	Cold  bool         `json:"cold,omitempty"`  // add, revive: started just now
+	Fault *model.Fault `json:"wrong,omitempty"` // trouble
+	By    int64        `json:"by,omitempty"`    // clock: ns that the wall clock jumps
 
-	Nears []int       `json:"nears,omitempty"` // link, reset, forget: the near ends meant; none: all
-	State *link.State `json:"state,omitempty"` // link
-	Cut   *bool       `json:"cut,omitempty"`   // link: whether calls of group come up
-	Group int         `json:"group,omitempty"` // link: the group of near ends that Cut means
+	Nears       []int       `json:"nears,omitempty"` // link, reset, forget: the near ends meant; none: all
+	State       *link.State `json:"state,omitempty"` // link
+	Partitioned *bool       `json:"cut,omitempty"`   // link: whether calls of group come up
+	Group       int         `json:"group,omitempty"` // link: the group of near ends that Cut means
 
 	Front    string `json:"front,omitempty"`     // front: where the relay leads calls to UID
 	BySource bool   `json:"by_source,omitempty"` // front: callers are told by where they call from
@@ -53,8 +53,8 @@
 	Size float64 `json:"capacity_hint"`
 }
 
-// News is what a stand-in says to the lab.
-type News struct {
+// Event is what a stand-in says to the lab.
+type Event struct {
 	ID     int    `json:"id,omitempty"` // of the order that this acknowledges; 0: none
 	At     int64  `json:"at"`           // when it took effect, in ns of the lab's clock
 	Error  string `json:"error,omitempty"`
@@ -66,51 +66,51 @@
 
 // Attempt is what a server saw of one attempt.
 type Attempt struct {
-	Server string `json:"s"`
-	Boot   int64  `json:"b"` // start of the process that got it, ns
-	Near   int    `json:"n"` // the sidecar
-	ID     string `json:"i"` // of the request
-	First  int64  `json:"f"` // when the sidecar sent its first bytes
-	Whole  int64  `json:"w"` // when its last byte had arrived
-	End    int64  `json:"e"` // when either side hung up, or the answer was written whole; 0: neither happened
-	How    string `json:"h"` // "served", "failed", "turned", "left": the sidecar hung up, "died": the server did
-	New    bool   `json:"c"` // the first on its connection
-	Work   int64  `json:"k"` // ns of a core of speed 1
-}
-
-// Told is what a list wrote to one sidecar.
-type Told struct {
+	Server   string `json:"s"`
+	Boot     int64  `json:"b"` // start of the process that got it, ns
+	Near     int    `json:"n"` // the sidecar
+	ID       string `json:"i"` // of the request
+	First    int64  `json:"f"` // when the sidecar sent its first bytes
+	Received int64  `json:"w"` // when its last byte had arrived
+	End      int64  `json:"e"` // when either side hung up, or the answer was written whole; 0: neither happened
+	Outcome  string `json:"h"` // "served", "failed", "turned", "left": the sidecar hung up, "died": the server did
+	New      bool   `json:"c"` // the first on its connection
+	Work     int64  `json:"k"` // ns of a core of speed 1
+}
+
+// ListUpdate is what a list wrote to one sidecar.
+type ListUpdate struct {
 	Near  int    `json:"n"`
 	UID   string `json:"u"`
 	State string `json:"s"`
 	At    int64  `json:"t"` // when it was written whole
 }
 
-// Shown is one line of the list that a keeper wrote to one who reads it.
-type Shown struct {
-	Near    int    `json:"n"`
-	Keeper  string `json:"k"`
-	Conn    int64  `json:"c"` // the connection, a number of its own
-	Watch   bool   `json:"w"`
-	Holds   int64  `json:"h"` // the revision that the reader said he holds as he called; below 0: none
-	Cluster string `json:"l"` // whose it is
-	Rev     int64  `json:"r"`
-	All     bool   `json:"a"`
-	N       int    `json:"x"` // servers in it
-	At      int64  `json:"t"` // when it was written whole
-}
-
-// Routes is one line of the route table that a keeper wrote to one who watches it.
-type Routes struct {
-	Near    int    `json:"n"`
-	Keeper  string `json:"k"`
-	Conn    int64  `json:"c"` // the connection, a number of its own
-	Bytes   int    `json:"b"`
-	At      int64  `json:"t"` // when it was written whole
-	Gen     int64  `json:"gen"`
-	All     bool   `json:"all"`
-	Hash    string `json:"hash"`    // of what it leads to; "": it says only that nothing changed
-	Cluster string `json:"cluster"` // whose generation it is; "": as in the line before
+// RegistryUpdate is one line of the list that a keeper wrote to one who reads it.
+type RegistryUpdate struct {
+	Near          int    `json:"n"`
+	Node          string `json:"k"`
+	Conn          int64  `json:"c"` // the connection, a number of its own
+	Watch         bool   `json:"w"`
+	KnownRevision int64  `json:"h"` // the revision that the reader said he holds as he called; below 0: none
+	Cluster       string `json:"l"` // whose it is
+	Rev           int64  `json:"r"`
+	Complete      bool   `json:"a"`
+	ServerCount   int    `json:"x"` // servers in it
+	At            int64  `json:"t"` // when it was written whole
+}
+
+// RouteUpdate is one line of the route table that a keeper wrote to one who watches it.
+type RouteUpdate struct {
+	Near       int    `json:"n"`
+	Node       string `json:"k"`
+	Conn       int64  `json:"c"` // the connection, a number of its own
+	Bytes      int    `json:"b"`
+	At         int64  `json:"t"` // when it was written whole
+	Generation int64  `json:"gen"`
+	Complete   bool   `json:"all"`
+	Hash       string `json:"hash"`    // of what it leads to; "": it says only that nothing changed
+	Cluster    string `json:"cluster"` // whose generation it is; "": as in the line before
 }
 
 // Gossip is what sidecars said to each other since the last one.
@@ -122,17 +122,17 @@
 	StreamBytes int64 `json:"c"`
 }
 
-// Wrote is one write or read that a client of the keepers made, by the content that it wrote or found.
-type Wrote struct {
-	Client int    `json:"c"`
-	Key    int    `json:"k"`
-	Write  bool   `json:"w"`
-	Expect int64  `json:"e"` // write: the revision that the entry had to have
-	Value  int    `json:"v"`
-	Rev    int64  `json:"r"` // of the entry after it
-	How    string `json:"h"` // "ok", "conflict", "uncertain": it may have been done, and may yet be; "none": it was not
-	Call   int64  `json:"f"` // ns
-	Return int64  `json:"t"` // ns
+// RegistryCall is one write or read that a client of the keepers made, by the content that it wrote or found.
+type RegistryCall struct {
+	Client  int    `json:"c"`
+	Key     int    `json:"k"`
+	Write   bool   `json:"w"`
+	Expect  int64  `json:"e"` // write: the revision that the entry had to have
+	Value   int    `json:"v"`
+	Rev     int64  `json:"r"` // of the entry after it
+	Outcome string `json:"h"` // "ok", "conflict", "uncertain": it may have been done, and may yet be; "none": it was not
+	Call    int64  `json:"f"` // ns
+	Return  int64  `json:"t"` // ns
 }
 
 // Marshal is a value as a line.
@@ -144,17 +144,17 @@
 	return append(line, '\n'), nil
 }
 
-// Out writes news, one line each. It is safe for concurrent use.
-type Out struct {
+// EventWriter writes news, one line each. It is safe for concurrent use.
+type EventWriter struct {
 	mu sync.Mutex
 	to io.Writer
 }
 
-// NewOut writes to a lab.
-func NewOut(to io.Writer) *Out { return &Out{to: to} }
+// NewEventWriter writes to a lab.
+func NewEventWriter(to io.Writer) *EventWriter { return &EventWriter{to: to} }
 
-// Say writes one piece of news. A lab that is gone is no error: the input ends too.
-func (o *Out) Say(n News) {
+// Send writes one piece of news. A lab that is gone is no error: the input ends too.
+func (o *EventWriter) Send(n Event) {
 	line, err := Marshal(n)
 	if err != nil {
 		return // News always marshals
--- a/internal/lab/evidence.go
+++ b/internal/lab/evidence.go
@@ -29,10 +29,10 @@
 	}
 	if f.keepers != nil {
 		var err error
-		if e.Shown, err = ctl.ReadRecords[ctl.Shown](f.records("shown", 0)); err != nil {
+		if e.Shown, err = ctl.ReadRecords[ctl.RegistryUpdate](f.records("shown", 0)); err != nil {
 			return err
 		}
-		if e.Routes, err = ctl.ReadRecords[ctl.Routes](f.records("routes", 0)); err != nil {
+		if e.Routes, err = ctl.ReadRecords[ctl.RouteUpdate](f.records("routes", 0)); err != nil {
 			return err
 		}
 		if f.routes != nil {
@@ -41,7 +41,7 @@
 		e.Wrote, e.KeeperPeaks = f.writers.wrote, f.keepers.peaks()
 	}
 	for i := range lists {
-		all, err := ctl.ReadRecords[ctl.Told](f.records("told", i))
+		all, err := ctl.ReadRecords[ctl.ListUpdate](f.records("told", i))
 		if err != nil {
 			return err
 		}
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -48,7 +48,7 @@
 	entries  map[string]ctl.Entry // what is so, which the list learns later
 	known    []ctl.Entry          // at the start
 	told     []ctl.Entry          // what the list has learnt, in order
-	falls    []ctl.News
+	falls    []ctl.Event
 	faults   []error
 	sidecars []*sidecar
 	links    *links
@@ -141,7 +141,7 @@
 }
 
 // hear takes what stand-ins say by themselves.
-func (f *Fleet) hear(n ctl.News) {
+func (f *Fleet) hear(n ctl.Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if n.Kind == "fell" {
--- a/internal/lab/keepers.go
+++ b/internal/lab/keepers.go
@@ -247,7 +247,7 @@
 		for _, s := range all {
 			last = check.Last{Cluster: s.Cluster, Rev: s.Rev}
 		}
-		shown, err := ctl.ReadRecords[ctl.Shown](path)
+		shown, err := ctl.ReadRecords[ctl.RegistryUpdate](path)
 		if err == nil && len(check.Behind(ks.fleet.plan, shown, last)) == 0 {
 			return last
 		}
--- a/internal/lab/links.go
+++ b/internal/lab/links.go
@@ -120,12 +120,12 @@
 		for _, cut := range cuts {
 			all = all && cut
 		}
-		n, err := far.order(ctl.Order{Do: "link", Cut: &all})
+		n, err := far.order(ctl.Order{Do: "link", Partitioned: &all})
 		return max(at, n.At), err
 	}
 	for _, g := range slices.Sorted(maps.Keys(cuts)) {
 		cut := cuts[g]
-		n, err := far.order(ctl.Order{Do: "link", UID: uid, Group: g, Cut: &cut})
+		n, err := far.order(ctl.Order{Do: "link", UID: uid, Group: g, Partitioned: &cut})
 		if err != nil {
 			return n.At, err
 		}
--- a/internal/lab/standin/host.go
+++ b/internal/lab/standin/host.go
@@ -24,14 +24,14 @@
 	if err != nil {
 		return err
 	}
-	h := &host{out: ctl.NewOut(news), groups: max(1, groups), records: r, servers: map[string]*machine{}, gone: map[string]*machine{}}
+	h := &host{out: ctl.NewEventWriter(news), groups: max(1, groups), records: r, servers: map[string]*machine{}, gone: map[string]*machine{}}
 	if len(keepers) > 0 {
 		if h.registrar, err = newRegistrar(keepers, lease); err != nil {
 			return errors.Join(err, r.Close())
 		}
 		defer h.registrar.close()
 	}
-	h.out.Say(ctl.News{Kind: "ready", At: clock.Now()})
+	h.out.Send(ctl.Event{Kind: "ready", At: clock.Now()})
 	// Links are set side by side, since to cut off calls takes milliseconds; whatever else comes waits for them.
 	var links sync.WaitGroup
 	err = ctl.Lines(orders, func(o ctl.Order) error {
@@ -62,7 +62,7 @@
 
 // host is the servers of one process. Orders come one at a time.
 type host struct {
-	out     *ctl.Out
+	out     *ctl.EventWriter
 	groups  int
 	records *ctl.Records
 	servers map[string]*machine
@@ -80,7 +80,7 @@
 	cuts    sync.Map                // groups whose calls do not come up
 }
 
-func (h *host) obey(o ctl.Order, n *ctl.News) error {
+func (h *host) obey(o ctl.Order, n *ctl.Event) error {
 	if o.Do == "clock" {
 		h.skew += time.Duration(o.By)
 		return nil
@@ -143,14 +143,14 @@
 		n.BootMS, n.Ports = h.bootMS(), m.process.ports
 		h.register(m, n.BootMS)
 	case "trouble":
-		if o.Trouble == nil {
+		if o.Fault == nil {
 			return errors.New("trouble: none given")
 		}
-		m.process.do(func(now int64) { m.process.model.SetFault(now, *o.Trouble) })
+		m.process.do(func(now int64) { m.process.model.SetFault(now, *o.Fault) })
 	case "link":
 		m.net.change(o)
-		if o.Cut != nil {
-			return m.cut(o.Group, *o.Cut)
+		if o.Partitioned != nil {
+			return m.cut(o.Group, *o.Partitioned)
 		}
 	case "reset", "forget":
 		m.net.change(o)
@@ -173,7 +173,7 @@
 	p, err := startServer(spec, cold, ports, m.net, h.records, func(p *server) {
 		p.die()
 		h.registrar.want(spec.UID, func(w *wanted) { w.dead = true })
-		h.out.Say(ctl.News{Kind: "fell", UID: spec.UID, At: clock.Now()})
+		h.out.Send(ctl.Event{Kind: "fell", UID: spec.UID, At: clock.Now()})
 	})
 	if err != nil {
 		return err
--- a/internal/lab/standin/liar.go
+++ b/internal/lab/standin/liar.go
@@ -33,9 +33,9 @@
 	l := &liar{member: m, stop: make(chan struct{})}
 	l.owned.Add(1)
 	go l.speak()
-	out := ctl.NewOut(news)
-	out.Say(ctl.News{Kind: "ready", At: clock.Now()})
-	err = obeyAll(orders, out, func(o ctl.Order, _ *ctl.News) error { return l.obey(o) })
+	out := ctl.NewEventWriter(news)
+	out.Send(ctl.Event{Kind: "ready", At: clock.Now()})
+	err = obeyAll(orders, out, func(o ctl.Order, _ *ctl.Event) error { return l.obey(o) })
 	close(l.stop)
 	l.owned.Wait()
 	m.Close()
--- a/internal/lab/standin/list.go
+++ b/internal/lab/standin/list.go
@@ -42,9 +42,9 @@
 		stop: make(chan struct{}), at: at}
 	l.tasks.Add(1)
 	go l.accept()
-	out := ctl.NewOut(news)
-	out.Say(ctl.News{Kind: "ready", Ports: []int{at.Port()}, At: clock.Now()})
-	err = obeyAll(orders, out, func(o ctl.Order, _ *ctl.News) error { return l.obey(o) })
+	out := ctl.NewEventWriter(news)
+	out.Send(ctl.Event{Kind: "ready", Ports: []int{at.Port()}, At: clock.Now()})
+	err = obeyAll(orders, out, func(o ctl.Order, _ *ctl.Event) error { return l.obey(o) })
 	close(l.stop)
 	at.Close()
 	l.net.each(nil, (*link.Link).Reset)
@@ -93,8 +93,8 @@
 		l.mode, l.late = o.Mode, time.Duration(o.Late*float64(time.Second))
 	case "link":
 		l.net.change(o)
-		if o.Cut != nil {
-			return l.at.SetPartitioned(*o.Cut)
+		if o.Partitioned != nil {
+			return l.at.SetPartitioned(*o.Partitioned)
 		}
 	case "reset", "forget":
 		l.net.change(o)
@@ -241,7 +241,7 @@
 		return false
 	}
 	for _, e := range entries {
-		l.records.Add(ctl.Told{Near: near, UID: e.UID, State: e.State, At: at})
+		l.records.Add(ctl.ListUpdate{Near: near, UID: e.UID, State: e.State, At: at})
 	}
 	return true
 }
--- a/internal/lab/standin/list_test.go
+++ b/internal/lab/standin/list_test.go
@@ -25,24 +25,24 @@
 type orders struct {
 	t    *testing.T
 	to   io.WriteCloser
-	news chan ctl.News
+	news chan ctl.Event
 	n    int
 	over chan error
 }
 
 // startStandIn runs a stand-in until the test ends. It returns once that is ready.
-func startStandIn(t *testing.T, run func(in io.Reader, out io.Writer) error) (*orders, ctl.News) {
+func startStandIn(t *testing.T, run func(in io.Reader, out io.Writer) error) (*orders, ctl.Event) {
 	t.Helper()
 	in, to := io.Pipe()
 	from, out := io.Pipe()
-	o := &orders{t: t, to: to, news: make(chan ctl.News, 100), over: make(chan error, 1)}
+	o := &orders{t: t, to: to, news: make(chan ctl.Event, 100), over: make(chan error, 1)}
 	go func() {
 		o.over <- run(in, out)
 		out.Close()
 	}()
 	go func() {
 		defer close(o.news)
-		_ = ctl.Lines(from, func(n ctl.News) error {
+		_ = ctl.Lines(from, func(n ctl.Event) error {
 			o.news <- n
 			return nil
 		})
@@ -58,7 +58,7 @@
 	return o, <-o.news
 }
 
-func (o *orders) give(order ctl.Order) ctl.News {
+func (o *orders) give(order ctl.Order) ctl.Event {
 	o.t.Helper()
 	o.n++
 	order.ID = o.n
@@ -147,8 +147,8 @@
 	next(t, all)
 	// What is told is noted when it was written, and other watches of the same sidecar note beside this one.
 	for until := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
-		told, err := ctl.ReadRecords[ctl.Told](records)
-		if err == nil && slices.ContainsFunc(told, func(r ctl.Told) bool { return r.Near == 0 && r.State == "DELETED" }) {
+		told, err := ctl.ReadRecords[ctl.ListUpdate](records)
+		if err == nil && slices.ContainsFunc(told, func(r ctl.ListUpdate) bool { return r.Near == 0 && r.State == "DELETED" }) {
 			break
 		}
 		if time.Now().After(until) {
@@ -169,7 +169,7 @@
 		}
 	}
 	o.give(ctl.Order{Do: "list-mode"})
-	told, err := ctl.ReadRecords[ctl.Told](records)
+	told, err := ctl.ReadRecords[ctl.ListUpdate](records)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -238,8 +238,8 @@
 	}
 	var seen []string
 	for _, a := range attempts {
-		seen = append(seen, a.ID+" "+a.How)
-		if a.Near != 3 || a.First > a.Whole || a.Whole > a.End || a.End == 0 {
+		seen = append(seen, a.ID+" "+a.Outcome)
+		if a.Near != 3 || a.First > a.Received || a.Received > a.End || a.End == 0 {
 			t.Errorf("noted %+v", a)
 		}
 	}
--- a/internal/lab/standin/orders.go
+++ b/internal/lab/standin/orders.go
@@ -8,7 +8,7 @@
 )
 
 // obeyAll does each order as it comes, one after the other, until there are no more.
-func obeyAll(orders io.Reader, out *ctl.Out, do func(ctl.Order, *ctl.News) error) error {
+func obeyAll(orders io.Reader, out *ctl.EventWriter, do func(ctl.Order, *ctl.Event) error) error {
 	return ctl.Lines(orders, func(o ctl.Order) error {
 		obey(o, out, do)
 		return nil
@@ -16,11 +16,11 @@
 }
 
 // obey does an order, and says that it took effect, or why not.
-func obey(o ctl.Order, out *ctl.Out, do func(ctl.Order, *ctl.News) error) {
-	n := ctl.News{ID: o.ID, UID: o.UID}
+func obey(o ctl.Order, out *ctl.EventWriter, do func(ctl.Order, *ctl.Event) error) {
+	n := ctl.Event{ID: o.ID, UID: o.UID}
 	if err := do(o, &n); err != nil {
 		n.Error = err.Error()
 	}
 	n.At = clock.Now()
-	out.Say(n)
+	out.Send(n)
 }
--- a/internal/lab/standin/peers.go
+++ b/internal/lab/standin/peers.go
@@ -26,8 +26,8 @@
 		return err
 	}
 	p := &peers{fronts: map[string]*front{}, stop: make(chan struct{})}
-	out := ctl.NewOut(news)
-	out.Say(ctl.News{Kind: "ready", At: clock.Now()})
+	out := ctl.NewEventWriter(news)
+	out.Send(ctl.Event{Kind: "ready", At: clock.Now()})
 	p.tasks.Add(1)
 	go func() {
 		defer p.tasks.Done()
@@ -62,7 +62,7 @@
 	to      netip.AddrPort // where it listens
 }
 
-func (p *peers) obey(o ctl.Order, n *ctl.News) error {
+func (p *peers) obey(o ctl.Order, n *ctl.Event) error {
 	f := p.fronts[o.UID]
 	switch {
 	case o.Do == "front" && f == nil:
--- a/internal/lab/standin/relay.go
+++ b/internal/lab/standin/relay.go
@@ -35,8 +35,8 @@
 		return errors.Join(err, t.Close(), s.Close())
 	}
 	r := &relay{sidecars: sidecars, readers: readers, told: t, shown: s, routes: table, nets: map[string]*network{}, stop: make(chan struct{})}
-	out := ctl.NewOut(news)
-	out.Say(ctl.News{Kind: "ready", At: clock.Now()})
+	out := ctl.NewEventWriter(news)
+	out.Send(ctl.Event{Kind: "ready", At: clock.Now()})
 	err = obeyAll(orders, out, r.obey)
 	close(r.stop)
 	for _, l := range r.fronts {
@@ -62,7 +62,7 @@
 	conns       atomic.Int64
 }
 
-func (r *relay) obey(o ctl.Order, n *ctl.News) error {
+func (r *relay) obey(o ctl.Order, n *ctl.Event) error {
 	net := r.nets[o.UID]
 	if net == nil {
 		net = newNetwork()
@@ -114,7 +114,7 @@
 		case index < r.readers && strings.HasPrefix(first, "GET /v1/servers"):
 			r.listen(near, far, index, keeper, first)
 		case index < r.sidecars && strings.HasPrefix(first, "GET /v1/routes"):
-			s := ctl.Routes{Near: index, Keeper: keeper, Conn: r.conns.Add(1)}
+			s := ctl.RouteUpdate{Near: index, Node: keeper, Conn: r.conns.Add(1)}
 			r.overhear(near, far, func(line []byte, at int64) { r.noteRoutes(s, line, at) })
 		default:
 			pass(near, far)
@@ -165,12 +165,12 @@
 
 // listen passes on what a keeper writes and notes what it says of the list, when that has reached the near end.
 func (r *relay) listen(near *link.Conn, far net.Conn, index int, keeper, request string) {
-	s := ctl.Shown{Near: index, Keeper: keeper, Conn: r.conns.Add(1), Holds: -1}
+	s := ctl.RegistryUpdate{Near: index, Node: keeper, Conn: r.conns.Add(1), KnownRevision: -1}
 	if req, err := http.ReadRequest(bufio.NewReader(strings.NewReader(request))); err == nil {
 		q := req.URL.Query()
 		s.Watch, s.Cluster = q.Get("watch") == "1", q.Get("cluster")
 		if n, err := strconv.ParseInt(q.Get("from"), 10, 64); err == nil {
-			s.Holds = n
+			s.KnownRevision = n
 		}
 	}
 	r.overhear(near, far, func(line []byte, at int64) {
@@ -221,13 +221,13 @@
 	read.Wait()
 }
 
-func (r *relay) note(s ctl.Shown, l list.List, at int64) {
-	s.Rev, s.All, s.N, s.At, s.Cluster = l.Rev, l.All, len(l.Targets), at, l.Cluster
+func (r *relay) note(s ctl.RegistryUpdate, l list.List, at int64) {
+	s.Rev, s.Complete, s.ServerCount, s.At, s.Cluster = l.Rev, l.All, len(l.Targets), at, l.Cluster
 	r.shown.Add(s)
 	if s.Near >= r.sidecars {
 		return
 	}
 	for _, t := range l.Targets {
-		r.told.Add(ctl.Told{Near: s.Near, UID: t.UID, State: string(t.State), At: at})
+		r.told.Add(ctl.ListUpdate{Near: s.Near, UID: t.UID, State: string(t.State), At: at})
 	}
 }
--- a/internal/lab/standin/relayroutes.go
+++ b/internal/lab/standin/relayroutes.go
@@ -7,7 +7,7 @@
 )
 
 // noteRoutes notes a line that a keeper wrote of its route table.
-func (r *relay) noteRoutes(s ctl.Routes, line []byte, at int64) {
+func (r *relay) noteRoutes(s ctl.RouteUpdate, line []byte, at int64) {
 	if len(line) == 0 || json.Unmarshal(line, &s) != nil {
 		return // it says nothing
 	}
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -160,7 +160,7 @@
 			return
 		}
 		if !s.answer(c, r, ctl.Attempt{Server: s.spec.UID, Boot: s.boot, Near: near, ID: r.Header.Get("X-Request-ID"), First: began,
-			Whole: clock.Now(), New: first}, crowded) {
+			Received: clock.Now(), New: first}, crowded) {
 			return
 		}
 		if r.Close {
@@ -186,7 +186,7 @@
 	a.Work = work
 	job := model.Job{Work: float64(work) / 1e9}
 	if ms, err := strconv.ParseInt(r.Header.Get("X-Timeout-Ms"), 10, 64); err == nil {
-		job.Deadline = a.Whole + ms*int64(time.Millisecond)
+		job.Deadline = a.Received + ms*int64(time.Millisecond)
 	}
 	if a.New {
 		job.Work += s.spec.ConnWork.Seconds()
@@ -205,11 +205,11 @@
 		select {
 		case outcome = <-ended:
 		case <-c.PeerClosed(): // the work goes on all the same
-			a.End, a.How = c.PeerClosedAt(), "left"
+			a.End, a.Outcome = c.PeerClosedAt(), "left"
 			s.records.Add(a)
 			return false
 		case <-s.stop:
-			a.End, a.How = clock.Now(), "died"
+			a.End, a.Outcome = clock.Now(), "died"
 			s.records.Add(a)
 			return false
 		}
@@ -217,13 +217,13 @@
 	ok := false
 	switch outcome {
 	case model.Served:
-		a.How = "served"
+		a.Outcome = "served"
 		ok = s.say(c, http.StatusOK, "", Body(s.spec.UID, a.ID))
 	case model.Failed:
-		a.How = "failed"
+		a.Outcome = "failed"
 		ok = s.say(c, http.StatusInternalServerError, "", "error\n")
 	default:
-		a.How = "turned"
+		a.Outcome = "turned"
 		ok = s.say(c, http.StatusServiceUnavailable, "X-Not-Processed: 1\r\n", "full\n")
 	}
 	at, flushed := c.WaitFlushed()
--- a/internal/lab/standin/watchers.go
+++ b/internal/lab/standin/watchers.go
@@ -30,7 +30,7 @@
 			f.Run(ctx)
 		}()
 	}
-	ctl.NewOut(news).Say(ctl.News{Kind: "ready", At: clock.Now()})
+	ctl.NewEventWriter(news).Send(ctl.Event{Kind: "ready", At: clock.Now()})
 	err := ctl.Lines(orders, func(ctl.Order) error { return nil })
 	cancel()
 	all.Wait()
--- a/internal/lab/steps.go
+++ b/internal/lab/steps.go
@@ -171,7 +171,7 @@
 	}
 	o := ctl.Order{Do: s.Do, UID: s.Server, Nears: s.Nears, By: int64(s.By)}
 	if s.Do == plan.Trouble {
-		o.Trouble = &s.Trouble
+		o.Fault = &s.Trouble
 	}
 	n, err := f.far(s.Server).order(o)
 	if err == nil && s.Do == plan.Revive {
--- a/internal/lab/trace.go
+++ b/internal/lab/trace.go
@@ -62,8 +62,8 @@
 			if ids[a.ID] {
 				add(a.First, "sidecar %d: %s to server %s, %.1f ms of work%s", a.Near, a.ID, a.Server, float64(a.Work)/1e6,
 					map[bool]string{true: ", on a new connection"}[a.New])
-				add(a.Whole, "server %s: %s is there whole", a.Server, a.ID)
-				add(a.End, "server %s: %s %s", a.Server, a.ID, a.How)
+				add(a.Received, "server %s: %s is there whole", a.Server, a.ID)
+				add(a.End, "server %s: %s %s", a.Server, a.ID, a.Outcome)
 			}
 		}
 	}
--- a/internal/lab/writers.go
+++ b/internal/lab/writers.go
@@ -22,7 +22,7 @@
 	client []*client.Client
 	values atomic.Int64
 	mu     sync.Mutex
-	wrote  []ctl.Wrote
+	wrote  []ctl.RegistryCall
 }
 
 const (
@@ -100,7 +100,7 @@
 	}
 }
 
-func (w *writers) note(v ctl.Wrote) {
+func (w *writers) note(v ctl.RegistryCall) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.wrote = append(w.wrote, v)
@@ -109,11 +109,11 @@
 func (w *writers) read(ctx context.Context, c *client.Client, i, key int, within time.Duration, revs []int64) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	v := ctl.Wrote{Client: i, Key: key, How: "ok", Call: clock.Now()}
+	v := ctl.RegistryCall{Client: i, Key: key, Outcome: "ok", Call: clock.Now()}
 	e, ok, err := c.Server(ctx, keyName(key))
 	v.Return, v.Rev, v.Value = clock.Now(), e.Revision, e.PodGroup
 	if err != nil {
-		v.How = "none" // a read that was not answered did nothing
+		v.Outcome = "none" // a read that was not answered did nothing
 	} else if ok {
 		revs[key] = e.Revision
 	}
@@ -123,7 +123,7 @@
 func (w *writers) write(ctx context.Context, c *client.Client, i, key int, revs []int64) {
 	ctx, cancel := context.WithTimeout(ctx, writeWithin)
 	defer cancel()
-	v := ctl.Wrote{Client: i, Key: key, Write: true, Expect: revs[key], Value: int(w.values.Add(1)), How: "ok", Call: clock.Now()}
+	v := ctl.RegistryCall{Client: i, Key: key, Write: true, Expect: revs[key], Value: int(w.values.Add(1)), Outcome: "ok", Call: clock.Now()}
 	d, err := c.Register(ctx, []list.Registration{w.entry(key, v.Value)}, &v.Expect)
 	v.Return, v.Rev = clock.Now(), d.Revision
 	var refused *client.RefusedError
@@ -131,11 +131,11 @@
 	case err == nil:
 		revs[key] = d.Revision
 	case errors.Is(err, client.ErrUncertain):
-		v.How, revs[key] = "uncertain", 0
+		v.Outcome, revs[key] = "uncertain", 0
 	case errors.As(err, &refused) && refused.Status == 409:
-		v.How, revs[key] = "conflict", 0
+		v.Outcome, revs[key] = "conflict", 0
 	default:
-		v.How = "none" // no keeper took it
+		v.Outcome = "none" // no keeper took it
 	}
 	w.note(v)
 }
