--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -62,20 +62,20 @@
 	return l.state, l.changed
 }
 
-// sentAgain is how late what a stream has lost arrives: the least time after which Linux sends it again (TCP_RTO_MIN).
-const sentAgain = 200 * time.Millisecond
+// retransmissionTimeout is how late what a stream has lost arrives: the least time after which Linux sends it again (TCP_RTO_MIN).
+const retransmissionTimeout = 200 * time.Millisecond
 
-func (l *Link) due(now int64) int64 {
+func (l *Link) dueAt(now int64) int64 {
 	s, _ := l.State()
-	now += int64(s.wait())
+	now += int64(s.drawDelay())
 	if s.Loss > 0 && rand.Float64() < s.Loss {
-		now += int64(sentAgain)
+		now += int64(retransmissionTimeout)
 	}
 	return now
 }
 
-// wait draws how long the way takes.
-func (s State) wait() time.Duration {
+// drawDelay draws how long the way takes.
+func (s State) drawDelay() time.Duration {
 	if s.Jitter > 0 {
 		return s.Delay + rand.N(s.Jitter)
 	}
@@ -86,16 +86,16 @@
 // may overtake each other.
 func (l *Link) DrawPacket() (wait time.Duration, passes bool) {
 	s, _ := l.State()
-	return s.wait(), !s.Hold[ToFar] && (s.Loss <= 0 || rand.Float64() >= s.Loss)
+	return s.drawDelay(), !s.Hold[ToFar] && (s.Loss <= 0 || rand.Float64() >= s.Loss)
 }
 
 // Reset ends all connections of the link at once, as by a machine that came back and knows none of them.
-func (l *Link) Reset() int { return l.each((*Conn).Reset) }
+func (l *Link) Reset() int { return l.forEach((*Conn).Reset) }
 
 // Forget has the far end lose all connections without a word: the near end holds them half open.
-func (l *Link) Forget() int { return l.each((*Conn).forget) }
+func (l *Link) Forget() int { return l.forEach((*Conn).forget) }
 
-func (l *Link) each(do func(*Conn)) int {
+func (l *Link) forEach(do func(*Conn)) int {
 	l.mu.Lock()
 	conns := make([]*Conn, 0, len(l.conns))
 	for c := range l.conns {
--- a/internal/lab/link/listen.go
+++ b/internal/lab/link/listen.go
@@ -19,8 +19,8 @@
 func Near(i int) netip.Addr { return netip.AddrFrom4([4]byte{127, 1, byte(i / 250), byte(i%250 + 1)}) }
 
 // NearIndex undoes Near; it is below 0 for other addresses.
-func NearIndex(a netip.Addr) int {
-	b := a.Unmap().As4()
+func NearIndex(address netip.Addr) int {
+	b := address.Unmap().As4()
 	if b[0] != 127 || b[1] != 1 || b[3] == 0 || b[3] > 250 {
 		return -1
 	}
@@ -35,7 +35,7 @@
 }
 
 // Reserve takes a free port at an address.
-func Reserve(a netip.Addr) (*PortReservation, error) {
+func Reserve(address netip.Addr) (*PortReservation, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, fmt.Errorf("link: reserve: %w", err)
@@ -44,7 +44,7 @@
 	// (socket(7)); when the kernel looks for a free port it passes over both.
 	err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
 	if err == nil {
-		err = unix.Bind(fd, &unix.SockaddrInet4{Addr: a.As4()})
+		err = unix.Bind(fd, &unix.SockaddrInet4{Addr: address.As4()})
 	}
 	var at unix.Sockaddr
 	if err == nil {
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("link: reserve: %w", err), unix.Close(fd))
 	}
-	return &PortReservation{fd, netip.AddrPortFrom(a, uint16(at.(*unix.SockaddrInet4).Port))}, nil
+	return &PortReservation{fd, netip.AddrPortFrom(address, uint16(at.(*unix.SockaddrInet4).Port))}, nil
 }
 
 // Close gives the place up.
@@ -67,15 +67,15 @@
 	*net.TCPListener
 	// BySource tells who calls by the address that he calls from, not by the one that he calls: for those who say where they
 	// call from.
-	BySource bool
-	raw      syscall.RawConn
-	mu       sync.Mutex
-	open     chan struct{} // closed while calls come up
-	cut      bool
+	BySource    bool
+	raw         syscall.RawConn
+	mu          sync.Mutex
+	passing     chan struct{} // closed while calls come up
+	partitioned bool
 }
 
-// onLoopback keeps a socket that is bound to every address to those of loopback.
-var onLoopback = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+// loopbackOnly keeps a socket that is bound to every address to those of loopback.
+var loopbackOnly = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 	var inner error
 	err := c.Control(func(fd uintptr) { inner = unix.SetsockoptString(int(fd), unix.SOL_SOCKET, unix.SO_BINDTODEVICE, "lo") })
 	if err == nil {
@@ -86,28 +86,28 @@
 
 // ListenPackets takes packets at a port of every loopback address, and of no other interface.
 func ListenPackets(port int) (*net.UDPConn, error) {
-	c, err := onLoopback.ListenPacket(context.Background(), "udp4", fmt.Sprintf("0.0.0.0:%d", port))
+	conn, err := loopbackOnly.ListenPacket(context.Background(), "udp4", fmt.Sprintf("0.0.0.0:%d", port))
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	return c.(*net.UDPConn), nil
+	return conn.(*net.UDPConn), nil
 }
 
 // Listen listens at a port; 0: any that is free.
 func Listen(port int) (*Listener, error) {
-	l, err := onLoopback.Listen(context.Background(), "tcp4", fmt.Sprintf("0.0.0.0:%d", port))
+	listener, err := loopbackOnly.Listen(context.Background(), "tcp4", fmt.Sprintf("0.0.0.0:%d", port))
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	tcp := l.(*net.TCPListener)
+	tcp := listener.(*net.TCPListener)
 	raw, err := tcp.SyscallConn()
 	if err != nil {
-		l.Close()
+		listener.Close()
 		return nil, fmt.Errorf("link: %w", err)
 	}
 	always := make(chan struct{})
 	close(always)
-	return &Listener{TCPListener: tcp, raw: raw, open: always}, nil
+	return &Listener{TCPListener: tcp, raw: raw, passing: always}, nil
 }
 
 // Port is where it listens.
@@ -124,24 +124,24 @@
 // Accept returns the next call by a process of the experiment, and its index. While calls are cut off it waits.
 func (l *Listener) Accept(stop <-chan struct{}) (*net.TCPConn, int, error) {
 	for {
-		c, err := l.AcceptTCP()
+		conn, err := l.AcceptTCP()
 		if err != nil {
 			return nil, 0, err
 		}
-		near := l.Near(c)
+		near := l.Near(conn)
 		l.mu.Lock()
-		open := l.open
+		passing := l.passing
 		l.mu.Unlock()
 		select {
-		case <-open:
+		case <-passing:
 		case <-stop:
-			c.Close()
+			conn.Close()
 			return nil, 0, net.ErrClosed
 		}
 		if near >= 0 {
-			return c, near, nil
+			return conn, near, nil
 		}
-		c.Close() // a filler, or nobody of the experiment
+		conn.Close() // a filler, or nobody of the experiment
 	}
 }
 
@@ -149,50 +149,50 @@
 // Link.Set holds those. The kernel drops the first packet of a call while the queue of those that nobody accepts is full
 // (listen(2)), so the queue is made as short as can be and filled with calls of our own. A call that comes up in the
 // moment before stays silent until the cut ends.
-func (l *Listener) SetPartitioned(cut bool) error {
+func (l *Listener) SetPartitioned(partitioned bool) error {
 	l.mu.Lock()
-	if l.cut == cut {
+	if l.partitioned == partitioned {
 		l.mu.Unlock()
 		return nil
 	}
-	if l.cut = cut; cut {
-		l.open = make(chan struct{})
+	if l.partitioned = partitioned; partitioned {
+		l.passing = make(chan struct{})
 	}
-	open := l.open
+	passing := l.passing
 	l.mu.Unlock()
-	if !cut {
-		err := l.backlog(unix.SOMAXCONN)
-		close(open)
+	if !partitioned {
+		err := l.setBacklog(unix.SOMAXCONN)
+		close(passing)
 		return err
 	}
-	if err := l.backlog(0); err != nil {
+	if err := l.setBacklog(0); err != nil {
 		return err
 	}
 	own := net.JoinHostPort("127.0.0.1", strconv.Itoa(l.Port()))
 	full := 0 // fillers in a row that did not come up
-	for range mostFillers {
-		c, err := net.DialTimeout("tcp4", own, fillTimeout)
+	for range maxFillers {
+		filler, err := net.DialTimeout("tcp4", own, fillTimeout)
 		if err != nil {
 			// Danger: whoever accepts may only now take one of the fillers out, and leave room for a call.
-			if full++; full == fullAfter {
+			if full++; full == failuresWhenFull {
 				return nil
 			}
 			continue
 		}
 		full = 0
-		defer c.Close() // it stays in the queue all the same
+		defer filler.Close() // it stays in the queue all the same
 	}
-	return fmt.Errorf("link: calls to port %d still come up after %d", l.Port(), mostFillers)
+	return fmt.Errorf("link: calls to port %d still come up after %d", l.Port(), maxFillers)
 }
 
 // A call on loopback comes up within the system call that makes it, or not at all.
 const (
-	mostFillers = 8
-	fullAfter   = 2
-	fillTimeout = 5 * time.Millisecond
+	maxFillers       = 8
+	failuresWhenFull = 2
+	fillTimeout      = 5 * time.Millisecond
 )
 
-func (l *Listener) backlog(n int) error {
+func (l *Listener) setBacklog(n int) error {
 	var inner error
 	if err := l.raw.Control(func(fd uintptr) { inner = unix.Listen(int(fd), n) }); err != nil {
 		return fmt.Errorf("link: backlog: %w", err)
