--- /dev/null
+++ b/internal/lab/link/address.go
@@ -0,0 +1,57 @@
+package link
+
+import (
+	"errors"
+	"fmt"
+	"net/netip"
+
+	"golang.org/x/sys/unix"
+)
+
+// Near is the address by which the i-th process at the near ends, from 0, reaches any far end: each has its own, so a far
+// end knows from the address that was called who calls. There is room for 65,000.
+func Near(i int) netip.Addr { return netip.AddrFrom4([4]byte{127, 1, byte(i / 250), byte(i%250 + 1)}) }
+
+// NearIndex undoes Near; it is below 0 for other addresses.
+func NearIndex(address netip.Addr) int {
+	b := address.Unmap().As4()
+	if b[0] != 127 || b[1] != 1 || b[3] == 0 || b[3] > 250 {
+		return -1
+	}
+	return int(b[2])*250 + int(b[3]) - 1
+}
+
+// PortReservation is an address that nobody else is given while it is kept, though nobody may listen there: a call to a process that
+// is gone is refused, and never reaches one that the kernel gave the same port.
+type PortReservation struct {
+	fd   int
+	Addr netip.AddrPort
+}
+
+// Reserve takes a free port at an address.
+func Reserve(address netip.Addr) (*PortReservation, error) {
+	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		return nil, fmt.Errorf("link: reserve: %w", err)
+	}
+	// With this option, which Go sets on listeners too, a socket that does not listen is no obstacle to one that does
+	// (socket(7)); when the kernel looks for a free port it passes over both.
+	err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
+	if err == nil {
+		err = unix.Bind(fd, &unix.SockaddrInet4{Addr: address.As4()})
+	}
+	var at unix.Sockaddr
+	if err == nil {
+		at, err = unix.Getsockname(fd)
+	}
+	if err != nil {
+		return nil, errors.Join(fmt.Errorf("link: reserve: %w", err), unix.Close(fd))
+	}
+	return &PortReservation{fd, netip.AddrPortFrom(address, uint16(at.(*unix.SockaddrInet4).Port))}, nil
+}
+
+// Close gives the place up.
+func (p *PortReservation) Close() error { return unix.Close(p.fd) }
+
+// Anywhere is all loopback addresses, as far as a Listener goes.
+var Anywhere = netip.IPv4Unspecified()
