--- a/internal/lab/link/listen.go
+++ b/internal/lab/link/listen.go
@@ -52,7 +52,7 @@
 	tcp := listener.(*net.TCPListener)
 	raw, err := tcp.SyscallConn()
 	if err != nil {
-		listener.Close()
+		_ = listener.Close() // the error that matters is that of the socket
 		return nil, fmt.Errorf("link: %w", err)
 	}
 	always := make(chan struct{})
@@ -85,20 +85,20 @@
 		select {
 		case <-passing:
 		case <-stop:
-			conn.Close()
+			_ = conn.Close() // nothing was written to it
 			return nil, 0, net.ErrClosed
 		}
 		if near >= 0 {
 			return conn, near, nil
 		}
-		conn.Close() // a filler, or nobody of the experiment
+		_ = conn.Close() // a filler, or nobody of the experiment
 	}
 }
 
-// SetPartitioned has calls never come up, as by a network that carries nothing, or ends that. Connections that are up are not touched;
-// Link.Set holds those. The kernel drops the first packet of a call while the queue of those that nobody accepts is full
-// (listen(2)), so the queue is made as short as can be and filled with calls of our own. A call that comes up in the
-// moment before stays silent until the cut ends.
+// SetPartitioned starts or ends a partition in which no call to this listener is established, as by a network that carries nothing.
+// Connections that are established are not touched; Link.Set stops those. The kernel drops the first packet of a call while the
+// queue of calls that nobody accepts is full (listen(2)), so the queue is made as short as can be and filled with calls of the
+// listener's own. A call that is established in the moment before stays without an answer until the partition ends.
 func (l *Listener) SetPartitioned(partitioned bool) error {
 	l.mu.Lock()
 	if l.partitioned == partitioned {
@@ -118,24 +118,41 @@
 	if err := l.setBacklog(0); err != nil {
 		return err
 	}
-	own := net.JoinHostPort("127.0.0.1", strconv.Itoa(l.Port()))
-	full := 0 // fillers in a row that did not come up
+	return l.fillQueue()
+}
+
+// fillQueue calls the listener itself until its queue takes no call any more.
+func (l *Listener) fillQueue() error {
+	target := net.JoinHostPort("127.0.0.1", strconv.Itoa(l.Port()))
+	dialer := net.Dialer{Timeout: fillTimeout}
+	failures := 0 // fillers in a row that were not established
 	for range maxFillers {
-		filler, err := net.DialTimeout("tcp4", own, fillTimeout)
+		filler, err := dialer.DialContext(context.Background(), "tcp4", target)
 		if err != nil {
 			// Danger: whoever accepts may only now take one of the fillers out, and leave room for a call.
-			if full++; full == failuresWhenFull {
+			if failures++; failures == failuresWhenFull {
 				return nil
 			}
 			continue
 		}
-		full = 0
-		defer filler.Close() // it stays in the queue all the same
+		failures = 0
+		defer func() { _ = filler.Close() }() // it stays in the queue all the same
 	}
-	return fmt.Errorf("link: calls to port %d still come up after %d", l.Port(), maxFillers)
+	return &QueueNotFullError{Port: l.Port(), Fillers: maxFillers}
+}
+
+// QueueNotFullError says that a partition could not be started: the kernel still establishes calls to the port after as many
+// fillers. Accept hands out none of them until the partition ends.
+type QueueNotFullError struct {
+	Port    int
+	Fillers int
+}
+
+func (e *QueueNotFullError) Error() string {
+	return fmt.Sprintf("link: calls to port %d still come up after %d", e.Port, e.Fillers)
 }
 
-// A call on loopback comes up within the system call that makes it, or not at all.
+// A call on loopback is established within the system call that makes it, or not at all.
 const (
 	maxFillers       = 8
 	failuresWhenFull = 2
--- a/internal/lab/link/pipe.go
+++ b/internal/lab/link/pipe.go
@@ -1,6 +1,7 @@
 package link
 
 import (
+	"errors"
 	"io"
 	"net"
 	"sync"
@@ -42,7 +43,7 @@
 func (p *pipe) write(data []byte, receivedAt, dueAt int64, done <-chan struct{}) bool {
 	for {
 		p.mu.Lock()
-		if p.err != nil && p.err != io.EOF {
+		if p.failed() {
 			p.mu.Unlock()
 			return true // nobody wants it
 		}
@@ -68,10 +69,11 @@
 // closeWithError ends the pipe: with io.EOF after what it holds, else at once.
 func (p *pipe) closeWithError(err error) {
 	p.mu.Lock()
-	if p.err == nil || err != io.EOF {
+	endOfStream := errors.Is(err, io.EOF)
+	if p.err == nil || !endOfStream {
 		p.err = err
 	}
-	if err != io.EOF {
+	if !endOfStream {
 		p.chunks, p.bufferedBytes = nil, 0
 	}
 	p.mu.Unlock()
@@ -85,61 +87,96 @@
 	return p.lastReceivedAt
 }
 
-// read takes what is due and allowed, and waits for it.
+// read takes bytes that are due and that the link lets pass, and waits until there are some. It fails with the error that ended the
+// pipe, or with net.ErrClosed once done is closed.
 func (p *pipe) read(buf []byte, link *Link, direction Direction, done <-chan struct{}) (int, error) {
 	for {
 		state, changed := link.State()
-		p.mu.Lock()
-		p.writing = false
-		if len(p.chunks) == 0 && p.err == nil {
-			p.mu.Unlock()
+		taken := p.take(buf, state, direction)
+		live := true
+		switch taken.status {
+		case pipeEnded:
+			return 0, taken.err
+		case pipeEmpty:
 			signal(p.emptied)
-			select {
-			case <-p.filled:
-				continue
-			case <-done:
-				return 0, net.ErrClosed
-			}
-		}
-		if state.Hold[direction] && (p.err == nil || p.err == io.EOF) {
-			p.mu.Unlock()
-			select {
-			case <-changed:
-				continue
-			case <-p.filled:
-				continue
-			case <-done:
-				return 0, net.ErrClosed
-			}
-		}
-		if len(p.chunks) == 0 {
-			err := p.err
-			p.mu.Unlock()
-			return 0, err
-		}
-		first := &p.chunks[0]
-		if left := clock.Until(first.dueAt); left > 0 {
-			p.mu.Unlock()
-			if !sleep(left, done) {
+			live = wait(p.filled, nil, done)
+		case pipeBlocked:
+			live = wait(p.filled, changed, done)
+		case pipeNotDue:
+			live = sleep(taken.untilDue, done)
+		case pipeTaken:
+			signal(p.emptied)
+			if state.Rate > 0 && !sleep(time.Duration(taken.bytes)*time.Second/time.Duration(state.Rate), done) {
 				return 0, net.ErrClosed
 			}
-			continue
-		}
-		if state.Rate > 0 {
-			buf = buf[:min(len(buf), max(1, state.Rate/slicesPerSecond))]
-		}
-		n := copy(buf, first.data)
-		p.lastReceivedAt, p.writing = first.receivedAt, true
-		if first.data = first.data[n:]; len(first.data) == 0 {
-			p.chunks = p.chunks[1:]
+			return taken.bytes, nil
 		}
-		p.bufferedBytes -= n
-		p.mu.Unlock()
-		signal(p.emptied)
-		if state.Rate > 0 && !sleep(time.Duration(n)*time.Second/time.Duration(state.Rate), done) {
+		if !live {
 			return 0, net.ErrClosed
 		}
-		return n, nil
+	}
+}
+
+// pipeStatus is what a reader of a pipe finds.
+type pipeStatus int
+
+const (
+	pipeEmpty   pipeStatus = iota // nothing is buffered
+	pipeBlocked                   // the link lets nothing pass in this direction
+	pipeNotDue                    // the first bytes are still on their way
+	pipeEnded                     // nothing is buffered, and nothing will come
+	pipeTaken                     // bytes were taken
+)
+
+// takeResult is what one look at a pipe gave.
+type takeResult struct {
+	status   pipeStatus
+	bytes    int           // of pipeTaken
+	untilDue time.Duration // of pipeNotDue
+	err      error         // of pipeEnded
+}
+
+// take moves bytes that may pass now into buf. It does not wait.
+func (p *pipe) take(buf []byte, state State, direction Direction) takeResult {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.writing = false
+	switch {
+	case len(p.chunks) == 0 && p.err == nil:
+		return takeResult{status: pipeEmpty}
+	case state.Hold[direction] && !p.failed():
+		return takeResult{status: pipeBlocked}
+	case len(p.chunks) == 0:
+		return takeResult{status: pipeEnded, err: p.err}
+	}
+	first := &p.chunks[0]
+	if untilDue := clock.Until(first.dueAt); untilDue > 0 {
+		return takeResult{status: pipeNotDue, untilDue: untilDue}
+	}
+	if state.Rate > 0 {
+		buf = buf[:min(len(buf), max(1, state.Rate/slicesPerSecond))]
+	}
+	bytes := copy(buf, first.data)
+	p.lastReceivedAt, p.writing = first.receivedAt, true
+	if first.data = first.data[bytes:]; len(first.data) == 0 {
+		p.chunks = p.chunks[1:]
+	}
+	p.bufferedBytes -= bytes
+	return takeResult{status: pipeTaken, bytes: bytes}
+}
+
+// failed reports whether the pipe ended otherwise than by the end of the stream. The caller has the lock.
+func (p *pipe) failed() bool { return p.err != nil && !errors.Is(p.err, io.EOF) }
+
+// wait waits for either of two signals, of which one may be nil. It returns false when done is closed first.
+func wait(first, second, done <-chan struct{}) bool {
+	select {
+	case <-first:
+		return true
+	case <-second:
+		return true
+	case <-done:
+		return false
 	}
 }
 
