--- a/internal/lab/link/address.go
+++ b/internal/lab/link/address.go
@@ -8,11 +8,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Near is the address by which the i-th process at the near ends, from 0, reaches any far end: each has its own, so a far
-// end knows from the address that was called who calls. There is room for 65,000.
+// Near is the loopback address by which the i-th near end, from 0, reaches any far end. Each near end has its own, so a far end
+// knows the caller from the address that was called. i must be below 64,000 (256 blocks of 250 addresses).
 func Near(i int) netip.Addr { return netip.AddrFrom4([4]byte{127, 1, byte(i / 250), byte(i%250 + 1)}) }
 
-// NearIndex undoes Near; it is below 0 for other addresses.
+// NearIndex is the inverse of Near; it is negative for other addresses.
 func NearIndex(address netip.Addr) int {
 	b := address.Unmap().As4()
 	if b[0] != 127 || b[1] != 1 || b[3] == 0 || b[3] > 250 {
@@ -21,14 +21,14 @@
 	return int(b[2])*250 + int(b[3]) - 1
 }
 
-// PortReservation is an address that nobody else is given while it is kept, though nobody may listen there: a call to a process that
-// is gone is refused, and never reaches one that the kernel gave the same port.
+// PortReservation is an address and port that the kernel gives to no other process until Close, whether its owner listens there or not:
+// a call to a process that has ended is refused and never reaches another one with the same port.
 type PortReservation struct {
 	fd   int
 	Addr netip.AddrPort
 }
 
-// Reserve takes a free port at an address.
+// Reserve reserves a free port of an IPv4 address. The caller closes the reservation.
 func Reserve(address netip.Addr) (*PortReservation, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -50,8 +50,8 @@
 	return &PortReservation{fd, netip.AddrPortFrom(address, uint16(at.(*unix.SockaddrInet4).Port))}, nil
 }
 
-// Close gives the place up.
+// Close releases the port.
 func (p *PortReservation) Close() error { return unix.Close(p.fd) }
 
-// Anywhere is all loopback addresses, as far as a Listener goes.
+// Anywhere stands for all loopback addresses: a Listener accepts at every one of them.
 var Anywhere = netip.IPv4Unspecified()
--- a/internal/lab/link/conn.go
+++ b/internal/lab/link/conn.go
@@ -12,22 +12,23 @@
 
 const chunkBytes = 16 << 10 // that one read of a socket takes at most
 
-// Conn is the far end of a connection over a link. Read and Write are for one goroutine each.
+// Conn is the far end of a connection over a link. One goroutine may read and another one write. A goroutine of its own receives until
+// the near end closes, and a second one sends once the link was not plain; Close waits for both.
 type Conn struct {
 	*net.TCPConn
 	link         *Link
 	inbound      pipe // from the near end
-	outbound     pipe // to it, while the link is not plain
+	outbound     pipe // to the near end; unused until the link is not plain for the first time
 	peerClosed   chan struct{}
-	peerClosedAt atomic.Int64 // when the near end ended it; 0: not yet
+	peerClosedAt atomic.Int64 // ns of the lab's clock; 0: not yet
 	closeOnce    sync.Once
-	done         chan struct{} // this end is through with it
+	done         chan struct{} // closed when this end has shut the connection down
 	forgotten    atomic.Bool
 	tasks        sync.WaitGroup
-	sending      atomic.Bool // a goroutine empties out
+	sending      atomic.Bool // sendLoop runs
 }
 
-// Wrap puts a link in front of an accepted connection. Close, Reset or the link's own faults end it.
+// Wrap puts a link in front of an accepted connection, which it owns from then on. Close, Reset and Link.Reset end it.
 func Wrap(tcp *net.TCPConn, link *Link) *Conn {
 	conn := &Conn{TCPConn: tcp, link: link, peerClosed: make(chan struct{}), done: make(chan struct{})}
 	conn.inbound.init()
@@ -38,7 +39,7 @@
 	return conn
 }
 
-// receiveLoop reads what the near end sends, whatever the link's state, so that the moment when it hangs up is known.
+// receiveLoop reads what the near end sends whatever the state of the link, so that the moment of its close is known.
 func (c *Conn) receiveLoop() {
 	defer c.tasks.Done()
 	buf := make([]byte, chunkBytes)
@@ -52,8 +53,8 @@
 			c.peerClosedAt.Store(now)
 			close(c.peerClosed)
 			c.inbound.closeWithError(io.EOF)
-			// It stays one of the link's until its end is closed. Danger: a held link does not show the far end that the near end
-			// hung up, and only a reset has it stop waiting.
+			// The connection stays registered with the link until it is shut down. Danger: a blocked link does not show the far end
+			// that the near end has closed; only a reset ends its read then.
 			if c.forgotten.Load() {
 				c.shutdown()
 			}
@@ -62,19 +63,21 @@
 	}
 }
 
-// PeerClosed is closed when the near end has hung up, though a held link may not show it yet.
+// PeerClosed is closed once the near end has closed the connection, also where a blocked link does not let Read see it yet.
 func (c *Conn) PeerClosed() <-chan struct{} { return c.peerClosed }
 
-// PeerClosedAt is when the near end hung up, in ns of the lab's clock; 0: it has not.
+// PeerClosedAt is when the near end closed the connection, in ns of the lab's clock; 0: it has not.
 func (c *Conn) PeerClosedAt() int64 { return c.peerClosedAt.Load() }
 
-// ReceivedAt is when the near end sent the last bytes that Read returned.
+// ReceivedAt is when the near end sent the last bytes that Read returned, in ns of the lab's clock.
 func (c *Conn) ReceivedAt() int64 { return c.inbound.receivedAt() }
 
-// Read returns what has arrived over the link. The near end's hanging up shows as io.EOF after all it sent.
+// Read returns what has arrived over the link: io.EOF after all that the near end sent before it closed, net.ErrClosed after a
+// reset by this end.
 func (c *Conn) Read(p []byte) (int, error) { return c.inbound.read(p, c.link, ToFar, c.done) }
 
-// Write sends to the near end. It returns before the bytes have crossed a link that is not plain.
+// Write sends to the near end. Over a link that is not plain it buffers and returns before the bytes have arrived. It blocks while
+// the buffer is full, and fails with net.ErrClosed once the connection is shut down.
 func (c *Conn) Write(p []byte) (int, error) {
 	if state, _ := c.link.State(); state.plain() && !c.sending.Load() {
 		return c.TCPConn.Write(p)
@@ -90,7 +93,7 @@
 	return len(p), nil
 }
 
-// sendLoop empties out for the rest of the connection's life.
+// sendLoop sends what is buffered until the connection ends.
 func (c *Conn) sendLoop() {
 	defer c.tasks.Done()
 	buf := make([]byte, chunkBytes)
@@ -105,8 +108,8 @@
 	}
 }
 
-// WaitFlushed waits until all that was written has crossed the link, and tells when that was seen; ok is false where the
-// connection ended before.
+// WaitFlushed waits until all that was written has crossed the link, and returns when that was observed, in ns of the lab's clock; ok is
+// false where the connection ended before.
 func (c *Conn) WaitFlushed() (at int64, ok bool) {
 	if c.outbound.waitDrained(c.done, c.peerClosed) {
 		return clock.Now(), true
@@ -114,8 +117,8 @@
 	return 0, false
 }
 
-// Close ends the connection as soon as what was written has crossed. A forgotten one is left as it is until the near end
-// hangs up.
+// Close ends the connection once what was written has crossed the link. A forgotten connection stays half open until the near end
+// closes it. The error is always nil.
 func (c *Conn) Close() error {
 	if c.forgotten.Load() {
 		return nil
@@ -126,25 +129,27 @@
 	return nil
 }
 
-// Reset ends the connection so that the near end sees it reset.
+// Reset ends the connection so that the near end receives a TCP reset.
 func (c *Conn) Reset() {
-	_ = c.SetLinger(0) // fails only where it is closed
+	_ = c.SetLinger(0) // fails only after a close
 	c.shutdown()
 }
 
+// shutdown closes the socket and ends both loops, once.
 func (c *Conn) shutdown() {
 	c.closeOnce.Do(func() {
 		close(c.done)
-		_ = c.TCPConn.Close() // nothing is owed to the near end any more
+		_ = c.TCPConn.Close() // the near end is sent nothing more
 		c.link.remove(c)
 	})
 }
 
-// forget has this end see a reset, and the near end nothing at all: it holds a half-open connection.
+// forget fails this end's reads and drops its writes, and sends nothing: the connection is half open at the near end.
 func (c *Conn) forget() {
 	c.forgotten.Store(true)
 	c.inbound.closeWithError(errForgotten)
 	c.outbound.closeWithError(errForgotten)
 }
 
+// errForgotten is what this end reads from a connection that it has lost (Link.Forget).
 var errForgotten = errors.New("link: forgotten")
--- a/internal/lab/link/listen.go
+++ b/internal/lab/link/listen.go
@@ -12,19 +12,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listener accepts at one port of every loopback address, and of no other interface. One goroutine accepts.
+// Listener accepts connections at one port of every loopback address, and of no other interface. One goroutine may call Accept;
+// SetPartitioned is safe for concurrent use.
 type Listener struct {
 	*net.TCPListener
-	// BySource tells who calls by the address that he calls from, not by the one that he calls: for those who say where they
-	// call from.
+	// BySource identifies a caller by its source address instead of the address that it called, for near ends that bind their
+	// source address. It is set before the first Accept.
 	BySource    bool
 	raw         syscall.RawConn
 	mu          sync.Mutex
-	passing     chan struct{} // closed while calls come up
+	passing     chan struct{} // closed unless the listener is partitioned
 	partitioned bool
 }
 
-// loopbackOnly keeps a socket that is bound to every address to those of loopback.
+// loopbackOnly restricts sockets that are bound to every address to the loopback interface.
 var loopbackOnly = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 	var inner error
 	err := c.Control(func(fd uintptr) { inner = unix.SetsockoptString(int(fd), unix.SOL_SOCKET, unix.SO_BINDTODEVICE, "lo") })
@@ -34,7 +35,7 @@
 	return err
 }}
 
-// ListenPackets takes packets at a port of every loopback address, and of no other interface.
+// ListenPackets opens a UDP socket at a port of every loopback address, and of no other interface. The caller closes it.
 func ListenPackets(port int) (*net.UDPConn, error) {
 	conn, err := loopbackOnly.ListenPacket(context.Background(), "udp4", fmt.Sprintf("0.0.0.0:%d", port))
 	if err != nil {
@@ -43,7 +44,7 @@
 	return conn.(*net.UDPConn), nil
 }
 
-// Listen listens at a port; 0: any that is free.
+// Listen listens at a TCP port; 0: a free one. The caller closes the listener.
 func Listen(port int) (*Listener, error) {
 	listener, err := loopbackOnly.Listen(context.Background(), "tcp4", fmt.Sprintf("0.0.0.0:%d", port))
 	if err != nil {
@@ -60,10 +61,10 @@
 	return &Listener{TCPListener: tcp, raw: raw, passing: always}, nil
 }
 
-// Port is where it listens.
+// Port is the port at which it listens.
 func (l *Listener) Port() int { return l.Addr().(*net.TCPAddr).Port }
 
-// Near is the index of the process that called on an accepted connection; below 0: none of the experiment's.
+// Near is the index of the near end of an accepted connection; negative: it is none of the experiment's.
 func (l *Listener) Near(c net.Conn) int {
 	if l.BySource {
 		return NearIndex(c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr())
@@ -71,7 +72,8 @@
 	return NearIndex(c.LocalAddr().(*net.TCPAddr).AddrPort().Addr())
 }
 
-// Accept returns the next call by a process of the experiment, and its index. While calls are cut off it waits.
+// Accept returns the next connection from a near end of the experiment, and the index of the near end. During a partition it waits
+// until the partition ends, or fails with net.ErrClosed once stop is closed.
 func (l *Listener) Accept(stop <-chan struct{}) (*net.TCPConn, int, error) {
 	for {
 		conn, err := l.AcceptTCP()
@@ -159,6 +161,7 @@
 	fillTimeout      = 5 * time.Millisecond
 )
 
+// setBacklog sets how many established calls the kernel queues for Accept.
 func (l *Listener) setBacklog(n int) error {
 	var inner error
 	if err := l.raw.Control(func(fd uintptr) { inner = unix.Listen(int(fd), n) }); err != nil {
--- a/internal/lab/link/pipe.go
+++ b/internal/lab/link/pipe.go
@@ -12,26 +12,29 @@
 
 const maxBufferedBytes = 256 << 10 // bytes of one direction that a connection keeps back; then the sender waits
 
-// pipe is one direction of a connection: bytes kept back until they are due and the link lets them pass.
+// pipe buffers one direction of a connection until its bytes are due and the link lets them pass. One goroutine writes and one reads.
 type pipe struct {
 	mu             sync.Mutex
 	chunks         []chunk
 	bufferedBytes  int
-	err            error         // after all chunks
-	filled         chan struct{} // a token: something came
-	emptied        chan struct{} // a token: something went
-	lastReceivedAt int64         // of the last bytes gotten
-	writing        bool          // a chunk was gotten and may not be written yet
+	err            error         // that read returns: io.EOF after all chunks, another one at once
+	filled         chan struct{} // has a token after a write or the end
+	emptied        chan struct{} // has a token after a read or the end
+	lastReceivedAt int64         // of the bytes that were read last, ns of the lab's clock
+	writing        bool          // bytes were read that the reader may not have passed on yet
 }
 
+// chunk is what one read of a socket returned. Times are ns of the lab's clock.
 type chunk struct {
 	data       []byte
 	receivedAt int64
 	dueAt      int64
 }
 
+// init makes the pipe ready for use.
 func (p *pipe) init() { p.filled, p.emptied = make(chan struct{}, 1), make(chan struct{}, 1) }
 
+// signal leaves a token in a channel of capacity 1 unless there is one.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -39,13 +42,14 @@
 	}
 }
 
-// write keeps a copy of data back. It waits while the pipe is full, and tells false when dead ends that.
+// write buffers a copy of data, due no sooner than what was written before. It waits while the pipe is full, and returns false when
+// done is closed first. A pipe that failed drops data.
 func (p *pipe) write(data []byte, receivedAt, dueAt int64, done <-chan struct{}) bool {
 	for {
 		p.mu.Lock()
 		if p.failed() {
 			p.mu.Unlock()
-			return true // nobody wants it
+			return true // dropped: nobody reads it
 		}
 		if p.bufferedBytes < maxBufferedBytes {
 			if n := len(p.chunks); n > 0 {
@@ -66,7 +70,7 @@
 	}
 }
 
-// closeWithError ends the pipe: with io.EOF after what it holds, else at once.
+// closeWithError ends the pipe: with io.EOF after what is buffered, with another error at once.
 func (p *pipe) closeWithError(err error) {
 	p.mu.Lock()
 	endOfStream := errors.Is(err, io.EOF)
@@ -81,6 +85,7 @@
 	signal(p.emptied)
 }
 
+// receivedAt is when the bytes that were read last had come from the near end.
 func (p *pipe) receivedAt() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -180,8 +185,9 @@
 	}
 }
 
-const slicesPerSecond = 20 // pieces a second in which a slow link passes bytes
+const slicesPerSecond = 20 // in which a link with a rate passes its bytes
 
+// sleep waits for a time. It returns false when done is closed first.
 func sleep(d time.Duration, done <-chan struct{}) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -193,7 +199,7 @@
 	}
 }
 
-// waitDrained waits until nothing is kept back. It tells false when stop or gone ends that.
+// waitDrained waits until everything was read and passed on. It returns false when stop or peerClosed is closed first.
 func (p *pipe) waitDrained(stop, peerClosed <-chan struct{}) bool {
 	for {
 		p.mu.Lock()
