--- a/internal/lab/link/address.go
+++ b/internal/lab/link/address.go
@@ -24,34 +24,34 @@
 // PortReservation is an address and port that the kernel gives to no other process until Close, whether its owner listens there or not:
 // a call to a process that has ended is refused and never reaches another one with the same port.
 type PortReservation struct {
-	fd   int
-	Addr netip.AddrPort
+	socket int
+	Addr   netip.AddrPort
 }
 
 // Reserve reserves a free port of an IPv4 address. The caller closes the reservation.
 func Reserve(address netip.Addr) (*PortReservation, error) {
-	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	socket, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, fmt.Errorf("link: reserve: %w", err)
 	}
 	// With this option, which Go sets on listeners too, a socket that does not listen is no obstacle to one that does
 	// (socket(7)); when the kernel looks for a free port it passes over both.
-	err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
+	err = unix.SetsockoptInt(socket, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
 	if err == nil {
-		err = unix.Bind(fd, &unix.SockaddrInet4{Addr: address.As4()})
+		err = unix.Bind(socket, &unix.SockaddrInet4{Addr: address.As4()})
 	}
 	var at unix.Sockaddr
 	if err == nil {
-		at, err = unix.Getsockname(fd)
+		at, err = unix.Getsockname(socket)
 	}
 	if err != nil {
-		return nil, errors.Join(fmt.Errorf("link: reserve: %w", err), unix.Close(fd))
+		return nil, errors.Join(fmt.Errorf("link: reserve: %w", err), unix.Close(socket))
 	}
-	return &PortReservation{fd, netip.AddrPortFrom(address, uint16(at.(*unix.SockaddrInet4).Port))}, nil
+	return &PortReservation{socket, netip.AddrPortFrom(address, uint16(at.(*unix.SockaddrInet4).Port))}, nil
 }
 
 // Close releases the port.
-func (p *PortReservation) Close() error { return unix.Close(p.fd) }
+func (p *PortReservation) Close() error { return unix.Close(p.socket) }
 
 // Anywhere stands for all loopback addresses: a Listener accepts at every one of them.
 var Anywhere = netip.IPv4Unspecified()
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -18,14 +18,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// connect is a connection over a link, from the i-th near end.
-func connect(t *testing.T, l *Link, index int) (near *net.TCPConn, far *Conn) {
+// connect returns both ends of a connection over a link, from the near end with an index.
+func connect(t *testing.T, link *Link, index int) (near *net.TCPConn, far *Conn) {
 	t.Helper()
 	listener, err := Listen(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer listener.Close()
+	defer closeAll(t, listener)
 	dialed, err := net.DialTCP("tcp4", nil, &net.TCPAddr{IP: Near(index).AsSlice(), Port: listener.Port()})
 	if err != nil {
 		t.Fatal(err)
@@ -37,15 +37,16 @@
 	if got := listener.Near(accepted); got != index {
 		t.Errorf("the call came from %d, want %d", got, index)
 	}
-	far = Wrap(accepted, l)
+	far = Wrap(accepted, link)
 	t.Cleanup(func() {
-		dialed.Close()
+		_ = dialed.Close() // a test may have closed it
 		far.Reset()
 		far.tasks.Wait()
 	})
 	return dialed, far
 }
 
+// writeText writes a text or fails the test.
 func writeText(t *testing.T, w io.Writer, text string) {
 	t.Helper()
 	if _, err := io.WriteString(w, text); err != nil {
@@ -53,6 +54,7 @@
 	}
 }
 
+// expectText reads as many bytes as a text has and compares them with it.
 func expectText(t *testing.T, r io.Reader, text string) {
 	t.Helper()
 	buf := make([]byte, len(text))
@@ -61,7 +63,7 @@
 	}
 }
 
-// TestPlain passes bytes both ways, and tells when the near end hung up.
+// TestPlain passes bytes both ways, and reports when the near end closed.
 func TestPlain(t *testing.T) {
 	near, far := connect(t, New(), 777)
 	before := clock.Now()
@@ -72,14 +74,14 @@
 	}
 	writeText(t, far, "answer")
 	expectText(t, near, "answer")
-	near.Close()
+	closeAll(t, near)
 	<-far.PeerClosed()
-	if _, err := far.Read(make([]byte, 1)); err != io.EOF || far.PeerClosedAt() < before {
+	if _, err := far.Read(make([]byte, 1)); err != io.EOF || far.PeerClosedAt() < before { //nolint:errorlint // io.Reader has to return io.EOF itself
 		t.Errorf("%v at %d after the near end hung up", err, far.PeerClosedAt())
 	}
 }
 
-// TestHold keeps one direction back while the other passes; what was kept arrives when the hold ends.
+// TestHold blocks one direction while the other passes; what was sent meanwhile arrives afterwards.
 func TestHold(t *testing.T) {
 	link := New()
 	near, far := connect(t, link, 1)
@@ -95,19 +97,19 @@
 	}()
 	select {
 	case text := <-got:
-		t.Fatalf("%q crossed a held link", text)
-	case <-time.After(50 * time.Millisecond): // only a fault shows sooner
+		t.Fatalf("%q crossed a blocked link", text)
+	case <-time.After(50 * time.Millisecond): // only a defect shows sooner
 	}
 	link.Set(State{Hold: [2]bool{ToNear: true}})
 	if text := <-got; text != "held" {
-		t.Errorf("%q after the hold", text)
+		t.Errorf("%q after the block", text)
 	}
 	writeText(t, far, "late")
 	if err := near.SetReadDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := near.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("%v from a held link", err)
+		t.Errorf("%v from a blocked link", err)
 	}
 	if err := near.SetReadDeadline(time.Time{}); err != nil {
 		t.Fatal(err)
@@ -119,6 +121,7 @@
 	}
 }
 
+// errText is the text of an error; "": none.
 func errText(err error) string {
 	if err == nil {
 		return ""
@@ -126,12 +129,12 @@
 	return err.Error()
 }
 
-// TestHungUpUnseen has the near end hang up on a held link: the moment is known, and the end is not seen yet.
-func TestHungUpUnseen(t *testing.T) {
+// TestPeerCloseNotVisible closes the near end of a blocked link: the moment is known, and the far end does not read the end yet.
+func TestPeerCloseNotVisible(t *testing.T) {
 	link := New()
 	near, far := connect(t, link, 2)
 	link.Set(State{Hold: [2]bool{true, true}})
-	near.Close()
+	closeAll(t, near)
 	<-far.PeerClosed()
 	read := make(chan error)
 	go func() {
@@ -140,21 +143,21 @@
 	}()
 	select {
 	case err := <-read:
-		t.Fatalf("%v crossed a held link", err)
+		t.Fatalf("%v crossed a blocked link", err)
 	case <-time.After(50 * time.Millisecond):
 	}
 	link.Set(State{})
-	if err := <-read; err != io.EOF {
+	if err := <-read; err != io.EOF { //nolint:errorlint // io.Reader has to return io.EOF itself
 		t.Errorf("%v, want the end", err)
 	}
 }
 
-// TestResetAfterHangUp has a near end hang up on a held link: the far end, which cannot see that, ends with a reset all the same.
-func TestResetAfterHangUp(t *testing.T) {
+// TestResetAfterPeerClose closes the near end of a blocked link: the far end, which cannot see that, ends with a reset all the same.
+func TestResetAfterPeerClose(t *testing.T) {
 	link := New()
 	near, far := connect(t, link, 0)
 	link.Set(State{Hold: [2]bool{true, true}})
-	near.Close()
+	closeAll(t, near)
 	<-far.PeerClosed()
 	ended := make(chan error, 1)
 	go func() {
@@ -172,7 +175,7 @@
 	}
 }
 
-// TestDelay has bytes arrive no sooner than the delay, and a slow link pass them at its rate.
+// TestDelay delivers bytes no sooner than the delay, and passes them at the rate of a slow link.
 func TestDelay(t *testing.T) {
 	link := New()
 	near, far := connect(t, link, 3)
@@ -194,7 +197,7 @@
 	}
 }
 
-// TestResetAndForget tells the two apart: after a reset the near end knows, after the far end forgot it does not.
+// TestResetAndForget distinguishes the two: the near end learns of a reset, and not that the far end lost the connection.
 func TestResetAndForget(t *testing.T) {
 	link := New()
 	near, far := connect(t, link, 4)
@@ -214,18 +217,44 @@
 	if _, err := far.Read(make([]byte, 1)); err == nil {
 		t.Error("the far end reads on")
 	}
-	far.Close()
+	closeAll(t, far)
 	writeText(t, near, "anybody?")
 	if err := near.SetReadDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := near.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("%v, want silence", err)
+		t.Errorf("%v, want a time-out", err)
 	}
 }
 
-// TestPartitionedListener has calls never come up, and then again as before.
+// TestPartitionedListener lets no call be established during a partition, and calls as before after it.
 func TestPartitionedListener(t *testing.T) {
+	listener, callers := acceptCalls(t)
+	for range 3 {
+		if err := listener.SetPartitioned(true); err != nil {
+			t.Fatal(err)
+		}
+		for _, index := range []int{3, 251} {
+			var timeout net.Error
+			if err := dialFrom(t, index, listener.Port()); !errors.As(err, &timeout) || !timeout.Timeout() {
+				t.Errorf("a call from %d during a partition: %v", index, err)
+			}
+		}
+		if err := listener.SetPartitioned(false); err != nil {
+			t.Fatal(err)
+		}
+		if err := dialFrom(t, 9, listener.Port()); err != nil {
+			t.Errorf("after the partition: %v", err)
+		}
+		for <-callers != 9 { // callers of the partition may come first
+			continue
+		}
+	}
+}
+
+// acceptCalls accepts and closes calls until the test ends, and hands out the indexes of their near ends.
+func acceptCalls(t *testing.T) (*Listener, <-chan int) {
+	t.Helper()
 	listener, err := Listen(0)
 	if err != nil {
 		t.Fatal(err)
@@ -240,77 +269,39 @@
 				return
 			}
 			callers <- near
-			conn.Close()
+			_ = conn.Close() // the call was counted
 		}
 	}()
-	defer func() {
+	t.Cleanup(func() {
 		close(stop)
-		listener.Close()
+		closeAll(t, listener)
 		<-ended
-	}()
-	dial := func(index int) error {
-		address := net.JoinHostPort(Near(index).String(), strconv.Itoa(listener.Port()))
-		conn, err := net.DialTimeout("tcp4", address, 300*time.Millisecond)
-		if err == nil {
-			conn.Close()
-		}
-		return err
-	}
-	for range 3 {
-		if err := listener.SetPartitioned(true); err != nil {
-			t.Fatal(err)
-		}
-		for _, index := range []int{3, 251} {
-			var timeout net.Error
-			if err := dial(index); !errors.As(err, &timeout) || !timeout.Timeout() {
-				t.Errorf("a call from %d that is cut off: %v", index, err)
-			}
-		}
-		if err := listener.SetPartitioned(false); err != nil {
-			t.Fatal(err)
-		}
-		if err := dial(9); err != nil {
-			t.Errorf("after the cut: %v", err)
-		}
-		for near := -1; near != 9; near = <-callers {
-		}
+	})
+	return listener, callers
+}
+
+// dialFrom calls a port from a near end, and closes a connection that is established.
+func dialFrom(t *testing.T, index, port int) error {
+	t.Helper()
+	dialer := net.Dialer{Timeout: 300 * time.Millisecond}
+	conn, err := dialer.DialContext(t.Context(), "tcp4", net.JoinHostPort(Near(index).String(), strconv.Itoa(port)))
+	if err == nil {
+		closeAll(t, conn)
 	}
+	return err
 }
 
-// TestReserve has a place be refused to callers and to others while nobody listens, and open to its owner.
+// TestReserve refuses callers at a reserved port while nobody listens, lets its owner listen, and gives it to nobody else.
 func TestReserve(t *testing.T) {
 	for _, address := range []netip.Addr{Anywhere, Near(5)} {
-		reservation, err := Reserve(address)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer reservation.Close()
-		for range 2 { // an owner comes and goes
-			target := net.JoinHostPort(Near(5).String(), strconv.Itoa(int(reservation.Addr.Port())))
-			if _, err := net.Dial("tcp4", target); !errors.Is(err, syscall.ECONNREFUSED) {
-				t.Errorf("a call to %v: %v, want it refused", reservation.Addr, err)
-			}
-			open := func() (io.Closer, error) { return net.Listen("tcp4", reservation.Addr.String()) }
-			if address == Anywhere {
-				open = func() (io.Closer, error) { return Listen(int(reservation.Addr.Port())) }
-			}
-			listener, err := open()
-			if err != nil {
-				t.Fatal(err)
+		reservation := reserve(t, address)
+		t.Run(address.String(), func(t *testing.T) {
+			for range 2 { // an owner listens, ends and listens again
+				testReservation(t, reservation)
 			}
-			conn, err := net.Dial("tcp4", target)
-			if err != nil {
-				t.Fatal(err)
-			}
-			conn.Close()
-			listener.Close()
-		}
+		})
 	}
-	reservation, err := Reserve(Anywhere)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer reservation.Close()
+	reservation := reserve(t, Anywhere)
 	for range 2000 {
 		other, err := Reserve(Anywhere)
 		if err != nil {
@@ -319,6 +310,50 @@
 		if other.Addr.Port() == reservation.Addr.Port() {
 			t.Fatalf("port %d was given twice", reservation.Addr.Port())
 		}
-		other.Close()
+		closeAll(t, other)
+	}
+}
+
+// reserve reserves a port until the test ends.
+func reserve(t *testing.T, address netip.Addr) *PortReservation {
+	t.Helper()
+	reservation, err := Reserve(address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { closeAll(t, reservation) })
+	return reservation
+}
+
+// testReservation calls a reserved port before and while its owner listens.
+func testReservation(t *testing.T, reservation *PortReservation) {
+	t.Helper()
+	port := int(reservation.Addr.Port())
+	if err := dialFrom(t, 5, port); !errors.Is(err, syscall.ECONNREFUSED) {
+		t.Errorf("a call to %v: %v, want it refused", reservation.Addr, err)
+	}
+	var listener io.Closer
+	var err error
+	if reservation.Addr.Addr() == Anywhere {
+		listener, err = Listen(port)
+	} else {
+		listener, err = new(net.ListenConfig).Listen(t.Context(), "tcp4", reservation.Addr.String())
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer closeAll(t, listener)
+	if err := dialFrom(t, 5, port); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// closeAll closes what a test opened.
+func closeAll(t *testing.T, closers ...io.Closer) {
+	t.Helper()
+	for _, closer := range closers {
+		if err := closer.Close(); err != nil {
+			t.Error(err)
+		}
 	}
 }
