--- a/internal/lab/janitor.go
+++ b/internal/lab/janitor.go
@@ -42,7 +42,7 @@
 		return err
 	}
 	for _, folder := range folders {
-		_ = proc.ReadOnly(folder, false) // most were never read-only, and files cannot be
+		_ = proc.SetReadOnly(folder, false) // most were never read-only, and files cannot be
 	}
 	for until := time.Now().Add(cleanWithin); ; time.Sleep(20 * time.Millisecond) {
 		err := os.RemoveAll(work)
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -228,8 +228,8 @@
 	return (user + system) / ticksPerSecond, err
 }
 
-// Disk has the process's folder be full ("full"), only readable ("readonly"), or as it was ("").
-func (p *Process) Disk(mode string) error {
+// SetDiskFault has the process's folder be full ("full"), only readable ("readonly"), or as it was ("").
+func (p *Process) SetDiskFault(mode string) error {
 	full := uint64(unix.RLIM_INFINITY)
 	if mode == "full" {
 		// No file of the process can grow. A disk that is full says so with another word (ENOSPC, not EFBIG).
@@ -239,14 +239,14 @@
 	if err := unix.Prlimit(p.Pid(), unix.RLIMIT_FSIZE, &limit, nil); err != nil {
 		return fmt.Errorf("%s: file size limit: %w", p.Name, err)
 	}
-	return ReadOnly(p.Folder, mode == "readonly")
+	return SetReadOnly(p.Folder, mode == "readonly")
 }
 
 const immutable = 0x10 // FS_IMMUTABLE_FL of linux/fs.h
 
-// ReadOnly has nothing be made, renamed or removed in a folder. Rights do not bind the superuser: for him the folder is
+// SetReadOnly has nothing be made, renamed or removed in a folder. Rights do not bind the superuser: for him the folder is
 // marked immutable (chattr(1)), which not every file system knows.
-func ReadOnly(folder string, on bool) error {
+func SetReadOnly(folder string, on bool) error {
 	if os.Geteuid() != 0 {
 		mode := os.FileMode(0o700)
 		if on {
@@ -276,16 +276,16 @@
 	return nil
 }
 
-// CanReadOnly tells why no folder under root can be made read-only; nil: it can.
-func CanReadOnly(root string) error {
+// CheckReadOnly tells why no folder under root can be made read-only; nil: it can.
+func CheckReadOnly(root string) error {
 	probe := filepath.Join(root, "readonly")
 	if err := os.Mkdir(probe, 0o700); err != nil {
 		return err
 	}
-	if err := ReadOnly(probe, true); err != nil {
+	if err := SetReadOnly(probe, true); err != nil {
 		return errors.Join(err, os.Remove(probe))
 	}
-	return errors.Join(ReadOnly(probe, false), os.Remove(probe))
+	return errors.Join(SetReadOnly(probe, false), os.Remove(probe))
 }
 
 // Group is the processes that run, so that every one of them can be ended.
--- a/internal/lab/proc/proc_test.go
+++ b/internal/lab/proc/proc_test.go
@@ -34,12 +34,12 @@
 
 // TestDisk has a process find its folder full, only readable, and well again.
 func TestDisk(t *testing.T) {
-	if err := CanReadOnly(t.TempDir()); err != nil {
+	if err := CheckReadOnly(t.TempDir()); err != nil {
 		t.Skip(err)
 	}
 	p, says := shell(t, `trap "" XFSZ; while read name; do (echo text > "$TMPDIR/$name") 2>/dev/null && test -s "$TMPDIR/$name" && echo well || echo failed; done`)
 	for i, step := range []struct{ mode, want string }{{"", "well"}, {"full", "failed"}, {"", "well"}, {"readonly", "failed"}, {"", "well"}} {
-		if err := p.Disk(step.mode); err != nil {
+		if err := p.SetDiskFault(step.mode); err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(p.In, "file%d\n", i)
@@ -93,18 +93,18 @@
 
 // TestFolderStays has what was in a read-only folder be there, and nothing new.
 func TestFolderStays(t *testing.T) {
-	if err := CanReadOnly(t.TempDir()); err != nil {
+	if err := CheckReadOnly(t.TempDir()); err != nil {
 		t.Skip(err)
 	}
 	folder := t.TempDir()
 	if err := os.WriteFile(filepath.Join(folder, "old"), []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := ReadOnly(folder, true); err != nil {
+	if err := SetReadOnly(folder, true); err != nil {
 		t.Fatal(err)
 	}
 	defer func() {
-		if err := ReadOnly(folder, false); err != nil {
+		if err := SetReadOnly(folder, false); err != nil {
 			t.Error(err)
 		}
 	}()
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -235,7 +235,7 @@
 		return err
 	}
 	defer os.RemoveAll(root)
-	if err := proc.CanReadOnly(root); err != nil {
+	if err := proc.CheckReadOnly(root); err != nil {
 		return &plan.Error{File: p.File.Path, What: "disk-readonly is not possible in " + os.TempDir() + ": " + err.Error()}
 	}
 	return nil
