--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -25,9 +25,9 @@
 // Starter starts processes that the kernel kills when the lab's own process is gone, however it ended. Danger: the kernel
 // watches the thread that started them, so one thread starts all and lasts as long as the Starter.
 type Starter struct {
-	calls chan func()
-	ended chan struct{}
-	close sync.Once
+	calls     chan func()
+	ended     chan struct{}
+	closeOnce sync.Once
 }
 
 // NewStarter begins; Close ends it, after all processes.
@@ -45,7 +45,7 @@
 
 // Close ends the thread. Processes that still run are killed with it.
 func (s *Starter) Close() {
-	s.close.Do(func() { close(s.calls) })
+	s.closeOnce.Do(func() { close(s.calls) })
 	<-s.ended
 }
 
@@ -200,11 +200,11 @@
 	if err != nil {
 		return Sample{}, fmt.Errorf("%s: %w", p.Name, err)
 	}
-	open, err := os.ReadDir(root + "/fd")
+	descriptors, err := os.ReadDir(root + "/fd")
 	if err != nil {
 		return Sample{}, fmt.Errorf("%s: %w", p.Name, err)
 	}
-	return Sample{clock.Now(), float64(pages*os.Getpagesize()) / (1 << 20), len(open), cpu}, nil
+	return Sample{clock.Now(), float64(pages*os.Getpagesize()) / (1 << 20), len(descriptors), cpu}, nil
 }
 
 const ticksPerSecond = 100 // of /proc's times (USER_HZ), on all that Go runs on
@@ -230,47 +230,47 @@
 
 // SetDiskFault has the process's folder be full ("full"), only readable ("readonly"), or as it was ("").
 func (p *Process) SetDiskFault(mode string) error {
-	full := uint64(unix.RLIM_INFINITY)
+	maxFileBytes := uint64(unix.RLIM_INFINITY)
 	if mode == "full" {
 		// No file of the process can grow. A disk that is full says so with another word (ENOSPC, not EFBIG).
-		full = 0
+		maxFileBytes = 0
 	}
-	limit := unix.Rlimit{Cur: full, Max: unix.RLIM_INFINITY}
+	limit := unix.Rlimit{Cur: maxFileBytes, Max: unix.RLIM_INFINITY}
 	if err := unix.Prlimit(p.Pid(), unix.RLIMIT_FSIZE, &limit, nil); err != nil {
 		return fmt.Errorf("%s: file size limit: %w", p.Name, err)
 	}
 	return SetReadOnly(p.Folder, mode == "readonly")
 }
 
-const immutable = 0x10 // FS_IMMUTABLE_FL of linux/fs.h
+const immutableFlag = 0x10 // FS_IMMUTABLE_FL of linux/fs.h
 
 // SetReadOnly has nothing be made, renamed or removed in a folder. Rights do not bind the superuser: for him the folder is
 // marked immutable (chattr(1)), which not every file system knows.
-func SetReadOnly(folder string, on bool) error {
+func SetReadOnly(folder string, readOnly bool) error {
 	if os.Geteuid() != 0 {
 		mode := os.FileMode(0o700)
-		if on {
+		if readOnly {
 			mode = 0o500
 		}
 		return os.Chmod(folder, mode)
 	}
-	f, err := os.Open(folder)
+	directory, err := os.Open(folder)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	flags, err := unix.IoctlGetInt(int(f.Fd()), unix.FS_IOC_GETFLAGS)
+	defer directory.Close()
+	flags, err := unix.IoctlGetInt(int(directory.Fd()), unix.FS_IOC_GETFLAGS)
 	if err != nil {
 		return fmt.Errorf("read-only folder: %w", err)
 	}
-	want := flags &^ immutable
-	if on {
-		want |= immutable
+	wanted := flags &^ immutableFlag
+	if readOnly {
+		wanted |= immutableFlag
 	}
-	if want == flags {
+	if wanted == flags {
 		return nil
 	}
-	if err := unix.IoctlSetPointerInt(int(f.Fd()), unix.FS_IOC_SETFLAGS, want); err != nil {
+	if err := unix.IoctlSetPointerInt(int(directory.Fd()), unix.FS_IOC_SETFLAGS, wanted); err != nil {
 		return fmt.Errorf("read-only folder: %w", err)
 	}
 	return nil
@@ -290,15 +290,15 @@
 
 // Group is the processes that run, so that every one of them can be ended.
 type Group struct {
-	mu    sync.Mutex
-	alive []*Process
+	mu        sync.Mutex
+	processes []*Process
 }
 
 // Add takes a process in.
 func (a *Group) Add(p *Process) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.alive = append(a.alive, p)
+	a.processes = append(a.processes, p)
 }
 
 // Kill ends all at once.
@@ -307,7 +307,7 @@
 // Each calls do with each process that was started, ended or not.
 func (a *Group) Each(do func(*Process)) {
 	a.mu.Lock()
-	all := append([]*Process(nil), a.alive...)
+	all := append([]*Process(nil), a.processes...)
 	a.mu.Unlock()
 	for _, p := range all {
 		do(p)
--- a/internal/lab/proc/proc_test.go
+++ b/internal/lab/proc/proc_test.go
@@ -20,16 +20,16 @@
 	s := NewStarter()
 	t.Cleanup(s.Close)
 	folder := t.TempDir()
-	p, err := s.Start(Spec{Name: "shell", Path: "/bin/sh", Args: []string{"-c", script}, Log: filepath.Join(t.TempDir(), "log"), Piped: true,
+	process, err := s.Start(Spec{Name: "shell", Path: "/bin/sh", Args: []string{"-c", script}, Log: filepath.Join(t.TempDir(), "log"), Piped: true,
 		Folder: folder, Env: []string{"TMPDIR=" + folder}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		p.Kill()
-		p.Out.Close()
+		process.Kill()
+		process.Out.Close()
 	})
-	return p, bufio.NewScanner(p.Out)
+	return process, bufio.NewScanner(process.Out)
 }
 
 // TestDisk has a process find its folder full, only readable, and well again.
@@ -37,62 +37,62 @@
 	if err := CheckReadOnly(t.TempDir()); err != nil {
 		t.Skip(err)
 	}
-	p, says := shell(t, `trap "" XFSZ; while read name; do (echo text > "$TMPDIR/$name") 2>/dev/null && test -s "$TMPDIR/$name" && echo well || echo failed; done`)
+	process, output := shell(t, `trap "" XFSZ; while read name; do (echo text > "$TMPDIR/$name") 2>/dev/null && test -s "$TMPDIR/$name" && echo well || echo failed; done`)
 	for i, step := range []struct{ mode, want string }{{"", "well"}, {"full", "failed"}, {"", "well"}, {"readonly", "failed"}, {"", "well"}} {
-		if err := p.SetDiskFault(step.mode); err != nil {
+		if err := process.SetDiskFault(step.mode); err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(p.In, "file%d\n", i)
-		if !says.Scan() || says.Text() != step.want {
-			t.Errorf("step %d, disk %q: the process says %q, want %q", i, step.mode, says.Text(), step.want)
+		fmt.Fprintf(process.In, "file%d\n", i)
+		if !output.Scan() || output.Text() != step.want {
+			t.Errorf("step %d, disk %q: the process says %q, want %q", i, step.mode, output.Text(), step.want)
 		}
 	}
 }
 
 // TestEnd has a process end by itself, by the end of its input, by SIGKILL where that does nothing, and from a stop.
 func TestEnd(t *testing.T) {
-	p, _ := shell(t, "exit 3")
-	<-p.Ended()
-	if x := p.Exit(); x.Code != 3 || x.Wanted {
-		t.Errorf("%+v", x)
+	process, _ := shell(t, "exit 3")
+	<-process.Ended()
+	if exit := process.Exit(); exit.Code != 3 || exit.Wanted {
+		t.Errorf("%+v", exit)
 	}
-	p, _ = shell(t, "read line")
-	if !p.End(10*time.Second) || !p.Exit().Wanted {
-		t.Errorf("%+v", p.Exit())
+	process, _ = shell(t, "read line")
+	if !process.End(10*time.Second) || !process.Exit().Wanted {
+		t.Errorf("%+v", process.Exit())
 	}
-	p, _ = shell(t, "exec sleep 60")
-	if p.End(10 * time.Millisecond) {
+	process, _ = shell(t, "exec sleep 60")
+	if process.End(10 * time.Millisecond) {
 		t.Error("one that does not listen ended well")
 	}
-	if x := p.Exit(); x.Code >= 0 {
-		t.Errorf("%+v", x)
+	if exit := process.Exit(); exit.Code >= 0 {
+		t.Errorf("%+v", exit)
 	}
-	p, says := shell(t, "echo up; read line")
-	says.Scan()
-	if err := p.Signal(syscall.SIGSTOP, false); err != nil {
+	process, output := shell(t, "echo up; read line")
+	output.Scan()
+	if err := process.Signal(syscall.SIGSTOP, false); err != nil {
 		t.Fatal(err)
 	}
-	if !p.End(10 * time.Second) {
+	if !process.End(10 * time.Second) {
 		t.Error("one that was stopped had to be killed")
 	}
 }
 
 // TestSample has a process's memory and descriptors be seen.
 func TestSample(t *testing.T) {
-	p, says := shell(t, `exec 7</dev/null 8</dev/null; echo up; read line`)
-	says.Scan()
-	v, err := p.Sample()
-	if err != nil || v.Descriptors < 5 || v.MemoryMB <= 0 {
-		t.Errorf("%+v, %v", v, err)
-	}
-	p.Kill()
-	if _, err := p.Sample(); err == nil {
+	process, output := shell(t, `exec 7</dev/null 8</dev/null; echo up; read line`)
+	output.Scan()
+	sample, err := process.Sample()
+	if err != nil || sample.Descriptors < 5 || sample.MemoryMB <= 0 {
+		t.Errorf("%+v, %v", sample, err)
+	}
+	process.Kill()
+	if _, err := process.Sample(); err == nil {
 		t.Error("a process that has ended holds something")
 	}
 }
 
-// TestFolderStays has what was in a read-only folder be there, and nothing new.
-func TestFolderStays(t *testing.T) {
+// TestReadOnlyFolder has what was in a read-only folder be there, and nothing new.
+func TestReadOnlyFolder(t *testing.T) {
 	if err := CheckReadOnly(t.TempDir()); err != nil {
 		t.Skip(err)
 	}
