--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -3,52 +3,15 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
-	"os"
 	"os/exec"
-	"path/filepath"
-	"runtime"
-	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"syscall"
 	"time"
-
-	"golang.org/x/sys/unix"
-
-	"gradeusher.example/gradeusher/internal/lab/clock"
 )
 
-// Starter starts processes that the kernel kills when the lab's own process is gone, however it ended. Danger: the kernel
-// watches the thread that started them, so one thread starts all and lasts as long as the Starter.
-type Starter struct {
-	calls     chan func()
-	ended     chan struct{}
-	closeOnce sync.Once
-}
-
-// NewStarter begins; Close ends it, after all processes.
-func NewStarter() *Starter {
-	s := &Starter{calls: make(chan func()), ended: make(chan struct{})}
-	go func() {
-		defer close(s.ended)
-		runtime.LockOSThread() // never unlocked: the thread ends with the goroutine
-		for call := range s.calls {
-			call()
-		}
-	}()
-	return s
-}
-
-// Close ends the thread. Processes that still run are killed with it.
-func (s *Starter) Close() {
-	s.closeOnce.Do(func() { close(s.calls) })
-	<-s.ended
-}
-
 // Spec is a process to start.
 type Spec struct {
 	Name        string
@@ -83,49 +46,6 @@
 	wanted atomic.Bool
 }
 
-// Start starts a process in a process group of its own, so that an interrupt at the terminal reaches the lab alone.
-func (s *Starter) Start(spec Spec) (*Process, error) {
-	log, err := os.OpenFile(spec.Log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
-	if err != nil {
-		return nil, fmt.Errorf("%s: log: %w", spec.Name, err)
-	}
-	defer log.Close() // the process has its own
-	p := &Process{Spec: spec, ended: make(chan struct{}), cmd: exec.Command(spec.Path, spec.Args...)}
-	p.cmd.Env, p.cmd.Stderr = spec.Env, log
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	if spec.OutlivesLab {
-		p.cmd.SysProcAttr.Pdeathsig = 0
-	}
-	if spec.Piped {
-		if p.In, err = p.cmd.StdinPipe(); err != nil {
-			return nil, fmt.Errorf("%s: %w", spec.Name, err)
-		}
-		var out *os.File
-		var in *os.File
-		if in, out, err = os.Pipe(); err != nil {
-			return nil, fmt.Errorf("%s: %w", spec.Name, err)
-		}
-		defer out.Close()
-		p.cmd.Stdout, p.Out = out, in
-	}
-	done := make(chan error)
-	s.calls <- func() { done <- p.cmd.Start() }
-	if err := <-done; err != nil {
-		return nil, fmt.Errorf("%s: %w", spec.Name, err)
-	}
-	p.Started = clock.Now()
-	go func() {
-		err := p.cmd.Wait()
-		p.exit = Exit{Name: spec.Name, At: clock.Now(), Code: p.cmd.ProcessState.ExitCode(), How: p.cmd.ProcessState.String(), Wanted: p.wanted.Load()}
-		var exit *exec.ExitError
-		if err != nil && !errors.As(err, &exit) {
-			p.exit.How = err.Error()
-		}
-		close(p.ended)
-	}()
-	return p, nil
-}
-
 // Pid is the process's number.
 func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
@@ -173,121 +93,6 @@
 	<-p.ended
 }
 
-// Sample is what a process holds now.
-type Sample struct {
-	At          int64   `json:"at"`
-	MemoryMB    float64 `json:"memory_mb"` // resident
-	Descriptors int     `json:"descriptors"`
-	CPU         float64 `json:"cpu_s"` // of a core, since its start
-}
-
-// Sample looks at /proc; it fails where the process has ended.
-func (p *Process) Sample() (Sample, error) {
-	root := "/proc/" + strconv.Itoa(p.Pid())
-	text, err := os.ReadFile(root + "/statm")
-	if err != nil {
-		return Sample{}, fmt.Errorf("%s: %w", p.Name, err)
-	}
-	fields := strings.Fields(string(text))
-	if len(fields) < 2 {
-		return Sample{}, fmt.Errorf("%s: %q is no memory", p.Name, text)
-	}
-	pages, err := strconv.Atoi(fields[1])
-	if err != nil {
-		return Sample{}, fmt.Errorf("%s: %w", p.Name, err)
-	}
-	cpu, err := cpuSeconds(root + "/stat")
-	if err != nil {
-		return Sample{}, fmt.Errorf("%s: %w", p.Name, err)
-	}
-	descriptors, err := os.ReadDir(root + "/fd")
-	if err != nil {
-		return Sample{}, fmt.Errorf("%s: %w", p.Name, err)
-	}
-	return Sample{clock.Now(), float64(pages*os.Getpagesize()) / (1 << 20), len(descriptors), cpu}, nil
-}
-
-const ticksPerSecond = 100 // of /proc's times (USER_HZ), on all that Go runs on
-
-// cpuSeconds reads the time that a process has had (proc(5), fields 14 and 15).
-func cpuSeconds(path string) (float64, error) {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return 0, err
-	}
-	// The name, in parentheses, may hold anything.
-	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
-	if len(fields) < 13 {
-		return 0, fmt.Errorf("%q has no times", text)
-	}
-	user, err := strconv.ParseFloat(fields[11], 64)
-	if err != nil {
-		return 0, err
-	}
-	system, err := strconv.ParseFloat(fields[12], 64)
-	return (user + system) / ticksPerSecond, err
-}
-
-// SetDiskFault has the process's folder be full ("full"), only readable ("readonly"), or as it was ("").
-func (p *Process) SetDiskFault(mode string) error {
-	maxFileBytes := uint64(unix.RLIM_INFINITY)
-	if mode == "full" {
-		// No file of the process can grow. A disk that is full says so with another word (ENOSPC, not EFBIG).
-		maxFileBytes = 0
-	}
-	limit := unix.Rlimit{Cur: maxFileBytes, Max: unix.RLIM_INFINITY}
-	if err := unix.Prlimit(p.Pid(), unix.RLIMIT_FSIZE, &limit, nil); err != nil {
-		return fmt.Errorf("%s: file size limit: %w", p.Name, err)
-	}
-	return SetReadOnly(p.Folder, mode == "readonly")
-}
-
-const immutableFlag = 0x10 // FS_IMMUTABLE_FL of linux/fs.h
-
-// SetReadOnly has nothing be made, renamed or removed in a folder. Rights do not bind the superuser: for him the folder is
-// marked immutable (chattr(1)), which not every file system knows.
-func SetReadOnly(folder string, readOnly bool) error {
-	if os.Geteuid() != 0 {
-		mode := os.FileMode(0o700)
-		if readOnly {
-			mode = 0o500
-		}
-		return os.Chmod(folder, mode)
-	}
-	directory, err := os.Open(folder)
-	if err != nil {
-		return err
-	}
-	defer directory.Close()
-	flags, err := unix.IoctlGetInt(int(directory.Fd()), unix.FS_IOC_GETFLAGS)
-	if err != nil {
-		return fmt.Errorf("read-only folder: %w", err)
-	}
-	wanted := flags &^ immutableFlag
-	if readOnly {
-		wanted |= immutableFlag
-	}
-	if wanted == flags {
-		return nil
-	}
-	if err := unix.IoctlSetPointerInt(int(directory.Fd()), unix.FS_IOC_SETFLAGS, wanted); err != nil {
-		return fmt.Errorf("read-only folder: %w", err)
-	}
-	return nil
-}
-
-// CheckReadOnly tells why no folder under root can be made read-only; nil: it can.
-func CheckReadOnly(root string) error {
-	probe := filepath.Join(root, "readonly")
-	if err := os.Mkdir(probe, 0o700); err != nil {
-		return err
-	}
-	if err := SetReadOnly(probe, true); err != nil {
-		return errors.Join(err, os.Remove(probe))
-	}
-	return errors.Join(SetReadOnly(probe, false), os.Remove(probe))
-}
-
 // Group is the processes that run, so that every one of them can be ended.
 type Group struct {
 	mu        sync.Mutex
