--- a/internal/lab/proc/disk.go
+++ b/internal/lab/proc/disk.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	defer directory.Close()
+	defer func() { _ = directory.Close() }() // it was only read
 	flags, err := unix.IoctlGetInt(int(directory.Fd()), unix.FS_IOC_GETFLAGS)
 	if err != nil {
 		return fmt.Errorf("read-only folder: %w", err)
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -71,7 +71,7 @@
 	p.wanted.Store(true)
 	_ = p.cmd.Process.Signal(syscall.SIGCONT) // what fails because it has ended shows below
 	if p.In != nil {
-		p.In.Close()
+		_ = p.In.Close() // fails only where the process has ended
 	} else {
 		_ = p.cmd.Process.Signal(syscall.SIGTERM)
 	}
--- a/internal/lab/proc/starter.go
+++ b/internal/lab/proc/starter.go
@@ -39,46 +39,65 @@
 	<-s.ended
 }
 
-// Start starts a process in a process group of its own, so that an interrupt at the terminal reaches the lab alone.
+// Start starts a process in a process group of its own, so that an interrupt at the terminal reaches the lab alone. A goroutine waits for the
+// end of the process; the owner has the process end by End or Kill, and closes Out.
 func (s *Starter) Start(spec Spec) (*Process, error) {
 	log, err := os.OpenFile(spec.Log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("%s: log: %w", spec.Name, err)
 	}
-	defer log.Close() // the process has its own
-	p := &Process{Spec: spec, ended: make(chan struct{}), cmd: exec.Command(spec.Path, spec.Args...)}
-	p.cmd.Env, p.cmd.Stderr = spec.Env, log
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	if spec.OutlivesLab {
-		p.cmd.SysProcAttr.Pdeathsig = 0
-	}
+	defer func() { _ = log.Close() }() // the process has its own descriptor, and nothing is written by this one
+	process := &Process{Spec: spec, ended: make(chan struct{}), cmd: command(spec)}
+	process.cmd.Stderr = log
 	if spec.Piped {
-		if p.In, err = p.cmd.StdinPipe(); err != nil {
+		output, err := process.connectPipes()
+		if err != nil {
 			return nil, fmt.Errorf("%s: %w", spec.Name, err)
 		}
-		var out *os.File
-		var in *os.File
-		if in, out, err = os.Pipe(); err != nil {
-			return nil, fmt.Errorf("%s: %w", spec.Name, err)
-		}
-		defer out.Close()
-		p.cmd.Stdout, p.Out = out, in
+		defer func() { _ = output.Close() }() // the process has its own descriptor
 	}
-	done := make(chan error)
-	s.calls <- func() { done <- p.cmd.Start() }
-	if err := <-done; err != nil {
+	started := make(chan error)
+	s.calls <- func() { started <- process.cmd.Start() }
+	if err := <-started; err != nil {
 		return nil, fmt.Errorf("%s: %w", spec.Name, err)
 	}
-	p.Started = clock.Now()
-	go func() {
-		err := p.cmd.Wait()
-		p.exit = Exit{Name: spec.Name, At: clock.Now(), Code: p.cmd.ProcessState.ExitCode(), How: p.cmd.ProcessState.String(), Wanted: p.wanted.Load()}
-		var exit *exec.ExitError
-		if err != nil && !errors.As(err, &exit) {
-			p.exit.How = err.Error()
-		}
-		close(p.ended)
-	}()
-	return p, nil
+	process.Started = clock.Now()
+	go process.awaitExit()
+	return process, nil
+}
+
+// command is what a spec has the system execute.
+func command(spec Spec) *exec.Cmd {
+	cmd := exec.Command(spec.Path, spec.Args...) //nolint:noctx // no context may kill it: its owner does, and the kernel with the Starter
+	cmd.Env = spec.Env
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
+	if spec.OutlivesLab {
+		cmd.SysProcAttr.Pdeathsig = 0
+	}
+	return cmd
 }
 
+// connectPipes makes pipes of standard input and output, and returns the end that the process writes to, which the caller closes.
+func (p *Process) connectPipes() (output *os.File, err error) {
+	if p.In, err = p.cmd.StdinPipe(); err != nil {
+		return nil, err
+	}
+	input, output, err := os.Pipe()
+	if err != nil {
+		return nil, err
+	}
+	p.cmd.Stdout, p.Out = output, input
+	return output, nil
+}
+
+// awaitExit waits for the end of the process, records it and closes ended.
+func (p *Process) awaitExit() {
+	err := p.cmd.Wait()
+	state := p.cmd.ProcessState
+	p.exit = Exit{Name: p.Name, At: clock.Now(), Code: state.ExitCode(), How: state.String(), Wanted: p.wanted.Load()}
+	var exit *exec.ExitError
+	if err != nil && !errors.As(err, &exit) {
+		p.exit.How = err.Error()
+	}
+	close(p.ended)
+}
