--- a/internal/lab/proc/disk.go
+++ b/internal/lab/proc/disk.go
@@ -9,24 +9,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// SetDiskFault has the process's folder be full ("full"), only readable ("readonly"), or as it was ("").
+// The disk faults of a process, as steps of a plan name them.
+const (
+	DiskFull     = "full"     // no file can grow
+	DiskReadOnly = "readonly" // nothing in its folder can be created, renamed or removed
+)
+
+// SetDiskFault injects a disk fault, DiskFull or DiskReadOnly, or ends it ("").
 func (p *Process) SetDiskFault(mode string) error {
 	maxFileBytes := uint64(unix.RLIM_INFINITY)
-	if mode == "full" {
-		// No file of the process can grow. A disk that is full says so with another word (ENOSPC, not EFBIG).
+	if mode == DiskFull {
+		// The limit fails writes with EFBIG, where a full disk fails them with ENOSPC.
 		maxFileBytes = 0
 	}
 	limit := unix.Rlimit{Cur: maxFileBytes, Max: unix.RLIM_INFINITY}
 	if err := unix.Prlimit(p.Pid(), unix.RLIMIT_FSIZE, &limit, nil); err != nil {
 		return fmt.Errorf("%s: file size limit: %w", p.Name, err)
 	}
-	return SetReadOnly(p.Folder, mode == "readonly")
+	return SetReadOnly(p.Folder, mode == DiskReadOnly)
 }
 
 const immutableFlag = 0x10 // FS_IMMUTABLE_FL of linux/fs.h
 
-// SetReadOnly has nothing be made, renamed or removed in a folder. Rights do not bind the superuser: for him the folder is
-// marked immutable (chattr(1)), which not every file system knows.
+// SetReadOnly makes a folder read-only or writable again. Permissions do not bind the superuser: for him the folder gets the
+// immutable attribute (chattr(1)), which not every file system supports; it fails there.
 func SetReadOnly(folder string, readOnly bool) error {
 	if os.Geteuid() != 0 {
 		mode := os.FileMode(0o700)
@@ -57,7 +63,7 @@
 	return nil
 }
 
-// CheckReadOnly tells why no folder under root can be made read-only; nil: it can.
+// CheckReadOnly returns why no folder under root can be made read-only; nil: it can.
 func CheckReadOnly(root string) error {
 	probe := filepath.Join(root, "readonly")
 	if err := os.Mkdir(probe, 0o700); err != nil {
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -1,4 +1,10 @@
-// Package proc starts the processes of an experiment, ends each of them whatever happens, and does to them what faults say.
+// Package proc starts the processes of an experiment, ends each of them whatever happens, and injects faults into them.
+//
+// Terms: a Starter starts processes that the kernel kills with the lab's own process; a Process is one of them; a Group is all of
+// them, so that none is left over. The exit of a process is wanted where the lab or a fault ended it; an exit that is not wanted is a
+// crash, which the checkers report.
+//
+// Invariant: no process outlives the lab, unless its Spec says so.
 package proc
 
 import (
@@ -12,33 +18,33 @@
 	"time"
 )
 
-// Spec is a process to start.
+// Spec describes a process to start.
 type Spec struct {
-	Name        string
-	Path        string
+	Name        string // in reports and errors
+	Path        string // of the program
 	Args        []string
-	Env         []string // all of it
-	Log         string   // file that standard error is added to
+	Env         []string // the whole environment
+	Log         string   // file that standard error is appended to
 	Piped       bool     // standard input and output are pipes to the lab
-	Folder      string   // its TMPDIR
-	OutlivesLab bool     // it outlives the lab, if only to clean up
+	Folder      string   // its TMPDIR, on which SetDiskFault acts
+	OutlivesLab bool     // the kernel does not kill it with the lab, so that it can clean up
 }
 
 // Exit is how a process ended.
 type Exit struct {
 	Name   string `json:"name"`
-	At     int64  `json:"at"`
-	Code   int    `json:"code"`   // below 0: a signal
-	How    string `json:"how"`    // as the system words it
+	At     int64  `json:"at"`     // ns of the lab's clock
+	Code   int    `json:"code"`   // exit status; negative: a signal ended it
+	How    string `json:"how"`    // the system's description
 	Wanted bool   `json:"wanted"` // the lab or a fault ended it
 }
 
-// Process is one that was started.
+// Process is a process that was started. Its methods are safe for concurrent use.
 type Process struct {
 	Spec
-	Started int64
-	In      io.WriteCloser
-	Out     io.ReadCloser
+	Started int64          // ns of the lab's clock
+	In      io.WriteCloser // standard input, where Spec.Piped; End closes it
+	Out     io.ReadCloser  // standard output, where Spec.Piped; the owner closes it
 
 	cmd    *exec.Cmd
 	ended  chan struct{}
@@ -46,16 +52,16 @@
 	wanted atomic.Bool
 }
 
-// Pid is the process's number.
+// Pid is the process id.
 func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
 // Ended is closed when the process has ended.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// Exit is how it ended, once Ended is closed.
+// Exit is how the process ended. It may be called once Ended is closed.
 func (p *Process) Exit() Exit { return p.exit }
 
-// Signal sends a signal. wanted: the process may end by it.
+// Signal sends a signal. With wanted the process may end by it without being counted as crashed. It fails where the process has ended.
 func (p *Process) Signal(sig syscall.Signal, wanted bool) error {
 	if wanted {
 		p.wanted.Store(true)
@@ -66,10 +72,11 @@
 	return nil
 }
 
-// End has it finish: by the end of its input or SIGTERM, and after a time by SIGKILL. It tells false where that was needed.
+// End shuts the process down and waits for its exit: by the end of its input, or SIGTERM where it has none, and by SIGKILL after the
+// time. It returns false where SIGKILL was needed. A stopped process is continued first.
 func (p *Process) End(within time.Duration) bool {
 	p.wanted.Store(true)
-	_ = p.cmd.Process.Signal(syscall.SIGCONT) // what fails because it has ended shows below
+	_ = p.cmd.Process.Signal(syscall.SIGCONT) // fails only where the process has ended, which shows below
 	if p.In != nil {
 		_ = p.In.Close() // fails only where the process has ended
 	} else {
@@ -86,34 +93,34 @@
 	return false
 }
 
-// Kill ends it at once.
+// Kill ends the process by SIGKILL and waits for its exit.
 func (p *Process) Kill() {
 	p.wanted.Store(true)
-	_ = p.cmd.Process.Kill() // fails only where it has ended
+	_ = p.cmd.Process.Kill() // fails only where the process has ended
 	<-p.ended
 }
 
-// Group is the processes that run, so that every one of them can be ended.
+// Group is a set of processes that are ended together. It is safe for concurrent use.
 type Group struct {
 	mu        sync.Mutex
 	processes []*Process
 }
 
-// Add takes a process in.
-func (a *Group) Add(p *Process) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.processes = append(a.processes, p)
+// Add adds a process to the group.
+func (g *Group) Add(p *Process) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.processes = append(g.processes, p)
 }
 
-// Kill ends all at once.
-func (a *Group) Kill() { a.Each((*Process).Kill) }
+// Kill ends all processes by SIGKILL, one after the other.
+func (g *Group) Kill() { g.Each((*Process).Kill) }
 
 // Each calls do with each process that was started, ended or not.
-func (a *Group) Each(do func(*Process)) {
-	a.mu.Lock()
-	all := append([]*Process(nil), a.processes...)
-	a.mu.Unlock()
+func (g *Group) Each(do func(*Process)) {
+	g.mu.Lock()
+	all := append([]*Process(nil), g.processes...)
+	g.mu.Unlock()
 	for _, p := range all {
 		do(p)
 	}
--- a/internal/lab/proc/proc_test.go
+++ b/internal/lab/proc/proc_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// shell starts a shell that reads its lines from the test.
+// shell starts a shell whose input and output are the test's.
 func shell(t *testing.T, script string) (*Process, *bufio.Scanner) {
 	t.Helper()
 	s := NewStarter()
@@ -27,57 +27,69 @@
 	}
 	t.Cleanup(func() {
 		process.Kill()
-		process.Out.Close()
+		if err := process.Out.Close(); err != nil {
+			t.Error(err)
+		}
 	})
 	return process, bufio.NewScanner(process.Out)
 }
 
-// TestDisk has a process find its folder full, only readable, and well again.
+// TestDisk lets a process find its folder full, read-only, and writable again.
 func TestDisk(t *testing.T) {
 	if err := CheckReadOnly(t.TempDir()); err != nil {
 		t.Skip(err)
 	}
-	process, output := shell(t, `trap "" XFSZ; while read name; do (echo text > "$TMPDIR/$name") 2>/dev/null && test -s "$TMPDIR/$name" && echo well || echo failed; done`)
-	for i, step := range []struct{ mode, want string }{{"", "well"}, {"full", "failed"}, {"", "well"}, {"readonly", "failed"}, {"", "well"}} {
+	process, output := shell(t, `trap "" XFSZ; while read name; do (echo text > "$TMPDIR/$name") 2>/dev/null && test -s "$TMPDIR/$name" && echo written || echo failed; done`)
+	for i, step := range []struct{ mode, want string }{{"", "written"}, {DiskFull, "failed"}, {"", "written"}, {DiskReadOnly, "failed"}, {"", "written"}} {
 		if err := process.SetDiskFault(step.mode); err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(process.In, "file%d\n", i)
+		if _, err := fmt.Fprintf(process.In, "file%d\n", i); err != nil {
+			t.Fatal(err)
+		}
 		if !output.Scan() || output.Text() != step.want {
 			t.Errorf("step %d, disk %q: the process says %q, want %q", i, step.mode, output.Text(), step.want)
 		}
 	}
 }
 
-// TestEnd has a process end by itself, by the end of its input, by SIGKILL where that does nothing, and from a stop.
+// TestEnd ends a process by its own exit, by the end of its input, by SIGKILL where that has no effect, and out of a stop.
 func TestEnd(t *testing.T) {
-	process, _ := shell(t, "exit 3")
-	<-process.Ended()
-	if exit := process.Exit(); exit.Code != 3 || exit.Wanted {
-		t.Errorf("%+v", exit)
-	}
-	process, _ = shell(t, "read line")
-	if !process.End(10*time.Second) || !process.Exit().Wanted {
-		t.Errorf("%+v", process.Exit())
-	}
-	process, _ = shell(t, "exec sleep 60")
-	if process.End(10 * time.Millisecond) {
-		t.Error("one that does not listen ended well")
-	}
-	if exit := process.Exit(); exit.Code >= 0 {
-		t.Errorf("%+v", exit)
-	}
-	process, output := shell(t, "echo up; read line")
-	output.Scan()
-	if err := process.Signal(syscall.SIGSTOP, false); err != nil {
-		t.Fatal(err)
-	}
-	if !process.End(10 * time.Second) {
-		t.Error("one that was stopped had to be killed")
-	}
+	t.Run("by itself", func(t *testing.T) {
+		process, _ := shell(t, "exit 3")
+		<-process.Ended()
+		if exit := process.Exit(); exit.Code != 3 || exit.Wanted {
+			t.Errorf("%+v", exit)
+		}
+	})
+	t.Run("end of input", func(t *testing.T) {
+		process, _ := shell(t, "read line")
+		if !process.End(10*time.Second) || !process.Exit().Wanted {
+			t.Errorf("%+v", process.Exit())
+		}
+	})
+	t.Run("SIGKILL", func(t *testing.T) {
+		process, _ := shell(t, "exec sleep 60")
+		if process.End(10 * time.Millisecond) {
+			t.Error("a process that ignores its input ended without SIGKILL")
+		}
+		if exit := process.Exit(); exit.Code >= 0 {
+			t.Errorf("%+v", exit)
+		}
+	})
+	t.Run("stopped", func(t *testing.T) {
+		process, output := shell(t, "echo up; read line")
+		output.Scan()
+		if err := process.Signal(syscall.SIGSTOP, false); err != nil {
+			t.Fatal(err)
+		}
+		if !process.End(10 * time.Second) {
+			t.Error("a stopped process had to be killed")
+		}
+	})
 }
 
-// TestSample has a process's memory and descriptors be seen.
+// TestSample measures memory and descriptors of a process, and fails for one that has ended.
 func TestSample(t *testing.T) {
 	process, output := shell(t, `exec 7</dev/null 8</dev/null; echo up; read line`)
 	output.Scan()
@@ -87,11 +99,11 @@
 	}
 	process.Kill()
 	if _, err := process.Sample(); err == nil {
-		t.Error("a process that has ended holds something")
+		t.Error("a process that has ended has a sample")
 	}
 }
 
-// TestReadOnlyFolder has what was in a read-only folder be there, and nothing new.
+// TestReadOnlyFolder leaves what was in a read-only folder, and lets nothing be created there.
 func TestReadOnlyFolder(t *testing.T) {
 	if err := CheckReadOnly(t.TempDir()); err != nil {
 		t.Skip(err)
--- a/internal/lab/proc/sample.go
+++ b/internal/lab/proc/sample.go
@@ -9,15 +9,15 @@
 	"gradeusher.example/gradeusher/internal/lab/clock"
 )
 
-// Sample is what a process holds now.
+// Sample is the resources that a process uses at one time.
 type Sample struct {
-	At          int64   `json:"at"`
-	MemoryMB    float64 `json:"memory_mb"` // resident
+	At          int64   `json:"at"`        // ns of the lab's clock
+	MemoryMB    float64 `json:"memory_mb"` // resident set, MiB
 	Descriptors int     `json:"descriptors"`
-	CPU         float64 `json:"cpu_s"` // of a core, since its start
+	CPU         float64 `json:"cpu_s"` // seconds of a core since its start
 }
 
-// Sample looks at /proc; it fails where the process has ended.
+// Sample reads the resources of the process from /proc. It fails where the process has ended.
 func (p *Process) Sample() (Sample, error) {
 	root := "/proc/" + strconv.Itoa(p.Pid())
 	text, err := os.ReadFile(root + "/statm")
@@ -43,15 +43,15 @@
 	return Sample{clock.Now(), float64(pages*os.Getpagesize()) / (1 << 20), len(descriptors), cpu}, nil
 }
 
-const ticksPerSecond = 100 // of /proc's times (USER_HZ), on all that Go runs on
+const ticksPerSecond = 100 // of the times in /proc (USER_HZ), on all architectures that Go supports
 
-// cpuSeconds reads the time that a process has had (proc(5), fields 14 and 15).
+// cpuSeconds reads the user and system time of a process, in seconds of a core (proc(5), fields 14 and 15).
 func cpuSeconds(path string) (float64, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return 0, err
 	}
-	// The name, in parentheses, may hold anything.
+	// Field 2 is the name in parentheses, which may contain spaces and parentheses itself.
 	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
 	if len(fields) < 13 {
 		return 0, fmt.Errorf("%q has no times", text)
--- a/internal/lab/proc/starter.go
+++ b/internal/lab/proc/starter.go
@@ -12,15 +12,15 @@
 	"gradeusher.example/gradeusher/internal/lab/clock"
 )
 
-// Starter starts processes that the kernel kills when the lab's own process is gone, however it ended. Danger: the kernel
-// watches the thread that started them, so one thread starts all and lasts as long as the Starter.
+// Starter starts processes that the kernel kills when the lab's own process has ended, in whatever way (PR_SET_PDEATHSIG). Danger: the
+// kernel watches the thread that started a process, so one thread starts all of them and lasts as long as the Starter.
 type Starter struct {
 	calls     chan func()
 	ended     chan struct{}
 	closeOnce sync.Once
 }
 
-// NewStarter begins; Close ends it, after all processes.
+// NewStarter starts the thread. The caller ends it by Close after all processes have ended.
 func NewStarter() *Starter {
 	s := &Starter{calls: make(chan func()), ended: make(chan struct{})}
 	go func() {
@@ -33,7 +33,7 @@
 	return s
 }
 
-// Close ends the thread. Processes that still run are killed with it.
+// Close ends the thread and waits for that. The kernel kills processes that still run.
 func (s *Starter) Close() {
 	s.closeOnce.Do(func() { close(s.calls) })
 	<-s.ended
