--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -153,7 +153,7 @@
 	for i := range e.Tries {
 		t := &e.Tries[i]
 		name := e.Plan.Sidecars[t.Sidecar].Name
-		if t.Again != 0 && len(attempts[t.ID]) > 0 && attempts[t.ID][0].First < t.Again && !e.excused(t.Sidecar, t.Began, t.Ended) {
+		if t.ResentAt != 0 && len(attempts[t.ID]) > 0 && attempts[t.ID][0].First < t.ResentAt && !e.excused(t.Sidecar, t.Began, t.Ended) {
 			// The client took it that nobody had read the request, but a server had got it.
 			f.add("one-answer", "%s hung up on request %s after it had sent it on", name, t.ID)
 		}
@@ -171,8 +171,8 @@
 		switch {
 		case t.Status == 0 && !excused:
 			f.add("one-answer", "%s took request %s at %s and gave no answer: %s", name, t.ID, e.when(t.Sent), t.Fault)
-		case t.Status == 200 && !slices.ContainsFunc(attempts[t.ID], func(a ctl.Attempt) bool { return a.Outcome == "served" && a.Server == t.By }):
-			f.add("one-answer", "%s served request %s by %q, which no server says", name, t.ID, t.By)
+		case t.Status == 200 && !slices.ContainsFunc(attempts[t.ID], func(a ctl.Attempt) bool { return a.Outcome == "served" && a.Server == t.ServedBy }):
+			f.add("one-answer", "%s served request %s by %q, which no server says", name, t.ID, t.ServedBy)
 		case t.Status != 0 && t.Ended > late && !excused:
 			f.add("in-time", "%s answered request %s %v after its time", name, t.ID, time.Duration(t.Ended-t.Sent)-t.Timeout)
 		}
@@ -196,11 +196,11 @@
 			f.add("no-duplicate", "server %s got request %q, which no client sent", all[0].Server, id)
 			continue
 		}
-		if t.Again != 0 && e.excused(t.Sidecar, t.Began, t.Ended) {
+		if t.ResentAt != 0 && e.excused(t.Sidecar, t.Began, t.Ended) {
 			continue // sent to two processes
 		}
 		most := mostAttempts
-		if t.Again != 0 {
+		if t.ResentAt != 0 {
 			most *= 2
 		}
 		if len(all) > most {
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -24,7 +24,7 @@
 		{At: 200 * time.Millisecond, Class: 1, Work: 2 * time.Second}}}
 	try := func(id string, arrival, class int, at, took int64) load.Attempt {
 		return load.Attempt{ID: id, Arrival: arrival, Class: class, Due: at, Began: at, Sent: at, Ended: at + took, Timeout: 2 * time.Second, Status: 200,
-			By: "s1"}
+			ServedBy: "s1"}
 	}
 	attempt := func(id, server string, at, took int64, how string) ctl.Attempt {
 		return ctl.Attempt{Server: server, ID: id, First: at, Received: at, End: at + took, Outcome: how}
@@ -68,13 +68,13 @@
 			e.Tries[0].Ended = 9000 * ms
 			e.Runs[0][0].Stops = []Span{{1200 * ms, 8000 * ms}}
 		}, nil},
-		{"an answer that no server made", func(e *Evidence) { e.Tries[0].By = "?" }, []string{"one-answer"}},
+		{"an answer that no server made", func(e *Evidence) { e.Tries[0].ServedBy = "?" }, []string{"one-answer"}},
 		{"nobody had taken it", func(e *Evidence) { e.Tries[0].Status, e.Tries[0].Sent = 0, 0 }, nil},
 		{"hung up on after it was sent on", func(e *Evidence) {
-			e.Tries[0].Again = 1100 * ms
+			e.Tries[0].ResentAt = 1100 * ms
 			e.Tries[0].Ended = 1400 * ms
 		}, []string{"one-answer"}},
-		{"hung up on, and nobody had read it", func(e *Evidence) { e.Tries[0].Again = 1000 * ms }, nil},
+		{"hung up on, and nobody had read it", func(e *Evidence) { e.Tries[0].ResentAt = 1000 * ms }, nil},
 		{"late", func(e *Evidence) { e.Tries[0].Ended = 3501 * ms }, []string{"in-time"}},
 		{"late within the slack", func(e *Evidence) { e.Tries[0].Ended = 3499 * ms }, nil},
 		{"a submit sent again", func(e *Evidence) {
--- a/internal/lab/check/hitters.go
+++ b/internal/lab/check/hitters.go
@@ -83,7 +83,7 @@
 		t := &e.Tries[i]
 		a := &p.Arrivals[t.Arrival]
 		s, who := second(t.Arrival), pair{a.Client, t.Sidecar}
-		yields := t.Status == 503 && t.After >= gaveWay && !seen[t.ID]
+		yields := t.Status == 503 && t.RetryAfter >= gaveWay && !seen[t.ID]
 		if yields {
 			all++
 			if lately(a.Client, s) {
--- a/internal/lab/check/hitters_test.go
+++ b/internal/lab/check/hitters_test.go
@@ -41,11 +41,11 @@
 			try := load.Attempt{ID: fmt.Sprint(n), Arrival: n, Sidecar: n % 2, Status: 200, Ended: int64(at) + int64(time.Millisecond)}
 			switch {
 			case tt.yield(client, n%2, at) && at < 15*time.Second:
-				try.Status, try.After = 503, 1500*time.Millisecond
+				try.Status, try.RetryAfter = 503, 1500*time.Millisecond
 			case n%10 == 0: // full: refused, to come back soon, or after an attempt
-				try.Status, try.After = 503, 200*time.Millisecond
+				try.Status, try.RetryAfter = 503, 200*time.Millisecond
 			case n%10 == 1:
-				try.Status, try.After = 503, 1500*time.Millisecond
+				try.Status, try.RetryAfter = 503, 1500*time.Millisecond
 				e.Attempts = append(e.Attempts, ctl.Attempt{ID: try.ID})
 			}
 			e.Tries = append(e.Tries, try)
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -16,22 +16,22 @@
 
 // Attempt is one request as a client saw it. Times are ns of the lab's clock; 0: it did not happen.
 type Attempt struct {
-	ID      string        `json:"id"`
-	Arrival int           `json:"arrival"` // index in the plan
-	Retry   bool          `json:"retry,omitempty"`
-	Sidecar int           `json:"sidecar"`
-	Class   int           `json:"class"`
-	Client  string        `json:"client,omitempty"` // who asks, as the header X-Tenant-Id says
-	Due     int64         `json:"due"`
-	Began   int64         `json:"began"`   // when the client set out to send
-	Sent    int64         `json:"sent"`    // last byte written to a connection that was accepted
-	Ended   int64         `json:"ended"`   // last byte of the answer, or when the connection ended
-	Timeout time.Duration `json:"timeout"` // that the sidecar was told
-	Status  int           `json:"status"`  // of a whole answer
-	By      string        `json:"by,omitempty"`
-	After   time.Duration `json:"after,omitempty"` // Retry-After
-	Again   int64         `json:"again,omitempty"` // when it was sent once more, since the connection had been closed
-	Fault   string        `json:"fault,omitempty"`
+	ID         string        `json:"id"`
+	Arrival    int           `json:"arrival"` // index in the plan
+	Retry      bool          `json:"retry,omitempty"`
+	Sidecar    int           `json:"sidecar"`
+	Class      int           `json:"class"`
+	Client     string        `json:"client,omitempty"` // who asks, as the header X-Tenant-Id says
+	Due        int64         `json:"due"`
+	Began      int64         `json:"began"`   // when the client set out to send
+	Sent       int64         `json:"sent"`    // last byte written to a connection that was accepted
+	Ended      int64         `json:"ended"`   // last byte of the answer, or when the connection ended
+	Timeout    time.Duration `json:"timeout"` // that the sidecar was told
+	Status     int           `json:"status"`  // of a whole answer
+	ServedBy   string        `json:"by,omitempty"`
+	RetryAfter time.Duration `json:"after,omitempty"` // Retry-After
+	ResentAt   int64         `json:"again,omitempty"` // when it was sent once more, since the connection had been closed
+	Fault      string        `json:"fault,omitempty"`
 }
 
 const (
@@ -50,7 +50,7 @@
 	Plan      *plan.Plan
 	Addresses []string // of the sidecars
 	Slack     time.Duration
-	Tardy     time.Duration // sends this much late: only for the control of the lab's own lateness
+	SendDelay time.Duration // sends this much late: only for the control of the lab's own lateness
 	Live      Live
 
 	pools []*pool
@@ -71,7 +71,7 @@
 send:
 	for i := range c.Plan.Arrivals {
 		due := start + int64(c.Plan.Arrivals[i].At)
-		if wait := clock.Until(due + int64(c.Tardy)); wait > 0 {
+		if wait := clock.Until(due + int64(c.SendDelay)); wait > 0 {
 			timer.Reset(wait)
 			select {
 			case <-timer.C:
@@ -109,7 +109,7 @@
 		return
 	}
 	// Clients look on past their time for answers that come too late, so a sidecar that never answers is asked again late.
-	next := clock.Now() + int64(max(a.Backoff, min(first.After, backoffMost)))
+	next := clock.Now() + int64(max(a.Backoff, min(first.RetryAfter, backoffMost)))
 	left := time.Duration(due + int64(giveUp) - next)
 	if left < leastTry {
 		c.count(first)
@@ -154,7 +154,7 @@
 		var ans answer
 		t.Sent, ans, err = k.ask(q, deadline)
 		if err == nil {
-			t.Ended, t.Status, t.By, t.After = clock.Now(), ans.status, ans.by, ans.after
+			t.Ended, t.Status, t.ServedBy, t.RetryAfter = clock.Now(), ans.status, ans.by, ans.after
 			p.put(k, ans.closes)
 			return t
 		}
@@ -163,7 +163,7 @@
 			break
 		}
 		// PROTOCOL: the close may have crossed the request, which nobody has read then; it is sent once more on a new connection.
-		t.Again, t.Sent, used = clock.Now(), 0, false
+		t.ResentAt, t.Sent, used = clock.Now(), 0, false
 		k, err = p.dial(deadline)
 	}
 	t.Ended, t.Fault = clock.Now(), err.Error()
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -147,7 +147,7 @@
 	defer f.Close()
 
 	clients := &load.Clients{Plan: p, Addresses: f.Addresses(), Slack: plan.Millis(p.File.Limits.AnswerSlackMS),
-		Tardy: plan.Millis(p.File.Load.TardyMS)}
+		SendDelay: plan.Millis(p.File.Load.TardyMS)}
 	start := clock.Now() + int64(lead)
 	if o.Up != nil {
 		o.Up(f)
--- a/internal/lab/trace.go
+++ b/internal/lab/trace.go
@@ -42,11 +42,11 @@
 	for _, t := range tries {
 		ids[t.ID] = true
 		add(t.Began, "client: %s to sidecar %d, class %d, time-out %v", t.ID, t.Sidecar, t.Class, t.Timeout)
-		add(t.Again, "client: %s once more, the connection had been closed", t.ID)
+		add(t.ResentAt, "client: %s once more, the connection had been closed", t.ID)
 		if t.Status == 0 {
 			add(t.Ended, "client: %s got no answer: %s", t.ID, t.Fault)
 		} else {
-			add(t.Ended, "client: %s got %d%s", t.ID, t.Status, strings.TrimSuffix(" from "+t.By, " from "))
+			add(t.Ended, "client: %s got %d%s", t.ID, t.Status, strings.TrimSuffix(" from "+t.ServedBy, " from "))
 		}
 	}
 	paths, err := filepath.Glob(filepath.Join(folder, "attempts-*.jsonl"))
