--- a/internal/lab/load/conn.go
+++ b/internal/lab/load/conn.go
@@ -20,29 +20,29 @@
 // keeps to itself. So connections are held here; requests and answers are still read and written by net/http's rules.
 
 const (
-	idleConn = 1500 * time.Millisecond // before the 2 s after which a sidecar may close one
-	mostIdle = 64                      // connections to one sidecar
+	maxIdleTime  = 1500 * time.Millisecond // before the 2 s after which a sidecar may close one
+	maxIdleConns = 64                      // connections to one sidecar
 )
 
-var errHungUp = errors.New("hung up without an answer")
+var errConnClosed = errors.New("hung up without an answer")
 
-// pool is the connections to one sidecar, the last used first.
-type pool struct {
+// connPool is the connections to one sidecar, the last used first.
+type connPool struct {
 	address string
 	mu      sync.Mutex
-	idle    []*conn
+	idle    []*clientConn
 	closed  bool
 }
 
-type conn struct {
+type clientConn struct {
 	net.Conn
-	in    *bufio.Reader
-	since time.Time
+	reader    *bufio.Reader
+	idleSince time.Time
 }
 
-func (p *pool) get(deadline time.Time) (c *conn, used bool, err error) {
+func (p *connPool) get(deadline time.Time) (c *clientConn, used bool, err error) {
 	p.mu.Lock()
-	for len(p.idle) > 0 && time.Since(p.idle[0].since) > idleConn {
+	for len(p.idle) > 0 && time.Since(p.idle[0].idleSince) > maxIdleTime {
 		p.idle[0].Close()
 		p.idle = p.idle[1:]
 	}
@@ -58,27 +58,27 @@
 	return c, false, err
 }
 
-func (p *pool) dial(deadline time.Time) (*conn, error) {
+func (p *connPool) dial(deadline time.Time) (*clientConn, error) {
 	dialer := net.Dialer{Deadline: deadline}
 	raw, err := dialer.Dial("tcp4", p.address)
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: raw, in: bufio.NewReader(raw)}, nil
+	return &clientConn{Conn: raw, reader: bufio.NewReader(raw)}, nil
 }
 
-func (p *pool) put(c *conn, closes bool) {
+func (p *connPool) put(c *clientConn, closeConn bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if closes || p.closed || len(p.idle) >= mostIdle {
+	if closeConn || p.closed || len(p.idle) >= maxIdleConns {
 		c.Close()
 		return
 	}
-	c.since = time.Now()
+	c.idleSince = time.Now()
 	p.idle = append(p.idle, c)
 }
 
-func (p *pool) close() {
+func (p *connPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
@@ -88,8 +88,8 @@
 	p.idle = nil
 }
 
-// question is what a request says.
-type question struct {
+// apiRequest is what a request says.
+type apiRequest struct {
 	id      string
 	class   plan.Class
 	work    time.Duration
@@ -98,44 +98,44 @@
 	client  string // "": nobody by name
 }
 
-// answer is what came back.
-type answer struct {
-	status int
-	by     string // the server that made it; "?" where no server's answer reads so
-	after  time.Duration
-	closes bool
+// apiResponse is what came back.
+type apiResponse struct {
+	status     int
+	servedBy   string // the server that made it; "?" where no server's answer reads so
+	retryAfter time.Duration
+	closeConn  bool
 }
 
-// ask writes a request and reads its answer. sent is when the last byte was written; 0: it was not.
-func (c *conn) ask(q question, deadline time.Time) (sent int64, a answer, err error) {
+// roundTrip writes a request and reads its answer. sent is when the last byte was written; 0: it was not.
+func (c *clientConn) roundTrip(request apiRequest, deadline time.Time) (sent int64, a apiResponse, err error) {
 	if err := c.SetDeadline(deadline); err != nil {
 		return 0, a, err
 	}
 	method, body := "GET", ""
-	if !q.class.Safe {
-		method, body = "POST", "present "+q.id+"\n"
+	if !request.class.Safe {
+		method, body = "POST", "present "+request.id+"\n"
 	}
 	more := ""
-	if q.retry {
+	if request.retry {
 		more = "X-Retried: 1\r\n"
 	}
-	if q.client != "" {
-		more += "X-Tenant-Id: " + q.client + "\r\n"
+	if request.client != "" {
+		more += "X-Tenant-Id: " + request.client + "\r\n"
 	}
 	length := ""
 	if body != "" {
 		length = fmt.Sprintf("Content-Length: %d\r\n", len(body))
 	}
 	_, err = fmt.Fprintf(c, "%s /api?class=%s&work_ns=%d HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\nX-Timeout-Ms: %d\r\n%s%s\r\n%s",
-		method, q.class.Name, q.work.Nanoseconds(), q.id, q.class.Name, q.timeout.Milliseconds(), more, length, body)
+		method, request.class.Name, request.work.Nanoseconds(), request.id, request.class.Name, request.timeout.Milliseconds(), more, length, body)
 	if err != nil {
-		return 0, a, hungUp(err)
+		return 0, a, classifyError(err)
 	}
 	sent = clock.Now()
-	if _, err := c.in.Peek(1); err != nil {
-		return sent, a, hungUp(err)
+	if _, err := c.reader.Peek(1); err != nil {
+		return sent, a, classifyError(err)
 	}
-	resp, err := http.ReadResponse(c.in, &http.Request{Method: method})
+	resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	if err != nil {
 		return sent, a, fmt.Errorf("unreadable answer: %w", err)
 	}
@@ -144,24 +144,24 @@
 	if err != nil {
 		return sent, a, fmt.Errorf("answer broken off: %w", err)
 	}
-	a.status, a.closes = resp.StatusCode, resp.Close
+	a.status, a.closeConn = resp.StatusCode, resp.Close
 	if after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && after > 0 {
-		a.after = time.Duration(after * float64(time.Second))
+		a.retryAfter = time.Duration(after * float64(time.Second))
 	}
 	if a.status == http.StatusOK {
-		a.by = "?"
-		if uid, ok := strings.CutPrefix(string(text), "recorded "+q.id+" by "); ok && strings.HasSuffix(uid, "\n") {
-			a.by = strings.TrimSuffix(uid, "\n")
+		a.servedBy = "?"
+		if uid, ok := strings.CutPrefix(string(text), "recorded "+request.id+" by "); ok && strings.HasSuffix(uid, "\n") {
+			a.servedBy = strings.TrimSuffix(uid, "\n")
 		}
 	}
 	return sent, a, nil
 }
 
-// hungUp tells the end of a connection from a time-out.
-func hungUp(err error) error {
+// classifyError tells the end of a connection from a time-out.
+func classifyError(err error) error {
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
 		return fmt.Errorf("no answer: %w", err)
 	}
-	return fmt.Errorf("%w: %w", errHungUp, err)
+	return fmt.Errorf("%w: %w", errConnClosed, err)
 }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -35,9 +35,9 @@
 }
 
 const (
-	backoffMost = time.Second
-	leastTry    = 50 * time.Millisecond // a second try with less time than this is not made
-	lookOn      = time.Second           // how long clients look for answers that come too late
+	maxRetryAfter     = time.Second
+	minAttemptTime    = 50 * time.Millisecond // a second try with less time than this is not made
+	lateResponseWatch = time.Second           // how long clients look for answers that come too late
 )
 
 // Live are figures while the load runs, counted from its start.
@@ -53,24 +53,24 @@
 	SendDelay time.Duration // sends this much late: only for the control of the lab's own lateness
 	Live      Live
 
-	pools []*pool
-	mu    sync.Mutex
-	tries []Attempt
+	pools    []*connPool
+	mu       sync.Mutex
+	attempts []Attempt
 }
 
 // Run sends all arrivals from start, in ns of the lab's clock, and returns what clients saw once each has its answer or has
 // given up. When ctx is done it sends no more.
 func (c *Clients) Run(ctx context.Context, start int64) []Attempt {
 	for _, a := range c.Addresses {
-		c.pools = append(c.pools, &pool{address: a})
+		c.pools = append(c.pools, &connPool{address: a})
 	}
 	var tasks sync.WaitGroup
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	<-timer.C
 send:
-	for i := range c.Plan.Arrivals {
-		due := start + int64(c.Plan.Arrivals[i].At)
+	for arrival := range c.Plan.Arrivals {
+		due := start + int64(c.Plan.Arrivals[arrival].At)
 		if wait := clock.Until(due + int64(c.SendDelay)); wait > 0 {
 			timer.Reset(wait)
 			select {
@@ -84,54 +84,54 @@
 		tasks.Add(1)
 		go func() {
 			defer tasks.Done()
-			c.request(i, due)
+			c.send(arrival, due)
 		}()
 	}
 	tasks.Wait()
 	for _, p := range c.pools {
 		p.close()
 	}
-	return c.tries
+	return c.attempts
 }
 
-// request is one client's request with its retry.
-func (c *Clients) request(i int, due int64) {
-	a := &c.Plan.Arrivals[i]
-	class := &c.Plan.File.Classes[a.Class]
+// send is one client's send with its retry.
+func (c *Clients) send(index int, due int64) {
+	arrival := &c.Plan.Arrivals[index]
+	class := &c.Plan.File.Classes[arrival.Class]
 	giveUp := plan.Millis(class.GiveUpMS)
-	each := time.Duration(float64(giveUp) * a.TryPart)
+	attemptTime := time.Duration(float64(giveUp) * arrival.TryPart)
 	c.Live.Requests.Add(1)
 	c.Live.Open.Add(1)
 	defer c.Live.Open.Add(-1)
 
-	first := c.try(i, due, each, false)
-	if ok := c.settle(first, a.Backoff >= 0); ok || a.Backoff < 0 {
+	first := c.attempt(index, due, attemptTime, false)
+	if ok := c.record(first, arrival.Backoff >= 0); ok || arrival.Backoff < 0 {
 		return
 	}
 	// Clients look on past their time for answers that come too late, so a sidecar that never answers is asked again late.
-	next := clock.Now() + int64(max(a.Backoff, min(first.RetryAfter, backoffMost)))
+	next := clock.Now() + int64(max(arrival.Backoff, min(first.RetryAfter, maxRetryAfter)))
 	left := time.Duration(due + int64(giveUp) - next)
-	if left < leastTry {
-		c.count(first)
+	if left < minAttemptTime {
+		c.countOutcome(first)
 		return
 	}
 	time.Sleep(clock.Until(next))
-	c.settle(c.try(i, next, min(each, left), true), false)
+	c.record(c.attempt(index, next, min(attemptTime, left), true), false)
 }
 
-// settle counts how a try ended, unless another follows it. It tells whether the request is served.
-func (c *Clients) settle(t Attempt, more bool) bool {
+// record counts how a try ended, unless another follows it. It tells whether the request is served.
+func (c *Clients) record(attempt Attempt, retried bool) bool {
 	c.mu.Lock()
-	c.tries = append(c.tries, t)
+	c.attempts = append(c.attempts, attempt)
 	c.mu.Unlock()
-	if t.Status == 200 || !more {
-		c.count(t)
+	if attempt.Status == 200 || !retried {
+		c.countOutcome(attempt)
 	}
-	return t.Status == 200
+	return attempt.Status == 200
 }
 
-func (c *Clients) count(t Attempt) {
-	switch t.Status {
+func (c *Clients) countOutcome(attempt Attempt) {
+	switch attempt.Status {
 	case 200:
 		c.Live.Served.Add(1)
 	case 429, 503:
@@ -141,36 +141,36 @@
 	}
 }
 
-// try sends a request once and waits for its answer.
-func (c *Clients) try(i int, due int64, timeout time.Duration, retry bool) Attempt {
-	a := &c.Plan.Arrivals[i]
-	t := Attempt{ID: fmt.Sprintf("%08x%08x", uint32(c.Plan.Seed), uint32(i)<<1|uint32(b2i(retry))), Arrival: i, Retry: retry, Sidecar: a.Sidecar,
-		Class: a.Class, Client: plan.ClientName(a.Client), Due: due, Timeout: timeout, Began: clock.Now()}
-	q := question{id: t.ID, class: c.Plan.File.Classes[a.Class], work: a.Work, timeout: timeout, retry: retry, client: t.Client}
-	deadline := time.Now().Add(timeout + c.Slack + lookOn)
-	p := c.pools[a.Sidecar]
-	k, used, err := p.get(deadline)
+// attempt sends a request once and waits for its answer.
+func (c *Clients) attempt(index int, due int64, timeout time.Duration, retry bool) Attempt {
+	arrival := &c.Plan.Arrivals[index]
+	attempt := Attempt{ID: fmt.Sprintf("%08x%08x", uint32(c.Plan.Seed), uint32(index)<<1|uint32(bit(retry))), Arrival: index, Retry: retry, Sidecar: arrival.Sidecar,
+		Class: arrival.Class, Client: plan.ClientName(arrival.Client), Due: due, Timeout: timeout, Began: clock.Now()}
+	request := apiRequest{id: attempt.ID, class: c.Plan.File.Classes[arrival.Class], work: arrival.Work, timeout: timeout, retry: retry, client: attempt.Client}
+	deadline := time.Now().Add(timeout + c.Slack + lateResponseWatch)
+	pool := c.pools[arrival.Sidecar]
+	conn, used, err := pool.get(deadline)
 	for err == nil {
-		var ans answer
-		t.Sent, ans, err = k.ask(q, deadline)
+		var response apiResponse
+		attempt.Sent, response, err = conn.roundTrip(request, deadline)
 		if err == nil {
-			t.Ended, t.Status, t.ServedBy, t.RetryAfter = clock.Now(), ans.status, ans.by, ans.after
-			p.put(k, ans.closes)
-			return t
+			attempt.Ended, attempt.Status, attempt.ServedBy, attempt.RetryAfter = clock.Now(), response.status, response.servedBy, response.retryAfter
+			pool.put(conn, response.closeConn)
+			return attempt
 		}
-		k.Close()
-		if !used || !errors.Is(err, errHungUp) {
+		conn.Close()
+		if !used || !errors.Is(err, errConnClosed) {
 			break
 		}
 		// PROTOCOL: the close may have crossed the request, which nobody has read then; it is sent once more on a new connection.
-		t.ResentAt, t.Sent, used = clock.Now(), 0, false
-		k, err = p.dial(deadline)
+		attempt.ResentAt, attempt.Sent, used = clock.Now(), 0, false
+		conn, err = pool.dial(deadline)
 	}
-	t.Ended, t.Fault = clock.Now(), err.Error()
-	return t
+	attempt.Ended, attempt.Fault = clock.Now(), err.Error()
+	return attempt
 }
 
-func b2i(b bool) int {
+func bit(b bool) int {
 	if b {
 		return 1
 	}
