--- a/internal/lab/load/conn.go
+++ b/internal/lab/load/conn.go
@@ -43,7 +43,7 @@
 func (p *connPool) get(deadline time.Time) (c *clientConn, used bool, err error) {
 	p.mu.Lock()
 	for len(p.idle) > 0 && time.Since(p.idle[0].idleSince) > maxIdleTime {
-		p.idle[0].Close()
+		_ = p.idle[0].Close() // nothing is in flight on it
 		p.idle = p.idle[1:]
 	}
 	if n := len(p.idle); n > 0 {
@@ -71,7 +71,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if closeConn || p.closed || len(p.idle) >= maxIdleConns {
-		c.Close()
+		_ = c.Close() // nothing is in flight on it
 		return
 	}
 	c.idleSince = time.Now()
@@ -83,7 +83,7 @@
 	defer p.mu.Unlock()
 	p.closed = true
 	for _, c := range p.idle {
-		c.Close()
+		_ = c.Close() // nothing is in flight on it
 	}
 	p.idle = nil
 }
@@ -106,55 +106,82 @@
 	closeConn  bool
 }
 
-// roundTrip writes a request and reads its answer. sent is when the last byte was written; 0: it was not.
-func (c *clientConn) roundTrip(request apiRequest, deadline time.Time) (sent int64, a apiResponse, err error) {
+// roundTrip writes a request and reads its response. sent is when the last byte was written, in ns of the lab's clock; 0: it was not.
+func (c *clientConn) roundTrip(request apiRequest, deadline time.Time) (sent int64, response apiResponse, err error) {
 	if err := c.SetDeadline(deadline); err != nil {
-		return 0, a, err
+		return 0, apiResponse{}, err
 	}
-	method, body := "GET", ""
-	if !request.class.Safe {
-		method, body = "POST", "present "+request.id+"\n"
-	}
-	more := ""
-	if request.retry {
-		more = "X-Retried: 1\r\n"
-	}
-	if request.client != "" {
-		more += "X-Tenant-Id: " + request.client + "\r\n"
-	}
-	length := ""
-	if body != "" {
-		length = fmt.Sprintf("Content-Length: %d\r\n", len(body))
-	}
-	_, err = fmt.Fprintf(c, "%s /api?class=%s&work_ns=%d HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\nX-Timeout-Ms: %d\r\n%s%s\r\n%s",
-		method, request.class.Name, request.work.Nanoseconds(), request.id, request.class.Name, request.timeout.Milliseconds(), more, length, body)
-	if err != nil {
-		return 0, a, classifyError(err)
+	if _, err := io.WriteString(c, request.text()); err != nil {
+		return 0, apiResponse{}, classifyError(err)
 	}
 	sent = clock.Now()
 	if _, err := c.reader.Peek(1); err != nil {
-		return sent, a, classifyError(err)
+		return sent, apiResponse{}, classifyError(err)
+	}
+	response, err = c.readResponse(request)
+	return sent, response, err
+}
+
+// method is the HTTP method of a request: idempotent requests are read, others write.
+func (r *apiRequest) method() string {
+	if r.class.Safe {
+		return http.MethodGet
 	}
-	resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
+	return http.MethodPost
+}
+
+// text is the request on the wire.
+func (r *apiRequest) text() string {
+	var text strings.Builder
+	header := func(name string, value any) { fmt.Fprintf(&text, "%s: %v\r\n", name, value) }
+	fmt.Fprintf(&text, "%s /api?class=%s&work_ns=%d HTTP/1.1\r\n", r.method(), r.class.Name, r.work.Nanoseconds())
+	header("Host", "origin.svc")
+	header("X-Request-ID", r.id)
+	header("X-Priority-Class", r.class.Name)
+	header("X-Timeout-Ms", r.timeout.Milliseconds())
+	if r.retry {
+		header("X-Retried", 1)
+	}
+	if r.client != "" {
+		header("X-Tenant-Id", r.client)
+	}
+	body := ""
+	if r.method() == http.MethodPost {
+		body = "present " + r.id + "\n"
+		header("Content-Length", len(body))
+	}
+	text.WriteString("\r\n" + body)
+	return text.String()
+}
+
+// readResponse reads a response whose first byte is there.
+func (c *clientConn) readResponse(request apiRequest) (apiResponse, error) {
+	message, err := http.ReadResponse(c.reader, &http.Request{Method: request.method()})
 	if err != nil {
-		return sent, a, fmt.Errorf("unreadable answer: %w", err)
+		return apiResponse{}, fmt.Errorf("unreadable answer: %w", err)
 	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(resp.Body)
+	defer func() { _ = message.Body.Close() }() // it is read to its end, or the connection is closed
+	body, err := io.ReadAll(message.Body)
 	if err != nil {
-		return sent, a, fmt.Errorf("answer broken off: %w", err)
+		return apiResponse{}, fmt.Errorf("answer broken off: %w", err)
 	}
-	a.status, a.closeConn = resp.StatusCode, resp.Close
-	if after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && after > 0 {
-		a.retryAfter = time.Duration(after * float64(time.Second))
+	response := apiResponse{status: message.StatusCode, closeConn: message.Close}
+	if seconds, err := strconv.ParseFloat(message.Header.Get("Retry-After"), 64); err == nil && seconds > 0 {
+		response.retryAfter = time.Duration(seconds * float64(time.Second))
 	}
-	if a.status == http.StatusOK {
-		a.servedBy = "?"
-		if uid, ok := strings.CutPrefix(string(text), "recorded "+request.id+" by "); ok && strings.HasSuffix(uid, "\n") {
-			a.servedBy = strings.TrimSuffix(uid, "\n")
-		}
+	if response.status == http.StatusOK {
+		response.servedBy = server(string(body), request.id)
+	}
+	return response, nil
+}
+
+// server is the server that made the body of a successful response to a request; "?" where no server's body reads so.
+func server(body, id string) string {
+	uid, ok := strings.CutPrefix(body, "recorded "+id+" by ")
+	if !ok || !strings.HasSuffix(uid, "\n") {
+		return "?"
 	}
-	return sent, a, nil
+	return strings.TrimSuffix(uid, "\n")
 }
 
 // classifyError tells the end of a connection from a time-out.
--- a/internal/lab/load/conn_test.go
+++ b/internal/lab/load/conn_test.go
@@ -12,7 +12,7 @@
 // TestRoundTrip pins the bytes of requests, and what responses are taken for.
 func TestRoundTrip(t *testing.T) {
 	safe, unsafe := plan.Class{Name: "fetch", Safe: true}, plan.Class{Name: "submit"}
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		name     string
 		request  apiRequest
 		sent     string
@@ -32,23 +32,23 @@
 			"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.25\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
 			apiResponse{status: 503, retryAfter: 250 * time.Millisecond, closeConn: true}},
 	} {
-		t.Run(tt.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			client, server := net.Pipe()
 			sent := make(chan string, 1)
 			go func() {
 				head := make([]byte, 4096)
 				n, _ := server.Read(head) // what is missing shows in the comparison
 				sent <- string(head[:n])
-				_, _ = server.Write([]byte(tt.response))
+				_, _ = server.Write([]byte(test.response))
 				_ = server.Close()
 			}()
 			conn := &clientConn{Conn: client, reader: bufio.NewReader(client)}
-			at, response, err := conn.roundTrip(tt.request, time.Now().Add(time.Minute))
-			if err != nil || at == 0 || response != tt.want {
-				t.Errorf("%+v at %d, %v, want %+v", response, at, err, tt.want)
+			at, response, err := conn.roundTrip(test.request, time.Now().Add(time.Minute))
+			if err != nil || at == 0 || response != test.want {
+				t.Errorf("%+v at %d, %v, want %+v", response, at, err, test.want)
 			}
-			if got := <-sent; got != tt.sent {
-				t.Errorf("sent %q, want %q", got, tt.sent)
+			if got := <-sent; got != test.sent {
+				t.Errorf("sent %q, want %q", got, test.sent)
 			}
 			if err := client.Close(); err != nil {
 				t.Error(err)
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -6,6 +6,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -124,55 +125,64 @@
 	c.mu.Lock()
 	c.attempts = append(c.attempts, attempt)
 	c.mu.Unlock()
-	if attempt.Status == 200 || !retried {
+	if attempt.Status == http.StatusOK || !retried {
 		c.countOutcome(attempt)
 	}
-	return attempt.Status == 200
+	return attempt.Status == http.StatusOK
 }
 
 func (c *Clients) countOutcome(attempt Attempt) {
 	switch attempt.Status {
-	case 200:
+	case http.StatusOK:
 		c.Live.Served.Add(1)
-	case 429, 503:
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		c.Live.Refused.Add(1)
 	default:
 		c.Live.Failed.Add(1)
 	}
 }
 
-// attempt sends a request once and waits for its answer.
+// attempt sends a request once and waits for its response.
 func (c *Clients) attempt(index int, due int64, timeout time.Duration, retry bool) Attempt {
 	arrival := &c.Plan.Arrivals[index]
-	attempt := Attempt{ID: fmt.Sprintf("%08x%08x", uint32(c.Plan.Seed), uint32(index)<<1|uint32(bit(retry))), Arrival: index, Retry: retry, Sidecar: arrival.Sidecar,
-		Class: arrival.Class, Client: plan.ClientName(arrival.Client), Due: due, Timeout: timeout, Began: clock.Now()}
+	attempt := Attempt{
+		ID: requestID(c.Plan.Seed, index, retry), Arrival: index, Retry: retry, Sidecar: arrival.Sidecar, Class: arrival.Class,
+		Client: plan.ClientName(arrival.Client), Due: due, Timeout: timeout, Began: clock.Now(),
+	}
 	request := apiRequest{id: attempt.ID, class: c.Plan.File.Classes[arrival.Class], work: arrival.Work, timeout: timeout, retry: retry, client: attempt.Client}
-	deadline := time.Now().Add(timeout + c.Slack + lateResponseWatch)
-	pool := c.pools[arrival.Sidecar]
+	c.exchange(&attempt, request, time.Now().Add(timeout+c.Slack+lateResponseWatch))
+	return attempt
+}
+
+// exchange sends a request over a connection to the sidecar of an attempt, and records in the attempt what came of it.
+func (c *Clients) exchange(attempt *Attempt, request apiRequest, deadline time.Time) {
+	pool := c.pools[attempt.Sidecar]
 	conn, used, err := pool.get(deadline)
 	for err == nil {
 		var response apiResponse
 		attempt.Sent, response, err = conn.roundTrip(request, deadline)
 		if err == nil {
-			attempt.Ended, attempt.Status, attempt.ServedBy, attempt.RetryAfter = clock.Now(), response.status, response.servedBy, response.retryAfter
+			attempt.Ended, attempt.Status = clock.Now(), response.status
+			attempt.ServedBy, attempt.RetryAfter = response.servedBy, response.retryAfter
 			pool.put(conn, response.closeConn)
-			return attempt
+			return
 		}
-		conn.Close()
+		_ = conn.Close() // it has failed already
 		if !used || !errors.Is(err, errConnClosed) {
 			break
 		}
-		// PROTOCOL: the close may have crossed the request, which nobody has read then; it is sent once more on a new connection.
+		// PROTOCOL: the close may have crossed the request, which nobody has read then; it is resent once on a new connection.
 		attempt.ResentAt, attempt.Sent, used = clock.Now(), 0, false
 		conn, err = pool.dial(deadline)
 	}
 	attempt.Ended, attempt.Fault = clock.Now(), err.Error()
-	return attempt
 }
 
-func bit(b bool) int {
-	if b {
-		return 1
+// requestID is the id of a request or its retry, unique within a plan.
+func requestID(seed uint64, index int, retry bool) string {
+	number := uint32(index) << 1
+	if retry {
+		number |= 1
 	}
-	return 0
+	return fmt.Sprintf("%08x%08x", uint32(seed), number)
 }
