--- a/internal/lab/load/conn.go
+++ b/internal/lab/load/conn.go
@@ -15,31 +15,33 @@
 	"gradeusher.example/gradeusher/internal/lab/plan"
 )
 
-// A client needs to know the moment of a request's last byte, and which connection ended how, which net/http's transport
-// keeps to itself. So connections are held here; requests and answers are still read and written by net/http's rules.
+// A client has to know the moment of a request's last byte, and how which connection ended, which the transport of net/http does not
+// report. So this package manages the connections itself, and only reads responses by net/http.
 
+// errConnClosed says that a connection ended, otherwise than by a time-out, before the first byte of a response.
 var errConnClosed = errors.New("hung up without an answer")
 
+// clientConn is a connection to a sidecar, for one request at a time.
 type clientConn struct {
 	net.Conn
 	reader    *bufio.Reader
 	idleSince time.Time
 }
 
-// apiRequest is what a request says.
+// apiRequest is the content of a request.
 type apiRequest struct {
 	id      string
 	class   plan.Class
-	work    time.Duration
+	work    time.Duration // that it asks of the server, of a core of speed 1
 	timeout time.Duration
 	retry   bool
-	client  string // "": nobody by name
+	client  string // tenant; "": none
 }
 
-// apiResponse is what came back.
+// apiResponse is the content of a complete response.
 type apiResponse struct {
 	status     int
-	servedBy   string // the server that made it; "?" where no server's answer reads so
+	servedBy   string // UID of the server; "?": the body names none
 	retryAfter time.Duration
 	closeConn  bool
 }
@@ -122,7 +124,7 @@
 	return strings.TrimSuffix(uid, "\n")
 }
 
-// classifyError tells the end of a connection from a time-out.
+// classifyError distinguishes the end of a connection (errConnClosed) from a time-out.
 func classifyError(err error) error {
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,5 +1,10 @@
-// Package load is the clients of an experiment: open loop, each arrival at its planned time whatever became of those before,
-// so that a stall of a sidecar is felt by all who come during it.
+// Package load generates the load of an experiment and records what its clients observe.
+//
+// The load is an open loop: each request arrives at its planned time whatever became of those before, so a stall of a sidecar is
+// measured by all requests that arrive during it (no coordinated omission).
+//
+// Terms: an arrival is a request of the plan; an attempt is one request that a client sends for it, the first one or its retry. An attempt
+// is resent where a connection that was idle before turns out to be closed.
 package load
 
 import (
@@ -15,43 +20,43 @@
 	"gradeusher.example/gradeusher/internal/lab/plan"
 )
 
-// Attempt is one request as a client saw it. Times are ns of the lab's clock; 0: it did not happen.
+// Attempt is one attempt of a request as the client observed it. Times are ns of the lab's clock; 0: it did not happen.
 type Attempt struct {
-	ID         string        `json:"id"`
+	ID         string        `json:"id"`      // of the request, which servers record
 	Arrival    int           `json:"arrival"` // index in the plan
 	Retry      bool          `json:"retry,omitempty"`
-	Sidecar    int           `json:"sidecar"`
-	Class      int           `json:"class"`
-	Client     string        `json:"client,omitempty"` // who asks, as the header X-Tenant-Id says
-	Due        int64         `json:"due"`
-	Began      int64         `json:"began"`   // when the client set out to send
-	Sent       int64         `json:"sent"`    // last byte written to a connection that was accepted
-	Ended      int64         `json:"ended"`   // last byte of the answer, or when the connection ended
-	Timeout    time.Duration `json:"timeout"` // that the sidecar was told
-	Status     int           `json:"status"`  // of a whole answer
-	ServedBy   string        `json:"by,omitempty"`
-	RetryAfter time.Duration `json:"after,omitempty"` // Retry-After
-	ResentAt   int64         `json:"again,omitempty"` // when it was sent once more, since the connection had been closed
-	Fault      string        `json:"fault,omitempty"`
+	Sidecar    int           `json:"sidecar"`          // index in the plan
+	Class      int           `json:"class"`            // index in the experiment file
+	Client     string        `json:"client,omitempty"` // value of the header X-Tenant-Id
+	Due        int64         `json:"due"`              // planned time
+	Began      int64         `json:"began"`            // when the client started the attempt
+	Sent       int64         `json:"sent"`             // last byte written to an established connection
+	Ended      int64         `json:"ended"`            // last byte of the response, or the end of the connection
+	Timeout    time.Duration `json:"timeout"`          // that the request carries
+	Status     int           `json:"status"`           // HTTP status of a complete response; 0: none came
+	ServedBy   string        `json:"by,omitempty"`     // UID of the server; "?": the body names none
+	RetryAfter time.Duration `json:"after,omitempty"`  // of the response's header
+	ResentAt   int64         `json:"again,omitempty"`  // when it was resent, because the connection had been closed
+	Fault      string        `json:"fault,omitempty"`  // error without a response
 }
 
 const (
-	maxRetryAfter     = time.Second
-	minAttemptTime    = 50 * time.Millisecond // a second try with less time than this is not made
-	lateResponseWatch = time.Second           // how long clients look for answers that come too late
+	maxRetryAfter     = time.Second           // bound of the wait that a Retry-After header asks for
+	minAttemptTime    = 50 * time.Millisecond // no retry is sent with less time left
+	lateResponseWatch = time.Second           // for which clients wait for responses after the time-out
 )
 
-// Live are figures while the load runs, counted from its start.
+// Live counts requests from the start of the load, for display while it runs.
 type Live struct {
 	Requests, Served, Refused, Failed, Open atomic.Int64
 }
 
-// Clients sends a plan's arrivals.
+// Clients sends the arrivals of a plan. Its exported fields are set before Run.
 type Clients struct {
 	Plan      *plan.Plan
-	Addresses []string // of the sidecars
-	Slack     time.Duration
-	SendDelay time.Duration // sends this much late: only for the control of the lab's own lateness
+	Addresses []string      // of the sidecars, by their index in the plan
+	Slack     time.Duration // beyond the time-out of a request within which a response is in time
+	SendDelay time.Duration // of every arrival; only for the control that the lab finds its own lateness
 	Live      Live
 
 	pools    []*connPool
@@ -59,11 +64,11 @@
 	attempts []Attempt
 }
 
-// Run sends all arrivals from start, in ns of the lab's clock, and returns what clients saw once each has its answer or has
-// given up. When ctx is done it sends no more.
+// Run sends all arrivals, counted from start in ns of the lab's clock, and returns the attempts once each request has a response or its
+// client has given up. When ctx is done it sends no further arrivals. It may be called once.
 func (c *Clients) Run(ctx context.Context, start int64) []Attempt {
-	for _, a := range c.Addresses {
-		c.pools = append(c.pools, &connPool{address: a})
+	for _, address := range c.Addresses {
+		c.pools = append(c.pools, &connPool{address: address})
 	}
 	var tasks sync.WaitGroup
 	timer := time.NewTimer(0)
@@ -95,7 +100,7 @@
 	return c.attempts
 }
 
-// send is one client's send with its retry.
+// send sends one request, and its retry where the plan has one and there is time left.
 func (c *Clients) send(index int, due int64) {
 	arrival := &c.Plan.Arrivals[index]
 	class := &c.Plan.File.Classes[arrival.Class]
@@ -109,7 +114,7 @@
 	if ok := c.record(first, arrival.Backoff >= 0); ok || arrival.Backoff < 0 {
 		return
 	}
-	// Clients look on past their time for answers that come too late, so a sidecar that never answers is asked again late.
+	// An attempt waits for late responses, so the retry of a request that gets none is late too.
 	next := clock.Now() + int64(max(arrival.Backoff, min(first.RetryAfter, maxRetryAfter)))
 	left := time.Duration(due + int64(giveUp) - next)
 	if left < minAttemptTime {
@@ -120,7 +125,7 @@
 	c.record(c.attempt(index, next, min(attemptTime, left), true), false)
 }
 
-// record counts how a try ended, unless another follows it. It tells whether the request is served.
+// record stores an attempt, and counts its outcome unless a retry may follow. It returns whether the request is served.
 func (c *Clients) record(attempt Attempt, retried bool) bool {
 	c.mu.Lock()
 	c.attempts = append(c.attempts, attempt)
@@ -131,6 +136,7 @@
 	return attempt.Status == http.StatusOK
 }
 
+// countOutcome counts the outcome of a request by its last attempt.
 func (c *Clients) countOutcome(attempt Attempt) {
 	switch attempt.Status {
 	case http.StatusOK:
--- a/internal/lab/load/pool.go
+++ b/internal/lab/load/pool.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	maxIdleTime  = 1500 * time.Millisecond // before the 2 s after which a sidecar may close one
-	maxIdleConns = 64                      // connections to one sidecar
+	maxIdleTime  = 1500 * time.Millisecond // shorter than the 2 s after which a sidecar may close an idle connection
+	maxIdleConns = 64                      // to one sidecar
 )
 
-// connPool is the connections to one sidecar, the last used first.
+// connPool has the connections to one sidecar, and reuses the one that was used last. It is safe for concurrent use.
 type connPool struct {
 	address string
 	mu      sync.Mutex
@@ -20,6 +20,7 @@
 	closed  bool
 }
 
+// get returns a connection that the caller puts back or closes, and whether it was used before.
 func (p *connPool) get(deadline time.Time) (c *clientConn, used bool, err error) {
 	p.mu.Lock()
 	for len(p.idle) > 0 && time.Since(p.idle[0].idleSince) > maxIdleTime {
@@ -38,6 +39,7 @@
 	return c, false, err
 }
 
+// dial returns a new connection.
 func (p *connPool) dial(deadline time.Time) (*clientConn, error) {
 	dialer := net.Dialer{Deadline: deadline}
 	raw, err := dialer.Dial("tcp4", p.address)
@@ -47,6 +49,7 @@
 	return &clientConn{Conn: raw, reader: bufio.NewReader(raw)}, nil
 }
 
+// put takes a connection back, and closes it if it cannot be reused.
 func (p *connPool) put(c *clientConn, closeConn bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,6 +61,7 @@
 	p.idle = append(p.idle, c)
 }
 
+// close closes all idle connections; others are closed when they are put back.
 func (p *connPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
