--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -53,9 +53,9 @@
 
 // The ends of a job, as PROTOCOL tells them apart.
 const (
-	Served     Outcome = iota
-	Failed             // an error after the work was done
-	TurnedAway         // never begun: queue full, draining, or its time was up
+	Served   Outcome = iota
+	Failed           // an error after the work was done
+	Rejected         // never begun: queue full, draining, or its time was up
 )
 
 // Job is one attempt that came whole.
@@ -208,7 +208,7 @@
 		j := s.waiting[0]
 		s.waiting = s.waiting[1:]
 		if s.DropsExpired && j.Deadline != 0 && s.now > j.Deadline {
-			s.out = append(s.out, Done{j.Key, TurnedAway, s.now})
+			s.out = append(s.out, Done{j.Key, Rejected, s.now})
 			continue
 		}
 		heap.Push(&s.running, running{s.done + j.Work, j.Key})
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -200,7 +200,7 @@
 			s.waiting[job.Key] = ended
 		}
 	})
-	outcome := model.TurnedAway
+	outcome := model.Rejected
 	if taken {
 		select {
 		case outcome = <-ended:
