--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -154,7 +154,7 @@
 		t.Errorf("of nothing at all: not seen %v", got)
 	}
 	least := 0.0
-	e.Plan.File.Bars = []plan.Bar{{Figure: "write_gap_ms", Least: &least}}
+	e.Plan.File.Bars = []plan.Bar{{Figure: "write_gap_ms", Min: &least}}
 	if got := broken(Bars(e, Figures{})); !slices.Equal(got, []string{"bar write_gap_ms"}) {
 		t.Errorf("a figure that nobody measured: broken %v", got)
 	}
@@ -179,7 +179,7 @@
 		t.Errorf("with one refused: %v", f)
 	}
 	least := 0.99
-	e.Plan.File.Bars = []plan.Bar{{Figure: "served", Least: &least}, {Figure: "refused", Least: new(float64)}}
+	e.Plan.File.Bars = []plan.Bar{{Figure: "served", Min: &least}, {Figure: "refused", Min: new(float64)}}
 	if got := broken(Bars(e, f)); !slices.Equal(got, []string{"bar served"}) {
 		t.Errorf("broken bars %v", got)
 	}
--- a/internal/lab/check/figures.go
+++ b/internal/lab/check/figures.go
@@ -68,7 +68,7 @@
 		a := &p.Arrivals[i]
 		class := &p.File.Classes[a.Class]
 		second := &course[min(int(a.At/time.Second), n-1)]
-		worth := class.Worth * a.Work.Seconds()
+		worth := class.Value * a.Work.Seconds()
 		got := 0.0
 		last := all[0]
 		for _, t := range all {
@@ -80,10 +80,10 @@
 			}
 			took := float64(t.Ended-e.Start-int64(a.At)) / 1e6
 			switch {
-			case took <= class.AimMS:
+			case took <= class.LatencyTargetMS:
 				got = worth
 			case took <= class.GiveUpMS:
-				got = worth * class.LateWorth
+				got = worth * class.LateValue
 			}
 			note(latency, t.Ended-e.Start-int64(a.At))
 			note(within[min(int(a.At/time.Second), n-1)], t.Ended-e.Start-int64(a.At))
@@ -174,13 +174,13 @@
 		value, known := f[b.Figure]
 		reached := known
 		var wants []string
-		if b.Least != nil {
-			wants = append(wants, fmt.Sprintf("at least %v", *b.Least))
-			reached = reached && value >= *b.Least
+		if b.Min != nil {
+			wants = append(wants, fmt.Sprintf("at least %v", *b.Min))
+			reached = reached && value >= *b.Min
 		}
-		if b.Most != nil {
-			wants = append(wants, fmt.Sprintf("at most %v", *b.Most))
-			reached = reached && value <= *b.Most
+		if b.Max != nil {
+			wants = append(wants, fmt.Sprintf("at most %v", *b.Max))
+			reached = reached && value <= *b.Max
 		}
 		v.Bar = strings.Join(wants, ", ")
 		found := "not measured"
--- a/internal/lab/check/hitters.go
+++ b/internal/lab/check/hitters.go
@@ -31,7 +31,7 @@
 	if !p.File.Hitters.On {
 		return
 	}
-	high, _ := p.File.Hitters.Bars()
+	high, _ := p.File.Hitters.Thresholds()
 	n := int(math.Ceil(p.File.Seconds))
 	asked, whole := make([]map[int]float64, n), make([]float64, n)
 	requests, refused := make([]int, n), make([]int, n)
@@ -166,10 +166,10 @@
 		class := &p.File.Classes[p.Arrivals[t.Arrival].Class]
 		took := float64(t.Ended-e.Start-int64(p.Arrivals[t.Arrival].At)) / 1e6
 		switch {
-		case t.Status == 200 && took <= class.AimMS:
+		case t.Status == 200 && took <= class.LatencyTargetMS:
 			got[t.Arrival] = 1
 		case t.Status == 200 && took <= class.GiveUpMS:
-			got[t.Arrival] = max(got[t.Arrival], class.LateWorth)
+			got[t.Arrival] = max(got[t.Arrival], class.LateValue)
 		}
 	}
 	asked, served := 0.0, 0.0
@@ -178,7 +178,7 @@
 		if _, floods := plan.Flooder(a.Client); floods || a.At < from || a.At >= to {
 			continue
 		}
-		worth := p.File.Classes[a.Class].Worth * a.Work.Seconds()
+		worth := p.File.Classes[a.Class].Value * a.Work.Seconds()
 		asked += worth
 		served += worth * got[i]
 	}
--- a/internal/lab/check/keepers.go
+++ b/internal/lab/check/keepers.go
@@ -52,7 +52,7 @@
 }
 
 func (e *Evidence) keepers(f findings) {
-	if e.Plan.File.Keepers.Count == 0 {
+	if e.Plan.File.Registry.Count == 0 {
 		return
 	}
 	e.linearizable(f)
@@ -179,7 +179,7 @@
 
 // keeperFigures are what the keepers did, for those who wrote and those who read.
 func (e *Evidence) keeperFigures(figures Figures) {
-	if e.Plan.File.Keepers.Count == 0 {
+	if e.Plan.File.Registry.Count == 0 {
 		return
 	}
 	took, told := newHistogram(), newHistogram()
--- a/internal/lab/check/ready.go
+++ b/internal/lab/check/ready.go
@@ -29,7 +29,7 @@
 	}
 	changes := map[string][]change{}
 	cold := e.Plan.File.Fleet.Start == "cold"
-	for i := range e.Plan.Standing {
+	for i := range e.Plan.InitialServers {
 		s := &e.Plan.Servers[i]
 		changes[s.UID] = append(changes[s.UID], change{math.MinInt64, func(r *readiness) { r.up, r.warmAt = true, e.warmAt(s.ColdFor, 0, cold) }})
 	}
@@ -51,7 +51,7 @@
 			})
 		case plan.Drain, plan.Die, plan.Remove:
 			add(func(r *readiness) { r.up = false })
-		case plan.Trouble:
+		case plan.ServerFault:
 			add(func(r *readiness) { r.hangs = s.Trouble.Hang })
 		case plan.Link:
 			if len(s.Nears) == 0 && (s.Effect.HoldFar || s.Effect.HoldNear) {
--- a/internal/lab/check/routes_test.go
+++ b/internal/lab/check/routes_test.go
@@ -35,7 +35,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := seen(t)
-			e.Plan.File.Keepers.Count, e.Last.Rev = 1, 1
+			e.Plan.File.Registry.Count, e.Last.Rev = 1, 1
 			e.Plan.File.Routes = plan.Routes{Apps: 2, EveryS: 1, BoundS: 1}
 			for i, w := range [][2]float64{{1, 1}, {2, 1}, {2, 2}} {
 				at := (1000 + int64(i)*500) * ms
--- a/internal/lab/check/spread.go
+++ b/internal/lab/check/spread.go
@@ -46,7 +46,7 @@
 	began := 0
 	for from, to := 0, 1; to <= n; to++ {
 		began += counts[to-1]
-		if began < spreadRequests*e.Plan.Standing {
+		if began < spreadRequests*e.Plan.InitialServers {
 			continue
 		}
 		most, sum, servers := 0.0, 0.0, 0
--- a/internal/lab/check/spread_test.go
+++ b/internal/lab/check/spread_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &plan.Plan{File: f, Standing: 2, Sidecars: make([]plan.Sidecar, sidecars)}
+	p := &plan.Plan{File: f, InitialServers: 2, Sidecars: make([]plan.Sidecar, sidecars)}
 	for i, uid := range []string{"a", "b"} {
 		p.Servers = append(p.Servers, model.Spec{UID: uid, Cores: 1 + i, Speed: 1, ColdFor: 2 * time.Second})
 	}
@@ -58,8 +58,8 @@
 	e.send(7, 0, "b", 20, 10) // a again
 	e.Attempts = append(e.Attempts, ctl.Attempt{Server: "b", First: e.Start + 7*sec, Outcome: "turned", Work: sec})
 	e.send(8, 0, "a", 5, 1000) // too little for a window
-	e.Plan.Steps = []plan.Step{{At: 6 * time.Second, Do: plan.Trouble, Server: "a", Trouble: model.Fault{Hang: true}},
-		{At: 7 * time.Second, Do: plan.Trouble, Server: "a"}}
+	e.Plan.Steps = []plan.Step{{At: 6 * time.Second, Do: plan.ServerFault, Server: "a", Trouble: model.Fault{Hang: true}},
+		{At: 7 * time.Second, Do: plan.ServerFault, Server: "a"}}
 	f, course := Figures{}, make([]Second, 12)
 	e.spreadFigures(f, course)
 	for s, want := range []float64{1, 1, 1, 1, 4.0 / 3, 4.0 / 3, 1, 4.0 / 3, 0, 0, 0, 0} {
@@ -133,7 +133,7 @@
 		e.send(1, near, "a", 1, 1)
 	}
 	hang := func(at int, on bool) {
-		e.Plan.Steps = append(e.Plan.Steps, plan.Step{At: time.Duration(at) * time.Second, Do: plan.Trouble, Server: "a", Trouble: model.Fault{Hang: on}})
+		e.Plan.Steps = append(e.Plan.Steps, plan.Step{At: time.Duration(at) * time.Second, Do: plan.ServerFault, Server: "a", Trouble: model.Fault{Hang: on}})
 	}
 	hang(5, true)
 	hang(15, false)
--- a/internal/lab/config.go
+++ b/internal/lab/config.go
@@ -22,8 +22,8 @@
 		if c.Safe {
 			effect = "idempotent"
 		}
-		classes = append(classes, object{"name": c.Name, "effect": effect, "aim_s": c.AimMS / 1000, "deadline_s": c.GiveUpMS / 1000,
-			"credit": c.Worth, "late_value": c.LateWorth, "group": "all", "window_s": 5, "stream": false})
+		classes = append(classes, object{"name": c.Name, "effect": effect, "aim_s": c.LatencyTargetMS / 1000, "deadline_s": c.GiveUpMS / 1000,
+			"credit": c.Value, "late_value": c.LateValue, "group": "all", "window_s": 5, "stream": false})
 	}
 	var models []string
 	for _, k := range f.Kinds {
@@ -46,12 +46,12 @@
 		},
 	}
 	if _, told := f.Config["hitters"]; f.Hitters.On && !told {
-		high, low := f.Hitters.Bars()
+		high, low := f.Hitters.Thresholds()
 		whole["hitters"] = object{"bars": []float64{high, low}}
 	}
 	if len(keepers) > 0 {
 		delete(whole, "known") // they tell it
-		of := object{"addresses": keepers, "reach": link.Near(i).String(), "doubt_share": f.Keepers.DoubtShare, "most_age_s": f.Keepers.MostAgeS}
+		of := object{"addresses": keepers, "reach": link.Near(i).String(), "doubt_share": f.Registry.MaxRemovalShare, "most_age_s": f.Registry.MaxStalenessS}
 		routesConfig(p, i, of)
 		whole["keepers"] = of
 	}
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -69,7 +69,7 @@
 	for i := range p.Servers {
 		f.specs[p.Servers[i].UID] = &p.Servers[i]
 	}
-	if p.File.Keepers.Count > 0 {
+	if p.File.Registry.Count > 0 {
 		if err := f.startKeepers(ctx); err != nil {
 			return f, err
 		}
--- a/internal/lab/keeperlinks.go
+++ b/internal/lab/keeperlinks.go
@@ -20,7 +20,7 @@
 		}
 		for _, other := range ks.all {
 			if other != k {
-				if n, err = ks.relay.order(ctl.Order{Do: s.Do, UID: other.name, Nears: []int{ks.fleet.plan.NearKeeper(k.index)}}); err != nil {
+				if n, err = ks.relay.order(ctl.Order{Do: s.Do, UID: other.name, Nears: []int{ks.fleet.plan.NearNode(k.index)}}); err != nil {
 					return n.At, err
 				}
 			}
@@ -29,11 +29,11 @@
 	}
 	if s.On {
 		on := *s
-		on.Sidecar = plan.KeeperIndex(k.index)
+		on.Sidecar = plan.NodeIndex(k.index)
 		ks.active = append(ks.active, &on)
 	} else {
 		ks.active = slices.DeleteFunc(ks.active, func(a *plan.Step) bool {
-			return a.Fault == s.Fault && a.Sidecar == plan.KeeperIndex(k.index)
+			return a.Fault == s.Fault && a.Sidecar == plan.NodeIndex(k.index)
 		})
 	}
 	for _, far := range ks.all {
@@ -81,7 +81,7 @@
 
 // peer is the keeper that a near end is; nil: a client.
 func (ks *keepers) peer(near int) *keeper {
-	if i := near - ks.fleet.plan.NearKeeper(0); i >= 0 && i < len(ks.all) {
+	if i := near - ks.fleet.plan.NearNode(0); i >= 0 && i < len(ks.all) {
 		return ks.all[i]
 	}
 	return nil
@@ -92,7 +92,7 @@
 	peer := ks.peer(near)
 	for _, s := range ks.active {
 		e := s.Effect
-		switch k, _ := plan.KeeperOf(s.Sidecar); {
+		switch k, _ := plan.NodeOf(s.Sidecar); {
 		case k == far.index && ks.meant(near, s.From):
 		case peer != nil && k == peer.index && (s.From == "" || s.From == "peers"): // its own calls: what it hears comes the other way
 			e.HoldFar, e.HoldNear = e.HoldNear, e.HoldFar
--- a/internal/lab/keepers.go
+++ b/internal/lab/keepers.go
@@ -64,7 +64,7 @@
 
 // startKeepers starts the relay and all keepers, and waits until one leads.
 func (f *Fleet) startKeepers(ctx context.Context) error {
-	n := f.plan.File.Keepers.Count
+	n := f.plan.File.Registry.Count
 	ks := &keepers{fleet: f, chosen: map[int]*keeper{}, turns: map[int]chan struct{}{}}
 	f.keepers = ks
 	var err error
@@ -76,16 +76,16 @@
 	}
 	f.all.Add(ks.relay.Process)
 	for i := range n {
-		k := &keeper{index: i, name: plan.KeeperName(i), folder: filepath.Join(f.work, plan.KeeperName(i))}
+		k := &keeper{index: i, name: plan.NodeName(i), folder: filepath.Join(f.work, plan.NodeName(i))}
 		ks.all = append(ks.all, k)
 		if err := os.Mkdir(k.folder, 0o700); err != nil {
 			return err
 		}
 		// A keeper calls its peers from the address that it listens at, by which the relay knows it.
-		if k.raft, err = link.Reserve(link.Near(f.plan.NearKeeper(i))); err != nil {
+		if k.raft, err = link.Reserve(link.Near(f.plan.NearNode(i))); err != nil {
 			return err
 		}
-		if k.http, err = link.Reserve(link.Near(f.plan.NearKeeper(i))); err != nil {
+		if k.http, err = link.Reserve(link.Near(f.plan.NearNode(i))); err != nil {
 			return err
 		}
 		for j, front := range []ctl.Order{{Front: k.http.Addr.String()}, {Front: k.raft.Addr.String(), BySource: true}} {
@@ -110,7 +110,7 @@
 		return err
 	}
 	defer done()
-	if _, err := c.List(ctx, f.plan.File.Keepers.Program == "keeper"); err != nil {
+	if _, err := c.List(ctx, f.plan.File.Registry.Program == "keeper"); err != nil {
 		return fmt.Errorf("keepers: %w", err)
 	}
 	return nil
@@ -128,13 +128,13 @@
 		if err != nil {
 			return fmt.Errorf("keepers: %w", err)
 		}
-		if len(l.Targets) >= f.plan.Standing || f.plan.File.Keepers.Program == "plain" && f.plan.File.Keepers.Count > 1 {
+		if len(l.Targets) >= f.plan.InitialServers || f.plan.File.Registry.Program == "plain" && f.plan.File.Registry.Count > 1 {
 			break // plain ones do not know what others were told
 		}
 		select {
 		case <-time.After(20 * time.Millisecond):
 		case <-ctx.Done():
-			return fmt.Errorf("keepers: %d of %d servers registered within %v", len(l.Targets), f.plan.Standing, patience)
+			return fmt.Errorf("keepers: %d of %d servers registered within %v", len(l.Targets), f.plan.InitialServers, patience)
 		}
 	}
 	if f.writers, err = f.startWriters(ctx); err != nil {
@@ -147,13 +147,13 @@
 }
 
 func (ks *keepers) configure(k *keeper) error {
-	f := ks.fleet.plan.File.Keepers
+	f := ks.fleet.plan.File.Registry
 	var text strings.Builder
-	own := link.Near(ks.fleet.plan.NearKeeper(k.index)) // by which the relay knows who calls
+	own := link.Near(ks.fleet.plan.NearNode(k.index)) // by which the relay knows who calls
 	fmt.Fprintf(&text, "name = %q\nfolder = %q\nhttp = %q\nraft = %q\nadvertise_http = \"%s:%d\"\nadvertise_raft = \"127.0.0.1:%d\"\n", k.name,
 		filepath.Join(k.folder, "data"), k.http.Addr, k.raft.Addr, own, k.fronts[0], k.fronts[1])
 	fmt.Fprintf(&text, "[leases]\ngrace_ms = %d\nshare = %v\n[timing]\nsnapshot_after = %d\nsnapshot_ms = 200\ntrailing = %d\n", int(f.GraceS*1000),
-		f.Share, f.Snapshot, f.Snapshot)
+		f.MaxExpiringShare, f.Snapshot, f.Snapshot)
 	for _, p := range ks.all {
 		fmt.Fprintf(&text, "[[peer]]\nname = %q\nhttp = \"%s:%d\"\nraft = \"127.0.0.1:%d\"\n", p.name, own, p.fronts[0], p.fronts[1])
 	}
@@ -164,7 +164,7 @@
 func (ks *keepers) start(k *keeper) error {
 	f := ks.fleet
 	args := []string{"keeper", filepath.Join(k.folder, "keeper.toml")}
-	if o := f.plan.File.Keepers; o.Program == "plain" {
+	if o := f.plan.File.Registry; o.Program == "plain" {
 		args = []string{"stand-in", "keeper", "--address", k.http.Addr.String(), "--flaw", o.Flaw}
 	}
 	p, err := f.starter.Start(proc.Spec{Name: k.name, Path: f.self.Path, Args: args, Log: f.log(k.name), Folder: k.folder,
@@ -208,7 +208,7 @@
 
 // startWatchers starts the clients that only watch.
 func (f *Fleet) startWatchers() error {
-	n := f.plan.File.Keepers.Watchers
+	n := f.plan.File.Registry.Watchers
 	if n == 0 {
 		return nil
 	}
--- a/internal/lab/keepersteps.go
+++ b/internal/lab/keepersteps.go
@@ -59,7 +59,7 @@
 
 // of is the keeper that a step means: whoever led when its fault began, where it says so.
 func (ks *keepers) of(ctx context.Context, s *plan.Step) (*keeper, error) {
-	if k, ok := plan.KeeperOf(s.Sidecar); ok {
+	if k, ok := plan.NodeOf(s.Sidecar); ok {
 		return ks.all[k], nil
 	}
 	ks.mu.Lock()
@@ -83,7 +83,7 @@
 
 // nameOf is whom a step acts on.
 func (ks *keepers) nameOf(s *plan.Step) string {
-	if k, ok := plan.KeeperOf(s.Sidecar); ok {
+	if k, ok := plan.NodeOf(s.Sidecar); ok {
 		return ks.all[k].name
 	}
 	ks.mu.Lock()
--- a/internal/lab/liars.go
+++ b/internal/lab/liars.go
@@ -12,8 +12,8 @@
 // startLiars starts the members that are no sidecars. They join sidecars, so these stand already; behind the relay each has a port, as
 // sidecars have.
 func (f *Fleet) startLiars() error {
-	for i := range f.plan.Liars() {
-		near := f.plan.NearLiar(i)
+	for i := range f.plan.LyingMembers() {
+		near := f.plan.NearLyingMember(i)
 		p, err := link.Reserve(link.Near(near))
 		if err != nil {
 			return err
--- a/internal/lab/links.go
+++ b/internal/lab/links.go
@@ -40,7 +40,7 @@
 // baseline sets the links of all servers as they are without faults.
 func (l *links) baseline(delay time.Duration) error {
 	l.base.Delay = delay
-	for i := range l.fleet.plan.Standing {
+	for i := range l.fleet.plan.InitialServers {
 		if err := l.again(l.fleet.plan.Servers[i].UID); err != nil {
 			return err
 		}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -105,7 +105,7 @@
 	arrival := &c.Plan.Arrivals[index]
 	class := &c.Plan.File.Classes[arrival.Class]
 	giveUp := plan.Millis(class.GiveUpMS)
-	attemptTime := time.Duration(float64(giveUp) * arrival.TryPart)
+	attemptTime := time.Duration(float64(giveUp) * arrival.TimeoutShare)
 	c.Live.Requests.Add(1)
 	c.Live.Open.Add(1)
 	defer c.Live.Open.Add(-1)
--- a/internal/lab/plan/arrivals.go
+++ b/internal/lab/plan/arrivals.go
@@ -81,7 +81,7 @@
 	// In seconds from the start of the stream.
 	for t := r.ExpFloat64() / l.rate; l.from+Seconds(t) < l.to; t += r.ExpFloat64() / l.rate {
 		at := l.from + Seconds(t)
-		a := Arrival{At: at, Sidecar: pick(r, l.sidecars(at)), Class: pick(r, classes), TryPart: between(r, [2]float64{0.7, 1}), Backoff: -1}
+		a := Arrival{At: at, Sidecar: pick(r, l.sidecars(at)), Class: pick(r, classes), TimeoutShare: between(r, [2]float64{0.7, 1}), Backoff: -1}
 		// At most ten times the mean, so that a single draw cannot push a server over.
 		a.Work = Seconds(min(r.ExpFloat64(), 10) * f.Classes[a.Class].WorkMS / 1000 * f.Load.WorkPart)
 		backoff := Seconds(between(r, [2]float64{0.017, 0.13}))
--- a/internal/lab/plan/fault.go
+++ b/internal/lab/plan/fault.go
@@ -125,17 +125,17 @@
 		return f.bad("fault", i, "part", "only one of part, count and names can be given")
 	case t.Count < 0:
 		return f.bad("fault", i, "count", "count %d is below 0", t.Count)
-	case t.On == "keepers" && f.Keepers.Count == 0:
+	case t.On == "keepers" && f.Registry.Count == 0:
 		return f.bad("fault", i, "on", "there are no keepers: [keepers] needs count")
 	case t.On == "peers" && !f.Members.On:
 		return f.bad("fault", i, "on", "sidecars do not know each other: [members] needs on")
-	case t.On == "list" && f.Keepers.Count > 0:
+	case t.On == "list" && f.Registry.Count > 0:
 		return f.bad("fault", i, "on", "keepers hold the list: on = \"keepers\"")
 	case t.On == "keepers" && t.Zone != "":
 		return f.bad("fault", i, "zone", "keepers have no zone")
 	case t.On == "keepers" && !slices.Contains([]string{"", "peers", "clients", "sidecars", "servers"}, t.From):
 		return f.bad("fault", i, "from", "from %q is none of peers, clients, sidecars and servers", t.From)
-	case t.On == "servers" && t.From != "" && f.Keepers.Count > 0:
+	case t.On == "servers" && t.From != "" && f.Registry.Count > 0:
 		return f.bad("fault", i, "from", "with keepers all sidecars reach servers by one listener: from is not possible")
 	case t.Zone != "" && !slices.Contains(f.Fleet.Zones, t.Zone):
 		return f.bad("fault", i, "zone", "no zone %q", t.Zone)
--- a/internal/lab/plan/file.go
+++ b/internal/lab/plan/file.go
@@ -4,17 +4,17 @@
 
 // File is an experiment as it is written down. Times are in seconds from the start of the load unless the name says ms.
 type File struct {
-	States  string  `toml:"states"`  // the sentence that the experiment puts to the test
-	Seconds float64 `toml:"seconds"` // of load
-	Breaks  string  `toml:"breaks"`  // controls: the invariant that must be found broken
-	Fleet   Fleet   `toml:"fleet"`
-	Load    Load    `toml:"load"`
-	Limits  Limits  `toml:"limits"`
-	List    List    `toml:"list"`
-	Keepers Keepers `toml:"keepers"`
-	Hitters Hitters `toml:"hitters"`
-	Members Members `toml:"members"`
-	Routes  Routes  `toml:"routes"`
+	States   string   `toml:"states"`  // the sentence that the experiment puts to the test
+	Seconds  float64  `toml:"seconds"` // of load
+	Breaks   string   `toml:"breaks"`  // controls: the invariant that must be found broken
+	Fleet    Fleet    `toml:"fleet"`
+	Load     Load     `toml:"load"`
+	Limits   Limits   `toml:"limits"`
+	List     List     `toml:"list"`
+	Registry Registry `toml:"keepers"`
+	Hitters  Hitters  `toml:"hitters"`
+	Members  Members  `toml:"members"`
+	Routes   Routes   `toml:"routes"`
 	// Config is written into each sidecar's configuration as it stands, beside what the lab tells it.
 	Config  map[string]any `toml:"config"`
 	Kinds   []Kind         `toml:"kind"`
@@ -45,15 +45,15 @@
 
 // Load is what clients ask for.
 type Load struct {
-	Share    float64 `toml:"share"`     // of the work that all warm servers can do
-	Rate     float64 `toml:"rate"`      // or requests a second
-	Uneven   float64 `toml:"uneven"`    // coefficient of variation of the sidecars' shares
-	ZoneSkew float64 `toml:"zone_skew"` // how much more of the traffic the first zone has, 0 to 1
-	Retries  bool    `toml:"retries"`   // clients try once more
-	TardyMS  float64 `toml:"tardy_ms"`  // the lab sends this much late: for the control of its own lateness
-	WorkPart float64 `toml:"work_part"` // of the classes' mean work, so that more requests fit the same servers
-	Clients  int     `toml:"clients"`   // who ask by name, in the header X-Tenant-Id; 0: nobody does
-	Skew     float64 `toml:"skew"`      // the i-th client has a part of the requests by i to the power of -skew
+	Share       float64 `toml:"share"`     // of the work that all warm servers can do
+	Rate        float64 `toml:"rate"`      // or requests a second
+	Uneven      float64 `toml:"uneven"`    // coefficient of variation of the sidecars' shares
+	ZoneSkew    float64 `toml:"zone_skew"` // how much more of the traffic the first zone has, 0 to 1
+	Retries     bool    `toml:"retries"`   // clients try once more
+	SendDelayMS float64 `toml:"tardy_ms"`  // the lab sends this much late: for the control of its own lateness
+	WorkPart    float64 `toml:"work_part"` // of the classes' mean work, so that more requests fit the same servers
+	Clients     int     `toml:"clients"`   // who ask by name, in the header X-Tenant-Id; 0: nobody does
+	Skew        float64 `toml:"skew"`      // the i-th client has a part of the requests by i to the power of -skew
 }
 
 // Limits are what checkers hold runs to.
@@ -68,28 +68,28 @@
 
 // List is how late the list of servers is.
 type List struct {
-	NoticeS [2]float64 `toml:"notice_s"` // until it knows that a process drains or ended
-	AddS    [2]float64 `toml:"add_s"`    // until it knows a new one
-	SilentS [2]float64 `toml:"silent_s"` // until it knows that a machine is silent
-	Sizes   string     `toml:"sizes"`    // what it tells of the servers' sizes: "alike", or "rough": the true ones, up to a fifth wrong
+	NoticeS      [2]float64 `toml:"notice_s"` // until it knows that a process drains or ended
+	AddS         [2]float64 `toml:"add_s"`    // until it knows a new one
+	UnreachableS [2]float64 `toml:"silent_s"` // until it knows that a machine is silent
+	Sizes        string     `toml:"sizes"`    // what it tells of the servers' sizes: "alike", or "rough": the true ones, up to a fifth wrong
 }
 
-// Keepers are who hold the list, in place of the platform's.
-type Keepers struct {
-	Count      int     `toml:"count"`       // 0: the platform's list
-	Program    string  `toml:"program"`     // "keeper": the program; "plain": stand-ins, each by itself and without a disk
-	Flaw       string  `toml:"flaw"`        // of the stand-in keepers
-	LeaseS     float64 `toml:"lease_s"`     // of the servers' registrations
-	GraceS     float64 `toml:"grace_s"`     // from the end of a lease to the server's removal
-	Share      float64 `toml:"share"`       // of the leases that may end within 30 s
-	Snapshot   int     `toml:"snapshot"`    // commands after which a keeper takes a snapshot, and as many it keeps behind it
-	Writers    int     `toml:"writers"`     // clients that write and read entries of their own, side by side
-	WriteRate  float64 `toml:"write_rate"`  // their operations a second in all
-	Keys       int     `toml:"keys"`        // entries that they share
-	DoubtShare float64 `toml:"doubt_share"` // of the servers, that sidecars let go at once where a whole list lacks them
-	MostAgeS   float64 `toml:"most_age_s"`  // sidecars leave a keeper that was out of touch for longer
-	Cache      bool    `toml:"cache"`       // sidecars keep the last list on disk
-	Watchers   int     `toml:"watchers"`    // clients besides the sidecars that only watch
+// Registry are who hold the list, in place of the platform's.
+type Registry struct {
+	Count            int     `toml:"count"`       // 0: the platform's list
+	Program          string  `toml:"program"`     // "keeper": the program; "plain": stand-ins, each by itself and without a disk
+	Flaw             string  `toml:"flaw"`        // of the stand-in keepers
+	LeaseS           float64 `toml:"lease_s"`     // of the servers' registrations
+	GraceS           float64 `toml:"grace_s"`     // from the end of a lease to the server's removal
+	MaxExpiringShare float64 `toml:"share"`       // of the leases that may end within 30 s
+	Snapshot         int     `toml:"snapshot"`    // commands after which a keeper takes a snapshot, and as many it keeps behind it
+	Writers          int     `toml:"writers"`     // clients that write and read entries of their own, side by side
+	WriteRate        float64 `toml:"write_rate"`  // their operations a second in all
+	Keys             int     `toml:"keys"`        // entries that they share
+	MaxRemovalShare  float64 `toml:"doubt_share"` // of the servers, that sidecars let go at once where a whole list lacks them
+	MaxStalenessS    float64 `toml:"most_age_s"`  // sidecars leave a keeper that was out of touch for longer
+	Cache            bool    `toml:"cache"`       // sidecars keep the last list on disk
+	Watchers         int     `toml:"watchers"`    // clients besides the sidecars that only watch
 }
 
 // Members is whether sidecars know each other.
@@ -108,21 +108,21 @@
 
 // Class is a class of requests (BRIEF).
 type Class struct {
-	Name      string  `toml:"name"`
-	Share     float64 `toml:"share"`
-	WorkMS    float64 `toml:"work_ms"` // mean, on a core of speed 1
-	AimMS     float64 `toml:"aim_ms"`
-	GiveUpMS  float64 `toml:"give_up_ms"`
-	Worth     float64 `toml:"worth"`
-	LateWorth float64 `toml:"late_worth"` // share of the worth of an answer after the aim
-	Safe      bool    `toml:"safe"`       // to repeat
+	Name            string  `toml:"name"`
+	Share           float64 `toml:"share"`
+	WorkMS          float64 `toml:"work_ms"` // mean, on a core of speed 1
+	LatencyTargetMS float64 `toml:"aim_ms"`
+	GiveUpMS        float64 `toml:"give_up_ms"`
+	Value           float64 `toml:"worth"`
+	LateValue       float64 `toml:"late_worth"` // share of the worth of an answer after the aim
+	Safe            bool    `toml:"safe"`       // to repeat
 }
 
 // Bar is a figure of the report that must be reached.
 type Bar struct {
 	Figure string   `toml:"figure"`
-	Least  *float64 `toml:"least"`
-	Most   *float64 `toml:"most"`
+	Min    *float64 `toml:"least"`
+	Max    *float64 `toml:"most"`
 }
 
 // Defaults is a file with all that may be left out: today's fleet as BRIEF has it.
@@ -134,9 +134,9 @@
 		Load: Load{Uneven: 1, Retries: true, WorkPart: 1},
 		Limits: Limits{AnswerSlackMS: 500, DrainGraceMS: 300, SlackMS: 50, MemoryMB: 192, Descriptors: 1024,
 			LatenessMS: 5},
-		List:    List{NoticeS: [2]float64{0.66, 3.9}, AddS: [2]float64{0.25, 2.6}, SilentS: [2]float64{6.5, 13}, Sizes: "alike"},
-		Members: Members{BoundMS: 2000},
-		Keepers: Keepers{Program: "keeper", LeaseS: 3, GraceS: 3, Share: 0.3, Snapshot: 4096, Writers: 4, Keys: 4, DoubtShare: 0.3, MostAgeS: 2.5, Cache: true},
+		List:     List{NoticeS: [2]float64{0.66, 3.9}, AddS: [2]float64{0.25, 2.6}, UnreachableS: [2]float64{6.5, 13}, Sizes: "alike"},
+		Members:  Members{BoundMS: 2000},
+		Registry: Registry{Program: "keeper", LeaseS: 3, GraceS: 3, MaxExpiringShare: 0.3, Snapshot: 4096, Writers: 4, Keys: 4, MaxRemovalShare: 0.3, MaxStalenessS: 2.5, Cache: true},
 	}
 }
 
--- a/internal/lab/plan/fleet_test.go
+++ b/internal/lab/plan/fleet_test.go
@@ -139,8 +139,8 @@
 		}
 	}
 	s := p.Steps[1]
-	if p.Liars() != 4 || s.Do != Lie || !slices.Equal(s.Nears, []int{2, 3}) || s.Mode != "t1,t2" || s.By != Seconds(work/5*2*2) {
-		t.Errorf("%d liars, %+v, of %v s", p.Liars(), s, work)
+	if p.LyingMembers() != 4 || s.Do != FalseReports || !slices.Equal(s.Nears, []int{2, 3}) || s.Mode != "t1,t2" || s.By != Seconds(work/5*2*2) {
+		t.Errorf("%d liars, %+v, of %v s", p.LyingMembers(), s, work)
 	}
 	for _, bad := range []string{head + lie, on + strings.Replace(lie, "count = 2", "count = 0", 1), on + strings.Replace(lie, "\"t1\", \"t2\"", "", 1)} {
 		if _, err := Parse("x.toml", []byte(bad)); err == nil {
--- a/internal/lab/plan/hitters.go
+++ b/internal/lab/plan/hitters.go
@@ -41,8 +41,8 @@
 	return from, to, ok && from < to
 }
 
-// Bars are the shares that count.
-func (h Hitters) Bars() (high, low float64) {
+// Thresholds are the shares that count.
+func (h Hitters) Thresholds() (high, low float64) {
 	own := hitters.Defaults()
 	return cmp.Or(h.High, own.HighThreshold), cmp.Or(h.Low, own.LowThreshold)
 }
--- a/internal/lab/plan/names.go
+++ b/internal/lab/plan/names.go
@@ -31,5 +31,5 @@
 // Flaws of the stand-in sidecar, for the controls; "" is none.
 var Flaws = []string{"", "duplicate", "hedge", "mute", "late", "deaf", "rush", "crash", "leak-memory", "leak-descriptors"}
 
-// KeeperFlaws are those of the stand-in keepers; "" is none but to be each by itself.
-var KeeperFlaws = []string{"", "gap", "mute", "back"}
+// RegistryFlaws are those of the stand-in keepers; "" is none but to be each by itself.
+var RegistryFlaws = []string{"", "gap", "mute", "back"}
--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -14,14 +14,14 @@
 
 // Plan is all that an experiment will do. Times are counted from the start of the load.
 type Plan struct {
-	File     *File
-	Seed     uint64
-	Servers  []model.Spec // first those that stand at the start, then successors
-	Standing int          // of Servers at the start
-	Sidecars []Sidecar
-	Arrivals []Arrival
-	Steps    []Step
-	Bands    []Band
+	File           *File
+	Seed           uint64
+	Servers        []model.Spec // first those that stand at the start, then successors
+	InitialServers int          // of Servers at the start
+	Sidecars       []Sidecar
+	Arrivals       []Arrival
+	Steps          []Step
+	Bands          []Band
 
 	ArrivalsHash string // of all that clients will do
 	StepsHash    string // of all that faults will do, and to whom
@@ -42,13 +42,13 @@
 
 // Arrival is one request's first try.
 type Arrival struct {
-	At      time.Duration
-	Sidecar int
-	Class   int
-	Work    time.Duration // of a core of speed 1
-	TryPart float64       // of the give-up time after which a try is given up, 0.7 to 1
-	Backoff time.Duration // before the second try; below 0: there is none
-	Client  int           // who asks, from 1; 0: nobody by name
+	At           time.Duration
+	Sidecar      int
+	Class        int
+	Work         time.Duration // of a core of speed 1
+	TimeoutShare float64       // of the give-up time after which a try is given up, 0.7 to 1
+	Backoff      time.Duration // before the second try; below 0: there is none
+	Client       int           // who asks, from 1; 0: nobody by name
 }
 
 // Band is a fault as the report shows it.
@@ -71,23 +71,23 @@
 	Backup  = "backup"  // keepers
 	Restore = "restore" // keepers
 
-	Drain   = "drain"   // server
-	Die     = "die"     // server
-	Remove  = "remove"  // server
-	Revive  = "revive"  // server
-	Add     = "add"     // server
-	Trouble = "trouble" // server
-	Clock   = "clock"   // server: By
-	Link    = "link"    // server or list: what holds between far end and Nears
-	Reset   = "reset"   // server or list
-	Forget  = "forget"  // server or list
+	Drain       = "drain"   // server
+	Die         = "die"     // server
+	Remove      = "remove"  // server
+	Revive      = "revive"  // server
+	Add         = "add"     // server
+	ServerFault = "trouble" // server
+	Clock       = "clock"   // server: By
+	Link        = "link"    // server or list: what holds between far end and Nears
+	Reset       = "reset"   // server or list
+	Forget      = "forget"  // server or list
 
-	Silent = "silent" // server: its machine cannot reach the keepers while On
+	Isolate = "silent" // server: its machine cannot reach the keepers while On
 
-	Lie = "lie" // members that are no sidecars, Nears of them, tell of work by the clients Mode, By a second in all, while On
+	FalseReports = "lie" // members that are no sidecars, Nears of them, tell of work by the clients Mode, By a second in all, while On
 
-	Tell = "tell" // the list learns State of a server
-	Mode = "mode" // the list's answers are as Mode says
+	UpdateList = "tell" // the list learns State of a server
+	ListMode   = "mode" // the list's answers are as Mode says
 )
 
 // Process indexes that mean no sidecar.
@@ -97,37 +97,37 @@
 	firstKeeper = -10 // and those below
 )
 
-// KeeperIndex is the process index of the k-th keeper, from 0.
-func KeeperIndex(k int) int { return firstKeeper - k }
+// NodeIndex is the process index of the k-th keeper, from 0.
+func NodeIndex(k int) int { return firstKeeper - k }
 
-// KeeperOf undoes KeeperIndex; it tells false for others, LeaderIndex with them.
-func KeeperOf(process int) (k int, ok bool) { return firstKeeper - process, process <= firstKeeper }
+// NodeOf undoes NodeIndex; it tells false for others, LeaderIndex with them.
+func NodeOf(process int) (k int, ok bool) { return firstKeeper - process, process <= firstKeeper }
 
-// OnKeepers tells whether a process index means a keeper.
-func OnKeepers(process int) bool { return process == LeaderIndex || process <= firstKeeper }
+// IsNode tells whether a process index means a keeper.
+func IsNode(process int) bool { return process == LeaderIndex || process <= firstKeeper }
 
 // Indexes of the near ends besides the sidecars, each with its own address (link.Near).
 
 // NearWriter is that of the lab's own clients of the keepers.
 func (p *Plan) NearWriter() int { return len(p.Sidecars) }
 
-// NearKeeper is that of the k-th keeper, as it calls others.
-func (p *Plan) NearKeeper(k int) int { return len(p.Sidecars) + 1 + k }
+// NearNode is that of the k-th keeper, as it calls others.
+func (p *Plan) NearNode(k int) int { return len(p.Sidecars) + 1 + k }
 
 // NearHost is that of the i-th process of servers, as it registers them.
-func (p *Plan) NearHost(i int) int { return len(p.Sidecars) + 1 + p.File.Keepers.Count + i }
+func (p *Plan) NearHost(i int) int { return len(p.Sidecars) + 1 + p.File.Registry.Count + i }
 
 // NearWatcher is that of the i-th client that only watches.
 func (p *Plan) NearWatcher(i int) int { return p.NearHost(p.Hosts()) + i }
 
-// NearLiar is that of the i-th member that is no sidecar.
-func (p *Plan) NearLiar(i int) int { return p.NearWatcher(p.File.Keepers.Watchers) + i }
+// NearLyingMember is that of the i-th member that is no sidecar.
+func (p *Plan) NearLyingMember(i int) int { return p.NearWatcher(p.File.Registry.Watchers) + i }
 
 // Nears is how many near ends there are.
-func (p *Plan) Nears() int { return p.NearLiar(p.Liars()) }
+func (p *Plan) Nears() int { return p.NearLyingMember(p.LyingMembers()) }
 
-// Liars is how many members there are that are no sidecars: those of each lie have their own places, in the order of the file.
-func (p *Plan) Liars() (n int) {
+// LyingMembers is how many members there are that are no sidecars: those of each lie have their own places, in the order of the file.
+func (p *Plan) LyingMembers() (n int) {
 	for i := range p.File.Faults {
 		if t := &p.File.Faults[i]; t.Do == "lie" {
 			n += t.Count
@@ -138,11 +138,11 @@
 
 // Hosts is how many processes of stand-in servers there are.
 func (p *Plan) Hosts() int {
-	return (p.Standing + p.File.Fleet.PerHost - 1) / p.File.Fleet.PerHost
+	return (p.InitialServers + p.File.Fleet.PerHost - 1) / p.File.Fleet.PerHost
 }
 
-// KeeperName is the name of the k-th keeper.
-func KeeperName(k int) string { return fmt.Sprintf("k%d", k+1) }
+// NodeName is the name of the k-th keeper.
+func NodeName(k int) string { return fmt.Sprintf("k%d", k+1) }
 
 // Step is one thing that the lab does at a time.
 type Step struct {
@@ -194,7 +194,7 @@
 	for i := range f.Fleet.Servers {
 		p.Servers = append(p.Servers, p.spec(i, f.Fleet.Zones[i%len(f.Fleet.Zones)], kinds[i]))
 	}
-	p.Standing = len(p.Servers)
+	p.InitialServers = len(p.Servers)
 	if err := p.drawArrivals(); err != nil {
 		return nil, err
 	}
@@ -207,7 +207,7 @@
 
 // Groups is how many groups of sidecars there are, each with listeners of its own at every server.
 func (p *Plan) Groups() int {
-	if p.File.Keepers.Count > 0 {
+	if p.File.Registry.Count > 0 {
 		return 1
 	}
 	return len(p.File.Fleet.Zones)
@@ -254,7 +254,7 @@
 // Capacity is the work a second of all servers at the start when warm.
 func (p *Plan) Capacity() float64 {
 	sum := 0.0
-	for i := range p.Standing {
+	for i := range p.InitialServers {
 		sum += p.Servers[i].Capacity()
 	}
 	return sum
@@ -282,7 +282,7 @@
 		}
 	}
 	for _, a := range p.Arrivals {
-		put(int64(a.At), int64(a.Sidecar), int64(a.Class), int64(a.Work), a.TryPart, int64(a.Backoff), int64(a.Client))
+		put(int64(a.At), int64(a.Sidecar), int64(a.Class), int64(a.Work), a.TimeoutShare, int64(a.Backoff), int64(a.Client))
 	}
 	p.ArrivalsHash = fmt.Sprintf("%016x", h.Sum64())
 	h.Reset()
--- a/internal/lab/plan/plan_test.go
+++ b/internal/lab/plan/plan_test.go
@@ -190,7 +190,7 @@
 		added := 0
 		for i, s := range p.Servers {
 			steps := at[s.UID]
-			if i >= p.Standing {
+			if i >= p.InitialServers {
 				added++
 				if steps[Add] < 5*time.Second || steps[Add] > 22*time.Second || steps["tellSERVING"] <= steps[Add] {
 					t.Fatalf("successor %s: %v", s.UID, steps)
--- a/internal/lab/plan/processsteps.go
+++ b/internal/lab/plan/processsteps.go
@@ -17,8 +17,8 @@
 		if i >= 0 {
 			name = d.Sidecars[i].Name
 		}
-		if k, ok := KeeperOf(i); ok {
-			name = KeeperName(k)
+		if k, ok := NodeOf(i); ok {
+			name = NodeName(k)
 		} else if i == LeaderIndex {
 			name = "the leader of the keepers"
 		}
--- a/internal/lab/plan/routes.go
+++ b/internal/lab/plan/routes.go
@@ -31,7 +31,7 @@
 	switch {
 	case r.Apps == 0:
 		return nil
-	case f.Keepers.Count == 0:
+	case f.Registry.Count == 0:
 		return f.bad("routes", -1, "apps", "there are no keepers that could hold routes: [keepers] needs count")
 	case r.EveryS < 0.01 || r.EveryS > mostSeconds:
 		return f.bad("routes", -1, "every_s", "every_s is %v, not within 0.01 to %v", r.EveryS, mostSeconds)
--- a/internal/lab/plan/serversteps.go
+++ b/internal/lab/plan/serversteps.go
@@ -11,16 +11,16 @@
 )
 
 func (d *drawer) silent(at time.Duration, uid string, on bool) {
-	if d.File.Keepers.Count > 0 {
-		d.step(Step{At: at, Do: Silent, Server: uid, On: on})
+	if d.File.Registry.Count > 0 {
+		d.step(Step{At: at, Do: Isolate, Server: uid, On: on})
 	}
 }
 
 func (d *drawer) tell(at time.Duration, uid, state string) {
-	if d.File.Keepers.Count > 0 {
+	if d.File.Registry.Count > 0 {
 		return // servers tell the keepers by themselves
 	}
-	d.step(Step{At: at, Do: Tell, Sidecar: ListIndex, Server: uid, State: state})
+	d.step(Step{At: at, Do: UpdateList, Sidecar: ListIndex, Server: uid, State: state})
 }
 
 func (d *drawer) late(v [2]float64) time.Duration { return Seconds(between(d.r, v)) }
@@ -47,7 +47,7 @@
 	if err := d.claim(what, at, end); err != nil {
 		return err
 	}
-	trouble := func(at time.Duration, v model.Fault) { d.step(Step{At: at, Do: Trouble, Server: uid, Trouble: v}) }
+	trouble := func(at time.Duration, v model.Fault) { d.step(Step{At: at, Do: ServerFault, Server: uid, Trouble: v}) }
 	switch t.Do {
 	case "slow":
 		trouble(at, model.Fault{Slow: t.Size})
@@ -82,7 +82,7 @@
 		all := LinkEffect{HoldFar: true, HoldNear: true}
 		d.step(Step{At: at, Do: Link, Server: uid, Effect: all, On: true, Group: -1})
 		d.silent(at, uid, true)
-		gone := at + d.late(list.SilentS)
+		gone := at + d.late(list.UnreachableS)
 		if gone < end {
 			d.tell(gone, uid, "DELETED")
 		}
@@ -102,7 +102,7 @@
 	}
 	drain := cmp.Or(t.Drain, 4)
 	batch := cmp.Or(t.Batch, 0.1)
-	each := max(1, int(math.Round(batch*float64(d.Standing))))
+	each := max(1, int(math.Round(batch*float64(d.InitialServers))))
 	batches := (len(chosen) + each - 1) / each
 	room := t.For - drain
 	if room < 0 {
--- a/internal/lab/plan/sidecars.go
+++ b/internal/lab/plan/sidecars.go
@@ -64,7 +64,7 @@
 			return f.bad("fault", -1, "do", "no sidecar of %s stays throughout", s.Zone)
 		}
 	}
-	if f.Keepers.Count > 0 {
+	if f.Registry.Count > 0 {
 		for i := range p.Sidecars {
 			p.Sidecars[i].Group = 0 // a server registers one address for all
 		}
--- a/internal/lab/plan/steps.go
+++ b/internal/lab/plan/steps.go
@@ -35,7 +35,7 @@
 
 func (p *Plan) drawSteps() error {
 	d := &drawer{Plan: p, busy: map[string][]span{}}
-	for i := range p.Standing {
+	for i := range p.InitialServers {
 		d.living = append(d.living, life{i, 0, forever})
 	}
 	for i := range p.File.Faults {
@@ -136,12 +136,12 @@
 		return []int{LeaderIndex}, nil
 	}
 	var all []int
-	for k := range d.File.Keepers.Count {
-		all = append(all, KeeperIndex(k))
+	for k := range d.File.Registry.Count {
+		all = append(all, NodeIndex(k))
 	}
 	return choose(d.r, t, all, func(i int) string {
-		k, _ := KeeperOf(i)
-		return KeeperName(k)
+		k, _ := NodeOf(i)
+		return NodeName(k)
 	})
 }
 
@@ -175,8 +175,8 @@
 		if err := d.claim("the list's answers", at, end); err != nil {
 			return err
 		}
-		d.step(Step{At: at, Do: Mode, Sidecar: ListIndex, Mode: strings.TrimPrefix(t.Do, "list-"), By: Seconds(t.Size)})
-		d.step(Step{At: end, Do: Mode, Sidecar: ListIndex})
+		d.step(Step{At: at, Do: ListMode, Sidecar: ListIndex, Mode: strings.TrimPrefix(t.Do, "list-"), By: Seconds(t.Size)})
+		d.step(Step{At: end, Do: ListMode, Sidecar: ListIndex})
 		return nil
 	case "burst", "flood":
 		return nil // arrivals
@@ -187,7 +187,7 @@
 				all += a.Work.Seconds()
 			}
 		}
-		s := Step{At: at, Do: Lie, Sidecar: ListIndex, Mode: strings.Join(t.Names, ","), On: true,
+		s := Step{At: at, Do: FalseReports, Sidecar: ListIndex, Mode: strings.Join(t.Names, ","), On: true,
 			By: Seconds(all / t.For * t.Size * float64(len(t.Names)))}
 		for range t.Count {
 			s.Nears = append(s.Nears, d.liars)
--- a/internal/lab/plan/validate.go
+++ b/internal/lab/plan/validate.go
@@ -35,22 +35,22 @@
 		{"load", "rate", f.Load.Rate, 0, 100000},
 		{"load", "uneven", f.Load.Uneven, 0, 5},
 		{"load", "zone_skew", f.Load.ZoneSkew, 0, 1},
-		{"load", "tardy_ms", f.Load.TardyMS, 0, 10000},
+		{"load", "tardy_ms", f.Load.SendDelayMS, 0, 10000},
 		{"load", "clients", float64(f.Load.Clients), 0, 1 << 20},
 		{"load", "skew", f.Load.Skew, 0, 5},
 		{"load", "work_part", f.Load.WorkPart, 0.001, 10},
 		{"members", "bound_ms", f.Members.BoundMS, 1, 3600000},
-		{"keepers", "count", float64(f.Keepers.Count), 0, 7},
-		{"keepers", "lease_s", f.Keepers.LeaseS, 1, 3600},
-		{"keepers", "grace_s", f.Keepers.GraceS, 0, 3600},
-		{"keepers", "share", f.Keepers.Share, 0, 1},
-		{"keepers", "snapshot", float64(f.Keepers.Snapshot), 1, 1 << 20},
-		{"keepers", "writers", float64(f.Keepers.Writers), 1, 64},
-		{"keepers", "write_rate", f.Keepers.WriteRate, 0, 10000},
-		{"keepers", "keys", float64(f.Keepers.Keys), 1, 2000},
-		{"keepers", "doubt_share", f.Keepers.DoubtShare, 0, 1},
-		{"keepers", "most_age_s", f.Keepers.MostAgeS, 0.1, 3600},
-		{"keepers", "watchers", float64(f.Keepers.Watchers), 0, 10000},
+		{"keepers", "count", float64(f.Registry.Count), 0, 7},
+		{"keepers", "lease_s", f.Registry.LeaseS, 1, 3600},
+		{"keepers", "grace_s", f.Registry.GraceS, 0, 3600},
+		{"keepers", "share", f.Registry.MaxExpiringShare, 0, 1},
+		{"keepers", "snapshot", float64(f.Registry.Snapshot), 1, 1 << 20},
+		{"keepers", "writers", float64(f.Registry.Writers), 1, 64},
+		{"keepers", "write_rate", f.Registry.WriteRate, 0, 10000},
+		{"keepers", "keys", float64(f.Registry.Keys), 1, 2000},
+		{"keepers", "doubt_share", f.Registry.MaxRemovalShare, 0, 1},
+		{"keepers", "most_age_s", f.Registry.MaxStalenessS, 0.1, 3600},
+		{"keepers", "watchers", float64(f.Registry.Watchers), 0, 10000},
 		{"hitters", "high", f.Hitters.High, 0, 1},
 		{"hitters", "low", f.Hitters.Low, 0, 1},
 		{"limits", "answer_slack_ms", f.Limits.AnswerSlackMS, 0, 60000},
@@ -77,18 +77,18 @@
 		return f.bad("fleet", -1, "flaw", "only the plain program has flaws")
 	case !slices.Contains(Flaws, f.Fleet.Flaw):
 		return f.bad("fleet", -1, "flaw", "unknown flaw %q", f.Fleet.Flaw)
-	case f.Keepers.Count != 0 && f.Keepers.Count%2 == 0:
-		return f.bad("keepers", -1, "count", "%d keepers: an odd number agrees", f.Keepers.Count)
-	case f.Keepers.Count > 0 && f.Fleet.Program == "plain":
+	case f.Registry.Count != 0 && f.Registry.Count%2 == 0:
+		return f.bad("keepers", -1, "count", "%d keepers: an odd number agrees", f.Registry.Count)
+	case f.Registry.Count > 0 && f.Fleet.Program == "plain":
 		return f.bad("fleet", -1, "program", "the plain sidecar knows no keepers")
 	case f.Members.On && f.Fleet.Program == "plain":
 		return f.bad("fleet", -1, "program", "the plain sidecar knows no members")
-	case f.Keepers.Program != "keeper" && f.Keepers.Program != "plain":
-		return f.bad("keepers", -1, "program", "program %q is neither keeper nor plain", f.Keepers.Program)
-	case f.Keepers.Flaw != "" && f.Keepers.Program != "plain":
+	case f.Registry.Program != "keeper" && f.Registry.Program != "plain":
+		return f.bad("keepers", -1, "program", "program %q is neither keeper nor plain", f.Registry.Program)
+	case f.Registry.Flaw != "" && f.Registry.Program != "plain":
 		return f.bad("keepers", -1, "flaw", "only plain keepers have flaws")
-	case !slices.Contains(KeeperFlaws, f.Keepers.Flaw):
-		return f.bad("keepers", -1, "flaw", "unknown flaw %q", f.Keepers.Flaw)
+	case !slices.Contains(RegistryFlaws, f.Registry.Flaw):
+		return f.bad("keepers", -1, "flaw", "unknown flaw %q", f.Registry.Flaw)
 	case f.List.Sizes != "alike" && f.List.Sizes != "rough":
 		return f.bad("list", -1, "sizes", "sizes %q are neither alike nor rough", f.List.Sizes)
 	case f.Fleet.Start != "warm" && f.Fleet.Start != "cold":
@@ -99,7 +99,7 @@
 	for _, r := range []struct {
 		key string
 		v   [2]float64
-	}{{"notice_s", f.List.NoticeS}, {"add_s", f.List.AddS}, {"silent_s", f.List.SilentS}} {
+	}{{"notice_s", f.List.NoticeS}, {"add_s", f.List.AddS}, {"silent_s", f.List.UnreachableS}} {
 		if r.v[0] < 0 || r.v[1] < r.v[0] || r.v[1] > mostSeconds {
 			return f.bad("list", -1, r.key, "%s: %v is no range", r.key, r.v)
 		}
@@ -110,7 +110,7 @@
 		}
 	}
 	for i, c := range f.Classes {
-		if c.Name == "" || c.Share <= 0 || c.WorkMS <= 0 || c.AimMS <= 0 || c.GiveUpMS < c.AimMS || c.Worth <= 0 || c.LateWorth < 0 || c.LateWorth > 1 {
+		if c.Name == "" || c.Share <= 0 || c.WorkMS <= 0 || c.LatencyTargetMS <= 0 || c.GiveUpMS < c.LatencyTargetMS || c.Value <= 0 || c.LateValue < 0 || c.LateValue > 1 {
 			return f.bad("class", i, "name", "class %q needs name, share, work_ms, aim_ms, give_up_ms, worth and late_worth", c.Name)
 		}
 	}
@@ -119,7 +119,7 @@
 		if !slices.Contains(Figures, base) {
 			return f.bad("bar", i, "figure", "unknown figure %q; known: %s", b.Figure, strings.Join(Figures, ", "))
 		}
-		if b.Least == nil && b.Most == nil {
+		if b.Min == nil && b.Max == nil {
 			return f.bad("bar", i, "figure", "bar %q has neither least nor most", b.Figure)
 		}
 	}
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -147,7 +147,7 @@
 	defer f.Close()
 
 	clients := &load.Clients{Plan: p, Addresses: f.Addresses(), Slack: plan.Millis(p.File.Limits.AnswerSlackMS),
-		SendDelay: plan.Millis(p.File.Load.TardyMS)}
+		SendDelay: plan.Millis(p.File.Load.SendDelayMS)}
 	start := clock.Now() + int64(lead)
 	if o.Up != nil {
 		o.Up(f)
@@ -254,7 +254,7 @@
 
 func result(p *plan.Plan, e *check.Evidence) *Result {
 	r := &Result{Name: p.File.Name, States: p.File.States, Seed: p.Seed, Seconds: p.File.Seconds, ArrivalsHash: p.ArrivalsHash,
-		StepsHash: p.StepsHash, Servers: p.Standing, Sidecars: len(p.Sidecars), Rate: p.Rate(), Peaks: e.Peaks, Exits: e.Exits,
+		StepsHash: p.StepsHash, Servers: p.InitialServers, Sidecars: len(p.Sidecars), Rate: p.Rate(), Peaks: e.Peaks, Exits: e.Exits,
 		Machine: Machine{runtime.NumCPU(), runtime.Version()}}
 	r.Verdicts = check.Invariants(e)
 	r.Figures, r.Course = check.Measure(e)
--- a/internal/lab/run_test.go
+++ b/internal/lab/run_test.go
@@ -19,7 +19,7 @@
 			t.Fatal(err)
 		}
 		const keys = 30
-		w := &writers{fleet: &Fleet{plan: &plan.Plan{File: &plan.File{Keepers: plan.Keepers{Keys: keys, WriteRate: 1}}}}, client: []*client.Client{c}}
+		w := &writers{fleet: &Fleet{plan: &plan.Plan{File: &plan.File{Registry: plan.Registry{Keys: keys, WriteRate: 1}}}}, client: []*client.Client{c}}
 		over, stop := context.WithCancel(t.Context())
 		stop()
 		last, cancel := within(t.Context(), over, lastWithin)
--- a/internal/lab/servers.go
+++ b/internal/lab/servers.go
@@ -18,7 +18,7 @@
 		name := fmt.Sprintf("servers-%d", i)
 		args := []string{"stand-in", "host", "--groups", strconv.Itoa(p.Groups()), "--records", f.records("attempts", i)}
 		if f.keepers != nil {
-			args = append(args, "--keepers", strings.Join(f.keeperAddresses(p.NearHost(i)), ","), "--lease", plan.Seconds(p.File.Keepers.LeaseS).String())
+			args = append(args, "--keepers", strings.Join(f.keeperAddresses(p.NearHost(i)), ","), "--lease", plan.Seconds(p.File.Registry.LeaseS).String())
 		}
 		c, err := startChild(f.starter, proc.Spec{Name: name, Path: f.self.Path, Log: f.log(name), Env: f.env("TMPDIR=" + f.work),
 			Args: args}, f.hear)
@@ -31,7 +31,7 @@
 	for i := range p.Servers {
 		f.host[p.Servers[i].UID] = f.hosts[i%n]
 	}
-	for i := range p.Standing {
+	for i := range p.InitialServers {
 		e, _, err := f.addServer(p.Servers[i].UID, p.File.Fleet.Start == "cold")
 		if err != nil {
 			return err
--- a/internal/lab/sidecars.go
+++ b/internal/lab/sidecars.go
@@ -60,7 +60,7 @@
 		args = []string{"stand-in", "plain", "--flaw", f.plan.File.Fleet.Flaw}
 	}
 	tmp := s.folder
-	if f.keepers != nil && !f.plan.File.Keepers.Cache || !f.plan.File.Fleet.Keep {
+	if f.keepers != nil && !f.plan.File.Registry.Cache || !f.plan.File.Fleet.Keep {
 		tmp = ""
 	}
 	began := clock.Now()
--- a/internal/lab/steps.go
+++ b/internal/lab/steps.go
@@ -54,7 +54,7 @@
 		if !waitUntil(ctx, start+int64(s.At)) {
 			break
 		}
-		if plan.OnKeepers(s.Sidecar) {
+		if plan.IsNode(s.Sidecar) {
 			tasks.Add(1)
 			run := func() {
 				defer tasks.Done()
@@ -122,9 +122,9 @@
 
 func (f *Fleet) nameOf(s *plan.Step) string {
 	switch {
-	case plan.OnKeepers(s.Sidecar):
+	case plan.IsNode(s.Sidecar):
 		return f.keepers.nameOf(s)
-	case s.Do == plan.Lie:
+	case s.Do == plan.FalseReports:
 		return fmt.Sprintf("%d liars", len(s.Nears))
 	case s.Peers:
 		return fmt.Sprintf("%d sidecars", len(s.Nears))
@@ -146,12 +146,12 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return clock.Now(), c.run.SetDiskFault(s.Mode)
-	case plan.Silent:
+	case plan.Isolate:
 		n, err := f.host[s.Server].order(ctl.Order{Do: "silent", UID: s.Server, On: s.On})
 		return n.At, err
-	case plan.Lie:
+	case plan.FalseReports:
 		return f.lie(s)
-	case plan.Tell:
+	case plan.UpdateList:
 		f.mu.Lock()
 		e := f.entries[s.Server]
 		if e.State = s.State; s.State == "DELETED" {
@@ -159,7 +159,7 @@
 		}
 		f.mu.Unlock()
 		return clock.Now(), f.list.tell(e)
-	case plan.Mode:
+	case plan.ListMode:
 		n, err := f.list.current().order(ctl.Order{Do: "list-mode", Mode: s.Mode, Late: s.By.Seconds()})
 		return n.At, err
 	case plan.Add:
@@ -170,7 +170,7 @@
 		return n.At, err
 	}
 	o := ctl.Order{Do: s.Do, UID: s.Server, Nears: s.Nears, By: int64(s.By)}
-	if s.Do == plan.Trouble {
+	if s.Do == plan.ServerFault {
 		o.Fault = &s.Trouble
 	}
 	n, err := f.far(s.Server).order(o)
--- a/internal/lab/writers.go
+++ b/internal/lab/writers.go
@@ -39,7 +39,7 @@
 
 // startWriters makes the entries.
 func (f *Fleet) startWriters(ctx context.Context) (*writers, error) {
-	o := f.plan.File.Keepers
+	o := f.plan.File.Registry
 	w := &writers{fleet: f}
 	if o.Count == 0 || o.WriteRate == 0 {
 		return w, nil
@@ -67,7 +67,7 @@
 // run writes and reads until over is done, and reads each entry once more then, when faults are over, unless ctx is done too.
 func (w *writers) run(ctx, over context.Context, start int64) {
 	p := w.fleet.plan
-	o := p.File.Keepers
+	o := p.File.Registry
 	var all sync.WaitGroup
 	for i, c := range w.client {
 		all.Add(1)
