--- a/cmd/gradeusher/main_test.go
+++ b/cmd/gradeusher/main_test.go
@@ -128,7 +128,7 @@
 			t.Fatal(err)
 		}
 		reports = append(reports, r)
-		if held := last[1]; fmt.Sprint(len(r.Verdicts)-len(r.NotSeen())) != held || slices.Contains(check.Names(r.Verdicts, check.Held), "told-all") {
+		if held := last[1]; fmt.Sprint(len(r.Verdicts)-len(r.NotSeen())) != held || slices.Contains(check.Names(r.Verdicts, check.Passed), "told-all") {
 			t.Errorf("%s held, the report has %+v", held, r.Verdicts)
 		}
 		page, err := os.ReadFile(filepath.Join(out, "report.html"))
--- a/internal/lab/check/avoid.go
+++ b/internal/lab/check/avoid.go
@@ -27,12 +27,12 @@
 			}
 			last := map[int]int64{} // of the sidecars that sent before: when last, from the start of the silence
 			n := 0
-			for _, a := range e.Attempts {
+			for _, a := range e.ServerAttempts {
 				if a.Server == uid && a.First >= s.From-knewFor && a.First < s.From {
 					last[a.Near] = max(last[a.Near], 0)
 				}
 			}
-			for _, a := range e.Attempts {
+			for _, a := range e.ServerAttempts {
 				if a.Server != uid || a.First < s.From || a.First >= s.To {
 					continue
 				}
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -17,28 +17,28 @@
 
 // Evidence is all that was seen. Times are ns of the lab's clock.
 type Evidence struct {
-	Plan     *plan.Plan
-	Start    int64 // of the load
-	Tries    []load.Attempt
-	Attempts []ctl.Attempt
-	Told     []ctl.ListUpdate
-	Falls    []ctl.Event
-	Exits    []proc.Exit
-	Runs     [][]Run // of each sidecar: its processes, in order
-	Peaks    []Peak  // of each sidecar
-	Lateness time.Duration
-	Shown    []ctl.RegistryUpdate // what keepers wrote to readers
-	Wrote    []ctl.RegistryCall   // what the lab's own clients of keepers did
-	Last     Last                 // of the keepers
-	Gossip   []ctl.Gossip         // what sidecars said to each other, a second each
+	Plan            *plan.Plan
+	Start           int64 // of the load
+	ClientAttempts  []load.Attempt
+	ServerAttempts  []ctl.Attempt
+	ListUpdates     []ctl.ListUpdate
+	Falls           []ctl.Event
+	Exits           []proc.Exit
+	Runs            [][]Run // of each sidecar: its processes, in order
+	Peaks           []Peak  // of each sidecar
+	Lateness        time.Duration
+	RegistryUpdates []ctl.RegistryUpdate // what keepers wrote to readers
+	RegistryCalls   []ctl.RegistryCall   // what the lab's own clients of keepers did
+	Last            Last                 // of the keepers
+	Gossip          []ctl.Gossip         // what sidecars said to each other, a second each
 
-	Routed []Routed          // the route tables that the lab put
-	Routes []ctl.RouteUpdate // what keepers wrote of them to sidecars
+	Tables       []Table           // the route tables that the lab put
+	RouteUpdates []ctl.RouteUpdate // what keepers wrote of them to sidecars
 
-	Twin *Evidence // of the same seed without its floods; nil: that was not played
+	WithoutFloods *Evidence // of the same seed without its floods; nil: that was not played
 
-	Kills       []int64 // of keepers
-	KeeperPeaks []KeeperPeak
+	Kills     []int64 // of keepers
+	NodePeaks []NodePeak
 }
 
 // Run is one process of a sidecar, as far as faults go.
@@ -65,7 +65,7 @@
 		f[v.Name] = &Verdict{Name: v.Name, Says: v.Says}
 	}
 	attempts := map[string][]ctl.Attempt{}
-	for _, a := range e.Attempts {
+	for _, a := range e.ServerAttempts {
 		attempts[a.ID] = append(attempts[a.ID], a)
 	}
 	for _, all := range attempts {
@@ -101,7 +101,7 @@
 			f.add("descriptors", "%s held %d descriptors, %d at most", e.Plan.Sidecars[i].Name, p.Descriptors, limits.Descriptors)
 		}
 	}
-	f.look("lab-on-time", len(e.Tries))
+	f.look("lab-on-time", len(e.ClientAttempts))
 	if most := plan.Millis(limits.LatenessMS); e.Lateness > most {
 		f.add("lab-on-time", "void: the lab sent %v late at the 99th percentile, %v at most", e.Lateness, most)
 	}
@@ -120,7 +120,7 @@
 		boot   int64
 	}
 	cold := map[process]bool{}
-	for _, a := range e.Attempts {
+	for _, a := range e.ServerAttempts {
 		if a.Boot > e.Start || e.Plan.File.Fleet.Start == "cold" {
 			cold[process{a.Server, a.Boot}] = true
 		}
@@ -150,8 +150,8 @@
 // answers checks one-answer and in-time.
 func (e *Evidence) answers(f findings, attempts map[string][]ctl.Attempt) {
 	limits := &e.Plan.File.Limits
-	for i := range e.Tries {
-		t := &e.Tries[i]
+	for i := range e.ClientAttempts {
+		t := &e.ClientAttempts[i]
 		name := e.Plan.Sidecars[t.Sidecar].Name
 		if t.ResentAt != 0 && len(attempts[t.ID]) > 0 && attempts[t.ID][0].First < t.ResentAt && !e.excused(t.Sidecar, t.Began, t.Ended) {
 			// The client took it that nobody had read the request, but a server had got it.
@@ -183,9 +183,9 @@
 
 // attempts checks no-duplicate and one-at-a-time.
 func (e *Evidence) attempts(f findings, attempts map[string][]ctl.Attempt) {
-	tries := make(map[string]*load.Attempt, len(e.Tries))
-	for i := range e.Tries {
-		tries[e.Tries[i].ID] = &e.Tries[i]
+	tries := make(map[string]*load.Attempt, len(e.ClientAttempts))
+	for i := range e.ClientAttempts {
+		tries[e.ClientAttempts[i].ID] = &e.ClientAttempts[i]
 	}
 	slack := int64(plan.Millis(e.Plan.File.Limits.SlackMS))
 	for _, id := range slices.Sorted(maps.Keys(attempts)) {
@@ -226,7 +226,7 @@
 		server string
 	}
 	told := map[pair][]ctl.ListUpdate{}
-	for _, t := range e.Told {
+	for _, t := range e.ListUpdates {
 		p := pair{t.Near, t.UID}
 		told[p] = append(told[p], t)
 	}
@@ -240,7 +240,7 @@
 	}
 	limits := &e.Plan.File.Limits
 	grace := int64(plan.Millis(limits.DrainGraceMS + limits.SlackMS))
-	for _, a := range e.Attempts {
+	for _, a := range e.ServerAttempts {
 		since, state := int64(0), ""
 		born := e.bornBefore(a.Near, a.First)
 		for _, t := range told[pair{a.Near, a.Server}] {
--- a/internal/lab/check/figures.go
+++ b/internal/lab/check/figures.go
@@ -53,8 +53,8 @@
 	}
 	tries := map[int][]*load.Attempt{}
 	conns, lateRefusals := 0, 0
-	for i := range e.Tries {
-		t := &e.Tries[i]
+	for i := range e.ClientAttempts {
+		t := &e.ClientAttempts[i]
 		tries[t.Arrival] = append(tries[t.Arrival], t)
 		if t.Status != 200 && t.Status != 0 && t.Ended-t.Sent > int64(t.Timeout)/2 {
 			lateRefusals++
@@ -107,7 +107,7 @@
 		classes[a.Class].asked += worth
 		classes[a.Class].served += got
 	}
-	for _, a := range e.Attempts {
+	for _, a := range e.ServerAttempts {
 		if a.New {
 			conns++
 		}
@@ -126,7 +126,7 @@
 		return s.served / s.asked
 	}
 	f := Figures{"served": share(whole), "answered": float64(answered) / requests, "refused": float64(refused) / requests,
-		"failed": float64(failed) / requests, "attempts": float64(len(e.Attempts)) / requests, "late_refusals": float64(lateRefusals) / requests,
+		"failed": float64(failed) / requests, "attempts": float64(len(e.ServerAttempts)) / requests, "late_refusals": float64(lateRefusals) / requests,
 		"p50_ms": quantile(latency, 50), "p99_ms": quantile(latency, 99), "p999_ms": quantile(latency, 99.9),
 		"connections": float64(conns) / requests, "requests": requests, "lateness_p99_ms": float64(e.Lateness) / 1e6}
 	worst := 1.0
--- a/internal/lab/check/hitters.go
+++ b/internal/lab/check/hitters.go
@@ -45,8 +45,8 @@
 		whole[second(i)] += a.Work.Seconds()
 	}
 	seen := map[string]bool{} // requests that reached a server
-	for i := range e.Attempts {
-		seen[e.Attempts[i].ID] = true
+	for i := range e.ServerAttempts {
+		seen[e.ServerAttempts[i].ID] = true
 	}
 	over := func(client, s int, bar float64) bool { return asked[s][client] >= bar*whole[s] }
 	long := int(judged / time.Second)
@@ -68,9 +68,9 @@
 		}
 		return own >= 2*high*all
 	}
-	for i := range e.Tries {
-		s := second(e.Tries[i].Arrival)
-		if requests[s]++; e.Tries[i].Status == 503 {
+	for i := range e.ClientAttempts {
+		s := second(e.ClientAttempts[i].Arrival)
+		if requests[s]++; e.ClientAttempts[i].Status == 503 {
 			refused[s]++
 		}
 	}
@@ -79,8 +79,8 @@
 	sent, gave := map[pair]int{}, map[pair]int{}
 	first := map[int]time.Duration{}
 	right, all := 0, 0
-	for i := range e.Tries {
-		t := &e.Tries[i]
+	for i := range e.ClientAttempts {
+		t := &e.ClientAttempts[i]
 		a := &p.Arrivals[t.Arrival]
 		s, who := second(t.Arrival), pair{a.Client, t.Sidecar}
 		yields := t.Status == 503 && t.RetryAfter >= gaveWay && !seen[t.ID]
@@ -102,7 +102,7 @@
 	if all > 0 {
 		f["hitter_precision"] = float64(right) / float64(all)
 	}
-	f["hitter_yields"] = float64(all) / max(float64(len(e.Tries)), 1)
+	f["hitter_yields"] = float64(all) / max(float64(len(e.ClientAttempts)), 1)
 	e.soundLoss(f)
 	missed, held := 0, 0
 	latest := time.Duration(-1)
@@ -147,10 +147,10 @@
 // from when they should be judged on (hitter_sound_loss). It takes a second run, without the floods.
 func (e *Evidence) soundLoss(f Figures) {
 	from, to, floods := e.Plan.File.Flooded(judged)
-	if e.Twin == nil || !floods {
+	if e.WithoutFloods == nil || !floods {
 		return
 	}
-	without, a := e.Twin.sound(from, to)
+	without, a := e.WithoutFloods.sound(from, to)
 	with, b := e.sound(from, to)
 	if a && b {
 		f["hitter_sound_loss"] = without - with
@@ -161,8 +161,8 @@
 func (e *Evidence) sound(from, to time.Duration) (float64, bool) {
 	p := e.Plan
 	got := make([]float64, len(p.Arrivals))
-	for i := range e.Tries {
-		t := &e.Tries[i]
+	for i := range e.ClientAttempts {
+		t := &e.ClientAttempts[i]
 		class := &p.File.Classes[p.Arrivals[t.Arrival].Class]
 		took := float64(t.Ended-e.Start-int64(p.Arrivals[t.Arrival].At)) / 1e6
 		switch {
--- a/internal/lab/check/hitters_test.go
+++ b/internal/lab/check/hitters_test.go
@@ -46,9 +46,9 @@
 				try.Status, try.RetryAfter = 503, 200*time.Millisecond
 			case n%10 == 1:
 				try.Status, try.RetryAfter = 503, 1500*time.Millisecond
-				e.Attempts = append(e.Attempts, ctl.Attempt{ID: try.ID})
+				e.ServerAttempts = append(e.ServerAttempts, ctl.Attempt{ID: try.ID})
 			}
-			e.Tries = append(e.Tries, try)
+			e.ClientAttempts = append(e.ClientAttempts, try)
 		}
 		got := Figures{}
 		e.hitterFigures(got)
@@ -81,7 +81,7 @@
 				if client > 1 || s < 8 || s >= 8 && s < 8+refused {
 					try.Status = 503
 				}
-				e.Tries = append(e.Tries, try)
+				e.ClientAttempts = append(e.ClientAttempts, try)
 			}
 		}
 		return e
@@ -90,7 +90,7 @@
 	if e.soundLoss(got); len(got) != 0 {
 		t.Errorf("without a twin: %v", got)
 	}
-	e.Twin = play(false, 1)
+	e.WithoutFloods = play(false, 1)
 	e.soundLoss(got)
 	near(t, "loss", got["hitter_sound_loss"], 2.0/7)
 }
--- a/internal/lab/check/keepers.go
+++ b/internal/lab/check/keepers.go
@@ -20,8 +20,8 @@
 	Rev     int64
 }
 
-// KeeperPeak is the most that a keeper's processes held at a sample, and what the last one used.
-type KeeperPeak struct {
+// NodePeak is the most that a keeper's processes held at a sample, and what the last one used.
+type NodePeak struct {
 	MemoryMB    float64
 	Descriptors int
 	Used        float64 // share of a core, from its first sample to its last
@@ -35,8 +35,8 @@
 	return near < len(p.Sidecars) && p.Sidecars[near].To == 0 || near >= p.NearWatcher(0)
 }
 
-// Behind are the readers that were not told the last revision.
-func Behind(p *plan.Plan, shown []ctl.RegistryUpdate, last Last) (all []int) {
+// LaggingReaders are the readers that were not told the last revision.
+func LaggingReaders(p *plan.Plan, shown []ctl.RegistryUpdate, last Last) (all []int) {
 	told := map[int]int64{}
 	for _, s := range shown {
 		if s.Cluster == last.Cluster && s.Watch {
@@ -62,7 +62,7 @@
 		return
 	}
 	f.look("told-all", e.toldChanges())
-	for _, near := range Behind(e.Plan, e.Shown, e.Last) {
+	for _, near := range LaggingReaders(e.Plan, e.RegistryUpdates, e.Last) {
 		f.add("told-all", "reader %d was not told revision %d", near, e.Last.Rev)
 	}
 }
@@ -70,7 +70,7 @@
 // toldChanges is how many readers there were to be told what changed while the load ran; 0: nothing did.
 func (e *Evidence) toldChanges() (readers int) {
 	before := int64(0) // the highest revision that was shown before the load
-	for _, s := range e.Shown {
+	for _, s := range e.RegistryUpdates {
 		if s.At < e.Start && s.Cluster == e.Last.Cluster {
 			before = max(before, s.Rev)
 		}
@@ -128,7 +128,7 @@
 // linearizable checks what the lab's own clients wrote and read, entry by entry (Herlihy and Wing, 1990).
 func (e *Evidence) linearizable(f findings) {
 	keys := map[int][]porcupine.Operation{}
-	for _, w := range e.Wrote {
+	for _, w := range e.RegistryCalls {
 		if w.Outcome == "none" {
 			continue
 		}
@@ -153,7 +153,7 @@
 // revisions checks what each watch was shown, in the order in which it came.
 func (e *Evidence) revisions(f findings) {
 	conns := map[int64][]ctl.RegistryUpdate{}
-	for _, s := range e.Shown {
+	for _, s := range e.RegistryUpdates {
 		if s.Watch {
 			conns[s.Conn] = append(conns[s.Conn], s)
 		}
@@ -186,7 +186,7 @@
 	done, uncertain := 0, 0
 	var ends []int64
 	called := map[int64]int64{} // of the revisions that the writers made: when they called
-	for _, w := range e.Wrote {
+	for _, w := range e.RegistryCalls {
 		switch {
 		case w.Write && w.Outcome == "ok":
 			done++
@@ -205,7 +205,7 @@
 	last := map[int64]int64{} // of each revision: when the last reader was told it
 	watches, whole := 0, 0
 	seen := map[int64]bool{}
-	for _, s := range e.Shown {
+	for _, s := range e.RegistryUpdates {
 		if !s.Watch {
 			continue
 		}
@@ -224,11 +224,11 @@
 			note(told, at-from)
 		}
 	}
-	slices.SortFunc(e.Wrote, func(a, b ctl.RegistryCall) int { return cmp.Compare(a.Return, b.Return) })
+	slices.SortFunc(e.RegistryCalls, func(a, b ctl.RegistryCall) int { return cmp.Compare(a.Return, b.Return) })
 	failover := newHistogram()
 	for _, kill := range e.Kills { // to the first write that was called afterwards and acknowledged
-		if i := slices.IndexFunc(e.Wrote, func(w ctl.RegistryCall) bool { return w.Write && w.Outcome == "ok" && w.Call > kill }); i >= 0 {
-			note(failover, e.Wrote[i].Return-kill)
+		if i := slices.IndexFunc(e.RegistryCalls, func(w ctl.RegistryCall) bool { return w.Write && w.Outcome == "ok" && w.Call > kill }); i >= 0 {
+			note(failover, e.RegistryCalls[i].Return-kill)
 		}
 	}
 	put := func(name string, v float64, seen bool) {
@@ -238,7 +238,7 @@
 	}
 	put("failover_p50_ms", quantile(failover, 50), failover.TotalCount() > 0)
 	put("failover_most_ms", float64(failover.Max())/1000, failover.TotalCount() > 0)
-	for _, p := range e.KeeperPeaks {
+	for _, p := range e.NodePeaks {
 		figures["keeper_mb"], figures["keeper_cores"] = max(figures["keeper_mb"], p.MemoryMB), max(figures["keeper_cores"], p.Used)
 	}
 	figures["writes"], figures["writes_uncertain"] = float64(done), float64(uncertain)
--- a/internal/lab/check/keepers_test.go
+++ b/internal/lab/check/keepers_test.go
@@ -51,7 +51,7 @@
 		"not told":                {nil, []ctl.RegistryUpdate{line(1, -1, 8, true, 4)}, 9, "told-all"},
 		"nobody leads":            {nil, whole, 0, "told-all"},
 	} {
-		e := &Evidence{Plan: p, Wrote: tt.wrote, Shown: tt.shown, Last: Last{"c", tt.last}, Runs: make([][]Run, 1)}
+		e := &Evidence{Plan: p, RegistryCalls: tt.wrote, RegistryUpdates: tt.shown, Last: Last{"c", tt.last}, Runs: make([][]Run, 1)}
 		verdicts := Invariants(e)
 		broken := Names(verdicts, Broken)
 		var want []string
@@ -66,8 +66,8 @@
 		}
 	}
 	// Nothing changed while the load ran: that everybody was told the last revision says nothing.
-	e := &Evidence{Plan: p, Start: 100, Shown: whole, Last: Last{"c", 9}, Runs: make([][]Run, 1)}
-	if got := Names(Invariants(e), Held); !slices.Equal(got, []string{"revisions"}) {
+	e := &Evidence{Plan: p, Start: 100, RegistryUpdates: whole, Last: Last{"c", 9}, Runs: make([][]Run, 1)}
+	if got := Names(Invariants(e), Passed); !slices.Equal(got, []string{"revisions"}) {
 		t.Errorf("without a change: held %v", got)
 	}
 }
--- a/internal/lab/check/routes.go
+++ b/internal/lab/check/routes.go
@@ -11,8 +11,8 @@
 	"gradeusher.example/gradeusher/internal/lab/plan"
 )
 
-// Routed is a route table that the lab put, and a keeper took.
-type Routed struct {
+// Table is a route table that the lab put, and a keeper took.
+type Table struct {
 	Gen          int64
 	Call, Return int64
 	Table        routes.Table
@@ -25,7 +25,7 @@
 
 // routesDue is when each sidecar has to know the last table: the bound after it, and after the last fault.
 func (e *Evidence) routesDue() int64 {
-	last := e.Routed[len(e.Routed)-1].Return
+	last := e.Tables[len(e.Tables)-1].Return
 	for _, b := range e.Plan.Bands {
 		last = max(last, e.Start+int64(b.To))
 	}
@@ -37,18 +37,18 @@
 	if e.Plan.File.Routes.Apps == 0 {
 		return
 	}
-	if len(e.Routed) < 2 {
+	if len(e.Tables) < 2 {
 		return // no generation was made while the load ran
 	}
 	put := map[int64]int{}
-	for i, r := range e.Routed {
+	for i, r := range e.Tables {
 		put[r.Gen] = i
 	}
 	said := map[int][]ctl.RouteUpdate{}
-	for _, s := range e.Routes {
+	for _, s := range e.RouteUpdates {
 		said[s.Near] = append(said[s.Near], s)
 	}
-	last, due := e.Routed[len(e.Routed)-1], e.routesDue()
+	last, due := e.Tables[len(e.Tables)-1], e.routesDue()
 	for near := range e.Plan.Sidecars {
 		if !reader(e.Plan, near) {
 			continue
@@ -66,7 +66,7 @@
 			}
 			gen[s.Cluster] = s.Generation
 			f.look("routes", 1)
-			if i, known := put[s.Generation]; known && s.Hash != routesOf(e.Plan, near, e.Routed[i].Table) {
+			if i, known := put[s.Generation]; known && s.Hash != routesOf(e.Plan, near, e.Tables[i].Table) {
 				f.add("routes", "%s was told another table for generation %d at %s than was put", name, s.Generation, e.when(s.At))
 			}
 			if held != s.Hash {
@@ -95,7 +95,7 @@
 	}
 	from, to := e.Start+int64(plan.Seconds(r.Nowhere[0])), e.Start+int64(plan.Seconds(r.Nowhere[1]))
 	all, other := 0, 0
-	for _, a := range e.Attempts {
+	for _, a := range e.ServerAttempts {
 		if a.First >= from && a.First < to {
 			if all++; !led[a.Server] {
 				other++
@@ -110,13 +110,13 @@
 // routeFigures are the bytes that keepers wrote of routes to sidecars, besides beats, and how long generations took to the sidecars
 // that need them.
 func (e *Evidence) routeFigures(f Figures) {
-	if e.Plan.File.Routes.Apps == 0 || len(e.Routed) == 0 {
+	if e.Plan.File.Routes.Apps == 0 || len(e.Tables) == 0 {
 		return
 	}
 	e.astray(f)
 	said := map[int][]ctl.RouteUpdate{}
 	var sum, wholes, diffs float64
-	for _, s := range e.Routes {
+	for _, s := range e.RouteUpdates {
 		switch {
 		case s.Hash == "":
 			continue
@@ -128,7 +128,7 @@
 		sum += float64(s.Bytes)
 		said[s.Near] = append(said[s.Near], s)
 	}
-	f["route_generations"], f["route_bytes"], f["route_wholes"], f["route_diffs"] = float64(len(e.Routed)), sum, wholes, diffs
+	f["route_generations"], f["route_bytes"], f["route_wholes"], f["route_diffs"] = float64(len(e.Tables)), sum, wholes, diffs
 	h := newHistogram()
 	most := int64(0)
 	for near := range e.Plan.Sidecars {
@@ -138,9 +138,9 @@
 		lines := said[near]
 		slices.SortStableFunc(lines, func(a, b ctl.RouteUpdate) int { return cmp.Compare(a.At, b.At) })
 		next := 0
-		for i := 1; i < len(e.Routed); i++ {
-			r := e.Routed[i]
-			if routesOf(e.Plan, near, r.Table) == routesOf(e.Plan, near, e.Routed[i-1].Table) {
+		for i := 1; i < len(e.Tables); i++ {
+			r := e.Tables[i]
+			if routesOf(e.Plan, near, r.Table) == routesOf(e.Plan, near, e.Tables[i-1].Table) {
 				continue
 			}
 			for next < len(lines) && (lines[next].Generation < r.Gen || lines[next].At < r.Call) {
--- a/internal/lab/check/routes_test.go
+++ b/internal/lab/check/routes_test.go
@@ -25,13 +25,18 @@
 		most  float64 // ms to a sidecar that needs it; 0: not looked at
 	}{
 		"all is well":       {func(*Evidence) {}, nil, 30},
-		"no generation":     {func(e *Evidence) { e.Routed = e.Routed[:1] }, nil, 0},
-		"not told the last": {func(e *Evidence) { e.Routes = e.Routes[:3] }, []string{"routes"}, 0},
-		"told late":         {func(e *Evidence) { e.Routes[3].At += 2000 * ms }, []string{"routes"}, 2030},
-		"another table":     {func(e *Evidence) { e.Routes[2].Hash = "x" }, []string{"routes"}, 0},
-		"one of before":     {func(e *Evidence) { e.Routes = append(e.Routes, e.Routes[0]); e.Routes[4].At = 5000 * ms }, []string{"routes"}, 0},
-		"a beat":            {func(e *Evidence) { e.Routes = append(e.Routes, ctl.RouteUpdate{Near: 1, Generation: 3, At: 5000 * ms}) }, nil, 30},
-		"late by a fault":   {func(e *Evidence) { e.Routes[3].At += 2000 * ms; e.Plan.Bands = []plan.Band{{To: 5e9}} }, nil, 2030},
+		"no generation":     {func(e *Evidence) { e.Tables = e.Tables[:1] }, nil, 0},
+		"not told the last": {func(e *Evidence) { e.RouteUpdates = e.RouteUpdates[:3] }, []string{"routes"}, 0},
+		"told late":         {func(e *Evidence) { e.RouteUpdates[3].At += 2000 * ms }, []string{"routes"}, 2030},
+		"another table":     {func(e *Evidence) { e.RouteUpdates[2].Hash = "x" }, []string{"routes"}, 0},
+		"one of before": {func(e *Evidence) {
+			e.RouteUpdates = append(e.RouteUpdates, e.RouteUpdates[0])
+			e.RouteUpdates[4].At = 5000 * ms
+		}, []string{"routes"}, 0},
+		"a beat": {func(e *Evidence) {
+			e.RouteUpdates = append(e.RouteUpdates, ctl.RouteUpdate{Near: 1, Generation: 3, At: 5000 * ms})
+		}, nil, 30},
+		"late by a fault": {func(e *Evidence) { e.RouteUpdates[3].At += 2000 * ms; e.Plan.Bands = []plan.Band{{To: 5e9}} }, nil, 2030},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := seen(t)
@@ -39,11 +44,11 @@
 			e.Plan.File.Routes = plan.Routes{Apps: 2, EveryS: 1, BoundS: 1}
 			for i, w := range [][2]float64{{1, 1}, {2, 1}, {2, 2}} {
 				at := (1000 + int64(i)*500) * ms
-				e.Routed = append(e.Routed, Routed{Gen: int64(i + 1), Call: at, Return: at + 5*ms, Table: table(w[0], w[1])})
+				e.Tables = append(e.Tables, Table{Gen: int64(i + 1), Call: at, Return: at + 5*ms, Table: table(w[0], w[1])})
 			}
 			say := func(near int, gen int64, all bool) {
-				r := e.Routed[gen-1]
-				e.Routes = append(e.Routes, ctl.RouteUpdate{Near: near, Generation: gen, Complete: all, Cluster: "c", Bytes: 100, At: r.Call + 30*ms, Hash: routesOf(e.Plan, near, r.Table)})
+				r := e.Tables[gen-1]
+				e.RouteUpdates = append(e.RouteUpdates, ctl.RouteUpdate{Near: near, Generation: gen, Complete: all, Cluster: "c", Bytes: 100, At: r.Call + 30*ms, Hash: routesOf(e.Plan, near, r.Table)})
 			}
 			say(0, 1, true)
 			say(1, 1, true)
--- a/internal/lab/check/spread.go
+++ b/internal/lab/check/spread.go
@@ -27,7 +27,7 @@
 	n := int(math.Ceil(e.Plan.File.Seconds))
 	work := make([]map[string]int64, n)
 	counts := make([]int, n)
-	for _, a := range e.Attempts {
+	for _, a := range e.ServerAttempts {
 		s := int((a.First - e.Start) / int64(time.Second))
 		if a.First < e.Start || s >= n || a.Outcome == "turned" {
 			continue
@@ -120,7 +120,7 @@
 // hardly a member is missed, and what is left at the end is no window. One that is replaced by another counts once.
 func (e *Evidence) churnFigure(f Figures) {
 	sent := make([][]ctl.Attempt, len(e.Plan.Sidecars))
-	for _, a := range e.Attempts {
+	for _, a := range e.ServerAttempts {
 		if a.Near >= 0 && a.Near < len(sent) && a.First >= e.Start {
 			sent[a.Near] = append(sent[a.Near], a)
 		}
--- a/internal/lab/check/spread_test.go
+++ b/internal/lab/check/spread_test.go
@@ -30,7 +30,7 @@
 func (e *Evidence) send(second, near int, server string, n int, work int64) {
 	for i := range n {
 		at := e.Start + int64(second)*sec + int64(i)*sec/int64(n)
-		e.Attempts = append(e.Attempts, ctl.Attempt{Server: server, Near: near, First: at, Outcome: "served", Work: work * ms})
+		e.ServerAttempts = append(e.ServerAttempts, ctl.Attempt{Server: server, Near: near, First: at, Outcome: "served", Work: work * ms})
 	}
 }
 
@@ -56,7 +56,7 @@
 	e.send(6, 0, "b", 20, 10) // b alone is ready and warm
 	e.send(7, 0, "a", 20, 10)
 	e.send(7, 0, "b", 20, 10) // a again
-	e.Attempts = append(e.Attempts, ctl.Attempt{Server: "b", First: e.Start + 7*sec, Outcome: "turned", Work: sec})
+	e.ServerAttempts = append(e.ServerAttempts, ctl.Attempt{Server: "b", First: e.Start + 7*sec, Outcome: "turned", Work: sec})
 	e.send(8, 0, "a", 5, 1000) // too little for a window
 	e.Plan.Steps = []plan.Step{{At: 6 * time.Second, Do: plan.ServerFault, Server: "a", Trouble: model.Fault{Hang: true}},
 		{At: 7 * time.Second, Do: plan.ServerFault, Server: "a"}}
--- a/internal/lab/check/verdict.go
+++ b/internal/lab/check/verdict.go
@@ -6,7 +6,7 @@
 type Verdict struct {
 	Name     string   `json:"name"`
 	Verdict  string   `json:"verdict"` // Held, Broken or NotSeen
-	Held     bool     `json:"held"`
+	Passed   bool     `json:"held"`
 	LookedAt int      `json:"looked_at"`          // how many of what it is about were seen
 	Broken   int      `json:"broken"`             // how often it was
 	Detail   []string `json:"detail,omitempty"`   // the first of them
@@ -17,7 +17,7 @@
 
 // What a verdict may be.
 const (
-	Held    = "held"
+	Passed  = "held"
 	Broken  = "broken"
 	NotSeen = "not seen" // there was nothing to look at: it has not held, and was not broken
 )
@@ -30,9 +30,9 @@
 	case v.LookedAt == 0:
 		v.Verdict = NotSeen
 	default:
-		v.Verdict = Held
+		v.Verdict = Passed
 	}
-	v.Held = v.Verdict == Held
+	v.Passed = v.Verdict == Passed
 }
 
 // Names are those of the verdicts that are as wanted.
--- a/internal/lab/evidence.go
+++ b/internal/lab/evidence.go
@@ -15,7 +15,7 @@
 		if err != nil {
 			return err
 		}
-		e.Attempts = append(e.Attempts, all...)
+		e.ServerAttempts = append(e.ServerAttempts, all...)
 	}
 	if f.peers != nil {
 		var err error
@@ -29,30 +29,30 @@
 	}
 	if f.keepers != nil {
 		var err error
-		if e.Shown, err = ctl.ReadRecords[ctl.RegistryUpdate](f.records("shown", 0)); err != nil {
+		if e.RegistryUpdates, err = ctl.ReadRecords[ctl.RegistryUpdate](f.records("shown", 0)); err != nil {
 			return err
 		}
-		if e.Routes, err = ctl.ReadRecords[ctl.RouteUpdate](f.records("routes", 0)); err != nil {
+		if e.RouteUpdates, err = ctl.ReadRecords[ctl.RouteUpdate](f.records("routes", 0)); err != nil {
 			return err
 		}
 		if f.routes != nil {
-			e.Routed = f.routes.put
+			e.Tables = f.routes.put
 		}
-		e.Wrote, e.KeeperPeaks = f.writers.wrote, f.keepers.peaks()
+		e.RegistryCalls, e.NodePeaks = f.writers.wrote, f.keepers.peaks()
 	}
 	for i := range lists {
 		all, err := ctl.ReadRecords[ctl.ListUpdate](f.records("told", i))
 		if err != nil {
 			return err
 		}
-		e.Told = append(e.Told, all...)
+		e.ListUpdates = append(e.ListUpdates, all...)
 	}
 	for _, s := range f.sidecars {
 		e.Runs = append(e.Runs, s.runs)
 		e.Peaks = append(e.Peaks, s.peak)
 	}
 	e.Falls, e.Exits = f.falls, f.Exits()
-	e.Lateness = check.Lateness(e.Tries)
+	e.Lateness = check.Lateness(e.ClientAttempts)
 	return nil
 }
 
@@ -69,11 +69,11 @@
 			}
 		}
 	}
-	if err := write(filepath.Join(out, "requests.jsonl"), e.Tries); err != nil {
+	if err := write(filepath.Join(out, "requests.jsonl"), e.ClientAttempts); err != nil {
 		return err
 	}
-	if len(e.Wrote) > 0 {
-		if err := write(filepath.Join(out, "writes.jsonl"), e.Wrote); err != nil {
+	if len(e.RegistryCalls) > 0 {
+		if err := write(filepath.Join(out, "writes.jsonl"), e.RegistryCalls); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/keepers.go
+++ b/internal/lab/keepers.go
@@ -42,7 +42,7 @@
 
 	mu   sync.Mutex
 	run  *proc.Process
-	peak check.KeeperPeak
+	peak check.NodePeak
 }
 
 // keeperAddresses are where a near end reaches the keepers.
@@ -199,7 +199,7 @@
 }
 
 // peaks are what was sampled.
-func (ks *keepers) peaks() (all []check.KeeperPeak) {
+func (ks *keepers) peaks() (all []check.NodePeak) {
 	for _, k := range ks.all {
 		all = append(all, k.peak)
 	}
@@ -248,7 +248,7 @@
 			last = check.Last{Cluster: s.Cluster, Rev: s.Rev}
 		}
 		shown, err := ctl.ReadRecords[ctl.RegistryUpdate](path)
-		if err == nil && len(check.Behind(ks.fleet.plan, shown, last)) == 0 {
+		if err == nil && len(check.LaggingReaders(ks.fleet.plan, shown, last)) == 0 {
 			return last
 		}
 		select {
--- a/internal/lab/routes.go
+++ b/internal/lab/routes.go
@@ -22,7 +22,7 @@
 	rng    *rand.Rand
 	table  routes.Table
 	made   int
-	put    []check.Routed
+	put    []check.Table
 }
 
 const routeWithin = 10 * time.Second // for one generation to be taken
@@ -64,7 +64,7 @@
 func (r *router) send(ctx context.Context, table routes.Table) error {
 	ctx, cancel := context.WithTimeout(ctx, routeWithin)
 	defer cancel()
-	p := check.Routed{Call: clock.Now(), Table: table}
+	p := check.Table{Call: clock.Now(), Table: table}
 	var err error
 	p.Gen, err = r.client.PutRoutes(ctx, table, nil)
 	if p.Return = clock.Now(); err == nil {
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -63,7 +63,7 @@
 
 // Held tells how many checks held, of those that had something to look at.
 func (r *Result) Held() (held, of int) {
-	held = len(check.Names(r.Verdicts, check.Held))
+	held = len(check.Names(r.Verdicts, check.Passed))
 	return held, held + len(r.Broken())
 }
 
@@ -110,7 +110,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if e.Twin = twin; twin != nil {
+	if e.WithoutFloods = twin; twin != nil {
 		e.Lateness = max(e.Lateness, twin.Lateness) // a late one is nothing to compare with
 	}
 	r := result(p, e)
@@ -178,7 +178,7 @@
 			return nil
 		})
 	}
-	e.Tries = clients.Run(ctx, start)
+	e.ClientAttempts = clients.Run(ctx, start)
 	waitUntil(ctx, start+int64(plan.Seconds(p.File.Seconds)))
 	f.Sample()
 	stop()
