--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -88,8 +88,8 @@
 }
 
 const (
-	coldStep  = int64(100 * time.Millisecond) // for which the capacity of a warming server counts as constant
-	fallSlack = 1.1                           // over the budget by chance is no fall
+	warmupStep    = int64(100 * time.Millisecond) // for which the capacity of a warming server counts as constant
+	overloadSlack = 1.1                           // over the budget by chance is no fall
 )
 
 // Server is the state of one. It is not safe for concurrent use.
@@ -97,33 +97,33 @@
 	Spec
 	rng      *rand.Rand
 	now      int64
-	boot     int64 // the start that it is cold from
+	bootAt   int64 // the start that it is cold from
 	cold     bool
-	trouble  Fault
+	fault    Fault
 	draining bool
 	fallen   bool
 
-	done    float64 // virtual work that each running job has been given since the start
-	running jobs
-	waiting []Job
-	out     []Done
+	virtualWork float64 // virtual work that each running job has been given since the start
+	running     jobHeap
+	waiting     []Job
+	completed   []Done
 
-	sent    []sent  // within FallFor, while cold
-	sentSum float64 // of sent
+	recentWork    []arrivedWork // within FallFor, while cold
+	recentWorkSum float64       // of sent
 
-	errors   int
-	reports  []Report // not seen yet, or the last seen
-	reported int64
+	errorCount   int
+	reports      []Report // not seen yet, or the last seen
+	lastReportAt int64
 }
 
-type sent struct {
+type arrivedWork struct {
 	at   int64
 	work float64
 }
 
 // New is a server that starts at now, cold or long warm.
 func New(spec Spec, now int64, cold bool) *Server {
-	return &Server{Spec: spec, rng: rand.New(rand.NewPCG(spec.Seed, 1)), now: now, boot: now, cold: cold, reported: now}
+	return &Server{Spec: spec, rng: rand.New(rand.NewPCG(spec.Seed, 1)), now: now, bootAt: now, cold: cold, lastReportAt: now}
 }
 
 // warmth is the share of the capacity there is at t.
@@ -131,8 +131,8 @@
 	if !s.cold || s.ColdFor <= 0 {
 		return 1
 	}
-	part := min(1, float64(t-s.boot)/float64(s.ColdFor))
-	return s.ColdFrom + (1-s.ColdFrom)*part
+	progress := min(1, float64(t-s.bootAt)/float64(s.ColdFor))
+	return s.ColdFrom + (1-s.ColdFrom)*progress
 }
 
 // Warming tells whether the server is still short of its capacity at the time of the last call.
@@ -144,25 +144,25 @@
 // JobCount is the number of jobs that it holds.
 func (s *Server) JobCount() int { return len(s.running) + len(s.waiting) }
 
-// rate is the virtual work a second that each running job is given at s.now.
-func (s *Server) rate() float64 {
-	if s.trouble.Hang || s.fallen {
+// workRate is the virtual work a second that each running job is given at s.now.
+func (s *Server) workRate() float64 {
+	if s.fault.Hang || s.fallen {
 		return 0
 	}
-	r := s.Speed * s.warmth(s.now) * (1 - s.trouble.Stolen) / max(1, s.trouble.Slow)
+	rate := s.Speed * s.warmth(s.now) * (1 - s.fault.Stolen) / max(1, s.fault.Slow)
 	if n := len(s.running); n > s.Cores {
-		r *= float64(s.Cores) / float64(n)
+		rate *= float64(s.Cores) / float64(n)
 	}
-	if crowd := float64(s.JobCount())/float64(s.Cores) - s.ThrashAt; crowd > 0 {
-		r /= 1 + s.Thrash*crowd
+	if excessJobs := float64(s.JobCount())/float64(s.Cores) - s.ThrashAt; excessJobs > 0 {
+		rate /= 1 + s.Thrash*excessJobs
 	}
-	return r
+	return rate
 }
 
 // SetFault changes what is wrong.
-func (s *Server) SetFault(now int64, t Fault) {
+func (s *Server) SetFault(now int64, fault Fault) {
 	s.advance(now)
-	s.trouble = t
+	s.fault = fault
 }
 
 // Drain has it turn away what comes from now on.
@@ -172,46 +172,46 @@
 }
 
 // Arrive gives it a job that came whole. It tells false where the job is turned away.
-func (s *Server) Arrive(now int64, j Job) bool {
+func (s *Server) Arrive(now int64, job Job) bool {
 	s.advance(now)
-	if s.fall(j.Work); s.fallen {
+	if s.checkOverload(job.Work); s.fallen {
 		return false
 	}
 	if s.draining || len(s.running) >= s.Slots && len(s.waiting) >= s.Queue {
 		return false
 	}
-	s.waiting = append(s.waiting, j)
-	s.fill()
+	s.waiting = append(s.waiting, job)
+	s.startWaiting()
 	return true
 }
 
-// fall counts work sent to a cold server against the budget of what it can do.
-func (s *Server) fall(work float64) {
+// checkOverload counts work sent to a cold server against the budget of what it can do.
+func (s *Server) checkOverload(work float64) {
 	if !s.Warming() || s.FallFor <= 0 {
-		s.sent, s.sentSum = nil, 0
+		s.recentWork, s.recentWorkSum = nil, 0
 		return
 	}
-	s.sent = append(s.sent, sent{s.now, work})
-	s.sentSum += work
-	for s.sent[0].at < s.now-int64(s.FallFor) {
-		s.sentSum -= s.sent[0].work
-		s.sent = s.sent[1:]
+	s.recentWork = append(s.recentWork, arrivedWork{s.now, work})
+	s.recentWorkSum += work
+	for s.recentWork[0].at < s.now-int64(s.FallFor) {
+		s.recentWorkSum -= s.recentWork[0].work
+		s.recentWork = s.recentWork[1:]
 	}
-	if s.sentSum > fallSlack*s.FallMultiple*s.Capacity()*s.warmth(s.now)*s.FallFor.Seconds() {
+	if s.recentWorkSum > overloadSlack*s.FallMultiple*s.Capacity()*s.warmth(s.now)*s.FallFor.Seconds() {
 		s.fallen = true
 	}
 }
 
-// fill begins waiting jobs while there are slots.
-func (s *Server) fill() {
+// startWaiting begins waiting jobs while there are slots.
+func (s *Server) startWaiting() {
 	for len(s.running) < s.Slots && len(s.waiting) > 0 {
-		j := s.waiting[0]
+		job := s.waiting[0]
 		s.waiting = s.waiting[1:]
-		if s.DropsExpired && j.Deadline != 0 && s.now > j.Deadline {
-			s.out = append(s.out, Done{j.Key, Rejected, s.now})
+		if s.DropsExpired && job.Deadline != 0 && s.now > job.Deadline {
+			s.completed = append(s.completed, Done{job.Key, Rejected, s.now})
 			continue
 		}
-		heap.Push(&s.running, running{s.done + j.Work, j.Key})
+		heap.Push(&s.running, runningJob{s.virtualWork + job.Work, job.Key})
 	}
 }
 
@@ -220,74 +220,74 @@
 	for {
 		until := max(now, s.now)
 		if s.Warming() {
-			until = min(until, s.now+coldStep)
+			until = min(until, s.now+warmupStep)
 		}
-		r := s.rate()
-		if len(s.running) > 0 && r > 0 {
-			if at, ends := s.finish(r); at <= until {
-				s.done, s.now = ends, at
-				s.end()
+		rate := s.workRate()
+		if len(s.running) > 0 && rate > 0 {
+			if at, endsAt := s.nextCompletion(rate); at <= until {
+				s.virtualWork, s.now = endsAt, at
+				s.completeFirst()
 				continue
 			}
 		}
 		if until == s.now {
 			break
 		}
-		s.done += r * float64(until-s.now) / 1e9
+		s.virtualWork += rate * float64(until-s.now) / 1e9
 		s.now = until
 	}
-	s.report()
+	s.recordReport()
 }
 
-// finish is when the first running job ends at rate r, and the virtual work by then.
-func (s *Server) finish(r float64) (at int64, ends float64) {
-	ends = s.running[0].ends
-	return s.now + int64(math.Ceil(max(0, ends-s.done)/r*1e9)), ends
+// nextCompletion is when the first running job ends at rate r, and the virtual work by then.
+func (s *Server) nextCompletion(rate float64) (at int64, endsAt float64) {
+	endsAt = s.running[0].endsAt
+	return s.now + int64(math.Ceil(max(0, endsAt-s.virtualWork)/rate*1e9)), endsAt
 }
 
-// end takes the first running job out.
-func (s *Server) end() {
-	j := heap.Pop(&s.running).(running)
-	o := Served
+// completeFirst takes the first running job out.
+func (s *Server) completeFirst() {
+	job := heap.Pop(&s.running).(runningJob)
+	outcome := Served
 	if s.rng.Float64() < s.ErrorRate {
-		o = Failed
-		s.errors++
+		outcome = Failed
+		s.errorCount++
 	}
-	s.out = append(s.out, Done{j.key, o, s.now})
-	s.fill()
+	s.completed = append(s.completed, Done{job.key, outcome, s.now})
+	s.startWaiting()
 }
 
 // Advance moves the state to now and returns what ended since the last call.
 func (s *Server) Advance(now int64) []Done {
 	s.advance(now)
-	out := s.out
-	s.out = nil
-	return out
+	completed := s.completed
+	s.completed = nil
+	return completed
 }
 
 // Next is when something ends if nothing else comes; ok is false where nothing will.
 func (s *Server) Next() (at int64, ok bool) {
-	if len(s.out) > 0 {
+	if len(s.completed) > 0 {
 		return s.now, true
 	}
-	r := s.rate()
-	if len(s.running) == 0 || r <= 0 {
+	rate := s.workRate()
+	if len(s.running) == 0 || rate <= 0 {
 		return 0, false
 	}
-	at, _ = s.finish(r)
+	at, _ = s.nextCompletion(rate)
 	if s.Warming() {
-		at = min(at, s.now+coldStep)
+		at = min(at, s.now+warmupStep)
 	}
 	return at, true
 }
 
-func (s *Server) report() {
-	if s.ReportEvery <= 0 || s.now-s.reported < int64(s.ReportEvery) {
+func (s *Server) recordReport() {
+	if s.ReportEvery <= 0 || s.now-s.lastReportAt < int64(s.ReportEvery) {
 		return
 	}
-	since := float64(s.now-s.reported) / 1e9
-	s.reports = append(s.reports, Report{s.JobCount(), len(s.waiting), float64(s.errors) / since, s.now})
-	s.reported, s.errors = s.now, 0
+	since := float64(s.now-s.lastReportAt) / 1e9
+	s.reports = append(s.reports, Report{s.JobCount(), len(s.waiting), float64(s.errorCount) / since, s.now})
+	s.lastReportAt, s.errorCount = s.now, 0
 	for len(s.reports) > 1 && s.reports[1].At+int64(s.ReportDelay) <= s.now {
 		s.reports = s.reports[1:]
 	}
@@ -301,18 +301,18 @@
 	return s.reports[0], true
 }
 
-type running struct {
-	ends float64
-	key  uint64
+type runningJob struct {
+	endsAt float64
+	key    uint64
 }
 
-type jobs []running
+type jobHeap []runningJob
 
-func (j jobs) Len() int           { return len(j) }
-func (j jobs) Less(a, b int) bool { return j[a].ends < j[b].ends }
-func (j jobs) Swap(a, b int)      { j[a], j[b] = j[b], j[a] }
-func (j *jobs) Push(x any)        { *j = append(*j, x.(running)) }
-func (j *jobs) Pop() any {
+func (j jobHeap) Len() int           { return len(j) }
+func (j jobHeap) Less(a, b int) bool { return j[a].endsAt < j[b].endsAt }
+func (j jobHeap) Swap(a, b int)      { j[a], j[b] = j[b], j[a] }
+func (j *jobHeap) Push(x any)        { *j = append(*j, x.(runningJob)) }
+func (j *jobHeap) Pop() any {
 	last := (*j)[len(*j)-1]
 	*j = (*j)[:len(*j)-1]
 	return last
