--- a/internal/lab/model/jobheap.go
+++ b/internal/lab/model/jobheap.go
@@ -1,10 +1,12 @@
 package model
 
+// runningJob is a job that has a slot.
 type runningJob struct {
-	endsAt float64
+	endsAt float64 // virtual work
 	key    uint64
 }
 
+// jobHeap is a heap (container/heap) of the running jobs, the first to end on top.
 type jobHeap []runningJob
 
 func (j jobHeap) Len() int           { return len(j) }
--- a/internal/lab/model/report.go
+++ b/internal/lab/model/report.go
@@ -1,13 +1,14 @@
 package model
 
-// Report is a server's load as it was at some moment in the past.
+// Report is the load of a server at a time in the past.
 type Report struct {
-	InFlight        int
-	Waiting         int
-	ErrorsPerSecond float64 // a second
-	At              int64   // when it was so
+	InFlight        int     // jobs that run or wait
+	Waiting         int     // of these
+	ErrorsPerSecond float64 // since the report before
+	At              int64   // ns
 }
 
+// recordReport records a report when one is due, and drops those that newer visible ones replace.
 func (s *Server) recordReport() {
 	if s.ReportEvery <= 0 || s.now-s.lastReportAt < int64(s.ReportEvery) {
 		return
@@ -20,8 +21,8 @@
 	}
 }
 
-// Report is what an answer at the time of the last call tells of the load; ok is false where nothing is to be seen yet.
-func (s *Server) Report() (r Report, ok bool) {
+// Report is the load that a response at the time of the last call carries; ok is false where no report is visible yet.
+func (s *Server) Report() (report Report, ok bool) {
 	if len(s.reports) == 0 || s.reports[0].At+int64(s.ReportDelay) > s.now {
 		return Report{}, false
 	}
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -1,8 +1,14 @@
-// Package model is a stand-in server as a state machine without I/O or clock, after BRIEF's tables: cores of some speed,
-// slots and a queue, work that goes on after a cancel, a cold start and the fall of a cold server that is sent too much.
+// Package model simulates a stand-in server as a state machine without I/O or clock, after the tables of BRIEF.
 //
-// Invariants: time never runs backwards for a server; every job accepted is reported done once, unless the server falls
-// or is dropped; at most Slots jobs run and at most Queue wait.
+// Terms: a server has cores of some speed, slots and a queue. Jobs that have a slot run and share the cores equally (processor
+// sharing); the work of a job continues after its caller cancels. A server that starts cold warms up evenly to its capacity, and falls, that
+// is ends at once, if it is sent more work meanwhile than a multiple of what it can do. Virtual work is the work that each running job has
+// been given since the start, so a job ends when it reaches the value at its start plus its own work.
+//
+// Invariants: time never runs backwards for a server; each accepted job is reported done exactly once, unless the server falls or is
+// dropped; at most Slots jobs run and at most Queue wait.
+//
+// All times are ns of one clock that the caller chooses.
 package model
 
 import (
@@ -13,45 +19,46 @@
 )
 
 const (
-	warmupStep    = int64(100 * time.Millisecond) // for which the capacity of a warming server counts as constant
-	overloadSlack = 1.1                           // over the budget by chance is no fall
+	warmupStep    = int64(100 * time.Millisecond) // ns for which the capacity of a warming server counts as constant
+	overloadSlack = 1.1                           // of the budget: exceeding it by chance causes no fall
 )
 
-// Server is the state of one. It is not safe for concurrent use.
+// Server is the state of one stand-in server. It is not safe for concurrent use. The time of calls must not decrease.
 type Server struct {
 	Spec
 	rng      *rand.Rand
 	now      int64
-	bootAt   int64 // the start that it is cold from
+	bootAt   int64 // when it started
 	cold     bool
 	fault    Fault
 	draining bool
 	fallen   bool
 
-	virtualWork float64 // virtual work that each running job has been given since the start
+	virtualWork float64 // seconds of a core of speed 1 for each running job since the start
 	running     jobHeap
 	waiting     []Job
 	completed   []Done
 
-	recentWork    []arrivedWork // within FallFor, while cold
-	recentWorkSum float64       // of sent
+	recentWork    []arrivedWork // that arrived within FallFor, while warming
+	recentWorkSum float64       // of recentWork
 
 	errorCount   int
-	reports      []Report // not seen yet, or the last seen
+	reports      []Report // not visible yet, after the last visible one
 	lastReportAt int64
 }
 
+// arrivedWork is work that arrived at a time.
 type arrivedWork struct {
 	at   int64
 	work float64
 }
 
-// New is a server that starts at now, cold or long warm.
+// New returns a server that starts at now, cold or warm.
 func New(spec Spec, now int64, cold bool) *Server {
 	return &Server{Spec: spec, rng: rand.New(rand.NewPCG(spec.Seed, 1)), now: now, bootAt: now, cold: cold, lastReportAt: now}
 }
 
-// warmth is the share of the capacity there is at t.
+// warmth is the share of its capacity that the server has at t, 0 to 1.
 func (s *Server) warmth(t int64) float64 {
 	if !s.cold || s.ColdFor <= 0 {
 		return 1
@@ -60,16 +67,16 @@
 	return s.ColdFrom + (1-s.ColdFrom)*progress
 }
 
-// Warming tells whether the server is still short of its capacity at the time of the last call.
+// Warming reports whether the server has less than its capacity at the time of the last call.
 func (s *Server) Warming() bool { return s.warmth(s.now) < 1 }
 
-// Fallen tells whether it was sent too much while cold. It does nothing any more.
+// Fallen reports whether the server was sent too much while it warmed up. It does no work any more then.
 func (s *Server) Fallen() bool { return s.fallen }
 
-// JobCount is the number of jobs that it holds.
+// JobCount is the number of jobs that run or wait.
 func (s *Server) JobCount() int { return len(s.running) + len(s.waiting) }
 
-// workRate is the virtual work a second that each running job is given at s.now.
+// workRate is the virtual work per second at s.now.
 func (s *Server) workRate() float64 {
 	if s.fault.Hang || s.fallen {
 		return 0
@@ -84,25 +91,26 @@
 	return rate
 }
 
-// SetFault changes what is wrong.
+// SetFault replaces the fault of the server.
 func (s *Server) SetFault(now int64, fault Fault) {
 	s.advance(now)
 	s.fault = fault
 }
 
-// Drain has it turn away what comes from now on.
+// Drain makes the server reject all further jobs.
 func (s *Server) Drain(now int64) {
 	s.advance(now)
 	s.draining = true
 }
 
-// Arrive gives it a job that came whole. It tells false where the job is turned away.
+// Arrive submits a job whose request has arrived completely. It returns false where the job is rejected.
 func (s *Server) Arrive(now int64, job Job) bool {
 	s.advance(now)
 	if s.checkOverload(job.Work); s.fallen {
 		return false
 	}
-	if s.draining || len(s.running) >= s.Slots && len(s.waiting) >= s.Queue {
+	full := len(s.running) >= s.Slots && len(s.waiting) >= s.Queue
+	if s.draining || full {
 		return false
 	}
 	s.waiting = append(s.waiting, job)
@@ -110,7 +118,8 @@
 	return true
 }
 
-// checkOverload counts work sent to a cold server against the budget of what it can do.
+// checkOverload counts work that arrives at a warming server against a budget, a multiple of what it can do within FallFor, and makes the
+// server fall where it exceeds that.
 func (s *Server) checkOverload(work float64) {
 	if !s.Warming() || s.FallFor <= 0 {
 		s.recentWork, s.recentWorkSum = nil, 0
@@ -127,7 +136,7 @@
 	}
 }
 
-// startWaiting begins waiting jobs while there are slots.
+// startWaiting starts waiting jobs while there are free slots.
 func (s *Server) startWaiting() {
 	for len(s.running) < s.Slots && len(s.waiting) > 0 {
 		job := s.waiting[0]
@@ -140,7 +149,7 @@
 	}
 }
 
-// advance moves the state to now.
+// advance moves the state to now, from event to event: ends of jobs, and steps of the warm-up.
 func (s *Server) advance(now int64) {
 	for {
 		until := max(now, s.now)
@@ -164,13 +173,13 @@
 	s.recordReport()
 }
 
-// nextCompletion is when the first running job ends at rate r, and the virtual work by then.
+// nextCompletion is when the first running job ends at a rate, and the virtual work by then.
 func (s *Server) nextCompletion(rate float64) (at int64, endsAt float64) {
 	endsAt = s.running[0].endsAt
 	return s.now + int64(math.Ceil(max(0, endsAt-s.virtualWork)/rate*1e9)), endsAt
 }
 
-// completeFirst takes the first running job out.
+// completeFirst ends the running job that is due first.
 func (s *Server) completeFirst() {
 	job := heap.Pop(&s.running).(runningJob)
 	outcome := Served
@@ -182,7 +191,7 @@
 	s.startWaiting()
 }
 
-// Advance moves the state to now and returns what ended since the last call.
+// Advance moves the state to now and returns the jobs that ended since the last call, in order of time.
 func (s *Server) Advance(now int64) []Done {
 	s.advance(now)
 	completed := s.completed
@@ -190,7 +199,8 @@
 	return completed
 }
 
-// Next is when something ends if nothing else comes; ok is false where nothing will.
+// Next is when Advance has to be called next if no job arrives: at the end of a job or step of the warm-up; ok is false where nothing is
+// due.
 func (s *Server) Next() (at int64, ok bool) {
 	if len(s.completed) > 0 {
 		return s.now, true
