--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -1,6 +1,7 @@
 package model
 
 import (
+	"fmt"
 	"math"
 	"testing"
 	"time"
@@ -46,15 +47,17 @@
 		fault Fault
 		ends  float64 // seconds; 0.5 without the fault, which begins at 0.1
 	}{{Fault{Slow: 4}, 0.1 + 4*0.4}, {Fault{Stolen: 0.5}, 0.1 + 2*0.4}, {Fault{Hang: true}, 5 + 0.4}} {
-		server := New(testSpec(), 0, false)
-		server.Arrive(0, Job{Key: 1, Work: 1})
-		server.SetFault(second/10, test.fault)
-		done := server.Advance(5 * second)
-		server.SetFault(5*second, Fault{})
-		done = append(done, server.Advance(9*second)...)
-		if len(done) != 1 || math.Abs(float64(done[0].At)/1e9-test.ends) > 0.001 {
-			t.Errorf("%+v: %v, want the end at %v s", test.fault, done, test.ends)
-		}
+		t.Run(fmt.Sprintf("%+v", test.fault), func(t *testing.T) {
+			server := New(testSpec(), 0, false)
+			server.Arrive(0, Job{Key: 1, Work: 1})
+			server.SetFault(second/10, test.fault)
+			done := server.Advance(5 * second)
+			server.SetFault(5*second, Fault{})
+			done = append(done, server.Advance(9*second)...)
+			if len(done) != 1 || math.Abs(float64(done[0].At)/1e9-test.ends) > 0.001 {
+				t.Errorf("%v, want the end at %v s", done, test.ends)
+			}
+		})
 	}
 }
 
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -26,13 +26,13 @@
 // Server is the state of one stand-in server. It is not safe for concurrent use. The time of calls must not decrease.
 type Server struct {
 	Spec
-	rng      *rand.Rand
-	now      int64
-	bootAt   int64 // when it started
-	cold     bool
-	fault    Fault
-	draining bool
-	fallen   bool
+	rng       *rand.Rand
+	now       int64
+	startedAt int64 // when it started
+	cold      bool
+	fault     Fault
+	draining  bool
+	fallen    bool
 
 	virtualWork float64 // seconds of a core of speed 1 for each running job since the start
 	running     jobHeap
@@ -55,7 +55,7 @@
 
 // New returns a server that starts at now, cold or warm.
 func New(spec Spec, now int64, cold bool) *Server {
-	return &Server{Spec: spec, rng: rand.New(rand.NewPCG(spec.Seed, 1)), now: now, bootAt: now, cold: cold, lastReportAt: now}
+	return &Server{Spec: spec, rng: rand.New(rand.NewPCG(spec.Seed, 1)), now: now, startedAt: now, cold: cold, lastReportAt: now}
 }
 
 // warmth is the share of its capacity that the server has at t, 0 to 1.
@@ -63,7 +63,7 @@
 	if !s.cold || s.ColdFor <= 0 {
 		return 1
 	}
-	progress := min(1, float64(t-s.bootAt)/float64(s.ColdFor))
+	progress := min(1, float64(t-s.startedAt)/float64(s.ColdFor))
 	return s.ColdFrom + (1-s.ColdFrom)*progress
 }
 
--- a/internal/lab/model/spec.go
+++ b/internal/lab/model/spec.go
@@ -45,7 +45,7 @@
 const (
 	Served   Outcome = iota
 	Failed           // with an error after the work was done
-	Rejected         // never started: its deadline had passed
+	Rejected         // never started: queue full, draining, or its deadline had passed
 )
 
 // Job is the work of one attempt whose request has arrived completely.
