--- a/internal/lab/clock/clock.go
+++ b/internal/lab/clock/clock.go
@@ -9,13 +9,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// The process's own monotonic reading at the moment when the shared one was base.
+// The process's own monotonic reading at the moment when the shared one was baseReading.
 var (
-	start = time.Now()
-	base  = reading()
+	processStart = time.Now()
+	baseReading  = readMonotonic()
 )
 
-func reading() int64 {
+func readMonotonic() int64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
 		return time.Now().UnixNano() // shared too; Linux always has the other
@@ -24,7 +24,7 @@
 }
 
 // Now is the shared time in nanoseconds.
-func Now() int64 { return base + int64(time.Since(start)) }
+func Now() int64 { return baseReading + int64(time.Since(processStart)) }
 
 // Sleep waits for d, or until ctx ends; false: it has ended.
 func Sleep(ctx context.Context, d time.Duration) bool {
