--- a/internal/lab/clock/clock.go
+++ b/internal/lab/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock gives all processes of an experiment one time: nanoseconds of CLOCK_MONOTONIC, which processes on one
-// machine share and no step of the wall clock moves.
+// Package clock gives all processes of an experiment one time, so that what they record can be compared: nanoseconds of
+// CLOCK_MONOTONIC (clock_gettime(2)), which all processes of a machine share and no step of the wall clock moves.
 package clock
 
 import (
@@ -15,18 +15,19 @@
 	baseReading  = readMonotonic()
 )
 
+// readMonotonic reads the shared clock, in nanoseconds.
 func readMonotonic() int64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
-		return time.Now().UnixNano() // shared too; Linux always has the other
+		return time.Now().UnixNano() // shared as well; Linux always has CLOCK_MONOTONIC
 	}
 	return t.Nano()
 }
 
-// Now is the shared time in nanoseconds.
+// Now is the shared time in nanoseconds. It never decreases within a process.
 func Now() int64 { return baseReading + int64(time.Since(processStart)) }
 
-// Sleep waits for d, or until ctx ends; false: it has ended.
+// Sleep waits for d, or until ctx is done, which it reports by false.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -41,5 +42,5 @@
 	}
 }
 
-// Until is the time that is left until t; negative once it has passed.
+// Until is the time left until t, in nanoseconds of Now; negative once t has passed.
 func Until(t int64) time.Duration { return time.Duration(t - Now()) }
--- a/internal/lab/clock/clock_test.go
+++ b/internal/lab/clock/clock_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// TestSleep waits for its time, not at all for a time that has passed, and no longer than its context.
 func TestSleep(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	const d = 5 * time.Millisecond
@@ -13,13 +14,13 @@
 		t.Errorf("it ended after %v of %v", time.Since(start), d)
 	}
 	if !Sleep(ctx, -d) {
-		t.Error("no time to wait is taken for the context's end")
+		t.Error("a time that has passed is reported as the end of the context")
 	}
 	time.AfterFunc(d, cancel)
 	if Sleep(ctx, time.Hour) {
 		t.Error("it did not end with its context")
 	}
 	if Sleep(ctx, 0) || Sleep(ctx, -d) {
-		t.Error("a context that has ended is passed over")
+		t.Error("a context that is done is ignored")
 	}
 }
