--- a/internal/lab/clock/clock.go
+++ b/internal/lab/clock/clock.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// The process's own monotonic reading at the moment when the shared one was baseReading.
+// The reading of Go's monotonic clock at the moment when the shared clock read baseReading.
 var (
 	processStart = time.Now()
 	baseReading  = readMonotonic()
