--- a/internal/lab/ctl/ctl.go
+++ b/internal/lab/ctl/ctl.go
@@ -136,8 +136,8 @@
 }
 
 // Marshal is a value as a line.
-func Marshal(v any) ([]byte, error) {
-	line, err := json.Marshal(v)
+func Marshal(value any) ([]byte, error) {
+	line, err := json.Marshal(value)
 	if err != nil {
 		return nil, fmt.Errorf("line: %w", err)
 	}
@@ -146,36 +146,36 @@
 
 // EventWriter writes news, one line each. It is safe for concurrent use.
 type EventWriter struct {
-	mu sync.Mutex
-	to io.Writer
+	mu     sync.Mutex
+	writer io.Writer
 }
 
 // NewEventWriter writes to a lab.
-func NewEventWriter(to io.Writer) *EventWriter { return &EventWriter{to: to} }
+func NewEventWriter(writer io.Writer) *EventWriter { return &EventWriter{writer: writer} }
 
 // Send writes one piece of news. A lab that is gone is no error: the input ends too.
-func (o *EventWriter) Send(n Event) {
-	line, err := Marshal(n)
+func (o *EventWriter) Send(event Event) {
+	line, err := Marshal(event)
 	if err != nil {
 		return // News always marshals
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	_, _ = o.to.Write(line)
+	_, _ = o.writer.Write(line)
 }
 
-const mostLine = 1 << 20
+const maxLineBytes = 1 << 20
 
 // Lines reads JSON lines until the input ends, and hands each to do. It is an error if one cannot be read.
-func Lines[T any](from io.Reader, do func(T) error) error {
-	lines := bufio.NewScanner(from)
-	lines.Buffer(nil, mostLine)
-	for n := 1; lines.Scan(); n++ {
-		var v T
-		if err := json.Unmarshal(lines.Bytes(), &v); err != nil {
-			return fmt.Errorf("line %d: %w", n, err)
+func Lines[T any](reader io.Reader, handle func(T) error) error {
+	lines := bufio.NewScanner(reader)
+	lines.Buffer(nil, maxLineBytes)
+	for number := 1; lines.Scan(); number++ {
+		var value T
+		if err := json.Unmarshal(lines.Bytes(), &value); err != nil {
+			return fmt.Errorf("line %d: %w", number, err)
 		}
-		if err := do(v); err != nil {
+		if err := handle(value); err != nil {
 			return err
 		}
 	}
@@ -191,16 +191,16 @@
 
 // NewRecords makes the file.
 func NewRecords(path string) (*Records, error) {
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("records: %w", err)
 	}
-	return &Records{file: f}, nil
+	return &Records{file: file}, nil
 }
 
 // Add writes one.
-func (r *Records) Add(v any) {
-	line, err := Marshal(v)
+func (r *Records) Add(value any) {
+	line, err := Marshal(value)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err == nil {
@@ -218,14 +218,14 @@
 
 // ReadRecords reads all records of a file.
 func ReadRecords[T any](path string) ([]T, error) {
-	f, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("records: %w", err)
 	}
-	defer f.Close()
+	defer file.Close()
 	var all []T
-	err = Lines(f, func(v T) error {
-		all = append(all, v)
+	err = Lines(file, func(value T) error {
+		all = append(all, value)
 		return nil
 	})
 	if err != nil {
