--- a/internal/lab/ctl/lines.go
+++ b/internal/lab/ctl/lines.go
@@ -10,7 +10,7 @@
 	"sync"
 )
 
-// Marshal is a value as a line.
+// Marshal returns a value as a JSON line.
 func Marshal(value any) ([]byte, error) {
 	line, err := json.Marshal(value)
 	if err != nil {
@@ -19,9 +19,10 @@
 	return append(line, '\n'), nil
 }
 
-const maxLineBytes = 1 << 20
+const maxLineBytes = 1 << 20 // of one line; longer ones fail with bufio.ErrTooLong
 
-// Lines reads JSON lines until the input ends, and hands each to do. It is an error if one cannot be read.
+// Lines reads JSON lines until the input ends and passes each to handle. It stops at the first error: of handle, of the input, or of a line
+// that cannot be decoded, whose number it names.
 func Lines[T any](reader io.Reader, handle func(T) error) error {
 	lines := bufio.NewScanner(reader)
 	lines.Buffer(nil, maxLineBytes)
@@ -37,14 +38,15 @@
 	return lines.Err()
 }
 
-// Records is a file of records. It is safe for concurrent use. Each is written at once: what a killed process saw is kept.
+// Records appends records to a file. It is safe for concurrent use. Each record is written at once, so those of a killed process are
+// complete but for the last.
 type Records struct {
 	mu   sync.Mutex
 	file *os.File
 	err  error
 }
 
-// NewRecords makes the file.
+// NewRecords opens the file, and creates it if need be. The caller closes the records.
 func NewRecords(path string) (*Records, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
@@ -53,7 +55,7 @@
 	return &Records{file: file}, nil
 }
 
-// Add writes one.
+// Add writes one record. Close returns the error where that fails.
 func (r *Records) Add(value any) {
 	line, err := Marshal(value)
 	r.mu.Lock()
@@ -64,20 +66,20 @@
 	r.err = errors.Join(r.err, err)
 }
 
-// Close returns the first errors of all that was added.
+// Close closes the file. It returns all errors of Add as well.
 func (r *Records) Close() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return errors.Join(r.err, r.file.Close())
 }
 
-// ReadRecords reads all records of a file.
+// ReadRecords reads all records of a file, in order.
 func ReadRecords[T any](path string) ([]T, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("records: %w", err)
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }() // it is only read
 	var all []T
 	err = Lines(file, func(value T) error {
 		all = append(all, value)
--- a/internal/lab/ctl/records.go
+++ b/internal/lab/ctl/records.go
@@ -1,72 +1,89 @@
 package ctl
 
-// Attempt is what a server saw of one attempt.
+// Attempt is what a server observed of one attempt.
 type Attempt struct {
 	Server   string `json:"s"`
-	Boot     int64  `json:"b"` // start of the process that got it, ns
-	Near     int    `json:"n"` // the sidecar
+	Boot     int64  `json:"b"` // start of the process that received it
+	Near     int    `json:"n"` // the sidecar that sent it
 	ID       string `json:"i"` // of the request
-	First    int64  `json:"f"` // when the sidecar sent its first bytes
-	Received int64  `json:"w"` // when its last byte had arrived
-	End      int64  `json:"e"` // when either side hung up, or the answer was written whole; 0: neither happened
-	Outcome  string `json:"h"` // "served", "failed", "turned", "left": the sidecar hung up, "died": the server did
-	New      bool   `json:"c"` // the first on its connection
+	First    int64  `json:"f"` // when its first bytes were sent
+	Received int64  `json:"w"` // when its last byte arrived
+	End      int64  `json:"e"` // when either end closed, or the response was written completely; 0: neither happened
+	Outcome  string `json:"h"` // AttemptServed and the others
+	New      bool   `json:"c"` // it is the first on its connection
 	Work     int64  `json:"k"` // ns of a core of speed 1
 }
 
-// ListUpdate is what a list wrote to one sidecar.
+// The outcomes of an attempt at a server.
+const (
+	AttemptServed   = "served" // the response was written
+	AttemptFailed   = "failed" // an error was written after the work
+	AttemptRejected = "turned" // it was rejected without work
+	AttemptLeft     = "left"   // the sidecar closed the connection
+	AttemptDied     = "died"   // the server ended
+)
+
+// ListUpdate is the state of one server that the list published to one sidecar.
 type ListUpdate struct {
 	Near  int    `json:"n"`
 	UID   string `json:"u"`
 	State string `json:"s"`
-	At    int64  `json:"t"` // when it was written whole
+	At    int64  `json:"t"` // when it was written completely
 }
 
-// RegistryUpdate is one line of the list that a keeper wrote to one who reads it.
+// RegistryUpdate is one message of the server list that a registry node wrote to a reader.
 type RegistryUpdate struct {
 	Near          int    `json:"n"`
 	Node          string `json:"k"`
-	Conn          int64  `json:"c"` // the connection, a number of its own
+	Conn          int64  `json:"c"` // unique number of the connection
 	Watch         bool   `json:"w"`
-	KnownRevision int64  `json:"h"` // the revision that the reader said he holds as he called; below 0: none
-	Cluster       string `json:"l"` // whose it is
+	KnownRevision int64  `json:"h"` // that the reader sent with its call; negative: none
+	Cluster       string `json:"l"` // id of the cluster whose revision it is
 	Rev           int64  `json:"r"`
 	Complete      bool   `json:"a"`
-	ServerCount   int    `json:"x"` // servers in it
-	At            int64  `json:"t"` // when it was written whole
+	ServerCount   int    `json:"x"` // number of servers in the message
+	At            int64  `json:"t"` // when it was written completely
 }
 
-// RouteUpdate is one line of the route table that a keeper wrote to one who watches it.
+// RouteUpdate is one message of the route table that a registry node wrote to a watcher.
 type RouteUpdate struct {
 	Near       int    `json:"n"`
 	Node       string `json:"k"`
-	Conn       int64  `json:"c"` // the connection, a number of its own
+	Conn       int64  `json:"c"` // unique number of the connection
 	Bytes      int    `json:"b"`
-	At         int64  `json:"t"` // when it was written whole
+	At         int64  `json:"t"` // when it was written completely
 	Generation int64  `json:"gen"`
 	Complete   bool   `json:"all"`
-	Hash       string `json:"hash"`    // of what it leads to; "": it says only that nothing changed
-	Cluster    string `json:"cluster"` // whose generation it is; "": as in the line before
+	Hash       string `json:"hash"`    // of the table after it; "": nothing changed
+	Cluster    string `json:"cluster"` // id of the cluster whose generation it is; "": as in the message before
 }
 
-// Gossip is what sidecars said to each other since the last one.
+// Gossip is the traffic between sidecars since the record before.
 type Gossip struct {
 	At          int64 `json:"t"`
 	Packets     int64 `json:"p"`
-	Bytes       int64 `json:"b"` // of packets, without their heads
+	Bytes       int64 `json:"b"` // of packets, without headers
 	Streams     int64 `json:"s"`
 	StreamBytes int64 `json:"c"`
 }
 
-// RegistryCall is one write or read that a client of the keepers made, by the content that it wrote or found.
+// RegistryCall is one write or read of a client of the registry, with the content that it wrote or read.
 type RegistryCall struct {
 	Client  int    `json:"c"`
 	Key     int    `json:"k"`
 	Write   bool   `json:"w"`
-	Expect  int64  `json:"e"` // write: the revision that the entry had to have
+	Expect  int64  `json:"e"` // write: the revision that the entry was required to have
 	Value   int    `json:"v"`
-	Rev     int64  `json:"r"` // of the entry after it
-	Outcome string `json:"h"` // "ok", "conflict", "uncertain": it may have been done, and may yet be; "none": it was not
-	Call    int64  `json:"f"` // ns
-	Return  int64  `json:"t"` // ns
+	Rev     int64  `json:"r"` // of the entry afterwards
+	Outcome string `json:"h"` // CallOK and the others
+	Call    int64  `json:"f"` // when it was called
+	Return  int64  `json:"t"` // when it returned
 }
+
+// The outcomes of a call to the registry.
+const (
+	CallOK        = "ok"
+	CallConflict  = "conflict"  // the entry did not have the required revision
+	CallUncertain = "uncertain" // it may have been applied, and may still be
+	CallNone      = "none"      // it was not applied
+)
