--- a/internal/lab/ctl/ctl.go
+++ b/internal/lab/ctl/ctl.go
@@ -83,7 +83,7 @@
 func (o *EventWriter) Send(event Event) {
 	line, err := Marshal(event)
 	if err != nil {
-		return // News always marshals
+		return // an event always marshals
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
