--- a/internal/lab/check/after.go
+++ b/internal/lab/check/after.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	refusedAfter = 5    // seconds after the last fault's end
-	refusedNear  = 0.03 // of the share before the first fault counts as back
-	refusedFor   = 3    // seconds in a row
+	settlingSeconds    = 5    // seconds after the last fault's end
+	recoveredTolerance = 0.03 // of the share before the first fault counts as back
+	recoveredSeconds   = 3    // seconds in a row
 )
 
-// troubled is when the first fault begins and the last one ends, with the restart that it brings; ok is false without faults.
-func (e *Evidence) troubled() (first, last int64, ok bool) {
+// faultPeriod is when the first fault begins and the last one ends, with the restart that it brings; ok is false without faults.
+func (e *Evidence) faultPeriod() (first, last int64, ok bool) {
 	for i, b := range e.Plan.Bands {
 		to := b.To
 		if r := e.Plan.File.Faults[b.Fault].Restart; r != nil {
@@ -28,11 +28,11 @@
 	return first, last, len(e.Plan.Bands) > 0
 }
 
-// refusals are refused_after, the share of requests refused from 5 s after the last fault's end on less that before the first
+// rejectionFigures are refused_after, the share of requests refused from 5 s after the last fault's end on less that before the first
 // fault, and refused_back_s, the seconds from that end until the share is within 0.03 of that before, for 3 s in a row: all the rest
 // of the load where it never is. They are left out where there is nothing before, or nothing after.
-func (e *Evidence) refusals(f Figures, course []Second) {
-	first, last, ok := e.troubled()
+func (e *Evidence) rejectionFigures(f Figures, course []Second) {
+	first, last, ok := e.faultPeriod()
 	if !ok {
 		return
 	}
@@ -47,16 +47,16 @@
 	}
 	end := e.Start + int64(len(course))*int64(time.Second)
 	before, was := of(e.Start, first)
-	after, is := of(last+refusedAfter*int64(time.Second), end)
+	after, is := of(last+settlingSeconds*int64(time.Second), end)
 	if !was || !is {
 		return
 	}
 	f["refused_before"], f["refused_after"] = before, after-before
 	begin := int((last - e.Start + int64(time.Second) - 1) / int64(time.Second)) // the first whole second after it
 	back := len(course)
-	for s := begin; s+refusedFor <= len(course); s++ {
-		share, _ := of(e.Start+int64(s)*int64(time.Second), e.Start+int64(s+refusedFor)*int64(time.Second))
-		if share <= before+refusedNear {
+	for s := begin; s+recoveredSeconds <= len(course); s++ {
+		share, _ := of(e.Start+int64(s)*int64(time.Second), e.Start+int64(s+recoveredSeconds)*int64(time.Second))
+		if share <= before+recoveredTolerance {
 			back = s
 			break
 		}
--- a/internal/lab/check/avoid.go
+++ b/internal/lab/check/avoid.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	knewFor = 10 * int64(time.Second) // before a silence: who sent to the server then may send there again
-	avoided = 0.95                    // of them
+	recentUse    = 10 * int64(time.Second) // before a silence: who sent to the server then may send there again
+	avoidedShare = 0.95                    // of them
 )
 
-// avoidFigures are how fast a fleet learns that servers have fallen silent: avoid95_ms, from the moment of it until 95% of the sidecars that
+// avoidanceFigures are how fast a fleet learns that servers have fallen silent: avoid95_ms, from the moment of it until 95% of the sidecars that
 // sent there in the 10 s before have sent there for the last time of the silence (of the server for which that takes longest), and
 // learn_attempts, how many attempts a silent server was sent meanwhile, by all together. A sidecar that tries a silent server in its turn
 // has not stopped: one in twenty may. They are left out where no server fell silent that anybody used.
-func (e *Evidence) avoidFigures(f Figures) {
+func (e *Evidence) avoidanceFigures(f Figures) {
 	servers, attempts, worst := 0, 0, int64(0)
-	for uid, spans := range e.silent() {
+	for uid, spans := range e.unresponsive() {
 		for i, s := range spans {
 			if i > 0 && spans[i-1].To == s.From {
 				continue // one silence, of which another cause goes on
@@ -28,7 +28,7 @@
 			last := map[int]int64{} // of the sidecars that sent before: when last, from the start of the silence
 			n := 0
 			for _, a := range e.ServerAttempts {
-				if a.Server == uid && a.First >= s.From-knewFor && a.First < s.From {
+				if a.Server == uid && a.First >= s.From-recentUse && a.First < s.From {
 					last[a.Near] = max(last[a.Near], 0)
 				}
 			}
@@ -50,7 +50,7 @@
 			}
 			slices.Sort(times)
 			servers, attempts = servers+1, attempts+n
-			worst = max(worst, times[int(math.Ceil(avoided*float64(len(times))))-1])
+			worst = max(worst, times[int(math.Ceil(avoidedShare*float64(len(times))))-1])
 		}
 	}
 	if servers > 0 {
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -71,43 +71,43 @@
 	for _, all := range attempts {
 		slices.SortFunc(all, func(a, b ctl.Attempt) int { return cmp.Compare(a.First, b.First) })
 	}
-	e.answers(f, attempts)
-	e.attempts(f, attempts)
-	e.drained(f)
-	e.keepers(f)
-	e.routes(f)
-	f.look("cold", e.coldServers())
+	e.checkResponses(f, attempts)
+	e.checkAttempts(f, attempts)
+	e.checkDrained(f)
+	e.checkRegistry(f)
+	e.checkRoutes(f)
+	f.observe("cold", e.coldServers())
 	for _, n := range e.Falls {
-		f.add("cold", "server %s fell over at %s", n.UID, e.when(n.At))
+		f.violation("cold", "server %s fell over at %s", n.UID, e.when(n.At))
 	}
-	f.look("no-crash", len(e.Exits))
+	f.observe("no-crash", len(e.Exits))
 	for _, x := range e.Exits {
 		if !x.Wanted || x.Code > 0 {
-			f.add("no-crash", "%s ended at %s: %s", x.Name, e.when(x.At), x.How)
+			f.violation("no-crash", "%s ended at %s: %s", x.Name, e.when(x.At), x.How)
 		}
 	}
 	limits := &e.Plan.File.Limits
 	for i, p := range e.Peaks {
 		if p.MemoryMB > 0 { // it was sampled
-			f.look("memory", 1)
+			f.observe("memory", 1)
 		}
 		if p.Descriptors > 0 {
-			f.look("descriptors", 1)
+			f.observe("descriptors", 1)
 		}
 		if p.MemoryMB > limits.MemoryMB {
-			f.add("memory", "%s held %.0f MB, %.0f at most", e.Plan.Sidecars[i].Name, p.MemoryMB, limits.MemoryMB)
+			f.violation("memory", "%s held %.0f MB, %.0f at most", e.Plan.Sidecars[i].Name, p.MemoryMB, limits.MemoryMB)
 		}
 		if p.Descriptors > limits.Descriptors {
-			f.add("descriptors", "%s held %d descriptors, %d at most", e.Plan.Sidecars[i].Name, p.Descriptors, limits.Descriptors)
+			f.violation("descriptors", "%s held %d descriptors, %d at most", e.Plan.Sidecars[i].Name, p.Descriptors, limits.Descriptors)
 		}
 	}
-	f.look("lab-on-time", len(e.ClientAttempts))
+	f.observe("lab-on-time", len(e.ClientAttempts))
 	if most := plan.Millis(limits.LatenessMS); e.Lateness > most {
-		f.add("lab-on-time", "void: the lab sent %v late at the 99th percentile, %v at most", e.Lateness, most)
+		f.violation("lab-on-time", "void: the lab sent %v late at the 99th percentile, %v at most", e.Lateness, most)
 	}
 	verdicts := make([]Verdict, 0, len(plan.Invariants))
 	for _, v := range plan.Invariants {
-		f[v.Name].judge()
+		f[v.Name].conclude()
 		verdicts = append(verdicts, *f[v.Name])
 	}
 	return verdicts
@@ -147,15 +147,15 @@
 	return false
 }
 
-// answers checks one-answer and in-time.
-func (e *Evidence) answers(f findings, attempts map[string][]ctl.Attempt) {
+// checkResponses checks one-answer and in-time.
+func (e *Evidence) checkResponses(f findings, attempts map[string][]ctl.Attempt) {
 	limits := &e.Plan.File.Limits
 	for i := range e.ClientAttempts {
 		t := &e.ClientAttempts[i]
 		name := e.Plan.Sidecars[t.Sidecar].Name
 		if t.ResentAt != 0 && len(attempts[t.ID]) > 0 && attempts[t.ID][0].First < t.ResentAt && !e.excused(t.Sidecar, t.Began, t.Ended) {
 			// The client took it that nobody had read the request, but a server had got it.
-			f.add("one-answer", "%s hung up on request %s after it had sent it on", name, t.ID)
+			f.violation("one-answer", "%s hung up on request %s after it had sent it on", name, t.ID)
 		}
 		if t.Sent == 0 {
 			continue // no sidecar has taken it
@@ -163,26 +163,26 @@
 		late := t.Sent + int64(t.Timeout) + int64(plan.Millis(limits.AnswerSlackMS))
 		excused := e.excused(t.Sidecar, t.Began, t.Ended)
 		if t.Status != 0 || !excused {
-			f.look("one-answer", 1)
+			f.observe("one-answer", 1)
 		}
 		if t.Status != 0 && !excused {
-			f.look("in-time", 1)
+			f.observe("in-time", 1)
 		}
 		switch {
 		case t.Status == 0 && !excused:
-			f.add("one-answer", "%s took request %s at %s and gave no answer: %s", name, t.ID, e.when(t.Sent), t.Fault)
+			f.violation("one-answer", "%s took request %s at %s and gave no answer: %s", name, t.ID, e.when(t.Sent), t.Fault)
 		case t.Status == 200 && !slices.ContainsFunc(attempts[t.ID], func(a ctl.Attempt) bool { return a.Outcome == "served" && a.Server == t.ServedBy }):
-			f.add("one-answer", "%s served request %s by %q, which no server says", name, t.ID, t.ServedBy)
+			f.violation("one-answer", "%s served request %s by %q, which no server says", name, t.ID, t.ServedBy)
 		case t.Status != 0 && t.Ended > late && !excused:
-			f.add("in-time", "%s answered request %s %v after its time", name, t.ID, time.Duration(t.Ended-t.Sent)-t.Timeout)
+			f.violation("in-time", "%s answered request %s %v after its time", name, t.ID, time.Duration(t.Ended-t.Sent)-t.Timeout)
 		}
 	}
 }
 
-const mostAttempts = 3
+const maxAttempts = 3
 
-// attempts checks no-duplicate and one-at-a-time.
-func (e *Evidence) attempts(f findings, attempts map[string][]ctl.Attempt) {
+// checkAttempts checks no-duplicate and one-at-a-time.
+func (e *Evidence) checkAttempts(f findings, attempts map[string][]ctl.Attempt) {
 	tries := make(map[string]*load.Attempt, len(e.ClientAttempts))
 	for i := range e.ClientAttempts {
 		tries[e.ClientAttempts[i].ID] = &e.ClientAttempts[i]
@@ -191,36 +191,36 @@
 	for _, id := range slices.Sorted(maps.Keys(attempts)) {
 		all := attempts[id]
 		t := tries[id]
-		f.look("no-duplicate", 1)
+		f.observe("no-duplicate", 1)
 		if t == nil {
-			f.add("no-duplicate", "server %s got request %q, which no client sent", all[0].Server, id)
+			f.violation("no-duplicate", "server %s got request %q, which no client sent", all[0].Server, id)
 			continue
 		}
 		if t.ResentAt != 0 && e.excused(t.Sidecar, t.Began, t.Ended) {
 			continue // sent to two processes
 		}
-		most := mostAttempts
+		most := maxAttempts
 		if t.ResentAt != 0 {
 			most *= 2
 		}
 		if len(all) > most {
-			f.add("no-duplicate", "request %s was sent %d times, %d at most", id, len(all), most)
+			f.violation("no-duplicate", "request %s was sent %d times, %d at most", id, len(all), most)
 		}
 		for i := 1; i < len(all); i++ {
 			before, a := all[i-1], all[i]
-			f.look("one-at-a-time", 1)
+			f.observe("one-at-a-time", 1)
 			if !e.Plan.File.Classes[t.Class].Safe && before.Outcome != "turned" {
-				f.add("no-duplicate", "request %s may have run at %s (%s) and went to %s at %s", id, before.Server, before.Outcome, a.Server, e.when(a.First))
+				f.violation("no-duplicate", "request %s may have run at %s (%s) and went to %s at %s", id, before.Server, before.Outcome, a.Server, e.when(a.First))
 			}
 			if before.End == 0 || before.End > a.First+slack {
-				f.add("one-at-a-time", "request %s went to %s at %s while its attempt at %s was out", id, a.Server, e.when(a.First), before.Server)
+				f.violation("one-at-a-time", "request %s went to %s at %s while its attempt at %s was out", id, a.Server, e.when(a.First), before.Server)
 			}
 		}
 	}
 }
 
-// drained checks that nothing new goes to a server that a sidecar was told drains or is gone.
-func (e *Evidence) drained(f findings) {
+// checkDrained checks that nothing new goes to a server that a sidecar was told drains or is gone.
+func (e *Evidence) checkDrained(f findings) {
 	type pair struct {
 		near   int
 		server string
@@ -235,14 +235,14 @@
 	}
 	for _, all := range told {
 		if slices.ContainsFunc(all, func(t ctl.ListUpdate) bool { return t.State != "SERVING" }) {
-			f.look("drained", 1)
+			f.observe("drained", 1)
 		}
 	}
 	limits := &e.Plan.File.Limits
 	grace := int64(plan.Millis(limits.DrainGraceMS + limits.SlackMS))
 	for _, a := range e.ServerAttempts {
 		since, state := int64(0), ""
-		born := e.bornBefore(a.Near, a.First)
+		born := e.processStart(a.Near, a.First)
 		for _, t := range told[pair{a.Near, a.Server}] {
 			if t.At > a.First || t.At < born {
 				continue // not told yet, or to a process before this one
@@ -254,14 +254,14 @@
 			}
 		}
 		if since != 0 && a.First > since+grace && !e.stopped(a.Near, since, a.First) {
-			f.add("drained", "%s sent request %s to %s at %s, %v after it was told %s", e.Plan.Sidecars[a.Near].Name, a.ID, a.Server,
+			f.violation("drained", "%s sent request %s to %s at %s, %v after it was told %s", e.Plan.Sidecars[a.Near].Name, a.ID, a.Server,
 				e.when(a.First), time.Duration(a.First-since).Round(time.Millisecond), state)
 		}
 	}
 }
 
-// bornBefore is the start of the process of a sidecar that ran at t.
-func (e *Evidence) bornBefore(sidecar int, t int64) int64 {
+// processStart is the start of the process of a sidecar that ran at t.
+func (e *Evidence) processStart(sidecar int, t int64) int64 {
 	born := int64(0)
 	for _, r := range e.Runs[sidecar] {
 		if r.From <= t {
--- a/internal/lab/check/figures.go
+++ b/internal/lab/check/figures.go
@@ -29,12 +29,12 @@
 type Figures map[string]float64
 
 // most of a latency histogram, in microseconds.
-const mostLatency = int64(time.Minute / time.Microsecond)
+const maxLatencyMicros = int64(time.Minute / time.Microsecond)
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, mostLatency, 3) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatencyMicros, 3) }
 
-func note(h *hdrhistogram.Histogram, ns int64) {
-	_ = h.RecordValue(min(max(ns/int64(time.Microsecond), 1), mostLatency)) // always within its range
+func recordLatency(h *hdrhistogram.Histogram, ns int64) {
+	_ = h.RecordValue(min(max(ns/int64(time.Microsecond), 1), maxLatencyMicros)) // always within its range
 }
 
 func quantile(h *hdrhistogram.Histogram, q float64) float64 {
@@ -85,8 +85,8 @@
 			case took <= class.GiveUpMS:
 				got = worth * class.LateValue
 			}
-			note(latency, t.Ended-e.Start-int64(a.At))
-			note(within[min(int(a.At/time.Second), n-1)], t.Ended-e.Start-int64(a.At))
+			recordLatency(latency, t.Ended-e.Start-int64(a.At))
+			recordLatency(within[min(int(a.At/time.Second), n-1)], t.Ended-e.Start-int64(a.At))
 		}
 		served := slices.ContainsFunc(all, func(t *load.Attempt) bool { return t.Status == 200 })
 		switch {
@@ -135,14 +135,14 @@
 		worst = min(worst, share(c))
 	}
 	f["served_worst_class"] = worst
-	e.keeperFigures(f)
+	e.registryFigures(f)
 	e.routeFigures(f)
 	e.hitterFigures(f)
 	e.spreadFigures(f, course)
 	e.churnFigure(f)
-	e.refusals(f, course)
-	e.avoidFigures(f)
-	e.gossip(f)
+	e.rejectionFigures(f, course)
+	e.avoidanceFigures(f)
+	e.gossipFigures(f)
 	worst = 1.0
 	for i := range max(1, n-worstSeconds+1) {
 		var s sum
@@ -161,7 +161,7 @@
 func Lateness(tries []load.Attempt) time.Duration {
 	h := newHistogram()
 	for i := range tries {
-		note(h, tries[i].Began-tries[i].Due)
+		recordLatency(h, tries[i].Began-tries[i].Due)
 	}
 	return time.Duration(h.ValueAtQuantile(99)) * time.Microsecond
 }
@@ -191,7 +191,7 @@
 			v.Broken = 1
 			v.Detail = []string{fmt.Sprintf("it is %s, wanted %s", found, v.Bar)}
 		}
-		v.judge()
+		v.conclude()
 		verdicts = append(verdicts, v)
 	}
 	return verdicts
--- a/internal/lab/check/hitters.go
+++ b/internal/lab/check/hitters.go
@@ -10,16 +10,16 @@
 // Here is whom sidecars took for clients that ask for too much, by what the clients saw. What they truly asked for is in the
 // plan: it does not hang on what became of it.
 const (
-	// gaveWay is the least time after which a request that gave way may come back. What is refused for want of room may
+	// minYield is the least time after which a request that gave way may come back. What is refused for want of room may
 	// come back within the shortest aim, which is under it.
-	gaveWay = time.Second
-	// judged is the time within which a client that asks for twice the upper bar must be held for heavy, and for which one
+	minYield = time.Second
+	// detectionTime is the time within which a client that asks for twice the upper bar must be held for heavy, and for which one
 	// that no longer does may be.
-	judged = 3 * time.Second
-	// sentBy is how many requests a client must have sent by a sidecar, while servers were full, for it to be missed there.
-	sentBy = 10
-	// fullFrom is the share of a second's requests that are refused from which servers count as full.
-	fullFrom = 0.02
+	detectionTime = 3 * time.Second
+	// minRequestsPerSidecar is how many requests a client must have sent by a sidecar, while servers were full, for it to be missed there.
+	minRequestsPerSidecar = 10
+	// fullThreshold is the share of a second's requests that are refused from which servers count as full.
+	fullThreshold = 0.02
 )
 
 // hitterFigures are how many of the requests that gave way were of clients above the bar (hitter_precision), at how many
@@ -49,7 +49,7 @@
 		seen[e.ServerAttempts[i].ID] = true
 	}
 	over := func(client, s int, bar float64) bool { return asked[s][client] >= bar*whole[s] }
-	long := int(judged / time.Second)
+	long := int(detectionTime / time.Second)
 	lately := func(client, s int) bool {
 		for from := max(0, s-long); from <= s; from++ {
 			if over(client, from, high) {
@@ -74,7 +74,7 @@
 			refused[s]++
 		}
 	}
-	full := func(s int) bool { return float64(refused[s]) >= fullFrom*float64(requests[s]) && refused[s] > 0 }
+	full := func(s int) bool { return float64(refused[s]) >= fullThreshold*float64(requests[s]) && refused[s] > 0 }
 	type pair struct{ client, sidecar int }
 	sent, gave := map[pair]int{}, map[pair]int{}
 	first := map[int]time.Duration{}
@@ -83,7 +83,7 @@
 		t := &e.ClientAttempts[i]
 		a := &p.Arrivals[t.Arrival]
 		s, who := second(t.Arrival), pair{a.Client, t.Sidecar}
-		yields := t.Status == 503 && t.RetryAfter >= gaveWay && !seen[t.ID]
+		yields := t.Status == 503 && t.RetryAfter >= minYield && !seen[t.ID]
 		if yields {
 			all++
 			if lately(a.Client, s) {
@@ -103,14 +103,14 @@
 		f["hitter_precision"] = float64(right) / float64(all)
 	}
 	f["hitter_yields"] = float64(all) / max(float64(len(e.ClientAttempts)), 1)
-	e.soundLoss(f)
+	e.floodLossFigure(f)
 	missed, held := 0, 0
 	latest := time.Duration(-1)
 	for who, n := range sent {
 		switch {
 		case gave[who] > 0:
 			held++
-		case n >= sentBy:
+		case n >= minRequestsPerSidecar:
 			missed++
 		}
 	}
@@ -143,22 +143,22 @@
 	}
 }
 
-// soundLoss is the share of the worth that was served of those who do not flood, without any flood less with them, while they last and
+// floodLossFigure is the share of the worth that was served of those who do not flood, without any flood less with them, while they last and
 // from when they should be judged on (hitter_sound_loss). It takes a second run, without the floods.
-func (e *Evidence) soundLoss(f Figures) {
-	from, to, floods := e.Plan.File.Flooded(judged)
+func (e *Evidence) floodLossFigure(f Figures) {
+	from, to, floods := e.Plan.File.Flooded(detectionTime)
 	if e.WithoutFloods == nil || !floods {
 		return
 	}
-	without, a := e.WithoutFloods.sound(from, to)
-	with, b := e.sound(from, to)
+	without, a := e.WithoutFloods.valueShareWithoutFloods(from, to)
+	with, b := e.valueShareWithoutFloods(from, to)
 	if a && b {
 		f["hitter_sound_loss"] = without - with
 	}
 }
 
-// sound is the share of the worth of who do not flood that was served of what arrived within a time; false: nothing did.
-func (e *Evidence) sound(from, to time.Duration) (float64, bool) {
+// valueShareWithoutFloods is the share of the worth of who do not flood that was served of what arrived within a time; false: nothing did.
+func (e *Evidence) valueShareWithoutFloods(from, to time.Duration) (float64, bool) {
 	p := e.Plan
 	got := make([]float64, len(p.Arrivals))
 	for i := range e.ClientAttempts {
--- a/internal/lab/check/hitters_test.go
+++ b/internal/lab/check/hitters_test.go
@@ -87,10 +87,10 @@
 		return e
 	}
 	e, got := play(true, 3), Figures{}
-	if e.soundLoss(got); len(got) != 0 {
+	if e.floodLossFigure(got); len(got) != 0 {
 		t.Errorf("without a twin: %v", got)
 	}
 	e.WithoutFloods = play(false, 1)
-	e.soundLoss(got)
+	e.floodLossFigure(got)
 	near(t, "loss", got["hitter_sound_loss"], 2.0/7)
 }
--- a/internal/lab/check/keepers.go
+++ b/internal/lab/check/keepers.go
@@ -30,8 +30,8 @@
 	Before      float64 // seconds of a core at that
 }
 
-// reader tells whether a near end reads the list at the end: a sidecar that has not left, or a client that only watches.
-func reader(p *plan.Plan, near int) bool {
+// isReader tells whether a near end reads the list at the end: a sidecar that has not left, or a client that only watches.
+func isReader(p *plan.Plan, near int) bool {
 	return near < len(p.Sidecars) && p.Sidecars[near].To == 0 || near >= p.NearWatcher(0)
 }
 
@@ -44,31 +44,31 @@
 		}
 	}
 	for near := range p.Nears() {
-		if reader(p, near) && told[near] < last.Rev {
+		if isReader(p, near) && told[near] < last.Rev {
 			all = append(all, near)
 		}
 	}
 	return all
 }
 
-func (e *Evidence) keepers(f findings) {
+func (e *Evidence) checkRegistry(f findings) {
 	if e.Plan.File.Registry.Count == 0 {
 		return
 	}
-	e.linearizable(f)
-	e.revisions(f)
+	e.checkLinearizable(f)
+	e.checkRevisions(f)
 	if e.Last.Rev == 0 {
-		f.add("told-all", "no keeper leads at the end")
+		f.violation("told-all", "no keeper leads at the end")
 		return
 	}
-	f.look("told-all", e.toldChanges())
+	f.observe("told-all", e.readersOfChanges())
 	for _, near := range LaggingReaders(e.Plan, e.RegistryUpdates, e.Last) {
-		f.add("told-all", "reader %d was not told revision %d", near, e.Last.Rev)
+		f.violation("told-all", "reader %d was not told revision %d", near, e.Last.Rev)
 	}
 }
 
-// toldChanges is how many readers there were to be told what changed while the load ran; 0: nothing did.
-func (e *Evidence) toldChanges() (readers int) {
+// readersOfChanges is how many readers there were to be told what changed while the load ran; 0: nothing did.
+func (e *Evidence) readersOfChanges() (readers int) {
 	before := int64(0) // the highest revision that was shown before the load
 	for _, s := range e.RegistryUpdates {
 		if s.At < e.Start && s.Cluster == e.Last.Cluster {
@@ -79,7 +79,7 @@
 		return 0
 	}
 	for near := range e.Plan.Nears() {
-		if reader(e.Plan, near) {
+		if isReader(e.Plan, near) {
 			readers++
 		}
 	}
@@ -92,8 +92,8 @@
 	value int
 }
 
-// register is one that is written with compare and set: each write names the revision that it replaces.
-var register = porcupine.NondeterministicModel{
+// registerModel is one that is written with compare and set: each write names the revision that it replaces.
+var registerModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{entry{}} },
 	Step: func(state, input, output any) []any {
 		now, w := state.(entry), input.(ctl.RegistryCall)
@@ -123,10 +123,10 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-const judgeWithin = 20 * time.Second // for one entry's history
+const linearizabilityTimeout = 20 * time.Second // for one entry's history
 
-// linearizable checks what the lab's own clients wrote and read, entry by entry (Herlihy and Wing, 1990).
-func (e *Evidence) linearizable(f findings) {
+// checkLinearizable checks what the lab's own clients wrote and read, entry by entry (Herlihy and Wing, 1990).
+func (e *Evidence) checkLinearizable(f findings) {
 	keys := map[int][]porcupine.Operation{}
 	for _, w := range e.RegistryCalls {
 		if w.Outcome == "none" {
@@ -136,22 +136,22 @@
 		if w.Outcome == "uncertain" {
 			end = math.MaxInt64
 		}
-		f.look("linearizable", 1)
+		f.observe("linearizable", 1)
 		keys[w.Key] = append(keys[w.Key], porcupine.Operation{ClientId: w.Client, Input: w, Output: w, Call: w.Call, Return: end})
 	}
-	judge := register.ToModel()
+	judge := registerModel.ToModel()
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
-		switch porcupine.CheckOperationsTimeout(judge, keys[key], judgeWithin) {
+		switch porcupine.CheckOperationsTimeout(judge, keys[key], linearizabilityTimeout) {
 		case porcupine.Illegal:
-			f.add("linearizable", "the %d operations on entry %d fit no order", len(keys[key]), key)
+			f.violation("linearizable", "the %d operations on entry %d fit no order", len(keys[key]), key)
 		case porcupine.Unknown:
-			f.add("linearizable", "the %d operations on entry %d could not be judged within %v", len(keys[key]), key, judgeWithin)
+			f.violation("linearizable", "the %d operations on entry %d could not be judged within %v", len(keys[key]), key, linearizabilityTimeout)
 		}
 	}
 }
 
-// revisions checks what each watch was shown, in the order in which it came.
-func (e *Evidence) revisions(f findings) {
+// checkRevisions checks what each watch was shown, in the order in which it came.
+func (e *Evidence) checkRevisions(f findings) {
 	conns := map[int64][]ctl.RegistryUpdate{}
 	for _, s := range e.RegistryUpdates {
 		if s.Watch {
@@ -159,26 +159,26 @@
 		}
 	}
 	for conn, all := range conns {
-		f.look("revisions", len(all))
+		f.observe("revisions", len(all))
 		slices.SortStableFunc(all, func(a, b ctl.RegistryUpdate) int { return cmp.Compare(a.At, b.At) })
 		at := all[0].KnownRevision
 		for _, s := range all { // a whole list may come instead of changes, but never from behind
 			where := fmt.Sprintf("connection %d of reader %d to %s at %s", conn, s.Near, s.Node, e.when(s.At))
 			switch {
 			case s.Rev < at:
-				f.add("revisions", "%s: revision %d after %d", where, s.Rev, at)
+				f.violation("revisions", "%s: revision %d after %d", where, s.Rev, at)
 			case !s.Complete && s.ServerCount > 0 && s.Rev != at+int64(s.ServerCount):
-				f.add("revisions", "%s: %d changes lead from revision %d to %d", where, s.ServerCount, at, s.Rev)
+				f.violation("revisions", "%s: %d changes lead from revision %d to %d", where, s.ServerCount, at, s.Rev)
 			case !s.Complete && s.ServerCount == 0 && s.Rev != at:
-				f.add("revisions", "%s: nothing changed from revision %d to %d", where, at, s.Rev)
+				f.violation("revisions", "%s: nothing changed from revision %d to %d", where, at, s.Rev)
 			}
 			at = s.Rev
 		}
 	}
 }
 
-// keeperFigures are what the keepers did, for those who wrote and those who read.
-func (e *Evidence) keeperFigures(figures Figures) {
+// registryFigures are what the keepers did, for those who wrote and those who read.
+func (e *Evidence) registryFigures(figures Figures) {
 	if e.Plan.File.Registry.Count == 0 {
 		return
 	}
@@ -190,7 +190,7 @@
 		switch {
 		case w.Write && w.Outcome == "ok":
 			done++
-			note(took, w.Return-w.Call)
+			recordLatency(took, w.Return-w.Call)
 			ends = append(ends, w.Return)
 			called[w.Rev] = w.Call
 		case w.Write && w.Outcome == "uncertain":
@@ -221,14 +221,14 @@
 	}
 	for rev, at := range last {
 		if from, ok := called[rev]; ok {
-			note(told, at-from)
+			recordLatency(told, at-from)
 		}
 	}
 	slices.SortFunc(e.RegistryCalls, func(a, b ctl.RegistryCall) int { return cmp.Compare(a.Return, b.Return) })
 	failover := newHistogram()
 	for _, kill := range e.Kills { // to the first write that was called afterwards and acknowledged
 		if i := slices.IndexFunc(e.RegistryCalls, func(w ctl.RegistryCall) bool { return w.Write && w.Outcome == "ok" && w.Call > kill }); i >= 0 {
-			note(failover, e.RegistryCalls[i].Return-kill)
+			recordLatency(failover, e.RegistryCalls[i].Return-kill)
 		}
 	}
 	put := func(name string, v float64, seen bool) {
--- a/internal/lab/check/routes.go
+++ b/internal/lab/check/routes.go
@@ -18,8 +18,8 @@
 	Table        routes.Table
 }
 
-// routesOf is the hash of what a sidecar needs of a table.
-func routesOf(p *plan.Plan, near int, t routes.Table) string {
+// relevantHash is the hash of what a sidecar needs of a table.
+func relevantHash(p *plan.Plan, near int, t routes.Table) string {
 	return t.Relevant(map[string]string{"service": p.AppOf(near), "region": p.Sidecars[near].Zone}, "rec-api").Hash()
 }
 
@@ -32,8 +32,8 @@
 	return last + int64(plan.Seconds(e.Plan.File.Routes.BoundS))
 }
 
-// routes checks what keepers wrote of routes to sidecars against the tables that the lab put. Nothing that a sidecar says of itself counts.
-func (e *Evidence) routes(f findings) {
+// checkRoutes checks what keepers wrote of checkRoutes to sidecars against the tables that the lab put. Nothing that a sidecar says of itself counts.
+func (e *Evidence) checkRoutes(f findings) {
 	if e.Plan.File.Routes.Apps == 0 {
 		return
 	}
@@ -50,7 +50,7 @@
 	}
 	last, due := e.Tables[len(e.Tables)-1], e.routesDue()
 	for near := range e.Plan.Sidecars {
-		if !reader(e.Plan, near) {
+		if !isReader(e.Plan, near) {
 			continue
 		}
 		all := said[near]
@@ -59,32 +59,32 @@
 		held, at, gen := "", int64(0), map[string]int64{}
 		for _, s := range all {
 			if s.Generation < gen[s.Cluster] && s.Cluster != "" {
-				f.add("routes", "%s was told generation %d at %s, after %d", name, s.Generation, e.when(s.At), gen[s.Cluster])
+				f.violation("routes", "%s was told generation %d at %s, after %d", name, s.Generation, e.when(s.At), gen[s.Cluster])
 			}
 			if s.Cluster == "" || s.Hash == "" {
 				continue // it says only that nothing changed
 			}
 			gen[s.Cluster] = s.Generation
-			f.look("routes", 1)
-			if i, known := put[s.Generation]; known && s.Hash != routesOf(e.Plan, near, e.Tables[i].Table) {
-				f.add("routes", "%s was told another table for generation %d at %s than was put", name, s.Generation, e.when(s.At))
+			f.observe("routes", 1)
+			if i, known := put[s.Generation]; known && s.Hash != relevantHash(e.Plan, near, e.Tables[i].Table) {
+				f.violation("routes", "%s was told another table for generation %d at %s than was put", name, s.Generation, e.when(s.At))
 			}
 			if held != s.Hash {
 				held, at = s.Hash, s.At
 			}
 		}
 		switch {
-		case held != routesOf(e.Plan, near, last.Table):
-			f.add("routes", "%s was not told generation %d", name, last.Gen)
+		case held != relevantHash(e.Plan, near, last.Table):
+			f.violation("routes", "%s was not told generation %d", name, last.Gen)
 		case at > due:
-			f.add("routes", "%s was told generation %d %v after it was due", name, last.Gen, time.Duration(at-due).Round(time.Millisecond))
+			f.violation("routes", "%s was told generation %d %v after it was due", name, last.Gen, time.Duration(at-due).Round(time.Millisecond))
 		}
 	}
 }
 
-// astray is the share of the attempts, while tables led to no server, that went to servers to which the ones before did not lead
+// astrayFigure is the share of the attempts, while tables led to no server, that went to servers to which the ones before did not lead
 // (route_astray). That requests are answered does not show whether sidecars held the table before: where none serves, any server does.
-func (e *Evidence) astray(f Figures) {
+func (e *Evidence) astrayFigure(f Figures) {
 	r := &e.Plan.File.Routes
 	if !r.Narrow || r.Nowhere[1] == 0 {
 		return
@@ -113,7 +113,7 @@
 	if e.Plan.File.Routes.Apps == 0 || len(e.Tables) == 0 {
 		return
 	}
-	e.astray(f)
+	e.astrayFigure(f)
 	said := map[int][]ctl.RouteUpdate{}
 	var sum, wholes, diffs float64
 	for _, s := range e.RouteUpdates {
@@ -132,7 +132,7 @@
 	h := newHistogram()
 	most := int64(0)
 	for near := range e.Plan.Sidecars {
-		if !reader(e.Plan, near) {
+		if !isReader(e.Plan, near) {
 			continue
 		}
 		lines := said[near]
@@ -140,7 +140,7 @@
 		next := 0
 		for i := 1; i < len(e.Tables); i++ {
 			r := e.Tables[i]
-			if routesOf(e.Plan, near, r.Table) == routesOf(e.Plan, near, e.Tables[i-1].Table) {
+			if relevantHash(e.Plan, near, r.Table) == relevantHash(e.Plan, near, e.Tables[i-1].Table) {
 				continue
 			}
 			for next < len(lines) && (lines[next].Generation < r.Gen || lines[next].At < r.Call) {
@@ -150,8 +150,8 @@
 			if next < len(lines) {
 				took = lines[next].At - r.Call
 			}
-			note(h, took)
-			most = max(most, min(took, mostLatency*int64(time.Microsecond)))
+			recordLatency(h, took)
+			most = max(most, min(took, maxLatencyMicros*int64(time.Microsecond)))
 		}
 	}
 	f["route_told_p50_ms"], f["route_told_p99_ms"], f["route_told_most_ms"] = quantile(h, 50), quantile(h, 99), float64(most)/1e6
--- a/internal/lab/check/routes_test.go
+++ b/internal/lab/check/routes_test.go
@@ -48,7 +48,7 @@
 			}
 			say := func(near int, gen int64, all bool) {
 				r := e.Tables[gen-1]
-				e.RouteUpdates = append(e.RouteUpdates, ctl.RouteUpdate{Near: near, Generation: gen, Complete: all, Cluster: "c", Bytes: 100, At: r.Call + 30*ms, Hash: routesOf(e.Plan, near, r.Table)})
+				e.RouteUpdates = append(e.RouteUpdates, ctl.RouteUpdate{Near: near, Generation: gen, Complete: all, Cluster: "c", Bytes: 100, At: r.Call + 30*ms, Hash: relevantHash(e.Plan, near, r.Table)})
 			}
 			say(0, 1, true)
 			say(1, 1, true)
@@ -77,6 +77,6 @@
 	e.send(5, 0, "a", 6, 10)
 	e.send(7, 0, "b", 2, 10)
 	e.send(8, 0, "b", 10, 10)
-	e.astray(got)
+	e.astrayFigure(got)
 	near(t, "astray", got["route_astray"], 0.25)
 }
--- a/internal/lab/check/spread.go
+++ b/internal/lab/check/spread.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	spreadRequests = 10 // a server, under which seconds are joined
-	worstSeconds   = 10
+	minRequestsPerServer = 10 // a server, under which seconds are joined
+	worstSeconds         = 10
 )
 
 // window is some whole seconds of the load.
@@ -46,12 +46,12 @@
 	began := 0
 	for from, to := 0, 1; to <= n; to++ {
 		began += counts[to-1]
-		if began < spreadRequests*e.Plan.InitialServers {
+		if began < minRequestsPerServer*e.Plan.InitialServers {
 			continue
 		}
 		most, sum, servers := 0.0, 0.0, 0
 		for uid, spans := range ready {
-			if !throughout(spans, e.Start+int64(from)*int64(time.Second), e.Start+int64(to)*int64(time.Second)) {
+			if !covers(spans, e.Start+int64(from)*int64(time.Second), e.Start+int64(to)*int64(time.Second)) {
 				continue
 			}
 			done := int64(0)
@@ -84,7 +84,7 @@
 		}
 	}
 	before, n := 0.0, 0
-	first, _, faulty := e.troubled()
+	first, _, faulty := e.faultPeriod()
 	for _, w := range all {
 		if faulty && e.Start+int64(w.to)*int64(time.Second) <= first {
 			before, n = before+w.spread*float64(w.to-w.from), n+w.to-w.from
@@ -110,8 +110,8 @@
 }
 
 const (
-	churnPieces = 5 * int64(time.Second)
-	churnSeen   = 4 // sends a server in a window: then one in 55 of its servers is missed (e^-4)
+	churnInterval     = 5 * int64(time.Second)
+	minSendsPerServer = 4 // sends a server in a window: then one in 55 of its servers is missed (e^-4)
 )
 
 // churnFigure is how many servers a minute came into the sets that sidecars send to, summed over all sidecars. A
@@ -134,8 +134,8 @@
 		for i, a := range all {
 			now[a.Server] = true
 			n++
-			end := e.Start + ((a.First-e.Start)/churnPieces+1)*churnPieces
-			if i+1 < len(all) && all[i+1].First < end || i+1 == len(all) || n < churnSeen*len(now) {
+			end := e.Start + ((a.First-e.Start)/churnInterval+1)*churnInterval
+			if i+1 < len(all) && all[i+1].First < end || i+1 == len(all) || n < minSendsPerServer*len(now) {
 				continue // the piece, or the window, is not over
 			}
 			if last = end; before == nil {
--- a/internal/lab/check/spread_test.go
+++ b/internal/lab/check/spread_test.go
@@ -104,7 +104,7 @@
 		want     bool
 	}{{"a", 0, 5, true}, {"a", 5, 6, false}, {"a", 7, 8, false}, {"a", 8, 10, true}, {"a", 9, 11, false}, {"a", 11, 13, false}, {"a", 12, 14, false},
 		{"a", 13, 20, true}, {"a", 19, 21, false}, {"b", 0, 9, true}, {"b", 8, 10, false}} {
-		if got := throughout(ready[tt.uid], e.Start+tt.from*sec, e.Start+tt.to*sec); got != tt.want {
+		if got := covers(ready[tt.uid], e.Start+tt.from*sec, e.Start+tt.to*sec); got != tt.want {
 			t.Errorf("%s from %d to %d s: %v", tt.uid, tt.from, tt.to, got)
 		}
 	}
@@ -144,11 +144,11 @@
 	e.send(6, 1, "a", 1, 1)
 	e.send(7, 1, "b", 1, 1)
 	f := Figures{}
-	e.avoidFigures(f)
+	e.avoidanceFigures(f)
 	near(t, "avoid95_ms", f["avoid95_ms"], 1000)
 	near(t, "learn_attempts", f["learn_attempts"], 12)
 	f, e.Plan.Steps = Figures{}, nil
-	if e.avoidFigures(f); len(f) != 0 {
+	if e.avoidanceFigures(f); len(f) != 0 {
 		t.Errorf("without a silence: %v", f)
 	}
 }
@@ -172,12 +172,12 @@
 		}
 	}
 	f := Figures{}
-	e.refusals(f, course) // over at 14 s
+	e.rejectionFigures(f, course) // over at 14 s
 	near(t, "refused_before", f["refused_before"], 0.05)
 	near(t, "refused_after", f["refused_after"], 10/110.0-0.05) // of seconds 19 to 29
 	near(t, "refused_back_s", f["refused_back_s"], 9)           // 23, 24 and 25 s have 2 of 30
 	f, e.Plan.Bands = Figures{}, nil
-	if e.refusals(f, course); len(f) != 0 {
+	if e.rejectionFigures(f, course); len(f) != 0 {
 		t.Errorf("without faults: %v", f)
 	}
 }
--- a/internal/lab/check/verdict.go
+++ b/internal/lab/check/verdict.go
@@ -22,8 +22,8 @@
 	NotSeen = "not seen" // there was nothing to look at: it has not held, and was not broken
 )
 
-// judge words what was found.
-func (v *Verdict) judge() {
+// conclude words what was found.
+func (v *Verdict) conclude() {
 	switch {
 	case v.Broken > 0:
 		v.Verdict = Broken
@@ -46,18 +46,18 @@
 	return names
 }
 
-const mostDetail = 5
+const maxDetails = 5
 
 // findings collects what was looked at for each invariant, and what broke it.
 type findings map[string]*Verdict
 
-func (f findings) add(name, form string, args ...any) {
+func (f findings) violation(name, form string, args ...any) {
 	v := f[name]
 	v.Broken++
-	if len(v.Detail) < mostDetail {
+	if len(v.Detail) < maxDetails {
 		v.Detail = append(v.Detail, fmt.Sprintf(form, args...))
 	}
 }
 
-// look notes that n things more were looked at.
-func (f findings) look(name string, n int) { f[name].LookedAt += n }
+// observe notes that n things more were looked at.
+func (f findings) observe(name string, n int) { f[name].LookedAt += n }
