--- /dev/null
+++ b/internal/lab/check/invariants.go
@@ -0,0 +1,81 @@
+// Package check holds what servers, the list and clients saw of an experiment against its invariants. Nothing here asks the
+// program. Each check has a control in lab/controls that it must find broken.
+package check
+
+import (
+	"cmp"
+	"slices"
+
+	"gradeusher.example/gradeusher/internal/lab/ctl"
+	"gradeusher.example/gradeusher/internal/lab/plan"
+)
+
+// Invariants checks all of them, in the order of plan.Invariants.
+func Invariants(e *Evidence) []Verdict {
+	f := findings{}
+	for _, v := range plan.Invariants {
+		f[v.Name] = &Verdict{Name: v.Name, Says: v.Says}
+	}
+	attempts := map[string][]ctl.Attempt{}
+	for _, a := range e.ServerAttempts {
+		attempts[a.ID] = append(attempts[a.ID], a)
+	}
+	for _, all := range attempts {
+		slices.SortFunc(all, func(a, b ctl.Attempt) int { return cmp.Compare(a.First, b.First) })
+	}
+	e.checkResponses(f, attempts)
+	e.checkAttempts(f, attempts)
+	e.checkDrained(f)
+	e.checkRegistry(f)
+	e.checkRoutes(f)
+	f.observe("cold", e.coldServers())
+	for _, n := range e.Falls {
+		f.violation("cold", "server %s fell over at %s", n.UID, e.when(n.At))
+	}
+	f.observe("no-crash", len(e.Exits))
+	for _, x := range e.Exits {
+		if !x.Wanted || x.Code > 0 {
+			f.violation("no-crash", "%s ended at %s: %s", x.Name, e.when(x.At), x.How)
+		}
+	}
+	limits := &e.Plan.File.Limits
+	for i, p := range e.Peaks {
+		if p.MemoryMB > 0 { // it was sampled
+			f.observe("memory", 1)
+		}
+		if p.Descriptors > 0 {
+			f.observe("descriptors", 1)
+		}
+		if p.MemoryMB > limits.MemoryMB {
+			f.violation("memory", "%s held %.0f MB, %.0f at most", e.Plan.Sidecars[i].Name, p.MemoryMB, limits.MemoryMB)
+		}
+		if p.Descriptors > limits.Descriptors {
+			f.violation("descriptors", "%s held %d descriptors, %d at most", e.Plan.Sidecars[i].Name, p.Descriptors, limits.Descriptors)
+		}
+	}
+	f.observe("lab-on-time", len(e.ClientAttempts))
+	if most := plan.Millis(limits.LatenessMS); e.Lateness > most {
+		f.violation("lab-on-time", "void: the lab sent %v late at the 99th percentile, %v at most", e.Lateness, most)
+	}
+	verdicts := make([]Verdict, 0, len(plan.Invariants))
+	for _, v := range plan.Invariants {
+		f[v.Name].conclude()
+		verdicts = append(verdicts, *f[v.Name])
+	}
+	return verdicts
+}
+
+// coldServers is how many processes of servers began cold and were sent a request.
+func (e *Evidence) coldServers() int {
+	type process struct {
+		server string
+		boot   int64
+	}
+	cold := map[process]bool{}
+	for _, a := range e.ServerAttempts {
+		if a.Boot > e.Start || e.Plan.File.Fleet.Start == "cold" {
+			cold[process{a.Server, a.Boot}] = true
+		}
+	}
+	return len(cold)
+}
