--- a/internal/lab/check/figures.go
+++ b/internal/lab/check/figures.go
@@ -2,12 +2,13 @@
 
 import (
 	"math"
-	"slices"
+	"net/http"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"gradeusher.example/gradeusher/internal/lab/load"
+	"gradeusher.example/gradeusher/internal/lab/plan"
 )
 
 // Second is what happened in one second of the load, by the arrival of requests.
@@ -39,120 +40,162 @@
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
 
-// Measure computes the figures and the course of a run. Worth is counted for each unit of work, as BRIEF has it.
+// Measure computes the figures and the course of a run. Value is counted per unit of work, as BRIEF has it.
 func Measure(e *Evidence) (Figures, []Second) {
-	p := e.Plan
-	n := int(math.Ceil(p.File.Seconds))
-	course := make([]Second, n)
-	latency := newHistogram()
-	within := make([]*hdrhistogram.Histogram, n)
-	for i := range within {
-		within[i] = newHistogram()
-	}
-	tries := map[int][]*load.Attempt{}
-	conns, lateRefusals := 0, 0
+	m := newMeasurement(e)
+	attempts := map[int][]*load.Attempt{} // of each arrival
 	for i := range e.ClientAttempts {
-		t := &e.ClientAttempts[i]
-		tries[t.Arrival] = append(tries[t.Arrival], t)
-		if t.Status != 200 && t.Status != 0 && t.Ended-t.Sent > int64(t.Timeout)/2 {
-			lateRefusals++
-		}
-	}
-	type sum struct{ asked, served float64 }
-	var whole sum
-	classes := make([]sum, len(p.File.Classes))
-	answered, refused, failed := 0, 0, 0
-	for i, all := range tries {
-		a := &p.Arrivals[i]
-		class := &p.File.Classes[a.Class]
-		second := &course[min(int(a.At/time.Second), n-1)]
-		worth := class.Value * a.Work.Seconds()
-		got := 0.0
-		last := all[0]
-		for _, t := range all {
-			if t.Retry {
-				last = t
-			}
-			if t.Status != 200 {
-				continue
-			}
-			took := float64(t.Ended-e.Start-int64(a.At)) / 1e6
-			switch {
-			case took <= class.LatencyTargetMS:
-				got = worth
-			case took <= class.GiveUpMS:
-				got = worth * class.LateValue
-			}
-			recordLatency(latency, t.Ended-e.Start-int64(a.At))
-			recordLatency(within[min(int(a.At/time.Second), n-1)], t.Ended-e.Start-int64(a.At))
-		}
-		served := slices.ContainsFunc(all, func(t *load.Attempt) bool { return t.Status == 200 })
-		switch {
-		case served:
-			answered++
-		case last.Status == 429 || last.Status == 503:
-			refused++
-			second.Refused++
-		default:
-			failed++
-			second.Failed++
-		}
-		second.Requests++
-		second.Asked += worth
-		second.Served += got
-		whole.asked += worth
-		whole.served += got
-		classes[a.Class].asked += worth
-		classes[a.Class].served += got
+		attempt := &e.ClientAttempts[i]
+		attempts[attempt.Arrival] = append(attempts[attempt.Arrival], attempt)
 	}
-	for _, a := range e.ServerAttempts {
-		if a.New {
-			conns++
-		}
-		if s := int((a.First - e.Start) / int64(time.Second)); s >= 0 && s < n && a.First >= e.Start {
-			course[s].Attempts++
-		}
-	}
-	for i := range course {
-		course[i].P50, course[i].P99 = quantile(within[i], 50), quantile(within[i], 99)
-	}
-	requests := float64(max(1, answered+refused+failed))
-	share := func(s sum) float64 {
-		if s.asked == 0 {
-			return 1
-		}
-		return s.served / s.asked
+	for arrival, all := range attempts {
+		m.addRequest(&e.Plan.Arrivals[arrival], all)
 	}
-	f := Figures{"served": share(whole), "answered": float64(answered) / requests, "refused": float64(refused) / requests,
-		"failed": float64(failed) / requests, "attempts": float64(len(e.ServerAttempts)) / requests, "late_refusals": float64(lateRefusals) / requests,
-		"p50_ms": quantile(latency, 50), "p99_ms": quantile(latency, 99), "p999_ms": quantile(latency, 99.9),
-		"connections": float64(conns) / requests, "requests": requests, "lateness_p99_ms": float64(e.Lateness) / 1e6}
-	worst := 1.0
-	for i, c := range classes {
-		f["served:"+p.File.Classes[i].Name] = share(c)
-		worst = min(worst, share(c))
+	for i := range m.course {
+		m.course[i].P50, m.course[i].P99 = quantile(m.latencyBySecond[i], 50), quantile(m.latencyBySecond[i], 99)
 	}
-	f["served_worst_class"] = worst
+	f := m.requestFigures()
+	m.addServerAttempts(f)
 	e.registryFigures(f)
 	e.routeFigures(f)
 	e.hitterFigures(f)
-	e.spreadFigures(f, course)
+	e.spreadFigures(f, m.course)
 	e.churnFigure(f)
-	e.rejectionFigures(f, course)
+	e.rejectionFigures(f, m.course)
 	e.avoidanceFigures(f)
 	e.gossipFigures(f)
-	worst = 1.0
-	for i := range max(1, n-worstSeconds+1) {
-		var s sum
-		for _, c := range course[i:min(i+worstSeconds, n)] {
-			s.asked += c.Asked
-			s.served += c.Served
+	m.valueFigures(f)
+	return f, m.course
+}
+
+// valueSum is the value of requests, and what of it was served.
+type valueSum struct{ asked, served float64 }
+
+func (v *valueSum) add(asked, served float64) { v.asked, v.served = v.asked+asked, v.served+served }
+
+// share is the share of the value that was served; 1 where nothing was asked.
+func (v valueSum) share() float64 {
+	if v.asked == 0 {
+		return 1
+	}
+	return v.served / v.asked
+}
+
+// measurement is what Measure counts of requests.
+type measurement struct {
+	*Evidence
+	course                     []Second
+	latency                    *hdrhistogram.Histogram // of served attempts, from the arrival
+	latencyBySecond            []*hdrhistogram.Histogram
+	total                      valueSum
+	classes                    []valueSum
+	answered, rejected, failed int // requests
+}
+
+func newMeasurement(e *Evidence) *measurement {
+	seconds := int(math.Ceil(e.Plan.File.Seconds))
+	m := &measurement{Evidence: e, course: make([]Second, seconds), latency: newHistogram(), latencyBySecond: make([]*hdrhistogram.Histogram, seconds),
+		classes: make([]valueSum, len(e.Plan.File.Classes))}
+	for i := range m.latencyBySecond {
+		m.latencyBySecond[i] = newHistogram()
+	}
+	return m
+}
+
+// addRequest counts one request by all its attempts, of which there is at least one.
+func (m *measurement) addRequest(arrival *plan.Arrival, attempts []*load.Attempt) {
+	class := &m.Plan.File.Classes[arrival.Class]
+	index := min(int(arrival.At/time.Second), len(m.course)-1)
+	second := &m.course[index]
+	value, served := class.Value*arrival.Work.Seconds(), 0.0
+	answered, last := false, attempts[0]
+	for _, attempt := range attempts {
+		if attempt.Retry {
+			last = attempt
+		}
+		if attempt.Status != http.StatusOK {
+			continue
+		}
+		answered = true
+		took := attempt.Ended - m.Start - int64(arrival.At)
+		switch ms := float64(took) / 1e6; {
+		case ms <= class.LatencyTargetMS:
+			served = value
+		case ms <= class.GiveUpMS:
+			served = value * class.LateValue
+		}
+		recordLatency(m.latency, took)
+		recordLatency(m.latencyBySecond[index], took)
+	}
+	switch {
+	case answered:
+		m.answered++
+	case last.Status == http.StatusTooManyRequests || last.Status == http.StatusServiceUnavailable:
+		m.rejected++
+		second.Refused++
+	default:
+		m.failed++
+		second.Failed++
+	}
+	second.Requests++
+	second.Asked += value
+	second.Served += served
+	m.total.add(value, served)
+	m.classes[arrival.Class].add(value, served)
+}
+
+// requests is the number of requests, at least 1.
+func (m *measurement) requests() float64 { return float64(max(1, m.answered+m.rejected+m.failed)) }
+
+// requestFigures are the figures of requests by their outcome and latency.
+func (m *measurement) requestFigures() Figures {
+	lateRejections := 0
+	for i := range m.ClientAttempts {
+		attempt := &m.ClientAttempts[i]
+		rejected := attempt.Status != http.StatusOK && attempt.Status != 0
+		if rejected && attempt.Ended-attempt.Sent > int64(attempt.Timeout)/2 {
+			lateRejections++
+		}
+	}
+	requests := m.requests()
+	return Figures{"answered": float64(m.answered) / requests, "refused": float64(m.rejected) / requests, "failed": float64(m.failed) / requests,
+		"late_refusals": float64(lateRejections) / requests, "requests": requests, "lateness_p99_ms": float64(m.Lateness) / 1e6,
+		"p50_ms": quantile(m.latency, 50), "p99_ms": quantile(m.latency, 99), "p999_ms": quantile(m.latency, 99.9)}
+}
+
+// addServerAttempts adds the figures of attempts and connections at servers, and counts attempts in the course.
+func (m *measurement) addServerAttempts(f Figures) {
+	connections := 0
+	for _, attempt := range m.ServerAttempts {
+		if attempt.New {
+			connections++
+		}
+		second := int((attempt.First - m.Start) / int64(time.Second))
+		if attempt.First >= m.Start && second < len(m.course) {
+			m.course[second].Attempts++
+		}
+	}
+	f["attempts"] = float64(len(m.ServerAttempts)) / m.requests()
+	f["connections"] = float64(connections) / m.requests()
+}
+
+// valueFigures adds the served share of the value: in all, by class, in the worst class and the worst 10 s, and together.
+func (m *measurement) valueFigures(f Figures) {
+	worstClass := 1.0
+	for i, class := range m.classes {
+		f["served:"+m.Plan.File.Classes[i].Name] = class.share()
+		worstClass = min(worstClass, class.share())
+	}
+	worstTime := 1.0
+	for i := range max(1, len(m.course)-worstSeconds+1) {
+		var sum valueSum
+		for _, second := range m.course[i:min(i+worstSeconds, len(m.course))] {
+			sum.add(second.Asked, second.Served)
 		}
-		worst = min(worst, share(s))
+		worstTime = min(worstTime, sum.share())
 	}
-	f["served_worst_10s"] = worst
+	f["served"], f["served_worst_class"], f["served_worst_10s"] = m.total.share(), worstClass, worstTime
 	f["service"] = 0.5*f["served"] + 0.3*f["served_worst_10s"] + 0.2*f["served_worst_class"] // BRIEF, how we count
-	return f, course
 }
 
 // Lateness is how late the lab sent, at the 99th percentile.
