--- a/internal/lab/check/hitters.go
+++ b/internal/lab/check/hitters.go
@@ -2,145 +2,217 @@
 
 import (
 	"math"
+	"net/http"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/lab/plan"
 )
 
-// Here is whom sidecars took for clients that ask for too much, by what the clients saw. What they truly asked for is in the
-// plan: it does not hang on what became of it.
+// The figures of heavy hitters compare which clients the sidecars treated as heavy, by what the clients observed, with what each client asked
+// for according to the plan, which does not depend on what became of its requests.
 const (
-	// minYield is the least time after which a request that gave way may come back. What is refused for want of room may
-	// come back within the shortest aim, which is under it.
+	// minYield is the smallest Retry-After of a request that yielded. What is rejected for lack of capacity may be retried
+	// within the shortest latency target, which is below it.
 	minYield = time.Second
-	// detectionTime is the time within which a client that asks for twice the upper bar must be held for heavy, and for which one
-	// that no longer does may be.
-	detectionTime = 3 * time.Second
-	// minRequestsPerSidecar is how many requests a client must have sent by a sidecar, while servers were full, for it to be missed there.
+	// detectionTime is the time within which a client above twice the upper threshold has to be treated as heavy, and for which
+	// one that is no longer above it may be.
+	detectionTime    = 3 * time.Second
+	detectionSeconds = int(detectionTime / time.Second)
+	// minRequestsPerSidecar is how many requests a client has to send to a sidecar while servers are full for it to count as
+	// missed there.
 	minRequestsPerSidecar = 10
-	// fullThreshold is the share of a second's requests that are refused from which servers count as full.
+	// fullThreshold is the share of the requests of a second that are rejected from which servers count as full.
 	fullThreshold = 0.02
 )
 
-// hitterFigures are how many of the requests that gave way were of clients above the bar (hitter_precision), at how many
-// of the sidecars that a client above twice the bar called while servers were full it had to give way (hitter_recall), and
-// how long it took from when it began until one gave way (hitter_delay_ms, of the last client, from when servers were full
-// if that came later).
+// hitterFigures adds how many of the requests that yielded were of clients above the threshold (hitter_precision), at how many of the
+// sidecars that a client above twice the threshold called while servers were full it had to yield (hitter_recall), and how long it took
+// from its start until one of its requests yielded (hitter_delay_ms: of the last client, from when servers were full if that came
+// later). A request yields where a sidecar rejects it, without an attempt at a server, until later than capacity could be free.
 func (e *Evidence) hitterFigures(f Figures) {
-	p := e.Plan
-	if !p.File.Hitters.On {
+	if !e.Plan.File.Hitters.On {
 		return
 	}
+	usage := e.clientUsage()
+	yields := usage.yields(e)
+	if yields.all > 0 {
+		f["hitter_precision"] = float64(yields.ofHeavy) / float64(yields.all)
+	}
+	f["hitter_yields"] = float64(yields.all) / max(float64(len(e.ClientAttempts)), 1)
+	e.floodLossFigure(f)
+	if recall, ok := yields.recall(); ok {
+		f["hitter_recall"] = recall
+	}
+	if delay, ok := usage.detectionDelay(e.Plan, yields.first); ok {
+		f["hitter_delay_ms"] = delay.Seconds() * 1000
+	}
+}
+
+// clientUsage is what clients asked for and how loaded servers were, by second of the load.
+type clientUsage struct {
+	high     float64           // share of the work from which a client is a heavy hitter
+	work     []map[int]float64 // by client, seconds of a core
+	total    []float64         // of all clients
+	requests []int
+	rejected []int // 503
+}
+
+func (e *Evidence) clientUsage() *clientUsage {
+	p := e.Plan
 	high, _ := p.File.Hitters.Thresholds()
-	n := int(math.Ceil(p.File.Seconds))
-	asked, whole := make([]map[int]float64, n), make([]float64, n)
-	requests, refused := make([]int, n), make([]int, n)
-	for i := range asked {
-		asked[i] = map[int]float64{}
+	seconds := int(math.Ceil(p.File.Seconds))
+	u := &clientUsage{high: high, work: make([]map[int]float64, seconds), total: make([]float64, seconds), requests: make([]int, seconds),
+		rejected: make([]int, seconds)}
+	for i := range u.work {
+		u.work[i] = map[int]float64{}
 	}
-	second := func(arrival int) int { return min(int(p.Arrivals[arrival].At/time.Second), n-1) }
 	for i := range p.Arrivals {
-		a := &p.Arrivals[i]
-		asked[second(i)][a.Client] += a.Work.Seconds()
-		whole[second(i)] += a.Work.Seconds()
+		arrival := &p.Arrivals[i]
+		second := u.second(arrival)
+		u.work[second][arrival.Client] += arrival.Work.Seconds()
+		u.total[second] += arrival.Work.Seconds()
 	}
-	seen := map[string]bool{} // requests that reached a server
-	for i := range e.ServerAttempts {
-		seen[e.ServerAttempts[i].ID] = true
-	}
-	over := func(client, s int, bar float64) bool { return asked[s][client] >= bar*whole[s] }
-	long := int(detectionTime / time.Second)
-	lately := func(client, s int) bool {
-		for from := max(0, s-long); from <= s; from++ {
-			if over(client, from, high) {
-				return true
-			}
+	for i := range e.ClientAttempts {
+		second := u.second(&p.Arrivals[e.ClientAttempts[i].Arrival])
+		if u.requests[second]++; e.ClientAttempts[i].Status == http.StatusServiceUnavailable {
+			u.rejected[second]++
 		}
-		return false
 	}
-	steady := func(client, s int) bool { // above the bar in each second, and above twice that in all
-		own, all := 0.0, 0.0
-		for from := s - long; from <= s; from++ {
-			if from < 0 || !over(client, from, high) {
-				return false
-			}
-			own, all = own+asked[from][client], all+whole[from]
+	return u
+}
+
+// second is the second of an arrival.
+func (u *clientUsage) second(arrival *plan.Arrival) int {
+	return min(int(arrival.At/time.Second), len(u.work)-1)
+}
+
+// above reports whether a client asked for at least a share of the work of a second.
+func (u *clientUsage) above(client, second int, share float64) bool {
+	return u.work[second][client] >= share*u.total[second]
+}
+
+// recentlyHeavy reports whether a client was above the threshold in a second or within the detection time before.
+func (u *clientUsage) recentlyHeavy(client, second int) bool {
+	for from := max(0, second-detectionSeconds); from <= second; from++ {
+		if u.above(client, from, u.high) {
+			return true
 		}
-		return own >= 2*high*all
 	}
-	for i := range e.ClientAttempts {
-		s := second(e.ClientAttempts[i].Arrival)
-		if requests[s]++; e.ClientAttempts[i].Status == 503 {
-			refused[s]++
+	return false
+}
+
+// steadilyHeavy reports whether a client was above the threshold in each second of the detection time, and above twice the threshold in
+// all of it.
+func (u *clientUsage) steadilyHeavy(client, second int) bool {
+	own, all := 0.0, 0.0
+	for from := second - detectionSeconds; from <= second; from++ {
+		if from < 0 || !u.above(client, from, u.high) {
+			return false
 		}
+		own, all = own+u.work[from][client], all+u.total[from]
 	}
-	full := func(s int) bool { return float64(refused[s]) >= fullThreshold*float64(requests[s]) && refused[s] > 0 }
-	type pair struct{ client, sidecar int }
-	sent, gave := map[pair]int{}, map[pair]int{}
-	first := map[int]time.Duration{}
-	right, all := 0, 0
+	return own >= 2*u.high*all
+}
+
+// full reports whether servers were full in a second.
+func (u *clientUsage) full(second int) bool {
+	return u.rejected[second] > 0 && float64(u.rejected[second]) >= fullThreshold*float64(u.requests[second])
+}
+
+// clientAtSidecar is a client as far as it calls one sidecar.
+type clientAtSidecar struct{ client, sidecar int }
+
+// yieldCounts are the requests that yielded.
+type yieldCounts struct {
+	all, ofHeavy int
+	first        map[int]time.Duration   // of each client: arrival of the first that yielded
+	sent         map[clientAtSidecar]int // by steadily heavy clients while servers were full
+	yielded      map[clientAtSidecar]int // of these
+}
+
+func (u *clientUsage) yields(e *Evidence) *yieldCounts {
+	atServer := map[string]bool{}
+	for i := range e.ServerAttempts {
+		atServer[e.ServerAttempts[i].ID] = true
+	}
+	counts := &yieldCounts{first: map[int]time.Duration{}, sent: map[clientAtSidecar]int{}, yielded: map[clientAtSidecar]int{}}
 	for i := range e.ClientAttempts {
-		t := &e.ClientAttempts[i]
-		a := &p.Arrivals[t.Arrival]
-		s, who := second(t.Arrival), pair{a.Client, t.Sidecar}
-		yields := t.Status == 503 && t.RetryAfter >= minYield && !seen[t.ID]
+		attempt := &e.ClientAttempts[i]
+		arrival := &e.Plan.Arrivals[attempt.Arrival]
+		second := u.second(arrival)
+		yields := attempt.Status == http.StatusServiceUnavailable && attempt.RetryAfter >= minYield && !atServer[attempt.ID]
 		if yields {
-			all++
-			if lately(a.Client, s) {
-				right++
-			}
-			if at, known := first[a.Client]; !known || a.At < at {
-				first[a.Client] = a.At
-			}
+			counts.addYield(arrival, u.recentlyHeavy(arrival.Client, second))
 		}
-		if full(s) && steady(a.Client, s) {
-			if sent[who]++; yields {
-				gave[who]++
+		if u.full(second) && u.steadilyHeavy(arrival.Client, second) {
+			pair := clientAtSidecar{arrival.Client, attempt.Sidecar}
+			if counts.sent[pair]++; yields {
+				counts.yielded[pair]++
 			}
 		}
 	}
-	if all > 0 {
-		f["hitter_precision"] = float64(right) / float64(all)
+	return counts
+}
+
+// addYield counts a request that yielded.
+func (y *yieldCounts) addYield(arrival *plan.Arrival, heavy bool) {
+	y.all++
+	if heavy {
+		y.ofHeavy++
 	}
-	f["hitter_yields"] = float64(all) / max(float64(len(e.ClientAttempts)), 1)
-	e.floodLossFigure(f)
-	missed, held := 0, 0
-	latest := time.Duration(-1)
-	for who, n := range sent {
+	if first, known := y.first[arrival.Client]; !known || arrival.At < first {
+		y.first[arrival.Client] = arrival.At
+	}
+}
+
+// recall is the share of the sidecars, by client, that made it yield, of those that had requests enough; ok is false where there are
+// none.
+func (y *yieldCounts) recall() (share float64, ok bool) {
+	missed, detected := 0, 0
+	for pair, sent := range y.sent {
 		switch {
-		case gave[who] > 0:
-			held++
-		case n >= minRequestsPerSidecar:
+		case y.yielded[pair] > 0:
+			detected++
+		case sent >= minRequestsPerSidecar:
 			missed++
 		}
 	}
-	if held+missed > 0 {
-		f["hitter_recall"] = float64(held) / float64(held+missed)
-	}
+	return float64(detected) / float64(detected+missed), detected+missed > 0
+}
+
+// detectionDelay is the longest time from the start of a flooding client, or from when servers were full, until it first yielded; the end
+// of the load stands for one that never did. ok is false where no client flooded.
+func (u *clientUsage) detectionDelay(p *plan.Plan, first map[int]time.Duration) (longest time.Duration, ok bool) {
+	longest = -1
 	for i := range p.File.Faults {
-		t := &p.File.Faults[i]
-		if t.Do != "flood" || t.Distinct {
+		fault := &p.File.Faults[i]
+		if fault.Do != "flood" || fault.Distinct {
 			continue
 		}
-		begins := plan.Seconds(t.At)
-		for s := int(t.At); s < n && float64(s) < t.At+t.For && !full(s); s++ {
-			begins = max(begins, time.Duration(s+1)*time.Second)
-		}
-		for client := range asked[min(int(t.At)+1, n-1)] {
-			fault, floods := plan.Flooder(client)
-			if !floods || fault != i || !over(client, min(int(t.At)+1, n-1), 2*high) {
+		begin := u.fullSince(fault)
+		second := min(int(fault.At)+1, len(u.work)-1) // the first whole second of the flood
+		for client := range u.work[second] {
+			of, floods := plan.Flooder(client)
+			if !floods || of != i || !u.above(client, second, 2*u.high) {
 				continue
 			}
 			at, known := first[client]
 			if !known {
 				at = plan.Seconds(p.File.Seconds)
 			}
-			latest = max(latest, at-begins, 0)
+			longest = max(longest, at-begin, 0)
 		}
 	}
-	if latest >= 0 {
-		f["hitter_delay_ms"] = latest.Seconds() * 1000
+	return longest, longest >= 0
+}
+
+// fullSince is when a flood began and servers were full.
+func (u *clientUsage) fullSince(fault *plan.Fault) time.Duration {
+	begin := plan.Seconds(fault.At)
+	for second := int(fault.At); second < len(u.work) && float64(second) < fault.At+fault.For && !u.full(second); second++ {
+		begin = max(begin, time.Duration(second+1)*time.Second)
 	}
+	return begin
 }
 
 // floodLossFigure is the share of the worth that was served of those who do not flood, without any flood less with them, while they last and
@@ -166,9 +238,9 @@
 		class := &p.File.Classes[p.Arrivals[t.Arrival].Class]
 		took := float64(t.Ended-e.Start-int64(p.Arrivals[t.Arrival].At)) / 1e6
 		switch {
-		case t.Status == 200 && took <= class.LatencyTargetMS:
+		case t.Status == http.StatusOK && took <= class.LatencyTargetMS:
 			got[t.Arrival] = 1
-		case t.Status == 200 && took <= class.GiveUpMS:
+		case t.Status == http.StatusOK && took <= class.GiveUpMS:
 			got[t.Arrival] = max(got[t.Arrival], class.LateValue)
 		}
 	}
