--- a/internal/lab/check/churn.go
+++ b/internal/lab/check/churn.go
@@ -13,46 +13,61 @@
 	minSendsPerServer = 4 // sends a server in a window: then one in 55 of its servers is missed (e^-4)
 )
 
-// churnFigure is how many servers a minute came into the sets that sidecars send to, summed over all sidecars. A
-// sidecar's subset is not to be seen from outside, but the servers that it sends to are: those of a window, against those of
-// the window before. A window is as many pieces of 5 s as it takes to send four times as much as there are servers in it, so that
-// hardly a member is missed, and what is left at the end is no window. One that is replaced by another counts once.
+// churnFigure adds how many servers per minute joined the sets that sidecars send to, summed over all sidecars. The subset of a sidecar
+// is not visible from outside, but the servers that it sends to are: those of a window are compared with those of the window before. A
+// window is as many intervals of 5 s as it takes to send four times as much as there are servers in it, so that hardly a member is
+// missed; what is left at the end is no window. A server that is replaced by another one counts once.
 func (e *Evidence) churnFigure(f Figures) {
 	sent := make([][]ctl.Attempt, len(e.Plan.Sidecars))
-	for _, a := range e.ServerAttempts {
-		if a.Near >= 0 && a.Near < len(sent) && a.First >= e.Start {
-			sent[a.Near] = append(sent[a.Near], a)
+	for _, attempt := range e.ServerAttempts {
+		if attempt.Near >= 0 && attempt.Near < len(sent) && attempt.First >= e.Start {
+			sent[attempt.Near] = append(sent[attempt.Near], attempt)
 		}
 	}
-	sum, seen := 0.0, false
-	for _, all := range sent {
-		slices.SortFunc(all, func(a, b ctl.Attempt) int { return cmp.Compare(a.First, b.First) })
-		var before map[string]bool
-		now, n, came := map[string]bool{}, 0, 0
-		first, last := int64(0), int64(0) // ends of the first window and of the last
-		for i, a := range all {
-			now[a.Server] = true
-			n++
-			end := e.Start + ((a.First-e.Start)/churnInterval+1)*churnInterval
-			if i+1 < len(all) && all[i+1].First < end || i+1 == len(all) || n < minSendsPerServer*len(now) {
-				continue // the piece, or the window, is not over
-			}
-			if last = end; before == nil {
-				first = end
-			} else {
-				for uid := range now {
-					if !before[uid] {
-						came++
-					}
-				}
-			}
-			before, now, n = now, map[string]bool{}, 0
-		}
-		if last > first && first > 0 {
-			sum, seen = sum+float64(came)/(float64(last-first)/float64(time.Minute)), true
+	sum, measured := 0.0, false
+	for _, attempts := range sent {
+		if perMinute, ok := e.churn(attempts); ok {
+			sum, measured = sum+perMinute, true
 		}
 	}
-	if seen {
+	if measured {
 		f["churn"] = sum
 	}
 }
+
+// churn is how many servers per minute joined the set that one sidecar sends to; ok is false where it sent too little for two windows.
+func (e *Evidence) churn(attempts []ctl.Attempt) (perMinute float64, ok bool) {
+	slices.SortFunc(attempts, func(a, b ctl.Attempt) int { return cmp.Compare(a.First, b.First) })
+	var before map[string]bool // servers of the window before
+	now, count, joined := map[string]bool{}, 0, 0
+	firstEnd, lastEnd := int64(0), int64(0) // of windows
+	for i, attempt := range attempts {
+		now[attempt.Server] = true
+		count++
+		end := e.Start + ((attempt.First-e.Start)/churnInterval+1)*churnInterval
+		intervalOver := i+1 < len(attempts) && attempts[i+1].First >= end
+		if !intervalOver || count < minSendsPerServer*len(now) {
+			continue
+		}
+		if lastEnd = end; before == nil {
+			firstEnd = end
+		} else {
+			joined += countMissing(now, before)
+		}
+		before, now, count = now, map[string]bool{}, 0
+	}
+	if firstEnd == 0 || lastEnd <= firstEnd {
+		return 0, false
+	}
+	return float64(joined) / (float64(lastEnd-firstEnd) / float64(time.Minute)), true
+}
+
+// countMissing is how many servers of a set are not in another one.
+func countMissing(servers, from map[string]bool) (missing int) {
+	for uid := range servers {
+		if !from[uid] {
+			missing++
+		}
+	}
+	return missing
+}
