--- a/internal/lab/check/serverstate.go
+++ b/internal/lab/check/serverstate.go
@@ -9,97 +9,115 @@
 	"gradeusher.example/gradeusher/internal/lab/plan"
 )
 
-// readyWarm are the times, by server, in which it could serve everybody at its whole capacity: its process is up, says
-// that it serves, does work, is warm, and no fault keeps all sidecars from it. What only some sidecars cannot reach is
-// ready: that the others go there is what spread is about.
+// readyWarm are the periods, by server, in which it could serve everybody at its whole capacity: its process is up and not draining, does
+// work, is warm, and no fault separates all sidecars from it. A server that only some sidecars cannot reach is ready: that the
+// others go there is what the spread measures.
 func (e *Evidence) readyWarm() map[string][]Span {
-	return e.statePeriods(func(r *serverState) (from int64, is bool) { return r.warmAt, r.up && !r.hanging && r.blocked == 0 })
+	return e.statePeriods(func(state *serverState) (from int64, ok bool) {
+		return state.warmAt, state.up && !state.hanging && state.blocked == 0
+	})
 }
 
-// unresponsive are the times, by server, in which a server takes what it is sent and says nothing to anybody.
+// unresponsive are the periods, by server, in which it accepts what it is sent and responds to nobody.
 func (e *Evidence) unresponsive() map[string][]Span {
-	return e.statePeriods(func(r *serverState) (from int64, is bool) { return math.MinInt64, r.up && (r.hanging || r.blocked > 0) })
+	return e.statePeriods(func(state *serverState) (from int64, ok bool) {
+		return math.MinInt64, state.up && (state.hanging || state.blocked > 0)
+	})
 }
 
-// statePeriods are the times, by server, in which something is so, which it is of a state not before from.
-func (e *Evidence) statePeriods(so func(*serverState) (from int64, is bool)) map[string][]Span {
-	type change struct {
-		at   int64
-		make func(*serverState)
+// serverState is the state of a server as the plan and its falls determine it.
+type serverState struct {
+	up, hanging bool
+	blocked     int   // faults that separate all sidecars from it
+	warmAt      int64 // ns of the lab's clock
+}
+
+// stateChange is a change of the state of a server at a time.
+type stateChange struct {
+	at    int64
+	apply func(*serverState)
+}
+
+// statePeriods are the periods, by server, in which a condition holds: in a state that meets it, not before from.
+func (e *Evidence) statePeriods(condition func(*serverState) (from int64, ok bool)) map[string][]Span {
+	periods := map[string][]Span{}
+	for uid, changes := range e.stateChanges() {
+		slices.SortStableFunc(changes, func(a, b stateChange) int { return cmp.Compare(a.at, b.at) })
+		var state serverState
+		for i, change := range changes {
+			change.apply(&state)
+			to := int64(math.MaxInt64)
+			if i+1 < len(changes) {
+				to = changes[i+1].at
+			}
+			from, ok := condition(&state)
+			if from = max(change.at, from); ok && from < to {
+				periods[uid] = append(periods[uid], Span{from, to})
+			}
+		}
+	}
+	return periods
+}
+
+// stateChanges are the changes of each server: its start, the steps of the plan, and its falls.
+func (e *Evidence) stateChanges() map[string][]stateChange {
+	changes := map[string][]stateChange{}
+	add := func(uid string, at int64, apply func(*serverState)) {
+		changes[uid] = append(changes[uid], stateChange{at, apply})
 	}
-	changes := map[string][]change{}
 	cold := e.Plan.File.Fleet.Start == "cold"
 	for i := range e.Plan.InitialServers {
-		s := &e.Plan.Servers[i]
-		changes[s.UID] = append(changes[s.UID], change{math.MinInt64, func(r *serverState) { r.up, r.warmAt = true, e.warmAt(s.ColdFor, 0, cold) }})
+		server := &e.Plan.Servers[i]
+		add(server.UID, math.MinInt64, func(state *serverState) { state.up, state.warmAt = true, e.warmAt(server.ColdFor, 0, cold) })
 	}
 	coldFor := map[string]time.Duration{}
-	for _, s := range e.Plan.Servers {
-		coldFor[s.UID] = s.ColdFor
+	for _, server := range e.Plan.Servers {
+		coldFor[server.UID] = server.ColdFor
 	}
 	for i := range e.Plan.Steps {
-		s := &e.Plan.Steps[i]
-		if s.Server == "" {
-			continue
-		}
-		at := e.Start + int64(s.At)
-		add := func(do func(*serverState)) { changes[s.Server] = append(changes[s.Server], change{at, do}) }
-		switch s.Do {
-		case plan.Add, plan.Revive:
-			add(func(r *serverState) {
-				*r = serverState{up: true, blocked: r.blocked, warmAt: e.warmAt(coldFor[s.Server], s.At, true)}
-			})
-		case plan.Drain, plan.Die, plan.Remove:
-			add(func(r *serverState) { r.up = false })
-		case plan.ServerFault:
-			add(func(r *serverState) { r.hanging = s.Trouble.Hang })
-		case plan.Link:
-			if len(s.Nears) == 0 && (s.Effect.HoldFar || s.Effect.HoldNear) {
-				add(func(r *serverState) {
-					if r.blocked--; s.On {
-						r.blocked += 2
-					}
-				})
-			}
+		step := &e.Plan.Steps[i]
+		if apply := e.stepEffect(step, coldFor[step.Server]); step.Server != "" && apply != nil {
+			add(step.Server, e.Start+int64(step.At), apply)
 		}
 	}
-	for _, n := range e.Falls {
-		changes[n.UID] = append(changes[n.UID], change{n.At, func(r *serverState) { r.up = false }})
-	}
-	spans := map[string][]Span{}
-	for uid, all := range changes {
-		slices.SortStableFunc(all, func(a, b change) int { return cmp.Compare(a.at, b.at) })
-		var r serverState
-		for i, c := range all {
-			c.make(&r)
-			to := int64(math.MaxInt64)
-			if i+1 < len(all) {
-				to = all[i+1].at
-			}
-			from, is := so(&r)
-			if from = max(c.at, from); is && from < to {
-				spans[uid] = append(spans[uid], Span{from, to})
-			}
-		}
+	for _, fall := range e.Falls {
+		add(fall.UID, fall.At, func(state *serverState) { state.up = false })
 	}
-	return spans
+	return changes
 }
 
-// serverState is what is so of a server.
-type serverState struct {
-	up, hanging bool
-	blocked     int   // faults that keep everybody from it
-	warmAt      int64 // ns of the lab's clock
+// stepEffect is how a step changes the state of its server; nil: not at all.
+func (e *Evidence) stepEffect(step *plan.Step, coldFor time.Duration) func(*serverState) {
+	switch step.Do {
+	case plan.Add, plan.Revive:
+		return func(state *serverState) {
+			*state = serverState{up: true, blocked: state.blocked, warmAt: e.warmAt(coldFor, step.At, true)}
+		}
+	case plan.Drain, plan.Die, plan.Remove:
+		return func(state *serverState) { state.up = false }
+	case plan.ServerFault:
+		return func(state *serverState) { state.hanging = step.Trouble.Hang }
+	case plan.Link:
+		allSidecars, blocks := len(step.Nears) == 0, step.Effect.HoldFar || step.Effect.HoldNear
+		switch {
+		case allSidecars && blocks && step.On:
+			return func(state *serverState) { state.blocked++ }
+		case allSidecars && blocks:
+			return func(state *serverState) { state.blocked-- }
+		}
+	}
+	return nil
 }
 
-func (e *Evidence) warmAt(coldFor, from time.Duration, cold bool) int64 {
+// warmAt is when a server that started at a time of the load is warm, in ns of the lab's clock.
+func (e *Evidence) warmAt(coldFor, started time.Duration, cold bool) int64 {
 	if !cold {
 		return math.MinInt64
 	}
-	return e.Start + int64(from) + int64(coldFor)
+	return e.Start + int64(started) + int64(coldFor)
 }
 
-// covers tells whether one of some spans holds a time.
-func covers(spans []Span, from, to int64) bool {
-	return slices.ContainsFunc(spans, func(s Span) bool { return s.From <= from && s.To >= to })
+// covers reports whether one of some periods covers a whole period.
+func covers(periods []Span, from, to int64) bool {
+	return slices.ContainsFunc(periods, func(period Span) bool { return period.From <= from && period.To >= to })
 }
