--- a/internal/lab/check/attempts.go
+++ b/internal/lab/check/attempts.go
@@ -9,42 +9,48 @@
 	"gradeusher.example/gradeusher/internal/lab/plan"
 )
 
-const maxAttempts = 3
+const maxAttempts = 3 // of one request at servers (PROTOCOL)
 
-// checkAttempts checks no-duplicate and one-at-a-time.
+// checkAttempts checks no-duplicate and one-at-a-time. attempts are those at servers, by id of the request and in order of time.
 func (e *Evidence) checkAttempts(f findings, attempts map[string][]ctl.Attempt) {
-	tries := make(map[string]*load.Attempt, len(e.ClientAttempts))
+	clients := make(map[string]*load.Attempt, len(e.ClientAttempts))
 	for i := range e.ClientAttempts {
-		tries[e.ClientAttempts[i].ID] = &e.ClientAttempts[i]
+		clients[e.ClientAttempts[i].ID] = &e.ClientAttempts[i]
 	}
-	slack := int64(plan.Millis(e.Plan.File.Limits.SlackMS))
 	for _, id := range slices.Sorted(maps.Keys(attempts)) {
-		all := attempts[id]
-		t := tries[id]
+		all, client := attempts[id], clients[id]
 		f.observe("no-duplicate", 1)
-		if t == nil {
+		if client == nil {
 			f.violation("no-duplicate", "server %s got request %q, which no client sent", all[0].Server, id)
 			continue
 		}
-		if t.ResentAt != 0 && e.excused(t.Sidecar, t.Began, t.Ended) {
+		if client.ResentAt != 0 && e.excused(client.Sidecar, client.Began, client.Ended) {
 			continue // sent to two processes
 		}
-		most := maxAttempts
-		if t.ResentAt != 0 {
-			most *= 2
+		limit := maxAttempts
+		if client.ResentAt != 0 {
+			limit *= 2
 		}
-		if len(all) > most {
-			f.violation("no-duplicate", "request %s was sent %d times, %d at most", id, len(all), most)
+		if len(all) > limit {
+			f.violation("no-duplicate", "request %s was sent %d times, %d at most", id, len(all), limit)
 		}
 		for i := 1; i < len(all); i++ {
-			before, a := all[i-1], all[i]
-			f.observe("one-at-a-time", 1)
-			if !e.Plan.File.Classes[t.Class].Safe && before.Outcome != "turned" {
-				f.violation("no-duplicate", "request %s may have run at %s (%s) and went to %s at %s", id, before.Server, before.Outcome, a.Server, e.when(a.First))
-			}
-			if before.End == 0 || before.End > a.First+slack {
-				f.violation("one-at-a-time", "request %s went to %s at %s while its attempt at %s was out", id, a.Server, e.when(a.First), before.Server)
-			}
+			e.checkSuccession(f, client, all[i-1], all[i])
 		}
 	}
 }
+
+// checkSuccession checks an attempt against the one before it for the same request.
+func (e *Evidence) checkSuccession(f findings, client *load.Attempt, before, attempt ctl.Attempt) {
+	f.observe("one-at-a-time", 1)
+	idempotent := e.Plan.File.Classes[client.Class].Safe
+	if !idempotent && before.Outcome != ctl.AttemptRejected {
+		f.violation("no-duplicate", "request %s may have run at %s (%s) and went to %s at %s", client.ID, before.Server, before.Outcome, attempt.Server,
+			e.when(attempt.First))
+	}
+	slack := int64(plan.Millis(e.Plan.File.Limits.SlackMS))
+	if before.End == 0 || before.End > attempt.First+slack {
+		f.violation("one-at-a-time", "request %s went to %s at %s while its attempt at %s was out", client.ID, attempt.Server, e.when(attempt.First),
+			before.Server)
+	}
+}
--- a/internal/lab/check/routes.go
+++ b/internal/lab/check/routes.go
@@ -31,52 +31,56 @@
 	return last + int64(plan.Seconds(e.Plan.File.Routes.BoundS))
 }
 
-// checkRoutes checks what keepers wrote of checkRoutes to sidecars against the tables that the lab put. Nothing that a sidecar says of itself counts.
+// checkRoutes checks what registry nodes wrote of routes to sidecars against the tables that the lab put. What a sidecar says of itself
+// does not count. It observes nothing where no generation was made while the load ran.
 func (e *Evidence) checkRoutes(f findings) {
-	if e.Plan.File.Routes.Apps == 0 {
+	if e.Plan.File.Routes.Apps == 0 || len(e.Tables) < 2 {
 		return
 	}
-	if len(e.Tables) < 2 {
-		return // no generation was made while the load ran
+	tables := map[int64]routes.Table{} // by generation
+	for _, table := range e.Tables {
+		tables[table.Gen] = table.Table
 	}
-	put := map[int64]int{}
-	for i, r := range e.Tables {
-		put[r.Gen] = i
+	updates := map[int][]ctl.RouteUpdate{} // by sidecar
+	for _, update := range e.RouteUpdates {
+		updates[update.Near] = append(updates[update.Near], update)
 	}
-	said := map[int][]ctl.RouteUpdate{}
-	for _, s := range e.RouteUpdates {
-		said[s.Near] = append(said[s.Near], s)
-	}
-	last, due := e.Tables[len(e.Tables)-1], e.routesDue()
 	for near := range e.Plan.Sidecars {
-		if !isReader(e.Plan, near) {
-			continue
+		if isReader(e.Plan, near) {
+			all := updates[near]
+			slices.SortStableFunc(all, func(a, b ctl.RouteUpdate) int { return cmp.Compare(a.At, b.At) })
+			e.checkRouteUpdates(f, near, all, tables)
 		}
-		all := said[near]
-		slices.SortStableFunc(all, func(a, b ctl.RouteUpdate) int { return cmp.Compare(a.At, b.At) })
-		name := e.Plan.Sidecars[near].Name
-		held, at, gen := "", int64(0), map[string]int64{}
-		for _, s := range all {
-			if s.Generation < gen[s.Cluster] && s.Cluster != "" {
-				f.violation("routes", "%s was told generation %d at %s, after %d", name, s.Generation, e.when(s.At), gen[s.Cluster])
-			}
-			if s.Cluster == "" || s.Hash == "" {
-				continue // it says only that nothing changed
-			}
-			gen[s.Cluster] = s.Generation
-			f.observe("routes", 1)
-			if i, known := put[s.Generation]; known && s.Hash != relevantHash(e.Plan, near, e.Tables[i].Table) {
-				f.violation("routes", "%s was told another table for generation %d at %s than was put", name, s.Generation, e.when(s.At))
-			}
-			if held != s.Hash {
-				held, at = s.Hash, s.At
-			}
+	}
+}
+
+// checkRouteUpdates checks the updates of one sidecar, in order of time: no generation goes back, each has the table that was put, and
+// the last table is there in time.
+func (e *Evidence) checkRouteUpdates(f findings, near int, updates []ctl.RouteUpdate, tables map[int64]routes.Table) {
+	name := e.Plan.Sidecars[near].Name
+	hash, since := "", int64(0)       // of the table that the sidecar has
+	generations := map[string]int64{} // by cluster
+	for _, update := range updates {
+		if update.Cluster != "" && update.Generation < generations[update.Cluster] {
+			f.violation("routes", "%s was told generation %d at %s, after %d", name, update.Generation, e.when(update.At), generations[update.Cluster])
 		}
-		switch {
-		case held != relevantHash(e.Plan, near, last.Table):
-			f.violation("routes", "%s was not told generation %d", name, last.Gen)
-		case at > due:
-			f.violation("routes", "%s was told generation %d %v after it was due", name, last.Gen, time.Duration(at-due).Round(time.Millisecond))
+		if update.Cluster == "" || update.Hash == "" {
+			continue // it says only that nothing changed
 		}
+		generations[update.Cluster] = update.Generation
+		f.observe("routes", 1)
+		if table, known := tables[update.Generation]; known && update.Hash != relevantHash(e.Plan, near, table) {
+			f.violation("routes", "%s was told another table for generation %d at %s than was put", name, update.Generation, e.when(update.At))
+		}
+		if hash != update.Hash {
+			hash, since = update.Hash, update.At
+		}
+	}
+	last, due := e.Tables[len(e.Tables)-1], e.routesDue()
+	switch {
+	case hash != relevantHash(e.Plan, near, last.Table):
+		f.violation("routes", "%s was not told generation %d", name, last.Gen)
+	case since > due:
+		f.violation("routes", "%s was told generation %d %v after it was due", name, last.Gen, time.Duration(since-due).Round(time.Millisecond))
 	}
 }
