--- a/internal/lab/check/invariants.go
+++ b/internal/lab/check/invariants.go
@@ -28,41 +28,56 @@
 	e.checkDrained(f)
 	e.checkRegistry(f)
 	e.checkRoutes(f)
+	e.checkProcesses(f)
+	e.checkResources(f)
+	e.checkLateness(f)
+	verdicts := make([]Verdict, 0, len(plan.Invariants))
+	for _, v := range plan.Invariants {
+		f[v.Name].conclude()
+		verdicts = append(verdicts, *f[v.Name])
+	}
+	return verdicts
+}
+
+// checkProcesses checks cold and no-crash.
+func (e *Evidence) checkProcesses(f findings) {
 	f.observe("cold", e.coldServers())
-	for _, n := range e.Falls {
-		f.violation("cold", "server %s fell over at %s", n.UID, e.when(n.At))
+	for _, fall := range e.Falls {
+		f.violation("cold", "server %s fell over at %s", fall.UID, e.when(fall.At))
 	}
 	f.observe("no-crash", len(e.Exits))
-	for _, x := range e.Exits {
-		if !x.Wanted || x.Code > 0 {
-			f.violation("no-crash", "%s ended at %s: %s", x.Name, e.when(x.At), x.How)
+	for _, exit := range e.Exits {
+		if !exit.Wanted || exit.Code > 0 {
+			f.violation("no-crash", "%s ended at %s: %s", exit.Name, e.when(exit.At), exit.How)
 		}
 	}
+}
+
+// checkResources checks memory and descriptors.
+func (e *Evidence) checkResources(f findings) {
 	limits := &e.Plan.File.Limits
-	for i, p := range e.Peaks {
-		if p.MemoryMB > 0 { // it was sampled
+	for i, peak := range e.Peaks {
+		if peak.MemoryMB > 0 { // it was sampled
 			f.observe("memory", 1)
 		}
-		if p.Descriptors > 0 {
+		if peak.Descriptors > 0 {
 			f.observe("descriptors", 1)
 		}
-		if p.MemoryMB > limits.MemoryMB {
-			f.violation("memory", "%s held %.0f MB, %.0f at most", e.Plan.Sidecars[i].Name, p.MemoryMB, limits.MemoryMB)
+		if peak.MemoryMB > limits.MemoryMB {
+			f.violation("memory", "%s held %.0f MB, %.0f at most", e.Plan.Sidecars[i].Name, peak.MemoryMB, limits.MemoryMB)
 		}
-		if p.Descriptors > limits.Descriptors {
-			f.violation("descriptors", "%s held %d descriptors, %d at most", e.Plan.Sidecars[i].Name, p.Descriptors, limits.Descriptors)
+		if peak.Descriptors > limits.Descriptors {
+			f.violation("descriptors", "%s held %d descriptors, %d at most", e.Plan.Sidecars[i].Name, peak.Descriptors, limits.Descriptors)
 		}
 	}
+}
+
+// checkLateness checks lab-on-time.
+func (e *Evidence) checkLateness(f findings) {
 	f.observe("lab-on-time", len(e.ClientAttempts))
-	if most := plan.Millis(limits.LatenessMS); e.Lateness > most {
-		f.violation("lab-on-time", "void: the lab sent %v late at the 99th percentile, %v at most", e.Lateness, most)
+	if limit := plan.Millis(e.Plan.File.Limits.LatenessMS); e.Lateness > limit {
+		f.violation("lab-on-time", "void: the lab sent %v late at the 99th percentile, %v at most", e.Lateness, limit)
 	}
-	verdicts := make([]Verdict, 0, len(plan.Invariants))
-	for _, v := range plan.Invariants {
-		f[v.Name].conclude()
-		verdicts = append(verdicts, *f[v.Name])
-	}
-	return verdicts
 }
 
 // coldServers is how many processes of servers began cold and were sent a request.
--- a/internal/lab/check/registryfigures.go
+++ b/internal/lab/check/registryfigures.go
@@ -7,74 +7,92 @@
 	"gradeusher.example/gradeusher/internal/lab/ctl"
 )
 
-// registryFigures are what the keepers did, for those who wrote and those who read.
-func (e *Evidence) registryFigures(figures Figures) {
+// registryFigures adds what the registry did for those who wrote and those who read. A figure is left out where nothing was measured, or
+// else a bar on it could pass without evidence.
+func (e *Evidence) registryFigures(f Figures) {
 	if e.Plan.File.Registry.Count == 0 {
 		return
 	}
-	took, told := newHistogram(), newHistogram()
-	done, uncertain := 0, 0
-	var ends []int64
-	called := map[int64]int64{} // of the revisions that the writers made: when they called
-	for _, w := range e.RegistryCalls {
+	called := e.writeFigures(f)
+	e.watchFigures(f, called)
+	e.failoverFigures(f)
+	for _, peak := range e.NodePeaks {
+		f["keeper_mb"], f["keeper_cores"] = max(f["keeper_mb"], peak.MemoryMB), max(f["keeper_cores"], peak.Used)
+	}
+}
+
+// writeFigures adds the figures of writes, and returns when each revision that the writers made was called.
+func (e *Evidence) writeFigures(f Figures) (called map[int64]int64) {
+	latency := newHistogram()
+	called = map[int64]int64{}
+	var returns []int64
+	uncertain := 0
+	for _, call := range e.RegistryCalls {
 		switch {
-		case w.Write && w.Outcome == "ok":
-			done++
-			recordLatency(took, w.Return-w.Call)
-			ends = append(ends, w.Return)
-			called[w.Rev] = w.Call
-		case w.Write && w.Outcome == "uncertain":
+		case call.Write && call.Outcome == ctl.CallOK:
+			recordLatency(latency, call.Return-call.Call)
+			returns = append(returns, call.Return)
+			called[call.Rev] = call.Call
+		case call.Write && call.Outcome == ctl.CallUncertain:
 			uncertain++
 		}
 	}
-	slices.Sort(ends)
-	gap := int64(0)
-	for i := 1; i < len(ends); i++ {
-		gap = max(gap, ends[i]-ends[i-1])
+	f["writes"], f["writes_uncertain"] = float64(len(returns)), float64(uncertain)
+	if len(returns) > 0 {
+		f["write_p99_ms"] = quantile(latency, 99)
 	}
-	last := map[int64]int64{} // of each revision: when the last reader was told it
-	watches, whole := 0, 0
-	seen := map[int64]bool{}
-	for _, s := range e.RegistryUpdates {
-		if !s.Watch {
-			continue
+	if len(returns) > 1 {
+		slices.Sort(returns)
+		gap := int64(0)
+		for i := 1; i < len(returns); i++ {
+			gap = max(gap, returns[i]-returns[i-1])
 		}
-		if !seen[s.Conn] {
-			seen[s.Conn] = true
-			watches++
+		f["write_gap_ms"] = float64(gap) / 1e6
+	}
+	return called
+}
+
+// watchFigures adds the figures of watches: their number, how many lists came completely, and how long a revision that a writer made took
+// from its call to the last reader.
+func (e *Evidence) watchFigures(f Figures, called map[int64]int64) {
+	lastShown := map[int64]int64{} // of each revision: when the last reader received it
+	complete := 0
+	watches := map[int64]bool{} // by connection
+	for _, update := range e.RegistryUpdates {
+		if !update.Watch {
+			continue
 		}
-		if s.Complete {
-			whole++
-		} else if s.ServerCount > 0 && s.Cluster == e.Last.Cluster {
-			last[s.Rev] = max(last[s.Rev], s.At)
+		watches[update.Conn] = true
+		if update.Complete {
+			complete++
+		} else if update.ServerCount > 0 && update.Cluster == e.Last.Cluster {
+			lastShown[update.Rev] = max(lastShown[update.Rev], update.At)
 		}
 	}
-	for rev, at := range last {
-		if from, ok := called[rev]; ok {
-			recordLatency(told, at-from)
+	delays := newHistogram()
+	for revision, at := range lastShown {
+		if from, ok := called[revision]; ok {
+			recordLatency(delays, at-from)
 		}
 	}
+	if delays.TotalCount() > 0 {
+		f["told_p50_ms"], f["told_p99_ms"] = quantile(delays, 50), quantile(delays, 99)
+	}
+	f["watches"], f["watches_whole"] = float64(len(watches)), float64(complete)
+}
+
+// failoverFigures adds how long it took from a kill of a node until the first write that was called afterwards returned. It sorts
+// the calls by their return.
+func (e *Evidence) failoverFigures(f Figures) {
 	slices.SortFunc(e.RegistryCalls, func(a, b ctl.RegistryCall) int { return cmp.Compare(a.Return, b.Return) })
 	failover := newHistogram()
-	for _, kill := range e.Kills { // to the first write that was called afterwards and acknowledged
-		if i := slices.IndexFunc(e.RegistryCalls, func(w ctl.RegistryCall) bool { return w.Write && w.Outcome == "ok" && w.Call > kill }); i >= 0 {
+	for _, kill := range e.Kills {
+		written := func(call ctl.RegistryCall) bool { return call.Write && call.Outcome == ctl.CallOK && call.Call > kill }
+		if i := slices.IndexFunc(e.RegistryCalls, written); i >= 0 {
 			recordLatency(failover, e.RegistryCalls[i].Return-kill)
 		}
 	}
-	put := func(name string, v float64, seen bool) {
-		if seen { // else a bar on it could hold of nothing
-			figures[name] = v
-		}
-	}
-	put("failover_p50_ms", quantile(failover, 50), failover.TotalCount() > 0)
-	put("failover_most_ms", float64(failover.Max())/1000, failover.TotalCount() > 0)
-	for _, p := range e.NodePeaks {
-		figures["keeper_mb"], figures["keeper_cores"] = max(figures["keeper_mb"], p.MemoryMB), max(figures["keeper_cores"], p.Used)
+	if failover.TotalCount() > 0 {
+		f["failover_p50_ms"], f["failover_most_ms"] = quantile(failover, 50), float64(failover.Max())/1000
 	}
-	figures["writes"], figures["writes_uncertain"] = float64(done), float64(uncertain)
-	put("write_p99_ms", quantile(took, 99), done > 0)
-	put("write_gap_ms", float64(gap)/1e6, done > 1)
-	put("told_p50_ms", quantile(told, 50), told.TotalCount() > 0)
-	put("told_p99_ms", quantile(told, 99), told.TotalCount() > 0)
-	figures["watches"], figures["watches_whole"] = float64(watches), float64(whole)
 }
--- a/internal/lab/check/routefigures.go
+++ b/internal/lab/check/routefigures.go
@@ -10,77 +10,86 @@
 	"gradeusher.example/gradeusher/internal/lab/plan"
 )
 
-// astrayFigure is the share of the attempts, while tables led to no server, that went to servers to which the ones before did not lead
-// (route_astray). That requests are answered does not show whether sidecars held the table before: where none serves, any server does.
+// astrayFigure adds the share of the attempts, while tables led to no server, that went to servers to which the tables before did not lead
+// (route_astray). That requests are answered does not show whether sidecars kept the table before: where it has no server either, any
+// server serves.
 func (e *Evidence) astrayFigure(f Figures) {
-	r := &e.Plan.File.Routes
-	if !r.Narrow || r.Nowhere[1] == 0 {
+	settings := &e.Plan.File.Routes
+	if !settings.Narrow || settings.Nowhere[1] == 0 {
 		return
 	}
-	led := map[string]bool{}
+	routed := map[string]bool{} // servers to which the tables before led
 	for i := range e.Plan.Servers {
-		led[e.Plan.Servers[i].UID] = e.Plan.Servers[i].Kind == e.Plan.File.Kinds[0].Name
+		routed[e.Plan.Servers[i].UID] = e.Plan.Servers[i].Kind == e.Plan.File.Kinds[0].Name
 	}
-	from, to := e.Start+int64(plan.Seconds(r.Nowhere[0])), e.Start+int64(plan.Seconds(r.Nowhere[1]))
-	all, other := 0, 0
-	for _, a := range e.ServerAttempts {
-		if a.First >= from && a.First < to {
-			if all++; !led[a.Server] {
-				other++
+	from, to := e.Start+int64(plan.Seconds(settings.Nowhere[0])), e.Start+int64(plan.Seconds(settings.Nowhere[1]))
+	all, astray := 0, 0
+	for _, attempt := range e.ServerAttempts {
+		if attempt.First >= from && attempt.First < to {
+			if all++; !routed[attempt.Server] {
+				astray++
 			}
 		}
 	}
 	if all > 0 {
-		f["route_astray"] = float64(other) / float64(all)
+		f["route_astray"] = float64(astray) / float64(all)
 	}
 }
 
-// routeFigures are the bytes that keepers wrote of routes to sidecars, besides beats, and how long generations took to the sidecars
-// that need them.
+// routeFigures adds the bytes that registry nodes wrote of routes to sidecars, without heartbeats, and how long generations took to the
+// sidecars that need them.
 func (e *Evidence) routeFigures(f Figures) {
 	if e.Plan.File.Routes.Apps == 0 || len(e.Tables) == 0 {
 		return
 	}
 	e.astrayFigure(f)
-	said := map[int][]ctl.RouteUpdate{}
-	var sum, wholes, diffs float64
-	for _, s := range e.RouteUpdates {
-		switch {
-		case s.Hash == "":
-			continue
-		case s.Complete:
-			wholes++
-		default:
-			diffs++
+	updates := map[int][]ctl.RouteUpdate{} // by sidecar
+	var bytes, complete, differences float64
+	for _, update := range e.RouteUpdates {
+		if update.Hash == "" {
+			continue // a heartbeat
+		}
+		if update.Complete {
+			complete++
+		} else {
+			differences++
 		}
-		sum += float64(s.Bytes)
-		said[s.Near] = append(said[s.Near], s)
+		bytes += float64(update.Bytes)
+		updates[update.Near] = append(updates[update.Near], update)
 	}
-	f["route_generations"], f["route_bytes"], f["route_wholes"], f["route_diffs"] = float64(len(e.Tables)), sum, wholes, diffs
-	h := newHistogram()
-	most := int64(0)
+	f["route_generations"], f["route_bytes"], f["route_wholes"], f["route_diffs"] = float64(len(e.Tables)), bytes, complete, differences
+	delays, longest := newHistogram(), int64(0)
 	for near := range e.Plan.Sidecars {
 		if !isReader(e.Plan, near) {
 			continue
 		}
-		lines := said[near]
-		slices.SortStableFunc(lines, func(a, b ctl.RouteUpdate) int { return cmp.Compare(a.At, b.At) })
-		next := 0
-		for i := 1; i < len(e.Tables); i++ {
-			r := e.Tables[i]
-			if relevantHash(e.Plan, near, r.Table) == relevantHash(e.Plan, near, e.Tables[i-1].Table) {
-				continue
-			}
-			for next < len(lines) && (lines[next].Generation < r.Gen || lines[next].At < r.Call) {
-				next++
-			}
-			took := int64(math.MaxInt64)
-			if next < len(lines) {
-				took = lines[next].At - r.Call
-			}
-			recordLatency(h, took)
-			most = max(most, min(took, maxLatencyMicros*int64(time.Microsecond)))
+		all := updates[near]
+		slices.SortStableFunc(all, func(a, b ctl.RouteUpdate) int { return cmp.Compare(a.At, b.At) })
+		for _, delay := range e.propagationDelays(near, all) {
+			recordLatency(delays, delay)
+			longest = max(longest, min(delay, maxLatencyMicros*int64(time.Microsecond)))
+		}
+	}
+	f["route_told_p50_ms"], f["route_told_p99_ms"], f["route_told_most_ms"] = quantile(delays, 50), quantile(delays, 99), float64(longest)/1e6
+}
+
+// propagationDelays is how long each generation that changes what a sidecar needs took to it, in ns; math.MaxInt64: it never came. The
+// updates are those of the sidecar in order of time.
+func (e *Evidence) propagationDelays(near int, updates []ctl.RouteUpdate) (delays []int64) {
+	next := 0
+	for i := 1; i < len(e.Tables); i++ {
+		table := e.Tables[i]
+		if relevantHash(e.Plan, near, table.Table) == relevantHash(e.Plan, near, e.Tables[i-1].Table) {
+			continue
+		}
+		for next < len(updates) && (updates[next].Generation < table.Gen || updates[next].At < table.Call) {
+			next++
+		}
+		delay := int64(math.MaxInt64)
+		if next < len(updates) {
+			delay = updates[next].At - table.Call
 		}
+		delays = append(delays, delay)
 	}
-	f["route_told_p50_ms"], f["route_told_p99_ms"], f["route_told_most_ms"] = quantile(h, 50), quantile(h, 99), float64(most)/1e6
+	return delays
 }
