--- a/internal/lab/check/avoidance.go
+++ b/internal/lab/check/avoidance.go
@@ -15,7 +15,7 @@
 // sent to the server in the 10 s before have sent to it for the last time (of the server for which that takes longest), and
 // learn_attempts, how many attempts such a server was sent meanwhile by all sidecars together. A sidecar that probes such a server in
 // turn has not stopped: one in twenty may. The figures are left out where no server in use stopped responding.
-func (e *Evidence) avoidanceFigures(f Figures) {
+func (e *Evidence) avoidanceFigures(figures Figures) {
 	servers, attempts, longest := 0, 0, int64(0)
 	for uid, periods := range e.unresponsive() {
 		for _, period := range joinAdjacent(periods) {
@@ -29,7 +29,7 @@
 		}
 	}
 	if servers > 0 {
-		f["avoid95_ms"], f["learn_attempts"] = float64(longest)/1e6, float64(attempts)/float64(servers)
+		figures["avoid95_ms"], figures["learn_attempts"] = float64(longest)/1e6, float64(attempts)/float64(servers)
 	}
 }
 
--- a/internal/lab/check/bars.go
+++ b/internal/lab/check/bars.go
@@ -6,32 +6,32 @@
 )
 
 // Bars holds the figures against what the file wants of them. A figure that was not measured does not reach its bar.
-func Bars(e *Evidence, f Figures) []Verdict {
+func Bars(e *Evidence, figures Figures) []Verdict {
 	var verdicts []Verdict
-	for _, b := range e.Plan.File.Bars {
-		v := Verdict{Name: "bar " + b.Figure, LookedAt: 1}
-		value, known := f[b.Figure]
+	for _, bar := range e.Plan.File.Bars {
+		verdict := Verdict{Name: "bar " + bar.Figure, LookedAt: 1}
+		value, known := figures[bar.Figure]
 		reached := known
 		var wants []string
-		if b.Min != nil {
-			wants = append(wants, fmt.Sprintf("at least %v", *b.Min))
-			reached = reached && value >= *b.Min
+		if bar.Min != nil {
+			wants = append(wants, fmt.Sprintf("at least %v", *bar.Min))
+			reached = reached && value >= *bar.Min
 		}
-		if b.Max != nil {
-			wants = append(wants, fmt.Sprintf("at most %v", *b.Max))
-			reached = reached && value <= *b.Max
+		if bar.Max != nil {
+			wants = append(wants, fmt.Sprintf("at most %v", *bar.Max))
+			reached = reached && value <= *bar.Max
 		}
-		v.Bar = strings.Join(wants, ", ")
+		verdict.Bar = strings.Join(wants, ", ")
 		found := "not measured"
 		if known {
-			v.Value, found = &value, fmt.Sprintf("%.4g", value)
+			verdict.Value, found = &value, fmt.Sprintf("%.4g", value)
 		}
 		if !reached {
-			v.Broken = 1
-			v.Detail = []string{fmt.Sprintf("it is %s, wanted %s", found, v.Bar)}
+			verdict.Broken = 1
+			verdict.Detail = []string{fmt.Sprintf("it is %s, wanted %s", found, verdict.Bar)}
 		}
-		v.conclude()
-		verdicts = append(verdicts, v)
+		verdict.conclude()
+		verdicts = append(verdicts, verdict)
 	}
 	return verdicts
 }
--- a/internal/lab/check/evidence.go
+++ b/internal/lab/check/evidence.go
@@ -59,12 +59,12 @@
 // excused tells whether a fault kept a sidecar from answering what it took at sent by until: its process was killed, or
 // stopped, between. Until a killed process has ended, its sockets still take what nobody will read.
 func (e *Evidence) excused(sidecar int, sent, until int64) bool {
-	for _, r := range e.Runs[sidecar] {
-		if r.Killed != 0 && r.Killed <= until && r.To >= sent {
+	for _, run := range e.Runs[sidecar] {
+		if run.Killed != 0 && run.Killed <= until && run.To >= sent {
 			return true
 		}
-		for _, s := range r.Stops {
-			if s.From <= until && s.To >= sent {
+		for _, stop := range run.Stops {
+			if stop.From <= until && stop.To >= sent {
 				return true
 			}
 		}
@@ -74,21 +74,21 @@
 
 // processStart is the start of the process of a sidecar that ran at t.
 func (e *Evidence) processStart(sidecar int, t int64) int64 {
-	born := int64(0)
-	for _, r := range e.Runs[sidecar] {
-		if r.From <= t {
-			born = r.From
+	start := int64(0)
+	for _, run := range e.Runs[sidecar] {
+		if run.From <= t {
+			start = run.From
 		}
 	}
-	return born
+	return start
 }
 
 // stopped tells whether a sidecar was stopped within the time between, when it could read nothing.
 func (e *Evidence) stopped(sidecar int, from, to int64) bool {
 	grace := int64(plan.Millis(e.Plan.File.Limits.DrainGraceMS))
-	for _, r := range e.Runs[sidecar] {
-		for _, s := range r.Stops {
-			if s.From <= to && s.To+grace >= from && to < s.To+grace {
+	for _, run := range e.Runs[sidecar] {
+		for _, stop := range run.Stops {
+			if stop.From <= to && stop.To+grace >= from && to < stop.To+grace {
 				return true
 			}
 		}
--- a/internal/lab/check/figures.go
+++ b/internal/lab/check/figures.go
@@ -32,40 +32,40 @@
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatencyMicros, 3) }
 
-func recordLatency(h *hdrhistogram.Histogram, ns int64) {
-	_ = h.RecordValue(min(max(ns/int64(time.Microsecond), 1), maxLatencyMicros)) // always within its range
+func recordLatency(histogram *hdrhistogram.Histogram, ns int64) {
+	_ = histogram.RecordValue(min(max(ns/int64(time.Microsecond), 1), maxLatencyMicros)) // always within its range
 }
 
-func quantile(h *hdrhistogram.Histogram, q float64) float64 {
-	return float64(h.ValueAtQuantile(q)) / 1000
+func quantile(histogram *hdrhistogram.Histogram, q float64) float64 {
+	return float64(histogram.ValueAtQuantile(q)) / 1000
 }
 
 // Measure computes the figures and the course of a run. Value is counted per unit of work, as BRIEF has it.
-func Measure(e *Evidence) (Figures, []Second) {
-	m := newMeasurement(e)
+func Measure(evidence *Evidence) (Figures, []Second) {
+	measured := newMeasurement(evidence)
 	attempts := map[int][]*load.Attempt{} // of each arrival
-	for i := range e.ClientAttempts {
-		attempt := &e.ClientAttempts[i]
+	for i := range evidence.ClientAttempts {
+		attempt := &evidence.ClientAttempts[i]
 		attempts[attempt.Arrival] = append(attempts[attempt.Arrival], attempt)
 	}
 	for arrival, all := range attempts {
-		m.addRequest(&e.Plan.Arrivals[arrival], all)
+		measured.addRequest(&evidence.Plan.Arrivals[arrival], all)
 	}
-	for i := range m.course {
-		m.course[i].P50, m.course[i].P99 = quantile(m.latencyBySecond[i], 50), quantile(m.latencyBySecond[i], 99)
+	for i := range measured.course {
+		measured.course[i].P50, measured.course[i].P99 = quantile(measured.latencyBySecond[i], 50), quantile(measured.latencyBySecond[i], 99)
 	}
-	f := m.requestFigures()
-	m.addServerAttempts(f)
-	e.registryFigures(f)
-	e.routeFigures(f)
-	e.hitterFigures(f)
-	e.spreadFigures(f, m.course)
-	e.churnFigure(f)
-	e.rejectionFigures(f, m.course)
-	e.avoidanceFigures(f)
-	e.gossipFigures(f)
-	m.valueFigures(f)
-	return f, m.course
+	figures := measured.requestFigures()
+	measured.addServerAttempts(figures)
+	evidence.registryFigures(figures)
+	evidence.routeFigures(figures)
+	evidence.hitterFigures(figures)
+	evidence.spreadFigures(figures, measured.course)
+	evidence.churnFigure(figures)
+	evidence.rejectionFigures(figures, measured.course)
+	evidence.avoidanceFigures(figures)
+	evidence.gossipFigures(figures)
+	measured.valueFigures(figures)
+	return figures, measured.course
 }
 
 // valueSum is the value of requests, and what of it was served.
@@ -180,10 +180,10 @@
 }
 
 // valueFigures adds the served share of the value: in all, by class, in the worst class and the worst 10 s, and together.
-func (m *measurement) valueFigures(f Figures) {
+func (m *measurement) valueFigures(figures Figures) {
 	worstClass := 1.0
 	for i, class := range m.classes {
-		f["served:"+m.Plan.File.Classes[i].Name] = class.share()
+		figures["served:"+m.Plan.File.Classes[i].Name] = class.share()
 		worstClass = min(worstClass, class.share())
 	}
 	worstTime := 1.0
@@ -194,15 +194,15 @@
 		}
 		worstTime = min(worstTime, sum.share())
 	}
-	f["served"], f["served_worst_class"], f["served_worst_10s"] = m.total.share(), worstClass, worstTime
-	f["service"] = 0.5*f["served"] + 0.3*f["served_worst_10s"] + 0.2*f["served_worst_class"] // BRIEF, how we count
+	figures["served"], figures["served_worst_class"], figures["served_worst_10s"] = m.total.share(), worstClass, worstTime
+	figures["service"] = 0.5*figures["served"] + 0.3*figures["served_worst_10s"] + 0.2*figures["served_worst_class"] // BRIEF, how we count
 }
 
 // Lateness is how late the lab sent, at the 99th percentile.
 func Lateness(tries []load.Attempt) time.Duration {
-	h := newHistogram()
+	histogram := newHistogram()
 	for i := range tries {
-		recordLatency(h, tries[i].Began-tries[i].Due)
+		recordLatency(histogram, tries[i].Began-tries[i].Due)
 	}
-	return time.Duration(h.ValueAtQuantile(99)) * time.Microsecond
+	return time.Duration(histogram.ValueAtQuantile(99)) * time.Microsecond
 }
--- a/internal/lab/check/gossip.go
+++ b/internal/lab/check/gossip.go
@@ -7,9 +7,9 @@
 func (e *Evidence) gossipFigures(f Figures) {
 	end := e.Start + int64(e.Plan.File.Seconds*float64(time.Second))
 	packets, bytes, seconds := int64(0), int64(0), 0
-	for _, g := range e.Gossip {
-		if g.At > e.Start+int64(time.Second) && g.At <= end {
-			packets, bytes, seconds = packets+g.Packets, bytes+g.Bytes+g.StreamBytes, seconds+1
+	for _, record := range e.Gossip {
+		if record.At > e.Start+int64(time.Second) && record.At <= end {
+			packets, bytes, seconds = packets+record.Packets, bytes+record.Bytes+record.StreamBytes, seconds+1
 		}
 	}
 	if seconds == 0 {
--- a/internal/lab/check/hitters.go
+++ b/internal/lab/check/hitters.go
@@ -58,27 +58,27 @@
 }
 
 func (e *Evidence) clientUsage() *clientUsage {
-	p := e.Plan
-	high, _ := p.File.Hitters.Thresholds()
-	seconds := int(math.Ceil(p.File.Seconds))
-	u := &clientUsage{high: high, work: make([]map[int]float64, seconds), total: make([]float64, seconds), requests: make([]int, seconds),
+	drawn := e.Plan
+	high, _ := drawn.File.Hitters.Thresholds()
+	seconds := int(math.Ceil(drawn.File.Seconds))
+	usage := &clientUsage{high: high, work: make([]map[int]float64, seconds), total: make([]float64, seconds), requests: make([]int, seconds),
 		rejected: make([]int, seconds)}
-	for i := range u.work {
-		u.work[i] = map[int]float64{}
+	for i := range usage.work {
+		usage.work[i] = map[int]float64{}
 	}
-	for i := range p.Arrivals {
-		arrival := &p.Arrivals[i]
-		second := u.second(arrival)
-		u.work[second][arrival.Client] += arrival.Work.Seconds()
-		u.total[second] += arrival.Work.Seconds()
+	for i := range drawn.Arrivals {
+		arrival := &drawn.Arrivals[i]
+		second := usage.second(arrival)
+		usage.work[second][arrival.Client] += arrival.Work.Seconds()
+		usage.total[second] += arrival.Work.Seconds()
 	}
 	for i := range e.ClientAttempts {
-		second := u.second(&p.Arrivals[e.ClientAttempts[i].Arrival])
-		if u.requests[second]++; e.ClientAttempts[i].Status == http.StatusServiceUnavailable {
-			u.rejected[second]++
+		second := usage.second(&drawn.Arrivals[e.ClientAttempts[i].Arrival])
+		if usage.requests[second]++; e.ClientAttempts[i].Status == http.StatusServiceUnavailable {
+			usage.rejected[second]++
 		}
 	}
-	return u
+	return usage
 }
 
 // second is the second of an arrival.
@@ -182,10 +182,10 @@
 
 // detectionDelay is the longest time from the start of a flooding client, or from when servers were full, until it first yielded; the end
 // of the load stands for one that never did. ok is false where no client flooded.
-func (u *clientUsage) detectionDelay(p *plan.Plan, first map[int]time.Duration) (longest time.Duration, ok bool) {
+func (u *clientUsage) detectionDelay(drawn *plan.Plan, first map[int]time.Duration) (longest time.Duration, ok bool) {
 	longest = -1
-	for i := range p.File.Faults {
-		fault := &p.File.Faults[i]
+	for i := range drawn.File.Faults {
+		fault := &drawn.File.Faults[i]
 		if fault.Do != "flood" || fault.Distinct {
 			continue
 		}
@@ -198,7 +198,7 @@
 			}
 			at, known := first[client]
 			if !known {
-				at = plan.Seconds(p.File.Seconds)
+				at = plan.Seconds(drawn.File.Seconds)
 			}
 			longest = max(longest, at-begin, 0)
 		}
@@ -231,28 +231,28 @@
 
 // valueShareWithoutFloods is the share of the worth of who do not flood that was served of what arrived within a time; false: nothing did.
 func (e *Evidence) valueShareWithoutFloods(from, to time.Duration) (float64, bool) {
-	p := e.Plan
-	got := make([]float64, len(p.Arrivals))
+	drawn := e.Plan
+	got := make([]float64, len(drawn.Arrivals))
 	for i := range e.ClientAttempts {
-		t := &e.ClientAttempts[i]
-		class := &p.File.Classes[p.Arrivals[t.Arrival].Class]
-		took := float64(t.Ended-e.Start-int64(p.Arrivals[t.Arrival].At)) / 1e6
+		attempt := &e.ClientAttempts[i]
+		class := &drawn.File.Classes[drawn.Arrivals[attempt.Arrival].Class]
+		took := float64(attempt.Ended-e.Start-int64(drawn.Arrivals[attempt.Arrival].At)) / 1e6
 		switch {
-		case t.Status == http.StatusOK && took <= class.LatencyTargetMS:
-			got[t.Arrival] = 1
-		case t.Status == http.StatusOK && took <= class.GiveUpMS:
-			got[t.Arrival] = max(got[t.Arrival], class.LateValue)
+		case attempt.Status == http.StatusOK && took <= class.LatencyTargetMS:
+			got[attempt.Arrival] = 1
+		case attempt.Status == http.StatusOK && took <= class.GiveUpMS:
+			got[attempt.Arrival] = max(got[attempt.Arrival], class.LateValue)
 		}
 	}
 	asked, served := 0.0, 0.0
-	for i := range p.Arrivals {
-		a := &p.Arrivals[i]
-		if _, floods := plan.Flooder(a.Client); floods || a.At < from || a.At >= to {
+	for i := range drawn.Arrivals {
+		arrival := &drawn.Arrivals[i]
+		if _, floods := plan.Flooder(arrival.Client); floods || arrival.At < from || arrival.At >= to {
 			continue
 		}
-		worth := p.File.Classes[a.Class].Value * a.Work.Seconds()
-		asked += worth
-		served += worth * got[i]
+		value := drawn.File.Classes[arrival.Class].Value * arrival.Work.Seconds()
+		asked += value
+		served += value * got[i]
 	}
 	return served / asked, asked > 0
 }
--- a/internal/lab/check/invariants.go
+++ b/internal/lab/check/invariants.go
@@ -11,30 +11,30 @@
 )
 
 // Invariants checks all of them, in the order of plan.Invariants.
-func Invariants(e *Evidence) []Verdict {
-	f := findings{}
+func Invariants(evidence *Evidence) []Verdict {
+	found := findings{}
 	for _, v := range plan.Invariants {
-		f[v.Name] = &Verdict{Name: v.Name, Says: v.Says}
+		found[v.Name] = &Verdict{Name: v.Name, Says: v.Says}
 	}
 	attempts := map[string][]ctl.Attempt{}
-	for _, a := range e.ServerAttempts {
+	for _, a := range evidence.ServerAttempts {
 		attempts[a.ID] = append(attempts[a.ID], a)
 	}
 	for _, all := range attempts {
 		slices.SortFunc(all, func(a, b ctl.Attempt) int { return cmp.Compare(a.First, b.First) })
 	}
-	e.checkResponses(f, attempts)
-	e.checkAttempts(f, attempts)
-	e.checkDrained(f)
-	e.checkRegistry(f)
-	e.checkRoutes(f)
-	e.checkProcesses(f)
-	e.checkResources(f)
-	e.checkLateness(f)
+	evidence.checkResponses(found, attempts)
+	evidence.checkAttempts(found, attempts)
+	evidence.checkDrained(found)
+	evidence.checkRegistry(found)
+	evidence.checkRoutes(found)
+	evidence.checkProcesses(found)
+	evidence.checkResources(found)
+	evidence.checkLateness(found)
 	verdicts := make([]Verdict, 0, len(plan.Invariants))
 	for _, v := range plan.Invariants {
-		f[v.Name].conclude()
-		verdicts = append(verdicts, *f[v.Name])
+		found[v.Name].conclude()
+		verdicts = append(verdicts, *found[v.Name])
 	}
 	return verdicts
 }
--- a/internal/lab/check/registry.go
+++ b/internal/lab/check/registry.go
@@ -36,15 +36,15 @@
 }
 
 // LaggingReaders are the readers that were not told the last revision.
-func LaggingReaders(p *plan.Plan, shown []ctl.RegistryUpdate, last Last) (all []int) {
-	told := map[int]int64{}
-	for _, s := range shown {
-		if s.Cluster == last.Cluster && s.Watch {
-			told[s.Near] = max(told[s.Near], s.Rev)
+func LaggingReaders(p *plan.Plan, updates []ctl.RegistryUpdate, last Last) (all []int) {
+	known := map[int]int64{}
+	for _, update := range updates {
+		if update.Cluster == last.Cluster && update.Watch {
+			known[update.Near] = max(known[update.Near], update.Rev)
 		}
 	}
 	for near := range p.Nears() {
-		if isReader(p, near) && told[near] < last.Rev {
+		if isReader(p, near) && known[near] < last.Rev {
 			all = append(all, near)
 		}
 	}
@@ -70,9 +70,9 @@
 // readersOfChanges is how many readers there were to be told what changed while the load ran; 0: nothing did.
 func (e *Evidence) readersOfChanges() (readers int) {
 	before := int64(0) // the highest revision that was shown before the load
-	for _, s := range e.RegistryUpdates {
-		if s.At < e.Start && s.Cluster == e.Last.Cluster {
-			before = max(before, s.Rev)
+	for _, update := range e.RegistryUpdates {
+		if update.At < e.Start && update.Cluster == e.Last.Cluster {
+			before = max(before, update.Rev)
 		}
 	}
 	if e.Last.Rev <= before {
@@ -88,8 +88,8 @@
 
 // entry is what one key holds, as far as a history of operations leaves it known.
 type entry struct {
-	rev   int64 // below 0: of a write that was never answered, so above the one before
-	value int
+	revision int64 // below 0: of a write that was never answered, so above the one before
+	value    int
 }
 
 // registerModel is one that is written with compare and set: each write names the revision that it replaces.
@@ -100,14 +100,14 @@
 		switch {
 		case !w.Write && now == (entry{}): // what was made before the first operation
 			return []any{entry{w.Rev, w.Value}}
-		case !w.Write && w.Value == now.value && (w.Rev == now.rev || now.rev < 0 && w.Rev > -now.rev):
+		case !w.Write && w.Value == now.value && (w.Rev == now.revision || now.revision < 0 && w.Rev > -now.revision):
 			return []any{entry{w.Rev, w.Value}}
 		case !w.Write:
 			return nil
 		}
-		fits := now.rev == w.Expect || now == (entry{}) || now.rev < 0 && w.Expect > -now.rev
+		fits := now.revision == w.Expect || now == (entry{}) || now.revision < 0 && w.Expect > -now.revision
 		switch {
-		case w.Outcome == "conflict" && (now.rev != w.Expect):
+		case w.Outcome == "conflict" && (now.revision != w.Expect):
 			return []any{state}
 		case w.Outcome == "conflict":
 			return nil
@@ -128,20 +128,20 @@
 // checkLinearizable checks what the lab's own clients wrote and read, entry by entry (Herlihy and Wing, 1990).
 func (e *Evidence) checkLinearizable(f findings) {
 	keys := map[int][]porcupine.Operation{}
-	for _, w := range e.RegistryCalls {
-		if w.Outcome == "none" {
+	for _, call := range e.RegistryCalls {
+		if call.Outcome == "none" {
 			continue
 		}
-		end := w.Return
-		if w.Outcome == "uncertain" {
+		end := call.Return
+		if call.Outcome == "uncertain" {
 			end = math.MaxInt64
 		}
 		f.observe("linearizable", 1)
-		keys[w.Key] = append(keys[w.Key], porcupine.Operation{ClientId: w.Client, Input: w, Output: w, Call: w.Call, Return: end})
+		keys[call.Key] = append(keys[call.Key], porcupine.Operation{ClientId: call.Client, Input: call, Output: call, Call: call.Call, Return: end})
 	}
-	judge := registerModel.ToModel()
+	model := registerModel.ToModel()
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
-		switch porcupine.CheckOperationsTimeout(judge, keys[key], linearizabilityTimeout) {
+		switch porcupine.CheckOperationsTimeout(model, keys[key], linearizabilityTimeout) {
 		case porcupine.Illegal:
 			f.violation("linearizable", "the %d operations on entry %d fit no order", len(keys[key]), key)
 		case porcupine.Unknown:
@@ -152,27 +152,27 @@
 
 // checkRevisions checks what each watch was shown, in the order in which it came.
 func (e *Evidence) checkRevisions(f findings) {
-	conns := map[int64][]ctl.RegistryUpdate{}
-	for _, s := range e.RegistryUpdates {
-		if s.Watch {
-			conns[s.Conn] = append(conns[s.Conn], s)
+	updates := map[int64][]ctl.RegistryUpdate{}
+	for _, update := range e.RegistryUpdates {
+		if update.Watch {
+			updates[update.Conn] = append(updates[update.Conn], update)
 		}
 	}
-	for conn, all := range conns {
+	for conn, all := range updates {
 		f.observe("revisions", len(all))
 		slices.SortStableFunc(all, func(a, b ctl.RegistryUpdate) int { return cmp.Compare(a.At, b.At) })
-		at := all[0].KnownRevision
-		for _, s := range all { // a whole list may come instead of changes, but never from behind
-			where := fmt.Sprintf("connection %d of reader %d to %s at %s", conn, s.Near, s.Node, e.when(s.At))
+		revision := all[0].KnownRevision
+		for _, update := range all { // a whole list may come instead of changes, but never from behind
+			where := fmt.Sprintf("connection %d of reader %d to %s at %s", conn, update.Near, update.Node, e.when(update.At))
 			switch {
-			case s.Rev < at:
-				f.violation("revisions", "%s: revision %d after %d", where, s.Rev, at)
-			case !s.Complete && s.ServerCount > 0 && s.Rev != at+int64(s.ServerCount):
-				f.violation("revisions", "%s: %d changes lead from revision %d to %d", where, s.ServerCount, at, s.Rev)
-			case !s.Complete && s.ServerCount == 0 && s.Rev != at:
-				f.violation("revisions", "%s: nothing changed from revision %d to %d", where, at, s.Rev)
+			case update.Rev < revision:
+				f.violation("revisions", "%s: revision %d after %d", where, update.Rev, revision)
+			case !update.Complete && update.ServerCount > 0 && update.Rev != revision+int64(update.ServerCount):
+				f.violation("revisions", "%s: %d changes lead from revision %d to %d", where, update.ServerCount, revision, update.Rev)
+			case !update.Complete && update.ServerCount == 0 && update.Rev != revision:
+				f.violation("revisions", "%s: nothing changed from revision %d to %d", where, revision, update.Rev)
 			}
-			at = s.Rev
+			revision = update.Rev
 		}
 	}
 }
--- a/internal/lab/check/registryfigures.go
+++ b/internal/lab/check/registryfigures.go
@@ -22,7 +22,7 @@
 }
 
 // writeFigures adds the figures of writes, and returns when each revision that the writers made was called.
-func (e *Evidence) writeFigures(f Figures) (called map[int64]int64) {
+func (e *Evidence) writeFigures(figures Figures) (called map[int64]int64) {
 	latency := newHistogram()
 	called = map[int64]int64{}
 	var returns []int64
@@ -37,9 +37,9 @@
 			uncertain++
 		}
 	}
-	f["writes"], f["writes_uncertain"] = float64(len(returns)), float64(uncertain)
+	figures["writes"], figures["writes_uncertain"] = float64(len(returns)), float64(uncertain)
 	if len(returns) > 0 {
-		f["write_p99_ms"] = quantile(latency, 99)
+		figures["write_p99_ms"] = quantile(latency, 99)
 	}
 	if len(returns) > 1 {
 		slices.Sort(returns)
@@ -47,7 +47,7 @@
 		for i := 1; i < len(returns); i++ {
 			gap = max(gap, returns[i]-returns[i-1])
 		}
-		f["write_gap_ms"] = float64(gap) / 1e6
+		figures["write_gap_ms"] = float64(gap) / 1e6
 	}
 	return called
 }
--- a/internal/lab/check/rejection.go
+++ b/internal/lab/check/rejection.go
@@ -14,16 +14,16 @@
 
 // faultPeriod is when the first fault begins and the last one ends, with the restart that it brings; ok is false without faults.
 func (e *Evidence) faultPeriod() (first, last int64, ok bool) {
-	for i, b := range e.Plan.Bands {
-		to := b.To
-		if r := e.Plan.File.Faults[b.Fault].Restart; r != nil {
+	for i, band := range e.Plan.Bands {
+		to := band.To
+		if r := e.Plan.File.Faults[band.Fault].Restart; r != nil {
 			to += plan.Seconds(*r)
 		}
-		from, to2 := e.Start+int64(b.From), e.Start+int64(to)
+		from, end := e.Start+int64(band.From), e.Start+int64(to)
 		if i == 0 || from < first {
 			first = from
 		}
-		last = max(last, to2)
+		last = max(last, end)
 	}
 	return first, last, len(e.Plan.Bands) > 0
 }
