--- a/internal/lab/check/drained.go
+++ b/internal/lab/check/drained.go
@@ -9,43 +9,52 @@
 	"gradeusher.example/gradeusher/internal/lab/plan"
 )
 
-// checkDrained checks that nothing new goes to a server that a sidecar was told drains or is gone.
+// serverAtSidecar is a server as far as one sidecar uses it.
+type serverAtSidecar struct {
+	near   int
+	server string
+}
+
+// checkDrained checks that no attempt goes to a server longer than the grace after the sidecar was notified that the server drains or is
+// gone.
 func (e *Evidence) checkDrained(f findings) {
-	type pair struct {
-		near   int
-		server string
-	}
-	told := map[pair][]ctl.ListUpdate{}
-	for _, t := range e.ListUpdates {
-		p := pair{t.Near, t.UID}
-		told[p] = append(told[p], t)
-	}
-	for p := range told {
-		slices.SortStableFunc(told[p], func(a, b ctl.ListUpdate) int { return cmp.Compare(a.At, b.At) })
+	updates := map[serverAtSidecar][]ctl.ListUpdate{}
+	for _, update := range e.ListUpdates {
+		pair := serverAtSidecar{update.Near, update.UID}
+		updates[pair] = append(updates[pair], update)
 	}
-	for _, all := range told {
-		if slices.ContainsFunc(all, func(t ctl.ListUpdate) bool { return t.State != "SERVING" }) {
+	for _, all := range updates {
+		slices.SortStableFunc(all, func(a, b ctl.ListUpdate) int { return cmp.Compare(a.At, b.At) })
+		if slices.ContainsFunc(all, func(update ctl.ListUpdate) bool { return update.State != serving }) {
 			f.observe("drained", 1)
 		}
 	}
 	limits := &e.Plan.File.Limits
 	grace := int64(plan.Millis(limits.DrainGraceMS + limits.SlackMS))
-	for _, a := range e.ServerAttempts {
-		since, state := int64(0), ""
-		born := e.processStart(a.Near, a.First)
-		for _, t := range told[pair{a.Near, a.Server}] {
-			if t.At > a.First || t.At < born {
-				continue // not told yet, or to a process before this one
-			}
-			if t.State == "SERVING" {
-				since = 0
-			} else if since == 0 {
-				since, state = t.At, t.State
-			}
+	for _, attempt := range e.ServerAttempts {
+		since, state := e.notServingSince(attempt, updates[serverAtSidecar{attempt.Near, attempt.Server}])
+		if since != 0 && attempt.First > since+grace && !e.stopped(attempt.Near, since, attempt.First) {
+			f.violation("drained", "%s sent request %s to %s at %s, %v after it was told %s", e.Plan.Sidecars[attempt.Near].Name, attempt.ID,
+				attempt.Server, e.when(attempt.First), time.Duration(attempt.First-since).Round(time.Millisecond), state)
 		}
-		if since != 0 && a.First > since+grace && !e.stopped(a.Near, since, a.First) {
-			f.violation("drained", "%s sent request %s to %s at %s, %v after it was told %s", e.Plan.Sidecars[a.Near].Name, a.ID, a.Server,
-				e.when(a.First), time.Duration(a.First-since).Round(time.Millisecond), state)
+	}
+}
+
+const serving = "SERVING" // the state of a server that accepts requests
+
+// notServingSince is when the sidecar that made an attempt was notified that the server does not serve, and of which state; 0: it serves as
+// far as the sidecar knows. The updates are those of the pair in order of time; those to an earlier process of the sidecar do
+// not count.
+func (e *Evidence) notServingSince(attempt ctl.Attempt, updates []ctl.ListUpdate) (since int64, state string) {
+	start := e.processStart(attempt.Near, attempt.First)
+	for _, update := range updates {
+		switch {
+		case update.At > attempt.First || update.At < start:
+		case update.State == serving:
+			since = 0
+		case since == 0:
+			since, state = update.At, update.State
 		}
 	}
+	return since, state
 }
--- a/internal/lab/check/rejection.go
+++ b/internal/lab/check/rejection.go
@@ -7,59 +7,61 @@
 )
 
 const (
-	settlingSeconds    = 5    // seconds after the last fault's end
-	recoveredTolerance = 0.03 // of the share before the first fault counts as back
-	recoveredSeconds   = 3    // seconds in a row
+	settlingSeconds    = 5    // after the end of the last fault, which do not count
+	recoveredTolerance = 0.03 // above the share before the first fault that counts as recovered
+	recoveredSeconds   = 3    // in a row
 )
 
-// faultPeriod is when the first fault begins and the last one ends, with the restart that it brings; ok is false without faults.
+// faultPeriod is when the first fault begins and the last one ends, with the restart that it brings, in ns of the lab's clock; ok is false
+// without faults.
 func (e *Evidence) faultPeriod() (first, last int64, ok bool) {
 	for i, band := range e.Plan.Bands {
-		to := band.To
-		if r := e.Plan.File.Faults[band.Fault].Restart; r != nil {
-			to += plan.Seconds(*r)
+		end := band.To
+		if restart := e.Plan.File.Faults[band.Fault].Restart; restart != nil {
+			end += plan.Seconds(*restart)
 		}
-		from, end := e.Start+int64(band.From), e.Start+int64(to)
+		from := e.Start + int64(band.From)
 		if i == 0 || from < first {
 			first = from
 		}
-		last = max(last, end)
+		last = max(last, e.Start+int64(end))
 	}
 	return first, last, len(e.Plan.Bands) > 0
 }
 
-// rejectionFigures are refused_after, the share of requests refused from 5 s after the last fault's end on less that before the first
-// fault, and refused_back_s, the seconds from that end until the share is within 0.03 of that before, for 3 s in a row: all the rest
+// rejectionFigures adds refused_after, the share of requests rejected from 5 s after the end of the last fault less that before the first
+// fault, and refused_back_s, the seconds from that end until the share is within 0.03 of that before for 3 s in a row, or until the end
 // of the load where it never is. They are left out where there is nothing before, or nothing after.
 func (e *Evidence) rejectionFigures(f Figures, course []Second) {
 	first, last, ok := e.faultPeriod()
 	if !ok {
 		return
 	}
-	of := func(from, to int64) (share float64, any bool) { // whole seconds
-		requests, refused := 0, 0
-		for i, s := range course {
-			if at := e.Start + int64(i)*int64(time.Second); at >= from && at+int64(time.Second) <= to {
-				requests, refused = requests+s.Requests, refused+s.Refused
-			}
-		}
-		return float64(refused) / float64(max(1, requests)), requests > 0
-	}
-	end := e.Start + int64(len(course))*int64(time.Second)
-	before, was := of(e.Start, first)
-	after, is := of(last+settlingSeconds*int64(time.Second), end)
-	if !was || !is {
+	before, requestsBefore := e.rejectedShare(course, e.Start, first)
+	after, requestsAfter := e.rejectedShare(course, last+settlingSeconds*int64(time.Second), e.second(len(course)))
+	if !requestsBefore || !requestsAfter {
 		return
 	}
 	f["refused_before"], f["refused_after"] = before, after-before
 	begin := int((last - e.Start + int64(time.Second) - 1) / int64(time.Second)) // the first whole second after it
-	back := len(course)
-	for s := begin; s+recoveredSeconds <= len(course); s++ {
-		share, _ := of(e.Start+int64(s)*int64(time.Second), e.Start+int64(s+recoveredSeconds)*int64(time.Second))
+	recovered := len(course)
+	for second := begin; second+recoveredSeconds <= len(course); second++ {
+		share, _ := e.rejectedShare(course, e.second(second), e.second(second+recoveredSeconds))
 		if share <= before+recoveredTolerance {
-			back = s
+			recovered = second
 			break
 		}
 	}
-	f["refused_back_s"] = float64(back - begin)
+	f["refused_back_s"] = float64(recovered - begin)
+}
+
+// rejectedShare is the share of the requests that were rejected in the whole seconds of a period; ok is false where there were no requests.
+func (e *Evidence) rejectedShare(course []Second, from, to int64) (share float64, ok bool) {
+	requests, rejected := 0, 0
+	for i, second := range course {
+		if e.second(i) >= from && e.second(i+1) <= to {
+			requests, rejected = requests+second.Requests, rejected+second.Refused
+		}
+	}
+	return float64(rejected) / float64(max(1, requests)), requests > 0
 }
--- a/internal/lab/check/spread.go
+++ b/internal/lab/check/spread.go
@@ -4,11 +4,13 @@
 	"math"
 	"slices"
 	"time"
+
+	"gradeusher.example/gradeusher/internal/lab/ctl"
 )
 
 const (
-	minRequestsPerServer = 10 // a server, under which seconds are joined
-	worstSeconds         = 10
+	minRequestsPerServer = 10 // of a window; seconds with fewer are joined
+	worstSeconds         = 10 // over which the worst mean is taken
 )
 
 // window is some whole seconds of the load.
@@ -17,74 +19,102 @@
 	spread   float64 // of the servers that were ready and warm throughout
 }
 
-// spreads are the windows of a run, in order: in each, the most (work begun at a server, over its size) divided by the mean
-// of that over the servers that are ready and warm throughout. What a server turned away was not begun. Seconds with under
-// ten requests a server are joined, for there the most of many small draws says little; what is left at the end is no window.
-func (e *Evidence) spreads() (all []window) {
-	n := int(math.Ceil(e.Plan.File.Seconds))
-	work := make([]map[string]int64, n)
-	counts := make([]int, n)
-	for _, a := range e.ServerAttempts {
-		s := int((a.First - e.Start) / int64(time.Second))
-		if a.First < e.Start || s >= n || a.Outcome == "turned" {
+// workBySecond is the work that servers began, by second of the load.
+type workBySecond struct {
+	work     []map[string]int64 // by server, ns of a core
+	attempts []int
+}
+
+// startedWork counts the work of attempts; a rejected one did not begin.
+func (e *Evidence) startedWork() workBySecond {
+	seconds := int(math.Ceil(e.Plan.File.Seconds))
+	started := workBySecond{work: make([]map[string]int64, seconds), attempts: make([]int, seconds)}
+	for i := range started.work {
+		started.work[i] = map[string]int64{}
+	}
+	for _, attempt := range e.ServerAttempts {
+		second := int((attempt.First - e.Start) / int64(time.Second))
+		if attempt.First < e.Start || second >= seconds || attempt.Outcome == ctl.AttemptRejected {
 			continue
 		}
-		if work[s] == nil {
-			work[s] = map[string]int64{}
-		}
-		work[s][a.Server] += a.Work
-		counts[s]++
+		started.work[second][attempt.Server] += attempt.Work
+		started.attempts[second]++
 	}
-	size := map[string]float64{}
+	return started
+}
+
+// windows are the windows of a run, in order. Seconds with fewer than ten requests per server are joined, because the maximum of many small
+// draws says little; what is left at the end is no window.
+func (e *Evidence) windows() (all []window) {
+	started := e.startedWork()
+	capacity := map[string]float64{}
 	for i := range e.Plan.Servers {
-		size[e.Plan.Servers[i].UID] = e.Plan.Servers[i].Capacity()
+		capacity[e.Plan.Servers[i].UID] = e.Plan.Servers[i].Capacity()
 	}
 	ready := e.readyWarm()
-	began := 0
-	for from, to := 0, 1; to <= n; to++ {
-		began += counts[to-1]
-		if began < minRequestsPerServer*e.Plan.InitialServers {
+	attempts := 0
+	for from, to := 0, 1; to <= len(started.work); to++ {
+		attempts += started.attempts[to-1]
+		if attempts < minRequestsPerServer*e.Plan.InitialServers {
 			continue
 		}
-		most, sum, servers := 0.0, 0.0, 0
-		for uid, spans := range ready {
-			if !covers(spans, e.Start+int64(from)*int64(time.Second), e.Start+int64(to)*int64(time.Second)) {
-				continue
+		var loads []float64
+		for uid, periods := range ready {
+			if covers(periods, e.second(from), e.second(to)) {
+				loads = append(loads, started.of(uid, from, to)/capacity[uid])
 			}
-			done := int64(0)
-			for s := from; s < to; s++ {
-				done += work[s][uid]
-			}
-			share := float64(done) / size[uid]
-			most, sum, servers = max(most, share), sum+share, servers+1
 		}
-		if sum > 0 {
-			all = append(all, window{from, to, most / (sum / float64(servers))})
+		if spread, ok := maxOverMean(loads); ok {
+			all = append(all, window{from, to, spread})
 		}
-		from, began = to, 0
+		from, attempts = to, 0
 	}
 	return all
 }
 
-// spreadFigures are spread, the 99th percentile of the seconds; spread_worst10, the highest mean over 10 s; and how many times
-// the mean before the first fault that is. They are left out where nothing is to be seen.
+// of is the work that a server began in some seconds, in ns of a core.
+func (w workBySecond) of(server string, from, to int) float64 {
+	sum := int64(0)
+	for second := from; second < to; second++ {
+		sum += w.work[second][server]
+	}
+	return float64(sum)
+}
+
+// second is the beginning of a second of the load, in ns of the lab's clock.
+func (e *Evidence) second(second int) int64 { return e.Start + int64(second)*int64(time.Second) }
+
+// maxOverMean is the maximum of some values over their mean; ok is false where the mean is 0.
+func maxOverMean(values []float64) (ratio float64, ok bool) {
+	largest, sum := 0.0, 0.0
+	for _, value := range values {
+		largest, sum = max(largest, value), sum+value
+	}
+	if sum <= 0 {
+		return 0, false
+	}
+	return largest / (sum / float64(len(values))), true
+}
+
+// spreadFigures adds spread, the 99th percentile over the seconds; spread_worst10, the highest mean over 10 s; and spread_rise, how many
+// times the mean before the first fault that is. The spread of a window is the highest load (work begun at a server over its capacity)
+// divided by the mean load, of the servers that are ready and warm throughout. The figures are left out where there is no window.
 func (e *Evidence) spreadFigures(f Figures, course []Second) {
-	all := e.spreads()
+	all := e.windows()
 	if len(all) == 0 {
 		return
 	}
 	var seconds []float64
-	for _, w := range all {
-		for s := w.from; s < w.to; s++ {
-			course[s].Spread = w.spread
-			seconds = append(seconds, w.spread)
+	before, secondsBefore := 0.0, 0
+	firstFault, _, faulty := e.faultPeriod()
+	for _, window := range all {
+		for second := window.from; second < window.to; second++ {
+			course[second].Spread = window.spread
+			seconds = append(seconds, window.spread)
 		}
-	}
-	before, n := 0.0, 0
-	first, _, faulty := e.faultPeriod()
-	for _, w := range all {
-		if faulty && e.Start+int64(w.to)*int64(time.Second) <= first {
-			before, n = before+w.spread*float64(w.to-w.from), n+w.to-w.from
+		if faulty && e.second(window.to) <= firstFault {
+			length := window.to - window.from
+			before, secondsBefore = before+window.spread*float64(length), secondsBefore+length
 		}
 	}
 	worst := 0.0
@@ -93,15 +123,15 @@
 	}
 	sorted := slices.Sorted(slices.Values(seconds))
 	f["spread"], f["spread_worst10"] = sorted[int(math.Ceil(0.99*float64(len(sorted))))-1], worst
-	if n > 0 {
-		f["spread_rise"] = worst / (before / float64(n))
+	if secondsBefore > 0 {
+		f["spread_rise"] = worst / (before / float64(secondsBefore))
 	}
 }
 
-func mean(v []float64) float64 {
+func mean(values []float64) float64 {
 	sum := 0.0
-	for _, x := range v {
-		sum += x
+	for _, value := range values {
+		sum += value
 	}
-	return sum / float64(len(v))
+	return sum / float64(len(values))
 }
