--- a/internal/lab/check/registry.go
+++ b/internal/lab/check/registry.go
@@ -14,28 +14,29 @@
 	"gradeusher.example/gradeusher/internal/lab/plan"
 )
 
-// Last is the revision at the end, when all faults are over; 0: no keeper led.
+// Last is the revision of the registry at the end, when all faults are over; Rev 0: no node led.
 type Last struct {
 	Cluster string
 	Rev     int64
 }
 
-// NodePeak is the most that a keeper's processes held at a sample, and what the last one used.
+// NodePeak is the largest use of resources by the processes of a registry node at a sample, and the processor time of the last one.
 type NodePeak struct {
 	MemoryMB    float64
 	Descriptors int
 	Used        float64 // share of a core, from its first sample to its last
-	Pid         int
-	First       int64   // sample, ns
-	Before      float64 // seconds of a core at that
+	Pid         int     // of the last process
+	First       int64   // time of its first sample, ns
+	Before      float64 // seconds of a core at that sample
 }
 
-// isReader tells whether a near end reads the list at the end: a sidecar that has not left, or a client that only watches.
+// isReader reports whether a near end reads the list at the end: a sidecar that has not left, or a client that only watches.
 func isReader(p *plan.Plan, near int) bool {
-	return near < len(p.Sidecars) && p.Sidecars[near].To == 0 || near >= p.NearWatcher(0)
+	stays := near < len(p.Sidecars) && p.Sidecars[near].To == 0
+	return stays || near >= p.NearWatcher(0)
 }
 
-// LaggingReaders are the readers that were not told the last revision.
+// LaggingReaders are the readers, by index of their near end, that did not receive the last revision.
 func LaggingReaders(p *plan.Plan, updates []ctl.RegistryUpdate, last Last) (all []int) {
 	known := map[int]int64{}
 	for _, update := range updates {
@@ -51,6 +52,7 @@
 	return all
 }
 
+// checkRegistry checks linearizable, revisions and told-all.
 func (e *Evidence) checkRegistry(f findings) {
 	if e.Plan.File.Registry.Count == 0 {
 		return
@@ -67,9 +69,9 @@
 	}
 }
 
-// readersOfChanges is how many readers there were to be told what changed while the load ran; 0: nothing did.
+// readersOfChanges is how many readers had to receive what changed while the load ran; 0: nothing did.
 func (e *Evidence) readersOfChanges() (readers int) {
-	before := int64(0) // the highest revision that was shown before the load
+	before := int64(0) // the highest revision that was published before the load
 	for _, update := range e.RegistryUpdates {
 		if update.At < e.Start && update.Cluster == e.Last.Cluster {
 			before = max(before, update.Rev)
@@ -86,54 +88,65 @@
 	return readers
 }
 
-// entry is what one key holds, as far as a history of operations leaves it known.
+// entry is what one key has, as far as a history of operations determines it.
 type entry struct {
-	revision int64 // below 0: of a write that was never answered, so above the one before
+	revision int64 // negative: of a write without an answer, above the revision of the same amount
 	value    int
 }
 
-// registerModel is one that is written with compare and set: each write names the revision that it replaces.
+// admits reports whether the entry may have a revision, which a write requires or a read returned.
+func (e entry) admits(revision int64) bool {
+	return revision == e.revision || e.revision < 0 && revision > -e.revision
+}
+
+// registerModel is a register that is written by compare and set: each write names the revision that it replaces. The zero entry stands for
+// what was written before the first operation, of which nothing is known.
 var registerModel = porcupine.NondeterministicModel{
-	Init: func() []any { return []any{entry{}} },
-	Step: func(state, input, output any) []any {
-		now, w := state.(entry), input.(ctl.RegistryCall)
-		switch {
-		case !w.Write && now == (entry{}): // what was made before the first operation
-			return []any{entry{w.Rev, w.Value}}
-		case !w.Write && w.Value == now.value && (w.Rev == now.revision || now.revision < 0 && w.Rev > -now.revision):
-			return []any{entry{w.Rev, w.Value}}
-		case !w.Write:
-			return nil
+	Init:  func() []any { return []any{entry{}} },
+	Step:  func(state, input, _ any) []any { return nextEntries(state.(entry), input.(ctl.RegistryCall)) },
+	Equal: func(a, b any) bool { return a == b },
+}
+
+// nextEntries are the entries that may follow a call; none: the call is not possible.
+func nextEntries(now entry, call ctl.RegistryCall) []any {
+	unknown := now == entry{}
+	written := entry{call.Rev, call.Value}
+	if !call.Write {
+		if unknown || call.Value == now.value && now.admits(call.Rev) {
+			return []any{written}
 		}
-		fits := now.revision == w.Expect || now == (entry{}) || now.revision < 0 && w.Expect > -now.revision
-		switch {
-		case w.Outcome == "conflict" && (now.revision != w.Expect):
-			return []any{state}
-		case w.Outcome == "conflict":
-			return nil
-		case w.Outcome == "uncertain" && fits:
-			return []any{state, entry{-w.Expect, w.Value}}
-		case w.Outcome == "uncertain":
-			return []any{state}
-		case fits && w.Rev > w.Expect:
-			return []any{entry{w.Rev, w.Value}}
+		return nil
+	}
+	applies := unknown || now.admits(call.Expect)
+	switch call.Outcome {
+	case ctl.CallConflict:
+		if now.revision != call.Expect {
+			return []any{now}
 		}
 		return nil
-	},
-	Equal: func(a, b any) bool { return a == b },
+	case ctl.CallUncertain:
+		if applies {
+			return []any{now, entry{-call.Expect, call.Value}}
+		}
+		return []any{now}
+	}
+	if applies && call.Rev > call.Expect {
+		return []any{written}
+	}
+	return nil
 }
 
-const linearizabilityTimeout = 20 * time.Second // for one entry's history
+const linearizabilityTimeout = 20 * time.Second // for the history of one entry
 
-// checkLinearizable checks what the lab's own clients wrote and read, entry by entry (Herlihy and Wing, 1990).
+// checkLinearizable checks what the lab's own clients wrote and read, entry by entry, for linearizability is local (Herlihy and Wing, 1990).
 func (e *Evidence) checkLinearizable(f findings) {
 	keys := map[int][]porcupine.Operation{}
 	for _, call := range e.RegistryCalls {
-		if call.Outcome == "none" {
+		if call.Outcome == ctl.CallNone {
 			continue
 		}
 		end := call.Return
-		if call.Outcome == "uncertain" {
+		if call.Outcome == ctl.CallUncertain {
 			end = math.MaxInt64
 		}
 		f.observe("linearizable", 1)
@@ -150,29 +163,36 @@
 	}
 }
 
-// checkRevisions checks what each watch was shown, in the order in which it came.
+// checkRevisions checks the updates of each watch in the order in which they were written.
 func (e *Evidence) checkRevisions(f findings) {
-	updates := map[int64][]ctl.RegistryUpdate{}
+	watches := map[int64][]ctl.RegistryUpdate{} // by connection
 	for _, update := range e.RegistryUpdates {
 		if update.Watch {
-			updates[update.Conn] = append(updates[update.Conn], update)
+			watches[update.Conn] = append(watches[update.Conn], update)
 		}
 	}
-	for conn, all := range updates {
-		f.observe("revisions", len(all))
-		slices.SortStableFunc(all, func(a, b ctl.RegistryUpdate) int { return cmp.Compare(a.At, b.At) })
-		revision := all[0].KnownRevision
-		for _, update := range all { // a whole list may come instead of changes, but never from behind
+	for conn, updates := range watches {
+		f.observe("revisions", len(updates))
+		slices.SortStableFunc(updates, func(a, b ctl.RegistryUpdate) int { return cmp.Compare(a.At, b.At) })
+		revision := updates[0].KnownRevision
+		for _, update := range updates {
 			where := fmt.Sprintf("connection %d of reader %d to %s at %s", conn, update.Near, update.Node, e.when(update.At))
-			switch {
-			case update.Rev < revision:
-				f.violation("revisions", "%s: revision %d after %d", where, update.Rev, revision)
-			case !update.Complete && update.ServerCount > 0 && update.Rev != revision+int64(update.ServerCount):
-				f.violation("revisions", "%s: %d changes lead from revision %d to %d", where, update.ServerCount, revision, update.Rev)
-			case !update.Complete && update.ServerCount == 0 && update.Rev != revision:
-				f.violation("revisions", "%s: nothing changed from revision %d to %d", where, revision, update.Rev)
-			}
+			checkRevision(f, where, revision, update)
 			revision = update.Rev
 		}
 	}
 }
+
+// checkRevision checks an update against the revision that the watcher has. A complete list may replace changes, but never by an earlier
+// revision.
+func checkRevision(f findings, where string, revision int64, update ctl.RegistryUpdate) {
+	switch {
+	case update.Rev < revision:
+		f.violation("revisions", "%s: revision %d after %d", where, update.Rev, revision)
+	case update.Complete:
+	case update.ServerCount > 0 && update.Rev != revision+int64(update.ServerCount):
+		f.violation("revisions", "%s: %d changes lead from revision %d to %d", where, update.ServerCount, revision, update.Rev)
+	case update.ServerCount == 0 && update.Rev != revision:
+		f.violation("revisions", "%s: nothing changed from revision %d to %d", where, revision, update.Rev)
+	}
+}
