--- a/internal/lab/check/responses.go
+++ b/internal/lab/check/responses.go
@@ -1,41 +1,54 @@
 package check
 
 import (
+	"net/http"
 	"slices"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/lab/ctl"
+	"gradeusher.example/gradeusher/internal/lab/load"
 	"gradeusher.example/gradeusher/internal/lab/plan"
 )
 
-// checkResponses checks one-answer and in-time.
+// checkResponses checks one-answer and in-time. attempts are those at servers, by id of the request and in order of time.
 func (e *Evidence) checkResponses(f findings, attempts map[string][]ctl.Attempt) {
-	limits := &e.Plan.File.Limits
 	for i := range e.ClientAttempts {
-		attempt := &e.ClientAttempts[i]
-		name := e.Plan.Sidecars[attempt.Sidecar].Name
-		if attempt.ResentAt != 0 && len(attempts[attempt.ID]) > 0 && attempts[attempt.ID][0].First < attempt.ResentAt && !e.excused(attempt.Sidecar, attempt.Began, attempt.Ended) {
-			// The client took it that nobody had read the request, but a server had got it.
-			f.violation("one-answer", "%s hung up on request %s after it had sent it on", name, attempt.ID)
-		}
-		if attempt.Sent == 0 {
-			continue // no sidecar has taken it
-		}
-		late := attempt.Sent + int64(attempt.Timeout) + int64(plan.Millis(limits.AnswerSlackMS))
-		excused := e.excused(attempt.Sidecar, attempt.Began, attempt.Ended)
-		if attempt.Status != 0 || !excused {
-			f.observe("one-answer", 1)
-		}
-		if attempt.Status != 0 && !excused {
-			f.observe("in-time", 1)
-		}
-		switch {
-		case attempt.Status == 0 && !excused:
-			f.violation("one-answer", "%s took request %s at %s and gave no answer: %s", name, attempt.ID, e.when(attempt.Sent), attempt.Fault)
-		case attempt.Status == 200 && !slices.ContainsFunc(attempts[attempt.ID], func(a ctl.Attempt) bool { return a.Outcome == "served" && a.Server == attempt.ServedBy }):
-			f.violation("one-answer", "%s served request %s by %q, which no server says", name, attempt.ID, attempt.ServedBy)
-		case attempt.Status != 0 && attempt.Ended > late && !excused:
-			f.violation("in-time", "%s answered request %s %v after its time", name, attempt.ID, time.Duration(attempt.Ended-attempt.Sent)-attempt.Timeout)
-		}
+		client := &e.ClientAttempts[i]
+		e.checkResponse(f, client, attempts[client.ID])
 	}
 }
+
+// checkResponse checks the response to one attempt of a client.
+func (e *Evidence) checkResponse(f findings, client *load.Attempt, atServers []ctl.Attempt) {
+	name := e.Plan.Sidecars[client.Sidecar].Name
+	excused := e.excused(client.Sidecar, client.Began, client.Ended)
+	// The client resent the request because it assumed that nobody had read it, but a server had received it.
+	resentAfterUse := client.ResentAt != 0 && len(atServers) > 0 && atServers[0].First < client.ResentAt
+	if resentAfterUse && !excused {
+		f.violation("one-answer", "%s hung up on request %s after it had sent it on", name, client.ID)
+	}
+	if client.Sent == 0 {
+		return // no sidecar has accepted it
+	}
+	answered := client.Status != 0
+	if answered || !excused {
+		f.observe("one-answer", 1)
+	}
+	if answered && !excused {
+		f.observe("in-time", 1)
+	}
+	deadline := client.Sent + int64(client.Timeout) + int64(plan.Millis(e.Plan.File.Limits.AnswerSlackMS))
+	switch {
+	case !answered && !excused:
+		f.violation("one-answer", "%s took request %s at %s and gave no answer: %s", name, client.ID, e.when(client.Sent), client.Fault)
+	case client.Status == http.StatusOK && !servedBy(atServers, client.ServedBy):
+		f.violation("one-answer", "%s served request %s by %q, which no server says", name, client.ID, client.ServedBy)
+	case answered && client.Ended > deadline && !excused:
+		f.violation("in-time", "%s answered request %s %v after its time", name, client.ID, time.Duration(client.Ended-client.Sent)-client.Timeout)
+	}
+}
+
+// servedBy reports whether one of some attempts was served by a server.
+func servedBy(attempts []ctl.Attempt, server string) bool {
+	return slices.ContainsFunc(attempts, func(a ctl.Attempt) bool { return a.Outcome == ctl.AttemptServed && a.Server == server })
+}
