--- a/internal/lab/check/churn.go
+++ b/internal/lab/check/churn.go
@@ -17,7 +17,7 @@
 // is not visible from outside, but the servers that it sends to are: those of a window are compared with those of the window before. A
 // window is as many intervals of 5 s as it takes to send four times as much as there are servers in it, so that hardly a member is
 // missed; what is left at the end is no window. A server that is replaced by another one counts once.
-func (e *Evidence) churnFigure(f Figures) {
+func (e *Evidence) churnFigure(figures Figures) {
 	sent := make([][]ctl.Attempt, len(e.Plan.Sidecars))
 	for _, attempt := range e.ServerAttempts {
 		if attempt.Near >= 0 && attempt.Near < len(sent) && attempt.First >= e.Start {
@@ -31,7 +31,7 @@
 		}
 	}
 	if measured {
-		f["churn"] = sum
+		figures["churn"] = sum
 	}
 }
 
--- a/internal/lab/check/hitters_test.go
+++ b/internal/lab/check/hitters_test.go
@@ -13,57 +13,59 @@
 // TestHitterFigures has a client flood two sidecars from 5 s on with half of the work, and give way, or not, as a case says.
 func TestHitterFigures(t *testing.T) {
 	const flooder = 1 << 22
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		name  string
 		yield func(client, sidecar int, at time.Duration) bool
 		want  Figures // 0: not measured
 	}{
 		{"nobody gives way", func(int, int, time.Duration) bool { return false }, Figures{"hitter_recall": 0, "hitter_delay_ms": 15000}},
-		{"just the one", func(c, _ int, at time.Duration) bool { return c == flooder && at >= 7*time.Second },
+		{"just the one", func(client, _ int, at time.Duration) bool { return client == flooder && at >= 7*time.Second },
 			Figures{"hitter_precision": 1, "hitter_recall": 1, "hitter_delay_ms": 2000}},
-		{"at one sidecar", func(c, s int, at time.Duration) bool { return c == flooder && s == 0 && at >= 7*time.Second },
+		{"at one sidecar", func(client, sidecar int, at time.Duration) bool {
+			return client == flooder && sidecar == 0 && at >= 7*time.Second
+		},
 			Figures{"hitter_precision": 1, "hitter_recall": 0.5, "hitter_delay_ms": 2000}},
-		{"others too", func(c, s int, at time.Duration) bool { return at >= 7*time.Second },
+		{"others too", func(client, sidecar int, at time.Duration) bool { return at >= 7*time.Second },
 			Figures{"hitter_precision": 0.5, "hitter_recall": 1, "hitter_delay_ms": 2000}},
 	} {
 		f, err := plan.Parse("x.toml", []byte("states = \"x\"\nseconds = 20\n[load]\nrate = 1\nclients = 100\n[fleet]\nsidecars = 2\n[hitters]\non = true\n[[fault]]\ndo = \"flood\"\nat = 5\nfor = 10\nsize = 1.0\n"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		e := &Evidence{Plan: &plan.Plan{File: f}}
-		for n := range 20 * 40 {
-			at := time.Duration(n) * 25 * time.Millisecond
-			client := n%50 + 1
-			if n%4 >= 2 && at >= 5*time.Second && at < 15*time.Second {
+		evidence := &Evidence{Plan: &plan.Plan{File: f}}
+		for number := range 20 * 40 {
+			at := time.Duration(number) * 25 * time.Millisecond
+			client := number%50 + 1
+			if number%4 >= 2 && at >= 5*time.Second && at < 15*time.Second {
 				client = flooder
 			}
-			e.Plan.Arrivals = append(e.Plan.Arrivals, plan.Arrival{At: at, Client: client, Sidecar: n % 2, Work: time.Second})
-			try := load.Attempt{ID: fmt.Sprint(n), Arrival: n, Sidecar: n % 2, Status: 200, Ended: int64(at) + int64(time.Millisecond)}
+			evidence.Plan.Arrivals = append(evidence.Plan.Arrivals, plan.Arrival{At: at, Client: client, Sidecar: number % 2, Work: time.Second})
+			try := load.Attempt{ID: fmt.Sprint(number), Arrival: number, Sidecar: number % 2, Status: 200, Ended: int64(at) + int64(time.Millisecond)}
 			switch {
-			case tt.yield(client, n%2, at) && at < 15*time.Second:
+			case test.yield(client, number%2, at) && at < 15*time.Second:
 				try.Status, try.RetryAfter = 503, 1500*time.Millisecond
-			case n%10 == 0: // full: refused, to come back soon, or after an attempt
+			case number%10 == 0: // full: refused, to come back soon, or after an attempt
 				try.Status, try.RetryAfter = 503, 200*time.Millisecond
-			case n%10 == 1:
+			case number%10 == 1:
 				try.Status, try.RetryAfter = 503, 1500*time.Millisecond
-				e.ServerAttempts = append(e.ServerAttempts, ctl.Attempt{ID: try.ID})
+				evidence.ServerAttempts = append(evidence.ServerAttempts, ctl.Attempt{ID: try.ID})
 			}
-			e.ClientAttempts = append(e.ClientAttempts, try)
+			evidence.ClientAttempts = append(evidence.ClientAttempts, try)
 		}
 		got := Figures{}
-		e.hitterFigures(got)
+		evidence.hitterFigures(got)
 		for _, name := range []string{"hitter_precision", "hitter_recall", "hitter_delay_ms"} {
 			value, known := got[name]
-			want, wanted := tt.want[name]
+			want, wanted := test.want[name]
 			if known != wanted || value < 0.98*want || value > 1.03*want {
-				t.Errorf("%s: %s is %v (%v), want %v (%v)", tt.name, name, value, known, want, wanted)
+				t.Errorf("%s: %s is %v (%v), want %v (%v)", test.name, name, value, known, want, wanted)
 			}
 		}
 	}
 }
 
-// TestSoundLoss counts by hand: of sound clients, what is served without the flood less what is with it, within the time that counts.
-func TestSoundLoss(t *testing.T) {
+// TestFloodLoss counts by hand: of sound clients, what is served without the flood less what is with it, within the time that counts.
+func TestFloodLoss(t *testing.T) {
 	f, err := plan.Parse("x.toml", []byte("states = \"x\"\nseconds = 20\n[load]\nrate = 1\n[[fault]]\ndo = \"flood\"\nat = 5\nfor = 10\nsize = 1.0\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -92,5 +94,5 @@
 	}
 	e.WithoutFloods = play(false, 1)
 	e.floodLossFigure(got)
-	near(t, "loss", got["hitter_sound_loss"], 2.0/7)
+	expectNear(t, "loss", got["hitter_sound_loss"], 2.0/7)
 }
--- a/internal/lab/check/registry.go
+++ b/internal/lab/check/registry.go
@@ -164,7 +164,7 @@
 }
 
 // checkRevisions checks the updates of each watch in the order in which they were written.
-func (e *Evidence) checkRevisions(f findings) {
+func (e *Evidence) checkRevisions(found findings) {
 	watches := map[int64][]ctl.RegistryUpdate{} // by connection
 	for _, update := range e.RegistryUpdates {
 		if update.Watch {
@@ -172,12 +172,12 @@
 		}
 	}
 	for conn, updates := range watches {
-		f.observe("revisions", len(updates))
+		found.observe("revisions", len(updates))
 		slices.SortStableFunc(updates, func(a, b ctl.RegistryUpdate) int { return cmp.Compare(a.At, b.At) })
 		revision := updates[0].KnownRevision
 		for _, update := range updates {
 			where := fmt.Sprintf("connection %d of reader %d to %s at %s", conn, update.Near, update.Node, e.when(update.At))
-			checkRevision(f, where, revision, update)
+			checkRevision(found, where, revision, update)
 			revision = update.Rev
 		}
 	}
--- a/internal/lab/check/routefigures.go
+++ b/internal/lab/check/routefigures.go
@@ -38,11 +38,11 @@
 
 // routeFigures adds the bytes that registry nodes wrote of routes to sidecars, without heartbeats, and how long generations took to the
 // sidecars that need them.
-func (e *Evidence) routeFigures(f Figures) {
+func (e *Evidence) routeFigures(figures Figures) {
 	if e.Plan.File.Routes.Apps == 0 || len(e.Tables) == 0 {
 		return
 	}
-	e.astrayFigure(f)
+	e.astrayFigure(figures)
 	updates := map[int][]ctl.RouteUpdate{} // by sidecar
 	var bytes, complete, differences float64
 	for _, update := range e.RouteUpdates {
@@ -57,7 +57,7 @@
 		bytes += float64(update.Bytes)
 		updates[update.Near] = append(updates[update.Near], update)
 	}
-	f["route_generations"], f["route_bytes"], f["route_wholes"], f["route_diffs"] = float64(len(e.Tables)), bytes, complete, differences
+	figures["route_generations"], figures["route_bytes"], figures["route_wholes"], figures["route_diffs"] = float64(len(e.Tables)), bytes, complete, differences
 	delays, longest := newHistogram(), int64(0)
 	for near := range e.Plan.Sidecars {
 		if !isReader(e.Plan, near) {
@@ -70,7 +70,7 @@
 			longest = max(longest, min(delay, maxLatencyMicros*int64(time.Microsecond)))
 		}
 	}
-	f["route_told_p50_ms"], f["route_told_p99_ms"], f["route_told_most_ms"] = quantile(delays, 50), quantile(delays, 99), float64(longest)/1e6
+	figures["route_told_p50_ms"], figures["route_told_p99_ms"], figures["route_told_most_ms"] = quantile(delays, 50), quantile(delays, 99), float64(longest)/1e6
 }
 
 // propagationDelays is how long each generation that changes what a sidecar needs took to it, in ns; math.MaxInt64: it never came. The
--- a/internal/lab/check/routes_test.go
+++ b/internal/lab/check/routes_test.go
@@ -19,7 +19,7 @@
 		}
 		return all
 	}
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		spoil func(*Evidence)
 		want  []string
 		most  float64 // ms to a sidecar that needs it; 0: not looked at
@@ -27,41 +27,41 @@
 		"all is well":       {func(*Evidence) {}, nil, 30},
 		"no generation":     {func(e *Evidence) { e.Tables = e.Tables[:1] }, nil, 0},
 		"not told the last": {func(e *Evidence) { e.RouteUpdates = e.RouteUpdates[:3] }, []string{"routes"}, 0},
-		"told late":         {func(e *Evidence) { e.RouteUpdates[3].At += 2000 * ms }, []string{"routes"}, 2030},
+		"told late":         {func(e *Evidence) { e.RouteUpdates[3].At += 2000 * milli }, []string{"routes"}, 2030},
 		"another table":     {func(e *Evidence) { e.RouteUpdates[2].Hash = "x" }, []string{"routes"}, 0},
 		"one of before": {func(e *Evidence) {
 			e.RouteUpdates = append(e.RouteUpdates, e.RouteUpdates[0])
-			e.RouteUpdates[4].At = 5000 * ms
+			e.RouteUpdates[4].At = 5000 * milli
 		}, []string{"routes"}, 0},
 		"a beat": {func(e *Evidence) {
-			e.RouteUpdates = append(e.RouteUpdates, ctl.RouteUpdate{Near: 1, Generation: 3, At: 5000 * ms})
+			e.RouteUpdates = append(e.RouteUpdates, ctl.RouteUpdate{Near: 1, Generation: 3, At: 5000 * milli})
 		}, nil, 30},
-		"late by a fault": {func(e *Evidence) { e.RouteUpdates[3].At += 2000 * ms; e.Plan.Bands = []plan.Band{{To: 5e9}} }, nil, 2030},
+		"late by a fault": {func(e *Evidence) { e.RouteUpdates[3].At += 2000 * milli; e.Plan.Bands = []plan.Band{{To: 5e9}} }, nil, 2030},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := seen(t)
+			e := healthyRun(t)
 			e.Plan.File.Registry.Count, e.Last.Rev = 1, 1
 			e.Plan.File.Routes = plan.Routes{Apps: 2, EveryS: 1, BoundS: 1}
 			for i, w := range [][2]float64{{1, 1}, {2, 1}, {2, 2}} {
-				at := (1000 + int64(i)*500) * ms
-				e.Tables = append(e.Tables, Table{Gen: int64(i + 1), Call: at, Return: at + 5*ms, Table: table(w[0], w[1])})
+				at := (1000 + int64(i)*500) * milli
+				e.Tables = append(e.Tables, Table{Gen: int64(i + 1), Call: at, Return: at + 5*milli, Table: table(w[0], w[1])})
 			}
 			say := func(near int, gen int64, all bool) {
 				r := e.Tables[gen-1]
-				e.RouteUpdates = append(e.RouteUpdates, ctl.RouteUpdate{Near: near, Generation: gen, Complete: all, Cluster: "c", Bytes: 100, At: r.Call + 30*ms, Hash: relevantHash(e.Plan, near, r.Table)})
+				e.RouteUpdates = append(e.RouteUpdates, ctl.RouteUpdate{Near: near, Generation: gen, Complete: all, Cluster: "c", Bytes: 100, At: r.Call + 30*milli, Hash: relevantHash(e.Plan, near, r.Table)})
 			}
 			say(0, 1, true)
 			say(1, 1, true)
 			say(0, 2, false)
 			say(1, 3, false)
-			c.spoil(e)
+			test.spoil(e)
 			got := slices.DeleteFunc(broken(Invariants(e)), func(name string) bool { return name == "told-all" })
-			if !slices.Equal(got, c.want) {
-				t.Errorf("broken %v, want %v", got, c.want)
+			if !slices.Equal(got, test.want) {
+				t.Errorf("broken %v, want %v", got, test.want)
 			}
 			f := Figures{}
 			e.routeFigures(f)
-			if c.most != 0 && (f["route_told_most_ms"] != c.most || f["route_bytes"] != 400) {
+			if test.most != 0 && (f["route_told_most_ms"] != test.most || f["route_bytes"] != 400) {
 				t.Errorf("told after %v ms at most in %v bytes", f["route_told_most_ms"], f["route_bytes"])
 			}
 		})
@@ -70,7 +70,7 @@
 
 // TestAstray counts by hand what went to servers to which no table led while tables led nowhere.
 func TestAstray(t *testing.T) {
-	e, got := fleet(t, 12, 1), Figures{}
+	e, got := twoServers(t, 12, 1), Figures{}
 	e.Plan.File.Routes = plan.Routes{Narrow: true, Nowhere: [2]float64{4, 8}}
 	e.Plan.Servers[0].Kind, e.Plan.Servers[1].Kind = e.Plan.File.Kinds[0].Name, e.Plan.File.Kinds[1].Name
 	e.send(3, 0, "b", 10, 10)
@@ -78,5 +78,5 @@
 	e.send(7, 0, "b", 2, 10)
 	e.send(8, 0, "b", 10, 10)
 	e.astrayFigure(got)
-	near(t, "astray", got["route_astray"], 0.25)
+	expectNear(t, "astray", got["route_astray"], 0.25)
 }
