--- a/internal/lab/check/invariants_test.go
+++ b/internal/lab/check/invariants_test.go
@@ -13,8 +13,9 @@
 
 const milli = int64(time.Millisecond)
 
-// healthyRun is a run of three requests in which all is well: a fetch (class 0) turned away once, and two submits (class 1).
+// healthyRun is a run of three requests in which all is well: a fetch (class 0) rejected once, and two submits (class 1).
 func healthyRun(t *testing.T) *Evidence {
+	t.Helper()
 	f, err := plan.Parse("x.toml", []byte("states = \"x\"\nseconds = 10\n[load]\nrate = 1\n[fleet]\nsidecars = 2\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -37,100 +38,106 @@
 	}
 }
 
+// broken are the names of the violated invariants.
 func broken(verdicts []Verdict) []string { return Names(verdicts, Broken) }
 
-// TestInvariants spoils one thing at a time: just its invariant breaks, and what a fault excuses breaks none.
+// invariantCases each damage one thing of a run in which all is well.
+var invariantCases = []struct {
+	name   string
+	damage func(*Evidence)
+	want   []string
+}{
+	{"all is well", func(*Evidence) {}, nil},
+	{"no answer", func(evidence *Evidence) { evidence.ClientAttempts[0].Status = 0 }, []string{"one-answer"}},
+	{"no answer of a killed sidecar", func(evidence *Evidence) {
+		evidence.ClientAttempts[0].Status = 0
+		evidence.Runs[0][0] = Run{From: 1, Killed: 1200 * milli, To: 1210 * milli}
+	}, nil},
+	{"no answer of one that was dying", func(evidence *Evidence) {
+		evidence.ClientAttempts[0].Status = 0
+		evidence.Runs[0][0] = Run{From: 1, Killed: 990 * milli, To: 1020 * milli}
+	}, nil},
+	{"no answer, and the kill was before", func(evidence *Evidence) {
+		evidence.ClientAttempts[0].Status = 0
+		evidence.Runs[0] = []Run{{From: 1, Killed: 900 * milli, To: 910 * milli}, {From: 950 * milli}}
+	}, []string{"one-answer"}},
+	{"no answer of one that SIGTERM ended", func(evidence *Evidence) {
+		evidence.ClientAttempts[0].Status = 0
+		evidence.Runs[0][0] = Run{From: 1, To: 1200 * milli}
+	}, []string{"one-answer"}},
+	{"late of one that was stopped", func(evidence *Evidence) {
+		evidence.ClientAttempts[0].Ended = 9000 * milli
+		evidence.Runs[0][0].Stops = []Span{{1200 * milli, 8000 * milli}}
+	}, nil},
+	{"an answer that no server made", func(evidence *Evidence) { evidence.ClientAttempts[0].ServedBy = "?" }, []string{"one-answer"}},
+	{"nobody had taken it", func(evidence *Evidence) { evidence.ClientAttempts[0].Status, evidence.ClientAttempts[0].Sent = 0, 0 }, nil},
+	{"hung up on after it was sent on", func(evidence *Evidence) {
+		evidence.ClientAttempts[0].ResentAt = 1100 * milli
+		evidence.ClientAttempts[0].Ended = 1400 * milli
+	}, []string{"one-answer"}},
+	{"hung up on, and nobody had read it", func(evidence *Evidence) { evidence.ClientAttempts[0].ResentAt = 1000 * milli }, nil},
+	{"late", func(evidence *Evidence) { evidence.ClientAttempts[0].Ended = 3501 * milli }, []string{"in-time"}},
+	{"late within the slack", func(evidence *Evidence) { evidence.ClientAttempts[0].Ended = 3499 * milli }, nil},
+	{"a submit sent again", func(evidence *Evidence) {
+		evidence.ServerAttempts = append(evidence.ServerAttempts, ctl.Attempt{Server: "s2", ID: "b", First: 1701 * milli, End: 1702 * milli, Outcome: "served"})
+	}, []string{"no-duplicate"}},
+	{"a submit sent again after it was turned away", func(evidence *Evidence) {
+		evidence.ServerAttempts = append(evidence.ServerAttempts, ctl.Attempt{Server: "s2", ID: "b", First: 1090 * milli, End: 1099 * milli, Outcome: "turned"})
+	}, nil},
+	{"an id that no client sent", func(evidence *Evidence) {
+		evidence.ServerAttempts[3].ID = "z"
+		evidence.ClientAttempts = evidence.ClientAttempts[:2]
+	}, []string{"no-duplicate"}},
+	{"a fetch sent four times", func(evidence *Evidence) {
+		for _, at := range []int64{1400, 1500} {
+			evidence.ServerAttempts = append(evidence.ServerAttempts, ctl.Attempt{Server: "s2", ID: "a", First: at * milli, End: at*milli + 1, Outcome: "failed"})
+		}
+	}, []string{"no-duplicate"}},
+	{"two at once", func(evidence *Evidence) { evidence.ServerAttempts[0].End = 1100 * milli }, []string{"one-at-a-time"}},
+	{"two at once within the slack", func(evidence *Evidence) { evidence.ServerAttempts[0].End = 1050 * milli }, nil},
+	{"one that nobody ended", func(evidence *Evidence) { evidence.ServerAttempts[0].End = 0 }, []string{"one-at-a-time"}},
+	{"sent to a drained server", func(evidence *Evidence) {
+		evidence.ListUpdates = []ctl.ListUpdate{{UID: "s1", State: "DRAINING", At: 800 * milli}}
+	}, []string{"drained"}},
+	{"sent within the grace", func(evidence *Evidence) {
+		evidence.ListUpdates = []ctl.ListUpdate{{UID: "s1", State: "DRAINING", At: 860 * milli}}
+	}, nil},
+	{"deleted after it drained", func(evidence *Evidence) {
+		evidence.ListUpdates = []ctl.ListUpdate{{UID: "s1", State: "DRAINING", At: 800 * milli}, {UID: "s1", State: "DELETED", At: 1000 * milli}}
+	}, []string{"drained"}},
+	{"told another sidecar", func(evidence *Evidence) {
+		evidence.ListUpdates = []ctl.ListUpdate{{Near: 1, UID: "s1", State: "DELETED", At: 500 * milli}}
+	}, nil},
+	{"serving again", func(evidence *Evidence) {
+		evidence.ListUpdates = []ctl.ListUpdate{{UID: "s1", State: "DELETED", At: 500 * milli}, {UID: "s1", State: "SERVING", At: 600 * milli}}
+	}, nil},
+	{"told the process before", func(evidence *Evidence) {
+		evidence.ListUpdates = []ctl.ListUpdate{{UID: "s1", State: "DELETED", At: 500 * milli}}
+		evidence.Runs[0] = []Run{{From: 1, Killed: 600 * milli, To: 610 * milli}, {From: 700 * milli}}
+	}, nil},
+	{"a fall", func(evidence *Evidence) { evidence.Falls = []ctl.Event{{UID: "s1"}} }, []string{"cold"}},
+	{"an end that nobody wanted", func(evidence *Evidence) { evidence.Exits[0].Wanted = false }, []string{"no-crash"}},
+	{"a failing end", func(evidence *Evidence) { evidence.Exits[0].Code = 2 }, []string{"no-crash"}},
+	{"killed by a fault", func(evidence *Evidence) { evidence.Exits[0].Code = -1 }, nil},
+	{"memory", func(evidence *Evidence) { evidence.Peaks[1].MemoryMB = 193 }, []string{"memory"}},
+	{"descriptors", func(evidence *Evidence) { evidence.Peaks[1].Descriptors = 1025 }, []string{"descriptors"}},
+	{"a late lab", func(evidence *Evidence) { evidence.Lateness = 6 * time.Millisecond }, []string{"lab-on-time"}},
+}
+
+// TestInvariants damages one thing at a time: just its invariant is violated, and what a fault excuses violates none.
 func TestInvariants(t *testing.T) {
-	for _, test := range []struct {
-		name  string
-		spoil func(*Evidence)
-		want  []string
-	}{
-		{"all is well", func(*Evidence) {}, nil},
-		{"no answer", func(evidence *Evidence) { evidence.ClientAttempts[0].Status = 0 }, []string{"one-answer"}},
-		{"no answer of a killed sidecar", func(evidence *Evidence) {
-			evidence.ClientAttempts[0].Status = 0
-			evidence.Runs[0][0] = Run{From: 1, Killed: 1200 * milli, To: 1210 * milli}
-		}, nil},
-		{"no answer of one that was dying", func(evidence *Evidence) {
-			evidence.ClientAttempts[0].Status = 0
-			evidence.Runs[0][0] = Run{From: 1, Killed: 990 * milli, To: 1020 * milli}
-		}, nil},
-		{"no answer, and the kill was before", func(evidence *Evidence) {
-			evidence.ClientAttempts[0].Status = 0
-			evidence.Runs[0] = []Run{{From: 1, Killed: 900 * milli, To: 910 * milli}, {From: 950 * milli}}
-		}, []string{"one-answer"}},
-		{"no answer of one that SIGTERM ended", func(evidence *Evidence) {
-			evidence.ClientAttempts[0].Status = 0
-			evidence.Runs[0][0] = Run{From: 1, To: 1200 * milli}
-		}, []string{"one-answer"}},
-		{"late of one that was stopped", func(evidence *Evidence) {
-			evidence.ClientAttempts[0].Ended = 9000 * milli
-			evidence.Runs[0][0].Stops = []Span{{1200 * milli, 8000 * milli}}
-		}, nil},
-		{"an answer that no server made", func(evidence *Evidence) { evidence.ClientAttempts[0].ServedBy = "?" }, []string{"one-answer"}},
-		{"nobody had taken it", func(evidence *Evidence) { evidence.ClientAttempts[0].Status, evidence.ClientAttempts[0].Sent = 0, 0 }, nil},
-		{"hung up on after it was sent on", func(evidence *Evidence) {
-			evidence.ClientAttempts[0].ResentAt = 1100 * milli
-			evidence.ClientAttempts[0].Ended = 1400 * milli
-		}, []string{"one-answer"}},
-		{"hung up on, and nobody had read it", func(evidence *Evidence) { evidence.ClientAttempts[0].ResentAt = 1000 * milli }, nil},
-		{"late", func(evidence *Evidence) { evidence.ClientAttempts[0].Ended = 3501 * milli }, []string{"in-time"}},
-		{"late within the slack", func(evidence *Evidence) { evidence.ClientAttempts[0].Ended = 3499 * milli }, nil},
-		{"a submit sent again", func(evidence *Evidence) {
-			evidence.ServerAttempts = append(evidence.ServerAttempts, ctl.Attempt{Server: "s2", ID: "b", First: 1701 * milli, End: 1702 * milli, Outcome: "served"})
-		}, []string{"no-duplicate"}},
-		{"a submit sent again after it was turned away", func(evidence *Evidence) {
-			evidence.ServerAttempts = append(evidence.ServerAttempts, ctl.Attempt{Server: "s2", ID: "b", First: 1090 * milli, End: 1099 * milli, Outcome: "turned"})
-		}, nil},
-		{"an id that no client sent", func(evidence *Evidence) {
-			evidence.ServerAttempts[3].ID = "z"
-			evidence.ClientAttempts = evidence.ClientAttempts[:2]
-		}, []string{"no-duplicate"}},
-		{"a fetch sent four times", func(evidence *Evidence) {
-			for _, at := range []int64{1400, 1500} {
-				evidence.ServerAttempts = append(evidence.ServerAttempts, ctl.Attempt{Server: "s2", ID: "a", First: at * milli, End: at*milli + 1, Outcome: "failed"})
+	for _, test := range invariantCases {
+		t.Run(test.name, func(t *testing.T) {
+			evidence := healthyRun(t)
+			test.damage(evidence)
+			if got := broken(Invariants(evidence)); !slices.Equal(got, test.want) && len(got)+len(test.want) > 0 {
+				t.Errorf("broken %v, want %v", got, test.want)
 			}
-		}, []string{"no-duplicate"}},
-		{"two at once", func(evidence *Evidence) { evidence.ServerAttempts[0].End = 1100 * milli }, []string{"one-at-a-time"}},
-		{"two at once within the slack", func(evidence *Evidence) { evidence.ServerAttempts[0].End = 1050 * milli }, nil},
-		{"one that nobody ended", func(evidence *Evidence) { evidence.ServerAttempts[0].End = 0 }, []string{"one-at-a-time"}},
-		{"sent to a drained server", func(evidence *Evidence) {
-			evidence.ListUpdates = []ctl.ListUpdate{{UID: "s1", State: "DRAINING", At: 800 * milli}}
-		}, []string{"drained"}},
-		{"sent within the grace", func(evidence *Evidence) {
-			evidence.ListUpdates = []ctl.ListUpdate{{UID: "s1", State: "DRAINING", At: 860 * milli}}
-		}, nil},
-		{"deleted after it drained", func(evidence *Evidence) {
-			evidence.ListUpdates = []ctl.ListUpdate{{UID: "s1", State: "DRAINING", At: 800 * milli}, {UID: "s1", State: "DELETED", At: 1000 * milli}}
-		}, []string{"drained"}},
-		{"told another sidecar", func(evidence *Evidence) {
-			evidence.ListUpdates = []ctl.ListUpdate{{Near: 1, UID: "s1", State: "DELETED", At: 500 * milli}}
-		}, nil},
-		{"serving again", func(evidence *Evidence) {
-			evidence.ListUpdates = []ctl.ListUpdate{{UID: "s1", State: "DELETED", At: 500 * milli}, {UID: "s1", State: "SERVING", At: 600 * milli}}
-		}, nil},
-		{"told the process before", func(evidence *Evidence) {
-			evidence.ListUpdates = []ctl.ListUpdate{{UID: "s1", State: "DELETED", At: 500 * milli}}
-			evidence.Runs[0] = []Run{{From: 1, Killed: 600 * milli, To: 610 * milli}, {From: 700 * milli}}
-		}, nil},
-		{"a fall", func(evidence *Evidence) { evidence.Falls = []ctl.Event{{UID: "s1"}} }, []string{"cold"}},
-		{"an end that nobody wanted", func(evidence *Evidence) { evidence.Exits[0].Wanted = false }, []string{"no-crash"}},
-		{"a failing end", func(evidence *Evidence) { evidence.Exits[0].Code = 2 }, []string{"no-crash"}},
-		{"killed by a fault", func(evidence *Evidence) { evidence.Exits[0].Code = -1 }, nil},
-		{"memory", func(evidence *Evidence) { evidence.Peaks[1].MemoryMB = 193 }, []string{"memory"}},
-		{"descriptors", func(evidence *Evidence) { evidence.Peaks[1].Descriptors = 1025 }, []string{"descriptors"}},
-		{"a late lab", func(evidence *Evidence) { evidence.Lateness = 6 * time.Millisecond }, []string{"lab-on-time"}},
-	} {
-		evidence := healthyRun(t)
-		test.spoil(evidence)
-		if got := broken(Invariants(evidence)); !slices.Equal(got, test.want) && len(got)+len(test.want) > 0 {
-			t.Errorf("%s: broken %v, want %v", test.name, got, test.want)
-		}
+		})
 	}
 }
 
-// TestNothingObserved has each check say what it looked at: with nothing of it there, it has not held.
+// TestNothingObserved counts what each check observes: without any of it the check has not passed.
 func TestNothingObserved(t *testing.T) {
 	seenBy := func(evidence *Evidence) []string { return Names(Invariants(evidence), Passed) }
 	evidence := healthyRun(t)
