--- a/internal/lab/check/evidence.go
+++ b/internal/lab/check/evidence.go
@@ -10,33 +10,33 @@
 	"gradeusher.example/gradeusher/internal/lab/proc"
 )
 
-// Evidence is all that was seen. Times are ns of the lab's clock.
+// Evidence is all that was observed of a run. Times are ns of the lab's clock.
 type Evidence struct {
 	Plan            *plan.Plan
 	Start           int64 // of the load
 	ClientAttempts  []load.Attempt
 	ServerAttempts  []ctl.Attempt
 	ListUpdates     []ctl.ListUpdate
-	Falls           []ctl.Event
-	Exits           []proc.Exit
-	Runs            [][]Run // of each sidecar: its processes, in order
-	Peaks           []Peak  // of each sidecar
+	Falls           []ctl.Event // of servers
+	Exits           []proc.Exit // of all processes
+	Runs            [][]Run     // by sidecar: its processes, in order
+	Peaks           []Peak      // by sidecar
 	Lateness        time.Duration
-	RegistryUpdates []ctl.RegistryUpdate // what keepers wrote to readers
-	RegistryCalls   []ctl.RegistryCall   // what the lab's own clients of keepers did
-	Last            Last                 // of the keepers
-	Gossip          []ctl.Gossip         // what sidecars said to each other, a second each
+	RegistryUpdates []ctl.RegistryUpdate // what registry nodes wrote to readers
+	RegistryCalls   []ctl.RegistryCall   // of the lab's own clients
+	Last            Last                 // of the registry
+	Gossip          []ctl.Gossip         // between sidecars, one record a second
 
-	Tables       []Table           // the route tables that the lab put
-	RouteUpdates []ctl.RouteUpdate // what keepers wrote of them to sidecars
+	Tables       []Table           // the route tables that the lab put, in order
+	RouteUpdates []ctl.RouteUpdate // what registry nodes wrote of them to sidecars
 
-	WithoutFloods *Evidence // of the same seed without its floods; nil: that was not played
+	WithoutFloods *Evidence // a run of the same seed without its floods; nil: none
 
-	Kills     []int64 // of keepers
+	Kills     []int64 // of registry nodes
 	NodePeaks []NodePeak
 }
 
-// Run is one process of a sidecar, as far as faults go.
+// Run is one process of a sidecar, as far as faults affect it.
 type Run struct {
 	From   int64
 	Killed int64 // when a fault sent it SIGKILL; 0: none did
@@ -44,20 +44,20 @@
 	Stops  []Span
 }
 
-// Span is a time.
+// Span is a period, from its beginning to its end.
 type Span struct{ From, To int64 }
 
-// Peak is the most that a sidecar's processes held at a sample.
+// Peak is the largest use of resources by a sidecar's processes at a sample.
 type Peak struct {
 	MemoryMB    float64
 	Descriptors int
 }
 
-// when words a time from the start of the load.
+// when formats a time as counted from the start of the load.
 func (e *Evidence) when(t int64) string { return fmt.Sprintf("%.3fs", float64(t-e.Start)/1e9) }
 
-// excused tells whether a fault kept a sidecar from answering what it took at sent by until: its process was killed, or
-// stopped, between. Until a killed process has ended, its sockets still take what nobody will read.
+// excused reports whether a fault kept a sidecar from answering what it accepted at sent by until: its process was killed or stopped in
+// between. Until a killed process has ended, its sockets still accept what nobody will read.
 func (e *Evidence) excused(sidecar int, sent, until int64) bool {
 	for _, run := range e.Runs[sidecar] {
 		if run.Killed != 0 && run.Killed <= until && run.To >= sent {
@@ -72,7 +72,7 @@
 	return false
 }
 
-// processStart is the start of the process of a sidecar that ran at t.
+// processStart is when the process of a sidecar that ran at t had started.
 func (e *Evidence) processStart(sidecar int, t int64) int64 {
 	start := int64(0)
 	for _, run := range e.Runs[sidecar] {
@@ -83,7 +83,7 @@
 	return start
 }
 
-// stopped tells whether a sidecar was stopped within the time between, when it could read nothing.
+// stopped reports whether a sidecar was stopped in the period, or within the grace before its end, so that it could read nothing.
 func (e *Evidence) stopped(sidecar int, from, to int64) bool {
 	grace := int64(plan.Millis(e.Plan.File.Limits.DrainGraceMS))
 	for _, run := range e.Runs[sidecar] {
--- a/internal/lab/check/figures.go
+++ b/internal/lab/check/figures.go
@@ -13,8 +13,8 @@
 
 // Second is what happened in one second of the load, by the arrival of requests.
 type Second struct {
-	Asked    float64 `json:"asked"`  // worth
-	Served   float64 `json:"served"` // worth, less for answers after the aim
+	Asked    float64 `json:"asked"`  // value of the requests
+	Served   float64 `json:"served"` // value that was served, less for responses after the latency target
 	Requests int     `json:"requests"`
 	Refused  int     `json:"refused"`
 	Failed   int     `json:"failed"`
@@ -24,18 +24,21 @@
 	Spread   float64 `json:"spread,omitempty"` // of the window that the second is in; 0: it is in none
 }
 
-// Figures are an experiment's results by name: those of plan.Figures, and some a class ("served:fetch").
+// Figures are the results of a run by name: those of plan.Figures, and some by class ("served:fetch").
 type Figures map[string]float64
 
-// most of a latency histogram, in microseconds.
+// maxLatencyMicros is the upper bound of latency histograms, in microseconds.
 const maxLatencyMicros = int64(time.Minute / time.Microsecond)
 
+// newHistogram returns a histogram of latencies in microseconds, exact to three digits.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatencyMicros, 3) }
 
+// recordLatency records a latency in ns, limited to the range of the histogram.
 func recordLatency(histogram *hdrhistogram.Histogram, ns int64) {
 	_ = histogram.RecordValue(min(max(ns/int64(time.Microsecond), 1), maxLatencyMicros)) // always within its range
 }
 
+// quantile is a percentile of a histogram, in ms.
 func quantile(histogram *hdrhistogram.Histogram, q float64) float64 {
 	return float64(histogram.ValueAtQuantile(q)) / 1000
 }
@@ -198,11 +201,11 @@
 	figures["service"] = 0.5*figures["served"] + 0.3*figures["served_worst_10s"] + 0.2*figures["served_worst_class"] // BRIEF, how we count
 }
 
-// Lateness is how late the lab sent, at the 99th percentile.
-func Lateness(tries []load.Attempt) time.Duration {
+// Lateness is the 99th percentile of how late the lab sent.
+func Lateness(attempts []load.Attempt) time.Duration {
 	histogram := newHistogram()
-	for i := range tries {
-		recordLatency(histogram, tries[i].Began-tries[i].Due)
+	for i := range attempts {
+		recordLatency(histogram, attempts[i].Began-attempts[i].Due)
 	}
 	return time.Duration(histogram.ValueAtQuantile(99)) * time.Microsecond
 }
--- a/internal/lab/check/gossip.go
+++ b/internal/lab/check/gossip.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// gossipFigures figures are what a sidecar's peers sent it a second while the load ran, with what links lost left out: packets, and bytes of
-// packets and streams without their heads. They are left out where sidecars do not know each other.
+// gossipFigures adds what the peers of a sidecar sent it per second while the load ran, without what links lost: packets, and bytes of
+// packets and streams without headers. They are left out where sidecars do not know each other.
 func (e *Evidence) gossipFigures(f Figures) {
 	end := e.Start + int64(e.Plan.File.Seconds*float64(time.Second))
 	packets, bytes, seconds := int64(0), int64(0), 0
--- a/internal/lab/check/hitters.go
+++ b/internal/lab/check/hitters.go
@@ -215,8 +215,8 @@
 	return begin
 }
 
-// floodLossFigure is the share of the worth that was served of those who do not flood, without any flood less with them, while they last and
-// from when they should be judged on (hitter_sound_loss). It takes a second run, without the floods.
+// floodLossFigure adds the served share of the value of clients that do not flood: in a run without floods, less in this run
+// (hitter_sound_loss), from the detection time after the first flood began until the last one ended. It needs that second run.
 func (e *Evidence) floodLossFigure(f Figures) {
 	from, to, floods := e.Plan.File.Flooded(detectionTime)
 	if e.WithoutFloods == nil || !floods {
@@ -229,8 +229,9 @@
 	}
 }
 
-// valueShareWithoutFloods is the share of the worth of who do not flood that was served of what arrived within a time; false: nothing did.
-func (e *Evidence) valueShareWithoutFloods(from, to time.Duration) (float64, bool) {
+// valueShareWithoutFloods is the served share of the value of requests that arrived in a period from clients that do not flood; ok is
+// false where there were none.
+func (e *Evidence) valueShareWithoutFloods(from, to time.Duration) (share float64, ok bool) {
 	drawn := e.Plan
 	got := make([]float64, len(drawn.Arrivals))
 	for i := range e.ClientAttempts {
--- a/internal/lab/check/hitters_test.go
+++ b/internal/lab/check/hitters_test.go
@@ -81,28 +81,28 @@
 		t.Fatal(err)
 	}
 	play := func(floods bool, refused int) *Evidence { // one request a second, and the flooder's, all refused; of those in 8 to 15 s some are refused
-		e := &Evidence{Plan: &plan.Plan{File: f}}
+		evidence := &Evidence{Plan: &plan.Plan{File: f}}
 		for s := range 20 {
 			for _, client := range []int{1, 1 << 22} {
 				if client > 1 && !floods {
 					continue
 				}
 				at := time.Duration(s) * time.Second
-				e.Plan.Arrivals = append(e.Plan.Arrivals, plan.Arrival{At: at, Client: client, Work: time.Second})
-				try := load.Attempt{Arrival: len(e.Plan.Arrivals) - 1, Status: 200, Ended: int64(at) + 1}
+				evidence.Plan.Arrivals = append(evidence.Plan.Arrivals, plan.Arrival{At: at, Client: client, Work: time.Second})
+				try := load.Attempt{Arrival: len(evidence.Plan.Arrivals) - 1, Status: 200, Ended: int64(at) + 1}
 				if client > 1 || s < 8 || s >= 8 && s < 8+refused {
 					try.Status = 503
 				}
-				e.ClientAttempts = append(e.ClientAttempts, try)
+				evidence.ClientAttempts = append(evidence.ClientAttempts, try)
 			}
 		}
-		return e
+		return evidence
 	}
-	e, got := play(true, 3), Figures{}
-	if e.floodLossFigure(got); len(got) != 0 {
+	evidence, got := play(true, 3), Figures{}
+	if evidence.floodLossFigure(got); len(got) != 0 {
 		t.Errorf("without a twin: %v", got)
 	}
-	e.WithoutFloods = play(false, 1)
-	e.floodLossFigure(got)
+	evidence.WithoutFloods = play(false, 1)
+	evidence.floodLossFigure(got)
 	expectNear(t, "loss", got["hitter_sound_loss"], 2.0/7)
 }
--- a/internal/lab/check/invariants.go
+++ b/internal/lab/check/invariants.go
@@ -1,5 +1,11 @@
-// Package check holds what servers, the list and clients saw of an experiment against its invariants. Nothing here asks the
-// program. Each check has a control in lab/controls that it must find broken.
+// Package check checks what servers, the list, the registry and clients observed of an experiment against its invariants, and computes its
+// figures.
+//
+// Terms: the evidence is what was observed; an invariant (plan.Invariants) holds for every run; a figure is a measured value, and a bar is a
+// bound on one that an experiment file sets; a verdict says whether an invariant or bar held. An invariant of which nothing was
+// observed has not held: it counts as not seen.
+//
+// Nothing here asks the program under test. Each check has a control in lab/controls, a run that it has to find broken.
 package check
 
 import (
@@ -10,7 +16,7 @@
 	"gradeusher.example/gradeusher/internal/lab/plan"
 )
 
-// Invariants checks all of them, in the order of plan.Invariants.
+// Invariants checks all invariants. It returns a verdict of each, in the order of plan.Invariants.
 func Invariants(evidence *Evidence) []Verdict {
 	found := findings{}
 	for _, v := range plan.Invariants {
@@ -80,7 +86,7 @@
 	}
 }
 
-// coldServers is how many processes of servers began cold and were sent a request.
+// coldServers is how many processes of servers started cold and received a request.
 func (e *Evidence) coldServers() int {
 	type process struct {
 		server string
--- a/internal/lab/check/registry_test.go
+++ b/internal/lab/check/registry_test.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/internal/lab/plan"
 )
 
-// TestRegistry judges histories and watches that are sound, and ones that are not.
+// TestRegistry checks histories and watches that are correct, and ones that are not.
 func TestRegistry(t *testing.T) {
 	f, err := plan.Parse("x.toml", []byte("states = \"x\"\nseconds = 1\n[load]\nrate = 1\n[fleet]\nsidecars = 1\n[keepers]\ncount = 3\n"))
 	if err != nil {
@@ -51,21 +51,22 @@
 		"not told":                {nil, []ctl.RegistryUpdate{line(1, -1, 8, true, 4)}, 9, "told-all"},
 		"nobody leads":            {nil, complete, 0, "told-all"},
 	} {
-		e := &Evidence{Plan: drawn, RegistryCalls: test.wrote, RegistryUpdates: test.shown, Last: Last{"c", test.last}, Runs: make([][]Run, 1)}
-		verdicts := Invariants(e)
-		broken := Names(verdicts, Broken)
-		var want []string
-		if test.broken != "" {
-			want = []string{test.broken}
-		}
-		if !slices.Equal(broken, want) {
-			t.Errorf("%s: broken %v, want %v", name, broken, want)
-		}
-		if unseen := slices.Contains(Names(verdicts, NotSeen), "linearizable"); unseen != (len(test.wrote) == 0) {
-			t.Errorf("%s: linearizable not seen: %v", name, unseen)
-		}
+		t.Run(name, func(t *testing.T) {
+			e := &Evidence{Plan: drawn, RegistryCalls: test.wrote, RegistryUpdates: test.shown, Last: Last{"c", test.last}, Runs: make([][]Run, 1)}
+			verdicts := Invariants(e)
+			var want []string
+			if test.broken != "" {
+				want = []string{test.broken}
+			}
+			if got := broken(verdicts); !slices.Equal(got, want) {
+				t.Errorf("broken %v, want %v", got, want)
+			}
+			if unseen := slices.Contains(Names(verdicts, NotSeen), "linearizable"); unseen != (len(test.wrote) == 0) {
+				t.Errorf("linearizable not observed: %v", unseen)
+			}
+		})
 	}
-	// Nothing changed while the load ran: that everybody was told the last revision says nothing.
+	// Nothing changed while the load ran: that everybody received the last revision proves nothing.
 	e := &Evidence{Plan: drawn, Start: 100, RegistryUpdates: complete, Last: Last{"c", 9}, Runs: make([][]Run, 1)}
 	if got := Names(Invariants(e), Passed); !slices.Equal(got, []string{"revisions"}) {
 		t.Errorf("without a change: held %v", got)
--- a/internal/lab/check/rejection.go
+++ b/internal/lab/check/rejection.go
@@ -32,7 +32,7 @@
 // rejectionFigures adds refused_after, the share of requests rejected from 5 s after the end of the last fault less that before the first
 // fault, and refused_back_s, the seconds from that end until the share is within 0.03 of that before for 3 s in a row, or until the end
 // of the load where it never is. They are left out where there is nothing before, or nothing after.
-func (e *Evidence) rejectionFigures(f Figures, course []Second) {
+func (e *Evidence) rejectionFigures(figures Figures, course []Second) {
 	first, last, ok := e.faultPeriod()
 	if !ok {
 		return
@@ -42,7 +42,7 @@
 	if !requestsBefore || !requestsAfter {
 		return
 	}
-	f["refused_before"], f["refused_after"] = before, after-before
+	figures["refused_before"], figures["refused_after"] = before, after-before
 	begin := int((last - e.Start + int64(time.Second) - 1) / int64(time.Second)) // the first whole second after it
 	recovered := len(course)
 	for second := begin; second+recoveredSeconds <= len(course); second++ {
@@ -52,7 +52,7 @@
 			break
 		}
 	}
-	f["refused_back_s"] = float64(recovered - begin)
+	figures["refused_back_s"] = float64(recovered - begin)
 }
 
 // rejectedShare is the share of the requests that were rejected in the whole seconds of a period; ok is false where there were no requests.
--- a/internal/lab/check/routes.go
+++ b/internal/lab/check/routes.go
@@ -10,19 +10,19 @@
 	"gradeusher.example/gradeusher/internal/lab/plan"
 )
 
-// Table is a route table that the lab put, and a keeper took.
+// Table is a route table that the lab put and a registry node accepted. Times are ns of the lab's clock.
 type Table struct {
 	Gen          int64
 	Call, Return int64
 	Table        routes.Table
 }
 
-// relevantHash is the hash of what a sidecar needs of a table.
+// relevantHash is the hash of the rules of a table that a sidecar needs.
 func relevantHash(p *plan.Plan, near int, t routes.Table) string {
 	return t.Relevant(map[string]string{"service": p.AppOf(near), "region": p.Sidecars[near].Zone}, "rec-api").Hash()
 }
 
-// routesDue is when each sidecar has to know the last table: the bound after it, and after the last fault.
+// routesDue is when each sidecar has to have the last table: the bound after it was accepted, and after the last fault.
 func (e *Evidence) routesDue() int64 {
 	last := e.Tables[len(e.Tables)-1].Return
 	for _, b := range e.Plan.Bands {
@@ -33,7 +33,7 @@
 
 // checkRoutes checks what registry nodes wrote of routes to sidecars against the tables that the lab put. What a sidecar says of itself
 // does not count. It observes nothing where no generation was made while the load ran.
-func (e *Evidence) checkRoutes(f findings) {
+func (e *Evidence) checkRoutes(found findings) {
 	if e.Plan.File.Routes.Apps == 0 || len(e.Tables) < 2 {
 		return
 	}
@@ -49,7 +49,7 @@
 		if isReader(e.Plan, near) {
 			all := updates[near]
 			slices.SortStableFunc(all, func(a, b ctl.RouteUpdate) int { return cmp.Compare(a.At, b.At) })
-			e.checkRouteUpdates(f, near, all, tables)
+			e.checkRouteUpdates(found, near, all, tables)
 		}
 	}
 }
--- a/internal/lab/check/routes_test.go
+++ b/internal/lab/check/routes_test.go
@@ -25,42 +25,45 @@
 		most  float64 // ms to a sidecar that needs it; 0: not looked at
 	}{
 		"all is well":       {func(*Evidence) {}, nil, 30},
-		"no generation":     {func(e *Evidence) { e.Tables = e.Tables[:1] }, nil, 0},
-		"not told the last": {func(e *Evidence) { e.RouteUpdates = e.RouteUpdates[:3] }, []string{"routes"}, 0},
-		"told late":         {func(e *Evidence) { e.RouteUpdates[3].At += 2000 * milli }, []string{"routes"}, 2030},
-		"another table":     {func(e *Evidence) { e.RouteUpdates[2].Hash = "x" }, []string{"routes"}, 0},
-		"one of before": {func(e *Evidence) {
-			e.RouteUpdates = append(e.RouteUpdates, e.RouteUpdates[0])
-			e.RouteUpdates[4].At = 5000 * milli
+		"no generation":     {func(evidence *Evidence) { evidence.Tables = evidence.Tables[:1] }, nil, 0},
+		"not told the last": {func(evidence *Evidence) { evidence.RouteUpdates = evidence.RouteUpdates[:3] }, []string{"routes"}, 0},
+		"told late":         {func(evidence *Evidence) { evidence.RouteUpdates[3].At += 2000 * milli }, []string{"routes"}, 2030},
+		"another table":     {func(evidence *Evidence) { evidence.RouteUpdates[2].Hash = "x" }, []string{"routes"}, 0},
+		"one of before": {func(evidence *Evidence) {
+			evidence.RouteUpdates = append(evidence.RouteUpdates, evidence.RouteUpdates[0])
+			evidence.RouteUpdates[4].At = 5000 * milli
 		}, []string{"routes"}, 0},
-		"a beat": {func(e *Evidence) {
-			e.RouteUpdates = append(e.RouteUpdates, ctl.RouteUpdate{Near: 1, Generation: 3, At: 5000 * milli})
+		"a beat": {func(evidence *Evidence) {
+			evidence.RouteUpdates = append(evidence.RouteUpdates, ctl.RouteUpdate{Near: 1, Generation: 3, At: 5000 * milli})
 		}, nil, 30},
-		"late by a fault": {func(e *Evidence) { e.RouteUpdates[3].At += 2000 * milli; e.Plan.Bands = []plan.Band{{To: 5e9}} }, nil, 2030},
+		"late by a fault": {func(evidence *Evidence) {
+			evidence.RouteUpdates[3].At += 2000 * milli
+			evidence.Plan.Bands = []plan.Band{{To: 5e9}}
+		}, nil, 2030},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := healthyRun(t)
-			e.Plan.File.Registry.Count, e.Last.Rev = 1, 1
-			e.Plan.File.Routes = plan.Routes{Apps: 2, EveryS: 1, BoundS: 1}
+			evidence := healthyRun(t)
+			evidence.Plan.File.Registry.Count, evidence.Last.Rev = 1, 1
+			evidence.Plan.File.Routes = plan.Routes{Apps: 2, EveryS: 1, BoundS: 1}
 			for i, w := range [][2]float64{{1, 1}, {2, 1}, {2, 2}} {
 				at := (1000 + int64(i)*500) * milli
-				e.Tables = append(e.Tables, Table{Gen: int64(i + 1), Call: at, Return: at + 5*milli, Table: table(w[0], w[1])})
+				evidence.Tables = append(evidence.Tables, Table{Gen: int64(i + 1), Call: at, Return: at + 5*milli, Table: table(w[0], w[1])})
 			}
 			say := func(near int, gen int64, all bool) {
-				r := e.Tables[gen-1]
-				e.RouteUpdates = append(e.RouteUpdates, ctl.RouteUpdate{Near: near, Generation: gen, Complete: all, Cluster: "c", Bytes: 100, At: r.Call + 30*milli, Hash: relevantHash(e.Plan, near, r.Table)})
+				r := evidence.Tables[gen-1]
+				evidence.RouteUpdates = append(evidence.RouteUpdates, ctl.RouteUpdate{Near: near, Generation: gen, Complete: all, Cluster: "c", Bytes: 100, At: r.Call + 30*milli, Hash: relevantHash(evidence.Plan, near, r.Table)})
 			}
 			say(0, 1, true)
 			say(1, 1, true)
 			say(0, 2, false)
 			say(1, 3, false)
-			test.spoil(e)
-			got := slices.DeleteFunc(broken(Invariants(e)), func(name string) bool { return name == "told-all" })
+			test.spoil(evidence)
+			got := slices.DeleteFunc(broken(Invariants(evidence)), func(name string) bool { return name == "told-all" })
 			if !slices.Equal(got, test.want) {
 				t.Errorf("broken %v, want %v", got, test.want)
 			}
 			f := Figures{}
-			e.routeFigures(f)
+			evidence.routeFigures(f)
 			if test.most != 0 && (f["route_told_most_ms"] != test.most || f["route_bytes"] != 400) {
 				t.Errorf("told after %v ms at most in %v bytes", f["route_told_most_ms"], f["route_bytes"])
 			}
--- a/internal/lab/check/spread_test.go
+++ b/internal/lab/check/spread_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// TestReadyWarm follows a server through what may happen to it.
+// TestReadyWarm follows servers through faults, restarts, a drain and a fall.
 func TestReadyWarm(t *testing.T) {
 	evidence := twoServers(t, 60, 3)
 	step := func(at int, do string, more ...func(*plan.Step)) {
@@ -110,7 +110,7 @@
 	}
 }
 
-// TestChurn has one sidecar that keeps its servers, one that changes one of two, and one that sends too little to tell.
+// TestChurn has one sidecar that keeps its servers, one that changes one of two, and one that sends too little for a window.
 func TestChurn(t *testing.T) {
 	evidence := twoServers(t, 20, 3)
 	for s := range 16 {
@@ -126,7 +126,7 @@
 	expectNear(t, "churn", f["churn"], 6)
 }
 
-// TestAvoidance has twenty sidecars use a server that falls silent: one goes on, one stops after a second, the others at once.
+// TestAvoidance lets twenty sidecars use a server that stops responding: one continues, one stops after a second, the others at once.
 func TestAvoidance(t *testing.T) {
 	evidence := twoServers(t, 20, 20)
 	for near := range 20 {
@@ -149,11 +149,11 @@
 	expectNear(t, "learn_attempts", figures["learn_attempts"], 12)
 	figures, evidence.Plan.Steps = Figures{}, nil
 	if evidence.avoidanceFigures(figures); len(figures) != 0 {
-		t.Errorf("without a silence: %v", figures)
+		t.Errorf("without a server that stops: %v", figures)
 	}
 }
 
-// TestRejections holds what is refused after the trouble to what was before.
+// TestRejections compares the share of rejected requests after the faults with that before.
 func TestRejections(t *testing.T) {
 	evidence := twoServers(t, 30, 1)
 	restart := 1.0
--- a/internal/lab/check/verdict.go
+++ b/internal/lab/check/verdict.go
@@ -2,27 +2,27 @@
 
 import "fmt"
 
-// Verdict is whether one invariant or bar held.
+// Verdict is the result for one invariant or bar.
 type Verdict struct {
 	Name     string   `json:"name"`
-	Verdict  string   `json:"verdict"` // Held, Broken or NotSeen
+	Verdict  string   `json:"verdict"` // Passed, Broken or NotSeen
 	Passed   bool     `json:"held"`
-	LookedAt int      `json:"looked_at"`          // how many of what it is about were seen
-	Broken   int      `json:"broken"`             // how often it was
-	Detail   []string `json:"detail,omitempty"`   // the first of them
-	Value    *float64 `json:"value,omitempty"`    // of a bar's figure
-	Bar      string   `json:"bar,omitempty"`      // what it had to be
-	Says     string   `json:"promises,omitempty"` // what it promises
+	LookedAt int      `json:"looked_at"`          // number of observations that it applies to
+	Broken   int      `json:"broken"`             // number of violations
+	Detail   []string `json:"detail,omitempty"`   // the first violations
+	Value    *float64 `json:"value,omitempty"`    // of the figure of a bar
+	Bar      string   `json:"bar,omitempty"`      // the bounds of the figure
+	Says     string   `json:"promises,omitempty"` // the statement of the invariant
 }
 
-// What a verdict may be.
+// The values of Verdict.Verdict.
 const (
 	Passed  = "held"
 	Broken  = "broken"
-	NotSeen = "not seen" // there was nothing to look at: it has not held, and was not broken
+	NotSeen = "not seen" // nothing was observed that it applies to: neither passed nor broken
 )
 
-// conclude words what was found.
+// conclude sets the verdict by what was counted.
 func (v *Verdict) conclude() {
 	switch {
 	case v.Broken > 0:
@@ -35,7 +35,7 @@
 	v.Passed = v.Verdict == Passed
 }
 
-// Names are those of the verdicts that are as wanted.
+// Names are the names of the invariants and bars with a verdict.
 func Names(all []Verdict, verdict string) []string {
 	var names []string
 	for _, v := range all {
@@ -46,11 +46,12 @@
 	return names
 }
 
-const maxDetails = 5
+const maxDetails = 5 // violations of one invariant that a report describes
 
-// findings collects what was looked at for each invariant, and what broke it.
+// findings collects observations and violations by name of the invariant.
 type findings map[string]*Verdict
 
+// violation counts a violation and describes the first ones.
 func (f findings) violation(name, form string, args ...any) {
 	v := f[name]
 	v.Broken++
@@ -59,5 +60,5 @@
 	}
 }
 
-// observe notes that n things more were looked at.
+// observe counts n observations that the invariant applies to.
 func (f findings) observe(name string, n int) { f[name].LookedAt += n }
