--- a/internal/lab/check/drained.go
+++ b/internal/lab/check/drained.go
@@ -17,7 +17,7 @@
 
 // checkDrained checks that no attempt goes to a server longer than the grace after the sidecar was notified that the server drains or is
 // gone.
-func (e *Evidence) checkDrained(f findings) {
+func (e *Evidence) checkDrained(found findings) {
 	updates := map[serverAtSidecar][]ctl.ListUpdate{}
 	for _, update := range e.ListUpdates {
 		pair := serverAtSidecar{update.Near, update.UID}
@@ -26,7 +26,7 @@
 	for _, all := range updates {
 		slices.SortStableFunc(all, func(a, b ctl.ListUpdate) int { return cmp.Compare(a.At, b.At) })
 		if slices.ContainsFunc(all, func(update ctl.ListUpdate) bool { return update.State != serving }) {
-			f.observe("drained", 1)
+			found.observe("drained", 1)
 		}
 	}
 	limits := &e.Plan.File.Limits
@@ -34,7 +34,7 @@
 	for _, attempt := range e.ServerAttempts {
 		since, state := e.notServingSince(attempt, updates[serverAtSidecar{attempt.Near, attempt.Server}])
 		if since != 0 && attempt.First > since+grace && !e.stopped(attempt.Near, since, attempt.First) {
-			f.violation("drained", "%s sent request %s to %s at %s, %v after it was told %s", e.Plan.Sidecars[attempt.Near].Name, attempt.ID,
+			found.violation("drained", "%s sent request %s to %s at %s, %v after it was told %s", e.Plan.Sidecars[attempt.Near].Name, attempt.ID,
 				attempt.Server, e.when(attempt.First), time.Duration(attempt.First-since).Round(time.Millisecond), state)
 		}
 	}
--- a/internal/lab/check/figures.go
+++ b/internal/lab/check/figures.go
@@ -167,7 +167,7 @@
 }
 
 // addServerAttempts adds the figures of attempts and connections at servers, and counts attempts in the course.
-func (m *measurement) addServerAttempts(f Figures) {
+func (m *measurement) addServerAttempts(figures Figures) {
 	connections := 0
 	for _, attempt := range m.ServerAttempts {
 		if attempt.New {
@@ -178,8 +178,8 @@
 			m.course[second].Attempts++
 		}
 	}
-	f["attempts"] = float64(len(m.ServerAttempts)) / m.requests()
-	f["connections"] = float64(connections) / m.requests()
+	figures["attempts"] = float64(len(m.ServerAttempts)) / m.requests()
+	figures["connections"] = float64(connections) / m.requests()
 }
 
 // valueFigures adds the served share of the value: in all, by class, in the worst class and the worst 10 s, and together.
--- a/internal/lab/check/hitters.go
+++ b/internal/lab/check/hitters.go
@@ -29,22 +29,22 @@
 // sidecars that a client above twice the threshold called while servers were full it had to yield (hitter_recall), and how long it took
 // from its start until one of its requests yielded (hitter_delay_ms: of the last client, from when servers were full if that came
 // later). A request yields where a sidecar rejects it, without an attempt at a server, until later than capacity could be free.
-func (e *Evidence) hitterFigures(f Figures) {
+func (e *Evidence) hitterFigures(figures Figures) {
 	if !e.Plan.File.Hitters.On {
 		return
 	}
 	usage := e.clientUsage()
 	yields := usage.yields(e)
 	if yields.all > 0 {
-		f["hitter_precision"] = float64(yields.ofHeavy) / float64(yields.all)
+		figures["hitter_precision"] = float64(yields.ofHeavy) / float64(yields.all)
 	}
-	f["hitter_yields"] = float64(yields.all) / max(float64(len(e.ClientAttempts)), 1)
-	e.floodLossFigure(f)
+	figures["hitter_yields"] = float64(yields.all) / max(float64(len(e.ClientAttempts)), 1)
+	e.floodLossFigure(figures)
 	if recall, ok := yields.recall(); ok {
-		f["hitter_recall"] = recall
+		figures["hitter_recall"] = recall
 	}
 	if delay, ok := usage.detectionDelay(e.Plan, yields.first); ok {
-		f["hitter_delay_ms"] = delay.Seconds() * 1000
+		figures["hitter_delay_ms"] = delay.Seconds() * 1000
 	}
 }
 
@@ -217,7 +217,7 @@
 
 // floodLossFigure adds the served share of the value of clients that do not flood: in a run without floods, less in this run
 // (hitter_sound_loss), from the detection time after the first flood began until the last one ended. It needs that second run.
-func (e *Evidence) floodLossFigure(f Figures) {
+func (e *Evidence) floodLossFigure(figures Figures) {
 	from, to, floods := e.Plan.File.Flooded(detectionTime)
 	if e.WithoutFloods == nil || !floods {
 		return
@@ -225,7 +225,7 @@
 	without, a := e.WithoutFloods.valueShareWithoutFloods(from, to)
 	with, b := e.valueShareWithoutFloods(from, to)
 	if a && b {
-		f["hitter_sound_loss"] = without - with
+		figures["hitter_sound_loss"] = without - with
 	}
 }
 
--- a/internal/lab/check/invariants.go
+++ b/internal/lab/check/invariants.go
@@ -46,43 +46,43 @@
 }
 
 // checkProcesses checks cold and no-crash.
-func (e *Evidence) checkProcesses(f findings) {
-	f.observe("cold", e.coldServers())
+func (e *Evidence) checkProcesses(found findings) {
+	found.observe("cold", e.coldServers())
 	for _, fall := range e.Falls {
-		f.violation("cold", "server %s fell over at %s", fall.UID, e.when(fall.At))
+		found.violation("cold", "server %s fell over at %s", fall.UID, e.when(fall.At))
 	}
-	f.observe("no-crash", len(e.Exits))
+	found.observe("no-crash", len(e.Exits))
 	for _, exit := range e.Exits {
 		if !exit.Wanted || exit.Code > 0 {
-			f.violation("no-crash", "%s ended at %s: %s", exit.Name, e.when(exit.At), exit.How)
+			found.violation("no-crash", "%s ended at %s: %s", exit.Name, e.when(exit.At), exit.How)
 		}
 	}
 }
 
 // checkResources checks memory and descriptors.
-func (e *Evidence) checkResources(f findings) {
+func (e *Evidence) checkResources(found findings) {
 	limits := &e.Plan.File.Limits
 	for i, peak := range e.Peaks {
 		if peak.MemoryMB > 0 { // it was sampled
-			f.observe("memory", 1)
+			found.observe("memory", 1)
 		}
 		if peak.Descriptors > 0 {
-			f.observe("descriptors", 1)
+			found.observe("descriptors", 1)
 		}
 		if peak.MemoryMB > limits.MemoryMB {
-			f.violation("memory", "%s held %.0f MB, %.0f at most", e.Plan.Sidecars[i].Name, peak.MemoryMB, limits.MemoryMB)
+			found.violation("memory", "%s held %.0f MB, %.0f at most", e.Plan.Sidecars[i].Name, peak.MemoryMB, limits.MemoryMB)
 		}
 		if peak.Descriptors > limits.Descriptors {
-			f.violation("descriptors", "%s held %d descriptors, %d at most", e.Plan.Sidecars[i].Name, peak.Descriptors, limits.Descriptors)
+			found.violation("descriptors", "%s held %d descriptors, %d at most", e.Plan.Sidecars[i].Name, peak.Descriptors, limits.Descriptors)
 		}
 	}
 }
 
 // checkLateness checks lab-on-time.
-func (e *Evidence) checkLateness(f findings) {
-	f.observe("lab-on-time", len(e.ClientAttempts))
+func (e *Evidence) checkLateness(found findings) {
+	found.observe("lab-on-time", len(e.ClientAttempts))
 	if limit := plan.Millis(e.Plan.File.Limits.LatenessMS); e.Lateness > limit {
-		f.violation("lab-on-time", "void: the lab sent %v late at the 99th percentile, %v at most", e.Lateness, limit)
+		found.violation("lab-on-time", "void: the lab sent %v late at the 99th percentile, %v at most", e.Lateness, limit)
 	}
 }
 
--- a/internal/lab/check/registry.go
+++ b/internal/lab/check/registry.go
@@ -53,19 +53,19 @@
 }
 
 // checkRegistry checks linearizable, revisions and told-all.
-func (e *Evidence) checkRegistry(f findings) {
+func (e *Evidence) checkRegistry(found findings) {
 	if e.Plan.File.Registry.Count == 0 {
 		return
 	}
-	e.checkLinearizable(f)
-	e.checkRevisions(f)
+	e.checkLinearizable(found)
+	e.checkRevisions(found)
 	if e.Last.Rev == 0 {
-		f.violation("told-all", "no keeper leads at the end")
+		found.violation("told-all", "no keeper leads at the end")
 		return
 	}
-	f.observe("told-all", e.readersOfChanges())
+	found.observe("told-all", e.readersOfChanges())
 	for _, near := range LaggingReaders(e.Plan, e.RegistryUpdates, e.Last) {
-		f.violation("told-all", "reader %d was not told revision %d", near, e.Last.Rev)
+		found.violation("told-all", "reader %d was not told revision %d", near, e.Last.Rev)
 	}
 }
 
@@ -139,7 +139,7 @@
 const linearizabilityTimeout = 20 * time.Second // for the history of one entry
 
 // checkLinearizable checks what the lab's own clients wrote and read, entry by entry, for linearizability is local (Herlihy and Wing, 1990).
-func (e *Evidence) checkLinearizable(f findings) {
+func (e *Evidence) checkLinearizable(found findings) {
 	keys := map[int][]porcupine.Operation{}
 	for _, call := range e.RegistryCalls {
 		if call.Outcome == ctl.CallNone {
@@ -149,16 +149,16 @@
 		if call.Outcome == ctl.CallUncertain {
 			end = math.MaxInt64
 		}
-		f.observe("linearizable", 1)
+		found.observe("linearizable", 1)
 		keys[call.Key] = append(keys[call.Key], porcupine.Operation{ClientId: call.Client, Input: call, Output: call, Call: call.Call, Return: end})
 	}
 	model := registerModel.ToModel()
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
 		switch porcupine.CheckOperationsTimeout(model, keys[key], linearizabilityTimeout) {
 		case porcupine.Illegal:
-			f.violation("linearizable", "the %d operations on entry %d fit no order", len(keys[key]), key)
+			found.violation("linearizable", "the %d operations on entry %d fit no order", len(keys[key]), key)
 		case porcupine.Unknown:
-			f.violation("linearizable", "the %d operations on entry %d could not be judged within %v", len(keys[key]), key, linearizabilityTimeout)
+			found.violation("linearizable", "the %d operations on entry %d could not be judged within %v", len(keys[key]), key, linearizabilityTimeout)
 		}
 	}
 }
@@ -185,14 +185,14 @@
 
 // checkRevision checks an update against the revision that the watcher has. A complete list may replace changes, but never by an earlier
 // revision.
-func checkRevision(f findings, where string, revision int64, update ctl.RegistryUpdate) {
+func checkRevision(found findings, where string, revision int64, update ctl.RegistryUpdate) {
 	switch {
 	case update.Rev < revision:
-		f.violation("revisions", "%s: revision %d after %d", where, update.Rev, revision)
+		found.violation("revisions", "%s: revision %d after %d", where, update.Rev, revision)
 	case update.Complete:
 	case update.ServerCount > 0 && update.Rev != revision+int64(update.ServerCount):
-		f.violation("revisions", "%s: %d changes lead from revision %d to %d", where, update.ServerCount, revision, update.Rev)
+		found.violation("revisions", "%s: %d changes lead from revision %d to %d", where, update.ServerCount, revision, update.Rev)
 	case update.ServerCount == 0 && update.Rev != revision:
-		f.violation("revisions", "%s: nothing changed from revision %d to %d", where, revision, update.Rev)
+		found.violation("revisions", "%s: nothing changed from revision %d to %d", where, revision, update.Rev)
 	}
 }
--- a/internal/lab/check/registryfigures.go
+++ b/internal/lab/check/registryfigures.go
@@ -9,15 +9,15 @@
 
 // registryFigures adds what the registry did for those who wrote and those who read. A figure is left out where nothing was measured, or
 // else a bar on it could pass without evidence.
-func (e *Evidence) registryFigures(f Figures) {
+func (e *Evidence) registryFigures(figures Figures) {
 	if e.Plan.File.Registry.Count == 0 {
 		return
 	}
-	called := e.writeFigures(f)
-	e.watchFigures(f, called)
-	e.failoverFigures(f)
+	called := e.writeFigures(figures)
+	e.watchFigures(figures, called)
+	e.failoverFigures(figures)
 	for _, peak := range e.NodePeaks {
-		f["keeper_mb"], f["keeper_cores"] = max(f["keeper_mb"], peak.MemoryMB), max(f["keeper_cores"], peak.Used)
+		figures["keeper_mb"], figures["keeper_cores"] = max(figures["keeper_mb"], peak.MemoryMB), max(figures["keeper_cores"], peak.Used)
 	}
 }
 
@@ -54,7 +54,7 @@
 
 // watchFigures adds the figures of watches: their number, how many lists came completely, and how long a revision that a writer made took
 // from its call to the last reader.
-func (e *Evidence) watchFigures(f Figures, called map[int64]int64) {
+func (e *Evidence) watchFigures(figures Figures, called map[int64]int64) {
 	lastShown := map[int64]int64{} // of each revision: when the last reader received it
 	complete := 0
 	watches := map[int64]bool{} // by connection
@@ -76,14 +76,14 @@
 		}
 	}
 	if delays.TotalCount() > 0 {
-		f["told_p50_ms"], f["told_p99_ms"] = quantile(delays, 50), quantile(delays, 99)
+		figures["told_p50_ms"], figures["told_p99_ms"] = quantile(delays, 50), quantile(delays, 99)
 	}
-	f["watches"], f["watches_whole"] = float64(len(watches)), float64(complete)
+	figures["watches"], figures["watches_whole"] = float64(len(watches)), float64(complete)
 }
 
 // failoverFigures adds how long it took from a kill of a node until the first write that was called afterwards returned. It sorts
 // the calls by their return.
-func (e *Evidence) failoverFigures(f Figures) {
+func (e *Evidence) failoverFigures(figures Figures) {
 	slices.SortFunc(e.RegistryCalls, func(a, b ctl.RegistryCall) int { return cmp.Compare(a.Return, b.Return) })
 	failover := newHistogram()
 	for _, kill := range e.Kills {
@@ -93,6 +93,6 @@
 		}
 	}
 	if failover.TotalCount() > 0 {
-		f["failover_p50_ms"], f["failover_most_ms"] = quantile(failover, 50), float64(failover.Max())/1000
+		figures["failover_p50_ms"], figures["failover_most_ms"] = quantile(failover, 50), float64(failover.Max())/1000
 	}
 }
--- a/internal/lab/check/rejection.go
+++ b/internal/lab/check/rejection.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	settlingSeconds    = 5    // after the end of the last fault, which do not count
+	excludedSeconds    = 5    // after the end of the last fault, which do not count
 	recoveredTolerance = 0.03 // above the share before the first fault that counts as recovered
 	recoveredSeconds   = 3    // in a row
 )
@@ -38,7 +38,7 @@
 		return
 	}
 	before, requestsBefore := e.rejectedShare(course, e.Start, first)
-	after, requestsAfter := e.rejectedShare(course, last+settlingSeconds*int64(time.Second), e.second(len(course)))
+	after, requestsAfter := e.rejectedShare(course, last+excludedSeconds*int64(time.Second), e.second(len(course)))
 	if !requestsBefore || !requestsAfter {
 		return
 	}
--- a/internal/lab/check/responses.go
+++ b/internal/lab/check/responses.go
@@ -11,40 +11,40 @@
 )
 
 // checkResponses checks one-answer and in-time. attempts are those at servers, by id of the request and in order of time.
-func (e *Evidence) checkResponses(f findings, attempts map[string][]ctl.Attempt) {
+func (e *Evidence) checkResponses(found findings, attempts map[string][]ctl.Attempt) {
 	for i := range e.ClientAttempts {
 		client := &e.ClientAttempts[i]
-		e.checkResponse(f, client, attempts[client.ID])
+		e.checkResponse(found, client, attempts[client.ID])
 	}
 }
 
 // checkResponse checks the response to one attempt of a client.
-func (e *Evidence) checkResponse(f findings, client *load.Attempt, atServers []ctl.Attempt) {
+func (e *Evidence) checkResponse(found findings, client *load.Attempt, atServers []ctl.Attempt) {
 	name := e.Plan.Sidecars[client.Sidecar].Name
 	excused := e.excused(client.Sidecar, client.Began, client.Ended)
 	// The client resent the request because it assumed that nobody had read it, but a server had received it.
 	resentAfterUse := client.ResentAt != 0 && len(atServers) > 0 && atServers[0].First < client.ResentAt
 	if resentAfterUse && !excused {
-		f.violation("one-answer", "%s hung up on request %s after it had sent it on", name, client.ID)
+		found.violation("one-answer", "%s hung up on request %s after it had sent it on", name, client.ID)
 	}
 	if client.Sent == 0 {
 		return // no sidecar has accepted it
 	}
 	answered := client.Status != 0
 	if answered || !excused {
-		f.observe("one-answer", 1)
+		found.observe("one-answer", 1)
 	}
 	if answered && !excused {
-		f.observe("in-time", 1)
+		found.observe("in-time", 1)
 	}
 	deadline := client.Sent + int64(client.Timeout) + int64(plan.Millis(e.Plan.File.Limits.AnswerSlackMS))
 	switch {
 	case !answered && !excused:
-		f.violation("one-answer", "%s took request %s at %s and gave no answer: %s", name, client.ID, e.when(client.Sent), client.Fault)
+		found.violation("one-answer", "%s took request %s at %s and gave no answer: %s", name, client.ID, e.when(client.Sent), client.Fault)
 	case client.Status == http.StatusOK && !servedBy(atServers, client.ServedBy):
-		f.violation("one-answer", "%s served request %s by %q, which no server says", name, client.ID, client.ServedBy)
+		found.violation("one-answer", "%s served request %s by %q, which no server says", name, client.ID, client.ServedBy)
 	case answered && client.Ended > deadline && !excused:
-		f.violation("in-time", "%s answered request %s %v after its time", name, client.ID, time.Duration(client.Ended-client.Sent)-client.Timeout)
+		found.violation("in-time", "%s answered request %s %v after its time", name, client.ID, time.Duration(client.Ended-client.Sent)-client.Timeout)
 	}
 }
 
--- a/internal/lab/check/routefigures.go
+++ b/internal/lab/check/routefigures.go
@@ -13,7 +13,7 @@
 // astrayFigure adds the share of the attempts, while tables led to no server, that went to servers to which the tables before did not lead
 // (route_astray). That requests are answered does not show whether sidecars kept the table before: where it has no server either, any
 // server serves.
-func (e *Evidence) astrayFigure(f Figures) {
+func (e *Evidence) astrayFigure(figures Figures) {
 	settings := &e.Plan.File.Routes
 	if !settings.Narrow || settings.Nowhere[1] == 0 {
 		return
@@ -32,7 +32,7 @@
 		}
 	}
 	if all > 0 {
-		f["route_astray"] = float64(astray) / float64(all)
+		figures["route_astray"] = float64(astray) / float64(all)
 	}
 }
 
--- a/internal/lab/check/routes.go
+++ b/internal/lab/check/routes.go
@@ -56,21 +56,21 @@
 
 // checkRouteUpdates checks the updates of one sidecar, in order of time: no generation goes back, each has the table that was put, and
 // the last table is there in time.
-func (e *Evidence) checkRouteUpdates(f findings, near int, updates []ctl.RouteUpdate, tables map[int64]routes.Table) {
+func (e *Evidence) checkRouteUpdates(found findings, near int, updates []ctl.RouteUpdate, tables map[int64]routes.Table) {
 	name := e.Plan.Sidecars[near].Name
 	hash, since := "", int64(0)       // of the table that the sidecar has
 	generations := map[string]int64{} // by cluster
 	for _, update := range updates {
 		if update.Cluster != "" && update.Generation < generations[update.Cluster] {
-			f.violation("routes", "%s was told generation %d at %s, after %d", name, update.Generation, e.when(update.At), generations[update.Cluster])
+			found.violation("routes", "%s was told generation %d at %s, after %d", name, update.Generation, e.when(update.At), generations[update.Cluster])
 		}
 		if update.Cluster == "" || update.Hash == "" {
 			continue // it says only that nothing changed
 		}
 		generations[update.Cluster] = update.Generation
-		f.observe("routes", 1)
+		found.observe("routes", 1)
 		if table, known := tables[update.Generation]; known && update.Hash != relevantHash(e.Plan, near, table) {
-			f.violation("routes", "%s was told another table for generation %d at %s than was put", name, update.Generation, e.when(update.At))
+			found.violation("routes", "%s was told another table for generation %d at %s than was put", name, update.Generation, e.when(update.At))
 		}
 		if hash != update.Hash {
 			hash, since = update.Hash, update.At
@@ -79,8 +79,8 @@
 	last, due := e.Tables[len(e.Tables)-1], e.routesDue()
 	switch {
 	case hash != relevantHash(e.Plan, near, last.Table):
-		f.violation("routes", "%s was not told generation %d", name, last.Gen)
+		found.violation("routes", "%s was not told generation %d", name, last.Gen)
 	case since > due:
-		f.violation("routes", "%s was told generation %d %v after it was due", name, last.Gen, time.Duration(since-due).Round(time.Millisecond))
+		found.violation("routes", "%s was told generation %d %v after it was due", name, last.Gen, time.Duration(since-due).Round(time.Millisecond))
 	}
 }
--- a/internal/lab/check/spread.go
+++ b/internal/lab/check/spread.go
@@ -99,7 +99,7 @@
 // spreadFigures adds spread, the 99th percentile over the seconds; spread_worst10, the highest mean over 10 s; and spread_rise, how many
 // times the mean before the first fault that is. The spread of a window is the highest load (work begun at a server over its capacity)
 // divided by the mean load, of the servers that are ready and warm throughout. The figures are left out where there is no window.
-func (e *Evidence) spreadFigures(f Figures, course []Second) {
+func (e *Evidence) spreadFigures(figures Figures, course []Second) {
 	all := e.windows()
 	if len(all) == 0 {
 		return
@@ -122,9 +122,9 @@
 		worst = max(worst, mean(seconds[i:min(i+worstSeconds, len(seconds))]))
 	}
 	sorted := slices.Sorted(slices.Values(seconds))
-	f["spread"], f["spread_worst10"] = sorted[int(math.Ceil(0.99*float64(len(sorted))))-1], worst
+	figures["spread"], figures["spread_worst10"] = sorted[int(math.Ceil(0.99*float64(len(sorted))))-1], worst
 	if secondsBefore > 0 {
-		f["spread_rise"] = worst / (before / float64(secondsBefore))
+		figures["spread_rise"] = worst / (before / float64(secondsBefore))
 	}
 }
 
