--- a/internal/lab/plan/validate.go
+++ b/internal/lab/plan/validate.go
@@ -10,19 +10,30 @@
 	mostServers  = 2000
 	mostSidecars = 1000
 	mostArrivals = 2_000_000
+	maxZones     = 16
+	maxCores     = 1024
 )
 
+// check rejects a file that makes no sense. The first error is the one that is reported.
 func (f *File) check() *Error {
-	within := func(table, key string, v, least, most float64) *Error {
-		if !(v >= least && v <= most) {
-			return f.bad(table, -1, key, "%s is %v, not within %v to %v", key, v, least, most)
+	for _, check := range []func() *Error{f.checkRanges, f.checkFleet, f.checkRegistry, f.checkStart, f.checkListDelays, f.checkKinds, f.checkClasses, f.checkBars,
+		f.checkFaults, f.checkRoutes} {
+		if err := check(); err != nil {
+			return err
 		}
-		return nil
 	}
-	for _, c := range []struct {
-		table, key     string
-		v, least, most float64
-	}{
+	return nil
+}
+
+// keyRange is a number of the file and the range that it has to be in.
+type keyRange struct {
+	table, key      string
+	value, min, max float64
+}
+
+// ranges are the numbers of the file whose range depends on nothing else.
+func (f *File) ranges() []keyRange {
+	return []keyRange{
 		{"", "seconds", f.Seconds, 1, mostSeconds},
 		{"fleet", "servers", float64(f.Fleet.Servers), 1, mostServers},
 		{"fleet", "sidecars", float64(f.Fleet.Sidecars), 1, mostSidecars},
@@ -59,16 +70,26 @@
 		{"limits", "memory_mb", f.Limits.MemoryMB, 1, 65536},
 		{"limits", "descriptors", float64(f.Limits.Descriptors), 1, 1 << 20},
 		{"limits", "lateness_ms", f.Limits.LatenessMS, 0, 10000},
-	} {
-		if err := within(c.table, c.key, c.v, c.least, c.most); err != nil {
-			return err
+	}
+}
+
+// checkRanges rejects numbers that are out of range, and those that are none (NaN).
+func (f *File) checkRanges() *Error {
+	for _, number := range f.ranges() {
+		if inRange := number.value >= number.min && number.value <= number.max; !inRange {
+			return f.bad(number.table, -1, number.key, "%s is %v, not within %v to %v", number.key, number.value, number.min, number.max)
 		}
 	}
+	return nil
+}
+
+// checkFleet rejects a fleet, load or stand-in sidecar that is not possible.
+func (f *File) checkFleet() *Error {
 	switch {
 	case f.States == "":
 		return f.bad("", -1, "states", "states is missing: the sentence that the experiment puts to the test")
-	case len(f.Fleet.Zones) == 0 || len(f.Fleet.Zones) > 16:
-		return f.bad("fleet", -1, "zones", "zones: 1 to 16 are possible")
+	case len(f.Fleet.Zones) == 0 || len(f.Fleet.Zones) > maxZones:
+		return f.bad("fleet", -1, "zones", "zones: 1 to %d are possible", maxZones)
 	case (f.Load.Share == 0) == (f.Load.Rate == 0):
 		return f.bad("load", -1, "share", "load needs either share or rate")
 	case f.Fleet.Program != "sidecar" && f.Fleet.Program != "plain":
@@ -77,6 +98,13 @@
 		return f.bad("fleet", -1, "flaw", "only the plain program has flaws")
 	case !slices.Contains(Flaws, f.Fleet.Flaw):
 		return f.bad("fleet", -1, "flaw", "unknown flaw %q", f.Fleet.Flaw)
+	}
+	return nil
+}
+
+// checkRegistry rejects a registry, or members, that are not possible with the program.
+func (f *File) checkRegistry() *Error {
+	switch {
 	case f.Registry.Count != 0 && f.Registry.Count%2 == 0:
 		return f.bad("keepers", -1, "count", "%d keepers: an odd number agrees", f.Registry.Count)
 	case f.Registry.Count > 0 && f.Fleet.Program == "plain":
@@ -89,6 +117,13 @@
 		return f.bad("keepers", -1, "flaw", "only plain keepers have flaws")
 	case !slices.Contains(RegistryFlaws, f.Registry.Flaw):
 		return f.bad("keepers", -1, "flaw", "unknown flaw %q", f.Registry.Flaw)
+	}
+	return nil
+}
+
+// checkStart rejects unknown words of the list and the start, and an unknown name of what a control breaks.
+func (f *File) checkStart() *Error {
+	switch {
 	case f.List.Sizes != "alike" && f.List.Sizes != "rough":
 		return f.bad("list", -1, "sizes", "sizes %q are neither alike nor rough", f.List.Sizes)
 	case f.Fleet.Start != "warm" && f.Fleet.Start != "cold":
@@ -96,46 +131,76 @@
 	case f.Breaks != "" && !isInvariant(f.Breaks) && !f.hasBar(f.Breaks):
 		return f.bad("", -1, "breaks", "no invariant and no bar of the file is named %q", f.Breaks)
 	}
-	for _, r := range []struct {
-		key string
-		v   [2]float64
+	return nil
+}
+
+// checkListDelays rejects delays of the list that are no range.
+func (f *File) checkListDelays() *Error {
+	for _, delay := range []struct {
+		key   string
+		value [2]float64
 	}{{"notice_s", f.List.NoticeS}, {"add_s", f.List.AddS}, {"silent_s", f.List.UnreachableS}} {
-		if r.v[0] < 0 || r.v[1] < r.v[0] || r.v[1] > mostSeconds {
-			return f.bad("list", -1, r.key, "%s: %v is no range", r.key, r.v)
+		if delay.value[0] < 0 || delay.value[1] < delay.value[0] || delay.value[1] > mostSeconds {
+			return f.bad("list", -1, delay.key, "%s: %v is no range", delay.key, delay.value)
 		}
 	}
-	for i, k := range f.Kinds {
-		if k.Name == "" || k.Share <= 0 || k.Cores < 1 || k.Cores > 1024 || k.Speed[0] <= 0 || k.Speed[1] < k.Speed[0] {
-			return f.bad("kind", i, "name", "kind %q needs name, share, cores and a range of speed", k.Name)
+	return nil
+}
+
+// checkKinds rejects kinds of servers that are not complete.
+func (f *File) checkKinds() *Error {
+	for i, kind := range f.Kinds {
+		coresPossible := kind.Cores >= 1 && kind.Cores <= maxCores
+		speedPossible := kind.Speed[0] > 0 && kind.Speed[1] >= kind.Speed[0]
+		if kind.Name == "" || kind.Share <= 0 || !coresPossible || !speedPossible {
+			return f.bad("kind", i, "name", "kind %q needs name, share, cores and a range of speed", kind.Name)
 		}
 	}
-	for i, c := range f.Classes {
-		if c.Name == "" || c.Share <= 0 || c.WorkMS <= 0 || c.LatencyTargetMS <= 0 || c.GiveUpMS < c.LatencyTargetMS || c.Value <= 0 || c.LateValue < 0 || c.LateValue > 1 {
-			return f.bad("class", i, "name", "class %q needs name, share, work_ms, aim_ms, give_up_ms, worth and late_worth", c.Name)
+	return nil
+}
+
+// checkClasses rejects classes of requests that are not complete.
+func (f *File) checkClasses() *Error {
+	for i, class := range f.Classes {
+		timesPossible := class.WorkMS > 0 && class.LatencyTargetMS > 0 && class.GiveUpMS >= class.LatencyTargetMS
+		valuePossible := class.Value > 0 && class.LateValue >= 0 && class.LateValue <= 1
+		if class.Name == "" || class.Share <= 0 || !timesPossible || !valuePossible {
+			return f.bad("class", i, "name", "class %q needs name, share, work_ms, aim_ms, give_up_ms, worth and late_worth", class.Name)
 		}
 	}
-	for i, b := range f.Bars {
-		base, _, _ := strings.Cut(b.Figure, ":")
+	return nil
+}
+
+// checkBars rejects bars on unknown figures and bars without a bound.
+func (f *File) checkBars() *Error {
+	for i, bar := range f.Bars {
+		base, _, _ := strings.Cut(bar.Figure, ":")
 		if !slices.Contains(Figures, base) {
-			return f.bad("bar", i, "figure", "unknown figure %q; known: %s", b.Figure, strings.Join(Figures, ", "))
+			return f.bad("bar", i, "figure", "unknown figure %q; known: %s", bar.Figure, strings.Join(Figures, ", "))
 		}
-		if b.Min == nil && b.Max == nil {
-			return f.bad("bar", i, "figure", "bar %q has neither least nor most", b.Figure)
+		if bar.Min == nil && bar.Max == nil {
+			return f.bad("bar", i, "figure", "bar %q has neither least nor most", bar.Figure)
 		}
 	}
+	return nil
+}
+
+// checkFaults rejects faults that make no sense by themselves.
+func (f *File) checkFaults() *Error {
 	for i := range f.Faults {
 		if err := f.checkFault(i); err != nil {
 			return err
 		}
 	}
-	return f.checkRoutes()
+	return nil
 }
 
-// hasBar tells whether a name is that of a bar, as a report words it.
+// hasBar reports whether the name of a verdict is that of a bar of the file.
 func (f *File) hasBar(name string) bool {
 	return slices.ContainsFunc(f.Bars, func(b Bar) bool { return "bar "+b.Figure == name })
 }
 
+// isInvariant reports whether an invariant has a name.
 func isInvariant(name string) bool {
 	return slices.ContainsFunc(Invariants, func(v struct{ Name, Says string }) bool { return v.Name == name })
 }
