--- a/cmd/gradeusher/lab_test.go
+++ b/cmd/gradeusher/lab_test.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if fmt.Sprint(len(result.Verdicts)-len(result.NotSeen())) != counts[1] || slices.Contains(check.Names(result.Verdicts, check.Held), "told-all") {
+	if fmt.Sprint(len(result.Verdicts)-len(result.NotSeen())) != counts[1] || slices.Contains(check.Names(result.Verdicts, check.Passed), "told-all") {
 		t.Errorf("%s held, the report has %+v", counts[1], result.Verdicts)
 	}
 	checkReportFolder(t, out)
--- a/internal/lab/check/gossip.go
+++ b/internal/lab/check/gossip.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// gossip figures are what a sidecar's peers sent it a second while the load ran, with what links lost left out: packets, and bytes of
-// packets and streams without their heads. They are left out where sidecars do not know each other.
-func (e *Evidence) gossip(f Figures) {
+// gossipFigures adds what the peers of a sidecar sent it per second while the load ran, without what links lost: packets, and bytes of
+// packets and streams without headers. They are left out where sidecars do not know each other.
+func (e *Evidence) gossipFigures(figures Figures) {
 	end := e.Start + int64(e.Plan.File.Seconds*float64(time.Second))
 	packets, bytes, seconds := int64(0), int64(0), 0
-	for _, g := range e.Gossip {
-		if g.At > e.Start+int64(time.Second) && g.At <= end {
-			packets, bytes, seconds = packets+g.Packets, bytes+g.Bytes+g.StreamBytes, seconds+1
+	for _, record := range e.Gossip {
+		if record.At > e.Start+int64(time.Second) && record.At <= end {
+			packets, bytes, seconds = packets+record.Packets, bytes+record.Bytes+record.StreamBytes, seconds+1
 		}
 	}
 	if seconds == 0 {
 		return
 	}
 	each := float64(seconds) * float64(len(e.Plan.Sidecars))
-	f["members_packets"], f["members_bytes"] = float64(packets)/each, float64(bytes)/each
+	figures["members_packets"], figures["members_bytes"] = float64(packets)/each, float64(bytes)/each
 }
--- a/internal/lab/check/verdict.go
+++ b/internal/lab/check/verdict.go
@@ -2,40 +2,40 @@
 
 import "fmt"
 
-// Verdict is whether one invariant or bar held.
+// Verdict is the result for one invariant or bar.
 type Verdict struct {
 	Name     string   `json:"name"`
-	Verdict  string   `json:"verdict"` // Held, Broken or NotSeen
-	Held     bool     `json:"held"`
-	LookedAt int      `json:"looked_at"`          // how many of what it is about were seen
-	Broken   int      `json:"broken"`             // how often it was
-	Detail   []string `json:"detail,omitempty"`   // the first of them
-	Value    *float64 `json:"value,omitempty"`    // of a bar's figure
-	Bar      string   `json:"bar,omitempty"`      // what it had to be
-	Says     string   `json:"promises,omitempty"` // what it promises
+	Verdict  string   `json:"verdict"` // Passed, Broken or NotSeen
+	Passed   bool     `json:"held"`
+	LookedAt int      `json:"looked_at"`          // number of observations that it applies to
+	Broken   int      `json:"broken"`             // number of violations
+	Detail   []string `json:"detail,omitempty"`   // the first violations
+	Value    *float64 `json:"value,omitempty"`    // of the figure of a bar
+	Bar      string   `json:"bar,omitempty"`      // the bounds of the figure
+	Says     string   `json:"promises,omitempty"` // the statement of the invariant
 }
 
-// What a verdict may be.
+// The values of Verdict.Verdict.
 const (
-	Held    = "held"
+	Passed  = "held"
 	Broken  = "broken"
-	NotSeen = "not seen" // there was nothing to look at: it has not held, and was not broken
+	NotSeen = "not seen" // nothing was observed that it applies to: neither passed nor broken
 )
 
-// judge words what was found.
-func (v *Verdict) judge() {
+// conclude sets the verdict by what was counted.
+func (v *Verdict) conclude() {
 	switch {
 	case v.Broken > 0:
 		v.Verdict = Broken
 	case v.LookedAt == 0:
 		v.Verdict = NotSeen
 	default:
-		v.Verdict = Held
+		v.Verdict = Passed
 	}
-	v.Held = v.Verdict == Held
+	v.Passed = v.Verdict == Passed
 }
 
-// Names are those of the verdicts that are as wanted.
+// Names are the names of the invariants and bars with a verdict.
 func Names(all []Verdict, verdict string) []string {
 	var names []string
 	for _, v := range all {
@@ -46,18 +46,19 @@
 	return names
 }
 
-const mostDetail = 5
+const maxDetails = 5 // violations of one invariant that a report describes
 
-// findings collects what was looked at for each invariant, and what broke it.
+// findings collects observations and violations by name of the invariant.
 type findings map[string]*Verdict
 
-func (f findings) add(name, form string, args ...any) {
+// violation counts a violation and describes the first ones.
+func (f findings) violation(name, form string, args ...any) {
 	v := f[name]
 	v.Broken++
-	if len(v.Detail) < mostDetail {
+	if len(v.Detail) < maxDetails {
 		v.Detail = append(v.Detail, fmt.Sprintf(form, args...))
 	}
 }
 
-// look notes that n things more were looked at.
-func (f findings) look(name string, n int) { f[name].LookedAt += n }
+// observe counts n observations that the invariant applies to.
+func (f findings) observe(name string, n int) { f[name].LookedAt += n }
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -33,7 +33,7 @@
 	work    string // folder for evidence and the processes' own folders
 	logs    string
 	starter *proc.Starter
-	all     proc.All
+	all     proc.Group
 	hosts   []*child
 	host    map[string]*child // by server
 	specs   map[string]*model.Spec
@@ -48,7 +48,7 @@
 	entries  map[string]ctl.Entry // what is so, which the list learns later
 	known    []ctl.Entry          // at the start
 	told     []ctl.Entry          // what the list has learnt, in order
-	falls    []ctl.News
+	falls    []ctl.Event
 	faults   []error
 	sidecars []*sidecar
 	links    *links
@@ -69,7 +69,7 @@
 	for i := range p.Servers {
 		f.specs[p.Servers[i].UID] = &p.Servers[i]
 	}
-	if p.File.Keepers.Count > 0 {
+	if p.File.Registry.Count > 0 {
 		if err := f.startKeepers(ctx); err != nil {
 			return f, err
 		}
@@ -141,7 +141,7 @@
 }
 
 // hear takes what stand-ins say by themselves.
-func (f *Fleet) hear(n ctl.News) {
+func (f *Fleet) hear(n ctl.Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if n.Kind == "fell" {
--- a/internal/lab/link/conn.go
+++ b/internal/lab/link/conn.go
@@ -6,100 +6,99 @@
 	"net"
 	"sync"
 	"sync/atomic"
-	"time"
 
 	"gradeusher.example/gradeusher/internal/lab/clock"
 )
 
-const (
-	mostHeld  = 256 << 10 // bytes of one direction that a connection keeps back; then the sender waits
-	chunkSize = 16 << 10
-)
+const chunkBytes = 16 << 10 // that one read of a socket takes at most
 
-// Conn is the far end of a connection over a link. Read and Write are for one goroutine each.
+// Conn is the far end of a connection over a link. One goroutine may read and another one write. A goroutine of its own receives until
+// the near end closes, and a second one sends once the link was not plain; Close waits for both.
 type Conn struct {
 	*net.TCPConn
-	link   *Link
-	in     pipe // from the near end
-	out    pipe // to it, while the link is not plain
-	gone   chan struct{}
-	closed atomic.Int64 // when the near end ended it; 0: not yet
-	kill   sync.Once
-	dead   chan struct{} // this end is through with it
-	forgot atomic.Bool
-	wait   sync.WaitGroup
-	sends  atomic.Bool // a goroutine empties out
-}
-
-// Wrap puts a link in front of an accepted connection. Close, Reset or the link's own faults end it.
-func Wrap(c *net.TCPConn, l *Link) *Conn {
-	w := &Conn{TCPConn: c, link: l, gone: make(chan struct{}), dead: make(chan struct{})}
-	w.in.init()
-	w.out.init()
-	l.add(w)
-	w.wait.Add(1)
-	go w.pump()
-	return w
-}
-
-// pump reads what the near end sends, whatever the link's state, so that the moment when it hangs up is known.
-func (c *Conn) pump() {
-	defer c.wait.Done()
-	buf := make([]byte, chunkSize)
+	link         *Link
+	inbound      pipe // from the near end
+	outbound     pipe // to the near end; unused until the link is not plain for the first time
+	peerClosed   chan struct{}
+	peerClosedAt atomic.Int64 // ns of the lab's clock; 0: not yet
+	closeOnce    sync.Once
+	done         chan struct{} // closed when this end has shut the connection down
+	forgotten    atomic.Bool
+	tasks        sync.WaitGroup
+	sending      atomic.Bool // sendLoop runs
+}
+
+// Wrap puts a link in front of an accepted connection, which it owns from then on. Close, Reset and Link.Reset end it.
+func Wrap(tcp *net.TCPConn, link *Link) *Conn {
+	conn := &Conn{TCPConn: tcp, link: link, peerClosed: make(chan struct{}), done: make(chan struct{})}
+	conn.inbound.init()
+	conn.outbound.init()
+	link.add(conn)
+	conn.tasks.Add(1)
+	go conn.receiveLoop()
+	return conn
+}
+
+// receiveLoop reads what the near end sends whatever the state of the link, so that the moment of its close is known.
+func (c *Conn) receiveLoop() {
+	defer c.tasks.Done()
+	buf := make([]byte, chunkBytes)
 	for {
 		n, err := c.TCPConn.Read(buf)
 		now := clock.Now()
-		if n > 0 && !c.in.put(buf[:n], now, c.link.due(now), c.dead) {
+		if n > 0 && !c.inbound.write(buf[:n], now, c.link.dueAt(now), c.done) {
 			return
 		}
 		if err != nil {
-			c.closed.Store(now)
-			close(c.gone)
-			c.in.fail(io.EOF)
-			// It stays one of the link's until its end is closed. Danger: a held link does not show the far end that the near end
-			// hung up, and only a reset has it stop waiting.
-			if c.forgot.Load() {
-				c.finish()
+			c.peerClosedAt.Store(now)
+			close(c.peerClosed)
+			c.inbound.closeWithError(io.EOF)
+			// The connection stays registered with the link until it is shut down. Danger: a blocked link does not show the far end
+			// that the near end has closed; only a reset ends its read then.
+			if c.forgotten.Load() {
+				c.shutdown()
 			}
 			return
 		}
 	}
 }
 
-// Gone is closed when the near end has hung up, though a held link may not show it yet.
-func (c *Conn) Gone() <-chan struct{} { return c.gone }
+// PeerClosed is closed once the near end has closed the connection, also where a blocked link does not let Read see it yet.
+func (c *Conn) PeerClosed() <-chan struct{} { return c.peerClosed }
 
-// ClosedAt is when the near end hung up, in ns of the lab's clock; 0: it has not.
-func (c *Conn) ClosedAt() int64 { return c.closed.Load() }
+// PeerClosedAt is when the near end closed the connection, in ns of the lab's clock; 0: it has not.
+func (c *Conn) PeerClosedAt() int64 { return c.peerClosedAt.Load() }
 
-// CameAt is when the near end sent the last bytes that Read returned.
-func (c *Conn) CameAt() int64 { return c.in.cameAt() }
+// ReceivedAt is when the near end sent the last bytes that Read returned, in ns of the lab's clock.
+func (c *Conn) ReceivedAt() int64 { return c.inbound.receivedAt() }
 
-// Read returns what has arrived over the link. The near end's hanging up shows as io.EOF after all it sent.
-func (c *Conn) Read(p []byte) (int, error) { return c.in.get(p, c.link, ToFar, c.dead) }
+// Read returns what has arrived over the link: io.EOF after all that the near end sent before it closed, net.ErrClosed after a
+// reset by this end.
+func (c *Conn) Read(p []byte) (int, error) { return c.inbound.read(p, c.link, ToFar, c.done) }
 
-// Write sends to the near end. It returns before the bytes have crossed a link that is not plain.
+// Write sends to the near end. Over a link that is not plain it buffers and returns before the bytes have arrived. It blocks while
+// the buffer is full, and fails with net.ErrClosed once the connection is shut down.
 func (c *Conn) Write(p []byte) (int, error) {
-	if state, _ := c.link.State(); state.plain() && !c.sends.Load() {
+	if state, _ := c.link.State(); state.plain() && !c.sending.Load() {
 		return c.TCPConn.Write(p)
 	}
 	now := clock.Now()
-	if !c.out.put(p, now, c.link.due(now), c.dead) {
+	if !c.outbound.write(p, now, c.link.dueAt(now), c.done) {
 		return 0, net.ErrClosed
 	}
-	if c.sends.CompareAndSwap(false, true) {
-		c.wait.Add(1)
-		go c.send()
+	if c.sending.CompareAndSwap(false, true) {
+		c.tasks.Add(1)
+		go c.sendLoop()
 	}
 	return len(p), nil
 }
 
-// send empties out for the rest of the connection's life.
-func (c *Conn) send() {
-	defer c.wait.Done()
-	buf := make([]byte, chunkSize)
+// sendLoop sends what is buffered until the connection ends.
+func (c *Conn) sendLoop() {
+	defer c.tasks.Done()
+	buf := make([]byte, chunkBytes)
 	for {
-		n, err := c.out.get(buf, c.link, ToNear, c.dead)
+		n, err := c.outbound.read(buf, c.link, ToNear, c.done)
 		if err == nil {
 			_, err = c.TCPConn.Write(buf[:n])
 		}
@@ -109,210 +108,48 @@
 	}
 }
 
-// Flushed waits until all that was written has crossed the link, and tells when that was seen; ok is false where the
-// connection ended before.
-func (c *Conn) Flushed() (at int64, ok bool) {
-	if c.out.drained(c.dead, c.gone) {
+// WaitFlushed waits until all that was written has crossed the link, and returns when that was observed, in ns of the lab's clock; ok is
+// false where the connection ended before.
+func (c *Conn) WaitFlushed() (at int64, ok bool) {
+	if c.outbound.waitDrained(c.done, c.peerClosed) {
 		return clock.Now(), true
 	}
 	return 0, false
 }
 
-// Close ends the connection as soon as what was written has crossed. A forgotten one is left as it is until the near end
-// hangs up.
+// Close ends the connection once what was written has crossed the link. A forgotten connection stays half open until the near end
+// closes it. The error is always nil.
 func (c *Conn) Close() error {
-	if c.forgot.Load() {
+	if c.forgotten.Load() {
 		return nil
 	}
-	c.out.drained(c.dead, c.gone)
-	c.finish()
-	c.wait.Wait()
+	c.outbound.waitDrained(c.done, c.peerClosed)
+	c.shutdown()
+	c.tasks.Wait()
 	return nil
 }
 
-// Reset ends the connection so that the near end sees it reset.
+// Reset ends the connection so that the near end receives a TCP reset.
 func (c *Conn) Reset() {
-	_ = c.SetLinger(0) // fails only where it is closed
-	c.finish()
+	_ = c.SetLinger(0) // fails only after a close
+	c.shutdown()
 }
 
-func (c *Conn) finish() {
-	c.kill.Do(func() {
-		close(c.dead)
-		_ = c.TCPConn.Close() // nothing is owed to the near end any more
+// shutdown closes the socket and ends both loops, once.
+func (c *Conn) shutdown() {
+	c.closeOnce.Do(func() {
+		close(c.done)
+		_ = c.TCPConn.Close() // the near end is sent nothing more
 		c.link.remove(c)
 	})
 }
 
-// forget has this end see a reset, and the near end nothing at all: it holds a half-open connection.
+// forget fails this end's reads and drops its writes, and sends nothing: the connection is half open at the near end.
 func (c *Conn) forget() {
-	c.forgot.Store(true)
-	c.in.fail(errForgotten)
-	c.out.fail(errForgotten)
+	c.forgotten.Store(true)
+	c.inbound.closeWithError(errForgotten)
+	c.outbound.closeWithError(errForgotten)
 }
 
+// errForgotten is what this end reads from a connection that it has lost (Link.Forget).
 var errForgotten = errors.New("link: forgotten")
-
-// pipe is one direction of a connection: bytes kept back until they are due and the link lets them pass.
-type pipe struct {
-	mu      sync.Mutex
-	chunks  []chunk
-	size    int
-	ended   error         // after all chunks
-	filled  chan struct{} // a token: something came
-	emptied chan struct{} // a token: something went
-	came    int64         // of the last bytes gotten
-	sending bool          // a chunk was gotten and may not be written yet
-}
-
-type chunk struct {
-	data []byte
-	came int64
-	due  int64
-}
-
-func (p *pipe) init() { p.filled, p.emptied = make(chan struct{}, 1), make(chan struct{}, 1) }
-
-func signal(c chan struct{}) {
-	select {
-	case c <- struct{}{}:
-	default:
-	}
-}
-
-// put keeps a copy of data back. It waits while the pipe is full, and tells false when dead ends that.
-func (p *pipe) put(data []byte, came, due int64, dead <-chan struct{}) bool {
-	for {
-		p.mu.Lock()
-		if p.ended != nil && p.ended != io.EOF {
-			p.mu.Unlock()
-			return true // nobody wants it
-		}
-		if p.size < mostHeld {
-			if n := len(p.chunks); n > 0 {
-				due = max(due, p.chunks[n-1].due)
-			}
-			p.chunks = append(p.chunks, chunk{append([]byte(nil), data...), came, due})
-			p.size += len(data)
-			p.mu.Unlock()
-			signal(p.filled)
-			return true
-		}
-		p.mu.Unlock()
-		select {
-		case <-p.emptied:
-		case <-dead:
-			return false
-		}
-	}
-}
-
-// fail ends the pipe: with io.EOF after what it holds, else at once.
-func (p *pipe) fail(err error) {
-	p.mu.Lock()
-	if p.ended == nil || err != io.EOF {
-		p.ended = err
-	}
-	if err != io.EOF {
-		p.chunks, p.size = nil, 0
-	}
-	p.mu.Unlock()
-	signal(p.filled)
-	signal(p.emptied)
-}
-
-func (p *pipe) cameAt() int64 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.came
-}
-
-// get takes what is due and allowed, and waits for it.
-func (p *pipe) get(buf []byte, l *Link, d Direction, dead <-chan struct{}) (int, error) {
-	for {
-		state, changed := l.State()
-		p.mu.Lock()
-		p.sending = false
-		if len(p.chunks) == 0 && p.ended == nil {
-			p.mu.Unlock()
-			signal(p.emptied)
-			select {
-			case <-p.filled:
-				continue
-			case <-dead:
-				return 0, net.ErrClosed
-			}
-		}
-		if state.Hold[d] && (p.ended == nil || p.ended == io.EOF) {
-			p.mu.Unlock()
-			select {
-			case <-changed:
-				continue
-			case <-p.filled:
-				continue
-			case <-dead:
-				return 0, net.ErrClosed
-			}
-		}
-		if len(p.chunks) == 0 {
-			err := p.ended
-			p.mu.Unlock()
-			return 0, err
-		}
-		first := &p.chunks[0]
-		if left := clock.Until(first.due); left > 0 {
-			p.mu.Unlock()
-			if !sleep(left, dead) {
-				return 0, net.ErrClosed
-			}
-			continue
-		}
-		if state.Rate > 0 {
-			buf = buf[:min(len(buf), max(1, state.Rate/trickles))]
-		}
-		n := copy(buf, first.data)
-		p.came, p.sending = first.came, true
-		if first.data = first.data[n:]; len(first.data) == 0 {
-			p.chunks = p.chunks[1:]
-		}
-		p.size -= n
-		p.mu.Unlock()
-		signal(p.emptied)
-		if state.Rate > 0 && !sleep(time.Duration(n)*time.Second/time.Duration(state.Rate), dead) {
-			return 0, net.ErrClosed
-		}
-		return n, nil
-	}
-}
-
-const trickles = 20 // pieces a second in which a slow link passes bytes
-
-func sleep(d time.Duration, dead <-chan struct{}) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return true
-	case <-dead:
-		return false
-	}
-}
-
-// drained waits until nothing is kept back. It tells false when stop or gone ends that.
-func (p *pipe) drained(stop, gone <-chan struct{}) bool {
-	for {
-		p.mu.Lock()
-		empty := len(p.chunks) == 0 && !p.sending
-		p.mu.Unlock()
-		if empty {
-			return true
-		}
-		select {
-		case <-p.emptied:
-		case <-stop:
-			return false
-		case <-gone:
-			return false
-		}
-	}
-}
--- a/internal/lab/load/conn.go
+++ b/internal/lab/load/conn.go
@@ -9,159 +9,126 @@
 	"net/http"
 	"strconv"
 	"strings"
-	"sync"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/lab/clock"
 	"gradeusher.example/gradeusher/internal/lab/plan"
 )
 
-// A client needs to know the moment of a request's last byte, and which connection ended how, which net/http's transport
-// keeps to itself. So connections are held here; requests and answers are still read and written by net/http's rules.
+// A client has to know the moment of a request's last byte, and how which connection ended, which the transport of net/http does not
+// report. So this package manages the connections itself, and only reads responses by net/http.
 
-const (
-	idleConn = 1500 * time.Millisecond // before the 2 s after which a sidecar may close one
-	mostIdle = 64                      // connections to one sidecar
-)
-
-var errHungUp = errors.New("hung up without an answer")
-
-// pool is the connections to one sidecar, the last used first.
-type pool struct {
-	address string
-	mu      sync.Mutex
-	idle    []*conn
-	closed  bool
-}
+// errConnClosed says that a connection ended, otherwise than by a time-out, before the first byte of a response.
+var errConnClosed = errors.New("hung up without an answer")
 
-type conn struct {
+// clientConn is a connection to a sidecar, for one request at a time.
+type clientConn struct {
 	net.Conn
-	in    *bufio.Reader
-	since time.Time
-}
-
-func (p *pool) get(deadline time.Time) (c *conn, used bool, err error) {
-	p.mu.Lock()
-	for len(p.idle) > 0 && time.Since(p.idle[0].since) > idleConn {
-		p.idle[0].Close()
-		p.idle = p.idle[1:]
-	}
-	if n := len(p.idle); n > 0 {
-		c = p.idle[n-1]
-		p.idle = p.idle[:n-1]
-	}
-	p.mu.Unlock()
-	if c != nil {
-		return c, true, nil
-	}
-	c, err = p.dial(deadline)
-	return c, false, err
-}
-
-func (p *pool) dial(deadline time.Time) (*conn, error) {
-	dialer := net.Dialer{Deadline: deadline}
-	raw, err := dialer.Dial("tcp4", p.address)
-	if err != nil {
-		return nil, err
-	}
-	return &conn{Conn: raw, in: bufio.NewReader(raw)}, nil
-}
-
-func (p *pool) put(c *conn, closes bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if closes || p.closed || len(p.idle) >= mostIdle {
-		c.Close()
-		return
-	}
-	c.since = time.Now()
-	p.idle = append(p.idle, c)
+	reader    *bufio.Reader
+	idleSince time.Time
 }
 
-func (p *pool) close() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.closed = true
-	for _, c := range p.idle {
-		c.Close()
-	}
-	p.idle = nil
-}
-
-// question is what a request says.
-type question struct {
+// apiRequest is the content of a request.
+type apiRequest struct {
 	id      string
 	class   plan.Class
-	work    time.Duration
+	work    time.Duration // that it asks of the server, of a core of speed 1
 	timeout time.Duration
 	retry   bool
-	client  string // "": nobody by name
+	client  string // tenant; "": none
 }
 
-// answer is what came back.
-type answer struct {
-	status int
-	by     string // the server that made it; "?" where no server's answer reads so
-	after  time.Duration
-	closes bool
+// apiResponse is the content of a complete response.
+type apiResponse struct {
+	status     int
+	servedBy   string // UID of the server; "?": the body names none
+	retryAfter time.Duration
+	closeConn  bool
 }
 
-// ask writes a request and reads its answer. sent is when the last byte was written; 0: it was not.
-func (c *conn) ask(q question, deadline time.Time) (sent int64, a answer, err error) {
+// roundTrip writes a request and reads its response. sent is when the last byte was written, in ns of the lab's clock; 0: it was not.
+func (c *clientConn) roundTrip(request apiRequest, deadline time.Time) (sent int64, response apiResponse, err error) {
 	if err := c.SetDeadline(deadline); err != nil {
-		return 0, a, err
-	}
-	method, body := "GET", ""
-	if !q.class.Safe {
-		method, body = "POST", "present "+q.id+"\n"
+		return 0, apiResponse{}, err
 	}
-	more := ""
-	if q.retry {
-		more = "X-Retried: 1\r\n"
+	if _, err := io.WriteString(c, request.text()); err != nil {
+		return 0, apiResponse{}, classifyError(err)
 	}
-	if q.client != "" {
-		more += "X-Tenant-Id: " + q.client + "\r\n"
+	sent = clock.Now()
+	if _, err := c.reader.Peek(1); err != nil {
+		return sent, apiResponse{}, classifyError(err)
 	}
-	length := ""
-	if body != "" {
-		length = fmt.Sprintf("Content-Length: %d\r\n", len(body))
+	response, err = c.readResponse(request)
+	return sent, response, err
+}
+
+// method is the HTTP method of a request: idempotent requests are read, others write.
+func (r *apiRequest) method() string {
+	if r.class.Safe {
+		return http.MethodGet
 	}
-	_, err = fmt.Fprintf(c, "%s /api?class=%s&work_ns=%d HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\nX-Timeout-Ms: %d\r\n%s%s\r\n%s",
-		method, q.class.Name, q.work.Nanoseconds(), q.id, q.class.Name, q.timeout.Milliseconds(), more, length, body)
+	return http.MethodPost
+}
+
+// text is the request on the wire.
+func (r *apiRequest) text() string {
+	var text strings.Builder
+	header := func(name string, value any) { fmt.Fprintf(&text, "%s: %v\r\n", name, value) }
+	fmt.Fprintf(&text, "%s /api?class=%s&work_ns=%d HTTP/1.1\r\n", r.method(), r.class.Name, r.work.Nanoseconds())
+	header("Host", "origin.svc")
+	header("X-Request-ID", r.id)
+	header("X-Priority-Class", r.class.Name)
+	header("X-Timeout-Ms", r.timeout.Milliseconds())
+	if r.retry {
+		header("X-Retried", 1)
+	}
+	if r.client != "" {
+		header("X-Tenant-Id", r.client)
+	}
+	body := ""
+	if r.method() == http.MethodPost {
+		body = "present " + r.id + "\n"
+		header("Content-Length", len(body))
+	}
+	text.WriteString("\r\n" + body)
+	return text.String()
+}
+
+// readResponse reads a response whose first byte is there.
+func (c *clientConn) readResponse(request apiRequest) (apiResponse, error) {
+	message, err := http.ReadResponse(c.reader, &http.Request{Method: request.method()})
 	if err != nil {
-		return 0, a, hungUp(err)
-	}
-	sent = clock.Now()
-	if _, err := c.in.Peek(1); err != nil {
-		return sent, a, hungUp(err)
+		return apiResponse{}, fmt.Errorf("unreadable answer: %w", err)
 	}
-	resp, err := http.ReadResponse(c.in, &http.Request{Method: method})
+	defer func() { _ = message.Body.Close() }() // it is read to its end, or the connection is closed
+	body, err := io.ReadAll(message.Body)
 	if err != nil {
-		return sent, a, fmt.Errorf("unreadable answer: %w", err)
+		return apiResponse{}, fmt.Errorf("answer broken off: %w", err)
 	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(resp.Body)
-	if err != nil {
-		return sent, a, fmt.Errorf("answer broken off: %w", err)
+	response := apiResponse{status: message.StatusCode, closeConn: message.Close}
+	if seconds, err := strconv.ParseFloat(message.Header.Get("Retry-After"), 64); err == nil && seconds > 0 {
+		response.retryAfter = time.Duration(seconds * float64(time.Second))
 	}
-	a.status, a.closes = resp.StatusCode, resp.Close
-	if after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && after > 0 {
-		a.after = time.Duration(after * float64(time.Second))
+	if response.status == http.StatusOK {
+		response.servedBy = server(string(body), request.id)
 	}
-	if a.status == http.StatusOK {
-		a.by = "?"
-		if uid, ok := strings.CutPrefix(string(text), "recorded "+q.id+" by "); ok && strings.HasSuffix(uid, "\n") {
-			a.by = strings.TrimSuffix(uid, "\n")
-		}
+	return response, nil
+}
+
+// server is the server that made the body of a successful response to a request; "?" where no server's body reads so.
+func server(body, id string) string {
+	uid, ok := strings.CutPrefix(body, "recorded "+id+" by ")
+	if !ok || !strings.HasSuffix(uid, "\n") {
+		return "?"
 	}
-	return sent, a, nil
+	return strings.TrimSuffix(uid, "\n")
 }
 
-// hungUp tells the end of a connection from a time-out.
-func hungUp(err error) error {
+// classifyError distinguishes the end of a connection (errConnClosed) from a time-out.
+func classifyError(err error) error {
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
 		return fmt.Errorf("no answer: %w", err)
 	}
-	return fmt.Errorf("%w: %w", errHungUp, err)
+	return fmt.Errorf("%w: %w", errConnClosed, err)
 }
--- a/internal/lab/proc/proc_test.go
+++ b/internal/lab/proc/proc_test.go
@@ -14,97 +14,109 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// shell starts a shell that reads its lines from the test.
+// shell starts a shell whose input and output are the test's.
 func shell(t *testing.T, script string) (*Process, *bufio.Scanner) {
 	t.Helper()
 	s := NewStarter()
 	t.Cleanup(s.Close)
 	folder := t.TempDir()
-	p, err := s.Start(Spec{Name: "shell", Path: "/bin/sh", Args: []string{"-c", script}, Log: filepath.Join(t.TempDir(), "log"), Piped: true,
+	process, err := s.Start(Spec{Name: "shell", Path: "/bin/sh", Args: []string{"-c", script}, Log: filepath.Join(t.TempDir(), "log"), Piped: true,
 		Folder: folder, Env: []string{"TMPDIR=" + folder}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		p.Kill()
-		p.Out.Close()
+		process.Kill()
+		if err := process.Out.Close(); err != nil {
+			t.Error(err)
+		}
 	})
-	return p, bufio.NewScanner(p.Out)
+	return process, bufio.NewScanner(process.Out)
 }
 
-// TestDisk has a process find its folder full, only readable, and well again.
+// TestDisk lets a process find its folder full, read-only, and writable again.
 func TestDisk(t *testing.T) {
-	if err := CanReadOnly(t.TempDir()); err != nil {
+	if err := CheckReadOnly(t.TempDir()); err != nil {
 		t.Skip(err)
 	}
-	p, says := shell(t, `trap "" XFSZ; while read name; do (echo text > "$TMPDIR/$name") 2>/dev/null && test -s "$TMPDIR/$name" && echo well || echo failed; done`)
-	for i, step := range []struct{ mode, want string }{{"", "well"}, {"full", "failed"}, {"", "well"}, {"readonly", "failed"}, {"", "well"}} {
-		if err := p.Disk(step.mode); err != nil {
+	process, output := shell(t, `trap "" XFSZ; while read name; do (echo text > "$TMPDIR/$name") 2>/dev/null && test -s "$TMPDIR/$name" && echo written || echo failed; done`)
+	for i, step := range []struct{ mode, want string }{{"", "written"}, {DiskFull, "failed"}, {"", "written"}, {DiskReadOnly, "failed"}, {"", "written"}} {
+		if err := process.SetDiskFault(step.mode); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := fmt.Fprintf(process.In, "file%d\n", i); err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(p.In, "file%d\n", i)
-		if !says.Scan() || says.Text() != step.want {
-			t.Errorf("step %d, disk %q: the process says %q, want %q", i, step.mode, says.Text(), step.want)
+		if !output.Scan() || output.Text() != step.want {
+			t.Errorf("step %d, disk %q: the process says %q, want %q", i, step.mode, output.Text(), step.want)
 		}
 	}
 }
 
-// TestEnd has a process end by itself, by the end of its input, by SIGKILL where that does nothing, and from a stop.
+// TestEnd ends a process by its own exit, by the end of its input, by SIGKILL where that has no effect, and out of a stop.
 func TestEnd(t *testing.T) {
-	p, _ := shell(t, "exit 3")
-	<-p.Ended()
-	if x := p.Exit(); x.Code != 3 || x.Wanted {
-		t.Errorf("%+v", x)
-	}
-	p, _ = shell(t, "read line")
-	if !p.End(10*time.Second) || !p.Exit().Wanted {
-		t.Errorf("%+v", p.Exit())
-	}
-	p, _ = shell(t, "exec sleep 60")
-	if p.End(10 * time.Millisecond) {
-		t.Error("one that does not listen ended well")
-	}
-	if x := p.Exit(); x.Code >= 0 {
-		t.Errorf("%+v", x)
-	}
-	p, says := shell(t, "echo up; read line")
-	says.Scan()
-	if err := p.Signal(syscall.SIGSTOP, false); err != nil {
-		t.Fatal(err)
-	}
-	if !p.End(10 * time.Second) {
-		t.Error("one that was stopped had to be killed")
-	}
+	t.Run("by itself", func(t *testing.T) {
+		process, _ := shell(t, "exit 3")
+		<-process.Ended()
+		if exit := process.Exit(); exit.Code != 3 || exit.Wanted {
+			t.Errorf("%+v", exit)
+		}
+	})
+	t.Run("end of input", func(t *testing.T) {
+		process, _ := shell(t, "read line")
+		if !process.End(10*time.Second) || !process.Exit().Wanted {
+			t.Errorf("%+v", process.Exit())
+		}
+	})
+	t.Run("SIGKILL", func(t *testing.T) {
+		process, _ := shell(t, "exec sleep 60")
+		if process.End(10 * time.Millisecond) {
+			t.Error("a process that ignores its input ended without SIGKILL")
+		}
+		if exit := process.Exit(); exit.Code >= 0 {
+			t.Errorf("%+v", exit)
+		}
+	})
+	t.Run("stopped", func(t *testing.T) {
+		process, output := shell(t, "echo up; read line")
+		output.Scan()
+		if err := process.Signal(syscall.SIGSTOP, false); err != nil {
+			t.Fatal(err)
+		}
+		if !process.End(10 * time.Second) {
+			t.Error("a stopped process had to be killed")
+		}
+	})
 }
 
-// TestSample has a process's memory and descriptors be seen.
+// TestSample measures memory and descriptors of a process, and fails for one that has ended.
 func TestSample(t *testing.T) {
-	p, says := shell(t, `exec 7</dev/null 8</dev/null; echo up; read line`)
-	says.Scan()
-	v, err := p.Sample()
-	if err != nil || v.Descriptors < 5 || v.MemoryMB <= 0 {
-		t.Errorf("%+v, %v", v, err)
+	process, output := shell(t, `exec 7</dev/null 8</dev/null; echo up; read line`)
+	output.Scan()
+	sample, err := process.Sample()
+	if err != nil || sample.Descriptors < 5 || sample.MemoryMB <= 0 {
+		t.Errorf("%+v, %v", sample, err)
 	}
-	p.Kill()
-	if _, err := p.Sample(); err == nil {
-		t.Error("a process that has ended holds something")
+	process.Kill()
+	if _, err := process.Sample(); err == nil {
+		t.Error("a process that has ended has a sample")
 	}
 }
 
-// TestFolderStays has what was in a read-only folder be there, and nothing new.
-func TestFolderStays(t *testing.T) {
-	if err := CanReadOnly(t.TempDir()); err != nil {
+// TestReadOnlyFolder leaves what was in a read-only folder, and lets nothing be created there.
+func TestReadOnlyFolder(t *testing.T) {
+	if err := CheckReadOnly(t.TempDir()); err != nil {
 		t.Skip(err)
 	}
 	folder := t.TempDir()
 	if err := os.WriteFile(filepath.Join(folder, "old"), []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := ReadOnly(folder, true); err != nil {
+	if err := SetReadOnly(folder, true); err != nil {
 		t.Fatal(err)
 	}
 	defer func() {
-		if err := ReadOnly(folder, false); err != nil {
+		if err := SetReadOnly(folder, false); err != nil {
 			t.Error(err)
 		}
 	}()
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -63,7 +63,7 @@
 
 // Held tells how many checks held, of those that had something to look at.
 func (r *Result) Held() (held, of int) {
-	held = len(check.Names(r.Verdicts, check.Held))
+	held = len(check.Names(r.Verdicts, check.Passed))
 	return held, held + len(r.Broken())
 }
 
@@ -110,7 +110,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if e.Twin = twin; twin != nil {
+	if e.WithoutFloods = twin; twin != nil {
 		e.Lateness = max(e.Lateness, twin.Lateness) // a late one is nothing to compare with
 	}
 	r := result(p, e)
@@ -147,7 +147,7 @@
 	defer f.Close()
 
 	clients := &load.Clients{Plan: p, Addresses: f.Addresses(), Slack: plan.Millis(p.File.Limits.AnswerSlackMS),
-		Tardy: plan.Millis(p.File.Load.TardyMS)}
+		SendDelay: plan.Millis(p.File.Load.SendDelayMS)}
 	start := clock.Now() + int64(lead)
 	if o.Up != nil {
 		o.Up(f)
@@ -178,7 +178,7 @@
 			return nil
 		})
 	}
-	e.Tries = clients.Run(ctx, start)
+	e.ClientAttempts = clients.Run(ctx, start)
 	waitUntil(ctx, start+int64(plan.Seconds(p.File.Seconds)))
 	f.Sample()
 	stop()
@@ -235,7 +235,7 @@
 		return err
 	}
 	defer os.RemoveAll(root)
-	if err := proc.CanReadOnly(root); err != nil {
+	if err := proc.CheckReadOnly(root); err != nil {
 		return &plan.Error{File: p.File.Path, What: "disk-readonly is not possible in " + os.TempDir() + ": " + err.Error()}
 	}
 	return nil
@@ -254,7 +254,7 @@
 
 func result(p *plan.Plan, e *check.Evidence) *Result {
 	r := &Result{Name: p.File.Name, States: p.File.States, Seed: p.Seed, Seconds: p.File.Seconds, ArrivalsHash: p.ArrivalsHash,
-		StepsHash: p.StepsHash, Servers: p.Standing, Sidecars: len(p.Sidecars), Rate: p.Rate(), Peaks: e.Peaks, Exits: e.Exits,
+		StepsHash: p.StepsHash, Servers: p.InitialServers, Sidecars: len(p.Sidecars), Rate: p.Rate(), Peaks: e.Peaks, Exits: e.Exits,
 		Machine: Machine{runtime.NumCPU(), runtime.Version()}}
 	r.Verdicts = check.Invariants(e)
 	r.Figures, r.Course = check.Measure(e)
--- a/internal/lab/sidecars.go
+++ b/internal/lab/sidecars.go
@@ -18,7 +18,7 @@
 // sidecar is one place where a sidecar's processes run, one after the other.
 type sidecar struct {
 	index  int
-	place  *link.Place // its address
+	place  *link.PortReservation // its address
 	folder string
 
 	mu    sync.Mutex
@@ -60,7 +60,7 @@
 		args = []string{"stand-in", "plain", "--flaw", f.plan.File.Fleet.Flaw}
 	}
 	tmp := s.folder
-	if f.keepers != nil && !f.plan.File.Keepers.Cache || !f.plan.File.Fleet.Keep {
+	if f.keepers != nil && !f.plan.File.Registry.Cache || !f.plan.File.Fleet.Keep {
 		tmp = ""
 	}
 	began := clock.Now()
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -151,7 +151,7 @@
 		if !idle.Stop() || err != nil {
 			return
 		}
-		began := c.CameAt()
+		began := c.ReceivedAt()
 		r, err := http.ReadRequest(in)
 		if err != nil {
 			return
@@ -160,7 +160,7 @@
 			return
 		}
 		if !s.answer(c, r, ctl.Attempt{Server: s.spec.UID, Boot: s.boot, Near: near, ID: r.Header.Get("X-Request-ID"), First: began,
-			Whole: clock.Now(), New: first}, crowded) {
+			Received: clock.Now(), New: first}, crowded) {
 			return
 		}
 		if r.Close {
@@ -186,7 +186,7 @@
 	a.Work = work
 	job := model.Job{Work: float64(work) / 1e9}
 	if ms, err := strconv.ParseInt(r.Header.Get("X-Timeout-Ms"), 10, 64); err == nil {
-		job.Deadline = a.Whole + ms*int64(time.Millisecond)
+		job.Deadline = a.Received + ms*int64(time.Millisecond)
 	}
 	if a.New {
 		job.Work += s.spec.ConnWork.Seconds()
@@ -200,16 +200,16 @@
 			s.waiting[job.Key] = ended
 		}
 	})
-	outcome := model.TurnedAway
+	outcome := model.Rejected
 	if taken {
 		select {
 		case outcome = <-ended:
-		case <-c.Gone(): // the work goes on all the same
-			a.End, a.How = c.ClosedAt(), "left"
+		case <-c.PeerClosed(): // the work goes on all the same
+			a.End, a.Outcome = c.PeerClosedAt(), "left"
 			s.records.Add(a)
 			return false
 		case <-s.stop:
-			a.End, a.How = clock.Now(), "died"
+			a.End, a.Outcome = clock.Now(), "died"
 			s.records.Add(a)
 			return false
 		}
@@ -217,21 +217,21 @@
 	ok := false
 	switch outcome {
 	case model.Served:
-		a.How = "served"
+		a.Outcome = "served"
 		ok = s.say(c, http.StatusOK, "", Body(s.spec.UID, a.ID))
 	case model.Failed:
-		a.How = "failed"
+		a.Outcome = "failed"
 		ok = s.say(c, http.StatusInternalServerError, "", "error\n")
 	default:
-		a.How = "turned"
+		a.Outcome = "turned"
 		ok = s.say(c, http.StatusServiceUnavailable, "X-Not-Processed: 1\r\n", "full\n")
 	}
-	at, flushed := c.Flushed()
+	at, flushed := c.WaitFlushed()
 	switch {
 	case flushed && ok:
 		a.End = at
-	case c.ClosedAt() != 0:
-		a.End = c.ClosedAt()
+	case c.PeerClosedAt() != 0:
+		a.End = c.PeerClosedAt()
 	default: // this end closed it
 		a.End = clock.Now()
 	}
@@ -248,7 +248,7 @@
 	s.mu.Unlock()
 	if ok {
 		// The names that the settings give (feedback.names).
-		header += fmt.Sprintf("X-Server-Load: concurrent=%d,depth=%d,err_ps=%.3f\r\n", load.Held, load.Waiting, load.ErrorsPer)
+		header += fmt.Sprintf("X-Server-Load: concurrent=%d,depth=%d,err_ps=%.3f\r\n", load.InFlight, load.Waiting, load.ErrorsPerSecond)
 	}
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s\r\n%s", status, http.StatusText(status), len(body), header, body)
 	return err == nil
