--- a/internal/system/controlstate/history.go
+++ b/internal/system/controlstate/history.go
@@ -40,7 +40,7 @@
 	return &h.changes[i+1]
 }
 
-// matches tells whether change, whose digest is sum, is the one that a remembered entry stands for.
+// matches reports whether change, whose digest is sum, is the one that a remembered entry stands for.
 func (h *changeHistory) matches(entry *appliedChange, change Change, sum digest) bool {
 	if entry.Seq <= h.lastLegacySeq() {
 		return entry.Digest == change.legacyDigest()
--- a/internal/system/controlstate/zones.go
+++ b/internal/system/controlstate/zones.go
@@ -66,7 +66,7 @@
 	return Verdict{Kind: Accepted, Seq: s.Seq + 1}
 }
 
-// atZoneLimit tells whether change would evacuate more than MaxZones zones.
+// atZoneLimit reports whether change would evacuate more than MaxZones zones.
 func (s *State) atZoneLimit(change Change) bool {
 	return change.Op == OpEvacuate && !s.Evacuated[change.Zone] && len(s.Evacuated) >= MaxZones
 }
--- a/internal/system/failuredetector/golden_trace_test.go
+++ b/internal/system/failuredetector/golden_trace_test.go
@@ -177,7 +177,7 @@
 	sim.run(5 * time.Second)
 }
 
-// readGolden gives the recorded steps and digest by scenario and seed.
+// readGolden returns the recorded steps and digest by scenario and seed.
 func readGolden(t *testing.T) map[string]string {
 	t.Helper()
 	f, err := os.Open(goldenFile)
--- a/internal/system/replication/acceptor.go
+++ b/internal/system/replication/acceptor.go
@@ -77,7 +77,7 @@
 	ac.durableActive, ac.durableSealed, ac.durableEpoch = state.activeEpoch, state.sealedEpoch, state.view.Epoch
 }
 
-// isVoter tells whether this node votes on the view after v.
+// isVoter reports whether this node votes on the view after v.
 func (ac *acceptor) isVoter(v *View) bool {
 	if v.Epoch == 0 {
 		return ac.isFounder()
@@ -89,7 +89,7 @@
 	return ok
 }
 
-// isFounder tells whether this node votes on the first view: it is a seed at the first start of all, and has a disk unless none has.
+// isFounder reports whether this node votes on the first view: it is a seed at the first start of all, and has a disk unless none has.
 func (ac *acceptor) isFounder() bool {
 	return ac.cfg.Bootstrap && slices.Contains(ac.cfg.Seeds, ac.self.Addr) && (!ac.cfg.Observer || ac.liveness.noSeedHasDisk())
 }
@@ -176,7 +176,7 @@
 	})
 }
 
-// hasAcceptedLater tells whether this voter has accepted a view after the present one. It then no longer confirms the present epoch:
+// hasAcceptedLater reports whether this voter has accepted a view after the present one. It then no longer confirms the present epoch:
 // the later view may be chosen and its chain acknowledge changes while a majority of the present voters, this one among them, has
 // not learned of it. That it was chosen is not enough to ask for. The majority need not meet the later chain where a replica of
 // that chain is new among the voters, or where a chain shorter than a majority may acknowledge. Scenario "an accepted view" plays it.
--- a/internal/system/replication/capacity.go
+++ b/internal/system/replication/capacity.go
@@ -90,7 +90,7 @@
 	current, logged      Capacity
 }
 
-// isLike tells whether two capacities ask the operator for the same.
+// isLike reports whether two capacities ask the operator for the same.
 func (c *Capacity) isLike(other Capacity) bool {
 	return c.ToleranceMet == other.ToleranceMet && c.Remedy == other.Remedy
 }
--- a/internal/system/replication/chain_replica.go
+++ b/internal/system/replication/chain_replica.go
@@ -75,10 +75,10 @@
 	return ""
 }
 
-// isInChain tells whether this node is a replica of the present chain, active or not.
+// isInChain reports whether this node is a replica of the present chain, active or not.
 func (cr *chainReplica) isInChain() bool { return cr.acceptor.view.chainIndex(cr.self.ID) >= 0 }
 
-// isActive tells whether this replica takes part: it has on disk that it holds all that was acknowledged before its view.
+// isActive reports whether this replica takes part: it has on disk that it holds all that was acknowledged before its view.
 func (cr *chainReplica) isActive() bool {
 	epoch := cr.acceptor.view.Epoch
 	isUsable := cr.err == nil && cr.acceptor.viewDurable
@@ -89,7 +89,7 @@
 
 func (cr *chainReplica) isTail() bool { return cr.isActive() && cr.acceptor.view.Tail() == cr.self.ID }
 
-// isActiveToTail tells whether this replica and all after it are active, so that no log of an old epoch is left among them.
+// isActiveToTail reports whether this replica and all after it are active, so that no log of an old epoch is left among them.
 func (cr *chainReplica) isActiveToTail() bool {
 	if !cr.isActive() || cr.isTail() {
 		return cr.isActive()
@@ -215,7 +215,7 @@
 	}
 }
 
-// nextState gives the state after the record above the commit index. The head has computed it already.
+// nextState returns the state after the record above the commit index. The head has computed it already.
 func (cr *chainReplica) nextState() (State, error) {
 	if len(cr.uncommittedStates) == 0 {
 		return cr.state.Apply(cr.log.at(cr.commitIndex + 1).rec)
@@ -225,13 +225,13 @@
 	return next, nil
 }
 
-// holdsAcknowledged tells whether this replica knows to be committed all that may have been acknowledged before it came to its place, in
+// holdsAcknowledged reports whether this replica knows to be committed all that may have been acknowledged before it came to its place, in
 // its present incarnation.
 func (cr *chainReplica) holdsAcknowledged() bool {
 	return cr.commitIndex >= cr.minReadIndex || cr.cfg.knobs.SkipMinReadIndex
 }
 
-// isUpToDate tells whether this node, in the chain, knows all to be committed that may have been acknowledged before its epoch; or,
+// isUpToDate reports whether this node, in the chain, knows all to be committed that may have been acknowledged before its epoch; or,
 // outside the chain, has received what was committed within the window.
 func (cr *chainReplica) isUpToDate(window time.Duration) bool {
 	if cr.isInChain() {
--- a/internal/system/replication/change_decider.go
+++ b/internal/system/replication/change_decider.go
@@ -74,20 +74,20 @@
 	cd.completeChanges()
 }
 
-// canDecide tells whether this node is the head that the change was sent to, in the epoch of the change, can append it, and the caller
+// canDecide reports whether this node is the head that the change was sent to, in the epoch of the change, can append it, and the caller
 // still waits.
 func (cd *changeDecider) canDecide(from ID, msg *replicationpb.Forward) bool {
 	isSameEpoch := msg.GetEpoch() == cd.acceptor.view.Epoch || cd.cfg.knobs.AcceptForwardsOfEarlierEpochs
 	return cd.chain.isHead() && isSameEpoch && cd.canAppend() && cd.isBeforeDeadline(from, msg)
 }
 
-// canAppend tells whether a record appended now is likely to be committed, and there is capacity for it.
+// canAppend reports whether a record appended now is likely to be committed, and there is capacity for it.
 func (cd *changeDecider) canAppend() bool {
 	isFit := !cd.writer.unhealthy && !cd.liveness.draining
 	return isFit && len(cd.pending) < maxPendingCalls && len(cd.acceptor.view.Chain) >= cd.cfg.minChainLength()
 }
 
-// isBeforeDeadline tells whether the caller of a forwarded change still waits for it (invariant 6 of the package).
+// isBeforeDeadline reports whether the caller of a forwarded change still waits for it (invariant 6 of the package).
 //
 // The message says how much time was left when it was sent, and it may have been in flight for long. Let it be sent at s with time t left.
 // Its sender had by then received the head's heartbeat h, so s ≥ sent(h), which the head knows by its own clock. The change is accepted
@@ -165,7 +165,7 @@
 	})
 }
 
-// isFinal tells whether the verdict rests on what is committed alone. One that appends nothing needs the whole chain to be active as well:
+// isFinal reports whether the verdict rests on what is committed alone. One that appends nothing needs the whole chain to be active as well:
 // a replica that is not may still hold a log of an old epoch with records that the head lacks.
 func (cd *changeDecider) isFinal(change *pendingChange) bool {
 	if !change.confirmed || change.seq > cd.chain.commitIndex {
--- a/internal/system/replication/client_calls.go
+++ b/internal/system/replication/client_calls.go
@@ -62,12 +62,12 @@
 	headIncarnation uint64
 }
 
-// idempotent tells whether the state machine recognizes a change that is applied twice.
+// idempotent reports whether the state machine recognizes a change that is applied twice.
 func idempotent(change controlstate.Change) bool {
 	return change.Op == controlstate.OpReplace || change.Op == controlstate.OpAmend
 }
 
-// startSubmit takes up a change asked for here; where too many are pending it completes it as Refused and gives false.
+// startSubmit takes up a change asked for here; where too many are pending it completes it as Refused and returns false.
 func (cc *clientCalls) startSubmit(id uint64, change controlstate.Change, ttl time.Duration) bool {
 	if len(cc.submits) >= maxPendingCalls {
 		cc.complete(Completion{ID: id, Outcome: Refused})
@@ -137,7 +137,7 @@
 	return Refused
 }
 
-// isHeadReplaced tells whether the head that an attempt was sent to is not the head any more, or has restarted. A head that remains the head
+// isHeadReplaced reports whether the head that an attempt was sent to is not the head any more, or has restarted. A head that remains the head
 // keeps what it was asked.
 func (cc *clientCalls) isHeadReplaced(s *submit) bool {
 	if !s.sent {
@@ -196,7 +196,7 @@
 	indexKnown bool   // whether readIndex is
 }
 
-// startRead takes up a read asked for here; where too many are pending it completes it as Refused and gives false.
+// startRead takes up a read asked for here; where too many are pending it completes it as Refused and returns false.
 func (cc *clientCalls) startRead(id uint64, ttl time.Duration) bool {
 	if len(cc.reads) >= maxPendingCalls {
 		cc.complete(Completion{ID: id, Read: true, Outcome: Refused})
--- a/internal/system/replication/core_status.go
+++ b/internal/system/replication/core_status.go
@@ -37,7 +37,7 @@
 	return records, true
 }
 
-// Departed tells whether nobody relies on this node any more: it is no chain replica, and enough replicas that are alive hold what was
+// Departed reports whether nobody relies on this node any more: it is no chain replica, and enough replicas that are alive hold what was
 // acknowledged. The disk of a replica that is not alive may be lost.
 func (c *Core) Departed() bool {
 	v := c.acceptor.view
@@ -56,7 +56,7 @@
 	return c.planner.countHolders(alive) >= c.cfg.minChainLength()
 }
 
-// Current tells whether what this node holds can be passed on as new: within the last moments a majority of the voters confirmed that
+// Current reports whether what this node holds can be passed on as new: within the last moments a majority of the voters confirmed that
 // they know of no later epoch than its own, and it is a chain replica or a learner that has caught up.
 func (c *Core) Current(now time.Duration) bool {
 	c.advance(now)
@@ -79,7 +79,7 @@
 	return c.acceptor.isQuorum(c.acceptor.view, confirmed)
 }
 
-// confirmsEpoch tells whether a voter said, in answer to a heartbeat sent within the window, that it is in the present epoch and has
+// confirmsEpoch reports whether a voter said, in answer to a heartbeat sent within the window, that it is in the present epoch and has
 // accepted no later view.
 func (c *Core) confirmsEpoch(voter ID, window time.Duration) bool {
 	if voter == c.self.ID {
@@ -101,7 +101,7 @@
 	return c.cfg.SuspectTimeout * currentNumerator / currentDenominator
 }
 
-// Partitioned tells whether a change asked for here cannot be accepted, as there has been no way to the chain for long. It is for callers
+// Partitioned reports whether a change asked for here cannot be accepted, as there has been no way to the chain for long. It is for callers
 // that should rather ask another node at once; Submit and Read do not rest on it.
 //
 // It is false for a node that exchanges heartbeats with the head, and a change is forwarded only while the head is alive here (see
--- a/internal/system/replication/disk_writer.go
+++ b/internal/system/replication/disk_writer.go
@@ -45,7 +45,7 @@
 	Snapshot wal.Snapshot // of DiskCompact and DiskInstall
 }
 
-// Do runs the operation, and gives the error of the disk.
+// Do runs the operation, and returns the error of the disk.
 func (op *DiskOp) Do(d wal.Disk) error {
 	switch op.Kind {
 	case DiskSaveMeta:
@@ -116,7 +116,7 @@
 	dw.pendingInstall, dw.durableEnd, dw.truncateNeeded = snap, 0, false
 }
 
-// isLogClean tells whether the log on disk holds nothing that is to be replaced.
+// isLogClean reports whether the log on disk holds nothing that is to be replaced.
 func (dw *diskWriter) isLogClean() bool { return !dw.truncateNeeded && dw.pendingInstall == nil }
 
 // startWrite starts the write that is wanted most, unless one is in progress.
@@ -142,12 +142,12 @@
 // durableCommitIndex is the newest record that is committed and on disk.
 func (dw *diskWriter) durableCommitIndex() uint64 { return min(dw.chain.commitIndex, dw.durableEnd) }
 
-// isLogPerhapsFull tells whether an append failed that a snapshot may make room for.
+// isLogPerhapsFull reports whether an append failed that a snapshot may make room for.
 func (dw *diskWriter) isLogPerhapsFull() bool {
 	return dw.appendRefused && dw.durableCommitIndex() > dw.snapshotSeq
 }
 
-// isCompactionDue tells whether so many times the records or bytes are committed on disk after which a snapshot is taken.
+// isCompactionDue reports whether so many times the records or bytes are committed on disk after which a snapshot is taken.
 func (dw *diskWriter) isCompactionDue(times uint64) bool {
 	index := dw.durableCommitIndex()
 	hasRecords := index >= dw.snapshotSeq+times*dw.cfg.compactRecords
--- a/internal/system/replication/downstream.go
+++ b/internal/system/replication/downstream.go
@@ -34,7 +34,7 @@
 // transferTime is how long bytes may take on a slow network.
 func transferTime(bytes int) time.Duration { return time.Duration(bytes) * transferTimePerMB >> 20 }
 
-// canReplicate tells whether this replica may send records on: it is active, and knows since its start how far its log is the chain's.
+// canReplicate reports whether this replica may send records on: it is active, and knows since its start how far its log is the chain's.
 func (cr *chainReplica) canReplicate() bool {
 	return cr.isActive() && (cr.isHead() || cr.upstreamMatched)
 }
@@ -211,7 +211,7 @@
 	}
 }
 
-// canServeLearner tells whether this replica has all that was acknowledged for a node outside the chain of the epoch.
+// canServeLearner reports whether this replica has all that was acknowledged for a node outside the chain of the epoch.
 func (cr *chainReplica) canServeLearner(id ID, epoch uint64) bool {
 	v := cr.acceptor.view
 	return cr.isActive() && cr.holdsAcknowledged() && epoch == v.Epoch && v.chainIndex(id) < 0
@@ -243,12 +243,12 @@
 	cr.replicateTo(id)
 }
 
-// hasAcknowledgedAll tells whether the successor has nothing to acknowledge that it was sent.
+// hasAcknowledgedAll reports whether the successor has nothing to acknowledge that it was sent.
 func (cr *chainReplica) hasAcknowledgedAll(p *progress) bool {
 	return !cr.canReplicate() || p.active && p.match >= cr.durableIndex()
 }
 
-// lacksAck tells whether an acknowledgement of the successor may have been lost: that records are committed which it has, or that it is
+// lacksAck reports whether an acknowledgement of the successor may have been lost: that records are committed which it has, or that it is
 // active though it has the whole log.
 func (cr *chainReplica) lacksAck(p *progress) bool {
 	if cr.hasAcknowledgedAll(p) {
--- a/internal/system/replication/environment.go
+++ b/internal/system/replication/environment.go
@@ -55,7 +55,7 @@
 	return time.Duration(e.rng.Int64N(int64(d) + 1))
 }
 
-// isThisIncarnation tells whether an answer is for a call of this incarnation: calls of another may have had the same numbers.
+// isThisIncarnation reports whether an answer is for a call of this incarnation: calls of another may have had the same numbers.
 func (e *environment) isThisIncarnation(incarnation uint64) bool {
 	return incarnation == e.cfg.Incarnation || e.cfg.knobs.AcceptAnyIncarnation
 }
--- a/internal/system/replication/first_view_planner.go
+++ b/internal/system/replication/first_view_planner.go
@@ -12,7 +12,7 @@
 
 // This file plans the first view, which the seeds choose.
 
-// planFirst gives the first view: the seeds with a disk, and other nodes up to the number of voters aimed at.
+// planFirst returns the first view: the seeds with a disk, and other nodes up to the number of voters aimed at.
 func (pl *planner) planFirst() (first *View, rank int) {
 	if pl.peerHasView() {
 		return nil, 0 // it will be sent here
@@ -32,7 +32,7 @@
 	return nil, 0
 }
 
-// peerHasView tells whether a node has entered a view already.
+// peerHasView reports whether a node has entered a view already.
 func (pl *planner) peerHasView() bool {
 	for _, p := range pl.liveness.peers {
 		if p.heartbeat.GetEpoch() > 0 {
@@ -42,7 +42,7 @@
 	return false
 }
 
-// canFound tells whether there are members for the first view, and votes of the seeds to choose it.
+// canFound reports whether there are members for the first view, and votes of the seeds to choose it.
 func (pl *planner) canFound(founders, members []Member) bool {
 	if len(members) == 0 {
 		return false
@@ -57,7 +57,7 @@
 	return pl.acceptor.isQuorum(pl.acceptor.view, known)
 }
 
-// isFounderMissing tells whether a seed is worth waiting for: it has not been heard from, or, where no seed has a disk, there are too
+// isFounderMissing reports whether a seed is worth waiting for: it has not been heard from, or, where no seed has a disk, there are too
 // few nodes that have one.
 func (pl *planner) isFounderMissing(founders, members []Member) bool {
 	if pl.liveness.noSeedHasDisk() {
--- a/internal/system/replication/golden_trace_test.go
+++ b/internal/system/replication/golden_trace_test.go
@@ -247,7 +247,7 @@
 	return golden.end(w), golden.err
 }
 
-// readGolden gives the recorded steps and digest by scenario and seed.
+// readGolden returns the recorded steps and digest by scenario and seed.
 func readGolden(t *testing.T) map[string]string {
 	t.Helper()
 	f, err := os.Open(goldenFile)
--- a/internal/system/replication/head_election.go
+++ b/internal/system/replication/head_election.go
@@ -19,15 +19,15 @@
 	epoch  uint64 // of its view
 }
 
-// isInactiveIn tells whether the node was not active in the epoch by its newest heartbeat.
+// isInactiveIn reports whether the node was not active in the epoch by its newest heartbeat.
 func (e durableEpochs) isInactiveIn(epoch uint64) bool { return e.known && e.active < epoch }
 
-// cannotActivateIn tells whether a node that was not active in the epoch never will be: it is in a later one, or has sealed it.
+// cannotActivateIn reports whether a node that was not active in the epoch never will be: it is in a later one, or has sealed it.
 func (e durableEpochs) cannotActivateIn(epoch uint64) bool {
 	return e.epoch > epoch || e.sealed == epoch
 }
 
-// durableEpochsOf gives what the newest heartbeat of a node says. The numbers may have changed since, but only upwards.
+// durableEpochsOf returns what the newest heartbeat of a node says. The numbers may have changed since, but only upwards.
 func (lv *liveness) durableEpochsOf(id ID) durableEpochs {
 	if id == lv.self.ID {
 		return durableEpochs{known: true, active: lv.acceptor.durableActive, sealed: lv.acceptor.durableSealed, epoch: lv.acceptor.durableEpoch}
@@ -46,7 +46,7 @@
 	assumingSealed sealing = true  // those that are alive count as sealed, since they can be asked to
 )
 
-// mayLead tells whether the candidate holds everything that the present and earlier chains have acknowledged and ever will
+// mayLead reports whether the candidate holds everything that the present and earlier chains have acknowledged and ever will
 // (invariant 3 of the package).
 //
 // Proof. A replica that was active in epoch f holds what was acknowledged up to f: it had all that its predecessor had when f began,
@@ -71,7 +71,7 @@
 	return true
 }
 
-// cannotHaveAcknowledged tells whether the epoch is known to have acknowledged nothing, for good, provided that the candidate leads
+// cannotHaveAcknowledged reports whether the epoch is known to have acknowledged nothing, for good, provided that the candidate leads
 // next. One replica of its chain that was not active and cannot become so is enough. An epoch whose chain is not remembered any
 // more may have acknowledged.
 func (pl *planner) cannotHaveAcknowledged(epoch uint64, candidate ID, seals sealing) bool {
@@ -85,7 +85,7 @@
 	})
 }
 
-// canBeAskedToSeal tells whether a replica that was not active in the epoch can still promise never to be.
+// canBeAskedToSeal reports whether a replica that was not active in the epoch can still promise never to be.
 func (pl *planner) canBeAskedToSeal(id ID, epoch uint64) bool {
 	return epoch == pl.acceptor.view.Epoch && pl.liveness.isAlive(id)
 }
@@ -136,7 +136,7 @@
 	pl.headlessSince = pl.now
 }
 
-// isSealed tells whether a replica has sealed the present epoch, so that it needs a successor whatever else is well.
+// isSealed reports whether a replica has sealed the present epoch, so that it needs a successor whatever else is well.
 func (pl *planner) isSealed() bool {
 	return slices.ContainsFunc(pl.acceptor.view.Chain, func(id ID) bool {
 		return pl.liveness.durableEpochsOf(id).sealed == pl.acceptor.view.Epoch
--- a/internal/system/replication/head_election_test.go
+++ b/internal/system/replication/head_election_test.go
@@ -9,7 +9,7 @@
 
 // playUnsealedEpoch has a chain of a and b in which b, whose disk is slow, is not active yet. What a handed on to it is under
 // way. Nobody hears a any more, and c, which was active in the epoch before, is to lead. While that is agreed, what was
-// in flight reaches b. It gives what c lacks of what was acknowledged, empty when it lacks nothing.
+// in flight reaches b. It returns what c lacks of what was acknowledged, empty when it lacks nothing.
 func playUnsealedEpoch(t *testing.T, h TestingKnobs) string {
 	cluster := newScriptedCluster(t)
 	for _, a := range []string{"a", "b", "c"} {
--- a/internal/system/replication/liveness.go
+++ b/internal/system/replication/liveness.go
@@ -45,7 +45,7 @@
 	heartbeat       *replicationpb.Heartbeat
 }
 
-// isEligibleFor tells whether the peer has been eligible for so long.
+// isEligibleFor reports whether the peer has been eligible for so long.
 func (p *peer) isEligibleFor(d, now time.Duration) bool {
 	return p.eligibleSince >= 0 && now-p.eligibleSince >= d
 }
@@ -62,7 +62,7 @@
 	lv.graceUntil, lv.chainReachedAt = until, until
 }
 
-// sentTime gives when the heartbeat of a number was sent; false where it is not one of the last heartbeatHistory of this incarnation.
+// sentTime returns when the heartbeat of a number was sent; false where it is not one of the last heartbeatHistory of this incarnation.
 func (lv *liveness) sentTime(number uint64) (time.Duration, bool) {
 	if number == 0 || number > lv.heartbeatNumber || number+heartbeatHistory <= lv.heartbeatNumber {
 		return 0, false
@@ -172,7 +172,7 @@
 	}
 }
 
-// peerOf gives the peer that a heartbeat is of, nil where the heartbeat arrived out of order or there are too many peers.
+// peerOf returns the peer that a heartbeat is of, nil where the heartbeat arrived out of order or there are too many peers.
 func (lv *liveness) peerOf(id ID, m *replicationpb.Heartbeat) *peer {
 	p := lv.peers[id]
 	switch {
@@ -201,7 +201,7 @@
 	}
 }
 
-// isAlive tells whether messages have lately gone both ways between this node and id.
+// isAlive reports whether messages have lately gone both ways between this node and id.
 func (lv *liveness) isAlive(id ID) bool {
 	if id == lv.self.ID {
 		return true
@@ -214,7 +214,7 @@
 	return lv.now-p.lastContactAt < timeout && lv.now-p.echoedAt < timeout+2*lv.heartbeatInterval()
 }
 
-// isHealthy tells whether id could be a chain replica: it is alive and has a disk that works.
+// isHealthy reports whether id could be a chain replica: it is alive and has a disk that works.
 func (lv *liveness) isHealthy(id ID) bool {
 	if id == lv.self.ID {
 		return !lv.writer.unhealthy && lv.err == nil && !lv.cfg.Observer
@@ -222,7 +222,7 @@
 	return lv.isAlive(id) && !lv.peers[id].heartbeat.GetObserver() && !lv.peers[id].heartbeat.GetDiskBad()
 }
 
-// isEligible tells whether id is fit to become a chain replica: it is healthy and not about to leave.
+// isEligible reports whether id is fit to become a chain replica: it is healthy and not about to leave.
 func (lv *liveness) isEligible(id ID) bool {
 	if id == lv.self.ID {
 		return lv.isHealthy(id) && !lv.draining
@@ -230,7 +230,7 @@
 	return lv.isHealthy(id) && !lv.peers[id].heartbeat.GetLeaving()
 }
 
-// receivesFrom tells whether receiver lately got messages of sender, as receiver itself says.
+// receivesFrom reports whether receiver lately got messages of sender, as receiver itself says.
 func (lv *liveness) receivesFrom(receiver, sender ID) bool {
 	if receiver == sender {
 		return true
@@ -242,10 +242,10 @@
 	return p != nil && slices.ContainsFunc(p.heartbeat.GetEchoes(), func(e *replicationpb.Echo) bool { return ID(e.GetId()) == sender })
 }
 
-// haveContact tells whether messages lately went both ways between a and b.
+// haveContact reports whether messages lately went both ways between a and b.
 func (lv *liveness) haveContact(a, b ID) bool { return lv.receivesFrom(a, b) && lv.receivesFrom(b, a) }
 
-// hasMajorityAlive tells whether a majority of the voters is alive.
+// hasMajorityAlive reports whether a majority of the voters is alive.
 func (lv *liveness) hasMajorityAlive(voters []Member) bool {
 	alive := 0
 	for _, m := range voters {
@@ -264,7 +264,7 @@
 	return 0
 }
 
-// headIncarnation gives the incarnation of the head, false where the head is not alive or not in the present epoch.
+// headIncarnation returns the incarnation of the head, false where the head is not alive or not in the present epoch.
 func (lv *liveness) headIncarnation() (uint64, bool) {
 	head := lv.acceptor.view.Head()
 	if head == lv.self.ID {
@@ -277,7 +277,7 @@
 	return p.incarnation, true
 }
 
-// addressOf gives the address of a node by its heartbeat, or by the views, empty where it is not known.
+// addressOf returns the address of a node by its heartbeat, or by the views, empty where it is not known.
 func (lv *liveness) addressOf(id ID) string {
 	if p := lv.peers[id]; p != nil {
 		return p.member.Addr
--- a/internal/system/replication/memory_log.go
+++ b/internal/system/replication/memory_log.go
@@ -42,7 +42,7 @@
 
 func (l *memoryLog) at(seq uint64) *entry { return &l.entries[seq-l.base-1] }
 
-// epochAt gives the epoch of the record seq, false where it is not here.
+// epochAt returns the epoch of the record seq, false where it is not here.
 func (l *memoryLog) epochAt(seq uint64) (uint64, bool) {
 	switch {
 	case seq < l.base || seq > l.end():
--- a/internal/system/replication/node.go
+++ b/internal/system/replication/node.go
@@ -329,7 +329,7 @@
 	return SubmitResult{}, ErrUnavailable
 }
 
-// Read gives the state after all that was acknowledged before the call, and perhaps later changes. It may be called on any node. Errors are
+// Read returns the state after all that was acknowledged before the call, and perhaps later changes. It may be called on any node. Errors are
 // marked ErrUnavailable; after Stop the error is ErrStopped.
 func (n *Node) Read(ctx context.Context) (*controlstate.State, error) {
 	done, err := n.call(ctx, func(c *Core, id uint64, ttl time.Duration) { c.Read(n.now(), id, ttl) })
@@ -343,7 +343,7 @@
 	return state.State, nil
 }
 
-// Committed gives the newest state known here to be committed, and a channel that is closed when there is a newer one.
+// Committed returns the newest state known here to be committed, and a channel that is closed when there is a newer one.
 func (n *Node) Committed() (*controlstate.State, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -359,7 +359,7 @@
 	return n.core.RecordsAfter(seq, limit)
 }
 
-// Current tells whether what Committed gives may be passed on as new: within the last 600 ms (900 ms at an observer) a majority of the voters
+// Current reports whether what Committed gives may be passed on as new: within the last 600 ms (900 ms at an observer) a majority of the voters
 // confirmed that they know of no later epoch, and this node is a chain replica or a learner that has caught up.
 func (n *Node) Current() bool {
 	n.mu.Lock()
@@ -367,7 +367,7 @@
 	return !n.stopped && n.core.Current(n.now())
 }
 
-// Partitioned tells whether this node has had no way to the chain for so long that a change asked for here would not be accepted.
+// Partitioned reports whether this node has had no way to the chain for so long that a change asked for here would not be accepted.
 func (n *Node) Partitioned() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -381,7 +381,7 @@
 	return n.core.Capacity()
 }
 
-// View gives the newest view known here. The caller must not change it.
+// View returns the newest view known here. The caller must not change it.
 func (n *Node) View() *View {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -395,7 +395,7 @@
 	return n.core.Err()
 }
 
-// Self gives this node's identity, address, zone and region.
+// Self returns this node's identity, address, zone and region.
 func (n *Node) Self() Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/system/replication/observer.go
+++ b/internal/system/replication/observer.go
@@ -55,7 +55,7 @@
 	return observers
 }
 
-// noSeedHasDisk tells whether all seeds have said that they are observers.
+// noSeedHasDisk reports whether all seeds have said that they are observers.
 func (lv *liveness) noSeedHasDisk() bool {
 	return len(lv.cfg.Seeds) > 0 && lv.observerSeeds() == len(lv.distinctSeeds())
 }
--- a/internal/system/replication/partition_test.go
+++ b/internal/system/replication/partition_test.go
@@ -44,7 +44,7 @@
 	rev                int64
 }
 
-// play gives how long after the partition there are three replicas again, and how long until the one is current.
+// play returns how long after the partition there are three replicas again, and how long until the one is current.
 func (p *replicaPartition) play(index int, stops func(from, to, cut string) bool) (rejoined, current time.Duration) {
 	p.t.Helper()
 	p.cut, p.other = p.cluster.replica(index), p.cluster.replica((index+1)%3)
@@ -76,7 +76,7 @@
 	return rejoined, current
 }
 
-// ended tells whether a call is over, or none was made.
+// ended reports whether a call is over, or none was made.
 func (p *replicaPartition) ended(id uint64) bool { return id == 0 || p.cluster.done[id].ID != 0 }
 
 func (p *replicaPartition) callOthers() {
--- a/internal/system/replication/placement.go
+++ b/internal/system/replication/placement.go
@@ -23,7 +23,7 @@
 func zoneOf(m Member) string   { return m.Zone }
 func regionOf(m Member) string { return m.Region }
 
-// domainCounts gives the number of members of each failure domain, the largest first.
+// domainCounts returns the number of members of each failure domain, the largest first.
 func domainCounts(members []Member, domain func(Member) string) []int {
 	byDomain := map[string]int{}
 	for _, m := range members {
@@ -64,12 +64,12 @@
 	return max(c.MachineLosses, worstLoss(members, zoneOf, c.ZoneLosses), worstLoss(members, regionOf, c.RegionLosses))
 }
 
-// votersTolerateLosses tells whether a majority of the voters is left after any loss that must be tolerated.
+// votersTolerateLosses reports whether a majority of the voters is left after any loss that must be tolerated.
 func (c *Config) votersTolerateLosses(voters []Member) bool {
 	return len(voters)-c.worstToleratedLoss(voters) > len(voters)/2
 }
 
-// chainToleratesLosses tells whether a replica is left after any loss that must be tolerated.
+// chainToleratesLosses reports whether a replica is left after any loss that must be tolerated.
 func (c *Config) chainToleratesLosses(replicas []Member) bool {
 	return len(replicas) > c.worstToleratedLoss(replicas)
 }
@@ -95,7 +95,7 @@
 	return 2*max(1, c.MachineLosses, c.ZoneLosses, c.RegionLosses) + 1
 }
 
-// addBestSpread adds the candidate that leaves the members best spread, the first of those that are alike. It gives false where none is
+// addBestSpread adds the candidate that leaves the members best spread, the first of those that are alike. It returns false where none is
 // allowed.
 func (c *Config) addBestSpread(members, candidates []Member, isAllowed func(Member) bool) ([]Member, bool) {
 	var best []Member
--- a/internal/system/replication/placement_test.go
+++ b/internal/system/replication/placement_test.go
@@ -46,7 +46,7 @@
 	return n
 }
 
-// subsets calls f with each choice of n members until it gives true.
+// subsets calls f with each choice of n members until it returns true.
 func subsets(members []Member, n int, f func([]Member) bool) bool {
 	var choose func(from int, chosen []Member) bool
 	choose = func(from int, chosen []Member) bool {
@@ -140,7 +140,7 @@
 	t.Logf("%d losses; the longest wait for a change was %v", runs, longest)
 }
 
-// playToleratedLoss loses the members, or the first replicas of the chain where there are none, and gives how long a change then waits.
+// playToleratedLoss loses the members, or the first replicas of the chain where there are none, and returns how long a change then waits.
 func playToleratedLoss(t *testing.T, name string, members, lost []Member, machines int) time.Duration {
 	t.Helper()
 	cfg := Config{MachineLosses: machines, ZoneLosses: 1}
--- a/internal/system/replication/planner.go
+++ b/internal/system/replication/planner.go
@@ -24,7 +24,7 @@
 	chain    *chainReplica
 }
 
-// plan gives the view that this node would have instead of the present one, nil when all is well or nothing can be done, and its turn
+// plan returns the view that this node would have instead of the present one, nil when all is well or nothing can be done, and its turn
 // among the nodes that see the same.
 func (pl *planner) plan() (next *View, rank int) {
 	current := pl.acceptor.view
@@ -175,7 +175,7 @@
 	return pl.spreadReplicas(replicas, heads, voters)
 }
 
-// canJoin tells whether a voter outside the chain is eligible and exchanges messages with all the replicas.
+// canJoin reports whether a voter outside the chain is eligible and exchanges messages with all the replicas.
 func (pl *planner) canJoin(replicas []Member, m Member) bool {
 	return pl.acceptor.view.chainIndex(m.ID) < 0 && pl.liveness.isEligible(m.ID) &&
 		!slices.ContainsFunc(replicas, func(r Member) bool { return !pl.liveness.haveContact(r.ID, m.ID) })
@@ -232,7 +232,7 @@
 	return score
 }
 
-// isCaughtUp tells whether a node outside the chain has nearly all that is committed.
+// isCaughtUp reports whether a node outside the chain has nearly all that is committed.
 func (pl *planner) isCaughtUp(id ID) bool {
 	if id == pl.self.ID {
 		return pl.chain.caughtUp
@@ -250,7 +250,7 @@
 	return p.heartbeat.GetCommitted()+maxCaughtUpLag >= newest
 }
 
-// isChainOf tells whether the replicas are those of the view's chain, in any order.
+// isChainOf reports whether the replicas are those of the view's chain, in any order.
 func isChainOf(replicas []Member, v *View) bool {
 	return len(replicas) == len(v.Chain) && !slices.ContainsFunc(replicas, func(m Member) bool { return v.chainIndex(m.ID) < 0 })
 }
--- a/internal/system/replication/proposer.go
+++ b/internal/system/replication/proposer.go
@@ -46,7 +46,7 @@
 	acceptedBy          map[ID]string
 }
 
-// isFor tells whether an answer of an acceptor is for this proposal.
+// isFor reports whether an answer of an acceptor is for this proposal.
 func (p *proposal) isFor(epoch uint64, ballot *replicationpb.Ballot) bool {
 	return epoch == p.current.Epoch && proposalNumberOf(ballot) == p.number
 }
@@ -82,17 +82,17 @@
 	}
 }
 
-// canPropose tells whether this node votes and can write its promises.
+// canPropose reports whether this node votes and can write its promises.
 func (pr *proposer) canPropose() bool {
 	return pr.err == nil && pr.acceptor.identityDurable && !pr.writer.unhealthy && pr.acceptor.isVoter(pr.acceptor.view)
 }
 
-// isDue tells whether no proposal is in progress, and neither back-off nor a grace period lasts.
+// isDue reports whether no proposal is in progress, and neither back-off nor a grace period lasts.
 func (pr *proposer) isDue() bool {
 	return pr.proposal == nil && pr.now >= pr.liveness.graceUntil && pr.now >= pr.backoffUntil
 }
 
-// wantedView gives the view to propose, nil when none is, and this node's turn.
+// wantedView returns the view to propose, nil when none is, and this node's turn.
 func (pr *proposer) wantedView() (next *View, rank int) {
 	if next, rank = pr.planner.plan(); next != nil || pr.acceptor.acceptedView == nil {
 		return next, rank
@@ -220,7 +220,7 @@
 	pr.adoptView(p.value)
 }
 
-// isChosen tells whether majorities of the voters of both views have accepted. The old majority decides, as in any Paxos. The new
+// isChosen reports whether majorities of the voters of both views have accepted. The old majority decides, as in any Paxos. The new
 // one sees to it that a majority of the voters who decide on the next view knows the view that it starts from. Phase one needs the
 // old majority only: it meets every old majority that may have accepted.
 func (pr *proposer) isChosen(p *proposal) bool {
--- a/internal/system/replication/quorum.go
+++ b/internal/system/replication/quorum.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// isQuorum tells whether the nodes of the set, with their addresses, are a majority of v's voters. In epoch 0 the seeds vote, by
+// isQuorum reports whether the nodes of the set, with their addresses, are a majority of v's voters. In epoch 0 the seeds vote, by
 // address, without those that are known to be observers.
 //
 // That two quorums of epoch 0 meet: let D be the seeds with a disk, which alone vote, and K the observers among the seeds that a
@@ -27,7 +27,7 @@
 	return votes > len(v.Voters)/2
 }
 
-// isFoundersQuorum tells whether the nodes of the set are a majority of the seeds that vote on the first view.
+// isFoundersQuorum reports whether the nodes of the set are a majority of the seeds that vote on the first view.
 func (ac *acceptor) isFoundersQuorum(set map[ID]string) bool {
 	votes := 0
 	counted := map[string]bool{}
--- a/internal/system/replication/reach.go
+++ b/internal/system/replication/reach.go
@@ -11,12 +11,12 @@
 	}
 }
 
-// isPartitioned tells whether the chain has been out of reach for long.
+// isPartitioned reports whether the chain has been out of reach for long.
 func (lv *liveness) isPartitioned() bool {
 	return lv.now-lv.chainReachedAt >= lv.cfg.SuspectTimeout*partitionedNumerator/partitionedDenominator
 }
 
-// reachesChain tells whether a change asked for here may be accepted by the present chain, or by one that a repair makes.
+// reachesChain reports whether a change asked for here may be accepted by the present chain, or by one that a repair makes.
 func (lv *liveness) reachesChain() bool {
 	v := lv.acceptor.view
 	if v.Epoch == 0 {
@@ -34,7 +34,7 @@
 	return false
 }
 
-// reachesHead tells whether this node exchanges messages with the head, or as the head with its successor.
+// reachesHead reports whether this node exchanges messages with the head, or as the head with its successor.
 func (lv *liveness) reachesHead(v *View) bool {
 	if v.Head() != lv.self.ID {
 		return lv.isAlive(v.Head())
@@ -42,7 +42,7 @@
 	return len(v.Chain) == 1 || lv.isAlive(v.Chain[1])
 }
 
-// reachesMajority tells whether this node exchanges messages with a majority of the voters, itself among them if it votes.
+// reachesMajority reports whether this node exchanges messages with a majority of the voters, itself among them if it votes.
 func (lv *liveness) reachesMajority(v *View) bool {
 	reached := map[ID]string{}
 	for _, m := range v.Voters {
--- a/internal/system/replication/reach_test.go
+++ b/internal/system/replication/reach_test.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// callAllFor asks every node that runs for a change each 200 ms, and checks that none counts as partitioned. It gives the calls by address.
+// callAllFor asks every node that runs for a change each 200 ms, and checks that none counts as partitioned. It returns the calls by address.
 func (cluster *scriptedCluster) callAllFor(length time.Duration) map[string][]uint64 {
 	cluster.t.Helper()
 	calls := map[string][]uint64{}
--- a/internal/system/replication/read_confirm.go
+++ b/internal/system/replication/read_confirm.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// isOfRound tells whether a confirmation answers the round in progress.
+// isOfRound reports whether a confirmation answers the round in progress.
 func (rc *readConfirmation) isOfRound(m *replicationpb.Confirmed) bool {
 	return rc.isThisIncarnation(m.GetLife()) && m.GetRound() == rc.number && m.GetEpoch() == rc.epoch
 }
@@ -142,7 +142,7 @@
 	})
 }
 
-// canAnswerReads tells whether this node is the tail and knows to be committed what an earlier tail, or this one in a former incarnation,
+// canAnswerReads reports whether this node is the tail and knows to be committed what an earlier tail, or this one in a former incarnation,
 // may have acknowledged.
 func (rc *readConfirmation) canAnswerReads() bool {
 	return rc.chain.isTail() && rc.chain.holdsAcknowledged()
--- a/internal/system/replication/restore.go
+++ b/internal/system/replication/restore.go
@@ -7,7 +7,7 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// RestoredSnapshot gives the snapshot for the empty disk of a node that is to begin with s. The disk gets no acceptor state, so the node gets
+// RestoredSnapshot returns the snapshot for the empty disk of a node that is to begin with s. The disk gets no acceptor state, so the node gets
 // a new identity, and the nodes form a first view, whose head is one with the longest log. The other replicas receive what the head has,
 // and nodes that come later what the chain has.
 func RestoredSnapshot(s *controlstate.State) (wal.Snapshot, error) {
@@ -17,7 +17,7 @@
 	return encodeImage(s.Seq, 0, controlState{s}) // epoch 0: from before the first view
 }
 
-// RecoverState gives the state after all records that a node's disk holds. The last of them may never have been
+// RecoverState returns the state after all records that a node's disk holds. The last of them may never have been
 // acknowledged.
 func RecoverState(snap wal.Snapshot, entries []wal.Entry) (*controlstate.State, error) {
 	core, err := NewCore(Config{}, controlMachine{}, nil, snap, entries)
@@ -38,7 +38,7 @@
 	return recovered.State, nil
 }
 
-// discardRestoredLog empties the log of a node whose first view is v, unless it leads there, and tells whether v has to wait for that.
+// discardRestoredLog empties the log of a node whose first view is v, unless it leads there, and reports whether v has to wait for that.
 // What was restored here is no part of the chain's log, which may have begun with something else, or with nothing; records are
 // compared by number and epoch only, and below a snapshot not at all. The log is empty on disk before the view is there, so that no
 // restart comes between.
--- a/internal/system/replication/scenarios_test.go
+++ b/internal/system/replication/scenarios_test.go
@@ -64,7 +64,7 @@
 	return m.Addr
 }
 
-// between tells whether a message goes from one of the two to the other.
+// between reports whether a message goes from one of the two to the other.
 func between(from, to, a, b string) bool { return from == a && to == b || from == b && to == a }
 
 // playAcceptedView cuts the tail from the head. The voter between them accepts the next view and is
--- a/internal/system/replication/scripted_cluster_test.go
+++ b/internal/system/replication/scripted_cluster_test.go
@@ -41,7 +41,7 @@
 	envelope Envelope
 }
 
-// transmits tells whether the message goes through the pipe; heartbeats have a connection of their own.
+// transmits reports whether the message goes through the pipe; heartbeats have a connection of their own.
 func (p *slowNetwork) transmits(now time.Duration, e Envelope) bool {
 	if e.Msg.GetAppend() == nil && e.Msg.GetInstall() == nil {
 		return false
@@ -226,7 +226,7 @@
 	return newest
 }
 
-// complete tells whether the newest view has that many replicas and voters, and all replicas are active.
+// complete reports whether the newest view has that many replicas and voters, and all replicas are active.
 func (cluster *scriptedCluster) complete(links, voters int) bool {
 	v := cluster.view()
 	if len(v.Chain) != links || len(v.Voters) != voters {
--- a/internal/system/replication/second_loss_test.go
+++ b/internal/system/replication/second_loss_test.go
@@ -83,7 +83,7 @@
 	t.Logf("%d courses; a change waited %v at most", runs, longest)
 }
 
-// play gives how long a change waits after the second loss.
+// play returns how long a change waits after the second loss.
 func (l secondLoss) play(t *testing.T) time.Duration {
 	t.Helper()
 	const comesBack = time.Second
@@ -113,7 +113,7 @@
 	return cluster.changeAndReadBack(name, lost)
 }
 
-// changeAndReadBack asks a node that runs, other than the one that was lost, for a fourth change, and reads it back. It gives how long the
+// changeAndReadBack asks a node that runs, other than the one that was lost, for a fourth change, and reads it back. It returns how long the
 // change waits.
 func (cluster *scriptedCluster) changeAndReadBack(name, lost string) time.Duration {
 	cluster.t.Helper()
--- a/internal/system/replication/sim_cluster_test.go
+++ b/internal/system/replication/sim_cluster_test.go
@@ -157,7 +157,7 @@
 	w.now = max(w.now, t)
 }
 
-// runWhile lets the simulation go on while cond holds, until the limit; it tells whether cond ended.
+// runWhile lets the simulation go on while cond holds, until the limit; it reports whether cond ended.
 func (w *clusterSim) runWhile(limit time.Duration, cond func() bool) bool {
 	for end := w.now + limit; cond(); {
 		if w.violation != nil || w.now >= end {
--- a/internal/system/replication/sim_hardening_answers_test.go
+++ b/internal/system/replication/sim_hardening_answers_test.go
@@ -10,7 +10,7 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// fromFormerIncarnation tells whether a message answers a call of a former incarnation of its addressee.
+// fromFormerIncarnation reports whether a message answers a call of a former incarnation of its addressee.
 func fromFormerIncarnation(m *replicationpb.Message, life uint64) bool {
 	switch b := m.GetBody().(type) {
 	case *replicationpb.Message_Answer:
@@ -24,7 +24,7 @@
 }
 
 // playAnswers has a node restart while answers to it lie on the way, so that they meet calls of its next life that have
-// the same numbers. It gives how many such answers arrived.
+// the same numbers. It returns how many such answers arrived.
 func playAnswers(seed uint64, s topology, role string, h TestingKnobs) (int, error) {
 	w := newClusterSim(seed, s, h)
 	w.operate()
@@ -66,7 +66,7 @@
 }
 
 // playLateEvacuation has a call that may not be repeated reach the head, and its repetition by the sending node lie on the way
-// for 20 s. It gives how many repetitions arrived.
+// for 20 s. It returns how many repetitions arrived.
 func playLateEvacuation(seed uint64, s topology, knobs TestingKnobs) (int, error) {
 	w := newClusterSim(seed, s, knobs)
 	w.runUntil(4 * time.Second)
--- a/internal/system/replication/sim_hardening_leave_test.go
+++ b/internal/system/replication/sim_hardening_leave_test.go
@@ -48,7 +48,7 @@
 }
 
 // playDrainingNode has a node leave for good that holds the only copy of what was acknowledged: one other was away meanwhile,
-// the third has just lost its disk. It gives how long the leaving node stayed.
+// the third has just lost its disk. It returns how long the leaving node stayed.
 func playDrainingNode(seed uint64, patience time.Duration) (time.Duration, error) {
 	w := newClusterSim(seed, topology{3, 0, 1, 3, 0, 0}, TestingKnobs{})
 	w.operate()
--- a/internal/system/replication/sim_losses_test.go
+++ b/internal/system/replication/sim_losses_test.go
@@ -72,7 +72,7 @@
 	return acceptorStateOf(&p), true
 }
 
-// isFullyReplicated tells whether the newest view stands on disks that are all there, as many as it should.
+// isFullyReplicated reports whether the newest view stands on disks that are all there, as many as it should.
 func (w *clusterSim) isFullyReplicated() bool {
 	view := w.newest
 	if view == nil || len(view.Chain) <= w.losses || len(view.Voters) < 2*w.losses+1 {
@@ -101,7 +101,7 @@
 	return true
 }
 
-// toleratesLosses tells whether enough voters and a replica are left whatever zones are lost of those that may be.
+// toleratesLosses reports whether enough voters and a replica are left whatever zones are lost of those that may be.
 func (w *clusterSim) toleratesLosses(v *View) bool {
 	c := Config{MachineLosses: w.losses, ZoneLosses: w.zoneLosses}
 	var links []Member
--- a/internal/system/replication/sim_network_test.go
+++ b/internal/system/replication/sim_network_test.go
@@ -43,7 +43,7 @@
 	})
 }
 
-// beyond tells whether the address is no node's.
+// beyond reports whether the address is no node's.
 func (w *clusterSim) beyond(addr string) bool {
 	return addr == outside || strings.HasPrefix(addr, proxyPrefix)
 }
@@ -64,7 +64,7 @@
 	}
 }
 
-// connected tells whether nothing is cut between two addresses.
+// connected reports whether nothing is cut between two addresses.
 func (w *clusterSim) connected(a, b string) bool {
 	return w.partitioned[[2]string{a, b}] == nil && w.partitioned[[2]string{b, a}] == nil
 }
--- a/internal/system/replication/sim_node_test.go
+++ b/internal/system/replication/sim_node_test.go
@@ -47,7 +47,7 @@
 
 func (m *simNode) isRunning() bool { return m.core != nil }
 
-// healthy tells whether the process runs undisturbed on a disk that works.
+// healthy reports whether the process runs undisturbed on a disk that works.
 func (m *simNode) healthy() bool {
 	return m.isRunning() && !m.paused && !m.diskFull && !m.diskStalled && m.diskDelay == 0
 }
--- a/internal/system/replication/sim_operators_test.go
+++ b/internal/system/replication/sim_operators_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// isConclusive tells whether an answer isConclusive what became of a change.
+// isConclusive reports whether an answer isConclusive what became of a change.
 func isConclusive(d Completion) bool {
 	return d.Outcome == Answered && d.Verdict.Kind != controlstate.Uncertain && d.Verdict.Kind != controlstate.Superseded
 }
--- a/internal/system/replication/sim_proxies_test.go
+++ b/internal/system/replication/sim_proxies_test.go
@@ -180,7 +180,7 @@
 	})
 }
 
-// answerPoll gives the records after what the proxy holds, or a snapshot where those are gone.
+// answerPoll answers with the records after what the proxy holds, or a snapshot where those are gone.
 func (m *simNode) answerPoll(request *poll, current bool) *pollReply {
 	m.sim.stats.polls++
 	seq, state := m.core.Committed()
@@ -214,7 +214,7 @@
 	return o
 }
 
-// applyReply takes in an answer to a call that was sent at asked, and tells whether it came in time.
+// applyReply takes in an answer to a call that was sent at asked, and reports whether it came in time.
 func (p *proxy) applyReply(r *pollReply, asked time.Duration) bool {
 	checked := asked + r.checked
 	offer := r.offer(p.w.now - checked)
@@ -287,7 +287,7 @@
 	})
 }
 
-// rankNodes gives the nodes to try. The seeds stay known, in case all others are gone.
+// rankNodes returns the nodes to try. The seeds stay known, in case all others are gone.
 func (p *proxy) rankNodes() []string {
 	list := slices.Clone(p.knownNodes)
 	for _, s := range p.w.seeds {
--- a/internal/system/replication/sim_proxy_checks_test.go
+++ b/internal/system/replication/sim_proxy_checks_test.go
@@ -43,7 +43,7 @@
 	p.w.after(100*time.Millisecond, func() { p.watch(life) })
 }
 
-// isFresh tells whether a node's word that there is nothing newer still counts.
+// isFresh reports whether a node's word that there is nothing newer still counts.
 func (p *proxy) isFresh() bool {
 	return p.freshAt >= 0 && p.w.now-p.freshAt <= catchup.FreshnessTTL
 }
@@ -137,7 +137,7 @@
 	return out
 }
 
-// stable tells whether nothing has disturbed the nodes of late and no more are in fault than may be lost.
+// stable reports whether nothing has disturbed the nodes of late and no more are in fault than may be lost.
 func (w *clusterSim) stable() bool {
 	view := w.knownView()
 	if w.now-w.eventAt < contact || w.loss > 0 || w.extraDelay > 0 || view == nil {
--- a/internal/system/replication/sim_repair_steps_test.go
+++ b/internal/system/replication/sim_repair_steps_test.go
@@ -91,7 +91,7 @@
 	return fmt.Sprintf("%s, %s at %q number %d, before %v", t.first.name, faultNames[t.second], t.step, t.nth, t.before)
 }
 
-// play runs a trial and tells whether the fault came about.
+// play runs a trial and reports whether the fault came about.
 func (t repairTrial) play(seed uint64, h TestingKnobs) (bool, error) {
 	w := t.first.startIn(seed, h)
 	struck := false
--- a/internal/system/replication/state_machine.go
+++ b/internal/system/replication/state_machine.go
@@ -8,9 +8,9 @@
 type State interface {
 	// Check decides on a change by this state.
 	Check(change controlstate.Change) controlstate.Verdict
-	// Apply gives the state after a record. An error means that the record cannot follow this state, and ends the node's part.
+	// Apply returns the state after a record. An error means that the record cannot follow this state, and ends the node's part.
 	Apply(rec controlstate.Record) (State, error)
-	// Encode gives the bytes that Machine.Decode reads.
+	// Encode returns the bytes that Machine.Decode reads.
 	Encode() []byte
 }
 
--- a/internal/system/replication/testing_knobs_test.go
+++ b/internal/system/replication/testing_knobs_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// with gives the knobs that are set in either.
+// with returns the knobs that are set in either.
 func (k TestingKnobs) with(others TestingKnobs) TestingKnobs {
 	set, added := reflect.ValueOf(&k).Elem(), reflect.ValueOf(others)
 	for i := range added.NumField() {
--- a/internal/system/replication/transport.go
+++ b/internal/system/replication/transport.go
@@ -192,7 +192,7 @@
 	}
 }
 
-// closeIfIdle removes an outbox that nothing was sent to for long, and tells whether it did.
+// closeIfIdle removes an outbox that nothing was sent to for long, and reports whether it did.
 func (b *outbox) closeIfIdle() bool {
 	b.owner.mu.Lock()
 	defer b.owner.mu.Unlock()
--- a/internal/system/replication/upstream.go
+++ b/internal/system/replication/upstream.go
@@ -8,7 +8,7 @@
 
 // This file is the receiving side of the chain: replicas and learners receive records or snapshots from the replica upstream.
 
-// isUpstream tells whether id sends this node the log of the epoch: its predecessor, or for a learner any replica.
+// isUpstream reports whether id sends this node the log of the epoch: its predecessor, or for a learner any replica.
 func (cr *chainReplica) isUpstream(id ID, epoch uint64, learner bool) bool {
 	if cr.err != nil {
 		return false
@@ -99,7 +99,7 @@
 	cr.onDurableChange()
 }
 
-// appendEntries adds the records that the log lacks, in place of those of other epochs. It gives false where they do not continue the
+// appendEntries adds the records that the log lacks, in place of those of other epochs. It returns false where they do not continue the
 // log, or contradict what cannot be truncated.
 func (cr *chainReplica) appendEntries(entries []*replicationpb.Entry) bool {
 	for _, rec := range entries {
@@ -122,7 +122,7 @@
 	return true
 }
 
-// canTruncate tells whether the record seq and those above it may never have been acknowledged: it is not committed, and this replica
+// canTruncate reports whether the record seq and those above it may never have been acknowledged: it is not committed, and this replica
 // does not vouch for its log yet.
 func (cr *chainReplica) canTruncate(seq uint64) bool {
 	return seq > cr.commitIndex && (!cr.isActive() || cr.cfg.knobs.AcceptAnyEpoch)
@@ -167,7 +167,7 @@
 	})
 }
 
-// mayActivate tells whether this replica takes part in the epoch, has not sealed it and is not active yet. The head is made active by
+// mayActivate reports whether this replica takes part in the epoch, has not sealed it and is not active yet. The head is made active by
 // acceptor.enterEpoch.
 func (cr *chainReplica) mayActivate() bool {
 	ac := cr.acceptor
@@ -175,7 +175,7 @@
 	return cr.err == nil && ac.viewDurable && isOpen && cr.upstreamMatched && cr.predecessor() != ""
 }
 
-// holdsEpochStart tells whether the log up to where the epoch began is the predecessor's, and on disk.
+// holdsEpochStart reports whether the log up to where the epoch began is the predecessor's, and on disk.
 func (cr *chainReplica) holdsEpochStart() bool {
 	return cr.matchIndex >= cr.epochStartIndex && cr.writer.durableEnd >= cr.epochStartIndex && cr.writer.isLogClean()
 }
--- a/internal/system/replication/view.go
+++ b/internal/system/replication/view.go
@@ -86,7 +86,7 @@
 	return s
 }
 
-// hasSameMembers tells whether chain and voters are the same, in the same order.
+// hasSameMembers reports whether chain and voters are the same, in the same order.
 func (v *View) hasSameMembers(other *View) bool {
 	return slices.Equal(v.Chain, other.Chain) &&
 		slices.EqualFunc(v.Voters, other.Voters, func(a, b Member) bool { return a.ID == b.ID })
--- a/internal/system/replication/voter_planner.go
+++ b/internal/system/replication/voter_planner.go
@@ -57,7 +57,7 @@
 	return all
 }
 
-// isHeadless tells whether no chain replica may lead.
+// isHeadless reports whether no chain replica may lead.
 func (pl *planner) isHeadless() bool { return pl.headlessSince >= 0 }
 
 // replaceLostVoter finds a voter that is lost and the joiner that takes its place: at its machine's address, or else where it leaves
@@ -81,7 +81,7 @@
 	return replacement{}, false
 }
 
-// isLost tells whether a voter has been without contact for long.
+// isLost reports whether a voter has been without contact for long.
 func (lv *liveness) isLost(m Member) bool {
 	p := lv.peers[m.ID]
 	return m.ID != lv.self.ID && !lv.isAlive(m.ID) && (p == nil || lv.now-p.lastContactAt > replaceVoterTimeout)
@@ -127,13 +127,13 @@
 	return with, voters[best.index].ID
 }
 
-// isSpare tells whether the chain can do without a voter.
+// isSpare reports whether the chain can do without a voter.
 func (pl *planner) isSpare(m Member) bool {
 	v := pl.acceptor.view
 	return m.ID != v.Head() && (v.chainIndex(m.ID) < 0 || len(v.Chain) > pl.cfg.minChainLength())
 }
 
-// isStable tells whether every voter is eligible and every chain replica active in the present epoch.
+// isStable reports whether every voter is eligible and every chain replica active in the present epoch.
 func (pl *planner) isStable() bool {
 	v := pl.acceptor.view
 	return !slices.ContainsFunc(v.Voters, func(m Member) bool { return !pl.liveness.isEligible(m.ID) }) &&
--- a/internal/system/wal/crash_test.go
+++ b/internal/system/wal/crash_test.go
@@ -13,7 +13,7 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// tryAllCases tells whether to try every case instead of a spread of them.
+// tryAllCases reports whether to try every case instead of a spread of them.
 func tryAllCases() bool { return os.Getenv("WAL_DEEP") != "" }
 
 // histories are the scripts of the crash and error tests, which inject a fault at each call.
--- a/internal/system/wal/crashmodel_test.go
+++ b/internal/system/wal/crashmodel_test.go
@@ -257,7 +257,7 @@
 	return err
 }
 
-// crashInLoading loads the log of fs with a crash at the given call, and tells whether that call was reached.
+// crashInLoading loads the log of fs with a crash at the given call, and reports whether that call was reached.
 func crashInLoading(fs *simFS, call int) (reached bool) {
 	fs.fault = crashAt(call)
 	if log, err := openSim(fs); err == nil {
--- a/internal/system/wal/export_test.go
+++ b/internal/system/wal/export_test.go
@@ -19,7 +19,7 @@
 // LastSeq returns the sequence number of the newest entry, that of the snapshot where no entry follows it.
 func (l *Log) LastSeq() uint64 { return l.lastSeq }
 
-// HasReserve tells whether the reserve is on disk.
+// HasReserve reports whether the reserve is on disk.
 func (l *Log) HasReserve() bool { return l.hasReserve }
 
 // QuarantinedFiles returns the files of the copy of a damaged log.
--- a/internal/system/wal/files.go
+++ b/internal/system/wal/files.go
@@ -9,7 +9,7 @@
 )
 
 // replaceFile writes a file under a temporary name, syncs it, renames it to name and syncs the folder. It returns the file, open.
-// renamed tells whether name may exist in spite of an error.
+// renamed reports whether name may exist in spite of an error.
 func (l *Log) replaceFile(name string, content []byte) (f File, renamed bool, err error) {
 	temporary := name + temporarySuffix
 	f, err = l.writeTemporary(name, content)
--- a/internal/system/wal/quarantine.go
+++ b/internal/system/wal/quarantine.go
@@ -29,7 +29,7 @@
 	return l.finishQuarantine()
 }
 
-// HasQuarantine tells whether the folder has the copy of a damaged log. Then the promises that were stored here are lost.
+// HasQuarantine reports whether the folder has the copy of a damaged log. Then the promises that were stored here are lost.
 func (l *Log) HasQuarantine() (bool, error) {
 	listing, err := l.listFolder()
 	return listing.quarantineBegun || len(listing.quarantined) > 0, err
--- a/internal/system/wal/record.go
+++ b/internal/system/wal/record.go
@@ -92,7 +92,7 @@
 	return b
 }
 
-// hasRecordAfter tells whether a complete record starts behind offset.
+// hasRecordAfter reports whether a complete record starts behind offset.
 func (s recordScanner) hasRecordAfter(offset int64) bool {
 	for at := offset + 1; at < int64(len(s.content)); at++ {
 		i := bytes.Index(s.content[at:], recordMagic)
