--- a/internal/system/replication/acceptor.go
+++ b/internal/system/replication/acceptor.go
@@ -153,7 +153,7 @@
 	})
 }
 
-// handleAccept is phase 2b of Paxos. The voters of the view that is proposed vote on it too, see proposal.isChosen.
+// handleAccept is phase 2b of Paxos. The voters of the view that is proposed vote on it too, see proposer.isChosen.
 func (ac *acceptor) handleAccept(from ID, msg *replicationpb.Accept) {
 	value := viewOf(msg.GetView())
 	if value == nil || !ac.reachProposersView(from, viewOf(msg.GetCurrent())) || value.Epoch != ac.view.Epoch+1 {
--- a/internal/system/replication/change_decider.go
+++ b/internal/system/replication/change_decider.go
@@ -18,7 +18,7 @@
 type changeDecider struct {
 	*environment
 	changes map[changeKey]*pendingChange
-	pending []*pendingChange // in the head's log and not yet answered, by number
+	pending []*pendingChange // decided, the verdict not final yet, in the order of pendingChange.seq
 
 	acceptor     *acceptor
 	writer       *diskWriter
