--- a/internal/system/replication/acceptor.go
+++ b/internal/system/replication/acceptor.go
@@ -203,7 +203,7 @@
 	ac.view, ac.viewDurable = v, false
 	ac.promised, ac.accepted, ac.acceptedView = proposalNumber{}, proposalNumber{}, nil
 	// The head must hold all that was acknowledged, see planner.mayLead.
-	if v.Head() == ac.self.ID && (ac.activeEpoch >= v.base || ac.cfg.knobs.AllowAnyHead) {
+	if v.Head() == ac.self.ID && (ac.activeEpoch >= v.minHeadEpoch || ac.cfg.knobs.AllowAnyHead) {
 		ac.activeEpoch = v.Epoch
 	}
 }
--- a/internal/system/replication/head_election.go
+++ b/internal/system/replication/head_election.go
@@ -97,7 +97,7 @@
 	if pl.liveness.durableEpochsOf(current.Tail()).active == current.Epoch {
 		return chains // the tail is active only after all others, so earlier chains do not matter any more
 	}
-	maps.Copy(chains, current.past)
+	maps.Copy(chains, current.earlierChains)
 	chains[current.Epoch] = current.Chain
 	for len(chains) > maxEarlierChains {
 		delete(chains, slices.Min(slices.Collect(maps.Keys(chains))))
--- a/internal/system/replication/planner.go
+++ b/internal/system/replication/planner.go
@@ -43,8 +43,8 @@
 	if next.hasSameMembers(current) && !pl.isSealed() {
 		return nil, 0
 	}
-	next.base = pl.liveness.durableEpochsOf(chain[0]).active
-	next.past = pl.earlierChains()
+	next.minHeadEpoch = pl.liveness.durableEpochsOf(chain[0]).active
+	next.earlierChains = pl.earlierChains()
 	return next, pl.rank()
 }
 
--- a/internal/system/replication/sim_invariants_test.go
+++ b/internal/system/replication/sim_invariants_test.go
@@ -27,7 +27,7 @@
 		}
 		c := m.core
 		w.trace("machine %d %s %s frozen %v view %d %s entered %v base %d past %v active %d/%d sealed %d next %v promised %v",
-			m.name, m.member.Addr, c.self.ID, m.paused, c.acceptor.view.Epoch, c.acceptor.view, c.acceptor.viewDurable, c.acceptor.view.base, c.acceptor.view.past,
+			m.name, m.member.Addr, c.self.ID, m.paused, c.acceptor.view.Epoch, c.acceptor.view, c.acceptor.viewDurable, c.acceptor.view.minHeadEpoch, c.acceptor.view.earlierChains,
 			c.acceptor.activeEpoch, c.acceptor.durableActive, c.acceptor.sealedEpoch, c.acceptor.acceptedView, c.acceptor.promised)
 		w.trace("   log %d..%d disk %d unsure %v install %v bad %v; committed %d matched %d joined %v start %d floor %d fed %v quiet %v prop %v want %v now %v",
 			c.chain.log.base, c.chain.log.end(), c.writer.durableEnd, c.writer.truncateNeeded, c.writer.pendingInstall != nil, c.writer.unhealthy, c.chain.commitIndex, c.chain.matchIndex, c.chain.upstreamMatched,
--- a/internal/system/replication/view.go
+++ b/internal/system/replication/view.go
@@ -18,8 +18,8 @@
 	Chain  []ID   // the head first; all of them voters
 	Voters []Member
 
-	base uint64          // the head leads only when it was active in this epoch or a later one
-	past map[uint64][]ID // chains of earlier epochs, from the last whose replicas are all known to have been active
+	minHeadEpoch  uint64          // the head leads only when it was active in this epoch or a later one
+	earlierChains map[uint64][]ID // chains of the epochs after the newest one whose replicas are all known to have been active in it
 }
 
 // Head is the chain replica where changes enter, empty without a chain.
@@ -69,7 +69,7 @@
 	if epoch == v.Epoch {
 		return v.Chain
 	}
-	return v.past[epoch]
+	return v.earlierChains[epoch]
 }
 
 // String shows chain and voters by their addresses.
--- a/internal/system/replication/wire.go
+++ b/internal/system/replication/wire.go
@@ -37,9 +37,9 @@
 	if v == nil {
 		return nil
 	}
-	p := &replicationpb.View{Epoch: v.Epoch, Base: v.base, Chain: idsPB(v.Chain)}
-	for _, epoch := range slices.Sorted(maps.Keys(v.past)) {
-		p.Past = append(p.Past, &replicationpb.Chain{Epoch: epoch, Links: idsPB(v.past[epoch])})
+	p := &replicationpb.View{Epoch: v.Epoch, Base: v.minHeadEpoch, Chain: idsPB(v.Chain)}
+	for _, epoch := range slices.Sorted(maps.Keys(v.earlierChains)) {
+		p.Past = append(p.Past, &replicationpb.Chain{Epoch: epoch, Links: idsPB(v.earlierChains[epoch])})
 	}
 	for _, m := range v.Voters {
 		p.Voters = append(p.Voters, memberPB(m))
@@ -51,9 +51,9 @@
 	if p == nil {
 		return nil
 	}
-	v := &View{Epoch: p.GetEpoch(), base: p.GetBase(), Chain: idsOf(p.GetChain()), past: map[uint64][]ID{}}
+	v := &View{Epoch: p.GetEpoch(), minHeadEpoch: p.GetBase(), Chain: idsOf(p.GetChain()), earlierChains: map[uint64][]ID{}}
 	for _, ch := range p.GetPast() {
-		v.past[ch.GetEpoch()] = idsOf(ch.GetLinks())
+		v.earlierChains[ch.GetEpoch()] = idsOf(ch.GetLinks())
 	}
 	for _, m := range p.GetVoters() {
 		v.Voters = append(v.Voters, memberOf(m))
