--- a/internal/system/replication/doc.go
+++ b/internal/system/replication/doc.go
@@ -50,6 +50,20 @@
 //
 // docs/hardening/replication.md has the arguments at length, the limits, and the tests that show each protection to be needed.
 //
+// # Names on the wire
+//
+// The messages and stored data have names of an earlier draft, which cannot change. In the code they are:
+//
+//   - Life, HeadLife: the incarnation of a process, of the head's process.
+//   - Heard (of Forward): the number of the head's newest heartbeat that the sender had received.
+//   - Register: acceptorState. Image: a snapshot of the state. Ballot: proposalNumber.
+//   - Links (of Chain): the IDs of a chain's replicas.
+//   - Base, Past (of View): minHeadEpoch, earlierChains.
+//   - DiskBad, Leaving, Stuck (of Heartbeat): diskWriter.unhealthy, liveness.draining, chainReplica.stalledSuccessor.
+//   - Matched, Complete (of Ack): durableIndex, isActiveToTail. Run: the records of one epoch that follow each other in a log.
+//   - Follow: a learner's request for records. Install: a snapshot in place of records.
+//   - ReadIndex, ReadAt: a reader's request to the tail, and the index that the reader must have committed.
+//
 // # Structure
 //
 // Core is a pure state machine as in etcd's raft: Receive, Tick and DiskDone drive it, Ready hands out messages, a write and
