--- a/internal/system/replication/chain_replica.go
+++ b/internal/system/replication/chain_replica.go
@@ -45,10 +45,10 @@
 	downstream          map[ID]*progress
 	ackSentAt           time.Duration
 
-	acceptor *acceptor
-	writer   *diskWriter
-	liveness *liveness
-	waiting  callCompleter
+	acceptor  *acceptor
+	writer    *diskWriter
+	liveness  *liveness
+	completer callCompleter
 }
 
 // callCompleter answers the calls that wait for records to be committed.
@@ -206,8 +206,8 @@
 	}
 	cr.ackSentAt = 0
 	cr.sendAck()
-	cr.waiting.completeChanges()
-	cr.waiting.completeReads()
+	cr.completer.completeChanges()
+	cr.completer.completeReads()
 	for _, id := range slices.Sorted(maps.Keys(cr.downstream)) {
 		if cr.downstream[id].learner {
 			cr.replicateTo(id)
--- a/internal/system/replication/core.go
+++ b/internal/system/replication/core.go
@@ -72,7 +72,7 @@
 	c.proposer.acceptor, c.proposer.writer, c.proposer.liveness = c.acceptor, c.writer, c.liveness
 	c.proposer.planner, c.proposer.adoptView = c.planner, c.adoptView
 	c.planner.acceptor, c.planner.liveness, c.planner.chain = c.acceptor, c.liveness, c.chain
-	c.chain.acceptor, c.chain.writer, c.chain.liveness, c.chain.waiting = c.acceptor, c.writer, c.liveness, c
+	c.chain.acceptor, c.chain.writer, c.chain.liveness, c.chain.completer = c.acceptor, c.writer, c.liveness, c
 	c.confirmation.acceptor, c.confirmation.chain = c.acceptor, c.chain
 	c.calls.acceptor, c.calls.liveness, c.calls.chain = c.acceptor, c.liveness, c.chain
 	c.decider.acceptor, c.decider.writer, c.decider.liveness = c.acceptor, c.writer, c.liveness
--- a/internal/system/replication/downstream.go
+++ b/internal/system/replication/downstream.go
@@ -158,7 +158,7 @@
 	if m.GetComplete() && !p.activeToTail {
 		p.activeToTail = true
 		cr.sendAck()
-		cr.waiting.completeChanges()
+		cr.completer.completeChanges()
 	}
 	if !p.active {
 		p.active, p.advancedAt = true, cr.now
--- a/internal/system/replication/upstream.go
+++ b/internal/system/replication/upstream.go
@@ -202,7 +202,7 @@
 	cr.log = memoryLog{base: msg.GetSeq(), baseEpoch: msg.GetSeqEpoch()}
 	cr.state, cr.commitIndex, cr.matchIndex = state, msg.GetSeq(), msg.GetSeq()
 	cr.writer.install(&snap)
-	cr.waiting.completeReads()
+	cr.completer.completeReads()
 	cr.send(from, ackMessage(&replicationpb.Ack{Epoch: msg.GetEpoch(), Matched: msg.GetSeq()}))
 }
 
