--- a/internal/system/replication/acceptor.go
+++ b/internal/system/replication/acceptor.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// reachProposersView brings this node to the view that a proposer builds on; false when it is at another one.
-func (ac *acceptor) reachProposersView(from ID, current *View) bool {
+// syncViewWithProposer brings this node to the view that a proposer builds on; false when it is at another one.
+func (ac *acceptor) syncViewWithProposer(from ID, current *View) bool {
 	if current == nil {
 		return false
 	}
@@ -137,7 +137,7 @@
 
 // handlePrepare is phase 1b of Paxos.
 func (ac *acceptor) handlePrepare(from ID, msg *replicationpb.Prepare) {
-	if !ac.reachProposersView(from, viewOf(msg.GetCurrent())) || !ac.isVoter(ac.view) {
+	if !ac.syncViewWithProposer(from, viewOf(msg.GetCurrent())) || !ac.isVoter(ac.view) {
 		return
 	}
 	number := proposalNumberOf(msg.GetBallot())
@@ -156,7 +156,7 @@
 // handleAccept is phase 2b of Paxos. The voters of the view that is proposed vote on it too, see proposer.isChosen.
 func (ac *acceptor) handleAccept(from ID, msg *replicationpb.Accept) {
 	value := viewOf(msg.GetView())
-	if value == nil || !ac.reachProposersView(from, viewOf(msg.GetCurrent())) || value.Epoch != ac.view.Epoch+1 {
+	if value == nil || !ac.syncViewWithProposer(from, viewOf(msg.GetCurrent())) || value.Epoch != ac.view.Epoch+1 {
 		return
 	}
 	if !ac.isVoter(ac.view) && !ac.isVoter(value) {
