--- a/internal/system/replication/client_calls.go
+++ b/internal/system/replication/client_calls.go
@@ -108,7 +108,7 @@
 	change := entry{rec: call.change.Record(0)}
 	cc.send(call.head, forwardMessage(&replicationpb.Forward{
 		Id: call.callNumber, Life: cc.cfg.Incarnation, HeadLife: call.headIncarnation, Epoch: call.epoch, Change: change.pb(),
-		TtlUs: (call.deadline - cc.now).Microseconds(), Heard: cc.liveness.lastHeartbeatFrom(call.head),
+		TtlUs: (call.deadline - cc.now).Microseconds(), Heard: cc.liveness.lastHeartbeatNumberFrom(call.head),
 	}))
 }
 
--- a/internal/system/replication/core.go
+++ b/internal/system/replication/core.go
@@ -56,7 +56,7 @@
 		calls:        &clientCalls{environment: env, submits: map[uint64]*submit{}, reads: map[uint64]*read{}},
 		decider:      &changeDecider{environment: env, changes: map[changeKey]*pendingChange{}},
 		liveness: &liveness{
-			environment: env, peers: map[ID]*peer{}, lastHeartbeatAt: -cfg.HeartbeatInterval,
+			environment: env, peers: map[ID]*peer{}, lastHeartbeatSentAt: -cfg.HeartbeatInterval,
 			heartbeatNumber: firstHeartbeatNumber(cfg.Incarnation),
 		},
 		writer: &diskWriter{environment: env},
@@ -155,7 +155,7 @@
 	c.advance(now)
 	c.writer.superviseWrites()
 	c.liveness.observeReach()
-	if c.now-c.liveness.lastHeartbeatAt >= c.liveness.heartbeatInterval() {
+	if c.now-c.liveness.lastHeartbeatSentAt >= c.liveness.heartbeatInterval() {
 		c.liveness.sendHeartbeats()
 	}
 	c.chain.tickChain()
--- a/internal/system/replication/liveness.go
+++ b/internal/system/replication/liveness.go
@@ -21,13 +21,13 @@
 // suspected by time-out alone; no safety rests on that.
 type liveness struct {
 	*environment
-	peers           map[ID]*peer
-	heartbeatNumber uint64                          // of the last heartbeat sent
-	heartbeatSentAt [heartbeatHistory]time.Duration // by number modulo heartbeatHistory
-	lastHeartbeatAt time.Duration
-	graceUntil      time.Duration // until then nobody is suspected
-	chainReachedAt  time.Duration // when the chain was last reachable; not before graceUntil
-	draining        bool          // this node is about to leave
+	peers               map[ID]*peer
+	heartbeatNumber     uint64                          // of the last heartbeat sent
+	heartbeatSentAt     [heartbeatHistory]time.Duration // by number modulo heartbeatHistory
+	lastHeartbeatSentAt time.Duration
+	graceUntil          time.Duration // until then nobody is suspected
+	chainReachedAt      time.Duration // when the chain was last reachable; not before graceUntil
+	draining            bool          // this node is about to leave
 
 	acceptor *acceptor
 	writer   *diskWriter
@@ -109,7 +109,7 @@
 // sendHeartbeats sends this node's state to all members, and asks to be sent records where this node is outside the chain. Observers get
 // a reply to their own heartbeats.
 func (lv *liveness) sendHeartbeats() {
-	lv.lastHeartbeatAt = lv.now
+	lv.lastHeartbeatSentAt = lv.now
 	lv.forgetPeers()
 	message := heartbeatMessage(lv.newHeartbeat(lv.echoes()))
 	message.From = string(lv.self.ID)
@@ -256,8 +256,8 @@
 	return alive > len(voters)/2
 }
 
-// lastHeartbeatFrom is the number of the newest heartbeat of a peer, 0 if there was none.
-func (lv *liveness) lastHeartbeatFrom(id ID) uint64 {
+// lastHeartbeatNumberFrom is the number of the newest heartbeat of a peer, 0 if there was none.
+func (lv *liveness) lastHeartbeatNumberFrom(id ID) uint64 {
 	if p := lv.peers[id]; p != nil {
 		return p.heartbeatNumber
 	}
