--- a/internal/system/replication/client_calls.go
+++ b/internal/system/replication/client_calls.go
@@ -38,28 +38,28 @@
 // answered or their time has passed.
 type clientCalls struct {
 	*environment
-	submits        map[uint64]*submit // by the caller's id
-	reads          map[uint64]*read   // by the caller's id
-	lastCallNumber uint64             // of a forwarded change
+	submits        map[uint64]*pendingSubmit // by the caller's id
+	reads          map[uint64]*pendingRead   // by the caller's id
+	lastCallNumber uint64                    // of a forwarded change
 
 	acceptor *acceptor
 	liveness *liveness
 	chain    *chainReplica
 }
 
-// submit is a change asked for here.
-type submit struct {
-	id              uint64 // the caller's
-	change          controlstate.Change
-	deadline        time.Duration
-	callNumber      uint64 // on the wire: a new one for each attempt that must not be taken for a duplicate of an earlier one
-	sent            bool   // an attempt is in progress
-	uncertain       bool   // an earlier attempt may yet be applied
-	sentAt          time.Duration
-	retryAt         time.Duration // no new attempt before
-	epoch           uint64        // in which the attempt was sent
-	head            ID            // to which it was sent
-	headIncarnation uint64
+// pendingSubmit is a change asked for here.
+type pendingSubmit struct {
+	id                uint64 // the caller's
+	change            controlstate.Change
+	deadline          time.Duration
+	callNumber        uint64 // on the wire: a new one for each attempt that must not be taken for a duplicate of an earlier one
+	attemptInProgress bool   // an attempt is in progress
+	uncertain         bool   // an earlier attempt may yet be applied
+	sentAt            time.Duration
+	retryAt           time.Duration // no new attempt before
+	epoch             uint64        // in which the attempt was sent
+	head              ID            // to which it was sent
+	headIncarnation   uint64
 }
 
 // idempotent reports whether the state machine recognizes a change that is applied twice.
@@ -73,7 +73,7 @@
 		cc.complete(Completion{ID: id, Outcome: Refused})
 		return false
 	}
-	s := &submit{id: id, change: change, deadline: cc.now + ttl}
+	s := &pendingSubmit{id: id, change: change, deadline: cc.now + ttl}
 	cc.submits[id] = s
 	cc.tryForward(s)
 	return true
@@ -86,8 +86,8 @@
 }
 
 // tryForward starts an attempt where there is a head, or repeats the message of the one in progress.
-func (cc *clientCalls) tryForward(call *submit) {
-	if call.sent {
+func (cc *clientCalls) tryForward(call *pendingSubmit) {
+	if call.attemptInProgress {
 		if cc.now-call.sentAt >= callResendInterval {
 			cc.sendForward(call)
 		}
@@ -98,12 +98,12 @@
 		return
 	}
 	cc.lastCallNumber++
-	call.callNumber, call.sent = cc.lastCallNumber, true
+	call.callNumber, call.attemptInProgress = cc.lastCallNumber, true
 	call.epoch, call.head, call.headIncarnation = cc.acceptor.view.Epoch, cc.acceptor.view.Head(), incarnation
 	cc.sendForward(call)
 }
 
-func (cc *clientCalls) sendForward(call *submit) {
+func (cc *clientCalls) sendForward(call *pendingSubmit) {
 	call.sentAt = cc.now
 	change := entry{rec: call.change.Record(0)}
 	cc.send(call.head, forwardMessage(&replicationpb.Forward{
@@ -122,7 +122,7 @@
 		case cc.isHeadReplaced(s) && !idempotent(s.change):
 			cc.completeSubmit(s, Completion{Outcome: Unknown})
 		case cc.isHeadReplaced(s):
-			s.sent, s.uncertain = false, true
+			s.attemptInProgress, s.uncertain = false, true
 			cc.tryForward(s)
 		default:
 			cc.tryForward(s)
@@ -130,8 +130,8 @@
 	}
 }
 
-func (s *submit) outcomeAtDeadline() Outcome {
-	if s.sent || s.uncertain {
+func (s *pendingSubmit) outcomeAtDeadline() Outcome {
+	if s.attemptInProgress || s.uncertain {
 		return Unknown
 	}
 	return Refused
@@ -139,15 +139,15 @@
 
 // isHeadReplaced reports whether the head that an attempt was sent to is not the head any more, or has restarted. A head that remains the head
 // keeps what it was asked.
-func (cc *clientCalls) isHeadReplaced(s *submit) bool {
-	if !s.sent {
+func (cc *clientCalls) isHeadReplaced(s *pendingSubmit) bool {
+	if !s.attemptInProgress {
 		return false
 	}
 	incarnation, ok := cc.liveness.headIncarnation()
 	return s.head != cc.acceptor.view.Head() || ok && incarnation != s.headIncarnation
 }
 
-func (cc *clientCalls) completeSubmit(s *submit, done Completion) {
+func (cc *clientCalls) completeSubmit(s *pendingSubmit, done Completion) {
 	delete(cc.submits, s.id)
 	done.ID = s.id
 	cc.complete(done)
@@ -168,7 +168,7 @@
 	}
 	switch outcome := Outcome(msg.GetOutcome()); {
 	case outcome == Refused, outcome == Unknown && idempotent(call.change):
-		call.sent, call.uncertain = false, call.uncertain || outcome == Unknown
+		call.attemptInProgress, call.uncertain = false, call.uncertain || outcome == Unknown
 		call.retryAt = cc.now + cc.cfg.HeartbeatInterval
 	default:
 		verdict := controlstate.Verdict{Kind: controlstate.Kind(msg.GetKind()), Reason: msg.GetReason()}
@@ -177,18 +177,18 @@
 }
 
 // submitOf finds the change whose attempt in progress has the number, nil for none.
-func (cc *clientCalls) submitOf(callNumber uint64) *submit {
+func (cc *clientCalls) submitOf(callNumber uint64) *pendingSubmit {
 	for _, s := range cc.submits {
-		if s.sent && s.callNumber == callNumber {
+		if s.attemptInProgress && s.callNumber == callNumber {
 			return s
 		}
 	}
 	return nil
 }
 
-// read is a linearizable read asked for here. It rests on two things: the tail's commit index, and the confirmation of a majority, given
-// after the read was asked for, that no later view can have acknowledged anything before.
-type read struct {
+// pendingRead is a linearizable pendingRead asked for here. It rests on two things: the tail's commit index, and the confirmation of a majority, given
+// after the pendingRead was asked for, that no later view can have acknowledged anything before.
+type pendingRead struct {
 	id         uint64
 	deadline   time.Duration
 	sentAt     time.Duration
@@ -202,14 +202,14 @@
 		cc.complete(Completion{ID: id, Read: true, Outcome: Refused})
 		return false
 	}
-	r := &read{id: id, deadline: cc.now + ttl, sentAt: -callResendInterval}
+	r := &pendingRead{id: id, deadline: cc.now + ttl, sentAt: -callResendInterval}
 	cc.reads[id] = r
 	cc.sendReadIndex(r)
 	return true
 }
 
 // sendReadIndex asks the tail for the read index, again after callResendInterval.
-func (cc *clientCalls) sendReadIndex(r *read) {
+func (cc *clientCalls) sendReadIndex(r *pendingRead) {
 	if r.indexKnown || cc.now-r.sentAt < callResendInterval || cc.acceptor.view.Epoch == 0 {
 		return
 	}
--- a/internal/system/replication/core.go
+++ b/internal/system/replication/core.go
@@ -53,7 +53,7 @@
 		planner:      &planner{environment: env, seedMajoritySince: -1, headlessSince: -1},
 		chain:        &chainReplica{environment: env, machine: machine, state: machine.Empty(), downstream: map[ID]*progress{}},
 		confirmation: &readConfirmation{environment: env},
-		calls:        &clientCalls{environment: env, submits: map[uint64]*submit{}, reads: map[uint64]*read{}},
+		calls:        &clientCalls{environment: env, submits: map[uint64]*pendingSubmit{}, reads: map[uint64]*pendingRead{}},
 		decider:      &changeDecider{environment: env, changes: map[changeKey]*pendingChange{}},
 		liveness: &liveness{
 			environment: env, peers: map[ID]*peer{}, lastHeartbeatSentAt: -cfg.HeartbeatInterval,
