--- a/internal/system/replication/placement.go
+++ b/internal/system/replication/placement.go
@@ -5,18 +5,19 @@
 	"slices"
 )
 
-// spread tells how unevenly nodes are placed over failure domains: regions and zones. Of two sets of one size the lesser is better.
-type spread struct {
+// exposure says how many nodes the worst tolerated losses take, and how unevenly the nodes are placed over failure domains: regions and
+// zones. Of two sets of one size the lesser is better.
+type exposure struct {
 	regionExposure int // nodes lost with the worst loss of as many regions as must be tolerated
 	zoneExposure   int // nodes lost with the worst loss of as many zones, at least one
 	unevenness     int // sum of the squares of the nodes per zone
 }
 
-func (s spread) compare(other spread) int {
+func (e exposure) compare(other exposure) int {
 	return cmp.Or(
-		cmp.Compare(s.regionExposure, other.regionExposure),
-		cmp.Compare(s.zoneExposure, other.zoneExposure),
-		cmp.Compare(s.unevenness, other.unevenness),
+		cmp.Compare(e.regionExposure, other.regionExposure),
+		cmp.Compare(e.zoneExposure, other.zoneExposure),
+		cmp.Compare(e.unevenness, other.unevenness),
 	)
 }
 
@@ -47,16 +48,16 @@
 	return lost
 }
 
-// spread of members. A zone counts as one that may be lost even where none must be tolerated: it costs nothing.
-func (c *Config) spread(members []Member) spread {
-	s := spread{
+// exposure of the members to losses. A zone counts as one that may be lost even where none must be tolerated: it costs nothing.
+func (c *Config) exposure(members []Member) exposure {
+	e := exposure{
 		regionExposure: worstLoss(members, regionOf, c.RegionLosses),
 		zoneExposure:   worstLoss(members, zoneOf, max(1, c.ZoneLosses)),
 	}
 	for _, n := range domainCounts(members, zoneOf) {
-		s.unevenness += n * n
+		e.unevenness += n * n
 	}
-	return s
+	return e
 }
 
 // worstToleratedLoss is how many of the members may be lost at once.
@@ -103,7 +104,7 @@
 		if slices.Contains(members, m) || !isAllowed(m) {
 			continue
 		}
-		if with := append(slices.Clone(members), m); best == nil || c.spread(with).compare(c.spread(best)) < 0 {
+		if with := append(slices.Clone(members), m); best == nil || c.exposure(with).compare(c.exposure(best)) < 0 {
 			best = with
 		}
 	}
--- a/internal/system/replication/planner.go
+++ b/internal/system/replication/planner.go
@@ -193,7 +193,7 @@
 		with, ok := pl.cfg.addBestSpread(rest, voters, func(m Member) bool {
 			return m != replica && pl.canJoin(rest, m) && pl.isCaughtUp(m.ID)
 		})
-		if ok && pl.cfg.spread(with).compare(pl.cfg.spread(best)) < 0 {
+		if ok && pl.cfg.exposure(with).compare(pl.cfg.exposure(best)) < 0 {
 			best = with
 		}
 	}
--- a/internal/system/replication/voter_planner.go
+++ b/internal/system/replication/voter_planner.go
@@ -90,7 +90,7 @@
 // bestReplacement finds the replacement, of the voters that may go, that leaves the voters best spread; the first of those that are
 // alike.
 func (pl *planner) bestReplacement(voters, joiners []Member, mayGo func(Member) bool) (best replacement, found bool) {
-	var bestSpread spread
+	var bestExposure exposure
 	for i, voter := range voters {
 		if !mayGo(voter) {
 			continue
@@ -98,8 +98,8 @@
 		for _, joiner := range joiners {
 			with := slices.Clone(voters)
 			with[i] = joiner
-			if s := pl.cfg.spread(with); !found || s.compare(bestSpread) < 0 {
-				best, found, bestSpread = replacement{index: i, joiner: joiner}, true, s
+			if s := pl.cfg.exposure(with); !found || s.compare(bestExposure) < 0 {
+				best, found, bestExposure = replacement{index: i, joiner: joiner}, true, s
 			}
 		}
 	}
@@ -121,7 +121,7 @@
 	}
 	with := slices.Clone(voters)
 	with[best.index] = best.joiner
-	if pl.cfg.spread(with).compare(pl.cfg.spread(voters)) >= 0 {
+	if pl.cfg.exposure(with).compare(pl.cfg.exposure(voters)) >= 0 {
 		return voters, ""
 	}
 	return with, voters[best.index].ID
