--- a/internal/system/replication/acceptor.go
+++ b/internal/system/replication/acceptor.go
@@ -80,7 +80,7 @@
 // isVoter reports whether this node votes on the view after v.
 func (ac *acceptor) isVoter(v *View) bool {
 	if v.Epoch == 0 {
-		return ac.isFounder()
+		return ac.isInitialVoter()
 	}
 	if ac.cfg.Observer {
 		return false
@@ -89,8 +89,8 @@
 	return ok
 }
 
-// isFounder reports whether this node votes on the first view: it is a seed at the first start of all, and has a disk unless none has.
-func (ac *acceptor) isFounder() bool {
+// isInitialVoter reports whether this node votes on the first view: it is a seed at the first start of all, and has a disk unless none has.
+func (ac *acceptor) isInitialVoter() bool {
 	return ac.cfg.Bootstrap && slices.Contains(ac.cfg.Seeds, ac.self.Addr) && (!ac.cfg.Observer || ac.liveness.noSeedHasDisk())
 }
 
--- a/internal/system/replication/first_view_planner.go
+++ b/internal/system/replication/first_view_planner.go
@@ -17,17 +17,17 @@
 	if pl.peerHasView() {
 		return nil, 0 // it will be sent here
 	}
-	founders := pl.seedsWithDisk()
-	members := pl.completeFounders(founders)
-	if !pl.canFound(founders, members) {
+	seeds := pl.seedsWithDisk()
+	members := pl.completeInitialVoters(seeds)
+	if !pl.canFormFirstView(seeds, members) {
 		pl.seedMajoritySince = -1
 		return nil, 0
 	}
 	if pl.seedMajoritySince < 0 {
 		pl.seedMajoritySince = pl.now
 	}
-	if !pl.isFounderMissing(founders, members) || pl.now-pl.seedMajoritySince >= firstViewDelay {
-		return &View{Epoch: 1, Voters: members, Chain: pl.firstChain(members)}, pl.founderRank(members)
+	if !pl.isInitialVoterMissing(seeds, members) || pl.now-pl.seedMajoritySince >= firstViewDelay {
+		return &View{Epoch: 1, Voters: members, Chain: pl.firstChain(members)}, pl.firstViewRank(members)
 	}
 	return nil, 0
 }
@@ -42,8 +42,8 @@
 	return false
 }
 
-// canFound reports whether there are members for the first view, and votes of the seeds to choose it.
-func (pl *planner) canFound(founders, members []Member) bool {
+// canFormFirstView reports whether there are members for the first view, and votes of the seeds to choose it.
+func (pl *planner) canFormFirstView(seeds, members []Member) bool {
 	if len(members) == 0 {
 		return false
 	}
@@ -51,19 +51,19 @@
 		return true
 	}
 	known := map[ID]string{}
-	for _, m := range founders {
+	for _, m := range seeds {
 		known[m.ID] = m.Addr
 	}
 	return pl.acceptor.isQuorum(pl.acceptor.view, known)
 }
 
-// isFounderMissing reports whether a seed is worth waiting for: it has not been heard from, or, where no seed has a disk, there are too
+// isInitialVoterMissing reports whether a seed is worth waiting for: it has not been heard from, or, where no seed has a disk, there are too
 // few nodes that have one.
-func (pl *planner) isFounderMissing(founders, members []Member) bool {
+func (pl *planner) isInitialVoterMissing(seeds, members []Member) bool {
 	if pl.liveness.noSeedHasDisk() {
 		return len(members) < pl.cfg.targetVoters()
 	}
-	return len(founders)+pl.liveness.observerSeeds() < len(pl.cfg.Seeds)
+	return len(seeds)+pl.liveness.observerSeeds() < len(pl.cfg.Seeds)
 }
 
 // firstChain picks the first chain out of the members, with a head that has the longest log.
@@ -77,15 +77,15 @@
 	return idsOfMembers(replicas)
 }
 
-// founderRank is this node's turn to propose the first view.
-func (pl *planner) founderRank(members []Member) int {
+// firstViewRank is this node's turn to propose the first view.
+func (pl *planner) firstViewRank(members []Member) int {
 	if pl.cfg.Observer {
 		return max(slices.Index(pl.cfg.Seeds, pl.self.Addr), 0)
 	}
 	return max(slices.IndexFunc(members, func(m Member) bool { return m.ID == pl.self.ID }), 0)
 }
 
-// seedsWithDisk lists the seeds that may found the first view and are alive, in the order of the seeds.
+// seedsWithDisk lists the seeds that may be initial voters and are alive, in the order of the seeds.
 func (pl *planner) seedsWithDisk() []Member {
 	var members []Member
 	if !pl.cfg.Observer {
@@ -103,9 +103,9 @@
 	return slices.CompactFunc(members, func(a, b Member) bool { return a.Addr == b.Addr })
 }
 
-// completeFounders adds nodes that are no seeds to the voters of the first view, up to the number aimed at. The view is chosen by a
+// completeInitialVoters adds nodes that are no seeds to the voters of the first view, up to the number aimed at. The view is chosen by a
 // majority of the seeds, and of its own voters as any other.
-func (pl *planner) completeFounders(members []Member) []Member {
+func (pl *planner) completeInitialVoters(members []Member) []Member {
 	var others []Member
 	for _, id := range slices.Sorted(maps.Keys(pl.liveness.peers)) {
 		p := pl.liveness.peers[id]
--- a/internal/system/replication/observer_test.go
+++ b/internal/system/replication/observer_test.go
@@ -217,14 +217,14 @@
 		cluster.run(6 * time.Second)
 		cluster.filter = nil
 		cluster.run(4 * time.Second)
-		founders := map[string]bool{}
+		firstViews := map[string]bool{}
 		for _, n := range cluster.nodes {
 			if v := n.core.acceptor.view; v.Epoch > 0 {
-				founders[fmt.Sprint(v.Epoch, v.Chain, v.Voters)] = true
+				firstViews[fmt.Sprint(v.Epoch, v.Chain, v.Voters)] = true
 			}
 		}
-		if len(founders) > 1 {
-			t.Fatalf("round %d: %d views: %v", round, len(founders), founders)
+		if len(firstViews) > 1 {
+			t.Fatalf("round %d: %d views: %v", round, len(firstViews), firstViews)
 		}
 	}
 }
--- a/internal/system/replication/quorum.go
+++ b/internal/system/replication/quorum.go
@@ -16,7 +16,7 @@
 // nobody votes twice. They name nodes with a disk, and do not vote once there is a view.
 func (ac *acceptor) isQuorum(v *View, set map[ID]string) bool {
 	if v.Epoch == 0 {
-		return ac.isFoundersQuorum(set)
+		return ac.isSeedQuorum(set)
 	}
 	votes := 0
 	for _, m := range v.Voters {
@@ -27,8 +27,8 @@
 	return votes > len(v.Voters)/2
 }
 
-// isFoundersQuorum reports whether the nodes of the set are a majority of the seeds that vote on the first view.
-func (ac *acceptor) isFoundersQuorum(set map[ID]string) bool {
+// isSeedQuorum reports whether the nodes of the set are a majority of the seeds that vote on the first view.
+func (ac *acceptor) isSeedQuorum(set map[ID]string) bool {
 	votes := 0
 	counted := map[string]bool{}
 	for _, addr := range set {
