--- a/internal/system/replication/core.go
+++ b/internal/system/replication/core.go
@@ -267,7 +267,16 @@
 	c.flush()
 }
 
-// adoptView makes a chosen view this node's own, unless it has a later one. It takes part in it once the view is on disk.
+// adoptView makes a chosen view this node's own, unless it has a later one. It takes part in it once the view is on disk. The steps, in
+// this order:
+//
+//  1. chainReplica.discardRestoredLog: a node that does not lead its first view empties a restored log, and adopts the view once that is on disk.
+//  2. acceptor.enterEpoch: the view becomes the present one, and the vote on the next one is open. A head becomes active here.
+//  3. proposer.reset, and the planner waits anew: what was proposed for the former epoch is void.
+//  4. chainReplica.leaveEpoch: what was known of the former epoch's neighbours is forgotten.
+//  5. changeDecider.abandonChanges: unless this node remains the head, it answers the changes that it cannot decide any more.
+//  6. diskWriter.persist: the view and the acceptor state are written. All that follows waits for it.
+//  7. chainReplica.enterView, with enterAsHead at the head: the replica takes part.
 func (c *Core) adoptView(v *View) {
 	if v == nil || v.Epoch <= c.acceptor.view.Epoch || c.chain.discardRestoredLog(v) {
 		return
