--- a/internal/system/replication/config.go
+++ b/internal/system/replication/config.go
@@ -41,3 +41,21 @@
 		c.SlowDiskTimeout = defaultSlowDiskTimeout
 	}
 }
+
+// The times below are fractions of SuspectTimeout, which is seven heartbeat intervals (Options.coreConfig): a seventh is one heartbeat.
+
+// partitionedTimeout is how long a node is without a way to the chain until it counts as partitioned: 500 ms with the default times, after
+// the SuspectTimeout at which those that it relied on are suspected. It must be longer than a few heartbeats, so that one that comes late
+// ends it, and shorter than a change may wait, so that a caller gains by going to another node at once.
+func (c *Config) partitionedTimeout() time.Duration { return c.SuspectTimeout * 5 / 7 }
+
+// currentWindow is how old the confirmation of a majority may be for this node to be current: what it then holds lacks nothing that was
+// acknowledged longer ago. It must be longer than a heartbeat interval and the way of the reply, and shorter than config_apply_ms, within
+// which the proxies apply a change. With the default times it is 600 ms, six heartbeats. An observer, which sends one in
+// observerSlowdown = 5 intervals only, gets 900 ms: one of its heartbeats and four intervals for the reply, still below a second.
+func (c *Config) currentWindow() time.Duration {
+	if c.Observer {
+		return c.SuspectTimeout * 9 / 7
+	}
+	return c.SuspectTimeout * 6 / 7
+}
--- a/internal/system/replication/core_status.go
+++ b/internal/system/replication/core_status.go
@@ -6,12 +6,6 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// How long the confirmation of a majority that there is no later epoch counts, as fractions of Config.SuspectTimeout.
-const (
-	currentNumerator, currentDenominator                 = 6, 7
-	observerCurrentNumerator, observerCurrentDenominator = 9, 7
-)
-
 // Self is this node; its ID is the one on disk.
 func (c *Core) Self() Member { return c.self }
 
@@ -63,7 +57,7 @@
 	if c.acceptor.view.Epoch == 0 || !c.acceptor.viewDurable || c.err != nil {
 		return false
 	}
-	window := c.currentWindow()
+	window := c.cfg.currentWindow()
 	if !c.chain.isUpToDate(window) {
 		return false
 	}
@@ -92,15 +86,6 @@
 	return p.heartbeat.GetAccepted() <= c.acceptor.view.Epoch || c.cfg.knobs.ConfirmAfterAccept
 }
 
-// currentWindow is how old the confirmation of a majority may be for this node to be current: what it then holds lacks nothing that was
-// acknowledged longer ago. It is below a second with the default times, for observers too.
-func (c *Core) currentWindow() time.Duration {
-	if c.cfg.Observer {
-		return c.cfg.SuspectTimeout * observerCurrentNumerator / observerCurrentDenominator
-	}
-	return c.cfg.SuspectTimeout * currentNumerator / currentDenominator
-}
-
 // Partitioned reports whether a change asked for here cannot be accepted, as there has been no way to the chain for long. It is for callers
 // that should rather ask another node at once; Submit and Read do not rest on it.
 //
--- a/internal/system/replication/reach.go
+++ b/internal/system/replication/reach.go
@@ -1,9 +1,5 @@
 package replication
 
-// How long a node is without a way to the chain until it counts as partitioned, as a fraction of Config.SuspectTimeout: 500 ms with the
-// default times, after those that it relied on are suspected.
-const partitionedNumerator, partitionedDenominator = 5, 7
-
 // observeReach remembers when the chain was last reachable.
 func (lv *liveness) observeReach() {
 	if lv.reachesChain() {
@@ -13,7 +9,7 @@
 
 // isPartitioned reports whether the chain has been out of reach for long.
 func (lv *liveness) isPartitioned() bool {
-	return lv.now-lv.chainReachedAt >= lv.cfg.SuspectTimeout*partitionedNumerator/partitionedDenominator
+	return lv.now-lv.chainReachedAt >= lv.cfg.partitionedTimeout()
 }
 
 // reachesChain reports whether a change asked for here may be accepted by the present chain, or by one that a repair makes.
