--- a/internal/system/replication/proposer.go
+++ b/internal/system/replication/proposer.go
@@ -125,7 +125,8 @@
 	})
 }
 
-// broadcastToVoters sends to the voters of both views except this node, by identity.
+// broadcastToVoters sends to the voters of both views except this node, by identity. The view of epoch 0 has no voters: the seeds that
+// take part in the bootstrap vote in their place. Each receiver gets a message of its own, since environment.send sets its To.
 func (pr *proposer) broadcastToVoters(current, next *View, newMessage func() *replicationpb.Message) {
 	receivers := map[ID]bool{}
 	if current.Epoch == 0 {
