--- a/internal/system/replication/reach.go
+++ b/internal/system/replication/reach.go
@@ -18,7 +18,7 @@
 	if v.Epoch == 0 {
 		return lv.reachesAnyone() // any peer may send a view
 	}
-	return lv.reachesHead(v) || lv.reachesMajority(v)
+	return lv.reachesHead(v) || lv.hasMajorityAlive(v.Voters)
 }
 
 func (lv *liveness) reachesAnyone() bool {
@@ -37,14 +37,3 @@
 	}
 	return len(v.Chain) == 1 || lv.isAlive(v.Chain[1])
 }
-
-// reachesMajority reports whether this node exchanges messages with a majority of the voters, itself among them if it votes.
-func (lv *liveness) reachesMajority(v *View) bool {
-	reached := map[ID]string{}
-	for _, m := range v.Voters {
-		if lv.isAlive(m.ID) {
-			reached[m.ID] = m.Addr
-		}
-	}
-	return lv.acceptor.isQuorum(v, reached)
-}
